--- a/testing/fleet/src/commands/flags.rs
+++ b/testing/fleet/src/commands/flags.rs
@@ -165,6 +165,11 @@
     pub scenario: String,
     #[options(no_short, help = "print what happens")]
     pub trace: bool,
+    #[options(
+        no_short,
+        help = "print digests of all that happened, to compare two versions of the code"
+    )]
+    pub digest: bool,
 }
 
 /// Which second losses are played.
--- a/testing/fleet/src/commands/simulator.rs
+++ b/testing/fleet/src/commands/simulator.rs
@@ -2,7 +2,7 @@
 
 use super::control_side::prove_scenarios;
 use super::flags::{Proofs, Sim};
-use fleet::sim::{Flaw, PROOFS, SEEDS_TO_FIND, Scenario, SimFault, SimPlan, World};
+use fleet::sim::{Flaw, PROOFS, RunDigest, SEEDS_TO_FIND, Scenario, SimFault, SimPlan, World};
 use std::fmt;
 use std::process::ExitCode;
 use std::time::Duration;
@@ -47,12 +47,18 @@
     };
     let mut bad_seeds = Vec::new();
     let mut weak_seeds = Vec::new();
+    let mut run_digest = RunDigest::default();
     for seed in sim.seed..sim.seed + sim.count {
         let plan = plan_of(seed);
         let is_scripted = plan.judges_script;
         let sim_end = World::new(plan, sim.trace).run();
         sim_end.trace.iter().for_each(|line| println!("{line}"));
-        println!("seed {seed}: {sim_end}");
+        let day_digest = run_digest.add(&sim_end);
+        if sim.digest {
+            println!("seed {seed}: digest {day_digest}");
+        } else {
+            println!("seed {seed}: {sim_end}");
+        }
         for breach in sim_end.breaches.iter().take(5) {
             println!("    {breach}");
         }
@@ -62,6 +68,9 @@
             weak_seeds.push(seed);
         }
     }
+    if sim.digest {
+        println!("{} seeds: digest {}", sim.count, run_digest.finish());
+    }
     println!(
         "{} seeds: {} with breaches {bad_seeds:?}, {} not back in service {weak_seeds:?}",
         sim.count,
--- /dev/null
+++ b/testing/fleet/src/sim/digest.rs
@@ -0,0 +1,93 @@
+//! A digest of everything that happens in a simulated day, to tell whether a change altered behaviour.
+//!
+//! It covers the time, order and kind of each event, the bytes of each frame, and how the day ended, but no name
+//! of a type or field: renaming and restructuring leave it as it is.
+
+use super::event::Event;
+use super::plan::SimEnd;
+use binrw::BinWrite;
+use binrw::meta::WriteEndian;
+use common::clock::Moment;
+use common::frames::encode;
+use sha2::{Digest, Sha256};
+use std::fmt::Write;
+
+/// Collects what happens in one day.
+#[derive(Default)]
+pub(super) struct EventDigest {
+    hasher: Sha256,
+}
+
+impl EventDigest {
+    /// Adds one event, with when it happens and its number in the order of scheduling.
+    pub(super) fn add(&mut self, due_at: Moment, number: u64, event: &Event) {
+        self.hasher.update(due_at.0.to_be_bytes());
+        self.hasher.update(number.to_be_bytes());
+        self.hasher.update([event.kind_number()]);
+        match event {
+            Event::CoreFrame(_, frame) => self.add_frame(frame),
+            Event::LinkUp(_, frame) => self.add_frame(frame),
+            Event::LinkDown(_, frame) => self.add_frame(frame),
+            Event::Beat(_, heartbeat) => self.add_frame(heartbeat),
+            Event::Hop(_, _, _, body) | Event::StewardAsked(.., body) => self.add_frame(body),
+            Event::StewardSaid(.., Some(body)) => self.add_frame(body),
+            _ => {}
+        }
+    }
+
+    fn add_frame<T>(&mut self, frame: &T)
+    where
+        T: for<'a> BinWrite<Args<'a> = ()> + WriteEndian,
+    {
+        match encode(frame) {
+            // Sorted, since a ledger's entries are sent in the arbitrary order of a hash map.
+            Ok(mut frame_bytes) => {
+                frame_bytes.sort_unstable();
+                self.hasher.update(frame_bytes);
+            }
+            Err(_) => self.hasher.update(b"not encoded"),
+        }
+    }
+
+    /// The digest of the events so far, in hexadecimal digits.
+    pub(super) fn finish(self) -> String {
+        hexadecimal(&self.hasher.finalize())
+    }
+}
+
+/// The digest of many days: of their events and how each ended.
+#[derive(Default)]
+pub struct RunDigest {
+    hasher: Sha256,
+}
+
+impl RunDigest {
+    /// Adds one day and returns its own digest.
+    pub fn add(&mut self, end: &SimEnd) -> String {
+        let mut day_hasher = Sha256::new();
+        day_hasher.update(end.event_digest.as_bytes());
+        day_hasher.update((end.breaches.len() as u64).to_be_bytes());
+        day_hasher.update(end.share_after.to_bits().to_be_bytes());
+        day_hasher.update(end.back_after.as_nanos().to_be_bytes());
+        day_hasher.update(end.steps.to_be_bytes());
+        let mut counts: Vec<u64> = end.counts.values().copied().collect();
+        counts.extend(end.looked.values());
+        counts.sort_unstable();
+        counts.iter().for_each(|count| day_hasher.update(count.to_be_bytes()));
+        let day_digest = day_hasher.finalize();
+        self.hasher.update(day_digest);
+        hexadecimal(&day_digest)
+    }
+
+    /// The digest of all days, in hexadecimal digits.
+    pub fn finish(self) -> String {
+        hexadecimal(&self.hasher.finalize())
+    }
+}
+
+fn hexadecimal(digest_bytes: &[u8]) -> String {
+    digest_bytes.iter().fold(String::new(), |mut text, byte| {
+        let _ = write!(text, "{byte:02x}");
+        text
+    })
+}
--- a/testing/fleet/src/sim/event.rs
+++ b/testing/fleet/src/sim/event.rs
@@ -79,6 +79,65 @@
         matches!(self, Self::Operate(..) | Self::Withdraw(..))
     }
 
+    /// A number for its kind, which stays the same when the kind is renamed.
+    pub(super) fn kind_number(&self) -> u8 {
+        match self {
+            Self::Tick(..) => 1,
+            Self::Poll(..) => 2,
+            Self::CoreFrame(..) => 3,
+            Self::ControllerGone(..) => 4,
+            Self::Durable(..) => 5,
+            Self::Written(..) => 6,
+            Self::Lists(..) => 7,
+            Self::Dialed(..) => 8,
+            Self::LinkUp(..) => 9,
+            Self::LinkDown(..) => 10,
+            Self::LinkLost(..) => 11,
+            Self::Beat(..) => 12,
+            Self::Look(..) => 13,
+            Self::AcquireTimedOut(..) => 14,
+            Self::Hop(..) => 15,
+            Self::Passed(..) => 16,
+            Self::Word(..) => 17,
+            Self::Gone(..) => 18,
+            Self::Start(..) => 19,
+            Self::Started(..) => 20,
+            Self::Stop(..) => 21,
+            Self::Stopped(..) => 22,
+            Self::LeaderStop(..) => 23,
+            Self::LeaderStopped(..) => 24,
+            Self::Probed(..) => 25,
+            Self::Settled(..) => 26,
+            Self::Run(..) => 27,
+            Self::RunDone(..) => 28,
+            Self::SendEnded(..) => 29,
+            Self::StewardAsked(..) => 30,
+            Self::StewardSaid(..) => 31,
+            Self::Operate(..) => 32,
+            Self::Withdraw(..) => 33,
+            Self::HangUp(..) => 34,
+            Self::SendAgain(..) => 35,
+            Self::ReadBack => 36,
+            Self::Operated(..) => 37,
+            Self::ListTick => 38,
+            Self::Call => 39,
+            Self::CallAgain(..) => 40,
+            Self::Repeat(..) => 41,
+            Self::Change => 42,
+            Self::Fault => 43,
+            Self::Act(..) => 44,
+            Self::Return(..) => 45,
+            Self::Mend => 46,
+            Self::Wake(..) => 47,
+            Self::Behave => 48,
+            Self::RestoreWorkers => 49,
+            Self::RunnerLeft(..) => 50,
+            Self::WorkersReturn(..) => 51,
+            Self::Restore(..) => 52,
+            Self::Heal => 53,
+        }
+    }
+
     /// The node whose process must be awake for it, and in which life if that matters.
     pub(super) fn target(&self) -> Option<(Node, Option<u64>)> {
         match self {
--- a/testing/fleet/src/sim/mod.rs
+++ b/testing/fleet/src/sim/mod.rs
@@ -4,6 +4,7 @@
 mod checks;
 mod controller;
 mod daemon;
+mod digest;
 mod dispatch;
 mod drawn_orders;
 mod event;
@@ -25,6 +26,7 @@
 mod world;
 
 pub use checks::{Breach, Checks};
+pub use digest::RunDigest;
 pub use faults::SimFault;
 pub use flaw::Flaw;
 pub use plan::{SimEnd, SimPlan};
--- a/testing/fleet/src/sim/plan.rs
+++ b/testing/fleet/src/sim/plan.rs
@@ -117,6 +117,8 @@
     pub steps: u64,
     /// What the plan's single loss cost in time, if everything came back.
     pub recovery: Option<RecoveryTimes>,
+    /// The digest of everything that happened, for comparing two versions of the code.
+    pub event_digest: String,
     /// What happened, if it was traced.
     pub trace: Vec<String>,
 }
--- a/testing/fleet/src/sim/world.rs
+++ b/testing/fleet/src/sim/world.rs
@@ -3,6 +3,7 @@
 use super::checks::Checks;
 use super::controller::SimController;
 use super::daemon::SimDaemon;
+use super::digest::EventDigest;
 use super::event::Event;
 use super::links::Link;
 use super::network::{Network, Node, PLATFORM};
@@ -55,6 +56,7 @@
     queue: BTreeMap<(Moment, u64), Event>,
     next_event: u64,
     last_in_order: HashMap<(Node, Node), Moment>,
+    event_digest: EventDigest,
     pub(super) is_healed: bool,
     pub(super) moved_count: u8,
     pub(super) late_calls: BTreeMap<TransactionId, usize>,
@@ -95,6 +97,7 @@
             queue: BTreeMap::new(),
             next_event: 0,
             last_in_order: HashMap::new(),
+            event_digest: EventDigest::default(),
             is_healed: false,
             moved_count: 0,
             late_calls: BTreeMap::new(),
@@ -162,11 +165,12 @@
     pub fn run(mut self) -> SimEnd {
         invariants::collect_on_this_thread();
         let end_at = self.now + self.plan.lasts + self.plan.closing;
-        while let Some(((due_at, _), event)) = self.queue.pop_first() {
+        while let Some(((due_at, number), event)) = self.queue.pop_first() {
             if due_at > end_at || self.checks.breaches.len() > 20 {
                 break;
             }
             self.now = self.now.max(due_at);
+            self.event_digest.add(due_at, number, &event);
             let target = event.target().or_else(|| self.link_target(&event));
             if let Some((node, life)) = target {
                 if self.is_frozen(node) {
@@ -200,6 +204,7 @@
             back_after,
             steps: self.script.steps,
             recovery: self.recovery.measured(self.plan.daemons),
+            event_digest: self.event_digest.finish(),
             trace: self.trace,
         }
     }
--- a/testing/fleet/tests/simulator.rs
+++ b/testing/fleet/tests/simulator.rs
@@ -72,6 +72,14 @@
     Ok(())
 }
 
+/// The digest by which two versions of the code are compared is the same for the same seed, and another for another.
+#[gtest]
+fn a_day_has_one_digest_and_another_day_another() -> Result<()> {
+    let digest = |seed| World::new(SimPlan::seeded(seed), false).run().event_digest;
+    verify_that!(digest(5), eq(&digest(5)))?;
+    verify_that!(digest(5), not(eq(&digest(6))))
+}
+
 #[gtest]
 fn the_same_seed_is_the_same_day() -> Result<()> {
     let counts = || World::new(SimPlan::seeded(7), true).run().trace;
