--- /dev/null
+++ b/crates/common/tests/wire_forms/parts.rs
@@ -0,0 +1,122 @@
+//! Sample values of what frames are made of: fixed, no two alike, and with the order of their bytes to be seen.
+
+use binrw::meta::{ReadEndian, WriteEndian};
+use binrw::{BinRead, BinWrite};
+use common::frames::{
+    ClaimRunner, Flag, FrameFault, Host, Life, Many, MemberLife, Place, decode, encode,
+};
+use common::identity::{FunctionKey, GrantSerial, RunnerId, Serial, Stamp, Term};
+use std::fmt::Debug;
+
+/// What a frame reads as: its bytes when it is written again, and what it says.
+pub type Reread = (Vec<u8>, String);
+
+/// One frame of the fixture.
+pub struct Line {
+    /// Its name on the wire.
+    pub name: String,
+    /// Its bytes, and what it says.
+    pub made: Reread,
+    /// Reads a frame of its kind.
+    pub reread: fn(&[u8]) -> Result<Reread, FrameFault>,
+}
+
+fn written<T>(frame: &T) -> Result<Reread, FrameFault>
+where
+    T: Debug + for<'a> BinWrite<Args<'a> = ()> + WriteEndian,
+{
+    Ok((encode(frame)?, format!("{frame:?}")))
+}
+
+/// A line of a frame.
+pub fn line<T>(name: impl Into<String>, frame: &T) -> Line
+where
+    T: Debug
+        + for<'a> BinWrite<Args<'a> = ()>
+        + WriteEndian
+        + for<'a> BinRead<Args<'a> = ()>
+        + ReadEndian,
+{
+    Line {
+        name: name.into(),
+        made: written(frame).expect("a frame as bytes"),
+        reread: |frame_bytes| written(&decode::<T>(frame_bytes)?),
+    }
+}
+
+/// A number whose eight bytes count up from the first.
+pub fn long(first: u8) -> u64 {
+    (0..8).fold(0, |number, step| number << 8 | u64::from(first + step))
+}
+
+/// A number whose four bytes count up from the first.
+pub fn short(first: u8) -> u32 {
+    (0..4).fold(0, |number, step| number << 8 | u32::from(first + step))
+}
+
+/// A place with the number in every part of it.
+pub fn place(number: u8) -> Place {
+    Place(format!("10.{number}.0.{}:{}", number + 1, 4000 + u16::from(number)).parse().expect("it"))
+}
+
+/// A version's place.
+pub fn stamp(first: u8) -> Stamp {
+    Stamp { term: Term(long(first)), serial: Serial(long(first + 8)) }
+}
+
+/// A function's key for the callers of all regions.
+pub fn function() -> FunctionKey {
+    FunctionKey::new("segment-check", Serial(long(0x60)))
+}
+
+/// A grant.
+pub fn grant() -> GrantSerial {
+    GrantSerial::of(Term(0x51), 0x5253)
+}
+
+/// A daemon.
+pub fn host(number: u8, is_eligible: bool) -> Host {
+    Host {
+        member: format!("daemon-{number}").into(),
+        incarnation: long(number).into(),
+        zone: format!("zone-{number}").into(),
+        place: place(number),
+        eligible: Flag(is_eligible),
+        link_mbps: short(number + 8),
+    }
+}
+
+/// One life of a daemon.
+pub fn member_life(number: u8) -> MemberLife {
+    MemberLife { member: format!("daemon-{number}").into(), incarnation: long(number).into() }
+}
+
+/// A runner's name.
+pub fn runner(ordinal: u8) -> RunnerId {
+    RunnerId { grant: grant(), ordinal: long(ordinal) }
+}
+
+/// One life of a runner.
+pub fn life(number: u8) -> Life {
+    Life { name: format!("life-{number}.r-51-{number:x}").into(), place: place(number) }
+}
+
+/// Two runners of a claim: one that is ready and fit, and one of which little is known.
+pub fn claim_runners() -> Many<ClaimRunner> {
+    Many(vec![
+        ClaimRunner {
+            runner: runner(0x70),
+            worker: "worker-7".into(),
+            memory_mb: short(0x74),
+            life: Many(vec![life(7)]),
+            fit: Flag(true),
+        },
+        ClaimRunner {
+            runner: runner(0x78),
+            worker: "w\u{f6}rker-8".into(),
+            memory_mb: 192,
+            life: Many(Vec::new()),
+            fit: Flag(false),
+        },
+    ])
+}
