--- /dev/null
+++ b/crates/common/tests/document_forms.rs
@@ -0,0 +1,249 @@
+//! The document that controllers replicate, the view that daemons get, the changes between versions and the digests
+//! by which they are believed are written as when the fixture was made, and are read from it.
+
+mod forms;
+
+use common::frames::{Blob, Place, pack, unpack};
+use common::identity::{ChangeId, ControllerId, FunctionKey, RunnerId, Serial, Stamp, Term};
+use common::ring::place_of;
+use common::seal::{hex, seal};
+use common::spec::{ChangeFate, CoreMember, Document, RosterMember, TakenChanges, View, read_spec};
+use forms::{Form, held_forms, hold};
+use googletest::prelude::*;
+use serde_json::{Value, json};
+use std::collections::BTreeSet;
+
+const DOCUMENTS: &str = "documents.txt";
+const DIGESTS: &str = "digests.txt";
+/// A document of some size, as `pack` of the sources of the fixture's time made it smaller: the compressed bytes may
+/// change with the compressor, but what was packed is read for good.
+const PACKED: &str = "packed.txt";
+
+fn place(number: u8) -> Place {
+    Place(format!("10.{number}.0.{}:{}", number + 1, 4000 + u16::from(number)).parse().expect("it"))
+}
+
+fn core(numbers: &[u8]) -> Vec<CoreMember> {
+    let member = |number: &u8| CoreMember {
+        id: ControllerId(0xabcd_ef00 + u64::from(*number)),
+        place: place(*number),
+        zone: format!("zone-{number}").into(),
+    };
+    numbers.iter().map(member).collect()
+}
+
+fn roster(numbers: &[u8]) -> BTreeSet<RosterMember> {
+    let listed = |number: &u8| RosterMember {
+        member: format!("daemon-{number}").into(),
+        place: place(*number),
+    };
+    numbers.iter().map(listed).collect()
+}
+
+/// A spec with every key that operators may write.
+fn spec() -> Value {
+    json!({
+        "functions": {
+            "segment-check": {
+                "memory_mb": 192, "boot_ms": 250, "slots": 3, "runners": {"min": 1, "max": 9},
+                "connections": 77, "labels": {"team": "t\u{e9}"},
+            },
+            "resize": {"memory_mb": 64, "boot_ms": 0, "slots": 1},
+        },
+        "routes": {
+            "by-pattern": {
+                "method": "POST", "path": "/segments/{id}", "function": "segment-check",
+                "budget_ms": 900, "patience_ms": 800, "target_ms": 700, "rank": 2, "tries": 4,
+                "kind": "once", "identities": "may_come_again", "labels": {"note": "\"quoted\""},
+            },
+            "by-prefix": {
+                "host": "images.internal", "prefix": "/resize/",
+                "functions": {"resize": 3, "segment-check": 1},
+                "budget_ms": 1200, "kind": "repeatable", "identities": "fresh",
+            },
+        },
+        "limits": {
+            "header_bytes": 4096, "body_bytes": 65536, "header_ms": 2000, "idle_ms": 30000,
+            "labels": {"from": "a form"},
+        },
+        "labels": {"owner": "operators"},
+    })
+}
+
+fn with_spec(held: &Document, spec: Value, change: &str, number: u64) -> Document {
+    let checked_spec = read_spec(&spec).expect("a good spec");
+    held.with_spec(spec, &checked_spec, ChangeId::from(change)).numbered(number)
+}
+
+/// A version that says something in every field.
+fn whole_document() -> Document {
+    let mut document = Document::founding(core(&[1, 2, 3]));
+    document = with_spec(&document, spec(), "first spec", 300);
+    document = document.with_zone("zone-7".into(), true, ChangeId::from("zone-7 out"));
+    document = document.with_zone("zone-8".into(), true, ChangeId::from("zone-8 out"));
+    let mut joint = document.with_core(core(&[1, 2, 4]), ChangeId::from("4 for 3"));
+    joint.former = document.core;
+    joint.stamp.term = Term(9);
+    joint.with_roster(roster(&[5, 6]))
+}
+
+/// A version after it, with records put, changed and removed.
+fn newer_document() -> Document {
+    let held = whole_document();
+    let mut newer_spec = spec();
+    let functions = newer_spec["functions"].as_object_mut().expect("functions");
+    functions.remove("resize");
+    functions.insert("scale".to_owned(), json!({"memory_mb": 96, "boot_ms": 5, "slots": 2}));
+    functions["segment-check"]["slots"] = json!(4);
+    let routes = newer_spec["routes"].as_object_mut().expect("routes");
+    routes.remove("by-prefix");
+    routes["by-pattern"]["budget_ms"] = json!(901);
+    newer_spec["labels"] = json!({"owner": "others"});
+    let mut newer = with_spec(&held, newer_spec, "second spec", 301);
+    newer = newer.with_zone("zone-8".into(), false, ChangeId::from("zone-8 back"));
+    newer.former = Vec::new();
+    newer.stamp.term = Term(10);
+    newer.with_roster(roster(&[6, 7]))
+}
+
+/// The bytes of a document as sources wrote it before it had these fields.
+fn earlier_bytes(document: &Document) -> Vec<u8> {
+    let mut value: Value = serde_json::from_slice(&document.to_bytes()).expect("JSON");
+    let fields = value.as_object_mut().expect("an object");
+    for later_field in ["taken", "roster", "unseen", "number"] {
+        fields.remove(later_field);
+    }
+    for change in fields["changes"].as_array_mut().expect("changes") {
+        change.as_object_mut().expect("a change").remove("number");
+    }
+    value.to_string().into_bytes()
+}
+
+fn form(name: &str, text_bytes: Vec<u8>) -> Form {
+    Form { name: name.to_owned(), text: String::from_utf8(text_bytes).expect("text") }
+}
+
+fn held_text(name: &str) -> Vec<u8> {
+    let held = held_forms(DOCUMENTS).expect("forms");
+    let found = held.into_iter().find(|form| form.name == name).expect("the form");
+    found.text.into_bytes()
+}
+
+#[gtest]
+fn documents_views_and_changes_are_written_as_ever() -> Result<()> {
+    let (held, newer) = (whole_document(), newer_document());
+    let (held_view, newer_view) = (held.view(), newer.view());
+    let founding = Document::founding(core(&[1]));
+    hold(
+        DOCUMENTS,
+        &[
+            form("document/founding", founding.to_bytes()),
+            form("document/whole", held.to_bytes()),
+            form("document/newer", newer.to_bytes()),
+            form("document/change", held.change_to(&newer)),
+            form("document/change-of-nothing", held.change_to(&held)),
+            form("document/earlier", earlier_bytes(&held)),
+            form("view/whole", held_view.to_bytes()),
+            form("view/newer", newer_view.to_bytes()),
+            form("view/change", held_view.change_to(&newer_view)),
+        ],
+    )
+}
+
+#[gtest]
+fn documents_are_read_as_ever() -> Result<()> {
+    for (name, document) in [
+        ("document/founding", Document::founding(core(&[1]))),
+        ("document/whole", whole_document()),
+        ("document/newer", newer_document()),
+    ] {
+        let read = Document::from_bytes(&held_text(name))?;
+        verify_that!(read == document, eq(true)).failure_message(name)?;
+    }
+    Ok(())
+}
+
+#[gtest]
+fn documents_of_earlier_sources_are_read_as_ever() -> Result<()> {
+    let read = Document::from_bytes(&held_text("document/earlier"))?;
+    let whole = whole_document();
+    verify_that!(read.stamp, eq(Stamp { term: Term(9), serial: Serial(6) }))?;
+    verify_that!(read.number, eq(0))?;
+    verify_that!(read.unseen, eq(0))?;
+    verify_that!(read.roster.is_empty(), eq(true))?;
+    verify_that!(*read.taken, eq(&TakenChanges::default()))?;
+    verify_that!(read.spec == whole.spec, eq(true))?;
+    verify_that!(read.core, eq(&whole.core))?;
+    verify_that!(read.former, eq(&whole.former))?;
+    let names: Vec<&str> = read.changes.iter().map(|noted| noted.id.as_str()).collect();
+    verify_that!(names, eq(&["first spec", "zone-7 out", "zone-8 out", "4 for 3"]))
+}
+
+#[gtest]
+fn changes_lead_from_the_held_version_as_ever() -> Result<()> {
+    let held = Document::from_bytes(&held_text("document/whole"))?;
+    let changed = held.changed(&held_text("document/change"), &newer_document().digest())?;
+    verify_that!(changed == newer_document(), eq(true))?;
+    verify_that!(changed.taken.fate(301, &"second spec".into()), eq(ChangeFate::Taken(Serial(7))))?;
+    let unchanged = held.changed(&held_text("document/change-of-nothing"), &held.digest())?;
+    verify_that!(unchanged == held, eq(true))?;
+    let held_view = View::from_bytes(&held_text("view/whole"))?;
+    verify_that!(held_view == whole_document().view(), eq(true))?;
+    let newer_view = newer_document().view();
+    let changed_view = held_view.changed(&held_text("view/change"), &newer_view.digest())?;
+    verify_that!(changed_view == newer_view, eq(true))?;
+    verify_that!(View::from_bytes(&held_text("view/newer"))? == newer_view, eq(true))
+}
+
+fn seals() -> [Form; 2] {
+    let function = FunctionKey::new("segment-check", Serial(7)).in_region(&"east".into());
+    let runner = RunnerId { grant: 0x51_0000_5253.into(), ordinal: 0x1f };
+    let sealed = |shed| seal(&"try-1".into(), &function, runner, shed, b"{\"answered\":true}");
+    [("seal/run", false), ("seal/shed", true)]
+        .map(|(name, shed)| Form { name: name.to_owned(), text: sealed(shed) })
+}
+
+/// Digests and places that two processes must agree on, and names as they stand in headers and paths.
+#[gtest]
+fn digests_seals_and_names_are_as_ever() -> Result<()> {
+    let (held, newer) = (whole_document(), newer_document());
+    let text = |name: &str, text: String| Form { name: name.to_owned(), text };
+    let function = FunctionKey::new("segment-check", Serial(7));
+    let runner = RunnerId { grant: 0x51_0000_5253.into(), ordinal: 0x1f };
+    let mut forms = vec![
+        text("digest/document-whole", hex(&held.digest())),
+        text("digest/document-newer", hex(&newer.digest())),
+        text("digest/view-whole", hex(&held.view().digest())),
+        text("digest/view-newer", hex(&newer.view().digest())),
+        text("ring/daemon-1", format!("{:016x}", place_of(&"daemon-1".into()))),
+        text("ring/daemon-2", format!("{:016x}", place_of(&"daemon-2".into()))),
+        text("name/function", function.to_string()),
+        text("name/regional-function", function.in_region(&"east".into()).to_string()),
+        text("name/runner", runner.to_string()),
+        text("name/version", held.stamp.to_string()),
+    ];
+    forms.extend(seals());
+    hold(DIGESTS, &forms)?;
+    let read_function: FunctionKey = "segment-check@7~east".parse()?;
+    verify_that!(read_function, eq(&function.in_region(&"east".into())))?;
+    verify_that!("r-5100005253-1f".parse::<RunnerId>()?, eq(runner))
+}
+
+#[gtest]
+fn what_was_packed_is_unpacked_as_ever() -> Result<()> {
+    let long_text = whole_document().to_bytes();
+    if std::env::var_os("RUDDERSTREAM_WRITE_FORMS").is_some() {
+        let packed_text = hex(&pack(&long_text).0);
+        return hold(PACKED, &[Form { name: "packed/document".to_owned(), text: packed_text }]);
+    }
+    let held = held_forms(PACKED)?;
+    verify_that!(held.len(), eq(1))?;
+    let pairs =
+        held[0].text.as_bytes().chunks(2).map(|pair| std::str::from_utf8(pair).expect("it"));
+    let packed_bytes: Vec<u8> =
+        pairs.map(|pair| u8::from_str_radix(pair, 16).expect("hexadecimal")).collect();
+    verify_that!(unpack(&Blob::from(packed_bytes))? == long_text, eq(true))?;
+    verify_that!(pack(&long_text).0.first(), some(eq(&1)))?;
+    let short_text = b"{\"short\":1}";
+    verify_that!(pack(short_text) == Blob::from(short_text.to_vec()), eq(true))
+}
