--- /dev/null
+++ b/crates/controlplane/tests/settings_forms.rs
@@ -0,0 +1,161 @@
+//! The controller's settings as users write them: what is read, and the complete answer to every wrong value.
+
+#[path = "../../../testing/support/controller_settings.rs"]
+mod controller_settings;
+#[path = "../../../testing/support/forms.rs"]
+mod forms;
+#[path = "../../../testing/support/setting_probes.rs"]
+mod setting_probes;
+
+use common::frames::Place;
+use common::readers::{BootFault, BootSource};
+use controlplane::boot::ControllerBoot;
+use serde_json::{Value, json};
+use std::fmt::Write;
+use std::path::PathBuf;
+
+/// A file with every key, none of them at its default.
+fn full() -> Value {
+    json!({
+        "place": "10.0.0.1:7100",
+        "listen": "10.0.0.1:7200",
+        "operators": "10.0.0.2:7111",
+        "locality": "north",
+        "seeds": ["10.0.0.1:7100", "10.0.1.1:7100", "10.0.2.1:7100"],
+        "data": "/var/lib/controller",
+        "found_first": true,
+        "core_size": 7,
+        "core_losses": 2,
+        "core_zone_losses": 3,
+        "threads": 3,
+        "platform": "10.0.9.9:80",
+        "placing": {"spread": false, "emptying": false},
+        "timing": {
+            "list_every_ms": 401, "round_ms": 102, "election_shortest_ms": 503,
+            "election_longest_ms": 904, "grant_ms": 1005, "drift_ms": 106, "strike_ms": 1207,
+            "replace_ms": 1308, "hello_ms": 1409, "left_ms": 1510, "start_settle_ms": 1611,
+            "list_lag_ms": 1712,
+        },
+    })
+}
+
+/// The keys that must be there.
+fn least() -> Value {
+    json!({
+        "place": "10.0.0.1:7100", "operators": "10.0.0.2:7111", "locality": "north",
+        "seeds": ["10.0.0.1:7100"], "platform": "10.0.9.9:80",
+    })
+}
+
+fn read(settings: &Value) -> Result<ControllerBoot, BootFault> {
+    ControllerBoot::read(&BootSource::from_value("FILE", settings.clone()))
+}
+
+fn shown(settings: &Value) -> Value {
+    controller_settings::shown(&read(settings).expect("good settings"))
+}
+
+fn with(mut settings: Value, key: &str, value: Value) -> Value {
+    settings[key] = value;
+    settings
+}
+
+fn check(name: &str, seen: &str) {
+    forms::check(env!("CARGO_MANIFEST_DIR"), name, seen);
+}
+
+fn check_json(name: &str, seen: &Value) {
+    check(name, &format!("{seen:#}\n"));
+}
+
+#[test]
+fn a_full_file_and_a_short_one_are_read_with_all_their_values() {
+    let losses = |machines: u64, localities: u64| {
+        let settings = with(least(), "core_losses", json!(machines));
+        let settings = shown(&with(settings, "core_zone_losses", json!(localities)));
+        json!([machines, localities, settings["voters"], settings["voters in one locality"]])
+    };
+    let all_losses: Vec<Value> = (0..=4)
+        .flat_map(|machines| (0..=4).map(move |localities| (machines, localities)))
+        .map(|(machines, localities)| losses(machines, localities))
+        .collect();
+    let crossed = json!({"election_shortest_ms": 2000, "election_longest_ms": 1000});
+    check_json(
+        "settings_read.json",
+        &json!({
+            "full": shown(&full()),
+            "least": shown(&least()),
+            "core_losses, core_zone_losses, voters, voters in one locality": all_losses,
+            "longest election below the shortest": shown(&with(least(), "timing", crossed))["timing"],
+        }),
+    );
+}
+
+#[test]
+fn every_wrong_value_has_its_answer() {
+    let read = |settings: &Value| read(settings).map(drop).map_err(|cause| cause.to_string());
+    let mut text = setting_probes::answers(&full(), read);
+    let several = [
+        with(full(), "listen", json!("10.0.0.9:7200")),
+        with(full(), "seeds", json!(["10.0.0.1:1", "10.0.0.1:2", "10.0.0.1:3", "10.0.0.1:4"])),
+        with(full(), "seeds", json!(["10.0.0.1:1", "nowhere", 3])),
+        json!({"colour": 7}),
+        json!({"place": 7, "threads": 0}),
+    ];
+    for settings in several {
+        let answer = read(&settings).err().unwrap_or_else(|| "taken".to_owned());
+        let _ = writeln!(text, "{settings}: {answer}");
+    }
+    check("settings_answers.txt", &text);
+}
+
+#[test]
+fn files_that_cannot_be_read_and_machines_that_do_not_fit_have_their_answers() {
+    let folder = std::env::temp_dir().join(format!("settings-forms-{}", std::process::id()));
+    std::fs::create_dir_all(&folder).expect("a folder");
+    let mut text = String::new();
+    for (name, content) in [("absent", None), ("cut", Some("{\"place\": ")), ("list", Some("[7]"))]
+    {
+        let file = folder.join(name);
+        if let Some(content) = content {
+            std::fs::write(&file, content).expect("a file");
+        }
+        let opened = BootSource::open(Some(&file));
+        let answer = opened.and_then(|source| ControllerBoot::read(&source)).expect_err("a fault");
+        let answer = answer.to_string().replace(&file.display().to_string(), "FILE");
+        let _ = writeln!(text, "{name}: {answer}");
+    }
+    let _ = std::fs::remove_dir_all(&folder);
+    let denied = || std::io::Error::from(std::io::ErrorKind::PermissionDenied);
+    let place = Place("10.0.0.1:7100".parse().expect("an address"));
+    let folder_fault = BootFault::Folder("FILE".to_owned(), PathBuf::from("/data"), denied());
+    let _ = writeln!(text, "data folder: {folder_fault}");
+    for key in ["place", "listen", "operators"] {
+        let listen_fault = BootFault::Listen("FILE".to_owned(), key, place, denied());
+        let _ = writeln!(text, "listener: {listen_fault}");
+    }
+    check("settings_files.txt", &text);
+}
+
+#[test]
+fn flags_go_before_the_file_and_are_read_like_it() {
+    let mut source = BootSource::from_value("FILE", full());
+    source.set_text("place", Some("10.0.0.1:9"));
+    source.set_text("operators", None);
+    source.set_text("data", Some("/elsewhere"));
+    source.set("found_first", Some(json!(false)));
+    source.set_list("seeds", Some("10.0.3.1:1,10.0.3.2:2"));
+    let laid_over = ControllerBoot::read(&source).expect("good settings");
+    let mut flags = BootSource::open(None).expect("no file");
+    let nothing = ControllerBoot::read(&flags).expect_err("nothing is given");
+    flags.set_list("seeds", Some("10.0.3.1:1,,"));
+    let wrong = ControllerBoot::read(&flags).expect_err("a wrong list");
+    check_json(
+        "settings_flags.json",
+        &json!({
+            "laid over": controller_settings::shown(&laid_over),
+            "nothing given": nothing.to_string(),
+            "a wrong list": wrong.to_string(),
+        }),
+    );
+}
