--- a/crates/common/tests/events.rs
+++ b/crates/common/tests/events.rs
@@ -1,7 +1,11 @@
 //! The catalogue of events is whole.
 
+#[path = "../../../testing/support/forms.rs"]
+mod forms;
+
 use common::events::ALL;
 use std::collections::BTreeSet;
+use std::fmt::Write;
 
 #[test]
 fn every_event_has_its_own_number_and_stands_in_the_catalogue() {
@@ -13,3 +17,20 @@
         assert!(catalogue.contains(&row), "docs/events.md has no row {row:?}");
     }
 }
+
+/// Names may change; operators' tools know an event by its number.
+#[test]
+fn no_number_is_lost_or_new() {
+    let numbers: BTreeSet<u16> = ALL.iter().map(|event| event.number).collect();
+    let mut text = String::new();
+    for number in numbers {
+        let _ = writeln!(text, "{number}");
+    }
+    forms::check(env!("CARGO_MANIFEST_DIR"), "events.txt", &text);
+}
+
+#[test]
+fn the_log_shows_an_event_by_its_number_and_name() {
+    let event = ALL[0];
+    assert_eq!(event.to_string(), format!("[E{:04}] {}", event.number, event.name));
+}
