--- /dev/null
+++ b/crates/common/tests/platform_forms.rs
@@ -0,0 +1,184 @@
+//! The product's own calls to the platform: their bytes, and what each answer is taken for.
+
+#[path = "../../../testing/support/forms.rs"]
+mod forms;
+#[path = "../../../testing/support/platform_double.rs"]
+mod platform_double;
+
+use common::identity::{FunctionKey, GrantSerial, LifeName, RunnerId, Serial};
+use common::tongue::{BeginEnd, BeginOrder, OwnPlatform, PlatformTongue, StopOrder};
+use platform_double::PlatformDouble;
+use serde_json::json;
+use std::fmt::Write;
+use std::time::Duration;
+
+fn runner() -> RunnerId {
+    RunnerId { grant: GrantSerial(0x5_0000_0007), ordinal: 0x2b }
+}
+
+fn function() -> FunctionKey {
+    FunctionKey::new("pay", Serial(12))
+}
+
+fn begin_order(function: FunctionKey) -> BeginOrder {
+    BeginOrder {
+        runner: runner(),
+        function,
+        worker: "worker-3".into(),
+        memory_mb: 256,
+        boot: Duration::from_millis(1500),
+        slots: 4,
+        member: "daemon-1".into(),
+    }
+}
+
+fn stop_order(life: Option<&str>) -> StopOrder {
+    StopOrder {
+        runner: runner(),
+        function: function(),
+        worker: "worker-3".into(),
+        life: life.map(LifeName::from),
+        member: "daemon-1".into(),
+    }
+}
+
+fn shown(end: &BeginEnd) -> String {
+    match end {
+        BeginEnd::Begun(life) => format!("begun as {} at {}", life.name, life.place),
+        BeginEnd::NoRoom => "no room".to_owned(),
+        BeginEnd::Busy => "busy".to_owned(),
+        BeginEnd::Refused => "refused".to_owned(),
+        BeginEnd::Lost => "lost".to_owned(),
+    }
+}
+
+fn put(text: &mut String, what: &str, double: &PlatformDouble, taken_for: &str) {
+    let _ = writeln!(text, "## {what}: {taken_for}");
+    for call in double.calls() {
+        let _ = writeln!(text, "{call}\n");
+    }
+}
+
+fn check(name: &str, seen: &str) {
+    forms::check(env!("CARGO_MANIFEST_DIR"), name, seen);
+}
+
+const STATUSES: [u16; 12] = [200, 201, 204, 400, 404, 408, 409, 429, 500, 502, 503, 507];
+
+#[tokio::test]
+async fn starts_are_called_and_taken_as_before() {
+    let mut text = String::new();
+    let good = json!({"life": "life-9", "place": "10.0.0.3:9000"}).to_string();
+    for key in [function(), function().in_region(&"north".into())] {
+        let double = PlatformDouble::answering(&[(201, good.clone())]).await;
+        let end = OwnPlatform::new(double.place).begin(begin_order(key.clone())).await;
+        put(&mut text, &format!("start of {key}"), &double, &shown(&end));
+    }
+    for body in ["{}", "no JSON", r#"{"life": "", "place": "10.0.0.3:9000"}"#, r#"{"life": "a"}"#] {
+        let double = PlatformDouble::answering(&[(201, body.to_owned())]).await;
+        let end = OwnPlatform::new(double.place).begin(begin_order(function())).await;
+        let _ = writeln!(text, "start, 201 {body}: {}", shown(&end));
+    }
+    for status in STATUSES {
+        let double = PlatformDouble::answering(&[(status, String::new())]).await;
+        let end = OwnPlatform::new(double.place).begin(begin_order(function())).await;
+        let _ = writeln!(text, "start, {status} without a body: {}", shown(&end));
+    }
+    check("platform_starts.txt", &text);
+}
+
+#[tokio::test]
+async fn stops_are_called_and_taken_as_before() {
+    let mut text = String::new();
+    for life in [Some("life-9"), None] {
+        let double = PlatformDouble::answering(&[(200, "{}".to_owned())]).await;
+        let is_stopped = OwnPlatform::new(double.place).stop(stop_order(life)).await;
+        put(&mut text, "stop", &double, if is_stopped { "stopped" } else { "not sure" });
+    }
+    for status in STATUSES {
+        let double = PlatformDouble::answering(&[(status, "{}".to_owned())]).await;
+        let is_stopped = OwnPlatform::new(double.place).stop(stop_order(Some("life-9"))).await;
+        let taken_for = if is_stopped { "stopped" } else { "not sure" };
+        let _ = writeln!(text, "stop, {status}: {taken_for}");
+    }
+    check("platform_stops.txt", &text);
+}
+
+#[tokio::test]
+async fn workers_are_listed_and_taken_as_before() {
+    let mut text = String::new();
+    let whole = json!({"workers": [
+        {"worker": "w-1", "locality": "north", "memory_mb": 4096, "draining": true},
+        {"worker": "w-2", "locality": "south", "memory_mb": 0},
+    ]});
+    let answers = [
+        (200, whole.to_string()),
+        (200, json!({"workers": []}).to_string()),
+        (200, json!({}).to_string()),
+        (200, json!({"workers": 7}).to_string()),
+        (200, json!({"workers": [{"worker": "w-1", "memory_mb": 1}]}).to_string()),
+        (200, json!({"workers": [{"worker": "w", "locality": "n", "memory_mb": -1}]}).to_string()),
+        (503, whole.to_string()),
+    ];
+    for (status, body) in answers {
+        let double = PlatformDouble::answering(&[(status, body.clone())]).await;
+        let listed = OwnPlatform::new(double.place).workers().await;
+        let rows = listed.map(|workers| {
+            let row = |worker: &common::tongue::ListedWorker| {
+                json!([
+                    worker.worker.as_str(),
+                    worker.zone.as_str(),
+                    worker.memory_mb,
+                    worker.draining,
+                ])
+            };
+            json!(workers.iter().map(row).collect::<Vec<_>>())
+        });
+        let taken_for = rows.map_or_else(|| "not read".to_owned(), |rows| rows.to_string());
+        put(&mut text, &format!("workers, {status} {body}"), &double, &taken_for);
+    }
+    check("platform_workers.txt", &text);
+}
+
+#[tokio::test]
+async fn runners_are_listed_and_taken_as_before() {
+    let mut text = String::new();
+    let row = json!({
+        "runner": runner().to_string(), "function": "pay@12~north", "worker": "w-1",
+        "life": "life-9", "place": "10.0.0.3:9000", "leaving": true,
+    });
+    let without = |key: &str| {
+        let mut row = row.clone();
+        row.as_object_mut().expect("a row").remove(key);
+        json!({"age_ms": 0, "runners": [row]}).to_string()
+    };
+    let mut answers = vec![
+        (200, json!({"age_ms": 250, "runners": [row]}).to_string()),
+        (200, json!({"age_ms": 250, "runners": []}).to_string()),
+        (200, json!({"runners": []}).to_string()),
+        (200, json!({"age_ms": 3_600_001, "runners": []}).to_string()),
+        (503, json!({"age_ms": 250, "runners": []}).to_string()),
+    ];
+    let keys = ["runner", "function", "worker", "life", "place", "leaving"];
+    answers.extend(keys.map(|key| (200, without(key))));
+    for (status, body) in answers {
+        let double = PlatformDouble::answering(&[(status, body.clone())]).await;
+        let listed = OwnPlatform::new(double.place).runners().await;
+        let rows = listed.map(|list| {
+            let row = |listed: &common::tongue::ListedRunner| {
+                json!({
+                    "life": listed.life.name.as_str(),
+                    "place": listed.life.place.to_string(),
+                    "runner": listed.runner.map(|runner| runner.to_string()),
+                    "function": listed.key.as_ref().map(ToString::to_string),
+                    "worker": listed.worker.as_str(),
+                    "leaving": listed.leaving,
+                })
+            };
+            json!([list.age.as_millis() as u64, list.runners.iter().map(row).collect::<Vec<_>>()])
+        });
+        let taken_for = rows.map_or_else(|| "not read".to_owned(), |rows| rows.to_string());
+        put(&mut text, &format!("runners, {status} {body}"), &double, &taken_for);
+    }
+    check("platform_runners.txt", &text);
+}
--- a/crates/controlplane/tests/leader_state.rs
+++ b/crates/controlplane/tests/leader_state.rs
@@ -1,5 +1,8 @@
 //! The leader's leader state: when it grants, whom it waits for, and from when a transaction may run only once.
 
+#[path = "../../../testing/support/forms.rs"]
+mod forms;
+
 use common::clock::Moment;
 use common::frames::{
     AcquireResult, Claim, ClaimRunner, Flag, Host, KnownMember, Life, Many, MemberLife, Place,
@@ -959,3 +962,35 @@
     verify_that!(before_count, eq(0))?;
     verify_that!(told, elements_are![eq(&"change")])
 }
+
+/// What operators are told of daemons, holders, workers and runners, with each key and each form of a value.
+#[gtest]
+fn reports_keep_their_keys_and_values() {
+    let mut bench = Bench::new(&["a", "b"]);
+    bench.join(1, "a", vec![fit_claim(false)]);
+    bench.join(2, "b", Vec::new());
+    bench.listed(&[]);
+    bench.pass(ms(10));
+    let worker = |name: &str, draining| ListedWorker {
+        worker: name.into(),
+        zone: "l1".into(),
+        memory_mb: 100_000,
+        draining,
+    };
+    bench.leader_state.workers_listed(vec![worker("w", false), worker("w-2", true)]);
+    let grant = granted(&mut bench, 2, "g");
+    reserve(&mut bench, 2, "g", grant);
+    let leader_state = &bench.leader_state;
+    let known_zones: Vec<String> =
+        leader_state.known_zones().iter().map(ToString::to_string).collect();
+    let counts: Vec<(&str, u64)> = leader_state.counts().into();
+    let seen = json!({
+        "members": leader_state.report_members(bench.now),
+        "holders": leader_state.report_holders(),
+        "workers": leader_state.report_workers(),
+        "runners": leader_state.report_runners(),
+        "counts": counts,
+        "localities": known_zones,
+    });
+    forms::check(env!("CARGO_MANIFEST_DIR"), "reports.json", &format!("{seen:#}\n"));
+}
--- /dev/null
+++ b/testing/support/platform_double.rs
@@ -0,0 +1,58 @@
+//! A platform that answers calls as a test says, and keeps what it was sent. Included by the tests that hold the calls.
+
+use common::frames::Place;
+use std::net::SocketAddr;
+use std::sync::{Arc, Mutex};
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::net::{TcpListener, TcpStream};
+
+/// A platform's answers to calls, one after another, and the calls.
+pub struct PlatformDouble {
+    /// Where it listens.
+    pub place: Place,
+    calls: Arc<Mutex<Vec<String>>>,
+}
+
+fn length(head: &str) -> usize {
+    let named = head.lines().find_map(|line| line.strip_prefix("content-length: "));
+    named.and_then(|text| text.trim().parse().ok()).unwrap_or(0)
+}
+
+async fn read_call(stream: &mut TcpStream) -> String {
+    let mut message = Vec::new();
+    while !message.ends_with(b"\r\n\r\n") {
+        message.push(stream.read_u8().await.expect("a whole head"));
+    }
+    let mut body = vec![0; length(&String::from_utf8_lossy(&message))];
+    stream.read_exact(&mut body).await.expect("a whole body");
+    message.extend(body);
+    String::from_utf8_lossy(&message).replace("\r\n", "\n")
+}
+
+impl PlatformDouble {
+    /// A platform that gives these statuses and bodies, one for each call; then it closes connections.
+    pub async fn answering(answers: &[(u16, String)]) -> Self {
+        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
+        let SocketAddr::V4(address) = listener.local_addr().expect("an address") else {
+            panic!("not an IPv4 address");
+        };
+        let place = Place(address);
+        let calls = Arc::new(Mutex::new(Vec::new()));
+        let (kept, answers) = (calls.clone(), answers.to_vec());
+        tokio::spawn(async move {
+            for (status, body) in answers {
+                let (mut stream, _) = listener.accept().await.expect("a call");
+                let call = read_call(&mut stream).await.replace(&place.to_string(), "PLATFORM");
+                kept.lock().expect("the calls").push(call);
+                let head = format!("HTTP/1.1 {status} X\r\ncontent-length: {}\r\n\r\n", body.len());
+                let _ = stream.write_all(format!("{head}{body}").as_bytes()).await;
+            }
+        });
+        Self { place, calls }
+    }
+
+    /// The calls so far, as they came.
+    pub fn calls(&self) -> Vec<String> {
+        self.calls.lock().expect("the calls").clone()
+    }
+}
--- /dev/null
+++ b/testing/support/wire.rs
@@ -0,0 +1,86 @@
+//! The bytes of HTTP requests and responses as the other side gets them. Included by the tests that hold them.
+
+use bytes::Bytes;
+use common::http::{CallerTimes, Served, serve_connection};
+use http_body_util::Full;
+use hyper::Request;
+use hyper::body::Incoming;
+use hyper_util::rt::TokioIo;
+use std::future::Future;
+use std::sync::{Arc, Mutex};
+use std::time::Duration;
+use tokio::io::{AsyncReadExt, AsyncWriteExt, DuplexStream, duplex};
+use tokio::sync::watch;
+
+const PIPE_BYTES: usize = 1 << 20;
+
+/// The text of a message: line ends as in a text file, and no date.
+fn shown(message: &[u8]) -> String {
+    let text = String::from_utf8_lossy(message).replace("\r\n", "\n");
+    let is_dated = |line: &str| line.starts_with("date: ");
+    let lines = text.split('\n').map(|line| if is_dated(line) { "date: DATE" } else { line });
+    lines.collect::<Vec<_>>().join("\n")
+}
+
+/// What a caller gets to a request, of which the text is given with plain line ends.
+pub async fn answered_by<H, F>(handler: H, request_text: &str) -> String
+where
+    H: Fn(Request<Incoming>) -> F,
+    F: Future<Output = Served>,
+{
+    let (near, mut far) = duplex(PIPE_BYTES);
+    let times = CallerTimes { header_bytes: 64 << 10, idle: Duration::from_secs(10) };
+    let (_stop_sender, stop) = watch::channel(false);
+    let (head, body) = request_text.split_once("\n\n").expect("a head");
+    let sent = format!("{}\r\n\r\n{body}", head.replace('\n', "\r\n"));
+    far.write_all(sent.as_bytes()).await.expect("it is sent");
+    let reading = async {
+        let mut message = Vec::new();
+        far.read_to_end(&mut message).await.expect("an answer");
+        message
+    };
+    let serving = serve_connection(near, handler, times, stop);
+    let (message, ()) = tokio::join!(reading, serving);
+    shown(&message)
+}
+
+/// A response as a caller gets it who wants no other one.
+pub async fn response(served: Served) -> String {
+    let waiting = Arc::new(Mutex::new(Some(served)));
+    let handler = move |_| {
+        let served = waiting.lock().expect("a response").take().expect("one request");
+        async move { served }
+    };
+    answered_by(handler, "GET / HTTP/1.1\nhost: h\nconnection: close\n\n").await
+}
+
+fn length(head: &str) -> usize {
+    let named = head.lines().find_map(|line| line.strip_prefix("content-length: "));
+    named.and_then(|text| text.trim().parse().ok()).unwrap_or(0)
+}
+
+async fn read_request(mut far: DuplexStream) -> Vec<u8> {
+    let mut message = Vec::new();
+    loop {
+        let byte = far.read_u8().await.expect("a whole request");
+        message.push(byte);
+        let is_head_whole = message.ends_with(b"\r\n\r\n");
+        if is_head_whole {
+            let mut body = vec![0; length(&String::from_utf8_lossy(&message))];
+            far.read_exact(&mut body).await.expect("a whole body");
+            message.extend(body);
+            return message;
+        }
+    }
+}
+
+/// A request as the other side gets it.
+#[allow(dead_code)]
+pub async fn request(request: Request<Full<Bytes>>) -> String {
+    let (near, far) = duplex(PIPE_BYTES);
+    let handshake = hyper::client::conn::http1::handshake(TokioIo::new(near));
+    let (mut sender, connection) = handshake.await.expect("a connection");
+    let sending = sender.send_request(request);
+    let (message, _, _) = tokio::join!(read_request(far), sending, connection);
+    shown(&message)
+}
