--- /dev/null
+++ b/testing/support/commands.rs
@@ -0,0 +1,21 @@
+//! What programs print and exit with. Included by the tests that hold it.
+
+use std::process::Command;
+
+/// What a program prints to arguments, and its exit code; a version number of its own is shown as VERSION.
+pub fn said(program: &str, arguments: &[&str], variables: &[(&str, &str)]) -> String {
+    let output = Command::new(program)
+        .args(arguments)
+        .envs(variables.iter().copied())
+        .output()
+        .expect("it runs");
+    let printed = String::from_utf8_lossy(&output.stdout).into_owned();
+    let complained = String::from_utf8_lossy(&output.stderr).into_owned();
+    let version = env!("CARGO_PKG_VERSION");
+    let exit_code = output.status.code();
+    let exit_code = exit_code.map_or_else(|| "none".to_owned(), |code| code.to_string());
+    let shown = arguments.join(" ");
+    let text = format!("## {shown}\nexit code {exit_code}\n{printed}");
+    let text = if complained.is_empty() { text } else { format!("{text}on stderr:\n{complained}") };
+    text.replace(version, "VERSION") + "\n"
+}
