--- a/crates/common/src/tongue/door.rs
+++ b/crates/common/src/adapter/ingress.rs
@@ -1,8 +1,8 @@
 //! What is read from callers and said to them.
 
-use crate::frames::{HeadLine, HopReason};
-use crate::http::Served;
-use crate::identity::{FunctionKey, RunnerId, TransactionId};
+use crate::frames::{HeaderField, RequestFailureReason};
+use crate::http::HttpResponse;
+use crate::identity::{FunctionKey, IdempotencyKey, RunnerId};
 use bytes::Bytes;
 use hyper::header::HeaderMap;
 use std::time::Duration;
@@ -11,7 +11,7 @@
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum NotRunKind {
     /// A header is missing or wrong, or the body broke off.
-    Bad,
+    BadRequest,
     /// No route fits, in a spec that is known to be in force.
     NoRoute,
     /// The identity was refused before.
@@ -19,16 +19,16 @@
     /// The body is too large.
     TooLarge,
     /// The extra tries are spent.
-    TooMany,
+    RetryBudgetSpent,
     /// Come back later.
     Unavailable,
 }
 
 /// What a caller is told.
 #[derive(Clone, Debug)]
-pub enum Said {
+pub enum CallerResponse {
     /// The runner's whole answer.
-    Answer {
+    Response {
         /// The function that ran.
         function: FunctionKey,
         /// The runner.
@@ -38,7 +38,7 @@
         /// The seal as the runner gave it.
         seal: Bytes,
         /// Header lines that go with it.
-        lines: Vec<HeadLine>,
+        header_fields: Vec<HeaderField>,
         /// The body.
         body: Bytes,
     },
@@ -51,34 +51,38 @@
         /// The header at fault, if one is.
         header: Option<&'static str>,
         /// When coming back is worth it.
-        come_back: Option<Duration>,
+        retry_after: Option<Duration>,
     },
     /// It may have run.
     Unknown {
         /// Why.
-        reason: HopReason,
+        reason: RequestFailureReason,
         /// When asking again is worth it.
-        come_back: Duration,
+        retry_after: Duration,
     },
 }
 
 /// How callers' HTTP is read and written.
-pub trait DoorTongue: Send + Sync {
+pub trait IngressCodec: Send + Sync {
     /// The header that carries a try's identity.
-    fn identity_header(&self) -> &'static str;
+    fn idempotency_key_header(&self) -> &'static str;
 
     /// The header that carries how many milliseconds the caller waits.
-    fn budget_header(&self) -> &'static str;
+    fn timeout_header(&self) -> &'static str;
 
     /// Whether the caller marked the transaction a repeat.
     fn is_repeat(&self, headers: &HeaderMap) -> bool;
 
     /// The header lines that go on to a runner.
-    fn passed_lines(&self, headers: &HeaderMap) -> Vec<HeadLine>;
+    fn forwarded_header_fields(&self, headers: &HeaderMap) -> Vec<HeaderField>;
 
     /// Writes an answer; the identity is known unless it was the header at fault.
-    fn say(&self, transaction: Option<&TransactionId>, said: Said) -> Served;
+    fn write_response(
+        &self,
+        idempotency_key: Option<&IdempotencyKey>,
+        caller_response: CallerResponse,
+    ) -> HttpResponse;
 
     /// The path at which readiness is asked, beside the product's own.
-    fn ready_path(&self) -> &'static str;
+    fn readiness_path(&self) -> &'static str;
 }
--- a/crates/common/src/tongue/platform.rs
+++ b/crates/common/src/adapter/platform.rs
@@ -1,19 +1,19 @@
 //! What is asked of the platform: starts, stops and lists.
 
-use crate::frames::Life;
+use crate::frames::Instance;
 use crate::identity::{
-    FunctionKey, FunctionName, LifeName, MemberName, RunnerId, WorkerName, Zone,
+    FunctionKey, FunctionName, InstanceId, MemberName, RunnerId, WorkerName, Zone,
 };
 use std::future::Future;
 use std::pin::Pin;
 use std::time::Duration;
 
 /// A call under way.
-pub type Calling<'a, T> = Pin<Box<dyn Future<Output = T> + Send + 'a>>;
+pub type PlatformCall<'a, T> = Pin<Box<dyn Future<Output = T> + Send + 'a>>;
 
 /// A runner to be started; the same order again finds the same runner.
 #[derive(Clone, Debug)]
-pub struct BeginOrder {
+pub struct StartOrder {
     /// The runner's own name with us, the start's key.
     pub runner: RunnerId,
     /// Its function.
@@ -23,7 +23,7 @@
     /// The memory it needs.
     pub memory_mb: u32,
     /// How long it boots on average.
-    pub boot: Duration,
+    pub startup: Duration,
     /// How many transactions it may run at once.
     pub slots: u32,
     /// Who orders it.
@@ -32,15 +32,15 @@
 
 /// How an order to start ended.
 #[derive(Clone, PartialEq, Eq, Debug)]
-pub enum BeginEnd {
+pub enum StartOutcome {
     /// It boots, or has booted.
-    Begun(Life),
+    Started(Instance),
     /// The worker has no room, or is gone, draining or unknown.
-    NoRoom,
+    NoCapacity,
     /// The platform has too many calls; come back.
     Busy,
     /// There is no such function, or the order was wrong.
-    Refused,
+    Rejected,
     /// No answer; it may have been carried out.
     Lost,
 }
@@ -55,7 +55,7 @@
     /// Where it runs.
     pub worker: WorkerName,
     /// Its life; without one the start is repeated to learn it, and then stopped.
-    pub life: Option<LifeName>,
+    pub instance: Option<InstanceId>,
     /// Who orders it.
     pub member: MemberName,
 }
@@ -77,7 +77,7 @@
 #[derive(Clone, Debug)]
 pub struct ListedRunner {
     /// Its life.
-    pub life: Life,
+    pub instance: Instance,
     /// Our own name for it, where the platform keeps that.
     pub runner: Option<RunnerId>,
     /// Its function's name.
@@ -100,16 +100,16 @@
 }
 
 /// How the platform's HTTP is spoken.
-pub trait PlatformTongue: Send + Sync {
+pub trait PlatformAdapter: Send + Sync {
     /// Orders a start.
-    fn begin(&self, order: BeginOrder) -> Calling<'_, BeginEnd>;
+    fn start_runner(&self, order: StartOrder) -> PlatformCall<'_, StartOutcome>;
 
     /// Orders a stop; true when the runner has surely ended and its name never starts again.
-    fn stop(&self, order: StopOrder) -> Calling<'_, bool>;
+    fn stop(&self, order: StopOrder) -> PlatformCall<'_, bool>;
 
     /// Lists the workers; none when it cannot be read now.
-    fn workers(&self) -> Calling<'_, Option<Vec<ListedWorker>>>;
+    fn workers(&self) -> PlatformCall<'_, Option<Vec<ListedWorker>>>;
 
     /// Lists all runners, page by page; none when it cannot be read whole now.
-    fn runners(&self) -> Calling<'_, Option<RunnerList>>;
+    fn runners(&self) -> PlatformCall<'_, Option<RunnerList>>;
 }
--- a/crates/common/src/clock/mod.rs
+++ b/crates/common/src/clock/mod.rs
@@ -7,11 +7,11 @@
 
 /// A moment on this machine's boot clock, in nanoseconds.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug, Default)]
-pub struct Moment(pub u64);
+pub struct MonotonicTime(pub u64);
 
-impl Moment {
+impl MonotonicTime {
     /// The earliest moment.
-    pub const ZERO: Moment = Moment(0);
+    pub const ZERO: MonotonicTime = MonotonicTime(0);
 
     /// The present moment on CLOCK_BOOTTIME.
     pub fn now() -> Self {
@@ -20,8 +20,8 @@
     }
 
     /// The time from an earlier moment to this one; nothing if that is later.
-    pub fn since(self, earlier_moment: Moment) -> Duration {
-        Duration::from_nanos(self.0.saturating_sub(earlier_moment.0))
+    pub fn since(self, earlier: MonotonicTime) -> Duration {
+        Duration::from_nanos(self.0.saturating_sub(earlier.0))
     }
 
     /// Whole milliseconds on this clock.
@@ -30,47 +30,47 @@
     }
 }
 
-impl Add<Duration> for Moment {
-    type Output = Moment;
-    fn add(self, added_span: Duration) -> Moment {
-        Moment(self.0.saturating_add(added_span.as_nanos() as u64))
+impl Add<Duration> for MonotonicTime {
+    type Output = MonotonicTime;
+    fn add(self, span: Duration) -> MonotonicTime {
+        MonotonicTime(self.0.saturating_add(span.as_nanos() as u64))
     }
 }
 
-impl Sub<Duration> for Moment {
-    type Output = Moment;
-    fn sub(self, taken_span: Duration) -> Moment {
-        Moment(self.0.saturating_sub(taken_span.as_nanos() as u64))
+impl Sub<Duration> for MonotonicTime {
+    type Output = MonotonicTime;
+    fn sub(self, span: Duration) -> MonotonicTime {
+        MonotonicTime(self.0.saturating_sub(span.as_nanos() as u64))
     }
 }
 
-impl fmt::Display for Moment {
+impl fmt::Display for MonotonicTime {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(out, "{}.{:03}s", self.0 / 1_000_000_000, self.0 / 1_000_000 % 1000)
     }
 }
 
 /// A moment that many threads read and one writes.
-pub struct SharedMoment(AtomicU64);
+pub struct SharedMonotonicTime(AtomicU64);
 
-impl SharedMoment {
+impl SharedMonotonicTime {
     /// Starts at the earliest moment.
     pub const fn new() -> Self {
         Self(AtomicU64::new(0))
     }
 
     /// Reads the moment.
-    pub fn get(&self) -> Moment {
-        Moment(self.0.load(Ordering::Acquire))
+    pub fn get(&self) -> MonotonicTime {
+        MonotonicTime(self.0.load(Ordering::Acquire))
     }
 
     /// Replaces the moment.
-    pub fn set(&self, new_moment: Moment) {
-        self.0.store(new_moment.0, Ordering::Release);
+    pub fn set(&self, new_instant: MonotonicTime) {
+        self.0.store(new_instant.0, Ordering::Release);
     }
 }
 
-impl Default for SharedMoment {
+impl Default for SharedMonotonicTime {
     fn default() -> Self {
         Self::new()
     }
--- a/crates/common/src/command_line.rs
+++ b/crates/common/src/command_line.rs
@@ -2,7 +2,7 @@
 
 use crate::events;
 use crate::invariants;
-use crate::note;
+use crate::log_event;
 use gumdrop::{Options, ParsingStyle};
 use std::fmt;
 use std::process::ExitCode;
@@ -40,20 +40,20 @@
     }
 
     /// Reads the flags, or ends the process with help, the version or a fault.
-    pub fn flags<T: Options>(self, asks_version: impl FnOnce(&T) -> bool) -> T {
+    pub fn flags<T: Options>(self, requests_version: impl FnOnce(&T) -> bool) -> T {
         let arguments: Vec<String> = std::env::args().skip(1).collect();
         match T::parse_args(&arguments, ParsingStyle::default()) {
             Ok(flags) if flags.help_requested() => {
                 println!("{}", self.help(&flags));
                 std::process::exit(0)
             }
-            Ok(flags) if asks_version(&flags) => {
+            Ok(flags) if requests_version(&flags) => {
                 println!("{} {}", self.name, self.version);
                 std::process::exit(0)
             }
             Ok(flags) => flags,
-            Err(fault) => {
-                eprintln!("{}: {fault}; try --help", self.name);
+            Err(error) => {
+                eprintln!("{}: {error}; try --help", self.name);
                 std::process::exit(2)
             }
         }
@@ -63,9 +63,9 @@
         let mut innermost = flags;
         let mut line = format!("Usage: {}", self.name);
         let mut command = None;
-        while let Some(chosen) = innermost.command() {
-            innermost = chosen;
-            if let Some(command_name) = chosen.command_name() {
+        while let Some(subcommand) = innermost.command() {
+            innermost = subcommand;
+            if let Some(command_name) = subcommand.command_name() {
                 command = Some(command_name);
                 line.push(' ');
                 line.push_str(command_name);
@@ -90,47 +90,47 @@
     }
 
     /// Says why the program ends, and gives its exit code.
-    pub fn fail(self, fault: impl fmt::Display, exit_code: u8) -> ExitCode {
-        eprintln!("{}: {fault}", self.name);
+    pub fn fail(self, error: impl fmt::Display, exit_code: u8) -> ExitCode {
+        eprintln!("{}: {error}", self.name);
         ExitCode::from(exit_code)
     }
 }
 
 /// Becomes true when the process is told to stop, by SIGTERM or from the terminal.
-pub fn told_to_stop() -> std::io::Result<watch::Receiver<bool>> {
+pub fn stop_signal() -> std::io::Result<watch::Receiver<bool>> {
     let (stop_sender, stop) = watch::channel(false);
-    let mut terminating = signal(SignalKind::terminate())?;
+    let mut terminations = signal(SignalKind::terminate())?;
     tokio::spawn(async move {
         tokio::select! {
-            _ = terminating.recv() => {}
+            _ = terminations.recv() => {}
             _ = tokio::signal::ctrl_c() => {}
         }
-        note!(Info, events::STOPPING);
+        log_event!(Info, events::STOPPING);
         stop_sender.send_replace(true);
     });
     Ok(stop)
 }
 
 /// Counts how often the process was told by SIGHUP that its settings have changed; it never dies of that.
-pub fn told_to_reread() -> std::io::Result<watch::Receiver<u64>> {
-    let (reread_sender, reread) = watch::channel(0);
-    let mut hanging_up = signal(SignalKind::hangup())?;
+pub fn reload_signal() -> std::io::Result<watch::Receiver<u64>> {
+    let (reload_sender, reload) = watch::channel(0);
+    let mut hangups = signal(SignalKind::hangup())?;
     tokio::spawn(async move {
-        while hanging_up.recv().await.is_some() {
-            reread_sender.send_modify(|count| *count += 1);
+        while hangups.recv().await.is_some() {
+            reload_sender.send_modify(|count| *count += 1);
         }
     });
-    Ok(reread)
+    Ok(reload)
 }
 
 /// Reads settings each time the process is told that they have changed, and applies those that could be
 /// read; goes on until the process ends.
-pub async fn apply_on_reread<T>(
-    mut reread: watch::Receiver<u64>,
+pub async fn apply_on_reload<T>(
+    mut reload: watch::Receiver<u64>,
     read: impl Fn() -> Option<T>,
     apply: impl AsyncFn(T),
 ) {
-    while reread.changed().await.is_ok() {
+    while reload.changed().await.is_ok() {
         if let Some(settings) = read() {
             apply(settings).await;
         }
@@ -151,9 +151,9 @@
 
 /// A SIGHUP that comes before [`told_to_reread`] ends no process: the settings are read after it anyway. Once a
 /// handler was there, the system's own way with the signal does not come back.
-fn survive_early_hang_ups() {
-    if let Ok(handling) = runtime(1) {
-        let _inside = handling.enter();
+fn ignore_early_hangups() {
+    if let Ok(hangup_runtime) = runtime(1) {
+        let _runtime_guard = hangup_runtime.enter();
         let _ = signal(SignalKind::hangup());
     }
 }
@@ -161,7 +161,7 @@
 /// Starts the log at the level that `RUST_LOG` names, or `info`; the first thing that a deployed program does. From
 /// then on it survives hang-ups, and goes on when it finds one of its invariants violated, and counts it.
 pub fn start_log() {
-    survive_early_hang_ups();
+    ignore_early_hangups();
     invariants::count_only();
     env_logger::Builder::from_env(env_logger::Env::default().default_filter_or("info")).init();
 }
--- a/crates/common/src/events/mod.rs
+++ b/crates/common/src/events/mod.rs
@@ -43,81 +43,81 @@
     /// The process found one of its own promises broken.
     INVARIANT_VIOLATED = 1201, "invariant violated";
     /// A controller asks for votes.
-    CAMPAIGN = 2001, "campaign";
+    ELECTION_STARTED = 2001, "campaign";
     /// A controller leads.
-    ELECTED = 2002, "elected";
+    LEADER_ELECTED = 2002, "elected";
     /// A controller no longer leads.
-    STEPPED_DOWN = 2003, "stepped down";
+    LEADER_STEPPED_DOWN = 2003, "stepped down";
     /// A version of the document is committed.
-    COMMITTED = 2004, "committed";
+    VERSION_COMMITTED = 2004, "committed";
     /// A version is in force at every daemon that serves.
-    IN_FORCE = 2005, "in force";
+    VERSION_IN_FORCE = 2005, "in force";
     /// The disk failed a write.
-    DISK_FAILED = 2006, "disk failed";
+    DISK_WRITE_FAILED = 2006, "disk failed";
     /// A file on disk was damaged and set aside.
-    FILE_SET_ASIDE = 2007, "file set aside";
+    DAMAGED_FILE_SET_ASIDE = 2007, "file set aside";
     /// The core was founded.
-    FOUNDED = 2008, "founded";
+    QUORUM_FOUNDED = 2008, "founded";
     /// The controller took long over one input, so that rounds and votes waited.
-    SLOW_STEP = 2011, "slow step";
+    SLOW_INPUT = 2011, "slow step";
     /// An operator's order was answered.
-    ORDER_ANSWERED = 2012, "order answered";
+    OPERATION_ANSWERED = 2012, "order answered";
     /// The members of the core are changing.
-    SUCCESSION = 2010, "succession";
+    QUORUM_RECONFIGURING = 2010, "succession";
     /// A disk write takes longer than an election timeout.
     DISK_STALLED = 2009, "disk stalled";
     /// A daemon opened its stream.
-    MEMBER_JOINED = 2101, "member joined";
+    MEMBER_CONNECTED = 2101, "member joined";
     /// A daemon's stream was lost.
-    MEMBER_LOST = 2102, "member lost";
+    MEMBER_DISCONNECTED = 2102, "member lost";
     /// The claims quorum stands; grants are given.
-    CLAIMS_QUORUM = 2103, "claims quorum";
+    CLAIMS_QUORUM_REACHED = 2103, "claims quorum";
     /// A function was granted.
-    GRANTED = 2104, "granted";
+    LEASE_GRANTED = 2104, "granted";
     /// A function was given back.
-    RELEASED = 2105, "released";
+    LEASE_RELEASED = 2105, "released";
     /// A holder has lost a function; its runners are left for the next one, or being stopped.
-    FENCING = 2106, "fencing";
+    FENCING_STARTED = 2106, "fencing";
     /// Each runner of a lost holder is left or stopped; the function may be granted again.
-    FENCED = 2107, "fenced";
+    FENCING_FINISHED = 2107, "fenced";
     /// A claim was rejected.
     CLAIM_REJECTED = 2108, "claim rejected";
     /// A runner without a holder was found; it is left for the next one, or being stopped.
-    ORPHAN = 2109, "orphan";
+    ORPHANED_RUNNER_FOUND = 2109, "orphan";
     /// The platform did not answer.
-    PLATFORM_SILENT = 2110, "platform silent";
+    PLATFORM_UNREACHABLE = 2110, "platform silent";
     /// A last-known daemon never came back and no longer counts for the quorum.
-    STRUCK_OFF = 2111, "struck off";
+    ABSENT_MEMBER_DROPPED = 2111, "struck off";
     /// No worker has room for a runner.
-    NO_ROOM = 2112, "no room";
+    NO_WORKER_CAPACITY = 2112, "no room";
     /// An idle function gave up its runners because memory is short.
-    GAVE_WAY = 2115, "gave way";
+    IDLE_RUNNERS_RECLAIMED = 2115, "gave way";
     /// A lightly used worker is being emptied.
-    WORKER_EMPTYING = 2116, "worker emptying";
+    WORKER_EVACUATING = 2116, "worker emptying";
     /// A worker is empty and can be switched off.
-    WORKER_EMPTY = 2117, "worker empty";
+    WORKER_EVACUATED = 2117, "worker empty";
     /// A daemon refused transactions.
-    SHEDS = 2114, "sheds";
+    REQUESTS_REJECTED = 2114, "sheds";
     /// A runner that nobody holds is left for the next holder.
-    RUNNER_LEFT = 2118, "runner left";
+    RUNNER_ORPHANED = 2118, "runner left";
     /// A runner has gone from the platform's list.
-    RUNNER_VANISHED = 2119, "runner vanished";
+    RUNNER_UNLISTED = 2119, "runner vanished";
     /// The watchers of a daemon miss its heartbeats.
-    MEMBER_SILENT = 2120, "member silent";
+    MEMBER_SUSPECTED = 2120, "member silent";
     /// A daemon that was missed is heard again.
-    MEMBER_HEARD = 2121, "member heard";
+    MEMBER_RECOVERED = 2121, "member heard";
     /// An evacuation leaves little capacity.
     CAPACITY_LOW = 2113, "capacity low";
     /// The daemon's member grant runs.
-    SERVING = 3001, "serving";
+    SERVING_STARTED = 3001, "serving";
     /// The daemon's member grant ended; it serves no more, and leaves its runners.
-    GRANT_ENDED = 3002, "grant ended";
+    SESSION_LEASE_ENDED = 3002, "grant ended";
     /// A spec was installed.
     SPEC_INSTALLED = 3003, "spec installed";
     /// A spec could not be installed.
-    SPEC_FAILED = 3004, "spec failed";
+    SPEC_INSTALL_FAILED = 3004, "spec failed";
     /// The stream to the leader is open.
-    STREAM_OPEN = 3005, "stream open";
+    STREAM_OPENED = 3005, "stream open";
     /// The stream to the leader is lost.
     STREAM_LOST = 3006, "stream lost";
     /// A runner is ready.
@@ -125,11 +125,11 @@
     /// A runner did not start or died.
     RUNNER_FAILED = 3102, "runner failed";
     /// A runner's answer was wrong, short or another's.
-    ANSWER_REJECTED = 3103, "answer rejected";
+    RESPONSE_REJECTED = 3103, "answer rejected";
     /// A runner is stopped.
     RUNNER_STOPPED = 3104, "runner stopped";
     /// A function is being handed over.
-    HANDING_OVER = 3105, "handing over";
+    HANDOVER_STARTED = 3105, "handing over";
     /// A request that a caller brought here ended without an answer.
     REQUEST_FAILED = 3201, "request failed";
     /// A request ended without an answer at the daemon that holds its function.
@@ -142,7 +142,7 @@
 
 /// Writes a numbered event to the log.
 #[macro_export]
-macro_rules! note {
+macro_rules! log_event {
     ($level:ident, $event:expr) => {
         log::log!(log::Level::$level, "{}", $event)
     };
--- /dev/null
+++ b/crates/common/src/frames/compress.rs
@@ -0,0 +1,40 @@
+//! Compression of long texts in frames.
+
+use super::{ByteString, FrameError};
+use flate2::Compression;
+use flate2::read::DeflateDecoder;
+use flate2::write::DeflateEncoder;
+use std::io::{Error, ErrorKind, Read, Write};
+
+const DEFLATE_MARK: u8 = 1;
+const MIN_COMPRESSED_LENGTH: usize = 256;
+const MAX_DECOMPRESSED_LENGTH: u64 = 64 << 20;
+
+/// Makes a text smaller for the wire; one of less than 256 bytes goes as it is.
+pub fn compress(text: &[u8]) -> ByteString {
+    if text.len() < MIN_COMPRESSED_LENGTH {
+        return ByteString::from(text.to_vec());
+    }
+    let mut encoder = DeflateEncoder::new(vec![DEFLATE_MARK], Compression::fast());
+    match encoder.write_all(text).and_then(|()| encoder.finish()) {
+        Ok(deflated_bytes) => ByteString::from(deflated_bytes),
+        Err(_) => ByteString::from(text.to_vec()),
+    }
+}
+
+/// The text that was packed; fails on what was not packed so, and on more than 64 MiB.
+pub fn decompress(compressed: &ByteString) -> Result<Vec<u8>, FrameError> {
+    let Some((DEFLATE_MARK, deflated_bytes)) =
+        compressed.0.split_first().map(|(first, rest)| (*first, rest))
+    else {
+        return Ok(compressed.0.to_vec());
+    };
+    let mut text = Vec::new();
+    let read_length = DeflateDecoder::new(deflated_bytes)
+        .take(MAX_DECOMPRESSED_LENGTH + 1)
+        .read_to_end(&mut text)?;
+    if read_length as u64 > MAX_DECOMPRESSED_LENGTH {
+        return Err(FrameError::Connection(Error::from(ErrorKind::InvalidData)));
+    }
+    Ok(text)
+}
--- a/crates/common/src/frames/core.rs
+++ b/crates/common/src/frames/consensus.rs
@@ -1,7 +1,7 @@
 //! Frames between controllers: election, rounds, versions of the document.
 
-use super::{Blob, Flag, Many, Place};
-use crate::identity::{ControllerId, Incarnation, MemberName, Stamp, Term, Zone};
+use super::{ByteString, Flag, LengthPrefixed, SocketAddress};
+use crate::identity::{ControllerId, DocumentVersion, Incarnation, MemberName, Term, Zone};
 use binrw::binrw;
 
 /// A daemon as the core remembers it over a change of leader.
@@ -14,15 +14,15 @@
     /// The life that was last granted to.
     pub incarnation: Incarnation,
     /// Where it listens; another life there proves that this one is gone.
-    pub place: Place,
+    pub address: SocketAddress,
 }
 
 impl KnownMember {
     /// Whether this is another life of the same daemon, at the same place: only one of them can be
     /// alive, since it holds the place's port.
-    pub fn is_reborn_as(&self, other: &KnownMember) -> bool {
+    pub fn is_other_incarnation_of(&self, other: &KnownMember) -> bool {
         self.member == other.member
-            && self.place == other.place
+            && self.address == other.address
             && self.incarnation != other.incarnation
     }
 }
@@ -31,129 +31,129 @@
 #[binrw]
 #[brw(big)]
 #[derive(Clone, Debug)]
-pub struct CoreFrame {
+pub struct ConsensusFrame {
     /// Who sends.
     pub from: ControllerId,
     /// Where answers reach the sender.
-    pub place: Place,
+    pub address: SocketAddress,
     /// Where operators reach the sender.
-    pub operators: Place,
+    pub operators: SocketAddress,
     /// The sender's zone.
     pub zone: Zone,
     /// What is said.
-    pub body: CoreBody,
+    pub body: ConsensusMessage,
 }
 
 /// The parts of the core's talk.
 #[binrw]
 #[brw(big)]
 #[derive(Clone, Debug)]
-pub enum CoreBody {
+pub enum ConsensusMessage {
     /// Says who is here and how far its disk is.
     #[brw(magic = 1u8)]
     Hello {
         /// The newest accepted version, zero when the disk is empty.
-        accepted: Stamp,
+        accepted: DocumentVersion,
         /// The sender's term.
         term: Term,
         /// Whether the sender keeps nothing: it never votes, and only passes on.
-        passes_on: Flag,
+        diskless: Flag,
     },
     /// The first document, for a member it names whose disk holds none.
     #[brw(magic = 2u8)]
-    Found {
+    Bootstrap {
         /// The document.
-        document: Blob,
+        document: ByteString,
     },
     /// Asks for a vote.
     #[brw(magic = 3u8)]
-    VoteAsk {
+    VoteRequest {
         /// The term asked for.
         term: Term,
         /// The candidate's newest accepted version.
-        accepted: Stamp,
+        accepted: DocumentVersion,
         /// Whether the candidate only asks if it would be given.
-        trial: Flag,
+        is_pre_vote: Flag,
     },
     /// Answers a vote asked for; a yes is on disk before it is sent.
     #[brw(magic = 4u8)]
-    VoteReply {
+    VoteResponse {
         /// The voter's term.
         term: Term,
         /// The term asked for.
-        asked: Term,
+        requested_term: Term,
         /// Whether it answers a trial.
-        trial: Flag,
+        is_pre_vote: Flag,
         /// Whether the vote is given.
-        given: Flag,
+        granted: Flag,
         /// The daemons the voter last heard of.
-        members: Many<KnownMember>,
+        members: LengthPrefixed<KnownMember>,
         /// Whether the voter heard of them in this life, from a leader that knew all.
-        whole: Flag,
+        complete: Flag,
     },
     /// One round of the leader.
     #[brw(magic = 5u8)]
-    Round {
+    Heartbeat {
         /// The leader's term.
         term: Term,
         /// The round's number.
         round: u64,
         /// The leader's newest accepted version.
-        accepted: Stamp,
+        accepted: DocumentVersion,
         /// The newest committed version.
-        committed: Stamp,
+        committed: DocumentVersion,
         /// The daemons that may hold grants.
-        members: Many<KnownMember>,
+        members: LengthPrefixed<KnownMember>,
         /// Whether the leader knows that there are no others.
-        whole: Flag,
+        complete: Flag,
     },
     /// Answers a round.
     #[brw(magic = 6u8)]
-    RoundReply {
+    HeartbeatResponse {
         /// The answering member's term.
         term: Term,
         /// The round answered.
         round: u64,
         /// The newest version on the member's disk.
-        accepted: Stamp,
+        accepted: DocumentVersion,
     },
     /// A whole version to be written.
     #[brw(magic = 7u8)]
-    Accept {
+    AcceptFull {
         /// The leader's term.
         term: Term,
         /// Where the version stands.
-        stamp: Stamp,
+        document_version: DocumentVersion,
         /// The document, packed.
-        document: Blob,
+        document: ByteString,
     },
     /// A version to be written, as what leads to it from the one before.
     #[brw(magic = 10u8)]
-    AcceptChange {
+    AcceptDelta {
         /// The leader's term.
         term: Term,
         /// The version that the change leads from.
-        base: Stamp,
+        base: DocumentVersion,
         /// Where the version stands.
-        stamp: Stamp,
+        document_version: DocumentVersion,
         /// The change, packed.
-        change: Blob,
+        delta: ByteString,
         /// The digest of the changed document.
-        digest: Blob,
+        digest: ByteString,
     },
     /// A change led from a version that is not held here: asks for the whole version.
     #[brw(magic = 11u8)]
-    AskWhole {
+    SnapshotRequest {
         /// The member's term.
         term: Term,
         /// The newest version on the member's disk.
-        accepted: Stamp,
+        accepted: DocumentVersion,
     },
     /// Names the leader and the members of the core to one that is no member.
     #[brw(magic = 9u8)]
-    Named {
+    VoterAddresses {
         /// Where they are reached.
-        places: Many<Place>,
+        addresses: LengthPrefixed<SocketAddress>,
     },
     /// Says what is on disk, synced.
     #[brw(magic = 8u8)]
@@ -161,6 +161,6 @@
         /// The member's term.
         term: Term,
         /// The newest version on the member's disk.
-        stamp: Stamp,
+        document_version: DocumentVersion,
     },
 }
--- a/crates/common/src/frames/dial.rs
+++ b/crates/common/src/frames/dial.rs
@@ -1,16 +1,16 @@
 //! Opening connections to other processes.
 
-use super::{Channel, FrameFault, Place, write_channel};
+use super::{Channel, FrameError, SocketAddress, write_channel};
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
 use std::time::Duration;
 use tokio::net::{TcpSocket, TcpStream};
 
 /// Connects to another process from this process's own IP number; nothing is written yet.
-pub async fn connect_from(own_ip: Ipv4Addr, to: Place) -> std::io::Result<TcpStream> {
+pub async fn connect_from(own_ip: Ipv4Addr, to: SocketAddress) -> std::io::Result<TcpStream> {
     let socket = TcpSocket::new_v4()?;
     socket.bind(SocketAddr::V4(SocketAddrV4::new(own_ip, 0)))?;
     let stream = socket.connect(to.address()).await?;
-    crate::sockets::tune(&stream);
+    crate::sockets::set_socket_options(&stream);
     Ok(stream)
 }
 
@@ -18,16 +18,16 @@
 /// fleet know each other.
 pub async fn dial(
     own_ip: Ipv4Addr,
-    to: Place,
+    to: SocketAddress,
     channel: Channel,
-    patience: Duration,
-) -> Result<TcpStream, FrameFault> {
-    let opening = async {
+    timeout: Duration,
+) -> Result<TcpStream, FrameError> {
+    let connecting = async {
         let mut stream = connect_from(own_ip, to).await?;
         write_channel(&mut stream, channel).await?;
         Ok(stream)
     };
-    tokio::time::timeout(patience, opening)
+    tokio::time::timeout(timeout, connecting)
         .await
-        .map_err(|_| FrameFault::Connection(std::io::ErrorKind::TimedOut.into()))?
+        .map_err(|_| FrameError::Connection(std::io::ErrorKind::TimedOut.into()))?
 }
--- a/crates/common/src/frames/heartbeat.rs
+++ b/crates/common/src/frames/heartbeat.rs
@@ -1,6 +1,6 @@
 //! Heartbeats between daemons, and the suspicions they carry.
 
-use super::Many;
+use super::LengthPrefixed;
 use crate::identity::{Incarnation, MemberName};
 use binrw::binrw;
 
@@ -8,7 +8,7 @@
 #[binrw]
 #[brw(big)]
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Debug)]
-pub struct MemberLife {
+pub struct MemberIncarnation {
     /// Whose.
     pub member: MemberName,
     /// Which.
@@ -21,9 +21,9 @@
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct Suspicion {
     /// Who is silent.
-    pub life: MemberLife,
+    pub instance: MemberIncarnation,
     /// How often the word may still be passed on.
-    pub tellings: u8,
+    pub remaining_relays: u8,
 }
 
 /// What a daemon sends to its watchers. In calm times it carries nobody but its sender.
@@ -38,5 +38,5 @@
     /// Counts the heartbeats of that life.
     pub count: u64,
     /// Whom the sender believes silent.
-    pub suspicions: Many<Suspicion>,
+    pub suspicions: LengthPrefixed<Suspicion>,
 }
--- a/crates/common/src/frames/mod.rs
+++ b/crates/common/src/frames/mod.rs
@@ -1,25 +1,28 @@
 //! The frames that rudderstream's processes exchange.
 
-mod core;
+mod compress;
+mod consensus;
+mod daemons;
 mod dial;
 mod heartbeat;
-mod hop;
-mod pack;
 mod parts;
 mod stream;
 mod wire;
 
-pub use self::core::{CoreBody, CoreFrame, KnownMember};
+pub use self::consensus::{ConsensusFrame, ConsensusMessage, KnownMember};
+pub use compress::{compress, decompress};
+pub use daemons::{
+    DaemonFrame, DaemonMessage, HeaderField, LedgerRecord, LedgerRecordState, RequestFailureReason,
+    RequestOutcome, RequestPayload,
+};
 pub use dial::{connect_from, dial};
-pub use heartbeat::{Heartbeat, MemberLife, Suspicion};
-pub use hop::{HeadLine, HopBody, HopFrame, HopOutcome, HopReason, LedgerNote, NoteState, Parcel};
-pub use pack::{pack, unpack};
-pub use parts::{Blob, Flag, Many, Place, read_text, write_text};
+pub use heartbeat::{Heartbeat, MemberIncarnation, Suspicion};
+pub use parts::{ByteString, Flag, LengthPrefixed, SocketAddress, read_text, write_text};
 pub use stream::{
-    AcquireResult, Claim, ClaimRunner, Host, IdleFunction, Life, Prior, ReserveResult, RunnerNews,
-    StreamDown, StreamUp,
+    AcquireResult, Claim, ClaimedRunner, DaemonToLeader, Host, IdleFunction, Instance,
+    LeaderToDaemon, PreviousLease, ReserveResult, RunnerStatus,
 };
 pub use wire::{
-    Channel, FrameFault, append_frame, decode, decode_heartbeat, encode, encode_heartbeat,
+    Channel, FrameError, append_frame, decode, decode_heartbeat, encode, encode_heartbeat,
     read_channel, read_frame, read_frame_in_parts, write_channel, write_frame,
 };
--- a/crates/common/src/frames/parts.rs
+++ b/crates/common/src/frames/parts.rs
@@ -10,34 +10,34 @@
 pub fn read_text<R: Read + Seek>(reader: &mut R, endian: Endian) -> BinResult<String> {
     let text_length = u16::read_options(reader, endian, ())?;
     let mut read_bytes = vec![0; text_length as usize];
-    let text_place = reader.stream_position()?;
+    let text_offset = reader.stream_position()?;
     reader.read_exact(&mut read_bytes)?;
     String::from_utf8(read_bytes)
-        .map_err(|fault| binrw::Error::Custom { pos: text_place, err: Box::new(fault) })
+        .map_err(|error| binrw::Error::Custom { pos: text_offset, err: Box::new(error) })
 }
 
 /// Writes a short text, cut at what two bytes of length can say.
 pub fn write_text<W: Write + Seek>(text: &str, writer: &mut W, endian: Endian) -> BinResult<()> {
-    let mut text_end = text.len().min(u16::MAX as usize);
-    while !text.is_char_boundary(text_end) {
-        text_end -= 1;
+    let mut end = text.len().min(u16::MAX as usize);
+    while !text.is_char_boundary(end) {
+        end -= 1;
     }
-    (text_end as u16).write_options(writer, endian, ())?;
-    writer.write_all(&text.as_bytes()[..text_end])?;
+    (end as u16).write_options(writer, endian, ())?;
+    writer.write_all(&text.as_bytes()[..end])?;
     Ok(())
 }
 
 /// Many of one kind: a count, then each.
 #[derive(Clone, PartialEq, Eq, Debug, Default)]
-pub struct Many<T>(pub Vec<T>);
+pub struct LengthPrefixed<T>(pub Vec<T>);
 
-impl<T> From<Vec<T>> for Many<T> {
+impl<T> From<Vec<T>> for LengthPrefixed<T> {
     fn from(given_items: Vec<T>) -> Self {
         Self(given_items)
     }
 }
 
-impl<T> BinRead for Many<T>
+impl<T> BinRead for LengthPrefixed<T>
 where
     T: for<'a> BinRead<Args<'a> = ()>,
 {
@@ -52,7 +52,7 @@
     }
 }
 
-impl<T> BinWrite for Many<T>
+impl<T> BinWrite for LengthPrefixed<T>
 where
     T: for<'a> BinWrite<Args<'a> = ()>,
 {
@@ -73,40 +73,40 @@
 
 /// A long run of bytes.
 #[derive(Clone, PartialEq, Eq, Default)]
-pub struct Blob(pub Bytes);
+pub struct ByteString(pub Bytes);
 
-impl fmt::Debug for Blob {
+impl fmt::Debug for ByteString {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(out, "{} bytes", self.0.len())
     }
 }
 
-impl From<Bytes> for Blob {
+impl From<Bytes> for ByteString {
     fn from(given_bytes: Bytes) -> Self {
         Self(given_bytes)
     }
 }
 
-impl From<Vec<u8>> for Blob {
+impl From<Vec<u8>> for ByteString {
     fn from(given_bytes: Vec<u8>) -> Self {
         Self(given_bytes.into())
     }
 }
 
-impl BinRead for Blob {
+impl BinRead for ByteString {
     type Args<'a> = ();
     fn read_options<R: Read + Seek>(reader: &mut R, endian: Endian, _: ()) -> BinResult<Self> {
-        let blob_length = u32::read_options(reader, endian, ())?;
+        let byte_count = u32::read_options(reader, endian, ())?;
         let mut read_bytes = Vec::new();
-        let taken_length = reader.take(blob_length as u64).read_to_end(&mut read_bytes)?;
-        if taken_length != blob_length as usize {
+        let read_length = reader.take(byte_count as u64).read_to_end(&mut read_bytes)?;
+        if read_length != byte_count as usize {
             return Err(binrw::Error::Io(std::io::ErrorKind::UnexpectedEof.into()));
         }
         Ok(Self(read_bytes.into()))
     }
 }
 
-impl BinWrite for Blob {
+impl BinWrite for ByteString {
     type Args<'a> = ();
     fn write_options<W: Write + Seek>(
         &self,
@@ -132,15 +132,16 @@
 #[binrw]
 #[brw(big)]
 #[br(map = |(ip_bits, port): (u32, u16)| {
-    Place(SocketAddrV4::new(Ipv4Addr::from_bits(ip_bits), port))
+    SocketAddress(SocketAddrV4::new(Ipv4Addr::from_bits(ip_bits), port))
 })]
-#[bw(map = |place: &Place| (place.0.ip().to_bits(), place.0.port()))]
+#[bw(map = |address: &SocketAddress| (address.0.ip().to_bits(), address.0.port()))]
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Place(pub SocketAddrV4);
+pub struct SocketAddress(pub SocketAddrV4);
 
-impl Place {
+impl SocketAddress {
     /// A place that is nowhere.
-    pub const NOWHERE: Place = Place(SocketAddrV4::new(Ipv4Addr::UNSPECIFIED, 0));
+    pub const UNSPECIFIED: SocketAddress =
+        SocketAddress(SocketAddrV4::new(Ipv4Addr::UNSPECIFIED, 0));
 
     /// The address as the operating system takes it.
     pub fn address(self) -> SocketAddr {
@@ -148,19 +149,19 @@
     }
 }
 
-impl fmt::Display for Place {
+impl fmt::Display for SocketAddress {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(out, "{}", self.0)
     }
 }
 
-impl fmt::Debug for Place {
+impl fmt::Debug for SocketAddress {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(out, "{}", self.0)
     }
 }
 
-impl From<SocketAddrV4> for Place {
+impl From<SocketAddrV4> for SocketAddress {
     fn from(given_address: SocketAddrV4) -> Self {
         Self(given_address)
     }
--- a/crates/common/src/frames/stream.rs
+++ b/crates/common/src/frames/stream.rs
@@ -1,9 +1,9 @@
 //! Frames on the stream between a daemon and the leader.
 
-use super::{Blob, Flag, Many, MemberLife, Place};
+use super::{ByteString, Flag, LengthPrefixed, MemberIncarnation, SocketAddress};
 use crate::identity::{
-    CorrelationId, FunctionKey, GrantSerial, Incarnation, LifeName, MemberName, RunnerId, Serial,
-    Term, WorkerName, Zone,
+    CorrelationId, FencingToken, FunctionKey, Incarnation, InstanceId, MemberName, RunnerId, Term,
+    Version, WorkerName, Zone,
 };
 use binrw::binrw;
 
@@ -19,7 +19,7 @@
     /// Its zone.
     pub zone: Zone,
     /// Where other processes reach it.
-    pub place: Place,
+    pub address: SocketAddress,
     /// Whether it may be given functions.
     pub eligible: Flag,
     /// Its link in megabits a second; zero when it is not known.
@@ -30,18 +30,18 @@
 #[binrw]
 #[brw(big)]
 #[derive(Clone, PartialEq, Eq, Debug)]
-pub struct Life {
+pub struct Instance {
     /// Its name.
-    pub name: LifeName,
+    pub name: InstanceId,
     /// Where it listens.
-    pub place: Place,
+    pub address: SocketAddress,
 }
 
 /// One runner in a claim.
 #[binrw]
 #[brw(big)]
 #[derive(Clone, PartialEq, Eq, Debug)]
-pub struct ClaimRunner {
+pub struct ClaimedRunner {
     /// The runner.
     pub runner: RunnerId,
     /// Where it runs.
@@ -49,9 +49,9 @@
     /// The memory it needs.
     pub memory_mb: u32,
     /// Its life; none while the platform has not told it.
-    pub life: Many<Life>,
+    pub instance: LengthPrefixed<Instance>,
     /// Whether it is ready and may be taken over by the next holder as it stands.
-    pub fit: Flag,
+    pub is_adoptable: Flag,
 }
 
 /// One function that a daemon holds.
@@ -62,15 +62,15 @@
     /// The function.
     pub function: FunctionKey,
     /// The grant it is held under.
-    pub grant: GrantSerial,
+    pub fencing_token: FencingToken,
     /// Its runners.
-    pub runners: Many<ClaimRunner>,
+    pub runners: LengthPrefixed<ClaimedRunner>,
     /// Whether it is given up, and these runners are still being stopped.
-    pub ending: Flag,
+    pub is_releasing: Flag,
     /// Who keeps the copy of its ledger.
-    pub steward: Many<Host>,
+    pub replica: LengthPrefixed<Host>,
     /// Whether that copy is whole.
-    pub whole: Flag,
+    pub complete: Flag,
 }
 
 /// How long a function has not been called.
@@ -88,11 +88,11 @@
 #[binrw]
 #[brw(big)]
 #[derive(Clone, PartialEq, Eq, Debug)]
-pub struct Prior {
+pub struct PreviousLease {
     /// The steward.
-    pub steward: Host,
+    pub replica: Host,
     /// The earlier grant.
-    pub grant: GrantSerial,
+    pub fencing_token: FencingToken,
 }
 
 /// The leader's answer to an acquisition.
@@ -104,15 +104,15 @@
     #[brw(magic = 1u8)]
     Granted {
         /// Under this grant.
-        grant: GrantSerial,
+        fencing_token: FencingToken,
         /// Without an earlier ledger, once-transactions may be admitted after so many milliseconds.
         once_wait_ms: u32,
         /// Who is to keep a copy of the ledger; nobody when there is no other daemon.
-        steward: Many<Host>,
+        replica: LengthPrefixed<Host>,
         /// Where an earlier ledger may be collected.
-        prior: Many<Prior>,
+        previous_lease: LengthPrefixed<PreviousLease>,
         /// Runners left by an earlier holder, renamed under this grant, to be taken over as they stand.
-        adopted: Many<ClaimRunner>,
+        adopted: LengthPrefixed<ClaimedRunner>,
     },
     /// Another daemon holds it.
     #[brw(magic = 2u8)]
@@ -122,10 +122,10 @@
     },
     /// The asking daemon may not hold it: no such function, or no valid member grant.
     #[brw(magic = 3u8)]
-    Shed,
+    Rejected,
     /// Nobody can be granted it yet: an earlier grant has still to end.
     #[brw(magic = 4u8)]
-    Later {
+    RetryLater {
         /// When that will be, in milliseconds, as far as is known now.
         wait_ms: u32,
     },
@@ -148,14 +148,14 @@
     },
     /// No worker has room, or the grant is not the asking daemon's.
     #[brw(magic = 2u8)]
-    Shed,
+    Rejected,
 }
 
 /// What became of a runner.
 #[binrw]
 #[brw(big)]
 #[derive(Clone, PartialEq, Eq, Debug)]
-pub enum RunnerNews {
+pub enum RunnerStatus {
     /// It is ready.
     #[brw(magic = 1u8)]
     Ready,
@@ -164,9 +164,9 @@
     Gone,
     /// The platform told its life; it boots.
     #[brw(magic = 3u8)]
-    Begun {
+    Started {
         /// Its life.
-        life: Life,
+        instance: Instance,
     },
 }
 
@@ -174,16 +174,16 @@
 #[binrw]
 #[brw(big)]
 #[derive(Clone, Debug)]
-pub enum StreamUp {
+pub enum DaemonToLeader {
     /// Opens the stream.
     #[brw(magic = 1u8)]
     Hello {
         /// Who opens it; `eligible` is false while it is leaving.
         host: Host,
         /// Where callers reach it.
-        door: Place,
+        ingress: SocketAddress,
         /// The newest spec it has installed.
-        serial: Serial,
+        version: Version,
         /// How long this life has run, in milliseconds: for as long its earlier ones are surely gone.
         age_ms: u32,
         /// Whether this life has ever had a member grant, so that it may have started something.
@@ -193,7 +193,7 @@
     #[brw(magic = 2u8)]
     Claims {
         /// All of them.
-        claims: Many<Claim>,
+        claims: LengthPrefixed<Claim>,
     },
     /// Asks for the member grant to go on.
     #[brw(magic = 3u8)]
@@ -201,17 +201,17 @@
         /// Ties the answer to the moment of sending.
         correlation: CorrelationId,
         /// The newest spec installed.
-        serial: Serial,
+        version: Version,
     },
     /// Says that a spec is installed.
     #[brw(magic = 4u8)]
     Installed {
         /// That spec.
-        serial: Serial,
+        version: Version,
     },
     /// Asks for the whole spec, as the change did not fit.
     #[brw(magic = 5u8)]
-    Whole,
+    FullSpecRequest,
     /// The hash owner asks who holds a function, or for it to be granted.
     #[brw(magic = 6u8)]
     Acquire {
@@ -226,9 +226,9 @@
         /// The function.
         function: FunctionKey,
         /// The grant given back.
-        grant: GrantSerial,
+        fencing_token: FencingToken,
         /// Runners that are left as they stand for the next holder.
-        runners: Many<ClaimRunner>,
+        runners: LengthPrefixed<ClaimedRunner>,
     },
     /// Asks for memory for one more runner.
     #[brw(magic = 8u8)]
@@ -238,38 +238,38 @@
         /// The function.
         function: FunctionKey,
         /// The grant it is held under.
-        grant: GrantSerial,
+        fencing_token: FencingToken,
     },
     /// Tells what became of a runner.
     #[brw(magic = 9u8)]
-    Runner {
+    RunnerUpdate {
         /// The function.
         function: FunctionKey,
         /// The runner.
         runner: RunnerId,
         /// What became of it.
-        news: RunnerNews,
+        runner_status: RunnerStatus,
     },
     /// Counts what the daemon refused since it last said so.
     #[brw(magic = 10u8)]
-    Sheds {
+    Rejections {
         /// The function.
         function: FunctionKey,
         /// How many.
         count: u32,
         /// The last reason.
-        reason: super::HopReason,
+        reason: super::RequestFailureReason,
     },
     /// The daemon is leaving; it has no more use for its grant.
     #[brw(magic = 11u8)]
     Leaving,
     /// The steward does not answer; the holder asks for another.
     #[brw(magic = 12u8)]
-    StewardLost {
+    ReplicaLost {
         /// The function.
         function: FunctionKey,
         /// The grant it is held under.
-        grant: GrantSerial,
+        fencing_token: FencingToken,
         /// The steward that is lost.
         lost: MemberName,
     },
@@ -277,32 +277,32 @@
     #[brw(magic = 14u8)]
     Idle {
         /// Those idle for some seconds.
-        functions: Many<IdleFunction>,
+        functions: LengthPrefixed<IdleFunction>,
     },
     /// A watcher misses a daemon's heartbeats.
     #[brw(magic = 15u8)]
-    Silent {
+    MemberSuspected {
         /// That daemon.
-        life: MemberLife,
+        instance: MemberIncarnation,
     },
     /// A watcher hears that daemon again, or it speaks for itself.
     #[brw(magic = 16u8)]
-    Heard {
+    MemberRecovered {
         /// That daemon.
-        life: MemberLife,
+        instance: MemberIncarnation,
     },
     /// Asks for the whole host list, as a change of it did not fit.
     #[brw(magic = 17u8)]
-    WholeHosts,
+    FullHostListRequest,
     /// The steward's copy is whole.
     #[brw(magic = 13u8)]
-    StewardWhole {
+    ReplicaComplete {
         /// The function.
         function: FunctionKey,
         /// The grant it is held under.
-        grant: GrantSerial,
+        fencing_token: FencingToken,
         /// The steward.
-        steward: MemberName,
+        replica: MemberName,
     },
 }
 
@@ -310,12 +310,12 @@
 #[binrw]
 #[brw(big)]
 #[derive(Clone, Debug)]
-pub enum StreamDown {
+pub enum LeaderToDaemon {
     /// This controller does not lead; the leader may be there.
     #[brw(magic = 1u8)]
-    Elsewhere {
+    Redirect {
         /// The leader's place, or nowhere.
-        leader: Place,
+        leader: SocketAddress,
     },
     /// This controller leads.
     #[brw(magic = 2u8)]
@@ -329,29 +329,29 @@
         /// The renewal answered.
         correlation: CorrelationId,
         /// How long the grant runs, from the moment the renewal was sent.
-        length_ms: u32,
+        lease_ms: u32,
         /// The newest committed spec.
-        serial: Serial,
+        version: Version,
     },
     /// A whole spec.
     #[brw(magic = 4u8)]
     Spec {
         /// Its serial.
-        serial: Serial,
+        version: Version,
         /// The document.
-        document: Blob,
+        document: ByteString,
     },
     /// A change of the spec.
     #[brw(magic = 5u8)]
     Change {
         /// The serial it changes.
-        base: Serial,
+        base: Version,
         /// The serial that results.
-        serial: Serial,
+        version: Version,
         /// The changes, as a JSON patch.
-        patch: Blob,
+        patch: ByteString,
         /// The digest of the resulting document.
-        digest: Blob,
+        digest: ByteString,
     },
     /// The daemons there are.
     #[brw(magic = 6u8)]
@@ -359,21 +359,21 @@
         /// The number of this list; the next change carries the next.
         number: u64,
         /// All of them.
-        hosts: Many<Host>,
+        hosts: LengthPrefixed<Host>,
         /// Those among them that watchers miss.
-        silent: Many<MemberLife>,
+        suspected: LengthPrefixed<MemberIncarnation>,
     },
     /// What has changed of them since the list or change numbered one less.
     #[brw(magic = 15u8)]
-    HostsChanged {
+    HostsDelta {
         /// The number of the list that results.
         number: u64,
         /// Daemons that are new, or of which something has changed.
-        put: Many<Host>,
+        put: LengthPrefixed<Host>,
         /// Daemons that are no longer there.
-        removed: Many<MemberName>,
+        removed: LengthPrefixed<MemberName>,
         /// All that watchers miss now.
-        silent: Many<MemberLife>,
+        suspected: LengthPrefixed<MemberIncarnation>,
     },
     /// Answers an acquisition.
     #[brw(magic = 7u8)]
@@ -401,7 +401,7 @@
         /// The function.
         function: FunctionKey,
         /// The grant that does not stand.
-        grant: GrantSerial,
+        fencing_token: FencingToken,
     },
     /// Let this runner finish, then stop it.
     #[brw(magic = 10u8)]
@@ -417,19 +417,19 @@
         /// The function.
         function: FunctionKey,
         /// The grant to be released.
-        grant: GrantSerial,
+        fencing_token: FencingToken,
     },
     /// Memory is short: stop the last runner if it is idle, and keep the function.
     #[brw(magic = 13u8)]
-    GiveWay {
+    ReclaimIdle {
         /// The function.
         function: FunctionKey,
         /// The grant it is held under.
-        grant: GrantSerial,
+        fencing_token: FencingToken,
     },
     /// The platform no longer lists this runner: it is gone, and its reservation is free.
     #[brw(magic = 14u8)]
-    Vanished {
+    RunnerUnlisted {
         /// The function.
         function: FunctionKey,
         /// The runner.
@@ -437,12 +437,12 @@
     },
     /// Another daemon is to keep the copy of a function's ledger.
     #[brw(magic = 12u8)]
-    Steward {
+    ReplicaAssigned {
         /// The function.
         function: FunctionKey,
         /// The grant it is held under.
-        grant: GrantSerial,
+        fencing_token: FencingToken,
         /// That daemon; nobody when there is no other.
-        steward: Many<Host>,
+        replica: LengthPrefixed<Host>,
     },
 }
--- a/crates/common/src/frames/wire.rs
+++ b/crates/common/src/frames/wire.rs
@@ -8,43 +8,43 @@
 use std::io::Cursor;
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 
-const MARK: [u8; 2] = *b"RU";
+const MAGIC: [u8; 2] = *b"RU";
 /// The serial of the frames' format; it goes up whenever a frame changes.
-const WIRE_SERIAL: u8 = 6;
-const LARGEST_FRAME: u32 = 16 << 20;
+const WIRE_VERSION: u8 = 6;
+const MAX_FRAME_LENGTH: u32 = 16 << 20;
 /// Of a frame so many bytes are asked for at once, so that memory follows what has come in.
-const LARGEST_PART: usize = 64 << 10;
+const MAX_READ_LENGTH: usize = 64 << 10;
 
 /// What a connection is for; its first four bytes say so.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Channel {
     /// Between members of the core.
-    Core,
+    Consensus,
     /// A daemon's stream to the leader.
     Stream,
     /// Transactions between daemons.
-    Hop,
+    Daemons,
 }
 
 impl Channel {
     fn code(self) -> u8 {
         match self {
-            Self::Core => 1,
+            Self::Consensus => 1,
             Self::Stream => 2,
-            Self::Hop => 3,
+            Self::Daemons => 3,
         }
     }
 }
 
 /// Why a frame could not be read or written.
 #[derive(Debug)]
-pub enum FrameFault {
+pub enum FrameError {
     /// The connection failed or ended.
     Connection(std::io::Error),
     /// The first bytes are not ours.
-    WrongMark,
+    WrongMagic,
     /// The other side speaks frames of another serial.
-    WrongSerial(u8),
+    WrongVersion(u8),
     /// No such channel here.
     WrongChannel(u8),
     /// The frame is larger than any should be.
@@ -55,38 +55,38 @@
     Trailing(usize),
 }
 
-impl fmt::Display for FrameFault {
+impl fmt::Display for FrameError {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Connection(fault) => write!(out, "connection: {fault}"),
-            Self::WrongMark => write!(out, "not a rudderstream connection"),
-            Self::WrongSerial(seen) => {
-                write!(out, "frames of serial {seen}, ours are of {WIRE_SERIAL}")
+            Self::Connection(error) => write!(out, "connection: {error}"),
+            Self::WrongMagic => write!(out, "not a rudderstream connection"),
+            Self::WrongVersion(received) => {
+                write!(out, "frames of serial {received}, ours are of {WIRE_VERSION}")
             }
-            Self::WrongChannel(seen) => write!(out, "channel {seen} is not served here"),
+            Self::WrongChannel(received) => write!(out, "channel {received} is not served here"),
             Self::Oversized(length) => write!(out, "frame of {length} bytes"),
-            Self::Malformed(fault) => write!(out, "malformed frame: {fault}"),
+            Self::Malformed(error) => write!(out, "malformed frame: {error}"),
             Self::Trailing(count) => write!(out, "{count} bytes left over in a frame"),
         }
     }
 }
 
-impl std::error::Error for FrameFault {}
+impl std::error::Error for FrameError {}
 
-impl From<std::io::Error> for FrameFault {
-    fn from(fault: std::io::Error) -> Self {
-        Self::Connection(fault)
+impl From<std::io::Error> for FrameError {
+    fn from(error: std::io::Error) -> Self {
+        Self::Connection(error)
     }
 }
 
-impl From<binrw::Error> for FrameFault {
-    fn from(fault: binrw::Error) -> Self {
-        Self::Malformed(fault)
+impl From<binrw::Error> for FrameError {
+    fn from(error: binrw::Error) -> Self {
+        Self::Malformed(error)
     }
 }
 
 /// A frame as bytes.
-pub fn encode<T>(frame: &T) -> Result<Vec<u8>, FrameFault>
+pub fn encode<T>(frame: &T) -> Result<Vec<u8>, FrameError>
 where
     T: for<'a> BinWrite<Args<'a> = ()> + WriteEndian,
 {
@@ -96,15 +96,15 @@
 }
 
 /// A frame from exactly these bytes.
-pub fn decode<T>(frame_bytes: &[u8]) -> Result<T, FrameFault>
+pub fn decode<T>(frame_bytes: &[u8]) -> Result<T, FrameError>
 where
     T: for<'a> BinRead<Args<'a> = ()> + ReadEndian,
 {
     let mut byte_cursor = Cursor::new(frame_bytes);
     let read_frame = T::read(&mut byte_cursor)?;
-    let left_count = frame_bytes.len() - byte_cursor.position() as usize;
-    if left_count > 0 {
-        return Err(FrameFault::Trailing(left_count));
+    let trailing_count = frame_bytes.len() - byte_cursor.position() as usize;
+    if trailing_count > 0 {
+        return Err(FrameError::Trailing(trailing_count));
     }
     Ok(read_frame)
 }
@@ -113,62 +113,62 @@
 pub async fn write_channel<W: AsyncWrite + Unpin>(
     writer: &mut W,
     channel: Channel,
-) -> Result<(), FrameFault> {
-    writer.write_all(&[MARK[0], MARK[1], WIRE_SERIAL, channel.code()]).await?;
+) -> Result<(), FrameError> {
+    writer.write_all(&[MAGIC[0], MAGIC[1], WIRE_VERSION, channel.code()]).await?;
     Ok(())
 }
 
 /// Hears what the connection is for.
-pub async fn read_channel<R: AsyncRead + Unpin>(reader: &mut R) -> Result<Channel, FrameFault> {
+pub async fn read_channel<R: AsyncRead + Unpin>(reader: &mut R) -> Result<Channel, FrameError> {
     let mut first_bytes = [0; 4];
     reader.read_exact(&mut first_bytes).await?;
-    if first_bytes[..2] != MARK {
-        return Err(FrameFault::WrongMark);
+    if first_bytes[..2] != MAGIC {
+        return Err(FrameError::WrongMagic);
     }
-    if first_bytes[2] != WIRE_SERIAL {
-        return Err(FrameFault::WrongSerial(first_bytes[2]));
+    if first_bytes[2] != WIRE_VERSION {
+        return Err(FrameError::WrongVersion(first_bytes[2]));
     }
-    [Channel::Core, Channel::Stream, Channel::Hop]
+    [Channel::Consensus, Channel::Stream, Channel::Daemons]
         .into_iter()
         .find(|channel| channel.code() == first_bytes[3])
-        .ok_or(FrameFault::WrongChannel(first_bytes[3]))
+        .ok_or(FrameError::WrongChannel(first_bytes[3]))
 }
 
 /// Appends one frame to what is to be written: its length, then its bytes.
-pub fn append_frame<T>(sent_bytes: &mut Vec<u8>, frame: &T) -> Result<(), FrameFault>
+pub fn append_frame<T>(output: &mut Vec<u8>, frame: &T) -> Result<(), FrameError>
 where
     T: for<'a> BinWrite<Args<'a> = ()> + WriteEndian,
 {
-    let frame_place = sent_bytes.len();
-    let mut frame_cursor = Cursor::new(std::mem::take(sent_bytes));
-    frame_cursor.set_position(frame_place as u64 + 4);
+    let frame_start = output.len();
+    let mut frame_cursor = Cursor::new(std::mem::take(output));
+    frame_cursor.set_position(frame_start as u64 + 4);
     let written = frame.write(&mut frame_cursor);
-    *sent_bytes = frame_cursor.into_inner();
-    let frame_length = sent_bytes.len().saturating_sub(frame_place + 4);
-    if written.is_err() || frame_length as u64 > u64::from(LARGEST_FRAME) {
-        sent_bytes.truncate(frame_place);
+    *output = frame_cursor.into_inner();
+    let frame_length = output.len().saturating_sub(frame_start + 4);
+    if written.is_err() || frame_length as u64 > u64::from(MAX_FRAME_LENGTH) {
+        output.truncate(frame_start);
         written?;
-        return Err(FrameFault::Oversized(frame_length as u32));
+        return Err(FrameError::Oversized(frame_length as u32));
     }
     let length_bytes = (frame_length as u32).to_be_bytes();
-    sent_bytes[frame_place..frame_place + 4].copy_from_slice(&length_bytes);
+    output[frame_start..frame_start + 4].copy_from_slice(&length_bytes);
     Ok(())
 }
 
 /// Writes one frame: its length, then its bytes.
-pub async fn write_frame<W, T>(writer: &mut W, frame: &T) -> Result<(), FrameFault>
+pub async fn write_frame<W, T>(writer: &mut W, frame: &T) -> Result<(), FrameError>
 where
     W: AsyncWrite + Unpin,
     T: for<'a> BinWrite<Args<'a> = ()> + WriteEndian,
 {
-    let mut sent_bytes = Vec::new();
-    append_frame(&mut sent_bytes, frame)?;
-    writer.write_all(&sent_bytes).await?;
+    let mut output = Vec::new();
+    append_frame(&mut output, frame)?;
+    writer.write_all(&output).await?;
     Ok(())
 }
 
 /// Reads one frame.
-pub async fn read_frame<R, T>(reader: &mut R) -> Result<T, FrameFault>
+pub async fn read_frame<R, T>(reader: &mut R) -> Result<T, FrameError>
 where
     R: AsyncRead + Unpin,
     T: for<'a> BinRead<Args<'a> = ()> + ReadEndian,
@@ -179,48 +179,48 @@
 /// Reads one frame, and notes each part of it that has come in while others are still under way.
 pub async fn read_frame_in_parts<R, T>(
     reader: &mut R,
-    mut note_part: impl FnMut(),
-) -> Result<T, FrameFault>
+    mut on_part: impl FnMut(),
+) -> Result<T, FrameError>
 where
     R: AsyncRead + Unpin,
     T: for<'a> BinRead<Args<'a> = ()> + ReadEndian,
 {
     let frame_length = reader.read_u32().await?;
-    if frame_length > LARGEST_FRAME {
-        return Err(FrameFault::Oversized(frame_length));
+    if frame_length > MAX_FRAME_LENGTH {
+        return Err(FrameError::Oversized(frame_length));
     }
     let mut frame_bytes = Vec::new();
-    let mut left_length = frame_length as usize;
-    while left_length > 0 {
-        let part_length = left_length.min(LARGEST_PART);
+    let mut remaining_length = frame_length as usize;
+    while remaining_length > 0 {
+        let part_length = remaining_length.min(MAX_READ_LENGTH);
         frame_bytes.reserve(part_length);
         let mut part = (&mut *reader).take(part_length as u64);
-        let taken_length = part.read_buf(&mut frame_bytes).await?;
-        if taken_length == 0 {
-            return Err(FrameFault::Connection(std::io::ErrorKind::UnexpectedEof.into()));
+        let read_length = part.read_buf(&mut frame_bytes).await?;
+        if read_length == 0 {
+            return Err(FrameError::Connection(std::io::ErrorKind::UnexpectedEof.into()));
         }
-        left_length -= taken_length;
-        if left_length > 0 {
-            note_part();
+        remaining_length -= read_length;
+        if remaining_length > 0 {
+            on_part();
         }
     }
     decode(&frame_bytes)
 }
 
 /// A heartbeat as one datagram.
-pub fn encode_heartbeat(heartbeat: &Heartbeat) -> Result<Bytes, FrameFault> {
-    let mut sent_bytes = vec![MARK[0], MARK[1], WIRE_SERIAL];
-    sent_bytes.extend(encode(heartbeat)?);
-    Ok(sent_bytes.into())
+pub fn encode_heartbeat(heartbeat: &Heartbeat) -> Result<Bytes, FrameError> {
+    let mut output = vec![MAGIC[0], MAGIC[1], WIRE_VERSION];
+    output.extend(encode(heartbeat)?);
+    Ok(output.into())
 }
 
 /// A heartbeat from one datagram.
-pub fn decode_heartbeat(datagram: &[u8]) -> Result<Heartbeat, FrameFault> {
-    if datagram.len() < 3 || datagram[..2] != MARK {
-        return Err(FrameFault::WrongMark);
+pub fn decode_heartbeat(datagram: &[u8]) -> Result<Heartbeat, FrameError> {
+    if datagram.len() < 3 || datagram[..2] != MAGIC {
+        return Err(FrameError::WrongMagic);
     }
-    if datagram[2] != WIRE_SERIAL {
-        return Err(FrameFault::WrongSerial(datagram[2]));
+    if datagram[2] != WIRE_VERSION {
+        return Err(FrameError::WrongVersion(datagram[2]));
     }
     decode(&datagram[3..])
 }
--- a/crates/common/src/http/call.rs
+++ b/crates/common/src/http/call.rs
@@ -1,7 +1,7 @@
 //! Calling over HTTP, so that what was sent, and what surely not, is known.
 
-use crate::clock::Moment;
-use crate::frames::Place;
+use crate::clock::MonotonicTime;
+use crate::frames::SocketAddress;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::header::{CONTENT_TYPE, HOST, HeaderMap};
@@ -13,7 +13,7 @@
 use tokio::net::TcpStream;
 
 /// What came back.
-pub struct Called {
+pub struct CallResponse {
     /// The status.
     pub status: StatusCode,
     /// The headers.
@@ -22,7 +22,7 @@
     pub body: Bytes,
 }
 
-impl Called {
+impl CallResponse {
     /// The body as JSON, or null.
     pub fn json(&self) -> Value {
         serde_json::from_slice(&self.body).unwrap_or(Value::Null)
@@ -31,7 +31,7 @@
 
 /// Why a call brought nothing back.
 #[derive(Debug)]
-pub enum CallFault {
+pub enum CallError {
     /// No connection came about; nothing was sent.
     NotSent(std::io::Error),
     /// The connection took too long to come about; nothing was sent.
@@ -41,46 +41,46 @@
     /// Something was sent, and no answer came in time.
     Timeout,
     /// The beginning of another answer stands within the head.
-    Merged,
+    MergedResponses,
     /// The answer's body was cut short or larger than allowed.
     Body(String),
     /// The request itself could not be made.
     Request(hyper::http::Error),
 }
 
-impl CallFault {
+impl CallError {
     /// Whether it is sure that the other side got nothing.
-    pub fn is_surely_unsent(&self) -> bool {
+    pub fn is_certainly_unsent(&self) -> bool {
         matches!(self, Self::NotSent(_) | Self::ConnectTimeout | Self::Request(_))
     }
 }
 
-impl fmt::Display for CallFault {
+impl fmt::Display for CallError {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::NotSent(fault) => write!(out, "no connection: {fault}"),
+            Self::NotSent(error) => write!(out, "no connection: {error}"),
             Self::ConnectTimeout => write!(out, "no connection in time"),
-            Self::Lost(fault) => write!(out, "answer lost: {fault}"),
+            Self::Lost(error) => write!(out, "answer lost: {error}"),
             Self::Timeout => write!(out, "no answer in time"),
-            Self::Merged => write!(out, "two answers ran into each other"),
+            Self::MergedResponses => write!(out, "two answers ran into each other"),
             Self::Body(reason) => write!(out, "answer's body: {reason}"),
-            Self::Request(fault) => write!(out, "request: {fault}"),
+            Self::Request(error) => write!(out, "request: {error}"),
         }
     }
 }
 
-impl std::error::Error for CallFault {}
+impl std::error::Error for CallError {}
 
 /// Opens a connection; nothing is sent on it yet.
-pub async fn connect(place: Place, patience: Duration) -> Result<TcpStream, CallFault> {
-    let connect_patience = patience.min(Duration::from_millis(1000));
-    let connected = tokio::time::timeout(connect_patience, TcpStream::connect(place.address()));
+pub async fn connect(address: SocketAddress, timeout: Duration) -> Result<TcpStream, CallError> {
+    let connect_timeout = timeout.min(Duration::from_millis(1000));
+    let connected = tokio::time::timeout(connect_timeout, TcpStream::connect(address.address()));
     let opened_stream = match connected.await {
-        Err(_) => return Err(CallFault::ConnectTimeout),
-        Ok(Err(fault)) => return Err(CallFault::NotSent(fault)),
+        Err(_) => return Err(CallError::ConnectTimeout),
+        Ok(Err(error)) => return Err(CallError::NotSent(error)),
         Ok(Ok(opened_stream)) => opened_stream,
     };
-    crate::sockets::tune(&opened_stream);
+    crate::sockets::set_socket_options(&opened_stream);
     Ok(opened_stream)
 }
 
@@ -89,64 +89,64 @@
 pub async fn exchange(
     opened_stream: TcpStream,
     request: Request<Full<Bytes>>,
-    patience: Duration,
-    largest_body: usize,
-) -> Result<Called, CallFault> {
+    timeout: Duration,
+    max_body_bytes: usize,
+) -> Result<CallResponse, CallError> {
     let exchanging = async {
         let (mut sender, connection) =
             hyper::client::conn::http1::handshake(TokioIo::new(opened_stream))
                 .await
-                .map_err(CallFault::Lost)?;
+                .map_err(CallError::Lost)?;
         let driving = async move {
             let _ = connection.await;
             std::future::pending::<()>().await;
         };
-        let asking = async {
-            let response = sender.send_request(request).await.map_err(CallFault::Lost)?;
+        let receiving = async {
+            let response = sender.send_request(request).await.map_err(CallError::Lost)?;
             let (head, body) = response.into_parts();
-            let collected_body = Limited::new(body, largest_body).collect().await;
-            let body = collected_body.map_err(|fault| CallFault::Body(fault.to_string()))?;
-            Ok(Called { status: head.status, headers: head.headers, body: body.to_bytes() })
+            let collected_body = Limited::new(body, max_body_bytes).collect().await;
+            let body = collected_body.map_err(|error| CallError::Body(error.to_string()))?;
+            Ok(CallResponse { status: head.status, headers: head.headers, body: body.to_bytes() })
         };
         tokio::select! {
-            called = asking => called,
-            () = driving => Err(CallFault::Timeout),
+            call_response = receiving => call_response,
+            () = driving => Err(CallError::Timeout),
         }
     };
-    match tokio::time::timeout(patience, exchanging).await {
-        Err(_) => Err(CallFault::Timeout),
-        Ok(called) => called,
+    match tokio::time::timeout(timeout, exchanging).await {
+        Err(_) => Err(CallError::Timeout),
+        Ok(call_response) => call_response,
     }
 }
 
 /// Calls over a connection of its own, so that what was sent, and what surely not, is known.
 pub async fn call(
-    place: Place,
+    address: SocketAddress,
     request: Request<Full<Bytes>>,
-    patience: Duration,
-    largest_body: usize,
-) -> Result<Called, CallFault> {
-    let began_at = Moment::now();
-    let opened_stream = connect(place, patience).await?;
-    let patience_left = patience.saturating_sub(Moment::now().since(began_at));
-    exchange(opened_stream, request, patience_left, largest_body).await
+    timeout: Duration,
+    max_body_bytes: usize,
+) -> Result<CallResponse, CallError> {
+    let started_at = MonotonicTime::now();
+    let opened_stream = connect(address, timeout).await?;
+    let remaining_timeout = timeout.saturating_sub(MonotonicTime::now().since(started_at));
+    exchange(opened_stream, request, remaining_timeout, max_body_bytes).await
 }
 
 /// Calls with a JSON body, or none.
 pub async fn call_json(
-    place: Place,
+    address: SocketAddress,
     method: Method,
     path: &str,
     body: Option<&Value>,
-    patience: Duration,
-) -> Result<Called, CallFault> {
+    timeout: Duration,
+) -> Result<CallResponse, CallError> {
     let body_bytes = body.map(|value| Bytes::from(value.to_string())).unwrap_or_default();
     let request = Request::builder()
         .method(method)
         .uri(path)
-        .header(HOST, place.to_string())
+        .header(HOST, address.to_string())
         .header(CONTENT_TYPE, "application/json")
         .body(Full::new(body_bytes))
-        .map_err(CallFault::Request)?;
-    call(place, request, patience, 64 << 20).await
+        .map_err(CallError::Request)?;
+    call(address, request, timeout, 64 << 20).await
 }
--- a/crates/common/src/http/head.rs
+++ b/crates/common/src/http/head.rs
@@ -31,20 +31,20 @@
 }
 
 fn is_chunked(headers: &HeaderMap) -> bool {
-    let last_line = headers.get_all(TRANSFER_ENCODING).iter().next_back();
+    let last_value = headers.get_all(TRANSFER_ENCODING).iter().next_back();
     let last_coding =
-        last_line.and_then(|value| value.to_str().ok()).and_then(|text| text.rsplit(',').next());
+        last_value.and_then(|value| value.to_str().ok()).and_then(|text| text.rsplit(',').next());
     last_coding.is_some_and(|coding| coding.trim().eq_ignore_ascii_case("chunked"))
 }
 
 /// Whether the beginning of another answer stands within this head: a surplus answer was cut short on
 /// its connection, and the next one ran into it.
-pub fn is_merged(headers: &HeaderMap, extensions: &Extensions) -> bool {
+pub fn is_merged_response(headers: &HeaderMap, extensions: &Extensions) -> bool {
     let reason = extensions.get::<ReasonPhrase>();
-    reason.is_some_and(|reason| names_protocol(reason.as_bytes()))
-        || headers.values().any(|value| names_protocol(value.as_bytes()))
+    reason.is_some_and(|reason| contains_protocol_name(reason.as_bytes()))
+        || headers.values().any(|value| contains_protocol_name(value.as_bytes()))
 }
 
-fn names_protocol(text: &[u8]) -> bool {
+fn contains_protocol_name(text: &[u8]) -> bool {
     text.windows(PROTOCOL.len()).any(|window| window == PROTOCOL)
 }
--- a/crates/common/src/http/keeping.rs
+++ b/crates/common/src/http/keep_alive.rs
@@ -3,7 +3,7 @@
 use hyper::header::{CONNECTION, HeaderMap};
 use std::time::Duration;
 
-fn words<'a>(headers: &'a HeaderMap, name: &'a str) -> impl Iterator<Item = &'a str> {
+fn header_tokens<'a>(headers: &'a HeaderMap, name: &'a str) -> impl Iterator<Item = &'a str> {
     headers
         .get_all(name)
         .iter()
@@ -13,14 +13,14 @@
 }
 
 /// Whether the other side ends the connection after this answer.
-pub fn closes(headers: &HeaderMap) -> bool {
-    words(headers, CONNECTION.as_str()).any(|word| word.eq_ignore_ascii_case("close"))
+pub fn closes_connection(headers: &HeaderMap) -> bool {
+    header_tokens(headers, CONNECTION.as_str()).any(|token| token.eq_ignore_ascii_case("close"))
 }
 
 /// How long the other side keeps an idle connection, if it says so.
-pub fn kept_for(headers: &HeaderMap) -> Option<Duration> {
-    words(headers, "keep-alive").find_map(|word| {
-        let (name, seconds) = word.split_once('=')?;
+pub fn keep_alive_timeout(headers: &HeaderMap) -> Option<Duration> {
+    header_tokens(headers, "keep-alive").find_map(|token| {
+        let (name, seconds) = token.split_once('=')?;
         let is_timeout = name.trim().eq_ignore_ascii_case("timeout");
         let seconds = seconds.trim().parse().ok().filter(|_| is_timeout)?;
         Some(Duration::from_secs(seconds))
--- a/crates/common/src/http/mod.rs
+++ b/crates/common/src/http/mod.rs
@@ -2,15 +2,15 @@
 
 mod call;
 mod head;
-mod keeping;
-mod lines;
+mod keep_alive;
+mod line_stream;
 mod serve;
 
-pub use call::{CallFault, Called, call, call_json, connect, exchange};
-pub use head::{has_marked_end, header_text, is_merged, single_text};
-pub use keeping::{closes, kept_for};
-pub use lines::{LinesEnd, follow_lines};
+pub use call::{CallError, CallResponse, call, call_json, connect, exchange};
+pub use head::{has_marked_end, header_text, is_merged_response, single_text};
+pub use keep_alive::{closes_connection, keep_alive_timeout};
+pub use line_stream::{LineStreamEnd, follow_lines};
 pub use serve::{
-    Body, BodyFault, CallerTimes, Served, full, json_response, read_body, serve, serve_callers,
-    serve_connection, stream_body, text_response,
+    Body, BodyError, ConnectionLimits, HttpResponse, full_body, json_response, read_body, serve,
+    serve_callers, serve_connection, stream_body, text_response,
 };
--- a/crates/common/src/http/serve.rs
+++ b/crates/common/src/http/serve.rs
@@ -23,16 +23,16 @@
 pub type Body = UnsyncBoxBody<Bytes, Infallible>;
 
 /// A response.
-pub type Served = Response<Body>;
+pub type HttpResponse = Response<Body>;
 
 /// A body of known bytes.
-pub fn full(body_bytes: impl Into<Bytes>) -> Body {
+pub fn full_body(body_bytes: impl Into<Bytes>) -> Body {
     Full::new(body_bytes.into()).boxed_unsync()
 }
 
 /// A response of JSON.
-pub fn json_response(status: StatusCode, value: &Value) -> Served {
-    let mut response = Response::new(full(value.to_string()));
+pub fn json_response(status: StatusCode, value: &Value) -> HttpResponse {
+    let mut response = Response::new(full_body(value.to_string()));
     *response.status_mut() = status;
     response
         .headers_mut()
@@ -41,8 +41,8 @@
 }
 
 /// A response of plain text.
-pub fn text_response(status: StatusCode, text: impl Into<Bytes>) -> Served {
-    let mut response = Response::new(full(text));
+pub fn text_response(status: StatusCode, text: impl Into<Bytes>) -> HttpResponse {
+    let mut response = Response::new(full_body(text));
     *response.status_mut() = status;
     response
         .headers_mut()
@@ -50,9 +50,9 @@
     response
 }
 
-struct Receiving(mpsc::Receiver<Bytes>);
+struct ChannelBody(mpsc::Receiver<Bytes>);
 
-impl hyper::body::Body for Receiving {
+impl hyper::body::Body for ChannelBody {
     type Data = Bytes;
     type Error = Infallible;
     fn poll_frame(
@@ -65,80 +65,80 @@
 
 /// A body that is sent as it comes.
 pub fn stream_body(chunks: mpsc::Receiver<Bytes>) -> Body {
-    Receiving(chunks).boxed_unsync()
+    ChannelBody(chunks).boxed_unsync()
 }
 
 /// Why a body was not read.
 #[derive(Debug)]
-pub enum BodyFault {
+pub enum BodyError {
     /// It is larger than allowed.
     TooLarge,
     /// It broke off.
-    Broken,
+    Interrupted,
     /// It came too slowly.
-    Slow,
+    TooSlow,
 }
 
-impl fmt::Display for BodyFault {
+impl fmt::Display for BodyError {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         out.write_str(match self {
             Self::TooLarge => "body too large",
-            Self::Broken => "body broke off",
-            Self::Slow => "body came too slowly",
+            Self::Interrupted => "body broke off",
+            Self::TooSlow => "body came too slowly",
         })
     }
 }
 
-impl std::error::Error for BodyFault {}
+impl std::error::Error for BodyError {}
 
 /// Reads a whole body, bounded in size and time.
 pub async fn read_body(
     body: Incoming,
-    largest_body: usize,
-    patience: Duration,
-) -> Result<Bytes, BodyFault> {
-    match tokio::time::timeout(patience, Limited::new(body, largest_body).collect()).await {
-        Err(_) => Err(BodyFault::Slow),
+    max_body_bytes: usize,
+    timeout: Duration,
+) -> Result<Bytes, BodyError> {
+    match tokio::time::timeout(timeout, Limited::new(body, max_body_bytes).collect()).await {
+        Err(_) => Err(BodyError::TooSlow),
         Ok(Ok(collected_body)) => Ok(collected_body.to_bytes()),
-        Ok(Err(fault)) if fault.is::<http_body_util::LengthLimitError>() => {
-            Err(BodyFault::TooLarge)
+        Ok(Err(error)) if error.is::<http_body_util::LengthLimitError>() => {
+            Err(BodyError::TooLarge)
         }
-        Ok(Err(_)) => Err(BodyFault::Broken),
+        Ok(Err(_)) => Err(BodyError::Interrupted),
     }
 }
 
 /// What a caller's connection may take.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub struct CallerTimes {
+pub struct ConnectionLimits {
     /// The largest head, in bytes.
     pub header_bytes: usize,
     /// How long the next head may take, the silence before it included.
     pub idle: Duration,
 }
 
-const SMALLEST_HEAD: usize = 8 << 10;
-const LARGEST_HEAD: usize = 400 << 10;
-const IDLE: Duration = Duration::from_secs(10);
+const MIN_HEAD_BUFFER: usize = 8 << 10;
+const MAX_HEAD_LENGTH: usize = 400 << 10;
+const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Serves HTTP/1.1 until told to stop, then lets open transactions end.
 pub async fn serve<H, F>(listener: TcpListener, handler: H, stop: watch::Receiver<bool>)
 where
     H: Fn(Request<Incoming>) -> F + Clone + Send + Sync + 'static,
-    F: Future<Output = Served> + Send + 'static,
+    F: Future<Output = HttpResponse> + Send + 'static,
 {
-    let times = || CallerTimes { header_bytes: LARGEST_HEAD, idle: IDLE };
-    serve_callers(listener, handler, times, stop).await;
+    let limits = || ConnectionLimits { header_bytes: MAX_HEAD_LENGTH, idle: IDLE_TIMEOUT };
+    serve_callers(listener, handler, limits, stop).await;
 }
 
 /// The same, with limits that are looked up for each connection.
 pub async fn serve_callers<H, F>(
     listener: TcpListener,
     handler: H,
-    times: impl Fn() -> CallerTimes,
+    limits: impl Fn() -> ConnectionLimits,
     mut stop: watch::Receiver<bool>,
 ) where
     H: Fn(Request<Incoming>) -> F + Clone + Send + Sync + 'static,
-    F: Future<Output = Served> + Send + 'static,
+    F: Future<Output = HttpResponse> + Send + 'static,
 {
     let (open_token, mut all_closed) = mpsc::channel::<()>(1);
     loop {
@@ -152,7 +152,7 @@
         };
         let _ = accepted_stream.set_nodelay(true);
         let connection_token = open_token.clone();
-        let serving = serve_connection(accepted_stream, handler.clone(), times(), stop.clone());
+        let serving = serve_connection(accepted_stream, handler.clone(), limits(), stop.clone());
         tokio::spawn(async move {
             serving.await;
             drop(connection_token);
@@ -167,12 +167,12 @@
 pub async fn serve_connection<S, H, F>(
     stream: S,
     handler: H,
-    times: CallerTimes,
+    limits: ConnectionLimits,
     mut stop: watch::Receiver<bool>,
 ) where
     S: AsyncRead + AsyncWrite + Unpin,
     H: Fn(Request<Incoming>) -> F,
-    F: Future<Output = Served>,
+    F: Future<Output = HttpResponse>,
 {
     let service = service_fn(move |request| {
         let answering = handler(request);
@@ -180,8 +180,8 @@
     });
     let connection = hyper::server::conn::http1::Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(times.idle)
-        .max_buf_size(times.header_bytes.max(SMALLEST_HEAD))
+        .header_read_timeout(limits.idle)
+        .max_buf_size(limits.header_bytes.max(MIN_HEAD_BUFFER))
         .serve_connection(TokioIo::new(stream), service);
     tokio::pin!(connection);
     let ended = tokio::select! {
--- a/crates/common/src/identity/function.rs
+++ b/crates/common/src/identity/function.rs
@@ -1,6 +1,6 @@
 //! Functions by name and generation, and the part of the callers that a holder serves.
 
-use super::{FunctionName, Region, Serial};
+use super::{FunctionName, Region, Version};
 use binrw::binrw;
 use std::fmt;
 use std::str::FromStr;
@@ -14,14 +14,14 @@
     /// The name in the catalogue.
     pub name: FunctionName,
     /// The serial that created it; a function deleted and made again is another one.
-    pub generation: Serial,
+    pub generation: Version,
     /// The only region whose callers are served under this key; empty when all others are.
     pub region: Region,
 }
 
 impl FunctionKey {
     /// The key for the callers of all regions.
-    pub fn new(name: impl Into<FunctionName>, generation: Serial) -> Self {
+    pub fn new(name: impl Into<FunctionName>, generation: Version) -> Self {
         Self { name: name.into(), generation, region: Region::from("") }
     }
 
@@ -31,7 +31,7 @@
     }
 
     /// The same function's key for the callers of all regions.
-    pub fn whole(&self) -> Self {
+    pub fn all_regions(&self) -> Self {
         Self::new(self.name.clone(), self.generation)
     }
 
@@ -61,26 +61,26 @@
 
 /// The text is no function's key.
 #[derive(Debug)]
-pub struct FunctionKeyFault(String);
+pub struct FunctionKeyError(String);
 
-impl fmt::Display for FunctionKeyFault {
+impl fmt::Display for FunctionKeyError {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(out, "{:?} is not a function key", self.0)
     }
 }
 
-impl std::error::Error for FunctionKeyFault {}
+impl std::error::Error for FunctionKeyError {}
 
 impl FromStr for FunctionKey {
-    type Err = FunctionKeyFault;
-    fn from_str(given_text: &str) -> Result<Self, FunctionKeyFault> {
+    type Err = FunctionKeyError;
+    fn from_str(given_text: &str) -> Result<Self, FunctionKeyError> {
         let read = || {
             let (name, rest) = given_text.rsplit_once('@')?;
             let (generation, region) = rest.split_once('~').unwrap_or((rest, ""));
-            let whole = Self::new(name, Serial(generation.parse().ok()?));
-            Some(whole.in_region(&Region::from(region)))
+            let all_regions = Self::new(name, Version(generation.parse().ok()?));
+            Some(all_regions.in_region(&Region::from(region)))
         };
-        read().ok_or_else(|| FunctionKeyFault(given_text.to_owned()))
+        read().ok_or_else(|| FunctionKeyError(given_text.to_owned()))
     }
 }
 
--- a/crates/common/src/identity/mod.rs
+++ b/crates/common/src/identity/mod.rs
@@ -5,11 +5,12 @@
 mod numbers;
 mod runner;
 
-pub use function::{FunctionIndex, FunctionKey, FunctionKeyFault};
+pub use function::{FunctionIndex, FunctionKey, FunctionKeyError};
 pub use names::{
-    ChangeId, FunctionName, LifeName, MemberName, Region, TransactionId, Wording, WorkerName, Zone,
+    ChangeId, FunctionName, IdempotencyKey, InstanceId, MemberName, Region, ShortString,
+    WorkerName, Zone,
 };
 pub use numbers::{
-    ControllerId, CorrelationId, GrantSerial, Incarnation, Serial, Stamp, Term, Ticket,
+    ControllerId, CorrelationId, DocumentVersion, FencingToken, Incarnation, Term, Ticket, Version,
 };
-pub use runner::{RunnerId, RunnerIdFault};
+pub use runner::{RunnerId, RunnerIdError};
--- a/crates/common/src/identity/names.rs
+++ b/crates/common/src/identity/names.rs
@@ -91,11 +91,11 @@
     /// A worker's name.
     WorkerName,
     /// A caller's identity of one try.
-    TransactionId,
+    IdempotencyKey,
     /// An operator's name for one change of the spec.
     ChangeId,
     /// The platform's own name of a runner's life; every start has another one.
-    LifeName,
+    InstanceId,
     /// A short text as it stands on the wire: a method, a target, the name of a header line.
-    Wording,
+    ShortString,
 }
--- a/crates/common/src/identity/numbers.rs
+++ b/crates/common/src/identity/numbers.rs
@@ -62,11 +62,11 @@
 
 numbers! {
     /// The number of a whole version of the spec.
-    Serial,
+    Version,
     /// The number of a leader's reign.
     Term,
     /// The number of one function grant, unique over all leaders.
-    GrantSerial,
+    FencingToken,
     /// The number of one life of a daemon.
     Incarnation,
     /// A core member's random identity, kept on its disk.
@@ -77,10 +77,10 @@
     Ticket,
 }
 
-impl GrantSerial {
+impl FencingToken {
     /// A number that no other leader gives: the term above, a count below.
-    pub fn of(leader_term: Term, given_count: u64) -> Self {
-        Self((leader_term.0 << 32) | (given_count & 0xffff_ffff))
+    pub fn of(leader_term: Term, issued_count: u64) -> Self {
+        Self((leader_term.0 << 32) | (issued_count & 0xffff_ffff))
     }
 }
 
@@ -88,15 +88,15 @@
 #[binrw]
 #[brw(big)]
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Debug)]
-pub struct Stamp {
+pub struct DocumentVersion {
     /// The term under which it was last written.
     pub term: Term,
     /// Its serial.
-    pub serial: Serial,
+    pub version: Version,
 }
 
-impl fmt::Display for Stamp {
+impl fmt::Display for DocumentVersion {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(out, "{}/{}", self.term, self.serial)
+        write!(out, "{}/{}", self.term, self.version)
     }
 }
--- a/crates/common/src/identity/runner.rs
+++ b/crates/common/src/identity/runner.rs
@@ -1,6 +1,6 @@
 //! Runners by grant and ordinal.
 
-use super::{GrantSerial, LifeName};
+use super::{FencingToken, InstanceId};
 use binrw::binrw;
 use std::fmt;
 use std::str::FromStr;
@@ -11,7 +11,7 @@
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RunnerId {
     /// The function grant under which it was placed.
-    pub grant: GrantSerial,
+    pub fencing_token: FencingToken,
     /// The leader's number for this placing.
     pub ordinal: u64,
 }
@@ -19,19 +19,19 @@
 impl RunnerId {
     /// The name under which a life was started, where the platform keeps it in the life's name after
     /// a dot; a runner that was taken over goes by it all its life.
-    pub fn started_as(life: &LifeName) -> Option<RunnerId> {
-        life.as_str().split_once('.')?.1.parse().ok()
+    pub fn started_id(instance: &InstanceId) -> Option<RunnerId> {
+        instance.as_str().split_once('.')?.1.parse().ok()
     }
 
     /// The name that a runner itself goes by: the one it was started under if that is known.
-    pub fn face(self, life: Option<&LifeName>) -> RunnerId {
-        life.and_then(Self::started_as).unwrap_or(self)
+    pub fn self_reported_id(self, instance: Option<&InstanceId>) -> RunnerId {
+        instance.and_then(Self::started_id).unwrap_or(self)
     }
 }
 
 impl fmt::Display for RunnerId {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(out, "r-{:x}-{:x}", self.grant.0, self.ordinal)
+        write!(out, "r-{:x}-{:x}", self.fencing_token.0, self.ordinal)
     }
 }
 
@@ -43,25 +43,25 @@
 
 /// The text is no runner's name.
 #[derive(Debug)]
-pub struct RunnerIdFault(String);
+pub struct RunnerIdError(String);
 
-impl fmt::Display for RunnerIdFault {
+impl fmt::Display for RunnerIdError {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(out, "{:?} is not a runner id", self.0)
     }
 }
 
-impl std::error::Error for RunnerIdFault {}
+impl std::error::Error for RunnerIdError {}
 
 impl FromStr for RunnerId {
-    type Err = RunnerIdFault;
-    fn from_str(given_text: &str) -> Result<Self, RunnerIdFault> {
+    type Err = RunnerIdError;
+    fn from_str(given_text: &str) -> Result<Self, RunnerIdError> {
         let parse = || {
-            let (grant_text, ordinal_text) = given_text.strip_prefix("r-")?.split_once('-')?;
-            let grant = GrantSerial(u64::from_str_radix(grant_text, 16).ok()?);
+            let (token_text, ordinal_text) = given_text.strip_prefix("r-")?.split_once('-')?;
+            let fencing_token = FencingToken(u64::from_str_radix(token_text, 16).ok()?);
             let ordinal = u64::from_str_radix(ordinal_text, 16).ok()?;
-            Some(RunnerId { grant, ordinal })
+            Some(RunnerId { fencing_token, ordinal })
         };
-        parse().ok_or_else(|| RunnerIdFault(given_text.to_owned()))
+        parse().ok_or_else(|| RunnerIdError(given_text.to_owned()))
     }
 }
--- a/crates/common/src/invariants.rs
+++ b/crates/common/src/invariants.rs
@@ -5,7 +5,7 @@
 //! builds stop at the first one, unless a rule was taken away on purpose or the process counts only.
 
 use crate::events;
-use crate::note;
+use crate::log_event;
 use crate::rules::Rules;
 use prometheus::{IntCounterVec, Opts};
 use std::cell::{Cell, RefCell};
@@ -23,9 +23,9 @@
     /// A request that may run only once is never sent after it may have run.
     OnceSentOnce,
     /// What is refused as not run is with no runner.
-    RefusedNotSent,
+    RejectedNotSent,
     /// Extra tries stay within the retry budget.
-    RetryBudgetKept,
+    RetryBudgetRespected,
     /// A request's first byte leaves while the session lease runs.
     SentUnderLease,
     /// A term has one leader.
@@ -48,8 +48,8 @@
         Invariant::SpecNeverOlder,
         Invariant::SlotsRespected,
         Invariant::OnceSentOnce,
-        Invariant::RefusedNotSent,
-        Invariant::RetryBudgetKept,
+        Invariant::RejectedNotSent,
+        Invariant::RetryBudgetRespected,
         Invariant::SentUnderLease,
         Invariant::OneLeaderPerTerm,
         Invariant::CommitNeverLost,
@@ -65,8 +65,8 @@
             Self::SpecNeverOlder => "spec-never-older",
             Self::SlotsRespected => "slots-respected",
             Self::OnceSentOnce => "once-sent-once",
-            Self::RefusedNotSent => "refused-not-sent",
-            Self::RetryBudgetKept => "retry-budget-kept",
+            Self::RejectedNotSent => "refused-not-sent",
+            Self::RetryBudgetRespected => "retry-budget-kept",
             Self::SentUnderLease => "sent-under-lease",
             Self::OneLeaderPerTerm => "one-leader-per-term",
             Self::CommitNeverLost => "commit-never-lost",
@@ -103,9 +103,9 @@
 pub const COUNTER_NAME: &str = "rudder_invariant_violations_total";
 
 /// How many violations a thread keeps for the proving tools.
-const KEPT_PER_THREAD: usize = 64;
+const COLLECTED_PER_THREAD: usize = 64;
 
-static COUNTS_ONLY: AtomicBool = AtomicBool::new(false);
+static COUNT_ONLY: AtomicBool = AtomicBool::new(false);
 
 static COUNTERS: LazyLock<IntCounterVec> = LazyLock::new(|| {
     let options = Opts::new(COUNTER_NAME, "promises that the process found broken, by invariant");
@@ -117,7 +117,7 @@
 });
 
 thread_local! {
-    static SEEN: RefCell<Vec<Violation>> = const { RefCell::new(Vec::new()) };
+    static COLLECTED: RefCell<Vec<Violation>> = const { RefCell::new(Vec::new()) };
     static IS_COLLECTING: Cell<bool> = const { Cell::new(false) };
 }
 
@@ -128,37 +128,37 @@
 
 /// From now on violations never stop this process: a deployed program counts them and goes on.
 pub fn count_only() {
-    COUNTS_ONLY.store(true, Ordering::Relaxed);
+    COUNT_ONLY.store(true, Ordering::Relaxed);
 }
 
 /// From now on violations on this thread are kept for [`take_seen`] and do not stop it.
 pub fn collect_on_this_thread() {
     IS_COLLECTING.set(true);
-    SEEN.take();
+    COLLECTED.take();
 }
 
 /// What this thread has seen since it was last asked.
-pub fn take_seen() -> Vec<Violation> {
-    SEEN.take()
+pub fn take_collected() -> Vec<Violation> {
+    COLLECTED.take()
 }
 
 /// Notes a violation if the condition does not hold.
 pub fn require(rules: Rules, invariant: Invariant, holds: bool, detail: impl FnOnce() -> String) {
     if !holds {
-        violated(rules, Violation { invariant, detail: detail() });
+        report_violation(rules, Violation { invariant, detail: detail() });
     }
 }
 
 #[cold]
-fn violated(rules: Rules, violation: Violation) {
+fn report_violation(rules: Rules, violation: Violation) {
     COUNTERS.with_label_values(&[violation.invariant.as_str()]).inc();
-    note!(Error, events::INVARIANT_VIOLATED, "{violation}");
+    log_event!(Error, events::INVARIANT_VIOLATED, "{violation}");
     let is_tolerated =
-        IS_COLLECTING.get() || !rules.are_all_kept() || COUNTS_ONLY.load(Ordering::Relaxed);
+        IS_COLLECTING.get() || !rules.all_enforced() || COUNT_ONLY.load(Ordering::Relaxed);
     assert!(!cfg!(debug_assertions) || is_tolerated, "{violation}");
-    SEEN.with_borrow_mut(|seen| {
-        if seen.len() < KEPT_PER_THREAD {
-            seen.push(violation);
+    COLLECTED.with_borrow_mut(|collected| {
+        if collected.len() < COLLECTED_PER_THREAD {
+            collected.push(violation);
         }
     });
 }
--- a/crates/common/src/lib.rs
+++ b/crates/common/src/lib.rs
@@ -2,7 +2,7 @@
 
 #![deny(missing_docs)]
 
-pub mod chance;
+pub mod adapter;
 pub mod clock;
 pub mod command_line;
 pub mod events;
@@ -13,8 +13,8 @@
 pub mod metrics;
 pub mod readers;
 pub mod ring;
+pub mod rng;
 pub mod rules;
 pub mod seal;
 pub mod sockets;
 pub mod spec;
-pub mod tongue;
--- a/crates/common/src/metrics.rs
+++ b/crates/common/src/metrics.rs
@@ -6,7 +6,7 @@
     Registry, TextEncoder,
 };
 
-const VALID: &str = "a constant name is valid and registered once";
+const VALID_NAME: &str = "a constant name is valid and registered once";
 
 /// The upper bounds of histograms of seconds.
 const SECONDS_BUCKETS: [f64; 11] =
@@ -17,51 +17,51 @@
 }
 
 /// The metrics of one process.
-pub struct Page {
+pub struct MetricsPage {
     registry: Registry,
 }
 
-impl Page {
+impl MetricsPage {
     /// A page with the counts of violated invariants, which every process has.
     pub fn new() -> Self {
         let registry = Registry::new();
-        registry.register(Box::new(invariants::counters())).expect(VALID);
+        registry.register(Box::new(invariants::counters())).expect(VALID_NAME);
         Self { registry }
     }
 
     /// A new counter.
     pub fn counter(&self, name: &str, help: &str) -> IntCounter {
-        let made = IntCounter::new(name, help).expect(VALID);
-        self.registry.register(Box::new(made.clone())).expect(VALID);
-        made
+        let metric = IntCounter::new(name, help).expect(VALID_NAME);
+        self.registry.register(Box::new(metric.clone())).expect(VALID_NAME);
+        metric
     }
 
     /// New counters, one for each value of the labels.
     pub fn counters(&self, name: &str, help: &str, labels: &[&str]) -> IntCounterVec {
-        let made = IntCounterVec::new(Opts::new(name, help), labels).expect(VALID);
-        self.registry.register(Box::new(made.clone())).expect(VALID);
-        made
+        let metric = IntCounterVec::new(Opts::new(name, help), labels).expect(VALID_NAME);
+        self.registry.register(Box::new(metric.clone())).expect(VALID_NAME);
+        metric
     }
 
     /// A new gauge.
     pub fn gauge(&self, name: &str, help: &str) -> IntGauge {
-        let made = IntGauge::new(name, help).expect(VALID);
-        self.registry.register(Box::new(made.clone())).expect(VALID);
-        made
+        let metric = IntGauge::new(name, help).expect(VALID_NAME);
+        self.registry.register(Box::new(metric.clone())).expect(VALID_NAME);
+        metric
     }
 
     /// A new histogram of seconds.
     pub fn seconds(&self, name: &str, help: &str) -> Histogram {
-        let made = Histogram::with_opts(seconds_options(name, help)).expect(VALID);
-        self.registry.register(Box::new(made.clone())).expect(VALID);
-        made
+        let metric = Histogram::with_opts(seconds_options(name, help)).expect(VALID_NAME);
+        self.registry.register(Box::new(metric.clone())).expect(VALID_NAME);
+        metric
     }
 
     /// New histograms of seconds, one for each value of the labels.
-    pub fn seconds_by(&self, name: &str, help: &str, labels: &[&str]) -> HistogramVec {
-        let made = HistogramVec::new(seconds_options(name, help), labels).expect(VALID);
-        self.registry.register(Box::new(made.clone())).expect(VALID);
-        made
+    pub fn labelled_seconds(&self, name: &str, help: &str, labels: &[&str]) -> HistogramVec {
+        let metric = HistogramVec::new(seconds_options(name, help), labels).expect(VALID_NAME);
+        self.registry.register(Box::new(metric.clone())).expect(VALID_NAME);
+        metric
     }
 
     /// The page's text.
@@ -72,7 +72,7 @@
     }
 }
 
-impl Default for Page {
+impl Default for MetricsPage {
     fn default() -> Self {
         Self::new()
     }
--- a/crates/common/src/readers/mod.rs
+++ b/crates/common/src/readers/mod.rs
@@ -1,7 +1,7 @@
 //! Readers of JSON that name the path of every fault.
 
-mod boot;
 mod path;
+mod settings;
 
-pub use boot::{BootFault, BootSource, read_listen, read_place, read_places};
-pub use path::{FaultList, FaultReason, PathFault, PathReader};
+pub use path::{PathError, PathErrorList, PathErrorReason, PathReader};
+pub use settings::{SettingsError, SettingsSource, read_address, read_addresses, read_listen};
--- a/crates/common/src/readers/path.rs
+++ b/crates/common/src/readers/path.rs
@@ -7,47 +7,47 @@
 
 /// What is wrong at one path of a JSON document.
 #[derive(Clone, PartialEq, Eq, Debug)]
-pub struct PathFault {
+pub struct PathError {
     /// The path, with dots between names.
     pub path: String,
     /// What is wrong there.
-    pub reason: FaultReason,
+    pub reason: PathErrorReason,
 }
 
 /// The kinds of fault a reader finds.
 #[derive(Clone, PartialEq, Eq, Debug)]
-pub enum FaultReason {
+pub enum PathErrorReason {
     /// Something needed is not there.
     Missing,
     /// Something of another type is there.
-    NotA(&'static str),
+    WrongType(&'static str),
     /// The number is outside its bounds.
     OutOfBounds(u64, u64),
     /// No such field is known.
     UnknownField,
     /// The name points to nothing.
-    NoSuch(&'static str, String),
+    UnknownReference(&'static str, String),
     /// Another entry says the same.
     Duplicate(String),
     /// The value is not of the needed form.
-    Form(String),
+    Malformed(String),
 }
 
-impl fmt::Display for FaultReason {
+impl fmt::Display for PathErrorReason {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Missing => write!(out, "is missing"),
-            Self::NotA(kind) => write!(out, "is not {kind}"),
+            Self::WrongType(kind) => write!(out, "is not {kind}"),
             Self::OutOfBounds(least, most) => write!(out, "is not within {least} to {most}"),
             Self::UnknownField => write!(out, "is not a known key"),
-            Self::NoSuch(kind, name) => write!(out, "names no {kind}: {name:?}"),
+            Self::UnknownReference(kind, name) => write!(out, "names no {kind}: {name:?}"),
             Self::Duplicate(other) => write!(out, "matches the same as {other}"),
-            Self::Form(reason) => write!(out, "{reason}"),
+            Self::Malformed(reason) => write!(out, "{reason}"),
         }
     }
 }
 
-impl fmt::Display for PathFault {
+impl fmt::Display for PathError {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             out,
@@ -58,24 +58,24 @@
     }
 }
 
-impl std::error::Error for PathFault {}
+impl std::error::Error for PathError {}
 
 /// The faults found so far.
 #[derive(Default)]
-pub struct FaultList {
-    found: Mutex<Vec<PathFault>>,
+pub struct PathErrorList {
+    errors: Mutex<Vec<PathError>>,
 }
 
-impl FaultList {
+impl PathErrorList {
     /// Notes one fault.
-    pub fn add(&self, path: impl Into<String>, reason: FaultReason) {
-        let mut found = self.found.lock().unwrap_or_else(PoisonError::into_inner);
-        found.push(PathFault { path: path.into(), reason });
+    pub fn add(&self, path: impl Into<String>, reason: PathErrorReason) {
+        let mut errors = self.errors.lock().unwrap_or_else(PoisonError::into_inner);
+        errors.push(PathError { path: path.into(), reason });
     }
 
     /// All that was found, in the order of finding.
-    pub fn into_inner(self) -> Vec<PathFault> {
-        self.found.into_inner().unwrap_or_else(PoisonError::into_inner)
+    pub fn into_inner(self) -> Vec<PathError> {
+        self.errors.into_inner().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
@@ -84,13 +84,13 @@
 pub struct PathReader<'a> {
     value: Option<&'a Value>,
     path: String,
-    faults: &'a FaultList,
+    errors: &'a PathErrorList,
 }
 
 impl<'a> PathReader<'a> {
     /// A reader at the root of a document.
-    pub fn new(value: &'a Value, faults: &'a FaultList) -> Self {
-        Self { value: Some(value), path: String::new(), faults }
+    pub fn new(value: &'a Value, errors: &'a PathErrorList) -> Self {
+        Self { value: Some(value), path: String::new(), errors }
     }
 
     /// The path read so far.
@@ -99,16 +99,16 @@
     }
 
     /// Whether anything but null stands here.
-    pub fn is_there(&self) -> bool {
+    pub fn is_present(&self) -> bool {
         self.value.is_some_and(|value| !value.is_null())
     }
 
     /// Notes a fault here.
-    pub fn fault(&self, reason: FaultReason) {
-        self.faults.add(self.path.clone(), reason);
+    pub fn error(&self, reason: PathErrorReason) {
+        self.errors.add(self.path.clone(), reason);
     }
 
-    fn step(&self, field_name: &str) -> String {
+    fn child_path(&self, field_name: &str) -> String {
         if self.path.is_empty() {
             field_name.to_owned()
         } else {
@@ -120,21 +120,21 @@
     pub fn field(&self, field_name: &str) -> PathReader<'a> {
         PathReader {
             value: self.value.and_then(|value| value.get(field_name)),
-            path: self.step(field_name),
-            faults: self.faults,
+            path: self.child_path(field_name),
+            errors: self.errors,
         }
     }
 
     /// Notes every field that is not among the known ones.
-    pub fn only(&self, known_fields: &[&str]) {
-        for (field_name, _) in self.fields_quietly() {
+    pub fn allow_only(&self, known_fields: &[&str]) {
+        for (field_name, _) in self.object_entries() {
             if !known_fields.contains(&field_name) {
-                self.faults.add(self.step(field_name), FaultReason::UnknownField);
+                self.errors.add(self.child_path(field_name), PathErrorReason::UnknownField);
             }
         }
     }
 
-    fn fields_quietly(&self) -> impl Iterator<Item = (&'a str, &'a Value)> + use<'a> {
+    fn object_entries(&self) -> impl Iterator<Item = (&'a str, &'a Value)> + use<'a> {
         self.value
             .and_then(Value::as_object)
             .into_iter()
@@ -144,63 +144,63 @@
 
     /// The fields of an object, each with a reader.
     pub fn fields(&self) -> Vec<(&'a str, PathReader<'a>)> {
-        if self.is_there() && !self.value.is_some_and(Value::is_object) {
-            self.fault(FaultReason::NotA("an object"));
+        if self.is_present() && !self.value.is_some_and(Value::is_object) {
+            self.error(PathErrorReason::WrongType("an object"));
         }
-        self.fields_quietly()
+        self.object_entries()
             .map(|(field_name, value)| {
-                let path = self.step(field_name);
-                (field_name, PathReader { value: Some(value), path, faults: self.faults })
+                let path = self.child_path(field_name);
+                (field_name, PathReader { value: Some(value), path, errors: self.errors })
             })
             .collect()
     }
 
     /// The items of an array, each with a reader.
     pub fn items(&self) -> Vec<PathReader<'a>> {
-        if self.is_there() && !self.value.is_some_and(Value::is_array) {
-            self.fault(FaultReason::NotA("an array"));
+        if self.is_present() && !self.value.is_some_and(Value::is_array) {
+            self.error(PathErrorReason::WrongType("an array"));
         }
         let item_values = self.value.and_then(Value::as_array).into_iter().flatten();
         item_values
             .enumerate()
-            .map(|(place, value)| PathReader {
+            .map(|(index, value)| PathReader {
                 value: Some(value),
-                path: self.step(&place.to_string()),
-                faults: self.faults,
+                path: self.child_path(&index.to_string()),
+                errors: self.errors,
             })
             .collect()
     }
 
-    fn needed<T>(
+    fn required<T>(
         &self,
         kind: &'static str,
-        take: impl FnOnce(&'a Value) -> Option<T>,
+        convert: impl FnOnce(&'a Value) -> Option<T>,
     ) -> Option<T> {
         let Some(value) = self.value.filter(|value| !value.is_null()) else {
-            self.fault(FaultReason::Missing);
+            self.error(PathErrorReason::Missing);
             return None;
         };
-        let taken_value = take(value);
-        if taken_value.is_none() {
-            self.fault(FaultReason::NotA(kind));
+        let typed_value = convert(value);
+        if typed_value.is_none() {
+            self.error(PathErrorReason::WrongType(kind));
         }
-        taken_value
+        typed_value
     }
 
     /// A text that must be there and not be empty.
     pub fn text(&self) -> Option<&'a str> {
-        self.needed("a text", Value::as_str).filter(|text| {
+        self.required("a text", Value::as_str).filter(|text| {
             if text.is_empty() {
-                self.fault(FaultReason::Form("is empty".to_owned()));
+                self.error(PathErrorReason::Malformed("is empty".to_owned()));
             }
             !text.is_empty()
         })
     }
 
     /// A yes or no, with a default.
-    pub fn flag_or(&self, default_flag: bool) -> bool {
-        if self.is_there() {
-            self.needed("true or false", Value::as_bool).unwrap_or(default_flag)
+    pub fn bool_or(&self, default_flag: bool) -> bool {
+        if self.is_present() {
+            self.required("true or false", Value::as_bool).unwrap_or(default_flag)
         } else {
             default_flag
         }
@@ -208,9 +208,9 @@
 
     /// A whole number within bounds that must be there.
     pub fn number(&self, bounds: RangeInclusive<u64>) -> Option<u64> {
-        let read_number = self.needed("a whole number", Value::as_u64)?;
+        let read_number = self.required("a whole number", Value::as_u64)?;
         if !bounds.contains(&read_number) {
-            self.fault(FaultReason::OutOfBounds(*bounds.start(), *bounds.end()));
+            self.error(PathErrorReason::OutOfBounds(*bounds.start(), *bounds.end()));
             return None;
         }
         Some(read_number)
@@ -218,7 +218,11 @@
 
     /// A whole number within bounds, with a default.
     pub fn number_or(&self, bounds: RangeInclusive<u64>, default_number: u64) -> u64 {
-        if self.is_there() { self.number(bounds).unwrap_or(default_number) } else { default_number }
+        if self.is_present() {
+            self.number(bounds).unwrap_or(default_number)
+        } else {
+            default_number
+        }
     }
 
     /// Whatever stands here.
--- a/crates/common/src/ring/mod.rs
+++ b/crates/common/src/ring/mod.rs
@@ -22,11 +22,11 @@
 }
 
 fn weight(first_part: &str, second_part: &str) -> u64 {
-    let mut running_digest = Sha256::new();
-    running_digest.update(first_part.as_bytes());
-    running_digest.update([0]);
-    running_digest.update(second_part.as_bytes());
-    let digest_bytes = running_digest.finalize();
+    let mut hasher = Sha256::new();
+    hasher.update(first_part.as_bytes());
+    hasher.update([0]);
+    hasher.update(second_part.as_bytes());
+    let digest_bytes = hasher.finalize();
     u64::from_be_bytes([
         digest_bytes[0],
         digest_bytes[1],
@@ -40,27 +40,28 @@
 }
 
 /// A link counts as wide that is at least so large a part of the widest.
-const WIDE_PART: u32 = 4;
+const WIDE_LINK_DIVISOR: u32 = 4;
 
 /// A link of so many Mbit/s counts as wide beside any other: it carries the largest body that callers may send by
 /// default (256 KiB) in a fifth of a second.
-const AMPLE_MBPS: u32 = 10;
+const WIDE_LINK_MBPS: u32 = 10;
 
 /// Functions stay with the hosts on wide links while there are so many of them.
-const FEWEST_WIDE: usize = 3;
+const MIN_WIDE_HOSTS: usize = 3;
 
 /// The hosts that functions go to: all that are eligible, or those on wide links where others have much
 /// narrower ones, while enough of them stand in more than one zone. All answers of a function pass
 /// through the link of its holder.
-pub fn fitting_hosts<'a>(hosts: impl Iterator<Item = &'a Host>) -> Vec<&'a Host> {
+pub fn candidate_hosts<'a>(hosts: impl Iterator<Item = &'a Host>) -> Vec<&'a Host> {
     let eligible_hosts: Vec<&Host> = hosts.filter(|host| host.eligible.0).collect();
     let widest = eligible_hosts.iter().map(|host| host.link_mbps).max().unwrap_or_default();
     let is_wide = |host: &&&Host| {
-        host.link_mbps >= AMPLE_MBPS || host.link_mbps.saturating_mul(WIDE_PART) >= widest
+        host.link_mbps >= WIDE_LINK_MBPS
+            || host.link_mbps.saturating_mul(WIDE_LINK_DIVISOR) >= widest
     };
     let wide_hosts: Vec<&Host> = eligible_hosts.iter().filter(is_wide).copied().collect();
     let zones: BTreeSet<&Zone> = wide_hosts.iter().map(|host| &host.zone).collect();
-    if wide_hosts.len() >= FEWEST_WIDE && zones.len() > 1 { wide_hosts } else { eligible_hosts }
+    if wide_hosts.len() >= MIN_WIDE_HOSTS && zones.len() > 1 { wide_hosts } else { eligible_hosts }
 }
 
 /// The daemon whose turn it is to ask for a function; `None` when no host is eligible.
@@ -69,7 +70,7 @@
     hosts: impl Iterator<Item = &'a Host>,
 ) -> Option<&'a Host> {
     let function_text = function.to_string();
-    fitting_hosts(hosts)
+    candidate_hosts(hosts)
         .into_iter()
         .map(|host| (weight(&function_text, host.member.as_str()), host))
         .max_by(|(left_weight, left_host), (right_weight, right_host)| {
@@ -91,13 +92,13 @@
 }
 
 /// How many watchers of each daemon stand in other zones than its own.
-pub const FAR_WATCHERS: usize = 2;
+pub const OTHER_ZONE_WATCHERS: usize = 2;
 
 /// How many stand in its own.
-pub const NEAR_WATCHERS: usize = 1;
+pub const OWN_ZONE_WATCHERS: usize = 1;
 
 /// Where a member stands on the ring.
-pub fn place_of(member: &MemberName) -> u64 {
+pub fn ring_position(member: &MemberName) -> u64 {
     weight("ring", member.as_str())
 }
 
@@ -106,18 +107,22 @@
 /// The hosts come with their places on the ring.
 pub fn watchers<'a>(
     watched_host: &Host,
-    placed_hosts: impl Iterator<Item = (u64, &'a Host)>,
+    positioned_hosts: impl Iterator<Item = (u64, &'a Host)>,
 ) -> Vec<&'a Host> {
-    let own_place = place_of(&watched_host.member);
-    let (mut near_hosts, mut far_hosts): (Vec<_>, Vec<_>) = placed_hosts
+    let own_position = ring_position(&watched_host.member);
+    let (mut own_zone_hosts, mut other_zone_hosts): (Vec<_>, Vec<_>) = positioned_hosts
         .filter(|(_, host)| host.member != watched_host.member)
-        .map(|(ring_place, host)| (ring_place.wrapping_sub(own_place), host))
+        .map(|(position, host)| (position.wrapping_sub(own_position), host))
         .partition(|(_, host)| host.zone == watched_host.zone);
-    near_hosts.sort_by_key(|(ring_distance, _)| *ring_distance);
-    far_hosts.sort_by_key(|(ring_distance, _)| *ring_distance);
-    let watcher_count = FAR_WATCHERS + NEAR_WATCHERS;
-    let near_count = near_hosts.len().min(watcher_count - FAR_WATCHERS.min(far_hosts.len()));
-    let far_count = watcher_count - near_count;
-    let chosen_far = far_hosts.into_iter().take(far_count);
-    chosen_far.chain(near_hosts.into_iter().take(near_count)).map(|(_, host)| host).collect()
+    own_zone_hosts.sort_by_key(|(ring_distance, _)| *ring_distance);
+    other_zone_hosts.sort_by_key(|(ring_distance, _)| *ring_distance);
+    let watcher_count = OTHER_ZONE_WATCHERS + OWN_ZONE_WATCHERS;
+    let own_zone_count =
+        own_zone_hosts.len().min(watcher_count - OTHER_ZONE_WATCHERS.min(other_zone_hosts.len()));
+    let other_zone_count = watcher_count - own_zone_count;
+    let chosen_other_zone = other_zone_hosts.into_iter().take(other_zone_count);
+    chosen_other_zone
+        .chain(own_zone_hosts.into_iter().take(own_zone_count))
+        .map(|(_, host)| host)
+        .collect()
 }
--- a/crates/common/src/chance.rs
+++ b/crates/common/src/rng.rs
@@ -6,11 +6,11 @@
 
 /// A source of chance that only its seed decides.
 #[derive(Clone, Debug)]
-pub struct Chance {
+pub struct SeededRng {
     source_rng: SmallRng,
 }
 
-impl Chance {
+impl SeededRng {
     /// Chance from a seed.
     pub fn seeded(seed: u64) -> Self {
         Self { source_rng: SmallRng::seed_from_u64(seed) }
@@ -32,8 +32,8 @@
     }
 
     /// True in the given share of cases.
-    pub fn happens(&mut self, share: f64) -> bool {
-        self.source_rng.random::<f64>() < share
+    pub fn random_bool(&mut self, fraction: f64) -> bool {
+        self.source_rng.random::<f64>() < fraction
     }
 
     /// A duration within the two bounds.
@@ -43,7 +43,7 @@
     }
 
     /// A number between zero and one.
-    pub fn share(&mut self) -> f64 {
+    pub fn fraction(&mut self) -> f64 {
         self.source_rng.random()
     }
 }
--- a/crates/common/src/rules.rs
+++ b/crates/common/src/rules.rs
@@ -6,161 +6,161 @@
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Rule {
     /// A daemon serves only while its member grant runs, and gives up what it held when it ends.
-    MemberGrant,
+    ServesUnderSessionLease,
     /// A renewal counts only with the newest committed spec installed.
-    RenewalNeedsSpec,
+    RenewalNeedsNewestSpec,
     /// A serial never goes down in a daemon.
-    SerialOnlyUp,
+    VersionNeverDecreases,
     /// Route and function are looked up in the newest spec right before a send.
-    SpecBeforeSend,
+    SpecCheckedBeforeSend,
     /// The member grant runs and the function is held under its grant right before the first byte of a
     /// send is written.
-    HeldBeforeSend,
+    LeaseCheckedBeforeSend,
     /// What a byte was written of counts as sent.
-    WrittenIsSent,
+    PartialWriteCountsAsSent,
     /// Another daemon's answer goes to the question that it names.
-    ReplyMatched,
+    ReplyMatchesRequest,
     /// A repeat of a transaction goes to one runner only.
-    RepeatSentOnce,
+    RepeatSentToOneRunner,
     /// A send names the runner that is meant, and another one refuses.
-    RunnerNamed,
+    RunnerIdentityChecked,
     /// An answer's seal is checked.
     SealChecked,
     /// An answer's seal must name this transaction, function and runner.
-    SealNamesAsked,
+    SealBoundToRequest,
     /// An answer whose body may have been cut short, or is not as the runner made it, is not believed.
-    BodyWhole,
+    IncompleteBodyRejected,
     /// An answer with another one's beginning in its head is not believed.
-    HeadUnmixed,
+    MergedHeadRejected,
     /// A runner never has more transactions than slots.
-    SlotsKept,
+    SlotLimitRespected,
     /// A fresh runner begins with one transaction at a time.
-    RampKept,
+    SlowStartRespected,
     /// A lost answer keeps its slot until the runner is known to be done.
-    LostKeepsSlot,
+    LostResponseKeepsSlot,
     /// A request that may run only once is not sent again when its answer is lost.
-    OnceNotRepeated,
+    OnceNotRetried,
     /// Extra tries and repeats draw on one count.
-    TriesCounted,
+    RetryBudgetCounted,
     /// A refusal is said only of what has left the inbox, and no runner was given.
-    RefusedIsGone,
+    RejectedNeverRuns,
     /// A known identity gets what the ledger says.
-    IdentityKnown,
+    KnownIdempotencyKeyAnswered,
     /// A once-transaction is noted by a steward before it is sent.
-    LedgerNoted,
+    LedgerReplicatedBeforeSend,
     /// A successor collects the ledger, or waits, before it admits once-transactions.
-    LedgerCollected,
+    LedgerCollectedBeforeAdmission,
     /// Runners on unfit workers are drained.
     DrainObeyed,
     /// Functions held in an evacuated zone are handed over, and runners there drained.
     EvacuationObeyed,
     /// A daemon that is stopped in order hands out the answers it has in hand.
-    AnswersHandedOut,
+    ResponsesDeliveredAtShutdown,
     /// Runners of a lost holder are left for the next one, or stopped through the platform, before a
     /// regrant.
     FenceBeforeRegrant,
     /// A function is granted anew only when its old holder's member grant has ended everywhere, or the
     /// old holder gave it up.
-    GrantOutwaited,
+    LeaseExpiredBeforeRegrant,
     /// A runner that was left is taken over by one holder only.
-    LifeAdoptedOnce,
+    InstanceAdoptedOnce,
     /// A new leader waits for the claims quorum, and for old grants to end.
-    ClaimsWait,
+    ClaimsQuorumAwaited,
     /// A new leader waits for each daemon of the roster that has not claimed.
-    RosterAwaited,
+    ListedMembersAwaited,
     /// A configuration is read only when a majority has confirmed the leader since it was asked for.
-    ReadingProven,
+    ReadConfirmedByMajority,
     /// A controller names only a leader that it heard within the election time.
-    LeaderHeard,
+    LeaderHintIsRecent,
     /// A change built on another serial than the newest is refused.
-    StaleBaseRefused,
+    StaleBaseRejected,
     /// An invalid change is never written.
-    InvalidRefused,
+    InvalidChangeRejected,
     /// A core member is replaced in two committed steps.
-    CoreInTwoSteps,
+    VoterReplacedInTwoSteps,
     /// An operator's order is refused only by state that a majority confirmed after it was asked.
-    RefusalProven,
+    RejectionConfirmedByMajority,
     /// An order that was taken is known when it is sent again.
-    TakenKnown,
+    ResentChangeRecognized,
     /// Two orders with one number are told apart by their content.
-    NumberTakenOnce,
+    ChangeNumberBoundToContent,
     /// An order is acknowledged when a majority has written it.
     AcknowledgedByMajority,
     /// An order whose caller hung up before it was put forward is dropped.
-    HungUpDropped,
+    AbandonedChangeDropped,
     /// A vote is on disk before it is given.
-    VoteOnDisk,
+    VotePersistedFirst,
     /// A version is on disk before it is acknowledged.
-    AcceptOnDisk,
+    AcceptPersistedFirst,
     /// Nobody votes for a candidate whose version is older than the voter's.
-    NewestElected,
+    CandidateIsUpToDate,
     /// An answer to a round counts in the round's own term only.
-    RoundOfItsTerm,
+    HeartbeatResponseInItsTerm,
     /// A change of the document is applied to the version that it leads from, and to no other.
-    ChangeOnItsBase,
+    DeltaOnItsBase,
     /// A grant that answers a question from before its asker gave everything up is given back.
-    OldAnswerVoid,
+    StaleLeaseReturned,
     /// A leader that others name is dialed although no connection to it came about a moment before.
-    NamedLeaderDialed,
+    HintedLeaderDialed,
     /// A function whose identities may come again has one holder, that remembers them, for all regions.
-    RememberedByOne,
+    OneHolderRemembersKeys,
 }
 
 impl Rule {
     /// Every rule.
     pub const ALL: &[Rule] = &[
-        Rule::MemberGrant,
-        Rule::RenewalNeedsSpec,
-        Rule::SerialOnlyUp,
-        Rule::SpecBeforeSend,
-        Rule::HeldBeforeSend,
-        Rule::WrittenIsSent,
-        Rule::ReplyMatched,
-        Rule::RepeatSentOnce,
-        Rule::RunnerNamed,
+        Rule::ServesUnderSessionLease,
+        Rule::RenewalNeedsNewestSpec,
+        Rule::VersionNeverDecreases,
+        Rule::SpecCheckedBeforeSend,
+        Rule::LeaseCheckedBeforeSend,
+        Rule::PartialWriteCountsAsSent,
+        Rule::ReplyMatchesRequest,
+        Rule::RepeatSentToOneRunner,
+        Rule::RunnerIdentityChecked,
         Rule::SealChecked,
-        Rule::SealNamesAsked,
-        Rule::BodyWhole,
-        Rule::HeadUnmixed,
-        Rule::SlotsKept,
-        Rule::RampKept,
-        Rule::LostKeepsSlot,
-        Rule::OnceNotRepeated,
-        Rule::TriesCounted,
-        Rule::RefusedIsGone,
-        Rule::IdentityKnown,
-        Rule::LedgerNoted,
-        Rule::LedgerCollected,
+        Rule::SealBoundToRequest,
+        Rule::IncompleteBodyRejected,
+        Rule::MergedHeadRejected,
+        Rule::SlotLimitRespected,
+        Rule::SlowStartRespected,
+        Rule::LostResponseKeepsSlot,
+        Rule::OnceNotRetried,
+        Rule::RetryBudgetCounted,
+        Rule::RejectedNeverRuns,
+        Rule::KnownIdempotencyKeyAnswered,
+        Rule::LedgerReplicatedBeforeSend,
+        Rule::LedgerCollectedBeforeAdmission,
         Rule::DrainObeyed,
         Rule::EvacuationObeyed,
-        Rule::AnswersHandedOut,
+        Rule::ResponsesDeliveredAtShutdown,
         Rule::FenceBeforeRegrant,
-        Rule::GrantOutwaited,
-        Rule::LifeAdoptedOnce,
-        Rule::ClaimsWait,
-        Rule::RosterAwaited,
-        Rule::ReadingProven,
-        Rule::LeaderHeard,
-        Rule::StaleBaseRefused,
-        Rule::InvalidRefused,
-        Rule::CoreInTwoSteps,
-        Rule::RefusalProven,
-        Rule::TakenKnown,
-        Rule::NumberTakenOnce,
+        Rule::LeaseExpiredBeforeRegrant,
+        Rule::InstanceAdoptedOnce,
+        Rule::ClaimsQuorumAwaited,
+        Rule::ListedMembersAwaited,
+        Rule::ReadConfirmedByMajority,
+        Rule::LeaderHintIsRecent,
+        Rule::StaleBaseRejected,
+        Rule::InvalidChangeRejected,
+        Rule::VoterReplacedInTwoSteps,
+        Rule::RejectionConfirmedByMajority,
+        Rule::ResentChangeRecognized,
+        Rule::ChangeNumberBoundToContent,
         Rule::AcknowledgedByMajority,
-        Rule::HungUpDropped,
-        Rule::VoteOnDisk,
-        Rule::AcceptOnDisk,
-        Rule::NewestElected,
-        Rule::RoundOfItsTerm,
-        Rule::ChangeOnItsBase,
-        Rule::OldAnswerVoid,
-        Rule::NamedLeaderDialed,
-        Rule::RememberedByOne,
+        Rule::AbandonedChangeDropped,
+        Rule::VotePersistedFirst,
+        Rule::AcceptPersistedFirst,
+        Rule::CandidateIsUpToDate,
+        Rule::HeartbeatResponseInItsTerm,
+        Rule::DeltaOnItsBase,
+        Rule::StaleLeaseReturned,
+        Rule::HintedLeaderDialed,
+        Rule::OneHolderRemembersKeys,
     ];
 
     /// The rule of a name.
-    pub fn named(given_name: &str) -> Option<Rule> {
+    pub fn by_name(given_name: &str) -> Option<Rule> {
         Self::ALL.iter().copied().find(|rule| rule.to_string() == given_name)
     }
 }
@@ -168,54 +168,54 @@
 impl fmt::Display for Rule {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         out.write_str(match self {
-            Self::MemberGrant => "member-grant",
-            Self::RenewalNeedsSpec => "renewal-needs-spec",
-            Self::SerialOnlyUp => "serial-only-up",
-            Self::SpecBeforeSend => "spec-before-send",
-            Self::HeldBeforeSend => "held-before-send",
-            Self::WrittenIsSent => "written-is-sent",
-            Self::ReplyMatched => "reply-matched",
-            Self::RepeatSentOnce => "repeat-sent-once",
-            Self::RunnerNamed => "runner-named",
+            Self::ServesUnderSessionLease => "member-grant",
+            Self::RenewalNeedsNewestSpec => "renewal-needs-spec",
+            Self::VersionNeverDecreases => "serial-only-up",
+            Self::SpecCheckedBeforeSend => "spec-before-send",
+            Self::LeaseCheckedBeforeSend => "held-before-send",
+            Self::PartialWriteCountsAsSent => "written-is-sent",
+            Self::ReplyMatchesRequest => "reply-matched",
+            Self::RepeatSentToOneRunner => "repeat-sent-once",
+            Self::RunnerIdentityChecked => "runner-named",
             Self::SealChecked => "seal-checked",
-            Self::SealNamesAsked => "seal-names-asked",
-            Self::BodyWhole => "body-whole",
-            Self::HeadUnmixed => "head-unmixed",
-            Self::SlotsKept => "slots-kept",
-            Self::RampKept => "ramp-kept",
-            Self::LostKeepsSlot => "lost-keeps-slot",
-            Self::OnceNotRepeated => "once-not-repeated",
-            Self::TriesCounted => "tries-counted",
-            Self::RefusedIsGone => "refused-is-gone",
-            Self::IdentityKnown => "identity-known",
-            Self::LedgerNoted => "ledger-noted",
-            Self::LedgerCollected => "ledger-collected",
+            Self::SealBoundToRequest => "seal-names-asked",
+            Self::IncompleteBodyRejected => "body-whole",
+            Self::MergedHeadRejected => "head-unmixed",
+            Self::SlotLimitRespected => "slots-kept",
+            Self::SlowStartRespected => "ramp-kept",
+            Self::LostResponseKeepsSlot => "lost-keeps-slot",
+            Self::OnceNotRetried => "once-not-repeated",
+            Self::RetryBudgetCounted => "tries-counted",
+            Self::RejectedNeverRuns => "refused-is-gone",
+            Self::KnownIdempotencyKeyAnswered => "identity-known",
+            Self::LedgerReplicatedBeforeSend => "ledger-noted",
+            Self::LedgerCollectedBeforeAdmission => "ledger-collected",
             Self::DrainObeyed => "drain-obeyed",
             Self::EvacuationObeyed => "evacuation-obeyed",
-            Self::AnswersHandedOut => "answers-handed-out",
+            Self::ResponsesDeliveredAtShutdown => "answers-handed-out",
             Self::FenceBeforeRegrant => "fence-before-regrant",
-            Self::GrantOutwaited => "grant-outwaited",
-            Self::LifeAdoptedOnce => "life-adopted-once",
-            Self::ClaimsWait => "claims-wait",
-            Self::RosterAwaited => "roster-awaited",
-            Self::ReadingProven => "reading-proven",
-            Self::LeaderHeard => "leader-heard",
-            Self::StaleBaseRefused => "stale-base-refused",
-            Self::InvalidRefused => "invalid-refused",
-            Self::CoreInTwoSteps => "core-in-two-steps",
-            Self::RefusalProven => "refusal-proven",
-            Self::TakenKnown => "taken-known",
-            Self::NumberTakenOnce => "number-taken-once",
+            Self::LeaseExpiredBeforeRegrant => "grant-outwaited",
+            Self::InstanceAdoptedOnce => "life-adopted-once",
+            Self::ClaimsQuorumAwaited => "claims-wait",
+            Self::ListedMembersAwaited => "roster-awaited",
+            Self::ReadConfirmedByMajority => "reading-proven",
+            Self::LeaderHintIsRecent => "leader-heard",
+            Self::StaleBaseRejected => "stale-base-refused",
+            Self::InvalidChangeRejected => "invalid-refused",
+            Self::VoterReplacedInTwoSteps => "core-in-two-steps",
+            Self::RejectionConfirmedByMajority => "refusal-proven",
+            Self::ResentChangeRecognized => "taken-known",
+            Self::ChangeNumberBoundToContent => "number-taken-once",
             Self::AcknowledgedByMajority => "acknowledged-by-majority",
-            Self::HungUpDropped => "hung-up-dropped",
-            Self::VoteOnDisk => "vote-on-disk",
-            Self::AcceptOnDisk => "accept-on-disk",
-            Self::NewestElected => "newest-elected",
-            Self::RoundOfItsTerm => "round-of-its-term",
-            Self::ChangeOnItsBase => "change-on-its-base",
-            Self::OldAnswerVoid => "old-answer-void",
-            Self::NamedLeaderDialed => "named-leader-dialed",
-            Self::RememberedByOne => "remembered-by-one",
+            Self::AbandonedChangeDropped => "hung-up-dropped",
+            Self::VotePersistedFirst => "vote-on-disk",
+            Self::AcceptPersistedFirst => "accept-on-disk",
+            Self::CandidateIsUpToDate => "newest-elected",
+            Self::HeartbeatResponseInItsTerm => "round-of-its-term",
+            Self::DeltaOnItsBase => "change-on-its-base",
+            Self::StaleLeaseReturned => "old-answer-void",
+            Self::HintedLeaderDialed => "named-leader-dialed",
+            Self::OneHolderRemembersKeys => "remembered-by-one",
         })
     }
 }
@@ -227,20 +227,20 @@
 
 impl Rules {
     /// All rules are kept.
-    pub const KEPT: Rules = Rules(None);
+    pub const ALL_ENFORCED: Rules = Rules(None);
 
     /// All but one.
-    pub const fn without(broken_rule: Rule) -> Self {
-        Self(Some(broken_rule))
+    pub const fn without(disabled_rule: Rule) -> Self {
+        Self(Some(disabled_rule))
     }
 
     /// Whether no rule was taken away.
-    pub fn are_all_kept(self) -> bool {
+    pub fn all_enforced(self) -> bool {
         self.0.is_none()
     }
 
     /// Whether a rule is kept.
-    pub fn keep(self, asked_rule: Rule) -> bool {
-        self.0 != Some(asked_rule)
+    pub fn enforces(self, rule: Rule) -> bool {
+        self.0 != Some(rule)
     }
 }
--- a/crates/common/src/sockets.rs
+++ b/crates/common/src/sockets.rs
@@ -3,10 +3,10 @@
 use tokio::net::TcpStream;
 
 /// How long sent bytes may stay unacknowledged before the connection counts as lost, in milliseconds.
-const SILENCE_MS: u32 = 2000;
+const UNACKNOWLEDGED_TIMEOUT_MS: u32 = 2000;
 
 /// Sends small writes at once, and finds out within two seconds that the other machine is gone.
-pub fn tune(stream: &TcpStream) {
+pub fn set_socket_options(stream: &TcpStream) {
     let _ = stream.set_nodelay(true);
-    let _ = rustix::net::sockopt::set_tcp_user_timeout(stream, SILENCE_MS);
+    let _ = rustix::net::sockopt::set_tcp_user_timeout(stream, UNACKNOWLEDGED_TIMEOUT_MS);
 }
--- a/crates/common/src/spec/catalogue_change.rs
+++ b/crates/common/src/spec/catalogue_delta.rs
@@ -3,7 +3,7 @@
 
 use super::SpecRecords;
 use super::fields::{append_fields, generations_json, read_generations};
-use crate::identity::{FunctionName, Serial};
+use crate::identity::{FunctionName, Version};
 use crate::readers::PathReader;
 use serde_json::{Map, Value, json};
 use std::collections::BTreeMap;
@@ -17,37 +17,37 @@
     /// The operators' spec.
     pub spec: &'a SpecRecords,
     /// The serial at which each function entered the catalogue.
-    pub generations: &'a BTreeMap<FunctionName, Serial>,
+    pub generations: &'a BTreeMap<FunctionName, Version>,
 }
 
 /// The change as JSON text, with other fields of the same object: its length and its cost grow with what differs.
-pub(super) fn catalogue_change(
+pub(super) fn catalogue_delta(
     base: Catalogue<'_>,
     newer: Catalogue<'_>,
     mut other_fields: Map<String, Value>,
 ) -> Vec<u8> {
-    let functions = base.spec.function_change(newer.spec);
-    let routes = base.spec.route_change(newer.spec);
-    let new_generations: BTreeMap<FunctionName, Serial> = newer
+    let functions = base.spec.function_delta(newer.spec);
+    let routes = base.spec.route_delta(newer.spec);
+    let new_generations: BTreeMap<FunctionName, Version> = newer
         .generations
         .iter()
-        .filter(|(name, serial)| base.generations.get(*name) != Some(serial))
-        .map(|(name, serial)| (name.clone(), *serial))
+        .filter(|(name, version)| base.generations.get(*name) != Some(version))
+        .map(|(name, version)| (name.clone(), *version))
         .collect();
-    let is_gone = |name: &&FunctionName| !newer.generations.contains_key(*name);
-    let gone_generations: Vec<&str> =
-        base.generations.keys().filter(is_gone).map(FunctionName::as_str).collect();
-    let is_rest_same = base.spec.rest() == newer.spec.rest();
-    let rest = (!is_rest_same).then(|| newer.spec.rest().clone());
+    let is_removed = |name: &&FunctionName| !newer.generations.contains_key(*name);
+    let removed_generations: Vec<&str> =
+        base.generations.keys().filter(is_removed).map(FunctionName::as_str).collect();
+    let is_remainder_same = base.spec.remainder() == newer.spec.remainder();
+    let remainder = (!is_remainder_same).then(|| newer.spec.remainder().clone());
     let (has_functions, has_routes) = newer.spec.has_parts();
     let catalogue_fields = [
         ("has_functions", json!(has_functions)),
         ("has_routes", json!(has_routes)),
         ("removed_functions", json!(functions.removed)),
         ("removed_routes", json!(routes.removed)),
-        ("rest", json!(rest)),
+        ("rest", json!(remainder)),
         ("put_generations", generations_json(&new_generations)),
-        ("removed_generations", json!(gone_generations)),
+        ("removed_generations", json!(removed_generations)),
     ];
     other_fields.extend(catalogue_fields.map(|(field, value)| (field.to_owned(), value)));
     let mut text = Vec::new();
@@ -69,20 +69,20 @@
 impl PutRecords {
     /// Takes them out; what is no object stays, for its reader to find fault with.
     pub fn take(change: &mut Value) -> Self {
-        let mut take_field = |field: &str| {
+        let mut extract_field = |field: &str| {
             let items = change.get_mut(field).and_then(Value::as_object_mut);
             items.map(std::mem::take).unwrap_or_default()
         };
-        Self { functions: take_field(PUT_FUNCTIONS), routes: take_field(PUT_ROUTES) }
+        Self { functions: extract_field(PUT_FUNCTIONS), routes: extract_field(PUT_ROUTES) }
     }
 }
 
 /// Applies such a change.
-pub(super) fn read_catalogue_change(
+pub(super) fn apply_catalogue_delta(
     root: &PathReader<'_>,
     put: PutRecords,
     base: Catalogue<'_>,
-) -> Option<(SpecRecords, BTreeMap<FunctionName, Serial>)> {
+) -> Option<(SpecRecords, BTreeMap<FunctionName, Version>)> {
     let mut spec = base.spec.clone();
     root.field(PUT_FUNCTIONS).fields();
     for (name, function) in put.functions {
@@ -98,11 +98,11 @@
     for removed_name in root.field("removed_routes").items() {
         spec.remove_route(removed_name.text()?);
     }
-    if root.field("rest").is_there() {
-        spec.replace_rest(root.field("rest").value()?.clone());
+    if root.field("rest").is_present() {
+        spec.replace_remainder(root.field("rest").value()?.clone());
     }
-    let has_functions = root.field("has_functions").flag_or(true);
-    spec.settle_parts((has_functions, root.field("has_routes").flag_or(true)));
+    let has_functions = root.field("has_functions").bool_or(true);
+    spec.set_present_parts((has_functions, root.field("has_routes").bool_or(true)));
     let mut generations = base.generations.clone();
     generations.extend(read_generations(&root.field("put_generations")));
     for removed_name in root.field("removed_generations").items() {
--- a/crates/common/src/spec/view.rs
+++ b/crates/common/src/spec/daemon_view.rs
@@ -1,40 +1,40 @@
 //! The part of the document that daemons need, and the changes by which they are told of a newer one.
 
-use super::catalogue_change::{Catalogue, PutRecords, catalogue_change, read_catalogue_change};
+use super::catalogue_delta::{Catalogue, PutRecords, apply_catalogue_delta, catalogue_delta};
 use super::fields::{
-    core_places_json, evacuated_json, generations_json, read_all, read_core_places, read_evacuated,
-    read_generations, take_spec, text_with_spec,
+    evacuated_json, extract_spec, generations_json, read_all, read_evacuated, read_generations,
+    read_voter_addresses, text_with_spec, voter_addresses_json,
 };
 use super::records::write_json;
-use super::{DocumentFault, Spec, SpecRecords};
-use crate::frames::Place;
-use crate::identity::{FunctionName, Serial, Zone};
-use crate::readers::{FaultReason, PathFault, PathReader};
+use super::{DocumentError, Spec, SpecRecords};
+use crate::frames::SocketAddress;
+use crate::identity::{FunctionName, Version, Zone};
+use crate::readers::{PathError, PathErrorReason, PathReader};
 use serde_json::{Map, Value, json};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// The part of the document that daemons need.
 #[derive(Clone, PartialEq, Debug)]
-pub struct View {
+pub struct DaemonView {
     /// Its serial.
-    pub serial: Serial,
+    pub version: Version,
     /// The operators' spec.
     pub spec: SpecRecords,
     /// The serial at which each function entered the catalogue.
-    pub generations: BTreeMap<FunctionName, Serial>,
+    pub generations: BTreeMap<FunctionName, Version>,
     /// The evacuated zones.
     pub evacuated: BTreeSet<Zone>,
     /// Where the members of the core stand.
-    pub core: Vec<Place>,
+    pub voters: Vec<SocketAddress>,
 }
 
-impl View {
+impl DaemonView {
     fn other_fields(&self) -> Value {
         json!({
-            "serial": self.serial.0,
+            "serial": self.version.0,
             "generations": generations_json(&self.generations),
             "evacuated": evacuated_json(&self.evacuated),
-            "core": core_places_json(&self.core),
+            "core": voter_addresses_json(&self.voters),
         })
     }
 
@@ -44,16 +44,16 @@
     }
 
     /// Reads a view.
-    pub fn from_bytes(view_bytes: &[u8]) -> Result<Self, DocumentFault> {
+    pub fn from_bytes(view_bytes: &[u8]) -> Result<Self, DocumentError> {
         let mut value: Value = serde_json::from_slice(view_bytes)?;
-        let spec = take_spec(&mut value)?;
+        let spec = extract_spec(&mut value)?;
         read_all(&value, |root| {
             Some(Self {
-                serial: Serial(root.field("serial").number(0..=u64::MAX)?),
+                version: Version(root.field("serial").number(0..=u64::MAX)?),
                 spec,
                 generations: read_generations(&root.field("generations")),
                 evacuated: read_evacuated(&root.field("evacuated")),
-                core: read_core_places(&root.field("core")),
+                voters: read_voter_addresses(&root.field("core")),
             })
         })
     }
@@ -67,16 +67,16 @@
 
     /// The change that leads from this view to a newer one, as JSON text: the records that are new or
     /// different, the names of those that are gone, and what else a view says.
-    pub fn change_to(&self, newer_view: &View) -> Vec<u8> {
+    pub fn delta_to(&self, newer_view: &DaemonView) -> Vec<u8> {
         let fields = [
-            ("base", json!(self.serial.0)),
-            ("serial", json!(newer_view.serial.0)),
+            ("base", json!(self.version.0)),
+            ("serial", json!(newer_view.version.0)),
             ("evacuated", evacuated_json(&newer_view.evacuated)),
-            ("core", core_places_json(&newer_view.core)),
+            ("core", voter_addresses_json(&newer_view.voters)),
         ];
         let other_fields = fields.map(|(field, value)| (field.to_owned(), value));
         let other_fields = Map::from_iter(other_fields);
-        catalogue_change(self.catalogue(), newer_view.catalogue(), other_fields)
+        catalogue_delta(self.catalogue(), newer_view.catalogue(), other_fields)
     }
 
     fn catalogue(&self) -> Catalogue<'_> {
@@ -84,35 +84,35 @@
     }
 
     /// Applies a change, and believes the result only if its digest is the sender's.
-    pub fn changed(&self, change_bytes: &[u8], digest: &[u8]) -> Result<View, DocumentFault> {
+    pub fn changed(&self, change_bytes: &[u8], digest: &[u8]) -> Result<DaemonView, DocumentError> {
         let mut change: Value = serde_json::from_slice(change_bytes)?;
-        if change["base"] != json!(self.serial.0) {
-            return Err(DocumentFault::Base);
+        if change["base"] != json!(self.version.0) {
+            return Err(DocumentError::WrongBase);
         }
         let put = PutRecords::take(&mut change);
         let changed_view = read_all(&change, |root| self.read_change(root, put))?;
         if changed_view.digest() != digest {
-            return Err(DocumentFault::Digest);
+            return Err(DocumentError::WrongDigest);
         }
         Ok(changed_view)
     }
 
-    fn read_change(&self, root: &PathReader<'_>, put: PutRecords) -> Option<View> {
-        let (spec, generations) = read_catalogue_change(root, put, self.catalogue())?;
+    fn read_change(&self, root: &PathReader<'_>, put: PutRecords) -> Option<DaemonView> {
+        let (spec, generations) = apply_catalogue_delta(root, put, self.catalogue())?;
         Some(Self {
-            serial: Serial(root.field("serial").number(0..=u64::MAX)?),
+            version: Version(root.field("serial").number(0..=u64::MAX)?),
             spec,
             generations,
             evacuated: read_evacuated(&root.field("evacuated")),
-            core: read_core_places(&root.field("core")),
+            voters: read_voter_addresses(&root.field("core")),
         })
     }
 
     /// The checked spec.
-    pub fn checked(&self) -> Result<Spec, DocumentFault> {
-        self.spec.check().map_err(|faults| {
-            let missing = PathFault { path: String::new(), reason: FaultReason::Missing };
-            DocumentFault::Path(faults.into_iter().next().unwrap_or(missing))
+    pub fn checked(&self) -> Result<Spec, DocumentError> {
+        self.spec.check().map_err(|errors| {
+            let missing = PathError { path: String::new(), reason: PathErrorReason::Missing };
+            DocumentError::Path(errors.into_iter().next().unwrap_or(missing))
         })
     }
 }
--- a/crates/common/src/spec/document.rs
+++ b/crates/common/src/spec/document.rs
@@ -1,51 +1,52 @@
 //! The one document that the control quorum replicates.
 
-use super::catalogue_change::{Catalogue, PutRecords, catalogue_change, read_catalogue_change};
+use super::catalogue_delta::{Catalogue, PutRecords, apply_catalogue_delta, catalogue_delta};
 use super::fields::{
-    changes_json, core_json, evacuated_json, generations_json, read_all, read_changes, read_core,
-    read_evacuated, read_generations, read_roster, roster_json, take_spec, text_with_spec,
+    changes_json, evacuated_json, extract_spec, generations_json, membership_json, read_all,
+    read_changes, read_evacuated, read_generations, read_membership, read_voters, text_with_spec,
+    voters_json,
 };
 use super::records::write_json;
-use super::{ChangeFate, DocumentFault, Spec, SpecRecords, TakenChanges, View};
-use crate::frames::Place;
+use super::{AppliedChanges, ChangeStatus, DaemonView, DocumentError, Spec, SpecRecords};
+use crate::frames::SocketAddress;
 use crate::identity::{
-    ChangeId, ControllerId, FunctionName, MemberName, Serial, Stamp, Term, Zone,
+    ChangeId, ControllerId, DocumentVersion, FunctionName, MemberName, Term, Version, Zone,
 };
-use crate::readers::{FaultReason, PathReader};
+use crate::readers::{PathErrorReason, PathReader};
 use serde_json::{Map, Value, json};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
 /// How many of the last changes the document names.
-const KEPT_CHANGES: usize = 64;
+const MAX_NAMED_CHANGES: usize = 64;
 
 /// A member of the core as the document names it.
 #[derive(Clone, PartialEq, Eq, Debug)]
-pub struct CoreMember {
+pub struct Voter {
     /// Its identity, kept on its disk.
     pub id: ControllerId,
     /// Where other processes reach it.
-    pub place: Place,
+    pub address: SocketAddress,
     /// Its zone.
     pub zone: Zone,
 }
 
 /// A daemon that may hold a member grant: whatever life of it stands at its place.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Debug)]
-pub struct RosterMember {
+pub struct ListedMember {
     /// Its name.
     pub member: MemberName,
     /// Where it listens; only one life can hold that port.
-    pub place: Place,
+    pub address: SocketAddress,
 }
 
 /// What became of one change.
 #[derive(Clone, PartialEq, Eq, Debug)]
-pub struct ChangeNote {
+pub struct ChangeRecord {
     /// The operator's name for it.
     pub id: ChangeId,
     /// The serial it made.
-    pub serial: Serial,
+    pub version: Version,
     /// The operators' number that it brought; zero if they gave none.
     pub number: u64,
 }
@@ -54,99 +55,104 @@
 #[derive(Clone, PartialEq, Debug)]
 pub struct Document {
     /// Where it stands.
-    pub stamp: Stamp,
+    pub document_version: DocumentVersion,
     /// The operators' own number of the spec; zero until they give one.
     pub number: u64,
     /// The operators' spec, as they wrote it.
     pub spec: SpecRecords,
     /// The serial at which each function entered the catalogue.
-    pub generations: BTreeMap<FunctionName, Serial>,
+    pub generations: BTreeMap<FunctionName, Version>,
     /// The evacuated zones.
     pub evacuated: BTreeSet<Zone>,
     /// The members of the core.
-    pub core: Vec<CoreMember>,
+    pub voters: Vec<Voter>,
     /// The members before, while a change of the core is not settled; else nobody.
-    pub former: Vec<CoreMember>,
+    pub previous_voters: Vec<Voter>,
     /// The last changes, oldest first.
-    pub changes: Vec<ChangeNote>,
+    pub changes: Vec<ChangeRecord>,
     /// Which numbered changes were taken, much further back.
-    pub taken: Arc<TakenChanges>,
+    pub applied_changes: Arc<AppliedChanges>,
     /// The daemons that may hold member grants; nobody in documents that were written without it.
-    pub roster: BTreeSet<RosterMember>,
+    pub membership: BTreeSet<ListedMember>,
     /// How many of the last versions changed nothing that daemons see.
-    pub unseen: u64,
+    pub hidden_versions: u64,
 }
 
 /// Documents that were written without this memory know their last changes, and no earlier ones.
-fn read_taken(
+fn read_applied_changes(
     reader: &PathReader<'_>,
-    changes: &[ChangeNote],
+    changes: &[ChangeRecord],
     newest_number: u64,
-) -> Option<TakenChanges> {
-    if reader.is_there() {
+) -> Option<AppliedChanges> {
+    if reader.is_present() {
         let forgotten_up_to = reader.field("forgotten").number(0..=u64::MAX)?;
-        let kept_field = reader.field("kept");
-        let kept_text = kept_field.value().and_then(Value::as_str).unwrap_or_default();
-        let taken = TakenChanges::from_text(forgotten_up_to, kept_text);
-        if taken.is_none() {
-            kept_field.fault(FaultReason::Form("is no list of taken changes".to_owned()));
+        let remembered_field = reader.field("kept");
+        let remembered_text = remembered_field.value().and_then(Value::as_str).unwrap_or_default();
+        let applied_changes = AppliedChanges::from_text(forgotten_up_to, remembered_text);
+        if applied_changes.is_none() {
+            remembered_field
+                .error(PathErrorReason::Malformed("is no list of taken changes".to_owned()));
         }
-        return taken;
+        return applied_changes;
     }
     let numbered_changes = || changes.iter().filter(|change| change.number > 0);
     let oldest_number = numbered_changes().next().map(|change| change.number);
     let forgotten_up_to = match oldest_number {
-        _ if changes.len() < KEPT_CHANGES => 0,
+        _ if changes.len() < MAX_NAMED_CHANGES => 0,
         Some(oldest_number) => oldest_number - 1,
         None => newest_number,
     };
-    let mut taken = TakenChanges::without(forgotten_up_to);
+    let mut applied_changes = AppliedChanges::without(forgotten_up_to);
     for change in numbered_changes() {
-        taken.note(change.number, change.serial, &change.id);
+        applied_changes.record_change(change.number, change.version, &change.id);
     }
-    Some(taken)
+    Some(applied_changes)
 }
 
 impl Document {
     /// The first document, naming the core's founders.
-    pub fn founding(core: Vec<CoreMember>) -> Self {
+    pub fn founding(voters: Vec<Voter>) -> Self {
         Self {
-            stamp: Stamp { term: Term(1), serial: Serial(1) },
+            document_version: DocumentVersion { term: Term(1), version: Version(1) },
             number: 0,
             spec: SpecRecords::new(json!({"functions": {}, "routes": {}})),
             generations: BTreeMap::new(),
             evacuated: BTreeSet::new(),
-            core,
-            former: Vec::new(),
+            voters,
+            previous_voters: Vec::new(),
             changes: Vec::new(),
-            taken: Arc::default(),
-            roster: BTreeSet::new(),
-            unseen: 0,
+            applied_changes: Arc::default(),
+            membership: BTreeSet::new(),
+            hidden_versions: 0,
         }
     }
 
     /// Reads a document from its bytes.
-    pub fn from_bytes(document_bytes: &[u8]) -> Result<Self, DocumentFault> {
+    pub fn from_bytes(document_bytes: &[u8]) -> Result<Self, DocumentError> {
         let mut value: Value = serde_json::from_slice(document_bytes)?;
-        let spec = take_spec(&mut value)?;
+        let spec = extract_spec(&mut value)?;
         read_all(&value, |root| {
             let changes = read_changes(&root.field("changes"));
             let number = root.field("number").number_or(0..=u64::MAX, 0);
             Some(Self {
-                stamp: Stamp {
+                document_version: DocumentVersion {
                     term: Term(root.field("term").number(0..=u64::MAX)?),
-                    serial: Serial(root.field("serial").number(0..=u64::MAX)?),
+                    version: Version(root.field("serial").number(0..=u64::MAX)?),
                 },
                 number,
                 spec,
                 generations: read_generations(&root.field("generations")),
                 evacuated: read_evacuated(&root.field("evacuated")),
-                core: read_core(&root.field("core")),
-                former: read_core(&root.field("former")),
-                taken: Arc::new(read_taken(&root.field("taken"), &changes, number)?),
+                voters: read_voters(&root.field("core")),
+                previous_voters: read_voters(&root.field("former")),
+                applied_changes: Arc::new(read_applied_changes(
+                    &root.field("taken"),
+                    &changes,
+                    number,
+                )?),
                 changes,
-                roster: read_roster(&root.field("roster")),
-                unseen: root.field("unseen").number_or(0..=u64::MAX, 0),
+                membership: read_membership(&root.field("roster")),
+                hidden_versions: root.field("unseen").number_or(0..=u64::MAX, 0),
             })
         })
     }
@@ -158,20 +164,20 @@
 
     fn other_fields(&self) -> Value {
         json!({
-            "term": self.stamp.term.0,
-            "serial": self.stamp.serial.0,
+            "term": self.document_version.term.0,
+            "serial": self.document_version.version.0,
             "number": self.number,
             "generations": generations_json(&self.generations),
             "evacuated": evacuated_json(&self.evacuated),
-            "core": core_json(&self.core),
-            "former": core_json(&self.former),
+            "core": voters_json(&self.voters),
+            "former": voters_json(&self.previous_voters),
             "changes": changes_json(&self.changes),
             "taken": {
-                "forgotten": self.taken.forgotten_up_to(),
-                "kept": self.taken.to_text(),
+                "forgotten": self.applied_changes.forgotten_up_to(),
+                "kept": self.applied_changes.to_text(),
             },
-            "roster": roster_json(&self.roster),
-            "unseen": self.unseen,
+            "roster": membership_json(&self.membership),
+            "unseen": self.hidden_versions,
         })
     }
 
@@ -184,72 +190,75 @@
 
     /// The change that leads from this version to a newer one, as JSON text: it grows with what differs,
     /// not with the document.
-    pub fn change_to(&self, newer: &Document) -> Vec<u8> {
-        let newest_noted = self.changes.last().map(|noted| noted.serial).unwrap_or_default();
-        let is_new = |noted: &&ChangeNote| noted.serial > newest_noted;
-        let noted: Vec<ChangeNote> = newer.changes.iter().filter(is_new).cloned().collect();
-        let joined = newer.roster.difference(&self.roster).cloned().collect();
-        let left = self.roster.difference(&newer.roster).cloned().collect();
+    pub fn delta_to(&self, newer: &Document) -> Vec<u8> {
+        let newest_recorded =
+            self.changes.last().map(|recorded| recorded.version).unwrap_or_default();
+        let is_new = |recorded: &&ChangeRecord| recorded.version > newest_recorded;
+        let recorded: Vec<ChangeRecord> = newer.changes.iter().filter(is_new).cloned().collect();
+        let added_members = newer.membership.difference(&self.membership).cloned().collect();
+        let removed_members = self.membership.difference(&newer.membership).cloned().collect();
         let fields = [
-            ("term", json!(newer.stamp.term.0)),
-            ("serial", json!(newer.stamp.serial.0)),
+            ("term", json!(newer.document_version.term.0)),
+            ("serial", json!(newer.document_version.version.0)),
             ("number", json!(newer.number)),
             ("evacuated", evacuated_json(&newer.evacuated)),
-            ("core", core_json(&newer.core)),
-            ("former", core_json(&newer.former)),
-            ("noted", changes_json(&noted)),
-            ("joined", roster_json(&joined)),
-            ("left", roster_json(&left)),
-            ("unseen", json!(newer.unseen)),
+            ("core", voters_json(&newer.voters)),
+            ("former", voters_json(&newer.previous_voters)),
+            ("noted", changes_json(&recorded)),
+            ("joined", membership_json(&added_members)),
+            ("left", membership_json(&removed_members)),
+            ("unseen", json!(newer.hidden_versions)),
         ];
         let other_fields = fields.map(|(field, value)| (field.to_owned(), value));
         let other_fields = Map::from_iter(other_fields);
-        catalogue_change(self.catalogue(), newer.catalogue(), other_fields)
+        catalogue_delta(self.catalogue(), newer.catalogue(), other_fields)
     }
 
     /// Applies a change that leads from this version, and believes the result only if its digest is the
     /// sender's.
-    pub fn changed(&self, change_bytes: &[u8], digest: &[u8]) -> Result<Document, DocumentFault> {
-        let changed_document = self.changed_unproven(change_bytes)?;
+    pub fn changed(&self, change_bytes: &[u8], digest: &[u8]) -> Result<Document, DocumentError> {
+        let changed_document = self.changed_unverified(change_bytes)?;
         if changed_document.digest() != digest {
-            return Err(DocumentFault::Digest);
+            return Err(DocumentError::WrongDigest);
         }
         Ok(changed_document)
     }
 
     /// Applies a change without a look at the result's digest.
-    pub fn changed_unproven(&self, change_bytes: &[u8]) -> Result<Document, DocumentFault> {
+    pub fn changed_unverified(&self, change_bytes: &[u8]) -> Result<Document, DocumentError> {
         let mut change: Value = serde_json::from_slice(change_bytes)?;
         let put = PutRecords::take(&mut change);
         read_all(&change, |root| self.read_change(root, put))
     }
 
     fn read_change(&self, root: &PathReader<'_>, put: PutRecords) -> Option<Document> {
-        let (spec, generations) = read_catalogue_change(root, put, self.catalogue())?;
+        let (spec, generations) = apply_catalogue_delta(root, put, self.catalogue())?;
         let mut changed_document = Self {
-            stamp: Stamp {
+            document_version: DocumentVersion {
                 term: Term(root.field("term").number(0..=u64::MAX)?),
-                serial: Serial(root.field("serial").number(0..=u64::MAX)?),
+                version: Version(root.field("serial").number(0..=u64::MAX)?),
             },
             number: root.field("number").number(0..=u64::MAX)?,
             spec,
             generations,
             evacuated: read_evacuated(&root.field("evacuated")),
-            core: read_core(&root.field("core")),
-            former: read_core(&root.field("former")),
-            unseen: root.field("unseen").number(0..=u64::MAX)?,
+            voters: read_voters(&root.field("core")),
+            previous_voters: read_voters(&root.field("former")),
+            hidden_versions: root.field("unseen").number(0..=u64::MAX)?,
             ..self.clone()
         };
-        for noted in read_changes(&root.field("noted")) {
-            if noted.number > 0 && !changed_document.taken.is_next(noted.number, noted.serial) {
+        for recorded in read_changes(&root.field("noted")) {
+            if recorded.number > 0
+                && !changed_document.applied_changes.is_next(recorded.number, recorded.version)
+            {
                 return None;
             }
-            changed_document.note(noted);
+            changed_document.record_change(recorded);
         }
-        for left in read_roster(&root.field("left")) {
-            changed_document.roster.remove(&left);
+        for removed_members in read_membership(&root.field("left")) {
+            changed_document.membership.remove(&removed_members);
         }
-        changed_document.roster.extend(read_roster(&root.field("joined")));
+        changed_document.membership.extend(read_membership(&root.field("joined")));
         Some(changed_document)
     }
 
@@ -258,12 +267,16 @@
     }
 
     /// Names a change among the last ones, and remembers its number.
-    fn note(&mut self, noted: ChangeNote) {
-        if noted.number > 0 {
-            Arc::make_mut(&mut self.taken).note(noted.number, noted.serial, &noted.id);
+    fn record_change(&mut self, recorded: ChangeRecord) {
+        if recorded.number > 0 {
+            Arc::make_mut(&mut self.applied_changes).record_change(
+                recorded.number,
+                recorded.version,
+                &recorded.id,
+            );
         }
-        self.changes.push(noted);
-        let extra_count = self.changes.len().saturating_sub(KEPT_CHANGES);
+        self.changes.push(recorded);
+        let extra_count = self.changes.len().saturating_sub(MAX_NAMED_CHANGES);
         self.changes.drain(..extra_count);
     }
 
@@ -274,13 +287,13 @@
         checked_spec: &Spec,
         change: ChangeId,
     ) -> Self {
-        let new_serial = self.stamp.serial.next();
+        let new_version = self.document_version.version.next();
         let generations = checked_spec
             .functions
             .keys()
-            .map(|name| (name.clone(), self.generations.get(name).copied().unwrap_or(new_serial)))
+            .map(|name| (name.clone(), self.generations.get(name).copied().unwrap_or(new_version)))
             .collect();
-        Self { spec: new_spec.into(), generations, ..self.noting(change) }
+        Self { spec: new_spec.into(), generations, ..self.recording_change(change) }
     }
 
     /// The same version, with the number that operators gave its spec.
@@ -288,15 +301,15 @@
         self.number = number;
         if let Some(newest_change) = self.changes.last_mut() {
             newest_change.number = number;
-            let taken = Arc::make_mut(&mut self.taken);
-            taken.note(number, newest_change.serial, &newest_change.id);
+            let applied_changes = Arc::make_mut(&mut self.applied_changes);
+            applied_changes.record_change(number, newest_change.version, &newest_change.id);
         }
         self
     }
 
     /// The next version, with a zone evacuated or restored.
     pub fn with_zone(&self, zone: Zone, evacuate: bool, change: ChangeId) -> Self {
-        let mut next_document = self.noting(change);
+        let mut next_document = self.recording_change(change);
         if evacuate {
             next_document.evacuated.insert(zone);
         } else {
@@ -306,59 +319,60 @@
     }
 
     /// The next version, with one member of the core in another's place.
-    pub fn with_core(&self, core: Vec<CoreMember>, change: ChangeId) -> Self {
-        Self { core, ..self.noting(change) }
+    pub fn with_voters(&self, voters: Vec<Voter>, change: ChangeId) -> Self {
+        Self { voters, ..self.recording_change(change) }
     }
 
     /// The next version, with other daemons that may hold member grants: nothing that daemons see.
-    pub fn with_roster(&self, roster: BTreeSet<RosterMember>) -> Self {
-        let mut next_document = Self { roster, unseen: self.unseen + 1, ..self.clone() };
-        next_document.stamp.serial = self.stamp.serial.next();
+    pub fn with_membership(&self, membership: BTreeSet<ListedMember>) -> Self {
+        let mut next_document =
+            Self { membership, hidden_versions: self.hidden_versions + 1, ..self.clone() };
+        next_document.document_version.version = self.document_version.version.next();
         next_document
     }
 
     /// The serial of the last version that changed what daemons see.
-    pub fn view_serial(&self) -> Serial {
-        Serial(self.stamp.serial.0.saturating_sub(self.unseen))
+    pub fn view_version(&self) -> Version {
+        Version(self.document_version.version.0.saturating_sub(self.hidden_versions))
     }
 
     /// Whether changes were dropped from the last ones.
     pub fn has_forgotten_changes(&self) -> bool {
-        self.changes.len() >= KEPT_CHANGES
+        self.changes.len() >= MAX_NAMED_CHANGES
     }
 
     /// What became of a change without a number, by its name. A change that was taken is the first
     /// one after its base, so it is forgotten only if that one is.
-    pub fn fate_of_named(&self, base: Option<Serial>, change: &ChangeId) -> ChangeFate {
-        if let Some(noted) = self.changes.iter().find(|noted| noted.id == *change) {
-            return ChangeFate::Taken(noted.serial);
+    pub fn status_of_named(&self, base: Option<Version>, change: &ChangeId) -> ChangeStatus {
+        if let Some(recorded) = self.changes.iter().find(|recorded| recorded.id == *change) {
+            return ChangeStatus::Applied(recorded.version);
         }
-        let oldest_serial = self.changes.first().map(|noted| noted.serial);
+        let oldest_version = self.changes.first().map(|recorded| recorded.version);
         let is_successor_known = !self.has_forgotten_changes()
-            || base.is_none_or(|base| oldest_serial.is_some_and(|oldest| base >= oldest));
-        if is_successor_known { ChangeFate::NotTaken } else { ChangeFate::Forgotten }
+            || base.is_none_or(|base| oldest_version.is_some_and(|oldest| base >= oldest));
+        if is_successor_known { ChangeStatus::NotApplied } else { ChangeStatus::Forgotten }
     }
 
-    fn noting(&self, change: ChangeId) -> Self {
+    fn recording_change(&self, change: ChangeId) -> Self {
         let mut next_document = self.clone();
-        next_document.unseen = 0;
-        next_document.stamp.serial = self.stamp.serial.next();
-        next_document.note(ChangeNote {
+        next_document.hidden_versions = 0;
+        next_document.document_version.version = self.document_version.version.next();
+        next_document.record_change(ChangeRecord {
             id: change,
-            serial: next_document.stamp.serial,
+            version: next_document.document_version.version,
             number: 0,
         });
         next_document
     }
 
     /// The part that daemons need.
-    pub fn view(&self) -> View {
-        View {
-            serial: self.view_serial(),
+    pub fn view(&self) -> DaemonView {
+        DaemonView {
+            version: self.view_version(),
             spec: self.spec.clone(),
             generations: self.generations.clone(),
             evacuated: self.evacuated.clone(),
-            core: self.core.iter().map(|member| member.place).collect(),
+            voters: self.voters.iter().map(|member| member.address).collect(),
         }
     }
 }
--- a/crates/common/src/spec/fields.rs
+++ b/crates/common/src/spec/fields.rs
@@ -1,10 +1,10 @@
 //! The fields that documents, views and changes have in common, read from JSON and written as JSON.
 
 use super::records::write_json;
-use super::{ChangeNote, CoreMember, DocumentFault, RosterMember, SpecRecords};
-use crate::frames::Place;
-use crate::identity::{ControllerId, FunctionName, Serial, Zone};
-use crate::readers::{FaultList, FaultReason, PathFault, PathReader, read_place};
+use super::{ChangeRecord, DocumentError, ListedMember, SpecRecords, Voter};
+use crate::frames::SocketAddress;
+use crate::identity::{ControllerId, FunctionName, Version, Zone};
+use crate::readers::{PathError, PathErrorList, PathErrorReason, PathReader, read_address};
 use serde_json::{Map, Value, json};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -14,20 +14,20 @@
 pub(super) fn read_all<T>(
     value: &Value,
     read_parts: impl FnOnce(&PathReader<'_>) -> Option<T>,
-) -> Result<T, DocumentFault> {
-    let faults = FaultList::default();
-    let read_value = read_parts(&PathReader::new(value, &faults));
-    let missing = PathFault { path: String::new(), reason: FaultReason::Missing };
-    match (faults.into_inner().into_iter().next(), read_value) {
+) -> Result<T, DocumentError> {
+    let errors = PathErrorList::default();
+    let read_value = read_parts(&PathReader::new(value, &errors));
+    let missing = PathError { path: String::new(), reason: PathErrorReason::Missing };
+    match (errors.into_inner().into_iter().next(), read_value) {
         (None, Some(value)) => Ok(value),
-        (fault, _) => Err(DocumentFault::Path(fault.unwrap_or(missing))),
+        (error, _) => Err(DocumentError::Path(error.unwrap_or(missing))),
     }
 }
 
-pub(super) fn read_generations(reader: &PathReader<'_>) -> BTreeMap<FunctionName, Serial> {
+pub(super) fn read_generations(reader: &PathReader<'_>) -> BTreeMap<FunctionName, Version> {
     let generation_fields = reader.fields().into_iter();
     generation_fields
-        .filter_map(|(name, field)| Some((name.into(), Serial(field.number(0..=u64::MAX)?))))
+        .filter_map(|(name, field)| Some((name.into(), Version(field.number(0..=u64::MAX)?))))
         .collect()
 }
 
@@ -35,8 +35,8 @@
     reader.items().iter().filter_map(|item| item.text().map(Zone::from)).collect()
 }
 
-pub(super) fn generations_json(generations: &BTreeMap<FunctionName, Serial>) -> Value {
-    let pairs = generations.iter().map(|(name, serial)| (name.to_string(), json!(serial.0)));
+pub(super) fn generations_json(generations: &BTreeMap<FunctionName, Version>) -> Value {
+    let pairs = generations.iter().map(|(name, version)| (name.to_string(), json!(version.0)));
     Value::Object(pairs.collect::<Map<_, _>>())
 }
 
@@ -44,91 +44,91 @@
     Value::Array(evacuated.iter().map(|zone| json!(zone.as_str())).collect())
 }
 
-pub(super) fn read_changes(reader: &PathReader<'_>) -> Vec<ChangeNote> {
+pub(super) fn read_changes(reader: &PathReader<'_>) -> Vec<ChangeRecord> {
     let change_items = reader.items();
     change_items
         .iter()
         .filter_map(|item| {
-            Some(ChangeNote {
+            Some(ChangeRecord {
                 id: item.field("id").text()?.into(),
-                serial: Serial(item.field("serial").number(0..=u64::MAX)?),
+                version: Version(item.field("serial").number(0..=u64::MAX)?),
                 number: item.field("number").number_or(0..=u64::MAX, 0),
             })
         })
         .collect()
 }
 
-pub(super) fn changes_json(changes: &[ChangeNote]) -> Value {
-    let rows = changes.iter().map(|noted| {
+pub(super) fn changes_json(changes: &[ChangeRecord]) -> Value {
+    let rows = changes.iter().map(|recorded| {
         json!({
-            "id": noted.id.as_str(),
-            "serial": noted.serial.0,
-            "number": noted.number,
+            "id": recorded.id.as_str(),
+            "serial": recorded.version.0,
+            "number": recorded.number,
         })
     });
     Value::Array(rows.collect())
 }
 
-pub(super) fn read_core(reader: &PathReader<'_>) -> Vec<CoreMember> {
+pub(super) fn read_voters(reader: &PathReader<'_>) -> Vec<Voter> {
     let member_items = reader.items();
     member_items
         .iter()
         .filter_map(|item| {
-            Some(CoreMember {
+            Some(Voter {
                 id: ControllerId(u64::from_str_radix(item.field("id").text()?, 16).ok()?),
-                place: read_place(&item.field("place"))?,
+                address: read_address(&item.field("place"))?,
                 zone: item.field("locality").text()?.into(),
             })
         })
         .collect()
 }
 
-pub(super) fn read_roster(reader: &PathReader<'_>) -> BTreeSet<RosterMember> {
-    if !reader.is_there() {
+pub(super) fn read_membership(reader: &PathReader<'_>) -> BTreeSet<ListedMember> {
+    if !reader.is_present() {
         return BTreeSet::new();
     }
-    let roster_items = reader.items();
-    roster_items
+    let membership_items = reader.items();
+    membership_items
         .iter()
         .filter_map(|item| {
-            Some(RosterMember {
+            Some(ListedMember {
                 member: item.field("member").text()?.into(),
-                place: read_place(&item.field("place"))?,
+                address: read_address(&item.field("place"))?,
             })
         })
         .collect()
 }
 
-pub(super) fn roster_json(roster: &BTreeSet<RosterMember>) -> Value {
-    let rows = roster
-        .iter()
-        .map(|listed| json!({"member": listed.member.as_str(), "place": listed.place.to_string()}));
+pub(super) fn membership_json(membership: &BTreeSet<ListedMember>) -> Value {
+    let rows = membership.iter().map(
+        |listed| json!({"member": listed.member.as_str(), "place": listed.address.to_string()}),
+    );
     Value::Array(rows.collect())
 }
 
-pub(super) fn core_json(members: &[CoreMember]) -> Value {
+pub(super) fn voters_json(members: &[Voter]) -> Value {
     let rows = members.iter().map(|member| {
         json!({
             "id": format!("{:x}", member.id.0),
-            "place": member.place.to_string(),
+            "place": member.address.to_string(),
             "locality": member.zone.as_str(),
         })
     });
     Value::Array(rows.collect())
 }
 
-pub(super) fn core_places_json(core: &[Place]) -> Value {
-    Value::Array(core.iter().map(|place| json!(place.to_string())).collect())
+pub(super) fn voter_addresses_json(voters: &[SocketAddress]) -> Value {
+    Value::Array(voters.iter().map(|address| json!(address.to_string())).collect())
 }
 
-pub(super) fn read_core_places(reader: &PathReader<'_>) -> Vec<Place> {
-    reader.items().iter().filter_map(read_place).collect()
+pub(super) fn read_voter_addresses(reader: &PathReader<'_>) -> Vec<SocketAddress> {
+    reader.items().iter().filter_map(read_address).collect()
 }
 
 /// Takes the spec out of a document or view, without copying it.
-pub(super) fn take_spec(value: &mut Value) -> Result<SpecRecords, DocumentFault> {
+pub(super) fn extract_spec(value: &mut Value) -> Result<SpecRecords, DocumentError> {
     let spec = value.get_mut("spec").map(Value::take).ok_or_else(|| {
-        DocumentFault::Path(PathFault { path: "spec".to_owned(), reason: FaultReason::Missing })
+        DocumentError::Path(PathError { path: "spec".to_owned(), reason: PathErrorReason::Missing })
     })?;
     Ok(SpecRecords::new(spec))
 }
--- a/crates/common/src/spec/mod.rs
+++ b/crates/common/src/spec/mod.rs
@@ -1,20 +1,20 @@
 //! The spec that operators write: a catalogue of functions, and routes to them.
 
-mod catalogue_change;
+mod applied_changes;
+mod catalogue_delta;
+mod daemon_view;
 mod document;
-mod document_fault;
+mod document_error;
 mod fields;
 mod reader;
 mod records;
-mod table;
-mod taken;
-mod view;
+mod routing_table;
 
-pub use document::{ChangeNote, CoreMember, Document, RosterMember};
-pub use document_fault::DocumentFault;
-pub use reader::{CallerLimits, FunctionSpec, RouteMatch, RouteSpec, Spec, read_spec};
+pub use applied_changes::{AppliedChanges, ChangeStatus};
+pub use daemon_view::DaemonView;
+pub use document::{ChangeRecord, Document, ListedMember, Voter};
+pub use document_error::DocumentError;
+pub use reader::{CallerLimits, FunctionSpec, RouteMatcher, RouteSpec, Spec, read_spec};
 use reader::{read_function, read_route};
 pub use records::{Record, RecordContent, SpecRecords};
-pub use table::{Found, FunctionEntry, RouteEntry, Table};
-pub use taken::{ChangeFate, TakenChanges};
-pub use view::View;
+pub use routing_table::{FunctionEntry, RouteEntry, RouteMatch, RoutingTable};
--- a/crates/common/src/spec/reader.rs
+++ b/crates/common/src/spec/reader.rs
@@ -1,5 +1,5 @@
 use crate::identity::FunctionName;
-use crate::readers::{FaultList, FaultReason, PathFault, PathReader};
+use crate::readers::{PathError, PathErrorList, PathErrorReason, PathReader};
 use hyper::Method;
 use serde_json::Value;
 use std::collections::BTreeMap;
@@ -12,7 +12,7 @@
     /// Memory of one runner, in megabytes.
     pub memory_mb: u32,
     /// How long a runner boots.
-    pub boot: Duration,
+    pub startup: Duration,
     /// Transactions one runner may run at once.
     pub slots: u32,
     /// The least runners while the function is held.
@@ -29,31 +29,31 @@
     /// The route's name.
     pub name: String,
     /// What is matched.
-    pub matching: RouteMatch,
+    pub matching: RouteMatcher,
     /// The function, or the first of several.
     pub function: FunctionName,
     /// Several functions with their weights; empty when all goes to one.
     pub shares: Vec<(FunctionName, u32)>,
     /// The longest budget a caller may name.
-    pub budget: Duration,
+    pub timeout: Duration,
     /// How long a transaction may wait in the inbox.
-    pub patience: Duration,
+    pub queue_timeout: Duration,
     /// The time within which an answer is worth its full value.
     pub target: Duration,
     /// Its rank; 0 goes first.
     pub rank: u8,
     /// The most runners one try may go to.
-    pub tries: u32,
+    pub max_attempts: u32,
     /// Whether a transaction may be sent to a runner only once.
     pub once: bool,
     /// Whether callers may send the same identity again, so that a once-transaction is noted elsewhere
     /// before it is sent.
-    pub noted: bool,
+    pub recorded: bool,
 }
 
 /// What a route matches.
 #[derive(Clone, PartialEq, Eq, Debug)]
-pub enum RouteMatch {
+pub enum RouteMatcher {
     /// A method and a path; `{name}` stands for one part, `{*name}` for the rest.
     Pattern(Method, String),
     /// A host, and how the path begins; the longest prefix of a host wins. The prefix ends with a slash.
@@ -96,13 +96,13 @@
 }
 
 /// Reads a spec; on failure every fault with its path.
-pub fn read_spec(value: &Value) -> Result<Spec, Vec<PathFault>> {
-    let faults = FaultList::default();
-    let root_reader = PathReader::new(value, &faults);
+pub fn read_spec(value: &Value) -> Result<Spec, Vec<PathError>> {
+    let errors = PathErrorList::default();
+    let root_reader = PathReader::new(value, &errors);
     if !value.is_object() {
-        root_reader.fault(FaultReason::NotA("an object"));
+        root_reader.error(PathErrorReason::WrongType("an object"));
     }
-    root_reader.only(&["functions", "routes", "limits", "labels"]);
+    root_reader.allow_only(&["functions", "routes", "limits", "labels"]);
     let limits = read_limits(&root_reader.field("limits"));
     let functions: BTreeMap<FunctionName, Arc<FunctionSpec>> = root_reader
         .field("functions")
@@ -121,19 +121,21 @@
         let Some(route) = read_route(route_name, &reader) else { continue };
         let named = route.shares.iter().map(|(name, _)| name).chain([&route.function]);
         let unknown =
-            named.into_iter().find(|name| !function_readers.field(name.as_str()).is_there());
+            named.into_iter().find(|name| !function_readers.field(name.as_str()).is_present());
         if let Some(unknown_name) = unknown {
             let key = if route.shares.is_empty() { "function" } else { "functions" };
-            reader.field(key).fault(FaultReason::NoSuch("function", unknown_name.to_string()));
+            reader
+                .field(key)
+                .error(PathErrorReason::UnknownReference("function", unknown_name.to_string()));
             continue;
         }
         let (method, path) = match &route.matching {
-            RouteMatch::Pattern(method, path) => (method.clone(), path.clone()),
-            RouteMatch::Prefix(host, prefix) => {
-                let place = (host.clone(), prefix.clone());
-                match prefixes.insert(place, route_name.to_owned()) {
+            RouteMatcher::Pattern(method, path) => (method.clone(), path.clone()),
+            RouteMatcher::Prefix(host, prefix) => {
+                let prefix_key = (host.clone(), prefix.clone());
+                match prefixes.insert(prefix_key, route_name.to_owned()) {
                     Some(other_name) => {
-                        reader.field("prefix").fault(FaultReason::Duplicate(other_name));
+                        reader.field("prefix").error(PathErrorReason::Duplicate(other_name));
                     }
                     None => routes.push(Arc::new(route)),
                 }
@@ -145,26 +147,26 @@
             Ok(()) => routes.push(Arc::new(route)),
             Err(matchit::InsertError::Conflict { with }) => {
                 let other_name = matcher.at(&with).map(|found| found.value.clone());
-                reader.field("path").fault(FaultReason::Duplicate(other_name.unwrap_or(with)));
+                reader.field("path").error(PathErrorReason::Duplicate(other_name.unwrap_or(with)));
             }
-            Err(fault) => reader.field("path").fault(FaultReason::Form(fault.to_string())),
+            Err(error) => reader.field("path").error(PathErrorReason::Malformed(error.to_string())),
         }
     }
-    let found_faults = faults.into_inner();
-    if found_faults.is_empty() { Ok(Spec { functions, routes, limits }) } else { Err(found_faults) }
+    let found_errors = errors.into_inner();
+    if found_errors.is_empty() { Ok(Spec { functions, routes, limits }) } else { Err(found_errors) }
 }
 
 fn check_name(given_name: &str, reader: &PathReader<'_>) {
-    let fitting = |letter: char| letter.is_ascii_alphanumeric() || "-_.".contains(letter);
-    if given_name.is_empty() || given_name.len() > 200 || !given_name.chars().all(fitting) {
-        reader.fault(FaultReason::Form(
+    let is_allowed = |letter: char| letter.is_ascii_alphanumeric() || "-_.".contains(letter);
+    if given_name.is_empty() || given_name.len() > 200 || !given_name.chars().all(is_allowed) {
+        reader.error(PathErrorReason::Malformed(
             "needs a name of letters, digits, '-', '_' or '.'".to_owned(),
         ));
     }
 }
 
 fn read_limits(reader: &PathReader<'_>) -> CallerLimits {
-    reader.only(&["header_bytes", "body_bytes", "header_ms", "idle_ms", "labels"]);
+    reader.allow_only(&["header_bytes", "body_bytes", "header_ms", "idle_ms", "labels"]);
     let default = CallerLimits::default();
     let span = |key: &str, default_span: Duration| {
         let millis = reader.field(key).number_or(1..=600_000, default_span.as_millis() as u64);
@@ -183,13 +185,15 @@
 
 pub(super) fn read_function(function_name: &str, reader: &PathReader<'_>) -> Option<FunctionSpec> {
     check_name(function_name, reader);
-    reader.only(&["memory_mb", "boot_ms", "slots", "runners", "connections", "labels"]);
+    reader.allow_only(&["memory_mb", "boot_ms", "slots", "runners", "connections", "labels"]);
     let runners_reader = reader.field("runners");
-    runners_reader.only(&["min", "max"]);
+    runners_reader.allow_only(&["min", "max"]);
     let min_runners = runners_reader.field("min").number_or(0..=1000, 0) as u32;
     let max_runners = runners_reader.field("max").number_or(1..=1000, 8) as u32;
     if min_runners > max_runners {
-        runners_reader.field("min").fault(FaultReason::Form("is above runners.max".to_owned()));
+        runners_reader
+            .field("min")
+            .error(PathErrorReason::Malformed("is above runners.max".to_owned()));
     }
     let memory_mb = reader.field("memory_mb").number(1..=1_000_000);
     let boot_ms = reader.field("boot_ms").number(0..=600_000);
@@ -198,52 +202,53 @@
     Some(FunctionSpec {
         connections,
         memory_mb: memory_mb? as u32,
-        boot: Duration::from_millis(boot_ms?),
+        startup: Duration::from_millis(boot_ms?),
         slots: slots? as u32,
         min_runners,
         max_runners,
     })
 }
 
-fn read_pattern(reader: &PathReader<'_>) -> Option<RouteMatch> {
+fn read_pattern(reader: &PathReader<'_>) -> Option<RouteMatcher> {
     let method_reader = reader.field("method");
     let method = method_reader.text().and_then(|method_text| {
         let known_methods =
             [Method::GET, Method::POST, Method::PUT, Method::PATCH, Method::DELETE, Method::HEAD];
         let found_method = known_methods.into_iter().find(|method| method.as_str() == method_text);
         if found_method.is_none() {
-            method_reader.fault(FaultReason::Form(format!("is not a method: {method_text:?}")));
+            method_reader
+                .error(PathErrorReason::Malformed(format!("is not a method: {method_text:?}")));
         }
         found_method
     });
     let path_reader = reader.field("path");
     let path = path_reader.text().filter(|path_text| {
         if !path_text.starts_with('/') {
-            path_reader.fault(FaultReason::Form("does not start with /".to_owned()));
+            path_reader.error(PathErrorReason::Malformed("does not start with /".to_owned()));
         }
         path_text.starts_with('/')
     });
-    Some(RouteMatch::Pattern(method?, path?.to_owned()))
+    Some(RouteMatcher::Pattern(method?, path?.to_owned()))
 }
 
-fn read_prefix(reader: &PathReader<'_>) -> Option<RouteMatch> {
+fn read_prefix(reader: &PathReader<'_>) -> Option<RouteMatcher> {
     let host = reader.field("host").text().map(str::to_ascii_lowercase);
     let prefix_reader = reader.field("prefix");
     let prefix = prefix_reader.text().filter(|prefix_text| {
-        let is_fit = prefix_text.starts_with('/') && prefix_text.ends_with('/');
-        if !is_fit {
+        let is_valid = prefix_text.starts_with('/') && prefix_text.ends_with('/');
+        if !is_valid {
             let reason = "does not begin and end with /".to_owned();
-            prefix_reader.fault(FaultReason::Form(reason));
+            prefix_reader.error(PathErrorReason::Malformed(reason));
         }
-        is_fit
+        is_valid
     });
     for pattern_key in ["method", "path"] {
-        if reader.field(pattern_key).is_there() {
+        if reader.field(pattern_key).is_present() {
             let reason = "does not go with a prefix".to_owned();
-            reader.field(pattern_key).fault(FaultReason::Form(reason));
+            reader.field(pattern_key).error(PathErrorReason::Malformed(reason));
         }
     }
-    Some(RouteMatch::Prefix(host?, prefix?.to_owned()))
+    Some(RouteMatcher::Prefix(host?, prefix?.to_owned()))
 }
 
 fn read_shares(reader: &PathReader<'_>) -> Vec<(FunctionName, u32)> {
@@ -254,15 +259,15 @@
             Some((FunctionName::from(name), share.number(0..=1_000_000)? as u32))
         })
         .collect();
-    if reader.is_there() && shares.iter().all(|(_, weight)| *weight == 0) {
-        reader.fault(FaultReason::Form("has weights that sum to 0".to_owned()));
+    if reader.is_present() && shares.iter().all(|(_, weight)| *weight == 0) {
+        reader.error(PathErrorReason::Malformed("has weights that sum to 0".to_owned()));
     }
     shares
 }
 
 pub(super) fn read_route(route_name: &str, reader: &PathReader<'_>) -> Option<RouteSpec> {
     check_name(route_name, reader);
-    reader.only(&[
+    reader.allow_only(&[
         "method",
         "path",
         "host",
@@ -278,7 +283,7 @@
         "identities",
         "labels",
     ]);
-    let by_prefix = reader.field("prefix").is_there() || reader.field("host").is_there();
+    let by_prefix = reader.field("prefix").is_present() || reader.field("host").is_present();
     let matching = if by_prefix { read_prefix(reader) } else { read_pattern(reader) };
     let shares = read_shares(&reader.field("functions"));
     let function = match shares.first() {
@@ -290,40 +295,41 @@
         Some("once") => Some(true),
         Some("repeatable") => Some(false),
         Some(_) => {
-            kind_reader.fault(FaultReason::Form("is neither once nor repeatable".to_owned()));
+            kind_reader
+                .error(PathErrorReason::Malformed("is neither once nor repeatable".to_owned()));
             None
         }
         None => None,
     };
     let identities_reader = reader.field("identities");
-    let noted = match identities_reader.value().and_then(Value::as_str) {
+    let recorded = match identities_reader.value().and_then(Value::as_str) {
         Some("fresh") => false,
         Some("may_come_again") => true,
         _ => {
-            if identities_reader.is_there() {
+            if identities_reader.is_present() {
                 let reason = "is neither fresh nor may_come_again".to_owned();
-                identities_reader.fault(FaultReason::Form(reason));
+                identities_reader.error(PathErrorReason::Malformed(reason));
             }
             true
         }
     };
-    let budget_ms = reader.field("budget_ms").number(1..=60_000);
-    let budget_or = budget_ms.unwrap_or(1000);
-    let patience_ms = reader.field("patience_ms").number_or(0..=60_000, budget_or);
-    let target_ms = reader.field("target_ms").number_or(1..=60_000, budget_or);
+    let timeout_ms = reader.field("budget_ms").number(1..=60_000);
+    let default_ms = timeout_ms.unwrap_or(1000);
+    let queue_timeout_ms = reader.field("patience_ms").number_or(0..=60_000, default_ms);
+    let target_ms = reader.field("target_ms").number_or(1..=60_000, default_ms);
     let rank = reader.field("rank").number_or(0..=255, 0) as u8;
-    let tries = reader.field("tries").number_or(1..=100, 3) as u32;
+    let max_attempts = reader.field("tries").number_or(1..=100, 3) as u32;
     Some(RouteSpec {
         name: route_name.to_owned(),
         matching: matching?,
         function: function?,
         shares,
-        budget: Duration::from_millis(budget_ms?),
-        patience: Duration::from_millis(patience_ms),
+        timeout: Duration::from_millis(timeout_ms?),
+        queue_timeout: Duration::from_millis(queue_timeout_ms),
         target: Duration::from_millis(target_ms),
         rank,
-        tries,
+        max_attempts,
         once: once?,
-        noted,
+        recorded,
     })
 }
