--- a/crates/common/src/spec/records.rs
+++ b/crates/common/src/spec/records.rs
@@ -1,9 +1,9 @@
 //! A spec as records: one for each function and each route, shared between versions, so that a change
 //! costs what it changes.
 
-use super::{FunctionSpec, RouteMatch, RouteSpec, Spec, read_function, read_route, read_spec};
+use super::{FunctionSpec, RouteMatcher, RouteSpec, Spec, read_function, read_route, read_spec};
 use crate::identity::FunctionName;
-use crate::readers::{FaultList, PathFault, PathReader};
+use crate::readers::{PathError, PathErrorList, PathReader};
 use crate::seal::digest;
 use serde_json::{Map, Value};
 use std::collections::{BTreeMap, HashMap, HashSet};
@@ -61,9 +61,9 @@
     /// What it says; nothing when it has a fault of its own.
     fn checked(&self, name: &str) -> Option<&Arc<T>> {
         let read_once = || {
-            let faults = FaultList::default();
-            let content = T::read(name, &PathReader::new(&self.value, &faults));
-            content.filter(|_| faults.into_inner().is_empty()).map(Arc::new)
+            let errors = PathErrorList::default();
+            let content = T::read(name, &PathReader::new(&self.value, &errors));
+            content.filter(|_| errors.into_inner().is_empty()).map(Arc::new)
         };
         self.checked.get_or_init(read_once).as_ref()
     }
@@ -89,9 +89,11 @@
         (Some(one), Some(other)) => {
             Arc::ptr_eq(one, other)
                 || (one.len() == other.len()
-                    && one.iter().zip(other.iter()).all(|((name, record), (other_name, held))| {
-                        name == other_name && is_same(record, held)
-                    }))
+                    && one.iter().zip(other.iter()).all(
+                        |((name, record), (other_name, other_record))| {
+                            name == other_name && is_same(record, other_record)
+                        },
+                    ))
         }
         (None, None) => true,
         _ => false,
@@ -99,42 +101,42 @@
 }
 
 /// What leads from one part to another.
-pub(super) struct PartChange<'a> {
+pub(super) struct PartDelta<'a> {
     /// The records that are new or different.
     put: Vec<(&'a str, &'a Value)>,
     /// The names that are gone.
     pub removed: Vec<&'a str>,
 }
 
-impl PartChange<'_> {
+impl PartDelta<'_> {
     /// Appends the records that are new or different as JSON text.
     pub fn write_put(&self, text: &mut Vec<u8>) {
         write_items(text, self.put.iter().copied());
     }
 }
 
-fn part_change<'a, T>(base: &'a Option<Part<T>>, newer: &'a Option<Part<T>>) -> PartChange<'a> {
-    let mut change = PartChange { put: Vec::new(), removed: Vec::new() };
+fn part_delta<'a, T>(base: &'a Option<Part<T>>, newer: &'a Option<Part<T>>) -> PartDelta<'a> {
+    let mut change = PartDelta { put: Vec::new(), removed: Vec::new() };
     if let (Some(base), Some(newer)) = (base, newer)
         && Arc::ptr_eq(base, newer)
     {
         return change;
     }
-    let mut held_records = base.iter().flat_map(|part| part.iter()).peekable();
+    let mut base_records = base.iter().flat_map(|part| part.iter()).peekable();
     for (name, record) in newer.iter().flat_map(|part| part.iter()) {
-        while let Some((gone, _)) = held_records.next_if(|(held_name, _)| *held_name < name) {
+        while let Some((gone, _)) = base_records.next_if(|(base_name, _)| *base_name < name) {
             change.removed.push(gone);
         }
-        let held = held_records.next_if(|(held_name, _)| *held_name == name);
-        if !held.is_some_and(|(_, held)| is_same(held, record)) {
+        let other_record = base_records.next_if(|(base_name, _)| *base_name == name);
+        if !other_record.is_some_and(|(_, other_record)| is_same(other_record, record)) {
             change.put.push((name, &record.value));
         }
     }
-    change.removed.extend(held_records.map(|(gone, _)| &**gone));
+    change.removed.extend(base_records.map(|(gone, _)| &**gone));
     change
 }
 
-fn take_part<T: RecordContent>(root: &mut Map<String, Value>) -> Option<Part<T>> {
+fn extract_part<T: RecordContent>(root: &mut Map<String, Value>) -> Option<Part<T>> {
     if !root.get(T::PART).is_some_and(Value::is_object) {
         return None;
     }
@@ -144,14 +146,18 @@
     Some(Arc::new(records.collect()))
 }
 
-fn succeeding_part<T>(part: &Option<Part<T>>, earlier: &Option<Part<T>>) -> Option<Part<T>> {
+fn part_sharing_records_with<T>(
+    part: &Option<Part<T>>,
+    earlier: &Option<Part<T>>,
+) -> Option<Part<T>> {
     let (Some(records), Some(earlier_records)) = (part, earlier) else { return part.clone() };
     if is_same_part(part, earlier) {
         return earlier.clone();
     }
     let shared = records.iter().map(|(name, record)| {
-        let held = earlier_records.get(name).filter(|held| is_same(held, record));
-        (name.clone(), held.unwrap_or(record).clone())
+        let other_record =
+            earlier_records.get(name).filter(|other_record| is_same(other_record, record));
+        (name.clone(), other_record.unwrap_or(record).clone())
     });
     Some(Arc::new(shared.collect()))
 }
@@ -163,7 +169,7 @@
 
 fn put<T: RecordContent>(part: &mut Option<Part<T>>, name: &str, value: Value) {
     let records = Arc::make_mut(part.get_or_insert_default());
-    if records.get(name).is_none_or(|held| held.value != value) {
+    if records.get(name).is_none_or(|other_record| other_record.value != value) {
         records.insert(Arc::from(name), Arc::new(Record::new(value)));
     }
 }
@@ -188,8 +194,8 @@
 
 fn write_items<'a>(text: &mut Vec<u8>, items: impl Iterator<Item = (&'a str, &'a Value)>) {
     text.push(b'{');
-    for (place, (name, value)) in items.enumerate() {
-        if place > 0 {
+    for (index, (name, value)) in items.enumerate() {
+        if index > 0 {
             text.push(b',');
         }
         let _ = serde_json::to_writer(&mut *text, name);
@@ -204,32 +210,32 @@
 pub struct SpecRecords {
     functions: Option<Part<FunctionSpec>>,
     routes: Option<Part<RouteSpec>>,
-    rest: Arc<Value>,
+    remainder: Arc<Value>,
 }
 
 impl SpecRecords {
     /// The records of a spec; whatever is neither function nor route is kept as it is.
     pub fn new(mut spec: Value) -> Self {
         let (functions, routes) = match spec.as_object_mut() {
-            Some(root) => (take_part(root), take_part(root)),
+            Some(root) => (extract_part(root), extract_part(root)),
             None => (None, None),
         };
-        Self { functions, routes, rest: Arc::new(spec) }
+        Self { functions, routes, remainder: Arc::new(spec) }
     }
 
     /// The same spec; records that are equal in an earlier one are shared with it, and so is what was
     /// derived from them.
-    pub fn succeeding(&self, earlier: &SpecRecords) -> Self {
+    pub fn sharing_records_with(&self, earlier: &SpecRecords) -> Self {
         Self {
-            functions: succeeding_part(&self.functions, &earlier.functions),
-            routes: succeeding_part(&self.routes, &earlier.routes),
-            rest: self.rest.clone(),
+            functions: part_sharing_records_with(&self.functions, &earlier.functions),
+            routes: part_sharing_records_with(&self.routes, &earlier.routes),
+            remainder: self.remainder.clone(),
         }
     }
 
     /// The spec as operators wrote it.
     pub fn to_value(&self) -> Value {
-        let mut spec = (*self.rest).clone();
+        let mut spec = (*self.remainder).clone();
         if let Some(root) = spec.as_object_mut() {
             if let Some(functions) = &self.functions {
                 root.insert(FUNCTIONS.to_owned(), part_value(functions));
@@ -243,8 +249,8 @@
 
     /// Appends the spec as JSON text.
     pub fn write_to(&self, text: &mut Vec<u8>) {
-        let Some(root) = self.rest.as_object() else {
-            write_json(text, &self.rest);
+        let Some(root) = self.remainder.as_object() else {
+            write_json(text, &self.remainder);
             return;
         };
         let mut separator = b'{';
@@ -293,19 +299,19 @@
     }
 
     /// What is neither function nor route.
-    pub fn rest(&self) -> &Value {
-        &self.rest
+    pub fn remainder(&self) -> &Value {
+        &self.remainder
     }
 
     /// Puts a field that is neither function nor route.
     pub fn put_field(&mut self, name: &str, value: Value) {
-        if let Some(root) = Arc::make_mut(&mut self.rest).as_object_mut() {
+        if let Some(root) = Arc::make_mut(&mut self.remainder).as_object_mut() {
             root.insert(name.to_owned(), value);
         }
     }
 
-    pub(super) fn replace_rest(&mut self, rest: Value) {
-        self.rest = Arc::new(rest);
+    pub(super) fn replace_remainder(&mut self, remainder: Value) {
+        self.remainder = Arc::new(remainder);
     }
 
     /// Whether the spec has functions and routes at all, if only none.
@@ -314,17 +320,17 @@
     }
 
     /// Drops the parts that the spec is not to have, and adds empty ones that it is to have.
-    pub(super) fn settle_parts(&mut self, (has_functions, has_routes): (bool, bool)) {
+    pub(super) fn set_present_parts(&mut self, (has_functions, has_routes): (bool, bool)) {
         self.functions = has_functions.then(|| self.functions.take().unwrap_or_default());
         self.routes = has_routes.then(|| self.routes.take().unwrap_or_default());
     }
 
-    pub(super) fn function_change<'a>(&'a self, newer: &'a SpecRecords) -> PartChange<'a> {
-        part_change(&self.functions, &newer.functions)
+    pub(super) fn function_delta<'a>(&'a self, newer: &'a SpecRecords) -> PartDelta<'a> {
+        part_delta(&self.functions, &newer.functions)
     }
 
-    pub(super) fn route_change<'a>(&'a self, newer: &'a SpecRecords) -> PartChange<'a> {
-        part_change(&self.routes, &newer.routes)
+    pub(super) fn route_delta<'a>(&'a self, newer: &'a SpecRecords) -> PartDelta<'a> {
+        part_delta(&self.routes, &newer.routes)
     }
 
     /// The number of functions and of routes.
@@ -335,9 +341,9 @@
 
     /// The digests of all records and of the rest, combined so that their order does not matter.
     pub fn digest(&self) -> [u8; DIGEST_LENGTH] {
-        let mut rest_text = Vec::new();
-        write_json(&mut rest_text, &self.rest);
-        let mut combined = digest(&rest_text);
+        let mut remainder_text = Vec::new();
+        write_json(&mut remainder_text, &self.remainder);
+        let mut combined = digest(&remainder_text);
         let functions = self.functions.iter().flat_map(|part| part.iter());
         let routes = self.routes.iter().flat_map(|part| part.iter());
         let function_digests = functions.map(|(name, record)| record.digest(name));
@@ -366,7 +372,7 @@
 
     /// Checks the spec; on failure every fault with its path. Records that were checked with an earlier
     /// spec are not read again.
-    pub fn check(&self) -> Result<Spec, Vec<PathFault>> {
+    pub fn check(&self) -> Result<Spec, Vec<PathError>> {
         match self.check_records() {
             Some(checked_spec) => Ok(checked_spec),
             None => read_spec(&self.to_value()),
@@ -377,8 +383,8 @@
     fn check_records(&self) -> Option<Spec> {
         let functions = self.checked_functions()?;
         let routes = self.checked_routes(&functions)?;
-        let rest_spec = read_spec(&self.rest).ok()?;
-        Some(Spec { functions, routes, limits: rest_spec.limits })
+        let remainder_spec = read_spec(&self.remainder).ok()?;
+        Some(Spec { functions, routes, limits: remainder_spec.limits })
     }
 
     fn checked_functions(&self) -> Option<BTreeMap<FunctionName, Arc<FunctionSpec>>> {
@@ -400,15 +406,16 @@
         let mut routes = Vec::with_capacity(route_count);
         for (name, record) in self.routes.iter().flat_map(|part| part.iter()) {
             let route = record.checked(name)?;
-            let mut led_to = route.shares.iter().map(|(name, _)| name).chain([&route.function]);
+            let mut target_functions =
+                route.shares.iter().map(|(name, _)| name).chain([&route.function]);
             let is_distinct = match &route.matching {
-                RouteMatch::Prefix(host, prefix) => prefixes.insert((host, prefix)),
-                RouteMatch::Pattern(method, path) => {
+                RouteMatcher::Prefix(host, prefix) => prefixes.insert((host, prefix)),
+                RouteMatcher::Pattern(method, path) => {
                     let matcher = matchers.entry(method.as_str()).or_default();
                     matcher.insert(path.clone(), ()).is_ok()
                 }
             };
-            if !is_distinct || !led_to.all(|function| functions.contains_key(function)) {
+            if !is_distinct || !target_functions.all(|function| functions.contains_key(function)) {
                 return None;
             }
             routes.push(route.clone());
@@ -427,7 +434,7 @@
     fn eq(&self, other: &Self) -> bool {
         is_same_part(&self.functions, &other.functions)
             && is_same_part(&self.routes, &other.routes)
-            && (Arc::ptr_eq(&self.rest, &other.rest) || self.rest == other.rest)
+            && (Arc::ptr_eq(&self.remainder, &other.remainder) || self.remainder == other.remainder)
     }
 }
 
--- a/crates/common/src/spec/table.rs
+++ b/crates/common/src/spec/routing_table.rs
@@ -1,5 +1,7 @@
-use super::{CallerLimits, DocumentFault, FunctionSpec, RouteMatch, RouteSpec, View, read_spec};
-use crate::identity::{FunctionIndex, FunctionKey, FunctionName, Serial, TransactionId, Zone};
+use super::{
+    CallerLimits, DaemonView, DocumentError, FunctionSpec, RouteMatcher, RouteSpec, read_spec,
+};
+use crate::identity::{FunctionIndex, FunctionKey, FunctionName, IdempotencyKey, Version, Zone};
 use hyper::Method;
 use std::collections::hash_map::DefaultHasher;
 use std::collections::{BTreeSet, HashMap};
@@ -28,25 +30,25 @@
 
 impl RouteEntry {
     /// The function of one transaction; the same identity always leads to the same one.
-    pub fn choose(&self, transaction: &TransactionId) -> FunctionIndex {
+    pub fn choose_function(&self, idempotency_key: &IdempotencyKey) -> FunctionIndex {
         let weight_sum: u64 = self.shares.iter().map(|(_, weight)| u64::from(*weight)).sum();
         if weight_sum == 0 {
             return self.function;
         }
         let mut identity_hasher = DefaultHasher::new();
-        transaction.hash(&mut identity_hasher);
-        let mut left = identity_hasher.finish() % weight_sum;
+        idempotency_key.hash(&mut identity_hasher);
+        let mut remaining = identity_hasher.finish() % weight_sum;
         for (function, weight) in &self.shares {
-            if left < u64::from(*weight) {
+            if remaining < u64::from(*weight) {
                 return *function;
             }
-            left -= u64::from(*weight);
+            remaining -= u64::from(*weight);
         }
         self.function
     }
 
     /// Whether the route may lead to a function.
-    pub fn leads_to(&self, function: FunctionIndex) -> bool {
+    pub fn may_lead_to(&self, function: FunctionIndex) -> bool {
         if self.shares.is_empty() {
             return self.function == function;
         }
@@ -55,7 +57,7 @@
 }
 
 /// What a look-up found.
-pub struct Found<'a> {
+pub struct RouteMatch<'a> {
     /// The route.
     pub route: &'a RouteEntry,
     /// The transaction's function.
@@ -72,11 +74,11 @@
 }
 
 impl Index {
-    fn add_prefix(&mut self, host: &str, prefix: &str, route_place: usize) {
+    fn add_prefix(&mut self, host: &str, prefix: &str, route_position: usize) {
         if let Some(host_prefixes) = self.prefixes.get_mut(host) {
-            host_prefixes.insert(prefix.to_owned(), route_place);
+            host_prefixes.insert(prefix.to_owned(), route_position);
         } else {
-            let host_prefixes = HashMap::from([(prefix.to_owned(), route_place)]);
+            let host_prefixes = HashMap::from([(prefix.to_owned(), route_position)]);
             self.prefixes.insert(host.to_owned(), host_prefixes);
         }
     }
@@ -84,35 +86,38 @@
 
 /// An immutable snapshot of a spec, made for look-ups; those that differ in neither keys, names nor matches share
 /// their index.
-pub struct Table {
-    serial: Serial,
+pub struct RoutingTable {
+    version: Version,
     functions: Vec<FunctionEntry>,
     routes: Vec<RouteEntry>,
     index: Arc<Index>,
     limits: CallerLimits,
     evacuated: BTreeSet<Zone>,
-    warm: BTreeSet<FunctionIndex>,
+    prewarmed: BTreeSet<FunctionIndex>,
 }
 
-impl Table {
+impl RoutingTable {
     /// A table without any function.
     pub fn empty() -> Self {
         Self {
-            serial: Serial(0),
+            version: Version(0),
             functions: Vec::new(),
             routes: Vec::new(),
             index: Arc::default(),
             limits: CallerLimits::default(),
             evacuated: BTreeSet::new(),
-            warm: BTreeSet::new(),
+            prewarmed: BTreeSet::new(),
         }
     }
 
     /// A table from a view; fails when the view's spec does not check.
-    pub fn build(view: &View) -> Result<Self, DocumentFault> {
+    pub fn build(view: &DaemonView) -> Result<Self, DocumentError> {
         let checked_spec = view.checked()?;
-        let mut table =
-            Table { serial: view.serial, evacuated: view.evacuated.clone(), ..Self::empty() };
+        let mut table = RoutingTable {
+            version: view.version,
+            evacuated: view.evacuated.clone(),
+            ..Self::empty()
+        };
         let (function_count, route_count) = view.spec.counts();
         let mut index = Index {
             by_route: HashMap::with_capacity(route_count),
@@ -122,7 +127,7 @@
         table.functions.reserve(function_count);
         table.routes.reserve(route_count);
         for (function_name, function_spec) in checked_spec.functions {
-            let generation = view.generations.get(&function_name).copied().unwrap_or(view.serial);
+            let generation = view.generations.get(&function_name).copied().unwrap_or(view.version);
             let key = FunctionKey::new(function_name, generation);
             index.by_key.insert(key.clone(), FunctionIndex(table.functions.len()));
             table.functions.push(FunctionEntry { key, spec: function_spec });
@@ -132,20 +137,20 @@
             .functions
             .iter()
             .enumerate()
-            .map(|(place, entry)| (entry.key.name.clone(), FunctionIndex(place)))
+            .map(|(position, entry)| (entry.key.name.clone(), FunctionIndex(position)))
             .collect();
         for route_spec in checked_spec.routes {
             let Some(function) = by_name.get(&route_spec.function).copied() else { continue };
-            let route_place = table.routes.len();
+            let route_position = table.routes.len();
             match &route_spec.matching {
-                RouteMatch::Pattern(method, path) => {
+                RouteMatcher::Pattern(method, path) => {
                     let matcher = index.matchers.entry(method.clone()).or_default();
-                    if matcher.insert(path.clone(), route_place).is_err() {
+                    if matcher.insert(path.clone(), route_position).is_err() {
                         continue;
                     }
                 }
-                RouteMatch::Prefix(host, prefix) => {
-                    index.add_prefix(host, prefix, route_place);
+                RouteMatcher::Prefix(host, prefix) => {
+                    index.add_prefix(host, prefix, route_position);
                 }
             }
             let shares = route_spec
@@ -153,17 +158,17 @@
                 .iter()
                 .filter_map(|(name, weight)| Some((*by_name.get(name)?, *weight)))
                 .collect();
-            index.by_route.insert(route_spec.name.clone(), route_place);
+            index.by_route.insert(route_spec.name.clone(), route_position);
             table.routes.push(RouteEntry { spec: route_spec, function, shares });
         }
         table.index = Arc::new(index);
-        table.warm = table.find_warm();
+        table.prewarmed = table.find_prewarmed();
         Ok(table)
     }
 
     /// A table from a view, as [`Table::build`] makes it; what concerns neither the names of functions nor where
     /// routes lead from is taken over from an earlier one.
-    pub fn build_after(earlier: &Table, view: &View) -> Result<Self, DocumentFault> {
+    pub fn build_after(earlier: &RoutingTable, view: &DaemonView) -> Result<Self, DocumentError> {
         match earlier.with_shape_of(view) {
             Some(table) => Ok(table),
             None => Self::build(view),
@@ -172,44 +177,44 @@
 
     /// The table of a view that has the same functions, and the same routes by name and match; none if it has
     /// others, or any fault.
-    fn with_shape_of(&self, view: &View) -> Option<Self> {
+    fn with_shape_of(&self, view: &DaemonView) -> Option<Self> {
         let function_specs = view.spec.checked_function_records();
         let mut functions = Vec::with_capacity(self.functions.len());
-        for (place, (name, spec)) in function_specs.enumerate() {
-            let key = &self.functions.get(place)?.key;
+        for (position, (name, spec)) in function_specs.enumerate() {
+            let key = &self.functions.get(position)?.key;
             let is_same = *key.name.as_str() == **name
                 && view.generations.get(&**name) == Some(&key.generation);
             let spec = spec.filter(|_| is_same)?.clone();
             functions.push(FunctionEntry { key: key.clone(), spec });
         }
         let mut routes = Vec::with_capacity(self.routes.len());
-        for (place, (_, spec)) in view.spec.checked_route_records().enumerate() {
-            routes.push(self.route_in_place(place, spec?, view)?);
+        for (position, (_, spec)) in view.spec.checked_route_records().enumerate() {
+            routes.push(self.route_at_position(position, spec?, view)?);
         }
         if functions.len() != self.functions.len() || routes.len() != self.routes.len() {
             return None;
         }
         let mut table = Self {
-            serial: view.serial,
+            version: view.version,
             functions,
             routes,
             index: self.index.clone(),
-            limits: read_spec(view.spec.rest()).ok()?.limits,
+            limits: read_spec(view.spec.remainder()).ok()?.limits,
             evacuated: view.evacuated.clone(),
-            warm: BTreeSet::new(),
+            prewarmed: BTreeSet::new(),
         };
-        table.warm = table.find_warm();
+        table.prewarmed = table.find_prewarmed();
         Some(table)
     }
 
     /// A route that stands where one with its name and match stood.
-    fn route_in_place(
+    fn route_at_position(
         &self,
-        place: usize,
+        position: usize,
         spec: &Arc<RouteSpec>,
-        view: &View,
+        view: &DaemonView,
     ) -> Option<RouteEntry> {
-        let earlier = self.routes.get(place)?;
+        let earlier = self.routes.get(position)?;
         if Arc::ptr_eq(&earlier.spec, spec) {
             return Some(earlier.clone());
         }
@@ -228,32 +233,33 @@
         })
     }
 
-    fn find_warm(&self) -> BTreeSet<FunctionIndex> {
-        let mut warm_functions = BTreeSet::new();
+    fn find_prewarmed(&self) -> BTreeSet<FunctionIndex> {
+        let mut prewarmed_functions = BTreeSet::new();
         for route in &self.routes {
             let shared = route.shares.iter().filter(|(_, weight)| *weight > 0);
             let single = route.shares.is_empty().then_some(route.function);
-            let led_to = shared.map(|(function, _)| *function).chain(single);
+            let target_functions = shared.map(|(function, _)| *function).chain(single);
             let target = route.spec.target;
-            warm_functions
-                .extend(led_to.filter(|function| self.function(*function).spec.boot > target));
+            prewarmed_functions.extend(
+                target_functions.filter(|function| self.function(*function).spec.startup > target),
+            );
         }
-        warm_functions
+        prewarmed_functions
     }
 
     /// Whether a function boots longer than an answer by one of its routes is worth its full value.
-    pub fn is_warm(&self, index: FunctionIndex) -> bool {
-        self.warm.contains(&index)
+    pub fn is_prewarmed(&self, index: FunctionIndex) -> bool {
+        self.prewarmed.contains(&index)
     }
 
     /// The functions that boot longer than an answer is worth its full value.
-    pub fn warm_functions(&self) -> impl Iterator<Item = &FunctionKey> {
-        self.warm.iter().map(|index| &self.function(*index).key)
+    pub fn prewarmed_functions(&self) -> impl Iterator<Item = &FunctionKey> {
+        self.prewarmed.iter().map(|index| &self.function(*index).key)
     }
 
     /// The serial this was made from.
-    pub fn serial(&self) -> Serial {
-        self.serial
+    pub fn version(&self) -> Version {
+        self.version
     }
 
     /// The route that a call leads to, and its function: by host and longest prefix, else by method and
@@ -263,32 +269,32 @@
         method: &Method,
         host: &str,
         path: &str,
-        transaction: &TransactionId,
-    ) -> Option<Found<'_>> {
-        let place = self.prefixed(host, path).or_else(|| {
-            let found_match = self.index.matchers.get(method)?.at(path).ok()?;
-            Some(*found_match.value)
+        idempotency_key: &IdempotencyKey,
+    ) -> Option<RouteMatch<'_>> {
+        let position = self.prefixed(host, path).or_else(|| {
+            let matched = self.index.matchers.get(method)?.at(path).ok()?;
+            Some(*matched.value)
         })?;
-        let route = self.routes.get(place)?;
-        Some(Found { route, function: self.function(route.choose(transaction)) })
+        let route = self.routes.get(position)?;
+        Some(RouteMatch { route, function: self.function(route.choose_function(idempotency_key)) })
     }
 
     fn prefixed(&self, host: &str, path: &str) -> Option<usize> {
-        let plain_host = host.rsplit_once(':').map_or(host, |(name, _)| name);
-        let lower_host;
-        let asked_host = if plain_host.bytes().any(|byte| byte.is_ascii_uppercase()) {
-            lower_host = plain_host.to_ascii_lowercase();
-            &lower_host
+        let host_without_port = host.rsplit_once(':').map_or(host, |(name, _)| name);
+        let lowercase_host;
+        let requested_host = if host_without_port.bytes().any(|byte| byte.is_ascii_uppercase()) {
+            lowercase_host = host_without_port.to_ascii_lowercase();
+            &lowercase_host
         } else {
-            plain_host
+            host_without_port
         };
-        let host_prefixes = self.index.prefixes.get(asked_host)?;
-        let mut rest = path;
-        while let Some(slash) = rest.rfind('/') {
-            if let Some(place) = host_prefixes.get(&rest[..=slash]) {
-                return Some(*place);
+        let host_prefixes = self.index.prefixes.get(requested_host)?;
+        let mut remainder = path;
+        while let Some(slash) = remainder.rfind('/') {
+            if let Some(position) = host_prefixes.get(&remainder[..=slash]) {
+                return Some(*position);
             }
-            rest = &rest[..slash];
+            remainder = &remainder[..slash];
         }
         None
     }
@@ -297,7 +303,7 @@
     pub fn allows(&self, route_name: &str, key: &FunctionKey) -> bool {
         let function = self.index_of(key);
         let route = self.route_named(route_name);
-        route.zip(function).is_some_and(|(route, function)| route.leads_to(function))
+        route.zip(function).is_some_and(|(route, function)| route.may_lead_to(function))
     }
 
     /// The callers' limits.
@@ -328,7 +334,7 @@
     /// The dense number of a key's function.
     pub fn index_of(&self, key: &FunctionKey) -> Option<FunctionIndex> {
         let found = if key.is_regional() {
-            self.index.by_key.get(&key.whole())
+            self.index.by_key.get(&key.all_regions())
         } else {
             self.index.by_key.get(key)
         };
@@ -347,15 +353,18 @@
 
     /// Whether callers may send the identity of a once-transaction of this function again, so that its
     /// ledger is kept elsewhere and waited for; not so when no once-route of it asks for that.
-    pub fn is_noted(&self, index: FunctionIndex) -> bool {
-        let mut once_routes =
-            self.routes.iter().filter(|route| route.spec.once && route.leads_to(index)).peekable();
-        once_routes.peek().is_none() || once_routes.any(|route| route.spec.noted)
+    pub fn is_recorded(&self, index: FunctionIndex) -> bool {
+        let mut once_routes = self
+            .routes
+            .iter()
+            .filter(|route| route.spec.once && route.may_lead_to(index))
+            .peekable();
+        once_routes.peek().is_none() || once_routes.any(|route| route.spec.recorded)
     }
 
     /// The longest budget any route allows.
-    pub fn longest_budget(&self) -> Duration {
-        self.routes.iter().map(|route| route.spec.budget).max().unwrap_or_default()
+    pub fn longest_timeout(&self) -> Duration {
+        self.routes.iter().map(|route| route.spec.timeout).max().unwrap_or_default()
     }
 
     /// Whether any zone is evacuated.
--- a/crates/common/tests/clocks.rs
+++ b/crates/common/tests/clocks.rs
@@ -24,10 +24,11 @@
         sources(&root.join(package).join("src"), &mut found);
     }
     verify_that!(found.len(), ge(80))?;
-    let barred = ["SystemTime", "UNIX_EPOCH", "Instant::now", "ClockId::Realtime", "thread::sleep"];
+    let forbidden =
+        ["SystemTime", "UNIX_EPOCH", "Instant::now", "ClockId::Realtime", "thread::sleep"];
     for path in &found {
         let text = std::fs::read_to_string(path).expect("a source");
-        for word in barred {
+        for word in forbidden {
             verify_that!(text.contains(word), eq(false))
                 .with_failure_message(|| format!("{word} in {}", path.display()))?;
         }
--- a/crates/common/tests/document_forms.rs
+++ b/crates/common/tests/document_forms.rs
@@ -3,11 +3,15 @@
 
 mod forms;
 
-use common::frames::{Blob, Place, pack, unpack};
-use common::identity::{ChangeId, ControllerId, FunctionKey, RunnerId, Serial, Stamp, Term};
-use common::ring::place_of;
+use common::frames::{ByteString, SocketAddress, compress, decompress};
+use common::identity::{
+    ChangeId, ControllerId, DocumentVersion, FunctionKey, RunnerId, Term, Version,
+};
+use common::ring::ring_position;
 use common::seal::{hex, seal};
-use common::spec::{ChangeFate, CoreMember, Document, RosterMember, TakenChanges, View, read_spec};
+use common::spec::{
+    AppliedChanges, ChangeStatus, DaemonView, Document, ListedMember, Voter, read_spec,
+};
 use forms::{Form, held_forms, hold};
 use googletest::prelude::*;
 use serde_json::{Value, json};
@@ -19,23 +23,25 @@
 /// change with the compressor, but what was packed is read for good.
 const PACKED: &str = "packed.txt";
 
-fn place(number: u8) -> Place {
-    Place(format!("10.{number}.0.{}:{}", number + 1, 4000 + u16::from(number)).parse().expect("it"))
+fn address(number: u8) -> SocketAddress {
+    SocketAddress(
+        format!("10.{number}.0.{}:{}", number + 1, 4000 + u16::from(number)).parse().expect("it"),
+    )
 }
 
-fn core(numbers: &[u8]) -> Vec<CoreMember> {
-    let member = |number: &u8| CoreMember {
+fn voters(numbers: &[u8]) -> Vec<Voter> {
+    let member = |number: &u8| Voter {
         id: ControllerId(0xabcd_ef00 + u64::from(*number)),
-        place: place(*number),
+        address: address(*number),
         zone: format!("zone-{number}").into(),
     };
     numbers.iter().map(member).collect()
 }
 
-fn roster(numbers: &[u8]) -> BTreeSet<RosterMember> {
-    let listed = |number: &u8| RosterMember {
+fn membership(numbers: &[u8]) -> BTreeSet<ListedMember> {
+    let listed = |number: &u8| ListedMember {
         member: format!("daemon-{number}").into(),
-        place: place(*number),
+        address: address(*number),
     };
     numbers.iter().map(listed).collect()
 }
@@ -77,14 +83,14 @@
 
 /// A version that says something in every field.
 fn whole_document() -> Document {
-    let mut document = Document::founding(core(&[1, 2, 3]));
+    let mut document = Document::founding(voters(&[1, 2, 3]));
     document = with_spec(&document, spec(), "first spec", 300);
     document = document.with_zone("zone-7".into(), true, ChangeId::from("zone-7 out"));
     document = document.with_zone("zone-8".into(), true, ChangeId::from("zone-8 out"));
-    let mut joint = document.with_core(core(&[1, 2, 4]), ChangeId::from("4 for 3"));
-    joint.former = document.core;
-    joint.stamp.term = Term(9);
-    joint.with_roster(roster(&[5, 6]))
+    let mut joint = document.with_voters(voters(&[1, 2, 4]), ChangeId::from("4 for 3"));
+    joint.previous_voters = document.voters;
+    joint.document_version.term = Term(9);
+    joint.with_membership(membership(&[5, 6]))
 }
 
 /// A version after it, with records put, changed and removed.
@@ -101,9 +107,9 @@
     newer_spec["labels"] = json!({"owner": "others"});
     let mut newer = with_spec(&held, newer_spec, "second spec", 301);
     newer = newer.with_zone("zone-8".into(), false, ChangeId::from("zone-8 back"));
-    newer.former = Vec::new();
-    newer.stamp.term = Term(10);
-    newer.with_roster(roster(&[6, 7]))
+    newer.previous_voters = Vec::new();
+    newer.document_version.term = Term(10);
+    newer.with_membership(membership(&[6, 7]))
 }
 
 /// The bytes of a document as sources wrote it before it had these fields.
@@ -133,19 +139,19 @@
 fn documents_views_and_changes_are_written_as_ever() -> Result<()> {
     let (held, newer) = (whole_document(), newer_document());
     let (held_view, newer_view) = (held.view(), newer.view());
-    let founding = Document::founding(core(&[1]));
+    let founding = Document::founding(voters(&[1]));
     hold(
         DOCUMENTS,
         &[
             form("document/founding", founding.to_bytes()),
             form("document/whole", held.to_bytes()),
             form("document/newer", newer.to_bytes()),
-            form("document/change", held.change_to(&newer)),
-            form("document/change-of-nothing", held.change_to(&held)),
+            form("document/change", held.delta_to(&newer)),
+            form("document/change-of-nothing", held.delta_to(&held)),
             form("document/earlier", earlier_bytes(&held)),
             form("view/whole", held_view.to_bytes()),
             form("view/newer", newer_view.to_bytes()),
-            form("view/change", held_view.change_to(&newer_view)),
+            form("view/change", held_view.delta_to(&newer_view)),
         ],
     )
 }
@@ -153,7 +159,7 @@
 #[gtest]
 fn documents_are_read_as_ever() -> Result<()> {
     for (name, document) in [
-        ("document/founding", Document::founding(core(&[1]))),
+        ("document/founding", Document::founding(voters(&[1]))),
         ("document/whole", whole_document()),
         ("document/newer", newer_document()),
     ] {
@@ -167,15 +173,18 @@
 fn documents_of_earlier_sources_are_read_as_ever() -> Result<()> {
     let read = Document::from_bytes(&held_text("document/earlier"))?;
     let whole = whole_document();
-    verify_that!(read.stamp, eq(Stamp { term: Term(9), serial: Serial(6) }))?;
+    verify_that!(
+        read.document_version,
+        eq(DocumentVersion { term: Term(9), version: Version(6) })
+    )?;
     verify_that!(read.number, eq(0))?;
-    verify_that!(read.unseen, eq(0))?;
-    verify_that!(read.roster.is_empty(), eq(true))?;
-    verify_that!(*read.taken, eq(&TakenChanges::default()))?;
+    verify_that!(read.hidden_versions, eq(0))?;
+    verify_that!(read.membership.is_empty(), eq(true))?;
+    verify_that!(*read.applied_changes, eq(&AppliedChanges::default()))?;
     verify_that!(read.spec == whole.spec, eq(true))?;
-    verify_that!(read.core, eq(&whole.core))?;
-    verify_that!(read.former, eq(&whole.former))?;
-    let names: Vec<&str> = read.changes.iter().map(|noted| noted.id.as_str()).collect();
+    verify_that!(read.voters, eq(&whole.voters))?;
+    verify_that!(read.previous_voters, eq(&whole.previous_voters))?;
+    let names: Vec<&str> = read.changes.iter().map(|recorded| recorded.id.as_str()).collect();
     verify_that!(names, eq(&["first spec", "zone-7 out", "zone-8 out", "4 for 3"]))
 }
 
@@ -184,23 +193,26 @@
     let held = Document::from_bytes(&held_text("document/whole"))?;
     let changed = held.changed(&held_text("document/change"), &newer_document().digest())?;
     verify_that!(changed == newer_document(), eq(true))?;
-    verify_that!(changed.taken.fate(301, &"second spec".into()), eq(ChangeFate::Taken(Serial(7))))?;
+    verify_that!(
+        changed.applied_changes.status_of(301, &"second spec".into()),
+        eq(ChangeStatus::Applied(Version(7)))
+    )?;
     let unchanged = held.changed(&held_text("document/change-of-nothing"), &held.digest())?;
     verify_that!(unchanged == held, eq(true))?;
-    let held_view = View::from_bytes(&held_text("view/whole"))?;
+    let held_view = DaemonView::from_bytes(&held_text("view/whole"))?;
     verify_that!(held_view == whole_document().view(), eq(true))?;
     let newer_view = newer_document().view();
     let changed_view = held_view.changed(&held_text("view/change"), &newer_view.digest())?;
     verify_that!(changed_view == newer_view, eq(true))?;
-    verify_that!(View::from_bytes(&held_text("view/newer"))? == newer_view, eq(true))
+    verify_that!(DaemonView::from_bytes(&held_text("view/newer"))? == newer_view, eq(true))
 }
 
 fn seals() -> [Form; 2] {
-    let function = FunctionKey::new("segment-check", Serial(7)).in_region(&"east".into());
-    let runner = RunnerId { grant: 0x51_0000_5253.into(), ordinal: 0x1f };
-    let sealed = |shed| seal(&"try-1".into(), &function, runner, shed, b"{\"answered\":true}");
+    let function = FunctionKey::new("segment-check", Version(7)).in_region(&"east".into());
+    let runner = RunnerId { fencing_token: 0x51_0000_5253.into(), ordinal: 0x1f };
+    let sealed = |reject| seal(&"try-1".into(), &function, runner, reject, b"{\"answered\":true}");
     [("seal/run", false), ("seal/shed", true)]
-        .map(|(name, shed)| Form { name: name.to_owned(), text: sealed(shed) })
+        .map(|(name, reject)| Form { name: name.to_owned(), text: sealed(reject) })
 }
 
 /// Digests and places that two processes must agree on, and names as they stand in headers and paths.
@@ -208,19 +220,19 @@
 fn digests_seals_and_names_are_as_ever() -> Result<()> {
     let (held, newer) = (whole_document(), newer_document());
     let text = |name: &str, text: String| Form { name: name.to_owned(), text };
-    let function = FunctionKey::new("segment-check", Serial(7));
-    let runner = RunnerId { grant: 0x51_0000_5253.into(), ordinal: 0x1f };
+    let function = FunctionKey::new("segment-check", Version(7));
+    let runner = RunnerId { fencing_token: 0x51_0000_5253.into(), ordinal: 0x1f };
     let mut forms = vec![
         text("digest/document-whole", hex(&held.digest())),
         text("digest/document-newer", hex(&newer.digest())),
         text("digest/view-whole", hex(&held.view().digest())),
         text("digest/view-newer", hex(&newer.view().digest())),
-        text("ring/daemon-1", format!("{:016x}", place_of(&"daemon-1".into()))),
-        text("ring/daemon-2", format!("{:016x}", place_of(&"daemon-2".into()))),
+        text("ring/daemon-1", format!("{:016x}", ring_position(&"daemon-1".into()))),
+        text("ring/daemon-2", format!("{:016x}", ring_position(&"daemon-2".into()))),
         text("name/function", function.to_string()),
         text("name/regional-function", function.in_region(&"east".into()).to_string()),
         text("name/runner", runner.to_string()),
-        text("name/version", held.stamp.to_string()),
+        text("name/version", held.document_version.to_string()),
     ];
     forms.extend(seals());
     hold(DIGESTS, &forms)?;
@@ -233,7 +245,7 @@
 fn what_was_packed_is_unpacked_as_ever() -> Result<()> {
     let long_text = whole_document().to_bytes();
     if std::env::var_os("RUDDERSTREAM_WRITE_FORMS").is_some() {
-        let packed_text = hex(&pack(&long_text).0);
+        let packed_text = hex(&compress(&long_text).0);
         return hold(PACKED, &[Form { name: "packed/document".to_owned(), text: packed_text }]);
     }
     let held = held_forms(PACKED)?;
@@ -242,8 +254,8 @@
         held[0].text.as_bytes().chunks(2).map(|pair| std::str::from_utf8(pair).expect("it"));
     let packed_bytes: Vec<u8> =
         pairs.map(|pair| u8::from_str_radix(pair, 16).expect("hexadecimal")).collect();
-    verify_that!(unpack(&Blob::from(packed_bytes))? == long_text, eq(true))?;
-    verify_that!(pack(&long_text).0.first(), some(eq(&1)))?;
+    verify_that!(decompress(&ByteString::from(packed_bytes))? == long_text, eq(true))?;
+    verify_that!(compress(&long_text).0.first(), some(eq(&1)))?;
     let short_text = b"{\"short\":1}";
-    verify_that!(pack(short_text) == Blob::from(short_text.to_vec()), eq(true))
+    verify_that!(compress(short_text) == ByteString::from(short_text.to_vec()), eq(true))
 }
--- a/crates/common/tests/events.rs
+++ b/crates/common/tests/events.rs
@@ -8,7 +8,7 @@
 use std::fmt::Write;
 
 #[test]
-fn every_event_has_its_own_number_and_stands_in_the_catalogue() {
+fn every_event_has_a_unique_number_and_a_catalogue_row() {
     let catalogue = include_str!("../../../docs/events.md");
     let mut numbers = BTreeSet::new();
     for event in ALL {
--- a/crates/common/tests/forms/mod.rs
+++ b/crates/common/tests/forms/mod.rs
@@ -54,14 +54,14 @@
     }
     let held = held_forms(fixture)?;
     let mut differences = Vec::new();
-    for place in 0..held.len().max(forms.len()) {
+    for address in 0..held.len().max(forms.len()) {
         let as_line = |form: Option<&Form>| {
             form.map_or("nothing".to_owned(), |form| format!("{} {}", form.name, form.text))
         };
-        let (held_line, made_line) = (as_line(held.get(place)), as_line(forms.get(place)));
+        let (held_line, made_line) = (as_line(held.get(address)), as_line(forms.get(address)));
         if held_line != made_line {
             differences
-                .push(format!("line {}:\n  held {held_line}\n  made {made_line}", place + 1));
+                .push(format!("line {}:\n  held {held_line}\n  made {made_line}", address + 1));
         }
     }
     if differences.is_empty() {
--- a/crates/common/tests/platform_forms.rs
+++ b/crates/common/tests/platform_forms.rs
@@ -5,50 +5,52 @@
 #[path = "../../../testing/support/platform_double.rs"]
 mod platform_double;
 
-use common::identity::{FunctionKey, GrantSerial, LifeName, RunnerId, Serial};
-use common::tongue::{BeginEnd, BeginOrder, OwnPlatform, PlatformTongue, StopOrder};
+use common::adapter::{NativePlatform, PlatformAdapter, StartOrder, StartOutcome, StopOrder};
+use common::identity::{FencingToken, FunctionKey, InstanceId, RunnerId, Version};
 use platform_double::PlatformDouble;
 use serde_json::json;
 use std::fmt::Write;
 use std::time::Duration;
 
 fn runner() -> RunnerId {
-    RunnerId { grant: GrantSerial(0x5_0000_0007), ordinal: 0x2b }
+    RunnerId { fencing_token: FencingToken(0x5_0000_0007), ordinal: 0x2b }
 }
 
 fn function() -> FunctionKey {
-    FunctionKey::new("pay", Serial(12))
+    FunctionKey::new("pay", Version(12))
 }
 
-fn begin_order(function: FunctionKey) -> BeginOrder {
-    BeginOrder {
+fn begin_order(function: FunctionKey) -> StartOrder {
+    StartOrder {
         runner: runner(),
         function,
         worker: "worker-3".into(),
         memory_mb: 256,
-        boot: Duration::from_millis(1500),
+        startup: Duration::from_millis(1500),
         slots: 4,
         member: "daemon-1".into(),
     }
 }
 
-fn stop_order(life: Option<&str>) -> StopOrder {
+fn stop_order(instance: Option<&str>) -> StopOrder {
     StopOrder {
         runner: runner(),
         function: function(),
         worker: "worker-3".into(),
-        life: life.map(LifeName::from),
+        instance: instance.map(InstanceId::from),
         member: "daemon-1".into(),
     }
 }
 
-fn shown(end: &BeginEnd) -> String {
+fn shown(end: &StartOutcome) -> String {
     match end {
-        BeginEnd::Begun(life) => format!("begun as {} at {}", life.name, life.place),
-        BeginEnd::NoRoom => "no room".to_owned(),
-        BeginEnd::Busy => "busy".to_owned(),
-        BeginEnd::Refused => "refused".to_owned(),
-        BeginEnd::Lost => "lost".to_owned(),
+        StartOutcome::Started(instance) => {
+            format!("begun as {} at {}", instance.name, instance.address)
+        }
+        StartOutcome::NoCapacity => "no room".to_owned(),
+        StartOutcome::Busy => "busy".to_owned(),
+        StartOutcome::Rejected => "refused".to_owned(),
+        StartOutcome::Lost => "lost".to_owned(),
     }
 }
 
@@ -71,17 +73,17 @@
     let good = json!({"life": "life-9", "place": "10.0.0.3:9000"}).to_string();
     for key in [function(), function().in_region(&"north".into())] {
         let double = PlatformDouble::answering(&[(201, good.clone())]).await;
-        let end = OwnPlatform::new(double.place).begin(begin_order(key.clone())).await;
+        let end = NativePlatform::new(double.address).start_runner(begin_order(key.clone())).await;
         put(&mut text, &format!("start of {key}"), &double, &shown(&end));
     }
     for body in ["{}", "no JSON", r#"{"life": "", "place": "10.0.0.3:9000"}"#, r#"{"life": "a"}"#] {
         let double = PlatformDouble::answering(&[(201, body.to_owned())]).await;
-        let end = OwnPlatform::new(double.place).begin(begin_order(function())).await;
+        let end = NativePlatform::new(double.address).start_runner(begin_order(function())).await;
         let _ = writeln!(text, "start, 201 {body}: {}", shown(&end));
     }
     for status in STATUSES {
         let double = PlatformDouble::answering(&[(status, String::new())]).await;
-        let end = OwnPlatform::new(double.place).begin(begin_order(function())).await;
+        let end = NativePlatform::new(double.address).start_runner(begin_order(function())).await;
         let _ = writeln!(text, "start, {status} without a body: {}", shown(&end));
     }
     check("platform_starts.txt", &text);
@@ -90,14 +92,14 @@
 #[tokio::test]
 async fn stops_are_called_and_taken_as_before() {
     let mut text = String::new();
-    for life in [Some("life-9"), None] {
+    for instance in [Some("life-9"), None] {
         let double = PlatformDouble::answering(&[(200, "{}".to_owned())]).await;
-        let is_stopped = OwnPlatform::new(double.place).stop(stop_order(life)).await;
+        let is_stopped = NativePlatform::new(double.address).stop(stop_order(instance)).await;
         put(&mut text, "stop", &double, if is_stopped { "stopped" } else { "not sure" });
     }
     for status in STATUSES {
         let double = PlatformDouble::answering(&[(status, "{}".to_owned())]).await;
-        let is_stopped = OwnPlatform::new(double.place).stop(stop_order(Some("life-9"))).await;
+        let is_stopped = NativePlatform::new(double.address).stop(stop_order(Some("life-9"))).await;
         let taken_for = if is_stopped { "stopped" } else { "not sure" };
         let _ = writeln!(text, "stop, {status}: {taken_for}");
     }
@@ -122,9 +124,9 @@
     ];
     for (status, body) in answers {
         let double = PlatformDouble::answering(&[(status, body.clone())]).await;
-        let listed = OwnPlatform::new(double.place).workers().await;
+        let listed = NativePlatform::new(double.address).workers().await;
         let rows = listed.map(|workers| {
-            let row = |worker: &common::tongue::ListedWorker| {
+            let row = |worker: &common::adapter::ListedWorker| {
                 json!([
                     worker.worker.as_str(),
                     worker.zone.as_str(),
@@ -163,12 +165,12 @@
     answers.extend(keys.map(|key| (200, without(key))));
     for (status, body) in answers {
         let double = PlatformDouble::answering(&[(status, body.clone())]).await;
-        let listed = OwnPlatform::new(double.place).runners().await;
+        let listed = NativePlatform::new(double.address).runners().await;
         let rows = listed.map(|list| {
-            let row = |listed: &common::tongue::ListedRunner| {
+            let row = |listed: &common::adapter::ListedRunner| {
                 json!({
-                    "life": listed.life.name.as_str(),
-                    "place": listed.life.place.to_string(),
+                    "life": listed.instance.name.as_str(),
+                    "place": listed.instance.address.to_string(),
                     "runner": listed.runner.map(|runner| runner.to_string()),
                     "function": listed.key.as_ref().map(ToString::to_string),
                     "worker": listed.worker.as_str(),
--- a/crates/common/tests/records.rs
+++ b/crates/common/tests/records.rs
@@ -1,64 +1,63 @@
 //! A spec in records says what the whole text says: checked, written, changed and digested alike.
 
-use common::chance::Chance;
-use common::identity::{ChangeId, FunctionIndex, Serial, TransactionId};
-use common::spec::{Document, SpecRecords, Table, View, read_spec};
+use common::identity::{ChangeId, FunctionIndex, IdempotencyKey, Version};
+use common::rng::SeededRng;
+use common::spec::{DaemonView, Document, RoutingTable, SpecRecords, read_spec};
 use googletest::prelude::*;
 use hyper::Method;
 use serde_json::{Value, json};
 
 const FUNCTIONS: u64 = 12;
 
-fn drawn_route(chance: &mut Chance) -> Value {
-    let function = format!("f{}", chance.below(FUNCTIONS + 1));
-    let kind = if chance.happens(0.9) { "once" } else { "twice" };
-    let mut route =
-        json!({"function": function, "budget_ms": 1000 + chance.below(3), "kind": kind});
-    if chance.happens(0.5) {
+fn random_route(rng: &mut SeededRng) -> Value {
+    let function = format!("f{}", rng.below(FUNCTIONS + 1));
+    let kind = if rng.random_bool(0.9) { "once" } else { "twice" };
+    let mut route = json!({"function": function, "budget_ms": 1000 + rng.below(3), "kind": kind});
+    if rng.random_bool(0.5) {
         route["host"] = json!("h.example");
-        route["prefix"] = json!(format!("/p{}/", chance.below(40)));
+        route["prefix"] = json!(format!("/p{}/", rng.below(40)));
     } else {
         route["method"] = json!("POST");
-        route["path"] = json!(format!("/q{}/{{id}}", chance.below(40)));
+        route["path"] = json!(format!("/q{}/{{id}}", rng.below(40)));
     }
     route
 }
 
-fn drawn_spec(chance: &mut Chance) -> Value {
+fn random_spec(rng: &mut SeededRng) -> Value {
     let mut spec = json!({"functions": {}, "routes": {}});
     for number in 0..FUNCTIONS {
-        let slots = u64::from(chance.happens(0.98)) * (1 + chance.below(3));
+        let slots = u64::from(rng.random_bool(0.98)) * (1 + rng.below(3));
         spec["functions"][format!("f{number}")] =
             json!({"memory_mb": 100, "boot_ms": 10, "slots": slots});
     }
-    for number in 0..chance.below(5) {
-        spec["routes"][format!("r{number}")] = drawn_route(chance);
+    for number in 0..rng.below(5) {
+        spec["routes"][format!("r{number}")] = random_route(rng);
     }
-    if chance.happens(0.2) {
-        spec["limits"] = json!({"idle_ms": 500 + chance.below(9)});
+    if rng.random_bool(0.2) {
+        spec["limits"] = json!({"idle_ms": 500 + rng.below(9)});
     }
-    if chance.happens(0.05) {
+    if rng.random_bool(0.05) {
         spec["extra"] = json!(1);
     }
-    if chance.happens(0.05) {
+    if rng.random_bool(0.05) {
         spec["routes"] = json!([]);
     }
     spec
 }
 
-fn view_of(spec: &SpecRecords, serial: u64) -> View {
+fn view_of(spec: &SpecRecords, version: u64) -> DaemonView {
     let checked_spec = spec.check().unwrap_or_default();
     let mut document = Document::founding(Vec::new());
-    document.stamp.serial = Serial(serial);
+    document.document_version.version = Version(version);
     document.with_spec(spec.clone(), &checked_spec, ChangeId::from("c")).view()
 }
 
 #[gtest]
-fn records_are_checked_as_the_whole_text_is() -> Result<()> {
-    let mut chance = Chance::seeded(11);
+fn records_check_like_the_full_spec() -> Result<()> {
+    let mut rng = SeededRng::seeded(11);
     let (mut good_count, mut bad_count) = (0, 0);
     for _ in 0..2_000 {
-        let spec = drawn_spec(&mut chance);
+        let spec = random_spec(&mut rng);
         let (by_records, by_text) = (SpecRecords::new(spec.clone()).check(), read_spec(&spec));
         verify_that!(by_records == by_text, eq(true))?;
         if by_text.is_ok() {
@@ -72,11 +71,11 @@
 }
 
 #[gtest]
-fn records_are_written_as_the_whole_text_is() -> Result<()> {
-    let mut chance = Chance::seeded(12);
+fn records_serialize_like_the_full_spec() -> Result<()> {
+    let mut rng = SeededRng::seeded(12);
     let odd_specs = [json!({}), json!(7), json!({"functions": 3}), json!({"labels": {"a": 1}})];
-    let drawn_specs: Vec<Value> = (0..200).map(|_| drawn_spec(&mut chance)).collect();
-    for spec in odd_specs.into_iter().chain(drawn_specs) {
+    let random_specs: Vec<Value> = (0..200).map(|_| random_spec(&mut rng)).collect();
+    for spec in odd_specs.into_iter().chain(random_specs) {
         let records = SpecRecords::new(spec.clone());
         let mut text = Vec::new();
         records.write_to(&mut text);
@@ -87,15 +86,18 @@
 }
 
 #[gtest]
-fn a_change_by_records_leads_to_the_newer_view() -> Result<()> {
-    let mut chance = Chance::seeded(13);
-    let mut held_view = view_of(&SpecRecords::new(drawn_spec(&mut chance)), 1);
-    for serial in 2..400 {
-        let drawn = SpecRecords::new(drawn_spec(&mut chance));
-        let newer_spec =
-            if chance.happens(0.5) { drawn.succeeding(&held_view.spec) } else { drawn };
-        let newer_view = view_of(&newer_spec, serial);
-        let change = held_view.change_to(&newer_view);
+fn a_record_delta_reproduces_the_newer_view() -> Result<()> {
+    let mut rng = SeededRng::seeded(13);
+    let mut held_view = view_of(&SpecRecords::new(random_spec(&mut rng)), 1);
+    for version in 2..400 {
+        let random_records = SpecRecords::new(random_spec(&mut rng));
+        let newer_spec = if rng.random_bool(0.5) {
+            random_records.sharing_records_with(&held_view.spec)
+        } else {
+            random_records
+        };
+        let newer_view = view_of(&newer_spec, version);
+        let change = held_view.delta_to(&newer_view);
         let changed_view = held_view.changed(&change, &newer_view.digest())?;
         verify_that!(changed_view == newer_view, eq(true))?;
         verify_that!(held_view.changed(&change, &held_view.digest()).is_err(), eq(true))?;
@@ -105,8 +107,8 @@
 }
 
 #[gtest]
-fn a_digest_tells_every_part_of_a_view_apart() -> Result<()> {
-    let mut chance = Chance::seeded(14);
+fn the_digest_covers_every_part_of_a_view() -> Result<()> {
+    let mut rng = SeededRng::seeded(14);
     let base_spec = json!({
         "functions": {"f0": {"memory_mb": 1, "boot_ms": 1, "slots": 1}},
         "routes": {"r": {"host": "h", "prefix": "/", "function": "f0", "budget_ms": 9, "kind": "once"}},
@@ -115,48 +117,48 @@
     let mut others = Vec::new();
     for (part, name, field) in [("functions", "f0", "slots"), ("routes", "r", "budget_ms")] {
         let mut other_spec = base_spec.clone();
-        other_spec[part][name][field] = json!(2 + chance.below(5));
+        other_spec[part][name][field] = json!(2 + rng.below(5));
         others.push(view_of(&SpecRecords::new(other_spec), 1));
     }
     let mut limited_spec = base_spec;
     limited_spec["limits"] = json!({"idle_ms": 77});
     others.push(view_of(&SpecRecords::new(limited_spec), 1));
-    others.push(View { serial: Serial(9), ..base_view.clone() });
-    others.push(View { evacuated: ["z".into()].into(), ..base_view.clone() });
-    others.push(View { generations: Default::default(), ..base_view.clone() });
+    others.push(DaemonView { version: Version(9), ..base_view.clone() });
+    others.push(DaemonView { evacuated: ["z".into()].into(), ..base_view.clone() });
+    others.push(DaemonView { generations: Default::default(), ..base_view.clone() });
     for other in others {
         verify_that!(other.digest() == base_view.digest(), eq(false))?;
     }
-    let read_again = View::from_bytes(&base_view.to_bytes())?;
-    verify_that!(read_again.digest() == base_view.digest(), eq(true))
+    let decoded = DaemonView::from_bytes(&base_view.to_bytes())?;
+    verify_that!(decoded.digest() == base_view.digest(), eq(true))
 }
 
 #[gtest]
-fn a_table_of_a_changed_view_shares_what_did_not_change() -> Result<()> {
-    let mut chance = Chance::seeded(15);
+fn a_table_of_a_changed_view_shares_unchanged_records() -> Result<()> {
+    let mut rng = SeededRng::seeded(15);
     let mut spec = json!({"functions": {}, "routes": {}});
     for number in 0..20 {
         spec["functions"][format!("f{number}")] =
-            json!({"memory_mb": 100, "boot_ms": 10, "slots": 1 + chance.below(3)});
+            json!({"memory_mb": 100, "boot_ms": 10, "slots": 1 + rng.below(3)});
     }
     let base_view = view_of(&SpecRecords::new(spec.clone()), 1);
-    let base_table = Table::build(&base_view)?;
+    let base_table = RoutingTable::build(&base_view)?;
     spec["functions"]["f7"]["slots"] = json!(9);
     let newer_view = view_of(&SpecRecords::new(spec), 2);
-    let change = base_view.change_to(&newer_view);
+    let change = base_view.delta_to(&newer_view);
     let changed_view = base_view.changed(&change, &newer_view.digest())?;
-    let changed_table = Table::build(&changed_view)?;
+    let changed_table = RoutingTable::build(&changed_view)?;
     let pairs = base_table.functions().iter().zip(changed_table.functions());
     let shared = pairs.filter(|(held, newer)| std::sync::Arc::ptr_eq(&held.spec, &newer.spec));
     verify_that!(shared.count(), eq(19))
 }
 
 /// What a table answers, as text: every function, route and look-up.
-fn told_by(table: &Table) -> String {
-    let functions = table.functions().iter().enumerate().map(|(place, entry)| {
-        let index = FunctionIndex(place);
+fn lookup_results(table: &RoutingTable) -> String {
+    let functions = table.functions().iter().enumerate().map(|(position, entry)| {
+        let index = FunctionIndex(position);
         let is_found = table.index_of(&entry.key) == Some(index);
-        format!("{} {:?} {is_found} {}", entry.key, entry.spec, table.is_warm(index))
+        format!("{} {:?} {is_found} {}", entry.key, entry.spec, table.is_prewarmed(index))
     });
     let routes = table.routes().iter().map(|route| {
         let is_found = table
@@ -164,42 +166,42 @@
             .is_some_and(|found| found.spec == route.spec && found.function == route.function);
         format!("{:?} {:?} {:?} {is_found}", route.spec, route.function, route.shares)
     });
-    let transaction = TransactionId::from("t");
+    let idempotency_key = IdempotencyKey::from("t");
     let lookups = (0..40).flat_map(|number| {
         [("h.example", format!("/p{number}/x")), ("", format!("/q{number}/x"))].map(
             |(host, path)| {
-                let found = table.route(&Method::POST, host, &path, &transaction);
+                let found = table.route(&Method::POST, host, &path, &idempotency_key);
                 format!("{path}: {:?}", found.map(|found| &found.route.spec.name))
             },
         )
     });
     let all: Vec<String> = functions.chain(routes).chain(lookups).collect();
-    format!("{} {:?} {}", table.serial(), table.limits(), all.join("\n"))
+    format!("{} {:?} {}", table.version(), table.limits(), all.join("\n"))
 }
 
 #[gtest]
-fn a_table_made_from_an_earlier_one_answers_as_one_made_anew() -> Result<()> {
-    let mut chance = Chance::seeded(17);
-    let mut earlier = Table::empty();
-    let mut plain_spec = drawn_spec(&mut chance);
+fn an_incrementally_built_table_equals_a_new_one() -> Result<()> {
+    let mut rng = SeededRng::seeded(17);
+    let mut earlier = RoutingTable::empty();
+    let mut plain_spec = random_spec(&mut rng);
     let mut good_count = 0;
-    for serial in 2..3_000 {
-        if chance.happens(0.2) {
-            plain_spec = drawn_spec(&mut chance);
+    for version in 2..3_000 {
+        if rng.random_bool(0.2) {
+            plain_spec = random_spec(&mut rng);
         } else if let Some((_, route)) =
             plain_spec["routes"].as_object_mut().and_then(|routes| routes.iter_mut().next())
         {
-            route["function"] = json!(format!("f{}", chance.below(FUNCTIONS + 1)));
-            route["budget_ms"] = json!(900 + chance.below(3));
+            route["function"] = json!(format!("f{}", rng.below(FUNCTIONS + 1)));
+            route["budget_ms"] = json!(900 + rng.below(3));
         }
-        let view = view_of(&SpecRecords::new(plain_spec.clone()), serial);
-        let anew = Table::build(&view);
-        let after = Table::build_after(&earlier, &view);
-        verify_that!(after.is_ok(), eq(anew.is_ok()))?;
-        if let (Ok(anew), Ok(after)) = (anew, after) {
+        let view = view_of(&SpecRecords::new(plain_spec.clone()), version);
+        let full_table = RoutingTable::build(&view);
+        let incremental_table = RoutingTable::build_after(&earlier, &view);
+        verify_that!(incremental_table.is_ok(), eq(full_table.is_ok()))?;
+        if let (Ok(full_table), Ok(incremental_table)) = (full_table, incremental_table) {
             good_count += 1;
-            verify_that!(told_by(&after), eq(&told_by(&anew)))?;
-            earlier = after;
+            verify_that!(lookup_results(&incremental_table), eq(&lookup_results(&full_table)))?;
+            earlier = incremental_table;
         }
     }
     println!("{good_count} tables");
--- a/crates/common/tests/spec.rs
+++ b/crates/common/tests/spec.rs
@@ -1,10 +1,10 @@
 //! The spec's reader names every fault; its table agrees with a slow plain search; changes fit or fail.
 
-use common::chance::Chance;
-use common::frames::Place;
-use common::identity::{ChangeId, ControllerId, Serial, Zone};
-use common::readers::{BootSource, read_places};
-use common::spec::{CoreMember, Document, Table, View, read_spec};
+use common::frames::SocketAddress;
+use common::identity::{ChangeId, ControllerId, Version, Zone};
+use common::readers::{SettingsSource, read_addresses};
+use common::rng::SeededRng;
+use common::spec::{DaemonView, Document, RoutingTable, Voter, read_spec};
 use googletest::prelude::*;
 use hyper::Method;
 use serde_json::{Value, json};
@@ -18,9 +18,9 @@
 }
 
 fn document() -> Document {
-    let member = CoreMember {
+    let member = Voter {
         id: ControllerId(0xabc),
-        place: Place("127.0.0.1:1".parse().expect("an address")),
+        address: SocketAddress("127.0.0.1:1".parse().expect("an address")),
         zone: "here".into(),
     };
     Document::founding(vec![member])
@@ -32,7 +32,7 @@
 }
 
 #[gtest]
-fn every_bad_path_is_named() -> Result<()> {
+fn every_invalid_path_is_reported() -> Result<()> {
     let mut bad_function = function();
     bad_function["memory_mb"] = json!(0);
     bad_function["colour"] = json!("red");
@@ -46,8 +46,8 @@
         },
         "extra": 1,
     });
-    let faults = read_spec(&spec).expect_err("faults");
-    let paths: Vec<String> = faults.iter().map(|fault| fault.path.clone()).collect();
+    let errors = read_spec(&spec).expect_err("faults");
+    let paths: Vec<String> = errors.iter().map(|error| error.path.clone()).collect();
     verify_that!(
         paths,
         unordered_elements_are![
@@ -64,8 +64,8 @@
     )
 }
 
-fn plain_match<'a>(routes: &'a [(String, String)], path: &str) -> Option<&'a str> {
-    let fits = |pattern: &str| {
+fn linear_match<'a>(routes: &'a [(String, String)], path: &str) -> Option<&'a str> {
+    let matches_pattern = |pattern: &str| {
         let pattern_parts: Vec<&str> = pattern.split('/').collect();
         let path_parts: Vec<&str> = path.split('/').collect();
         pattern_parts.len() == path_parts.len()
@@ -78,13 +78,13 @@
         |pattern: &str| pattern.split('/').filter(|part| !part.starts_with('{')).count();
     routes
         .iter()
-        .filter(|(_, pattern)| fits(pattern))
+        .filter(|(_, pattern)| matches_pattern(pattern))
         .max_by_key(|(_, pattern)| literal_count(pattern))
         .map(|(name, _)| name.as_str())
 }
 
 #[gtest]
-fn thousands_of_routes_match_as_a_plain_search_does() -> Result<()> {
+fn thousands_of_routes_match_like_a_linear_search() -> Result<()> {
     let mut routes = serde_json::Map::new();
     let mut listed = Vec::new();
     for number in 0..3000 {
@@ -99,39 +99,39 @@
     }
     let spec = json!({"functions": {"a": function()}, "routes": routes});
     let view = changed(&document(), spec, "c").view();
-    let table = Table::build(&view)?;
-    let mut chance = Chance::seeded(3);
+    let table = RoutingTable::build(&view)?;
+    let mut rng = SeededRng::seeded(3);
     for _ in 0..300 {
-        let number = chance.below(3300);
-        let path = match chance.below(3) {
+        let number = rng.below(3300);
+        let path = match rng.below(3) {
             0 => format!("/area/{number}/tile"),
             1 => format!("/area/{number}/other"),
             _ => format!("/w/list-{number}"),
         };
         let found = table.route(&Method::POST, "", &path, &"t".into());
         let found = found.map(|found| found.route.spec.name.as_str());
-        verify_that!(found, eq(plain_match(&listed, &path)))?;
+        verify_that!(found, eq(linear_match(&listed, &path)))?;
     }
     verify_that!(table.route(&Method::GET, "", "/area/0/tile", &"t".into()).is_none(), eq(true))
 }
 
 #[gtest]
-fn a_function_made_again_is_another_one() -> Result<()> {
+fn a_recreated_function_has_a_new_generation() -> Result<()> {
     let with_a = json!({"functions": {"a": function()}, "routes": {}});
     let without = json!({"functions": {}, "routes": {}});
     let first = changed(&document(), with_a.clone(), "1");
-    let kept = changed(&first, with_a.clone(), "2");
-    let again = changed(&changed(&kept, without, "3"), with_a, "4");
+    let unchanged = changed(&first, with_a.clone(), "2");
+    let recreated = changed(&changed(&unchanged, without, "3"), with_a, "4");
     let key_of = |held: &Document| {
-        Table::build(&held.view()).map(|table| table.functions()[0].key.to_string())
+        RoutingTable::build(&held.view()).map(|table| table.functions()[0].key.to_string())
     };
     verify_that!(key_of(&first)?, eq("a@2"))?;
-    verify_that!(key_of(&kept)?, eq("a@2"))?;
-    verify_that!(key_of(&again)?, eq("a@5"))
+    verify_that!(key_of(&unchanged)?, eq("a@2"))?;
+    verify_that!(key_of(&recreated)?, eq("a@5"))
 }
 
 #[gtest]
-fn changes_lead_to_the_same_view_or_are_not_believed() -> Result<()> {
+fn deltas_reproduce_the_view_or_are_rejected() -> Result<()> {
     let old_document = document();
     let spec = json!({"functions": {"a": function()}, "routes": {"r": route("/r", "a")}});
     let new_document = changed(&old_document, spec, "c1").with_zone(
@@ -140,29 +140,31 @@
         ChangeId::from("c2"),
     );
     let (old_view, new_view) = (old_document.view(), new_document.view());
-    let patch = old_view.change_to(&new_view);
+    let patch = old_view.delta_to(&new_view);
     verify_that!(old_view.changed(&patch, &new_view.digest())? == new_view, eq(true))?;
     verify_that!(old_view.changed(&patch, &[0; 32]).is_err(), eq(true))?;
     let other_base = old_document.with_zone(Zone::from("south"), true, ChangeId::from("c3")).view();
     verify_that!(other_base.changed(&patch, &new_view.digest()).is_err(), eq(true))?;
-    let read_again = View::from_bytes(&new_view.to_bytes())?;
-    verify_that!(read_again == new_view, eq(true))?;
+    let decoded = DaemonView::from_bytes(&new_view.to_bytes())?;
+    verify_that!(decoded == new_view, eq(true))?;
     verify_that!(Document::from_bytes(&new_document.to_bytes())? == new_document, eq(true))?;
-    verify_that!(new_view.serial, eq(Serial(3)))
+    verify_that!(new_view.version, eq(Version(3)))
 }
 
 #[gtest]
-fn boot_faults_name_source_key_and_reason() -> Result<()> {
-    let source = BootSource::from_value(
+fn settings_errors_name_source_key_and_reason() -> Result<()> {
+    let source = SettingsSource::from_value(
         "file.json",
         json!({"seeds": ["127.0.0.1:1", "nowhere:2", "127.0.0.1:3"]}),
     );
-    let fault = source.read(|root| read_places(&root.field("seeds"), 1..=3)).expect_err("a fault");
+    let error =
+        source.read(|root| read_addresses(&root.field("seeds"), 1..=3)).expect_err("a fault");
     verify_that!(
-        fault.to_string(),
+        error.to_string(),
         eq("file.json: seeds.1 is not an IP number with port: \"nowhere:2\"")
     )?;
-    let short = BootSource::from_value("file.json", json!({"seeds": []}));
-    let fault = short.read(|root| read_places(&root.field("seeds"), 1..=3)).expect_err("a fault");
-    verify_that!(fault.to_string(), eq("file.json: seeds needs 1 to 3 addresses"))
+    let short = SettingsSource::from_value("file.json", json!({"seeds": []}));
+    let error =
+        short.read(|root| read_addresses(&root.field("seeds"), 1..=3)).expect_err("a fault");
+    verify_that!(error.to_string(), eq("file.json: seeds needs 1 to 3 addresses"))
 }
--- a/crates/common/tests/wire_forms.rs
+++ b/crates/common/tests/wire_forms.rs
@@ -13,10 +13,10 @@
 mod stream_frames;
 
 use common::frames::{
-    Channel, Heartbeat, Many, StreamUp, Suspicion, append_frame, decode_heartbeat, dial,
-    encode_heartbeat, read_channel, read_frame, write_channel,
+    Channel, DaemonToLeader, Heartbeat, LengthPrefixed, Suspicion, append_frame, decode_heartbeat,
+    dial, encode_heartbeat, read_channel, read_frame, write_channel,
 };
-use common::identity::Serial;
+use common::identity::Version;
 use common::seal::hex;
 use forms::{Form, held_forms, hold};
 use googletest::prelude::*;
@@ -31,10 +31,10 @@
 const HEARTBEATS: &str = "heartbeats.txt";
 
 fn all_lines() -> Vec<Line> {
-    let mut lines = core_frames::lines();
-    lines.extend(stream_frames::lines());
-    lines.extend(hop_frames::lines());
-    lines
+    let mut header_fields = core_frames::header_fields();
+    header_fields.extend(stream_frames::header_fields());
+    header_fields.extend(hop_frames::header_fields());
+    header_fields
 }
 
 fn bytes_of(hex_text: &str) -> Vec<u8> {
@@ -48,21 +48,24 @@
 
 #[gtest]
 fn every_frame_has_the_bytes_it_always_had() -> Result<()> {
-    let forms: Vec<Form> = all_lines().iter().map(|line| form(&line.name, &line.made.0)).collect();
+    let forms: Vec<Form> = all_lines()
+        .iter()
+        .map(|header_field| form(&header_field.name, &header_field.made.0))
+        .collect();
     hold(FRAMES, &forms)
 }
 
 #[gtest]
 fn every_frame_is_read_from_the_bytes_it_always_had() -> Result<()> {
     let held = held_forms(FRAMES)?;
-    let lines = all_lines();
-    verify_that!(held.len(), eq(lines.len()))?;
-    for (held_form, line) in held.iter().zip(lines) {
-        verify_that!(held_form.name, eq(&line.name))?;
+    let header_fields = all_lines();
+    verify_that!(held.len(), eq(header_fields.len()))?;
+    for (held_form, header_field) in held.iter().zip(header_fields) {
+        verify_that!(held_form.name, eq(&header_field.name))?;
         let held_bytes = bytes_of(&held_form.text);
-        let (written_bytes, told) = (line.reread)(&held_bytes)?;
-        verify_that!(written_bytes == held_bytes, eq(true)).failure_message(&line.name)?;
-        verify_that!(told, eq(&line.made.1)).failure_message(&line.name)?;
+        let (written_bytes, told) = (header_field.reload)(&held_bytes)?;
+        verify_that!(written_bytes == held_bytes, eq(true)).failure_message(&header_field.name)?;
+        verify_that!(told, eq(&header_field.made.1)).failure_message(&header_field.name)?;
     }
     Ok(())
 }
@@ -98,12 +101,12 @@
 }
 
 kinds!(CHANNELS, channel_kind, Channel, {
-    Channel::Core => "opening/core",
+    Channel::Consensus => "opening/core",
     Channel::Stream => "opening/stream",
-    Channel::Hop => "opening/hop",
+    Channel::Daemons => "opening/hop",
 });
 
-const ALL_CHANNELS: [Channel; 3] = [Channel::Core, Channel::Stream, Channel::Hop];
+const ALL_CHANNELS: [Channel; 3] = [Channel::Consensus, Channel::Stream, Channel::Daemons];
 
 /// What comes first on a dialed connection.
 async fn dialed_bytes(channel: Channel) -> Vec<u8> {
@@ -130,8 +133,8 @@
         forms.push(form(channel_kind(&channel), &written_bytes));
     }
     let mut framed_bytes = Vec::new();
-    append_frame(&mut framed_bytes, &StreamUp::Leaving).expect("a frame");
-    append_frame(&mut framed_bytes, &StreamUp::Installed { serial: Serial(long(0x10)) })
+    append_frame(&mut framed_bytes, &DaemonToLeader::Leaving).expect("a frame");
+    append_frame(&mut framed_bytes, &DaemonToLeader::Installed { version: Version(long(0x10)) })
         .expect("a frame");
     forms.push(form("two-frames", &framed_bytes));
     hold(OPENINGS, &forms).expect("held");
@@ -149,10 +152,12 @@
     let two_frames = held.iter().find(|form| form.name == "two-frames").expect("held");
     let held_bytes = bytes_of(&two_frames.text);
     let mut reader = held_bytes.as_slice();
-    let first = read_frame::<_, StreamUp>(&mut reader).await.expect("a frame");
-    assert!(matches!(first, StreamUp::Leaving));
-    let second = read_frame::<_, StreamUp>(&mut reader).await.expect("a frame");
-    assert!(matches!(second, StreamUp::Installed { serial } if serial == Serial(long(0x10))));
+    let first = read_frame::<_, DaemonToLeader>(&mut reader).await.expect("a frame");
+    assert!(matches!(first, DaemonToLeader::Leaving));
+    let second = read_frame::<_, DaemonToLeader>(&mut reader).await.expect("a frame");
+    assert!(
+        matches!(second, DaemonToLeader::Installed { version } if version == Version(long(0x10)))
+    );
     assert!(reader.is_empty());
 }
 
@@ -161,11 +166,11 @@
         member: "daemon-1".into(),
         incarnation: long(0x10).into(),
         count: long(0x18),
-        suspicions: Many(suspicions),
+        suspicions: LengthPrefixed(suspicions),
     };
     let suspicions = vec![
-        Suspicion { life: member_life(2), tellings: 0x21 },
-        Suspicion { life: member_life(3), tellings: 0 },
+        Suspicion { instance: member_life(2), remaining_relays: 0x21 },
+        Suspicion { instance: member_life(3), remaining_relays: 0 },
     ];
     [("heartbeat/calm", heartbeat(Vec::new())), ("heartbeat/suspecting", heartbeat(suspicions))]
 }
--- a/crates/common/tests/wire_forms/core_frames.rs
+++ b/crates/common/tests/wire_forms/core_frames.rs
@@ -1,112 +1,139 @@
 //! Samples of what controllers say to each other.
 
 use crate::kinds::kinds;
-use crate::parts::{Line, line, long, place, stamp};
-use common::frames::{CoreBody, CoreFrame, Flag, KnownMember, Many, Place};
+use crate::parts::{Line, address, document_version, header_field, long};
+use common::frames::{
+    ConsensusFrame, ConsensusMessage, Flag, KnownMember, LengthPrefixed, SocketAddress,
+};
 use common::identity::{ControllerId, Term};
 
-kinds!(CORE, core_kind, CoreBody, {
-    CoreBody::Hello { .. } => "core/hello",
-    CoreBody::Found { .. } => "core/found",
-    CoreBody::VoteAsk { .. } => "core/vote-ask",
-    CoreBody::VoteReply { .. } => "core/vote-reply",
-    CoreBody::Round { .. } => "core/round",
-    CoreBody::RoundReply { .. } => "core/round-reply",
-    CoreBody::Accept { .. } => "core/accept",
-    CoreBody::AcceptChange { .. } => "core/accept-change",
-    CoreBody::AskWhole { .. } => "core/ask-whole",
-    CoreBody::Named { .. } => "core/named",
-    CoreBody::Accepted { .. } => "core/accepted",
+kinds!(CORE, core_kind, ConsensusMessage, {
+    ConsensusMessage::Hello { .. } => "core/hello",
+    ConsensusMessage::Bootstrap { .. } => "core/found",
+    ConsensusMessage::VoteRequest { .. } => "core/vote-ask",
+    ConsensusMessage::VoteResponse { .. } => "core/vote-reply",
+    ConsensusMessage::Heartbeat { .. } => "core/round",
+    ConsensusMessage::HeartbeatResponse { .. } => "core/round-reply",
+    ConsensusMessage::AcceptFull { .. } => "core/accept",
+    ConsensusMessage::AcceptDelta { .. } => "core/accept-change",
+    ConsensusMessage::SnapshotRequest { .. } => "core/ask-whole",
+    ConsensusMessage::VoterAddresses { .. } => "core/named",
+    ConsensusMessage::Accepted { .. } => "core/accepted",
 });
 
-fn known_members() -> Many<KnownMember> {
+fn known_members() -> LengthPrefixed<KnownMember> {
     let known = |number: u8| KnownMember {
         member: format!("daemon-{number}").into(),
         incarnation: long(number).into(),
-        place: place(number),
+        address: address(number),
     };
-    Many(vec![known(1), known(2)])
+    LengthPrefixed(vec![known(1), known(2)])
 }
 
-fn in_frame(body: CoreBody) -> CoreFrame {
-    CoreFrame {
+fn in_frame(body: ConsensusMessage) -> ConsensusFrame {
+    ConsensusFrame {
         from: ControllerId(long(0xe0)),
-        place: place(201),
-        operators: place(203),
+        address: address(201),
+        operators: address(203),
         zone: "zone-\u{e9}".into(),
         body,
     }
 }
 
 /// The rest of a line's name, where a kind has several, and what is said.
-type Sample = (&'static str, CoreBody);
+type Sample = (&'static str, ConsensusMessage);
 
 fn votes(term: Term) -> [Sample; 4] {
-    let ask = |trial| CoreBody::VoteAsk { term, accepted: stamp(0x20), trial: Flag(trial) };
-    let trial_reply = CoreBody::VoteReply {
+    let request = |is_pre_vote| ConsensusMessage::VoteRequest {
         term,
-        asked: Term(long(0x18)),
-        trial: Flag(true),
-        given: Flag(false),
-        members: Many(Vec::new()),
-        whole: Flag(false),
+        accepted: document_version(0x20),
+        is_pre_vote: Flag(is_pre_vote),
     };
-    let vote_given = CoreBody::VoteReply {
+    let trial_reply = ConsensusMessage::VoteResponse {
         term,
-        asked: Term(long(0x18)),
-        trial: Flag(false),
-        given: Flag(true),
+        requested_term: Term(long(0x18)),
+        is_pre_vote: Flag(true),
+        granted: Flag(false),
+        members: LengthPrefixed(Vec::new()),
+        complete: Flag(false),
+    };
+    let vote_given = ConsensusMessage::VoteResponse {
+        term,
+        requested_term: Term(long(0x18)),
+        is_pre_vote: Flag(false),
+        granted: Flag(true),
         members: known_members(),
-        whole: Flag(false),
+        complete: Flag(false),
     };
-    [("", ask(false)), ("/trial", ask(true)), ("/trial", trial_reply), ("/given", vote_given)]
+    [
+        ("", request(false)),
+        ("/trial", request(true)),
+        ("/trial", trial_reply),
+        ("/given", vote_given),
+    ]
 }
 
 fn rounds(term: Term) -> [Sample; 3] {
-    let round = |members, whole| CoreBody::Round {
+    let round = |members, complete| ConsensusMessage::Heartbeat {
         term,
         round: long(0x18),
-        accepted: stamp(0x20),
-        committed: stamp(0x30),
+        accepted: document_version(0x20),
+        committed: document_version(0x30),
         members,
-        whole: Flag(whole),
+        complete: Flag(complete),
     };
-    let reply = CoreBody::RoundReply { term, round: long(0x18), accepted: stamp(0x20) };
-    [("", round(known_members(), true)), ("/nobody", round(Many(Vec::new()), false)), ("", reply)]
+    let reply = ConsensusMessage::HeartbeatResponse {
+        term,
+        round: long(0x18),
+        accepted: document_version(0x20),
+    };
+    [
+        ("", round(known_members(), true)),
+        ("/nobody", round(LengthPrefixed(Vec::new()), false)),
+        ("", reply),
+    ]
 }
 
 fn versions(term: Term) -> [Sample; 4] {
-    let change = CoreBody::AcceptChange {
+    let delta = ConsensusMessage::AcceptDelta {
         term,
-        base: stamp(0x20),
-        stamp: stamp(0x30),
-        change: b"{\"change\":1}".to_vec().into(),
+        base: document_version(0x20),
+        document_version: document_version(0x30),
+        delta: b"{\"change\":1}".to_vec().into(),
         digest: (0x80..0xa0).collect::<Vec<u8>>().into(),
     };
     [
         (
             "",
-            CoreBody::Accept {
+            ConsensusMessage::AcceptFull {
                 term,
-                stamp: stamp(0x20),
+                document_version: document_version(0x20),
                 document: b"{\"spec\":2}".to_vec().into(),
             },
         ),
-        ("", change),
-        ("", CoreBody::AskWhole { term, accepted: stamp(0x20) }),
-        ("", CoreBody::Accepted { term, stamp: stamp(0x20) }),
+        ("", delta),
+        ("", ConsensusMessage::SnapshotRequest { term, accepted: document_version(0x20) }),
+        ("", ConsensusMessage::Accepted { term, document_version: document_version(0x20) }),
     ]
 }
 
 fn samples() -> Vec<Sample> {
     let term = Term(long(0x10));
-    let hello =
-        |passes_on| CoreBody::Hello { accepted: stamp(0x20), term, passes_on: Flag(passes_on) };
+    let hello = |diskless| ConsensusMessage::Hello {
+        accepted: document_version(0x20),
+        term,
+        diskless: Flag(diskless),
+    };
     let mut samples = vec![
         ("", hello(false)),
         ("/passes-on", hello(true)),
-        ("", CoreBody::Found { document: b"{\"spec\":1}".to_vec().into() }),
-        ("", CoreBody::Named { places: Many(vec![place(4), place(5), Place::NOWHERE]) }),
+        ("", ConsensusMessage::Bootstrap { document: b"{\"spec\":1}".to_vec().into() }),
+        (
+            "",
+            ConsensusMessage::VoterAddresses {
+                addresses: LengthPrefixed(vec![address(4), address(5), SocketAddress::UNSPECIFIED]),
+            },
+        ),
     ];
     samples.extend(votes(term));
     samples.extend(rounds(term));
@@ -115,10 +142,10 @@
 }
 
 /// All lines of this channel.
-pub fn lines() -> Vec<Line> {
+pub fn header_fields() -> Vec<Line> {
     let as_line = |(rest, body): Sample| {
         let name = format!("{}{rest}", core_kind(&body));
-        line(name, &in_frame(body))
+        header_field(name, &in_frame(body))
     };
     samples().into_iter().map(as_line).collect()
 }
--- a/crates/common/tests/wire_forms/hop_frames.rs
+++ b/crates/common/tests/wire_forms/hop_frames.rs
@@ -1,138 +1,155 @@
 //! Samples of what daemons say to each other: transactions, outcomes, ledger notes.
 
 use crate::kinds::kinds;
-use crate::parts::{Line, function, grant, host, line, long, runner, short};
+use crate::parts::{Line, fencing_token, function, header_field, host, long, runner, short};
 use common::frames::{
-    Flag, HeadLine, HopBody, HopFrame, HopOutcome, HopReason, LedgerNote, Many, NoteState, Parcel,
+    DaemonFrame, DaemonMessage, Flag, HeaderField, LedgerRecord, LedgerRecordState, LengthPrefixed,
+    RequestFailureReason, RequestOutcome, RequestPayload,
 };
-use common::identity::{CorrelationId, Serial};
-
-kinds!(HOP, hop_kind, HopBody, {
-    HopBody::Ask { .. } => "hop/ask",
-    HopBody::Done { .. } => "hop/done",
-    HopBody::Note { .. } => "hop/note",
-    HopBody::Noted { .. } => "hop/noted",
-    HopBody::Collect { .. } => "hop/collect",
-    HopBody::Collected { .. } => "hop/collected",
-    HopBody::Compare { .. } => "hop/compare",
-    HopBody::Differs { .. } => "hop/differs",
+use common::identity::{CorrelationId, Version};
+
+kinds!(HOP, hop_kind, DaemonMessage, {
+    DaemonMessage::FunctionRequest { .. } => "hop/ask",
+    DaemonMessage::Completed { .. } => "hop/done",
+    DaemonMessage::Record { .. } => "hop/note",
+    DaemonMessage::Recorded { .. } => "hop/noted",
+    DaemonMessage::Collect { .. } => "hop/collect",
+    DaemonMessage::Collected { .. } => "hop/collected",
+    DaemonMessage::Compare { .. } => "hop/compare",
+    DaemonMessage::Differs { .. } => "hop/differs",
 });
 
-kinds!(OUTCOMES, outcome_kind, HopOutcome, {
-    HopOutcome::Answer { .. } => "answer",
-    HopOutcome::NotRun { .. } => "not-run",
-    HopOutcome::Unknown { .. } => "unknown",
+kinds!(OUTCOMES, outcome_kind, RequestOutcome, {
+    RequestOutcome::Response { .. } => "answer",
+    RequestOutcome::NotRun { .. } => "not-run",
+    RequestOutcome::Unknown { .. } => "unknown",
 });
 
-kinds!(REASONS, reason_kind, HopReason, {
-    HopReason::NotHolder => "not-holder",
-    HopReason::InboxFull => "inbox-full",
-    HopReason::BudgetTooShort => "budget-too-short",
-    HopReason::NotServing => "not-serving",
-    HopReason::NoRunner => "no-runner",
-    HopReason::TriesSpent => "tries-spent",
-    HopReason::RunnerShed => "runner-shed",
-    HopReason::NotAllowed => "not-allowed",
-    HopReason::ShedBefore => "shed-before",
-    HopReason::UnderWay => "under-way",
-    HopReason::AnswerLost => "answer-lost",
-    HopReason::HolderSilent => "holder-silent",
-    HopReason::NoOwner => "no-owner",
-    HopReason::OnceWait => "once-wait",
-    HopReason::RanBefore => "ran-before",
-    HopReason::LedgerSilent => "ledger-silent",
+kinds!(REASONS, reason_kind, RequestFailureReason, {
+    RequestFailureReason::NotHolder => "not-holder",
+    RequestFailureReason::QueueFull => "inbox-full",
+    RequestFailureReason::DeadlineTooShort => "budget-too-short",
+    RequestFailureReason::NotServing => "not-serving",
+    RequestFailureReason::NoRunnerAvailable => "no-runner",
+    RequestFailureReason::RetryBudgetSpent => "tries-spent",
+    RequestFailureReason::RejectedByRunner => "runner-shed",
+    RequestFailureReason::NotAllowed => "not-allowed",
+    RequestFailureReason::RejectedBefore => "shed-before",
+    RequestFailureReason::InProgress => "under-way",
+    RequestFailureReason::ResponseLost => "answer-lost",
+    RequestFailureReason::HolderUnreachable => "holder-silent",
+    RequestFailureReason::NoOwner => "no-owner",
+    RequestFailureReason::OnceNotYetAdmitted => "once-wait",
+    RequestFailureReason::AlreadyRan => "ran-before",
+    RequestFailureReason::LedgerUnreachable => "ledger-silent",
 });
 
-kinds!(STATES, state_kind, NoteState, {
-    NoteState::Noted => "noted",
-    NoteState::Answered => "answered",
-    NoteState::Unknown => "unknown",
-    NoteState::Refused => "refused",
+kinds!(STATES, state_kind, LedgerRecordState, {
+    LedgerRecordState::Recorded => "noted",
+    LedgerRecordState::Answered => "answered",
+    LedgerRecordState::Unknown => "unknown",
+    LedgerRecordState::Rejected => "refused",
 });
 
 /// Every reason; that none is missing is seen in the fixture by `REASONS`.
-pub const ALL_REASONS: [HopReason; 16] = [
-    HopReason::NotHolder,
-    HopReason::InboxFull,
-    HopReason::BudgetTooShort,
-    HopReason::NotServing,
-    HopReason::NoRunner,
-    HopReason::TriesSpent,
-    HopReason::RunnerShed,
-    HopReason::NotAllowed,
-    HopReason::ShedBefore,
-    HopReason::UnderWay,
-    HopReason::AnswerLost,
-    HopReason::HolderSilent,
-    HopReason::NoOwner,
-    HopReason::OnceWait,
-    HopReason::RanBefore,
-    HopReason::LedgerSilent,
+pub const ALL_REASONS: [RequestFailureReason; 16] = [
+    RequestFailureReason::NotHolder,
+    RequestFailureReason::QueueFull,
+    RequestFailureReason::DeadlineTooShort,
+    RequestFailureReason::NotServing,
+    RequestFailureReason::NoRunnerAvailable,
+    RequestFailureReason::RetryBudgetSpent,
+    RequestFailureReason::RejectedByRunner,
+    RequestFailureReason::NotAllowed,
+    RequestFailureReason::RejectedBefore,
+    RequestFailureReason::InProgress,
+    RequestFailureReason::ResponseLost,
+    RequestFailureReason::HolderUnreachable,
+    RequestFailureReason::NoOwner,
+    RequestFailureReason::OnceNotYetAdmitted,
+    RequestFailureReason::AlreadyRan,
+    RequestFailureReason::LedgerUnreachable,
 ];
 
-const ALL_STATES: [NoteState; 4] =
-    [NoteState::Noted, NoteState::Answered, NoteState::Unknown, NoteState::Refused];
+const ALL_STATES: [LedgerRecordState; 4] = [
+    LedgerRecordState::Recorded,
+    LedgerRecordState::Answered,
+    LedgerRecordState::Unknown,
+    LedgerRecordState::Rejected,
+];
 
-fn head_lines() -> Many<HeadLine> {
+fn head_lines() -> LengthPrefixed<HeaderField> {
     let head_line =
-        |name: &str, value: &[u8]| HeadLine { name: name.into(), value: value.to_vec().into() };
-    Many(vec![head_line("host", b"segments.internal"), head_line("x-raw", &[0xff, 0x00, 0x20])])
+        |name: &str, value: &[u8]| HeaderField { name: name.into(), value: value.to_vec().into() };
+    LengthPrefixed(vec![
+        head_line("host", b"segments.internal"),
+        head_line("x-raw", &[0xff, 0x00, 0x20]),
+    ])
 }
 
-fn parcel() -> Parcel {
-    Parcel {
+fn payload() -> RequestPayload {
+    RequestPayload {
         method: "PATCH".into(),
         target: "/segments/7?deep=yes".into(),
-        lines: head_lines(),
+        header_fields: head_lines(),
         body: b"{\"asked\":true}".to_vec().into(),
     }
 }
 
-fn ask(repeat: bool, refer: bool, region: &str) -> HopBody {
+fn request(repeat: bool, wants_referral: bool, region: &str) -> DaemonMessage {
     let whole_key = function();
-    HopBody::Ask {
-        transaction: "try-1".into(),
+    DaemonMessage::FunctionRequest {
+        idempotency_key: "try-1".into(),
         function: whole_key.in_region(&region.into()),
         route: "segment-check-post".into(),
-        serial: Serial(long(0x40)),
-        budget_ms: short(0x48),
+        version: Version(long(0x40)),
+        timeout_ms: short(0x48),
         hops: 0x4c,
         repeat: Flag(repeat),
-        refer: Flag(refer),
+        wants_referral: Flag(wants_referral),
         region: format!("caller-{region}").into(),
-        parcel: parcel(),
+        payload: payload(),
     }
 }
 
-fn note(number: u8, state: NoteState) -> LedgerNote {
-    LedgerNote {
-        transaction: format!("try-{number}").into(),
+fn record(number: u8, state: LedgerRecordState) -> LedgerRecord {
+    LedgerRecord {
+        idempotency_key: format!("try-{number}").into(),
         state,
-        left_ms: short(0xa0 + number * 4),
+        remaining_ms: short(0xa0 + number * 4),
     }
 }
 
-fn done(outcome: HopOutcome) -> HopBody {
-    HopBody::Done { outcome, holder: Many(vec![host(3, true)]), regional_tenths: 0x1d }
+fn done(outcome: RequestOutcome) -> DaemonMessage {
+    DaemonMessage::Completed {
+        outcome,
+        holder: LengthPrefixed(vec![host(3, true)]),
+        regional_tenths: 0x1d,
+    }
 }
 
 /// The rest of a line's name, and what is said.
-type Sample = (String, HopBody);
+type Sample = (String, DaemonMessage);
 
 fn outcomes() -> Vec<Sample> {
-    let answer = HopOutcome::Answer {
+    let answer = RequestOutcome::Response {
         status: 0x0123,
         seal: (0xc0..0xe0).collect::<Vec<u8>>().into(),
         runner: runner(0x58),
-        lines: head_lines(),
+        header_fields: head_lines(),
         body: b"{\"answered\":true}".to_vec().into(),
     };
-    let bare_answer =
-        HopBody::Done { outcome: answer.clone(), holder: Many(Vec::new()), regional_tenths: 0 };
-    let not_run = |reason: HopReason| done(HopOutcome::NotRun { reason, retry_ms: short(0x5a) });
-    let unknown = |reason: HopReason| done(HopOutcome::Unknown { reason });
-    let name = |body: &HopBody, rest: &str| match body {
-        HopBody::Done { outcome, .. } => format!("/{}/{rest}", outcome_kind(outcome)),
+    let bare_answer = DaemonMessage::Completed {
+        outcome: answer.clone(),
+        holder: LengthPrefixed(Vec::new()),
+        regional_tenths: 0,
+    };
+    let not_run = |reason: RequestFailureReason| {
+        done(RequestOutcome::NotRun { reason, retry_after_ms: short(0x5a) })
+    };
+    let unknown = |reason: RequestFailureReason| done(RequestOutcome::Unknown { reason });
+    let name = |body: &DaemonMessage, rest: &str| match body {
+        DaemonMessage::Completed { outcome, .. } => format!("/{}/{rest}", outcome_kind(outcome)),
         _ => format!("/{rest}"),
     };
     let answers = [("by-another", done(answer)), ("by-itself", bare_answer)];
@@ -144,58 +161,74 @@
 
 fn ledger() -> Vec<Sample> {
     let incarnation = long(0x90).into();
-    let note_of = |state: NoteState| HopBody::Note {
+    let note_of = |state: LedgerRecordState| DaemonMessage::Record {
         function: function(),
-        grant: grant(),
+        fencing_token: fencing_token(),
         incarnation,
-        notes: Many(vec![note(1, state)]),
+        records: LengthPrefixed(vec![record(1, state)]),
     };
-    let notes: Vec<LedgerNote> = (1..).zip(ALL_STATES).map(|(n, state)| note(n, state)).collect();
-    let collected = |whole| HopBody::Collected { whole: Flag(whole), notes: Many(notes.clone()) };
-    let digests = Many(vec![long(0xb0), 0, long(0xb8)]);
+    let records: Vec<LedgerRecord> =
+        (1..).zip(ALL_STATES).map(|(n, state)| record(n, state)).collect();
+    let collected = |complete| DaemonMessage::Collected {
+        complete: Flag(complete),
+        records: LengthPrefixed(records.clone()),
+    };
+    let digests = LengthPrefixed(vec![long(0xb0), 0, long(0xb8)]);
     let mut samples: Vec<Sample> = ALL_STATES
         .into_iter()
         .map(|state| (format!("/{}", state_kind(&state)), note_of(state)))
         .collect();
     samples.extend([
-        ("/yes".to_owned(), HopBody::Noted { kept: Flag(true) }),
-        ("/no".to_owned(), HopBody::Noted { kept: Flag(false) }),
-        (String::new(), HopBody::Collect { function: function(), grant: grant(), incarnation }),
+        ("/yes".to_owned(), DaemonMessage::Recorded { is_stored: Flag(true) }),
+        ("/no".to_owned(), DaemonMessage::Recorded { is_stored: Flag(false) }),
+        (
+            String::new(),
+            DaemonMessage::Collect {
+                function: function(),
+                fencing_token: fencing_token(),
+                incarnation,
+            },
+        ),
         ("/whole".to_owned(), collected(true)),
         ("/part".to_owned(), collected(false)),
         (
             String::new(),
-            HopBody::Compare { function: function(), grant: grant(), incarnation, digests },
+            DaemonMessage::Compare {
+                function: function(),
+                fencing_token: fencing_token(),
+                incarnation,
+                digests,
+            },
         ),
-        (String::new(), HopBody::Differs { ranges: Many(vec![0, 0x7f, 0xff]) }),
+        (String::new(), DaemonMessage::Differs { ranges: LengthPrefixed(vec![0, 0x7f, 0xff]) }),
     ]);
     samples
 }
 
 /// All lines of this channel.
-pub fn lines() -> Vec<Line> {
-    let bare_ask = HopBody::Ask {
-        transaction: "".into(),
+pub fn header_fields() -> Vec<Line> {
+    let bare_ask = DaemonMessage::FunctionRequest {
+        idempotency_key: "".into(),
         function: function(),
         route: "".into(),
-        serial: Serial(0),
-        budget_ms: 0,
+        version: Version(0),
+        timeout_ms: 0,
         hops: 0,
         repeat: Flag(false),
-        refer: Flag(false),
+        wants_referral: Flag(false),
         region: "".into(),
-        parcel: Parcel::of_body(b"bare".to_vec().into()),
+        payload: RequestPayload::from_body(b"bare".to_vec().into()),
     };
     let mut samples: Vec<Sample> = vec![
-        ("/repeat".to_owned(), ask(true, false, "east")),
-        ("/refer".to_owned(), ask(false, true, "w\u{eb}st")),
+        ("/repeat".to_owned(), request(true, false, "east")),
+        ("/refer".to_owned(), request(false, true, "w\u{eb}st")),
         ("/bare".to_owned(), bare_ask),
     ];
     samples.extend(outcomes());
     samples.extend(ledger());
     let as_line = |(rest, body): Sample| {
         let name = format!("{}{rest}", hop_kind(&body));
-        line(name, &HopFrame { correlation: CorrelationId(long(0x08)), body })
+        header_field(name, &DaemonFrame { correlation: CorrelationId(long(0x08)), body })
     };
     samples.into_iter().map(as_line).collect()
 }
--- a/crates/common/tests/wire_forms/parts.rs
+++ b/crates/common/tests/wire_forms/parts.rs
@@ -3,9 +3,10 @@
 use binrw::meta::{ReadEndian, WriteEndian};
 use binrw::{BinRead, BinWrite};
 use common::frames::{
-    ClaimRunner, Flag, FrameFault, Host, Life, Many, MemberLife, Place, decode, encode,
+    ClaimedRunner, Flag, FrameError, Host, Instance, LengthPrefixed, MemberIncarnation,
+    SocketAddress, decode, encode,
 };
-use common::identity::{FunctionKey, GrantSerial, RunnerId, Serial, Stamp, Term};
+use common::identity::{DocumentVersion, FencingToken, FunctionKey, RunnerId, Term, Version};
 use std::fmt::Debug;
 
 /// What a frame reads as: its bytes when it is written again, and what it says.
@@ -18,10 +19,10 @@
     /// Its bytes, and what it says.
     pub made: Reread,
     /// Reads a frame of its kind.
-    pub reread: fn(&[u8]) -> Result<Reread, FrameFault>,
+    pub reload: fn(&[u8]) -> Result<Reread, FrameError>,
 }
 
-fn written<T>(frame: &T) -> Result<Reread, FrameFault>
+fn written<T>(frame: &T) -> Result<Reread, FrameError>
 where
     T: Debug + for<'a> BinWrite<Args<'a> = ()> + WriteEndian,
 {
@@ -29,7 +30,7 @@
 }
 
 /// A line of a frame.
-pub fn line<T>(name: impl Into<String>, frame: &T) -> Line
+pub fn header_field<T>(name: impl Into<String>, frame: &T) -> Line
 where
     T: Debug
         + for<'a> BinWrite<Args<'a> = ()>
@@ -40,7 +41,7 @@
     Line {
         name: name.into(),
         made: written(frame).expect("a frame as bytes"),
-        reread: |frame_bytes| written(&decode::<T>(frame_bytes)?),
+        reload: |frame_bytes| written(&decode::<T>(frame_bytes)?),
     }
 }
 
@@ -55,23 +56,25 @@
 }
 
 /// A place with the number in every part of it.
-pub fn place(number: u8) -> Place {
-    Place(format!("10.{number}.0.{}:{}", number + 1, 4000 + u16::from(number)).parse().expect("it"))
+pub fn address(number: u8) -> SocketAddress {
+    SocketAddress(
+        format!("10.{number}.0.{}:{}", number + 1, 4000 + u16::from(number)).parse().expect("it"),
+    )
 }
 
 /// A version's place.
-pub fn stamp(first: u8) -> Stamp {
-    Stamp { term: Term(long(first)), serial: Serial(long(first + 8)) }
+pub fn document_version(first: u8) -> DocumentVersion {
+    DocumentVersion { term: Term(long(first)), version: Version(long(first + 8)) }
 }
 
 /// A function's key for the callers of all regions.
 pub fn function() -> FunctionKey {
-    FunctionKey::new("segment-check", Serial(long(0x60)))
+    FunctionKey::new("segment-check", Version(long(0x60)))
 }
 
 /// A grant.
-pub fn grant() -> GrantSerial {
-    GrantSerial::of(Term(0x51), 0x5253)
+pub fn fencing_token() -> FencingToken {
+    FencingToken::of(Term(0x51), 0x5253)
 }
 
 /// A daemon.
@@ -80,43 +83,46 @@
         member: format!("daemon-{number}").into(),
         incarnation: long(number).into(),
         zone: format!("zone-{number}").into(),
-        place: place(number),
+        address: address(number),
         eligible: Flag(is_eligible),
         link_mbps: short(number + 8),
     }
 }
 
 /// One life of a daemon.
-pub fn member_life(number: u8) -> MemberLife {
-    MemberLife { member: format!("daemon-{number}").into(), incarnation: long(number).into() }
+pub fn member_life(number: u8) -> MemberIncarnation {
+    MemberIncarnation {
+        member: format!("daemon-{number}").into(),
+        incarnation: long(number).into(),
+    }
 }
 
 /// A runner's name.
 pub fn runner(ordinal: u8) -> RunnerId {
-    RunnerId { grant: grant(), ordinal: long(ordinal) }
+    RunnerId { fencing_token: fencing_token(), ordinal: long(ordinal) }
 }
 
 /// One life of a runner.
-pub fn life(number: u8) -> Life {
-    Life { name: format!("life-{number}.r-51-{number:x}").into(), place: place(number) }
+pub fn instance(number: u8) -> Instance {
+    Instance { name: format!("life-{number}.r-51-{number:x}").into(), address: address(number) }
 }
 
 /// Two runners of a claim: one that is ready and fit, and one of which little is known.
-pub fn claim_runners() -> Many<ClaimRunner> {
-    Many(vec![
-        ClaimRunner {
+pub fn claim_runners() -> LengthPrefixed<ClaimedRunner> {
+    LengthPrefixed(vec![
+        ClaimedRunner {
             runner: runner(0x70),
             worker: "worker-7".into(),
             memory_mb: short(0x74),
-            life: Many(vec![life(7)]),
-            fit: Flag(true),
+            instance: LengthPrefixed(vec![instance(7)]),
+            is_adoptable: Flag(true),
         },
-        ClaimRunner {
+        ClaimedRunner {
             runner: runner(0x78),
             worker: "w\u{f6}rker-8".into(),
             memory_mb: 192,
-            life: Many(Vec::new()),
-            fit: Flag(false),
+            instance: LengthPrefixed(Vec::new()),
+            is_adoptable: Flag(false),
         },
     ])
 }
--- a/crates/common/tests/wire_forms/stream_frames.rs
+++ b/crates/common/tests/wire_forms/stream_frames.rs
@@ -3,109 +3,115 @@
 use crate::hop_frames::{ALL_REASONS, reason_kind};
 use crate::kinds::kinds;
 use crate::parts::{
-    Line, claim_runners, function, grant, host, life, line, long, member_life, place, runner, short,
+    Line, address, claim_runners, fencing_token, function, header_field, host, instance, long,
+    member_life, runner, short,
 };
 use common::frames::{
-    AcquireResult, Claim, Flag, IdleFunction, Many, Place, Prior, ReserveResult, RunnerNews,
-    StreamDown, StreamUp,
+    AcquireResult, Claim, DaemonToLeader, Flag, IdleFunction, LeaderToDaemon, LengthPrefixed,
+    PreviousLease, ReserveResult, RunnerStatus, SocketAddress,
 };
-use common::identity::{CorrelationId, GrantSerial, Serial, Term};
+use common::identity::{CorrelationId, FencingToken, Term, Version};
 
-kinds!(UP, up_kind, StreamUp, {
-    StreamUp::Hello { .. } => "stream-up/hello",
-    StreamUp::Claims { .. } => "stream-up/claims",
-    StreamUp::Renew { .. } => "stream-up/renew",
-    StreamUp::Installed { .. } => "stream-up/installed",
-    StreamUp::Whole => "stream-up/whole",
-    StreamUp::Acquire { .. } => "stream-up/acquire",
-    StreamUp::Release { .. } => "stream-up/release",
-    StreamUp::Reserve { .. } => "stream-up/reserve",
-    StreamUp::Runner { .. } => "stream-up/runner",
-    StreamUp::Sheds { .. } => "stream-up/sheds",
-    StreamUp::Leaving => "stream-up/leaving",
-    StreamUp::StewardLost { .. } => "stream-up/steward-lost",
-    StreamUp::Idle { .. } => "stream-up/idle",
-    StreamUp::Silent { .. } => "stream-up/silent",
-    StreamUp::Heard { .. } => "stream-up/heard",
-    StreamUp::WholeHosts => "stream-up/whole-hosts",
-    StreamUp::StewardWhole { .. } => "stream-up/steward-whole",
+kinds!(UP, up_kind, DaemonToLeader, {
+    DaemonToLeader::Hello { .. } => "stream-up/hello",
+    DaemonToLeader::Claims { .. } => "stream-up/claims",
+    DaemonToLeader::Renew { .. } => "stream-up/renew",
+    DaemonToLeader::Installed { .. } => "stream-up/installed",
+    DaemonToLeader::FullSpecRequest => "stream-up/whole",
+    DaemonToLeader::Acquire { .. } => "stream-up/acquire",
+    DaemonToLeader::Release { .. } => "stream-up/release",
+    DaemonToLeader::Reserve { .. } => "stream-up/reserve",
+    DaemonToLeader::RunnerUpdate { .. } => "stream-up/runner",
+    DaemonToLeader::Rejections { .. } => "stream-up/sheds",
+    DaemonToLeader::Leaving => "stream-up/leaving",
+    DaemonToLeader::ReplicaLost { .. } => "stream-up/steward-lost",
+    DaemonToLeader::Idle { .. } => "stream-up/idle",
+    DaemonToLeader::MemberSuspected { .. } => "stream-up/silent",
+    DaemonToLeader::MemberRecovered { .. } => "stream-up/heard",
+    DaemonToLeader::FullHostListRequest => "stream-up/whole-hosts",
+    DaemonToLeader::ReplicaComplete { .. } => "stream-up/steward-whole",
 });
 
-kinds!(NEWS, news_kind, RunnerNews, {
-    RunnerNews::Ready => "ready",
-    RunnerNews::Gone => "gone",
-    RunnerNews::Begun { .. } => "begun",
+kinds!(NEWS, news_kind, RunnerStatus, {
+    RunnerStatus::Ready => "ready",
+    RunnerStatus::Gone => "gone",
+    RunnerStatus::Started { .. } => "begun",
 });
 
-kinds!(DOWN, down_kind, StreamDown, {
-    StreamDown::Elsewhere { .. } => "stream-down/elsewhere",
-    StreamDown::Welcome { .. } => "stream-down/welcome",
-    StreamDown::Renewed { .. } => "stream-down/renewed",
-    StreamDown::Spec { .. } => "stream-down/spec",
-    StreamDown::Change { .. } => "stream-down/change",
-    StreamDown::Hosts { .. } => "stream-down/hosts",
-    StreamDown::HostsChanged { .. } => "stream-down/hosts-changed",
-    StreamDown::Acquired { .. } => "stream-down/acquired",
-    StreamDown::Reserved { .. } => "stream-down/reserved",
-    StreamDown::Revoke { .. } => "stream-down/revoke",
-    StreamDown::Drain { .. } => "stream-down/drain",
-    StreamDown::HandOver { .. } => "stream-down/hand-over",
-    StreamDown::GiveWay { .. } => "stream-down/give-way",
-    StreamDown::Vanished { .. } => "stream-down/vanished",
-    StreamDown::Steward { .. } => "stream-down/steward",
+kinds!(DOWN, down_kind, LeaderToDaemon, {
+    LeaderToDaemon::Redirect { .. } => "stream-down/elsewhere",
+    LeaderToDaemon::Welcome { .. } => "stream-down/welcome",
+    LeaderToDaemon::Renewed { .. } => "stream-down/renewed",
+    LeaderToDaemon::Spec { .. } => "stream-down/spec",
+    LeaderToDaemon::Change { .. } => "stream-down/change",
+    LeaderToDaemon::Hosts { .. } => "stream-down/hosts",
+    LeaderToDaemon::HostsDelta { .. } => "stream-down/hosts-changed",
+    LeaderToDaemon::Acquired { .. } => "stream-down/acquired",
+    LeaderToDaemon::Reserved { .. } => "stream-down/reserved",
+    LeaderToDaemon::Revoke { .. } => "stream-down/revoke",
+    LeaderToDaemon::Drain { .. } => "stream-down/drain",
+    LeaderToDaemon::HandOver { .. } => "stream-down/hand-over",
+    LeaderToDaemon::ReclaimIdle { .. } => "stream-down/give-way",
+    LeaderToDaemon::RunnerUnlisted { .. } => "stream-down/vanished",
+    LeaderToDaemon::ReplicaAssigned { .. } => "stream-down/steward",
 });
 
 kinds!(ACQUIRED, acquired_kind, AcquireResult, {
     AcquireResult::Granted { .. } => "granted",
     AcquireResult::Owner { .. } => "owner",
-    AcquireResult::Shed => "shed",
-    AcquireResult::Later { .. } => "later",
+    AcquireResult::Rejected => "shed",
+    AcquireResult::RetryLater { .. } => "later",
 });
 
 kinds!(RESERVED, reserved_kind, ReserveResult, {
     ReserveResult::Reserved { .. } => "reserved",
-    ReserveResult::Shed => "shed",
+    ReserveResult::Rejected => "shed",
 });
 
 const QUESTION: CorrelationId = CorrelationId(0x0809_0a0b_0c0d_0e0f);
 
-fn hello(is_eligible: bool, granted: bool) -> StreamUp {
-    StreamUp::Hello {
+fn hello(is_eligible: bool, granted: bool) -> DaemonToLeader {
+    DaemonToLeader::Hello {
         host: host(1, is_eligible),
-        door: place(2),
-        serial: Serial(long(0x20)),
+        ingress: address(2),
+        version: Version(long(0x20)),
         age_ms: short(0x28),
         granted: Flag(granted),
     }
 }
 
-fn claims() -> StreamUp {
+fn claims() -> DaemonToLeader {
     let held = Claim {
         function: function(),
-        grant: grant(),
+        fencing_token: fencing_token(),
         runners: claim_runners(),
-        ending: Flag(false),
-        steward: Many(vec![host(4, true)]),
-        whole: Flag(true),
+        is_releasing: Flag(false),
+        replica: LengthPrefixed(vec![host(4, true)]),
+        complete: Flag(true),
     };
-    let ending = Claim {
+    let is_releasing = Claim {
         function: function().in_region(&"east".into()),
-        grant: GrantSerial(long(0x30)),
-        runners: Many(Vec::new()),
-        ending: Flag(true),
-        steward: Many(Vec::new()),
-        whole: Flag(false),
+        fencing_token: FencingToken(long(0x30)),
+        runners: LengthPrefixed(Vec::new()),
+        is_releasing: Flag(true),
+        replica: LengthPrefixed(Vec::new()),
+        complete: Flag(false),
     };
-    StreamUp::Claims { claims: Many(vec![held, ending]) }
+    DaemonToLeader::Claims { claims: LengthPrefixed(vec![held, is_releasing]) }
 }
 
-fn runner_news() -> [StreamUp; 3] {
-    [RunnerNews::Ready, RunnerNews::Gone, RunnerNews::Begun { life: life(9) }]
-        .map(|news| StreamUp::Runner { function: function(), runner: runner(0x38), news })
+fn runner_news() -> [DaemonToLeader; 3] {
+    [RunnerStatus::Ready, RunnerStatus::Gone, RunnerStatus::Started { instance: instance(9) }].map(
+        |runner_status| DaemonToLeader::RunnerUpdate {
+            function: function(),
+            runner: runner(0x38),
+            runner_status,
+        },
+    )
 }
 
-fn up_samples() -> Vec<(&'static str, StreamUp)> {
-    let (function, grant) = (function(), grant());
+fn up_samples() -> Vec<(&'static str, DaemonToLeader)> {
+    let (function, fencing_token) = (function(), fencing_token());
     let idle = |function, idle_ms| IdleFunction { function, idle_ms };
     let idle_functions = vec![
         idle(function.clone(), short(0x40)),
@@ -115,130 +121,169 @@
         ("/staying", hello(true, false)),
         ("/leaving", hello(false, true)),
         ("/some", claims()),
-        ("/none", StreamUp::Claims { claims: Many(Vec::new()) }),
-        ("", StreamUp::Renew { correlation: QUESTION, serial: Serial(long(0x20)) }),
-        ("", StreamUp::Installed { serial: Serial(long(0x20)) }),
-        ("", StreamUp::Whole),
-        ("", StreamUp::Acquire { correlation: QUESTION, function: function.clone() }),
-        ("", StreamUp::Release { function: function.clone(), grant, runners: claim_runners() }),
-        ("", StreamUp::Reserve { correlation: QUESTION, function: function.clone(), grant }),
-        ("", StreamUp::Leaving),
-        ("", StreamUp::StewardLost { function: function.clone(), grant, lost: "daemon-5".into() }),
-        ("", StreamUp::Idle { functions: Many(idle_functions) }),
-        ("", StreamUp::Silent { life: member_life(6) }),
-        ("", StreamUp::Heard { life: member_life(6) }),
-        ("", StreamUp::WholeHosts),
-        ("", StreamUp::StewardWhole { function, grant, steward: "daemon-7".into() }),
+        ("/none", DaemonToLeader::Claims { claims: LengthPrefixed(Vec::new()) }),
+        ("", DaemonToLeader::Renew { correlation: QUESTION, version: Version(long(0x20)) }),
+        ("", DaemonToLeader::Installed { version: Version(long(0x20)) }),
+        ("", DaemonToLeader::FullSpecRequest),
+        ("", DaemonToLeader::Acquire { correlation: QUESTION, function: function.clone() }),
+        (
+            "",
+            DaemonToLeader::Release {
+                function: function.clone(),
+                fencing_token,
+                runners: claim_runners(),
+            },
+        ),
+        (
+            "",
+            DaemonToLeader::Reserve {
+                correlation: QUESTION,
+                function: function.clone(),
+                fencing_token,
+            },
+        ),
+        ("", DaemonToLeader::Leaving),
+        (
+            "",
+            DaemonToLeader::ReplicaLost {
+                function: function.clone(),
+                fencing_token,
+                lost: "daemon-5".into(),
+            },
+        ),
+        ("", DaemonToLeader::Idle { functions: LengthPrefixed(idle_functions) }),
+        ("", DaemonToLeader::MemberSuspected { instance: member_life(6) }),
+        ("", DaemonToLeader::MemberRecovered { instance: member_life(6) }),
+        ("", DaemonToLeader::FullHostListRequest),
+        (
+            "",
+            DaemonToLeader::ReplicaComplete { function, fencing_token, replica: "daemon-7".into() },
+        ),
     ];
     samples.extend(runner_news().map(|frame| ("", frame)));
     samples.extend(ALL_REASONS.map(|reason| {
-        ("", StreamUp::Sheds { function: crate::parts::function(), count: short(0x48), reason })
+        (
+            "",
+            DaemonToLeader::Rejections {
+                function: crate::parts::function(),
+                count: short(0x48),
+                reason,
+            },
+        )
     }));
     samples
 }
 
-fn up_name(rest: &str, frame: &StreamUp) -> String {
+fn up_name(rest: &str, frame: &DaemonToLeader) -> String {
     let kind = up_kind(frame);
     match frame {
-        StreamUp::Runner { news, .. } => format!("{kind}/{}", news_kind(news)),
-        StreamUp::Sheds { reason, .. } => format!("{kind}/{}", reason_kind(reason)),
+        DaemonToLeader::RunnerUpdate { runner_status, .. } => {
+            format!("{kind}/{}", news_kind(runner_status))
+        }
+        DaemonToLeader::Rejections { reason, .. } => format!("{kind}/{}", reason_kind(reason)),
         _ => format!("{kind}{rest}"),
     }
 }
 
-fn acquisitions() -> [(&'static str, StreamDown); 5] {
+fn acquisitions() -> [(&'static str, LeaderToDaemon); 5] {
     let granted = AcquireResult::Granted {
-        grant: grant(),
+        fencing_token: fencing_token(),
         once_wait_ms: short(0x50),
-        steward: Many(vec![host(8, true)]),
-        prior: Many(vec![Prior { steward: host(9, false), grant: GrantSerial(long(0x54)) }]),
+        replica: LengthPrefixed(vec![host(8, true)]),
+        previous_lease: LengthPrefixed(vec![PreviousLease {
+            replica: host(9, false),
+            fencing_token: FencingToken(long(0x54)),
+        }]),
         adopted: claim_runners(),
     };
     let granted_anew = AcquireResult::Granted {
-        grant: grant(),
+        fencing_token: fencing_token(),
         once_wait_ms: 0,
-        steward: Many(Vec::new()),
-        prior: Many(Vec::new()),
-        adopted: Many(Vec::new()),
+        replica: LengthPrefixed(Vec::new()),
+        previous_lease: LengthPrefixed(Vec::new()),
+        adopted: LengthPrefixed(Vec::new()),
     };
     let results = [
         ("/after-another", granted),
         ("/anew", granted_anew),
         ("", AcquireResult::Owner { host: host(10, true) }),
-        ("", AcquireResult::Shed),
-        ("", AcquireResult::Later { wait_ms: short(0x58) }),
+        ("", AcquireResult::Rejected),
+        ("", AcquireResult::RetryLater { wait_ms: short(0x58) }),
     ];
     results.map(|(rest, result)| {
-        (rest, StreamDown::Acquired { correlation: QUESTION, function: function(), result })
+        (rest, LeaderToDaemon::Acquired { correlation: QUESTION, function: function(), result })
     })
 }
 
-fn reservations() -> [(&'static str, StreamDown); 2] {
+fn reservations() -> [(&'static str, LeaderToDaemon); 2] {
     let reserved = ReserveResult::Reserved {
         runner: runner(0x5c),
         worker: "worker-9".into(),
         memory_mb: short(0x64),
     };
-    [reserved, ReserveResult::Shed].map(|result| {
-        ("", StreamDown::Reserved { correlation: QUESTION, function: function(), result })
+    [reserved, ReserveResult::Rejected].map(|result| {
+        ("", LeaderToDaemon::Reserved { correlation: QUESTION, function: function(), result })
     })
 }
 
-fn host_lists() -> [(&'static str, StreamDown); 3] {
-    let hosts = Many(vec![host(11, true), host(12, false)]);
-    let silent = Many(vec![member_life(12), member_life(13)]);
-    let none = StreamDown::HostsChanged {
+fn host_lists() -> [(&'static str, LeaderToDaemon); 3] {
+    let hosts = LengthPrefixed(vec![host(11, true), host(12, false)]);
+    let suspected = LengthPrefixed(vec![member_life(12), member_life(13)]);
+    let none = LeaderToDaemon::HostsDelta {
         number: long(0x68),
-        put: Many(Vec::new()),
-        removed: Many(Vec::new()),
-        silent: Many(Vec::new()),
+        put: LengthPrefixed(Vec::new()),
+        removed: LengthPrefixed(Vec::new()),
+        suspected: LengthPrefixed(Vec::new()),
     };
-    let changed = StreamDown::HostsChanged {
+    let changed = LeaderToDaemon::HostsDelta {
         number: long(0x68),
         put: hosts.clone(),
-        removed: Many(vec!["daemon-14".into(), "daemon-15".into()]),
-        silent: silent.clone(),
+        removed: LengthPrefixed(vec!["daemon-14".into(), "daemon-15".into()]),
+        suspected: suspected.clone(),
     };
     [
-        ("", StreamDown::Hosts { number: long(0x68), hosts, silent }),
+        ("", LeaderToDaemon::Hosts { number: long(0x68), hosts, suspected }),
         ("/some", changed),
         ("/none", none),
     ]
 }
 
-fn down_samples() -> Vec<(&'static str, StreamDown)> {
-    let (function, grant, runner) = (function(), grant(), runner(0x6c));
-    let steward =
-        |steward| StreamDown::Steward { function: crate::parts::function(), grant, steward };
-    let renewed = StreamDown::Renewed {
+fn down_samples() -> Vec<(&'static str, LeaderToDaemon)> {
+    let (function, fencing_token, runner) = (function(), fencing_token(), runner(0x6c));
+    let replica = |replica| LeaderToDaemon::ReplicaAssigned {
+        function: crate::parts::function(),
+        fencing_token,
+        replica,
+    };
+    let renewed = LeaderToDaemon::Renewed {
         correlation: QUESTION,
-        length_ms: short(0x70),
-        serial: Serial(long(0x74)),
+        lease_ms: short(0x70),
+        version: Version(long(0x74)),
     };
-    let change = StreamDown::Change {
-        base: Serial(long(0x74)),
-        serial: Serial(long(0x7c)),
+    let delta = LeaderToDaemon::Change {
+        base: Version(long(0x74)),
+        version: Version(long(0x7c)),
         patch: b"{\"base\":3}".to_vec().into(),
         digest: (0x80..0xa0).collect::<Vec<u8>>().into(),
     };
-    let spec = StreamDown::Spec {
-        serial: Serial(long(0x74)),
+    let spec = LeaderToDaemon::Spec {
+        version: Version(long(0x74)),
         document: b"{\"serial\":4}".to_vec().into(),
     };
     let mut samples = vec![
-        ("/known", StreamDown::Elsewhere { leader: place(16) }),
-        ("/nowhere", StreamDown::Elsewhere { leader: Place::NOWHERE }),
-        ("", StreamDown::Welcome { term: Term(long(0x74)) }),
+        ("/known", LeaderToDaemon::Redirect { leader: address(16) }),
+        ("/nowhere", LeaderToDaemon::Redirect { leader: SocketAddress::UNSPECIFIED }),
+        ("", LeaderToDaemon::Welcome { term: Term(long(0x74)) }),
         ("", renewed),
         ("", spec),
-        ("", change),
-        ("", StreamDown::Revoke { function: function.clone(), grant }),
-        ("", StreamDown::Drain { function: function.clone(), runner }),
-        ("", StreamDown::HandOver { function: function.clone(), grant }),
-        ("", StreamDown::GiveWay { function: function.clone(), grant }),
-        ("", StreamDown::Vanished { function, runner }),
-        ("/another", steward(Many(vec![host(17, true)]))),
-        ("/nobody", steward(Many(Vec::new()))),
+        ("", delta),
+        ("", LeaderToDaemon::Revoke { function: function.clone(), fencing_token }),
+        ("", LeaderToDaemon::Drain { function: function.clone(), runner }),
+        ("", LeaderToDaemon::HandOver { function: function.clone(), fencing_token }),
+        ("", LeaderToDaemon::ReclaimIdle { function: function.clone(), fencing_token }),
+        ("", LeaderToDaemon::RunnerUnlisted { function, runner }),
+        ("/another", replica(LengthPrefixed(vec![host(17, true)]))),
+        ("/nobody", replica(LengthPrefixed(Vec::new()))),
     ];
     samples.extend(host_lists());
     samples.extend(acquisitions());
@@ -246,19 +291,23 @@
     samples
 }
 
-fn down_name(rest: &str, frame: &StreamDown) -> String {
+fn down_name(rest: &str, frame: &LeaderToDaemon) -> String {
     let kind = down_kind(frame);
     match frame {
-        StreamDown::Acquired { result, .. } => format!("{kind}/{}{rest}", acquired_kind(result)),
-        StreamDown::Reserved { result, .. } => format!("{kind}/{}", reserved_kind(result)),
+        LeaderToDaemon::Acquired { result, .. } => {
+            format!("{kind}/{}{rest}", acquired_kind(result))
+        }
+        LeaderToDaemon::Reserved { result, .. } => format!("{kind}/{}", reserved_kind(result)),
         _ => format!("{kind}{rest}"),
     }
 }
 
 /// All lines of this channel, of both directions.
-pub fn lines() -> Vec<Line> {
-    let ups = up_samples().into_iter().map(|(rest, frame)| line(up_name(rest, &frame), &frame));
-    let downs =
-        down_samples().into_iter().map(|(rest, frame)| line(down_name(rest, &frame), &frame));
+pub fn header_fields() -> Vec<Line> {
+    let ups =
+        up_samples().into_iter().map(|(rest, frame)| header_field(up_name(rest, &frame), &frame));
+    let downs = down_samples()
+        .into_iter()
+        .map(|(rest, frame)| header_field(down_name(rest, &frame), &frame));
     ups.chain(downs).collect()
 }
--- /dev/null
+++ b/crates/controlplane/src/consensus/membership.rs
@@ -0,0 +1,253 @@
+//! Membership changes of the control quorum: a joint configuration is committed by a majority of the
+//! former and of the next voters, then the next voters alone go on.
+
+use super::quorum_plan::QuorumPlan;
+use super::{ConsensusNode, ConsensusOutput, Peer, Role};
+use common::clock::MonotonicTime;
+use common::frames::SocketAddress;
+use common::identity::{ChangeId, ControllerId, DocumentVersion, Term, Version};
+use common::rules::Rule;
+use common::spec::{Document, Voter};
+use std::collections::BTreeSet;
+use std::fmt;
+
+/// How many versions a controller may be behind and still take a voter's place: while changes follow
+/// each other closely, one that has the newest is rarely known to have it.
+const MAX_CANDIDATE_LAG: u64 = 8;
+
+/// Why a voter cannot be replaced.
+#[derive(Clone, Copy, PartialEq, Eq, Debug)]
+pub enum MembershipError {
+    /// This controller does not lead, or has not yet committed under its term.
+    NotReady,
+    /// Another change is in flight, or an earlier membership change is not settled.
+    Busy,
+    /// The one to be replaced is no voter.
+    NoSuchMember,
+    /// The one to take its place is not there, or not level.
+    NoSuchCandidate,
+    /// Afterwards no majority of the voters would be alive.
+    NoMajority,
+}
+
+impl fmt::Display for MembershipError {
+    fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
+        out.write_str(match self {
+            Self::NotReady => "no ready leader here",
+            Self::Busy => "another change is in flight",
+            Self::NoSuchMember => "no such member of the core",
+            Self::NoSuchCandidate => "no such controller, or it is not level yet",
+            Self::NoMajority => "afterwards no majority of the core would be alive",
+        })
+    }
+}
+
+impl std::error::Error for MembershipError {}
+
+impl ConsensusNode {
+    /// Whether a set is a majority under a document: of its voters, and of the former ones while a
+    /// membership change is not settled.
+    pub(super) fn is_majority_of(
+        document: &Document,
+        controller_ids: &BTreeSet<ControllerId>,
+    ) -> bool {
+        let has_majority = |members: &[Voter]| {
+            members.iter().filter(|member| controller_ids.contains(&member.id)).count() * 2
+                > members.len()
+        };
+        has_majority(&document.voters)
+            && (document.previous_voters.is_empty() || has_majority(&document.previous_voters))
+    }
+
+    fn is_alive(&self, now: MonotonicTime, id: ControllerId) -> bool {
+        id == self.id
+            || self.last_heard.get(&id).is_some_and(|last_heard_at| {
+                now.since(*last_heard_at) < self.timing.election_timeout_max * 2
+            })
+    }
+
+    fn elected_at(&self) -> MonotonicTime {
+        match &self.role {
+            Role::Leader(heartbeats) => heartbeats.elected_at(),
+            _ => MonotonicTime::ZERO,
+        }
+    }
+
+    fn unreachable_since(&self, id: ControllerId) -> MonotonicTime {
+        self.last_heard.get(&id).copied().unwrap_or_default().max(self.elected_at())
+    }
+
+    /// Controllers that do not vote, are alive, and follow this leader's versions.
+    fn candidates(&self, now: MonotonicTime) -> Vec<Voter> {
+        self.peers
+            .values()
+            .filter(|peer| {
+                !self.is_voter(peer.id) && self.is_alive(now, peer.id) && self.is_caught_up(peer)
+            })
+            .map(|peer| Voter {
+                id: peer.id,
+                address: peer.controller_address.address,
+                zone: peer.zone.clone(),
+            })
+            .collect()
+    }
+
+    /// Whether another's disk took a version of this leader's lately; the change that makes it a
+    /// voter brings it the whole newest one.
+    fn is_caught_up(&self, peer: &Peer) -> bool {
+        let version_lag = self.committed.version.0.saturating_sub(peer.accepted.version.0);
+        peer.accepted.term == self.term && version_lag <= MAX_CANDIDATE_LAG
+    }
+
+    /// The next step of a membership change, if one is due: settle one, or begin one towards the
+    /// voters that the settings ask for.
+    fn next_membership_step(&self, now: MonotonicTime) -> Option<Document> {
+        if !self.is_ready() || self.proposed.is_some() {
+            return None;
+        }
+        let document = self
+            .accepted
+            .as_ref()
+            .filter(|document| document.document_version == self.committed)?;
+        if !document.previous_voters.is_empty() {
+            let mut settled =
+                document.with_voters(document.voters.clone(), membership_change_id(document));
+            settled.previous_voters = Vec::new();
+            return Some(settled);
+        }
+        let missing: BTreeSet<ControllerId> = document
+            .voters
+            .iter()
+            .filter(|member| self.is_missing(now, member))
+            .map(|member| member.id)
+            .collect();
+        let plan = QuorumPlan {
+            quorum_policy: self.quorum_policy,
+            voters: &document.voters,
+            leader: self.id,
+            missing: &missing,
+            candidates: self.candidates(now),
+        };
+        let next_voters = plan.next_voters()?;
+        self.joint_document(now, document, next_voters).ok()
+    }
+
+    /// Whether a voter is lost to this leader: it has been silent for long, its disk takes nothing,
+    /// or another controller stands at its address.
+    fn is_missing(&self, now: MonotonicTime, member: &Voter) -> bool {
+        if member.id == self.id {
+            return false;
+        }
+        let at_its_address = self.peers.get(&member.address);
+        let is_superseded = at_its_address.is_some_and(|peer| {
+            let last_heard_at = self.last_heard.get(&member.id);
+            peer.id != member.id
+                && last_heard_at.is_none_or(|last_heard_at| *last_heard_at < peer.present_since)
+        });
+        let is_stalled = at_its_address.is_some_and(|peer| {
+            peer.id == member.id
+                && peer.behind_since.is_some_and(|behind_since| {
+                    now.since(behind_since.max(self.elected_at()))
+                        > self.timing.stalled_voter_timeout
+                })
+        });
+        let unreachable_for = now.since(self.unreachable_since(member.id));
+        is_superseded || is_stalled || unreachable_for > self.timing.unreachable_voter_timeout
+    }
+
+    /// The joint version for these next voters; refused when the voters alive are no majority of both.
+    fn joint_document(
+        &self,
+        now: MonotonicTime,
+        document: &Document,
+        next_voters: Vec<Voter>,
+    ) -> Result<Document, MembershipError> {
+        let mut next_document = document.with_voters(next_voters, membership_change_id(document));
+        if self.rules.enforces(Rule::VoterReplacedInTwoSteps) {
+            next_document.previous_voters = document.voters.clone();
+        }
+        let alive: BTreeSet<ControllerId> = next_document
+            .voters
+            .iter()
+            .chain(&next_document.previous_voters)
+            .map(|member| member.id)
+            .filter(|id| self.is_alive(now, *id))
+            .collect();
+        if Self::is_majority_of(&next_document, &alive) {
+            Ok(next_document)
+        } else {
+            Err(MembershipError::NoMajority)
+        }
+    }
+
+    /// An operator has a voter replaced at once.
+    pub fn replace(
+        &mut self,
+        now: MonotonicTime,
+        missing: ControllerId,
+        successor: ControllerId,
+    ) -> Result<(Version, Vec<ConsensusOutput>), MembershipError> {
+        if !self.is_ready() {
+            return Err(MembershipError::NotReady);
+        }
+        let settled = self
+            .accepted
+            .as_ref()
+            .filter(|document| document.previous_voters.is_empty() && self.proposed.is_none());
+        let document = settled.ok_or(MembershipError::Busy)?;
+        if !self.is_voter(missing) {
+            return Err(MembershipError::NoSuchMember);
+        }
+        let candidates = self.candidates(now);
+        let matching_candidate = candidates.iter().find(|candidate| candidate.id == successor);
+        let successor = matching_candidate.ok_or(MembershipError::NoSuchCandidate)?;
+        let remaining_voters = document.voters.iter().filter(|member| member.id != missing);
+        let next_voters = remaining_voters.chain([successor]).cloned().collect();
+        let next_document = self.joint_document(now, document, next_voters)?;
+        let version = next_document.document_version.version;
+        self.start_proposal(now, next_document);
+        Ok((version, std::mem::take(&mut self.outputs)))
+    }
+
+    pub(super) fn advance_membership_change(&mut self, now: MonotonicTime) {
+        if let Some(mut document) = self.next_membership_step(now) {
+            document.document_version.term = self.term;
+            let addresses: Vec<SocketAddress> =
+                document.voters.iter().map(|member| member.address).collect();
+            self.outputs.push(ConsensusOutput::MembershipChange {
+                addresses,
+                settled: document.previous_voters.is_empty(),
+            });
+            self.start_proposal(now, document);
+        }
+    }
+
+    /// A leader that a settled change has left out leads no longer.
+    pub(super) fn step_down_if_removed(&mut self, now: MonotonicTime) {
+        let is_removed =
+            self.accepted.as_ref().is_some_and(|document| document.previous_voters.is_empty())
+                && !self.is_voter(self.id);
+        if is_removed {
+            self.step_down(now, self.term);
+        }
+    }
+}
+
+fn membership_change_id(document: &Document) -> ChangeId {
+    ChangeId::from(format!("core-{}", document.document_version.version.next()))
+}
+
+/// A version in which only this member is left of the core, for operators who lost the majority for
+/// good. What was committed without reaching this disk is lost.
+pub fn single_voter_document(document: &Document, id: ControllerId) -> Option<Document> {
+    let own_member =
+        document.voters.iter().chain(&document.previous_voters).find(|member| member.id == id)?;
+    let mut recovered_document =
+        document.with_voters(vec![own_member.clone()], membership_change_id(document));
+    recovered_document.previous_voters = Vec::new();
+    recovered_document.document_version = DocumentVersion {
+        term: Term(document.document_version.term.0 + (1 << 16)),
+        version: Version(document.document_version.version.0 + 1000),
+    };
+    Some(recovered_document)
+}
--- a/crates/controlplane/src/core/output.rs
+++ b/crates/controlplane/src/consensus/output.rs
@@ -1,30 +1,32 @@
-use common::frames::{CoreFrame, KnownMember, Place};
-use common::identity::{ControllerId, Stamp, Term, Ticket};
+use common::frames::{ConsensusFrame, KnownMember, SocketAddress};
+use common::identity::{ControllerId, DocumentVersion, Term, Ticket};
 use common::spec::Document;
 use std::collections::BTreeSet;
 
 /// What a core member's disk remembers.
 #[derive(Clone, Debug)]
-pub struct Recalled {
+pub struct PersistedState {
     /// The member's identity, made when the disk was empty.
     pub id: ControllerId,
     /// The last vote.
-    pub voted: Option<(Term, ControllerId)>,
+    pub voted_for: Option<(Term, ControllerId)>,
     /// The newest whole version.
     pub accepted: Option<Document>,
     /// A version that was written here and can no longer be read; zero when there is none.
-    pub distrusted: Stamp,
+    pub unreadable_version: DocumentVersion,
 }
 
-impl Recalled {
+impl PersistedState {
     /// What an empty disk remembers.
-    pub fn nothing(id: ControllerId) -> Self {
-        Self { id, voted: None, accepted: None, distrusted: Stamp::default() }
+    pub fn empty(id: ControllerId) -> Self {
+        Self { id, voted_for: None, accepted: None, unreadable_version: DocumentVersion::default() }
     }
 
     /// Whether nothing but an identity is remembered.
-    pub fn is_nothing(&self) -> bool {
-        self.voted.is_none() && self.accepted.is_none() && self.distrusted == Stamp::default()
+    pub fn is_empty(&self) -> bool {
+        self.voted_for.is_none()
+            && self.accepted.is_none()
+            && self.unreadable_version == DocumentVersion::default()
     }
 }
 
@@ -55,13 +57,13 @@
 
 /// What the core orders.
 #[derive(Clone, Debug)]
-pub enum CoreOutput {
+pub enum ConsensusOutput {
     /// Send a frame.
     Send {
         /// Where to.
-        to: Place,
+        to: SocketAddress,
         /// The frame.
-        frame: CoreFrame,
+        frame: ConsensusFrame,
     },
     /// Write to disk.
     Write {
@@ -82,7 +84,7 @@
         /// The daemons that may hold grants of earlier leaders.
         members: BTreeSet<KnownMember>,
         /// Whether there are surely no others.
-        whole: bool,
+        complete: bool,
     },
     /// This controller leads no longer; a change in flight is unknown.
     SteppedDown,
@@ -91,7 +93,7 @@
     /// The voters of the control quorum are about to change.
     MembershipChange {
         /// Where the members will stand.
-        places: Vec<Place>,
+        addresses: Vec<SocketAddress>,
         /// Whether this ends the change.
         settled: bool,
     },
--- a/crates/controlplane/src/core/quorum_plan.rs
+++ b/crates/controlplane/src/consensus/quorum_plan.rs
@@ -1,7 +1,7 @@
 //! Which controllers ought to vote: how many the settings ask for, spread over zones. Pure decisions.
 
 use common::identity::{ControllerId, Zone};
-use common::spec::CoreMember;
+use common::spec::Voter;
 use std::collections::BTreeSet;
 
 /// How many voters the control quorum has, unless the settings say otherwise.
@@ -11,22 +11,23 @@
 
 /// The voters that the control quorum is to have, and how many of them may stand in one zone.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub struct QuorumShape {
+pub struct QuorumPolicy {
     voters: usize,
     zone_limit: usize,
 }
 
-impl QuorumShape {
+impl QuorumPolicy {
     /// A quorum of so many voters, a majority of which is left when so many zones are lost.
     pub fn new(voters: usize, zone_losses: usize) -> Self {
-        let spare_voters = voters.saturating_sub(1) / 2;
-        let zone_limit = spare_voters.checked_div(zone_losses).map_or(voters, |limit| limit.max(1));
+        let tolerated_losses = voters.saturating_sub(1) / 2;
+        let zone_limit =
+            tolerated_losses.checked_div(zone_losses).map_or(voters, |limit| limit.max(1));
         Self { voters, zone_limit }
     }
 
     /// The smallest quorum a majority of which is left when so many machines, or so many zones, are
     /// lost at once.
-    pub fn bearing(machine_losses: usize, zone_losses: usize) -> Self {
+    pub fn tolerating(machine_losses: usize, zone_losses: usize) -> Self {
         let losses = machine_losses.max(zone_losses).max(1);
         Self::new(2 * losses + 1, zone_losses)
     }
@@ -42,7 +43,7 @@
     }
 }
 
-impl Default for QuorumShape {
+impl Default for QuorumPolicy {
     fn default() -> Self {
         Self::new(DEFAULT_VOTERS, DEFAULT_ZONE_LOSSES)
     }
@@ -51,33 +52,33 @@
 /// What the next set of voters is chosen from.
 pub struct QuorumPlan<'a> {
     /// What the quorum is to look like.
-    pub shape: QuorumShape,
+    pub quorum_policy: QuorumPolicy,
     /// The voters now.
-    pub voters: &'a [CoreMember],
+    pub voters: &'a [Voter],
     /// The voter that leads; it always stays.
     pub leader: ControllerId,
     /// Those of the voters that are lost.
     pub missing: &'a BTreeSet<ControllerId>,
     /// Controllers that do not vote, are alive, and hold the state.
-    pub candidates: Vec<CoreMember>,
+    pub candidates: Vec<Voter>,
 }
 
 impl QuorumPlan<'_> {
     /// The next set of voters, if it is another one: lost voters are replaced, a quorum that is too
     /// small grows, and a zone that holds too many gives one up. No voter goes without a successor.
-    pub fn next_voters(mut self) -> Option<Vec<CoreMember>> {
+    pub fn next_voters(mut self) -> Option<Vec<Voter>> {
         let mut next_voters = self.voters.to_vec();
-        self.replace_missing(&mut next_voters);
-        self.grow(&mut next_voters);
-        self.relieve_zones(&mut next_voters);
+        self.replace_missing_voters(&mut next_voters);
+        self.add_voters(&mut next_voters);
+        self.rebalance_zones(&mut next_voters);
         let differs = next_voters.iter().any(|voter| !self.voters.contains(voter));
         differs.then_some(next_voters)
     }
 
-    fn replace_missing(&mut self, next_voters: &mut [CoreMember]) {
+    fn replace_missing_voters(&mut self, next_voters: &mut [Voter]) {
         for index in 0..next_voters.len() {
             if self.missing.contains(&next_voters[index].id)
-                && let Some(successor) = self.take_successor(next_voters, index)
+                && let Some(successor) = self.take_replacement(next_voters, index)
             {
                 next_voters[index] = successor;
             }
@@ -86,58 +87,65 @@
 
     /// A controller at the lost one's address, else in its zone, else in the emptiest other zone that
     /// has room.
-    fn take_successor(&mut self, voters: &[CoreMember], index: usize) -> Option<CoreMember> {
+    fn take_replacement(&mut self, voters: &[Voter], index: usize) -> Option<Voter> {
         let missing = &voters[index];
-        let at_its_place =
-            self.candidates.iter().position(|candidate| candidate.place == missing.place);
+        let at_its_address =
+            self.candidates.iter().position(|candidate| candidate.address == missing.address);
         let in_its_zone =
             || self.candidates.iter().position(|candidate| candidate.zone == missing.zone);
-        let found = at_its_place.or_else(in_its_zone).or_else(|| self.roomiest(voters))?;
-        Some(self.candidates.swap_remove(found))
+        let candidate_index = at_its_address
+            .or_else(in_its_zone)
+            .or_else(|| self.candidate_within_zone_limit(voters))?;
+        Some(self.candidates.swap_remove(candidate_index))
     }
 
     /// A quorum that can bear a loss grows from one odd number to the next: an even number bears no
     /// more machines than the odd one below it, and fewer zones.
-    fn grow(&mut self, next_voters: &mut Vec<CoreMember>) {
-        let mut wanted =
-            self.shape.voters.saturating_sub(next_voters.len()).min(self.candidates.len());
-        let reached = next_voters.len() + wanted;
-        let is_even = reached.is_multiple_of(2) && reached != self.shape.voters;
-        if reached > DEFAULT_VOTERS && is_even {
-            wanted = wanted.saturating_sub(1);
+    fn add_voters(&mut self, next_voters: &mut Vec<Voter>) {
+        let mut additional_voters =
+            self.quorum_policy.voters.saturating_sub(next_voters.len()).min(self.candidates.len());
+        let target_voters = next_voters.len() + additional_voters;
+        let is_even = target_voters.is_multiple_of(2) && target_voters != self.quorum_policy.voters;
+        if target_voters > DEFAULT_VOTERS && is_even {
+            additional_voters = additional_voters.saturating_sub(1);
         }
-        for _ in 0..wanted {
-            let found = self.roomiest(next_voters).or_else(|| self.emptiest(next_voters));
-            let Some(found) = found else { return };
-            next_voters.push(self.candidates.swap_remove(found));
+        for _ in 0..additional_voters {
+            let candidate_index = self
+                .candidate_within_zone_limit(next_voters)
+                .or_else(|| self.candidate_in_least_loaded_zone(next_voters));
+            let Some(candidate_index) = candidate_index else { return };
+            next_voters.push(self.candidates.swap_remove(candidate_index));
         }
     }
 
-    fn relieve_zones(&mut self, next_voters: &mut [CoreMember]) {
+    fn rebalance_zones(&mut self, next_voters: &mut [Voter]) {
         for index in 0..next_voters.len() {
             let voter = &next_voters[index];
-            let is_crowded = count_in(next_voters, &voter.zone) > self.shape.zone_limit;
-            if !is_crowded || voter.id == self.leader {
+            let exceeds_zone_limit =
+                voters_in_zone(next_voters, &voter.zone) > self.quorum_policy.zone_limit;
+            if !exceeds_zone_limit || voter.id == self.leader {
                 continue;
             }
-            if let Some(found) = self.roomiest(next_voters) {
-                next_voters[index] = self.candidates.swap_remove(found);
+            if let Some(candidate_index) = self.candidate_within_zone_limit(next_voters) {
+                next_voters[index] = self.candidates.swap_remove(candidate_index);
             }
         }
     }
 
     /// The candidate in the zone with the fewest voters, if that zone may hold one more.
-    fn roomiest(&self, voters: &[CoreMember]) -> Option<usize> {
-        self.emptiest(voters)
-            .filter(|found| count_in(voters, &self.candidates[*found].zone) < self.shape.zone_limit)
+    fn candidate_within_zone_limit(&self, voters: &[Voter]) -> Option<usize> {
+        self.candidate_in_least_loaded_zone(voters).filter(|candidate_index| {
+            voters_in_zone(voters, &self.candidates[*candidate_index].zone)
+                < self.quorum_policy.zone_limit
+        })
     }
 
-    fn emptiest(&self, voters: &[CoreMember]) -> Option<usize> {
+    fn candidate_in_least_loaded_zone(&self, voters: &[Voter]) -> Option<usize> {
         (0..self.candidates.len())
-            .min_by_key(|index| count_in(voters, &self.candidates[*index].zone))
+            .min_by_key(|index| voters_in_zone(voters, &self.candidates[*index].zone))
     }
 }
 
-fn count_in(voters: &[CoreMember], zone: &Zone) -> usize {
+fn voters_in_zone(voters: &[Voter], zone: &Zone) -> usize {
     voters.iter().filter(|voter| voter.zone == *zone).count()
 }
--- a/crates/controlplane/src/controller_state/changes.rs
+++ b/crates/controlplane/src/controller_state/changes.rs
@@ -1,14 +1,14 @@
 //! Operators' changes on their way: queued, put forward, acknowledged, or given up.
 
-use super::content::change_name;
-use super::judgement::Judgement;
+use super::content::derive_change_id;
+use super::proposal_outcome::ProposalOutcome;
 use super::{
     ChangeKind, ControllerOutput, ControllerState, Numbering, Operation, OperationReply,
     OperationTicket, Unavailable, Wait,
 };
 use crate::leader_state::LeaderState;
-use common::clock::Moment;
-use common::identity::{ChangeId, Serial};
+use common::clock::MonotonicTime;
+use common::identity::{ChangeId, Version};
 use common::invariants::{Invariant, require};
 use common::rules::Rule;
 use common::spec::Document;
@@ -17,15 +17,15 @@
 use std::time::Duration;
 
 /// How soon after a request its caller's hanging up is heard, if it came late over the network.
-const HANG_UP_SPAN: Duration = Duration::from_millis(25);
-const CHANGE_PATIENCE: Duration = Duration::from_secs(3);
-const START_PATIENCE: Duration = Duration::from_millis(800);
-const FORCE_PATIENCE: Duration = Duration::from_secs(10);
+const DISCONNECT_NOTICE_DELAY: Duration = Duration::from_millis(25);
+const COMMIT_TIMEOUT: Duration = Duration::from_secs(3);
+const PROPOSAL_TIMEOUT: Duration = Duration::from_millis(800);
+const IN_FORCE_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// A change as an operator asked for it.
-pub struct AskedChange {
+pub struct ChangeRequest {
     /// The serial it is built on.
-    pub base: Option<Serial>,
+    pub base: Option<Version>,
     /// The operators' own numbers.
     pub numbering: Option<Numbering>,
     /// The operator's name for it.
@@ -41,7 +41,7 @@
     /// Whom to answer.
     pub ticket: OperationTicket,
     /// The version it is built on.
-    pub base: Option<Serial>,
+    pub base: Option<Version>,
     /// The operators' own numbers.
     pub numbering: Option<Numbering>,
     /// Its name.
@@ -53,86 +53,86 @@
     /// What its operator waits for.
     pub wait: Wait,
     /// When it was asked for.
-    pub asked_at: Moment,
+    pub requested_at: MonotonicTime,
 }
 
 impl QueuedChange {
-    fn into_waiter(self, serial: Serial, number: u64) -> Waiter {
-        Waiter {
+    fn into_proposed(self, version: Version, number: u64) -> ProposedChange {
+        ProposedChange {
             ticket: self.ticket,
             change: self.change,
-            serial,
+            version,
             number,
             wait: self.wait,
-            asked_at: self.asked_at,
+            requested_at: self.requested_at,
         }
     }
 }
 
-struct Waiter {
+struct ProposedChange {
     ticket: OperationTicket,
     change: ChangeId,
-    serial: Serial,
+    version: Version,
     number: u64,
     wait: Wait,
-    asked_at: Moment,
+    requested_at: MonotonicTime,
 }
 
 /// Operators' changes on their way.
 #[derive(Default)]
-pub struct Changes {
-    inbox: VecDeque<QueuedChange>,
+pub struct OperatorChanges {
+    queue: VecDeque<QueuedChange>,
     /// Those whose answer needs a majority's word.
-    unproven: VecDeque<QueuedChange>,
-    in_flight: Vec<Waiter>,
-    accepted: Vec<Waiter>,
+    awaiting_proof: VecDeque<QueuedChange>,
+    in_flight: Vec<ProposedChange>,
+    accepted: Vec<ProposedChange>,
 }
 
-fn take_late(now: Moment, queue: &mut VecDeque<QueuedChange>) -> Vec<QueuedChange> {
-    let (late, kept): (VecDeque<_>, VecDeque<_>) = std::mem::take(queue)
+fn take_expired(now: MonotonicTime, queue: &mut VecDeque<QueuedChange>) -> Vec<QueuedChange> {
+    let (expired, retained): (VecDeque<_>, VecDeque<_>) = std::mem::take(queue)
         .into_iter()
-        .partition(|queued| now.since(queued.asked_at) > START_PATIENCE);
-    *queue = kept;
-    late.into()
+        .partition(|queued| now.since(queued.requested_at) > PROPOSAL_TIMEOUT);
+    *queue = retained;
+    expired.into()
 }
 
-fn said_accepted(waiter: &Waiter, in_force: Serial) -> OperationReply {
+fn accepted_reply(proposed_change: &ProposedChange, in_force: Version) -> OperationReply {
     OperationReply::Accepted {
-        change: waiter.change.clone(),
-        serial: waiter.serial,
-        number: waiter.number,
-        in_force: in_force >= waiter.serial,
+        change: proposed_change.change.clone(),
+        version: proposed_change.version,
+        number: proposed_change.number,
+        in_force: in_force >= proposed_change.version,
     }
 }
 
-impl Changes {
+impl OperatorChanges {
     /// Whether no change waits to be put forward.
     pub fn is_idle(&self) -> bool {
-        self.inbox.is_empty()
+        self.queue.is_empty()
     }
 
     /// Whether an answer waits for a majority's word.
-    pub fn wants_proof(&self) -> bool {
-        !self.unproven.is_empty()
+    pub fn needs_proof(&self) -> bool {
+        !self.awaiting_proof.is_empty()
     }
 }
 
 impl ControllerState {
     pub(super) fn queue_change(
         &mut self,
-        asked_at: Moment,
+        requested_at: MonotonicTime,
         ticket: OperationTicket,
-        asked: AskedChange,
+        requested: ChangeRequest,
     ) {
-        let AskedChange { base, numbering, change, kind, wait } = asked;
+        let ChangeRequest { base, numbering, change, kind, wait } = requested;
         let is_named = change.is_some();
         let change = change.unwrap_or_else(|| match &kind {
             ChangeKind::Evacuate { .. } | ChangeKind::Restore { .. } => {
-                ChangeId::from(format!("turn-{}-{}", self.core.term(), ticket.0))
+                ChangeId::from(format!("turn-{}-{}", self.consensus.term(), ticket.0))
             }
-            _ => change_name(base, numbering, &kind),
+            _ => derive_change_id(base, numbering, &kind),
         });
-        self.changes.inbox.push_back(QueuedChange {
+        self.changes.queue.push_back(QueuedChange {
             ticket,
             base,
             numbering,
@@ -140,165 +140,184 @@
             is_named,
             kind,
             wait,
-            asked_at,
+            requested_at,
         });
     }
 
-    pub(super) fn progress_changes(&mut self, now: Moment) {
-        let unproven = std::mem::take(&mut self.changes.unproven);
-        self.changes.inbox.extend(unproven);
-        while self.may_judge_changes(now) {
-            let Some(queued) = self.changes.inbox.pop_front() else { break };
-            self.put_forward(now, queued);
+    pub(super) fn progress_changes(&mut self, now: MonotonicTime) {
+        let awaiting_proof = std::mem::take(&mut self.changes.awaiting_proof);
+        self.changes.queue.extend(awaiting_proof);
+        while self.may_evaluate_changes(now) {
+            let Some(queued) = self.changes.queue.pop_front() else { break };
+            self.begin_proposal(now, queued);
         }
-        let attached_changes: BTreeSet<ChangeId> =
-            self.changes.in_flight.iter().map(|waiter| waiter.change.clone()).collect();
+        let attached_changes: BTreeSet<ChangeId> = self
+            .changes
+            .in_flight
+            .iter()
+            .map(|proposed_change| proposed_change.change.clone())
+            .collect();
         let (attached, others): (VecDeque<_>, VecDeque<_>) =
-            std::mem::take(&mut self.changes.inbox)
+            std::mem::take(&mut self.changes.queue)
                 .into_iter()
                 .partition(|queued| attached_changes.contains(&queued.change));
-        self.changes.inbox = others;
+        self.changes.queue = others;
         for queued in attached {
-            let Some((serial, number)) = self
+            let Some((version, number)) = self
                 .changes
                 .in_flight
                 .iter()
-                .find(|waiter| waiter.change == queued.change)
-                .map(|waiter| (waiter.serial, waiter.number))
+                .find(|proposed_change| proposed_change.change == queued.change)
+                .map(|proposed_change| (proposed_change.version, proposed_change.number))
             else {
                 continue;
             };
-            self.changes.in_flight.push(Waiter {
+            self.changes.in_flight.push(ProposedChange {
                 ticket: queued.ticket,
                 change: queued.change,
-                serial,
+                version,
                 number,
                 wait: queued.wait,
-                asked_at: queued.asked_at,
+                requested_at: queued.requested_at,
             });
         }
         self.expire_changes(now);
     }
 
-    fn may_judge_changes(&self, now: Moment) -> bool {
-        let is_free = self.core.is_ready() && !self.core.is_proposing();
-        is_free && (self.is_fresh(now) || !self.rules.keep(Rule::RefusalProven))
+    fn may_evaluate_changes(&self, now: MonotonicTime) -> bool {
+        let is_free = self.consensus.is_ready() && !self.consensus.is_proposing();
+        is_free
+            && (self.is_quorum_fresh(now)
+                || !self.rules.enforces(Rule::RejectionConfirmedByMajority))
     }
 
-    fn expire_changes(&mut self, now: Moment) {
-        let mut late = take_late(now, &mut self.changes.inbox);
-        late.extend(take_late(now, &mut self.changes.unproven));
-        for queued in late {
+    fn expire_changes(&mut self, now: MonotonicTime) {
+        let mut expired = take_expired(now, &mut self.changes.queue);
+        expired.extend(take_expired(now, &mut self.changes.awaiting_proof));
+        for queued in expired {
             let change = Some(queued.change);
             let reason = Unavailable::NoQuorum;
             let reply = OperationReply::NotAccepted { reason, change };
             self.answer(queued.ticket, reply);
         }
-        let (late, kept): (Vec<_>, Vec<_>) = std::mem::take(&mut self.changes.in_flight)
+        let (expired, retained): (Vec<_>, Vec<_>) = std::mem::take(&mut self.changes.in_flight)
             .into_iter()
-            .partition(|waiter| now.since(waiter.asked_at) > CHANGE_PATIENCE);
-        self.changes.in_flight = kept;
-        for waiter in late {
-            self.say_unknown(&waiter);
+            .partition(|proposed_change| now.since(proposed_change.requested_at) > COMMIT_TIMEOUT);
+        self.changes.in_flight = retained;
+        for proposed_change in expired {
+            self.reply_unknown(&proposed_change);
         }
-        let (late, kept): (Vec<_>, Vec<_>) = std::mem::take(&mut self.changes.accepted)
-            .into_iter()
-            .partition(|waiter| now.since(waiter.asked_at) > FORCE_PATIENCE);
-        self.changes.accepted = kept;
-        for waiter in late {
-            self.answer(waiter.ticket, said_accepted(&waiter, Serial(0)));
+        let (expired, retained): (Vec<_>, Vec<_>) =
+            std::mem::take(&mut self.changes.accepted).into_iter().partition(|proposed_change| {
+                now.since(proposed_change.requested_at) > IN_FORCE_TIMEOUT
+            });
+        self.changes.accepted = retained;
+        for proposed_change in expired {
+            self.answer(proposed_change.ticket, accepted_reply(&proposed_change, Version(0)));
         }
     }
 
     fn answer(&mut self, ticket: OperationTicket, reply: OperationReply) {
-        self.outputs.push(ControllerOutput::Operated(ticket, reply));
+        self.outputs.push(ControllerOutput::OperatorReply(ticket, reply));
     }
 
-    fn say_unknown(&mut self, waiter: &Waiter) {
-        let change = Some(waiter.change.clone());
+    fn reply_unknown(&mut self, proposed_change: &ProposedChange) {
+        let change = Some(proposed_change.change.clone());
         self.answer(
-            waiter.ticket,
+            proposed_change.ticket,
             OperationReply::Unknown { reason: Unavailable::NoQuorum, change },
         );
     }
 
-    fn put_forward(&mut self, now: Moment, queued: QueuedChange) {
-        let Some(current_document) = self.core.accepted().cloned() else { return };
-        let judgement = self.judge_change(&current_document, &queued);
-        if !self.may_act_on(now, &judgement, &queued) {
-            self.changes.unproven.push_back(queued);
+    fn begin_proposal(&mut self, now: MonotonicTime, queued: QueuedChange) {
+        let Some(current_document) = self.consensus.accepted().cloned() else { return };
+        let proposal_outcome = self.evaluate_change(&current_document, &queued);
+        if !self.may_act_on(now, &proposal_outcome, &queued) {
+            self.changes.awaiting_proof.push_back(queued);
             return;
         }
-        match judgement {
-            Judgement::Taken { serial, number } => {
-                self.changes.accepted.push(queued.into_waiter(serial, number));
+        match proposal_outcome {
+            ProposalOutcome::Applied { version, number } => {
+                self.changes.accepted.push(queued.into_proposed(version, number));
             }
-            Judgement::SoAlready => {
-                let serial = current_document.view_serial();
-                self.changes.accepted.push(queued.into_waiter(serial, 0));
+            ProposalOutcome::AlreadyInState => {
+                let version = current_document.view_version();
+                self.changes.accepted.push(queued.into_proposed(version, 0));
+            }
+            ProposalOutcome::Answered(reply) => self.answer(queued.ticket, reply),
+            ProposalOutcome::NewDocument(next_document) => {
+                self.propose_change(now, queued, *next_document)
             }
-            Judgement::Answered(reply) => self.answer(queued.ticket, reply),
-            Judgement::Next(next_document) => self.propose_change(now, queued, *next_document),
         }
     }
 
     /// What is said from the state of the moment needs a majority's word from after it was asked for.
     /// An evacuation, which is built on no version that could be overtaken, waits besides until its
     /// caller would have been heard hanging up.
-    fn may_act_on(&self, now: Moment, judgement: &Judgement, queued: &QueuedChange) -> bool {
-        let is_proven = self.is_proven_since(now, queued.asked_at);
-        match judgement {
-            Judgement::Taken { .. } => true,
-            Judgement::SoAlready => is_proven,
-            Judgement::Answered(reply) => {
+    fn may_act_on(
+        &self,
+        now: MonotonicTime,
+        proposal_outcome: &ProposalOutcome,
+        queued: &QueuedChange,
+    ) -> bool {
+        let is_proven = self.is_proven_since(now, queued.requested_at);
+        match proposal_outcome {
+            ProposalOutcome::Applied { .. } => true,
+            ProposalOutcome::AlreadyInState => is_proven,
+            ProposalOutcome::Answered(reply) => {
                 let knows_zones = self.leader_state.as_ref().is_some_and(LeaderState::is_open);
-                let is_about_zones =
+                let concerns_zones =
                     matches!(reply, OperationReply::NoZone { .. } | OperationReply::LastZone);
-                let is_overtaken_harmless = !self.rules.keep(Rule::RefusalProven);
-                (is_proven && (knows_zones || !is_about_zones)) || is_overtaken_harmless
+                let skips_proof = !self.rules.enforces(Rule::RejectionConfirmedByMajority);
+                (is_proven && (knows_zones || !concerns_zones)) || skips_proof
             }
-            Judgement::Next(_) if queued.kind.is_about_zone() => {
-                let is_held = now.since(queued.asked_at) < HANG_UP_SPAN;
-                is_proven && !(is_held && self.rules.keep(Rule::HungUpDropped))
+            ProposalOutcome::NewDocument(_) if queued.kind.is_zone_change() => {
+                let is_delayed = now.since(queued.requested_at) < DISCONNECT_NOTICE_DELAY;
+                is_proven && !(is_delayed && self.rules.enforces(Rule::AbandonedChangeDropped))
             }
-            Judgement::Next(_) => true,
+            ProposalOutcome::NewDocument(_) => true,
         }
     }
 
-    fn propose_change(&mut self, now: Moment, queued: QueuedChange, mut next_document: Document) {
-        let wanted_roster =
-            self.leader_state.as_ref().and_then(|leader_state| leader_state.wanted_roster(now));
-        if let Some(wanted_roster) = wanted_roster {
-            next_document.roster = wanted_roster;
+    fn propose_change(
+        &mut self,
+        now: MonotonicTime,
+        queued: QueuedChange,
+        mut next_document: Document,
+    ) {
+        let target_membership =
+            self.leader_state.as_ref().and_then(|leader_state| leader_state.target_membership(now));
+        if let Some(target_membership) = target_membership {
+            next_document.membership = target_membership;
         }
         self.check_proposal(&queued, &next_document);
         let number = queued.numbering.map_or(0, |given| given.number);
-        let serial = next_document.stamp.serial;
-        self.traces.put_forward(now, self.core.term(), serial);
-        match self.core.propose(now, next_document) {
-            Ok(orders) => {
-                let waiter = queued.into_waiter(serial, number);
-                if self.rules.keep(Rule::AcknowledgedByMajority) {
-                    self.changes.in_flight.push(waiter);
+        let version = next_document.document_version.version;
+        self.traces.begin_proposal(now, self.consensus.term(), version);
+        match self.consensus.propose(now, next_document) {
+            Ok(consensus_outputs) => {
+                let proposed_change = queued.into_proposed(version, number);
+                if self.rules.enforces(Rule::AcknowledgedByMajority) {
+                    self.changes.in_flight.push(proposed_change);
                 } else {
-                    self.changes.accepted.push(waiter);
+                    self.changes.accepted.push(proposed_change);
                 }
-                self.obey(now, orders);
+                self.execute(now, consensus_outputs);
             }
-            Err(fault) => {
-                let reason = fault.into();
+            Err(error) => {
+                let reason = error.into();
                 self.answer(queued.ticket, OperationReply::NotAccepted { reason, change: None });
             }
         }
     }
 
     fn check_proposal(&self, queued: &QueuedChange, next_document: &Document) {
-        let Some(current) = self.core.accepted() else { return };
-        let (serial, number) = (current.view_serial(), current.number);
-        let is_on_base = queued.base.is_none_or(|base| base == serial)
+        let Some(current) = self.consensus.accepted() else { return };
+        let (version, number) = (current.view_version(), current.number);
+        let is_on_base = queued.base.is_none_or(|base| base == version)
             && queued.numbering.is_none_or(|given| given.base_number == number);
         require(self.rules, Invariant::ChangeOnNamedBase, is_on_base, || {
-            format!("{} goes on version {serial}, number {number}", queued.change)
+            format!("{} goes on version {version}, number {number}", queued.change)
         });
         // A second check of a whole spec is dear on a small share of a core: debug builds only.
         let is_valid = !cfg!(debug_assertions) || next_document.spec.check().is_ok();
@@ -308,46 +327,47 @@
     }
 
     /// An operator hung up: what it asked for and was not put forward is dropped.
-    pub(super) fn withdraw(&mut self, ticket: OperationTicket) {
-        if self.rules.keep(Rule::HungUpDropped) {
+    pub(super) fn drop_disconnected_caller(&mut self, ticket: OperationTicket) {
+        if self.rules.enforces(Rule::AbandonedChangeDropped) {
             self.waiting.retain(|waiting| waiting.ticket != ticket);
-            self.changes.inbox.retain(|queued| queued.ticket != ticket);
-            self.changes.unproven.retain(|queued| queued.ticket != ticket);
+            self.changes.queue.retain(|queued| queued.ticket != ticket);
+            self.changes.awaiting_proof.retain(|queued| queued.ticket != ticket);
         }
     }
 
-    pub(super) fn change_committed(&mut self, serial: Serial) {
-        let (done, kept): (Vec<_>, Vec<_>) = std::mem::take(&mut self.changes.in_flight)
+    pub(super) fn change_committed(&mut self, version: Version) {
+        let (done, retained): (Vec<_>, Vec<_>) = std::mem::take(&mut self.changes.in_flight)
             .into_iter()
-            .partition(|waiter| waiter.serial == serial);
-        self.changes.in_flight = kept;
+            .partition(|proposed_change| proposed_change.version == version);
+        self.changes.in_flight = retained;
         self.changes.accepted.extend(done);
     }
 
-    pub(super) fn progress_waits(&mut self) {
+    pub(super) fn answer_fulfilled_changes(&mut self) {
         let in_force = self
             .leader_state
             .as_ref()
             .map(|leader_state| leader_state.in_force())
             .unwrap_or_default();
-        let (done, kept): (Vec<_>, Vec<_>) = std::mem::take(&mut self.changes.accepted)
-            .into_iter()
-            .partition(|waiter| waiter.wait == Wait::Accepted || in_force >= waiter.serial);
-        self.changes.accepted = kept;
-        for waiter in done {
-            self.answer(waiter.ticket, said_accepted(&waiter, in_force));
+        let (done, retained): (Vec<_>, Vec<_>) =
+            std::mem::take(&mut self.changes.accepted).into_iter().partition(|proposed_change| {
+                proposed_change.wait == Wait::Accepted || in_force >= proposed_change.version
+            });
+        self.changes.accepted = retained;
+        for proposed_change in done {
+            self.answer(proposed_change.ticket, accepted_reply(&proposed_change, in_force));
         }
     }
 
     pub(super) fn drop_changes(&mut self) {
-        for waiter in std::mem::take(&mut self.changes.in_flight) {
-            self.say_unknown(&waiter);
+        for proposed_change in std::mem::take(&mut self.changes.in_flight) {
+            self.reply_unknown(&proposed_change);
         }
-        for waiter in std::mem::take(&mut self.changes.accepted) {
-            self.answer(waiter.ticket, said_accepted(&waiter, Serial(0)));
+        for proposed_change in std::mem::take(&mut self.changes.accepted) {
+            self.answer(proposed_change.ticket, accepted_reply(&proposed_change, Version(0)));
         }
-        let unproven = std::mem::take(&mut self.changes.unproven);
-        for queued in std::mem::take(&mut self.changes.inbox).into_iter().chain(unproven) {
+        let awaiting_proof = std::mem::take(&mut self.changes.awaiting_proof);
+        for queued in std::mem::take(&mut self.changes.queue).into_iter().chain(awaiting_proof) {
             let operation = Operation::Change {
                 base: queued.base,
                 numbering: queued.numbering,
@@ -355,34 +375,33 @@
                 kind: queued.kind,
                 wait: queued.wait,
             };
-            self.wait_for_leader(queued.asked_at, queued.ticket, operation);
+            self.wait_for_leader(queued.requested_at, queued.ticket, operation);
         }
     }
 
-    pub(super) fn ask_change(&self, change: &ChangeId) -> OperationReply {
+    pub(super) fn report_change_status(&self, change: &ChangeId) -> OperationReply {
         let in_force = self
             .leader_state
             .as_ref()
             .map(|leader_state| leader_state.in_force())
             .unwrap_or_default();
-        let noted_change = self
-            .core
-            .accepted()
-            .filter(|_| !self.core.is_proposing())
-            .and_then(|document| document.changes.iter().find(|noted| noted.id == *change));
-        if let Some(noted) = noted_change {
+        let noted_change =
+            self.consensus.accepted().filter(|_| !self.consensus.is_proposing()).and_then(
+                |document| document.changes.iter().find(|recorded| recorded.id == *change),
+            );
+        if let Some(recorded) = noted_change {
             return OperationReply::Accepted {
                 change: change.clone(),
-                serial: noted.serial,
-                number: noted.number,
-                in_force: in_force >= noted.serial,
+                version: recorded.version,
+                number: recorded.number,
+                in_force: in_force >= recorded.version,
             };
         }
-        let queued_changes = self.changes.inbox.iter().chain(&self.changes.unproven);
-        let is_pending = self.core.is_proposing()
+        let queued_changes = self.changes.queue.iter().chain(&self.changes.awaiting_proof);
+        let is_pending = self.consensus.is_proposing()
             || queued_changes.into_iter().any(|queued| queued.change == *change);
-        let is_forgotten = self.core.accepted().is_some_and(Document::has_forgotten_changes);
+        let is_forgotten = self.consensus.accepted().is_some_and(Document::has_forgotten_changes);
         let state = if is_pending || is_forgotten { "unknown" } else { "not_accepted" };
-        OperationReply::Said(200, json!({"state": state, "change_id": change.as_str()}))
+        OperationReply::StatusAndBody(200, json!({"state": state, "change_id": change.as_str()}))
     }
 }
--- a/crates/controlplane/src/controller_state/content.rs
+++ b/crates/controlplane/src/controller_state/content.rs
@@ -1,14 +1,14 @@
 //! What operators' changes contain, and the names of those that were given none.
 
 use super::{ChangeKind, ItemChange, Numbering};
-use common::identity::{ChangeId, Serial};
+use common::identity::{ChangeId, Version};
 use common::seal::{digest, hex};
 use common::spec::SpecRecords;
 use serde_json::{Value, json};
 
 fn content_value(kind: &ChangeKind) -> Value {
     match kind {
-        ChangeKind::Whole(spec) => json!({"spec": spec.to_value()}),
+        ChangeKind::FullSpec(spec) => json!({"spec": spec.to_value()}),
         ChangeKind::Patch(patch) => json!({"patch": patch}),
         ChangeKind::Items(items) => json!({
             "put_functions": items.put_functions,
@@ -25,8 +25,8 @@
 
 /// The name of a change that its operator gave none: a digest of its numbers, its base and its
 /// content, so that the same change sent again has the same name.
-pub fn change_name(
-    base: Option<Serial>,
+pub fn derive_change_id(
+    base: Option<Version>,
     numbering: Option<Numbering>,
     kind: &ChangeKind,
 ) -> ChangeId {
--- a/crates/controlplane/src/controller_state/history.rs
+++ b/crates/controlplane/src/controller_state/history.rs
@@ -1,52 +1,52 @@
-use crate::leader_state::Told;
+use crate::leader_state::EventRecord;
 use common::identity::Term;
 use serde_json::{Value, json};
 use std::collections::VecDeque;
 
-const KEPT_EVENTS: usize = 20_000;
+const MAX_RETAINED_EVENTS: usize = 20_000;
 
 /// An event with its number.
 #[derive(Clone, Debug)]
-pub struct Numbered {
+pub struct NumberedEvent {
     /// The number: the leader's term above, a count below.
     pub number: u64,
     /// The event.
-    pub told: Told,
+    pub event_record: EventRecord,
 }
 
-impl Numbered {
+impl NumberedEvent {
     /// The event as operators read it.
     pub fn to_value(&self) -> Value {
         json!({
             "number": self.number,
-            "event": self.told.event.number,
-            "name": self.told.event.name,
-            "detail": self.told.detail,
+            "event": self.event_record.event.number,
+            "name": self.event_record.event.name,
+            "detail": self.event_record.detail,
         })
     }
 }
 
 /// The last events of this controller.
 #[derive(Default)]
-pub struct History {
-    kept: VecDeque<Numbered>,
+pub struct EventLog {
+    retained: VecDeque<NumberedEvent>,
     last_number: u64,
 }
 
-impl History {
+impl EventLog {
     /// A new reign begins: numbers go on above all of earlier reigns.
     pub fn restart(&mut self, term: Term) {
-        self.kept.clear();
+        self.retained.clear();
         self.last_number = self.last_number.max(term.0 << 32);
     }
 
     /// Keeps an event and numbers it.
-    pub fn add(&mut self, told: Told) -> Numbered {
+    pub fn add(&mut self, event_record: EventRecord) -> NumberedEvent {
         self.last_number += 1;
-        let numbered = Numbered { number: self.last_number, told };
-        self.kept.push_back(numbered.clone());
-        if self.kept.len() > KEPT_EVENTS {
-            self.kept.pop_front();
+        let numbered = NumberedEvent { number: self.last_number, event_record };
+        self.retained.push_back(numbered.clone());
+        if self.retained.len() > MAX_RETAINED_EVENTS {
+            self.retained.pop_front();
         }
         numbered
     }
@@ -57,8 +57,9 @@
     }
 
     /// The events from a number on, a gap event first when some of them are lost.
-    pub fn from(&self, first_number: u64, most: usize) -> Vec<Value> {
-        let oldest_number = self.kept.front().map_or(self.last_number + 1, |kept| kept.number);
+    pub fn from(&self, first_number: u64, limit: usize) -> Vec<Value> {
+        let oldest_number =
+            self.retained.front().map_or(self.last_number + 1, |retained| retained.number);
         let mut listed_events = Vec::new();
         if first_number != 0 && first_number < oldest_number {
             listed_events.push(json!({
@@ -68,8 +69,8 @@
                 "detail": {"asked": first_number, "oldest": oldest_number},
             }));
         }
-        let later_events = self.kept.iter().filter(|kept| kept.number >= first_number);
-        listed_events.extend(later_events.take(most).map(Numbered::to_value));
+        let later_events = self.retained.iter().filter(|retained| retained.number >= first_number);
+        listed_events.extend(later_events.take(limit).map(NumberedEvent::to_value));
         listed_events
     }
 }
--- a/crates/controlplane/src/controller_state/mod.rs
+++ b/crates/controlplane/src/controller_state/mod.rs
@@ -3,39 +3,39 @@
 mod changes;
 mod content;
 mod history;
-mod judgement;
 mod operation;
+mod proposal_outcome;
 mod traces;
 
-pub use content::change_name;
-pub use history::{History, Numbered};
+pub use content::derive_change_id;
+pub use history::{EventLog, NumberedEvent};
 pub use operation::{
     ChangeKind, ItemChange, Numbering, Operation, OperationReply, OperationTicket, Unavailable,
     Wait,
 };
 
-use crate::core::{Address, Core, CoreOutput, WriteJob, WriteResult};
+use crate::consensus::{ConsensusNode, ConsensusOutput, ControllerAddress, WriteJob, WriteResult};
 use crate::leader_state::{
-    KEPT_VIEWS, LeaderOutput, LeaderState, LeaderTiming, Proof, StreamId, Told,
+    EventRecord, LeaderOutput, LeaderState, LeaderTiming, QuorumProof, RETAINED_VIEWS, StreamId,
 };
-use changes::Changes;
-use common::clock::Moment;
+use changes::OperatorChanges;
+use common::adapter::{ListedRunner, ListedWorker, StopOrder};
+use common::clock::MonotonicTime;
 use common::events;
-use common::frames::{CoreFrame, Place, StreamDown, StreamUp};
-use common::identity::{RunnerId, Serial, Stamp, Ticket};
+use common::frames::{ConsensusFrame, DaemonToLeader, LeaderToDaemon, SocketAddress};
+use common::identity::{DocumentVersion, RunnerId, Ticket, Version};
 use common::rules::Rules;
-use common::spec::View;
-use common::tongue::{ListedRunner, ListedWorker, StopOrder};
+use common::spec::DaemonView;
 use operation::WaitingOperation;
 use serde_json::json;
 use std::collections::{BTreeSet, VecDeque};
 use std::time::Duration;
 use traces::Traces;
 
-const LEADER_EVERY: Duration = Duration::from_millis(50);
-const HURRIED_EVERY: Duration = Duration::from_millis(10);
-const WAITING_EVERY: Duration = Duration::from_millis(100);
-const IDLE_EVERY: Duration = Duration::from_millis(500);
+const LEADER_TICK_INTERVAL: Duration = Duration::from_millis(50);
+const URGENT_TICK_INTERVAL: Duration = Duration::from_millis(10);
+const WAITING_TICK_INTERVAL: Duration = Duration::from_millis(100);
+const IDLE_TICK_INTERVAL: Duration = Duration::from_millis(500);
 
 /// What reaches a controller.
 #[derive(Debug)]
@@ -43,85 +43,89 @@
     /// Time passes.
     Tick,
     /// Another controller's frame.
-    Core(CoreFrame),
+    Consensus(ConsensusFrame),
     /// A write has ended.
     Written(Ticket, WriteResult),
     /// A daemon's frame.
-    Stream(StreamId, StreamUp),
+    Stream(StreamId, DaemonToLeader),
     /// A daemon's stream has ended.
     StreamLost(StreamId),
     /// The platform's workers.
     Workers(Vec<ListedWorker>),
     /// The platform's runners as they stood at a moment.
-    Runners(Moment, Vec<ListedRunner>),
+    Runners(MonotonicTime, Vec<ListedRunner>),
     /// The platform confirmed a stop.
     RunnerStopped(RunnerId),
     /// An operator's wish.
     Operate(OperationTicket, Operation),
     /// An operator hung up and hears no answer any more.
-    Withdrawn(OperationTicket),
+    CallerDisconnected(OperationTicket),
     /// Connections to this place are refused: the process there is gone.
-    Gone(Place),
+    ProcessGone(SocketAddress),
     /// Other seeds.
-    Seeds(Vec<Place>),
+    Seeds(Vec<SocketAddress>),
 }
 
 /// What a controller orders.
 #[derive(Debug)]
 pub enum ControllerOutput {
     /// Send a frame to another controller.
-    Send(Place, CoreFrame),
+    Send(SocketAddress, ConsensusFrame),
     /// Write to disk.
     Write(Ticket, WriteJob),
     /// Say something on a daemon's stream.
-    Down(StreamId, StreamDown),
+    FrameToDaemon(StreamId, LeaderToDaemon),
     /// End a daemon's stream.
     Close(StreamId),
     /// Ask the platform for its lists at once.
-    AskLists,
+    RequestLists,
     /// Have the platform stop a runner.
     StopRunner(StopOrder),
     /// Answer an operator.
-    Operated(OperationTicket, OperationReply),
+    OperatorReply(OperationTicket, OperationReply),
     /// An event was noted.
-    Told(Numbered),
+    EventRecord(NumberedEvent),
 }
 
 /// A whole controller without I/O.
 pub struct ControllerState {
-    core: Core,
+    consensus: ConsensusNode,
     leader_state: Option<LeaderState>,
     leader_state_timing: LeaderTiming,
-    fresh_span: Duration,
+    proof_freshness_limit: Duration,
     streams: BTreeSet<StreamId>,
-    history: History,
-    changes: Changes,
+    history: EventLog,
+    changes: OperatorChanges,
     waiting: VecDeque<WaitingOperation>,
     traces: Traces,
     /// The last versions on this disk, committed or not; a leader's daemons that have one of them are told the
     /// difference.
-    recent_views: VecDeque<View>,
-    recent_stamp: Stamp,
+    recent_views: VecDeque<DaemonView>,
+    recent_document_version: DocumentVersion,
     rules: Rules,
     outputs: Vec<ControllerOutput>,
 }
 
 impl ControllerState {
     /// A controller around a core member.
-    pub fn new(core: Core, leader_state_timing: LeaderTiming, fresh_span: Duration) -> Self {
+    pub fn new(
+        consensus: ConsensusNode,
+        leader_state_timing: LeaderTiming,
+        proof_freshness_limit: Duration,
+    ) -> Self {
         Self {
-            core,
+            consensus,
             leader_state: None,
             leader_state_timing,
-            fresh_span,
+            proof_freshness_limit,
             streams: BTreeSet::new(),
-            history: History::default(),
-            changes: Changes::default(),
+            history: EventLog::default(),
+            changes: OperatorChanges::default(),
             waiting: VecDeque::new(),
             traces: Traces::default(),
             recent_views: VecDeque::new(),
-            recent_stamp: Stamp::default(),
-            rules: Rules::KEPT,
+            recent_document_version: DocumentVersion::default(),
+            rules: Rules::ALL_ENFORCED,
             outputs: Vec::new(),
         }
     }
@@ -133,8 +137,8 @@
     }
 
     /// The core member.
-    pub fn core(&self) -> &Core {
-        &self.core
+    pub fn consensus(&self) -> &ConsensusNode {
+        &self.consensus
     }
 
     /// The leader state, while this controller leads.
@@ -148,37 +152,40 @@
     }
 
     /// When time must pass next, if nothing reaches it before.
-    pub fn next_due(&self, now: Moment) -> Moment {
+    pub fn next_due(&self, now: MonotonicTime) -> MonotonicTime {
         let longest_span = match (&self.leader_state, self.waiting.is_empty()) {
-            (Some(leader_state), _) if leader_state.is_hurried() => HURRIED_EVERY,
-            (Some(_), _) => LEADER_EVERY,
-            (None, false) => WAITING_EVERY,
-            (None, true) => IDLE_EVERY,
+            (Some(leader_state), _) if leader_state.is_time_critical() => URGENT_TICK_INTERVAL,
+            (Some(_), _) => LEADER_TICK_INTERVAL,
+            (None, false) => WAITING_TICK_INTERVAL,
+            (None, true) => IDLE_TICK_INTERVAL,
         };
-        self.core.next_due().min(now + longest_span)
+        self.consensus.next_due().min(now + longest_span)
     }
 
     /// Takes one input and returns what is ordered.
-    pub fn take(&mut self, now: Moment, input: ControllerInput) -> Vec<ControllerOutput> {
-        let orders = self.core.expire(now);
-        self.obey(now, orders);
+    pub fn take(&mut self, now: MonotonicTime, input: ControllerInput) -> Vec<ControllerOutput> {
+        let consensus_outputs = self.consensus.expire_leadership(now);
+        self.execute(now, consensus_outputs);
         match input {
             ControllerInput::Tick => {
-                let orders = self.core.tick(now);
-                self.obey(now, orders);
+                let consensus_outputs = self.consensus.tick(now);
+                self.execute(now, consensus_outputs);
             }
-            ControllerInput::Core(frame) => {
-                let orders = self.core.heard(now, frame);
-                self.obey(now, orders);
+            ControllerInput::Consensus(frame) => {
+                let consensus_outputs = self.consensus.receive(now, frame);
+                self.execute(now, consensus_outputs);
             }
             ControllerInput::Written(ticket, result) => {
                 if result == WriteResult::Failed {
-                    self.tell(Told { event: events::DISK_FAILED, detail: json!({}) });
+                    self.record_event(EventRecord {
+                        event: events::DISK_WRITE_FAILED,
+                        detail: json!({}),
+                    });
                 }
-                let orders = self.core.written(now, ticket, result);
-                self.obey(now, orders);
+                let consensus_outputs = self.consensus.write_completed(now, ticket, result);
+                self.execute(now, consensus_outputs);
             }
-            ControllerInput::Stream(stream, frame) => self.hear_stream(now, stream, frame),
+            ControllerInput::Stream(stream, frame) => self.handle_stream_frame(now, stream, frame),
             ControllerInput::StreamLost(stream) => {
                 self.streams.remove(&stream);
                 if let Some(leader_state) = &mut self.leader_state {
@@ -190,9 +197,9 @@
                     leader_state.workers_listed(listed_workers);
                 }
             }
-            ControllerInput::Runners(content_moment, listed_runners) => {
+            ControllerInput::Runners(listed_at, listed_runners) => {
                 if let Some(leader_state) = &mut self.leader_state {
-                    leader_state.runners_listed(content_moment, &listed_runners);
+                    leader_state.runners_listed(listed_at, &listed_runners);
                 }
             }
             ControllerInput::RunnerStopped(runner) => {
@@ -201,186 +208,208 @@
                 }
             }
             ControllerInput::Operate(ticket, operation) => self.operate(now, ticket, operation),
-            ControllerInput::Withdrawn(ticket) => self.withdraw(ticket),
-            ControllerInput::Gone(place) => self.core.leader_gone(now, place),
-            ControllerInput::Seeds(seeds) => self.core.reseed(seeds),
+            ControllerInput::CallerDisconnected(ticket) => self.drop_disconnected_caller(ticket),
+            ControllerInput::ProcessGone(address) => {
+                self.consensus.leader_process_ended(now, address)
+            }
+            ControllerInput::Seeds(seeds) => self.consensus.update_seeds(seeds),
         }
-        self.note_accepted();
+        self.remember_accepted_view();
         self.progress(now);
         std::mem::take(&mut self.outputs)
     }
 
     /// Keeps the newest version on this disk among the recent ones; a version that lost to another with its serial
     /// makes room.
-    fn note_accepted(&mut self) {
-        let Some(document) = self.core.accepted() else { return };
-        if document.stamp == self.recent_stamp {
+    fn remember_accepted_view(&mut self) {
+        let Some(document) = self.consensus.accepted() else { return };
+        if document.document_version == self.recent_document_version {
             return;
         }
-        self.recent_stamp = document.stamp;
-        let serial = document.view_serial();
-        let is_seen = self.recent_views.back().is_some_and(|newest| newest.serial == serial);
-        if is_seen && document.unseen > 0 {
+        self.recent_document_version = document.document_version;
+        let version = document.view_version();
+        let is_seen = self.recent_views.back().is_some_and(|newest| newest.version == version);
+        if is_seen && document.hidden_versions > 0 {
             return;
         }
-        self.recent_views.retain(|earlier| earlier.serial < serial);
+        self.recent_views.retain(|earlier| earlier.version < version);
         self.recent_views.push_back(document.view());
-        let extra_count = self.recent_views.len().saturating_sub(KEPT_VIEWS);
+        let extra_count = self.recent_views.len().saturating_sub(RETAINED_VIEWS);
         self.recent_views.drain(..extra_count);
     }
 
-    fn hear_stream(&mut self, now: Moment, stream: StreamId, frame: StreamUp) {
+    fn handle_stream_frame(&mut self, now: MonotonicTime, stream: StreamId, frame: DaemonToLeader) {
         self.streams.insert(stream);
         match &mut self.leader_state {
-            Some(leader_state) => leader_state.heard(now, stream, frame),
+            Some(leader_state) => leader_state.receive(now, stream, frame),
             None => {
-                let leader = self.core.leader().map_or(Place::NOWHERE, |address| address.place);
-                self.outputs.push(ControllerOutput::Down(stream, StreamDown::Elsewhere { leader }));
+                let leader = self
+                    .consensus
+                    .leader()
+                    .map_or(SocketAddress::UNSPECIFIED, |controller_address| {
+                        controller_address.address
+                    });
+                self.outputs.push(ControllerOutput::FrameToDaemon(
+                    stream,
+                    LeaderToDaemon::Redirect { leader },
+                ));
                 self.outputs.push(ControllerOutput::Close(stream));
                 self.streams.remove(&stream);
             }
         }
     }
 
-    fn progress(&mut self, now: Moment) {
-        self.progress_waiting(now);
+    fn progress(&mut self, now: MonotonicTime) {
+        self.retry_waiting_operations(now);
         self.progress_changes(now);
         let Some(leader_state) = &mut self.leader_state else { return };
-        if let Some((known_members, whole)) = leader_state.take_known_members() {
-            self.core.set_members(known_members, whole);
+        if let Some((known_members, complete)) = leader_state.take_known_members() {
+            self.consensus.set_members(known_members, complete);
         }
-        let core = &self.core;
-        let proof = Proof {
-            ready: core.is_ready(),
-            quorum_moment: core.quorum_moment(),
-            confirmed: &|known_member| core.is_confirmed(known_member),
-            in_flight: core.proposed().map(|document| &document.roster),
+        let consensus = &self.consensus;
+        let proof = QuorumProof {
+            ready: consensus.is_ready(),
+            quorum_confirmed_at: consensus.quorum_confirmed_at(),
+            confirmed: &|known_member| consensus.is_confirmed(known_member),
+            proposed_membership: consensus.proposed().map(|document| &document.membership),
         };
         for order in leader_state.progress(now, &proof) {
             match order {
-                LeaderOutput::Down { stream, frame } => {
-                    self.outputs.push(ControllerOutput::Down(stream, frame));
+                LeaderOutput::FrameToDaemon { stream, frame } => {
+                    self.outputs.push(ControllerOutput::FrameToDaemon(stream, frame));
                 }
-                LeaderOutput::AskLists => self.outputs.push(ControllerOutput::AskLists),
+                LeaderOutput::RequestLists => self.outputs.push(ControllerOutput::RequestLists),
                 LeaderOutput::StopRunner(order) => {
                     self.outputs.push(ControllerOutput::StopRunner(order));
                 }
-                LeaderOutput::Told(told) => {
-                    if told.event == events::IN_FORCE
-                        && let Some(serial) = told.detail["serial"].as_u64()
+                LeaderOutput::EventRecord(event_record) => {
+                    if event_record.event == events::VERSION_IN_FORCE
+                        && let Some(version) = event_record.detail["serial"].as_u64()
                     {
-                        self.traces.in_force(now, Serial(serial));
+                        self.traces.in_force(now, Version(version));
                     }
-                    self.tell(told);
+                    self.record_event(event_record);
                 }
-                LeaderOutput::Step { serial, member, step } => {
-                    self.traces.step(now, serial, member, step);
+                LeaderOutput::VersionProgress { version, member, step } => {
+                    self.traces.step(now, version, member, step);
                 }
             }
         }
-        self.progress_waits();
-        self.put_roster_forward(now);
-        let wants_round = self.leader_state.as_ref().is_some_and(LeaderState::wants_round)
-            || (self.leader_state.is_some() && !self.waiting.is_empty())
-            || self.changes.wants_proof();
-        if wants_round {
-            let orders = self.core.hasten_round(now);
-            self.obey(now, orders);
+        self.answer_fulfilled_changes();
+        self.propose_membership(now);
+        let needs_heartbeat_round =
+            self.leader_state.as_ref().is_some_and(LeaderState::needs_heartbeat_round)
+                || (self.leader_state.is_some() && !self.waiting.is_empty())
+                || self.changes.needs_proof();
+        if needs_heartbeat_round {
+            let consensus_outputs = self.consensus.expedite_heartbeat(now);
+            self.execute(now, consensus_outputs);
         }
     }
 
     /// Names of daemons that joined or are long gone are committed together, after operators' changes
     /// that wait: those take the names along.
-    fn put_roster_forward(&mut self, now: Moment) {
-        let is_free = self.core.is_ready() && !self.core.is_proposing() && self.changes.is_idle();
+    fn propose_membership(&mut self, now: MonotonicTime) {
+        let is_free =
+            self.consensus.is_ready() && !self.consensus.is_proposing() && self.changes.is_idle();
         let Some(leader_state) = &mut self.leader_state else { return };
-        let Some(roster) = leader_state.due_roster(now).filter(|_| is_free) else { return };
-        let Some(document) = self.core.accepted() else { return };
-        let next_document = document.with_roster(roster);
-        if let Ok(orders) = self.core.propose(now, next_document) {
-            self.obey(now, orders);
+        let Some(membership) = leader_state.due_membership(now).filter(|_| is_free) else { return };
+        let Some(document) = self.consensus.accepted() else { return };
+        let next_document = document.with_membership(membership);
+        if let Ok(consensus_outputs) = self.consensus.propose(now, next_document) {
+            self.execute(now, consensus_outputs);
         }
     }
 
-    fn tell(&mut self, told: Told) {
-        let numbered = self.history.add(told);
-        self.outputs.push(ControllerOutput::Told(numbered));
+    fn record_event(&mut self, event_record: EventRecord) {
+        let numbered = self.history.add(event_record);
+        self.outputs.push(ControllerOutput::EventRecord(numbered));
     }
 
-    fn obey(&mut self, now: Moment, orders: Vec<CoreOutput>) {
-        for order in orders {
+    fn execute(&mut self, now: MonotonicTime, consensus_outputs: Vec<ConsensusOutput>) {
+        for order in consensus_outputs {
             match order {
-                CoreOutput::Send { to, frame } => {
+                ConsensusOutput::Send { to, frame } => {
                     self.outputs.push(ControllerOutput::Send(to, frame))
                 }
-                CoreOutput::Write { ticket, job } => {
+                ConsensusOutput::Write { ticket, job } => {
                     self.outputs.push(ControllerOutput::Write(ticket, job));
                 }
-                CoreOutput::Campaigning { term } => {
+                ConsensusOutput::Campaigning { term } => {
                     let detail = json!({"term": term.0});
-                    self.tell(Told { event: events::CAMPAIGN, detail });
+                    self.record_event(EventRecord { event: events::ELECTION_STARTED, detail });
                 }
-                CoreOutput::Elected { term, members, whole } => {
+                ConsensusOutput::Elected { term, members, complete } => {
                     self.history.restart(term);
                     let detail = json!({
                         "term": term.0,
-                        "surveyor": format!("{:x}", self.core.id().0),
+                        "surveyor": format!("{:x}", self.consensus.id().0),
                         "last_known": members.len(),
-                        "whole": whole,
+                        "whole": complete,
                     });
-                    self.tell(Told { event: events::ELECTED, detail });
+                    self.record_event(EventRecord { event: events::LEADER_ELECTED, detail });
                     let leader_state_timing = self.leader_state_timing.clone();
                     let leader_state =
-                        LeaderState::new(leader_state_timing, term, now, members, whole);
+                        LeaderState::new(leader_state_timing, term, now, members, complete);
                     let leader_state = leader_state.with_earlier_views(self.recent_views.clone());
                     self.leader_state = Some(leader_state.with_rules(self.rules));
                 }
-                CoreOutput::SteppedDown => self.stepped_down(),
-                CoreOutput::Committed(document) => {
-                    let stamp = document.stamp;
-                    let detail = json!({"term": stamp.term.0, "serial": stamp.serial.0});
-                    self.tell(Told { event: events::COMMITTED, detail });
-                    let seen_stamp = Stamp { serial: document.view_serial(), ..stamp };
-                    self.traces.committed(now, seen_stamp);
+                ConsensusOutput::SteppedDown => self.stepped_down(),
+                ConsensusOutput::Committed(document) => {
+                    let document_version = document.document_version;
+                    let detail = json!({"term": document_version.term.0, "serial": document_version.version.0});
+                    self.record_event(EventRecord { event: events::VERSION_COMMITTED, detail });
+                    let seen_document_version =
+                        DocumentVersion { version: document.view_version(), ..document_version };
+                    self.traces.committed(now, seen_document_version);
                     if let Some(leader_state) = &mut self.leader_state {
                         leader_state.committed(document);
                     }
-                    self.change_committed(stamp.serial);
+                    self.change_committed(document_version.version);
                 }
-                CoreOutput::MembershipChange { places, settled } => {
-                    let places: Vec<String> = places.iter().map(Place::to_string).collect();
-                    let detail = json!({"core": places, "settled": settled});
-                    self.tell(Told { event: events::SUCCESSION, detail });
+                ConsensusOutput::MembershipChange { addresses, settled } => {
+                    let addresses: Vec<String> =
+                        addresses.iter().map(SocketAddress::to_string).collect();
+                    let detail = json!({"core": addresses, "settled": settled});
+                    self.record_event(EventRecord { event: events::QUORUM_RECONFIGURING, detail });
                 }
-                CoreOutput::DiskStalled => {
-                    self.tell(Told { event: events::DISK_STALLED, detail: json!({}) });
+                ConsensusOutput::DiskStalled => {
+                    self.record_event(EventRecord {
+                        event: events::DISK_STALLED,
+                        detail: json!({}),
+                    });
                 }
             }
         }
     }
 
     fn stepped_down(&mut self) {
-        let detail = json!({"term": self.core.term().0});
-        self.tell(Told { event: events::STEPPED_DOWN, detail });
+        let detail = json!({"term": self.consensus.term().0});
+        self.record_event(EventRecord { event: events::LEADER_STEPPED_DOWN, detail });
         self.leader_state = None;
         self.drop_changes();
-        let leader = self.core.leader().map_or(Place::NOWHERE, |address| address.place);
+        let leader = self
+            .consensus
+            .leader()
+            .map_or(SocketAddress::UNSPECIFIED, |controller_address| controller_address.address);
         for stream in std::mem::take(&mut self.streams) {
-            self.outputs.push(ControllerOutput::Down(stream, StreamDown::Elsewhere { leader }));
+            self.outputs
+                .push(ControllerOutput::FrameToDaemon(stream, LeaderToDaemon::Redirect { leader }));
             self.outputs.push(ControllerOutput::Close(stream));
         }
     }
 
-    fn leader_elsewhere(&self) -> Option<Address> {
-        if self.core.is_leader() { None } else { self.core.leader() }
+    fn other_leader(&self) -> Option<ControllerAddress> {
+        if self.consensus.is_leader() { None } else { self.consensus.leader() }
     }
 
-    fn is_fresh(&self, now: Moment) -> bool {
-        self.core.is_ready() && now.since(self.core.quorum_moment()) < self.fresh_span
+    fn is_quorum_fresh(&self, now: MonotonicTime) -> bool {
+        self.consensus.is_ready()
+            && now.since(self.consensus.quorum_confirmed_at()) < self.proof_freshness_limit
     }
 
     /// Whether a majority still followed this leader in a round that began after this moment.
-    fn is_proven_since(&self, now: Moment, asked_at: Moment) -> bool {
-        self.is_fresh(now) && self.core.quorum_moment() >= asked_at
+    fn is_proven_since(&self, now: MonotonicTime, requested_at: MonotonicTime) -> bool {
+        self.is_quorum_fresh(now) && self.consensus.quorum_confirmed_at() >= requested_at
     }
 }
