--- a/crates/controlplane/src/controller_state/operation.rs
+++ b/crates/controlplane/src/controller_state/operation.rs
@@ -1,10 +1,10 @@
-use super::changes::AskedChange;
+use super::changes::ChangeRequest;
 use super::{ControllerOutput, ControllerState};
-use crate::core::ProposeFault;
-use common::clock::Moment;
-use common::frames::Place;
-use common::identity::{ChangeId, ControllerId, Serial, Zone};
-use common::readers::PathFault;
+use crate::consensus::ProposeError;
+use common::clock::MonotonicTime;
+use common::frames::SocketAddress;
+use common::identity::{ChangeId, ControllerId, Version, Zone};
+use common::readers::PathError;
 use common::rules::Rule;
 use common::spec::{Document, SpecRecords};
 use serde_json::{Value, json};
@@ -46,7 +46,7 @@
 #[derive(Clone, Debug)]
 pub enum ChangeKind {
     /// A whole spec.
-    Whole(SpecRecords),
+    FullSpec(SpecRecords),
     /// A JSON merge patch.
     Patch(Value),
     /// Named items.
@@ -67,7 +67,7 @@
 
 impl ChangeKind {
     /// Whether it evacuates a zone or brings one back.
-    pub fn is_about_zone(&self) -> bool {
+    pub fn is_zone_change(&self) -> bool {
         matches!(self, Self::Evacuate { .. } | Self::Restore { .. })
     }
 }
@@ -89,7 +89,7 @@
     /// Change it.
     Change {
         /// The serial it is built on.
-        base: Option<Serial>,
+        base: Option<Version>,
         /// The operators' own numbers, if they number it.
         numbering: Option<Numbering>,
         /// The operator's name for it; without one it is known by what it says.
@@ -100,7 +100,7 @@
         wait: Wait,
     },
     /// Ask what became of a change.
-    AskChange(ChangeId),
+    ChangeStatus(ChangeId),
     /// List the daemons.
     Members,
     /// List the holders.
@@ -110,15 +110,15 @@
     /// List the runners.
     Runners,
     /// Show the core.
-    ShowCore,
+    ShowQuorum,
     /// Found the core.
-    Found,
+    Bootstrap,
     /// Replace a member of the core by another controller.
     Replace(ControllerId, ControllerId),
     /// Read events from a number on.
     Events(u64),
     /// Show what this controller knows of one version's way; zero for the newest.
-    Trace(Serial),
+    Trace(Version),
     /// Show the metrics.
     Metrics,
 }
@@ -166,11 +166,11 @@
     }
 }
 
-impl From<ProposeFault> for Unavailable {
-    fn from(fault: ProposeFault) -> Self {
-        match fault {
-            ProposeFault::NotReady => Self::NotReady,
-            ProposeFault::Busy => Self::Busy,
+impl From<ProposeError> for Unavailable {
+    fn from(error: ProposeError) -> Self {
+        match error {
+            ProposeError::NotReady => Self::NotReady,
+            ProposeError::Busy => Self::Busy,
         }
     }
 }
@@ -179,20 +179,20 @@
 #[derive(Clone, Debug)]
 pub enum OperationReply {
     /// A status and a body, on what only the product's own interface asks.
-    Said(u16, Value),
+    StatusAndBody(u16, Value),
     /// The newest spec.
     Spec {
         /// The document that holds it.
         document: Box<Document>,
         /// The newest serial that is in force everywhere.
-        in_force: Serial,
+        in_force: Version,
     },
     /// A change is on the disks of a majority.
     Accepted {
         /// Its name.
         change: ChangeId,
         /// The serial it made.
-        serial: Serial,
+        version: Version,
         /// The operators' number; zero if they gave none.
         number: u64,
         /// Whether it is in force everywhere.
@@ -203,12 +203,12 @@
         /// The change's name.
         change: ChangeId,
         /// The current serial.
-        serial: Serial,
+        version: Version,
         /// The operators' current number.
         number: u64,
     },
     /// A change does not check; nothing was written.
-    Invalid(Vec<PathFault>),
+    Invalid(Vec<PathError>),
     /// There is no such zone; nothing was written.
     NoZone {
         /// The zone asked for.
@@ -233,23 +233,28 @@
         change: Option<ChangeId>,
     },
     /// Nothing can be told now.
-    NotNow(Unavailable),
+    TemporarilyUnavailable(Unavailable),
     /// The leader answers, reached by operators at this place.
-    Elsewhere(Place),
+    Redirect(SocketAddress),
 }
 
-const LEADER_PATIENCE: Duration = Duration::from_millis(700);
+const LEADER_WAIT_TIMEOUT: Duration = Duration::from_millis(700);
 
 /// An operator's wish that waits for a leader.
 pub struct WaitingOperation {
     pub(super) ticket: OperationTicket,
     operation: Operation,
-    asked_at: Moment,
+    requested_at: MonotonicTime,
 }
 
 impl ControllerState {
-    pub(super) fn operate(&mut self, now: Moment, ticket: OperationTicket, operation: Operation) {
-        if self.must_wait(now, now, &operation) {
+    pub(super) fn operate(
+        &mut self,
+        now: MonotonicTime,
+        ticket: OperationTicket,
+        operation: Operation,
+    ) {
+        if self.must_wait_for_leader(now, now, &operation) {
             self.wait_for_leader(now, ticket, operation);
         } else {
             self.operate_now(now, now, ticket, operation);
@@ -258,38 +263,45 @@
 
     pub(super) fn wait_for_leader(
         &mut self,
-        asked_at: Moment,
+        requested_at: MonotonicTime,
         ticket: OperationTicket,
         operation: Operation,
     ) {
-        self.waiting.push_back(WaitingOperation { ticket, operation, asked_at });
+        self.waiting.push_back(WaitingOperation { ticket, operation, requested_at });
     }
 
     /// A caller that is refused pauses longer each time, so a wish waits a little for a leader.
     /// A reading waits for a majority's proof from after it was asked.
-    fn must_wait(&self, now: Moment, asked_at: Moment, operation: &Operation) -> bool {
+    fn must_wait_for_leader(
+        &self,
+        now: MonotonicTime,
+        requested_at: MonotonicTime,
+        operation: &Operation,
+    ) -> bool {
         match operation {
-            Operation::Found
-            | Operation::ShowCore
+            Operation::Bootstrap
+            | Operation::ShowQuorum
             | Operation::Trace(_)
             | Operation::Metrics
             | Operation::Events(_) => false,
             Operation::Change { .. } => {
-                self.leader_state.is_none() && self.leader_elsewhere().is_none()
+                self.leader_state.is_none() && self.other_leader().is_none()
             }
             _ => {
-                let must_be_proven = self.rules.keep(Rule::ReadingProven);
-                let is_proven = self.is_proven_since(now, asked_at);
-                self.leader_elsewhere().is_none() && must_be_proven && !is_proven
+                let must_be_proven = self.rules.enforces(Rule::ReadConfirmedByMajority);
+                let is_proven = self.is_proven_since(now, requested_at);
+                self.other_leader().is_none() && must_be_proven && !is_proven
             }
         }
     }
 
-    pub(super) fn progress_waiting(&mut self, now: Moment) {
+    pub(super) fn retry_waiting_operations(&mut self, now: MonotonicTime) {
         for waiting in std::mem::take(&mut self.waiting) {
-            let is_late = now.since(waiting.asked_at) > LEADER_PATIENCE;
-            if is_late || !self.must_wait(now, waiting.asked_at, &waiting.operation) {
-                self.operate_now(now, waiting.asked_at, waiting.ticket, waiting.operation);
+            let is_expired = now.since(waiting.requested_at) > LEADER_WAIT_TIMEOUT;
+            if is_expired
+                || !self.must_wait_for_leader(now, waiting.requested_at, &waiting.operation)
+            {
+                self.operate_now(now, waiting.requested_at, waiting.ticket, waiting.operation);
             } else {
                 self.waiting.push_back(waiting);
             }
@@ -298,54 +310,60 @@
 
     fn operate_now(
         &mut self,
-        now: Moment,
-        asked_at: Moment,
+        now: MonotonicTime,
+        requested_at: MonotonicTime,
         ticket: OperationTicket,
         operation: Operation,
     ) {
         let reply = match operation {
-            Operation::Found => self.found(now),
-            Operation::Metrics => OperationReply::Said(200, Value::Null),
-            Operation::ShowCore => OperationReply::Said(200, self.show_core(now)),
-            Operation::Trace(serial) => self.trace(now, serial),
+            Operation::Bootstrap => self.bootstrap(now),
+            Operation::Metrics => OperationReply::StatusAndBody(200, Value::Null),
+            Operation::ShowQuorum => OperationReply::StatusAndBody(200, self.show_quorum(now)),
+            Operation::Trace(version) => self.trace(now, version),
             Operation::Events(first_number) if self.leader_state.is_some() => {
                 let listed_events = self.history.from(first_number, 1000);
-                OperationReply::Said(200, Value::Array(listed_events))
+                OperationReply::StatusAndBody(200, Value::Array(listed_events))
             }
             other => {
-                if let Some(address) = self.leader_elsewhere() {
-                    OperationReply::Elsewhere(address.operators)
+                if let Some(controller_address) = self.other_leader() {
+                    OperationReply::Redirect(controller_address.operators)
                 } else if let Operation::Replace(missing, successor) = other {
                     self.replace(now, missing, successor)
                 } else if let Operation::Change { base, numbering, change, kind, wait } = other {
                     if self.leader_state.is_some() {
-                        let asked = AskedChange { base, numbering, change, kind, wait };
-                        self.queue_change(asked_at, ticket, asked);
+                        let requested = ChangeRequest { base, numbering, change, kind, wait };
+                        self.queue_change(requested_at, ticket, requested);
                         return;
                     }
                     OperationReply::NotAccepted { reason: Unavailable::NoLeader, change }
                 } else {
-                    self.report(now, asked_at, other)
+                    self.report(now, requested_at, other)
                 }
             }
         };
-        self.outputs.push(ControllerOutput::Operated(ticket, reply));
+        self.outputs.push(ControllerOutput::OperatorReply(ticket, reply));
     }
 
-    fn report(&self, now: Moment, asked_at: Moment, operation: Operation) -> OperationReply {
-        let is_sure = self.is_proven_since(now, asked_at) || !self.rules.keep(Rule::ReadingProven);
+    fn report(
+        &self,
+        now: MonotonicTime,
+        requested_at: MonotonicTime,
+        operation: Operation,
+    ) -> OperationReply {
+        let is_sure = self.is_proven_since(now, requested_at)
+            || !self.rules.enforces(Rule::ReadConfirmedByMajority);
         let (Some(leader_state), true) = (&self.leader_state, is_sure) else {
-            return OperationReply::NotNow(Unavailable::NoLeader);
+            return OperationReply::TemporarilyUnavailable(Unavailable::NoLeader);
         };
         let body = match operation {
             Operation::Members => leader_state.report_members(now),
             Operation::Holders => leader_state.report_holders(),
             Operation::Workers => leader_state.report_workers(),
             Operation::Runners => leader_state.report_runners(),
-            Operation::AskChange(change) => return self.ask_change(&change),
+            Operation::ChangeStatus(change) => return self.report_change_status(&change),
             _ => {
                 let Some(document) = leader_state.document() else {
-                    return OperationReply::NotNow(Unavailable::NoDocument);
+                    return OperationReply::TemporarilyUnavailable(Unavailable::NoDocument);
                 };
                 return OperationReply::Spec {
                     document: Box::new(document.clone()),
@@ -353,61 +371,65 @@
                 };
             }
         };
-        OperationReply::Said(200, body)
+        OperationReply::StatusAndBody(200, body)
     }
 
-    fn found(&mut self, now: Moment) -> OperationReply {
-        match self.core.found(now) {
-            Ok(orders) => {
-                self.obey(now, orders);
-                OperationReply::Said(202, json!({"state": "founding"}))
+    fn bootstrap(&mut self, now: MonotonicTime) -> OperationReply {
+        match self.consensus.bootstrap(now) {
+            Ok(consensus_outputs) => {
+                self.execute(now, consensus_outputs);
+                OperationReply::StatusAndBody(202, json!({"state": "founding"}))
             }
-            Err(fault) => OperationReply::Said(409, json!({"error": fault.to_string()})),
+            Err(error) => OperationReply::StatusAndBody(409, json!({"error": error.to_string()})),
         }
     }
 
     fn replace(
         &mut self,
-        now: Moment,
+        now: MonotonicTime,
         missing: ControllerId,
         successor: ControllerId,
     ) -> OperationReply {
-        match self.core.replace(now, missing, successor) {
-            Ok((serial, orders)) => {
-                self.obey(now, orders);
-                OperationReply::Said(202, json!({"state": "replacing", "serial": serial.0}))
+        match self.consensus.replace(now, missing, successor) {
+            Ok((version, consensus_outputs)) => {
+                self.execute(now, consensus_outputs);
+                OperationReply::StatusAndBody(
+                    202,
+                    json!({"state": "replacing", "serial": version.0}),
+                )
             }
-            Err(fault) => OperationReply::Said(409, json!({"error": fault.to_string()})),
+            Err(error) => OperationReply::StatusAndBody(409, json!({"error": error.to_string()})),
         }
     }
 
-    fn show_core(&self, now: Moment) -> Value {
-        let core = &self.core;
-        let other_rows: Vec<Value> = core
-            .others(now)
+    fn show_quorum(&self, now: MonotonicTime) -> Value {
+        let consensus = &self.consensus;
+        let peer_rows: Vec<Value> = consensus
+            .peers(now)
             .into_iter()
-            .map(|(id, address, accepted, is_voter, silent_ms)| {
+            .map(|(id, controller_address, accepted, is_voter, silent_ms)| {
                 json!({
                     "surveyor": format!("{:x}", id.0),
-                    "place": address.place.to_string(),
-                    "operators": address.operators.to_string(),
+                    "place": controller_address.address.to_string(),
+                    "operators": controller_address.operators.to_string(),
                     "accepted": accepted.to_string(),
                     "voter": is_voter,
                     "silent_ms": silent_ms,
                 })
             })
             .collect();
-        let own_stamp = core.accepted().map(|document| document.stamp.to_string());
+        let own_document_version =
+            consensus.accepted().map(|document| document.document_version.to_string());
         json!({
-            "surveyor": format!("{:x}", core.id().0),
-            "term": core.term().0,
-            "leads": core.is_leader(),
-            "ready": core.is_ready(),
+            "surveyor": format!("{:x}", consensus.id().0),
+            "term": consensus.term().0,
+            "leads": consensus.is_leader(),
+            "ready": consensus.is_ready(),
             "open": self.leader_state.as_ref().is_some_and(|leader_state| leader_state.is_open()),
-            "leader": core.leader().map(|address| address.operators.to_string()),
-            "accepted": own_stamp,
-            "committed": core.committed().to_string(),
-            "others": other_rows,
+            "leader": consensus.leader().map(|controller_address| controller_address.operators.to_string()),
+            "accepted": own_document_version,
+            "committed": consensus.committed().to_string(),
+            "others": peer_rows,
         })
     }
 }
--- a/crates/controlplane/src/drivers/disk.rs
+++ b/crates/controlplane/src/drivers/disk.rs
@@ -1,27 +1,27 @@
 use super::queue::InputSender;
+use crate::consensus::{WriteJob, WriteResult};
 use crate::controller_state::ControllerInput;
-use crate::core::{WriteJob, WriteResult};
-use crate::disk::Shelf;
+use crate::storage::DataDirectory;
 use common::events;
 use common::identity::Ticket;
-use common::note;
+use common::log_event;
 use std::sync::mpsc as blocking;
 
 /// Writes in a thread of its own, in order.
-pub struct DiskDriver {
+pub struct DiskWriter {
     jobs: blocking::Sender<(Ticket, WriteJob)>,
 }
 
-impl DiskDriver {
+impl DiskWriter {
     /// Starts the thread.
-    pub fn start(shelf: Shelf, inputs: InputSender) -> Self {
-        let (jobs, job_inbox) = blocking::channel::<(Ticket, WriteJob)>();
+    pub fn start(data_directory: DataDirectory, inputs: InputSender) -> Self {
+        let (jobs, job_receiver) = blocking::channel::<(Ticket, WriteJob)>();
         std::thread::spawn(move || {
-            for (ticket, job) in job_inbox {
-                let result = match shelf.write(&job) {
+            for (ticket, job) in job_receiver {
+                let result = match data_directory.write(&job) {
                     Ok(()) => WriteResult::Synced,
-                    Err(fault) => {
-                        note!(Error, events::DISK_FAILED, "{fault}");
+                    Err(error) => {
+                        log_event!(Error, events::DISK_WRITE_FAILED, "{error}");
                         WriteResult::Failed
                     }
                 };
--- a/crates/controlplane/src/drivers/gauges.rs
+++ b/crates/controlplane/src/drivers/metrics.rs
@@ -1,21 +1,21 @@
 use super::queue::InputKind;
 use crate::controller_state::ControllerState;
-use common::metrics::Page;
+use common::metrics::MetricsPage;
 use prometheus::{HistogramVec, IntCounter, IntGauge};
 use std::time::Duration;
 
 /// The controller's metrics.
-pub struct Gauges {
-    page: Page,
-    leads: IntGauge,
+pub struct ControllerMetrics {
+    page: MetricsPage,
+    is_leader: IntGauge,
     term: IntGauge,
-    serial: IntGauge,
+    version: IntGauge,
     in_force: IntGauge,
     leader_state: Vec<(&'static str, IntGauge)>,
     rejected: IntCounter,
     queue_seconds: HistogramVec,
     step_seconds: HistogramVec,
-    order_seconds: HistogramVec,
+    command_seconds: HistogramVec,
     /// Frames from daemons.
     pub frames_up: IntCounter,
     /// Frames to daemons.
@@ -24,18 +24,18 @@
     pub pushed_bytes: IntCounter,
 }
 
-impl Gauges {
+impl ControllerMetrics {
     /// All at zero.
     pub fn new() -> Self {
-        let page = Page::new();
+        let page = MetricsPage::new();
         Self {
             frames_up: page.counter("rudder_stream_frames_up_total", "frames from daemons"),
             frames_down: page.counter("rudder_stream_frames_down_total", "frames to daemons"),
             pushed_bytes: page
                 .counter("rudder_pushed_bytes_total", "bytes of specs and changes pushed"),
-            leads: page.gauge("rudder_core_leads", "1 while this controller leads"),
+            is_leader: page.gauge("rudder_core_leads", "1 while this controller leads"),
             term: page.gauge("rudder_core_term", "the present term"),
-            serial: page.gauge("rudder_core_committed_serial", "the newest committed serial"),
+            version: page.gauge("rudder_core_committed_serial", "the newest committed serial"),
             in_force: page
                 .gauge("rudder_core_in_force_serial", "the newest serial in force everywhere"),
             leader_state: vec![
@@ -46,17 +46,17 @@
             ],
             rejected: page
                 .counter("rudder_frames_rejected_total", "connections closed for what they sent"),
-            queue_seconds: page.seconds_by(
+            queue_seconds: page.labelled_seconds(
                 "rudder_controller_queue_seconds",
                 "how long an input waited in the controller's queue",
                 &["input"],
             ),
-            order_seconds: page.seconds_by(
+            command_seconds: page.labelled_seconds(
                 "rudder_order_seconds",
                 "from an operator's order to its answer, by status; at the controller that was asked",
                 &["status"],
             ),
-            step_seconds: page.seconds_by(
+            step_seconds: page.labelled_seconds(
                 "rudder_controller_step_seconds",
                 "how long the controller took to handle an input",
                 &["input"],
@@ -66,24 +66,24 @@
     }
 
     /// Takes how long an input waited, and how long it took to handle.
-    pub fn observe_step(&self, kind: InputKind, waited: Duration, handled: Duration) {
+    pub fn observe_step(&self, kind: InputKind, queue_wait: Duration, handling_time: Duration) {
         let label = [kind.label()];
-        self.queue_seconds.with_label_values(&label).observe(waited.as_secs_f64());
-        self.step_seconds.with_label_values(&label).observe(handled.as_secs_f64());
+        self.queue_seconds.with_label_values(&label).observe(queue_wait.as_secs_f64());
+        self.step_seconds.with_label_values(&label).observe(handling_time.as_secs_f64());
     }
 
     /// Takes how long an operator's order took to be answered.
-    pub fn observe_order(&self, status: u16, taken: Duration) {
+    pub fn observe_command(&self, status: u16, elapsed: Duration) {
         let label = [status.to_string()];
-        self.order_seconds.with_label_values(&label).observe(taken.as_secs_f64());
+        self.command_seconds.with_label_values(&label).observe(elapsed.as_secs_f64());
     }
 
     /// Takes the controller state's present state.
     pub fn set(&self, controller_state: &ControllerState) {
-        let core = controller_state.core();
-        self.leads.set(i64::from(core.is_leader()));
-        self.term.set(core.term().0 as i64);
-        self.serial.set(core.committed().serial.0 as i64);
+        let consensus = controller_state.consensus();
+        self.is_leader.set(i64::from(consensus.is_leader()));
+        self.term.set(consensus.term().0 as i64);
+        self.version.set(consensus.committed().version.0 as i64);
         let leader_state_counts =
             controller_state.leader_state().map(|leader_state| leader_state.counts());
         self.in_force.set(
@@ -91,8 +91,8 @@
                 .leader_state()
                 .map_or(0, |leader_state| leader_state.in_force().0 as i64),
         );
-        for (place, (_, leader_state_gauge)) in self.leader_state.iter().enumerate() {
-            leader_state_gauge.set(leader_state_counts.map_or(0, |counts| counts[place].1 as i64));
+        for (index, (_, leader_state_gauge)) in self.leader_state.iter().enumerate() {
+            leader_state_gauge.set(leader_state_counts.map_or(0, |counts| counts[index].1 as i64));
         }
     }
 
--- a/crates/controlplane/src/drivers/mod.rs
+++ b/crates/controlplane/src/drivers/mod.rs
@@ -1,14 +1,14 @@
 //! Thin drivers that feed the controller and do what it orders.
 
+mod controller;
 mod disk;
-mod engine;
-mod gauges;
-mod links;
+mod metrics;
+mod operator_api;
 mod operators;
+mod peer_links;
 mod platform;
 pub mod queue;
 mod streams;
-mod tongue;
 
-pub use engine::{Controller, ControllerAdapters, ControllerFault, Reseeder};
-pub use tongue::{OperatorsTongue, OwnOperators};
+pub use controller::{Controller, ControllerAdapters, ControllerError, SeedUpdater};
+pub use operator_api::{NativeOperatorApi, OperatorApiAdapter};
--- a/crates/controlplane/src/drivers/tongue.rs
+++ b/crates/controlplane/src/drivers/operator_api.rs
@@ -1,38 +1,38 @@
 use crate::controller_state::{ChangeKind, ItemChange, Numbering, Operation, OperationReply, Wait};
-use common::http::{Served, json_response};
-use common::identity::{ChangeId, ControllerId, Serial, Zone};
-use common::readers::{FaultList, FaultReason, PathFault, PathReader};
+use common::http::{HttpResponse, json_response};
+use common::identity::{ChangeId, ControllerId, Version, Zone};
+use common::readers::{PathError, PathErrorList, PathErrorReason, PathReader};
 use hyper::http::request::Parts;
 use hyper::{Method, StatusCode};
 use serde_json::{Value, json};
 
 /// How operators' HTTP is read and written. A tongue only translates.
-pub trait OperatorsTongue: Send + Sync {
+pub trait OperatorApiAdapter: Send + Sync {
     /// Reads a request; one that cannot be read is answered at once.
-    fn read(&self, head: &Parts, body: &[u8]) -> Result<Operation, Box<Served>>;
+    fn read(&self, head: &Parts, body: &[u8]) -> Result<Operation, Box<HttpResponse>>;
 
     /// Writes the answer to what was asked.
-    fn say(&self, asked: &Operation, reply: OperationReply) -> Served;
+    fn write_response(&self, operation: &Operation, reply: OperationReply) -> HttpResponse;
 
     /// The path at which readiness is asked.
-    fn ready_path(&self) -> &'static str;
+    fn readiness_path(&self) -> &'static str;
 }
 
 /// The product's own interface.
-pub struct OwnOperators;
+pub struct NativeOperatorApi;
 
-type Refusal = (u16, Value);
+type ErrorResponse = (u16, Value);
 
-fn said(status: u16, body: &Value) -> Served {
+fn json_status_response(status: u16, body: &Value) -> HttpResponse {
     json_response(StatusCode::from_u16(status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR), body)
 }
 
-fn invalid_body(faults: &[PathFault]) -> Value {
-    let fault_rows: Vec<Value> = faults
+fn invalid_body(errors: &[PathError]) -> Value {
+    let error_rows: Vec<Value> = errors
         .iter()
-        .map(|fault| json!({"path": fault.path, "reason": fault.reason.to_string()}))
+        .map(|error| json!({"path": error.path, "reason": error.reason.to_string()}))
         .collect();
-    json!({"error": "invalid", "state": "not_accepted", "faults": fault_rows})
+    json!({"error": "invalid", "state": "not_accepted", "faults": error_rows})
 }
 
 fn with_change(mut body: Value, change: Option<ChangeId>) -> Value {
@@ -51,14 +51,14 @@
 
 impl OperationReply {
     /// The status and the body that the product's own interface gives.
-    pub fn into_own(self) -> (u16, Value) {
+    pub fn into_native_response(self) -> (u16, Value) {
         match self {
-            Self::Said(status, body) => (status, body),
+            Self::StatusAndBody(status, body) => (status, body),
             Self::Spec { document, in_force } => {
                 let evacuated: Vec<&str> =
                     document.evacuated.iter().map(|zone| zone.as_str()).collect();
                 let body = json!({
-                    "serial": document.view_serial().0,
+                    "serial": document.view_version().0,
                     "number": document.number,
                     "in_force": in_force.0,
                     "spec": document.spec.to_value(),
@@ -66,20 +66,20 @@
                 });
                 (200, body)
             }
-            Self::Accepted { change, serial, number, in_force } => {
+            Self::Accepted { change, version, number, in_force } => {
                 let state = if in_force { "in_force" } else { "accepted" };
-                let body = json!({"state": state, "serial": serial.0});
+                let body = json!({"state": state, "serial": version.0});
                 (200, with_number(with_change(body, Some(change)), number))
             }
-            Self::Stale { change, serial, number } => {
+            Self::Stale { change, version, number } => {
                 let body = json!({
                     "error": "stale_base",
                     "state": "not_accepted",
-                    "serial": serial.0,
+                    "serial": version.0,
                 });
                 (409, with_number(with_change(body, Some(change)), number))
             }
-            Self::Invalid(faults) => (422, invalid_body(&faults)),
+            Self::Invalid(errors) => (422, invalid_body(&errors)),
             Self::NoZone { zone, known } => {
                 let known_names: Vec<&str> = known.iter().map(Zone::as_str).collect();
                 let body = json!({
@@ -105,25 +105,25 @@
             Self::Unknown { reason, change } => {
                 (503, with_change(json!({"error": reason.as_str(), "state": "unknown"}), change))
             }
-            Self::NotNow(reason) => (503, json!({"error": reason.as_str()})),
-            Self::Elsewhere(leader) => (307, json!({"leader": leader.to_string()})),
+            Self::TemporarilyUnavailable(reason) => (503, json!({"error": reason.as_str()})),
+            Self::Redirect(leader) => (307, json!({"leader": leader.to_string()})),
         }
     }
 }
 
-impl OperatorsTongue for OwnOperators {
-    fn read(&self, head: &Parts, body: &[u8]) -> Result<Operation, Box<Served>> {
+impl OperatorApiAdapter for NativeOperatorApi {
+    fn read(&self, head: &Parts, body: &[u8]) -> Result<Operation, Box<HttpResponse>> {
         let path_parts: Vec<&str> = head.uri.path().trim_matches('/').split('/').collect();
         read_operation(&head.method, &path_parts, head.uri.query(), body)
-            .map_err(|(status, fault_body)| Box::new(said(status, &fault_body)))
+            .map_err(|(status, error_body)| Box::new(json_status_response(status, &error_body)))
     }
 
-    fn say(&self, _asked: &Operation, reply: OperationReply) -> Served {
-        let (status, body) = reply.into_own();
-        said(status, &body)
+    fn write_response(&self, _operation: &Operation, reply: OperationReply) -> HttpResponse {
+        let (status, body) = reply.into_native_response();
+        json_status_response(status, &body)
     }
 
-    fn ready_path(&self) -> &'static str {
+    fn readiness_path(&self) -> &'static str {
         "/ready"
     }
 }
@@ -133,19 +133,19 @@
     path_parts: &[&str],
     query: Option<&str>,
     body: &[u8],
-) -> Result<Operation, Refusal> {
+) -> Result<Operation, ErrorResponse> {
     match (method, path_parts) {
         (&Method::GET, ["metrics"]) => Ok(Operation::Metrics),
         (&Method::GET, ["v1", "spec"]) => Ok(Operation::ReadSpec),
-        (&Method::PUT, ["v1", "spec"]) => {
-            read_change(body, |root| Some(ChangeKind::Whole(needed_value(root, "spec")?.into())))
-        }
-        (&Method::PATCH, ["v1", "spec"]) => read_change(body, read_partly),
+        (&Method::PUT, ["v1", "spec"]) => read_change(body, |root| {
+            Some(ChangeKind::FullSpec(required_value(root, "spec")?.into()))
+        }),
+        (&Method::PATCH, ["v1", "spec"]) => read_change(body, read_partial_change),
         (&Method::GET, ["v1", "changes", change]) => {
-            Ok(Operation::AskChange(ChangeId::from(*change)))
+            Ok(Operation::ChangeStatus(ChangeId::from(*change)))
         }
         (&Method::POST, ["v1", "localities", zone, "evacuate"]) => read_change(body, |root| {
-            let force = root.field("force").flag_or(false);
+            let force = root.field("force").bool_or(false);
             Some(ChangeKind::Evacuate { zone: Zone::from(*zone), force })
         }),
         (&Method::POST, ["v1", "localities", zone, "restore"]) => {
@@ -155,8 +155,8 @@
         (&Method::GET, ["v1", "holders"]) => Ok(Operation::Holders),
         (&Method::GET, ["v1", "workers"]) => Ok(Operation::Workers),
         (&Method::GET, ["v1", "runners"]) => Ok(Operation::Runners),
-        (&Method::GET, ["v1", "core"]) => Ok(Operation::ShowCore),
-        (&Method::POST, ["v1", "core", "found"]) => Ok(Operation::Found),
+        (&Method::GET, ["v1", "core"]) => Ok(Operation::ShowQuorum),
+        (&Method::POST, ["v1", "core", "found"]) => Ok(Operation::Bootstrap),
         (&Method::POST, ["v1", "core", "replace", missing, successor]) => {
             let id = |text: &str| u64::from_str_radix(text, 16).map(ControllerId);
             match (id(missing), id(successor)) {
@@ -164,8 +164,8 @@
                 _ => Err((400, json!({"error": "not_a_surveyor"}))),
             }
         }
-        (&Method::GET, ["v1", "traces", serial]) => match serial.parse() {
-            Ok(serial) => Ok(Operation::Trace(Serial(serial))),
+        (&Method::GET, ["v1", "traces", version]) => match version.parse() {
+            Ok(version) => Ok(Operation::Trace(Version(version))),
             Err(_) => Err((400, json!({"error": "not_a_serial"}))),
         },
         (&Method::GET, ["v1", "events"]) => {
@@ -180,24 +180,24 @@
     }
 }
 
-fn needed_value(root: &PathReader<'_>, field_name: &str) -> Option<Value> {
+fn required_value(root: &PathReader<'_>, field_name: &str) -> Option<Value> {
     let reader = root.field(field_name);
-    if !reader.is_there() {
-        reader.fault(FaultReason::Missing);
+    if !reader.is_present() {
+        reader.error(PathErrorReason::Missing);
     }
     reader.value().cloned()
 }
 
-fn read_partly(root: &PathReader<'_>) -> Option<ChangeKind> {
+fn read_partial_change(root: &PathReader<'_>) -> Option<ChangeKind> {
     let (put, remove) = (root.field("put"), root.field("remove"));
-    if !put.is_there() && !remove.is_there() {
-        return Some(ChangeKind::Patch(needed_value(root, "patch")?));
+    if !put.is_present() && !remove.is_present() {
+        return Some(ChangeKind::Patch(required_value(root, "patch")?));
     }
-    put.only(&["functions", "routes", "limits", "labels"]);
-    remove.only(&["functions", "routes"]);
-    if root.field("patch").is_there() {
+    put.allow_only(&["functions", "routes", "limits", "labels"]);
+    remove.allow_only(&["functions", "routes"]);
+    if root.field("patch").is_present() {
         let reason = "does not go with put and remove".to_owned();
-        root.field("patch").fault(FaultReason::Form(reason));
+        root.field("patch").error(PathErrorReason::Malformed(reason));
     }
     let put_items = |part_name: &str| {
         let fields = put.field(part_name).fields().into_iter();
@@ -222,13 +222,13 @@
 fn read_change(
     body: &[u8],
     read_kind: impl FnOnce(&PathReader<'_>) -> Option<ChangeKind>,
-) -> Result<Operation, Refusal> {
-    let parsed_body: Value = serde_json::from_slice(body).map_err(|fault| {
-        (400, json!({"error": "not_json", "reason": fault.to_string(), "state": "not_accepted"}))
+) -> Result<Operation, ErrorResponse> {
+    let parsed_body: Value = serde_json::from_slice(body).map_err(|error| {
+        (400, json!({"error": "not_json", "reason": error.to_string(), "state": "not_accepted"}))
     })?;
-    let faults = FaultList::default();
-    let root = PathReader::new(&parsed_body, &faults);
-    root.only(&[
+    let errors = PathErrorList::default();
+    let root = PathReader::new(&parsed_body, &errors);
+    root.allow_only(&[
         "base_serial",
         "number",
         "base_number",
@@ -242,8 +242,9 @@
     ]);
     let base_reader = root.field("base_serial");
     let kind = read_kind(&root);
-    let is_turn = matches!(kind, Some(ChangeKind::Evacuate { .. } | ChangeKind::Restore { .. }));
-    let is_numbered = ["number", "base_number"].iter().any(|key| root.field(key).is_there());
+    let is_zone_change =
+        matches!(kind, Some(ChangeKind::Evacuate { .. } | ChangeKind::Restore { .. }));
+    let is_numbered = ["number", "base_number"].iter().any(|key| root.field(key).is_present());
     let numbering = if is_numbered {
         let number = root.field("number").number(0..=u64::MAX);
         let base_number = root.field("base_number").number(0..=u64::MAX);
@@ -251,8 +252,8 @@
     } else {
         None
     };
-    let base = if base_reader.is_there() || !(is_turn || is_numbered) {
-        base_reader.number(0..=u64::MAX).map(Serial)
+    let base = if base_reader.is_present() || !(is_zone_change || is_numbered) {
+        base_reader.number(0..=u64::MAX).map(Version)
     } else {
         None
     };
@@ -262,18 +263,18 @@
         Some("in_force") => Wait::InForce,
         Some("accepted") => Wait::Accepted,
         _ => {
-            if wait_reader.is_there() {
+            if wait_reader.is_present() {
                 let reason = "is neither accepted nor in_force".to_owned();
-                wait_reader.fault(FaultReason::Form(reason));
+                wait_reader.error(PathErrorReason::Malformed(reason));
             }
             Wait::Accepted
         }
     };
-    let found_faults = faults.into_inner();
+    let found_errors = errors.into_inner();
     match (kind, change) {
-        (Some(kind), Some(change)) if found_faults.is_empty() => {
+        (Some(kind), Some(change)) if found_errors.is_empty() => {
             Ok(Operation::Change { base, numbering, change: Some(change), kind, wait })
         }
-        _ => Err((422, invalid_body(&found_faults))),
+        _ => Err((422, invalid_body(&found_errors))),
     }
 }
--- a/crates/controlplane/src/drivers/platform.rs
+++ b/crates/controlplane/src/drivers/platform.rs
@@ -1,33 +1,34 @@
-use super::engine::Shared;
+use super::controller::Shared;
 use crate::controller_state::ControllerInput;
-use common::clock::Moment;
+use common::adapter::StopOrder;
+use common::clock::MonotonicTime;
 use common::events;
-use common::note;
-use common::tongue::StopOrder;
+use common::log_event;
 use std::sync::Arc;
 use std::time::Duration;
 
 /// Reads the platform's lists while this controller leads, and when the leader asks for them.
-pub async fn poll(shared: Arc<Shared>, list_every: Duration) {
-    let mut ticking = tokio::time::interval(list_every);
+pub async fn poll(shared: Arc<Shared>, platform_poll_interval: Duration) {
+    let mut ticking = tokio::time::interval(platform_poll_interval);
     ticking.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
-    let mut was_silent = false;
-    let mut leads = shared.leads.subscribe();
+    let mut was_unreachable = false;
+    let mut leadership = shared.leadership.subscribe();
     loop {
-        if leads.wait_for(|leads| *leads).await.is_err() || shared.inputs.is_closed() {
+        if leadership.wait_for(|leadership| *leadership).await.is_err() || shared.inputs.is_closed()
+        {
             return;
         }
         tokio::select! {
             _ = ticking.tick() => {}
-            () = shared.lists_wanted.notified() => {}
+            () = shared.list_refresh_requested.notified() => {}
         }
         let (workers_read, runners_read) =
             tokio::join!(read_workers(&shared), read_runners(&shared));
-        let is_silent = workers_read.is_none() || runners_read.is_none();
-        if is_silent && !was_silent {
-            note!(Warn, events::PLATFORM_SILENT);
+        let is_unreachable = workers_read.is_none() || runners_read.is_none();
+        if is_unreachable && !was_unreachable {
+            log_event!(Warn, events::PLATFORM_UNREACHABLE);
         }
-        was_silent = is_silent;
+        was_unreachable = is_unreachable;
     }
 }
 
@@ -37,7 +38,7 @@
 }
 
 async fn read_runners(shared: &Shared) -> Option<()> {
-    let sent_at = Moment::now();
+    let sent_at = MonotonicTime::now();
     let list = shared.platform.runners().await?;
     shared.inputs.send(ControllerInput::Runners(sent_at - list.age, list.runners)).await.ok()
 }
--- a/crates/controlplane/src/drivers/queue.rs
+++ b/crates/controlplane/src/drivers/queue.rs
@@ -2,7 +2,7 @@
 //! daemons' frames, the platform's lists and operators' orders.
 
 use crate::controller_state::ControllerInput;
-use common::clock::Moment;
+use common::clock::MonotonicTime;
 use std::fmt;
 use std::time::Duration;
 use tokio::sync::mpsc;
@@ -45,13 +45,13 @@
     pub fn of(input: &ControllerInput) -> Self {
         match input {
             ControllerInput::Tick => Self::Tick,
-            ControllerInput::Core(_) | ControllerInput::Gone(_) => Self::Quorum,
+            ControllerInput::Consensus(_) | ControllerInput::ProcessGone(_) => Self::Quorum,
             ControllerInput::Written(..) => Self::Disk,
             ControllerInput::Stream(..) | ControllerInput::StreamLost(_) => Self::Daemon,
             ControllerInput::Workers(_)
             | ControllerInput::Runners(..)
             | ControllerInput::RunnerStopped(_) => Self::Platform,
-            ControllerInput::Operate(..) | ControllerInput::Withdrawn(_) => Self::Operator,
+            ControllerInput::Operate(..) | ControllerInput::CallerDisconnected(_) => Self::Operator,
             ControllerInput::Seeds(_) => Self::Settings,
         }
     }
@@ -99,12 +99,12 @@
     /// The input.
     pub input: ControllerInput,
     /// When it was queued.
-    pub queued_at: Moment,
+    pub queued_at: MonotonicTime,
 }
 
 impl QueuedInput {
     fn now(input: ControllerInput) -> Self {
-        Self { input, queued_at: Moment::now() }
+        Self { input, queued_at: MonotonicTime::now() }
     }
 }
 
@@ -145,7 +145,7 @@
 }
 
 /// Rests so long; a timer would make even no rest a millisecond.
-async fn rest(span: Duration) {
+async fn sleep_for(span: Duration) {
     if !span.is_zero() {
         tokio::time::sleep(span).await;
     }
@@ -155,7 +155,7 @@
 pub struct InputQueue {
     leadership: mpsc::Receiver<QueuedInput>,
     ordinary: mpsc::Receiver<QueuedInput>,
-    ticked_last: bool,
+    last_was_tick: bool,
 }
 
 /// A new queue and its sender.
@@ -163,22 +163,22 @@
     let (leadership_sender, leadership) = mpsc::channel(LEADERSHIP_CAPACITY);
     let (ordinary_sender, ordinary) = mpsc::channel(ORDINARY_CAPACITY);
     let sender = InputSender { leadership: leadership_sender, ordinary: ordinary_sender };
-    (sender, InputQueue { leadership, ordinary, ticked_last: false })
+    (sender, InputQueue { leadership, ordinary, last_was_tick: false })
 }
 
 impl InputQueue {
     /// The next input: first what leadership depends on, then time if it is due, then all else. Between
     /// two ticks one ordinary input is taken if there is any, so that ticks keep nothing waiting.
-    pub async fn next(&mut self, idle_span: Duration) -> QueuedInput {
+    pub async fn next(&mut self, idle_timeout: Duration) -> QueuedInput {
         let tick = || QueuedInput::now(ControllerInput::Tick);
         let next_input = tokio::select! {
             biased;
             Some(queued) = self.leadership.recv() => queued,
-            () = rest(idle_span), if !self.ticked_last => tick(),
+            () = sleep_for(idle_timeout), if !self.last_was_tick => tick(),
             Some(queued) = self.ordinary.recv() => queued,
-            () = rest(idle_span), if self.ticked_last => tick(),
+            () = sleep_for(idle_timeout), if self.last_was_tick => tick(),
         };
-        self.ticked_last = matches!(next_input.input, ControllerInput::Tick);
+        self.last_was_tick = matches!(next_input.input, ControllerInput::Tick);
         next_input
     }
 }
--- a/crates/controlplane/src/leader_state/delivery.rs
+++ b/crates/controlplane/src/leader_state/document_delivery.rs
@@ -1,15 +1,15 @@
 use super::{LeaderOutput, LeaderState, StreamId, TraceStep};
-use common::clock::Moment;
+use common::clock::MonotonicTime;
 use common::events;
-use common::frames::{Flag, StreamDown, pack};
-use common::identity::{FunctionKey, MemberName, RunnerId, Serial};
+use common::frames::{Flag, LeaderToDaemon, compress};
+use common::identity::{FunctionKey, MemberName, RunnerId, Version};
 use common::rules::Rule;
-use common::spec::{Document, Table, View};
+use common::spec::{DaemonView, Document, RoutingTable};
 use serde_json::json;
 use std::time::Duration;
 
 /// How many versions daemons may be behind and still be told the difference.
-pub const KEPT_VIEWS: usize = 8;
+pub const RETAINED_VIEWS: usize = 8;
 
 /// Whether a version is in force everywhere is looked at so often, not at each daemon's word.
 const IN_FORCE_EVERY: Duration = Duration::from_millis(5);
@@ -17,49 +17,49 @@
 impl LeaderState {
     /// Takes a committed document and pushes it to every daemon.
     pub fn committed(&mut self, document: Document) {
-        let earlier_evacuated = self.document.as_ref().map(|held| held.evacuated.clone());
+        let previously_evacuated = self.document.as_ref().map(|held| held.evacuated.clone());
         let is_evacuation =
-            earlier_evacuated.is_some_and(|earlier| !document.evacuated.is_subset(&earlier));
+            previously_evacuated.is_some_and(|earlier| !document.evacuated.is_subset(&earlier));
         if self.document.is_none() {
-            self.inherited_serial = document.stamp.serial;
-            self.inherited_nothing = document.generations.is_empty();
-            self.awaited = document.roster.clone();
+            self.inherited_version = document.document_version.version;
+            self.inherits_no_functions = document.generations.is_empty();
+            self.awaited_members = document.membership.clone();
         }
-        self.roster_changed = true;
-        self.renewals.look_again();
+        self.membership_changed = true;
+        self.renewals.schedule_check();
         let is_unseen = self.document.as_ref().is_some_and(|held| {
-            document.unseen > 0 && held.view_serial() == document.view_serial()
+            document.hidden_versions > 0 && held.view_version() == document.view_version()
         });
         if is_unseen {
             self.document = Some(document);
             return;
         }
         let view = document.view();
-        match Table::build_after(&self.table, &view) {
+        match RoutingTable::build_after(&self.table, &view) {
             Ok(table) => self.table = table,
-            Err(fault) => {
-                let detail = json!({"serial": view.serial.0, "fault": fault.to_string()});
-                self.tell(events::SPEC_FAILED, detail);
+            Err(error) => {
+                let detail = json!({"serial": view.version.0, "fault": error.to_string()});
+                self.record_event(events::SPEC_INSTALL_FAILED, detail);
             }
         }
-        self.stewards_due = true;
-        self.acquires_changed = true;
-        self.longest_budget = self.longest_budget.max(self.table.longest_budget());
+        self.replica_assignment_due = true;
+        self.acquisitions_changed = true;
+        self.longest_timeout = self.longest_timeout.max(self.table.longest_timeout());
         self.document = Some(document);
         let mut earlier_views = std::mem::take(&mut self.earlier_views);
-        earlier_views.retain(|earlier| earlier.serial < view.serial);
+        earlier_views.retain(|earlier| earlier.version < view.version);
         self.views.extend(earlier_views);
-        if self.views.back().is_none_or(|newest_view| newest_view.serial < view.serial) {
+        if self.views.back().is_none_or(|newest_view| newest_view.version < view.version) {
             self.views.push_back(view);
-            self.made_frames.clear();
-            self.made_whole = None;
+            self.delta_frames.clear();
+            self.full_spec_cache = None;
         }
-        let extra_count = self.views.len().saturating_sub(KEPT_VIEWS);
+        let extra_count = self.views.len().saturating_sub(RETAINED_VIEWS);
         self.views.drain(..extra_count);
-        let heeds_evacuation = self.rules.keep(Rule::EvacuationObeyed);
+        let obeys_evacuation = self.rules.enforces(Rule::EvacuationObeyed);
         for record in self.members.values_mut() {
-            let is_evacuated = self.table.is_evacuated(&record.host.zone) && heeds_evacuation;
-            let eligible = Flag(record.is_welcome && !is_evacuated);
+            let is_evacuated = self.table.is_evacuated(&record.host.zone) && obeys_evacuation;
+            let eligible = Flag(record.is_self_eligible && !is_evacuated);
             if record.host.eligible != eligible {
                 record.host.eligible = eligible;
                 self.hosts_changed = true;
@@ -78,15 +78,15 @@
     /// Says loudly that what is placed now will hardly fit on the workers that are left.
     fn warn_of_low_capacity(&mut self) {
         let needed_mb: u64 = self.reserved_mb().values().sum();
-        let left_mb: u64 = self
+        let remaining_mb: u64 = self
             .workers
             .iter()
-            .filter(|(worker, _)| self.is_worker_fit(worker))
+            .filter(|(worker, _)| self.is_worker_usable(worker))
             .map(|(_, record)| u64::from(record.listed.memory_mb))
             .sum();
-        if needed_mb * 10 > left_mb * 9 {
-            let detail = json!({"needed_mb": needed_mb, "left_mb": left_mb});
-            self.tell(events::CAPACITY_LOW, detail);
+        if needed_mb * 10 > remaining_mb * 9 {
+            let detail = json!({"needed_mb": needed_mb, "left_mb": remaining_mb});
+            self.record_event(events::CAPACITY_LOW, detail);
         }
     }
 
@@ -94,66 +94,73 @@
         let Some(newest_view) = self.views.back() else { return };
         let Some(known_member) = self.streams.get(&stream) else { return };
         let Some(record) = self.members.get_mut(known_member) else { return };
-        if record.pushed >= newest_view.serial {
+        if record.pushed >= newest_view.version {
             return;
         }
-        let base_serial = record.pushed;
-        let base_view = self.views.iter().find(|view| view.serial == base_serial);
+        let base_version = record.pushed;
+        let base_view = self.views.iter().find(|view| view.version == base_version);
         let frame = match base_view {
             Some(base) => {
-                let made = self.made_frames.entry(base_serial);
-                made.or_insert_with(|| change_frame(base, newest_view))
+                let cached_frame = self.delta_frames.entry(base_version);
+                cached_frame.or_insert_with(|| spec_delta_frame(base, newest_view))
             }
-            None => self.made_whole.get_or_insert_with(|| whole_frame(newest_view)),
+            None => self.full_spec_cache.get_or_insert_with(|| full_spec_frame(newest_view)),
         };
         let frame = frame.clone();
-        record.pushed = newest_view.serial;
-        let serial = newest_view.serial;
+        record.pushed = newest_view.version;
+        let version = newest_view.version;
         let member = known_member.member.clone();
-        self.outputs.push(LeaderOutput::Step { serial, member, step: TraceStep::Pushed });
-        self.down(stream, frame);
+        self.outputs.push(LeaderOutput::VersionProgress {
+            version,
+            member,
+            step: TraceStep::Pushed,
+        });
+        self.send_frame(stream, frame);
     }
 
-    pub(super) fn push_whole(&mut self, stream: StreamId) {
+    pub(super) fn push_full_document(&mut self, stream: StreamId) {
         if let Some(newest_view) = self.views.back() {
-            let frame = self.made_whole.get_or_insert_with(|| whole_frame(newest_view)).clone();
-            self.down(stream, frame);
+            let frame =
+                self.full_spec_cache.get_or_insert_with(|| full_spec_frame(newest_view)).clone();
+            self.send_frame(stream, frame);
         }
     }
 
-    pub(super) fn note_in_force(&mut self, now: Moment) {
-        let Some(serial) = self.document.as_ref().map(Document::view_serial) else {
+    pub(super) fn update_in_force(&mut self, now: MonotonicTime) {
+        let Some(version) = self.document.as_ref().map(Document::view_version) else {
             return;
         };
-        if self.in_force >= serial || now.since(self.in_force_looked_at) < IN_FORCE_EVERY {
+        if self.in_force >= version || now.since(self.in_force_checked_at) < IN_FORCE_EVERY {
             return;
         }
-        self.in_force_looked_at = now;
-        let is_past_doubt = self.all_claimed || now >= self.elected_at + self.timing.full_wait();
-        let is_everywhere = self
+        self.in_force_checked_at = now;
+        let are_old_leases_over =
+            self.all_claimed || now >= self.elected_at + self.timing.full_lease_wait();
+        let is_installed_everywhere = self
             .members
             .values()
-            .all(|record| record.installed >= serial || now >= record.grant_bound);
-        if is_past_doubt && is_everywhere {
-            self.in_force = serial;
-            self.tell(events::IN_FORCE, json!({"serial": serial.0}));
+            .all(|record| record.installed >= version || now >= record.lease_expiry_bound);
+        if are_old_leases_over && is_installed_everywhere {
+            self.in_force = version;
+            self.record_event(events::VERSION_IN_FORCE, json!({"serial": version.0}));
         }
     }
 
     /// Asks holders in evacuated zones for their functions, and drains runners there.
     pub(super) fn hand_over_evacuated(&mut self) {
-        let held_functions = self.entries.iter().map(|(function, _)| function.clone()).collect();
+        let held_functions =
+            self.lease_records.iter().map(|(function, _)| function.clone()).collect();
         self.hand_over_if_evacuated(held_functions);
-        self.drain_unfit();
+        self.drain_from_unusable_workers();
     }
 
     /// Asks for those of these functions back whose holders stand in evacuated zones.
     pub(super) fn hand_over_if_evacuated(&mut self, functions: Vec<FunctionKey>) {
-        if !self.rules.keep(Rule::EvacuationObeyed) || !self.table.has_evacuated() {
+        if !self.rules.enforces(Rule::EvacuationObeyed) || !self.table.has_evacuated() {
             return;
         }
         for function in functions {
-            let Some(entry) = self.entries.get_mut(&function) else { continue };
+            let Some(entry) = self.lease_records.get_mut(&function) else { continue };
             if entry.handing_over || entry.fencing_since.is_some() {
                 continue;
             }
@@ -163,25 +170,25 @@
                 continue;
             }
             entry.handing_over = true;
-            let grant = entry.grant;
-            self.down(stream, StreamDown::HandOver { function, grant });
+            let fencing_token = entry.fencing_token;
+            self.send_frame(stream, LeaderToDaemon::HandOver { function, fencing_token });
         }
     }
 
     /// Tells holders to drain runners whose worker is draining, gone or evacuated.
-    pub(super) fn drain_unfit(&mut self) {
+    pub(super) fn drain_from_unusable_workers(&mut self) {
         let runners = self.reservations.iter().map(|(runner, _)| *runner).collect();
-        self.drain_if_unfit(runners);
+        self.drain_if_worker_unusable(runners);
     }
 
     /// The same for these runners.
-    pub(super) fn drain_if_unfit(&mut self, runners: Vec<RunnerId>) {
+    pub(super) fn drain_if_worker_unusable(&mut self, runners: Vec<RunnerId>) {
         if !self.workers_listed {
             return;
         }
         for runner in runners {
             let Some(held) = self.reservations.get(runner) else { continue };
-            if !held.draining && !self.is_worker_fit(&held.worker) {
+            if !held.draining && !self.is_worker_usable(&held.worker) {
                 let function = held.function.clone();
                 self.drain(function, runner);
             }
@@ -191,25 +198,25 @@
     /// Tells the holder to drain a runner that the platform says is about to leave.
     pub(super) fn drain_leaving(&mut self, runner: RunnerId) {
         let Some(held) = self.reservations.get(runner) else { return };
-        if !held.draining && self.rules.keep(Rule::DrainObeyed) {
+        if !held.draining && self.rules.enforces(Rule::DrainObeyed) {
             let function = held.function.clone();
             self.drain(function, runner);
         }
     }
 
     pub(super) fn drain(&mut self, function: FunctionKey, runner: RunnerId) {
-        if self.reservations.get(runner).is_some_and(|held| held.is_left()) {
+        if self.reservations.get(runner).is_some_and(|held| held.is_orphaned()) {
             self.reservations.want_stop(runner);
             return;
         }
-        let Some(entry) = self.entries.get(&function) else { return };
-        if entry.grant != runner.grant {
+        let Some(entry) = self.lease_records.get(&function) else { return };
+        if entry.fencing_token != runner.fencing_token {
             return;
         }
         let holder_record = self.members.get(&entry.holder);
         let Some(stream) = holder_record.and_then(|record| record.stream) else { return };
-        self.reservations.note(runner, |held| held.draining = true);
-        self.down(stream, StreamDown::Drain { function, runner });
+        self.reservations.update(runner, |held| held.draining = true);
+        self.send_frame(stream, LeaderToDaemon::Drain { function, runner });
     }
 
     /// The committed document.
@@ -218,12 +225,16 @@
     }
 
     /// The daemons that have not installed a serial, and why as far as can be seen from here.
-    pub fn laggards(&self, now: Moment, serial: Serial) -> Vec<(MemberName, &'static str)> {
+    pub fn laggards(
+        &self,
+        now: MonotonicTime,
+        version: Version,
+    ) -> Vec<(MemberName, &'static str)> {
         self.members
             .iter()
-            .filter(|(_, record)| record.installed < serial)
+            .filter(|(_, record)| record.installed < version)
             .map(|(known_member, record)| {
-                let reason = if now >= record.grant_bound {
+                let reason = if now >= record.lease_expiry_bound {
                     "grant ended"
                 } else if record.stream.is_none() {
                     "cut off"
@@ -236,15 +247,15 @@
     }
 }
 
-fn change_frame(base_view: &View, newest_view: &View) -> StreamDown {
-    StreamDown::Change {
-        base: base_view.serial,
-        serial: newest_view.serial,
-        patch: pack(&base_view.change_to(newest_view)),
+fn spec_delta_frame(base_view: &DaemonView, newest_view: &DaemonView) -> LeaderToDaemon {
+    LeaderToDaemon::Change {
+        base: base_view.version,
+        version: newest_view.version,
+        patch: compress(&base_view.delta_to(newest_view)),
         digest: newest_view.digest().to_vec().into(),
     }
 }
 
-fn whole_frame(view: &View) -> StreamDown {
-    StreamDown::Spec { serial: view.serial, document: pack(&view.to_bytes()) }
+fn full_spec_frame(view: &DaemonView) -> LeaderToDaemon {
+    LeaderToDaemon::Spec { version: view.version, document: compress(&view.to_bytes()) }
 }
--- a/crates/controlplane/src/leader_state/functions.rs
+++ b/crates/controlplane/src/leader_state/functions.rs
@@ -1,10 +1,11 @@
-use super::{GrantEntry, LeaderState, StreamId, WaitingAcquire};
-use common::clock::Moment;
+use super::{LeaderState, LeaseRecord, PendingAcquisition, StreamId};
+use common::clock::MonotonicTime;
 use common::events;
 use common::frames::{
-    AcquireResult, ClaimRunner, HopReason, KnownMember, Many, Prior, RunnerNews, StreamDown,
+    AcquireResult, ClaimedRunner, KnownMember, LeaderToDaemon, LengthPrefixed, PreviousLease,
+    RequestFailureReason, RunnerStatus,
 };
-use common::identity::{FunctionKey, GrantSerial, RunnerId};
+use common::identity::{FencingToken, FunctionKey, RunnerId};
 use common::invariants::{Invariant, require};
 use common::rules::Rule;
 use serde_json::json;
@@ -12,60 +13,67 @@
 
 /// A holder that has not renewed its member grant for so long is not named as an owner: the asker
 /// waits until it is heard again, or has lost the function.
-const SILENT_FROM: Duration = Duration::from_millis(1000);
+const STALE_HOLDER_AFTER: Duration = Duration::from_millis(1000);
 
 /// How long the platform takes to stop a lost holder's runners, as a rule.
-const FENCE_SPAN: Duration = Duration::from_millis(100);
+const EXPECTED_FENCING_TIME: Duration = Duration::from_millis(100);
 /// How long after an election daemons that are alive have claimed, as a rule.
-const CLAIMS_SPAN: Duration = Duration::from_millis(700);
+const EXPECTED_CLAIMS_TIME: Duration = Duration::from_millis(700);
 /// Open questions are looked at again so often although nothing has changed.
-const LOOK_EVERY: Duration = Duration::from_millis(20);
+const CHECK_INTERVAL: Duration = Duration::from_millis(20);
 /// How long a question is kept open.
-const ACQUIRE_PATIENCE: Duration = Duration::from_secs(6);
+const ACQUISITION_TIMEOUT: Duration = Duration::from_secs(6);
 /// A shorter wait is waited out with the question open.
-const WORTH_TELLING: Duration = Duration::from_millis(200);
+const MIN_ANNOUNCED_WAIT: Duration = Duration::from_millis(200);
 
 impl LeaderState {
     /// Answers each acquisition that can be answered: grants to the asker when nobody holds, and says
     /// how long it will be if that is known.
-    pub(super) fn answer_acquires(&mut self, now: Moment) {
-        let is_due = now.since(self.acquires_looked_at) >= LOOK_EVERY;
-        if !is_due && !std::mem::take(&mut self.acquires_changed) {
+    pub(super) fn answer_acquisitions(&mut self, now: MonotonicTime) {
+        let is_due = now.since(self.acquisitions_checked_at) >= CHECK_INTERVAL;
+        if !is_due && !std::mem::take(&mut self.acquisitions_changed) {
             return;
         }
-        self.acquires_changed = false;
-        self.acquires_looked_at = now;
-        for acquire in std::mem::take(&mut self.acquires) {
-            let Some(result) = self.decide_acquire(now, &acquire) else {
-                self.keep_waiting(now, acquire);
+        self.acquisitions_changed = false;
+        self.acquisitions_checked_at = now;
+        for acquisition in std::mem::take(&mut self.pending_acquisitions) {
+            let Some(result) = self.decide_acquisition(now, &acquisition) else {
+                self.keep_pending(now, acquisition);
                 continue;
             };
-            let WaitingAcquire { stream, correlation, function, .. } = acquire;
-            self.down(stream, StreamDown::Acquired { correlation, function, result });
+            let PendingAcquisition { stream, correlation, function, .. } = acquisition;
+            self.send_frame(stream, LeaderToDaemon::Acquired { correlation, function, result });
         }
     }
 
     /// Keeps a question open, and says once how long it will be.
-    fn keep_waiting(&mut self, now: Moment, mut acquire: WaitingAcquire) {
-        if now.since(acquire.asked_at) >= ACQUIRE_PATIENCE {
+    fn keep_pending(&mut self, now: MonotonicTime, mut acquisition: PendingAcquisition) {
+        if now.since(acquisition.requested_at) >= ACQUISITION_TIMEOUT {
             return;
         }
-        if !acquire.told_later
-            && let Some(result) = self.foresee(now, &acquire)
+        if !acquisition.delay_announced
+            && let Some(result) = self.estimate_wait(now, &acquisition)
         {
-            acquire.told_later = true;
-            let (correlation, function) = (acquire.correlation, acquire.function.clone());
-            self.down(acquire.stream, StreamDown::Acquired { correlation, function, result });
+            acquisition.delay_announced = true;
+            let (correlation, function) = (acquisition.correlation, acquisition.function.clone());
+            self.send_frame(
+                acquisition.stream,
+                LeaderToDaemon::Acquired { correlation, function, result },
+            );
         }
-        self.acquires.push(acquire);
+        self.pending_acquisitions.push(acquisition);
     }
 
     /// When a function that cannot be granted now could be: when the member grant of a holder whose
     /// stream is lost has ended, or when a claims quorum that lacks a daemon has waited for it. A
     /// holder that is merely silent may be back any moment, and nothing is foretold.
-    fn foresee(&self, now: Moment, acquire: &WaitingAcquire) -> Option<AcquireResult> {
+    fn estimate_wait(
+        &self,
+        now: MonotonicTime,
+        acquisition: &PendingAcquisition,
+    ) -> Option<AcquireResult> {
         let due_at = if self.opened {
-            let entry = self.entries.get(&acquire.function)?;
+            let entry = self.lease_records.get(&acquisition.function)?;
             if entry.fencing_since.is_some() || entry.handing_over {
                 return None;
             }
@@ -73,203 +81,230 @@
             if holder_record.stream.is_some() {
                 return None;
             }
-            holder_record.grant_bound + FENCE_SPAN
-        } else if now.since(self.elected_at) > CLAIMS_SPAN
-            && !self.entries.contains(&acquire.function)
+            holder_record.lease_expiry_bound + EXPECTED_FENCING_TIME
+        } else if now.since(self.elected_at) > EXPECTED_CLAIMS_TIME
+            && !self.lease_records.contains(&acquisition.function)
         {
-            self.elected_at + self.timing.claims_wait + self.timing.start_settle + FENCE_SPAN
+            self.elected_at
+                + self.timing.claims_wait
+                + self.timing.start_settle
+                + EXPECTED_FENCING_TIME
         } else {
             return None;
         };
         let wait_span = due_at.since(now);
-        (wait_span > WORTH_TELLING)
-            .then_some(AcquireResult::Later { wait_ms: wait_span.as_millis() as u32 })
+        (wait_span > MIN_ANNOUNCED_WAIT)
+            .then_some(AcquireResult::RetryLater { wait_ms: wait_span.as_millis() as u32 })
     }
 
     /// Names the owner, also while the claims quorum is waited for; grants only when that stands.
-    fn decide_acquire(&mut self, now: Moment, acquire: &WaitingAcquire) -> Option<AcquireResult> {
-        let asker = self.streams.get(&acquire.stream).cloned()?;
-        if let Some(entry) = self.entries.get(&acquire.function) {
+    fn decide_acquisition(
+        &mut self,
+        now: MonotonicTime,
+        acquisition: &PendingAcquisition,
+    ) -> Option<AcquireResult> {
+        let requester = self.streams.get(&acquisition.stream).cloned()?;
+        if let Some(entry) = self.lease_records.get(&acquisition.function) {
             if entry.fencing_since.is_some() || entry.handing_over {
                 return None;
             }
             let holder_record = self.members.get(&entry.holder)?;
-            if entry.holder == asker {
+            if entry.holder == requester {
                 if !self.opened {
                     return None;
                 }
                 return Some(AcquireResult::Granted {
-                    grant: entry.grant,
+                    fencing_token: entry.fencing_token,
                     once_wait_ms: 0,
-                    steward: Many(entry.steward.iter().cloned().collect()),
-                    prior: Many(Vec::new()),
-                    adopted: Many(Vec::new()),
+                    replica: LengthPrefixed(entry.replica.iter().cloned().collect()),
+                    previous_lease: LengthPrefixed(Vec::new()),
+                    adopted: LengthPrefixed(Vec::new()),
                 });
             }
             let is_answerable = holder_record.stream.is_some()
-                && now < holder_record.grant_end
-                && now.since(holder_record.heard_at) < SILENT_FROM
-                && holder_record.is_welcome;
+                && now < holder_record.lease_expires_at
+                && now.since(holder_record.last_heard_at) < STALE_HOLDER_AFTER
+                && holder_record.is_self_eligible;
             return is_answerable
                 .then(|| AcquireResult::Owner { host: holder_record.host.clone() });
         }
         if !self.opened {
             return None;
         }
-        let has_runners = self.reservations.of(&acquire.function).any(|(_, held)| !held.is_left());
-        if has_runners && self.rules.keep(Rule::FenceBeforeRegrant) {
+        let has_runners = self
+            .reservations
+            .all_of(&acquisition.function)
+            .any(|(_, reservation)| !reservation.is_orphaned());
+        if has_runners && self.rules.enforces(Rule::FenceBeforeRegrant) {
             return None;
         }
-        if self.table.function_of(&acquire.function).is_none() {
-            let installed = self.members.get(&asker).map(|record| record.installed);
-            let newest = self.document.as_ref().map(|document| document.view_serial());
-            return (installed <= newest).then_some(AcquireResult::Shed);
+        if self.table.function_of(&acquisition.function).is_none() {
+            let installed = self.members.get(&requester).map(|record| record.installed);
+            let newest = self.document.as_ref().map(|document| document.view_version());
+            return (installed <= newest).then_some(AcquireResult::Rejected);
         }
-        if !self.members.get(&asker).is_some_and(|record| record.host.eligible.0) {
-            return Some(AcquireResult::Shed);
+        if !self.members.get(&requester).is_some_and(|record| record.host.eligible.0) {
+            return Some(AcquireResult::Rejected);
         }
-        if !self.is_serving(&asker, now) || self.awaits_wide_asker(now, acquire) {
+        if !self.is_serving(&requester, now) || self.waits_for_wide_link_requester(now, acquisition)
+        {
             return None;
         }
-        if !self.check_left(&acquire.function) {
+        if !self.check_orphans(&acquisition.function) {
             return None;
         }
-        if self.may_have_unlisted(&acquire.function) {
+        if self.may_have_unlisted(&acquisition.function) {
             return None;
         }
-        if acquire.function.is_regional() && !self.check_unknown_keys(&acquire.function) {
+        if acquisition.function.is_regional() && !self.check_unknown_keys(&acquisition.function) {
             return None;
         }
-        self.check_claims_quorum(now, &acquire.function);
-        let grant = self.next_number();
-        let is_noted = self.is_noted(&acquire.function);
-        let once_from = self.once_from.get(&acquire.function).copied().unwrap_or_default();
-        let once_boundary = once_from.max(self.once_boundary(&acquire.function));
-        let once_wait = if is_noted { once_boundary.since(now) } else { Duration::ZERO };
-        let adopted = self.adopt_left(&acquire.function, grant);
-        self.tell(
-            events::GRANTED,
+        self.check_claims_quorum(now, &acquisition.function);
+        let fencing_token = self.next_fencing_token();
+        let is_recorded = self.is_recorded(&acquisition.function);
+        let once_allowed_from =
+            self.once_allowed_from.get(&acquisition.function).copied().unwrap_or_default();
+        let once_safe_from = once_allowed_from.max(self.once_safe_from(&acquisition.function));
+        let once_wait = if is_recorded { once_safe_from.since(now) } else { Duration::ZERO };
+        let adopted = self.adopt_orphans(&acquisition.function, fencing_token);
+        self.record_event(
+            events::LEASE_GRANTED,
             json!({
-                "function": acquire.function.to_string(),
-                "member": asker.member.as_str(),
-                "grant": grant.0,
+                "function": acquisition.function.to_string(),
+                "member": requester.member.as_str(),
+                "grant": fencing_token.0,
                 "once_wait_ms": once_wait.as_millis() as u64,
                 "adopted": adopted.len(),
             }),
         );
-        let steward =
-            if is_noted { self.choose_steward(now, &acquire.function, &asker, None) } else { None };
-        let prior = self.priors.get(&acquire.function).filter(|_| !once_wait.is_zero()).cloned();
-        let entry = GrantEntry {
-            holder: asker,
-            grant,
+        let replica = if is_recorded {
+            self.choose_replica(now, &acquisition.function, &requester, None)
+        } else {
+            None
+        };
+        let previous_lease = self
+            .previous_leases
+            .get(&acquisition.function)
+            .filter(|_| !once_wait.is_zero())
+            .cloned();
+        let entry = LeaseRecord {
+            holder: requester,
+            fencing_token,
             fencing_since: None,
             lost_lease_end: None,
             handing_over: false,
-            steward: steward.clone(),
-            whole: once_wait.is_zero(),
+            replica: replica.clone(),
+            complete: once_wait.is_zero(),
         };
-        self.entries.insert(acquire.function.clone(), entry);
+        self.lease_records.insert(acquisition.function.clone(), entry);
         Some(AcquireResult::Granted {
-            grant,
+            fencing_token,
             once_wait_ms: once_wait.as_millis() as u32,
-            steward: Many(steward.into_iter().collect()),
-            prior: Many(prior.into_iter().collect()),
-            adopted: Many(adopted),
+            replica: LengthPrefixed(replica.into_iter().collect()),
+            previous_lease: LengthPrefixed(previous_lease.into_iter().collect()),
+            adopted: LengthPrefixed(adopted),
         })
     }
 
     /// Nobody who may hold the function under an earlier leader is left out: the old leases have all ended, or all
     /// that were waited for have claimed.
-    fn check_claims_quorum(&self, now: Moment, function: &FunctionKey) {
+    fn check_claims_quorum(&self, now: MonotonicTime, function: &FunctionKey) {
         let has_waited = now >= self.elected_at + self.timing.claims_wait;
-        let is_awaited = self.all_claimed || has_waited || self.inherited_nothing;
+        let is_awaited = self.all_claimed || has_waited || self.inherits_no_functions;
         require(self.rules, Invariant::GrantedAfterClaims, is_awaited, || {
             format!("{function} is granted before the claims quorum stands")
         });
     }
 
     /// Whether a function's once-transactions are noted elsewhere and waited for.
-    fn is_noted(&self, function: &FunctionKey) -> bool {
-        self.table.index_of(function).is_none_or(|index| self.table.is_noted(index))
+    fn is_recorded(&self, function: &FunctionKey) -> bool {
+        self.table.index_of(function).is_none_or(|index| self.table.is_recorded(index))
     }
 
     /// A function whose ledger has come to be wanted gets a steward.
-    pub(super) fn name_stewards(&mut self, now: Moment) {
-        if !std::mem::take(&mut self.stewards_due) {
+    pub(super) fn assign_replicas(&mut self, now: MonotonicTime) {
+        if !std::mem::take(&mut self.replica_assignment_due) {
             return;
         }
-        let wanting_functions: Vec<(FunctionKey, GrantSerial, KnownMember)> = self
-            .entries
+        let functions_without_replica: Vec<(FunctionKey, FencingToken, KnownMember)> = self
+            .lease_records
             .iter()
-            .filter(|(_, entry)| entry.steward.is_none() && entry.fencing_since.is_none())
-            .filter(|(function, _)| self.is_noted(function))
-            .map(|(function, entry)| (function.clone(), entry.grant, entry.holder.clone()))
+            .filter(|(_, entry)| entry.replica.is_none() && entry.fencing_since.is_none())
+            .filter(|(function, _)| self.is_recorded(function))
+            .map(|(function, entry)| (function.clone(), entry.fencing_token, entry.holder.clone()))
             .collect();
-        for (function, grant, holder) in wanting_functions {
+        for (function, fencing_token, holder) in functions_without_replica {
             let stream = self.members.get(&holder).and_then(|record| record.stream);
-            let steward = self.choose_steward(now, &function, &holder, None);
-            let (Some(stream), Some(steward)) = (stream, steward) else { continue };
-            if let Some(entry) = self.entries.get_mut(&function) {
-                entry.steward = Some(steward.clone());
-                entry.whole = false;
+            let replica = self.choose_replica(now, &function, &holder, None);
+            let (Some(stream), Some(replica)) = (stream, replica) else { continue };
+            if let Some(entry) = self.lease_records.get_mut(&function) {
+                entry.replica = Some(replica.clone());
+                entry.complete = false;
             }
-            let steward = Many(vec![steward]);
-            self.down(stream, StreamDown::Steward { function, grant, steward });
+            let replica = LengthPrefixed(vec![replica]);
+            self.send_frame(
+                stream,
+                LeaderToDaemon::ReplicaAssigned { function, fencing_token, replica },
+            );
         }
     }
 
     /// Whether every runner left of a function can still be taken over; one that cannot is stopped
     /// first.
-    fn check_left(&mut self, function: &FunctionKey) -> bool {
-        let unfit_runners: Vec<RunnerId> = self
+    fn check_orphans(&mut self, function: &FunctionKey) -> bool {
+        let unadoptable_runners: Vec<RunnerId> = self
             .reservations
-            .of(function)
-            .filter(|(_, held)| held.is_left())
-            .filter(|(_, held)| {
-                !held.is_fit() || (self.workers_listed && !self.is_worker_fit(&held.worker))
+            .all_of(function)
+            .filter(|(_, reservation)| reservation.is_orphaned())
+            .filter(|(_, reservation)| {
+                !reservation.is_adoptable()
+                    || (self.workers_listed && !self.is_worker_usable(&reservation.worker))
             })
             .map(|(runner, _)| runner)
             .collect();
-        for unfit_runner in &unfit_runners {
-            self.reservations.want_stop(*unfit_runner);
+        for unadoptable_runner in &unadoptable_runners {
+            self.reservations.want_stop(*unadoptable_runner);
         }
-        unfit_runners.is_empty() || !self.rules.keep(Rule::FenceBeforeRegrant)
+        unadoptable_runners.is_empty() || !self.rules.enforces(Rule::FenceBeforeRegrant)
     }
 
     /// Whether no runner is left of a function that may be an earlier one of this key. Under which key a runner was
     /// started the platform may not tell, so it stands among those for all regions; before a region's key is
     /// granted such runners are stopped.
     fn check_unknown_keys(&mut self, function: &FunctionKey) -> bool {
-        let unknown_runners = self.reservations.of_unknown_key(function);
-        let left_runners = unknown_runners
-            .iter()
-            .filter(|runner| self.reservations.get(**runner).is_some_and(|held| held.is_left()));
-        for left_runner in left_runners.copied().collect::<Vec<RunnerId>>() {
-            self.reservations.want_stop(left_runner);
+        let unknown_runners = self.reservations.with_unknown_key(function);
+        let orphaned_runners = unknown_runners.iter().filter(|runner| {
+            self.reservations.get(**runner).is_some_and(|reservation| reservation.is_orphaned())
+        });
+        for orphaned_runner in orphaned_runners.copied().collect::<Vec<RunnerId>>() {
+            self.reservations.want_stop(orphaned_runner);
         }
-        unknown_runners.is_empty() || !self.rules.keep(Rule::FenceBeforeRegrant)
+        unknown_runners.is_empty() || !self.rules.enforces(Rule::FenceBeforeRegrant)
     }
 
     /// The runners left of a function go to its next holder, under new names.
-    fn adopt_left(&mut self, function: &FunctionKey, grant: GrantSerial) -> Vec<ClaimRunner> {
-        let left_runners: Vec<RunnerId> = self
+    fn adopt_orphans(
+        &mut self,
+        function: &FunctionKey,
+        fencing_token: FencingToken,
+    ) -> Vec<ClaimedRunner> {
+        let orphaned_runners: Vec<RunnerId> = self
             .reservations
-            .of(function)
-            .filter(|(_, held)| held.is_left())
+            .all_of(function)
+            .filter(|(_, reservation)| reservation.is_orphaned())
             .map(|(runner, _)| runner)
             .collect();
-        let is_once = self.rules.keep(Rule::LifeAdoptedOnce);
+        let is_once = self.rules.enforces(Rule::InstanceAdoptedOnce);
         let mut adopted = Vec::new();
-        for left_runner in left_runners {
-            let runner = RunnerId { grant, ordinal: self.next_number().0 };
+        for orphaned_runner in orphaned_runners {
+            let runner = RunnerId { fencing_token, ordinal: self.next_fencing_token().0 };
             if is_once {
-                self.reservations.adopt(left_runner, runner);
+                self.reservations.adopt(orphaned_runner, runner);
             } else {
-                self.reservations.adopt_and_leave(left_runner, runner);
+                self.reservations.adopt_without_transfer(orphaned_runner, runner);
             }
-            if let Some(held) = self.reservations.get(runner) {
-                adopted.push(held.as_claim(runner));
+            if let Some(reservation) = self.reservations.get(runner) {
+                adopted.push(reservation.as_claim(runner));
             }
         }
         adopted
@@ -277,105 +312,110 @@
 
     /// A holder gives a function back, and says which runners it leaves; one that holds it no more says
     /// what it still had.
-    pub(super) fn hear_release(
+    pub(super) fn handle_release(
         &mut self,
-        now: Moment,
+        now: MonotonicTime,
         stream: StreamId,
         function: FunctionKey,
-        grant: GrantSerial,
-        runners: Many<ClaimRunner>,
+        fencing_token: FencingToken,
+        runners: LengthPrefixed<ClaimedRunner>,
     ) {
         let Some(releaser) = self.streams.get(&stream).cloned() else { return };
         let is_holder = self
-            .entries
+            .lease_records
             .get(&function)
-            .is_some_and(|entry| entry.holder == releaser && entry.grant == grant);
-        self.take_ending(now, function.clone(), runners.0);
+            .is_some_and(|entry| entry.holder == releaser && entry.fencing_token == fencing_token);
+        self.accept_released_runners(now, function.clone(), runners.0);
         if !is_holder {
             return;
         }
         self.begin_fencing(now, &function);
-        self.tell(
-            events::RELEASED,
+        self.record_event(
+            events::LEASE_RELEASED,
             json!({
                 "function": function.to_string(),
                 "member": releaser.member.as_str(),
-                "grant": grant.0,
+                "grant": fencing_token.0,
             }),
         );
     }
 
-    pub(super) fn end_entry(&mut self, now: Moment, function: &FunctionKey, grant_end: Moment) {
-        self.fencing.remove(function);
-        self.acquires_changed = true;
-        let ended_entry = self.entries.remove(function);
-        let lease_end = ended_entry.as_ref().and_then(|entry| entry.lost_lease_end);
+    pub(super) fn end_lease(
+        &mut self,
+        now: MonotonicTime,
+        function: &FunctionKey,
+        lease_expires_at: MonotonicTime,
+    ) {
+        self.fencing_functions.remove(function);
+        self.acquisitions_changed = true;
+        let ended_lease = self.lease_records.remove(function);
+        let lease_end = ended_lease.as_ref().and_then(|entry| entry.lost_lease_end);
         let has_lease_ended = lease_end.is_none_or(|lease_end| now >= lease_end);
         require(self.rules, Invariant::GrantedAfterLease, has_lease_ended, || {
             format!("{function} is free for the next grant before its holder's lease has ended")
         });
-        let prior = ended_entry.filter(|entry| entry.whole).and_then(|entry| {
-            let grant = entry.grant;
-            entry.steward.map(|steward| Prior { steward, grant })
+        let previous_lease = ended_lease.filter(|entry| entry.complete).and_then(|entry| {
+            let fencing_token = entry.fencing_token;
+            entry.replica.map(|replica| PreviousLease { replica, fencing_token })
         });
-        match prior {
-            Some(prior) => self.priors.insert(function.clone(), prior),
-            None => self.priors.remove(function),
+        match previous_lease {
+            Some(previous_lease) => self.previous_leases.insert(function.clone(), previous_lease),
+            None => self.previous_leases.remove(function),
         };
-        let once_from = grant_end + self.longest_delay();
-        self.once_from.insert(function.clone(), once_from);
-        self.once_from.retain(|_, kept_until| *kept_until > now);
-        let once_from = &self.once_from;
-        self.priors.retain(|kept, _| once_from.contains_key(kept));
+        let once_allowed_from = lease_expires_at + self.longest_delay();
+        self.once_allowed_from.insert(function.clone(), once_allowed_from);
+        self.once_allowed_from.retain(|_, retained_until| *retained_until > now);
+        let once_allowed_from = &self.once_allowed_from;
+        self.previous_leases.retain(|remaining, _| once_allowed_from.contains_key(remaining));
     }
 
-    pub(super) fn hear_runner_news(
+    pub(super) fn handle_runner_status(
         &mut self,
-        now: Moment,
+        now: MonotonicTime,
         function: &FunctionKey,
         runner: RunnerId,
-        news: RunnerNews,
+        runner_status: RunnerStatus,
     ) {
-        let name_now = self.reservations.name_now(runner);
-        let Some(held) = self.reservations.get(name_now) else { return };
-        if held.function != *function {
+        let current_name = self.reservations.current_name(runner);
+        let Some(reservation) = self.reservations.get(current_name) else { return };
+        if reservation.function != *function {
             return;
         }
-        match news {
-            RunnerNews::Ready => {
-                let worker = held.worker.to_string();
-                self.reservations.note(name_now, |held| held.ready = true);
-                self.tell(
+        match runner_status {
+            RunnerStatus::Ready => {
+                let worker = reservation.worker.to_string();
+                self.reservations.update(current_name, |reservation| reservation.ready = true);
+                self.record_event(
                     events::RUNNER_READY,
                     json!({
                         "function": function.to_string(),
-                        "runner": name_now.to_string(),
+                        "runner": current_name.to_string(),
                         "worker": worker,
                     }),
                 );
             }
-            RunnerNews::Gone if name_now != runner => self.runner_vanished(name_now),
-            RunnerNews::Gone => {
-                if held.life.is_none() && !held.stop_wanted {
-                    self.refused_at.insert(held.worker.clone(), now);
+            RunnerStatus::Gone if current_name != runner => self.runner_vanished(current_name),
+            RunnerStatus::Gone => {
+                if reservation.instance.is_none() && !reservation.stop_wanted {
+                    self.start_refused_at.insert(reservation.worker.clone(), now);
                 }
                 self.runner_stopped(runner);
             }
-            RunnerNews::Begun { life } => {
-                let owner = self.reservations.with_life(&life.name);
-                if owner.is_none_or(|owner| owner == name_now) {
-                    self.reservations.begun(name_now, life, now);
+            RunnerStatus::Started { instance } => {
+                let owner = self.reservations.runner_with_instance(&instance.name);
+                if owner.is_none_or(|owner| owner == current_name) {
+                    self.reservations.note_started(current_name, instance, now);
                 }
             }
         }
     }
 
-    pub(super) fn hear_sheds(
+    pub(super) fn handle_rejections(
         &mut self,
         stream: StreamId,
         function: FunctionKey,
         count: u32,
-        reason: HopReason,
+        reason: RequestFailureReason,
     ) {
         let Some(known_member) = self.streams.get(&stream) else { return };
         let detail = json!({
@@ -384,6 +424,6 @@
             "count": count,
             "reason": reason.as_str(),
         });
-        self.tell(events::SHEDS, detail);
+        self.record_event(events::REQUESTS_REJECTED, detail);
     }
 }
--- /dev/null
+++ b/crates/controlplane/src/leader_state/memory_pressure.rs
@@ -0,0 +1,157 @@
+use super::{LeaderState, StreamId};
+use common::clock::MonotonicTime;
+use common::events;
+use common::frames::{IdleFunction, LeaderToDaemon};
+use common::identity::{FunctionKey, RunnerId};
+use serde_json::json;
+use std::collections::BTreeMap;
+use std::time::Duration;
+
+/// A function that gave way is left alone for so long.
+const YIELD_COOLDOWN: Duration = Duration::from_secs(5);
+
+/// A function without a runner that found no room counts as starving for so long after it asked.
+const STARVATION_TIMEOUT: Duration = Duration::from_millis(1200);
+/// From one runner taken back to the next.
+const RECLAIM_INTERVAL: Duration = Duration::from_millis(500);
+
+impl LeaderState {
+    /// Whether a function with runners must wait, since another one has none and found no room.
+    pub(super) fn is_other_function_starved(
+        &mut self,
+        now: MonotonicTime,
+        requester: &FunctionKey,
+    ) -> bool {
+        self.starved_functions
+            .retain(|_, requested_at| now.since(*requested_at) < STARVATION_TIMEOUT);
+        self.starved_functions.keys().any(|function| function != requester)
+    }
+
+    /// A function without any runner finds no room: the one that has most gives one back, so that no
+    /// crowd on one takes another's only runner.
+    pub(super) fn reclaim_runner(
+        &mut self,
+        now: MonotonicTime,
+        requester: &FunctionKey,
+        needed_mb: u32,
+    ) {
+        self.starved_functions.insert(requester.clone(), now);
+        if now.since(self.runner_reclaimed_at) < RECLAIM_INTERVAL {
+            return;
+        }
+        let reserved_mb_sums = self.reserved_mb();
+        let mut staying: BTreeMap<&FunctionKey, Vec<(u64, RunnerId)>> = BTreeMap::new();
+        for (runner, reservation) in self.reservations.iter() {
+            let is_leaving = reservation.draining
+                || reservation.stop_wanted
+                || reservation.orphaned_since.is_some();
+            let Some(record) = self.workers.get(&reservation.worker) else { continue };
+            if is_leaving
+                || reservation.function == *requester
+                || !self.is_worker_usable(&reservation.worker)
+            {
+                continue;
+            }
+            let used_mb = reserved_mb_sums.get(&reservation.worker).copied().unwrap_or(0);
+            let free_mb = u64::from(record.listed.memory_mb).saturating_sub(used_mb);
+            let freed_mb = free_mb + u64::from(reservation.memory_mb);
+            staying.entry(&reservation.function).or_default().push((freed_mb, *runner));
+        }
+        let largest_function = staying.into_iter().max_by_key(|(_, runners)| runners.len());
+        let Some((function, runners)) = largest_function.filter(|(_, runners)| runners.len() > 1)
+        else {
+            return;
+        };
+        let sufficient = runners.iter().filter(|(freed_mb, _)| *freed_mb >= u64::from(needed_mb));
+        let Some((_, runner)) = sufficient.min().or(runners.iter().max()).copied() else { return };
+        let function = function.clone();
+        self.runner_reclaimed_at = now;
+        let detail = json!({
+            "function": function.to_string(),
+            "runner": runner.to_string(),
+            "for": requester.to_string(),
+        });
+        self.record_event(events::IDLE_RUNNERS_RECLAIMED, detail);
+        self.drain(function, runner);
+    }
+
+    /// A daemon says which of its functions are idle: all of them, in place of what it said before.
+    pub(super) fn handle_idle(
+        &mut self,
+        now: MonotonicTime,
+        stream: StreamId,
+        functions: Vec<IdleFunction>,
+    ) {
+        let Some(holder) = self.streams.get(&stream) else { return };
+        let idle_since = functions
+            .into_iter()
+            .map(|idle| {
+                let idle_span = Duration::from_millis(u64::from(idle.idle_ms));
+                (idle.function, now - idle_span)
+            })
+            .collect();
+        self.idle_since.insert(holder.clone(), idle_since);
+    }
+
+    /// The functions that their present holders called idle, those not called for longest first.
+    fn idle_functions(&self) -> Vec<(MonotonicTime, FunctionKey)> {
+        let mut idle_functions: Vec<(MonotonicTime, FunctionKey)> = self
+            .idle_since
+            .iter()
+            .flat_map(|(holder, functions)| {
+                let is_held = move |function: &FunctionKey| {
+                    self.lease_records.get(function).is_some_and(|entry| entry.holder == *holder)
+                };
+                functions.iter().filter(move |(function, _)| is_held(function))
+            })
+            .map(|(function, since)| (*since, function.clone()))
+            .collect();
+        idle_functions.sort();
+        idle_functions
+    }
+
+    /// No worker has room: the least recently called function that is idle gives up its runners.
+    pub(super) fn evict_idle_functions(
+        &mut self,
+        now: MonotonicTime,
+        requester: &FunctionKey,
+        needed_mb: u32,
+    ) {
+        self.yielded_at.retain(|_, at| now.since(*at) < YIELD_COOLDOWN);
+        let is_evictable = |function: &FunctionKey| {
+            function != requester
+                && !self.yielded_at.contains_key(function)
+                && self
+                    .lease_records
+                    .get(function)
+                    .is_some_and(|entry| entry.fencing_since.is_none() && !entry.handing_over)
+                && self.reservations.all_of(function).next().is_some()
+        };
+        let mut idle_functions = self.idle_functions();
+        idle_functions.retain(|(_, function)| is_evictable(function));
+        let mut freed_mb = 0;
+        for (_, function) in idle_functions {
+            if freed_mb >= needed_mb * 2 {
+                return;
+            }
+            let Some(entry) = self.lease_records.get(&function) else { continue };
+            let fencing_token = entry.fencing_token;
+            let stream = self.members.get(&entry.holder).and_then(|record| record.stream);
+            let Some(stream) = stream else { continue };
+            freed_mb += self
+                .reservations
+                .all_of(&function)
+                .map(|(_, reservation)| reservation.memory_mb)
+                .sum::<u32>();
+            self.yielded_at.insert(function.clone(), now);
+            if let Some(idle_since) = self.idle_since.get_mut(&entry.holder) {
+                idle_since.remove(&function);
+            }
+            self.record_event(
+                events::IDLE_RUNNERS_RECLAIMED,
+                json!({"function": function.to_string()}),
+            );
+            self.send_frame(stream, LeaderToDaemon::ReclaimIdle { function, fencing_token });
+        }
+    }
+}
--- a/crates/controlplane/src/leader_state/mod.rs
+++ b/crates/controlplane/src/leader_state/mod.rs
@@ -1,135 +1,137 @@
 //! The leader's leader state: members and their grants, function grants, workers. All of it in memory.
 
 mod claims;
-mod delivery;
-mod emptying;
+mod document_delivery;
 mod fence;
+mod function_leases;
 mod functions;
-mod grants;
+mod ledger_replicas;
 mod link_moves;
-mod listing;
 mod members;
+mod membership;
+mod memory_pressure;
 mod output;
-mod pressure;
 mod renewals;
 mod report;
 mod reservations;
-mod roster;
-mod stewards;
+mod runner_list;
 mod timing;
+mod worker_evacuation;
 mod workers;
 
-pub use delivery::KEPT_VIEWS;
-pub use output::{LeaderOutput, StreamId, Told, TraceStep};
+pub use document_delivery::RETAINED_VIEWS;
+pub use output::{EventRecord, LeaderOutput, StreamId, TraceStep};
 pub use timing::LeaderTiming;
 
-use common::clock::Moment;
-use common::frames::{KnownMember, MemberLife, Prior, StreamDown, StreamUp};
+use common::adapter::ListedRunner;
+use common::clock::MonotonicTime;
+use common::frames::{
+    DaemonToLeader, KnownMember, LeaderToDaemon, MemberIncarnation, PreviousLease,
+};
 use common::identity::{
-    CorrelationId, FunctionKey, GrantSerial, MemberName, Serial, Term, WorkerName, Zone,
+    CorrelationId, FencingToken, FunctionKey, MemberName, Term, Version, WorkerName, Zone,
 };
 use common::rules::{Rule, Rules};
-use common::spec::{Document, RosterMember, Table, View};
-use common::tongue::ListedRunner;
-use emptying::Emptying;
-use grants::{FunctionGrants, GrantEntry};
-use members::{LifeHistory, MemberRecord, PushedHosts};
+use common::spec::{DaemonView, Document, ListedMember, RoutingTable};
+use function_leases::{FunctionLeases, LeaseRecord};
+use members::{IncarnationHistory, MemberRecord, PushedHosts};
+use membership::DepartedMember;
 use renewals::Renewals;
 use reservations::Reservations;
-use roster::Absence;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
+use worker_evacuation::WorkerEvacuation;
 use workers::WorkerRecord;
 
 /// What the core proves to the leader state at one moment.
-pub struct Proof<'a> {
+pub struct QuorumProof<'a> {
     /// Whether the leader has committed under its own term.
     pub ready: bool,
     /// When the newest round was sent that a majority answered.
-    pub quorum_moment: Moment,
+    pub quorum_confirmed_at: MonotonicTime,
     /// Whether a round that a majority answered named a daemon.
     pub confirmed: &'a dyn Fn(&KnownMember) -> bool,
     /// The roster of the change in flight.
-    pub in_flight: Option<&'a BTreeSet<RosterMember>>,
+    pub proposed_membership: Option<&'a BTreeSet<ListedMember>>,
 }
 
-struct WaitingAcquire {
+struct PendingAcquisition {
     stream: StreamId,
     correlation: CorrelationId,
     function: FunctionKey,
-    asked_at: Moment,
-    told_later: bool,
+    requested_at: MonotonicTime,
+    delay_announced: bool,
 }
 
 /// The leader's leader state for one reign.
 pub struct LeaderState {
     timing: LeaderTiming,
     term: Term,
-    elected_at: Moment,
+    elected_at: MonotonicTime,
     last_known: BTreeSet<KnownMember>,
-    last_known_whole: bool,
-    awaited: BTreeSet<RosterMember>,
-    absences: BTreeMap<RosterMember, Absence>,
-    roster_changed: bool,
-    roster_look_at: Moment,
-    roster_wanted_since: Option<Moment>,
-    listed_from: Moment,
-    lists_asked_at: Moment,
+    last_known_complete: bool,
+    awaited_members: BTreeSet<ListedMember>,
+    departed_members: BTreeMap<ListedMember, DepartedMember>,
+    membership_changed: bool,
+    next_membership_check_at: MonotonicTime,
+    membership_change_since: Option<MonotonicTime>,
+    list_complete_from: MonotonicTime,
+    lists_requested_at: MonotonicTime,
     document: Option<Document>,
-    table: Table,
-    views: VecDeque<View>,
+    table: RoutingTable,
+    views: VecDeque<DaemonView>,
     /// Versions from before this reign; nothing is told to daemons before the first commit under it.
-    earlier_views: VecDeque<View>,
-    made_frames: BTreeMap<Serial, StreamDown>,
-    made_whole: Option<StreamDown>,
-    longest_budget: Duration,
-    in_force: Serial,
-    in_force_looked_at: Moment,
+    earlier_views: VecDeque<DaemonView>,
+    delta_frames: BTreeMap<Version, LeaderToDaemon>,
+    full_spec_cache: Option<LeaderToDaemon>,
+    longest_timeout: Duration,
+    in_force: Version,
+    in_force_checked_at: MonotonicTime,
     streams: BTreeMap<StreamId, KnownMember>,
     members: BTreeMap<KnownMember, MemberRecord>,
-    current: BTreeMap<MemberName, KnownMember>,
-    entries: FunctionGrants,
-    fencing: BTreeSet<FunctionKey>,
+    current_incarnations: BTreeMap<MemberName, KnownMember>,
+    lease_records: FunctionLeases,
+    fencing_functions: BTreeSet<FunctionKey>,
     reservations: Reservations,
     workers: BTreeMap<WorkerName, WorkerRecord>,
     workers_listed: bool,
-    once_from: BTreeMap<FunctionKey, Moment>,
-    priors: BTreeMap<FunctionKey, Prior>,
-    refused_at: BTreeMap<WorkerName, Moment>,
-    reborn_at: Moment,
-    stewards_due: bool,
-    fences_changed: bool,
+    once_allowed_from: BTreeMap<FunctionKey, MonotonicTime>,
+    previous_leases: BTreeMap<FunctionKey, PreviousLease>,
+    start_refused_at: BTreeMap<WorkerName, MonotonicTime>,
+    member_restarted_at: MonotonicTime,
+    replica_assignment_due: bool,
+    fencing_changed: bool,
     /// Before this no unswept daemon's grant ends.
-    sweep_due: Moment,
-    expiry_due: Moment,
-    fences_looked_at: Moment,
-    acquires_changed: bool,
-    acquires_looked_at: Moment,
-    known_changed: bool,
-    idle_since: BTreeMap<KnownMember, BTreeMap<FunctionKey, Moment>>,
-    gave_way_at: BTreeMap<FunctionKey, Moment>,
-    starving: BTreeMap<FunctionKey, Moment>,
-    took_back_at: Moment,
-    emptying: Option<Emptying>,
-    next_emptying_at: Moment,
-    no_room_told_at: Moment,
-    acquires: Vec<WaitingAcquire>,
+    next_sweep_at: MonotonicTime,
+    next_member_expiry_at: MonotonicTime,
+    fencing_checked_at: MonotonicTime,
+    acquisitions_changed: bool,
+    acquisitions_checked_at: MonotonicTime,
+    known_members_changed: bool,
+    idle_since: BTreeMap<KnownMember, BTreeMap<FunctionKey, MonotonicTime>>,
+    yielded_at: BTreeMap<FunctionKey, MonotonicTime>,
+    starved_functions: BTreeMap<FunctionKey, MonotonicTime>,
+    runner_reclaimed_at: MonotonicTime,
+    worker_evacuation: Option<WorkerEvacuation>,
+    next_worker_evacuation_at: MonotonicTime,
+    no_room_reported_at: MonotonicTime,
+    pending_acquisitions: Vec<PendingAcquisition>,
     renewals: Renewals,
-    runners_listed_at: Moment,
-    newest_list: Vec<ListedRunner>,
+    runners_listed_at: MonotonicTime,
+    pending_runner_list: Vec<ListedRunner>,
     all_claimed: bool,
     opened: bool,
-    opened_at: Moment,
-    inherited_serial: Serial,
-    inherited_nothing: bool,
-    given_count: u64,
+    opened_at: MonotonicTime,
+    inherited_version: Version,
+    inherits_no_functions: bool,
+    issued_token_count: u64,
     hosts_changed: bool,
-    hosts_pushed_at: Moment,
+    hosts_pushed_at: MonotonicTime,
     pushed_hosts: PushedHosts,
-    links_looked_at: Moment,
-    moved_off_at: BTreeMap<FunctionKey, Moment>,
-    missed: BTreeSet<MemberLife>,
-    silent: BTreeSet<MemberLife>,
+    links_checked_at: MonotonicTime,
+    moved_off_at: BTreeMap<FunctionKey, MonotonicTime>,
+    reported_suspects: BTreeSet<MemberIncarnation>,
+    suspected: BTreeSet<MemberIncarnation>,
     rules: Rules,
     outputs: Vec<LeaderOutput>,
 }
@@ -139,77 +141,77 @@
     pub fn new(
         timing: LeaderTiming,
         term: Term,
-        elected_at: Moment,
+        elected_at: MonotonicTime,
         last_known: BTreeSet<KnownMember>,
-        last_known_whole: bool,
+        last_known_complete: bool,
     ) -> Self {
         Self {
             timing,
             term,
             elected_at,
             last_known,
-            last_known_whole,
-            awaited: BTreeSet::new(),
-            absences: BTreeMap::new(),
-            roster_changed: true,
-            roster_look_at: elected_at,
-            roster_wanted_since: None,
-            listed_from: Moment::ZERO,
-            lists_asked_at: Moment::ZERO,
+            last_known_complete,
+            awaited_members: BTreeSet::new(),
+            departed_members: BTreeMap::new(),
+            membership_changed: true,
+            next_membership_check_at: elected_at,
+            membership_change_since: None,
+            list_complete_from: MonotonicTime::ZERO,
+            lists_requested_at: MonotonicTime::ZERO,
             document: None,
-            table: Table::empty(),
+            table: RoutingTable::empty(),
             views: VecDeque::new(),
             earlier_views: VecDeque::new(),
-            made_frames: BTreeMap::new(),
-            made_whole: None,
-            longest_budget: Duration::ZERO,
-            in_force: Serial(0),
-            in_force_looked_at: Moment::ZERO,
+            delta_frames: BTreeMap::new(),
+            full_spec_cache: None,
+            longest_timeout: Duration::ZERO,
+            in_force: Version(0),
+            in_force_checked_at: MonotonicTime::ZERO,
             streams: BTreeMap::new(),
             members: BTreeMap::new(),
-            current: BTreeMap::new(),
-            entries: FunctionGrants::default(),
-            fencing: BTreeSet::new(),
+            current_incarnations: BTreeMap::new(),
+            lease_records: FunctionLeases::default(),
+            fencing_functions: BTreeSet::new(),
             reservations: Reservations::default(),
             workers: BTreeMap::new(),
             workers_listed: false,
-            once_from: BTreeMap::new(),
-            priors: BTreeMap::new(),
-            refused_at: BTreeMap::new(),
-            reborn_at: Moment::ZERO,
-            stewards_due: false,
-            fences_changed: true,
-            sweep_due: Moment::ZERO,
-            expiry_due: Moment::ZERO,
-            fences_looked_at: Moment::ZERO,
-            acquires_changed: true,
-            acquires_looked_at: Moment::ZERO,
-            known_changed: true,
+            once_allowed_from: BTreeMap::new(),
+            previous_leases: BTreeMap::new(),
+            start_refused_at: BTreeMap::new(),
+            member_restarted_at: MonotonicTime::ZERO,
+            replica_assignment_due: false,
+            fencing_changed: true,
+            next_sweep_at: MonotonicTime::ZERO,
+            next_member_expiry_at: MonotonicTime::ZERO,
+            fencing_checked_at: MonotonicTime::ZERO,
+            acquisitions_changed: true,
+            acquisitions_checked_at: MonotonicTime::ZERO,
+            known_members_changed: true,
             idle_since: BTreeMap::new(),
-            gave_way_at: BTreeMap::new(),
-            starving: BTreeMap::new(),
-            took_back_at: Moment::ZERO,
-            emptying: None,
-            no_room_told_at: Moment::ZERO,
-            next_emptying_at: elected_at + Duration::from_secs(15),
-            acquires: Vec::new(),
+            yielded_at: BTreeMap::new(),
+            starved_functions: BTreeMap::new(),
+            runner_reclaimed_at: MonotonicTime::ZERO,
+            worker_evacuation: None,
+            no_room_reported_at: MonotonicTime::ZERO,
+            next_worker_evacuation_at: elected_at + Duration::from_secs(15),
+            pending_acquisitions: Vec::new(),
             renewals: Renewals::default(),
-            runners_listed_at: Moment::ZERO,
-            newest_list: Vec::new(),
+            runners_listed_at: MonotonicTime::ZERO,
+            pending_runner_list: Vec::new(),
             all_claimed: false,
             opened: false,
             opened_at: elected_at,
-            inherited_serial: Serial(0),
-            inherited_nothing: false,
-            given_count: 0,
+            inherited_version: Version(0),
+            inherits_no_functions: false,
+            issued_token_count: 0,
             hosts_changed: false,
-            hosts_pushed_at: Moment::ZERO,
+            hosts_pushed_at: MonotonicTime::ZERO,
             pushed_hosts: PushedHosts::default(),
-            links_looked_at: elected_at,
+            links_checked_at: elected_at,
             moved_off_at: BTreeMap::new(),
-            missed: BTreeSet::new(),
-            silent: BTreeSet::new(),
-            rules: Rules::KEPT,
+            reported_suspects: BTreeSet::new(),
+            suspected: BTreeSet::new(),
+            rules: Rules::ALL_ENFORCED,
             outputs: Vec::new(),
         }
     }
@@ -222,13 +224,13 @@
 
     /// The same with the versions that this controller has seen lately: daemons that are a little behind are told
     /// what changed, and not the whole.
-    pub fn with_earlier_views(mut self, views: VecDeque<View>) -> Self {
+    pub fn with_earlier_views(mut self, views: VecDeque<DaemonView>) -> Self {
         self.earlier_views = views;
         self
     }
 
     fn is_evacuated(&self, zone: &Zone) -> bool {
-        self.rules.keep(Rule::EvacuationObeyed) && self.table.is_evacuated(zone)
+        self.rules.enforces(Rule::EvacuationObeyed) && self.table.is_evacuated(zone)
     }
 
     /// Whether the claims quorum stands and grants are given.
@@ -242,120 +244,124 @@
         if !self.opened {
             known_members.extend(self.last_known.iter().cloned());
         }
-        (known_members, self.last_known_whole || self.opened)
+        (known_members, self.last_known_complete || self.opened)
     }
 
     /// The same, if they may have changed since last asked.
     pub fn take_known_members(&mut self) -> Option<(BTreeSet<KnownMember>, bool)> {
-        std::mem::take(&mut self.known_changed).then(|| self.known_members())
+        std::mem::take(&mut self.known_members_changed).then(|| self.known_members())
     }
 
     /// The newest serial that is in force everywhere.
-    pub fn in_force(&self) -> Serial {
+    pub fn in_force(&self) -> Version {
         self.in_force
     }
 
     /// Takes what a daemon says on its stream.
-    pub fn heard(&mut self, now: Moment, stream: StreamId, frame: StreamUp) {
-        self.acquires_changed = true;
-        self.note_spoke(now, stream);
+    pub fn receive(&mut self, now: MonotonicTime, stream: StreamId, frame: DaemonToLeader) {
+        self.acquisitions_changed = true;
+        self.note_frame_received(now, stream);
         match frame {
-            StreamUp::Hello { host, door, serial, age_ms, granted } => {
-                let history =
-                    LifeHistory { born_at: roster::born_at(now, age_ms), was_granted: granted.0 };
-                self.hear_hello(now, stream, host, door, serial, history);
+            DaemonToLeader::Hello { host, ingress, version, age_ms, granted } => {
+                let history = IncarnationHistory {
+                    started_at: membership::started_at(now, age_ms),
+                    had_lease: granted.0,
+                };
+                self.handle_hello(now, stream, host, ingress, version, history);
             }
-            StreamUp::Claims { claims } => self.hear_claims(now, stream, claims.0),
-            StreamUp::Renew { correlation, serial } => {
-                self.hear_renew(now, stream, correlation, serial);
+            DaemonToLeader::Claims { claims } => self.handle_claims(now, stream, claims.0),
+            DaemonToLeader::Renew { correlation, version } => {
+                self.handle_renew(now, stream, correlation, version);
             }
-            StreamUp::Installed { serial } => self.hear_installed(stream, serial),
-            StreamUp::Whole => self.push_whole(stream),
-            StreamUp::Acquire { correlation, function } => {
-                let asked = WaitingAcquire {
+            DaemonToLeader::Installed { version } => self.handle_installed(stream, version),
+            DaemonToLeader::FullSpecRequest => self.push_full_document(stream),
+            DaemonToLeader::Acquire { correlation, function } => {
+                let pending_request = PendingAcquisition {
                     stream,
                     correlation,
                     function,
-                    asked_at: now,
-                    told_later: false,
+                    requested_at: now,
+                    delay_announced: false,
                 };
-                self.acquires.push(asked);
+                self.pending_acquisitions.push(pending_request);
+            }
+            DaemonToLeader::Release { function, fencing_token, runners } => {
+                self.handle_release(now, stream, function, fencing_token, runners);
             }
-            StreamUp::Release { function, grant, runners } => {
-                self.hear_release(now, stream, function, grant, runners);
+            DaemonToLeader::Reserve { correlation, function, fencing_token } => {
+                self.handle_reserve(now, stream, correlation, function, fencing_token);
             }
-            StreamUp::Reserve { correlation, function, grant } => {
-                self.hear_reserve(now, stream, correlation, function, grant);
+            DaemonToLeader::RunnerUpdate { function, runner, runner_status } => {
+                self.handle_runner_status(now, &function, runner, runner_status);
             }
-            StreamUp::Runner { function, runner, news } => {
-                self.hear_runner_news(now, &function, runner, news);
+            DaemonToLeader::Rejections { function, count, reason } => {
+                self.handle_rejections(stream, function, count, reason)
             }
-            StreamUp::Sheds { function, count, reason } => {
-                self.hear_sheds(stream, function, count, reason)
+            DaemonToLeader::ReplicaLost { function, fencing_token, lost } => {
+                self.handle_replica_lost(now, stream, function, fencing_token, &lost);
             }
-            StreamUp::StewardLost { function, grant, lost } => {
-                self.hear_steward_lost(now, stream, function, grant, &lost);
+            DaemonToLeader::ReplicaComplete { function, fencing_token, replica } => {
+                self.handle_replica_complete(stream, &function, fencing_token, &replica);
             }
-            StreamUp::StewardWhole { function, grant, steward } => {
-                self.hear_steward_whole(stream, &function, grant, &steward);
+            DaemonToLeader::Idle { functions } => self.handle_idle(now, stream, functions.0),
+            DaemonToLeader::MemberSuspected { instance } => self.handle_suspicion(stream, instance),
+            DaemonToLeader::MemberRecovered { instance } => {
+                self.handle_suspicion_cleared(&instance)
             }
-            StreamUp::Idle { functions } => self.hear_idle(now, stream, functions.0),
-            StreamUp::Silent { life } => self.hear_silent(stream, life),
-            StreamUp::Heard { life } => self.hear_heard(&life),
-            StreamUp::WholeHosts => self.hear_whole_hosts(stream),
-            StreamUp::Leaving => self.hear_leaving(now, stream),
+            DaemonToLeader::FullHostListRequest => self.handle_full_hosts_request(stream),
+            DaemonToLeader::Leaving => self.handle_leaving(now, stream),
         }
     }
 
     /// A stream has ended.
     pub fn stream_lost(&mut self, stream: StreamId) {
         let Some(known_member) = self.streams.remove(&stream) else { return };
-        self.acquires_changed = true;
-        self.acquires.retain(|acquire| acquire.stream != stream);
+        self.acquisitions_changed = true;
+        self.pending_acquisitions.retain(|acquisition| acquisition.stream != stream);
         self.renewals.forget(stream);
         if let Some(record) = self.members.get_mut(&known_member)
             && record.stream == Some(stream)
         {
             record.stream = None;
-            self.tell(
-                common::events::MEMBER_LOST,
+            self.record_event(
+                common::events::MEMBER_DISCONNECTED,
                 serde_json::json!({"member": known_member.member.as_str()}),
             );
         }
     }
 
     /// Does all that is due, and returns what has been ordered.
-    pub fn progress(&mut self, now: Moment, proof: &Proof<'_>) -> Vec<LeaderOutput> {
+    pub fn progress(&mut self, now: MonotonicTime, proof: &QuorumProof<'_>) -> Vec<LeaderOutput> {
         self.expire_members(now);
         self.open_if_due(now, proof);
-        self.ask_lists(now);
+        self.request_lists(now);
         self.fence(now);
-        self.name_stewards(now);
+        self.assign_replicas(now);
         self.answer_renewals(now, proof);
-        self.answer_acquires(now);
-        self.note_in_force(now);
-        self.empty_workers(now);
+        self.answer_acquisitions(now);
+        self.update_in_force(now);
+        self.evacuate_workers(now);
         self.push_hosts(now);
-        self.leave_narrow_links(now);
+        self.move_off_narrow_links(now);
         std::mem::take(&mut self.outputs)
     }
 
-    fn down(&mut self, stream: StreamId, frame: StreamDown) {
-        self.outputs.push(LeaderOutput::Down { stream, frame });
+    fn send_frame(&mut self, stream: StreamId, frame: LeaderToDaemon) {
+        self.outputs.push(LeaderOutput::FrameToDaemon { stream, frame });
     }
 
-    fn tell(&mut self, event: common::events::Event, detail: serde_json::Value) {
-        self.outputs.push(LeaderOutput::Told(Told { event, detail }));
+    fn record_event(&mut self, event: common::events::Event, detail: serde_json::Value) {
+        self.outputs.push(LeaderOutput::EventRecord(EventRecord { event, detail }));
     }
 
-    fn is_serving(&self, known_member: &KnownMember, now: Moment) -> bool {
+    fn is_serving(&self, known_member: &KnownMember, now: MonotonicTime) -> bool {
         self.members.get(known_member).is_some_and(|record| {
-            record.stream.is_some() && record.grant_end > now && record.host.eligible.0
+            record.stream.is_some() && record.lease_expires_at > now && record.host.eligible.0
         })
     }
 
-    fn next_number(&mut self) -> GrantSerial {
-        self.given_count += 1;
-        GrantSerial::of(self.term, self.given_count)
+    fn next_fencing_token(&mut self) -> FencingToken {
+        self.issued_token_count += 1;
+        FencingToken::of(self.term, self.issued_token_count)
     }
 }
--- a/crates/controlplane/src/leader_state/output.rs
+++ b/crates/controlplane/src/leader_state/output.rs
@@ -1,7 +1,7 @@
+use common::adapter::StopOrder;
 use common::events::Event;
-use common::frames::StreamDown;
-use common::identity::{MemberName, Serial};
-use common::tongue::StopOrder;
+use common::frames::LeaderToDaemon;
+use common::identity::{MemberName, Version};
 use serde_json::Value;
 
 /// Names one daemon's stream in this process.
@@ -10,14 +10,14 @@
 
 /// Something operators are told.
 #[derive(Clone, Debug)]
-pub struct Told {
+pub struct EventRecord {
     /// The kind.
     pub event: Event,
     /// The particulars.
     pub detail: Value,
 }
 
-impl PartialEq for Told {
+impl PartialEq for EventRecord {
     fn eq(&self, other: &Self) -> bool {
         self.event == other.event && self.detail == other.detail
     }
@@ -27,22 +27,22 @@
 #[derive(Clone, Debug)]
 pub enum LeaderOutput {
     /// Say something on a daemon's stream.
-    Down {
+    FrameToDaemon {
         /// The stream.
         stream: StreamId,
         /// What to say.
-        frame: StreamDown,
+        frame: LeaderToDaemon,
     },
     /// Ask the platform for its lists at once.
-    AskLists,
+    RequestLists,
     /// Have the platform stop a runner.
     StopRunner(StopOrder),
     /// Tell operators.
-    Told(Told),
+    EventRecord(EventRecord),
     /// A version came one step further at one daemon.
-    Step {
+    VersionProgress {
         /// The version.
-        serial: Serial,
+        version: Version,
         /// The daemon.
         member: MemberName,
         /// The step.
--- a/crates/controlplane/src/leader_state/report.rs
+++ b/crates/controlplane/src/leader_state/report.rs
@@ -1,10 +1,10 @@
 use super::LeaderState;
-use common::clock::Moment;
+use common::clock::MonotonicTime;
 use serde_json::{Value, json};
 
 impl LeaderState {
     /// The daemons, for operators.
-    pub fn report_members(&self, now: Moment) -> Value {
+    pub fn report_members(&self, now: MonotonicTime) -> Value {
         let rows: Vec<Value> = self
             .members
             .iter()
@@ -13,12 +13,12 @@
                     "member": known_member.member.as_str(),
                     "incarnation": known_member.incarnation.0,
                     "locality": record.host.zone.as_str(),
-                    "place": record.host.place.to_string(),
-                    "door": record.door.to_string(),
+                    "place": record.host.address.to_string(),
+                    "door": record.ingress.to_string(),
                     "connected": record.stream.is_some(),
                     "eligible": record.host.eligible.0,
-                    "granted": record.grant_end > now,
-                    "grant_left_ms": record.grant_end.since(now).as_millis() as u64,
+                    "granted": record.lease_expires_at > now,
+                    "grant_left_ms": record.lease_expires_at.since(now).as_millis() as u64,
                     "installed": record.installed.0,
                     "claimed": record.claimed,
                 })
@@ -30,15 +30,18 @@
     /// The holders, for operators.
     pub fn report_holders(&self) -> Value {
         let rows: Vec<Value> = self
-            .entries
+            .lease_records
             .iter()
             .map(|(function, entry)| {
-                let runners: Vec<String> =
-                    self.reservations.of(function).map(|(runner, _)| runner.to_string()).collect();
+                let runners: Vec<String> = self
+                    .reservations
+                    .all_of(function)
+                    .map(|(runner, _)| runner.to_string())
+                    .collect();
                 json!({
                     "function": function.to_string(),
                     "member": entry.holder.member.as_str(),
-                    "grant": entry.grant.0,
+                    "grant": entry.fencing_token.0,
                     "fencing": entry.fencing_since.is_some(),
                     "handing_over": entry.handing_over,
                     "runners": runners,
@@ -50,7 +53,7 @@
 
     /// The workers, for operators.
     pub fn report_workers(&self) -> Value {
-        let reserved_sums = self.reserved_mb();
+        let reserved_mb_sums = self.reserved_mb();
         let rows: Vec<Value> = self
             .workers
             .values()
@@ -60,7 +63,7 @@
                     "worker": worker.as_str(),
                     "locality": record.listed.zone.as_str(),
                     "memory_mb": record.listed.memory_mb,
-                    "reserved_mb": reserved_sums.get(worker).copied().unwrap_or(0),
+                    "reserved_mb": reserved_mb_sums.get(worker).copied().unwrap_or(0),
                     "draining": record.listed.draining,
                 })
             })
@@ -73,16 +76,16 @@
         let rows: Vec<Value> = self
             .reservations
             .iter()
-            .map(|(runner, held)| {
+            .map(|(runner, reservation)| {
                 json!({
                     "runner": runner.to_string(),
-                    "function": held.function.to_string(),
-                    "worker": held.worker.as_str(),
-                    "memory_mb": held.memory_mb,
-                    "ready": held.ready,
-                    "draining": held.draining,
-                    "left": held.is_left(),
-                    "life": held.life.as_ref().map(|life| life.name.as_str()),
+                    "function": reservation.function.to_string(),
+                    "worker": reservation.worker.as_str(),
+                    "memory_mb": reservation.memory_mb,
+                    "ready": reservation.ready,
+                    "draining": reservation.draining,
+                    "left": reservation.is_orphaned(),
+                    "life": reservation.instance.as_ref().map(|instance| instance.name.as_str()),
                 })
             })
             .collect();
@@ -93,7 +96,7 @@
     pub fn counts(&self) -> [(&'static str, u64); 4] {
         [
             ("members", self.streams.len() as u64),
-            ("holders", self.entries.len() as u64),
+            ("holders", self.lease_records.len() as u64),
             ("runners", self.reservations.len() as u64),
             ("workers_used", self.reserved_mb().len() as u64),
         ]
--- a/crates/controlplane/src/leader_state/timing.rs
+++ b/crates/controlplane/src/leader_state/timing.rs
@@ -6,7 +6,7 @@
 pub struct LeaderTiming {
     /// How long a member grant runs.
     #[builder(default = Duration::from_millis(2000))]
-    pub grant_length: Duration,
+    pub lease_length: Duration,
     /// What is added before a grant counts as ended, for clocks that drift.
     #[builder(default = Duration::from_millis(200))]
     pub drift_margin: Duration,
@@ -19,29 +19,29 @@
     pub start_settle: Duration,
     /// When a last-known daemon that never came back stops counting for the quorum.
     #[builder(default = Duration::from_secs(4))]
-    pub strike_after: Duration,
+    pub drop_absent_after: Duration,
     /// How long a daemon that left in order may be away before the roster no longer names it: longer than
     /// a restart takes, as a rule.
     #[builder(default = Duration::from_secs(2))]
-    pub restart_span: Duration,
+    pub restart_grace_period: Duration,
     /// Before a runner that did not stop is told again.
     #[builder(default = Duration::from_millis(700))]
-    pub stop_again_after: Duration,
+    pub stop_retry_after: Duration,
     /// How long a runner that nobody holds is left for a next holder.
     #[builder(default = Duration::from_secs(4))]
-    pub left_for: Duration,
+    pub orphan_timeout: Duration,
     /// How long after its start a runner may be missing in the platform's list, beside three boots.
     #[builder(default = Duration::from_secs(1))]
     pub list_lag: Duration,
     /// How long a worker that refused a start is left alone.
     #[builder(default = Duration::from_secs(1))]
-    pub refused_for: Duration,
+    pub refused_start_cooldown: Duration,
     /// Whether a function's runners are spread over zones; else they stand in their holder's.
     #[builder(default = true)]
-    pub spread: bool,
+    pub spread_over_zones: bool,
     /// Whether little used workers are emptied.
     #[builder(default = true)]
-    pub emptying: bool,
+    pub worker_evacuation: bool,
     /// How long a daemon without stream and grant is remembered.
     #[builder(default = Duration::from_secs(5))]
     pub forget_after: Duration,
@@ -49,7 +49,7 @@
 
 impl LeaderTiming {
     /// How long after its proof a member grant may still be used anywhere.
-    pub fn full_wait(&self) -> Duration {
-        self.grant_length + self.drift_margin
+    pub fn full_lease_wait(&self) -> Duration {
+        self.lease_length + self.drift_margin
     }
 }
--- /dev/null
+++ b/crates/controlplane/src/leader_state/worker_evacuation.rs
@@ -0,0 +1,91 @@
+use super::LeaderState;
+use common::clock::MonotonicTime;
+use common::events;
+use common::identity::WorkerName;
+use serde_json::json;
+use std::collections::BTreeMap;
+use std::time::Duration;
+
+const EVACUATION_INTERVAL: Duration = Duration::from_secs(8);
+const EVACUATION_RETRY_DELAY: Duration = Duration::from_secs(30);
+const EVACUATION_TIMEOUT: Duration = Duration::from_secs(20);
+const HEADROOM_PERCENT: u64 = 10;
+
+/// A worker that is being emptied so that it can be switched off.
+pub struct WorkerEvacuation {
+    pub(super) worker: WorkerName,
+    since: MonotonicTime,
+}
+
+impl LeaderState {
+    /// Empties the least used worker when all its runners fit on the others in use, one at a time.
+    pub(super) fn evacuate_workers(&mut self, now: MonotonicTime) {
+        if !self.opened || !self.timing.worker_evacuation {
+            return;
+        }
+        if let Some(worker_evacuation) = &self.worker_evacuation {
+            let worker = worker_evacuation.worker.clone();
+            let is_empty =
+                !self.reservations.values().any(|reservation| reservation.worker == worker);
+            let is_timed_out = now.since(worker_evacuation.since) > EVACUATION_TIMEOUT;
+            if is_empty {
+                self.record_event(events::WORKER_EVACUATED, json!({"worker": worker.as_str()}));
+            }
+            if is_empty || is_timed_out {
+                self.worker_evacuation = None;
+                self.next_worker_evacuation_at =
+                    now + if is_empty { EVACUATION_INTERVAL } else { EVACUATION_RETRY_DELAY };
+            }
+            return;
+        }
+        if now < self.next_worker_evacuation_at {
+            return;
+        }
+        self.next_worker_evacuation_at = now + EVACUATION_INTERVAL;
+        if let Some(worker) = self.worker_to_evacuate() {
+            self.record_event(events::WORKER_EVACUATING, json!({"worker": worker.as_str()}));
+            self.worker_evacuation = Some(WorkerEvacuation { worker, since: now });
+            self.drain_from_unusable_workers();
+        }
+    }
+
+    fn worker_to_evacuate(&self) -> Option<WorkerName> {
+        let reserved_mb_sums = self.reserved_mb();
+        let used_workers: Vec<(&WorkerName, u64)> = reserved_mb_sums
+            .iter()
+            .filter(|(worker, _)| self.is_worker_usable(worker))
+            .map(|(worker, sum)| (worker, *sum))
+            .collect();
+        let (least_used, _) = used_workers.iter().min_by_key(|(_, sum)| *sum)?;
+        if used_workers.len() < 2 {
+            return None;
+        }
+        let mut free_sums: BTreeMap<&WorkerName, u64> = used_workers
+            .iter()
+            .filter(|(worker, _)| worker != least_used)
+            .filter_map(|(worker, sum)| {
+                let memory_mb = u64::from(self.workers.get(*worker)?.listed.memory_mb);
+                let headroom_mb = memory_mb * HEADROOM_PERCENT / 100;
+                Some((*worker, memory_mb.saturating_sub(*sum).saturating_sub(headroom_mb)))
+            })
+            .collect();
+        let mut moved_sizes: Vec<u64> = self
+            .reservations
+            .values()
+            .filter(|reservation| reservation.worker == **least_used)
+            .map(|reservation| u64::from(reservation.memory_mb))
+            .collect();
+        moved_sizes.sort_unstable_by(|left, right| right.cmp(left));
+        for moved_size in moved_sizes {
+            let fullest_fitting = free_sums
+                .iter()
+                .filter(|(_, free_mb)| **free_mb >= moved_size)
+                .min_by_key(|(_, free_mb)| **free_mb)
+                .map(|(worker, _)| *worker)?;
+            if let Some(free_mb) = free_sums.get_mut(fullest_fitting) {
+                *free_mb -= moved_size;
+            }
+        }
+        Some((*least_used).clone())
+    }
+}
--- a/crates/controlplane/src/leader_state/workers.rs
+++ b/crates/controlplane/src/leader_state/workers.rs
@@ -1,11 +1,11 @@
 use super::reservations::Reservation;
 use super::{LeaderState, StreamId};
-use common::clock::Moment;
+use common::adapter::ListedWorker;
+use common::clock::MonotonicTime;
 use common::events;
-use common::frames::{ReserveResult, StreamDown};
-use common::identity::{CorrelationId, FunctionKey, GrantSerial, RunnerId, WorkerName, Zone};
+use common::frames::{LeaderToDaemon, ReserveResult};
+use common::identity::{CorrelationId, FencingToken, FunctionKey, RunnerId, WorkerName, Zone};
 use common::rules::Rule;
-use common::tongue::ListedWorker;
 use serde_json::json;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -22,14 +22,17 @@
             .into_iter()
             .map(|listed| (listed.worker.clone(), WorkerRecord { listed }))
             .collect();
-        self.drain_unfit();
+        self.drain_from_unusable_workers();
     }
 
-    pub(super) fn is_worker_fit(&self, worker: &WorkerName) -> bool {
-        let is_emptied = self.emptying.as_ref().is_some_and(|emptying| emptying.worker == *worker);
-        !is_emptied
+    pub(super) fn is_worker_usable(&self, worker: &WorkerName) -> bool {
+        let is_being_evacuated = self
+            .worker_evacuation
+            .as_ref()
+            .is_some_and(|worker_evacuation| worker_evacuation.worker == *worker);
+        !is_being_evacuated
             && self.workers.get(worker).is_some_and(|record| {
-                let is_draining = record.listed.draining && self.rules.keep(Rule::DrainObeyed);
+                let is_draining = record.listed.draining && self.rules.enforces(Rule::DrainObeyed);
                 !is_draining && !self.is_evacuated(&record.listed.zone)
             })
     }
@@ -38,61 +41,64 @@
         self.reservations.reserved_mb()
     }
 
-    pub(super) fn hear_reserve(
+    pub(super) fn handle_reserve(
         &mut self,
-        now: Moment,
+        now: MonotonicTime,
         stream: StreamId,
         correlation: CorrelationId,
         function: FunctionKey,
-        grant: GrantSerial,
+        fencing_token: FencingToken,
     ) {
-        let result = self.reserve(now, stream, &function, grant);
-        self.down(stream, StreamDown::Reserved { correlation, function, result });
+        let result = self.reserve(now, stream, &function, fencing_token);
+        self.send_frame(stream, LeaderToDaemon::Reserved { correlation, function, result });
     }
 
     fn reserve(
         &mut self,
-        now: Moment,
+        now: MonotonicTime,
         stream: StreamId,
         function: &FunctionKey,
-        grant: GrantSerial,
+        fencing_token: FencingToken,
     ) -> ReserveResult {
-        let Some(asker) = self.streams.get(&stream) else { return ReserveResult::Shed };
-        let is_holder = self.entries.get(function).is_some_and(|entry| {
-            entry.holder == *asker && entry.grant == grant && entry.fencing_since.is_none()
+        let Some(requester) = self.streams.get(&stream) else { return ReserveResult::Rejected };
+        let is_holder = self.lease_records.get(function).is_some_and(|entry| {
+            entry.holder == *requester
+                && entry.fencing_token == fencing_token
+                && entry.fencing_since.is_none()
         });
-        if !is_holder || !self.opened || !self.is_granted(asker, now) {
-            return ReserveResult::Shed;
+        if !is_holder || !self.opened || !self.has_lease(requester, now) {
+            return ReserveResult::Rejected;
         }
         let Some(spec) = self.table.function_of(function).map(|entry| entry.spec.clone()) else {
-            return ReserveResult::Shed;
+            return ReserveResult::Rejected;
         };
         let needed_mb = spec.memory_mb;
-        if !self.is_below_most(function, spec.max_runners as usize) {
-            return ReserveResult::Shed;
+        if !self.is_below_max_runners(function, spec.max_runners as usize) {
+            return ReserveResult::Rejected;
         }
-        let holder_zone = self.members.get(asker).map(|record| record.host.zone.clone());
-        let has_runner = self.reservations.of(function).any(|(_, held)| held.is_staying());
-        if has_runner && self.must_wait(now, function) {
-            return ReserveResult::Shed;
+        let holder_zone = self.members.get(requester).map(|record| record.host.zone.clone());
+        let has_runner =
+            self.reservations.all_of(function).any(|(_, reservation)| reservation.is_staying());
+        if has_runner && self.is_other_function_starved(now, function) {
+            return ReserveResult::Rejected;
         }
         let chosen_worker = self.choose_worker(now, function, needed_mb, holder_zone.as_ref());
         let Some(worker) = chosen_worker else {
             let detail = json!({"function": function.to_string(), "memory_mb": needed_mb});
-            if now.since(self.no_room_told_at) > Duration::from_secs(1) {
-                self.no_room_told_at = now;
-                self.tell(events::NO_ROOM, detail);
+            if now.since(self.no_room_reported_at) > Duration::from_secs(1) {
+                self.no_room_reported_at = now;
+                self.record_event(events::NO_WORKER_CAPACITY, detail);
             }
-            self.emptying = None;
-            self.stop_left(function);
-            self.make_room(now, function, needed_mb);
+            self.worker_evacuation = None;
+            self.stop_orphans(function);
+            self.evict_idle_functions(now, function, needed_mb);
             if !has_runner {
-                self.take_back(now, function, needed_mb);
+                self.reclaim_runner(now, function, needed_mb);
             }
-            return ReserveResult::Shed;
+            return ReserveResult::Rejected;
         };
-        self.starving.remove(function);
-        let runner = RunnerId { grant, ordinal: self.next_number().0 };
+        self.starved_functions.remove(function);
+        let runner = RunnerId { fencing_token, ordinal: self.next_fencing_token().0 };
         let reservation = Reservation::new(function.clone(), worker.clone(), needed_mb);
         self.reservations.insert(runner, reservation);
         ReserveResult::Reserved { runner, worker, memory_mb: needed_mb }
@@ -100,10 +106,11 @@
 
     /// Whether one more runner stays within the most that a function may have under all its keys together. A
     /// holder that has them all under one key counts them itself.
-    fn is_below_most(&self, function: &FunctionKey, most: usize) -> bool {
-        let staying = self.reservations.of(function).filter(|(_, held)| held.is_staying());
-        let of_all = self.reservations.staying_count(function);
-        of_all < most || of_all == staying.count()
+    fn is_below_max_runners(&self, function: &FunctionKey, limit: usize) -> bool {
+        let staying =
+            self.reservations.all_of(function).filter(|(_, reservation)| reservation.is_staying());
+        let total_count = self.reservations.staying_count(function);
+        total_count < limit || total_count == staying.count()
     }
 
     /// Spread: a worker in use before an empty one, then the zone where the function has fewest
@@ -112,35 +119,38 @@
     /// then a worker in use without a runner of the function, one with, an empty one; then the fullest.
     fn choose_worker(
         &mut self,
-        now: Moment,
+        now: MonotonicTime,
         function: &FunctionKey,
         needed_mb: u32,
         holder_zone: Option<&Zone>,
     ) -> Option<WorkerName> {
-        let refused_for = self.timing.refused_for;
-        self.refused_at.retain(|_, refused_at| now.since(*refused_at) < refused_for);
+        let refused_start_cooldown = self.timing.refused_start_cooldown;
+        self.start_refused_at
+            .retain(|_, start_refused_at| now.since(*start_refused_at) < refused_start_cooldown);
         let mut zone_counts: BTreeMap<&Zone, usize> = BTreeMap::new();
-        let mut own_workers: BTreeSet<&WorkerName> = BTreeSet::new();
-        for (_, held) in self.reservations.of(function).filter(|(_, held)| !held.draining) {
-            own_workers.insert(&held.worker);
-            if let Some(record) = self.workers.get(&held.worker) {
+        let mut function_workers: BTreeSet<&WorkerName> = BTreeSet::new();
+        for (_, reservation) in
+            self.reservations.all_of(function).filter(|(_, reservation)| !reservation.draining)
+        {
+            function_workers.insert(&reservation.worker);
+            if let Some(record) = self.workers.get(&reservation.worker) {
                 *zone_counts.entry(&record.listed.zone).or_default() += 1;
             }
         }
-        let reserved_sums = self.reserved_mb();
-        let fitting_workers = self.workers.iter().filter(|(worker, _)| {
-            self.is_worker_fit(worker) && !self.refused_at.contains_key(*worker)
+        let reserved_mb_sums = self.reserved_mb();
+        let candidate_workers = self.workers.iter().filter(|(worker, _)| {
+            self.is_worker_usable(worker) && !self.start_refused_at.contains_key(*worker)
         });
-        fitting_workers
+        candidate_workers
             .filter_map(|(worker, record)| {
-                let used_mb = reserved_sums.get(worker).copied().unwrap_or(0);
+                let used_mb = reserved_mb_sums.get(worker).copied().unwrap_or(0);
                 let free_mb = u64::from(record.listed.memory_mb).checked_sub(used_mb)?;
                 let zone = &record.listed.zone;
-                let rank = if self.timing.spread {
+                let rank = if self.timing.spread_over_zones {
                     let zone_count = zone_counts.get(zone).copied().unwrap_or(0);
                     (false, usize::from(used_mb == 0), zone_count)
                 } else {
-                    let use_rank = match (used_mb, own_workers.contains(worker)) {
+                    let use_rank = match (used_mb, function_workers.contains(worker)) {
                         (0, _) => 2,
                         (_, true) => 1,
                         (_, false) => 0,
@@ -154,22 +164,24 @@
     }
 
     /// Memory is short: what was left for a next holder of another function goes first.
-    fn stop_left(&mut self, asker: &FunctionKey) {
-        let left_runners: Vec<RunnerId> = self
+    fn stop_orphans(&mut self, requester: &FunctionKey) {
+        let orphaned_runners: Vec<RunnerId> = self
             .reservations
-            .left()
+            .orphaned()
             .iter()
             .copied()
             .filter(|runner| {
-                self.reservations.get(*runner).is_some_and(|held| held.function != *asker)
+                self.reservations
+                    .get(*runner)
+                    .is_some_and(|reservation| reservation.function != *requester)
             })
             .collect();
-        for left_runner in left_runners {
-            self.reservations.want_stop(left_runner);
+        for orphaned_runner in orphaned_runners {
+            self.reservations.want_stop(orphaned_runner);
         }
     }
 
-    fn is_granted(&self, known_member: &common::frames::KnownMember, now: Moment) -> bool {
-        self.members.get(known_member).is_some_and(|record| record.grant_end > now)
+    fn has_lease(&self, known_member: &common::frames::KnownMember, now: MonotonicTime) -> bool {
+        self.members.get(known_member).is_some_and(|record| record.lease_expires_at > now)
     }
 }
--- a/crates/controlplane/src/lib.rs
+++ b/crates/controlplane/src/lib.rs
@@ -2,9 +2,9 @@
 
 #![deny(missing_docs)]
 
-pub mod boot;
+pub mod consensus;
 pub mod controller_state;
-pub mod core;
-pub mod disk;
 pub mod drivers;
 pub mod leader_state;
+pub mod settings;
+pub mod storage;
--- a/crates/controlplane/tests/controller_forms.rs
+++ b/crates/controlplane/tests/controller_forms.rs
@@ -4,10 +4,10 @@
 #[path = "../../../testing/support/forms.rs"]
 mod forms;
 
-use common::readers::BootSource;
-use controlplane::boot::ControllerBoot;
+use common::readers::SettingsSource;
 use controlplane::drivers::Controller;
 use controlplane::drivers::queue::InputKind;
+use controlplane::settings::ControllerSettings;
 use serde_json::{Value, json};
 use std::collections::BTreeSet;
 use std::fmt::Write;
@@ -27,7 +27,7 @@
 /// A controller that runs within the test.
 struct Running {
     operators: SocketAddr,
-    place: SocketAddr,
+    address: SocketAddr,
     _stop: watch::Sender<bool>,
 }
 
@@ -39,18 +39,18 @@
 /// Starts a controller on ports that were free a moment ago; if another program has taken one since, on others.
 async fn started(seed: Option<SocketAddr>, data: Option<&Path>) -> Running {
     for _ in 0..20 {
-        let (place, operators) = (free_port(), free_port());
+        let (address, operators) = (free_port(), free_port());
         let settings = json!({
-            "place": place.to_string(), "operators": operators.to_string(), "locality": "north",
-            "seeds": [seed.unwrap_or(place).to_string()], "platform": "127.0.0.1:9",
+            "place": address.to_string(), "operators": operators.to_string(), "locality": "north",
+            "seeds": [seed.unwrap_or(address).to_string()], "platform": "127.0.0.1:9",
             "found_first": data.is_some(), "data": data.map(|folder| folder.display().to_string()),
         });
-        let boot =
-            ControllerBoot::read(&BootSource::from_value("FILE", settings)).expect("settings");
+        let boot = ControllerSettings::read(&SettingsSource::from_value("FILE", settings))
+            .expect("settings");
         if let Ok(controller) = Controller::open(&boot).await {
             let (stop_sender, stop) = watch::channel(false);
             tokio::spawn(controller.run(stop));
-            return Running { operators, place, _stop: stop_sender };
+            return Running { operators, address, _stop: stop_sender };
         }
     }
     panic!("no port is free");
@@ -243,7 +243,7 @@
 async fn a_leader_answers_every_question_with_its_keys() {
     let data = folder("leader");
     let running = leading(&data).await;
-    let other = started(Some(running.place), None).await;
+    let other = started(Some(running.address), None).await;
     let operators = running.operators;
     let mut seen = json!({});
     for (line, body) in [
--- a/crates/controlplane/tests/controller_state/numbers.rs
+++ b/crates/controlplane/tests/controller_state/change_numbering.rs
@@ -1,19 +1,19 @@
 //! Operators number their specs themselves; beside the plane stands a slow list that says what each
 //! change must be answered.
 
-use super::fleet::Fleet;
-use common::chance::Chance;
+use super::cluster::TestCluster;
 use common::identity::Zone;
+use common::rng::SeededRng;
 use common::spec::Document;
 use controlplane::controller_state::{
-    ChangeKind, ItemChange, Numbering, Operation, OperationReply, Wait, change_name,
+    ChangeKind, ItemChange, Numbering, Operation, OperationReply, Wait, derive_change_id,
 };
 use googletest::prelude::*;
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, BTreeSet};
 
 #[derive(Clone, PartialEq, Debug)]
-struct Sent {
+struct SentChange {
     number: u64,
     base_number: u64,
     content: u64,
@@ -28,11 +28,11 @@
     Unknown,
 }
 
-impl Sent {
-    fn drawn(chance: &mut Chance, current: u64) -> Self {
-        let base_number = if chance.happens(0.7) { current } else { chance.below(current + 2) };
-        let number = (base_number + chance.below(4)).saturating_sub(chance.below(2));
-        Self { number, base_number, content: chance.below(3) }
+impl SentChange {
+    fn random(rng: &mut SeededRng, current: u64) -> Self {
+        let base_number = if rng.random_bool(0.7) { current } else { rng.below(current + 2) };
+        let number = (base_number + rng.below(4)).saturating_sub(rng.below(2));
+        Self { number, base_number, content: rng.below(3) }
     }
 
     fn spec(&self) -> Value {
@@ -48,15 +48,18 @@
             base: None,
             numbering: Some(self.numbering()),
             change: None,
-            kind: ChangeKind::Whole(self.spec().into()),
+            kind: ChangeKind::FullSpec(self.spec().into()),
             wait: Wait::Accepted,
         }
     }
 
     fn is_in(&self, document: &Document) -> bool {
-        let name =
-            change_name(None, Some(self.numbering()), &ChangeKind::Whole(self.spec().into()));
-        document.changes.iter().any(|noted| noted.id == name)
+        let name = derive_change_id(
+            None,
+            Some(self.numbering()),
+            &ChangeKind::FullSpec(self.spec().into()),
+        );
+        document.changes.iter().any(|recorded| recorded.id == name)
     }
 }
 
@@ -72,14 +75,14 @@
 
 /// The slow list: all that was taken, in order.
 #[derive(Default)]
-struct Taken(Vec<Sent>);
+struct ExpectedHistory(Vec<SentChange>);
 
-impl Taken {
+impl ExpectedHistory {
     fn current(&self) -> u64 {
         self.0.last().map_or(0, |sent| sent.number)
     }
 
-    fn expect(&mut self, sent: &Sent) -> Verdict {
+    fn expect(&mut self, sent: &SentChange) -> Verdict {
         if self.0.contains(sent) {
             return Verdict::Accepted;
         }
@@ -94,39 +97,39 @@
     }
 }
 
-fn founded(seed: u64) -> Fleet {
-    let mut fleet = Fleet::new(seed, &[0, 1, 2]);
-    fleet.start_all();
-    fleet.await_leader();
-    fleet.pass(300);
-    fleet
+fn founded_cluster(seed: u64) -> TestCluster {
+    let mut cluster = TestCluster::new(seed, &[0, 1, 2]);
+    cluster.start_all();
+    cluster.await_leader();
+    cluster.advance(300);
+    cluster
 }
 
 #[gtest]
-fn every_number_is_answered_as_the_list_says() -> Result<()> {
+fn every_number_is_answered_as_the_model_says() -> Result<()> {
     let mut seen: BTreeMap<String, usize> = BTreeMap::new();
     for seed in 0..8 {
-        let mut fleet = founded(seed);
-        let mut taken = Taken::default();
-        let mut chance = Chance::seeded(seed);
-        let mut earlier: Vec<Sent> = Vec::new();
+        let mut cluster = founded_cluster(seed);
+        let mut expected_history = ExpectedHistory::default();
+        let mut rng = SeededRng::seeded(seed);
+        let mut earlier: Vec<SentChange> = Vec::new();
         for _ in 0..60 {
-            let repeated = chance.happens(0.3) && !earlier.is_empty();
+            let repeated = rng.random_bool(0.3) && !earlier.is_empty();
             let sent = if repeated {
-                earlier[chance.below(earlier.len() as u64) as usize].clone()
+                earlier[rng.below(earlier.len() as u64) as usize].clone()
             } else {
-                Sent::drawn(&mut chance, taken.current())
+                SentChange::random(&mut rng, expected_history.current())
             };
             earlier.push(sent.clone());
-            let leader = fleet.await_leader();
-            let reply = fleet.asked(leader, sent.operation()).expect("an answer");
-            let expected = taken.expect(&sent);
+            let leader = cluster.await_leader();
+            let reply = cluster.reply_to(leader, sent.operation()).expect("an answer");
+            let expected = expected_history.expect(&sent);
             verify_that!(verdict_of(&reply), eq(expected)).with_failure_message(|| {
-                format!("seed {seed}: {sent:?} after {:?}", taken.0.last())
+                format!("seed {seed}: {sent:?} after {:?}", expected_history.0.last())
             })?;
             *seen.entry(format!("{expected:?}")).or_default() += 1;
-            let document = fleet.accepted(leader).expect("a document");
-            verify_that!(document.number, eq(taken.current()))?;
+            let document = cluster.accepted(leader).expect("a document");
+            verify_that!(document.number, eq(expected_history.current()))?;
         }
     }
     verify_that!(seen.values().all(|count| *count >= 20) && seen.len() == 3, eq(true))
@@ -134,11 +137,11 @@
 }
 
 /// What must hold whatever was killed: each number was built on the one before, and above it.
-fn check_chain(fleet: &Fleet, sent: &[Sent]) -> Result<()> {
+fn check_chain(cluster: &TestCluster, sent: &[SentChange]) -> Result<()> {
     let mut chain: BTreeMap<u64, (u64, Value)> = BTreeMap::new();
-    for document in &fleet.committed {
+    for document in &cluster.committed {
         let known = chain
-            .entry(document.stamp.serial.0)
+            .entry(document.document_version.version.0)
             .or_insert((document.number, document.spec.to_value()));
         verify_that!(*known == (document.number, document.spec.to_value()), eq(true))?;
     }
@@ -157,43 +160,44 @@
 }
 
 #[gtest]
-fn a_change_sent_again_after_kills_is_never_refused_once_taken() -> Result<()> {
-    let (mut unknown_count, mut again_count, mut kill_count) = (0, 0, 0);
+fn a_change_retried_after_kills_is_never_refused_once_committed() -> Result<()> {
+    let (mut unknown_count, mut retry_count, mut kill_count) = (0, 0, 0);
     for seed in 0..40 {
-        let mut fleet = founded(seed);
-        let mut chance = Chance::seeded(1000 + seed);
-        let mut all_sent: Vec<Sent> = Vec::new();
-        let mut accepted: Vec<Sent> = Vec::new();
+        let mut cluster = founded_cluster(seed);
+        let mut rng = SeededRng::seeded(1000 + seed);
+        let mut all_sent: Vec<SentChange> = Vec::new();
+        let mut accepted: Vec<SentChange> = Vec::new();
         for _ in 0..12 {
-            let leader = fleet.await_leader();
-            let current = fleet.accepted(leader).expect("a document").number;
-            let rivals: Vec<Sent> =
-                (0..1 + chance.below(2)).map(|_| Sent::drawn(&mut chance, current)).collect();
+            let leader = cluster.await_leader();
+            let current = cluster.accepted(leader).expect("a document").number;
+            let rivals: Vec<SentChange> =
+                (0..1 + rng.below(2)).map(|_| SentChange::random(&mut rng, current)).collect();
             all_sent.extend(rivals.iter().cloned());
             let tickets: Vec<_> =
-                rivals.iter().map(|sent| fleet.ask(leader, sent.operation())).collect();
-            if chance.happens(0.7) {
-                let span = chance.below(25);
-                fleet.pass(span);
-                let victim = if chance.happens(0.8) { leader } else { chance.below(3) as usize };
-                fleet.kill(victim);
+                rivals.iter().map(|sent| cluster.submit(leader, sent.operation())).collect();
+            if rng.random_bool(0.7) {
+                let span = rng.below(25);
+                cluster.advance(span);
+                let victim = if rng.random_bool(0.8) { leader } else { rng.below(3) as usize };
+                cluster.kill(victim);
                 kill_count += 1;
-                fleet.pass(400);
-                fleet.start(victim);
+                cluster.advance(400);
+                cluster.start(victim);
             }
-            fleet.pass(1000);
+            cluster.advance(1000);
             for (sent, ticket) in rivals.iter().zip(tickets) {
-                let mut verdict = fleet
+                let mut verdict = cluster
                     .replies
                     .remove(&ticket)
                     .map_or(Verdict::Unknown, |reply| verdict_of(&reply));
                 let mut try_count = 0;
                 while matches!(verdict, Verdict::Unknown | Verdict::NotAccepted) && try_count < 8 {
                     unknown_count += usize::from(verdict == Verdict::Unknown);
-                    let at = fleet.await_leader();
-                    let was_taken = fleet.accepted(at).is_some_and(|held| sent.is_in(held));
-                    again_count += usize::from(was_taken);
-                    let reply = fleet.asked(at, sent.operation());
+                    let at = cluster.await_leader();
+                    let was_taken =
+                        cluster.accepted(at).is_some_and(|document| sent.is_in(document));
+                    retry_count += usize::from(was_taken);
+                    let reply = cluster.reply_to(at, sent.operation());
                     verdict = reply.map_or(Verdict::Unknown, |reply| verdict_of(&reply));
                     if was_taken {
                         verify_that!(verdict, eq(Verdict::Accepted))?;
@@ -204,16 +208,16 @@
                     Verdict::Accepted => accepted.push(sent.clone()),
                     Verdict::Stale | Verdict::Invalid => {
                         let is_committed =
-                            fleet.committed.iter().any(|document| sent.is_in(document));
+                            cluster.committed.iter().any(|document| sent.is_in(document));
                         verify_that!(is_committed, eq(false))?;
                     }
                     _ => {}
                 }
             }
         }
-        check_chain(&fleet, &all_sent)?;
-        let leader = fleet.await_leader();
-        let newest = fleet.accepted(leader).expect("a document").clone();
+        check_chain(&cluster, &all_sent)?;
+        let leader = cluster.await_leader();
+        let newest = cluster.accepted(leader).expect("a document").clone();
         for sent in &accepted {
             verify_that!(sent.is_in(&newest), eq(true))?;
         }
@@ -223,20 +227,20 @@
         let different_bases: BTreeSet<u64> = bases.into_iter().collect();
         verify_that!(different.len(), eq(different_bases.len()))?;
     }
-    verify_that!(unknown_count.min(again_count).min(kill_count), ge(10))
+    verify_that!(unknown_count.min(retry_count).min(kill_count), ge(10))
 }
 
 #[gtest]
 fn the_same_change_sent_twice_at_once_is_one_change() -> Result<()> {
-    let mut fleet = founded(4);
-    let leader = fleet.await_leader();
-    let sent = Sent { number: 5, base_number: 0, content: 1 };
-    let rival = Sent { number: 5, base_number: 0, content: 2 };
-    let tickets = [&sent, &sent, &rival].map(|change| fleet.ask(leader, change.operation()));
-    fleet.pass(1000);
-    let verdicts = tickets.map(|ticket| verdict_of(&fleet.replies[&ticket]));
+    let mut cluster = founded_cluster(4);
+    let leader = cluster.await_leader();
+    let sent = SentChange { number: 5, base_number: 0, content: 1 };
+    let rival = SentChange { number: 5, base_number: 0, content: 2 };
+    let tickets = [&sent, &sent, &rival].map(|change| cluster.submit(leader, change.operation()));
+    cluster.advance(1000);
+    let verdicts = tickets.map(|ticket| verdict_of(&cluster.replies[&ticket]));
     verify_that!(verdicts, eq([Verdict::Accepted, Verdict::Accepted, Verdict::Stale]))?;
-    verify_that!(fleet.accepted(leader).expect("one").number, eq(5))
+    verify_that!(cluster.accepted(leader).expect("one").number, eq(5))
 }
 
 fn function(memory_mb: u64) -> Value {
@@ -254,16 +258,16 @@
 }
 
 #[gtest]
-fn items_are_put_whole_and_removed_by_name() -> Result<()> {
-    let mut fleet = founded(2);
-    let leader = fleet.await_leader();
+fn items_are_replaced_in_full_and_removed_by_name() -> Result<()> {
+    let mut cluster = founded_cluster(2);
+    let leader = cluster.await_leader();
     let first = json!({
         "functions": {"a": function(100), "b": function(200)},
         "routes": {"ra": route("ra", "a"), "rb": route("rb", "b")},
         "labels": {"day": "one"},
     });
     let numbering = Numbering { number: 3, base_number: 0 };
-    let reply = fleet.asked(leader, change(numbering, ChangeKind::Whole(first.into())));
+    let reply = cluster.reply_to(leader, change(numbering, ChangeKind::FullSpec(first.into())));
     verify_that!(reply.map(|reply| verdict_of(&reply)), some(eq(Verdict::Accepted)))?;
     let items = ItemChange {
         put_functions: BTreeMap::from([("c".to_owned(), function(300))]),
@@ -276,7 +280,7 @@
     let numbering = Numbering { number: 8, base_number: 3 };
     let kind = ChangeKind::Items(Box::new(items));
     for _ in 0..2 {
-        let reply = fleet.asked(leader, change(numbering, kind.clone()));
+        let reply = cluster.reply_to(leader, change(numbering, kind.clone()));
         verify_that!(reply.map(|reply| verdict_of(&reply)), some(eq(Verdict::Accepted)))?;
     }
     let expected = json!({
@@ -285,21 +289,21 @@
         "limits": {"body_bytes": 4096},
         "labels": {"day": "one"},
     });
-    verify_that!(fleet.accepted(leader).expect("one").spec.to_value(), eq(&expected))?;
+    verify_that!(cluster.accepted(leader).expect("one").spec.to_value(), eq(&expected))?;
     let dangling =
         ItemChange { remove_functions: BTreeSet::from(["c".to_owned()]), ..ItemChange::default() };
     let numbering = Numbering { number: 9, base_number: 8 };
     let kind = ChangeKind::Items(Box::new(dangling));
-    let reply = fleet.asked(leader, change(numbering, kind));
+    let reply = cluster.reply_to(leader, change(numbering, kind));
     verify_that!(reply.map(|reply| verdict_of(&reply)), some(eq(Verdict::Invalid)))?;
-    verify_that!(fleet.accepted(leader).expect("one").number, eq(8))
+    verify_that!(cluster.accepted(leader).expect("one").number, eq(8))
 }
 
 #[gtest]
-fn a_turn_without_a_name_is_accepted_again_and_changes_nothing() -> Result<()> {
-    let mut fleet = founded(6);
-    let leader = fleet.await_leader();
-    let turn = |kind| Operation::Change {
+fn a_zone_change_without_an_id_is_accepted_again_and_changes_nothing() -> Result<()> {
+    let mut cluster = founded_cluster(6);
+    let leader = cluster.await_leader();
+    let zone_change = |kind| Operation::Change {
         base: None,
         numbering: None,
         change: None,
@@ -307,19 +311,19 @@
         wait: Wait::Accepted,
     };
     let evacuate = |force| ChangeKind::Evacuate { zone: "l9".into(), force };
-    let unknown = fleet.asked(leader, turn(evacuate(false)));
+    let unknown = cluster.reply_to(leader, zone_change(evacuate(false)));
     verify_that!(matches!(unknown, Some(OperationReply::NoZone { .. })), eq(true))?;
     let restore = ChangeKind::Restore { zone: "l9".into() };
     for (kind, is_evacuated) in [(evacuate(true), true), (restore, false)] {
-        let mut serials = BTreeSet::new();
+        let mut versions = BTreeSet::new();
         for _ in 0..3 {
-            let reply = fleet.asked(leader, turn(kind.clone()));
+            let reply = cluster.reply_to(leader, zone_change(kind.clone()));
             verify_that!(reply.map(|reply| verdict_of(&reply)), some(eq(Verdict::Accepted)))?;
-            let document = fleet.accepted(leader).expect("a document");
+            let document = cluster.accepted(leader).expect("a document");
             verify_that!(document.evacuated.contains(&Zone::from("l9")), eq(is_evacuated))?;
-            serials.insert(document.stamp.serial);
+            versions.insert(document.document_version.version);
         }
-        verify_that!(serials.len(), eq(1))?;
+        verify_that!(versions.len(), eq(1))?;
     }
     Ok(())
 }
--- a/crates/controlplane/tests/controller_state/fleet.rs
+++ b/crates/controlplane/tests/controller_state/cluster.rs
@@ -1,15 +1,17 @@
 //! Some controllers whole, on virtual time, with disks, a network and faults.
 
-use common::chance::Chance;
-use common::clock::Moment;
+use common::clock::MonotonicTime;
 use common::events;
-use common::frames::{CoreFrame, Place, StreamDown};
+use common::frames::{ConsensusFrame, LeaderToDaemon, SocketAddress};
 use common::identity::{ControllerId, Ticket, Zone};
+use common::rng::SeededRng;
 use common::spec::Document;
+use controlplane::consensus::{
+    ConsensusNode, ConsensusTiming, ControllerAddress, PersistedState, WriteJob, WriteResult,
+};
 use controlplane::controller_state::{
     ControllerInput, ControllerOutput, ControllerState, Operation, OperationReply, OperationTicket,
 };
-use controlplane::core::{Address, Core, CoreTiming, Recalled, WriteJob, WriteResult};
 use controlplane::leader_state::{LeaderTiming, StreamId};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -18,9 +20,9 @@
 #[derive(Clone)]
 pub struct Disk {
     /// What the core left there.
-    pub recalled: Recalled,
+    pub persisted: PersistedState,
     /// Whether it began with the whole system's first start.
-    pub first: bool,
+    pub is_initial: bool,
 }
 
 /// One controller.
@@ -33,22 +35,22 @@
     pub controller_state: Option<ControllerState>,
     /// The places of the seeds, by number.
     pub seeds: Vec<usize>,
-    life: u64,
+    incarnation: u64,
 }
 
 enum Event {
-    Frame(usize, CoreFrame),
+    Frame(usize, ConsensusFrame),
     Written(usize, u64, Ticket, WriteJob),
 }
 
 /// The controllers and all between them.
-pub struct Fleet {
+pub struct TestCluster {
     /// Virtual time.
-    pub now: Moment,
+    pub now: MonotonicTime,
     /// The controllers.
     pub nodes: Vec<Node>,
     /// Who does not reach whom.
-    pub cuts: BTreeSet<(usize, usize)>,
+    pub cut_links: BTreeSet<(usize, usize)>,
     /// Each version that a disk took, by node.
     pub written: Vec<(usize, Document)>,
     /// Each version that a leader found committed.
@@ -56,28 +58,28 @@
     /// What operators were told.
     pub replies: BTreeMap<OperationTicket, OperationReply>,
     /// What daemons were told.
-    pub said_down: Vec<(usize, StreamDown)>,
+    pub sent_to_daemons: Vec<(usize, LeaderToDaemon)>,
     /// What faults and delays are drawn from.
-    pub chance: Chance,
-    events: BTreeMap<(Moment, u64), Event>,
+    pub rng: SeededRng,
+    events: BTreeMap<(MonotonicTime, u64), Event>,
     last_number: u64,
 }
 
 /// Where a controller stands.
-pub fn place(number: usize) -> Place {
-    Place(format!("10.0.0.{}:1", number + 1).parse().expect("an address"))
+pub fn address(number: usize) -> SocketAddress {
+    SocketAddress(format!("10.0.0.{}:1", number + 1).parse().expect("an address"))
 }
 
 /// Where operators reach it.
-pub fn operators(number: usize) -> Place {
-    Place(format!("10.0.0.{}:2", number + 1).parse().expect("an address"))
+pub fn operators(number: usize) -> SocketAddress {
+    SocketAddress(format!("10.0.0.{}:2", number + 1).parse().expect("an address"))
 }
 
-fn timing() -> CoreTiming {
-    CoreTiming::builder().replace_after(Duration::from_secs(3)).build()
+fn timing() -> ConsensusTiming {
+    ConsensusTiming::builder().unreachable_voter_timeout(Duration::from_secs(3)).build()
 }
 
-impl Fleet {
+impl TestCluster {
     /// Controllers in these zones, none of them started; the first three are the seeds.
     pub fn new(seed: u64, zones: &[usize]) -> Self {
         let nodes = zones
@@ -87,59 +89,63 @@
                 zone: *zone,
                 controller_state: None,
                 seeds: vec![0, 1, 2],
-                life: 0,
+                incarnation: 0,
             })
             .collect();
-        let mut fleet = Self {
-            now: Moment(1_000_000_000),
+        let mut cluster = Self {
+            now: MonotonicTime(1_000_000_000),
             nodes,
-            cuts: BTreeSet::new(),
+            cut_links: BTreeSet::new(),
             written: Vec::new(),
             committed: Vec::new(),
             replies: BTreeMap::new(),
-            said_down: Vec::new(),
-            chance: Chance::seeded(seed),
+            sent_to_daemons: Vec::new(),
+            rng: SeededRng::seeded(seed),
             events: BTreeMap::new(),
             last_number: 0,
         };
         for number in 0..zones.len() {
-            fleet.wipe(number, true);
+            cluster.wipe(number, true);
         }
-        fleet
+        cluster
     }
 
     /// Gives a stopped controller an empty disk.
-    pub fn wipe(&mut self, number: usize, first: bool) {
-        let id = ControllerId(self.chance.number() | 1);
-        self.nodes[number].disk = Some(Disk { recalled: Recalled::nothing(id), first });
+    pub fn wipe(&mut self, number: usize, is_initial: bool) {
+        let id = ControllerId(self.rng.number() | 1);
+        self.nodes[number].disk = Some(Disk { persisted: PersistedState::empty(id), is_initial });
     }
 
     /// Starts a controller with what its disk holds.
     pub fn start(&mut self, number: usize) {
-        let seed = self.chance.number();
+        let seed = self.rng.number();
         let node = &mut self.nodes[number];
-        node.life += 1;
-        let address = Address { place: place(number), operators: operators(number) };
-        let recalled = match &node.disk {
-            Some(disk) => disk.recalled.clone(),
-            None => Recalled::nothing(ControllerId(seed | 1)),
+        node.incarnation += 1;
+        let controller_address =
+            ControllerAddress { address: address(number), operators: operators(number) };
+        let persisted = match &node.disk {
+            Some(disk) => disk.persisted.clone(),
+            None => PersistedState::empty(ControllerId(seed | 1)),
         };
-        let may_found =
-            node.disk.as_ref().is_some_and(|disk| disk.first && disk.recalled.is_nothing());
-        let core = Core::new(
+        let may_bootstrap =
+            node.disk.as_ref().is_some_and(|disk| disk.is_initial && disk.persisted.is_empty());
+        let consensus = ConsensusNode::new(
             self.now,
             timing(),
-            recalled,
-            address,
+            persisted,
+            controller_address,
             Zone::from(format!("l{}", node.zone)),
-            node.seeds.iter().map(|seed| place(*seed)).collect(),
-            Chance::seeded(seed),
+            node.seeds.iter().map(|seed| address(*seed)).collect(),
+            SeededRng::seeded(seed),
         )
-        .founding_first(may_found);
-        let core = if node.disk.is_some() { core } else { core.passing_on() };
+        .with_bootstrap(may_bootstrap);
+        let consensus = if node.disk.is_some() { consensus } else { consensus.without_disk() };
         let leader_state_timing = LeaderTiming::builder().build();
-        node.controller_state =
-            Some(ControllerState::new(core, leader_state_timing, timing().election_shortest));
+        node.controller_state = Some(ControllerState::new(
+            consensus,
+            leader_state_timing,
+            timing().election_timeout_min,
+        ));
     }
 
     /// Starts all.
@@ -152,7 +158,7 @@
     /// Kills a controller; a write under way reaches its disk or does not. Others find its place closed.
     pub fn kill(&mut self, number: usize) {
         self.nodes[number].controller_state = None;
-        let pending: Vec<(Moment, u64)> = self
+        let pending: Vec<(MonotonicTime, u64)> = self
             .events
             .iter()
             .filter(|(_, event)| matches!(event, Event::Written(owner, ..) if *owner == number))
@@ -160,36 +166,39 @@
             .collect();
         for key in pending {
             if let Some(Event::Written(_, _, _, job)) = self.events.remove(&key)
-                && self.chance.happens(0.5)
+                && self.rng.random_bool(0.5)
             {
-                self.keep(number, &job);
+                self.persist(number, &job);
             }
         }
         for other in 0..self.nodes.len() {
-            if other != number && !self.cuts.contains(&(other, number)) {
-                self.feed(other, ControllerInput::Gone(place(number)));
+            if other != number && !self.cut_links.contains(&(other, number)) {
+                self.feed(other, ControllerInput::ProcessGone(address(number)));
             }
         }
     }
 
     /// Cuts some off from others, both ways.
-    pub fn separate(&mut self, left: &[usize], right: &[usize]) {
+    pub fn isolate(&mut self, left: &[usize], right: &[usize]) {
         for left_number in left {
             for right_number in right {
-                self.cuts.insert((*left_number, *right_number));
-                self.cuts.insert((*right_number, *left_number));
+                self.cut_links.insert((*left_number, *right_number));
+                self.cut_links.insert((*right_number, *left_number));
             }
         }
     }
 
-    fn keep(&mut self, number: usize, job: &WriteJob) {
+    fn persist(&mut self, number: usize, job: &WriteJob) {
         let Some(disk) = &mut self.nodes[number].disk else { return };
         match job {
-            WriteJob::Vote { term, candidate } => disk.recalled.voted = Some((*term, *candidate)),
+            WriteJob::Vote { term, candidate } => {
+                disk.persisted.voted_for = Some((*term, *candidate))
+            }
             WriteJob::Version(document) => {
-                let newest = disk.recalled.accepted.as_ref().map(|held| held.stamp);
-                if newest.is_none_or(|newest| newest < document.stamp) {
-                    disk.recalled.accepted = Some(document.clone());
+                let newest =
+                    disk.persisted.accepted.as_ref().map(|document| document.document_version);
+                if newest.is_none_or(|newest| newest < document.document_version) {
+                    disk.persisted.accepted = Some(document.clone());
                 }
                 self.written.push((number, document.clone()));
             }
@@ -198,9 +207,8 @@
     }
 
     fn push(&mut self, shortest_ms: u64, longest_ms: u64, event: Event) {
-        let span = self
-            .chance
-            .within(Duration::from_millis(shortest_ms), Duration::from_millis(longest_ms));
+        let span =
+            self.rng.within(Duration::from_millis(shortest_ms), Duration::from_millis(longest_ms));
         self.last_number += 1;
         self.events.insert((self.now + span, self.last_number), event);
     }
@@ -209,40 +217,42 @@
     pub fn feed(&mut self, number: usize, input: ControllerInput) {
         let now = self.now;
         let Some(controller_state) = &mut self.nodes[number].controller_state else { return };
-        for order in controller_state.take(now, input) {
-            self.obey(number, order);
+        for output in controller_state.take(now, input) {
+            self.execute(number, output);
         }
     }
 
-    fn obey(&mut self, number: usize, order: ControllerOutput) {
-        match order {
+    fn execute(&mut self, number: usize, output: ControllerOutput) {
+        match output {
             ControllerOutput::Send(to, frame) => {
-                let target = (0..self.nodes.len()).find(|target| place(*target) == to);
+                let target = (0..self.nodes.len()).find(|target| address(*target) == to);
                 if let Some(target) =
-                    target.filter(|target| !self.cuts.contains(&(number, *target)))
+                    target.filter(|target| !self.cut_links.contains(&(number, *target)))
                 {
                     self.push(1, 4, Event::Frame(target, frame));
                 }
             }
             ControllerOutput::Write(ticket, job) => {
-                let life = self.nodes[number].life;
-                self.push(1, 15, Event::Written(number, life, ticket, job));
+                let incarnation = self.nodes[number].incarnation;
+                self.push(1, 15, Event::Written(number, incarnation, ticket, job));
             }
-            ControllerOutput::Operated(ticket, reply) => {
+            ControllerOutput::OperatorReply(ticket, reply) => {
                 self.replies.insert(ticket, reply);
             }
-            ControllerOutput::Down(_, frame) => self.said_down.push((number, frame)),
-            ControllerOutput::Told(numbered) if numbered.told.event == events::COMMITTED => {
+            ControllerOutput::FrameToDaemon(_, frame) => self.sent_to_daemons.push((number, frame)),
+            ControllerOutput::EventRecord(numbered)
+                if numbered.event_record.event == events::VERSION_COMMITTED =>
+            {
                 let controller_state =
                     self.nodes[number].controller_state.as_ref().expect("it runs");
-                self.committed.extend(controller_state.core().accepted().cloned());
+                self.committed.extend(controller_state.consensus().accepted().cloned());
             }
             _ => {}
         }
     }
 
     /// Lets time pass.
-    pub fn pass(&mut self, millis: u64) {
+    pub fn advance(&mut self, millis: u64) {
         let until = self.now + Duration::from_millis(millis);
         while self.now < until {
             self.now = self.now + Duration::from_millis(1);
@@ -252,16 +262,17 @@
                 }
                 match entry.remove() {
                     Event::Frame(number, frame) => {
-                        let from = (0..self.nodes.len()).find(|from| place(*from) == frame.place);
-                        if from.is_some_and(|from| !self.cuts.contains(&(from, number))) {
-                            self.feed(number, ControllerInput::Core(frame));
+                        let from =
+                            (0..self.nodes.len()).find(|from| address(*from) == frame.address);
+                        if from.is_some_and(|from| !self.cut_links.contains(&(from, number))) {
+                            self.feed(number, ControllerInput::Consensus(frame));
                         }
                     }
-                    Event::Written(number, life, ticket, job) => {
-                        if self.nodes[number].life == life
+                    Event::Written(number, incarnation, ticket, job) => {
+                        if self.nodes[number].incarnation == incarnation
                             && self.nodes[number].controller_state.is_some()
                         {
-                            self.keep(number, &job);
+                            self.persist(number, &job);
                             self.feed(
                                 number,
                                 ControllerInput::Written(ticket, WriteResult::Synced),
@@ -271,10 +282,10 @@
                 }
             }
             for number in 0..self.nodes.len() {
-                let is_due = self.nodes[number]
-                    .controller_state
-                    .as_ref()
-                    .is_some_and(|controller_state| controller_state.core().next_due() <= self.now);
+                let is_due =
+                    self.nodes[number].controller_state.as_ref().is_some_and(|controller_state| {
+                        controller_state.consensus().next_due() <= self.now
+                    });
                 if is_due || self.now.0.is_multiple_of(50_000_000) {
                     self.feed(number, ControllerInput::Tick);
                 }
@@ -288,7 +299,7 @@
             self.nodes[*number]
                 .controller_state
                 .as_ref()
-                .is_some_and(|controller_state| controller_state.core().is_ready())
+                .is_some_and(|controller_state| controller_state.consensus().is_ready())
         })
     }
 
@@ -298,13 +309,13 @@
             if let Some(leader) = self.leader() {
                 return leader;
             }
-            self.pass(25);
+            self.advance(25);
         }
         panic!("nobody leads");
     }
 
     /// An operator's wish at one controller.
-    pub fn ask(&mut self, number: usize, operation: Operation) -> OperationTicket {
+    pub fn submit(&mut self, number: usize, operation: Operation) -> OperationTicket {
         self.last_number += 1;
         let ticket = OperationTicket(self.last_number);
         self.feed(number, ControllerInput::Operate(ticket, operation));
@@ -312,34 +323,36 @@
     }
 
     /// An operator's wish, and the answer to it within four seconds; none if its controller died.
-    pub fn asked(&mut self, number: usize, operation: Operation) -> Option<OperationReply> {
-        let ticket = self.ask(number, operation);
+    pub fn reply_to(&mut self, number: usize, operation: Operation) -> Option<OperationReply> {
+        let ticket = self.submit(number, operation);
         for _ in 0..200 {
             if self.replies.contains_key(&ticket) {
                 break;
             }
-            self.pass(20);
+            self.advance(20);
         }
         self.replies.remove(&ticket)
     }
 
     /// A daemon speaks on a new stream.
-    pub fn stream(&mut self, number: usize, stream: u64, frame: common::frames::StreamUp) {
+    pub fn stream(&mut self, number: usize, stream: u64, frame: common::frames::DaemonToLeader) {
         self.feed(number, ControllerInput::Stream(StreamId(stream), frame));
     }
 
     /// The newest version at one controller.
     pub fn accepted(&self, number: usize) -> Option<&Document> {
-        self.nodes[number].controller_state.as_ref()?.core().accepted()
+        self.nodes[number].controller_state.as_ref()?.consensus().accepted()
     }
 
     /// Where the members of the core stand by one controller's newest version.
-    pub fn core_at(&self, number: usize) -> Vec<usize> {
+    pub fn voters_at(&self, number: usize) -> Vec<usize> {
         let document = self.accepted(number).expect("a document");
         let mut members: Vec<usize> = document
-            .core
+            .voters
             .iter()
-            .filter_map(|member| (0..self.nodes.len()).find(|known| place(*known) == member.place))
+            .filter_map(|member| {
+                (0..self.nodes.len()).find(|known| address(*known) == member.address)
+            })
             .collect();
         members.sort_unstable();
         members
--- a/crates/controlplane/tests/controller_state/main.rs
+++ b/crates/controlplane/tests/controller_state/main.rs
@@ -1,8 +1,8 @@
 //! Whole controllers without I/O: founding, passing on, replacement, operators' numbers and items, and
 //! the product's own words for them.
 
-mod fleet;
+mod change_numbering;
+mod cluster;
 mod founding;
-mod numbers;
-mod orders;
-mod tongue;
+mod operator_api;
+mod operator_changes;
--- a/crates/controlplane/tests/controller_state/tongue.rs
+++ b/crates/controlplane/tests/controller_state/operator_api.rs
@@ -1,12 +1,12 @@
 //! The product's own operators' interface, there and back.
 
-use common::http::Served;
-use common::identity::{ChangeId, Serial};
+use common::http::HttpResponse;
+use common::identity::{ChangeId, Version};
 use common::spec::Document;
 use controlplane::controller_state::{
     ChangeKind, Numbering, Operation, OperationReply, Unavailable, Wait,
 };
-use controlplane::drivers::{OperatorsTongue, OwnOperators};
+use controlplane::drivers::{NativeOperatorApi, OperatorApiAdapter};
 use googletest::prelude::*;
 use http_body_util::BodyExt;
 use hyper::http::request::Parts;
@@ -17,22 +17,26 @@
     Request::builder().method(method).uri(target).body(()).expect("a request").into_parts().0
 }
 
-fn read(method: Method, target: &str, body: &Value) -> std::result::Result<Operation, Box<Served>> {
-    OwnOperators.read(&head(method, target), body.to_string().as_bytes())
+fn read(
+    method: Method,
+    target: &str,
+    body: &Value,
+) -> std::result::Result<Operation, Box<HttpResponse>> {
+    NativeOperatorApi.read(&head(method, target), body.to_string().as_bytes())
 }
 
-async fn told(served: Served) -> (u16, Value) {
+async fn response_parts(served: HttpResponse) -> (u16, Value) {
     let status = served.status().as_u16();
     let body = served.into_body().collect().await.expect("a body").to_bytes();
     (status, serde_json::from_slice(&body).expect("JSON"))
 }
 
-fn said(reply: OperationReply) -> Served {
-    OwnOperators.say(&Operation::ReadSpec, reply)
+fn respond(reply: OperationReply) -> HttpResponse {
+    NativeOperatorApi.write_response(&Operation::ReadSpec, reply)
 }
 
 #[tokio::test]
-async fn numbers_stand_in_for_a_serial_and_items_for_a_patch() {
+async fn numbers_replace_a_version_and_items_a_patch() {
     let body = json!({
         "number": 7, "base_number": 5, "change_id": "c",
         "put": {"routes": {"r": {"kind": "once"}}, "limits": {"idle_ms": 5}},
@@ -55,7 +59,7 @@
 }
 
 #[tokio::test]
-async fn what_lacks_its_base_or_mixes_both_ways_is_refused_with_its_path() {
+async fn a_change_without_base_or_of_mixed_form_is_refused_with_its_path() {
     let cases = [
         (json!({"change_id": "c", "patch": {}}), "base_serial"),
         (json!({"change_id": "c", "patch": {}, "number": 3}), "base_number"),
@@ -65,25 +69,25 @@
     ];
     for (body, path) in cases {
         let Err(served) = read(Method::PATCH, "/v1/spec", &body) else { panic!("{body}") };
-        let (status, answer) = told(*served).await;
+        let (status, answer) = response_parts(*served).await;
         assert_that!(status, eq(422));
         assert_that!(answer["state"], eq(&json!("not_accepted")));
         let paths: Vec<&str> = answer["faults"]
             .as_array()
             .expect("faults")
             .iter()
-            .filter_map(|fault| fault["path"].as_str())
+            .filter_map(|error| error["path"].as_str())
             .collect();
         assert_that!(paths, contains(eq(&path)));
     }
 }
 
 #[tokio::test]
-async fn each_answer_has_its_status_and_words() {
+async fn each_answer_has_its_status_and_body() {
     let change = ChangeId::from("c");
     let accepted = |number, in_force| OperationReply::Accepted {
         change: change.clone(),
-        serial: Serial(4),
+        version: Version(4),
         number,
         in_force,
     };
@@ -96,7 +100,7 @@
             json!({"state": "in_force", "serial": 4, "number": 9, "change_id": "c"}),
         ),
         (
-            OperationReply::Stale { change: change.clone(), serial: Serial(6), number: 0 },
+            OperationReply::Stale { change: change.clone(), version: Version(6), number: 0 },
             409,
             json!({"error": "stale_base", "state": "not_accepted", "serial": 6, "change_id": "c"}),
         ),
@@ -115,13 +119,18 @@
             503,
             json!({"error": "leader_lost", "state": "unknown"}),
         ),
-        (OperationReply::NotNow(Unavailable::NoLeader), 503, json!({"error": "no_leader"})),
+        (
+            OperationReply::TemporarilyUnavailable(Unavailable::NoLeader),
+            503,
+            json!({"error": "no_leader"}),
+        ),
     ];
     for (reply, status, body) in cases {
-        assert_that!(told(said(reply)).await, eq(&(status, body)));
+        assert_that!(response_parts(respond(reply)).await, eq(&(status, body)));
     }
     let document = Box::new(Document::founding(Vec::new()).numbered(12));
-    let (status, body) = told(said(OperationReply::Spec { document, in_force: Serial(1) })).await;
+    let (status, body) =
+        response_parts(respond(OperationReply::Spec { document, in_force: Version(1) })).await;
     let expected = json!({
         "serial": 1, "number": 12, "in_force": 1, "evacuated": [],
         "spec": {"functions": {}, "routes": {}},
