--- a/crates/controlplane/tests/leader_state.rs
+++ b/crates/controlplane/tests/leader_state.rs
@@ -3,30 +3,32 @@
 #[path = "../../../testing/support/forms.rs"]
 mod forms;
 
-use common::clock::Moment;
+use common::adapter::{ListedRunner, ListedWorker};
+use common::clock::MonotonicTime;
 use common::frames::{
-    AcquireResult, Claim, ClaimRunner, Flag, Host, KnownMember, Life, Many, MemberLife, Place,
-    ReserveResult, RunnerNews, StreamDown, StreamUp,
+    AcquireResult, Claim, ClaimedRunner, DaemonToLeader, Flag, Host, Instance, KnownMember,
+    LeaderToDaemon, LengthPrefixed, MemberIncarnation, ReserveResult, RunnerStatus, SocketAddress,
 };
 use common::identity::{
-    ChangeId, ControllerId, CorrelationId, FunctionKey, GrantSerial, RunnerId, Serial, Stamp, Term,
+    ChangeId, ControllerId, CorrelationId, DocumentVersion, FencingToken, FunctionKey, RunnerId,
+    Term, Version,
 };
-use common::spec::{CoreMember, Document, RosterMember, read_spec};
-use common::tongue::{ListedRunner, ListedWorker};
-use controlplane::leader_state::{LeaderOutput, LeaderState, LeaderTiming, Proof, StreamId};
+use common::spec::{Document, ListedMember, Voter, read_spec};
+use controlplane::leader_state::{LeaderOutput, LeaderState, LeaderTiming, QuorumProof, StreamId};
 use googletest::prelude::*;
 use serde_json::json;
 use std::collections::{BTreeSet, VecDeque};
 use std::time::Duration;
 
-const ELECTED: Moment = Moment(100_000_000_000);
+const ELECTED: MonotonicTime = MonotonicTime(100_000_000_000);
 
 fn ms(millis: u64) -> Duration {
     Duration::from_millis(millis)
 }
 
 fn document() -> Document {
-    let member = CoreMember { id: ControllerId(1), place: Place::NOWHERE, zone: "l".into() };
+    let member =
+        Voter { id: ControllerId(1), address: SocketAddress::UNSPECIFIED, zone: "l".into() };
     let spec = json!({
         "functions": {
             "f": {"memory_mb": 100, "boot_ms": 10, "slots": 2},
@@ -37,30 +39,37 @@
     let checked_spec = read_spec(&spec).expect("a good spec");
     let mut made =
         Document::founding(vec![member]).with_spec(spec, &checked_spec, ChangeId::from("c"));
-    made.stamp = Stamp { term: Term(5), serial: made.stamp.serial };
+    made.document_version =
+        DocumentVersion { term: Term(5), version: made.document_version.version };
     made
 }
 
 fn known(name: &str) -> KnownMember {
-    KnownMember { member: name.into(), incarnation: 1.into(), place: Place::NOWHERE }
+    KnownMember { member: name.into(), incarnation: 1.into(), address: SocketAddress::UNSPECIFIED }
 }
 
 fn function() -> FunctionKey {
-    FunctionKey::new("f", Serial(2))
+    FunctionKey::new("f", Version(2))
 }
 
-fn hello(host: Host, age_ms: u32, granted: bool) -> StreamUp {
+fn hello(host: Host, age_ms: u32, granted: bool) -> DaemonToLeader {
     let granted = Flag(granted);
-    StreamUp::Hello { host, door: Place::NOWHERE, serial: Serial(2), age_ms, granted }
+    DaemonToLeader::Hello {
+        host,
+        ingress: SocketAddress::UNSPECIFIED,
+        version: Version(2),
+        age_ms,
+        granted,
+    }
 }
 
-struct Bench {
+struct Harness {
     leader_state: LeaderState,
-    now: Moment,
+    now: MonotonicTime,
     outputs: Vec<LeaderOutput>,
 }
 
-impl Bench {
+impl Harness {
     fn new(last_known: &[&str]) -> Self {
         let members: BTreeSet<KnownMember> = last_known.iter().map(|name| known(name)).collect();
         let mut leader_state =
@@ -69,10 +78,14 @@
         Self { leader_state, now: ELECTED, outputs: Vec::new() }
     }
 
-    fn pass(&mut self, span: Duration) {
+    fn advance(&mut self, span: Duration) {
         self.now = self.now + span;
-        let proof =
-            Proof { ready: true, quorum_moment: self.now, confirmed: &|_| true, in_flight: None };
+        let proof = QuorumProof {
+            ready: true,
+            quorum_confirmed_at: self.now,
+            confirmed: &|_| true,
+            proposed_membership: None,
+        };
         self.outputs = self.leader_state.progress(self.now, &proof);
     }
 
@@ -85,45 +98,45 @@
             member: name.into(),
             incarnation: 1.into(),
             zone: format!("l{stream}").as_str().into(),
-            place: Place::NOWHERE,
+            address: SocketAddress::UNSPECIFIED,
             eligible: Flag(true),
             link_mbps,
         };
         let hello = hello(host, 700, true);
-        self.say(stream, hello);
-        self.say(stream, StreamUp::Claims { claims: Many(claims) });
+        self.send(stream, hello);
+        self.send(stream, DaemonToLeader::Claims { claims: LengthPrefixed(claims) });
         self.renew(stream);
     }
 
     fn renew(&mut self, stream: u64) {
-        let frame = StreamUp::Renew { correlation: CorrelationId(1), serial: Serial(2) };
-        self.say(stream, frame);
+        let frame = DaemonToLeader::Renew { correlation: CorrelationId(1), version: Version(2) };
+        self.send(stream, frame);
     }
 
     fn listed(&mut self, listed_runners: &[ListedRunner]) {
         self.leader_state.runners_listed(self.now, listed_runners);
     }
 
-    fn say(&mut self, stream: u64, frame: StreamUp) {
-        self.leader_state.heard(self.now, StreamId(stream), frame);
+    fn send(&mut self, stream: u64, frame: DaemonToLeader) {
+        self.leader_state.receive(self.now, StreamId(stream), frame);
     }
 
     fn acquire(&mut self, stream: u64) {
-        let frame = StreamUp::Acquire { correlation: CorrelationId(9), function: function() };
-        self.say(stream, frame);
+        let frame = DaemonToLeader::Acquire { correlation: CorrelationId(9), function: function() };
+        self.send(stream, frame);
     }
 
     fn acquired(&self) -> Option<AcquireResult> {
         self.outputs.iter().find_map(|output| match output {
-            LeaderOutput::Down { frame: StreamDown::Acquired { result, .. }, .. } => {
-                Some(result.clone())
-            }
+            LeaderOutput::FrameToDaemon {
+                frame: LeaderToDaemon::Acquired { result, .. }, ..
+            } => Some(result.clone()),
             _ => None,
         })
     }
 
-    fn asks_lists(&self) -> bool {
-        self.outputs.iter().any(|output| matches!(output, LeaderOutput::AskLists))
+    fn requests_lists(&self) -> bool {
+        self.outputs.iter().any(|output| matches!(output, LeaderOutput::RequestLists))
     }
 
     fn stops(&self) -> Vec<RunnerId> {
@@ -138,59 +151,59 @@
 }
 
 fn old_runner() -> RunnerId {
-    RunnerId { grant: GrantSerial(7), ordinal: 3 }
+    RunnerId { fencing_token: FencingToken(7), ordinal: 3 }
 }
 
-fn life() -> Life {
-    Life { name: "l1".into(), place: Place::NOWHERE }
+fn instance() -> Instance {
+    Instance { name: "l1".into(), address: SocketAddress::UNSPECIFIED }
 }
 
-fn fit_claim(ending: bool) -> Claim {
-    let mut made = claim(ending);
-    made.runners.0[0].life = Many(vec![life()]);
-    made.runners.0[0].fit = Flag(true);
+fn adoptable_claim(is_releasing: bool) -> Claim {
+    let mut made = claim(is_releasing);
+    made.runners.0[0].instance = LengthPrefixed(vec![instance()]);
+    made.runners.0[0].is_adoptable = Flag(true);
     made
 }
 
-fn claim(ending: bool) -> Claim {
-    let runner = ClaimRunner {
+fn claim(is_releasing: bool) -> Claim {
+    let runner = ClaimedRunner {
         runner: old_runner(),
         worker: "w".into(),
         memory_mb: 100,
-        life: Many(Vec::new()),
-        fit: Flag(false),
+        instance: LengthPrefixed(Vec::new()),
+        is_adoptable: Flag(false),
     };
     Claim {
         function: function(),
-        grant: GrantSerial(7),
-        runners: Many(vec![runner]),
-        ending: Flag(ending),
-        steward: Many(Vec::new()),
-        whole: Flag(false),
+        fencing_token: FencingToken(7),
+        runners: LengthPrefixed(vec![runner]),
+        is_releasing: Flag(is_releasing),
+        replica: LengthPrefixed(Vec::new()),
+        complete: Flag(false),
     }
 }
 
 #[gtest]
 fn nothing_is_granted_before_every_last_known_daemon_claims_or_the_full_wait_is_over() -> Result<()>
 {
-    let mut bench = Bench::new(&["a", "b", "c"]);
-    bench.join(1, "a", vec![]);
-    bench.join(2, "b", vec![]);
-    bench.acquire(1);
-    bench.pass(ms(100));
-    verify_that!(bench.leader_state.is_open(), eq(false))?;
-    verify_that!(bench.acquired(), none())?;
-    bench.join(3, "c", vec![]);
-    bench.pass(ms(100));
-    verify_that!(bench.leader_state.is_open(), eq(false))?;
-    bench.listed(&[]);
-    bench.pass(ms(100));
-    verify_that!(matches!(bench.acquired(), Some(AcquireResult::Granted { .. })), eq(true))
+    let mut harness = Harness::new(&["a", "b", "c"]);
+    harness.join(1, "a", vec![]);
+    harness.join(2, "b", vec![]);
+    harness.acquire(1);
+    harness.advance(ms(100));
+    verify_that!(harness.leader_state.is_open(), eq(false))?;
+    verify_that!(harness.acquired(), none())?;
+    harness.join(3, "c", vec![]);
+    harness.advance(ms(100));
+    verify_that!(harness.leader_state.is_open(), eq(false))?;
+    harness.listed(&[]);
+    harness.advance(ms(100));
+    verify_that!(matches!(harness.acquired(), Some(AcquireResult::Granted { .. })), eq(true))
 }
 
 fn listed_life(leaving: bool) -> ListedRunner {
     ListedRunner {
-        life: life(),
+        instance: instance(),
         runner: None,
         function: "f".into(),
         key: None,
@@ -199,108 +212,116 @@
     }
 }
 
-fn after_the_full_wait(leaving: bool) -> Result<Bench> {
-    let mut bench = Bench::new(&["a", "b", "c"]);
-    bench.join(1, "a", vec![]);
-    bench.join(2, "b", vec![]);
-    bench.acquire(1);
-    bench.pass(ms(2500));
+fn after_the_full_wait(leaving: bool) -> Result<Harness> {
+    let mut harness = Harness::new(&["a", "b", "c"]);
+    harness.join(1, "a", vec![]);
+    harness.join(2, "b", vec![]);
+    harness.acquire(1);
+    harness.advance(ms(2500));
     let listed = [listed_life(leaving)];
-    bench.listed(&listed);
-    bench.pass(ms(700));
-    verify_that!(bench.leader_state.is_open(), eq(false))?;
-    bench.listed(&listed);
-    bench.pass(ms(10));
-    verify_that!(bench.leader_state.is_open(), eq(true))?;
-    Ok(bench)
+    harness.listed(&listed);
+    harness.advance(ms(700));
+    verify_that!(harness.leader_state.is_open(), eq(false))?;
+    harness.listed(&listed);
+    harness.advance(ms(10));
+    verify_that!(harness.leader_state.is_open(), eq(true))?;
+    Ok(harness)
 }
 
 #[gtest]
-fn after_the_full_wait_an_unclaimed_runner_is_taken_over_with_the_grant() -> Result<()> {
-    let bench = after_the_full_wait(false)?;
-    verify_that!(bench.stops(), is_empty())?;
-    let Some(AcquireResult::Granted { grant, adopted, .. }) = bench.acquired() else {
+fn after_the_full_wait_an_unclaimed_runner_is_adopted_with_the_lease() -> Result<()> {
+    let harness = after_the_full_wait(false)?;
+    verify_that!(harness.stops(), is_empty())?;
+    let Some(AcquireResult::Granted { fencing_token, adopted, .. }) = harness.acquired() else {
         return fail!("not granted");
     };
     verify_that!(adopted.0.len(), eq(1))?;
-    verify_that!(adopted.0[0].runner.grant, eq(grant))?;
-    verify_that!(adopted.0[0].life.0, elements_are![eq(&life())])
+    verify_that!(adopted.0[0].runner.fencing_token, eq(fencing_token))?;
+    verify_that!(adopted.0[0].instance.0, elements_are![eq(&instance())])
 }
 
 #[gtest]
-fn after_the_full_wait_an_unclaimed_runner_that_leaves_is_stopped_before_the_grant() -> Result<()> {
-    let mut bench = after_the_full_wait(true)?;
-    verify_that!(bench.stops().len(), eq(1))?;
-    verify_that!(bench.acquired(), none())?;
-    let stopped = bench.stops()[0];
-    bench.leader_state.runner_stopped(stopped);
-    bench.pass(ms(10));
-    verify_that!(matches!(bench.acquired(), Some(AcquireResult::Granted { .. })), eq(true))
+fn after_the_full_wait_an_unclaimed_runner_that_leaves_is_stopped_before_the_lease() -> Result<()> {
+    let mut harness = after_the_full_wait(true)?;
+    verify_that!(harness.stops().len(), eq(1))?;
+    verify_that!(harness.acquired(), none())?;
+    let stopped = harness.stops()[0];
+    harness.leader_state.runner_stopped(stopped);
+    harness.advance(ms(10));
+    verify_that!(matches!(harness.acquired(), Some(AcquireResult::Granted { .. })), eq(true))
 }
 
 #[gtest]
-fn runners_of_a_function_given_up_bar_its_next_grant() -> Result<()> {
-    let mut bench = Bench::new(&["a", "b"]);
-    bench.join(1, "a", vec![claim(true)]);
-    bench.join(2, "b", vec![]);
-    bench.listed(&[]);
-    bench.acquire(2);
-    bench.pass(ms(10));
-    verify_that!(bench.leader_state.is_open(), eq(true))?;
-    verify_that!(bench.acquired(), none())?;
-    verify_that!(bench.stops(), elements_are![eq(&old_runner())])?;
-    bench.leader_state.runner_stopped(old_runner());
-    bench.pass(ms(10));
-    verify_that!(matches!(bench.acquired(), Some(AcquireResult::Granted { .. })), eq(true))
+fn runners_of_a_released_function_block_its_next_lease() -> Result<()> {
+    let mut harness = Harness::new(&["a", "b"]);
+    harness.join(1, "a", vec![claim(true)]);
+    harness.join(2, "b", vec![]);
+    harness.listed(&[]);
+    harness.acquire(2);
+    harness.advance(ms(10));
+    verify_that!(harness.leader_state.is_open(), eq(true))?;
+    verify_that!(harness.acquired(), none())?;
+    verify_that!(harness.stops(), elements_are![eq(&old_runner())])?;
+    harness.leader_state.runner_stopped(old_runner());
+    harness.advance(ms(10));
+    verify_that!(matches!(harness.acquired(), Some(AcquireResult::Granted { .. })), eq(true))
 }
 
 #[gtest]
 fn the_once_wait_counts_from_the_claims_and_not_from_the_election() -> Result<()> {
-    let mut bench = Bench::new(&["a"]);
-    bench.pass(ms(1500));
-    bench.join(1, "a", vec![]);
-    bench.listed(&[]);
-    bench.acquire(1);
-    bench.pass(ms(10));
-    let Some(AcquireResult::Granted { once_wait_ms, .. }) = bench.acquired() else {
+    let mut harness = Harness::new(&["a"]);
+    harness.advance(ms(1500));
+    harness.join(1, "a", vec![]);
+    harness.listed(&[]);
+    harness.acquire(1);
+    harness.advance(ms(10));
+    let Some(AcquireResult::Granted { once_wait_ms, .. }) = harness.acquired() else {
         return fail!("not granted");
     };
-    let grant_length = LeaderTiming::builder().build().grant_length;
-    verify_that!(once_wait_ms, eq(3000 + grant_length.as_millis() as u32))
+    let lease_length = LeaderTiming::builder().build().lease_length;
+    verify_that!(once_wait_ms, eq(3000 + lease_length.as_millis() as u32))
 }
 
 #[gtest]
-fn a_silent_holder_is_not_named_and_its_function_is_fenced_when_its_grant_has_ended() -> Result<()>
-{
-    let mut bench = Bench::new(&["a", "b"]);
-    bench.join(1, "a", vec![claim(false)]);
-    bench.join(2, "b", vec![]);
-    bench.listed(&[]);
-    bench.pass(ms(10));
-    bench.acquire(2);
-    bench.pass(ms(10));
-    verify_that!(matches!(bench.acquired(), Some(AcquireResult::Owner { .. })), eq(true))?;
-    bench.pass(ms(1500));
-    bench.acquire(2);
-    bench.pass(ms(10));
-    verify_that!(bench.acquired(), none())?;
-    verify_that!(bench.stops(), is_empty())?;
-    bench.say(2, StreamUp::Renew { correlation: CorrelationId(2), serial: Serial(2) });
-    bench.pass(ms(1200));
-    verify_that!(bench.stops(), elements_are![eq(&old_runner())])?;
-    bench.say(2, StreamUp::Renew { correlation: CorrelationId(3), serial: Serial(2) });
-    bench.leader_state.runner_stopped(old_runner());
-    bench.pass(ms(10));
-    bench.pass(ms(10));
-    verify_that!(bench.leader_state.report_holders()["holders"][0]["member"], eq(&json!("b")))
-}
-
-fn reserve(bench: &mut Bench, stream: u64, name: &str, grant: GrantSerial) -> ReserveResult {
-    let function = FunctionKey::new(name, Serial(2));
-    bench.say(stream, StreamUp::Reserve { correlation: CorrelationId(4), function, grant });
-    bench.pass(ms(10));
-    let found = bench.outputs.iter().find_map(|output| match output {
-        LeaderOutput::Down { frame: StreamDown::Reserved { result, .. }, .. } => {
+fn an_unreachable_holder_is_not_named_and_its_function_is_fenced_when_its_lease_has_ended()
+-> Result<()> {
+    let mut harness = Harness::new(&["a", "b"]);
+    harness.join(1, "a", vec![claim(false)]);
+    harness.join(2, "b", vec![]);
+    harness.listed(&[]);
+    harness.advance(ms(10));
+    harness.acquire(2);
+    harness.advance(ms(10));
+    verify_that!(matches!(harness.acquired(), Some(AcquireResult::Owner { .. })), eq(true))?;
+    harness.advance(ms(1500));
+    harness.acquire(2);
+    harness.advance(ms(10));
+    verify_that!(harness.acquired(), none())?;
+    verify_that!(harness.stops(), is_empty())?;
+    harness.send(2, DaemonToLeader::Renew { correlation: CorrelationId(2), version: Version(2) });
+    harness.advance(ms(1200));
+    verify_that!(harness.stops(), elements_are![eq(&old_runner())])?;
+    harness.send(2, DaemonToLeader::Renew { correlation: CorrelationId(3), version: Version(2) });
+    harness.leader_state.runner_stopped(old_runner());
+    harness.advance(ms(10));
+    harness.advance(ms(10));
+    verify_that!(harness.leader_state.report_holders()["holders"][0]["member"], eq(&json!("b")))
+}
+
+fn reserve(
+    harness: &mut Harness,
+    stream: u64,
+    name: &str,
+    fencing_token: FencingToken,
+) -> ReserveResult {
+    let function = FunctionKey::new(name, Version(2));
+    harness.send(
+        stream,
+        DaemonToLeader::Reserve { correlation: CorrelationId(4), function, fencing_token },
+    );
+    harness.advance(ms(10));
+    let found = harness.outputs.iter().find_map(|output| match output {
+        LeaderOutput::FrameToDaemon { frame: LeaderToDaemon::Reserved { result, .. }, .. } => {
             Some(result.clone())
         }
         _ => None,
@@ -308,562 +329,595 @@
     found.expect("an answer")
 }
 
-fn granted(bench: &mut Bench, stream: u64, name: &str) -> GrantSerial {
-    let function = FunctionKey::new(name, Serial(2));
-    bench.say(stream, StreamUp::Acquire { correlation: CorrelationId(9), function });
-    bench.pass(ms(10));
-    match bench.acquired() {
-        Some(AcquireResult::Granted { grant, .. }) => grant,
+fn granted(harness: &mut Harness, stream: u64, name: &str) -> FencingToken {
+    let function = FunctionKey::new(name, Version(2));
+    harness.send(stream, DaemonToLeader::Acquire { correlation: CorrelationId(9), function });
+    harness.advance(ms(10));
+    match harness.acquired() {
+        Some(AcquireResult::Granted { fencing_token, .. }) => fencing_token,
         other => panic!("not granted: {other:?}"),
     }
 }
 
 #[gtest]
-fn what_a_function_may_have_at_most_stands_for_its_keys_of_all_regions_together() -> Result<()> {
-    let mut bench = Bench::new(&["daemon-1", "daemon-2"]);
-    bench.join(1, "daemon-1", Vec::new());
-    bench.join(2, "daemon-2", Vec::new());
-    bench.listed(&[]);
-    bench.pass(ms(10));
-    bench.leader_state.workers_listed(vec![ListedWorker {
+fn max_runners_counts_a_functions_keys_of_all_regions_together() -> Result<()> {
+    let mut harness = Harness::new(&["daemon-1", "daemon-2"]);
+    harness.join(1, "daemon-1", Vec::new());
+    harness.join(2, "daemon-2", Vec::new());
+    harness.listed(&[]);
+    harness.advance(ms(10));
+    harness.leader_state.workers_listed(vec![ListedWorker {
         worker: "w-1".into(),
         zone: "l1".into(),
         memory_mb: 100_000,
         draining: false,
     }]);
-    let whole = FunctionKey::new("f", Serial(2));
-    let west = whole.in_region(&"west".into());
-    let mut grants = Vec::new();
-    for (stream, function) in [(1, &whole), (2, &west)] {
+    let complete = FunctionKey::new("f", Version(2));
+    let west = complete.in_region(&"west".into());
+    let mut fencing_tokens = Vec::new();
+    for (stream, function) in [(1, &complete), (2, &west)] {
         let function = function.clone();
-        bench.say(stream, StreamUp::Acquire { correlation: CorrelationId(9), function });
-        bench.pass(ms(10));
-        let Some(AcquireResult::Granted { grant, .. }) = bench.acquired() else {
+        harness.send(stream, DaemonToLeader::Acquire { correlation: CorrelationId(9), function });
+        harness.advance(ms(10));
+        let Some(AcquireResult::Granted { fencing_token, .. }) = harness.acquired() else {
             return fail!("not granted to {stream}");
         };
-        grants.push(grant);
+        fencing_tokens.push(fencing_token);
     }
     let mut reserve = |stream: u64, function: &FunctionKey| {
-        let (function, grant) = (function.clone(), grants[stream as usize - 1]);
+        let (function, fencing_token) = (function.clone(), fencing_tokens[stream as usize - 1]);
         let correlation = CorrelationId(4);
-        bench.say(stream, StreamUp::Reserve { correlation, function, grant });
-        bench.pass(ms(10));
-        bench.outputs.iter().any(|output| {
+        harness.send(stream, DaemonToLeader::Reserve { correlation, function, fencing_token });
+        harness.advance(ms(10));
+        harness.outputs.iter().any(|output| {
             matches!(
                 output,
-                LeaderOutput::Down {
-                    frame: StreamDown::Reserved { result: ReserveResult::Reserved { .. }, .. },
+                LeaderOutput::FrameToDaemon {
+                    frame: LeaderToDaemon::Reserved { result: ReserveResult::Reserved { .. }, .. },
                     ..
                 }
             )
         })
     };
-    let is_given: Vec<bool> = (0..4).map(|_| reserve(1, &whole)).collect();
+    let is_given: Vec<bool> = (0..4).map(|_| reserve(1, &complete)).collect();
     verify_that!(is_given, each(eq(&true)))?;
     let is_given: Vec<bool> = (0..5).map(|_| reserve(2, &west)).collect();
     verify_that!(is_given, eq(&vec![true, true, true, true, false]))?;
-    verify_that!(reserve(1, &whole), eq(false))
-}
-
-#[gtest]
-fn hosts_are_told_whole_to_a_fresh_stream_and_by_difference_to_the_others() -> Result<()> {
-    let mut bench = Bench::new(&[]);
-    bench.join(1, "a", Vec::new());
-    bench.pass(ms(200));
-    bench.join(2, "b", Vec::new());
-    bench.pass(ms(200));
-    let told: Vec<(u64, u64, usize)> = bench.hosts_told();
-    verify_that!(told, unordered_elements_are![eq(&(1, 2, 1)), eq(&(2, 2, 2))])?;
-    bench.say(1, StreamUp::WholeHosts);
-    bench.pass(ms(200));
-    verify_that!(bench.hosts_told(), elements_are![eq(&(1, 2, 2))])?;
-    bench.pass(ms(200));
-    verify_that!(bench.hosts_told(), is_empty())
-}
-
-#[gtest]
-fn a_daemon_is_silent_only_when_its_watchers_and_its_stream_say_so() -> Result<()> {
-    let mut bench = Bench::new(&[]);
-    bench.join(1, "a", Vec::new());
-    bench.join(2, "b", Vec::new());
-    bench.pass(ms(200));
-    let life = || MemberLife { member: "b".into(), incarnation: 1.into() };
-    bench.say(1, StreamUp::Silent { life: life() });
-    bench.pass(ms(200));
-    verify_that!(bench.silent_told(), none())?;
-    bench.pass(ms(600));
-    verify_that!(bench.silent_told(), some(elements_are![eq(&life())]))?;
-    bench.say(1, StreamUp::Heard { life: life() });
-    bench.pass(ms(200));
-    verify_that!(bench.silent_told(), some(is_empty()))?;
-    let earlier_life = MemberLife { member: "b".into(), incarnation: 9.into() };
-    bench.say(1, StreamUp::Silent { life: earlier_life });
-    bench.pass(ms(2000));
-    verify_that!(bench.silent_told(), none())
-}
-
-impl Bench {
+    verify_that!(reserve(1, &complete), eq(false))
+}
+
+#[gtest]
+fn a_new_stream_gets_the_full_host_list_and_the_others_a_delta() -> Result<()> {
+    let mut harness = Harness::new(&[]);
+    harness.join(1, "a", Vec::new());
+    harness.advance(ms(200));
+    harness.join(2, "b", Vec::new());
+    harness.advance(ms(200));
+    let sent: Vec<(u64, u64, usize)> = harness.hosts_sent();
+    verify_that!(sent, unordered_elements_are![eq(&(1, 2, 1)), eq(&(2, 2, 2))])?;
+    harness.send(1, DaemonToLeader::FullHostListRequest);
+    harness.advance(ms(200));
+    verify_that!(harness.hosts_sent(), elements_are![eq(&(1, 2, 2))])?;
+    harness.advance(ms(200));
+    verify_that!(harness.hosts_sent(), is_empty())
+}
+
+#[gtest]
+fn a_daemon_is_suspected_only_when_its_watchers_and_its_stream_agree() -> Result<()> {
+    let mut harness = Harness::new(&[]);
+    harness.join(1, "a", Vec::new());
+    harness.join(2, "b", Vec::new());
+    harness.advance(ms(200));
+    let instance = || MemberIncarnation { member: "b".into(), incarnation: 1.into() };
+    harness.send(1, DaemonToLeader::MemberSuspected { instance: instance() });
+    harness.advance(ms(200));
+    verify_that!(harness.suspected_sent(), none())?;
+    harness.advance(ms(600));
+    verify_that!(harness.suspected_sent(), some(elements_are![eq(&instance())]))?;
+    harness.send(1, DaemonToLeader::MemberRecovered { instance: instance() });
+    harness.advance(ms(200));
+    verify_that!(harness.suspected_sent(), some(is_empty()))?;
+    let earlier_incarnation = MemberIncarnation { member: "b".into(), incarnation: 9.into() };
+    harness.send(1, DaemonToLeader::MemberSuspected { instance: earlier_incarnation });
+    harness.advance(ms(2000));
+    verify_that!(harness.suspected_sent(), none())
+}
+
+impl Harness {
     /// Who was told of hosts: the stream, the list's number, how many daemons were named.
-    fn hosts_told(&self) -> Vec<(u64, u64, usize)> {
+    fn hosts_sent(&self) -> Vec<(u64, u64, usize)> {
         let named = self.outputs.iter().filter_map(|output| match output {
-            LeaderOutput::Down { stream, frame: StreamDown::Hosts { number, hosts, .. } } => {
-                Some((stream.0, *number, hosts.0.len()))
-            }
-            LeaderOutput::Down { stream, frame: StreamDown::HostsChanged { number, put, .. } } => {
-                Some((stream.0, *number, put.0.len()))
-            }
+            LeaderOutput::FrameToDaemon {
+                stream,
+                frame: LeaderToDaemon::Hosts { number, hosts, .. },
+            } => Some((stream.0, *number, hosts.0.len())),
+            LeaderOutput::FrameToDaemon {
+                stream,
+                frame: LeaderToDaemon::HostsDelta { number, put, .. },
+            } => Some((stream.0, *number, put.0.len())),
             _ => None,
         });
         named.collect()
     }
 
-    fn silent_told(&self) -> Option<Vec<MemberLife>> {
+    fn suspected_sent(&self) -> Option<Vec<MemberIncarnation>> {
         self.outputs.iter().find_map(|output| match output {
-            LeaderOutput::Down { frame: StreamDown::HostsChanged { silent, .. }, .. } => {
-                Some(silent.0.clone())
-            }
+            LeaderOutput::FrameToDaemon {
+                frame: LeaderToDaemon::HostsDelta { suspected, .. },
+                ..
+            } => Some(suspected.0.clone()),
             _ => None,
         })
     }
 }
 
 #[gtest]
-fn a_crowd_gives_one_runner_back_to_a_function_that_has_none() -> Result<()> {
-    let mut bench = Bench::new(&["a"]);
-    bench.join(1, "a", vec![]);
-    bench.listed(&[]);
-    bench.pass(ms(10));
-    bench.leader_state.workers_listed(vec![ListedWorker {
+fn a_crowded_function_gives_one_runner_back_to_a_function_that_has_none() -> Result<()> {
+    let mut harness = Harness::new(&["a"]);
+    harness.join(1, "a", vec![]);
+    harness.listed(&[]);
+    harness.advance(ms(10));
+    harness.leader_state.workers_listed(vec![ListedWorker {
         worker: "w".into(),
         zone: "l".into(),
         memory_mb: 300,
         draining: false,
     }]);
-    let crowded = granted(&mut bench, 1, "f");
+    let crowded_lease = granted(&mut harness, 1, "f");
     for _ in 0..3 {
-        let given = reserve(&mut bench, 1, "f", crowded);
+        let given = reserve(&mut harness, 1, "f", crowded_lease);
         verify_that!(matches!(given, ReserveResult::Reserved { .. }), eq(true))?;
     }
-    let poor = granted(&mut bench, 1, "g");
-    verify_that!(reserve(&mut bench, 1, "g", poor), eq(&ReserveResult::Shed))?;
-    let drained: Vec<RunnerId> = bench
+    let starved_lease = granted(&mut harness, 1, "g");
+    verify_that!(reserve(&mut harness, 1, "g", starved_lease), eq(&ReserveResult::Rejected))?;
+    let drained: Vec<RunnerId> = harness
         .outputs
         .iter()
         .filter_map(|output| match output {
-            LeaderOutput::Down { frame: StreamDown::Drain { runner, .. }, .. } => Some(*runner),
+            LeaderOutput::FrameToDaemon { frame: LeaderToDaemon::Drain { runner, .. }, .. } => {
+                Some(*runner)
+            }
             _ => None,
         })
         .collect();
     verify_that!(drained.len(), eq(1))?;
-    verify_that!(drained[0].grant, eq(crowded))?;
-    bench.leader_state.runner_stopped(drained[0]);
-    verify_that!(reserve(&mut bench, 1, "f", crowded), eq(&ReserveResult::Shed))?;
-    let given = reserve(&mut bench, 1, "g", poor);
+    verify_that!(drained[0].fencing_token, eq(crowded_lease))?;
+    harness.leader_state.runner_stopped(drained[0]);
+    verify_that!(reserve(&mut harness, 1, "f", crowded_lease), eq(&ReserveResult::Rejected))?;
+    let given = reserve(&mut harness, 1, "g", starved_lease);
     verify_that!(matches!(given, ReserveResult::Reserved { .. }), eq(true))
 }
 
-fn two_daemons(claims: Vec<Claim>) -> Bench {
-    let mut bench = Bench::new(&["a", "b"]);
-    bench.join(1, "a", claims);
-    bench.join(2, "b", vec![]);
-    bench.listed(&[]);
-    bench.pass(ms(10));
-    bench
+fn two_daemons(claims: Vec<Claim>) -> Harness {
+    let mut harness = Harness::new(&["a", "b"]);
+    harness.join(1, "a", claims);
+    harness.join(2, "b", vec![]);
+    harness.listed(&[]);
+    harness.advance(ms(10));
+    harness
 }
 
-fn adopted(bench: &Bench) -> Vec<ClaimRunner> {
-    match bench.acquired() {
+fn adopted(harness: &Harness) -> Vec<ClaimedRunner> {
+    match harness.acquired() {
         Some(AcquireResult::Granted { adopted, .. }) => adopted.0,
         other => panic!("not granted: {other:?}"),
     }
 }
 
 #[gtest]
-fn a_dead_holders_runner_is_taken_over_and_a_second_time_by_nobody() -> Result<()> {
-    let mut bench = two_daemons(vec![fit_claim(false)]);
-    bench.pass(ms(2250));
-    bench.say(2, StreamUp::Renew { correlation: CorrelationId(2), serial: Serial(2) });
-    bench.acquire(2);
-    bench.pass(ms(10));
-    verify_that!(bench.stops(), is_empty())?;
-    let taken = adopted(&bench);
-    verify_that!(taken.len(), eq(1))?;
-    verify_that!(taken[0].runner == old_runner(), eq(false))?;
-    bench.join(3, "a", vec![fit_claim(true)]);
-    bench.pass(ms(10));
-    bench.say(
+fn a_dead_holders_runner_is_adopted_once_only() -> Result<()> {
+    let mut harness = two_daemons(vec![adoptable_claim(false)]);
+    harness.advance(ms(2250));
+    harness.send(2, DaemonToLeader::Renew { correlation: CorrelationId(2), version: Version(2) });
+    harness.acquire(2);
+    harness.advance(ms(10));
+    verify_that!(harness.stops(), is_empty())?;
+    let adopted_runners = adopted(&harness);
+    verify_that!(adopted_runners.len(), eq(1))?;
+    verify_that!(adopted_runners[0].runner == old_runner(), eq(false))?;
+    harness.join(3, "a", vec![adoptable_claim(true)]);
+    harness.advance(ms(10));
+    harness.send(
         2,
-        StreamUp::Release {
+        DaemonToLeader::Release {
             function: function(),
-            grant: taken[0].runner.grant,
-            runners: Many(taken.clone()),
+            fencing_token: adopted_runners[0].runner.fencing_token,
+            runners: LengthPrefixed(adopted_runners.clone()),
         },
     );
-    bench.acquire(3);
-    bench.pass(ms(10));
-    verify_that!(bench.stops(), is_empty())?;
-    let next_taken = adopted(&bench);
-    verify_that!(next_taken.len(), eq(1))?;
-    verify_that!(next_taken[0].life.0, elements_are![eq(&life())])
+    harness.acquire(3);
+    harness.advance(ms(10));
+    verify_that!(harness.stops(), is_empty())?;
+    let next_adopted = adopted(&harness);
+    verify_that!(next_adopted.len(), eq(1))?;
+    verify_that!(next_adopted[0].instance.0, elements_are![eq(&instance())])
 }
 
 #[gtest]
-fn a_left_runner_that_nobody_takes_is_stopped() -> Result<()> {
-    let mut bench = two_daemons(vec![fit_claim(true)]);
-    verify_that!(bench.stops(), is_empty())?;
-    bench.pass(ms(3900));
-    verify_that!(bench.stops(), is_empty())?;
-    bench.pass(ms(200));
-    verify_that!(bench.stops(), elements_are![eq(&old_runner())])
+fn an_orphaned_runner_that_nobody_adopts_is_stopped() -> Result<()> {
+    let mut harness = two_daemons(vec![adoptable_claim(true)]);
+    verify_that!(harness.stops(), is_empty())?;
+    harness.advance(ms(3900));
+    verify_that!(harness.stops(), is_empty())?;
+    harness.advance(ms(200));
+    verify_that!(harness.stops(), elements_are![eq(&old_runner())])
 }
 
 #[gtest]
-fn another_life_of_a_daemon_at_its_place_ends_the_grant_at_once() -> Result<()> {
-    let mut bench = two_daemons(vec![fit_claim(false)]);
+fn another_incarnation_of_a_daemon_at_its_address_ends_the_lease_at_once() -> Result<()> {
+    let mut harness = two_daemons(vec![adoptable_claim(false)]);
     let host = Host {
         member: "a".into(),
         incarnation: 2.into(),
         zone: "l1".into(),
-        place: Place::NOWHERE,
+        address: SocketAddress::UNSPECIFIED,
         eligible: Flag(true),
         link_mbps: 0,
     };
-    bench.say(3, hello(host, 0, false));
-    bench.acquire(2);
-    bench.pass(ms(10));
-    verify_that!(adopted(&bench).len(), eq(1))
+    harness.send(3, hello(host, 0, false));
+    harness.acquire(2);
+    harness.advance(ms(10));
+    verify_that!(adopted(&harness).len(), eq(1))
 }
 
 #[gtest]
-fn a_life_that_has_gone_from_the_list_is_no_longer_its_holders() -> Result<()> {
-    let mut bench = two_daemons(vec![fit_claim(false)]);
-    let is_told = |bench: &Bench| {
-        bench.outputs.iter().any(|output| {
-            matches!(output, LeaderOutput::Down { frame: StreamDown::Vanished { runner, .. }, .. }
+fn an_instance_missing_from_the_list_is_no_longer_its_holders() -> Result<()> {
+    let mut harness = two_daemons(vec![adoptable_claim(false)]);
+    let is_notified = |harness: &Harness| {
+        harness.outputs.iter().any(|output| {
+            matches!(output, LeaderOutput::FrameToDaemon { frame: LeaderToDaemon::RunnerUnlisted { runner, .. }, .. }
                 if *runner == old_runner())
         })
     };
-    bench.pass(ms(900));
-    bench.listed(&[]);
-    bench.pass(ms(10));
-    verify_that!(is_told(&bench), eq(false))?;
-    bench.pass(ms(200));
-    bench.listed(&[]);
-    bench.pass(ms(10));
-    verify_that!(is_told(&bench), eq(true))
+    harness.advance(ms(900));
+    harness.listed(&[]);
+    harness.advance(ms(10));
+    verify_that!(is_notified(&harness), eq(false))?;
+    harness.advance(ms(200));
+    harness.listed(&[]);
+    harness.advance(ms(10));
+    verify_that!(is_notified(&harness), eq(true))
 }
 
 #[gtest]
-fn a_runner_begun_and_not_yet_told_is_not_taken_for_an_orphan() -> Result<()> {
-    let mut bench = two_daemons(vec![]);
-    bench.leader_state.workers_listed(vec![ListedWorker {
+fn a_started_runner_not_yet_reported_is_not_taken_for_an_orphan() -> Result<()> {
+    let mut harness = two_daemons(vec![]);
+    harness.leader_state.workers_listed(vec![ListedWorker {
         worker: "w".into(),
         zone: "l".into(),
         memory_mb: 300,
         draining: false,
     }]);
-    let grant = granted(&mut bench, 2, "f");
-    let ReserveResult::Reserved { runner, .. } = reserve(&mut bench, 2, "f", grant) else {
+    let fencing_token = granted(&mut harness, 2, "f");
+    let ReserveResult::Reserved { runner, .. } = reserve(&mut harness, 2, "f", fencing_token)
+    else {
         return fail!("no room");
     };
-    bench.listed(&[listed_life(false)]);
-    bench.pass(ms(10));
+    harness.listed(&[listed_life(false)]);
+    harness.advance(ms(10));
     verify_that!(
-        bench.leader_state.report_runners()["runners"].as_array().map(Vec::len),
+        harness.leader_state.report_runners()["runners"].as_array().map(Vec::len),
         some(eq(1))
     )?;
-    let news = RunnerNews::Begun { life: life() };
-    bench.say(2, StreamUp::Runner { function: function(), runner, news });
-    bench.listed(&[listed_life(false)]);
-    bench.pass(ms(10));
+    let runner_status = RunnerStatus::Started { instance: instance() };
+    harness.send(2, DaemonToLeader::RunnerUpdate { function: function(), runner, runner_status });
+    harness.listed(&[listed_life(false)]);
+    harness.advance(ms(10));
     verify_that!(
-        bench.leader_state.report_runners()["runners"].as_array().map(Vec::len),
+        harness.leader_state.report_runners()["runners"].as_array().map(Vec::len),
         some(eq(1))
     )?;
-    verify_that!(bench.stops(), is_empty())
+    verify_that!(harness.stops(), is_empty())
 }
 
 #[gtest]
-fn without_spreading_a_runner_stands_in_its_holders_zone() -> Result<()> {
-    let mut bench = Bench::new(&["a"]);
-    let timing = LeaderTiming::builder().spread(false).build();
+fn without_spreading_a_runner_is_placed_in_its_holders_zone() -> Result<()> {
+    let mut harness = Harness::new(&["a"]);
+    let timing = LeaderTiming::builder().spread_over_zones(false).build();
     let members: BTreeSet<KnownMember> = [known("a")].into();
-    bench.leader_state = LeaderState::new(timing, Term(5), ELECTED, members, true);
-    bench.leader_state.committed(document());
-    bench.join(1, "a", vec![]);
-    bench.listed(&[]);
-    bench.pass(ms(10));
+    harness.leader_state = LeaderState::new(timing, Term(5), ELECTED, members, true);
+    harness.leader_state.committed(document());
+    harness.join(1, "a", vec![]);
+    harness.listed(&[]);
+    harness.advance(ms(10));
     let worker = |name: &str, zone: &str, memory_mb: u32| ListedWorker {
         worker: name.into(),
         zone: zone.into(),
         memory_mb,
         draining: false,
     };
-    bench.leader_state.workers_listed(vec![
+    harness.leader_state.workers_listed(vec![
         worker("far", "l9", 900),
         worker("near-1", "l1", 200),
         worker("near-2", "l1", 200),
     ]);
-    let grant = granted(&mut bench, 1, "f");
-    let mut places = Vec::new();
+    let fencing_token = granted(&mut harness, 1, "f");
+    let mut worker_names = Vec::new();
     for _ in 0..5 {
-        if let ReserveResult::Reserved { worker, .. } = reserve(&mut bench, 1, "f", grant) {
-            places.push(worker.to_string());
+        if let ReserveResult::Reserved { worker, .. } = reserve(&mut harness, 1, "f", fencing_token)
+        {
+            worker_names.push(worker.to_string());
         }
     }
-    verify_that!(places[..4].iter().all(|name| name.starts_with("near")), eq(true))?;
-    verify_that!(places[4].as_str(), eq("far"))
+    verify_that!(worker_names[..4].iter().all(|name| name.starts_with("near")), eq(true))?;
+    verify_that!(worker_names[4].as_str(), eq("far"))
 }
 
-fn place(last: u8) -> Place {
-    Place(format!("10.0.0.{last}:1").parse().expect("an address"))
+fn address(last: u8) -> SocketAddress {
+    SocketAddress(format!("10.0.0.{last}:1").parse().expect("an address"))
 }
 
 /// A daemon of the roster: its name, and the last number of its place.
 type Listed = (&'static str, u8);
 
-fn roster(listed: &[Listed]) -> BTreeSet<RosterMember> {
+fn membership(listed: &[Listed]) -> BTreeSet<ListedMember> {
     let members = listed
         .iter()
-        .map(|(name, last)| RosterMember { member: (*name).into(), place: place(*last) });
+        .map(|(name, last)| ListedMember { member: (*name).into(), address: address(*last) });
     members.collect()
 }
 
-fn elected_with_roster(listed: &[Listed]) -> Bench {
+fn elected_with_membership(listed: &[Listed]) -> Harness {
     let timing = LeaderTiming::builder().build();
     let mut leader_state = LeaderState::new(timing, Term(5), ELECTED, BTreeSet::new(), false);
-    let mut made = document().with_roster(roster(listed));
-    made.stamp.term = Term(5);
+    let mut made = document().with_membership(membership(listed));
+    made.document_version.term = Term(5);
     leader_state.committed(made);
-    Bench { leader_state, now: ELECTED, outputs: Vec::new() }
+    Harness { leader_state, now: ELECTED, outputs: Vec::new() }
 }
 
-fn come(bench: &mut Bench, stream: u64, at: Listed, incarnation: u64, age_ms: u32, granted: bool) {
+fn join_as(
+    harness: &mut Harness,
+    stream: u64,
+    at: Listed,
+    incarnation: u64,
+    age_ms: u32,
+    granted: bool,
+) {
     let host = Host {
         member: at.0.into(),
         incarnation: incarnation.into(),
         zone: "l".into(),
-        place: place(at.1),
+        address: address(at.1),
         eligible: Flag(true),
         link_mbps: 0,
     };
-    bench.say(stream, hello(host, age_ms, granted));
-    bench.say(stream, StreamUp::Claims { claims: Many(vec![]) });
-    bench.say(stream, StreamUp::Renew { correlation: CorrelationId(1), serial: Serial(2) });
+    harness.send(stream, hello(host, age_ms, granted));
+    harness.send(stream, DaemonToLeader::Claims { claims: LengthPrefixed(vec![]) });
+    harness
+        .send(stream, DaemonToLeader::Renew { correlation: CorrelationId(1), version: Version(2) });
 }
 
-fn is_renewed(bench: &Bench, asked: u64) -> bool {
-    bench.outputs.iter().any(|output| {
-        matches!(output, LeaderOutput::Down { stream, frame: StreamDown::Renewed { .. } }
-            if *stream == StreamId(asked))
+fn is_renewed(harness: &Harness, renewal_stream: u64) -> bool {
+    harness.outputs.iter().any(|output| {
+        matches!(output, LeaderOutput::FrameToDaemon { stream, frame: LeaderToDaemon::Renewed { .. } }
+            if *stream == StreamId(renewal_stream))
     })
 }
 
 #[gtest]
-fn with_a_roster_the_leader_state_opens_when_each_place_has_claimed_whatever_life_stands_there()
+fn with_a_membership_the_leader_state_opens_when_each_address_has_claimed_in_any_incarnation()
 -> Result<()> {
-    let mut bench = elected_with_roster(&[("a", 1), ("b", 2), ("c", 3)]);
-    come(&mut bench, 1, ("a", 1), 1, 5000, true);
-    come(&mut bench, 2, ("b", 2), 9, 600, false);
-    bench.pass(ms(100));
-    verify_that!(bench.leader_state.is_open(), eq(false))?;
-    come(&mut bench, 3, ("c", 4), 9, 600, false);
-    bench.pass(ms(100));
-    verify_that!(bench.leader_state.is_open(), eq(false))?;
-    come(&mut bench, 4, ("d", 3), 9, 600, false);
-    bench.pass(ms(10));
-    verify_that!(bench.leader_state.is_open(), eq(true))
-}
-
-#[gtest]
-fn a_roster_member_that_does_not_come_is_waited_for_as_long_as_its_grant() -> Result<()> {
-    let mut bench = elected_with_roster(&[("a", 1), ("b", 2), ("c", 3)]);
-    come(&mut bench, 1, ("a", 1), 1, 5000, true);
-    come(&mut bench, 2, ("b", 2), 1, 5000, true);
-    bench.pass(ms(2150));
-    bench.listed(&[]);
-    bench.pass(ms(10));
-    verify_that!(bench.leader_state.is_open(), eq(false))?;
-    bench.pass(ms(450));
-    bench.listed(&[]);
-    bench.pass(ms(10));
-    verify_that!(bench.leader_state.is_open(), eq(true))
+    let mut harness = elected_with_membership(&[("a", 1), ("b", 2), ("c", 3)]);
+    join_as(&mut harness, 1, ("a", 1), 1, 5000, true);
+    join_as(&mut harness, 2, ("b", 2), 9, 600, false);
+    harness.advance(ms(100));
+    verify_that!(harness.leader_state.is_open(), eq(false))?;
+    join_as(&mut harness, 3, ("c", 4), 9, 600, false);
+    harness.advance(ms(100));
+    verify_that!(harness.leader_state.is_open(), eq(false))?;
+    join_as(&mut harness, 4, ("d", 3), 9, 600, false);
+    harness.advance(ms(10));
+    verify_that!(harness.leader_state.is_open(), eq(true))
+}
+
+#[gtest]
+fn a_listed_member_that_does_not_join_is_awaited_as_long_as_its_lease() -> Result<()> {
+    let mut harness = elected_with_membership(&[("a", 1), ("b", 2), ("c", 3)]);
+    join_as(&mut harness, 1, ("a", 1), 1, 5000, true);
+    join_as(&mut harness, 2, ("b", 2), 1, 5000, true);
+    harness.advance(ms(2150));
+    harness.listed(&[]);
+    harness.advance(ms(10));
+    verify_that!(harness.leader_state.is_open(), eq(false))?;
+    harness.advance(ms(450));
+    harness.listed(&[]);
+    harness.advance(ms(10));
+    verify_that!(harness.leader_state.is_open(), eq(true))
 }
 
 /// The earlier life was gone when the present one began; what it had ordered has settled a little later.
 #[gtest]
-fn a_life_that_nobody_claimed_is_taken_over_from_the_first_list_that_shows_all() -> Result<()> {
-    let mut bench = elected_with_roster(&[("a", 1)]);
-    bench.pass(ms(10));
-    verify_that!(bench.asks_lists(), eq(true))?;
-    bench.pass(ms(190));
-    come(&mut bench, 1, ("a", 1), 9, 1000, false);
-    bench.acquire(1);
-    bench.pass(ms(10));
-    verify_that!(bench.leader_state.is_open(), eq(true))?;
-    verify_that!(bench.asks_lists(), eq(true))?;
-    bench.leader_state.runners_listed(ELECTED - ms(301), &[listed_life(false)]);
-    bench.pass(ms(30));
-    verify_that!(bench.acquired(), none())?;
-    bench.leader_state.runners_listed(ELECTED - ms(300), &[listed_life(false)]);
-    bench.pass(ms(30));
-    verify_that!(adopted(&bench).len(), eq(1))
+fn an_unclaimed_instance_is_adopted_from_the_first_complete_list() -> Result<()> {
+    let mut harness = elected_with_membership(&[("a", 1)]);
+    harness.advance(ms(10));
+    verify_that!(harness.requests_lists(), eq(true))?;
+    harness.advance(ms(190));
+    join_as(&mut harness, 1, ("a", 1), 9, 1000, false);
+    harness.acquire(1);
+    harness.advance(ms(10));
+    verify_that!(harness.leader_state.is_open(), eq(true))?;
+    verify_that!(harness.requests_lists(), eq(true))?;
+    harness.leader_state.runners_listed(ELECTED - ms(301), &[listed_life(false)]);
+    harness.advance(ms(30));
+    verify_that!(harness.acquired(), none())?;
+    harness.leader_state.runners_listed(ELECTED - ms(300), &[listed_life(false)]);
+    harness.advance(ms(30));
+    verify_that!(adopted(&harness).len(), eq(1))
 }
 
 /// A daemon that was granted to before the election may have left something a moment before it.
 #[gtest]
-fn nothing_is_granted_before_a_list_shows_what_was_left_until_the_election() -> Result<()> {
-    let mut bench = elected_with_roster(&[("a", 1)]);
-    come(&mut bench, 1, ("a", 1), 1, 60_000, true);
-    bench.acquire(1);
-    bench.leader_state.runners_listed(ELECTED - ms(1), &[listed_life(false)]);
-    bench.pass(ms(30));
-    verify_that!(bench.leader_state.is_open(), eq(true))?;
-    verify_that!(bench.acquired(), none())?;
-    bench.leader_state.runners_listed(ELECTED, &[listed_life(false)]);
-    bench.pass(ms(30));
-    verify_that!(adopted(&bench).len(), eq(1))
-}
-
-#[gtest]
-fn a_daemon_is_granted_to_when_the_roster_committed_and_the_one_in_flight_name_it() -> Result<()> {
-    let mut bench = elected_with_roster(&[("a", 1)]);
-    come(&mut bench, 1, ("a", 1), 1, 5000, true);
-    come(&mut bench, 2, ("b", 2), 1, 300, false);
-    bench.pass(ms(10));
-    verify_that!(is_renewed(&bench, 1), eq(true))?;
-    verify_that!(is_renewed(&bench, 2), eq(false))?;
-    verify_that!(bench.leader_state.due_roster(bench.now), none())?;
-    bench.now = bench.now + ms(40);
-    let due = bench.leader_state.due_roster(bench.now);
-    verify_that!(due.as_ref(), some(eq(&roster(&[("a", 1), ("b", 2)]))))?;
-    let mut next_document = document().with_roster(due.expect("a roster"));
-    next_document.stamp = Stamp { term: Term(5), serial: Serial(4) };
-    next_document.unseen = 2;
-    bench.leader_state.committed(next_document);
-    verify_that!(bench.leader_state.due_roster(bench.now), none())?;
-    let smaller = roster(&[("a", 1)]);
-    let quorum_moment = bench.now;
-    let proof =
-        Proof { ready: true, quorum_moment, confirmed: &|_| true, in_flight: Some(&smaller) };
-    bench.outputs = bench.leader_state.progress(bench.now, &proof);
-    verify_that!(is_renewed(&bench, 2), eq(false))?;
-    bench.pass(ms(10));
-    verify_that!(is_renewed(&bench, 2), eq(true))?;
+fn nothing_is_granted_before_a_list_shows_what_was_orphaned_until_the_election() -> Result<()> {
+    let mut harness = elected_with_membership(&[("a", 1)]);
+    join_as(&mut harness, 1, ("a", 1), 1, 60_000, true);
+    harness.acquire(1);
+    harness.leader_state.runners_listed(ELECTED - ms(1), &[listed_life(false)]);
+    harness.advance(ms(30));
+    verify_that!(harness.leader_state.is_open(), eq(true))?;
+    verify_that!(harness.acquired(), none())?;
+    harness.leader_state.runners_listed(ELECTED, &[listed_life(false)]);
+    harness.advance(ms(30));
+    verify_that!(adopted(&harness).len(), eq(1))
+}
+
+#[gtest]
+fn a_daemon_gets_a_lease_when_the_committed_and_the_proposed_membership_name_it() -> Result<()> {
+    let mut harness = elected_with_membership(&[("a", 1)]);
+    join_as(&mut harness, 1, ("a", 1), 1, 5000, true);
+    join_as(&mut harness, 2, ("b", 2), 1, 300, false);
+    harness.advance(ms(10));
+    verify_that!(is_renewed(&harness, 1), eq(true))?;
+    verify_that!(is_renewed(&harness, 2), eq(false))?;
+    verify_that!(harness.leader_state.due_membership(harness.now), none())?;
+    harness.now = harness.now + ms(40);
+    let due = harness.leader_state.due_membership(harness.now);
+    verify_that!(due.as_ref(), some(eq(&membership(&[("a", 1), ("b", 2)]))))?;
+    let mut next_document = document().with_membership(due.expect("a roster"));
+    next_document.document_version = DocumentVersion { term: Term(5), version: Version(4) };
+    next_document.hidden_versions = 2;
+    harness.leader_state.committed(next_document);
+    verify_that!(harness.leader_state.due_membership(harness.now), none())?;
+    let smaller = membership(&[("a", 1)]);
+    let quorum_confirmed_at = harness.now;
+    let proof = QuorumProof {
+        ready: true,
+        quorum_confirmed_at,
+        confirmed: &|_| true,
+        proposed_membership: Some(&smaller),
+    };
+    harness.outputs = harness.leader_state.progress(harness.now, &proof);
+    verify_that!(is_renewed(&harness, 2), eq(false))?;
+    harness.advance(ms(10));
+    verify_that!(is_renewed(&harness, 2), eq(true))?;
     let is_pushed = |output: &LeaderOutput| {
         matches!(
             output,
-            LeaderOutput::Down { frame: StreamDown::Change { .. } | StreamDown::Spec { .. }, .. }
+            LeaderOutput::FrameToDaemon {
+                frame: LeaderToDaemon::Change { .. } | LeaderToDaemon::Spec { .. },
+                ..
+            }
         )
     };
-    verify_that!(bench.outputs.iter().any(is_pushed), eq(false))
+    verify_that!(harness.outputs.iter().any(is_pushed), eq(false))
 }
 
 #[gtest]
-fn a_proof_from_before_a_life_joined_grants_it_nothing() -> Result<()> {
-    let mut bench = elected_with_roster(&[("a", 1)]);
-    bench.pass(ms(300));
-    come(&mut bench, 1, ("a", 1), 9, 100, false);
-    let before = bench.now - ms(5);
-    let proof = Proof { ready: true, quorum_moment: before, confirmed: &|_| true, in_flight: None };
-    bench.outputs = bench.leader_state.progress(bench.now + ms(100), &proof);
-    verify_that!(is_renewed(&bench, 1), eq(false))?;
-    verify_that!(bench.leader_state.wants_round(), eq(true))?;
-    bench.pass(ms(0));
-    verify_that!(is_renewed(&bench, 1), eq(true))
+fn a_quorum_proof_from_before_an_incarnation_joined_gives_it_no_lease() -> Result<()> {
+    let mut harness = elected_with_membership(&[("a", 1)]);
+    harness.advance(ms(300));
+    join_as(&mut harness, 1, ("a", 1), 9, 100, false);
+    let before = harness.now - ms(5);
+    let proof = QuorumProof {
+        ready: true,
+        quorum_confirmed_at: before,
+        confirmed: &|_| true,
+        proposed_membership: None,
+    };
+    harness.outputs = harness.leader_state.progress(harness.now + ms(100), &proof);
+    verify_that!(is_renewed(&harness, 1), eq(false))?;
+    verify_that!(harness.leader_state.needs_heartbeat_round(), eq(true))?;
+    harness.advance(ms(0));
+    verify_that!(is_renewed(&harness, 1), eq(true))
 }
 
 #[gtest]
-fn names_that_are_gone_for_long_leave_the_roster() -> Result<()> {
-    let mut bench = elected_with_roster(&[("a", 1), ("b", 2)]);
-    come(&mut bench, 1, ("a", 1), 1, 5000, true);
-    bench.pass(ms(100));
-    verify_that!(bench.leader_state.due_roster(bench.now), none())?;
-    bench.pass(ms(3800));
-    verify_that!(bench.leader_state.due_roster(bench.now), none())?;
-    bench.pass(ms(400));
-    verify_that!(bench.leader_state.due_roster(bench.now), none())?;
-    bench.pass(ms(40));
-    verify_that!(bench.leader_state.due_roster(bench.now), some(eq(&roster(&[("a", 1)]))))
+fn members_absent_for_long_leave_the_membership() -> Result<()> {
+    let mut harness = elected_with_membership(&[("a", 1), ("b", 2)]);
+    join_as(&mut harness, 1, ("a", 1), 1, 5000, true);
+    harness.advance(ms(100));
+    verify_that!(harness.leader_state.due_membership(harness.now), none())?;
+    harness.advance(ms(3800));
+    verify_that!(harness.leader_state.due_membership(harness.now), none())?;
+    harness.advance(ms(400));
+    verify_that!(harness.leader_state.due_membership(harness.now), none())?;
+    harness.advance(ms(40));
+    verify_that!(
+        harness.leader_state.due_membership(harness.now),
+        some(eq(&membership(&[("a", 1)])))
+    )
 }
 
 /// Daemons that are taken away in order would otherwise be waited for by the next leader.
 #[gtest]
-fn a_daemon_that_left_in_order_leaves_the_roster_when_it_does_not_restart() -> Result<()> {
-    let mut bench = elected_with_roster(&[("a", 1), ("b", 2)]);
-    come(&mut bench, 1, ("a", 1), 1, 5000, true);
-    come(&mut bench, 2, ("b", 2), 1, 5000, true);
-    bench.pass(ms(100));
-    bench.say(2, StreamUp::Leaving);
-    bench.leader_state.stream_lost(StreamId(2));
-    let left_at = bench.now;
-    let mut due_roster = None;
-    while due_roster.is_none() && bench.now.since(left_at) < ms(4000) {
-        bench.pass(ms(20));
-        due_roster = bench.leader_state.due_roster(bench.now);
+fn a_daemon_that_departed_orderly_leaves_the_membership_when_it_does_not_restart() -> Result<()> {
+    let mut harness = elected_with_membership(&[("a", 1), ("b", 2)]);
+    join_as(&mut harness, 1, ("a", 1), 1, 5000, true);
+    join_as(&mut harness, 2, ("b", 2), 1, 5000, true);
+    harness.advance(ms(100));
+    harness.send(2, DaemonToLeader::Leaving);
+    harness.leader_state.stream_lost(StreamId(2));
+    let departed_at = harness.now;
+    let mut due_membership = None;
+    while due_membership.is_none() && harness.now.since(departed_at) < ms(4000) {
+        harness.advance(ms(20));
+        due_membership = harness.leader_state.due_membership(harness.now);
     }
-    verify_that!(due_roster, some(eq(&roster(&[("a", 1)]))))?;
-    verify_that!(bench.now.since(left_at), ge(ms(2200)))?;
-    verify_that!(bench.now.since(left_at), lt(ms(2900)))
-}
-
-#[gtest]
-fn a_daemon_that_left_in_order_and_restarts_stays_in_the_roster() -> Result<()> {
-    let mut bench = elected_with_roster(&[("a", 1), ("b", 2)]);
-    come(&mut bench, 1, ("a", 1), 1, 5000, true);
-    come(&mut bench, 2, ("b", 2), 1, 5000, true);
-    bench.pass(ms(100));
-    bench.say(2, StreamUp::Leaving);
-    bench.leader_state.stream_lost(StreamId(2));
-    bench.pass(ms(1000));
-    verify_that!(bench.leader_state.due_roster(bench.now), none())?;
-    come(&mut bench, 3, ("b", 2), 2, 100, false);
+    verify_that!(due_membership, some(eq(&membership(&[("a", 1)]))))?;
+    verify_that!(harness.now.since(departed_at), ge(ms(2200)))?;
+    verify_that!(harness.now.since(departed_at), lt(ms(2900)))
+}
+
+#[gtest]
+fn a_daemon_that_departed_orderly_and_restarts_stays_in_the_membership() -> Result<()> {
+    let mut harness = elected_with_membership(&[("a", 1), ("b", 2)]);
+    join_as(&mut harness, 1, ("a", 1), 1, 5000, true);
+    join_as(&mut harness, 2, ("b", 2), 1, 5000, true);
+    harness.advance(ms(100));
+    harness.send(2, DaemonToLeader::Leaving);
+    harness.leader_state.stream_lost(StreamId(2));
+    harness.advance(ms(1000));
+    verify_that!(harness.leader_state.due_membership(harness.now), none())?;
+    join_as(&mut harness, 3, ("b", 2), 2, 100, false);
     for _ in 0..40 {
-        bench.pass(ms(100));
-        verify_that!(bench.leader_state.due_roster(bench.now), none())?;
+        harness.advance(ms(100));
+        verify_that!(harness.leader_state.due_membership(harness.now), none())?;
     }
     Ok(())
 }
 
 /// With two controllers of three in touch, but most daemons taken away or cut off, the others serve.
 #[gtest]
-fn a_leader_opens_with_those_that_came_once_the_others_are_struck_off() -> Result<()> {
-    let mut bench = elected_with_roster(&[("a", 1), ("b", 2), ("c", 3), ("d", 4)]);
-    come(&mut bench, 1, ("a", 1), 1, 5000, true);
-    bench.pass(ms(3900));
-    bench.listed(&[]);
-    bench.pass(ms(50));
-    verify_that!(bench.leader_state.is_open(), eq(false))?;
-    bench.pass(ms(200));
-    bench.listed(&[]);
-    bench.pass(ms(50));
-    verify_that!(bench.leader_state.is_open(), eq(true))
+fn a_leader_opens_with_those_that_joined_once_the_others_are_dropped() -> Result<()> {
+    let mut harness = elected_with_membership(&[("a", 1), ("b", 2), ("c", 3), ("d", 4)]);
+    join_as(&mut harness, 1, ("a", 1), 1, 5000, true);
+    harness.advance(ms(3900));
+    harness.listed(&[]);
+    harness.advance(ms(50));
+    verify_that!(harness.leader_state.is_open(), eq(false))?;
+    harness.advance(ms(200));
+    harness.listed(&[]);
+    harness.advance(ms(50));
+    verify_that!(harness.leader_state.is_open(), eq(true))
 }
 
 const NARROW_MBPS: u32 = 2;
 const WIDE_MBPS: u32 = 100;
 
 /// A leader that knows one host, on a narrow link, and has granted the function to it.
-fn granted_on_a_narrow_link() -> Bench {
-    let mut bench = Bench::new(&["a"]);
-    bench.join_on(1, "a", NARROW_MBPS, vec![]);
-    bench.pass(ms(100));
-    bench.listed(&[]);
-    bench.acquire(1);
-    bench.pass(ms(100));
-    bench
+fn granted_on_a_narrow_link() -> Harness {
+    let mut harness = Harness::new(&["a"]);
+    harness.join_on(1, "a", NARROW_MBPS, vec![]);
+    harness.advance(ms(100));
+    harness.listed(&[]);
+    harness.acquire(1);
+    harness.advance(ms(100));
+    harness
 }
 
 /// How often the function is asked back in five seconds.
-fn hand_overs(bench: &mut Bench) -> usize {
+fn hand_overs(harness: &mut Harness) -> usize {
     let mut seen = 0;
     for _ in 0..50 {
-        bench.pass(ms(100));
+        harness.advance(ms(100));
         let is_hand_over = |output: &&LeaderOutput| {
-            matches!(output, LeaderOutput::Down { frame: StreamDown::HandOver { .. }, .. })
+            matches!(
+                output,
+                LeaderOutput::FrameToDaemon { frame: LeaderToDaemon::HandOver { .. }, .. }
+            )
         };
-        seen += bench.outputs.iter().filter(is_hand_over).count();
-        bench.renew(1);
+        seen += harness.outputs.iter().filter(is_hand_over).count();
+        harness.renew(1);
     }
     seen
 }
@@ -872,120 +926,121 @@
 /// link. The busiest function of a deployment must not stay there once the others have joined.
 #[gtest]
 fn a_function_leaves_a_narrow_link_once_enough_wide_ones_have_joined() -> Result<()> {
-    let mut bench = granted_on_a_narrow_link();
-    verify_that!(matches!(bench.acquired(), Some(AcquireResult::Granted { .. })), eq(true))?;
+    let mut harness = granted_on_a_narrow_link();
+    verify_that!(matches!(harness.acquired(), Some(AcquireResult::Granted { .. })), eq(true))?;
     for (stream, name) in [(2, "b"), (3, "c"), (4, "d")] {
-        bench.join_on(stream, name, WIDE_MBPS, vec![]);
+        harness.join_on(stream, name, WIDE_MBPS, vec![]);
     }
-    verify_that!(hand_overs(&mut bench), eq(1))
+    verify_that!(hand_overs(&mut harness), eq(1))
 }
 
 #[gtest]
 fn a_function_stays_on_a_narrow_link_while_too_few_wide_ones_have_joined() -> Result<()> {
-    let mut bench = granted_on_a_narrow_link();
+    let mut harness = granted_on_a_narrow_link();
     for (stream, name) in [(2, "b"), (3, "c")] {
-        bench.join_on(stream, name, WIDE_MBPS, vec![]);
+        harness.join_on(stream, name, WIDE_MBPS, vec![]);
     }
-    verify_that!(hand_overs(&mut bench), eq(0))
+    verify_that!(hand_overs(&mut harness), eq(0))
 }
 
 /// A leader that has just opened, with hosts on wide links, and a question from the one on a narrow link.
-fn asked_from_a_narrow_link() -> Bench {
-    let mut bench = Bench::new(&["a"]);
-    bench.join_on(1, "a", NARROW_MBPS, vec![]);
+fn acquisition_from_a_narrow_link() -> Harness {
+    let mut harness = Harness::new(&["a"]);
+    harness.join_on(1, "a", NARROW_MBPS, vec![]);
     for (stream, name) in [(2, "b"), (3, "c"), (4, "d")] {
-        bench.join_on(stream, name, WIDE_MBPS, vec![]);
+        harness.join_on(stream, name, WIDE_MBPS, vec![]);
     }
-    bench.pass(ms(100));
-    bench.listed(&[]);
-    bench.acquire(1);
-    bench.pass(ms(100));
-    bench
+    harness.advance(ms(100));
+    harness.listed(&[]);
+    harness.acquire(1);
+    harness.advance(ms(100));
+    harness
 }
 
 /// The first to ask may be a host on a narrow link, from when it knew no others. One on a wide link that asks
 /// meanwhile goes first, and the other is told of it.
 #[gtest]
-fn a_question_from_a_narrow_link_waits_for_one_from_a_wide_link() -> Result<()> {
-    let mut bench = asked_from_a_narrow_link();
-    verify_that!(bench.leader_state.is_open(), eq(true))?;
-    verify_that!(bench.acquired(), none())?;
-    bench.acquire(3);
-    bench.pass(ms(100));
-    verify_that!(matches!(bench.acquired(), Some(AcquireResult::Granted { .. })), eq(true))?;
-    bench.pass(ms(100));
-    verify_that!(matches!(bench.acquired(), Some(AcquireResult::Owner { .. })), eq(true))
+fn an_acquisition_from_a_narrow_link_waits_for_one_from_a_wide_link() -> Result<()> {
+    let mut harness = acquisition_from_a_narrow_link();
+    verify_that!(harness.leader_state.is_open(), eq(true))?;
+    verify_that!(harness.acquired(), none())?;
+    harness.acquire(3);
+    harness.advance(ms(100));
+    verify_that!(matches!(harness.acquired(), Some(AcquireResult::Granted { .. })), eq(true))?;
+    harness.advance(ms(100));
+    verify_that!(matches!(harness.acquired(), Some(AcquireResult::Owner { .. })), eq(true))
 }
 
 #[gtest]
-fn a_question_from_a_narrow_link_that_no_wide_one_joins_is_granted_after_a_second() -> Result<()> {
-    let mut bench = asked_from_a_narrow_link();
-    verify_that!(bench.leader_state.is_open(), eq(true))?;
-    bench.pass(ms(900));
-    verify_that!(bench.acquired(), none())?;
-    bench.renew(1);
-    bench.pass(ms(200));
-    verify_that!(matches!(bench.acquired(), Some(AcquireResult::Granted { .. })), eq(true))
+fn an_acquisition_from_a_narrow_link_without_a_wide_rival_is_granted_after_a_second() -> Result<()>
+{
+    let mut harness = acquisition_from_a_narrow_link();
+    verify_that!(harness.leader_state.is_open(), eq(true))?;
+    harness.advance(ms(900));
+    verify_that!(harness.acquired(), none())?;
+    harness.renew(1);
+    harness.advance(ms(200));
+    verify_that!(matches!(harness.acquired(), Some(AcquireResult::Granted { .. })), eq(true))
 }
 
 /// What a new leader tells a daemon that has serial 2, before and after it has committed serial 3; it saw both.
-fn told_by_a_new_leader() -> (usize, Vec<&'static str>) {
+fn sent_by_a_new_leader() -> (usize, Vec<&'static str>) {
     let newest = document().with_zone("l9".into(), true, ChangeId::from("turn"));
     let earlier_views = VecDeque::from([document().view(), newest.view()]);
     let leader_state =
         LeaderState::new(LeaderTiming::builder().build(), Term(6), ELECTED, BTreeSet::new(), true);
     let leader_state = leader_state.with_earlier_views(earlier_views);
-    let mut bench = Bench { leader_state, now: ELECTED, outputs: Vec::new() };
-    let told = |bench: &Bench| -> Vec<&'static str> {
-        let frames = bench.outputs.iter().filter_map(|output| match output {
-            LeaderOutput::Down { frame, .. } => Some(frame),
+    let mut harness = Harness { leader_state, now: ELECTED, outputs: Vec::new() };
+    let sent = |harness: &Harness| -> Vec<&'static str> {
+        let frames = harness.outputs.iter().filter_map(|output| match output {
+            LeaderOutput::FrameToDaemon { frame, .. } => Some(frame),
             _ => None,
         });
         let specs = frames.filter_map(|frame| match frame {
-            StreamDown::Spec { .. } => Some("whole"),
-            StreamDown::Change { .. } => Some("change"),
+            LeaderToDaemon::Spec { .. } => Some("whole"),
+            LeaderToDaemon::Change { .. } => Some("change"),
             _ => None,
         });
         specs.collect()
     };
-    bench.join(1, "th-1", Vec::new());
-    bench.pass(ms(1));
-    let before_count = told(&bench).len();
-    bench.leader_state.committed(newest);
-    bench.pass(ms(1));
-    (before_count, told(&bench))
+    harness.join(1, "th-1", Vec::new());
+    harness.advance(ms(1));
+    let before_count = sent(&harness).len();
+    harness.leader_state.committed(newest);
+    harness.advance(ms(1));
+    (before_count, sent(&harness))
 }
 
 #[gtest]
-fn a_new_leader_tells_daemons_a_little_behind_what_changed() -> Result<()> {
-    let (before_count, told) = told_by_a_new_leader();
+fn a_new_leader_sends_daemons_a_little_behind_the_delta() -> Result<()> {
+    let (before_count, sent) = sent_by_a_new_leader();
     verify_that!(before_count, eq(0))?;
-    verify_that!(told, elements_are![eq(&"change")])
+    verify_that!(sent, elements_are![eq(&"change")])
 }
 
 /// What operators are told of daemons, holders, workers and runners, with each key and each form of a value.
 #[gtest]
 fn reports_keep_their_keys_and_values() {
-    let mut bench = Bench::new(&["a", "b"]);
-    bench.join(1, "a", vec![fit_claim(false)]);
-    bench.join(2, "b", Vec::new());
-    bench.listed(&[]);
-    bench.pass(ms(10));
+    let mut harness = Harness::new(&["a", "b"]);
+    harness.join(1, "a", vec![adoptable_claim(false)]);
+    harness.join(2, "b", Vec::new());
+    harness.listed(&[]);
+    harness.advance(ms(10));
     let worker = |name: &str, draining| ListedWorker {
         worker: name.into(),
         zone: "l1".into(),
         memory_mb: 100_000,
         draining,
     };
-    bench.leader_state.workers_listed(vec![worker("w", false), worker("w-2", true)]);
-    let grant = granted(&mut bench, 2, "g");
-    reserve(&mut bench, 2, "g", grant);
-    let leader_state = &bench.leader_state;
+    harness.leader_state.workers_listed(vec![worker("w", false), worker("w-2", true)]);
+    let fencing_token = granted(&mut harness, 2, "g");
+    reserve(&mut harness, 2, "g", fencing_token);
+    let leader_state = &harness.leader_state;
     let known_zones: Vec<String> =
         leader_state.known_zones().iter().map(ToString::to_string).collect();
     let counts: Vec<(&str, u64)> = leader_state.counts().into();
     let seen = json!({
-        "members": leader_state.report_members(bench.now),
+        "members": leader_state.report_members(harness.now),
         "holders": leader_state.report_holders(),
         "workers": leader_state.report_workers(),
         "runners": leader_state.report_runners(),
--- a/crates/controlplane/tests/operators_forms.rs
+++ b/crates/controlplane/tests/operators_forms.rs
@@ -5,14 +5,14 @@
 #[path = "../../../testing/support/wire.rs"]
 mod wire;
 
-use common::frames::Place;
-use common::identity::{ChangeId, Serial, Term, Zone};
-use common::readers::{FaultReason, PathFault};
+use common::frames::SocketAddress;
+use common::identity::{ChangeId, Term, Version, Zone};
+use common::readers::{PathError, PathErrorReason};
 use common::spec::Document;
 use controlplane::controller_state::{
-    ChangeKind, Operation, OperationReply, Unavailable, Wait, change_name,
+    ChangeKind, Operation, OperationReply, Unavailable, Wait, derive_change_id,
 };
-use controlplane::drivers::{OperatorsTongue, OwnOperators};
+use controlplane::drivers::{NativeOperatorApi, OperatorApiAdapter};
 use hyper::http::request::Parts;
 use hyper::{Method, Request};
 use serde_json::{Value, json};
@@ -30,7 +30,7 @@
 
 fn shown_kind(kind: &ChangeKind) -> Value {
     match kind {
-        ChangeKind::Whole(spec) => json!({"spec": spec.to_value()}),
+        ChangeKind::FullSpec(spec) => json!({"spec": spec.to_value()}),
         ChangeKind::Patch(patch) => json!({"patch": patch}),
         ChangeKind::Items(items) => json!({
             "put": {
@@ -54,22 +54,22 @@
             "change": shown_kind(kind),
             "wait": if *wait == Wait::InForce { "in_force" } else { "accepted" },
         }),
-        Operation::AskChange(change) => json!({"ask of the change": change.as_str()}),
+        Operation::ChangeStatus(change) => json!({"ask of the change": change.as_str()}),
         Operation::Members => json!("members"),
         Operation::Holders => json!("holders"),
         Operation::Workers => json!("workers"),
         Operation::Runners => json!("runners"),
-        Operation::ShowCore => json!("core"),
-        Operation::Found => json!("found"),
+        Operation::ShowQuorum => json!("core"),
+        Operation::Bootstrap => json!("found"),
         Operation::Replace(missing, successor) => json!({"replace": [missing.0, successor.0]}),
         Operation::Events(first_number) => json!({"events from": first_number}),
-        Operation::Trace(serial) => json!({"trace": serial.0}),
+        Operation::Trace(version) => json!({"trace": version.0}),
         Operation::Metrics => json!("metrics"),
     }
 }
 
 async fn read(method: &str, target: &str, body: &str) -> String {
-    match OwnOperators.read(&head(method, target), body.as_bytes()) {
+    match NativeOperatorApi.read(&head(method, target), body.as_bytes()) {
         Ok(operation) => shown(&operation).to_string(),
         Err(served) => wire::response(*served).await,
     }
@@ -78,7 +78,7 @@
 #[tokio::test]
 async fn every_path_is_read_as_before() {
     let mut text = String::new();
-    let asked = [
+    let operation = [
         "GET /metrics",
         "GET /v1/spec",
         "GET /v1/spec/",
@@ -110,7 +110,7 @@
         "PUT /v1/spec",
         "PATCH /v1/spec",
     ];
-    for line in asked {
+    for line in operation {
         let (method, target) = line.split_once(' ').expect("a method");
         let _ = writeln!(text, "## {line}\n{}\n", read(method, target, "").await);
     }
@@ -208,33 +208,36 @@
 
 fn replies() -> Vec<(&'static str, OperationReply)> {
     let change = ChangeId::from("release-42");
-    let serial = Serial(6);
+    let version = Version(6);
     let accepted = |number, in_force| OperationReply::Accepted {
         change: change.clone(),
-        serial,
+        version,
         number,
         in_force,
     };
-    let stale = |number| OperationReply::Stale { change: change.clone(), serial, number };
-    let path_fault = |path: &str, reason| PathFault { path: path.to_owned(), reason };
+    let stale = |number| OperationReply::Stale { change: change.clone(), version, number };
+    let path_error = |path: &str, reason| PathError { path: path.to_owned(), reason };
     let invalid = OperationReply::Invalid(vec![
-        path_fault("functions.f.slots", FaultReason::Missing),
-        path_fault("functions.f.boot_ms", FaultReason::NotA("a whole number")),
-        path_fault("routes.r.budget_ms", FaultReason::OutOfBounds(1, 60_000)),
-        path_fault("routes.r.colour", FaultReason::UnknownField),
-        path_fault("routes.r.function", FaultReason::NoSuch("function", "g".to_owned())),
-        path_fault("routes.s", FaultReason::Duplicate("routes.r".to_owned())),
-        path_fault("routes.r.path", FaultReason::Form("is odd".to_owned())),
-        path_fault("", FaultReason::Missing),
+        path_error("functions.f.slots", PathErrorReason::Missing),
+        path_error("functions.f.boot_ms", PathErrorReason::WrongType("a whole number")),
+        path_error("routes.r.budget_ms", PathErrorReason::OutOfBounds(1, 60_000)),
+        path_error("routes.r.colour", PathErrorReason::UnknownField),
+        path_error(
+            "routes.r.function",
+            PathErrorReason::UnknownReference("function", "g".to_owned()),
+        ),
+        path_error("routes.s", PathErrorReason::Duplicate("routes.r".to_owned())),
+        path_error("routes.r.path", PathErrorReason::Malformed("is odd".to_owned())),
+        path_error("", PathErrorReason::Missing),
     ]);
     let zones = |names: &[&str]| names.iter().map(|name| Zone::from(*name)).collect();
     let mut document = Document::founding(Vec::new()).numbered(12);
-    document.stamp.term = Term(3);
+    document.document_version.term = Term(3);
     document = document.with_zone(Zone::from("north"), true, ChangeId::from("c"));
-    let spec = OperationReply::Spec { document: Box::new(document), in_force: Serial(1) };
+    let spec = OperationReply::Spec { document: Box::new(document), in_force: Version(1) };
     let known: BTreeSet<Zone> = zones(&["north", "south"]);
     vec![
-        ("said", OperationReply::Said(418, json!({"any": "body"}))),
+        ("said", OperationReply::StatusAndBody(418, json!({"any": "body"}))),
         ("spec", spec),
         ("accepted", accepted(0, false)),
         ("accepted, numbered", accepted(9, false)),
@@ -245,7 +248,10 @@
         ("invalid", invalid),
         ("no zone", OperationReply::NoZone { zone: Zone::from("east"), known }),
         ("last zone", OperationReply::LastZone),
-        ("elsewhere", OperationReply::Elsewhere(Place("10.0.0.1:7111".parse().expect("one")))),
+        (
+            "elsewhere",
+            OperationReply::Redirect(SocketAddress("10.0.0.1:7111".parse().expect("one"))),
+        ),
     ]
 }
 
@@ -273,14 +279,15 @@
             replies.push(("not accepted", not_accepted));
             replies.push(("unknown", OperationReply::Unknown { reason, change }));
         }
-        replies.push(("not now", OperationReply::NotNow(reason)));
+        replies.push(("not now", OperationReply::TemporarilyUnavailable(reason)));
     }
     let mut text = String::new();
     for (what, reply) in replies {
-        let message = wire::response(OwnOperators.say(&Operation::ReadSpec, reply)).await;
+        let message =
+            wire::response(NativeOperatorApi.write_response(&Operation::ReadSpec, reply)).await;
         let _ = writeln!(text, "## {what}\n{message}\n");
     }
-    let _ = writeln!(text, "ready path: {}", OwnOperators.ready_path());
+    let _ = writeln!(text, "ready path: {}", NativeOperatorApi.readiness_path());
     check("operator_answers.txt", &text);
 }
 
@@ -289,14 +296,14 @@
 fn a_change_without_a_name_keeps_the_one_that_it_gets() {
     let spec = json!({"functions": {}, "routes": {}, "labels": {"made": "by hand"}});
     let kinds = [
-        ChangeKind::Whole(spec.clone().into()),
+        ChangeKind::FullSpec(spec.clone().into()),
         ChangeKind::Patch(spec),
         ChangeKind::Evacuate { zone: Zone::from("north"), force: true },
         ChangeKind::Restore { zone: Zone::from("north") },
     ];
     let mut text = String::new();
     for kind in &kinds {
-        let name = change_name(Some(Serial(4)), None, kind);
+        let name = derive_change_id(Some(Version(4)), None, kind);
         let _ = writeln!(text, "{}: {}", shown_kind(kind), name.as_str());
     }
     check("change_names.txt", &text);
--- a/crates/controlplane/tests/queue.rs
+++ b/crates/controlplane/tests/queue.rs
@@ -1,16 +1,16 @@
 //! The controller's input queue lets leadership pass, and keeps nothing else waiting for ever.
 
-use common::frames::Place;
+use common::frames::SocketAddress;
 use common::identity::Ticket;
+use controlplane::consensus::WriteResult;
 use controlplane::controller_state::ControllerInput;
-use controlplane::core::WriteResult;
 use controlplane::drivers::queue::{InputKind, InputQueue, input_queue};
 use controlplane::leader_state::StreamId;
 use googletest::prelude::*;
 use std::time::Duration;
 
-async fn next_kind(queue: &mut InputQueue, idle_span: Duration) -> InputKind {
-    InputKind::of(&queue.next(idle_span).await.input)
+async fn next_kind(queue: &mut InputQueue, idle_timeout: Duration) -> InputKind {
+    InputKind::of(&queue.next(idle_timeout).await.input)
 }
 
 #[tokio::test]
@@ -19,7 +19,7 @@
     for stream in 0..1_000 {
         sender.send(ControllerInput::StreamLost(StreamId(stream))).await.expect("queued");
     }
-    sender.send(ControllerInput::Gone(Place::NOWHERE)).await.expect("queued");
+    sender.send(ControllerInput::ProcessGone(SocketAddress::UNSPECIFIED)).await.expect("queued");
     let written = ControllerInput::Written(Ticket(1), WriteResult::Synced);
     sender.send(written).await.expect("queued");
     let hour = Duration::from_secs(3600);
@@ -46,7 +46,7 @@
 async fn a_stopped_controller_takes_nothing() {
     let (sender, queue) = input_queue();
     drop(queue);
-    let sent = sender.send(ControllerInput::Gone(Place::NOWHERE)).await;
+    let sent = sender.send(ControllerInput::ProcessGone(SocketAddress::UNSPECIFIED)).await;
     assert_that!(sent.is_err(), eq(true));
     assert_that!(sender.is_closed(), eq(true));
 }
--- a/crates/controlplane/tests/quorum_model/explore.rs
+++ b/crates/controlplane/tests/quorum_model/explore.rs
@@ -1,25 +1,25 @@
 //! Every way in which a bounded number of deviations can fall into a quiet run.
 
-use super::history::Breach;
+use super::history::SafetyViolation;
 use super::model::{Deviation, Model, Setup};
 use std::collections::HashSet;
 
-const LONGEST_WITHOUT_LEADER: usize = 60;
+const MAX_STEPS_WITHOUT_LEADER: usize = 60;
 
 /// How far the exploration goes.
 #[derive(Clone, Copy, Debug)]
-pub struct Bound {
+pub struct ExplorationBounds {
     /// How many deviations a run may have.
     pub deviations: usize,
     /// Within how many steps one deviation follows another.
     pub window: usize,
     /// How many orders are given.
-    pub orders: usize,
+    pub changes: usize,
 }
 
 /// What was explored.
 #[derive(Clone, Copy, Default, Debug)]
-pub struct Explored {
+pub struct ExplorationCounts {
     /// States that differ from each other.
     pub states: usize,
     /// Runs that came to their end.
@@ -27,57 +27,61 @@
 }
 
 /// A breach, and the deviations that led to it, with the step at which each came.
-pub type Found = (Breach, Vec<(usize, Deviation)>);
+pub type ViolatingRun = (SafetyViolation, Vec<(usize, Deviation)>);
 
 #[derive(Clone)]
 struct Run {
     model: Model,
-    orders_left: usize,
+    remaining_changes: usize,
     steps: usize,
-    leaderless: usize,
+    steps_without_leader: usize,
     deviations: Vec<(usize, Deviation)>,
 }
 
 /// Explores all runs within the bound; the first breach ends it.
-pub fn explore(setup: Setup, bound: Bound) -> (Explored, Option<Found>) {
-    let mut explored = Explored::default();
+pub fn explore(
+    setup: Setup,
+    bounds: ExplorationBounds,
+) -> (ExplorationCounts, Option<ViolatingRun>) {
+    let mut counts = ExplorationCounts::default();
     let mut known_states = HashSet::new();
     let first = Run {
         model: Model::new(setup),
-        orders_left: bound.orders,
+        remaining_changes: bounds.changes,
         steps: 0,
-        leaderless: 0,
+        steps_without_leader: 0,
         deviations: Vec::new(),
     };
     let mut open_runs = vec![first];
     while let Some(run) = open_runs.pop() {
-        let state = (run.model.fingerprint(), run.orders_left, run.deviations.len(), run.steps);
+        let state =
+            (run.model.fingerprint(), run.remaining_changes, run.deviations.len(), run.steps);
         if !known_states.insert(state) {
             continue;
         }
-        explored.states += 1;
-        for deviation in deviations_at(&run, bound) {
+        counts.states += 1;
+        for deviation in deviations_at(&run, bounds) {
             let mut deviating = run.clone();
             deviating.deviations.push((run.steps, deviation));
             match deviating.model.deviate(deviation) {
                 Ok(()) => open_runs.push(deviating),
-                Err(breach) => return (explored, Some((breach, deviating.deviations))),
+                Err(violation) => return (counts, Some((violation, deviating.deviations))),
             }
         }
         let deviations = run.deviations.clone();
         match advance(run) {
             Ok(Some(next)) => open_runs.push(next),
-            Ok(None) => explored.runs += 1,
-            Err(breach) => return (explored, Some((breach, deviations))),
+            Ok(None) => counts.runs += 1,
+            Err(violation) => return (counts, Some((violation, deviations))),
         }
     }
-    (explored, None)
+    (counts, None)
 }
 
-fn deviations_at(run: &Run, bound: Bound) -> Vec<Deviation> {
+fn deviations_at(run: &Run, bounds: ExplorationBounds) -> Vec<Deviation> {
     let is_late =
-        run.deviations.last().is_some_and(|(last_step, _)| run.steps - last_step > bound.window);
-    if run.deviations.len() >= bound.deviations || is_late {
+        run.deviations.last().is_some_and(|(last_step, _)| run.steps - last_step > bounds.window);
+    if run.deviations.len() >= bounds.deviations || is_late {
         return Vec::new();
     }
     let running = run.model.running();
@@ -101,31 +105,31 @@
 }
 
 /// One more step of a run without deviation; nothing when it has come to its end.
-fn advance(mut run: Run) -> Result<Option<Run>, Breach> {
+fn advance(mut run: Run) -> Result<Option<Run>, SafetyViolation> {
     run.steps += 1;
     if !run.model.is_quiet() {
         run.model.step()?;
         return Ok(Some(run));
     }
     match run.model.leader() {
-        Some(leader) if run.orders_left > 0 => {
-            run.orders_left -= 1;
-            run.leaderless = 0;
-            run.model.order(leader)?;
+        Some(leader) if run.remaining_changes > 0 => {
+            run.remaining_changes -= 1;
+            run.steps_without_leader = 0;
+            run.model.propose_change(leader)?;
         }
         Some(_) => {
             run.model.deviate(Deviation::Heal)?;
             run.model.make_progress()?;
             return Ok(None);
         }
-        None if run.leaderless == LONGEST_WITHOUT_LEADER => {
-            run.leaderless = 0;
+        None if run.steps_without_leader == MAX_STEPS_WITHOUT_LEADER => {
+            run.steps_without_leader = 0;
             run.model.deviate(Deviation::Heal)?;
-            run.model.pass()?;
+            run.model.advance_time()?;
         }
         None => {
-            run.leaderless += 1;
-            run.model.pass()?;
+            run.steps_without_leader += 1;
+            run.model.advance_time()?;
         }
     }
     Ok(Some(run))
--- a/crates/controlplane/tests/quorum_model/history.rs
+++ b/crates/controlplane/tests/quorum_model/history.rs
@@ -1,33 +1,35 @@
 //! What a control quorum did, judged against what must hold whatever happens.
 
-use common::identity::{ControllerId, Stamp, Term, Zone};
+use common::identity::{ControllerId, DocumentVersion, Term, Zone};
 use common::spec::Document;
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
 /// Something that must never happen.
 #[derive(Clone, PartialEq, Eq, Debug)]
-pub enum Breach {
+pub enum SafetyViolation {
     /// Two controllers were elected in one term.
     TwoLeaders(Term),
     /// Two different documents were committed under one stamp.
-    TwoVersions(Stamp),
+    TwoVersions(DocumentVersion),
     /// A committed change is not in a version that was committed above it.
-    Lost(Stamp, Stamp),
+    LostChange(DocumentVersion, DocumentVersion),
     /// A reader was served a version without a change that was committed before it asked.
-    StaleRead(Stamp),
+    StaleRead(DocumentVersion),
     /// The quorum bears what was lost, and yet took no order.
     NoProgress,
 }
 
-impl fmt::Display for Breach {
+impl fmt::Display for SafetyViolation {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::TwoLeaders(term) => write!(out, "two leaders in term {}", term.0),
-            Self::TwoVersions(stamp) => write!(out, "two versions committed as {stamp}"),
-            Self::Lost(lower, upper) => write!(out, "{upper} lacks what {lower} committed"),
-            Self::StaleRead(stamp) => {
-                write!(out, "a reader was served {stamp}, which is overtaken")
+            Self::TwoVersions(document_version) => {
+                write!(out, "two versions committed as {document_version}")
+            }
+            Self::LostChange(lower, upper) => write!(out, "{upper} lacks what {lower} committed"),
+            Self::StaleRead(document_version) => {
+                write!(out, "a reader was served {document_version}, which is overtaken")
             }
             Self::NoProgress => write!(out, "no order is taken any more"),
         }
@@ -41,34 +43,38 @@
 #[derive(Clone, Default)]
 pub struct History {
     leaders: BTreeMap<Term, ControllerId>,
-    committed: BTreeMap<Stamp, Changes>,
+    committed: BTreeMap<DocumentVersion, Changes>,
     newest: Changes,
 }
 
 impl History {
     /// Notes an election.
-    pub fn elected(&mut self, term: Term, leader: ControllerId) -> Result<(), Breach> {
+    pub fn elected(&mut self, term: Term, leader: ControllerId) -> Result<(), SafetyViolation> {
         let known_leader = *self.leaders.entry(term).or_insert(leader);
-        if known_leader == leader { Ok(()) } else { Err(Breach::TwoLeaders(term)) }
+        if known_leader == leader { Ok(()) } else { Err(SafetyViolation::TwoLeaders(term)) }
     }
 
     /// Notes a commit.
-    pub fn committed(&mut self, document: &Document) -> Result<(), Breach> {
-        let stamp = document.stamp;
+    pub fn committed(&mut self, document: &Document) -> Result<(), SafetyViolation> {
+        let document_version = document.document_version;
         let changes = &document.evacuated;
-        if self.committed.get(&stamp).is_some_and(|known| known != changes) {
-            return Err(Breach::TwoVersions(stamp));
+        if self
+            .committed
+            .get(&document_version)
+            .is_some_and(|known_changes| known_changes != changes)
+        {
+            return Err(SafetyViolation::TwoVersions(document_version));
         }
-        let mut below = self.committed.range(..stamp);
+        let mut below = self.committed.range(..document_version);
         if let Some((lower, _)) = below.find(|(_, lower)| !lower.is_subset(changes)) {
-            return Err(Breach::Lost(*lower, stamp));
+            return Err(SafetyViolation::LostChange(*lower, document_version));
         }
-        let mut above = self.committed.range(stamp..);
+        let mut above = self.committed.range(document_version..);
         if let Some((upper, _)) = above.find(|(_, upper)| !changes.is_subset(upper)) {
-            return Err(Breach::Lost(stamp, *upper));
+            return Err(SafetyViolation::LostChange(document_version, *upper));
         }
         self.newest.extend(changes.iter().cloned());
-        self.committed.insert(stamp, changes.clone());
+        self.committed.insert(document_version, changes.clone());
         Ok(())
     }
 
@@ -78,11 +84,15 @@
     }
 
     /// Judges what a reader is served that asked when these changes had been committed.
-    pub fn served(&self, asked_at: &Changes, served: &Document) -> Result<(), Breach> {
-        if asked_at.is_subset(&served.evacuated) {
+    pub fn served(
+        &self,
+        changes_at_read: &Changes,
+        served: &Document,
+    ) -> Result<(), SafetyViolation> {
+        if changes_at_read.is_subset(&served.evacuated) {
             Ok(())
         } else {
-            Err(Breach::StaleRead(served.stamp))
+            Err(SafetyViolation::StaleRead(served.document_version))
         }
     }
 }
--- a/crates/controlplane/tests/quorum_model/main.rs
+++ b/crates/controlplane/tests/quorum_model/main.rs
@@ -8,62 +8,69 @@
 mod walk;
 
 use common::rules::{Rule, Rules};
-use explore::{Bound, explore};
+use explore::{ExplorationBounds, explore};
 use googletest::prelude::*;
-use history::Breach;
+use history::SafetyViolation;
 use model::Setup;
 use walk::walk;
 
-const SMALL: Bound = Bound { deviations: 2, window: 1, orders: 1 };
-const PLANTED: Bound = Bound { deviations: 3, window: 8, orders: 2 };
+const SMALL_BOUNDS: ExplorationBounds = ExplorationBounds { deviations: 2, window: 1, changes: 1 };
+const FLAWED_RULE_BOUNDS: ExplorationBounds =
+    ExplorationBounds { deviations: 3, window: 8, changes: 2 };
 const WALKS: u64 = 40;
 
 /// A number that a longer run by command asks for.
-fn asked_for(name: &str, otherwise: u64) -> u64 {
+fn number_from_env(name: &str, otherwise: u64) -> u64 {
     std::env::var(name).ok().and_then(|text| text.parse().ok()).unwrap_or(otherwise)
 }
 
 #[gtest]
 fn three_voters_keep_every_invariant_whatever_deviates() -> Result<()> {
-    let window = asked_for("QUORUM_WINDOW", SMALL.window as u64) as usize;
-    let orders = asked_for("QUORUM_ORDERS", SMALL.orders as u64) as usize;
-    let bound = Bound { window, orders, ..SMALL };
-    let (explored, found) = explore(Setup::sound(3, 3, 1, 1), bound);
-    println!("{} states and {} whole runs within {bound:?}", explored.states, explored.runs);
-    verify_that!(found, none())
+    let window = number_from_env("QUORUM_WINDOW", SMALL_BOUNDS.window as u64) as usize;
+    let changes = number_from_env("QUORUM_ORDERS", SMALL_BOUNDS.changes as u64) as usize;
+    let bounds = ExplorationBounds { window, changes, ..SMALL_BOUNDS };
+    let (counts, violating_run) = explore(Setup::correct(3, 3, 1, 1), bounds);
+    println!("{} states and {} whole runs within {bounds:?}", counts.states, counts.runs);
+    verify_that!(violating_run, none())
 }
 
 /// Explores with something taken away until a breach is found.
-fn planted(setup: Setup) -> Option<Breach> {
-    let (explored, found) = explore(setup, PLANTED);
-    println!("{} states: {found:?}", explored.states);
-    found.map(|(breach, _)| breach)
+fn explore_until_violation(setup: Setup) -> Option<SafetyViolation> {
+    let (counts, violating_run) = explore(setup, FLAWED_RULE_BOUNDS);
+    println!("{} states: {violating_run:?}", counts.states);
+    violating_run.map(|(violation, _)| violation)
 }
 
 #[gtest]
-fn an_acknowledgement_before_the_disk_is_found() -> Result<()> {
-    let rules = Rules::without(Rule::AcceptOnDisk);
-    verify_that!(planted(Setup { rules, ..Setup::sound(3, 3, 1, 1) }).is_some(), eq(true))
+fn an_acknowledgement_before_the_disk_write_is_detected() -> Result<()> {
+    let rules = Rules::without(Rule::AcceptPersistedFirst);
+    verify_that!(
+        explore_until_violation(Setup { rules, ..Setup::correct(3, 3, 1, 1) }).is_some(),
+        eq(true)
+    )
 }
 
 #[gtest]
-fn a_vote_for_a_candidate_with_an_older_version_is_found() -> Result<()> {
-    let rules = Rules::without(Rule::NewestElected);
-    verify_that!(planted(Setup { rules, ..Setup::sound(3, 3, 1, 1) }).is_some(), eq(true))
+fn a_vote_for_a_candidate_with_an_older_version_is_detected() -> Result<()> {
+    let rules = Rules::without(Rule::CandidateIsUpToDate);
+    verify_that!(
+        explore_until_violation(Setup { rules, ..Setup::correct(3, 3, 1, 1) }).is_some(),
+        eq(true)
+    )
 }
 
 #[gtest]
-fn a_wiped_disk_under_its_former_identity_is_found() -> Result<()> {
-    let setup = Setup { wiped_keeps_identity: true, ..Setup::sound(3, 3, 1, 1) };
-    verify_that!(planted(setup).is_some(), eq(true))
+fn a_wiped_disk_under_its_former_identity_is_detected() -> Result<()> {
+    let setup = Setup { wiped_keeps_identity: true, ..Setup::correct(3, 3, 1, 1) };
+    verify_that!(explore_until_violation(setup).is_some(), eq(true))
 }
 
 /// Many walks over quorums of one size: each bears its losses at any step, and is whole again after
 /// the repair.
 fn walk_all(machines: usize, zones: usize, tolerance: usize) -> Result<()> {
     let mut actions = 0;
-    for seed in 0..asked_for("QUORUM_SEEDS", WALKS) {
-        let outcome = walk(Setup::sound(machines, zones, tolerance, seed));
+    for seed in 0..number_from_env("QUORUM_SEEDS", WALKS) {
+        let outcome = walk(Setup::correct(machines, zones, tolerance, seed));
         verify_that!(outcome.clone().err(), none())
             .with_failure_message(|| format!("seed {seed}"))?;
         actions += outcome.unwrap_or_default();
@@ -73,21 +80,21 @@
 }
 
 #[gtest]
-fn three_machines_bear_one_loss_at_every_step() -> Result<()> {
+fn three_machines_tolerate_one_loss_at_every_step() -> Result<()> {
     walk_all(3, 3, 1)
 }
 
 #[gtest]
-fn five_machines_bear_two_losses_at_every_step() -> Result<()> {
+fn five_machines_tolerate_two_losses_at_every_step() -> Result<()> {
     walk_all(5, 3, 2)
 }
 
 #[gtest]
-fn six_machines_bear_two_losses_or_a_zone_at_every_step() -> Result<()> {
+fn six_machines_tolerate_two_losses_or_a_zone_at_every_step() -> Result<()> {
     walk_all(6, 3, 2)
 }
 
 #[gtest]
-fn eight_machines_bear_two_losses_or_a_zone_at_every_step() -> Result<()> {
+fn eight_machines_tolerate_two_losses_or_a_zone_at_every_step() -> Result<()> {
     walk_all(8, 4, 2)
 }
--- a/crates/controlplane/tests/quorum_model/model.rs
+++ b/crates/controlplane/tests/quorum_model/model.rs
@@ -1,14 +1,15 @@
 //! Controllers, their disks and what is under way between them, one event at a time.
 
-use super::history::{Breach, Changes, History};
-use common::chance::Chance;
-use common::clock::Moment;
-use common::frames::{CoreBody, CoreFrame, Place};
+use super::history::{Changes, History, SafetyViolation};
+use common::clock::MonotonicTime;
+use common::frames::{ConsensusFrame, ConsensusMessage, SocketAddress};
 use common::identity::{ChangeId, ControllerId, Ticket, Zone};
+use common::rng::SeededRng;
 use common::rules::Rules;
-use common::spec::{CoreMember, Document};
-use controlplane::core::{
-    Address, Core, CoreOutput, CoreTiming, QuorumShape, Recalled, WriteJob, WriteResult,
+use common::spec::{Document, Voter};
+use controlplane::consensus::{
+    ConsensusNode, ConsensusOutput, ConsensusTiming, ControllerAddress, PersistedState,
+    QuorumPolicy, WriteJob, WriteResult,
 };
 use std::collections::VecDeque;
 use std::collections::hash_map::DefaultHasher;
@@ -17,9 +18,9 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-const FIRST_MOMENT: Moment = Moment(1_000_000_000);
-const EVENT_SPAN: Duration = Duration::from_micros(1);
-const LONGEST_QUIET_STEPS: usize = 4000;
+const START_INSTANT: MonotonicTime = MonotonicTime(1_000_000_000);
+const EVENT_DURATION: Duration = Duration::from_micros(1);
+const MAX_QUIET_STEPS: usize = 4000;
 
 /// How a model is set up.
 #[derive(Clone, Copy, Debug)]
@@ -40,19 +41,19 @@
 
 impl Setup {
     /// Controllers that keep every rule.
-    pub fn sound(machines: usize, zones: usize, tolerance: usize, seed: u64) -> Self {
-        let rules = Rules::KEPT;
+    pub fn correct(machines: usize, zones: usize, tolerance: usize, seed: u64) -> Self {
+        let rules = Rules::ALL_ENFORCED;
         Self { machines, zones, tolerance, rules, wiped_keeps_identity: false, seed }
     }
 
-    fn shape(&self) -> QuorumShape {
-        QuorumShape::new(2 * self.tolerance + 1, 1)
+    fn quorum_policy(&self) -> QuorumPolicy {
+        QuorumPolicy::new(2 * self.tolerance + 1, 1)
     }
 }
 
 /// What is wrong with a disk.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug)]
-pub enum DiskTrouble {
+pub enum DiskFault {
     /// Writes never end.
     Hung,
     /// Writes fail.
@@ -62,21 +63,21 @@
 /// One controller on its machine.
 #[derive(Clone)]
 struct Machine {
-    core: Core,
-    disk: Recalled,
-    now: Moment,
-    life: u64,
+    consensus: ConsensusNode,
+    disk: PersistedState,
+    now: MonotonicTime,
+    incarnation: u64,
     isolated: bool,
     lost: bool,
-    disk_trouble: Option<DiskTrouble>,
+    disk_fault: Option<DiskFault>,
     /// What was committed when somebody asked this leader, by the moment of asking.
-    asked: Vec<(Moment, Changes)>,
+    pending_reads: Vec<(MonotonicTime, Changes)>,
     fingerprint: u64,
 }
 
 #[derive(Clone, Debug)]
 enum Event {
-    Frame(usize, CoreFrame),
+    Frame(usize, ConsensusFrame),
     Written(usize, u64, Ticket, WriteJob),
 }
 
@@ -113,24 +114,26 @@
     setup: Setup,
     machines: Vec<Rc<Machine>>,
     events: VecDeque<Rc<Event>>,
-    held_up: Vec<Rc<Event>>,
+    delayed_events: Vec<Rc<Event>>,
     history: History,
-    changes_made: u64,
-    identities_made: u64,
+    proposed_changes: u64,
+    allocated_ids: u64,
     wipes: usize,
 }
 
-fn timing() -> CoreTiming {
-    CoreTiming::builder()
-        .election_shortest(Duration::from_millis(350))
-        .election_longest(Duration::from_millis(600))
-        .replace_after(Duration::from_millis(1500))
-        .scrub_every(Duration::from_secs(1_000_000))
+fn timing() -> ConsensusTiming {
+    ConsensusTiming::builder()
+        .election_timeout_min(Duration::from_millis(350))
+        .election_timeout_max(Duration::from_millis(600))
+        .unreachable_voter_timeout(Duration::from_millis(1500))
+        .scrub_interval(Duration::from_secs(1_000_000))
         .build()
 }
 
-fn place(number: usize) -> Place {
-    Place(format!("10.0.{}.{}:1", number / 200, number % 200 + 1).parse().expect("an address"))
+fn address(number: usize) -> SocketAddress {
+    SocketAddress(
+        format!("10.0.{}.{}:1", number / 200, number % 200 + 1).parse().expect("an address"),
+    )
 }
 
 struct HashWriter(DefaultHasher);
@@ -149,25 +152,25 @@
             setup,
             machines: Vec::new(),
             events: VecDeque::new(),
-            held_up: Vec::new(),
+            delayed_events: Vec::new(),
             history: History::default(),
-            changes_made: 0,
-            identities_made: 0,
+            proposed_changes: 0,
+            allocated_ids: 0,
             wipes: 0,
         };
-        let founders = (0..3).map(|number| CoreMember {
+        let initial_voters = (0..3).map(|number| Voter {
             id: ControllerId(number as u64 + 1),
-            place: place(number),
+            address: address(number),
             zone: model.zone(number),
         });
-        let founding = Document::founding(founders.collect());
+        let founding = Document::founding(initial_voters.collect());
         for number in 0..setup.machines {
             let id = model.fresh_id();
-            let mut disk = Recalled::nothing(id);
+            let mut disk = PersistedState::empty(id);
             if number < 3 {
                 disk.accepted = Some(founding.clone());
             }
-            model.add(disk);
+            model.add_machine(disk);
         }
         model
     }
@@ -177,38 +180,53 @@
     }
 
     fn fresh_id(&mut self) -> ControllerId {
-        self.identities_made += 1;
-        ControllerId(self.identities_made)
+        self.allocated_ids += 1;
+        ControllerId(self.allocated_ids)
     }
 
-    fn add(&mut self, disk: Recalled) {
+    fn add_machine(&mut self, disk: PersistedState) {
         let number = self.machines.len();
-        let core = self.started(number, 0, FIRST_MOMENT, &disk);
-        let now = self.machines.first().map_or(FIRST_MOMENT, |machine| machine.now);
+        let consensus = self.start_node(number, 0, START_INSTANT, &disk);
+        let now = self.machines.first().map_or(START_INSTANT, |machine| machine.now);
         self.machines.push(Rc::new(Machine {
-            core,
+            consensus,
             disk,
             now,
-            life: 0,
+            incarnation: 0,
             isolated: false,
             lost: false,
-            disk_trouble: None,
-            asked: Vec::new(),
+            disk_fault: None,
+            pending_reads: Vec::new(),
             fingerprint: 0,
         }));
         self.restart(number);
     }
 
-    fn started(&self, number: usize, life: u64, now: Moment, disk: &Recalled) -> Core {
-        let seed = self.setup.seed ^ ((number as u64) << 8) ^ life;
-        let address = Address { place: place(number), operators: place(number) };
+    fn start_node(
+        &self,
+        number: usize,
+        incarnation: u64,
+        now: MonotonicTime,
+        disk: &PersistedState,
+    ) -> ConsensusNode {
+        let seed = self.setup.seed ^ ((number as u64) << 8) ^ incarnation;
+        let controller_address =
+            ControllerAddress { address: address(number), operators: address(number) };
         let running = self.running();
-        let known = if running.is_empty() { vec![0, 1, 2] } else { running };
-        let seeds = known.into_iter().take(3).map(place).collect();
+        let seed_numbers = if running.is_empty() { vec![0, 1, 2] } else { running };
+        let seeds = seed_numbers.into_iter().take(3).map(address).collect();
         let zone = self.zone(number);
-        Core::new(now, timing(), disk.clone(), address, zone, seeds, Chance::seeded(seed))
-            .with_rules(self.setup.rules)
-            .with_shape(self.setup.shape())
+        ConsensusNode::new(
+            now,
+            timing(),
+            disk.clone(),
+            controller_address,
+            zone,
+            seeds,
+            SeededRng::seeded(seed),
+        )
+        .with_rules(self.setup.rules)
+        .with_quorum_policy(self.setup.quorum_policy())
     }
 
     fn machine(&mut self, number: usize) -> &mut Machine {
@@ -220,20 +238,22 @@
         self.events
             .retain(|event| !matches!(&**event, Event::Written(owner, ..) if *owner == number));
         let machine = &self.machines[number];
-        let core = self.started(number, machine.life + 1, machine.now, &machine.disk);
+        let consensus =
+            self.start_node(number, machine.incarnation + 1, machine.now, &machine.disk);
         let machine = self.machine(number);
-        machine.core = core;
-        machine.life += 1;
-        machine.asked.clear();
+        machine.consensus = consensus;
+        machine.incarnation += 1;
+        machine.pending_reads.clear();
         self.renew_fingerprint(number);
     }
 
     fn renew_fingerprint(&mut self, number: usize) {
         let machine = self.machine(number);
         let mut writer = HashWriter(DefaultHasher::new());
-        let _ = write!(writer, "{:?}{:?}{:?}", machine.core, machine.disk, machine.asked);
+        let _ =
+            write!(writer, "{:?}{:?}{:?}", machine.consensus, machine.disk, machine.pending_reads);
         (machine.now, machine.isolated, machine.lost).hash(&mut writer.0);
-        machine.disk_trouble.hash(&mut writer.0);
+        machine.disk_fault.hash(&mut writer.0);
         machine.fingerprint = writer.0.finish();
     }
 
@@ -243,19 +263,19 @@
         for machine in &self.machines {
             machine.fingerprint.hash(&mut writer.0);
         }
-        for event in self.events.iter().chain(&self.held_up) {
+        for event in self.events.iter().chain(&self.delayed_events) {
             let _ = write!(writer, "{event:?}");
-            if let Event::Frame(_, CoreFrame { body, .. }) = &**event {
+            if let Event::Frame(_, ConsensusFrame { body, .. }) = &**event {
                 match body {
-                    CoreBody::Accept { document, .. } => document.0.hash(&mut writer.0),
-                    CoreBody::AcceptChange { change, digest, .. } => {
-                        (&change.0, &digest.0).hash(&mut writer.0);
+                    ConsensusMessage::AcceptFull { document, .. } => document.0.hash(&mut writer.0),
+                    ConsensusMessage::AcceptDelta { delta, digest, .. } => {
+                        (&delta.0, &digest.0).hash(&mut writer.0);
                     }
                     _ => {}
                 }
             }
         }
-        (self.changes_made, self.wipes, self.held_up.len()).hash(&mut writer.0);
+        (self.proposed_changes, self.wipes, self.delayed_events.len()).hash(&mut writer.0);
         self.history.newest().hash(&mut writer.0);
         writer.0.finish()
     }
@@ -268,23 +288,23 @@
     /// What stands where, for whoever reads a failed run.
     pub fn describe(&self) -> String {
         let rows = self.machines.iter().enumerate().map(|(number, machine)| {
-            let core = &machine.core;
-            let held = core.accepted();
-            let ids = |members: &[CoreMember]| -> Vec<u64> {
+            let consensus = &machine.consensus;
+            let held_version = consensus.accepted();
+            let ids = |members: &[Voter]| -> Vec<u64> {
                 members.iter().map(|member| member.id.0).collect()
             };
             format!(
                 "{number}: id {} life {} lost {} cut {} term {} ready {} proposing {} accepted {:?} voters {:?} former {:?}",
-                core.id().0,
-                machine.life,
+                consensus.id().0,
+                machine.incarnation,
                 machine.lost,
                 machine.isolated,
-                core.term().0,
-                core.is_ready(),
-                core.is_proposing(),
-                held.map(|held| held.stamp.to_string()),
-                held.map(|held| ids(&held.core)),
-                held.map(|held| ids(&held.former)),
+                consensus.term().0,
+                consensus.is_ready(),
+                consensus.is_proposing(),
+                held_version.map(|held_version| held_version.document_version.to_string()),
+                held_version.map(|held_version| ids(&held_version.voters)),
+                held_version.map(|held_version| ids(&held_version.previous_voters)),
             )
         });
         rows.collect::<Vec<String>>().join("\n")
@@ -305,59 +325,62 @@
         self.machines.iter().any(|machine| machine.isolated)
     }
 
-    fn reached(&self, number: usize) -> bool {
+    fn is_reachable(&self, number: usize) -> bool {
         !self.machines[number].isolated && !self.machines[number].lost
     }
 
     /// A leader that the others reach and that takes orders.
     pub fn leader(&self) -> Option<usize> {
-        let leads =
-            |number: &usize| self.reached(*number) && self.machines[*number].core.is_ready();
+        let leads = |number: &usize| {
+            self.is_reachable(*number) && self.machines[*number].consensus.is_ready()
+        };
         (0..self.machines.len())
             .filter(leads)
-            .max_by_key(|number| self.machines[*number].core.term())
+            .max_by_key(|number| self.machines[*number].consensus.term())
     }
 
     /// Whether a leader has all the voters that the setup asks for, all of them level with it.
     pub fn is_settled(&self) -> bool {
         let Some(leader) = self.leader() else { return false };
-        let core = &self.machines[leader].core;
-        let Some(document) = core.accepted() else { return false };
-        let is_level = |member: &CoreMember| {
+        let consensus = &self.machines[leader].consensus;
+        let Some(document) = consensus.accepted() else { return false };
+        let is_caught_up = |member: &Voter| {
             self.machines.iter().any(|machine| {
-                machine.core.id() == member.id
+                machine.consensus.id() == member.id
                     && !machine.lost
                     && !machine.isolated
-                    && machine.core.accepted().is_some_and(|held| held.stamp == document.stamp)
+                    && machine.consensus.accepted().is_some_and(|held_version| {
+                        held_version.document_version == document.document_version
+                    })
             })
         };
-        document.former.is_empty()
-            && !core.is_proposing()
-            && document.core.len() >= self.setup.shape().voters()
-            && document.core.iter().all(is_level)
+        document.previous_voters.is_empty()
+            && !consensus.is_proposing()
+            && document.voters.len() >= self.setup.quorum_policy().voters()
+            && document.voters.iter().all(is_caught_up)
     }
 
     /// Carries out the event that is due next.
-    pub fn step(&mut self) -> Result<(), Breach> {
+    pub fn step(&mut self) -> Result<(), SafetyViolation> {
         let Some(event) = self.events.pop_front() else { return Ok(()) };
-        self.carry_out(&event)
+        self.process_event(&event)
     }
 
     /// Carries out any event: the oldest between its two ends.
-    pub fn step_any(&mut self, chance: &mut Chance) -> Result<(), Breach> {
-        let index = chance.below(self.events.len() as u64) as usize;
+    pub fn step_any(&mut self, rng: &mut SeededRng) -> Result<(), SafetyViolation> {
+        let index = rng.below(self.events.len() as u64) as usize;
         let Some(chosen) = self.events.get(index) else { return Ok(()) };
         let link_of = |event: &Event| match event {
-            Event::Frame(to, frame) => (*to, Some(frame.place)),
+            Event::Frame(to, frame) => (*to, Some(frame.address)),
             Event::Written(owner, ..) => (*owner, None),
         };
         let link = link_of(chosen);
         let first = self.events.iter().position(|event| link_of(event) == link).unwrap_or(index);
         let Some(event) = self.events.remove(first) else { return Ok(()) };
-        self.carry_out(&event)
+        self.process_event(&event)
     }
 
-    fn carry_out(&mut self, event: &Rc<Event>) -> Result<(), Breach> {
+    fn process_event(&mut self, event: &Rc<Event>) -> Result<(), SafetyViolation> {
         let owner = event.owner();
         if self.machines[owner].lost {
             return Ok(());
@@ -365,126 +388,150 @@
         match &**event {
             Event::Frame(_, frame) => {
                 if self.machines[owner].isolated {
-                    self.held_up.push(event.clone());
+                    self.delayed_events.push(event.clone());
                     return Ok(());
                 }
                 let frame = frame.clone();
-                self.feed(owner, |core, now| core.heard(now, frame))
+                self.apply_input(owner, |consensus, now| consensus.receive(now, frame))
             }
-            Event::Written(_, life, ticket, job) => {
-                if *life != self.machines[owner].life {
+            Event::Written(_, incarnation, ticket, job) => {
+                if *incarnation != self.machines[owner].incarnation {
                     return Ok(());
                 }
                 let ticket = *ticket;
-                match self.machines[owner].disk_trouble {
-                    Some(DiskTrouble::Hung) => return Ok(()),
-                    Some(DiskTrouble::Full) => {
+                match self.machines[owner].disk_fault {
+                    Some(DiskFault::Hung) => return Ok(()),
+                    Some(DiskFault::Full) => {
                         let failed = WriteResult::Failed;
-                        return self.feed(owner, |core, now| core.written(now, ticket, failed));
+                        return self.apply_input(owner, |consensus, now| {
+                            consensus.write_completed(now, ticket, failed)
+                        });
                     }
                     None => {}
                 }
                 let disk = &mut self.machine(owner).disk;
                 match job {
-                    WriteJob::Vote { term, candidate } => disk.voted = Some((*term, *candidate)),
+                    WriteJob::Vote { term, candidate } => {
+                        disk.voted_for = Some((*term, *candidate))
+                    }
                     WriteJob::Version(document) => {
-                        let held = disk.accepted.as_ref().map(|held| held.stamp);
-                        if held.is_none_or(|held| held < document.stamp) {
+                        let held_version = disk
+                            .accepted
+                            .as_ref()
+                            .map(|held_version| held_version.document_version);
+                        if held_version
+                            .is_none_or(|held_version| held_version < document.document_version)
+                        {
                             disk.accepted = Some(document.clone());
                         }
                     }
                     WriteJob::Scrub(_) => {}
                 }
-                self.feed(owner, |core, now| core.written(now, ticket, WriteResult::Synced))
+                self.apply_input(owner, |consensus, now| {
+                    consensus.write_completed(now, ticket, WriteResult::Synced)
+                })
             }
         }
     }
 
-    fn feed(
+    fn apply_input(
         &mut self,
         number: usize,
-        input: impl FnOnce(&mut Core, Moment) -> Vec<CoreOutput>,
-    ) -> Result<(), Breach> {
-        self.note_question(number);
+        input: impl FnOnce(&mut ConsensusNode, MonotonicTime) -> Vec<ConsensusOutput>,
+    ) -> Result<(), SafetyViolation> {
+        self.record_read(number);
         let machine = self.machine(number);
-        machine.now = machine.now + EVENT_SPAN;
+        machine.now = machine.now + EVENT_DURATION;
         let now = machine.now;
-        let outputs = input(&mut machine.core, now);
+        let outputs = input(&mut machine.consensus, now);
         for output in outputs {
-            self.obey(number, output)?;
+            self.execute_output(number, output)?;
         }
-        let judged = self.judge_answers(number);
+        let read_check = self.check_reads(number);
         self.renew_fingerprint(number);
-        judged
+        read_check
     }
 
-    fn obey(&mut self, number: usize, output: CoreOutput) -> Result<(), Breach> {
+    fn execute_output(
+        &mut self,
+        number: usize,
+        output: ConsensusOutput,
+    ) -> Result<(), SafetyViolation> {
         let machine = &self.machines[number];
         match output {
-            CoreOutput::Send { to, frame } => {
-                let target = (0..self.machines.len()).find(|target| place(*target) == to);
+            ConsensusOutput::Send { to, frame } => {
+                let target = (0..self.machines.len()).find(|target| address(*target) == to);
                 if let Some(target) = target.filter(|_| !machine.isolated) {
                     self.events.push_back(Rc::new(Event::Frame(target, frame)));
                 }
             }
-            CoreOutput::Write { ticket, job } => {
-                self.events.push_back(Rc::new(Event::Written(number, machine.life, ticket, job)));
+            ConsensusOutput::Write { ticket, job } => {
+                self.events.push_back(Rc::new(Event::Written(
+                    number,
+                    machine.incarnation,
+                    ticket,
+                    job,
+                )));
             }
-            CoreOutput::Elected { term, .. } => {
-                let id = machine.core.id();
+            ConsensusOutput::Elected { term, .. } => {
+                let id = machine.consensus.id();
                 self.history.elected(term, id)?;
             }
-            CoreOutput::Committed(document) => self.history.committed(&document)?,
+            ConsensusOutput::Committed(document) => self.history.committed(&document)?,
             _ => {}
         }
         Ok(())
     }
 
     /// Somebody asks a leader for the newest version, whenever something happens at it.
-    fn note_question(&mut self, number: usize) {
-        if !self.machines[number].core.is_leader() {
-            if !self.machines[number].asked.is_empty() {
-                self.machine(number).asked.clear();
+    fn record_read(&mut self, number: usize) {
+        if !self.machines[number].consensus.is_leader() {
+            if !self.machines[number].pending_reads.is_empty() {
+                self.machine(number).pending_reads.clear();
             }
             return;
         }
         let newest = self.history.newest().clone();
         let machine = self.machine(number);
-        if machine.asked.last().is_none_or(|(_, known)| *known != newest) {
+        if machine
+            .pending_reads
+            .last()
+            .is_none_or(|(_, changes_at_read)| *changes_at_read != newest)
+        {
             let asked_at = machine.now;
-            machine.asked.push((asked_at, newest));
+            machine.pending_reads.push((asked_at, newest));
         }
     }
 
     /// Whoever asked before the newest round with a majority was sent is answered now.
-    fn judge_answers(&mut self, number: usize) -> Result<(), Breach> {
+    fn check_reads(&mut self, number: usize) -> Result<(), SafetyViolation> {
         let machine = &self.machines[number];
-        if !machine.core.is_ready() || machine.asked.is_empty() {
+        if !machine.consensus.is_ready() || machine.pending_reads.is_empty() {
             return Ok(());
         }
-        let proven_at = machine.core.quorum_moment();
-        let Some(served) = machine.core.accepted() else { return Ok(()) };
-        for (asked_at, known) in &machine.asked {
-            if *asked_at < proven_at {
-                self.history.served(known, served)?;
+        let quorum_proof_at = machine.consensus.quorum_confirmed_at();
+        let Some(served) = machine.consensus.accepted() else { return Ok(()) };
+        for (asked_at, changes_at_read) in &machine.pending_reads {
+            if *asked_at < quorum_proof_at {
+                self.history.served(changes_at_read, served)?;
             }
         }
         Ok(())
     }
 
     /// Lets time pass at every machine until the first timer fires.
-    pub fn pass(&mut self) -> Result<(), Breach> {
+    pub fn advance_time(&mut self) -> Result<(), SafetyViolation> {
         let spans =
             (0..self.machines.len()).filter(|number| !self.machines[*number].lost).map(|number| {
                 let machine = &self.machines[number];
-                (machine.core.next_due().since(machine.now), number)
+                (machine.consensus.next_due().since(machine.now), number)
             });
         let Some((span, first)) = spans.min() else { return Ok(()) };
         for number in 0..self.machines.len() {
             let machine = self.machine(number);
             machine.now = machine.now + span;
         }
-        let ticked = self.feed(first, Core::tick);
+        let ticked = self.apply_input(first, ConsensusNode::tick);
         for number in 0..self.machines.len() {
             self.renew_fingerprint(number);
         }
@@ -492,34 +539,36 @@
     }
 
     /// Has a leader take an order.
-    pub fn order(&mut self, number: usize) -> Result<(), Breach> {
-        let core = &self.machines[number].core;
-        if !core.is_ready() || core.is_proposing() {
+    pub fn propose_change(&mut self, number: usize) -> Result<(), SafetyViolation> {
+        let consensus = &self.machines[number].consensus;
+        if !consensus.is_ready() || consensus.is_proposing() {
             return Ok(());
         }
-        let Some(held) = core.accepted() else { return Ok(()) };
-        self.changes_made += 1;
-        let change = format!("change-{}", self.changes_made);
+        let Some(held_version) = consensus.accepted() else { return Ok(()) };
+        self.proposed_changes += 1;
+        let change = format!("change-{}", self.proposed_changes);
         let next_document =
-            held.with_zone(Zone::from(change.clone()), true, ChangeId::from(change));
-        self.feed(number, |core, now| core.propose(now, next_document).unwrap_or_default())
+            held_version.with_zone(Zone::from(change.clone()), true, ChangeId::from(change));
+        self.apply_input(number, |consensus, now| {
+            consensus.propose(now, next_document).unwrap_or_default()
+        })
     }
 
     /// Does what deviates.
-    pub fn deviate(&mut self, deviation: Deviation) -> Result<(), Breach> {
+    pub fn deviate(&mut self, deviation: Deviation) -> Result<(), SafetyViolation> {
         match deviation {
             Deviation::Crash(number) => self.restart(number),
             Deviation::Wipe(number) => self.wipe(number),
             Deviation::Isolate(number) => {
-                self.order(number)?;
+                self.propose_change(number)?;
                 self.machine(number).isolated = true;
                 self.renew_fingerprint(number);
             }
             Deviation::Heal => self.heal(),
             Deviation::Timeout(number) => {
                 let machine = self.machine(number);
-                machine.now = machine.now.max(machine.core.next_due());
-                self.feed(number, Core::tick)?;
+                machine.now = machine.now.max(machine.consensus.next_due());
+                self.apply_input(number, ConsensusNode::tick)?;
             }
             Deviation::Delay => self.events.rotate_left(1.min(self.events.len())),
             Deviation::Drop => {
@@ -534,30 +583,30 @@
     fn wipe(&mut self, number: usize) {
         self.wipes += 1;
         let id = if self.setup.wiped_keeps_identity {
-            self.machines[number].core.id()
+            self.machines[number].consensus.id()
         } else {
             self.fresh_id()
         };
-        self.machine(number).disk = Recalled::nothing(id);
+        self.machine(number).disk = PersistedState::empty(id);
         self.restart(number);
     }
 
     /// A machine goes dark, for good or until it is brought back.
-    pub fn lose(&mut self, number: usize) {
+    pub fn take_down(&mut self, number: usize) {
         self.machine(number).lost = true;
         self.renew_fingerprint(number);
     }
 
     /// A machine runs on with a disk that takes nothing.
-    pub fn trouble_disk(&mut self, number: usize, trouble: DiskTrouble) {
-        self.machine(number).disk_trouble = Some(trouble);
+    pub fn inject_disk_fault(&mut self, number: usize, disk_fault: DiskFault) {
+        self.machine(number).disk_fault = Some(disk_fault);
         self.renew_fingerprint(number);
     }
 
     /// A machine comes back with its disk, which is well again.
-    pub fn bring_back(&mut self, number: usize) {
+    pub fn restore(&mut self, number: usize) {
         self.machine(number).lost = false;
-        self.machine(number).disk_trouble = None;
+        self.machine(number).disk_fault = None;
         self.restart(number);
     }
 
@@ -565,12 +614,12 @@
     pub fn add_successor(&mut self, lost: usize) {
         while self.zone(self.machines.len()) != self.zone(lost) {
             let unused = self.fresh_id();
-            self.add(Recalled::nothing(unused));
+            self.add_machine(PersistedState::empty(unused));
             let number = self.machines.len() - 1;
-            self.lose(number);
+            self.take_down(number);
         }
         let id = self.fresh_id();
-        self.add(Recalled::nothing(id));
+        self.add_machine(PersistedState::empty(id));
     }
 
     fn heal(&mut self) {
@@ -578,23 +627,23 @@
             self.machine(number).isolated = false;
             self.renew_fingerprint(number);
         }
-        self.events.extend(std::mem::take(&mut self.held_up));
+        self.events.extend(std::mem::take(&mut self.delayed_events));
     }
 
     /// The time on the clock of the machine that is ahead.
-    pub fn now(&self) -> Moment {
+    pub fn now(&self) -> MonotonicTime {
         self.machines.iter().map(|machine| machine.now).max().unwrap_or_default()
     }
 
     /// Where the voters stand by the leader's newest version.
     pub fn voters(&self) -> Vec<usize> {
         let Some(leader) = self.leader() else { return Vec::new() };
-        let document = self.machines[leader].core.accepted();
-        let members = document.map_or(&[][..], |document| &document.core);
-        let stands_at = |member: &CoreMember| {
-            self.machines.iter().position(|machine| machine.core.id() == member.id)
+        let document = self.machines[leader].consensus.accepted();
+        let members = document.map_or(&[][..], |document| &document.voters);
+        let machine_of = |member: &Voter| {
+            self.machines.iter().position(|machine| machine.consensus.id() == member.id)
         };
-        members.iter().filter_map(stands_at).collect()
+        members.iter().filter_map(machine_of).collect()
     }
 
     /// Machines that are up, whether cut off or not.
@@ -603,32 +652,32 @@
     }
 
     /// Carries out events and lets time pass until it is so; a breach if that takes for ever.
-    pub fn run_until(&mut self, is_so: impl Fn(&Self) -> bool) -> Result<(), Breach> {
+    pub fn run_until(&mut self, condition: impl Fn(&Self) -> bool) -> Result<(), SafetyViolation> {
         let mut quiet_steps = 0;
-        while !is_so(self) {
+        while !condition(self) {
             if !self.is_quiet() {
                 self.step()?;
-            } else if quiet_steps < LONGEST_QUIET_STEPS {
+            } else if quiet_steps < MAX_QUIET_STEPS {
                 quiet_steps += 1;
-                self.pass()?;
+                self.advance_time()?;
             } else {
-                return Err(Breach::NoProgress);
+                return Err(SafetyViolation::NoProgress);
             }
         }
         Ok(())
     }
 
     /// One more order is taken and committed with what runs now.
-    pub fn make_progress(&mut self) -> Result<(), Breach> {
+    pub fn make_progress(&mut self) -> Result<(), SafetyViolation> {
         self.run_until(|model| {
-            model.leader().is_some_and(|leader| !model.machines[leader].core.is_proposing())
+            model.leader().is_some_and(|leader| !model.machines[leader].consensus.is_proposing())
         })?;
         let before = self.history.newest().len();
         for _ in 0..20 {
             if let Some(leader) = self.leader() {
-                self.order(leader)?;
+                self.propose_change(leader)?;
             }
-            let ordered = self.changes_made;
+            let ordered = self.proposed_changes;
             let committed = Zone::from(format!("change-{ordered}"));
             let outcome = self.run_until(|model| {
                 model.history.newest().contains(&committed) || model.leader().is_none()
@@ -638,9 +687,11 @@
                 return Ok(());
             }
             self.run_until(|model| {
-                model.leader().is_some_and(|leader| !model.machines[leader].core.is_proposing())
+                model
+                    .leader()
+                    .is_some_and(|leader| !model.machines[leader].consensus.is_proposing())
             })?;
         }
-        Err(Breach::NoProgress)
+        Err(SafetyViolation::NoProgress)
     }
 }
--- a/crates/controlplane/tests/quorum_model/recovery.rs
+++ b/crates/controlplane/tests/quorum_model/recovery.rs
@@ -1,19 +1,19 @@
 //! How soon a quorum bears the next loss: after its founding, a loss, and a replacement. Frames and
 //! writes take no time here; what is measured is what the controllers wait for.
 
-use super::asked_for;
-use super::model::{DiskTrouble, Model, Setup};
-use common::clock::Moment;
+use super::model::{DiskFault, Model, Setup};
+use super::number_from_env;
+use common::clock::MonotonicTime;
 use googletest::prelude::*;
 use std::time::Duration;
 
 const SEEDS: u64 = 100;
 const STUCK_DISK_SEEDS: u64 = 20;
-const FOUNDED_WITHIN: Duration = Duration::from_secs(2);
-const LED_WITHIN: Duration = Duration::from_secs(2);
-const REPLACED_WITHIN: Duration = Duration::from_millis(1800);
-const STUCK_REPLACED_WITHIN: Duration = Duration::from_secs(7);
-const SUCCESSOR_AFTER: Duration = Duration::from_secs(1);
+const BOOTSTRAP_LIMIT: Duration = Duration::from_secs(2);
+const LEADER_RECOVERY_LIMIT: Duration = Duration::from_secs(2);
+const REPLACEMENT_LIMIT: Duration = Duration::from_millis(1800);
+const STALLED_REPLACEMENT_LIMIT: Duration = Duration::from_secs(7);
+const SUCCESSOR_DELAY: Duration = Duration::from_secs(1);
 
 fn settled(setup: Setup) -> Model {
     let mut model = Model::new(setup);
@@ -28,42 +28,43 @@
 
 /// The times of many seeds, sorted; printed as median and worst.
 fn measured(what: &str, seeds: u64, time_of: impl Fn(u64) -> Duration) -> Vec<Duration> {
-    let mut spans: Vec<Duration> = (0..asked_for("QUORUM_SEEDS", seeds)).map(time_of).collect();
+    let mut spans: Vec<Duration> =
+        (0..number_from_env("QUORUM_SEEDS", seeds)).map(time_of).collect();
     spans.sort_unstable();
     let (median, worst) = (spans[spans.len() / 2], spans[spans.len() - 1]);
     println!("{what}: median {median:?}, worst {worst:?} of {} seeds", spans.len());
     spans
 }
 
-fn since(began: Moment, model: &Model) -> Duration {
-    model.now().since(began)
+fn since(started_at: MonotonicTime, model: &Model) -> Duration {
+    model.now().since(started_at)
 }
 
 #[gtest]
-fn three_founders_are_five_voters_in_two_seconds() -> Result<()> {
+fn three_initial_voters_grow_to_five_in_two_seconds() -> Result<()> {
     for (machines, zones) in [(5, 3), (6, 3), (8, 4)] {
         let spans = measured(&format!("five voters of {machines}"), SEEDS, |seed| {
-            let mut model = Model::new(Setup::sound(machines, zones, 2, seed));
-            let began = model.now();
+            let mut model = Model::new(Setup::correct(machines, zones, 2, seed));
+            let started_at = model.now();
             model.run_until(Model::is_settled).expect("it settles");
-            since(began, &model)
+            since(started_at, &model)
         });
-        verify_that!(spans.last(), some(le(&FOUNDED_WITHIN)))?;
+        verify_that!(spans.last(), some(le(&BOOTSTRAP_LIMIT)))?;
     }
     Ok(())
 }
 
 #[gtest]
-fn the_next_order_is_taken_soon_after_the_leader_is_lost() -> Result<()> {
+fn the_next_command_is_accepted_soon_after_the_leader_is_lost() -> Result<()> {
     for (machines, zones, tolerance) in [(3, 3, 1), (6, 3, 2), (8, 4, 2)] {
         let spans = measured(&format!("an order after the leader of {machines}"), SEEDS, |seed| {
-            let mut model = settled(Setup::sound(machines, zones, tolerance, seed));
-            let began = model.now();
-            model.lose(model.leader().expect("a leader"));
+            let mut model = settled(Setup::correct(machines, zones, tolerance, seed));
+            let started_at = model.now();
+            model.take_down(model.leader().expect("a leader"));
             model.make_progress().expect("an order is taken");
-            since(began, &model)
+            since(started_at, &model)
         });
-        verify_that!(spans.last(), some(le(&LED_WITHIN)))?;
+        verify_that!(spans.last(), some(le(&LEADER_RECOVERY_LIMIT)))?;
     }
     Ok(())
 }
@@ -72,45 +73,45 @@
 fn a_standby_votes_soon_after_a_voter_is_lost() -> Result<()> {
     for (machines, zones) in [(6, 3), (8, 4)] {
         let spans = measured(&format!("a standby votes, of {machines}"), SEEDS, |seed| {
-            let mut model = settled(Setup::sound(machines, zones, 2, seed));
+            let mut model = settled(Setup::correct(machines, zones, 2, seed));
             let leader = model.leader().expect("a leader");
             let lost = model.voters().into_iter().find(|voter| *voter != leader).expect("another");
-            let began = model.now();
-            model.lose(lost);
+            let started_at = model.now();
+            model.take_down(lost);
             model.run_until(Model::is_settled).expect("it settles");
-            since(began, &model)
+            since(started_at, &model)
         });
-        verify_that!(spans.last(), some(le(&REPLACED_WITHIN)))?;
+        verify_that!(spans.last(), some(le(&REPLACEMENT_LIMIT)))?;
     }
     Ok(())
 }
 
 /// A voter that answers every round, and whose disk takes nothing, counts as lost too.
 #[gtest]
-fn a_standby_votes_in_place_of_one_whose_disk_is_stuck() -> Result<()> {
-    for (trouble, of_leader) in [
-        (DiskTrouble::Hung, true),
-        (DiskTrouble::Hung, false),
-        (DiskTrouble::Full, true),
-        (DiskTrouble::Full, false),
+fn a_standby_replaces_a_voter_whose_disk_is_stalled() -> Result<()> {
+    for (disk_fault, of_leader) in [
+        (DiskFault::Hung, true),
+        (DiskFault::Hung, false),
+        (DiskFault::Full, true),
+        (DiskFault::Full, false),
     ] {
         let spans = measured(
-            &format!("a standby for a disk {trouble:?}, leader: {of_leader}"),
+            &format!("a standby for a disk {disk_fault:?}, leader: {of_leader}"),
             STUCK_DISK_SEEDS,
             |seed| {
-                let mut model = settled(Setup::sound(6, 3, 2, seed));
+                let mut model = settled(Setup::correct(6, 3, 2, seed));
                 let leader = model.leader().expect("a leader");
-                let is_meant = |voter: &usize| (*voter == leader) == of_leader;
-                let stuck = model.voters().into_iter().find(is_meant).expect("a voter");
-                let began = model.now();
-                model.trouble_disk(stuck, trouble);
+                let is_target = |voter: &usize| (*voter == leader) == of_leader;
+                let stalled = model.voters().into_iter().find(is_target).expect("a voter");
+                let started_at = model.now();
+                model.inject_disk_fault(stalled, disk_fault);
                 model.make_progress().expect("an order is taken");
                 model.make_progress().expect("another order is taken");
                 model.run_until(Model::is_settled).expect("it settles");
-                since(began, &model)
+                since(started_at, &model)
             },
         );
-        verify_that!(spans.last(), some(le(&STUCK_REPLACED_WITHIN)))?;
+        verify_that!(spans.last(), some(le(&STALLED_REPLACEMENT_LIMIT)))?;
     }
     Ok(())
 }
@@ -118,39 +119,39 @@
 /// The successor of a lost machine comes a second after the loss, with an empty disk and at another
 /// address; from its start on it takes no longer than this until the next loss is borne.
 #[gtest]
-fn a_successor_votes_soon_after_its_start_and_the_next_loss_is_borne() -> Result<()> {
+fn a_successor_votes_soon_after_its_start_and_the_next_loss_is_tolerated() -> Result<()> {
     for number in 0..3 {
         let spans = measured(&format!("a successor of {number} votes"), SEEDS, |seed| {
-            let mut model = settled(Setup::sound(3, 3, 1, seed));
-            model.lose(number);
-            wait(&mut model, SUCCESSOR_AFTER);
-            let began = model.now();
+            let mut model = settled(Setup::correct(3, 3, 1, seed));
+            model.take_down(number);
+            wait(&mut model, SUCCESSOR_DELAY);
+            let started_at = model.now();
             model.add_successor(number);
             model.run_until(Model::is_settled).expect("it settles");
-            let span = since(began, &model);
+            let span = since(started_at, &model);
             let next_lost = model.leader().expect("a leader");
-            model.lose(next_lost);
+            model.take_down(next_lost);
             model.make_progress().expect("the next loss is borne");
             span
         });
-        verify_that!(spans.last(), some(le(&LED_WITHIN)))?;
+        verify_that!(spans.last(), some(le(&LEADER_RECOVERY_LIMIT)))?;
     }
     Ok(())
 }
 
 /// Planned work: the successor comes first, then the machine that it stands for goes.
 #[gtest]
-fn a_planned_replacement_takes_no_longer_than_the_silence() -> Result<()> {
+fn a_planned_replacement_takes_no_longer_than_an_unplanned_one() -> Result<()> {
     let spans = measured("a planned successor votes", SEEDS, |seed| {
-        let mut model = settled(Setup::sound(3, 3, 1, seed));
+        let mut model = settled(Setup::correct(3, 3, 1, seed));
         let leader = model.leader().expect("a leader");
         let leaving = (0..3).find(|number| *number != leader).expect("another");
         model.add_successor(leaving);
-        wait(&mut model, SUCCESSOR_AFTER);
-        let began = model.now();
-        model.lose(leaving);
+        wait(&mut model, SUCCESSOR_DELAY);
+        let started_at = model.now();
+        model.take_down(leaving);
         model.run_until(Model::is_settled).expect("it settles");
-        since(began, &model)
+        since(started_at, &model)
     });
-    verify_that!(spans.last(), some(le(&REPLACED_WITHIN)))
+    verify_that!(spans.last(), some(le(&REPLACEMENT_LIMIT)))
 }
--- a/crates/controlplane/tests/quorum_model/walk.rs
+++ b/crates/controlplane/tests/quorum_model/walk.rs
@@ -1,43 +1,43 @@
 //! Long random runs: losses up to what is tolerated, cuts, repairs and replacements.
 
-use super::history::Breach;
-use super::model::{Deviation, DiskTrouble, Model, Setup};
-use common::chance::Chance;
+use super::history::SafetyViolation;
+use super::model::{Deviation, DiskFault, Model, Setup};
+use common::rng::SeededRng;
 
-const ROUNDS: usize = 4;
+const CYCLES: usize = 4;
 const ACTIONS: u64 = 250;
 
 /// The first round begins with the three founders, and more voters join in the midst of it.
 const LOSSES_WHILE_GROWING: usize = 1;
 
 /// Walks through rounds of losses, each with its repair; says how many events were carried out.
-pub fn walk(setup: Setup) -> Result<usize, Breach> {
+pub fn walk(setup: Setup) -> Result<usize, SafetyViolation> {
     let mut model = Model::new(setup);
-    let mut chance = Chance::seeded(setup.seed);
+    let mut rng = SeededRng::seeded(setup.seed);
     let mut actions = 0;
-    for round in 0..ROUNDS {
+    for cycle in 0..CYCLES {
         let mut lost = Vec::new();
-        let mut losses = losses(&model, setup, &mut chance);
-        if round == 0 {
+        let mut losses = losses(&model, setup, &mut rng);
+        if cycle == 0 {
             losses.truncate(LOSSES_WHILE_GROWING);
         }
-        let most_actions = chance.below(ACTIONS);
+        let most_actions = rng.below(ACTIONS);
         for _ in 0..most_actions {
-            act(&mut model, setup, &mut chance, &losses, &mut lost)?;
+            take_action(&mut model, setup, &mut rng, &losses, &mut lost)?;
             actions += 1;
         }
         for number in losses {
             if !lost.contains(&number) {
-                model.lose(number);
+                model.take_down(number);
                 lost.push(number);
             }
         }
         model.deviate(Deviation::Heal)?;
         model.make_progress().inspect_err(|_| println!("lost {lost:?}\n{}", model.describe()))?;
         for number in lost {
-            repair(&mut model, &mut chance, number)?;
-            for _ in 0..chance.below(20) {
-                model.step_any(&mut chance)?;
+            repair(&mut model, &mut rng, number)?;
+            for _ in 0..rng.below(20) {
+                model.step_any(&mut rng)?;
             }
         }
         model
@@ -48,17 +48,17 @@
 }
 
 /// Which machines are lost in a round: some by chance, or all of a zone.
-fn losses(model: &Model, setup: Setup, chance: &mut Chance) -> Vec<usize> {
+fn losses(model: &Model, setup: Setup, rng: &mut SeededRng) -> Vec<usize> {
     let running = model.running();
-    let zone = chance.below(setup.zones as u64) as usize;
+    let zone = rng.below(setup.zones as u64) as usize;
     let of_zone: Vec<usize> =
         running.iter().copied().filter(|number| number % setup.zones == zone).collect();
-    if chance.happens(0.4) {
+    if rng.random_bool(0.4) {
         return of_zone;
     }
     let mut losses = Vec::new();
     for _ in 0..setup.tolerance {
-        let number = running[chance.below(running.len() as u64) as usize];
+        let number = running[rng.below(running.len() as u64) as usize];
         if !losses.contains(&number) {
             losses.push(number);
         }
@@ -66,21 +66,21 @@
     losses
 }
 
-fn act(
+fn take_action(
     model: &mut Model,
     setup: Setup,
-    chance: &mut Chance,
+    rng: &mut SeededRng,
     losses: &[usize],
     lost: &mut Vec<usize>,
-) -> Result<(), Breach> {
+) -> Result<(), SafetyViolation> {
     let running = model.running();
-    let any = running[chance.below(running.len() as u64) as usize];
-    match chance.below(100) {
-        0..70 if !model.is_quiet() => model.step_any(chance),
-        0..78 => model.pass(),
+    let any = running[rng.below(running.len() as u64) as usize];
+    match rng.below(100) {
+        0..70 if !model.is_quiet() => model.step_any(rng),
+        0..78 => model.advance_time(),
         78..84 => match model.leader() {
-            Some(leader) => model.order(leader),
-            None => model.pass(),
+            Some(leader) => model.propose_change(leader),
+            None => model.advance_time(),
         },
         84..86 => model.deviate(Deviation::Timeout(any)),
         86..89 => model.deviate(Deviation::Drop),
@@ -91,10 +91,10 @@
             let next = losses.iter().find(|number| !lost.contains(number));
             if let Some(number) = next.filter(|_| lost.len() < setup.machines) {
                 lost.push(*number);
-                match chance.below(4) {
-                    0 => model.trouble_disk(*number, DiskTrouble::Hung),
-                    1 => model.trouble_disk(*number, DiskTrouble::Full),
-                    _ => model.lose(*number),
+                match rng.below(4) {
+                    0 => model.inject_disk_fault(*number, DiskFault::Hung),
+                    1 => model.inject_disk_fault(*number, DiskFault::Full),
+                    _ => model.take_down(*number),
                 }
             }
             Ok(())
@@ -103,15 +103,15 @@
 }
 
 /// A lost machine comes back with its disk, or with an empty one, or another one in its place.
-fn repair(model: &mut Model, chance: &mut Chance, number: usize) -> Result<(), Breach> {
-    match chance.below(3) {
-        0 => model.bring_back(number),
+fn repair(model: &mut Model, rng: &mut SeededRng, number: usize) -> Result<(), SafetyViolation> {
+    match rng.below(3) {
+        0 => model.restore(number),
         1 => {
-            model.bring_back(number);
+            model.restore(number);
             model.deviate(Deviation::Wipe(number))?;
         }
         _ => {
-            model.lose(number);
+            model.take_down(number);
             model.add_successor(number);
         }
     }
--- a/crates/controlplane/tests/settings_forms.rs
+++ b/crates/controlplane/tests/settings_forms.rs
@@ -7,9 +7,9 @@
 #[path = "../../../testing/support/setting_probes.rs"]
 mod setting_probes;
 
-use common::frames::Place;
-use common::readers::{BootFault, BootSource};
-use controlplane::boot::ControllerBoot;
+use common::frames::SocketAddress;
+use common::readers::{SettingsError, SettingsSource};
+use controlplane::settings::ControllerSettings;
 use serde_json::{Value, json};
 use std::fmt::Write;
 use std::path::PathBuf;
@@ -47,8 +47,8 @@
     })
 }
 
-fn read(settings: &Value) -> Result<ControllerBoot, BootFault> {
-    ControllerBoot::read(&BootSource::from_value("FILE", settings.clone()))
+fn read(settings: &Value) -> Result<ControllerSettings, SettingsError> {
+    ControllerSettings::read(&SettingsSource::from_value("FILE", settings.clone()))
 }
 
 fn shown(settings: &Value) -> Value {
@@ -120,36 +120,38 @@
         if let Some(content) = content {
             std::fs::write(&file, content).expect("a file");
         }
-        let opened = BootSource::open(Some(&file));
-        let answer = opened.and_then(|source| ControllerBoot::read(&source)).expect_err("a fault");
+        let opened = SettingsSource::open(Some(&file));
+        let answer =
+            opened.and_then(|source| ControllerSettings::read(&source)).expect_err("a fault");
         let answer = answer.to_string().replace(&file.display().to_string(), "FILE");
         let _ = writeln!(text, "{name}: {answer}");
     }
     let _ = std::fs::remove_dir_all(&folder);
     let denied = || std::io::Error::from(std::io::ErrorKind::PermissionDenied);
-    let place = Place("10.0.0.1:7100".parse().expect("an address"));
-    let folder_fault = BootFault::Folder("FILE".to_owned(), PathBuf::from("/data"), denied());
-    let _ = writeln!(text, "data folder: {folder_fault}");
+    let address = SocketAddress("10.0.0.1:7100".parse().expect("an address"));
+    let folder_error =
+        SettingsError::UnwritableFolder("FILE".to_owned(), PathBuf::from("/data"), denied());
+    let _ = writeln!(text, "data folder: {folder_error}");
     for key in ["place", "listen", "operators"] {
-        let listen_fault = BootFault::Listen("FILE".to_owned(), key, place, denied());
-        let _ = writeln!(text, "listener: {listen_fault}");
+        let listen_error = SettingsError::CannotListen("FILE".to_owned(), key, address, denied());
+        let _ = writeln!(text, "listener: {listen_error}");
     }
     check("settings_files.txt", &text);
 }
 
 #[test]
 fn flags_go_before_the_file_and_are_read_like_it() {
-    let mut source = BootSource::from_value("FILE", full());
+    let mut source = SettingsSource::from_value("FILE", full());
     source.set_text("place", Some("10.0.0.1:9"));
     source.set_text("operators", None);
     source.set_text("data", Some("/elsewhere"));
     source.set("found_first", Some(json!(false)));
     source.set_list("seeds", Some("10.0.3.1:1,10.0.3.2:2"));
-    let laid_over = ControllerBoot::read(&source).expect("good settings");
-    let mut flags = BootSource::open(None).expect("no file");
-    let nothing = ControllerBoot::read(&flags).expect_err("nothing is given");
+    let laid_over = ControllerSettings::read(&source).expect("good settings");
+    let mut flags = SettingsSource::open(None).expect("no file");
+    let nothing = ControllerSettings::read(&flags).expect_err("nothing is given");
     flags.set_list("seeds", Some("10.0.3.1:1,,"));
-    let wrong = ControllerBoot::read(&flags).expect_err("a wrong list");
+    let wrong = ControllerSettings::read(&flags).expect_err("a wrong list");
     check_json(
         "settings_flags.json",
         &json!({
--- a/crates/controlplane/tests/step_costs.rs
+++ b/crates/controlplane/tests/step_costs.rs
@@ -2,13 +2,13 @@
 //! document, and a change costs a few times the text that is written to disk, not copy upon copy.
 
 #[allow(dead_code)]
-#[path = "controller_state/fleet.rs"]
-mod fleet;
+#[path = "controller_state/cluster.rs"]
+mod cluster;
 
+use cluster::TestCluster;
 use common::identity::ChangeId;
 use common::spec::{Document, Spec, SpecRecords};
 use controlplane::controller_state::{ChangeKind, ItemChange, Operation, OperationReply, Wait};
-use fleet::Fleet;
 use googletest::prelude::*;
 use serde_json::{Value, json};
 use std::alloc::{GlobalAlloc, Layout, System};
@@ -16,10 +16,10 @@
 
 /// A change was 87 texts with whole documents copied and differenced, and 15.7 while a follower read the whole
 /// text; now the disk is written whole, and the change is read.
-const MOST_TEXTS: f64 = 9.0;
+const MAX_DOCUMENT_COPIES: f64 = 9.0;
 
 /// A change that is written while its buffer doubles, with the list of what it names.
-const MOST_TEXTS_OF_A_CHANGE: f64 = 5.0;
+const MAX_CHANGE_COPIES: f64 = 5.0;
 
 thread_local! {
     static ALLOCATED: Cell<usize> = const { Cell::new(0) };
@@ -34,8 +34,8 @@
         unsafe { System.alloc(layout) }
     }
 
-    unsafe fn dealloc(&self, place: *mut u8, layout: Layout) {
-        unsafe { System.dealloc(place, layout) }
+    unsafe fn dealloc(&self, pointer: *mut u8, layout: Layout) {
+        unsafe { System.dealloc(pointer, layout) }
     }
 }
 
@@ -67,29 +67,29 @@
     ChangeKind::Items(Box::new(change))
 }
 
-fn change(fleet: &mut Fleet, leader: usize, name: &str, kind: ChangeKind) -> bool {
-    let base = fleet.accepted(leader).map(|document| document.view_serial());
+fn change(cluster: &mut TestCluster, leader: usize, name: &str, kind: ChangeKind) -> bool {
+    let base = cluster.accepted(leader).map(|document| document.view_version());
     let change = Some(ChangeId::from(name));
     let operation = Operation::Change { base, numbering: None, change, kind, wait: Wait::Accepted };
-    matches!(fleet.asked(leader, operation), Some(OperationReply::Accepted { .. }))
+    matches!(cluster.reply_to(leader, operation), Some(OperationReply::Accepted { .. }))
 }
 
 /// Three controllers, one of them leading, with so many functions and routes.
-fn fleet_with(count: usize) -> (Fleet, usize) {
-    let mut fleet = Fleet::new(5, &[0, 1, 2]);
-    fleet.start_all();
-    let leader = fleet.await_leader();
-    fleet.pass(1_000);
-    assert!(change(&mut fleet, leader, "first", items(0..count)));
-    fleet.pass(1_000);
-    (fleet, leader)
+fn cluster_with(count: usize) -> (TestCluster, usize) {
+    let mut cluster = TestCluster::new(5, &[0, 1, 2]);
+    cluster.start_all();
+    let leader = cluster.await_leader();
+    cluster.advance(1_000);
+    assert!(change(&mut cluster, leader, "first", items(0..count)));
+    cluster.advance(1_000);
+    (cluster, leader)
 }
 
 #[gtest]
-fn quiet_rounds_cost_the_same_whatever_the_document_holds() -> Result<()> {
+fn idle_heartbeats_cost_the_same_whatever_the_document_size() -> Result<()> {
     let quiet_bytes = |count: usize| {
-        let (mut fleet, _) = fleet_with(count);
-        allocated_by(|| fleet.pass(2_000))
+        let (mut cluster, _) = cluster_with(count);
+        allocated_by(|| cluster.advance(2_000))
     };
     let (small, large) = (quiet_bytes(10), quiet_bytes(1_100));
     println!("quiet for 2 s: {small} bytes with 10 routes, {large} with 1,100");
@@ -97,16 +97,16 @@
 }
 
 #[gtest]
-fn a_change_of_one_route_costs_a_few_texts_of_the_document() -> Result<()> {
-    let (mut fleet, leader) = fleet_with(1_100);
-    let document_length = fleet.accepted(leader).expect("a document").to_bytes().len();
-    let controllers = fleet.nodes.len();
+fn a_change_of_one_route_costs_a_few_copies_of_the_document() -> Result<()> {
+    let (mut cluster, leader) = cluster_with(1_100);
+    let document_length = cluster.accepted(leader).expect("a document").to_bytes().len();
+    let controllers = cluster.nodes.len();
     let change_bytes = allocated_by(|| {
-        assert!(change(&mut fleet, leader, "second", items(1_100..1_101)));
+        assert!(change(&mut cluster, leader, "second", items(1_100..1_101)));
     });
-    let texts = change_bytes as f64 / (document_length * controllers) as f64;
-    println!("a change: {texts:.1} texts of {document_length} bytes at each controller");
-    verify_that!(texts, lt(MOST_TEXTS))
+    let document_copies = change_bytes as f64 / (document_length * controllers) as f64;
+    println!("a change: {document_copies:.1} texts of {document_length} bytes at each controller");
+    verify_that!(document_copies, lt(MAX_DOCUMENT_COPIES))
 }
 
 /// A large change is written from the records as they stand: its text, grown by doubling, and little else. With
@@ -125,8 +125,8 @@
     let base = Document::founding(Vec::new()).with_spec(spec_of(10), &checked_spec, "a".into());
     let newer = base.with_spec(spec_of(4_000), &checked_spec, "b".into());
     let mut length = 0;
-    let bytes = allocated_by(|| length = base.change_to(&newer).len());
-    let texts = bytes as f64 / length as f64;
-    println!("a change of {length} bytes: {texts:.1} texts");
-    verify_that!(texts, lt(MOST_TEXTS_OF_A_CHANGE))
+    let bytes = allocated_by(|| length = base.delta_to(&newer).len());
+    let document_copies = bytes as f64 / length as f64;
+    println!("a change of {length} bytes: {document_copies:.1} texts");
+    verify_that!(document_copies, lt(MAX_CHANGE_COPIES))
 }
--- /dev/null
+++ b/crates/controlplane/tests/storage.rs
@@ -0,0 +1,233 @@
+//! What the data folder gives back after crashes and damage.
+
+use common::frames::SocketAddress;
+use common::identity::{ChangeId, ControllerId, DocumentVersion, Term, Zone};
+use common::spec::{Document, Voter};
+use controlplane::consensus::WriteJob;
+use controlplane::storage::{DataDirectory, DiskFaultHook};
+use googletest::prelude::*;
+use std::fs;
+use std::io;
+use std::path::PathBuf;
+use std::sync::atomic::{AtomicUsize, Ordering};
+
+struct TempDirectory(PathBuf);
+
+impl TempDirectory {
+    fn new(name: &str) -> Self {
+        let path = std::env::temp_dir().join(format!("rudder-{name}-{}", std::process::id()));
+        let _ = fs::remove_dir_all(&path);
+        Self(path)
+    }
+
+    fn newest(&self, prefix: &str) -> PathBuf {
+        let mut names: Vec<PathBuf> = fs::read_dir(&self.0)
+            .expect("a folder")
+            .map(|entry| entry.expect("an entry").path())
+            .filter(|path| {
+                path.file_name()
+                    .and_then(|name| name.to_str())
+                    .is_some_and(|name| name.starts_with(prefix))
+            })
+            .collect();
+        names.sort();
+        names.pop().expect("a file")
+    }
+}
+
+impl Drop for TempDirectory {
+    fn drop(&mut self) {
+        let _ = fs::remove_dir_all(&self.0);
+    }
+}
+
+fn document_versions(count: u64) -> Vec<Document> {
+    let member =
+        Voter { id: ControllerId(7), address: SocketAddress::UNSPECIFIED, zone: "here".into() };
+    let mut stored_versions = vec![Document::founding(vec![member])];
+    for number in 1..count {
+        let last = stored_versions.last().expect("one");
+        let zone = Zone::from(format!("l{number}"));
+        stored_versions.push(last.with_zone(zone, true, ChangeId::from(format!("c{number}"))));
+    }
+    stored_versions
+}
+
+fn fill_directory(directory: &TempDirectory, count: u64) -> Vec<Document> {
+    let data_directory = DataDirectory::open(&directory.0).expect("a shelf");
+    data_directory.load(ControllerId(7)).expect("recalled");
+    let stored_versions = document_versions(count);
+    for document in &stored_versions {
+        data_directory.write(&WriteJob::Version(document.clone())).expect("written");
+    }
+    data_directory
+        .write(&WriteJob::Vote { term: Term(4), candidate: ControllerId(9) })
+        .expect("written");
+    stored_versions
+}
+
+#[gtest]
+fn the_newest_version_and_vote_come_back_and_old_ones_go() -> Result<()> {
+    let directory = TempDirectory::new("newest");
+    let stored_versions = fill_directory(&directory, 30);
+    let (persisted, quarantined) = DataDirectory::open(&directory.0)?.load(ControllerId(1))?;
+    verify_that!(persisted.id, eq(ControllerId(7)))?;
+    verify_that!(persisted.voted_for, some(eq((Term(4), ControllerId(9)))))?;
+    verify_that!(persisted.accepted.as_ref() == stored_versions.last(), eq(true))?;
+    verify_that!(quarantined.is_empty(), eq(true))?;
+    let file_count = fs::read_dir(&directory.0)?.count();
+    verify_that!(file_count, le(8 + 2 + 3))
+}
+
+#[gtest]
+fn a_write_cut_at_any_byte_leaves_the_version_before() -> Result<()> {
+    let directory = TempDirectory::new("cut");
+    let stored_versions = fill_directory(&directory, 3);
+    let full_bytes = fs::read(directory.newest("spec-"))?;
+    let temporary_path = directory.0.join(format!("spec-{:016x}-{:016x}.aside", 9, 9));
+    for cut in (0..full_bytes.len()).step_by(37) {
+        fs::write(&temporary_path, &full_bytes[..cut])?;
+        let (persisted, quarantined) = DataDirectory::open(&directory.0)?.load(ControllerId(1))?;
+        verify_that!(persisted.accepted.as_ref() == stored_versions.last(), eq(true))?;
+        verify_that!(quarantined.is_empty(), eq(true))?;
+        verify_that!(persisted.unreadable_version, eq(DocumentVersion::default()))?;
+    }
+    Ok(())
+}
+
+#[gtest]
+fn a_damaged_version_is_quarantined_and_the_loss_is_recorded() -> Result<()> {
+    let directory = TempDirectory::new("damaged");
+    let stored_versions = fill_directory(&directory, 4);
+    let damaged_path = directory.newest("spec-");
+    let mut damaged_bytes = fs::read(&damaged_path)?;
+    let middle = damaged_bytes.len() / 2;
+    damaged_bytes[middle] ^= 1;
+    fs::write(&damaged_path, damaged_bytes)?;
+    for _ in 0..2 {
+        let (persisted, _) = DataDirectory::open(&directory.0)?.load(ControllerId(1))?;
+        verify_that!(persisted.accepted.as_ref() == stored_versions.get(2), eq(true))?;
+        verify_that!(persisted.unreadable_version, eq(stored_versions[3].document_version))?;
+    }
+    Ok(())
+}
+
+#[gtest]
+fn a_damaged_vote_still_counts_as_granted() -> Result<()> {
+    let directory = TempDirectory::new("vote");
+    fill_directory(&directory, 2);
+    fs::write(directory.newest("vote-"), "")?;
+    let (persisted, quarantined) = DataDirectory::open(&directory.0)?.load(ControllerId(1))?;
+    verify_that!(quarantined.len(), eq(1))?;
+    verify_that!(persisted.voted_for, some(eq((Term(4), ControllerId(0)))))
+}
+
+#[gtest]
+fn an_empty_folder_is_a_new_identity() -> Result<()> {
+    let directory = TempDirectory::new("empty");
+    let (persisted, _) = DataDirectory::open(&directory.0)?.load(ControllerId(42))?;
+    verify_that!(persisted.id, eq(ControllerId(42)))?;
+    verify_that!(persisted.accepted.is_none(), eq(true))?;
+    let (reopened, _) = DataDirectory::open(&directory.0)?.load(ControllerId(43))?;
+    verify_that!(reopened.id, eq(ControllerId(42)))
+}
+
+#[gtest]
+fn a_damaged_newest_version_is_rewritten_from_memory_while_running() -> Result<()> {
+    let directory = TempDirectory::new("scrub");
+    let stored_versions = fill_directory(&directory, 4);
+    let data_directory = DataDirectory::open(&directory.0)?;
+    verify_that!(data_directory.scrub(stored_versions.last())?, is_empty())?;
+    fs::write(directory.newest("spec-"), "rot")?;
+    verify_that!(data_directory.scrub(stored_versions.last())?.len(), eq(1))?;
+    let (persisted, quarantined) = data_directory.load(ControllerId(1))?;
+    verify_that!(persisted.accepted.as_ref() == stored_versions.last(), eq(true))?;
+    verify_that!(persisted.unreadable_version, eq(DocumentVersion::default()))?;
+    verify_that!(quarantined, is_empty())
+}
+
+#[gtest]
+fn single_voter_recovery_needs_a_disk_that_was_a_member() -> Result<()> {
+    let empty = TempDirectory::new("recover-empty");
+    verify_that!(controlplane::storage::force_single_voter(&empty.0).is_err(), eq(true))?;
+    let directory = TempDirectory::new("recover");
+    let stored_versions = fill_directory(&directory, 3);
+    let document_version = controlplane::storage::force_single_voter(&directory.0)?;
+    verify_that!(document_version > stored_versions[2].document_version, eq(true))?;
+    let (persisted, _) = DataDirectory::open(&directory.0)?.load(ControllerId(1))?;
+    let recovered_document = persisted.accepted.expect("a version");
+    verify_that!(recovered_document.voters.len(), eq(1))?;
+    verify_that!(&recovered_document.evacuated, eq(&stored_versions[2].evacuated))
+}
+
+#[gtest]
+fn a_first_start_is_recorded_on_an_empty_disk_only_and_goes_with_a_lost_identity() -> Result<()> {
+    let directory = TempDirectory::new("first");
+    let data_directory = DataDirectory::open(&directory.0)?;
+    verify_that!(data_directory.is_first_start(), eq(false))?;
+    data_directory.record_first_start()?;
+    data_directory.load(ControllerId(7))?;
+    verify_that!(DataDirectory::open(&directory.0)?.is_first_start(), eq(true))?;
+    let later = TempDirectory::new("later");
+    let data_directory = DataDirectory::open(&later.0)?;
+    data_directory.load(ControllerId(7))?;
+    data_directory.record_first_start()?;
+    verify_that!(data_directory.is_first_start(), eq(false))?;
+    fill_directory(&directory, 2);
+    fs::write(directory.0.join("identity"), "rot")?;
+    let data_directory = DataDirectory::open(&directory.0)?;
+    let (persisted, _) = data_directory.load(ControllerId(9))?;
+    verify_that!(persisted.is_empty(), eq(true))?;
+    verify_that!(data_directory.is_first_start(), eq(false))
+}
+
+/// A disk that takes some more files and then no other one.
+struct FullAfter(AtomicUsize);
+
+impl DiskFaultHook for FullAfter {
+    fn before_write(&self) -> io::Result<()> {
+        let remaining = self
+            .0
+            .fetch_update(Ordering::SeqCst, Ordering::SeqCst, |remaining| remaining.checked_sub(1));
+        remaining.map(drop).map_err(|_| io::Error::from(io::ErrorKind::StorageFull))
+    }
+}
+
+/// The disk fills, or power is lost, at each write of the start that finds the damage.
+#[gtest]
+fn a_damaged_version_is_recorded_as_unreadable_at_whatever_write_the_start_ends() -> Result<()> {
+    for writes in 1..4 {
+        let directory = TempDirectory::new("distrust-full");
+        let stored_versions = fill_directory(&directory, 4);
+        fs::write(directory.newest("spec-"), "rot")?;
+        let full = Box::new(FullAfter(AtomicUsize::new(writes)));
+        let _ = DataDirectory::open_with(&directory.0, full)?.load(ControllerId(1));
+        let (persisted, _) = DataDirectory::open(&directory.0)?.load(ControllerId(1))?;
+        verify_that!(persisted.unreadable_version, eq(stored_versions[3].document_version))?;
+    }
+    Ok(())
+}
+
+#[gtest]
+fn older_damage_found_later_does_not_lower_the_unreadable_version() -> Result<()> {
+    let directory = TempDirectory::new("distrust-older");
+    let stored_versions = fill_directory(&directory, 4);
+    for _ in 0..2 {
+        fs::write(directory.newest("spec-"), "rot")?;
+        let (persisted, _) = DataDirectory::open(&directory.0)?.load(ControllerId(1))?;
+        verify_that!(persisted.unreadable_version, eq(stored_versions[3].document_version))?;
+    }
+    Ok(())
+}
+
+#[gtest]
+fn a_damaged_vote_counts_as_granted_at_every_later_start() -> Result<()> {
+    let directory = TempDirectory::new("vote-later");
+    fill_directory(&directory, 2);
+    fs::write(directory.newest("vote-"), "")?;
+    for _ in 0..3 {
+        let (persisted, _) = DataDirectory::open(&directory.0)?.load(ControllerId(1))?;
+        verify_that!(persisted.voted_for, some(eq((Term(4), ControllerId(0)))))?;
+    }
+    Ok(())
+}
--- /dev/null
+++ b/crates/dataplane/src/agent/daemon_control/held_functions.rs
@@ -0,0 +1,189 @@
+//! The functions that a daemon holds: granted, claimed again, given up, closed.
+
+use super::{Agent, DaemonControl, DaemonControlOutput, HeldFunction};
+use crate::holder::{Holder, HolderOutput, LeaseTerms};
+use common::clock::MonotonicTime;
+use common::events;
+use common::frames::{DaemonToLeader, LengthPrefixed, ReserveResult, RunnerStatus};
+use common::identity::{FencingToken, FunctionKey};
+use common::rules::Rule;
+use common::spec::RoutingTable;
+use std::collections::BTreeMap;
+use std::sync::{Arc, PoisonError};
+
+impl<W> DaemonControl<W> {
+    pub(super) fn apply(
+        &mut self,
+        held: &Arc<HeldFunction<W>>,
+        change: impl FnOnce(&mut Holder) -> Vec<HolderOutput>,
+    ) {
+        let outputs = held.with(change);
+        if !outputs.is_empty() {
+            self.outputs.push(DaemonControlOutput::Holder(held.clone(), outputs));
+        }
+    }
+
+    pub(super) fn apply_if_held(
+        &mut self,
+        agent: &Agent<W>,
+        function: &FunctionKey,
+        fencing_token: FencingToken,
+        change: impl FnOnce(&mut Holder) -> Vec<HolderOutput>,
+    ) {
+        if let Some(held) = agent.held(function, fencing_token) {
+            self.apply(&held, change);
+        }
+    }
+
+    pub(super) fn send_claims(&mut self, agent: &Agent<W>, now: MonotonicTime) {
+        let held_functions = agent.held_functions.load_full();
+        let closing: Vec<Arc<HeldFunction<W>>> =
+            agent.closing.lock().unwrap_or_else(PoisonError::into_inner).clone();
+        if self.cluster_view.is_welcomed() {
+            for held in &closing {
+                held.with(|holder| holder.orphans_reported());
+            }
+        }
+        let claims = held_functions
+            .values()
+            .chain(&closing)
+            .map(|held| held.with(|holder| holder.claim()))
+            .collect();
+        let view_outputs = self.cluster_view.claims(claims);
+        self.apply_view_outputs(agent, now, view_outputs);
+    }
+
+    pub(super) fn release_all(&mut self, agent: &Agent<W>, now: MonotonicTime) {
+        if !agent.rules.enforces(Rule::ServesUnderSessionLease) {
+            return;
+        }
+        let released = agent.held_functions.swap(Arc::new(BTreeMap::new()));
+        self.log_event(
+            events::SESSION_LEASE_ENDED,
+            format!("{} functions given up", released.len()),
+        );
+        self.outputs.push(DaemonControlOutput::LeaseEnded);
+        for held in released.values() {
+            self.close(agent, now, held);
+        }
+        agent.owners.store(Arc::new(BTreeMap::new()));
+        self.send_claims(agent, now);
+        self.outputs.push(DaemonControlOutput::Changed);
+    }
+
+    pub(super) fn install(
+        &mut self,
+        agent: &Agent<W>,
+        now: MonotonicTime,
+        table: Arc<RoutingTable>,
+    ) {
+        agent.table.store(table.clone());
+        self.recheck_warm_functions(now);
+        let detail = format!("serial {}, {} routes", table.version(), table.route_count());
+        self.log_event(events::SPEC_INSTALLED, detail);
+        self.outputs.push(DaemonControlOutput::Installed(table.version()));
+        for held in agent.held_functions.load_full().values() {
+            match table.function_of(&held.function) {
+                Some(entry) => {
+                    let newest_spec = (*entry.spec).clone();
+                    let index = table.index_of(&held.function);
+                    let is_prewarmed = !held.function.is_regional()
+                        && index.is_some_and(|index| table.is_prewarmed(index));
+                    held.with(|holder| {
+                        holder.update_spec(newest_spec);
+                        holder.set_warm(is_prewarmed);
+                    });
+                }
+                None => self.apply(held, |holder| holder.begin_release(now)),
+            }
+        }
+        self.outputs.push(DaemonControlOutput::Changed);
+    }
+
+    pub(super) fn granted(&mut self, agent: &Agent<W>, now: MonotonicTime, terms: LeaseTerms) {
+        let (function, fencing_token) = (terms.function.clone(), terms.fencing_token);
+        let held_fencing_token =
+            agent.held_functions.load().get(&function).map(|held| held.fencing_token);
+        if held_fencing_token >= Some(fencing_token) {
+            return;
+        }
+        let mut holder =
+            Holder::new(now, terms).with_rules(agent.rules).with_tuning(now, agent.tuning);
+        let table = agent.table.load();
+        let index = table.index_of(&function).filter(|_| !function.is_regional());
+        holder.set_warm(index.is_some_and(|index| table.is_prewarmed(index)));
+        let held = Arc::new(HeldFunction::new(holder));
+        let displaced = agent.held_functions.load().get(&function).cloned();
+        agent.held_functions.rcu(|held_functions| {
+            let mut changed_functions = BTreeMap::clone(held_functions);
+            changed_functions.insert(function.clone(), held.clone());
+            changed_functions
+        });
+        if let Some(displaced) = displaced {
+            self.close(agent, now, &displaced);
+            self.report_left_runners(&displaced);
+        }
+        agent.cache_owner(&function, &agent.own_host);
+        self.log_event(events::LEASE_GRANTED, format!("{function} under {fencing_token}"));
+        self.apply(&held, |holder| holder.begin(now));
+        self.outputs.push(DaemonControlOutput::Changed);
+    }
+
+    pub(super) fn reserved(
+        &mut self,
+        agent: &Agent<W>,
+        now: MonotonicTime,
+        function: FunctionKey,
+        fencing_token: FencingToken,
+        result: &ReserveResult,
+    ) {
+        match (agent.held(&function, fencing_token), result) {
+            (Some(held), _) => self.apply(&held, |holder| holder.reserved(now, result)),
+            (None, ReserveResult::Reserved { runner, .. }) => {
+                let runner_status = RunnerStatus::Gone;
+                self.send_frame(DaemonToLeader::RunnerUpdate {
+                    function,
+                    runner: *runner,
+                    runner_status,
+                });
+            }
+            _ => {}
+        }
+    }
+
+    /// Tells the leader what a function that was closed alone leaves behind.
+    pub(super) fn report_left_runners(&mut self, held: &Arc<HeldFunction<W>>) {
+        if !self.cluster_view.is_welcomed() {
+            return;
+        }
+        let runners = held.with(|holder| {
+            holder.orphans_reported();
+            holder.orphaned_runners()
+        });
+        let (function, fencing_token) = (held.function.clone(), held.fencing_token);
+        self.send_frame(DaemonToLeader::Release {
+            function,
+            fencing_token,
+            runners: LengthPrefixed(runners),
+        });
+    }
+
+    pub(super) fn close(
+        &mut self,
+        agent: &Agent<W>,
+        now: MonotonicTime,
+        held: &Arc<HeldFunction<W>>,
+    ) {
+        agent.closing.lock().unwrap_or_else(PoisonError::into_inner).push(held.clone());
+        self.apply(held, |holder| holder.close(now));
+    }
+
+    pub(super) fn remove(&mut self, agent: &Agent<W>, function: &FunctionKey) {
+        agent.held_functions.rcu(|held_functions| {
+            let mut changed_functions = BTreeMap::clone(held_functions);
+            changed_functions.remove(function);
+            changed_functions
+        });
+        self.outputs.push(DaemonControlOutput::Changed);
+    }
+}
--- a/crates/dataplane/src/agent/daemon_control/mod.rs
+++ b/crates/dataplane/src/agent/daemon_control/mod.rs
@@ -1,272 +1,292 @@
 //! The control side of a daemon: what the leader, the holders and time have for its keeper, and what
 //! follows from it in its agent. No I/O; the drivers carry out the [`DaemonOrder`]s it returns.
 
-mod holdings;
-mod keeper_orders;
-mod orders;
+mod held_functions;
+mod outputs;
+mod view_outputs;
 
-pub use orders::DaemonOrder;
+pub use outputs::DaemonControlOutput;
 
-use super::{Agent, Held};
+use super::{Agent, HeldFunction};
+use crate::cluster_view::ClusterView;
+use crate::control_session::{ControlSession, ControlSessionTiming};
 use crate::holder::HolderMessage;
-use crate::keeper::Keeper;
-use crate::liaison::{Liaison, LiaisonTiming};
-use crate::owners::{WarmSeeker, WarmSight};
-use common::chance::Chance;
-use common::clock::Moment;
+use crate::owners::{WarmAcquirer, WarmContext};
+use common::clock::MonotonicTime;
 use common::events::{self, Event};
-use common::frames::{Heartbeat, IdleFunction, Many, Place, StreamDown, StreamUp};
-use common::identity::{FunctionKey, GrantSerial};
+use common::frames::{
+    DaemonToLeader, Heartbeat, IdleFunction, LeaderToDaemon, LengthPrefixed, SocketAddress,
+};
+use common::identity::{FencingToken, FunctionKey};
+use common::rng::SeededRng;
 use std::sync::{Arc, PoisonError};
 use std::time::Duration;
 
 /// A function not called for so long is reported to the leader as idle.
-const IDLE_FROM: Duration = Duration::from_secs(3);
+const IDLE_REPORT_AFTER: Duration = Duration::from_secs(3);
 /// How often the leader is told of idle functions and refusals.
-const SAY_EVERY: Duration = Duration::from_secs(1);
+const REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Feeds one daemon's keeper, and does in its agent what the keeper orders.
 pub struct DaemonControl<W> {
-    keeper: Keeper,
-    say_at: Moment,
-    warm: Option<WarmSeeker>,
-    orders: Vec<DaemonOrder<W>>,
+    cluster_view: ClusterView,
+    report_at: MonotonicTime,
+    warm_acquirer: Option<WarmAcquirer>,
+    outputs: Vec<DaemonControlOutput<W>>,
 }
 
 impl<W> DaemonControl<W> {
     /// The control side of a daemon that has just started.
     pub fn new(
-        now: Moment,
+        now: MonotonicTime,
         agent: &Agent<W>,
-        timing: LiaisonTiming,
-        door: Place,
-        seeds: Vec<Place>,
-        chance: Chance,
+        timing: ControlSessionTiming,
+        ingress: SocketAddress,
+        seeds: Vec<SocketAddress>,
+        rng: SeededRng,
     ) -> Self {
         let own_host = agent.own_host.clone();
-        let liaison = Liaison::new(now, timing, own_host.clone(), door, seeds, chance)
-            .with_rules(agent.rules);
-        let keeper = Keeper::new(liaison, own_host).with_rules(agent.rules);
-        Self { keeper, say_at: now, warm: None, orders: Vec::new() }
+        let control_session =
+            ControlSession::new(now, timing, own_host.clone(), ingress, seeds, rng)
+                .with_rules(agent.rules);
+        let cluster_view = ClusterView::new(control_session, own_host).with_rules(agent.rules);
+        Self { cluster_view, report_at: now, warm_acquirer: None, outputs: Vec::new() }
     }
 
     /// The same with another pause between heartbeats.
-    pub fn with_beat(mut self, beat_every: Duration) -> Self {
-        self.keeper = self.keeper.with_beat(beat_every);
+    pub fn with_heartbeat_interval(mut self, heartbeat_interval: Duration) -> Self {
+        self.cluster_view = self.cluster_view.with_heartbeat_interval(heartbeat_interval);
         self
     }
 
     /// The same, seeking owners for warm functions before they are called.
-    pub fn with_warm(mut self, now: Moment) -> Self {
-        self.warm = Some(WarmSeeker::new(now));
+    pub fn with_warm(mut self, now: MonotonicTime) -> Self {
+        self.warm_acquirer = Some(WarmAcquirer::new(now));
         self
     }
 
     /// When something is due, at the latest.
-    pub fn next_due(&self, agent: &Agent<W>) -> Moment {
-        let seeks = self.keeper.is_welcomed() && !agent.is_leaving();
-        let warm = self.warm.as_ref().filter(|_| seeks);
-        let warm_due = warm.map_or(self.say_at, WarmSeeker::next_due);
-        let first_due = self.keeper.next_due().min(self.say_at).min(warm_due);
-        let holdings = agent.holdings.load();
+    pub fn next_due(&self, agent: &Agent<W>) -> MonotonicTime {
+        let seeks = self.cluster_view.is_welcomed() && !agent.is_leaving();
+        let warm_acquirer = self.warm_acquirer.as_ref().filter(|_| seeks);
+        let warm_due = warm_acquirer.map_or(self.report_at, WarmAcquirer::next_due);
+        let first_due = self.cluster_view.next_due().min(self.report_at).min(warm_due);
+        let held_functions = agent.held_functions.load();
         let holders_due =
-            holdings.values().filter_map(|held| held.with(|holder| holder.next_due()));
-        holders_due.fold(first_due, Moment::min)
+            held_functions.values().filter_map(|held| held.with(|holder| holder.next_due()));
+        holders_due.fold(first_due, MonotonicTime::min)
     }
 
     /// When the stream or a heartbeat is due.
-    pub fn stream_due(&self) -> Moment {
-        self.keeper.next_due()
+    pub fn stream_due(&self) -> MonotonicTime {
+        self.cluster_view.next_due()
     }
 
     /// Asks for warm functions that want an owner.
-    fn seek_warm(&mut self, agent: &Agent<W>, now: Moment) {
-        if !agent.is_serving(now) || agent.is_leaving() || !self.keeper.is_welcomed() {
+    fn acquire_warm_functions(&mut self, agent: &Agent<W>, now: MonotonicTime) {
+        if !agent.is_serving(now) || agent.is_leaving() || !self.cluster_view.is_welcomed() {
             return;
         }
-        let Some(warm) = &mut self.warm else { return };
+        let Some(warm_acquirer) = &mut self.warm_acquirer else { return };
         let (table, hosts) = (agent.table.load(), agent.hosts.load());
-        let (owners, holdings) = (agent.owners.load(), agent.holdings.load());
-        let regional = agent.regional_wishes(now);
-        let wish = warm.next(
+        let (owners, held_functions) = (agent.owners.load(), agent.held_functions.load());
+        let regional = agent.regional_keys_wanted(now);
+        let wanted = warm_acquirer.next(
             now,
-            &WarmSight {
+            &WarmContext {
                 table: &table,
                 own_member: &agent.own_host.member,
                 hosts: &hosts,
                 regions: &agent.regions,
                 regional: &regional,
                 owners: &owners,
-                holds: &|function| holdings.contains_key(function),
+                holds: &|function| held_functions.contains_key(function),
             },
         );
-        if let Some(function) = wish {
-            let keeper_orders = self.keeper.acquire(now, function);
-            self.obey(agent, now, keeper_orders);
+        if let Some(function) = wanted {
+            let view_outputs = self.cluster_view.acquire(now, function);
+            self.apply_view_outputs(agent, now, view_outputs);
         }
     }
 
     /// Something has changed that functions may want an owner for.
-    pub fn warm_changed(&mut self, now: Moment) {
-        if let Some(warm) = &mut self.warm {
-            warm.changed(now);
+    pub fn recheck_warm_functions(&mut self, now: MonotonicTime) {
+        if let Some(warm_acquirer) = &mut self.warm_acquirer {
+            warm_acquirer.changed(now);
         }
     }
 
     /// The seeds have changed.
-    pub fn set_seeds(&mut self, seeds: Vec<Place>) {
-        self.keeper.set_seeds(seeds);
+    pub fn set_seeds(&mut self, seeds: Vec<SocketAddress>) {
+        self.cluster_view.set_seeds(seeds);
     }
 
-    fn done(&mut self) -> Vec<DaemonOrder<W>> {
-        std::mem::take(&mut self.orders)
+    fn take_outputs(&mut self) -> Vec<DaemonControlOutput<W>> {
+        std::mem::take(&mut self.outputs)
     }
 
     /// Lets time pass.
-    pub fn tick(&mut self, agent: &Agent<W>, now: Moment) -> Vec<DaemonOrder<W>> {
-        let keeper_orders = self.keeper.tick(now);
-        self.obey(agent, now, keeper_orders);
-        for held in agent.holdings.load_full().values() {
+    pub fn tick(&mut self, agent: &Agent<W>, now: MonotonicTime) -> Vec<DaemonControlOutput<W>> {
+        let view_outputs = self.cluster_view.tick(now);
+        self.apply_view_outputs(agent, now, view_outputs);
+        for held in agent.held_functions.load_full().values() {
             self.apply(held, |holder| holder.tick(now));
         }
-        let closing: Vec<Arc<Held<W>>> = {
+        let closing: Vec<Arc<HeldFunction<W>>> = {
             let mut closing = agent.closing.lock().unwrap_or_else(PoisonError::into_inner);
-            closing.retain(|held| !held.with(|holder| holder.is_over(now)));
+            closing.retain(|held| !held.with(|holder| holder.is_finished(now)));
             closing.clone()
         };
         for held in closing {
             self.apply(&held, |holder| holder.tick(now));
         }
-        self.seek_warm(agent, now);
-        if now >= self.say_at {
-            self.say_at = now + SAY_EVERY;
-            self.say_load(agent, now);
-            agent.replica.lock().unwrap_or_else(PoisonError::into_inner).expire(now);
+        self.acquire_warm_functions(agent, now);
+        if now >= self.report_at {
+            self.report_at = now + REPORT_INTERVAL;
+            self.report_load(agent, now);
+            agent.ledger_replica.lock().unwrap_or_else(PoisonError::into_inner).expire(now);
         }
-        self.done()
+        self.take_outputs()
     }
 
-    fn say_load(&mut self, agent: &Agent<W>, now: Moment) {
+    fn report_load(&mut self, agent: &Agent<W>, now: MonotonicTime) {
         let mut idle_functions = Vec::new();
-        for held in agent.holdings.load_full().values() {
+        for held in agent.held_functions.load_full().values() {
             let function = held.function.clone();
-            let (idle_span, sheds) = held.with(|holder| (holder.idle(now), holder.take_sheds()));
-            if let Some(idle_span) = idle_span.filter(|span| *span > IDLE_FROM) {
+            let (idle_span, rejections) =
+                held.with(|holder| (holder.idle(now), holder.take_rejections()));
+            if let Some(idle_span) = idle_span.filter(|span| *span > IDLE_REPORT_AFTER) {
                 let idle_ms = idle_span.as_millis().min(u128::from(u32::MAX)) as u32;
                 idle_functions.push(IdleFunction { function: function.clone(), idle_ms });
             }
-            if let Some((count, reason)) = sheds {
-                self.say(StreamUp::Sheds { function, count, reason });
+            if let Some((count, reason)) = rejections {
+                self.send_frame(DaemonToLeader::Rejections { function, count, reason });
             }
         }
-        self.say(StreamUp::Idle { functions: Many(idle_functions) });
+        self.send_frame(DaemonToLeader::Idle { functions: LengthPrefixed(idle_functions) });
     }
 
     /// The dialed stream is open.
-    pub fn connected(&mut self, agent: &Agent<W>, now: Moment) -> Vec<DaemonOrder<W>> {
-        let keeper_orders = self.keeper.connected(now);
-        self.obey(agent, now, keeper_orders);
-        self.done()
+    pub fn connected(
+        &mut self,
+        agent: &Agent<W>,
+        now: MonotonicTime,
+    ) -> Vec<DaemonControlOutput<W>> {
+        let view_outputs = self.cluster_view.connected(now);
+        self.apply_view_outputs(agent, now, view_outputs);
+        self.take_outputs()
     }
 
     /// A part of a long frame of the leader has come in.
-    pub fn receiving(&mut self, now: Moment) {
-        self.keeper.receiving(now);
+    pub fn frame_part_received(&mut self, now: MonotonicTime) {
+        self.cluster_view.frame_part_received(now);
     }
 
     /// The stream failed or ended.
-    pub fn disconnected(&mut self, agent: &Agent<W>, now: Moment) -> Vec<DaemonOrder<W>> {
-        let keeper_orders = self.keeper.disconnected(now);
-        self.obey(agent, now, keeper_orders);
-        self.done()
+    pub fn disconnected(
+        &mut self,
+        agent: &Agent<W>,
+        now: MonotonicTime,
+    ) -> Vec<DaemonControlOutput<W>> {
+        let view_outputs = self.cluster_view.disconnected(now);
+        self.apply_view_outputs(agent, now, view_outputs);
+        self.take_outputs()
     }
 
     /// The leader says something.
-    pub fn heard(
+    pub fn received(
         &mut self,
         agent: &Agent<W>,
-        now: Moment,
-        frame: StreamDown,
-    ) -> Vec<DaemonOrder<W>> {
-        let keeper_orders = self.keeper.heard(now, frame);
-        self.obey(agent, now, keeper_orders);
-        self.done()
+        now: MonotonicTime,
+        frame: LeaderToDaemon,
+    ) -> Vec<DaemonControlOutput<W>> {
+        let view_outputs = self.cluster_view.received(now, frame);
+        self.apply_view_outputs(agent, now, view_outputs);
+        self.take_outputs()
     }
 
     /// A heartbeat came in; false when it is a stranger's.
-    pub fn beat(&mut self, now: Moment, heartbeat: &Heartbeat) -> bool {
-        self.keeper.beat(now, heartbeat)
+    pub fn heartbeat(&mut self, now: MonotonicTime, heartbeat: &Heartbeat) -> bool {
+        self.cluster_view.heartbeat(now, heartbeat)
     }
 
     /// A transaction needs a function's owner.
     pub fn acquire(
         &mut self,
         agent: &Agent<W>,
-        now: Moment,
+        now: MonotonicTime,
         function: FunctionKey,
-    ) -> Vec<DaemonOrder<W>> {
-        let keeper_orders = self.keeper.acquire(now, function);
-        self.obey(agent, now, keeper_orders);
-        self.done()
+    ) -> Vec<DaemonControlOutput<W>> {
+        let view_outputs = self.cluster_view.acquire(now, function);
+        self.apply_view_outputs(agent, now, view_outputs);
+        self.take_outputs()
     }
 
     /// A holder has something for the leader.
-    pub fn told(
+    pub fn holder_message(
         &mut self,
         agent: &Agent<W>,
-        now: Moment,
+        now: MonotonicTime,
         function: FunctionKey,
-        grant: GrantSerial,
-        word: HolderMessage,
-    ) -> Vec<DaemonOrder<W>> {
-        match word {
+        fencing_token: FencingToken,
+        message: HolderMessage,
+    ) -> Vec<DaemonControlOutput<W>> {
+        match message {
             HolderMessage::Reserve => {
-                let keeper_orders = self.keeper.reserve(function, grant);
-                self.obey(agent, now, keeper_orders);
+                let view_outputs = self.cluster_view.reserve(function, fencing_token);
+                self.apply_view_outputs(agent, now, view_outputs);
             }
-            HolderMessage::News { runner, news } => {
-                self.say(StreamUp::Runner { function, runner, news });
+            HolderMessage::RunnerStatus { runner, runner_status } => {
+                self.send_frame(DaemonToLeader::RunnerUpdate { function, runner, runner_status });
             }
-            HolderMessage::StewardLost { lost } => {
-                self.say(StreamUp::StewardLost { function, grant, lost });
+            HolderMessage::ReplicaLost { lost } => {
+                self.send_frame(DaemonToLeader::ReplicaLost { function, fencing_token, lost });
             }
-            HolderMessage::StewardWhole { steward } => {
-                self.say(StreamUp::StewardWhole { function, grant, steward });
+            HolderMessage::ReplicaComplete { replica } => {
+                self.send_frame(DaemonToLeader::ReplicaComplete {
+                    function,
+                    fencing_token,
+                    replica,
+                });
             }
             HolderMessage::Released { runners } => {
-                if agent.held(&function, grant).is_some() {
+                if agent.held(&function, fencing_token).is_some() {
                     self.remove(agent, &function);
-                    self.say(StreamUp::Release { function, grant, runners: Many(runners) });
+                    self.send_frame(DaemonToLeader::Release {
+                        function,
+                        fencing_token,
+                        runners: LengthPrefixed(runners),
+                    });
                 }
             }
         }
-        self.done()
+        self.take_outputs()
     }
 
     /// The daemon is to stop in order: it takes on nothing, finishes what it holds, and gives it back.
-    pub fn leave(&mut self, agent: &Agent<W>, now: Moment) -> Vec<DaemonOrder<W>> {
+    pub fn leave(&mut self, agent: &Agent<W>, now: MonotonicTime) -> Vec<DaemonControlOutput<W>> {
         agent.begin_leaving();
-        let keeper_orders = self.keeper.leave(now);
-        self.obey(agent, now, keeper_orders);
-        for held in agent.holdings.load_full().values() {
-            self.tell(events::HANDING_OVER, held.function.to_string());
-            self.apply(held, |holder| holder.hand_over(now));
+        let view_outputs = self.cluster_view.leave(now);
+        self.apply_view_outputs(agent, now, view_outputs);
+        for held in agent.held_functions.load_full().values() {
+            self.log_event(events::HANDOVER_STARTED, held.function.to_string());
+            self.apply(held, |holder| holder.begin_release(now));
         }
-        self.done()
+        self.take_outputs()
     }
 
     /// The daemon is gone in a moment: it serves no more, and the leader need not wait for its grant.
-    pub fn left(&mut self, agent: &Agent<W>) -> Vec<DaemonOrder<W>> {
-        agent.serving_until.set(Moment::ZERO);
-        self.say(StreamUp::Leaving);
-        self.done()
+    pub fn departed(&mut self, agent: &Agent<W>) -> Vec<DaemonControlOutput<W>> {
+        agent.serving_until.set(MonotonicTime::ZERO);
+        self.send_frame(DaemonToLeader::Leaving);
+        self.take_outputs()
     }
 
-    fn say(&mut self, frame: StreamUp) {
-        self.orders.push(DaemonOrder::Say(frame));
+    fn send_frame(&mut self, frame: DaemonToLeader) {
+        self.outputs.push(DaemonControlOutput::SendFrame(frame));
     }
 
-    fn tell(&mut self, event: Event, detail: String) {
-        self.orders.push(DaemonOrder::Tell(event, detail));
+    fn log_event(&mut self, event: Event, detail: String) {
+        self.outputs.push(DaemonControlOutput::LogEvent(event, detail));
     }
 }
--- a/crates/dataplane/src/agent/daemon_control/orders.rs
+++ b/crates/dataplane/src/agent/daemon_control/outputs.rs
@@ -1,25 +1,25 @@
 //! What the control side of a daemon orders from its drivers.
 
-use super::Held;
+use super::HeldFunction;
 use crate::holder::HolderOutput;
 use common::events::Event;
-use common::frames::{AcquireResult, Heartbeat, Place, StreamUp};
-use common::identity::{FunctionKey, Serial};
+use common::frames::{AcquireResult, DaemonToLeader, Heartbeat, SocketAddress};
+use common::identity::{FunctionKey, Version};
 use std::sync::Arc;
 use std::time::Duration;
 
 /// What the controller orders; the agent is changed already.
-pub enum DaemonOrder<W> {
+pub enum DaemonControlOutput<W> {
     /// Open a stream there.
-    Dial(Place),
+    Dial(SocketAddress),
     /// End the stream.
     Hangup,
     /// Say something on the stream, if it is open.
-    Say(StreamUp),
+    SendFrame(DaemonToLeader),
     /// Send a heartbeat to these places.
-    Beat(Heartbeat, Vec<Place>),
+    HeartbeatDatagram(Heartbeat, Vec<SocketAddress>),
     /// Do what a holder orders.
-    Holder(Arc<Held<W>>, Vec<HolderOutput>),
+    Holder(Arc<HeldFunction<W>>, Vec<HolderOutput>),
     /// Tell those who wait for an acquisition; none when it must be tried again.
     Acquired(FunctionKey, Option<AcquireResult>, Duration),
     /// Tell those who wait for acquisitions that the stream is lost.
@@ -27,9 +27,9 @@
     /// Something changed that a transaction may wait for.
     Changed,
     /// Write an event to the log.
-    Tell(Event, String),
+    LogEvent(Event, String),
     /// A spec is in use.
-    Installed(Serial),
+    Installed(Version),
     /// The member grant has ended.
-    GrantEnded,
+    LeaseEnded,
 }
--- /dev/null
+++ b/crates/dataplane/src/agent/daemon_control/view_outputs.rs
@@ -0,0 +1,179 @@
+//! Carries out in the agent what the keeper orders.
+
+use super::{Agent, DaemonControl, DaemonControlOutput};
+use crate::cluster_view::ClusterViewOutput;
+use common::clock::MonotonicTime;
+use common::events;
+use common::frames::AcquireResult;
+use common::identity::{FencingToken, FunctionKey, RunnerId, Term};
+use common::rules::Rule;
+use std::sync::Arc;
+use std::time::Duration;
+
+impl<W> DaemonControl<W> {
+    pub(super) fn apply_view_outputs(
+        &mut self,
+        agent: &Agent<W>,
+        now: MonotonicTime,
+        view_outputs: Vec<ClusterViewOutput>,
+    ) {
+        for output in view_outputs {
+            self.apply_view_output(agent, now, output);
+        }
+    }
+
+    fn apply_view_output(
+        &mut self,
+        agent: &Agent<W>,
+        now: MonotonicTime,
+        output: ClusterViewOutput,
+    ) {
+        match output {
+            ClusterViewOutput::Dial(address) => {
+                self.outputs.push(DaemonControlOutput::Dial(address))
+            }
+            ClusterViewOutput::Hangup => self.outputs.push(DaemonControlOutput::Hangup),
+            ClusterViewOutput::SendFrame(frame) => self.send_frame(frame),
+            ClusterViewOutput::HeartbeatDatagram(heartbeat, addresses) => {
+                self.outputs.push(DaemonControlOutput::HeartbeatDatagram(heartbeat, addresses));
+            }
+            ClusterViewOutput::Welcomed(term) => self.welcomed(agent, now, term),
+            ClusterViewOutput::StreamLost(lost_reserves) => {
+                self.stream_lost(agent, now, lost_reserves)
+            }
+            ClusterViewOutput::ServeUntil(lease_end) => self.serve_until(agent, now, lease_end),
+            ClusterViewOutput::ReleaseAll => self.release_all(agent, now),
+            ClusterViewOutput::Install(table) => self.install(agent, now, table),
+            ClusterViewOutput::InstallFailed(version, error) => {
+                self.log_event(events::SPEC_INSTALL_FAILED, format!("serial {version}: {error}"));
+            }
+            ClusterViewOutput::Hosts(alive_hosts) => {
+                agent.hosts.store(Arc::new(alive_hosts));
+                self.recheck_warm_functions(now);
+                self.outputs.push(DaemonControlOutput::Changed);
+            }
+            ClusterViewOutput::LeaseGranted(terms) => self.granted(agent, now, terms),
+            ClusterViewOutput::ReclaimIdle(function, fencing_token) => {
+                self.apply_if_held(agent, &function, fencing_token, |holder| {
+                    holder.stop_if_unused(now)
+                });
+            }
+            ClusterViewOutput::ReplicaAssigned(function, fencing_token, replica) => {
+                self.apply_if_held(agent, &function, fencing_token, |holder| {
+                    holder.replica_assigned(now, replica)
+                });
+            }
+            ClusterViewOutput::Acquired { function, result, round_trip } => {
+                self.acquired(agent, function, result, round_trip);
+            }
+            ClusterViewOutput::Reserved { function, fencing_token, result } => {
+                self.reserved(agent, now, function, fencing_token, &result);
+            }
+            ClusterViewOutput::Revoke(function, fencing_token) => {
+                self.revoked(agent, now, &function, fencing_token)
+            }
+            ClusterViewOutput::RunnerUnlisted(function, runner) => {
+                self.apply_if_held(agent, &function, runner.fencing_token, |holder| {
+                    holder.vanished(now, runner)
+                });
+            }
+            ClusterViewOutput::Drain(function, runner) => self.drain(agent, now, &function, runner),
+            ClusterViewOutput::HandOver(function, fencing_token) => {
+                self.begin_release(agent, now, &function, fencing_token)
+            }
+        }
+    }
+
+    fn welcomed(&mut self, agent: &Agent<W>, now: MonotonicTime, term: Term) {
+        agent.set_has_leader(true);
+        self.log_event(events::STREAM_OPENED, format!("leader of term {term}"));
+        self.send_claims(agent, now);
+        self.outputs.push(DaemonControlOutput::Changed);
+    }
+
+    fn stream_lost(
+        &mut self,
+        agent: &Agent<W>,
+        now: MonotonicTime,
+        lost_reserves: Vec<(FunctionKey, FencingToken)>,
+    ) {
+        agent.set_has_leader(false);
+        self.log_event(events::STREAM_LOST, String::new());
+        self.outputs.push(DaemonControlOutput::AcquiresLost);
+        for (function, fencing_token) in lost_reserves {
+            if let Some(held) = agent.held(&function, fencing_token) {
+                held.with(|holder| holder.reserve_failed(now));
+            }
+        }
+    }
+
+    fn serve_until(&mut self, agent: &Agent<W>, now: MonotonicTime, lease_end: MonotonicTime) {
+        if !agent.is_serving(now) {
+            self.recheck_warm_functions(now);
+            self.log_event(
+                events::SERVING_STARTED,
+                format!("serial {}", self.cluster_view.version()),
+            );
+            self.outputs.push(DaemonControlOutput::Changed);
+        }
+        agent.serving_until.set(lease_end);
+    }
+
+    fn acquired(
+        &mut self,
+        agent: &Agent<W>,
+        function: FunctionKey,
+        result: Option<AcquireResult>,
+        round_trip: Duration,
+    ) {
+        if let Some(AcquireResult::Owner { host }) = &result {
+            agent.cache_owner(&function, host);
+        }
+        let is_settled = !matches!(result, None | Some(AcquireResult::RetryLater { .. }));
+        self.outputs.push(DaemonControlOutput::Acquired(function, result, round_trip));
+        if is_settled {
+            self.outputs.push(DaemonControlOutput::Changed);
+        }
+    }
+
+    fn revoked(
+        &mut self,
+        agent: &Agent<W>,
+        now: MonotonicTime,
+        function: &FunctionKey,
+        fencing_token: FencingToken,
+    ) {
+        if let Some(held) = agent.held(function, fencing_token) {
+            self.remove(agent, function);
+            self.close(agent, now, &held);
+            self.report_left_runners(&held);
+        }
+    }
+
+    fn drain(
+        &mut self,
+        agent: &Agent<W>,
+        now: MonotonicTime,
+        function: &FunctionKey,
+        runner: RunnerId,
+    ) {
+        if agent.rules.enforces(Rule::DrainObeyed) {
+            self.apply_if_held(agent, function, runner.fencing_token, |holder| {
+                holder.drain(now, runner)
+            });
+        }
+    }
+
+    fn begin_release(
+        &mut self,
+        agent: &Agent<W>,
+        now: MonotonicTime,
+        function: &FunctionKey,
+        fencing_token: FencingToken,
+    ) {
+        if agent.rules.enforces(Rule::EvacuationObeyed) {
+            self.log_event(events::HANDOVER_STARTED, function.to_string());
+            self.apply_if_held(agent, function, fencing_token, |holder| holder.begin_release(now));
+        }
+    }
+}
