--- a/crates/dataplane/src/agent/forwarding/ask.rs
+++ b/crates/dataplane/src/agent/forwarding/request.rs
@@ -1,62 +1,65 @@
 //! A transaction as a daemon takes it on, from a caller or from another daemon.
 
-use common::clock::Moment;
-use common::frames::{HopBody, Parcel};
-use common::identity::{FunctionKey, Region, Serial, TransactionId};
+use common::clock::MonotonicTime;
+use common::frames::{DaemonMessage, RequestPayload};
+use common::identity::{FunctionKey, IdempotencyKey, Region, Version};
 use std::sync::Arc;
 use std::time::Duration;
 
 /// A transaction that seeks its holder.
 #[derive(Clone, Debug)]
-pub struct Ask {
+pub struct FunctionRequest {
     /// The try's identity.
-    pub transaction: TransactionId,
+    pub idempotency_key: IdempotencyKey,
     /// The function.
     pub function: FunctionKey,
     /// The route that matched it.
     pub route: String,
     /// The spec it was matched with.
-    pub serial: Serial,
+    pub version: Version,
     /// When its budget ends.
-    pub budget_end: Moment,
+    pub deadline: MonotonicTime,
     /// How many hops it has made.
     pub hops: u8,
     /// Whether it is a repeat: the caller's, or of one passed to a holder that fell silent.
     pub repeat: bool,
     /// Whether whoever passed it on would rather be told the holder.
-    pub refer: bool,
+    pub wants_referral: bool,
     /// The region of the daemon that took it from its caller; empty when it lies in none.
     pub region: Region,
     /// What the caller sent.
-    pub parcel: Arc<Parcel>,
+    pub payload: Arc<RequestPayload>,
 }
 
-impl Ask {
+impl FunctionRequest {
     /// An ask as another daemon passed it on; none when the frame is something else.
-    pub fn passed_on(now: Moment, frame: HopBody) -> Result<Self, Box<HopBody>> {
+    pub fn from_frame(
+        now: MonotonicTime,
+        frame: DaemonMessage,
+    ) -> Result<Self, Box<DaemonMessage>> {
         match frame {
-            HopBody::Ask {
-                transaction,
+            DaemonMessage::FunctionRequest {
+                idempotency_key,
                 function,
                 route,
-                serial,
-                budget_ms,
+                version,
+                timeout_ms,
                 hops,
                 repeat,
-                refer,
+                wants_referral,
                 region,
-                parcel,
+                payload,
             } => Ok(Self {
-                transaction,
+                idempotency_key,
                 function,
                 route: route.to_string(),
-                serial,
-                budget_end: now + Duration::from_millis(u64::from(budget_ms)),
+                version,
+                deadline: now + Duration::from_millis(u64::from(timeout_ms)),
                 hops,
                 repeat: repeat.0,
-                refer: refer.0,
+                wants_referral: wants_referral.0,
                 region,
-                parcel: Arc::new(parcel),
+                payload: Arc::new(payload),
             }),
             other => Err(Box::new(other)),
         }
--- a/crates/dataplane/src/agent/held.rs
+++ b/crates/dataplane/src/agent/held.rs
@@ -1,10 +1,10 @@
 //! A held function together with those who wait for its outcomes.
 
-use crate::holder::{Entry, Holder, HolderOutput};
-use common::clock::Moment;
-use common::frames::{HopOutcome, Parcel};
+use crate::holder::{AdmissionRequest, Holder, HolderOutput};
+use common::clock::MonotonicTime;
+use common::frames::{RequestOutcome, RequestPayload};
 use common::identity::{
-    FunctionKey, GrantSerial, LifeName, Region, RunnerId, Ticket, TransactionId,
+    FencingToken, FunctionKey, IdempotencyKey, InstanceId, Region, RunnerId, Ticket,
 };
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -12,23 +12,23 @@
 
 /// A transaction on its way to a runner.
 #[derive(Clone)]
-pub struct Task {
+pub struct HolderRequest {
     /// The try's identity.
-    pub transaction: TransactionId,
+    pub idempotency_key: IdempotencyKey,
     /// The route that matched it.
     pub route: String,
     /// When its budget ends.
-    pub budget_end: Moment,
+    pub deadline: MonotonicTime,
     /// Whether it may be sent to a runner only once.
     pub once: bool,
     /// Whether callers may send its identity again, so that it is remembered.
-    pub noted: bool,
+    pub recorded: bool,
     /// The most runners it may go to.
-    pub tries: u32,
+    pub max_attempts: u32,
     /// Whether the caller marked it a repeat.
     pub repeat: bool,
     /// How long it may wait in the inbox.
-    pub patience: Duration,
+    pub queue_timeout: Duration,
     /// When an answer turns late.
     pub target: Duration,
     /// Which goes first; the lowest before all others.
@@ -36,102 +36,109 @@
     /// The region of its caller's daemon, if that is another than the holder's.
     pub region: Option<Region>,
     /// What the caller sent.
-    pub parcel: Arc<Parcel>,
+    pub payload: Arc<RequestPayload>,
 }
 
 /// The runner that a send is meant for.
 #[derive(Clone, Debug)]
-pub struct SendTarget {
+pub struct RunnerTarget {
     /// The most connections that it takes.
     pub connections: u32,
     /// Its life, as the platform names it.
-    pub life: LifeName,
+    pub instance: InstanceId,
     /// The name that it goes by itself.
-    pub face: RunnerId,
+    pub self_reported_id: RunnerId,
 }
 
-struct Waiting<W> {
-    task: Task,
+struct WaitingRequest<W> {
+    holder_request: HolderRequest,
     waiter: W,
 }
 
 /// A held function with those who wait for it.
-pub struct Held<W> {
+pub struct HeldFunction<W> {
     /// The function.
     pub function: FunctionKey,
     /// The grant it is held under.
-    pub grant: GrantSerial,
+    pub fencing_token: FencingToken,
     holder: Mutex<Holder>,
-    waiting: Mutex<BTreeMap<Ticket, Waiting<W>>>,
+    waiting_requests: Mutex<BTreeMap<Ticket, WaitingRequest<W>>>,
 }
 
-impl<W> Held<W> {
+impl<W> HeldFunction<W> {
     /// A function just granted.
     pub fn new(holder: Holder) -> Self {
         Self {
             function: holder.function().clone(),
-            grant: holder.grant(),
+            fencing_token: holder.fencing_token(),
             holder: Mutex::new(holder),
-            waiting: Mutex::new(BTreeMap::new()),
+            waiting_requests: Mutex::new(BTreeMap::new()),
         }
     }
 
     /// Looks at or changes the holder.
-    pub fn with<T>(&self, look: impl FnOnce(&mut Holder) -> T) -> T {
-        look(&mut self.holder.lock().unwrap_or_else(PoisonError::into_inner))
+    pub fn with<T>(&self, access: impl FnOnce(&mut Holder) -> T) -> T {
+        access(&mut self.holder.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
     /// The name that a runner itself goes by.
-    pub fn face_of(&self, runner: RunnerId) -> RunnerId {
-        runner.face(self.with(|holder| holder.life_of(runner)).as_ref().map(|life| &life.name))
+    pub fn self_reported_id_of(&self, runner: RunnerId) -> RunnerId {
+        runner.self_reported_id(
+            self.with(|holder| holder.instance_of(runner)).as_ref().map(|instance| &instance.name),
+        )
     }
 
     /// What a send to a runner has to know; none when the runner is gone.
-    pub fn send_target(&self, runner: RunnerId) -> Option<SendTarget> {
-        let (connections, life) =
-            self.with(|holder| (holder.connections(), holder.life_of(runner)));
-        let life = life?;
-        let face = runner.face(Some(&life.name));
-        Some(SendTarget { connections, life: life.name, face })
+    pub fn runner_target(&self, runner: RunnerId) -> Option<RunnerTarget> {
+        let (connections, instance) =
+            self.with(|holder| (holder.connections(), holder.instance_of(runner)));
+        let instance = instance?;
+        let self_reported_id = runner.self_reported_id(Some(&instance.name));
+        Some(RunnerTarget { connections, instance: instance.name, self_reported_id })
     }
 
     /// What a ticket stands for, while somebody waits for it.
-    pub fn task(&self, ticket: Ticket) -> Option<Task> {
-        let waiting = self.waiting.lock().unwrap_or_else(PoisonError::into_inner);
-        waiting.get(&ticket).map(|held| held.task.clone())
+    pub fn holder_request(&self, ticket: Ticket) -> Option<HolderRequest> {
+        let waiting_requests = self.waiting_requests.lock().unwrap_or_else(PoisonError::into_inner);
+        waiting_requests.get(&ticket).map(|held| held.holder_request.clone())
     }
 
     /// Takes a transaction in. What waits for it comes back at once with an outcome that is known now.
-    pub fn enter(
+    pub fn admit(
         &self,
-        now: Moment,
+        now: MonotonicTime,
         ticket: Ticket,
-        task: Task,
+        holder_request: HolderRequest,
         waiter: W,
-    ) -> (Option<(W, HopOutcome)>, Vec<HolderOutput>) {
-        let entry = Entry {
+    ) -> (Option<(W, RequestOutcome)>, Vec<HolderOutput>) {
+        let request = AdmissionRequest {
             ticket,
-            transaction: task.transaction.clone(),
-            once: task.once,
-            noted: task.noted,
-            tries: task.tries,
-            repeat: task.repeat,
-            budget_end: task.budget_end,
-            patience: task.patience,
-            target: task.target,
-            rank: task.rank,
-            region: task.region.clone(),
+            idempotency_key: holder_request.idempotency_key.clone(),
+            once: holder_request.once,
+            recorded: holder_request.recorded,
+            max_attempts: holder_request.max_attempts,
+            repeat: holder_request.repeat,
+            deadline: holder_request.deadline,
+            queue_timeout: holder_request.queue_timeout,
+            target: holder_request.target,
+            rank: holder_request.rank,
+            region: holder_request.region.clone(),
         };
-        let kept = Waiting { task, waiter };
-        self.waiting.lock().unwrap_or_else(PoisonError::into_inner).insert(ticket, kept);
-        let (at_once, outputs) = self.with(|holder| holder.grant_entry(now, entry));
-        let known_end = at_once.and_then(|outcome| self.leave(ticket).map(|held| (held, outcome)));
-        (known_end, outputs)
+        let waiting_request = WaitingRequest { holder_request, waiter };
+        self.waiting_requests
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .insert(ticket, waiting_request);
+        let (immediate_outcome, outputs) = self.with(|holder| holder.admit(now, request));
+        let immediate_end = immediate_outcome
+            .and_then(|outcome| self.remove_waiter(ticket).map(|held| (held, outcome)));
+        (immediate_end, outputs)
     }
 
     /// A transaction has ended; gives back what waits for it.
-    pub fn leave(&self, ticket: Ticket) -> Option<W> {
-        let mut waiting = self.waiting.lock().unwrap_or_else(PoisonError::into_inner);
-        waiting.remove(&ticket).map(|held| held.waiter)
+    pub fn remove_waiter(&self, ticket: Ticket) -> Option<W> {
+        let mut waiting_requests =
+            self.waiting_requests.lock().unwrap_or_else(PoisonError::into_inner);
+        waiting_requests.remove(&ticket).map(|held| held.waiter)
     }
 }
--- a/crates/dataplane/src/agent/mod.rs
+++ b/crates/dataplane/src/agent/mod.rs
@@ -1,41 +1,41 @@
 //! One daemon without I/O: its snapshots, the forwarding of a transaction, the carrying out of what keeper
 //! and holders order, the questions to stewards. The drivers and the simulator both feed it.
 
-mod answer;
 mod daemon_control;
 mod forwarding;
 mod held;
 mod regional;
-mod stewards;
+mod replica_requests;
+mod runner_response;
 
-pub use answer::{RunnerCall, judge};
-pub use daemon_control::{DaemonControl, DaemonOrder};
-pub use forwarding::{Ask, Forwarding, ForwardingStep, PassEnd};
-pub use held::{Held, SendTarget, Task};
-pub use regional::{RegionalUse, RegionalUses};
-pub use stewards::{Question, Topic};
+pub use daemon_control::{DaemonControl, DaemonControlOutput};
+pub use forwarding::{ForwardResult, Forwarding, ForwardingStep, FunctionRequest};
+pub use held::{HeldFunction, HolderRequest, RunnerTarget};
+pub use regional::{RegionalKeyUse, RegionalKeyUses};
+pub use replica_requests::{ReplicaRequest, ReplicaRequestKind};
+pub use runner_response::{RunnerAttempt, verify_response};
 
 use crate::holder::Tuning;
 use crate::ledger::LedgerReplica;
 use arc_swap::ArcSwap;
-use common::clock::{Moment, SharedMoment};
+use common::clock::{MonotonicTime, SharedMonotonicTime};
 use common::frames::Host;
-use common::identity::{FunctionKey, GrantSerial, Ticket};
+use common::identity::{FencingToken, FunctionKey, Ticket};
 use common::ring::Regions;
 use common::rules::{Rule, Rules};
-use common::spec::Table;
+use common::spec::RoutingTable;
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
 
-const AGAIN_WHEN_LED: Duration = Duration::from_millis(400);
-const AGAIN_WITHOUT_LEADER: Duration = Duration::from_millis(1000);
+const RETRY_AFTER_WITH_LEADER: Duration = Duration::from_millis(400);
+const RETRY_AFTER_WITHOUT_LEADER: Duration = Duration::from_millis(1000);
 
 /// One transaction in a daemon's hands.
-pub struct InHand(Arc<AtomicUsize>);
+pub struct InFlightGuard(Arc<AtomicUsize>);
 
-impl Drop for InHand {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::AcqRel);
     }
@@ -51,26 +51,26 @@
     /// How held functions are run.
     pub tuning: Tuning,
     /// The spec in use.
-    pub table: ArcSwap<Table>,
+    pub table: ArcSwap<RoutingTable>,
     /// The daemons alive.
     pub hosts: ArcSwap<Vec<Host>>,
     /// The owners learned so far.
     pub owners: ArcSwap<BTreeMap<FunctionKey, Host>>,
     /// The functions held.
-    pub holdings: ArcSwap<BTreeMap<FunctionKey, Arc<Held<W>>>>,
+    pub held_functions: ArcSwap<BTreeMap<FunctionKey, Arc<HeldFunction<W>>>>,
     /// Which regions the zones lie in.
     pub regions: Regions,
     /// The functions that this region's callers have a key of their own for.
-    pub regional_uses: ArcSwap<RegionalUses>,
+    pub regional_key_uses: ArcSwap<RegionalKeyUses>,
     /// The functions given up whose runners are not all stopped yet.
-    pub closing: Mutex<Vec<Arc<Held<W>>>>,
+    pub closing: Mutex<Vec<Arc<HeldFunction<W>>>>,
     /// When the member grant ends.
-    pub serving_until: SharedMoment,
+    pub serving_until: SharedMonotonicTime,
     /// The copies kept of other daemons' ledgers.
-    pub replica: Mutex<LedgerReplica>,
+    pub ledger_replica: Mutex<LedgerReplica>,
     leaving: AtomicBool,
-    led: AtomicBool,
-    in_hand: Arc<AtomicUsize>,
+    has_leader: AtomicBool,
+    in_flight: Arc<AtomicUsize>,
     next_ticket: AtomicU64,
 }
 
@@ -82,18 +82,18 @@
             own_host,
             rules,
             tuning: Tuning::default(),
-            table: ArcSwap::from_pointee(Table::empty()),
+            table: ArcSwap::from_pointee(RoutingTable::empty()),
             hosts: ArcSwap::from_pointee(Vec::new()),
             owners: ArcSwap::from_pointee(BTreeMap::new()),
-            holdings: ArcSwap::from_pointee(BTreeMap::new()),
+            held_functions: ArcSwap::from_pointee(BTreeMap::new()),
             regions: Regions::default(),
-            regional_uses: ArcSwap::from_pointee(RegionalUses::new()),
+            regional_key_uses: ArcSwap::from_pointee(RegionalKeyUses::new()),
             closing: Mutex::new(Vec::new()),
-            serving_until: SharedMoment::new(),
-            replica: Mutex::new(LedgerReplica::new(own_incarnation)),
+            serving_until: SharedMonotonicTime::new(),
+            ledger_replica: Mutex::new(LedgerReplica::new(own_incarnation)),
             leaving: AtomicBool::new(false),
-            led: AtomicBool::new(false),
-            in_hand: Arc::new(AtomicUsize::new(0)),
+            has_leader: AtomicBool::new(false),
+            in_flight: Arc::new(AtomicUsize::new(0)),
             next_ticket: AtomicU64::new(1),
         }
     }
@@ -116,23 +116,24 @@
     }
 
     /// Whether the member grant runs.
-    pub fn is_serving(&self, now: Moment) -> bool {
+    pub fn is_serving(&self, now: MonotonicTime) -> bool {
         now < self.serving_until.get()
-            || (!self.rules.keep(Rule::MemberGrant) && self.serving_until.get() > Moment::ZERO)
+            || (!self.rules.enforces(Rule::ServesUnderSessionLease)
+                && self.serving_until.get() > MonotonicTime::ZERO)
     }
 
     /// Whether a leader has welcomed this daemon's stream.
-    pub fn set_led(&self, is_led: bool) {
-        self.led.store(is_led, Ordering::Release);
+    pub fn set_has_leader(&self, has_leader: bool) {
+        self.has_leader.store(has_leader, Ordering::Release);
     }
 
     /// After what time a daemon that does not serve may do so again, as far as it knows: soon when the
     /// leader has only to renew its grant, and not before a leader is found otherwise.
-    pub fn serves_again_after(&self) -> Duration {
-        if self.led.load(Ordering::Acquire) && !self.is_leaving() {
-            AGAIN_WHEN_LED
+    pub fn not_serving_retry_after(&self) -> Duration {
+        if self.has_leader.load(Ordering::Acquire) && !self.is_leaving() {
+            RETRY_AFTER_WITH_LEADER
         } else {
-            AGAIN_WITHOUT_LEADER
+            RETRY_AFTER_WITHOUT_LEADER
         }
     }
 
@@ -147,40 +148,52 @@
     }
 
     /// Whether the platform may send callers here.
-    pub fn is_ready(&self, now: Moment) -> bool {
+    pub fn is_ready(&self, now: MonotonicTime) -> bool {
         let is_evacuated = self.table.load().is_evacuated(&self.own_host.zone);
         self.is_serving(now) && !self.is_leaving() && !is_evacuated
     }
 
     /// A transaction is in this daemon's hands, as the caller's daemon or on the way, until what is
     /// given back is dropped: with its outcome, or when its caller hangs up.
-    pub fn take_in_hand(&self) -> InHand {
-        self.in_hand.fetch_add(1, Ordering::AcqRel);
-        InHand(self.in_hand.clone())
+    pub fn track_in_flight(&self) -> InFlightGuard {
+        self.in_flight.fetch_add(1, Ordering::AcqRel);
+        InFlightGuard(self.in_flight.clone())
     }
 
     /// Whether nothing is left that a daemon that leaves would drop.
-    pub fn is_empty_handed(&self) -> bool {
-        !self.rules.keep(Rule::AnswersHandedOut)
-            || (self.in_hand.load(Ordering::Acquire) == 0 && self.holdings.load().is_empty())
+    pub fn is_drained(&self) -> bool {
+        !self.rules.enforces(Rule::ResponsesDeliveredAtShutdown)
+            || (self.in_flight.load(Ordering::Acquire) == 0
+                && self.held_functions.load().is_empty())
     }
 
     /// A held function under one grant.
-    pub fn held(&self, function: &FunctionKey, grant: GrantSerial) -> Option<Arc<Held<W>>> {
-        let holdings = self.holdings.load();
-        holdings.get(function).filter(|held| held.grant == grant).cloned()
+    pub fn held(
+        &self,
+        function: &FunctionKey,
+        fencing_token: FencingToken,
+    ) -> Option<Arc<HeldFunction<W>>> {
+        let held_functions = self.held_functions.load();
+        held_functions.get(function).filter(|held| held.fencing_token == fencing_token).cloned()
     }
 
     /// A function under one grant, held or given up.
-    pub fn known(&self, function: &FunctionKey, grant: GrantSerial) -> Option<Arc<Held<W>>> {
-        self.held(function, grant).or_else(|| {
+    pub fn held_or_closing(
+        &self,
+        function: &FunctionKey,
+        fencing_token: FencingToken,
+    ) -> Option<Arc<HeldFunction<W>>> {
+        self.held(function, fencing_token).or_else(|| {
             let closing = self.closing.lock().unwrap_or_else(PoisonError::into_inner);
-            closing.iter().find(|held| held.function == *function && held.grant == grant).cloned()
+            closing
+                .iter()
+                .find(|held| held.function == *function && held.fencing_token == fencing_token)
+                .cloned()
         })
     }
 
     /// Learns an owner.
-    pub fn learn_owner(&self, function: &FunctionKey, owner: &Host) {
+    pub fn cache_owner(&self, function: &FunctionKey, owner: &Host) {
         let is_known = self.owners.load().get(function) == Some(owner);
         if !is_known {
             self.owners.rcu(|owners| {
@@ -192,7 +205,7 @@
     }
 
     /// Forgets an owner.
-    pub fn forget_owner(&self, function: &FunctionKey) {
+    pub fn evict_owner(&self, function: &FunctionKey) {
         if self.owners.load().contains_key(function) {
             self.owners.rcu(|owners| {
                 let mut changed_owners = BTreeMap::clone(owners);
--- /dev/null
+++ b/crates/dataplane/src/agent/runner_response.rs
@@ -0,0 +1,189 @@
+//! What a runner's answer is worth, and the last look before a send.
+
+use super::{Agent, HeldFunction, HolderRequest};
+use crate::holder::SendResult;
+use common::adapter::{RunnerResponse, SealKind};
+use common::clock::MonotonicTime;
+use common::frames::{LengthPrefixed, RequestFailureReason, RequestOutcome, RequestPayload};
+use common::identity::{FunctionKey, IdempotencyKey, RunnerId};
+use common::invariants::{Invariant, require};
+use common::rules::{Rule, Rules};
+use common::seal;
+use std::sync::Arc;
+use std::time::Duration;
+
+/// Statuses by which a caller is promised that nothing ran. From a runner that does not say so they are
+/// never passed on.
+const NOT_RUN_STATUSES: [u16; 4] = [408, 421, 429, 503];
+
+/// The lowest status that ends a request.
+const LOWEST_FINAL_STATUS: u16 = 200;
+/// The lowest status of a failure; only with a failure can a runner say that it did not run.
+const LOWEST_FAILURE_STATUS: u16 = 400;
+
+/// Decides what an answer is worth: only one that names what was asked, whole and sealed, is believed.
+pub fn verify_response(
+    rules: Rules,
+    idempotency_key: &IdempotencyKey,
+    function: &FunctionKey,
+    runner: RunnerId,
+    response: RunnerResponse,
+) -> SendResult {
+    match response.seal_kind {
+        SealKind::Digest => verify_digest_seal(rules, idempotency_key, function, runner, response),
+        SealKind::CheckedByCaller => {
+            verify_carried_seal(rules, idempotency_key, function, runner, response)
+        }
+    }
+}
+
+fn verify_digest_seal(
+    rules: Rules,
+    idempotency_key: &IdempotencyKey,
+    function: &FunctionKey,
+    runner: RunnerId,
+    response: RunnerResponse,
+) -> SendResult {
+    let named_function = response.function.as_deref().unwrap_or("");
+    let named_runner = response.runner.as_deref().unwrap_or("");
+    let names_match = response.idempotency_key == idempotency_key.as_str()
+        && named_function == function.to_string()
+        && named_runner == runner.to_string();
+    let is_rejected = response.did_not_run;
+    let expected_seal = if rules.enforces(Rule::SealBoundToRequest) {
+        seal::seal(idempotency_key, function, runner, is_rejected, &response.body)
+    } else {
+        seal::seal_of_texts(
+            &response.idempotency_key,
+            named_function,
+            named_runner,
+            is_rejected,
+            &response.body,
+        )
+    };
+    let is_verified = response.seal == expected_seal
+        && (names_match || !rules.enforces(Rule::SealBoundToRequest))
+        || !rules.enforces(Rule::SealChecked);
+    if !is_verified {
+        return SendResult::Lost;
+    }
+    if is_rejected {
+        return SendResult::RejectedByRunner;
+    }
+    SendResult::Answered(answer_outcome(runner, response))
+}
+
+fn verify_carried_seal(
+    rules: Rules,
+    idempotency_key: &IdempotencyKey,
+    function: &FunctionKey,
+    runner: RunnerId,
+    response: RunnerResponse,
+) -> SendResult {
+    let names_mismatch = response.idempotency_key != idempotency_key.as_str()
+        || response.function.as_ref().is_some_and(|named| *named != function.to_string())
+        || response.runner.as_ref().is_some_and(|named| *named != runner.to_string());
+    if response.is_other_runner && response.idempotency_key == idempotency_key.as_str() {
+        return SendResult::WrongRunner;
+    }
+    if names_mismatch && rules.enforces(Rule::SealBoundToRequest) {
+        return SendResult::Lost;
+    }
+    if response.did_not_run && response.status >= LOWEST_FAILURE_STATUS {
+        return SendResult::RejectedByRunner;
+    }
+    if response.did_not_run
+        || response.status < LOWEST_FINAL_STATUS
+        || NOT_RUN_STATUSES.contains(&response.status)
+    {
+        return SendResult::Lost;
+    }
+    if response.is_unreliable && rules.enforces(Rule::IncompleteBodyRejected) {
+        return SendResult::Lost;
+    }
+    let is_success = (200..300).contains(&response.status);
+    if is_success && response.seal.is_empty() && rules.enforces(Rule::SealChecked) {
+        return SendResult::Lost;
+    }
+    if response.status >= 500 {
+        return SendResult::Failed(answer_outcome(runner, response));
+    }
+    SendResult::Answered(answer_outcome(runner, response))
+}
+
+fn answer_outcome(runner: RunnerId, response: RunnerResponse) -> RequestOutcome {
+    RequestOutcome::Response {
+        status: response.status,
+        seal: response.seal.into_bytes().into(),
+        runner,
+        header_fields: LengthPrefixed(response.header_fields),
+        body: response.body.into(),
+    }
+}
+
+/// One send to a runner, as it goes out.
+#[derive(Clone, Debug)]
+pub struct RunnerAttempt {
+    /// The try's identity.
+    pub idempotency_key: IdempotencyKey,
+    /// The function.
+    pub function: FunctionKey,
+    /// The runner that is meant; another one at its address refuses.
+    pub runner: Option<RunnerId>,
+    /// The number of this send.
+    pub attempt: u32,
+    /// What is left of the budget.
+    pub remaining_time: Duration,
+    /// What the caller sent.
+    pub payload: Arc<RequestPayload>,
+}
+
+/// The leader waits for more than that beyond the end of a lease before it grants anew; whoever sends later than
+/// that stood still between its look at the lease and its write.
+const LEASE_SLACK: Duration = Duration::from_millis(100);
+
+impl<W> Agent<W> {
+    /// Whether anything may be sent for a held function: the member grant runs, and the function was not
+    /// given up.
+    pub fn may_send(&self, now: MonotonicTime, held: &HeldFunction<W>) -> bool {
+        let is_held = self.held(&held.function, held.fencing_token).is_some();
+        (self.is_serving(now) && is_held) || !self.rules.enforces(Rule::LeaseCheckedBeforeSend)
+    }
+
+    /// Checks that what has just left did so while the session lease ran.
+    pub fn check_sent_under_lease(&self, now: MonotonicTime) {
+        let lease_end = self.serving_until.get();
+        let is_under_lease = now < lease_end + LEASE_SLACK;
+        require(self.rules, Invariant::SentUnderLease, is_under_lease, || {
+            format!("a request left {} ms after the lease", now.since(lease_end).as_millis())
+        });
+    }
+
+    /// The last look before a transaction is handed to a connection: the member grant runs, the function
+    /// is held, and the newest spec still leads its route to this function.
+    pub fn runner_attempt(
+        &self,
+        now: MonotonicTime,
+        held: &HeldFunction<W>,
+        holder_request: &HolderRequest,
+        runner: RunnerId,
+        attempt: u32,
+    ) -> Result<RunnerAttempt, RequestFailureReason> {
+        let table = self.table.load();
+        let is_allowed = table.allows(&holder_request.route, &held.function);
+        if !is_allowed && self.rules.enforces(Rule::SpecCheckedBeforeSend) {
+            return Err(RequestFailureReason::NotAllowed);
+        }
+        if !self.is_serving(now) || !self.may_send(now, held) {
+            return Err(RequestFailureReason::NotServing);
+        }
+        Ok(RunnerAttempt {
+            idempotency_key: holder_request.idempotency_key.clone(),
+            function: held.function.clone(),
+            runner: self.rules.enforces(Rule::RunnerIdentityChecked).then_some(runner),
+            attempt,
+            remaining_time: holder_request.deadline.since(now),
+            payload: holder_request.payload.clone(),
+        })
+    }
+}
--- /dev/null
+++ b/crates/dataplane/src/cluster_view/leader_requests.rs
@@ -0,0 +1,204 @@
+//! Questions to the leader, for functions and for runners, and its answers.
+
+use super::{ClusterView, ClusterViewOutput};
+use crate::holder::LeaseTerms;
+use common::clock::MonotonicTime;
+use common::frames::{AcquireResult, DaemonToLeader, ReserveResult, RunnerStatus};
+use common::identity::{CorrelationId, FencingToken, FunctionKey};
+use common::rules::Rule;
+use std::time::Duration;
+
+const ACQUIRE_TIMEOUT: Duration = Duration::from_secs(2);
+
+pub(super) struct PendingAcquire {
+    function: FunctionKey,
+    requested_at: MonotonicTime,
+    expected_at: Option<MonotonicTime>,
+}
+
+impl ClusterView {
+    /// Asks the leader for a function. While a question for it is open whose answer is known to take
+    /// its time, no other is asked.
+    pub fn acquire(&mut self, now: MonotonicTime, function: FunctionKey) -> Vec<ClusterViewOutput> {
+        let pending_expected_at = self
+            .acquires
+            .values()
+            .find(|pending| pending.function == function)
+            .and_then(|pending| pending.expected_at);
+        if let Some(expected_at) = pending_expected_at {
+            let wait_ms = expected_at.since(now).as_millis() as u32;
+            let result = Some(AcquireResult::RetryLater { wait_ms });
+            let round_trip = Duration::ZERO;
+            self.outputs.push(ClusterViewOutput::Acquired { function, result, round_trip });
+        } else if self.control_session.is_welcomed() {
+            let correlation = self.control_session.correlation();
+            let pending =
+                PendingAcquire { function: function.clone(), requested_at: now, expected_at: None };
+            self.acquires.insert(correlation, pending);
+            self.outputs.push(ClusterViewOutput::SendFrame(DaemonToLeader::Acquire {
+                correlation,
+                function,
+            }));
+        } else {
+            let round_trip = Duration::ZERO;
+            self.outputs.push(ClusterViewOutput::Acquired { function, result: None, round_trip });
+        }
+        self.take_outputs()
+    }
+
+    /// Asks the leader for one more runner.
+    pub fn reserve(
+        &mut self,
+        function: FunctionKey,
+        fencing_token: FencingToken,
+    ) -> Vec<ClusterViewOutput> {
+        if self.control_session.is_welcomed() {
+            let correlation = self.control_session.correlation();
+            self.reserves.insert(correlation, (function.clone(), fencing_token));
+            let frame = DaemonToLeader::Reserve { correlation, function, fencing_token };
+            self.outputs.push(ClusterViewOutput::SendFrame(frame));
+        } else {
+            let result = ReserveResult::Rejected;
+            self.outputs.push(ClusterViewOutput::Reserved { function, fencing_token, result });
+        }
+        self.take_outputs()
+    }
+
+    pub(super) fn acquired(
+        &mut self,
+        now: MonotonicTime,
+        correlation: CorrelationId,
+        function: FunctionKey,
+        result: AcquireResult,
+    ) {
+        if let AcquireResult::RetryLater { wait_ms } = &result
+            && let Some(pending) = self.acquires.get_mut(&correlation)
+        {
+            pending.expected_at = Some(now + Duration::from_millis(u64::from(*wait_ms)));
+            let round_trip = now.since(pending.requested_at);
+            let result = Some(result);
+            self.outputs.push(ClusterViewOutput::Acquired { function, result, round_trip });
+            return;
+        }
+        let round_trip = self
+            .acquires
+            .remove(&correlation)
+            .map_or(Duration::ZERO, |pending| now.since(pending.requested_at));
+        let result = match result {
+            AcquireResult::Granted { .. } if self.is_released(&function, &result) => None,
+            AcquireResult::Granted { .. } => {
+                self.accept_lease(now, correlation, &function, &result);
+                Some(result)
+            }
+            _ => Some(result),
+        };
+        self.outputs.push(ClusterViewOutput::Acquired { function, result, round_trip });
+    }
+
+    /// Whether a grant is one that was given back already, named again to a question that crossed the word of
+    /// it.
+    fn is_released(&self, function: &FunctionKey, result: &AcquireResult) -> bool {
+        let AcquireResult::Granted { fencing_token, .. } = result else { return false };
+        self.released_leases
+            .get(function)
+            .is_some_and(|released_leases| fencing_token <= released_leases)
+    }
+
+    /// Takes a grant, or gives it back.
+    fn accept_lease(
+        &mut self,
+        now: MonotonicTime,
+        correlation: CorrelationId,
+        function: &FunctionKey,
+        result: &AcquireResult,
+    ) {
+        let AcquireResult::Granted {
+            fencing_token,
+            once_wait_ms,
+            replica,
+            previous_lease,
+            adopted,
+        } = result
+        else {
+            return;
+        };
+        let spec = self.table.function_of(function).map(|entry| (*entry.spec).clone());
+        let is_void =
+            correlation <= self.void_through && self.rules.enforces(Rule::StaleLeaseReturned);
+        let may_hold = now < self.control_session.lease_end() && !self.leaving && !is_void;
+        let output = match spec.filter(|_| may_hold) {
+            Some(spec) => ClusterViewOutput::LeaseGranted(LeaseTerms {
+                function: function.clone(),
+                fencing_token: *fencing_token,
+                spec,
+                once_wait: Duration::from_millis(u64::from(*once_wait_ms)),
+                replica: replica.0.first().cloned(),
+                previous_lease: previous_lease.0.first().cloned(),
+                adopted: adopted.0.clone(),
+            }),
+            None => {
+                self.released_leases.insert(function.clone(), *fencing_token);
+                ClusterViewOutput::SendFrame(DaemonToLeader::Release {
+                    function: function.clone(),
+                    fencing_token: *fencing_token,
+                    runners: adopted.clone(),
+                })
+            }
+        };
+        self.outputs.push(output);
+    }
+
+    pub(super) fn reserved(
+        &mut self,
+        correlation: CorrelationId,
+        function: FunctionKey,
+        result: ReserveResult,
+    ) {
+        match (self.reserves.remove(&correlation), &result) {
+            (Some((_, fencing_token)), _) => {
+                self.outputs.push(ClusterViewOutput::Reserved { function, fencing_token, result });
+            }
+            (None, ReserveResult::Reserved { runner, .. }) => {
+                let runner_status = RunnerStatus::Gone;
+                let frame =
+                    DaemonToLeader::RunnerUpdate { function, runner: *runner, runner_status };
+                self.outputs.push(ClusterViewOutput::SendFrame(frame));
+            }
+            _ => {}
+        }
+    }
+
+    /// The daemon is about to tell the leader that it holds nothing. A grant that is on its way to it then is
+    /// dropped by the leader as one that it does not claim, so it must not be taken.
+    pub(super) fn void_pending_acquires(&mut self, now: MonotonicTime) {
+        self.void_through = self.control_session.correlation();
+        for pending in std::mem::take(&mut self.acquires).into_values() {
+            self.outputs.push(ClusterViewOutput::Acquired {
+                function: pending.function,
+                result: None,
+                round_trip: now.since(pending.requested_at),
+            });
+        }
+    }
+
+    /// Gives up the questions whose answers are late.
+    pub(super) fn expire_late_acquires(&mut self, now: MonotonicTime) {
+        let expired_correlations: Vec<CorrelationId> = self
+            .acquires
+            .iter()
+            .filter(|(_, pending)| {
+                now.since(pending.expected_at.unwrap_or(pending.requested_at)) > ACQUIRE_TIMEOUT
+            })
+            .map(|(correlation, _)| *correlation)
+            .collect();
+        for expired_correlation in expired_correlations {
+            if let Some(pending) = self.acquires.remove(&expired_correlation) {
+                self.outputs.push(ClusterViewOutput::Acquired {
+                    function: pending.function,
+                    result: None,
+                    round_trip: now.since(pending.requested_at),
+                });
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/dataplane/src/cluster_view/mod.rs
@@ -0,0 +1,225 @@
+//! What a daemon knows of the world: leader, spec, hosts, grants. No I/O; orders go out.
+
+mod leader_frames;
+mod leader_requests;
+mod outputs;
+
+pub use outputs::ClusterViewOutput;
+
+use crate::control_session::{ControlSession, ControlSessionOutput};
+use crate::failure_detector::{FailureDetector, FailureDetectorOutput};
+use common::clock::MonotonicTime;
+use common::frames::{Claim, DaemonToLeader, Heartbeat, Host, LeaderToDaemon, SocketAddress};
+use common::identity::{CorrelationId, FencingToken, FunctionKey, Version};
+use common::rules::Rules;
+use common::spec::{DaemonView, RoutingTable};
+use leader_requests::PendingAcquire;
+use std::collections::BTreeMap;
+use std::sync::Arc;
+use std::time::Duration;
+
+/// The keeper of one daemon.
+pub struct ClusterView {
+    control_session: ControlSession,
+    failure_detector: FailureDetector,
+    view: Option<DaemonView>,
+    table: Arc<RoutingTable>,
+    alive_hosts: Vec<Host>,
+    acquires: BTreeMap<CorrelationId, PendingAcquire>,
+    reserves: BTreeMap<CorrelationId, (FunctionKey, FencingToken)>,
+    /// Answers to questions up to this one come from before everything was given up.
+    void_through: CorrelationId,
+    /// Grants that were given back on this stream: the leader may name them once more before it hears so.
+    released_leases: BTreeMap<FunctionKey, FencingToken>,
+    leaving: bool,
+    rules: Rules,
+    outputs: Vec<ClusterViewOutput>,
+}
+
+impl ClusterView {
+    /// Knows nothing yet.
+    pub fn new(control_session: ControlSession, own_host: Host) -> Self {
+        Self {
+            control_session,
+            failure_detector: FailureDetector::new(own_host),
+            view: None,
+            table: Arc::new(RoutingTable::empty()),
+            alive_hosts: Vec::new(),
+            acquires: BTreeMap::new(),
+            reserves: BTreeMap::new(),
+            void_through: CorrelationId(0),
+            released_leases: BTreeMap::new(),
+            leaving: false,
+            rules: Rules::ALL_ENFORCED,
+            outputs: Vec::new(),
+        }
+    }
+
+    /// The same, with a rule taken away for proving.
+    pub fn with_rules(mut self, rules: Rules) -> Self {
+        self.rules = rules;
+        self
+    }
+
+    /// The same with another pause between heartbeats.
+    pub fn with_heartbeat_interval(mut self, heartbeat_interval: Duration) -> Self {
+        self.failure_detector = self.failure_detector.with_heartbeat_interval(heartbeat_interval);
+        self
+    }
+
+    /// When something is due, at the latest.
+    pub fn next_due(&self) -> MonotonicTime {
+        self.control_session.next_due().min(self.failure_detector.next_due())
+    }
+
+    /// The seeds have changed.
+    pub fn set_seeds(&mut self, seeds: Vec<SocketAddress>) {
+        self.control_session.set_seeds(seeds);
+    }
+
+    /// When the member grant ends.
+    pub fn lease_end(&self) -> MonotonicTime {
+        self.control_session.lease_end()
+    }
+
+    /// The serial installed.
+    pub fn version(&self) -> Version {
+        self.table.version()
+    }
+
+    /// Whether the leader has welcomed the stream.
+    pub fn is_welcomed(&self) -> bool {
+        self.control_session.is_welcomed()
+    }
+
+    fn take_outputs(&mut self) -> Vec<ClusterViewOutput> {
+        std::mem::take(&mut self.outputs)
+    }
+
+    /// Lets time pass.
+    pub fn tick(&mut self, now: MonotonicTime) -> Vec<ClusterViewOutput> {
+        let outputs = self.control_session.tick(now);
+        self.apply_session_outputs(now, outputs);
+        let detector_outputs = self.failure_detector.tick(now);
+        self.apply_detector_outputs(detector_outputs);
+        self.refresh_hosts(now);
+        self.expire_late_acquires(now);
+        self.take_outputs()
+    }
+
+    fn apply_detector_outputs(&mut self, outputs: Vec<FailureDetectorOutput>) {
+        for output in outputs {
+            let frame = match output {
+                FailureDetectorOutput::HeartbeatDatagram(heartbeat, addresses) => {
+                    self.outputs.push(ClusterViewOutput::HeartbeatDatagram(heartbeat, addresses));
+                    continue;
+                }
+                FailureDetectorOutput::MemberSuspected(instance) => {
+                    DaemonToLeader::MemberSuspected { instance }
+                }
+                FailureDetectorOutput::MemberRecovered(instance) => {
+                    DaemonToLeader::MemberRecovered { instance }
+                }
+            };
+            if self.control_session.is_welcomed() {
+                self.outputs.push(ClusterViewOutput::SendFrame(frame));
+            }
+        }
+    }
+
+    fn refresh_hosts(&mut self, now: MonotonicTime) {
+        let alive_hosts = self.failure_detector.alive(now);
+        if alive_hosts != self.alive_hosts {
+            self.alive_hosts = alive_hosts;
+            self.outputs.push(ClusterViewOutput::Hosts(self.alive_hosts.clone()));
+        }
+    }
+
+    /// The dialed stream is open.
+    pub fn connected(&mut self, now: MonotonicTime) -> Vec<ClusterViewOutput> {
+        let outputs = self.control_session.connected(now);
+        self.apply_session_outputs(now, outputs);
+        self.take_outputs()
+    }
+
+    /// A part of a long frame of the leader has come in.
+    pub fn frame_part_received(&mut self, now: MonotonicTime) {
+        self.control_session.frame_part_received(now);
+    }
+
+    /// The stream failed or ended.
+    pub fn disconnected(&mut self, now: MonotonicTime) -> Vec<ClusterViewOutput> {
+        let outputs = self.control_session.disconnected(now);
+        self.apply_session_outputs(now, outputs);
+        self.take_outputs()
+    }
+
+    /// The leader says something.
+    pub fn received(
+        &mut self,
+        now: MonotonicTime,
+        frame: LeaderToDaemon,
+    ) -> Vec<ClusterViewOutput> {
+        let outputs = self.control_session.received(now, frame);
+        self.apply_session_outputs(now, outputs);
+        self.take_outputs()
+    }
+
+    /// A heartbeat came in; false when it is a stranger's.
+    pub fn heartbeat(&mut self, now: MonotonicTime, heartbeat: &Heartbeat) -> bool {
+        self.failure_detector.received(now, heartbeat)
+    }
+
+    /// The daemon is leaving: it takes on nothing any more.
+    pub fn leave(&mut self, now: MonotonicTime) -> Vec<ClusterViewOutput> {
+        self.leaving = true;
+        let outputs = self.control_session.leave();
+        self.apply_session_outputs(now, outputs);
+        self.take_outputs()
+    }
+
+    /// Sends the claims that were gathered.
+    pub fn claims(&mut self, claims: Vec<Claim>) -> Vec<ClusterViewOutput> {
+        if self.control_session.is_welcomed() {
+            let frame = self.control_session.claims(claims);
+            self.outputs.push(ClusterViewOutput::SendFrame(frame));
+        }
+        self.take_outputs()
+    }
+
+    fn apply_session_outputs(&mut self, now: MonotonicTime, outputs: Vec<ControlSessionOutput>) {
+        for output in outputs {
+            match output {
+                ControlSessionOutput::Dial(address) => {
+                    self.outputs.push(ClusterViewOutput::Dial(address))
+                }
+                ControlSessionOutput::Hangup => self.outputs.push(ClusterViewOutput::Hangup),
+                ControlSessionOutput::SendFrame(frame) => {
+                    self.outputs.push(ClusterViewOutput::SendFrame(frame))
+                }
+                ControlSessionOutput::Welcomed => {
+                    self.outputs.push(ClusterViewOutput::Welcomed(self.control_session.term()));
+                    for instance in self.failure_detector.locally_suspected() {
+                        self.outputs.push(ClusterViewOutput::SendFrame(
+                            DaemonToLeader::MemberSuspected { instance },
+                        ));
+                    }
+                }
+                ControlSessionOutput::Disconnected => {
+                    self.acquires.clear();
+                    self.released_leases.clear();
+                    let lost_reserves = std::mem::take(&mut self.reserves).into_values().collect();
+                    self.outputs.push(ClusterViewOutput::StreamLost(lost_reserves));
+                }
+                ControlSessionOutput::GrantedUntil(lease_end) => {
+                    self.outputs.push(ClusterViewOutput::ServeUntil(lease_end));
+                }
+                ControlSessionOutput::LeaseEnded => {
+                    self.void_pending_acquires(now);
+                    self.outputs.push(ClusterViewOutput::ReleaseAll);
+                }
+                ControlSessionOutput::Frame(frame) => self.handle_frame(now, frame),
+            }
+        }
+    }
+}
--- a/crates/dataplane/src/keeper/orders.rs
+++ b/crates/dataplane/src/cluster_view/outputs.rs
@@ -1,43 +1,45 @@
 //! What the keeper orders.
 
-use crate::holder::GrantTerms;
-use common::clock::Moment;
-use common::frames::{AcquireResult, Heartbeat, Host, Place, ReserveResult, StreamUp};
-use common::identity::{FunctionKey, GrantSerial, RunnerId, Serial, Term};
-use common::spec::{DocumentFault, Table};
+use crate::holder::LeaseTerms;
+use common::clock::MonotonicTime;
+use common::frames::{
+    AcquireResult, DaemonToLeader, Heartbeat, Host, ReserveResult, SocketAddress,
+};
+use common::identity::{FencingToken, FunctionKey, RunnerId, Term, Version};
+use common::spec::{DocumentError, RoutingTable};
 use std::sync::Arc;
 use std::time::Duration;
 
 /// What the keeper orders.
-pub enum KeeperOrder {
+pub enum ClusterViewOutput {
     /// Open a stream there.
-    Dial(Place),
+    Dial(SocketAddress),
     /// End the stream.
     Hangup,
     /// Say something on the stream.
-    Say(StreamUp),
+    SendFrame(DaemonToLeader),
     /// Send a heartbeat to these places.
-    Beat(Heartbeat, Vec<Place>),
+    HeartbeatDatagram(Heartbeat, Vec<SocketAddress>),
     /// The leader of this term has welcomed the stream: gather the claims, and send them.
     Welcomed(Term),
     /// The stream is lost: nobody's acquisition will be answered, nor these wishes for runners.
-    StreamLost(Vec<(FunctionKey, GrantSerial)>),
+    StreamLost(Vec<(FunctionKey, FencingToken)>),
     /// The member grant runs until then.
-    ServeUntil(Moment),
+    ServeUntil(MonotonicTime),
     /// The member grant has ended: close every held function, forget every owner, send claims.
-    GiveUpAll,
+    ReleaseAll,
     /// A spec is installed.
-    Install(Arc<Table>),
+    Install(Arc<RoutingTable>),
     /// A spec could not be installed.
-    InstallFailed(Serial, DocumentFault),
+    InstallFailed(Version, DocumentError),
     /// The daemons alive have changed.
     Hosts(Vec<Host>),
     /// A function is granted.
-    Grant(GrantTerms),
+    LeaseGranted(LeaseTerms),
     /// Memory is short: stop an idle function's runners.
-    GiveWay(FunctionKey, GrantSerial),
+    ReclaimIdle(FunctionKey, FencingToken),
     /// Another daemon is to keep the copy of a function's ledger, or nobody.
-    Steward(FunctionKey, GrantSerial, Option<Host>),
+    ReplicaAssigned(FunctionKey, FencingToken, Option<Host>),
     /// An acquisition is answered; none when it must be tried again.
     Acquired {
         /// The function.
@@ -52,16 +54,16 @@
         /// The function.
         function: FunctionKey,
         /// The grant it was asked under.
-        grant: GrantSerial,
+        fencing_token: FencingToken,
         /// The answer.
         result: ReserveResult,
     },
     /// A claim does not stand: close the function.
-    Revoke(FunctionKey, GrantSerial),
+    Revoke(FunctionKey, FencingToken),
     /// Drain a runner.
     Drain(FunctionKey, RunnerId),
     /// A runner is gone.
-    Vanished(FunctionKey, RunnerId),
+    RunnerUnlisted(FunctionKey, RunnerId),
     /// Hand a function over.
-    HandOver(FunctionKey, GrantSerial),
+    HandOver(FunctionKey, FencingToken),
 }
--- a/crates/dataplane/src/drivers/connector.rs
+++ b/crates/dataplane/src/drivers/connector.rs
@@ -1,7 +1,7 @@
 //! How byte streams to runners and to other daemons are opened. The drivers know only this seam, so that
 //! they run over any transport, and a failure can be brought about at each byte of an exchange.
 
-use common::frames::{Place, connect_from};
+use common::frames::{SocketAddress, connect_from};
 use common::sockets;
 use std::future::Future;
 use std::io;
@@ -21,10 +21,10 @@
 /// Opens byte streams; nothing is written on them.
 pub trait Connector: Send + Sync {
     /// Opens a connection to a runner.
-    fn to_runner(&self, place: Place) -> Opening<'_>;
+    fn to_runner(&self, address: SocketAddress) -> Opening<'_>;
 
     /// Opens a connection to another daemon.
-    fn to_daemon(&self, place: Place) -> Opening<'_>;
+    fn to_daemon(&self, address: SocketAddress) -> Opening<'_>;
 }
 
 /// Opens TCP connections.
@@ -40,17 +40,17 @@
 }
 
 impl Connector for TcpConnector {
-    fn to_runner(&self, place: Place) -> Opening<'_> {
+    fn to_runner(&self, address: SocketAddress) -> Opening<'_> {
         Box::pin(async move {
-            let stream = TcpStream::connect(place.address()).await?;
-            sockets::tune(&stream);
+            let stream = TcpStream::connect(address.address()).await?;
+            sockets::set_socket_options(&stream);
             Ok(Box::new(stream) as Box<dyn ByteStream>)
         })
     }
 
-    fn to_daemon(&self, place: Place) -> Opening<'_> {
+    fn to_daemon(&self, address: SocketAddress) -> Opening<'_> {
         Box::pin(async move {
-            let stream = connect_from(self.own_ip, place).await?;
+            let stream = connect_from(self.own_ip, address).await?;
             Ok(Box::new(stream) as Box<dyn ByteStream>)
         })
     }
--- a/crates/dataplane/src/drivers/control.rs
+++ b/crates/dataplane/src/drivers/control.rs
@@ -1,16 +1,16 @@
-use super::{State, holding};
-use crate::agent::{DaemonControl, DaemonOrder};
+use super::{State, holder_driver};
+use crate::agent::{DaemonControl, DaemonControlOutput};
+use crate::control_session::ControlSessionTiming;
 use crate::holder::HolderMessage;
-use crate::liaison::LiaisonTiming;
-use common::chance::Chance;
-use common::clock::Moment;
+use common::clock::MonotonicTime;
 use common::events::{self, Event};
 use common::frames::{
-    AcquireResult, Channel, FrameFault, Heartbeat, HopOutcome, Place, StreamDown, StreamUp,
-    append_frame, dial, encode_heartbeat, read_frame_in_parts,
+    AcquireResult, Channel, DaemonToLeader, FrameError, Heartbeat, LeaderToDaemon, RequestOutcome,
+    SocketAddress, append_frame, dial, encode_heartbeat, read_frame_in_parts,
 };
-use common::identity::{FunctionKey, GrantSerial};
-use common::note;
+use common::identity::{FencingToken, FunctionKey};
+use common::log_event;
+use common::rng::SeededRng;
 use std::collections::HashMap;
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,83 +18,94 @@
 use tokio::net::UdpSocket;
 use tokio::sync::{mpsc, oneshot};
 
-const LONGEST_REST: Duration = Duration::from_millis(100);
-const SHORTEST_REST: Duration = Duration::from_millis(5);
-const SENT_AT_ONCE: usize = 64 << 10;
-const SWEEP_EVERY: Duration = Duration::from_secs(1);
+const MAX_TICK_INTERVAL: Duration = Duration::from_millis(100);
+const MIN_TICK_INTERVAL: Duration = Duration::from_millis(5);
+const WRITE_BATCH_BYTES: usize = 64 << 10;
+const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
 /// What reaches the control task.
 pub enum ControlInput {
     /// The dialed stream is open.
-    Connected(u64, mpsc::Sender<StreamUp>),
+    Connected(u64, mpsc::Sender<DaemonToLeader>),
     /// The stream failed or ended.
     Disconnected(u64),
     /// The leader says something.
-    Down(u64, StreamDown),
+    Received(u64, LeaderToDaemon),
     /// A part of what the leader says has come in; the rest is under way.
     Receiving(u64),
     /// A heartbeat came in.
-    Beat(Heartbeat),
+    HeartbeatDatagram(Heartbeat),
     /// A transaction needs a function's owner.
     Acquire(FunctionKey, oneshot::Sender<AcquireResult>),
     /// A holder has something for the leader.
-    Word(FunctionKey, GrantSerial, HolderMessage),
+    HolderMessage(FunctionKey, FencingToken, HolderMessage),
     /// Functions may want an owner that did not before.
-    WishesChanged,
+    DesiredFunctionsChanged,
     /// The seeds have changed.
-    Seeds(Vec<Place>),
+    Seeds(Vec<SocketAddress>),
     /// The daemon is leaving.
-    Leave,
+    BeginShutdown,
     /// The daemon has left.
-    Left,
+    ShutdownFinished,
 }
 
 /// Feeds the controller, and does what it orders.
 pub struct Control {
     state: Arc<State>,
-    controller: DaemonControl<oneshot::Sender<HopOutcome>>,
+    controller: DaemonControl<oneshot::Sender<RequestOutcome>>,
     acquires: HashMap<FunctionKey, Vec<oneshot::Sender<AcquireResult>>>,
-    stream_number: u64,
-    stream: Option<mpsc::Sender<StreamUp>>,
-    beats: Arc<UdpSocket>,
-    sweep_at: Moment,
+    current_stream_id: u64,
+    stream: Option<mpsc::Sender<DaemonToLeader>>,
+    heartbeat_socket: Arc<UdpSocket>,
+    sweep_due_at: MonotonicTime,
 }
 
 impl Control {
     /// A control task's state.
-    pub fn new(state: Arc<State>, beats: Arc<UdpSocket>) -> Self {
+    pub fn new(state: Arc<State>, heartbeat_socket: Arc<UdpSocket>) -> Self {
         let controller = DaemonControl::new(
-            Moment::now(),
+            MonotonicTime::now(),
             &state.agent,
-            LiaisonTiming::builder().build(),
-            state.boot.door,
-            state.boot.seeds.clone(),
-            Chance::from_os(),
+            ControlSessionTiming::builder().build(),
+            state.settings.ingress,
+            state.settings.seeds.clone(),
+            SeededRng::from_os(),
         )
-        .with_beat(state.boot.beat_every);
-        let controller =
-            if state.boot.warm { controller.with_warm(Moment::now()) } else { controller };
+        .with_heartbeat_interval(state.settings.heartbeat_interval);
+        let controller = if state.settings.warm {
+            controller.with_warm(MonotonicTime::now())
+        } else {
+            controller
+        };
         let acquires = HashMap::new();
-        let sweep_at = Moment::now() + SWEEP_EVERY;
-        Self { state, controller, acquires, stream_number: 0, stream: None, beats, sweep_at }
+        let sweep_due_at = MonotonicTime::now() + SWEEP_INTERVAL;
+        Self {
+            state,
+            controller,
+            acquires,
+            current_stream_id: 0,
+            stream: None,
+            heartbeat_socket,
+            sweep_due_at,
+        }
     }
 
     /// Runs as long as the process; wakes only when something is due, or comes in.
-    pub async fn run(mut self, mut inbox: mpsc::UnboundedReceiver<ControlInput>) {
+    pub async fn run(mut self, mut inputs: mpsc::UnboundedReceiver<ControlInput>) {
         let state = self.state.clone();
-        let mut due = Moment::now();
+        let mut due = MonotonicTime::now();
         loop {
-            if Moment::now() >= due {
+            if MonotonicTime::now() >= due {
                 self.tick();
                 due = self.next_due();
             }
-            state.control_due.set(due);
+            state.control_due_at.set(due);
             tokio::select! {
-                () = tokio::time::sleep(due.since(Moment::now())) => {}
-                () = state.rush.notified() => due = due.min(self.next_due()),
-                input = inbox.recv() => match input {
+                () = tokio::time::sleep(due.since(MonotonicTime::now())) => {}
+                () = state.control_wakeup.notified() => due = due.min(self.next_due()),
+                input = inputs.recv() => match input {
                     Some(input) => {
-                        self.take(input);
+                        self.handle_input(input);
                         due = due.min(self.controller.stream_due());
                     }
                     None => return,
@@ -104,114 +115,120 @@
     }
 
     fn tick(&mut self) {
-        let now = Moment::now();
-        let orders = self.controller.tick(&self.state.agent, now);
-        self.obey(orders);
-        if now >= self.sweep_at {
-            self.sweep_at = now + SWEEP_EVERY;
-            self.state.runner_links.sweep();
+        let now = MonotonicTime::now();
+        let outputs = self.controller.tick(&self.state.agent, now);
+        self.execute(outputs);
+        if now >= self.sweep_due_at {
+            self.sweep_due_at = now + SWEEP_INTERVAL;
+            self.state.runner_connections.remove_expired();
         }
     }
 
-    fn next_due(&self) -> Moment {
-        let now = Moment::now();
-        self.controller.next_due(&self.state.agent).clamp(now + SHORTEST_REST, now + LONGEST_REST)
+    fn next_due(&self) -> MonotonicTime {
+        let now = MonotonicTime::now();
+        self.controller
+            .next_due(&self.state.agent)
+            .clamp(now + MIN_TICK_INTERVAL, now + MAX_TICK_INTERVAL)
     }
 
-    fn take(&mut self, input: ControlInput) {
-        let now = Moment::now();
+    fn handle_input(&mut self, input: ControlInput) {
+        let now = MonotonicTime::now();
         let state = self.state.clone();
         let agent = &state.agent;
-        let orders = match input {
-            ControlInput::Connected(number, sender) if number == self.stream_number => {
+        let outputs = match input {
+            ControlInput::Connected(stream_id, sender) if stream_id == self.current_stream_id => {
                 self.stream = Some(sender);
                 self.controller.connected(agent, now)
             }
-            ControlInput::Disconnected(number) if number == self.stream_number => {
+            ControlInput::Disconnected(stream_id) if stream_id == self.current_stream_id => {
                 self.stream = None;
                 self.controller.disconnected(agent, now)
             }
-            ControlInput::Down(number, frame) if number == self.stream_number => {
-                self.controller.heard(agent, now, frame)
+            ControlInput::Received(stream_id, frame) if stream_id == self.current_stream_id => {
+                self.controller.received(agent, now, frame)
             }
-            ControlInput::Receiving(number) if number == self.stream_number => {
-                self.controller.receiving(now);
+            ControlInput::Receiving(stream_id) if stream_id == self.current_stream_id => {
+                self.controller.frame_part_received(now);
                 return;
             }
             ControlInput::Connected(..)
             | ControlInput::Disconnected(_)
             | ControlInput::Receiving(_)
-            | ControlInput::Down(..) => return,
-            ControlInput::Beat(heartbeat) => {
-                if !self.controller.beat(now, &heartbeat) {
-                    note!(Debug, events::HEARTBEAT_IGNORED, "from {}", heartbeat.member);
+            | ControlInput::Received(..) => return,
+            ControlInput::HeartbeatDatagram(heartbeat) => {
+                if !self.controller.heartbeat(now, &heartbeat) {
+                    log_event!(Debug, events::HEARTBEAT_IGNORED, "from {}", heartbeat.member);
                 }
                 return;
             }
-            ControlInput::Acquire(function, waiter) => {
-                let waiters = self.acquires.entry(function.clone()).or_default();
-                waiters.push(waiter);
-                if waiters.len() > 1 {
+            ControlInput::Acquire(function, reply_sender) => {
+                let reply_senders = self.acquires.entry(function.clone()).or_default();
+                reply_senders.push(reply_sender);
+                if reply_senders.len() > 1 {
                     return;
                 }
                 state.gauges.acquires.inc();
                 self.controller.acquire(agent, now, function)
             }
-            ControlInput::Word(function, grant, word) => {
-                self.controller.told(agent, now, function, grant, word)
+            ControlInput::HolderMessage(function, fencing_token, message) => {
+                self.controller.holder_message(agent, now, function, fencing_token, message)
             }
             ControlInput::Seeds(seeds) => {
                 self.controller.set_seeds(seeds);
                 return;
             }
-            ControlInput::WishesChanged => {
-                self.controller.warm_changed(now);
+            ControlInput::DesiredFunctionsChanged => {
+                self.controller.recheck_warm_functions(now);
                 return;
             }
-            ControlInput::Leave => self.controller.leave(agent, now),
-            ControlInput::Left => self.controller.left(agent),
+            ControlInput::BeginShutdown => self.controller.leave(agent, now),
+            ControlInput::ShutdownFinished => self.controller.departed(agent),
         };
-        self.obey(orders);
+        self.execute(outputs);
     }
 
-    fn obey(&mut self, orders: Vec<DaemonOrder<oneshot::Sender<HopOutcome>>>) {
-        for order in orders {
-            match order {
-                DaemonOrder::Dial(place) => {
-                    self.stream_number += 1;
+    fn execute(&mut self, outputs: Vec<DaemonControlOutput<oneshot::Sender<RequestOutcome>>>) {
+        for output in outputs {
+            match output {
+                DaemonControlOutput::Dial(address) => {
+                    self.current_stream_id += 1;
                     self.stream = None;
-                    tokio::spawn(keep_stream(self.state.clone(), self.stream_number, place));
+                    tokio::spawn(run_stream(self.state.clone(), self.current_stream_id, address));
                 }
-                DaemonOrder::Hangup => {
-                    self.stream_number += 1;
+                DaemonControlOutput::Hangup => {
+                    self.current_stream_id += 1;
                     self.stream = None;
                 }
-                DaemonOrder::Say(frame) => self.say(frame),
-                DaemonOrder::Beat(heartbeat, places) => self.beat(&heartbeat, &places),
-                DaemonOrder::Holder(held, outputs) => holding::drive(&held, &self.state, outputs),
-                DaemonOrder::Acquired(function, result, round_trip) => {
+                DaemonControlOutput::SendFrame(frame) => self.send_frame(frame),
+                DaemonControlOutput::HeartbeatDatagram(heartbeat, addresses) => {
+                    self.heartbeat(&heartbeat, &addresses)
+                }
+                DaemonControlOutput::Holder(held, outputs) => {
+                    holder_driver::drive(&held, &self.state, outputs)
+                }
+                DaemonControlOutput::Acquired(function, result, round_trip) => {
                     self.acquired(&function, result, round_trip);
                 }
-                DaemonOrder::AcquiresLost => self.acquires.clear(),
-                DaemonOrder::Changed => self.state.changes.send_modify(|count| *count += 1),
-                DaemonOrder::Tell(event, detail) => tell(event, &detail),
-                DaemonOrder::Installed(serial) => {
-                    self.state.gauges.serial.set(serial.0 as i64);
+                DaemonControlOutput::AcquiresLost => self.acquires.clear(),
+                DaemonControlOutput::Changed => self.state.changes.send_modify(|count| *count += 1),
+                DaemonControlOutput::LogEvent(event, detail) => log_control_event(event, &detail),
+                DaemonControlOutput::Installed(version) => {
+                    self.state.gauges.version.set(version.0 as i64);
                 }
-                DaemonOrder::GrantEnded => self.state.gauges.grants_ended.inc(),
+                DaemonControlOutput::LeaseEnded => self.state.gauges.leases_ended.inc(),
             }
         }
     }
 
-    fn beat(&self, heartbeat: &Heartbeat, places: &[Place]) {
+    fn heartbeat(&self, heartbeat: &Heartbeat, addresses: &[SocketAddress]) {
         if let Ok(datagram) = encode_heartbeat(heartbeat) {
-            for place in places {
-                let _ = self.beats.try_send_to(&datagram, place.address());
+            for address in addresses {
+                let _ = self.heartbeat_socket.try_send_to(&datagram, address.address());
             }
         }
     }
 
-    fn say(&mut self, frame: StreamUp) {
+    fn send_frame(&mut self, frame: DaemonToLeader) {
         let is_sent = self.stream.as_ref().is_some_and(|stream| stream.try_send(frame).is_ok());
         if !is_sent {
             self.stream = None;
@@ -227,56 +244,60 @@
         if result.is_some() && round_trip > Duration::ZERO {
             self.state.gauges.acquire_seconds.observe(round_trip.as_secs_f64());
         }
-        let waiters = self.acquires.remove(function).unwrap_or_default();
+        let reply_senders = self.acquires.remove(function).unwrap_or_default();
         if let Some(result) = result {
-            for waiter in waiters {
-                let _ = waiter.send(result.clone());
+            for reply_sender in reply_senders {
+                let _ = reply_sender.send(result.clone());
             }
         }
     }
 }
 
-fn tell(event: Event, detail: &str) {
+fn log_control_event(event: Event, detail: &str) {
     match event {
-        events::SPEC_FAILED => note!(Error, event, "{detail}"),
-        events::GRANT_ENDED => note!(Warn, event, "{detail}"),
-        _ => note!(Info, event, "{detail}"),
+        events::SPEC_INSTALL_FAILED => log_event!(Error, event, "{detail}"),
+        events::SESSION_LEASE_ENDED => log_event!(Warn, event, "{detail}"),
+        _ => log_event!(Info, event, "{detail}"),
     }
 }
 
-async fn keep_stream(state: Arc<State>, number: u64, place: Place) {
-    let ended = use_stream(&state, number, place).await;
-    if let Err(fault) = ended
-        && !matches!(fault, FrameFault::Connection(_))
+async fn run_stream(state: Arc<State>, stream_id: u64, address: SocketAddress) {
+    let ended = drive_stream(&state, stream_id, address).await;
+    if let Err(error) = ended
+        && !matches!(error, FrameError::Connection(_))
     {
         state.gauges.rejected_frames.inc();
-        note!(Warn, events::FRAME_REJECTED, "from {place}: {fault}");
+        log_event!(Warn, events::FRAME_REJECTED, "from {address}: {error}");
     }
-    let _ = state.control.send(ControlInput::Disconnected(number));
+    let _ = state.control.send(ControlInput::Disconnected(stream_id));
 }
 
-async fn use_stream(state: &Arc<State>, number: u64, place: Place) -> Result<(), FrameFault> {
-    let own_ip = *state.boot.place.0.ip();
-    let timed_out = || FrameFault::Connection(std::io::ErrorKind::TimedOut.into());
-    let stream = dial(own_ip, place, Channel::Stream, Duration::from_millis(600)).await?;
-    let (sender, mut frames) = mpsc::channel::<StreamUp>(8192);
-    let _ = state.control.send(ControlInput::Connected(number, sender));
+async fn drive_stream(
+    state: &Arc<State>,
+    stream_id: u64,
+    address: SocketAddress,
+) -> Result<(), FrameError> {
+    let own_ip = *state.settings.address.0.ip();
+    let timed_out = || FrameError::Connection(std::io::ErrorKind::TimedOut.into());
+    let stream = dial(own_ip, address, Channel::Stream, Duration::from_millis(600)).await?;
+    let (sender, mut frames) = mpsc::channel::<DaemonToLeader>(8192);
+    let _ = state.control.send(ControlInput::Connected(stream_id, sender));
     let (reading_half, mut writing_half) = stream.into_split();
     let mut reader = BufReader::new(reading_half);
     let reading = async {
         loop {
-            let note_part = || {
-                let _ = state.control.send(ControlInput::Receiving(number));
+            let report_receiving = || {
+                let _ = state.control.send(ControlInput::Receiving(stream_id));
             };
-            let frame: StreamDown = read_frame_in_parts(&mut reader, note_part).await?;
-            let _ = state.control.send(ControlInput::Down(number, frame));
+            let frame: LeaderToDaemon = read_frame_in_parts(&mut reader, report_receiving).await?;
+            let _ = state.control.send(ControlInput::Received(stream_id, frame));
         }
     };
     let writing = async {
         let mut sent_bytes = Vec::new();
         while let Some(frame) = frames.recv().await {
             append_frame(&mut sent_bytes, &frame)?;
-            while sent_bytes.len() < SENT_AT_ONCE
+            while sent_bytes.len() < WRITE_BATCH_BYTES
                 && let Ok(next_frame) = frames.try_recv()
             {
                 append_frame(&mut sent_bytes, &next_frame)?;
--- a/crates/dataplane/src/drivers/daemon.rs
+++ b/crates/dataplane/src/drivers/daemon.rs
@@ -1,15 +1,17 @@
 use super::connector::TcpConnector;
 use super::control::{Control, ControlInput};
-use super::door::{serve_door, serve_ready};
+use super::ingress::{serve_ingress, serve_ready};
 use super::{State, hops};
-use crate::boot::DaemonBoot;
-use crate::tongue::DaemonAdapters;
-use common::chance::Chance;
-use common::clock::Moment;
+use crate::adapter::DaemonAdapters;
+use crate::settings::DaemonSettings;
+use common::clock::MonotonicTime;
 use common::events;
-use common::frames::{Channel, Flag, FrameFault, Host, Place, decode_heartbeat, read_channel};
-use common::note;
-use common::readers::BootFault;
+use common::frames::{
+    Channel, Flag, FrameError, Host, SocketAddress, decode_heartbeat, read_channel,
+};
+use common::log_event;
+use common::readers::SettingsError;
+use common::rng::SeededRng;
 use common::rules::Rules;
 use std::sync::Arc;
 use std::time::Duration;
@@ -24,7 +26,7 @@
 
 impl DaemonHandle {
     /// The seeds have changed; those known are replaced.
-    pub fn reseed(&self, seeds: Vec<Place>) {
+    pub fn update_seeds(&self, seeds: Vec<SocketAddress>) {
         let _ = self.state.control.send(ControlInput::Seeds(seeds));
     }
 }
@@ -32,64 +34,75 @@
 /// A running daemon.
 pub struct Daemon {
     state: Arc<State>,
-    inbox: mpsc::UnboundedReceiver<ControlInput>,
+    inputs: mpsc::UnboundedReceiver<ControlInput>,
     process_listener: TcpListener,
-    door_listener: TcpListener,
+    ingress_listener: TcpListener,
     ready_listener: Option<TcpListener>,
-    beats: Arc<UdpSocket>,
+    heartbeat_socket: Arc<UdpSocket>,
 }
 
 impl Daemon {
     /// Opens the listeners.
-    pub async fn open(boot: DaemonBoot) -> Result<Self, BootFault> {
-        Self::open_under(boot, Rules::KEPT).await
+    pub async fn open(settings: DaemonSettings) -> Result<Self, SettingsError> {
+        Self::open_with_rules(settings, Rules::ALL_ENFORCED).await
     }
 
     /// The same with a rule taken away for proving.
-    pub async fn open_under(boot: DaemonBoot, rules: Rules) -> Result<Self, BootFault> {
-        let tongues = DaemonAdapters::own(boot.platform);
-        Self::open_with(boot, rules, tongues).await
+    pub async fn open_with_rules(
+        settings: DaemonSettings,
+        rules: Rules,
+    ) -> Result<Self, SettingsError> {
+        let adapters = DaemonAdapters::native(settings.platform);
+        Self::open_with(settings, rules, adapters).await
     }
 
     /// The same with other tongues than the product's own.
     pub async fn open_with(
-        boot: DaemonBoot,
+        settings: DaemonSettings,
         rules: Rules,
-        tongues: DaemonAdapters,
-    ) -> Result<Self, BootFault> {
-        let fault_at = |key: &'static str, place: Place| {
-            let source = boot.source.clone();
-            move |fault| BootFault::Listen(source, key, place, fault)
+        adapters: DaemonAdapters,
+    ) -> Result<Self, SettingsError> {
+        let error_at = |key: &'static str, address: SocketAddress| {
+            let source = settings.source.clone();
+            move |error| SettingsError::CannotListen(source, key, address, error)
         };
-        let listen_key = if boot.listen == boot.place { "place" } else { "listen" };
-        let process_listener = TcpListener::bind(boot.listen.address())
+        let listen_key = if settings.listen == settings.address { "place" } else { "listen" };
+        let process_listener = TcpListener::bind(settings.listen.address())
+            .await
+            .map_err(error_at(listen_key, settings.listen))?;
+        let ingress_listener = TcpListener::bind(settings.ingress.address())
             .await
-            .map_err(fault_at(listen_key, boot.listen))?;
-        let door_listener =
-            TcpListener::bind(boot.door.address()).await.map_err(fault_at("door", boot.door))?;
-        let ready_listener = match boot.ready {
+            .map_err(error_at("door", settings.ingress))?;
+        let ready_listener = match settings.ready {
             Some(ready) => {
                 let listener = TcpListener::bind(ready.address()).await;
-                Some(listener.map_err(fault_at("ready", ready))?)
+                Some(listener.map_err(error_at("ready", ready))?)
             }
             None => None,
         };
-        let beats = UdpSocket::bind(boot.listen.address())
+        let heartbeat_socket = UdpSocket::bind(settings.listen.address())
             .await
-            .map_err(fault_at(listen_key, boot.listen))?;
-        let (control, inbox) = mpsc::unbounded_channel();
+            .map_err(error_at(listen_key, settings.listen))?;
+        let (control, inputs) = mpsc::unbounded_channel();
         let host = Host {
-            member: boot.member.clone(),
-            incarnation: (Chance::from_os().number() | 1).into(),
-            zone: boot.zone.clone(),
-            place: boot.place,
+            member: settings.member.clone(),
+            incarnation: (SeededRng::from_os().number() | 1).into(),
+            zone: settings.zone.clone(),
+            address: settings.address,
             eligible: Flag(true),
-            link_mbps: boot.link_mbps,
+            link_mbps: settings.link_mbps,
         };
-        let connector = Arc::new(TcpConnector::new(*boot.place.0.ip()));
-        let state = Arc::new(State::new(boot, host, rules, tongues, connector, control));
-        let beats = Arc::new(beats);
-        Ok(Self { state, inbox, process_listener, door_listener, ready_listener, beats })
+        let connector = Arc::new(TcpConnector::new(*settings.address.0.ip()));
+        let state = Arc::new(State::new(settings, host, rules, adapters, connector, control));
+        let heartbeat_socket = Arc::new(heartbeat_socket);
+        Ok(Self {
+            state,
+            inputs,
+            process_listener,
+            ingress_listener,
+            ready_listener,
+            heartbeat_socket,
+        })
     }
 
     /// What can be told to it while it runs.
@@ -99,47 +112,54 @@
 
     /// Serves until told to stop, then leaves in an orderly way.
     pub async fn run(self, mut stop: watch::Receiver<bool>) {
-        let Self { state, inbox, process_listener, door_listener, ready_listener, beats } = self;
-        tokio::spawn(Control::new(state.clone(), beats.clone()).run(inbox));
-        tokio::spawn(hear_beats(state.clone(), beats));
+        let Self {
+            state,
+            inputs,
+            process_listener,
+            ingress_listener,
+            ready_listener,
+            heartbeat_socket,
+        } = self;
+        tokio::spawn(Control::new(state.clone(), heartbeat_socket.clone()).run(inputs));
+        tokio::spawn(receive_heartbeats(state.clone(), heartbeat_socket));
         tokio::spawn(accept(process_listener, state.clone()));
         let (_ready_stop_sender, ready_stop) = watch::channel(false);
         if let Some(ready_listener) = ready_listener {
             tokio::spawn(serve_ready(state.clone(), ready_listener, ready_stop));
         }
-        let (door_stop_sender, door_stop) = watch::channel(false);
-        let door = tokio::spawn(serve_door(state.clone(), door_listener, door_stop));
+        let (ingress_stop_sender, ingress_stop) = watch::channel(false);
+        let ingress = tokio::spawn(serve_ingress(state.clone(), ingress_listener, ingress_stop));
         let _ = stop.wait_for(|stopping| *stopping).await;
-        let leave_by = Moment::now() + state.boot.grace;
+        let shutdown_deadline = MonotonicTime::now() + state.settings.grace;
         state.agent.begin_leaving();
-        let _ = state.control.send(ControlInput::Leave);
-        door_stop_sender.send_replace(true);
-        let finishing = async {
-            let _ = door.await;
-            while !state.agent.is_empty_handed() {
+        let _ = state.control.send(ControlInput::BeginShutdown);
+        ingress_stop_sender.send_replace(true);
+        let draining = async {
+            let _ = ingress.await;
+            while !state.agent.is_drained() {
                 tokio::time::sleep(Duration::from_millis(20)).await;
             }
         };
-        let _ = tokio::time::timeout(leave_by.since(Moment::now()), finishing).await;
-        let _ = state.control.send(ControlInput::Left);
+        let _ = tokio::time::timeout(shutdown_deadline.since(MonotonicTime::now()), draining).await;
+        let _ = state.control.send(ControlInput::ShutdownFinished);
         tokio::time::sleep(Duration::from_millis(60)).await;
     }
 }
 
-async fn hear_beats(state: Arc<State>, beats: Arc<UdpSocket>) {
+async fn receive_heartbeats(state: Arc<State>, heartbeat_socket: Arc<UdpSocket>) {
     let mut datagram = vec![0; 64 << 10];
     loop {
-        let Ok((length, from)) = beats.recv_from(&mut datagram).await else {
+        let Ok((length, from)) = heartbeat_socket.recv_from(&mut datagram).await else {
             tokio::time::sleep(Duration::from_millis(20)).await;
             continue;
         };
         match decode_heartbeat(&datagram[..length]) {
             Ok(heartbeat) => {
-                let _ = state.control.send(ControlInput::Beat(heartbeat));
+                let _ = state.control.send(ControlInput::HeartbeatDatagram(heartbeat));
             }
-            Err(fault) => {
+            Err(error) => {
                 state.gauges.rejected_frames.inc();
-                note!(Debug, events::HEARTBEAT_IGNORED, "from {from}: {fault}");
+                log_event!(Debug, events::HEARTBEAT_IGNORED, "from {from}: {error}");
             }
         }
     }
@@ -151,11 +171,11 @@
             Ok((stream, from)) => {
                 let connection_state = state.clone();
                 tokio::spawn(async move {
-                    if let Err(fault) = serve(connection_state.clone(), stream).await
-                        && !matches!(fault, FrameFault::Connection(_))
+                    if let Err(error) = serve(connection_state.clone(), stream).await
+                        && !matches!(error, FrameError::Connection(_))
                     {
                         connection_state.gauges.rejected_frames.inc();
-                        note!(Warn, events::FRAME_REJECTED, "from {from}: {fault}");
+                        log_event!(Warn, events::FRAME_REJECTED, "from {from}: {error}");
                     }
                 });
             }
@@ -164,14 +184,14 @@
     }
 }
 
-async fn serve(state: Arc<State>, mut stream: TcpStream) -> Result<(), FrameFault> {
-    common::sockets::tune(&stream);
+async fn serve(state: Arc<State>, mut stream: TcpStream) -> Result<(), FrameError> {
+    common::sockets::set_socket_options(&stream);
     let channel = tokio::time::timeout(Duration::from_secs(3), read_channel(&mut stream))
         .await
-        .map_err(|_| FrameFault::Connection(std::io::ErrorKind::TimedOut.into()))??;
+        .map_err(|_| FrameError::Connection(std::io::ErrorKind::TimedOut.into()))??;
     match channel {
-        Channel::Hop => hops::serve(state, stream).await,
-        Channel::Core => Err(FrameFault::WrongChannel(1)),
-        Channel::Stream => Err(FrameFault::WrongChannel(2)),
+        Channel::Daemons => hops::serve(state, stream).await,
+        Channel::Consensus => Err(FrameError::WrongChannel(1)),
+        Channel::Stream => Err(FrameError::WrongChannel(2)),
     }
 }
--- /dev/null
+++ b/crates/dataplane/src/drivers/hop_client.rs
@@ -0,0 +1,210 @@
+//! Questions to other daemons, over one kept connection to each.
+
+use super::connector::{ByteStream, Connector};
+use super::metered_stream::{MeteredStream, WriteMeter};
+use common::clock::MonotonicTime;
+use common::events;
+use common::frames::{
+    Channel, DaemonFrame, DaemonMessage, FrameError, SocketAddress, append_frame, read_frame,
+    write_channel,
+};
+use common::identity::CorrelationId;
+use common::log_event;
+use common::rules::{Rule, Rules};
+use std::collections::{BTreeMap, HashMap};
+use std::sync::atomic::{AtomicU64, Ordering};
+use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
+use std::time::Duration;
+use tokio::io::{AsyncRead, AsyncWrite, AsyncWriteExt, BufReader};
+use tokio::sync::{mpsc, oneshot};
+
+/// Frames are written together up to so many bytes.
+pub(super) const WRITE_BATCH_BYTES: usize = 64 << 10;
+const MAX_QUEUED_CALLS: usize = 1024;
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
+
+/// How a passed-on transaction came back.
+#[derive(Debug)]
+pub enum HopCallResult {
+    /// With an answer.
+    Reply(DaemonMessage),
+    /// Surely nothing was sent.
+    Unsent,
+    /// Sent, and nothing came back.
+    Lost,
+}
+
+struct HopCall {
+    frame: DaemonFrame,
+    end: oneshot::Sender<HopCallResult>,
+}
+
+/// Links to the other daemons, one each, kept open.
+pub struct HopClient {
+    connector: Arc<dyn Connector>,
+    rules: Rules,
+    senders: Mutex<HashMap<SocketAddress, mpsc::Sender<HopCall>>>,
+    next_correlation: AtomicU64,
+}
+
+impl HopClient {
+    /// No links yet.
+    pub fn new(connector: Arc<dyn Connector>, rules: Rules) -> Self {
+        Self {
+            connector,
+            rules,
+            senders: Mutex::new(HashMap::new()),
+            next_correlation: AtomicU64::new(1),
+        }
+    }
+
+    /// Asks another daemon and waits for its answer.
+    pub async fn request(
+        &self,
+        address: SocketAddress,
+        body: DaemonMessage,
+        wait_until: MonotonicTime,
+    ) -> HopCallResult {
+        let correlation = CorrelationId(self.next_correlation.fetch_add(1, Ordering::Relaxed));
+        let (end_sender, end) = oneshot::channel();
+        let call = HopCall { frame: DaemonFrame { correlation, body }, end: end_sender };
+        if self.sender_to(address).try_send(call).is_err() {
+            return HopCallResult::Unsent;
+        }
+        let wait_span = wait_until.since(MonotonicTime::now());
+        match tokio::time::timeout(wait_span, end).await {
+            Ok(Ok(result)) => result,
+            Ok(Err(_)) | Err(_) => HopCallResult::Lost,
+        }
+    }
+
+    fn sender_to(&self, address: SocketAddress) -> mpsc::Sender<HopCall> {
+        let mut senders = self.senders.lock().unwrap_or_else(PoisonError::into_inner);
+        let open_sender = senders.get(&address).filter(|sender| !sender.is_closed());
+        if let Some(sender) = open_sender {
+            return sender.clone();
+        }
+        let (sender, calls) = mpsc::channel(MAX_QUEUED_CALLS);
+        tokio::spawn(run_connection(self.connector.clone(), self.rules, address, calls));
+        senders.insert(address, sender.clone());
+        sender
+    }
+}
+
+struct AwaitedReply {
+    end: oneshot::Sender<HopCallResult>,
+    /// How many bytes the connection has taken before the first one of this question.
+    first_byte: u64,
+}
+
+/// The questions on a connection that have no answer yet.
+#[derive(Default)]
+struct PendingReplies(Mutex<BTreeMap<CorrelationId, AwaitedReply>>);
+
+impl PendingReplies {
+    fn lock(&self) -> MutexGuard<'_, BTreeMap<CorrelationId, AwaitedReply>> {
+        self.0.lock().unwrap_or_else(PoisonError::into_inner)
+    }
+
+    fn complete(&self, rules: Rules, frame: DaemonFrame) {
+        let mut awaited = self.lock();
+        let awaited_reply = if rules.enforces(Rule::ReplyMatchesRequest) {
+            awaited.remove(&frame.correlation)
+        } else {
+            awaited.pop_first().map(|(_, first)| first)
+        };
+        if let Some(awaited_reply) = awaited_reply {
+            let _ = awaited_reply.end.send(HopCallResult::Reply(frame.body));
+        }
+    }
+
+    /// The connection has ended after so many bytes: what it took none of was not sent.
+    fn fail_all(&self, rules: Rules, written: u64) {
+        for awaited in std::mem::take(&mut *self.lock()).into_values() {
+            let is_unsent =
+                written <= awaited.first_byte || !rules.enforces(Rule::PartialWriteCountsAsSent);
+            let end = if is_unsent { HopCallResult::Unsent } else { HopCallResult::Lost };
+            let _ = awaited.end.send(end);
+        }
+    }
+}
+
+async fn open_connection(
+    connector: &dyn Connector,
+    address: SocketAddress,
+) -> Result<(impl ByteStream, Arc<WriteMeter>), FrameError> {
+    let opening = async {
+        let (mut stream, meter) = MeteredStream::new(connector.to_daemon(address).await?);
+        write_channel(&mut stream, Channel::Daemons).await?;
+        Ok((stream, meter))
+    };
+    tokio::time::timeout(CONNECT_TIMEOUT, opening)
+        .await
+        .map_err(|_| FrameError::Connection(std::io::ErrorKind::TimedOut.into()))?
+}
+
+async fn run_connection(
+    connector: Arc<dyn Connector>,
+    rules: Rules,
+    address: SocketAddress,
+    mut calls: mpsc::Receiver<HopCall>,
+) {
+    if let Ok((stream, meter)) = open_connection(connector.as_ref(), address).await {
+        let pending = PendingReplies::default();
+        let (reading_half, writing_half) = tokio::io::split(stream);
+        let error = tokio::select! {
+            error = read_replies(reading_half, rules, &pending) => error,
+            error = write_calls(writing_half, &meter, &pending, &mut calls) => error,
+        };
+        if let Some(error) = error.filter(|error| !matches!(error, FrameError::Connection(_))) {
+            log_event!(Warn, events::FRAME_REJECTED, "from {address}: {error}");
+        }
+        pending.fail_all(rules, meter.written());
+    }
+    calls.close();
+    while let Some(call) = calls.recv().await {
+        let _ = call.end.send(HopCallResult::Unsent);
+    }
+}
+
+async fn read_replies(
+    reading_half: impl AsyncRead + Unpin,
+    rules: Rules,
+    pending: &PendingReplies,
+) -> Option<FrameError> {
+    let mut reader = BufReader::new(reading_half);
+    loop {
+        match read_frame(&mut reader).await {
+            Ok(frame) => pending.complete(rules, frame),
+            Err(error) => return Some(error),
+        }
+    }
+}
+
+async fn write_calls(
+    mut writing_half: impl AsyncWrite + Unpin,
+    meter: &WriteMeter,
+    pending: &PendingReplies,
+    calls: &mut mpsc::Receiver<HopCall>,
+) -> Option<FrameError> {
+    let mut sent_bytes = Vec::new();
+    while let Some(first_call) = calls.recv().await {
+        let written = meter.written();
+        let mut next_call = Some(first_call);
+        while let Some(HopCall { frame, end }) = next_call {
+            let first_byte = written + sent_bytes.len() as u64;
+            if append_frame(&mut sent_bytes, &frame).is_err() {
+                let _ = end.send(HopCallResult::Unsent);
+            } else {
+                pending.lock().insert(frame.correlation, AwaitedReply { end, first_byte });
+            }
+            let has_room = sent_bytes.len() < WRITE_BATCH_BYTES;
+            next_call = if has_room { calls.try_recv().ok() } else { None };
+        }
+        if let Err(error) = writing_half.write_all(&sent_bytes).await {
+            return Some(error.into());
+        }
+        sent_bytes.clear();
+    }
+    None
+}
--- a/crates/dataplane/src/drivers/hops.rs
+++ b/crates/dataplane/src/drivers/hops.rs
@@ -2,39 +2,40 @@
 
 use super::State;
 use super::connector::ByteStream;
-use super::hop_links::SENT_AT_ONCE;
-use crate::agent::Ask;
-use crate::chain::{Resolved, resolve};
-use common::clock::Moment;
+use super::hop_client::WRITE_BATCH_BYTES;
+use crate::agent::FunctionRequest;
+use crate::request_pipeline::{ForwardedOutcome, forward_to_holder};
+use common::clock::MonotonicTime;
 use common::frames::{
-    FrameFault, HopBody, HopFrame, HopOutcome, HopReason, Many, append_frame, read_frame,
+    DaemonFrame, DaemonMessage, FrameError, LengthPrefixed, RequestFailureReason, RequestOutcome,
+    append_frame, read_frame,
 };
 use std::sync::Arc;
 use tokio::io::{AsyncWrite, AsyncWriteExt, BufReader};
 use tokio::sync::{mpsc, watch};
 
-const MOST_QUEUED: usize = 1024;
+const MAX_QUEUED_REPLIES: usize = 1024;
 
 /// Serves another daemon's link. Questions that are under way when it ends are given up: their daemon counts
 /// them as lost, and may ask again.
-pub async fn serve(state: Arc<State>, stream: impl ByteStream + 'static) -> Result<(), FrameFault> {
+pub async fn serve(state: Arc<State>, stream: impl ByteStream + 'static) -> Result<(), FrameError> {
     let (reading_half, writing_half) = tokio::io::split(stream);
     let mut reader = BufReader::new(reading_half);
-    let (done_sender, done_frames) = mpsc::channel::<HopFrame>(MOST_QUEUED);
-    tokio::spawn(write_replies(writing_half, done_frames));
-    let (_link_guard, link_end) = watch::channel(());
+    let (reply_sender, replies) = mpsc::channel::<DaemonFrame>(MAX_QUEUED_REPLIES);
+    tokio::spawn(write_replies(writing_half, replies));
+    let (_connection_guard, connection_end) = watch::channel(());
     loop {
-        let HopFrame { correlation, body } = read_frame(&mut reader).await?;
-        let ask_state = state.clone();
-        let ask_done = done_sender.clone();
-        let mut ask_link_end = link_end.clone();
+        let DaemonFrame { correlation, body } = read_frame(&mut reader).await?;
+        let call_state = state.clone();
+        let call_reply_sender = reply_sender.clone();
+        let mut call_connection_end = connection_end.clone();
         tokio::spawn(async move {
-            let answered = tokio::select! {
-                answered = answer(&ask_state, body) => answered,
-                _ = ask_link_end.changed() => None,
+            let reply = tokio::select! {
+                reply = handle_call(&call_state, body) => reply,
+                _ = call_connection_end.changed() => None,
             };
-            if let Some(body) = answered {
-                let _ = ask_done.send(HopFrame { correlation, body }).await;
+            if let Some(body) = reply {
+                let _ = call_reply_sender.send(DaemonFrame { correlation, body }).await;
             }
         });
     }
@@ -42,15 +43,15 @@
 
 async fn write_replies(
     mut writing_half: impl AsyncWrite + Unpin,
-    mut done_frames: mpsc::Receiver<HopFrame>,
+    mut replies: mpsc::Receiver<DaemonFrame>,
 ) {
     let mut sent_bytes = Vec::new();
-    while let Some(frame) = done_frames.recv().await {
+    while let Some(frame) = replies.recv().await {
         let mut next_frame = Some(frame);
         while let Some(frame) = next_frame {
             append_reply(&mut sent_bytes, &frame);
-            let has_room = sent_bytes.len() < SENT_AT_ONCE;
-            next_frame = if has_room { done_frames.try_recv().ok() } else { None };
+            let has_room = sent_bytes.len() < WRITE_BATCH_BYTES;
+            next_frame = if has_room { replies.try_recv().ok() } else { None };
         }
         if writing_half.write_all(&sent_bytes).await.is_err() {
             return;
@@ -60,25 +61,32 @@
 }
 
 /// An answer that fits in no frame is lost by itself; those behind it are not.
-fn append_reply(sent_bytes: &mut Vec<u8>, frame: &HopFrame) {
+fn append_reply(sent_bytes: &mut Vec<u8>, frame: &DaemonFrame) {
     if append_frame(sent_bytes, frame).is_err() {
-        let outcome = HopOutcome::Unknown { reason: HopReason::AnswerLost };
-        let body = HopBody::Done { outcome, holder: Many(Vec::new()), regional_tenths: 0 };
-        let _ = append_frame(sent_bytes, &HopFrame { correlation: frame.correlation, body });
+        let outcome = RequestOutcome::Unknown { reason: RequestFailureReason::ResponseLost };
+        let body = DaemonMessage::Completed {
+            outcome,
+            holder: LengthPrefixed(Vec::new()),
+            regional_tenths: 0,
+        };
+        let _ = append_frame(sent_bytes, &DaemonFrame { correlation: frame.correlation, body });
     }
 }
 
-async fn answer(state: &Arc<State>, body: HopBody) -> Option<HopBody> {
-    match Ask::passed_on(Moment::now(), body) {
-        Ok(ask) => {
-            let resolved = resolve(state, ask).await;
-            let is_answer = matches!(resolved.outcome, HopOutcome::Answer { .. });
-            let named_holder =
-                resolved.holder.filter(|holder| !is_answer || *holder != state.agent.own_host);
-            let holder = Many(named_holder.into_iter().collect());
-            let Resolved { outcome, regional_tenths, .. } = resolved;
-            Some(HopBody::Done { outcome, holder, regional_tenths })
+async fn handle_call(state: &Arc<State>, body: DaemonMessage) -> Option<DaemonMessage> {
+    match FunctionRequest::from_frame(MonotonicTime::now(), body) {
+        Ok(request) => {
+            let forwarded_outcome = forward_to_holder(state, request).await;
+            let is_answer = matches!(forwarded_outcome.outcome, RequestOutcome::Response { .. });
+            let reported_holder = forwarded_outcome
+                .holder
+                .filter(|holder| !is_answer || *holder != state.agent.own_host);
+            let holder = LengthPrefixed(reported_holder.into_iter().collect());
+            let ForwardedOutcome { outcome, regional_tenths, .. } = forwarded_outcome;
+            Some(DaemonMessage::Completed { outcome, holder, regional_tenths })
+        }
+        Err(replica_request) => {
+            state.agent.answer_replica_request(MonotonicTime::now(), *replica_request)
         }
-        Err(question) => state.agent.answer_as_steward(Moment::now(), *question),
     }
 }
--- a/crates/dataplane/src/drivers/door.rs
+++ b/crates/dataplane/src/drivers/ingress.rs
@@ -1,7 +1,7 @@
 use super::State;
-use crate::chain::transact;
-use common::clock::Moment;
-use common::http::{self, CallerTimes, Served, json_response, text_response};
+use crate::request_pipeline::handle_request;
+use common::clock::MonotonicTime;
+use common::http::{self, ConnectionLimits, HttpResponse, json_response, text_response};
 use hyper::body::Incoming;
 use hyper::{Method, Request, StatusCode};
 use serde_json::json;
@@ -10,20 +10,20 @@
 use tokio::sync::watch;
 
 /// Serves callers until told to stop; also readiness and metrics, unless these have a place of their own.
-pub async fn serve_door(state: Arc<State>, listener: TcpListener, stop: watch::Receiver<bool>) {
-    let has_ready_place = state.boot.ready.is_some();
+pub async fn serve_ingress(state: Arc<State>, listener: TcpListener, stop: watch::Receiver<bool>) {
+    let has_ready_address = state.settings.ready.is_some();
     let times_state = state.clone();
     let times = move || {
         let limits = times_state.agent.table.load().limits();
-        CallerTimes { header_bytes: limits.header_bytes, idle: limits.header.max(limits.idle) }
+        ConnectionLimits { header_bytes: limits.header_bytes, idle: limits.header.max(limits.idle) }
     };
     let handler = move |request: Request<Incoming>| {
         let state = state.clone();
         async move {
-            let own_page = if has_ready_place { None } else { page(&state, &request) };
-            match own_page {
+            let status_response = if has_ready_address { None } else { page(&state, &request) };
+            match status_response {
                 Some(served) => served,
-                None => transact(&state, request).await,
+                None => handle_request(&state, request).await,
             }
         }
     };
@@ -42,20 +42,20 @@
     http::serve(listener, handler, stop).await;
 }
 
-fn page(state: &State, request: &Request<Incoming>) -> Option<Served> {
+fn page(state: &State, request: &Request<Incoming>) -> Option<HttpResponse> {
     if request.method() != Method::GET {
         return None;
     }
     match request.uri().path() {
         "/metrics" => {
-            state.gauge();
+            state.update_gauges();
             Some(text_response(StatusCode::OK, state.gauges.page()))
         }
-        path if path == "/ready" || path == state.tongues.door.ready_path() => {
-            let is_ready = state.agent.is_ready(Moment::now());
+        path if path == "/ready" || path == state.adapters.ingress.readiness_path() => {
+            let is_ready = state.agent.is_ready(MonotonicTime::now());
             let status = if is_ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
-            let serial = state.agent.table.load().serial().0;
-            Some(json_response(status, &json!({"ready": is_ready, "serial": serial})))
+            let version = state.agent.table.load().version().0;
+            Some(json_response(status, &json!({"ready": is_ready, "serial": version})))
         }
         _ => None,
     }
--- a/crates/dataplane/src/drivers/metered.rs
+++ b/crates/dataplane/src/drivers/metered_stream.rs
@@ -10,54 +10,54 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
 /// What a request needs to be sent.
-pub struct SendPermit {
+pub struct WritePermit {
     /// Whether it may still be sent; asked right before its first byte is written.
-    pub is_given: Box<dyn Fn() -> bool + Send>,
+    pub is_valid: Box<dyn Fn() -> bool + Send>,
     /// Hears that the first byte was written.
-    pub begun: Box<dyn Fn() + Send>,
+    pub on_first_write: Box<dyn Fn() + Send>,
 }
 
-impl SendPermit {
+impl WritePermit {
     /// A permission that never ends.
     pub fn always() -> Self {
-        Self { is_given: Box::new(|| true), begun: Box::new(|| {}) }
+        Self { is_valid: Box::new(|| true), on_first_write: Box::new(|| {}) }
     }
 }
 
 /// The permission to send has ended before the first byte was written.
 #[derive(Debug)]
-pub struct NotPermitted;
+pub struct WriteNotPermitted;
 
-impl fmt::Display for NotPermitted {
+impl fmt::Display for WriteNotPermitted {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         out.write_str("the permission to send has ended")
     }
 }
 
-impl std::error::Error for NotPermitted {}
+impl std::error::Error for WriteNotPermitted {}
 
 /// What is known of a stream's writes.
 #[derive(Default)]
-pub struct Meter {
+pub struct WriteMeter {
     written: AtomicU64,
-    permit: Mutex<Option<SendPermit>>,
+    permit: Mutex<Option<WritePermit>>,
 }
 
-impl Meter {
+impl WriteMeter {
     /// The bytes that the stream has taken so far. What it has taken may have left.
     pub fn written(&self) -> u64 {
         self.written.load(Ordering::Acquire)
     }
 
     /// Has the next byte written only if this permits it.
-    pub fn require(&self, permit: SendPermit) {
+    pub fn set_permit(&self, permit: WritePermit) {
         *self.permit.lock().unwrap_or_else(PoisonError::into_inner) = Some(permit);
     }
 
     fn write(&self, writing: impl FnOnce() -> Poll<io::Result<usize>>) -> Poll<io::Result<usize>> {
         let mut permit = self.permit.lock().unwrap_or_else(PoisonError::into_inner);
-        if permit.as_ref().is_some_and(|permit| !(permit.is_given)()) {
-            return Poll::Ready(Err(io::Error::other(NotPermitted)));
+        if permit.as_ref().is_some_and(|permit| !(permit.is_valid)()) {
+            return Poll::Ready(Err(io::Error::other(WriteNotPermitted)));
         }
         let polled = writing();
         if let Poll::Ready(Ok(count)) = polled
@@ -65,7 +65,7 @@
         {
             self.written.fetch_add(count as u64, Ordering::AcqRel);
             if let Some(permit) = permit.take() {
-                (permit.begun)();
+                (permit.on_first_write)();
             }
         }
         polled
@@ -75,13 +75,13 @@
 /// A stream with its meter.
 pub struct MeteredStream {
     inner: Box<dyn ByteStream>,
-    meter: Arc<Meter>,
+    meter: Arc<WriteMeter>,
 }
 
 impl MeteredStream {
     /// Counts what is written from now on.
-    pub fn new(inner: Box<dyn ByteStream>) -> (Self, Arc<Meter>) {
-        let meter = Arc::new(Meter::default());
+    pub fn new(inner: Box<dyn ByteStream>) -> (Self, Arc<WriteMeter>) {
+        let meter = Arc::new(WriteMeter::default());
         (Self { inner, meter: meter.clone() }, meter)
     }
 }
--- a/crates/dataplane/src/drivers/platform.rs
+++ b/crates/dataplane/src/drivers/platform.rs
@@ -1,46 +1,46 @@
-use super::{HeldHere, State};
-use common::clock::Moment;
-use common::identity::{LifeName, RunnerId, WorkerName};
+use super::{LocalHeldFunction, State};
+use common::adapter::{StartOrder, StartOutcome, StopOrder};
+use common::clock::MonotonicTime;
+use common::identity::{InstanceId, RunnerId, WorkerName};
 use common::spec::FunctionSpec;
-use common::tongue::{BeginEnd, BeginOrder, StopOrder};
 
 /// Has the platform start a runner.
 pub async fn start(
     state: &State,
-    held: &HeldHere,
+    held: &LocalHeldFunction,
     runner: RunnerId,
     worker: &WorkerName,
     spec: &FunctionSpec,
-) -> BeginEnd {
-    if !state.agent.is_serving(Moment::now()) {
-        return BeginEnd::Lost;
+) -> StartOutcome {
+    if !state.agent.is_serving(MonotonicTime::now()) {
+        return StartOutcome::Lost;
     }
-    let order = BeginOrder {
+    let order = StartOrder {
         runner,
         function: held.function.clone(),
         worker: worker.clone(),
         memory_mb: spec.memory_mb,
-        boot: spec.boot,
+        startup: spec.startup,
         slots: spec.slots,
-        member: state.boot.member.clone(),
+        member: state.settings.member.clone(),
     };
-    state.tongues.platform.begin(order).await
+    state.adapters.platform.start_runner(order).await
 }
 
 /// Has the platform stop a runner; true only when it says that the runner is stopped for good.
 pub async fn stop(
     state: &State,
-    held: &HeldHere,
+    held: &LocalHeldFunction,
     runner: RunnerId,
     worker: WorkerName,
-    life: Option<LifeName>,
+    instance: Option<InstanceId>,
 ) -> bool {
     let order = StopOrder {
         runner,
         function: held.function.clone(),
         worker,
-        life,
-        member: state.boot.member.clone(),
+        instance,
+        member: state.settings.member.clone(),
     };
-    state.tongues.platform.stop(order).await
+    state.adapters.platform.stop(order).await
 }
--- a/crates/dataplane/src/drivers/request_log.rs
+++ b/crates/dataplane/src/drivers/request_log.rs
@@ -1,9 +1,9 @@
 //! What a daemon writes of requests that did not end with an answer: enough to follow one by its identity from the
 //! daemon that took it to the runner and back, and never more lines than a small processor can bear.
 
-use common::clock::Moment;
+use common::clock::MonotonicTime;
 use common::events::{self, Event};
-use common::note;
+use common::log_event;
 use std::fmt;
 use std::sync::{Mutex, PoisonError};
 use std::time::Duration;
@@ -11,51 +11,51 @@
 /// The span over which lines are counted.
 const WINDOW: Duration = Duration::from_secs(1);
 /// The most lines in one window.
-const MOST_LINES: u32 = 20;
+const MAX_LINES: u32 = 20;
 
 #[derive(Default)]
-struct Window {
-    began_at: Moment,
-    written: u32,
-    left_out: u32,
+struct LogWindow {
+    started_at: MonotonicTime,
+    logged: u32,
+    suppressed: u32,
 }
 
-impl Window {
+impl LogWindow {
     /// Whether one more line fits; and how many were left out in a window that has just ended.
-    fn admit(&mut self, now: Moment) -> (bool, u32) {
-        let mut left_out = 0;
-        if now.since(self.began_at) >= WINDOW {
-            left_out = self.left_out;
-            *self = Self { began_at: now, written: 0, left_out: 0 };
+    fn admit(&mut self, now: MonotonicTime) -> (bool, u32) {
+        let mut suppressed = 0;
+        if now.since(self.started_at) >= WINDOW {
+            suppressed = self.suppressed;
+            *self = Self { started_at: now, logged: 0, suppressed: 0 };
         }
-        let fits = self.written < MOST_LINES;
-        if fits {
-            self.written += 1;
+        let is_admitted = self.logged < MAX_LINES;
+        if is_admitted {
+            self.logged += 1;
         } else {
-            self.left_out += 1;
+            self.suppressed += 1;
         }
-        (fits, left_out)
+        (is_admitted, suppressed)
     }
 }
 
 /// The log of requests without an answer.
 #[derive(Default)]
 pub struct RequestLog {
-    window: Mutex<Window>,
+    window: Mutex<LogWindow>,
 }
 
 impl RequestLog {
     /// Writes a line, unless too many were written within a second; how many were left out is said with the next.
     pub fn write(&self, event: Event, detail: impl fmt::Display) {
-        let (fits, left_out) = {
+        let (is_admitted, suppressed) = {
             let mut window = self.window.lock().unwrap_or_else(PoisonError::into_inner);
-            window.admit(Moment::now())
+            window.admit(MonotonicTime::now())
         };
-        if left_out > 0 {
-            note!(Info, events::REQUESTS_NOT_LOGGED, "{left_out}");
+        if suppressed > 0 {
+            log_event!(Info, events::REQUESTS_NOT_LOGGED, "{suppressed}");
         }
-        if fits {
-            note!(Info, event, "{detail}");
+        if is_admitted {
+            log_event!(Info, event, "{detail}");
         }
     }
 }
--- /dev/null
+++ b/crates/dataplane/src/drivers/runner_connections.rs
@@ -0,0 +1,268 @@
+use super::connector::Connector;
+use super::metered_stream::{MeteredStream, WriteMeter, WritePermit};
+use crate::pool::{Checkout, ConnectionId, ConnectionPool};
+use bytes::Bytes;
+use common::clock::MonotonicTime;
+use common::frames::SocketAddress;
+use common::http::{CallError, CallResponse, is_merged_response};
+use common::identity::RunnerId;
+use common::rules::{Rule, Rules};
+use http_body_util::{BodyExt, Full, Limited};
+use hyper::Request;
+use hyper::client::conn::http1::{SendRequest, handshake};
+use hyper_util::rt::TokioIo;
+use std::collections::HashMap;
+use std::sync::{Arc, Mutex, MutexGuard, PoisonError, Weak};
+use std::time::Duration;
+use tokio::task::JoinHandle;
+
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
+
+/// Why there is no connection.
+#[derive(Clone, Copy, PartialEq, Eq, Debug)]
+pub enum CheckoutError {
+    /// The runner cannot be reached.
+    Unreachable,
+    /// It takes no more connections.
+    Full,
+}
+
+/// How a request on a connection ended.
+pub enum ExchangeResult {
+    /// With a whole answer.
+    Answered(CallResponse),
+    /// No byte of the request was written, and none will be.
+    NotSent,
+    /// Something may have been written, and no whole answer came.
+    Lost(CallError),
+}
+
+/// A connection's place in the pool, from before it is opened; it is given up when this is dropped.
+struct PoolReservation {
+    owner: Weak<RunnerConnections>,
+    runner: RunnerId,
+    id: ConnectionId,
+}
+
+impl Drop for PoolReservation {
+    fn drop(&mut self) {
+        if let Some(owner) = self.owner.upgrade() {
+            owner.lock().pool.remove_connection(self.runner, self.id);
+        }
+    }
+}
+
+/// One connection; it is closed when it is dropped.
+pub struct RunnerConnection {
+    reservation: PoolReservation,
+    rules: Rules,
+    sender: SendRequest<Full<Bytes>>,
+    meter: Arc<WriteMeter>,
+    driver_task: JoinHandle<()>,
+    is_reused: bool,
+}
+
+impl Drop for RunnerConnection {
+    fn drop(&mut self) {
+        self.driver_task.abort();
+    }
+}
+
+impl RunnerConnection {
+    /// Whether it has carried a transaction, or waited for one.
+    pub fn is_reused(&self) -> bool {
+        self.is_reused
+    }
+
+    /// Waits until the connection can take a request; false when it is gone.
+    pub async fn is_usable(&mut self, timeout: Duration) -> bool {
+        let waiting = tokio::time::timeout(timeout, self.sender.ready());
+        matches!(waiting.await, Ok(Ok(())))
+    }
+
+    /// Sends a request and takes the whole answer. The permit is asked right before the first byte is
+    /// written: the process may have stood still since the request was handed over.
+    pub async fn exchange(
+        &mut self,
+        request: Request<Full<Bytes>>,
+        permit: WritePermit,
+        timeout: Duration,
+        max_body_bytes: usize,
+    ) -> ExchangeResult {
+        let written_before = self.meter.written();
+        self.meter.set_permit(permit);
+        let asked =
+            tokio::time::timeout(timeout, self.exchange_once(request, max_body_bytes)).await;
+        match asked.unwrap_or(Err(CallError::Timeout)) {
+            Ok(called) => ExchangeResult::Answered(called),
+            Err(error) => {
+                self.close().await;
+                let is_unwritten = self.meter.written() == written_before;
+                if is_unwritten || !self.rules.enforces(Rule::PartialWriteCountsAsSent) {
+                    ExchangeResult::NotSent
+                } else {
+                    ExchangeResult::Lost(error)
+                }
+            }
+        }
+    }
+
+    async fn exchange_once(
+        &mut self,
+        request: Request<Full<Bytes>>,
+        max_body_bytes: usize,
+    ) -> Result<CallResponse, CallError> {
+        let response = self.sender.send_request(request).await.map_err(CallError::Lost)?;
+        let (head, body) = response.into_parts();
+        if is_merged_response(&head.headers, &head.extensions)
+            && self.rules.enforces(Rule::MergedHeadRejected)
+        {
+            return Err(CallError::MergedResponses);
+        }
+        let collected_body = Limited::new(body, max_body_bytes).collect().await;
+        let body = collected_body.map_err(|error| CallError::Body(error.to_string()))?;
+        Ok(CallResponse { status: head.status, headers: head.headers, body: body.to_bytes() })
+    }
+
+    /// Ends the connection; nothing is written on it any more when this has come back.
+    async fn close(&mut self) {
+        self.driver_task.abort();
+        let _ = (&mut self.driver_task).await;
+    }
+}
+
+#[derive(Default)]
+struct RunnerConnectionsInner {
+    pool: ConnectionPool,
+    idle: HashMap<ConnectionId, RunnerConnection>,
+}
+
+/// The connections to runners.
+pub struct RunnerConnections {
+    connector: Arc<dyn Connector>,
+    rules: Rules,
+    inner: Mutex<RunnerConnectionsInner>,
+}
+
+impl RunnerConnections {
+    /// No connections yet.
+    pub fn new(connector: Arc<dyn Connector>, rules: Rules) -> Self {
+        Self { connector, rules, inner: Mutex::default() }
+    }
+
+    fn lock(&self) -> MutexGuard<'_, RunnerConnectionsInner> {
+        self.inner.lock().unwrap_or_else(PoisonError::into_inner)
+    }
+
+    /// A kept connection, or a new one.
+    pub async fn checkout(
+        self: &Arc<Self>,
+        runner: RunnerId,
+        address: SocketAddress,
+        max_connections: u32,
+        timeout: Duration,
+    ) -> Result<RunnerConnection, CheckoutError> {
+        let checkout = {
+            let mut inner = self.lock();
+            let checkout = inner.pool.checkout(MonotonicTime::now(), runner, max_connections);
+            if let Checkout::Reused(id) = checkout
+                && let Some(connection) = inner.idle.remove(&id)
+            {
+                return Ok(connection);
+            }
+            checkout
+        };
+        self.open(runner, address, checkout, timeout).await
+    }
+
+    /// A new connection, whatever is kept.
+    pub async fn checkout_new(
+        self: &Arc<Self>,
+        runner: RunnerId,
+        address: SocketAddress,
+        max_connections: u32,
+        timeout: Duration,
+    ) -> Result<RunnerConnection, CheckoutError> {
+        let checkout = self.lock().pool.checkout_new(runner, max_connections);
+        self.open(runner, address, checkout, timeout).await
+    }
+
+    async fn open(
+        self: &Arc<Self>,
+        runner: RunnerId,
+        address: SocketAddress,
+        checkout: Checkout,
+        timeout: Duration,
+    ) -> Result<RunnerConnection, CheckoutError> {
+        let id = match checkout {
+            Checkout::Open(id) | Checkout::Reused(id) => id,
+            Checkout::Full => return Err(CheckoutError::Full),
+        };
+        let reservation = PoolReservation { owner: Arc::downgrade(self), runner, id };
+        let connecting = async {
+            let (stream, meter) = MeteredStream::new(self.connector.to_runner(address).await.ok()?);
+            let (sender, connection) = handshake(TokioIo::new(stream)).await.ok()?;
+            Some((sender, connection, meter))
+        };
+        let opened = tokio::time::timeout(timeout.min(CONNECT_TIMEOUT), connecting).await;
+        let opened = opened.ok().flatten();
+        let (sender, connection, meter) = opened.ok_or(CheckoutError::Unreachable)?;
+        let owner = reservation.owner.clone();
+        let driver_task = tokio::spawn(async move {
+            let _ = connection.await;
+            if let Some(owner) = owner.upgrade() {
+                owner.connection_ended(runner, id);
+            }
+        });
+        let rules = self.rules;
+        Ok(RunnerConnection { reservation, rules, sender, meter, driver_task, is_reused: false })
+    }
+
+    fn connection_ended(&self, runner: RunnerId, id: ConnectionId) {
+        let ended_connection = {
+            let mut inner = self.lock();
+            inner.pool.remove_connection(runner, id);
+            inner.idle.remove(&id)
+        };
+        drop(ended_connection);
+    }
+
+    /// Keeps a connection whose answer came whole and was believed.
+    pub fn keep(&self, mut connection: RunnerConnection, keep_alive: Option<Duration>) {
+        if connection.sender.is_closed() {
+            return;
+        }
+        let surplus_connection = {
+            let mut inner = self.lock();
+            let now = MonotonicTime::now();
+            let (runner, id) = (connection.reservation.runner, connection.reservation.id);
+            if inner.pool.check_in(now, runner, id, keep_alive) {
+                connection.is_reused = true;
+                inner.idle.insert(id, connection);
+                None
+            } else {
+                Some(connection)
+            }
+        };
+        drop(surplus_connection);
+    }
+
+    /// Closes what has been idle for too long.
+    pub fn remove_expired(&self) {
+        self.close(|pool| pool.remove_expired(MonotonicTime::now()));
+    }
+
+    /// Closes the idle connections to a runner.
+    pub fn remove_idle(&self, runner: RunnerId) {
+        self.close(|pool| pool.remove_idle(runner));
+    }
+
+    fn close(&self, choose: impl FnOnce(&mut ConnectionPool) -> Vec<ConnectionId>) {
+        let closed_connections: Vec<RunnerConnection> = {
+            let mut inner = self.lock();
+            let closed_ids = choose(&mut inner.pool);
+            closed_ids.iter().filter_map(|id| inner.idle.remove(id)).collect()
+        };
+        drop(closed_connections);
+    }
+}
--- a/crates/dataplane/src/drivers/state.rs
+++ b/crates/dataplane/src/drivers/state.rs
@@ -1,13 +1,13 @@
 use super::connector::Connector;
 use super::control::ControlInput;
-use super::links::RunnerLinks;
-use super::{Gauges, HopLinks, RequestLog};
-use crate::agent::{Agent, Held};
-use crate::boot::DaemonBoot;
+use super::runner_connections::RunnerConnections;
+use super::{Gauges, HopClient, RequestLog};
+use crate::adapter::DaemonAdapters;
+use crate::agent::{Agent, HeldFunction};
 use crate::holder::Tuning;
-use crate::tongue::DaemonAdapters;
-use common::clock::{Moment, SharedMoment};
-use common::frames::{AcquireResult, HopOutcome, Host};
+use crate::settings::DaemonSettings;
+use common::clock::{MonotonicTime, SharedMonotonicTime};
+use common::frames::{AcquireResult, Host, RequestOutcome};
 use common::identity::FunctionKey;
 use common::rules::Rules;
 use common::spec::CallerLimits;
@@ -15,67 +15,68 @@
 use tokio::sync::{Notify, mpsc, oneshot, watch};
 
 /// A held function whose transactions wait on this process's tasks.
-pub type HeldHere = Arc<Held<oneshot::Sender<HopOutcome>>>;
+pub type LocalHeldFunction = Arc<HeldFunction<oneshot::Sender<RequestOutcome>>>;
 
 /// All that a daemon's tasks share.
 pub struct State {
     /// The boot settings.
-    pub boot: DaemonBoot,
+    pub settings: DaemonSettings,
     /// How callers, runners and platform are spoken with.
-    pub tongues: DaemonAdapters,
+    pub adapters: DaemonAdapters,
     /// The daemon itself.
-    pub agent: Agent<oneshot::Sender<HopOutcome>>,
+    pub agent: Agent<oneshot::Sender<RequestOutcome>>,
     /// Links to the other daemons.
-    pub links: HopLinks,
+    pub hop_client: HopClient,
     /// Connections to runners.
-    pub runner_links: Arc<RunnerLinks>,
+    pub runner_connections: Arc<RunnerConnections>,
     /// The metrics.
     pub gauges: Gauges,
     /// The log of requests without an answer.
     pub request_log: RequestLog,
-    pub(super) rush: Notify,
-    pub(super) control_due: SharedMoment,
+    pub(super) control_wakeup: Notify,
+    pub(super) control_due_at: SharedMonotonicTime,
     pub(super) changes: watch::Sender<u64>,
     pub(super) control: mpsc::UnboundedSender<ControlInput>,
 }
 
 impl State {
     pub(super) fn new(
-        boot: DaemonBoot,
+        settings: DaemonSettings,
         own_host: Host,
         rules: Rules,
-        tongues: DaemonAdapters,
+        adapters: DaemonAdapters,
         connector: Arc<dyn Connector>,
         control: mpsc::UnboundedSender<ControlInput>,
     ) -> Self {
-        let tuning = Tuning { settles: tongues.runner.running_path().is_some(), ..boot.tuning };
+        let tuning =
+            Tuning { lists_running: adapters.runner.running_path().is_some(), ..settings.tuning };
         let agent =
-            Agent::new(own_host, rules).with_tuning(tuning).with_regions(boot.regions.clone());
+            Agent::new(own_host, rules).with_tuning(tuning).with_regions(settings.regions.clone());
         Self {
-            links: HopLinks::new(connector.clone(), rules),
-            boot,
-            tongues,
+            hop_client: HopClient::new(connector.clone(), rules),
+            settings,
+            adapters,
             agent,
-            runner_links: Arc::new(RunnerLinks::new(connector, rules)),
+            runner_connections: Arc::new(RunnerConnections::new(connector, rules)),
             gauges: Gauges::new(),
             request_log: RequestLog::default(),
-            rush: Notify::new(),
-            control_due: SharedMoment::new(),
+            control_wakeup: Notify::new(),
+            control_due_at: SharedMonotonicTime::new(),
             changes: watch::Sender::new(0),
             control,
         }
     }
 
     /// A daemon without a control task: it neither seeks a leader nor lets time pass for what it holds.
-    pub fn uncontrolled(
-        boot: DaemonBoot,
+    pub fn without_control(
+        settings: DaemonSettings,
         own_host: Host,
         rules: Rules,
-        tongues: DaemonAdapters,
+        adapters: DaemonAdapters,
         connector: Arc<dyn Connector>,
     ) -> Self {
         let (control, _) = mpsc::unbounded_channel();
-        Self::new(boot, own_host, rules, tongues, connector, control)
+        Self::new(settings, own_host, rules, adapters, connector, control)
     }
 
     /// Tells when something has changed that a transaction may wait for.
@@ -84,9 +85,9 @@
     }
 
     /// The largest body taken from a caller: what the spec says, or else the boot settings.
-    pub fn largest_call(&self, limits: CallerLimits) -> usize {
+    pub fn body_limit(&self, limits: CallerLimits) -> usize {
         if limits.body_bytes == CallerLimits::default().body_bytes {
-            self.boot.largest_body
+            self.settings.max_body_bytes
         } else {
             limits.body_bytes
         }
@@ -100,38 +101,38 @@
     }
 
     /// Functions may want an owner that did not before.
-    pub fn wishes_changed(&self) {
-        let _ = self.control.send(ControlInput::WishesChanged);
+    pub fn desired_functions_changed(&self) {
+        let _ = self.control.send(ControlInput::DesiredFunctionsChanged);
     }
 
     /// Has the control task look earlier than it meant to, if a holder needs that.
-    pub(super) fn hurry(&self, held: &HeldHere) {
+    pub(super) fn wake_control_if_due(&self, held: &LocalHeldFunction) {
         let holder_due = held.with(|holder| holder.next_due());
-        if holder_due.is_some_and(|due| due < self.control_due.get()) {
-            self.rush.notify_one();
+        if holder_due.is_some_and(|due| due < self.control_due_at.get()) {
+            self.control_wakeup.notify_one();
         }
     }
 
     /// Brings the gauges up to the moment.
-    pub(super) fn gauge(&self) {
-        let holdings = self.agent.holdings.load_full();
-        let (mut waiting_sum, mut running_sum, mut ready_sum, mut kept_sum) = (0, 0, 0, 0);
-        for held in holdings.values() {
-            let ((waiting, running), (ready, all)) =
-                held.with(|holder| (holder.load(), holder.runner_counts()));
-            waiting_sum += waiting;
-            running_sum += running;
+    pub(super) fn update_gauges(&self) {
+        let held_functions = self.agent.held_functions.load_full();
+        let (mut queued_sum, mut in_flight_sum, mut ready_sum, mut retained_sum) = (0, 0, 0, 0);
+        for held in held_functions.values() {
+            let ((queued, in_flight), (ready, all)) =
+                held.with(|holder| (holder.request_counts(), holder.runner_counts()));
+            queued_sum += queued;
+            in_flight_sum += in_flight;
             ready_sum += ready;
-            kept_sum += usize::from(all == 1 && waiting + running == 0);
+            retained_sum += usize::from(all == 1 && queued + in_flight == 0);
         }
-        let line_count =
-            self.agent.replica.lock().unwrap_or_else(PoisonError::into_inner).line_count();
-        self.gauges.held.set(holdings.len() as i64);
-        self.gauges.waiting.set(waiting_sum as i64);
-        self.gauges.running.set(running_sum as i64);
+        let entry_count =
+            self.agent.ledger_replica.lock().unwrap_or_else(PoisonError::into_inner).entry_count();
+        self.gauges.held.set(held_functions.len() as i64);
+        self.gauges.queued.set(queued_sum as i64);
+        self.gauges.in_flight.set(in_flight_sum as i64);
         self.gauges.ready_runners.set(ready_sum as i64);
-        self.gauges.idle_stop_skipped.set(kept_sum as i64);
-        self.gauges.ledger_lines.set(line_count as i64);
-        self.gauges.serving.set(i64::from(self.agent.is_serving(Moment::now())));
+        self.gauges.idle_stop_skipped.set(retained_sum as i64);
+        self.gauges.replica_entries.set(entry_count as i64);
+        self.gauges.serving.set(i64::from(self.agent.is_serving(MonotonicTime::now())));
     }
 }
--- a/crates/dataplane/src/holder/admission.rs
+++ b/crates/dataplane/src/holder/admission.rs
@@ -1,60 +1,60 @@
 //! Admission of transactions: what is known is answered, what would be late is refused, the rest waits.
 
-use super::{Entry, Holder, HolderOutput, Waiting, not_run};
-use common::clock::Moment;
-use common::frames::{HopOutcome, HopReason};
-use common::identity::TransactionId;
+use super::{AdmissionRequest, Holder, HolderOutput, QueuedRequest, not_run};
+use common::clock::MonotonicTime;
+use common::frames::{RequestFailureReason, RequestOutcome};
+use common::identity::IdempotencyKey;
 use common::rules::Rule;
 
 impl Holder {
     /// Takes a transaction in; an outcome at once, or none while it waits.
-    pub fn grant_entry(
+    pub fn admit(
         &mut self,
-        now: Moment,
-        entry: Entry,
-    ) -> (Option<HopOutcome>, Vec<HolderOutput>) {
-        if self.is_leaving() {
-            return (Some(not_run(HopReason::NotHolder, 50)), Vec::new());
+        now: MonotonicTime,
+        request: AdmissionRequest,
+    ) -> (Option<RequestOutcome>, Vec<HolderOutput>) {
+        if self.is_releasing() {
+            return (Some(not_run(RequestFailureReason::NotHolder, 50)), Vec::new());
         }
-        self.last_called_at = now;
-        self.resting = false;
-        self.demand.called(now);
-        let shortest_target = self.shortest_target.unwrap_or(entry.target);
-        self.shortest_target = Some(shortest_target.min(entry.target));
-        self.regional.called(now, entry.region.as_ref(), entry.noted);
-        self.tries.first_or_repeat(now, entry.repeat);
-        if entry.noted
-            && let Some(known_outcome) = self.known_outcome(&entry.transaction)
+        self.last_request_at = now;
+        self.idle_stopped = false;
+        self.demand.record_call(now);
+        let shortest_target = self.shortest_target.unwrap_or(request.target);
+        self.shortest_target = Some(shortest_target.min(request.target));
+        self.regional.record_call(now, request.region.as_ref(), request.recorded);
+        self.retry_budget.record_attempt(now, request.repeat);
+        if request.recorded
+            && let Some(known_outcome) = self.known_outcome(&request.idempotency_key)
         {
             return (Some(known_outcome), Vec::new());
         }
         if self.is_unready_regional() {
             self.scale(now);
-            let outcome = not_run(HopReason::NoRunner, 100);
+            let outcome = not_run(RequestFailureReason::NoRunnerAvailable, 100);
             return (Some(outcome), std::mem::take(&mut self.outputs));
         }
-        if let Some((reason, retry_span)) = self.reason_to_shed(now, &entry) {
-            let retry_ms = retry_span.as_millis().max(100) as u32;
-            self.note_shed(now, &entry, reason, retry_ms);
-            let outcome = not_run(reason, retry_ms);
+        if let Some((reason, retry_after)) = self.rejection_reason(now, &request) {
+            let retry_after_ms = retry_after.as_millis().max(100) as u32;
+            self.record_rejection(now, &request, reason, retry_after_ms);
+            let outcome = not_run(reason, retry_after_ms);
             self.scale(now);
             return (Some(outcome), std::mem::take(&mut self.outputs));
         }
-        if entry.repeat {
-            self.spend_try(now);
+        if request.repeat {
+            self.spend_retry(now);
         }
-        if entry.noted {
-            self.book.begin(entry.transaction.clone(), entry.once, entry.budget_end);
+        if request.recorded {
+            self.ledger.begin(request.idempotency_key.clone(), request.once, request.deadline);
         }
-        let give_up_at = entry.budget_end.min(now + entry.patience);
-        let target_end = now + entry.target;
-        let place = self.inbox_place(entry.rank);
-        self.inbox.insert(
-            place,
-            Waiting {
-                entry,
-                target_end,
-                give_up_at,
+        let queue_deadline = request.deadline.min(now + request.queue_timeout);
+        let target_deadline = now + request.target;
+        let index = self.queue_index(request.rank);
+        self.queue.insert(
+            index,
+            QueuedRequest {
+                request,
+                target_deadline,
+                queue_deadline,
                 attempt: 1,
                 may_have_run: false,
                 failure: None,
@@ -65,23 +65,31 @@
         (None, std::mem::take(&mut self.outputs))
     }
 
-    fn known_outcome(&self, transaction: &TransactionId) -> Option<HopOutcome> {
-        self.book.known(transaction).filter(|_| self.rules.keep(Rule::IdentityKnown))
+    fn known_outcome(&self, idempotency_key: &IdempotencyKey) -> Option<RequestOutcome> {
+        self.ledger
+            .known_outcome(idempotency_key)
+            .filter(|_| self.rules.enforces(Rule::KnownIdempotencyKeyAnswered))
     }
 
-    fn note_shed(&mut self, now: Moment, entry: &Entry, reason: HopReason, retry_ms: u32) {
-        self.shed_count += 1;
-        self.shed_reason = reason;
-        if !entry.noted {
+    fn record_rejection(
+        &mut self,
+        now: MonotonicTime,
+        request: &AdmissionRequest,
+        reason: RequestFailureReason,
+        retry_after_ms: u32,
+    ) {
+        self.rejected_count += 1;
+        self.last_rejection_reason = reason;
+        if !request.recorded {
             return;
         }
-        let outcome = not_run(HopReason::ShedBefore, retry_ms);
-        self.book.end(now, &entry.transaction, entry.once, entry.budget_end, outcome);
+        let outcome = not_run(RequestFailureReason::RejectedBefore, retry_after_ms);
+        self.ledger.end(now, &request.idempotency_key, request.once, request.deadline, outcome);
     }
 
     /// How many transactions were refused since last asked.
-    pub fn take_sheds(&mut self) -> Option<(u32, HopReason)> {
-        let shed_count = std::mem::take(&mut self.shed_count);
-        (shed_count > 0).then_some((shed_count, self.shed_reason))
+    pub fn take_rejections(&mut self) -> Option<(u32, RequestFailureReason)> {
+        let rejected_count = std::mem::take(&mut self.rejected_count);
+        (rejected_count > 0).then_some((rejected_count, self.last_rejection_reason))
     }
 }
--- a/crates/dataplane/src/holder/demand.rs
+++ b/crates/dataplane/src/holder/demand.rs
@@ -1,73 +1,78 @@
 //! The measured demand for a function.
 
 use super::Tuning;
-use common::clock::Moment;
+use common::clock::MonotonicTime;
 use std::time::Duration;
 
-const SHORTEST_SIGHT: f64 = 0.25;
+const MIN_WINDOW_S: f64 = 0.25;
 /// So many calls of late say something of the rate even of a function that was never called before.
-const CALLS_ENOUGH: f64 = 32.0;
+const KNOWN_RATE_CALLS: f64 = 32.0;
 /// How many break-even spans the calls' gaps are remembered.
-const GAPS_KEPT: f64 = 8.0;
+const LONG_TERM_BREAK_EVENS: f64 = 8.0;
 
 /// A count that fades.
-pub(super) struct Fading {
-    span: f64,
+pub(super) struct DecayingCounter {
+    time_constant: f64,
     count: f64,
-    counted_at: Option<Moment>,
+    counted_at: Option<MonotonicTime>,
 }
 
-impl Fading {
-    pub(super) fn new(span: f64) -> Self {
-        Self { span, count: 0.0, counted_at: None }
+impl DecayingCounter {
+    pub(super) fn new(time_constant: f64) -> Self {
+        Self { time_constant, count: 0.0, counted_at: None }
     }
 
-    pub(super) fn at(&self, now: Moment) -> f64 {
+    pub(super) fn at(&self, now: MonotonicTime) -> f64 {
         self.counted_at.map_or(0.0, |counted_at| {
-            self.count * (-now.since(counted_at).as_secs_f64() / self.span).exp()
+            self.count * (-now.since(counted_at).as_secs_f64() / self.time_constant).exp()
         })
     }
 
-    pub(super) fn add(&mut self, now: Moment) {
+    pub(super) fn add(&mut self, now: MonotonicTime) {
         self.count = self.at(now) + 1.0;
         self.counted_at = Some(now);
     }
 
     /// The time that the count stands for, when it began so long ago.
-    pub(super) fn sight(&self, age: f64) -> f64 {
-        self.span * (1.0 - (-age / self.span).exp())
+    pub(super) fn effective_window(&self, age: f64) -> f64 {
+        self.time_constant * (1.0 - (-age / self.time_constant).exp())
     }
 }
 
 /// What is asked of a function: calls a second of late, and the gap to be expected before the next one.
 pub struct Demand {
-    recent: Fading,
-    remembered: Fading,
-    first_at: Option<Moment>,
+    short_term: DecayingCounter,
+    long_term: DecayingCounter,
+    first_at: Option<MonotonicTime>,
     smoothed: f64,
-    smoothed_at: Moment,
-    fall: f64,
+    smoothed_at: MonotonicTime,
+    decay: f64,
 }
 
 impl Demand {
     /// Nothing was called yet.
-    pub fn new(now: Moment, tuning: &Tuning, boot: Duration, break_even: Duration) -> Self {
-        let break_even = break_even.max(boot).as_secs_f64().max(0.05);
+    pub fn new(
+        now: MonotonicTime,
+        tuning: &Tuning,
+        startup: Duration,
+        break_even: Duration,
+    ) -> Self {
+        let break_even = break_even.max(startup).as_secs_f64().max(0.05);
         Self {
-            recent: Fading::new(tuning.rise.as_secs_f64().max(0.05)),
-            remembered: Fading::new(break_even * GAPS_KEPT),
+            short_term: DecayingCounter::new(tuning.rate_window.as_secs_f64().max(0.05)),
+            long_term: DecayingCounter::new(break_even * LONG_TERM_BREAK_EVENS),
             first_at: None,
             smoothed: 0.0,
             smoothed_at: now,
-            fall: tuning.fall_after(boot).as_secs_f64().max(0.05),
+            decay: tuning.decay_time(startup).as_secs_f64().max(0.05),
         }
     }
 
     /// A call came.
-    pub fn called(&mut self, now: Moment) {
+    pub fn record_call(&mut self, now: MonotonicTime) {
         self.first_at.get_or_insert(now);
-        self.recent.add(now);
-        self.remembered.add(now);
+        self.short_term.add(now);
+        self.long_term.add(now);
     }
 
     /// Whether any call came.
@@ -76,30 +81,31 @@
     }
 
     /// How long ago the first call came, in seconds.
-    pub fn age(&self, now: Moment) -> f64 {
+    pub fn age(&self, now: MonotonicTime) -> f64 {
         self.first_at.map_or(0.0, |first_at| now.since(first_at).as_secs_f64())
     }
 
     /// Whether it was called for long enough, or often enough, that its rate says something.
-    pub fn is_known(&self, now: Moment) -> bool {
-        self.age(now) >= 2.0 * self.recent.span || self.recent.at(now) >= CALLS_ENOUGH
+    pub fn is_known(&self, now: MonotonicTime) -> bool {
+        self.age(now) >= 2.0 * self.short_term.time_constant
+            || self.short_term.at(now) >= KNOWN_RATE_CALLS
     }
 
     /// Calls a second: quick up, and slowly down.
-    pub fn rate(&mut self, now: Moment) -> f64 {
-        let sight = self.recent.sight(self.age(now).max(SHORTEST_SIGHT));
-        let rate = self.recent.at(now) / sight;
-        let passed = now.since(self.smoothed_at).as_secs_f64();
+    pub fn rate(&mut self, now: MonotonicTime) -> f64 {
+        let effective_window = self.short_term.effective_window(self.age(now).max(MIN_WINDOW_S));
+        let rate = self.short_term.at(now) / effective_window;
+        let elapsed = now.since(self.smoothed_at).as_secs_f64();
         self.smoothed_at = now;
-        self.smoothed = rate.max(rate + (self.smoothed - rate) * (-passed / self.fall).exp());
+        self.smoothed = rate.max(rate + (self.smoothed - rate) * (-elapsed / self.decay).exp());
         self.smoothed
     }
 
     /// Whether the next call is to be expected sooner than a runner kept for it costs more than a start.
-    pub fn is_frequent(&self, now: Moment, break_even: Duration) -> bool {
+    pub fn is_frequent(&self, now: MonotonicTime, break_even: Duration) -> bool {
         let break_even = break_even.as_secs_f64();
-        let sight = self.remembered.sight(self.age(now));
-        let count = self.remembered.at(now);
-        count > 0.0 && (sight + break_even) / count < break_even
+        let effective_window = self.long_term.effective_window(self.age(now));
+        let count = self.long_term.at(now);
+        count > 0.0 && (effective_window + break_even) / count < break_even
     }
 }
--- a/crates/dataplane/src/holder/mod.rs
+++ b/crates/dataplane/src/holder/mod.rs
@@ -5,77 +5,77 @@
 
 mod admission;
 mod demand;
-mod entry;
-mod inbox;
-mod keeping;
-mod leaving;
+mod idle_retention;
 mod output;
+mod queue;
 mod regional;
+mod releasing;
 mod replication;
+mod request;
+mod retry_budget;
 mod runner_events;
 mod runners;
 mod scaling;
-mod send_end;
-mod tries;
+mod send_result;
 mod tuning;
 
-pub use entry::{Entry, GrantTerms};
-pub use output::{HolderMessage, HolderOutput, SendEnd};
+pub use output::{HolderMessage, HolderOutput, SendResult};
+pub use request::{AdmissionRequest, LeaseTerms};
 pub use tuning::{IdleCost, Tuning};
 
-use crate::ledger::Book;
-use common::clock::Moment;
-use common::frames::{Claim, Flag, HopOutcome, HopReason, Life, Many};
-use common::identity::{FunctionKey, GrantSerial, RunnerId, Ticket};
+use crate::ledger::Ledger;
+use common::clock::MonotonicTime;
+use common::frames::{Claim, Flag, Instance, LengthPrefixed, RequestFailureReason, RequestOutcome};
+use common::identity::{FencingToken, FunctionKey, RunnerId, Ticket};
 use common::rules::{Rule, Rules};
 use common::spec::FunctionSpec;
 use demand::Demand;
-use entry::{Sent, Waiting};
-use keeping::Boots;
+use idle_retention::StartupTimes;
 use regional::RegionalDemand;
 use replication::Replication;
+use request::{InFlight, QueuedRequest};
+use retry_budget::RetryBudget;
 use runners::{Phase, RunnerRecord};
 use scaling::Scaling;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
-use tries::TryWindow;
 
 /// How long a transaction is taken to run until some have been measured.
-const ASSUMED_SERVICE: Duration = Duration::from_millis(40);
+const INITIAL_SERVICE_TIME: Duration = Duration::from_millis(40);
 
 /// One held function.
 pub struct Holder {
     function: FunctionKey,
-    grant: GrantSerial,
+    fencing_token: FencingToken,
     spec: FunctionSpec,
     /// The most slots that any spec of this grant gave a runner.
-    most_slots: u32,
-    once_from: Moment,
+    max_slots: u32,
+    once_allowed_from: MonotonicTime,
     runners: BTreeMap<RunnerId, RunnerRecord>,
-    inbox: VecDeque<Waiting>,
-    sent: BTreeMap<Ticket, Sent>,
+    queue: VecDeque<QueuedRequest>,
+    in_flight: BTreeMap<Ticket, InFlight>,
     /// What was given to a connection, and has not come back with an end.
-    on_runners: BTreeSet<Ticket>,
-    book: Book,
+    sent_to_runner: BTreeSet<Ticket>,
+    ledger: Ledger,
     replication: Replication,
-    tries: TryWindow,
+    retry_budget: RetryBudget,
     scaling: Scaling,
     demand: Demand,
     regional: RegionalDemand,
-    boots: Boots,
+    startup_times: StartupTimes,
     /// The shortest target of its calls.
     shortest_target: Option<Duration>,
-    held_since: Moment,
+    held_since: MonotonicTime,
     has_adopted: bool,
-    service: Duration,
-    last_called_at: Moment,
-    shed_count: u32,
-    shed_reason: HopReason,
-    resting: bool,
-    leaving: bool,
+    service_time: Duration,
+    last_request_at: MonotonicTime,
+    rejected_count: u32,
+    last_rejection_reason: RequestFailureReason,
+    idle_stopped: bool,
+    releasing: bool,
     closed: bool,
-    closed_at: Moment,
-    left_told: bool,
+    closed_at: MonotonicTime,
+    orphans_reported: bool,
     released: bool,
     rules: Rules,
     tuning: Tuning,
@@ -85,12 +85,12 @@
 
 impl Holder {
     /// A function that has just been granted.
-    pub fn new(now: Moment, terms: GrantTerms) -> Self {
-        let is_whole = terms.once_wait.is_zero();
+    pub fn new(now: MonotonicTime, terms: LeaseTerms) -> Self {
+        let is_replica_complete = terms.once_wait.is_zero();
         let slots = terms.spec.slots;
         let has_adopted = !terms.adopted.is_empty();
-        let (boot, boots) = (terms.spec.boot, Boots::new(terms.spec.boot));
-        let demand = Demand::new(now, &Tuning::default(), boot, boot);
+        let (startup, startup_times) = (terms.spec.startup, StartupTimes::new(terms.spec.startup));
+        let demand = Demand::new(now, &Tuning::default(), startup, startup);
         let runners = terms
             .adopted
             .into_iter()
@@ -98,35 +98,40 @@
             .collect();
         Self {
             function: terms.function,
-            grant: terms.grant,
-            most_slots: slots,
+            fencing_token: terms.fencing_token,
+            max_slots: slots,
             spec: terms.spec,
-            once_from: now + terms.once_wait,
-            replication: Replication::new(now, terms.steward, terms.prior, is_whole),
+            once_allowed_from: now + terms.once_wait,
+            replication: Replication::new(
+                now,
+                terms.replica,
+                terms.previous_lease,
+                is_replica_complete,
+            ),
             runners,
-            inbox: VecDeque::new(),
-            sent: BTreeMap::new(),
-            on_runners: BTreeSet::new(),
-            book: Book::default(),
-            tries: TryWindow::new(now, &Tuning::default()),
+            queue: VecDeque::new(),
+            in_flight: BTreeMap::new(),
+            sent_to_runner: BTreeSet::new(),
+            ledger: Ledger::default(),
+            retry_budget: RetryBudget::new(now, &Tuning::default()),
             scaling: Scaling::new(now),
             demand,
             regional: RegionalDemand::default(),
-            boots,
+            startup_times,
             shortest_target: None,
             held_since: now,
             has_adopted,
-            service: ASSUMED_SERVICE,
-            last_called_at: now,
-            shed_count: 0,
-            shed_reason: HopReason::InboxFull,
-            resting: false,
-            leaving: false,
+            service_time: INITIAL_SERVICE_TIME,
+            last_request_at: now,
+            rejected_count: 0,
+            last_rejection_reason: RequestFailureReason::QueueFull,
+            idle_stopped: false,
+            releasing: false,
             closed: false,
             closed_at: now,
-            left_told: false,
+            orphans_reported: false,
             released: false,
-            rules: Rules::KEPT,
+            rules: Rules::ALL_ENFORCED,
             tuning: Tuning::default(),
             warm: false,
             outputs: Vec::new(),
@@ -136,21 +141,21 @@
     /// The same, with a rule taken away for proving.
     pub fn with_rules(mut self, rules: Rules) -> Self {
         self.rules = rules;
-        if !rules.keep(Rule::RampKept) {
+        if !rules.enforces(Rule::SlowStartRespected) {
             self.runners.values_mut().for_each(|record| record.limit = record.slots);
         }
-        if !rules.keep(Rule::LedgerCollected) {
-            self.once_from = Moment::ZERO;
-            self.replication.skip_collecting();
+        if !rules.enforces(Rule::LedgerCollectedBeforeAdmission) {
+            self.once_allowed_from = MonotonicTime::ZERO;
+            self.replication.skip_collection();
         }
         self
     }
 
     /// The same with other settings.
-    pub fn with_tuning(mut self, now: Moment, tuning: Tuning) -> Self {
-        self.tries = TryWindow::new(now, &tuning);
+    pub fn with_tuning(mut self, now: MonotonicTime, tuning: Tuning) -> Self {
+        self.retry_budget = RetryBudget::new(now, &tuning);
         self.tuning = tuning;
-        self.demand = Demand::new(now, &tuning, self.spec.boot, self.break_even());
+        self.demand = Demand::new(now, &tuning, self.spec.startup, self.break_even());
         self
     }
 
@@ -165,8 +170,8 @@
     }
 
     /// The grant it is held under.
-    pub fn grant(&self) -> GrantSerial {
-        self.grant
+    pub fn fencing_token(&self) -> FencingToken {
+        self.fencing_token
     }
 
     /// The most connections that one of its runners takes.
@@ -175,19 +180,19 @@
     }
 
     /// A runner's life, once the platform has told it.
-    pub fn life_of(&self, runner: RunnerId) -> Option<Life> {
-        self.runners.get(&runner).and_then(|record| record.life.clone())
+    pub fn instance_of(&self, runner: RunnerId) -> Option<Instance> {
+        self.runners.get(&runner).and_then(|record| record.instance.clone())
     }
 
     /// The lives it sends to.
-    pub fn lives(&self) -> Vec<Life> {
-        let used = self.runners.values().filter(|record| record.phase != Phase::Left);
-        used.filter_map(|record| record.life.clone()).collect()
+    pub fn instances(&self) -> Vec<Instance> {
+        let used = self.runners.values().filter(|record| record.phase != Phase::Orphaned);
+        used.filter_map(|record| record.instance.clone()).collect()
     }
 
     /// The transactions waiting and running.
-    pub fn load(&self) -> (usize, usize) {
-        (self.inbox.len(), self.sent.len())
+    pub fn request_counts(&self) -> (usize, usize) {
+        (self.queue.len(), self.in_flight.len())
     }
 
     /// The runners that can take transactions, and all there are.
@@ -200,14 +205,14 @@
     /// What is claimed for it after a reconnection.
     pub fn claim(&self) -> Claim {
         let runners =
-            self.runners.iter().map(|(runner, record)| record.as_claim(*runner)).collect();
+            self.runners.iter().map(|(runner, record)| record.to_claim(*runner)).collect();
         Claim {
             function: self.function.clone(),
-            grant: self.grant,
-            runners: Many(runners),
-            ending: Flag(!self.is_claimable()),
-            steward: Many(self.replication.steward.iter().cloned().collect()),
-            whole: Flag(self.replication.whole),
+            fencing_token: self.fencing_token,
+            runners: LengthPrefixed(runners),
+            is_releasing: Flag(!self.is_claimable()),
+            replica: LengthPrefixed(self.replication.replica.iter().cloned().collect()),
+            complete: Flag(self.replication.complete),
         }
     }
 
@@ -217,40 +222,41 @@
     }
 
     /// Lets time pass.
-    pub fn tick(&mut self, now: Moment) -> Vec<HolderOutput> {
-        self.book.expire(now);
-        self.keep_replica(now);
-        self.shed_late(now);
-        self.watch_runners(now);
+    pub fn tick(&mut self, now: MonotonicTime) -> Vec<HolderOutput> {
+        self.ledger.expire(now);
+        self.maintain_replica(now);
+        self.reject_late(now);
+        self.check_runners(now);
         self.dispatch(now);
         self.scale(now);
-        self.rest_if_idle(now);
-        self.finish_leaving(now);
+        self.stop_runners_if_idle(now);
+        self.finish_release(now);
         std::mem::take(&mut self.outputs)
     }
 
     /// How long it has not been called, while it has nothing to do.
-    pub fn idle(&self, now: Moment) -> Option<Duration> {
-        let is_idle = self.inbox.is_empty() && self.sent.is_empty() && !self.runners.is_empty();
-        is_idle.then(|| now.since(self.last_called_at))
+    pub fn idle(&self, now: MonotonicTime) -> Option<Duration> {
+        let is_idle =
+            self.queue.is_empty() && self.in_flight.is_empty() && !self.runners.is_empty();
+        is_idle.then(|| now.since(self.last_request_at))
     }
 
     /// Memory is short: an idle function stops its last runner, and starts one when it is called.
-    pub fn give_way(&mut self, now: Moment) -> Vec<HolderOutput> {
-        if self.inbox.is_empty() && self.sent.is_empty() {
-            self.rest(now);
+    pub fn stop_if_unused(&mut self, now: MonotonicTime) -> Vec<HolderOutput> {
+        if self.queue.is_empty() && self.in_flight.is_empty() {
+            self.stop_idle_runners(now);
         }
         std::mem::take(&mut self.outputs)
     }
 
     /// A newer spec of the same function.
-    pub fn respec(&mut self, spec: FunctionSpec) {
-        self.most_slots = self.most_slots.max(spec.slots);
+    pub fn update_spec(&mut self, spec: FunctionSpec) {
+        self.max_slots = self.max_slots.max(spec.slots);
         self.spec = spec;
     }
 }
 
 /// A refusal.
-pub fn not_run(reason: HopReason, retry_ms: u32) -> HopOutcome {
-    HopOutcome::NotRun { reason, retry_ms }
+pub fn not_run(reason: RequestFailureReason, retry_after_ms: u32) -> RequestOutcome {
+    RequestOutcome::NotRun { reason, retry_after_ms }
 }
--- a/crates/dataplane/src/holder/output.rs
+++ b/crates/dataplane/src/holder/output.rs
@@ -1,9 +1,10 @@
 //! What a holder orders, and the ends of its sends.
 
 use common::frames::{
-    ClaimRunner, HopOutcome, HopReason, Host, LedgerNote, Place, Prior, RunnerNews,
+    ClaimedRunner, Host, LedgerRecord, PreviousLease, RequestFailureReason, RequestOutcome,
+    RunnerStatus, SocketAddress,
 };
-use common::identity::{LifeName, MemberName, RunnerId, Ticket, WorkerName};
+use common::identity::{InstanceId, MemberName, RunnerId, Ticket, WorkerName};
 use common::spec::FunctionSpec;
 
 /// What a holder orders.
@@ -16,7 +17,7 @@
         /// Which runner.
         runner: RunnerId,
         /// Where it listens.
-        place: Place,
+        address: SocketAddress,
         /// The number of this send.
         attempt: u32,
     },
@@ -25,7 +26,7 @@
         /// Which transaction.
         ticket: Ticket,
         /// How.
-        outcome: HopOutcome,
+        outcome: RequestOutcome,
     },
     /// Have the platform start a runner.
     Start {
@@ -41,14 +42,14 @@
         /// Which one.
         runner: RunnerId,
         /// Where it listens.
-        place: Place,
+        address: SocketAddress,
     },
     /// Ask a runner what it is running.
-    Settle {
+    ListRunning {
         /// Which one.
         runner: RunnerId,
         /// Where it listens.
-        place: Place,
+        address: SocketAddress,
     },
     /// Have the platform stop a runner.
     Stop {
@@ -57,31 +58,31 @@
         /// Where it runs.
         worker: WorkerName,
         /// Its life; none while the platform has not told it.
-        life: Option<LifeName>,
+        instance: Option<InstanceId>,
     },
     /// Collect an earlier holder's ledger.
     Collect {
         /// Where.
-        prior: Prior,
+        previous_lease: PreviousLease,
     },
     /// Have the steward note lines, and say whether it did.
-    Note {
+    Record {
         /// Names the round.
-        round: u64,
+        batch_id: u64,
         /// The steward.
-        steward: Host,
+        replica: Host,
         /// The lines.
-        notes: Vec<LedgerNote>,
+        records: Vec<LedgerRecord>,
     },
     /// Compare the ledger with the steward's copy.
     Compare {
         /// The steward.
-        steward: Host,
+        replica: Host,
         /// A digest for each range.
         digests: Vec<u64>,
     },
     /// Tell the leader.
-    Tell(HolderMessage),
+    Report(HolderMessage),
 }
 
 /// What a holder has for the leader.
@@ -90,57 +91,57 @@
     /// It wants one more runner.
     Reserve,
     /// What became of a runner.
-    News {
+    RunnerStatus {
         /// Which one.
         runner: RunnerId,
         /// What became of it.
-        news: RunnerNews,
+        runner_status: RunnerStatus,
     },
     /// It wants another steward.
-    StewardLost {
+    ReplicaLost {
         /// The one that does not answer.
         lost: MemberName,
     },
     /// The steward's copy is whole.
-    StewardWhole {
+    ReplicaComplete {
         /// The steward.
-        steward: MemberName,
+        replica: MemberName,
     },
     /// Everything is finished: the grant goes back.
     Released {
         /// The runners left as they stand.
-        runners: Vec<ClaimRunner>,
+        runners: Vec<ClaimedRunner>,
     },
 }
 
 /// How a send to a runner ended.
 #[derive(Clone, Debug)]
-pub enum SendEnd {
+pub enum SendResult {
     /// The runner's whole sealed body.
-    Answered(HopOutcome),
+    Answered(RequestOutcome),
     /// The runner's own failure, after it ran.
-    Failed(HopOutcome),
+    Failed(RequestOutcome),
     /// The runner refused, and did not run it.
-    ShedByRunner,
+    RejectedByRunner,
     /// Another runner is at the address, and did not run it.
-    OtherRunner,
+    WrongRunner,
     /// Nothing was sent: the member grant has ended, or the spec no longer allows it.
-    Barred(HopReason),
+    Forbidden(RequestFailureReason),
     /// Surely nothing was sent: the runner could not be reached.
     Unsent,
     /// Something was sent, and no good answer came.
     Lost,
 }
 
-impl SendEnd {
+impl SendResult {
     /// How a send failed, in a word; nothing if it brought an answer.
     pub fn failure(&self) -> Option<&'static str> {
         match self {
             Self::Answered(_) => None,
             Self::Failed(_) => Some("failed at its runner"),
-            Self::ShedByRunner => Some("refused by its runner"),
-            Self::OtherRunner => Some("met another runner"),
-            Self::Barred(reason) => Some(reason.as_str()),
+            Self::RejectedByRunner => Some("refused by its runner"),
+            Self::WrongRunner => Some("met another runner"),
+            Self::Forbidden(reason) => Some(reason.as_str()),
             Self::Unsent => Some("reached no runner"),
             Self::Lost => Some("lost its answer"),
         }
--- a/crates/dataplane/src/holder/replication.rs
+++ b/crates/dataplane/src/holder/replication.rs
@@ -2,54 +2,59 @@
 
 use super::runners::RunnerRecord;
 use super::{Holder, HolderMessage, HolderOutput};
-use common::clock::Moment;
-use common::frames::{HopOutcome, HopReason, Host, LedgerNote, Prior};
+use common::clock::MonotonicTime;
+use common::frames::{Host, LedgerRecord, PreviousLease, RequestFailureReason, RequestOutcome};
 use common::identity::Ticket;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-const COMPARE_EVERY: Duration = Duration::from_secs(1);
-const ASK_AGAIN_AFTER: Duration = Duration::from_millis(500);
+const COMPARE_INTERVAL: Duration = Duration::from_secs(1);
+const REPLICA_REQUEST_INTERVAL: Duration = Duration::from_millis(500);
 
-struct Round {
-    steward: Host,
+struct ReplicationBatch {
+    replica: Host,
     tickets: Vec<Ticket>,
-    is_copy: bool,
+    is_full_copy: bool,
 }
 
 /// Who keeps the copy of a holder's ledger, and how far it is.
 pub struct Replication {
-    pub(super) steward: Option<Host>,
-    pub(super) whole: bool,
-    prior: Option<Prior>,
+    pub(super) replica: Option<Host>,
+    pub(super) complete: bool,
+    previous_lease: Option<PreviousLease>,
     collecting: bool,
-    asking_since: Option<Moment>,
-    is_copying: bool,
-    rounds: BTreeMap<u64, Round>,
-    next_round: u64,
-    compare_at: Moment,
+    replacement_requested_at: Option<MonotonicTime>,
+    is_copying_all: bool,
+    batches: BTreeMap<u64, ReplicationBatch>,
+    next_batch_id: u64,
+    compare_at: MonotonicTime,
 }
 
 impl Replication {
     /// The replication as the leader granted it; whole at once when there is nothing to be copied.
-    pub fn new(now: Moment, steward: Option<Host>, prior: Option<Prior>, whole: bool) -> Self {
+    pub fn new(
+        now: MonotonicTime,
+        replica: Option<Host>,
+        previous_lease: Option<PreviousLease>,
+        complete: bool,
+    ) -> Self {
         Self {
-            steward,
-            whole,
-            collecting: prior.is_some(),
-            prior,
-            asking_since: None,
-            is_copying: false,
-            rounds: BTreeMap::new(),
-            next_round: 1,
-            compare_at: now + COMPARE_EVERY,
+            replica,
+            complete,
+            collecting: previous_lease.is_some(),
+            previous_lease,
+            replacement_requested_at: None,
+            is_copying_all: false,
+            batches: BTreeMap::new(),
+            next_batch_id: 1,
+            compare_at: now + COMPARE_INTERVAL,
         }
     }
 
     /// Forgets that an earlier ledger was to be collected.
-    pub(super) fn skip_collecting(&mut self) {
+    pub(super) fn skip_collection(&mut self) {
         self.collecting = false;
-        self.prior = None;
+        self.previous_lease = None;
     }
 
     /// Whether an earlier holder's ledger is being collected.
@@ -58,197 +63,229 @@
     }
 
     /// Whether a once-transaction can be noted now, or needs not be.
-    pub fn is_able(&self) -> bool {
-        !self.collecting && self.asking_since.is_none()
+    pub fn is_available(&self) -> bool {
+        !self.collecting && self.replacement_requested_at.is_none()
     }
 
-    fn open_round(&mut self, steward: Host, tickets: Vec<Ticket>, is_copy: bool) -> u64 {
-        let round = self.next_round;
-        self.next_round += 1;
-        self.rounds.insert(round, Round { steward, tickets, is_copy });
-        round
+    fn open_batch(&mut self, replica: Host, tickets: Vec<Ticket>, is_full_copy: bool) -> u64 {
+        let batch_id = self.next_batch_id;
+        self.next_batch_id += 1;
+        self.batches.insert(batch_id, ReplicationBatch { replica, tickets, is_full_copy });
+        batch_id
     }
 }
 
 impl Holder {
     /// What is due as soon as the function is granted.
-    pub fn begin(&mut self, now: Moment) -> Vec<HolderOutput> {
-        if let Some(prior) = self.replication.prior.clone() {
-            self.outputs.push(HolderOutput::Collect { prior });
+    pub fn begin(&mut self, now: MonotonicTime) -> Vec<HolderOutput> {
+        if let Some(previous_lease) = self.replication.previous_lease.clone() {
+            self.outputs.push(HolderOutput::Collect { previous_lease });
         }
         self.scale(now);
         std::mem::take(&mut self.outputs)
     }
 
     /// Notes a once-transaction with the steward; without one it may be sent at once.
-    pub(super) fn note_first(&mut self, now: Moment, ticket: Ticket) -> bool {
-        let Some(steward) = self.replication.steward.clone() else { return false };
-        let Some(sent) = self.sent.get(&ticket) else { return false };
-        let Some(note) = self.book.line(now, &sent.waiting.entry.transaction) else { return false };
-        let round = self.replication.open_round(steward.clone(), vec![ticket], false);
-        self.outputs.push(HolderOutput::Note { round, steward, notes: vec![note] });
+    pub(super) fn replicate_before_send(&mut self, now: MonotonicTime, ticket: Ticket) -> bool {
+        let Some(replica) = self.replication.replica.clone() else { return false };
+        let Some(in_flight) = self.in_flight.get(&ticket) else { return false };
+        let Some(record) = self.ledger.record_of(now, &in_flight.queued.request.idempotency_key)
+        else {
+            return false;
+        };
+        let batch_id = self.replication.open_batch(replica.clone(), vec![ticket], false);
+        self.outputs.push(HolderOutput::Record { batch_id, replica, records: vec![record] });
         true
     }
 
     /// The steward has noted a round, or has not.
-    pub fn noted(&mut self, now: Moment, round: u64, is_kept: bool) -> Vec<HolderOutput> {
-        let Some(ended) = self.replication.rounds.remove(&round) else { return Vec::new() };
-        let is_present = self.replication.steward.as_ref() == Some(&ended.steward);
-        if ended.is_copy {
-            self.replication.is_copying = false;
-        }
-        if is_kept && is_present {
-            if ended.is_copy {
-                self.say_whole(&ended.steward);
+    pub fn recorded(
+        &mut self,
+        now: MonotonicTime,
+        batch_id: u64,
+        is_stored: bool,
+    ) -> Vec<HolderOutput> {
+        let Some(batch) = self.replication.batches.remove(&batch_id) else { return Vec::new() };
+        let is_present = self.replication.replica.as_ref() == Some(&batch.replica);
+        if batch.is_full_copy {
+            self.replication.is_copying_all = false;
+        }
+        if is_stored && is_present {
+            if batch.is_full_copy {
+                self.report_replica_complete(&batch.replica);
             }
-            for ticket in ended.tickets {
-                self.send_noted(now, ticket);
+            for ticket in batch.tickets {
+                self.send_recorded(now, ticket);
             }
         } else {
-            if is_present && self.replication.asking_since.is_none() {
-                self.replication.asking_since = Some(now);
-                self.replication.whole = false;
-                let lost = ended.steward.member.clone();
-                self.outputs.push(HolderOutput::Tell(HolderMessage::StewardLost { lost }));
+            if is_present && self.replication.replacement_requested_at.is_none() {
+                self.replication.replacement_requested_at = Some(now);
+                self.replication.complete = false;
+                let lost = batch.replica.member.clone();
+                self.outputs.push(HolderOutput::Report(HolderMessage::ReplicaLost { lost }));
             }
-            for ticket in ended.tickets {
-                self.take_back(now, ticket);
+            for ticket in batch.tickets {
+                self.cancel_send(now, ticket);
             }
         }
         self.dispatch(now);
-        self.finish_leaving(now);
+        self.finish_release(now);
         std::mem::take(&mut self.outputs)
     }
 
-    fn say_whole(&mut self, steward: &Host) {
-        self.replication.whole = true;
-        self.outputs.push(HolderOutput::Tell(HolderMessage::StewardWhole {
-            steward: steward.member.clone(),
+    fn report_replica_complete(&mut self, replica: &Host) {
+        self.replication.complete = true;
+        self.outputs.push(HolderOutput::Report(HolderMessage::ReplicaComplete {
+            replica: replica.member.clone(),
         }));
     }
 
-    fn send_noted(&mut self, now: Moment, ticket: Ticket) {
-        let Some(sent) = self.sent.get(&ticket) else { return };
-        let (runner, attempt) = (sent.runner, sent.waiting.attempt);
-        let place = self.runners.get(&runner).and_then(RunnerRecord::place);
-        match place.filter(|_| !self.closed) {
-            Some(place) => {
-                self.order_send(ticket, runner, place, attempt);
+    fn send_recorded(&mut self, now: MonotonicTime, ticket: Ticket) {
+        let Some(in_flight) = self.in_flight.get(&ticket) else { return };
+        let (runner, attempt) = (in_flight.runner, in_flight.queued.attempt);
+        let address = self.runners.get(&runner).and_then(RunnerRecord::address);
+        match address.filter(|_| !self.closed) {
+            Some(address) => {
+                self.emit_send(ticket, runner, address, attempt);
             }
-            None => self.take_back(now, ticket),
+            None => self.cancel_send(now, ticket),
         }
     }
 
-    fn take_back(&mut self, now: Moment, ticket: Ticket) {
-        let Some(sent) = self.sent.remove(&ticket) else { return };
-        if let Some(record) = self.runners.get_mut(&sent.runner) {
-            let entry = &sent.waiting.entry;
-            record.send_ended(now, &entry.transaction, entry.budget_end, true);
+    fn cancel_send(&mut self, now: MonotonicTime, ticket: Ticket) {
+        let Some(in_flight) = self.in_flight.remove(&ticket) else { return };
+        if let Some(record) = self.runners.get_mut(&in_flight.runner) {
+            let request = &in_flight.queued.request;
+            record.release_slot(now, &request.idempotency_key, request.deadline, true);
         }
-        self.put_back(now, sent.waiting);
+        self.requeue(now, in_flight.queued);
     }
 
     /// An earlier holder's ledger has been collected, or could not be.
-    pub fn collected(&mut self, now: Moment, notes: Option<Vec<LedgerNote>>) -> Vec<HolderOutput> {
+    pub fn collected(
+        &mut self,
+        now: MonotonicTime,
+        records: Option<Vec<LedgerRecord>>,
+    ) -> Vec<HolderOutput> {
         if !std::mem::take(&mut self.replication.collecting) {
             return Vec::new();
         }
-        if let Some(notes) = notes {
-            self.once_from = now;
-            self.settle_known(now, &notes);
-            for note in &notes {
-                self.book.inherit(now, note);
+        if let Some(records) = records {
+            self.once_allowed_from = now;
+            self.resolve_known(now, &records);
+            for record in &records {
+                self.ledger.import_record(now, record);
             }
         } else {
-            self.refuse_waiting_once(now);
+            self.reject_queued_once(now);
         }
         self.dispatch(now);
         std::mem::take(&mut self.outputs)
     }
 
     /// Those that wait here and ran, or may have run, at the earlier holder must not run again.
-    fn settle_known(&mut self, now: Moment, notes: &[LedgerNote]) {
-        let is_known = |name: &common::identity::TransactionId| {
-            notes.iter().any(|note| note.transaction == *name)
+    fn resolve_known(&mut self, now: MonotonicTime, records: &[LedgerRecord]) {
+        let is_known = |name: &common::identity::IdempotencyKey| {
+            records.iter().any(|record| record.idempotency_key == *name)
         };
-        let all_waiting = std::mem::take(&mut self.inbox);
-        for waiting in all_waiting {
-            if waiting.entry.is_noted_once() && is_known(&waiting.entry.transaction) {
-                let outcome = HopOutcome::Unknown { reason: HopReason::RanBefore };
-                self.end(now, waiting.entry, outcome);
+        let all_queued = std::mem::take(&mut self.queue);
+        for queued in all_queued {
+            if queued.request.is_recorded_once() && is_known(&queued.request.idempotency_key) {
+                let outcome = RequestOutcome::Unknown { reason: RequestFailureReason::AlreadyRan };
+                self.end(now, queued.request, outcome);
             } else {
-                self.inbox.push_back(waiting);
+                self.queue.push_back(queued);
             }
         }
     }
 
-    fn refuse_waiting_once(&mut self, now: Moment) {
-        let retry_span = self.once_from.since(now);
-        if retry_span.is_zero() {
+    fn reject_queued_once(&mut self, now: MonotonicTime) {
+        let retry_after = self.once_allowed_from.since(now);
+        if retry_after.is_zero() {
             return;
         }
-        let all_waiting = std::mem::take(&mut self.inbox);
-        for waiting in all_waiting {
-            if waiting.entry.is_noted_once() {
-                self.give_up(now, waiting, HopReason::OnceWait, retry_span);
+        let all_queued = std::mem::take(&mut self.queue);
+        for queued in all_queued {
+            if queued.request.is_recorded_once() {
+                self.fail_request(
+                    now,
+                    queued,
+                    RequestFailureReason::OnceNotYetAdmitted,
+                    retry_after,
+                );
             } else {
-                self.inbox.push_back(waiting);
+                self.queue.push_back(queued);
             }
         }
     }
 
     /// The leader has named another steward, or nobody.
-    pub fn steward_named(&mut self, now: Moment, steward: Option<Host>) -> Vec<HolderOutput> {
-        self.replication.asking_since = None;
-        self.replication.whole = false;
-        self.replication.is_copying = false;
-        self.replication.steward = steward;
-        self.keep_replica(now);
+    pub fn replica_assigned(
+        &mut self,
+        now: MonotonicTime,
+        replica: Option<Host>,
+    ) -> Vec<HolderOutput> {
+        self.replication.replacement_requested_at = None;
+        self.replication.complete = false;
+        self.replication.is_copying_all = false;
+        self.replication.replica = replica;
+        self.maintain_replica(now);
         self.dispatch(now);
         std::mem::take(&mut self.outputs)
     }
 
     /// The ranges in which the steward's copy differs.
-    pub fn compared(&mut self, now: Moment, ranges: &[u8]) -> Vec<HolderOutput> {
-        if let Some(steward) = self.replication.steward.clone().filter(|_| !ranges.is_empty()) {
-            let notes = self.book.lines_in(now, ranges);
-            let round = self.replication.open_round(steward.clone(), Vec::new(), false);
-            self.outputs.push(HolderOutput::Note { round, steward, notes });
+    pub fn compared(&mut self, now: MonotonicTime, ranges: &[u8]) -> Vec<HolderOutput> {
+        if let Some(replica) = self.replication.replica.clone().filter(|_| !ranges.is_empty()) {
+            let records = self.ledger.records_in(now, ranges);
+            let batch_id = self.replication.open_batch(replica.clone(), Vec::new(), false);
+            self.outputs.push(HolderOutput::Record { batch_id, replica, records });
         }
         std::mem::take(&mut self.outputs)
     }
 
     /// Brings the steward's copy level, and keeps it so.
-    pub(super) fn keep_replica(&mut self, now: Moment) {
+    pub(super) fn maintain_replica(&mut self, now: MonotonicTime) {
         if self.closed || self.released {
             return;
         }
-        if let Some(asking_since) = self.replication.asking_since
-            && now.since(asking_since) > ASK_AGAIN_AFTER
-            && let Some(steward) = &self.replication.steward
+        if let Some(replacement_requested_at) = self.replication.replacement_requested_at
+            && now.since(replacement_requested_at) > REPLICA_REQUEST_INTERVAL
+            && let Some(replica) = &self.replication.replica
         {
-            self.replication.asking_since = Some(now);
-            let lost = steward.member.clone();
-            self.outputs.push(HolderOutput::Tell(HolderMessage::StewardLost { lost }));
+            self.replication.replacement_requested_at = Some(now);
+            let lost = replica.member.clone();
+            self.outputs.push(HolderOutput::Report(HolderMessage::ReplicaLost { lost }));
         }
-        let Some(steward) = self.replication.steward.clone().filter(|_| self.replication.is_able())
+        let Some(replica) =
+            self.replication.replica.clone().filter(|_| self.replication.is_available())
         else {
             return;
         };
-        if !self.replication.whole && !self.replication.is_copying && now >= self.once_from {
-            let notes = self.book.once_lines(now);
-            if notes.is_empty() {
-                self.say_whole(&steward);
+        if !self.replication.complete
+            && !self.replication.is_copying_all
+            && now >= self.once_allowed_from
+        {
+            let records = self.ledger.once_records(now);
+            if records.is_empty() {
+                self.report_replica_complete(&replica);
             } else {
-                self.replication.is_copying = true;
-                let round = self.replication.open_round(steward.clone(), Vec::new(), true);
-                self.outputs.push(HolderOutput::Note { round, steward: steward.clone(), notes });
+                self.replication.is_copying_all = true;
+                let batch_id = self.replication.open_batch(replica.clone(), Vec::new(), true);
+                self.outputs.push(HolderOutput::Record {
+                    batch_id,
+                    replica: replica.clone(),
+                    records,
+                });
             }
         }
-        if now >= self.replication.compare_at && self.replication.whole && self.book.has_once() {
-            self.replication.compare_at = now + COMPARE_EVERY;
-            let digests = self.book.digests(now);
-            self.outputs.push(HolderOutput::Compare { steward, digests });
+        if now >= self.replication.compare_at
+            && self.replication.complete
+            && self.ledger.has_once_records()
+        {
+            self.replication.compare_at = now + COMPARE_INTERVAL;
+            let digests = self.ledger.digests(now);
+            self.outputs.push(HolderOutput::Compare { replica, digests });
         }
     }
 }
--- /dev/null
+++ b/crates/dataplane/src/holder/retry_budget.rs
@@ -0,0 +1,78 @@
+//! The retry budget of a holder.
+
+use super::Tuning;
+use common::clock::MonotonicTime;
+use std::collections::VecDeque;
+use std::time::Duration;
+
+const WINDOW: Duration = Duration::from_secs(10);
+const BUCKET_MS: u64 = 100;
+
+struct Bucket {
+    index: u64,
+    first_attempts: u64,
+    retries: u64,
+}
+
+/// Counts first and extra tries over the last ten seconds.
+pub struct RetryBudget {
+    started_at: MonotonicTime,
+    percent: u64,
+    allowance: u64,
+    allowance_at_once: bool,
+    buckets: VecDeque<Bucket>,
+}
+
+impl RetryBudget {
+    /// Starts without credit from before.
+    pub fn new(now: MonotonicTime, tuning: &Tuning) -> Self {
+        Self {
+            started_at: now,
+            percent: tuning.retry_percent,
+            allowance: tuning.retry_allowance,
+            allowance_at_once: tuning.retry_allowance_immediate,
+            buckets: VecDeque::new(),
+        }
+    }
+
+    fn bucket(&mut self, now: MonotonicTime) -> &mut Bucket {
+        let index = now.millis() / BUCKET_MS;
+        let oldest_index = index.saturating_sub(WINDOW.as_millis() as u64 / BUCKET_MS);
+        while self.buckets.front().is_some_and(|bucket| bucket.index < oldest_index) {
+            self.buckets.pop_front();
+        }
+        if self.buckets.back().is_none_or(|bucket| bucket.index < index) {
+            self.buckets.push_back(Bucket { index, first_attempts: 0, retries: 0 });
+        }
+        let newest_index = self.buckets.len() - 1;
+        &mut self.buckets[newest_index]
+    }
+
+    /// Counts a transaction that is no repeat.
+    pub fn record_attempt(&mut self, now: MonotonicTime, repeat: bool) {
+        if !repeat {
+            self.bucket(now).first_attempts += 1;
+        }
+    }
+
+    /// Whether one more extra try stays within the share of the first ones and the allowance.
+    pub fn has_retry_budget(&mut self, now: MonotonicTime) -> bool {
+        let index = self.bucket(now).index;
+        let half_window_index = index.saturating_sub(WINDOW.as_millis() as u64 / BUCKET_MS / 2);
+        let oldest_index = index.saturating_sub(WINDOW.as_millis() as u64 / BUCKET_MS);
+        let window_buckets = self.buckets.iter().filter(|bucket| bucket.index > oldest_index);
+        let window_first_attempts: u64 = window_buckets.map(|bucket| bucket.first_attempts).sum();
+        let recent_buckets = self.buckets.iter().filter(|bucket| bucket.index >= half_window_index);
+        let recent_first_attempts: u64 = recent_buckets.map(|bucket| bucket.first_attempts).sum();
+        let retries: u64 = self.buckets.iter().map(|bucket| bucket.retries).sum();
+        let is_window_full = now.since(self.started_at) >= WINDOW;
+        let allowance = if is_window_full || self.allowance_at_once { self.allowance } else { 0 };
+        retries
+            < window_first_attempts.min(recent_first_attempts * 2) * self.percent / 100 + allowance
+    }
+
+    /// Counts an extra try.
+    pub fn spend(&mut self, now: MonotonicTime) {
+        self.bucket(now).retries += 1;
+    }
+}
--- a/crates/dataplane/src/ledger/ranges.rs
+++ b/crates/dataplane/src/ledger/ranges.rs
@@ -1,15 +1,15 @@
 //! Digests over ranges of identities, by which two ledgers are compared.
 
-use common::frames::{LedgerNote, NoteState};
-use common::identity::TransactionId;
+use common::frames::{LedgerRecord, LedgerRecordState};
+use common::identity::IdempotencyKey;
 use sha2::{Digest, Sha256};
 
 /// How many ranges a ledger is compared in.
 pub const RANGE_COUNT: usize = 16;
 
-fn number_of(transaction: &TransactionId, state: Option<NoteState>) -> u64 {
+fn hash_number(idempotency_key: &IdempotencyKey, state: Option<LedgerRecordState>) -> u64 {
     let mut running_digest = Sha256::new();
-    running_digest.update(transaction.as_str());
+    running_digest.update(idempotency_key.as_str());
     if let Some(state) = state {
         running_digest.update([0, state as u8]);
     }
@@ -18,16 +18,16 @@
 }
 
 /// The range of an identity.
-pub fn range_of(transaction: &TransactionId) -> usize {
-    (number_of(transaction, None) % RANGE_COUNT as u64) as usize
+pub fn range_of(idempotency_key: &IdempotencyKey) -> usize {
+    (hash_number(idempotency_key, None) % RANGE_COUNT as u64) as usize
 }
 
 /// A digest for each range; the order of the lines does not matter.
-pub fn digests<'a>(notes: impl Iterator<Item = &'a LedgerNote>) -> Vec<u64> {
+pub fn digests<'a>(records: impl Iterator<Item = &'a LedgerRecord>) -> Vec<u64> {
     let mut range_digests = vec![0; RANGE_COUNT];
-    for note in notes {
-        range_digests[range_of(&note.transaction)] ^=
-            number_of(&note.transaction, Some(note.state));
+    for record in records {
+        range_digests[range_of(&record.idempotency_key)] ^=
+            hash_number(&record.idempotency_key, Some(record.state));
     }
     range_digests
 }
--- a/crates/dataplane/src/ledger/replica.rs
+++ b/crates/dataplane/src/ledger/replica.rs
@@ -1,29 +1,29 @@
 //! The copies that a daemon keeps of other holders' ledgers.
 
 use super::ranges::digests;
-use common::clock::Moment;
-use common::frames::{LedgerNote, NoteState};
-use common::identity::{FunctionKey, GrantSerial, Incarnation, TransactionId};
+use common::clock::MonotonicTime;
+use common::frames::{LedgerRecord, LedgerRecordState};
+use common::identity::{FencingToken, FunctionKey, IdempotencyKey, Incarnation};
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
 
-const KEPT_EMPTY: Duration = Duration::from_secs(60);
+const EMPTY_COPY_RETENTION: Duration = Duration::from_secs(60);
 
-struct Line {
-    state: NoteState,
-    expires_at: Moment,
+struct ReplicaEntry {
+    state: LedgerRecordState,
+    expires_at: MonotonicTime,
 }
 
-struct Copy {
-    lines: HashMap<TransactionId, Line>,
+struct LedgerCopy {
+    entries: HashMap<IdempotencyKey, ReplicaEntry>,
     sealed: bool,
-    touched_at: Moment,
+    touched_at: MonotonicTime,
 }
 
 /// The copies that one daemon keeps of other daemons' ledgers.
 pub struct LedgerReplica {
     incarnation: Incarnation,
-    copies: BTreeMap<(FunctionKey, GrantSerial), Copy>,
+    copies: BTreeMap<(FunctionKey, FencingToken), LedgerCopy>,
 }
 
 impl LedgerReplica {
@@ -32,9 +32,14 @@
         Self { incarnation, copies: BTreeMap::new() }
     }
 
-    fn copy(&mut self, now: Moment, function: &FunctionKey, grant: GrantSerial) -> &mut Copy {
-        let copy = self.copies.entry((function.clone(), grant)).or_insert(Copy {
-            lines: HashMap::new(),
+    fn copy(
+        &mut self,
+        now: MonotonicTime,
+        function: &FunctionKey,
+        fencing_token: FencingToken,
+    ) -> &mut LedgerCopy {
+        let copy = self.copies.entry((function.clone(), fencing_token)).or_insert(LedgerCopy {
+            entries: HashMap::new(),
             sealed: false,
             touched_at: now,
         });
@@ -43,29 +48,29 @@
     }
 
     /// Notes lines; false when another life is meant, or a successor has collected already.
-    pub fn note(
+    pub fn record(
         &mut self,
-        now: Moment,
+        now: MonotonicTime,
         function: &FunctionKey,
-        grant: GrantSerial,
+        fencing_token: FencingToken,
         incarnation: Incarnation,
-        notes: &[LedgerNote],
+        records: &[LedgerRecord],
     ) -> bool {
         if incarnation != self.incarnation {
             return false;
         }
-        let copy = self.copy(now, function, grant);
+        let copy = self.copy(now, function, fencing_token);
         if copy.sealed {
             return false;
         }
-        for note in notes {
-            let expires_at = now + Duration::from_millis(u64::from(note.left_ms));
-            let line = copy
-                .lines
-                .entry(note.transaction.clone())
-                .or_insert(Line { state: note.state, expires_at });
-            line.state = line.state.max(note.state);
-            line.expires_at = line.expires_at.max(expires_at);
+        for record in records {
+            let expires_at = now + Duration::from_millis(u64::from(record.remaining_ms));
+            let entry = copy
+                .entries
+                .entry(record.idempotency_key.clone())
+                .or_insert(ReplicaEntry { state: record.state, expires_at });
+            entry.state = entry.state.max(record.state);
+            entry.expires_at = entry.expires_at.max(expires_at);
         }
         true
     }
@@ -73,33 +78,33 @@
     /// Hands a copy to a successor, and takes no more lines for it; none when another life is meant.
     pub fn collect(
         &mut self,
-        now: Moment,
+        now: MonotonicTime,
         function: &FunctionKey,
-        grant: GrantSerial,
+        fencing_token: FencingToken,
         incarnation: Incarnation,
-    ) -> Option<Vec<LedgerNote>> {
+    ) -> Option<Vec<LedgerRecord>> {
         if incarnation != self.incarnation {
             return None;
         }
-        let copy = self.copy(now, function, grant);
+        let copy = self.copy(now, function, fencing_token);
         copy.sealed = true;
-        Some(lines(copy, now))
+        Some(entries(copy, now))
     }
 
     /// The ranges in which a copy differs from the holder's digests.
     pub fn compare(
         &mut self,
-        now: Moment,
+        now: MonotonicTime,
         function: &FunctionKey,
-        grant: GrantSerial,
+        fencing_token: FencingToken,
         incarnation: Incarnation,
         holder_digests: &[u64],
     ) -> Vec<u8> {
         if incarnation != self.incarnation {
             return (0..holder_digests.len() as u8).collect();
         }
-        let own_lines = lines(self.copy(now, function, grant), now);
-        let own_digests = digests(own_lines.iter());
+        let own_records = entries(self.copy(now, function, fencing_token), now);
+        let own_digests = digests(own_records.iter());
         (0..holder_digests.len())
             .filter(|range| own_digests.get(*range) != holder_digests.get(*range))
             .map(|range| range as u8)
@@ -107,28 +112,29 @@
     }
 
     /// Forgets lines that nobody waits for any more.
-    pub fn expire(&mut self, now: Moment) {
+    pub fn expire(&mut self, now: MonotonicTime) {
         for copy in self.copies.values_mut() {
-            copy.lines.retain(|_, line| line.expires_at > now);
+            copy.entries.retain(|_, entry| entry.expires_at > now);
         }
-        self.copies
-            .retain(|_, copy| !copy.lines.is_empty() || now.since(copy.touched_at) < KEPT_EMPTY);
+        self.copies.retain(|_, copy| {
+            !copy.entries.is_empty() || now.since(copy.touched_at) < EMPTY_COPY_RETENTION
+        });
     }
 
     /// How many lines are kept.
-    pub fn line_count(&self) -> usize {
-        self.copies.values().map(|copy| copy.lines.len()).sum()
+    pub fn entry_count(&self) -> usize {
+        self.copies.values().map(|copy| copy.entries.len()).sum()
     }
 }
 
-fn lines(copy: &Copy, now: Moment) -> Vec<LedgerNote> {
-    copy.lines
+fn entries(copy: &LedgerCopy, now: MonotonicTime) -> Vec<LedgerRecord> {
+    copy.entries
         .iter()
-        .filter(|(_, line)| line.expires_at > now)
-        .map(|(transaction, line)| LedgerNote {
-            transaction: transaction.clone(),
-            state: line.state,
-            left_ms: line.expires_at.since(now).as_millis() as u32,
+        .filter(|(_, entry)| entry.expires_at > now)
+        .map(|(idempotency_key, entry)| LedgerRecord {
+            idempotency_key: idempotency_key.clone(),
+            state: entry.state,
+            remaining_ms: entry.expires_at.since(now).as_millis() as u32,
         })
         .collect()
 }
--- a/crates/dataplane/src/lib.rs
+++ b/crates/dataplane/src/lib.rs
@@ -2,15 +2,15 @@
 
 #![deny(missing_docs)]
 
+pub mod adapter;
 pub mod agent;
-pub mod boot;
-pub mod chain;
+pub mod cluster_view;
+pub mod control_session;
 pub mod drivers;
+pub mod failure_detector;
 pub mod holder;
-pub mod keeper;
 pub mod ledger;
-pub mod liaison;
 pub mod owners;
 pub mod pool;
-pub mod tongue;
-pub mod watch;
+pub mod request_pipeline;
+pub mod settings;
--- a/crates/dataplane/src/owners/mod.rs
+++ b/crates/dataplane/src/owners/mod.rs
@@ -2,18 +2,18 @@
 
 mod warm;
 
-pub use warm::{WarmSeeker, WarmSight};
+pub use warm::{WarmAcquirer, WarmContext};
 
 use common::frames::Host;
 use common::identity::{FunctionKey, MemberName};
 use common::ring::{self, Regions};
 
 /// The most daemons a transaction passes through after its caller's.
-pub const MOST_HOPS: u8 = 2;
+pub const MAX_HOPS: u8 = 2;
 
 /// What to do next with a transaction.
 #[derive(Clone, PartialEq, Eq, Debug)]
-pub enum Step {
+pub enum LookupStep {
     /// This daemon holds the function.
     Serve,
     /// Pass it to that daemon.
@@ -23,11 +23,11 @@
     /// This daemon is neither holder nor hash owner, and the transaction has come far enough.
     NotHolder,
     /// Nobody is eligible.
-    Nobody,
+    NoEligibleHost,
 }
 
 /// What a step is decided from.
-pub struct Sight<'a> {
+pub struct LookupContext<'a> {
     /// The function.
     pub function: &'a FunctionKey,
     /// This daemon.
@@ -45,29 +45,29 @@
 }
 
 /// Whether a cached owner still stands in the host list, in the same life.
-pub fn is_valid(cached_owner: &Host, hosts: &[Host]) -> bool {
+pub fn is_current_owner(cached_owner: &Host, hosts: &[Host]) -> bool {
     hosts.iter().any(|host| {
         host.member == cached_owner.member && host.incarnation == cached_owner.incarnation
     })
 }
 
 /// Decides the next step; a cached owner that is no longer valid counts as a miss.
-pub fn next_step(sight: &Sight<'_>) -> Step {
-    if sight.holds {
-        return Step::Serve;
+pub fn next_step(context: &LookupContext<'_>) -> LookupStep {
+    if context.holds {
+        return LookupStep::Serve;
     }
-    let valid_owner = sight
-        .cached_owner
-        .filter(|owner| owner.member != *sight.own_member && is_valid(owner, sight.hosts));
-    if let Some(owner) = valid_owner
-        && sight.hops < MOST_HOPS
+    let current_owner = context.cached_owner.filter(|owner| {
+        owner.member != *context.own_member && is_current_owner(owner, context.hosts)
+    });
+    if let Some(owner) = current_owner
+        && context.hops < MAX_HOPS
     {
-        return Step::Forward(owner.clone());
+        return LookupStep::Forward(owner.clone());
     }
-    match ring::hash_owner_in(sight.function, sight.hosts.iter(), sight.regions) {
-        None => Step::Nobody,
-        Some(hash_owner) if hash_owner.member == *sight.own_member => Step::Acquire,
-        Some(hash_owner) if sight.hops == 0 => Step::Forward(hash_owner.clone()),
-        Some(_) => Step::NotHolder,
+    match ring::hash_owner_in(context.function, context.hosts.iter(), context.regions) {
+        None => LookupStep::NoEligibleHost,
+        Some(hash_owner) if hash_owner.member == *context.own_member => LookupStep::Acquire,
+        Some(hash_owner) if context.hops == 0 => LookupStep::Forward(hash_owner.clone()),
+        Some(_) => LookupStep::NotHolder,
     }
 }
--- /dev/null
+++ b/crates/dataplane/src/request_pipeline/ingress_request.rs
@@ -0,0 +1,93 @@
+//! One request at the daemon that took it: what is learned of it on its way, and what is counted and logged of its
+//! end.
+
+use crate::drivers::State;
+use common::adapter::CallerResponse;
+use common::clock::MonotonicTime;
+use common::events;
+use common::http::HttpResponse;
+use common::identity::{IdempotencyKey, MemberName};
+use std::fmt;
+use std::time::Duration;
+
+/// A request that ends later than that after its deadline is counted as overdue.
+const OVERDUE_GRACE: Duration = Duration::from_millis(250);
+
+/// The outcome that is counted of a request whose caller left before it ended.
+const ABANDONED: &str = "left";
+
+/// One request at the daemon that took it.
+pub struct IngressRequest<'a> {
+    state: &'a State,
+    /// When its head was read.
+    pub started_at: MonotonicTime,
+    /// Its identity, once that is read.
+    pub idempotency_key: Option<IdempotencyKey>,
+    /// Its route, once that is found.
+    pub route: Option<String>,
+    /// When its caller, or its route, gives it up.
+    pub deadline: Option<MonotonicTime>,
+    /// Who held its function, if that is known.
+    pub holder: Option<MemberName>,
+    is_finished: bool,
+}
+
+impl<'a> IngressRequest<'a> {
+    /// A request whose head has just been read.
+    pub fn new(state: &'a State) -> Self {
+        Self {
+            state,
+            started_at: MonotonicTime::now(),
+            idempotency_key: None,
+            route: None,
+            deadline: None,
+            holder: None,
+            is_finished: false,
+        }
+    }
+
+    /// Counts how it ended, logs it if it has no answer, and has the response made.
+    pub fn finish(mut self, caller_response: CallerResponse) -> HttpResponse {
+        self.is_finished = true;
+        let now = MonotonicTime::now();
+        let (outcome, reason) = match &caller_response {
+            CallerResponse::Response { .. } => ("answer", ""),
+            CallerResponse::NotRun { reason, .. } => ("not_run", *reason),
+            CallerResponse::Unknown { reason, .. } => ("unknown", reason.as_str()),
+        };
+        self.count(now, outcome, reason);
+        if self.deadline.is_some_and(|deadline| now > deadline + OVERDUE_GRACE) {
+            self.state.gauges.overdue_requests.inc();
+        }
+        if !matches!(caller_response, CallerResponse::Response { .. }) {
+            let detail = format_args!("{self} {outcome} {reason}");
+            self.state.request_log.write(events::REQUEST_FAILED, detail);
+        }
+        self.state.adapters.ingress.write_response(self.idempotency_key.as_ref(), caller_response)
+    }
+
+    fn count(&self, now: MonotonicTime, outcome: &str, reason: &str) {
+        let gauges = &self.state.gauges;
+        gauges.request_outcomes.with_label_values(&[outcome, reason]).inc();
+        let elapsed = now.since(self.started_at).as_secs_f64();
+        gauges.request_seconds.with_label_values(&[outcome]).observe(elapsed);
+    }
+}
+
+impl fmt::Display for IngressRequest<'_> {
+    fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
+        let idempotency_key = self.idempotency_key.as_ref().map_or("-", |known| known.as_str());
+        let route = self.route.as_deref().unwrap_or("-");
+        let holder = self.holder.as_ref().map_or("-", |known| known.as_str());
+        let elapsed_ms = MonotonicTime::now().since(self.started_at).as_millis();
+        write!(out, "{idempotency_key} route {route} holder {holder} after {elapsed_ms} ms")
+    }
+}
+
+impl Drop for IngressRequest<'_> {
+    fn drop(&mut self) {
+        if !self.is_finished {
+            self.count(MonotonicTime::now(), ABANDONED, "");
+        }
+    }
+}
