--- a/crates/dataplane/src/boot/mod.rs
+++ b/crates/dataplane/src/settings/mod.rs
@@ -1,15 +1,17 @@
 //! The daemon's boot settings.
 
 use crate::holder::{IdleCost, Tuning};
-use common::frames::Place;
+use common::frames::SocketAddress;
 use common::identity::{MemberName, Region, Zone};
-use common::readers::{BootFault, BootSource, PathReader, read_listen, read_place, read_places};
+use common::readers::{
+    PathReader, SettingsError, SettingsSource, read_address, read_addresses, read_listen,
+};
 use common::ring::Regions;
 use std::time::Duration;
 
 /// What a daemon needs to know before it starts.
 #[derive(Clone, Debug)]
-pub struct DaemonBoot {
+pub struct DaemonSettings {
     /// Where the settings came from, for fault messages.
     pub source: String,
     /// Its name.
@@ -17,25 +19,25 @@
     /// Its zone.
     pub zone: Zone,
     /// Where other processes reach it, over TCP and UDP.
-    pub place: Place,
+    pub address: SocketAddress,
     /// Where it listens for them, if that is another port.
-    pub listen: Place,
+    pub listen: SocketAddress,
     /// Where callers reach it.
-    pub door: Place,
+    pub ingress: SocketAddress,
     /// The three controllers' places.
-    pub seeds: Vec<Place>,
+    pub seeds: Vec<SocketAddress>,
     /// The platform.
-    pub platform: Place,
+    pub platform: SocketAddress,
     /// The largest body taken from a caller or a runner.
-    pub largest_body: usize,
+    pub max_body_bytes: usize,
     /// How long a daemon may take to leave.
     pub grace: Duration,
     /// Worker threads; zero lets the machine decide, and one does without any beside the first.
     pub threads: usize,
     /// Where readiness and metrics are asked, if not at the door.
-    pub ready: Option<Place>,
+    pub ready: Option<SocketAddress>,
     /// From one heartbeat to the next.
-    pub beat_every: Duration,
+    pub heartbeat_interval: Duration,
     /// The machine's link in megabits a second; zero when it is not known.
     pub link_mbps: u32,
     /// Whether functions that boot longer than their callers gladly wait are acquired before a call.
@@ -46,11 +48,11 @@
     pub tuning: Tuning,
 }
 
-impl DaemonBoot {
+impl DaemonSettings {
     /// Reads and checks the settings.
-    pub fn read(boot_source: &BootSource) -> Result<Self, BootFault> {
-        boot_source.read(|root| {
-            root.only(&[
+    pub fn read(settings_source: &SettingsSource) -> Result<Self, SettingsError> {
+        settings_source.read(|root| {
+            root.allow_only(&[
                 "member",
                 "locality",
                 "place",
@@ -81,36 +83,36 @@
             ]);
             let member = root.field("member").text();
             let zone = root.field("locality").text();
-            let place = read_place(&root.field("place"));
-            let listen = read_listen(root, place);
-            let door = read_place(&root.field("door"));
-            let seeds = read_places(&root.field("seeds"), 1..=3);
-            let platform = read_place(&root.field("platform"));
-            let largest_body = root.field("largest_body").number_or(1..=64 << 20, 1 << 20);
+            let address = read_address(&root.field("place"));
+            let listen = read_listen(root, address);
+            let ingress = read_address(&root.field("door"));
+            let seeds = read_addresses(&root.field("seeds"), 1..=3);
+            let platform = read_address(&root.field("platform"));
+            let max_body_bytes = root.field("largest_body").number_or(1..=64 << 20, 1 << 20);
             let grace_ms = root.field("grace_ms").number_or(500..=60_000, 5_600);
             let threads = root.field("threads").number_or(0..=256, 0);
             let ready_reader = root.field("ready");
             let ready =
-                if ready_reader.is_there() { Some(read_place(&ready_reader)?) } else { None };
-            let beat_ms = root.field("beat_ms").number_or(20..=10_000, 250);
+                if ready_reader.is_present() { Some(read_address(&ready_reader)?) } else { None };
+            let heartbeat_ms = root.field("beat_ms").number_or(20..=10_000, 250);
             let link_mbps = root.field("link_mbps").number_or(0..=1_000_000, 0) as u32;
-            let warm = root.field("warm").flag_or(false);
+            let warm = root.field("warm").bool_or(false);
             let regions = read_regions(&root.field("regions"));
             let tuning = read_tuning(root);
             Some(Self {
-                source: boot_source.name().to_owned(),
+                source: settings_source.name().to_owned(),
                 member: MemberName::from(member?),
                 zone: Zone::from(zone?),
-                place: place?,
+                address: address?,
                 listen: listen?,
-                door: door?,
+                ingress: ingress?,
                 seeds: seeds?,
                 platform: platform?,
-                largest_body: largest_body as usize,
+                max_body_bytes: max_body_bytes as usize,
                 grace: Duration::from_millis(grace_ms),
                 threads: threads as usize,
                 ready,
-                beat_every: Duration::from_millis(beat_ms),
+                heartbeat_interval: Duration::from_millis(heartbeat_ms),
                 link_mbps,
                 warm,
                 regions,
@@ -123,9 +125,9 @@
 /// Reads which regions the zones lie in, as an object of texts by zone.
 fn read_regions(reader: &PathReader<'_>) -> Regions {
     let zones = reader.fields().into_iter();
-    let named =
+    let region_by_zone =
         zones.filter_map(|(zone, region)| Some((Zone::from(zone), Region::from(region.text()?))));
-    Regions::new(named.collect())
+    Regions::new(region_by_zone.collect())
 }
 
 /// What stands for a span whose setting is faulty; the fault ends the start all the same.
@@ -133,11 +135,12 @@
 
 fn read_idle_cost(root: &PathReader<'_>) -> IdleCost {
     let default = IdleCost::default();
-    let mb_s =
-        |key: &str, or: u32| root.field(key).number_or(0..=100_000_000, u64::from(or)) as u32;
+    let megabyte_seconds = |key: &str, default_value: u32| {
+        root.field(key).number_or(0..=100_000_000, u64::from(default_value)) as u32
+    };
     IdleCost {
-        start_mb_s: mb_s("start_mb_s", default.start_mb_s),
-        late_mb_s: mb_s("late_mb_s", default.late_mb_s),
+        start_cost_mb_s: megabyte_seconds("start_mb_s", default.start_cost_mb_s),
+        late_cost_mb_s: megabyte_seconds("late_mb_s", default.late_cost_mb_s),
     }
 }
 
@@ -147,26 +150,26 @@
         let millis = root.field(key).number_or(1..=600_000, default_span.as_millis() as u64);
         Duration::from_millis(millis)
     };
-    let count = |key: &str, most: u64, default_count: u64| {
-        root.field(key).number_or(0..=most, default_count)
+    let count = |key: &str, limit: u64, default_count: u64| {
+        root.field(key).number_or(0..=limit, default_count)
     };
     Tuning {
-        tries_percent: count("tries_percent", 1000, default.tries_percent),
-        tries_allowance: count("tries_allowance", 1_000_000, default.tries_allowance),
-        tries_allowance_at_once: root.field("tries_allowance_at_once").flag_or(false),
-        idle_boots: count("idle_boots", 1_000_000, u64::from(default.idle_boots)) as u32,
-        settles: default.settles,
-        idle_rare: root
+        retry_percent: count("tries_percent", 1000, default.retry_percent),
+        retry_allowance: count("tries_allowance", 1_000_000, default.retry_allowance),
+        retry_allowance_immediate: root.field("tries_allowance_at_once").bool_or(false),
+        idle_startups: count("idle_boots", 1_000_000, u64::from(default.idle_startups)) as u32,
+        lists_running: default.lists_running,
+        rare_idle_limit: root
             .field("idle_rare_ms")
-            .is_there()
+            .is_present()
             .then(|| span("idle_rare_ms", DEFAULT_IDLE_RARE)),
-        idle_cost: root.field("idle_stop").flag_or(false).then(|| read_idle_cost(root)),
-        rise: span("rise_ms", default.rise),
+        idle_cost: root.field("idle_stop").bool_or(false).then(|| read_idle_cost(root)),
+        rate_window: span("rise_ms", default.rate_window),
         margin_percent: count("margin_percent", 10_000, u64::from(default.margin_percent)) as u32,
-        fall: root.field("fall_ms").is_there().then(|| span("fall_ms", Duration::ZERO)),
-        drain_every: root
+        decay: root.field("fall_ms").is_present().then(|| span("fall_ms", Duration::ZERO)),
+        drain_interval: root
             .field("drain_every_ms")
-            .is_there()
+            .is_present()
             .then(|| span("drain_every_ms", Duration::ZERO)),
     }
 }
--- a/crates/dataplane/tests/costs/mod.rs
+++ b/crates/dataplane/tests/costs/mod.rs
@@ -1,27 +1,29 @@
 //! A seeded day of calls for holders under virtual time, with a platform that boots, ramps and refuses.
 
-use common::chance::Chance;
-use common::clock::Moment;
-use common::frames::{HopOutcome, Life, Many, Place, ReserveResult};
-use common::identity::{FunctionKey, GrantSerial, RunnerId, Serial, Ticket};
+use common::adapter::StartOutcome;
+use common::clock::MonotonicTime;
+use common::frames::{Instance, LengthPrefixed, RequestOutcome, ReserveResult, SocketAddress};
+use common::identity::{FencingToken, FunctionKey, RunnerId, Ticket, Version};
+use common::rng::SeededRng;
 use common::spec::FunctionSpec;
-use common::tongue::BeginEnd;
-use dataplane::holder::{Entry, GrantTerms, Holder, HolderMessage, HolderOutput, SendEnd, Tuning};
+use dataplane::holder::{
+    AdmissionRequest, Holder, HolderMessage, HolderOutput, LeaseTerms, SendResult, Tuning,
+};
 use std::collections::{BTreeMap, VecDeque};
 use std::fmt;
 use std::time::Duration;
 
-const START: Moment = Moment(50_000_000_000);
+const START: MonotonicTime = MonotonicTime(50_000_000_000);
 const DAY: Duration = Duration::from_secs(34);
 /// Calls begin when what is kept warm has booted.
-const BEFORE: Duration = Duration::from_secs(3);
-const AFTER: Duration = Duration::from_secs(6);
+const WARM_UP: Duration = Duration::from_secs(3);
+const COOL_DOWN: Duration = Duration::from_secs(6);
 const TICK: Duration = Duration::from_millis(50);
-const LEADER_SPAN: Duration = Duration::from_millis(12);
-const PLATFORM_SPAN: Duration = Duration::from_millis(8);
-const FRESH_SPAN: f64 = 3.0;
+const LEADER_LATENCY: Duration = Duration::from_millis(12);
+const PLATFORM_LATENCY: Duration = Duration::from_millis(8);
+const SLOW_START_SECONDS: f64 = 3.0;
 const CROWD: (f64, f64) = (14.0, 18.0);
-const REFUSED_WINDOW: Duration = Duration::from_secs(5);
+const REJECTION_WINDOW: Duration = Duration::from_secs(5);
 
 /// What a site charges.
 #[derive(Clone, Copy)]
@@ -31,16 +33,16 @@
     /// A start.
     pub start: f64,
     /// What a late answer keeps of its worth.
-    pub late_share: f64,
+    pub late_value_fraction: f64,
 }
 
 /// A kind of function.
 #[derive(Clone, Copy)]
-pub struct Kind {
+pub struct FunctionProfile {
     /// Memory of one runner, in megabytes.
     pub memory_mb: u32,
     /// The mean boot.
-    pub boot: Duration,
+    pub startup: Duration,
     /// Transactions one runner runs at once.
     pub slots: u32,
     /// The shortest and longest work.
@@ -48,54 +50,54 @@
     /// When an answer turns late.
     pub target: Duration,
     /// When a caller gives up.
-    pub budget: Duration,
+    pub timeout: Duration,
     /// Whether one runner is always kept.
     pub warm: bool,
 }
 
 /// One function's calls.
 #[derive(Clone, Copy)]
-pub struct Stream {
+pub struct CallStream {
     /// Its kind.
-    pub kind: Kind,
+    pub profile: FunctionProfile,
     /// Calls a second.
     pub rate: f64,
     /// How many times as many come during the crowd.
-    pub crowd: f64,
+    pub crowd_factor: f64,
 }
 
 /// Rates of so many functions, falling with their place to a power.
 pub fn spread(count: usize, all_rate: f64, power: f64) -> Vec<f64> {
-    let shares: Vec<f64> = (1..=count).map(|place| 1.0 / (place as f64).powf(power)).collect();
-    let whole: f64 = shares.iter().sum();
-    shares.into_iter().map(|share| all_rate * share / whole).collect()
+    let shares: Vec<f64> = (1..=count).map(|address| 1.0 / (address as f64).powf(power)).collect();
+    let total_share: f64 = shares.iter().sum();
+    shares.into_iter().map(|share| all_rate * share / total_share).collect()
 }
 
 /// What a day came to.
 #[derive(Default)]
-pub struct Bill {
+pub struct CostReport {
     gb_seconds: f64,
     starts: u64,
     unused: u64,
     calls: u64,
     late: u64,
     unserved: u64,
-    refusals: u64,
+    rejections: u64,
     memory_cost: f64,
     start_cost: f64,
-    lost_worth: f64,
+    lost_value: f64,
     /// The most that runners of one function refused within five seconds.
-    pub most_refused: usize,
+    pub max_rejections: usize,
 }
 
-impl Bill {
+impl CostReport {
     /// Memory, starts and lost worth.
     pub fn total(&self) -> f64 {
-        self.memory_cost + self.start_cost + self.lost_worth
+        self.memory_cost + self.start_cost + self.lost_value
     }
 }
 
-impl fmt::Display for Bill {
+impl fmt::Display for CostReport {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             formatter,
@@ -108,301 +110,319 @@
             self.calls,
             self.late,
             self.unserved,
-            self.refusals,
-            self.lost_worth,
-            self.most_refused,
+            self.rejections,
+            self.lost_value,
+            self.max_rejections,
         )
     }
 }
 
 #[derive(Clone, Copy)]
 struct Call {
-    first_at: Moment,
-    tries: u32,
+    first_at: MonotonicTime,
+    max_attempts: u32,
 }
 
-enum Happening {
+enum SimEvent {
     Arrival,
-    Again(Call),
+    Retry(Call),
     Tick,
     Due,
     Reserved,
     Started(RunnerId),
     Probed(RunnerId),
     Stopped(RunnerId),
-    Ended(Ticket, SendEnd, RunnerId),
+    SendFinished(Ticket, SendResult, RunnerId),
 }
 
 struct Runner {
-    begun_at: Moment,
-    ready_at: Moment,
+    begun_at: MonotonicTime,
+    ready_at: MonotonicTime,
     speed: f64,
     running: u32,
     used: bool,
 }
 
-struct Played {
-    stream: Stream,
+struct SimFunction {
+    call_stream: CallStream,
     holder: Holder,
     runners: BTreeMap<RunnerId, Runner>,
     calls: BTreeMap<Ticket, Call>,
-    refused_at: VecDeque<Moment>,
+    rejected_at: VecDeque<MonotonicTime>,
     is_begun: bool,
     next_runner: u64,
     next_ticket: u64,
-    due_at: Option<Moment>,
+    due_at: Option<MonotonicTime>,
 }
 
 /// A day in play.
-pub struct Day {
-    chance: Chance,
+pub struct DaySimulation {
+    rng: SeededRng,
     prices: Prices,
-    played: Vec<Played>,
-    happenings: BTreeMap<(Moment, u64), (usize, Happening)>,
-    next_happening: u64,
-    now: Moment,
-    bill: Bill,
+    functions: Vec<SimFunction>,
+    events: BTreeMap<(MonotonicTime, u64), (usize, SimEvent)>,
+    next_event: u64,
+    now: MonotonicTime,
+    costs_report: CostReport,
 }
 
-impl Day {
+impl DaySimulation {
     /// A day with holders as the users' machines have them.
-    pub fn new(seed: u64, prices: Prices, streams: &[Stream]) -> Self {
+    pub fn new(seed: u64, prices: Prices, streams: &[CallStream]) -> Self {
         let mut day = Self {
-            chance: Chance::seeded(seed),
+            rng: SeededRng::seeded(seed),
             prices,
-            played: Vec::new(),
-            happenings: BTreeMap::new(),
-            next_happening: 0,
+            functions: Vec::new(),
+            events: BTreeMap::new(),
+            next_event: 0,
             now: START,
-            bill: Bill::default(),
+            costs_report: CostReport::default(),
         };
-        for (number, stream) in streams.iter().enumerate() {
-            let terms = GrantTerms {
-                function: FunctionKey::new("f", Serial(2)),
-                grant: GrantSerial(1),
+        for (number, call_stream) in streams.iter().enumerate() {
+            let terms = LeaseTerms {
+                function: FunctionKey::new("f", Version(2)),
+                fencing_token: FencingToken(1),
                 spec: FunctionSpec {
                     connections: 100,
-                    memory_mb: stream.kind.memory_mb,
-                    boot: stream.kind.boot,
-                    slots: stream.kind.slots,
+                    memory_mb: call_stream.profile.memory_mb,
+                    startup: call_stream.profile.startup,
+                    slots: call_stream.profile.slots,
                     min_runners: 0,
                     max_runners: 64,
                 },
                 once_wait: Duration::ZERO,
-                steward: None,
-                prior: None,
+                replica: None,
+                previous_lease: None,
                 adopted: Vec::new(),
             };
             let mut holder = Holder::new(START, terms).with_tuning(START, tuning());
-            holder.set_warm(stream.kind.warm);
-            day.played.push(Played {
-                stream: *stream,
+            holder.set_warm(call_stream.profile.warm);
+            day.functions.push(SimFunction {
+                call_stream: *call_stream,
                 holder,
                 runners: BTreeMap::new(),
                 calls: BTreeMap::new(),
-                refused_at: VecDeque::new(),
+                rejected_at: VecDeque::new(),
                 is_begun: false,
                 next_runner: 0,
                 next_ticket: 0,
                 due_at: None,
             });
-            if stream.kind.warm {
+            if call_stream.profile.warm {
                 day.begin(number);
             }
-            let first_gap = day.gap(number);
-            day.plan(number, BEFORE + first_gap, Happening::Arrival);
+            let first_gap = day.next_gap(number);
+            day.schedule(number, WARM_UP + first_gap, SimEvent::Arrival);
         }
         day
     }
 
-    fn plan(&mut self, number: usize, after: Duration, happening: Happening) {
-        self.next_happening += 1;
-        self.happenings.insert((self.now + after, self.next_happening), (number, happening));
+    fn schedule(&mut self, number: usize, after: Duration, event: SimEvent) {
+        self.next_event += 1;
+        self.events.insert((self.now + after, self.next_event), (number, event));
     }
 
     fn begin(&mut self, number: usize) {
-        let played = &mut self.played[number];
-        if !played.is_begun {
-            played.is_begun = true;
-            let outputs = played.holder.begin(self.now);
-            self.obey(number, outputs);
-            self.plan(number, TICK, Happening::Tick);
+        let functions = &mut self.functions[number];
+        if !functions.is_begun {
+            functions.is_begun = true;
+            let outputs = functions.holder.begin(self.now);
+            self.execute_outputs(number, outputs);
+            self.schedule(number, TICK, SimEvent::Tick);
         }
     }
 
-    fn gap(&mut self, number: usize) -> Duration {
-        let stream = self.played[number].stream;
-        let passed = self.now.since(START + BEFORE).as_secs_f64();
+    fn next_gap(&mut self, number: usize) -> Duration {
+        let call_stream = self.functions[number].call_stream;
+        let passed = self.now.since(START + WARM_UP).as_secs_f64();
         let is_crowd = (CROWD.0..CROWD.1).contains(&passed);
-        let rate = stream.rate * if is_crowd { stream.crowd } else { 1.0 };
-        let gap = -self.chance.share().max(1e-9).ln() / rate;
-        Duration::from_secs_f64(gap)
+        let rate = call_stream.rate * if is_crowd { call_stream.crowd_factor } else { 1.0 };
+        let next_gap = -self.rng.fraction().max(1e-9).ln() / rate;
+        Duration::from_secs_f64(next_gap)
     }
 
     /// Plays it to its end.
-    pub fn play(mut self) -> Bill {
-        while let Some(((at, _), (number, happening))) = self.happenings.pop_first() {
-            if at > START + BEFORE + DAY + AFTER {
+    pub fn run(mut self) -> CostReport {
+        while let Some(((at, _), (number, event))) = self.events.pop_first() {
+            if at > START + WARM_UP + DAY + COOL_DOWN {
                 break;
             }
             self.now = at;
-            self.happen(number, happening);
-            self.plan_due(number);
+            self.handle_event(number, event);
+            self.schedule_due(number);
         }
-        self.now = START + BEFORE + DAY + AFTER;
-        for number in 0..self.played.len() {
-            let left: Vec<RunnerId> = self.played[number].runners.keys().copied().collect();
-            for runner in left {
+        self.now = START + WARM_UP + DAY + COOL_DOWN;
+        for number in 0..self.functions.len() {
+            let remaining: Vec<RunnerId> = self.functions[number].runners.keys().copied().collect();
+            for runner in remaining {
                 self.charge(number, runner);
             }
-            let open_count = self.played[number].calls.len() as u64;
-            self.bill.unserved += open_count;
-            self.bill.lost_worth += open_count as f64;
+            let open_count = self.functions[number].calls.len() as u64;
+            self.costs_report.unserved += open_count;
+            self.costs_report.lost_value += open_count as f64;
         }
-        self.bill
+        self.costs_report
     }
 
-    fn plan_due(&mut self, number: usize) {
-        let played = &mut self.played[number];
-        let due_at =
-            played.holder.next_due().map(|due_at| due_at.max(self.now + Duration::from_millis(1)));
+    fn schedule_due(&mut self, number: usize) {
+        let functions = &mut self.functions[number];
+        let due_at = functions
+            .holder
+            .next_due()
+            .map(|due_at| due_at.max(self.now + Duration::from_millis(1)));
         if let Some(due_at) = due_at
-            && played.due_at.is_none_or(|planned_at| planned_at <= self.now || due_at < planned_at)
+            && functions
+                .due_at
+                .is_none_or(|planned_at| planned_at <= self.now || due_at < planned_at)
         {
-            played.due_at = Some(due_at);
-            self.plan(number, due_at.since(self.now), Happening::Due);
+            functions.due_at = Some(due_at);
+            self.schedule(number, due_at.since(self.now), SimEvent::Due);
         }
     }
 
-    fn happen(&mut self, number: usize, happening: Happening) {
+    fn handle_event(&mut self, number: usize, event: SimEvent) {
         let now = self.now;
-        let outputs = match happening {
-            Happening::Arrival => {
-                if now < START + BEFORE + DAY {
-                    let gap = self.gap(number);
-                    self.plan(number, gap, Happening::Arrival);
+        let outputs = match event {
+            SimEvent::Arrival => {
+                if now < START + WARM_UP + DAY {
+                    let next_gap = self.next_gap(number);
+                    self.schedule(number, next_gap, SimEvent::Arrival);
                     self.begin(number);
-                    self.bill.calls += 1;
-                    self.enter(number, Call { first_at: now, tries: 1 });
+                    self.costs_report.calls += 1;
+                    self.submit(number, Call { first_at: now, max_attempts: 1 });
                 }
                 return;
             }
-            Happening::Again(call) => return self.enter(number, call),
-            Happening::Tick => {
-                self.plan(number, TICK, Happening::Tick);
-                self.played[number].holder.tick(now)
+            SimEvent::Retry(call) => return self.submit(number, call),
+            SimEvent::Tick => {
+                self.schedule(number, TICK, SimEvent::Tick);
+                self.functions[number].holder.tick(now)
             }
-            Happening::Due => self.played[number].holder.tick(now),
-            Happening::Reserved => {
-                let played = &mut self.played[number];
-                played.next_runner += 1;
-                let runner = RunnerId { grant: GrantSerial(1), ordinal: played.next_runner };
-                let memory_mb = played.stream.kind.memory_mb;
+            SimEvent::Due => self.functions[number].holder.tick(now),
+            SimEvent::Reserved => {
+                let functions = &mut self.functions[number];
+                functions.next_runner += 1;
+                let runner =
+                    RunnerId { fencing_token: FencingToken(1), ordinal: functions.next_runner };
+                let memory_mb = functions.call_stream.profile.memory_mb;
                 let result = ReserveResult::Reserved { runner, worker: "w".into(), memory_mb };
-                played.holder.reserved(now, &result)
+                functions.holder.reserved(now, &result)
             }
-            Happening::Started(runner) => {
-                let life = Life { name: format!("life {runner}").into(), place: Place::NOWHERE };
-                self.played[number].holder.started(now, runner, BeginEnd::Begun(life))
+            SimEvent::Started(runner) => {
+                let instance = Instance {
+                    name: format!("life {runner}").into(),
+                    address: SocketAddress::UNSPECIFIED,
+                };
+                self.functions[number].holder.started(now, runner, StartOutcome::Started(instance))
             }
-            Happening::Probed(runner) => {
-                let played = &mut self.played[number];
-                let is_ready =
-                    played.runners.get(&runner).is_some_and(|known| known.ready_at <= now);
-                played.holder.probed(now, runner, is_ready)
+            SimEvent::Probed(runner) => {
+                let functions = &mut self.functions[number];
+                let is_ready = functions
+                    .runners
+                    .get(&runner)
+                    .is_some_and(|sim_runner| sim_runner.ready_at <= now);
+                functions.holder.probed(now, runner, is_ready)
             }
-            Happening::Stopped(runner) => {
+            SimEvent::Stopped(runner) => {
                 self.charge(number, runner);
-                self.played[number].holder.stopped(now, runner)
+                self.functions[number].holder.stopped(now, runner)
             }
-            Happening::Ended(ticket, end, runner) => {
-                let played = &mut self.played[number];
-                if let Some(known) = played.runners.get_mut(&runner) {
-                    known.running = known.running.saturating_sub(1);
+            SimEvent::SendFinished(ticket, end, runner) => {
+                let functions = &mut self.functions[number];
+                if let Some(sim_runner) = functions.runners.get_mut(&runner) {
+                    sim_runner.running = sim_runner.running.saturating_sub(1);
                 }
-                played.holder.sent_ended(now, ticket, end)
+                functions.holder.handle_send_result(now, ticket, end)
             }
         };
-        self.obey(number, outputs);
+        self.execute_outputs(number, outputs);
     }
 
     fn charge(&mut self, number: usize, runner: RunnerId) {
-        let played = &mut self.played[number];
-        let Some(known) = played.runners.remove(&runner) else { return };
-        let gb = f64::from(played.stream.kind.memory_mb) / 1024.0;
-        let gb_seconds = gb * self.now.since(known.begun_at).as_secs_f64();
-        self.bill.gb_seconds += gb_seconds;
-        self.bill.memory_cost += gb_seconds * self.prices.gb_second;
-        self.bill.unused += u64::from(!known.used);
+        let functions = &mut self.functions[number];
+        let Some(sim_runner) = functions.runners.remove(&runner) else { return };
+        let gb = f64::from(functions.call_stream.profile.memory_mb) / 1024.0;
+        let gb_seconds = gb * self.now.since(sim_runner.begun_at).as_secs_f64();
+        self.costs_report.gb_seconds += gb_seconds;
+        self.costs_report.memory_cost += gb_seconds * self.prices.gb_second;
+        self.costs_report.unused += u64::from(!sim_runner.used);
     }
 
-    fn enter(&mut self, number: usize, call: Call) {
-        let played = &mut self.played[number];
-        played.next_ticket += 1;
-        let ticket = Ticket(played.next_ticket);
-        let kind = played.stream.kind;
-        let entry = Entry {
+    fn submit(&mut self, number: usize, call: Call) {
+        let functions = &mut self.functions[number];
+        functions.next_ticket += 1;
+        let ticket = Ticket(functions.next_ticket);
+        let profile = functions.call_stream.profile;
+        let request = AdmissionRequest {
             ticket,
-            transaction: format!("t{ticket:?}").as_str().into(),
+            idempotency_key: format!("t{ticket:?}").as_str().into(),
             once: false,
-            noted: false,
-            tries: 2,
+            recorded: false,
+            max_attempts: 2,
             repeat: false,
-            budget_end: call.first_at + kind.budget,
-            patience: kind.budget,
-            target: kind.target,
+            deadline: call.first_at + profile.timeout,
+            queue_timeout: profile.timeout,
+            target: profile.target,
             rank: 0,
             region: None,
         };
-        played.calls.insert(ticket, call);
-        let (at_once, outputs) = played.holder.grant_entry(self.now, entry);
+        functions.calls.insert(ticket, call);
+        let (at_once, outputs) = functions.holder.admit(self.now, request);
         if let Some(outcome) = at_once {
-            self.over(number, ticket, &outcome);
+            self.finish_call(number, ticket, &outcome);
         }
-        self.obey(number, outputs);
+        self.execute_outputs(number, outputs);
     }
 
-    fn over(&mut self, number: usize, ticket: Ticket, outcome: &HopOutcome) {
-        let played = &mut self.played[number];
-        let Some(call) = played.calls.remove(&ticket) else { return };
-        let kind = played.stream.kind;
+    fn finish_call(&mut self, number: usize, ticket: Ticket, outcome: &RequestOutcome) {
+        let functions = &mut self.functions[number];
+        let Some(call) = functions.calls.remove(&ticket) else { return };
+        let profile = functions.call_stream.profile;
         let taken_span = self.now.since(call.first_at);
-        let left_span = kind.budget.saturating_sub(taken_span);
+        let remaining_time = profile.timeout.saturating_sub(taken_span);
         match outcome {
-            HopOutcome::Answer { .. } if taken_span <= kind.target && call.tries == 1 => {}
-            HopOutcome::Answer { .. } if taken_span <= kind.target => {
-                self.bill.lost_worth += (1.0 - self.prices.late_share) / 2.0;
+            RequestOutcome::Response { .. }
+                if taken_span <= profile.target && call.max_attempts == 1 => {}
+            RequestOutcome::Response { .. } if taken_span <= profile.target => {
+                self.costs_report.lost_value += (1.0 - self.prices.late_value_fraction) / 2.0;
             }
-            HopOutcome::Answer { .. } if !left_span.is_zero() => {
-                self.bill.late += 1;
-                self.bill.lost_worth += 1.0 - self.prices.late_share;
+            RequestOutcome::Response { .. } if !remaining_time.is_zero() => {
+                self.costs_report.late += 1;
+                self.costs_report.lost_value += 1.0 - self.prices.late_value_fraction;
             }
-            HopOutcome::NotRun { retry_ms, .. } if call.tries < 4 && !left_span.is_zero() => {
-                self.bill.refusals += 1;
-                let pause = Duration::from_millis(u64::from(*retry_ms)).min(left_span / 3);
-                self.plan(number, pause, Happening::Again(Call { tries: call.tries + 1, ..call }));
+            RequestOutcome::NotRun { retry_after_ms, .. }
+                if call.max_attempts < 4 && !remaining_time.is_zero() =>
+            {
+                self.costs_report.rejections += 1;
+                let pause =
+                    Duration::from_millis(u64::from(*retry_after_ms)).min(remaining_time / 3);
+                self.schedule(
+                    number,
+                    pause,
+                    SimEvent::Retry(Call { max_attempts: call.max_attempts + 1, ..call }),
+                );
             }
             _ => {
-                self.bill.unserved += 1;
-                self.bill.lost_worth += 1.0;
+                self.costs_report.unserved += 1;
+                self.costs_report.lost_value += 1.0;
             }
         }
     }
 
-    fn obey(&mut self, number: usize, outputs: Vec<HolderOutput>) {
+    fn execute_outputs(&mut self, number: usize, outputs: Vec<HolderOutput>) {
         for output in outputs {
             match output {
                 HolderOutput::Send { ticket, runner, .. } => self.send(number, ticket, runner),
-                HolderOutput::End { ticket, outcome } => self.over(number, ticket, &outcome),
-                HolderOutput::Tell(HolderMessage::Reserve) => {
-                    self.plan(number, LEADER_SPAN, Happening::Reserved);
+                HolderOutput::End { ticket, outcome } => self.finish_call(number, ticket, &outcome),
+                HolderOutput::Report(HolderMessage::Reserve) => {
+                    self.schedule(number, LEADER_LATENCY, SimEvent::Reserved);
                 }
                 HolderOutput::Start { runner, .. } => self.start(number, runner),
                 HolderOutput::Probe { runner, .. } => {
-                    self.plan(number, PLATFORM_SPAN / 2, Happening::Probed(runner));
+                    self.schedule(number, PLATFORM_LATENCY / 2, SimEvent::Probed(runner));
                 }
                 HolderOutput::Stop { runner, .. } => {
-                    self.plan(number, PLATFORM_SPAN, Happening::Stopped(runner));
+                    self.schedule(number, PLATFORM_LATENCY, SimEvent::Stopped(runner));
                 }
                 _ => {}
             }
@@ -410,69 +430,74 @@
     }
 
     fn start(&mut self, number: usize, runner: RunnerId) {
-        let boot = self.played[number].stream.kind.boot;
-        let begun_at = self.now + PLATFORM_SPAN / 2;
-        let known = Runner {
+        let startup = self.functions[number].call_stream.profile.startup;
+        let begun_at = self.now + PLATFORM_LATENCY / 2;
+        let sim_runner = Runner {
             begun_at,
-            ready_at: begun_at + boot.mul_f64(0.7 + 0.6 * self.chance.share()),
-            speed: 0.9 + 0.2 * self.chance.share(),
+            ready_at: begun_at + startup.mul_f64(0.7 + 0.6 * self.rng.fraction()),
+            speed: 0.9 + 0.2 * self.rng.fraction(),
             running: 0,
             used: false,
         };
-        if self.played[number].runners.insert(runner, known).is_none() {
-            self.bill.starts += 1;
-            self.bill.start_cost += self.prices.start;
+        if self.functions[number].runners.insert(runner, sim_runner).is_none() {
+            self.costs_report.starts += 1;
+            self.costs_report.start_cost += self.prices.start;
         }
-        self.plan(number, PLATFORM_SPAN, Happening::Started(runner));
+        self.schedule(number, PLATFORM_LATENCY, SimEvent::Started(runner));
     }
 
     fn send(&mut self, number: usize, ticket: Ticket, runner: RunnerId) {
-        let kind = self.played[number].stream.kind;
-        let work = self.chance.within(kind.service.0, kind.service.1);
+        let profile = self.functions[number].call_stream.profile;
+        let work = self.rng.within(profile.service.0, profile.service.1);
         let now = self.now;
-        let played = &mut self.played[number];
-        let Some(known) = played.runners.get_mut(&runner) else {
-            return self.plan(
+        let functions = &mut self.functions[number];
+        let Some(sim_runner) = functions.runners.get_mut(&runner) else {
+            return self.schedule(
                 number,
-                PLATFORM_SPAN,
-                Happening::Ended(ticket, SendEnd::Unsent, runner),
+                PLATFORM_LATENCY,
+                SimEvent::SendFinished(ticket, SendResult::Unsent, runner),
             );
         };
-        if known.running >= kind.slots {
-            known.running += 1;
-            played.refused_at.push_back(now);
-            played.refused_at.retain(|at| now.since(*at) < REFUSED_WINDOW);
-            self.bill.most_refused = self.bill.most_refused.max(played.refused_at.len());
-            let end = SendEnd::ShedByRunner;
-            return self.plan(number, PLATFORM_SPAN, Happening::Ended(ticket, end, runner));
+        if sim_runner.running >= profile.slots {
+            sim_runner.running += 1;
+            functions.rejected_at.push_back(now);
+            functions.rejected_at.retain(|at| now.since(*at) < REJECTION_WINDOW);
+            self.costs_report.max_rejections =
+                self.costs_report.max_rejections.max(functions.rejected_at.len());
+            let end = SendResult::RejectedByRunner;
+            return self.schedule(
+                number,
+                PLATFORM_LATENCY,
+                SimEvent::SendFinished(ticket, end, runner),
+            );
         }
-        known.running += 1;
-        known.used = true;
-        let age = now.since(known.ready_at).as_secs_f64();
-        let fresh_share = (1.0 - age / FRESH_SPAN).max(0.0);
-        let slowness = known.speed * (1.0 + fresh_share);
-        let outcome = HopOutcome::Answer {
-            lines: Many(Vec::new()),
+        sim_runner.running += 1;
+        sim_runner.used = true;
+        let age = now.since(sim_runner.ready_at).as_secs_f64();
+        let slow_start_share = (1.0 - age / SLOW_START_SECONDS).max(0.0);
+        let slowness = sim_runner.speed * (1.0 + slow_start_share);
+        let outcome = RequestOutcome::Response {
+            header_fields: LengthPrefixed(Vec::new()),
             status: 200,
             seal: Vec::new().into(),
             runner,
             body: Vec::new().into(),
         };
-        let end = SendEnd::Answered(outcome);
-        self.plan(number, work.mul_f64(slowness), Happening::Ended(ticket, end, runner));
+        let end = SendResult::Answered(outcome);
+        self.schedule(number, work.mul_f64(slowness), SimEvent::SendFinished(ticket, end, runner));
     }
 }
 
 fn tuning() -> Tuning {
     Tuning::builder()
-        .tries_allowance(15)
-        .tries_allowance_at_once(true)
-        .idle_boots(3)
-        .idle_rare(Some(Duration::from_millis(150)))
+        .retry_allowance(15)
+        .retry_allowance_immediate(true)
+        .idle_startups(3)
+        .rare_idle_limit(Some(Duration::from_millis(150)))
         .margin_percent(100)
-        .fall(Duration::from_millis(3000))
-        .rise(Duration::from_millis(500))
-        .drain_every(Duration::from_millis(300))
-        .settles(false)
+        .decay(Duration::from_millis(3000))
+        .rate_window(Duration::from_millis(500))
+        .drain_interval(Duration::from_millis(300))
+        .lists_running(false)
         .build()
 }
--- a/crates/dataplane/tests/holder.rs
+++ b/crates/dataplane/tests/holder.rs
@@ -1,21 +1,24 @@
 //! A held function: slots, ramps, identities, extra tries, refusals.
 
-use common::chance::Chance;
-use common::clock::Moment;
+use common::adapter::StartOutcome;
+use common::clock::MonotonicTime;
 use common::frames::{
-    ClaimRunner, Flag, HopOutcome, HopReason, Host, LedgerNote, Life, Many, NoteState, Place,
-    Prior, ReserveResult, RunnerNews,
+    ClaimedRunner, Flag, Host, Instance, LedgerRecord, LedgerRecordState, LengthPrefixed,
+    PreviousLease, RequestFailureReason, RequestOutcome, ReserveResult, RunnerStatus,
+    SocketAddress,
 };
-use common::identity::{FunctionKey, GrantSerial, RunnerId, Serial, Ticket};
+use common::identity::{FencingToken, FunctionKey, RunnerId, Ticket, Version};
+use common::rng::SeededRng;
 use common::rules::{Rule, Rules};
 use common::spec::FunctionSpec;
-use common::tongue::BeginEnd;
-use dataplane::holder::{Entry, GrantTerms, Holder, HolderMessage, HolderOutput, SendEnd, Tuning};
+use dataplane::holder::{
+    AdmissionRequest, Holder, HolderMessage, HolderOutput, LeaseTerms, SendResult, Tuning,
+};
 use googletest::prelude::*;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-const START: Moment = Moment(50_000_000_000);
+const START: MonotonicTime = MonotonicTime(50_000_000_000);
 
 fn ms(millis: u64) -> Duration {
     Duration::from_millis(millis)
@@ -23,14 +26,14 @@
 
 struct Bench {
     holder: Holder,
-    now: Moment,
+    now: MonotonicTime,
     sent: Vec<(Ticket, RunnerId, u32)>,
-    ended: BTreeMap<Ticket, HopOutcome>,
-    orders: Vec<HolderOutput>,
+    ended: BTreeMap<Ticket, RequestOutcome>,
+    outputs: Vec<HolderOutput>,
     next_ticket: u64,
     next_runner: u64,
-    noted: bool,
-    tries: u32,
+    recorded: bool,
+    max_attempts: u32,
     rank: u8,
 }
 
@@ -39,52 +42,52 @@
         Self::of(slots, max_runners, once_wait, None, None)
     }
 
-    fn with_steward(
+    fn with_replica(
         slots: u32,
         once_wait: Duration,
-        steward: Option<Host>,
-        prior: Option<Prior>,
+        replica: Option<Host>,
+        previous_lease: Option<PreviousLease>,
     ) -> Self {
-        Self::of(slots, 4, once_wait, steward, prior)
+        Self::of(slots, 4, once_wait, replica, previous_lease)
     }
 
     fn of(
         slots: u32,
         max_runners: u32,
         once_wait: Duration,
-        steward: Option<Host>,
-        prior: Option<Prior>,
+        replica: Option<Host>,
+        previous_lease: Option<PreviousLease>,
     ) -> Self {
-        Self::made(slots, max_runners, once_wait, steward, prior, Vec::new())
+        Self::build(slots, max_runners, once_wait, replica, previous_lease, Vec::new())
     }
 
-    fn taking_over(slots: u32, adopted: Vec<ClaimRunner>) -> Self {
-        Self::made(slots, 1, Duration::ZERO, None, None, adopted)
+    fn with_adopted_runners(slots: u32, adopted: Vec<ClaimedRunner>) -> Self {
+        Self::build(slots, 1, Duration::ZERO, None, None, adopted)
     }
 
-    fn made(
+    fn build(
         slots: u32,
         max_runners: u32,
         once_wait: Duration,
-        steward: Option<Host>,
-        prior: Option<Prior>,
-        adopted: Vec<ClaimRunner>,
+        replica: Option<Host>,
+        previous_lease: Option<PreviousLease>,
+        adopted: Vec<ClaimedRunner>,
     ) -> Self {
         let spec = FunctionSpec {
             connections: 100,
             memory_mb: 100,
-            boot: ms(100),
+            startup: ms(100),
             slots,
             min_runners: 0,
             max_runners,
         };
-        let terms = GrantTerms {
-            function: FunctionKey::new("f", Serial(2)),
-            grant: GrantSerial(1),
+        let terms = LeaseTerms {
+            function: FunctionKey::new("f", Version(2)),
+            fencing_token: FencingToken(1),
             spec,
             once_wait,
-            steward,
-            prior,
+            replica,
+            previous_lease,
             adopted,
         };
         Self {
@@ -92,27 +95,27 @@
             now: START,
             sent: Vec::new(),
             ended: BTreeMap::new(),
-            orders: Vec::new(),
+            outputs: Vec::new(),
             next_ticket: 0,
             next_runner: 0,
-            noted: true,
-            tries: 100,
+            recorded: true,
+            max_attempts: 100,
             rank: 0,
         }
     }
 
-    fn tuned(mut self, tuning: Tuning) -> Self {
+    fn with_tuning(mut self, tuning: Tuning) -> Self {
         self.holder = self.holder.with_tuning(START, tuning);
         self
     }
 
-    fn sends_of(&self, ticket: Ticket) -> usize {
+    fn send_count(&self, ticket: Ticket) -> usize {
         self.sent.iter().filter(|(sent, _, _)| *sent == ticket).count()
     }
 
     fn take(&mut self, outputs: Vec<HolderOutput>) {
         for output in outputs {
-            self.orders.push(output.clone());
+            self.outputs.push(output.clone());
             match output {
                 HolderOutput::Send { ticket, runner, attempt, .. } => {
                     self.sent.push((ticket, runner, attempt));
@@ -120,18 +123,22 @@
                 HolderOutput::End { ticket, outcome } => {
                     self.ended.insert(ticket, outcome);
                 }
-                HolderOutput::Tell(HolderMessage::Reserve) => {
+                HolderOutput::Report(HolderMessage::Reserve) => {
                     self.next_runner += 1;
-                    let runner = RunnerId { grant: GrantSerial(1), ordinal: self.next_runner };
+                    let runner =
+                        RunnerId { fencing_token: FencingToken(1), ordinal: self.next_runner };
                     let result =
                         ReserveResult::Reserved { runner, worker: "w".into(), memory_mb: 100 };
                     let outputs = self.holder.reserved(self.now, &result);
                     self.take(outputs);
                 }
                 HolderOutput::Start { runner, .. } => {
-                    let life =
-                        Life { name: format!("life of {runner}").into(), place: Place::NOWHERE };
-                    let outputs = self.holder.started(self.now, runner, BeginEnd::Begun(life));
+                    let instance = Instance {
+                        name: format!("life of {runner}").into(),
+                        address: SocketAddress::UNSPECIFIED,
+                    };
+                    let outputs =
+                        self.holder.started(self.now, runner, StartOutcome::Started(instance));
                     self.take(outputs);
                 }
                 HolderOutput::Probe { runner, .. } => {
@@ -143,72 +150,74 @@
         }
     }
 
-    fn enter(&mut self, name: &str, once: bool, repeat: bool) -> (Ticket, Option<HopOutcome>) {
+    fn submit(&mut self, name: &str, once: bool, repeat: bool) -> (Ticket, Option<RequestOutcome>) {
         self.next_ticket += 1;
         let ticket = Ticket(self.next_ticket);
-        let entry = Entry {
+        let request = AdmissionRequest {
             ticket,
-            transaction: name.into(),
+            idempotency_key: name.into(),
             once,
-            noted: self.noted,
-            tries: self.tries,
+            recorded: self.recorded,
+            max_attempts: self.max_attempts,
             repeat,
-            budget_end: self.now + ms(3000),
-            patience: ms(3000),
+            deadline: self.now + ms(3000),
+            queue_timeout: ms(3000),
             target: ms(3000),
             rank: self.rank,
             region: None,
         };
-        let (at_once, outputs) = self.holder.grant_entry(self.now, entry);
+        let (immediate, outputs) = self.holder.admit(self.now, request);
         self.take(outputs);
-        (ticket, at_once)
+        (ticket, immediate)
     }
 
-    fn pass(&mut self, span: Duration) {
+    fn advance(&mut self, span: Duration) {
         self.now = self.now + span;
         let outputs = self.holder.tick(self.now);
         self.take(outputs);
     }
 
-    fn end(&mut self, ticket: Ticket, end: SendEnd) {
-        let outputs = self.holder.sent_ended(self.now, ticket, end);
+    fn end(&mut self, ticket: Ticket, end: SendResult) {
+        let outputs = self.holder.handle_send_result(self.now, ticket, end);
         self.take(outputs);
     }
 
     fn answer(&mut self, ticket: Ticket, runner: RunnerId) {
-        let outcome = HopOutcome::Answer {
-            lines: common::frames::Many(Vec::new()),
+        let outcome = RequestOutcome::Response {
+            header_fields: common::frames::LengthPrefixed(Vec::new()),
             status: 200,
             seal: Vec::new().into(),
             runner,
             body: b"done".to_vec().into(),
         };
-        self.end(ticket, SendEnd::Answered(outcome));
+        self.end(ticket, SendResult::Answered(outcome));
     }
 
     fn warm(&mut self) {
-        self.enter("warm", false, false);
-        self.pass(ms(60));
-        self.pass(ms(60));
+        self.submit("warm", false, false);
+        self.advance(ms(60));
+        self.advance(ms(60));
         let (ticket, runner, _) = self.sent.pop().expect("sent");
         self.answer(ticket, runner);
     }
 }
 
-fn reason(outcome: &Option<HopOutcome>) -> Option<HopReason> {
+fn reason(outcome: &Option<RequestOutcome>) -> Option<RequestFailureReason> {
     match outcome {
-        Some(HopOutcome::NotRun { reason, .. } | HopOutcome::Unknown { reason }) => Some(*reason),
+        Some(RequestOutcome::NotRun { reason, .. } | RequestOutcome::Unknown { reason }) => {
+            Some(*reason)
+        }
         _ => None,
     }
 }
 
 #[gtest]
-fn a_fresh_runner_gets_one_and_its_ramp_widens_by_answers() -> Result<()> {
+fn slow_start_begins_at_one_and_widens_with_answers() -> Result<()> {
     let mut bench = Bench::new(4, 4, Duration::ZERO);
     for number in 0..6 {
-        bench.enter(&format!("t{number}"), false, false);
+        bench.submit(&format!("t{number}"), false, false);
     }
-    bench.pass(ms(120));
+    bench.advance(ms(120));
     let runners: std::collections::BTreeSet<RunnerId> =
         bench.sent.iter().map(|(_, runner, _)| *runner).collect();
     verify_that!(bench.sent.len(), eq(runners.len()))?;
@@ -220,92 +229,108 @@
 }
 
 #[gtest]
-fn a_lost_answer_keeps_its_slot_until_the_runner_is_done() -> Result<()> {
+fn a_lost_answer_holds_its_slot_until_the_runner_reports_it_done() -> Result<()> {
     let mut bench = Bench::new(1, 1, Duration::ZERO);
     bench.warm();
-    let (first, _) = bench.enter("a", true, false);
+    let (first, _) = bench.submit("a", true, false);
     let (_, runner, _) = *bench.sent.last().expect("sent");
-    bench.end(first, SendEnd::Lost);
+    bench.end(first, SendResult::Lost);
     verify_that!(
         bench.ended.get(&first),
-        some(eq(&HopOutcome::Unknown { reason: HopReason::AnswerLost }))
+        some(eq(&RequestOutcome::Unknown { reason: RequestFailureReason::ResponseLost }))
     )?;
     let sent_before = bench.sent.len();
-    bench.enter("b", true, false);
+    bench.submit("b", true, false);
     verify_that!(bench.sent.len(), eq(sent_before))?;
-    let still_running = bench.holder.settled(bench.now + ms(300), runner, Some(vec!["a".into()]));
+    let still_running =
+        bench.holder.running_listed(bench.now + ms(300), runner, Some(vec!["a".into()]));
     bench.take(still_running);
     verify_that!(bench.sent.len(), eq(sent_before))?;
-    let done = bench.holder.settled(bench.now + ms(300), runner, Some(Vec::new()));
+    let done = bench.holder.running_listed(bench.now + ms(300), runner, Some(Vec::new()));
     bench.take(done);
     verify_that!(bench.sent.len(), eq(sent_before + 1))
 }
 
 #[gtest]
-fn a_once_transaction_is_sent_once_and_its_identity_never_again() -> Result<()> {
+fn a_once_request_is_sent_once_and_its_key_never_again() -> Result<()> {
     let mut bench = Bench::new(2, 4, Duration::ZERO);
     bench.warm();
-    let (ticket, at_once) = bench.enter("only", true, false);
-    verify_that!(at_once.is_none(), eq(true))?;
-    verify_that!(reason(&bench.enter("only", true, false).1), some(eq(HopReason::UnderWay)))?;
-    bench.end(ticket, SendEnd::Lost);
+    let (ticket, immediate) = bench.submit("only", true, false);
+    verify_that!(immediate.is_none(), eq(true))?;
+    verify_that!(
+        reason(&bench.submit("only", true, false).1),
+        some(eq(RequestFailureReason::InProgress))
+    )?;
+    bench.end(ticket, SendResult::Lost);
     for _ in 0..50 {
-        bench.pass(ms(100));
+        bench.advance(ms(100));
     }
-    let again = bench.enter("only", true, false).1;
-    verify_that!(again, some(eq(&HopOutcome::Unknown { reason: HopReason::AnswerLost })))?;
+    let repeated = bench.submit("only", true, false).1;
+    verify_that!(
+        repeated,
+        some(eq(&RequestOutcome::Unknown { reason: RequestFailureReason::ResponseLost }))
+    )?;
     let sends = bench.sent.iter().filter(|(sent, _, _)| *sent == ticket).count();
     verify_that!(sends, eq(1))
 }
 
 #[gtest]
-fn a_refused_identity_stays_refused() -> Result<()> {
+fn a_rejected_key_stays_rejected() -> Result<()> {
     let mut bench = Bench::new(2, 4, ms(1000));
-    verify_that!(reason(&bench.enter("early", true, false).1), some(eq(HopReason::OnceWait)))?;
-    bench.pass(ms(1500));
-    verify_that!(reason(&bench.enter("early", true, false).1), some(eq(HopReason::ShedBefore)))?;
-    verify_that!(bench.enter("later", true, false).1.is_none(), eq(true))
+    verify_that!(
+        reason(&bench.submit("early", true, false).1),
+        some(eq(RequestFailureReason::OnceNotYetAdmitted))
+    )?;
+    bench.advance(ms(1500));
+    verify_that!(
+        reason(&bench.submit("early", true, false).1),
+        some(eq(RequestFailureReason::RejectedBefore))
+    )?;
+    verify_that!(bench.submit("later", true, false).1.is_none(), eq(true))
 }
 
 #[gtest]
-fn a_refusal_after_a_lost_try_is_unknown_and_never_not_run() -> Result<()> {
+fn a_rejection_after_a_lost_attempt_is_unknown_and_never_not_run() -> Result<()> {
     let mut bench = Bench::new(2, 4, Duration::ZERO);
     bench.warm();
-    bench.pass(ms(10_100));
+    bench.advance(ms(10_100));
     for number in 0..20 {
-        let (ticket, _) = bench.enter(&format!("fill{number}"), false, false);
+        let (ticket, _) = bench.submit(&format!("fill{number}"), false, false);
         let runner = bench.sent.last().expect("sent").1;
         bench.answer(ticket, runner);
     }
-    bench.tries = 2;
-    let (ticket, _) = bench.enter("risky", false, false);
-    bench.end(ticket, SendEnd::Lost);
+    bench.max_attempts = 2;
+    let (ticket, _) = bench.submit("risky", false, false);
+    bench.end(ticket, SendResult::Lost);
     verify_that!(bench.sent.last().map(|sent| sent.2), some(eq(2)))?;
-    bench.end(ticket, SendEnd::ShedByRunner);
+    bench.end(ticket, SendResult::RejectedByRunner);
     verify_that!(
         bench.ended.get(&ticket),
-        some(eq(&HopOutcome::Unknown { reason: HopReason::AnswerLost }))
+        some(eq(&RequestOutcome::Unknown { reason: RequestFailureReason::ResponseLost }))
     )
 }
 
-fn adopted_runner() -> ClaimRunner {
-    ClaimRunner {
-        runner: RunnerId { grant: GrantSerial(1), ordinal: 77 },
+fn adopted_runner() -> ClaimedRunner {
+    ClaimedRunner {
+        runner: RunnerId { fencing_token: FencingToken(1), ordinal: 77 },
         worker: "w".into(),
         memory_mb: 100,
-        life: Many(vec![Life { name: "an earlier holder's".into(), place: Place::NOWHERE }]),
-        fit: Flag(true),
+        instance: LengthPrefixed(vec![Instance {
+            name: "an earlier holder's".into(),
+            address: SocketAddress::UNSPECIFIED,
+        }]),
+        is_adoptable: Flag(true),
     }
 }
 
 #[gtest]
-fn a_runner_taken_over_is_used_at_once_with_half_of_its_slots() -> Result<()> {
-    let mut bench = Bench::taking_over(8, vec![adopted_runner()]);
+fn an_adopted_runner_is_used_at_once_with_half_of_its_slots() -> Result<()> {
+    let mut bench = Bench::with_adopted_runners(8, vec![adopted_runner()]);
     let outputs = bench.holder.begin(bench.now);
     bench.take(outputs);
     verify_that!(bench.next_runner, eq(0))?;
     for number in 0..6 {
-        bench.enter(&format!("t{number}"), false, false);
+        bench.submit(&format!("t{number}"), false, false);
     }
     let adopted_sends = bench.sent.iter().filter(|(_, runner, _)| runner.ordinal == 77).count();
     verify_that!(adopted_sends, eq(4))?;
@@ -316,98 +341,111 @@
 }
 
 #[gtest]
-fn the_same_start_is_ordered_again_until_the_platform_has_told_the_life() -> Result<()> {
+fn a_start_is_retried_until_the_platform_names_the_instance() -> Result<()> {
     let mut bench = Bench::new(1, 1, Duration::ZERO);
-    let runner = RunnerId { grant: GrantSerial(1), ordinal: 5 };
+    let runner = RunnerId { fencing_token: FencingToken(1), ordinal: 5 };
     let result = ReserveResult::Reserved { runner, worker: "w".into(), memory_mb: 100 };
     let starts = |outputs: &[HolderOutput]| {
         let is_start = |output: &&HolderOutput| matches!(output, HolderOutput::Start { runner: started, .. } if *started == runner);
         outputs.iter().filter(is_start).count()
     };
     verify_that!(starts(&bench.holder.reserved(bench.now, &result)), eq(1))?;
-    for end in [BeginEnd::Lost, BeginEnd::Busy] {
+    for end in [StartOutcome::Lost, StartOutcome::Busy] {
         verify_that!(starts(&bench.holder.started(bench.now, runner, end)), eq(0))?;
         bench.now = bench.now + ms(200);
         verify_that!(starts(&bench.holder.tick(bench.now)), eq(1))?;
     }
-    let life = Life { name: "l1".into(), place: Place::NOWHERE };
-    let outputs = bench.holder.started(bench.now, runner, BeginEnd::Begun(life.clone()));
-    let told = outputs.iter().any(|output| {
-        matches!(output, HolderOutput::Tell(HolderMessage::News { news: RunnerNews::Begun { life: told }, .. })
-            if *told == life)
+    let instance = Instance { name: "l1".into(), address: SocketAddress::UNSPECIFIED };
+    let outputs = bench.holder.started(bench.now, runner, StartOutcome::Started(instance.clone()));
+    let reported = outputs.iter().any(|output| {
+        matches!(output, HolderOutput::Report(HolderMessage::RunnerStatus { runner_status: RunnerStatus::Started { instance: reported }, .. })
+            if *reported == instance)
     });
-    verify_that!(told, eq(true))
+    verify_that!(reported, eq(true))
 }
 
 #[gtest]
-fn a_worker_without_room_costs_the_reservation_and_another_is_asked_for() -> Result<()> {
+fn a_full_worker_costs_the_reservation_and_another_is_requested() -> Result<()> {
     let mut bench = Bench::new(1, 1, Duration::ZERO);
-    let runner = RunnerId { grant: GrantSerial(1), ordinal: 5 };
+    let runner = RunnerId { fencing_token: FencingToken(1), ordinal: 5 };
     let result = ReserveResult::Reserved { runner, worker: "w".into(), memory_mb: 100 };
     bench.holder.reserved(bench.now, &result);
-    let outputs = bench.holder.started(bench.now, runner, BeginEnd::NoRoom);
+    let outputs = bench.holder.started(bench.now, runner, StartOutcome::NoCapacity);
     let gone = outputs.iter().any(|output| {
-        matches!(output, HolderOutput::Tell(HolderMessage::News { news: RunnerNews::Gone, .. }))
+        matches!(
+            output,
+            HolderOutput::Report(HolderMessage::RunnerStatus {
+                runner_status: RunnerStatus::Gone,
+                ..
+            })
+        )
     });
     verify_that!(gone, eq(true))?;
     bench.now = bench.now + ms(500);
     let outputs = bench.holder.tick(bench.now);
-    let asks =
-        outputs.iter().any(|output| matches!(output, HolderOutput::Tell(HolderMessage::Reserve)));
-    verify_that!(asks, eq(true))
+    let requests_another =
+        outputs.iter().any(|output| matches!(output, HolderOutput::Report(HolderMessage::Reserve)));
+    verify_that!(requests_another, eq(true))
 }
 
 #[gtest]
-fn a_closed_holder_refuses_what_waits_and_sends_nothing_more() -> Result<()> {
+fn a_closed_holder_rejects_its_queue_and_sends_nothing_more() -> Result<()> {
     let mut bench = Bench::new(1, 1, Duration::ZERO);
     bench.warm();
-    let (running, _) = bench.enter("running", false, false);
-    let (waiting, _) = bench.enter("waiting", false, false);
+    let (running, _) = bench.submit("running", false, false);
+    let (waiting, _) = bench.submit("waiting", false, false);
     let outputs = bench.holder.close(bench.now);
     let stops = outputs.iter().filter(|output| matches!(output, HolderOutput::Stop { .. })).count();
     bench.take(outputs);
     let claim = bench.holder.claim();
-    let left: Vec<&ClaimRunner> = claim.runners.0.iter().filter(|listed| listed.fit.0).collect();
-    verify_that!(claim.ending.0, eq(true))?;
-    verify_that!(left.len(), eq(1))?;
-    verify_that!(left[0].life.0.len(), eq(1))?;
-    verify_that!(stops + left.len(), eq(claim.runners.0.len()))?;
-    verify_that!(reason(&bench.ended.get(&waiting).cloned()), some(eq(HopReason::NotServing)))?;
+    let orphaned: Vec<&ClaimedRunner> =
+        claim.runners.0.iter().filter(|listed| listed.is_adoptable.0).collect();
+    verify_that!(claim.is_releasing.0, eq(true))?;
+    verify_that!(orphaned.len(), eq(1))?;
+    verify_that!(orphaned[0].instance.0.len(), eq(1))?;
+    verify_that!(stops + orphaned.len(), eq(claim.runners.0.len()))?;
+    verify_that!(
+        reason(&bench.ended.get(&waiting).cloned()),
+        some(eq(RequestFailureReason::NotServing))
+    )?;
     let sent_before = bench.sent.len();
-    bench.end(running, SendEnd::Lost);
+    bench.end(running, SendResult::Lost);
     verify_that!(bench.sent.len(), eq(sent_before))?;
     verify_that!(
         bench.ended.get(&running),
-        some(eq(&HopOutcome::Unknown { reason: HopReason::AnswerLost }))
+        some(eq(&RequestOutcome::Unknown { reason: RequestFailureReason::ResponseLost }))
     )?;
-    verify_that!(reason(&bench.enter("late", false, false).1), some(eq(HopReason::NotHolder)))
+    verify_that!(
+        reason(&bench.submit("late", false, false).1),
+        some(eq(RequestFailureReason::NotHolder))
+    )
 }
 
 #[gtest]
-fn extra_tries_stay_below_what_a_plain_count_allows() -> Result<()> {
+fn retries_stay_within_the_retry_budget() -> Result<()> {
     let mut bench = Bench::new(4, 4, Duration::ZERO);
     bench.warm();
-    let mut chance = Chance::seeded(5);
-    let mut firsts: Vec<Moment> = Vec::new();
-    let mut extras: Vec<Moment> = Vec::new();
+    let mut rng = SeededRng::seeded(5);
+    let mut firsts: Vec<MonotonicTime> = Vec::new();
+    let mut extras: Vec<MonotonicTime> = Vec::new();
     for number in 0..4000 {
-        bench.pass(ms(chance.below(40)));
-        let repeat = chance.happens(0.5);
+        bench.advance(ms(rng.below(40)));
+        let repeat = rng.random_bool(0.5);
         let sent_before = bench.sent.len();
-        let (ticket, at_once) = bench.enter(&format!("t{number}"), false, repeat);
+        let (ticket, immediate) = bench.submit(&format!("t{number}"), false, repeat);
         if !repeat {
             firsts.push(bench.now);
-        } else if at_once.is_none() {
+        } else if immediate.is_none() {
             extras.push(bench.now);
         }
-        let outcome_is_lost = chance.happens(0.3);
+        let outcome_is_lost = rng.random_bool(0.3);
         if bench.sent.len() > sent_before {
             let (sent_ticket, runner, _) = *bench.sent.last().expect("sent");
             if outcome_is_lost && sent_ticket == ticket {
-                bench.end(sent_ticket, SendEnd::Lost);
-                let again =
+                bench.end(sent_ticket, SendResult::Lost);
+                let repeated =
                     bench.sent.last().filter(|last| last.0 == ticket && last.2 > 1).copied();
-                if let Some((again_ticket, again_runner, _)) = again {
+                if let Some((again_ticket, again_runner, _)) = repeated {
                     extras.push(bench.now);
                     bench.answer(again_ticket, again_runner);
                 }
@@ -418,15 +456,16 @@
         let settled_runners: Vec<RunnerId> =
             bench.sent.iter().map(|(_, runner, _)| *runner).collect();
         for runner in settled_runners.into_iter().rev().take(3) {
-            let outputs = bench.holder.settled(bench.now + ms(300), runner, Some(Vec::new()));
+            let outputs =
+                bench.holder.running_listed(bench.now + ms(300), runner, Some(Vec::new()));
             bench.take(outputs);
         }
     }
     verify_that!(extras.len(), ge(100))?;
-    for (place, extra) in extras.iter().enumerate() {
+    for (address, extra) in extras.iter().enumerate() {
         let in_window =
-            |moment: &&Moment| extra.since(**moment) <= ms(10_000) && **moment <= *extra;
-        let extra_count = extras[..=place].iter().filter(in_window).count();
+            |instant: &&MonotonicTime| extra.since(**instant) <= ms(10_000) && **instant <= *extra;
+        let extra_count = extras[..=address].iter().filter(in_window).count();
         let first_count = firsts.iter().filter(in_window).count();
         verify_that!(extra_count as f64, le(first_count as f64 / 5.0 + 4.0))?;
     }
@@ -434,200 +473,219 @@
 }
 
 #[gtest]
-fn what_cannot_be_finished_is_refused_at_once_with_a_time_to_return() -> Result<()> {
+fn what_cannot_meet_its_deadline_is_rejected_at_once_with_a_retry_time() -> Result<()> {
     let mut bench = Bench::new(1, 1, Duration::ZERO);
     bench.warm();
-    let mut refused = None;
+    let mut rejected_request = None;
     for number in 0..400 {
-        let outcome = bench.enter(&format!("t{number}"), false, false).1;
-        if let Some(HopOutcome::NotRun { retry_ms, .. }) = outcome {
-            refused = Some(retry_ms);
+        let outcome = bench.submit(&format!("t{number}"), false, false).1;
+        if let Some(RequestOutcome::NotRun { retry_after_ms, .. }) = outcome {
+            rejected_request = Some(retry_after_ms);
             break;
         }
     }
-    verify_that!(refused, some(gt(0)))
+    verify_that!(rejected_request, some(gt(0)))
 }
 
-fn retry_of(outcome: &Option<HopOutcome>) -> Option<(HopReason, u32)> {
+fn retry_of(outcome: &Option<RequestOutcome>) -> Option<(RequestFailureReason, u32)> {
     match outcome {
-        Some(HopOutcome::NotRun { reason, retry_ms }) => Some((*reason, *retry_ms)),
+        Some(RequestOutcome::NotRun { reason, retry_after_ms }) => Some((*reason, *retry_after_ms)),
         _ => None,
     }
 }
 
 #[gtest]
-fn every_reason_to_refuse_is_told_as_soon_as_it_is_certain_with_a_time() -> Result<()> {
+fn every_rejection_reason_is_reported_at_once_with_a_retry_time() -> Result<()> {
     let mut waiting_for_ledger = Bench::new(1, 1, ms(3000));
     waiting_for_ledger.warm();
-    let once = retry_of(&waiting_for_ledger.enter("o", true, false).1);
-    verify_that!(once, some((eq(HopReason::OnceWait), all![ge(100), le(3000)])))?;
-    let again = retry_of(&waiting_for_ledger.enter("o", true, false).1);
-    verify_that!(again, some((eq(HopReason::ShedBefore), ge(100))))?;
-    let repeat = retry_of(&waiting_for_ledger.enter("r", false, true).1);
-    verify_that!(repeat, some((eq(HopReason::TriesSpent), eq(2000))))?;
+    let once = retry_of(&waiting_for_ledger.submit("o", true, false).1);
+    verify_that!(
+        once,
+        some((eq(RequestFailureReason::OnceNotYetAdmitted), all![ge(100), le(3000)]))
+    )?;
+    let repeated = retry_of(&waiting_for_ledger.submit("o", true, false).1);
+    verify_that!(repeated, some((eq(RequestFailureReason::RejectedBefore), ge(100))))?;
+    let repeat = retry_of(&waiting_for_ledger.submit("r", false, true).1);
+    verify_that!(repeat, some((eq(RequestFailureReason::RetryBudgetSpent), eq(2000))))?;
 
     let mut busy = Bench::new(1, 1, Duration::ZERO);
     busy.warm();
-    let (running, _) = busy.enter("running", false, false);
+    let (running, _) = busy.submit("running", false, false);
     let runner = busy.sent[0].1;
-    let outputs = busy.holder.sent_ended(busy.now, running, SendEnd::ShedByRunner);
+    let outputs = busy.holder.handle_send_result(busy.now, running, SendResult::RejectedByRunner);
     busy.take(outputs);
-    let shed = retry_of(&busy.ended.get(&running).cloned());
-    verify_that!(shed, some((eq(HopReason::RunnerShed), ge(100))))?;
-    let mut at_once = Vec::new();
+    let rejected = retry_of(&busy.ended.get(&running).cloned());
+    verify_that!(rejected, some((eq(RequestFailureReason::RejectedByRunner), ge(100))))?;
+    let mut immediate = Vec::new();
     for number in 0..200 {
-        at_once.push(retry_of(&busy.enter(&format!("t{number}"), false, false).1));
+        immediate.push(retry_of(&busy.submit(&format!("t{number}"), false, false).1));
     }
-    let told: Vec<(HopReason, u32)> = at_once.into_iter().flatten().collect();
-    verify_that!(told.len(), ge(1))?;
-    for (reason, retry_ms) in told {
-        let is_crowd = matches!(reason, HopReason::InboxFull | HopReason::BudgetTooShort);
-        verify_that!(is_crowd && retry_ms >= 100, eq(true))?;
+    let reported: Vec<(RequestFailureReason, u32)> = immediate.into_iter().flatten().collect();
+    verify_that!(reported.len(), ge(1))?;
+    for (reason, retry_after_ms) in reported {
+        let is_crowd = matches!(
+            reason,
+            RequestFailureReason::QueueFull | RequestFailureReason::DeadlineTooShort
+        );
+        verify_that!(is_crowd && retry_after_ms >= 100, eq(true))?;
     }
 
     let mut barred = Bench::new(1, 1, Duration::ZERO);
     barred.warm();
-    let (ticket, _) = barred.enter("b", false, false);
-    let end = SendEnd::Barred(HopReason::NotAllowed);
-    let outputs = barred.holder.sent_ended(barred.now, ticket, end);
+    let (ticket, _) = barred.submit("b", false, false);
+    let end = SendResult::Forbidden(RequestFailureReason::NotAllowed);
+    let outputs = barred.holder.handle_send_result(barred.now, ticket, end);
     barred.take(outputs);
-    let told = retry_of(&barred.ended.get(&ticket).cloned());
-    verify_that!(told, some((eq(HopReason::NotAllowed), ge(100))))?;
+    let reported = retry_of(&barred.ended.get(&ticket).cloned());
+    verify_that!(reported, some((eq(RequestFailureReason::NotAllowed), ge(100))))?;
     verify_that!(runner.ordinal, gt(0))
 }
 
 #[gtest]
-fn a_runner_never_gets_more_than_it_was_started_for_when_the_spec_changes() -> Result<()> {
+fn a_spec_change_never_exceeds_the_slots_a_runner_was_started_with() -> Result<()> {
     let mut bench = Bench::new(2, 1, Duration::ZERO);
     bench.warm();
     let wider = FunctionSpec {
         connections: 100,
         memory_mb: 100,
-        boot: ms(100),
+        startup: ms(100),
         slots: 8,
         min_runners: 0,
         max_runners: 1,
     };
-    bench.holder.respec(wider);
+    bench.holder.update_spec(wider);
     for number in 0..40 {
-        bench.enter(&format!("t{number}"), false, false);
+        bench.submit(&format!("t{number}"), false, false);
         if number % 2 == 0
             && let Some((ticket, runner, _)) = bench.sent.first().copied()
         {
             bench.answer(ticket, runner);
         }
-        verify_that!(bench.holder.load().1, le(2))?;
+        verify_that!(bench.holder.request_counts().1, le(2))?;
     }
     Ok(())
 }
 
-fn steward(name: &str) -> Host {
+fn replica(name: &str) -> Host {
     Host {
         member: name.into(),
         incarnation: 1.into(),
         zone: "elsewhere".into(),
-        place: Place::NOWHERE,
+        address: SocketAddress::UNSPECIFIED,
         eligible: Flag(true),
         link_mbps: 0,
     }
 }
 
-fn notes(outputs: &[HolderOutput]) -> Vec<u64> {
+fn records(outputs: &[HolderOutput]) -> Vec<u64> {
     outputs
         .iter()
         .filter_map(|output| match output {
-            HolderOutput::Note { round, .. } => Some(*round),
+            HolderOutput::Record { batch_id, .. } => Some(*batch_id),
             _ => None,
         })
         .collect()
 }
 
 #[gtest]
-fn a_once_transaction_is_sent_only_after_its_steward_has_noted_it() -> Result<()> {
-    let mut bench = Bench::with_steward(2, Duration::ZERO, Some(steward("s")), None);
+fn a_once_request_is_sent_only_after_its_replica_has_recorded_it() -> Result<()> {
+    let mut bench = Bench::with_replica(2, Duration::ZERO, Some(replica("s")), None);
     bench.warm();
-    bench.orders.clear();
-    let (ticket, _) = bench.enter("only", true, false);
-    let rounds = notes(&bench.orders);
-    verify_that!(rounds.len(), eq(1))?;
+    bench.outputs.clear();
+    let (ticket, _) = bench.submit("only", true, false);
+    let batch_ids = records(&bench.outputs);
+    verify_that!(batch_ids.len(), eq(1))?;
     verify_that!(bench.sent.len(), eq(0))?;
-    let outputs = bench.holder.noted(bench.now, rounds[0], true);
+    let outputs = bench.holder.recorded(bench.now, batch_ids[0], true);
     bench.take(outputs);
     verify_that!(bench.sent.first().map(|sent| sent.0), some(eq(ticket)))
 }
 
 #[gtest]
-fn a_silent_steward_is_replaced_and_nothing_is_sent_meanwhile() -> Result<()> {
-    let mut bench = Bench::with_steward(2, Duration::ZERO, Some(steward("s")), None);
+fn an_unresponsive_replica_is_replaced_and_nothing_is_sent_meanwhile() -> Result<()> {
+    let mut bench = Bench::with_replica(2, Duration::ZERO, Some(replica("s")), None);
     bench.warm();
-    bench.orders.clear();
-    bench.enter("only", true, false);
-    let round = notes(&bench.orders)[0];
-    let outputs = bench.holder.noted(bench.now, round, false);
+    bench.outputs.clear();
+    bench.submit("only", true, false);
+    let batch_id = records(&bench.outputs)[0];
+    let outputs = bench.holder.recorded(bench.now, batch_id, false);
     let asks_for_another = outputs
         .iter()
-        .any(|output| matches!(output, HolderOutput::Tell(HolderMessage::StewardLost { .. })));
+        .any(|output| matches!(output, HolderOutput::Report(HolderMessage::ReplicaLost { .. })));
     bench.take(outputs);
     verify_that!(asks_for_another, eq(true))?;
-    bench.pass(ms(40));
+    bench.advance(ms(40));
     verify_that!(bench.sent.len(), eq(0))?;
-    bench.orders.clear();
-    let outputs = bench.holder.steward_named(bench.now, Some(steward("t")));
+    bench.outputs.clear();
+    let outputs = bench.holder.replica_assigned(bench.now, Some(replica("t")));
     bench.take(outputs);
-    let rounds = notes(&bench.orders);
-    verify_that!(rounds.is_empty(), eq(false))?;
-    for round in rounds {
-        let outputs = bench.holder.noted(bench.now, round, true);
+    let batch_ids = records(&bench.outputs);
+    verify_that!(batch_ids.is_empty(), eq(false))?;
+    for batch_id in batch_ids {
+        let outputs = bench.holder.recorded(bench.now, batch_id, true);
         bench.take(outputs);
     }
     verify_that!(bench.sent.len(), eq(1))?;
-    let said_whole = bench
-        .orders
-        .iter()
-        .any(|output| matches!(output, HolderOutput::Tell(HolderMessage::StewardWhole { .. })));
-    verify_that!(said_whole, eq(true))
+    let reported_complete = bench.outputs.iter().any(|output| {
+        matches!(output, HolderOutput::Report(HolderMessage::ReplicaComplete { .. }))
+    });
+    verify_that!(reported_complete, eq(true))
 }
 
 #[gtest]
-fn a_successor_admits_at_once_with_the_collected_ledger_and_runs_nothing_in_it() -> Result<()> {
-    let prior = Prior { steward: steward("s"), grant: GrantSerial(0) };
-    let mut bench = Bench::with_steward(2, ms(5000), None, Some(prior));
+fn a_successor_admits_at_once_and_reruns_nothing_in_the_collected_ledger() -> Result<()> {
+    let previous_lease = PreviousLease { replica: replica("s"), fencing_token: FencingToken(0) };
+    let mut bench = Bench::with_replica(2, ms(5000), None, Some(previous_lease));
     bench.warm();
-    let (known, _) = bench.enter("ran", true, false);
-    let (fresh, _) = bench.enter("fresh", true, false);
+    let (known, _) = bench.submit("ran", true, false);
+    let (fresh, _) = bench.submit("fresh", true, false);
     verify_that!(bench.sent.len(), eq(0))?;
-    let line = LedgerNote { transaction: "ran".into(), state: NoteState::Noted, left_ms: 9000 };
-    let refused = LedgerNote { transaction: "no".into(), state: NoteState::Refused, left_ms: 9000 };
-    let outputs = bench.holder.collected(bench.now, Some(vec![line, refused]));
+    let line = LedgerRecord {
+        idempotency_key: "ran".into(),
+        state: LedgerRecordState::Recorded,
+        remaining_ms: 9000,
+    };
+    let rejected_request = LedgerRecord {
+        idempotency_key: "no".into(),
+        state: LedgerRecordState::Rejected,
+        remaining_ms: 9000,
+    };
+    let outputs = bench.holder.collected(bench.now, Some(vec![line, rejected_request]));
     bench.take(outputs);
     verify_that!(
         bench.ended.get(&known),
-        some(eq(&HopOutcome::Unknown { reason: HopReason::RanBefore }))
+        some(eq(&RequestOutcome::Unknown { reason: RequestFailureReason::AlreadyRan }))
     )?;
     verify_that!(bench.sent.iter().any(|sent| sent.0 == fresh), eq(true))?;
-    verify_that!(reason(&bench.enter("no", true, false).1), some(eq(HopReason::ShedBefore)))
+    verify_that!(
+        reason(&bench.submit("no", true, false).1),
+        some(eq(RequestFailureReason::RejectedBefore))
+    )
 }
 
 #[gtest]
-fn a_successor_that_cannot_collect_refuses_until_the_wait_is_over() -> Result<()> {
-    let prior = Prior { steward: steward("s"), grant: GrantSerial(0) };
-    let mut bench = Bench::with_steward(2, ms(2000), None, Some(prior));
+fn a_successor_without_the_ledger_rejects_until_the_wait_is_over() -> Result<()> {
+    let previous_lease = PreviousLease { replica: replica("s"), fencing_token: FencingToken(0) };
+    let mut bench = Bench::with_replica(2, ms(2000), None, Some(previous_lease));
     bench.warm();
-    let (early, _) = bench.enter("early", true, false);
+    let (early, _) = bench.submit("early", true, false);
     let outputs = bench.holder.collected(bench.now, None);
     bench.take(outputs);
-    verify_that!(reason(&bench.ended.get(&early).cloned()), some(eq(HopReason::OnceWait)))?;
-    bench.pass(ms(2100));
-    verify_that!(bench.enter("late", true, false).1.is_none(), eq(true))
+    verify_that!(
+        reason(&bench.ended.get(&early).cloned()),
+        some(eq(RequestFailureReason::OnceNotYetAdmitted))
+    )?;
+    bench.advance(ms(2100));
+    verify_that!(bench.submit("late", true, false).1.is_none(), eq(true))
 }
 
-fn generous() -> Tuning {
-    Tuning::builder().tries_allowance(50).tries_allowance_at_once(true).build()
+fn ample_retry_budget() -> Tuning {
+    Tuning::builder().retry_allowance(50).retry_allowance_immediate(true).build()
 }
 
-fn failed_at(runner: RunnerId) -> HopOutcome {
-    HopOutcome::Answer {
-        lines: common::frames::Many(Vec::new()),
+fn failed_at(runner: RunnerId) -> RequestOutcome {
+    RequestOutcome::Response {
+        header_fields: common::frames::LengthPrefixed(Vec::new()),
         status: 500,
         seal: Vec::new().into(),
         runner,
@@ -636,62 +694,67 @@
 }
 
 #[gtest]
-fn a_refused_transaction_goes_on_only_as_often_as_its_route_and_the_window_allow() -> Result<()> {
-    for (tries, allowance, expected_sends) in [(1, 50, 1), (3, 50, 3), (9, 2, 3), (9, 0, 1)] {
+fn a_rejected_request_is_retried_within_its_route_and_the_retry_budget() -> Result<()> {
+    for (max_attempts, allowance, expected_sends) in [(1, 50, 1), (3, 50, 3), (9, 2, 3), (9, 0, 1)]
+    {
         let tuning = Tuning::builder()
-            .tries_percent(0)
-            .tries_allowance(allowance)
-            .tries_allowance_at_once(true)
+            .retry_percent(0)
+            .retry_allowance(allowance)
+            .retry_allowance_immediate(true)
             .build();
-        let mut bench = Bench::new(2, 4, Duration::ZERO).tuned(tuning);
+        let mut bench = Bench::new(2, 4, Duration::ZERO).with_tuning(tuning);
         bench.warm();
-        bench.tries = tries;
-        let (ticket, _) = bench.enter("refused", false, false);
+        bench.max_attempts = max_attempts;
+        let (ticket, _) = bench.submit("refused", false, false);
         for _ in 0..12 {
             if bench.sent.last().is_some_and(|(sent, _, _)| *sent == ticket) {
-                bench.end(ticket, SendEnd::ShedByRunner);
+                bench.end(ticket, SendResult::RejectedByRunner);
             }
-            bench.pass(ms(100));
+            bench.advance(ms(100));
         }
-        verify_that!(bench.sends_of(ticket), eq(expected_sends))?;
-        let Some(HopOutcome::NotRun { reason, retry_ms }) = bench.ended.get(&ticket) else {
+        verify_that!(bench.send_count(ticket), eq(expected_sends))?;
+        let Some(RequestOutcome::NotRun { reason, retry_after_ms }) = bench.ended.get(&ticket)
+        else {
             return fail!("a transaction that never ran is not refused");
         };
-        verify_that!(*reason, eq(HopReason::RunnerShed))?;
-        verify_that!(*retry_ms, ge(200))?;
+        verify_that!(*reason, eq(RequestFailureReason::RejectedByRunner))?;
+        verify_that!(*retry_after_ms, ge(200))?;
     }
     Ok(())
 }
 
 #[gtest]
-fn a_runner_that_refuses_more_than_is_known_gets_nothing_more_for_a_while() -> Result<()> {
-    let mut bench = Bench::new(4, 1, Duration::ZERO).tuned(generous());
+fn a_runner_that_rejects_unexpectedly_is_throttled() -> Result<()> {
+    let mut bench = Bench::new(4, 1, Duration::ZERO).with_tuning(ample_retry_budget());
     bench.warm();
-    let (first, _) = bench.enter("a", true, false);
-    let (second, _) = bench.enter("b", true, false);
-    bench.end(second, SendEnd::ShedByRunner);
-    verify_that!(reason(&bench.ended.get(&second).cloned()), some(eq(HopReason::RunnerShed)))?;
-    let (third, _) = bench.enter("c", true, false);
-    bench.pass(ms(150));
-    verify_that!(bench.sends_of(third), eq(0))?;
-    bench.pass(ms(60));
-    verify_that!(bench.sends_of(third), eq(1))?;
-    verify_that!(bench.sends_of(first), eq(1))
+    let (first, _) = bench.submit("a", true, false);
+    let (second, _) = bench.submit("b", true, false);
+    bench.end(second, SendResult::RejectedByRunner);
+    verify_that!(
+        reason(&bench.ended.get(&second).cloned()),
+        some(eq(RequestFailureReason::RejectedByRunner))
+    )?;
+    let (third, _) = bench.submit("c", true, false);
+    bench.advance(ms(150));
+    verify_that!(bench.send_count(third), eq(0))?;
+    bench.advance(ms(60));
+    verify_that!(bench.send_count(third), eq(1))?;
+    verify_that!(bench.send_count(first), eq(1))
 }
 
 #[gtest]
-fn what_came_to_another_runner_is_put_back_and_its_own_is_given_up() -> Result<()> {
+fn a_misdirected_request_is_requeued_and_its_runner_replaced() -> Result<()> {
     for once in [false, true] {
-        let mut bench = Bench::new(2, 2, Duration::ZERO).tuned(generous());
+        let mut bench = Bench::new(2, 2, Duration::ZERO).with_tuning(ample_retry_budget());
         bench.warm();
-        let (ticket, _) = bench.enter("lost way", once, false);
+        let (ticket, _) = bench.submit("lost way", once, false);
         let runner = bench.sent.last().expect("sent").1;
-        bench.end(ticket, SendEnd::OtherRunner);
+        bench.end(ticket, SendResult::WrongRunner);
         let stops = |order: &HolderOutput| matches!(order, HolderOutput::Stop { runner: stopped, .. } if *stopped == runner);
-        verify_that!(bench.orders.iter().any(stops), eq(true))?;
+        verify_that!(bench.outputs.iter().any(stops), eq(true))?;
         verify_that!(bench.ended.get(&ticket), none())?;
-        bench.pass(ms(60));
-        bench.pass(ms(60));
+        bench.advance(ms(60));
+        bench.advance(ms(60));
         let (last_ticket, last_runner, attempt) = *bench.sent.last().expect("sent");
         verify_that!((last_ticket, attempt), eq((ticket, 2)))?;
         verify_that!(last_runner, not(eq(runner)))?;
@@ -700,132 +763,132 @@
 }
 
 #[gtest]
-fn a_runners_own_failure_is_tried_again_or_passed_on_as_it_came() -> Result<()> {
-    let mut bench = Bench::new(2, 1, Duration::ZERO).tuned(generous());
+fn a_runner_failure_is_retried_or_forwarded_unchanged() -> Result<()> {
+    let mut bench = Bench::new(2, 1, Duration::ZERO).with_tuning(ample_retry_budget());
     bench.warm();
-    bench.tries = 2;
-    let (ticket, _) = bench.enter("fails", false, false);
+    bench.max_attempts = 2;
+    let (ticket, _) = bench.submit("fails", false, false);
     let runner = bench.sent.last().expect("sent").1;
-    bench.end(ticket, SendEnd::Failed(failed_at(runner)));
-    verify_that!(bench.sends_of(ticket), eq(2))?;
-    bench.end(ticket, SendEnd::Lost);
+    bench.end(ticket, SendResult::Failed(failed_at(runner)));
+    verify_that!(bench.send_count(ticket), eq(2))?;
+    bench.end(ticket, SendResult::Lost);
     verify_that!(bench.ended.get(&ticket), some(eq(&failed_at(runner))))?;
-    let (once, _) = bench.enter("fails once", true, false);
-    bench.end(once, SendEnd::Failed(failed_at(runner)));
-    verify_that!(bench.sends_of(once), eq(1))?;
+    let (once, _) = bench.submit("fails once", true, false);
+    bench.end(once, SendResult::Failed(failed_at(runner)));
+    verify_that!(bench.send_count(once), eq(1))?;
     verify_that!(bench.ended.get(&once), some(eq(&failed_at(runner))))
 }
 
 /// Its caller's daemon passed it on again after a silence: the first pass may still be having its tries.
 #[gtest]
-fn a_repeat_goes_to_one_runner_whatever_its_route_allows() -> Result<()> {
-    let ends = [SendEnd::Lost, SendEnd::ShedByRunner];
+fn a_repeat_is_sent_to_one_runner_only() -> Result<()> {
+    let ends = [SendResult::Lost, SendResult::RejectedByRunner];
     for end in ends {
-        let mut bench = Bench::new(2, 1, Duration::ZERO).tuned(generous());
+        let mut bench = Bench::new(2, 1, Duration::ZERO).with_tuning(ample_retry_budget());
         bench.warm();
-        bench.tries = 3;
-        let (ticket, _) = bench.enter("passed again", false, true);
+        bench.max_attempts = 3;
+        let (ticket, _) = bench.submit("passed again", false, true);
         bench.end(ticket, end);
-        verify_that!(bench.sends_of(ticket), eq(1))?;
+        verify_that!(bench.send_count(ticket), eq(1))?;
         verify_that!(bench.ended.contains_key(&ticket), eq(true))?;
     }
-    let mut flawed = Bench::new(2, 1, Duration::ZERO).tuned(generous());
-    flawed.holder = flawed.holder.with_rules(Rules::without(Rule::RepeatSentOnce));
+    let mut flawed = Bench::new(2, 1, Duration::ZERO).with_tuning(ample_retry_budget());
+    flawed.holder = flawed.holder.with_rules(Rules::without(Rule::RepeatSentToOneRunner));
     flawed.warm();
-    flawed.tries = 3;
-    let (ticket, _) = flawed.enter("passed again", false, true);
-    flawed.end(ticket, SendEnd::Lost);
-    verify_that!(flawed.sends_of(ticket), eq(2))
+    flawed.max_attempts = 3;
+    let (ticket, _) = flawed.submit("passed again", false, true);
+    flawed.end(ticket, SendResult::Lost);
+    verify_that!(flawed.send_count(ticket), eq(2))
 }
 
 #[gtest]
-fn a_once_transaction_of_a_fresh_identity_is_sent_once_and_nothing_of_it_is_kept() -> Result<()> {
+fn a_once_request_with_a_fresh_key_is_sent_once_and_not_recorded() -> Result<()> {
     let mut bench = Bench::new(2, 4, ms(60_000));
-    bench.noted = false;
+    bench.recorded = false;
     bench.warm();
-    let (ticket, at_once) = bench.enter("fresh", true, false);
-    verify_that!(at_once, none())?;
-    bench.end(ticket, SendEnd::Lost);
+    let (ticket, immediate) = bench.submit("fresh", true, false);
+    verify_that!(immediate, none())?;
+    bench.end(ticket, SendResult::Lost);
     for _ in 0..40 {
-        bench.pass(ms(100));
+        bench.advance(ms(100));
     }
-    verify_that!(bench.sends_of(ticket), eq(1))?;
+    verify_that!(bench.send_count(ticket), eq(1))?;
     verify_that!(
         bench.ended.get(&ticket),
-        some(eq(&HopOutcome::Unknown { reason: HopReason::AnswerLost }))
+        some(eq(&RequestOutcome::Unknown { reason: RequestFailureReason::ResponseLost }))
     )?;
-    let notes = |order: &HolderOutput| matches!(order, HolderOutput::Note { .. });
-    verify_that!(bench.orders.iter().any(notes), eq(false))?;
-    verify_that!(bench.enter("fresh", true, false).1, none())
+    let records = |order: &HolderOutput| matches!(order, HolderOutput::Record { .. });
+    verify_that!(bench.outputs.iter().any(records), eq(false))?;
+    verify_that!(bench.submit("fresh", true, false).1, none())
 }
 
 #[gtest]
-fn a_lost_answer_keeps_its_slot_for_a_time_where_runners_cannot_be_asked() -> Result<()> {
-    let tuning = Tuning::builder().settles(false).build();
-    let mut bench = Bench::new(1, 1, Duration::ZERO).tuned(tuning);
+fn a_lost_answer_holds_its_slot_for_a_time_where_runners_list_nothing() -> Result<()> {
+    let tuning = Tuning::builder().lists_running(false).build();
+    let mut bench = Bench::new(1, 1, Duration::ZERO).with_tuning(tuning);
     bench.warm();
-    let (first, _) = bench.enter("a", true, false);
-    bench.end(first, SendEnd::Lost);
-    let (second, _) = bench.enter("b", true, false);
-    bench.pass(ms(390));
-    verify_that!(bench.sends_of(second), eq(0))?;
+    let (first, _) = bench.submit("a", true, false);
+    bench.end(first, SendResult::Lost);
+    let (second, _) = bench.submit("b", true, false);
+    bench.advance(ms(390));
+    verify_that!(bench.send_count(second), eq(0))?;
     verify_that!(bench.holder.next_due(), some(le(bench.now + ms(10))))?;
-    bench.pass(ms(11));
-    verify_that!(bench.sends_of(second), eq(1))?;
-    let settles = |order: &HolderOutput| matches!(order, HolderOutput::Settle { .. });
-    verify_that!(bench.orders.iter().any(settles), eq(false))
+    bench.advance(ms(11));
+    verify_that!(bench.send_count(second), eq(1))?;
+    let lists_running = |order: &HolderOutput| matches!(order, HolderOutput::ListRunning { .. });
+    verify_that!(bench.outputs.iter().any(lists_running), eq(false))
 }
 
 #[gtest]
-fn an_idle_function_stops_its_last_runner_unless_it_boots_too_long_for_its_callers() -> Result<()> {
-    for (idle_boots, is_warm, is_stopped) in
+fn an_idle_function_stops_its_last_runner_unless_it_is_kept_warm() -> Result<()> {
+    for (idle_startups, is_prewarmed, is_stopped) in
         [(0, false, false), (20, true, false), (20, false, true)]
     {
-        let tuning = Tuning::builder().idle_boots(idle_boots).build();
-        let mut bench = Bench::new(2, 4, Duration::ZERO).tuned(tuning);
-        bench.holder.set_warm(is_warm);
+        let tuning = Tuning::builder().idle_startups(idle_startups).build();
+        let mut bench = Bench::new(2, 4, Duration::ZERO).with_tuning(tuning);
+        bench.holder.set_warm(is_prewarmed);
         bench.warm();
-        bench.orders.clear();
-        bench.pass(ms(1900));
+        bench.outputs.clear();
+        bench.advance(ms(1900));
         let stops = |bench: &Bench| {
-            bench.orders.iter().any(|order| matches!(order, HolderOutput::Stop { .. }))
+            bench.outputs.iter().any(|order| matches!(order, HolderOutput::Stop { .. }))
         };
         verify_that!(stops(&bench), eq(false))?;
         for _ in 0..3 {
-            bench.pass(ms(100));
+            bench.advance(ms(100));
         }
         verify_that!(stops(&bench), eq(is_stopped))?;
         if !is_stopped {
             continue;
         }
-        let stopped = bench.orders.iter().find_map(|order| match order {
+        let stopped = bench.outputs.iter().find_map(|order| match order {
             HolderOutput::Stop { runner, .. } => Some(*runner),
             _ => None,
         });
         let outputs = bench.holder.stopped(bench.now, stopped.expect("one"));
         bench.take(outputs);
-        bench.pass(ms(5000));
+        bench.advance(ms(5000));
         verify_that!(bench.holder.runner_counts(), eq((0, 0)))?;
-        let (ticket, at_once) = bench.enter("next", false, false);
-        verify_that!(at_once, none())?;
-        bench.pass(ms(60));
-        bench.pass(ms(60));
-        verify_that!(bench.sends_of(ticket), eq(1))?;
+        let (ticket, immediate) = bench.submit("next", false, false);
+        verify_that!(immediate, none())?;
+        bench.advance(ms(60));
+        bench.advance(ms(60));
+        verify_that!(bench.send_count(ticket), eq(1))?;
     }
     Ok(())
 }
 
 #[gtest]
-fn the_lowest_rank_goes_first_and_those_of_one_rank_as_they_came() -> Result<()> {
+fn the_queue_is_ordered_by_rank_then_arrival() -> Result<()> {
     let mut bench = Bench::new(1, 1, Duration::ZERO);
     bench.warm();
-    let (running, _) = bench.enter("running", false, false);
+    let (running, _) = bench.submit("running", false, false);
     let runner = bench.sent[0].1;
     let waiting: Vec<Ticket> = [3, 1, 0, 1]
         .into_iter()
         .map(|rank| {
             bench.rank = rank;
-            bench.enter(&format!("rank {rank} of {}", bench.next_ticket), false, false).0
+            bench.submit(&format!("rank {rank} of {}", bench.next_ticket), false, false).0
         })
         .collect();
     bench.sent.clear();
@@ -840,23 +903,23 @@
 }
 
 #[gtest]
-fn a_runner_that_owes_two_answers_in_a_row_is_replaced() -> Result<()> {
+fn a_runner_with_two_consecutive_lost_answers_is_replaced() -> Result<()> {
     let mut bench = Bench::new(4, 4, Duration::ZERO);
     bench.warm();
     for (number, wanted_count) in [(0, 1), (1, 2)] {
-        let (ticket, _) = bench.enter(&format!("t{number}"), true, false);
-        bench.end(ticket, SendEnd::Lost);
+        let (ticket, _) = bench.submit(&format!("t{number}"), true, false);
+        bench.end(ticket, SendResult::Lost);
         verify_that!(bench.next_runner, eq(wanted_count))?;
     }
     Ok(())
 }
 
 #[gtest]
-fn calls_that_a_booting_runner_will_serve_in_time_start_no_second_one() -> Result<()> {
+fn calls_that_a_starting_runner_can_serve_in_time_start_no_other() -> Result<()> {
     for (call_count, most_runners) in [(6, 1), (400, 4)] {
         let mut bench = Bench::new(2, 4, Duration::ZERO);
         for number in 0..call_count {
-            bench.enter(&format!("t{number}"), false, false);
+            bench.submit(&format!("t{number}"), false, false);
         }
         verify_that!(bench.next_runner, eq(most_runners))?;
     }
@@ -864,22 +927,22 @@
 }
 
 #[gtest]
-fn a_rarely_called_function_rests_soon_and_a_frequent_one_does_not() -> Result<()> {
+fn a_rarely_called_function_is_stopped_soon_and_a_frequent_one_is_not() -> Result<()> {
     for (call_count, is_stopped) in [(1, true), (12, false)] {
-        let tuning = Tuning::builder().idle_boots(10).idle_rare(Some(ms(200))).build();
-        let mut bench = Bench::new(2, 4, Duration::ZERO).tuned(tuning);
+        let tuning = Tuning::builder().idle_startups(10).rare_idle_limit(Some(ms(200))).build();
+        let mut bench = Bench::new(2, 4, Duration::ZERO).with_tuning(tuning);
         bench.warm();
         for number in 1..call_count {
-            bench.pass(ms(100));
-            let (ticket, _) = bench.enter(&format!("t{number}"), false, false);
+            bench.advance(ms(100));
+            let (ticket, _) = bench.submit(&format!("t{number}"), false, false);
             let runner = bench.sent.last().expect("sent").1;
             bench.answer(ticket, runner);
         }
-        bench.orders.clear();
-        bench.pass(ms(150));
-        bench.pass(ms(150));
+        bench.outputs.clear();
+        bench.advance(ms(150));
+        bench.advance(ms(150));
         let is_ordered =
-            bench.orders.iter().any(|order| matches!(order, HolderOutput::Stop { .. }));
+            bench.outputs.iter().any(|order| matches!(order, HolderOutput::Stop { .. }));
         verify_that!(is_ordered, eq(is_stopped))?;
     }
     Ok(())
--- a/crates/dataplane/tests/http_forms.rs
+++ b/crates/dataplane/tests/http_forms.rs
@@ -5,24 +5,25 @@
 #[path = "../../../testing/support/wire.rs"]
 mod wire;
 
-use common::clock::Moment;
+use common::adapter::{
+    CallerResponse, IngressCodec, NotRunKind, ReadinessProbe, RunnerCodec, RunnerRequest,
+    RunnerResponse, SealKind,
+};
+use common::clock::MonotonicTime;
 use common::frames::{
-    Flag, HeadLine, HopBody, HopFrame, HopOutcome, HopReason, Host, Many, Parcel, Place,
-    append_frame, decode, read_channel, read_frame,
+    DaemonFrame, DaemonMessage, Flag, HeaderField, Host, LengthPrefixed, RequestFailureReason,
+    RequestOutcome, RequestPayload, SocketAddress, append_frame, decode, read_channel, read_frame,
 };
 use common::identity::{
-    FunctionKey, GrantSerial, LifeName, RunnerId, Serial, TransactionId, Wording,
+    FencingToken, FunctionKey, IdempotencyKey, InstanceId, RunnerId, ShortString, Version,
 };
 use common::rules::Rules;
 use common::seal;
-use common::spec::{Document, Table, read_spec};
-use common::tongue::{
-    DoorTongue, NotRunKind, ReadyBy, RunnerSaid, RunnerTongue, RunnerWords, Said, SealKind,
-};
-use dataplane::boot::DaemonBoot;
-use dataplane::chain::transact;
-use dataplane::drivers::{ByteStream, Connector, DaemonAdapters, Opening, State, serve_door};
-use dataplane::tongue::{OwnDoor, OwnRunner};
+use common::spec::{Document, RoutingTable, read_spec};
+use dataplane::adapter::{NativeIngressCodec, NativeRunnerCodec};
+use dataplane::drivers::{ByteStream, Connector, DaemonAdapters, Opening, State, serve_ingress};
+use dataplane::request_pipeline::handle_request;
+use dataplane::settings::DaemonSettings;
 use hyper::StatusCode;
 use hyper::header::{HeaderMap, HeaderName, HeaderValue};
 use serde_json::{Value, json};
@@ -37,34 +38,38 @@
     forms::check(env!("CARGO_MANIFEST_DIR"), name, seen);
 }
 
-fn put(text: &mut String, what: &str, message: &str) {
+fn set_header(text: &mut String, what: &str, message: &str) {
     let _ = writeln!(text, "## {what}\n{message}\n");
 }
 
 fn function() -> FunctionKey {
-    FunctionKey::new("pay", Serial(2))
+    FunctionKey::new("pay", Version(2))
 }
 
 fn runner() -> RunnerId {
-    RunnerId { grant: GrantSerial(0x5_0000_0007), ordinal: 0x2b }
+    RunnerId { fencing_token: FencingToken(0x5_0000_0007), ordinal: 0x2b }
 }
 
-fn place(text: &str) -> Place {
-    Place(text.parse().expect("an address"))
+fn address(text: &str) -> SocketAddress {
+    SocketAddress(text.parse().expect("an address"))
 }
 
 /// Every reason there is, by its number on the wire.
-fn reasons() -> Vec<(u8, HopReason)> {
-    let read = |number: u8| decode::<HopReason>(&[number]).ok().map(|reason| (number, reason));
+fn reasons() -> Vec<(u8, RequestFailureReason)> {
+    let read =
+        |number: u8| decode::<RequestFailureReason>(&[number]).ok().map(|reason| (number, reason));
     (0..=u8::MAX).filter_map(read).collect()
 }
 
-fn answer(status: u16, seal_text: &str) -> HopOutcome {
-    HopOutcome::Answer {
+fn answer(status: u16, seal_text: &str) -> RequestOutcome {
+    RequestOutcome::Response {
         status,
         seal: seal_text.as_bytes().to_vec().into(),
         runner: runner(),
-        lines: Many(vec![HeadLine { name: "x-own".into(), value: b"kept".to_vec().into() }]),
+        header_fields: LengthPrefixed(vec![HeaderField {
+            name: "x-own".into(),
+            value: b"kept".to_vec().into(),
+        }]),
         body: br#"{"paid": true}"#.to_vec().into(),
     }
 }
@@ -73,62 +78,80 @@
 #[tokio::test]
 async fn every_outcome_has_its_response() {
     let mut text = String::new();
-    let transaction = TransactionId::from("try-1");
+    let idempotency_key = IdempotencyKey::from("try-1");
     let kinds = [
-        ("bad", NotRunKind::Bad),
+        ("bad", NotRunKind::BadRequest),
         ("no route", NotRunKind::NoRoute),
         ("conflict", NotRunKind::Conflict),
         ("too large", NotRunKind::TooLarge),
-        ("too many", NotRunKind::TooMany),
+        ("too many", NotRunKind::RetryBudgetSpent),
         ("unavailable", NotRunKind::Unavailable),
     ];
     for (kind_name, kind) in kinds {
         for millis in [None, Some(0), Some(50), Some(1000), Some(1001)] {
-            let header = (kind == NotRunKind::Bad).then_some(seal::BUDGET);
-            let come_back = millis.map(Duration::from_millis);
-            let said = Said::NotRun { kind, reason: "the_reason", header, come_back };
-            let message = wire::response(OwnDoor.say(Some(&transaction), said)).await;
-            put(&mut text, &format!("not run, {kind_name}, {millis:?} ms"), &message);
+            let header = (kind == NotRunKind::BadRequest).then_some(seal::TIMEOUT);
+            let retry_after = millis.map(Duration::from_millis);
+            let caller_response =
+                CallerResponse::NotRun { kind, reason: "the_reason", header, retry_after };
+            let message = wire::response(
+                NativeIngressCodec.write_response(Some(&idempotency_key), caller_response),
+            )
+            .await;
+            set_header(&mut text, &format!("not run, {kind_name}, {millis:?} ms"), &message);
         }
     }
-    let unnamed = Said::NotRun {
-        kind: NotRunKind::Bad,
+    let unnamed = CallerResponse::NotRun {
+        kind: NotRunKind::BadRequest,
         reason: "bad_header",
-        header: Some(seal::TRANSACTION),
-        come_back: None,
+        header: Some(seal::IDEMPOTENCY_KEY),
+        retry_after: None,
     };
-    put(&mut text, "without an identity", &wire::response(OwnDoor.say(None, unnamed)).await);
+    set_header(
+        &mut text,
+        "without an identity",
+        &wire::response(NativeIngressCodec.write_response(None, unnamed)).await,
+    );
     for (number, reason) in reasons() {
-        let said = Said::Unknown { reason, come_back: Duration::from_millis(1500) };
-        let message = wire::response(OwnDoor.say(Some(&transaction), said)).await;
-        put(&mut text, &format!("unknown, {number}"), &message);
+        let caller_response =
+            CallerResponse::Unknown { reason, retry_after: Duration::from_millis(1500) };
+        let message = wire::response(
+            NativeIngressCodec.write_response(Some(&idempotency_key), caller_response),
+        )
+        .await;
+        set_header(&mut text, &format!("unknown, {number}"), &message);
     }
     for status in [200, 201, 204, 302, 404, 503, 1000] {
-        let said = Said::Answer {
+        let caller_response = CallerResponse::Response {
             function: function().in_region(&"north".into()),
             runner: runner(),
             status,
             seal: "5ea1".into(),
-            lines: vec![HeadLine { name: "x-own".into(), value: b"kept".to_vec().into() }],
+            header_fields: vec![HeaderField {
+                name: "x-own".into(),
+                value: b"kept".to_vec().into(),
+            }],
             body: r#"{"paid": true}"#.into(),
         };
-        let message = wire::response(OwnDoor.say(Some(&transaction), said)).await;
-        put(&mut text, &format!("answer, {status}"), &message);
+        let message = wire::response(
+            NativeIngressCodec.write_response(Some(&idempotency_key), caller_response),
+        )
+        .await;
+        set_header(&mut text, &format!("answer, {status}"), &message);
     }
     check("door_responses.txt", &text);
 }
 
 /// A connector to one other daemon, which ends every transaction in one way.
 struct OneDaemon {
-    outcome: HopOutcome,
+    outcome: RequestOutcome,
 }
 
 impl Connector for OneDaemon {
-    fn to_runner(&self, _: Place) -> Opening<'_> {
+    fn to_runner(&self, _: SocketAddress) -> Opening<'_> {
         Box::pin(async { Err(std::io::ErrorKind::ConnectionRefused.into()) })
     }
 
-    fn to_daemon(&self, _: Place) -> Opening<'_> {
+    fn to_daemon(&self, _: SocketAddress) -> Opening<'_> {
         let outcome = self.outcome.clone();
         Box::pin(async move {
             let (near, far) = duplex(64 << 10);
@@ -138,33 +161,34 @@
     }
 }
 
-async fn end_each(mut stream: DuplexStream, outcome: HopOutcome) {
+async fn end_each(mut stream: DuplexStream, outcome: RequestOutcome) {
     if read_channel(&mut stream).await.is_err() {
         return;
     }
-    while let Ok(HopFrame { correlation, .. }) = read_frame::<_, HopFrame>(&mut stream).await {
-        let (outcome, holder) = (outcome.clone(), Many(Vec::new()));
-        let body = HopBody::Done { outcome, holder, regional_tenths: 0 };
+    while let Ok(DaemonFrame { correlation, .. }) = read_frame::<_, DaemonFrame>(&mut stream).await
+    {
+        let (outcome, holder) = (outcome.clone(), LengthPrefixed(Vec::new()));
+        let body = DaemonMessage::Completed { outcome, holder, regional_tenths: 0 };
         let mut sent = Vec::new();
-        append_frame(&mut sent, &HopFrame { correlation, body }).expect("a frame");
+        append_frame(&mut sent, &DaemonFrame { correlation, body }).expect("a frame");
         if stream.write_all(&sent).await.is_err() {
             return;
         }
     }
 }
 
-fn host(name: &str, own_place: &str) -> Host {
+fn host(name: &str, own_address: &str) -> Host {
     Host {
         member: name.into(),
         incarnation: 7.into(),
         zone: "here".into(),
-        place: place(own_place),
+        address: address(own_address),
         eligible: Flag(true),
         link_mbps: 0,
     }
 }
 
-fn table() -> Table {
+fn table() -> RoutingTable {
     let spec = json!({
         "functions": {"pay": {"memory_mb": 100, "boot_ms": 200, "slots": 4}},
         "routes": {"pay": {
@@ -173,26 +197,26 @@
     });
     let checked_spec = read_spec(&spec).expect("a spec");
     let mut document = Document::founding(Vec::new()).with_spec(spec, &checked_spec, "c".into());
-    document.stamp.serial = Serial(2);
-    Table::build(&document.view()).expect("a table")
+    document.document_version.version = Version(2);
+    RoutingTable::build(&document.view()).expect("a table")
 }
 
 /// A daemon that takes callers, beside one that holds the function and ends every transaction in one way.
-fn daemon(outcome: HopOutcome, is_serving: bool) -> Arc<State> {
+fn daemon(outcome: RequestOutcome, is_serving: bool) -> Arc<State> {
     let settings = json!({
         "member": "daemon-2", "locality": "here", "place": "10.0.0.2:7000", "door": "10.0.0.2:8080",
         "seeds": ["10.0.0.1:7100"], "platform": "10.0.9.9:80", "largest_body": 64,
     });
-    let source = common::readers::BootSource::from_value("FILE", settings);
-    let boot = DaemonBoot::read(&source).expect("settings");
-    let adapters = DaemonAdapters::own(boot.platform);
+    let source = common::readers::SettingsSource::from_value("FILE", settings);
+    let startup = DaemonSettings::read(&source).expect("settings");
+    let adapters = DaemonAdapters::native(startup.platform);
     let connector = Arc::new(OneDaemon { outcome });
     let own_host = host("daemon-2", "10.0.0.2:7000");
-    let state = State::uncontrolled(boot, own_host, Rules::KEPT, adapters, connector);
+    let state = State::without_control(startup, own_host, Rules::ALL_ENFORCED, adapters, connector);
     state.agent.table.store(Arc::new(table()));
     state.agent.hosts.store(Arc::new(vec![host("daemon-1", "10.0.0.1:7000")]));
     if is_serving {
-        state.agent.serving_until.set(Moment::now() + SERVING);
+        state.agent.serving_until.set(MonotonicTime::now() + SERVING);
     }
     Arc::new(state)
 }
@@ -201,7 +225,7 @@
     let state = state.clone();
     let handler = move |request| {
         let state = state.clone();
-        async move { transact(&state, request).await }
+        async move { handle_request(&state, request).await }
     };
     wire::answered_by(handler, request_text).await
 }
@@ -216,20 +240,20 @@
     let mut text = String::new();
     for (number, reason) in reasons() {
         let outcomes = [
-            ("not run", HopOutcome::NotRun { reason, retry_ms: 1234 }),
-            ("unknown", HopOutcome::Unknown { reason }),
+            ("not run", RequestOutcome::NotRun { reason, retry_after_ms: 1234 }),
+            ("unknown", RequestOutcome::Unknown { reason }),
         ];
         for (outcome_name, outcome) in outcomes {
             // A daemon that says it is no holder is asked again until the budget ends.
-            let is_asked_again = reason == HopReason::NotHolder;
+            let is_asked_again = reason == RequestFailureReason::NotHolder;
             let budget = if is_asked_again { "800" } else { "3000" };
             let message = answered(&daemon(outcome, true), &GOOD.replace("3000", budget)).await;
-            put(&mut text, &format!("{outcome_name}, {number}"), &message);
+            set_header(&mut text, &format!("{outcome_name}, {number}"), &message);
         }
     }
     for status in [200, 404, 500] {
         let message = answered(&daemon(answer(status, "5ea1"), true), GOOD).await;
-        put(&mut text, &format!("answer, {status}"), &message);
+        set_header(&mut text, &format!("answer, {status}"), &message);
     }
     check("caller_outcomes.txt", &text);
 }
@@ -240,8 +264,11 @@
     let mut text = String::new();
     let outcomes = [
         ("answer", answer(200, "5ea1")),
-        ("not run", HopOutcome::NotRun { reason: HopReason::InboxFull, retry_ms: 9 }),
-        ("unknown", HopOutcome::Unknown { reason: HopReason::AnswerLost }),
+        (
+            "not run",
+            RequestOutcome::NotRun { reason: RequestFailureReason::QueueFull, retry_after_ms: 9 },
+        ),
+        ("unknown", RequestOutcome::Unknown { reason: RequestFailureReason::ResponseLost }),
     ];
     for (what, outcome) in outcomes {
         let state = daemon(outcome, true);
@@ -256,57 +283,61 @@
                 || line.starts_with("rudder_request_seconds_count")
         };
         let counts: Vec<&str> = page.lines().filter(is_count).collect();
-        put(&mut text, what, &counts.join("\n"));
+        set_header(&mut text, what, &counts.join("\n"));
     }
     check("counted_ends.txt", &text);
 }
 
 #[tokio::test]
-async fn requests_are_refused_at_the_door_as_before() {
+async fn requests_are_refused_at_the_ingress_as_before() {
     let mut text = String::new();
     let serving = daemon(answer(200, "5ea1"), true);
-    let lines = |changed: &str, new: &str| GOOD.replace(changed, new);
+    let header_fields = |changed: &str, new: &str| GOOD.replace(changed, new);
     let identity = "rudder-transaction: try-1\n";
     let budget = "rudder-budget-ms: 3000\n";
     let asked = [
-        ("no identity", lines(identity, "")),
-        ("empty identity", lines(identity, "rudder-transaction:\n")),
-        ("identity with a blank", lines(identity, "rudder-transaction: a b\n")),
-        ("identity of 128", lines("try-1", &"x".repeat(128))),
-        ("identity of 129", lines("try-1", &"x".repeat(129))),
-        ("every letter", lines("try-1", "aZ09-_.:")),
-        ("no budget", lines(budget, "")),
-        ("budget of 0", lines(budget, "rudder-budget-ms: 0\n")),
-        ("budget of 60001", lines(budget, "rudder-budget-ms: 60001\n")),
-        ("budget of 60000", lines(budget, "rudder-budget-ms: 60000\n")),
-        ("budget in words", lines(budget, "rudder-budget-ms: long\n")),
-        ("no route", lines("/pay", "/nowhere")),
-        ("other method", lines("POST", "PUT")),
-        ("announced too large", lines("content-length: 2", "content-length: 65")),
-        ("a repeat", lines(budget, "rudder-budget-ms: 3000\nrudder-repeat-of: try-0\n")),
+        ("no identity", header_fields(identity, "")),
+        ("empty identity", header_fields(identity, "rudder-transaction:\n")),
+        ("identity with a blank", header_fields(identity, "rudder-transaction: a b\n")),
+        ("identity of 128", header_fields("try-1", &"x".repeat(128))),
+        ("identity of 129", header_fields("try-1", &"x".repeat(129))),
+        ("every letter", header_fields("try-1", "aZ09-_.:")),
+        ("no budget", header_fields(budget, "")),
+        ("budget of 0", header_fields(budget, "rudder-budget-ms: 0\n")),
+        ("budget of 60001", header_fields(budget, "rudder-budget-ms: 60001\n")),
+        ("budget of 60000", header_fields(budget, "rudder-budget-ms: 60000\n")),
+        ("budget in words", header_fields(budget, "rudder-budget-ms: long\n")),
+        ("no route", header_fields("/pay", "/nowhere")),
+        ("other method", header_fields("POST", "PUT")),
+        ("announced too large", header_fields("content-length: 2", "content-length: 65")),
+        ("a repeat", header_fields(budget, "rudder-budget-ms: 3000\nrudder-repeat-of: try-0\n")),
     ];
     for (what, request_text) in asked {
-        put(&mut text, what, &answered(&serving, &request_text).await);
+        set_header(&mut text, what, &answered(&serving, &request_text).await);
     }
-    let chunked = lines("content-length: 2", "transfer-encoding: chunked");
+    let chunked = header_fields("content-length: 2", "transfer-encoding: chunked");
     let too_long = chunked.replace("{}", &format!("50\r\n{}\r\n0\r\n\r\n", "x".repeat(80)));
-    put(&mut text, "body too large", &answered(&serving, &too_long).await);
+    set_header(&mut text, "body too large", &answered(&serving, &too_long).await);
     let idle = daemon(answer(200, "5ea1"), false);
-    put(&mut text, "not serving", &answered(&idle, GOOD).await);
-    put(&mut text, "not serving, no route", &answered(&idle, &lines("/pay", "/nowhere")).await);
+    set_header(&mut text, "not serving", &answered(&idle, GOOD).await);
+    set_header(
+        &mut text,
+        "not serving, no route",
+        &answered(&idle, &header_fields("/pay", "/nowhere")).await,
+    );
     serving.agent.begin_leaving();
-    put(&mut text, "leaving", &answered(&serving, GOOD).await);
+    set_header(&mut text, "leaving", &answered(&serving, GOOD).await);
     check("door_refusals.txt", &text);
 }
 
 #[tokio::test]
-async fn readiness_and_metrics_are_asked_at_the_door_as_before() {
+async fn readiness_and_metrics_are_asked_at_the_ingress_as_before() {
     let mut text = String::new();
     for is_serving in [true, false] {
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let address = listener.local_addr().expect("an address");
         let (_stop_sender, stop) = tokio::sync::watch::channel(false);
-        tokio::spawn(serve_door(daemon(answer(200, "5ea1"), is_serving), listener, stop));
+        tokio::spawn(serve_ingress(daemon(answer(200, "5ea1"), is_serving), listener, stop));
         for path in ["/ready", "/metrics"] {
             let mut stream = tokio::net::TcpStream::connect(address).await.expect("a connection");
             let request = format!("GET {path} HTTP/1.1\r\nhost: h\r\nconnection: close\r\n\r\n");
@@ -318,117 +349,122 @@
                 |line: &&str| !line.starts_with("date: ") && !line.starts_with("content-length: ");
             let head: Vec<&str> = head.lines().filter(is_steady).collect();
             let body = if path == "/ready" { body } else { "(the page)" };
-            put(&mut text, path, &format!("{}\n\n{body}", head.join("\n")));
+            set_header(&mut text, path, &format!("{}\n\n{body}", head.join("\n")));
         }
     }
     check("door_pages.txt", &text);
 }
 
-fn words<'a>(
-    transaction: &'a TransactionId,
+fn runner_request<'a>(
+    idempotency_key: &'a IdempotencyKey,
     function: &'a FunctionKey,
-    parcel: &'a Parcel,
-) -> RunnerWords<'a> {
-    RunnerWords {
-        transaction,
+    payload: &'a RequestPayload,
+) -> RunnerRequest<'a> {
+    RunnerRequest {
+        idempotency_key,
         function,
         runner: Some(runner()),
-        life: None,
+        instance: None,
         attempt: 3,
-        budget_left: Duration::from_micros(1_234_900),
-        parcel,
+        remaining_time: Duration::from_micros(1_234_900),
+        payload,
     }
 }
 
 #[tokio::test]
 async fn requests_to_runners_have_their_bytes() {
     let mut text = String::new();
-    let transaction = TransactionId::from("try-1");
-    let whole = function();
+    let idempotency_key = IdempotencyKey::from("try-1");
+    let complete = function();
     let regional = function().in_region(&"north".into());
-    let parcel = Parcel {
-        method: Wording::from("PUT"),
-        target: Wording::from("/pay?now=1"),
-        lines: Many(vec![HeadLine { name: "x-own".into(), value: b"kept".to_vec().into() }]),
+    let payload = RequestPayload {
+        method: ShortString::from("PUT"),
+        target: ShortString::from("/pay?now=1"),
+        header_fields: LengthPrefixed(vec![HeaderField {
+            name: "x-own".into(),
+            value: b"kept".to_vec().into(),
+        }]),
         body: br#"{"sum": 3}"#.to_vec().into(),
     };
-    let plain_life = LifeName::from("life-9");
-    let named_life = LifeName::from("life-9.r-7-1f");
-    let usual = || words(&transaction, &whole, &parcel);
+    let plain_life = InstanceId::from("life-9");
+    let named_life = InstanceId::from("life-9.r-7-1f");
+    let usual = || runner_request(&idempotency_key, &complete, &payload);
     let sent = [
         ("a runner", usual()),
-        ("a runner of a region", RunnerWords { function: &regional, ..usual() }),
-        ("a runner with a life", RunnerWords { life: Some(&plain_life), ..usual() }),
-        ("a runner started under a name", RunnerWords { life: Some(&named_life), ..usual() }),
-        ("no runner named", RunnerWords { runner: None, ..usual() }),
-        ("no time left", RunnerWords { budget_left: Duration::ZERO, ..usual() }),
+        ("a runner of a region", RunnerRequest { function: &regional, ..usual() }),
+        ("a runner with a life", RunnerRequest { instance: Some(&plain_life), ..usual() }),
+        ("a runner started under a name", RunnerRequest { instance: Some(&named_life), ..usual() }),
+        ("no runner named", RunnerRequest { runner: None, ..usual() }),
+        ("no time left", RunnerRequest { remaining_time: Duration::ZERO, ..usual() }),
     ];
-    for (what, words) in sent {
-        let request = OwnRunner.request(place("10.0.0.3:9000"), &words).expect("a request");
-        put(&mut text, what, &wire::request(request).await);
+    for (what, runner_request) in sent {
+        let request = NativeRunnerCodec
+            .request(address("10.0.0.3:9000"), &runner_request)
+            .expect("a request");
+        set_header(&mut text, what, &wire::request(request).await);
     }
     check("runner_requests.txt", &text);
 }
 
-fn headers(lines: &[(&str, &str)]) -> HeaderMap {
+fn headers(header_fields: &[(&str, &str)]) -> HeaderMap {
     let mut headers = HeaderMap::new();
-    for (name, value) in lines {
+    for (name, value) in header_fields {
         let name = HeaderName::from_bytes(name.as_bytes()).expect("a name");
         headers.append(name, HeaderValue::from_str(value).expect("a value"));
     }
     headers
 }
 
-fn shown(said: &RunnerSaid) -> Value {
+fn shown(caller_response: &RunnerResponse) -> Value {
     json!({
-        "status": said.status,
-        "transaction": said.transaction,
-        "function": said.function,
-        "runner": said.runner,
-        "seal": said.seal,
-        "seal is a digest": said.seal_kind == SealKind::Digest,
-        "did not run": said.did_not_run,
-        "is another": said.is_other,
-        "is doubtful": said.is_doubtful,
-        "closes": said.closes,
-        "lines": said.lines.len(),
-        "body": String::from_utf8_lossy(&said.body),
+        "status": caller_response.status,
+        "transaction": caller_response.idempotency_key,
+        "function": caller_response.function,
+        "runner": caller_response.runner,
+        "seal": caller_response.seal,
+        "seal is a digest": caller_response.seal_kind == SealKind::Digest,
+        "did not run": caller_response.did_not_run,
+        "is another": caller_response.is_other_runner,
+        "is doubtful": caller_response.is_unreliable,
+        "closes": caller_response.closes_connection,
+        "lines": caller_response.header_fields.len(),
+        "body": String::from_utf8_lossy(&caller_response.body),
     })
 }
 
 #[test]
 fn runners_answers_are_read_and_asked_for_as_before() {
-    let whole = [
+    let complete = [
         ("rudder-transaction", "try-1"),
         ("rudder-function", "pay@2"),
         ("rudder-runner", "r-500000007-2b"),
         ("rudder-seal", "5ea1"),
     ];
-    let with = |more: (&'static str, &'static str)| headers(&[&whole[..], &[more]].concat());
+    let with = |more: (&'static str, &'static str)| headers(&[&complete[..], &[more]].concat());
     let answers = [
-        ("whole", 200, headers(&whole)),
+        ("whole", 200, headers(&complete)),
         ("empty", 200, headers(&[])),
         ("shed", 503, with(("rudder-shed", "1"))),
         ("closing", 200, with(("connection", "Keep-Alive, Close"))),
         ("two seals", 200, with(("rudder-seal", "5ea2"))),
-        ("misdirected", 421, headers(&whole)),
+        ("misdirected", 421, headers(&complete)),
         ("encoded", 200, with(("content-encoding", "gzip"))),
     ];
     let mut seen = json!({});
     for (what, status, headers) in answers {
         let status = StatusCode::from_u16(status).expect("a status");
-        seen[what] = shown(&OwnRunner.read(status, &headers, "the body".into()));
+        seen[what] = shown(&NativeRunnerCodec.read(status, &headers, "the body".into()));
     }
-    let ready_by = match OwnRunner.ready_by() {
-        ReadyBy::Asking(path, header) => json!([path, header]),
-        ReadyBy::Connecting => json!("connecting"),
+    let readiness_probe = match NativeRunnerCodec.readiness_probe() {
+        ReadinessProbe::HttpGet(path, header) => json!([path, header]),
+        ReadinessProbe::TcpConnect => json!("connecting"),
     };
-    seen["asked for readiness"] = ready_by;
-    seen["asked for what it runs"] = json!(OwnRunner.running_path());
-    let transaction = TransactionId::from("try-1");
-    for is_shed in [true, false] {
-        let digest = seal::seal(&transaction, &function(), runner(), is_shed, b"the body");
-        seen[if is_shed { "seal of a refusal" } else { "seal of an answer" }] = json!(digest);
+    seen["asked for readiness"] = readiness_probe;
+    seen["asked for what it runs"] = json!(NativeRunnerCodec.running_path());
+    let idempotency_key = IdempotencyKey::from("try-1");
+    for is_rejected in [true, false] {
+        let digest = seal::seal(&idempotency_key, &function(), runner(), is_rejected, b"the body");
+        seen[if is_rejected { "seal of a refusal" } else { "seal of an answer" }] = json!(digest);
     }
     check("runner_answers.json", &format!("{seen:#}\n"));
 }
@@ -437,15 +473,15 @@
 fn callers_headers_have_their_names() {
     let repeat = headers(&[(seal::REPEAT_OF, "try-0")]);
     let seen = json!({
-        "identity": OwnDoor.identity_header(),
-        "budget": OwnDoor.budget_header(),
-        "ready": OwnDoor.ready_path(),
-        "a repeat": OwnDoor.is_repeat(&repeat),
-        "no repeat": OwnDoor.is_repeat(&headers(&[])),
-        "lines passed on": OwnDoor.passed_lines(&headers(&[("x-own", "kept")])).len(),
+        "identity": NativeIngressCodec.idempotency_key_header(),
+        "budget": NativeIngressCodec.timeout_header(),
+        "ready": NativeIngressCodec.readiness_path(),
+        "a repeat": NativeIngressCodec.is_repeat(&repeat),
+        "no repeat": NativeIngressCodec.is_repeat(&headers(&[])),
+        "lines passed on": NativeIngressCodec.forwarded_header_fields(&headers(&[("x-own", "kept")])).len(),
         "names": [
-            seal::TRANSACTION, seal::BUDGET, seal::REPEAT_OF, seal::OUTCOME, seal::FUNCTION,
-            seal::RUNNER, seal::GRANT, seal::ATTEMPT, seal::SEAL, seal::SHED,
+            seal::IDEMPOTENCY_KEY, seal::TIMEOUT, seal::REPEAT_OF, seal::OUTCOME, seal::FUNCTION,
+            seal::RUNNER, seal::FENCING_TOKEN, seal::ATTEMPT, seal::SEAL, seal::REJECTED,
         ],
     });
     check("caller_headers.json", &format!("{seen:#}\n"));
--- a/crates/dataplane/tests/keeping.rs
+++ b/crates/dataplane/tests/idle_retention.rs
@@ -1,18 +1,18 @@
 //! When the last runner of a function is stopped: by what a start, a late answer and its memory cost, and by how often
 //! it is called and how long it boots.
 
-use common::clock::Moment;
-use common::frames::{HopOutcome, Life, Many, Place, ReserveResult};
-use common::identity::{FunctionKey, GrantSerial, RunnerId, Serial, Ticket};
+use common::adapter::StartOutcome;
+use common::clock::MonotonicTime;
+use common::frames::{Instance, LengthPrefixed, RequestOutcome, ReserveResult, SocketAddress};
+use common::identity::{FencingToken, FunctionKey, RunnerId, Ticket, Version};
 use common::spec::FunctionSpec;
-use common::tongue::BeginEnd;
 use dataplane::holder::{
-    Entry, GrantTerms, Holder, HolderMessage, HolderOutput, IdleCost, SendEnd, Tuning,
+    AdmissionRequest, Holder, HolderMessage, HolderOutput, IdleCost, LeaseTerms, SendResult, Tuning,
 };
 use googletest::prelude::*;
 use std::time::Duration;
 
-const START: Moment = Moment(10_000_000_000);
+const START: MonotonicTime = MonotonicTime(10_000_000_000);
 const STEP: Duration = Duration::from_millis(10);
 
 fn ms(millis: u64) -> Duration {
@@ -22,40 +22,40 @@
 /// A held function whose runners boot as long as their spec says and answer at once.
 struct Bench {
     holder: Holder,
-    now: Moment,
-    boot: Duration,
+    now: MonotonicTime,
+    startup: Duration,
     target: Duration,
-    booting: Vec<(Moment, RunnerId)>,
+    starting: Vec<(MonotonicTime, RunnerId)>,
     next_number: u64,
     starts: usize,
     stops: usize,
 }
 
 impl Bench {
-    fn new(memory_mb: u32, boot: Duration, target: Duration, is_warm: bool) -> Self {
+    fn new(memory_mb: u32, startup: Duration, target: Duration, is_prewarmed: bool) -> Self {
         let spec = FunctionSpec {
             connections: 100,
             memory_mb,
-            boot,
+            startup,
             slots: 8,
             min_runners: 0,
             max_runners: 8,
         };
-        let terms = GrantTerms {
-            function: FunctionKey::new("f", Serial(2)),
-            grant: GrantSerial(1),
+        let terms = LeaseTerms {
+            function: FunctionKey::new("f", Version(2)),
+            fencing_token: FencingToken(1),
             spec,
             once_wait: Duration::ZERO,
-            steward: None,
-            prior: None,
+            replica: None,
+            previous_lease: None,
             adopted: Vec::new(),
         };
         let tuning = Tuning::builder().idle_cost(Some(IdleCost::default())).build();
         let mut holder = Holder::new(START, terms).with_tuning(START, tuning);
-        holder.set_warm(is_warm);
-        let (now, booting) = (START, Vec::new());
+        holder.set_warm(is_prewarmed);
+        let (now, starting) = (START, Vec::new());
         let mut bench =
-            Self { holder, now, boot, target, booting, next_number: 0, starts: 0, stops: 0 };
+            Self { holder, now, startup, target, starting, next_number: 0, starts: 0, stops: 0 };
         let outputs = bench.holder.begin(START);
         bench.take(outputs);
         bench
@@ -64,9 +64,10 @@
     fn take(&mut self, outputs: Vec<HolderOutput>) {
         for output in outputs {
             match output {
-                HolderOutput::Tell(HolderMessage::Reserve) => {
+                HolderOutput::Report(HolderMessage::Reserve) => {
                     self.next_number += 1;
-                    let runner = RunnerId { grant: GrantSerial(1), ordinal: self.next_number };
+                    let runner =
+                        RunnerId { fencing_token: FencingToken(1), ordinal: self.next_number };
                     let result =
                         ReserveResult::Reserved { runner, worker: "w".into(), memory_mb: 1 };
                     let outputs = self.holder.reserved(self.now, &result);
@@ -74,14 +75,18 @@
                 }
                 HolderOutput::Start { runner, .. } => {
                     self.starts += 1;
-                    self.booting.push((self.now + self.boot, runner));
-                    let life = Life { name: format!("{runner}").into(), place: Place::NOWHERE };
-                    let outputs = self.holder.started(self.now, runner, BeginEnd::Begun(life));
+                    self.starting.push((self.now + self.startup, runner));
+                    let instance = Instance {
+                        name: format!("{runner}").into(),
+                        address: SocketAddress::UNSPECIFIED,
+                    };
+                    let outputs =
+                        self.holder.started(self.now, runner, StartOutcome::Started(instance));
                     self.take(outputs);
                 }
                 HolderOutput::Probe { runner, .. } => {
                     let is_ready =
-                        self.booting.iter().any(|(at, one)| *one == runner && *at <= self.now);
+                        self.starting.iter().any(|(at, one)| *one == runner && *at <= self.now);
                     let outputs = self.holder.probed(self.now, runner, is_ready);
                     self.take(outputs);
                 }
@@ -91,15 +96,18 @@
                     self.take(outputs);
                 }
                 HolderOutput::Send { ticket, runner, .. } => {
-                    let outcome = HopOutcome::Answer {
-                        lines: Many(Vec::new()),
+                    let outcome = RequestOutcome::Response {
+                        header_fields: LengthPrefixed(Vec::new()),
                         status: 200,
                         seal: Vec::new().into(),
                         runner,
                         body: Vec::new().into(),
                     };
-                    let outputs =
-                        self.holder.sent_ended(self.now, ticket, SendEnd::Answered(outcome));
+                    let outputs = self.holder.handle_send_result(
+                        self.now,
+                        ticket,
+                        SendResult::Answered(outcome),
+                    );
                     self.take(outputs);
                 }
                 _ => {}
@@ -107,7 +115,7 @@
         }
     }
 
-    fn pass(&mut self, span: Duration) {
+    fn advance(&mut self, span: Duration) {
         let until = self.now + span;
         while self.now < until {
             self.now = self.now + STEP;
@@ -118,44 +126,43 @@
 
     fn call(&mut self) {
         self.next_number += 1;
-        let entry = Entry {
+        let request = AdmissionRequest {
             ticket: Ticket(self.next_number),
-            transaction: format!("t{}", self.next_number).as_str().into(),
+            idempotency_key: format!("t{}", self.next_number).as_str().into(),
             once: false,
-            noted: false,
-            tries: 2,
+            recorded: false,
+            max_attempts: 2,
             repeat: false,
-            budget_end: self.now + ms(5000),
-            patience: ms(5000),
+            deadline: self.now + ms(5000),
+            queue_timeout: ms(5000),
             target: self.target,
             rank: 0,
             region: None,
         };
-        let (_, outputs) = self.holder.grant_entry(self.now, entry);
+        let (_, outputs) = self.holder.admit(self.now, request);
         self.take(outputs);
     }
 
     /// Calls with such gaps between them; says how many runners were started for them.
-    fn starts_of_calls(&mut self, gap: Duration, count: usize) -> usize {
+    fn starts_for_calls(&mut self, gap: Duration, count: usize) -> usize {
         let before = self.starts;
         for _ in 0..count {
             self.call();
-            self.pass(gap);
+            self.advance(gap);
         }
         self.starts - before
     }
 }
 
 #[gtest]
-fn a_runner_is_kept_while_the_next_call_is_to_be_expected_before_its_memory_costs_a_start()
--> Result<()> {
-    for (memory_mb, gap_ms, is_kept) in
+fn a_runner_is_retained_while_idling_costs_less_than_a_cold_start() -> Result<()> {
+    for (memory_mb, gap_ms, is_retained) in
         [(128, 1000, true), (128, 8000, false), (1024, 200, true), (1024, 3000, false)]
     {
         let mut bench = Bench::new(memory_mb, ms(500), ms(3000), false);
-        bench.starts_of_calls(ms(gap_ms), 12);
-        let starts = bench.starts_of_calls(ms(gap_ms), 10);
-        verify_that!(starts, eq(if is_kept { 0 } else { 10 }))
+        bench.starts_for_calls(ms(gap_ms), 12);
+        let starts = bench.starts_for_calls(ms(gap_ms), 10);
+        verify_that!(starts, eq(if is_retained { 0 } else { 10 }))
             .with_failure_message(|| format!("{memory_mb} MB, a call each {gap_ms} ms"))?;
     }
     Ok(())
@@ -163,53 +170,53 @@
 
 #[gtest]
 fn a_start_that_makes_the_answer_late_is_worth_more_memory() -> Result<()> {
-    for (target_ms, is_kept) in [(3000, false), (400, true)] {
+    for (target_ms, is_retained) in [(3000, false), (400, true)] {
         let mut bench = Bench::new(128, ms(500), ms(target_ms), false);
-        bench.starts_of_calls(ms(4000), 12);
-        let starts = bench.starts_of_calls(ms(4000), 10);
-        verify_that!(starts, eq(if is_kept { 0 } else { 10 }))
+        bench.starts_for_calls(ms(4000), 12);
+        let starts = bench.starts_for_calls(ms(4000), 10);
+        verify_that!(starts, eq(if is_retained { 0 } else { 10 }))
             .with_failure_message(|| format!("a target of {target_ms} ms"))?;
     }
     Ok(())
 }
 
 #[gtest]
-fn measured_boots_go_before_what_the_spec_says() -> Result<()> {
+fn measured_startup_times_override_the_spec() -> Result<()> {
     let mut bench = Bench::new(128, ms(500), ms(900), false);
-    bench.starts_of_calls(ms(4000), 12);
-    verify_that!(bench.starts_of_calls(ms(4000), 5), eq(5))?;
-    bench.boot = ms(1500);
-    bench.starts_of_calls(ms(4000), 20);
-    verify_that!(bench.starts_of_calls(ms(4000), 5), eq(0))
+    bench.starts_for_calls(ms(4000), 12);
+    verify_that!(bench.starts_for_calls(ms(4000), 5), eq(5))?;
+    bench.startup = ms(1500);
+    bench.starts_for_calls(ms(4000), 20);
+    verify_that!(bench.starts_for_calls(ms(4000), 5), eq(0))
 }
 
 #[gtest]
-fn a_rarely_called_function_keeps_its_runner_for_a_part_of_a_boot() -> Result<()> {
+fn a_rarely_called_function_retains_its_runner_for_part_of_a_startup() -> Result<()> {
     let mut bench = Bench::new(128, ms(500), ms(3000), false);
-    bench.starts_of_calls(ms(20_000), 6);
+    bench.starts_for_calls(ms(20_000), 6);
     bench.call();
-    bench.pass(ms(510));
+    bench.advance(ms(510));
     let stops = bench.stops;
-    bench.pass(ms(100));
+    bench.advance(ms(100));
     verify_that!(bench.stops, eq(stops))?;
-    bench.pass(ms(100));
+    bench.advance(ms(100));
     verify_that!(bench.stops, eq(stops + 1))
 }
 
 #[gtest]
 fn a_runner_started_before_the_first_call_waits_a_minute_for_it() -> Result<()> {
     let mut bench = Bench::new(1024, ms(750), ms(300), true);
-    bench.pass(ms(59_000));
+    bench.advance(ms(59_000));
     verify_that!((bench.starts, bench.stops), eq((1, 0)))?;
-    bench.pass(ms(3000));
+    bench.advance(ms(3000));
     verify_that!((bench.starts, bench.stops), eq((1, 1)))
 }
 
 #[gtest]
-fn a_new_holder_of_a_warm_function_does_not_stop_it_in_a_short_pause() -> Result<()> {
+fn a_new_holder_retains_a_warm_runner_over_a_short_pause() -> Result<()> {
     let mut bench = Bench::new(1024, ms(750), ms(300), true);
-    bench.pass(ms(1000));
+    bench.advance(ms(1000));
     bench.call();
-    bench.pass(ms(2500));
+    bench.advance(ms(2500));
     verify_that!(bench.stops, eq(0))
 }
--- a/crates/dataplane/tests/metrics_forms.rs
+++ b/crates/dataplane/tests/metrics_forms.rs
@@ -9,7 +9,7 @@
 fn every_metric_has_its_name_type_and_labels() {
     let gauges = Gauges::new();
     for outcome in ["answer", "not_run", "unknown", "left"] {
-        gauges.outcomes.with_label_values(&[outcome, "reason"]).inc();
+        gauges.request_outcomes.with_label_values(&[outcome, "reason"]).inc();
         gauges.request_seconds.with_label_values(&[outcome]);
     }
     for found in ["held", "passed", "acquired"] {
@@ -23,23 +23,23 @@
 #[test]
 fn every_metric_counts_what_its_name_says() {
     let gauges = Gauges::new();
-    gauges.overdue.inc_by(1);
+    gauges.overdue_requests.inc_by(1);
     gauges.acquires.inc_by(2);
     gauges.sends.inc_by(3);
-    gauges.extra_sends.inc_by(4);
+    gauges.retried_sends.inc_by(4);
     gauges.rejected_answers.inc_by(5);
     gauges.rejected_frames.inc_by(6);
-    gauges.grants_ended.inc_by(7);
+    gauges.leases_ended.inc_by(7);
     gauges.held.set(8);
     gauges.ready_runners.set(9);
-    gauges.waiting.set(10);
-    gauges.running.set(11);
+    gauges.queued.set(10);
+    gauges.in_flight.set(11);
     gauges.serving.set(12);
-    gauges.serial.set(13);
-    gauges.ledger_lines.set(14);
+    gauges.version.set(13);
+    gauges.replica_entries.set(14);
     gauges.idle_stop_skipped.set(15);
     gauges.acquire_seconds.observe(16.0);
-    gauges.note_seconds.observe(17.0);
+    gauges.replication_seconds.observe(17.0);
     let page = String::from_utf8(gauges.page()).expect("text");
     let is_value = |line: &&str| !line.starts_with('#') && !line.ends_with(" 0");
     let values: Vec<&str> = page.lines().filter(is_value).collect();
--- a/crates/dataplane/tests/owners.rs
+++ b/crates/dataplane/tests/owners.rs
@@ -1,9 +1,9 @@
 //! The source's four rules on the ordinary path, as far as one daemon decides them.
 
-use common::frames::{Flag, Host, Place};
-use common::identity::{FunctionKey, MemberName, Serial};
+use common::frames::{Flag, Host, SocketAddress};
+use common::identity::{FunctionKey, MemberName, Version};
 use common::ring::{Regions, hash_owner};
-use dataplane::owners::{Sight, Step, next_step};
+use dataplane::owners::{LookupContext, LookupStep, next_step};
 use googletest::prelude::*;
 
 fn hosts() -> Vec<Host> {
@@ -12,20 +12,26 @@
             member: format!("th-{number}").into(),
             incarnation: (number + 1).into(),
             zone: "here".into(),
-            place: Place::NOWHERE,
+            address: SocketAddress::UNSPECIFIED,
             eligible: Flag(true),
             link_mbps: 0,
         })
         .collect()
 }
 
-fn decide(own: &MemberName, holds: bool, cached: Option<&Host>, hosts: &[Host], hops: u8) -> Step {
-    let function = FunctionKey::new("f", Serial(2));
-    next_step(&Sight {
+fn lookup(
+    own: &MemberName,
+    holds: bool,
+    cached_host: Option<&Host>,
+    hosts: &[Host],
+    hops: u8,
+) -> LookupStep {
+    let function = FunctionKey::new("f", Version(2));
+    next_step(&LookupContext {
         function: &function,
         own_member: own,
         holds,
-        cached_owner: cached,
+        cached_owner: cached_host,
         hosts,
         regions: &Regions::default(),
         hops,
@@ -33,51 +39,54 @@
 }
 
 #[gtest]
-fn only_the_hash_owner_asks_the_leader() -> Result<()> {
+fn only_the_hash_owner_requests_the_lease() -> Result<()> {
     let all_hosts = hosts();
-    let function = FunctionKey::new("f", Serial(2));
+    let function = FunctionKey::new("f", Version(2));
     let owner = hash_owner(&function, all_hosts.iter()).expect("an owner").clone();
     for host in &all_hosts {
-        let step = decide(&host.member, false, None, &all_hosts, 0);
+        let step = lookup(&host.member, false, None, &all_hosts, 0);
         if host.member == owner.member {
-            verify_that!(step, eq(&Step::Acquire))?;
+            verify_that!(step, eq(&LookupStep::Acquire))?;
         } else {
-            verify_that!(step, eq(&Step::Forward(owner.clone())))?;
-            verify_that!(decide(&host.member, false, None, &all_hosts, 1), eq(&Step::NotHolder))?;
+            verify_that!(step, eq(&LookupStep::Forward(owner.clone())))?;
+            verify_that!(
+                lookup(&host.member, false, None, &all_hosts, 1),
+                eq(&LookupStep::NotHolder)
+            )?;
         }
     }
     Ok(())
 }
 
 #[gtest]
-fn a_cached_owner_counts_only_in_the_life_the_host_list_shows() -> Result<()> {
+fn a_cached_owner_counts_only_in_its_listed_incarnation() -> Result<()> {
     let all_hosts = hosts();
-    let function = FunctionKey::new("f", Serial(2));
+    let function = FunctionKey::new("f", Version(2));
     let owner = hash_owner(&function, all_hosts.iter()).expect("an owner").clone();
-    let asker = all_hosts.iter().find(|host| host.member != owner.member).expect("one").clone();
-    let cached = all_hosts
+    let own_host = all_hosts.iter().find(|host| host.member != owner.member).expect("one").clone();
+    let cached_host = all_hosts
         .iter()
-        .find(|host| host.member != owner.member && host.member != asker.member)
+        .find(|host| host.member != owner.member && host.member != own_host.member)
         .expect("another")
         .clone();
-    let fresh = decide(&asker.member, false, Some(&cached), &all_hosts, 0);
-    verify_that!(fresh, eq(&Step::Forward(cached.clone())))?;
-    let mut restarted = cached.clone();
-    restarted.incarnation = 99.into();
-    let stale = decide(&asker.member, false, Some(&restarted), &all_hosts, 0);
-    verify_that!(stale, eq(&Step::Forward(owner.clone())))?;
+    let hit = lookup(&own_host.member, false, Some(&cached_host), &all_hosts, 0);
+    verify_that!(hit, eq(&LookupStep::Forward(cached_host.clone())))?;
+    let mut restarted_owner = cached_host.clone();
+    restarted_owner.incarnation = 99.into();
+    let miss = lookup(&own_host.member, false, Some(&restarted_owner), &all_hosts, 0);
+    verify_that!(miss, eq(&LookupStep::Forward(owner.clone())))?;
     let without: Vec<Host> =
-        all_hosts.iter().filter(|host| host.member != cached.member).cloned().collect();
-    let gone = decide(&asker.member, false, Some(&cached), &without, 0);
-    verify_that!(gone == Step::Forward(cached), eq(false))
+        all_hosts.iter().filter(|host| host.member != cached_host.member).cloned().collect();
+    let after_removal = lookup(&own_host.member, false, Some(&cached_host), &without, 0);
+    verify_that!(after_removal == LookupStep::Forward(cached_host), eq(false))
 }
 
 #[gtest]
 fn hops_are_bounded() -> Result<()> {
     let all_hosts = hosts();
-    let cached = all_hosts[1].clone();
-    let far = decide(&all_hosts[0].member, false, Some(&cached), &all_hosts, 2);
-    verify_that!(matches!(far, Step::NotHolder | Step::Acquire), eq(true))?;
-    verify_that!(decide(&all_hosts[0].member, true, None, &all_hosts, 2), eq(&Step::Serve))?;
-    verify_that!(decide(&all_hosts[0].member, false, None, &[], 0), eq(&Step::Nobody))
+    let cached_host = all_hosts[1].clone();
+    let at_hop_limit = lookup(&all_hosts[0].member, false, Some(&cached_host), &all_hosts, 2);
+    verify_that!(matches!(at_hop_limit, LookupStep::NotHolder | LookupStep::Acquire), eq(true))?;
+    verify_that!(lookup(&all_hosts[0].member, true, None, &all_hosts, 2), eq(&LookupStep::Serve))?;
+    verify_that!(lookup(&all_hosts[0].member, false, None, &[], 0), eq(&LookupStep::NoEligibleHost))
 }
--- a/crates/dataplane/tests/pool.rs
+++ b/crates/dataplane/tests/pool.rs
@@ -1,76 +1,76 @@
 //! Which kept connection is used, and which are dropped.
 
-use common::clock::Moment;
-use common::identity::{GrantSerial, RunnerId};
-use dataplane::pool::{Draw, LinkNumber, Pool};
+use common::clock::MonotonicTime;
+use common::identity::{FencingToken, RunnerId};
+use dataplane::pool::{Checkout, ConnectionId, ConnectionPool};
 use googletest::prelude::*;
 use std::time::Duration;
 
-const START: Moment = Moment(10_000_000_000);
-const RUNNER: RunnerId = RunnerId { grant: GrantSerial(4), ordinal: 1 };
+const START: MonotonicTime = MonotonicTime(10_000_000_000);
+const RUNNER: RunnerId = RunnerId { fencing_token: FencingToken(4), ordinal: 1 };
 
 fn ms(millis: u64) -> Duration {
     Duration::from_millis(millis)
 }
 
-fn opened(pool: &mut Pool) -> LinkNumber {
-    match pool.draw(START, RUNNER, 2) {
-        Draw::Open(number) => number,
-        Draw::Kept(_) | Draw::Full => LinkNumber(0),
+fn checkout_new_id(pool: &mut ConnectionPool) -> ConnectionId {
+    match pool.checkout(START, RUNNER, 2) {
+        Checkout::Open(number) => number,
+        Checkout::Reused(_) | Checkout::Full => ConnectionId(0),
     }
 }
 
 #[gtest]
-fn a_connection_carries_one_transaction_at_a_time_and_a_runner_gets_no_more_than_it_takes()
--> Result<()> {
-    let mut pool = Pool::default();
-    let (first, second) = (opened(&mut pool), opened(&mut pool));
+fn a_connection_carries_one_request_and_a_runner_gets_at_most_its_limit() -> Result<()> {
+    let mut pool = ConnectionPool::default();
+    let (first, second) = (checkout_new_id(&mut pool), checkout_new_id(&mut pool));
     verify_that!(first, not(eq(second)))?;
-    verify_that!(pool.draw(START, RUNNER, 2), eq(Draw::Full))?;
-    verify_that!(pool.give_back(START, RUNNER, first, None), eq(true))?;
-    verify_that!(pool.draw(START, RUNNER, 2), eq(Draw::Kept(first)))?;
-    verify_that!(pool.draw(START, RUNNER, 2), eq(Draw::Full))?;
-    pool.drop_link(RUNNER, second);
-    verify_that!(matches!(pool.draw(START, RUNNER, 2), Draw::Open(_)), eq(true))
+    verify_that!(pool.checkout(START, RUNNER, 2), eq(Checkout::Full))?;
+    verify_that!(pool.check_in(START, RUNNER, first, None), eq(true))?;
+    verify_that!(pool.checkout(START, RUNNER, 2), eq(Checkout::Reused(first)))?;
+    verify_that!(pool.checkout(START, RUNNER, 2), eq(Checkout::Full))?;
+    pool.remove_connection(RUNNER, second);
+    verify_that!(matches!(pool.checkout(START, RUNNER, 2), Checkout::Open(_)), eq(true))
 }
 
 #[gtest]
-fn the_connection_used_last_is_drawn_first_so_that_the_others_can_go() -> Result<()> {
-    let mut pool = Pool::default();
-    let (first, second) = (opened(&mut pool), opened(&mut pool));
-    pool.give_back(START, RUNNER, second, None);
-    pool.give_back(START + ms(5), RUNNER, first, None);
-    verify_that!(pool.draw(START + ms(6), RUNNER, 2), eq(Draw::Kept(first)))?;
-    verify_that!(pool.sweep(START + ms(10_001)), elements_are![eq(&second)])?;
+fn the_most_recently_used_connection_is_reused_first() -> Result<()> {
+    let mut pool = ConnectionPool::default();
+    let (first, second) = (checkout_new_id(&mut pool), checkout_new_id(&mut pool));
+    pool.check_in(START, RUNNER, second, None);
+    pool.check_in(START + ms(5), RUNNER, first, None);
+    verify_that!(pool.checkout(START + ms(6), RUNNER, 2), eq(Checkout::Reused(first)))?;
+    verify_that!(pool.remove_expired(START + ms(10_001)), elements_are![eq(&second)])?;
     verify_that!(pool.count(RUNNER), eq(1))
 }
 
 #[gtest]
-fn a_connection_is_not_used_shortly_before_the_runner_ends_it() -> Result<()> {
-    for (kept_for, last_use_ms) in [(Some(ms(5000)), 3999), (None, 9999), (Some(ms(60_000)), 9999)]
+fn a_connection_is_not_reused_near_its_keep_alive_end() -> Result<()> {
+    for (keep_alive, last_use_ms) in
+        [(Some(ms(5000)), 3999), (None, 9999), (Some(ms(60_000)), 9999)]
     {
-        let mut pool = Pool::default();
-        let number = opened(&mut pool);
-        pool.give_back(START, RUNNER, number, kept_for);
+        let mut pool = ConnectionPool::default();
+        let number = checkout_new_id(&mut pool);
+        pool.check_in(START, RUNNER, number, keep_alive);
         let last_use = START + ms(last_use_ms);
-        verify_that!(pool.draw(last_use, RUNNER, 2), eq(Draw::Kept(number)))?;
-        pool.give_back(START, RUNNER, number, kept_for);
-        let too_late = pool.draw(last_use + ms(1), RUNNER, 2);
-        verify_that!(matches!(too_late, Draw::Open(_)), eq(true))?;
+        verify_that!(pool.checkout(last_use, RUNNER, 2), eq(Checkout::Reused(number)))?;
+        pool.check_in(START, RUNNER, number, keep_alive);
+        let too_late = pool.checkout(last_use + ms(1), RUNNER, 2);
+        verify_that!(matches!(too_late, Checkout::Open(_)), eq(true))?;
     }
-    let mut pool = Pool::default();
-    let number = opened(&mut pool);
-    verify_that!(pool.give_back(START, RUNNER, number, Some(ms(1000))), eq(false))?;
+    let mut pool = ConnectionPool::default();
+    let number = checkout_new_id(&mut pool);
+    verify_that!(pool.check_in(START, RUNNER, number, Some(ms(1000))), eq(false))?;
     verify_that!(pool.count(RUNNER), eq(0))
 }
 
 #[gtest]
-fn what_ended_or_belongs_to_a_stopped_runner_is_never_drawn() -> Result<()> {
-    let mut pool = Pool::default();
-    let (first, second) = (opened(&mut pool), opened(&mut pool));
-    pool.give_back(START, RUNNER, first, None);
-    verify_that!(pool.forget(RUNNER), elements_are![eq(&first)])?;
-    pool.drop_link(RUNNER, second);
-    verify_that!(pool.give_back(START, RUNNER, second, None), eq(false))?;
+fn a_closed_connection_or_one_of_a_stopped_runner_is_never_reused() -> Result<()> {
+    let mut pool = ConnectionPool::default();
+    let (first, second) = (checkout_new_id(&mut pool), checkout_new_id(&mut pool));
+    pool.check_in(START, RUNNER, first, None);
+    verify_that!(pool.remove_idle(RUNNER), elements_are![eq(&first)])?;
+    pool.remove_connection(RUNNER, second);
+    verify_that!(pool.check_in(START, RUNNER, second, None), eq(false))?;
     verify_that!(pool.count(RUNNER), eq(0))
 }
--- a/crates/dataplane/tests/regional.rs
+++ b/crates/dataplane/tests/regional.rs
@@ -1,35 +1,39 @@
 //! Regions whose callers keep a runner of their own busy are served under a key of their own, and go back to the holder
 //! for all regions when that one cannot serve.
 
-use common::chance::Chance;
-use common::clock::Moment;
+use common::adapter::StartOutcome;
+use common::clock::MonotonicTime;
 use common::frames::{
-    AcquireResult, Flag, HopBody, HopOutcome, HopReason, Host, Life, Many, Parcel, Place,
-    ReserveResult, StreamDown,
+    AcquireResult, DaemonMessage, Flag, Host, Instance, LeaderToDaemon, LengthPrefixed,
+    RequestFailureReason, RequestOutcome, RequestPayload, ReserveResult, SocketAddress,
 };
-use common::identity::{FunctionKey, GrantSerial, Region, RunnerId, Serial, Term, Ticket};
+use common::identity::{FencingToken, FunctionKey, Region, RunnerId, Term, Ticket, Version};
 use common::ring::{Regions, hash_owner_in};
+use common::rng::SeededRng;
 use common::rules::Rules;
 use common::spec::{Document, FunctionSpec, read_spec};
-use common::tongue::BeginEnd;
-use dataplane::agent::{Agent, Ask, DaemonControl, Forwarding, ForwardingStep, PassEnd};
-use dataplane::holder::{Entry, GrantTerms, Holder, HolderMessage, HolderOutput, SendEnd};
-use dataplane::liaison::LiaisonTiming;
+use dataplane::agent::{
+    Agent, DaemonControl, ForwardResult, Forwarding, ForwardingStep, FunctionRequest,
+};
+use dataplane::control_session::ControlSessionTiming;
+use dataplane::holder::{
+    AdmissionRequest, Holder, HolderMessage, HolderOutput, LeaseTerms, SendResult,
+};
 use googletest::prelude::*;
 use serde_json::json;
 use std::sync::Arc;
 use std::time::Duration;
 
-const START: Moment = Moment(10_000_000_000);
-const BOOT: Duration = Duration::from_millis(400);
+const START: MonotonicTime = MonotonicTime(10_000_000_000);
+const STARTUP: Duration = Duration::from_millis(400);
 const SLOTS: u32 = 4;
 
 fn ms(millis: u64) -> Duration {
     Duration::from_millis(millis)
 }
 
-fn whole() -> FunctionKey {
-    FunctionKey::new("f", Serial(2))
+fn all_regions() -> FunctionKey {
+    FunctionKey::new("f", Version(2))
 }
 
 fn west() -> Region {
@@ -37,36 +41,41 @@
 }
 
 /// A holder whose runners are ready when they are told to be, and take a tenth of a second for a call.
-struct Held {
+struct HolderBench {
     holder: Holder,
-    now: Moment,
-    runs: Vec<(Moment, Ticket, RunnerId)>,
-    booting: Vec<RunnerId>,
+    now: MonotonicTime,
+    running_requests: Vec<(MonotonicTime, Ticket, RunnerId)>,
+    starting: Vec<RunnerId>,
     next_number: u64,
 }
 
-impl Held {
+impl HolderBench {
     fn new(function: FunctionKey) -> Self {
         let spec = FunctionSpec {
             connections: 100,
             memory_mb: 100,
-            boot: BOOT,
+            startup: STARTUP,
             slots: SLOTS,
             min_runners: 0,
             max_runners: 8,
         };
-        let terms = GrantTerms {
+        let terms = LeaseTerms {
             function,
-            grant: GrantSerial(1),
+            fencing_token: FencingToken(1),
             spec,
             once_wait: Duration::ZERO,
-            steward: None,
-            prior: None,
+            replica: None,
+            previous_lease: None,
             adopted: Vec::new(),
         };
         let holder = Holder::new(START, terms);
-        let mut held =
-            Self { holder, now: START, runs: Vec::new(), booting: Vec::new(), next_number: 0 };
+        let mut held = Self {
+            holder,
+            now: START,
+            running_requests: Vec::new(),
+            starting: Vec::new(),
+            next_number: 0,
+        };
         let outputs = held.holder.begin(START);
         held.take(outputs);
         held
@@ -75,43 +84,50 @@
     fn take(&mut self, outputs: Vec<HolderOutput>) {
         for output in outputs {
             match output {
-                HolderOutput::Tell(HolderMessage::Reserve) => {
+                HolderOutput::Report(HolderMessage::Reserve) => {
                     self.next_number += 1;
-                    let runner = RunnerId { grant: GrantSerial(1), ordinal: self.next_number };
+                    let runner =
+                        RunnerId { fencing_token: FencingToken(1), ordinal: self.next_number };
                     let result =
                         ReserveResult::Reserved { runner, worker: "w".into(), memory_mb: 100 };
                     let outputs = self.holder.reserved(self.now, &result);
                     self.take(outputs);
                 }
                 HolderOutput::Start { runner, .. } => {
-                    self.booting.push(runner);
-                    let life = Life { name: format!("{runner}").into(), place: Place::NOWHERE };
-                    let outputs = self.holder.started(self.now, runner, BeginEnd::Begun(life));
+                    self.starting.push(runner);
+                    let instance = Instance {
+                        name: format!("{runner}").into(),
+                        address: SocketAddress::UNSPECIFIED,
+                    };
+                    let outputs =
+                        self.holder.started(self.now, runner, StartOutcome::Started(instance));
                     self.take(outputs);
                 }
                 HolderOutput::Send { ticket, runner, .. } => {
-                    self.runs.push((self.now + ms(100), ticket, runner));
+                    self.running_requests.push((self.now + ms(100), ticket, runner));
                 }
                 _ => {}
             }
         }
     }
 
-    fn boot_all(&mut self) {
-        for runner in std::mem::take(&mut self.booting) {
+    fn finish_startups(&mut self) {
+        for runner in std::mem::take(&mut self.starting) {
             let outputs = self.holder.probed(self.now, runner, true);
             self.take(outputs);
         }
     }
 
-    fn pass(&mut self, span: Duration) {
-        let until = self.now + span;
-        while self.now < until {
+    fn run_for(&mut self, span: Duration) {
+        let end = self.now + span;
+        while self.now < end {
             self.now = self.now + ms(10);
-            let due: Vec<_> = self.runs.extract_if(.., |(at, _, _)| *at <= self.now).collect();
+            let due: Vec<_> =
+                self.running_requests.extract_if(.., |(at, _, _)| *at <= self.now).collect();
             for (_, ticket, runner) in due {
                 let outcome = answer(runner);
-                let outputs = self.holder.sent_ended(self.now, ticket, SendEnd::Answered(outcome));
+                let outputs =
+                    self.holder.handle_send_result(self.now, ticket, SendResult::Answered(outcome));
                 self.take(outputs);
             }
             let outputs = self.holder.tick(self.now);
@@ -119,41 +135,41 @@
         }
     }
 
-    fn call(&mut self, region: Option<Region>, noted: bool) -> Option<HopOutcome> {
+    fn enter_request(&mut self, region: Option<Region>, recorded: bool) -> Option<RequestOutcome> {
         self.next_number += 1;
-        let entry = Entry {
+        let request = AdmissionRequest {
             ticket: Ticket(self.next_number),
-            transaction: format!("t{}", self.next_number).as_str().into(),
+            idempotency_key: format!("t{}", self.next_number).as_str().into(),
             once: false,
-            noted,
-            tries: 2,
+            recorded,
+            max_attempts: 2,
             repeat: false,
-            budget_end: self.now + ms(3000),
-            patience: ms(3000),
+            deadline: self.now + ms(3000),
+            queue_timeout: ms(3000),
             target: ms(1000),
             rank: 0,
             region,
         };
-        let (at_once, outputs) = self.holder.grant_entry(self.now, entry);
+        let (at_once, outputs) = self.holder.admit(self.now, request);
         self.take(outputs);
         at_once
     }
 
     /// Calls from the west, so many a second, for a while.
-    fn calls_from_the_west(&mut self, per_second: u64, span: Duration, noted: bool) {
-        let gap = ms(1000 / per_second);
-        let until = self.now + span;
-        while self.now < until {
-            self.call(Some(west()), noted);
-            self.pass(gap);
-            self.boot_all();
+    fn enter_requests_from_west(&mut self, per_second: u64, span: Duration, recorded: bool) {
+        let interval = ms(1000 / per_second);
+        let end = self.now + span;
+        while self.now < end {
+            self.enter_request(Some(west()), recorded);
+            self.run_for(interval);
+            self.finish_startups();
         }
     }
 }
 
-fn answer(runner: RunnerId) -> HopOutcome {
-    HopOutcome::Answer {
-        lines: Many(Vec::new()),
+fn answer(runner: RunnerId) -> RequestOutcome {
+    RequestOutcome::Response {
+        header_fields: LengthPrefixed(Vec::new()),
         status: 200,
         seal: Vec::new().into(),
         runner,
@@ -162,61 +178,66 @@
 }
 
 #[gtest]
-fn a_region_gets_a_key_of_its_own_when_its_callers_keep_a_part_of_a_runner_busy() -> Result<()> {
-    for (per_second, is_given) in [(20, true), (4, false)] {
-        let mut held = Held::new(whole());
-        held.calls_from_the_west(per_second, ms(1000), false);
-        verify_that!(held.holder.regional_after(held.now, &west()), none())?;
-        held.calls_from_the_west(per_second, ms(3000), false);
-        let after = held.holder.regional_after(held.now, &west());
-        verify_that!(after.is_some(), eq(is_given))?;
-        verify_that!(held.holder.regional_after(held.now, &Region::from("north")), none())?;
+fn a_region_gets_its_own_key_when_its_callers_load_a_runner_enough() -> Result<()> {
+    for (per_second, is_regional_key_used) in [(20, true), (4, false)] {
+        let mut held = HolderBench::new(all_regions());
+        held.enter_requests_from_west(per_second, ms(1000), false);
+        verify_that!(held.holder.regional_use_delay(held.now, &west()), none())?;
+        held.enter_requests_from_west(per_second, ms(3000), false);
+        let after = held.holder.regional_use_delay(held.now, &west());
+        verify_that!(after.is_some(), eq(is_regional_key_used))?;
+        verify_that!(held.holder.regional_use_delay(held.now, &Region::from("north")), none())?;
         if let Some(after) = after {
-            verify_that!(after, all![ge(BOOT), le(BOOT * 2 + ms(500))])?;
-            held.calls_from_the_west(per_second, after, false);
-            verify_that!(held.holder.regional_after(held.now, &west()), some(eq(Duration::ZERO)))?;
+            verify_that!(after, all![ge(STARTUP), le(STARTUP * 2 + ms(500))])?;
+            held.enter_requests_from_west(per_second, after, false);
+            verify_that!(
+                held.holder.regional_use_delay(held.now, &west()),
+                some(eq(Duration::ZERO))
+            )?;
         }
     }
     Ok(())
 }
 
 #[gtest]
-fn a_key_is_kept_for_some_seconds_and_lost_when_its_callers_are_gone() -> Result<()> {
-    let mut held = Held::new(whole());
-    held.calls_from_the_west(20, ms(4000), false);
-    verify_that!(held.holder.regional_after(held.now, &west()), some(anything()))?;
-    held.pass(ms(4000));
-    verify_that!(held.holder.regional_after(held.now, &west()), some(anything()))?;
-    held.pass(ms(8000));
-    verify_that!(held.holder.regional_after(held.now, &west()), none())
+fn a_regional_key_is_retained_for_seconds_and_dropped_without_callers() -> Result<()> {
+    let mut held = HolderBench::new(all_regions());
+    held.enter_requests_from_west(20, ms(4000), false);
+    verify_that!(held.holder.regional_use_delay(held.now, &west()), some(anything()))?;
+    held.run_for(ms(4000));
+    verify_that!(held.holder.regional_use_delay(held.now, &west()), some(anything()))?;
+    held.run_for(ms(8000));
+    verify_that!(held.holder.regional_use_delay(held.now, &west()), none())
 }
 
 #[gtest]
-fn a_function_whose_identities_may_come_again_is_served_by_one_holder() -> Result<()> {
-    let mut held = Held::new(whole());
-    held.calls_from_the_west(20, ms(4000), true);
-    verify_that!(held.holder.regional_after(held.now, &west()), none())
+fn a_function_with_repeatable_idempotency_keys_is_served_by_one_holder() -> Result<()> {
+    let mut held = HolderBench::new(all_regions());
+    held.enter_requests_from_west(20, ms(4000), true);
+    verify_that!(held.holder.regional_use_delay(held.now, &west()), none())
 }
 
 #[gtest]
-fn a_region_s_holder_turns_callers_back_until_a_runner_is_ready() -> Result<()> {
-    let mut held = Held::new(whole().in_region(&west()));
-    let refused = held.call(None, false);
-    let is_turned_back =
-        matches!(refused, Some(HopOutcome::NotRun { reason: HopReason::NoRunner, .. }));
-    verify_that!(is_turned_back, eq(true))?;
-    verify_that!(held.booting.len(), eq(1))?;
-    held.boot_all();
-    verify_that!(held.call(None, false), none())
+fn a_regional_holder_rejects_until_a_runner_is_ready() -> Result<()> {
+    let mut held = HolderBench::new(all_regions().in_region(&west()));
+    let rejected = held.enter_request(None, false);
+    let is_rejected_without_runner = matches!(
+        rejected,
+        Some(RequestOutcome::NotRun { reason: RequestFailureReason::NoRunnerAvailable, .. })
+    );
+    verify_that!(is_rejected_without_runner, eq(true))?;
+    verify_that!(held.starting.len(), eq(1))?;
+    held.finish_startups();
+    verify_that!(held.enter_request(None, false), none())
 }
 
 #[gtest]
-fn a_region_s_holder_says_when_its_callers_no_longer_need_it() -> Result<()> {
-    let mut held = Held::new(whole().in_region(&west()));
-    held.boot_all();
-    verify_that!(held.holder.regional_after(held.now, &west()), some(eq(Duration::ZERO)))?;
-    held.pass(ms(6000));
-    verify_that!(held.holder.regional_after(held.now, &west()), none())
+fn a_regional_holder_reports_when_its_key_is_no_longer_needed() -> Result<()> {
+    let mut held = HolderBench::new(all_regions().in_region(&west()));
+    held.finish_startups();
+    verify_that!(held.holder.regional_use_delay(held.now, &west()), some(eq(Duration::ZERO)))?;
+    held.run_for(ms(6000));
+    verify_that!(held.holder.regional_use_delay(held.now, &west()), none())
 }
 
 fn host(name: &str, zone: &str, incarnation: u64) -> Host {
@@ -224,7 +245,7 @@
         member: name.into(),
         incarnation: incarnation.into(),
         zone: zone.into(),
-        place: Place::NOWHERE,
+        address: SocketAddress::UNSPECIFIED,
         eligible: Flag(true),
         link_mbps: 0,
     }
@@ -239,22 +260,28 @@
 }
 
 /// A caller's daemon in the west, serving, with another one there and one in the east.
-struct Door {
+struct IngressDaemon {
     agent: Agent<u64>,
-    now: Moment,
+    now: MonotonicTime,
 }
 
-impl Door {
+impl IngressDaemon {
     fn new(identities: &str) -> Self {
         let own_host = host("daemon-1", "here", 7);
-        let agent = Agent::new(own_host.clone(), Rules::KEPT).with_regions(regions());
-        let timing = LiaisonTiming::builder().build();
-        let seeds = vec![Place::NOWHERE; 3];
-        let mut control =
-            DaemonControl::new(START, &agent, timing, Place::NOWHERE, seeds, Chance::seeded(3));
+        let agent = Agent::new(own_host.clone(), Rules::ALL_ENFORCED).with_regions(regions());
+        let timing = ControlSessionTiming::builder().build();
+        let seeds = vec![SocketAddress::UNSPECIFIED; 3];
+        let mut control = DaemonControl::new(
+            START,
+            &agent,
+            timing,
+            SocketAddress::UNSPECIFIED,
+            seeds,
+            SeededRng::seeded(3),
+        );
         control.tick(&agent, START);
         control.connected(&agent, START);
-        control.heard(&agent, START, StreamDown::Welcome { term: Term(2) });
+        control.received(&agent, START, LeaderToDaemon::Welcome { term: Term(2) });
         let spec = json!({
             "functions": {"f": {"memory_mb": 100, "boot_ms": 200, "slots": 2}},
             "routes": {"r": {
@@ -264,12 +291,13 @@
         });
         let checked_spec = read_spec(&spec).expect("a spec");
         let mut document = Document::founding(Vec::new());
-        document.stamp.serial = Serial(1);
+        document.document_version.version = Version(1);
         let mut document = document.with_spec(spec, &checked_spec, "change".into());
-        document.stamp.serial = Serial(2);
+        document.document_version.version = Version(2);
         let view = document.view();
-        let frame = StreamDown::Spec { serial: view.serial, document: view.to_bytes().into() };
-        control.heard(&agent, START, frame);
+        let frame =
+            LeaderToDaemon::Spec { version: view.version, document: view.to_bytes().into() };
+        control.received(&agent, START, frame);
         let all_hosts = vec![own_host, host("daemon-2", "here", 4), host("daemon-3", "there", 5)];
         agent.hosts.store(Arc::new(all_hosts));
         agent.serving_until.set(START + ms(60_000));
@@ -285,125 +313,145 @@
     }
 
     fn forwarding(&self) -> Forwarding {
-        let ask = Ask {
-            transaction: "t".into(),
+        let request = FunctionRequest {
+            idempotency_key: "t".into(),
             function: self.key(),
             route: "r".to_owned(),
-            serial: self.agent.table.load().serial(),
-            budget_end: self.now + ms(2000),
+            version: self.agent.table.load().version(),
+            deadline: self.now + ms(2000),
             hops: 0,
             repeat: false,
-            refer: true,
+            wants_referral: true,
             region: west(),
-            parcel: Arc::new(Parcel::of_body(Vec::new().into())),
+            payload: Arc::new(RequestPayload::from_body(Vec::new().into())),
         };
-        Forwarding::new(self.now, ask)
+        Forwarding::new(self.now, request)
     }
 
     /// The key that a request is asked for under now.
-    fn asked_key(&self) -> FunctionKey {
+    fn requested_key(&self) -> FunctionKey {
         let mut forwarding = self.forwarding();
-        forwarding.look(&self.agent, self.now);
-        forwarding.ask().function.clone()
+        forwarding.advance(&self.agent, self.now);
+        forwarding.request().function.clone()
     }
 }
 
 #[gtest]
-fn a_door_turns_to_its_region_s_key_when_that_comes_into_use_and_leaves_it_in_time() -> Result<()> {
-    let mut door = Door::new("fresh");
-    verify_that!(door.agent.hear_regional(door.now, &door.key(), 15), eq(true))?;
-    verify_that!(door.agent.hear_regional(door.now, &door.key(), 9), eq(false))?;
-    verify_that!(door.agent.regional_wishes(door.now), elements_are![eq(&door.regional_key())])?;
-    verify_that!(door.asked_key(), eq(&door.key()))?;
-    door.now = door.now + ms(1600);
-    verify_that!(door.asked_key(), eq(&door.regional_key()))?;
-    door.now = door.now + ms(8000);
-    door.agent.hear_regional(door.now, &door.regional_key(), 1);
-    door.now = door.now + ms(8000);
-    verify_that!(door.asked_key(), eq(&door.regional_key()))?;
-    door.now = door.now + ms(3000);
-    verify_that!(door.asked_key(), eq(&door.key()))?;
-    door.agent.hear_regional(door.now, &door.key(), 1);
-    door.now = door.now + ms(110);
-    verify_that!(door.asked_key(), eq(&door.regional_key()))?;
-    door.agent.hear_regional(door.now, &door.regional_key(), 0);
-    verify_that!(door.asked_key(), eq(&door.key()))
+fn ingress_uses_the_regional_key_while_it_is_in_use() -> Result<()> {
+    let mut ingress_daemon = IngressDaemon::new("fresh");
+    verify_that!(
+        ingress_daemon.agent.handle_regional_hint(ingress_daemon.now, &ingress_daemon.key(), 15),
+        eq(true)
+    )?;
+    verify_that!(
+        ingress_daemon.agent.handle_regional_hint(ingress_daemon.now, &ingress_daemon.key(), 9),
+        eq(false)
+    )?;
+    verify_that!(
+        ingress_daemon.agent.regional_keys_wanted(ingress_daemon.now),
+        elements_are![eq(&ingress_daemon.regional_key())]
+    )?;
+    verify_that!(ingress_daemon.requested_key(), eq(&ingress_daemon.key()))?;
+    ingress_daemon.now = ingress_daemon.now + ms(1600);
+    verify_that!(ingress_daemon.requested_key(), eq(&ingress_daemon.regional_key()))?;
+    ingress_daemon.now = ingress_daemon.now + ms(8000);
+    ingress_daemon.agent.handle_regional_hint(
+        ingress_daemon.now,
+        &ingress_daemon.regional_key(),
+        1,
+    );
+    ingress_daemon.now = ingress_daemon.now + ms(8000);
+    verify_that!(ingress_daemon.requested_key(), eq(&ingress_daemon.regional_key()))?;
+    ingress_daemon.now = ingress_daemon.now + ms(3000);
+    verify_that!(ingress_daemon.requested_key(), eq(&ingress_daemon.key()))?;
+    ingress_daemon.agent.handle_regional_hint(ingress_daemon.now, &ingress_daemon.key(), 1);
+    ingress_daemon.now = ingress_daemon.now + ms(110);
+    verify_that!(ingress_daemon.requested_key(), eq(&ingress_daemon.regional_key()))?;
+    ingress_daemon.agent.handle_regional_hint(
+        ingress_daemon.now,
+        &ingress_daemon.regional_key(),
+        0,
+    );
+    verify_that!(ingress_daemon.requested_key(), eq(&ingress_daemon.key()))
 }
 
 #[gtest]
-fn identities_that_may_come_again_stay_with_the_holder_for_all_regions() -> Result<()> {
-    let mut door = Door::new("may_come_again");
-    door.agent.hear_regional(door.now, &door.key(), 1);
-    door.now = door.now + ms(110);
-    verify_that!(door.asked_key(), eq(&door.key()))
+fn repeatable_idempotency_keys_stay_with_the_holder_for_all_regions() -> Result<()> {
+    let mut ingress_daemon = IngressDaemon::new("may_come_again");
+    ingress_daemon.agent.handle_regional_hint(ingress_daemon.now, &ingress_daemon.key(), 1);
+    ingress_daemon.now = ingress_daemon.now + ms(110);
+    verify_that!(ingress_daemon.requested_key(), eq(&ingress_daemon.key()))
 }
 
 #[gtest]
-fn what_a_region_s_holder_cannot_serve_goes_on_to_the_holder_for_all_regions() -> Result<()> {
-    let refused = |reason| PassEnd::Done(HopOutcome::NotRun { reason, retry_ms: 100 }, None);
+fn requests_a_regional_holder_cannot_serve_fall_back_to_the_holder_for_all_regions() -> Result<()> {
+    let rejected = |reason| {
+        ForwardResult::Completed(RequestOutcome::NotRun { reason, retry_after_ms: 100 }, None)
+    };
     let ends = [
-        (refused(HopReason::NoRunner), ms(300)),
-        (refused(HopReason::NoOwner), ms(3000)),
-        (refused(HopReason::NotServing), ms(3000)),
-        (PassEnd::Unsent, ms(3000)),
-        (PassEnd::Lost, ms(3000)),
+        (rejected(RequestFailureReason::NoRunnerAvailable), ms(300)),
+        (rejected(RequestFailureReason::NoOwner), ms(3000)),
+        (rejected(RequestFailureReason::NotServing), ms(3000)),
+        (ForwardResult::Unsent, ms(3000)),
+        (ForwardResult::Lost, ms(3000)),
     ];
-    for (end, pause) in ends {
-        let mut door = Door::new("fresh");
-        door.agent.hear_regional(door.now, &door.key(), 1);
-        door.now = door.now + ms(110);
-        let mut forwarding = door.forwarding();
-        forwarding.look(&door.agent, door.now);
-        verify_that!(&forwarding.ask().function, eq(&door.regional_key()))?;
-        let step = forwarding.passed(&door.agent, door.now, end.clone());
-        let goes_on = !matches!(step, ForwardingStep::End(..));
-        verify_that!(goes_on, eq(true)).with_failure_message(|| format!("{end:?}"))?;
-        forwarding.look(&door.agent, door.now);
-        verify_that!(&forwarding.ask().function, eq(&door.key()))?;
-        door.now = door.now + pause - ms(10);
-        verify_that!(door.asked_key(), eq(&door.key()))?;
-        door.now = door.now + ms(20);
-        verify_that!(door.asked_key(), eq(&door.regional_key()))?;
+    for (end, backoff) in ends {
+        let mut ingress_daemon = IngressDaemon::new("fresh");
+        ingress_daemon.agent.handle_regional_hint(ingress_daemon.now, &ingress_daemon.key(), 1);
+        ingress_daemon.now = ingress_daemon.now + ms(110);
+        let mut forwarding = ingress_daemon.forwarding();
+        forwarding.advance(&ingress_daemon.agent, ingress_daemon.now);
+        verify_that!(&forwarding.request().function, eq(&ingress_daemon.regional_key()))?;
+        let step = forwarding.forwarded(&ingress_daemon.agent, ingress_daemon.now, end.clone());
+        let continues = !matches!(step, ForwardingStep::End(..));
+        verify_that!(continues, eq(true)).with_failure_message(|| format!("{end:?}"))?;
+        forwarding.advance(&ingress_daemon.agent, ingress_daemon.now);
+        verify_that!(&forwarding.request().function, eq(&ingress_daemon.key()))?;
+        ingress_daemon.now = ingress_daemon.now + backoff - ms(10);
+        verify_that!(ingress_daemon.requested_key(), eq(&ingress_daemon.key()))?;
+        ingress_daemon.now = ingress_daemon.now + ms(20);
+        verify_that!(ingress_daemon.requested_key(), eq(&ingress_daemon.regional_key()))?;
     }
     Ok(())
 }
 
 #[gtest]
-fn a_region_s_lease_that_takes_its_time_is_not_waited_for() -> Result<()> {
-    let mut door = Door::new("fresh");
-    door.agent.hear_regional(door.now, &door.key(), 1);
-    door.now = door.now + ms(110);
-    let mut forwarding = door.forwarding();
-    forwarding.look(&door.agent, door.now);
-    let later = Some(AcquireResult::Later { wait_ms: 1500 });
-    let step = forwarding.acquired(&door.agent, door.now, later);
-    verify_that!(&forwarding.ask().function, eq(&door.key()))?;
+fn a_slow_regional_lease_is_not_waited_for() -> Result<()> {
+    let mut ingress_daemon = IngressDaemon::new("fresh");
+    ingress_daemon.agent.handle_regional_hint(ingress_daemon.now, &ingress_daemon.key(), 1);
+    ingress_daemon.now = ingress_daemon.now + ms(110);
+    let mut forwarding = ingress_daemon.forwarding();
+    forwarding.advance(&ingress_daemon.agent, ingress_daemon.now);
+    let later = Some(AcquireResult::RetryLater { wait_ms: 1500 });
+    let step = forwarding.acquired(&ingress_daemon.agent, ingress_daemon.now, later);
+    verify_that!(&forwarding.request().function, eq(&ingress_daemon.key()))?;
     verify_that!(matches!(step, ForwardingStep::End(..)), eq(false))
 }
 
 #[gtest]
-fn a_region_without_hosts_that_may_hold_functions_is_served_by_the_others() -> Result<()> {
-    let mut door = Door::new("fresh");
-    let far_host = host("daemon-3", "there", 5);
-    door.agent.hosts.store(Arc::new(vec![far_host.clone()]));
-    door.agent.hear_regional(door.now, &door.key(), 1);
-    door.now = door.now + ms(110);
-    let mut forwarding = door.forwarding();
-    let step = forwarding.look(&door.agent, door.now);
-    let goes_far = matches!(step, ForwardingStep::Pass { host, body: HopBody::Ask { .. }, .. } if host == far_host);
-    verify_that!(goes_far, eq(true))
+fn a_region_without_eligible_hosts_is_served_by_other_regions() -> Result<()> {
+    let mut ingress_daemon = IngressDaemon::new("fresh");
+    let remote_host = host("daemon-3", "there", 5);
+    ingress_daemon.agent.hosts.store(Arc::new(vec![remote_host.clone()]));
+    ingress_daemon.agent.handle_regional_hint(ingress_daemon.now, &ingress_daemon.key(), 1);
+    ingress_daemon.now = ingress_daemon.now + ms(110);
+    let mut forwarding = ingress_daemon.forwarding();
+    let step = forwarding.advance(&ingress_daemon.agent, ingress_daemon.now);
+    let is_sent_to_other_region = matches!(step, ForwardingStep::Forward { host, body: DaemonMessage::FunctionRequest { .. }, .. } if host == remote_host);
+    verify_that!(is_sent_to_other_region, eq(true))
 }
 
 #[gtest]
-fn the_region_of_the_caller_s_daemon_is_passed_on() -> Result<()> {
-    let door = Door::new("fresh");
-    let hosts = door.agent.hosts.load();
-    let owner = hash_owner_in(&door.key(), hosts.iter(), &regions()).expect("an owner");
-    if owner.member == door.agent.own_host.member {
+fn the_region_of_the_ingress_daemon_is_forwarded() -> Result<()> {
+    let ingress_daemon = IngressDaemon::new("fresh");
+    let hosts = ingress_daemon.agent.hosts.load();
+    let owner = hash_owner_in(&ingress_daemon.key(), hosts.iter(), &regions()).expect("an owner");
+    if owner.member == ingress_daemon.agent.own_host.member {
         return Ok(());
     }
-    let step = door.forwarding().look(&door.agent, door.now);
-    let ForwardingStep::Pass { body: HopBody::Ask { region, .. }, .. } = step else {
+    let step = ingress_daemon.forwarding().advance(&ingress_daemon.agent, ingress_daemon.now);
+    let ForwardingStep::Forward { body: DaemonMessage::FunctionRequest { region, .. }, .. } = step
+    else {
         return fail!("it is not passed on");
     };
     verify_that!(region, eq(&west()))
--- a/crates/dataplane/tests/settings_forms.rs
+++ b/crates/dataplane/tests/settings_forms.rs
@@ -7,8 +7,8 @@
 #[path = "../../../testing/support/setting_probes.rs"]
 mod setting_probes;
 
-use common::readers::{BootFault, BootSource};
-use dataplane::boot::DaemonBoot;
+use common::readers::{SettingsError, SettingsSource};
+use dataplane::settings::DaemonSettings;
 use serde_json::{Value, json};
 use std::fmt::Write;
 
@@ -53,8 +53,8 @@
     })
 }
 
-fn read(settings: &Value) -> Result<DaemonBoot, BootFault> {
-    DaemonBoot::read(&BootSource::from_value("FILE", settings.clone()))
+fn read(settings: &Value) -> Result<DaemonSettings, SettingsError> {
+    DaemonSettings::read(&SettingsSource::from_value("FILE", settings.clone()))
 }
 
 fn shown(settings: &Value) -> Value {
--- a/crates/dataplane/tests/warm.rs
+++ b/crates/dataplane/tests/warm.rs
@@ -1,17 +1,17 @@
 //! Functions that boot longer than their callers gladly wait get an owner before they are called.
 
-use common::clock::Moment;
-use common::frames::{Flag, Host, Place};
-use common::identity::{FunctionKey, MemberName, Serial};
+use common::clock::MonotonicTime;
+use common::frames::{Flag, Host, SocketAddress};
+use common::identity::{FunctionKey, MemberName, Version};
 use common::ring::{Regions, hash_owner};
-use common::spec::{Document, Table, read_spec};
-use dataplane::owners::{WarmSeeker, WarmSight};
+use common::spec::{Document, RoutingTable, read_spec};
+use dataplane::owners::{WarmAcquirer, WarmContext};
 use googletest::prelude::*;
 use serde_json::json;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-const START: Moment = Moment(10_000_000_000);
+const START: MonotonicTime = MonotonicTime(10_000_000_000);
 
 fn ms(millis: u64) -> Duration {
     Duration::from_millis(millis)
@@ -23,7 +23,7 @@
             member: format!("th-{number}").into(),
             incarnation: (number + 1).into(),
             zone: "here".into(),
-            place: Place::NOWHERE,
+            address: SocketAddress::UNSPECIFIED,
             eligible: Flag(true),
             link_mbps: 0,
         })
@@ -31,7 +31,7 @@
 }
 
 /// Twelve functions that boot for 800 ms; the odd ones' callers gladly wait for a second.
-fn table() -> Table {
+fn table() -> RoutingTable {
     let mut functions = serde_json::Map::new();
     let mut routes = serde_json::Map::new();
     for number in 0..12 {
@@ -49,20 +49,21 @@
     let spec = json!({"functions": functions, "routes": routes});
     let checked_spec = read_spec(&spec).expect("a spec");
     let mut document = Document::founding(Vec::new());
-    document.stamp.serial = Serial(1);
-    Table::build(&document.with_spec(spec, &checked_spec, "change".into()).view()).expect("a table")
+    document.document_version.version = Version(1);
+    RoutingTable::build(&document.with_spec(spec, &checked_spec, "change".into()).view())
+        .expect("a table")
 }
 
-fn asked_by(
-    seeker: &mut WarmSeeker,
+fn requests_of(
+    acquirer: &mut WarmAcquirer,
     own_member: &MemberName,
     hosts: &[Host],
     owners: &BTreeMap<FunctionKey, Host>,
-    from: Moment,
+    from: MonotonicTime,
     span: Duration,
-) -> Vec<(Moment, FunctionKey)> {
+) -> Vec<(MonotonicTime, FunctionKey)> {
     let table = table();
-    let sight = WarmSight {
+    let context = WarmContext {
         table: &table,
         own_member,
         hosts,
@@ -72,56 +73,57 @@
         holds: &|_| false,
     };
     (0..span.as_millis() as u64)
-        .filter_map(|passed_ms| {
-            let now = from + ms(passed_ms);
-            seeker.next(now, &sight).map(|function| (now, function))
+        .filter_map(|elapsed_ms| {
+            let now = from + ms(elapsed_ms);
+            acquirer.next(now, &context).map(|function| (now, function))
         })
         .collect()
 }
 
 #[gtest]
-fn each_warm_function_is_asked_for_by_its_hash_owner_alone_one_after_the_other() -> Result<()> {
+fn each_warm_function_is_requested_once_and_only_by_its_hash_owner() -> Result<()> {
     let hosts = hosts();
     let table = table();
     let no_owners = BTreeMap::new();
-    let mut all_asked: Vec<FunctionKey> = Vec::new();
+    let mut all_requested: Vec<FunctionKey> = Vec::new();
     for host in &hosts {
-        let mut seeker = WarmSeeker::new(START);
-        let asked = asked_by(&mut seeker, &host.member, &hosts, &no_owners, START, ms(900));
-        for pair in asked.windows(2) {
+        let mut acquirer = WarmAcquirer::new(START);
+        let requests = requests_of(&mut acquirer, &host.member, &hosts, &no_owners, START, ms(900));
+        for pair in requests.windows(2) {
             verify_that!(pair[1].0.since(pair[0].0), ge(ms(5)))?;
         }
-        for (_, function) in asked {
+        for (_, function) in requests {
             let owner = hash_owner(&function, hosts.iter()).map(|owner| owner.member.clone());
             verify_that!(owner, some(eq(&host.member)))?;
-            all_asked.push(function);
+            all_requested.push(function);
         }
     }
-    all_asked.sort();
-    let mut warm_functions: Vec<FunctionKey> = table.warm_functions().cloned().collect();
-    warm_functions.sort();
-    verify_that!(warm_functions.len(), eq(6))?;
-    verify_that!(all_asked, eq(&warm_functions))
+    all_requested.sort();
+    let mut prewarmed_functions: Vec<FunctionKey> = table.prewarmed_functions().cloned().collect();
+    prewarmed_functions.sort();
+    verify_that!(prewarmed_functions.len(), eq(6))?;
+    verify_that!(all_requested, eq(&prewarmed_functions))
 }
 
 #[gtest]
-fn a_warm_function_is_asked_for_again_when_its_known_owner_disappears() -> Result<()> {
+fn a_warm_function_is_requested_again_when_its_owner_disappears() -> Result<()> {
     let all_hosts = hosts();
     let table = table();
     let lost_host = &all_hosts[0];
     let owners: BTreeMap<FunctionKey, Host> =
-        table.warm_functions().map(|function| (function.clone(), lost_host.clone())).collect();
+        table.prewarmed_functions().map(|function| (function.clone(), lost_host.clone())).collect();
     let staying_hosts = &all_hosts[1..];
-    let mut asked_count = 0;
+    let mut request_count = 0;
     for host in staying_hosts {
-        let mut seeker = WarmSeeker::new(START);
-        let before = asked_by(&mut seeker, &host.member, &all_hosts, &owners, START, ms(300));
+        let mut acquirer = WarmAcquirer::new(START);
+        let before = requests_of(&mut acquirer, &host.member, &all_hosts, &owners, START, ms(300));
         verify_that!(before.len(), eq(0))?;
         let lost_at = START + ms(300);
-        seeker.changed(lost_at);
-        verify_that!(seeker.next_due(), le(lost_at))?;
-        let after = asked_by(&mut seeker, &host.member, staying_hosts, &owners, lost_at, ms(300));
-        asked_count += after.len();
+        acquirer.changed(lost_at);
+        verify_that!(acquirer.next_due(), le(lost_at))?;
+        let after =
+            requests_of(&mut acquirer, &host.member, staying_hosts, &owners, lost_at, ms(300));
+        request_count += after.len();
     }
-    verify_that!(asked_count, eq(6))
+    verify_that!(request_count, eq(6))
 }
--- a/programs/controller/src/main.rs
+++ b/programs/controller/src/main.rs
@@ -2,10 +2,10 @@
 
 use common::command_line::{self, Program};
 use common::events;
-use common::note;
-use common::readers::{BootFault, BootSource};
-use controlplane::boot::ControllerBoot;
-use controlplane::drivers::{Controller, ControllerFault, Reseeder};
+use common::log_event;
+use common::readers::{SettingsError, SettingsSource};
+use controlplane::drivers::{Controller, ControllerError, SeedUpdater};
+use controlplane::settings::ControllerSettings;
 use gumdrop::Options;
 use serde_json::Value;
 use std::path::PathBuf;
@@ -50,16 +50,16 @@
     recover: Option<String>,
 }
 
-fn read_boot(flags: &Flags) -> Result<ControllerBoot, BootFault> {
-    let mut boot_source = BootSource::open(flags.boot.as_deref())?;
-    boot_source.set_text("place", flags.place.as_deref());
-    boot_source.set_text("operators", flags.operators.as_deref());
-    boot_source.set_text("locality", flags.zone.as_deref());
-    boot_source.set_text("data", flags.data.as_deref());
-    boot_source.set("found_first", flags.found_first.then_some(Value::Bool(true)));
-    boot_source.set_text("platform", flags.platform.as_deref());
-    boot_source.set_list("seeds", flags.seeds.as_deref());
-    ControllerBoot::read(&boot_source)
+fn read_settings(flags: &Flags) -> Result<ControllerSettings, SettingsError> {
+    let mut settings_source = SettingsSource::open(flags.boot.as_deref())?;
+    settings_source.set_text("place", flags.place.as_deref());
+    settings_source.set_text("operators", flags.operators.as_deref());
+    settings_source.set_text("locality", flags.zone.as_deref());
+    settings_source.set_text("data", flags.data.as_deref());
+    settings_source.set("found_first", flags.found_first.then_some(Value::Bool(true)));
+    settings_source.set_text("platform", flags.platform.as_deref());
+    settings_source.set_list("seeds", flags.seeds.as_deref());
+    ControllerSettings::read(&settings_source)
 }
 
 const PROGRAM: Program = Program::new("rudder-controller", env!("CARGO_PKG_VERSION"));
@@ -69,65 +69,69 @@
 fn main() -> ExitCode {
     let flags = PROGRAM.flags(|flags: &Flags| flags.version);
     command_line::start_log();
-    let boot = match read_boot(&flags) {
-        Ok(boot) => boot,
-        Err(fault) => return PROGRAM.fail(fault, 2),
+    let settings = match read_settings(&flags) {
+        Ok(settings) => settings,
+        Err(error) => return PROGRAM.fail(error, 2),
     };
     if let Some(phrase) = &flags.recover
-        && let Err(exit_code) = recover(phrase, &boot)
+        && let Err(exit_code) = recover(phrase, &settings)
     {
         return exit_code;
     }
-    match run(flags, &boot) {
+    match run(flags, &settings) {
         Ok(()) => ExitCode::SUCCESS,
         Err(report) => {
-            let exit_code = if report.is::<ControllerFault>() { 2 } else { 1 };
+            let exit_code = if report.is::<ControllerError>() { 2 } else { 1 };
             PROGRAM.fail(report, exit_code)
         }
     }
 }
 
 /// Has this disk lead alone, if the operator has accepted what is lost by that.
-fn recover(phrase: &str, boot: &ControllerBoot) -> Result<(), ExitCode> {
+fn recover(phrase: &str, settings: &ControllerSettings) -> Result<(), ExitCode> {
     if phrase != RECOVER_PHRASE {
-        let fault = format!("--recover needs the phrase {RECOVER_PHRASE}; see --help");
-        return Err(PROGRAM.fail(fault, 2));
+        let error = format!("--recover needs the phrase {RECOVER_PHRASE}; see --help");
+        return Err(PROGRAM.fail(error, 2));
     }
-    let Some(data) = &boot.data else {
+    let Some(data) = &settings.data else {
         return Err(PROGRAM.fail("--recover needs a data folder", 2));
     };
-    controlplane::disk::leave_alone(data)
+    controlplane::storage::force_single_voter(data)
         .map(|_| ())
-        .map_err(|fault| PROGRAM.fail(format!("--recover: {fault}"), 1))
+        .map_err(|error| PROGRAM.fail(format!("--recover: {error}"), 1))
 }
 
 /// Takes the seeds anew each time the process is told that its settings have changed.
-async fn reseed(flags: Flags, reseeder: Reseeder, reread: watch::Receiver<u64>) {
+async fn update_seeds(flags: Flags, seed_updater: SeedUpdater, reload: watch::Receiver<u64>) {
     let read = || {
-        read_boot(&flags)
-            .inspect_err(|fault| note!(Warn, events::SETTINGS_UNREADABLE, "{fault}"))
+        read_settings(&flags)
+            .inspect_err(|error| log_event!(Warn, events::SETTINGS_UNREADABLE, "{error}"))
             .ok()
     };
-    command_line::apply_on_reread(reread, read, async move |boot: ControllerBoot| {
-        reseeder.reseed(boot.seeds).await;
+    command_line::apply_on_reload(reload, read, async move |settings: ControllerSettings| {
+        seed_updater.update_seeds(settings.seeds).await;
     })
     .await;
 }
 
-fn run(flags: Flags, boot: &ControllerBoot) -> eyre::Result<()> {
-    command_line::runtime(boot.threads)?.block_on(async {
-        let controller = Controller::open(boot).await?;
-        tokio::spawn(reseed(flags, controller.reseeder(), command_line::told_to_reread()?));
-        note!(
+fn run(flags: Flags, settings: &ControllerSettings) -> eyre::Result<()> {
+    command_line::runtime(settings.threads)?.block_on(async {
+        let controller = Controller::open(settings).await?;
+        tokio::spawn(update_seeds(
+            flags,
+            controller.seed_updater(),
+            command_line::reload_signal()?,
+        ));
+        log_event!(
             Info,
             events::STARTED,
             "controller at {}, operators at {}",
-            boot.place,
-            boot.operators
+            settings.address,
+            settings.operators
         );
-        let stop = command_line::told_to_stop()?;
+        let stop = command_line::stop_signal()?;
         controller.run(stop).await;
-        note!(Info, events::STOPPED);
+        log_event!(Info, events::STOPPED);
         Ok(())
     })
 }
--- a/programs/controller/tests/command_line.rs
+++ b/programs/controller/tests/command_line.rs
@@ -31,8 +31,8 @@
             "data": "{}/inside"}}"#,
         file.display()
     );
-    let said = CONTROLLER.refused("folder", &text, &[]);
-    assert!(said.contains("data cannot be written"), "{said}");
+    let error_text = CONTROLLER.refused("folder", &text, &[]);
+    assert!(error_text.contains("data cannot be written"), "{error_text}");
     let _ = std::fs::remove_file(file);
 }
 
@@ -66,7 +66,7 @@
         &["--colour", "red"],
         &["more"],
     ] {
-        text += &commands::said(CONTROLLER.path, arguments, &[]);
+        text += &commands::output(CONTROLLER.path, arguments, &[]);
     }
     forms::check(env!("CARGO_MANIFEST_DIR"), "arguments.txt", &text);
 }
@@ -90,7 +90,7 @@
         &["--operators", taken.as_str()],
     ] {
         let arguments = [&["--boot", file_name], arguments].concat();
-        text += &commands::said(CONTROLLER.path, &arguments, &[]);
+        text += &commands::output(CONTROLLER.path, &arguments, &[]);
     }
     let _ = std::fs::remove_file(&file);
     let text = text.replace(file_name, "FILE").replace(&taken, "TAKEN");
--- a/programs/daemon/src/main.rs
+++ b/programs/daemon/src/main.rs
@@ -2,10 +2,10 @@
 
 use common::command_line::{self, Program};
 use common::events;
-use common::note;
-use common::readers::{BootFault, BootSource};
-use dataplane::boot::DaemonBoot;
+use common::log_event;
+use common::readers::{SettingsError, SettingsSource};
 use dataplane::drivers::{Daemon, DaemonHandle};
+use dataplane::settings::DaemonSettings;
 use gumdrop::Options;
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -34,15 +34,15 @@
     platform: Option<String>,
 }
 
-fn read_boot(flags: &Flags) -> Result<DaemonBoot, BootFault> {
-    let mut boot_source = BootSource::open(flags.boot.as_deref())?;
-    boot_source.set_text("member", flags.member.as_deref());
-    boot_source.set_text("locality", flags.zone.as_deref());
-    boot_source.set_text("place", flags.place.as_deref());
-    boot_source.set_text("door", flags.door.as_deref());
-    boot_source.set_text("platform", flags.platform.as_deref());
-    boot_source.set_list("seeds", flags.seeds.as_deref());
-    DaemonBoot::read(&boot_source)
+fn read_settings(flags: &Flags) -> Result<DaemonSettings, SettingsError> {
+    let mut settings_source = SettingsSource::open(flags.boot.as_deref())?;
+    settings_source.set_text("member", flags.member.as_deref());
+    settings_source.set_text("locality", flags.zone.as_deref());
+    settings_source.set_text("place", flags.place.as_deref());
+    settings_source.set_text("door", flags.door.as_deref());
+    settings_source.set_text("platform", flags.platform.as_deref());
+    settings_source.set_list("seeds", flags.seeds.as_deref());
+    DaemonSettings::read(&settings_source)
 }
 
 const PROGRAM: Program = Program::new("rudderd", env!("CARGO_PKG_VERSION"));
@@ -50,41 +50,46 @@
 fn main() -> ExitCode {
     let flags = PROGRAM.flags(|flags: &Flags| flags.version);
     command_line::start_log();
-    let boot = match read_boot(&flags) {
-        Ok(boot) => boot,
-        Err(fault) => return PROGRAM.fail(fault, 2),
+    let settings = match read_settings(&flags) {
+        Ok(settings) => settings,
+        Err(error) => return PROGRAM.fail(error, 2),
     };
-    match run(boot, flags.boot) {
+    match run(settings, flags.boot) {
         Ok(()) => ExitCode::SUCCESS,
         Err(report) => {
-            let exit_code = if report.is::<BootFault>() { 2 } else { 1 };
+            let exit_code = if report.is::<SettingsError>() { 2 } else { 1 };
             PROGRAM.fail(report, exit_code)
         }
     }
 }
 
 /// Takes the file's seeds whenever the process is told that its settings have changed.
-async fn reseed(daemon: DaemonHandle, boot_file: Option<PathBuf>, reread: watch::Receiver<u64>) {
+async fn update_seeds(
+    daemon: DaemonHandle,
+    settings_file: Option<PathBuf>,
+    reload: watch::Receiver<u64>,
+) {
     let read = || {
-        let boot_source = BootSource::open(boot_file.as_deref()).ok()?;
-        DaemonBoot::read(&boot_source).ok()
+        let settings_source = SettingsSource::open(settings_file.as_deref()).ok()?;
+        DaemonSettings::read(&settings_source).ok()
     };
-    command_line::apply_on_reread(reread, read, async move |boot: DaemonBoot| {
-        daemon.reseed(boot.seeds)
+    command_line::apply_on_reload(reload, read, async move |settings: DaemonSettings| {
+        daemon.update_seeds(settings.seeds)
     })
     .await;
 }
 
-fn run(boot: DaemonBoot, boot_file: Option<PathBuf>) -> eyre::Result<()> {
-    command_line::runtime(boot.threads)?.block_on(async {
-        let started_note = format!("{} at {}, door at {}", boot.member, boot.place, boot.door);
-        let daemon = Daemon::open(boot).await?;
-        note!(Info, events::STARTED, "{started_note}");
-        let stop = command_line::told_to_stop()?;
-        let reread = command_line::told_to_reread()?;
-        tokio::spawn(reseed(daemon.handle(), boot_file, reread));
+fn run(settings: DaemonSettings, settings_file: Option<PathBuf>) -> eyre::Result<()> {
+    command_line::runtime(settings.threads)?.block_on(async {
+        let started_message =
+            format!("{} at {}, door at {}", settings.member, settings.address, settings.ingress);
+        let daemon = Daemon::open(settings).await?;
+        log_event!(Info, events::STARTED, "{started_message}");
+        let stop = command_line::stop_signal()?;
+        let reload = command_line::reload_signal()?;
+        tokio::spawn(update_seeds(daemon.handle(), settings_file, reload));
         daemon.run(stop).await;
-        note!(Info, events::STOPPED);
+        log_event!(Info, events::STOPPED);
         Ok(())
     })
 }
--- a/programs/daemon/tests/command_line.rs
+++ b/programs/daemon/tests/command_line.rs
@@ -48,7 +48,7 @@
         &["--colour", "red"],
         &["more"],
     ] {
-        text += &commands::said(DAEMON.path, arguments, &[]);
+        text += &commands::output(DAEMON.path, arguments, &[]);
     }
     forms::check(env!("CARGO_MANIFEST_DIR"), "arguments.txt", &text);
 }
@@ -62,14 +62,14 @@
     let file = DAEMON.file("start", least);
     let ready = DAEMON.file("ready", &least.replace('}', r#", "ready": "192.0.2.1:8081"}"#));
     let (file_name, ready_name) = (file.to_str().expect("a path"), ready.to_str().expect("a path"));
-    let mut text = commands::said(DAEMON.path, &["--boot", ready_name], &[]);
+    let mut text = commands::output(DAEMON.path, &["--boot", ready_name], &[]);
     for arguments in [
         &["--place", "192.0.2.1:7100"][..],
         &["--door", "192.0.2.1:8080"],
         &["--door", taken.as_str()],
     ] {
         let arguments = [&["--boot", file_name], arguments].concat();
-        text += &commands::said(DAEMON.path, &arguments, &[]);
+        text += &commands::output(DAEMON.path, &arguments, &[]);
     }
     let _ = (std::fs::remove_file(&file), std::fs::remove_file(&ready));
     let text = text.replace(file_name, "FILE").replace(ready_name, "FILE-WITH-READY");
