--- a/programs/rudderctl/src/arguments.rs
+++ b/programs/rudderctl/src/arguments.rs
@@ -1,6 +1,6 @@
 //! The operators' command line: its commands, their flags, and examples for the help.
 
-use crate::client::Sent;
+use crate::client::ChangeSubmission;
 use common::command_line::Example;
 use gumdrop::Options;
 use std::fmt;
@@ -93,13 +93,13 @@
 #[derive(Options)]
 pub enum Command {
     #[options(help = "found the core on three empty controllers, once")]
-    Found(Plain),
+    Found(NoArguments),
     #[options(help = "show the core as one controller sees it")]
-    Core(Listing),
+    Core(ListCommand),
     #[options(help = "have another controller take a core member's place at once")]
     Replace(Replace),
     #[options(help = "read the spec with its serial")]
-    Spec(Plain),
+    Spec(NoArguments),
     #[options(help = "send a whole spec from a file")]
     Put(Change),
     #[options(help = "send a JSON merge patch from a file")]
@@ -107,19 +107,19 @@
     #[options(help = "put and remove named functions and routes, from a file with put and remove")]
     Items(Change),
     #[options(help = "ask what became of a change")]
-    Change(Named),
+    Change(ChangeQuery),
     #[options(help = "empty a locality")]
-    Evacuate(Turn),
+    Evacuate(ZoneCommand),
     #[options(help = "bring a locality back")]
-    Restore(Turn),
+    Restore(ZoneCommand),
     #[options(help = "list the daemons")]
-    Members(Listing),
+    Members(ListCommand),
     #[options(help = "list the functions held, and by whom")]
-    Holders(Listing),
+    Holders(ListCommand),
     #[options(help = "list the workers")]
-    Workers(Listing),
+    Workers(ListCommand),
     #[options(help = "list the runners")]
-    Runners(Listing),
+    Runners(ListCommand),
     #[options(help = "print events, a line of JSON each")]
     Events(Events),
     #[options(help = "trace one version of the spec from its acceptance to every daemon")]
@@ -127,13 +127,13 @@
 }
 
 #[derive(Options)]
-pub struct Plain {
+pub struct NoArguments {
     #[options(help = "print this help")]
     pub help: bool,
 }
 
 #[derive(Options)]
-pub struct Listing {
+pub struct ListCommand {
     #[options(help = "print this help")]
     pub help: bool,
     #[options(help = "how it is printed: json or table", meta = "FORMAT")]
@@ -151,7 +151,7 @@
 }
 
 #[derive(Options)]
-pub struct Named {
+pub struct ChangeQuery {
     #[options(help = "print this help")]
     pub help: bool,
     #[options(free, required, help = "the change's id")]
@@ -178,8 +178,8 @@
 
 impl Change {
     /// The change as the client takes it.
-    pub fn sent(&self) -> Sent<'_> {
-        Sent {
+    pub fn to_submission(&self) -> ChangeSubmission<'_> {
+        ChangeSubmission {
             file: &self.file,
             base: self.base,
             number: self.number,
@@ -191,7 +191,7 @@
 }
 
 #[derive(Options)]
-pub struct Turn {
+pub struct ZoneCommand {
     #[options(help = "print this help")]
     pub help: bool,
     #[options(free, required, help = "the locality")]
--- a/programs/rudderctl/src/client.rs
+++ b/programs/rudderctl/src/client.rs
@@ -2,9 +2,9 @@
 
 use crate::arguments::OutputFormat;
 use crate::table::Table;
-use common::chance::Chance;
-use common::frames::Place;
-use common::http::{CallFault, Called, LinesEnd, call_json, follow_lines};
+use common::frames::SocketAddress;
+use common::http::{CallError, CallResponse, LineStreamEnd, call_json, follow_lines};
+use common::rng::SeededRng;
 use hyper::{Method, StatusCode};
 use serde_json::{Value, json};
 use std::fmt;
@@ -14,57 +14,57 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-const PATIENCE: Duration = Duration::from_secs(15);
-const LOOK_AGAIN: Duration = Duration::from_millis(200);
-const MOST_LOOKS: usize = 40;
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(15);
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
+const MAX_POLLS: usize = 40;
 
 /// Why a command did not come to an answer.
 #[derive(Debug)]
-pub enum ClientFault {
+pub enum ClientError {
     /// A place is no IP number with port.
-    Place(String),
+    SocketAddress(String),
     /// A file could not be read.
     File(PathBuf, std::io::Error),
     /// A file is not JSON.
     NotJson(PathBuf, serde_json::Error),
     /// No controller was reached.
-    Unreachable(CallFault),
+    Unreachable(CallError),
     /// The answer was lost; for a change, its outcome is unknown.
-    Lost(String, CallFault),
+    Lost(String, CallError),
 }
 
-impl ClientFault {
+impl ClientError {
     /// What the process exits with.
     pub fn exit_code(&self) -> u8 {
         match self {
-            Self::Place(_) | Self::File(..) | Self::NotJson(..) => 2,
+            Self::SocketAddress(_) | Self::File(..) | Self::NotJson(..) => 2,
             Self::Unreachable(_) | Self::Lost(..) => 4,
         }
     }
 }
 
-impl fmt::Display for ClientFault {
+impl fmt::Display for ClientError {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Place(text) => write!(out, "--at: not an IP number with port: {text:?}"),
-            Self::File(file, fault) => write!(out, "{}: {fault}", file.display()),
-            Self::NotJson(file, fault) => write!(out, "{}: not JSON: {fault}", file.display()),
-            Self::Unreachable(fault) => write!(out, "no controller reached: {fault}"),
-            Self::Lost(change, fault) if change.is_empty() => write!(out, "answer lost: {fault}"),
-            Self::Lost(change, fault) => {
-                write!(out, "answer lost: {fault}; ask: rudderctl change {change}")
+            Self::SocketAddress(text) => write!(out, "--at: not an IP number with port: {text:?}"),
+            Self::File(file, error) => write!(out, "{}: {error}", file.display()),
+            Self::NotJson(file, error) => write!(out, "{}: not JSON: {error}", file.display()),
+            Self::Unreachable(error) => write!(out, "no controller reached: {error}"),
+            Self::Lost(change, error) if change.is_empty() => write!(out, "answer lost: {error}"),
+            Self::Lost(change, error) => {
+                write!(out, "answer lost: {error}; ask: rudderctl change {change}")
             }
         }
     }
 }
 
-impl std::error::Error for ClientFault {}
+impl std::error::Error for ClientError {}
 
 /// How a change is said.
 #[derive(Clone, Copy, PartialEq, Eq)]
-pub enum ChangeForm {
+pub enum ChangeKind {
     /// As a whole spec.
-    Whole,
+    Full,
     /// As a merge patch.
     Patch,
     /// As named items.
@@ -72,7 +72,7 @@
 }
 
 /// A change to be sent.
-pub struct Sent<'a> {
+pub struct ChangeSubmission<'a> {
     /// The file that says it.
     pub file: &'a Path,
     /// The serial it is built on.
@@ -89,7 +89,7 @@
 
 /// Speaks to whichever controller answers.
 pub struct OperatorClient {
-    places: Vec<Place>,
+    addresses: Vec<SocketAddress>,
 }
 
 fn exit_code(status: StatusCode) -> ExitCode {
@@ -100,25 +100,29 @@
     }
 }
 
-fn print(called: &Called) -> ExitCode {
-    let body = called.json();
+fn print(response: &CallResponse) -> ExitCode {
+    let body = response.json();
     let text = serde_json::to_string_pretty(&body).unwrap_or_default();
     let _ = writeln!(std::io::stdout(), "{text}");
-    exit_code(called.status)
+    exit_code(response.status)
 }
 
-fn made_up_id() -> String {
-    format!("rudderctl-{:x}", Chance::from_os().number())
+fn generated_change_id() -> String {
+    format!("rudderctl-{:x}", SeededRng::from_os().number())
 }
 
 impl OperatorClient {
     /// A client of these controllers.
-    pub fn new(at: &str) -> Result<Self, ClientFault> {
-        let places = at
+    pub fn new(at: &str) -> Result<Self, ClientError> {
+        let addresses = at
             .split(',')
-            .map(|text| text.parse().map(Place).map_err(|_| ClientFault::Place(text.to_owned())))
-            .collect::<Result<Vec<Place>, ClientFault>>()?;
-        Ok(Self { places })
+            .map(|text| {
+                text.parse()
+                    .map(SocketAddress)
+                    .map_err(|_| ClientError::SocketAddress(text.to_owned()))
+            })
+            .collect::<Result<Vec<SocketAddress>, ClientError>>()?;
+        Ok(Self { addresses })
     }
 
     async fn call(
@@ -126,26 +130,26 @@
         method: Method,
         path: &str,
         body: Option<&Value>,
-    ) -> Result<Called, ClientFault> {
-        let mut last_fault = CallFault::ConnectTimeout;
-        for place in &self.places {
-            match call_json(*place, method.clone(), path, body, PATIENCE).await {
-                Ok(called) => return Ok(called),
-                Err(fault) if fault.is_surely_unsent() || method == Method::GET => {
-                    last_fault = fault;
+    ) -> Result<CallResponse, ClientError> {
+        let mut last_error = CallError::ConnectTimeout;
+        for address in &self.addresses {
+            match call_json(*address, method.clone(), path, body, REQUEST_TIMEOUT).await {
+                Ok(response) => return Ok(response),
+                Err(error) if error.is_certainly_unsent() || method == Method::GET => {
+                    last_error = error;
                 }
-                Err(fault) => {
+                Err(error) => {
                     let change = body.and_then(|body| body["change_id"].as_str()).unwrap_or("");
-                    return Err(ClientFault::Lost(change.to_owned(), fault));
+                    return Err(ClientError::Lost(change.to_owned(), error));
                 }
             }
         }
-        Err(ClientFault::Unreachable(last_fault))
+        Err(ClientError::Unreachable(last_error))
     }
 
     /// Reads something and prints it.
-    pub async fn get(&self, path: &str) -> Result<ExitCode, ClientFault> {
-        self.call(Method::GET, path, None).await.map(|called| print(&called))
+    pub async fn get(&self, path: &str) -> Result<ExitCode, ClientError> {
+        self.call(Method::GET, path, None).await.map(|response| print(&response))
     }
 
     /// Reads a list and prints it, as JSON if nothing else is asked for. A refusal is printed as JSON.
@@ -153,75 +157,79 @@
         &self,
         table: &Table,
         output: Option<OutputFormat>,
-    ) -> Result<ExitCode, ClientFault> {
-        let called = self.call(Method::GET, table.path, None).await?;
-        if output != Some(OutputFormat::Table) || !called.status.is_success() {
-            return Ok(print(&called));
+    ) -> Result<ExitCode, ClientError> {
+        let response = self.call(Method::GET, table.path, None).await?;
+        if output != Some(OutputFormat::Table) || !response.status.is_success() {
+            return Ok(print(&response));
         }
-        let _ = write!(std::io::stdout(), "{}", table.render(&called.json()));
-        Ok(exit_code(called.status))
+        let _ = write!(std::io::stdout(), "{}", table.render(&response.json()));
+        Ok(exit_code(response.status))
     }
 
     /// Asks for something without a body.
-    pub async fn post(&self, path: &str) -> Result<ExitCode, ClientFault> {
-        self.call(Method::POST, path, Some(&json!({}))).await.map(|called| print(&called))
+    pub async fn post(&self, path: &str) -> Result<ExitCode, ClientError> {
+        self.call(Method::POST, path, Some(&json!({}))).await.map(|response| print(&response))
     }
 
     /// Founds the core; waits a little for the controllers to start and to meet, and for the first
     /// leader. What reached nobody, or was refused since they have not met, does no harm when repeated.
-    pub async fn found(&self) -> Result<ExitCode, ClientFault> {
-        let mut look_count = 0;
-        let called = loop {
-            let asked = self.call(Method::POST, "/v1/core/found", Some(&json!({}))).await;
-            let is_early = match &asked {
-                Ok(called) => {
-                    called.json()["error"].as_str().is_some_and(|text| text.contains("seed"))
+    pub async fn found(&self) -> Result<ExitCode, ClientError> {
+        let mut poll_count = 0;
+        let response = loop {
+            let result = self.call(Method::POST, "/v1/core/found", Some(&json!({}))).await;
+            let is_not_ready = match &result {
+                Ok(response) => {
+                    response.json()["error"].as_str().is_some_and(|text| text.contains("seed"))
                 }
-                Err(ClientFault::Unreachable(_)) => true,
+                Err(ClientError::Unreachable(_)) => true,
                 Err(_) => false,
             };
-            look_count += 1;
-            if !is_early || look_count > MOST_LOOKS {
-                break asked?;
+            poll_count += 1;
+            if !is_not_ready || poll_count > MAX_POLLS {
+                break result?;
             }
-            tokio::time::sleep(LOOK_AGAIN).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         };
-        if called.status.is_success() {
-            self.newest_serial().await?;
+        if response.status.is_success() {
+            self.newest_version().await?;
         }
-        Ok(print(&called))
+        Ok(print(&response))
     }
 
     /// The newest serial, as soon as there is a leader that can tell it.
-    async fn newest_serial(&self) -> Result<Value, ClientFault> {
-        let mut serial = Value::Null;
-        for _ in 0..MOST_LOOKS {
-            let called = self.call(Method::GET, "/v1/spec", None).await?;
-            serial = called.json()["serial"].clone();
-            if serial.is_number() {
+    async fn newest_version(&self) -> Result<Value, ClientError> {
+        let mut version = Value::Null;
+        for _ in 0..MAX_POLLS {
+            let response = self.call(Method::GET, "/v1/spec", None).await?;
+            version = response.json()["serial"].clone();
+            if version.is_number() {
                 break;
             }
-            tokio::time::sleep(LOOK_AGAIN).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
-        Ok(serial)
+        Ok(version)
     }
 
     /// Sends a change of the spec. Numbers of the operators' own stand in for the serial it is built on.
-    pub async fn change(&self, form: ChangeForm, sent: Sent<'_>) -> Result<ExitCode, ClientFault> {
-        let file_text = std::fs::read_to_string(sent.file)
-            .map_err(|fault| ClientFault::File(sent.file.to_owned(), fault))?;
+    pub async fn change(
+        &self,
+        change_kind: ChangeKind,
+        submission: ChangeSubmission<'_>,
+    ) -> Result<ExitCode, ClientError> {
+        let file_text = std::fs::read_to_string(submission.file)
+            .map_err(|error| ClientError::File(submission.file.to_owned(), error))?;
         let value: Value = serde_json::from_str(&file_text)
-            .map_err(|fault| ClientFault::NotJson(sent.file.to_owned(), fault))?;
-        let mut body = match form {
-            ChangeForm::Whole => json!({"spec": value}),
-            ChangeForm::Patch => json!({"patch": value}),
-            ChangeForm::Items => json!({"put": value["put"], "remove": value["remove"]}),
+            .map_err(|error| ClientError::NotJson(submission.file.to_owned(), error))?;
+        let mut body = match change_kind {
+            ChangeKind::Full => json!({"spec": value}),
+            ChangeKind::Patch => json!({"patch": value}),
+            ChangeKind::Items => json!({"put": value["put"], "remove": value["remove"]}),
         };
-        body["change_id"] = json!(sent.change_id.unwrap_or_else(made_up_id));
-        body["wait"] = json!(if sent.wait { "in_force" } else { "accepted" });
-        match (sent.number, sent.base_number, sent.base) {
+        body["change_id"] = json!(submission.change_id.unwrap_or_else(generated_change_id));
+        body["wait"] = json!(if submission.wait { "in_force" } else { "accepted" });
+        match (submission.number, submission.base_number, submission.base) {
             (None, None, Some(base)) => body["base_serial"] = json!(base),
-            (None, None, None) => body["base_serial"] = self.newest_serial().await?,
+            (None, None, None) => body["base_serial"] = self.newest_version().await?,
             (number, base_number, base) => {
                 body["number"] = json!(number);
                 body["base_number"] = json!(base_number);
@@ -230,38 +238,40 @@
                 }
             }
         }
-        let method = if form == ChangeForm::Whole { Method::PUT } else { Method::PATCH };
-        self.call(method, "/v1/spec", Some(&body)).await.map(|called| print(&called))
+        let method = if change_kind == ChangeKind::Full { Method::PUT } else { Method::PATCH };
+        self.call(method, "/v1/spec", Some(&body)).await.map(|response| print(&response))
     }
 
     /// Evacuates or restores a zone.
-    pub async fn turn(
+    pub async fn zone_change(
         &self,
-        deed: &str,
+        action: &str,
         zone: &str,
         change_id: Option<String>,
         wait: bool,
         force: bool,
-    ) -> Result<ExitCode, ClientFault> {
+    ) -> Result<ExitCode, ClientError> {
         let body = json!({
-            "change_id": change_id.unwrap_or_else(made_up_id),
+            "change_id": change_id.unwrap_or_else(generated_change_id),
             "wait": if wait { "in_force" } else { "accepted" },
             "force": force,
         });
-        let path = format!("/v1/localities/{zone}/{deed}");
-        self.call(Method::POST, &path, Some(&body)).await.map(|called| print(&called))
+        let path = format!("/v1/localities/{zone}/{action}");
+        self.call(Method::POST, &path, Some(&body)).await.map(|response| print(&response))
     }
 
     /// Prints events, and goes on over changes of leader if asked to.
-    pub async fn events(&self, from: u64, follow: bool) -> Result<ExitCode, ClientFault> {
+    pub async fn events(&self, from: u64, follow: bool) -> Result<ExitCode, ClientError> {
         let mut next_number = from;
-        let mut place_turn = 0;
-        let mut hinted_place = None;
+        let mut address_index = 0;
+        let mut hinted_address = None;
         let mut failed_count = 0;
         loop {
-            let place = hinted_place.take().unwrap_or(self.places[place_turn % self.places.len()]);
+            let address = hinted_address
+                .take()
+                .unwrap_or(self.addresses[address_index % self.addresses.len()]);
             let path = format!("/v1/events?from={next_number}&follow={follow}");
-            let ended = follow_lines(place, &path, |line| {
+            let ended = follow_lines(address, &path, |line| {
                 let event: Value = serde_json::from_str(line).unwrap_or(Value::Null);
                 if let Some(number) = event["number"].as_u64() {
                     next_number = next_number.max(number + 1);
@@ -273,21 +283,21 @@
             })
             .await;
             match ended {
-                Ok(LinesEnd::Elsewhere(leader)) => hinted_place = Some(leader),
-                Ok(LinesEnd::Enough) => return Ok(ExitCode::SUCCESS),
-                Ok(LinesEnd::Ended) if !follow => return Ok(ExitCode::SUCCESS),
-                Ok(LinesEnd::Ended) => {}
-                Ok(LinesEnd::Status(status)) if !follow => return Ok(exit_code(status)),
-                Ok(LinesEnd::Status(_)) => place_turn += 1,
-                Err(fault) => {
-                    place_turn += 1;
+                Ok(LineStreamEnd::Redirect(leader)) => hinted_address = Some(leader),
+                Ok(LineStreamEnd::StoppedByReader) => return Ok(ExitCode::SUCCESS),
+                Ok(LineStreamEnd::Ended) if !follow => return Ok(ExitCode::SUCCESS),
+                Ok(LineStreamEnd::Ended) => {}
+                Ok(LineStreamEnd::Status(status)) if !follow => return Ok(exit_code(status)),
+                Ok(LineStreamEnd::Status(_)) => address_index += 1,
+                Err(error) => {
+                    address_index += 1;
                     failed_count += 1;
-                    if !follow && failed_count >= self.places.len() {
-                        return Err(ClientFault::Unreachable(fault));
+                    if !follow && failed_count >= self.addresses.len() {
+                        return Err(ClientError::Unreachable(error));
                     }
                 }
             }
-            if hinted_place.is_none() {
+            if hinted_address.is_none() {
                 tokio::time::sleep(Duration::from_millis(300)).await;
             }
         }
--- a/programs/rudderctl/src/main.rs
+++ b/programs/rudderctl/src/main.rs
@@ -6,9 +6,9 @@
 mod trace;
 
 use arguments::{Command, EXAMPLES, Flags, OutputFormat, Trace};
-use client::{ChangeForm, ClientFault, OperatorClient};
+use client::{ChangeKind, ClientError, OperatorClient};
 use common::command_line::{self, Program};
-use common::frames::Place;
+use common::frames::SocketAddress;
 use std::process::ExitCode;
 
 const PROGRAM: Program =
@@ -21,22 +21,22 @@
     };
     let runtime = match command_line::runtime(1) {
         Ok(runtime) => runtime,
-        Err(fault) => return PROGRAM.fail(fault, 1),
+        Err(error) => return PROGRAM.fail(error, 1),
     };
-    match runtime.block_on(obey(&flags.at, flags.output, command)) {
+    match runtime.block_on(run_command(&flags.at, flags.output, command)) {
         Ok(exit_code) => exit_code,
-        Err(fault) => {
-            let exit_code = fault.exit_code();
-            PROGRAM.fail(fault, exit_code)
+        Err(error) => {
+            let exit_code = error.exit_code();
+            PROGRAM.fail(error, exit_code)
         }
     }
 }
 
-async fn obey(
+async fn run_command(
     at: &str,
     output: Option<OutputFormat>,
     command: Command,
-) -> Result<ExitCode, ClientFault> {
+) -> Result<ExitCode, ClientError> {
     let client = OperatorClient::new(at)?;
     match command {
         Command::Found(_) => client.found().await,
@@ -45,44 +45,61 @@
                 .post(&format!("/v1/core/replace/{}/{}", replace.missing, replace.successor))
                 .await
         }
-        Command::Core(asked) => client.list(&table::CORE, asked.output.or(output)).await,
+        Command::Core(options) => client.list(&table::CORE, options.output.or(output)).await,
         Command::Spec(_) => client.get("/v1/spec").await,
-        Command::Members(asked) => client.list(&table::MEMBERS, asked.output.or(output)).await,
-        Command::Holders(asked) => client.list(&table::HOLDERS, asked.output.or(output)).await,
-        Command::Workers(asked) => client.list(&table::WORKERS, asked.output.or(output)).await,
-        Command::Runners(asked) => client.list(&table::RUNNERS, asked.output.or(output)).await,
+        Command::Members(options) => client.list(&table::MEMBERS, options.output.or(output)).await,
+        Command::Holders(options) => client.list(&table::HOLDERS, options.output.or(output)).await,
+        Command::Workers(options) => client.list(&table::WORKERS, options.output.or(output)).await,
+        Command::Runners(options) => client.list(&table::RUNNERS, options.output.or(output)).await,
         Command::Change(named) => client.get(&format!("/v1/changes/{}", named.id)).await,
-        Command::Put(change) => client.change(ChangeForm::Whole, change.sent()).await,
-        Command::Patch(change) => client.change(ChangeForm::Patch, change.sent()).await,
-        Command::Items(change) => client.change(ChangeForm::Items, change.sent()).await,
-        Command::Evacuate(turn) => {
-            client.turn("evacuate", &turn.zone, turn.change_id, turn.wait, turn.force).await
+        Command::Put(change) => client.change(ChangeKind::Full, change.to_submission()).await,
+        Command::Patch(change) => client.change(ChangeKind::Patch, change.to_submission()).await,
+        Command::Items(change) => client.change(ChangeKind::Items, change.to_submission()).await,
+        Command::Evacuate(zone_change) => {
+            client
+                .zone_change(
+                    "evacuate",
+                    &zone_change.zone,
+                    zone_change.change_id,
+                    zone_change.wait,
+                    zone_change.force,
+                )
+                .await
         }
-        Command::Restore(turn) => {
-            client.turn("restore", &turn.zone, turn.change_id, turn.wait, turn.force).await
+        Command::Restore(zone_change) => {
+            client
+                .zone_change(
+                    "restore",
+                    &zone_change.zone,
+                    zone_change.change_id,
+                    zone_change.wait,
+                    zone_change.force,
+                )
+                .await
         }
         Command::Events(events) => client.events(events.from, events.follow).await,
-        Command::Trace(asked) => Ok(run_trace(at, &asked, asked.output.or(output)).await),
+        Command::Trace(options) => Ok(run_trace(at, &options, options.output.or(output)).await),
     }
 }
 
-async fn run_trace(at: &str, asked: &Trace, output: Option<OutputFormat>) -> ExitCode {
-    let places: Result<Vec<Place>, _> = at.split(',').map(|text| text.parse().map(Place)).collect();
-    let Ok(places) = places else {
+async fn run_trace(at: &str, options: &Trace, output: Option<OutputFormat>) -> ExitCode {
+    let addresses: Result<Vec<SocketAddress>, _> =
+        at.split(',').map(|text| text.parse().map(SocketAddress)).collect();
+    let Ok(addresses) = addresses else {
         return PROGRAM.fail(format_args!("--at: not IP numbers with ports: {at:?}"), 2);
     };
-    match trace::follow(&places, asked.serial, asked.follow, asked.patience).await {
+    match trace::follow(&addresses, options.serial, options.follow, options.patience).await {
         Ok(version_trace) => {
-            if asked.json || output == Some(OutputFormat::Json) {
+            if options.json || output == Some(OutputFormat::Json) {
                 println!("{}", version_trace.to_value());
             } else {
                 print!("{version_trace}");
             }
             ExitCode::SUCCESS
         }
-        Err(fault) => {
-            let exit_code = fault.exit_code();
-            PROGRAM.fail(fault, exit_code)
+        Err(error) => {
+            let exit_code = error.exit_code();
+            PROGRAM.fail(error, exit_code)
         }
     }
 }
--- a/programs/rudderctl/src/trace.rs
+++ b/programs/rudderctl/src/trace.rs
@@ -1,7 +1,7 @@
 //! The trace of one version of the spec from its acceptance to every daemon.
 
-use common::clock::Moment;
-use common::frames::Place;
+use common::clock::MonotonicTime;
+use common::frames::SocketAddress;
 use common::http::call_json;
 use hyper::{Method, StatusCode};
 use serde_json::{Value, json};
@@ -11,14 +11,14 @@
 
 /// Why no way can be shown.
 #[derive(Debug)]
-pub enum TraceFault {
+pub enum TraceError {
     /// No controller answered.
     Unreachable,
     /// No controller knows the serial.
     Unknown(u64),
 }
 
-impl TraceFault {
+impl TraceError {
     /// What the process exits with.
     pub fn exit_code(&self) -> u8 {
         match self {
@@ -28,58 +28,61 @@
     }
 }
 
-impl fmt::Display for TraceFault {
+impl fmt::Display for TraceError {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Unreachable => write!(out, "no controller reached"),
             Self::Unknown(0) => write!(out, "no controller has led a version yet"),
-            Self::Unknown(serial) => write!(out, "no controller knows serial {serial}"),
+            Self::Unknown(version) => write!(out, "no controller knows serial {version}"),
         }
     }
 }
 
-impl std::error::Error for TraceFault {}
+impl std::error::Error for TraceError {}
 
 /// One version's way, a part for each term in which it was led.
 pub struct VersionTrace {
-    serial: u64,
+    version: u64,
     parts: BTreeMap<u64, Value>,
-    silent: Vec<Place>,
+    unreachable: Vec<SocketAddress>,
 }
 
 impl VersionTrace {
     /// Asks every controller, and joins what each saw while it led.
-    pub async fn read(places: &[Place], asked_serial: u64) -> Result<Self, TraceFault> {
+    pub async fn read(
+        addresses: &[SocketAddress],
+        requested_version: u64,
+    ) -> Result<Self, TraceError> {
         let mut answers = Vec::new();
-        let mut silent = Vec::new();
-        for place in places {
-            let path = format!("/v1/traces/{asked_serial}");
-            let patience = Duration::from_secs(2);
-            match call_json(*place, Method::GET, &path, None, patience).await {
-                Ok(called) if called.status == StatusCode::OK => answers.push(called.json()),
+        let mut unreachable = Vec::new();
+        for address in addresses {
+            let path = format!("/v1/traces/{requested_version}");
+            let timeout = Duration::from_secs(2);
+            match call_json(*address, Method::GET, &path, None, timeout).await {
+                Ok(response) if response.status == StatusCode::OK => answers.push(response.json()),
                 Ok(_) => {}
-                Err(_) => silent.push(*place),
+                Err(_) => unreachable.push(*address),
             }
         }
-        if silent.len() == places.len() {
-            return Err(TraceFault::Unreachable);
+        if unreachable.len() == addresses.len() {
+            return Err(TraceError::Unreachable);
         }
         let newest = answers.iter().filter_map(|answer| answer["serial"].as_u64()).max();
-        let serial = newest.ok_or(TraceFault::Unknown(asked_serial))?;
+        let version = newest.ok_or(TraceError::Unknown(requested_version))?;
         let mut parts = BTreeMap::new();
-        for answer in answers.iter().filter(|answer| answer["serial"].as_u64() == Some(serial)) {
+        for answer in answers.iter().filter(|answer| answer["serial"].as_u64() == Some(version)) {
             for trace in answer["traces"].as_array().into_iter().flatten() {
                 let mut part = trace.clone();
                 part["surveyor"] = answer["surveyor"].clone();
                 parts.insert(part["term"].as_u64().unwrap_or(0), part);
             }
         }
-        Ok(Self { serial, parts, silent })
+        Ok(Self { version, parts, unreachable })
     }
 
     /// The serial traced.
-    pub fn serial(&self) -> u64 {
-        self.serial
+    pub fn version(&self) -> u64 {
+        self.version
     }
 
     /// Whether some leader saw it in force everywhere.
@@ -89,9 +92,10 @@
 
     /// The way as JSON.
     pub fn to_value(&self) -> Value {
-        let silent: Vec<String> = self.silent.iter().map(Place::to_string).collect();
+        let unreachable: Vec<String> =
+            self.unreachable.iter().map(SocketAddress::to_string).collect();
         let parts: Vec<&Value> = self.parts.values().collect();
-        json!({"serial": self.serial, "in_force": self.is_in_force(), "parts": parts, "silent": silent})
+        json!({"serial": self.version, "in_force": self.is_in_force(), "parts": parts, "silent": unreachable})
     }
 }
 
@@ -102,7 +106,7 @@
 impl fmt::Display for VersionTrace {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         let force = if self.is_in_force() { "in force" } else { "not in force" };
-        writeln!(out, "serial {}: {force}", self.serial)?;
+        writeln!(out, "serial {}: {force}", self.version)?;
         for (term, part) in &self.parts {
             writeln!(
                 out,
@@ -123,34 +127,34 @@
                 )?;
             }
         }
-        for place in &self.silent {
-            writeln!(out, "controller at {place} did not answer; what it alone saw is missing")?;
+        for address in &self.unreachable {
+            writeln!(out, "controller at {address} did not answer; what it alone saw is missing")?;
         }
         Ok(())
     }
 }
 
-const ASK_AGAIN_AFTER: Duration = Duration::from_millis(100);
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Reads the trace of a version, the newest if no serial is given; when told to follow, asks again
 /// until the version is in force everywhere or the patience (in seconds) has run out.
 pub async fn follow(
-    places: &[Place],
-    serial: Option<u64>,
+    addresses: &[SocketAddress],
+    version: Option<u64>,
     follow: bool,
-    patience_s: u64,
-) -> Result<VersionTrace, TraceFault> {
-    let follow_until = Moment::now() + Duration::from_secs(patience_s);
-    let mut serial = serial.unwrap_or(0);
+    timeout_s: u64,
+) -> Result<VersionTrace, TraceError> {
+    let follow_until = MonotonicTime::now() + Duration::from_secs(timeout_s);
+    let mut version = version.unwrap_or(0);
     loop {
-        let read = VersionTrace::read(places, serial).await;
-        let is_late = Moment::now() >= follow_until;
+        let read = VersionTrace::read(addresses, version).await;
+        let is_late = MonotonicTime::now() >= follow_until;
         match read {
             Ok(trace) if !follow || trace.is_in_force() || is_late => return Ok(trace),
-            Ok(trace) => serial = trace.serial(),
-            Err(fault) if !follow || is_late => return Err(fault),
+            Ok(trace) => version = trace.version(),
+            Err(error) if !follow || is_late => return Err(error),
             Err(_) => {}
         }
-        tokio::time::sleep(ASK_AGAIN_AFTER).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
--- a/programs/rudderctl/tests/command_forms.rs
+++ b/programs/rudderctl/tests/command_forms.rs
@@ -25,7 +25,7 @@
 }
 
 fn said(arguments: &[&str]) -> String {
-    commands::said(PROGRAM, arguments, &[])
+    commands::output(PROGRAM, arguments, &[])
 }
 
 /// A controller that gives these statuses and bodies, one for each call, and keeps the calls.
@@ -77,10 +77,10 @@
 
     /// What a command asks and prints. An id that it makes up is shown as MADE-UP.
     fn said(&self, arguments: &[&str]) -> String {
-        let place = self.address.to_string();
-        let text = said(&[&["--at", place.as_str()], arguments].concat());
+        let address = self.address.to_string();
+        let text = said(&[&["--at", address.as_str()], arguments].concat());
         let calls = self.calls.lock().expect("the calls").join("\n");
-        let text = format!("{text}asked:\n{calls}\n").replace(&place, "CONTROLLER");
+        let text = format!("{text}asked:\n{calls}\n").replace(&address, "CONTROLLER");
         without_made_up_ids(&text)
     }
 }
@@ -348,7 +348,7 @@
     text += &Controller::answering(&unknown()).said(&["trace"]);
     text += &Controller::answering(&unknown()).said(&["trace", "99"]);
     let one = Controller::answering(&ok(&trace(json!(4.75))));
-    let places = format!("{},127.0.0.1:9", one.address);
-    let with_a_silent_one = said(&["--at", &places, "trace"]).replace(&places, "CONTROLLERS");
+    let addresses = format!("{},127.0.0.1:9", one.address);
+    let with_a_silent_one = said(&["--at", &addresses, "trace"]).replace(&addresses, "CONTROLLERS");
     check("traces.txt", &(text + &with_a_silent_one));
 }
--- a/programs/rudderctl/tests/output.rs
+++ b/programs/rudderctl/tests/output.rs
@@ -10,17 +10,17 @@
      "runners": ["r-7-1", "r-7-2"]},
     {"function": "b@1", "member": "d", "grant": 12, "fencing": true, "handing_over": false, "runners": []}
 ]}"#;
-const CORE: &str = r#"{"surveyor": "5f", "term": 3, "leader": null, "others": []}"#;
+const QUORUM_LIST: &str = r#"{"surveyor": "5f", "term": 3, "leader": null, "others": []}"#;
 
 fn run(arguments: &[&str]) -> Output {
     Command::new(env!("CARGO_BIN_EXE_rudderctl")).args(arguments).output().expect("it runs")
 }
 
 /// A controller that answers one call, and gives back its first line.
-fn answering(status: &'static str, body: &'static str) -> (SocketAddr, JoinHandle<String>) {
+fn serve_response(status: &'static str, body: &'static str) -> (SocketAddr, JoinHandle<String>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
-    let answering = std::thread::spawn(move || {
+    let serve_response = std::thread::spawn(move || {
         let (mut stream, _) = listener.accept().expect("a call");
         let mut lines = BufReader::new(stream.try_clone().expect("a stream")).lines();
         let first_line = lines.next().expect("a line").expect("text");
@@ -34,14 +34,18 @@
         write!(stream, "{head}{body}").expect("it is sent");
         first_line
     });
-    (address, answering)
+    (address, serve_response)
 }
 
-fn printed(status: &'static str, body: &'static str, arguments: &[&str]) -> (String, Option<i32>) {
-    let (address, answering) = answering(status, body);
-    let place = address.to_string();
-    let output = run(&[&["--at", place.as_str()], arguments].concat());
-    answering.join().expect("it answers");
+fn run_against(
+    status: &'static str,
+    body: &'static str,
+    arguments: &[&str],
+) -> (String, Option<i32>) {
+    let (address, serve_response) = serve_response(status, body);
+    let address_text = address.to_string();
+    let output = run(&[&["--at", address_text.as_str()], arguments].concat());
+    serve_response.join().expect("it answers");
     (String::from_utf8_lossy(&output.stdout).into_owned(), output.status.code())
 }
 
@@ -50,15 +54,15 @@
     let table = "FUNCTION  MEMBER    GRANT  FENCING  HANDING_OVER  RUNNERS\n\
                  check@4   daemon-1  7      false    false         r-7-1,r-7-2\n\
                  b@1       d         12     true     false         -\n";
-    let after = printed("200 OK", HOLDERS, &["holders", "--output", "table"]);
+    let after = run_against("200 OK", HOLDERS, &["holders", "--output", "table"]);
     assert_eq!(after, (table.to_owned(), Some(0)));
-    let before = printed("200 OK", HOLDERS, &["--output", "table", "holders"]);
+    let before = run_against("200 OK", HOLDERS, &["--output", "table", "holders"]);
     assert_eq!(before, (table.to_owned(), Some(0)));
 }
 
 #[test]
 fn what_stands_beside_a_list_is_printed_before_it() {
-    let (text, _) = printed("200 OK", CORE, &["core", "--output", "table"]);
+    let (text, _) = run_against("200 OK", QUORUM_LIST, &["core", "--output", "table"]);
     let heads = "SURVEYOR  PLACE  OPERATORS  ACCEPTED  VOTER  SILENT_MS";
     assert_eq!(text, format!("leader: -\nsurveyor: 5f\nterm: 3\n{heads}\n"));
 }
@@ -66,7 +70,7 @@
 #[test]
 fn lists_are_json_unless_something_else_is_asked_for() {
     for arguments in [&["holders"][..], &["holders", "--output", "json"]] {
-        let (text, exit_code) = printed("200 OK", HOLDERS, arguments);
+        let (text, exit_code) = run_against("200 OK", HOLDERS, arguments);
         let value: serde_json::Value = serde_json::from_str(&text).expect("JSON");
         assert_eq!(value, serde_json::from_str::<serde_json::Value>(HOLDERS).expect("JSON"));
         assert_eq!(exit_code, Some(0));
@@ -75,8 +79,8 @@
 
 #[test]
 fn a_refusal_is_json_in_any_format() {
-    let refused = r#"{"error":"no_leader"}"#;
-    let (text, exit_code) = printed("503 No", refused, &["workers", "--output", "table"]);
+    let error_body = r#"{"error":"no_leader"}"#;
+    let (text, exit_code) = run_against("503 No", error_body, &["workers", "--output", "table"]);
     assert_eq!(text, "{\n  \"error\": \"no_leader\"\n}\n");
     assert_eq!(exit_code, Some(4));
 }
--- a/testing/fleet/src/commands/capacity.rs
+++ b/testing/fleet/src/commands/capacity.rs
@@ -1,17 +1,17 @@
 //! Synthetic fleets, measured, and the capacity page made from their records.
 
 use super::flags::{Capacity, Synthetic};
-use fleet::synthetic::page::{PageFault, draw_plots, read_runs, renew};
-use fleet::synthetic::{Fleet, RecordFault, SyntheticSize};
+use fleet::synthetic::page::{PageError, draw_plots, read_runs, render_page};
+use fleet::synthetic::{RecordError, SyntheticFleet, SyntheticSize};
 use std::process::ExitCode;
 use std::time::Duration;
 
 /// Makes the page's tables and plots anew.
-pub fn renew_page(capacity: &Capacity) -> Result<ExitCode, PageFault> {
+pub fn update_page(capacity: &Capacity) -> Result<ExitCode, PageError> {
     let runs = read_runs(&capacity.from.join("runs"))?;
-    let renewed_page = renew(&capacity.page, &runs)?;
-    std::fs::write(&capacity.page, renewed_page)
-        .map_err(|fault| RecordFault::File(capacity.page.clone(), fault))?;
+    let rendered_page = render_page(&capacity.page, &runs)?;
+    std::fs::write(&capacity.page, rendered_page)
+        .map_err(|error| RecordError::File(capacity.page.clone(), error))?;
     println!("{}", capacity.page.display());
     for plot_path in draw_plots(&capacity.from, &runs)? {
         println!("{}", plot_path.display());
@@ -20,7 +20,7 @@
 }
 
 /// Runs a synthetic fleet, prints what it came to, and keeps it.
-pub fn measure(synthetic: &Synthetic) -> Result<ExitCode, RecordFault> {
+pub fn measure(synthetic: &Synthetic) -> Result<ExitCode, RecordError> {
     let size = SyntheticSize {
         daemons: synthetic.daemons,
         functions: synthetic.functions,
@@ -32,10 +32,10 @@
         measured: Duration::from_secs(synthetic.seconds),
         patience: Duration::from_secs(synthetic.patience),
     };
-    let fleet = match size.checked().and_then(Fleet::new) {
+    let fleet = match size.checked().and_then(SyntheticFleet::new) {
         Ok(fleet) => fleet,
-        Err(fault) => {
-            eprintln!("fleet: {fault}");
+        Err(error) => {
+            eprintln!("fleet: {error}");
             return Ok(ExitCode::from(2));
         }
     };
--- a/testing/fleet/src/commands/control_side.rs
+++ b/testing/fleet/src/commands/control_side.rs
@@ -2,8 +2,8 @@
 
 use super::flags::{RecoveryOptions, SecondLosses};
 use fleet::sim::{
-    Flaw, QuorumSize, Repair, SCENARIO_PROOFS, SINGLE_LOSSES, SecondLoss, SecondLossCase, SimPlan,
-    Spread, Target, World,
+    Flaw, QuorumSize, Repair, SCENARIO_DETECTION_CASES, SINGLE_LOSSES, SecondLoss, SecondLossCase,
+    SimPlan, Simulation, Spread, Target,
 };
 use std::process::ExitCode;
 
@@ -14,9 +14,9 @@
         let quiet_case = SecondLossCase { size, repair: *repair, second: None };
         let steps = quiet_case.steps(seed);
         for target in [Target::Leader, Target::Follower, Target::Victim] {
-            for loss in SecondLossCase::borne_losses(size, *repair) {
-                let places = (1..=steps).step_by(stride.max(1) as usize);
-                cases.extend(places.map(|step| {
+            for loss in SecondLossCase::tolerated_losses(size, *repair) {
+                let steps = (1..=steps).step_by(stride.max(1) as usize);
+                cases.extend(steps.map(|step| {
                     let second = Some(SecondLoss { step, target, loss: *loss });
                     SecondLossCase { second, ..quiet_case }
                 }));
@@ -32,43 +32,43 @@
         eprintln!("fleet: unknown flaw {:?}", chosen.flaw);
         return ExitCode::from(2);
     };
-    let mut breach_count = 0;
+    let mut violation_count = 0;
     let sizes = QuorumSize::ALL
         .iter()
         .filter(|size| chosen.machines.is_none_or(|machines| machines == size.machines));
     for size in sizes {
         let mut case_count = 0;
-        let mut broken_count = 0;
+        let mut violating_count = 0;
         for case in cases(*size, chosen.seed, chosen.stride) {
             case_count += 1;
             let plan = SimPlan { flaw, ..case.plan(chosen.seed) };
-            let breaches = World::new(plan, false).run().breaches;
-            if let Some(breach) = breaches.first() {
-                broken_count += 1;
-                println!("{} {:?}: {breach}", case.repair, case.second);
+            let violations = Simulation::new(plan, false).run().violations;
+            if let Some(violation) = violations.first() {
+                violating_count += 1;
+                println!("{} {:?}: {violation}", case.repair, case.second);
             }
         }
-        println!("{} machines: {case_count} cases, {broken_count} with breaches", size.machines);
-        breach_count += broken_count;
+        println!("{} machines: {case_count} cases, {violating_count} with breaches", size.machines);
+        violation_count += violating_count;
     }
-    if breach_count == 0 { ExitCode::SUCCESS } else { ExitCode::from(1) }
+    if violation_count == 0 { ExitCode::SUCCESS } else { ExitCode::from(1) }
 }
 
 /// Prints a table in Markdown: for each rule of the control side what is seen without it, and how
 /// soon; says whether all were found.
-pub fn prove_scenarios(most_seeds: u64) -> bool {
+pub fn check_scenario_detection(max_seeds: u64) -> bool {
     println!();
     println!("| scenario | broken | seeds to first finding | seen |");
     println!("|---|---|---|---|");
-    let mut is_whole = true;
-    for proof in SCENARIO_PROOFS {
-        let found = proof.find(most_seeds);
-        is_whole &= found.is_some();
+    let mut is_complete = true;
+    for proof in SCENARIO_DETECTION_CASES {
+        let found = proof.find(max_seeds);
+        is_complete &= found.is_some();
         let (seed, seen) = found
             .map_or(("none".to_owned(), String::new()), |(seed, seen)| (seed.to_string(), seen));
         println!("| {} | `{}` | {seed} | {seen} |", proof.scenario, proof.flaw);
     }
-    is_whole
+    is_complete
 }
 
 /// Prints a table in Markdown: for each single loss the time to the next order and session leases.
--- a/testing/fleet/src/commands/days.rs
+++ b/testing/fleet/src/commands/days.rs
@@ -4,7 +4,7 @@
 use common::rules::Rule;
 use eyre::{WrapErr, eyre};
 use fleet::days::{Day, Deployment, FaultName, run_day};
-use fleet::judge::{Evidence, EvidenceFault, Recovery, Verdict, judge};
+use fleet::judge::{Evidence, EvidenceError, Recovery, Verdict, judge};
 use std::collections::BTreeMap;
 use std::fmt;
 use std::path::{Path, PathBuf};
@@ -12,14 +12,14 @@
 use std::time::Duration;
 
 /// Why no day can be run.
-pub enum DayFault {
+pub enum DayError {
     Deployment(String),
     Fault(String),
     Rule(String),
     Folder(std::io::Error),
 }
 
-impl fmt::Display for DayFault {
+impl fmt::Display for DayError {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Deployment(name) => {
@@ -38,25 +38,25 @@
     }
 }
 
-pub fn read_day(run: &Run) -> Result<Day, DayFault> {
-    let deployment = Deployment::named(&run.deployment)
-        .ok_or_else(|| DayFault::Deployment(run.deployment.clone()))?;
+pub fn read_day(run: &Run) -> Result<Day, DayError> {
+    let deployment = Deployment::by_name(&run.deployment)
+        .ok_or_else(|| DayError::Deployment(run.deployment.clone()))?;
     let mut faults = Vec::new();
     for name in run.faults.split(',').filter(|name| !name.is_empty()) {
         if name == "random" {
-            faults.extend(FaultName::by_chance(run.seed));
+            faults.extend(FaultName::random_faults(run.seed));
         } else {
-            let fault = FaultName::named(name);
-            faults.push(fault.ok_or_else(|| DayFault::Fault(name.to_owned()))?);
+            let fault = FaultName::by_name(name);
+            faults.push(fault.ok_or_else(|| DayError::Fault(name.to_owned()))?);
         }
     }
     let without = match &run.without {
-        Some(name) => Some(Rule::named(name).ok_or_else(|| DayFault::Rule(name.to_owned()))?),
+        Some(name) => Some(Rule::by_name(name).ok_or_else(|| DayError::Rule(name.to_owned()))?),
         None => None,
     };
-    let own_path = std::env::current_exe().map_err(DayFault::Folder)?;
+    let own_path = std::env::current_exe().map_err(DayError::Folder)?;
     let programs = own_path.parent().map(Path::to_owned).unwrap_or_default();
-    let folder = std::path::absolute(&run.folder).map_err(DayFault::Folder)?;
+    let folder = std::path::absolute(&run.folder).map_err(DayError::Folder)?;
     Ok(Day {
         deployment,
         seed: run.seed,
@@ -79,7 +79,7 @@
 }
 
 /// Prints a table in Markdown: for each fault its runs, shares, and times to recovery.
-pub fn tabulate(folders: &[PathBuf]) -> Result<ExitCode, EvidenceFault> {
+pub fn tabulate(folders: &[PathBuf]) -> Result<ExitCode, EvidenceError> {
     let mut by_fault: BTreeMap<String, Vec<Recovery>> = BTreeMap::new();
     let mut violation_count = 0;
     for folder in folders {
@@ -96,8 +96,8 @@
     for (fault, runs) in by_fault {
         let calls: usize = runs.iter().map(|run| run.calls).sum();
         let share = |part: fn(&Recovery) -> f64| {
-            let weighed: f64 = runs.iter().map(|run| part(run) * run.calls as f64).sum();
-            weighed / calls.max(1) as f64 * 100.0
+            let weighted: f64 = runs.iter().map(|run| part(run) * run.calls as f64).sum();
+            weighted / calls.max(1) as f64 * 100.0
         };
         let mut down: Vec<u64> = runs.iter().map(|run| run.down_ms).collect();
         down.sort_unstable();
@@ -116,11 +116,11 @@
     Ok(if violation_count == 0 { ExitCode::SUCCESS } else { ExitCode::from(1) })
 }
 
-pub fn run_whole(day: &Day) -> eyre::Result<ExitCode> {
+pub fn run_and_conclude(day: &Day) -> eyre::Result<ExitCode> {
     if day.folder.join("journal.jsonl").exists() {
         std::fs::remove_dir_all(&day.folder).wrap_err("old folder")?;
     }
     let runtime = common::command_line::runtime(4)?;
-    let day_end = runtime.block_on(run_day(day)).map_err(|fault| eyre!("{fault}"))?;
-    Ok(conclude(&day_end.verdict))
+    let day_result = runtime.block_on(run_day(day)).map_err(|fault| eyre!("{fault}"))?;
+    Ok(conclude(&day_result.verdict))
 }
--- a/testing/fleet/src/commands/flags.rs
+++ b/testing/fleet/src/commands/flags.rs
@@ -40,7 +40,7 @@
     #[options(help = "make the capacity page's tables and plots from synthetic fleets' records")]
     Capacity(Capacity),
     #[options(help = "list deployments and faults")]
-    List(Plain),
+    List(HelpOnly),
 }
 
 #[derive(Options)]
@@ -104,7 +104,7 @@
 }
 
 #[derive(Options)]
-pub struct Plain {
+pub struct HelpOnly {
     #[options(help = "print this help")]
     pub help: bool,
 }
--- a/testing/fleet/src/commands/simulator.rs
+++ b/testing/fleet/src/commands/simulator.rs
@@ -1,20 +1,22 @@
 //! Simulated days over many seeds, and the proofs that each safety rule is needed.
 
-use super::control_side::prove_scenarios;
+use super::control_side::check_scenario_detection;
 use super::flags::{Proofs, Sim};
-use fleet::sim::{Flaw, PROOFS, RunDigest, SEEDS_TO_FIND, Scenario, SimFault, SimPlan, World};
+use fleet::sim::{
+    DETECTION_CASES, Flaw, RunDigest, SEEDS_TO_FIND, Scenario, SimFault, SimPlan, Simulation,
+};
 use std::fmt;
 use std::process::ExitCode;
 use std::time::Duration;
 
 /// Prints a table in Markdown: for each rule what is seen without it, and how soon.
-pub fn prove(proofs: &Proofs) -> ExitCode {
-    let mut is_whole = true;
+pub fn check_detection(proofs: &Proofs) -> ExitCode {
+    let mut is_complete = true;
     println!(
         "| point | broken | faults | seeds to first finding | seen | checks with all rules kept | breaches |"
     );
     println!("|---|---|---|---|---|---|---|");
-    for proof in PROOFS {
+    for proof in DETECTION_CASES {
         let end = proof.run(proofs.seeds.unwrap_or(proof.seeds));
         let faults: Vec<String> = proof.faults.iter().map(SimFault::to_string).collect();
         let (seed, seen) = match &end.found {
@@ -26,58 +28,58 @@
             proof.point,
             proof.flaw,
             faults.join(", "),
-            end.looked,
-            end.kept_breaches.len()
+            end.checked,
+            end.baseline_violations.len()
         );
-        end.kept_breaches.iter().take(3).for_each(|breach| eprintln!("{breach}"));
-        is_whole &= end.found.is_some() && end.kept_breaches.is_empty();
+        end.baseline_violations.iter().take(3).for_each(|violation| eprintln!("{violation}"));
+        is_complete &= end.found.is_some() && end.baseline_violations.is_empty();
     }
-    is_whole &= prove_scenarios(proofs.seeds.unwrap_or(SEEDS_TO_FIND));
-    if is_whole { ExitCode::SUCCESS } else { ExitCode::from(1) }
+    is_complete &= check_scenario_detection(proofs.seeds.unwrap_or(SEEDS_TO_FIND));
+    if is_complete { ExitCode::SUCCESS } else { ExitCode::from(1) }
 }
 
 /// Runs the days of the seeds and prints how each ended.
 pub fn simulate(sim: &Sim) -> ExitCode {
     let plan_of = match plans(sim) {
         Ok(plan_of) => plan_of,
-        Err(fault) => {
-            eprintln!("fleet: {fault}");
+        Err(error) => {
+            eprintln!("fleet: {error}");
             return ExitCode::from(2);
         }
     };
-    let mut bad_seeds = Vec::new();
-    let mut weak_seeds = Vec::new();
+    let mut violating_seeds = Vec::new();
+    let mut unrecovered_seeds = Vec::new();
     let mut run_digest = RunDigest::default();
     for seed in sim.seed..sim.seed + sim.count {
         let plan = plan_of(seed);
         let is_scripted = plan.judges_script;
-        let sim_end = World::new(plan, sim.trace).run();
-        sim_end.trace.iter().for_each(|line| println!("{line}"));
-        let day_digest = run_digest.add(&sim_end);
+        let sim_result = Simulation::new(plan, sim.trace).run();
+        sim_result.trace.iter().for_each(|line| println!("{line}"));
+        let day_digest = run_digest.add(&sim_result);
         if sim.digest {
             println!("seed {seed}: digest {day_digest}");
         } else {
-            println!("seed {seed}: {sim_end}");
+            println!("seed {seed}: {sim_result}");
         }
-        for breach in sim_end.breaches.iter().take(5) {
-            println!("    {breach}");
+        for violation in sim_result.violations.iter().take(5) {
+            println!("    {violation}");
         }
-        if !sim_end.breaches.is_empty() {
-            bad_seeds.push(seed);
-        } else if sim_end.share_after < 0.5 && !is_scripted {
-            weak_seeds.push(seed);
+        if !sim_result.violations.is_empty() {
+            violating_seeds.push(seed);
+        } else if sim_result.share_after < 0.5 && !is_scripted {
+            unrecovered_seeds.push(seed);
         }
     }
     if sim.digest {
         println!("{} seeds: digest {}", sim.count, run_digest.finish());
     }
     println!(
-        "{} seeds: {} with breaches {bad_seeds:?}, {} not back in service {weak_seeds:?}",
+        "{} seeds: {} with breaches {violating_seeds:?}, {} not back in service {unrecovered_seeds:?}",
         sim.count,
-        bad_seeds.len(),
-        weak_seeds.len()
+        violating_seeds.len(),
+        unrecovered_seeds.len()
     );
-    if bad_seeds.is_empty() && weak_seeds.is_empty() {
+    if violating_seeds.is_empty() && unrecovered_seeds.is_empty() {
         ExitCode::SUCCESS
     } else {
         ExitCode::from(1)
@@ -85,13 +87,13 @@
 }
 
 /// Why there are no days to run.
-enum PlanFault {
+enum PlanError {
     Flaw(String),
     Fault(String),
     Scenario(String),
 }
 
-impl fmt::Display for PlanFault {
+impl fmt::Display for PlanError {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         let (kind, given, known): (_, _, Vec<String>) = match self {
             Self::Flaw(given) => ("flaw", given, Flaw::all().iter().map(Flaw::to_string).collect()),
@@ -107,20 +109,20 @@
 }
 
 /// What makes the day of each seed.
-fn plans(sim: &Sim) -> Result<Box<dyn Fn(u64) -> SimPlan>, PlanFault> {
+fn plans(sim: &Sim) -> Result<Box<dyn Fn(u64) -> SimPlan>, PlanError> {
     let flaw = Flaw::all()
         .into_iter()
         .find(|flaw| flaw.to_string() == sim.flaw)
-        .ok_or_else(|| PlanFault::Flaw(sim.flaw.clone()))?;
+        .ok_or_else(|| PlanError::Flaw(sim.flaw.clone()))?;
     if !sim.scenario.is_empty() {
-        let scenario = Scenario::named(&sim.scenario)
-            .ok_or_else(|| PlanFault::Scenario(sim.scenario.clone()))?;
+        let scenario = Scenario::by_name(&sim.scenario)
+            .ok_or_else(|| PlanError::Scenario(sim.scenario.clone()))?;
         return Ok(Box::new(move |seed| SimPlan { flaw, ..scenario.plan(seed) }));
     }
     let names = sim.faults.split(',').filter(|name| !name.is_empty());
     let focus = names
-        .map(|name| SimFault::named(name).ok_or_else(|| PlanFault::Fault(name.to_owned())))
-        .collect::<Result<Vec<SimFault>, PlanFault>>()?;
+        .map(|name| SimFault::by_name(name).ok_or_else(|| PlanError::Fault(name.to_owned())))
+        .collect::<Result<Vec<SimFault>, PlanError>>()?;
     let (lasts, gap) = (Duration::from_secs(sim.lasts), Duration::from_millis(sim.gap_ms.max(400)));
     let (daemons, has_faults) = (sim.daemons, !sim.calm);
     let (numbers_orders, order_gap) = (sim.orders, Duration::from_millis(sim.order_gap_ms));
--- a/testing/fleet/src/commands/soak.rs
+++ b/testing/fleet/src/commands/soak.rs
@@ -3,7 +3,7 @@
 use super::flags::SoakOptions;
 use common::rules::Rule;
 use eyre::{WrapErr, eyre};
-use fleet::soak::{Soak, SoakEnd, run_soak};
+use fleet::soak::{Soak, SoakResult, run_soak};
 use std::path::Path;
 use std::process::ExitCode;
 use std::time::Duration;
@@ -15,7 +15,7 @@
     let programs = own_path.parent().map(Path::to_owned).unwrap_or_default();
     let folder = std::path::absolute(&options.folder).wrap_err("folder")?;
     let without = match &options.without {
-        Some(name) => Some(Rule::named(name).ok_or_else(|| eyre!("no such rule: {name:?}"))?),
+        Some(name) => Some(Rule::by_name(name).ok_or_else(|| eyre!("no such rule: {name:?}"))?),
         None => None,
     };
     let soak_of = |seed: u64| Soak {
@@ -28,17 +28,17 @@
     };
     let runtime = common::command_line::runtime(4)?;
     let found_count = runtime.block_on(async {
-        let mut coming = (options.seed..options.seed + options.count).map(soak_of);
+        let mut pending_soaks = (options.seed..options.seed + options.count).map(soak_of);
         let mut running = JoinSet::new();
         let mut found_count = 0;
-        for soak in coming.by_ref().take(options.at_once.max(1)) {
-            running.spawn(soaked(soak));
+        for soak in pending_soaks.by_ref().take(options.at_once.max(1)) {
+            running.spawn(run_one_soak(soak));
         }
         while let Some(joined) = running.join_next().await {
             let (soak, end) = joined.wrap_err("a soak")?;
-            found_count += usize::from(!told(&soak, &end?)?);
-            if let Some(next) = coming.next() {
-                running.spawn(soaked(next));
+            found_count += usize::from(!report(&soak, &end?)?);
+            if let Some(next) = pending_soaks.next() {
+                running.spawn(run_one_soak(next));
             }
         }
         eyre::Ok(found_count)
@@ -47,22 +47,22 @@
     Ok(ExitCode::from(u8::from(found_count > 0)))
 }
 
-async fn soaked(soak: Soak) -> (Soak, eyre::Result<SoakEnd>) {
+async fn run_one_soak(soak: Soak) -> (Soak, eyre::Result<SoakResult>) {
     if soak.folder.join("journal.jsonl").exists() {
         let _ = std::fs::remove_dir_all(&soak.folder);
     }
-    let end = run_soak(&soak).await.map_err(|fault| eyre!("seed {}: {fault}", soak.seed));
+    let end = run_soak(&soak).await.map_err(|error| eyre!("seed {}: {error}", soak.seed));
     (soak, end)
 }
 
 /// Says how a soak ended; whether nothing was found.
-fn told(soak: &Soak, end: &SoakEnd) -> eyre::Result<bool> {
+fn report(soak: &Soak, end: &SoakResult) -> eyre::Result<bool> {
     let findings = end.findings();
     let answered = end.verdict.figures.to_string().lines().next().unwrap_or_default().to_owned();
     println!(
         "seed {}: {} troubles, {} findings; {answered}",
         soak.seed,
-        end.planned.len(),
+        end.planned_faults.len(),
         findings.len()
     );
     findings.iter().take(10).for_each(|finding| println!("    {finding}"));
--- a/testing/fleet/src/flawed.rs
+++ b/testing/fleet/src/daemon_without_rule.rs
@@ -1,10 +1,10 @@
 //! A daemon with one safety rule taken away, to see that the judge finds what is broken.
 
 use common::command_line::{self, Program};
-use common::readers::BootSource;
+use common::readers::SettingsSource;
 use common::rules::{Rule, Rules};
-use dataplane::boot::DaemonBoot;
 use dataplane::drivers::Daemon;
+use dataplane::settings::DaemonSettings;
 use eyre::{WrapErr, eyre};
 use gumdrop::Options;
 use std::path::PathBuf;
@@ -27,15 +27,16 @@
 fn main() -> eyre::Result<()> {
     let flags = PROGRAM.flags(|flags: &Flags| flags.version);
     command_line::start_log();
-    let rule = Rule::named(&flags.without)
+    let rule = Rule::by_name(&flags.without)
         .ok_or_else(|| eyre!("--without: no such rule: {:?}", flags.without))?;
-    let boot_source = BootSource::open(Some(&flags.boot)).map_err(|fault| eyre!("{fault}"))?;
-    let boot = DaemonBoot::read(&boot_source).map_err(|fault| eyre!("{fault}"))?;
+    let settings_source =
+        SettingsSource::open(Some(&flags.boot)).map_err(|error| eyre!("{error}"))?;
+    let settings = DaemonSettings::read(&settings_source).map_err(|error| eyre!("{error}"))?;
     command_line::runtime(0)?.block_on(async {
-        let opened = Daemon::open_under(boot, Rules::without(rule)).await;
-        let daemon = opened.map_err(|fault| eyre!("{fault}")).wrap_err("opening")?;
-        let stop = command_line::told_to_stop()?;
-        let _reread = command_line::told_to_reread()?;
+        let opened = Daemon::open_with_rules(settings, Rules::without(rule)).await;
+        let daemon = opened.map_err(|error| eyre!("{error}")).wrap_err("opening")?;
+        let stop = command_line::stop_signal()?;
+        let _reread = command_line::reload_signal()?;
         daemon.run(stop).await;
         Ok(())
     })
--- a/testing/fleet/src/days/deployment.rs
+++ b/testing/fleet/src/days/deployment.rs
@@ -25,7 +25,7 @@
     }
 }
 
-struct Planned {
+struct PlannedFunction {
     name: String,
     memory_mb: u64,
     boot_ms: u64,
@@ -36,7 +36,7 @@
 
 impl Deployment {
     /// The deployment of a name.
-    pub fn named(given_name: &str) -> Option<Self> {
+    pub fn by_name(given_name: &str) -> Option<Self> {
         [Self::Stezka, Self::Tintwell, Self::Small]
             .into_iter()
             .find(|deployment| deployment.to_string() == given_name)
@@ -50,7 +50,7 @@
                 zones: 3,
                 workers: 12,
                 worker_mb: 9000,
-                disks_ail: false,
+                has_faulty_disks: false,
                 without: None,
             },
             Self::Tintwell => Sizes {
@@ -58,7 +58,7 @@
                 zones: 3,
                 workers: 12,
                 worker_mb: 7000,
-                disks_ail: false,
+                has_faulty_disks: false,
                 without: None,
             },
             Self::Small => Sizes {
@@ -66,7 +66,7 @@
                 zones: 3,
                 workers: 4,
                 worker_mb: 4000,
-                disks_ail: false,
+                has_faulty_disks: false,
                 without: None,
             },
         }
@@ -81,7 +81,7 @@
     }
 
     /// The share of callers that retry at once, and how often each does.
-    pub fn impatience(self) -> (f64, u32) {
+    pub fn retry_behaviour(self) -> (f64, u32) {
         match self {
             Self::Stezka => (0.05, 1),
             Self::Tintwell => (0.5, 4),
@@ -89,7 +89,7 @@
         }
     }
 
-    fn functions(self) -> Vec<Planned> {
+    fn functions(self) -> Vec<PlannedFunction> {
         let (busy_names, rare_prefix, rare_count, rare_mb): (&[(&str, bool)], &str, u64, u64) =
             match self {
                 Self::Stezka => (
@@ -126,16 +126,16 @@
                     (&[("segment-check", false), ("bundle-check", true)], "club-page", 12, 300)
                 }
             };
-        let busy = busy_names.iter().enumerate().map(|(place, (name, once))| Planned {
+        let busy = busy_names.iter().enumerate().map(|(index, (name, once))| PlannedFunction {
             name: (*name).to_owned(),
-            memory_mb: 256 + 64 * (place as u64 % 4),
-            boot_ms: 400 + 100 * (place as u64 % 4),
+            memory_mb: 256 + 64 * (index as u64 % 4),
+            boot_ms: 400 + 100 * (index as u64 % 4),
             slots: 4,
             once: *once,
             weight: 1000,
         });
         let busy_weight = busy_names.len() as u64 * 1000;
-        let rare = (0..rare_count).map(|number| Planned {
+        let rare = (0..rare_count).map(|number| PlannedFunction {
             name: format!("{rare_prefix}-{number:03}"),
             memory_mb: rare_mb + 50 * (number % 3),
             boot_ms: 300 + 100 * (number % 8),
@@ -150,25 +150,25 @@
     pub fn spec(self, canary: &str) -> Value {
         let mut functions = Map::new();
         let mut routes = Map::new();
-        for planned in self.functions() {
+        for planned_function in self.functions() {
             functions.insert(
-                planned.name.clone(),
+                planned_function.name.clone(),
                 json!({
-                    "memory_mb": planned.memory_mb,
-                    "boot_ms": planned.boot_ms,
-                    "slots": planned.slots,
+                    "memory_mb": planned_function.memory_mb,
+                    "boot_ms": planned_function.boot_ms,
+                    "slots": planned_function.slots,
                     "runners": {"min": 0, "max": 12},
                 }),
             );
             routes.insert(
-                planned.name.clone(),
+                planned_function.name.clone(),
                 json!({
                     "method": "POST",
-                    "path": format!("/{}", planned.name),
-                    "function": planned.name,
+                    "path": format!("/{}", planned_function.name),
+                    "function": planned_function.name,
                     "budget_ms": 5000,
                     "patience_ms": 4000,
-                    "kind": if planned.once { "once" } else { "repeatable" },
+                    "kind": if planned_function.once { "once" } else { "repeatable" },
                 }),
             );
         }
@@ -197,13 +197,13 @@
         let mut routes: Vec<Value> = self
             .functions()
             .into_iter()
-            .map(|planned| {
+            .map(|planned_function| {
                 json!({
                     "method": "POST",
-                    "path": format!("/{}", planned.name),
-                    "function": planned.name,
-                    "once": planned.once,
-                    "weight": planned.weight,
+                    "path": format!("/{}", planned_function.name),
+                    "function": planned_function.name,
+                    "once": planned_function.once,
+                    "weight": planned_function.weight,
                     "budget_ms": [1000, 5000],
                 })
             })
--- a/testing/fleet/src/days/fault/catalogue.rs
+++ b/testing/fleet/src/days/fault/catalogue.rs
@@ -1,7 +1,7 @@
 //! The catalogue of faults: their names, which are heavy, and which lines of the judge they try.
 
-use crate::judge::lines;
-use common::chance::Chance;
+use crate::judge::checks;
+use common::rng::SeededRng;
 use std::fmt;
 
 macro_rules! faults {
@@ -17,8 +17,8 @@
             pub const ALL: &[FaultName] = &[$(FaultName::$variant),+];
 
             /// The fault of a name; records of earlier versions have some under a former one.
-            pub fn named(given_name: &str) -> Option<FaultName> {
-                let former = FORMER_NAMES.iter().find(|(former, _)| *former == given_name);
+            pub fn by_name(given_name: &str) -> Option<FaultName> {
+                let former = RENAMED_FAULTS.iter().find(|(former, _)| *former == given_name);
                 former.map(|(_, fault)| *fault).or_else(|| {
                     Self::ALL.iter().copied().find(|fault| fault.as_str() == given_name)
                 })
@@ -56,7 +56,7 @@
     /// A following controller is killed, loses its disk and returns.
     LoseDisk = "lose-disk",
     /// A following controller is lost for good, and an empty one at a new address takes its place.
-    ReplaceCore = "replace-core",
+    ReplaceVoter = "replace-core",
     /// The daemon that holds most is frozen for six seconds.
     FreezeHolder = "freeze-holder",
     /// The leading controller is frozen for four seconds.
@@ -88,13 +88,13 @@
     /// The daemon that holds most is warned, given its grace, and returns.
     StopHolder = "stop-holder",
     /// The leader is cut off from the other controllers, with half of the daemons on its side.
-    CutCore = "cut-core",
+    PartitionQuorum = "cut-core",
     /// The daemon that holds most is cut off from all other processes.
-    CutHolder = "cut-holder",
+    IsolateHolder = "cut-holder",
     /// A daemon is heard by nobody, or hears nobody.
-    CutOneWay = "cut-one-way",
+    BlockOneDirection = "cut-one-way",
     /// A zone is cut off from the others.
-    CutZone = "cut-zone",
+    IsolateZone = "cut-zone",
     /// Everything between the processes takes a fifth of a second longer.
     SlowNetwork = "slow-network",
     /// The leader's disk is full for six seconds, while changes are sent.
@@ -108,18 +108,18 @@
     /// Runners say that they leave, and stop six seconds later.
     RunnerLeaves = "runner-leaves",
     /// A crowd on one busy function.
-    Crowd = "crowd",
+    CallBurst = "crowd",
     /// All rare functions are called at once.
-    RareCrowd = "rare-crowd",
+    RareCallBurst = "rare-crowd",
 }
 
 /// Names under which earlier versions recorded a fault.
-const FORMER_NAMES: [(&str, FaultName); 5] = [
+const RENAMED_FAULTS: [(&str, FaultName); 5] = [
     ("kill-herd", FaultName::KillGroup),
     ("herd-loses-disk", FaultName::GroupLosesDisk),
     ("freeze-herd", FaultName::FreezeGroup),
     ("lose-locality", FaultName::LoseZone),
-    ("cut-locality", FaultName::CutZone),
+    ("cut-locality", FaultName::IsolateZone),
 ];
 
 impl fmt::Display for FaultName {
@@ -137,16 +137,16 @@
             | FaultName::KillLeader
             | FaultName::KillAfterAck
             | FaultName::LoseDisk
-            | FaultName::ReplaceCore
+            | FaultName::ReplaceVoter
             | FaultName::FreezeHolder
             | FaultName::FreezeLeader
             | FaultName::RestartAll
             | FaultName::GroupLosesDisk
             | FaultName::LoseZone
             | FaultName::FreezeGroup
-            | FaultName::CutCore
-            | FaultName::CutHolder
-            | FaultName::CutZone
+            | FaultName::PartitionQuorum
+            | FaultName::IsolateHolder
+            | FaultName::IsolateZone
             | FaultName::CrashWorker
     )
 }
@@ -158,50 +158,67 @@
     }
 
     /// A seeded combination: some faults by chance, the last one heavy.
-    pub fn by_chance(seed: u64) -> Vec<FaultName> {
-        let mut chance = Chance::seeded(seed ^ 0xc0b1);
-        let one_of = |faults: &[FaultName], chance: &mut Chance| {
-            faults[chance.below(faults.len() as u64) as usize]
+    pub fn random_faults(seed: u64) -> Vec<FaultName> {
+        let mut rng = SeededRng::seeded(seed ^ 0xc0b1);
+        let choose_one = |faults: &[FaultName], rng: &mut SeededRng| {
+            faults[rng.below(faults.len() as u64) as usize]
         };
         let heavy: Vec<FaultName> =
             Self::ALL.iter().copied().filter(|fault| is_heavy(*fault)).collect();
-        let mut chosen: Vec<FaultName> = (0..6).map(|_| one_of(Self::ALL, &mut chance)).collect();
-        chosen.push(one_of(&heavy, &mut chance));
+        let mut chosen: Vec<FaultName> = (0..6).map(|_| choose_one(Self::ALL, &mut rng)).collect();
+        chosen.push(choose_one(&heavy, &mut rng));
         chosen
     }
 
     /// The lines of the judge that this fault is meant to try; a day in which one of them looked at
     /// no case has not proved what it was run for.
-    pub fn tries(self) -> &'static [&'static str] {
+    pub fn expected_checks(self) -> &'static [&'static str] {
         match self {
-            Self::SpecChange => &[lines::FORCE],
-            Self::SpecRace => &[lines::LOSING, lines::FORCE, lines::REFUSED_CHANGE],
-            Self::SpecInvalid => &[lines::REFUSED_CHANGE, lines::NEVER],
-            Self::SpecStorm | Self::SpecGrow => &[lines::FORCE, lines::LOSING],
-            Self::SpecRoutes => &[lines::FORCE, lines::DOORS],
-            Self::KillOne | Self::KillGroup | Self::LoseZone | Self::GroupLosesDisk => {
-                &[lines::TWICE, lines::REFUSED, lines::TWO_HOLDERS, lines::DOWN]
+            Self::SpecChange => &[checks::SPEC_NOT_IN_FORCE],
+            Self::SpecRace => &[
+                checks::CONFLICTING_CHANGES,
+                checks::SPEC_NOT_IN_FORCE,
+                checks::REFUSED_CHANGE_IN_FORCE,
+            ],
+            Self::SpecInvalid => &[checks::REFUSED_CHANGE_IN_FORCE, checks::UNCONFIGURED_FUNCTION],
+            Self::SpecStorm | Self::SpecGrow => {
+                &[checks::SPEC_NOT_IN_FORCE, checks::CONFLICTING_CHANGES]
             }
+            Self::SpecRoutes => &[checks::SPEC_NOT_IN_FORCE, checks::INGRESS_BEHIND],
+            Self::KillOne | Self::KillGroup | Self::LoseZone | Self::GroupLosesDisk => &[
+                checks::ONCE_RUNS_TWICE,
+                checks::REFUSED_RUNS,
+                checks::TWO_HOLDERS,
+                checks::SERVICE_DOWN,
+            ],
             Self::KillLeader | Self::KillAfterAck | Self::FreezeLeader => {
-                &[lines::FORCE, lines::DOWN]
+                &[checks::SPEC_NOT_IN_FORCE, checks::SERVICE_DOWN]
+            }
+            Self::LoseDisk | Self::ReplaceVoter => {
+                &[checks::SPEC_NOT_IN_FORCE, checks::SERVICE_DOWN]
             }
-            Self::LoseDisk | Self::ReplaceCore => &[lines::FORCE, lines::DOWN],
             Self::FreezeHolder | Self::FreezeGroup => {
-                &[lines::TWICE, lines::TWO_HOLDERS, lines::DOWN]
+                &[checks::ONCE_RUNS_TWICE, checks::TWO_HOLDERS, checks::SERVICE_DOWN]
+            }
+            Self::PartitionQuorum | Self::IsolateHolder | Self::IsolateZone => {
+                &[checks::ONCE_RUNS_TWICE, checks::TWO_HOLDERS, checks::SERVICE_DOWN]
+            }
+            Self::BlockOneDirection | Self::SlowNetwork => {
+                &[checks::ONCE_RUNS_TWICE, checks::TWO_HOLDERS]
+            }
+            Self::DiskFull | Self::DiskStalls | Self::DiskFails => {
+                &[checks::SPEC_NOT_IN_FORCE, checks::CONFLICTING_CHANGES]
             }
-            Self::CutCore | Self::CutHolder | Self::CutZone => {
-                &[lines::TWICE, lines::TWO_HOLDERS, lines::DOWN]
+            Self::StopOne | Self::StopHolder | Self::RollingRestart => &[checks::ANSWERS_DROPPED],
+            Self::RestartAll => {
+                &[checks::ONCE_RUNS_TWICE, checks::TWO_HOLDERS, checks::SERVICE_DOWN]
             }
-            Self::CutOneWay | Self::SlowNetwork => &[lines::TWICE, lines::TWO_HOLDERS],
-            Self::DiskFull | Self::DiskStalls | Self::DiskFails => &[lines::FORCE, lines::LOSING],
-            Self::StopOne | Self::StopHolder | Self::RollingRestart => &[lines::DROPPED],
-            Self::RestartAll => &[lines::TWICE, lines::TWO_HOLDERS, lines::DOWN],
-            Self::DrainWorker | Self::CrashWorker | Self::RunnerLeaves => &[lines::DRAINING],
-            Self::Evacuate => &[lines::EVACUATED],
-            Self::LostAnswers => &[lines::TWICE, lines::EXTRA],
-            Self::WrongBytes => &[lines::UNSEALED, lines::EXTRA],
-            Self::Refusals => &[lines::REFUSED],
-            Self::Crowd | Self::RareCrowd => &[lines::FLOODED],
+            Self::DrainWorker | Self::CrashWorker | Self::RunnerLeaves => &[checks::DRAINING_USED],
+            Self::Evacuate => &[checks::EVACUATED_USED],
+            Self::LostAnswers => &[checks::ONCE_RUNS_TWICE, checks::EXTRA_TRIES],
+            Self::WrongBytes => &[checks::UNSEALED_ANSWER, checks::EXTRA_TRIES],
+            Self::Refusals => &[checks::REFUSED_RUNS],
+            Self::CallBurst | Self::RareCallBurst => &[checks::RUNNER_OVERLOADED],
         }
     }
 }
--- a/testing/fleet/src/days/fault/disks.rs
+++ b/testing/fleet/src/days/fault/disks.rs
@@ -1,35 +1,44 @@
 //! Faults of the controllers' disks: full, stalled, failing.
 
-use super::{Fault, pause};
-use crate::fleet::{Fleet, FleetFault};
+use super::{FaultInjector, pause};
+use crate::fleet::{Fleet, FleetError};
 use serde_json::json;
 
-impl Fault<'_> {
-    pub(super) async fn ail_leader(&self, fleet: &mut Fleet, ail: &str) -> Result<(), FleetFault> {
+impl FaultInjector<'_> {
+    pub(super) async fn fail_leader_disk(
+        &self,
+        fleet: &mut Fleet,
+        disk_fault: &str,
+    ) -> Result<(), FleetError> {
         let Some(leader) = fleet.leader().await else { return Ok(()) };
-        self.ail(fleet, &leader, ail).await
+        self.disk_fault(fleet, &leader, disk_fault).await
     }
 
-    pub(super) async fn ail_follower(
+    pub(super) async fn fail_follower_disk(
         &mut self,
         fleet: &mut Fleet,
-        ail: &str,
-    ) -> Result<(), FleetFault> {
+        disk_fault: &str,
+    ) -> Result<(), FleetError> {
         let Some(follower) = self.some_follower(fleet).await else { return Ok(()) };
-        self.ail(fleet, &follower, ail).await
+        self.disk_fault(fleet, &follower, disk_fault).await
     }
 
     /// A disk ails while changes go on being sent; what is not accepted then may be unknown.
-    async fn ail(&self, fleet: &mut Fleet, name: &str, ail: &str) -> Result<(), FleetFault> {
-        let said_in = fleet.layout.disk_file(name);
-        let at = |fault| FleetFault::Machine(said_in.clone(), fault);
-        std::fs::write(&said_in, ail).map_err(at)?;
+    async fn disk_fault(
+        &self,
+        fleet: &mut Fleet,
+        name: &str,
+        disk_fault: &str,
+    ) -> Result<(), FleetError> {
+        let control_file = fleet.layout.disk_file(name);
+        let at = |error| FleetError::Machine(control_file.clone(), error);
+        std::fs::write(&control_file, disk_fault).map_err(at)?;
         for _ in 0..4 {
             pause(1500).await;
-            if let Err(fault) = self.turn_canary(fleet, "accepted").await {
-                fleet.note("change_failed", json!({"why": fault.to_string()}));
+            if let Err(error) = self.switch_canary(fleet, "accepted").await {
+                fleet.record_event("change_failed", json!({"why": error.to_string()}));
             }
         }
-        std::fs::remove_file(&said_in).map_err(at)
+        std::fs::remove_file(&control_file).map_err(at)
     }
 }
--- a/testing/fleet/src/days/fault/mod.rs
+++ b/testing/fleet/src/days/fault/mod.rs
@@ -1,7 +1,7 @@
 //! The faults of a day of the fleet: which there are, and how each is caused and undone.
 
+mod call_bursts;
 mod catalogue;
-mod crowds;
 mod disks;
 mod network;
 mod processes;
@@ -11,24 +11,24 @@
 pub use catalogue::FaultName;
 
 use super::Deployment;
-use crate::fleet::{Fleet, FleetFault};
+use crate::fleet::{Fleet, FleetError};
 use catalogue::is_heavy;
-use common::chance::Chance;
+use common::rng::SeededRng;
 use serde_json::json;
 use std::time::Duration;
 
 /// A fault that is about to be caused, and what it needs to know.
-pub struct Fault<'a> {
+pub struct FaultInjector<'a> {
     /// Which one.
     pub name: FaultName,
     /// The deployment.
     pub deployment: Deployment,
     /// Chance.
-    pub chance: &'a mut Chance,
+    pub rng: &'a mut SeededRng,
 }
 
-async fn pause(millis: u64) {
-    tokio::time::sleep(Duration::from_millis(millis)).await;
+async fn pause(pause_ms: u64) {
+    tokio::time::sleep(Duration::from_millis(pause_ms)).await;
 }
 
 /// The machines of a zone.
@@ -37,18 +37,24 @@
     machines.map(|machine| machine.name.clone()).collect()
 }
 
-impl Fault<'_> {
+impl FaultInjector<'_> {
     /// Causes it, and undoes it where it is meant to pass.
-    pub async fn cause(&mut self, fleet: &mut Fleet) -> Result<(), FleetFault> {
-        fleet.note("fault", json!({"fault": self.name.as_str(), "heavy": is_heavy(self.name)}));
-        self.hurt(fleet).await?;
-        fleet.note("returned", json!({"fault": self.name.as_str(), "heavy": is_heavy(self.name)}));
+    pub async fn inject(&mut self, fleet: &mut Fleet) -> Result<(), FleetError> {
+        fleet.record_event(
+            "fault",
+            json!({"fault": self.name.as_str(), "heavy": is_heavy(self.name)}),
+        );
+        self.apply(fleet).await?;
+        fleet.record_event(
+            "returned",
+            json!({"fault": self.name.as_str(), "heavy": is_heavy(self.name)}),
+        );
         Ok(())
     }
 
-    fn one_of(&mut self, names: &[String]) -> Option<String> {
-        let place = self.chance.below(names.len() as u64) as usize;
-        names.get(place).cloned()
+    fn choose_one(&mut self, names: &[String]) -> Option<String> {
+        let index = self.rng.below(names.len() as u64) as usize;
+        names.get(index).cloned()
     }
 
     async fn some_follower(&mut self, fleet: &Fleet) -> Option<String> {
@@ -58,30 +64,30 @@
             .into_iter()
             .filter(|name| Some(name) != leader.as_ref())
             .collect();
-        self.one_of(&followers)
+        self.choose_one(&followers)
     }
 
     fn some_zone(&mut self) -> String {
-        format!("locality-{}", 1 + self.chance.below(3))
+        format!("locality-{}", 1 + self.rng.below(3))
     }
 
-    async fn hurt(&mut self, fleet: &mut Fleet) -> Result<(), FleetFault> {
+    async fn apply(&mut self, fleet: &mut Fleet) -> Result<(), FleetError> {
         match self.name {
-            FaultName::SpecChange => self.turn_canary(fleet, "accepted").await,
-            FaultName::SpecStorm => self.storm(fleet).await,
-            FaultName::SpecRace => self.race(fleet).await,
+            FaultName::SpecChange => self.switch_canary(fleet, "accepted").await,
+            FaultName::SpecStorm => self.send_change_storm(fleet).await,
+            FaultName::SpecRace => self.race_changes(fleet).await,
             FaultName::SpecInvalid => self.send_invalid(fleet).await,
-            FaultName::SpecGrow => self.grow(fleet).await,
-            FaultName::SpecRoutes => self.turn_routes(fleet).await,
+            FaultName::SpecGrow => self.grow_spec(fleet).await,
+            FaultName::SpecRoutes => self.switch_routes(fleet).await,
             FaultName::KillOne => self.kill_one(fleet).await,
             FaultName::KillGroup => self.kill_group(fleet).await,
             FaultName::KillLeader => self.kill_leader(fleet).await,
             FaultName::KillAfterAck => {
-                self.turn_canary(fleet, "accepted").await?;
+                self.switch_canary(fleet, "accepted").await?;
                 self.kill_leader(fleet).await
             }
             FaultName::LoseDisk => self.lose_disk(fleet).await,
-            FaultName::ReplaceCore => self.replace_core(fleet).await,
+            FaultName::ReplaceVoter => self.replace_voter(fleet).await,
             FaultName::GroupLosesDisk => self.group_loses_disk(fleet).await,
             FaultName::LoseZone => self.lose_zone(fleet).await,
             FaultName::RestartAll => self.restart_all(fleet).await,
@@ -91,27 +97,27 @@
             FaultName::FreezeGroup => self.freeze_group(fleet).await,
             FaultName::StopOne => self.stop_one(fleet).await,
             FaultName::StopHolder => self.stop_holder(fleet).await,
-            FaultName::CutCore => self.cut_core(fleet).await,
-            FaultName::CutHolder => self.cut_holder(fleet).await,
-            FaultName::CutZone => self.cut_zone(fleet).await,
-            FaultName::CutOneWay => self.cut_one_way(fleet).await,
+            FaultName::PartitionQuorum => self.partition_quorum(fleet).await,
+            FaultName::IsolateHolder => self.isolate_holder(fleet).await,
+            FaultName::IsolateZone => self.isolate_zone(fleet).await,
+            FaultName::BlockOneDirection => self.block_one_direction(fleet).await,
             FaultName::SlowNetwork => self.slow_network(fleet).await,
-            FaultName::DiskFull => self.ail_leader(fleet, "full").await,
-            FaultName::DiskStalls => self.ail_leader(fleet, "stalled").await,
-            FaultName::DiskFails => self.ail_follower(fleet, "failing").await,
-            FaultName::RunnerLeaves => self.runners_leave(fleet).await,
-            FaultName::DrainWorker => self.hurt_worker(fleet, "drain", 6000).await,
-            FaultName::CrashWorker => self.hurt_worker(fleet, "crash", 3000).await,
+            FaultName::DiskFull => self.fail_leader_disk(fleet, "full").await,
+            FaultName::DiskStalls => self.fail_leader_disk(fleet, "stalled").await,
+            FaultName::DiskFails => self.fail_follower_disk(fleet, "failing").await,
+            FaultName::RunnerLeaves => self.remove_runners(fleet).await,
+            FaultName::DrainWorker => self.fail_worker(fleet, "drain", 6000).await,
+            FaultName::CrashWorker => self.fail_worker(fleet, "crash", 3000).await,
             FaultName::Evacuate => self.evacuate(fleet).await,
-            FaultName::LostAnswers => self.runner_faults(fleet, json!({"lose": 0.05})).await,
+            FaultName::LostAnswers => self.inject_runner_faults(fleet, json!({"lose": 0.05})).await,
             FaultName::WrongBytes => {
                 let shares = json!({"wrong": 0.02, "short": 0.02, "foreign": 0.02});
-                self.runner_faults(fleet, shares).await
+                self.inject_runner_faults(fleet, shares).await
             }
             FaultName::Refusals => {
-                self.runner_faults(fleet, json!({"refuse": 0.05, "break_off": 0.05})).await
+                self.inject_runner_faults(fleet, json!({"refuse": 0.05, "break_off": 0.05})).await
             }
-            FaultName::Crowd | FaultName::RareCrowd => self.crowd(fleet).await,
+            FaultName::CallBurst | FaultName::RareCallBurst => self.send_burst(fleet).await,
         }
     }
 }
--- a/testing/fleet/src/days/fault/network.rs
+++ b/testing/fleet/src/days/fault/network.rs
@@ -1,61 +1,61 @@
 //! Faults of the network between the processes.
 
-use super::{Fault, machines_of, pause};
-use crate::fleet::{Fleet, FleetFault};
+use super::{FaultInjector, machines_of, pause};
+use crate::fleet::{Fleet, FleetError};
 use std::time::Duration;
 
 /// How long a cut lasts.
-const CUT_MS: u64 = 6000;
+const PARTITION_MS: u64 = 6000;
 
-impl Fault<'_> {
+impl FaultInjector<'_> {
     /// The leader is cut off with half of the daemons.
-    pub(super) async fn cut_core(&self, fleet: &Fleet) -> Result<(), FleetFault> {
+    pub(super) async fn partition_quorum(&self, fleet: &Fleet) -> Result<(), FleetError> {
         let Some(leader) = fleet.leader().await else { return Ok(()) };
         let daemons = fleet.running("daemon");
         let mut side: Vec<String> = daemons.iter().step_by(2).cloned().collect();
         side.push(leader);
-        self.cut_off(fleet, &side).await
+        self.isolate(fleet, &side).await
     }
 
-    pub(super) async fn cut_holder(&self, fleet: &Fleet) -> Result<(), FleetFault> {
+    pub(super) async fn isolate_holder(&self, fleet: &Fleet) -> Result<(), FleetError> {
         let Some(name) = fleet.busiest_holder().await else { return Ok(()) };
-        self.cut_off(fleet, &[name]).await
+        self.isolate(fleet, &[name]).await
     }
 
-    pub(super) async fn cut_zone(&mut self, fleet: &Fleet) -> Result<(), FleetFault> {
+    pub(super) async fn isolate_zone(&mut self, fleet: &Fleet) -> Result<(), FleetError> {
         let zone = self.some_zone();
-        self.cut_off(fleet, &machines_of(fleet, &zone)).await
+        self.isolate(fleet, &machines_of(fleet, &zone)).await
     }
 
     /// A daemon is heard by nobody, or hears nobody.
-    pub(super) async fn cut_one_way(&mut self, fleet: &Fleet) -> Result<(), FleetFault> {
+    pub(super) async fn block_one_direction(&mut self, fleet: &Fleet) -> Result<(), FleetError> {
         let names = fleet.running("daemon");
-        let Some(name) = self.one_of(&names) else { return Ok(()) };
+        let Some(name) = self.choose_one(&names) else { return Ok(()) };
         let Some(own_ip) = fleet.ip_of(&name) else { return Ok(()) };
-        let is_heard = self.chance.happens(0.5);
+        let blocks_outgoing = self.rng.random_bool(0.5);
         for other_ip in fleet.other_ips(&[name]) {
-            match is_heard {
-                true => fleet.relay.cut(other_ip, own_ip),
-                false => fleet.relay.cut(own_ip, other_ip),
+            match blocks_outgoing {
+                true => fleet.network_proxy.block(other_ip, own_ip),
+                false => fleet.network_proxy.block(own_ip, other_ip),
             }
         }
-        pause(CUT_MS).await;
-        fleet.relay.mend();
+        pause(PARTITION_MS).await;
+        fleet.network_proxy.clear_faults();
         Ok(())
     }
 
-    pub(super) async fn slow_network(&self, fleet: &Fleet) -> Result<(), FleetFault> {
-        fleet.relay.slow_down(Duration::from_millis(200));
+    pub(super) async fn slow_network(&self, fleet: &Fleet) -> Result<(), FleetError> {
+        fleet.network_proxy.set_delay(Duration::from_millis(200));
         pause(8000).await;
-        fleet.relay.mend();
+        fleet.network_proxy.clear_faults();
         Ok(())
     }
 
-    async fn cut_off(&self, fleet: &Fleet, side: &[String]) -> Result<(), FleetFault> {
+    async fn isolate(&self, fleet: &Fleet, side: &[String]) -> Result<(), FleetError> {
         let side_ips: Vec<_> = side.iter().filter_map(|name| fleet.ip_of(name)).collect();
-        fleet.relay.cut_apart(&side_ips, &fleet.other_ips(side));
-        pause(CUT_MS).await;
-        fleet.relay.mend();
+        fleet.network_proxy.partition(&side_ips, &fleet.other_ips(side));
+        pause(PARTITION_MS).await;
+        fleet.network_proxy.clear_faults();
         Ok(())
     }
 }
--- a/testing/fleet/src/days/fault/processes.rs
+++ b/testing/fleet/src/days/fault/processes.rs
@@ -1,117 +1,117 @@
 //! Faults of the processes: killed, frozen, stopped in order, their disks lost.
 
-use super::{Fault, machines_of, pause};
-use crate::fleet::{Fleet, FleetFault};
+use super::{FaultInjector, machines_of, pause};
+use crate::fleet::{Fleet, FleetError};
 use serde_json::json;
 use std::time::Duration;
 
 /// How long a process that is stopped in order may take.
 const STOP_GRACE: Duration = Duration::from_secs(6);
 /// How long a killed process stays away.
-const KILLED_MS: u64 = 3000;
+const DOWN_MS: u64 = 3000;
 /// How long a process stays away that was stopped, or has lost its disk.
-const AWAY_MS: u64 = 1000;
+const RESTART_DELAY_MS: u64 = 1000;
 
 /// Every third daemon.
 fn group_of_daemons(fleet: &Fleet) -> Vec<String> {
     fleet.running("daemon").iter().step_by(3).cloned().collect()
 }
 
-async fn kill_for_a_while(fleet: &mut Fleet, name: &str) -> Result<(), FleetFault> {
+async fn kill_and_restart(fleet: &mut Fleet, name: &str) -> Result<(), FleetError> {
     fleet.kill(name).await;
-    pause(KILLED_MS).await;
+    pause(DOWN_MS).await;
     fleet.launch(name).await
 }
 
-async fn stop_for_a_while(fleet: &mut Fleet, name: &str) -> Result<(), FleetFault> {
+async fn stop_and_restart(fleet: &mut Fleet, name: &str) -> Result<(), FleetError> {
     fleet.stop(name, STOP_GRACE).await;
-    pause(AWAY_MS).await;
+    pause(RESTART_DELAY_MS).await;
     fleet.launch(name).await
 }
 
-async fn freeze_for(fleet: &mut Fleet, names: &[String], millis: u64) {
+async fn freeze_for(fleet: &mut Fleet, names: &[String], pause_ms: u64) {
     names.iter().for_each(|name| fleet.freeze(name));
-    pause(millis).await;
-    names.iter().for_each(|name| fleet.wake(name));
+    pause(pause_ms).await;
+    names.iter().for_each(|name| fleet.resume(name));
 }
 
-impl Fault<'_> {
-    pub(super) async fn kill_one(&mut self, fleet: &mut Fleet) -> Result<(), FleetFault> {
+impl FaultInjector<'_> {
+    pub(super) async fn kill_one(&mut self, fleet: &mut Fleet) -> Result<(), FleetError> {
         let names = fleet.running("daemon");
-        let Some(name) = self.one_of(&names) else { return Ok(()) };
-        kill_for_a_while(fleet, &name).await
+        let Some(name) = self.choose_one(&names) else { return Ok(()) };
+        kill_and_restart(fleet, &name).await
     }
 
-    pub(super) async fn kill_group(&self, fleet: &mut Fleet) -> Result<(), FleetFault> {
+    pub(super) async fn kill_group(&self, fleet: &mut Fleet) -> Result<(), FleetError> {
         let group = group_of_daemons(fleet);
         fleet.kill_all(&group).await;
-        pause(KILLED_MS).await;
+        pause(DOWN_MS).await;
         fleet.launch_all(&group).await
     }
 
-    pub(super) async fn kill_leader(&self, fleet: &mut Fleet) -> Result<(), FleetFault> {
+    pub(super) async fn kill_leader(&self, fleet: &mut Fleet) -> Result<(), FleetError> {
         let Some(name) = fleet.leader().await else { return Ok(()) };
-        kill_for_a_while(fleet, &name).await
+        kill_and_restart(fleet, &name).await
     }
 
-    pub(super) async fn lose_disk(&mut self, fleet: &mut Fleet) -> Result<(), FleetFault> {
+    pub(super) async fn lose_disk(&mut self, fleet: &mut Fleet) -> Result<(), FleetError> {
         let Some(name) = self.some_follower(fleet).await else { return Ok(()) };
         fleet.kill(&name).await;
         fleet.lose_disk(&name);
-        pause(AWAY_MS).await;
+        pause(RESTART_DELAY_MS).await;
         fleet.launch(&name).await
     }
 
     /// An empty controller at a new address takes the place of a follower that is lost for good.
-    pub(super) async fn replace_core(&mut self, fleet: &mut Fleet) -> Result<(), FleetFault> {
+    pub(super) async fn replace_voter(&mut self, fleet: &mut Fleet) -> Result<(), FleetError> {
         let Some(name) = self.some_follower(fleet).await else { return Ok(()) };
         let zone = fleet.layout.machines[&name].zone.clone();
         fleet.kill(&name).await;
         fleet.layout.machines.remove(&name);
-        let spare_name = format!("spare-{}", self.chance.below(1 << 20));
+        let spare_name = format!("spare-{}", self.rng.below(1 << 20));
         fleet.layout.add_controller(&spare_name, &zone)?;
         fleet.launch(&spare_name).await?;
         pause(14_000).await;
         Ok(())
     }
 
-    pub(super) async fn freeze_holder(&self, fleet: &mut Fleet) -> Result<(), FleetFault> {
+    pub(super) async fn freeze_holder(&self, fleet: &mut Fleet) -> Result<(), FleetError> {
         let Some(name) = fleet.busiest_holder().await else { return Ok(()) };
         freeze_for(fleet, &[name], 6000).await;
         Ok(())
     }
 
-    pub(super) async fn freeze_leader(&self, fleet: &mut Fleet) -> Result<(), FleetFault> {
+    pub(super) async fn freeze_leader(&self, fleet: &mut Fleet) -> Result<(), FleetError> {
         let Some(name) = fleet.leader().await else { return Ok(()) };
         freeze_for(fleet, &[name], 4000).await;
         Ok(())
     }
 
-    pub(super) async fn freeze_group(&self, fleet: &mut Fleet) -> Result<(), FleetFault> {
+    pub(super) async fn freeze_group(&self, fleet: &mut Fleet) -> Result<(), FleetError> {
         let group = group_of_daemons(fleet);
         freeze_for(fleet, &group, 4000).await;
         Ok(())
     }
 
-    pub(super) async fn stop_one(&mut self, fleet: &mut Fleet) -> Result<(), FleetFault> {
+    pub(super) async fn stop_one(&mut self, fleet: &mut Fleet) -> Result<(), FleetError> {
         let names = fleet.running("daemon");
-        let Some(name) = self.one_of(&names) else { return Ok(()) };
-        stop_for_a_while(fleet, &name).await
+        let Some(name) = self.choose_one(&names) else { return Ok(()) };
+        stop_and_restart(fleet, &name).await
     }
 
-    pub(super) async fn stop_holder(&self, fleet: &mut Fleet) -> Result<(), FleetFault> {
+    pub(super) async fn stop_holder(&self, fleet: &mut Fleet) -> Result<(), FleetError> {
         let Some(name) = fleet.busiest_holder().await else { return Ok(()) };
-        stop_for_a_while(fleet, &name).await
+        stop_and_restart(fleet, &name).await
     }
 
-    pub(super) async fn restart_all(&self, fleet: &mut Fleet) -> Result<(), FleetFault> {
+    pub(super) async fn restart_all(&self, fleet: &mut Fleet) -> Result<(), FleetError> {
         let names = [fleet.running("daemon"), fleet.running("controller")].concat();
         fleet.kill_all(&names).await;
-        pause(AWAY_MS).await;
+        pause(RESTART_DELAY_MS).await;
         fleet.launch_all(&names).await
     }
 
-    pub(super) async fn rolling_restart(&self, fleet: &mut Fleet) -> Result<(), FleetFault> {
+    pub(super) async fn rolling_restart(&self, fleet: &mut Fleet) -> Result<(), FleetError> {
         let names = [fleet.running("daemon"), fleet.running("controller")].concat();
         for name in names {
             fleet.stop(&name, STOP_GRACE).await;
@@ -121,22 +121,22 @@
         Ok(())
     }
 
-    pub(super) async fn group_loses_disk(&mut self, fleet: &mut Fleet) -> Result<(), FleetFault> {
+    pub(super) async fn group_loses_disk(&mut self, fleet: &mut Fleet) -> Result<(), FleetError> {
         let group = group_of_daemons(fleet);
         let Some(follower) = self.some_follower(fleet).await else { return Ok(()) };
         fleet.kill_all(&group).await;
         fleet.kill(&follower).await;
         fleet.lose_disk(&follower);
-        pause(KILLED_MS).await;
+        pause(DOWN_MS).await;
         fleet.launch_all(&group).await?;
         fleet.launch(&follower).await
     }
 
-    pub(super) async fn lose_zone(&mut self, fleet: &mut Fleet) -> Result<(), FleetFault> {
+    pub(super) async fn lose_zone(&mut self, fleet: &mut Fleet) -> Result<(), FleetError> {
         let zone = self.some_zone();
-        let lost = machines_of(fleet, &zone);
+        let lost_machines = machines_of(fleet, &zone);
         let workers = fleet.workers_of(&zone).await;
-        fleet.kill_all(&lost).await;
+        fleet.kill_all(&lost_machines).await;
         for worker in &workers {
             fleet.platform(&format!("/v1/workers/{worker}/crash"), &json!({})).await?;
         }
@@ -144,6 +144,6 @@
         for worker in &workers {
             fleet.platform(&format!("/v1/workers/{worker}/restore"), &json!({})).await?;
         }
-        fleet.launch_all(&lost).await
+        fleet.launch_all(&lost_machines).await
     }
 }
--- a/testing/fleet/src/days/fault/spec_changes.rs
+++ b/testing/fleet/src/days/fault/spec_changes.rs
@@ -1,35 +1,35 @@
 //! Faults of the spec: changes that race, that do not check, that come as a storm, that grow it.
 
-use super::{Fault, pause};
-use crate::fleet::{Fleet, FleetFault};
+use super::{FaultInjector, pause};
+use crate::fleet::{Fleet, FleetError};
 use serde_json::json;
 
 /// How many changes a storm has.
 const STORM_CHANGES: usize = 10;
 
-impl Fault<'_> {
-    pub(super) async fn turn_canary(
+impl FaultInjector<'_> {
+    pub(super) async fn switch_canary(
         &self,
         fleet: &mut Fleet,
         wait: &str,
-    ) -> Result<(), FleetFault> {
-        let (serial, mut spec) = fleet.spec().await?;
+    ) -> Result<(), FleetError> {
+        let (version, mut spec) = fleet.spec().await?;
         let is_a = spec["routes"]["canary"]["function"] == json!("canary-a");
         spec["routes"]["canary"]["function"] = json!(if is_a { "canary-b" } else { "canary-a" });
         let change_id = fleet.change_id();
-        fleet.put_spec(serial, &change_id, &spec, wait).await?;
+        fleet.put_spec(version, &change_id, &spec, wait).await?;
         Ok(())
     }
 
-    pub(super) async fn storm(&self, fleet: &mut Fleet) -> Result<(), FleetFault> {
+    pub(super) async fn send_change_storm(&self, fleet: &mut Fleet) -> Result<(), FleetError> {
         for _ in 0..STORM_CHANGES {
-            self.turn_canary(fleet, "accepted").await?;
+            self.switch_canary(fleet, "accepted").await?;
         }
         Ok(())
     }
 
-    pub(super) async fn race(&self, fleet: &mut Fleet) -> Result<(), FleetFault> {
-        let (serial, spec) = fleet.spec().await?;
+    pub(super) async fn race_changes(&self, fleet: &mut Fleet) -> Result<(), FleetError> {
+        let (version, spec) = fleet.spec().await?;
         let with_canary = |function: &str, extra: &str| {
             let mut changed_spec = spec.clone();
             changed_spec["routes"]["canary"]["function"] = json!(function);
@@ -39,51 +39,51 @@
         let first_spec = with_canary("canary-a", "racer-a");
         let second_spec = with_canary("canary-b", "racer-b");
         let (first_id, second_id) = (fleet.change_id(), fleet.change_id());
-        let (first_said, second_said) = tokio::join!(
-            fleet.put_spec(serial, &first_id, &first_spec, "accepted"),
-            fleet.put_spec(serial, &second_id, &second_spec, "accepted"),
+        let (first_response, second_response) = tokio::join!(
+            fleet.put_spec(version, &first_id, &first_spec, "accepted"),
+            fleet.put_spec(version, &second_id, &second_spec, "accepted"),
         );
-        first_said?;
-        second_said?;
+        first_response?;
+        second_response?;
         Ok(())
     }
 
-    pub(super) async fn send_invalid(&self, fleet: &mut Fleet) -> Result<(), FleetFault> {
-        let (serial, spec) = fleet.spec().await?;
+    pub(super) async fn send_invalid(&self, fleet: &mut Fleet) -> Result<(), FleetError> {
+        let (version, spec) = fleet.spec().await?;
         let mut invalid_spec = spec.clone();
         invalid_spec["functions"]["never"] = json!({"memory_mb": 0, "boot_ms": 100, "slots": 1});
         invalid_spec["routes"]["canary"]["function"] = json!("never");
         let change_id = fleet.change_id();
-        fleet.put_spec(serial, &change_id, &invalid_spec, "accepted").await?;
+        fleet.put_spec(version, &change_id, &invalid_spec, "accepted").await?;
         let mut stale_spec = spec.clone();
         stale_spec["functions"]["never"] = json!({"memory_mb": 64, "boot_ms": 100, "slots": 1});
         stale_spec["routes"]["canary"]["function"] = json!("never");
         let change_id = fleet.change_id();
-        fleet.put_spec(serial.saturating_sub(1), &change_id, &stale_spec, "accepted").await?;
+        fleet.put_spec(version.saturating_sub(1), &change_id, &stale_spec, "accepted").await?;
         Ok(())
     }
 
-    pub(super) async fn grow(&self, fleet: &mut Fleet) -> Result<(), FleetFault> {
-        let (serial, mut spec) = fleet.spec().await?;
+    pub(super) async fn grow_spec(&self, fleet: &mut Fleet) -> Result<(), FleetError> {
+        let (version, mut spec) = fleet.spec().await?;
         for number in 0..1000 {
-            spec["routes"][format!("grown-{serial}-{number}")] = json!({
+            spec["routes"][format!("grown-{version}-{number}")] = json!({
                 "method": "GET",
-                "path": format!("/grown/{serial}/{number}/{{part}}"),
+                "path": format!("/grown/{version}/{number}/{{part}}"),
                 "function": "canary-a",
                 "budget_ms": 2000,
                 "kind": "repeatable",
             });
         }
         let change_id = fleet.change_id();
-        fleet.put_spec(serial, &change_id, &spec, "in_force").await?;
+        fleet.put_spec(version, &change_id, &spec, "in_force").await?;
         Ok(())
     }
 
     /// A route of its own: added, turned to another function, removed; each time every door is called
     /// once the change must be in force.
-    pub(super) async fn turn_routes(&mut self, fleet: &mut Fleet) -> Result<(), FleetFault> {
+    pub(super) async fn switch_routes(&mut self, fleet: &mut Fleet) -> Result<(), FleetError> {
         for function in [Some("canary-a"), Some("canary-b"), None] {
-            let (serial, mut spec) = fleet.spec().await?;
+            let (version, mut spec) = fleet.spec().await?;
             match function {
                 Some(function) => {
                     spec["routes"]["probe"] = json!({
@@ -98,22 +98,22 @@
                 }
             }
             let change_id = fleet.change_id();
-            fleet.put_spec(serial, &change_id, &spec, "accepted").await?;
+            fleet.put_spec(version, &change_id, &spec, "accepted").await?;
             pause(3300).await;
-            self.call_each_door(fleet, "/probe").await;
+            self.call_each_ingress(fleet, "/probe").await;
         }
         Ok(())
     }
 
-    async fn call_each_door(&mut self, fleet: &Fleet, path: &str) {
-        for door in fleet.layout.doors() {
-            let number = self.chance.below(1 << 30);
+    async fn call_each_ingress(&mut self, fleet: &Fleet, path: &str) {
+        for ingress in fleet.layout.ingresses() {
+            let number = self.rng.below(1 << 30);
             let records = fleet.folder().join(format!("callers-probe-{number}.jsonl"));
             let plan = json!({
                 "seed": number,
                 "lasts_ms": 200,
                 "rate": 0.0,
-                "doors": [door.to_string()],
+                "doors": [ingress.to_string()],
                 "routes": [{
                     "method": "POST", "path": path, "function": "canary", "once": false,
                     "weight": 1, "budget_ms": [4000, 5000],
@@ -121,9 +121,9 @@
                 "bursts": [{"at_ms": 0, "lasts_ms": 100, "count": 3, "first_route": 0}],
                 "records": records.display().to_string(),
             });
-            let source = common::readers::BootSource::from_value("probe", plan);
+            let source = common::readers::SettingsSource::from_value("probe", plan);
             if let Ok(plan) = loadgen::Plan::read(&source) {
-                let _ = loadgen::walk(plan).await;
+                let _ = loadgen::run_plan(plan).await;
             }
         }
     }
--- a/testing/fleet/src/days/fault/workers.rs
+++ b/testing/fleet/src/days/fault/workers.rs
@@ -1,28 +1,28 @@
 //! Faults of the users' platform and its runners: workers drained and crashed, zones evacuated, runners
 //! that leave or answer wrongly.
 
-use super::{Fault, pause};
-use crate::fleet::{Fleet, FleetFault};
+use super::{FaultInjector, pause};
+use crate::fleet::{Fleet, FleetError};
 use serde_json::{Value, json};
 use std::collections::BTreeSet;
 
-impl Fault<'_> {
+impl FaultInjector<'_> {
     /// Does something to a worker that is used, and restores it after a while.
-    pub(super) async fn hurt_worker(
+    pub(super) async fn fail_worker(
         &mut self,
         fleet: &Fleet,
-        deed: &str,
+        action: &str,
         restore_after_ms: u64,
-    ) -> Result<(), FleetFault> {
+    ) -> Result<(), FleetError> {
         let worker = self.some_worker(fleet).await;
-        fleet.platform(&format!("/v1/workers/{worker}/{deed}"), &json!({})).await?;
+        fleet.platform(&format!("/v1/workers/{worker}/{action}"), &json!({})).await?;
         pause(restore_after_ms).await;
         fleet.platform(&format!("/v1/workers/{worker}/restore"), &json!({})).await
     }
 
     /// Every fourth runner says that it leaves.
-    pub(super) async fn runners_leave(&self, fleet: &Fleet) -> Result<(), FleetFault> {
-        let (_, body) = fleet.ask(hyper::Method::GET, "/v1/runners", None).await?;
+    pub(super) async fn remove_runners(&self, fleet: &Fleet) -> Result<(), FleetError> {
+        let (_, body) = fleet.call_operators(hyper::Method::GET, "/v1/runners", None).await?;
         let rows = body["runners"].as_array().cloned().unwrap_or_default();
         for row in rows.iter().step_by(4) {
             let Some(runner) = row["runner"].as_str() else { continue };
@@ -34,7 +34,7 @@
 
     async fn some_worker(&mut self, fleet: &Fleet) -> String {
         let used_workers: Vec<String> =
-            match fleet.ask(hyper::Method::GET, "/v1/workers", None).await {
+            match fleet.call_operators(hyper::Method::GET, "/v1/workers", None).await {
                 Ok((_, body)) => body["workers"]
                     .as_array()
                     .into_iter()
@@ -44,32 +44,35 @@
                     .collect(),
                 Err(_) => Vec::new(),
             };
-        self.one_of(&used_workers).unwrap_or_else(|| "worker-00".to_owned())
+        self.choose_one(&used_workers).unwrap_or_else(|| "worker-00".to_owned())
     }
 
-    pub(super) async fn evacuate(&mut self, fleet: &mut Fleet) -> Result<(), FleetFault> {
+    pub(super) async fn evacuate(&mut self, fleet: &mut Fleet) -> Result<(), FleetError> {
         let zones = fleet.layout.machines.values().map(|machine| machine.zone.clone());
         let named_zones: BTreeSet<String> = zones.filter(|name| !name.is_empty()).collect();
         let names: Vec<String> = named_zones.into_iter().collect();
-        let Some(zone) = self.one_of(&names) else { return Ok(()) };
-        for deed in ["evacuate", "restore"] {
+        let Some(zone) = self.choose_one(&names) else { return Ok(()) };
+        for action in ["evacuate", "restore"] {
             let body = json!({"change_id": fleet.change_id()});
-            let path = format!("/v1/localities/{zone}/{deed}");
-            let said = fleet.ask(hyper::Method::POST, &path, Some(&body)).await;
-            let status = said.as_ref().map_or(0, |(status, _)| *status);
-            fleet.note("locality", json!({"locality": zone, "deed": deed, "status": status}));
-            if deed == "evacuate" {
+            let path = format!("/v1/localities/{zone}/{action}");
+            let response = fleet.call_operators(hyper::Method::POST, &path, Some(&body)).await;
+            let status = response.as_ref().map_or(0, |(status, _)| *status);
+            fleet.record_event(
+                "locality",
+                json!({"locality": zone, "deed": action, "status": status}),
+            );
+            if action == "evacuate" {
                 pause(9000).await;
             }
         }
         Ok(())
     }
 
-    pub(super) async fn runner_faults(
+    pub(super) async fn inject_runner_faults(
         &self,
         fleet: &Fleet,
         shares: Value,
-    ) -> Result<(), FleetFault> {
+    ) -> Result<(), FleetError> {
         fleet.platform("/v1/runner-faults", &shares).await?;
         pause(10_000).await;
         fleet.platform("/v1/runner-faults", &json!({})).await
--- a/testing/fleet/src/days/mod.rs
+++ b/testing/fleet/src/days/mod.rs
@@ -5,5 +5,5 @@
 mod run;
 
 pub use deployment::Deployment;
-pub use fault::{Fault, FaultName};
-pub use run::{Day, DayEnd, run_day};
+pub use fault::{FaultInjector, FaultName};
+pub use run::{Day, DayResult, run_day};
--- a/testing/fleet/src/ailing.rs
+++ b/testing/fleet/src/faulty_disk_controller.rs
@@ -1,10 +1,10 @@
 //! A controller whose disk does what a file beside its settings says: nothing, full, failing or stalled.
 
 use common::command_line::{self, Program};
-use common::readers::BootSource;
-use controlplane::boot::ControllerBoot;
-use controlplane::disk::Seam;
+use common::readers::SettingsSource;
 use controlplane::drivers::{Controller, ControllerAdapters};
+use controlplane::settings::ControllerSettings;
+use controlplane::storage::DiskFaultHook;
 use eyre::{WrapErr, eyre};
 use gumdrop::Options;
 use std::io;
@@ -26,20 +26,20 @@
     boot: PathBuf,
 }
 
-struct Ailing {
-    said_in: PathBuf,
+struct FaultyDisk {
+    control_file: PathBuf,
 }
 
-impl Ailing {
-    fn ails_with(&self) -> String {
-        std::fs::read_to_string(&self.said_in).unwrap_or_default().trim().to_owned()
+impl FaultyDisk {
+    fn disk_state(&self) -> String {
+        std::fs::read_to_string(&self.control_file).unwrap_or_default().trim().to_owned()
     }
 }
 
-impl Seam for Ailing {
+impl DiskFaultHook for FaultyDisk {
     fn before_write(&self) -> io::Result<()> {
         loop {
-            match self.ails_with().as_str() {
+            match self.disk_state().as_str() {
                 "full" => return Err(io::ErrorKind::StorageFull.into()),
                 "failing" => return Err(io::Error::other("input/output error")),
                 "stalled" => std::thread::sleep(Duration::from_millis(20)),
@@ -54,15 +54,16 @@
 fn main() -> eyre::Result<()> {
     let flags = PROGRAM.flags(|flags: &Flags| flags.version);
     command_line::start_log();
-    let boot_source = BootSource::open(Some(&flags.boot)).map_err(|fault| eyre!("{fault}"))?;
-    let boot = ControllerBoot::read(&boot_source).map_err(|fault| eyre!("{fault}"))?;
-    let seam = Ailing { said_in: flags.boot.with_extension("json.disk") };
+    let boot_source = SettingsSource::open(Some(&flags.boot)).map_err(|error| eyre!("{error}"))?;
+    let boot = ControllerSettings::read(&boot_source).map_err(|error| eyre!("{error}"))?;
+    let fault_hook = FaultyDisk { control_file: flags.boot.with_extension("json.disk") };
     command_line::runtime(2)?.block_on(async {
-        let tongues = ControllerAdapters::own(boot.platform);
-        let controller =
-            Controller::open_with(&boot, Box::new(seam), tongues).await.wrap_err("opening")?;
-        let stop = command_line::told_to_stop()?;
-        let _reread = command_line::told_to_reread()?;
+        let adapters = ControllerAdapters::own(boot.platform);
+        let controller = Controller::open_with(&boot, Box::new(fault_hook), adapters)
+            .await
+            .wrap_err("opening")?;
+        let stop = command_line::stop_signal()?;
+        let _reread = command_line::reload_signal()?;
         controller.run(stop).await;
         Ok(())
     })
--- a/testing/fleet/src/fleet/layout.rs
+++ b/testing/fleet/src/fleet/layout.rs
@@ -1,7 +1,7 @@
 //! The machines of a fleet: names, places, settings and files.
 
-use super::FleetFault;
-use common::frames::Place;
+use super::FleetError;
+use common::frames::SocketAddress;
 use common::rules::Rule;
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
@@ -20,13 +20,13 @@
     /// Its arguments.
     pub arguments: Vec<String>,
     /// Where callers reach it.
-    pub door: Option<Place>,
+    pub ingress: Option<SocketAddress>,
     /// Where operators reach it.
-    pub operators: Option<Place>,
+    pub operators: Option<SocketAddress>,
     /// Its zone.
     pub zone: String,
     /// Where other processes reach it, and where it listens behind its relay.
-    pub ways: Option<(Place, Place)>,
+    pub endpoints: Option<(SocketAddress, SocketAddress)>,
 }
 
 /// The fleet's sizes.
@@ -41,7 +41,7 @@
     /// Memory of one worker in megabytes.
     pub worker_mb: u64,
     /// Whether the controllers' disks can be made to ail.
-    pub disks_ail: bool,
+    pub has_faulty_disks: bool,
     /// The rule that the daemons lack, if any.
     pub without: Option<Rule>,
 }
@@ -54,17 +54,17 @@
     /// Every process by name.
     pub machines: BTreeMap<String, Machine>,
     /// The platform.
-    pub platform: Place,
+    pub platform: SocketAddress,
     /// The folder of the programs.
     pub programs: PathBuf,
     /// The three seed addresses.
     pub seeds: Vec<String>,
-    disks_ail: bool,
+    has_faulty_disks: bool,
     without: Option<Rule>,
     machine_count: usize,
 }
 
-fn free_places(count: usize) -> std::io::Result<Vec<Place>> {
+fn free_addresses(count: usize) -> std::io::Result<Vec<SocketAddress>> {
     let listeners = (0..count)
         .map(|_| TcpListener::bind((Ipv4Addr::LOCALHOST, 0)))
         .collect::<std::io::Result<Vec<TcpListener>>>()?;
@@ -72,20 +72,20 @@
         .iter()
         .map(|listener| {
             let port = listener.local_addr()?.port();
-            Ok(Place(SocketAddrV4::new(Ipv4Addr::LOCALHOST, port)))
+            Ok(SocketAddress(SocketAddrV4::new(Ipv4Addr::LOCALHOST, port)))
         })
         .collect()
 }
 
 /// Two free ports on a loopback address of a machine's own.
-fn machine_places(number: usize) -> std::io::Result<(Place, Place)> {
+fn machine_addresses(number: usize) -> std::io::Result<(SocketAddress, SocketAddress)> {
     let ip = Ipv4Addr::new(127, 0, 1 + (number / 250) as u8, 1 + (number % 250) as u8);
     let first = TcpListener::bind((ip, 0))?;
     let second = TcpListener::bind((ip, 0))?;
-    let place_of = |listener: &TcpListener| {
-        listener.local_addr().map(|address| Place(SocketAddrV4::new(ip, address.port())))
+    let address_of = |listener: &TcpListener| {
+        listener.local_addr().map(|address| SocketAddress(SocketAddrV4::new(ip, address.port())))
     };
-    Ok((place_of(&first)?, place_of(&second)?))
+    Ok((address_of(&first)?, address_of(&second)?))
 }
 
 impl Layout {
@@ -95,34 +95,35 @@
         programs: &Path,
         sizes: &Sizes,
         seed: u64,
-        reuse: bool,
-    ) -> Result<Self, FleetFault> {
-        let at = |fault| FleetFault::Machine(folder.to_owned(), fault);
+        reuse_ports: bool,
+    ) -> Result<Self, FleetError> {
+        let at = |error| FleetError::Machine(folder.to_owned(), error);
         std::fs::create_dir_all(folder).map_err(at)?;
-        let places = free_places(4 + sizes.daemons).map_err(at)?;
-        let platform = places[0];
-        let ways = (0..3 + sizes.daemons)
-            .map(machine_places)
-            .collect::<std::io::Result<Vec<(Place, Place)>>>()
+        let addresses = free_addresses(4 + sizes.daemons).map_err(at)?;
+        let platform = addresses[0];
+        let endpoints = (0..3 + sizes.daemons)
+            .map(machine_addresses)
+            .collect::<std::io::Result<Vec<(SocketAddress, SocketAddress)>>>()
             .map_err(at)?;
-        let seeds: Vec<String> = ways[..3].iter().map(|(place, _)| place.to_string()).collect();
+        let seeds: Vec<String> =
+            endpoints[..3].iter().map(|(address, _)| address.to_string()).collect();
         let mut layout = Self {
             folder: folder.to_owned(),
             machines: BTreeMap::new(),
             platform,
             programs: programs.to_owned(),
             seeds: seeds.clone(),
-            disks_ail: sizes.disks_ail,
+            has_faulty_disks: sizes.has_faulty_disks,
             without: sizes.without,
             machine_count: 3 + sizes.daemons,
         };
         for number in 0..3 {
             let name = format!("controller-{}", number + 1);
             let zone = format!("locality-{}", number % sizes.zones + 1);
-            let operators = places[1 + number];
+            let operators = addresses[1 + number];
             let settings = json!({
                 "place": seeds[number],
-                "listen": ways[number].1.to_string(),
+                "listen": endpoints[number].1.to_string(),
                 "operators": operators.to_string(),
                 "locality": zone,
                 "seeds": seeds,
@@ -136,42 +137,42 @@
                 None,
                 Some(operators),
                 zone,
-                ways[number],
+                endpoints[number],
             )?;
         }
-        let mut doors = Vec::new();
+        let mut ingresses = Vec::new();
         for number in 0..sizes.daemons {
             let name = format!("daemon-{:02}", number + 1);
             let zone = format!("locality-{}", number % sizes.zones + 1);
-            let door = places[4 + number];
-            let (place, listen) = ways[3 + number];
+            let ingress = addresses[4 + number];
+            let (address, listen) = endpoints[3 + number];
             let settings = json!({
                 "member": name,
-                "place": place.to_string(),
+                "place": address.to_string(),
                 "listen": listen.to_string(),
-                "door": door.to_string(),
+                "door": ingress.to_string(),
                 "locality": zone,
                 "seeds": seeds,
                 "platform": platform.to_string(),
                 "threads": 2,
             });
-            doors.push(door.to_string());
-            let own_ways = (place, listen);
-            layout.add(&name, "daemon", &settings, Some(door), None, zone, own_ways)?;
+            ingresses.push(ingress.to_string());
+            let own_endpoints = (address, listen);
+            layout.add(&name, "daemon", &settings, Some(ingress), None, zone, own_endpoints)?;
         }
         let mut stub_arguments: Vec<String> = [
             ("--place", platform.to_string()),
             ("--workers", sizes.workers.to_string()),
             ("--memory", sizes.worker_mb.to_string()),
             ("--localities", sizes.zones.to_string()),
-            ("--doors", doors.join(",")),
+            ("--doors", ingresses.join(",")),
             ("--seed", seed.to_string()),
             ("--records", folder.join("platform-stub.jsonl").display().to_string()),
         ]
         .into_iter()
         .flat_map(|(flag, value)| [flag.to_owned(), value])
         .collect();
-        if reuse {
+        if reuse_ports {
             stub_arguments.push("--reuse".to_owned());
         }
         let platform_stub = Machine {
@@ -179,10 +180,10 @@
             program: "platform-stub",
             binary: programs.join("platform-stub"),
             arguments: stub_arguments,
-            door: None,
+            ingress: None,
             operators: None,
             zone: String::new(),
-            ways: None,
+            endpoints: None,
         };
         layout.machines.insert("platform-stub".to_owned(), platform_stub);
         Ok(layout)
@@ -194,15 +195,15 @@
         name: &str,
         program: &'static str,
         settings: &Value,
-        door: Option<Place>,
-        operators: Option<Place>,
+        ingress: Option<SocketAddress>,
+        operators: Option<SocketAddress>,
         zone: String,
-        ways: (Place, Place),
-    ) -> Result<(), FleetFault> {
+        endpoints: (SocketAddress, SocketAddress),
+    ) -> Result<(), FleetError> {
         let boot_path = self.folder.join(format!("{name}.json"));
         let text = serde_json::to_string_pretty(settings).unwrap_or_default();
         std::fs::write(&boot_path, text)
-            .map_err(|fault| FleetFault::Machine(boot_path.clone(), fault))?;
+            .map_err(|error| FleetError::Machine(boot_path.clone(), error))?;
         let mut arguments = vec!["--boot".to_owned(), boot_path.display().to_string()];
         if let Some(rule) = self.without.filter(|_| program == "daemon") {
             arguments.extend(["--without".to_owned(), rule.to_string()]);
@@ -210,12 +211,12 @@
         let machine = Machine {
             name: name.to_owned(),
             program,
-            binary: self.programs.join(self.binary_of(program)),
+            binary: self.programs.join(self.binary_name(program)),
             arguments,
-            door,
+            ingress,
             operators,
             zone,
-            ways: Some(ways),
+            endpoints: Some(endpoints),
         };
         self.machines.insert(name.to_owned(), machine);
         Ok(())
@@ -223,9 +224,9 @@
 
     /// Controllers whose disks can be made to ail, and daemons that lack a rule, come from programs of the
     /// proving tools around the same libraries.
-    fn binary_of(&self, program: &'static str) -> &'static str {
+    fn binary_name(&self, program: &'static str) -> &'static str {
         match program {
-            "controller" if self.disks_ail => "ailing-controller",
+            "controller" if self.has_faulty_disks => "ailing-controller",
             "daemon" if self.without.is_some() => "flawed-daemon",
             "controller" => "rudder-controller",
             "daemon" => "rudderd",
@@ -239,30 +240,30 @@
     }
 
     /// One more controller at an address of its own, with an empty disk, in another's zone.
-    pub fn add_controller(&mut self, name: &str, zone: &str) -> Result<(), FleetFault> {
-        let at = |fault| FleetFault::Machine(self.folder.clone(), fault);
-        let operators = free_places(1).map_err(at)?[0];
-        let ways = machine_places(self.machine_count).map_err(at)?;
+    pub fn add_controller(&mut self, name: &str, zone: &str) -> Result<(), FleetError> {
+        let at = |error| FleetError::Machine(self.folder.clone(), error);
+        let operators = free_addresses(1).map_err(at)?[0];
+        let endpoints = machine_addresses(self.machine_count).map_err(at)?;
         self.machine_count += 1;
         let settings = json!({
-            "place": ways.0.to_string(),
-            "listen": ways.1.to_string(),
+            "place": endpoints.0.to_string(),
+            "listen": endpoints.1.to_string(),
             "operators": operators.to_string(),
             "locality": zone,
             "seeds": self.seeds,
             "data": self.folder.join(format!("{name}.data")).display().to_string(),
             "platform": self.platform.to_string(),
         });
-        self.add(name, "controller", &settings, None, Some(operators), zone.to_owned(), ways)
+        self.add(name, "controller", &settings, None, Some(operators), zone.to_owned(), endpoints)
     }
 
     /// Where operators reach the controllers.
-    pub fn operators(&self) -> Vec<Place> {
+    pub fn operators(&self) -> Vec<SocketAddress> {
         self.machines.values().filter_map(|machine| machine.operators).collect()
     }
 
     /// Where callers reach the daemons.
-    pub fn doors(&self) -> Vec<Place> {
-        self.machines.values().filter_map(|machine| machine.door).collect()
+    pub fn ingresses(&self) -> Vec<SocketAddress> {
+        self.machines.values().filter_map(|machine| machine.ingress).collect()
     }
 }
--- a/testing/fleet/src/fleet/process.rs
+++ b/testing/fleet/src/fleet/process.rs
@@ -1,6 +1,6 @@
 //! One process of the fleet: started, stopped, frozen, killed.
 
-use super::{FleetFault, Machine};
+use super::{FleetError, Machine};
 use rustix::process::{Pid, Signal, kill_process};
 use std::fs::OpenOptions;
 use std::path::Path;
@@ -15,9 +15,9 @@
 
 impl Process {
     /// Starts a machine's program; its log is appended to a file of its name.
-    pub fn start(machine: &Machine, folder: &Path) -> Result<Self, FleetFault> {
+    pub fn start(machine: &Machine, folder: &Path) -> Result<Self, FleetError> {
         let log_path = folder.join(format!("{}.log", machine.name));
-        let at = |fault| FleetFault::Machine(log_path.clone(), fault);
+        let at = |error| FleetError::Machine(log_path.clone(), error);
         let log_file = OpenOptions::new().create(true).append(true).open(&log_path).map_err(at)?;
         let error_file = log_file.try_clone().map_err(at)?;
         let program_path = machine.binary.clone();
@@ -28,7 +28,7 @@
             .stdout(log_file)
             .stderr(error_file)
             .spawn()
-            .map_err(|fault| FleetFault::Machine(program_path, fault))?;
+            .map_err(|error| FleetError::Machine(program_path, error))?;
         Ok(Self { child })
     }
 
@@ -39,17 +39,17 @@
     }
 
     /// SIGTERM.
-    pub fn warn(&self) {
+    pub fn terminate(&self) {
         self.signal(Signal::TERM);
     }
 
     /// SIGHUP.
-    pub fn hang_up(&self) {
+    pub fn reload(&self) {
         self.signal(Signal::HUP);
     }
 
     /// Whether it has ended.
-    pub fn has_ended(&mut self) -> bool {
+    pub fn has_exited(&mut self) -> bool {
         matches!(self.child.try_wait(), Ok(Some(_)))
     }
 
@@ -65,13 +65,13 @@
     }
 
     /// SIGCONT.
-    pub fn wake(&self) {
+    pub fn resume(&self) {
         self.signal(Signal::CONT);
     }
 
     /// Waits for the end; false when it does not come in time.
-    pub async fn wait(&mut self, patience: Duration) -> bool {
-        let wait_until = Instant::now() + patience;
+    pub async fn wait(&mut self, timeout: Duration) -> bool {
+        let wait_until = Instant::now() + timeout;
         while Instant::now() < wait_until {
             if let Ok(Some(_)) = self.child.try_wait() {
                 return true;
--- a/testing/fleet/src/fleet/sent_change.rs
+++ b/testing/fleet/src/fleet/sent_change.rs
@@ -1,6 +1,6 @@
 //! A change that was sent, until it is written down what became of it.
 
-use common::clock::Moment;
+use common::clock::MonotonicTime;
 use platform_stub::records::Records;
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
@@ -10,7 +10,7 @@
 pub struct SentChange<'a> {
     journal: &'a Records,
     detail: Value,
-    is_told: bool,
+    is_answered: bool,
 }
 
 impl<'a> SentChange<'a> {
@@ -23,23 +23,23 @@
         let detail = json!({
             "change_id": change_id,
             "base": base,
-            "sent_at": Moment::now().0,
+            "sent_at": MonotonicTime::now().0,
             "paths": paths,
         });
-        Self { journal, detail, is_told: false }
+        Self { journal, detail, is_answered: false }
     }
 
     /// Writes down what its operator was told.
-    pub fn told(mut self, status: u16, reply: &Value) {
+    pub fn notified(mut self, status: u16, reply: &Value) {
         self.write(status, &reply["state"], &reply["serial"]);
-        self.is_told = true;
+        self.is_answered = true;
     }
 
-    fn write(&mut self, status: u16, state: &Value, serial: &Value) {
+    fn write(&mut self, status: u16, state: &Value, version: &Value) {
         let mut detail = self.detail.take();
         detail["status"] = json!(status);
         detail["state"] = state.clone();
-        detail["serial"] = serial.clone();
+        detail["serial"] = version.clone();
         self.journal.add("change", detail);
         self.journal.flush();
     }
@@ -47,7 +47,7 @@
 
 impl Drop for SentChange<'_> {
     fn drop(&mut self) {
-        if !self.is_told {
+        if !self.is_answered {
             self.write(0, &json!("unknown"), &Value::Null);
         }
     }
--- a/testing/fleet/src/history/anomaly.rs
+++ b/testing/fleet/src/history/anomaly.rs
@@ -21,7 +21,7 @@
         orders: (OrderId, OrderId),
     },
     /// No orders that were sent lead from one version to another that was acknowledged or read.
-    NoWay {
+    Unreachable {
         /// The newest version that is reached.
         from: u64,
         /// The one that is not.
@@ -29,12 +29,12 @@
     },
     /// Something about a version happened before it can have been current, or after it can still
     /// have been: a reading went back, or an acknowledged change was not there.
-    OutOfTime {
+    NotCurrent {
         /// The number of the version.
         number: u64,
     },
     /// An order was refused once it had been taken.
-    TakenRefused(OrderId),
+    AcceptedRefused(OrderId),
     /// An order was refused as built on an old version, and that version was current all the time.
     CurrentRefused(OrderId),
     /// A valid order above every number was refused as invalid.
@@ -60,19 +60,21 @@
             Self::BaseTwice { base, orders: (left, right) } => {
                 write!(out, "orders {} and {} were both accepted on {base}", left.0, right.0)
             }
-            Self::NoWay { from, to } => {
+            Self::Unreachable { from, to } => {
                 write!(
                     out,
                     "version {to} was acknowledged or read, and nothing leads to it from {from}"
                 )
             }
-            Self::OutOfTime { number } => {
+            Self::NotCurrent { number } => {
                 write!(
                     out,
                     "version {number} was read, acknowledged or named when it was not current"
                 )
             }
-            Self::TakenRefused(order) => write!(out, "order {} was taken, then refused", order.0),
+            Self::AcceptedRefused(order) => {
+                write!(out, "order {} was taken, then refused", order.0)
+            }
             Self::CurrentRefused(order) => {
                 write!(out, "order {} was refused as stale on the current version", order.0)
             }
--- a/testing/fleet/src/history/chain.rs
+++ b/testing/fleet/src/history/chain.rs
@@ -4,7 +4,7 @@
 
 /// One version on the way from the first to the newest.
 #[derive(Clone, Debug)]
-pub struct Version {
+pub struct RegisterVersion {
     /// Its number; zero for the state before the first order.
     pub number: u64,
     /// The order that made it; none for the first.
@@ -14,7 +14,7 @@
 }
 
 /// What must be on the way: numbers that were acknowledged, read, or said to be current.
-struct Needed<'a> {
+struct ChainConstraints<'a> {
     acknowledged: BTreeMap<u64, OrderId>,
     read: BTreeMap<u64, Vec<&'a Value>>,
     /// Bases on which orders were refused as stale: something followed them.
@@ -22,38 +22,38 @@
     refused: BTreeSet<OrderId>,
 }
 
-impl<'a> Needed<'a> {
+impl<'a> ChainConstraints<'a> {
     fn of(history: &'a History) -> Self {
-        let mut needed = Self {
+        let mut constraints = Self {
             acknowledged: BTreeMap::new(),
             read: BTreeMap::new(),
             followed: BTreeSet::new(),
             refused: BTreeSet::new(),
         };
-        for (place, order) in history.orders.iter().enumerate() {
-            let id = OrderId(place);
+        for (index, order) in history.orders.iter().enumerate() {
+            let id = OrderId(index);
             if history.acknowledged_at(id).is_some() {
-                needed.acknowledged.insert(order.number, id);
+                constraints.acknowledged.insert(order.number, id);
             }
-            let answers = history.sendings_of(id).filter_map(|sending| sending.answer);
+            let answers = history.attempts_of(id).filter_map(|attempt| attempt.answer);
             for (_, answer) in answers {
                 match answer {
                     Answer::Acknowledged => continue,
                     Answer::Stale { current } => {
-                        needed.followed.insert(order.base);
+                        constraints.followed.insert(order.base);
                         if let Some(current) = current {
-                            needed.read.entry(current).or_default();
+                            constraints.read.entry(current).or_default();
                         }
                     }
                     Answer::Invalid => {}
                 }
-                needed.refused.insert(id);
+                constraints.refused.insert(id);
             }
         }
         for reading in &history.readings {
-            needed.read.entry(reading.number).or_default().push(&reading.content);
+            constraints.read.entry(reading.number).or_default().push(&reading.content);
         }
-        needed
+        constraints
     }
 
     /// The next number after this one that must be on the way.
@@ -64,11 +64,11 @@
         acknowledged.into_iter().chain(read).min()
     }
 
-    fn was_refused(&self, version: &Version) -> bool {
+    fn was_refused(&self, version: &RegisterVersion) -> bool {
         version.order.is_some_and(|order| self.refused.contains(&order))
     }
 
-    fn fits(&self, version: &Version) -> bool {
+    fn fits(&self, version: &RegisterVersion) -> bool {
         let is_acknowledged = self
             .acknowledged
             .get(&version.number)
@@ -81,52 +81,60 @@
 /// Walks the ways from the first version to the newest that was acknowledged, read, or shown by a
 /// refusal. Mostly there is one; orders of one number and base, none of them read or acknowledged,
 /// make more.
-pub struct ChainSearch<'a> {
+pub struct VersionChainSearch<'a> {
     history: &'a History,
-    needed: Needed<'a>,
+    constraints: ChainConstraints<'a>,
     orders_on: BTreeMap<u64, Vec<OrderId>>,
-    chain: Vec<Version>,
+    chain: Vec<RegisterVersion>,
     /// For each version of the way the versions that may follow it and were not tried.
-    untried: Vec<Vec<Version>>,
-    furthest: u64,
+    untried_branches: Vec<Vec<RegisterVersion>>,
+    highest_reached: u64,
 }
 
-impl<'a> ChainSearch<'a> {
+impl<'a> VersionChainSearch<'a> {
     /// A search from the configuration before the first order.
     pub fn new(history: &'a History, first_content: &Value) -> Self {
         let mut orders_on: BTreeMap<u64, Vec<OrderId>> = BTreeMap::new();
-        for (place, order) in history.orders.iter().enumerate() {
-            let was_sent = history.first_sent_at(OrderId(place)).is_some();
+        for (index, order) in history.orders.iter().enumerate() {
+            let was_sent = history.first_sent_at(OrderId(index)).is_some();
             if order.is_valid && order.number > order.base && was_sent {
-                orders_on.entry(order.base).or_default().push(OrderId(place));
+                orders_on.entry(order.base).or_default().push(OrderId(index));
             }
         }
-        let needed = Needed::of(history);
-        let first_version = Version { number: 0, order: None, content: first_content.clone() };
-        let chain = if needed.fits(&first_version) { vec![first_version] } else { Vec::new() };
-        Self { history, needed, orders_on, chain, untried: Vec::new(), furthest: 0 }
+        let constraints = ChainConstraints::of(history);
+        let first_version =
+            RegisterVersion { number: 0, order: None, content: first_content.clone() };
+        let chain = if constraints.fits(&first_version) { vec![first_version] } else { Vec::new() };
+        Self {
+            history,
+            constraints,
+            orders_on,
+            chain,
+            untried_branches: Vec::new(),
+            highest_reached: 0,
+        }
     }
 
     /// Where the search came to an end for want of orders.
-    pub fn dead_end(&self) -> Anomaly {
-        let to = self.needed.next_after(self.furthest).unwrap_or(self.furthest);
-        Anomaly::NoWay { from: self.furthest, to }
+    pub fn unreachable_version(&self) -> Anomaly {
+        let to = self.constraints.next_after(self.highest_reached).unwrap_or(self.highest_reached);
+        Anomaly::Unreachable { from: self.highest_reached, to }
     }
 
     /// The next way, if there is another one.
-    pub fn next_chain(&mut self) -> Option<Vec<Version>> {
-        if self.untried.len() == self.chain.len() {
+    pub fn next_chain(&mut self) -> Option<Vec<RegisterVersion>> {
+        if self.untried_branches.len() == self.chain.len() {
             self.step()?;
         }
         loop {
             let newest = self.chain.last()?;
-            self.furthest = self.furthest.max(newest.number);
-            let is_reached = self.needed.next_after(newest.number).is_none();
+            self.highest_reached = self.highest_reached.max(newest.number);
+            let is_reached = self.constraints.next_after(newest.number).is_none();
             let candidates = self.candidates(newest);
-            let is_followed = self.needed.followed.contains(&newest.number);
-            let is_whole = is_reached && (!is_followed || candidates.is_empty());
-            let chain = is_whole.then(|| self.chain.clone());
-            self.untried.push(if is_whole { Vec::new() } else { candidates });
+            let is_followed = self.constraints.followed.contains(&newest.number);
+            let is_complete = is_reached && (!is_followed || candidates.is_empty());
+            let chain = is_complete.then(|| self.chain.clone());
+            self.untried_branches.push(if is_complete { Vec::new() } else { candidates });
             if chain.is_some() {
                 return chain;
             }
@@ -136,31 +144,31 @@
 
     /// Goes on to the next version that was not tried, from the newest that has one.
     fn step(&mut self) -> Option<()> {
-        while self.untried.last()?.is_empty() {
-            self.untried.pop();
+        while self.untried_branches.last()?.is_empty() {
+            self.untried_branches.pop();
             self.chain.pop();
         }
-        let version = self.untried.last_mut()?.pop()?;
+        let version = self.untried_branches.last_mut()?.pop()?;
         self.chain.push(version);
         Some(())
     }
 
     /// The versions that may follow, the likeliest last: those that were sent early and not refused.
-    fn candidates(&self, newest: &Version) -> Vec<Version> {
-        let target = self.needed.next_after(newest.number);
+    fn candidates(&self, newest: &RegisterVersion) -> Vec<RegisterVersion> {
+        let target = self.constraints.next_after(newest.number);
         let orders = self.orders_on.get(&newest.number).into_iter().flatten();
-        let mut candidates: Vec<Version> = orders
-            .map(|id| Version {
+        let mut candidates: Vec<RegisterVersion> = orders
+            .map(|id| RegisterVersion {
                 number: self.history.orders[id.0].number,
                 order: Some(*id),
                 content: self.history.orders[id.0].effect.applied_to(&newest.content),
             })
             .filter(|version| target.is_none_or(|target| version.number <= target))
-            .filter(|version| self.needed.fits(version))
-            .filter(|version| target.is_some() || !self.needed.was_refused(version))
+            .filter(|version| self.constraints.fits(version))
+            .filter(|version| target.is_some() || !self.constraints.was_refused(version))
             .collect();
         candidates.reverse();
-        candidates.sort_by_key(|version| !self.needed.was_refused(version));
+        candidates.sort_by_key(|version| !self.constraints.was_refused(version));
         candidates
     }
 }
--- a/testing/fleet/src/history/mod.rs
+++ b/testing/fleet/src/history/mod.rs
@@ -18,7 +18,7 @@
 
 pub use anomaly::Anomaly;
 
-use common::clock::Moment;
+use common::clock::MonotonicTime;
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -28,14 +28,14 @@
 
 /// Names one sending of one order.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
-pub struct SendingId(usize);
+pub struct AttemptId(usize);
 
 /// Names one evacuation, or the end of one.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
 pub struct ZoneOrderId(usize);
 
 /// One named item of a configuration: its part, such as routes, and its name there.
-pub type ItemName = (String, String);
+pub type ItemKey = (String, String);
 
 /// What an order makes of the configuration it is built on.
 #[derive(Clone, PartialEq, Debug)]
@@ -43,7 +43,7 @@
     /// A whole configuration in its place.
     Replace(Value),
     /// Items put, or removed where there is no value.
-    Amend(BTreeMap<ItemName, Option<Value>>),
+    Amend(BTreeMap<ItemKey, Option<Value>>),
 }
 
 impl Effect {
@@ -93,19 +93,19 @@
     Invalid,
 }
 
-struct Sending {
+struct Attempt {
     order: OrderId,
-    asked_at: Moment,
-    answer: Option<(Moment, Answer)>,
+    requested_at: MonotonicTime,
+    answer: Option<(MonotonicTime, Answer)>,
 }
 
 /// What one reading gave.
 #[derive(Clone, PartialEq, Debug)]
 pub struct Reading {
     /// When it was asked for.
-    pub asked_at: Moment,
+    pub requested_at: MonotonicTime,
     /// When it was heard.
-    pub heard_at: Moment,
+    pub received_at: MonotonicTime,
     /// The number of the version; zero before the first.
     pub number: u64,
     /// The configuration.
@@ -118,9 +118,9 @@
 struct ZoneOrder {
     zone: String,
     evacuate: bool,
-    asked_at: Moment,
+    requested_at: MonotonicTime,
     /// When it was acknowledged; or when it was given up, and can have no effect any more.
-    ended_at: Option<Moment>,
+    ended_at: Option<MonotonicTime>,
     is_acknowledged: bool,
 }
 
@@ -128,7 +128,7 @@
 #[derive(Default)]
 pub struct History {
     orders: Vec<Order>,
-    sendings: Vec<Sending>,
+    attempts: Vec<Attempt>,
     readings: Vec<Reading>,
     zone_orders: Vec<ZoneOrder>,
 }
@@ -141,27 +141,32 @@
     }
 
     /// An order is sent, for the first time or again.
-    pub fn sends(&mut self, at: Moment, order: OrderId) -> SendingId {
-        self.sendings.push(Sending { order, asked_at: at, answer: None });
-        SendingId(self.sendings.len() - 1)
+    pub fn record_attempt(&mut self, at: MonotonicTime, order: OrderId) -> AttemptId {
+        self.attempts.push(Attempt { order, requested_at: at, answer: None });
+        AttemptId(self.attempts.len() - 1)
     }
 
     /// A clear answer to a sending is heard.
-    pub fn hears(&mut self, at: Moment, sending: SendingId, answer: Answer) {
-        self.sendings[sending.0].answer = Some((at, answer));
+    pub fn record_answer(&mut self, at: MonotonicTime, attempt: AttemptId, answer: Answer) {
+        self.attempts[attempt.0].answer = Some((at, answer));
     }
 
     /// A reading is heard.
-    pub fn reads(&mut self, reading: Reading) {
+    pub fn record_reading(&mut self, reading: Reading) {
         self.readings.push(reading);
     }
 
     /// A zone is to be evacuated, or that is to end.
-    pub fn turns_zone(&mut self, at: Moment, zone: &str, evacuate: bool) -> ZoneOrderId {
+    pub fn record_zone_order(
+        &mut self,
+        at: MonotonicTime,
+        zone: &str,
+        evacuate: bool,
+    ) -> ZoneOrderId {
         self.zone_orders.push(ZoneOrder {
             zone: zone.to_owned(),
             evacuate,
-            asked_at: at,
+            requested_at: at,
             ended_at: None,
             is_acknowledged: false,
         });
@@ -169,29 +174,29 @@
     }
 
     /// An order about a zone is acknowledged.
-    pub fn zone_acknowledged(&mut self, at: Moment, order: ZoneOrderId) {
+    pub fn zone_order_acknowledged(&mut self, at: MonotonicTime, order: ZoneOrderId) {
         let zone_order = &mut self.zone_orders[order.0];
         zone_order.ended_at = Some(at);
         zone_order.is_acknowledged = true;
     }
 
     /// An order about a zone was given up; from this moment on it has no effect.
-    pub fn zone_given_up(&mut self, at: Moment, order: ZoneOrderId) {
+    pub fn zone_order_abandoned(&mut self, at: MonotonicTime, order: ZoneOrderId) {
         self.zone_orders[order.0].ended_at.get_or_insert(at);
     }
 
     /// The newest number that was acknowledged or read; zero before the first.
     pub fn newest_number(&self) -> u64 {
         let read_numbers = self.readings.iter().map(|reading| reading.number);
-        let acknowledged = self.orders.iter().enumerate().filter_map(|(place, order)| {
-            self.acknowledged_at(OrderId(place)).map(|_| order.number)
+        let acknowledged = self.orders.iter().enumerate().filter_map(|(index, order)| {
+            self.acknowledged_at(OrderId(index)).map(|_| order.number)
         });
         read_numbers.chain(acknowledged).max().unwrap_or(0)
     }
 
     /// How many answers and readings can be judged.
     pub fn judged_count(&self) -> usize {
-        let answered = self.sendings.iter().filter(|sending| sending.answer.is_some()).count();
+        let answered = self.attempts.iter().filter(|attempt| attempt.answer.is_some()).count();
         answered + self.readings.len() + self.zone_orders.len()
     }
 
@@ -202,19 +207,19 @@
         anomalies
     }
 
-    fn sendings_of(&self, order: OrderId) -> impl Iterator<Item = &Sending> {
-        self.sendings.iter().filter(move |sending| sending.order == order)
+    fn attempts_of(&self, order: OrderId) -> impl Iterator<Item = &Attempt> {
+        self.attempts.iter().filter(move |attempt| attempt.order == order)
     }
 
-    fn first_sent_at(&self, order: OrderId) -> Option<Moment> {
-        self.sendings_of(order).map(|sending| sending.asked_at).min()
+    fn first_sent_at(&self, order: OrderId) -> Option<MonotonicTime> {
+        self.attempts_of(order).map(|attempt| attempt.requested_at).min()
     }
 
-    fn acknowledged_at(&self, order: OrderId) -> Option<Moment> {
-        let answers = self.sendings_of(order).filter_map(|sending| sending.answer);
+    fn acknowledged_at(&self, order: OrderId) -> Option<MonotonicTime> {
+        let answers = self.attempts_of(order).filter_map(|attempt| attempt.answer);
         answers
             .filter(|(_, answer)| *answer == Answer::Acknowledged)
-            .map(|(heard_at, _)| heard_at)
+            .map(|(received_at, _)| received_at)
             .min()
     }
 }
--- a/testing/fleet/src/history/register.rs
+++ b/testing/fleet/src/history/register.rs
@@ -1,25 +1,25 @@
-use super::chain::{ChainSearch, Version};
+use super::chain::{RegisterVersion, VersionChainSearch};
 use super::{Anomaly, Answer, History, OrderId};
-use common::clock::Moment;
+use common::clock::MonotonicTime;
 use serde_json::Value;
 use std::collections::BTreeMap;
 
 /// How many ways through ambiguous orders are judged before a history counts as unexplained.
-const MOST_CHAINS: usize = 256;
+const MAX_CHAINS: usize = 256;
 
 /// The span in which a version must have become current.
 #[derive(Clone, Copy)]
-struct Span {
-    earliest: Moment,
-    latest: Moment,
+struct TimeInterval {
+    earliest: MonotonicTime,
+    latest: MonotonicTime,
 }
 
-impl Span {
-    fn not_before(&mut self, at: Moment) {
+impl TimeInterval {
+    fn raise_earliest(&mut self, at: MonotonicTime) {
         self.earliest = self.earliest.max(at);
     }
 
-    fn not_after(&mut self, at: Moment) {
+    fn lower_latest(&mut self, at: MonotonicTime) {
         self.latest = self.latest.min(at);
     }
 }
@@ -30,16 +30,16 @@
     if !anomalies.is_empty() {
         return anomalies;
     }
-    let mut search = ChainSearch::new(history, first_content);
-    for tried_count in 0..MOST_CHAINS {
+    let mut search = VersionChainSearch::new(history, first_content);
+    for tried_count in 0..MAX_CHAINS {
         let Some(chain) = search.next_chain() else {
             if tried_count == 0 {
-                anomalies.push(search.dead_end());
+                anomalies.push(search.unreachable_version());
             }
             return anomalies;
         };
         let mut chain_anomalies = Vec::new();
-        Times::of(history, &chain).judge(&mut chain_anomalies);
+        VersionIntervals::of(history, &chain).judge(&mut chain_anomalies);
         if chain_anomalies.is_empty() {
             return Vec::new();
         }
@@ -55,8 +55,8 @@
     let mut anomalies = Vec::new();
     let mut by_number: BTreeMap<u64, OrderId> = BTreeMap::new();
     let mut by_base: BTreeMap<u64, OrderId> = BTreeMap::new();
-    for (place, order) in history.orders.iter().enumerate() {
-        let id = OrderId(place);
+    for (index, order) in history.orders.iter().enumerate() {
+        let id = OrderId(index);
         if history.acknowledged_at(id).is_none() {
             continue;
         }
@@ -73,17 +73,17 @@
     anomalies
 }
 
-struct Times<'a> {
+struct VersionIntervals<'a> {
     history: &'a History,
-    chain: &'a [Version],
-    spans: Vec<Span>,
+    chain: &'a [RegisterVersion],
+    intervals: Vec<TimeInterval>,
 }
 
-impl<'a> Times<'a> {
-    fn of(history: &'a History, chain: &'a [Version]) -> Self {
-        let spans = chain
+impl<'a> VersionIntervals<'a> {
+    fn of(history: &'a History, chain: &'a [RegisterVersion]) -> Self {
+        let intervals = chain
             .iter()
-            .map(|version| Span {
+            .map(|version| TimeInterval {
                 earliest: version
                     .order
                     .and_then(|order| history.first_sent_at(order))
@@ -91,112 +91,119 @@
                 latest: version
                     .order
                     .and_then(|order| history.acknowledged_at(order))
-                    .unwrap_or(Moment(u64::MAX)),
+                    .unwrap_or(MonotonicTime(u64::MAX)),
             })
             .collect();
-        Self { history, chain, spans }
+        Self { history, chain, intervals }
     }
 
     fn judge(mut self, anomalies: &mut Vec<Anomaly>) {
         self.bound_by_readings();
         self.order_earliest();
         let history = self.history;
-        let refusals = history.sendings.iter().filter_map(|sending| {
-            let (heard_at, answer) = sending.answer?;
-            (answer != Answer::Acknowledged).then_some((sending, heard_at, answer))
+        let refusals = history.attempts.iter().filter_map(|attempt| {
+            let (received_at, answer) = attempt.answer?;
+            (answer != Answer::Acknowledged).then_some((attempt, received_at, answer))
         });
-        for (sending, heard_at, answer) in refusals {
+        for (attempt, received_at, answer) in refusals {
             let anomaly = match answer {
                 Answer::Stale { .. } => {
-                    self.bound_by_stale(sending.order, sending.asked_at, heard_at)
+                    self.bound_by_stale(attempt.order, attempt.requested_at, received_at)
                 }
-                _ => self.bound_by_invalid(sending.order, heard_at),
+                _ => self.bound_by_invalid(attempt.order, received_at),
             };
             if let Some(anomaly) = anomaly.filter(|anomaly| !anomalies.contains(anomaly)) {
                 anomalies.push(anomaly);
             }
         }
         self.order_earliest();
-        for (version, span) in self.chain.iter().zip(&self.spans) {
-            if span.earliest > span.latest {
-                anomalies.push(Anomaly::OutOfTime { number: version.number });
+        for (version, interval) in self.chain.iter().zip(&self.intervals) {
+            if interval.earliest > interval.latest {
+                anomalies.push(Anomaly::NotCurrent { number: version.number });
             }
         }
     }
 
-    fn place_of_number(&self, number: u64) -> Option<usize> {
+    fn index_of_number(&self, number: u64) -> Option<usize> {
         self.chain.binary_search_by_key(&number, |version| version.number).ok()
     }
 
-    fn place_of_order(&self, order: OrderId) -> Option<usize> {
+    fn index_of_order(&self, order: OrderId) -> Option<usize> {
         let number = self.history.orders[order.0].number;
-        self.place_of_number(number).filter(|place| self.chain[*place].order == Some(order))
+        self.index_of_number(number).filter(|index| self.chain[*index].order == Some(order))
     }
 
     /// A version that is read was current, and the next one was not yet, while it was read.
     fn bound_by_readings(&mut self) {
         let history = self.history;
         for reading in &history.readings {
-            self.bound_by_current(reading.number, reading.asked_at, reading.heard_at);
+            self.bound_by_current(reading.number, reading.requested_at, reading.received_at);
         }
-        for sending in &history.sendings {
-            if let Some((heard_at, Answer::Stale { current: Some(current) })) = sending.answer {
-                self.bound_by_current(current, sending.asked_at, heard_at);
+        for attempt in &history.attempts {
+            if let Some((received_at, Answer::Stale { current: Some(current) })) = attempt.answer {
+                self.bound_by_current(current, attempt.requested_at, received_at);
             }
         }
     }
 
-    fn bound_by_current(&mut self, number: u64, asked_at: Moment, heard_at: Moment) {
-        let Some(place) = self.place_of_number(number) else { return };
-        self.spans[place].not_after(heard_at);
-        if let Some(next) = self.spans.get_mut(place + 1) {
-            next.not_before(asked_at);
+    fn bound_by_current(
+        &mut self,
+        number: u64,
+        requested_at: MonotonicTime,
+        received_at: MonotonicTime,
+    ) {
+        let Some(index) = self.index_of_number(number) else { return };
+        self.intervals[index].lower_latest(received_at);
+        if let Some(next) = self.intervals.get_mut(index + 1) {
+            next.raise_earliest(requested_at);
         }
     }
 
     /// Each version becomes current after the one before.
     fn order_earliest(&mut self) {
-        let mut earliest = Moment::ZERO;
-        for span in &mut self.spans {
-            span.not_before(earliest);
-            earliest = span.earliest;
+        let mut earliest = MonotonicTime::ZERO;
+        for interval in &mut self.intervals {
+            interval.raise_earliest(earliest);
+            earliest = interval.earliest;
         }
     }
 
     fn bound_by_stale(
         &mut self,
         order: OrderId,
-        asked_at: Moment,
-        heard_at: Moment,
+        requested_at: MonotonicTime,
+        received_at: MonotonicTime,
     ) -> Option<Anomaly> {
         let base = self.history.orders[order.0].base;
-        let base_place = self.place_of_number(base);
-        let was_before_base = base_place.is_none_or(|place| asked_at < self.spans[place].earliest);
-        if self.place_of_order(order).is_some() {
-            return (!was_before_base).then_some(Anomaly::TakenRefused(order));
-        }
-        let place = base_place.filter(|_| !was_before_base)?;
-        match self.spans.get_mut(place + 1) {
-            Some(next) if next.earliest <= heard_at => {
-                next.not_after(heard_at);
+        let base_index = self.index_of_number(base);
+        let was_before_base =
+            base_index.is_none_or(|index| requested_at < self.intervals[index].earliest);
+        if self.index_of_order(order).is_some() {
+            return (!was_before_base).then_some(Anomaly::AcceptedRefused(order));
+        }
+        let index = base_index.filter(|_| !was_before_base)?;
+        match self.intervals.get_mut(index + 1) {
+            Some(next) if next.earliest <= received_at => {
+                next.lower_latest(received_at);
                 None
             }
             _ => Some(Anomaly::CurrentRefused(order)),
         }
     }
 
-    fn bound_by_invalid(&mut self, order: OrderId, heard_at: Moment) -> Option<Anomaly> {
-        let asked = &self.history.orders[order.0];
-        if !asked.is_valid {
+    fn bound_by_invalid(&mut self, order: OrderId, received_at: MonotonicTime) -> Option<Anomaly> {
+        let refused_order = &self.history.orders[order.0];
+        if !refused_order.is_valid {
             return None;
         }
-        if self.place_of_order(order).is_some() {
-            return Some(Anomaly::TakenRefused(order));
+        if self.index_of_order(order).is_some() {
+            return Some(Anomaly::AcceptedRefused(order));
         }
-        let first_above = self.chain.partition_point(|version| version.number < asked.number);
-        match self.spans.get_mut(first_above) {
-            Some(span) if span.earliest <= heard_at => {
-                span.not_after(heard_at);
+        let first_above =
+            self.chain.partition_point(|version| version.number < refused_order.number);
+        match self.intervals.get_mut(first_above) {
+            Some(interval) if interval.earliest <= received_at => {
+                interval.lower_latest(received_at);
                 None
             }
             _ => Some(Anomaly::ValidRefused(order)),
--- a/testing/fleet/src/history/zones.rs
+++ b/testing/fleet/src/history/zones.rs
@@ -24,18 +24,23 @@
 
 /// Whether an order of this kind, or the state before all orders, may be what the reading shows.
 fn is_explained(orders: &[&ZoneOrder], reading: &Reading, evacuated: bool) -> bool {
-    let surely_done = |other: &ZoneOrder| {
-        other.is_acknowledged && other.ended_at.is_some_and(|ended| ended < reading.asked_at)
+    let certainly_done = |other: &ZoneOrder| {
+        other.is_acknowledged && other.ended_at.is_some_and(|ended| ended < reading.requested_at)
     };
-    let surely_after = |order: &ZoneOrder, other: &ZoneOrder| {
-        order.ended_at.is_some_and(|ended| ended < other.asked_at)
+    let certainly_after = |order: &ZoneOrder, other: &ZoneOrder| {
+        order.ended_at.is_some_and(|ended| ended < other.requested_at)
     };
-    let is_first = !evacuated && !orders.iter().any(|other| other.evacuate && surely_done(other));
+    let is_first =
+        !evacuated && !orders.iter().any(|other| other.evacuate && certainly_done(other));
     is_first
         || orders.iter().any(|order| {
-            let is_undone = orders.iter().any(|other| {
-                other.evacuate != evacuated && surely_done(other) && surely_after(order, other)
+            let is_overridden = orders.iter().any(|other| {
+                other.evacuate != evacuated
+                    && certainly_done(other)
+                    && certainly_after(order, other)
             });
-            order.evacuate == evacuated && order.asked_at <= reading.heard_at && !is_undone
+            order.evacuate == evacuated
+                && order.requested_at <= reading.received_at
+                && !is_overridden
         })
 }
--- a/testing/fleet/src/judge/evidence.rs
+++ b/testing/fleet/src/judge/evidence.rs
@@ -1,6 +1,6 @@
 //! What callers, runners and the platform recorded of a day.
 
-use common::identity::{GrantSerial, RunnerId};
+use common::identity::{FencingToken, RunnerId};
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::fmt;
@@ -32,7 +32,7 @@
     /// The runner that answered.
     pub runner: String,
     /// The door it went through.
-    pub door: String,
+    pub ingress: String,
 }
 
 /// One run as its runner saw it.
@@ -47,11 +47,11 @@
     /// The function, with its generation.
     pub function: String,
     /// The try's identity.
-    pub transaction: String,
+    pub idempotency_key: String,
     /// The number of the send, from one.
     pub attempt: u64,
     /// The grant of the holder that sent it.
-    pub grant: GrantSerial,
+    pub fencing_token: FencingToken,
     /// How many of that holder's ran at once on that runner, this one included.
     pub at_once: u64,
     /// Whether the runner was ready.
@@ -60,11 +60,11 @@
 
 /// One runner's life as the platform saw it.
 #[derive(Clone, Debug, Default)]
-pub struct Life {
+pub struct RunnerInstance {
     /// The runner.
     pub runner: String,
     /// The grant it was started under.
-    pub grant: GrantSerial,
+    pub fencing_token: FencingToken,
     /// The function, with its generation.
     pub function: String,
     /// The worker.
@@ -74,7 +74,7 @@
     /// How many it may run at once.
     pub slots: u64,
     /// How long it boots, in nanoseconds.
-    pub boot: u64,
+    pub startup: u64,
     /// When it was started.
     pub start: u64,
     /// When it was stopped; the largest number if it never was.
@@ -83,7 +83,7 @@
 
 /// Something done to the fleet, or told to operators.
 #[derive(Clone, Debug)]
-pub struct Told {
+pub struct JournalEntry {
     /// The kind.
     pub kind: String,
     /// When.
@@ -100,9 +100,9 @@
     /// The runs.
     pub runs: Vec<Run>,
     /// The runners' lives.
-    pub lives: Vec<Life>,
+    pub instances: Vec<RunnerInstance>,
     /// The journal, and the platform's own deeds.
-    pub journal: Vec<Told>,
+    pub journal: Vec<JournalEntry>,
 }
 
 fn text(record: &Value, name: &str) -> String {
@@ -115,7 +115,7 @@
 
 /// Why a day's folder cannot be judged.
 #[derive(Debug)]
-pub enum EvidenceFault {
+pub enum EvidenceError {
     /// A file could not be read.
     File(PathBuf, std::io::Error),
     /// The folder has no records of this kind.
@@ -126,10 +126,10 @@
     Foreign(PathBuf, usize, &'static str),
 }
 
-impl fmt::Display for EvidenceFault {
+impl fmt::Display for EvidenceError {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::File(path, fault) => write!(out, "{}: {fault}", path.display()),
+            Self::File(path, error) => write!(out, "{}: {error}", path.display()),
             Self::Missing(path) => write!(out, "{}: no such records", path.display()),
             Self::Unreadable(path, line) => {
                 write!(out, "{} line {line}: no whole record", path.display())
@@ -141,26 +141,26 @@
     }
 }
 
-impl std::error::Error for EvidenceFault {}
+impl std::error::Error for EvidenceError {}
 
 /// Reads a file of records; each must be whole and have its fields.
-fn read_lines(path: &Path, fields: &[&'static str]) -> Result<Vec<Value>, EvidenceFault> {
-    let file_text = std::fs::read_to_string(path).map_err(|fault| match fault.kind() {
-        std::io::ErrorKind::NotFound => EvidenceFault::Missing(path.to_owned()),
-        _ => EvidenceFault::File(path.to_owned(), fault),
+fn read_lines(path: &Path, fields: &[&'static str]) -> Result<Vec<Value>, EvidenceError> {
+    let file_text = std::fs::read_to_string(path).map_err(|error| match error.kind() {
+        std::io::ErrorKind::NotFound => EvidenceError::Missing(path.to_owned()),
+        _ => EvidenceError::File(path.to_owned(), error),
     })?;
-    let is_cut = !file_text.is_empty() && !file_text.ends_with('\n');
+    let is_truncated = !file_text.is_empty() && !file_text.ends_with('\n');
     let line_count = file_text.lines().count();
     let mut records = Vec::with_capacity(line_count);
-    for (place, line) in file_text.lines().enumerate() {
-        let number = place + 1;
-        let unreadable = || EvidenceFault::Unreadable(path.to_owned(), number);
+    for (index, line) in file_text.lines().enumerate() {
+        let number = index + 1;
+        let unreadable = || EvidenceError::Unreadable(path.to_owned(), number);
         let record: Value = serde_json::from_str(line).map_err(|_| unreadable())?;
-        if !record.is_object() || (is_cut && number == line_count) {
+        if !record.is_object() || (is_truncated && number == line_count) {
             return Err(unreadable());
         }
         if let Some(field) = fields.iter().find(|field| record.get(**field).is_none()) {
-            return Err(EvidenceFault::Foreign(path.to_owned(), number, field));
+            return Err(EvidenceError::Foreign(path.to_owned(), number, field));
         }
         records.push(record);
     }
@@ -169,8 +169,8 @@
 
 impl Evidence {
     /// Reads a day's folder; records that are missing, cut short or foreign are refused.
-    pub fn read(folder: &Path) -> Result<Self, EvidenceFault> {
-        let at = |fault| EvidenceFault::File(folder.to_owned(), fault);
+    pub fn read(folder: &Path) -> Result<Self, EvidenceError> {
+        let at = |error| EvidenceError::File(folder.to_owned(), error);
         let mut caller_records = Vec::new();
         let mut caller_files = 0;
         for listed in std::fs::read_dir(folder).map_err(at)? {
@@ -183,11 +183,11 @@
             }
         }
         if caller_files == 0 {
-            return Err(EvidenceFault::Missing(folder.join("callers.jsonl")));
+            return Err(EvidenceError::Missing(folder.join("callers.jsonl")));
         }
-        let told_fields = ["kind", "at"];
-        let stub_records = read_lines(&folder.join("platform-stub.jsonl"), &told_fields)?;
-        let journal_records = read_lines(&folder.join("journal.jsonl"), &told_fields)?;
+        let entry_fields = ["kind", "at"];
+        let stub_records = read_lines(&folder.join("platform-stub.jsonl"), &entry_fields)?;
+        let journal_records = read_lines(&folder.join("journal.jsonl"), &entry_fields)?;
         Ok(Self::from_records(&caller_records, &stub_records, &journal_records))
     }
 
@@ -197,7 +197,7 @@
             Self { calls: callers.iter().map(read_call).collect(), ..Self::default() };
         evidence.calls.sort_by_key(|call| call.at);
         let mut open_runs: HashMap<(String, u64), usize> = HashMap::new();
-        let mut open_lives: HashMap<String, usize> = HashMap::new();
+        let mut open_instances: HashMap<String, usize> = HashMap::new();
         for record in platform_stub {
             let runner = text(record, "runner");
             let run_number = number(record, "run");
@@ -207,33 +207,33 @@
                     evidence.runs.push(read_run(record));
                 }
                 "run_end" | "run_abort" => {
-                    if let Some(place) = open_runs.remove(&(runner, run_number)) {
-                        evidence.runs[place].end = number(record, "at");
+                    if let Some(index) = open_runs.remove(&(runner, run_number)) {
+                        evidence.runs[index].end = number(record, "at");
                     }
                 }
                 "runner_start" => {
-                    open_lives.insert(runner, evidence.lives.len());
-                    evidence.lives.push(read_life(record));
+                    open_instances.insert(runner, evidence.instances.len());
+                    evidence.instances.push(read_instance(record));
                 }
                 "runner_stop" => {
-                    if let Some(place) = open_lives.remove(&runner) {
-                        evidence.lives[place].stop = number(record, "at");
+                    if let Some(index) = open_instances.remove(&runner) {
+                        evidence.instances[index].stop = number(record, "at");
                     }
                 }
-                kind => evidence.journal.push(read_told(kind, record)),
+                kind => evidence.journal.push(read_entry(kind, record)),
             }
         }
         for record in journal {
-            evidence.journal.push(read_told(record["kind"].as_str().unwrap_or(""), record));
+            evidence.journal.push(read_entry(record["kind"].as_str().unwrap_or(""), record));
         }
         evidence.runs.sort_by_key(|run| run.at);
-        evidence.journal.sort_by_key(|told| told.at);
+        evidence.journal.sort_by_key(|recorded| recorded.at);
         evidence
     }
 
     /// The journal's entries of a kind.
-    pub fn told<'a>(&'a self, kind: &'a str) -> impl Iterator<Item = &'a Told> {
-        self.journal.iter().filter(move |told| told.kind == kind)
+    pub fn recorded<'a>(&'a self, kind: &'a str) -> impl Iterator<Item = &'a JournalEntry> {
+        self.journal.iter().filter(move |recorded| recorded.kind == kind)
     }
 
     /// The calls by identity.
@@ -242,16 +242,16 @@
     }
 
     /// The runners' lives by name.
-    pub fn lives_by_runner(&self) -> HashMap<&str, &Life> {
-        self.lives.iter().map(|life| (life.runner.as_str(), life)).collect()
+    pub fn instances_by_runner(&self) -> HashMap<&str, &RunnerInstance> {
+        self.instances.iter().map(|instance| (instance.runner.as_str(), instance)).collect()
     }
 
     /// The most workers that had a runner at once.
     pub fn most_workers_used(&self) -> usize {
         let mut turns: Vec<(u64, bool, &str)> = Vec::new();
-        for life in &self.lives {
-            turns.push((life.start, true, &life.worker));
-            turns.push((life.stop, false, &life.worker));
+        for instance in &self.instances {
+            turns.push((instance.start, true, &instance.worker));
+            turns.push((instance.stop, false, &instance.worker));
         }
         turns.sort_unstable();
         let mut runner_counts: BTreeMap<&str, usize> = BTreeMap::new();
@@ -284,42 +284,44 @@
         reason: text(record, "reason"),
         sealed: record["sealed"].as_bool().unwrap_or(false),
         runner: text(record, "runner"),
-        door: text(record, "door"),
+        ingress: text(record, "door"),
     }
 }
 
 fn read_run(record: &Value) -> Run {
     let runner = text(record, "runner");
-    let born_under = runner.parse::<RunnerId>().map(|parsed| parsed.grant).unwrap_or_default();
+    let born_under =
+        runner.parse::<RunnerId>().map(|parsed| parsed.fencing_token).unwrap_or_default();
     Run {
         at: number(record, "at"),
         end: u64::MAX,
-        grant: record["grant"].as_u64().map_or(born_under, GrantSerial),
+        fencing_token: record["grant"].as_u64().map_or(born_under, FencingToken),
         runner,
         function: text(record, "function"),
-        transaction: text(record, "transaction"),
+        idempotency_key: text(record, "transaction"),
         attempt: number(record, "attempt"),
         at_once: number(record, "at_once"),
         ready: record["ready"].as_bool().unwrap_or(true),
     }
 }
 
-fn read_life(record: &Value) -> Life {
+fn read_instance(record: &Value) -> RunnerInstance {
     let runner = text(record, "runner");
-    let grant = runner.parse::<RunnerId>().map(|parsed| parsed.grant).unwrap_or_default();
-    Life {
-        grant,
+    let fencing_token =
+        runner.parse::<RunnerId>().map(|parsed| parsed.fencing_token).unwrap_or_default();
+    RunnerInstance {
+        fencing_token,
         runner,
         function: text(record, "function"),
         worker: text(record, "worker"),
         zone: text(record, "locality"),
         slots: number(record, "slots"),
-        boot: number(record, "boot_ms") * 1_000_000,
+        startup: number(record, "boot_ms") * 1_000_000,
         start: number(record, "at"),
         stop: u64::MAX,
     }
 }
 
-fn read_told(kind: &str, record: &Value) -> Told {
-    Told { kind: kind.to_owned(), at: number(record, "at"), detail: record.clone() }
+fn read_entry(kind: &str, record: &Value) -> JournalEntry {
+    JournalEntry { kind: kind.to_owned(), at: number(record, "at"), detail: record.clone() }
 }
--- a/testing/fleet/src/judge/figures.rs
+++ b/testing/fleet/src/judge/figures.rs
@@ -6,7 +6,7 @@
 use std::fmt;
 
 const SECOND: u64 = 1_000_000_000;
-const HALF: u64 = SECOND / 2;
+const HALF_SECOND: u64 = SECOND / 2;
 
 /// How service came back after one fault.
 #[derive(Clone, Debug)]
@@ -45,7 +45,7 @@
     /// The middle time of an answer, in milliseconds.
     pub median_ms: f64,
     /// The time within which 99 in 100 answers came, in milliseconds.
-    pub late_ms: f64,
+    pub p99_ms: f64,
     /// How service came back after each fault.
     pub recoveries: Vec<Recovery>,
 }
@@ -69,17 +69,17 @@
             .collect();
         spans.sort_unstable();
         let at_share = |share: f64| {
-            let place = ((spans.len() as f64 * share) as usize).min(spans.len().saturating_sub(1));
-            spans.get(place).map_or(0.0, |span| *span as f64 / 1e6)
+            let index = ((spans.len() as f64 * share) as usize).min(spans.len().saturating_sub(1));
+            spans.get(index).map_or(0.0, |span| *span as f64 / 1e6)
         };
         Self {
             calls: evidence.calls.len(),
             runs: evidence.runs.len(),
             extra_runs: evidence.runs.iter().filter(|run| run.attempt > 1).count(),
-            runners: evidence.lives.len(),
+            runners: evidence.instances.len(),
             workers_used: evidence.most_workers_used(),
             median_ms: at_share(0.5),
-            late_ms: at_share(0.99),
+            p99_ms: at_share(0.99),
             recoveries: recoveries(evidence),
             outcomes,
         }
@@ -121,24 +121,24 @@
             "runners": self.runners,
             "workers_used": self.workers_used,
             "median_ms": self.median_ms,
-            "late_ms": self.late_ms,
+            "late_ms": self.p99_ms,
             "recoveries": recoveries,
         })
     }
 }
 
 fn recoveries(evidence: &Evidence) -> Vec<Recovery> {
-    let faults: Vec<_> = evidence.told("fault").collect();
-    let returns: Vec<_> = evidence.told("returned").collect();
+    let faults: Vec<_> = evidence.recorded("fault").collect();
+    let returns: Vec<_> = evidence.recorded("returned").collect();
     let first_calls: Vec<_> = evidence.calls.iter().filter(|call| !call.repeat).collect();
     let last_call = evidence.calls.iter().map(|call| call.at).max().unwrap_or(0);
     let mut recoveries = Vec::new();
-    for (place, fault) in faults.iter().enumerate() {
-        let until = faults.get(place + 1).map_or(last_call, |next| next.at - 2 * SECOND);
+    for (index, fault) in faults.iter().enumerate() {
+        let until = faults.get(index + 1).map_or(last_call, |next| next.at - 2 * SECOND);
         let mut bins: BTreeMap<u64, (usize, usize)> = BTreeMap::new();
         let (mut call_count, mut not_run_count, mut unknown_count) = (0, 0, 0);
         for call in first_calls.iter().filter(|call| (fault.at..until).contains(&call.at)) {
-            let bin = bins.entry((call.at - fault.at) / HALF).or_default();
+            let bin = bins.entry((call.at - fault.at) / HALF_SECOND).or_default();
             bin.0 += usize::from(call.outcome == "answer");
             bin.1 += 1;
             call_count += 1;
@@ -151,13 +151,15 @@
             .clone()
             .map(|(_, (answered, all))| share_of(*answered, *all))
             .fold(1.0, f64::min);
-        let last_low = shares
+        let last_unhealthy = shares
             .filter(|(_, (answered, all))| share_of(*answered, *all) < 0.9)
-            .map(|(bin, _)| (bin + 1) * HALF)
+            .map(|(bin, _)| (bin + 1) * HALF_SECOND)
             .max();
-        let down = last_low.unwrap_or(0);
-        let returned_at =
-            returns.iter().find(|told| told.at >= fault.at).map_or(fault.at, |told| told.at);
+        let down = last_unhealthy.unwrap_or(0);
+        let returned_at = returns
+            .iter()
+            .find(|recorded| recorded.at >= fault.at)
+            .map_or(fault.at, |recorded| recorded.at);
         recoveries.push(Recovery {
             fault: fault.detail["fault"].as_str().unwrap_or("").to_owned(),
             worst_share,
@@ -186,7 +188,7 @@
             self.share("unknown") * 100.0,
             self.share("lost") * 100.0,
             self.median_ms,
-            self.late_ms
+            self.p99_ms
         )?;
         for (label, count) in &self.outcomes {
             writeln!(out, "    {label}: {count}")?;
--- a/testing/fleet/src/main.rs
+++ b/testing/fleet/src/main.rs
@@ -2,11 +2,11 @@
 
 mod commands;
 
-use commands::capacity::{measure, renew_page};
+use commands::capacity::{measure, update_page};
 use commands::control_side::{lose_second_machines, measure_recovery};
-use commands::days::{conclude, read_day, run_whole, tabulate};
+use commands::days::{conclude, read_day, run_and_conclude, tabulate};
 use commands::flags::{Command, Flags};
-use commands::simulator::{prove, simulate};
+use commands::simulator::{check_detection, simulate};
 use commands::soak;
 use common::command_line::Program;
 use eyre::WrapErr;
@@ -37,11 +37,11 @@
         Some(Command::Sim(sim)) => return simulate(&sim),
         Some(Command::SecondLosses(chosen)) => return lose_second_machines(&chosen),
         Some(Command::Recovery(chosen)) => return measure_recovery(&chosen),
-        Some(Command::Capacity(capacity)) => renew_page(&capacity).wrap_err("page"),
+        Some(Command::Capacity(capacity)) => update_page(&capacity).wrap_err("page"),
         Some(Command::Synthetic(synthetic)) => measure(&synthetic).wrap_err("record"),
-        Some(Command::Proofs(proofs)) => return prove(&proofs),
+        Some(Command::Proofs(proofs)) => return check_detection(&proofs),
         Some(Command::Run(run)) => match read_day(&run) {
-            Ok(day) => run_whole(&day),
+            Ok(day) => run_and_conclude(&day),
             Err(fault) => return PROGRAM.fail(fault, 2),
         },
     };
--- a/testing/fleet/src/sim/checks/control.rs
+++ b/testing/fleet/src/sim/checks/control.rs
@@ -1,52 +1,58 @@
 //! What the simulated day checks of the control side: commits, orders, and versions at daemons.
 
-use super::{Checks, CommittedVersion, content_of};
-use common::clock::Moment;
-use common::identity::{ChangeId, Serial};
-use common::spec::{Document, SpecRecords, Table};
+use super::{CommittedVersion, SafetyChecks, content_of};
+use common::clock::MonotonicTime;
+use common::identity::{ChangeId, Version};
+use common::spec::{Document, RoutingTable, SpecRecords};
 
-impl Checks {
+impl SafetyChecks {
     /// A leader committed a version.
-    pub fn commits(&mut self, at: Moment, document: &Document) {
-        self.look("commit");
-        let serial = document.stamp.serial;
+    pub fn check_committed(&mut self, at: MonotonicTime, document: &Document) {
+        self.count_check("commit");
+        let version = document.document_version.version;
         let content = content_of(document);
-        let term = document.stamp.term;
-        if let Err(faults) = document.spec.check() {
-            let paths: Vec<&str> = faults.iter().map(|fault| fault.path.as_str()).collect();
-            self.breach(at, format!("serial {serial} is committed and invalid at {paths:?}"));
+        let term = document.document_version.term;
+        if let Err(errors) = document.spec.check() {
+            let paths: Vec<&str> = errors.iter().map(|error| error.path.as_str()).collect();
+            self.report_violation(
+                at,
+                format!("serial {version} is committed and invalid at {paths:?}"),
+            );
         }
         let evacuated = &document.evacuated;
         self.evacuated_since.retain(|zone, _| evacuated.contains(zone));
         for zone in evacuated {
             self.evacuated_since.entry(zone.clone()).or_insert(at);
         }
-        let reigns = self.reigns.clone();
-        for (other_term, (first_serial, last_serial)) in reigns {
-            let is_lost = (other_term < term && last_serial > serial)
-                || (other_term > term && first_serial < serial);
+        let term_versions = self.term_versions.clone();
+        for (other_term, (first_version, last_version)) in term_versions {
+            let is_lost = (other_term < term && last_version > version)
+                || (other_term > term && first_version < version);
             if is_lost {
                 let what = format!(
-                    "serial {serial} committed in term {term}, and {first_serial} to {last_serial} \
+                    "serial {version} committed in term {term}, and {first_version} to {last_version} \
                      in term {other_term}: a commit was lost"
                 );
-                self.breach(at, what);
+                self.report_violation(at, what);
             }
         }
-        let reign = self.reigns.entry(term).or_insert((serial, serial));
-        *reign = (reign.0.min(serial), reign.1.max(serial));
-        if let Some(known) = self.written.get(&serial) {
+        let version_range = self.term_versions.entry(term).or_insert((version, version));
+        *version_range = (version_range.0.min(version), version_range.1.max(version));
+        if let Some(known) = self.committed_content.get(&version) {
             if *known != content {
-                self.breach(at, format!("serial {serial} was committed twice, with other content"));
+                self.report_violation(
+                    at,
+                    format!("serial {version} was committed twice, with other content"),
+                );
             }
             return;
         }
-        self.written.insert(serial, content.clone());
-        if document.unseen > 0 {
-            self.changes_nothing_seen(at, document);
+        self.committed_content.insert(version, content.clone());
+        if document.hidden_versions > 0 {
+            self.check_visible_unchanged(at, document);
             return;
         }
-        let routes = Table::build(&document.view())
+        let routes = RoutingTable::build(&document.view())
             .map(|table| {
                 let spec = document.spec.to_value();
                 let named = spec["routes"].as_object().into_iter().flatten();
@@ -58,67 +64,88 @@
                     .collect()
             })
             .unwrap_or_default();
-        self.committed.insert(serial, CommittedVersion { at, content, routes });
+        self.committed.insert(version, CommittedVersion { at, content, routes });
     }
 
     /// A version that only names daemons is to daemons what the last one was.
-    fn changes_nothing_seen(&mut self, at: Moment, document: &Document) {
-        let seen_serial = document.view_serial();
+    fn check_visible_unchanged(&mut self, at: MonotonicTime, document: &Document) {
+        let seen_version = document.view_version();
         let newest = self.committed.last_key_value();
-        let is_same = newest.is_some_and(|(newest_serial, known)| {
-            *newest_serial == seen_serial
+        let is_same = newest.is_some_and(|(newest_version, known)| {
+            *newest_version == seen_version
                 && document.spec == SpecRecords::from(known.content["spec"].clone())
         });
         if !is_same {
-            let serial = document.stamp.serial;
-            self.breach(at, format!("serial {serial} names daemons and changes what they see"));
+            let version = document.document_version.version;
+            self.report_violation(
+                at,
+                format!("serial {version} names daemons and changes what they see"),
+            );
         }
     }
 
     /// An operator was told that a change is accepted.
-    pub fn accepts(&mut self, at: Moment, change: &ChangeId, base: Option<Serial>, serial: Serial) {
-        self.look("accepted change");
-        let is_there = self.committed.get(&serial).is_some_and(|known| {
-            let noted = known.content["changes"].as_array().into_iter().flatten();
-            noted.into_iter().any(|item| item["id"].as_str() == Some(change.as_str()))
+    pub fn check_accepted(
+        &mut self,
+        at: MonotonicTime,
+        change: &ChangeId,
+        base: Option<Version>,
+        version: Version,
+    ) {
+        self.count_check("accepted change");
+        let is_committed_there = self.committed.get(&version).is_some_and(|known| {
+            let recorded = known.content["changes"].as_array().into_iter().flatten();
+            recorded.into_iter().any(|item| item["id"].as_str() == Some(change.as_str()))
         });
-        if !is_there {
-            self.breach(at, format!("{change} was accepted as {serial}, which does not hold it"));
+        if !is_committed_there {
+            self.report_violation(
+                at,
+                format!("{change} was accepted as {version}, which does not hold it"),
+            );
         }
         if let Some(base) = base
             && let Some(other) = self.accepted_on.insert(base, change.clone())
             && other != *change
         {
-            self.breach(at, format!("{other} and {change} were both accepted on {base}"));
+            self.report_violation(at, format!("{other} and {change} were both accepted on {base}"));
         }
     }
 
     /// So many answers to operators were judged by their history.
-    pub fn judges_operators(&mut self, judged_count: usize) {
-        *self.looked.entry("operator's answer").or_default() += judged_count as u64;
+    pub fn count_operator_answers(&mut self, judged_count: usize) {
+        *self.checked.entry("operator's answer").or_default() += judged_count as u64;
     }
 
     /// An operator was told that a change is not accepted.
-    pub fn refuses(&mut self, at: Moment, change: &ChangeId) {
-        self.look("refused change");
-        let holds_it = |known: &CommittedVersion| {
-            let noted = known.content["changes"].as_array().into_iter().flatten();
-            noted.into_iter().any(|item| item["id"].as_str() == Some(change.as_str()))
+    pub fn check_change_refused(&mut self, at: MonotonicTime, change: &ChangeId) {
+        self.count_check("refused change");
+        let contains_change = |known: &CommittedVersion| {
+            let recorded = known.content["changes"].as_array().into_iter().flatten();
+            recorded.into_iter().any(|item| item["id"].as_str() == Some(change.as_str()))
         };
-        if self.committed.values().any(holds_it) {
-            self.breach(at, format!("{change} was refused and is committed"));
+        if self.committed.values().any(contains_change) {
+            self.report_violation(at, format!("{change} was refused and is committed"));
         }
     }
 
     /// A daemon installed a spec.
-    pub fn installs(&mut self, at: Moment, daemon: usize, life: u64, serial: Serial) {
-        self.look("install");
-        if !self.committed.contains_key(&serial) {
-            self.breach(at, format!("daemon {daemon} installed {serial}, never committed"));
+    pub fn check_installed(
+        &mut self,
+        at: MonotonicTime,
+        daemon: usize,
+        instance: u64,
+        version: Version,
+    ) {
+        self.count_check("install");
+        if !self.committed.contains_key(&version) {
+            self.report_violation(
+                at,
+                format!("daemon {daemon} installed {version}, never committed"),
+            );
         }
-        let before = self.installed.insert((daemon, life), serial);
-        if before.is_some_and(|before| before > serial) {
-            self.breach(at, format!("daemon {daemon} went back to {serial}"));
+        let before = self.installed.insert((daemon, instance), version);
+        if before.is_some_and(|before| before > version) {
+            self.report_violation(at, format!("daemon {daemon} went back to {version}"));
         }
     }
 }
