--- a/testing/fleet/src/sim/daemon/holders.rs
+++ b/testing/fleet/src/sim/daemon/holders.rs
@@ -1,176 +1,220 @@
 //! The holders of a simulated daemon: their orders, and the ledgers that stewards keep.
 
-use super::Awaits;
+use super::AwaitedStep;
 use crate::sim::event::Event;
 use crate::sim::network::PLATFORM;
-use crate::sim::platform::Asker;
-use crate::sim::world::World;
-use common::clock::Moment;
-use common::frames::HopBody;
-use common::identity::{FunctionKey, GrantSerial};
-use common::tongue::BeginEnd;
-use dataplane::agent::{Held, Question, Topic};
+use crate::sim::platform::Requester;
+use crate::sim::simulation::Simulation;
+use common::adapter::StartOutcome;
+use common::clock::MonotonicTime;
+use common::frames::DaemonMessage;
+use common::identity::{FencingToken, FunctionKey};
+use dataplane::agent::{HeldFunction, ReplicaRequest, ReplicaRequestKind};
 use dataplane::holder::{Holder, HolderOutput};
 use std::sync::Arc;
 use std::time::Duration;
 
-impl World {
+impl Simulation {
     /// Changes a held function and does what its holder orders.
     pub(in crate::sim) fn apply(
         &mut self,
-        place: usize,
+        index: usize,
         function: &FunctionKey,
-        grant: GrantSerial,
-        change: impl FnOnce(&mut Holder, Moment) -> Vec<HolderOutput>,
+        fencing_token: FencingToken,
+        change: impl FnOnce(&mut Holder, MonotonicTime) -> Vec<HolderOutput>,
     ) {
-        let local_now = self.daemon_now(place);
-        let Some(held) = self.agent(place).and_then(|agent| agent.known(function, grant)) else {
+        let local_now = self.daemon_now(index);
+        let Some(held) =
+            self.agent(index).and_then(|agent| agent.held_or_closing(function, fencing_token))
+        else {
             return;
         };
         let outputs = held.with(|holder| change(holder, local_now));
-        self.drive(place, &held, outputs);
+        self.drive(index, &held, outputs);
     }
 
     pub(in crate::sim) fn drive(
         &mut self,
-        place: usize,
-        held: &Arc<Held<u64>>,
+        index: usize,
+        held: &Arc<HeldFunction<u64>>,
         outputs: Vec<HolderOutput>,
     ) {
         for output in outputs {
-            match held.question(output) {
-                Ok(question) => self.ask_steward(place, held, question),
-                Err(order) => self.obey_holder(place, held, order),
+            match held.replica_request(output) {
+                Ok(replica_request) => self.send_replica_request(index, held, replica_request),
+                Err(order) => self.apply_holder_output(index, held, order),
             }
         }
     }
 
-    pub(in crate::sim) fn obey_holder(
+    pub(in crate::sim) fn apply_holder_output(
         &mut self,
-        place: usize,
-        held: &Arc<Held<u64>>,
+        index: usize,
+        held: &Arc<HeldFunction<u64>>,
         order: HolderOutput,
     ) {
-        let asker = Asker { node: self.daemons[place].node, life: self.daemons[place].life };
+        let requester =
+            Requester { node: self.daemons[index].node, instance: self.daemons[index].instance };
         let function = held.function.clone();
         match order {
-            HolderOutput::Send { ticket, runner, place: runner_place, attempt } => {
-                self.send_to_runner(place, held, ticket, runner, runner_place, attempt);
+            HolderOutput::Send { ticket, runner, address: runner_address, attempt } => {
+                self.send_to_runner(index, held, ticket, runner, runner_address, attempt);
             }
             HolderOutput::End { ticket, outcome } => {
-                if let Some(task) = held.task(ticket) {
-                    self.checks.holder_says(held.grant, &task.transaction, &outcome);
+                if let Some(holder_request) = held.holder_request(ticket) {
+                    self.checks.record_holder_outcome(
+                        held.fencing_token,
+                        &holder_request.idempotency_key,
+                        &outcome,
+                    );
                 }
-                if let Some(number) = held.leave(ticket) {
-                    self.step(place, number, Awaits::Outcome, |way, agent, now| {
-                        way.served(agent, now, outcome)
+                if let Some(number) = held.remove_waiter(ticket) {
+                    self.step(index, number, AwaitedStep::Outcome, |forwarding, agent, now| {
+                        forwarding.served(agent, now, outcome)
                     });
                 }
             }
             HolderOutput::Start { runner, worker, spec } => {
-                let local_now = self.daemon_now(place);
-                let may_start = self.agent(place).is_some_and(|agent| agent.is_serving(local_now));
-                if may_start && self.network.reaches(asker.node, PLATFORM) {
-                    let delay = self.long_delay();
-                    self.push(delay, Event::Start(asker, function, runner, worker, spec));
+                let local_now = self.daemon_now(index);
+                let may_start = self.agent(index).is_some_and(|agent| agent.is_serving(local_now));
+                if may_start && self.network.reaches(requester.node, PLATFORM) {
+                    let delay = self.occasionally_long_delay();
+                    self.push(delay, Event::Start(requester, function, runner, worker, spec));
                 } else {
                     let delay = Duration::from_millis(500);
-                    self.push(delay, Event::Started(asker, function, runner, BeginEnd::Lost));
+                    self.push(
+                        delay,
+                        Event::Started(requester, function, runner, StartOutcome::Lost),
+                    );
                 }
             }
-            HolderOutput::Probe { runner, place: runner_place } => {
+            HolderOutput::Probe { runner, address: runner_address } => {
                 let is_ready = self
                     .platform
-                    .at(runner_place)
+                    .at(runner_address)
                     .is_some_and(|(there, held)| there == runner && self.now >= held.ready_at);
-                let delay = self.network.delay(&mut self.chance);
-                self.push(delay, Event::Probed(asker, function, runner, is_ready));
+                let delay = self.network.delay(&mut self.rng);
+                self.push(delay, Event::Probed(requester, function, runner, is_ready));
             }
-            HolderOutput::Settle { runner, place: runner_place } => {
-                let face = held.face_of(runner);
+            HolderOutput::ListRunning { runner, address: runner_address } => {
+                let self_reported_id = held.self_reported_id_of(runner);
                 let running = self
                     .platform
-                    .at(runner_place)
-                    .filter(|(there, _)| *there == face)
+                    .at(runner_address)
+                    .filter(|(there, _)| *there == self_reported_id)
                     .map(|(_, held)| held.running.keys().cloned().collect());
-                let delay = self.network.delay(&mut self.chance);
-                self.push(delay, Event::Settled(asker, function, runner, running));
+                let delay = self.network.delay(&mut self.rng);
+                self.push(delay, Event::Settled(requester, function, runner, running));
             }
-            HolderOutput::Stop { runner, life, .. } => {
-                if self.network.reaches(asker.node, PLATFORM) {
-                    let delay = self.network.delay(&mut self.chance);
-                    self.push(delay, Event::Stop(asker, function, runner, life));
+            HolderOutput::Stop { runner, instance, .. } => {
+                if self.network.reaches(requester.node, PLATFORM) {
+                    let delay = self.network.delay(&mut self.rng);
+                    self.push(delay, Event::Stop(requester, function, runner, instance));
                 }
             }
-            HolderOutput::Tell(word) => {
-                let grant = held.grant;
+            HolderOutput::Report(word) => {
+                let fencing_token = held.fencing_token;
                 self.push(
                     Duration::from_micros(1),
-                    Event::Word(asker.node, asker.life, function, grant, word),
+                    Event::FromHolder(
+                        requester.node,
+                        requester.instance,
+                        function,
+                        fencing_token,
+                        word,
+                    ),
                 );
             }
             HolderOutput::Collect { .. }
-            | HolderOutput::Note { .. }
+            | HolderOutput::Record { .. }
             | HolderOutput::Compare { .. } => {}
         }
     }
 
-    pub(in crate::sim) fn ask_steward(
+    pub(in crate::sim) fn send_replica_request(
         &mut self,
-        place: usize,
-        held: &Arc<Held<u64>>,
-        question: Question,
+        index: usize,
+        held: &Arc<HeldFunction<u64>>,
+        replica_request: ReplicaRequest,
     ) {
-        let asker = Asker { node: self.daemons[place].node, life: self.daemons[place].life };
-        let Question { steward, body, topic, patience } = question;
-        let (function, grant) = (held.function.clone(), held.grant);
+        let requester =
+            Requester { node: self.daemons[index].node, instance: self.daemons[index].instance };
+        let ReplicaRequest { replica, body, request_kind, timeout } = replica_request;
+        let (function, fencing_token) = (held.function.clone(), held.fencing_token);
         self.next_number += 1;
         let number = self.next_number;
-        self.open_questions.insert(number);
+        self.pending_replica_requests.insert(number);
         self.push(
-            patience,
-            Event::StewardSaid(asker, number, function.clone(), grant, topic, None),
+            timeout,
+            Event::ReplicaReplied(
+                requester,
+                number,
+                function.clone(),
+                fencing_token,
+                request_kind,
+                None,
+            ),
         );
-        let Some(to_node) = self.node_at(steward.place) else { return };
-        if self.network.reaches(asker.node, to_node) {
-            let delay = self.network.delay(&mut self.chance);
-            let asked = Event::StewardAsked(to_node, asker, number, function, grant, topic, body);
+        let Some(to_node) = self.node_at(replica.address) else { return };
+        if self.network.reaches(requester.node, to_node) {
+            let delay = self.network.delay(&mut self.rng);
+            let asked = Event::ReplicaRequested(
+                to_node,
+                requester,
+                number,
+                function,
+                fencing_token,
+                request_kind,
+                body,
+            );
             self.push(delay, asked);
         }
     }
 
     #[allow(clippy::too_many_arguments)]
-    pub(in crate::sim) fn steward_asked(
+    pub(in crate::sim) fn handle_replica_request(
         &mut self,
-        place: usize,
-        asker: Asker,
+        index: usize,
+        requester: Requester,
         number: u64,
         function: FunctionKey,
-        grant: GrantSerial,
-        topic: Topic,
-        body: HopBody,
+        fencing_token: FencingToken,
+        request_kind: ReplicaRequestKind,
+        body: DaemonMessage,
     ) {
-        let local_now = self.daemon_now(place);
-        let node = self.daemons[place].node;
-        let Some(agent) = self.agent(place) else { return };
-        let reply = agent.answer_as_steward(local_now, body);
-        if self.network.reaches(node, asker.node) {
-            let delay = self.network.delay(&mut self.chance);
-            self.push(delay, Event::StewardSaid(asker, number, function, grant, topic, reply));
+        let local_now = self.daemon_now(index);
+        let node = self.daemons[index].node;
+        let Some(agent) = self.agent(index) else { return };
+        let reply = agent.answer_replica_request(local_now, body);
+        if self.network.reaches(node, requester.node) {
+            let delay = self.network.delay(&mut self.rng);
+            self.push(
+                delay,
+                Event::ReplicaReplied(
+                    requester,
+                    number,
+                    function,
+                    fencing_token,
+                    request_kind,
+                    reply,
+                ),
+            );
         }
     }
 
-    pub(in crate::sim) fn steward_said(
+    pub(in crate::sim) fn handle_replica_reply(
         &mut self,
-        place: usize,
+        index: usize,
         number: u64,
         function: &FunctionKey,
-        grant: GrantSerial,
-        topic: Topic,
-        reply: Option<HopBody>,
+        fencing_token: FencingToken,
+        request_kind: ReplicaRequestKind,
+        reply: Option<DaemonMessage>,
     ) {
-        if self.open_questions.remove(&number) {
-            self.apply(place, function, grant, |holder, now| topic.reply(holder, now, reply));
+        if self.pending_replica_requests.remove(&number) {
+            self.apply(index, function, fencing_token, |holder, now| {
+                request_kind.reply(holder, now, reply)
+            });
         }
     }
 }
--- a/testing/fleet/src/sim/daemon/mod.rs
+++ b/testing/fleet/src/sim/daemon/mod.rs
@@ -6,14 +6,14 @@
 
 use crate::sim::event::Event;
 use crate::sim::network::Node;
-use crate::sim::world::World;
-use common::chance::Chance;
-use common::clock::Moment;
+use crate::sim::simulation::Simulation;
+use common::clock::MonotonicTime;
 use common::frames::{Flag, Host};
-use common::identity::{FunctionKey, Region, TransactionId, Zone};
+use common::identity::{FunctionKey, IdempotencyKey, Region, Zone};
 use common::ring::Regions;
-use dataplane::agent::{Agent, DaemonControl, DaemonOrder, Forwarding, InHand};
-use dataplane::liaison::LiaisonTiming;
+use common::rng::SeededRng;
+use dataplane::agent::{Agent, DaemonControl, DaemonControlOutput, Forwarding, InFlightGuard};
+use dataplane::control_session::ControlSessionTiming;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::Duration;
@@ -23,27 +23,27 @@
 
 /// Where an outcome goes back to.
 #[derive(Clone, Copy, Debug)]
-pub(in crate::sim) enum Back {
+pub(in crate::sim) enum ReplyTarget {
     Caller,
-    Hop { node: Node, life: u64, number: u64 },
+    Hop { node: Node, instance: u64, number: u64 },
 }
 
-struct Pending {
-    way: Forwarding,
-    back: Back,
-    awaits: Awaits,
+struct PendingRequest {
+    forwarding: Forwarding,
+    reply_target: ReplyTarget,
+    awaited_step: AwaitedStep,
     wakes: u64,
-    passed_to: Option<Host>,
+    forwarded_to: Option<Host>,
     regional_tenths: u8,
-    _in_hand: InHand,
+    _in_flight: InFlightGuard,
 }
 
 /// What a transaction in a daemon's hands waits for.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-enum Awaits {
-    Look,
+enum AwaitedStep {
+    Lookup,
     Outcome,
-    Passed,
+    Forwarded,
     Acquired,
 }
 
@@ -52,30 +52,30 @@
     /// Its node.
     pub node: Node,
     /// Counts its lives.
-    pub life: u64,
+    pub instance: u64,
     /// Its machine's clock, ahead of virtual time.
     pub clock_ahead: Duration,
     /// How many thousandths its machine's clock runs fast, or slow if negative.
     pub clock_drift: i64,
     /// Its body, while it is alive.
-    pub body: Option<Box<Body>>,
+    pub body: Option<Box<DaemonProcess>>,
 }
 
 /// What dies with a daemon's process.
-pub struct Body {
+pub struct DaemonProcess {
     pub(in crate::sim) agent: Arc<Agent<u64>>,
     controller: DaemonControl<u64>,
-    pendings: BTreeMap<u64, Pending>,
+    pending_requests: BTreeMap<u64, PendingRequest>,
     acquires: BTreeMap<FunctionKey, Vec<u64>>,
     link: Option<u64>,
-    stops_by: Option<Moment>,
+    stop_deadline: Option<MonotonicTime>,
     pub(in crate::sim) is_disturbed: bool,
 }
 
 /// The moment on a clock that is ahead and runs fast or slow by some thousandths.
-pub(in crate::sim) fn local_moment(now: Moment, ahead: Duration, drift: i64) -> Moment {
-    let passed = now.0 as i128;
-    Moment((passed + passed * i128::from(drift) / 1000) as u64) + ahead
+pub(in crate::sim) fn local_time(now: MonotonicTime, ahead: Duration, drift: i64) -> MonotonicTime {
+    let elapsed = now.0 as i128;
+    MonotonicTime((elapsed + elapsed * i128::from(drift) / 1000) as u64) + ahead
 }
 
 /// What a span on such a clock is in virtual time.
@@ -84,10 +84,10 @@
     Duration::from_nanos(nanos as u64) + Duration::from_micros(1)
 }
 
-impl World {
-    pub(in crate::sim) fn daemon_now(&self, place: usize) -> Moment {
-        let daemon = &self.daemons[place];
-        local_moment(self.now, daemon.clock_ahead, daemon.clock_drift)
+impl Simulation {
+    pub(in crate::sim) fn daemon_now(&self, index: usize) -> MonotonicTime {
+        let daemon = &self.daemons[index];
+        local_time(self.now, daemon.clock_ahead, daemon.clock_drift)
     }
 
     pub(in crate::sim) fn zone(number: usize) -> Zone {
@@ -102,31 +102,36 @@
         Regions::new(named.map(|(zone, region)| (zone, Region::from(region))).collect())
     }
 
-    pub(in crate::sim) fn agent(&self, place: usize) -> Option<Arc<Agent<u64>>> {
-        self.daemons[place].body.as_ref().map(|body| body.agent.clone())
+    pub(in crate::sim) fn agent(&self, index: usize) -> Option<Arc<Agent<u64>>> {
+        self.daemons[index].body.as_ref().map(|body| body.agent.clone())
     }
 
-    pub(in crate::sim) fn wake_at(&mut self, place: usize, local_at: Moment, number: u64) {
-        let span = local_at.since(self.daemon_now(place));
-        let delay = virtual_span(span, self.daemons[place].clock_drift);
-        let (node, life) = (self.daemons[place].node, self.daemons[place].life);
-        let Some(body) = &mut self.daemons[place].body else { return };
-        let Some(pending) = body.pendings.get_mut(&number) else { return };
+    pub(in crate::sim) fn schedule_wake(
+        &mut self,
+        index: usize,
+        local_at: MonotonicTime,
+        number: u64,
+    ) {
+        let span = local_at.since(self.daemon_now(index));
+        let delay = virtual_span(span, self.daemons[index].clock_drift);
+        let (node, instance) = (self.daemons[index].node, self.daemons[index].instance);
+        let Some(body) = &mut self.daemons[index].body else { return };
+        let Some(pending) = body.pending_requests.get_mut(&number) else { return };
         pending.wakes += 1;
-        let wake = Event::Look(node, life, number, pending.wakes);
+        let wake = Event::Lookup(node, instance, number, pending.wakes);
         self.push(delay, wake);
     }
 
     /// Starts a daemon, in a new life.
-    pub(in crate::sim) fn start_daemon(&mut self, place: usize) {
-        let local_now = self.daemon_now(place);
-        let seed = self.chance.number();
-        let own_place = self.daemon_place(place);
+    pub(in crate::sim) fn start_daemon(&mut self, index: usize) {
+        let local_now = self.daemon_now(index);
+        let seed = self.rng.number();
+        let own_address = self.daemon_address(index);
         let host = Host {
-            member: format!("daemon-{place}").into(),
-            incarnation: (self.chance.number() | 1).into(),
-            zone: Self::zone(place),
-            place: own_place,
+            member: format!("daemon-{index}").into(),
+            incarnation: (self.rng.number() | 1).into(),
+            zone: Self::zone(index),
+            address: own_address,
             eligible: Flag(true),
             link_mbps: 0,
         };
@@ -137,127 +142,137 @@
         let controller = DaemonControl::new(
             local_now,
             &agent,
-            LiaisonTiming::builder().build(),
-            own_place,
+            ControlSessionTiming::builder().build(),
+            own_address,
             self.seeds(),
-            Chance::seeded(seed),
+            SeededRng::seeded(seed),
         );
-        let controller =
-            if self.plan.seeks_warm { controller.with_warm(local_now) } else { controller };
-        let daemon = &mut self.daemons[place];
-        daemon.life += 1;
-        daemon.body = Some(Box::new(Body {
+        let controller = if self.plan.keeps_warm_functions {
+            controller.with_warm(local_now)
+        } else {
+            controller
+        };
+        let daemon = &mut self.daemons[index];
+        daemon.instance += 1;
+        daemon.body = Some(Box::new(DaemonProcess {
             agent,
             controller,
-            pendings: BTreeMap::new(),
+            pending_requests: BTreeMap::new(),
             acquires: BTreeMap::new(),
             link: None,
-            stops_by: None,
+            stop_deadline: None,
             is_disturbed: false,
         }));
-        let tick = Event::Tick(self.daemons[place].node, self.daemons[place].life);
+        let tick = Event::Tick(self.daemons[index].node, self.daemons[index].instance);
         self.push(Duration::from_millis(1), tick);
     }
 
     /// Kills a daemon; its callers learn nothing.
-    pub(in crate::sim) fn kill_daemon(&mut self, place: usize) {
-        self.daemons[place].body = None;
-        self.daemons[place].life += 1;
-        self.break_links(self.daemons[place].node);
+    pub(in crate::sim) fn kill_daemon(&mut self, index: usize) {
+        self.daemons[index].body = None;
+        self.daemons[index].instance += 1;
+        self.close_links(self.daemons[index].node);
     }
 
     /// Warns a daemon that it is to stop.
-    pub(in crate::sim) fn warn_daemon(&mut self, place: usize) {
-        let local_now = self.daemon_now(place);
-        let is_frozen = self.is_frozen(self.daemons[place].node);
-        let Some(body) = &mut self.daemons[place].body else { return };
-        if body.stops_by.is_some() {
+    pub(in crate::sim) fn begin_orderly_stop(&mut self, index: usize) {
+        let local_now = self.daemon_now(index);
+        let is_frozen = self.is_frozen(self.daemons[index].node);
+        let Some(body) = &mut self.daemons[index].body else { return };
+        if body.stop_deadline.is_some() {
             return;
         }
-        body.stops_by = Some(local_now + GRACE);
+        body.stop_deadline = Some(local_now + GRACE);
         body.is_disturbed = is_frozen;
-        self.with_controller(place, |controller, agent, now| controller.leave(agent, now));
+        self.with_controller(index, |controller, agent, now| controller.leave(agent, now));
     }
 
-    pub(in crate::sim) fn is_leaving(&self, place: usize) -> bool {
-        self.daemons[place].body.as_ref().is_some_and(|body| body.stops_by.is_some())
+    pub(in crate::sim) fn is_leaving(&self, index: usize) -> bool {
+        self.daemons[index].body.as_ref().is_some_and(|body| body.stop_deadline.is_some())
     }
 
     /// A daemon that was warned goes when nothing is left in its hands, or when its grace is over.
-    pub(in crate::sim) fn leave_if_due(&mut self, place: usize) {
-        let local_now = self.daemon_now(place);
-        let Some(body) = &self.daemons[place].body else { return };
-        let Some(stops_by) = body.stops_by else { return };
-        if local_now < stops_by && !body.agent.is_empty_handed() {
+    pub(in crate::sim) fn finish_stop_if_due(&mut self, index: usize) {
+        let local_now = self.daemon_now(index);
+        let Some(body) = &self.daemons[index].body else { return };
+        let Some(stop_deadline) = body.stop_deadline else { return };
+        if local_now < stop_deadline && !body.agent.is_drained() {
             return;
         }
-        let in_hand: Vec<TransactionId> =
-            body.pendings.values().map(|pending| pending.way.ask().transaction.clone()).collect();
+        let in_flight: Vec<IdempotencyKey> = body
+            .pending_requests
+            .values()
+            .map(|pending| pending.forwarding.request().idempotency_key.clone())
+            .collect();
         if !body.is_disturbed {
-            self.checks.stops_in_order(self.now, place, &in_hand);
+            self.checks.check_orderly_stop(self.now, index, &in_flight);
         }
-        self.with_controller(place, |controller, agent, _| controller.left(agent));
-        let node = self.daemons[place].node;
-        let life = self.daemons[place].life;
-        if let Some(body) = &mut self.daemons[place].body {
-            body.stops_by = Some(Moment(u64::MAX));
+        self.with_controller(index, |controller, agent, _| controller.departed(agent));
+        let node = self.daemons[index].node;
+        let instance = self.daemons[index].instance;
+        if let Some(body) = &mut self.daemons[index].body {
+            body.stop_deadline = Some(MonotonicTime(u64::MAX));
         }
-        self.push(Duration::from_millis(60), Event::Gone(node, life));
+        self.push(Duration::from_millis(60), Event::ProcessGone(node, instance));
     }
 
-    pub(in crate::sim) fn is_daemon_serving(&self, place: usize) -> bool {
-        let local_now = self.daemon_now(place);
-        let body = self.daemons[place].body.as_ref();
+    pub(in crate::sim) fn is_daemon_serving(&self, index: usize) -> bool {
+        let local_now = self.daemon_now(index);
+        let body = self.daemons[index].body.as_ref();
         body.is_some_and(|body| local_now < body.agent.serving_until.get())
     }
 
-    pub(in crate::sim) fn tick_daemon(&mut self, place: usize) {
-        self.with_controller(place, |controller, agent, now| controller.tick(agent, now));
-        if let Some(agent) = self.agent(place)
-            && self.is_daemon_serving(place)
+    pub(in crate::sim) fn tick_daemon(&mut self, index: usize) {
+        self.with_controller(index, |controller, agent, now| controller.tick(agent, now));
+        if let Some(agent) = self.agent(index)
+            && self.is_daemon_serving(index)
         {
-            self.checks.serves(self.now, place, agent.table.load().serial());
+            self.checks.check_served_version(self.now, index, agent.table.load().version());
         }
-        self.leave_if_due(place);
+        self.finish_stop_if_due(index);
     }
 
     pub(in crate::sim) fn with_controller(
         &mut self,
-        place: usize,
-        change: impl FnOnce(&mut DaemonControl<u64>, &Agent<u64>, Moment) -> Vec<DaemonOrder<u64>>,
+        index: usize,
+        change: impl FnOnce(
+            &mut DaemonControl<u64>,
+            &Agent<u64>,
+            MonotonicTime,
+        ) -> Vec<DaemonControlOutput<u64>>,
     ) {
-        let local_now = self.daemon_now(place);
-        let Some(body) = &mut self.daemons[place].body else { return };
+        let local_now = self.daemon_now(index);
+        let Some(body) = &mut self.daemons[index].body else { return };
         let agent = body.agent.clone();
         let orders = change(&mut body.controller, &agent, local_now);
         for order in orders {
-            self.obey_daemon(place, order);
+            self.apply_daemon_order(index, order);
         }
     }
 
     pub(in crate::sim) fn heartbeat(
         &mut self,
-        place: usize,
+        index: usize,
         heartbeat: &common::frames::Heartbeat,
     ) {
-        let local_now = self.daemon_now(place);
-        if let Some(body) = &mut self.daemons[place].body {
-            body.controller.beat(local_now, heartbeat);
+        let local_now = self.daemon_now(index);
+        if let Some(body) = &mut self.daemons[index].body {
+            body.controller.heartbeat(local_now, heartbeat);
         }
     }
 
-    pub(in crate::sim) fn link_lost(&mut self, place: usize, link: u64) {
-        if self.is_current_link(place, link) {
-            if let Some(body) = &mut self.daemons[place].body {
+    pub(in crate::sim) fn link_lost(&mut self, index: usize, link: u64) {
+        if self.is_current_link(index, link) {
+            if let Some(body) = &mut self.daemons[index].body {
                 body.link = None;
             }
-            self.with_controller(place, |controller, agent, now| {
+            self.with_controller(index, |controller, agent, now| {
                 controller.disconnected(agent, now)
             });
         }
     }
 
-    pub(in crate::sim) fn is_current_link(&self, place: usize, link: u64) -> bool {
-        self.daemons[place].body.as_ref().is_some_and(|body| body.link == Some(link))
+    pub(in crate::sim) fn is_current_link(&self, index: usize, link: u64) -> bool {
+        self.daemons[index].body.as_ref().is_some_and(|body| body.link == Some(link))
     }
 }
--- a/testing/fleet/src/sim/daemon/orders.rs
+++ b/testing/fleet/src/sim/daemon/orders.rs
@@ -1,150 +1,168 @@
 //! Carries out what a simulated daemon orders, and checks what it is told.
 
-use super::Awaits;
+use super::AwaitedStep;
 use crate::sim::event::Event;
 use crate::sim::network::Node;
-use crate::sim::world::World;
-use common::frames::{AcquireResult, StreamUp};
-use common::identity::{FunctionKey, GrantSerial, Serial};
-use dataplane::agent::DaemonOrder;
+use crate::sim::simulation::Simulation;
+use common::frames::{AcquireResult, DaemonToLeader};
+use common::identity::{FencingToken, FunctionKey, Version};
+use dataplane::agent::DaemonControlOutput;
 
-impl World {
-    pub(in crate::sim) fn obey_daemon(&mut self, place: usize, order: DaemonOrder<u64>) {
-        let node = self.daemons[place].node;
-        let life = self.daemons[place].life;
+impl Simulation {
+    pub(in crate::sim) fn apply_daemon_order(
+        &mut self,
+        index: usize,
+        order: DaemonControlOutput<u64>,
+    ) {
+        let node = self.daemons[index].node;
+        let instance = self.daemons[index].instance;
         match order {
-            DaemonOrder::Dial(to) => {
-                let link = self.dial(node, life, to);
-                if let Some(body) = &mut self.daemons[place].body {
+            DaemonControlOutput::Dial(to) => {
+                let link = self.dial(node, instance, to);
+                if let Some(body) = &mut self.daemons[index].body {
                     body.link = Some(link);
                 }
             }
-            DaemonOrder::Hangup => {
-                let link = self.daemons[place].body.as_mut().and_then(|body| body.link.take());
+            DaemonControlOutput::Hangup => {
+                let link = self.daemons[index].body.as_mut().and_then(|body| body.link.take());
                 if let Some(link) = link {
                     self.close_link(link);
                 }
             }
-            DaemonOrder::Say(frame) => self.say(place, frame),
-            DaemonOrder::Beat(heartbeat, to_places) => {
-                for to in to_places {
+            DaemonControlOutput::SendFrame(frame) => self.send_up(index, frame),
+            DaemonControlOutput::HeartbeatDatagram(heartbeat, to_addresses) => {
+                for to in to_addresses {
                     let Some(to_node) = self.node_at(to) else { continue };
-                    self.counted("heartbeats");
-                    let copies = if self.chance.happens(0.01) { 2 } else { 1 };
+                    self.count_event("heartbeats");
+                    let copies = if self.rng.random_bool(0.01) { 2 } else { 1 };
                     for _ in 0..copies {
-                        if self.network.reaches(node, to_node) && !self.chance.happens(0.01) {
-                            let delay = self.network.delay(&mut self.chance);
-                            self.push(delay, Event::Beat(to_node, heartbeat.clone()));
+                        if self.network.reaches(node, to_node) && !self.rng.random_bool(0.01) {
+                            let delay = self.network.delay(&mut self.rng);
+                            self.push(delay, Event::HeartbeatDatagram(to_node, heartbeat.clone()));
                         }
                     }
                 }
             }
-            DaemonOrder::Holder(held, outputs) => self.drive(place, &held, outputs),
-            DaemonOrder::Acquired(function, result, _) => {
+            DaemonControlOutput::Holder(held, outputs) => self.drive(index, &held, outputs),
+            DaemonControlOutput::Acquired(function, result, _) => {
                 self.count_acquired(result.as_ref());
-                self.acquired(place, &function, result);
+                self.acquired(index, &function, result);
             }
-            DaemonOrder::AcquiresLost => {
-                let Some(body) = &mut self.daemons[place].body else { return };
+            DaemonControlOutput::AcquiresLost => {
+                let Some(body) = &mut self.daemons[index].body else { return };
                 let waiting = std::mem::take(&mut body.acquires);
                 for function in waiting.into_keys() {
-                    self.acquired(place, &function, None);
+                    self.acquired(index, &function, None);
                 }
             }
-            DaemonOrder::Changed => self.look_all(place),
-            DaemonOrder::Installed(serial) => self.check_install(place, serial),
-            DaemonOrder::Tell(event, detail) => {
-                if event == common::events::GRANTED {
-                    self.check_granted(place);
+            DaemonControlOutput::Changed => self.look_up_all(index),
+            DaemonControlOutput::Installed(version) => self.check_install(index, version),
+            DaemonControlOutput::LogEvent(event, detail) => {
+                if event == common::events::LEASE_GRANTED {
+                    self.check_granted(index);
                 }
                 if self.is_tracing {
-                    let line = format!("{} daemon {place} {event} {detail}", self.now);
+                    let line = format!("{} daemon {index} {event} {detail}", self.now);
                     self.trace.push(line);
                 }
             }
-            DaemonOrder::GrantEnded => self.counted("grants ended"),
+            DaemonControlOutput::LeaseEnded => self.count_event("grants ended"),
         }
     }
 
-    pub(in crate::sim) fn check_install(&mut self, place: usize, serial: Serial) {
-        let life = self.daemons[place].life;
-        self.checks.installs(self.now, place, life, serial);
+    pub(in crate::sim) fn check_install(&mut self, index: usize, version: Version) {
+        let instance = self.daemons[index].instance;
+        self.checks.check_installed(self.now, index, instance, version);
     }
 
     pub(in crate::sim) fn count_acquired(&mut self, result: Option<&AcquireResult>) {
-        self.counted(match result {
+        self.count_event(match result {
             Some(AcquireResult::Granted { .. }) => "acquired: granted",
             Some(AcquireResult::Owner { .. }) => "acquired: owner",
-            Some(AcquireResult::Later { .. }) => "acquired: later",
-            Some(AcquireResult::Shed) => "acquired: shed",
+            Some(AcquireResult::RetryLater { .. }) => "acquired: later",
+            Some(AcquireResult::Rejected) => "acquired: shed",
             None => "acquired: nothing",
         });
     }
 
-    pub(in crate::sim) fn say(&mut self, place: usize, frame: StreamUp) {
-        let Some(body) = &self.daemons[place].body else { return };
+    pub(in crate::sim) fn send_up(&mut self, index: usize, frame: DaemonToLeader) {
+        let Some(body) = &self.daemons[index].body else { return };
         let Some(link) = body.link else { return };
-        let from = self.daemons[place].node;
+        let from = self.daemons[index].node;
         let Some(to) = self.links.get(&link).map(|link| link.controller) else { return };
         if !self.network.reaches(from, to) {
-            self.doom_link(link);
+            self.break_silently(link);
             return;
         }
-        self.counted("frames up");
-        if matches!(frame, StreamUp::Acquire { .. }) {
-            self.counted("acquisitions");
+        self.count_event("frames up");
+        if matches!(frame, DaemonToLeader::Acquire { .. }) {
+            self.count_event("acquisitions");
         }
-        let delay = self.network.delay(&mut self.chance);
+        let delay = self.network.delay(&mut self.rng);
         let key = (Node(1_000_000 + link as usize), to);
         self.push_in_order(key, delay, Event::LinkUp(link, frame));
     }
 
     /// Each life is in the hands of one living holder at most.
-    pub(in crate::sim) fn check_hands(&mut self) {
-        let mut held_lives = Vec::new();
-        for place in 0..self.daemons.len() {
-            let Some(agent) = self.agent(place).filter(|_| self.is_daemon_serving(place)) else {
+    pub(in crate::sim) fn check_instance_owners(&mut self) {
+        let mut held_instances = Vec::new();
+        for index in 0..self.daemons.len() {
+            let Some(agent) = self.agent(index).filter(|_| self.is_daemon_serving(index)) else {
                 continue;
             };
-            for held in agent.holdings.load().values() {
-                let lives = held
-                    .with(|holder| if holder.is_claimable() { holder.lives() } else { Vec::new() });
-                held_lives.extend(lives.into_iter().map(|life| (place, held.grant, life.name)));
+            for held in agent.held_functions.load().values() {
+                let lives =
+                    held.with(
+                        |holder| {
+                            if holder.is_claimable() { holder.instances() } else { Vec::new() }
+                        },
+                    );
+                held_instances.extend(
+                    lives.into_iter().map(|instance| (index, held.fencing_token, instance.name)),
+                );
             }
         }
-        let listed = held_lives.iter().map(|(place, grant, life)| (*place, *grant, life));
-        self.checks.hands(self.now, listed);
+        let listed = held_instances
+            .iter()
+            .map(|(index, fencing_token, instance)| (*index, *fencing_token, instance));
+        self.checks.check_owners(self.now, listed);
     }
 
     /// Whether a daemon serves a function under a grant.
     pub(in crate::sim) fn is_live_holder(
         &self,
-        place: usize,
+        index: usize,
         function: &FunctionKey,
-        grant: GrantSerial,
+        fencing_token: FencingToken,
     ) -> bool {
-        let held = self.agent(place).and_then(|agent| agent.held(function, grant));
-        self.is_daemon_serving(place)
+        let held = self.agent(index).and_then(|agent| agent.held(function, fencing_token));
+        self.is_daemon_serving(index)
             && held.is_some_and(|held| held.with(|holder| holder.is_claimable()))
     }
 
     /// A function that has just been granted: nobody else may serve it, and every runner of it that is
     /// alive is among those taken over.
-    pub(in crate::sim) fn check_granted(&mut self, place: usize) {
-        let Some(agent) = self.agent(place) else { return };
-        let holdings = agent.holdings.load_full();
-        for held in holdings.values() {
-            if !self.checks.is_new_grant(held.grant) {
+    pub(in crate::sim) fn check_granted(&mut self, index: usize) {
+        let Some(agent) = self.agent(index) else { return };
+        let held_functions = agent.held_functions.load_full();
+        for held in held_functions.values() {
+            if !self.checks.is_new_lease(held.fencing_token) {
                 continue;
             }
-            let adopted = held.with(|holder| holder.lives());
+            let adopted = held.with(|holder| holder.instances());
             let alive =
-                self.platform.runners.values().map(|runner| (&runner.function, &runner.life));
-            self.checks.granted_with(self.now, &held.function, held.grant, &adopted, alive);
-            for other in (0..self.daemons.len()).filter(|other| *other != place) {
+                self.platform.runners.values().map(|runner| (&runner.function, &runner.instance));
+            self.checks.check_granted_lease(
+                self.now,
+                &held.function,
+                held.fencing_token,
+                &adopted,
+                alive,
+            );
+            for other in (0..self.daemons.len()).filter(|other| *other != index) {
                 let is_held = self.agent(other).is_some_and(|other_agent| {
                     other_agent
-                        .holdings
+                        .held_functions
                         .load()
                         .get(&held.function)
                         .is_some_and(|held| held.with(|holder| holder.is_claimable()))
@@ -152,8 +170,8 @@
                 if is_held && self.is_daemon_serving(other) {
                     let function = &held.function;
                     let what =
-                        format!("daemon {place} is granted {function}, which daemon {other} holds");
-                    self.checks.breach(self.now, what);
+                        format!("daemon {index} is granted {function}, which daemon {other} holds");
+                    self.checks.report_violation(self.now, what);
                 }
             }
         }
@@ -161,14 +179,14 @@
 
     pub(in crate::sim) fn acquired(
         &mut self,
-        place: usize,
+        index: usize,
         function: &FunctionKey,
         result: Option<AcquireResult>,
     ) {
-        let Some(body) = &mut self.daemons[place].body else { return };
+        let Some(body) = &mut self.daemons[index].body else { return };
         for number in body.acquires.remove(function).unwrap_or_default() {
-            self.step(place, number, Awaits::Acquired, |way, agent, now| {
-                way.acquired(agent, now, result.clone())
+            self.step(index, number, AwaitedStep::Acquired, |forwarding, agent, now| {
+                forwarding.acquired(agent, now, result.clone())
             });
         }
     }
--- /dev/null
+++ b/testing/fleet/src/sim/detection_cases.rs
@@ -0,0 +1,345 @@
+use super::faults::SimFault;
+use super::flaw::Flaw;
+use super::plan::SimPlan;
+use super::simulation::Simulation;
+use common::rules::Rule;
+use std::fmt;
+use std::time::Duration;
+
+/// One rule of what must never happen: the faults that try it, what is seen without it, and that
+/// nothing is seen with it.
+pub struct DetectionCase {
+    /// What must never happen, in the brief's order.
+    pub point: &'static str,
+    /// What is broken on purpose.
+    pub flaw: Flaw,
+    /// The faults aimed at it.
+    pub faults: &'static [SimFault],
+    /// The longest time from one fault to the next.
+    pub gap: Duration,
+    /// What the breach that is looked for says.
+    pub expected_violation: &'static str,
+    /// How many seeds find it with certainty.
+    pub seeds: u64,
+    /// Whether operators send hundreds of numbered orders.
+    pub numbers_orders: bool,
+}
+
+/// What a proof showed.
+pub struct DetectionResult {
+    /// The first seed that found the flaw, and what it saw.
+    pub found: Option<(u64, String)>,
+    /// Breaches of the same days with every rule kept.
+    pub baseline_violations: Vec<String>,
+    /// How often the days with every rule kept looked at anything.
+    pub checked: u64,
+}
+
+/// The longest time between two orders where they are not what is proved.
+const ORDER_GAP: Duration = Duration::from_millis(3000);
+/// The same where they are: hundreds in a day, as many under way as operators have at once.
+const HURRIED_ORDER_GAP: Duration = Duration::from_millis(150);
+
+impl DetectionCase {
+    /// The same with hundreds of numbered orders.
+    const fn with_orders(mut self) -> Self {
+        self.numbers_orders = true;
+        self
+    }
+
+    /// The day of a seed, with the flaw or without.
+    pub fn plan(&self, seed: u64, flaw: Flaw) -> SimPlan {
+        SimPlan {
+            flaw,
+            focus: self.faults.to_vec(),
+            gap: self.gap,
+            rate: 60.0,
+            duplicate_share: 0.5,
+            numbers_orders: self.numbers_orders,
+            order_gap: if self.numbers_orders { HURRIED_ORDER_GAP } else { ORDER_GAP },
+            ..SimPlan::seeded(seed)
+        }
+    }
+
+    /// Runs the days without the rule until one finds it, and the same days with it.
+    pub fn run(&self, most_seeds: u64) -> DetectionResult {
+        let mut end = DetectionResult { found: None, baseline_violations: Vec::new(), checked: 0 };
+        for seed in 1..=most_seeds {
+            let baseline_end = Simulation::new(self.plan(seed, Flaw::None), false).run();
+            end.checked += baseline_end.checked.values().sum::<u64>();
+            let baseline_violations = baseline_end.violations.iter();
+            end.baseline_violations
+                .extend(baseline_violations.map(|violation| format!("seed {seed}: {violation}")));
+            let flawed_result = Simulation::new(self.plan(seed, self.flaw), false).run();
+            let seen = flawed_result
+                .violations
+                .iter()
+                .find(|violation| violation.what.contains(self.expected_violation));
+            if let Some(seen) = seen {
+                end.found = Some((seed, seen.what.clone()));
+                break;
+            }
+        }
+        end
+    }
+}
+
+impl fmt::Display for DetectionCase {
+    fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
+        let faults: Vec<String> = self.faults.iter().map(SimFault::to_string).collect();
+        write!(out, "{} ({}; faults {})", self.point, self.flaw, faults.join(","))
+    }
+}
+
+const fn case_without_rule(
+    point: &'static str,
+    rule: Rule,
+    faults: &'static [SimFault],
+    gap_ms: u64,
+    expected_violation: &'static str,
+    seeds: u64,
+) -> DetectionCase {
+    case_with_flaw(point, Flaw::Without(rule), faults, gap_ms, expected_violation, seeds)
+}
+
+const fn case_with_flaw(
+    point: &'static str,
+    flaw: Flaw,
+    faults: &'static [SimFault],
+    gap_ms: u64,
+    expected_violation: &'static str,
+    seeds: u64,
+) -> DetectionCase {
+    let gap = Duration::from_millis(gap_ms);
+    DetectionCase { point, flaw, faults, gap, expected_violation, seeds, numbers_orders: false }
+}
+
+use SimFault as F;
+
+/// The proofs by simulated days, a row for each rule.
+pub const DETECTION_CASES: &[DetectionCase] = &[
+    case_without_rule(
+        "runs twice",
+        Rule::KnownIdempotencyKeyAnswered,
+        &[F::RunnerFaults],
+        2000,
+        "ran 2 times",
+        6,
+    ),
+    case_without_rule(
+        "runs twice",
+        Rule::LedgerReplicatedBeforeSend,
+        &[F::KillDaemon, F::FreezeHolder],
+        1500,
+        "ran 2 times",
+        12,
+    ),
+    case_without_rule(
+        "runs twice",
+        Rule::LedgerCollectedBeforeAdmission,
+        &[F::KillDaemon, F::FreezeHolder],
+        1500,
+        "ran 2 times",
+        12,
+    ),
+    case_without_rule(
+        "refused runs",
+        Rule::RejectedNeverRuns,
+        &[F::CallBurst, F::RunnerFaults],
+        1000,
+        "refused as not run",
+        6,
+    ),
+    case_without_rule(
+        "foreign answer",
+        Rule::SealChecked,
+        &[F::RunnerFaults],
+        1000,
+        "no runner made",
+        6,
+    ),
+    case_without_rule(
+        "foreign answer",
+        Rule::SealBoundToRequest,
+        &[F::RunnerFaults],
+        1000,
+        "no runner made",
+        6,
+    ),
+    case_without_rule(
+        "not allowed",
+        Rule::RunnerIdentityChecked,
+        &[F::LoseRunner, F::CrashWorker],
+        500,
+        "not in force",
+        12,
+    ),
+    case_without_rule(
+        "in force",
+        Rule::ServesUnderSessionLease,
+        &[F::Isolation, F::FreezeHolder],
+        1500,
+        "member grant",
+        6,
+    ),
+    case_with_flaw(
+        "in force",
+        Flaw::SyncSkipped,
+        &[F::KillQuorum, F::KillLeader],
+        1500,
+        "commit was lost",
+        20,
+    ),
+    case_with_flaw(
+        "in force",
+        Flaw::QuorumOfOne,
+        &[F::PartitionQuorum, F::Partition],
+        1500,
+        "",
+        20,
+    ),
+    case_without_rule(
+        "refused in force",
+        Rule::StaleBaseRejected,
+        &[F::ChangeStorm],
+        1500,
+        "both accepted",
+        6,
+    ),
+    case_without_rule(
+        "refused in force",
+        Rule::InvalidChangeRejected,
+        &[F::ChangeStorm],
+        1500,
+        "invalid at",
+        6,
+    ),
+    case_without_rule("draining", Rule::DrainObeyed, &[F::DrainWorker], 3000, "draining for", 6),
+    case_without_rule("draining", Rule::DrainObeyed, &[F::RunnerLeaves], 1000, "leaving for", 6),
+    case_without_rule(
+        "evacuation",
+        Rule::EvacuationObeyed,
+        &[F::Evacuate],
+        3000,
+        "evacuated for",
+        6,
+    ),
+    case_without_rule(
+        "orderly stop",
+        Rule::ResponsesDeliveredAtShutdown,
+        &[F::StopInOrder],
+        1500,
+        "stops in order",
+        6,
+    ),
+    case_without_rule(
+        "extra tries",
+        Rule::RetryBudgetCounted,
+        &[F::RunnerFaults, F::CallBurst, F::ClientRetries],
+        700,
+        "extra try",
+        24,
+    ),
+    case_without_rule("flood", Rule::SlowStartRespected, &[F::CallBurst], 1000, "answers", 6),
+    case_without_rule("flood", Rule::SlotLimitRespected, &[F::CallBurst], 1000, "slots", 6),
+    case_without_rule(
+        "flood",
+        Rule::LostResponseKeepsSlot,
+        &[F::RunnerFaults, F::CallBurst],
+        700,
+        "at once on",
+        12,
+    ),
+    case_without_rule(
+        "two holders",
+        Rule::FenceBeforeRegrant,
+        &[F::KillDaemon, F::FreezeHolder],
+        1500,
+        "is alive",
+        6,
+    ),
+    case_without_rule(
+        "two holders",
+        Rule::LeaseExpiredBeforeRegrant,
+        &[F::FreezeHolder, F::Isolation],
+        1500,
+        "send to the same life",
+        12,
+    ),
+    case_without_rule(
+        "two holders",
+        Rule::InstanceAdoptedOnce,
+        &[F::StopInOrder, F::KillDaemon],
+        1500,
+        "is in the hands of",
+        12,
+    ),
+    case_without_rule(
+        "two holders",
+        Rule::ClaimsQuorumAwaited,
+        &[F::KillLeader, F::Isolation],
+        1200,
+        "",
+        20,
+    ),
+    case_without_rule(
+        "two holders",
+        Rule::ListedMembersAwaited,
+        &[F::KillLeader, F::Isolation],
+        1200,
+        "",
+        20,
+    ),
+    case_with_flaw(
+        "two holders",
+        Flaw::StopsUnconfirmed,
+        &[F::KillDaemon, F::FreezeHolder],
+        1500,
+        "is alive",
+        6,
+    ),
+    case_without_rule(
+        "orders",
+        Rule::ResentChangeRecognized,
+        &[F::KillLeader],
+        1500,
+        "was taken, then refused",
+        50,
+    )
+    .with_orders(),
+    case_without_rule(
+        "orders",
+        Rule::ChangeNumberBoundToContent,
+        &[F::KillLeader],
+        1500,
+        "both accepted as",
+        50,
+    )
+    .with_orders(),
+    case_without_rule(
+        "orders",
+        Rule::AcknowledgedByMajority,
+        &[F::KillLeader, F::PartitionQuorum],
+        1500,
+        "",
+        50,
+    )
+    .with_orders(),
+    case_without_rule(
+        "orders",
+        Rule::AbandonedChangeDropped,
+        &[F::Evacuate],
+        500,
+        "which no order explains",
+        50,
+    )
+    .with_orders(),
+    case_with_flaw(
+        "down",
+        Flaw::StopsUnheard,
+        &[F::KillGroup, F::DrainWorker],
+        3000,
+        "mostly down",
+        6,
+    ),
+];
--- a/testing/fleet/src/sim/digest.rs
+++ b/testing/fleet/src/sim/digest.rs
@@ -4,10 +4,10 @@
 //! of a type or field: renaming and restructuring leave it as it is.
 
 use super::event::Event;
-use super::plan::SimEnd;
+use super::plan::SimResult;
 use binrw::BinWrite;
 use binrw::meta::WriteEndian;
-use common::clock::Moment;
+use common::clock::MonotonicTime;
 use common::frames::encode;
 use sha2::{Digest, Sha256};
 use std::fmt::Write;
@@ -20,17 +20,17 @@
 
 impl EventDigest {
     /// Adds one event, with when it happens and its number in the order of scheduling.
-    pub(super) fn add(&mut self, due_at: Moment, number: u64, event: &Event) {
+    pub(super) fn add(&mut self, due_at: MonotonicTime, number: u64, event: &Event) {
         self.hasher.update(due_at.0.to_be_bytes());
         self.hasher.update(number.to_be_bytes());
         self.hasher.update([event.kind_number()]);
         match event {
-            Event::CoreFrame(_, frame) => self.add_frame(frame),
+            Event::ConsensusFrame(_, frame) => self.add_frame(frame),
             Event::LinkUp(_, frame) => self.add_frame(frame),
             Event::LinkDown(_, frame) => self.add_frame(frame),
-            Event::Beat(_, heartbeat) => self.add_frame(heartbeat),
-            Event::Hop(_, _, _, body) | Event::StewardAsked(.., body) => self.add_frame(body),
-            Event::StewardSaid(.., Some(body)) => self.add_frame(body),
+            Event::HeartbeatDatagram(_, heartbeat) => self.add_frame(heartbeat),
+            Event::Hop(_, _, _, body) | Event::ReplicaRequested(.., body) => self.add_frame(body),
+            Event::ReplicaReplied(.., Some(body)) => self.add_frame(body),
             _ => {}
         }
     }
@@ -63,15 +63,15 @@
 
 impl RunDigest {
     /// Adds one day and returns its own digest.
-    pub fn add(&mut self, end: &SimEnd) -> String {
+    pub fn add(&mut self, end: &SimResult) -> String {
         let mut day_hasher = Sha256::new();
         day_hasher.update(end.event_digest.as_bytes());
-        day_hasher.update((end.breaches.len() as u64).to_be_bytes());
+        day_hasher.update((end.violations.len() as u64).to_be_bytes());
         day_hasher.update(end.share_after.to_bits().to_be_bytes());
-        day_hasher.update(end.back_after.as_nanos().to_be_bytes());
+        day_hasher.update(end.recovered_after.as_nanos().to_be_bytes());
         day_hasher.update(end.steps.to_be_bytes());
         let mut counts: Vec<u64> = end.counts.values().copied().collect();
-        counts.extend(end.looked.values());
+        counts.extend(end.checked.values());
         counts.sort_unstable();
         counts.iter().for_each(|count| day_hasher.update(count.to_be_bytes()));
         let day_digest = day_hasher.finalize();
--- a/testing/fleet/src/sim/event.rs
+++ b/testing/fleet/src/sim/event.rs
@@ -1,73 +1,90 @@
 //! What happens in a simulated fleet.
 
-use super::daemon::Back;
+use super::daemon::ReplyTarget;
 use super::network::Node;
-use super::platform::Asker;
+use super::platform::Requester;
 use super::runners::SimRun;
 use super::script::Action;
-use common::clock::Moment;
-use common::frames::{CoreFrame, Heartbeat, HopBody, Place, StreamDown, StreamUp};
+use common::adapter::{ListedRunner, ListedWorker, StartOutcome, StopOrder};
+use common::clock::MonotonicTime;
+use common::frames::{
+    ConsensusFrame, DaemonMessage, DaemonToLeader, Heartbeat, LeaderToDaemon, SocketAddress,
+};
 use common::identity::{
-    FunctionKey, GrantSerial, LifeName, RunnerId, Ticket, TransactionId, WorkerName, Zone,
+    FencingToken, FunctionKey, IdempotencyKey, InstanceId, RunnerId, Ticket, WorkerName, Zone,
 };
 use common::spec::FunctionSpec;
-use common::tongue::{BeginEnd, ListedRunner, ListedWorker, StopOrder};
+use controlplane::consensus::{WriteJob, WriteResult};
 use controlplane::controller_state::{Operation, OperationReply, OperationTicket};
-use controlplane::core::{WriteJob, WriteResult};
-use dataplane::agent::{PassEnd, Topic};
-use dataplane::holder::{HolderMessage, SendEnd};
+use dataplane::agent::{ForwardResult, ReplicaRequestKind};
+use dataplane::holder::{HolderMessage, SendResult};
 
 pub(super) enum Event {
     Tick(Node, u64),
     Poll(Node, u64),
-    CoreFrame(Node, CoreFrame),
-    ControllerGone(Node, Place),
+    ConsensusFrame(Node, ConsensusFrame),
+    ControllerGone(Node, SocketAddress),
     Durable(Node, u64, WriteJob),
     Written(Node, u64, Ticket, WriteResult),
-    Lists(Node, u64, Vec<ListedWorker>, Moment, Vec<ListedRunner>),
+    Lists(Node, u64, Vec<ListedWorker>, MonotonicTime, Vec<ListedRunner>),
     Dialed(u64),
-    LinkUp(u64, StreamUp),
-    LinkDown(u64, StreamDown),
+    LinkUp(u64, DaemonToLeader),
+    LinkDown(u64, LeaderToDaemon),
     LinkLost(u64, Node),
-    Beat(Node, Heartbeat),
-    Look(Node, u64, u64, u64),
+    HeartbeatDatagram(Node, Heartbeat),
+    Lookup(Node, u64, u64, u64),
     AcquireTimedOut(Node, u64, u64),
-    Hop(Node, u64, Back, HopBody),
-    Passed(Node, u64, u64, PassEnd, u8),
-    Word(Node, u64, FunctionKey, GrantSerial, HolderMessage),
-    Gone(Node, u64),
-    Start(Asker, FunctionKey, RunnerId, WorkerName, FunctionSpec),
-    Started(Asker, FunctionKey, RunnerId, BeginEnd),
-    Stop(Asker, FunctionKey, RunnerId, Option<LifeName>),
-    Stopped(Asker, FunctionKey, RunnerId),
-    LeaderStop(Asker, StopOrder),
-    LeaderStopped(Asker, RunnerId),
-    Probed(Asker, FunctionKey, RunnerId, bool),
-    Settled(Asker, FunctionKey, RunnerId, Option<Vec<TransactionId>>),
-    Run(Place, SimRun),
+    Hop(Node, u64, ReplyTarget, DaemonMessage),
+    Forwarded(Node, u64, u64, ForwardResult, u8),
+    FromHolder(Node, u64, FunctionKey, FencingToken, HolderMessage),
+    ProcessGone(Node, u64),
+    Start(Requester, FunctionKey, RunnerId, WorkerName, FunctionSpec),
+    Started(Requester, FunctionKey, RunnerId, StartOutcome),
+    Stop(Requester, FunctionKey, RunnerId, Option<InstanceId>),
+    Stopped(Requester, FunctionKey, RunnerId),
+    LeaderStop(Requester, StopOrder),
+    LeaderStopped(Requester, RunnerId),
+    Probed(Requester, FunctionKey, RunnerId, bool),
+    Settled(Requester, FunctionKey, RunnerId, Option<Vec<IdempotencyKey>>),
+    Run(SocketAddress, SimRun),
     RunDone(RunnerId, SimRun, u8),
-    SendEnded(Asker, FunctionKey, Ticket, GrantSerial, SendEnd),
-    StewardAsked(Node, Asker, u64, FunctionKey, GrantSerial, Topic, HopBody),
-    StewardSaid(Asker, u64, FunctionKey, GrantSerial, Topic, Option<HopBody>),
+    SendEnded(Requester, FunctionKey, Ticket, FencingToken, SendResult),
+    ReplicaRequested(
+        Node,
+        Requester,
+        u64,
+        FunctionKey,
+        FencingToken,
+        ReplicaRequestKind,
+        DaemonMessage,
+    ),
+    ReplicaReplied(
+        Requester,
+        u64,
+        FunctionKey,
+        FencingToken,
+        ReplicaRequestKind,
+        Option<DaemonMessage>,
+    ),
     Operate(Node, OperationTicket, Operation),
     Withdraw(Node, OperationTicket),
-    HangUp(OperationTicket),
-    SendAgain(u64),
+    ClientTimedOut(OperationTicket),
+    Resend(u64),
     ReadBack,
-    Operated(OperationTicket, OperationReply),
+    OperatorReply(OperationTicket, OperationReply),
     ListTick,
     Call,
-    CallAgain(TransactionId, &'static str),
+    DuplicateCall(IdempotencyKey, &'static str),
     Repeat(String),
     Change,
     Fault,
-    Act(Action),
-    Return(Node),
-    Mend,
-    Wake(Node),
-    Behave,
+    RunAction(Action),
+    RestartNode(Node),
+    ClearPartitions,
+    ResumeNode(Node),
+    EndPlatformFaults,
     RestoreWorkers,
-    RunnerLeft(RunnerId),
+    StopLeavingRunner(RunnerId),
     WorkersReturn(Vec<ListedWorker>),
     Restore(Zone),
     Heal,
@@ -84,7 +101,7 @@
         match self {
             Self::Tick(..) => 1,
             Self::Poll(..) => 2,
-            Self::CoreFrame(..) => 3,
+            Self::ConsensusFrame(..) => 3,
             Self::ControllerGone(..) => 4,
             Self::Durable(..) => 5,
             Self::Written(..) => 6,
@@ -93,13 +110,13 @@
             Self::LinkUp(..) => 9,
             Self::LinkDown(..) => 10,
             Self::LinkLost(..) => 11,
-            Self::Beat(..) => 12,
-            Self::Look(..) => 13,
+            Self::HeartbeatDatagram(..) => 12,
+            Self::Lookup(..) => 13,
             Self::AcquireTimedOut(..) => 14,
             Self::Hop(..) => 15,
-            Self::Passed(..) => 16,
-            Self::Word(..) => 17,
-            Self::Gone(..) => 18,
+            Self::Forwarded(..) => 16,
+            Self::FromHolder(..) => 17,
+            Self::ProcessGone(..) => 18,
             Self::Start(..) => 19,
             Self::Started(..) => 20,
             Self::Stop(..) => 21,
@@ -111,27 +128,27 @@
             Self::Run(..) => 27,
             Self::RunDone(..) => 28,
             Self::SendEnded(..) => 29,
-            Self::StewardAsked(..) => 30,
-            Self::StewardSaid(..) => 31,
+            Self::ReplicaRequested(..) => 30,
+            Self::ReplicaReplied(..) => 31,
             Self::Operate(..) => 32,
             Self::Withdraw(..) => 33,
-            Self::HangUp(..) => 34,
-            Self::SendAgain(..) => 35,
+            Self::ClientTimedOut(..) => 34,
+            Self::Resend(..) => 35,
             Self::ReadBack => 36,
-            Self::Operated(..) => 37,
+            Self::OperatorReply(..) => 37,
             Self::ListTick => 38,
             Self::Call => 39,
-            Self::CallAgain(..) => 40,
+            Self::DuplicateCall(..) => 40,
             Self::Repeat(..) => 41,
             Self::Change => 42,
             Self::Fault => 43,
-            Self::Act(..) => 44,
-            Self::Return(..) => 45,
-            Self::Mend => 46,
-            Self::Wake(..) => 47,
-            Self::Behave => 48,
+            Self::RunAction(..) => 44,
+            Self::RestartNode(..) => 45,
+            Self::ClearPartitions => 46,
+            Self::ResumeNode(..) => 47,
+            Self::EndPlatformFaults => 48,
             Self::RestoreWorkers => 49,
-            Self::RunnerLeft(..) => 50,
+            Self::StopLeavingRunner(..) => 50,
             Self::WorkersReturn(..) => 51,
             Self::Restore(..) => 52,
             Self::Heal => 53,
@@ -141,27 +158,27 @@
     /// The node whose process must be awake for it, and in which life if that matters.
     pub(super) fn target(&self) -> Option<(Node, Option<u64>)> {
         match self {
-            Self::Tick(node, life)
-            | Self::Poll(node, life)
-            | Self::Written(node, life, ..)
-            | Self::Lists(node, life, ..)
-            | Self::Look(node, life, ..)
-            | Self::AcquireTimedOut(node, life, _)
-            | Self::Hop(node, life, ..)
-            | Self::Word(node, life, ..)
-            | Self::Gone(node, life)
-            | Self::Passed(node, life, ..) => Some((*node, Some(*life))),
-            Self::Started(asker, ..)
-            | Self::Stopped(asker, ..)
-            | Self::LeaderStopped(asker, _)
-            | Self::Probed(asker, ..)
-            | Self::Settled(asker, ..)
-            | Self::StewardSaid(asker, ..)
-            | Self::SendEnded(asker, ..) => Some((asker.node, Some(asker.life))),
-            Self::CoreFrame(node, _)
+            Self::Tick(node, instance)
+            | Self::Poll(node, instance)
+            | Self::Written(node, instance, ..)
+            | Self::Lists(node, instance, ..)
+            | Self::Lookup(node, instance, ..)
+            | Self::AcquireTimedOut(node, instance, _)
+            | Self::Hop(node, instance, ..)
+            | Self::FromHolder(node, instance, ..)
+            | Self::ProcessGone(node, instance)
+            | Self::Forwarded(node, instance, ..) => Some((*node, Some(*instance))),
+            Self::Started(requester, ..)
+            | Self::Stopped(requester, ..)
+            | Self::LeaderStopped(requester, _)
+            | Self::Probed(requester, ..)
+            | Self::Settled(requester, ..)
+            | Self::ReplicaReplied(requester, ..)
+            | Self::SendEnded(requester, ..) => Some((requester.node, Some(requester.instance))),
+            Self::ConsensusFrame(node, _)
             | Self::ControllerGone(node, _)
-            | Self::Beat(node, _)
-            | Self::StewardAsked(node, ..)
+            | Self::HeartbeatDatagram(node, _)
+            | Self::ReplicaRequested(node, ..)
             | Self::Operate(node, ..)
             | Self::Withdraw(node, _) => Some((*node, None)),
             _ => None,
--- a/testing/fleet/src/sim/faults.rs
+++ b/testing/fleet/src/sim/faults.rs
@@ -1,6 +1,6 @@
 use super::event::Event;
 use super::network::{Node, PLATFORM};
-use super::world::World;
+use super::simulation::Simulation;
 use controlplane::controller_state::ChangeKind;
 use std::fmt;
 use std::time::Duration;
@@ -15,9 +15,9 @@
     /// A daemon is killed and returns.
     KillDaemon,
     /// Some daemons are killed at once and return.
-    KillHerd,
+    KillGroup,
     /// All controllers are killed and return.
-    KillCore,
+    KillQuorum,
     /// Everything is killed and returns.
     RestartAll,
     /// A zone is lost whole, workers and all, and returns.
@@ -25,27 +25,27 @@
     /// A controller is killed and returns with an empty disk.
     LoseDisk,
     /// A controller is lost for good, and an empty one at a new address takes its place.
-    ReplaceCore,
+    ReplaceVoter,
     /// A controller is killed, and the newest version on its disk rots.
     DamageDisk,
     /// Some daemons are killed together with a controller that loses its disk.
-    HerdWithDisk,
+    KillGroupAndDisk,
     /// A machine freezes and wakes.
     Freeze,
     /// The daemon that holds most freezes for longer than a grant.
     FreezeHolder,
     /// Several daemons freeze at once.
-    FreezeHerd,
+    FreezeGroup,
     /// The leader freezes.
     FreezeLeader,
     /// A machine is cut off, both ways.
-    CutOff,
+    Isolation,
     /// A machine hears nothing, or is not heard.
-    CutOneWay,
+    BlockOneDirection,
     /// The fleet is cut in two.
-    CutInTwo,
+    Partition,
     /// The core is cut in two, the daemons on the leader's side or not.
-    CutCore,
+    PartitionQuorum,
     /// A disk stalls.
     StallDisk,
     /// A disk fails every write, as a full one does.
@@ -65,17 +65,17 @@
     /// A daemon is warned while another one freezes.
     StopAll,
     /// Runners lose, spoil and refuse answers.
-    Mischief,
+    RunnerFaults,
     /// A crowd calls one function.
-    Crowd,
+    CallBurst,
     /// Every function is called at once.
-    RareCrowd,
+    RareCallBurst,
     /// Callers repeat at once what was refused.
-    Impatience,
+    ClientRetries,
     /// The platform's list of runners is very late.
-    LateList,
+    DelayedList,
     /// Operators send changes as fast as they can.
-    Storm,
+    ChangeStorm,
 }
 
 impl SimFault {
@@ -84,22 +84,22 @@
         SimFault::KillController,
         SimFault::KillLeader,
         SimFault::KillDaemon,
-        SimFault::KillHerd,
-        SimFault::KillCore,
+        SimFault::KillGroup,
+        SimFault::KillQuorum,
         SimFault::RestartAll,
         SimFault::LoseZone,
         SimFault::LoseDisk,
-        SimFault::ReplaceCore,
+        SimFault::ReplaceVoter,
         SimFault::DamageDisk,
-        SimFault::HerdWithDisk,
+        SimFault::KillGroupAndDisk,
         SimFault::Freeze,
         SimFault::FreezeHolder,
-        SimFault::FreezeHerd,
+        SimFault::FreezeGroup,
         SimFault::FreezeLeader,
-        SimFault::CutOff,
-        SimFault::CutOneWay,
-        SimFault::CutInTwo,
-        SimFault::CutCore,
+        SimFault::Isolation,
+        SimFault::BlockOneDirection,
+        SimFault::Partition,
+        SimFault::PartitionQuorum,
         SimFault::StallDisk,
         SimFault::FailDisk,
         SimFault::CrashWorker,
@@ -109,16 +109,16 @@
         SimFault::Evacuate,
         SimFault::StopInOrder,
         SimFault::StopAll,
-        SimFault::Mischief,
-        SimFault::Crowd,
-        SimFault::RareCrowd,
-        SimFault::Impatience,
-        SimFault::LateList,
-        SimFault::Storm,
+        SimFault::RunnerFaults,
+        SimFault::CallBurst,
+        SimFault::RareCallBurst,
+        SimFault::ClientRetries,
+        SimFault::DelayedList,
+        SimFault::ChangeStorm,
     ];
 
     /// The fault of a name.
-    pub fn named(name: &str) -> Option<SimFault> {
+    pub fn by_name(name: &str) -> Option<SimFault> {
         Self::ALL.iter().copied().find(|fault| fault.to_string() == name)
     }
 }
@@ -129,22 +129,22 @@
             Self::KillController => "kill-controller",
             Self::KillLeader => "kill-leader",
             Self::KillDaemon => "kill-daemon",
-            Self::KillHerd => "kill-herd",
-            Self::KillCore => "kill-core",
+            Self::KillGroup => "kill-herd",
+            Self::KillQuorum => "kill-core",
             Self::RestartAll => "restart-all",
             Self::LoseZone => "lose-locality",
             Self::LoseDisk => "lose-disk",
-            Self::ReplaceCore => "replace-core",
+            Self::ReplaceVoter => "replace-core",
             Self::DamageDisk => "damage-disk",
-            Self::HerdWithDisk => "herd-with-disk",
+            Self::KillGroupAndDisk => "herd-with-disk",
             Self::Freeze => "freeze",
             Self::FreezeHolder => "freeze-holder",
-            Self::FreezeHerd => "freeze-herd",
+            Self::FreezeGroup => "freeze-herd",
             Self::FreezeLeader => "freeze-leader",
-            Self::CutOff => "cut-off",
-            Self::CutOneWay => "cut-one-way",
-            Self::CutInTwo => "cut-in-two",
-            Self::CutCore => "cut-core",
+            Self::Isolation => "cut-off",
+            Self::BlockOneDirection => "cut-one-way",
+            Self::Partition => "cut-in-two",
+            Self::PartitionQuorum => "cut-core",
             Self::StallDisk => "stall-disk",
             Self::FailDisk => "fail-disk",
             Self::CrashWorker => "crash-worker",
@@ -154,38 +154,38 @@
             Self::Evacuate => "evacuate",
             Self::StopInOrder => "stop-in-order",
             Self::StopAll => "stop-all",
-            Self::Mischief => "mischief",
-            Self::Crowd => "crowd",
-            Self::RareCrowd => "rare-crowd",
-            Self::Impatience => "impatience",
-            Self::LateList => "late-list",
-            Self::Storm => "storm",
+            Self::RunnerFaults => "mischief",
+            Self::CallBurst => "crowd",
+            Self::RareCallBurst => "rare-crowd",
+            Self::ClientRetries => "impatience",
+            Self::DelayedList => "late-list",
+            Self::ChangeStorm => "storm",
         })
     }
 }
 
-impl World {
-    fn some_controller(&mut self) -> usize {
-        self.chance.below(self.controllers.len() as u64) as usize
+impl Simulation {
+    fn random_controller_index(&mut self) -> usize {
+        self.rng.below(self.controllers.len() as u64) as usize
     }
 
-    fn some_daemon(&mut self) -> usize {
-        self.chance.below(self.daemons.len() as u64) as usize
+    fn random_daemon(&mut self) -> usize {
+        self.rng.below(self.daemons.len() as u64) as usize
     }
 
-    fn some_node(&mut self) -> Node {
+    fn random_node(&mut self) -> Node {
         let count = self.controllers.len() + self.daemons.len();
-        let place = self.chance.below(count as u64) as usize;
-        match place.checked_sub(self.controllers.len()) {
+        let index = self.rng.below(count as u64) as usize;
+        match index.checked_sub(self.controllers.len()) {
             Some(daemon) => Node::of_daemon(daemon),
-            None => Node(place),
+            None => Node(index),
         }
     }
 
     /// Some daemons, at least one and not all.
-    fn some_herd(&mut self) -> Vec<usize> {
-        let count = 1 + self.chance.below(self.daemons.len() as u64 - 1) as usize;
-        let first = self.some_daemon();
+    fn random_group(&mut self) -> Vec<usize> {
+        let count = 1 + self.rng.below(self.daemons.len() as u64 - 1) as usize;
+        let first = self.random_daemon();
         (0..count).map(|step| (first + step) % self.daemons.len()).collect()
     }
 
@@ -194,216 +194,216 @@
             controller
                 .controller_state
                 .as_ref()
-                .is_some_and(|controller_state| controller_state.core().is_leader())
+                .is_some_and(|controller_state| controller_state.consensus().is_leader())
         })
     }
 
     pub(super) fn schedule_fault(&mut self) {
-        let wait_span = self.chance.within(Duration::from_millis(300), self.plan.gap);
+        let wait_span = self.rng.within(Duration::from_millis(300), self.plan.gap);
         self.push(wait_span, Event::Fault);
     }
 
     /// Causes one fault by chance, or the day's own; each is undone some time later.
-    pub(super) fn cause_fault(&mut self) {
-        let lasts = self.chance.within(Duration::from_millis(300), Duration::from_millis(6000));
-        let chosen = self.chance.below(SimFault::ALL.len() as u64) as usize;
+    pub(super) fn inject_random_fault(&mut self) {
+        let lasts = self.rng.within(Duration::from_millis(300), Duration::from_millis(6000));
+        let chosen = self.rng.below(SimFault::ALL.len() as u64) as usize;
         let own_count = self.plan.focus.len() as u64;
-        let own = (own_count > 0).then(|| self.chance.below(own_count) as usize);
+        let own = (own_count > 0).then(|| self.rng.below(own_count) as usize);
         let fault = own.map_or(SimFault::ALL[chosen], |own| self.plan.focus[own]);
-        self.traced(|now| format!("{now} fault {fault} for {lasts:?}"));
-        self.counted(&format!("fault {fault}"));
-        self.cause(fault, lasts);
+        self.trace_line(|now| format!("{now} fault {fault} for {lasts:?}"));
+        self.count_event(&format!("fault {fault}"));
+        self.inject(fault, lasts);
     }
 
-    fn cause(&mut self, fault: SimFault, lasts: Duration) {
+    fn inject(&mut self, fault: SimFault, lasts: Duration) {
         match fault {
             SimFault::KillController => {
-                let place = self.some_controller();
-                self.lose_controller(place, lasts);
+                let index = self.random_controller_index();
+                self.lose_controller(index, lasts);
             }
             SimFault::KillLeader => {
-                if let Some(place) = self.leading_controller() {
-                    self.lose_controller(place, lasts);
+                if let Some(index) = self.leading_controller() {
+                    self.lose_controller(index, lasts);
                 }
             }
             SimFault::KillDaemon => {
-                let place = self.some_daemon();
-                self.lose_daemon(place, lasts);
+                let index = self.random_daemon();
+                self.lose_daemon(index, lasts);
             }
-            SimFault::KillHerd => {
-                for place in self.some_herd() {
-                    self.lose_daemon(place, lasts);
+            SimFault::KillGroup => {
+                for index in self.random_group() {
+                    self.lose_daemon(index, lasts);
                 }
             }
-            SimFault::KillCore => {
-                for place in 0..self.controllers.len() {
-                    self.lose_controller(place, lasts);
+            SimFault::KillQuorum => {
+                for index in 0..self.controllers.len() {
+                    self.lose_controller(index, lasts);
                 }
             }
             SimFault::RestartAll => {
-                for place in 0..self.controllers.len() {
-                    self.lose_controller(place, lasts);
+                for index in 0..self.controllers.len() {
+                    self.lose_controller(index, lasts);
                 }
-                for place in 0..self.daemons.len() {
-                    self.lose_daemon(place, lasts);
+                for index in 0..self.daemons.len() {
+                    self.lose_daemon(index, lasts);
                 }
             }
             SimFault::LoseZone => self.lose_zone(lasts),
             SimFault::LoseDisk => {
                 if self.may_lose_disk() {
-                    self.counted("disk lost");
-                    let place = self.some_controller();
-                    self.lose_controller(place, lasts);
-                    self.lose_disk(place);
+                    self.count_event("disk lost");
+                    let index = self.random_controller_index();
+                    self.lose_controller(index, lasts);
+                    self.lose_disk(index);
                 }
             }
-            SimFault::ReplaceCore => {
+            SimFault::ReplaceVoter => {
                 if self.may_lose_disk() {
-                    self.counted("disk lost");
-                    let place = self.some_controller();
-                    self.lose_controller(place, lasts);
-                    self.lose_disk(place);
-                    self.move_controller(place);
+                    self.count_event("disk lost");
+                    let index = self.random_controller_index();
+                    self.lose_controller(index, lasts);
+                    self.lose_disk(index);
+                    self.move_controller(index);
                 }
             }
             SimFault::DamageDisk => {
                 if self.may_lose_disk() {
-                    let place = self.some_controller();
-                    self.lose_controller(place, lasts);
-                    self.damage_disk(place);
+                    let index = self.random_controller_index();
+                    self.lose_controller(index, lasts);
+                    self.damage_disk(index);
                 }
             }
-            SimFault::HerdWithDisk => {
+            SimFault::KillGroupAndDisk => {
                 if self.may_lose_disk() {
-                    for place in self.some_herd() {
-                        self.lose_daemon(place, lasts);
+                    for index in self.random_group() {
+                        self.lose_daemon(index, lasts);
                     }
-                    let place = self.some_controller();
-                    self.lose_controller(place, lasts);
-                    self.lose_disk(place);
+                    let index = self.random_controller_index();
+                    self.lose_controller(index, lasts);
+                    self.lose_disk(index);
                 }
             }
             SimFault::Freeze => {
-                let node = self.some_node();
+                let node = self.random_node();
                 self.freeze(node, lasts);
             }
             SimFault::FreezeHolder => {
-                let holder = (0..self.daemons.len()).max_by_key(|place| {
-                    self.agent(*place).map_or(0, |agent| agent.holdings.load().len())
+                let holder = (0..self.daemons.len()).max_by_key(|index| {
+                    self.agent(*index).map_or(0, |agent| agent.held_functions.load().len())
                 });
                 if let Some(holder) = holder {
                     self.freeze(self.daemons[holder].node, Duration::from_secs(3) + lasts / 2);
                 }
             }
-            SimFault::FreezeHerd => {
-                for place in self.some_herd() {
-                    self.freeze(self.daemons[place].node, lasts);
+            SimFault::FreezeGroup => {
+                for index in self.random_group() {
+                    self.freeze(self.daemons[index].node, lasts);
                 }
             }
             SimFault::FreezeLeader => {
-                if let Some(place) = self.leading_controller() {
-                    self.freeze(self.controllers[place].node, lasts);
+                if let Some(index) = self.leading_controller() {
+                    self.freeze(self.controllers[index].node, lasts);
                 }
             }
-            SimFault::CutOff => {
-                let lonely_node = self.some_node();
+            SimFault::Isolation => {
+                let isolated_node = self.random_node();
                 for other in self.all_nodes() {
-                    self.network.cut(lonely_node, other);
-                    self.network.cut(other, lonely_node);
+                    self.network.block(isolated_node, other);
+                    self.network.block(other, isolated_node);
                 }
-                self.push(lasts, Event::Mend);
+                self.push(lasts, Event::ClearPartitions);
             }
-            SimFault::CutOneWay => {
-                let lonely_node = self.some_node();
-                let hears_nothing = self.chance.happens(0.5);
+            SimFault::BlockOneDirection => {
+                let isolated_node = self.random_node();
+                let blocks_incoming = self.rng.random_bool(0.5);
                 for other in self.all_nodes() {
-                    if hears_nothing {
-                        self.network.cut(other, lonely_node);
+                    if blocks_incoming {
+                        self.network.block(other, isolated_node);
                     } else {
-                        self.network.cut(lonely_node, other);
+                        self.network.block(isolated_node, other);
                     }
                 }
-                self.push(lasts, Event::Mend);
+                self.push(lasts, Event::ClearPartitions);
             }
-            SimFault::CutInTwo => {
+            SimFault::Partition => {
                 let salt = lasts.subsec_nanos() as usize;
                 let (left, right): (Vec<Node>, Vec<Node>) = self
                     .all_nodes()
                     .into_iter()
                     .partition(|node| (node.0 * 7 + salt).is_multiple_of(3));
-                self.cut_apart(&left, &right);
-                self.push(lasts, Event::Mend);
+                self.partition(&left, &right);
+                self.push(lasts, Event::ClearPartitions);
             }
-            SimFault::CutCore => self.cut_core(lasts),
+            SimFault::PartitionQuorum => self.partition_quorum(lasts),
             SimFault::StallDisk => {
-                let place = self.some_controller();
-                self.controllers[place].disk.stalled_until = self.now + lasts;
+                let index = self.random_controller_index();
+                self.controllers[index].disk.stalled_until = self.now + lasts;
             }
             SimFault::FailDisk => {
-                let place = self.some_controller();
-                self.controllers[place].disk.failing_until = self.now + lasts;
+                let index = self.random_controller_index();
+                self.controllers[index].disk.failing_until = self.now + lasts;
             }
             SimFault::CrashWorker => {
-                let worker_place = self.chance.below(self.platform.workers.len() as u64) as usize;
-                let worker = self.platform.workers[worker_place].worker.clone();
+                let worker_index = self.rng.below(self.platform.workers.len() as u64) as usize;
+                let worker = self.platform.workers[worker_index].worker.clone();
                 self.platform.crash(&worker);
             }
             SimFault::LoseRunner => {
                 let count = self.platform.runners.len() as u64;
-                let chosen = self.chance.below(count) as usize;
+                let chosen = self.rng.below(count) as usize;
                 if let Some(runner) = self.platform.runners.keys().nth(chosen).copied() {
                     self.platform.stop(runner);
                 }
             }
             SimFault::RunnerLeaves => {
                 let count = self.platform.runners.len() as u64;
-                let chosen = self.chance.below(count) as usize;
+                let chosen = self.rng.below(count) as usize;
                 if let Some(runner) = self.platform.runners.keys().nth(chosen).copied() {
                     self.platform.leaving_since.entry(runner).or_insert(self.now);
-                    self.push(Duration::from_secs(6), Event::RunnerLeft(runner));
+                    self.push(Duration::from_secs(6), Event::StopLeavingRunner(runner));
                 }
             }
             SimFault::DrainWorker => {
-                let worker_place = self.chance.below(self.platform.workers.len() as u64) as usize;
-                self.platform.drain(self.now, worker_place);
+                let worker_index = self.rng.below(self.platform.workers.len() as u64) as usize;
+                self.platform.drain(self.now, worker_index);
                 self.push(Duration::from_secs(5) + lasts, Event::RestoreWorkers);
             }
             SimFault::Evacuate => self.evacuate(lasts),
             SimFault::StopInOrder => {
-                let place = self.some_daemon();
-                self.warn_daemon(place);
+                let index = self.random_daemon();
+                self.begin_orderly_stop(index);
             }
             SimFault::StopAll => {
-                for place in self.some_herd() {
-                    self.warn_daemon(place);
+                for index in self.random_group() {
+                    self.begin_orderly_stop(index);
                 }
             }
-            SimFault::Mischief => {
-                self.mischief = 0.15;
-                self.push(lasts, Event::Behave);
+            SimFault::RunnerFaults => {
+                self.runner_fault_rate = 0.15;
+                self.push(lasts, Event::EndPlatformFaults);
             }
-            SimFault::Crowd => {
+            SimFault::CallBurst => {
                 let routes = ["f0", "f1", "canary"];
-                let route = routes[self.chance.below(routes.len() as u64) as usize];
+                let route = routes[self.rng.below(routes.len() as u64) as usize];
                 for _ in 0..60 {
-                    self.call_one(route);
+                    self.send_call(route);
                 }
             }
-            SimFault::RareCrowd => {
+            SimFault::RareCallBurst => {
                 for _ in 0..4 {
                     for route in ["f0", "f1", "f2", "f3", "f4", "f5"] {
-                        self.call_one(route);
+                        self.send_call(route);
                     }
                 }
             }
-            SimFault::Impatience => {
-                self.impatient_until = self.now + lasts;
+            SimFault::ClientRetries => {
+                self.retrying_until = self.now + lasts;
             }
-            SimFault::LateList => {
-                self.platform.lag = Duration::from_millis(1000) + lasts / 2;
-                self.push(lasts, Event::Behave);
+            SimFault::DelayedList => {
+                self.platform.list_delay = Duration::from_millis(1000) + lasts / 2;
+                self.push(lasts, Event::EndPlatformFaults);
             }
-            SimFault::Storm => {
+            SimFault::ChangeStorm => {
                 for _ in 0..8 {
                     self.send_change();
                 }
@@ -411,14 +411,14 @@
         }
     }
 
-    fn lose_controller(&mut self, place: usize, lasts: Duration) {
-        self.kill_controller(place);
-        self.push(lasts, Event::Return(self.controllers[place].node));
+    fn lose_controller(&mut self, index: usize, lasts: Duration) {
+        self.kill_controller(index);
+        self.push(lasts, Event::RestartNode(self.controllers[index].node));
     }
 
-    fn lose_daemon(&mut self, place: usize, lasts: Duration) {
-        self.kill_daemon(place);
-        self.push(lasts, Event::Return(self.daemons[place].node));
+    fn lose_daemon(&mut self, index: usize, lasts: Duration) {
+        self.kill_daemon(index);
+        self.push(lasts, Event::RestartNode(self.daemons[index].node));
     }
 
     pub(super) fn freeze(&mut self, node: Node, lasts: Duration) {
@@ -427,20 +427,20 @@
         *frozen_until = (*frozen_until).max(until);
         let wakes_at = *frozen_until;
         if !node.is_controller()
-            && let Some(daemon) = self.daemons.get_mut(node.daemon_place())
+            && let Some(daemon) = self.daemons.get_mut(node.daemon_index())
             && let Some(body) = &mut daemon.body
         {
             body.is_disturbed = true;
         }
-        self.push(wakes_at.since(self.now), Event::Wake(node));
+        self.push(wakes_at.since(self.now), Event::ResumeNode(node));
     }
 
     fn lose_zone(&mut self, lasts: Duration) {
-        let number = self.chance.below(3) as usize;
-        let zone = World::zone(number);
+        let number = self.rng.below(3) as usize;
+        let zone = Simulation::zone(number);
         self.lose_controller(number, lasts);
-        for place in (0..self.daemons.len()).filter(|place| place % 3 == number) {
-            self.lose_daemon(place, lasts);
+        for index in (0..self.daemons.len()).filter(|index| index % 3 == number) {
+            self.lose_daemon(index, lasts);
         }
         let lost_workers: Vec<_> =
             self.platform.workers.iter().filter(|listed| listed.zone == zone).cloned().collect();
@@ -451,37 +451,37 @@
         self.push(lasts, Event::WorkersReturn(lost_workers));
     }
 
-    fn cut_apart(&mut self, left: &[Node], right: &[Node]) {
+    fn partition(&mut self, left: &[Node], right: &[Node]) {
         for left_node in left {
             for right_node in right {
-                self.network.cut(*left_node, *right_node);
-                self.network.cut(*right_node, *left_node);
+                self.network.block(*left_node, *right_node);
+                self.network.block(*right_node, *left_node);
             }
         }
     }
 
     /// One controller, often the leader, alone or with some daemons, apart from the rest.
-    fn cut_core(&mut self, lasts: Duration) {
-        let by_chance = self.some_controller();
-        let lonely = self.leading_controller().unwrap_or(by_chance);
-        let with_daemons = self.chance.below(self.daemons.len() as u64 + 1) as usize;
+    fn partition_quorum(&mut self, lasts: Duration) {
+        let random_controller = self.random_controller_index();
+        let isolated = self.leading_controller().unwrap_or(random_controller);
+        let with_daemons = self.rng.below(self.daemons.len() as u64 + 1) as usize;
         let left: Vec<Node> =
-            [Node(lonely)].into_iter().chain((0..with_daemons).map(Node::of_daemon)).collect();
+            [Node(isolated)].into_iter().chain((0..with_daemons).map(Node::of_daemon)).collect();
         let right: Vec<Node> = self
             .all_nodes()
             .into_iter()
             .filter(|node| !left.contains(node) && *node != PLATFORM)
             .collect();
-        self.cut_apart(&left, &right);
-        self.push(lasts, Event::Mend);
+        self.partition(&left, &right);
+        self.push(lasts, Event::ClearPartitions);
     }
 
     fn evacuate(&mut self, lasts: Duration) {
-        if self.checks.has_evacuated() {
+        if self.checks.has_evacuated_zone() {
             return;
         }
-        let zone = World::zone(self.chance.below(3) as usize);
-        self.send(None, ChangeKind::Evacuate { zone: zone.clone(), force: false });
+        let zone = Simulation::zone(self.rng.below(3) as usize);
+        self.submit_change(None, ChangeKind::Evacuate { zone: zone.clone(), force: false });
         self.push(Duration::from_secs(6) + lasts, Event::Restore(zone));
     }
 
@@ -492,20 +492,21 @@
             self.controllers.iter().filter_map(|controller| controller.controller_state.as_ref());
         let ready_plane = controller_states
             .into_iter()
-            .find(|controller_state| controller_state.core().is_ready());
+            .find(|controller_state| controller_state.consensus().is_ready());
         let Some(document) =
-            ready_plane.and_then(|controller_state| controller_state.core().accepted())
+            ready_plane.and_then(|controller_state| controller_state.consensus().accepted())
         else {
             return false;
         };
         let is_known = |controller: &super::controller::SimController| {
             let durable = &controller.disk.durable;
-            let accepted_stamp = durable.accepted.as_ref().map(|held| held.stamp);
+            let accepted_document_version =
+                durable.accepted.as_ref().map(|held| held.document_version);
             controller.controller_state.is_some()
-                && document.core.iter().any(|member| member.id == durable.id)
-                && accepted_stamp.unwrap_or_default() >= durable.distrusted
+                && document.voters.iter().any(|member| member.id == durable.id)
+                && accepted_document_version.unwrap_or_default() >= durable.unreadable_version
         };
-        document.former.is_empty() && self.controllers.iter().all(is_known)
+        document.previous_voters.is_empty() && self.controllers.iter().all(is_known)
     }
 
     pub(super) fn all_nodes(&self) -> Vec<Node> {
@@ -515,34 +516,34 @@
     }
 
     /// A killed machine returns.
-    pub(super) fn bring_back(&mut self, node: Node) {
+    pub(super) fn restart_node(&mut self, node: Node) {
         if node.is_controller() {
             if self.controllers[node.0].controller_state.is_none() {
                 self.start_controller(node.0);
             }
-        } else if self.daemons[node.daemon_place()].body.is_none() {
-            self.start_daemon(node.daemon_place());
+        } else if self.daemons[node.daemon_index()].body.is_none() {
+            self.start_daemon(node.daemon_index());
         }
     }
 
     /// Everything returns and is mended.
     pub(super) fn heal(&mut self) {
-        self.network.mend();
-        self.wake_all();
-        self.mischief = 0.0;
-        self.platform.lag = Duration::from_millis(1000);
+        self.network.clear_partitions();
+        self.resume_all();
+        self.runner_fault_rate = 0.0;
+        self.platform.list_delay = Duration::from_millis(1000);
         self.platform.restore();
         for node in self.all_nodes() {
             if node != PLATFORM {
-                self.bring_back(node);
+                self.restart_node(node);
             }
         }
         for controller in &mut self.controllers {
-            controller.disk.stalled_until = common::clock::Moment::ZERO;
-            controller.disk.failing_until = common::clock::Moment::ZERO;
+            controller.disk.stalled_until = common::clock::MonotonicTime::ZERO;
+            controller.disk.failing_until = common::clock::MonotonicTime::ZERO;
         }
         for number in 0..3 {
-            self.push(Duration::from_secs(4), Event::Restore(World::zone(number)));
+            self.push(Duration::from_secs(4), Event::Restore(Simulation::zone(number)));
         }
     }
 }
--- a/testing/fleet/src/sim/flaw.rs
+++ b/testing/fleet/src/sim/flaw.rs
@@ -31,7 +31,7 @@
     pub fn rules(self) -> Rules {
         match self {
             Self::Without(rule) => Rules::without(rule),
-            _ => Rules::KEPT,
+            _ => Rules::ALL_ENFORCED,
         }
     }
 }
--- a/testing/fleet/src/sim/links.rs
+++ b/testing/fleet/src/sim/links.rs
@@ -2,31 +2,33 @@
 
 use super::event::Event;
 use super::network::{Node, PLATFORM};
-use super::world::World;
-use common::frames::Place;
+use super::simulation::Simulation;
+use common::frames::SocketAddress;
 use std::time::Duration;
 
 pub(super) struct Link {
     pub daemon: Node,
-    pub daemon_life: u64,
+    pub daemon_instance: u64,
     pub controller: Node,
-    pub controller_life: u64,
-    pub doomed: bool,
+    pub controller_instance: u64,
+    pub is_broken: bool,
 }
 
-impl World {
-    pub(super) fn dial(&mut self, daemon: Node, daemon_life: u64, to: Place) -> u64 {
+impl Simulation {
+    pub(super) fn dial(&mut self, daemon: Node, daemon_instance: u64, to: SocketAddress) -> u64 {
         self.next_number += 1;
         let number = self.next_number;
         let controller = self.node_at(to).unwrap_or(PLATFORM);
         let is_alive =
             controller.is_controller() && self.controllers[controller.0].controller_state.is_some();
-        let controller_life = if is_alive { self.controllers[controller.0].life } else { 0 };
+        let controller_instance =
+            if is_alive { self.controllers[controller.0].instance } else { 0 };
         let reaches =
             self.network.reaches(daemon, controller) && self.network.reaches(controller, daemon);
-        let link = Link { daemon, daemon_life, controller, controller_life, doomed: !reaches };
+        let link =
+            Link { daemon, daemon_instance, controller, controller_instance, is_broken: !reaches };
         self.links.insert(number, link);
-        let delay = self.network.delay(&mut self.chance);
+        let delay = self.network.delay(&mut self.rng);
         if is_alive && reaches {
             self.push(delay, Event::Dialed(number));
         } else {
@@ -36,14 +38,13 @@
         number
     }
 
-    pub(super) fn doom_link(&mut self, number: u64) {
+    pub(super) fn break_silently(&mut self, number: u64) {
         let Some(link) = self.links.get_mut(&number) else { return };
-        if !link.doomed {
-            link.doomed = true;
+        if !link.is_broken {
+            link.is_broken = true;
             let (daemon, controller) = (link.daemon, link.controller);
-            let daemon_after = self.chance.within(Duration::from_secs(1), Duration::from_secs(4));
-            let controller_after =
-                self.chance.within(Duration::from_secs(1), Duration::from_secs(4));
+            let daemon_after = self.rng.within(Duration::from_secs(1), Duration::from_secs(4));
+            let controller_after = self.rng.within(Duration::from_secs(1), Duration::from_secs(4));
             self.push(daemon_after, Event::LinkLost(number, daemon));
             self.push(controller_after, Event::LinkLost(number, controller));
         }
@@ -57,16 +58,16 @@
         self.push(delay, Event::LinkLost(number, controller));
     }
 
-    pub(super) fn break_links(&mut self, node: Node) {
+    pub(super) fn close_links(&mut self, node: Node) {
         for number in self.links_of(node) {
             self.close_link(number);
         }
     }
 
     /// The other ends of a machine's links find out only by silence.
-    pub(super) fn doom_links(&mut self, node: Node) {
+    pub(super) fn break_links_silently(&mut self, node: Node) {
         for number in self.links_of(node) {
-            self.doom_link(number);
+            self.break_silently(number);
         }
     }
 
--- a/testing/fleet/src/sim/mod.rs
+++ b/testing/fleet/src/sim/mod.rs
@@ -4,9 +4,9 @@
 mod checks;
 mod controller;
 mod daemon;
+mod detection_cases;
 mod digest;
 mod dispatch;
-mod drawn_orders;
 mod event;
 mod faults;
 mod flaw;
@@ -14,26 +14,27 @@
 mod links;
 mod network;
 mod operator;
+mod order_generator;
 mod orders;
 mod plan;
 mod platform;
-mod proofs;
 mod recovery;
+mod reply_checks;
 mod runners;
 mod scenario;
 mod script;
-mod statements;
-mod world;
+mod simulation;
 
-pub use checks::{Breach, Checks};
+pub use checks::{SafetyChecks, SafetyViolation};
+pub use detection_cases::{DETECTION_CASES, DetectionCase, DetectionResult};
 pub use digest::RunDigest;
 pub use faults::SimFault;
 pub use flaw::Flaw;
-pub use plan::{SimEnd, SimPlan};
-pub use proofs::{PROOFS, Proof, ProofEnd};
+pub use plan::{SimPlan, SimResult};
 pub use recovery::{RecoveryTimes, SINGLE_LOSSES, SingleLoss, Spread};
 pub use scenario::{
-    QuorumSize, Repair, SCENARIO_PROOFS, SEEDS_TO_FIND, Scenario, ScenarioProof, SecondLossCase,
+    QuorumSize, Repair, SCENARIO_DETECTION_CASES, SEEDS_TO_FIND, Scenario, ScenarioDetectionCase,
+    SecondLossCase,
 };
 pub use script::{Action, Direction, Loss, SecondLoss, Target};
-pub use world::World;
+pub use simulation::Simulation;
--- a/testing/fleet/src/sim/network.rs
+++ b/testing/fleet/src/sim/network.rs
@@ -1,4 +1,4 @@
-use common::chance::Chance;
+use common::rng::SeededRng;
 use std::collections::BTreeSet;
 use std::time::Duration;
 
@@ -11,8 +11,8 @@
 
 impl Node {
     /// The node of a daemon.
-    pub fn of_daemon(place: usize) -> Self {
-        Self(FIRST_DAEMON + place)
+    pub fn of_daemon(index: usize) -> Self {
+        Self(FIRST_DAEMON + index)
     }
 
     /// Whether it is a controller's.
@@ -21,7 +21,7 @@
     }
 
     /// Which daemon's it is.
-    pub fn daemon_place(self) -> usize {
+    pub fn daemon_index(self) -> usize {
         self.0 - FIRST_DAEMON
     }
 }
@@ -32,31 +32,31 @@
 /// Who cannot reach whom, and how long messages take.
 #[derive(Default)]
 pub struct Network {
-    cuts: BTreeSet<(Node, Node)>,
+    blocked: BTreeSet<(Node, Node)>,
 }
 
 impl Network {
     /// Cuts one direction.
-    pub fn cut(&mut self, from: Node, to: Node) {
-        self.cuts.insert((from, to));
+    pub fn block(&mut self, from: Node, to: Node) {
+        self.blocked.insert((from, to));
     }
 
     /// Mends everything.
-    pub fn mend(&mut self) {
-        self.cuts.clear();
+    pub fn clear_partitions(&mut self) {
+        self.blocked.clear();
     }
 
     /// Whether a message gets through.
     pub fn reaches(&self, from: Node, to: Node) -> bool {
-        !self.cuts.contains(&(from, to))
+        !self.blocked.contains(&(from, to))
     }
 
     /// How long a message takes: mostly short, now and then long.
-    pub fn delay(&self, chance: &mut Chance) -> Duration {
-        if chance.happens(0.01) {
-            chance.within(Duration::from_millis(5), Duration::from_millis(150))
+    pub fn delay(&self, rng: &mut SeededRng) -> Duration {
+        if rng.random_bool(0.01) {
+            rng.within(Duration::from_millis(5), Duration::from_millis(150))
         } else {
-            chance.within(Duration::from_micros(100), Duration::from_millis(3))
+            rng.within(Duration::from_micros(100), Duration::from_millis(3))
         }
     }
 }
--- a/testing/fleet/src/sim/operator.rs
+++ b/testing/fleet/src/sim/operator.rs
@@ -1,17 +1,17 @@
 use super::event::Event;
-use super::world::World;
-use common::identity::{ChangeId, Serial};
+use super::simulation::Simulation;
+use common::identity::{ChangeId, Version};
 use controlplane::controller_state::{
     ChangeKind, Operation, OperationReply, OperationTicket, Wait,
 };
 use serde_json::{Value, json};
 
 /// One operator's change that is on its way.
-pub struct SimChange {
+pub struct PendingChange {
     change: ChangeId,
-    base: Option<Serial>,
+    base: Option<Version>,
     kind: ChangeKind,
-    tries: u32,
+    attempts: u32,
 }
 
 /// The same spec for callers who give every try an identity of its own.
@@ -58,21 +58,21 @@
     json!({"functions": functions, "routes": routes})
 }
 
-impl World {
+impl Simulation {
     /// An operator sends one change.
-    pub(super) fn send(&mut self, base: Option<Serial>, kind: ChangeKind) {
+    pub(super) fn submit_change(&mut self, base: Option<Version>, kind: ChangeKind) {
         if self.plan.numbers_orders {
             match kind {
-                ChangeKind::Evacuate { zone, .. } => self.turn_zone(zone, true),
-                ChangeKind::Restore { zone } => self.turn_zone(zone, false),
+                ChangeKind::Evacuate { zone, .. } => self.send_zone_order(zone, true),
+                ChangeKind::Restore { zone } => self.send_zone_order(zone, false),
                 _ => {}
             }
             return;
         }
         self.next_number += 1;
         let change = ChangeId::from(format!("change-{}", self.next_number));
-        let target = self.chance.below(3) as usize;
-        self.operate(target, SimChange { change, base, kind, tries: 0 });
+        let target = self.rng.below(3) as usize;
+        self.send_pending_change(target, PendingChange { change, base, kind, attempts: 0 });
     }
 
     /// An operator sends a change, built on the newest serial or on one just before.
@@ -81,28 +81,28 @@
             self.send_orders();
             return;
         }
-        let newest_serial = self.checks.newest_serial();
-        let count = if self.chance.happens(0.3) { 2 } else { 1 };
+        let newest_version = self.checks.newest_version();
+        let count = if self.rng.random_bool(0.3) { 2 } else { 1 };
         for _ in 0..count {
-            let is_valid = !self.chance.happens(0.1);
-            let mut new_spec = spec(self.chance.below(6));
+            let is_valid = !self.rng.random_bool(0.1);
+            let mut new_spec = spec(self.rng.below(6));
             if self.plan.fresh_identities {
                 new_spec = with_fresh_identities(new_spec);
             }
             if !is_valid {
                 new_spec["routes"]["canary"]["function"] = json!("nowhere");
             }
-            let kind = if self.chance.happens(0.2) {
+            let kind = if self.rng.random_bool(0.2) {
                 ChangeKind::Patch(json!({"routes": {"canary": new_spec["routes"]["canary"]}}))
             } else {
-                ChangeKind::Whole(new_spec.into())
+                ChangeKind::FullSpec(new_spec.into())
             };
-            self.send(Some(newest_serial), kind);
+            self.submit_change(Some(newest_version), kind);
         }
     }
 
-    fn operate(&mut self, target: usize, mut change: SimChange) {
-        change.tries += 1;
+    fn send_pending_change(&mut self, target: usize, mut change: PendingChange) {
+        change.attempts += 1;
         self.next_number += 1;
         let ticket = OperationTicket(self.next_number);
         let operation = Operation::Change {
@@ -114,34 +114,38 @@
         };
         self.changes.insert(ticket, change);
         let node = self.controllers[target].node;
-        let delay = self.network.delay(&mut self.chance);
+        let delay = self.network.delay(&mut self.rng);
         self.push(delay, Event::Operate(node, ticket, operation));
     }
 
-    pub(super) fn hear_operated(&mut self, ticket: OperationTicket, reply: OperationReply) {
+    pub(super) fn handle_operation_reply(
+        &mut self,
+        ticket: OperationTicket,
+        reply: OperationReply,
+    ) {
         if self.plan.numbers_orders {
-            self.hear_answer(ticket, reply);
+            self.handle_command_reply(ticket, reply);
             return;
         }
         let Some(change) = self.changes.remove(&ticket) else { return };
         match reply {
-            OperationReply::Elsewhere(leader) => {
+            OperationReply::Redirect(leader) => {
                 let target = self.node_at(leader).map(|node| node.0);
-                if let Some(target) = target.filter(|_| change.tries < 3) {
-                    self.operate(target, change);
+                if let Some(target) = target.filter(|_| change.attempts < 3) {
+                    self.send_pending_change(target, change);
                 }
             }
             reply => {
-                let (status, body) = reply.into_own();
+                let (status, body) = reply.into_native_response();
                 let state = body["state"].as_str().unwrap_or("");
                 if status == 200 && matches!(state, "accepted" | "in_force") {
-                    let serial = Serial(body["serial"].as_u64().unwrap_or(0));
-                    self.checks.accepts(self.now, &change.change, change.base, serial);
-                } else if state == "not_accepted" && change.tries == 1 {
+                    let version = Version(body["serial"].as_u64().unwrap_or(0));
+                    self.checks.check_accepted(self.now, &change.change, change.base, version);
+                } else if state == "not_accepted" && change.attempts == 1 {
                     self.refused_changes.push(change.change.clone());
-                    self.checks.refuses(self.now, &change.change);
+                    self.checks.check_change_refused(self.now, &change.change);
                 }
-                self.counted(if status == 200 { "change accepted" } else { "change refused" });
+                self.count_event(if status == 200 { "change accepted" } else { "change refused" });
             }
         }
     }
@@ -149,13 +153,13 @@
     /// Refused changes must not be committed later either.
     pub(super) fn check_refused(&mut self) {
         for change in std::mem::take(&mut self.refused_changes) {
-            self.checks.refuses(self.now, &change);
+            self.checks.check_change_refused(self.now, &change);
         }
     }
 
     pub(super) fn schedule_change(&mut self) {
         let longest_span = self.plan.order_gap;
-        let wait_span = self.chance.within(longest_span / 10, longest_span);
+        let wait_span = self.rng.within(longest_span / 10, longest_span);
         self.push(wait_span, Event::Change);
     }
 }
--- a/testing/fleet/src/sim/drawn_orders.rs
+++ b/testing/fleet/src/sim/order_generator.rs
@@ -2,7 +2,7 @@
 
 use super::operator::spec;
 use crate::history::{Effect, Order};
-use common::chance::Chance;
+use common::rng::SeededRng;
 use controlplane::controller_state::{ChangeKind, ItemChange};
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
@@ -39,7 +39,7 @@
 }
 
 /// An order as an operator draws it, and what it asks of a controller.
-pub struct DrawnOrder {
+pub struct GeneratedOrder {
     /// For the history.
     pub order: Order,
     /// For the controller.
@@ -47,14 +47,14 @@
 }
 
 /// A number above the one it is built on, by an uneven step.
-pub fn draw_number(chance: &mut Chance, base: u64) -> u64 {
-    base + 1 + chance.below(LONGEST_STEP)
+pub fn generate_number(rng: &mut SeededRng, base: u64) -> u64 {
+    base + 1 + rng.below(LONGEST_STEP)
 }
 
 /// What an order is built on: the newest version that is known, or now and then an older one.
-pub fn draw_base(chance: &mut Chance, known_numbers: &[u64]) -> u64 {
+pub fn generate_base(rng: &mut SeededRng, known_numbers: &[u64]) -> u64 {
     let newest = known_numbers.last().copied().unwrap_or(0);
-    if chance.happens(OLD_BASE_SHARE) && known_numbers.len() > 1 {
+    if rng.random_bool(OLD_BASE_SHARE) && known_numbers.len() > 1 {
         known_numbers[known_numbers.len() - 2]
     } else {
         newest
@@ -62,15 +62,14 @@
 }
 
 /// An order with this number on this base; its label makes its content unlike any other.
-pub fn draw_order(chance: &mut Chance, number: u64, base: u64, label: u64) -> DrawnOrder {
-    let mistake = chance
-        .happens(INVALID_SHARE)
-        .then(|| MISTAKES[chance.below(MISTAKES.len() as u64) as usize]);
+pub fn generate_order(rng: &mut SeededRng, number: u64, base: u64, label: u64) -> GeneratedOrder {
+    let mistake =
+        rng.random_bool(INVALID_SHARE).then(|| MISTAKES[rng.below(MISTAKES.len() as u64) as usize]);
     let number = if matches!(mistake, Some(Mistake::LowNumber)) { base } else { number };
-    if mistake.is_none() && chance.happens(ITEMS_SHARE) {
-        return draw_items(chance, number, base, label);
+    if mistake.is_none() && rng.random_bool(ITEMS_SHARE) {
+        return generate_item_order(rng, number, base, label);
     }
-    let mut content = spec(chance.below(6));
+    let mut content = spec(rng.below(6));
     content["labels"] = json!({"order": label});
     match mistake {
         Some(Mistake::UnknownFunction) => {
@@ -83,17 +82,17 @@
     let effect = Effect::Replace(content.clone());
     let is_valid = mistake.is_none();
     let order = Order { number, base, effect, is_valid };
-    DrawnOrder { order, kind: ChangeKind::Whole(content.into()) }
+    GeneratedOrder { order, kind: ChangeKind::FullSpec(content.into()) }
 }
 
 /// The canary goes to another function.
-fn draw_items(chance: &mut Chance, number: u64, base: u64, label: u64) -> DrawnOrder {
-    let mut route = canary_route(&format!("f{}", chance.below(5)));
+fn generate_item_order(rng: &mut SeededRng, number: u64, base: u64, label: u64) -> GeneratedOrder {
+    let mut route = canary_route(&format!("f{}", rng.below(5)));
     route["labels"] = json!({"order": label});
     let item_name = ("routes".to_owned(), "canary".to_owned());
     let effect = Effect::Amend(BTreeMap::from([(item_name, Some(route.clone()))]));
     let put_routes = BTreeMap::from([("canary".to_owned(), route)]);
     let items = ItemChange { put_routes, ..ItemChange::default() };
     let order = Order { number, base, effect, is_valid: true };
-    DrawnOrder { order, kind: ChangeKind::Items(Box::new(items)) }
+    GeneratedOrder { order, kind: ChangeKind::Items(Box::new(items)) }
 }
--- a/testing/fleet/src/sim/plan.rs
+++ b/testing/fleet/src/sim/plan.rs
@@ -1,6 +1,6 @@
 //! What a simulated day is made of, and how it ended.
 
-use super::checks::Breach;
+use super::checks::SafetyViolation;
 use super::faults::SimFault;
 use super::flaw::Flaw;
 use super::recovery::RecoveryTimes;
@@ -31,11 +31,11 @@
     /// Whether the end of the script is judged.
     pub judges_script: bool,
     /// Whether the day ends as soon as the control side is back after its single loss.
-    pub ends_when_back: bool,
+    pub ends_when_recovered: bool,
     /// Whether operators send changes by chance.
     pub has_changes: bool,
     /// How long the day goes on after everything is mended.
-    pub closing: Duration,
+    pub settling: Duration,
     /// How many daemons.
     pub daemons: usize,
     /// Transactions a second.
@@ -45,7 +45,7 @@
     /// The rule broken on purpose.
     pub flaw: Flaw,
     /// The share of transactions whose identity is sent twice.
-    pub twins: f64,
+    pub duplicate_share: f64,
     /// The only faults of the day; all of them if none is named.
     pub focus: Vec<SimFault>,
     /// The longest time from one fault to the next.
@@ -53,7 +53,7 @@
     /// How daemons run what they hold.
     pub tuning: Tuning,
     /// Whether functions that boot long are sought before they are called.
-    pub seeks_warm: bool,
+    pub keeps_warm_functions: bool,
     /// Whether the zones lie in two regions, so that busy functions come to have holders in both.
     pub regional: bool,
     /// Whether callers give every try an identity of its own.
@@ -75,19 +75,19 @@
             script: Vec::new(),
             second_loss: None,
             judges_script: false,
-            ends_when_back: false,
+            ends_when_recovered: false,
             has_changes: true,
-            closing: Duration::from_secs(20),
+            settling: Duration::from_secs(20),
             lasts: Duration::from_secs(30),
             daemons: 5,
             rate: 40.0,
             has_faults: true,
             flaw: Flaw::None,
-            twins: 0.2,
+            duplicate_share: 0.2,
             focus: Vec::new(),
             gap: Duration::from_millis(3500),
             tuning: Tuning::default(),
-            seeks_warm: false,
+            keeps_warm_functions: false,
             regional: false,
             fresh_identities: false,
             numbers_orders: false,
@@ -102,17 +102,17 @@
 }
 
 /// How a simulated day ended.
-pub struct SimEnd {
+pub struct SimResult {
     /// What must never happen, and did.
-    pub breaches: Vec<Breach>,
+    pub violations: Vec<SafetyViolation>,
     /// Transactions and changes by how they ended.
     pub counts: BTreeMap<String, u64>,
     /// How often each check was made.
-    pub looked: BTreeMap<&'static str, u64>,
+    pub checked: BTreeMap<&'static str, u64>,
     /// Of the transactions called from 12 s after everything was mended, the share answered.
     pub share_after: f64,
     /// How long after everything was mended at least half of all calls were answered for good.
-    pub back_after: Duration,
+    pub recovered_after: Duration,
     /// How many steps of the control side were counted.
     pub steps: u64,
     /// What the plan's single loss cost in time, if everything came back.
@@ -123,20 +123,20 @@
     pub trace: Vec<String>,
 }
 
-impl fmt::Display for SimEnd {
+impl fmt::Display for SimResult {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         let counts: Vec<String> =
             self.counts.iter().map(|(label, count)| format!("{label} {count}")).collect();
-        let looked: Vec<String> =
-            self.looked.iter().map(|(label, count)| format!("{label} {count}")).collect();
+        let checked: Vec<String> =
+            self.checked.iter().map(|(label, count)| format!("{label} {count}")).collect();
         write!(
             out,
             "{} breaches; after mending {:.0}% answered, back in {} ms; {}; checks: {}",
-            self.breaches.len(),
+            self.violations.len(),
             self.share_after * 100.0,
-            self.back_after.as_millis(),
+            self.recovered_after.as_millis(),
             counts.join(", "),
-            looked.join(", ")
+            checked.join(", ")
         )
     }
 }
--- a/testing/fleet/src/sim/platform.rs
+++ b/testing/fleet/src/sim/platform.rs
@@ -1,13 +1,13 @@
 use super::event::Event;
 use super::network::Node;
-use super::world::World;
-use common::clock::Moment;
-use common::frames::{Life, Place};
+use super::simulation::Simulation;
+use common::adapter::{ListedRunner, ListedWorker, StartOutcome};
+use common::clock::MonotonicTime;
+use common::frames::{Instance, SocketAddress};
 use common::identity::{
-    FunctionKey, GrantSerial, LifeName, RunnerId, TransactionId, WorkerName, Zone,
+    FencingToken, FunctionKey, IdempotencyKey, InstanceId, RunnerId, WorkerName, Zone,
 };
 use common::spec::FunctionSpec;
-use common::tongue::{BeginEnd, ListedRunner, ListedWorker};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::time::Duration;
@@ -20,17 +20,17 @@
     /// Where it runs.
     pub worker: WorkerName,
     /// Its life, as the platform names it.
-    pub life: Life,
+    pub instance: Instance,
     /// When it is ready.
-    pub ready_at: Moment,
+    pub ready_at: MonotonicTime,
     /// What it is running, and for which grant.
-    pub running: BTreeMap<TransactionId, GrantSerial>,
+    pub running: BTreeMap<IdempotencyKey, FencingToken>,
     /// How many it may run.
     pub slots: u32,
     /// How many good answers it has sent.
     pub answered: u32,
     /// The last answer it sealed, with the names in the seal.
-    pub last_sealed: Option<(TransactionId, String, Vec<u8>)>,
+    pub last_sealed: Option<(IdempotencyKey, String, Vec<u8>)>,
 }
 
 /// A virtual platform: runners, late lists, stopped names that never start again, and addresses that
@@ -39,21 +39,21 @@
     /// The workers.
     pub workers: Vec<ListedWorker>,
     /// Since when workers are being drained.
-    pub draining_since: BTreeMap<WorkerName, Moment>,
+    pub draining_since: BTreeMap<WorkerName, MonotonicTime>,
     /// The runners alive.
     pub runners: BTreeMap<RunnerId, SimRunner>,
     /// The names that have ended.
     pub ended: BTreeSet<RunnerId>,
     /// How late the list of runners is.
-    pub lag: Duration,
-    listening: BTreeMap<Place, RunnerId>,
-    by_life: BTreeMap<LifeName, RunnerId>,
-    life_count: u64,
-    free_places: Vec<Place>,
-    place_count: u16,
+    pub list_delay: Duration,
+    listening: BTreeMap<SocketAddress, RunnerId>,
+    by_instance: BTreeMap<InstanceId, RunnerId>,
+    instance_count: u64,
+    free_addresses: Vec<SocketAddress>,
+    address_count: u16,
     /// Since when runners are about to leave.
-    pub leaving_since: BTreeMap<RunnerId, Moment>,
-    taken_lists: VecDeque<(Moment, Vec<ListedRunner>, Vec<ListedWorker>)>,
+    pub leaving_since: BTreeMap<RunnerId, MonotonicTime>,
+    listed_snapshots: VecDeque<(MonotonicTime, Vec<ListedRunner>, Vec<ListedWorker>)>,
 }
 
 impl SimPlatform {
@@ -72,24 +72,24 @@
             draining_since: BTreeMap::new(),
             runners: BTreeMap::new(),
             ended: BTreeSet::new(),
-            lag: Duration::from_millis(1000),
+            list_delay: Duration::from_millis(1000),
             listening: BTreeMap::new(),
-            by_life: BTreeMap::new(),
-            life_count: 0,
-            free_places: Vec::new(),
-            place_count: 0,
+            by_instance: BTreeMap::new(),
+            instance_count: 0,
+            free_addresses: Vec::new(),
+            address_count: 0,
             leaving_since: BTreeMap::new(),
-            taken_lists: VecDeque::new(),
+            listed_snapshots: VecDeque::new(),
         }
     }
 
     /// Takes a list as things stand.
-    pub fn take_list(&mut self, now: Moment) {
+    pub fn snapshot_lists(&mut self, now: MonotonicTime) {
         let listed = self
             .runners
             .iter()
             .map(|(runner, held)| ListedRunner {
-                life: held.life.clone(),
+                instance: held.instance.clone(),
                 runner: None,
                 function: held.function.name.clone(),
                 key: None,
@@ -97,19 +97,25 @@
                 leaving: self.leaving_since.contains_key(runner),
             })
             .collect();
-        self.taken_lists.push_back((now, listed, self.workers.clone()));
-        while self.taken_lists.len() > 1 && now.since(self.taken_lists[1].0) >= self.lag {
-            self.taken_lists.pop_front();
+        self.listed_snapshots.push_back((now, listed, self.workers.clone()));
+        while self.listed_snapshots.len() > 1
+            && now.since(self.listed_snapshots[1].0) >= self.list_delay
+        {
+            self.listed_snapshots.pop_front();
         }
     }
 
     /// The late lists with their age.
-    pub fn late_lists(&self, now: Moment) -> (Duration, Vec<ListedRunner>, Vec<ListedWorker>) {
-        self.taken_lists
-            .front()
-            .map_or((Duration::ZERO, Vec::new(), Vec::new()), |(taken_at, listed, workers)| {
-                (now.since(*taken_at), listed.clone(), workers.clone())
-            })
+    pub fn delayed_lists(
+        &self,
+        now: MonotonicTime,
+    ) -> (Duration, Vec<ListedRunner>, Vec<ListedWorker>) {
+        self.listed_snapshots.front().map_or(
+            (Duration::ZERO, Vec::new(), Vec::new()),
+            |(snapshot_at, listed, workers)| {
+                (now.since(*snapshot_at), listed.clone(), workers.clone())
+            },
+        )
     }
 
     /// The zone of a worker.
@@ -118,40 +124,41 @@
     }
 
     /// Who listens at a place.
-    pub fn at(&self, place: Place) -> Option<(RunnerId, &SimRunner)> {
-        let runner = *self.listening.get(&place)?;
+    pub fn at(&self, address: SocketAddress) -> Option<(RunnerId, &SimRunner)> {
+        let runner = *self.listening.get(&address)?;
         self.runners.get(&runner).map(|held| (runner, held))
     }
 
     /// Starts a runner under a key, unless that has ended; the same key finds the same life.
-    pub fn start(&mut self, runner: RunnerId, mut started: SimRunner) -> BeginEnd {
+    pub fn start(&mut self, runner: RunnerId, mut started: SimRunner) -> StartOutcome {
         if let Some(held) = self.runners.get(&runner) {
-            return BeginEnd::Begun(held.life.clone());
+            return StartOutcome::Started(held.instance.clone());
         }
         if self.ended.contains(&runner) {
-            return BeginEnd::Refused;
+            return StartOutcome::Rejected;
         }
         if self.zone_of(&started.worker).is_none() {
-            return BeginEnd::NoRoom;
+            return StartOutcome::NoCapacity;
         }
-        let place = self.free_places.pop().unwrap_or_else(|| {
-            self.place_count += 1;
-            Place(SocketAddrV4::new(Ipv4Addr::new(10, 0, 9, 1), self.place_count))
+        let address = self.free_addresses.pop().unwrap_or_else(|| {
+            self.address_count += 1;
+            SocketAddress(SocketAddrV4::new(Ipv4Addr::new(10, 0, 9, 1), self.address_count))
         });
-        self.life_count += 1;
-        let life = Life { name: format!("l{}.{runner}", self.life_count).into(), place };
-        started.life = life.clone();
-        self.listening.insert(place, runner);
-        self.by_life.insert(life.name.clone(), runner);
+        self.instance_count += 1;
+        let instance =
+            Instance { name: format!("l{}.{runner}", self.instance_count).into(), address };
+        started.instance = instance.clone();
+        self.listening.insert(address, runner);
+        self.by_instance.insert(instance.name.clone(), runner);
         self.runners.insert(runner, started);
-        BeginEnd::Begun(life)
+        StartOutcome::Started(instance)
     }
 
     /// Stops a life for good; without one, whatever the key has started or will.
-    pub fn stop_life(&mut self, runner: RunnerId, life: Option<&LifeName>) {
-        match life {
-            Some(life) => {
-                if let Some(key) = self.by_life.get(life).copied() {
+    pub fn stop_instance(&mut self, runner: RunnerId, instance: Option<&InstanceId>) {
+        match instance {
+            Some(instance) => {
+                if let Some(key) = self.by_instance.get(instance).copied() {
                     self.stop(key);
                 }
             }
@@ -163,8 +170,8 @@
     pub fn stop(&mut self, runner: RunnerId) {
         self.leaving_since.remove(&runner);
         if let Some(held) = self.runners.remove(&runner) {
-            self.listening.remove(&held.life.place);
-            self.free_places.push(held.life.place);
+            self.listening.remove(&held.instance.address);
+            self.free_addresses.push(held.instance.address);
         }
         self.ended.insert(runner);
     }
@@ -183,8 +190,8 @@
     }
 
     /// Begins to drain a worker.
-    pub fn drain(&mut self, now: Moment, place: usize) {
-        let listed = &mut self.workers[place];
+    pub fn drain(&mut self, now: MonotonicTime, index: usize) {
+        let listed = &mut self.workers[index];
         listed.draining = true;
         self.draining_since.entry(listed.worker.clone()).or_insert(now);
     }
@@ -198,43 +205,43 @@
 
 /// Who asked the platform for something.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub struct Asker {
+pub struct Requester {
     /// The node.
     pub node: Node,
     /// Its life.
-    pub life: u64,
+    pub instance: u64,
 }
 
-impl World {
+impl Simulation {
     /// An order to start reaches the platform; its answer may be lost, or the platform busy.
     pub(super) fn start_runner(
         &mut self,
-        asker: Asker,
+        requester: Requester,
         function: FunctionKey,
         runner: RunnerId,
         worker: WorkerName,
         spec: &FunctionSpec,
     ) {
-        let is_busy = self.chance.happens(0.02);
-        let is_answer_lost = self.chance.happens(0.02);
+        let is_busy = self.rng.random_bool(0.02);
+        let is_answer_lost = self.rng.random_bool(0.02);
         let is_known =
             self.platform.ended.contains(&runner) || self.platform.runners.contains_key(&runner);
         let end = if is_busy {
-            BeginEnd::Busy
+            StartOutcome::Busy
         } else {
             if !is_known {
                 let alive = self
                     .platform
                     .runners
                     .iter()
-                    .map(|(key, held)| (key, &held.function, &held.life));
-                self.checks.starts_alone(self.now, &function, runner.grant, alive);
+                    .map(|(key, held)| (key, &held.function, &held.instance));
+                self.checks.check_sole_start(self.now, &function, runner.fencing_token, alive);
             }
             let started = SimRunner {
                 function: function.clone(),
                 worker,
-                life: Life { name: "".into(), place: Place::NOWHERE },
-                ready_at: self.now + spec.boot,
+                instance: Instance { name: "".into(), address: SocketAddress::UNSPECIFIED },
+                ready_at: self.now + spec.startup,
                 running: Default::default(),
                 slots: spec.slots,
                 answered: 0,
@@ -242,8 +249,8 @@
             };
             self.platform.start(runner, started)
         };
-        let end = if is_answer_lost { BeginEnd::Lost } else { end };
-        let delay = self.network.delay(&mut self.chance);
-        self.push(delay, Event::Started(asker, function, runner, end));
+        let end = if is_answer_lost { StartOutcome::Lost } else { end };
+        let delay = self.network.delay(&mut self.rng);
+        self.push(delay, Event::Started(requester, function, runner, end));
     }
 }
--- a/testing/fleet/src/sim/recovery.rs
+++ b/testing/fleet/src/sim/recovery.rs
@@ -3,8 +3,8 @@
 
 use super::plan::SimPlan;
 use super::script::{Action, Loss, Target};
-use super::world::World;
-use common::clock::Moment;
+use super::simulation::Simulation;
+use common::clock::MonotonicTime;
 use std::collections::BTreeMap;
 use std::fmt;
 use std::time::Duration;
@@ -12,26 +12,26 @@
 /// When the loss happened, and what has come back since.
 #[derive(Default)]
 pub(super) struct RecoveryClock {
-    started_at: Option<Moment>,
+    started_at: Option<MonotonicTime>,
     acknowledged_after: Option<Duration>,
     renewed_after: BTreeMap<usize, Duration>,
 }
 
 impl RecoveryClock {
     /// The loss happens now.
-    pub fn start(&mut self, now: Moment) {
+    pub fn start(&mut self, now: MonotonicTime) {
         self.started_at = Some(now);
     }
 
     /// An order was acknowledged.
-    pub fn acknowledged(&mut self, now: Moment) {
+    pub fn acknowledged(&mut self, now: MonotonicTime) {
         if let Some(started_at) = self.started_at {
             self.acknowledged_after.get_or_insert(now.since(started_at));
         }
     }
 
     /// A daemon's session lease was renewed.
-    pub fn renewed(&mut self, now: Moment, daemon: usize) {
+    pub fn renewed(&mut self, now: MonotonicTime, daemon: usize) {
         if let Some(started_at) = self.started_at {
             self.renewed_after.entry(daemon).or_insert(now.since(started_at));
         }
@@ -77,26 +77,28 @@
     SingleLoss { target: Target::Leader, loss: Loss::Killed, name: "leader killed" },
     SingleLoss { target: Target::Leader, loss: Loss::PowerLost, name: "leader without power" },
     SingleLoss { target: Target::Leader, loss: Loss::Frozen, name: "leader frozen" },
-    SingleLoss { target: Target::Leader, loss: Loss::CutOff, name: "leader cut off" },
+    SingleLoss { target: Target::Leader, loss: Loss::Isolation, name: "leader cut off" },
     SingleLoss { target: Target::Leader, loss: Loss::Replaced, name: "leader replaced" },
     SingleLoss { target: Target::Follower, loss: Loss::Killed, name: "follower killed" },
-    SingleLoss { target: Target::Follower, loss: Loss::CutOff, name: "follower cut off" },
+    SingleLoss { target: Target::Follower, loss: Loss::Isolation, name: "follower cut off" },
     SingleLoss { target: Target::Follower, loss: Loss::Replaced, name: "follower replaced" },
 ];
 
-const LOSS_AT: Duration = Duration::from_secs(5);
+const LOSS_STARTS_AT: Duration = Duration::from_secs(5);
 const MEASURED_FOR: Duration = Duration::from_secs(10);
-const ORDER_EVERY: Duration = Duration::from_millis(40);
+const ORDER_INTERVAL: Duration = Duration::from_millis(40);
 
 impl SingleLoss {
     /// The day of a seed: the loss, and orders in quick succession after it.
     pub fn plan(&self, seed: u64, controllers: usize, voters: usize) -> SimPlan {
         let jitter = Duration::from_millis(seed.wrapping_mul(7919) % 1000);
-        let loss_at = LOSS_AT + jitter;
-        let mut script =
-            vec![(loss_at, Action::Lose(self.target, self.loss)), (loss_at, Action::StartClock)];
-        let order_count = (MEASURED_FOR.as_millis() / ORDER_EVERY.as_millis()) as u32;
-        let orders = (0..order_count).map(|turn| (loss_at + ORDER_EVERY * turn, Action::Change));
+        let loss_at = LOSS_STARTS_AT + jitter;
+        let mut script = vec![
+            (loss_at, Action::Lose(self.target, self.loss)),
+            (loss_at, Action::StartRecoveryClock),
+        ];
+        let order_count = (MEASURED_FOR.as_millis() / ORDER_INTERVAL.as_millis()) as u32;
+        let orders = (0..order_count).map(|turn| (loss_at + ORDER_INTERVAL * turn, Action::Change));
         script.extend(orders);
         SimPlan {
             script,
@@ -104,18 +106,18 @@
             voters,
             founders: voters,
             has_faults: false,
-            ends_when_back: true,
+            ends_when_recovered: true,
             has_changes: false,
             rate: 2.0,
             lasts: loss_at + MEASURED_FOR,
-            closing: Duration::ZERO,
+            settling: Duration::ZERO,
             ..SimPlan::seeded(seed)
         }
     }
 
     /// What one seed shows; nothing if something did not come back.
     pub fn measure(&self, seed: u64, controllers: usize, voters: usize) -> Option<RecoveryTimes> {
-        World::new(self.plan(seed, controllers, voters), false).run().recovery
+        Simulation::new(self.plan(seed, controllers, voters), false).run().recovery
     }
 }
 
--- a/testing/fleet/src/sim/runners.rs
+++ b/testing/fleet/src/sim/runners.rs
@@ -1,218 +1,237 @@
 use super::event::Event;
-use super::platform::Asker;
-use super::world::World;
-use common::frames::Place;
-use common::identity::{FunctionKey, GrantSerial, RunnerId, Ticket, TransactionId};
+use super::platform::Requester;
+use super::simulation::Simulation;
+use common::adapter::{RunnerResponse, SealKind};
+use common::frames::SocketAddress;
+use common::identity::{FencingToken, FunctionKey, IdempotencyKey, RunnerId, Ticket};
 use common::seal;
-use common::tongue::{RunnerSaid, SealKind};
-use dataplane::agent::{Held, RunnerCall, judge};
-use dataplane::holder::SendEnd;
+use dataplane::agent::{HeldFunction, RunnerAttempt, verify_response};
+use dataplane::holder::SendResult;
 use std::sync::Arc;
 use std::time::Duration;
 
 /// One transaction on a runner, and where its end goes back to.
 #[derive(Clone)]
 pub(super) struct SimRun {
-    pub asker: Asker,
+    pub requester: Requester,
     pub function: FunctionKey,
-    pub grant: GrantSerial,
+    pub fencing_token: FencingToken,
     pub ticket: Ticket,
-    pub asked_runner: RunnerId,
-    pub call: RunnerCall,
+    pub target_runner: RunnerId,
+    pub call: RunnerAttempt,
 }
 
 /// What becomes of a runner's answer on its way.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-enum Mishap {
+enum RunnerFault {
     None,
     Lost,
     BrokenEarly,
     WrongByte,
     Short,
     Foreign,
-    Shed,
+    Rejected,
 }
 
-impl World {
+impl Simulation {
     pub(super) fn send_to_runner(
         &mut self,
-        place: usize,
-        held: &Arc<Held<u64>>,
+        index: usize,
+        held: &Arc<HeldFunction<u64>>,
         ticket: Ticket,
         runner: RunnerId,
-        runner_place: Place,
+        runner_address: SocketAddress,
         attempt: u32,
     ) {
-        let asker = Asker { node: self.daemons[place].node, life: self.daemons[place].life };
-        let local_now = self.daemon_now(place);
-        let Some(agent) = self.agent(place) else { return };
-        let (function, grant) = (held.function.clone(), held.grant);
-        let Some(target) = held.send_target(runner) else {
-            let ended = Event::SendEnded(asker, function, ticket, grant, SendEnd::Unsent);
+        let requester =
+            Requester { node: self.daemons[index].node, instance: self.daemons[index].instance };
+        let local_now = self.daemon_now(index);
+        let Some(agent) = self.agent(index) else { return };
+        let (function, fencing_token) = (held.function.clone(), held.fencing_token);
+        let Some(target) = held.runner_target(runner) else {
+            let ended =
+                Event::SendEnded(requester, function, ticket, fencing_token, SendResult::Unsent);
             self.push(Duration::from_micros(1), ended);
             return;
         };
         let call = held
-            .task(ticket)
-            .ok_or(common::frames::HopReason::NotServing)
-            .and_then(|task| agent.runner_call(local_now, held, &task, runner, attempt));
+            .holder_request(ticket)
+            .ok_or(common::frames::RequestFailureReason::NotServing)
+            .and_then(|holder_request| {
+                agent.runner_attempt(local_now, held, &holder_request, runner, attempt)
+            });
         match call {
             Ok(call) => {
-                agent.check_sent(local_now);
-                if !self.is_daemon_serving(place) {
-                    let transaction = &call.transaction;
+                agent.check_sent_under_lease(local_now);
+                if !self.is_daemon_serving(index) {
+                    let idempotency_key = &call.idempotency_key;
                     let what =
-                        format!("daemon {place} sends {transaction} outside its member grant");
-                    self.checks.breach(self.now, what);
+                        format!("daemon {index} sends {idempotency_key} outside its member grant");
+                    self.checks.report_violation(self.now, what);
                 }
-                let before = self.checks.sends(&target.life, place, grant);
-                if let Some((other, other_grant)) = before
-                    && self.is_live_holder(other, &function, other_grant)
+                let before = self.checks.check_send(&target.instance, index, fencing_token);
+                if let Some((other, other_lease)) = before
+                    && self.is_live_holder(other, &function, other_lease)
                 {
                     let what = format!(
-                        "daemon {place} under {grant} and daemon {other} under {other_grant} send to \
+                        "daemon {index} under {fencing_token} and daemon {other} under {other_lease} send to \
                          the same life of {function}"
                     );
-                    self.checks.breach(self.now, what);
+                    self.checks.report_violation(self.now, what);
                 }
-                let asked_runner = target.face;
-                let run = SimRun { asker, function, grant, ticket, asked_runner, call };
-                let delay = self.long_delay();
-                self.push(delay, Event::Run(runner_place, run));
+                let target_runner = target.self_reported_id;
+                let run =
+                    SimRun { requester, function, fencing_token, ticket, target_runner, call };
+                let delay = self.occasionally_long_delay();
+                self.push(delay, Event::Run(runner_address, run));
             }
             Err(reason) => {
-                let end = SendEnd::Barred(reason);
+                let end = SendResult::Forbidden(reason);
                 let delay = Duration::from_micros(1);
-                self.push(delay, Event::SendEnded(asker, function, ticket, grant, end));
+                self.push(delay, Event::SendEnded(requester, function, ticket, fencing_token, end));
             }
         }
     }
 
     /// A send reaches whoever listens at a place now.
-    pub(super) fn begin_run(&mut self, runner_place: Place, run: SimRun) {
-        let Some((runner, held)) = self.platform.at(runner_place) else {
-            let end = if self.chance.happens(0.8) { SendEnd::Unsent } else { SendEnd::Lost };
+    pub(super) fn begin_run(&mut self, runner_address: SocketAddress, run: SimRun) {
+        let Some((runner, held)) = self.platform.at(runner_address) else {
+            let end = if self.rng.random_bool(0.8) { SendResult::Unsent } else { SendResult::Lost };
             self.end_send(&run, end);
             return;
         };
-        if run.call.runner.is_some() && run.asked_runner != runner {
-            self.counted("another runner at the address");
-            self.end_send(&run, SendEnd::Lost);
+        if run.call.runner.is_some() && run.target_runner != runner {
+            self.count_event("another runner at the address");
+            self.end_send(&run, SendResult::Lost);
             return;
         }
-        let transaction = run.call.transaction.clone();
+        let idempotency_key = run.call.idempotency_key.clone();
         let (function, worker, slots) = (held.function.clone(), held.worker.clone(), held.slots);
         let (ready_at, answered) = (held.ready_at, held.answered);
         let Some(held) = self.platform.runners.get_mut(&runner) else { return };
-        let own_count = held.running.values().filter(|grant| **grant == run.grant).count() as u32;
+        let own_count = held
+            .running
+            .values()
+            .filter(|fencing_token| **fencing_token == run.fencing_token)
+            .count() as u32;
         if held.running.len() as u32 >= slots && own_count < slots {
-            self.counted("refused beside an earlier holder's");
-            self.shed_by_runner(&run, runner, &transaction);
+            self.count_event("refused beside an earlier holder's");
+            self.reject_by_runner(&run, runner, &idempotency_key);
             return;
         }
-        held.running.insert(transaction.clone(), run.grant);
+        held.running.insert(idempotency_key.clone(), run.fencing_token);
         let running_count = own_count + 1;
-        let is_adopted = runner.grant != run.grant;
+        let is_adopted = runner.fencing_token != run.fencing_token;
         let answered = if is_adopted { answered.max((slots / 2).max(1) - 1) } else { answered };
-        self.traced(|now| {
-            let daemon = run.asker.node.daemon_place();
-            format!("{now} run {transaction} on {runner} for daemon {daemon}")
+        self.trace_line(|now| {
+            let daemon = run.requester.node.daemon_index();
+            format!("{now} run {idempotency_key} on {runner} for daemon {daemon}")
         });
-        self.checks.bears(self.now, runner, running_count, slots, answered, ready_at);
+        self.checks.check_slots(self.now, runner, running_count, slots, answered, ready_at);
         let since = self.platform.draining_since.get(&worker).copied();
-        self.checks.not_drained(self.now, &worker, since);
+        self.checks.check_not_draining(self.now, &worker, since);
         let leaves_since = self.platform.leaving_since.get(&runner).copied();
-        self.checks.not_leaving(self.now, runner, leaves_since);
+        self.checks.check_not_leaving(self.now, runner, leaves_since);
         let worker_zone = self.platform.zone_of(&worker).cloned();
-        let daemon_zone = World::zone(run.asker.node.daemon_place());
+        let daemon_zone = Simulation::zone(run.requester.node.daemon_index());
         for zone in worker_zone.into_iter().chain([daemon_zone]) {
-            self.checks.not_evacuated(self.now, &zone);
+            self.checks.check_not_evacuated(self.now, &zone);
         }
-        self.checks.runs(self.now, &transaction, run.call.attempt, &function, run.grant);
-        let mishap = self.mishap();
-        if mishap == Mishap::BrokenEarly {
-            self.end_send(&run, SendEnd::Lost);
+        self.checks.runs(
+            self.now,
+            &idempotency_key,
+            run.call.attempt,
+            &function,
+            run.fencing_token,
+        );
+        let drawn_fault = self.drawn_fault();
+        if drawn_fault == RunnerFault::BrokenEarly {
+            self.end_send(&run, SendResult::Lost);
         }
-        let is_long = mishap == Mishap::BrokenEarly;
+        let is_long = drawn_fault == RunnerFault::BrokenEarly;
         let (shortest, longest) = if is_long { (200, 700) } else { (5, 60) };
-        let work =
-            self.chance.within(Duration::from_millis(shortest), Duration::from_millis(longest));
-        if mishap == Mishap::Shed {
-            self.checks.did_not_run(&transaction);
-            self.shed_by_runner(&run, runner, &transaction);
+        let work = self.rng.within(Duration::from_millis(shortest), Duration::from_millis(longest));
+        if drawn_fault == RunnerFault::Rejected {
+            self.checks.did_not_run(&idempotency_key);
+            self.reject_by_runner(&run, runner, &idempotency_key);
             if let Some(held) = self.platform.runners.get_mut(&runner) {
-                held.running.remove(&transaction);
+                held.running.remove(&idempotency_key);
             }
             return;
         }
-        let spoils = mishap as u8;
-        self.push(work, Event::RunDone(runner, run, spoils));
+        let fault_code = drawn_fault as u8;
+        self.push(work, Event::RunDone(runner, run, fault_code));
     }
 
-    fn shed_by_runner(&mut self, run: &SimRun, runner: RunnerId, transaction: &TransactionId) {
+    fn reject_by_runner(
+        &mut self,
+        run: &SimRun,
+        runner: RunnerId,
+        idempotency_key: &IdempotencyKey,
+    ) {
         let answer_body = b"no".to_vec();
-        let answer_seal = seal::seal(transaction, &run.function, runner, true, &answer_body);
-        self.answer_send(run, runner, transaction, answer_seal, true, answer_body);
+        let answer_seal = seal::seal(idempotency_key, &run.function, runner, true, &answer_body);
+        self.answer_send(run, runner, idempotency_key, answer_seal, true, answer_body);
     }
 
-    fn mishap(&mut self) -> Mishap {
-        if !self.chance.happens(self.mischief) {
-            return Mishap::None;
+    fn drawn_fault(&mut self) -> RunnerFault {
+        if !self.rng.random_bool(self.runner_fault_rate) {
+            return RunnerFault::None;
         }
         let all = [
-            Mishap::Lost,
-            Mishap::Lost,
-            Mishap::BrokenEarly,
-            Mishap::WrongByte,
-            Mishap::Short,
-            Mishap::Foreign,
-            Mishap::Shed,
+            RunnerFault::Lost,
+            RunnerFault::Lost,
+            RunnerFault::BrokenEarly,
+            RunnerFault::WrongByte,
+            RunnerFault::Short,
+            RunnerFault::Foreign,
+            RunnerFault::Rejected,
         ];
-        all[self.chance.below(all.len() as u64) as usize]
+        all[self.rng.below(all.len() as u64) as usize]
     }
 
-    pub(super) fn run_done(&mut self, runner: RunnerId, run: SimRun, spoils: u8) {
-        let transaction = run.call.transaction.clone();
+    pub(super) fn run_done(&mut self, runner: RunnerId, run: SimRun, fault_code: u8) {
+        let idempotency_key = run.call.idempotency_key.clone();
         let Some(held) = self.platform.runners.get_mut(&runner) else {
-            if spoils != Mishap::BrokenEarly as u8 {
-                self.end_send(&run, SendEnd::Lost);
+            if fault_code != RunnerFault::BrokenEarly as u8 {
+                self.end_send(&run, SendResult::Lost);
             }
             return;
         };
-        held.running.remove(&transaction);
-        let mut answer_body = self.checks.body_of(&transaction, runner);
+        held.running.remove(&idempotency_key);
+        let mut answer_body = self.checks.make_body(&idempotency_key, runner);
         let function = held.function.clone();
-        let mut answer_seal = seal::seal(&transaction, &function, runner, false, &answer_body);
-        let mut sealed_name = transaction.clone();
+        let mut answer_seal = seal::seal(&idempotency_key, &function, runner, false, &answer_body);
+        let mut sealed_name = idempotency_key.clone();
         let last_sealed = held.last_sealed.replace((
-            transaction.clone(),
+            idempotency_key.clone(),
             answer_seal.clone(),
             answer_body.clone(),
         ));
-        if spoils == Mishap::BrokenEarly as u8 {
+        if fault_code == RunnerFault::BrokenEarly as u8 {
             return;
         }
-        if spoils == Mishap::Lost as u8 {
-            self.end_send(&run, SendEnd::Lost);
+        if fault_code == RunnerFault::Lost as u8 {
+            self.end_send(&run, SendResult::Lost);
             return;
         }
-        if spoils == Mishap::WrongByte as u8
+        if fault_code == RunnerFault::WrongByte as u8
             && let Some(byte) = answer_body.first_mut()
         {
             *byte ^= 1;
         }
-        if spoils == Mishap::Short as u8 {
+        if fault_code == RunnerFault::Short as u8 {
             answer_body.pop();
         }
-        if spoils == Mishap::Foreign as u8
+        if fault_code == RunnerFault::Foreign as u8
             && let Some((other_name, other_seal, other_body)) = last_sealed
         {
             (sealed_name, answer_seal, answer_body) = (other_name, other_seal, other_body);
         }
-        let is_good = spoils == Mishap::None as u8 || sealed_name == transaction;
+        let is_good = fault_code == RunnerFault::None as u8 || sealed_name == idempotency_key;
         if is_good
-            && spoils != Mishap::WrongByte as u8
-            && spoils != Mishap::Short as u8
+            && fault_code != RunnerFault::WrongByte as u8
+            && fault_code != RunnerFault::Short as u8
             && let Some(held) = self.platform.runners.get_mut(&runner)
         {
             held.answered += 1;
@@ -225,9 +244,9 @@
         &mut self,
         run: &SimRun,
         runner: RunnerId,
-        sealed_name: &TransactionId,
+        sealed_name: &IdempotencyKey,
         answer_seal: String,
-        is_shed: bool,
+        is_rejection: bool,
         body: Vec<u8>,
     ) {
         let function = self
@@ -235,33 +254,36 @@
             .runners
             .get(&runner)
             .map_or(run.function.to_string(), |held| held.function.to_string());
-        let said = RunnerSaid {
+        let response = RunnerResponse {
             status: 200,
-            transaction: sealed_name.to_string(),
+            idempotency_key: sealed_name.to_string(),
             function: Some(function),
             runner: Some(runner.to_string()),
             seal: answer_seal,
             seal_kind: SealKind::Digest,
-            did_not_run: is_shed,
-            is_other: false,
-            is_doubtful: false,
-            closes: false,
-            lines: Vec::new(),
+            did_not_run: is_rejection,
+            is_other_runner: false,
+            is_unreliable: false,
+            closes_connection: false,
+            header_fields: Vec::new(),
             body: body.into(),
         };
         let rules = self.plan.rules();
-        let asked = &run.call.transaction;
-        let end = judge(rules, asked, &run.function, run.asked_runner, said);
+        let asked = &run.call.idempotency_key;
+        let end = verify_response(rules, asked, &run.function, run.target_runner, response);
         self.end_send(run, end);
     }
 
-    fn end_send(&mut self, run: &SimRun, end: SendEnd) {
-        let delay = self.network.delay(&mut self.chance);
+    fn end_send(&mut self, run: &SimRun, end: SendResult) {
+        let delay = self.network.delay(&mut self.rng);
         let function = run.function.clone();
-        self.push(delay, Event::SendEnded(run.asker, function, run.ticket, run.grant, end));
+        self.push(
+            delay,
+            Event::SendEnded(run.requester, function, run.ticket, run.fencing_token, end),
+        );
     }
 
-    pub(super) fn traced(&mut self, line: impl FnOnce(common::clock::Moment) -> String) {
+    pub(super) fn trace_line(&mut self, line: impl FnOnce(common::clock::MonotonicTime) -> String) {
         if self.is_tracing {
             let line = line(self.now);
             self.trace.push(line);
--- a/testing/fleet/src/sim/scenario/cut_off.rs
+++ b/testing/fleet/src/sim/scenario/cut_off.rs
@@ -7,17 +7,17 @@
 
 const CUT_AT: Duration = Duration::from_secs(5);
 const CUT_LASTS: Duration = Duration::from_secs(20);
-const CHANGE_EVERY: Duration = Duration::from_millis(400);
+const CHANGE_INTERVAL: Duration = Duration::from_millis(400);
 /// How long a change of leaders takes at most, and how often operators ask in that time.
-const TURNOVER: Duration = Duration::from_millis(1500);
-const TURNOVER_EVERY: Duration = Duration::from_millis(20);
-const READ_EVERY: Duration = Duration::from_millis(150);
-const EVACUATION_EVERY: Duration = Duration::from_secs(5);
+const CHANGE_BURST_LENGTH: Duration = Duration::from_millis(1500);
+const CHANGE_BURST_INTERVAL: Duration = Duration::from_millis(20);
+const READ_INTERVAL: Duration = Duration::from_millis(150);
+const EVACUATION_INTERVAL: Duration = Duration::from_secs(5);
 
 /// How the cut-off controller comes back.
 #[derive(Clone, Copy)]
-enum Return {
-    Rejoined,
+enum VictimReturn {
+    Reconnected,
     Woken,
     Restarted,
     Replaced,
@@ -30,48 +30,54 @@
     let directions = [Direction::Both, Direction::Both, Direction::Outgoing, Direction::Incoming];
     let target = script.one_of(&targets);
     let direction = script.one_of(&directions);
-    let back =
-        script.one_of(&[Return::Rejoined, Return::Woken, Return::Restarted, Return::Replaced]);
-    let back_at = CUT_AT + CUT_LASTS;
+    let victim_return = script.one_of(&[
+        VictimReturn::Reconnected,
+        VictimReturn::Woken,
+        VictimReturn::Restarted,
+        VictimReturn::Replaced,
+    ]);
+    let returns_at = CUT_AT + CUT_LASTS;
     script.at(CUT_AT, Action::Cut(target, direction));
-    match back {
-        Return::Rejoined => script.at(back_at, Action::Rejoin),
-        Return::Woken => {
+    match victim_return {
+        VictimReturn::Reconnected => script.at(returns_at, Action::Rejoin),
+        VictimReturn::Woken => {
             let frozen_at = script.one_of(&[CUT_AT, CUT_AT + CUT_LASTS / 2]);
             script.at(frozen_at, Action::Lose(Target::Victim, Loss::Frozen));
-            script.at(back_at, Action::Rejoin);
+            script.at(returns_at, Action::Rejoin);
         }
-        Return::Restarted => {
-            script.at(back_at, Action::Restart);
-            script.at(back_at, Action::Rejoin);
+        VictimReturn::Restarted => {
+            script.at(returns_at, Action::Restart);
+            script.at(returns_at, Action::Rejoin);
         }
-        Return::Replaced => {
-            script.at(back_at, Action::ReplaceVictim);
-            script.at(back_at, Action::Rejoin);
+        VictimReturn::Replaced => {
+            script.at(returns_at, Action::ReplaceVictim);
+            script.at(returns_at, Action::Rejoin);
         }
     }
-    add_operators(&mut script, back_at);
-    script.plan(seed, QuorumSize::of_seed(seed), back_at + Duration::from_secs(2))
+    add_operators(&mut script, returns_at);
+    script.plan(seed, QuorumSize::of_seed(seed), returns_at + Duration::from_secs(2))
 }
 
 /// Changes that race, readings on either side, and evacuations.
-fn add_operators(script: &mut ScriptBuilder, back_at: Duration) {
+fn add_operators(script: &mut ScriptBuilder, returns_at: Duration) {
     let from = Duration::from_secs(2);
-    let until = back_at + Duration::from_secs(2);
-    script.repeat(from, until, CHANGE_EVERY, |_| Action::Change);
+    let until = returns_at + Duration::from_secs(2);
+    script.repeat(from, until, CHANGE_INTERVAL, |_| Action::Change);
     // While a new leader is elected and the old one does not know yet.
-    script.repeat(CUT_AT, CUT_AT + TURNOVER, TURNOVER_EVERY, |_| Action::Change);
-    script.repeat(CUT_AT, CUT_AT + TURNOVER, TURNOVER_EVERY, |_| Action::Read(Target::Victim));
-    script.repeat(from, until, READ_EVERY, |chance| {
-        let at_the_victim = chance.happens(0.5);
+    script.repeat(CUT_AT, CUT_AT + CHANGE_BURST_LENGTH, CHANGE_BURST_INTERVAL, |_| Action::Change);
+    script.repeat(CUT_AT, CUT_AT + CHANGE_BURST_LENGTH, CHANGE_BURST_INTERVAL, |_| {
+        Action::Read(Target::Victim)
+    });
+    script.repeat(from, until, READ_INTERVAL, |rng| {
+        let at_the_victim = rng.random_bool(0.5);
         Action::Read(if at_the_victim { Target::Victim } else { Target::Any })
     });
     let mut zone = 0;
     let mut is_evacuated = false;
-    script.repeat(from, until, EVACUATION_EVERY, |chance| {
+    script.repeat(from, until, EVACUATION_INTERVAL, |rng| {
         is_evacuated = !is_evacuated;
         if is_evacuated {
-            zone = chance.below(3) as usize;
+            zone = rng.below(3) as usize;
             Action::Evacuate(zone)
         } else {
             Action::Restore(zone)
--- /dev/null
+++ b/testing/fleet/src/sim/scenario/detection_cases.rs
@@ -0,0 +1,67 @@
+//! The rules of the control side, each taken away and found by a scripted day.
+
+use super::Scenario;
+use crate::sim::flaw::Flaw;
+use crate::sim::plan::SimPlan;
+use crate::sim::simulation::Simulation;
+use common::rules::Rule;
+use std::fmt;
+
+/// One rule, the days that try it, and what is seen without it.
+pub struct ScenarioDetectionCase {
+    /// The days.
+    pub scenario: Scenario,
+    /// What is broken on purpose.
+    pub flaw: Flaw,
+    /// What the breach that is looked for says.
+    pub expected_violation: &'static str,
+}
+
+/// How many seeds find a flaw at the latest.
+pub const SEEDS_TO_FIND: u64 = 50;
+
+impl ScenarioDetectionCase {
+    /// The first seed whose day shows the flaw, and what was seen.
+    pub fn find(&self, most_seeds: u64) -> Option<(u64, String)> {
+        (1..=most_seeds).find_map(|seed| {
+            let plan = SimPlan { flaw: self.flaw, ..self.scenario.plan(seed) };
+            let violations = Simulation::new(plan, false).run().violations;
+            let seen = violations
+                .into_iter()
+                .find(|violation| violation.what.contains(self.expected_violation))?;
+            Some((seed, seen.what))
+        })
+    }
+}
+
+impl fmt::Display for ScenarioDetectionCase {
+    fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(out, "{} ({})", self.scenario, self.flaw)
+    }
+}
+
+const fn rule(
+    scenario: Scenario,
+    rule: Rule,
+    expected_violation: &'static str,
+) -> ScenarioDetectionCase {
+    ScenarioDetectionCase { scenario, flaw: Flaw::Without(rule), expected_violation }
+}
+
+const fn case_with_flaw(
+    scenario: Scenario,
+    flaw: Flaw,
+    expected_violation: &'static str,
+) -> ScenarioDetectionCase {
+    ScenarioDetectionCase { scenario, flaw, expected_violation }
+}
+
+/// The proofs by scripted days.
+pub const SCENARIO_DETECTION_CASES: &[ScenarioDetectionCase] = &[
+    rule(Scenario::Isolation, Rule::ReadConfirmedByMajority, "reads"),
+    rule(Scenario::Isolation, Rule::LeaderHintIsRecent, "names"),
+    rule(Scenario::Isolation, Rule::StaleBaseRejected, "both accepted"),
+    case_with_flaw(Scenario::Isolation, Flaw::QuorumOfOne, "acknowledged before"),
+    case_with_flaw(Scenario::SecondLoss, Flaw::QuorumOfOne, "commit was lost"),
+    case_with_flaw(Scenario::PowerLoss, Flaw::SyncSkipped, "acknowledged before"),
+];
--- a/testing/fleet/src/sim/scenario/many_changes.rs
+++ b/testing/fleet/src/sim/scenario/many_changes.rs
@@ -7,19 +7,19 @@
 
 /// How many changes a day has: more than the notes of orders and numbers that are kept.
 const CHANGES: u32 = 700;
-const CHANGE_EVERY: Duration = Duration::from_millis(40);
+const CHANGE_INTERVAL: Duration = Duration::from_millis(40);
 const FIRST_CHANGE_AT: Duration = Duration::from_secs(3);
-const READ_EVERY: Duration = Duration::from_millis(300);
+const READ_INTERVAL: Duration = Duration::from_millis(300);
 /// Functions beyond the usual ones, so that the configuration is large.
 const FUNCTIONS: u64 = 24;
 
 /// How a member misses changes.
 #[derive(Clone, Copy)]
-enum Absence {
+enum AbsenceKind {
     /// It is away for all of them.
-    Whole,
+    AllChanges,
     /// It is back in the middle.
-    Half,
+    HalfOfChanges,
     /// It is back in the middle with an empty disk.
     Wiped,
     /// It is back after all of them, and the leader goes right then.
@@ -30,29 +30,33 @@
 pub fn plan(seed: u64) -> SimPlan {
     let mut script = ScriptBuilder::seeded(seed);
     let size = QuorumSize::of_seed(seed);
-    let changes_end = FIRST_CHANGE_AT + CHANGE_EVERY * CHANGES;
-    let middle = FIRST_CHANGE_AT + CHANGE_EVERY * CHANGES / 2;
+    let changes_end = FIRST_CHANGE_AT + CHANGE_INTERVAL * CHANGES;
+    let middle = FIRST_CHANGE_AT + CHANGE_INTERVAL * CHANGES / 2;
     for turn in 0..CHANGES {
-        script.at(FIRST_CHANGE_AT + CHANGE_EVERY * turn, Action::LargeChange(FUNCTIONS));
+        script.at(FIRST_CHANGE_AT + CHANGE_INTERVAL * turn, Action::LargeChange(FUNCTIONS));
     }
-    let absence =
-        script.one_of(&[Absence::Whole, Absence::Half, Absence::Wiped, Absence::ElectedOnReturn]);
-    let (loss, back_at) = match absence {
-        Absence::Whole | Absence::ElectedOnReturn => (Loss::PowerLost, changes_end),
-        Absence::Half => (Loss::PowerLost, middle),
-        Absence::Wiped => (Loss::Wiped, middle),
+    let absence_kind = script.one_of(&[
+        AbsenceKind::AllChanges,
+        AbsenceKind::HalfOfChanges,
+        AbsenceKind::Wiped,
+        AbsenceKind::ElectedOnReturn,
+    ]);
+    let (loss, returns_at) = match absence_kind {
+        AbsenceKind::AllChanges | AbsenceKind::ElectedOnReturn => (Loss::PowerLost, changes_end),
+        AbsenceKind::HalfOfChanges => (Loss::PowerLost, middle),
+        AbsenceKind::Wiped => (Loss::Wiped, middle),
     };
     script.at(FIRST_CHANGE_AT, Action::Lose(Target::Follower, loss));
-    script.at(back_at, Action::Restart);
+    script.at(returns_at, Action::Restart);
     let lasts = changes_end + Duration::from_secs(2);
-    if matches!(absence, Absence::ElectedOnReturn) {
-        let gone_after = script.chance.within(Duration::ZERO, Duration::from_millis(400));
-        script.at(back_at + gone_after, Action::Lose(Target::Leader, Loss::Killed));
+    if matches!(absence_kind, AbsenceKind::ElectedOnReturn) {
+        let failure_timeout = script.rng.within(Duration::ZERO, Duration::from_millis(400));
+        script.at(returns_at + failure_timeout, Action::Lose(Target::Leader, Loss::Killed));
     }
-    script.repeat(FIRST_CHANGE_AT, changes_end, READ_EVERY, |_| Action::Read(Target::Any));
+    script.repeat(FIRST_CHANGE_AT, changes_end, READ_INTERVAL, |_| Action::Read(Target::Any));
     for turn in 0..4 {
         script.at(changes_end + Duration::from_millis(500) * turn, Action::ResendFirst);
-        script.at(lasts + Duration::from_secs(5) + CHANGE_EVERY * turn, Action::ResendFirst);
+        script.at(lasts + Duration::from_secs(5) + CHANGE_INTERVAL * turn, Action::ResendFirst);
     }
     script.plan(seed, size, lasts)
 }
--- a/testing/fleet/src/sim/scenario/mod.rs
+++ b/testing/fleet/src/sim/scenario/mod.rs
@@ -1,17 +1,17 @@
 //! The control side's worst days: each a script of timed losses, cuts, orders and readings.
 
 mod cut_off;
+mod detection_cases;
 mod many_changes;
 mod power_loss;
-mod proofs;
 mod second_loss;
 
-pub use proofs::{SCENARIO_PROOFS, SEEDS_TO_FIND, ScenarioProof};
+pub use detection_cases::{SCENARIO_DETECTION_CASES, SEEDS_TO_FIND, ScenarioDetectionCase};
 pub use second_loss::{Repair, SecondLossCase};
 
 use super::plan::SimPlan;
 use super::script::{Action, Target};
-use common::chance::Chance;
+use common::rng::SeededRng;
 use std::fmt;
 use std::time::Duration;
 
@@ -19,7 +19,7 @@
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Scenario {
     /// A controller is cut off for twenty seconds, while orders and readings go on on either side.
-    CutOff,
+    Isolation,
     /// Another loss falls on some step of a repair, a replacement or a growth of the quorum.
     SecondLoss,
     /// Hundreds of changes, with members away for many of them.
@@ -58,24 +58,24 @@
 }
 
 /// How long a scripted day goes on after its faults are over.
-const CLOSING: Duration = Duration::from_secs(14);
+const SETTLING_TIME: Duration = Duration::from_secs(14);
 /// How often an operator reads and sends changes while the day closes.
-const CLOSING_EVERY: Duration = Duration::from_millis(700);
+const SETTLING_INTERVAL: Duration = Duration::from_millis(700);
 
 impl Scenario {
     /// Every scenario.
     pub const ALL: &[Scenario] =
-        &[Scenario::CutOff, Scenario::SecondLoss, Scenario::ManyChanges, Scenario::PowerLoss];
+        &[Scenario::Isolation, Scenario::SecondLoss, Scenario::ManyChanges, Scenario::PowerLoss];
 
     /// The scenario of a name.
-    pub fn named(name: &str) -> Option<Scenario> {
+    pub fn by_name(name: &str) -> Option<Scenario> {
         Self::ALL.iter().copied().find(|scenario| scenario.to_string() == name)
     }
 
     /// The day of a seed.
     pub fn plan(self, seed: u64) -> SimPlan {
         match self {
-            Self::CutOff => cut_off::plan(seed),
+            Self::Isolation => cut_off::plan(seed),
             Self::SecondLoss => SecondLossCase::seeded(seed).plan(seed),
             Self::ManyChanges => many_changes::plan(seed),
             Self::PowerLoss => power_loss::plan(seed),
@@ -86,7 +86,7 @@
 impl fmt::Display for Scenario {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         out.write_str(match self {
-            Self::CutOff => "cut-off",
+            Self::Isolation => "cut-off",
             Self::SecondLoss => "second-loss",
             Self::ManyChanges => "many-changes",
             Self::PowerLoss => "power-loss",
@@ -96,13 +96,13 @@
 
 /// A script in the making, with its own chance.
 struct ScriptBuilder {
-    chance: Chance,
+    rng: SeededRng,
     actions: Vec<(Duration, Action)>,
 }
 
 impl ScriptBuilder {
     fn seeded(seed: u64) -> Self {
-        Self { chance: Chance::seeded(seed ^ 0x5c71), actions: Vec::new() }
+        Self { rng: SeededRng::seeded(seed ^ 0x5c71), actions: Vec::new() }
     }
 
     fn at(&mut self, due_after: Duration, action: Action) {
@@ -115,25 +115,25 @@
         from: Duration,
         until: Duration,
         every: Duration,
-        mut action: impl FnMut(&mut Chance) -> Action,
+        mut action: impl FnMut(&mut SeededRng) -> Action,
     ) {
         let mut due_after = from;
         while due_after < until {
-            let next_action = action(&mut self.chance);
+            let next_action = action(&mut self.rng);
             self.at(due_after, next_action);
-            due_after += self.chance.within(every / 2, every * 3 / 2);
+            due_after += self.rng.within(every / 2, every * 3 / 2);
         }
     }
 
     fn one_of<T: Copy>(&mut self, choices: &[T]) -> T {
-        choices[self.chance.below(choices.len() as u64) as usize]
+        choices[self.rng.below(choices.len() as u64) as usize]
     }
 
     /// The day that this script makes; while it closes, orders and readings go on.
     fn plan(mut self, seed: u64, size: QuorumSize, lasts: Duration) -> SimPlan {
-        let until = lasts + CLOSING;
-        self.repeat(lasts, until, CLOSING_EVERY, |_| Action::Change);
-        self.repeat(lasts, until, CLOSING_EVERY, |_| Action::Read(Target::Any));
+        let until = lasts + SETTLING_TIME;
+        self.repeat(lasts, until, SETTLING_INTERVAL, |_| Action::Change);
+        self.repeat(lasts, until, SETTLING_INTERVAL, |_| Action::Read(Target::Any));
         SimPlan {
             script: self.actions,
             controllers: size.machines,
@@ -144,7 +144,7 @@
             has_changes: false,
             judges_script: true,
             lasts,
-            closing: CLOSING,
+            settling: SETTLING_TIME,
             ..SimPlan::seeded(seed)
         }
     }
--- a/testing/fleet/src/sim/scenario/second_loss.rs
+++ b/testing/fleet/src/sim/scenario/second_loss.rs
@@ -3,8 +3,8 @@
 use super::{QuorumSize, ScriptBuilder};
 use crate::sim::plan::SimPlan;
 use crate::sim::script::{Action, Loss, SecondLoss, Target};
-use crate::sim::world::World;
-use common::chance::Chance;
+use crate::sim::simulation::Simulation;
+use common::rng::SeededRng;
 use std::fmt;
 use std::time::Duration;
 
@@ -63,26 +63,26 @@
 const COUNTED_FOR: Duration = Duration::from_secs(6);
 /// The most steps among which a seed chooses.
 const SEEDED_STEPS: u64 = 600;
-const CHANGE_EVERY: Duration = Duration::from_millis(250);
-const READ_EVERY: Duration = Duration::from_millis(400);
+const CHANGE_INTERVAL: Duration = Duration::from_millis(250);
+const READ_INTERVAL: Duration = Duration::from_millis(400);
 
 impl SecondLossCase {
     /// The case of a seed.
     pub fn seeded(seed: u64) -> Self {
-        let mut chance = Chance::seeded(seed ^ 0x2d105);
+        let mut rng = SeededRng::seeded(seed ^ 0x2d105);
         let size = QuorumSize::of_seed(seed);
-        let repair = Repair::ALL[chance.below(Repair::ALL.len() as u64) as usize];
+        let repair = Repair::ALL[rng.below(Repair::ALL.len() as u64) as usize];
         let targets = [Target::Leader, Target::Follower, Target::Victim];
-        let target = targets[chance.below(targets.len() as u64) as usize];
-        let losses = Self::borne_losses(size, repair);
-        let loss = losses[chance.below(losses.len() as u64) as usize];
-        let step = 1 + chance.below(SEEDED_STEPS);
+        let target = targets[rng.below(targets.len() as u64) as usize];
+        let losses = Self::tolerated_losses(size, repair);
+        let loss = losses[rng.below(losses.len() as u64) as usize];
+        let step = 1 + rng.below(SEEDED_STEPS);
         Self { size, repair, second: Some(SecondLoss { step, target, loss }) }
     }
 
     /// The second losses that a quorum bears while a repair goes on: of a disk only while fewer disks
     /// than it bears are lost or not yet filled.
-    pub fn borne_losses(size: QuorumSize, repair: Repair) -> &'static [Loss] {
+    pub fn tolerated_losses(size: QuorumSize, repair: Repair) -> &'static [Loss] {
         let lost_disks = match repair {
             Repair::CatchUp => 0,
             Repair::Wiped | Repair::Replacement | Repair::Growth => 1,
@@ -99,12 +99,12 @@
     /// The day of this case.
     pub fn plan(&self, seed: u64) -> SimPlan {
         let mut script = ScriptBuilder::seeded(seed);
-        let back_at = FIRST_LOSS_AT + AWAY_FOR;
-        let counted_from = self.add_repair(&mut script, back_at);
+        let returns_at = FIRST_LOSS_AT + AWAY_FOR;
+        let counted_from = self.add_repair(&mut script, returns_at);
         script.at(counted_from, Action::CountSteps);
-        let lasts = back_at + COUNTED_FOR;
-        script.repeat(Duration::from_secs(1), lasts, CHANGE_EVERY, |_| Action::Change);
-        script.repeat(Duration::from_secs(2), lasts, READ_EVERY, |_| Action::Read(Target::Any));
+        let lasts = returns_at + COUNTED_FOR;
+        script.repeat(Duration::from_secs(1), lasts, CHANGE_INTERVAL, |_| Action::Change);
+        script.repeat(Duration::from_secs(2), lasts, READ_INTERVAL, |_| Action::Read(Target::Any));
         let founders = if self.repair == Repair::Growth {
             self.size.voters.div_ceil(2)
         } else {
@@ -114,35 +114,35 @@
     }
 
     /// What the quorum is at, and from when on its steps are counted.
-    fn add_repair(&self, script: &mut ScriptBuilder, back_at: Duration) -> Duration {
+    fn add_repair(&self, script: &mut ScriptBuilder, returns_at: Duration) -> Duration {
         let target = script.one_of(&[Target::Leader, Target::Follower]);
         match self.repair {
             Repair::CatchUp => {
                 script.at(FIRST_LOSS_AT, Action::Lose(target, Loss::PowerLost));
-                script.at(back_at, Action::Restart);
+                script.at(returns_at, Action::Restart);
             }
             Repair::Wiped => {
                 script.at(FIRST_LOSS_AT, Action::Lose(target, Loss::Wiped));
-                script.at(back_at, Action::Restart);
+                script.at(returns_at, Action::Restart);
             }
             Repair::Replacement => {
                 script.at(FIRST_LOSS_AT, Action::Lose(target, Loss::Replaced));
-                script.at(back_at, Action::Restart);
+                script.at(returns_at, Action::Restart);
             }
             Repair::Growth => return Duration::ZERO,
             Repair::NewestLeaves => {
                 script.at(FIRST_LOSS_AT, Action::Lose(Target::Follower, Loss::PowerLost));
-                script.at(back_at, Action::Restart);
-                script.at(back_at, Action::Lose(target, Loss::Replaced));
-                script.at(back_at + AWAY_FOR, Action::Restart);
+                script.at(returns_at, Action::Restart);
+                script.at(returns_at, Action::Lose(target, Loss::Replaced));
+                script.at(returns_at + AWAY_FOR, Action::Restart);
             }
         }
-        back_at
+        returns_at
     }
 
     /// How many steps the control side takes in this case, without a second loss.
     pub fn steps(&self, seed: u64) -> u64 {
         let quiet_case = Self { second: None, ..*self };
-        World::new(quiet_case.plan(seed), false).run().steps
+        Simulation::new(quiet_case.plan(seed), false).run().steps
     }
 }
--- a/testing/fleet/src/sim/script.rs
+++ b/testing/fleet/src/sim/script.rs
@@ -3,8 +3,8 @@
 use super::event::Event;
 use super::network::{Node, PLATFORM};
 use super::operator::spec;
-use super::world::World;
-use common::clock::Moment;
+use super::simulation::Simulation;
+use common::clock::MonotonicTime;
 use controlplane::controller_state::{ChangeKind, Operation, OperationTicket};
 use serde_json::{Value, json};
 use std::time::Duration;
@@ -49,7 +49,7 @@
     /// Its process stands still until it is woken.
     Frozen,
     /// It neither hears nor is heard.
-    CutOff,
+    Isolation,
 }
 
 /// One thing done to the control side, or asked of it.
@@ -84,7 +84,7 @@
     /// All power is lost at once.
     LosePowerEverywhere,
     /// The time to the next acknowledgement and to the next renewed session leases runs from here.
-    StartClock,
+    StartRecoveryClock,
 }
 
 /// Another loss, at one step of the control side's work.
@@ -107,75 +107,77 @@
 #[derive(Default)]
 pub(super) struct ScriptState {
     victim: Option<usize>,
-    is_counting: bool,
+    counts_repair_steps: bool,
     /// How many steps the control side has taken since they are counted.
     pub steps: u64,
-    is_power_lost_next: bool,
+    loses_power_on_next_acknowledgement: bool,
 }
 
-impl World {
+impl Simulation {
     /// Schedules the plan's script.
     pub(super) fn schedule_script(&mut self) {
         for (due_after, action) in std::mem::take(&mut self.plan.script) {
-            self.push(due_after, Event::Act(action));
+            self.push(due_after, Event::RunAction(action));
         }
     }
 
     /// Carries out one action.
-    pub(super) fn act(&mut self, action: Action) {
-        self.traced(|now| format!("{now} action {action:?}"));
+    pub(super) fn run_action(&mut self, action: Action) {
+        self.trace_line(|now| format!("{now} action {action:?}"));
         match action {
             Action::Lose(target, loss) => {
-                if let Some(place) = self.choose(target) {
-                    self.script.victim = Some(place);
-                    self.lose(place, loss);
+                if let Some(index) = self.resolve_target(target) {
+                    self.script.victim = Some(index);
+                    self.apply_loss(index, loss);
                 }
             }
             Action::Cut(target, direction) => {
-                if let Some(place) = self.choose(target) {
-                    self.script.victim = Some(place);
-                    self.cut_controller(place, direction);
+                if let Some(index) = self.resolve_target(target) {
+                    self.script.victim = Some(index);
+                    self.isolate_controller(index, direction);
                 }
             }
             Action::Rejoin => {
-                self.network.mend();
-                self.wake_all();
+                self.network.clear_partitions();
+                self.resume_all();
             }
             Action::Restart => self.restart_victim(),
             Action::ReplaceVictim => {
-                if let Some(place) = self.script.victim {
-                    self.lose(place, Loss::Replaced);
-                    self.start_controller(place);
+                if let Some(index) = self.script.victim {
+                    self.apply_loss(index, Loss::Replaced);
+                    self.start_controller(index);
                 }
             }
             Action::Change => self.send_change(),
             Action::LargeChange(functions) => self.send_large_change(functions),
             Action::Read(target) => self.read_configuration(target),
             Action::Evacuate(zone) => {
-                let zone = World::zone(zone);
-                self.send(None, ChangeKind::Evacuate { zone, force: false });
+                let zone = Simulation::zone(zone);
+                self.submit_change(None, ChangeKind::Evacuate { zone, force: false });
             }
             Action::Restore(zone) => {
-                self.send(None, ChangeKind::Restore { zone: World::zone(zone) });
+                self.submit_change(None, ChangeKind::Restore { zone: Simulation::zone(zone) });
             }
-            Action::ResendFirst => self.resend_first(),
-            Action::CountSteps => self.script.is_counting = true,
-            Action::PowerLossAfterAcknowledgement => self.script.is_power_lost_next = true,
-            Action::LosePowerEverywhere => self.lose_power_everywhere(),
-            Action::StartClock => self.recovery.start(self.now),
+            Action::ResendFirst => self.resend_first_acknowledged(),
+            Action::CountSteps => self.script.counts_repair_steps = true,
+            Action::PowerLossAfterAcknowledgement => {
+                self.script.loses_power_on_next_acknowledgement = true
+            }
+            Action::LosePowerEverywhere => self.power_off_all(),
+            Action::StartRecoveryClock => self.recovery.start(self.now),
         }
     }
 
-    fn choose(&mut self, target: Target) -> Option<usize> {
+    fn resolve_target(&mut self, target: Target) -> Option<usize> {
         let count = self.controllers.len() as u64;
         match target {
             Target::Leader => self.leading_controller(),
-            Target::Any => Some(self.chance.below(count) as usize),
-            Target::Seed => Some(self.chance.below(count.min(3)) as usize),
+            Target::Any => Some(self.rng.below(count) as usize),
+            Target::Seed => Some(self.rng.below(count.min(3)) as usize),
             Target::Victim => self.script.victim,
             Target::Follower => {
                 let followers = self.followers();
-                let chosen = self.chance.below(followers.len() as u64) as usize;
+                let chosen = self.rng.below(followers.len() as u64) as usize;
                 followers.get(chosen).copied()
             }
         }
@@ -184,136 +186,136 @@
     /// The voters that are alive and do not lead.
     fn followers(&self) -> Vec<usize> {
         let leading = self.leading_controller();
-        let leader_document = leading.and_then(|place| {
-            let leader = self.controllers[place].controller_state.as_ref()?;
-            leader.core().accepted()
+        let leader_document = leading.and_then(|index| {
+            let leader = self.controllers[index].controller_state.as_ref()?;
+            leader.consensus().accepted()
         });
         let Some(document) = leader_document else { return Vec::new() };
-        let is_follower = |place: &usize| {
-            let controller = &self.controllers[*place];
+        let is_follower = |index: &usize| {
+            let controller = &self.controllers[*index];
             let is_voter =
-                document.core.iter().any(|member| member.id == controller.disk.durable.id);
-            Some(*place) != leading && controller.controller_state.is_some() && is_voter
+                document.voters.iter().any(|member| member.id == controller.disk.durable.id);
+            Some(*index) != leading && controller.controller_state.is_some() && is_voter
         };
         (0..self.controllers.len()).filter(is_follower).collect()
     }
 
-    fn lose(&mut self, place: usize, loss: Loss) {
-        let node = self.controllers[place].node;
+    fn apply_loss(&mut self, index: usize, loss: Loss) {
+        let node = self.controllers[index].node;
         match loss {
-            Loss::Killed => self.kill_controller(place),
-            Loss::PowerLost => self.power_off_controller(place),
+            Loss::Killed => self.kill_controller(index),
+            Loss::PowerLost => self.power_off_controller(index),
             Loss::Wiped => {
-                self.power_off_controller(place);
-                self.lose_disk(place);
+                self.power_off_controller(index);
+                self.lose_disk(index);
             }
             Loss::Replaced => {
-                self.power_off_controller(place);
-                self.lose_disk(place);
-                self.move_controller(place);
+                self.power_off_controller(index);
+                self.lose_disk(index);
+                self.move_controller(index);
             }
             Loss::Frozen => self.freeze(node, Duration::from_secs(3600)),
-            Loss::CutOff => self.cut_controller(place, Direction::Both),
+            Loss::Isolation => self.isolate_controller(index, Direction::Both),
         }
     }
 
-    fn cut_controller(&mut self, place: usize, direction: Direction) {
-        let node = Node(place);
+    fn isolate_controller(&mut self, index: usize, direction: Direction) {
+        let node = Node(index);
         let others = self.all_nodes().into_iter().filter(|other| *other != node);
         for other in others.collect::<Vec<Node>>() {
             if direction != Direction::Incoming {
-                self.network.cut(node, other);
+                self.network.block(node, other);
             }
             if direction != Direction::Outgoing {
-                self.network.cut(other, node);
+                self.network.block(other, node);
             }
         }
     }
 
     fn restart_victim(&mut self) {
-        let Some(place) = self.script.victim else { return };
-        if self.controllers[place].controller_state.is_some() {
-            self.kill_controller(place);
+        let Some(index) = self.script.victim else { return };
+        if self.controllers[index].controller_state.is_some() {
+            self.kill_controller(index);
         }
-        self.start_controller(place);
+        self.start_controller(index);
     }
 
     fn send_large_change(&mut self, functions: u64) {
-        let base = self.checks.newest_serial();
-        let turn = self.chance.below(6);
+        let base = self.checks.newest_version();
+        let turn = self.rng.below(6);
         let new_spec = large_spec(turn, functions);
-        self.send(Some(base), ChangeKind::Whole(new_spec.into()));
+        self.submit_change(Some(base), ChangeKind::FullSpec(new_spec.into()));
     }
 
     fn read_configuration(&mut self, target: Target) {
-        if let Some(place) = self.choose(target) {
-            self.ask(Node(place), Operation::ReadSpec);
+        if let Some(index) = self.resolve_target(target) {
+            self.send_operation(Node(index), Operation::ReadSpec);
         }
     }
 
-    fn resend_first(&mut self) {
-        let Some(first) = self.statements.first_acknowledged() else { return };
-        if let Some(place) = self.choose(Target::Any) {
-            self.ask(Node(place), first);
+    fn resend_first_acknowledged(&mut self) {
+        let Some(first) = self.reply_checks.first_acknowledged() else { return };
+        if let Some(index) = self.resolve_target(Target::Any) {
+            self.send_operation(Node(index), first);
         }
     }
 
     /// Sends an operation that is only judged by what is said on it.
-    pub(super) fn ask(&mut self, node: Node, operation: Operation) {
+    pub(super) fn send_operation(&mut self, node: Node, operation: Operation) {
         self.next_number += 1;
         let ticket = OperationTicket(self.next_number);
-        let delay = self.network.delay(&mut self.chance);
+        let delay = self.network.delay(&mut self.rng);
         self.push(delay, Event::Operate(node, ticket, operation));
     }
 
-    fn lose_power_everywhere(&mut self) {
+    fn power_off_all(&mut self) {
         let nodes = self.all_nodes().into_iter().filter(|node| *node != PLATFORM);
         for node in nodes.collect::<Vec<Node>>() {
             if node.is_controller() {
                 self.power_off_controller(node.0);
             } else {
-                self.kill_daemon(node.daemon_place());
+                self.kill_daemon(node.daemon_index());
             }
-            let off_for =
-                self.chance.within(Duration::from_millis(100), Duration::from_millis(600));
-            self.push(off_for, Event::Return(node));
+            let off_for = self.rng.within(Duration::from_millis(100), Duration::from_millis(600));
+            self.push(off_for, Event::RestartNode(node));
         }
     }
 
     /// An acknowledgement has just been said; power may be lost right after it.
-    pub(super) fn acknowledgement_said(&mut self) {
-        if std::mem::take(&mut self.script.is_power_lost_next) {
-            let at_once = self.chance.within(Duration::ZERO, Duration::from_millis(5));
-            let again = self.chance.within(Duration::from_millis(50), POWER_LOST_AGAIN_WITHIN);
-            self.push(at_once, Event::Act(Action::LosePowerEverywhere));
-            self.push(again, Event::Act(Action::LosePowerEverywhere));
+    pub(super) fn note_acknowledgement(&mut self) {
+        if std::mem::take(&mut self.script.loses_power_on_next_acknowledgement) {
+            let at_once = self.rng.within(Duration::ZERO, Duration::from_millis(5));
+            let again = self.rng.within(Duration::from_millis(50), POWER_LOST_AGAIN_WITHIN);
+            self.push(at_once, Event::RunAction(Action::LosePowerEverywhere));
+            self.push(again, Event::RunAction(Action::LosePowerEverywhere));
         }
     }
 
     /// Counts a step of the control side until everything is mended; the plan's second loss falls
     /// before the step it names.
-    pub(super) fn count_step(&mut self, event: &Event) {
+    pub(super) fn count_repair_step(&mut self, event: &Event) {
         let is_step = match event {
-            Event::CoreFrame(..) | Event::Durable(..) => true,
+            Event::ConsensusFrame(..) | Event::Durable(..) => true,
             Event::Written(node, ..) => node.is_controller(),
             _ => false,
         };
-        if !is_step || !self.script.is_counting || self.now >= self.script_end() {
+        if !is_step || !self.script.counts_repair_steps || self.now >= self.script_end() {
             return;
         }
         self.script.steps += 1;
-        let due_loss = self.plan.second_loss.filter(|second| second.step == self.script.steps);
-        if let Some(second) = due_loss
-            && let Some(place) = self.choose(second.target)
+        let due_second_loss =
+            self.plan.second_loss.filter(|second| second.step == self.script.steps);
+        if let Some(second) = due_second_loss
+            && let Some(index) = self.resolve_target(second.target)
         {
-            self.traced(|now| format!("{now} second loss {second:?} of controller {place}"));
-            self.lose(place, second.loss);
-            self.push(SECOND_LOSS_LASTS, Event::Return(Node(place)));
+            self.trace_line(|now| format!("{now} second loss {second:?} of controller {index}"));
+            self.apply_loss(index, second.loss);
+            self.push(SECOND_LOSS_LASTS, Event::RestartNode(Node(index)));
         }
     }
 
     /// The moment at which the script's faults are over.
-    pub(super) fn script_end(&self) -> Moment {
+    pub(super) fn script_end(&self) -> MonotonicTime {
         self.started_at() + self.plan.lasts
     }
 }
