--- a/testing/fleet/tests/judge.rs
+++ b/testing/fleet/tests/judge.rs
@@ -4,7 +4,7 @@
 use googletest::prelude::*;
 use serde_json::{Value, json};
 
-const S: u64 = 1_000_000_000;
+const SECOND: u64 = 1_000_000_000;
 
 struct Day {
     callers: Vec<Value>,
@@ -14,7 +14,7 @@
 
 fn change(at: u64, base: u64, id: &str, state: &str, function: &str) -> Value {
     json!({
-        "kind": "change", "at": at, "sent_at": at - S / 10, "base": base, "change_id": id,
+        "kind": "change", "at": at, "sent_at": at - SECOND / 10, "base": base, "change_id": id,
         "status": if state == "accepted" { 200 } else { 409 }, "state": state,
         "serial": base + 1, "paths": {"/a": function},
     })
@@ -22,7 +22,7 @@
 
 fn call(id: &str, at: u64, outcome: &str) -> Value {
     json!({
-        "id": id, "at": at, "end": at + S / 20, "path": "/a", "function": "f", "once": true,
+        "id": id, "at": at, "end": at + SECOND / 20, "path": "/a", "function": "f", "once": true,
         "outcome": outcome, "reason": "", "sealed": true, "runner": "r-1-1", "door": "d1",
     })
 }
@@ -31,7 +31,7 @@
     vec![
         json!({"kind": "run_begin", "at": at, "runner": runner, "function": "f@2", "transaction": id,
                "attempt": 1, "run": number, "at_once": 1, "ready": true}),
-        json!({"kind": "run_end", "at": at + S / 100, "runner": runner, "run": number}),
+        json!({"kind": "run_end", "at": at + SECOND / 100, "runner": runner, "run": number}),
     ]
 }
 
@@ -43,45 +43,45 @@
 fn clean_day() -> Day {
     let mut day = Day {
         callers: Vec::new(),
-        platform_stub: vec![start("r-1-1", 2 * S, "worker-00")],
-        journal: vec![change(S, 1, "c1", "accepted", "f")],
+        platform_stub: vec![start("r-1-1", 2 * SECOND, "worker-00")],
+        journal: vec![change(SECOND, 1, "c1", "accepted", "f")],
     };
     for number in 0..100 {
-        let at = 4 * S + number * S / 10;
+        let at = 4 * SECOND + number * SECOND / 10;
         day.callers.push(call(&format!("t{number}"), at, "answer"));
         day.platform_stub.extend(run(&format!("t{number}"), at + 1000, "r-1-1", number));
     }
     day
 }
 
-fn violated(day: &Day) -> Vec<String> {
+fn violated_checks(day: &Day) -> Vec<String> {
     let evidence = Evidence::from_records(&day.callers, &day.platform_stub, &day.journal);
     let verdict = judge(&evidence);
     verdict
-        .lines
+        .checks
         .iter()
-        .filter(|line| !line.violations.is_empty())
-        .map(|line| line.name.to_owned())
+        .filter(|check| !check.violations.is_empty())
+        .map(|check| check.name.to_owned())
         .collect()
 }
 
 #[gtest]
 fn a_clean_day_has_no_violation() -> Result<()> {
-    verify_that!(violated(&clean_day()), is_empty())
+    verify_that!(violated_checks(&clean_day()), is_empty())
 }
 
 #[gtest]
-fn a_second_run_of_a_once_transaction_is_found() -> Result<()> {
+fn a_second_run_of_a_once_request_is_found() -> Result<()> {
     let mut day = clean_day();
-    day.platform_stub.extend(run("t5", 30 * S, "r-1-1", 900));
-    verify_that!(violated(&day), elements_are![eq("a once-transaction runs twice")])
+    day.platform_stub.extend(run("t5", 30 * SECOND, "r-1-1", 900));
+    verify_that!(violated_checks(&day), elements_are![eq("a once-transaction runs twice")])
 }
 
 #[gtest]
-fn a_refused_transaction_that_ran_is_found() -> Result<()> {
+fn a_refused_request_that_ran_is_found() -> Result<()> {
     let mut day = clean_day();
     day.callers[7]["outcome"] = json!("not_run");
-    verify_that!(violated(&day), elements_are![eq("refused as not run, and runs")])
+    verify_that!(violated_checks(&day), elements_are![eq("refused as not run, and runs")])
 }
 
 #[gtest]
@@ -89,10 +89,10 @@
     let name = "a success without its runner's own sealed body";
     let mut unsealed = clean_day();
     unsealed.callers[3]["sealed"] = json!(false);
-    verify_that!(violated(&unsealed), elements_are![eq(name)])?;
+    verify_that!(violated_checks(&unsealed), elements_are![eq(name)])?;
     let mut foreign = clean_day();
     foreign.callers[3]["runner"] = json!("r-1-9");
-    verify_that!(violated(&foreign), elements_are![eq(name)])
+    verify_that!(violated_checks(&foreign), elements_are![eq(name)])
 }
 
 #[gtest]
@@ -100,7 +100,7 @@
     let mut day = clean_day();
     day.platform_stub[1]["function"] = json!("g@2");
     verify_that!(
-        violated(&day),
+        violated_checks(&day),
         elements_are![
             eq("a run on a function its path was never given"),
             eq("an accepted spec not in force after 3 s, or undone"),
@@ -112,22 +112,22 @@
 fn an_old_spec_in_use_after_three_seconds_is_found() -> Result<()> {
     let name = "an accepted spec not in force after 3 s, or undone";
     let mut late = clean_day();
-    late.journal.push(change(8 * S, 2, "c2", "accepted", "g"));
-    verify_that!(violated(&late), elements_are![eq(name)])?;
+    late.journal.push(change(8 * SECOND, 2, "c2", "accepted", "g"));
+    verify_that!(violated_checks(&late), elements_are![eq(name)])?;
     let mut in_time = clean_day();
-    in_time.journal.push(change(12 * S, 2, "c2", "accepted", "g"));
-    verify_that!(violated(&in_time), is_empty())?;
+    in_time.journal.push(change(12 * SECOND, 2, "c2", "accepted", "g"));
+    verify_that!(violated_checks(&in_time), is_empty())?;
     let mut refused = clean_day();
-    refused.journal.push(change(3 * S, 1, "c2", "not_accepted", "g"));
+    refused.journal.push(change(3 * SECOND, 1, "c2", "not_accepted", "g"));
     refused.platform_stub[5]["function"] = json!("g@2");
-    verify_that!(violated(&refused), contains(eq(name)))
+    verify_that!(violated_checks(&refused), contains(eq(name)))
 }
 
 #[gtest]
 fn two_changes_accepted_on_one_version_are_found() -> Result<()> {
     let mut day = clean_day();
-    day.journal.push(change(2 * S, 1, "c2", "accepted", "f"));
-    verify_that!(violated(&day), elements_are![eq("two changes on one version accepted")])
+    day.journal.push(change(2 * SECOND, 1, "c2", "accepted", "f"));
+    verify_that!(violated_checks(&day), elements_are![eq("two changes on one version accepted")])
 }
 
 #[gtest]
@@ -135,21 +135,24 @@
     let mut drained = clean_day();
     drained
         .platform_stub
-        .push(json!({"kind": "worker", "at": 8 * S, "worker": "worker-00", "deed": "drain"}));
+        .push(json!({"kind": "worker", "at": 8 * SECOND, "worker": "worker-00", "deed": "drain"}));
     verify_that!(
-        violated(&drained),
+        violated_checks(&drained),
         elements_are![eq("a leaving runner or draining worker used after 3 s")]
     )?;
     let mut evacuated = clean_day();
     evacuated.journal.push(json!({
-        "kind": "locality", "at": 5 * S, "locality": "locality-1", "deed": "evacuate", "status": 200,
+        "kind": "locality", "at": 5 * SECOND, "locality": "locality-1", "deed": "evacuate", "status": 200,
     }));
-    verify_that!(violated(&evacuated), elements_are![eq("an evacuated locality used after 5 s")])?;
+    verify_that!(
+        violated_checks(&evacuated),
+        elements_are![eq("an evacuated locality used after 5 s")]
+    )?;
     let mut elsewhere = clean_day();
     elsewhere.journal.push(json!({
-        "kind": "locality", "at": 5 * S, "locality": "locality-2", "deed": "evacuate", "status": 200,
+        "kind": "locality", "at": 5 * SECOND, "locality": "locality-2", "deed": "evacuate", "status": 200,
     }));
-    verify_that!(violated(&elsewhere), is_empty())
+    verify_that!(violated_checks(&elsewhere), is_empty())
 }
 
 #[gtest]
@@ -159,10 +162,11 @@
     day.callers[20]["outcome"] = json!("lost");
     let at = day.callers[20]["at"].as_u64().unwrap_or(0) + 1000;
     day.journal.push(json!({"kind": "stop", "at": at, "machine": "th-1", "door": "d1"}));
-    verify_that!(violated(&day), elements_are![eq(name)])?;
+    verify_that!(violated_checks(&day), elements_are![eq(name)])?;
     let mut slow = clean_day();
-    slow.journal.push(json!({"kind": "stopped", "at": 9 * S, "machine": "th-1", "in_time": false}));
-    verify_that!(violated(&slow), elements_are![eq(name)])
+    slow.journal
+        .push(json!({"kind": "stopped", "at": 9 * SECOND, "machine": "th-1", "in_time": false}));
+    verify_that!(violated_checks(&slow), elements_are![eq(name)])
 }
 
 #[gtest]
@@ -171,66 +175,78 @@
     for number in 0..100 {
         day.callers[number as usize]["once"] = json!(false);
         if number % 2 == 0 {
-            let mut again =
-                run(&format!("t{number}"), 4 * S + number * S / 10 + 5000, "r-1-1", 500 + number);
-            again[0]["attempt"] = json!(2);
-            day.platform_stub.extend(again);
+            let mut retried_run = run(
+                &format!("t{number}"),
+                4 * SECOND + number * SECOND / 10 + 5000,
+                "r-1-1",
+                500 + number,
+            );
+            retried_run[0]["attempt"] = json!(2);
+            day.platform_stub.extend(retried_run);
         }
     }
-    verify_that!(violated(&day), elements_are![eq("extra tries above a fifth in 10 s")])
+    verify_that!(violated_checks(&day), elements_are![eq("extra tries above a fifth in 10 s")])
 }
 
 #[gtest]
-fn floods_of_cold_and_full_runners_are_found() -> Result<()> {
+fn overloads_of_cold_and_full_runners_are_found() -> Result<()> {
     let name = "a cold runner flooded, or slots exceeded";
     let mut full = clean_day();
     full.platform_stub[101]["at_once"] = json!(3);
-    verify_that!(violated(&full), elements_are![eq(name)])?;
+    verify_that!(violated_checks(&full), elements_are![eq(name)])?;
     let mut cold = clean_day();
     cold.platform_stub[1]["ready"] = json!(false);
-    verify_that!(violated(&cold), elements_are![eq(name)])?;
+    verify_that!(violated_checks(&cold), elements_are![eq(name)])?;
     let mut fresh = clean_day();
-    fresh.platform_stub[0]["at"] = json!(4 * S - S / 5);
+    fresh.platform_stub[0]["at"] = json!(4 * SECOND - SECOND / 5);
     fresh.platform_stub[1]["at_once"] = json!(2);
-    verify_that!(violated(&fresh), elements_are![eq(name)])
+    verify_that!(violated_checks(&fresh), elements_are![eq(name)])
 }
 
 #[gtest]
 fn two_holders_at_once_are_found() -> Result<()> {
     let mut day = clean_day();
-    day.platform_stub.push(start("r-2-1", 6 * S, "worker-01"));
-    verify_that!(violated(&day), elements_are![eq("two holders of one function at once")])?;
+    day.platform_stub.push(start("r-2-1", 6 * SECOND, "worker-01"));
+    verify_that!(violated_checks(&day), elements_are![eq("two holders of one function at once")])?;
     let mut after = clean_day();
-    after.platform_stub.push(json!({"kind": "runner_stop", "at": 20 * S, "runner": "r-1-1"}));
-    after.platform_stub.push(start("r-2-1", 21 * S, "worker-01"));
-    verify_that!(violated(&after), is_empty())?;
+    after.platform_stub.push(json!({"kind": "runner_stop", "at": 20 * SECOND, "runner": "r-1-1"}));
+    after.platform_stub.push(start("r-2-1", 21 * SECOND, "worker-01"));
+    verify_that!(violated_checks(&after), is_empty())?;
     let mut taken_over = clean_day();
-    for record in
-        taken_over.platform_stub.iter_mut().filter(|record| record["at"].as_u64() > Some(6 * S))
+    for record in taken_over
+        .platform_stub
+        .iter_mut()
+        .filter(|record| record["at"].as_u64() > Some(6 * SECOND))
     {
         record["grant"] = json!(2);
     }
-    verify_that!(violated(&taken_over), is_empty())?;
+    verify_that!(violated_checks(&taken_over), is_empty())?;
     taken_over.platform_stub[191]["grant"] = json!(1);
-    verify_that!(violated(&taken_over), elements_are![eq("two holders of one function at once")])
+    verify_that!(
+        violated_checks(&taken_over),
+        elements_are![eq("two holders of one function at once")]
+    )
 }
 
 #[gtest]
-fn service_that_does_not_come_back_is_found() -> Result<()> {
+fn service_that_does_not_recover_is_found() -> Result<()> {
     let mut day = clean_day();
-    day.journal.push(json!({"kind": "fault", "at": 2 * S, "fault": "kill-herd", "heavy": true}));
-    day.journal.push(json!({"kind": "returned", "at": 3 * S, "fault": "kill-herd", "heavy": true}));
+    day.journal
+        .push(json!({"kind": "fault", "at": 2 * SECOND, "fault": "kill-herd", "heavy": true}));
+    day.journal
+        .push(json!({"kind": "returned", "at": 3 * SECOND, "fault": "kill-herd", "heavy": true}));
     for number in 0..50 {
-        let mut late = call(&format!("late{number}"), 16 * S + number * S / 50, "unknown");
+        let mut late =
+            call(&format!("late{number}"), 16 * SECOND + number * SECOND / 50, "unknown");
         late["once"] = json!(false);
         day.callers.push(late);
     }
-    verify_that!(violated(&day), elements_are![eq("mostly down 12 s after machines return")])
+    verify_that!(violated_checks(&day), elements_are![eq("mostly down 12 s after machines return")])
 }
 
-fn added_path(at: u64, base: u64, paths: Value) -> Value {
+fn change_with_paths(at: u64, base: u64, paths: Value) -> Value {
     json!({
-        "kind": "change", "at": at, "sent_at": at - S / 10, "base": base, "change_id": format!("c{base}"),
+        "kind": "change", "at": at, "sent_at": at - SECOND / 10, "base": base, "change_id": format!("c{base}"),
         "status": 200, "state": "accepted", "serial": base + 1, "paths": paths,
     })
 }
@@ -244,31 +260,31 @@
 }
 
 #[gtest]
-fn a_door_that_does_not_know_an_accepted_route_is_found() -> Result<()> {
+fn an_ingress_without_an_accepted_route_is_found() -> Result<()> {
     let name = "a door without an accepted spec after 3 s";
     let with_call_at = |at: u64| {
         let mut day = clean_day();
-        day.journal.push(added_path(20 * S, 2, json!({"/a": "f", "/b": "f"})));
+        day.journal.push(change_with_paths(20 * SECOND, 2, json!({"/a": "f", "/b": "f"})));
         day.callers.push(call_on("b1", at, "/b", "not_run", "no_route"));
         day
     };
-    verify_that!(violated(&with_call_at(23 * S)), is_empty())?;
-    verify_that!(violated(&with_call_at(24 * S)), elements_are![eq(name)])?;
+    verify_that!(violated_checks(&with_call_at(23 * SECOND)), is_empty())?;
+    verify_that!(violated_checks(&with_call_at(24 * SECOND)), elements_are![eq(name)])?;
     let mut gone = clean_day();
-    gone.journal.push(added_path(20 * S, 2, json!({"/a": "f", "/b": "f"})));
-    gone.journal.push(added_path(30 * S, 3, json!({"/a": "f"})));
-    gone.callers.push(call_on("b2", 34 * S, "/b", "answer", ""));
-    gone.platform_stub.extend(run("b2", 34 * S + 1000, "r-1-1", 700));
-    verify_that!(violated(&gone), contains(eq(name)))
+    gone.journal.push(change_with_paths(20 * SECOND, 2, json!({"/a": "f", "/b": "f"})));
+    gone.journal.push(change_with_paths(30 * SECOND, 3, json!({"/a": "f"})));
+    gone.callers.push(call_on("b2", 34 * SECOND, "/b", "answer", ""));
+    gone.platform_stub.extend(run("b2", 34 * SECOND + 1000, "r-1-1", 700));
+    verify_that!(violated_checks(&gone), contains(eq(name)))
 }
 
 #[gtest]
-fn a_run_that_only_a_refused_change_could_lead_is_found() -> Result<()> {
+fn a_run_that_only_a_refused_change_explains_is_found() -> Result<()> {
     let mut day = clean_day();
-    day.journal.push(change(5 * S, 1, "c9", "not_accepted", "g"));
-    verify_that!(violated(&day), is_empty())?;
+    day.journal.push(change(5 * SECOND, 1, "c9", "not_accepted", "g"));
+    verify_that!(violated_checks(&day), is_empty())?;
     day.platform_stub[121]["function"] = json!("g@2");
-    verify_that!(violated(&day), contains(eq("a refused change in force")))
+    verify_that!(violated_checks(&day), contains(eq("a refused change in force")))
 }
 
 #[gtest]
@@ -276,11 +292,11 @@
     let leaves = |at: u64| {
         let mut day = clean_day();
         day.platform_stub.push(json!({"kind": "runner_leaves", "at": at, "runner": "r-1-1"}));
-        violated(&day)
+        violated_checks(&day)
     };
-    verify_that!(leaves(11 * S), is_empty())?;
+    verify_that!(leaves(11 * SECOND), is_empty())?;
     verify_that!(
-        leaves(8 * S),
+        leaves(8 * SECOND),
         elements_are![eq("a leaving runner or draining worker used after 3 s")]
     )
 }
@@ -288,13 +304,13 @@
 #[gtest]
 fn answers_that_end_unknown_at_an_orderly_stop_are_found() -> Result<()> {
     let name = "an orderly stop drops answers in hand";
-    let with_end = |outcome: &str, reason: &str, door: &str| {
+    let with_end = |outcome: &str, reason: &str, ingress: &str| {
         let mut day = clean_day();
         day.callers[20]["outcome"] = json!(outcome);
         day.callers[20]["reason"] = json!(reason);
         let at = day.callers[20]["at"].as_u64().unwrap_or(0) + 1000;
-        day.journal.push(json!({"kind": "stop", "at": at, "machine": "th-1", "door": door}));
-        violated(&day)
+        day.journal.push(json!({"kind": "stop", "at": at, "machine": "th-1", "door": ingress}));
+        violated_checks(&day)
     };
     verify_that!(with_end("answer", "", "d1"), is_empty())?;
     verify_that!(with_end("unknown", "answer_lost", "d1"), elements_are![eq(name)])?;
@@ -308,25 +324,27 @@
         let mut day = clean_day();
         for number in 0..count {
             day.callers[number]["once"] = json!(false);
-            let mut again = run(&format!("t{number}"), 13 * S + number as u64, "r-1-1", 500);
-            again[0]["attempt"] = json!(2);
-            day.platform_stub.extend(again);
+            let mut retried_run =
+                run(&format!("t{number}"), 13 * SECOND + number as u64, "r-1-1", 500);
+            retried_run[0]["attempt"] = json!(2);
+            day.platform_stub.extend(retried_run);
         }
-        violated(&day)
+        violated_checks(&day)
     };
     verify_that!(with_extras(21), is_empty())?;
     verify_that!(with_extras(24), elements_are![eq("extra tries above a fifth in 10 s")])
 }
 
 #[gtest]
-fn a_line_that_its_fault_was_to_try_and_looked_at_nothing_fails_the_day() -> Result<()> {
+fn a_check_that_its_fault_should_exercise_but_saw_no_case_fails_the_day() -> Result<()> {
     let mut day = clean_day();
-    day.journal.push(json!({"kind": "fault", "at": 5 * S, "fault": "evacuate", "heavy": false}));
+    day.journal
+        .push(json!({"kind": "fault", "at": 5 * SECOND, "fault": "evacuate", "heavy": false}));
     let evidence = Evidence::from_records(&day.callers, &day.platform_stub, &day.journal);
     let verdict = judge(&evidence);
     verify_that!(verdict.violation_count(), eq(0))?;
     verify_that!(verdict.is_clean(), eq(false))?;
-    verify_that!(verdict.unjudged.len(), eq(1))
+    verify_that!(verdict.unexercised.len(), eq(1))
 }
 
 #[gtest]
@@ -334,23 +352,23 @@
     let folder = std::env::temp_dir().join(format!("rudder-judge-{}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("a folder");
     let write = |name: &str, text: &str| std::fs::write(folder.join(name), text).expect("a file");
-    let fault = || match Evidence::read(&folder) {
+    let error = || match Evidence::read(&folder) {
         Ok(_) => String::new(),
-        Err(fault) => fault.to_string(),
+        Err(error) => error.to_string(),
     };
-    verify_that!(fault(), contains_substring("callers.jsonl"))?;
-    let whole_call = call("t", S, "answer").to_string();
-    write("callers.jsonl", &format!("{whole_call}\n"));
-    verify_that!(fault(), contains_substring("platform-stub.jsonl"))?;
+    verify_that!(error(), contains_substring("callers.jsonl"))?;
+    let complete_call = call("t", SECOND, "answer").to_string();
+    write("callers.jsonl", &format!("{complete_call}\n"));
+    verify_that!(error(), contains_substring("platform-stub.jsonl"))?;
     write("platform-stub.jsonl", "{\"kind\": \"probe\", \"at\": 1}\n");
     write("journal.jsonl", "{\"kind\": \"end\", \"at\": 1}\n");
-    verify_that!(fault(), eq(""))?;
-    write("callers.jsonl", &format!("{whole_call}\n{}", &whole_call[..20]));
-    verify_that!(fault(), contains_substring("callers.jsonl line 2"))?;
-    write("callers.jsonl", &format!("{whole_call}\n{whole_call}"));
-    verify_that!(fault(), contains_substring("callers.jsonl line 2"))?;
+    verify_that!(error(), eq(""))?;
+    write("callers.jsonl", &format!("{complete_call}\n{}", &complete_call[..20]));
+    verify_that!(error(), contains_substring("callers.jsonl line 2"))?;
+    write("callers.jsonl", &format!("{complete_call}\n{complete_call}"));
+    verify_that!(error(), contains_substring("callers.jsonl line 2"))?;
     write("callers.jsonl", "{\"temperature\": 4}\n");
-    verify_that!(fault(), contains_substring("callers.jsonl line 1"))?;
+    verify_that!(error(), contains_substring("callers.jsonl line 1"))?;
     std::fs::remove_dir_all(&folder).expect("removed");
     Ok(())
 }
--- a/testing/fleet/tests/simulator.rs
+++ b/testing/fleet/tests/simulator.rs
@@ -2,72 +2,75 @@
 
 use common::rules::Rule;
 use dataplane::holder::Tuning;
-use fleet::sim::{Flaw, PROOFS, SimFault, SimPlan, World};
+use fleet::sim::{DETECTION_CASES, Flaw, SimFault, SimPlan, Simulation};
 use googletest::prelude::*;
 use std::time::Duration;
 
-fn breaches(seed: u64, flaw: Flaw) -> Vec<String> {
+fn violations(seed: u64, flaw: Flaw) -> Vec<String> {
     let plan = SimPlan { flaw, ..SimPlan::seeded(seed) };
-    World::new(plan, false).run().breaches.iter().map(ToString::to_string).collect()
+    Simulation::new(plan, false).run().violations.iter().map(ToString::to_string).collect()
 }
 
 #[gtest]
-fn no_seed_breaks_a_rule_and_service_comes_back() -> Result<()> {
+fn no_seed_violates_safety_and_service_recovers() -> Result<()> {
     for seed in 1..=24 {
-        let sim_end = World::new(SimPlan::seeded(seed), false).run();
-        let broken: Vec<String> = sim_end.breaches.iter().map(ToString::to_string).collect();
-        verify_that!(broken, is_empty())?;
-        verify_that!(sim_end.share_after, ge(0.5))?;
-        verify_that!(sim_end.looked.get("run"), some(ge(&100)))?;
+        let sim_result = Simulation::new(SimPlan::seeded(seed), false).run();
+        let violations: Vec<String> =
+            sim_result.violations.iter().map(ToString::to_string).collect();
+        verify_that!(violations, is_empty())?;
+        verify_that!(sim_result.share_after, ge(0.5))?;
+        verify_that!(sim_result.checked.get("run"), some(ge(&100)))?;
     }
     Ok(())
 }
 
 /// Functions that rest when they are idle, and owners sought before the first call, break no rule either.
 #[gtest]
-fn idle_stops_and_warm_functions_break_no_rule() -> Result<()> {
+fn idle_stops_and_warm_functions_violate_no_safety_check() -> Result<()> {
     for seed in 1..=12 {
-        let tuning = Tuning::builder().idle_boots(3).fall(Duration::from_secs(2)).build();
-        let plan = SimPlan { tuning, seeks_warm: true, ..SimPlan::seeded(seed) };
-        let sim_end = World::new(plan, false).run();
-        let broken: Vec<String> = sim_end.breaches.iter().map(ToString::to_string).collect();
-        verify_that!(broken, is_empty())?;
-        verify_that!(sim_end.share_after, ge(0.5))?;
+        let tuning = Tuning::builder().idle_startups(3).decay(Duration::from_secs(2)).build();
+        let plan = SimPlan { tuning, keeps_warm_functions: true, ..SimPlan::seeded(seed) };
+        let sim_result = Simulation::new(plan, false).run();
+        let violations: Vec<String> =
+            sim_result.violations.iter().map(ToString::to_string).collect();
+        verify_that!(violations, is_empty())?;
+        verify_that!(sim_result.share_after, ge(0.5))?;
     }
     Ok(())
 }
 
 fn regional_plan(seed: u64) -> SimPlan {
-    SimPlan { regional: true, rate: 240.0, twins: 0.0, ..SimPlan::seeded(seed) }
+    SimPlan { regional: true, rate: 240.0, duplicate_share: 0.0, ..SimPlan::seeded(seed) }
 }
 
 /// Functions that come to be held in two regions at once break no rule, and callers are served under both keys.
 #[gtest]
-fn regional_keys_break_no_rule_and_serve() -> Result<()> {
+fn regional_keys_violate_no_safety_check_and_serve() -> Result<()> {
     let mut served_count = 0;
     for seed in 1..=8 {
         let plan = SimPlan { fresh_identities: true, ..regional_plan(seed) };
-        let sim_end = World::new(plan, false).run();
-        let broken: Vec<String> = sim_end.breaches.iter().map(ToString::to_string).collect();
-        verify_that!(broken, is_empty())?;
-        verify_that!(sim_end.share_after, ge(0.5))?;
-        served_count += sim_end.counts.get("served under a region's key").copied().unwrap_or(0);
+        let sim_result = Simulation::new(plan, false).run();
+        let violations: Vec<String> =
+            sim_result.violations.iter().map(ToString::to_string).collect();
+        verify_that!(violations, is_empty())?;
+        verify_that!(sim_result.share_after, ge(0.5))?;
+        served_count += sim_result.counts.get("served under a region's key").copied().unwrap_or(0);
     }
     verify_that!(served_count, ge(1000))
 }
 
 /// An identity that may come again, by another door in another region, must find the holder that remembers it.
 #[gtest]
-fn what_is_remembered_is_remembered_by_one_holder() -> Result<()> {
-    let breaches_of = |flaw: Flaw, seed: u64| {
-        let plan = SimPlan { flaw, twins: 0.5, has_faults: false, ..regional_plan(seed) };
-        World::new(plan, false).run().breaches
+fn answers_are_remembered_by_one_holder_only() -> Result<()> {
+    let violations_of = |flaw: Flaw, seed: u64| {
+        let plan = SimPlan { flaw, duplicate_share: 0.5, has_faults: false, ..regional_plan(seed) };
+        Simulation::new(plan, false).run().violations
     };
-    let is_found =
-        (1..=6).any(|seed| !breaches_of(Flaw::Without(Rule::RememberedByOne), seed).is_empty());
+    let is_found = (1..=6)
+        .any(|seed| !violations_of(Flaw::Without(Rule::OneHolderRemembersKeys), seed).is_empty());
     verify_that!(is_found, eq(true))?;
     for seed in 1..=6 {
-        verify_that!(breaches_of(Flaw::None, seed).len(), eq(0))?;
+        verify_that!(violations_of(Flaw::None, seed).len(), eq(0))?;
     }
     Ok(())
 }
@@ -75,51 +78,52 @@
 /// The digest by which two versions of the code are compared is the same for the same seed, and another for another.
 #[gtest]
 fn a_day_has_one_digest_and_another_day_another() -> Result<()> {
-    let digest = |seed| World::new(SimPlan::seeded(seed), false).run().event_digest;
+    let digest = |seed| Simulation::new(SimPlan::seeded(seed), false).run().event_digest;
     verify_that!(digest(5), eq(&digest(5)))?;
     verify_that!(digest(5), not(eq(&digest(6))))
 }
 
 #[gtest]
-fn the_same_seed_is_the_same_day() -> Result<()> {
-    let counts = || World::new(SimPlan::seeded(7), true).run().trace;
+fn the_same_seed_gives_the_same_trace() -> Result<()> {
+    let counts = || Simulation::new(SimPlan::seeded(7), true).run().trace;
     let first_trace = counts();
     verify_that!(first_trace.len(), ge(20))?;
     verify_that!(counts() == first_trace, eq(true))
 }
 
 #[gtest]
-fn runners_of_an_unclaimed_holder_are_taken_over_or_stopped_before_the_next_grant() -> Result<()> {
+fn runners_of_an_unclaimed_holder_are_adopted_or_stopped_before_the_next_lease() -> Result<()> {
     for seed in [2, 8, 17, 43] {
-        verify_that!(breaches(seed, Flaw::None), is_empty())?;
+        verify_that!(violations(seed, Flaw::None), is_empty())?;
     }
     Ok(())
 }
 
 /// Each rule of what must never happen: taken away it is found, and kept nothing is seen.
 #[gtest]
-fn every_rule_taken_away_is_found_and_kept_is_clean() -> Result<()> {
-    for proof in PROOFS {
+fn every_disabled_rule_is_detected_and_the_baseline_is_clean() -> Result<()> {
+    for proof in DETECTION_CASES {
         let end = proof.run(proof.seeds);
-        verify_that!(end.kept_breaches, is_empty()).with_failure_message(|| proof.to_string())?;
+        verify_that!(end.baseline_violations, is_empty())
+            .with_failure_message(|| proof.to_string())?;
         verify_that!(end.found, some(anything())).with_failure_message(|| proof.to_string())?;
-        verify_that!(end.looked, ge(1000))?;
+        verify_that!(end.checked, ge(1000))?;
     }
     Ok(())
 }
 
 #[gtest]
-fn repeats_of_a_once_transaction_do_not_run_again_at_a_successor() -> Result<()> {
+fn repeats_of_a_once_request_do_not_run_again_at_a_successor() -> Result<()> {
     for seed in [7, 57, 67] {
-        verify_that!(breaches(seed, Flaw::None), is_empty())?;
+        verify_that!(violations(seed, Flaw::None), is_empty())?;
     }
     Ok(())
 }
 
 #[gtest]
-fn a_lost_owner_does_not_make_the_hash_owner_ask_without_end() -> Result<()> {
+fn a_lost_owner_does_not_make_the_hash_owner_acquire_without_end() -> Result<()> {
     for seed in 9..=16 {
-        let counts = World::new(SimPlan::seeded(seed), false).run().counts;
+        let counts = Simulation::new(SimPlan::seeded(seed), false).run().counts;
         let count_of = |label: &str| counts.get(label).copied().unwrap_or(0);
         verify_that!(count_of("acquisitions"), le(150))?;
         verify_that!(count_of("answer"), ge(300))?;
@@ -129,19 +133,20 @@
 
 /// What a holder was told on a stream that broke is told again: each seed failed before that was so.
 #[gtest]
-fn drains_and_evacuations_survive_the_loss_of_the_stream_they_were_told_on() -> Result<()> {
-    use SimFault::{CutInTwo, CutOff, DrainWorker, RunnerLeaves};
+fn drains_and_evacuations_survive_the_loss_of_their_stream() -> Result<()> {
+    use SimFault::{DrainWorker, Isolation, Partition, RunnerLeaves};
     let cases = [
         (11974, Vec::new(), 3500),
-        (141, vec![DrainWorker, CutOff], 2000),
-        (149, vec![RunnerLeaves, CutInTwo], 2000),
+        (141, vec![DrainWorker, Isolation], 2000),
+        (149, vec![RunnerLeaves, Partition], 2000),
     ];
     for (seed, focus, gap_ms) in cases {
         let gap = Duration::from_millis(gap_ms);
         let plan = SimPlan { focus, gap, ..SimPlan::seeded(seed) };
-        let sim_end = World::new(plan, false).run();
-        let broken: Vec<String> = sim_end.breaches.iter().map(ToString::to_string).collect();
-        verify_that!(broken, is_empty())?;
+        let sim_result = Simulation::new(plan, false).run();
+        let violations: Vec<String> =
+            sim_result.violations.iter().map(ToString::to_string).collect();
+        verify_that!(violations, is_empty())?;
     }
     Ok(())
 }
@@ -150,31 +155,34 @@
 /// took 11.5 s before the functions that have several gave one back.
 #[gtest]
 fn a_function_without_a_runner_is_not_starved_by_those_that_have_several() -> Result<()> {
-    let sim_end = World::new(SimPlan::seeded(39776), false).run();
-    verify_that!(sim_end.breaches.len(), eq(0))?;
-    verify_that!(sim_end.back_after, le(Duration::from_secs(6)))
+    let sim_result = Simulation::new(SimPlan::seeded(39776), false).run();
+    verify_that!(sim_result.violations.len(), eq(0))?;
+    verify_that!(sim_result.recovered_after, le(Duration::from_secs(6)))
 }
 
 /// What operators send and hear under faults of the control side is explained by one order of events.
 #[gtest]
-fn all_that_operators_hear_is_explained_by_one_order_of_events() -> Result<()> {
-    use SimFault::{CutCore, Evacuate, Freeze, FreezeLeader, KillLeader, RestartAll, Storm};
-    let hurried = Duration::from_millis(150);
+fn operator_histories_are_linearizable() -> Result<()> {
+    use SimFault::{
+        ChangeStorm, Evacuate, Freeze, FreezeLeader, KillLeader, PartitionQuorum, RestartAll,
+    };
+    let short_gap = Duration::from_millis(150);
     let cases = [
         (vec![], 3500, Duration::from_millis(3000)),
-        (vec![], 3500, hurried),
-        (vec![Evacuate, FreezeLeader, CutCore, Freeze], 1500, Duration::from_millis(3000)),
-        (vec![Storm, FreezeLeader, CutCore, KillLeader, RestartAll], 1500, hurried),
+        (vec![], 3500, short_gap),
+        (vec![Evacuate, FreezeLeader, PartitionQuorum, Freeze], 1500, Duration::from_millis(3000)),
+        (vec![ChangeStorm, FreezeLeader, PartitionQuorum, KillLeader, RestartAll], 1500, short_gap),
     ];
     for (focus, gap_ms, order_gap) in cases {
         for seed in [11, 32, 112, 155, 221, 234] {
             let (focus, gap) = (focus.clone(), Duration::from_millis(gap_ms));
             let numbers_orders = true;
             let plan = SimPlan { focus, gap, numbers_orders, order_gap, ..SimPlan::seeded(seed) };
-            let sim_end = World::new(plan, false).run();
-            let broken: Vec<String> = sim_end.breaches.iter().map(ToString::to_string).collect();
-            verify_that!(broken, is_empty())?;
-            verify_that!(sim_end.looked.get("operator's answer"), some(ge(&40)))?;
+            let sim_result = Simulation::new(plan, false).run();
+            let violations: Vec<String> =
+                sim_result.violations.iter().map(ToString::to_string).collect();
+            verify_that!(violations, is_empty())?;
+            verify_that!(sim_result.checked.get("operator's answer"), some(ge(&40)))?;
         }
     }
     Ok(())
--- a/testing/fleet/tests/smoke.rs
+++ b/testing/fleet/tests/smoke.rs
@@ -1,13 +1,13 @@
 //! Real processes, waited on by what they show: founding, a spec, answers, a killed holder, bad input.
 
-use common::frames::Place;
+use common::frames::SocketAddress;
 use common::http::call_json;
-use common::readers::BootSource;
+use common::readers::SettingsSource;
 use fleet::days::Deployment;
-use fleet::fleet::{Fleet, FleetFault, Layout, Sizes};
+use fleet::fleet::{Fleet, FleetError, Layout, Sizes};
 use fleet::judge::{Evidence, judge};
 use hyper::Method;
-use loadgen::{Plan, walk};
+use loadgen::{Plan, run_plan};
 use serde_json::{Value, json};
 use std::path::{Path, PathBuf};
 use std::time::Duration;
@@ -20,22 +20,22 @@
     folder
 }
 
-async fn call_until_answered(fleet: &Fleet, seed: u64, door: Option<Place>) -> Value {
+async fn call_until_answered(fleet: &Fleet, seed: u64, ingress: Option<SocketAddress>) -> Value {
     let mut total = json!({});
     for round in 0..200 {
         let records = fleet.folder().join(format!("callers-{seed}-{round}.jsonl"));
-        let doors: Vec<String> = match door {
-            Some(door) => vec![door.to_string()],
-            None => fleet.layout.doors().iter().map(ToString::to_string).collect(),
+        let ingresses: Vec<String> = match ingress {
+            Some(ingress) => vec![ingress.to_string()],
+            None => fleet.layout.ingresses().iter().map(ToString::to_string).collect(),
         };
         let plan = json!({
-            "seed": seed * 1000 + round, "lasts_ms": 0, "rate": 0.0, "doors": doors,
+            "seed": seed * 1000 + round, "lasts_ms": 0, "rate": 0.0, "doors": ingresses,
             "routes": Deployment::Small.caller_routes(),
             "bursts": [{"at_ms": 0, "lasts_ms": 100, "count": 14, "route_count": 14}],
             "records": records.display().to_string(),
         });
-        let plan = Plan::read(&BootSource::from_value("plan", plan)).expect("a plan");
-        let summary = walk(plan).await.expect("calls").to_value();
+        let plan = Plan::read(&SettingsSource::from_value("plan", plan)).expect("a plan");
+        let summary = run_plan(plan).await.expect("calls").to_value();
         total = summary.clone();
         if summary["answer"] == json!(14) {
             return summary;
@@ -44,7 +44,7 @@
     panic!("never answered in full: {total}");
 }
 
-async fn day(fleet: &mut Fleet) -> Result<(), FleetFault> {
+async fn exercise_fleet(fleet: &mut Fleet) -> Result<(), FleetError> {
     fleet.found().await?;
     let spec = Deployment::Small.spec("canary-a");
     let (status, _) = fleet.put_spec(1, "first", &spec, "in_force").await?;
@@ -60,18 +60,18 @@
     assert_eq!((status, &invalid["faults"][0]["path"]), (422, &json!("routes.canary.function")));
     let (status, again) = fleet.put_spec(1, "first", &spec, "accepted").await?;
     assert_eq!((status, &again["serial"]), (200, &json!(2)));
-    let (_, asked) = fleet.ask(Method::GET, "/v1/changes/stale", None).await?;
-    assert_eq!(asked["state"], json!("not_accepted"));
+    let (_, change_status) = fleet.call_operators(Method::GET, "/v1/changes/stale", None).await?;
+    assert_eq!(change_status["state"], json!("not_accepted"));
 
     trace(fleet);
-    bad_calls(fleet).await;
-    garbage(fleet).await;
+    send_bad_calls(fleet).await;
+    send_garbage(fleet).await;
 
     let holder = fleet.busiest_holder().await.expect("a holder");
     fleet.kill(&holder).await;
     let other = fleet.running("daemon").into_iter().find(|name| *name != holder);
-    let other_door = other.and_then(|name| fleet.door_of(&name));
-    call_until_answered(fleet, 2, other_door).await;
+    let other_ingress = other.and_then(|name| fleet.ingress_of(&name));
+    call_until_answered(fleet, 2, other_ingress).await;
     fleet.launch(&holder).await?;
     fleet.await_ready(3).await?;
 
@@ -79,16 +79,16 @@
     fleet.kill(&leader).await;
     fleet.await_leader().await?;
     call_until_answered(fleet, 3, None).await;
-    let (serial, kept_spec) = fleet.spec().await?;
-    assert_eq!((serial, kept_spec), (2, spec));
+    let (version, stored_spec) = fleet.spec().await?;
+    assert_eq!((version, stored_spec), (2, spec));
 
     let holder = fleet.busiest_holder().await.expect("a holder");
     let holder_ip = fleet.ip_of(&holder).expect("an address");
-    fleet.relay.cut_apart(&[holder_ip], &fleet.other_ips(std::slice::from_ref(&holder)));
+    fleet.network_proxy.partition(&[holder_ip], &fleet.other_ips(std::slice::from_ref(&holder)));
     let other = fleet.running("daemon").into_iter().find(|name| *name != holder);
-    let other_door = other.and_then(|name| fleet.door_of(&name));
-    call_until_answered(fleet, 4, other_door).await;
-    fleet.relay.mend();
+    let other_ingress = other.and_then(|name| fleet.ingress_of(&name));
+    call_until_answered(fleet, 4, other_ingress).await;
+    fleet.network_proxy.clear_faults();
     fleet.await_ready(3).await?;
 
     let stopped = fleet.running("daemon").remove(0);
@@ -107,18 +107,18 @@
     };
     let traced = run(&["--json", "2"]);
     assert_eq!(traced.status.code(), Some(0));
-    let way: Value = serde_json::from_slice(&traced.stdout).expect("JSON");
-    assert_eq!(way["in_force"], json!(true), "{way}");
-    let members = way["parts"][0]["members"].as_object().expect("members");
+    let change_trace: Value = serde_json::from_slice(&traced.stdout).expect("JSON");
+    assert_eq!(change_trace["in_force"], json!(true), "{change_trace}");
+    let members = change_trace["parts"][0]["members"].as_object().expect("members");
     assert_eq!(members.len(), 3);
-    assert!(members.values().all(|row| row["acknowledged_ms"].is_number()), "{way}");
+    assert!(members.values().all(|row| row["acknowledged_ms"].is_number()), "{change_trace}");
     assert_eq!(run(&["77"]).status.code(), Some(3));
 }
 
-async fn bad_calls(fleet: &Fleet) {
-    let door = fleet.layout.doors()[0];
-    let patience = Duration::from_secs(5);
-    let no_header = call_json(door, Method::POST, "/segment-check", None, patience).await;
+async fn send_bad_calls(fleet: &Fleet) {
+    let ingress = fleet.layout.ingresses()[0];
+    let timeout = Duration::from_secs(5);
+    let no_header = call_json(ingress, Method::POST, "/segment-check", None, timeout).await;
     let no_header = no_header.expect("an answer");
     assert_eq!((no_header.status.as_u16(), &no_header.json()["outcome"]), (400, &json!("not_run")));
     assert_eq!(no_header.headers["rudder-outcome"], "not_run");
@@ -130,13 +130,13 @@
         format!("POST /segment-check HTTP/1.1\r\n{identity}content-length: 99999999\r\n\r\n");
     let no_route = format!("POST /nowhere HTTP/1.1\r\n{identity}content-length: 0\r\n\r\n");
     let no_budget = "POST /segment-check HTTP/1.1\r\nhost: here\r\nconnection: close\r\nrudder-transaction: odd-2\r\nrudder-budget-ms: soon\r\ncontent-length: 0\r\n\r\n";
-    breaks_off(door, &half_sent).await;
+    half_closes(ingress, &half_sent).await;
     for (sent, status, reason) in [
         (too_large.as_str(), "413", "body_too_large"),
         (&no_route, "404", "no_route"),
         (no_budget, "400", "bad_header"),
     ] {
-        let answer = raw_call(door, sent, false).await;
+        let answer = raw_call(ingress, sent, false).await;
         assert!(answer.starts_with(&format!("HTTP/1.1 {status}")), "{answer}");
         assert!(answer.contains("\"outcome\":\"not_run\""), "{answer}");
         assert!(answer.contains(reason), "{answer}");
@@ -144,15 +144,15 @@
 }
 
 /// A caller that breaks off in its body is refused, or finds its connection closed, as it comes.
-async fn breaks_off(door: Place, half_sent: &str) {
-    let answer = raw_call(door, half_sent, true).await;
+async fn half_closes(ingress: SocketAddress, half_sent: &str) {
+    let answer = raw_call(ingress, half_sent, true).await;
     assert!(answer.is_empty() || answer.contains("bad_body"), "{answer}");
 }
 
-async fn raw_call(door: Place, sent: &str, breaks_off: bool) -> String {
-    let mut stream = tokio::net::TcpStream::connect(door.address()).await.expect("a connection");
+async fn raw_call(ingress: SocketAddress, sent: &str, half_closes: bool) -> String {
+    let mut stream = tokio::net::TcpStream::connect(ingress.address()).await.expect("a connection");
     stream.write_all(sent.as_bytes()).await.expect("sent");
-    if breaks_off {
+    if half_closes {
         stream.shutdown().await.expect("half closed");
     }
     let mut answer = String::new();
@@ -161,14 +161,14 @@
     answer
 }
 
-async fn garbage(fleet: &Fleet) {
+async fn send_garbage(fleet: &Fleet) {
     for (name, machine) in &fleet.layout.machines {
         let Some(boot_file) = machine.arguments.get(1).filter(|_| name != "platform-stub") else {
             continue;
         };
         let text = std::fs::read_to_string(boot_file).expect("settings");
         let settings: Value = serde_json::from_str(&text).expect("JSON");
-        let place: std::net::SocketAddr =
+        let address: std::net::SocketAddr =
             settings["place"].as_str().and_then(|text| text.parse().ok()).expect("a place");
         for sent_bytes in [
             &b"GET / HTTP/1.1\r\n\r\n"[..],
@@ -176,7 +176,7 @@
             b"RU\x09\x01",
             b"RU\x01\x01\x00\x00\x00\x02zz",
         ] {
-            if let Ok(mut stream) = tokio::net::TcpStream::connect(place).await {
+            if let Ok(mut stream) = tokio::net::TcpStream::connect(address).await {
                 let _ = stream.write_all(sent_bytes).await;
                 let mut rest = Vec::new();
                 let reading = tokio::io::AsyncReadExt::read_to_end(&mut stream, &mut rest);
@@ -185,7 +185,7 @@
             }
         }
         let socket = tokio::net::UdpSocket::bind("127.0.0.1:0").await.expect("a socket");
-        let _ = socket.send_to(b"RU\x01nonsense", place).await;
+        let _ = socket.send_to(b"RU\x01nonsense", address).await;
     }
 }
 
@@ -197,16 +197,16 @@
         zones: 3,
         workers: 4,
         worker_mb: 6000,
-        disks_ail: false,
+        has_faulty_disks: false,
         without: None,
     };
     let layout = Layout::new(&folder, &programs(), &sizes, 1, true).expect("a layout");
     let mut fleet = Fleet::start(layout).await.expect("a fleet");
-    let ended = day(&mut fleet).await;
+    let ended = exercise_fleet(&mut fleet).await;
     fleet.end().await;
     let verdict = judge(&Evidence::read(&folder).expect("records"));
-    if let Err(fault) = ended {
-        panic!("{fault}; logs are in {}", folder.display());
+    if let Err(error) = ended {
+        panic!("{error}; logs are in {}", folder.display());
     }
     assert_eq!(verdict.violation_count(), 0, "{verdict}");
     let _ = std::fs::remove_dir_all(&folder);
--- a/testing/fleet/tests/soak.rs
+++ b/testing/fleet/tests/soak.rs
@@ -1,9 +1,9 @@
 //! Real processes under troubles that overlap, in short; and that a failed request can be followed in their logs.
 
-use common::frames::Place;
+use common::frames::SocketAddress;
 use fleet::days::Deployment;
-use fleet::fleet::{Fleet, FleetFault, Layout, SentChange};
-use fleet::soak::{Soak, drawn, most_at_once, run_soak};
+use fleet::fleet::{Fleet, FleetError, Layout, SentChange};
+use fleet::soak::{Soak, draw_schedule, max_concurrent, run_soak};
 use googletest::prelude::*;
 use hyper::Method;
 use platform_stub::records::Records;
@@ -27,13 +27,13 @@
 }
 
 #[gtest]
-fn a_seed_draws_the_same_troubles_and_three_of_them_overlap() -> Result<()> {
+fn a_seed_draws_the_same_faults_and_three_of_them_overlap() -> Result<()> {
     let lasts = Duration::from_secs(30);
     for seed in 1..=50 {
-        let planned = drawn(seed, 3, lasts);
-        verify_that!(drawn(seed, 3, lasts) == planned, eq(true))?;
-        verify_that!(most_at_once(&planned), eq(3))?;
-        verify_that!(planned.iter().all(|held| held.until <= lasts), eq(true))?;
+        let planned_faults = draw_schedule(seed, 3, lasts);
+        verify_that!(draw_schedule(seed, 3, lasts) == planned_faults, eq(true))?;
+        verify_that!(max_concurrent(&planned_faults), eq(3))?;
+        verify_that!(planned_faults.iter().all(|held| held.until <= lasts), eq(true))?;
     }
     Ok(())
 }
@@ -52,14 +52,14 @@
     let runtime = common::command_line::runtime(2)?;
     let end = runtime.block_on(run_soak(&soak))?;
     verify_that!(end.findings(), is_empty())?;
-    verify_that!(most_at_once(&end.planned), eq(2))?;
+    verify_that!(max_concurrent(&end.planned_faults), eq(2))?;
     verify_that!(end.verdict.figures.calls, ge(500))?;
     std::fs::remove_dir_all(&soak.folder)?;
     Ok(())
 }
 
-async fn call(door: Place, identity: &str) -> std::io::Result<String> {
-    let mut stream = TcpStream::connect(door.address()).await?;
+async fn call(ingress: SocketAddress, identity: &str) -> std::io::Result<String> {
+    let mut stream = TcpStream::connect(ingress.address()).await?;
     let head = format!(
         "POST /canary HTTP/1.1\r\nhost: x\r\nconnection: close\r\nrudder-transaction: {identity}\r\n\
          rudder-budget-ms: 3000\r\ncontent-length: 2\r\n\r\n{{}}"
@@ -85,17 +85,17 @@
 
 async fn failed_request(
     fleet: &mut Fleet,
-) -> std::result::Result<Vec<(String, String)>, FleetFault> {
+) -> std::result::Result<Vec<(String, String)>, FleetError> {
     fleet.found().await?;
     let spec = Deployment::Small.spec("canary-a");
     fleet.put_spec(1, "first", &spec, "in_force").await?;
     fleet.await_ready(4).await?;
     fleet.platform("/v1/runner-faults", &json!({"lose": 1.0})).await?;
-    let (_, body) = fleet.ask(Method::GET, "/v1/holders", None).await?;
+    let (_, body) = fleet.call_operators(Method::GET, "/v1/holders", None).await?;
     let daemons = fleet.running("daemon");
     let identity = "followed-by-its-identity";
-    let door = fleet.door_of(&daemons[0]).expect("a door");
-    let answer = call(door, identity).await.expect("an answer");
+    let ingress = fleet.ingress_of(&daemons[0]).expect("a door");
+    let answer = call(ingress, identity).await.expect("an answer");
     assert!(!answer.starts_with("HTTP/1.1 200"), "{answer} {body}");
     let folder = fleet.folder().to_owned();
     fleet.end().await;
@@ -103,7 +103,7 @@
 }
 
 #[gtest]
-fn a_failed_request_is_followed_by_its_identity_from_door_to_runner() -> Result<()> {
+fn a_failed_request_is_traced_by_its_key_from_ingress_to_runner() -> Result<()> {
     let folder = folder("followed");
     let sizes = Deployment::Small.sizes();
     let layout = Layout::new(&folder, &programs(), &sizes, 1, false)?;
@@ -116,9 +116,9 @@
     verify_that!(numbers, contains(eq(&"3201")))?;
     verify_that!(numbers, contains(eq(&"3202")))?;
     verify_that!(numbers, contains(eq(&"3203")))?;
-    let at_door = found.iter().filter(|(_, number)| number == "3201");
+    let at_ingress = found.iter().filter(|(_, number)| number == "3201");
     verify_that!(
-        at_door.map(|(machine, _)| machine.as_str()).collect::<Vec<_>>(),
+        at_ingress.map(|(machine, _)| machine.as_str()).collect::<Vec<_>>(),
         elements_are![eq(&"daemon-01")]
     )?;
     std::fs::remove_dir_all(&folder)?;
@@ -127,14 +127,14 @@
 
 /// Found by the soak of seed 208: a change whose operator gave up was taken, and nothing was written down of it.
 #[gtest]
-fn a_change_whose_sender_gives_up_is_written_down_as_unknown() -> Result<()> {
+fn a_change_whose_sender_gives_up_is_recorded_as_unknown() -> Result<()> {
     let folder = folder("given-up");
     std::fs::create_dir_all(&folder)?;
     let journal = Records::create(&folder.join("journal.jsonl"))?;
     let spec = Deployment::Small.spec("canary-b");
     drop(SentChange::new(&journal, 7, "change-24", &spec));
     SentChange::new(&journal, 7, "change-25", &spec)
-        .told(200, &json!({"state": "accepted", "serial": 8}));
+        .notified(200, &json!({"state": "accepted", "serial": 8}));
     let text = std::fs::read_to_string(folder.join("journal.jsonl"))?;
     let written: Vec<serde_json::Value> =
         text.lines().map(serde_json::from_str).collect::<std::result::Result<_, _>>()?;
--- a/testing/loadgen/src/lib.rs
+++ b/testing/loadgen/src/lib.rs
@@ -2,8 +2,8 @@
 
 #![deny(missing_docs)]
 
-mod caller;
+mod client_pool;
 mod plan;
 
-pub use caller::{Summary, walk};
-pub use plan::{Burst, Impatience, Plan, PlanFault, PlannedRoute};
+pub use client_pool::{Summary, run_plan};
+pub use plan::{Burst, Plan, PlanError, PlannedRoute, RetryBehaviour};
--- a/testing/loadgen/src/main.rs
+++ b/testing/loadgen/src/main.rs
@@ -1,10 +1,10 @@
 //! Stand-in callers as a process.
 
 use common::command_line::{self, Program};
-use common::readers::BootSource;
+use common::readers::SettingsSource;
 use eyre::WrapErr;
 use gumdrop::Options;
-use loadgen::{Plan, walk};
+use loadgen::{Plan, run_plan};
 use std::path::PathBuf;
 use std::process::ExitCode;
 
@@ -23,15 +23,15 @@
 
 fn main() -> ExitCode {
     let flags = PROGRAM.flags(|flags: &Flags| flags.version);
-    let read_plan = BootSource::open(flags.plan.as_deref())
-        .map_err(loadgen::PlanFault::from)
+    let read_plan = SettingsSource::open(flags.plan.as_deref())
+        .map_err(loadgen::PlanError::from)
         .and_then(|source| Plan::read(&source));
     let plan = match read_plan {
         Ok(plan) => plan,
-        Err(fault) => return PROGRAM.fail(fault, 2),
+        Err(error) => return PROGRAM.fail(error, 2),
     };
     let ended = command_line::runtime(4)
-        .and_then(|runtime| runtime.block_on(walk(plan)))
+        .and_then(|runtime| runtime.block_on(run_plan(plan)))
         .wrap_err("calling");
     match ended {
         Ok(summary) => {
--- a/testing/loadgen/src/plan.rs
+++ b/testing/loadgen/src/plan.rs
@@ -1,7 +1,7 @@
 //! The plan of a load: routes, rates, bursts and impatience.
 
-use common::frames::Place;
-use common::readers::{BootFault, BootSource, FaultReason, PathReader, read_place};
+use common::frames::SocketAddress;
+use common::readers::{PathErrorReason, PathReader, SettingsError, SettingsSource, read_address};
 use hyper::Method;
 use serde_json::Value;
 use std::fmt;
@@ -22,16 +22,16 @@
     /// How often it is used, against the others.
     pub weight: u64,
     /// The shortest and longest budget.
-    pub budget: (Duration, Duration),
+    pub timeout: (Duration, Duration),
 }
 
 /// How some callers retry.
 #[derive(Clone, Debug)]
-pub struct Impatience {
+pub struct RetryBehaviour {
     /// The share of callers that retry at once.
     pub share: f64,
     /// How often each retries.
-    pub most: u32,
+    pub max_retries: u32,
 }
 
 /// Many transactions within a short time.
@@ -59,13 +59,13 @@
     /// Transactions a second.
     pub rate: f64,
     /// The daemons' doors.
-    pub doors: Vec<Place>,
+    pub ingresses: Vec<SocketAddress>,
     /// The platform, which knows the doors that are ready.
-    pub platform: Option<Place>,
+    pub platform: Option<SocketAddress>,
     /// The routes.
     pub routes: Vec<PlannedRoute>,
     /// How some retry.
-    pub impatience: Impatience,
+    pub retry_behaviour: RetryBehaviour,
     /// The crowds.
     pub bursts: Vec<Burst>,
     /// Where everything is recorded.
@@ -74,26 +74,26 @@
 
 /// Why a plan could not be read.
 #[derive(Debug)]
-pub struct PlanFault(BootFault);
+pub struct PlanError(SettingsError);
 
-impl fmt::Display for PlanFault {
+impl fmt::Display for PlanError {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(out, "{}", self.0)
     }
 }
 
-impl std::error::Error for PlanFault {}
+impl std::error::Error for PlanError {}
 
-impl From<BootFault> for PlanFault {
-    fn from(fault: BootFault) -> Self {
-        Self(fault)
+impl From<SettingsError> for PlanError {
+    fn from(error: SettingsError) -> Self {
+        Self(error)
     }
 }
 
 fn share(reader: &PathReader<'_>) -> f64 {
     let read_share = reader.value().and_then(Value::as_f64).unwrap_or(0.0);
     if !(0.0..=1.0).contains(&read_share) {
-        reader.fault(FaultReason::Form("is not between 0 and 1".to_owned()));
+        reader.error(PathErrorReason::Malformed("is not between 0 and 1".to_owned()));
     }
     read_share
 }
@@ -103,23 +103,23 @@
 }
 
 fn read_route(reader: &PathReader<'_>) -> Option<PlannedRoute> {
-    let budgets = reader.field("budget_ms").items();
+    let timeouts = reader.field("budget_ms").items();
     let method = Method::from_bytes(reader.field("method").text()?.as_bytes()).ok()?;
     Some(PlannedRoute {
         method,
         path: reader.field("path").text()?.to_owned(),
         function: reader.field("function").text()?.to_owned(),
-        once: reader.field("once").flag_or(false),
+        once: reader.field("once").bool_or(false),
         weight: reader.field("weight").number_or(0..=1_000_000, 1),
-        budget: (millis(budgets.first()?)?, millis(budgets.last()?)?),
+        timeout: (millis(timeouts.first()?)?, millis(timeouts.last()?)?),
     })
 }
 
 impl Plan {
     /// Reads a plan.
-    pub fn read(source: &BootSource) -> Result<Self, PlanFault> {
+    pub fn read(source: &SettingsSource) -> Result<Self, PlanError> {
         let plan = source.read(|root| {
-            root.only(&[
+            root.allow_only(&[
                 "seed",
                 "lasts_ms",
                 "rate",
@@ -131,14 +131,15 @@
                 "records",
             ]);
             let rate_reader = root.field("rate");
-            let impatience = root.field("impatience");
+            let retry_behaviour = root.field("impatience");
             let platform_reader = root.field("platform");
-            let doors: Vec<Place> =
-                root.field("doors").items().iter().filter_map(read_place).collect();
+            let ingresses: Vec<SocketAddress> =
+                root.field("doors").items().iter().filter_map(read_address).collect();
             let routes: Vec<PlannedRoute> =
                 root.field("routes").items().iter().filter_map(read_route).collect();
-            if doors.is_empty() || routes.is_empty() {
-                root.field("doors").fault(FaultReason::Form("needs doors and routes".to_owned()));
+            if ingresses.is_empty() || routes.is_empty() {
+                root.field("doors")
+                    .error(PathErrorReason::Malformed("needs doors and routes".to_owned()));
             }
             let bursts = root
                 .field("bursts")
@@ -158,16 +159,16 @@
                 seed: root.field("seed").number_or(0..=u64::MAX, 1),
                 lasts: millis(&root.field("lasts_ms"))?,
                 rate: rate_reader.value().and_then(Value::as_f64)?,
-                doors,
-                platform: if platform_reader.is_there() {
-                    read_place(&platform_reader)
+                ingresses,
+                platform: if platform_reader.is_present() {
+                    read_address(&platform_reader)
                 } else {
                     None
                 },
                 routes,
-                impatience: Impatience {
-                    share: share(&impatience.field("share")),
-                    most: impatience.field("most").number_or(0..=100, 0) as u32,
+                retry_behaviour: RetryBehaviour {
+                    share: share(&retry_behaviour.field("share")),
+                    max_retries: retry_behaviour.field("most").number_or(0..=100, 0) as u32,
                 },
                 bursts,
                 records: PathBuf::from(root.field("records").text()?),
--- a/testing/platform-stub/src/main.rs
+++ b/testing/platform-stub/src/main.rs
@@ -1,13 +1,13 @@
 //! The stand-in platform as a process.
 
-use common::chance::Chance;
 use common::command_line::{self, Program};
-use common::frames::Place;
+use common::frames::SocketAddress;
+use common::rng::SeededRng;
 use eyre::WrapErr;
 use gumdrop::Options;
 use platform_stub::platform::{Platform, Worker};
 use platform_stub::records::Records;
-use platform_stub::runner::{RunnerFaults, Yard};
+use platform_stub::runner::{RunnerFaults, SharedRunnerState};
 use std::path::PathBuf;
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -57,9 +57,11 @@
     let doors = flags
         .doors
         .split(',')
-        .filter(|door| !door.is_empty())
-        .map(|door| door.parse().map(Place).wrap_err_with(|| format!("--doors: {door}")))
-        .collect::<eyre::Result<Vec<Place>>>()?;
+        .filter(|ingress| !ingress.is_empty())
+        .map(|ingress| {
+            ingress.parse().map(SocketAddress).wrap_err_with(|| format!("--doors: {ingress}"))
+        })
+        .collect::<eyre::Result<Vec<SocketAddress>>>()?;
     let workers = (0..flags.workers)
         .map(|place| Worker {
             name: format!("worker-{place:02}"),
@@ -71,17 +73,17 @@
         .collect();
     let work =
         (Duration::from_millis(flags.work_shortest), Duration::from_millis(flags.work_longest));
-    let yard = Arc::new(Yard {
+    let shared_state = Arc::new(SharedRunnerState {
         records: Records::create(&flags.records).wrap_err("--records")?,
         runner_faults: Mutex::new(RunnerFaults::default()),
-        chance: Mutex::new(Chance::seeded(flags.seed)),
+        rng: Mutex::new(SeededRng::seeded(flags.seed)),
         work,
     });
     let platform =
-        Platform::new(yard, workers, Duration::from_millis(flags.lag), doors, flags.reuse);
+        Platform::new(shared_state, workers, Duration::from_millis(flags.lag), doors, flags.reuse);
     command_line::runtime(4)?.block_on(async {
         let listener = TcpListener::bind(&flags.place).await.wrap_err("--place")?;
-        let stop = command_line::told_to_stop()?;
+        let stop = command_line::stop_signal()?;
         platform.serve(listener, stop).await;
         Ok(())
     })
--- a/testing/platform-stub/src/records/mod.rs
+++ b/testing/platform-stub/src/records/mod.rs
@@ -1,6 +1,6 @@
 //! What really happened, a line of JSON each, on the machine's boot clock.
 
-use common::clock::Moment;
+use common::clock::MonotonicTime;
 use serde_json::{Value, json};
 use std::fs::File;
 use std::io::{BufWriter, Write};
@@ -21,7 +21,7 @@
     /// Writes one record with the present moment.
     pub fn add(&self, kind: &str, mut detail: Value) {
         detail["kind"] = json!(kind);
-        detail["at"] = json!(Moment::now().0);
+        detail["at"] = json!(MonotonicTime::now().0);
         self.write(&detail);
     }
 
--- a/testing/platform-stub/src/runner/mod.rs
+++ b/testing/platform-stub/src/runner/mod.rs
@@ -2,10 +2,10 @@
 
 use crate::records::Records;
 use bytes::Bytes;
-use common::chance::Chance;
-use common::clock::Moment;
+use common::clock::MonotonicTime;
 use common::http::header_text;
-use common::identity::{FunctionKey, GrantSerial, RunnerId, TransactionId};
+use common::identity::{FencingToken, FunctionKey, IdempotencyKey, RunnerId};
+use common::rng::SeededRng;
 use common::seal;
 use http_body_util::{BodyExt, Full};
 use hyper::body::Incoming;
@@ -64,7 +64,7 @@
     }
 }
 
-enum Deed {
+enum RunBehaviour {
     Answer,
     Lose,
     Wrong,
@@ -75,39 +75,39 @@
 }
 
 /// What all runners of a platform-stub share.
-pub struct Yard {
+pub struct SharedRunnerState {
     /// Where everything is recorded.
     pub records: Records,
     /// How runners misbehave now.
     pub runner_faults: Mutex<RunnerFaults>,
     /// Where chance comes from.
-    pub chance: Mutex<Chance>,
+    pub rng: Mutex<SeededRng>,
     /// The shortest and longest run.
     pub work: (Duration, Duration),
 }
 
-impl Yard {
-    fn choose(&self) -> (Deed, Duration) {
+impl SharedRunnerState {
+    fn draw_behaviour(&self) -> (RunBehaviour, Duration) {
         let runner_faults =
             self.runner_faults.lock().unwrap_or_else(PoisonError::into_inner).clone();
-        let mut chance = self.chance.lock().unwrap_or_else(PoisonError::into_inner);
-        let work_span = chance.within(self.work.0, self.work.1);
-        let mut point = chance.share();
-        let deeds = [
-            (runner_faults.lose, Deed::Lose),
-            (runner_faults.wrong, Deed::Wrong),
-            (runner_faults.short, Deed::Short),
-            (runner_faults.foreign, Deed::Foreign),
-            (runner_faults.refuse, Deed::Refuse),
-            (runner_faults.break_off, Deed::BreakOff),
+        let mut rng = self.rng.lock().unwrap_or_else(PoisonError::into_inner);
+        let work_span = rng.within(self.work.0, self.work.1);
+        let mut point = rng.fraction();
+        let behaviours = [
+            (runner_faults.lose, RunBehaviour::Lose),
+            (runner_faults.wrong, RunBehaviour::Wrong),
+            (runner_faults.short, RunBehaviour::Short),
+            (runner_faults.foreign, RunBehaviour::Foreign),
+            (runner_faults.refuse, RunBehaviour::Refuse),
+            (runner_faults.break_off, RunBehaviour::BreakOff),
         ];
-        for (share, deed) in deeds {
+        for (share, behaviour) in behaviours {
             if point < share {
-                return (deed, work_span);
+                return (behaviour, work_span);
             }
             point -= share;
         }
-        (Deed::Answer, work_span)
+        (RunBehaviour::Answer, work_span)
     }
 }
 
@@ -117,13 +117,13 @@
     pub runner: RunnerId,
     /// Its function.
     pub function: FunctionKey,
-    ready_at: Moment,
+    ready_at: MonotonicTime,
     stopped: AtomicBool,
     stop: watch::Sender<bool>,
     slots: usize,
-    running: Mutex<BTreeMap<u64, (TransactionId, GrantSerial)>>,
+    running: Mutex<BTreeMap<u64, (IdempotencyKey, FencingToken)>>,
     next_run: AtomicU64,
-    yard: Arc<Yard>,
+    shared_state: Arc<SharedRunnerState>,
 }
 
 struct RunGuard {
@@ -138,17 +138,17 @@
         running.remove(&self.number);
         let kind = if self.ended { "run_end" } else { "run_abort" };
         let detail = json!({"runner": self.runner.runner.to_string(), "run": self.number});
-        self.runner.yard.records.add(kind, detail);
+        self.runner.shared_state.records.add(kind, detail);
     }
 }
 
 impl Runner {
     /// Starts a runner behind a listener.
     pub fn start(
-        yard: Arc<Yard>,
+        shared_state: Arc<SharedRunnerState>,
         runner: RunnerId,
         function: FunctionKey,
-        boot: Duration,
+        startup: Duration,
         slots: usize,
         listener: TcpListener,
     ) -> Arc<Self> {
@@ -156,13 +156,13 @@
         let started = Arc::new(Self {
             runner,
             function,
-            ready_at: Moment::now() + boot,
+            ready_at: MonotonicTime::now() + startup,
             stopped: AtomicBool::new(false),
             stop,
             slots,
             running: Mutex::new(BTreeMap::new()),
             next_run: AtomicU64::new(1),
-            yard,
+            shared_state,
         });
         tokio::spawn(started.clone().accept(listener, stopped));
         started
@@ -178,7 +178,7 @@
                 "function": self.function.to_string(),
                 "running": running_count,
             });
-            self.yard.records.add("runner_stop", detail);
+            self.shared_state.records.add("runner_stop", detail);
         }
     }
 
@@ -193,10 +193,10 @@
             let runner = self.clone();
             let mut connection_stopped = stopped.clone();
             tokio::spawn(async move {
-                let (cut_sender, mut cut) = watch::channel(false);
-                let cut_sender = Arc::new(cut_sender);
+                let (disconnect_sender, mut disconnect) = watch::channel(false);
+                let disconnect_sender = Arc::new(disconnect_sender);
                 let service = service_fn(move |request| {
-                    let answering = runner.clone().answer(request, cut_sender.clone());
+                    let answering = runner.clone().answer(request, disconnect_sender.clone());
                     async move { Ok::<_, Infallible>(answering.await) }
                 });
                 let connection = hyper::server::conn::http1::Builder::new()
@@ -204,13 +204,13 @@
                 tokio::select! {
                     _ = connection => {}
                     _ = connection_stopped.wait_for(|is_stopped| *is_stopped) => {}
-                    _ = cut.wait_for(|is_cut| *is_cut) => {}
+                    _ = disconnect.wait_for(|is_disconnected| *is_disconnected) => {}
                 }
             });
         }
     }
 
-    fn respond(&self, status: StatusCode, body: impl Into<Bytes>) -> Response<Full<Bytes>> {
+    fn plain_response(&self, status: StatusCode, body: impl Into<Bytes>) -> Response<Full<Bytes>> {
         let mut response = Response::new(Full::new(body.into()));
         *response.status_mut() = status;
         put(&mut response, seal::RUNNER, &self.runner.to_string());
@@ -220,121 +220,137 @@
     async fn answer(
         self: Arc<Self>,
         request: Request<Incoming>,
-        cut: Arc<watch::Sender<bool>>,
+        disconnect: Arc<watch::Sender<bool>>,
     ) -> Response<Full<Bytes>> {
         match (request.method(), request.uri().path()) {
             (&Method::GET, "/ready") => {
-                let is_ready = Moment::now() >= self.ready_at;
+                let is_ready = MonotonicTime::now() >= self.ready_at;
                 let status =
                     if is_ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
-                self.respond(status, json!({"ready": is_ready}).to_string())
+                self.plain_response(status, json!({"ready": is_ready}).to_string())
             }
             (&Method::GET, "/running") => {
                 let running = self.running.lock().unwrap_or_else(PoisonError::into_inner);
                 let names: Vec<&str> =
-                    running.values().map(|(transaction, _)| transaction.as_str()).collect();
-                self.respond(StatusCode::OK, json!({"running": names}).to_string())
+                    running.values().map(|(idempotency_key, _)| idempotency_key.as_str()).collect();
+                self.plain_response(StatusCode::OK, json!({"running": names}).to_string())
             }
-            (&Method::POST, "/run") => self.take(request, cut).await,
-            _ => self.respond(StatusCode::NOT_FOUND, "{}"),
+            (&Method::POST, "/run") => self.handle_run(request, disconnect).await,
+            _ => self.plain_response(StatusCode::NOT_FOUND, "{}"),
         }
     }
 
-    async fn take(
+    async fn handle_run(
         self: Arc<Self>,
         request: Request<Incoming>,
-        cut: Arc<watch::Sender<bool>>,
+        disconnect: Arc<watch::Sender<bool>>,
     ) -> Response<Full<Bytes>> {
         let (head, body) = request.into_parts();
         let Ok(collected_body) = body.collect().await else {
-            return self.respond(StatusCode::BAD_REQUEST, "{}");
+            return self.plain_response(StatusCode::BAD_REQUEST, "{}");
         };
         let body_bytes = collected_body.to_bytes();
-        let transaction = TransactionId::from(header_text(&head.headers, seal::TRANSACTION));
+        let idempotency_key =
+            IdempotencyKey::from(header_text(&head.headers, seal::IDEMPOTENCY_KEY));
         let attempt = header_text(&head.headers, seal::ATTEMPT).to_owned();
-        let grant = header_text(&head.headers, seal::GRANT).parse::<u64>().map(GrantSerial::from);
-        let grant = grant.unwrap_or(self.runner.grant);
-        let is_meant = header_text(&head.headers, seal::RUNNER) == self.runner.to_string()
+        let fencing_token =
+            header_text(&head.headers, seal::FENCING_TOKEN).parse::<u64>().map(FencingToken::from);
+        let fencing_token = fencing_token.unwrap_or(self.runner.fencing_token);
+        let is_addressed_here = header_text(&head.headers, seal::RUNNER) == self.runner.to_string()
             && header_text(&head.headers, seal::FUNCTION) == self.function.to_string();
-        if !is_meant {
+        if !is_addressed_here {
             let detail = json!({
                 "runner": self.runner.to_string(),
                 "meant": header_text(&head.headers, seal::RUNNER),
-                "transaction": transaction.as_str(),
+                "transaction": idempotency_key.as_str(),
             });
-            self.yard.records.add("misdirected", detail);
-            return self.respond(StatusCode::MISDIRECTED_REQUEST, "{}");
+            self.shared_state.records.add("misdirected", detail);
+            return self.plain_response(StatusCode::MISDIRECTED_REQUEST, "{}");
         }
-        let (deed, work_span) = self.yard.choose();
-        let deed = if self.is_full_of_others(grant) { Deed::Refuse } else { deed };
-        match deed {
-            Deed::Refuse => {
-                let detail =
-                    json!({"runner": self.runner.to_string(), "transaction": transaction.as_str()});
-                self.yard.records.add("refused", detail);
+        let (behaviour, work_span) = self.shared_state.draw_behaviour();
+        let behaviour = if self.is_full_of_other_leases(fencing_token) {
+            RunBehaviour::Refuse
+        } else {
+            behaviour
+        };
+        match behaviour {
+            RunBehaviour::Refuse => {
+                let detail = json!({"runner": self.runner.to_string(), "transaction": idempotency_key.as_str()});
+                self.shared_state.records.add("refused", detail);
                 let refusal = Bytes::from_static(b"{\"refused\":true}");
-                let mut response =
-                    self.sealed(StatusCode::SERVICE_UNAVAILABLE, &transaction, true, refusal);
-                put(&mut response, seal::SHED, "1");
+                let mut response = self.sealed_response(
+                    StatusCode::SERVICE_UNAVAILABLE,
+                    &idempotency_key,
+                    true,
+                    refusal,
+                );
+                put(&mut response, seal::REJECTED, "1");
                 return response;
             }
-            Deed::BreakOff => {
-                let detail =
-                    json!({"runner": self.runner.to_string(), "transaction": transaction.as_str()});
-                self.yard.records.add("broke_off", detail);
-                cut.send_replace(true);
+            RunBehaviour::BreakOff => {
+                let detail = json!({"runner": self.runner.to_string(), "transaction": idempotency_key.as_str()});
+                self.shared_state.records.add("broke_off", detail);
+                disconnect.send_replace(true);
                 return std::future::pending().await;
             }
             _ => {}
         }
         let (done_sender, done) = oneshot::channel();
-        let running = self.clone().run(transaction.clone(), grant, attempt, work_span, done_sender);
+        let running = self.clone().run(
+            idempotency_key.clone(),
+            fencing_token,
+            attempt,
+            work_span,
+            done_sender,
+        );
         tokio::spawn(running);
         if done.await.is_err() {
             return std::future::pending().await;
         }
         let answer = json!({
-            "transaction": transaction.as_str(),
+            "transaction": idempotency_key.as_str(),
             "function": self.function.to_string(),
             "runner": self.runner.to_string(),
             "echo": seal::hex(&seal::digest(&body_bytes)),
         });
         let answer_bytes = Bytes::from(answer.to_string());
-        match deed {
-            Deed::Lose => {
-                cut.send_replace(true);
+        match behaviour {
+            RunBehaviour::Lose => {
+                disconnect.send_replace(true);
                 std::future::pending().await
             }
-            Deed::Wrong => {
-                let mut response = self.sealed(StatusCode::OK, &transaction, false, answer_bytes);
+            RunBehaviour::Wrong => {
+                let mut response =
+                    self.sealed_response(StatusCode::OK, &idempotency_key, false, answer_bytes);
                 *response.body_mut() = Full::new(Bytes::from_static(b"{\"garbage\":true}"));
                 response
             }
-            Deed::Short => {
+            RunBehaviour::Short => {
                 let half_bytes = answer_bytes.slice(..answer_bytes.len() / 2);
-                let mut response = self.sealed(StatusCode::OK, &transaction, false, answer_bytes);
+                let mut response =
+                    self.sealed_response(StatusCode::OK, &idempotency_key, false, answer_bytes);
                 *response.body_mut() = Full::new(half_bytes);
                 response
             }
-            Deed::Foreign => {
-                let other = TransactionId::from(format!("{transaction}-other"));
-                self.sealed(StatusCode::OK, &other, false, answer_bytes)
+            RunBehaviour::Foreign => {
+                let other = IdempotencyKey::from(format!("{idempotency_key}-other"));
+                self.sealed_response(StatusCode::OK, &other, false, answer_bytes)
             }
-            _ => self.sealed(StatusCode::OK, &transaction, false, answer_bytes),
+            _ => self.sealed_response(StatusCode::OK, &idempotency_key, false, answer_bytes),
         }
     }
 
     /// Whether an earlier holder's transactions leave no slot to this one's.
-    fn is_full_of_others(&self, grant: GrantSerial) -> bool {
+    fn is_full_of_other_leases(&self, fencing_token: FencingToken) -> bool {
         let running = self.running.lock().unwrap_or_else(PoisonError::into_inner);
-        let own_count = running.values().filter(|(_, other)| *other == grant).count();
+        let own_count = running.values().filter(|(_, other)| *other == fencing_token).count();
         running.len() >= self.slots && own_count < self.slots
     }
 
     async fn run(
         self: Arc<Self>,
-        transaction: TransactionId,
-        grant: GrantSerial,
+        idempotency_key: IdempotencyKey,
+        fencing_token: FencingToken,
         attempt: String,
         work_span: Duration,
         done: oneshot::Sender<()>,
@@ -342,20 +358,20 @@
         let number = self.next_run.fetch_add(1, Ordering::Relaxed);
         let at_once = {
             let mut running = self.running.lock().unwrap_or_else(PoisonError::into_inner);
-            running.insert(number, (transaction.clone(), grant));
-            running.values().filter(|(_, other)| *other == grant).count()
+            running.insert(number, (idempotency_key.clone(), fencing_token));
+            running.values().filter(|(_, other)| *other == fencing_token).count()
         };
         let detail = json!({
             "runner": self.runner.to_string(),
             "function": self.function.to_string(),
-            "transaction": transaction.as_str(),
+            "transaction": idempotency_key.as_str(),
             "attempt": attempt.parse::<u64>().unwrap_or(0),
             "run": number,
-            "grant": grant.0,
+            "grant": fencing_token.0,
             "at_once": at_once,
-            "ready": Moment::now() >= self.ready_at,
+            "ready": MonotonicTime::now() >= self.ready_at,
         });
-        self.yard.records.add("run_begin", detail);
+        self.shared_state.records.add("run_begin", detail);
         let mut guard = RunGuard { runner: self.clone(), number, ended: false };
         let mut stopped = self.stop.subscribe();
         tokio::select! {
@@ -368,16 +384,17 @@
         }
     }
 
-    fn sealed(
+    fn sealed_response(
         &self,
         status: StatusCode,
-        transaction: &TransactionId,
-        shed: bool,
+        idempotency_key: &IdempotencyKey,
+        is_rejected: bool,
         body: Bytes,
     ) -> Response<Full<Bytes>> {
-        let body_seal = seal::seal(transaction, &self.function, self.runner, shed, &body);
-        let mut response = self.respond(status, body);
-        put(&mut response, seal::TRANSACTION, transaction.as_str());
+        let body_seal =
+            seal::seal(idempotency_key, &self.function, self.runner, is_rejected, &body);
+        let mut response = self.plain_response(status, body);
+        put(&mut response, seal::IDEMPOTENCY_KEY, idempotency_key.as_str());
         put(&mut response, seal::FUNCTION, &self.function.to_string());
         put(&mut response, seal::SEAL, &body_seal);
         response
--- a/testing/support/commands.rs
+++ b/testing/support/commands.rs
@@ -3,7 +3,7 @@
 use std::process::Command;
 
 /// What a program prints to arguments, and its exit code; a version number of its own is shown as VERSION.
-pub fn said(program: &str, arguments: &[&str], variables: &[(&str, &str)]) -> String {
+pub fn output(program: &str, arguments: &[&str], variables: &[(&str, &str)]) -> String {
     let output = Command::new(program)
         .args(arguments)
         .envs(variables.iter().copied())
--- a/testing/support/daemon_settings.rs
+++ b/testing/support/daemon_settings.rs
@@ -1,7 +1,7 @@
 //! What a daemon reads from its settings, by the keys that users write. Included by the tests that hold it.
 
 use common::identity::Zone;
-use dataplane::boot::DaemonBoot;
+use dataplane::settings::DaemonSettings;
 use serde_json::{Value, json};
 use std::time::Duration;
 
@@ -10,40 +10,40 @@
 }
 
 /// Every value that was read; regions for the zones named.
-pub fn shown(boot: &DaemonBoot, zones: &[&str]) -> Value {
-    let places: Vec<String> = boot.seeds.iter().map(ToString::to_string).collect();
-    let region_of = |zone: &str| boot.regions.of(&Zone::from(zone)).map(ToString::to_string);
+pub fn shown(settings: &DaemonSettings, zones: &[&str]) -> Value {
+    let addresses: Vec<String> = settings.seeds.iter().map(ToString::to_string).collect();
+    let region_of = |zone: &str| settings.regions.of(&Zone::from(zone)).map(ToString::to_string);
     let regions: Vec<(&str, Option<String>)> =
         zones.iter().map(|zone| (*zone, region_of(zone))).collect();
-    let tuning = &boot.tuning;
+    let tuning = &settings.tuning;
     json!({
-        "file": boot.source,
-        "member": boot.member.as_str(),
-        "locality": boot.zone.as_str(),
-        "place": boot.place.to_string(),
-        "listen": boot.listen.to_string(),
-        "door": boot.door.to_string(),
-        "seeds": places,
-        "platform": boot.platform.to_string(),
-        "largest_body": boot.largest_body,
-        "grace_ms": millis(boot.grace),
-        "threads": boot.threads,
-        "ready": boot.ready.map(|place| place.to_string()),
-        "beat_ms": millis(boot.beat_every),
-        "link_mbps": boot.link_mbps,
-        "warm": boot.warm,
+        "file": settings.source,
+        "member": settings.member.as_str(),
+        "locality": settings.zone.as_str(),
+        "place": settings.address.to_string(),
+        "listen": settings.listen.to_string(),
+        "door": settings.ingress.to_string(),
+        "seeds": addresses,
+        "platform": settings.platform.to_string(),
+        "largest_body": settings.max_body_bytes,
+        "grace_ms": millis(settings.grace),
+        "threads": settings.threads,
+        "ready": settings.ready.map(|address| address.to_string()),
+        "beat_ms": millis(settings.heartbeat_interval),
+        "link_mbps": settings.link_mbps,
+        "warm": settings.warm,
         "regions": regions,
-        "tries_percent": tuning.tries_percent,
-        "tries_allowance": tuning.tries_allowance,
-        "tries_allowance_at_once": tuning.tries_allowance_at_once,
-        "idle_boots": tuning.idle_boots,
-        "idle_rare_ms": tuning.idle_rare.map(millis),
+        "tries_percent": tuning.retry_percent,
+        "tries_allowance": tuning.retry_allowance,
+        "tries_allowance_at_once": tuning.retry_allowance_immediate,
+        "idle_boots": tuning.idle_startups,
+        "idle_rare_ms": tuning.rare_idle_limit.map(millis),
         "idle_stop": tuning.idle_cost.is_some(),
-        "start_mb_s": tuning.idle_cost.map(|cost| cost.start_mb_s),
-        "late_mb_s": tuning.idle_cost.map(|cost| cost.late_mb_s),
-        "rise_ms": millis(tuning.rise),
+        "start_mb_s": tuning.idle_cost.map(|cost| cost.start_cost_mb_s),
+        "late_mb_s": tuning.idle_cost.map(|cost| cost.late_cost_mb_s),
+        "rise_ms": millis(tuning.rate_window),
         "margin_percent": tuning.margin_percent,
-        "fall_ms": tuning.fall.map(millis),
-        "drain_every_ms": tuning.drain_every.map(millis),
+        "fall_ms": tuning.decay.map(millis),
+        "drain_every_ms": tuning.drain_interval.map(millis),
     })
 }
--- a/testing/support/platform_double.rs
+++ b/testing/support/platform_double.rs
@@ -1,6 +1,6 @@
 //! A platform that answers calls as a test says, and keeps what it was sent. Included by the tests that hold the calls.
 
-use common::frames::Place;
+use common::frames::SocketAddress;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -9,7 +9,7 @@
 /// A platform's answers to calls, one after another, and the calls.
 pub struct PlatformDouble {
     /// Where it listens.
-    pub place: Place,
+    pub address: SocketAddress,
     calls: Arc<Mutex<Vec<String>>>,
 }
 
@@ -36,19 +36,19 @@
         let SocketAddr::V4(address) = listener.local_addr().expect("an address") else {
             panic!("not an IPv4 address");
         };
-        let place = Place(address);
+        let address = SocketAddress(address);
         let calls = Arc::new(Mutex::new(Vec::new()));
         let (kept, answers) = (calls.clone(), answers.to_vec());
         tokio::spawn(async move {
             for (status, body) in answers {
                 let (mut stream, _) = listener.accept().await.expect("a call");
-                let call = read_call(&mut stream).await.replace(&place.to_string(), "PLATFORM");
+                let call = read_call(&mut stream).await.replace(&address.to_string(), "PLATFORM");
                 kept.lock().expect("the calls").push(call);
                 let head = format!("HTTP/1.1 {status} X\r\ncontent-length: {}\r\n\r\n", body.len());
                 let _ = stream.write_all(format!("{head}{body}").as_bytes()).await;
             }
         });
-        Self { place, calls }
+        Self { address, calls }
     }
 
     /// The calls so far, as they came.
--- a/testing/support/settings_file.rs
+++ b/testing/support/settings_file.rs
@@ -35,12 +35,12 @@
         let mut arguments = vec!["--boot", path.to_str().expect("a path")];
         arguments.extend(more);
         let output = self.run(&arguments);
-        let said = String::from_utf8_lossy(&output.stderr).trim().to_owned();
-        assert_eq!(output.status.code(), Some(2), "{said}");
-        assert_eq!(said.lines().count(), 1, "{said}");
-        assert!(said.contains(path.to_str().expect("a path")), "{said}");
+        let stderr_text = String::from_utf8_lossy(&output.stderr).trim().to_owned();
+        assert_eq!(output.status.code(), Some(2), "{stderr_text}");
+        assert_eq!(stderr_text.lines().count(), 1, "{stderr_text}");
+        assert!(stderr_text.contains(path.to_str().expect("a path")), "{stderr_text}");
         let _ = std::fs::remove_file(path);
-        said
+        stderr_text
     }
 
     /// Version and help are there.
@@ -58,8 +58,8 @@
         assert!(unknown.contains("colour is not a known key"), "{unknown}");
         assert!(self.refused("missing", "{}", &[]).contains("is missing"));
         assert!(self.refused("json", "{", &[]).contains("not JSON"));
-        let bad_place = self.refused("place", r#"{"place": "localhost:1"}"#, &[]);
-        assert!(bad_place.contains("place is not an IP number with port"), "{bad_place}");
+        let bad_address = self.refused("place", r#"{"place": "localhost:1"}"#, &[]);
+        assert!(bad_address.contains("place is not an IP number with port"), "{bad_address}");
         let overridden =
             self.refused("flag", r#"{"place": "127.0.0.1:1"}"#, &["--place", "nowhere"]);
         assert!(overridden.contains("place is not an IP number with port"), "{overridden}");
@@ -88,8 +88,8 @@
             }
             assert!(child.try_wait().expect("a status").is_none(), "it ended before it read");
         };
-        let told = Command::new("kill").args(["-HUP", &child.id().to_string()]).status();
-        assert!(told.expect("kill").success());
+        let signalled = Command::new("kill").args(["-HUP", &child.id().to_string()]).status();
+        assert!(signalled.expect("kill").success());
         writer.write_all(b"{}").expect("it reads");
         drop(writer);
         let status = child.wait().expect("a status");
--- a/testing/support/wire.rs
+++ b/testing/support/wire.rs
@@ -1,7 +1,7 @@
 //! The bytes of HTTP requests and responses as the other side gets them. Included by the tests that hold them.
 
 use bytes::Bytes;
-use common::http::{CallerTimes, Served, serve_connection};
+use common::http::{ConnectionLimits, HttpResponse, serve_connection};
 use http_body_util::Full;
 use hyper::Request;
 use hyper::body::Incoming;
@@ -26,10 +26,10 @@
 pub async fn answered_by<H, F>(handler: H, request_text: &str) -> String
 where
     H: Fn(Request<Incoming>) -> F,
-    F: Future<Output = Served>,
+    F: Future<Output = HttpResponse>,
 {
     let (near, mut far) = duplex(PIPE_BYTES);
-    let times = CallerTimes { header_bytes: 64 << 10, idle: Duration::from_secs(10) };
+    let times = ConnectionLimits { header_bytes: 64 << 10, idle: Duration::from_secs(10) };
     let (_stop_sender, stop) = watch::channel(false);
     let (head, body) = request_text.split_once("\n\n").expect("a head");
     let sent = format!("{}\r\n\r\n{body}", head.replace('\n', "\r\n"));
@@ -45,7 +45,7 @@
 }
 
 /// A response as a caller gets it who wants no other one.
-pub async fn response(served: Served) -> String {
+pub async fn response(served: HttpResponse) -> String {
     let waiting = Arc::new(Mutex::new(Some(served)));
     let handler = move |_| {
         let served = waiting.lock().expect("a response").take().expect("one request");
