--- a/crates/common/src/adapter/native.rs
+++ b/crates/common/src/adapter/native.rs
@@ -34,16 +34,28 @@
             "boot_ms": order.startup.as_millis() as u64,
             "slots": order.slots,
         });
-        let call = call_json(self.address, Method::POST, "/v1/runners", Some(&body), CALL_TIMEOUT);
-        let Ok(response) = call.await else { return StartOutcome::Lost };
+        let call = call_json(
+            self.address,
+            Method::POST,
+            "/v1/runners",
+            Some(&body),
+            CALL_TIMEOUT,
+        );
+        let Ok(response) = call.await else {
+            return StartOutcome::Lost;
+        };
         match response.status {
             StatusCode::CREATED => {
                 let answer = response.json();
                 let errors = PathErrorList::default();
                 let address = read_address(&PathReader::new(&answer, &errors).field("place"));
-                let name =
-                    PathReader::new(&answer, &errors).field("life").text().map(InstanceId::from);
-                let instance = name.zip(address).map(|(name, address)| Instance { name, address });
+                let name = PathReader::new(&answer, &errors)
+                    .field("life")
+                    .text()
+                    .map(InstanceId::from);
+                let instance = name
+                    .zip(address)
+                    .map(|(name, address)| Instance { name, address });
                 instance.map_or(StartOutcome::Lost, StartOutcome::Started)
             }
             StatusCode::CONFLICT | StatusCode::INSUFFICIENT_STORAGE => StartOutcome::NoCapacity,
@@ -55,7 +67,10 @@
 
     async fn stop_native(&self, order: StopOrder) -> bool {
         let key = order.runner.to_string();
-        let name = order.instance.as_ref().map_or(key.as_str(), InstanceId::as_str);
+        let name = order
+            .instance
+            .as_ref()
+            .map_or(key.as_str(), InstanceId::as_str);
         let path = format!("/v1/runners/{name}");
         let response = call_json(self.address, Method::DELETE, &path, None, CALL_TIMEOUT).await;
         response.is_ok_and(|response| response.status == StatusCode::OK)
@@ -90,8 +105,12 @@
         let errors = PathErrorList::default();
         let root = PathReader::new(&body, &errors);
         let age_ms = root.field("age_ms").number(0..=3_600_000);
-        let runners =
-            root.field("runners").items().iter().filter_map(|item| read_runner(item)).collect();
+        let runners = root
+            .field("runners")
+            .items()
+            .iter()
+            .filter_map(|item| read_runner(item))
+            .collect();
         let is_complete = response.status == StatusCode::OK && errors.into_inner().is_empty();
         let age = Duration::from_millis(age_ms?);
         is_complete.then_some(RunnerList { age, runners })
--- a/crates/common/src/clock/mod.rs
+++ b/crates/common/src/clock/mod.rs
@@ -46,7 +46,12 @@
 
 impl fmt::Display for MonotonicTime {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(out, "{}.{:03}s", self.0 / 1_000_000_000, self.0 / 1_000_000 % 1000)
+        write!(
+            out,
+            "{}.{:03}s",
+            self.0 / 1_000_000_000,
+            self.0 / 1_000_000 % 1000
+        )
     }
 }
 
--- a/crates/common/src/command_line.rs
+++ b/crates/common/src/command_line.rs
@@ -30,7 +30,11 @@
 impl Program {
     /// A program of a name and a version.
     pub const fn new(name: &'static str, version: &'static str) -> Self {
-        Self { name, version, examples: &[] }
+        Self {
+            name,
+            version,
+            examples: &[],
+        }
     }
 
     /// The same with examples in its help.
--- a/crates/common/src/frames/compress.rs
+++ b/crates/common/src/frames/compress.rs
@@ -24,8 +24,10 @@
 
 /// The text that was packed; fails on what was not packed so, and on more than 64 MiB.
 pub fn decompress(compressed: &ByteString) -> Result<Vec<u8>, FrameError> {
-    let Some((DEFLATE_MARK, deflated_bytes)) =
-        compressed.0.split_first().map(|(first, rest)| (*first, rest))
+    let Some((DEFLATE_MARK, deflated_bytes)) = compressed
+        .0
+        .split_first()
+        .map(|(first, rest)| (*first, rest))
     else {
         return Ok(compressed.0.to_vec());
     };
--- a/crates/common/src/frames/parts.rs
+++ b/crates/common/src/frames/parts.rs
@@ -12,8 +12,10 @@
     let mut read_bytes = vec![0; text_length as usize];
     let text_offset = reader.stream_position()?;
     reader.read_exact(&mut read_bytes)?;
-    String::from_utf8(read_bytes)
-        .map_err(|error| binrw::Error::Custom { pos: text_offset, err: Box::new(error) })
+    String::from_utf8(read_bytes).map_err(|error| binrw::Error::Custom {
+        pos: text_offset,
+        err: Box::new(error),
+    })
 }
 
 /// Writes a short text, cut at what two bytes of length can say.
@@ -98,7 +100,9 @@
     fn read_options<R: Read + Seek>(reader: &mut R, endian: Endian, _: ()) -> BinResult<Self> {
         let byte_count = u32::read_options(reader, endian, ())?;
         let mut read_bytes = Vec::new();
-        let read_length = reader.take(byte_count as u64).read_to_end(&mut read_bytes)?;
+        let read_length = reader
+            .take(byte_count as u64)
+            .read_to_end(&mut read_bytes)?;
         if read_length != byte_count as usize {
             return Err(binrw::Error::Io(std::io::ErrorKind::UnexpectedEof.into()));
         }
--- a/crates/common/src/frames/wire.rs
+++ b/crates/common/src/frames/wire.rs
@@ -61,7 +61,10 @@
             Self::Connection(error) => write!(out, "connection: {error}"),
             Self::WrongMagic => write!(out, "not a rudderstream connection"),
             Self::WrongVersion(received) => {
-                write!(out, "frames of serial {received}, ours are of {WIRE_VERSION}")
+                write!(
+                    out,
+                    "frames of serial {received}, ours are of {WIRE_VERSION}"
+                )
             }
             Self::WrongChannel(received) => write!(out, "channel {received} is not served here"),
             Self::Oversized(length) => write!(out, "frame of {length} bytes"),
@@ -114,7 +117,9 @@
     writer: &mut W,
     channel: Channel,
 ) -> Result<(), FrameError> {
-    writer.write_all(&[MAGIC[0], MAGIC[1], WIRE_VERSION, channel.code()]).await?;
+    writer
+        .write_all(&[MAGIC[0], MAGIC[1], WIRE_VERSION, channel.code()])
+        .await?;
     Ok(())
 }
 
@@ -197,7 +202,9 @@
         let mut part = (&mut *reader).take(part_length as u64);
         let read_length = part.read_buf(&mut frame_bytes).await?;
         if read_length == 0 {
-            return Err(FrameError::Connection(std::io::ErrorKind::UnexpectedEof.into()));
+            return Err(FrameError::Connection(
+                std::io::ErrorKind::UnexpectedEof.into(),
+            ));
         }
         remaining_length -= read_length;
         if remaining_length > 0 {
--- a/crates/common/src/http/call.rs
+++ b/crates/common/src/http/call.rs
@@ -51,7 +51,10 @@
 impl CallError {
     /// Whether it is sure that the other side got nothing.
     pub fn is_certainly_unsent(&self) -> bool {
-        matches!(self, Self::NotSent(_) | Self::ConnectTimeout | Self::Request(_))
+        matches!(
+            self,
+            Self::NotSent(_) | Self::ConnectTimeout | Self::Request(_)
+        )
     }
 }
 
@@ -102,11 +105,18 @@
             std::future::pending::<()>().await;
         };
         let receiving = async {
-            let response = sender.send_request(request).await.map_err(CallError::Lost)?;
+            let response = sender
+                .send_request(request)
+                .await
+                .map_err(CallError::Lost)?;
             let (head, body) = response.into_parts();
             let collected_body = Limited::new(body, max_body_bytes).collect().await;
             let body = collected_body.map_err(|error| CallError::Body(error.to_string()))?;
-            Ok(CallResponse { status: head.status, headers: head.headers, body: body.to_bytes() })
+            Ok(CallResponse {
+                status: head.status,
+                headers: head.headers,
+                body: body.to_bytes(),
+            })
         };
         tokio::select! {
             call_response = receiving => call_response,
@@ -140,7 +150,9 @@
     body: Option<&Value>,
     timeout: Duration,
 ) -> Result<CallResponse, CallError> {
-    let body_bytes = body.map(|value| Bytes::from(value.to_string())).unwrap_or_default();
+    let body_bytes = body
+        .map(|value| Bytes::from(value.to_string()))
+        .unwrap_or_default();
     let request = Request::builder()
         .method(method)
         .uri(path)
--- a/crates/common/src/http/head.rs
+++ b/crates/common/src/http/head.rs
@@ -10,7 +10,10 @@
 
 /// The first text of a header; empty when the header is missing, or is no text.
 pub fn header_text<'a>(headers: &'a HeaderMap, name: &str) -> &'a str {
-    headers.get(name).and_then(|value| value.to_str().ok()).unwrap_or("")
+    headers
+        .get(name)
+        .and_then(|value| value.to_str().ok())
+        .unwrap_or("")
 }
 
 /// A header's text; empty when the header is missing, is no text, or stands more than once, so that
@@ -32,8 +35,9 @@
 
 fn is_chunked(headers: &HeaderMap) -> bool {
     let last_value = headers.get_all(TRANSFER_ENCODING).iter().next_back();
-    let last_coding =
-        last_value.and_then(|value| value.to_str().ok()).and_then(|text| text.rsplit(',').next());
+    let last_coding = last_value
+        .and_then(|value| value.to_str().ok())
+        .and_then(|text| text.rsplit(',').next());
     last_coding.is_some_and(|coding| coding.trim().eq_ignore_ascii_case("chunked"))
 }
 
@@ -42,9 +46,12 @@
 pub fn is_merged_response(headers: &HeaderMap, extensions: &Extensions) -> bool {
     let reason = extensions.get::<ReasonPhrase>();
     reason.is_some_and(|reason| contains_protocol_name(reason.as_bytes()))
-        || headers.values().any(|value| contains_protocol_name(value.as_bytes()))
+        || headers
+            .values()
+            .any(|value| contains_protocol_name(value.as_bytes()))
 }
 
 fn contains_protocol_name(text: &[u8]) -> bool {
-    text.windows(PROTOCOL.len()).any(|window| window == PROTOCOL)
+    text.windows(PROTOCOL.len())
+        .any(|window| window == PROTOCOL)
 }
--- a/crates/common/src/http/line_stream.rs
+++ b/crates/common/src/http/line_stream.rs
@@ -44,16 +44,25 @@
         .header(HOST, address.to_string())
         .body(Empty::<Bytes>::new())
         .map_err(CallError::Request)?;
-    let mut response = sender.send_request(request).await.map_err(CallError::Lost)?;
+    let mut response = sender
+        .send_request(request)
+        .await
+        .map_err(CallError::Lost)?;
     if response.status() == StatusCode::TEMPORARY_REDIRECT {
-        let location = response.headers().get(LOCATION).and_then(|value| value.to_str().ok());
+        let location = response
+            .headers()
+            .get(LOCATION)
+            .and_then(|value| value.to_str().ok());
         let authority = location
             .and_then(|text| text.strip_prefix("http://"))
             .and_then(|text| text.split('/').next());
-        let redirect = authority.and_then(|text| text.parse().ok()).map(SocketAddress);
-        return Ok(
-            redirect.map_or(LineStreamEnd::Status(response.status()), LineStreamEnd::Redirect)
-        );
+        let redirect = authority
+            .and_then(|text| text.parse().ok())
+            .map(SocketAddress);
+        return Ok(redirect.map_or(
+            LineStreamEnd::Status(response.status()),
+            LineStreamEnd::Redirect,
+        ));
     }
     if response.status() != StatusCode::OK {
         return Ok(LineStreamEnd::Status(response.status()));
--- a/crates/common/src/http/serve.rs
+++ b/crates/common/src/http/serve.rs
@@ -34,9 +34,10 @@
 pub fn json_response(status: StatusCode, value: &Value) -> HttpResponse {
     let mut response = Response::new(full_body(value.to_string()));
     *response.status_mut() = status;
-    response
-        .headers_mut()
-        .insert(CONTENT_TYPE, hyper::header::HeaderValue::from_static("application/json"));
+    response.headers_mut().insert(
+        CONTENT_TYPE,
+        hyper::header::HeaderValue::from_static("application/json"),
+    );
     response
 }
 
@@ -44,9 +45,10 @@
 pub fn text_response(status: StatusCode, text: impl Into<Bytes>) -> HttpResponse {
     let mut response = Response::new(full_body(text));
     *response.status_mut() = status;
-    response
-        .headers_mut()
-        .insert(CONTENT_TYPE, hyper::header::HeaderValue::from_static("text/plain; version=0.0.4"));
+    response.headers_mut().insert(
+        CONTENT_TYPE,
+        hyper::header::HeaderValue::from_static("text/plain; version=0.0.4"),
+    );
     response
 }
 
@@ -59,7 +61,9 @@
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, Infallible>>> {
-        self.0.poll_recv(context).map(|chunk| chunk.map(|bytes| Ok(Frame::data(bytes))))
+        self.0
+            .poll_recv(context)
+            .map(|chunk| chunk.map(|bytes| Ok(Frame::data(bytes))))
     }
 }
 
@@ -126,7 +130,10 @@
     H: Fn(Request<Incoming>) -> F + Clone + Send + Sync + 'static,
     F: Future<Output = HttpResponse> + Send + 'static,
 {
-    let limits = || ConnectionLimits { header_bytes: MAX_HEAD_LENGTH, idle: IDLE_TIMEOUT };
+    let limits = || ConnectionLimits {
+        header_bytes: MAX_HEAD_LENGTH,
+        idle: IDLE_TIMEOUT,
+    };
     serve_callers(listener, handler, limits, stop).await;
 }
 
--- a/crates/common/src/identity/function.rs
+++ b/crates/common/src/identity/function.rs
@@ -22,12 +22,20 @@
 impl FunctionKey {
     /// The key for the callers of all regions.
     pub fn new(name: impl Into<FunctionName>, generation: Version) -> Self {
-        Self { name: name.into(), generation, region: Region::from("") }
+        Self {
+            name: name.into(),
+            generation,
+            region: Region::from(""),
+        }
     }
 
     /// The same function's key for the callers of one region alone.
     pub fn in_region(&self, region: &Region) -> Self {
-        Self { name: self.name.clone(), generation: self.generation, region: region.clone() }
+        Self {
+            name: self.name.clone(),
+            generation: self.generation,
+            region: region.clone(),
+        }
     }
 
     /// The same function's key for the callers of all regions.
@@ -49,7 +57,11 @@
 impl fmt::Display for FunctionKey {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(out, "{}@{}", self.name, self.generation)?;
-        if self.is_regional() { write!(out, "~{}", self.region) } else { Ok(()) }
+        if self.is_regional() {
+            write!(out, "~{}", self.region)
+        } else {
+            Ok(())
+        }
     }
 }
 
--- a/crates/common/src/identity/runner.rs
+++ b/crates/common/src/identity/runner.rs
@@ -60,7 +60,10 @@
             let (token_text, ordinal_text) = given_text.strip_prefix("r-")?.split_once('-')?;
             let fencing_token = FencingToken(u64::from_str_radix(token_text, 16).ok()?);
             let ordinal = u64::from_str_radix(ordinal_text, 16).ok()?;
-            Some(RunnerId { fencing_token, ordinal })
+            Some(RunnerId {
+                fencing_token,
+                ordinal,
+            })
         };
         parse().ok_or_else(|| RunnerIdError(given_text.to_owned()))
     }
--- a/crates/common/src/invariants.rs
+++ b/crates/common/src/invariants.rs
@@ -108,7 +108,10 @@
 static COUNT_ONLY: AtomicBool = AtomicBool::new(false);
 
 static COUNTERS: LazyLock<IntCounterVec> = LazyLock::new(|| {
-    let options = Opts::new(COUNTER_NAME, "promises that the process found broken, by invariant");
+    let options = Opts::new(
+        COUNTER_NAME,
+        "promises that the process found broken, by invariant",
+    );
     let counters = IntCounterVec::new(options, &["invariant"]).expect("a constant name is valid");
     for invariant in Invariant::ALL {
         counters.with_label_values(&[invariant.as_str()]);
@@ -145,13 +148,21 @@
 /// Notes a violation if the condition does not hold.
 pub fn require(rules: Rules, invariant: Invariant, holds: bool, detail: impl FnOnce() -> String) {
     if !holds {
-        report_violation(rules, Violation { invariant, detail: detail() });
+        report_violation(
+            rules,
+            Violation {
+                invariant,
+                detail: detail(),
+            },
+        );
     }
 }
 
 #[cold]
 fn report_violation(rules: Rules, violation: Violation) {
-    COUNTERS.with_label_values(&[violation.invariant.as_str()]).inc();
+    COUNTERS
+        .with_label_values(&[violation.invariant.as_str()])
+        .inc();
     log_event!(Error, events::INVARIANT_VIOLATED, "{violation}");
     let is_tolerated =
         IS_COLLECTING.get() || !rules.all_enforced() || COUNT_ONLY.load(Ordering::Relaxed);
--- a/crates/common/src/metrics.rs
+++ b/crates/common/src/metrics.rs
@@ -9,8 +9,9 @@
 const VALID_NAME: &str = "a constant name is valid and registered once";
 
 /// The upper bounds of histograms of seconds.
-const SECONDS_BUCKETS: [f64; 11] =
-    [0.0005, 0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.5, 1.0, 3.0];
+const SECONDS_BUCKETS: [f64; 11] = [
+    0.0005, 0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.5, 1.0, 3.0,
+];
 
 fn seconds_options(name: &str, help: &str) -> HistogramOpts {
     HistogramOpts::new(name, help).buckets(SECONDS_BUCKETS.to_vec())
@@ -25,42 +26,54 @@
     /// A page with the counts of violated invariants, which every process has.
     pub fn new() -> Self {
         let registry = Registry::new();
-        registry.register(Box::new(invariants::counters())).expect(VALID_NAME);
+        registry
+            .register(Box::new(invariants::counters()))
+            .expect(VALID_NAME);
         Self { registry }
     }
 
     /// A new counter.
     pub fn counter(&self, name: &str, help: &str) -> IntCounter {
         let metric = IntCounter::new(name, help).expect(VALID_NAME);
-        self.registry.register(Box::new(metric.clone())).expect(VALID_NAME);
+        self.registry
+            .register(Box::new(metric.clone()))
+            .expect(VALID_NAME);
         metric
     }
 
     /// New counters, one for each value of the labels.
     pub fn counters(&self, name: &str, help: &str, labels: &[&str]) -> IntCounterVec {
         let metric = IntCounterVec::new(Opts::new(name, help), labels).expect(VALID_NAME);
-        self.registry.register(Box::new(metric.clone())).expect(VALID_NAME);
+        self.registry
+            .register(Box::new(metric.clone()))
+            .expect(VALID_NAME);
         metric
     }
 
     /// A new gauge.
     pub fn gauge(&self, name: &str, help: &str) -> IntGauge {
         let metric = IntGauge::new(name, help).expect(VALID_NAME);
-        self.registry.register(Box::new(metric.clone())).expect(VALID_NAME);
+        self.registry
+            .register(Box::new(metric.clone()))
+            .expect(VALID_NAME);
         metric
     }
 
     /// A new histogram of seconds.
     pub fn seconds(&self, name: &str, help: &str) -> Histogram {
         let metric = Histogram::with_opts(seconds_options(name, help)).expect(VALID_NAME);
-        self.registry.register(Box::new(metric.clone())).expect(VALID_NAME);
+        self.registry
+            .register(Box::new(metric.clone()))
+            .expect(VALID_NAME);
         metric
     }
 
     /// New histograms of seconds, one for each value of the labels.
     pub fn labelled_seconds(&self, name: &str, help: &str, labels: &[&str]) -> HistogramVec {
         let metric = HistogramVec::new(seconds_options(name, help), labels).expect(VALID_NAME);
-        self.registry.register(Box::new(metric.clone())).expect(VALID_NAME);
+        self.registry
+            .register(Box::new(metric.clone()))
+            .expect(VALID_NAME);
         metric
     }
 
--- a/crates/common/src/readers/path.rs
+++ b/crates/common/src/readers/path.rs
@@ -52,7 +52,11 @@
         write!(
             out,
             "{} {}",
-            if self.path.is_empty() { "document" } else { &self.path },
+            if self.path.is_empty() {
+                "document"
+            } else {
+                &self.path
+            },
             self.reason
         )
     }
@@ -70,12 +74,17 @@
     /// Notes one fault.
     pub fn add(&self, path: impl Into<String>, reason: PathErrorReason) {
         let mut errors = self.errors.lock().unwrap_or_else(PoisonError::into_inner);
-        errors.push(PathError { path: path.into(), reason });
+        errors.push(PathError {
+            path: path.into(),
+            reason,
+        });
     }
 
     /// All that was found, in the order of finding.
     pub fn into_inner(self) -> Vec<PathError> {
-        self.errors.into_inner().unwrap_or_else(PoisonError::into_inner)
+        self.errors
+            .into_inner()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 }
 
@@ -90,7 +99,11 @@
 impl<'a> PathReader<'a> {
     /// A reader at the root of a document.
     pub fn new(value: &'a Value, errors: &'a PathErrorList) -> Self {
-        Self { value: Some(value), path: String::new(), errors }
+        Self {
+            value: Some(value),
+            path: String::new(),
+            errors,
+        }
     }
 
     /// The path read so far.
@@ -129,7 +142,8 @@
     pub fn allow_only(&self, known_fields: &[&str]) {
         for (field_name, _) in self.object_entries() {
             if !known_fields.contains(&field_name) {
-                self.errors.add(self.child_path(field_name), PathErrorReason::UnknownField);
+                self.errors
+                    .add(self.child_path(field_name), PathErrorReason::UnknownField);
             }
         }
     }
@@ -150,7 +164,14 @@
         self.object_entries()
             .map(|(field_name, value)| {
                 let path = self.child_path(field_name);
-                (field_name, PathReader { value: Some(value), path, errors: self.errors })
+                (
+                    field_name,
+                    PathReader {
+                        value: Some(value),
+                        path,
+                        errors: self.errors,
+                    },
+                )
             })
             .collect()
     }
@@ -200,7 +221,8 @@
     /// A yes or no, with a default.
     pub fn bool_or(&self, default_flag: bool) -> bool {
         if self.is_present() {
-            self.required("true or false", Value::as_bool).unwrap_or(default_flag)
+            self.required("true or false", Value::as_bool)
+                .unwrap_or(default_flag)
         } else {
             default_flag
         }
--- a/crates/common/src/readers/settings.rs
+++ b/crates/common/src/readers/settings.rs
@@ -30,7 +30,11 @@
             Self::NotJson(file, error) => write!(out, "{}: not JSON: {error}", file.display()),
             Self::InvalidKey(source, error) => write!(out, "{source}: {error}"),
             Self::UnwritableFolder(source, folder, error) => {
-                write!(out, "{source}: data cannot be written at {}: {error}", folder.display())
+                write!(
+                    out,
+                    "{source}: data cannot be written at {}: {error}",
+                    folder.display()
+                )
             }
             Self::CannotListen(source, key, address, error) => {
                 write!(out, "{source}: {key} cannot listen at {address}: {error}")
@@ -51,18 +55,27 @@
     /// Reads the file, if one is named.
     pub fn open(file: Option<&Path>) -> Result<Self, SettingsError> {
         let Some(settings_file) = file else {
-            return Ok(Self { name: "flags".to_owned(), value: Value::Object(Map::new()) });
+            return Ok(Self {
+                name: "flags".to_owned(),
+                value: Value::Object(Map::new()),
+            });
         };
         let file_text = std::fs::read_to_string(settings_file)
             .map_err(|error| SettingsError::Unreadable(settings_file.to_owned(), error))?;
         let value = serde_json::from_str(&file_text)
             .map_err(|error| SettingsError::NotJson(settings_file.to_owned(), error))?;
-        Ok(Self { name: settings_file.display().to_string(), value })
+        Ok(Self {
+            name: settings_file.display().to_string(),
+            value,
+        })
     }
 
     /// Settings that are already in memory.
     pub fn from_value(name: impl Into<String>, value: Value) -> Self {
-        Self { name: name.into(), value }
+        Self {
+            name: name.into(),
+            value,
+        }
     }
 
     /// Lays a flag over the file's value.
@@ -106,7 +119,10 @@
             (None, Some(value)) => Ok(value),
             (None, None) => Err(SettingsError::InvalidKey(
                 self.name.clone(),
-                PathError { path: String::new(), reason: PathErrorReason::Missing },
+                PathError {
+                    path: String::new(),
+                    reason: PathErrorReason::Missing,
+                },
             )),
         }
     }
@@ -134,7 +150,9 @@
     }
     let listen = read_address(&reader)?;
     if address.is_some_and(|address| address.0.ip() != listen.0.ip()) {
-        reader.error(PathErrorReason::Malformed("is not on the IP number of place".to_owned()));
+        reader.error(PathErrorReason::Malformed(
+            "is not on the IP number of place".to_owned(),
+        ));
         return None;
     }
     Some(listen)
--- a/crates/common/src/ring/mod.rs
+++ b/crates/common/src/ring/mod.rs
@@ -54,14 +54,22 @@
 /// through the link of its holder.
 pub fn candidate_hosts<'a>(hosts: impl Iterator<Item = &'a Host>) -> Vec<&'a Host> {
     let eligible_hosts: Vec<&Host> = hosts.filter(|host| host.eligible.0).collect();
-    let widest = eligible_hosts.iter().map(|host| host.link_mbps).max().unwrap_or_default();
+    let widest = eligible_hosts
+        .iter()
+        .map(|host| host.link_mbps)
+        .max()
+        .unwrap_or_default();
     let is_wide = |host: &&&Host| {
         host.link_mbps >= WIDE_LINK_MBPS
             || host.link_mbps.saturating_mul(WIDE_LINK_DIVISOR) >= widest
     };
     let wide_hosts: Vec<&Host> = eligible_hosts.iter().filter(is_wide).copied().collect();
     let zones: BTreeSet<&Zone> = wide_hosts.iter().map(|host| &host.zone).collect();
-    if wide_hosts.len() >= MIN_WIDE_HOSTS && zones.len() > 1 { wide_hosts } else { eligible_hosts }
+    if wide_hosts.len() >= MIN_WIDE_HOSTS && zones.len() > 1 {
+        wide_hosts
+    } else {
+        eligible_hosts
+    }
 }
 
 /// The daemon whose turn it is to ask for a function; `None` when no host is eligible.
@@ -74,7 +82,9 @@
         .into_iter()
         .map(|host| (weight(&function_text, host.member.as_str()), host))
         .max_by(|(left_weight, left_host), (right_weight, right_host)| {
-            left_weight.cmp(right_weight).then_with(|| left_host.member.cmp(&right_host.member))
+            left_weight
+                .cmp(right_weight)
+                .then_with(|| left_host.member.cmp(&right_host.member))
         })
         .map(|(_, host)| host)
 }
@@ -88,7 +98,10 @@
     if !function.is_regional() {
         return hash_owner(function, hosts);
     }
-    hash_owner(function, hosts.filter(|host| regions.of(&host.zone) == Some(&function.region)))
+    hash_owner(
+        function,
+        hosts.filter(|host| regions.of(&host.zone) == Some(&function.region)),
+    )
 }
 
 /// How many watchers of each daemon stand in other zones than its own.
@@ -117,8 +130,9 @@
     own_zone_hosts.sort_by_key(|(ring_distance, _)| *ring_distance);
     other_zone_hosts.sort_by_key(|(ring_distance, _)| *ring_distance);
     let watcher_count = OTHER_ZONE_WATCHERS + OWN_ZONE_WATCHERS;
-    let own_zone_count =
-        own_zone_hosts.len().min(watcher_count - OTHER_ZONE_WATCHERS.min(other_zone_hosts.len()));
+    let own_zone_count = own_zone_hosts
+        .len()
+        .min(watcher_count - OTHER_ZONE_WATCHERS.min(other_zone_hosts.len()));
     let other_zone_count = watcher_count - own_zone_count;
     let chosen_other_zone = other_zone_hosts.into_iter().take(other_zone_count);
     chosen_other_zone
--- a/crates/common/src/rng.rs
+++ b/crates/common/src/rng.rs
@@ -13,12 +13,16 @@
 impl SeededRng {
     /// Chance from a seed.
     pub fn seeded(seed: u64) -> Self {
-        Self { source_rng: SmallRng::seed_from_u64(seed) }
+        Self {
+            source_rng: SmallRng::seed_from_u64(seed),
+        }
     }
 
     /// Chance from the operating system, for deployed processes.
     pub fn from_os() -> Self {
-        Self { source_rng: SmallRng::from_os_rng() }
+        Self {
+            source_rng: SmallRng::from_os_rng(),
+        }
     }
 
     /// Any number.
@@ -28,7 +32,11 @@
 
     /// A number below the bound; zero for a bound of zero.
     pub fn below(&mut self, bound: u64) -> u64 {
-        if bound == 0 { 0 } else { self.source_rng.random_range(0..bound) }
+        if bound == 0 {
+            0
+        } else {
+            self.source_rng.random_range(0..bound)
+        }
     }
 
     /// True in the given share of cases.
--- a/crates/common/src/rules.rs
+++ b/crates/common/src/rules.rs
@@ -161,7 +161,10 @@
 
     /// The rule of a name.
     pub fn by_name(given_name: &str) -> Option<Rule> {
-        Self::ALL.iter().copied().find(|rule| rule.to_string() == given_name)
+        Self::ALL
+            .iter()
+            .copied()
+            .find(|rule| rule.to_string() == given_name)
     }
 }
 
--- a/crates/common/src/seal.rs
+++ b/crates/common/src/seal.rs
@@ -27,10 +27,12 @@
 
 /// Bytes as lower-case hexadecimal.
 pub fn hex(given_bytes: &[u8]) -> String {
-    given_bytes.iter().fold(String::new(), |mut hex_text, byte| {
-        let _ = write!(hex_text, "{byte:02x}");
-        hex_text
-    })
+    given_bytes
+        .iter()
+        .fold(String::new(), |mut hex_text, byte| {
+            let _ = write!(hex_text, "{byte:02x}");
+            hex_text
+        })
 }
 
 /// A SHA-256 digest.
@@ -46,8 +48,11 @@
     is_rejected: bool,
     body: &[u8],
 ) -> String {
-    let (idempotency_key, function, runner) =
-        (idempotency_key.as_str(), function.to_string(), runner.to_string());
+    let (idempotency_key, function, runner) = (
+        idempotency_key.as_str(),
+        function.to_string(),
+        runner.to_string(),
+    );
     seal_of_texts(idempotency_key, &function, &runner, is_rejected, body)
 }
 
--- a/crates/common/src/spec/applied_changes.rs
+++ b/crates/common/src/spec/applied_changes.rs
@@ -36,18 +36,27 @@
 
 fn digest_of(change: &ChangeId) -> u64 {
     let full_digest = digest(change.as_str().as_bytes());
-    full_digest[..DIGEST_BYTES].iter().fold(0, |sum, byte| sum << 8 | u64::from(*byte))
+    full_digest[..DIGEST_BYTES]
+        .iter()
+        .fold(0, |sum, byte| sum << 8 | u64::from(*byte))
 }
 
 impl AppliedChanges {
     /// A memory that lacks what came before; numbers up to this one may have been taken.
     pub fn without(forgotten_up_to: u64) -> Self {
-        Self { forgotten_up_to, remembered: VecDeque::new() }
+        Self {
+            forgotten_up_to,
+            remembered: VecDeque::new(),
+        }
     }
 
     /// Notes a change that is taken; its number is above all earlier ones.
     pub fn record_change(&mut self, number: u64, version: Version, change: &ChangeId) {
-        self.remembered.push_back(AppliedChange { number, version, digest: digest_of(change) });
+        self.remembered.push_back(AppliedChange {
+            number,
+            version,
+            digest: digest_of(change),
+        });
         while self.remembered.len() > MAX_REMEMBERED {
             if let Some(oldest) = self.remembered.pop_front() {
                 self.forgotten_up_to = self.forgotten_up_to.max(oldest.number);
@@ -63,7 +72,9 @@
 
     /// What became of a change with this number and name.
     pub fn status_of(&self, number: u64, change: &ChangeId) -> ChangeStatus {
-        let known = self.at_number(number).filter(|applied| applied.digest == digest_of(change));
+        let known = self
+            .at_number(number)
+            .filter(|applied| applied.digest == digest_of(change));
         match known {
             Some(applied) => ChangeStatus::Applied(applied.version),
             None if (1..=self.forgotten_up_to).contains(&number) => ChangeStatus::Forgotten,
@@ -77,8 +88,10 @@
     }
 
     fn at_number(&self, number: u64) -> Option<&AppliedChange> {
-        let position =
-            self.remembered.binary_search_by_key(&number, |applied| applied.number).ok()?;
+        let position = self
+            .remembered
+            .binary_search_by_key(&number, |applied| applied.number)
+            .ok()?;
         self.remembered.get(position)
     }
 
@@ -112,9 +125,16 @@
             let (digest_bytes, after) = remainder.split_first_chunk::<DIGEST_BYTES>()?;
             remainder = after;
             let digest = u64::from_be_bytes(*digest_bytes);
-            remembered.push_back(AppliedChange { number, version: Version(version), digest });
+            remembered.push_back(AppliedChange {
+                number,
+                version: Version(version),
+                digest,
+            });
         }
-        Some(Self { forgotten_up_to, remembered })
+        Some(Self {
+            forgotten_up_to,
+            remembered,
+        })
     }
 }
 
--- a/crates/common/src/spec/catalogue_delta.rs
+++ b/crates/common/src/spec/catalogue_delta.rs
@@ -35,8 +35,12 @@
         .map(|(name, version)| (name.clone(), *version))
         .collect();
     let is_removed = |name: &&FunctionName| !newer.generations.contains_key(*name);
-    let removed_generations: Vec<&str> =
-        base.generations.keys().filter(is_removed).map(FunctionName::as_str).collect();
+    let removed_generations: Vec<&str> = base
+        .generations
+        .keys()
+        .filter(is_removed)
+        .map(FunctionName::as_str)
+        .collect();
     let is_remainder_same = base.spec.remainder() == newer.spec.remainder();
     let remainder = (!is_remainder_same).then(|| newer.spec.remainder().clone());
     let (has_functions, has_routes) = newer.spec.has_parts();
@@ -73,7 +77,10 @@
             let items = change.get_mut(field).and_then(Value::as_object_mut);
             items.map(std::mem::take).unwrap_or_default()
         };
-        Self { functions: extract_field(PUT_FUNCTIONS), routes: extract_field(PUT_ROUTES) }
+        Self {
+            functions: extract_field(PUT_FUNCTIONS),
+            routes: extract_field(PUT_ROUTES),
+        }
     }
 }
 
--- a/crates/common/src/spec/daemon_view.rs
+++ b/crates/common/src/spec/daemon_view.rs
@@ -80,7 +80,10 @@
     }
 
     fn catalogue(&self) -> Catalogue<'_> {
-        Catalogue { spec: &self.spec, generations: &self.generations }
+        Catalogue {
+            spec: &self.spec,
+            generations: &self.generations,
+        }
     }
 
     /// Applies a change, and believes the result only if its digest is the sender's.
@@ -111,7 +114,10 @@
     /// The checked spec.
     pub fn checked(&self) -> Result<Spec, DocumentError> {
         self.spec.check().map_err(|errors| {
-            let missing = PathError { path: String::new(), reason: PathErrorReason::Missing };
+            let missing = PathError {
+                path: String::new(),
+                reason: PathErrorReason::Missing,
+            };
             DocumentError::Path(errors.into_iter().next().unwrap_or(missing))
         })
     }
--- a/crates/common/src/spec/document.rs
+++ b/crates/common/src/spec/document.rs
@@ -87,11 +87,15 @@
     if reader.is_present() {
         let forgotten_up_to = reader.field("forgotten").number(0..=u64::MAX)?;
         let remembered_field = reader.field("kept");
-        let remembered_text = remembered_field.value().and_then(Value::as_str).unwrap_or_default();
+        let remembered_text = remembered_field
+            .value()
+            .and_then(Value::as_str)
+            .unwrap_or_default();
         let applied_changes = AppliedChanges::from_text(forgotten_up_to, remembered_text);
         if applied_changes.is_none() {
-            remembered_field
-                .error(PathErrorReason::Malformed("is no list of taken changes".to_owned()));
+            remembered_field.error(PathErrorReason::Malformed(
+                "is no list of taken changes".to_owned(),
+            ));
         }
         return applied_changes;
     }
@@ -113,7 +117,10 @@
     /// The first document, naming the core's founders.
     pub fn founding(voters: Vec<Voter>) -> Self {
         Self {
-            document_version: DocumentVersion { term: Term(1), version: Version(1) },
+            document_version: DocumentVersion {
+                term: Term(1),
+                version: Version(1),
+            },
             number: 0,
             spec: SpecRecords::new(json!({"functions": {}, "routes": {}})),
             generations: BTreeMap::new(),
@@ -191,12 +198,23 @@
     /// The change that leads from this version to a newer one, as JSON text: it grows with what differs,
     /// not with the document.
     pub fn delta_to(&self, newer: &Document) -> Vec<u8> {
-        let newest_recorded =
-            self.changes.last().map(|recorded| recorded.version).unwrap_or_default();
+        let newest_recorded = self
+            .changes
+            .last()
+            .map(|recorded| recorded.version)
+            .unwrap_or_default();
         let is_new = |recorded: &&ChangeRecord| recorded.version > newest_recorded;
         let recorded: Vec<ChangeRecord> = newer.changes.iter().filter(is_new).cloned().collect();
-        let added_members = newer.membership.difference(&self.membership).cloned().collect();
-        let removed_members = self.membership.difference(&newer.membership).cloned().collect();
+        let added_members = newer
+            .membership
+            .difference(&self.membership)
+            .cloned()
+            .collect();
+        let removed_members = self
+            .membership
+            .difference(&newer.membership)
+            .cloned()
+            .collect();
         let fields = [
             ("term", json!(newer.document_version.term.0)),
             ("serial", json!(newer.document_version.version.0)),
@@ -249,7 +267,9 @@
         };
         for recorded in read_changes(&root.field("noted")) {
             if recorded.number > 0
-                && !changed_document.applied_changes.is_next(recorded.number, recorded.version)
+                && !changed_document
+                    .applied_changes
+                    .is_next(recorded.number, recorded.version)
             {
                 return None;
             }
@@ -258,12 +278,17 @@
         for removed_members in read_membership(&root.field("left")) {
             changed_document.membership.remove(&removed_members);
         }
-        changed_document.membership.extend(read_membership(&root.field("joined")));
+        changed_document
+            .membership
+            .extend(read_membership(&root.field("joined")));
         Some(changed_document)
     }
 
     fn catalogue(&self) -> Catalogue<'_> {
-        Catalogue { spec: &self.spec, generations: &self.generations }
+        Catalogue {
+            spec: &self.spec,
+            generations: &self.generations,
+        }
     }
 
     /// Names a change among the last ones, and remembers its number.
@@ -291,9 +316,18 @@
         let generations = checked_spec
             .functions
             .keys()
-            .map(|name| (name.clone(), self.generations.get(name).copied().unwrap_or(new_version)))
+            .map(|name| {
+                (
+                    name.clone(),
+                    self.generations.get(name).copied().unwrap_or(new_version),
+                )
+            })
             .collect();
-        Self { spec: new_spec.into(), generations, ..self.recording_change(change) }
+        Self {
+            spec: new_spec.into(),
+            generations,
+            ..self.recording_change(change)
+        }
     }
 
     /// The same version, with the number that operators gave its spec.
@@ -320,20 +354,31 @@
 
     /// The next version, with one member of the core in another's place.
     pub fn with_voters(&self, voters: Vec<Voter>, change: ChangeId) -> Self {
-        Self { voters, ..self.recording_change(change) }
+        Self {
+            voters,
+            ..self.recording_change(change)
+        }
     }
 
     /// The next version, with other daemons that may hold member grants: nothing that daemons see.
     pub fn with_membership(&self, membership: BTreeSet<ListedMember>) -> Self {
-        let mut next_document =
-            Self { membership, hidden_versions: self.hidden_versions + 1, ..self.clone() };
+        let mut next_document = Self {
+            membership,
+            hidden_versions: self.hidden_versions + 1,
+            ..self.clone()
+        };
         next_document.document_version.version = self.document_version.version.next();
         next_document
     }
 
     /// The serial of the last version that changed what daemons see.
     pub fn view_version(&self) -> Version {
-        Version(self.document_version.version.0.saturating_sub(self.hidden_versions))
+        Version(
+            self.document_version
+                .version
+                .0
+                .saturating_sub(self.hidden_versions),
+        )
     }
 
     /// Whether changes were dropped from the last ones.
@@ -350,7 +395,11 @@
         let oldest_version = self.changes.first().map(|recorded| recorded.version);
         let is_successor_known = !self.has_forgotten_changes()
             || base.is_none_or(|base| oldest_version.is_some_and(|oldest| base >= oldest));
-        if is_successor_known { ChangeStatus::NotApplied } else { ChangeStatus::Forgotten }
+        if is_successor_known {
+            ChangeStatus::NotApplied
+        } else {
+            ChangeStatus::Forgotten
+        }
     }
 
     fn recording_change(&self, change: ChangeId) -> Self {
--- a/crates/common/src/spec/fields.rs
+++ b/crates/common/src/spec/fields.rs
@@ -17,7 +17,10 @@
 ) -> Result<T, DocumentError> {
     let errors = PathErrorList::default();
     let read_value = read_parts(&PathReader::new(value, &errors));
-    let missing = PathError { path: String::new(), reason: PathErrorReason::Missing };
+    let missing = PathError {
+        path: String::new(),
+        reason: PathErrorReason::Missing,
+    };
     match (errors.into_inner().into_iter().next(), read_value) {
         (None, Some(value)) => Ok(value),
         (error, _) => Err(DocumentError::Path(error.unwrap_or(missing))),
@@ -32,11 +35,17 @@
 }
 
 pub(super) fn read_evacuated(reader: &PathReader<'_>) -> BTreeSet<Zone> {
-    reader.items().iter().filter_map(|item| item.text().map(Zone::from)).collect()
+    reader
+        .items()
+        .iter()
+        .filter_map(|item| item.text().map(Zone::from))
+        .collect()
 }
 
 pub(super) fn generations_json(generations: &BTreeMap<FunctionName, Version>) -> Value {
-    let pairs = generations.iter().map(|(name, version)| (name.to_string(), json!(version.0)));
+    let pairs = generations
+        .iter()
+        .map(|(name, version)| (name.to_string(), json!(version.0)));
     Value::Object(pairs.collect::<Map<_, _>>())
 }
 
@@ -118,7 +127,12 @@
 }
 
 pub(super) fn voter_addresses_json(voters: &[SocketAddress]) -> Value {
-    Value::Array(voters.iter().map(|address| json!(address.to_string())).collect())
+    Value::Array(
+        voters
+            .iter()
+            .map(|address| json!(address.to_string()))
+            .collect(),
+    )
 }
 
 pub(super) fn read_voter_addresses(reader: &PathReader<'_>) -> Vec<SocketAddress> {
@@ -128,7 +142,10 @@
 /// Takes the spec out of a document or view, without copying it.
 pub(super) fn extract_spec(value: &mut Value) -> Result<SpecRecords, DocumentError> {
     let spec = value.get_mut("spec").map(Value::take).ok_or_else(|| {
-        DocumentError::Path(PathError { path: "spec".to_owned(), reason: PathErrorReason::Missing })
+        DocumentError::Path(PathError {
+            path: "spec".to_owned(),
+            reason: PathErrorReason::Missing,
+        })
     })?;
     Ok(SpecRecords::new(spec))
 }
--- a/crates/common/src/spec/reader.rs
+++ b/crates/common/src/spec/reader.rs
@@ -118,15 +118,27 @@
     let mut matchers: BTreeMap<String, matchit::Router<String>> = BTreeMap::new();
     let mut prefixes: BTreeMap<(String, String), String> = BTreeMap::new();
     for (route_name, reader) in root_reader.field("routes").fields() {
-        let Some(route) = read_route(route_name, &reader) else { continue };
-        let named = route.shares.iter().map(|(name, _)| name).chain([&route.function]);
-        let unknown =
-            named.into_iter().find(|name| !function_readers.field(name.as_str()).is_present());
+        let Some(route) = read_route(route_name, &reader) else {
+            continue;
+        };
+        let named = route
+            .shares
+            .iter()
+            .map(|(name, _)| name)
+            .chain([&route.function]);
+        let unknown = named
+            .into_iter()
+            .find(|name| !function_readers.field(name.as_str()).is_present());
         if let Some(unknown_name) = unknown {
-            let key = if route.shares.is_empty() { "function" } else { "functions" };
-            reader
-                .field(key)
-                .error(PathErrorReason::UnknownReference("function", unknown_name.to_string()));
+            let key = if route.shares.is_empty() {
+                "function"
+            } else {
+                "functions"
+            };
+            reader.field(key).error(PathErrorReason::UnknownReference(
+                "function",
+                unknown_name.to_string(),
+            ));
             continue;
         }
         let (method, path) = match &route.matching {
@@ -135,7 +147,9 @@
                 let prefix_key = (host.clone(), prefix.clone());
                 match prefixes.insert(prefix_key, route_name.to_owned()) {
                     Some(other_name) => {
-                        reader.field("prefix").error(PathErrorReason::Duplicate(other_name));
+                        reader
+                            .field("prefix")
+                            .error(PathErrorReason::Duplicate(other_name));
                     }
                     None => routes.push(Arc::new(route)),
                 }
@@ -147,13 +161,25 @@
             Ok(()) => routes.push(Arc::new(route)),
             Err(matchit::InsertError::Conflict { with }) => {
                 let other_name = matcher.at(&with).map(|found| found.value.clone());
-                reader.field("path").error(PathErrorReason::Duplicate(other_name.unwrap_or(with)));
+                reader
+                    .field("path")
+                    .error(PathErrorReason::Duplicate(other_name.unwrap_or(with)));
             }
-            Err(error) => reader.field("path").error(PathErrorReason::Malformed(error.to_string())),
+            Err(error) => reader
+                .field("path")
+                .error(PathErrorReason::Malformed(error.to_string())),
         }
     }
     let found_errors = errors.into_inner();
-    if found_errors.is_empty() { Ok(Spec { functions, routes, limits }) } else { Err(found_errors) }
+    if found_errors.is_empty() {
+        Ok(Spec {
+            functions,
+            routes,
+            limits,
+        })
+    } else {
+        Err(found_errors)
+    }
 }
 
 fn check_name(given_name: &str, reader: &PathReader<'_>) {
@@ -166,14 +192,24 @@
 }
 
 fn read_limits(reader: &PathReader<'_>) -> CallerLimits {
-    reader.allow_only(&["header_bytes", "body_bytes", "header_ms", "idle_ms", "labels"]);
+    reader.allow_only(&[
+        "header_bytes",
+        "body_bytes",
+        "header_ms",
+        "idle_ms",
+        "labels",
+    ]);
     let default = CallerLimits::default();
     let span = |key: &str, default_span: Duration| {
-        let millis = reader.field(key).number_or(1..=600_000, default_span.as_millis() as u64);
+        let millis = reader
+            .field(key)
+            .number_or(1..=600_000, default_span.as_millis() as u64);
         Duration::from_millis(millis)
     };
     let bytes = |key: &str, default_bytes: usize| {
-        reader.field(key).number_or(1..=64 << 20, default_bytes as u64) as usize
+        reader
+            .field(key)
+            .number_or(1..=64 << 20, default_bytes as u64) as usize
     };
     CallerLimits {
         header_bytes: bytes("header_bytes", default.header_bytes),
@@ -185,7 +221,14 @@
 
 pub(super) fn read_function(function_name: &str, reader: &PathReader<'_>) -> Option<FunctionSpec> {
     check_name(function_name, reader);
-    reader.allow_only(&["memory_mb", "boot_ms", "slots", "runners", "connections", "labels"]);
+    reader.allow_only(&[
+        "memory_mb",
+        "boot_ms",
+        "slots",
+        "runners",
+        "connections",
+        "labels",
+    ]);
     let runners_reader = reader.field("runners");
     runners_reader.allow_only(&["min", "max"]);
     let min_runners = runners_reader.field("min").number_or(0..=1000, 0) as u32;
@@ -193,7 +236,9 @@
     if min_runners > max_runners {
         runners_reader
             .field("min")
-            .error(PathErrorReason::Malformed("is above runners.max".to_owned()));
+            .error(PathErrorReason::Malformed(
+                "is above runners.max".to_owned(),
+            ));
     }
     let memory_mb = reader.field("memory_mb").number(1..=1_000_000);
     let boot_ms = reader.field("boot_ms").number(0..=600_000);
@@ -212,19 +257,30 @@
 fn read_pattern(reader: &PathReader<'_>) -> Option<RouteMatcher> {
     let method_reader = reader.field("method");
     let method = method_reader.text().and_then(|method_text| {
-        let known_methods =
-            [Method::GET, Method::POST, Method::PUT, Method::PATCH, Method::DELETE, Method::HEAD];
-        let found_method = known_methods.into_iter().find(|method| method.as_str() == method_text);
+        let known_methods = [
+            Method::GET,
+            Method::POST,
+            Method::PUT,
+            Method::PATCH,
+            Method::DELETE,
+            Method::HEAD,
+        ];
+        let found_method = known_methods
+            .into_iter()
+            .find(|method| method.as_str() == method_text);
         if found_method.is_none() {
-            method_reader
-                .error(PathErrorReason::Malformed(format!("is not a method: {method_text:?}")));
+            method_reader.error(PathErrorReason::Malformed(format!(
+                "is not a method: {method_text:?}"
+            )));
         }
         found_method
     });
     let path_reader = reader.field("path");
     let path = path_reader.text().filter(|path_text| {
         if !path_text.starts_with('/') {
-            path_reader.error(PathErrorReason::Malformed("does not start with /".to_owned()));
+            path_reader.error(PathErrorReason::Malformed(
+                "does not start with /".to_owned(),
+            ));
         }
         path_text.starts_with('/')
     });
@@ -245,7 +301,9 @@
     for pattern_key in ["method", "path"] {
         if reader.field(pattern_key).is_present() {
             let reason = "does not go with a prefix".to_owned();
-            reader.field(pattern_key).error(PathErrorReason::Malformed(reason));
+            reader
+                .field(pattern_key)
+                .error(PathErrorReason::Malformed(reason));
         }
     }
     Some(RouteMatcher::Prefix(host?, prefix?.to_owned()))
@@ -256,11 +314,16 @@
         .fields()
         .into_iter()
         .filter_map(|(name, share)| {
-            Some((FunctionName::from(name), share.number(0..=1_000_000)? as u32))
+            Some((
+                FunctionName::from(name),
+                share.number(0..=1_000_000)? as u32,
+            ))
         })
         .collect();
     if reader.is_present() && shares.iter().all(|(_, weight)| *weight == 0) {
-        reader.error(PathErrorReason::Malformed("has weights that sum to 0".to_owned()));
+        reader.error(PathErrorReason::Malformed(
+            "has weights that sum to 0".to_owned(),
+        ));
     }
     shares
 }
@@ -284,7 +347,11 @@
         "labels",
     ]);
     let by_prefix = reader.field("prefix").is_present() || reader.field("host").is_present();
-    let matching = if by_prefix { read_prefix(reader) } else { read_pattern(reader) };
+    let matching = if by_prefix {
+        read_prefix(reader)
+    } else {
+        read_pattern(reader)
+    };
     let shares = read_shares(&reader.field("functions"));
     let function = match shares.first() {
         Some((first_name, _)) => Some(first_name.clone()),
@@ -295,8 +362,9 @@
         Some("once") => Some(true),
         Some("repeatable") => Some(false),
         Some(_) => {
-            kind_reader
-                .error(PathErrorReason::Malformed("is neither once nor repeatable".to_owned()));
+            kind_reader.error(PathErrorReason::Malformed(
+                "is neither once nor repeatable".to_owned(),
+            ));
             None
         }
         None => None,
@@ -315,7 +383,9 @@
     };
     let timeout_ms = reader.field("budget_ms").number(1..=60_000);
     let default_ms = timeout_ms.unwrap_or(1000);
-    let queue_timeout_ms = reader.field("patience_ms").number_or(0..=60_000, default_ms);
+    let queue_timeout_ms = reader
+        .field("patience_ms")
+        .number_or(0..=60_000, default_ms);
     let target_ms = reader.field("target_ms").number_or(1..=60_000, default_ms);
     let rank = reader.field("rank").number_or(0..=255, 0) as u8;
     let max_attempts = reader.field("tries").number_or(1..=100, 3) as u32;
--- a/crates/common/src/spec/records.rs
+++ b/crates/common/src/spec/records.rs
@@ -50,7 +50,11 @@
 
 impl<T: RecordContent> Record<T> {
     fn new(value: Value) -> Self {
-        Self { value, checked: OnceLock::new(), digest: OnceLock::new() }
+        Self {
+            value,
+            checked: OnceLock::new(),
+            digest: OnceLock::new(),
+        }
     }
 
     /// The record as operators wrote it.
@@ -63,7 +67,9 @@
         let read_once = || {
             let errors = PathErrorList::default();
             let content = T::read(name, &PathReader::new(&self.value, &errors));
-            content.filter(|_| errors.into_inner().is_empty()).map(Arc::new)
+            content
+                .filter(|_| errors.into_inner().is_empty())
+                .map(Arc::new)
         };
         self.checked.get_or_init(read_once).as_ref()
     }
@@ -116,7 +122,10 @@
 }
 
 fn part_delta<'a, T>(base: &'a Option<Part<T>>, newer: &'a Option<Part<T>>) -> PartDelta<'a> {
-    let mut change = PartDelta { put: Vec::new(), removed: Vec::new() };
+    let mut change = PartDelta {
+        put: Vec::new(),
+        removed: Vec::new(),
+    };
     if let (Some(base), Some(newer)) = (base, newer)
         && Arc::ptr_eq(base, newer)
     {
@@ -140,9 +149,12 @@
     if !root.get(T::PART).is_some_and(Value::is_object) {
         return None;
     }
-    let Some(Value::Object(items)) = root.remove(T::PART) else { return None };
-    let records =
-        items.into_iter().map(|(name, value)| (Arc::from(name), Arc::new(Record::new(value))));
+    let Some(Value::Object(items)) = root.remove(T::PART) else {
+        return None;
+    };
+    let records = items
+        .into_iter()
+        .map(|(name, value)| (Arc::from(name), Arc::new(Record::new(value))));
     Some(Arc::new(records.collect()))
 }
 
@@ -150,26 +162,34 @@
     part: &Option<Part<T>>,
     earlier: &Option<Part<T>>,
 ) -> Option<Part<T>> {
-    let (Some(records), Some(earlier_records)) = (part, earlier) else { return part.clone() };
+    let (Some(records), Some(earlier_records)) = (part, earlier) else {
+        return part.clone();
+    };
     if is_same_part(part, earlier) {
         return earlier.clone();
     }
     let shared = records.iter().map(|(name, record)| {
-        let other_record =
-            earlier_records.get(name).filter(|other_record| is_same(other_record, record));
+        let other_record = earlier_records
+            .get(name)
+            .filter(|other_record| is_same(other_record, record));
         (name.clone(), other_record.unwrap_or(record).clone())
     });
     Some(Arc::new(shared.collect()))
 }
 
 fn part_value<T>(part: &Part<T>) -> Value {
-    let items = part.iter().map(|(name, record)| (name.to_string(), record.value.clone()));
+    let items = part
+        .iter()
+        .map(|(name, record)| (name.to_string(), record.value.clone()));
     Value::Object(items.collect())
 }
 
 fn put<T: RecordContent>(part: &mut Option<Part<T>>, name: &str, value: Value) {
     let records = Arc::make_mut(part.get_or_insert_default());
-    if records.get(name).is_none_or(|other_record| other_record.value != value) {
+    if records
+        .get(name)
+        .is_none_or(|other_record| other_record.value != value)
+    {
         records.insert(Arc::from(name), Arc::new(Record::new(value)));
     }
 }
@@ -189,7 +209,10 @@
 }
 
 fn write_part<T>(text: &mut Vec<u8>, part: &Part<T>) {
-    write_items(text, part.iter().map(|(name, record)| (&**name, &record.value)));
+    write_items(
+        text,
+        part.iter().map(|(name, record)| (&**name, &record.value)),
+    );
 }
 
 fn write_items<'a>(text: &mut Vec<u8>, items: impl Iterator<Item = (&'a str, &'a Value)>) {
@@ -220,7 +243,11 @@
             Some(root) => (extract_part(root), extract_part(root)),
             None => (None, None),
         };
-        Self { functions, routes, remainder: Arc::new(spec) }
+        Self {
+            functions,
+            routes,
+            remainder: Arc::new(spec),
+        }
     }
 
     /// The same spec; records that are equal in an earlier one are shared with it, and so is what was
@@ -336,7 +363,10 @@
     /// The number of functions and of routes.
     pub fn counts(&self) -> (usize, usize) {
         let function_count = self.functions.as_ref().map_or(0, |part| part.len());
-        (function_count, self.routes.as_ref().map_or(0, |part| part.len()))
+        (
+            function_count,
+            self.routes.as_ref().map_or(0, |part| part.len()),
+        )
     }
 
     /// The digests of all records and of the rest, combined so that their order does not matter.
@@ -349,7 +379,10 @@
         let function_digests = functions.map(|(name, record)| record.digest(name));
         let route_digests = routes.map(|(name, record)| record.digest(name));
         for record_digest in function_digests.chain(route_digests) {
-            combined.iter_mut().zip(record_digest).for_each(|(byte, other)| *byte ^= other);
+            combined
+                .iter_mut()
+                .zip(record_digest)
+                .for_each(|(byte, other)| *byte ^= other);
         }
         combined
     }
@@ -384,14 +417,21 @@
         let functions = self.checked_functions()?;
         let routes = self.checked_routes(&functions)?;
         let remainder_spec = read_spec(&self.remainder).ok()?;
-        Some(Spec { functions, routes, limits: remainder_spec.limits })
+        Some(Spec {
+            functions,
+            routes,
+            limits: remainder_spec.limits,
+        })
     }
 
     fn checked_functions(&self) -> Option<BTreeMap<FunctionName, Arc<FunctionSpec>>> {
         let records = self.functions.iter().flat_map(|part| part.iter());
         records
             .map(|(name, record)| {
-                Some((FunctionName::from(name.clone()), record.checked(name)?.clone()))
+                Some((
+                    FunctionName::from(name.clone()),
+                    record.checked(name)?.clone(),
+                ))
             })
             .collect()
     }
@@ -406,8 +446,11 @@
         let mut routes = Vec::with_capacity(route_count);
         for (name, record) in self.routes.iter().flat_map(|part| part.iter()) {
             let route = record.checked(name)?;
-            let mut target_functions =
-                route.shares.iter().map(|(name, _)| name).chain([&route.function]);
+            let mut target_functions = route
+                .shares
+                .iter()
+                .map(|(name, _)| name)
+                .chain([&route.function]);
             let is_distinct = match &route.matching {
                 RouteMatcher::Prefix(host, prefix) => prefixes.insert((host, prefix)),
                 RouteMatcher::Pattern(method, path) => {
--- a/crates/common/src/spec/routing_table.rs
+++ b/crates/common/src/spec/routing_table.rs
@@ -31,7 +31,11 @@
 impl RouteEntry {
     /// The function of one transaction; the same identity always leads to the same one.
     pub fn choose_function(&self, idempotency_key: &IdempotencyKey) -> FunctionIndex {
-        let weight_sum: u64 = self.shares.iter().map(|(_, weight)| u64::from(*weight)).sum();
+        let weight_sum: u64 = self
+            .shares
+            .iter()
+            .map(|(_, weight)| u64::from(*weight))
+            .sum();
         if weight_sum == 0 {
             return self.function;
         }
@@ -52,7 +56,9 @@
         if self.shares.is_empty() {
             return self.function == function;
         }
-        self.shares.iter().any(|(shared, weight)| *shared == function && *weight > 0)
+        self.shares
+            .iter()
+            .any(|(shared, weight)| *shared == function && *weight > 0)
     }
 }
 
@@ -127,10 +133,19 @@
         table.functions.reserve(function_count);
         table.routes.reserve(route_count);
         for (function_name, function_spec) in checked_spec.functions {
-            let generation = view.generations.get(&function_name).copied().unwrap_or(view.version);
+            let generation = view
+                .generations
+                .get(&function_name)
+                .copied()
+                .unwrap_or(view.version);
             let key = FunctionKey::new(function_name, generation);
-            index.by_key.insert(key.clone(), FunctionIndex(table.functions.len()));
-            table.functions.push(FunctionEntry { key, spec: function_spec });
+            index
+                .by_key
+                .insert(key.clone(), FunctionIndex(table.functions.len()));
+            table.functions.push(FunctionEntry {
+                key,
+                spec: function_spec,
+            });
         }
         table.limits = checked_spec.limits;
         let by_name: HashMap<_, _> = table
@@ -140,7 +155,9 @@
             .map(|(position, entry)| (entry.key.name.clone(), FunctionIndex(position)))
             .collect();
         for route_spec in checked_spec.routes {
-            let Some(function) = by_name.get(&route_spec.function).copied() else { continue };
+            let Some(function) = by_name.get(&route_spec.function).copied() else {
+                continue;
+            };
             let route_position = table.routes.len();
             match &route_spec.matching {
                 RouteMatcher::Pattern(method, path) => {
@@ -158,8 +175,14 @@
                 .iter()
                 .filter_map(|(name, weight)| Some((*by_name.get(name)?, *weight)))
                 .collect();
-            index.by_route.insert(route_spec.name.clone(), route_position);
-            table.routes.push(RouteEntry { spec: route_spec, function, shares });
+            index
+                .by_route
+                .insert(route_spec.name.clone(), route_position);
+            table.routes.push(RouteEntry {
+                spec: route_spec,
+                function,
+                shares,
+            });
         }
         table.index = Arc::new(index);
         table.prewarmed = table.find_prewarmed();
@@ -185,7 +208,10 @@
             let is_same = *key.name.as_str() == **name
                 && view.generations.get(&**name) == Some(&key.generation);
             let spec = spec.filter(|_| is_same)?.clone();
-            functions.push(FunctionEntry { key: key.clone(), spec });
+            functions.push(FunctionEntry {
+                key: key.clone(),
+                spec,
+            });
         }
         let mut routes = Vec::with_capacity(self.routes.len());
         for (position, (_, spec)) in view.spec.checked_route_records().enumerate() {
@@ -225,7 +251,10 @@
             let generation = *view.generations.get(name)?;
             self.index_of(&FunctionKey::new(name.clone(), generation))
         };
-        let shares = spec.shares.iter().map(|(name, weight)| Some((index_of(name)?, *weight)));
+        let shares = spec
+            .shares
+            .iter()
+            .map(|(name, weight)| Some((index_of(name)?, *weight)));
         Some(RouteEntry {
             function: index_of(&spec.function)?,
             shares: shares.collect::<Option<_>>()?,
@@ -254,7 +283,9 @@
 
     /// The functions that boot longer than an answer is worth its full value.
     pub fn prewarmed_functions(&self) -> impl Iterator<Item = &FunctionKey> {
-        self.prewarmed.iter().map(|index| &self.function(*index).key)
+        self.prewarmed
+            .iter()
+            .map(|index| &self.function(*index).key)
     }
 
     /// The serial this was made from.
@@ -276,13 +307,19 @@
             Some(*matched.value)
         })?;
         let route = self.routes.get(position)?;
-        Some(RouteMatch { route, function: self.function(route.choose_function(idempotency_key)) })
+        Some(RouteMatch {
+            route,
+            function: self.function(route.choose_function(idempotency_key)),
+        })
     }
 
     fn prefixed(&self, host: &str, path: &str) -> Option<usize> {
         let host_without_port = host.rsplit_once(':').map_or(host, |(name, _)| name);
         let lowercase_host;
-        let requested_host = if host_without_port.bytes().any(|byte| byte.is_ascii_uppercase()) {
+        let requested_host = if host_without_port
+            .bytes()
+            .any(|byte| byte.is_ascii_uppercase())
+        {
             lowercase_host = host_without_port.to_ascii_lowercase();
             &lowercase_host
         } else {
@@ -303,7 +340,9 @@
     pub fn allows(&self, route_name: &str, key: &FunctionKey) -> bool {
         let function = self.index_of(key);
         let route = self.route_named(route_name);
-        route.zip(function).is_some_and(|(route, function)| route.may_lead_to(function))
+        route
+            .zip(function)
+            .is_some_and(|(route, function)| route.may_lead_to(function))
     }
 
     /// The callers' limits.
@@ -364,7 +403,11 @@
 
     /// The longest budget any route allows.
     pub fn longest_timeout(&self) -> Duration {
-        self.routes.iter().map(|route| route.spec.timeout).max().unwrap_or_default()
+        self.routes
+            .iter()
+            .map(|route| route.spec.timeout)
+            .max()
+            .unwrap_or_default()
     }
 
     /// Whether any zone is evacuated.
--- a/crates/common/tests/applied_changes.rs
+++ b/crates/common/tests/applied_changes.rs
@@ -24,10 +24,22 @@
         applied_changes.status_of(4500, &name(4500)),
         eq(ChangeStatus::Applied(Version(4509)))
     )?;
-    verify_that!(applied_changes.status_of(4500, &name(1)), eq(ChangeStatus::NotApplied))?;
-    verify_that!(applied_changes.status_of(4499, &name(4499)), eq(ChangeStatus::NotApplied))?;
-    verify_that!(applied_changes.status_of(4501, &name(4501)), eq(ChangeStatus::NotApplied))?;
-    verify_that!(applied_changes.status_of(3, &name(3)), eq(ChangeStatus::Forgotten))?;
+    verify_that!(
+        applied_changes.status_of(4500, &name(1)),
+        eq(ChangeStatus::NotApplied)
+    )?;
+    verify_that!(
+        applied_changes.status_of(4499, &name(4499)),
+        eq(ChangeStatus::NotApplied)
+    )?;
+    verify_that!(
+        applied_changes.status_of(4501, &name(4501)),
+        eq(ChangeStatus::NotApplied)
+    )?;
+    verify_that!(
+        applied_changes.status_of(3, &name(3)),
+        eq(ChangeStatus::Forgotten)
+    )?;
     let oldest = (1500 - 1024 + 1) * 3;
     verify_that!(applied_changes.forgotten_up_to(), eq(oldest - 3))?;
     verify_that!(
@@ -55,7 +67,9 @@
     let mut document = Document::founding(Vec::new());
     for number in 1..=count {
         let spec = json!({"functions": {}, "routes": {}});
-        document = document.with_spec(spec, &Spec::default(), name(number)).numbered(number);
+        document = document
+            .with_spec(spec, &Spec::default(), name(number))
+            .numbered(number);
     }
     document
 }
@@ -75,15 +89,24 @@
         short.applied_changes.status_of(1, &name(1)),
         eq(ChangeStatus::Applied(Version(2)))
     )?;
-    verify_that!(short.applied_changes.status_of(1, &name(2)), eq(ChangeStatus::NotApplied))?;
+    verify_that!(
+        short.applied_changes.status_of(1, &name(2)),
+        eq(ChangeStatus::NotApplied)
+    )?;
     let long = Document::from_bytes(&bytes_without_applied_changes(&numbered_document(200)))
         .expect("a document");
     verify_that!(
         long.applied_changes.status_of(200, &name(200)),
         eq(ChangeStatus::Applied(Version(201)))
     )?;
-    verify_that!(long.applied_changes.status_of(100, &name(100)), eq(ChangeStatus::Forgotten))?;
-    verify_that!(long.applied_changes.status_of(201, &name(201)), eq(ChangeStatus::NotApplied))
+    verify_that!(
+        long.applied_changes.status_of(100, &name(100)),
+        eq(ChangeStatus::Forgotten)
+    )?;
+    verify_that!(
+        long.applied_changes.status_of(201, &name(201)),
+        eq(ChangeStatus::NotApplied)
+    )
 }
 
 #[gtest]
@@ -94,5 +117,8 @@
     verify_that!(status_of(100, 100), eq(ChangeStatus::Applied(Version(101))))?;
     verify_that!(status_of(90, 7000), eq(ChangeStatus::NotApplied))?;
     verify_that!(status_of(10, 7000), eq(ChangeStatus::Forgotten))?;
-    verify_that!(document.status_of_named(None, &name(7000)), eq(ChangeStatus::NotApplied))
+    verify_that!(
+        document.status_of_named(None, &name(7000)),
+        eq(ChangeStatus::NotApplied)
+    )
 }
--- a/crates/common/tests/clocks.rs
+++ b/crates/common/tests/clocks.rs
@@ -19,13 +19,22 @@
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../..");
     let mut found = Vec::new();
     let packages = ["crates/common", "crates/dataplane", "crates/controlplane"];
-    let programs = ["programs/daemon", "programs/controller", "programs/rudderctl"];
+    let programs = [
+        "programs/daemon",
+        "programs/controller",
+        "programs/rudderctl",
+    ];
     for package in packages.iter().chain(&programs) {
         sources(&root.join(package).join("src"), &mut found);
     }
     verify_that!(found.len(), ge(80))?;
-    let forbidden =
-        ["SystemTime", "UNIX_EPOCH", "Instant::now", "ClockId::Realtime", "thread::sleep"];
+    let forbidden = [
+        "SystemTime",
+        "UNIX_EPOCH",
+        "Instant::now",
+        "ClockId::Realtime",
+        "thread::sleep",
+    ];
     for path in &found {
         let text = std::fs::read_to_string(path).expect("a source");
         for word in forbidden {
--- a/crates/common/tests/compression.rs
+++ b/crates/common/tests/compression.rs
@@ -10,7 +10,9 @@
     for _ in 0..200 {
         let length = rng.below(5000) as usize;
         let letters = 1 + rng.below(200);
-        let text: Vec<u8> = (0..length).map(|_| b'{' ^ rng.below(letters) as u8).collect();
+        let text: Vec<u8> = (0..length)
+            .map(|_| b'{' ^ rng.below(letters) as u8)
+            .collect();
         let text = [b"{".as_slice(), &text].concat();
         verify_that!(decompress(&compress(&text))? == text, eq(true))?;
     }
@@ -23,5 +25,8 @@
     let compressed = compress("abcdefgh".repeat(400).as_bytes());
     let cut = ByteString::from(compressed.0[..compressed.0.len() / 2].to_vec());
     verify_that!(decompress(&cut).is_err(), eq(true))?;
-    verify_that!(decompress(&ByteString::from(vec![1, 255, 255, 255])).is_err(), eq(true))
+    verify_that!(
+        decompress(&ByteString::from(vec![1, 255, 255, 255])).is_err(),
+        eq(true)
+    )
 }
--- a/crates/common/tests/document_deltas.rs
+++ b/crates/common/tests/document_deltas.rs
@@ -39,7 +39,12 @@
 
 fn with_spec(held: &Document, spec: Value, number: u64) -> Document {
     let checked_spec = read_spec(&spec).expect("a good spec");
-    held.with_spec(spec, &checked_spec, ChangeId::from(format!("change-{number}"))).numbered(number)
+    held.with_spec(
+        spec,
+        &checked_spec,
+        ChangeId::from(format!("change-{number}")),
+    )
+    .numbered(number)
 }
 
 fn membership(count: u64) -> BTreeSet<ListedMember> {
@@ -135,11 +140,17 @@
     let newer = held.with_membership(membership(3));
     let change = held.delta_to(&newer);
     for cut in 0..change.len() {
-        verify_that!(held.changed(&change[..cut], &newer.digest()).is_err(), eq(true))?;
+        verify_that!(
+            held.changed(&change[..cut], &newer.digest()).is_err(),
+            eq(true)
+        )?;
     }
     verify_that!(held.changed(&change, &[]).is_err(), eq(true))?;
     verify_that!(
         held.document_version,
-        eq(DocumentVersion { term: Term(1), version: held.document_version.version })
+        eq(DocumentVersion {
+            term: Term(1),
+            version: held.document_version.version
+        })
     )
 }
--- a/crates/common/tests/document_forms.rs
+++ b/crates/common/tests/document_forms.rs
@@ -25,7 +25,9 @@
 
 fn address(number: u8) -> SocketAddress {
     SocketAddress(
-        format!("10.{number}.0.{}:{}", number + 1, 4000 + u16::from(number)).parse().expect("it"),
+        format!("10.{number}.0.{}:{}", number + 1, 4000 + u16::from(number))
+            .parse()
+            .expect("it"),
     )
 }
 
@@ -78,7 +80,8 @@
 
 fn with_spec(held: &Document, spec: Value, change: &str, number: u64) -> Document {
     let checked_spec = read_spec(&spec).expect("a good spec");
-    held.with_spec(spec, &checked_spec, ChangeId::from(change)).numbered(number)
+    held.with_spec(spec, &checked_spec, ChangeId::from(change))
+        .numbered(number)
 }
 
 /// A version that says something in every field.
@@ -99,7 +102,10 @@
     let mut newer_spec = spec();
     let functions = newer_spec["functions"].as_object_mut().expect("functions");
     functions.remove("resize");
-    functions.insert("scale".to_owned(), json!({"memory_mb": 96, "boot_ms": 5, "slots": 2}));
+    functions.insert(
+        "scale".to_owned(),
+        json!({"memory_mb": 96, "boot_ms": 5, "slots": 2}),
+    );
     functions["segment-check"]["slots"] = json!(4);
     let routes = newer_spec["routes"].as_object_mut().expect("routes");
     routes.remove("by-prefix");
@@ -126,12 +132,18 @@
 }
 
 fn form(name: &str, text_bytes: Vec<u8>) -> Form {
-    Form { name: name.to_owned(), text: String::from_utf8(text_bytes).expect("text") }
+    Form {
+        name: name.to_owned(),
+        text: String::from_utf8(text_bytes).expect("text"),
+    }
 }
 
 fn held_text(name: &str) -> Vec<u8> {
     let held = held_forms(DOCUMENTS).expect("forms");
-    let found = held.into_iter().find(|form| form.name == name).expect("the form");
+    let found = held
+        .into_iter()
+        .find(|form| form.name == name)
+        .expect("the form");
     found.text.into_bytes()
 }
 
@@ -175,7 +187,10 @@
     let whole = whole_document();
     verify_that!(
         read.document_version,
-        eq(DocumentVersion { term: Term(9), version: Version(6) })
+        eq(DocumentVersion {
+            term: Term(9),
+            version: Version(6)
+        })
     )?;
     verify_that!(read.number, eq(0))?;
     verify_that!(read.hidden_versions, eq(0))?;
@@ -184,8 +199,15 @@
     verify_that!(read.spec == whole.spec, eq(true))?;
     verify_that!(read.voters, eq(&whole.voters))?;
     verify_that!(read.previous_voters, eq(&whole.previous_voters))?;
-    let names: Vec<&str> = read.changes.iter().map(|recorded| recorded.id.as_str()).collect();
-    verify_that!(names, eq(&["first spec", "zone-7 out", "zone-8 out", "4 for 3"]))
+    let names: Vec<&str> = read
+        .changes
+        .iter()
+        .map(|recorded| recorded.id.as_str())
+        .collect();
+    verify_that!(
+        names,
+        eq(&["first spec", "zone-7 out", "zone-8 out", "4 for 3"])
+    )
 }
 
 #[gtest]
@@ -194,7 +216,9 @@
     let changed = held.changed(&held_text("document/change"), &newer_document().digest())?;
     verify_that!(changed == newer_document(), eq(true))?;
     verify_that!(
-        changed.applied_changes.status_of(301, &"second spec".into()),
+        changed
+            .applied_changes
+            .status_of(301, &"second spec".into()),
         eq(ChangeStatus::Applied(Version(7)))
     )?;
     let unchanged = held.changed(&held_text("document/change-of-nothing"), &held.digest())?;
@@ -204,33 +228,64 @@
     let newer_view = newer_document().view();
     let changed_view = held_view.changed(&held_text("view/change"), &newer_view.digest())?;
     verify_that!(changed_view == newer_view, eq(true))?;
-    verify_that!(DaemonView::from_bytes(&held_text("view/newer"))? == newer_view, eq(true))
+    verify_that!(
+        DaemonView::from_bytes(&held_text("view/newer"))? == newer_view,
+        eq(true)
+    )
 }
 
 fn seals() -> [Form; 2] {
     let function = FunctionKey::new("segment-check", Version(7)).in_region(&"east".into());
-    let runner = RunnerId { fencing_token: 0x51_0000_5253.into(), ordinal: 0x1f };
-    let sealed = |reject| seal(&"try-1".into(), &function, runner, reject, b"{\"answered\":true}");
-    [("seal/run", false), ("seal/shed", true)]
-        .map(|(name, reject)| Form { name: name.to_owned(), text: sealed(reject) })
+    let runner = RunnerId {
+        fencing_token: 0x51_0000_5253.into(),
+        ordinal: 0x1f,
+    };
+    let sealed = |reject| {
+        seal(
+            &"try-1".into(),
+            &function,
+            runner,
+            reject,
+            b"{\"answered\":true}",
+        )
+    };
+    [("seal/run", false), ("seal/shed", true)].map(|(name, reject)| Form {
+        name: name.to_owned(),
+        text: sealed(reject),
+    })
 }
 
 /// Digests and places that two processes must agree on, and names as they stand in headers and paths.
 #[gtest]
 fn digests_seals_and_names_are_as_ever() -> Result<()> {
     let (held, newer) = (whole_document(), newer_document());
-    let text = |name: &str, text: String| Form { name: name.to_owned(), text };
+    let text = |name: &str, text: String| Form {
+        name: name.to_owned(),
+        text,
+    };
     let function = FunctionKey::new("segment-check", Version(7));
-    let runner = RunnerId { fencing_token: 0x51_0000_5253.into(), ordinal: 0x1f };
+    let runner = RunnerId {
+        fencing_token: 0x51_0000_5253.into(),
+        ordinal: 0x1f,
+    };
     let mut forms = vec![
         text("digest/document-whole", hex(&held.digest())),
         text("digest/document-newer", hex(&newer.digest())),
         text("digest/view-whole", hex(&held.view().digest())),
         text("digest/view-newer", hex(&newer.view().digest())),
-        text("ring/daemon-1", format!("{:016x}", ring_position(&"daemon-1".into()))),
-        text("ring/daemon-2", format!("{:016x}", ring_position(&"daemon-2".into()))),
+        text(
+            "ring/daemon-1",
+            format!("{:016x}", ring_position(&"daemon-1".into())),
+        ),
+        text(
+            "ring/daemon-2",
+            format!("{:016x}", ring_position(&"daemon-2".into())),
+        ),
         text("name/function", function.to_string()),
-        text("name/regional-function", function.in_region(&"east".into()).to_string()),
+        text(
+            "name/regional-function",
+            function.in_region(&"east".into()).to_string(),
+        ),
         text("name/runner", runner.to_string()),
         text("name/version", held.document_version.to_string()),
     ];
@@ -246,16 +301,32 @@
     let long_text = whole_document().to_bytes();
     if std::env::var_os("RUDDERSTREAM_WRITE_FORMS").is_some() {
         let packed_text = hex(&compress(&long_text).0);
-        return hold(PACKED, &[Form { name: "packed/document".to_owned(), text: packed_text }]);
+        return hold(
+            PACKED,
+            &[Form {
+                name: "packed/document".to_owned(),
+                text: packed_text,
+            }],
+        );
     }
     let held = held_forms(PACKED)?;
     verify_that!(held.len(), eq(1))?;
-    let pairs =
-        held[0].text.as_bytes().chunks(2).map(|pair| std::str::from_utf8(pair).expect("it"));
-    let packed_bytes: Vec<u8> =
-        pairs.map(|pair| u8::from_str_radix(pair, 16).expect("hexadecimal")).collect();
-    verify_that!(decompress(&ByteString::from(packed_bytes))? == long_text, eq(true))?;
+    let pairs = held[0]
+        .text
+        .as_bytes()
+        .chunks(2)
+        .map(|pair| std::str::from_utf8(pair).expect("it"));
+    let packed_bytes: Vec<u8> = pairs
+        .map(|pair| u8::from_str_radix(pair, 16).expect("hexadecimal"))
+        .collect();
+    verify_that!(
+        decompress(&ByteString::from(packed_bytes))? == long_text,
+        eq(true)
+    )?;
     verify_that!(compress(&long_text).0.first(), some(eq(&1)))?;
     let short_text = b"{\"short\":1}";
-    verify_that!(compress(short_text) == ByteString::from(short_text.to_vec()), eq(true))
+    verify_that!(
+        compress(short_text) == ByteString::from(short_text.to_vec()),
+        eq(true)
+    )
 }
--- a/crates/common/tests/events.rs
+++ b/crates/common/tests/events.rs
@@ -14,7 +14,10 @@
     for event in ALL {
         assert!(numbers.insert(event.number), "{event} shares its number");
         let row = format!("| E{:04} | {} |", event.number, event.name);
-        assert!(catalogue.contains(&row), "docs/events.md has no row {row:?}");
+        assert!(
+            catalogue.contains(&row),
+            "docs/events.md has no row {row:?}"
+        );
     }
 }
 
@@ -32,5 +35,8 @@
 #[test]
 fn the_log_shows_an_event_by_its_number_and_name() {
     let event = ALL[0];
-    assert_eq!(event.to_string(), format!("[E{:04}] {}", event.number, event.name));
+    assert_eq!(
+        event.to_string(),
+        format!("[E{:04}] {}", event.number, event.name)
+    );
 }
--- a/crates/common/tests/forms/mod.rs
+++ b/crates/common/tests/forms/mod.rs
@@ -20,7 +20,9 @@
 }
 
 fn path_of(fixture: &str) -> PathBuf {
-    PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/forms").join(fixture)
+    PathBuf::from(env!("CARGO_MANIFEST_DIR"))
+        .join("tests/forms")
+        .join(fixture)
 }
 
 /// The forms in a fixture file; an error while fixtures are written anew.
@@ -29,13 +31,22 @@
         fail!("fixtures are being written anew; run without {WRITE}")?;
     }
     let fixture_text = std::fs::read_to_string(path_of(fixture))?;
-    let parted = fixture_text.lines().map(|line| line.split_once(' ').unwrap_or((line, "")));
-    Ok(parted.map(|(name, text)| Form { name: name.to_owned(), text: text.to_owned() }).collect())
+    let parted = fixture_text
+        .lines()
+        .map(|line| line.split_once(' ').unwrap_or((line, "")));
+    Ok(parted
+        .map(|(name, text)| Form {
+            name: name.to_owned(),
+            text: text.to_owned(),
+        })
+        .collect())
 }
 
 fn write(fixture: &str, forms: &[Form]) -> Result<()> {
     let fixture_path = path_of(fixture);
-    let lines = forms.iter().map(|form| format!("{} {}\n", form.name, form.text));
+    let lines = forms
+        .iter()
+        .map(|form| format!("{} {}\n", form.name, form.text));
     std::fs::write(&fixture_path, lines.collect::<String>())?;
     fail!(
         "{} is written anew; look at what changed, and run without {WRITE}",
@@ -47,7 +58,10 @@
 pub fn hold(fixture: &str, forms: &[Form]) -> Result<()> {
     let names: BTreeSet<&str> = forms.iter().map(|form| form.name.as_str()).collect();
     verify_that!(names.len(), eq(forms.len()))?;
-    verify_that!(names.iter().any(|name| name.contains(char::is_whitespace)), eq(false))?;
+    verify_that!(
+        names.iter().any(|name| name.contains(char::is_whitespace)),
+        eq(false)
+    )?;
     verify_that!(forms.iter().any(|form| form.text.contains('\n')), eq(false))?;
     if std::env::var_os(WRITE).is_some() {
         return write(fixture, forms);
@@ -56,16 +70,24 @@
     let mut differences = Vec::new();
     for address in 0..held.len().max(forms.len()) {
         let as_line = |form: Option<&Form>| {
-            form.map_or("nothing".to_owned(), |form| format!("{} {}", form.name, form.text))
+            form.map_or("nothing".to_owned(), |form| {
+                format!("{} {}", form.name, form.text)
+            })
         };
         let (held_line, made_line) = (as_line(held.get(address)), as_line(forms.get(address)));
         if held_line != made_line {
-            differences
-                .push(format!("line {}:\n  held {held_line}\n  made {made_line}", address + 1));
+            differences.push(format!(
+                "line {}:\n  held {held_line}\n  made {made_line}",
+                address + 1
+            ));
         }
     }
     if differences.is_empty() {
         return Ok(());
     }
-    fail!("{fixture}: {} lines differ\n{}", differences.len(), differences.join("\n"))
+    fail!(
+        "{fixture}: {} lines differ\n{}",
+        differences.len(),
+        differences.join("\n")
+    )
 }
--- a/crates/common/tests/frames.rs
+++ b/crates/common/tests/frames.rs
@@ -29,7 +29,10 @@
         incarnation: 9.into(),
         count: 3,
         suspicions: LengthPrefixed(vec![Suspicion {
-            instance: MemberIncarnation { member: "th-2".into(), incarnation: 4.into() },
+            instance: MemberIncarnation {
+                member: "th-2".into(),
+                incarnation: 4.into(),
+            },
             remaining_relays: 2,
         }]),
     }
@@ -40,7 +43,10 @@
     let frame_bytes = encode(&sample())?;
     let mut rng = SeededRng::seeded(11);
     for cut in 0..frame_bytes.len() {
-        verify_that!(decode::<LeaderToDaemon>(&frame_bytes[..cut]).is_err(), eq(true))?;
+        verify_that!(
+            decode::<LeaderToDaemon>(&frame_bytes[..cut]).is_err(),
+            eq(true)
+        )?;
     }
     for _ in 0..5000 {
         let mut broken_bytes = frame_bytes.clone();
@@ -94,7 +100,10 @@
             digests: LengthPrefixed(vec![1, 2, 3]),
         },
     ];
-    let hops = requests.into_iter().map(|body| DaemonFrame { correlation: CorrelationId(8), body });
+    let hops = requests.into_iter().map(|body| DaemonFrame {
+        correlation: CorrelationId(8),
+        body,
+    });
     let ups = [
         DaemonToLeader::Hello {
             host: host.clone(),
@@ -103,7 +112,10 @@
             age_ms: 700,
             granted: Flag(true),
         },
-        DaemonToLeader::Acquire { correlation: CorrelationId(8), function: function.clone() },
+        DaemonToLeader::Acquire {
+            correlation: CorrelationId(8),
+            function: function.clone(),
+        },
         DaemonToLeader::Release {
             function: function.clone(),
             fencing_token: FencingToken(4),
@@ -132,25 +144,44 @@
             result: AcquireResult::RetryLater { wait_ms: 900 },
         },
     ];
-    let (term, document_version) =
-        (Term(2), DocumentVersion { term: Term(2), version: Version(3) });
+    let (term, document_version) = (
+        Term(2),
+        DocumentVersion {
+            term: Term(2),
+            version: Version(3),
+        },
+    );
     let consensus_messages = [
-        ConsensusMessage::AcceptFull { term, document_version, document: b"{}".to_vec().into() },
+        ConsensusMessage::AcceptFull {
+            term,
+            document_version,
+            document: b"{}".to_vec().into(),
+        },
         ConsensusMessage::AcceptDelta {
             term,
-            base: DocumentVersion { term, version: Version(2) },
+            base: DocumentVersion {
+                term,
+                version: Version(2),
+            },
             document_version,
             delta: b"{}".to_vec().into(),
             digest: vec![7; 32].into(),
         },
-        ConsensusMessage::SnapshotRequest { term, accepted: document_version },
+        ConsensusMessage::SnapshotRequest {
+            term,
+            accepted: document_version,
+        },
     ];
     let daemon_bytes = hops.map(|frame| encode(&frame).expect("bytes"));
     let up_bytes = ups.iter().map(|frame| encode(frame).expect("bytes"));
     let down_bytes = downs.iter().map(|frame| encode(frame).expect("bytes"));
     let consensus_bytes =
         consensus_messages.map(|body| encode(&consensus_frame(body)).expect("bytes"));
-    daemon_bytes.chain(up_bytes).chain(down_bytes).chain(consensus_bytes).collect()
+    daemon_bytes
+        .chain(up_bytes)
+        .chain(down_bytes)
+        .chain(consensus_bytes)
+        .collect()
 }
 
 fn consensus_frame(body: ConsensusMessage) -> ConsensusFrame {
@@ -201,11 +232,17 @@
         holder: LengthPrefixed(Vec::new()),
         regional_tenths: 0,
     };
-    let frame = DaemonFrame { correlation: CorrelationId(5), body };
+    let frame = DaemonFrame {
+        correlation: CorrelationId(5),
+        body,
+    };
     let read = decode::<DaemonFrame>(&encode(&frame)?)?;
     verify_that!(read.correlation, eq(CorrelationId(5)))?;
     match read.body {
-        DaemonMessage::Completed { outcome: read_outcome, .. } => {
+        DaemonMessage::Completed {
+            outcome: read_outcome,
+            ..
+        } => {
             verify_that!(read_outcome, eq(&outcome))
         }
         _ => fail!("another frame came back"),
@@ -217,7 +254,10 @@
     let mut frame_bytes = encode(&sample())?;
     frame_bytes.push(0);
     verify_that!(
-        matches!(decode::<LeaderToDaemon>(&frame_bytes), Err(FrameError::Trailing(1))),
+        matches!(
+            decode::<LeaderToDaemon>(&frame_bytes),
+            Err(FrameError::Trailing(1))
+        ),
         eq(true)
     )
 }
@@ -225,12 +265,20 @@
 #[tokio::test]
 async fn wrong_magic_versions_channels_and_sizes_are_reported() {
     let mut good_bytes = Vec::new();
-    write_channel(&mut good_bytes, Channel::Daemons).await.unwrap();
-    assert_eq!(read_channel(&mut good_bytes.as_slice()).await.unwrap(), Channel::Daemons);
+    write_channel(&mut good_bytes, Channel::Daemons)
+        .await
+        .unwrap();
+    assert_eq!(
+        read_channel(&mut good_bytes.as_slice()).await.unwrap(),
+        Channel::Daemons
+    );
     let read = async |given: [u8; 4]| read_channel(&mut given.as_slice()).await;
     assert!(matches!(read(*b"GET ").await, Err(FrameError::WrongMagic)));
     let newer = [good_bytes[0], good_bytes[1], 99, good_bytes[3]];
-    assert!(matches!(read(newer).await, Err(FrameError::WrongVersion(99))));
+    assert!(matches!(
+        read(newer).await,
+        Err(FrameError::WrongVersion(99))
+    ));
     let odd = [good_bytes[0], good_bytes[1], good_bytes[2], 77];
     assert!(matches!(read(odd).await, Err(FrameError::WrongChannel(77))));
     let huge = u32::MAX.to_be_bytes();
@@ -238,7 +286,11 @@
     assert!(matches!(too_large, Err(FrameError::Oversized(u32::MAX))));
     let mut framed = Vec::new();
     write_frame(&mut framed, &sample()).await.unwrap();
-    assert!(read_frame::<_, LeaderToDaemon>(&mut framed.as_slice()).await.is_ok());
+    assert!(
+        read_frame::<_, LeaderToDaemon>(&mut framed.as_slice())
+            .await
+            .is_ok()
+    );
     let half = framed.len() / 2;
     let cut = read_frame::<_, LeaderToDaemon>(&mut &framed[..half]).await;
     assert!(matches!(cut, Err(FrameError::Connection(_))));
@@ -293,7 +345,10 @@
     let outcome = RequestOutcome::Response {
         status: 200,
         seal: vec![1; 32].into(),
-        runner: RunnerId { fencing_token: FencingToken(4), ordinal: 5 },
+        runner: RunnerId {
+            fencing_token: FencingToken(4),
+            ordinal: 5,
+        },
         header_fields: LengthPrefixed(header_fields.clone()),
         body: vec![7; 1700].into(),
     };
@@ -303,7 +358,11 @@
         regional_tenths: 0,
     };
     let framed = |body: DaemonMessage| {
-        encode(&DaemonFrame { correlation: CorrelationId(8), body }).map(|bytes| bytes.len() + 4)
+        encode(&DaemonFrame {
+            correlation: CorrelationId(8),
+            body,
+        })
+        .map(|bytes| bytes.len() + 4)
     };
     let request_overhead = framed(request)?
         - own_bytes(&header_fields)
--- a/crates/common/tests/platform_forms.rs
+++ b/crates/common/tests/platform_forms.rs
@@ -13,7 +13,10 @@
 use std::time::Duration;
 
 fn runner() -> RunnerId {
-    RunnerId { fencing_token: FencingToken(0x5_0000_0007), ordinal: 0x2b }
+    RunnerId {
+        fencing_token: FencingToken(0x5_0000_0007),
+        ordinal: 0x2b,
+    }
 }
 
 fn function() -> FunctionKey {
@@ -73,17 +76,28 @@
     let good = json!({"life": "life-9", "place": "10.0.0.3:9000"}).to_string();
     for key in [function(), function().in_region(&"north".into())] {
         let double = PlatformDouble::answering(&[(201, good.clone())]).await;
-        let end = NativePlatform::new(double.address).start_runner(begin_order(key.clone())).await;
+        let end = NativePlatform::new(double.address)
+            .start_runner(begin_order(key.clone()))
+            .await;
         put(&mut text, &format!("start of {key}"), &double, &shown(&end));
     }
-    for body in ["{}", "no JSON", r#"{"life": "", "place": "10.0.0.3:9000"}"#, r#"{"life": "a"}"#] {
+    for body in [
+        "{}",
+        "no JSON",
+        r#"{"life": "", "place": "10.0.0.3:9000"}"#,
+        r#"{"life": "a"}"#,
+    ] {
         let double = PlatformDouble::answering(&[(201, body.to_owned())]).await;
-        let end = NativePlatform::new(double.address).start_runner(begin_order(function())).await;
+        let end = NativePlatform::new(double.address)
+            .start_runner(begin_order(function()))
+            .await;
         let _ = writeln!(text, "start, 201 {body}: {}", shown(&end));
     }
     for status in STATUSES {
         let double = PlatformDouble::answering(&[(status, String::new())]).await;
-        let end = NativePlatform::new(double.address).start_runner(begin_order(function())).await;
+        let end = NativePlatform::new(double.address)
+            .start_runner(begin_order(function()))
+            .await;
         let _ = writeln!(text, "start, {status} without a body: {}", shown(&end));
     }
     check("platform_starts.txt", &text);
@@ -94,12 +108,21 @@
     let mut text = String::new();
     for instance in [Some("life-9"), None] {
         let double = PlatformDouble::answering(&[(200, "{}".to_owned())]).await;
-        let is_stopped = NativePlatform::new(double.address).stop(stop_order(instance)).await;
-        put(&mut text, "stop", &double, if is_stopped { "stopped" } else { "not sure" });
+        let is_stopped = NativePlatform::new(double.address)
+            .stop(stop_order(instance))
+            .await;
+        put(
+            &mut text,
+            "stop",
+            &double,
+            if is_stopped { "stopped" } else { "not sure" },
+        );
     }
     for status in STATUSES {
         let double = PlatformDouble::answering(&[(status, "{}".to_owned())]).await;
-        let is_stopped = NativePlatform::new(double.address).stop(stop_order(Some("life-9"))).await;
+        let is_stopped = NativePlatform::new(double.address)
+            .stop(stop_order(Some("life-9")))
+            .await;
         let taken_for = if is_stopped { "stopped" } else { "not sure" };
         let _ = writeln!(text, "stop, {status}: {taken_for}");
     }
@@ -118,8 +141,14 @@
         (200, json!({"workers": []}).to_string()),
         (200, json!({}).to_string()),
         (200, json!({"workers": 7}).to_string()),
-        (200, json!({"workers": [{"worker": "w-1", "memory_mb": 1}]}).to_string()),
-        (200, json!({"workers": [{"worker": "w", "locality": "n", "memory_mb": -1}]}).to_string()),
+        (
+            200,
+            json!({"workers": [{"worker": "w-1", "memory_mb": 1}]}).to_string(),
+        ),
+        (
+            200,
+            json!({"workers": [{"worker": "w", "locality": "n", "memory_mb": -1}]}).to_string(),
+        ),
         (503, whole.to_string()),
     ];
     for (status, body) in answers {
@@ -137,7 +166,12 @@
             json!(workers.iter().map(row).collect::<Vec<_>>())
         });
         let taken_for = rows.map_or_else(|| "not read".to_owned(), |rows| rows.to_string());
-        put(&mut text, &format!("workers, {status} {body}"), &double, &taken_for);
+        put(
+            &mut text,
+            &format!("workers, {status} {body}"),
+            &double,
+            &taken_for,
+        );
     }
     check("platform_workers.txt", &text);
 }
@@ -177,10 +211,18 @@
                     "leaving": listed.leaving,
                 })
             };
-            json!([list.age.as_millis() as u64, list.runners.iter().map(row).collect::<Vec<_>>()])
+            json!([
+                list.age.as_millis() as u64,
+                list.runners.iter().map(row).collect::<Vec<_>>()
+            ])
         });
         let taken_for = rows.map_or_else(|| "not read".to_owned(), |rows| rows.to_string());
-        put(&mut text, &format!("runners, {status} {body}"), &double, &taken_for);
+        put(
+            &mut text,
+            &format!("runners, {status} {body}"),
+            &double,
+            &taken_for,
+        );
     }
     check("platform_runners.txt", &text);
 }
--- a/crates/common/tests/records.rs
+++ b/crates/common/tests/records.rs
@@ -11,7 +11,11 @@
 
 fn random_route(rng: &mut SeededRng) -> Value {
     let function = format!("f{}", rng.below(FUNCTIONS + 1));
-    let kind = if rng.random_bool(0.9) { "once" } else { "twice" };
+    let kind = if rng.random_bool(0.9) {
+        "once"
+    } else {
+        "twice"
+    };
     let mut route = json!({"function": function, "budget_ms": 1000 + rng.below(3), "kind": kind});
     if rng.random_bool(0.5) {
         route["host"] = json!("h.example");
@@ -49,7 +53,9 @@
     let checked_spec = spec.check().unwrap_or_default();
     let mut document = Document::founding(Vec::new());
     document.document_version.version = Version(version);
-    document.with_spec(spec.clone(), &checked_spec, ChangeId::from("c")).view()
+    document
+        .with_spec(spec.clone(), &checked_spec, ChangeId::from("c"))
+        .view()
 }
 
 #[gtest]
@@ -73,7 +79,12 @@
 #[gtest]
 fn records_serialize_like_the_full_spec() -> Result<()> {
     let mut rng = SeededRng::seeded(12);
-    let odd_specs = [json!({}), json!(7), json!({"functions": 3}), json!({"labels": {"a": 1}})];
+    let odd_specs = [
+        json!({}),
+        json!(7),
+        json!({"functions": 3}),
+        json!({"labels": {"a": 1}}),
+    ];
     let random_specs: Vec<Value> = (0..200).map(|_| random_spec(&mut rng)).collect();
     for spec in odd_specs.into_iter().chain(random_specs) {
         let records = SpecRecords::new(spec.clone());
@@ -100,7 +111,10 @@
         let change = held_view.delta_to(&newer_view);
         let changed_view = held_view.changed(&change, &newer_view.digest())?;
         verify_that!(changed_view == newer_view, eq(true))?;
-        verify_that!(held_view.changed(&change, &held_view.digest()).is_err(), eq(true))?;
+        verify_that!(
+            held_view.changed(&change, &held_view.digest()).is_err(),
+            eq(true)
+        )?;
         held_view = changed_view;
     }
     Ok(())
@@ -123,9 +137,18 @@
     let mut limited_spec = base_spec;
     limited_spec["limits"] = json!({"idle_ms": 77});
     others.push(view_of(&SpecRecords::new(limited_spec), 1));
-    others.push(DaemonView { version: Version(9), ..base_view.clone() });
-    others.push(DaemonView { evacuated: ["z".into()].into(), ..base_view.clone() });
-    others.push(DaemonView { generations: Default::default(), ..base_view.clone() });
+    others.push(DaemonView {
+        version: Version(9),
+        ..base_view.clone()
+    });
+    others.push(DaemonView {
+        evacuated: ["z".into()].into(),
+        ..base_view.clone()
+    });
+    others.push(DaemonView {
+        generations: Default::default(),
+        ..base_view.clone()
+    });
     for other in others {
         verify_that!(other.digest() == base_view.digest(), eq(false))?;
     }
@@ -155,28 +178,47 @@
 
 /// What a table answers, as text: every function, route and look-up.
 fn lookup_results(table: &RoutingTable) -> String {
-    let functions = table.functions().iter().enumerate().map(|(position, entry)| {
-        let index = FunctionIndex(position);
-        let is_found = table.index_of(&entry.key) == Some(index);
-        format!("{} {:?} {is_found} {}", entry.key, entry.spec, table.is_prewarmed(index))
-    });
+    let functions = table
+        .functions()
+        .iter()
+        .enumerate()
+        .map(|(position, entry)| {
+            let index = FunctionIndex(position);
+            let is_found = table.index_of(&entry.key) == Some(index);
+            format!(
+                "{} {:?} {is_found} {}",
+                entry.key,
+                entry.spec,
+                table.is_prewarmed(index)
+            )
+        });
     let routes = table.routes().iter().map(|route| {
         let is_found = table
             .route_named(&route.spec.name)
             .is_some_and(|found| found.spec == route.spec && found.function == route.function);
-        format!("{:?} {:?} {:?} {is_found}", route.spec, route.function, route.shares)
+        format!(
+            "{:?} {:?} {:?} {is_found}",
+            route.spec, route.function, route.shares
+        )
     });
     let idempotency_key = IdempotencyKey::from("t");
     let lookups = (0..40).flat_map(|number| {
-        [("h.example", format!("/p{number}/x")), ("", format!("/q{number}/x"))].map(
-            |(host, path)| {
-                let found = table.route(&Method::POST, host, &path, &idempotency_key);
-                format!("{path}: {:?}", found.map(|found| &found.route.spec.name))
-            },
-        )
+        [
+            ("h.example", format!("/p{number}/x")),
+            ("", format!("/q{number}/x")),
+        ]
+        .map(|(host, path)| {
+            let found = table.route(&Method::POST, host, &path, &idempotency_key);
+            format!("{path}: {:?}", found.map(|found| &found.route.spec.name))
+        })
     });
     let all: Vec<String> = functions.chain(routes).chain(lookups).collect();
-    format!("{} {:?} {}", table.version(), table.limits(), all.join("\n"))
+    format!(
+        "{} {:?} {}",
+        table.version(),
+        table.limits(),
+        all.join("\n")
+    )
 }
 
 #[gtest]
@@ -188,8 +230,9 @@
     for version in 2..3_000 {
         if rng.random_bool(0.2) {
             plain_spec = random_spec(&mut rng);
-        } else if let Some((_, route)) =
-            plain_spec["routes"].as_object_mut().and_then(|routes| routes.iter_mut().next())
+        } else if let Some((_, route)) = plain_spec["routes"]
+            .as_object_mut()
+            .and_then(|routes| routes.iter_mut().next())
         {
             route["function"] = json!(format!("f{}", rng.below(FUNCTIONS + 1)));
             route["budget_ms"] = json!(900 + rng.below(3));
@@ -200,7 +243,10 @@
         verify_that!(incremental_table.is_ok(), eq(full_table.is_ok()))?;
         if let (Ok(full_table), Ok(incremental_table)) = (full_table, incremental_table) {
             good_count += 1;
-            verify_that!(lookup_results(&incremental_table), eq(&lookup_results(&full_table)))?;
+            verify_that!(
+                lookup_results(&incremental_table),
+                eq(&lookup_results(&full_table))
+            )?;
             earlier = incremental_table;
         }
     }
--- a/crates/common/tests/ring.rs
+++ b/crates/common/tests/ring.rs
@@ -26,7 +26,10 @@
     }
     let owners_on_wide_links = |hosts: &[Host]| {
         let owners = (0..300).filter_map(|number| {
-            hash_owner(&FunctionKey::new(format!("f{number}"), Version(1)), hosts.iter())
+            hash_owner(
+                &FunctionKey::new(format!("f{number}"), Version(1)),
+                hosts.iter(),
+            )
         });
         owners.filter(|owner| owner.link_mbps == 100).count()
     };
@@ -46,7 +49,10 @@
         host.link_mbps = if number < 6 { 100 } else { 14 };
     }
     let owners = (0..300).filter_map(|number| {
-        hash_owner(&FunctionKey::new(format!("f{number}"), Version(1)), all_hosts.iter())
+        hash_owner(
+            &FunctionKey::new(format!("f{number}"), Version(1)),
+            all_hosts.iter(),
+        )
     });
     let count_on_widest = owners.filter(|owner| owner.link_mbps == 100).count();
     verify_that!(count_on_widest, all![ge(20), le(80)])
@@ -56,9 +62,13 @@
 fn a_regional_key_is_owned_only_in_its_region() -> Result<()> {
     let all_hosts = hosts(12);
     let regions = Regions::new(
-        [("locality-0", "east"), ("locality-1", "east"), ("locality-2", "west")]
-            .map(|(zone, region)| (zone.into(), region.into()))
-            .into(),
+        [
+            ("locality-0", "east"),
+            ("locality-1", "east"),
+            ("locality-2", "west"),
+        ]
+        .map(|(zone, region)| (zone.into(), region.into()))
+        .into(),
     );
     for number in 0..50 {
         let all_regions = FunctionKey::new(format!("f{number}"), Version(2));
@@ -66,7 +76,10 @@
         let owner = hash_owner_in(&west, all_hosts.iter(), &regions).expect("an owner");
         verify_that!(owner.zone.as_str(), eq("locality-2"))?;
         let north = all_regions.in_region(&Region::from("north"));
-        verify_that!(hash_owner_in(&north, all_hosts.iter(), &regions).is_none(), eq(true))?;
+        verify_that!(
+            hash_owner_in(&north, all_hosts.iter(), &regions).is_none(),
+            eq(true)
+        )?;
         let owner_for_all_regions =
             hash_owner_in(&all_regions, all_hosts.iter(), &regions).expect("an owner");
         verify_that!(
@@ -80,7 +93,10 @@
 #[gtest]
 fn a_function_key_round_trips_through_text() -> Result<()> {
     let all_regions = FunctionKey::new("a@b", Version(7));
-    for key in [all_regions.clone(), all_regions.in_region(&Region::from("cz-west"))] {
+    for key in [
+        all_regions.clone(),
+        all_regions.in_region(&Region::from("cz-west")),
+    ] {
         verify_that!(key.to_string().parse::<FunctionKey>().ok(), some(eq(&key)))?;
         verify_that!(key.is_same_function(&all_regions), eq(true))?;
         verify_that!(key.all_regions(), eq(&all_regions))?;
@@ -115,20 +131,31 @@
         let owner = hash_owner(&function, all_hosts.iter()).expect("an owner");
         verify_that!(owner.member == all_hosts[1].member, eq(false))?;
     }
-    verify_that!(hash_owner(&FunctionKey::new("f", Version(1)), [].iter()).is_none(), eq(true))
+    verify_that!(
+        hash_owner(&FunctionKey::new("f", Version(1)), [].iter()).is_none(),
+        eq(true)
+    )
 }
 
 #[gtest]
 fn watchers_are_two_in_other_zones_and_one_in_the_own_zone() -> Result<()> {
     let all_hosts = hosts(10);
-    let positioned = || all_hosts.iter().map(|host| (ring_position(&host.member), host));
+    let positioned = || {
+        all_hosts
+            .iter()
+            .map(|host| (ring_position(&host.member), host))
+    };
     for host in &all_hosts {
         let chosen_watchers = watchers(host, positioned());
-        let own_zone_count =
-            chosen_watchers.iter().filter(|watcher| watcher.zone == host.zone).count();
+        let own_zone_count = chosen_watchers
+            .iter()
+            .filter(|watcher| watcher.zone == host.zone)
+            .count();
         verify_that!((chosen_watchers.len(), own_zone_count), eq((3, 1)))?;
         verify_that!(
-            chosen_watchers.iter().all(|watcher| watcher.member != host.member),
+            chosen_watchers
+                .iter()
+                .all(|watcher| watcher.member != host.member),
             eq(true)
         )?;
     }
@@ -138,8 +165,11 @@
 #[gtest]
 fn missing_watchers_are_replaced_from_the_other_kind() -> Result<()> {
     let all_hosts = hosts(9);
-    let own_zone_hosts: Vec<Host> =
-        all_hosts.iter().filter(|host| host.zone == all_hosts[0].zone).cloned().collect();
+    let own_zone_hosts: Vec<Host> = all_hosts
+        .iter()
+        .filter(|host| host.zone == all_hosts[0].zone)
+        .cloned()
+        .collect();
     let counts = |given: &[Host]| {
         let positioned = given.iter().map(|host| (ring_position(&host.member), host));
         watchers(&given[0], positioned).len()
--- a/crates/common/tests/spec.rs
+++ b/crates/common/tests/spec.rs
@@ -69,13 +69,20 @@
         let pattern_parts: Vec<&str> = pattern.split('/').collect();
         let path_parts: Vec<&str> = path.split('/').collect();
         pattern_parts.len() == path_parts.len()
-            && pattern_parts.iter().zip(&path_parts).all(|(pattern_part, path_part)| {
-                pattern_part == path_part
-                    || (pattern_part.starts_with('{') && !path_part.is_empty())
-            })
+            && pattern_parts
+                .iter()
+                .zip(&path_parts)
+                .all(|(pattern_part, path_part)| {
+                    pattern_part == path_part
+                        || (pattern_part.starts_with('{') && !path_part.is_empty())
+                })
+    };
+    let literal_count = |pattern: &str| {
+        pattern
+            .split('/')
+            .filter(|part| !part.starts_with('{'))
+            .count()
     };
-    let literal_count =
-        |pattern: &str| pattern.split('/').filter(|part| !part.starts_with('{')).count();
     routes
         .iter()
         .filter(|(_, pattern)| matches_pattern(pattern))
@@ -112,7 +119,12 @@
         let found = found.map(|found| found.route.spec.name.as_str());
         verify_that!(found, eq(linear_match(&listed, &path)))?;
     }
-    verify_that!(table.route(&Method::GET, "", "/area/0/tile", &"t".into()).is_none(), eq(true))
+    verify_that!(
+        table
+            .route(&Method::GET, "", "/area/0/tile", &"t".into())
+            .is_none(),
+        eq(true)
+    )
 }
 
 #[gtest]
@@ -141,13 +153,24 @@
     );
     let (old_view, new_view) = (old_document.view(), new_document.view());
     let patch = old_view.delta_to(&new_view);
-    verify_that!(old_view.changed(&patch, &new_view.digest())? == new_view, eq(true))?;
+    verify_that!(
+        old_view.changed(&patch, &new_view.digest())? == new_view,
+        eq(true)
+    )?;
     verify_that!(old_view.changed(&patch, &[0; 32]).is_err(), eq(true))?;
-    let other_base = old_document.with_zone(Zone::from("south"), true, ChangeId::from("c3")).view();
-    verify_that!(other_base.changed(&patch, &new_view.digest()).is_err(), eq(true))?;
+    let other_base = old_document
+        .with_zone(Zone::from("south"), true, ChangeId::from("c3"))
+        .view();
+    verify_that!(
+        other_base.changed(&patch, &new_view.digest()).is_err(),
+        eq(true)
+    )?;
     let decoded = DaemonView::from_bytes(&new_view.to_bytes())?;
     verify_that!(decoded == new_view, eq(true))?;
-    verify_that!(Document::from_bytes(&new_document.to_bytes())? == new_document, eq(true))?;
+    verify_that!(
+        Document::from_bytes(&new_document.to_bytes())? == new_document,
+        eq(true)
+    )?;
     verify_that!(new_view.version, eq(Version(3)))
 }
 
@@ -157,14 +180,19 @@
         "file.json",
         json!({"seeds": ["127.0.0.1:1", "nowhere:2", "127.0.0.1:3"]}),
     );
-    let error =
-        source.read(|root| read_addresses(&root.field("seeds"), 1..=3)).expect_err("a fault");
+    let error = source
+        .read(|root| read_addresses(&root.field("seeds"), 1..=3))
+        .expect_err("a fault");
     verify_that!(
         error.to_string(),
         eq("file.json: seeds.1 is not an IP number with port: \"nowhere:2\"")
     )?;
     let short = SettingsSource::from_value("file.json", json!({"seeds": []}));
-    let error =
-        short.read(|root| read_addresses(&root.field("seeds"), 1..=3)).expect_err("a fault");
-    verify_that!(error.to_string(), eq("file.json: seeds needs 1 to 3 addresses"))
+    let error = short
+        .read(|root| read_addresses(&root.field("seeds"), 1..=3))
+        .expect_err("a fault");
+    verify_that!(
+        error.to_string(),
+        eq("file.json: seeds needs 1 to 3 addresses")
+    )
 }
--- a/crates/common/tests/wire_forms.rs
+++ b/crates/common/tests/wire_forms.rs
@@ -38,12 +38,20 @@
 }
 
 fn bytes_of(hex_text: &str) -> Vec<u8> {
-    let pairs = hex_text.as_bytes().chunks(2).map(|pair| std::str::from_utf8(pair).expect("text"));
-    pairs.map(|pair| u8::from_str_radix(pair, 16).expect("hexadecimal")).collect()
+    let pairs = hex_text
+        .as_bytes()
+        .chunks(2)
+        .map(|pair| std::str::from_utf8(pair).expect("text"));
+    pairs
+        .map(|pair| u8::from_str_radix(pair, 16).expect("hexadecimal"))
+        .collect()
 }
 
 fn form(name: &str, bytes: &[u8]) -> Form {
-    Form { name: name.to_owned(), text: hex(bytes) }
+    Form {
+        name: name.to_owned(),
+        text: hex(bytes),
+    }
 }
 
 #[gtest]
@@ -75,7 +83,12 @@
     let below = |above: &'static str, names: &'static [&'static str]| {
         names.iter().map(move |name| format!("{above}/{name}"))
     };
-    let plain = [core_frames::CORE, stream_frames::UP, stream_frames::DOWN, hop_frames::HOP];
+    let plain = [
+        core_frames::CORE,
+        stream_frames::UP,
+        stream_frames::DOWN,
+        hop_frames::HOP,
+    ];
     let plain_names = plain.into_iter().flatten().map(|name| (*name).to_owned());
     plain_names
         .chain(below("stream-up/runner", stream_frames::NEWS))
@@ -94,9 +107,13 @@
     let held = held_forms(FRAMES)?;
     let is_held = |needed: &str| {
         let below = format!("{needed}/");
-        held.iter().any(|form| form.name == needed || form.name.starts_with(&below))
+        held.iter()
+            .any(|form| form.name == needed || form.name.starts_with(&below))
     };
-    let lacking: Vec<String> = needed_names().into_iter().filter(|name| !is_held(name)).collect();
+    let lacking: Vec<String> = needed_names()
+        .into_iter()
+        .filter(|name| !is_held(name))
+        .collect();
     verify_that!(lacking, is_empty())
 }
 
@@ -110,7 +127,9 @@
 
 /// What comes first on a dialed connection.
 async fn dialed_bytes(channel: Channel) -> Vec<u8> {
-    let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a listener");
+    let listener = tokio::net::TcpListener::bind("127.0.0.1:0")
+        .await
+        .expect("a listener");
     let std::net::SocketAddr::V4(address) = listener.local_addr().expect("an address") else {
         panic!("not of the fourth version")
     };
@@ -128,17 +147,28 @@
     let mut forms = Vec::new();
     for channel in ALL_CHANNELS {
         let mut written_bytes = Vec::new();
-        write_channel(&mut written_bytes, channel).await.expect("written");
+        write_channel(&mut written_bytes, channel)
+            .await
+            .expect("written");
         assert_eq!(dialed_bytes(channel).await, written_bytes);
         forms.push(form(channel_kind(&channel), &written_bytes));
     }
     let mut framed_bytes = Vec::new();
     append_frame(&mut framed_bytes, &DaemonToLeader::Leaving).expect("a frame");
-    append_frame(&mut framed_bytes, &DaemonToLeader::Installed { version: Version(long(0x10)) })
-        .expect("a frame");
+    append_frame(
+        &mut framed_bytes,
+        &DaemonToLeader::Installed {
+            version: Version(long(0x10)),
+        },
+    )
+    .expect("a frame");
     forms.push(form("two-frames", &framed_bytes));
     hold(OPENINGS, &forms).expect("held");
-    assert!(CHANNELS.iter().all(|name| forms.iter().any(|form| form.name == *name)));
+    assert!(
+        CHANNELS
+            .iter()
+            .all(|name| forms.iter().any(|form| form.name == *name))
+    );
 }
 
 #[tokio::test]
@@ -147,14 +177,26 @@
     for channel in ALL_CHANNELS {
         let held_form = held.iter().find(|form| form.name == channel_kind(&channel));
         let held_bytes = bytes_of(&held_form.expect("held").text);
-        assert_eq!(read_channel(&mut held_bytes.as_slice()).await.expect("a channel"), channel);
+        assert_eq!(
+            read_channel(&mut held_bytes.as_slice())
+                .await
+                .expect("a channel"),
+            channel
+        );
     }
-    let two_frames = held.iter().find(|form| form.name == "two-frames").expect("held");
+    let two_frames = held
+        .iter()
+        .find(|form| form.name == "two-frames")
+        .expect("held");
     let held_bytes = bytes_of(&two_frames.text);
     let mut reader = held_bytes.as_slice();
-    let first = read_frame::<_, DaemonToLeader>(&mut reader).await.expect("a frame");
+    let first = read_frame::<_, DaemonToLeader>(&mut reader)
+        .await
+        .expect("a frame");
     assert!(matches!(first, DaemonToLeader::Leaving));
-    let second = read_frame::<_, DaemonToLeader>(&mut reader).await.expect("a frame");
+    let second = read_frame::<_, DaemonToLeader>(&mut reader)
+        .await
+        .expect("a frame");
     assert!(
         matches!(second, DaemonToLeader::Installed { version } if version == Version(long(0x10)))
     );
@@ -169,10 +211,19 @@
         suspicions: LengthPrefixed(suspicions),
     };
     let suspicions = vec![
-        Suspicion { instance: member_life(2), remaining_relays: 0x21 },
-        Suspicion { instance: member_life(3), remaining_relays: 0 },
+        Suspicion {
+            instance: member_life(2),
+            remaining_relays: 0x21,
+        },
+        Suspicion {
+            instance: member_life(3),
+            remaining_relays: 0,
+        },
     ];
-    [("heartbeat/calm", heartbeat(Vec::new())), ("heartbeat/suspecting", heartbeat(suspicions))]
+    [
+        ("heartbeat/calm", heartbeat(Vec::new())),
+        ("heartbeat/suspecting", heartbeat(suspicions)),
+    ]
 }
 
 #[gtest]
@@ -190,7 +241,10 @@
     verify_that!(held.len(), eq(heartbeats().len()))?;
     for (held_form, (name, heartbeat)) in held.iter().zip(heartbeats()) {
         verify_that!(held_form.name, eq(name))?;
-        verify_that!(decode_heartbeat(&bytes_of(&held_form.text))?, eq(&heartbeat))?;
+        verify_that!(
+            decode_heartbeat(&bytes_of(&held_form.text))?,
+            eq(&heartbeat)
+        )?;
     }
     Ok(())
 }
--- a/crates/common/tests/wire_forms/core_frames.rs
+++ b/crates/common/tests/wire_forms/core_frames.rs
@@ -112,8 +112,20 @@
             },
         ),
         ("", delta),
-        ("", ConsensusMessage::SnapshotRequest { term, accepted: document_version(0x20) }),
-        ("", ConsensusMessage::Accepted { term, document_version: document_version(0x20) }),
+        (
+            "",
+            ConsensusMessage::SnapshotRequest {
+                term,
+                accepted: document_version(0x20),
+            },
+        ),
+        (
+            "",
+            ConsensusMessage::Accepted {
+                term,
+                document_version: document_version(0x20),
+            },
+        ),
     ]
 }
 
@@ -127,7 +139,12 @@
     let mut samples = vec![
         ("", hello(false)),
         ("/passes-on", hello(true)),
-        ("", ConsensusMessage::Bootstrap { document: b"{\"spec\":1}".to_vec().into() }),
+        (
+            "",
+            ConsensusMessage::Bootstrap {
+                document: b"{\"spec\":1}".to_vec().into(),
+            },
+        ),
         (
             "",
             ConsensusMessage::VoterAddresses {
--- a/crates/common/tests/wire_forms/hop_frames.rs
+++ b/crates/common/tests/wire_forms/hop_frames.rs
@@ -79,8 +79,10 @@
 ];
 
 fn head_lines() -> LengthPrefixed<HeaderField> {
-    let head_line =
-        |name: &str, value: &[u8]| HeaderField { name: name.into(), value: value.to_vec().into() };
+    let head_line = |name: &str, value: &[u8]| HeaderField {
+        name: name.into(),
+        value: value.to_vec().into(),
+    };
     LengthPrefixed(vec![
         head_line("host", b"segments.internal"),
         head_line("x-raw", &[0xff, 0x00, 0x20]),
@@ -145,7 +147,10 @@
         regional_tenths: 0,
     };
     let not_run = |reason: RequestFailureReason| {
-        done(RequestOutcome::NotRun { reason, retry_after_ms: short(0x5a) })
+        done(RequestOutcome::NotRun {
+            reason,
+            retry_after_ms: short(0x5a),
+        })
     };
     let unknown = |reason: RequestFailureReason| done(RequestOutcome::Unknown { reason });
     let name = |body: &DaemonMessage, rest: &str| match body {
@@ -167,8 +172,10 @@
         incarnation,
         records: LengthPrefixed(vec![record(1, state)]),
     };
-    let records: Vec<LedgerRecord> =
-        (1..).zip(ALL_STATES).map(|(n, state)| record(n, state)).collect();
+    let records: Vec<LedgerRecord> = (1..)
+        .zip(ALL_STATES)
+        .map(|(n, state)| record(n, state))
+        .collect();
     let collected = |complete| DaemonMessage::Collected {
         complete: Flag(complete),
         records: LengthPrefixed(records.clone()),
@@ -179,8 +186,18 @@
         .map(|state| (format!("/{}", state_kind(&state)), note_of(state)))
         .collect();
     samples.extend([
-        ("/yes".to_owned(), DaemonMessage::Recorded { is_stored: Flag(true) }),
-        ("/no".to_owned(), DaemonMessage::Recorded { is_stored: Flag(false) }),
+        (
+            "/yes".to_owned(),
+            DaemonMessage::Recorded {
+                is_stored: Flag(true),
+            },
+        ),
+        (
+            "/no".to_owned(),
+            DaemonMessage::Recorded {
+                is_stored: Flag(false),
+            },
+        ),
         (
             String::new(),
             DaemonMessage::Collect {
@@ -200,7 +217,12 @@
                 digests,
             },
         ),
-        (String::new(), DaemonMessage::Differs { ranges: LengthPrefixed(vec![0, 0x7f, 0xff]) }),
+        (
+            String::new(),
+            DaemonMessage::Differs {
+                ranges: LengthPrefixed(vec![0, 0x7f, 0xff]),
+            },
+        ),
     ]);
     samples
 }
@@ -228,7 +250,13 @@
     samples.extend(ledger());
     let as_line = |(rest, body): Sample| {
         let name = format!("{}{rest}", hop_kind(&body));
-        header_field(name, &DaemonFrame { correlation: CorrelationId(long(0x08)), body })
+        header_field(
+            name,
+            &DaemonFrame {
+                correlation: CorrelationId(long(0x08)),
+                body,
+            },
+        )
     };
     samples.into_iter().map(as_line).collect()
 }
--- a/crates/common/tests/wire_forms/parts.rs
+++ b/crates/common/tests/wire_forms/parts.rs
@@ -58,13 +58,18 @@
 /// A place with the number in every part of it.
 pub fn address(number: u8) -> SocketAddress {
     SocketAddress(
-        format!("10.{number}.0.{}:{}", number + 1, 4000 + u16::from(number)).parse().expect("it"),
+        format!("10.{number}.0.{}:{}", number + 1, 4000 + u16::from(number))
+            .parse()
+            .expect("it"),
     )
 }
 
 /// A version's place.
 pub fn document_version(first: u8) -> DocumentVersion {
-    DocumentVersion { term: Term(long(first)), version: Version(long(first + 8)) }
+    DocumentVersion {
+        term: Term(long(first)),
+        version: Version(long(first + 8)),
+    }
 }
 
 /// A function's key for the callers of all regions.
@@ -99,12 +104,18 @@
 
 /// A runner's name.
 pub fn runner(ordinal: u8) -> RunnerId {
-    RunnerId { fencing_token: fencing_token(), ordinal: long(ordinal) }
+    RunnerId {
+        fencing_token: fencing_token(),
+        ordinal: long(ordinal),
+    }
 }
 
 /// One life of a runner.
 pub fn instance(number: u8) -> Instance {
-    Instance { name: format!("life-{number}.r-51-{number:x}").into(), address: address(number) }
+    Instance {
+        name: format!("life-{number}.r-51-{number:x}").into(),
+        address: address(number),
+    }
 }
 
 /// Two runners of a claim: one that is ready and fit, and one of which little is known.
--- a/crates/common/tests/wire_forms/stream_frames.rs
+++ b/crates/common/tests/wire_forms/stream_frames.rs
@@ -97,17 +97,24 @@
         replica: LengthPrefixed(Vec::new()),
         complete: Flag(false),
     };
-    DaemonToLeader::Claims { claims: LengthPrefixed(vec![held, is_releasing]) }
+    DaemonToLeader::Claims {
+        claims: LengthPrefixed(vec![held, is_releasing]),
+    }
 }
 
 fn runner_news() -> [DaemonToLeader; 3] {
-    [RunnerStatus::Ready, RunnerStatus::Gone, RunnerStatus::Started { instance: instance(9) }].map(
-        |runner_status| DaemonToLeader::RunnerUpdate {
-            function: function(),
-            runner: runner(0x38),
-            runner_status,
+    [
+        RunnerStatus::Ready,
+        RunnerStatus::Gone,
+        RunnerStatus::Started {
+            instance: instance(9),
         },
-    )
+    ]
+    .map(|runner_status| DaemonToLeader::RunnerUpdate {
+        function: function(),
+        runner: runner(0x38),
+        runner_status,
+    })
 }
 
 fn up_samples() -> Vec<(&'static str, DaemonToLeader)> {
@@ -121,11 +128,33 @@
         ("/staying", hello(true, false)),
         ("/leaving", hello(false, true)),
         ("/some", claims()),
-        ("/none", DaemonToLeader::Claims { claims: LengthPrefixed(Vec::new()) }),
-        ("", DaemonToLeader::Renew { correlation: QUESTION, version: Version(long(0x20)) }),
-        ("", DaemonToLeader::Installed { version: Version(long(0x20)) }),
+        (
+            "/none",
+            DaemonToLeader::Claims {
+                claims: LengthPrefixed(Vec::new()),
+            },
+        ),
+        (
+            "",
+            DaemonToLeader::Renew {
+                correlation: QUESTION,
+                version: Version(long(0x20)),
+            },
+        ),
+        (
+            "",
+            DaemonToLeader::Installed {
+                version: Version(long(0x20)),
+            },
+        ),
         ("", DaemonToLeader::FullSpecRequest),
-        ("", DaemonToLeader::Acquire { correlation: QUESTION, function: function.clone() }),
+        (
+            "",
+            DaemonToLeader::Acquire {
+                correlation: QUESTION,
+                function: function.clone(),
+            },
+        ),
         (
             "",
             DaemonToLeader::Release {
@@ -151,13 +180,32 @@
                 lost: "daemon-5".into(),
             },
         ),
-        ("", DaemonToLeader::Idle { functions: LengthPrefixed(idle_functions) }),
-        ("", DaemonToLeader::MemberSuspected { instance: member_life(6) }),
-        ("", DaemonToLeader::MemberRecovered { instance: member_life(6) }),
+        (
+            "",
+            DaemonToLeader::Idle {
+                functions: LengthPrefixed(idle_functions),
+            },
+        ),
+        (
+            "",
+            DaemonToLeader::MemberSuspected {
+                instance: member_life(6),
+            },
+        ),
+        (
+            "",
+            DaemonToLeader::MemberRecovered {
+                instance: member_life(6),
+            },
+        ),
         ("", DaemonToLeader::FullHostListRequest),
         (
             "",
-            DaemonToLeader::ReplicaComplete { function, fencing_token, replica: "daemon-7".into() },
+            DaemonToLeader::ReplicaComplete {
+                function,
+                fencing_token,
+                replica: "daemon-7".into(),
+            },
         ),
     ];
     samples.extend(runner_news().map(|frame| ("", frame)));
@@ -206,12 +254,29 @@
     let results = [
         ("/after-another", granted),
         ("/anew", granted_anew),
-        ("", AcquireResult::Owner { host: host(10, true) }),
+        (
+            "",
+            AcquireResult::Owner {
+                host: host(10, true),
+            },
+        ),
         ("", AcquireResult::Rejected),
-        ("", AcquireResult::RetryLater { wait_ms: short(0x58) }),
+        (
+            "",
+            AcquireResult::RetryLater {
+                wait_ms: short(0x58),
+            },
+        ),
     ];
     results.map(|(rest, result)| {
-        (rest, LeaderToDaemon::Acquired { correlation: QUESTION, function: function(), result })
+        (
+            rest,
+            LeaderToDaemon::Acquired {
+                correlation: QUESTION,
+                function: function(),
+                result,
+            },
+        )
     })
 }
 
@@ -222,7 +287,14 @@
         memory_mb: short(0x64),
     };
     [reserved, ReserveResult::Rejected].map(|result| {
-        ("", LeaderToDaemon::Reserved { correlation: QUESTION, function: function(), result })
+        (
+            "",
+            LeaderToDaemon::Reserved {
+                correlation: QUESTION,
+                function: function(),
+                result,
+            },
+        )
     })
 }
 
@@ -242,7 +314,14 @@
         suspected: suspected.clone(),
     };
     [
-        ("", LeaderToDaemon::Hosts { number: long(0x68), hosts, suspected }),
+        (
+            "",
+            LeaderToDaemon::Hosts {
+                number: long(0x68),
+                hosts,
+                suspected,
+            },
+        ),
         ("/some", changed),
         ("/none", none),
     ]
@@ -271,16 +350,55 @@
         document: b"{\"serial\":4}".to_vec().into(),
     };
     let mut samples = vec![
-        ("/known", LeaderToDaemon::Redirect { leader: address(16) }),
-        ("/nowhere", LeaderToDaemon::Redirect { leader: SocketAddress::UNSPECIFIED }),
-        ("", LeaderToDaemon::Welcome { term: Term(long(0x74)) }),
+        (
+            "/known",
+            LeaderToDaemon::Redirect {
+                leader: address(16),
+            },
+        ),
+        (
+            "/nowhere",
+            LeaderToDaemon::Redirect {
+                leader: SocketAddress::UNSPECIFIED,
+            },
+        ),
+        (
+            "",
+            LeaderToDaemon::Welcome {
+                term: Term(long(0x74)),
+            },
+        ),
         ("", renewed),
         ("", spec),
         ("", delta),
-        ("", LeaderToDaemon::Revoke { function: function.clone(), fencing_token }),
-        ("", LeaderToDaemon::Drain { function: function.clone(), runner }),
-        ("", LeaderToDaemon::HandOver { function: function.clone(), fencing_token }),
-        ("", LeaderToDaemon::ReclaimIdle { function: function.clone(), fencing_token }),
+        (
+            "",
+            LeaderToDaemon::Revoke {
+                function: function.clone(),
+                fencing_token,
+            },
+        ),
+        (
+            "",
+            LeaderToDaemon::Drain {
+                function: function.clone(),
+                runner,
+            },
+        ),
+        (
+            "",
+            LeaderToDaemon::HandOver {
+                function: function.clone(),
+                fencing_token,
+            },
+        ),
+        (
+            "",
+            LeaderToDaemon::ReclaimIdle {
+                function: function.clone(),
+                fencing_token,
+            },
+        ),
         ("", LeaderToDaemon::RunnerUnlisted { function, runner }),
         ("/another", replica(LengthPrefixed(vec![host(17, true)]))),
         ("/nobody", replica(LengthPrefixed(Vec::new()))),
@@ -304,8 +422,9 @@
 
 /// All lines of this channel, of both directions.
 pub fn header_fields() -> Vec<Line> {
-    let ups =
-        up_samples().into_iter().map(|(rest, frame)| header_field(up_name(rest, &frame), &frame));
+    let ups = up_samples()
+        .into_iter()
+        .map(|(rest, frame)| header_field(up_name(rest, &frame), &frame));
     let downs = down_samples()
         .into_iter()
         .map(|(rest, frame)| header_field(down_name(rest, &frame), &frame));
--- a/crates/controlplane/src/consensus/bootstrap.rs
+++ b/crates/controlplane/src/consensus/bootstrap.rs
@@ -9,8 +9,10 @@
 use std::fmt;
 
 /// The stamp of the first version.
-pub(super) const BOOTSTRAP_VERSION: DocumentVersion =
-    DocumentVersion { term: Term(1), version: Version(1) };
+pub(super) const BOOTSTRAP_VERSION: DocumentVersion = DocumentVersion {
+    term: Term(1),
+    version: Version(1),
+};
 
 /// Why a core cannot be founded.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
@@ -87,7 +89,11 @@
             }
             is_first_start &= greeting.term == Term(0);
             let zone = peer.zone.clone();
-            initial_voters.push(Voter { id: peer.id, address: seed, zone });
+            initial_voters.push(Voter {
+                id: peer.id,
+                address: seed,
+                zone,
+            });
         }
         Ok((initial_voters, is_first_start))
     }
@@ -99,9 +105,13 @@
         if !self.may_bootstrap || self.accepted.is_some() {
             return;
         }
-        let Ok((initial_voters, true)) = self.initial_voters(now) else { return };
-        let smallest_address =
-            initial_voters.iter().map(|initial_voter| initial_voter.address).min();
+        let Ok((initial_voters, true)) = self.initial_voters(now) else {
+            return;
+        };
+        let smallest_address = initial_voters
+            .iter()
+            .map(|initial_voter| initial_voter.address)
+            .min();
         if smallest_address == Some(self.controller_address.address) {
             self.submit_write(
                 now,
@@ -111,12 +121,16 @@
     }
 
     pub(super) fn send_bootstrap_document(&mut self) {
-        let Some(document) = self.accepted.clone() else { return };
+        let Some(document) = self.accepted.clone() else {
+            return;
+        };
         let packed_document = compress(&document.to_bytes());
         for initial_voter_address in self.voter_addresses() {
             self.send(
                 initial_voter_address,
-                ConsensusMessage::Bootstrap { document: packed_document.clone() },
+                ConsensusMessage::Bootstrap {
+                    document: packed_document.clone(),
+                },
             );
         }
     }
@@ -125,8 +139,12 @@
         if self.diskless || self.accepted.is_some() || !self.pending_writes.is_empty() {
             return;
         }
-        let Ok(document_bytes) = decompress(document) else { return };
-        let Ok(document) = Document::from_bytes(&document_bytes) else { return };
+        let Ok(document_bytes) = decompress(document) else {
+            return;
+        };
+        let Ok(document) = Document::from_bytes(&document_bytes) else {
+            return;
+        };
         if document.voters.iter().any(|voter| voter.id == self.id) {
             self.submit_write(now, PendingWriteKind::Version(Box::new(document)));
         }
--- a/crates/controlplane/src/consensus/election.rs
+++ b/crates/controlplane/src/consensus/election.rs
@@ -25,15 +25,23 @@
     pub(super) fn reset_election_deadline(&mut self, now: MonotonicTime) {
         let is_starting_up = self.startup_pre_votes > 0 && self.is_voter(self.id);
         let (shortest, longest) = if is_starting_up {
-            (self.timing.startup_timeout_min, self.timing.startup_timeout_max)
+            (
+                self.timing.startup_timeout_min,
+                self.timing.startup_timeout_max,
+            )
         } else {
-            (self.timing.election_timeout_min, self.timing.election_timeout_max)
+            (
+                self.timing.election_timeout_min,
+                self.timing.election_timeout_max,
+            )
         };
         self.election_deadline = now + self.rng.within(shortest, longest);
     }
 
     pub(super) fn is_majority(&self, granted: &BTreeSet<ControllerId>) -> bool {
-        self.accepted.as_ref().is_some_and(|document| Self::is_majority_of(document, granted))
+        self.accepted
+            .as_ref()
+            .is_some_and(|document| Self::is_majority_of(document, granted))
     }
 
     fn may_vote(&self) -> bool {
@@ -47,8 +55,13 @@
     }
 
     fn newest_document_version(&self) -> DocumentVersion {
-        let written_versions = self.pending_versions().map(|document| document.document_version);
-        written_versions.max().unwrap_or_default().max(self.accepted_document_version())
+        let written_versions = self
+            .pending_versions()
+            .map(|document| document.document_version);
+        written_versions
+            .max()
+            .unwrap_or_default()
+            .max(self.accepted_document_version())
     }
 
     pub(super) fn start_pre_vote(&mut self, now: MonotonicTime) {
@@ -60,7 +73,9 @@
         if !self.is_voter(self.id) || !self.may_vote() || self.has_pending_state_write() {
             return;
         }
-        self.role = Role::PreCandidate { granted: BTreeSet::from([self.id]) };
+        self.role = Role::PreCandidate {
+            granted: BTreeSet::from([self.id]),
+        };
         self.request_votes(self.term.next(), true);
         self.count_pre_votes(now);
     }
@@ -77,27 +92,46 @@
         for voter_address in voter_addresses {
             self.send(
                 voter_address,
-                ConsensusMessage::VoteRequest { term, accepted, is_pre_vote: Flag(is_pre_vote) },
+                ConsensusMessage::VoteRequest {
+                    term,
+                    accepted,
+                    is_pre_vote: Flag(is_pre_vote),
+                },
             );
         }
     }
 
     fn count_pre_votes(&mut self, now: MonotonicTime) {
-        let Role::PreCandidate { granted } = &self.role else { return };
+        let Role::PreCandidate { granted } = &self.role else {
+            return;
+        };
         if self.is_majority(granted) {
             self.term = self.term.next();
             self.inherited_members = self.members.clone();
             self.inherited_complete = self.members_complete;
-            self.role = Role::Candidate { granted: BTreeSet::new(), vote_written: false };
+            self.role = Role::Candidate {
+                granted: BTreeSet::new(),
+                vote_written: false,
+            };
             self.startup_pre_votes = 0;
             self.reset_election_deadline(now);
-            self.outputs.push(ConsensusOutput::Campaigning { term: self.term });
-            self.submit_write(now, PendingWriteKind::Vote { term: self.term, candidate: self.id });
+            self.outputs
+                .push(ConsensusOutput::Campaigning { term: self.term });
+            self.submit_write(
+                now,
+                PendingWriteKind::Vote {
+                    term: self.term,
+                    candidate: self.id,
+                },
+            );
         }
     }
 
     pub(super) fn vote_written(&mut self, now: MonotonicTime, term: Term, candidate: ControllerId) {
-        if self.voted_for.is_none_or(|(voted_term, _)| voted_term < term) {
+        if self
+            .voted_for
+            .is_none_or(|(voted_term, _)| voted_term < term)
+        {
             self.voted_for = Some((term, candidate));
         }
         if candidate != self.id {
@@ -112,7 +146,11 @@
         if term != self.term {
             return;
         }
-        if let Role::Candidate { granted, vote_written } = &mut self.role {
+        if let Role::Candidate {
+            granted,
+            vote_written,
+        } = &mut self.role
+        {
             granted.insert(own_id);
             *vote_written = true;
             self.request_votes(term, false);
@@ -121,7 +159,10 @@
     }
 
     fn address_of(&self, id: ControllerId) -> Option<SocketAddress> {
-        self.peers.values().find(|peer| peer.id == id).map(|peer| peer.controller_address.address)
+        self.peers
+            .values()
+            .find(|peer| peer.id == id)
+            .map(|peer| peer.controller_address.address)
     }
 
     fn send_vote_response(
@@ -161,8 +202,9 @@
         if is_leader_address && matches!(self.role, Role::Follower) {
             self.leader = None;
             self.leader_last_heard_at = now - self.timing.election_timeout_min;
-            let election_timeout =
-                self.rng.within(LEADER_GONE_TIMEOUT_MIN, LEADER_GONE_TIMEOUT_MAX);
+            let election_timeout = self
+                .rng
+                .within(LEADER_GONE_TIMEOUT_MIN, LEADER_GONE_TIMEOUT_MAX);
             self.election_deadline = self.election_deadline.min(now + election_timeout);
         }
     }
@@ -206,7 +248,13 @@
             _ => {
                 self.startup_pre_votes = 0;
                 self.reset_election_deadline(now);
-                self.submit_write(now, PendingWriteKind::Vote { term, candidate: from });
+                self.submit_write(
+                    now,
+                    PendingWriteKind::Vote {
+                        term,
+                        candidate: from,
+                    },
+                );
                 if !self.rules.enforces(Rule::VotePersistedFirst) {
                     self.vote_written(now, term, from);
                 }
@@ -239,15 +287,16 @@
             return;
         }
         match &mut self.role {
-            Role::PreCandidate { granted: granted_votes }
-                if is_pre_vote.0 && requested_term == self.term.next() =>
-            {
+            Role::PreCandidate {
+                granted: granted_votes,
+            } if is_pre_vote.0 && requested_term == self.term.next() => {
                 granted_votes.insert(from);
                 self.count_pre_votes(now);
             }
-            Role::Candidate { granted: granted_votes, .. }
-                if !is_pre_vote.0 && requested_term == self.term =>
-            {
+            Role::Candidate {
+                granted: granted_votes,
+                ..
+            } if !is_pre_vote.0 && requested_term == self.term => {
                 granted_votes.insert(from);
                 self.inherited_members.extend(members.0);
                 self.inherited_complete &= complete.0;
@@ -258,7 +307,13 @@
     }
 
     fn count_votes(&mut self, now: MonotonicTime) {
-        let Role::Candidate { granted, vote_written: true } = &self.role else { return };
+        let Role::Candidate {
+            granted,
+            vote_written: true,
+        } = &self.role
+        else {
+            return;
+        };
         if !self.is_majority(granted) {
             return;
         }
@@ -270,7 +325,11 @@
         self.members_complete = self.inherited_complete;
         let members = self.inherited_members.clone();
         let complete = self.inherited_complete;
-        self.outputs.push(ConsensusOutput::Elected { term: self.term, members, complete });
+        self.outputs.push(ConsensusOutput::Elected {
+            term: self.term,
+            members,
+            complete,
+        });
         self.send_due_heartbeats(now);
         if let Some(mut document) = self.accepted.clone() {
             document.document_version.term = self.term;
@@ -313,12 +372,17 @@
     }
 
     fn record_term_leader(&mut self, term: Term, leader: ControllerId) {
-        let recorded = self.term_leader.filter(|(recorded_term, _)| *recorded_term == term);
+        let recorded = self
+            .term_leader
+            .filter(|(recorded_term, _)| *recorded_term == term);
         let is_sole = recorded.is_none_or(|(_, recorded_leader)| recorded_leader == leader);
         require(self.rules, Invariant::OneLeaderPerTerm, is_sole, || {
             format!("{leader:?} leads term {term}, and {recorded:?}")
         });
-        if self.term_leader.is_none_or(|(recorded_term, _)| recorded_term < term) {
+        if self
+            .term_leader
+            .is_none_or(|(recorded_term, _)| recorded_term < term)
+        {
             self.term_leader = Some((term, leader));
         }
     }
@@ -339,8 +403,12 @@
 
     /// A leader that no majority answered within the election time leads no longer.
     pub(super) fn step_down_if_quorum_lost(&mut self, now: MonotonicTime) {
-        let Role::Leader(heartbeats) = &self.role else { return };
-        let quorum_proof_at = heartbeats.quorum_confirmed_at().max(self.leader_last_heard_at);
+        let Role::Leader(heartbeats) = &self.role else {
+            return;
+        };
+        let quorum_proof_at = heartbeats
+            .quorum_confirmed_at()
+            .max(self.leader_last_heard_at);
         if now.since(quorum_proof_at) > self.timing.election_timeout_max {
             self.step_down(now, self.term);
         }
@@ -353,13 +421,21 @@
             return;
         }
         self.step_down_if_quorum_lost(now);
-        let Role::Leader(heartbeats) = &mut self.role else { return };
+        let Role::Leader(heartbeats) = &mut self.role else {
+            return;
+        };
         if now < heartbeats.next_heartbeat_at() {
             return;
         }
-        let has_membership =
-            self.accepted.as_ref().is_some_and(|document| !document.membership.is_empty());
-        let members = if has_membership { BTreeSet::new() } else { self.members.clone() };
+        let has_membership = self
+            .accepted
+            .as_ref()
+            .is_some_and(|document| !document.membership.is_empty());
+        let members = if has_membership {
+            BTreeSet::new()
+        } else {
+            self.members.clone()
+        };
         let complete = self.members_complete && !has_membership;
         let next_heartbeat_at = now + self.timing.heartbeat_interval;
         let round = heartbeats.start(now, next_heartbeat_at, self.id, members.clone());
@@ -399,9 +475,18 @@
         round: u64,
         from: ControllerId,
     ) {
-        let Self { role, accepted, proposed, .. } = self;
-        let Role::Leader(heartbeats) = role else { return };
-        let Some(current_document) = accepted else { return };
+        let Self {
+            role,
+            accepted,
+            proposed,
+            ..
+        } = self;
+        let Role::Leader(heartbeats) = role else {
+            return;
+        };
+        let Some(current_document) = accepted else {
+            return;
+        };
         heartbeats.record_response(round, from, |responders| {
             Self::is_majority_of(current_document, responders)
                 && proposed
--- a/crates/controlplane/src/consensus/heartbeats.rs
+++ b/crates/controlplane/src/consensus/heartbeats.rs
@@ -50,7 +50,9 @@
 
     /// Somebody waits for a proof: the next round starts as soon as the last one is so old.
     pub fn expedite(&mut self, shortest_gap: Duration) {
-        self.next_heartbeat_at = self.next_heartbeat_at.min(self.last_started_at + shortest_gap);
+        self.next_heartbeat_at = self
+            .next_heartbeat_at
+            .min(self.last_started_at + shortest_gap);
     }
 
     /// When the newest round was sent that a majority answered.
@@ -93,7 +95,10 @@
         from: ControllerId,
         is_majority: impl Fn(&BTreeSet<ControllerId>) -> bool,
     ) {
-        let Some(index) = self.open_rounds.iter().position(|round| round.number == round_number)
+        let Some(index) = self
+            .open_rounds
+            .iter()
+            .position(|round| round.number == round_number)
         else {
             return;
         };
--- a/crates/controlplane/src/consensus/membership.rs
+++ b/crates/controlplane/src/consensus/membership.rs
@@ -52,7 +52,11 @@
         controller_ids: &BTreeSet<ControllerId>,
     ) -> bool {
         let has_majority = |members: &[Voter]| {
-            members.iter().filter(|member| controller_ids.contains(&member.id)).count() * 2
+            members
+                .iter()
+                .filter(|member| controller_ids.contains(&member.id))
+                .count()
+                * 2
                 > members.len()
         };
         has_majority(&document.voters)
@@ -74,7 +78,11 @@
     }
 
     fn unreachable_since(&self, id: ControllerId) -> MonotonicTime {
-        self.last_heard.get(&id).copied().unwrap_or_default().max(self.elected_at())
+        self.last_heard
+            .get(&id)
+            .copied()
+            .unwrap_or_default()
+            .max(self.elected_at())
     }
 
     /// Controllers that do not vote, are alive, and follow this leader's versions.
@@ -95,7 +103,11 @@
     /// Whether another's disk took a version of this leader's lately; the change that makes it a
     /// voter brings it the whole newest one.
     fn is_caught_up(&self, peer: &Peer) -> bool {
-        let version_lag = self.committed.version.0.saturating_sub(peer.accepted.version.0);
+        let version_lag = self
+            .committed
+            .version
+            .0
+            .saturating_sub(peer.accepted.version.0);
         peer.accepted.term == self.term && version_lag <= MAX_CANDIDATE_LAG
     }
 
@@ -199,7 +211,9 @@
             return Err(MembershipError::NoSuchMember);
         }
         let candidates = self.candidates(now);
-        let matching_candidate = candidates.iter().find(|candidate| candidate.id == successor);
+        let matching_candidate = candidates
+            .iter()
+            .find(|candidate| candidate.id == successor);
         let successor = matching_candidate.ok_or(MembershipError::NoSuchCandidate)?;
         let remaining_voters = document.voters.iter().filter(|member| member.id != missing);
         let next_voters = remaining_voters.chain([successor]).cloned().collect();
@@ -212,8 +226,11 @@
     pub(super) fn advance_membership_change(&mut self, now: MonotonicTime) {
         if let Some(mut document) = self.next_membership_step(now) {
             document.document_version.term = self.term;
-            let addresses: Vec<SocketAddress> =
-                document.voters.iter().map(|member| member.address).collect();
+            let addresses: Vec<SocketAddress> = document
+                .voters
+                .iter()
+                .map(|member| member.address)
+                .collect();
             self.outputs.push(ConsensusOutput::MembershipChange {
                 addresses,
                 settled: document.previous_voters.is_empty(),
@@ -224,9 +241,11 @@
 
     /// A leader that a settled change has left out leads no longer.
     pub(super) fn step_down_if_removed(&mut self, now: MonotonicTime) {
-        let is_removed =
-            self.accepted.as_ref().is_some_and(|document| document.previous_voters.is_empty())
-                && !self.is_voter(self.id);
+        let is_removed = self
+            .accepted
+            .as_ref()
+            .is_some_and(|document| document.previous_voters.is_empty())
+            && !self.is_voter(self.id);
         if is_removed {
             self.step_down(now, self.term);
         }
@@ -240,8 +259,11 @@
 /// A version in which only this member is left of the core, for operators who lost the majority for
 /// good. What was committed without reaching this disk is lost.
 pub fn single_voter_document(document: &Document, id: ControllerId) -> Option<Document> {
-    let own_member =
-        document.voters.iter().chain(&document.previous_voters).find(|member| member.id == id)?;
+    let own_member = document
+        .voters
+        .iter()
+        .chain(&document.previous_voters)
+        .find(|member| member.id == id)?;
     let mut recovered_document =
         document.with_voters(vec![own_member.clone()], membership_change_id(document));
     recovered_document.previous_voters = Vec::new();
--- a/crates/controlplane/src/consensus/mod.rs
+++ b/crates/controlplane/src/consensus/mod.rs
@@ -42,8 +42,13 @@
 #[derive(Clone, Debug)]
 enum Role {
     Follower,
-    PreCandidate { granted: BTreeSet<ControllerId> },
-    Candidate { granted: BTreeSet<ControllerId>, vote_written: bool },
+    PreCandidate {
+        granted: BTreeSet<ControllerId>,
+    },
+    Candidate {
+        granted: BTreeSet<ControllerId>,
+        vote_written: bool,
+    },
     Leader(Box<HeartbeatRounds>),
 }
 
@@ -113,8 +118,10 @@
         seeds: Vec<SocketAddress>,
         rng: SeededRng,
     ) -> Self {
-        let accepted_term =
-            persisted.accepted.as_ref().map_or(Term(0), |document| document.document_version.term);
+        let accepted_term = persisted
+            .accepted
+            .as_ref()
+            .map_or(Term(0), |document| document.document_version.term);
         let voted_term = persisted.voted_for.map_or(Term(0), |(term, _)| term);
         let first_scrub_delay = timing.scrub_interval;
         let initial_last_heard_at = now - timing.election_timeout_min;
@@ -211,7 +218,8 @@
 
     /// The leader, as far as is known.
     pub fn leader(&self) -> Option<ControllerAddress> {
-        self.leader.map(|(_, controller_address)| controller_address)
+        self.leader
+            .map(|(_, controller_address)| controller_address)
     }
 
     /// The newest version on this disk.
@@ -307,17 +315,27 @@
 
     /// Takes a frame from another controller.
     pub fn receive(&mut self, now: MonotonicTime, frame: ConsensusFrame) -> Vec<ConsensusOutput> {
-        let sender_address =
-            ControllerAddress { address: frame.address, operators: frame.operators };
+        let sender_address = ControllerAddress {
+            address: frame.address,
+            operators: frame.operators,
+        };
         if frame.from == self.id {
             return Vec::new();
         }
         self.record_peer(now, frame.from, sender_address, frame.zone);
         match frame.body {
-            ConsensusMessage::Hello { accepted, term, diskless } => {
+            ConsensusMessage::Hello {
+                accepted,
+                term,
+                diskless,
+            } => {
                 if let Some(peer) = self.peers.get_mut(&frame.address) {
                     let diskless = diskless.0;
-                    peer.greeting = Some(PeerGreeting { last_heard_at: now, term, diskless });
+                    peer.greeting = Some(PeerGreeting {
+                        last_heard_at: now,
+                        term,
+                        diskless,
+                    });
                 }
                 if term <= self.term || !self.is_leader() {
                     self.handle_hello(now, frame.from, sender_address, accepted);
@@ -329,7 +347,11 @@
                 }
             }
             ConsensusMessage::Bootstrap { document } => self.handle_bootstrap(now, &document),
-            ConsensusMessage::VoteRequest { term, accepted, is_pre_vote } => {
+            ConsensusMessage::VoteRequest {
+                term,
+                accepted,
+                is_pre_vote,
+            } => {
                 self.handle_vote_request(
                     now,
                     frame.from,
@@ -359,7 +381,11 @@
                     self.send_heartbeat_response(sender_address.address, term, round);
                 }
             }
-            ConsensusMessage::HeartbeatResponse { term, round, accepted } => {
+            ConsensusMessage::HeartbeatResponse {
+                term,
+                round,
+                accepted,
+            } => {
                 self.handle_heartbeat_response(
                     now,
                     frame.from,
@@ -369,7 +395,11 @@
                     accepted,
                 );
             }
-            ConsensusMessage::AcceptFull { term, document_version, document } => {
+            ConsensusMessage::AcceptFull {
+                term,
+                document_version,
+                document,
+            } => {
                 self.handle_accept(
                     now,
                     frame.from,
@@ -379,15 +409,30 @@
                     &document,
                 );
             }
-            ConsensusMessage::AcceptDelta { term, base, document_version, delta, digest } => {
+            ConsensusMessage::AcceptDelta {
+                term,
+                base,
+                document_version,
+                delta,
+                digest,
+            } => {
                 let (delta, digest) = (&delta, &digest);
-                let version = VersionDelta { term, base, document_version, delta, digest };
+                let version = VersionDelta {
+                    term,
+                    base,
+                    document_version,
+                    delta,
+                    digest,
+                };
                 self.handle_accept_delta(now, frame.from, sender_address, version);
             }
             ConsensusMessage::SnapshotRequest { term, accepted } => {
                 self.handle_snapshot_request(now, sender_address.address, term, accepted);
             }
-            ConsensusMessage::Accepted { term, document_version } => {
+            ConsensusMessage::Accepted {
+                term,
+                document_version,
+            } => {
                 self.handle_accepted(now, sender_address.address, term, document_version);
             }
         }
@@ -428,7 +473,9 @@
     fn accepted_document_version(&self) -> DocumentVersion {
         self.accepted
             .as_ref()
-            .map_or(DocumentVersion::default(), |document| document.document_version)
+            .map_or(DocumentVersion::default(), |document| {
+                document.document_version
+            })
     }
 
     fn send(&mut self, to: SocketAddress, body: ConsensusMessage) {
@@ -445,14 +492,24 @@
     fn submit_write(&mut self, now: MonotonicTime, write: PendingWriteKind) {
         self.last_ticket = self.last_ticket.next();
         let job = match &write {
-            PendingWriteKind::Vote { term, candidate } => {
-                WriteJob::Vote { term: *term, candidate: *candidate }
-            }
+            PendingWriteKind::Vote { term, candidate } => WriteJob::Vote {
+                term: *term,
+                candidate: *candidate,
+            },
             PendingWriteKind::Version(document) => WriteJob::Version((**document).clone()),
             PendingWriteKind::Scrub => WriteJob::Scrub(self.accepted.clone()),
         };
-        self.pending_writes.insert(self.last_ticket, PendingWrite { started_at: now, write });
-        self.outputs.push(ConsensusOutput::Write { ticket: self.last_ticket, job });
+        self.pending_writes.insert(
+            self.last_ticket,
+            PendingWrite {
+                started_at: now,
+                write,
+            },
+        );
+        self.outputs.push(ConsensusOutput::Write {
+            ticket: self.last_ticket,
+            job,
+        });
     }
 
     /// When time must pass next, if nothing is heard before.
--- a/crates/controlplane/src/consensus/output.rs
+++ b/crates/controlplane/src/consensus/output.rs
@@ -19,7 +19,12 @@
 impl PersistedState {
     /// What an empty disk remembers.
     pub fn empty(id: ControllerId) -> Self {
-        Self { id, voted_for: None, accepted: None, unreadable_version: DocumentVersion::default() }
+        Self {
+            id,
+            voted_for: None,
+            accepted: None,
+            unreadable_version: DocumentVersion::default(),
+        }
     }
 
     /// Whether nothing but an identity is remembered.
--- a/crates/controlplane/src/consensus/peers.rs
+++ b/crates/controlplane/src/consensus/peers.rs
@@ -72,18 +72,21 @@
         {
             self.last_heard.remove(&longest_unheard);
         }
-        let peer = self.peers.entry(controller_address.address).or_insert(Peer {
-            id,
-            controller_address,
-            zone: zone.clone(),
-            accepted: DocumentVersion::default(),
-            behind_since: None,
-            last_heard_at: now,
-            document_sent_at: MonotonicTime::ZERO,
-            last_sent_version: DocumentVersion::default(),
-            present_since: now,
-            greeting: None,
-        });
+        let peer = self
+            .peers
+            .entry(controller_address.address)
+            .or_insert(Peer {
+                id,
+                controller_address,
+                zone: zone.clone(),
+                accepted: DocumentVersion::default(),
+                behind_since: None,
+                last_heard_at: now,
+                document_sent_at: MonotonicTime::ZERO,
+                last_sent_version: DocumentVersion::default(),
+                present_since: now,
+                greeting: None,
+            });
         if peer.id != id {
             peer.accepted = DocumentVersion::default();
             peer.behind_since = None;
@@ -125,7 +128,10 @@
     }
 
     pub(super) fn is_diskless(&self, address: SocketAddress) -> bool {
-        let greeting = self.peers.get(&address).and_then(|peer| peer.greeting.as_ref());
+        let greeting = self
+            .peers
+            .get(&address)
+            .and_then(|peer| peer.greeting.as_ref());
         greeting.is_some_and(|greeting| greeting.diskless)
     }
 
--- a/crates/controlplane/src/consensus/quorum_plan.rs
+++ b/crates/controlplane/src/consensus/quorum_plan.rs
@@ -20,8 +20,9 @@
     /// A quorum of so many voters, a majority of which is left when so many zones are lost.
     pub fn new(voters: usize, zone_losses: usize) -> Self {
         let tolerated_losses = voters.saturating_sub(1) / 2;
-        let zone_limit =
-            tolerated_losses.checked_div(zone_losses).map_or(voters, |limit| limit.max(1));
+        let zone_limit = tolerated_losses
+            .checked_div(zone_losses)
+            .map_or(voters, |limit| limit.max(1));
         Self { voters, zone_limit }
     }
 
@@ -89,10 +90,15 @@
     /// has room.
     fn take_replacement(&mut self, voters: &[Voter], index: usize) -> Option<Voter> {
         let missing = &voters[index];
-        let at_its_address =
-            self.candidates.iter().position(|candidate| candidate.address == missing.address);
-        let in_its_zone =
-            || self.candidates.iter().position(|candidate| candidate.zone == missing.zone);
+        let at_its_address = self
+            .candidates
+            .iter()
+            .position(|candidate| candidate.address == missing.address);
+        let in_its_zone = || {
+            self.candidates
+                .iter()
+                .position(|candidate| candidate.zone == missing.zone)
+        };
         let candidate_index = at_its_address
             .or_else(in_its_zone)
             .or_else(|| self.candidate_within_zone_limit(voters))?;
@@ -102,8 +108,11 @@
     /// A quorum that can bear a loss grows from one odd number to the next: an even number bears no
     /// more machines than the odd one below it, and fewer zones.
     fn add_voters(&mut self, next_voters: &mut Vec<Voter>) {
-        let mut additional_voters =
-            self.quorum_policy.voters.saturating_sub(next_voters.len()).min(self.candidates.len());
+        let mut additional_voters = self
+            .quorum_policy
+            .voters
+            .saturating_sub(next_voters.len())
+            .min(self.candidates.len());
         let target_voters = next_voters.len() + additional_voters;
         let is_even = target_voters.is_multiple_of(2) && target_voters != self.quorum_policy.voters;
         if target_voters > DEFAULT_VOTERS && is_even {
@@ -113,7 +122,9 @@
             let candidate_index = self
                 .candidate_within_zone_limit(next_voters)
                 .or_else(|| self.candidate_in_least_loaded_zone(next_voters));
-            let Some(candidate_index) = candidate_index else { return };
+            let Some(candidate_index) = candidate_index else {
+                return;
+            };
             next_voters.push(self.candidates.swap_remove(candidate_index));
         }
     }
@@ -134,10 +145,11 @@
 
     /// The candidate in the zone with the fewest voters, if that zone may hold one more.
     fn candidate_within_zone_limit(&self, voters: &[Voter]) -> Option<usize> {
-        self.candidate_in_least_loaded_zone(voters).filter(|candidate_index| {
-            voters_in_zone(voters, &self.candidates[*candidate_index].zone)
-                < self.quorum_policy.zone_limit
-        })
+        self.candidate_in_least_loaded_zone(voters)
+            .filter(|candidate_index| {
+                voters_in_zone(voters, &self.candidates[*candidate_index].zone)
+                    < self.quorum_policy.zone_limit
+            })
     }
 
     fn candidate_in_least_loaded_zone(&self, voters: &[Voter]) -> Option<usize> {
--- a/crates/controlplane/src/consensus/replication.rs
+++ b/crates/controlplane/src/consensus/replication.rs
@@ -70,11 +70,17 @@
             delta: compress(&base.delta_to(document)),
             digest: document.digest().to_vec().into(),
         });
-        Self { document_version: document.document_version, delta, full_document: None }
+        Self {
+            document_version: document.document_version,
+            delta,
+            full_document: None,
+        }
     }
 
     fn full_document(&mut self, document: &Document) -> ByteString {
-        self.full_document.get_or_insert_with(|| compress(&document.to_bytes())).clone()
+        self.full_document
+            .get_or_insert_with(|| compress(&document.to_bytes()))
+            .clone()
     }
 
     /// The frame for a controller that holds this version of the leader's, or is about to.
@@ -184,7 +190,10 @@
             && self.is_voter(from)
         {
             let document = compress(&document.to_bytes());
-            self.send(controller_address.address, ConsensusMessage::Bootstrap { document });
+            self.send(
+                controller_address.address,
+                ConsensusMessage::Bootstrap { document },
+            );
         }
         if !self.is_voter(from)
             && let Some((leader_id, leader_address)) = self.leader
@@ -194,7 +203,10 @@
             hinted_addresses.insert(leader_address.address);
             hinted_addresses.remove(&controller_address.address);
             let addresses = LengthPrefixed(hinted_addresses.into_iter().collect());
-            self.send(controller_address.address, ConsensusMessage::VoterAddresses { addresses });
+            self.send(
+                controller_address.address,
+                ConsensusMessage::VoterAddresses { addresses },
+            );
         }
         if self.is_leader() {
             self.catch_up_peer(now, controller_address.address);
@@ -213,7 +225,9 @@
         if !self.should_write_version(now, from, controller_address, term, document_version) {
             return;
         }
-        let Ok(document_bytes) = decompress(document) else { return };
+        let Ok(document_bytes) = decompress(document) else {
+            return;
+        };
         if let Ok(document) = Document::from_bytes(&document_bytes)
             && document.document_version == document_version
         {
@@ -230,7 +244,13 @@
         controller_address: ControllerAddress,
         version: VersionDelta<'_>,
     ) {
-        let VersionDelta { term, base, document_version, delta, digest } = version;
+        let VersionDelta {
+            term,
+            base,
+            document_version,
+            delta,
+            digest,
+        } = version;
         if !self.should_write_version(now, from, controller_address, term, document_version) {
             return;
         }
@@ -241,7 +261,10 @@
                 let accepted = self.accepted_document_version();
                 self.send(
                     controller_address.address,
-                    ConsensusMessage::SnapshotRequest { term: self.term, accepted },
+                    ConsensusMessage::SnapshotRequest {
+                        term: self.term,
+                        accepted,
+                    },
                 );
             }
         }
@@ -267,7 +290,9 @@
             self.send_accepted(controller_address.address);
             return false;
         }
-        !self.pending_versions().any(|document| document.document_version >= document_version)
+        !self
+            .pending_versions()
+            .any(|document| document.document_version >= document_version)
     }
 
     fn write_version(&mut self, now: MonotonicTime, document: Document) {
@@ -279,10 +304,12 @@
     }
 
     pub(super) fn pending_versions(&self) -> impl Iterator<Item = &Document> {
-        self.pending_writes.values().filter_map(|pending| match &pending.write {
-            PendingWriteKind::Version(document) => Some(&**document),
-            PendingWriteKind::Vote { .. } | PendingWriteKind::Scrub => None,
-        })
+        self.pending_writes
+            .values()
+            .filter_map(|pending| match &pending.write {
+                PendingWriteKind::Version(document) => Some(&**document),
+                PendingWriteKind::Vote { .. } | PendingWriteKind::Scrub => None,
+            })
     }
 
     fn apply_delta(
@@ -294,7 +321,10 @@
         let delta_bytes = decompress(delta).ok()?;
         let mut available_versions = self.accepted.iter().chain(self.pending_versions());
         if !self.rules.enforces(Rule::DeltaOnItsBase) {
-            return available_versions.next()?.changed_unverified(&delta_bytes).ok();
+            return available_versions
+                .next()?
+                .changed_unverified(&delta_bytes)
+                .ok();
         }
         let held_version = available_versions.find(|document| document.document_version == base)?;
         held_version.changed(&delta_bytes, &digest.0).ok()
@@ -395,7 +425,9 @@
         else {
             return;
         };
-        let Some(peer) = self.peers.get(&address) else { return };
+        let Some(peer) = self.peers.get(&address) else {
+            return;
+        };
         let held_version = peer.accepted;
         if held_version < document_version
             && now.since(peer.document_sent_at) >= self.timing.resend_timeout
@@ -411,7 +443,9 @@
         accepted: DocumentVersion,
     ) {
         let committed = self.committed;
-        let Some(peer) = self.peers.get_mut(&address) else { return };
+        let Some(peer) = self.peers.get_mut(&address) else {
+            return;
+        };
         let has_advanced = accepted > peer.accepted;
         peer.accepted = accepted;
         if accepted >= committed {
@@ -425,7 +459,9 @@
         if !matches!(self.role, Role::Leader(_)) {
             return;
         }
-        let Some(document) = &self.proposed else { return };
+        let Some(document) = &self.proposed else {
+            return;
+        };
         let mut accepted_by: BTreeSet<ControllerId> = self
             .peers
             .values()
@@ -440,7 +476,8 @@
             self.committed = document.document_version;
             let committed_document = document.clone();
             self.proposed = None;
-            self.outputs.push(ConsensusOutput::Committed(committed_document));
+            self.outputs
+                .push(ConsensusOutput::Committed(committed_document));
             self.step_down_if_removed(now);
             self.advance_membership_change(now);
         }
--- a/crates/controlplane/src/controller_state/changes.rs
+++ b/crates/controlplane/src/controller_state/changes.rs
@@ -124,7 +124,13 @@
         ticket: OperationTicket,
         requested: ChangeRequest,
     ) {
-        let ChangeRequest { base, numbering, change, kind, wait } = requested;
+        let ChangeRequest {
+            base,
+            numbering,
+            change,
+            kind,
+            wait,
+        } = requested;
         let is_named = change.is_some();
         let change = change.unwrap_or_else(|| match &kind {
             ChangeKind::Evacuate { .. } | ChangeKind::Restore { .. } => {
@@ -148,7 +154,9 @@
         let awaiting_proof = std::mem::take(&mut self.changes.awaiting_proof);
         self.changes.queue.extend(awaiting_proof);
         while self.may_evaluate_changes(now) {
-            let Some(queued) = self.changes.queue.pop_front() else { break };
+            let Some(queued) = self.changes.queue.pop_front() else {
+                break;
+            };
             self.begin_proposal(now, queued);
         }
         let attached_changes: BTreeSet<ChangeId> = self
@@ -207,30 +215,40 @@
         for proposed_change in expired {
             self.reply_unknown(&proposed_change);
         }
-        let (expired, retained): (Vec<_>, Vec<_>) =
-            std::mem::take(&mut self.changes.accepted).into_iter().partition(|proposed_change| {
+        let (expired, retained): (Vec<_>, Vec<_>) = std::mem::take(&mut self.changes.accepted)
+            .into_iter()
+            .partition(|proposed_change| {
                 now.since(proposed_change.requested_at) > IN_FORCE_TIMEOUT
             });
         self.changes.accepted = retained;
         for proposed_change in expired {
-            self.answer(proposed_change.ticket, accepted_reply(&proposed_change, Version(0)));
+            self.answer(
+                proposed_change.ticket,
+                accepted_reply(&proposed_change, Version(0)),
+            );
         }
     }
 
     fn answer(&mut self, ticket: OperationTicket, reply: OperationReply) {
-        self.outputs.push(ControllerOutput::OperatorReply(ticket, reply));
+        self.outputs
+            .push(ControllerOutput::OperatorReply(ticket, reply));
     }
 
     fn reply_unknown(&mut self, proposed_change: &ProposedChange) {
         let change = Some(proposed_change.change.clone());
         self.answer(
             proposed_change.ticket,
-            OperationReply::Unknown { reason: Unavailable::NoQuorum, change },
+            OperationReply::Unknown {
+                reason: Unavailable::NoQuorum,
+                change,
+            },
         );
     }
 
     fn begin_proposal(&mut self, now: MonotonicTime, queued: QueuedChange) {
-        let Some(current_document) = self.consensus.accepted().cloned() else { return };
+        let Some(current_document) = self.consensus.accepted().cloned() else {
+            return;
+        };
         let proposal_outcome = self.evaluate_change(&current_document, &queued);
         if !self.may_act_on(now, &proposal_outcome, &queued) {
             self.changes.awaiting_proof.push_back(queued);
@@ -238,7 +256,9 @@
         }
         match proposal_outcome {
             ProposalOutcome::Applied { version, number } => {
-                self.changes.accepted.push(queued.into_proposed(version, number));
+                self.changes
+                    .accepted
+                    .push(queued.into_proposed(version, number));
             }
             ProposalOutcome::AlreadyInState => {
                 let version = current_document.view_version();
@@ -266,8 +286,10 @@
             ProposalOutcome::AlreadyInState => is_proven,
             ProposalOutcome::Answered(reply) => {
                 let knows_zones = self.leader_state.as_ref().is_some_and(LeaderState::is_open);
-                let concerns_zones =
-                    matches!(reply, OperationReply::NoZone { .. } | OperationReply::LastZone);
+                let concerns_zones = matches!(
+                    reply,
+                    OperationReply::NoZone { .. } | OperationReply::LastZone
+                );
                 let skips_proof = !self.rules.enforces(Rule::RejectionConfirmedByMajority);
                 (is_proven && (knows_zones || !concerns_zones)) || skips_proof
             }
@@ -285,15 +307,18 @@
         queued: QueuedChange,
         mut next_document: Document,
     ) {
-        let target_membership =
-            self.leader_state.as_ref().and_then(|leader_state| leader_state.target_membership(now));
+        let target_membership = self
+            .leader_state
+            .as_ref()
+            .and_then(|leader_state| leader_state.target_membership(now));
         if let Some(target_membership) = target_membership {
             next_document.membership = target_membership;
         }
         self.check_proposal(&queued, &next_document);
         let number = queued.numbering.map_or(0, |given| given.number);
         let version = next_document.document_version.version;
-        self.traces.begin_proposal(now, self.consensus.term(), version);
+        self.traces
+            .begin_proposal(now, self.consensus.term(), version);
         match self.consensus.propose(now, next_document) {
             Ok(consensus_outputs) => {
                 let proposed_change = queued.into_proposed(version, number);
@@ -306,18 +331,31 @@
             }
             Err(error) => {
                 let reason = error.into();
-                self.answer(queued.ticket, OperationReply::NotAccepted { reason, change: None });
+                self.answer(
+                    queued.ticket,
+                    OperationReply::NotAccepted {
+                        reason,
+                        change: None,
+                    },
+                );
             }
         }
     }
 
     fn check_proposal(&self, queued: &QueuedChange, next_document: &Document) {
-        let Some(current) = self.consensus.accepted() else { return };
+        let Some(current) = self.consensus.accepted() else {
+            return;
+        };
         let (version, number) = (current.view_version(), current.number);
         let is_on_base = queued.base.is_none_or(|base| base == version)
-            && queued.numbering.is_none_or(|given| given.base_number == number);
+            && queued
+                .numbering
+                .is_none_or(|given| given.base_number == number);
         require(self.rules, Invariant::ChangeOnNamedBase, is_on_base, || {
-            format!("{} goes on version {version}, number {number}", queued.change)
+            format!(
+                "{} goes on version {version}, number {number}",
+                queued.change
+            )
         });
         // A second check of a whole spec is dear on a small share of a core: debug builds only.
         let is_valid = !cfg!(debug_assertions) || next_document.spec.check().is_ok();
@@ -331,7 +369,9 @@
         if self.rules.enforces(Rule::AbandonedChangeDropped) {
             self.waiting.retain(|waiting| waiting.ticket != ticket);
             self.changes.queue.retain(|queued| queued.ticket != ticket);
-            self.changes.awaiting_proof.retain(|queued| queued.ticket != ticket);
+            self.changes
+                .awaiting_proof
+                .retain(|queued| queued.ticket != ticket);
         }
     }
 
@@ -349,13 +389,17 @@
             .as_ref()
             .map(|leader_state| leader_state.in_force())
             .unwrap_or_default();
-        let (done, retained): (Vec<_>, Vec<_>) =
-            std::mem::take(&mut self.changes.accepted).into_iter().partition(|proposed_change| {
+        let (done, retained): (Vec<_>, Vec<_>) = std::mem::take(&mut self.changes.accepted)
+            .into_iter()
+            .partition(|proposed_change| {
                 proposed_change.wait == Wait::Accepted || in_force >= proposed_change.version
             });
         self.changes.accepted = retained;
         for proposed_change in done {
-            self.answer(proposed_change.ticket, accepted_reply(&proposed_change, in_force));
+            self.answer(
+                proposed_change.ticket,
+                accepted_reply(&proposed_change, in_force),
+            );
         }
     }
 
@@ -364,10 +408,16 @@
             self.reply_unknown(&proposed_change);
         }
         for proposed_change in std::mem::take(&mut self.changes.accepted) {
-            self.answer(proposed_change.ticket, accepted_reply(&proposed_change, Version(0)));
+            self.answer(
+                proposed_change.ticket,
+                accepted_reply(&proposed_change, Version(0)),
+            );
         }
         let awaiting_proof = std::mem::take(&mut self.changes.awaiting_proof);
-        for queued in std::mem::take(&mut self.changes.queue).into_iter().chain(awaiting_proof) {
+        for queued in std::mem::take(&mut self.changes.queue)
+            .into_iter()
+            .chain(awaiting_proof)
+        {
             let operation = Operation::Change {
                 base: queued.base,
                 numbering: queued.numbering,
@@ -385,10 +435,16 @@
             .as_ref()
             .map(|leader_state| leader_state.in_force())
             .unwrap_or_default();
-        let noted_change =
-            self.consensus.accepted().filter(|_| !self.consensus.is_proposing()).and_then(
-                |document| document.changes.iter().find(|recorded| recorded.id == *change),
-            );
+        let noted_change = self
+            .consensus
+            .accepted()
+            .filter(|_| !self.consensus.is_proposing())
+            .and_then(|document| {
+                document
+                    .changes
+                    .iter()
+                    .find(|recorded| recorded.id == *change)
+            });
         if let Some(recorded) = noted_change {
             return OperationReply::Accepted {
                 change: change.clone(),
@@ -397,11 +453,24 @@
                 in_force: in_force >= recorded.version,
             };
         }
-        let queued_changes = self.changes.queue.iter().chain(&self.changes.awaiting_proof);
+        let queued_changes = self
+            .changes
+            .queue
+            .iter()
+            .chain(&self.changes.awaiting_proof);
         let is_pending = self.consensus.is_proposing()
-            || queued_changes.into_iter().any(|queued| queued.change == *change);
-        let is_forgotten = self.consensus.accepted().is_some_and(Document::has_forgotten_changes);
-        let state = if is_pending || is_forgotten { "unknown" } else { "not_accepted" };
+            || queued_changes
+                .into_iter()
+                .any(|queued| queued.change == *change);
+        let is_forgotten = self
+            .consensus
+            .accepted()
+            .is_some_and(Document::has_forgotten_changes);
+        let state = if is_pending || is_forgotten {
+            "unknown"
+        } else {
+            "not_accepted"
+        };
         OperationReply::StatusAndBody(200, json!({"state": state, "change_id": change.as_str()}))
     }
 }
--- a/crates/controlplane/src/controller_state/history.rs
+++ b/crates/controlplane/src/controller_state/history.rs
@@ -43,7 +43,10 @@
     /// Keeps an event and numbers it.
     pub fn add(&mut self, event_record: EventRecord) -> NumberedEvent {
         self.last_number += 1;
-        let numbered = NumberedEvent { number: self.last_number, event_record };
+        let numbered = NumberedEvent {
+            number: self.last_number,
+            event_record,
+        };
         self.retained.push_back(numbered.clone());
         if self.retained.len() > MAX_RETAINED_EVENTS {
             self.retained.pop_front();
@@ -58,8 +61,10 @@
 
     /// The events from a number on, a gap event first when some of them are lost.
     pub fn from(&self, first_number: u64, limit: usize) -> Vec<Value> {
-        let oldest_number =
-            self.retained.front().map_or(self.last_number + 1, |retained| retained.number);
+        let oldest_number = self
+            .retained
+            .front()
+            .map_or(self.last_number + 1, |retained| retained.number);
         let mut listed_events = Vec::new();
         if first_number != 0 && first_number < oldest_number {
             listed_events.push(json!({
@@ -69,7 +74,10 @@
                 "detail": {"asked": first_number, "oldest": oldest_number},
             }));
         }
-        let later_events = self.retained.iter().filter(|retained| retained.number >= first_number);
+        let later_events = self
+            .retained
+            .iter()
+            .filter(|retained| retained.number >= first_number);
         listed_events.extend(later_events.take(limit).map(NumberedEvent::to_value));
         listed_events
     }
--- a/crates/controlplane/src/controller_state/mod.rs
+++ b/crates/controlplane/src/controller_state/mod.rs
@@ -222,17 +222,23 @@
     /// Keeps the newest version on this disk among the recent ones; a version that lost to another with its serial
     /// makes room.
     fn remember_accepted_view(&mut self) {
-        let Some(document) = self.consensus.accepted() else { return };
+        let Some(document) = self.consensus.accepted() else {
+            return;
+        };
         if document.document_version == self.recent_document_version {
             return;
         }
         self.recent_document_version = document.document_version;
         let version = document.view_version();
-        let is_seen = self.recent_views.back().is_some_and(|newest| newest.version == version);
+        let is_seen = self
+            .recent_views
+            .back()
+            .is_some_and(|newest| newest.version == version);
         if is_seen && document.hidden_versions > 0 {
             return;
         }
-        self.recent_views.retain(|earlier| earlier.version < version);
+        self.recent_views
+            .retain(|earlier| earlier.version < version);
         self.recent_views.push_back(document.view());
         let extra_count = self.recent_views.len().saturating_sub(RETAINED_VIEWS);
         self.recent_views.drain(..extra_count);
@@ -262,7 +268,9 @@
     fn progress(&mut self, now: MonotonicTime) {
         self.retry_waiting_operations(now);
         self.progress_changes(now);
-        let Some(leader_state) = &mut self.leader_state else { return };
+        let Some(leader_state) = &mut self.leader_state else {
+            return;
+        };
         if let Some((known_members, complete)) = leader_state.take_known_members() {
             self.consensus.set_members(known_members, complete);
         }
@@ -276,7 +284,8 @@
         for order in leader_state.progress(now, &proof) {
             match order {
                 LeaderOutput::FrameToDaemon { stream, frame } => {
-                    self.outputs.push(ControllerOutput::FrameToDaemon(stream, frame));
+                    self.outputs
+                        .push(ControllerOutput::FrameToDaemon(stream, frame));
                 }
                 LeaderOutput::RequestLists => self.outputs.push(ControllerOutput::RequestLists),
                 LeaderOutput::StopRunner(order) => {
@@ -290,17 +299,23 @@
                     }
                     self.record_event(event_record);
                 }
-                LeaderOutput::VersionProgress { version, member, step } => {
+                LeaderOutput::VersionProgress {
+                    version,
+                    member,
+                    step,
+                } => {
                     self.traces.step(now, version, member, step);
                 }
             }
         }
         self.answer_fulfilled_changes();
         self.propose_membership(now);
-        let needs_heartbeat_round =
-            self.leader_state.as_ref().is_some_and(LeaderState::needs_heartbeat_round)
-                || (self.leader_state.is_some() && !self.waiting.is_empty())
-                || self.changes.needs_proof();
+        let needs_heartbeat_round = self
+            .leader_state
+            .as_ref()
+            .is_some_and(LeaderState::needs_heartbeat_round)
+            || (self.leader_state.is_some() && !self.waiting.is_empty())
+            || self.changes.needs_proof();
         if needs_heartbeat_round {
             let consensus_outputs = self.consensus.expedite_heartbeat(now);
             self.execute(now, consensus_outputs);
@@ -312,9 +327,15 @@
     fn propose_membership(&mut self, now: MonotonicTime) {
         let is_free =
             self.consensus.is_ready() && !self.consensus.is_proposing() && self.changes.is_idle();
-        let Some(leader_state) = &mut self.leader_state else { return };
-        let Some(membership) = leader_state.due_membership(now).filter(|_| is_free) else { return };
-        let Some(document) = self.consensus.accepted() else { return };
+        let Some(leader_state) = &mut self.leader_state else {
+            return;
+        };
+        let Some(membership) = leader_state.due_membership(now).filter(|_| is_free) else {
+            return;
+        };
+        let Some(document) = self.consensus.accepted() else {
+            return;
+        };
         let next_document = document.with_membership(membership);
         if let Ok(consensus_outputs) = self.consensus.propose(now, next_document) {
             self.execute(now, consensus_outputs);
@@ -337,9 +358,16 @@
                 }
                 ConsensusOutput::Campaigning { term } => {
                     let detail = json!({"term": term.0});
-                    self.record_event(EventRecord { event: events::ELECTION_STARTED, detail });
+                    self.record_event(EventRecord {
+                        event: events::ELECTION_STARTED,
+                        detail,
+                    });
                 }
-                ConsensusOutput::Elected { term, members, complete } => {
+                ConsensusOutput::Elected {
+                    term,
+                    members,
+                    complete,
+                } => {
                     self.history.restart(term);
                     let detail = json!({
                         "term": term.0,
@@ -347,7 +375,10 @@
                         "last_known": members.len(),
                         "whole": complete,
                     });
-                    self.record_event(EventRecord { event: events::LEADER_ELECTED, detail });
+                    self.record_event(EventRecord {
+                        event: events::LEADER_ELECTED,
+                        detail,
+                    });
                     let leader_state_timing = self.leader_state_timing.clone();
                     let leader_state =
                         LeaderState::new(leader_state_timing, term, now, members, complete);
@@ -358,9 +389,14 @@
                 ConsensusOutput::Committed(document) => {
                     let document_version = document.document_version;
                     let detail = json!({"term": document_version.term.0, "serial": document_version.version.0});
-                    self.record_event(EventRecord { event: events::VERSION_COMMITTED, detail });
-                    let seen_document_version =
-                        DocumentVersion { version: document.view_version(), ..document_version };
+                    self.record_event(EventRecord {
+                        event: events::VERSION_COMMITTED,
+                        detail,
+                    });
+                    let seen_document_version = DocumentVersion {
+                        version: document.view_version(),
+                        ..document_version
+                    };
                     self.traces.committed(now, seen_document_version);
                     if let Some(leader_state) = &mut self.leader_state {
                         leader_state.committed(document);
@@ -371,7 +407,10 @@
                     let addresses: Vec<String> =
                         addresses.iter().map(SocketAddress::to_string).collect();
                     let detail = json!({"core": addresses, "settled": settled});
-                    self.record_event(EventRecord { event: events::QUORUM_RECONFIGURING, detail });
+                    self.record_event(EventRecord {
+                        event: events::QUORUM_RECONFIGURING,
+                        detail,
+                    });
                 }
                 ConsensusOutput::DiskStalled => {
                     self.record_event(EventRecord {
@@ -385,22 +424,33 @@
 
     fn stepped_down(&mut self) {
         let detail = json!({"term": self.consensus.term().0});
-        self.record_event(EventRecord { event: events::LEADER_STEPPED_DOWN, detail });
+        self.record_event(EventRecord {
+            event: events::LEADER_STEPPED_DOWN,
+            detail,
+        });
         self.leader_state = None;
         self.drop_changes();
         let leader = self
             .consensus
             .leader()
-            .map_or(SocketAddress::UNSPECIFIED, |controller_address| controller_address.address);
+            .map_or(SocketAddress::UNSPECIFIED, |controller_address| {
+                controller_address.address
+            });
         for stream in std::mem::take(&mut self.streams) {
-            self.outputs
-                .push(ControllerOutput::FrameToDaemon(stream, LeaderToDaemon::Redirect { leader }));
+            self.outputs.push(ControllerOutput::FrameToDaemon(
+                stream,
+                LeaderToDaemon::Redirect { leader },
+            ));
             self.outputs.push(ControllerOutput::Close(stream));
         }
     }
 
     fn other_leader(&self) -> Option<ControllerAddress> {
-        if self.consensus.is_leader() { None } else { self.consensus.leader() }
+        if self.consensus.is_leader() {
+            None
+        } else {
+            self.consensus.leader()
+        }
     }
 
     fn is_quorum_fresh(&self, now: MonotonicTime) -> bool {
--- a/crates/controlplane/src/controller_state/operation.rs
+++ b/crates/controlplane/src/controller_state/operation.rs
@@ -267,7 +267,11 @@
         ticket: OperationTicket,
         operation: Operation,
     ) {
-        self.waiting.push_back(WaitingOperation { ticket, operation, requested_at });
+        self.waiting.push_back(WaitingOperation {
+            ticket,
+            operation,
+            requested_at,
+        });
     }
 
     /// A caller that is refused pauses longer each time, so a wish waits a little for a leader.
@@ -329,19 +333,36 @@
                     OperationReply::Redirect(controller_address.operators)
                 } else if let Operation::Replace(missing, successor) = other {
                     self.replace(now, missing, successor)
-                } else if let Operation::Change { base, numbering, change, kind, wait } = other {
+                } else if let Operation::Change {
+                    base,
+                    numbering,
+                    change,
+                    kind,
+                    wait,
+                } = other
+                {
                     if self.leader_state.is_some() {
-                        let requested = ChangeRequest { base, numbering, change, kind, wait };
+                        let requested = ChangeRequest {
+                            base,
+                            numbering,
+                            change,
+                            kind,
+                            wait,
+                        };
                         self.queue_change(requested_at, ticket, requested);
                         return;
                     }
-                    OperationReply::NotAccepted { reason: Unavailable::NoLeader, change }
+                    OperationReply::NotAccepted {
+                        reason: Unavailable::NoLeader,
+                        change,
+                    }
                 } else {
                     self.report(now, requested_at, other)
                 }
             }
         };
-        self.outputs.push(ControllerOutput::OperatorReply(ticket, reply));
+        self.outputs
+            .push(ControllerOutput::OperatorReply(ticket, reply));
     }
 
     fn report(
@@ -418,8 +439,9 @@
                 })
             })
             .collect();
-        let own_document_version =
-            consensus.accepted().map(|document| document.document_version.to_string());
+        let own_document_version = consensus
+            .accepted()
+            .map(|document| document.document_version.to_string());
         json!({
             "surveyor": format!("{:x}", consensus.id().0),
             "term": consensus.term().0,
