--- a/crates/controlplane/src/controller_state/proposal_outcome.rs
+++ b/crates/controlplane/src/controller_state/proposal_outcome.rs
@@ -48,7 +48,9 @@
         let current_version = current_document.view_version();
         let current_number = current_document.number;
         let is_stale = requested.base.is_some_and(|base| base != current_version)
-            || requested.numbering.is_some_and(|given| given.base_number != current_number);
+            || requested
+                .numbering
+                .is_some_and(|given| given.base_number != current_number);
         if is_stale && self.rules.enforces(Rule::StaleBaseRejected) {
             return ProposalOutcome::Answered(OperationReply::Stale {
                 change: requested.change.clone(),
@@ -96,15 +98,21 @@
         current_document: &Document,
         requested: &QueuedChange,
     ) -> Result<Document, OperationReply> {
-        let is_number_low =
-            requested.numbering.is_some_and(|given| given.number <= current_document.number);
+        let is_number_low = requested
+            .numbering
+            .is_some_and(|given| given.number <= current_document.number);
         if is_number_low && self.rules.enforces(Rule::InvalidChangeRejected) {
             let reason =
                 PathErrorReason::Malformed(format!("is not above {}", current_document.number));
-            let error = PathError { path: "number".to_owned(), reason };
+            let error = PathError {
+                path: "number".to_owned(),
+                reason,
+            };
             return Err(OperationReply::Invalid(vec![error]));
         }
-        let number = requested.numbering.map_or(current_document.number, |given| given.number);
+        let number = requested
+            .numbering
+            .map_or(current_document.number, |given| given.number);
         let with_spec = |new_spec: SpecRecords| {
             let checked_spec = match new_spec.check() {
                 Ok(checked_spec) => checked_spec,
@@ -134,7 +142,10 @@
             ChangeKind::Evacuate { zone, force } => {
                 let known_zones = self.known_zones();
                 if !known_zones.contains(zone) && !force {
-                    return Err(OperationReply::NoZone { zone: zone.clone(), known: known_zones });
+                    return Err(OperationReply::NoZone {
+                        zone: zone.clone(),
+                        known: known_zones,
+                    });
                 }
                 let remaining_count = known_zones
                     .iter()
@@ -148,7 +159,10 @@
             ChangeKind::Restore { zone } => {
                 let known_zones = self.known_zones();
                 if !known_zones.contains(zone) && !current_document.evacuated.contains(zone) {
-                    return Err(OperationReply::NoZone { zone: zone.clone(), known: known_zones });
+                    return Err(OperationReply::NoZone {
+                        zone: zone.clone(),
+                        known: known_zones,
+                    });
                 }
                 Ok(current_document.with_zone(zone.clone(), false, requested.change.clone()))
             }
--- a/crates/controlplane/src/controller_state/traces.rs
+++ b/crates/controlplane/src/controller_state/traces.rs
@@ -53,7 +53,9 @@
     /// A version is committed, or committed again by a new leader.
     pub fn committed(&mut self, now: MonotonicTime, document_version: DocumentVersion) {
         self.term = document_version.term;
-        self.begin(now, document_version.version, false).committed_at.get_or_insert(now);
+        self.begin(now, document_version.version, false)
+            .committed_at
+            .get_or_insert(now);
     }
 
     /// A version, and with it every older one, is in force or replaced at every daemon that serves.
@@ -77,7 +79,11 @@
         if !self.retained.contains_key(&(version, self.term)) {
             return;
         }
-        let member_trace = self.begin(now, version, false).members.entry(member).or_default();
+        let member_trace = self
+            .begin(now, version, false)
+            .members
+            .entry(member)
+            .or_default();
         match step {
             TraceStep::Pushed => member_trace.pushed_at.get_or_insert(now),
             TraceStep::Installed => member_trace.installed_at.get_or_insert(now),
@@ -87,8 +93,17 @@
 
 impl ControllerState {
     pub(super) fn trace(&self, now: MonotonicTime, version: Version) -> OperationReply {
-        let newest = self.traces.retained.keys().next_back().map(|(newest, _)| *newest);
-        let requested = if version == Version(0) { newest } else { Some(version) };
+        let newest = self
+            .traces
+            .retained
+            .keys()
+            .next_back()
+            .map(|(newest, _)| *newest);
+        let requested = if version == Version(0) {
+            newest
+        } else {
+            Some(version)
+        };
         let rows: Vec<Value> = self
             .traces
             .retained
@@ -124,7 +139,9 @@
             .filter(|_| is_present)
             .map(|leader_state| leader_state.laggards(now, version));
         for (member, reason) in laggards.unwrap_or_default() {
-            let row = members.entry(member.to_string()).or_insert_with(|| json!({}));
+            let row = members
+                .entry(member.to_string())
+                .or_insert_with(|| json!({}));
             row["lagging"] = json!(reason);
         }
         json!({
--- a/crates/controlplane/src/drivers/controller.rs
+++ b/crates/controlplane/src/drivers/controller.rs
@@ -109,12 +109,19 @@
 
     pub(super) async fn submit_operation(&self, operation: Operation) -> Option<OperationReply> {
         let ticket = OperationTicket(self.next_id());
-        let mut pending = PendingOperation { shared: self, ticket, is_answered: false };
+        let mut pending = PendingOperation {
+            shared: self,
+            ticket,
+            is_answered: false,
+        };
         let (reply_sender, reply_receiver) = oneshot::channel();
         if let Ok(mut operations) = self.operations.lock() {
             operations.insert(ticket, reply_sender);
         }
-        self.inputs.send(ControllerInput::Operate(ticket, operation)).await.ok()?;
+        self.inputs
+            .send(ControllerInput::Operate(ticket, operation))
+            .await
+            .ok()?;
         let reply = reply_receiver.await.ok();
         pending.is_answered = true;
         reply
@@ -136,7 +143,9 @@
         if let Ok(mut operations) = self.shared.operations.lock() {
             operations.remove(&self.ticket);
         }
-        self.shared.inputs.try_send(ControllerInput::CallerDisconnected(self.ticket));
+        self.shared
+            .inputs
+            .try_send(ControllerInput::CallerDisconnected(self.ticket));
     }
 }
 
@@ -199,20 +208,29 @@
 impl SeedUpdater {
     /// Takes other seeds; false when the controller has stopped.
     pub async fn update_seeds(&self, seeds: Vec<SocketAddress>) -> bool {
-        self.inputs.send(ControllerInput::Seeds(seeds)).await.is_ok()
+        self.inputs
+            .send(ControllerInput::Seeds(seeds))
+            .await
+            .is_ok()
     }
 }
 
 impl Controller {
     /// What tells this controller of other seeds while it runs.
     pub fn seed_updater(&self) -> SeedUpdater {
-        SeedUpdater { inputs: self.shared.inputs.clone() }
+        SeedUpdater {
+            inputs: self.shared.inputs.clone(),
+        }
     }
 
     /// Opens the data folder and the listeners.
     pub async fn open(settings: &ControllerSettings) -> Result<Self, ControllerError> {
-        Self::open_with(settings, Box::new(NoFaults), ControllerAdapters::own(settings.platform))
-            .await
+        Self::open_with(
+            settings,
+            Box::new(NoFaults),
+            ControllerAdapters::own(settings.platform),
+        )
+        .await
     }
 
     /// The same with a seam at its disk, and with these tongues.
@@ -227,17 +245,25 @@
             Some(data) => Some(open_data_directory(settings, data, fault_hook, fresh_id)?),
             None => None,
         };
-        let listen_key = if settings.listen == settings.address { "place" } else { "listen" };
+        let listen_key = if settings.listen == settings.address {
+            "place"
+        } else {
+            "listen"
+        };
         let process_listener = listen(settings, listen_key, settings.listen).await?;
         let operators_listener = listen(settings, "operators", settings.operators).await?;
         let (input_sender, queue) = input_queue();
-        let address =
-            ControllerAddress { address: settings.address, operators: settings.operators };
-        let persisted = opened_directory
+        let address = ControllerAddress {
+            address: settings.address,
+            operators: settings.operators,
+        };
+        let persisted = opened_directory.as_ref().map_or_else(
+            || PersistedState::empty(fresh_id),
+            |(_, persisted, _)| persisted.clone(),
+        );
+        let may_bootstrap = opened_directory
             .as_ref()
-            .map_or_else(|| PersistedState::empty(fresh_id), |(_, persisted, _)| persisted.clone());
-        let may_bootstrap =
-            opened_directory.as_ref().is_some_and(|(_, _, may_bootstrap)| *may_bootstrap);
+            .is_some_and(|(_, _, may_bootstrap)| *may_bootstrap);
         let consensus = ConsensusNode::new(
             MonotonicTime::now(),
             settings.consensus_timing.clone(),
@@ -249,8 +275,11 @@
         )
         .with_quorum_policy(settings.quorum_policy)
         .with_bootstrap(may_bootstrap);
-        let consensus =
-            if opened_directory.is_some() { consensus } else { consensus.without_disk() };
+        let consensus = if opened_directory.is_some() {
+            consensus
+        } else {
+            consensus.without_disk()
+        };
         let shared = Arc::new(Shared {
             inputs: input_sender.clone(),
             operations: Mutex::new(HashMap::new()),
@@ -297,8 +326,11 @@
         } = self;
         tokio::spawn(streams::accept(process_listener, shared.clone()));
         tokio::spawn(platform::poll(shared.clone(), platform_poll_interval));
-        let operators_task =
-            tokio::spawn(operators::serve(operators_listener, shared.clone(), stop.clone()));
+        let operators_task = tokio::spawn(operators::serve(
+            operators_listener,
+            shared.clone(),
+            stop.clone(),
+        ));
         let mut stopping = stop.clone();
         let mut shared_document_version = DocumentVersion::default();
         loop {
@@ -328,9 +360,10 @@
             shared.leadership.send_if_modified(|leadership| {
                 std::mem::replace(leadership, is_leader) != is_leader
             });
-            shared
-                .has_leader
-                .store(controller_state.consensus().leader().is_some(), Ordering::Relaxed);
+            shared.has_leader.store(
+                controller_state.consensus().leader().is_some(),
+                Ordering::Relaxed,
+            );
         }
         shared.newest_event.send_replace(u64::MAX);
         drop(queue);
@@ -348,7 +381,9 @@
         && document.document_version != *shared_document_version
     {
         *shared_document_version = document.document_version;
-        shared.newest_spec.store(Some(Arc::new(document.spec.clone())));
+        shared
+            .newest_spec
+            .store(Some(Arc::new(document.spec.clone())));
     }
 }
 
@@ -357,7 +392,11 @@
     shared.metrics.observe_step(kind, queue_wait, handling_time);
     if handling_time > SLOW_INPUT {
         let (waited_ms, handled_ms) = (queue_wait.as_millis(), handling_time.as_millis());
-        log_event!(Warn, events::SLOW_INPUT, "{kind}: waited {waited_ms} ms, took {handled_ms} ms");
+        log_event!(
+            Warn,
+            events::SLOW_INPUT,
+            "{kind}: waited {waited_ms} ms, took {handled_ms} ms"
+        );
     }
 }
 
@@ -375,7 +414,9 @@
             }
         }
         ControllerOutput::FrameToDaemon(stream, frame) => {
-            let Ok(mut open_streams) = shared.streams.lock() else { return };
+            let Ok(mut open_streams) = shared.streams.lock() else {
+                return;
+            };
             if let Some(sender) = open_streams.get(&stream)
                 && sender.try_send(frame).is_err()
             {
--- a/crates/controlplane/src/drivers/disk.rs
+++ b/crates/controlplane/src/drivers/disk.rs
@@ -25,7 +25,10 @@
                         WriteResult::Failed
                     }
                 };
-                if inputs.blocking_send(ControllerInput::Written(ticket, result)).is_err() {
+                if inputs
+                    .blocking_send(ControllerInput::Written(ticket, result))
+                    .is_err()
+                {
                     return;
                 }
             }
--- a/crates/controlplane/src/drivers/metrics.rs
+++ b/crates/controlplane/src/drivers/metrics.rs
@@ -68,14 +68,20 @@
     /// Takes how long an input waited, and how long it took to handle.
     pub fn observe_step(&self, kind: InputKind, queue_wait: Duration, handling_time: Duration) {
         let label = [kind.label()];
-        self.queue_seconds.with_label_values(&label).observe(queue_wait.as_secs_f64());
-        self.step_seconds.with_label_values(&label).observe(handling_time.as_secs_f64());
+        self.queue_seconds
+            .with_label_values(&label)
+            .observe(queue_wait.as_secs_f64());
+        self.step_seconds
+            .with_label_values(&label)
+            .observe(handling_time.as_secs_f64());
     }
 
     /// Takes how long an operator's order took to be answered.
     pub fn observe_command(&self, status: u16, elapsed: Duration) {
         let label = [status.to_string()];
-        self.command_seconds.with_label_values(&label).observe(elapsed.as_secs_f64());
+        self.command_seconds
+            .with_label_values(&label)
+            .observe(elapsed.as_secs_f64());
     }
 
     /// Takes the controller state's present state.
@@ -84,8 +90,9 @@
         self.is_leader.set(i64::from(consensus.is_leader()));
         self.term.set(consensus.term().0 as i64);
         self.version.set(consensus.committed().version.0 as i64);
-        let leader_state_counts =
-            controller_state.leader_state().map(|leader_state| leader_state.counts());
+        let leader_state_counts = controller_state
+            .leader_state()
+            .map(|leader_state| leader_state.counts());
         self.in_force.set(
             controller_state
                 .leader_state()
--- a/crates/controlplane/src/drivers/operator_api.rs
+++ b/crates/controlplane/src/drivers/operator_api.rs
@@ -24,7 +24,10 @@
 type ErrorResponse = (u16, Value);
 
 fn json_status_response(status: u16, body: &Value) -> HttpResponse {
-    json_response(StatusCode::from_u16(status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR), body)
+    json_response(
+        StatusCode::from_u16(status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR),
+        body,
+    )
 }
 
 fn invalid_body(errors: &[PathError]) -> Value {
@@ -55,8 +58,11 @@
         match self {
             Self::StatusAndBody(status, body) => (status, body),
             Self::Spec { document, in_force } => {
-                let evacuated: Vec<&str> =
-                    document.evacuated.iter().map(|zone| zone.as_str()).collect();
+                let evacuated: Vec<&str> = document
+                    .evacuated
+                    .iter()
+                    .map(|zone| zone.as_str())
+                    .collect();
                 let body = json!({
                     "serial": document.view_version().0,
                     "number": document.number,
@@ -66,12 +72,21 @@
                 });
                 (200, body)
             }
-            Self::Accepted { change, version, number, in_force } => {
+            Self::Accepted {
+                change,
+                version,
+                number,
+                in_force,
+            } => {
                 let state = if in_force { "in_force" } else { "accepted" };
                 let body = json!({"state": state, "serial": version.0});
                 (200, with_number(with_change(body, Some(change)), number))
             }
-            Self::Stale { change, version, number } => {
+            Self::Stale {
+                change,
+                version,
+                number,
+            } => {
                 let body = json!({
                     "error": "stale_base",
                     "state": "not_accepted",
@@ -100,11 +115,18 @@
             }
             Self::NotAccepted { reason, change } => (
                 503,
-                with_change(json!({"error": reason.as_str(), "state": "not_accepted"}), change),
+                with_change(
+                    json!({"error": reason.as_str(), "state": "not_accepted"}),
+                    change,
+                ),
+            ),
+            Self::Unknown { reason, change } => (
+                503,
+                with_change(
+                    json!({"error": reason.as_str(), "state": "unknown"}),
+                    change,
+                ),
             ),
-            Self::Unknown { reason, change } => {
-                (503, with_change(json!({"error": reason.as_str(), "state": "unknown"}), change))
-            }
             Self::TemporarilyUnavailable(reason) => (503, json!({"error": reason.as_str()})),
             Self::Redirect(leader) => (307, json!({"leader": leader.to_string()})),
         }
@@ -146,11 +168,16 @@
         }
         (&Method::POST, ["v1", "localities", zone, "evacuate"]) => read_change(body, |root| {
             let force = root.field("force").bool_or(false);
-            Some(ChangeKind::Evacuate { zone: Zone::from(*zone), force })
+            Some(ChangeKind::Evacuate {
+                zone: Zone::from(*zone),
+                force,
+            })
+        }),
+        (&Method::POST, ["v1", "localities", zone, "restore"]) => read_change(body, |_| {
+            Some(ChangeKind::Restore {
+                zone: Zone::from(*zone),
+            })
         }),
-        (&Method::POST, ["v1", "localities", zone, "restore"]) => {
-            read_change(body, |_| Some(ChangeKind::Restore { zone: Zone::from(*zone) }))
-        }
         (&Method::GET, ["v1", "members"]) => Ok(Operation::Members),
         (&Method::GET, ["v1", "holders"]) => Ok(Operation::Holders),
         (&Method::GET, ["v1", "workers"]) => Ok(Operation::Workers),
@@ -169,7 +196,10 @@
             Err(_) => Err((400, json!({"error": "not_a_serial"}))),
         },
         (&Method::GET, ["v1", "events"]) => {
-            let pairs = query.unwrap_or("").split('&').filter_map(|pair| pair.split_once('='));
+            let pairs = query
+                .unwrap_or("")
+                .split('&')
+                .filter_map(|pair| pair.split_once('='));
             let from_text = pairs.into_iter().find(|(name, _)| *name == "from");
             match from_text.map_or(Ok(0), |(_, number)| number.parse()) {
                 Ok(first_number) => Ok(Operation::Events(first_number)),
@@ -197,7 +227,8 @@
     remove.allow_only(&["functions", "routes"]);
     if root.field("patch").is_present() {
         let reason = "does not go with put and remove".to_owned();
-        root.field("patch").error(PathErrorReason::Malformed(reason));
+        root.field("patch")
+            .error(PathErrorReason::Malformed(reason));
     }
     let put_items = |part_name: &str| {
         let fields = put.field(part_name).fields().into_iter();
@@ -207,7 +238,10 @@
     };
     let removed_names = |part_name: &str| {
         let items = remove.field(part_name).items();
-        items.iter().filter_map(|item| item.text().map(str::to_owned)).collect()
+        items
+            .iter()
+            .filter_map(|item| item.text().map(str::to_owned))
+            .collect()
     };
     Some(ChangeKind::Items(Box::new(ItemChange {
         put_functions: put_items("functions"),
@@ -224,7 +258,10 @@
     read_kind: impl FnOnce(&PathReader<'_>) -> Option<ChangeKind>,
 ) -> Result<Operation, ErrorResponse> {
     let parsed_body: Value = serde_json::from_slice(body).map_err(|error| {
-        (400, json!({"error": "not_json", "reason": error.to_string(), "state": "not_accepted"}))
+        (
+            400,
+            json!({"error": "not_json", "reason": error.to_string(), "state": "not_accepted"}),
+        )
     })?;
     let errors = PathErrorList::default();
     let root = PathReader::new(&parsed_body, &errors);
@@ -242,13 +279,22 @@
     ]);
     let base_reader = root.field("base_serial");
     let kind = read_kind(&root);
-    let is_zone_change =
-        matches!(kind, Some(ChangeKind::Evacuate { .. } | ChangeKind::Restore { .. }));
-    let is_numbered = ["number", "base_number"].iter().any(|key| root.field(key).is_present());
+    let is_zone_change = matches!(
+        kind,
+        Some(ChangeKind::Evacuate { .. } | ChangeKind::Restore { .. })
+    );
+    let is_numbered = ["number", "base_number"]
+        .iter()
+        .any(|key| root.field(key).is_present());
     let numbering = if is_numbered {
         let number = root.field("number").number(0..=u64::MAX);
         let base_number = root.field("base_number").number(0..=u64::MAX);
-        number.zip(base_number).map(|(number, base_number)| Numbering { number, base_number })
+        number
+            .zip(base_number)
+            .map(|(number, base_number)| Numbering {
+                number,
+                base_number,
+            })
     } else {
         None
     };
@@ -272,9 +318,13 @@
     };
     let found_errors = errors.into_inner();
     match (kind, change) {
-        (Some(kind), Some(change)) if found_errors.is_empty() => {
-            Ok(Operation::Change { base, numbering, change: Some(change), kind, wait })
-        }
+        (Some(kind), Some(change)) if found_errors.is_empty() => Ok(Operation::Change {
+            base,
+            numbering,
+            change: Some(change),
+            kind,
+            wait,
+        }),
         _ => Err((422, invalid_body(&found_errors))),
     }
 }
--- a/crates/controlplane/src/drivers/operators.rs
+++ b/crates/controlplane/src/drivers/operators.rs
@@ -42,7 +42,10 @@
 }
 
 fn json_status_response(status: u16, body: &Value) -> HttpResponse {
-    json_response(StatusCode::from_u16(status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR), body)
+    json_response(
+        StatusCode::from_u16(status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR),
+        body,
+    )
 }
 
 /// Answers one request, and measures how long an order took.
@@ -52,11 +55,17 @@
     let path = request.uri().path().to_owned();
     let response = dispatch_request(shared.clone(), request).await;
     if is_command {
-        let (status, elapsed) =
-            (response.status().as_u16(), MonotonicTime::now().since(received_at));
+        let (status, elapsed) = (
+            response.status().as_u16(),
+            MonotonicTime::now().since(received_at),
+        );
         shared.metrics.observe_command(status, elapsed);
         let elapsed_ms = elapsed.as_millis();
-        log_event!(Info, events::OPERATION_ANSWERED, "{path}: {status} after {elapsed_ms} ms");
+        log_event!(
+            Info,
+            events::OPERATION_ANSWERED,
+            "{path}: {status} after {elapsed_ms} ms"
+        );
     }
     response
 }
@@ -66,12 +75,19 @@
     let adapter = shared.operators.clone();
     if head.method == Method::GET && head.uri.path() == adapter.readiness_path() {
         let is_ready = shared.has_leader.load(Ordering::Relaxed);
-        return json_status_response(if is_ready { 200 } else { 503 }, &json!({"ready": is_ready}));
+        return json_status_response(
+            if is_ready { 200 } else { 503 },
+            &json!({"ready": is_ready}),
+        );
     }
     let body = match read_body(incoming_body, MAX_BODY_BYTES, Duration::from_secs(10)).await {
         Ok(body) => body,
         Err(error) => {
-            let status = if matches!(error, BodyError::TooLarge) { 413 } else { 408 };
+            let status = if matches!(error, BodyError::TooLarge) {
+                413
+            } else {
+                408
+            };
             let body = json!({"error": "unreadable_body", "state": "not_accepted"});
             return json_status_response(status, &body);
         }
@@ -82,7 +98,10 @@
     };
     match operation {
         Operation::Events(first_number) => {
-            let following = head.uri.query().is_some_and(|query| query.contains("follow=true"));
+            let following = head
+                .uri
+                .query()
+                .is_some_and(|query| query.contains("follow=true"));
             return stream_events(shared, &head, first_number, following).await;
         }
         Operation::Metrics => {
@@ -94,9 +113,14 @@
     let received_at = MonotonicTime::now();
     let reply = loop {
         let Some(reply) = shared.submit_operation(operation.clone()).await else {
-            break OperationReply::Unknown { reason: Unavailable::Stopping, change: None };
+            break OperationReply::Unknown {
+                reason: Unavailable::Stopping,
+                change: None,
+            };
+        };
+        let OperationReply::Redirect(leader) = reply else {
+            break reply;
         };
-        let OperationReply::Redirect(leader) = reply else { break reply };
         let unreachable = match forward_to_leader(leader, &head, body.clone()).await {
             Ok(response) => return response,
             Err(reply) => reply,
@@ -122,7 +146,9 @@
     }
     let _permit = shared.large_request_permits.acquire().await;
     let writing = tokio::task::spawn_blocking(move || adapter.write_response(&operation, reply));
-    writing.await.unwrap_or_else(|_| json_status_response(503, &json!({"error": "stopping"})))
+    writing
+        .await
+        .unwrap_or_else(|_| json_status_response(503, &json!({"error": "stopping"})))
 }
 
 /// Reads an order. A long one takes its time on a thread of its own: rounds and votes must not wait for it.
@@ -144,7 +170,9 @@
         read.map(|operation| prepare_operation(&reader, operation))
     });
     let stopping = || json!({"error": "stopping", "state": "not_accepted"});
-    reading.await.unwrap_or_else(|_| Err(Box::new(json_status_response(503, &stopping()))))
+    reading
+        .await
+        .unwrap_or_else(|_| Err(Box::new(json_status_response(503, &stopping()))))
 }
 
 /// An operation, at a leader with what takes long about its content done before it reaches the controller's loop: the
@@ -154,24 +182,44 @@
     if !*shared.leadership.borrow() {
         return operation;
     }
-    let Operation::Change { base, numbering, change, kind, wait } = operation else {
+    let Operation::Change {
+        base,
+        numbering,
+        change,
+        kind,
+        wait,
+    } = operation
+    else {
         return operation;
     };
     if kind.is_zone_change() {
-        return Operation::Change { base, numbering, change, kind, wait };
+        return Operation::Change {
+            base,
+            numbering,
+            change,
+            kind,
+            wait,
+        };
     }
     let change = change.unwrap_or_else(|| derive_change_id(base, numbering, &kind));
     let kind = match kind {
         ChangeKind::FullSpec(spec) => ChangeKind::FullSpec(prepare_spec(shared, spec)),
         other => other,
     };
-    Operation::Change { base, numbering, change: Some(change), kind, wait }
+    Operation::Change {
+        base,
+        numbering,
+        change: Some(change),
+        kind,
+        wait,
+    }
 }
 
 fn prepare_spec(shared: &Shared, spec: SpecRecords) -> SpecRecords {
     let newest_spec = shared.newest_spec.load();
-    let spec =
-        newest_spec.as_ref().map_or(spec.clone(), |newest| spec.sharing_records_with(newest));
+    let spec = newest_spec
+        .as_ref()
+        .map_or(spec.clone(), |newest| spec.sharing_records_with(newest));
     // The loop asks again, and finds every record checked and digested.
     let _ = spec.check();
     let _ = spec.digest();
@@ -183,22 +231,32 @@
     head: &Parts,
     body: Bytes,
 ) -> Result<HttpResponse, OperationReply> {
-    let not_accepted = |reason| OperationReply::NotAccepted { reason, change: None };
+    let not_accepted = |reason| OperationReply::NotAccepted {
+        reason,
+        change: None,
+    };
     if head.headers.contains_key(FORWARDED_HEADER) {
         return Err(not_accepted(Unavailable::NoLeader));
     }
-    let target = head.uri.path_and_query().map_or("/", |path_and_query| path_and_query.as_str());
+    let target = head
+        .uri
+        .path_and_query()
+        .map_or("/", |path_and_query| path_and_query.as_str());
     let mut forwarded_request = Request::new(Full::new(body));
     *forwarded_request.method_mut() = head.method.clone();
-    *forwarded_request.uri_mut() =
-        target.parse().map_err(|_| not_accepted(Unavailable::BadRequest))?;
+    *forwarded_request.uri_mut() = target
+        .parse()
+        .map_err(|_| not_accepted(Unavailable::BadRequest))?;
     let headers = forwarded_request.headers_mut();
     *headers = head.headers.clone();
     for hop_header in [CONNECTION, TRANSFER_ENCODING, CONTENT_LENGTH, EXPECT] {
         headers.remove(hop_header);
     }
     let host = HeaderValue::from_str(&leader.to_string());
-    headers.insert(HOST, host.map_err(|_| not_accepted(Unavailable::BadRequest))?);
+    headers.insert(
+        HOST,
+        host.map_err(|_| not_accepted(Unavailable::BadRequest))?,
+    );
     headers.insert(FORWARDED_HEADER, HeaderValue::from_static("1"));
     let connecting = http::connect(leader, FORWARD_CONNECT_TIMEOUT).await;
     let unreachable = |_| not_accepted(Unavailable::LeaderUnreachable);
@@ -216,7 +274,10 @@
         Err(error) if error.is_certainly_unsent() => {
             Err(not_accepted(Unavailable::LeaderUnreachable))
         }
-        Err(_) => Err(OperationReply::Unknown { reason: Unavailable::LeaderLost, change: None }),
+        Err(_) => Err(OperationReply::Unknown {
+            reason: Unavailable::LeaderLost,
+            change: None,
+        }),
     }
 }
 
@@ -226,14 +287,19 @@
     first_number: u64,
     following: bool,
 ) -> HttpResponse {
-    let first_batch = match shared.submit_operation(Operation::Events(first_number)).await {
+    let first_batch = match shared
+        .submit_operation(Operation::Events(first_number))
+        .await
+    {
         None => return json_status_response(503, &json!({"error": "stopping"})),
         Some(OperationReply::Redirect(leader)) => {
             if head.headers.contains_key(FORWARDED_HEADER) {
                 return json_status_response(503, &json!({"error": "no_leader"}));
             }
-            let target =
-                head.uri.path_and_query().map_or("/", |path_and_query| path_and_query.as_str());
+            let target = head
+                .uri
+                .path_and_query()
+                .map_or("/", |path_and_query| path_and_query.as_str());
             let mut response = json_status_response(307, &json!({"leader": leader.to_string()}));
             let location = format!("http://{leader}{target}");
             if let Ok(location_value) = HeaderValue::from_str(&location) {
@@ -243,7 +309,9 @@
         }
         Some(OperationReply::StatusAndBody(200, batch)) => batch,
         Some(reply) => {
-            return shared.operators.write_response(&Operation::Events(first_number), reply);
+            return shared
+                .operators
+                .write_response(&Operation::Events(first_number), reply);
         }
     };
     let (chunk_sender, chunks) = mpsc::channel::<Bytes>(64);
@@ -254,7 +322,10 @@
         loop {
             let listed_events = batch.as_array().cloned().unwrap_or_default();
             for listed_event in &listed_events {
-                let number = listed_event.get("number").and_then(Value::as_u64).unwrap_or(0);
+                let number = listed_event
+                    .get("number")
+                    .and_then(Value::as_u64)
+                    .unwrap_or(0);
                 next_event_number = next_event_number.max(number + 1);
                 let line = Bytes::from(format!("{listed_event}\n"));
                 if chunk_sender.send(line).await.is_err() {
@@ -270,13 +341,19 @@
                     () = chunk_sender.closed() => return,
                 }
             }
-            match shared.submit_operation(Operation::Events(next_event_number.max(1))).await {
+            match shared
+                .submit_operation(Operation::Events(next_event_number.max(1)))
+                .await
+            {
                 Some(OperationReply::StatusAndBody(200, next_batch)) => batch = next_batch,
                 _ => return,
             }
         }
     });
     let mut response = Response::new(stream_body(chunks));
-    response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/x-ndjson"));
+    response.headers_mut().insert(
+        CONTENT_TYPE,
+        HeaderValue::from_static("application/x-ndjson"),
+    );
     response
 }
--- a/crates/controlplane/src/drivers/peer_links.rs
+++ b/crates/controlplane/src/drivers/peer_links.rs
@@ -20,7 +20,10 @@
 impl PeerLinks {
     /// No links yet.
     pub fn new(own_ip: Ipv4Addr) -> Self {
-        Self { own_ip, senders: HashMap::new() }
+        Self {
+            own_ip,
+            senders: HashMap::new(),
+        }
     }
 
     /// Sends a frame, or drops it.
--- a/crates/controlplane/src/drivers/platform.rs
+++ b/crates/controlplane/src/drivers/platform.rs
@@ -34,19 +34,30 @@
 
 async fn read_workers(shared: &Shared) -> Option<()> {
     let listed_workers = shared.platform.workers().await?;
-    shared.inputs.send(ControllerInput::Workers(listed_workers)).await.ok()
+    shared
+        .inputs
+        .send(ControllerInput::Workers(listed_workers))
+        .await
+        .ok()
 }
 
 async fn read_runners(shared: &Shared) -> Option<()> {
     let sent_at = MonotonicTime::now();
     let list = shared.platform.runners().await?;
-    shared.inputs.send(ControllerInput::Runners(sent_at - list.age, list.runners)).await.ok()
+    shared
+        .inputs
+        .send(ControllerInput::Runners(sent_at - list.age, list.runners))
+        .await
+        .ok()
 }
 
 /// Has the platform stop a runner; only a clear yes counts.
 pub async fn stop_runner(shared: Arc<Shared>, order: StopOrder) {
     let runner = order.runner;
     if shared.platform.stop(order).await {
-        let _ = shared.inputs.send(ControllerInput::RunnerStopped(runner)).await;
+        let _ = shared
+            .inputs
+            .send(ControllerInput::RunnerStopped(runner))
+            .await;
     }
 }
--- a/crates/controlplane/src/drivers/queue.rs
+++ b/crates/controlplane/src/drivers/queue.rs
@@ -104,7 +104,10 @@
 
 impl QueuedInput {
     fn now(input: ControllerInput) -> Self {
-        Self { input, queued_at: MonotonicTime::now() }
+        Self {
+            input,
+            queued_at: MonotonicTime::now(),
+        }
     }
 }
 
@@ -117,19 +120,26 @@
 
 impl InputSender {
     fn lane(&self, input: &ControllerInput) -> &mpsc::Sender<QueuedInput> {
-        if InputKind::of(input).is_leadership() { &self.leadership } else { &self.ordinary }
+        if InputKind::of(input).is_leadership() {
+            &self.leadership
+        } else {
+            &self.ordinary
+        }
     }
 
     /// Queues an input; waits while its lane is full.
     pub async fn send(&self, input: ControllerInput) -> Result<(), QueueClosed> {
         let lane = self.lane(&input);
-        lane.send(QueuedInput::now(input)).await.map_err(|_| QueueClosed)
+        lane.send(QueuedInput::now(input))
+            .await
+            .map_err(|_| QueueClosed)
     }
 
     /// The same from a thread that may block.
     pub fn blocking_send(&self, input: ControllerInput) -> Result<(), QueueClosed> {
         let lane = self.lane(&input);
-        lane.blocking_send(QueuedInput::now(input)).map_err(|_| QueueClosed)
+        lane.blocking_send(QueuedInput::now(input))
+            .map_err(|_| QueueClosed)
     }
 
     /// Queues an input if its lane has room; whether it had.
@@ -162,8 +172,18 @@
 pub fn input_queue() -> (InputSender, InputQueue) {
     let (leadership_sender, leadership) = mpsc::channel(LEADERSHIP_CAPACITY);
     let (ordinary_sender, ordinary) = mpsc::channel(ORDINARY_CAPACITY);
-    let sender = InputSender { leadership: leadership_sender, ordinary: ordinary_sender };
-    (sender, InputQueue { leadership, ordinary, last_was_tick: false })
+    let sender = InputSender {
+        leadership: leadership_sender,
+        ordinary: ordinary_sender,
+    };
+    (
+        sender,
+        InputQueue {
+            leadership,
+            ordinary,
+            last_was_tick: false,
+        },
+    )
 }
 
 impl InputQueue {
--- a/crates/controlplane/src/drivers/streams.rs
+++ b/crates/controlplane/src/drivers/streams.rs
@@ -57,7 +57,12 @@
                     Err(error) => break error,
                 };
                 sender_address = Some(frame.address);
-                if shared.inputs.send(ControllerInput::Consensus(frame)).await.is_err() {
+                if shared
+                    .inputs
+                    .send(ControllerInput::Consensus(frame))
+                    .await
+                    .is_err()
+                {
                     return Ok(());
                 }
             };
@@ -80,7 +85,10 @@
                 .await;
         match probe_result {
             Ok(Err(error)) if is_refusal(error.kind()) => {
-                let _ = shared.inputs.send(ControllerInput::ProcessGone(address)).await;
+                let _ = shared
+                    .inputs
+                    .send(ControllerInput::ProcessGone(address))
+                    .await;
                 return;
             }
             Ok(Ok(_)) => tokio::time::sleep(PROCESS_PROBE_INTERVAL).await,
@@ -90,7 +98,10 @@
 }
 
 fn is_refusal(kind: ErrorKind) -> bool {
-    matches!(kind, ErrorKind::ConnectionRefused | ErrorKind::ConnectionReset)
+    matches!(
+        kind,
+        ErrorKind::ConnectionRefused | ErrorKind::ConnectionReset
+    )
 }
 
 async fn serve_stream(stream: TcpStream, shared: &Arc<Shared>) -> Result<(), FrameError> {
@@ -105,7 +116,12 @@
         loop {
             let frame: DaemonToLeader = read_frame(&mut reader).await?;
             shared.metrics.frames_up.inc();
-            if shared.inputs.send(ControllerInput::Stream(stream_id, frame)).await.is_err() {
+            if shared
+                .inputs
+                .send(ControllerInput::Stream(stream_id, frame))
+                .await
+                .is_err()
+            {
                 return Ok::<(), FrameError>(());
             }
         }
@@ -136,6 +152,9 @@
     if let Ok(mut open_streams) = shared.streams.lock() {
         open_streams.remove(&stream_id);
     }
-    let _ = shared.inputs.send(ControllerInput::StreamLost(stream_id)).await;
+    let _ = shared
+        .inputs
+        .send(ControllerInput::StreamLost(stream_id))
+        .await;
     ended
 }
--- a/crates/controlplane/src/leader_state/claims.rs
+++ b/crates/controlplane/src/leader_state/claims.rs
@@ -14,7 +14,9 @@
         stream: StreamId,
         claims: Vec<Claim>,
     ) {
-        let Some(claimant) = self.streams.get(&stream).cloned() else { return };
+        let Some(claimant) = self.streams.get(&stream).cloned() else {
+            return;
+        };
         let (released_claims, claims): (Vec<Claim>, Vec<Claim>) =
             claims.into_iter().partition(|claim| claim.is_releasing.0);
         let claimed_functions: BTreeSet<FunctionKey> =
@@ -64,7 +66,8 @@
         }
         let held_runners = self.runners_of(claimant);
         for runner in &held_runners {
-            self.reservations.update(*runner, |reservation| reservation.draining = false);
+            self.reservations
+                .update(*runner, |reservation| reservation.draining = false);
         }
         self.hand_over_if_evacuated(held_functions);
         self.drain_if_worker_unusable(held_runners);
@@ -117,7 +120,8 @@
                 self.reservations.note_started(listed.runner, instance, now);
             }
             if listed.is_adoptable.0 {
-                self.reservations.update(listed.runner, |reservation| reservation.ready = true);
+                self.reservations
+                    .update(listed.runner, |reservation| reservation.ready = true);
             } else {
                 self.reservations.want_stop(listed.runner);
             }
@@ -149,8 +153,11 @@
             if let Some(superseded_stream) = superseded_record.and_then(|record| record.stream) {
                 self.send_frame(superseded_stream, frame);
             }
-            let superseded_runners: Vec<RunnerId> =
-                self.reservations.all_of(&claim.function).map(|(runner, _)| runner).collect();
+            let superseded_runners: Vec<RunnerId> = self
+                .reservations
+                .all_of(&claim.function)
+                .map(|(runner, _)| runner)
+                .collect();
             for superseded_runner in superseded_runners {
                 self.reservations.want_stop(superseded_runner);
             }
@@ -204,8 +211,9 @@
                 self.reservations.note_started(listed.runner, instance, now);
             }
             if is_new || listed.is_adoptable.0 {
-                self.reservations
-                    .update(listed.runner, |reservation| reservation.ready = listed.is_adoptable.0);
+                self.reservations.update(listed.runner, |reservation| {
+                    reservation.ready = listed.is_adoptable.0
+                });
             }
         }
     }
--- a/crates/controlplane/src/leader_state/document_delivery.rs
+++ b/crates/controlplane/src/leader_state/document_delivery.rs
@@ -49,7 +49,11 @@
         let mut earlier_views = std::mem::take(&mut self.earlier_views);
         earlier_views.retain(|earlier| earlier.version < view.version);
         self.views.extend(earlier_views);
-        if self.views.back().is_none_or(|newest_view| newest_view.version < view.version) {
+        if self
+            .views
+            .back()
+            .is_none_or(|newest_view| newest_view.version < view.version)
+        {
             self.views.push_back(view);
             self.delta_frames.clear();
             self.full_spec_cache = None;
@@ -91,9 +95,15 @@
     }
 
     pub(super) fn push_newest(&mut self, stream: StreamId) {
-        let Some(newest_view) = self.views.back() else { return };
-        let Some(known_member) = self.streams.get(&stream) else { return };
-        let Some(record) = self.members.get_mut(known_member) else { return };
+        let Some(newest_view) = self.views.back() else {
+            return;
+        };
+        let Some(known_member) = self.streams.get(&stream) else {
+            return;
+        };
+        let Some(record) = self.members.get_mut(known_member) else {
+            return;
+        };
         if record.pushed >= newest_view.version {
             return;
         }
@@ -104,7 +114,9 @@
                 let cached_frame = self.delta_frames.entry(base_version);
                 cached_frame.or_insert_with(|| spec_delta_frame(base, newest_view))
             }
-            None => self.full_spec_cache.get_or_insert_with(|| full_spec_frame(newest_view)),
+            None => self
+                .full_spec_cache
+                .get_or_insert_with(|| full_spec_frame(newest_view)),
         };
         let frame = frame.clone();
         record.pushed = newest_view.version;
@@ -120,8 +132,10 @@
 
     pub(super) fn push_full_document(&mut self, stream: StreamId) {
         if let Some(newest_view) = self.views.back() {
-            let frame =
-                self.full_spec_cache.get_or_insert_with(|| full_spec_frame(newest_view)).clone();
+            let frame = self
+                .full_spec_cache
+                .get_or_insert_with(|| full_spec_frame(newest_view))
+                .clone();
             self.send_frame(stream, frame);
         }
     }
@@ -148,8 +162,11 @@
 
     /// Asks holders in evacuated zones for their functions, and drains runners there.
     pub(super) fn hand_over_evacuated(&mut self) {
-        let held_functions =
-            self.lease_records.iter().map(|(function, _)| function.clone()).collect();
+        let held_functions = self
+            .lease_records
+            .iter()
+            .map(|(function, _)| function.clone())
+            .collect();
         self.hand_over_if_evacuated(held_functions);
         self.drain_from_unusable_workers();
     }
@@ -160,24 +177,40 @@
             return;
         }
         for function in functions {
-            let Some(entry) = self.lease_records.get_mut(&function) else { continue };
+            let Some(entry) = self.lease_records.get_mut(&function) else {
+                continue;
+            };
             if entry.handing_over || entry.fencing_since.is_some() {
                 continue;
             }
-            let Some(record) = self.members.get(&entry.holder) else { continue };
-            let Some(stream) = record.stream else { continue };
+            let Some(record) = self.members.get(&entry.holder) else {
+                continue;
+            };
+            let Some(stream) = record.stream else {
+                continue;
+            };
             if !self.table.is_evacuated(&record.host.zone) {
                 continue;
             }
             entry.handing_over = true;
             let fencing_token = entry.fencing_token;
-            self.send_frame(stream, LeaderToDaemon::HandOver { function, fencing_token });
+            self.send_frame(
+                stream,
+                LeaderToDaemon::HandOver {
+                    function,
+                    fencing_token,
+                },
+            );
         }
     }
 
     /// Tells holders to drain runners whose worker is draining, gone or evacuated.
     pub(super) fn drain_from_unusable_workers(&mut self) {
-        let runners = self.reservations.iter().map(|(runner, _)| *runner).collect();
+        let runners = self
+            .reservations
+            .iter()
+            .map(|(runner, _)| *runner)
+            .collect();
         self.drain_if_worker_unusable(runners);
     }
 
@@ -187,7 +220,9 @@
             return;
         }
         for runner in runners {
-            let Some(held) = self.reservations.get(runner) else { continue };
+            let Some(held) = self.reservations.get(runner) else {
+                continue;
+            };
             if !held.draining && !self.is_worker_usable(&held.worker) {
                 let function = held.function.clone();
                 self.drain(function, runner);
@@ -197,7 +232,9 @@
 
     /// Tells the holder to drain a runner that the platform says is about to leave.
     pub(super) fn drain_leaving(&mut self, runner: RunnerId) {
-        let Some(held) = self.reservations.get(runner) else { return };
+        let Some(held) = self.reservations.get(runner) else {
+            return;
+        };
         if !held.draining && self.rules.enforces(Rule::DrainObeyed) {
             let function = held.function.clone();
             self.drain(function, runner);
@@ -205,17 +242,26 @@
     }
 
     pub(super) fn drain(&mut self, function: FunctionKey, runner: RunnerId) {
-        if self.reservations.get(runner).is_some_and(|held| held.is_orphaned()) {
+        if self
+            .reservations
+            .get(runner)
+            .is_some_and(|held| held.is_orphaned())
+        {
             self.reservations.want_stop(runner);
             return;
         }
-        let Some(entry) = self.lease_records.get(&function) else { return };
+        let Some(entry) = self.lease_records.get(&function) else {
+            return;
+        };
         if entry.fencing_token != runner.fencing_token {
             return;
         }
         let holder_record = self.members.get(&entry.holder);
-        let Some(stream) = holder_record.and_then(|record| record.stream) else { return };
-        self.reservations.update(runner, |held| held.draining = true);
+        let Some(stream) = holder_record.and_then(|record| record.stream) else {
+            return;
+        };
+        self.reservations
+            .update(runner, |held| held.draining = true);
         self.send_frame(stream, LeaderToDaemon::Drain { function, runner });
     }
 
@@ -257,5 +303,8 @@
 }
 
 fn full_spec_frame(view: &DaemonView) -> LeaderToDaemon {
-    LeaderToDaemon::Spec { version: view.version, document: compress(&view.to_bytes()) }
+    LeaderToDaemon::Spec {
+        version: view.version,
+        document: compress(&view.to_bytes()),
+    }
 }
--- a/crates/controlplane/src/leader_state/fence.rs
+++ b/crates/controlplane/src/leader_state/fence.rs
@@ -57,7 +57,8 @@
             if let Some(record) = self.members.get_mut(&lost_member) {
                 record.swept = true;
                 let lease_end = record.lease_expiry_bound;
-                self.lease_records.set_lost_lease_end(&lost_member, lease_end);
+                self.lease_records
+                    .set_lost_lease_end(&lost_member, lease_end);
             }
             self.fence_all_held_by(now, &lost_member);
         }
@@ -81,7 +82,9 @@
             .collect();
         for held_function in held_functions {
             self.begin_fencing(now, &held_function);
-            let Some(entry) = self.lease_records.get(&held_function) else { continue };
+            let Some(entry) = self.lease_records.get(&held_function) else {
+                continue;
+            };
             let detail = json!({
                 "function": held_function.to_string(),
                 "member": entry.holder.member.as_str(),
@@ -93,7 +96,9 @@
 
     /// The holder has lost the function: each of its runners is left as it stands, or stopped.
     pub(super) fn begin_fencing(&mut self, now: MonotonicTime, function: &FunctionKey) {
-        let Some(entry) = self.lease_records.get_mut(function) else { return };
+        let Some(entry) = self.lease_records.get_mut(function) else {
+            return;
+        };
         if entry.fencing_since.is_some() {
             return;
         }
@@ -117,7 +122,9 @@
 
     /// A runner that nobody holds is left for the next holder if it is fit to be taken over.
     pub(super) fn orphan_or_stop(&mut self, now: MonotonicTime, runner: RunnerId) {
-        let Some(reservation) = self.reservations.get(runner) else { return };
+        let Some(reservation) = self.reservations.get(runner) else {
+            return;
+        };
         let is_wanted = self.table.function_of(&reservation.function).is_some();
         let is_on_usable_worker =
             !self.workers_listed || self.is_worker_usable(&reservation.worker);
@@ -179,18 +186,24 @@
 
     fn order_stops(&mut self, now: MonotonicTime) {
         for due_runner in self.reservations.take_due_stops() {
-            self.reservations
-                .update(due_runner, |reservation| reservation.stop_asked_at = Some(now));
-            let Some(reservation) = self.reservations.get(due_runner) else { continue };
-            let member = self
-                .lease_records
-                .get(&reservation.function)
-                .map_or_else(|| MemberName::from("leader"), |entry| entry.holder.member.clone());
+            self.reservations.update(due_runner, |reservation| {
+                reservation.stop_asked_at = Some(now)
+            });
+            let Some(reservation) = self.reservations.get(due_runner) else {
+                continue;
+            };
+            let member = self.lease_records.get(&reservation.function).map_or_else(
+                || MemberName::from("leader"),
+                |entry| entry.holder.member.clone(),
+            );
             self.outputs.push(LeaderOutput::StopRunner(StopOrder {
                 runner: due_runner,
                 function: reservation.function.clone(),
                 worker: reservation.worker.clone(),
-                instance: reservation.instance.as_ref().map(|instance| instance.name.clone()),
+                instance: reservation
+                    .instance
+                    .as_ref()
+                    .map(|instance| instance.name.clone()),
                 member,
             }));
         }
@@ -208,9 +221,12 @@
             .filter_map(|function| {
                 let entry = self.lease_records.get(function)?;
                 let has_unfinished_runners =
-                    self.reservations.all_of(function).any(|(runner, reservation)| {
-                        runner.fencing_token == entry.fencing_token && !reservation.is_orphaned()
-                    });
+                    self.reservations
+                        .all_of(function)
+                        .any(|(runner, reservation)| {
+                            runner.fencing_token == entry.fencing_token
+                                && !reservation.is_orphaned()
+                        });
                 let is_complete = !has_unfinished_runners || !needs_stops;
                 is_complete.then(|| (function.clone(), entry.fencing_since.unwrap_or(now)))
             })
@@ -243,7 +259,9 @@
 
     /// A runner is gone without its holder's doing: the holder is told, and the reservation is free.
     pub(super) fn runner_vanished(&mut self, runner: RunnerId) {
-        let Some(reservation) = self.reservations.get(runner) else { return };
+        let Some(reservation) = self.reservations.get(runner) else {
+            return;
+        };
         let function = reservation.function.clone();
         let detail = json!({
             "function": function.to_string(),
--- a/crates/controlplane/src/leader_state/function_leases.rs
+++ b/crates/controlplane/src/leader_state/function_leases.rs
@@ -49,7 +49,10 @@
     /// Puts an entry in the place of what stood for its function.
     pub fn insert(&mut self, function: FunctionKey, entry: LeaseRecord) {
         self.remove(&function);
-        self.by_holder.entry(entry.holder.clone()).or_default().insert(function.clone());
+        self.by_holder
+            .entry(entry.holder.clone())
+            .or_default()
+            .insert(function.clone());
         self.by_function.insert(function, entry);
     }
 
@@ -75,7 +78,12 @@
 
     /// The functions of one holder.
     pub fn functions_of(&self, holder: &KnownMember) -> Vec<FunctionKey> {
-        self.by_holder.get(holder).into_iter().flatten().cloned().collect()
+        self.by_holder
+            .get(holder)
+            .into_iter()
+            .flatten()
+            .cloned()
+            .collect()
     }
 
     /// A holder was lost; its lease has surely ended at that moment.
--- a/crates/controlplane/src/leader_state/functions.rs
+++ b/crates/controlplane/src/leader_state/functions.rs
@@ -41,8 +41,20 @@
                 self.keep_pending(now, acquisition);
                 continue;
             };
-            let PendingAcquisition { stream, correlation, function, .. } = acquisition;
-            self.send_frame(stream, LeaderToDaemon::Acquired { correlation, function, result });
+            let PendingAcquisition {
+                stream,
+                correlation,
+                function,
+                ..
+            } = acquisition;
+            self.send_frame(
+                stream,
+                LeaderToDaemon::Acquired {
+                    correlation,
+                    function,
+                    result,
+                },
+            );
         }
     }
 
@@ -58,7 +70,11 @@
             let (correlation, function) = (acquisition.correlation, acquisition.function.clone());
             self.send_frame(
                 acquisition.stream,
-                LeaderToDaemon::Acquired { correlation, function, result },
+                LeaderToDaemon::Acquired {
+                    correlation,
+                    function,
+                    result,
+                },
             );
         }
         self.pending_acquisitions.push(acquisition);
@@ -93,8 +109,9 @@
             return None;
         };
         let wait_span = due_at.since(now);
-        (wait_span > MIN_ANNOUNCED_WAIT)
-            .then_some(AcquireResult::RetryLater { wait_ms: wait_span.as_millis() as u32 })
+        (wait_span > MIN_ANNOUNCED_WAIT).then_some(AcquireResult::RetryLater {
+            wait_ms: wait_span.as_millis() as u32,
+        })
     }
 
     /// Names the owner, also while the claims quorum is waited for; grants only when that stands.
@@ -125,8 +142,9 @@
                 && now < holder_record.lease_expires_at
                 && now.since(holder_record.last_heard_at) < STALE_HOLDER_AFTER
                 && holder_record.is_self_eligible;
-            return is_answerable
-                .then(|| AcquireResult::Owner { host: holder_record.host.clone() });
+            return is_answerable.then(|| AcquireResult::Owner {
+                host: holder_record.host.clone(),
+            });
         }
         if !self.opened {
             return None;
@@ -140,10 +158,17 @@
         }
         if self.table.function_of(&acquisition.function).is_none() {
             let installed = self.members.get(&requester).map(|record| record.installed);
-            let newest = self.document.as_ref().map(|document| document.view_version());
+            let newest = self
+                .document
+                .as_ref()
+                .map(|document| document.view_version());
             return (installed <= newest).then_some(AcquireResult::Rejected);
         }
-        if !self.members.get(&requester).is_some_and(|record| record.host.eligible.0) {
+        if !self
+            .members
+            .get(&requester)
+            .is_some_and(|record| record.host.eligible.0)
+        {
             return Some(AcquireResult::Rejected);
         }
         if !self.is_serving(&requester, now) || self.waits_for_wide_link_requester(now, acquisition)
@@ -162,10 +187,17 @@
         self.check_claims_quorum(now, &acquisition.function);
         let fencing_token = self.next_fencing_token();
         let is_recorded = self.is_recorded(&acquisition.function);
-        let once_allowed_from =
-            self.once_allowed_from.get(&acquisition.function).copied().unwrap_or_default();
+        let once_allowed_from = self
+            .once_allowed_from
+            .get(&acquisition.function)
+            .copied()
+            .unwrap_or_default();
         let once_safe_from = once_allowed_from.max(self.once_safe_from(&acquisition.function));
-        let once_wait = if is_recorded { once_safe_from.since(now) } else { Duration::ZERO };
+        let once_wait = if is_recorded {
+            once_safe_from.since(now)
+        } else {
+            Duration::ZERO
+        };
         let adopted = self.adopt_orphans(&acquisition.function, fencing_token);
         self.record_event(
             events::LEASE_GRANTED,
@@ -196,7 +228,8 @@
             replica: replica.clone(),
             complete: once_wait.is_zero(),
         };
-        self.lease_records.insert(acquisition.function.clone(), entry);
+        self.lease_records
+            .insert(acquisition.function.clone(), entry);
         Some(AcquireResult::Granted {
             fencing_token,
             once_wait_ms: once_wait.as_millis() as u32,
@@ -211,14 +244,19 @@
     fn check_claims_quorum(&self, now: MonotonicTime, function: &FunctionKey) {
         let has_waited = now >= self.elected_at + self.timing.claims_wait;
         let is_awaited = self.all_claimed || has_waited || self.inherits_no_functions;
-        require(self.rules, Invariant::GrantedAfterClaims, is_awaited, || {
-            format!("{function} is granted before the claims quorum stands")
-        });
+        require(
+            self.rules,
+            Invariant::GrantedAfterClaims,
+            is_awaited,
+            || format!("{function} is granted before the claims quorum stands"),
+        );
     }
 
     /// Whether a function's once-transactions are noted elsewhere and waited for.
     fn is_recorded(&self, function: &FunctionKey) -> bool {
-        self.table.index_of(function).is_none_or(|index| self.table.is_recorded(index))
+        self.table
+            .index_of(function)
+            .is_none_or(|index| self.table.is_recorded(index))
     }
 
     /// A function whose ledger has come to be wanted gets a steward.
@@ -236,7 +274,9 @@
         for (function, fencing_token, holder) in functions_without_replica {
             let stream = self.members.get(&holder).and_then(|record| record.stream);
             let replica = self.choose_replica(now, &function, &holder, None);
-            let (Some(stream), Some(replica)) = (stream, replica) else { continue };
+            let (Some(stream), Some(replica)) = (stream, replica) else {
+                continue;
+            };
             if let Some(entry) = self.lease_records.get_mut(&function) {
                 entry.replica = Some(replica.clone());
                 entry.complete = false;
@@ -244,7 +284,11 @@
             let replica = LengthPrefixed(vec![replica]);
             self.send_frame(
                 stream,
-                LeaderToDaemon::ReplicaAssigned { function, fencing_token, replica },
+                LeaderToDaemon::ReplicaAssigned {
+                    function,
+                    fencing_token,
+                    replica,
+                },
             );
         }
     }
@@ -274,7 +318,9 @@
     fn check_unknown_keys(&mut self, function: &FunctionKey) -> bool {
         let unknown_runners = self.reservations.with_unknown_key(function);
         let orphaned_runners = unknown_runners.iter().filter(|runner| {
-            self.reservations.get(**runner).is_some_and(|reservation| reservation.is_orphaned())
+            self.reservations
+                .get(**runner)
+                .is_some_and(|reservation| reservation.is_orphaned())
         });
         for orphaned_runner in orphaned_runners.copied().collect::<Vec<RunnerId>>() {
             self.reservations.want_stop(orphaned_runner);
@@ -297,11 +343,15 @@
         let is_once = self.rules.enforces(Rule::InstanceAdoptedOnce);
         let mut adopted = Vec::new();
         for orphaned_runner in orphaned_runners {
-            let runner = RunnerId { fencing_token, ordinal: self.next_fencing_token().0 };
+            let runner = RunnerId {
+                fencing_token,
+                ordinal: self.next_fencing_token().0,
+            };
             if is_once {
                 self.reservations.adopt(orphaned_runner, runner);
             } else {
-                self.reservations.adopt_without_transfer(orphaned_runner, runner);
+                self.reservations
+                    .adopt_without_transfer(orphaned_runner, runner);
             }
             if let Some(reservation) = self.reservations.get(runner) {
                 adopted.push(reservation.as_claim(runner));
@@ -320,7 +370,9 @@
         fencing_token: FencingToken,
         runners: LengthPrefixed<ClaimedRunner>,
     ) {
-        let Some(releaser) = self.streams.get(&stream).cloned() else { return };
+        let Some(releaser) = self.streams.get(&stream).cloned() else {
+            return;
+        };
         let is_holder = self
             .lease_records
             .get(&function)
@@ -351,22 +403,35 @@
         let ended_lease = self.lease_records.remove(function);
         let lease_end = ended_lease.as_ref().and_then(|entry| entry.lost_lease_end);
         let has_lease_ended = lease_end.is_none_or(|lease_end| now >= lease_end);
-        require(self.rules, Invariant::GrantedAfterLease, has_lease_ended, || {
-            format!("{function} is free for the next grant before its holder's lease has ended")
-        });
-        let previous_lease = ended_lease.filter(|entry| entry.complete).and_then(|entry| {
-            let fencing_token = entry.fencing_token;
-            entry.replica.map(|replica| PreviousLease { replica, fencing_token })
-        });
+        require(
+            self.rules,
+            Invariant::GrantedAfterLease,
+            has_lease_ended,
+            || format!("{function} is free for the next grant before its holder's lease has ended"),
+        );
+        let previous_lease = ended_lease
+            .filter(|entry| entry.complete)
+            .and_then(|entry| {
+                let fencing_token = entry.fencing_token;
+                entry.replica.map(|replica| PreviousLease {
+                    replica,
+                    fencing_token,
+                })
+            });
         match previous_lease {
-            Some(previous_lease) => self.previous_leases.insert(function.clone(), previous_lease),
+            Some(previous_lease) => self
+                .previous_leases
+                .insert(function.clone(), previous_lease),
             None => self.previous_leases.remove(function),
         };
         let once_allowed_from = lease_expires_at + self.longest_delay();
-        self.once_allowed_from.insert(function.clone(), once_allowed_from);
-        self.once_allowed_from.retain(|_, retained_until| *retained_until > now);
+        self.once_allowed_from
+            .insert(function.clone(), once_allowed_from);
+        self.once_allowed_from
+            .retain(|_, retained_until| *retained_until > now);
         let once_allowed_from = &self.once_allowed_from;
-        self.previous_leases.retain(|remaining, _| once_allowed_from.contains_key(remaining));
+        self.previous_leases
+            .retain(|remaining, _| once_allowed_from.contains_key(remaining));
     }
 
     pub(super) fn handle_runner_status(
@@ -377,14 +442,17 @@
         runner_status: RunnerStatus,
     ) {
         let current_name = self.reservations.current_name(runner);
-        let Some(reservation) = self.reservations.get(current_name) else { return };
+        let Some(reservation) = self.reservations.get(current_name) else {
+            return;
+        };
         if reservation.function != *function {
             return;
         }
         match runner_status {
             RunnerStatus::Ready => {
                 let worker = reservation.worker.to_string();
-                self.reservations.update(current_name, |reservation| reservation.ready = true);
+                self.reservations
+                    .update(current_name, |reservation| reservation.ready = true);
                 self.record_event(
                     events::RUNNER_READY,
                     json!({
@@ -397,7 +465,8 @@
             RunnerStatus::Gone if current_name != runner => self.runner_vanished(current_name),
             RunnerStatus::Gone => {
                 if reservation.instance.is_none() && !reservation.stop_wanted {
-                    self.start_refused_at.insert(reservation.worker.clone(), now);
+                    self.start_refused_at
+                        .insert(reservation.worker.clone(), now);
                 }
                 self.runner_stopped(runner);
             }
@@ -417,7 +486,9 @@
         count: u32,
         reason: RequestFailureReason,
     ) {
-        let Some(known_member) = self.streams.get(&stream) else { return };
+        let Some(known_member) = self.streams.get(&stream) else {
+            return;
+        };
         let detail = json!({
             "function": function.to_string(),
             "member": known_member.member.as_str(),
--- a/crates/controlplane/src/leader_state/ledger_replicas.rs
+++ b/crates/controlplane/src/leader_state/ledger_replicas.rs
@@ -13,7 +13,10 @@
         holder: &KnownMember,
         lost: Option<&MemberName>,
     ) -> Option<Host> {
-        let holder_zone = self.members.get(holder).map(|record| record.host.zone.clone());
+        let holder_zone = self
+            .members
+            .get(holder)
+            .map(|record| record.host.zone.clone());
         let candidate_hosts: Vec<&Host> = self
             .members
             .iter()
@@ -25,8 +28,10 @@
             .map(|(_, record)| &record.host)
             .collect();
         let key = FunctionKey::new(format!("ledger of {}", function.name), Version(0));
-        let elsewhere =
-            candidate_hosts.iter().copied().filter(|host| Some(&host.zone) != holder_zone.as_ref());
+        let elsewhere = candidate_hosts
+            .iter()
+            .copied()
+            .filter(|host| Some(&host.zone) != holder_zone.as_ref());
         ring::hash_owner(&key, elsewhere)
             .or_else(|| ring::hash_owner(&key, candidate_hosts.iter().copied()))
             .cloned()
@@ -40,9 +45,13 @@
         fencing_token: FencingToken,
         lost: &MemberName,
     ) {
-        let Some(holder) = self.streams.get(&stream).cloned() else { return };
+        let Some(holder) = self.streams.get(&stream).cloned() else {
+            return;
+        };
         let replica = self.choose_replica(now, &function, &holder, Some(lost));
-        let Some(entry) = self.lease_records.get_mut(&function) else { return };
+        let Some(entry) = self.lease_records.get_mut(&function) else {
+            return;
+        };
         if entry.holder != holder || entry.fencing_token != fencing_token {
             return;
         }
@@ -51,7 +60,11 @@
         let replica = LengthPrefixed(replica.into_iter().collect());
         self.send_frame(
             stream,
-            LeaderToDaemon::ReplicaAssigned { function, fencing_token, replica },
+            LeaderToDaemon::ReplicaAssigned {
+                function,
+                fencing_token,
+                replica,
+            },
         );
     }
 
@@ -62,9 +75,16 @@
         fencing_token: FencingToken,
         replica: &MemberName,
     ) {
-        let Some(holder) = self.streams.get(&stream) else { return };
-        let Some(entry) = self.lease_records.get_mut(function) else { return };
-        let is_named = entry.replica.as_ref().is_some_and(|named| named.member == *replica);
+        let Some(holder) = self.streams.get(&stream) else {
+            return;
+        };
+        let Some(entry) = self.lease_records.get_mut(function) else {
+            return;
+        };
+        let is_named = entry
+            .replica
+            .as_ref()
+            .is_some_and(|named| named.member == *replica);
         if entry.holder == *holder && entry.fencing_token == fencing_token && is_named {
             entry.complete = true;
         }
--- a/crates/controlplane/src/leader_state/link_moves.rs
+++ b/crates/controlplane/src/leader_state/link_moves.rs
@@ -36,7 +36,9 @@
         now: MonotonicTime,
         acquisition: &PendingAcquisition,
     ) -> bool {
-        let Some(requester) = self.streams.get(&acquisition.stream) else { return false };
+        let Some(requester) = self.streams.get(&acquisition.stream) else {
+            return false;
+        };
         let waits_since = acquisition.requested_at.max(self.opened_at);
         self.pushed_hosts.passes_over(&requester.member)
             && now.since(waits_since) < NARROW_LINK_REQUEST_DELAY
@@ -48,15 +50,30 @@
             return;
         }
         self.links_checked_at = now;
-        self.moved_off_at.retain(|_, moved_at| now.since(*moved_at) < MOVE_COOLDOWN);
+        self.moved_off_at
+            .retain(|_, moved_at| now.since(*moved_at) < MOVE_COOLDOWN);
         for due_move in self.due_moves(now) {
-            let Some(entry) = self.lease_records.get_mut(&due_move.function) else { continue };
+            let Some(entry) = self.lease_records.get_mut(&due_move.function) else {
+                continue;
+            };
             let record = self.members.get(&entry.holder);
-            let Some(stream) = record.and_then(|record| record.stream) else { continue };
+            let Some(stream) = record.and_then(|record| record.stream) else {
+                continue;
+            };
             entry.handing_over = true;
-            let LeaseMove { function, fencing_token, .. } = due_move;
+            let LeaseMove {
+                function,
+                fencing_token,
+                ..
+            } = due_move;
             self.moved_off_at.insert(function.clone(), now);
-            self.send_frame(stream, LeaderToDaemon::HandOver { function, fencing_token });
+            self.send_frame(
+                stream,
+                LeaderToDaemon::HandOver {
+                    function,
+                    fencing_token,
+                },
+            );
         }
     }
 
--- a/crates/controlplane/src/leader_state/members.rs
+++ b/crates/controlplane/src/leader_state/members.rs
@@ -62,15 +62,25 @@
     ) -> Self {
         let suspected_names: BTreeSet<&MemberName> =
             suspected.iter().map(|instance| &instance.member).collect();
-        let unsuspected_hosts =
-            || hosts.values().filter(|host| !suspected_names.contains(&host.member));
-        let fitting: BTreeSet<&MemberName> =
-            candidate_hosts(unsuspected_hosts()).into_iter().map(|host| &host.member).collect();
+        let unsuspected_hosts = || {
+            hosts
+                .values()
+                .filter(|host| !suspected_names.contains(&host.member))
+        };
+        let fitting: BTreeSet<&MemberName> = candidate_hosts(unsuspected_hosts())
+            .into_iter()
+            .map(|host| &host.member)
+            .collect();
         let passed_over = unsuspected_hosts()
             .filter(|host| host.eligible.0 && !fitting.contains(&host.member))
             .map(|host| host.member.clone())
             .collect();
-        Self { number, hosts, suspected, passed_over }
+        Self {
+            number,
+            hosts,
+            suspected,
+            passed_over,
+        }
     }
 
     /// Whether functions go to others than this daemon because its link is so much narrower.
@@ -96,17 +106,23 @@
         };
         self.schedule_sweep();
         self.end_earlier_incarnations(now, &known_member);
-        let is_restarted =
-            self.last_known.iter().any(|known| known.is_other_incarnation_of(&known_member));
+        let is_restarted = self
+            .last_known
+            .iter()
+            .any(|known| known.is_other_incarnation_of(&known_member));
         if is_restarted && !self.members.contains_key(&known_member) {
             self.member_restarted_at = now;
         }
-        let earlier_stream = self.members.get(&known_member).and_then(|record| record.stream);
+        let earlier_stream = self
+            .members
+            .get(&known_member)
+            .and_then(|record| record.stream);
         if let Some(earlier_stream) = earlier_stream {
             self.streams.remove(&earlier_stream);
         }
         self.streams.insert(stream, known_member.clone());
-        self.current_incarnations.insert(host.member.clone(), known_member.clone());
+        self.current_incarnations
+            .insert(host.member.clone(), known_member.clone());
         let is_self_eligible = host.eligible.0;
         let eligible = Flag(is_self_eligible && !self.is_evacuated(&host.zone));
         let record = self.members.entry(known_member).or_insert(MemberRecord {
@@ -132,7 +148,10 @@
         self.membership_changed = true;
         record.stream = Some(stream);
         record.is_self_eligible = is_self_eligible;
-        record.host = Host { eligible, ..host.clone() };
+        record.host = Host {
+            eligible,
+            ..host.clone()
+        };
         record.ingress = ingress;
         record.installed = version;
         record.pushed = version;
@@ -140,7 +159,8 @@
         record.pushed_hosts_number = 0;
         record.has_departed = false;
         record.last_frame_at = now;
-        self.reported_suspects.retain(|instance| instance.member != host.member);
+        self.reported_suspects
+            .retain(|instance| instance.member != host.member);
         self.hosts_changed = true;
         self.send_frame(stream, LeaderToDaemon::Welcome { term: self.term });
         self.push_newest(stream);
@@ -165,7 +185,9 @@
             .collect();
         for earlier_incarnation in earlier_incarnations {
             self.member_restarted_at = now;
-            let Some(record) = self.members.get_mut(&earlier_incarnation) else { continue };
+            let Some(record) = self.members.get_mut(&earlier_incarnation) else {
+                continue;
+            };
             record.lease_expires_at = record.lease_expires_at.min(now);
             record.lease_expiry_bound = record.lease_expiry_bound.min(now);
             record.is_self_eligible = false;
@@ -199,7 +221,9 @@
     }
 
     pub(super) fn handle_leaving(&mut self, now: MonotonicTime, stream: StreamId) {
-        let Some(known_member) = self.streams.get(&stream).cloned() else { return };
+        let Some(known_member) = self.streams.get(&stream).cloned() else {
+            return;
+        };
         if let Some(record) = self.members.get_mut(&known_member) {
             record.is_self_eligible = false;
             record.host.eligible = Flag(false);
@@ -242,7 +266,9 @@
     }
 
     fn forget_member(&mut self, now: MonotonicTime, gone_member: &KnownMember) {
-        let Some(record) = self.members.remove(gone_member) else { return };
+        let Some(record) = self.members.remove(gone_member) else {
+            return;
+        };
         self.idle_since.remove(gone_member);
         if record.has_departed {
             self.note_departed(now, gone_member);
@@ -256,9 +282,11 @@
         if now.since(self.elected_at) > self.timing.drop_absent_after {
             let current_incarnations = &self.current_incarnations;
             let (remaining, dropped): (BTreeSet<KnownMember>, BTreeSet<KnownMember>) =
-                std::mem::take(&mut self.last_known).into_iter().partition(|known_member| {
-                    current_incarnations.contains_key(&known_member.member)
-                });
+                std::mem::take(&mut self.last_known)
+                    .into_iter()
+                    .partition(|known_member| {
+                        current_incarnations.contains_key(&known_member.member)
+                    });
             self.known_members_changed |= !dropped.is_empty();
             self.last_known = remaining;
             let dropped_listed = self.drop_missing_awaited();
@@ -279,13 +307,20 @@
             return;
         }
         let has_claimed = |known_member: &KnownMember| {
-            self.members.get(known_member).is_some_and(|record| record.claimed)
+            self.members
+                .get(known_member)
+                .is_some_and(|record| record.claimed)
         };
         let has_successor_claimed = |known_member: &KnownMember| {
-            self.current_incarnations.get(&known_member.member).is_some_and(&has_claimed)
+            self.current_incarnations
+                .get(&known_member.member)
+                .is_some_and(&has_claimed)
         };
-        let claimed_count =
-            self.last_known.iter().filter(|known| has_successor_claimed(known)).count();
+        let claimed_count = self
+            .last_known
+            .iter()
+            .filter(|known| has_successor_claimed(known))
+            .count();
         let has_majority = self.last_known.is_empty() || claimed_count * 2 > self.last_known.len();
         let is_restarted = |known: &KnownMember| {
             let current_incarnation = self.current_incarnations.get(&known.member);
@@ -295,13 +330,19 @@
         };
         let has_restarted = self.last_known.iter().any(&is_restarted);
         let restart_settled_at = self.member_restarted_at + self.timing.start_settle;
-        let list_complete_from =
-            if has_restarted { restart_settled_at.max(self.elected_at) } else { self.elected_at };
+        let list_complete_from = if has_restarted {
+            restart_settled_at.max(self.elected_at)
+        } else {
+            self.elected_at
+        };
         let is_list_new = self.runners_listed_at >= list_complete_from;
         let all_claimed = self.last_known_complete
             && !self.last_known.is_empty()
             && is_list_new
-            && self.last_known.iter().all(|known| has_claimed(known) || is_restarted(known));
+            && self
+                .last_known
+                .iter()
+                .all(|known| has_claimed(known) || is_restarted(known));
         let full_wait_end = self.elected_at + self.timing.claims_wait;
         let has_waited = now >= full_wait_end
             && self.runners_listed_at >= full_wait_end + self.timing.start_settle;
@@ -372,7 +413,9 @@
         if function.generation > self.inherited_version {
             return MonotonicTime::ZERO;
         }
-        let stopped_at = self.opened_at.min(self.elected_at + self.timing.full_lease_wait());
+        let stopped_at = self
+            .opened_at
+            .min(self.elected_at + self.timing.full_lease_wait());
         stopped_at + self.longest_delay()
     }
 
@@ -487,11 +530,19 @@
             .filter(|host| pushed.hosts.get(&host.member) != Some(host))
             .cloned()
             .collect();
-        let removed: Vec<MemberName> =
-            pushed.hosts.keys().filter(|member| !hosts.contains_key(*member)).cloned().collect();
+        let removed: Vec<MemberName> = pushed
+            .hosts
+            .keys()
+            .filter(|member| !hosts.contains_key(*member))
+            .cloned()
+            .collect();
         let has_changed =
             !put.is_empty() || !removed.is_empty() || pushed.suspected != self.suspected;
-        let number = if has_changed { pushed.number + 1 } else { pushed.number };
+        let number = if has_changed {
+            pushed.number + 1
+        } else {
+            pushed.number
+        };
         let suspected = LengthPrefixed(self.suspected.iter().cloned().collect());
         let change = LeaderToDaemon::HostsDelta {
             number,
@@ -509,16 +560,28 @@
             PushedHosts::new(number, hosts, self.suspected.clone()),
         )
         .number;
-        let open_streams: Vec<(StreamId, KnownMember)> =
-            self.streams.iter().map(|(stream, known)| (*stream, known.clone())).collect();
+        let open_streams: Vec<(StreamId, KnownMember)> = self
+            .streams
+            .iter()
+            .map(|(stream, known)| (*stream, known.clone()))
+            .collect();
         for (open_stream, known_member) in open_streams {
-            let Some(record) = self.members.get_mut(&known_member) else { continue };
+            let Some(record) = self.members.get_mut(&known_member) else {
+                continue;
+            };
             let last_pushed_number = std::mem::replace(&mut record.pushed_hosts_number, number);
             if last_pushed_number == number {
                 continue;
             }
             let is_next = last_pushed_number > 0 && last_pushed_number == pushed_number;
-            self.send_frame(open_stream, if is_next { change.clone() } else { full_list.clone() });
+            self.send_frame(
+                open_stream,
+                if is_next {
+                    change.clone()
+                } else {
+                    full_list.clone()
+                },
+            );
         }
     }
 }
--- a/crates/controlplane/src/leader_state/membership.rs
+++ b/crates/controlplane/src/leader_state/membership.rs
@@ -27,7 +27,10 @@
 }
 
 fn listed_member(known: &KnownMember) -> ListedMember {
-    ListedMember { member: known.member.clone(), address: known.address }
+    ListedMember {
+        member: known.member.clone(),
+        address: known.address,
+    }
 }
 
 /// The moment from which a life has run, by this clock, at the latest.
@@ -52,7 +55,9 @@
         match self.membership() {
             Some(membership) if !membership.is_empty() => {
                 membership.contains(&listed)
-                    && proof.proposed_membership.is_none_or(|proposed| proposed.contains(&listed))
+                    && proof
+                        .proposed_membership
+                        .is_none_or(|proposed| proposed.contains(&listed))
             }
             _ => {
                 proof.proposed_membership.is_none_or(BTreeSet::is_empty) && (proof.confirmed)(known)
@@ -62,7 +67,9 @@
 
     /// Whether every place of the awaited roster has been claimed from by the life that stands there.
     pub(super) fn have_all_awaited_claimed(&self) -> bool {
-        self.awaited_members.iter().all(|listed| self.claimant_at(listed).is_some())
+        self.awaited_members
+            .iter()
+            .all(|listed| self.claimant_at(listed).is_some())
     }
 
     /// How many of the awaited roster have claimed, by name.
@@ -84,11 +91,18 @@
     /// From when on a list of the platform shows whatever the lives before the present ones, and what
     /// they gave up under earlier leaders, have left.
     pub(super) fn compute_list_complete_from(&self) -> MonotonicTime {
-        let claimants = self.awaited_members.iter().filter_map(|listed| self.claimant_at(listed));
+        let claimants = self
+            .awaited_members
+            .iter()
+            .filter_map(|listed| self.claimant_at(listed));
         claimants
             .map(|record| {
                 let settled_at = record.started_at + self.timing.start_settle;
-                if record.had_lease { settled_at.max(self.elected_at) } else { settled_at }
+                if record.had_lease {
+                    settled_at.max(self.elected_at)
+                } else {
+                    settled_at
+                }
             })
             .max()
             .unwrap_or(self.elected_at)
@@ -119,7 +133,9 @@
         let current_incarnations = &self.current_incarnations;
         let is_back = |listed: &ListedMember| current_incarnations.contains_key(&listed.member);
         let (remaining, dropped): (BTreeSet<ListedMember>, BTreeSet<ListedMember>) =
-            std::mem::take(&mut self.awaited_members).into_iter().partition(is_back);
+            std::mem::take(&mut self.awaited_members)
+                .into_iter()
+                .partition(is_back);
         self.awaited_members = remaining;
         dropped.into_iter().collect()
     }
@@ -135,14 +151,22 @@
             let was_orderly = false;
             self.departed_members
                 .entry(absent_member.clone())
-                .or_insert(DepartedMember { since: now, was_orderly });
+                .or_insert(DepartedMember {
+                    since: now,
+                    was_orderly,
+                });
         }
     }
 
     /// A daemon that said it was leaving is gone: it holds nothing any more.
     pub(super) fn note_departed(&mut self, now: MonotonicTime, departed: &KnownMember) {
-        self.departed_members
-            .insert(listed_member(departed), DepartedMember { since: now, was_orderly: true });
+        self.departed_members.insert(
+            listed_member(departed),
+            DepartedMember {
+                since: now,
+                was_orderly: true,
+            },
+        );
     }
 
     /// The roster as it should be: with whoever joined, without those that have been gone long and
@@ -158,17 +182,23 @@
         let orderly_removal_after = self.timing.restart_grace_period.max(full_lease_wait);
         let crash_removal_after = self.timing.drop_absent_after.max(full_lease_wait);
         let is_gone = |listed: &&ListedMember| {
-            self.departed_members.get(*listed).is_some_and(|departed_member| {
-                let span = if departed_member.was_orderly {
-                    orderly_removal_after
-                } else {
-                    crash_removal_after
-                };
-                now.since(departed_member.since) > span
-            })
+            self.departed_members
+                .get(*listed)
+                .is_some_and(|departed_member| {
+                    let span = if departed_member.was_orderly {
+                        orderly_removal_after
+                    } else {
+                        crash_removal_after
+                    };
+                    now.since(departed_member.since) > span
+                })
         };
         let remaining = membership.iter().filter(|listed| !is_gone(listed)).cloned();
-        Some(remaining.chain(self.members.keys().map(listed_member)).collect())
+        Some(
+            remaining
+                .chain(self.members.keys().map(listed_member))
+                .collect(),
+        )
     }
 
     /// The roster to be committed, when it has been wanted for a moment.
@@ -181,7 +211,9 @@
         }
         self.next_membership_check_at = now + CHECK_INTERVAL;
         self.update_departed_members(now);
-        let wanted = self.target_membership(now).filter(|wanted| self.membership() != Some(wanted));
+        let wanted = self
+            .target_membership(now)
+            .filter(|wanted| self.membership() != Some(wanted));
         if wanted.is_none() {
             self.membership_change_since = None;
             return None;
--- a/crates/controlplane/src/leader_state/memory_pressure.rs
+++ b/crates/controlplane/src/leader_state/memory_pressure.rs
@@ -24,7 +24,9 @@
     ) -> bool {
         self.starved_functions
             .retain(|_, requested_at| now.since(*requested_at) < STARVATION_TIMEOUT);
-        self.starved_functions.keys().any(|function| function != requester)
+        self.starved_functions
+            .keys()
+            .any(|function| function != requester)
     }
 
     /// A function without any runner finds no room: the one that has most gives one back, so that no
@@ -45,25 +47,37 @@
             let is_leaving = reservation.draining
                 || reservation.stop_wanted
                 || reservation.orphaned_since.is_some();
-            let Some(record) = self.workers.get(&reservation.worker) else { continue };
+            let Some(record) = self.workers.get(&reservation.worker) else {
+                continue;
+            };
             if is_leaving
                 || reservation.function == *requester
                 || !self.is_worker_usable(&reservation.worker)
             {
                 continue;
             }
-            let used_mb = reserved_mb_sums.get(&reservation.worker).copied().unwrap_or(0);
+            let used_mb = reserved_mb_sums
+                .get(&reservation.worker)
+                .copied()
+                .unwrap_or(0);
             let free_mb = u64::from(record.listed.memory_mb).saturating_sub(used_mb);
             let freed_mb = free_mb + u64::from(reservation.memory_mb);
-            staying.entry(&reservation.function).or_default().push((freed_mb, *runner));
+            staying
+                .entry(&reservation.function)
+                .or_default()
+                .push((freed_mb, *runner));
         }
         let largest_function = staying.into_iter().max_by_key(|(_, runners)| runners.len());
         let Some((function, runners)) = largest_function.filter(|(_, runners)| runners.len() > 1)
         else {
             return;
         };
-        let sufficient = runners.iter().filter(|(freed_mb, _)| *freed_mb >= u64::from(needed_mb));
-        let Some((_, runner)) = sufficient.min().or(runners.iter().max()).copied() else { return };
+        let sufficient = runners
+            .iter()
+            .filter(|(freed_mb, _)| *freed_mb >= u64::from(needed_mb));
+        let Some((_, runner)) = sufficient.min().or(runners.iter().max()).copied() else {
+            return;
+        };
         let function = function.clone();
         self.runner_reclaimed_at = now;
         let detail = json!({
@@ -82,7 +96,9 @@
         stream: StreamId,
         functions: Vec<IdleFunction>,
     ) {
-        let Some(holder) = self.streams.get(&stream) else { return };
+        let Some(holder) = self.streams.get(&stream) else {
+            return;
+        };
         let idle_since = functions
             .into_iter()
             .map(|idle| {
@@ -100,9 +116,13 @@
             .iter()
             .flat_map(|(holder, functions)| {
                 let is_held = move |function: &FunctionKey| {
-                    self.lease_records.get(function).is_some_and(|entry| entry.holder == *holder)
+                    self.lease_records
+                        .get(function)
+                        .is_some_and(|entry| entry.holder == *holder)
                 };
-                functions.iter().filter(move |(function, _)| is_held(function))
+                functions
+                    .iter()
+                    .filter(move |(function, _)| is_held(function))
             })
             .map(|(function, since)| (*since, function.clone()))
             .collect();
@@ -117,7 +137,8 @@
         requester: &FunctionKey,
         needed_mb: u32,
     ) {
-        self.yielded_at.retain(|_, at| now.since(*at) < YIELD_COOLDOWN);
+        self.yielded_at
+            .retain(|_, at| now.since(*at) < YIELD_COOLDOWN);
         let is_evictable = |function: &FunctionKey| {
             function != requester
                 && !self.yielded_at.contains_key(function)
@@ -134,9 +155,14 @@
             if freed_mb >= needed_mb * 2 {
                 return;
             }
-            let Some(entry) = self.lease_records.get(&function) else { continue };
+            let Some(entry) = self.lease_records.get(&function) else {
+                continue;
+            };
             let fencing_token = entry.fencing_token;
-            let stream = self.members.get(&entry.holder).and_then(|record| record.stream);
+            let stream = self
+                .members
+                .get(&entry.holder)
+                .and_then(|record| record.stream);
             let Some(stream) = stream else { continue };
             freed_mb += self
                 .reservations
@@ -151,7 +177,13 @@
                 events::IDLE_RUNNERS_RECLAIMED,
                 json!({"function": function.to_string()}),
             );
-            self.send_frame(stream, LeaderToDaemon::ReclaimIdle { function, fencing_token });
+            self.send_frame(
+                stream,
+                LeaderToDaemon::ReclaimIdle {
+                    function,
+                    fencing_token,
+                },
+            );
         }
     }
 }
--- a/crates/controlplane/src/leader_state/mod.rs
+++ b/crates/controlplane/src/leader_state/mod.rs
@@ -262,7 +262,13 @@
         self.acquisitions_changed = true;
         self.note_frame_received(now, stream);
         match frame {
-            DaemonToLeader::Hello { host, ingress, version, age_ms, granted } => {
+            DaemonToLeader::Hello {
+                host,
+                ingress,
+                version,
+                age_ms,
+                granted,
+            } => {
                 let history = IncarnationHistory {
                     started_at: membership::started_at(now, age_ms),
                     had_lease: granted.0,
@@ -270,12 +276,18 @@
                 self.handle_hello(now, stream, host, ingress, version, history);
             }
             DaemonToLeader::Claims { claims } => self.handle_claims(now, stream, claims.0),
-            DaemonToLeader::Renew { correlation, version } => {
+            DaemonToLeader::Renew {
+                correlation,
+                version,
+            } => {
                 self.handle_renew(now, stream, correlation, version);
             }
             DaemonToLeader::Installed { version } => self.handle_installed(stream, version),
             DaemonToLeader::FullSpecRequest => self.push_full_document(stream),
-            DaemonToLeader::Acquire { correlation, function } => {
+            DaemonToLeader::Acquire {
+                correlation,
+                function,
+            } => {
                 let pending_request = PendingAcquisition {
                     stream,
                     correlation,
@@ -285,22 +297,44 @@
                 };
                 self.pending_acquisitions.push(pending_request);
             }
-            DaemonToLeader::Release { function, fencing_token, runners } => {
+            DaemonToLeader::Release {
+                function,
+                fencing_token,
+                runners,
+            } => {
                 self.handle_release(now, stream, function, fencing_token, runners);
             }
-            DaemonToLeader::Reserve { correlation, function, fencing_token } => {
+            DaemonToLeader::Reserve {
+                correlation,
+                function,
+                fencing_token,
+            } => {
                 self.handle_reserve(now, stream, correlation, function, fencing_token);
             }
-            DaemonToLeader::RunnerUpdate { function, runner, runner_status } => {
+            DaemonToLeader::RunnerUpdate {
+                function,
+                runner,
+                runner_status,
+            } => {
                 self.handle_runner_status(now, &function, runner, runner_status);
             }
-            DaemonToLeader::Rejections { function, count, reason } => {
-                self.handle_rejections(stream, function, count, reason)
-            }
-            DaemonToLeader::ReplicaLost { function, fencing_token, lost } => {
+            DaemonToLeader::Rejections {
+                function,
+                count,
+                reason,
+            } => self.handle_rejections(stream, function, count, reason),
+            DaemonToLeader::ReplicaLost {
+                function,
+                fencing_token,
+                lost,
+            } => {
                 self.handle_replica_lost(now, stream, function, fencing_token, &lost);
             }
-            DaemonToLeader::ReplicaComplete { function, fencing_token, replica } => {
+            DaemonToLeader::ReplicaComplete {
+                function,
+                fencing_token,
+                replica,
+            } => {
                 self.handle_replica_complete(stream, &function, fencing_token, &replica);
             }
             DaemonToLeader::Idle { functions } => self.handle_idle(now, stream, functions.0),
@@ -315,9 +349,12 @@
 
     /// A stream has ended.
     pub fn stream_lost(&mut self, stream: StreamId) {
-        let Some(known_member) = self.streams.remove(&stream) else { return };
+        let Some(known_member) = self.streams.remove(&stream) else {
+            return;
+        };
         self.acquisitions_changed = true;
-        self.pending_acquisitions.retain(|acquisition| acquisition.stream != stream);
+        self.pending_acquisitions
+            .retain(|acquisition| acquisition.stream != stream);
         self.renewals.forget(stream);
         if let Some(record) = self.members.get_mut(&known_member)
             && record.stream == Some(stream)
@@ -347,11 +384,13 @@
     }
 
     fn send_frame(&mut self, stream: StreamId, frame: LeaderToDaemon) {
-        self.outputs.push(LeaderOutput::FrameToDaemon { stream, frame });
+        self.outputs
+            .push(LeaderOutput::FrameToDaemon { stream, frame });
     }
 
     fn record_event(&mut self, event: common::events::Event, detail: serde_json::Value) {
-        self.outputs.push(LeaderOutput::EventRecord(EventRecord { event, detail }));
+        self.outputs
+            .push(LeaderOutput::EventRecord(EventRecord { event, detail }));
     }
 
     fn is_serving(&self, known_member: &KnownMember, now: MonotonicTime) -> bool {
--- a/crates/controlplane/src/leader_state/renewals.rs
+++ b/crates/controlplane/src/leader_state/renewals.rs
@@ -81,14 +81,20 @@
     ) {
         self.handle_installed(stream, version);
         self.renewals.forget(stream);
-        let pending_request =
-            WaitingRenewal { stream, correlation, requested_at: now, needs_proof: true };
+        let pending_request = WaitingRenewal {
+            stream,
+            correlation,
+            requested_at: now,
+            needs_proof: true,
+        };
         self.renewals.new_renewals.push(pending_request);
     }
 
     pub(super) fn answer_renewals(&mut self, now: MonotonicTime, proof: &QuorumProof<'_>) {
-        let Some(committed_version) =
-            self.document.as_ref().map(|document| document.view_version())
+        let Some(committed_version) = self
+            .document
+            .as_ref()
+            .map(|document| document.view_version())
         else {
             return;
         };
@@ -110,8 +116,12 @@
     ) {
         let lease_expires_at = proof.quorum_confirmed_at + self.timing.lease_length;
         let lease_expiry_bound = proof.quorum_confirmed_at + self.timing.full_lease_wait();
-        let Some(known_member) = self.streams.get(&renewal.stream).cloned() else { return };
-        let Some(record) = self.members.get(&known_member) else { return };
+        let Some(known_member) = self.streams.get(&renewal.stream).cloned() else {
+            return;
+        };
+        let Some(record) = self.members.get(&known_member) else {
+            return;
+        };
         let is_ready = record.claimed
             && (record.installed >= committed_version
                 || !self.rules.enforces(Rule::RenewalNeedsNewestSpec));
@@ -131,7 +141,11 @@
         record.swept = false;
         let lease_ms = lease_expires_at.since(renewal.requested_at).as_millis() as u32;
         let correlation = renewal.correlation;
-        let frame = LeaderToDaemon::Renewed { correlation, lease_ms, version: committed_version };
+        let frame = LeaderToDaemon::Renewed {
+            correlation,
+            lease_ms,
+            version: committed_version,
+        };
         self.send_frame(renewal.stream, frame);
     }
 }
--- a/crates/controlplane/src/leader_state/report.rs
+++ b/crates/controlplane/src/leader_state/report.rs
@@ -107,7 +107,10 @@
     /// Every zone that a daemon or worker stands in.
     pub fn known_zones(&self) -> std::collections::BTreeSet<common::identity::Zone> {
         let member_zones = self.members.values().map(|record| record.host.zone.clone());
-        let worker_zones = self.workers.values().map(|record| record.listed.zone.clone());
+        let worker_zones = self
+            .workers
+            .values()
+            .map(|record| record.listed.zone.clone());
         member_zones.chain(worker_zones).collect()
     }
 }
--- a/crates/controlplane/src/leader_state/reservations.rs
+++ b/crates/controlplane/src/leader_state/reservations.rs
@@ -119,8 +119,9 @@
     /// The runners of a function that may have been started under any of its keys.
     pub fn with_unknown_key(&self, function: &FunctionKey) -> Vec<RunnerId> {
         let all_regions = function.all_regions();
-        let unkeyed_runners =
-            self.all_of(&all_regions).filter(|(_, reservation)| reservation.key_unknown);
+        let unkeyed_runners = self
+            .all_of(&all_regions)
+            .filter(|(_, reservation)| reservation.key_unknown);
         unkeyed_runners.map(|(runner, _)| runner).collect()
     }
 
@@ -178,10 +179,18 @@
         let (stop_wanted, orphaned_since) =
             (reservation.stop_wanted, reservation.orphaned_since.take());
         reservation.stop_wanted = false;
-        self.by_function.entry(reservation.function.clone()).or_default().insert(runner);
-        *self.reserved_mb_by_worker.entry(reservation.worker.clone()).or_default() +=
-            u64::from(reservation.memory_mb);
-        *self.runner_count_by_worker.entry(reservation.worker.clone()).or_default() += 1;
+        self.by_function
+            .entry(reservation.function.clone())
+            .or_default()
+            .insert(runner);
+        *self
+            .reserved_mb_by_worker
+            .entry(reservation.worker.clone())
+            .or_default() += u64::from(reservation.memory_mb);
+        *self
+            .runner_count_by_worker
+            .entry(reservation.worker.clone())
+            .or_default() += 1;
         let started_at = reservation.started_at;
         self.all.insert(runner, reservation);
         if let Some(instance) = instance {
@@ -205,14 +214,21 @@
         if !self.all.contains_key(&runner) {
             return;
         }
-        if let Some(other) =
-            self.by_instance.get(&instance.name).copied().filter(|other| *other != runner)
+        if let Some(other) = self
+            .by_instance
+            .get(&instance.name)
+            .copied()
+            .filter(|other| *other != runner)
         {
             self.take(other);
             self.rename(other, runner);
         }
-        let Some(reservation) = self.all.get_mut(&runner) else { return };
-        if let Some(earlier) = reservation.instance.take_if(|earlier| earlier.name != instance.name)
+        let Some(reservation) = self.all.get_mut(&runner) else {
+            return;
+        };
+        if let Some(earlier) = reservation
+            .instance
+            .take_if(|earlier| earlier.name != instance.name)
         {
             self.by_instance.remove(&earlier.name);
         }
@@ -258,7 +274,9 @@
 
     /// A left runner goes by a new name, under a new grant.
     pub fn adopt(&mut self, orphaned_runner: RunnerId, runner: RunnerId) {
-        let Some(mut reservation) = self.take(orphaned_runner) else { return };
+        let Some(mut reservation) = self.take(orphaned_runner) else {
+            return;
+        };
         reservation.orphaned_since = None;
         reservation.key_unknown = false;
         self.insert(runner, reservation);
@@ -267,7 +285,9 @@
 
     /// What must never be: it is taken over and left for others all the same.
     pub fn adopt_without_transfer(&mut self, orphaned_runner: RunnerId, runner: RunnerId) {
-        let Some(orphaned) = self.all.get(&orphaned_runner) else { return };
+        let Some(orphaned) = self.all.get(&orphaned_runner) else {
+            return;
+        };
         let (function, worker) = (orphaned.function.clone(), orphaned.worker.clone());
         let instance = orphaned.instance.clone();
         let mut reservation = Reservation::new(function, worker, orphaned.memory_mb);
--- a/crates/controlplane/src/leader_state/runner_list.rs
+++ b/crates/controlplane/src/leader_state/runner_list.rs
@@ -17,12 +17,17 @@
         }
         self.runners_listed_at = listed_at;
         for listed in listed_runners.iter().filter(|listed| listed.leaving) {
-            if let Some(runner) = self.reservations.runner_with_instance(&listed.instance.name) {
+            if let Some(runner) = self
+                .reservations
+                .runner_with_instance(&listed.instance.name)
+            {
                 self.drain_leaving(runner);
             }
         }
-        let listed_instances: BTreeSet<&InstanceId> =
-            listed_runners.iter().map(|listed| &listed.instance.name).collect();
+        let listed_instances: BTreeSet<&InstanceId> = listed_runners
+            .iter()
+            .map(|listed| &listed.instance.name)
+            .collect();
         self.detect_vanished_runners(listed_at, &listed_instances);
         if self.opened {
             self.register_unknown_runners(listed_at, listed_runners);
@@ -47,7 +52,10 @@
         }
         for listed in listed_runners {
             let instance_id = &listed.instance.name;
-            let is_known = self.reservations.runner_with_instance(instance_id).is_some()
+            let is_known = self
+                .reservations
+                .runner_with_instance(instance_id)
+                .is_some()
                 || self.reservations.has_instance_ended(instance_id);
             if is_known || self.match_by_start_key(listed_at, listed) {
                 continue;
@@ -60,11 +68,16 @@
 
     /// Whether the platform keeps the start's key, and it is one whose life was not known yet.
     fn match_by_start_key(&mut self, listed_at: MonotonicTime, listed: &ListedRunner) -> bool {
-        let Some(runner) = listed.runner else { return false };
-        let awaits_instance =
-            self.reservations.get(runner).is_some_and(|reservation| reservation.instance.is_none());
+        let Some(runner) = listed.runner else {
+            return false;
+        };
+        let awaits_instance = self
+            .reservations
+            .get(runner)
+            .is_some_and(|reservation| reservation.instance.is_none());
         if awaits_instance {
-            self.reservations.note_started(runner, listed.instance.clone(), listed_at);
+            self.reservations
+                .note_started(runner, listed.instance.clone(), listed_at);
         }
         awaits_instance
     }
@@ -81,8 +94,11 @@
     /// A runner that nobody holds is left for the next holder of its function, under a name of this
     /// reign, if its function is surely the one in the spec.
     fn register_orphan(&mut self, listed_at: MonotonicTime, listed: &ListedRunner) {
-        let same_name =
-            self.table.functions().iter().find(|entry| entry.key.name == listed.function);
+        let same_name = self
+            .table
+            .functions()
+            .iter()
+            .find(|entry| entry.key.name == listed.function);
         let spec_entry = same_name.map(|entry| (entry.key.clone(), entry.spec.memory_mb));
         let is_same = |key: &FunctionKey| match &listed.key {
             Some(listed_key) => listed_key == key,
@@ -125,8 +141,10 @@
             .reservations
             .iter()
             .filter(|(_, reservation)| {
-                let startup =
-                    self.table.function_of(&reservation.function).map(|entry| entry.spec.startup);
+                let startup = self
+                    .table
+                    .function_of(&reservation.function)
+                    .map(|entry| entry.spec.startup);
                 let must_be_listed_from = reservation.started_at
                     + startup.unwrap_or(Duration::from_secs(5)) * 3
                     + list_lag;
--- a/crates/controlplane/src/leader_state/worker_evacuation.rs
+++ b/crates/controlplane/src/leader_state/worker_evacuation.rs
@@ -25,16 +25,22 @@
         }
         if let Some(worker_evacuation) = &self.worker_evacuation {
             let worker = worker_evacuation.worker.clone();
-            let is_empty =
-                !self.reservations.values().any(|reservation| reservation.worker == worker);
+            let is_empty = !self
+                .reservations
+                .values()
+                .any(|reservation| reservation.worker == worker);
             let is_timed_out = now.since(worker_evacuation.since) > EVACUATION_TIMEOUT;
             if is_empty {
                 self.record_event(events::WORKER_EVACUATED, json!({"worker": worker.as_str()}));
             }
             if is_empty || is_timed_out {
                 self.worker_evacuation = None;
-                self.next_worker_evacuation_at =
-                    now + if is_empty { EVACUATION_INTERVAL } else { EVACUATION_RETRY_DELAY };
+                self.next_worker_evacuation_at = now
+                    + if is_empty {
+                        EVACUATION_INTERVAL
+                    } else {
+                        EVACUATION_RETRY_DELAY
+                    };
             }
             return;
         }
@@ -43,7 +49,10 @@
         }
         self.next_worker_evacuation_at = now + EVACUATION_INTERVAL;
         if let Some(worker) = self.worker_to_evacuate() {
-            self.record_event(events::WORKER_EVACUATING, json!({"worker": worker.as_str()}));
+            self.record_event(
+                events::WORKER_EVACUATING,
+                json!({"worker": worker.as_str()}),
+            );
             self.worker_evacuation = Some(WorkerEvacuation { worker, since: now });
             self.drain_from_unusable_workers();
         }
@@ -66,7 +75,10 @@
             .filter_map(|(worker, sum)| {
                 let memory_mb = u64::from(self.workers.get(*worker)?.listed.memory_mb);
                 let headroom_mb = memory_mb * HEADROOM_PERCENT / 100;
-                Some((*worker, memory_mb.saturating_sub(*sum).saturating_sub(headroom_mb)))
+                Some((
+                    *worker,
+                    memory_mb.saturating_sub(*sum).saturating_sub(headroom_mb),
+                ))
             })
             .collect();
         let mut moved_sizes: Vec<u64> = self
--- a/crates/controlplane/src/leader_state/workers.rs
+++ b/crates/controlplane/src/leader_state/workers.rs
@@ -50,7 +50,14 @@
         fencing_token: FencingToken,
     ) {
         let result = self.reserve(now, stream, &function, fencing_token);
-        self.send_frame(stream, LeaderToDaemon::Reserved { correlation, function, result });
+        self.send_frame(
+            stream,
+            LeaderToDaemon::Reserved {
+                correlation,
+                function,
+                result,
+            },
+        );
     }
 
     fn reserve(
@@ -60,7 +67,9 @@
         function: &FunctionKey,
         fencing_token: FencingToken,
     ) -> ReserveResult {
-        let Some(requester) = self.streams.get(&stream) else { return ReserveResult::Rejected };
+        let Some(requester) = self.streams.get(&stream) else {
+            return ReserveResult::Rejected;
+        };
         let is_holder = self.lease_records.get(function).is_some_and(|entry| {
             entry.holder == *requester
                 && entry.fencing_token == fencing_token
@@ -69,16 +78,25 @@
         if !is_holder || !self.opened || !self.has_lease(requester, now) {
             return ReserveResult::Rejected;
         }
-        let Some(spec) = self.table.function_of(function).map(|entry| entry.spec.clone()) else {
+        let Some(spec) = self
+            .table
+            .function_of(function)
+            .map(|entry| entry.spec.clone())
+        else {
             return ReserveResult::Rejected;
         };
         let needed_mb = spec.memory_mb;
         if !self.is_below_max_runners(function, spec.max_runners as usize) {
             return ReserveResult::Rejected;
         }
-        let holder_zone = self.members.get(requester).map(|record| record.host.zone.clone());
-        let has_runner =
-            self.reservations.all_of(function).any(|(_, reservation)| reservation.is_staying());
+        let holder_zone = self
+            .members
+            .get(requester)
+            .map(|record| record.host.zone.clone());
+        let has_runner = self
+            .reservations
+            .all_of(function)
+            .any(|(_, reservation)| reservation.is_staying());
         if has_runner && self.is_other_function_starved(now, function) {
             return ReserveResult::Rejected;
         }
@@ -98,17 +116,26 @@
             return ReserveResult::Rejected;
         };
         self.starved_functions.remove(function);
-        let runner = RunnerId { fencing_token, ordinal: self.next_fencing_token().0 };
+        let runner = RunnerId {
+            fencing_token,
+            ordinal: self.next_fencing_token().0,
+        };
         let reservation = Reservation::new(function.clone(), worker.clone(), needed_mb);
         self.reservations.insert(runner, reservation);
-        ReserveResult::Reserved { runner, worker, memory_mb: needed_mb }
+        ReserveResult::Reserved {
+            runner,
+            worker,
+            memory_mb: needed_mb,
+        }
     }
 
     /// Whether one more runner stays within the most that a function may have under all its keys together. A
     /// holder that has them all under one key counts them itself.
     fn is_below_max_runners(&self, function: &FunctionKey, limit: usize) -> bool {
-        let staying =
-            self.reservations.all_of(function).filter(|(_, reservation)| reservation.is_staying());
+        let staying = self
+            .reservations
+            .all_of(function)
+            .filter(|(_, reservation)| reservation.is_staying());
         let total_count = self.reservations.staying_count(function);
         total_count < limit || total_count == staying.count()
     }
@@ -129,8 +156,10 @@
             .retain(|_, start_refused_at| now.since(*start_refused_at) < refused_start_cooldown);
         let mut zone_counts: BTreeMap<&Zone, usize> = BTreeMap::new();
         let mut function_workers: BTreeSet<&WorkerName> = BTreeSet::new();
-        for (_, reservation) in
-            self.reservations.all_of(function).filter(|(_, reservation)| !reservation.draining)
+        for (_, reservation) in self
+            .reservations
+            .all_of(function)
+            .filter(|(_, reservation)| !reservation.draining)
         {
             function_workers.insert(&reservation.worker);
             if let Some(record) = self.workers.get(&reservation.worker) {
@@ -182,6 +211,8 @@
     }
 
     fn has_lease(&self, known_member: &common::frames::KnownMember, now: MonotonicTime) -> bool {
-        self.members.get(known_member).is_some_and(|record| record.lease_expires_at > now)
+        self.members
+            .get(known_member)
+            .is_some_and(|record| record.lease_expires_at > now)
     }
 }
--- a/crates/controlplane/src/settings.rs
+++ b/crates/controlplane/src/settings.rs
@@ -54,7 +54,9 @@
     let losses = root.field("core_losses").number_or(0..=4, 1) as usize;
     let zone_losses = root.field("core_zone_losses").number_or(0..=4, 1) as usize;
     let tolerating = QuorumPolicy::tolerating(losses, zone_losses);
-    let size = root.field("core_size").number_or(1..=9, tolerating.voters() as u64) as usize;
+    let size = root
+        .field("core_size")
+        .number_or(1..=9, tolerating.voters() as u64) as usize;
     QuorumPolicy::new(size, zone_losses)
 }
 
@@ -105,8 +107,11 @@
             let zone = root.field("locality").text();
             let seeds = read_addresses(&root.field("seeds"), 1..=3);
             let data_reader = root.field("data");
-            let data =
-                if data_reader.is_present() { Some(data_reader.text()?.to_owned()) } else { None };
+            let data = if data_reader.is_present() {
+                Some(data_reader.text()?.to_owned())
+            } else {
+                None
+            };
             let bootstrap_on_first_start = root.field("found_first").bool_or(false);
             let quorum_policy = read_quorum_policy(root);
             let threads = root.field("threads").number_or(1..=64, 2) as usize;
@@ -119,10 +124,14 @@
                 &timing.field("election_longest_ms"),
                 default_consensus_timing.election_timeout_max,
             );
-            let lease_length =
-                read_millis(&timing.field("grant_ms"), default_leader_timing.lease_length);
-            let drift_margin =
-                read_millis(&timing.field("drift_ms"), default_leader_timing.drift_margin);
+            let lease_length = read_millis(
+                &timing.field("grant_ms"),
+                default_leader_timing.lease_length,
+            );
+            let drift_margin = read_millis(
+                &timing.field("drift_ms"),
+                default_leader_timing.drift_margin,
+            );
             Some(Self {
                 source: settings_source.name().to_owned(),
                 address: address?,
--- a/crates/controlplane/src/storage/mod.rs
+++ b/crates/controlplane/src/storage/mod.rs
@@ -29,7 +29,10 @@
             Self::File(file, error) => write!(out, "{}: {error}", file.display()),
             Self::Document(error) => write!(out, "{error}"),
             Self::NothingToRecover => {
-                write!(out, "no version on this disk names its member; recover from another disk")
+                write!(
+                    out,
+                    "no version on this disk names its member; recover from another disk"
+                )
             }
         }
     }
@@ -91,7 +94,10 @@
 }
 
 fn version_name(document_version: DocumentVersion) -> String {
-    format!("spec-{:016x}-{:016x}", document_version.term.0, document_version.version.0)
+    format!(
+        "spec-{:016x}-{:016x}",
+        document_version.term.0, document_version.version.0
+    )
 }
 
 fn parse_file_name(file_name: &str) -> Option<StoredFile> {
@@ -120,7 +126,10 @@
     ) -> Result<Self, DataDirectoryError> {
         let file_error = |error| DataDirectoryError::File(directory.to_owned(), error);
         fs::create_dir_all(directory).map_err(file_error)?;
-        let data_directory = Self { directory: directory.to_owned(), fault_hook };
+        let data_directory = Self {
+            directory: directory.to_owned(),
+            fault_hook,
+        };
         data_directory.write_file("writable", b"yes")?;
         Ok(data_directory)
     }
@@ -132,7 +141,9 @@
             let failed_path = path.to_owned();
             move |error| DataDirectoryError::File(failed_path, error)
         };
-        self.fault_hook.before_write().map_err(file_error(&final_path))?;
+        self.fault_hook
+            .before_write()
+            .map_err(file_error(&final_path))?;
         let mut temporary_file = OpenOptions::new()
             .create(true)
             .write(true)
@@ -142,12 +153,18 @@
         let mut file_bytes = hex(&digest(payload)).into_bytes();
         file_bytes.push(b'\n');
         file_bytes.extend_from_slice(payload);
-        temporary_file.write_all(&file_bytes).map_err(file_error(&temporary_path))?;
-        temporary_file.sync_all().map_err(file_error(&temporary_path))?;
+        temporary_file
+            .write_all(&file_bytes)
+            .map_err(file_error(&temporary_path))?;
+        temporary_file
+            .sync_all()
+            .map_err(file_error(&temporary_path))?;
         drop(temporary_file);
         fs::rename(&temporary_path, &final_path).map_err(file_error(&final_path))?;
         let directory_handle = File::open(&self.directory).map_err(file_error(&self.directory))?;
-        directory_handle.sync_all().map_err(file_error(&self.directory))
+        directory_handle
+            .sync_all()
+            .map_err(file_error(&self.directory))
     }
 
     fn read_file(&self, file_name: &str) -> Option<Vec<u8>> {
@@ -176,7 +193,10 @@
                 self.write_file(&vote_name(*term), format!("{:x}", candidate.0).as_bytes())?;
             }
             WriteJob::Version(document) => {
-                self.write_file(&version_name(document.document_version), &document.to_bytes())?;
+                self.write_file(
+                    &version_name(document.document_version),
+                    &document.to_bytes(),
+                )?;
             }
             WriteJob::Scrub(document) => {
                 self.scrub(document.as_ref())?;
@@ -221,7 +241,11 @@
         let is_version =
             |name: &&String| matches!(parse_file_name(name), Some(StoredFile::Version(_)));
         let old_votes = file_names.iter().filter(is_vote).rev().skip(RETAINED_VOTES);
-        let old_versions = file_names.iter().filter(is_version).rev().skip(RETAINED_VERSIONS);
+        let old_versions = file_names
+            .iter()
+            .filter(is_version)
+            .rev()
+            .skip(RETAINED_VERSIONS);
         for old_name in old_votes.chain(old_versions) {
             let _ = fs::remove_file(self.directory.join(old_name));
         }
@@ -271,14 +295,20 @@
                 None => {}
             }
         }
-        persisted.unreadable_version =
-            persisted.unreadable_version.max(self.stored_unreadable_version().unwrap_or_default());
+        persisted.unreadable_version = persisted
+            .unreadable_version
+            .max(self.stored_unreadable_version().unwrap_or_default());
         let accepted_document_version = persisted
             .accepted
             .as_ref()
-            .map_or(DocumentVersion::default(), |document| document.document_version);
+            .map_or(DocumentVersion::default(), |document| {
+                document.document_version
+            });
         if persisted.unreadable_version > accepted_document_version {
-            self.write_file("distrusted", persisted.unreadable_version.to_string().as_bytes())?;
+            self.write_file(
+                "distrusted",
+                persisted.unreadable_version.to_string().as_bytes(),
+            )?;
         }
         for damaged_name in &quarantined {
             self.quarantine(damaged_name)?;
@@ -336,8 +366,11 @@
         for file_name in self.file_names()? {
             if parse_file_name(&file_name).is_some() {
                 let stored_path = self.directory.join(&file_name);
-                fs::rename(&stored_path, self.directory.join(format!("foreign-{file_name}")))
-                    .map_err(|error| DataDirectoryError::File(stored_path, error))?;
+                fs::rename(
+                    &stored_path,
+                    self.directory.join(format!("foreign-{file_name}")),
+                )
+                .map_err(|error| DataDirectoryError::File(stored_path, error))?;
             }
         }
         Ok(())
--- a/crates/controlplane/tests/controller_forms.rs
+++ b/crates/controlplane/tests/controller_forms.rs
@@ -50,7 +50,11 @@
         if let Ok(controller) = Controller::open(&boot).await {
             let (stop_sender, stop) = watch::channel(false);
             tokio::spawn(controller.run(stop));
-            return Running { operators, address, _stop: stop_sender };
+            return Running {
+                operators,
+                address,
+                _stop: stop_sender,
+            };
         }
     }
     panic!("no port is free");
@@ -138,7 +142,11 @@
     answered(running.operators, "POST /v1/core/found", "", "").await;
     let (head, page) = answered(running.operators, "GET /metrics", "", "").await;
     let kinds: Vec<&str> = InputKind::ALL.iter().map(|kind| kind.label()).collect();
-    let seen = format!("{head}\n\nkinds of input: {}\n\n{}", kinds.join(", "), names_of(&page));
+    let seen = format!(
+        "{head}\n\nkinds of input: {}\n\n{}",
+        kinds.join(", "),
+        names_of(&page)
+    );
     check("metrics.txt", &seen);
 }
 
@@ -165,9 +173,20 @@
         put(&mut text, running.operators, line, "").await;
     }
     put(&mut text, running.operators, "PUT /v1/spec", &change).await;
-    put(&mut text, running.operators, "POST /v1/localities/north/evacuate", &turn).await;
-    let (head, answer) =
-        answered(running.operators, "PUT /v1/spec", "", &" ".repeat((8 << 20) + 1)).await;
+    put(
+        &mut text,
+        running.operators,
+        "POST /v1/localities/north/evacuate",
+        &turn,
+    )
+    .await;
+    let (head, answer) = answered(
+        running.operators,
+        "PUT /v1/spec",
+        "",
+        &" ".repeat((8 << 20) + 1),
+    )
+    .await;
     let _ = writeln!(text, "## a body of over 8 MiB\n{head}\n\n{answer}");
     check("controller_without_leader.txt", &text);
 }
@@ -175,9 +194,10 @@
 /// The keys of an answer, and of what stands under them what users' programs compare with.
 fn keys_of(value: &Value, key: &str) -> Value {
     match value {
-        Value::Object(fields) => {
-            fields.iter().map(|(key, inner)| (key.clone(), keys_of(inner, key))).collect()
-        }
+        Value::Object(fields) => fields
+            .iter()
+            .map(|(key, inner)| (key.clone(), keys_of(inner, key)))
+            .collect(),
         Value::Array(items) => {
             let mut rows: Vec<Value> = Vec::new();
             for row in items.iter().map(|item| keys_of(item, key)) {
@@ -226,7 +246,11 @@
     answer
         .lines()
         .filter_map(|line| serde_json::from_str::<Value>(line).ok())
-        .filter(|event| event["event"].as_u64().is_some_and(|kind| SURE_EVENTS.contains(&kind)))
+        .filter(|event| {
+            event["event"]
+                .as_u64()
+                .is_some_and(|kind| SURE_EVENTS.contains(&kind))
+        })
         .map(|event| keys_of(&event, "").to_string())
         .collect()
 }
@@ -259,7 +283,10 @@
         ("GET /v1/traces/999", String::new()),
         ("POST /v1/core/found", String::new()),
         ("POST /v1/core/replace/5f/77", String::new()),
-        ("POST /v1/localities/east/evacuate", json!({"change_id": "e"}).to_string()),
+        (
+            "POST /v1/localities/east/evacuate",
+            json!({"change_id": "e"}).to_string(),
+        ),
     ] {
         seen[line] = keys(answered(operators, line, "", &body).await);
     }
--- a/crates/controlplane/tests/controller_state/change_numbering.rs
+++ b/crates/controlplane/tests/controller_state/change_numbering.rs
@@ -30,9 +30,17 @@
 
 impl SentChange {
     fn random(rng: &mut SeededRng, current: u64) -> Self {
-        let base_number = if rng.random_bool(0.7) { current } else { rng.below(current + 2) };
+        let base_number = if rng.random_bool(0.7) {
+            current
+        } else {
+            rng.below(current + 2)
+        };
         let number = (base_number + rng.below(4)).saturating_sub(rng.below(2));
-        Self { number, base_number, content: rng.below(3) }
+        Self {
+            number,
+            base_number,
+            content: rng.below(3),
+        }
     }
 
     fn spec(&self) -> Value {
@@ -40,7 +48,10 @@
     }
 
     fn numbering(&self) -> Numbering {
-        Numbering { number: self.number, base_number: self.base_number }
+        Numbering {
+            number: self.number,
+            base_number: self.base_number,
+        }
     }
 
     fn operation(&self) -> Operation {
@@ -122,18 +133,26 @@
             };
             earlier.push(sent.clone());
             let leader = cluster.await_leader();
-            let reply = cluster.reply_to(leader, sent.operation()).expect("an answer");
+            let reply = cluster
+                .reply_to(leader, sent.operation())
+                .expect("an answer");
             let expected = expected_history.expect(&sent);
             verify_that!(verdict_of(&reply), eq(expected)).with_failure_message(|| {
-                format!("seed {seed}: {sent:?} after {:?}", expected_history.0.last())
+                format!(
+                    "seed {seed}: {sent:?} after {:?}",
+                    expected_history.0.last()
+                )
             })?;
             *seen.entry(format!("{expected:?}")).or_default() += 1;
             let document = cluster.accepted(leader).expect("a document");
             verify_that!(document.number, eq(expected_history.current()))?;
         }
     }
-    verify_that!(seen.values().all(|count| *count >= 20) && seen.len() == 3, eq(true))
-        .with_failure_message(|| format!("{seen:?}"))
+    verify_that!(
+        seen.values().all(|count| *count >= 20) && seen.len() == 3,
+        eq(true)
+    )
+    .with_failure_message(|| format!("{seen:?}"))
 }
 
 /// What must hold whatever was killed: each number was built on the one before, and above it.
@@ -143,7 +162,10 @@
         let known = chain
             .entry(document.document_version.version.0)
             .or_insert((document.number, document.spec.to_value()));
-        verify_that!(*known == (document.number, document.spec.to_value()), eq(true))?;
+        verify_that!(
+            *known == (document.number, document.spec.to_value()),
+            eq(true)
+        )?;
     }
     let mut last_number = 0;
     for (number, spec) in chain.values().filter(|(number, _)| *number > 0) {
@@ -170,15 +192,22 @@
         for _ in 0..12 {
             let leader = cluster.await_leader();
             let current = cluster.accepted(leader).expect("a document").number;
-            let rivals: Vec<SentChange> =
-                (0..1 + rng.below(2)).map(|_| SentChange::random(&mut rng, current)).collect();
+            let rivals: Vec<SentChange> = (0..1 + rng.below(2))
+                .map(|_| SentChange::random(&mut rng, current))
+                .collect();
             all_sent.extend(rivals.iter().cloned());
-            let tickets: Vec<_> =
-                rivals.iter().map(|sent| cluster.submit(leader, sent.operation())).collect();
+            let tickets: Vec<_> = rivals
+                .iter()
+                .map(|sent| cluster.submit(leader, sent.operation()))
+                .collect();
             if rng.random_bool(0.7) {
                 let span = rng.below(25);
                 cluster.advance(span);
-                let victim = if rng.random_bool(0.8) { leader } else { rng.below(3) as usize };
+                let victim = if rng.random_bool(0.8) {
+                    leader
+                } else {
+                    rng.below(3) as usize
+                };
                 cluster.kill(victim);
                 kill_count += 1;
                 cluster.advance(400);
@@ -194,8 +223,9 @@
                 while matches!(verdict, Verdict::Unknown | Verdict::NotAccepted) && try_count < 8 {
                     unknown_count += usize::from(verdict == Verdict::Unknown);
                     let at = cluster.await_leader();
-                    let was_taken =
-                        cluster.accepted(at).is_some_and(|document| sent.is_in(document));
+                    let was_taken = cluster
+                        .accepted(at)
+                        .is_some_and(|document| sent.is_in(document));
                     retry_count += usize::from(was_taken);
                     let reply = cluster.reply_to(at, sent.operation());
                     verdict = reply.map_or(Verdict::Unknown, |reply| verdict_of(&reply));
@@ -207,8 +237,10 @@
                 match verdict {
                     Verdict::Accepted => accepted.push(sent.clone()),
                     Verdict::Stale | Verdict::Invalid => {
-                        let is_committed =
-                            cluster.committed.iter().any(|document| sent.is_in(document));
+                        let is_committed = cluster
+                            .committed
+                            .iter()
+                            .any(|document| sent.is_in(document));
                         verify_that!(is_committed, eq(false))?;
                     }
                     _ => {}
@@ -222,8 +254,10 @@
             verify_that!(sent.is_in(&newest), eq(true))?;
         }
         let bases: Vec<u64> = accepted.iter().map(|sent| sent.base_number).collect();
-        let different: BTreeSet<(u64, u64, u64)> =
-            accepted.iter().map(|sent| (sent.number, sent.base_number, sent.content)).collect();
+        let different: BTreeSet<(u64, u64, u64)> = accepted
+            .iter()
+            .map(|sent| (sent.number, sent.base_number, sent.content))
+            .collect();
         let different_bases: BTreeSet<u64> = bases.into_iter().collect();
         verify_that!(different.len(), eq(different_bases.len()))?;
     }
@@ -234,12 +268,23 @@
 fn the_same_change_sent_twice_at_once_is_one_change() -> Result<()> {
     let mut cluster = founded_cluster(4);
     let leader = cluster.await_leader();
-    let sent = SentChange { number: 5, base_number: 0, content: 1 };
-    let rival = SentChange { number: 5, base_number: 0, content: 2 };
+    let sent = SentChange {
+        number: 5,
+        base_number: 0,
+        content: 1,
+    };
+    let rival = SentChange {
+        number: 5,
+        base_number: 0,
+        content: 2,
+    };
     let tickets = [&sent, &sent, &rival].map(|change| cluster.submit(leader, change.operation()));
     cluster.advance(1000);
     let verdicts = tickets.map(|ticket| verdict_of(&cluster.replies[&ticket]));
-    verify_that!(verdicts, eq([Verdict::Accepted, Verdict::Accepted, Verdict::Stale]))?;
+    verify_that!(
+        verdicts,
+        eq([Verdict::Accepted, Verdict::Accepted, Verdict::Stale])
+    )?;
     verify_that!(cluster.accepted(leader).expect("one").number, eq(5))
 }
 
@@ -254,7 +299,13 @@
 
 fn change(numbering: Numbering, kind: ChangeKind) -> Operation {
     let numbering = Some(numbering);
-    Operation::Change { base: None, numbering, change: None, kind, wait: Wait::Accepted }
+    Operation::Change {
+        base: None,
+        numbering,
+        change: None,
+        kind,
+        wait: Wait::Accepted,
+    }
 }
 
 #[gtest]
@@ -266,9 +317,18 @@
         "routes": {"ra": route("ra", "a"), "rb": route("rb", "b")},
         "labels": {"day": "one"},
     });
-    let numbering = Numbering { number: 3, base_number: 0 };
-    let reply = cluster.reply_to(leader, change(numbering, ChangeKind::FullSpec(first.into())));
-    verify_that!(reply.map(|reply| verdict_of(&reply)), some(eq(Verdict::Accepted)))?;
+    let numbering = Numbering {
+        number: 3,
+        base_number: 0,
+    };
+    let reply = cluster.reply_to(
+        leader,
+        change(numbering, ChangeKind::FullSpec(first.into())),
+    );
+    verify_that!(
+        reply.map(|reply| verdict_of(&reply)),
+        some(eq(Verdict::Accepted))
+    )?;
     let items = ItemChange {
         put_functions: BTreeMap::from([("c".to_owned(), function(300))]),
         remove_functions: BTreeSet::from(["b".to_owned(), "nobody".to_owned()]),
@@ -277,11 +337,17 @@
         limits: Some(json!({"body_bytes": 4096})),
         labels: None,
     };
-    let numbering = Numbering { number: 8, base_number: 3 };
+    let numbering = Numbering {
+        number: 8,
+        base_number: 3,
+    };
     let kind = ChangeKind::Items(Box::new(items));
     for _ in 0..2 {
         let reply = cluster.reply_to(leader, change(numbering, kind.clone()));
-        verify_that!(reply.map(|reply| verdict_of(&reply)), some(eq(Verdict::Accepted)))?;
+        verify_that!(
+            reply.map(|reply| verdict_of(&reply)),
+            some(eq(Verdict::Accepted))
+        )?;
     }
     let expected = json!({
         "functions": {"a": function(100), "c": function(300)},
@@ -289,13 +355,24 @@
         "limits": {"body_bytes": 4096},
         "labels": {"day": "one"},
     });
-    verify_that!(cluster.accepted(leader).expect("one").spec.to_value(), eq(&expected))?;
-    let dangling =
-        ItemChange { remove_functions: BTreeSet::from(["c".to_owned()]), ..ItemChange::default() };
-    let numbering = Numbering { number: 9, base_number: 8 };
+    verify_that!(
+        cluster.accepted(leader).expect("one").spec.to_value(),
+        eq(&expected)
+    )?;
+    let dangling = ItemChange {
+        remove_functions: BTreeSet::from(["c".to_owned()]),
+        ..ItemChange::default()
+    };
+    let numbering = Numbering {
+        number: 9,
+        base_number: 8,
+    };
     let kind = ChangeKind::Items(Box::new(dangling));
     let reply = cluster.reply_to(leader, change(numbering, kind));
-    verify_that!(reply.map(|reply| verdict_of(&reply)), some(eq(Verdict::Invalid)))?;
+    verify_that!(
+        reply.map(|reply| verdict_of(&reply)),
+        some(eq(Verdict::Invalid))
+    )?;
     verify_that!(cluster.accepted(leader).expect("one").number, eq(8))
 }
 
@@ -310,17 +387,29 @@
         kind,
         wait: Wait::Accepted,
     };
-    let evacuate = |force| ChangeKind::Evacuate { zone: "l9".into(), force };
+    let evacuate = |force| ChangeKind::Evacuate {
+        zone: "l9".into(),
+        force,
+    };
     let unknown = cluster.reply_to(leader, zone_change(evacuate(false)));
-    verify_that!(matches!(unknown, Some(OperationReply::NoZone { .. })), eq(true))?;
+    verify_that!(
+        matches!(unknown, Some(OperationReply::NoZone { .. })),
+        eq(true)
+    )?;
     let restore = ChangeKind::Restore { zone: "l9".into() };
     for (kind, is_evacuated) in [(evacuate(true), true), (restore, false)] {
         let mut versions = BTreeSet::new();
         for _ in 0..3 {
             let reply = cluster.reply_to(leader, zone_change(kind.clone()));
-            verify_that!(reply.map(|reply| verdict_of(&reply)), some(eq(Verdict::Accepted)))?;
+            verify_that!(
+                reply.map(|reply| verdict_of(&reply)),
+                some(eq(Verdict::Accepted))
+            )?;
             let document = cluster.accepted(leader).expect("a document");
-            verify_that!(document.evacuated.contains(&Zone::from("l9")), eq(is_evacuated))?;
+            verify_that!(
+                document.evacuated.contains(&Zone::from("l9")),
+                eq(is_evacuated)
+            )?;
             versions.insert(document.document_version.version);
         }
         verify_that!(versions.len(), eq(1))?;
--- a/crates/controlplane/tests/controller_state/cluster.rs
+++ b/crates/controlplane/tests/controller_state/cluster.rs
@@ -67,16 +67,26 @@
 
 /// Where a controller stands.
 pub fn address(number: usize) -> SocketAddress {
-    SocketAddress(format!("10.0.0.{}:1", number + 1).parse().expect("an address"))
+    SocketAddress(
+        format!("10.0.0.{}:1", number + 1)
+            .parse()
+            .expect("an address"),
+    )
 }
 
 /// Where operators reach it.
 pub fn operators(number: usize) -> SocketAddress {
-    SocketAddress(format!("10.0.0.{}:2", number + 1).parse().expect("an address"))
+    SocketAddress(
+        format!("10.0.0.{}:2", number + 1)
+            .parse()
+            .expect("an address"),
+    )
 }
 
 fn timing() -> ConsensusTiming {
-    ConsensusTiming::builder().unreachable_voter_timeout(Duration::from_secs(3)).build()
+    ConsensusTiming::builder()
+        .unreachable_voter_timeout(Duration::from_secs(3))
+        .build()
 }
 
 impl TestCluster {
@@ -113,7 +123,10 @@
     /// Gives a stopped controller an empty disk.
     pub fn wipe(&mut self, number: usize, is_initial: bool) {
         let id = ControllerId(self.rng.number() | 1);
-        self.nodes[number].disk = Some(Disk { persisted: PersistedState::empty(id), is_initial });
+        self.nodes[number].disk = Some(Disk {
+            persisted: PersistedState::empty(id),
+            is_initial,
+        });
     }
 
     /// Starts a controller with what its disk holds.
@@ -121,14 +134,18 @@
         let seed = self.rng.number();
         let node = &mut self.nodes[number];
         node.incarnation += 1;
-        let controller_address =
-            ControllerAddress { address: address(number), operators: operators(number) };
+        let controller_address = ControllerAddress {
+            address: address(number),
+            operators: operators(number),
+        };
         let persisted = match &node.disk {
             Some(disk) => disk.persisted.clone(),
             None => PersistedState::empty(ControllerId(seed | 1)),
         };
-        let may_bootstrap =
-            node.disk.as_ref().is_some_and(|disk| disk.is_initial && disk.persisted.is_empty());
+        let may_bootstrap = node
+            .disk
+            .as_ref()
+            .is_some_and(|disk| disk.is_initial && disk.persisted.is_empty());
         let consensus = ConsensusNode::new(
             self.now,
             timing(),
@@ -139,7 +156,11 @@
             SeededRng::seeded(seed),
         )
         .with_bootstrap(may_bootstrap);
-        let consensus = if node.disk.is_some() { consensus } else { consensus.without_disk() };
+        let consensus = if node.disk.is_some() {
+            consensus
+        } else {
+            consensus.without_disk()
+        };
         let leader_state_timing = LeaderTiming::builder().build();
         node.controller_state = Some(ControllerState::new(
             consensus,
@@ -189,14 +210,19 @@
     }
 
     fn persist(&mut self, number: usize, job: &WriteJob) {
-        let Some(disk) = &mut self.nodes[number].disk else { return };
+        let Some(disk) = &mut self.nodes[number].disk else {
+            return;
+        };
         match job {
             WriteJob::Vote { term, candidate } => {
                 disk.persisted.voted_for = Some((*term, *candidate))
             }
             WriteJob::Version(document) => {
-                let newest =
-                    disk.persisted.accepted.as_ref().map(|document| document.document_version);
+                let newest = disk
+                    .persisted
+                    .accepted
+                    .as_ref()
+                    .map(|document| document.document_version);
                 if newest.is_none_or(|newest| newest < document.document_version) {
                     disk.persisted.accepted = Some(document.clone());
                 }
@@ -207,16 +233,21 @@
     }
 
     fn push(&mut self, shortest_ms: u64, longest_ms: u64, event: Event) {
-        let span =
-            self.rng.within(Duration::from_millis(shortest_ms), Duration::from_millis(longest_ms));
+        let span = self.rng.within(
+            Duration::from_millis(shortest_ms),
+            Duration::from_millis(longest_ms),
+        );
         self.last_number += 1;
-        self.events.insert((self.now + span, self.last_number), event);
+        self.events
+            .insert((self.now + span, self.last_number), event);
     }
 
     /// Gives one input to a controller that runs.
     pub fn feed(&mut self, number: usize, input: ControllerInput) {
         let now = self.now;
-        let Some(controller_state) = &mut self.nodes[number].controller_state else { return };
+        let Some(controller_state) = &mut self.nodes[number].controller_state else {
+            return;
+        };
         for output in controller_state.take(now, input) {
             self.execute(number, output);
         }
@@ -243,9 +274,12 @@
             ControllerOutput::EventRecord(numbered)
                 if numbered.event_record.event == events::VERSION_COMMITTED =>
             {
-                let controller_state =
-                    self.nodes[number].controller_state.as_ref().expect("it runs");
-                self.committed.extend(controller_state.consensus().accepted().cloned());
+                let controller_state = self.nodes[number]
+                    .controller_state
+                    .as_ref()
+                    .expect("it runs");
+                self.committed
+                    .extend(controller_state.consensus().accepted().cloned());
             }
             _ => {}
         }
@@ -283,9 +317,12 @@
             }
             for number in 0..self.nodes.len() {
                 let is_due =
-                    self.nodes[number].controller_state.as_ref().is_some_and(|controller_state| {
-                        controller_state.consensus().next_due() <= self.now
-                    });
+                    self.nodes[number]
+                        .controller_state
+                        .as_ref()
+                        .is_some_and(|controller_state| {
+                            controller_state.consensus().next_due() <= self.now
+                        });
                 if is_due || self.now.0.is_multiple_of(50_000_000) {
                     self.feed(number, ControllerInput::Tick);
                 }
@@ -341,7 +378,11 @@
 
     /// The newest version at one controller.
     pub fn accepted(&self, number: usize) -> Option<&Document> {
-        self.nodes[number].controller_state.as_ref()?.consensus().accepted()
+        self.nodes[number]
+            .controller_state
+            .as_ref()?
+            .consensus()
+            .accepted()
     }
 
     /// Where the members of the core stand by one controller's newest version.
--- a/crates/controlplane/tests/controller_state/founding.rs
+++ b/crates/controlplane/tests/controller_state/founding.rs
@@ -147,7 +147,10 @@
     let next_leader = cluster.await_leader();
     verify_that!(next_leader, not(eq(3)))?;
     verify_that!(cluster.voters_at(next_leader).contains(&3), eq(false))?;
-    verify_that!(cluster.written.iter().any(|(number, _)| *number == 3), eq(false))
+    verify_that!(
+        cluster.written.iter().any(|(number, _)| *number == 3),
+        eq(false)
+    )
 }
 
 #[gtest]
@@ -159,16 +162,25 @@
     let other = (leader + 1) % 3;
     cluster.kill(leader);
     let reply = cluster.reply_to(other, Operation::ReadSpec);
-    let is_answered =
-        matches!(reply, Some(OperationReply::Redirect(_) | OperationReply::Spec { .. }));
+    let is_answered = matches!(
+        reply,
+        Some(OperationReply::Redirect(_) | OperationReply::Spec { .. })
+    );
     verify_that!(is_answered, eq(true))?;
-    let third = (0..3).find(|number| *number != leader && *number != other).expect("a third");
+    let third = (0..3)
+        .find(|number| *number != leader && *number != other)
+        .expect("a third");
     cluster.kill(third);
     cluster.advance(1500);
     let requested_at = cluster.now;
     let reply = cluster.reply_to(other, Operation::ReadSpec);
     verify_that!(
-        matches!(reply, Some(OperationReply::TemporarilyUnavailable(Unavailable::NoLeader))),
+        matches!(
+            reply,
+            Some(OperationReply::TemporarilyUnavailable(
+                Unavailable::NoLeader
+            ))
+        ),
         eq(true)
     )?;
     verify_that!(cluster.now.since(requested_at).as_millis(), le(800))
@@ -181,15 +193,32 @@
     let leader = cluster.await_leader();
     cluster.advance(1000);
     let lost = (leader + 1) % 3;
-    let former_id = cluster.nodes[lost].disk.as_ref().expect("a disk").persisted.id;
+    let former_id = cluster.nodes[lost]
+        .disk
+        .as_ref()
+        .expect("a disk")
+        .persisted
+        .id;
     cluster.kill(lost);
     cluster.wipe(lost, false);
     cluster.start(lost);
     cluster.advance(1200);
-    let members: Vec<ControllerId> =
-        cluster.accepted(leader).expect("one").voters.iter().map(|member| member.id).collect();
+    let members: Vec<ControllerId> = cluster
+        .accepted(leader)
+        .expect("one")
+        .voters
+        .iter()
+        .map(|member| member.id)
+        .collect();
     verify_that!(members.contains(&former_id), eq(false))?;
-    verify_that!(cluster.accepted(leader).expect("one").previous_voters.is_empty(), eq(true))?;
+    verify_that!(
+        cluster
+            .accepted(leader)
+            .expect("one")
+            .previous_voters
+            .is_empty(),
+        eq(true)
+    )?;
     verify_that!(cluster.voters_at(lost), eq(&vec![0, 1, 2]))?;
     let other = (leader + 2) % 3;
     cluster.kill(other);
@@ -207,7 +236,9 @@
     let leader = cluster.await_leader();
     cluster.advance(1000);
     let follower = if leader == 0 { 1 } else { 0 };
-    let lost = (0..3).find(|number| *number != leader && *number != follower).expect("a third");
+    let lost = (0..3)
+        .find(|number| *number != leader && *number != follower)
+        .expect("a third");
     let lost_zone = cluster.nodes[lost].zone;
     cluster.nodes[3].zone = lost_zone;
     cluster.kill(lost);
@@ -271,14 +302,22 @@
         cluster.start_all();
         let leader = cluster.await_leader();
         cluster.advance(500);
-        let term = cluster.accepted(leader).expect("a document").document_version.term;
+        let term = cluster
+            .accepted(leader)
+            .expect("a document")
+            .document_version
+            .term;
         let other = (leader + 1) % 3;
         cluster.kill(other);
         cluster.start(other);
         cluster.advance(1500);
         verify_that!(cluster.leader(), some(eq(leader)))?;
         verify_that!(
-            cluster.accepted(leader).expect("a document").document_version.term,
+            cluster
+                .accepted(leader)
+                .expect("a document")
+                .document_version
+                .term,
             eq(term)
         )?;
     }
--- a/crates/controlplane/tests/controller_state/operator_api.rs
+++ b/crates/controlplane/tests/controller_state/operator_api.rs
@@ -14,7 +14,13 @@
 use serde_json::{Value, json};
 
 fn head(method: Method, target: &str) -> Parts {
-    Request::builder().method(method).uri(target).body(()).expect("a request").into_parts().0
+    Request::builder()
+        .method(method)
+        .uri(target)
+        .body(())
+        .expect("a request")
+        .into_parts()
+        .0
 }
 
 fn read(
@@ -27,7 +33,12 @@
 
 async fn response_parts(served: HttpResponse) -> (u16, Value) {
     let status = served.status().as_u16();
-    let body = served.into_body().collect().await.expect("a body").to_bytes();
+    let body = served
+        .into_body()
+        .collect()
+        .await
+        .expect("a body")
+        .to_bytes();
     (status, serde_json::from_slice(&body).expect("JSON"))
 }
 
@@ -42,16 +53,29 @@
         "put": {"routes": {"r": {"kind": "once"}}, "limits": {"idle_ms": 5}},
         "remove": {"functions": ["f"]},
     });
-    let Ok(Operation::Change { base, numbering, change, kind, wait }) =
-        read(Method::PATCH, "/v1/spec", &body)
+    let Ok(Operation::Change {
+        base,
+        numbering,
+        change,
+        kind,
+        wait,
+    }) = read(Method::PATCH, "/v1/spec", &body)
     else {
         panic!("a change");
     };
     assert_that!(base, none());
-    assert_that!(numbering, some(eq(Numbering { number: 7, base_number: 5 })));
+    assert_that!(
+        numbering,
+        some(eq(Numbering {
+            number: 7,
+            base_number: 5
+        }))
+    );
     assert_that!(change, some(eq(&ChangeId::from("c"))));
     assert_that!(wait, eq(Wait::Accepted));
-    let ChangeKind::Items(items) = kind else { panic!("items") };
+    let ChangeKind::Items(items) = kind else {
+        panic!("items")
+    };
     assert_that!(items.put_routes["r"], eq(&json!({"kind": "once"})));
     assert_that!(items.put_functions.is_empty(), eq(true));
     assert_that!(items.remove_functions.contains("f"), eq(true));
@@ -62,13 +86,24 @@
 async fn a_change_without_base_or_of_mixed_form_is_refused_with_its_path() {
     let cases = [
         (json!({"change_id": "c", "patch": {}}), "base_serial"),
-        (json!({"change_id": "c", "patch": {}, "number": 3}), "base_number"),
-        (json!({"change_id": "c", "base_serial": 1, "patch": {}, "put": {}}), "patch"),
-        (json!({"change_id": "c", "base_serial": 1, "put": {"roads": {}}}), "put.roads"),
+        (
+            json!({"change_id": "c", "patch": {}, "number": 3}),
+            "base_number",
+        ),
+        (
+            json!({"change_id": "c", "base_serial": 1, "patch": {}, "put": {}}),
+            "patch",
+        ),
+        (
+            json!({"change_id": "c", "base_serial": 1, "put": {"roads": {}}}),
+            "put.roads",
+        ),
         (json!({"base_serial": 1, "put": {}}), "change_id"),
     ];
     for (body, path) in cases {
-        let Err(served) = read(Method::PATCH, "/v1/spec", &body) else { panic!("{body}") };
+        let Err(served) = read(Method::PATCH, "/v1/spec", &body) else {
+            panic!("{body}")
+        };
         let (status, answer) = response_parts(*served).await;
         assert_that!(status, eq(422));
         assert_that!(answer["state"], eq(&json!("not_accepted")));
@@ -93,29 +128,46 @@
     };
     let named = Some(change.clone());
     let cases = [
-        (accepted(0, false), 200, json!({"state": "accepted", "serial": 4, "change_id": "c"})),
+        (
+            accepted(0, false),
+            200,
+            json!({"state": "accepted", "serial": 4, "change_id": "c"}),
+        ),
         (
             accepted(9, true),
             200,
             json!({"state": "in_force", "serial": 4, "number": 9, "change_id": "c"}),
         ),
         (
-            OperationReply::Stale { change: change.clone(), version: Version(6), number: 0 },
+            OperationReply::Stale {
+                change: change.clone(),
+                version: Version(6),
+                number: 0,
+            },
             409,
             json!({"error": "stale_base", "state": "not_accepted", "serial": 6, "change_id": "c"}),
         ),
         (
-            OperationReply::NotAccepted { reason: Unavailable::NoQuorum, change: named.clone() },
+            OperationReply::NotAccepted {
+                reason: Unavailable::NoQuorum,
+                change: named.clone(),
+            },
             503,
             json!({"error": "no_quorum", "state": "not_accepted", "change_id": "c"}),
         ),
         (
-            OperationReply::Unknown { reason: Unavailable::NoQuorum, change: named },
+            OperationReply::Unknown {
+                reason: Unavailable::NoQuorum,
+                change: named,
+            },
             503,
             json!({"error": "no_quorum", "state": "unknown", "change_id": "c"}),
         ),
         (
-            OperationReply::Unknown { reason: Unavailable::LeaderLost, change: None },
+            OperationReply::Unknown {
+                reason: Unavailable::LeaderLost,
+                change: None,
+            },
             503,
             json!({"error": "leader_lost", "state": "unknown"}),
         ),
@@ -129,8 +181,11 @@
         assert_that!(response_parts(respond(reply)).await, eq(&(status, body)));
     }
     let document = Box::new(Document::founding(Vec::new()).numbered(12));
-    let (status, body) =
-        response_parts(respond(OperationReply::Spec { document, in_force: Version(1) })).await;
+    let (status, body) = response_parts(respond(OperationReply::Spec {
+        document,
+        in_force: Version(1),
+    }))
+    .await;
     let expected = json!({
         "serial": 1, "number": 12, "in_force": 1, "evacuated": [],
         "spec": {"functions": {}, "routes": {}},
--- a/crates/controlplane/tests/controller_state/operator_changes.rs
+++ b/crates/controlplane/tests/controller_state/operator_changes.rs
@@ -22,7 +22,10 @@
     let spec = json!({"functions": {}, "routes": {}, "labels": {"made": number}});
     Operation::Change {
         base: None,
-        numbering: Some(Numbering { number, base_number }),
+        numbering: Some(Numbering {
+            number,
+            base_number,
+        }),
         change: None,
         kind: ChangeKind::FullSpec(spec.into()),
         wait: Wait::Accepted,
@@ -30,15 +33,26 @@
 }
 
 fn zone_change(kind: ChangeKind) -> Operation {
-    Operation::Change { base: None, numbering: None, change: None, kind, wait: Wait::Accepted }
+    Operation::Change {
+        base: None,
+        numbering: None,
+        change: None,
+        kind,
+        wait: Wait::Accepted,
+    }
 }
 
 fn evacuate(zone: &str) -> Operation {
-    zone_change(ChangeKind::Evacuate { zone: Zone::from(zone), force: true })
+    zone_change(ChangeKind::Evacuate {
+        zone: Zone::from(zone),
+        force: true,
+    })
 }
 
 fn restore(zone: &str) -> Operation {
-    zone_change(ChangeKind::Restore { zone: Zone::from(zone) })
+    zone_change(ChangeKind::Restore {
+        zone: Zone::from(zone),
+    })
 }
 
 fn is_accepted(reply: &Option<OperationReply>) -> bool {
@@ -59,12 +73,27 @@
         verify_that!(is_accepted(&reply), eq(true))?;
     }
     let forgotten = cluster.reply_to(leader, numbered(50, 49));
-    let is_unclear =
-        matches!(forgotten, Some(OperationReply::Unknown { reason: Unavailable::Forgotten, .. }));
+    let is_unclear = matches!(
+        forgotten,
+        Some(OperationReply::Unknown {
+            reason: Unavailable::Forgotten,
+            ..
+        })
+    );
     verify_that!(is_unclear, eq(true))?;
     let rival = cluster.reply_to(leader, numbered(500, 498));
-    verify_that!(matches!(rival, Some(OperationReply::Stale { .. })), eq(true))?;
-    verify_that!(cluster.accepted(leader).expect("a document").to_bytes().len(), le(32 << 10))
+    verify_that!(
+        matches!(rival, Some(OperationReply::Stale { .. })),
+        eq(true)
+    )?;
+    verify_that!(
+        cluster
+            .accepted(leader)
+            .expect("a document")
+            .to_bytes()
+            .len(),
+        le(32 << 10)
+    )
 }
 
 #[gtest]
@@ -90,7 +119,10 @@
             );
             verify_that!(is_unclear, eq(true))?;
         }
-        verify_that!(is_accepted(&cluster.replies.remove(&repeated_ticket)), eq(true))?;
+        verify_that!(
+            is_accepted(&cluster.replies.remove(&repeated_ticket)),
+            eq(true)
+        )?;
     }
     Ok(())
 }
@@ -101,9 +133,19 @@
     let leader = cluster.await_leader();
     let abandoned_ticket = cluster.submit(leader, evacuate("l1"));
     cluster.advance(8);
-    cluster.feed(leader, ControllerInput::CallerDisconnected(abandoned_ticket));
+    cluster.feed(
+        leader,
+        ControllerInput::CallerDisconnected(abandoned_ticket),
+    );
     cluster.advance(1000);
-    verify_that!(cluster.accepted(leader).expect("a document").evacuated.is_empty(), eq(true))?;
+    verify_that!(
+        cluster
+            .accepted(leader)
+            .expect("a document")
+            .evacuated
+            .is_empty(),
+        eq(true)
+    )?;
     verify_that!(cluster.replies.contains_key(&abandoned_ticket), eq(false))?;
     let reply = cluster.reply_to(leader, evacuate("l1"));
     verify_that!(is_accepted(&reply), eq(true))?;
@@ -145,11 +187,16 @@
     let leader = cluster.await_leader();
     let follower = (0..3).find(|number| *number != leader).expect("a follower");
     let immediate_ticket = cluster.submit(follower, Operation::ReadSpec);
-    let named = matches!(cluster.replies.get(&immediate_ticket), Some(OperationReply::Redirect(_)));
+    let named = matches!(
+        cluster.replies.get(&immediate_ticket),
+        Some(OperationReply::Redirect(_))
+    );
     verify_that!(named, eq(true))?;
     cluster.now = cluster.now + Duration::from_secs(5);
     let ticket_after_freeze = cluster.submit(follower, Operation::ReadSpec);
-    let named =
-        matches!(cluster.replies.get(&ticket_after_freeze), Some(OperationReply::Redirect(_)));
+    let named = matches!(
+        cluster.replies.get(&ticket_after_freeze),
+        Some(OperationReply::Redirect(_))
+    );
     verify_that!(named, eq(false))
 }
--- a/crates/controlplane/tests/forms/mod.rs
+++ b/crates/controlplane/tests/forms/mod.rs
@@ -40,14 +40,19 @@
 }
 
 fn fixture_path(fixture: &str) -> PathBuf {
-    PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/forms").join(fixture)
+    PathBuf::from(env!("CARGO_MANIFEST_DIR"))
+        .join("tests/forms")
+        .join(fixture)
 }
 
 fn files_in(folder: &Path) -> Result<BTreeMap<String, Vec<u8>>> {
     let mut files = BTreeMap::new();
     for listed in fs::read_dir(folder)? {
         let path = listed?.path();
-        let file_name = path.file_name().and_then(|name| name.to_str()).unwrap_or_default();
+        let file_name = path
+            .file_name()
+            .and_then(|name| name.to_str())
+            .unwrap_or_default();
         files.insert(file_name.to_owned(), fs::read(&path)?);
     }
     Ok(files)
@@ -84,7 +89,9 @@
     let made = files_in(folder)?;
     let held = files_in(&fixture_path(fixture))?;
     let as_text = |file: Option<&Vec<u8>>| {
-        file.map_or("nothing".to_owned(), |bytes| String::from_utf8_lossy(bytes).into_owned())
+        file.map_or("nothing".to_owned(), |bytes| {
+            String::from_utf8_lossy(bytes).into_owned()
+        })
     };
     let mut file_names: Vec<&String> = held.keys().chain(made.keys()).collect();
     file_names.sort();
@@ -100,5 +107,9 @@
     if differences.is_empty() {
         return Ok(());
     }
-    fail!("{fixture}: {} files differ\n{}", differences.len(), differences.join("\n"))
+    fail!(
+        "{fixture}: {} files differ\n{}",
+        differences.len(),
+        differences.join("\n")
+    )
 }
--- a/crates/controlplane/tests/leader_state.rs
+++ b/crates/controlplane/tests/leader_state.rs
@@ -27,8 +27,11 @@
 }
 
 fn document() -> Document {
-    let member =
-        Voter { id: ControllerId(1), address: SocketAddress::UNSPECIFIED, zone: "l".into() };
+    let member = Voter {
+        id: ControllerId(1),
+        address: SocketAddress::UNSPECIFIED,
+        zone: "l".into(),
+    };
     let spec = json!({
         "functions": {
             "f": {"memory_mb": 100, "boot_ms": 10, "slots": 2},
@@ -39,13 +42,19 @@
     let checked_spec = read_spec(&spec).expect("a good spec");
     let mut made =
         Document::founding(vec![member]).with_spec(spec, &checked_spec, ChangeId::from("c"));
-    made.document_version =
-        DocumentVersion { term: Term(5), version: made.document_version.version };
+    made.document_version = DocumentVersion {
+        term: Term(5),
+        version: made.document_version.version,
+    };
     made
 }
 
 fn known(name: &str) -> KnownMember {
-    KnownMember { member: name.into(), incarnation: 1.into(), address: SocketAddress::UNSPECIFIED }
+    KnownMember {
+        member: name.into(),
+        incarnation: 1.into(),
+        address: SocketAddress::UNSPECIFIED,
+    }
 }
 
 fn function() -> FunctionKey {
@@ -72,10 +81,19 @@
 impl Harness {
     fn new(last_known: &[&str]) -> Self {
         let members: BTreeSet<KnownMember> = last_known.iter().map(|name| known(name)).collect();
-        let mut leader_state =
-            LeaderState::new(LeaderTiming::builder().build(), Term(5), ELECTED, members, true);
+        let mut leader_state = LeaderState::new(
+            LeaderTiming::builder().build(),
+            Term(5),
+            ELECTED,
+            members,
+            true,
+        );
         leader_state.committed(document());
-        Self { leader_state, now: ELECTED, outputs: Vec::new() }
+        Self {
+            leader_state,
+            now: ELECTED,
+            outputs: Vec::new(),
+        }
     }
 
     fn advance(&mut self, span: Duration) {
@@ -104,12 +122,20 @@
         };
         let hello = hello(host, 700, true);
         self.send(stream, hello);
-        self.send(stream, DaemonToLeader::Claims { claims: LengthPrefixed(claims) });
+        self.send(
+            stream,
+            DaemonToLeader::Claims {
+                claims: LengthPrefixed(claims),
+            },
+        );
         self.renew(stream);
     }
 
     fn renew(&mut self, stream: u64) {
-        let frame = DaemonToLeader::Renew { correlation: CorrelationId(1), version: Version(2) };
+        let frame = DaemonToLeader::Renew {
+            correlation: CorrelationId(1),
+            version: Version(2),
+        };
         self.send(stream, frame);
     }
 
@@ -122,21 +148,27 @@
     }
 
     fn acquire(&mut self, stream: u64) {
-        let frame = DaemonToLeader::Acquire { correlation: CorrelationId(9), function: function() };
+        let frame = DaemonToLeader::Acquire {
+            correlation: CorrelationId(9),
+            function: function(),
+        };
         self.send(stream, frame);
     }
 
     fn acquired(&self) -> Option<AcquireResult> {
         self.outputs.iter().find_map(|output| match output {
             LeaderOutput::FrameToDaemon {
-                frame: LeaderToDaemon::Acquired { result, .. }, ..
+                frame: LeaderToDaemon::Acquired { result, .. },
+                ..
             } => Some(result.clone()),
             _ => None,
         })
     }
 
     fn requests_lists(&self) -> bool {
-        self.outputs.iter().any(|output| matches!(output, LeaderOutput::RequestLists))
+        self.outputs
+            .iter()
+            .any(|output| matches!(output, LeaderOutput::RequestLists))
     }
 
     fn stops(&self) -> Vec<RunnerId> {
@@ -151,11 +183,17 @@
 }
 
 fn old_runner() -> RunnerId {
-    RunnerId { fencing_token: FencingToken(7), ordinal: 3 }
+    RunnerId {
+        fencing_token: FencingToken(7),
+        ordinal: 3,
+    }
 }
 
 fn instance() -> Instance {
-    Instance { name: "l1".into(), address: SocketAddress::UNSPECIFIED }
+    Instance {
+        name: "l1".into(),
+        address: SocketAddress::UNSPECIFIED,
+    }
 }
 
 fn adoptable_claim(is_releasing: bool) -> Claim {
@@ -198,7 +236,10 @@
     verify_that!(harness.leader_state.is_open(), eq(false))?;
     harness.listed(&[]);
     harness.advance(ms(100));
-    verify_that!(matches!(harness.acquired(), Some(AcquireResult::Granted { .. })), eq(true))
+    verify_that!(
+        matches!(harness.acquired(), Some(AcquireResult::Granted { .. })),
+        eq(true)
+    )
 }
 
 fn listed_life(leaving: bool) -> ListedRunner {
@@ -232,7 +273,12 @@
 fn after_the_full_wait_an_unclaimed_runner_is_adopted_with_the_lease() -> Result<()> {
     let harness = after_the_full_wait(false)?;
     verify_that!(harness.stops(), is_empty())?;
-    let Some(AcquireResult::Granted { fencing_token, adopted, .. }) = harness.acquired() else {
+    let Some(AcquireResult::Granted {
+        fencing_token,
+        adopted,
+        ..
+    }) = harness.acquired()
+    else {
         return fail!("not granted");
     };
     verify_that!(adopted.0.len(), eq(1))?;
@@ -248,7 +294,10 @@
     let stopped = harness.stops()[0];
     harness.leader_state.runner_stopped(stopped);
     harness.advance(ms(10));
-    verify_that!(matches!(harness.acquired(), Some(AcquireResult::Granted { .. })), eq(true))
+    verify_that!(
+        matches!(harness.acquired(), Some(AcquireResult::Granted { .. })),
+        eq(true)
+    )
 }
 
 #[gtest]
@@ -264,7 +313,10 @@
     verify_that!(harness.stops(), elements_are![eq(&old_runner())])?;
     harness.leader_state.runner_stopped(old_runner());
     harness.advance(ms(10));
-    verify_that!(matches!(harness.acquired(), Some(AcquireResult::Granted { .. })), eq(true))
+    verify_that!(
+        matches!(harness.acquired(), Some(AcquireResult::Granted { .. })),
+        eq(true)
+    )
 }
 
 #[gtest]
@@ -292,20 +344,38 @@
     harness.advance(ms(10));
     harness.acquire(2);
     harness.advance(ms(10));
-    verify_that!(matches!(harness.acquired(), Some(AcquireResult::Owner { .. })), eq(true))?;
+    verify_that!(
+        matches!(harness.acquired(), Some(AcquireResult::Owner { .. })),
+        eq(true)
+    )?;
     harness.advance(ms(1500));
     harness.acquire(2);
     harness.advance(ms(10));
     verify_that!(harness.acquired(), none())?;
     verify_that!(harness.stops(), is_empty())?;
-    harness.send(2, DaemonToLeader::Renew { correlation: CorrelationId(2), version: Version(2) });
+    harness.send(
+        2,
+        DaemonToLeader::Renew {
+            correlation: CorrelationId(2),
+            version: Version(2),
+        },
+    );
     harness.advance(ms(1200));
     verify_that!(harness.stops(), elements_are![eq(&old_runner())])?;
-    harness.send(2, DaemonToLeader::Renew { correlation: CorrelationId(3), version: Version(2) });
+    harness.send(
+        2,
+        DaemonToLeader::Renew {
+            correlation: CorrelationId(3),
+            version: Version(2),
+        },
+    );
     harness.leader_state.runner_stopped(old_runner());
     harness.advance(ms(10));
     harness.advance(ms(10));
-    verify_that!(harness.leader_state.report_holders()["holders"][0]["member"], eq(&json!("b")))
+    verify_that!(
+        harness.leader_state.report_holders()["holders"][0]["member"],
+        eq(&json!("b"))
+    )
 }
 
 fn reserve(
@@ -317,13 +387,18 @@
     let function = FunctionKey::new(name, Version(2));
     harness.send(
         stream,
-        DaemonToLeader::Reserve { correlation: CorrelationId(4), function, fencing_token },
+        DaemonToLeader::Reserve {
+            correlation: CorrelationId(4),
+            function,
+            fencing_token,
+        },
     );
     harness.advance(ms(10));
     let found = harness.outputs.iter().find_map(|output| match output {
-        LeaderOutput::FrameToDaemon { frame: LeaderToDaemon::Reserved { result, .. }, .. } => {
-            Some(result.clone())
-        }
+        LeaderOutput::FrameToDaemon {
+            frame: LeaderToDaemon::Reserved { result, .. },
+            ..
+        } => Some(result.clone()),
         _ => None,
     });
     found.expect("an answer")
@@ -331,7 +406,13 @@
 
 fn granted(harness: &mut Harness, stream: u64, name: &str) -> FencingToken {
     let function = FunctionKey::new(name, Version(2));
-    harness.send(stream, DaemonToLeader::Acquire { correlation: CorrelationId(9), function });
+    harness.send(
+        stream,
+        DaemonToLeader::Acquire {
+            correlation: CorrelationId(9),
+            function,
+        },
+    );
     harness.advance(ms(10));
     match harness.acquired() {
         Some(AcquireResult::Granted { fencing_token, .. }) => fencing_token,
@@ -357,7 +438,13 @@
     let mut fencing_tokens = Vec::new();
     for (stream, function) in [(1, &complete), (2, &west)] {
         let function = function.clone();
-        harness.send(stream, DaemonToLeader::Acquire { correlation: CorrelationId(9), function });
+        harness.send(
+            stream,
+            DaemonToLeader::Acquire {
+                correlation: CorrelationId(9),
+                function,
+            },
+        );
         harness.advance(ms(10));
         let Some(AcquireResult::Granted { fencing_token, .. }) = harness.acquired() else {
             return fail!("not granted to {stream}");
@@ -367,13 +454,23 @@
     let mut reserve = |stream: u64, function: &FunctionKey| {
         let (function, fencing_token) = (function.clone(), fencing_tokens[stream as usize - 1]);
         let correlation = CorrelationId(4);
-        harness.send(stream, DaemonToLeader::Reserve { correlation, function, fencing_token });
+        harness.send(
+            stream,
+            DaemonToLeader::Reserve {
+                correlation,
+                function,
+                fencing_token,
+            },
+        );
         harness.advance(ms(10));
         harness.outputs.iter().any(|output| {
             matches!(
                 output,
                 LeaderOutput::FrameToDaemon {
-                    frame: LeaderToDaemon::Reserved { result: ReserveResult::Reserved { .. }, .. },
+                    frame: LeaderToDaemon::Reserved {
+                        result: ReserveResult::Reserved { .. },
+                        ..
+                    },
                     ..
                 }
             )
@@ -394,7 +491,10 @@
     harness.join(2, "b", Vec::new());
     harness.advance(ms(200));
     let sent: Vec<(u64, u64, usize)> = harness.hosts_sent();
-    verify_that!(sent, unordered_elements_are![eq(&(1, 2, 1)), eq(&(2, 2, 2))])?;
+    verify_that!(
+        sent,
+        unordered_elements_are![eq(&(1, 2, 1)), eq(&(2, 2, 2))]
+    )?;
     harness.send(1, DaemonToLeader::FullHostListRequest);
     harness.advance(ms(200));
     verify_that!(harness.hosts_sent(), elements_are![eq(&(1, 2, 2))])?;
@@ -408,17 +508,41 @@
     harness.join(1, "a", Vec::new());
     harness.join(2, "b", Vec::new());
     harness.advance(ms(200));
-    let instance = || MemberIncarnation { member: "b".into(), incarnation: 1.into() };
-    harness.send(1, DaemonToLeader::MemberSuspected { instance: instance() });
+    let instance = || MemberIncarnation {
+        member: "b".into(),
+        incarnation: 1.into(),
+    };
+    harness.send(
+        1,
+        DaemonToLeader::MemberSuspected {
+            instance: instance(),
+        },
+    );
     harness.advance(ms(200));
     verify_that!(harness.suspected_sent(), none())?;
     harness.advance(ms(600));
-    verify_that!(harness.suspected_sent(), some(elements_are![eq(&instance())]))?;
-    harness.send(1, DaemonToLeader::MemberRecovered { instance: instance() });
+    verify_that!(
+        harness.suspected_sent(),
+        some(elements_are![eq(&instance())])
+    )?;
+    harness.send(
+        1,
+        DaemonToLeader::MemberRecovered {
+            instance: instance(),
+        },
+    );
     harness.advance(ms(200));
     verify_that!(harness.suspected_sent(), some(is_empty()))?;
-    let earlier_incarnation = MemberIncarnation { member: "b".into(), incarnation: 9.into() };
-    harness.send(1, DaemonToLeader::MemberSuspected { instance: earlier_incarnation });
+    let earlier_incarnation = MemberIncarnation {
+        member: "b".into(),
+        incarnation: 9.into(),
+    };
+    harness.send(
+        1,
+        DaemonToLeader::MemberSuspected {
+            instance: earlier_incarnation,
+        },
+    );
     harness.advance(ms(2000));
     verify_that!(harness.suspected_sent(), none())
 }
@@ -469,21 +593,28 @@
         verify_that!(matches!(given, ReserveResult::Reserved { .. }), eq(true))?;
     }
     let starved_lease = granted(&mut harness, 1, "g");
-    verify_that!(reserve(&mut harness, 1, "g", starved_lease), eq(&ReserveResult::Rejected))?;
+    verify_that!(
+        reserve(&mut harness, 1, "g", starved_lease),
+        eq(&ReserveResult::Rejected)
+    )?;
     let drained: Vec<RunnerId> = harness
         .outputs
         .iter()
         .filter_map(|output| match output {
-            LeaderOutput::FrameToDaemon { frame: LeaderToDaemon::Drain { runner, .. }, .. } => {
-                Some(*runner)
-            }
+            LeaderOutput::FrameToDaemon {
+                frame: LeaderToDaemon::Drain { runner, .. },
+                ..
+            } => Some(*runner),
             _ => None,
         })
         .collect();
     verify_that!(drained.len(), eq(1))?;
     verify_that!(drained[0].fencing_token, eq(crowded_lease))?;
     harness.leader_state.runner_stopped(drained[0]);
-    verify_that!(reserve(&mut harness, 1, "f", crowded_lease), eq(&ReserveResult::Rejected))?;
+    verify_that!(
+        reserve(&mut harness, 1, "f", crowded_lease),
+        eq(&ReserveResult::Rejected)
+    )?;
     let given = reserve(&mut harness, 1, "g", starved_lease);
     verify_that!(matches!(given, ReserveResult::Reserved { .. }), eq(true))
 }
@@ -508,7 +639,13 @@
 fn a_dead_holders_runner_is_adopted_once_only() -> Result<()> {
     let mut harness = two_daemons(vec![adoptable_claim(false)]);
     harness.advance(ms(2250));
-    harness.send(2, DaemonToLeader::Renew { correlation: CorrelationId(2), version: Version(2) });
+    harness.send(
+        2,
+        DaemonToLeader::Renew {
+            correlation: CorrelationId(2),
+            version: Version(2),
+        },
+    );
     harness.acquire(2);
     harness.advance(ms(10));
     verify_that!(harness.stops(), is_empty())?;
@@ -596,15 +733,28 @@
     harness.listed(&[listed_life(false)]);
     harness.advance(ms(10));
     verify_that!(
-        harness.leader_state.report_runners()["runners"].as_array().map(Vec::len),
+        harness.leader_state.report_runners()["runners"]
+            .as_array()
+            .map(Vec::len),
         some(eq(1))
     )?;
-    let runner_status = RunnerStatus::Started { instance: instance() };
-    harness.send(2, DaemonToLeader::RunnerUpdate { function: function(), runner, runner_status });
+    let runner_status = RunnerStatus::Started {
+        instance: instance(),
+    };
+    harness.send(
+        2,
+        DaemonToLeader::RunnerUpdate {
+            function: function(),
+            runner,
+            runner_status,
+        },
+    );
     harness.listed(&[listed_life(false)]);
     harness.advance(ms(10));
     verify_that!(
-        harness.leader_state.report_runners()["runners"].as_array().map(Vec::len),
+        harness.leader_state.report_runners()["runners"]
+            .as_array()
+            .map(Vec::len),
         some(eq(1))
     )?;
     verify_that!(harness.stops(), is_empty())
@@ -639,7 +789,12 @@
             worker_names.push(worker.to_string());
         }
     }
-    verify_that!(worker_names[..4].iter().all(|name| name.starts_with("near")), eq(true))?;
+    verify_that!(
+        worker_names[..4]
+            .iter()
+            .all(|name| name.starts_with("near")),
+        eq(true)
+    )?;
     verify_that!(worker_names[4].as_str(), eq("far"))
 }
 
@@ -651,9 +806,10 @@
 type Listed = (&'static str, u8);
 
 fn membership(listed: &[Listed]) -> BTreeSet<ListedMember> {
-    let members = listed
-        .iter()
-        .map(|(name, last)| ListedMember { member: (*name).into(), address: address(*last) });
+    let members = listed.iter().map(|(name, last)| ListedMember {
+        member: (*name).into(),
+        address: address(*last),
+    });
     members.collect()
 }
 
@@ -663,7 +819,11 @@
     let mut made = document().with_membership(membership(listed));
     made.document_version.term = Term(5);
     leader_state.committed(made);
-    Harness { leader_state, now: ELECTED, outputs: Vec::new() }
+    Harness {
+        leader_state,
+        now: ELECTED,
+        outputs: Vec::new(),
+    }
 }
 
 fn join_as(
@@ -683,9 +843,19 @@
         link_mbps: 0,
     };
     harness.send(stream, hello(host, age_ms, granted));
-    harness.send(stream, DaemonToLeader::Claims { claims: LengthPrefixed(vec![]) });
-    harness
-        .send(stream, DaemonToLeader::Renew { correlation: CorrelationId(1), version: Version(2) });
+    harness.send(
+        stream,
+        DaemonToLeader::Claims {
+            claims: LengthPrefixed(vec![]),
+        },
+    );
+    harness.send(
+        stream,
+        DaemonToLeader::Renew {
+            correlation: CorrelationId(1),
+            version: Version(2),
+        },
+    );
 }
 
 fn is_renewed(harness: &Harness, renewal_stream: u64) -> bool {
@@ -738,10 +908,14 @@
     harness.advance(ms(10));
     verify_that!(harness.leader_state.is_open(), eq(true))?;
     verify_that!(harness.requests_lists(), eq(true))?;
-    harness.leader_state.runners_listed(ELECTED - ms(301), &[listed_life(false)]);
+    harness
+        .leader_state
+        .runners_listed(ELECTED - ms(301), &[listed_life(false)]);
     harness.advance(ms(30));
     verify_that!(harness.acquired(), none())?;
-    harness.leader_state.runners_listed(ELECTED - ms(300), &[listed_life(false)]);
+    harness
+        .leader_state
+        .runners_listed(ELECTED - ms(300), &[listed_life(false)]);
     harness.advance(ms(30));
     verify_that!(adopted(&harness).len(), eq(1))
 }
@@ -752,11 +926,15 @@
     let mut harness = elected_with_membership(&[("a", 1)]);
     join_as(&mut harness, 1, ("a", 1), 1, 60_000, true);
     harness.acquire(1);
-    harness.leader_state.runners_listed(ELECTED - ms(1), &[listed_life(false)]);
+    harness
+        .leader_state
+        .runners_listed(ELECTED - ms(1), &[listed_life(false)]);
     harness.advance(ms(30));
     verify_that!(harness.leader_state.is_open(), eq(true))?;
     verify_that!(harness.acquired(), none())?;
-    harness.leader_state.runners_listed(ELECTED, &[listed_life(false)]);
+    harness
+        .leader_state
+        .runners_listed(ELECTED, &[listed_life(false)]);
     harness.advance(ms(30));
     verify_that!(adopted(&harness).len(), eq(1))
 }
@@ -774,7 +952,10 @@
     let due = harness.leader_state.due_membership(harness.now);
     verify_that!(due.as_ref(), some(eq(&membership(&[("a", 1), ("b", 2)]))))?;
     let mut next_document = document().with_membership(due.expect("a roster"));
-    next_document.document_version = DocumentVersion { term: Term(5), version: Version(4) };
+    next_document.document_version = DocumentVersion {
+        term: Term(5),
+        version: Version(4),
+    };
     next_document.hidden_versions = 2;
     harness.leader_state.committed(next_document);
     verify_that!(harness.leader_state.due_membership(harness.now), none())?;
@@ -913,7 +1094,10 @@
         let is_hand_over = |output: &&LeaderOutput| {
             matches!(
                 output,
-                LeaderOutput::FrameToDaemon { frame: LeaderToDaemon::HandOver { .. }, .. }
+                LeaderOutput::FrameToDaemon {
+                    frame: LeaderToDaemon::HandOver { .. },
+                    ..
+                }
             )
         };
         seen += harness.outputs.iter().filter(is_hand_over).count();
@@ -927,7 +1111,10 @@
 #[gtest]
 fn a_function_leaves_a_narrow_link_once_enough_wide_ones_have_joined() -> Result<()> {
     let mut harness = granted_on_a_narrow_link();
-    verify_that!(matches!(harness.acquired(), Some(AcquireResult::Granted { .. })), eq(true))?;
+    verify_that!(
+        matches!(harness.acquired(), Some(AcquireResult::Granted { .. })),
+        eq(true)
+    )?;
     for (stream, name) in [(2, "b"), (3, "c"), (4, "d")] {
         harness.join_on(stream, name, WIDE_MBPS, vec![]);
     }
@@ -966,9 +1153,15 @@
     verify_that!(harness.acquired(), none())?;
     harness.acquire(3);
     harness.advance(ms(100));
-    verify_that!(matches!(harness.acquired(), Some(AcquireResult::Granted { .. })), eq(true))?;
+    verify_that!(
+        matches!(harness.acquired(), Some(AcquireResult::Granted { .. })),
+        eq(true)
+    )?;
     harness.advance(ms(100));
-    verify_that!(matches!(harness.acquired(), Some(AcquireResult::Owner { .. })), eq(true))
+    verify_that!(
+        matches!(harness.acquired(), Some(AcquireResult::Owner { .. })),
+        eq(true)
+    )
 }
 
 #[gtest]
@@ -980,17 +1173,29 @@
     verify_that!(harness.acquired(), none())?;
     harness.renew(1);
     harness.advance(ms(200));
-    verify_that!(matches!(harness.acquired(), Some(AcquireResult::Granted { .. })), eq(true))
+    verify_that!(
+        matches!(harness.acquired(), Some(AcquireResult::Granted { .. })),
+        eq(true)
+    )
 }
 
 /// What a new leader tells a daemon that has serial 2, before and after it has committed serial 3; it saw both.
 fn sent_by_a_new_leader() -> (usize, Vec<&'static str>) {
     let newest = document().with_zone("l9".into(), true, ChangeId::from("turn"));
     let earlier_views = VecDeque::from([document().view(), newest.view()]);
-    let leader_state =
-        LeaderState::new(LeaderTiming::builder().build(), Term(6), ELECTED, BTreeSet::new(), true);
+    let leader_state = LeaderState::new(
+        LeaderTiming::builder().build(),
+        Term(6),
+        ELECTED,
+        BTreeSet::new(),
+        true,
+    );
     let leader_state = leader_state.with_earlier_views(earlier_views);
-    let mut harness = Harness { leader_state, now: ELECTED, outputs: Vec::new() };
+    let mut harness = Harness {
+        leader_state,
+        now: ELECTED,
+        outputs: Vec::new(),
+    };
     let sent = |harness: &Harness| -> Vec<&'static str> {
         let frames = harness.outputs.iter().filter_map(|output| match output {
             LeaderOutput::FrameToDaemon { frame, .. } => Some(frame),
@@ -1032,12 +1237,17 @@
         memory_mb: 100_000,
         draining,
     };
-    harness.leader_state.workers_listed(vec![worker("w", false), worker("w-2", true)]);
+    harness
+        .leader_state
+        .workers_listed(vec![worker("w", false), worker("w-2", true)]);
     let fencing_token = granted(&mut harness, 2, "g");
     reserve(&mut harness, 2, "g", fencing_token);
     let leader_state = &harness.leader_state;
-    let known_zones: Vec<String> =
-        leader_state.known_zones().iter().map(ToString::to_string).collect();
+    let known_zones: Vec<String> = leader_state
+        .known_zones()
+        .iter()
+        .map(ToString::to_string)
+        .collect();
     let counts: Vec<(&str, u64)> = leader_state.counts().into();
     let seen = json!({
         "members": leader_state.report_members(harness.now),
@@ -1047,5 +1257,9 @@
         "counts": counts,
         "localities": known_zones,
     });
-    forms::check(env!("CARGO_MANIFEST_DIR"), "reports.json", &format!("{seen:#}\n"));
+    forms::check(
+        env!("CARGO_MANIFEST_DIR"),
+        "reports.json",
+        &format!("{seen:#}\n"),
+    );
 }
--- a/crates/controlplane/tests/membership_change.rs
+++ b/crates/controlplane/tests/membership_change.rs
@@ -24,7 +24,11 @@
 }
 
 fn address(number: usize) -> SocketAddress {
-    SocketAddress(format!("10.0.0.{}:1", number + 1).parse().expect("an address"))
+    SocketAddress(
+        format!("10.0.0.{}:1", number + 1)
+            .parse()
+            .expect("an address"),
+    )
 }
 
 fn new_node(
@@ -40,10 +44,13 @@
         accepted: None,
         unreadable_version: DocumentVersion::default(),
     };
-    let timing =
-        ConsensusTiming::builder().unreachable_voter_timeout(Duration::from_secs(3)).build();
-    let controller_address =
-        ControllerAddress { address: address(number), operators: address(number) };
+    let timing = ConsensusTiming::builder()
+        .unreachable_voter_timeout(Duration::from_secs(3))
+        .build();
+    let controller_address = ControllerAddress {
+        address: address(number),
+        operators: address(number),
+    };
     let seeds = (0..3).map(address).collect();
     let zone = Zone::from(format!("l{zone}"));
     ConsensusNode::new(
@@ -117,7 +124,9 @@
         to: SocketAddress,
         frame: ConsensusFrame,
     ) -> Vec<(usize, ConsensusOutput)> {
-        let Some(number) = (0..4).find(|number| address(*number) == to) else { return Vec::new() };
+        let Some(number) = (0..4).find(|number| address(*number) == to) else {
+            return Vec::new();
+        };
         if self.partitions.contains(&(from, number)) || self.stopped.contains(&number) {
             return Vec::new();
         }
@@ -223,7 +232,11 @@
 }
 
 fn committed_on_old_side(cluster: &Cluster, leader: usize) -> usize {
-    cluster.committed.iter().filter(|(number, _)| *number == leader || *number == 3).count()
+    cluster
+        .committed
+        .iter()
+        .filter(|(number, _)| *number == leader || *number == 3)
+        .count()
 }
 
 #[gtest]
@@ -236,7 +249,12 @@
     cluster.partitions.clear();
     cluster.advance_time(Duration::from_secs(3));
     let document_versions: BTreeSet<DocumentVersion> = (0..4)
-        .map(|number| cluster.nodes[number].accepted().expect("one").document_version)
+        .map(|number| {
+            cluster.nodes[number]
+                .accepted()
+                .expect("one")
+                .document_version
+        })
         .collect();
     verify_that!(document_versions.len(), eq(1))
 }
@@ -248,7 +266,12 @@
     verify_that!(committed_on_old_side(&cluster, leader), ge(1))?;
     let other_side = |number: usize| number == other || number == 2;
     let nodes_there = (0..4).filter(|number| other_side(*number));
-    verify_that!(nodes_there.filter(|number| cluster.nodes[*number].is_ready()).count(), ge(1))
+    verify_that!(
+        nodes_there
+            .filter(|number| cluster.nodes[*number].is_ready())
+            .count(),
+        ge(1)
+    )
 }
 
 #[gtest]
@@ -261,10 +284,16 @@
     let other_voters: Vec<usize> = (0..3).filter(|number| *number != leader).collect();
     let id = |number: usize| ControllerId(number as u64 + 1);
     let unknown_member = cluster.nodes[leader].replace(cluster.now, ControllerId(99), id(3));
-    verify_that!(unknown_member.err(), some(eq(MembershipError::NoSuchMember)))?;
+    verify_that!(
+        unknown_member.err(),
+        some(eq(MembershipError::NoSuchMember))
+    )?;
     let unknown_candidate =
         cluster.nodes[leader].replace(cluster.now, id(other_voters[0]), ControllerId(99));
-    verify_that!(unknown_candidate.err(), some(eq(MembershipError::NoSuchCandidate)))?;
+    verify_that!(
+        unknown_candidate.err(),
+        some(eq(MembershipError::NoSuchCandidate))
+    )?;
     cluster.stopped.insert(other_voters[0]);
     cluster.advance_time(Duration::from_millis(2500));
     cluster.partition(&[other_voters[1]], &[leader]);
@@ -299,9 +328,13 @@
         accepted: Some(recovered_document),
         unreadable_version: DocumentVersion::default(),
     };
-    let controller_address = ControllerAddress { address: address(0), operators: address(0) };
-    let timing =
-        ConsensusTiming::builder().unreachable_voter_timeout(Duration::from_secs(3)).build();
+    let controller_address = ControllerAddress {
+        address: address(0),
+        operators: address(0),
+    };
+    let timing = ConsensusTiming::builder()
+        .unreachable_voter_timeout(Duration::from_secs(3))
+        .build();
     let seeds = (0..3).map(address).collect();
     cluster.nodes[0] = ConsensusNode::new(
         cluster.now,
@@ -313,8 +346,13 @@
         SeededRng::seeded(9),
     );
     for number in 1..3 {
-        cluster.nodes[number] =
-            new_node(number as u64 + 11, number, number, cluster.now, Rules::ALL_ENFORCED);
+        cluster.nodes[number] = new_node(
+            number as u64 + 11,
+            number,
+            number,
+            cluster.now,
+            Rules::ALL_ENFORCED,
+        );
     }
     cluster.stopped = BTreeSet::from([1, 2, 3]);
     cluster.advance_time(Duration::from_secs(2));
@@ -329,7 +367,10 @@
 fn a_restarted_voter_without_a_leader_starts_a_pre_vote_early() -> Result<()> {
     let mut cluster = Cluster::new();
     cluster.bootstrap();
-    let known = cluster.committed.last().map(|(_, document)| document.clone());
+    let known = cluster
+        .committed
+        .last()
+        .map(|(_, document)| document.clone());
     let persisted = PersistedState {
         id: ControllerId(1),
         voted_for: None,
@@ -337,7 +378,10 @@
         unreadable_version: DocumentVersion::default(),
     };
     let timing = ConsensusTiming::builder().build();
-    let controller_address = ControllerAddress { address: address(0), operators: address(0) };
+    let controller_address = ControllerAddress {
+        address: address(0),
+        operators: address(0),
+    };
     let seeds = (0..3).map(address).collect();
     let zone = Zone::from("l0");
     let mut restarted = ConsensusNode::new(
@@ -361,5 +405,8 @@
             break;
         }
     }
-    verify_that!(requested_after, le(timing.startup_timeout_max + Duration::from_millis(10)))
+    verify_that!(
+        requested_after,
+        le(timing.startup_timeout_max + Duration::from_millis(10))
+    )
 }
