--- a/crates/controlplane/tests/operators_forms.rs
+++ b/crates/controlplane/tests/operators_forms.rs
@@ -25,7 +25,13 @@
 
 fn head(method: &str, target: &str) -> Parts {
     let method = Method::from_bytes(method.as_bytes()).expect("a method");
-    Request::builder().method(method).uri(target).body(()).expect("a request").into_parts().0
+    Request::builder()
+        .method(method)
+        .uri(target)
+        .body(())
+        .expect("a request")
+        .into_parts()
+        .0
 }
 
 fn shown_kind(kind: &ChangeKind) -> Value {
@@ -47,7 +53,13 @@
 fn shown(operation: &Operation) -> Value {
     match operation {
         Operation::ReadSpec => json!("read the spec"),
-        Operation::Change { base, numbering, change, kind, wait } => json!({
+        Operation::Change {
+            base,
+            numbering,
+            change,
+            kind,
+            wait,
+        } => json!({
             "base_serial": base.map(|base| base.0),
             "numbers": numbering.map(|given| [given.number, given.base_number]),
             "change_id": change.as_ref().map(ChangeId::as_str),
@@ -127,7 +139,10 @@
     });
     let remove = json!({"functions": ["g"], "routes": ["s", "t"]});
     let bodies = [
-        ("PUT /v1/spec", json!({"base_serial": 4, "change_id": "c", "spec": spec})),
+        (
+            "PUT /v1/spec",
+            json!({"base_serial": 4, "change_id": "c", "spec": spec}),
+        ),
         (
             "PUT /v1/spec",
             json!({"base_serial": 4, "change_id": "c", "spec": spec, "wait": "in_force"}),
@@ -136,45 +151,87 @@
             "PUT /v1/spec",
             json!({"base_serial": 4, "change_id": "c", "spec": spec, "wait": "accepted"}),
         ),
-        ("PUT /v1/spec", json!({"base_serial": 4, "change_id": "c", "spec": spec, "wait": "long"})),
-        ("PUT /v1/spec", json!({"base_serial": 4, "change_id": "c", "spec": spec, "wait": 7})),
-        ("PUT /v1/spec", json!({"number": 7, "base_number": 5, "change_id": "c", "spec": spec})),
+        (
+            "PUT /v1/spec",
+            json!({"base_serial": 4, "change_id": "c", "spec": spec, "wait": "long"}),
+        ),
+        (
+            "PUT /v1/spec",
+            json!({"base_serial": 4, "change_id": "c", "spec": spec, "wait": 7}),
+        ),
+        (
+            "PUT /v1/spec",
+            json!({"number": 7, "base_number": 5, "change_id": "c", "spec": spec}),
+        ),
         (
             "PUT /v1/spec",
             json!({"number": 7, "base_number": 5, "base_serial": 4, "change_id": "c", "spec": spec}),
         ),
-        ("PUT /v1/spec", json!({"number": 7, "change_id": "c", "spec": spec})),
-        ("PUT /v1/spec", json!({"base_number": 7, "change_id": "c", "spec": spec})),
-        ("PUT /v1/spec", json!({"number": "7", "base_number": -1, "change_id": "c", "spec": spec})),
-        ("PUT /v1/spec", json!({"base_serial": "4", "change_id": "c", "spec": spec})),
+        (
+            "PUT /v1/spec",
+            json!({"number": 7, "change_id": "c", "spec": spec}),
+        ),
+        (
+            "PUT /v1/spec",
+            json!({"base_number": 7, "change_id": "c", "spec": spec}),
+        ),
+        (
+            "PUT /v1/spec",
+            json!({"number": "7", "base_number": -1, "change_id": "c", "spec": spec}),
+        ),
+        (
+            "PUT /v1/spec",
+            json!({"base_serial": "4", "change_id": "c", "spec": spec}),
+        ),
         ("PUT /v1/spec", json!({"change_id": "c", "spec": spec})),
         ("PUT /v1/spec", json!({"base_serial": 4, "spec": spec})),
-        ("PUT /v1/spec", json!({"base_serial": 4, "change_id": "", "spec": spec})),
-        ("PUT /v1/spec", json!({"base_serial": 4, "change_id": 7, "spec": spec})),
+        (
+            "PUT /v1/spec",
+            json!({"base_serial": 4, "change_id": "", "spec": spec}),
+        ),
+        (
+            "PUT /v1/spec",
+            json!({"base_serial": 4, "change_id": 7, "spec": spec}),
+        ),
         ("PUT /v1/spec", json!({"base_serial": 4, "change_id": "c"})),
-        ("PUT /v1/spec", json!({"base_serial": 4, "change_id": "c", "spec": spec, "colour": 7})),
+        (
+            "PUT /v1/spec",
+            json!({"base_serial": 4, "change_id": "c", "spec": spec, "colour": 7}),
+        ),
         ("PUT /v1/spec", json!({})),
         ("PUT /v1/spec", json!([])),
         (
             "PATCH /v1/spec",
             json!({"base_serial": 4, "change_id": "c", "patch": {"functions": {"f": null}}}),
         ),
-        ("PATCH /v1/spec", json!({"base_serial": 4, "change_id": "c"})),
+        (
+            "PATCH /v1/spec",
+            json!({"base_serial": 4, "change_id": "c"}),
+        ),
         (
             "PATCH /v1/spec",
             json!({"base_serial": 4, "change_id": "c", "put": put, "remove": remove}),
         ),
-        ("PATCH /v1/spec", json!({"base_serial": 4, "change_id": "c", "put": put})),
+        (
+            "PATCH /v1/spec",
+            json!({"base_serial": 4, "change_id": "c", "put": put}),
+        ),
         (
             "PATCH /v1/spec",
             json!({"number": 7, "base_number": 5, "change_id": "c", "remove": remove}),
         ),
-        ("PATCH /v1/spec", json!({"base_serial": 4, "change_id": "c", "put": put, "patch": {}})),
+        (
+            "PATCH /v1/spec",
+            json!({"base_serial": 4, "change_id": "c", "put": put, "patch": {}}),
+        ),
         (
             "PATCH /v1/spec",
             json!({"base_serial": 4, "change_id": "c", "put": {"roads": {}}, "remove": {"limits": []}}),
         ),
-        ("PATCH /v1/spec", json!({"base_serial": 4, "change_id": "c", "put": {"functions": []}})),
+        (
+            "PATCH /v1/spec",
+            json!({"base_serial": 4, "change_id": "c", "put": {"functions": []}}),
+        ),
         (
             "PATCH /v1/spec",
             json!({"base_serial": 4, "change_id": "c", "remove": {"routes": {"r": 1}}}),
@@ -183,15 +240,27 @@
             "PATCH /v1/spec",
             json!({"base_serial": 4, "change_id": "c", "remove": {"routes": [7, ""]}}),
         ),
-        ("POST /v1/localities/north/evacuate", json!({"change_id": "c"})),
+        (
+            "POST /v1/localities/north/evacuate",
+            json!({"change_id": "c"}),
+        ),
         (
             "POST /v1/localities/north/evacuate",
             json!({"change_id": "c", "force": true, "wait": "in_force"}),
         ),
-        ("POST /v1/localities/north/evacuate", json!({"change_id": "c", "force": "yes"})),
-        ("POST /v1/localities/north/evacuate", json!({"change_id": "c", "base_serial": 4})),
+        (
+            "POST /v1/localities/north/evacuate",
+            json!({"change_id": "c", "force": "yes"}),
+        ),
+        (
+            "POST /v1/localities/north/evacuate",
+            json!({"change_id": "c", "base_serial": 4}),
+        ),
         ("POST /v1/localities/north/evacuate", json!({})),
-        ("POST /v1/localities/north/restore", json!({"change_id": "c"})),
+        (
+            "POST /v1/localities/north/restore",
+            json!({"change_id": "c"}),
+        ),
         (
             "POST /v1/localities/north/restore",
             json!({"change_id": "c", "number": 7, "base_number": 5}),
@@ -202,7 +271,11 @@
         let answer = read(method, target, &body.to_string()).await;
         let _ = writeln!(text, "## {line} {body}\n{answer}\n");
     }
-    let _ = writeln!(text, "## PUT /v1/spec {{\n{}\n", read("PUT", "/v1/spec", "{").await);
+    let _ = writeln!(
+        text,
+        "## PUT /v1/spec {{\n{}\n",
+        read("PUT", "/v1/spec", "{").await
+    );
     check("operator_bodies.txt", &text);
 }
 
@@ -215,29 +288,54 @@
         number,
         in_force,
     };
-    let stale = |number| OperationReply::Stale { change: change.clone(), version, number };
-    let path_error = |path: &str, reason| PathError { path: path.to_owned(), reason };
+    let stale = |number| OperationReply::Stale {
+        change: change.clone(),
+        version,
+        number,
+    };
+    let path_error = |path: &str, reason| PathError {
+        path: path.to_owned(),
+        reason,
+    };
     let invalid = OperationReply::Invalid(vec![
         path_error("functions.f.slots", PathErrorReason::Missing),
-        path_error("functions.f.boot_ms", PathErrorReason::WrongType("a whole number")),
-        path_error("routes.r.budget_ms", PathErrorReason::OutOfBounds(1, 60_000)),
+        path_error(
+            "functions.f.boot_ms",
+            PathErrorReason::WrongType("a whole number"),
+        ),
+        path_error(
+            "routes.r.budget_ms",
+            PathErrorReason::OutOfBounds(1, 60_000),
+        ),
         path_error("routes.r.colour", PathErrorReason::UnknownField),
         path_error(
             "routes.r.function",
             PathErrorReason::UnknownReference("function", "g".to_owned()),
         ),
-        path_error("routes.s", PathErrorReason::Duplicate("routes.r".to_owned())),
-        path_error("routes.r.path", PathErrorReason::Malformed("is odd".to_owned())),
+        path_error(
+            "routes.s",
+            PathErrorReason::Duplicate("routes.r".to_owned()),
+        ),
+        path_error(
+            "routes.r.path",
+            PathErrorReason::Malformed("is odd".to_owned()),
+        ),
         path_error("", PathErrorReason::Missing),
     ]);
     let zones = |names: &[&str]| names.iter().map(|name| Zone::from(*name)).collect();
     let mut document = Document::founding(Vec::new()).numbered(12);
     document.document_version.term = Term(3);
     document = document.with_zone(Zone::from("north"), true, ChangeId::from("c"));
-    let spec = OperationReply::Spec { document: Box::new(document), in_force: Version(1) };
+    let spec = OperationReply::Spec {
+        document: Box::new(document),
+        in_force: Version(1),
+    };
     let known: BTreeSet<Zone> = zones(&["north", "south"]);
     vec![
-        ("said", OperationReply::StatusAndBody(418, json!({"any": "body"}))),
+        (
+            "said",
+            OperationReply::StatusAndBody(418, json!({"any": "body"})),
+        ),
         ("spec", spec),
         ("accepted", accepted(0, false)),
         ("accepted, numbered", accepted(9, false)),
@@ -246,7 +344,13 @@
         ("stale", stale(0)),
         ("stale, numbered", stale(8)),
         ("invalid", invalid),
-        ("no zone", OperationReply::NoZone { zone: Zone::from("east"), known }),
+        (
+            "no zone",
+            OperationReply::NoZone {
+                zone: Zone::from("east"),
+                known,
+            },
+        ),
         ("last zone", OperationReply::LastZone),
         (
             "elsewhere",
@@ -275,7 +379,10 @@
     let mut replies = replies();
     for reason in reasons() {
         for change in [None, Some(ChangeId::from("release-42"))] {
-            let not_accepted = OperationReply::NotAccepted { reason, change: change.clone() };
+            let not_accepted = OperationReply::NotAccepted {
+                reason,
+                change: change.clone(),
+            };
             replies.push(("not accepted", not_accepted));
             replies.push(("unknown", OperationReply::Unknown { reason, change }));
         }
@@ -298,8 +405,13 @@
     let kinds = [
         ChangeKind::FullSpec(spec.clone().into()),
         ChangeKind::Patch(spec),
-        ChangeKind::Evacuate { zone: Zone::from("north"), force: true },
-        ChangeKind::Restore { zone: Zone::from("north") },
+        ChangeKind::Evacuate {
+            zone: Zone::from("north"),
+            force: true,
+        },
+        ChangeKind::Restore {
+            zone: Zone::from("north"),
+        },
     ];
     let mut text = String::new();
     for kind in &kinds {
--- a/crates/controlplane/tests/queue.rs
+++ b/crates/controlplane/tests/queue.rs
@@ -17,9 +17,15 @@
 async fn leadership_does_not_wait_behind_daemons() {
     let (sender, mut queue) = input_queue();
     for stream in 0..1_000 {
-        sender.send(ControllerInput::StreamLost(StreamId(stream))).await.expect("queued");
+        sender
+            .send(ControllerInput::StreamLost(StreamId(stream)))
+            .await
+            .expect("queued");
     }
-    sender.send(ControllerInput::ProcessGone(SocketAddress::UNSPECIFIED)).await.expect("queued");
+    sender
+        .send(ControllerInput::ProcessGone(SocketAddress::UNSPECIFIED))
+        .await
+        .expect("queued");
     let written = ControllerInput::Written(Ticket(1), WriteResult::Synced);
     sender.send(written).await.expect("queued");
     let hour = Duration::from_secs(3600);
@@ -32,7 +38,10 @@
 async fn a_tick_that_is_due_comes_before_daemons_and_not_twice() {
     let (sender, mut queue) = input_queue();
     for stream in 0..3 {
-        sender.send(ControllerInput::StreamLost(StreamId(stream))).await.expect("queued");
+        sender
+            .send(ControllerInput::StreamLost(StreamId(stream)))
+            .await
+            .expect("queued");
     }
     let mut kinds = Vec::new();
     for _ in 0..6 {
@@ -46,7 +55,9 @@
 async fn a_stopped_controller_takes_nothing() {
     let (sender, queue) = input_queue();
     drop(queue);
-    let sent = sender.send(ControllerInput::ProcessGone(SocketAddress::UNSPECIFIED)).await;
+    let sent = sender
+        .send(ControllerInput::ProcessGone(SocketAddress::UNSPECIFIED))
+        .await;
     assert_that!(sent.is_err(), eq(true));
     assert_that!(sender.is_closed(), eq(true));
 }
--- a/crates/controlplane/tests/quorum_model/explore.rs
+++ b/crates/controlplane/tests/quorum_model/explore.rs
@@ -54,8 +54,12 @@
     };
     let mut open_runs = vec![first];
     while let Some(run) = open_runs.pop() {
-        let state =
-            (run.model.fingerprint(), run.remaining_changes, run.deviations.len(), run.steps);
+        let state = (
+            run.model.fingerprint(),
+            run.remaining_changes,
+            run.deviations.len(),
+            run.steps,
+        );
         if !known_states.insert(state) {
             continue;
         }
@@ -79,8 +83,10 @@
 }
 
 fn deviations_at(run: &Run, bounds: ExplorationBounds) -> Vec<Deviation> {
-    let is_late =
-        run.deviations.last().is_some_and(|(last_step, _)| run.steps - last_step > bounds.window);
+    let is_late = run
+        .deviations
+        .last()
+        .is_some_and(|(last_step, _)| run.steps - last_step > bounds.window);
     if run.deviations.len() >= bounds.deviations || is_late {
         return Vec::new();
     }
--- a/crates/controlplane/tests/quorum_model/history.rs
+++ b/crates/controlplane/tests/quorum_model/history.rs
@@ -29,7 +29,10 @@
             }
             Self::LostChange(lower, upper) => write!(out, "{upper} lacks what {lower} committed"),
             Self::StaleRead(document_version) => {
-                write!(out, "a reader was served {document_version}, which is overtaken")
+                write!(
+                    out,
+                    "a reader was served {document_version}, which is overtaken"
+                )
             }
             Self::NoProgress => write!(out, "no order is taken any more"),
         }
@@ -51,7 +54,11 @@
     /// Notes an election.
     pub fn elected(&mut self, term: Term, leader: ControllerId) -> Result<(), SafetyViolation> {
         let known_leader = *self.leaders.entry(term).or_insert(leader);
-        if known_leader == leader { Ok(()) } else { Err(SafetyViolation::TwoLeaders(term)) }
+        if known_leader == leader {
+            Ok(())
+        } else {
+            Err(SafetyViolation::TwoLeaders(term))
+        }
     }
 
     /// Notes a commit.
--- a/crates/controlplane/tests/quorum_model/main.rs
+++ b/crates/controlplane/tests/quorum_model/main.rs
@@ -14,23 +14,40 @@
 use model::Setup;
 use walk::walk;
 
-const SMALL_BOUNDS: ExplorationBounds = ExplorationBounds { deviations: 2, window: 1, changes: 1 };
-const FLAWED_RULE_BOUNDS: ExplorationBounds =
-    ExplorationBounds { deviations: 3, window: 8, changes: 2 };
+const SMALL_BOUNDS: ExplorationBounds = ExplorationBounds {
+    deviations: 2,
+    window: 1,
+    changes: 1,
+};
+const FLAWED_RULE_BOUNDS: ExplorationBounds = ExplorationBounds {
+    deviations: 3,
+    window: 8,
+    changes: 2,
+};
 const WALKS: u64 = 40;
 
 /// A number that a longer run by command asks for.
 fn number_from_env(name: &str, otherwise: u64) -> u64 {
-    std::env::var(name).ok().and_then(|text| text.parse().ok()).unwrap_or(otherwise)
+    std::env::var(name)
+        .ok()
+        .and_then(|text| text.parse().ok())
+        .unwrap_or(otherwise)
 }
 
 #[gtest]
 fn three_voters_keep_every_invariant_whatever_deviates() -> Result<()> {
     let window = number_from_env("QUORUM_WINDOW", SMALL_BOUNDS.window as u64) as usize;
     let changes = number_from_env("QUORUM_ORDERS", SMALL_BOUNDS.changes as u64) as usize;
-    let bounds = ExplorationBounds { window, changes, ..SMALL_BOUNDS };
+    let bounds = ExplorationBounds {
+        window,
+        changes,
+        ..SMALL_BOUNDS
+    };
     let (counts, violating_run) = explore(Setup::correct(3, 3, 1, 1), bounds);
-    println!("{} states and {} whole runs within {bounds:?}", counts.states, counts.runs);
+    println!(
+        "{} states and {} whole runs within {bounds:?}",
+        counts.states, counts.runs
+    );
     verify_that!(violating_run, none())
 }
 
@@ -45,7 +62,11 @@
 fn an_acknowledgement_before_the_disk_write_is_detected() -> Result<()> {
     let rules = Rules::without(Rule::AcceptPersistedFirst);
     verify_that!(
-        explore_until_violation(Setup { rules, ..Setup::correct(3, 3, 1, 1) }).is_some(),
+        explore_until_violation(Setup {
+            rules,
+            ..Setup::correct(3, 3, 1, 1)
+        })
+        .is_some(),
         eq(true)
     )
 }
@@ -54,14 +75,21 @@
 fn a_vote_for_a_candidate_with_an_older_version_is_detected() -> Result<()> {
     let rules = Rules::without(Rule::CandidateIsUpToDate);
     verify_that!(
-        explore_until_violation(Setup { rules, ..Setup::correct(3, 3, 1, 1) }).is_some(),
+        explore_until_violation(Setup {
+            rules,
+            ..Setup::correct(3, 3, 1, 1)
+        })
+        .is_some(),
         eq(true)
     )
 }
 
 #[gtest]
 fn a_wiped_disk_under_its_former_identity_is_detected() -> Result<()> {
-    let setup = Setup { wiped_keeps_identity: true, ..Setup::correct(3, 3, 1, 1) };
+    let setup = Setup {
+        wiped_keeps_identity: true,
+        ..Setup::correct(3, 3, 1, 1)
+    };
     verify_that!(explore_until_violation(setup).is_some(), eq(true))
 }
 
--- a/crates/controlplane/tests/quorum_model/model.rs
+++ b/crates/controlplane/tests/quorum_model/model.rs
@@ -43,7 +43,14 @@
     /// Controllers that keep every rule.
     pub fn correct(machines: usize, zones: usize, tolerance: usize, seed: u64) -> Self {
         let rules = Rules::ALL_ENFORCED;
-        Self { machines, zones, tolerance, rules, wiped_keeps_identity: false, seed }
+        Self {
+            machines,
+            zones,
+            tolerance,
+            rules,
+            wiped_keeps_identity: false,
+            seed,
+        }
     }
 
     fn quorum_policy(&self) -> QuorumPolicy {
@@ -132,7 +139,9 @@
 
 fn address(number: usize) -> SocketAddress {
     SocketAddress(
-        format!("10.0.{}.{}:1", number / 200, number % 200 + 1).parse().expect("an address"),
+        format!("10.0.{}.{}:1", number / 200, number % 200 + 1)
+            .parse()
+            .expect("an address"),
     )
 }
 
@@ -187,7 +196,10 @@
     fn add_machine(&mut self, disk: PersistedState) {
         let number = self.machines.len();
         let consensus = self.start_node(number, 0, START_INSTANT, &disk);
-        let now = self.machines.first().map_or(START_INSTANT, |machine| machine.now);
+        let now = self
+            .machines
+            .first()
+            .map_or(START_INSTANT, |machine| machine.now);
         self.machines.push(Rc::new(Machine {
             consensus,
             disk,
@@ -210,10 +222,16 @@
         disk: &PersistedState,
     ) -> ConsensusNode {
         let seed = self.setup.seed ^ ((number as u64) << 8) ^ incarnation;
-        let controller_address =
-            ControllerAddress { address: address(number), operators: address(number) };
+        let controller_address = ControllerAddress {
+            address: address(number),
+            operators: address(number),
+        };
         let running = self.running();
-        let seed_numbers = if running.is_empty() { vec![0, 1, 2] } else { running };
+        let seed_numbers = if running.is_empty() {
+            vec![0, 1, 2]
+        } else {
+            running
+        };
         let seeds = seed_numbers.into_iter().take(3).map(address).collect();
         let zone = self.zone(number);
         ConsensusNode::new(
@@ -250,8 +268,11 @@
     fn renew_fingerprint(&mut self, number: usize) {
         let machine = self.machine(number);
         let mut writer = HashWriter(DefaultHasher::new());
-        let _ =
-            write!(writer, "{:?}{:?}{:?}", machine.consensus, machine.disk, machine.pending_reads);
+        let _ = write!(
+            writer,
+            "{:?}{:?}{:?}",
+            machine.consensus, machine.disk, machine.pending_reads
+        );
         (machine.now, machine.isolated, machine.lost).hash(&mut writer.0);
         machine.disk_fault.hash(&mut writer.0);
         machine.fingerprint = writer.0.finish();
@@ -341,9 +362,13 @@
 
     /// Whether a leader has all the voters that the setup asks for, all of them level with it.
     pub fn is_settled(&self) -> bool {
-        let Some(leader) = self.leader() else { return false };
+        let Some(leader) = self.leader() else {
+            return false;
+        };
         let consensus = &self.machines[leader].consensus;
-        let Some(document) = consensus.accepted() else { return false };
+        let Some(document) = consensus.accepted() else {
+            return false;
+        };
         let is_caught_up = |member: &Voter| {
             self.machines.iter().any(|machine| {
                 machine.consensus.id() == member.id
@@ -362,21 +387,31 @@
 
     /// Carries out the event that is due next.
     pub fn step(&mut self) -> Result<(), SafetyViolation> {
-        let Some(event) = self.events.pop_front() else { return Ok(()) };
+        let Some(event) = self.events.pop_front() else {
+            return Ok(());
+        };
         self.process_event(&event)
     }
 
     /// Carries out any event: the oldest between its two ends.
     pub fn step_any(&mut self, rng: &mut SeededRng) -> Result<(), SafetyViolation> {
         let index = rng.below(self.events.len() as u64) as usize;
-        let Some(chosen) = self.events.get(index) else { return Ok(()) };
+        let Some(chosen) = self.events.get(index) else {
+            return Ok(());
+        };
         let link_of = |event: &Event| match event {
             Event::Frame(to, frame) => (*to, Some(frame.address)),
             Event::Written(owner, ..) => (*owner, None),
         };
         let link = link_of(chosen);
-        let first = self.events.iter().position(|event| link_of(event) == link).unwrap_or(index);
-        let Some(event) = self.events.remove(first) else { return Ok(()) };
+        let first = self
+            .events
+            .iter()
+            .position(|event| link_of(event) == link)
+            .unwrap_or(index);
+        let Some(event) = self.events.remove(first) else {
+            return Ok(());
+        };
         self.process_event(&event)
     }
 
@@ -510,7 +545,9 @@
             return Ok(());
         }
         let quorum_proof_at = machine.consensus.quorum_confirmed_at();
-        let Some(served) = machine.consensus.accepted() else { return Ok(()) };
+        let Some(served) = machine.consensus.accepted() else {
+            return Ok(());
+        };
         for (asked_at, changes_at_read) in &machine.pending_reads {
             if *asked_at < quorum_proof_at {
                 self.history.served(changes_at_read, served)?;
@@ -521,12 +558,15 @@
 
     /// Lets time pass at every machine until the first timer fires.
     pub fn advance_time(&mut self) -> Result<(), SafetyViolation> {
-        let spans =
-            (0..self.machines.len()).filter(|number| !self.machines[*number].lost).map(|number| {
+        let spans = (0..self.machines.len())
+            .filter(|number| !self.machines[*number].lost)
+            .map(|number| {
                 let machine = &self.machines[number];
                 (machine.consensus.next_due().since(machine.now), number)
             });
-        let Some((span, first)) = spans.min() else { return Ok(()) };
+        let Some((span, first)) = spans.min() else {
+            return Ok(());
+        };
         for number in 0..self.machines.len() {
             let machine = self.machine(number);
             machine.now = machine.now + span;
@@ -544,7 +584,9 @@
         if !consensus.is_ready() || consensus.is_proposing() {
             return Ok(());
         }
-        let Some(held_version) = consensus.accepted() else { return Ok(()) };
+        let Some(held_version) = consensus.accepted() else {
+            return Ok(());
+        };
         self.proposed_changes += 1;
         let change = format!("change-{}", self.proposed_changes);
         let next_document =
@@ -572,7 +614,10 @@
             }
             Deviation::Delay => self.events.rotate_left(1.min(self.events.len())),
             Deviation::Drop => {
-                if matches!(self.events.front().map(|event| &**event), Some(Event::Frame(..))) {
+                if matches!(
+                    self.events.front().map(|event| &**event),
+                    Some(Event::Frame(..))
+                ) {
                     self.events.pop_front();
                 }
             }
@@ -632,23 +677,33 @@
 
     /// The time on the clock of the machine that is ahead.
     pub fn now(&self) -> MonotonicTime {
-        self.machines.iter().map(|machine| machine.now).max().unwrap_or_default()
+        self.machines
+            .iter()
+            .map(|machine| machine.now)
+            .max()
+            .unwrap_or_default()
     }
 
     /// Where the voters stand by the leader's newest version.
     pub fn voters(&self) -> Vec<usize> {
-        let Some(leader) = self.leader() else { return Vec::new() };
+        let Some(leader) = self.leader() else {
+            return Vec::new();
+        };
         let document = self.machines[leader].consensus.accepted();
         let members = document.map_or(&[][..], |document| &document.voters);
         let machine_of = |member: &Voter| {
-            self.machines.iter().position(|machine| machine.consensus.id() == member.id)
+            self.machines
+                .iter()
+                .position(|machine| machine.consensus.id() == member.id)
         };
         members.iter().filter_map(machine_of).collect()
     }
 
     /// Machines that are up, whether cut off or not.
     pub fn running(&self) -> Vec<usize> {
-        (0..self.machines.len()).filter(|number| !self.machines[*number].lost).collect()
+        (0..self.machines.len())
+            .filter(|number| !self.machines[*number].lost)
+            .collect()
     }
 
     /// Carries out events and lets time pass until it is so; a breach if that takes for ever.
@@ -670,7 +725,9 @@
     /// One more order is taken and committed with what runs now.
     pub fn make_progress(&mut self) -> Result<(), SafetyViolation> {
         self.run_until(|model| {
-            model.leader().is_some_and(|leader| !model.machines[leader].consensus.is_proposing())
+            model
+                .leader()
+                .is_some_and(|leader| !model.machines[leader].consensus.is_proposing())
         })?;
         let before = self.history.newest().len();
         for _ in 0..20 {
--- a/crates/controlplane/tests/quorum_model/recovery.rs
+++ b/crates/controlplane/tests/quorum_model/recovery.rs
@@ -23,16 +23,22 @@
 
 fn wait(model: &mut Model, span: Duration) {
     let until = model.now() + span;
-    model.run_until(|model| model.now() >= until).expect("time passes");
+    model
+        .run_until(|model| model.now() >= until)
+        .expect("time passes");
 }
 
 /// The times of many seeds, sorted; printed as median and worst.
 fn measured(what: &str, seeds: u64, time_of: impl Fn(u64) -> Duration) -> Vec<Duration> {
-    let mut spans: Vec<Duration> =
-        (0..number_from_env("QUORUM_SEEDS", seeds)).map(time_of).collect();
+    let mut spans: Vec<Duration> = (0..number_from_env("QUORUM_SEEDS", seeds))
+        .map(time_of)
+        .collect();
     spans.sort_unstable();
     let (median, worst) = (spans[spans.len() / 2], spans[spans.len() - 1]);
-    println!("{what}: median {median:?}, worst {worst:?} of {} seeds", spans.len());
+    println!(
+        "{what}: median {median:?}, worst {worst:?} of {} seeds",
+        spans.len()
+    );
     spans
 }
 
@@ -57,13 +63,17 @@
 #[gtest]
 fn the_next_command_is_accepted_soon_after_the_leader_is_lost() -> Result<()> {
     for (machines, zones, tolerance) in [(3, 3, 1), (6, 3, 2), (8, 4, 2)] {
-        let spans = measured(&format!("an order after the leader of {machines}"), SEEDS, |seed| {
-            let mut model = settled(Setup::correct(machines, zones, tolerance, seed));
-            let started_at = model.now();
-            model.take_down(model.leader().expect("a leader"));
-            model.make_progress().expect("an order is taken");
-            since(started_at, &model)
-        });
+        let spans = measured(
+            &format!("an order after the leader of {machines}"),
+            SEEDS,
+            |seed| {
+                let mut model = settled(Setup::correct(machines, zones, tolerance, seed));
+                let started_at = model.now();
+                model.take_down(model.leader().expect("a leader"));
+                model.make_progress().expect("an order is taken");
+                since(started_at, &model)
+            },
+        );
         verify_that!(spans.last(), some(le(&LEADER_RECOVERY_LIMIT)))?;
     }
     Ok(())
@@ -75,7 +85,11 @@
         let spans = measured(&format!("a standby votes, of {machines}"), SEEDS, |seed| {
             let mut model = settled(Setup::correct(machines, zones, 2, seed));
             let leader = model.leader().expect("a leader");
-            let lost = model.voters().into_iter().find(|voter| *voter != leader).expect("another");
+            let lost = model
+                .voters()
+                .into_iter()
+                .find(|voter| *voter != leader)
+                .expect("another");
             let started_at = model.now();
             model.take_down(lost);
             model.run_until(Model::is_settled).expect("it settles");
--- a/crates/controlplane/tests/quorum_model/walk.rs
+++ b/crates/controlplane/tests/quorum_model/walk.rs
@@ -33,7 +33,9 @@
             }
         }
         model.deviate(Deviation::Heal)?;
-        model.make_progress().inspect_err(|_| println!("lost {lost:?}\n{}", model.describe()))?;
+        model
+            .make_progress()
+            .inspect_err(|_| println!("lost {lost:?}\n{}", model.describe()))?;
         for number in lost {
             repair(&mut model, &mut rng, number)?;
             for _ in 0..rng.below(20) {
@@ -51,8 +53,11 @@
 fn losses(model: &Model, setup: Setup, rng: &mut SeededRng) -> Vec<usize> {
     let running = model.running();
     let zone = rng.below(setup.zones as u64) as usize;
-    let of_zone: Vec<usize> =
-        running.iter().copied().filter(|number| number % setup.zones == zone).collect();
+    let of_zone: Vec<usize> = running
+        .iter()
+        .copied()
+        .filter(|number| number % setup.zones == zone)
+        .collect();
     if rng.random_bool(0.4) {
         return of_zone;
     }
--- a/crates/controlplane/tests/quorum_plan.rs
+++ b/crates/controlplane/tests/quorum_plan.rs
@@ -9,7 +9,11 @@
 
 fn member(id: u64, zone: &str) -> Voter {
     let address = SocketAddress(format!("10.0.0.{id}:1").parse().expect("an address"));
-    Voter { id: ControllerId(id), address, zone: Zone::from(zone) }
+    Voter {
+        id: ControllerId(id),
+        address,
+        zone: Zone::from(zone),
+    }
 }
 
 fn members(zones: &[(u64, &str)]) -> Vec<Voter> {
@@ -24,7 +28,11 @@
     candidates: &[(u64, &str)],
 ) -> Vec<u64> {
     let voters = members(voters);
-    let missing = missing.iter().copied().map(ControllerId).collect::<BTreeSet<ControllerId>>();
+    let missing = missing
+        .iter()
+        .copied()
+        .map(ControllerId)
+        .collect::<BTreeSet<ControllerId>>();
     let plan = QuorumPlan {
         quorum_policy,
         voters: &voters,
@@ -32,8 +40,12 @@
         missing: &missing,
         candidates: members(candidates),
     };
-    let mut ids: Vec<u64> =
-        plan.next_voters().unwrap_or_default().iter().map(|voter| voter.id.0).collect();
+    let mut ids: Vec<u64> = plan
+        .next_voters()
+        .unwrap_or_default()
+        .iter()
+        .map(|voter| voter.id.0)
+        .collect();
     ids.sort_unstable();
     ids
 }
@@ -54,13 +66,26 @@
 fn three_initial_voters_grow_to_five_at_once_and_never_to_four() -> Result<()> {
     let quorum_policy = QuorumPolicy::tolerating(2, 1);
     let initial_voters = [(1, "a"), (2, "b"), (3, "c")];
-    verify_that!(planned(quorum_policy, &initial_voters, &[], &[(4, "a")]), is_empty())?;
     verify_that!(
-        planned(quorum_policy, &initial_voters, &[], &[(4, "a"), (5, "b"), (6, "c")]).len(),
+        planned(quorum_policy, &initial_voters, &[], &[(4, "a")]),
+        is_empty()
+    )?;
+    verify_that!(
+        planned(
+            quorum_policy,
+            &initial_voters,
+            &[],
+            &[(4, "a"), (5, "b"), (6, "c")]
+        )
+        .len(),
         eq(5)
     )?;
-    let in_four_zones =
-        planned(quorum_policy, &initial_voters, &[], &[(4, "a"), (5, "b"), (6, "c"), (7, "d")]);
+    let in_four_zones = planned(
+        quorum_policy,
+        &initial_voters,
+        &[],
+        &[(4, "a"), (5, "b"), (6, "c"), (7, "d")],
+    );
     verify_that!(in_four_zones, contains(eq(&7)))?;
     let crowded_zone = [(1, "a"), (2, "a"), (3, "b")];
     let candidates = [(4, "b"), (5, "c"), (6, "c"), (7, "a")];
@@ -73,10 +98,22 @@
 -> Result<()> {
     let quorum_policy = QuorumPolicy::tolerating(1, 1);
     let voters = [(1, "a"), (2, "b"), (3, "c")];
-    verify_that!(planned(quorum_policy, &voters, &[], &[(4, "c")]), is_empty())?;
-    verify_that!(planned(quorum_policy, &voters, &[3], &[(4, "a"), (5, "c")]), eq(&vec![1, 2, 5]))?;
-    verify_that!(planned(quorum_policy, &voters, &[3], &[(4, "d")]), eq(&vec![1, 2, 4]))?;
-    verify_that!(planned(quorum_policy, &voters, &[3], &[(4, "a")]), is_empty())
+    verify_that!(
+        planned(quorum_policy, &voters, &[], &[(4, "c")]),
+        is_empty()
+    )?;
+    verify_that!(
+        planned(quorum_policy, &voters, &[3], &[(4, "a"), (5, "c")]),
+        eq(&vec![1, 2, 5])
+    )?;
+    verify_that!(
+        planned(quorum_policy, &voters, &[3], &[(4, "d")]),
+        eq(&vec![1, 2, 4])
+    )?;
+    verify_that!(
+        planned(quorum_policy, &voters, &[3], &[(4, "a")]),
+        is_empty()
+    )
 }
 
 #[gtest]
@@ -92,6 +129,12 @@
 fn a_zone_with_too_many_voters_gives_one_up_but_never_the_leader() -> Result<()> {
     let quorum_policy = QuorumPolicy::tolerating(1, 1);
     let voters = [(1, "a"), (2, "a"), (3, "b")];
-    verify_that!(planned(quorum_policy, &voters, &[], &[(4, "c")]), eq(&vec![1, 3, 4]))?;
-    verify_that!(planned(quorum_policy, &voters, &[], &[(4, "b")]), is_empty())
+    verify_that!(
+        planned(quorum_policy, &voters, &[], &[(4, "c")]),
+        eq(&vec![1, 3, 4])
+    )?;
+    verify_that!(
+        planned(quorum_policy, &voters, &[], &[(4, "b")]),
+        is_empty()
+    )
 }
--- a/crates/controlplane/tests/quorum_proofs.rs
+++ b/crates/controlplane/tests/quorum_proofs.rs
@@ -35,7 +35,10 @@
     });
     let mut disk = PersistedState::empty(ControllerId(1));
     disk.accepted = Some(Document::founding(members.collect()));
-    let controller_address = ControllerAddress { address: address(1), operators: address(1) };
+    let controller_address = ControllerAddress {
+        address: address(1),
+        operators: address(1),
+    };
     let timing = ConsensusTiming::builder().build();
     let seeds = (1..4).map(address).collect();
     ConsensusNode::new(
@@ -72,7 +75,11 @@
 }
 
 fn vote_request(term: u64, accepted: DocumentVersion) -> ConsensusMessage {
-    ConsensusMessage::VoteRequest { term: Term(term), accepted, is_pre_vote: Flag(false) }
+    ConsensusMessage::VoteRequest {
+        term: Term(term),
+        accepted,
+        is_pre_vote: Flag(false),
+    }
 }
 
 fn sent(outputs: &[ConsensusOutput]) -> Vec<&ConsensusMessage> {
@@ -117,7 +124,10 @@
 
 #[gtest]
 fn a_heartbeat_of_an_earlier_term_is_answered_with_the_term_alone() -> Result<()> {
-    verify_that!(responses_to_late_heartbeat(Rules::ALL_ENFORCED), eq(&vec![(3, 0)]))?;
+    verify_that!(
+        responses_to_late_heartbeat(Rules::ALL_ENFORCED),
+        eq(&vec![(3, 0)])
+    )?;
     verify_that!(
         responses_to_late_heartbeat(Rules::without(Rule::HeartbeatResponseInItsTerm)),
         eq(&vec![(3, 5)])
@@ -139,7 +149,10 @@
 #[gtest]
 fn a_vote_is_granted_only_when_it_is_on_disk() -> Result<()> {
     verify_that!(votes_around_write(Rules::ALL_ENFORCED), eq((0, 1)))?;
-    verify_that!(votes_around_write(Rules::without(Rule::VotePersistedFirst)).0, eq(1))
+    verify_that!(
+        votes_around_write(Rules::without(Rule::VotePersistedFirst)).0,
+        eq(1)
+    )
 }
 
 #[gtest]
@@ -200,27 +213,43 @@
 /// What a voter that agrees to everything says.
 fn agreeing_response(request: &ConsensusMessage) -> Option<ConsensusMessage> {
     match request {
-        ConsensusMessage::VoteRequest { term, is_pre_vote, .. } => {
-            Some(ConsensusMessage::VoteResponse {
-                term: if is_pre_vote.0 { Term(term.0 - 1) } else { *term },
-                requested_term: *term,
-                is_pre_vote: *is_pre_vote,
-                granted: Flag(true),
-                members: LengthPrefixed(Vec::new()),
-                complete: Flag(true),
-            })
-        }
-        ConsensusMessage::AcceptFull { term, document_version, .. }
-        | ConsensusMessage::AcceptDelta { term, document_version, .. } => {
-            Some(ConsensusMessage::Accepted { term: *term, document_version: *document_version })
-        }
-        ConsensusMessage::Heartbeat { term, round, accepted, .. } => {
-            Some(ConsensusMessage::HeartbeatResponse {
-                term: *term,
-                round: *round,
-                accepted: *accepted,
-            })
+        ConsensusMessage::VoteRequest {
+            term, is_pre_vote, ..
+        } => Some(ConsensusMessage::VoteResponse {
+            term: if is_pre_vote.0 {
+                Term(term.0 - 1)
+            } else {
+                *term
+            },
+            requested_term: *term,
+            is_pre_vote: *is_pre_vote,
+            granted: Flag(true),
+            members: LengthPrefixed(Vec::new()),
+            complete: Flag(true),
+        }),
+        ConsensusMessage::AcceptFull {
+            term,
+            document_version,
+            ..
         }
+        | ConsensusMessage::AcceptDelta {
+            term,
+            document_version,
+            ..
+        } => Some(ConsensusMessage::Accepted {
+            term: *term,
+            document_version: *document_version,
+        }),
+        ConsensusMessage::Heartbeat {
+            term,
+            round,
+            accepted,
+            ..
+        } => Some(ConsensusMessage::HeartbeatResponse {
+            term: *term,
+            round: *round,
+            accepted: *accepted,
+        }),
         _ => None,
     }
 }
@@ -233,7 +262,9 @@
     let outputs = leader.expire_leadership(now + Duration::from_secs(20));
     verify_that!(leader.is_leader(), eq(false))?;
     verify_that!(
-        outputs.iter().any(|output| matches!(output, ConsensusOutput::SteppedDown)),
+        outputs
+            .iter()
+            .any(|output| matches!(output, ConsensusOutput::SteppedDown)),
         eq(true)
     )
 }
@@ -246,7 +277,11 @@
     leader.tick(later);
     let term = leader.term();
     let accepted = leader.committed();
-    let late_response = ConsensusMessage::HeartbeatResponse { term, round: 0, accepted };
+    let late_response = ConsensusMessage::HeartbeatResponse {
+        term,
+        round: 0,
+        accepted,
+    };
     leader.receive(later, frame(2, late_response.clone()));
     leader.receive(later, frame(3, late_response));
     verify_that!(leader.quorum_confirmed_at(), eq(quorum_proof_at))
@@ -260,7 +295,10 @@
     let founding = voter.accepted().expect("a version").clone();
     let mut violations_after = |term: u64, version: u64| {
         let mut document = founding.clone();
-        document.document_version = DocumentVersion { term: Term(term), version: Version(version) };
+        document.document_version = DocumentVersion {
+            term: Term(term),
+            version: Version(version),
+        };
         let body = ConsensusMessage::AcceptFull {
             term: Term(term),
             document_version: document.document_version,
@@ -278,10 +316,16 @@
             complete: Flag(false),
         };
         voter.receive(START, frame(term, committed));
-        invariants::take_collected().into_iter().map(|seen| seen.invariant).collect::<Vec<_>>()
+        invariants::take_collected()
+            .into_iter()
+            .map(|seen| seen.invariant)
+            .collect::<Vec<_>>()
     };
     verify_that!(violations_after(2, 7), is_empty())?;
-    verify_that!(violations_after(3, 6), elements_are![eq(&Invariant::CommitNeverLost)])
+    verify_that!(
+        violations_after(3, 6),
+        elements_are![eq(&Invariant::CommitNeverLost)]
+    )
 }
 
 /// Whether a voter still names the leader that it heard once, so long after; a write of it fails in between.
@@ -299,6 +343,12 @@
 
 #[gtest]
 fn after_a_failed_write_no_stale_leader_is_named() -> Result<()> {
-    verify_that!(names_leader_after_a_failed_write(Duration::from_millis(100)), eq(true))?;
-    verify_that!(names_leader_after_a_failed_write(Duration::from_millis(950)), eq(false))
+    verify_that!(
+        names_leader_after_a_failed_write(Duration::from_millis(100)),
+        eq(true)
+    )?;
+    verify_that!(
+        names_leader_after_a_failed_write(Duration::from_millis(950)),
+        eq(false)
+    )
 }
--- a/crates/controlplane/tests/replication.rs
+++ b/crates/controlplane/tests/replication.rs
@@ -47,13 +47,23 @@
 fn controller(number: u64, document: Document, rules: Rules) -> ConsensusNode {
     let mut disk = PersistedState::empty(ControllerId(number));
     disk.accepted = Some(document);
-    let controller_address =
-        ControllerAddress { address: address(number), operators: address(number) };
+    let controller_address = ControllerAddress {
+        address: address(number),
+        operators: address(number),
+    };
     let timing = ConsensusTiming::builder().build();
     let seeds = (1..4).map(address).collect();
     let rng = SeededRng::seeded(number);
-    ConsensusNode::new(START, timing, disk, controller_address, zone(number), seeds, rng)
-        .with_rules(rules)
+    ConsensusNode::new(
+        START,
+        timing,
+        disk,
+        controller_address,
+        zone(number),
+        seeds,
+        rng,
+    )
+    .with_rules(rules)
 }
 
 fn frame(from: u64, body: ConsensusMessage) -> ConsensusFrame {
@@ -80,9 +90,15 @@
 
 fn versions_sent(number: u64, outputs: &[ConsensusOutput]) -> Vec<ConsensusMessage> {
     let is_version = |body: &ConsensusMessage| {
-        matches!(body, ConsensusMessage::AcceptFull { .. } | ConsensusMessage::AcceptDelta { .. })
+        matches!(
+            body,
+            ConsensusMessage::AcceptFull { .. } | ConsensusMessage::AcceptDelta { .. }
+        )
     };
-    sent_to(number, outputs).into_iter().filter(is_version).collect()
+    sent_to(number, outputs)
+        .into_iter()
+        .filter(is_version)
+        .collect()
 }
 
 fn writes(outputs: &[ConsensusOutput]) -> Vec<(Ticket, WriteJob)> {
@@ -97,20 +113,33 @@
 
 fn agreeing_response(request: &ConsensusMessage) -> Option<ConsensusMessage> {
     match request {
-        ConsensusMessage::VoteRequest { term, is_pre_vote, .. } => {
-            Some(ConsensusMessage::VoteResponse {
-                term: if is_pre_vote.0 { Term(term.0 - 1) } else { *term },
-                requested_term: *term,
-                is_pre_vote: *is_pre_vote,
-                granted: Flag(true),
-                members: LengthPrefixed(Vec::new()),
-                complete: Flag(true),
-            })
-        }
-        ConsensusMessage::AcceptFull { term, document_version, .. }
-        | ConsensusMessage::AcceptDelta { term, document_version, .. } => {
-            Some(ConsensusMessage::Accepted { term: *term, document_version: *document_version })
+        ConsensusMessage::VoteRequest {
+            term, is_pre_vote, ..
+        } => Some(ConsensusMessage::VoteResponse {
+            term: if is_pre_vote.0 {
+                Term(term.0 - 1)
+            } else {
+                *term
+            },
+            requested_term: *term,
+            is_pre_vote: *is_pre_vote,
+            granted: Flag(true),
+            members: LengthPrefixed(Vec::new()),
+            complete: Flag(true),
+        }),
+        ConsensusMessage::AcceptFull {
+            term,
+            document_version,
+            ..
         }
+        | ConsensusMessage::AcceptDelta {
+            term,
+            document_version,
+            ..
+        } => Some(ConsensusMessage::Accepted {
+            term: *term,
+            document_version: *document_version,
+        }),
         _ => None,
     }
 }
@@ -159,8 +188,11 @@
     name: &str,
 ) -> Vec<ConsensusOutput> {
     let document = leader.accepted().expect("a version");
-    let next =
-        document.with_zone("zone-9".into(), name.len().is_multiple_of(2), ChangeId::from(name));
+    let next = document.with_zone(
+        "zone-9".into(),
+        name.len().is_multiple_of(2),
+        ChangeId::from(name),
+    );
     leader.propose(now, next).expect("put forward")
 }
 
@@ -174,7 +206,10 @@
     let outputs = proposal_outputs(&mut leader, now, "b");
     let versions = versions_sent(FOLLOWER, &outputs);
     verify_that!(versions.len(), eq(1))?;
-    verify_that!(matches!(versions[0], ConsensusMessage::AcceptDelta { .. }), eq(true))?;
+    verify_that!(
+        matches!(versions[0], ConsensusMessage::AcceptDelta { .. }),
+        eq(true)
+    )?;
     let length = encode(&frame(LEADER, versions[0].clone()))?.len();
     println!("a change in a frame of {length} bytes");
     verify_that!(length, lt(2_000))
@@ -183,7 +218,12 @@
 /// A follower that holds the leader's version, and the two next versions as they are sent to it.
 fn follower_and_two_deltas(
     rules: Rules,
-) -> (ConsensusNode, Vec<ConsensusMessage>, MonotonicTime, ConsensusNode) {
+) -> (
+    ConsensusNode,
+    Vec<ConsensusMessage>,
+    MonotonicTime,
+    ConsensusNode,
+) {
     let (mut leader, now) = leader(bootstrapped_document(20));
     let document = leader.accepted().expect("a version").clone();
     let follower = controller(FOLLOWER, document, rules);
@@ -226,12 +266,18 @@
     verify_that!(accepted_document_version(&follower), eq(before))?;
     let request = sent_to(LEADER, &outputs);
     verify_that!(
-        matches!(request.as_slice(), [ConsensusMessage::SnapshotRequest { .. }]),
+        matches!(
+            request.as_slice(),
+            [ConsensusMessage::SnapshotRequest { .. }]
+        ),
         eq(true)
     )?;
     let responses = leader.receive(now, frame(FOLLOWER, request[0].clone()));
     let versions = versions_sent(FOLLOWER, &responses);
-    verify_that!(matches!(versions.as_slice(), [ConsensusMessage::AcceptFull { .. }]), eq(true))?;
+    verify_that!(
+        matches!(versions.as_slice(), [ConsensusMessage::AcceptFull { .. }]),
+        eq(true)
+    )?;
     let outputs = follower.receive(now, frame(LEADER, versions[0].clone()));
     for (ticket, _) in writes(&outputs) {
         follower.write_completed(now, ticket, WriteResult::Synced);
@@ -247,22 +293,37 @@
         matches!(job, WriteJob::Version(document)
             if document.document_version == accepted_document_version(&leader) && Some(document) != leader.accepted())
     };
-    writes(&outputs).iter().filter(|(_, job)| is_wrong(job)).count()
+    writes(&outputs)
+        .iter()
+        .filter(|(_, job)| is_wrong(job))
+        .count()
 }
 
 #[gtest]
 fn a_delta_is_never_applied_to_another_version() -> Result<()> {
     verify_that!(written_without_base(Rules::ALL_ENFORCED), eq(0))?;
-    verify_that!(written_without_base(Rules::without(Rule::DeltaOnItsBase)), eq(1))
+    verify_that!(
+        written_without_base(Rules::without(Rule::DeltaOnItsBase)),
+        eq(1)
+    )
 }
 
 #[gtest]
 fn a_snapshot_requested_in_another_term_is_not_sent() -> Result<()> {
     let (mut leader, now) = leader(bootstrapped_document(5));
     let accepted = DocumentVersion::default();
-    let earlier = ConsensusMessage::SnapshotRequest { term: Term(1), accepted };
-    verify_that!(leader.receive(now, frame(FOLLOWER, earlier)).is_empty(), eq(true))?;
-    let later = ConsensusMessage::SnapshotRequest { term: Term(99), accepted };
+    let earlier = ConsensusMessage::SnapshotRequest {
+        term: Term(1),
+        accepted,
+    };
+    verify_that!(
+        leader.receive(now, frame(FOLLOWER, earlier)).is_empty(),
+        eq(true)
+    )?;
+    let later = ConsensusMessage::SnapshotRequest {
+        term: Term(99),
+        accepted,
+    };
     let outputs = leader.receive(now, frame(FOLLOWER, later));
     verify_that!(versions_sent(FOLLOWER, &outputs).is_empty(), eq(true))?;
     verify_that!(leader.is_leader(), eq(false))
--- a/crates/controlplane/tests/settings_forms.rs
+++ b/crates/controlplane/tests/settings_forms.rs
@@ -73,7 +73,12 @@
     let losses = |machines: u64, localities: u64| {
         let settings = with(least(), "core_losses", json!(machines));
         let settings = shown(&with(settings, "core_zone_losses", json!(localities)));
-        json!([machines, localities, settings["voters"], settings["voters in one locality"]])
+        json!([
+            machines,
+            localities,
+            settings["voters"],
+            settings["voters in one locality"]
+        ])
     };
     let all_losses: Vec<Value> = (0..=4)
         .flat_map(|machines| (0..=4).map(move |localities| (machines, localities)))
@@ -97,7 +102,11 @@
     let mut text = setting_probes::answers(&full(), read);
     let several = [
         with(full(), "listen", json!("10.0.0.9:7200")),
-        with(full(), "seeds", json!(["10.0.0.1:1", "10.0.0.1:2", "10.0.0.1:3", "10.0.0.1:4"])),
+        with(
+            full(),
+            "seeds",
+            json!(["10.0.0.1:1", "10.0.0.1:2", "10.0.0.1:3", "10.0.0.1:4"]),
+        ),
         with(full(), "seeds", json!(["10.0.0.1:1", "nowhere", 3])),
         json!({"colour": 7}),
         json!({"place": 7, "threads": 0}),
@@ -114,16 +123,22 @@
     let folder = std::env::temp_dir().join(format!("settings-forms-{}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("a folder");
     let mut text = String::new();
-    for (name, content) in [("absent", None), ("cut", Some("{\"place\": ")), ("list", Some("[7]"))]
-    {
+    for (name, content) in [
+        ("absent", None),
+        ("cut", Some("{\"place\": ")),
+        ("list", Some("[7]")),
+    ] {
         let file = folder.join(name);
         if let Some(content) = content {
             std::fs::write(&file, content).expect("a file");
         }
         let opened = SettingsSource::open(Some(&file));
-        let answer =
-            opened.and_then(|source| ControllerSettings::read(&source)).expect_err("a fault");
-        let answer = answer.to_string().replace(&file.display().to_string(), "FILE");
+        let answer = opened
+            .and_then(|source| ControllerSettings::read(&source))
+            .expect_err("a fault");
+        let answer = answer
+            .to_string()
+            .replace(&file.display().to_string(), "FILE");
         let _ = writeln!(text, "{name}: {answer}");
     }
     let _ = std::fs::remove_dir_all(&folder);
--- a/crates/controlplane/tests/step_costs.rs
+++ b/crates/controlplane/tests/step_costs.rs
@@ -61,17 +61,32 @@
 fn items(numbers: std::ops::Range<usize>) -> ChangeKind {
     let mut change = ItemChange::default();
     for number in numbers {
-        change.put_functions.insert(format!("f{number}"), function());
-        change.put_routes.insert(format!("r{number}"), route(number));
+        change
+            .put_functions
+            .insert(format!("f{number}"), function());
+        change
+            .put_routes
+            .insert(format!("r{number}"), route(number));
     }
     ChangeKind::Items(Box::new(change))
 }
 
 fn change(cluster: &mut TestCluster, leader: usize, name: &str, kind: ChangeKind) -> bool {
-    let base = cluster.accepted(leader).map(|document| document.view_version());
+    let base = cluster
+        .accepted(leader)
+        .map(|document| document.view_version());
     let change = Some(ChangeId::from(name));
-    let operation = Operation::Change { base, numbering: None, change, kind, wait: Wait::Accepted };
-    matches!(cluster.reply_to(leader, operation), Some(OperationReply::Accepted { .. }))
+    let operation = Operation::Change {
+        base,
+        numbering: None,
+        change,
+        kind,
+        wait: Wait::Accepted,
+    };
+    matches!(
+        cluster.reply_to(leader, operation),
+        Some(OperationReply::Accepted { .. })
+    )
 }
 
 /// Three controllers, one of them leading, with so many functions and routes.
@@ -99,7 +114,11 @@
 #[gtest]
 fn a_change_of_one_route_costs_a_few_copies_of_the_document() -> Result<()> {
     let (mut cluster, leader) = cluster_with(1_100);
-    let document_length = cluster.accepted(leader).expect("a document").to_bytes().len();
+    let document_length = cluster
+        .accepted(leader)
+        .expect("a document")
+        .to_bytes()
+        .len();
     let controllers = cluster.nodes.len();
     let change_bytes = allocated_by(|| {
         assert!(change(&mut cluster, leader, "second", items(1_100..1_101)));
--- a/crates/controlplane/tests/storage.rs
+++ b/crates/controlplane/tests/storage.rs
@@ -42,8 +42,11 @@
 }
 
 fn document_versions(count: u64) -> Vec<Document> {
-    let member =
-        Voter { id: ControllerId(7), address: SocketAddress::UNSPECIFIED, zone: "here".into() };
+    let member = Voter {
+        id: ControllerId(7),
+        address: SocketAddress::UNSPECIFIED,
+        zone: "here".into(),
+    };
     let mut stored_versions = vec![Document::founding(vec![member])];
     for number in 1..count {
         let last = stored_versions.last().expect("one");
@@ -58,10 +61,15 @@
     data_directory.load(ControllerId(7)).expect("recalled");
     let stored_versions = document_versions(count);
     for document in &stored_versions {
-        data_directory.write(&WriteJob::Version(document.clone())).expect("written");
+        data_directory
+            .write(&WriteJob::Version(document.clone()))
+            .expect("written");
     }
     data_directory
-        .write(&WriteJob::Vote { term: Term(4), candidate: ControllerId(9) })
+        .write(&WriteJob::Vote {
+            term: Term(4),
+            candidate: ControllerId(9),
+        })
         .expect("written");
     stored_versions
 }
@@ -73,7 +81,10 @@
     let (persisted, quarantined) = DataDirectory::open(&directory.0)?.load(ControllerId(1))?;
     verify_that!(persisted.id, eq(ControllerId(7)))?;
     verify_that!(persisted.voted_for, some(eq((Term(4), ControllerId(9)))))?;
-    verify_that!(persisted.accepted.as_ref() == stored_versions.last(), eq(true))?;
+    verify_that!(
+        persisted.accepted.as_ref() == stored_versions.last(),
+        eq(true)
+    )?;
     verify_that!(quarantined.is_empty(), eq(true))?;
     let file_count = fs::read_dir(&directory.0)?.count();
     verify_that!(file_count, le(8 + 2 + 3))
@@ -84,11 +95,16 @@
     let directory = TempDirectory::new("cut");
     let stored_versions = fill_directory(&directory, 3);
     let full_bytes = fs::read(directory.newest("spec-"))?;
-    let temporary_path = directory.0.join(format!("spec-{:016x}-{:016x}.aside", 9, 9));
+    let temporary_path = directory
+        .0
+        .join(format!("spec-{:016x}-{:016x}.aside", 9, 9));
     for cut in (0..full_bytes.len()).step_by(37) {
         fs::write(&temporary_path, &full_bytes[..cut])?;
         let (persisted, quarantined) = DataDirectory::open(&directory.0)?.load(ControllerId(1))?;
-        verify_that!(persisted.accepted.as_ref() == stored_versions.last(), eq(true))?;
+        verify_that!(
+            persisted.accepted.as_ref() == stored_versions.last(),
+            eq(true)
+        )?;
         verify_that!(quarantined.is_empty(), eq(true))?;
         verify_that!(persisted.unreadable_version, eq(DocumentVersion::default()))?;
     }
@@ -106,8 +122,14 @@
     fs::write(&damaged_path, damaged_bytes)?;
     for _ in 0..2 {
         let (persisted, _) = DataDirectory::open(&directory.0)?.load(ControllerId(1))?;
-        verify_that!(persisted.accepted.as_ref() == stored_versions.get(2), eq(true))?;
-        verify_that!(persisted.unreadable_version, eq(stored_versions[3].document_version))?;
+        verify_that!(
+            persisted.accepted.as_ref() == stored_versions.get(2),
+            eq(true)
+        )?;
+        verify_that!(
+            persisted.unreadable_version,
+            eq(stored_versions[3].document_version)
+        )?;
     }
     Ok(())
 }
@@ -141,7 +163,10 @@
     fs::write(directory.newest("spec-"), "rot")?;
     verify_that!(data_directory.scrub(stored_versions.last())?.len(), eq(1))?;
     let (persisted, quarantined) = data_directory.load(ControllerId(1))?;
-    verify_that!(persisted.accepted.as_ref() == stored_versions.last(), eq(true))?;
+    verify_that!(
+        persisted.accepted.as_ref() == stored_versions.last(),
+        eq(true)
+    )?;
     verify_that!(persisted.unreadable_version, eq(DocumentVersion::default()))?;
     verify_that!(quarantined, is_empty())
 }
@@ -149,15 +174,24 @@
 #[gtest]
 fn single_voter_recovery_needs_a_disk_that_was_a_member() -> Result<()> {
     let empty = TempDirectory::new("recover-empty");
-    verify_that!(controlplane::storage::force_single_voter(&empty.0).is_err(), eq(true))?;
+    verify_that!(
+        controlplane::storage::force_single_voter(&empty.0).is_err(),
+        eq(true)
+    )?;
     let directory = TempDirectory::new("recover");
     let stored_versions = fill_directory(&directory, 3);
     let document_version = controlplane::storage::force_single_voter(&directory.0)?;
-    verify_that!(document_version > stored_versions[2].document_version, eq(true))?;
+    verify_that!(
+        document_version > stored_versions[2].document_version,
+        eq(true)
+    )?;
     let (persisted, _) = DataDirectory::open(&directory.0)?.load(ControllerId(1))?;
     let recovered_document = persisted.accepted.expect("a version");
     verify_that!(recovered_document.voters.len(), eq(1))?;
-    verify_that!(&recovered_document.evacuated, eq(&stored_versions[2].evacuated))
+    verify_that!(
+        &recovered_document.evacuated,
+        eq(&stored_versions[2].evacuated)
+    )
 }
 
 #[gtest]
@@ -167,7 +201,10 @@
     verify_that!(data_directory.is_first_start(), eq(false))?;
     data_directory.record_first_start()?;
     data_directory.load(ControllerId(7))?;
-    verify_that!(DataDirectory::open(&directory.0)?.is_first_start(), eq(true))?;
+    verify_that!(
+        DataDirectory::open(&directory.0)?.is_first_start(),
+        eq(true)
+    )?;
     let later = TempDirectory::new("later");
     let data_directory = DataDirectory::open(&later.0)?;
     data_directory.load(ControllerId(7))?;
@@ -188,8 +225,12 @@
     fn before_write(&self) -> io::Result<()> {
         let remaining = self
             .0
-            .fetch_update(Ordering::SeqCst, Ordering::SeqCst, |remaining| remaining.checked_sub(1));
-        remaining.map(drop).map_err(|_| io::Error::from(io::ErrorKind::StorageFull))
+            .fetch_update(Ordering::SeqCst, Ordering::SeqCst, |remaining| {
+                remaining.checked_sub(1)
+            });
+        remaining
+            .map(drop)
+            .map_err(|_| io::Error::from(io::ErrorKind::StorageFull))
     }
 }
 
@@ -203,7 +244,10 @@
         let full = Box::new(FullAfter(AtomicUsize::new(writes)));
         let _ = DataDirectory::open_with(&directory.0, full)?.load(ControllerId(1));
         let (persisted, _) = DataDirectory::open(&directory.0)?.load(ControllerId(1))?;
-        verify_that!(persisted.unreadable_version, eq(stored_versions[3].document_version))?;
+        verify_that!(
+            persisted.unreadable_version,
+            eq(stored_versions[3].document_version)
+        )?;
     }
     Ok(())
 }
@@ -215,7 +259,10 @@
     for _ in 0..2 {
         fs::write(directory.newest("spec-"), "rot")?;
         let (persisted, _) = DataDirectory::open(&directory.0)?.load(ControllerId(1))?;
-        verify_that!(persisted.unreadable_version, eq(stored_versions[3].document_version))?;
+        verify_that!(
+            persisted.unreadable_version,
+            eq(stored_versions[3].document_version)
+        )?;
     }
     Ok(())
 }
--- a/crates/controlplane/tests/stored_forms.rs
+++ b/crates/controlplane/tests/stored_forms.rs
@@ -31,7 +31,9 @@
 
 fn address(number: u8) -> SocketAddress {
     SocketAddress(
-        format!("10.0.0.{number}:{}", 4000 + u16::from(number)).parse().expect("an address"),
+        format!("10.0.0.{number}:{}", 4000 + u16::from(number))
+            .parse()
+            .expect("an address"),
     )
 }
 
@@ -51,16 +53,25 @@
         }},
     });
     let checked_spec = read_spec(&spec).expect("a good spec");
-    let first = founding.with_spec(spec, &checked_spec, ChangeId::from("first spec")).numbered(300);
+    let first = founding
+        .with_spec(spec, &checked_spec, ChangeId::from("first spec"))
+        .numbered(300);
     let mut newest = first.with_zone("zone-2".into(), true, ChangeId::from("zone-2 out"));
     newest.previous_voters = vec![newest.voters[0].clone()];
-    newest.membership = [ListedMember { member: "daemon-5".into(), address: address(5) }].into();
+    newest.membership = [ListedMember {
+        member: "daemon-5".into(),
+        address: address(5),
+    }]
+    .into();
     newest.document_version.term = Term(3);
     [founding, first, newest]
 }
 
 fn vote(term: u64, candidate: ControllerId) -> WriteJob {
-    WriteJob::Vote { term: Term(term), candidate }
+    WriteJob::Vote {
+        term: Term(term),
+        candidate,
+    }
 }
 
 /// Fills a folder as a controller does from its first start on.
@@ -110,12 +121,18 @@
     let newest = persisted.accepted.expect("a version");
     verify_that!(
         newest.document_version,
-        eq(DocumentVersion { term: Term(3), version: Version(3) })
+        eq(DocumentVersion {
+            term: Term(3),
+            version: Version(3)
+        })
     )?;
     verify_that!(newest == document_versions()[2], eq(true))?;
     verify_that!(persisted.unreadable_version, eq(DocumentVersion::default()))?;
     verify_that!(quarantined, is_empty())?;
-    verify_that!(DataDirectory::open(&directory.0)?.is_first_start(), eq(true))?;
+    verify_that!(
+        DataDirectory::open(&directory.0)?.is_first_start(),
+        eq(true)
+    )?;
     compare(DATA, &directory.0)
 }
 
@@ -150,8 +167,14 @@
     verify_that!(quarantined, eq(&[NEWEST_VERSION, NEWEST_VOTE]))?;
     verify_that!(persisted.id, eq(OWN))?;
     verify_that!(persisted.voted_for, some(eq((Term(3), ControllerId(0)))))?;
-    verify_that!(persisted.accepted.as_ref() == Some(&document_versions()[1]), eq(true))?;
-    verify_that!(persisted.unreadable_version, eq(document_versions()[2].document_version))?;
+    verify_that!(
+        persisted.accepted.as_ref() == Some(&document_versions()[1]),
+        eq(true)
+    )?;
+    verify_that!(
+        persisted.unreadable_version,
+        eq(document_versions()[2].document_version)
+    )?;
     hold(DAMAGED, &directory.0)
 }
 
@@ -161,10 +184,16 @@
     let (persisted, quarantined) = start(&directory)?;
     verify_that!(quarantined, is_empty())?;
     verify_that!(persisted.voted_for, some(eq((Term(3), ControllerId(0)))))?;
-    verify_that!(persisted.accepted.as_ref() == Some(&document_versions()[1]), eq(true))?;
+    verify_that!(
+        persisted.accepted.as_ref() == Some(&document_versions()[1]),
+        eq(true)
+    )?;
     verify_that!(
         persisted.unreadable_version,
-        eq(DocumentVersion { term: Term(3), version: Version(3) })
+        eq(DocumentVersion {
+            term: Term(3),
+            version: Version(3)
+        })
     )?;
     compare(DAMAGED, &directory.0)
 }
@@ -177,6 +206,9 @@
     verify_that!(persisted.id, eq(FRESH))?;
     verify_that!(persisted.voted_for, none())?;
     verify_that!(persisted.accepted.is_none(), eq(true))?;
-    verify_that!(DataDirectory::open(&directory.0)?.is_first_start(), eq(false))?;
+    verify_that!(
+        DataDirectory::open(&directory.0)?.is_first_start(),
+        eq(false)
+    )?;
     hold(FOREIGN, &directory.0)
 }
--- a/crates/dataplane/src/adapter/ingress.rs
+++ b/crates/dataplane/src/adapter/ingress.rs
@@ -15,7 +15,9 @@
 
 fn set_header(response: &mut HttpResponse, name: &'static str, text: &str) {
     if let Ok(value) = HeaderValue::from_str(text) {
-        response.headers_mut().insert(HeaderName::from_static(name), value);
+        response
+            .headers_mut()
+            .insert(HeaderName::from_static(name), value);
     }
 }
 
@@ -93,14 +95,23 @@
         caller_response: CallerResponse,
     ) -> HttpResponse {
         let mut response = match caller_response {
-            CallerResponse::NotRun { kind, reason, header, retry_after } => {
-                not_run(kind, reason, header, retry_after)
-            }
-            CallerResponse::Unknown { reason, retry_after } => {
-                unknown(reason.as_str(), retry_after)
-            }
+            CallerResponse::NotRun {
+                kind,
+                reason,
+                header,
+                retry_after,
+            } => not_run(kind, reason, header, retry_after),
+            CallerResponse::Unknown {
+                reason,
+                retry_after,
+            } => unknown(reason.as_str(), retry_after),
             CallerResponse::Response {
-                function, runner, status, seal: body_seal, body, ..
+                function,
+                runner,
+                status,
+                seal: body_seal,
+                body,
+                ..
             } => {
                 let mut response = Response::new(full_body(body));
                 *response.status_mut() = StatusCode::from_u16(status).unwrap_or(StatusCode::OK);
@@ -119,7 +130,11 @@
             }
         };
         if let Some(idempotency_key) = idempotency_key {
-            set_header(&mut response, seal::IDEMPOTENCY_KEY, idempotency_key.as_str());
+            set_header(
+                &mut response,
+                seal::IDEMPOTENCY_KEY,
+                idempotency_key.as_str(),
+            );
         }
         response
     }
--- a/crates/dataplane/src/adapter/runner.rs
+++ b/crates/dataplane/src/adapter/runner.rs
@@ -23,13 +23,22 @@
             .uri("/run")
             .header(HOST, address.to_string())
             .header(CONTENT_TYPE, "application/json")
-            .header(seal::IDEMPOTENCY_KEY, runner_request.idempotency_key.as_str())
+            .header(
+                seal::IDEMPOTENCY_KEY,
+                runner_request.idempotency_key.as_str(),
+            )
             .header(seal::FUNCTION, runner_request.function.to_string())
             .header(seal::ATTEMPT, runner_request.attempt.to_string())
-            .header(seal::TIMEOUT, runner_request.remaining_time.as_millis().to_string());
+            .header(
+                seal::TIMEOUT,
+                runner_request.remaining_time.as_millis().to_string(),
+            );
         if let Some(runner) = runner_request.runner {
             request = request
-                .header(seal::RUNNER, runner.self_reported_id(runner_request.instance).to_string())
+                .header(
+                    seal::RUNNER,
+                    runner.self_reported_id(runner_request.instance).to_string(),
+                )
                 .header(seal::FENCING_TOKEN, runner.fencing_token.to_string());
         }
         request.body(Full::new(runner_request.payload.body.0.clone()))
--- a/crates/dataplane/src/agent/daemon_control/held_functions.rs
+++ b/crates/dataplane/src/agent/daemon_control/held_functions.rs
@@ -19,7 +19,8 @@
     ) {
         let outputs = held.with(change);
         if !outputs.is_empty() {
-            self.outputs.push(DaemonControlOutput::Holder(held.clone(), outputs));
+            self.outputs
+                .push(DaemonControlOutput::Holder(held.clone(), outputs));
         }
     }
 
@@ -37,8 +38,11 @@
 
     pub(super) fn send_claims(&mut self, agent: &Agent<W>, now: MonotonicTime) {
         let held_functions = agent.held_functions.load_full();
-        let closing: Vec<Arc<HeldFunction<W>>> =
-            agent.closing.lock().unwrap_or_else(PoisonError::into_inner).clone();
+        let closing: Vec<Arc<HeldFunction<W>>> = agent
+            .closing
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .clone();
         if self.cluster_view.is_welcomed() {
             for held in &closing {
                 held.with(|holder| holder.orphans_reported());
@@ -81,7 +85,8 @@
         self.recheck_warm_functions(now);
         let detail = format!("serial {}, {} routes", table.version(), table.route_count());
         self.log_event(events::SPEC_INSTALLED, detail);
-        self.outputs.push(DaemonControlOutput::Installed(table.version()));
+        self.outputs
+            .push(DaemonControlOutput::Installed(table.version()));
         for held in agent.held_functions.load_full().values() {
             match table.function_of(&held.function) {
                 Some(entry) => {
@@ -102,15 +107,21 @@
 
     pub(super) fn granted(&mut self, agent: &Agent<W>, now: MonotonicTime, terms: LeaseTerms) {
         let (function, fencing_token) = (terms.function.clone(), terms.fencing_token);
-        let held_fencing_token =
-            agent.held_functions.load().get(&function).map(|held| held.fencing_token);
+        let held_fencing_token = agent
+            .held_functions
+            .load()
+            .get(&function)
+            .map(|held| held.fencing_token);
         if held_fencing_token >= Some(fencing_token) {
             return;
         }
-        let mut holder =
-            Holder::new(now, terms).with_rules(agent.rules).with_tuning(now, agent.tuning);
+        let mut holder = Holder::new(now, terms)
+            .with_rules(agent.rules)
+            .with_tuning(now, agent.tuning);
         let table = agent.table.load();
-        let index = table.index_of(&function).filter(|_| !function.is_regional());
+        let index = table
+            .index_of(&function)
+            .filter(|_| !function.is_regional());
         holder.set_warm(index.is_some_and(|index| table.is_prewarmed(index)));
         let held = Arc::new(HeldFunction::new(holder));
         let displaced = agent.held_functions.load().get(&function).cloned();
@@ -124,7 +135,10 @@
             self.report_left_runners(&displaced);
         }
         agent.cache_owner(&function, &agent.own_host);
-        self.log_event(events::LEASE_GRANTED, format!("{function} under {fencing_token}"));
+        self.log_event(
+            events::LEASE_GRANTED,
+            format!("{function} under {fencing_token}"),
+        );
         self.apply(&held, |holder| holder.begin(now));
         self.outputs.push(DaemonControlOutput::Changed);
     }
@@ -174,7 +188,11 @@
         now: MonotonicTime,
         held: &Arc<HeldFunction<W>>,
     ) {
-        agent.closing.lock().unwrap_or_else(PoisonError::into_inner).push(held.clone());
+        agent
+            .closing
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .push(held.clone());
         self.apply(held, |holder| holder.close(now));
     }
 
--- a/crates/dataplane/src/agent/daemon_control/mod.rs
+++ b/crates/dataplane/src/agent/daemon_control/mod.rs
@@ -50,12 +50,19 @@
             ControlSession::new(now, timing, own_host.clone(), ingress, seeds, rng)
                 .with_rules(agent.rules);
         let cluster_view = ClusterView::new(control_session, own_host).with_rules(agent.rules);
-        Self { cluster_view, report_at: now, warm_acquirer: None, outputs: Vec::new() }
+        Self {
+            cluster_view,
+            report_at: now,
+            warm_acquirer: None,
+            outputs: Vec::new(),
+        }
     }
 
     /// The same with another pause between heartbeats.
     pub fn with_heartbeat_interval(mut self, heartbeat_interval: Duration) -> Self {
-        self.cluster_view = self.cluster_view.with_heartbeat_interval(heartbeat_interval);
+        self.cluster_view = self
+            .cluster_view
+            .with_heartbeat_interval(heartbeat_interval);
         self
     }
 
@@ -70,10 +77,15 @@
         let seeks = self.cluster_view.is_welcomed() && !agent.is_leaving();
         let warm_acquirer = self.warm_acquirer.as_ref().filter(|_| seeks);
         let warm_due = warm_acquirer.map_or(self.report_at, WarmAcquirer::next_due);
-        let first_due = self.cluster_view.next_due().min(self.report_at).min(warm_due);
+        let first_due = self
+            .cluster_view
+            .next_due()
+            .min(self.report_at)
+            .min(warm_due);
         let held_functions = agent.held_functions.load();
-        let holders_due =
-            held_functions.values().filter_map(|held| held.with(|holder| holder.next_due()));
+        let holders_due = held_functions
+            .values()
+            .filter_map(|held| held.with(|holder| holder.next_due()));
         holders_due.fold(first_due, MonotonicTime::min)
     }
 
@@ -87,7 +99,9 @@
         if !agent.is_serving(now) || agent.is_leaving() || !self.cluster_view.is_welcomed() {
             return;
         }
-        let Some(warm_acquirer) = &mut self.warm_acquirer else { return };
+        let Some(warm_acquirer) = &mut self.warm_acquirer else {
+            return;
+        };
         let (table, hosts) = (agent.table.load(), agent.hosts.load());
         let (owners, held_functions) = (agent.owners.load(), agent.held_functions.load());
         let regional = agent.regional_keys_wanted(now);
@@ -144,7 +158,11 @@
         if now >= self.report_at {
             self.report_at = now + REPORT_INTERVAL;
             self.report_load(agent, now);
-            agent.ledger_replica.lock().unwrap_or_else(PoisonError::into_inner).expire(now);
+            agent
+                .ledger_replica
+                .lock()
+                .unwrap_or_else(PoisonError::into_inner)
+                .expire(now);
         }
         self.take_outputs()
     }
@@ -157,13 +175,22 @@
                 held.with(|holder| (holder.idle(now), holder.take_rejections()));
             if let Some(idle_span) = idle_span.filter(|span| *span > IDLE_REPORT_AFTER) {
                 let idle_ms = idle_span.as_millis().min(u128::from(u32::MAX)) as u32;
-                idle_functions.push(IdleFunction { function: function.clone(), idle_ms });
+                idle_functions.push(IdleFunction {
+                    function: function.clone(),
+                    idle_ms,
+                });
             }
             if let Some((count, reason)) = rejections {
-                self.send_frame(DaemonToLeader::Rejections { function, count, reason });
+                self.send_frame(DaemonToLeader::Rejections {
+                    function,
+                    count,
+                    reason,
+                });
             }
         }
-        self.send_frame(DaemonToLeader::Idle { functions: LengthPrefixed(idle_functions) });
+        self.send_frame(DaemonToLeader::Idle {
+            functions: LengthPrefixed(idle_functions),
+        });
     }
 
     /// The dialed stream is open.
@@ -236,11 +263,22 @@
                 let view_outputs = self.cluster_view.reserve(function, fencing_token);
                 self.apply_view_outputs(agent, now, view_outputs);
             }
-            HolderMessage::RunnerStatus { runner, runner_status } => {
-                self.send_frame(DaemonToLeader::RunnerUpdate { function, runner, runner_status });
+            HolderMessage::RunnerStatus {
+                runner,
+                runner_status,
+            } => {
+                self.send_frame(DaemonToLeader::RunnerUpdate {
+                    function,
+                    runner,
+                    runner_status,
+                });
             }
             HolderMessage::ReplicaLost { lost } => {
-                self.send_frame(DaemonToLeader::ReplicaLost { function, fencing_token, lost });
+                self.send_frame(DaemonToLeader::ReplicaLost {
+                    function,
+                    fencing_token,
+                    lost,
+                });
             }
             HolderMessage::ReplicaComplete { replica } => {
                 self.send_frame(DaemonToLeader::ReplicaComplete {
@@ -287,6 +325,7 @@
     }
 
     fn log_event(&mut self, event: Event, detail: String) {
-        self.outputs.push(DaemonControlOutput::LogEvent(event, detail));
+        self.outputs
+            .push(DaemonControlOutput::LogEvent(event, detail));
     }
 }
--- a/crates/dataplane/src/agent/daemon_control/view_outputs.rs
+++ b/crates/dataplane/src/agent/daemon_control/view_outputs.rs
@@ -35,7 +35,8 @@
             ClusterViewOutput::Hangup => self.outputs.push(DaemonControlOutput::Hangup),
             ClusterViewOutput::SendFrame(frame) => self.send_frame(frame),
             ClusterViewOutput::HeartbeatDatagram(heartbeat, addresses) => {
-                self.outputs.push(DaemonControlOutput::HeartbeatDatagram(heartbeat, addresses));
+                self.outputs
+                    .push(DaemonControlOutput::HeartbeatDatagram(heartbeat, addresses));
             }
             ClusterViewOutput::Welcomed(term) => self.welcomed(agent, now, term),
             ClusterViewOutput::StreamLost(lost_reserves) => {
@@ -45,7 +46,10 @@
             ClusterViewOutput::ReleaseAll => self.release_all(agent, now),
             ClusterViewOutput::Install(table) => self.install(agent, now, table),
             ClusterViewOutput::InstallFailed(version, error) => {
-                self.log_event(events::SPEC_INSTALL_FAILED, format!("serial {version}: {error}"));
+                self.log_event(
+                    events::SPEC_INSTALL_FAILED,
+                    format!("serial {version}: {error}"),
+                );
             }
             ClusterViewOutput::Hosts(alive_hosts) => {
                 agent.hosts.store(Arc::new(alive_hosts));
@@ -63,10 +67,18 @@
                     holder.replica_assigned(now, replica)
                 });
             }
-            ClusterViewOutput::Acquired { function, result, round_trip } => {
+            ClusterViewOutput::Acquired {
+                function,
+                result,
+                round_trip,
+            } => {
                 self.acquired(agent, function, result, round_trip);
             }
-            ClusterViewOutput::Reserved { function, fencing_token, result } => {
+            ClusterViewOutput::Reserved {
+                function,
+                fencing_token,
+                result,
+            } => {
                 self.reserved(agent, now, function, fencing_token, &result);
             }
             ClusterViewOutput::Revoke(function, fencing_token) => {
@@ -130,7 +142,8 @@
             agent.cache_owner(&function, host);
         }
         let is_settled = !matches!(result, None | Some(AcquireResult::RetryLater { .. }));
-        self.outputs.push(DaemonControlOutput::Acquired(function, result, round_trip));
+        self.outputs
+            .push(DaemonControlOutput::Acquired(function, result, round_trip));
         if is_settled {
             self.outputs.push(DaemonControlOutput::Changed);
         }
@@ -173,7 +186,9 @@
     ) {
         if agent.rules.enforces(Rule::EvacuationObeyed) {
             self.log_event(events::HANDOVER_STARTED, function.to_string());
-            self.apply_if_held(agent, function, fencing_token, |holder| holder.begin_release(now));
+            self.apply_if_held(agent, function, fencing_token, |holder| {
+                holder.begin_release(now)
+            });
         }
     }
 }
--- a/crates/dataplane/src/agent/forwarding/mod.rs
+++ b/crates/dataplane/src/agent/forwarding/mod.rs
@@ -82,7 +82,9 @@
                 if self.lost_holder_count > 0 =>
             {
                 ForwardingStep::End(
-                    RequestOutcome::Unknown { reason: RequestFailureReason::HolderUnreachable },
+                    RequestOutcome::Unknown {
+                        reason: RequestFailureReason::HolderUnreachable,
+                    },
                     holder,
                 )
             }
@@ -99,13 +101,18 @@
 
     fn next_step<W>(&mut self, agent: &Agent<W>, now: MonotonicTime) -> ForwardingStep<W> {
         if !agent.is_serving(now) {
-            return refused_step(RequestFailureReason::NotServing, agent.not_serving_retry_after());
+            return refused_step(
+                RequestFailureReason::NotServing,
+                agent.not_serving_retry_after(),
+            );
         }
         let table = agent.table.load();
         if let Some(spec_mismatch_until) = self.spec_mismatch_until {
             if table.version() <= self.request.version {
                 return if now < spec_mismatch_until {
-                    ForwardingStep::Wait { wait_until: spec_mismatch_until }
+                    ForwardingStep::Wait {
+                        wait_until: spec_mismatch_until,
+                    }
                 } else {
                     refused_step(RequestFailureReason::NotAllowed, Duration::from_millis(200))
                 };
@@ -122,19 +129,27 @@
         else {
             let is_spec_behind = table.version() < self.request.version && now < self.spec_deadline;
             return if is_spec_behind {
-                ForwardingStep::Wait { wait_until: self.spec_deadline }
+                ForwardingStep::Wait {
+                    wait_until: self.spec_deadline,
+                }
             } else {
                 refused_step(RequestFailureReason::NotAllowed, Duration::from_millis(500))
             };
         };
         let queue_timeout = route.spec.queue_timeout;
-        let give_up_at = *self
-            .give_up_at
-            .get_or_insert(self.request.deadline.min(now + queue_timeout.max(RETRY_BACKOFF)));
+        let give_up_at = *self.give_up_at.get_or_insert(
+            self.request
+                .deadline
+                .min(now + queue_timeout.max(RETRY_BACKOFF)),
+        );
         if now >= give_up_at {
             return self.no_owner_step(now);
         }
-        let held = agent.held_functions.load().get(&self.request.function).cloned();
+        let held = agent
+            .held_functions
+            .load()
+            .get(&self.request.function)
+            .cloned();
         let step = {
             let owners = agent.owners.load();
             let hosts = agent.hosts.load();
@@ -177,10 +192,12 @@
                 body: self.forward_frame(now),
                 wait_until: self.request.deadline + HOP_TIME_RESERVE,
             },
-            LookupStep::Acquire if now < self.acquire_not_before => {
-                ForwardingStep::Wait { wait_until: self.acquire_not_before.min(give_up_at) }
-            }
-            LookupStep::Acquire => ForwardingStep::Acquire { wait_until: give_up_at },
+            LookupStep::Acquire if now < self.acquire_not_before => ForwardingStep::Wait {
+                wait_until: self.acquire_not_before.min(give_up_at),
+            },
+            LookupStep::Acquire => ForwardingStep::Acquire {
+                wait_until: give_up_at,
+            },
             LookupStep::NotHolder => {
                 refused_step(RequestFailureReason::NotHolder, Duration::from_millis(50))
             }
@@ -189,7 +206,9 @@
             {
                 self.next_step(agent, now)
             }
-            LookupStep::NoEligibleHost => ForwardingStep::Wait { wait_until: give_up_at },
+            LookupStep::NoEligibleHost => ForwardingStep::Wait {
+                wait_until: give_up_at,
+            },
         }
     }
 
@@ -208,12 +227,18 @@
         let known_wait = self.retry_at.map(|retry_at| retry_at.since(now));
         refused_step(
             RequestFailureReason::NoOwner,
-            known_wait.unwrap_or(Duration::from_millis(1000)).max(Duration::from_millis(100)),
+            known_wait
+                .unwrap_or(Duration::from_millis(1000))
+                .max(Duration::from_millis(100)),
         )
     }
 
     fn forward_frame(&self, now: MonotonicTime) -> DaemonMessage {
-        let remaining_time = self.request.deadline.since(now).saturating_sub(HOP_TIME_RESERVE);
+        let remaining_time = self
+            .request
+            .deadline
+            .since(now)
+            .saturating_sub(HOP_TIME_RESERVE);
         DaemonMessage::FunctionRequest {
             idempotency_key: self.request.idempotency_key.clone(),
             function: self.request.function.clone(),
@@ -234,8 +259,10 @@
             return;
         }
         if let Some(route) = table.route_named(&self.request.route) {
-            self.request.function =
-                table.function(route.choose_function(&self.request.idempotency_key)).key.clone();
+            self.request.function = table
+                .function(route.choose_function(&self.request.idempotency_key))
+                .key
+                .clone();
             self.request.version = table.version();
         }
     }
@@ -243,12 +270,15 @@
     /// At the caller's daemon: where this region's callers have a key of their own, it is asked for under that
     /// one. Identities that may come again are remembered by one holder, and stay with it.
     fn use_regional_key<W>(&mut self, agent: &Agent<W>, now: MonotonicTime, table: &RoutingTable) {
-        let is_remembered =
-            table.route_named(&self.request.route).is_none_or(|route| route.spec.recorded)
-                && agent.rules.enforces(Rule::OneHolderRemembersKeys);
+        let is_remembered = table
+            .route_named(&self.request.route)
+            .is_none_or(|route| route.spec.recorded)
+            && agent.rules.enforces(Rule::OneHolderRemembersKeys);
         let all_regions = self.request.function.all_regions();
-        self.request.function =
-            agent.regional_key(now, &all_regions).filter(|_| !is_remembered).unwrap_or(all_regions);
+        self.request.function = agent
+            .regional_key(now, &all_regions)
+            .filter(|_| !is_remembered)
+            .unwrap_or(all_regions);
     }
 
     /// At the caller's daemon: the region's own key does not serve, and the holder for all regions does. Says
@@ -269,8 +299,9 @@
 
     /// The region of the caller's daemon, if it is another than this one's.
     fn foreign_region<W>(&self, agent: &Agent<W>) -> Option<Region> {
-        let is_foreign =
-            agent.own_region().is_some_and(|own_region| *own_region != self.request.region);
+        let is_foreign = agent
+            .own_region()
+            .is_some_and(|own_region| *own_region != self.request.region);
         (is_foreign && !self.request.region.as_str().is_empty())
             .then(|| self.request.region.clone())
     }
--- a/crates/dataplane/src/agent/forwarding/step_results.rs
+++ b/crates/dataplane/src/agent/forwarding/step_results.rs
@@ -28,7 +28,9 @@
 
     fn back_off<W>(&mut self, now: MonotonicTime) -> ForwardingStep<W> {
         self.acquire_not_before = now + RETRY_BACKOFF;
-        ForwardingStep::Wait { wait_until: self.acquire_not_before }
+        ForwardingStep::Wait {
+            wait_until: self.acquire_not_before,
+        }
     }
 
     /// The holder here has ended it; one that admits nothing any more proves that nothing was run.
@@ -104,7 +106,9 @@
                 self.handle_spec_mismatch(agent, now)
             }
             ForwardResult::Completed(
-                RequestOutcome::Unknown { reason: RequestFailureReason::HolderUnreachable },
+                RequestOutcome::Unknown {
+                    reason: RequestFailureReason::HolderUnreachable,
+                },
                 _,
             ) => self.after_loss(agent, now),
             ForwardResult::Completed(outcome, _)
@@ -135,7 +139,9 @@
         now: MonotonicTime,
         outcome: &RequestOutcome,
     ) -> bool {
-        let RequestOutcome::NotRun { reason, .. } = outcome else { return false };
+        let RequestOutcome::NotRun { reason, .. } = outcome else {
+            return false;
+        };
         match reason {
             RequestFailureReason::NoRunnerAvailable => {
                 self.leave_regional_key(agent, now, REGIONAL_UNREADY_BACKOFF)
@@ -158,7 +164,9 @@
             return self.back_off(now);
         }
         ForwardingStep::End(
-            RequestOutcome::Unknown { reason: RequestFailureReason::HolderUnreachable },
+            RequestOutcome::Unknown {
+                reason: RequestFailureReason::HolderUnreachable,
+            },
             None,
         )
     }
@@ -213,15 +221,18 @@
             Some(AcquireResult::RetryLater { wait_ms }) => {
                 let wait = Duration::from_millis(u64::from(wait_ms));
                 let table = agent.table.load();
-                let startup =
-                    table.function_of(&self.request.function).map(|entry| entry.spec.startup);
+                let startup = table
+                    .function_of(&self.request.function)
+                    .map(|entry| entry.spec.startup);
                 let ready_at = now + wait + startup.unwrap_or_default();
                 self.retry_at = Some(ready_at);
                 if ready_at >= give_up_at {
                     return self.no_owner_step(now);
                 }
                 self.acquire_not_before = now + RETRY_BACKOFF;
-                ForwardingStep::Wait { wait_until: now + wait + RETRY_BACKOFF }
+                ForwardingStep::Wait {
+                    wait_until: now + wait + RETRY_BACKOFF,
+                }
             }
             Some(AcquireResult::Rejected) | None => self.back_off(now),
         }
@@ -229,9 +240,21 @@
 }
 
 fn is_not_holder(outcome: &RequestOutcome) -> bool {
-    matches!(outcome, RequestOutcome::NotRun { reason: RequestFailureReason::NotHolder, .. })
+    matches!(
+        outcome,
+        RequestOutcome::NotRun {
+            reason: RequestFailureReason::NotHolder,
+            ..
+        }
+    )
 }
 
 fn is_not_allowed(outcome: &RequestOutcome) -> bool {
-    matches!(outcome, RequestOutcome::NotRun { reason: RequestFailureReason::NotAllowed, .. })
+    matches!(
+        outcome,
+        RequestOutcome::NotRun {
+            reason: RequestFailureReason::NotAllowed,
+            ..
+        }
+    )
 }
--- a/crates/dataplane/src/agent/held.rs
+++ b/crates/dataplane/src/agent/held.rs
@@ -84,7 +84,9 @@
     /// The name that a runner itself goes by.
     pub fn self_reported_id_of(&self, runner: RunnerId) -> RunnerId {
         runner.self_reported_id(
-            self.with(|holder| holder.instance_of(runner)).as_ref().map(|instance| &instance.name),
+            self.with(|holder| holder.instance_of(runner))
+                .as_ref()
+                .map(|instance| &instance.name),
         )
     }
 
@@ -94,13 +96,22 @@
             self.with(|holder| (holder.connections(), holder.instance_of(runner)));
         let instance = instance?;
         let self_reported_id = runner.self_reported_id(Some(&instance.name));
-        Some(RunnerTarget { connections, instance: instance.name, self_reported_id })
+        Some(RunnerTarget {
+            connections,
+            instance: instance.name,
+            self_reported_id,
+        })
     }
 
     /// What a ticket stands for, while somebody waits for it.
     pub fn holder_request(&self, ticket: Ticket) -> Option<HolderRequest> {
-        let waiting_requests = self.waiting_requests.lock().unwrap_or_else(PoisonError::into_inner);
-        waiting_requests.get(&ticket).map(|held| held.holder_request.clone())
+        let waiting_requests = self
+            .waiting_requests
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        waiting_requests
+            .get(&ticket)
+            .map(|held| held.holder_request.clone())
     }
 
     /// Takes a transaction in. What waits for it comes back at once with an outcome that is known now.
@@ -124,7 +135,10 @@
             rank: holder_request.rank,
             region: holder_request.region.clone(),
         };
-        let waiting_request = WaitingRequest { holder_request, waiter };
+        let waiting_request = WaitingRequest {
+            holder_request,
+            waiter,
+        };
         self.waiting_requests
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
@@ -137,8 +151,10 @@
 
     /// A transaction has ended; gives back what waits for it.
     pub fn remove_waiter(&self, ticket: Ticket) -> Option<W> {
-        let mut waiting_requests =
-            self.waiting_requests.lock().unwrap_or_else(PoisonError::into_inner);
+        let mut waiting_requests = self
+            .waiting_requests
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
         waiting_requests.remove(&ticket).map(|held| held.waiter)
     }
 }
--- a/crates/dataplane/src/agent/mod.rs
+++ b/crates/dataplane/src/agent/mod.rs
@@ -174,7 +174,10 @@
         fencing_token: FencingToken,
     ) -> Option<Arc<HeldFunction<W>>> {
         let held_functions = self.held_functions.load();
-        held_functions.get(function).filter(|held| held.fencing_token == fencing_token).cloned()
+        held_functions
+            .get(function)
+            .filter(|held| held.fencing_token == fencing_token)
+            .cloned()
     }
 
     /// A function under one grant, held or given up.
--- a/crates/dataplane/src/agent/regional.rs
+++ b/crates/dataplane/src/agent/regional.rs
@@ -45,15 +45,23 @@
         let uses = self.regional_key_uses.load();
         let regional_use = uses.get(all_regions)?;
         let is_in_use = regional_use.from <= now && now < regional_use.until;
-        self.own_region().filter(|_| is_in_use).map(|region| all_regions.in_region(region))
+        self.own_region()
+            .filter(|_| is_in_use)
+            .map(|region| all_regions.in_region(region))
     }
 
     /// The keys of this region that are or will be in use.
     pub fn regional_keys_wanted(&self, now: MonotonicTime) -> Vec<FunctionKey> {
-        let Some(region) = self.own_region() else { return Vec::new() };
+        let Some(region) = self.own_region() else {
+            return Vec::new();
+        };
         let uses = self.regional_key_uses.load();
-        let wanted = uses.iter().filter(|(_, regional_use)| now < regional_use.until);
-        wanted.map(|(all_regions, _)| all_regions.in_region(region)).collect()
+        let wanted = uses
+            .iter()
+            .filter(|(_, regional_use)| now < regional_use.until);
+        wanted
+            .map(|(all_regions, _)| all_regions.in_region(region))
+            .collect()
     }
 
     /// Hears with an answer in how many tenths of a second this region's callers are served under a key of their own,
@@ -75,7 +83,10 @@
                     self.set_regional_key_use(
                         now,
                         all_regions,
-                        RegionalKeyUse { until: now + KEY_USE_TIMEOUT, ..known_key_use },
+                        RegionalKeyUse {
+                            until: now + KEY_USE_TIMEOUT,
+                            ..known_key_use
+                        },
                     );
                 }
             }
@@ -86,7 +97,10 @@
                 self.set_regional_key_use(
                     now,
                     all_regions,
-                    RegionalKeyUse { from, until: from + KEY_USE_TIMEOUT },
+                    RegionalKeyUse {
+                        from,
+                        until: from + KEY_USE_TIMEOUT,
+                    },
                 );
                 return self.own_region().is_some();
             }
@@ -106,7 +120,10 @@
         self.set_regional_key_use(
             now,
             function.all_regions(),
-            RegionalKeyUse { from, until: from + KEY_USE_TIMEOUT },
+            RegionalKeyUse {
+                from,
+                until: from + KEY_USE_TIMEOUT,
+            },
         );
     }
 
@@ -137,11 +154,15 @@
     /// What is told with an outcome of a function held here to a daemon of a region: in how many tenths of a second its
     /// callers are served under a key of their own.
     pub fn regional_hint(&self, now: MonotonicTime, function: &FunctionKey, region: &Region) -> u8 {
-        let is_other_region = self.own_region().is_some_and(|own_region| own_region != region);
+        let is_other_region = self
+            .own_region()
+            .is_some_and(|own_region| own_region != region);
         if region.as_str().is_empty() || !(function.is_regional() || is_other_region) {
             return 0;
         }
-        let Some(held) = self.held_functions.load().get(function).cloned() else { return 0 };
+        let Some(held) = self.held_functions.load().get(function).cloned() else {
+            return 0;
+        };
         let after = held.with(|holder| holder.regional_use_delay(now, region));
         after.map_or(0, |after| {
             let tenths = after.as_millis().div_ceil(u128::from(HINT_UNIT_MS));
--- a/crates/dataplane/src/agent/replica_requests.rs
+++ b/crates/dataplane/src/agent/replica_requests.rs
@@ -49,7 +49,11 @@
                 request_kind: ReplicaRequestKind::Collect,
                 timeout: COLLECT_TIMEOUT,
             }),
-            HolderOutput::Record { batch_id, replica, records } => Ok(ReplicaRequest {
+            HolderOutput::Record {
+                batch_id,
+                replica,
+                records,
+            } => Ok(ReplicaRequest {
                 body: DaemonMessage::Record {
                     function: self.function.clone(),
                     fencing_token: self.fencing_token,
@@ -108,19 +112,35 @@
         now: MonotonicTime,
         replica_request: DaemonMessage,
     ) -> Option<DaemonMessage> {
-        let mut ledger_replica = self.ledger_replica.lock().unwrap_or_else(PoisonError::into_inner);
+        let mut ledger_replica = self
+            .ledger_replica
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
         match replica_request {
             DaemonMessage::Record { .. }
                 if !self.rules.enforces(Rule::LedgerReplicatedBeforeSend) =>
             {
-                Some(DaemonMessage::Recorded { is_stored: Flag(true) })
+                Some(DaemonMessage::Recorded {
+                    is_stored: Flag(true),
+                })
             }
-            DaemonMessage::Record { function, fencing_token, incarnation, records } => {
+            DaemonMessage::Record {
+                function,
+                fencing_token,
+                incarnation,
+                records,
+            } => {
                 let is_stored =
                     ledger_replica.record(now, &function, fencing_token, incarnation, &records.0);
-                Some(DaemonMessage::Recorded { is_stored: Flag(is_stored) })
+                Some(DaemonMessage::Recorded {
+                    is_stored: Flag(is_stored),
+                })
             }
-            DaemonMessage::Collect { function, fencing_token, incarnation } => {
+            DaemonMessage::Collect {
+                function,
+                fencing_token,
+                incarnation,
+            } => {
                 let copy = ledger_replica.collect(now, &function, fencing_token, incarnation);
                 let complete = Flag(copy.is_some());
                 Some(DaemonMessage::Collected {
@@ -128,10 +148,17 @@
                     records: LengthPrefixed(copy.unwrap_or_default()),
                 })
             }
-            DaemonMessage::Compare { function, fencing_token, incarnation, digests } => {
+            DaemonMessage::Compare {
+                function,
+                fencing_token,
+                incarnation,
+                digests,
+            } => {
                 let ranges =
                     ledger_replica.compare(now, &function, fencing_token, incarnation, &digests.0);
-                Some(DaemonMessage::Differs { ranges: LengthPrefixed(ranges) })
+                Some(DaemonMessage::Differs {
+                    ranges: LengthPrefixed(ranges),
+                })
             }
             DaemonMessage::FunctionRequest { .. }
             | DaemonMessage::Completed { .. }
--- a/crates/dataplane/src/agent/runner_response.rs
+++ b/crates/dataplane/src/agent/runner_response.rs
@@ -51,7 +51,13 @@
         && named_runner == runner.to_string();
     let is_rejected = response.did_not_run;
     let expected_seal = if rules.enforces(Rule::SealBoundToRequest) {
-        seal::seal(idempotency_key, function, runner, is_rejected, &response.body)
+        seal::seal(
+            idempotency_key,
+            function,
+            runner,
+            is_rejected,
+            &response.body,
+        )
     } else {
         seal::seal_of_texts(
             &response.idempotency_key,
@@ -81,8 +87,14 @@
     response: RunnerResponse,
 ) -> SendResult {
     let names_mismatch = response.idempotency_key != idempotency_key.as_str()
-        || response.function.as_ref().is_some_and(|named| *named != function.to_string())
-        || response.runner.as_ref().is_some_and(|named| *named != runner.to_string());
+        || response
+            .function
+            .as_ref()
+            .is_some_and(|named| *named != function.to_string())
+        || response
+            .runner
+            .as_ref()
+            .is_some_and(|named| *named != runner.to_string());
     if response.is_other_runner && response.idempotency_key == idempotency_key.as_str() {
         return SendResult::WrongRunner;
     }
@@ -154,9 +166,17 @@
     pub fn check_sent_under_lease(&self, now: MonotonicTime) {
         let lease_end = self.serving_until.get();
         let is_under_lease = now < lease_end + LEASE_SLACK;
-        require(self.rules, Invariant::SentUnderLease, is_under_lease, || {
-            format!("a request left {} ms after the lease", now.since(lease_end).as_millis())
-        });
+        require(
+            self.rules,
+            Invariant::SentUnderLease,
+            is_under_lease,
+            || {
+                format!(
+                    "a request left {} ms after the lease",
+                    now.since(lease_end).as_millis()
+                )
+            },
+        );
     }
 
     /// The last look before a transaction is handed to a connection: the member grant runs, the function
@@ -180,7 +200,10 @@
         Ok(RunnerAttempt {
             idempotency_key: holder_request.idempotency_key.clone(),
             function: held.function.clone(),
-            runner: self.rules.enforces(Rule::RunnerIdentityChecked).then_some(runner),
+            runner: self
+                .rules
+                .enforces(Rule::RunnerIdentityChecked)
+                .then_some(runner),
             attempt,
             remaining_time: holder_request.deadline.since(now),
             payload: holder_request.payload.clone(),
--- a/crates/dataplane/src/cluster_view/leader_frames.rs
+++ b/crates/dataplane/src/cluster_view/leader_frames.rs
@@ -16,25 +16,40 @@
                 let text = decompress(&document).unwrap_or_default();
                 self.install(now, version, DaemonView::from_bytes(&text));
             }
-            LeaderToDaemon::Change { base, version, patch, digest } => match &self.view {
+            LeaderToDaemon::Change {
+                base,
+                version,
+                patch,
+                digest,
+            } => match &self.view {
                 Some(view) if view.version == base => {
                     match view.changed(&decompress(&patch).unwrap_or_default(), &digest.0) {
                         Ok(changed_view) => self.install(now, version, Ok(changed_view)),
-                        Err(_) => self
-                            .outputs
-                            .push(ClusterViewOutput::SendFrame(DaemonToLeader::FullSpecRequest)),
+                        Err(_) => self.outputs.push(ClusterViewOutput::SendFrame(
+                            DaemonToLeader::FullSpecRequest,
+                        )),
                     }
                 }
                 Some(view) if view.version >= version => {}
-                _ => {
-                    self.outputs.push(ClusterViewOutput::SendFrame(DaemonToLeader::FullSpecRequest))
-                }
+                _ => self.outputs.push(ClusterViewOutput::SendFrame(
+                    DaemonToLeader::FullSpecRequest,
+                )),
             },
-            LeaderToDaemon::Hosts { number, hosts, suspected } => {
-                self.failure_detector.set_host_list(now, number, hosts.0, suspected.0);
+            LeaderToDaemon::Hosts {
+                number,
+                hosts,
+                suspected,
+            } => {
+                self.failure_detector
+                    .set_host_list(now, number, hosts.0, suspected.0);
                 self.refresh_hosts(now);
             }
-            LeaderToDaemon::HostsDelta { number, put, removed, suspected } => {
+            LeaderToDaemon::HostsDelta {
+                number,
+                put,
+                removed,
+                suspected,
+            } => {
                 let is_applied = self.failure_detector.update_host_list(
                     now,
                     number,
@@ -45,32 +60,59 @@
                 if is_applied {
                     self.refresh_hosts(now);
                 } else {
-                    self.outputs
-                        .push(ClusterViewOutput::SendFrame(DaemonToLeader::FullHostListRequest));
+                    self.outputs.push(ClusterViewOutput::SendFrame(
+                        DaemonToLeader::FullHostListRequest,
+                    ));
                 }
             }
-            LeaderToDaemon::Acquired { correlation, function, result } => {
+            LeaderToDaemon::Acquired {
+                correlation,
+                function,
+                result,
+            } => {
                 self.acquired(now, correlation, function, result);
             }
-            LeaderToDaemon::Reserved { correlation, function, result } => {
+            LeaderToDaemon::Reserved {
+                correlation,
+                function,
+                result,
+            } => {
                 self.reserved(correlation, function, result);
             }
-            LeaderToDaemon::Revoke { function, fencing_token } => {
-                self.outputs.push(ClusterViewOutput::Revoke(function, fencing_token));
+            LeaderToDaemon::Revoke {
+                function,
+                fencing_token,
+            } => {
+                self.outputs
+                    .push(ClusterViewOutput::Revoke(function, fencing_token));
             }
             LeaderToDaemon::Drain { function, runner } => {
-                self.outputs.push(ClusterViewOutput::Drain(function, runner));
+                self.outputs
+                    .push(ClusterViewOutput::Drain(function, runner));
             }
             LeaderToDaemon::RunnerUnlisted { function, runner } => {
-                self.outputs.push(ClusterViewOutput::RunnerUnlisted(function, runner));
+                self.outputs
+                    .push(ClusterViewOutput::RunnerUnlisted(function, runner));
             }
-            LeaderToDaemon::HandOver { function, fencing_token } => {
-                self.outputs.push(ClusterViewOutput::HandOver(function, fencing_token));
+            LeaderToDaemon::HandOver {
+                function,
+                fencing_token,
+            } => {
+                self.outputs
+                    .push(ClusterViewOutput::HandOver(function, fencing_token));
             }
-            LeaderToDaemon::ReclaimIdle { function, fencing_token } => {
-                self.outputs.push(ClusterViewOutput::ReclaimIdle(function, fencing_token));
+            LeaderToDaemon::ReclaimIdle {
+                function,
+                fencing_token,
+            } => {
+                self.outputs
+                    .push(ClusterViewOutput::ReclaimIdle(function, fencing_token));
             }
-            LeaderToDaemon::ReplicaAssigned { function, fencing_token, replica } => {
+            LeaderToDaemon::ReplicaAssigned {
+                function,
+                fencing_token,
+                replica,
+            } => {
                 let new_replica = replica.0.into_iter().next();
                 self.outputs.push(ClusterViewOutput::ReplicaAssigned(
                     function,
@@ -90,7 +132,10 @@
         version: Version,
         parsed_view: Result<DaemonView, DocumentError>,
     ) {
-        let is_older = self.view.as_ref().is_some_and(|view| view.version >= version);
+        let is_older = self
+            .view
+            .as_ref()
+            .is_some_and(|view| view.version >= version);
         if is_older && self.rules.enforces(Rule::VersionNeverDecreases) {
             return;
         }
@@ -106,11 +151,14 @@
                 self.table = Arc::new(table);
                 let voters = view.voters.clone();
                 self.view = Some(view);
-                self.outputs.push(ClusterViewOutput::Install(self.table.clone()));
+                self.outputs
+                    .push(ClusterViewOutput::Install(self.table.clone()));
                 let outputs = self.control_session.installed(version, &voters);
                 self.apply_session_outputs(now, outputs);
             }
-            Err(error) => self.outputs.push(ClusterViewOutput::InstallFailed(version, error)),
+            Err(error) => self
+                .outputs
+                .push(ClusterViewOutput::InstallFailed(version, error)),
         }
     }
 }
--- a/crates/dataplane/src/cluster_view/leader_requests.rs
+++ b/crates/dataplane/src/cluster_view/leader_requests.rs
@@ -29,19 +29,31 @@
             let wait_ms = expected_at.since(now).as_millis() as u32;
             let result = Some(AcquireResult::RetryLater { wait_ms });
             let round_trip = Duration::ZERO;
-            self.outputs.push(ClusterViewOutput::Acquired { function, result, round_trip });
+            self.outputs.push(ClusterViewOutput::Acquired {
+                function,
+                result,
+                round_trip,
+            });
         } else if self.control_session.is_welcomed() {
             let correlation = self.control_session.correlation();
-            let pending =
-                PendingAcquire { function: function.clone(), requested_at: now, expected_at: None };
+            let pending = PendingAcquire {
+                function: function.clone(),
+                requested_at: now,
+                expected_at: None,
+            };
             self.acquires.insert(correlation, pending);
-            self.outputs.push(ClusterViewOutput::SendFrame(DaemonToLeader::Acquire {
-                correlation,
-                function,
-            }));
+            self.outputs
+                .push(ClusterViewOutput::SendFrame(DaemonToLeader::Acquire {
+                    correlation,
+                    function,
+                }));
         } else {
             let round_trip = Duration::ZERO;
-            self.outputs.push(ClusterViewOutput::Acquired { function, result: None, round_trip });
+            self.outputs.push(ClusterViewOutput::Acquired {
+                function,
+                result: None,
+                round_trip,
+            });
         }
         self.take_outputs()
     }
@@ -54,12 +66,21 @@
     ) -> Vec<ClusterViewOutput> {
         if self.control_session.is_welcomed() {
             let correlation = self.control_session.correlation();
-            self.reserves.insert(correlation, (function.clone(), fencing_token));
-            let frame = DaemonToLeader::Reserve { correlation, function, fencing_token };
+            self.reserves
+                .insert(correlation, (function.clone(), fencing_token));
+            let frame = DaemonToLeader::Reserve {
+                correlation,
+                function,
+                fencing_token,
+            };
             self.outputs.push(ClusterViewOutput::SendFrame(frame));
         } else {
             let result = ReserveResult::Rejected;
-            self.outputs.push(ClusterViewOutput::Reserved { function, fencing_token, result });
+            self.outputs.push(ClusterViewOutput::Reserved {
+                function,
+                fencing_token,
+                result,
+            });
         }
         self.take_outputs()
     }
@@ -77,7 +98,11 @@
             pending.expected_at = Some(now + Duration::from_millis(u64::from(*wait_ms)));
             let round_trip = now.since(pending.requested_at);
             let result = Some(result);
-            self.outputs.push(ClusterViewOutput::Acquired { function, result, round_trip });
+            self.outputs.push(ClusterViewOutput::Acquired {
+                function,
+                result,
+                round_trip,
+            });
             return;
         }
         let round_trip = self
@@ -92,13 +117,19 @@
             }
             _ => Some(result),
         };
-        self.outputs.push(ClusterViewOutput::Acquired { function, result, round_trip });
+        self.outputs.push(ClusterViewOutput::Acquired {
+            function,
+            result,
+            round_trip,
+        });
     }
 
     /// Whether a grant is one that was given back already, named again to a question that crossed the word of
     /// it.
     fn is_released(&self, function: &FunctionKey, result: &AcquireResult) -> bool {
-        let AcquireResult::Granted { fencing_token, .. } = result else { return false };
+        let AcquireResult::Granted { fencing_token, .. } = result else {
+            return false;
+        };
         self.released_leases
             .get(function)
             .is_some_and(|released_leases| fencing_token <= released_leases)
@@ -122,7 +153,10 @@
         else {
             return;
         };
-        let spec = self.table.function_of(function).map(|entry| (*entry.spec).clone());
+        let spec = self
+            .table
+            .function_of(function)
+            .map(|entry| (*entry.spec).clone());
         let is_void =
             correlation <= self.void_through && self.rules.enforces(Rule::StaleLeaseReturned);
         let may_hold = now < self.control_session.lease_end() && !self.leaving && !is_void;
@@ -137,7 +171,8 @@
                 adopted: adopted.0.clone(),
             }),
             None => {
-                self.released_leases.insert(function.clone(), *fencing_token);
+                self.released_leases
+                    .insert(function.clone(), *fencing_token);
                 ClusterViewOutput::SendFrame(DaemonToLeader::Release {
                     function: function.clone(),
                     fencing_token: *fencing_token,
@@ -156,12 +191,19 @@
     ) {
         match (self.reserves.remove(&correlation), &result) {
             (Some((_, fencing_token)), _) => {
-                self.outputs.push(ClusterViewOutput::Reserved { function, fencing_token, result });
+                self.outputs.push(ClusterViewOutput::Reserved {
+                    function,
+                    fencing_token,
+                    result,
+                });
             }
             (None, ReserveResult::Reserved { runner, .. }) => {
                 let runner_status = RunnerStatus::Gone;
-                let frame =
-                    DaemonToLeader::RunnerUpdate { function, runner: *runner, runner_status };
+                let frame = DaemonToLeader::RunnerUpdate {
+                    function,
+                    runner: *runner,
+                    runner_status,
+                };
                 self.outputs.push(ClusterViewOutput::SendFrame(frame));
             }
             _ => {}
--- a/crates/dataplane/src/cluster_view/mod.rs
+++ b/crates/dataplane/src/cluster_view/mod.rs
@@ -63,13 +63,17 @@
 
     /// The same with another pause between heartbeats.
     pub fn with_heartbeat_interval(mut self, heartbeat_interval: Duration) -> Self {
-        self.failure_detector = self.failure_detector.with_heartbeat_interval(heartbeat_interval);
+        self.failure_detector = self
+            .failure_detector
+            .with_heartbeat_interval(heartbeat_interval);
         self
     }
 
     /// When something is due, at the latest.
     pub fn next_due(&self) -> MonotonicTime {
-        self.control_session.next_due().min(self.failure_detector.next_due())
+        self.control_session
+            .next_due()
+            .min(self.failure_detector.next_due())
     }
 
     /// The seeds have changed.
@@ -111,7 +115,8 @@
         for output in outputs {
             let frame = match output {
                 FailureDetectorOutput::HeartbeatDatagram(heartbeat, addresses) => {
-                    self.outputs.push(ClusterViewOutput::HeartbeatDatagram(heartbeat, addresses));
+                    self.outputs
+                        .push(ClusterViewOutput::HeartbeatDatagram(heartbeat, addresses));
                     continue;
                 }
                 FailureDetectorOutput::MemberSuspected(instance) => {
@@ -131,7 +136,8 @@
         let alive_hosts = self.failure_detector.alive(now);
         if alive_hosts != self.alive_hosts {
             self.alive_hosts = alive_hosts;
-            self.outputs.push(ClusterViewOutput::Hosts(self.alive_hosts.clone()));
+            self.outputs
+                .push(ClusterViewOutput::Hosts(self.alive_hosts.clone()));
         }
     }
 
@@ -198,7 +204,8 @@
                     self.outputs.push(ClusterViewOutput::SendFrame(frame))
                 }
                 ControlSessionOutput::Welcomed => {
-                    self.outputs.push(ClusterViewOutput::Welcomed(self.control_session.term()));
+                    self.outputs
+                        .push(ClusterViewOutput::Welcomed(self.control_session.term()));
                     for instance in self.failure_detector.locally_suspected() {
                         self.outputs.push(ClusterViewOutput::SendFrame(
                             DaemonToLeader::MemberSuspected { instance },
@@ -209,7 +216,8 @@
                     self.acquires.clear();
                     self.released_leases.clear();
                     let lost_reserves = std::mem::take(&mut self.reserves).into_values().collect();
-                    self.outputs.push(ClusterViewOutput::StreamLost(lost_reserves));
+                    self.outputs
+                        .push(ClusterViewOutput::StreamLost(lost_reserves));
                 }
                 ControlSessionOutput::GrantedUntil(lease_end) => {
                     self.outputs.push(ClusterViewOutput::ServeUntil(lease_end));
--- a/crates/dataplane/src/control_session/mod.rs
+++ b/crates/dataplane/src/control_session/mod.rs
@@ -67,10 +67,19 @@
 }
 
 enum StreamState {
-    Idle { dial_at: MonotonicTime },
-    Dialing { give_up_at: MonotonicTime },
-    Open { give_up_at: MonotonicTime },
-    Welcomed { last_heard_at: MonotonicTime, renew_at: MonotonicTime },
+    Idle {
+        dial_at: MonotonicTime,
+    },
+    Dialing {
+        give_up_at: MonotonicTime,
+    },
+    Open {
+        give_up_at: MonotonicTime,
+    },
+    Welcomed {
+        last_heard_at: MonotonicTime,
+        renew_at: MonotonicTime,
+    },
 }
 
 /// A controller that did not answer.
@@ -157,12 +166,23 @@
         let state_due = match self.state {
             StreamState::Idle { dial_at } => dial_at,
             StreamState::Dialing { give_up_at } | StreamState::Open { give_up_at } => give_up_at,
-            StreamState::Welcomed { last_heard_at, renew_at } => {
+            StreamState::Welcomed {
+                last_heard_at,
+                renew_at,
+            } => {
                 let silence_deadline = last_heard_at + self.timing.silence_timeout;
-                if self.leaving { silence_deadline } else { silence_deadline.min(renew_at) }
+                if self.leaving {
+                    silence_deadline
+                } else {
+                    silence_deadline.min(renew_at)
+                }
             }
         };
-        if self.granted { state_due.min(self.lease_end) } else { state_due }
+        if self.granted {
+            state_due.min(self.lease_end)
+        } else {
+            state_due
+        }
     }
 
     /// The seeds have changed; controllers known from the spec stay known.
@@ -213,7 +233,9 @@
         let new_seeds = self.seeds.iter().filter(|seed| !voters.contains(seed));
         self.controller_addresses.extend(new_seeds);
         if self.is_welcomed() {
-            vec![ControlSessionOutput::SendFrame(DaemonToLeader::Installed { version })]
+            vec![ControlSessionOutput::SendFrame(DaemonToLeader::Installed {
+                version,
+            })]
         } else {
             Vec::new()
         }
@@ -224,14 +246,19 @@
         self.leaving = true;
         self.host.eligible.0 = false;
         if self.is_welcomed() {
-            vec![ControlSessionOutput::SendFrame(self.hello(self.leader_heard_at))]
+            vec![ControlSessionOutput::SendFrame(
+                self.hello(self.leader_heard_at),
+            )]
         } else {
             Vec::new()
         }
     }
 
     fn hello(&self, now: MonotonicTime) -> DaemonToLeader {
-        let age_ms = now.since(self.started_at).as_millis().min(u128::from(u32::MAX)) as u32;
+        let age_ms = now
+            .since(self.started_at)
+            .as_millis()
+            .min(u128::from(u32::MAX)) as u32;
         DaemonToLeader::Hello {
             host: self.host.clone(),
             ingress: self.ingress,
@@ -242,21 +269,29 @@
     }
 
     fn go_idle(&mut self, now: MonotonicTime) {
-        let delay = self.rng.within(self.timing.min_retry_delay, self.timing.max_retry_delay);
-        self.state = StreamState::Idle { dial_at: now + delay };
+        let delay = self
+            .rng
+            .within(self.timing.min_retry_delay, self.timing.max_retry_delay);
+        self.state = StreamState::Idle {
+            dial_at: now + delay,
+        };
         self.renewals.clear();
     }
 
     /// A leader that was named is dialed at once; without one, or when names come too fast, a little
     /// later.
     fn follow_hint(&mut self, now: MonotonicTime) {
-        let is_useful = self.hinted_leader.is_some_and(|named| self.may_dial_named(now, named));
+        let is_useful = self
+            .hinted_leader
+            .is_some_and(|named| self.may_dial_named(now, named));
         let is_first = now.since(self.last_hint_at) >= self.timing.min_retry_delay;
         let dial_at = if is_useful && is_first {
             self.last_hint_at = now;
             now
         } else {
-            now + self.rng.within(self.timing.min_retry_delay, self.timing.max_no_leader_delay)
+            now + self
+                .rng
+                .within(self.timing.min_retry_delay, self.timing.max_no_leader_delay)
         };
         self.state = StreamState::Idle { dial_at };
     }
@@ -278,7 +313,9 @@
             StreamState::Idle { dial_at } if now >= dial_at => {
                 let dialed_address = self.next_controller(now);
                 self.dialed = dialed_address;
-                self.state = StreamState::Dialing { give_up_at: now + self.timing.welcome_timeout };
+                self.state = StreamState::Dialing {
+                    give_up_at: now + self.timing.welcome_timeout,
+                };
                 outputs.push(ControlSessionOutput::Dial(dialed_address));
             }
             StreamState::Dialing { give_up_at } | StreamState::Open { give_up_at }
@@ -293,9 +330,10 @@
                 self.mark_dialed_unreachable(now);
                 self.hang_up(now, &mut outputs);
             }
-            StreamState::Welcomed { last_heard_at, renew_at }
-                if now >= renew_at && !self.leaving =>
-            {
+            StreamState::Welcomed {
+                last_heard_at,
+                renew_at,
+            } if now >= renew_at && !self.leaving => {
                 self.state = StreamState::Welcomed {
                     last_heard_at,
                     renew_at: now + self.timing.renewal_interval,
@@ -339,13 +377,18 @@
     /// The controller that was dialed last is left alone for a while.
     fn mark_dialed_unreachable(&mut self, now: MonotonicTime) {
         let was_reached = !matches!(self.state, StreamState::Dialing { .. });
-        self.unreachable =
-            Some(UnreachableController { address: self.dialed, since: now, was_reached });
+        self.unreachable = Some(UnreachableController {
+            address: self.dialed,
+            since: now,
+            was_reached,
+        });
     }
 
     /// Whether a controller that another one names as the leader may be dialed.
     fn may_dial_named(&self, now: MonotonicTime, named: SocketAddress) -> bool {
-        let Some(unreachable) = self.unreachable.filter(|unreachable| unreachable.address == named)
+        let Some(unreachable) = self
+            .unreachable
+            .filter(|unreachable| unreachable.address == named)
         else {
             return true;
         };
@@ -369,7 +412,9 @@
     /// The dialed connection is open.
     pub fn connected(&mut self, now: MonotonicTime) -> Vec<ControlSessionOutput> {
         if let StreamState::Dialing { .. } = self.state {
-            self.state = StreamState::Open { give_up_at: now + self.timing.welcome_timeout };
+            self.state = StreamState::Open {
+                give_up_at: now + self.timing.welcome_timeout,
+            };
             return vec![ControlSessionOutput::SendFrame(self.hello(now))];
         }
         Vec::new()
@@ -379,7 +424,11 @@
     pub fn disconnected(&mut self, now: MonotonicTime) -> Vec<ControlSessionOutput> {
         let was_welcomed = self.is_welcomed();
         self.go_idle(now);
-        if was_welcomed { vec![ControlSessionOutput::Disconnected] } else { Vec::new() }
+        if was_welcomed {
+            vec![ControlSessionOutput::Disconnected]
+        } else {
+            Vec::new()
+        }
     }
 
     /// A part of a long frame has come in: the leader is not silent, however slow the link is. It says
@@ -392,7 +441,9 @@
 
     /// The claims to send once welcomed.
     pub fn claims(&self, claims: Vec<Claim>) -> DaemonToLeader {
-        DaemonToLeader::Claims { claims: LengthPrefixed(claims) }
+        DaemonToLeader::Claims {
+            claims: LengthPrefixed(claims),
+        }
     }
 
     /// Takes what the leader says.
@@ -418,15 +469,29 @@
                 } else if !self.is_welcomed() {
                     self.term = term;
                     self.leader_heard_at = now;
-                    self.state = StreamState::Welcomed { last_heard_at: now, renew_at: now };
+                    self.state = StreamState::Welcomed {
+                        last_heard_at: now,
+                        renew_at: now,
+                    };
                     outputs.push(ControlSessionOutput::Welcomed);
                 }
             }
-            LeaderToDaemon::Renewed { correlation, lease_ms, version } => {
-                let StreamState::Welcomed { renew_at, .. } = self.state else { return outputs };
-                self.state = StreamState::Welcomed { last_heard_at: now, renew_at };
+            LeaderToDaemon::Renewed {
+                correlation,
+                lease_ms,
+                version,
+            } => {
+                let StreamState::Welcomed { renew_at, .. } = self.state else {
+                    return outputs;
+                };
+                self.state = StreamState::Welcomed {
+                    last_heard_at: now,
+                    renew_at,
+                };
                 self.leader_heard_at = now;
-                let Some(sent_at) = self.renewals.remove(&correlation) else { return outputs };
+                let Some(sent_at) = self.renewals.remove(&correlation) else {
+                    return outputs;
+                };
                 let new_lease_end = sent_at + Duration::from_millis(u64::from(lease_ms));
                 let is_newest =
                     version <= self.version || !self.rules.enforces(Rule::RenewalNeedsNewestSpec);
@@ -439,7 +504,10 @@
             }
             other => {
                 if let StreamState::Welcomed { renew_at, .. } = self.state {
-                    self.state = StreamState::Welcomed { last_heard_at: now, renew_at };
+                    self.state = StreamState::Welcomed {
+                        last_heard_at: now,
+                        renew_at,
+                    };
                 }
                 outputs.push(ControlSessionOutput::Frame(other));
             }
--- a/crates/dataplane/src/drivers/control.rs
+++ b/crates/dataplane/src/drivers/control.rs
@@ -157,7 +157,12 @@
             | ControlInput::Received(..) => return,
             ControlInput::HeartbeatDatagram(heartbeat) => {
                 if !self.controller.heartbeat(now, &heartbeat) {
-                    log_event!(Debug, events::HEARTBEAT_IGNORED, "from {}", heartbeat.member);
+                    log_event!(
+                        Debug,
+                        events::HEARTBEAT_IGNORED,
+                        "from {}",
+                        heartbeat.member
+                    );
                 }
                 return;
             }
@@ -170,9 +175,9 @@
                 state.gauges.acquires.inc();
                 self.controller.acquire(agent, now, function)
             }
-            ControlInput::HolderMessage(function, fencing_token, message) => {
-                self.controller.holder_message(agent, now, function, fencing_token, message)
-            }
+            ControlInput::HolderMessage(function, fencing_token, message) => self
+                .controller
+                .holder_message(agent, now, function, fencing_token, message),
             ControlInput::Seeds(seeds) => {
                 self.controller.set_seeds(seeds);
                 return;
@@ -193,7 +198,11 @@
                 DaemonControlOutput::Dial(address) => {
                     self.current_stream_id += 1;
                     self.stream = None;
-                    tokio::spawn(run_stream(self.state.clone(), self.current_stream_id, address));
+                    tokio::spawn(run_stream(
+                        self.state.clone(),
+                        self.current_stream_id,
+                        address,
+                    ));
                 }
                 DaemonControlOutput::Hangup => {
                     self.current_stream_id += 1;
@@ -223,13 +232,18 @@
     fn heartbeat(&self, heartbeat: &Heartbeat, addresses: &[SocketAddress]) {
         if let Ok(datagram) = encode_heartbeat(heartbeat) {
             for address in addresses {
-                let _ = self.heartbeat_socket.try_send_to(&datagram, address.address());
+                let _ = self
+                    .heartbeat_socket
+                    .try_send_to(&datagram, address.address());
             }
         }
     }
 
     fn send_frame(&mut self, frame: DaemonToLeader) {
-        let is_sent = self.stream.as_ref().is_some_and(|stream| stream.try_send(frame).is_ok());
+        let is_sent = self
+            .stream
+            .as_ref()
+            .is_some_and(|stream| stream.try_send(frame).is_ok());
         if !is_sent {
             self.stream = None;
         }
@@ -242,7 +256,10 @@
         round_trip: Duration,
     ) {
         if result.is_some() && round_trip > Duration::ZERO {
-            self.state.gauges.acquire_seconds.observe(round_trip.as_secs_f64());
+            self.state
+                .gauges
+                .acquire_seconds
+                .observe(round_trip.as_secs_f64());
         }
         let reply_senders = self.acquires.remove(function).unwrap_or_default();
         if let Some(result) = result {
@@ -281,7 +298,9 @@
     let timed_out = || FrameError::Connection(std::io::ErrorKind::TimedOut.into());
     let stream = dial(own_ip, address, Channel::Stream, Duration::from_millis(600)).await?;
     let (sender, mut frames) = mpsc::channel::<DaemonToLeader>(8192);
-    let _ = state.control.send(ControlInput::Connected(stream_id, sender));
+    let _ = state
+        .control
+        .send(ControlInput::Connected(stream_id, sender));
     let (reading_half, mut writing_half) = stream.into_split();
     let mut reader = BufReader::new(reading_half);
     let reading = async {
--- a/crates/dataplane/src/drivers/daemon.rs
+++ b/crates/dataplane/src/drivers/daemon.rs
@@ -66,7 +66,11 @@
             let source = settings.source.clone();
             move |error| SettingsError::CannotListen(source, key, address, error)
         };
-        let listen_key = if settings.listen == settings.address { "place" } else { "listen" };
+        let listen_key = if settings.listen == settings.address {
+            "place"
+        } else {
+            "listen"
+        };
         let process_listener = TcpListener::bind(settings.listen.address())
             .await
             .map_err(error_at(listen_key, settings.listen))?;
@@ -93,7 +97,9 @@
             link_mbps: settings.link_mbps,
         };
         let connector = Arc::new(TcpConnector::new(*settings.address.0.ip()));
-        let state = Arc::new(State::new(settings, host, rules, adapters, connector, control));
+        let state = Arc::new(State::new(
+            settings, host, rules, adapters, connector, control,
+        ));
         let heartbeat_socket = Arc::new(heartbeat_socket);
         Ok(Self {
             state,
@@ -107,7 +113,9 @@
 
     /// What can be told to it while it runs.
     pub fn handle(&self) -> DaemonHandle {
-        DaemonHandle { state: self.state.clone() }
+        DaemonHandle {
+            state: self.state.clone(),
+        }
     }
 
     /// Serves until told to stop, then leaves in an orderly way.
@@ -155,7 +163,9 @@
         };
         match decode_heartbeat(&datagram[..length]) {
             Ok(heartbeat) => {
-                let _ = state.control.send(ControlInput::HeartbeatDatagram(heartbeat));
+                let _ = state
+                    .control
+                    .send(ControlInput::HeartbeatDatagram(heartbeat));
             }
             Err(error) => {
                 state.gauges.rejected_frames.inc();
--- a/crates/dataplane/src/drivers/gauges.rs
+++ b/crates/dataplane/src/drivers/gauges.rs
@@ -71,27 +71,37 @@
                 &["found"],
             ),
             acquires: page.counter("rudder_acquires_total", "acquisitions asked of the leader"),
-            acquire_seconds: page
-                .seconds("rudder_acquire_seconds", "round trip of an acquisition to the leader"),
+            acquire_seconds: page.seconds(
+                "rudder_acquire_seconds",
+                "round trip of an acquisition to the leader",
+            ),
             sends: page.counter("rudder_sends_total", "transactions sent to runners"),
             retried_sends: page.counter("rudder_extra_sends_total", "sends beyond the first"),
             rejected_answers: page.counter("rudder_answers_rejected_total", "answers not believed"),
-            rejected_frames: page
-                .counter("rudder_frames_rejected_total", "connections closed for what they sent"),
+            rejected_frames: page.counter(
+                "rudder_frames_rejected_total",
+                "connections closed for what they sent",
+            ),
             held: page.gauge("rudder_functions_held", "functions held"),
             ready_runners: page.gauge("rudder_runners_ready", "runners ready"),
             queued: page.gauge("rudder_transactions_waiting", "transactions in inboxes"),
             in_flight: page.gauge("rudder_transactions_running", "transactions on runners"),
             serving: page.gauge("rudder_serving", "1 while the member grant runs"),
             version: page.gauge("rudder_spec_serial", "the serial installed"),
-            leases_ended: page
-                .counter("rudder_member_grants_ended_total", "member grants that ended"),
-            replica_entries: page
-                .gauge("rudder_ledger_lines", "lines kept for other daemons' ledgers"),
+            leases_ended: page.counter(
+                "rudder_member_grants_ended_total",
+                "member grants that ended",
+            ),
+            replica_entries: page.gauge(
+                "rudder_ledger_lines",
+                "lines kept for other daemons' ledgers",
+            ),
             replication_seconds: page
                 .seconds("rudder_note_seconds", "round trip of a note to a steward"),
-            idle_stop_skipped: page
-                .gauge("rudder_idle_stop_skipped", "functions whose last idle runner is kept"),
+            idle_stop_skipped: page.gauge(
+                "rudder_idle_stop_skipped",
+                "functions whose last idle runner is kept",
+            ),
             page,
         }
     }
--- a/crates/dataplane/src/drivers/holder_driver.rs
+++ b/crates/dataplane/src/drivers/holder_driver.rs
@@ -37,9 +37,9 @@
     drive(held, state, outputs);
     match immediate_outcome {
         Some((_, outcome)) => outcome,
-        None => outcome
-            .await
-            .unwrap_or(RequestOutcome::Unknown { reason: RequestFailureReason::ResponseLost }),
+        None => outcome.await.unwrap_or(RequestOutcome::Unknown {
+            reason: RequestFailureReason::ResponseLost,
+        }),
     }
 }
 
@@ -60,12 +60,19 @@
     let held = held.clone();
     let state = state.clone();
     match order {
-        HolderOutput::Send { ticket, runner, address, attempt } => {
+        HolderOutput::Send {
+            ticket,
+            runner,
+            address,
+            attempt,
+        } => {
             tokio::spawn(async move {
                 let sent_at = MonotonicTime::now();
                 let end = runners::send(&state, &held, ticket, runner, address, attempt).await;
                 log_failed_send(&state, &held, (ticket, runner), &end, sent_at);
-                apply(&held, &state, |holder, now| holder.handle_send_result(now, ticket, end));
+                apply(&held, &state, |holder, now| {
+                    holder.handle_send_result(now, ticket, end)
+                });
             });
         }
         HolderOutput::End { ticket, outcome } => {
@@ -74,16 +81,24 @@
                 let _ = waiter.send(outcome);
             }
         }
-        HolderOutput::Start { runner, worker, spec } => {
+        HolderOutput::Start {
+            runner,
+            worker,
+            spec,
+        } => {
             tokio::spawn(async move {
                 let end = platform::start(&state, &held, runner, &worker, &spec).await;
-                apply(&held, &state, |holder, now| holder.started(now, runner, end));
+                apply(&held, &state, |holder, now| {
+                    holder.started(now, runner, end)
+                });
             });
         }
         HolderOutput::Probe { runner, address } => {
             tokio::spawn(async move {
                 let is_ready = runners::is_ready(&state, &held, runner, address).await;
-                apply(&held, &state, |holder, now| holder.probed(now, runner, is_ready));
+                apply(&held, &state, |holder, now| {
+                    holder.probed(now, runner, is_ready)
+                });
             });
         }
         HolderOutput::ListRunning { runner, address } => {
@@ -95,7 +110,11 @@
                 });
             });
         }
-        HolderOutput::Stop { runner, worker, instance } => {
+        HolderOutput::Stop {
+            runner,
+            worker,
+            instance,
+        } => {
             state.runner_connections.remove_idle(runner);
             tokio::spawn(async move {
                 if platform::stop(&state, &held, runner, worker, instance).await {
@@ -164,9 +183,17 @@
 }
 
 async fn call_replica(state: Arc<State>, held: LocalHeldFunction, replica_request: ReplicaRequest) {
-    let ReplicaRequest { replica, body, request_kind, timeout } = replica_request;
+    let ReplicaRequest {
+        replica,
+        body,
+        request_kind,
+        timeout,
+    } = replica_request;
     let requested_at = MonotonicTime::now();
-    let reply = match state.hop_client.request(replica.address, body, requested_at + timeout).await
+    let reply = match state
+        .hop_client
+        .request(replica.address, body, requested_at + timeout)
+        .await
     {
         HopCallResult::Reply(reply) => Some(reply),
         HopCallResult::Unsent | HopCallResult::Lost => None,
@@ -177,5 +204,7 @@
             .replication_seconds
             .observe(MonotonicTime::now().since(requested_at).as_secs_f64());
     }
-    apply(&held, &state, |holder, now| request_kind.reply(holder, now, reply));
+    apply(&held, &state, |holder, now| {
+        request_kind.reply(holder, now, reply)
+    });
 }
--- a/crates/dataplane/src/drivers/hop_client.rs
+++ b/crates/dataplane/src/drivers/hop_client.rs
@@ -67,7 +67,10 @@
     ) -> HopCallResult {
         let correlation = CorrelationId(self.next_correlation.fetch_add(1, Ordering::Relaxed));
         let (end_sender, end) = oneshot::channel();
-        let call = HopCall { frame: DaemonFrame { correlation, body }, end: end_sender };
+        let call = HopCall {
+            frame: DaemonFrame { correlation, body },
+            end: end_sender,
+        };
         if self.sender_to(address).try_send(call).is_err() {
             return HopCallResult::Unsent;
         }
@@ -85,7 +88,12 @@
             return sender.clone();
         }
         let (sender, calls) = mpsc::channel(MAX_QUEUED_CALLS);
-        tokio::spawn(run_connection(self.connector.clone(), self.rules, address, calls));
+        tokio::spawn(run_connection(
+            self.connector.clone(),
+            self.rules,
+            address,
+            calls,
+        ));
         senders.insert(address, sender.clone());
         sender
     }
@@ -123,7 +131,11 @@
         for awaited in std::mem::take(&mut *self.lock()).into_values() {
             let is_unsent =
                 written <= awaited.first_byte || !rules.enforces(Rule::PartialWriteCountsAsSent);
-            let end = if is_unsent { HopCallResult::Unsent } else { HopCallResult::Lost };
+            let end = if is_unsent {
+                HopCallResult::Unsent
+            } else {
+                HopCallResult::Lost
+            };
             let _ = awaited.end.send(end);
         }
     }
@@ -196,10 +208,16 @@
             if append_frame(&mut sent_bytes, &frame).is_err() {
                 let _ = end.send(HopCallResult::Unsent);
             } else {
-                pending.lock().insert(frame.correlation, AwaitedReply { end, first_byte });
+                pending
+                    .lock()
+                    .insert(frame.correlation, AwaitedReply { end, first_byte });
             }
             let has_room = sent_bytes.len() < WRITE_BATCH_BYTES;
-            next_call = if has_room { calls.try_recv().ok() } else { None };
+            next_call = if has_room {
+                calls.try_recv().ok()
+            } else {
+                None
+            };
         }
         if let Err(error) = writing_half.write_all(&sent_bytes).await {
             return Some(error.into());
--- a/crates/dataplane/src/drivers/hops.rs
+++ b/crates/dataplane/src/drivers/hops.rs
@@ -35,7 +35,9 @@
                 _ = call_connection_end.changed() => None,
             };
             if let Some(body) = reply {
-                let _ = call_reply_sender.send(DaemonFrame { correlation, body }).await;
+                let _ = call_reply_sender
+                    .send(DaemonFrame { correlation, body })
+                    .await;
             }
         });
     }
@@ -51,7 +53,11 @@
         while let Some(frame) = next_frame {
             append_reply(&mut sent_bytes, &frame);
             let has_room = sent_bytes.len() < WRITE_BATCH_BYTES;
-            next_frame = if has_room { replies.try_recv().ok() } else { None };
+            next_frame = if has_room {
+                replies.try_recv().ok()
+            } else {
+                None
+            };
         }
         if writing_half.write_all(&sent_bytes).await.is_err() {
             return;
@@ -63,13 +69,21 @@
 /// An answer that fits in no frame is lost by itself; those behind it are not.
 fn append_reply(sent_bytes: &mut Vec<u8>, frame: &DaemonFrame) {
     if append_frame(sent_bytes, frame).is_err() {
-        let outcome = RequestOutcome::Unknown { reason: RequestFailureReason::ResponseLost };
+        let outcome = RequestOutcome::Unknown {
+            reason: RequestFailureReason::ResponseLost,
+        };
         let body = DaemonMessage::Completed {
             outcome,
             holder: LengthPrefixed(Vec::new()),
             regional_tenths: 0,
         };
-        let _ = append_frame(sent_bytes, &DaemonFrame { correlation: frame.correlation, body });
+        let _ = append_frame(
+            sent_bytes,
+            &DaemonFrame {
+                correlation: frame.correlation,
+                body,
+            },
+        );
     }
 }
 
@@ -82,11 +96,19 @@
                 .holder
                 .filter(|holder| !is_answer || *holder != state.agent.own_host);
             let holder = LengthPrefixed(reported_holder.into_iter().collect());
-            let ForwardedOutcome { outcome, regional_tenths, .. } = forwarded_outcome;
-            Some(DaemonMessage::Completed { outcome, holder, regional_tenths })
-        }
-        Err(replica_request) => {
-            state.agent.answer_replica_request(MonotonicTime::now(), *replica_request)
+            let ForwardedOutcome {
+                outcome,
+                regional_tenths,
+                ..
+            } = forwarded_outcome;
+            Some(DaemonMessage::Completed {
+                outcome,
+                holder,
+                regional_tenths,
+            })
         }
+        Err(replica_request) => state
+            .agent
+            .answer_replica_request(MonotonicTime::now(), *replica_request),
     }
 }
--- a/crates/dataplane/src/drivers/ingress.rs
+++ b/crates/dataplane/src/drivers/ingress.rs
@@ -15,12 +15,19 @@
     let times_state = state.clone();
     let times = move || {
         let limits = times_state.agent.table.load().limits();
-        ConnectionLimits { header_bytes: limits.header_bytes, idle: limits.header.max(limits.idle) }
+        ConnectionLimits {
+            header_bytes: limits.header_bytes,
+            idle: limits.header.max(limits.idle),
+        }
     };
     let handler = move |request: Request<Incoming>| {
         let state = state.clone();
         async move {
-            let status_response = if has_ready_address { None } else { page(&state, &request) };
+            let status_response = if has_ready_address {
+                None
+            } else {
+                page(&state, &request)
+            };
             match status_response {
                 Some(served) => served,
                 None => handle_request(&state, request).await,
@@ -53,9 +60,16 @@
         }
         path if path == "/ready" || path == state.adapters.ingress.readiness_path() => {
             let is_ready = state.agent.is_ready(MonotonicTime::now());
-            let status = if is_ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
+            let status = if is_ready {
+                StatusCode::OK
+            } else {
+                StatusCode::SERVICE_UNAVAILABLE
+            };
             let version = state.agent.table.load().version().0;
-            Some(json_response(status, &json!({"ready": is_ready, "serial": version})))
+            Some(json_response(
+                status,
+                &json!({"ready": is_ready, "serial": version}),
+            ))
         }
         _ => None,
     }
--- a/crates/dataplane/src/drivers/metered_stream.rs
+++ b/crates/dataplane/src/drivers/metered_stream.rs
@@ -20,7 +20,10 @@
 impl WritePermit {
     /// A permission that never ends.
     pub fn always() -> Self {
-        Self { is_valid: Box::new(|| true), on_first_write: Box::new(|| {}) }
+        Self {
+            is_valid: Box::new(|| true),
+            on_first_write: Box::new(|| {}),
+        }
     }
 }
 
@@ -82,7 +85,13 @@
     /// Counts what is written from now on.
     pub fn new(inner: Box<dyn ByteStream>) -> (Self, Arc<WriteMeter>) {
         let meter = Arc::new(WriteMeter::default());
-        (Self { inner, meter: meter.clone() }, meter)
+        (
+            Self {
+                inner,
+                meter: meter.clone(),
+            },
+            meter,
+        )
     }
 }
 
@@ -104,7 +113,9 @@
     ) -> Poll<io::Result<usize>> {
         let stream = self.get_mut();
         let inner = &mut stream.inner;
-        stream.meter.write(|| Pin::new(inner).poll_write(context, bytes))
+        stream
+            .meter
+            .write(|| Pin::new(inner).poll_write(context, bytes))
     }
 
     fn poll_write_vectored(
@@ -114,7 +125,9 @@
     ) -> Poll<io::Result<usize>> {
         let stream = self.get_mut();
         let inner = &mut stream.inner;
-        stream.meter.write(|| Pin::new(inner).poll_write_vectored(context, slices))
+        stream
+            .meter
+            .write(|| Pin::new(inner).poll_write_vectored(context, slices))
     }
 
     fn is_write_vectored(&self) -> bool {
--- a/crates/dataplane/src/drivers/request_log.rs
+++ b/crates/dataplane/src/drivers/request_log.rs
@@ -26,7 +26,11 @@
         let mut suppressed = 0;
         if now.since(self.started_at) >= WINDOW {
             suppressed = self.suppressed;
-            *self = Self { started_at: now, logged: 0, suppressed: 0 };
+            *self = Self {
+                started_at: now,
+                logged: 0,
+                suppressed: 0,
+            };
         }
         let is_admitted = self.logged < MAX_LINES;
         if is_admitted {
--- a/crates/dataplane/src/drivers/runner_connections.rs
+++ b/crates/dataplane/src/drivers/runner_connections.rs
@@ -112,7 +112,11 @@
         request: Request<Full<Bytes>>,
         max_body_bytes: usize,
     ) -> Result<CallResponse, CallError> {
-        let response = self.sender.send_request(request).await.map_err(CallError::Lost)?;
+        let response = self
+            .sender
+            .send_request(request)
+            .await
+            .map_err(CallError::Lost)?;
         let (head, body) = response.into_parts();
         if is_merged_response(&head.headers, &head.extensions)
             && self.rules.enforces(Rule::MergedHeadRejected)
@@ -121,7 +125,11 @@
         }
         let collected_body = Limited::new(body, max_body_bytes).collect().await;
         let body = collected_body.map_err(|error| CallError::Body(error.to_string()))?;
-        Ok(CallResponse { status: head.status, headers: head.headers, body: body.to_bytes() })
+        Ok(CallResponse {
+            status: head.status,
+            headers: head.headers,
+            body: body.to_bytes(),
+        })
     }
 
     /// Ends the connection; nothing is written on it any more when this has come back.
@@ -147,7 +155,11 @@
 impl RunnerConnections {
     /// No connections yet.
     pub fn new(connector: Arc<dyn Connector>, rules: Rules) -> Self {
-        Self { connector, rules, inner: Mutex::default() }
+        Self {
+            connector,
+            rules,
+            inner: Mutex::default(),
+        }
     }
 
     fn lock(&self) -> MutexGuard<'_, RunnerConnectionsInner> {
@@ -164,7 +176,9 @@
     ) -> Result<RunnerConnection, CheckoutError> {
         let checkout = {
             let mut inner = self.lock();
-            let checkout = inner.pool.checkout(MonotonicTime::now(), runner, max_connections);
+            let checkout = inner
+                .pool
+                .checkout(MonotonicTime::now(), runner, max_connections);
             if let Checkout::Reused(id) = checkout
                 && let Some(connection) = inner.idle.remove(&id)
             {
@@ -198,7 +212,11 @@
             Checkout::Open(id) | Checkout::Reused(id) => id,
             Checkout::Full => return Err(CheckoutError::Full),
         };
-        let reservation = PoolReservation { owner: Arc::downgrade(self), runner, id };
+        let reservation = PoolReservation {
+            owner: Arc::downgrade(self),
+            runner,
+            id,
+        };
         let connecting = async {
             let (stream, meter) = MeteredStream::new(self.connector.to_runner(address).await.ok()?);
             let (sender, connection) = handshake(TokioIo::new(stream)).await.ok()?;
@@ -215,7 +233,14 @@
             }
         });
         let rules = self.rules;
-        Ok(RunnerConnection { reservation, rules, sender, meter, driver_task, is_reused: false })
+        Ok(RunnerConnection {
+            reservation,
+            rules,
+            sender,
+            meter,
+            driver_task,
+            is_reused: false,
+        })
     }
 
     fn connection_ended(&self, runner: RunnerId, id: ConnectionId) {
@@ -261,7 +286,10 @@
         let closed_connections: Vec<RunnerConnection> = {
             let mut inner = self.lock();
             let closed_ids = choose(&mut inner.pool);
-            closed_ids.iter().filter_map(|id| inner.idle.remove(id)).collect()
+            closed_ids
+                .iter()
+                .filter_map(|id| inner.idle.remove(id))
+                .collect()
         };
         drop(closed_connections);
     }
--- a/crates/dataplane/src/drivers/runners.rs
+++ b/crates/dataplane/src/drivers/runners.rs
@@ -33,16 +33,24 @@
     let Some(holder_request) = held.holder_request(ticket) else {
         return SendResult::Forbidden(RequestFailureReason::NotServing);
     };
-    let Some(target) = held.runner_target(runner) else { return SendResult::Unsent };
+    let Some(target) = held.runner_target(runner) else {
+        return SendResult::Unsent;
+    };
     let max_connections = target.connections;
     let mut is_send_counted = false;
     let mut must_be_new = false;
     loop {
         let timeout = holder_request.deadline.since(MonotonicTime::now());
         let checked_out = if must_be_new {
-            state.runner_connections.checkout_new(runner, address, max_connections, timeout).await
+            state
+                .runner_connections
+                .checkout_new(runner, address, max_connections, timeout)
+                .await
         } else {
-            state.runner_connections.checkout(runner, address, max_connections, timeout).await
+            state
+                .runner_connections
+                .checkout(runner, address, max_connections, timeout)
+                .await
         };
         let mut connection = match checked_out {
             Ok(connection) => connection,
@@ -90,12 +98,18 @@
         }
         let permit = send_permit(state.clone(), held.clone());
         let max_body_bytes = state.settings.max_body_bytes;
-        match connection.exchange(request, permit, call.remaining_time, max_body_bytes).await {
+        match connection
+            .exchange(request, permit, call.remaining_time, max_body_bytes)
+            .await
+        {
             ExchangeResult::Answered(called) => {
                 let keep_alive_timeout = keep_alive_timeout(&called.headers);
                 let is_last = closes_connection(&called.headers);
                 let response =
-                    state.adapters.runner.read(called.status, &called.headers, called.body);
+                    state
+                        .adapters
+                        .runner
+                        .read(called.status, &called.headers, called.body);
                 let is_last = is_last || response.closes_connection;
                 let end = verify_response(
                     state.agent.rules,
@@ -113,7 +127,9 @@
                         holder_request.idempotency_key
                     );
                 } else if !is_last && !matches!(end, SendResult::WrongRunner) {
-                    state.runner_connections.keep(connection, keep_alive_timeout);
+                    state
+                        .runner_connections
+                        .keep(connection, keep_alive_timeout);
                 }
                 return end;
             }
@@ -193,7 +209,12 @@
             }
             let body = called.json();
             let listed = body.get("running")?.as_array()?;
-            Some(listed.iter().filter_map(|item| item.as_str().map(IdempotencyKey::from)).collect())
+            Some(
+                listed
+                    .iter()
+                    .filter_map(|item| item.as_str().map(IdempotencyKey::from))
+                    .collect(),
+            )
         }
         Err(_) => None,
     }
--- a/crates/dataplane/src/drivers/state.rs
+++ b/crates/dataplane/src/drivers/state.rs
@@ -48,10 +48,13 @@
         connector: Arc<dyn Connector>,
         control: mpsc::UnboundedSender<ControlInput>,
     ) -> Self {
-        let tuning =
-            Tuning { lists_running: adapters.runner.running_path().is_some(), ..settings.tuning };
-        let agent =
-            Agent::new(own_host, rules).with_tuning(tuning).with_regions(settings.regions.clone());
+        let tuning = Tuning {
+            lists_running: adapters.runner.running_path().is_some(),
+            ..settings.tuning
+        };
+        let agent = Agent::new(own_host, rules)
+            .with_tuning(tuning)
+            .with_regions(settings.regions.clone());
         Self {
             hop_client: HopClient::new(connector.clone(), rules),
             settings,
@@ -96,7 +99,9 @@
     /// Asks the leader for a function, together with all who ask for it now; none if the stream is lost.
     pub async fn acquire(&self, function: &FunctionKey) -> Option<AcquireResult> {
         let (result_sender, result) = oneshot::channel();
-        let _ = self.control.send(ControlInput::Acquire(function.clone(), result_sender));
+        let _ = self
+            .control
+            .send(ControlInput::Acquire(function.clone(), result_sender));
         result.await.ok()
     }
 
@@ -125,14 +130,20 @@
             ready_sum += ready;
             retained_sum += usize::from(all == 1 && queued + in_flight == 0);
         }
-        let entry_count =
-            self.agent.ledger_replica.lock().unwrap_or_else(PoisonError::into_inner).entry_count();
+        let entry_count = self
+            .agent
+            .ledger_replica
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .entry_count();
         self.gauges.held.set(held_functions.len() as i64);
         self.gauges.queued.set(queued_sum as i64);
         self.gauges.in_flight.set(in_flight_sum as i64);
         self.gauges.ready_runners.set(ready_sum as i64);
         self.gauges.idle_stop_skipped.set(retained_sum as i64);
         self.gauges.replica_entries.set(entry_count as i64);
-        self.gauges.serving.set(i64::from(self.agent.is_serving(MonotonicTime::now())));
+        self.gauges
+            .serving
+            .set(i64::from(self.agent.is_serving(MonotonicTime::now())));
     }
 }
--- a/crates/dataplane/src/failure_detector/mod.rs
+++ b/crates/dataplane/src/failure_detector/mod.rs
@@ -35,7 +35,10 @@
 
 impl HeartbeatRecord {
     fn instance(&self) -> MemberIncarnation {
-        MemberIncarnation { member: self.host.member.clone(), incarnation: self.host.incarnation }
+        MemberIncarnation {
+            member: self.host.member.clone(),
+            incarnation: self.host.incarnation,
+        }
     }
 }
 
@@ -91,10 +94,14 @@
         let failure_timeout = self.failure_timeout();
         let is_own_suspicion =
             |instance: &MemberIncarnation| self.locally_suspected.contains(instance);
-        let unsuspected = self.watched.iter().filter(|(instance, _)| !is_own_suspicion(instance));
+        let unsuspected = self
+            .watched
+            .iter()
+            .filter(|(instance, _)| !is_own_suspicion(instance));
         let first_failure_at = unsuspected.map(|(_, since)| *since + failure_timeout).min();
-        first_failure_at
-            .map_or(self.next_heartbeat_at, |failure_at| failure_at.min(self.next_heartbeat_at))
+        first_failure_at.map_or(self.next_heartbeat_at, |failure_at| {
+            failure_at.min(self.next_heartbeat_at)
+        })
     }
 
     fn failure_timeout(&self) -> Duration {
@@ -103,7 +110,10 @@
 
     fn own_incarnation(&self) -> MemberIncarnation {
         let own_host = &self.own_host;
-        MemberIncarnation { member: own_host.member.clone(), incarnation: own_host.incarnation }
+        MemberIncarnation {
+            member: own_host.member.clone(),
+            incarnation: own_host.incarnation,
+        }
     }
 
     fn is_listed(&self, instance: &MemberIncarnation) -> bool {
@@ -121,7 +131,8 @@
     ) {
         let listed_members: BTreeSet<MemberName> =
             hosts.iter().map(|host| host.member.clone()).collect();
-        self.records.retain(|member, _| listed_members.contains(member));
+        self.records
+            .retain(|member, _| listed_members.contains(member));
         self.put(hosts);
         self.list_number = number;
         self.set_suspected(now, suspected);
@@ -159,7 +170,11 @@
                 .filter(|record| record.host.incarnation == host.incarnation);
             let last_heard_at = earlier_record.and_then(|record| record.last_heard_at);
             let ring_position = ring::ring_position(&host.member);
-            let record = HeartbeatRecord { host, ring_position, last_heard_at };
+            let record = HeartbeatRecord {
+                host,
+                ring_position,
+                last_heard_at,
+            };
             self.records.insert(record.host.member.clone(), record);
         }
     }
@@ -169,7 +184,8 @@
         let own_incarnation = self.own_incarnation();
         if self.suspected.remove(&own_incarnation) {
             self.next_heartbeat_at = now;
-            self.outputs.push(FailureDetectorOutput::MemberRecovered(own_incarnation));
+            self.outputs
+                .push(FailureDetectorOutput::MemberRecovered(own_incarnation));
         }
         self.update_neighbours(now);
     }
@@ -185,7 +201,10 @@
             .map(|record| (record.ring_position, &record.host))
             .collect();
         let own_watchers = ring::watchers(&self.own_host, on_ring.iter().copied());
-        self.watcher_addresses = own_watchers.into_iter().map(|watcher| watcher.address).collect();
+        self.watcher_addresses = own_watchers
+            .into_iter()
+            .map(|watcher| watcher.address)
+            .collect();
         let mut earlier_watched_since = std::mem::take(&mut self.watched);
         let own_member = &self.own_host.member;
         for record in self.records.values() {
@@ -199,7 +218,8 @@
             }
         }
         let watched = &self.watched;
-        self.locally_suspected.retain(|instance| watched.contains_key(instance));
+        self.locally_suspected
+            .retain(|instance| watched.contains_key(instance));
     }
 
     /// Takes a heartbeat; one from a stranger changes nothing.
@@ -212,7 +232,9 @@
             self.ignored_count += 1;
             return false;
         }
-        let Some(record) = self.records.get_mut(&instance.member) else { return false };
+        let Some(record) = self.records.get_mut(&instance.member) else {
+            return false;
+        };
         record.last_heard_at = Some(now);
         let sender_address = record.host.address;
         if let Some(since) = self.watched.get_mut(&instance) {
@@ -220,7 +242,8 @@
         }
         self.peer_suspicions.forget(&instance);
         if self.locally_suspected.remove(&instance) || self.suspected.contains(&instance) {
-            self.outputs.push(FailureDetectorOutput::MemberRecovered(instance));
+            self.outputs
+                .push(FailureDetectorOutput::MemberRecovered(instance));
         }
         let own_incarnation = self.own_incarnation();
         for suspicion in &heartbeat.suspicions.0 {
@@ -260,7 +283,8 @@
         for instance in newly_suspected {
             self.locally_suspected.insert(instance.clone());
             self.next_heartbeat_at = now;
-            self.outputs.push(FailureDetectorOutput::MemberSuspected(instance));
+            self.outputs
+                .push(FailureDetectorOutput::MemberSuspected(instance));
         }
         self.peer_suspicions.expire(now, failure_timeout);
         if now >= self.next_heartbeat_at {
@@ -272,10 +296,10 @@
     fn send_heartbeat(&mut self, now: MonotonicTime) {
         self.next_heartbeat_at = now + self.heartbeat_interval;
         self.heartbeat_count += 1;
-        let own_suspicions = self
-            .locally_suspected
-            .iter()
-            .map(|instance| Suspicion { instance: instance.clone(), remaining_relays: MAX_RELAYS });
+        let own_suspicions = self.locally_suspected.iter().map(|instance| Suspicion {
+            instance: instance.clone(),
+            remaining_relays: MAX_RELAYS,
+        });
         let suspicions: Vec<Suspicion> = own_suspicions
             .chain(
                 self.peer_suspicions
@@ -303,8 +327,9 @@
     pub fn alive(&self, now: MonotonicTime) -> Vec<Host> {
         let failure_timeout = self.failure_timeout();
         let is_alive = |record: &&HeartbeatRecord| {
-            let is_recently_heard =
-                record.last_heard_at.is_some_and(|at| now.since(at) < failure_timeout);
+            let is_recently_heard = record
+                .last_heard_at
+                .is_some_and(|at| now.since(at) < failure_timeout);
             let is_self = record.host.member == self.own_host.member;
             let instance = record.instance();
             let is_suspected = self.suspected.contains(&instance)
@@ -312,7 +337,11 @@
                 || self.peer_suspicions.contains(&instance);
             is_self || is_recently_heard || !is_suspected
         };
-        self.records.values().filter(is_alive).map(|record| record.host.clone()).collect()
+        self.records
+            .values()
+            .filter(is_alive)
+            .map(|record| record.host.clone())
+            .collect()
     }
 
     /// How many heartbeats were ignored.
--- a/crates/dataplane/src/failure_detector/suspicion.rs
+++ b/crates/dataplane/src/failure_detector/suspicion.rs
@@ -43,7 +43,10 @@
                 record.last_heard_at = now;
                 record.remaining_relays = record.remaining_relays.max(remaining_relays);
             })
-            .or_insert(SuspicionRecord { last_heard_at: now, remaining_relays });
+            .or_insert(SuspicionRecord {
+                last_heard_at: now,
+                remaining_relays,
+            });
     }
 
     /// Forgets it: its heartbeat has come in.
@@ -53,7 +56,8 @@
 
     /// Forgets what nobody has said for so long.
     pub fn expire(&mut self, now: MonotonicTime, span: Duration) {
-        self.records.retain(|_, record| now.since(record.last_heard_at) < span);
+        self.records
+            .retain(|_, record| now.since(record.last_heard_at) < span);
     }
 
     /// Whether somebody misses it.
@@ -63,11 +67,12 @@
 
     /// What is passed on.
     pub fn forwarded(&self) -> impl Iterator<Item = Suspicion> {
-        self.records.iter().filter(|(_, record)| record.remaining_relays > 0).map(
-            |(instance, record)| Suspicion {
+        self.records
+            .iter()
+            .filter(|(_, record)| record.remaining_relays > 0)
+            .map(|(instance, record)| Suspicion {
                 instance: instance.clone(),
                 remaining_relays: record.remaining_relays,
-            },
-        )
+            })
     }
 }
--- a/crates/dataplane/src/holder/admission.rs
+++ b/crates/dataplane/src/holder/admission.rs
@@ -14,14 +14,18 @@
         request: AdmissionRequest,
     ) -> (Option<RequestOutcome>, Vec<HolderOutput>) {
         if self.is_releasing() {
-            return (Some(not_run(RequestFailureReason::NotHolder, 50)), Vec::new());
+            return (
+                Some(not_run(RequestFailureReason::NotHolder, 50)),
+                Vec::new(),
+            );
         }
         self.last_request_at = now;
         self.idle_stopped = false;
         self.demand.record_call(now);
         let shortest_target = self.shortest_target.unwrap_or(request.target);
         self.shortest_target = Some(shortest_target.min(request.target));
-        self.regional.record_call(now, request.region.as_ref(), request.recorded);
+        self.regional
+            .record_call(now, request.region.as_ref(), request.recorded);
         self.retry_budget.record_attempt(now, request.repeat);
         if request.recorded
             && let Some(known_outcome) = self.known_outcome(&request.idempotency_key)
@@ -44,7 +48,11 @@
             self.spend_retry(now);
         }
         if request.recorded {
-            self.ledger.begin(request.idempotency_key.clone(), request.once, request.deadline);
+            self.ledger.begin(
+                request.idempotency_key.clone(),
+                request.once,
+                request.deadline,
+            );
         }
         let queue_deadline = request.deadline.min(now + request.queue_timeout);
         let target_deadline = now + request.target;
@@ -84,7 +92,13 @@
             return;
         }
         let outcome = not_run(RequestFailureReason::RejectedBefore, retry_after_ms);
-        self.ledger.end(now, &request.idempotency_key, request.once, request.deadline, outcome);
+        self.ledger.end(
+            now,
+            &request.idempotency_key,
+            request.once,
+            request.deadline,
+            outcome,
+        );
     }
 
     /// How many transactions were refused since last asked.
--- a/crates/dataplane/src/holder/demand.rs
+++ b/crates/dataplane/src/holder/demand.rs
@@ -19,7 +19,11 @@
 
 impl DecayingCounter {
     pub(super) fn new(time_constant: f64) -> Self {
-        Self { time_constant, count: 0.0, counted_at: None }
+        Self {
+            time_constant,
+            count: 0.0,
+            counted_at: None,
+        }
     }
 
     pub(super) fn at(&self, now: MonotonicTime) -> f64 {
@@ -82,7 +86,8 @@
 
     /// How long ago the first call came, in seconds.
     pub fn age(&self, now: MonotonicTime) -> f64 {
-        self.first_at.map_or(0.0, |first_at| now.since(first_at).as_secs_f64())
+        self.first_at
+            .map_or(0.0, |first_at| now.since(first_at).as_secs_f64())
     }
 
     /// Whether it was called for long enough, or often enough, that its rate says something.
@@ -93,7 +98,9 @@
 
     /// Calls a second: quick up, and slowly down.
     pub fn rate(&mut self, now: MonotonicTime) -> f64 {
-        let effective_window = self.short_term.effective_window(self.age(now).max(MIN_WINDOW_S));
+        let effective_window = self
+            .short_term
+            .effective_window(self.age(now).max(MIN_WINDOW_S));
         let rate = self.short_term.at(now) / effective_window;
         let elapsed = now.since(self.smoothed_at).as_secs_f64();
         self.smoothed_at = now;
--- a/crates/dataplane/src/holder/idle_retention.rs
+++ b/crates/dataplane/src/holder/idle_retention.rs
@@ -36,7 +36,10 @@
     /// None was measured yet; the spec names a mean.
     pub fn new(expected: Duration) -> Self {
         let mean = expected.as_secs_f64();
-        Self { mean, deviation: mean * INITIAL_DEVIATION_FRACTION }
+        Self {
+            mean,
+            deviation: mean * INITIAL_DEVIATION_FRACTION,
+        }
     }
 
     /// A boot took so long.
@@ -81,7 +84,10 @@
             return Some(if is_frequent || (self.warm && is_unknown) {
                 break_even * FREQUENT_IDLE_FACTOR
             } else {
-                self.spec.startup.mul_f64(RARE_IDLE_STARTUPS).min(break_even)
+                self.spec
+                    .startup
+                    .mul_f64(RARE_IDLE_STARTUPS)
+                    .min(break_even)
             });
         }
         if self.warm || self.tuning.idle_startups == 0 {
@@ -101,11 +107,22 @@
         if self.is_releasing() || self.idle_stopped || self.spec.min_runners > 0 {
             return;
         }
-        let Some(idle_limit) = self.idle_limit(now) else { return };
-        let last_used_at = self.runners.values().map(|record| record.last_used_at).max();
-        let has_ready = self.runners.values().any(|record| record.phase == Phase::Ready);
-        let is_stable =
-            self.runners.values().all(|record| now.since(record.started_at) >= STABLE_AFTER);
+        let Some(idle_limit) = self.idle_limit(now) else {
+            return;
+        };
+        let last_used_at = self
+            .runners
+            .values()
+            .map(|record| record.last_used_at)
+            .max();
+        let has_ready = self
+            .runners
+            .values()
+            .any(|record| record.phase == Phase::Ready);
+        let is_stable = self
+            .runners
+            .values()
+            .all(|record| now.since(record.started_at) >= STABLE_AFTER);
         let is_long_idle = self.idle(now).is_some_and(|span| span > idle_limit)
             && last_used_at.is_some_and(|last_used_at| now.since(last_used_at) > idle_limit);
         if has_ready && is_long_idle && (is_stable || !self.has_adopted) {
--- a/crates/dataplane/src/holder/mod.rs
+++ b/crates/dataplane/src/holder/mod.rs
@@ -142,7 +142,9 @@
     pub fn with_rules(mut self, rules: Rules) -> Self {
         self.rules = rules;
         if !rules.enforces(Rule::SlowStartRespected) {
-            self.runners.values_mut().for_each(|record| record.limit = record.slots);
+            self.runners
+                .values_mut()
+                .for_each(|record| record.limit = record.slots);
         }
         if !rules.enforces(Rule::LedgerCollectedBeforeAdmission) {
             self.once_allowed_from = MonotonicTime::ZERO;
@@ -181,12 +183,17 @@
 
     /// A runner's life, once the platform has told it.
     pub fn instance_of(&self, runner: RunnerId) -> Option<Instance> {
-        self.runners.get(&runner).and_then(|record| record.instance.clone())
+        self.runners
+            .get(&runner)
+            .and_then(|record| record.instance.clone())
     }
 
     /// The lives it sends to.
     pub fn instances(&self) -> Vec<Instance> {
-        let used = self.runners.values().filter(|record| record.phase != Phase::Orphaned);
+        let used = self
+            .runners
+            .values()
+            .filter(|record| record.phase != Phase::Orphaned);
         used.filter_map(|record| record.instance.clone()).collect()
     }
 
@@ -197,15 +204,21 @@
 
     /// The runners that can take transactions, and all there are.
     pub fn runner_counts(&self) -> (usize, usize) {
-        let ready_count =
-            self.runners.values().filter(|record| record.phase == Phase::Ready).count();
+        let ready_count = self
+            .runners
+            .values()
+            .filter(|record| record.phase == Phase::Ready)
+            .count();
         (ready_count, self.runners.len())
     }
 
     /// What is claimed for it after a reconnection.
     pub fn claim(&self) -> Claim {
-        let runners =
-            self.runners.iter().map(|(runner, record)| record.to_claim(*runner)).collect();
+        let runners = self
+            .runners
+            .iter()
+            .map(|(runner, record)| record.to_claim(*runner))
+            .collect();
         Claim {
             function: self.function.clone(),
             fencing_token: self.fencing_token,
@@ -258,5 +271,8 @@
 
 /// A refusal.
 pub fn not_run(reason: RequestFailureReason, retry_after_ms: u32) -> RequestOutcome {
-    RequestOutcome::NotRun { reason, retry_after_ms }
+    RequestOutcome::NotRun {
+        reason,
+        retry_after_ms,
+    }
 }
--- a/crates/dataplane/src/holder/queue.rs
+++ b/crates/dataplane/src/holder/queue.rs
@@ -16,13 +16,23 @@
 
 impl Holder {
     fn ready_limit(&self, now: MonotonicTime) -> u32 {
-        let ready_runners = self.runners.values().filter(|record| record.phase == Phase::Ready);
-        ready_runners.fold(0, |all, record| all.saturating_add(record.current_limit(now)))
+        let ready_runners = self
+            .runners
+            .values()
+            .filter(|record| record.phase == Phase::Ready);
+        ready_runners.fold(0, |all, record| {
+            all.saturating_add(record.current_limit(now))
+        })
     }
 
     fn expected_ready_limit(&self, now: MonotonicTime) -> u32 {
-        let ready_runners = self.runners.values().filter(|record| record.phase == Phase::Ready);
-        ready_runners.map(|record| record.expected_limit(now).min(self.spec.slots.max(1))).sum()
+        let ready_runners = self
+            .runners
+            .values()
+            .filter(|record| record.phase == Phase::Ready);
+        ready_runners
+            .map(|record| record.expected_limit(now).min(self.spec.slots.max(1)))
+            .sum()
     }
 
     fn queue_limit(&self) -> usize {
@@ -38,17 +48,26 @@
             .values()
             .filter(|record| matches!(record.phase, Phase::StartRequested | Phase::StartingUp))
             .map(|record| {
-                let ready_in = (record.started_at + self.spec.startup).since(now).as_secs_f64();
+                let ready_in = (record.started_at + self.spec.startup)
+                    .since(now)
+                    .as_secs_f64();
                 (ready_in, f64::from(self.spec.slots.max(1)))
             })
             .collect();
         let ready_limit = f64::from(self.ready_limit(now).max(self.expected_ready_limit(now)));
         let busy_count = self.in_flight.len() as f64;
         if ready_limit > 0.0 {
-            let free_in = if busy_count < ready_limit { 0.0 } else { service_time / 2.0 };
+            let free_in = if busy_count < ready_limit {
+                0.0
+            } else {
+                service_time / 2.0
+            };
             sources.push((free_in, ready_limit));
         } else if sources.is_empty() {
-            sources.push((self.spec.startup.as_secs_f64(), f64::from(self.spec.slots.max(1))));
+            sources.push((
+                self.spec.startup.as_secs_f64(),
+                f64::from(self.spec.slots.max(1)),
+            ));
         }
         sources.sort_by(|one, other| one.0.total_cmp(&other.0));
         let queue_position = ahead_count as f64;
@@ -70,7 +89,8 @@
 
     /// Where one of a rank goes: behind those of its own rank and of lower ones.
     pub(super) fn queue_index(&self, rank: u8) -> usize {
-        self.queue.partition_point(|queued| queued.request.rank <= rank)
+        self.queue
+            .partition_point(|queued| queued.request.rank <= rank)
     }
 
     /// Which one goes next: of the first rank that may be sent, the oldest whose target can still be met,
@@ -82,8 +102,9 @@
         let first_index = self.queue.iter().position(may_send)?;
         let rank = self.queue[first_index].request.rank;
         let same_rank = self.queue.iter().enumerate().skip(first_index);
-        let timely =
-            same_rank.take_while(|(_, queued)| queued.request.rank == rank).find(|(_, queued)| {
+        let timely = same_rank
+            .take_while(|(_, queued)| queued.request.rank == rank)
+            .find(|(_, queued)| {
                 may_send(queued) && now + self.service_time <= queued.target_deadline
             });
         Some(timely.map_or(first_index, |(address, _)| address))
@@ -94,7 +115,11 @@
         let half_service = self.service_time / 2;
         self.queue
             .iter()
-            .map(|queued| queued.queue_deadline.min(queued.request.deadline - half_service))
+            .map(|queued| {
+                queued
+                    .queue_deadline
+                    .min(queued.request.deadline - half_service)
+            })
             .min()
     }
 
@@ -113,7 +138,10 @@
             ));
         }
         if request.repeat && !self.has_retry_budget(now) {
-            return Some((RequestFailureReason::RetryBudgetSpent, Duration::from_secs(2)));
+            return Some((
+                RequestFailureReason::RetryBudgetSpent,
+                Duration::from_secs(2),
+            ));
         }
         if self.queue.len() >= self.queue_limit() {
             return Some((RequestFailureReason::QueueFull, Duration::from_secs(1)));
@@ -136,9 +164,9 @@
     ) {
         let outcome = match queued.failure {
             Some(failure) => failure,
-            None if queued.may_have_run => {
-                RequestOutcome::Unknown { reason: RequestFailureReason::ResponseLost }
-            }
+            None if queued.may_have_run => RequestOutcome::Unknown {
+                reason: RequestFailureReason::ResponseLost,
+            },
             None => {
                 self.last_rejection_reason = reason;
                 not_run(reason, retry_after.as_millis().max(100) as u32)
@@ -197,24 +225,47 @@
     /// Sends what waits to runners with a free slot.
     pub(super) fn dispatch(&mut self, now: MonotonicTime) {
         while !self.closed {
-            let Some(queued_index) = self.next_index(now) else { return };
-            let Some(runner) = self.free_runner(now) else { return };
-            let Some(queued) = self.queue.remove(queued_index) else { return };
+            let Some(queued_index) = self.next_index(now) else {
+                return;
+            };
+            let Some(runner) = self.free_runner(now) else {
+                return;
+            };
+            let Some(queued) = self.queue.remove(queued_index) else {
+                return;
+            };
             let is_once = queued.request.is_recorded_once();
-            let Some(record) = self.runners.get_mut(&runner) else { return };
-            let Some(address) = record.address() else { return };
+            let Some(record) = self.runners.get_mut(&runner) else {
+                return;
+            };
+            let Some(address) = record.address() else {
+                return;
+            };
             record.occupy_slot(now, queued.request.idempotency_key.clone());
             let (busy_count, slots) = (record.busy_count(), self.max_slots.max(1) as usize);
-            require(self.rules, Invariant::SlotsRespected, busy_count <= slots, || {
-                format!("{busy_count} at once on {runner} of {slots} slots")
-            });
+            require(
+                self.rules,
+                Invariant::SlotsRespected,
+                busy_count <= slots,
+                || format!("{busy_count} at once on {runner} of {slots} slots"),
+            );
             let ticket = queued.request.ticket;
             let attempt = queued.attempt;
             let may_send = !(queued.request.once && queued.may_have_run);
             require(self.rules, Invariant::OnceSentOnce, may_send, || {
-                format!("{} is sent again to {runner}", queued.request.idempotency_key)
+                format!(
+                    "{} is sent again to {runner}",
+                    queued.request.idempotency_key
+                )
             });
-            self.in_flight.insert(ticket, InFlight { queued, runner, sent_at: now });
+            self.in_flight.insert(
+                ticket,
+                InFlight {
+                    queued,
+                    runner,
+                    sent_at: now,
+                },
+            );
             if !is_once || !self.replicate_before_send(now, ticket) {
                 self.emit_send(ticket, runner, address, attempt);
             }
@@ -229,7 +280,12 @@
         attempt: u32,
     ) {
         self.sent_to_runner.insert(ticket);
-        self.outputs.push(HolderOutput::Send { ticket, runner, address, attempt });
+        self.outputs.push(HolderOutput::Send {
+            ticket,
+            runner,
+            address,
+            attempt,
+        });
     }
 
     fn free_runner(&self, now: MonotonicTime) -> Option<RunnerId> {
--- a/crates/dataplane/src/holder/regional.rs
+++ b/crates/dataplane/src/holder/regional.rs
@@ -46,7 +46,11 @@
         let Some(region) = region else { return };
         if !self.loads.contains_key(region) {
             let calls = DecayingCounter::new(RATE_WINDOW.as_secs_f64());
-            let load = RegionLoad { calls, first_at: now, in_use_from: None };
+            let load = RegionLoad {
+                calls,
+                first_at: now,
+                in_use_from: None,
+            };
             self.loads.insert(region.clone(), load);
         }
         if let Some(load) = self.loads.get_mut(region) {
@@ -69,7 +73,10 @@
     /// for all regions meanwhile.
     pub(super) fn is_unready_regional(&self) -> bool {
         self.function.is_regional()
-            && !self.runners.values().any(|record| record.phase == Phase::Ready)
+            && !self
+                .runners
+                .values()
+                .any(|record| record.phase == Phase::Ready)
     }
 
     /// In what time a region's callers are served under a key of their own; none when they are not. Asked of a
--- a/crates/dataplane/src/holder/releasing.rs
+++ b/crates/dataplane/src/holder/releasing.rs
@@ -21,7 +21,10 @@
     /// left, or will find it in the platform's list.
     pub fn is_finished(&self, now: MonotonicTime) -> bool {
         let is_forgotten = self.orphans_reported || now.since(self.closed_at) > ORPHAN_RETENTION;
-        let has_work = self.runners.values().any(|record| record.phase != Phase::Orphaned);
+        let has_work = self
+            .runners
+            .values()
+            .any(|record| record.phase != Phase::Orphaned);
         let has_orphans = !self.runners.is_empty();
         self.released
             || (self.closed
@@ -37,8 +40,13 @@
 
     /// The runners that are left as they stand for the next holder.
     pub fn orphaned_runners(&self) -> Vec<ClaimedRunner> {
-        let orphaned = self.runners.iter().filter(|(_, record)| record.phase == Phase::Orphaned);
-        orphaned.map(|(runner, record)| record.to_claim(*runner)).collect()
+        let orphaned = self
+            .runners
+            .iter()
+            .filter(|(_, record)| record.phase == Phase::Orphaned);
+        orphaned
+            .map(|(runner, record)| record.to_claim(*runner))
+            .collect()
     }
 
     /// The function is to be handed over: admit nothing, finish, leave fit runners, release.
@@ -83,10 +91,15 @@
         }
         if self.queue.is_empty() && self.in_flight.is_empty() {
             self.orphan_runners(now);
-            if self.runners.values().all(|record| record.phase == Phase::Orphaned) {
+            if self
+                .runners
+                .values()
+                .all(|record| record.phase == Phase::Orphaned)
+            {
                 self.released = true;
                 let runners = self.orphaned_runners();
-                self.outputs.push(HolderOutput::Report(HolderMessage::Released { runners }));
+                self.outputs
+                    .push(HolderOutput::Report(HolderMessage::Released { runners }));
             }
         }
     }
--- a/crates/dataplane/src/holder/replication.rs
+++ b/crates/dataplane/src/holder/replication.rs
@@ -70,7 +70,14 @@
     fn open_batch(&mut self, replica: Host, tickets: Vec<Ticket>, is_full_copy: bool) -> u64 {
         let batch_id = self.next_batch_id;
         self.next_batch_id += 1;
-        self.batches.insert(batch_id, ReplicationBatch { replica, tickets, is_full_copy });
+        self.batches.insert(
+            batch_id,
+            ReplicationBatch {
+                replica,
+                tickets,
+                is_full_copy,
+            },
+        );
         batch_id
     }
 }
@@ -87,14 +94,26 @@
 
     /// Notes a once-transaction with the steward; without one it may be sent at once.
     pub(super) fn replicate_before_send(&mut self, now: MonotonicTime, ticket: Ticket) -> bool {
-        let Some(replica) = self.replication.replica.clone() else { return false };
-        let Some(in_flight) = self.in_flight.get(&ticket) else { return false };
-        let Some(record) = self.ledger.record_of(now, &in_flight.queued.request.idempotency_key)
+        let Some(replica) = self.replication.replica.clone() else {
+            return false;
+        };
+        let Some(in_flight) = self.in_flight.get(&ticket) else {
+            return false;
+        };
+        let Some(record) = self
+            .ledger
+            .record_of(now, &in_flight.queued.request.idempotency_key)
         else {
             return false;
         };
-        let batch_id = self.replication.open_batch(replica.clone(), vec![ticket], false);
-        self.outputs.push(HolderOutput::Record { batch_id, replica, records: vec![record] });
+        let batch_id = self
+            .replication
+            .open_batch(replica.clone(), vec![ticket], false);
+        self.outputs.push(HolderOutput::Record {
+            batch_id,
+            replica,
+            records: vec![record],
+        });
         true
     }
 
@@ -105,7 +124,9 @@
         batch_id: u64,
         is_stored: bool,
     ) -> Vec<HolderOutput> {
-        let Some(batch) = self.replication.batches.remove(&batch_id) else { return Vec::new() };
+        let Some(batch) = self.replication.batches.remove(&batch_id) else {
+            return Vec::new();
+        };
         let is_present = self.replication.replica.as_ref() == Some(&batch.replica);
         if batch.is_full_copy {
             self.replication.is_copying_all = false;
@@ -122,7 +143,8 @@
                 self.replication.replacement_requested_at = Some(now);
                 self.replication.complete = false;
                 let lost = batch.replica.member.clone();
-                self.outputs.push(HolderOutput::Report(HolderMessage::ReplicaLost { lost }));
+                self.outputs
+                    .push(HolderOutput::Report(HolderMessage::ReplicaLost { lost }));
             }
             for ticket in batch.tickets {
                 self.cancel_send(now, ticket);
@@ -135,13 +157,16 @@
 
     fn report_replica_complete(&mut self, replica: &Host) {
         self.replication.complete = true;
-        self.outputs.push(HolderOutput::Report(HolderMessage::ReplicaComplete {
-            replica: replica.member.clone(),
-        }));
+        self.outputs
+            .push(HolderOutput::Report(HolderMessage::ReplicaComplete {
+                replica: replica.member.clone(),
+            }));
     }
 
     fn send_recorded(&mut self, now: MonotonicTime, ticket: Ticket) {
-        let Some(in_flight) = self.in_flight.get(&ticket) else { return };
+        let Some(in_flight) = self.in_flight.get(&ticket) else {
+            return;
+        };
         let (runner, attempt) = (in_flight.runner, in_flight.queued.attempt);
         let address = self.runners.get(&runner).and_then(RunnerRecord::address);
         match address.filter(|_| !self.closed) {
@@ -153,7 +178,9 @@
     }
 
     fn cancel_send(&mut self, now: MonotonicTime, ticket: Ticket) {
-        let Some(in_flight) = self.in_flight.remove(&ticket) else { return };
+        let Some(in_flight) = self.in_flight.remove(&ticket) else {
+            return;
+        };
         if let Some(record) = self.runners.get_mut(&in_flight.runner) {
             let request = &in_flight.queued.request;
             record.release_slot(now, &request.idempotency_key, request.deadline, true);
@@ -191,7 +218,9 @@
         let all_queued = std::mem::take(&mut self.queue);
         for queued in all_queued {
             if queued.request.is_recorded_once() && is_known(&queued.request.idempotency_key) {
-                let outcome = RequestOutcome::Unknown { reason: RequestFailureReason::AlreadyRan };
+                let outcome = RequestOutcome::Unknown {
+                    reason: RequestFailureReason::AlreadyRan,
+                };
                 self.end(now, queued.request, outcome);
             } else {
                 self.queue.push_back(queued);
@@ -236,10 +265,21 @@
 
     /// The ranges in which the steward's copy differs.
     pub fn compared(&mut self, now: MonotonicTime, ranges: &[u8]) -> Vec<HolderOutput> {
-        if let Some(replica) = self.replication.replica.clone().filter(|_| !ranges.is_empty()) {
+        if let Some(replica) = self
+            .replication
+            .replica
+            .clone()
+            .filter(|_| !ranges.is_empty())
+        {
             let records = self.ledger.records_in(now, ranges);
-            let batch_id = self.replication.open_batch(replica.clone(), Vec::new(), false);
-            self.outputs.push(HolderOutput::Record { batch_id, replica, records });
+            let batch_id = self
+                .replication
+                .open_batch(replica.clone(), Vec::new(), false);
+            self.outputs.push(HolderOutput::Record {
+                batch_id,
+                replica,
+                records,
+            });
         }
         std::mem::take(&mut self.outputs)
     }
@@ -255,10 +295,14 @@
         {
             self.replication.replacement_requested_at = Some(now);
             let lost = replica.member.clone();
-            self.outputs.push(HolderOutput::Report(HolderMessage::ReplicaLost { lost }));
+            self.outputs
+                .push(HolderOutput::Report(HolderMessage::ReplicaLost { lost }));
         }
-        let Some(replica) =
-            self.replication.replica.clone().filter(|_| self.replication.is_available())
+        let Some(replica) = self
+            .replication
+            .replica
+            .clone()
+            .filter(|_| self.replication.is_available())
         else {
             return;
         };
@@ -271,7 +315,9 @@
                 self.report_replica_complete(&replica);
             } else {
                 self.replication.is_copying_all = true;
-                let batch_id = self.replication.open_batch(replica.clone(), Vec::new(), true);
+                let batch_id = self
+                    .replication
+                    .open_batch(replica.clone(), Vec::new(), true);
                 self.outputs.push(HolderOutput::Record {
                     batch_id,
                     replica: replica.clone(),
@@ -285,7 +331,8 @@
         {
             self.replication.compare_at = now + COMPARE_INTERVAL;
             let digests = self.ledger.digests(now);
-            self.outputs.push(HolderOutput::Compare { replica, digests });
+            self.outputs
+                .push(HolderOutput::Compare { replica, digests });
         }
     }
 }
