--- a/crates/dataplane/src/holder/retry_budget.rs
+++ b/crates/dataplane/src/holder/retry_budget.rs
@@ -38,11 +38,23 @@
     fn bucket(&mut self, now: MonotonicTime) -> &mut Bucket {
         let index = now.millis() / BUCKET_MS;
         let oldest_index = index.saturating_sub(WINDOW.as_millis() as u64 / BUCKET_MS);
-        while self.buckets.front().is_some_and(|bucket| bucket.index < oldest_index) {
+        while self
+            .buckets
+            .front()
+            .is_some_and(|bucket| bucket.index < oldest_index)
+        {
             self.buckets.pop_front();
         }
-        if self.buckets.back().is_none_or(|bucket| bucket.index < index) {
-            self.buckets.push_back(Bucket { index, first_attempts: 0, retries: 0 });
+        if self
+            .buckets
+            .back()
+            .is_none_or(|bucket| bucket.index < index)
+        {
+            self.buckets.push_back(Bucket {
+                index,
+                first_attempts: 0,
+                retries: 0,
+            });
         }
         let newest_index = self.buckets.len() - 1;
         &mut self.buckets[newest_index]
@@ -60,13 +72,23 @@
         let index = self.bucket(now).index;
         let half_window_index = index.saturating_sub(WINDOW.as_millis() as u64 / BUCKET_MS / 2);
         let oldest_index = index.saturating_sub(WINDOW.as_millis() as u64 / BUCKET_MS);
-        let window_buckets = self.buckets.iter().filter(|bucket| bucket.index > oldest_index);
+        let window_buckets = self
+            .buckets
+            .iter()
+            .filter(|bucket| bucket.index > oldest_index);
         let window_first_attempts: u64 = window_buckets.map(|bucket| bucket.first_attempts).sum();
-        let recent_buckets = self.buckets.iter().filter(|bucket| bucket.index >= half_window_index);
+        let recent_buckets = self
+            .buckets
+            .iter()
+            .filter(|bucket| bucket.index >= half_window_index);
         let recent_first_attempts: u64 = recent_buckets.map(|bucket| bucket.first_attempts).sum();
         let retries: u64 = self.buckets.iter().map(|bucket| bucket.retries).sum();
         let is_window_full = now.since(self.started_at) >= WINDOW;
-        let allowance = if is_window_full || self.allowance_at_once { self.allowance } else { 0 };
+        let allowance = if is_window_full || self.allowance_at_once {
+            self.allowance
+        } else {
+            0
+        };
         retries
             < window_first_attempts.min(recent_first_attempts * 2) * self.percent / 100 + allowance
     }
--- a/crates/dataplane/src/holder/runner_events.rs
+++ b/crates/dataplane/src/holder/runner_events.rs
@@ -11,13 +11,20 @@
 impl Holder {
     /// The leader answered a wish for a runner.
     pub fn reserved(&mut self, now: MonotonicTime, result: &ReserveResult) -> Vec<HolderOutput> {
-        self.scaling.reserve_ended(now, matches!(result, ReserveResult::Reserved { .. }));
-        if let ReserveResult::Reserved { runner, worker, memory_mb } = result {
+        self.scaling
+            .reserve_ended(now, matches!(result, ReserveResult::Reserved { .. }));
+        if let ReserveResult::Reserved {
+            runner,
+            worker,
+            memory_mb,
+        } = result
+        {
             if self.is_releasing() || runner.fencing_token != self.fencing_token {
-                self.outputs.push(HolderOutput::Report(HolderMessage::RunnerStatus {
-                    runner: *runner,
-                    runner_status: RunnerStatus::Gone,
-                }));
+                self.outputs
+                    .push(HolderOutput::Report(HolderMessage::RunnerStatus {
+                        runner: *runner,
+                        runner_status: RunnerStatus::Gone,
+                    }));
                 return std::mem::take(&mut self.outputs);
             }
             let slots = if self.rules.enforces(Rule::SlotLimitRespected) {
@@ -31,7 +38,11 @@
             }
             self.runners.insert(*runner, record);
             let (worker, spec) = (worker.clone(), self.spec.clone());
-            self.outputs.push(HolderOutput::Start { runner: *runner, worker, spec });
+            self.outputs.push(HolderOutput::Start {
+                runner: *runner,
+                worker,
+                spec,
+            });
         }
         std::mem::take(&mut self.outputs)
     }
@@ -48,16 +59,19 @@
         runner: RunnerId,
         end: StartOutcome,
     ) -> Vec<HolderOutput> {
-        let Some(record) = self.runners.get_mut(&runner) else { return Vec::new() };
+        let Some(record) = self.runners.get_mut(&runner) else {
+            return Vec::new();
+        };
         match end {
             StartOutcome::Started(instance) => {
                 if record.instance.is_none() {
                     record.instance = Some(instance.clone());
                     let runner_status = RunnerStatus::Started { instance };
-                    self.outputs.push(HolderOutput::Report(HolderMessage::RunnerStatus {
-                        runner,
-                        runner_status,
-                    }));
+                    self.outputs
+                        .push(HolderOutput::Report(HolderMessage::RunnerStatus {
+                            runner,
+                            runner_status,
+                        }));
                 }
                 if record.phase == Phase::StartRequested {
                     record.phase = Phase::StartingUp;
@@ -70,10 +84,11 @@
                 self.runners.remove(&runner);
                 self.scaling.reserve_ended(now, false);
                 let runner_status = RunnerStatus::Gone;
-                self.outputs.push(HolderOutput::Report(HolderMessage::RunnerStatus {
-                    runner,
-                    runner_status,
-                }));
+                self.outputs
+                    .push(HolderOutput::Report(HolderMessage::RunnerStatus {
+                        runner,
+                        runner_status,
+                    }));
                 self.scale(now);
                 self.finish_release(now);
             }
@@ -94,11 +109,13 @@
                 record.phase = Phase::Ready;
                 record.since = now;
                 record.last_used_at = now;
-                self.startup_times.record_startup(now.since(record.started_at));
-                self.outputs.push(HolderOutput::Report(HolderMessage::RunnerStatus {
-                    runner,
-                    runner_status: RunnerStatus::Ready,
-                }));
+                self.startup_times
+                    .record_startup(now.since(record.started_at));
+                self.outputs
+                    .push(HolderOutput::Report(HolderMessage::RunnerStatus {
+                        runner,
+                        runner_status: RunnerStatus::Ready,
+                    }));
             }
         }
         self.dispatch(now);
@@ -125,10 +142,11 @@
     /// The platform confirmed that a runner is stopped.
     pub fn stopped(&mut self, now: MonotonicTime, runner: RunnerId) -> Vec<HolderOutput> {
         if self.runners.remove(&runner).is_some() {
-            self.outputs.push(HolderOutput::Report(HolderMessage::RunnerStatus {
-                runner,
-                runner_status: RunnerStatus::Gone,
-            }));
+            self.outputs
+                .push(HolderOutput::Report(HolderMessage::RunnerStatus {
+                    runner,
+                    runner_status: RunnerStatus::Gone,
+                }));
         }
         self.scale(now);
         self.finish_release(now);
--- a/crates/dataplane/src/holder/runners.rs
+++ b/crates/dataplane/src/holder/runners.rs
@@ -153,8 +153,10 @@
 
     /// Whether it is ready or will be, and stays so.
     pub fn is_starting_or_ready(&self) -> bool {
-        matches!(self.phase, Phase::StartRequested | Phase::StartingUp | Phase::Ready)
-            && self.replace_since.is_none()
+        matches!(
+            self.phase,
+            Phase::StartRequested | Phase::StartingUp | Phase::Ready
+        ) && self.replace_since.is_none()
     }
 
     /// Whether it is ready and stays so.
@@ -217,7 +219,10 @@
                 self.replace_since.get_or_insert(now);
             }
             let until = deadline.min(now + LOST_SEND_SLOT_HOLD);
-            self.unresolved.insert(idempotency_key.clone(), UnresolvedSend { since: now, until });
+            self.unresolved.insert(
+                idempotency_key.clone(),
+                UnresolvedSend { since: now, until },
+            );
             self.next_check_at = now + RUNNING_LIST_INTERVAL;
         }
     }
@@ -240,7 +245,8 @@
 impl RunnerRecord {
     /// Frees the slots of lost answers by time alone.
     fn expire_unresolved(&mut self, now: MonotonicTime) {
-        self.unresolved.retain(|_, unresolved| now < unresolved.until);
+        self.unresolved
+            .retain(|_, unresolved| now < unresolved.until);
     }
 
     /// When something is to be looked at again; none when it is no sooner than the next look at all.
@@ -257,7 +263,10 @@
             Phase::Draining if self.busy_count() == 0 => Some(self.since),
             _ => None,
         };
-        [unresolved_until, throttled_until, check_at].into_iter().flatten().min()
+        [unresolved_until, throttled_until, check_at]
+            .into_iter()
+            .flatten()
+            .min()
     }
 }
 
@@ -273,7 +282,9 @@
     }
 
     pub(super) fn stop_runner(&mut self, now: MonotonicTime, runner: RunnerId) {
-        let Some(record) = self.runners.get_mut(&runner) else { return };
+        let Some(record) = self.runners.get_mut(&runner) else {
+            return;
+        };
         if record.phase != Phase::Stopping {
             record.phase = Phase::Stopping;
             record.since = now;
@@ -321,7 +332,10 @@
                     record.next_check_at = now + PROBE_INTERVAL;
                     record.probe_pending = true;
                     if let Some(address) = record.address() {
-                        self.outputs.push(HolderOutput::Probe { runner: *runner, address });
+                        self.outputs.push(HolderOutput::Probe {
+                            runner: *runner,
+                            address,
+                        });
                     }
                 }
                 Phase::Draining if record.busy_count() == 0 => stopped_runners.push(*runner),
@@ -330,8 +344,11 @@
                     self.outputs.push(record.stop_output(*runner));
                 }
                 Phase::Ready | Phase::Draining => {
-                    let oldest_unresolved =
-                        record.unresolved.values().map(|unresolved| unresolved.since).min();
+                    let oldest_unresolved = record
+                        .unresolved
+                        .values()
+                        .map(|unresolved| unresolved.since)
+                        .min();
                     let is_hung = oldest_unresolved
                         .is_some_and(|since| now.since(since) > UNRESOLVED_TIMEOUT);
                     if is_hung || record.consecutive_losses >= MAX_CONSECUTIVE_LOSSES {
@@ -342,8 +359,10 @@
                     {
                         record.next_check_at = now + RUNNING_LIST_INTERVAL;
                         if let Some(address) = record.address() {
-                            self.outputs
-                                .push(HolderOutput::ListRunning { runner: *runner, address });
+                            self.outputs.push(HolderOutput::ListRunning {
+                                runner: *runner,
+                                address,
+                            });
                         }
                     }
                 }
--- a/crates/dataplane/src/holder/scaling.rs
+++ b/crates/dataplane/src/holder/scaling.rs
@@ -28,7 +28,11 @@
 impl Scaling {
     /// Needs none yet.
     pub fn new(now: MonotonicTime) -> Self {
-        Self { reserving_since: Vec::new(), next_reserve_at: now, next_drain_at: now }
+        Self {
+            reserving_since: Vec::new(),
+            next_reserve_at: now,
+            next_drain_at: now,
+        }
     }
 
     /// An asked-for runner was given or refused.
@@ -49,15 +53,25 @@
         let reserving = &mut self.scaling.reserving_since;
         reserving.retain(|since| now.since(*since) < RESERVE_TIMEOUT);
         let unless_idle_stopped = u32::from(!self.idle_stopped);
-        let floor =
-            self.spec.min_runners.max(unless_idle_stopped).min(self.spec.max_runners) as usize;
+        let floor = self
+            .spec
+            .min_runners
+            .max(unless_idle_stopped)
+            .min(self.spec.max_runners) as usize;
         let max_runner_count = self.spec.max_runners.max(1) as usize;
-        let usable_count =
-            self.runners.values().filter(|record| record.is_starting_or_ready()).count();
+        let usable_count = self
+            .runners
+            .values()
+            .filter(|record| record.is_starting_or_ready())
+            .count();
         let pending_count = usable_count + self.scaling.reserving_since.len();
         let load = self.demand.rate(now) * self.service_time.as_secs_f64();
         let is_load_known = !self.idle_stopped && self.demand.is_known(now);
-        let load_count = if is_load_known { self.runners_for_load(load) } else { 0 };
+        let load_count = if is_load_known {
+            self.runners_for_load(load)
+        } else {
+            0
+        };
         let queue_runner_count = self.runners_for_queue(now, load);
         let target_count = load_count
             .max(pending_count * usize::from(queue_runner_count > 0) + queue_runner_count);
@@ -93,7 +107,9 @@
                 startup.midpoint(remaining_time.max(startup))
             }
         });
-        let Some(horizon) = horizon.max_by(f64::total_cmp) else { return 0 };
+        let Some(horizon) = horizon.max_by(f64::total_cmp) else {
+            return 0;
+        };
         let requests_within = |span: f64| (span / service_time).max(0.0);
         let runner_capacity: f64 = self
             .runners
@@ -102,19 +118,32 @@
             .map(|record| match record.phase {
                 Phase::Ready => f64::from(record.expected_limit(now)) * requests_within(horizon),
                 _ => {
-                    let ready_in = (record.started_at + self.spec.startup).since(now).as_secs_f64();
+                    let ready_in = (record.started_at + self.spec.startup)
+                        .since(now)
+                        .as_secs_f64();
                     slots * requests_within(horizon - ready_in).max(1.0)
                 }
             })
             .sum();
         let reserving_count = self.scaling.reserving_since.len() as f64;
         let new_runner_capacity = slots * requests_within(horizon - startup).max(1.0);
-        let is_ready = self.runners.values().any(|record| record.phase == Phase::Ready);
-        let expected_arrivals = if is_ready { load / service_time * horizon } else { 0.0 };
+        let is_ready = self
+            .runners
+            .values()
+            .any(|record| record.phase == Phase::Ready);
+        let expected_arrivals = if is_ready {
+            load / service_time * horizon
+        } else {
+            0.0
+        };
         let capacity =
             (runner_capacity + reserving_count * new_runner_capacity - expected_arrivals).max(0.0);
         let unserved = self.queue.len() as f64 - capacity;
-        if unserved > 0.0 { (unserved / new_runner_capacity).ceil() as usize } else { 0 }
+        if unserved > 0.0 {
+            (unserved / new_runner_capacity).ceil() as usize
+        } else {
+            0
+        }
     }
 
     fn reserve(&mut self, now: MonotonicTime, target_count: usize, pending_count: usize) {
@@ -125,15 +154,23 @@
         let missing_count = target_count.saturating_sub(pending_count);
         for _ in 0..missing_count.min(MAX_PENDING_RESERVATIONS.saturating_sub(reserving_count)) {
             self.scaling.reserving_since.push(now);
-            self.outputs.push(HolderOutput::Report(HolderMessage::Reserve));
+            self.outputs
+                .push(HolderOutput::Report(HolderMessage::Reserve));
         }
     }
 
     /// Stops the youngest runner that boots and is no longer needed, while little of its boot is paid for.
     fn cancel_excess_startup(&mut self, now: MonotonicTime, target_count: usize) {
-        let usable_count =
-            self.runners.values().filter(|record| record.is_starting_or_ready()).count();
-        let ready_count = self.runners.values().filter(|record| record.is_usable()).count();
+        let usable_count = self
+            .runners
+            .values()
+            .filter(|record| record.is_starting_or_ready())
+            .count();
+        let ready_count = self
+            .runners
+            .values()
+            .filter(|record| record.is_usable())
+            .count();
         if usable_count <= target_count || ready_count < target_count {
             return;
         }
@@ -159,8 +196,9 @@
             .collect();
         let has_replacement = !ready_runners.is_empty();
         for record in self.runners.values_mut() {
-            let is_overdue =
-                record.replace_since.is_some_and(|since| now.since(since) > REPLACE_TIMEOUT);
+            let is_overdue = record
+                .replace_since
+                .is_some_and(|since| now.since(since) > REPLACE_TIMEOUT);
             let needs_replacement = record.replace_since.is_some() && record.phase == Phase::Ready;
             if needs_replacement && (has_replacement || is_overdue) {
                 record.phase = Phase::Draining;
--- a/crates/dataplane/src/holder/send_result.rs
+++ b/crates/dataplane/src/holder/send_result.rs
@@ -17,7 +17,9 @@
         end: SendResult,
     ) -> Vec<HolderOutput> {
         self.sent_to_runner.remove(&ticket);
-        let Some(in_flight) = self.in_flight.remove(&ticket) else { return Vec::new() };
+        let Some(in_flight) = self.in_flight.remove(&ticket) else {
+            return Vec::new();
+        };
         let is_resolved =
             !matches!(end, SendResult::Lost) || !self.rules.enforces(Rule::LostResponseKeepsSlot);
         if let Some(record) = self.runners.get_mut(&in_flight.runner) {
@@ -85,7 +87,12 @@
         if self.may_retry(now, &queued) {
             self.repeat(now, queued);
         } else {
-            self.fail_request(now, queued, RequestFailureReason::ResponseLost, Duration::ZERO);
+            self.fail_request(
+                now,
+                queued,
+                RequestFailureReason::ResponseLost,
+                Duration::ZERO,
+            );
         }
     }
 
@@ -96,7 +103,12 @@
         } else {
             let start_at = self.expected_start(now, self.queue.len());
             let retry_after = start_at.since(now).max(Duration::from_millis(200));
-            self.fail_request(now, queued, RequestFailureReason::RejectedByRunner, retry_after);
+            self.fail_request(
+                now,
+                queued,
+                RequestFailureReason::RejectedByRunner,
+                retry_after,
+            );
         }
     }
 
@@ -144,9 +156,12 @@
     /// Takes an extra try out of the retry budget.
     pub(super) fn spend_retry(&mut self, now: MonotonicTime) {
         let is_within = self.retry_budget.has_retry_budget(now);
-        require(self.rules, Invariant::RetryBudgetRespected, is_within, || {
-            format!("an extra try of {} beyond the budget", self.function)
-        });
+        require(
+            self.rules,
+            Invariant::RetryBudgetRespected,
+            is_within,
+            || format!("an extra try of {} beyond the budget", self.function),
+        );
         self.retry_budget.spend(now);
     }
 
@@ -172,9 +187,17 @@
         if matches!(outcome, RequestOutcome::NotRun { .. }) {
             self.rejected_count += 1;
             let is_at_runner = self.sent_to_runner.contains(&request.ticket);
-            require(self.rules, Invariant::RejectedNotSent, !is_at_runner, || {
-                format!("{} is refused while a runner has it", request.idempotency_key)
-            });
+            require(
+                self.rules,
+                Invariant::RejectedNotSent,
+                !is_at_runner,
+                || {
+                    format!(
+                        "{} is refused while a runner has it",
+                        request.idempotency_key
+                    )
+                },
+            );
         }
         if request.recorded {
             let stored_outcome = match &outcome {
@@ -191,6 +214,9 @@
                 stored_outcome,
             );
         }
-        self.outputs.push(HolderOutput::End { ticket: request.ticket, outcome });
+        self.outputs.push(HolderOutput::End {
+            ticket: request.ticket,
+            outcome,
+        });
     }
 }
--- a/crates/dataplane/src/holder/tuning.rs
+++ b/crates/dataplane/src/holder/tuning.rs
@@ -51,13 +51,17 @@
 impl Tuning {
     /// How slowly the wish for runners that boot for so long falls after a crowd.
     pub fn decay_time(&self, startup: Duration) -> Duration {
-        self.decay.unwrap_or_else(|| startup.mul_f64(DECAY_STARTUPS).max(MIN_DECAY))
+        self.decay
+            .unwrap_or_else(|| startup.mul_f64(DECAY_STARTUPS).max(MIN_DECAY))
     }
 
     /// From one extra runner's drain to the next.
     pub fn drain_interval_for(&self, startup: Duration) -> Duration {
-        self.drain_interval
-            .unwrap_or_else(|| startup.mul_f64(DRAIN_INTERVAL_STARTUPS).max(MIN_DRAIN_INTERVAL))
+        self.drain_interval.unwrap_or_else(|| {
+            startup
+                .mul_f64(DRAIN_INTERVAL_STARTUPS)
+                .max(MIN_DRAIN_INTERVAL)
+        })
     }
 }
 
@@ -73,7 +77,10 @@
 
 impl Default for IdleCost {
     fn default() -> Self {
-        Self { start_cost_mb_s: 300, late_cost_mb_s: 700 }
+        Self {
+            start_cost_mb_s: 300,
+            late_cost_mb_s: 700,
+        }
     }
 }
 
--- a/crates/dataplane/src/ledger/entries.rs
+++ b/crates/dataplane/src/ledger/entries.rs
@@ -30,9 +30,9 @@
         None => LedgerRecordState::Recorded,
         Some(RequestOutcome::Response { .. }) => LedgerRecordState::Answered,
         Some(RequestOutcome::NotRun { .. }) => LedgerRecordState::Rejected,
-        Some(RequestOutcome::Unknown { reason: RequestFailureReason::AlreadyRan }) => {
-            LedgerRecordState::Answered
-        }
+        Some(RequestOutcome::Unknown {
+            reason: RequestFailureReason::AlreadyRan,
+        }) => LedgerRecordState::Answered,
         Some(RequestOutcome::Unknown { .. }) => LedgerRecordState::Unknown,
     }
 }
@@ -41,18 +41,27 @@
     /// The outcome for a repeated identity; none for a new one.
     pub fn known_outcome(&self, idempotency_key: &IdempotencyKey) -> Option<RequestOutcome> {
         self.recorded.get(idempotency_key).map(|recorded| {
-            recorded
-                .outcome
-                .clone()
-                .unwrap_or(RequestOutcome::Unknown { reason: RequestFailureReason::InProgress })
+            recorded.outcome.clone().unwrap_or(RequestOutcome::Unknown {
+                reason: RequestFailureReason::InProgress,
+            })
         })
     }
 
     /// Notes an identity before anything is sent for it.
     pub fn begin(&mut self, idempotency_key: IdempotencyKey, once: bool, deadline: MonotonicTime) {
         let expires_at = deadline + RETENTION_AFTER_DEADLINE;
-        self.expiries.entry(expires_at).or_default().push(idempotency_key.clone());
-        self.recorded.insert(idempotency_key, Recorded { once, outcome: None, expires_at });
+        self.expiries
+            .entry(expires_at)
+            .or_default()
+            .push(idempotency_key.clone());
+        self.recorded.insert(
+            idempotency_key,
+            Recorded {
+                once,
+                outcome: None,
+                expires_at,
+            },
+        );
     }
 
     /// Notes how it ended; large answers are not kept.
@@ -66,7 +75,9 @@
     ) {
         let stored_outcome = match &outcome {
             RequestOutcome::Response { body, .. } if body.0.len() > MAX_STORED_ANSWER_BYTES => {
-                RequestOutcome::Unknown { reason: RequestFailureReason::AlreadyRan }
+                RequestOutcome::Unknown {
+                    reason: RequestFailureReason::AlreadyRan,
+                }
             }
             _ => outcome,
         };
@@ -84,21 +95,29 @@
             return;
         }
         let outcome = match record.state {
-            LedgerRecordState::Answered => {
-                RequestOutcome::Unknown { reason: RequestFailureReason::AlreadyRan }
-            }
-            LedgerRecordState::Recorded | LedgerRecordState::Unknown => {
-                RequestOutcome::Unknown { reason: RequestFailureReason::ResponseLost }
-            }
+            LedgerRecordState::Answered => RequestOutcome::Unknown {
+                reason: RequestFailureReason::AlreadyRan,
+            },
+            LedgerRecordState::Recorded | LedgerRecordState::Unknown => RequestOutcome::Unknown {
+                reason: RequestFailureReason::ResponseLost,
+            },
             LedgerRecordState::Rejected => RequestOutcome::NotRun {
                 reason: RequestFailureReason::RejectedBefore,
                 retry_after_ms: RETRY_AFTER_MS,
             },
         };
         let expires_at = now + Duration::from_millis(u64::from(record.remaining_ms));
-        self.expiries.entry(expires_at).or_default().push(record.idempotency_key.clone());
-        let recorded = Recorded { once: true, outcome: Some(outcome), expires_at };
-        self.recorded.insert(record.idempotency_key.clone(), recorded);
+        self.expiries
+            .entry(expires_at)
+            .or_default()
+            .push(record.idempotency_key.clone());
+        let recorded = Recorded {
+            once: true,
+            outcome: Some(outcome),
+            expires_at,
+        };
+        self.recorded
+            .insert(record.idempotency_key.clone(), recorded);
     }
 
     /// The lines of once-transactions, for a steward's copy.
@@ -120,11 +139,13 @@
         now: MonotonicTime,
         idempotency_key: &IdempotencyKey,
     ) -> Option<LedgerRecord> {
-        self.recorded.get(idempotency_key).map(|recorded| LedgerRecord {
-            idempotency_key: idempotency_key.clone(),
-            state: state_of(recorded),
-            remaining_ms: recorded.expires_at.since(now).as_millis() as u32,
-        })
+        self.recorded
+            .get(idempotency_key)
+            .map(|recorded| LedgerRecord {
+                idempotency_key: idempotency_key.clone(),
+                state: state_of(recorded),
+                remaining_ms: recorded.expires_at.since(now).as_millis() as u32,
+            })
     }
 
     /// A digest for each range of once-transactions.
@@ -136,7 +157,10 @@
     pub fn records_in(&self, now: MonotonicTime, ranges: &[u8]) -> Vec<LedgerRecord> {
         let is_wanted =
             |record: &LedgerRecord| ranges.contains(&(range_of(&record.idempotency_key) as u8));
-        self.once_records(now).into_iter().filter(is_wanted).collect()
+        self.once_records(now)
+            .into_iter()
+            .filter(is_wanted)
+            .collect()
     }
 
     /// Whether there is any once-transaction.
--- a/crates/dataplane/src/ledger/replica.rs
+++ b/crates/dataplane/src/ledger/replica.rs
@@ -29,7 +29,10 @@
 impl LedgerReplica {
     /// Keeps nothing yet, in this life.
     pub fn new(incarnation: Incarnation) -> Self {
-        Self { incarnation, copies: BTreeMap::new() }
+        Self {
+            incarnation,
+            copies: BTreeMap::new(),
+        }
     }
 
     fn copy(
@@ -38,11 +41,14 @@
         function: &FunctionKey,
         fencing_token: FencingToken,
     ) -> &mut LedgerCopy {
-        let copy = self.copies.entry((function.clone(), fencing_token)).or_insert(LedgerCopy {
-            entries: HashMap::new(),
-            sealed: false,
-            touched_at: now,
-        });
+        let copy = self
+            .copies
+            .entry((function.clone(), fencing_token))
+            .or_insert(LedgerCopy {
+                entries: HashMap::new(),
+                sealed: false,
+                touched_at: now,
+            });
         copy.touched_at = now;
         copy
     }
@@ -68,7 +74,10 @@
             let entry = copy
                 .entries
                 .entry(record.idempotency_key.clone())
-                .or_insert(ReplicaEntry { state: record.state, expires_at });
+                .or_insert(ReplicaEntry {
+                    state: record.state,
+                    expires_at,
+                });
             entry.state = entry.state.max(record.state);
             entry.expires_at = entry.expires_at.max(expires_at);
         }
--- a/crates/dataplane/src/owners/warm.rs
+++ b/crates/dataplane/src/owners/warm.rs
@@ -56,7 +56,12 @@
 impl WarmAcquirer {
     /// Looks at once.
     pub fn new(now: MonotonicTime) -> Self {
-        Self { scan_at: now, request_at: now, wanted: VecDeque::new(), requested: BTreeMap::new() }
+        Self {
+            scan_at: now,
+            request_at: now,
+            wanted: VecDeque::new(),
+            requested: BTreeMap::new(),
+        }
     }
 
     /// Spec, daemons alive or holdings have changed.
@@ -66,17 +71,27 @@
 
     /// When to look again.
     pub fn next_due(&self) -> MonotonicTime {
-        if self.wanted.is_empty() { self.scan_at } else { self.scan_at.min(self.request_at) }
+        if self.wanted.is_empty() {
+            self.scan_at
+        } else {
+            self.scan_at.min(self.request_at)
+        }
     }
 
     /// The function that the leader is to be asked for now, if there is one.
     pub fn next(&mut self, now: MonotonicTime, context: &WarmContext<'_>) -> Option<FunctionKey> {
         if now >= self.scan_at {
             self.scan_at = now + SCAN_INTERVAL;
-            self.requested.retain(|_, requested_at| now.since(*requested_at) < REQUEST_RETRY_AFTER);
-            let candidates = context.regional.iter().chain(context.table.prewarmed_functions());
-            self.wanted =
-                candidates.filter(|function| context.should_acquire(function)).cloned().collect();
+            self.requested
+                .retain(|_, requested_at| now.since(*requested_at) < REQUEST_RETRY_AFTER);
+            let candidates = context
+                .regional
+                .iter()
+                .chain(context.table.prewarmed_functions());
+            self.wanted = candidates
+                .filter(|function| context.should_acquire(function))
+                .cloned()
+                .collect();
         }
         if now < self.request_at {
             return None;
--- a/crates/dataplane/src/pool/mod.rs
+++ b/crates/dataplane/src/pool/mod.rs
@@ -66,7 +66,10 @@
         }
         self.last_id += 1;
         let id = ConnectionId(self.last_id);
-        connections.push(PooledConnection { id, idle_until: None });
+        connections.push(PooledConnection {
+            id,
+            idle_until: None,
+        });
         Checkout::Open(id)
     }
 
@@ -85,8 +88,13 @@
             self.remove_connection(runner, id);
             return false;
         }
-        let Some(connections) = self.connections.get_mut(&runner) else { return false };
-        let Some(index) = connections.iter().position(|connection| connection.id == id) else {
+        let Some(connections) = self.connections.get_mut(&runner) else {
+            return false;
+        };
+        let Some(index) = connections
+            .iter()
+            .position(|connection| connection.id == id)
+        else {
             return false;
         };
         let mut connection = connections.remove(index);
@@ -123,7 +131,9 @@
 
     /// A runner is being stopped: its idle connections go, those in use when their transactions end.
     pub fn remove_idle(&mut self, runner: RunnerId) -> Vec<ConnectionId> {
-        let Some(connections) = self.connections.get_mut(&runner) else { return Vec::new() };
+        let Some(connections) = self.connections.get_mut(&runner) else {
+            return Vec::new();
+        };
         let idle_connections =
             connections.extract_if(.., |connection| connection.idle_until.is_some());
         let removed_ids = idle_connections.map(|connection| connection.id).collect();
--- a/crates/dataplane/src/request_pipeline/forward_to_holder.rs
+++ b/crates/dataplane/src/request_pipeline/forward_to_holder.rs
@@ -31,9 +31,9 @@
             let holder = holder.0.into_iter().next().unwrap_or_else(|| host.clone());
             ForwardResult::Completed(outcome, Some(holder))
         }
-        HopCallResult::Reply(DaemonMessage::Completed { outcome, holder, .. }) => {
-            ForwardResult::Completed(outcome, holder.0.into_iter().next())
-        }
+        HopCallResult::Reply(DaemonMessage::Completed {
+            outcome, holder, ..
+        }) => ForwardResult::Completed(outcome, holder.0.into_iter().next()),
         HopCallResult::Unsent => ForwardResult::Unsent,
         HopCallResult::Reply(_) | HopCallResult::Lost => ForwardResult::Lost,
     }
@@ -95,7 +95,11 @@
                 handle_regional_hint(state, request, regional_tenths);
                 forwarding.served(agent, MonotonicTime::now(), outcome)
             }
-            ForwardingStep::Forward { host, body, wait_until } => {
+            ForwardingStep::Forward {
+                host,
+                body,
+                wait_until,
+            } => {
                 state.gauges.lookups.with_label_values(&["passed"]).inc();
                 let end = tokio::select! {
                     hop_result = state.hop_client.request(host.address, body, wait_until) => {
@@ -125,7 +129,12 @@
             }
             ForwardingStep::End(outcome, holder) => {
                 let function = forwarding.request().function.clone();
-                return ForwardedOutcome { function, outcome, holder, regional_tenths };
+                return ForwardedOutcome {
+                    function,
+                    outcome,
+                    holder,
+                    regional_tenths,
+                };
             }
         }
     }
--- a/crates/dataplane/src/request_pipeline/ingress_request.rs
+++ b/crates/dataplane/src/request_pipeline/ingress_request.rs
@@ -56,31 +56,49 @@
             CallerResponse::Unknown { reason, .. } => ("unknown", reason.as_str()),
         };
         self.count(now, outcome, reason);
-        if self.deadline.is_some_and(|deadline| now > deadline + OVERDUE_GRACE) {
+        if self
+            .deadline
+            .is_some_and(|deadline| now > deadline + OVERDUE_GRACE)
+        {
             self.state.gauges.overdue_requests.inc();
         }
         if !matches!(caller_response, CallerResponse::Response { .. }) {
             let detail = format_args!("{self} {outcome} {reason}");
             self.state.request_log.write(events::REQUEST_FAILED, detail);
         }
-        self.state.adapters.ingress.write_response(self.idempotency_key.as_ref(), caller_response)
+        self.state
+            .adapters
+            .ingress
+            .write_response(self.idempotency_key.as_ref(), caller_response)
     }
 
     fn count(&self, now: MonotonicTime, outcome: &str, reason: &str) {
         let gauges = &self.state.gauges;
-        gauges.request_outcomes.with_label_values(&[outcome, reason]).inc();
+        gauges
+            .request_outcomes
+            .with_label_values(&[outcome, reason])
+            .inc();
         let elapsed = now.since(self.started_at).as_secs_f64();
-        gauges.request_seconds.with_label_values(&[outcome]).observe(elapsed);
+        gauges
+            .request_seconds
+            .with_label_values(&[outcome])
+            .observe(elapsed);
     }
 }
 
 impl fmt::Display for IngressRequest<'_> {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let idempotency_key = self.idempotency_key.as_ref().map_or("-", |known| known.as_str());
+        let idempotency_key = self
+            .idempotency_key
+            .as_ref()
+            .map_or("-", |known| known.as_str());
         let route = self.route.as_deref().unwrap_or("-");
         let holder = self.holder.as_ref().map_or("-", |known| known.as_str());
         let elapsed_ms = MonotonicTime::now().since(self.started_at).as_millis();
-        write!(out, "{idempotency_key} route {route} holder {holder} after {elapsed_ms} ms")
+        write!(
+            out,
+            "{idempotency_key} route {route} holder {holder} after {elapsed_ms} ms"
+        )
     }
 }
 
--- a/crates/dataplane/src/request_pipeline/mod.rs
+++ b/crates/dataplane/src/request_pipeline/mod.rs
@@ -52,9 +52,16 @@
     };
 
     let table = state.agent.table.load_full();
-    let host = head.headers.get(hyper::header::HOST).and_then(|value| value.to_str().ok());
-    let route_match =
-        table.route(&head.method, host.unwrap_or(""), head.uri.path(), &idempotency_key);
+    let host = head
+        .headers
+        .get(hyper::header::HOST)
+        .and_then(|value| value.to_str().ok());
+    let route_match = table.route(
+        &head.method,
+        host.unwrap_or(""),
+        head.uri.path(),
+        &idempotency_key,
+    );
     let Some(route_match) = route_match else {
         return if state.agent.is_serving(MonotonicTime::now()) {
             permanent_rejection(NotRunKind::NoRoute, "no_route")
@@ -95,7 +102,11 @@
         hops: 0,
         repeat: ingress.is_repeat(&head.headers),
         wants_referral: true,
-        region: state.agent.own_region().cloned().unwrap_or_else(|| Region::from("")),
+        region: state
+            .agent
+            .own_region()
+            .cloned()
+            .unwrap_or_else(|| Region::from("")),
         payload: Arc::new(payload(ingress, &head, body)),
     };
     let forwarded_outcome = forward_to_holder(state, request).await;
@@ -105,7 +116,10 @@
 }
 
 fn payload(ingress: &dyn IngressCodec, head: &Parts, body: bytes::Bytes) -> RequestPayload {
-    let target = head.uri.path_and_query().map_or("/", |target| target.as_str());
+    let target = head
+        .uri
+        .path_and_query()
+        .map_or("/", |target| target.as_str());
     RequestPayload {
         method: ShortString::from(head.method.as_str()),
         target: ShortString::from(target),
--- a/crates/dataplane/src/request_pipeline/request_checks.rs
+++ b/crates/dataplane/src/request_pipeline/request_checks.rs
@@ -22,7 +22,12 @@
             }
             RequestRejection::TooLarge => (NotRunKind::TooLarge, "body_too_large", None),
         };
-        Self::NotRun { kind, reason, header, retry_after: None }
+        Self::NotRun {
+            kind,
+            reason,
+            header,
+            retry_after: None,
+        }
     }
 }
 
--- a/crates/dataplane/src/request_pipeline/responses.rs
+++ b/crates/dataplane/src/request_pipeline/responses.rs
@@ -8,7 +8,12 @@
 
 /// A refusal that no later try changes.
 pub fn permanent_rejection(kind: NotRunKind, reason: &'static str) -> CallerResponse {
-    CallerResponse::NotRun { kind, reason, header: None, retry_after: None }
+    CallerResponse::NotRun {
+        kind,
+        reason,
+        header: None,
+        retry_after: None,
+    }
 }
 
 /// Refused at the door, with a hint when to come back.
@@ -34,25 +39,33 @@
 /// What a caller is told of a transaction that has ended.
 pub fn outcome_response(function: FunctionKey, outcome: RequestOutcome) -> CallerResponse {
     match outcome {
-        RequestOutcome::Response { status, seal, runner, header_fields, body } => {
-            CallerResponse::Response {
-                function,
-                runner,
-                status,
-                seal: seal.0,
-                header_fields: header_fields.0,
-                body: body.0,
-            }
-        }
-        RequestOutcome::NotRun { reason, retry_after_ms } => CallerResponse::NotRun {
+        RequestOutcome::Response {
+            status,
+            seal,
+            runner,
+            header_fields,
+            body,
+        } => CallerResponse::Response {
+            function,
+            runner,
+            status,
+            seal: seal.0,
+            header_fields: header_fields.0,
+            body: body.0,
+        },
+        RequestOutcome::NotRun {
+            reason,
+            retry_after_ms,
+        } => CallerResponse::NotRun {
             kind: not_run_kind(reason),
             reason: reason.as_str(),
             header: None,
             retry_after: Some(Duration::from_millis(u64::from(retry_after_ms))),
         },
-        RequestOutcome::Unknown { reason } => {
-            CallerResponse::Unknown { reason, retry_after: retry_after_of(reason) }
-        }
+        RequestOutcome::Unknown { reason } => CallerResponse::Unknown {
+            reason,
+            retry_after: retry_after_of(reason),
+        },
     }
 }
 
--- a/crates/dataplane/src/settings/mod.rs
+++ b/crates/dataplane/src/settings/mod.rs
@@ -92,8 +92,11 @@
             let grace_ms = root.field("grace_ms").number_or(500..=60_000, 5_600);
             let threads = root.field("threads").number_or(0..=256, 0);
             let ready_reader = root.field("ready");
-            let ready =
-                if ready_reader.is_present() { Some(read_address(&ready_reader)?) } else { None };
+            let ready = if ready_reader.is_present() {
+                Some(read_address(&ready_reader)?)
+            } else {
+                None
+            };
             let heartbeat_ms = root.field("beat_ms").number_or(20..=10_000, 250);
             let link_mbps = root.field("link_mbps").number_or(0..=1_000_000, 0) as u32;
             let warm = root.field("warm").bool_or(false);
@@ -136,7 +139,8 @@
 fn read_idle_cost(root: &PathReader<'_>) -> IdleCost {
     let default = IdleCost::default();
     let megabyte_seconds = |key: &str, default_value: u32| {
-        root.field(key).number_or(0..=100_000_000, u64::from(default_value)) as u32
+        root.field(key)
+            .number_or(0..=100_000_000, u64::from(default_value)) as u32
     };
     IdleCost {
         start_cost_mb_s: megabyte_seconds("start_mb_s", default.start_cost_mb_s),
@@ -147,7 +151,9 @@
 fn read_tuning(root: &PathReader<'_>) -> Tuning {
     let default = Tuning::default();
     let span = |key: &str, default_span: Duration| {
-        let millis = root.field(key).number_or(1..=600_000, default_span.as_millis() as u64);
+        let millis = root
+            .field(key)
+            .number_or(1..=600_000, default_span.as_millis() as u64);
         Duration::from_millis(millis)
     };
     let count = |key: &str, limit: u64, default_count: u64| {
@@ -163,10 +169,16 @@
             .field("idle_rare_ms")
             .is_present()
             .then(|| span("idle_rare_ms", DEFAULT_IDLE_RARE)),
-        idle_cost: root.field("idle_stop").bool_or(false).then(|| read_idle_cost(root)),
+        idle_cost: root
+            .field("idle_stop")
+            .bool_or(false)
+            .then(|| read_idle_cost(root)),
         rate_window: span("rise_ms", default.rate_window),
         margin_percent: count("margin_percent", 10_000, u64::from(default.margin_percent)) as u32,
-        decay: root.field("fall_ms").is_present().then(|| span("fall_ms", Duration::ZERO)),
+        decay: root
+            .field("fall_ms")
+            .is_present()
+            .then(|| span("fall_ms", Duration::ZERO)),
         drain_interval: root
             .field("drain_every_ms")
             .is_present()
--- a/crates/dataplane/tests/agent.rs
+++ b/crates/dataplane/tests/agent.rs
@@ -79,7 +79,10 @@
 
 fn frame_of(document: Document) -> LeaderToDaemon {
     let view = document.view();
-    LeaderToDaemon::Spec { version: view.version, document: view.to_bytes().into() }
+    LeaderToDaemon::Spec {
+        version: view.version,
+        document: view.to_bytes().into(),
+    }
 }
 
 struct DaemonBench {
@@ -95,12 +98,22 @@
         let timing = ControlSessionTiming::builder().build();
         let seeds = vec![SocketAddress::UNSPECIFIED; 3];
         let rng = SeededRng::seeded(3);
-        let mut controller =
-            DaemonControl::new(START, &agent, timing, SocketAddress::UNSPECIFIED, seeds, rng);
+        let mut controller = DaemonControl::new(
+            START,
+            &agent,
+            timing,
+            SocketAddress::UNSPECIFIED,
+            seeds,
+            rng,
+        );
         controller.tick(&agent, START);
         controller.connected(&agent, START);
         controller.received(&agent, START, LeaderToDaemon::Welcome { term: Term(2) });
-        Self { agent, controller, now: START }
+        Self {
+            agent,
+            controller,
+            now: START,
+        }
     }
 
     fn receive(&mut self, frame: LeaderToDaemon) -> Vec<DaemonControlOutput<u64>> {
@@ -121,7 +134,11 @@
             _ => None,
         });
         let correlation = correlation.expect("a renewal");
-        self.receive(LeaderToDaemon::Renewed { correlation, lease_ms, version: Version(version) });
+        self.receive(LeaderToDaemon::Renewed {
+            correlation,
+            lease_ms,
+            version: Version(version),
+        });
     }
 
     fn list_own_host(&mut self) {
@@ -136,7 +153,12 @@
     fn key(&self, function: &str) -> FunctionKey {
         let table = self.agent.table.load();
         let entries = table.functions();
-        entries.iter().find(|entry| entry.key.name.as_str() == function).expect("one").key.clone()
+        entries
+            .iter()
+            .find(|entry| entry.key.name.as_str() == function)
+            .expect("one")
+            .key
+            .clone()
     }
 
     fn request(&self) -> FunctionRequest {
@@ -157,9 +179,13 @@
 
 fn rejection(step: &ForwardingStep<u64>) -> Option<(RequestFailureReason, u32)> {
     match step {
-        ForwardingStep::End(RequestOutcome::NotRun { reason, retry_after_ms }, _) => {
-            Some((*reason, *retry_after_ms))
-        }
+        ForwardingStep::End(
+            RequestOutcome::NotRun {
+                reason,
+                retry_after_ms,
+            },
+            _,
+        ) => Some((*reason, *retry_after_ms)),
         _ => None,
     }
 }
@@ -190,7 +216,10 @@
         adopted,
     };
     let held: Arc<HeldFunction<u64>> = Arc::new(HeldFunction::new(Holder::new(bench.now, terms)));
-    bench.agent.held_functions.store(Arc::new([(held.function.clone(), held.clone())].into()));
+    bench
+        .agent
+        .held_functions
+        .store(Arc::new([(held.function.clone(), held.clone())].into()));
     let holder_request = HolderRequest {
         idempotency_key: "t".into(),
         route: "r".to_owned(),
@@ -205,14 +234,20 @@
         region: None,
         payload: Arc::new(RequestPayload::from_body(Vec::new().into())),
     };
-    let runner = RunnerId { fencing_token: FencingToken(4), ordinal: 5 };
+    let runner = RunnerId {
+        fencing_token: FencingToken(4),
+        ordinal: 5,
+    };
     let now = bench.now;
     bench
         .agent
         .runner_attempt(now, &held, &holder_request, runner, 1)
         .expect("allowed before the turn");
     bench.receive(spec_frame(4, "g"));
-    bench.agent.runner_attempt(now, &held, &holder_request, runner, 1).map(|_| ())
+    bench
+        .agent
+        .runner_attempt(now, &held, &holder_request, runner, 1)
+        .map(|_| ())
 }
 
 #[gtest]
@@ -237,9 +272,14 @@
     };
     verify_that!(version_after(Rules::ALL_ENFORCED), eq(Version(5)))?;
     invariants::collect_on_this_thread();
-    verify_that!(version_after(Rules::without(Rule::VersionNeverDecreases)), eq(Version(4)))?;
-    let observed: Vec<Invariant> =
-        invariants::take_collected().into_iter().map(|violation| violation.invariant).collect();
+    verify_that!(
+        version_after(Rules::without(Rule::VersionNeverDecreases)),
+        eq(Version(4))
+    )?;
+    let observed: Vec<Invariant> = invariants::take_collected()
+        .into_iter()
+        .map(|violation| violation.invariant)
+        .collect();
     verify_that!(observed, elements_are![eq(&Invariant::SpecNeverOlder)])
 }
 
@@ -252,7 +292,10 @@
         bench.agent.is_serving(bench.now)
     };
     verify_that!(serves(Rules::ALL_ENFORCED), eq(false))?;
-    verify_that!(serves(Rules::without(Rule::RenewalNeedsNewestSpec)), eq(true))
+    verify_that!(
+        serves(Rules::without(Rule::RenewalNeedsNewestSpec)),
+        eq(true)
+    )
 }
 
 #[gtest]
@@ -261,12 +304,18 @@
     bench.receive(spec_frame(3, "f"));
     let mut forwarding = Forwarding::new(bench.now, bench.request());
     let early = forwarding.advance(&bench.agent, bench.now);
-    verify_that!(rejection(&early), some(eq((RequestFailureReason::NotServing, 400))))?;
+    verify_that!(
+        rejection(&early),
+        some(eq((RequestFailureReason::NotServing, 400)))
+    )?;
     bench.renew(3);
     bench.list_own_host();
     let mut forwarding = Forwarding::new(bench.now, bench.request());
     let acquiring = forwarding.advance(&bench.agent, bench.now);
-    verify_that!(matches!(acquiring, ForwardingStep::Acquire { .. }), eq(true))?;
+    verify_that!(
+        matches!(acquiring, ForwardingStep::Acquire { .. }),
+        eq(true)
+    )?;
     let late = forwarding.advance(&bench.agent, bench.now + ms(2400));
     verify_that!(
         rejection(&late).map(|(reason, _)| reason),
@@ -284,7 +333,10 @@
     forwarding.advance(&bench.agent, bench.now);
     let result = Some(AcquireResult::RetryLater { wait_ms: 2300 });
     let step = forwarding.acquired(&bench.agent, bench.now, result);
-    verify_that!(rejection(&step), some(eq((RequestFailureReason::NoOwner, 2500))))?;
+    verify_that!(
+        rejection(&step),
+        some(eq((RequestFailureReason::NoOwner, 2500)))
+    )?;
     let mut forwarding = Forwarding::new(bench.now, bench.request());
     forwarding.advance(&bench.agent, bench.now);
     let result = Some(AcquireResult::RetryLater { wait_ms: 300 });
@@ -299,8 +351,10 @@
     bench.renew(3);
     bench.list_own_host();
     let mut forwarding = Forwarding::new(bench.now, bench.request());
-    let declined =
-        RequestOutcome::NotRun { reason: RequestFailureReason::NotHolder, retry_after_ms: 50 };
+    let declined = RequestOutcome::NotRun {
+        reason: RequestFailureReason::NotHolder,
+        retry_after_ms: 50,
+    };
     forwarding.advance(&bench.agent, bench.now);
     let ForwardingStep::Wait { wait_until } = forwarding.served(&bench.agent, bench.now, declined)
     else {
@@ -317,8 +371,14 @@
 fn only_the_complete_response_to_this_request_is_accepted() -> Result<()> {
     let idempotency_key = IdempotencyKey::from("t");
     let function = FunctionKey::new("f", Version(2));
-    let runner = RunnerId { fencing_token: FencingToken(4), ordinal: 5 };
-    let other_runner = RunnerId { fencing_token: FencingToken(4), ordinal: 6 };
+    let runner = RunnerId {
+        fencing_token: FencingToken(4),
+        ordinal: 5,
+    };
+    let other_runner = RunnerId {
+        fencing_token: FencingToken(4),
+        ordinal: 6,
+    };
     let body = b"whole".to_vec();
     let seal_for = |named: &IdempotencyKey, named_runner: RunnerId, is_rejected: bool| {
         seal::seal(named, &function, named_runner, is_rejected, &body)
@@ -350,15 +410,41 @@
     let other = IdempotencyKey::from("other");
     let right_seal = seal_for(&idempotency_key, runner, false);
     verify_that!(
-        is_accepted(Rules::ALL_ENFORCED, &idempotency_key, runner, &right_seal, &body),
+        is_accepted(
+            Rules::ALL_ENFORCED,
+            &idempotency_key,
+            runner,
+            &right_seal,
+            &body
+        ),
         eq(true)
     )?;
     let cases: Vec<(&IdempotencyKey, RunnerId, String, Vec<u8>)> = vec![
-        (&idempotency_key, runner, right_seal.clone(), body[..4].to_vec()),
-        (&idempotency_key, runner, right_seal.to_uppercase(), body.clone()),
+        (
+            &idempotency_key,
+            runner,
+            right_seal.clone(),
+            body[..4].to_vec(),
+        ),
+        (
+            &idempotency_key,
+            runner,
+            right_seal.to_uppercase(),
+            body.clone(),
+        ),
         (&idempotency_key, runner, String::new(), body.clone()),
-        (&idempotency_key, runner, seal_for(&idempotency_key, runner, true), body.clone()),
-        (&other, runner, seal_for(&other, runner, false), body.clone()),
+        (
+            &idempotency_key,
+            runner,
+            seal_for(&idempotency_key, runner, true),
+            body.clone(),
+        ),
+        (
+            &other,
+            runner,
+            seal_for(&other, runner, false),
+            body.clone(),
+        ),
         (
             &idempotency_key,
             other_runner,
@@ -372,7 +458,10 @@
             eq(false)
         )?;
         let unchecked = Rules::without(Rule::SealChecked);
-        verify_that!(is_accepted(unchecked, named, *named_runner, given_seal, bytes), eq(true))?;
+        verify_that!(
+            is_accepted(unchecked, named, *named_runner, given_seal, bytes),
+            eq(true)
+        )?;
     }
     let without_name_check = Rules::without(Rule::SealBoundToRequest);
     let other_request = &cases[4];
@@ -408,49 +497,80 @@
 
 #[gtest]
 fn a_response_with_a_carried_seal_is_verified_by_its_visible_parts() -> Result<()> {
-    let runner = RunnerId { fencing_token: FencingToken(4), ordinal: 5 };
+    let runner = RunnerId {
+        fencing_token: FencingToken(4),
+        ordinal: 5,
+    };
     let function = FunctionKey::new("f", Version(2));
     let other_name = || "other".to_owned();
     let cases: Vec<(&str, RunnerResponse, &str)> = vec![
-        ("whole and sealed", response_with_carried_seal(200), "answered"),
+        (
+            "whole and sealed",
+            response_with_carried_seal(200),
+            "answered",
+        ),
         (
             "names itself",
-            RunnerResponse { runner: Some(runner.to_string()), ..response_with_carried_seal(200) },
+            RunnerResponse {
+                runner: Some(runner.to_string()),
+                ..response_with_carried_seal(200)
+            },
             "answered",
         ),
         (
             "another identity",
-            RunnerResponse { idempotency_key: other_name(), ..response_with_carried_seal(200) },
+            RunnerResponse {
+                idempotency_key: other_name(),
+                ..response_with_carried_seal(200)
+            },
             "lost",
         ),
         (
             "another function",
-            RunnerResponse { function: Some(other_name()), ..response_with_carried_seal(200) },
+            RunnerResponse {
+                function: Some(other_name()),
+                ..response_with_carried_seal(200)
+            },
             "lost",
         ),
         (
             "names another",
-            RunnerResponse { runner: Some(other_name()), ..response_with_carried_seal(200) },
+            RunnerResponse {
+                runner: Some(other_name()),
+                ..response_with_carried_seal(200)
+            },
             "lost",
         ),
         (
             "no seal",
-            RunnerResponse { seal: String::new(), ..response_with_carried_seal(200) },
+            RunnerResponse {
+                seal: String::new(),
+                ..response_with_carried_seal(200)
+            },
             "lost",
         ),
         (
             "doubtful",
-            RunnerResponse { is_unreliable: true, ..response_with_carried_seal(200) },
+            RunnerResponse {
+                is_unreliable: true,
+                ..response_with_carried_seal(200)
+            },
             "lost",
         ),
         (
             "callers' fault without seal",
-            RunnerResponse { seal: String::new(), ..response_with_carried_seal(404) },
+            RunnerResponse {
+                seal: String::new(),
+                ..response_with_carried_seal(404)
+            },
             "answered",
         ),
         (
             "did not run",
-            RunnerResponse { did_not_run: true, ..response_with_carried_seal(503) },
+            RunnerResponse {
+                did_not_run: true,
+                ..response_with_carried_seal(503)
+            },
             "shed",
         ),
         (
@@ -480,11 +600,22 @@
             },
             "lost",
         ),
-        ("ran, yet says what promises the contrary", response_with_carried_seal(503), "lost"),
-        ("ran, yet asks to come back", response_with_carried_seal(429), "lost"),
+        (
+            "ran, yet says what promises the contrary",
+            response_with_carried_seal(503),
+            "lost",
+        ),
+        (
+            "ran, yet asks to come back",
+            response_with_carried_seal(429),
+            "lost",
+        ),
         (
             "its own failure",
-            RunnerResponse { seal: String::new(), ..response_with_carried_seal(500) },
+            RunnerResponse {
+                seal: String::new(),
+                ..response_with_carried_seal(500)
+            },
             "failed",
         ),
     ];
@@ -517,17 +648,24 @@
     bench.list_own_host();
     let mut forwarding = Forwarding::new(bench.now, bench.request());
     forwarding.advance(&bench.agent, bench.now);
-    let rejected =
-        RequestOutcome::NotRun { reason: RequestFailureReason::NotAllowed, retry_after_ms: 500 };
-    let step =
-        forwarding.forwarded(&bench.agent, bench.now, ForwardResult::Completed(rejected, None));
+    let rejected = RequestOutcome::NotRun {
+        reason: RequestFailureReason::NotAllowed,
+        retry_after_ms: 500,
+    };
+    let step = forwarding.forwarded(
+        &bench.agent,
+        bench.now,
+        ForwardResult::Completed(rejected, None),
+    );
     (bench, forwarding, step)
 }
 
 #[gtest]
 fn ingress_looks_up_again_once_it_has_the_holders_newer_spec() -> Result<()> {
     let (mut bench, mut forwarding, step) = spec_mismatch();
-    let ForwardingStep::Wait { wait_until } = step else { return fail!("the door does not wait") };
+    let ForwardingStep::Wait { wait_until } = step else {
+        return fail!("the door does not wait");
+    };
     verify_that!(wait_until, eq(bench.now + ms(300)))?;
     let unchanged = forwarding.advance(&bench.agent, bench.now + ms(100));
     verify_that!(matches!(unchanged, ForwardingStep::Wait { .. }), eq(true))?;
@@ -542,7 +680,10 @@
 fn a_lasting_spec_mismatch_is_rejected_with_a_short_retry_after() -> Result<()> {
     let (bench, mut forwarding, _) = spec_mismatch();
     let late = forwarding.advance(&bench.agent, bench.now + ms(300));
-    verify_that!(rejection(&late), some(eq((RequestFailureReason::NotAllowed, 200))))
+    verify_that!(
+        rejection(&late),
+        some(eq((RequestFailureReason::NotAllowed, 200)))
+    )
 }
 
 #[gtest]
@@ -574,7 +715,10 @@
 fn a_new_agent_is_not_ready() -> Result<()> {
     let agent: Arc<Agent<u64>> = Arc::new(Agent::new(host(), Rules::ALL_ENFORCED));
     verify_that!(agent.is_ready(START), eq(false))?;
-    verify_that!(agent.table.load().version(), eq(RoutingTable::empty().version()))
+    verify_that!(
+        agent.table.load().version(),
+        eq(RoutingTable::empty().version())
+    )
 }
 
 /// A daemon in another zone.
@@ -611,7 +755,12 @@
         };
         let suspected = LengthPrefixed(vec![instance]);
         let (put, removed) = (LengthPrefixed(Vec::new()), LengthPrefixed(Vec::new()));
-        self.receive(LeaderToDaemon::HostsDelta { number: 2, put, removed, suspected });
+        self.receive(LeaderToDaemon::HostsDelta {
+            number: 2,
+            put,
+            removed,
+            suspected,
+        });
     }
 }
 
@@ -626,7 +775,13 @@
         let deadline = bench.now + ms(budget);
         let mut forwarding = Forwarding::new(
             bench.now,
-            FunctionRequest { hops: 1, wants_referral, payload, deadline, ..bench.request() },
+            FunctionRequest {
+                hops: 1,
+                wants_referral,
+                payload,
+                deadline,
+                ..bench.request()
+            },
         );
         forwarding.advance(&bench.agent, bench.now)
     };
@@ -635,7 +790,10 @@
         rejection(&named).map(|(reason, _)| reason),
         some(eq(RequestFailureReason::NotHolder))
     )?;
-    verify_that!(matches!(named, ForwardingStep::End(_, Some(host)) if host == holder), eq(true))?;
+    verify_that!(
+        matches!(named, ForwardingStep::End(_, Some(host)) if host == holder),
+        eq(true)
+    )?;
     let is_forwarded = |step: ForwardingStep<u64>| matches!(step, ForwardingStep::Forward { .. });
     verify_that!(is_forwarded(step_for(false, 100, 2000)), eq(true))?;
     verify_that!(is_forwarded(step_for(true, 1 << 20, 2000)), eq(true))?;
@@ -648,8 +806,10 @@
     let bench = DaemonBench::serving_with(vec![holder.clone(), remote_host("daemon-3", 5)]);
     let mut forwarding = Forwarding::new(bench.now, bench.request());
     forwarding.advance(&bench.agent, bench.now);
-    let named =
-        || RequestOutcome::NotRun { reason: RequestFailureReason::NotHolder, retry_after_ms: 50 };
+    let named = || RequestOutcome::NotRun {
+        reason: RequestFailureReason::NotHolder,
+        retry_after_ms: 50,
+    };
     let end = ForwardResult::Completed(named(), Some(holder.clone()));
     let ForwardingStep::Forward { host, body, .. } =
         forwarding.forwarded(&bench.agent, bench.now, end)
@@ -658,7 +818,13 @@
     };
     verify_that!(host, eq(&holder))?;
     verify_that!(
-        matches!(body, DaemonMessage::FunctionRequest { wants_referral: Flag(false), .. }),
+        matches!(
+            body,
+            DaemonMessage::FunctionRequest {
+                wants_referral: Flag(false),
+                ..
+            }
+        ),
         eq(true)
     )?;
     let retried = forwarding.forwarded(
@@ -674,11 +840,19 @@
     let bench = DaemonBench::serving_with(vec![remote_host("daemon-2", 4)]);
     let mut forwarding = Forwarding::new(bench.now, bench.request());
     forwarding.advance(&bench.agent, bench.now);
-    let result =
-        RequestOutcome::NotRun { reason: RequestFailureReason::NoOwner, retry_after_ms: 1733 };
-    let step =
-        forwarding.forwarded(&bench.agent, bench.now, ForwardResult::Completed(result, None));
-    verify_that!(rejection(&step), some(eq((RequestFailureReason::NoOwner, 1733))))
+    let result = RequestOutcome::NotRun {
+        reason: RequestFailureReason::NoOwner,
+        retry_after_ms: 1733,
+    };
+    let step = forwarding.forwarded(
+        &bench.agent,
+        bench.now,
+        ForwardResult::Completed(result, None),
+    );
+    verify_that!(
+        rejection(&step),
+        some(eq((RequestFailureReason::NoOwner, 1733)))
+    )
 }
 
 #[gtest]
@@ -690,18 +864,28 @@
     let first = forwarding.advance(&bench.agent, bench.now);
     verify_that!(matches!(first, ForwardingStep::Forward { .. }), eq(true))?;
     bench.mark_suspected(&holder);
-    verify_that!(is_current_owner(&holder, &bench.agent.hosts.load()), eq(false))?;
+    verify_that!(
+        is_current_owner(&holder, &bench.agent.hosts.load()),
+        eq(false)
+    )?;
     let step = forwarding.forwarded(&bench.agent, bench.now, ForwardResult::Lost);
-    let ForwardingStep::Wait { wait_until } = step else { return fail!("it does not go on") };
+    let ForwardingStep::Wait { wait_until } = step else {
+        return fail!("it does not go on");
+    };
     verify_that!(forwarding.request().repeat, eq(true))?;
     let acquiring = forwarding.advance(&bench.agent, wait_until);
-    verify_that!(matches!(acquiring, ForwardingStep::Acquire { .. }), eq(true))?;
+    verify_that!(
+        matches!(acquiring, ForwardingStep::Acquire { .. }),
+        eq(true)
+    )?;
     let result = Some(AcquireResult::RetryLater { wait_ms: 2300 });
     let step = forwarding.acquired(&bench.agent, wait_until, result);
     let is_unknown = matches!(
         step,
         ForwardingStep::End(
-            RequestOutcome::Unknown { reason: RequestFailureReason::HolderUnreachable },
+            RequestOutcome::Unknown {
+                reason: RequestFailureReason::HolderUnreachable
+            },
             _
         )
     );
@@ -718,7 +902,10 @@
     let mut forwarding = Forwarding::new(bench.now, bench.request());
     forwarding.advance(&bench.agent, bench.now);
     let step = forwarding.forwarded(&bench.agent, bench.now, ForwardResult::Lost);
-    verify_that!(matches!(step, ForwardingStep::End(RequestOutcome::Unknown { .. }, _)), eq(true))
+    verify_that!(
+        matches!(step, ForwardingStep::End(RequestOutcome::Unknown { .. }, _)),
+        eq(true)
+    )
 }
 
 #[gtest]
@@ -730,7 +917,9 @@
 }
 
 fn is_holder_unreachable<W>(step: &ForwardingStep<W>) -> bool {
-    let suspected = RequestOutcome::Unknown { reason: RequestFailureReason::HolderUnreachable };
+    let suspected = RequestOutcome::Unknown {
+        reason: RequestFailureReason::HolderUnreachable,
+    };
     matches!(step, ForwardingStep::End(outcome, _) if *outcome == suspected)
 }
 
@@ -743,10 +932,17 @@
     bench.agent.cache_owner(&bench.key("f"), &holder);
     let mut intermediate = Forwarding::new(
         bench.now,
-        FunctionRequest { hops: 1, wants_referral: false, ..bench.request() },
+        FunctionRequest {
+            hops: 1,
+            wants_referral: false,
+            ..bench.request()
+        },
     );
     let forwarding_step = intermediate.advance(&bench.agent, bench.now);
-    verify_that!(matches!(forwarding_step, ForwardingStep::Forward { .. }), eq(true))?;
+    verify_that!(
+        matches!(forwarding_step, ForwardingStep::Forward { .. }),
+        eq(true)
+    )?;
     let step = intermediate.forwarded(&bench.agent, bench.now, ForwardResult::Lost);
     verify_that!(is_holder_unreachable(&step), eq(true))?;
 
@@ -755,7 +951,9 @@
     at_ingress.advance(&bench.agent, bench.now);
     let result = || {
         ForwardResult::Completed(
-            RequestOutcome::Unknown { reason: RequestFailureReason::HolderUnreachable },
+            RequestOutcome::Unknown {
+                reason: RequestFailureReason::HolderUnreachable,
+            },
             None,
         )
     };
@@ -824,7 +1022,11 @@
     });
     assert!(has_claimed_nothing);
     let correlation = late_renewal.expect("a renewal");
-    bench.receive(LeaderToDaemon::Renewed { correlation, lease_ms: 2400, version: Version(2) });
+    bench.receive(LeaderToDaemon::Renewed {
+        correlation,
+        lease_ms: 2400,
+        version: Version(2),
+    });
     assert!(bench.agent.is_serving(bench.now));
     (bench, acquire_request)
 }
@@ -835,13 +1037,19 @@
     let (mut bench, acquire_request) = renewed_after_release(rules);
     let function = bench.key("f");
     let outputs = bench.receive(granted_frame(acquire_request, &function));
-    (bench.agent.held(&function, LATE_LEASE).is_some(), releases_lease(&outputs))
+    (
+        bench.agent.held(&function, LATE_LEASE).is_some(),
+        releases_lease(&outputs),
+    )
 }
 
 #[gtest]
 fn a_lease_requested_before_everything_was_released_is_released() -> Result<()> {
     verify_that!(leased_after_release(Rules::ALL_ENFORCED), eq((false, true)))?;
-    verify_that!(leased_after_release(Rules::without(Rule::StaleLeaseReturned)), eq((true, false)))
+    verify_that!(
+        leased_after_release(Rules::without(Rule::StaleLeaseReturned)),
+        eq((true, false))
+    )
 }
 
 /// The leader names a standing grant again to a question that crossed the word that it was given back.
@@ -849,7 +1057,9 @@
 fn a_released_lease_is_not_accepted_from_a_later_answer() -> Result<()> {
     let (mut bench, acquire_request) = renewed_after_release(Rules::ALL_ENFORCED);
     let function = bench.key("f");
-    let outputs = bench.controller.acquire(&bench.agent, bench.now, function.clone());
+    let outputs = bench
+        .controller
+        .acquire(&bench.agent, bench.now, function.clone());
     let later_acquire_request = acquire_correlation(&outputs).expect("a question");
     verify_that!(
         releases_lease(&bench.receive(granted_frame(acquire_request, &function))),
--- a/crates/dataplane/tests/control_session.rs
+++ b/crates/dataplane/tests/control_session.rs
@@ -33,7 +33,14 @@
 fn control_session() -> ControlSession {
     let seeds = vec![address(1), address(2), address(3)];
     let timing = ControlSessionTiming::builder().build();
-    ControlSession::new(START, timing, host("th-1", 1), address(8), seeds, SeededRng::seeded(4))
+    ControlSession::new(
+        START,
+        timing,
+        host("th-1", 1),
+        address(8),
+        seeds,
+        SeededRng::seeded(4),
+    )
 }
 
 fn dialed(outputs: &[ControlSessionOutput]) -> Option<SocketAddress> {
@@ -60,7 +67,11 @@
 }
 
 fn renewed(correlation: CorrelationId, version: u64) -> LeaderToDaemon {
-    LeaderToDaemon::Renewed { correlation, lease_ms: 2000, version: Version(version) }
+    LeaderToDaemon::Renewed {
+        correlation,
+        lease_ms: 2000,
+        version: Version(version),
+    }
 }
 
 #[gtest]
@@ -71,12 +82,16 @@
     verify_that!(control_session.lease_end(), eq(START + ms(2000)))?;
     let before = control_session.tick(START + ms(1999));
     verify_that!(
-        before.iter().any(|output| matches!(output, ControlSessionOutput::LeaseEnded)),
+        before
+            .iter()
+            .any(|output| matches!(output, ControlSessionOutput::LeaseEnded)),
         eq(false)
     )?;
     let at_end = control_session.tick(START + ms(2000));
     verify_that!(
-        at_end.iter().any(|output| matches!(output, ControlSessionOutput::LeaseEnded)),
+        at_end
+            .iter()
+            .any(|output| matches!(output, ControlSessionOutput::LeaseEnded)),
         eq(true)
     )
 }
@@ -113,7 +128,9 @@
         if let Some(dialed_address) = dialed(&outputs) {
             later_addresses.push(dialed_address);
             control_session.connected(now);
-            let hint = LeaderToDaemon::Redirect { leader: first_address };
+            let hint = LeaderToDaemon::Redirect {
+                leader: first_address,
+            };
             control_session.received(now, hint);
         }
     }
@@ -133,7 +150,12 @@
             Some(dialed_address) if dialed_address == first_address => break,
             Some(_) => {
                 control_session.connected(now);
-                control_session.received(now, LeaderToDaemon::Redirect { leader: first_address });
+                control_session.received(
+                    now,
+                    LeaderToDaemon::Redirect {
+                        leader: first_address,
+                    },
+                );
             }
             None => {}
         }
@@ -156,12 +178,20 @@
     control_session.received(START, LeaderToDaemon::Redirect { leader: address(3) });
     verify_that!(dialed(&control_session.tick(START)), some(eq(address(3))))?;
     control_session.connected(START);
-    control_session.received(START + ms(2), LeaderToDaemon::Redirect { leader: address(2) });
+    control_session.received(
+        START + ms(2),
+        LeaderToDaemon::Redirect { leader: address(2) },
+    );
     verify_that!(dialed(&control_session.tick(START + ms(2))), none())?;
     let mut paused = self::control_session();
     paused.tick(START);
     paused.connected(START);
-    paused.received(START, LeaderToDaemon::Redirect { leader: SocketAddress::UNSPECIFIED });
+    paused.received(
+        START,
+        LeaderToDaemon::Redirect {
+            leader: SocketAddress::UNSPECIFIED,
+        },
+    );
     verify_that!(dialed(&paused.tick(START + ms(29))), none())?;
     verify_that!(dialed(&paused.tick(START + ms(61))), some(anything()))
 }
@@ -178,7 +208,9 @@
     let outputs =
         control_session.received(later_instant, LeaderToDaemon::Welcome { term: Term(1) });
     verify_that!(
-        outputs.iter().any(|output| matches!(output, ControlSessionOutput::Hangup)),
+        outputs
+            .iter()
+            .any(|output| matches!(output, ControlSessionOutput::Hangup)),
         eq(true)
     )?;
     verify_that!(control_session.is_welcomed(), eq(false))
@@ -194,13 +226,19 @@
     };
     let mut control_session = control_session();
     control_session.tick(START);
-    verify_that!(hello_fields(&control_session.connected(START + ms(40))), eq((40, false)))?;
+    verify_that!(
+        hello_fields(&control_session.connected(START + ms(40))),
+        eq((40, false))
+    )?;
     control_session.received(START + ms(41), LeaderToDaemon::Welcome { term: Term(2) });
     let correlation = renewal(&control_session.tick(START + ms(41))).expect("a renewal");
     control_session.received(START + ms(45), renewed(correlation, 0));
     control_session.disconnected(START + ms(300));
     control_session.tick(START + ms(600));
-    verify_that!(hello_fields(&control_session.connected(START + ms(601))), eq((601, true)))
+    verify_that!(
+        hello_fields(&control_session.connected(START + ms(601))),
+        eq((601, true))
+    )
 }
 
 #[gtest]
@@ -227,7 +265,10 @@
     let mut control_session = control_session();
     welcomed(&mut control_session);
     let is_given_up = |control_session: &mut ControlSession, at: MonotonicTime| {
-        control_session.tick(at).iter().any(|output| matches!(output, ControlSessionOutput::Hangup))
+        control_session
+            .tick(at)
+            .iter()
+            .any(|output| matches!(output, ControlSessionOutput::Hangup))
     };
     let mut now = START;
     for _ in 0..10 {
--- a/crates/dataplane/tests/costs/mod.rs
+++ b/crates/dataplane/tests/costs/mod.rs
@@ -68,9 +68,14 @@
 
 /// Rates of so many functions, falling with their place to a power.
 pub fn spread(count: usize, all_rate: f64, power: f64) -> Vec<f64> {
-    let shares: Vec<f64> = (1..=count).map(|address| 1.0 / (address as f64).powf(power)).collect();
+    let shares: Vec<f64> = (1..=count)
+        .map(|address| 1.0 / (address as f64).powf(power))
+        .collect();
     let total_share: f64 = shares.iter().sum();
-    shares.into_iter().map(|share| all_rate * share / total_share).collect()
+    shares
+        .into_iter()
+        .map(|share| all_rate * share / total_share)
+        .collect()
 }
 
 /// What a day came to.
@@ -219,7 +224,8 @@
 
     fn schedule(&mut self, number: usize, after: Duration, event: SimEvent) {
         self.next_event += 1;
-        self.events.insert((self.now + after, self.next_event), (number, event));
+        self.events
+            .insert((self.now + after, self.next_event), (number, event));
     }
 
     fn begin(&mut self, number: usize) {
@@ -236,7 +242,12 @@
         let call_stream = self.functions[number].call_stream;
         let passed = self.now.since(START + WARM_UP).as_secs_f64();
         let is_crowd = (CROWD.0..CROWD.1).contains(&passed);
-        let rate = call_stream.rate * if is_crowd { call_stream.crowd_factor } else { 1.0 };
+        let rate = call_stream.rate
+            * if is_crowd {
+                call_stream.crowd_factor
+            } else {
+                1.0
+            };
         let next_gap = -self.rng.fraction().max(1e-9).ln() / rate;
         Duration::from_secs_f64(next_gap)
     }
@@ -289,7 +300,13 @@
                     self.schedule(number, next_gap, SimEvent::Arrival);
                     self.begin(number);
                     self.costs_report.calls += 1;
-                    self.submit(number, Call { first_at: now, max_attempts: 1 });
+                    self.submit(
+                        number,
+                        Call {
+                            first_at: now,
+                            max_attempts: 1,
+                        },
+                    );
                 }
                 return;
             }
@@ -302,10 +319,16 @@
             SimEvent::Reserved => {
                 let functions = &mut self.functions[number];
                 functions.next_runner += 1;
-                let runner =
-                    RunnerId { fencing_token: FencingToken(1), ordinal: functions.next_runner };
+                let runner = RunnerId {
+                    fencing_token: FencingToken(1),
+                    ordinal: functions.next_runner,
+                };
                 let memory_mb = functions.call_stream.profile.memory_mb;
-                let result = ReserveResult::Reserved { runner, worker: "w".into(), memory_mb };
+                let result = ReserveResult::Reserved {
+                    runner,
+                    worker: "w".into(),
+                    memory_mb,
+                };
                 functions.holder.reserved(now, &result)
             }
             SimEvent::Started(runner) => {
@@ -313,7 +336,9 @@
                     name: format!("life {runner}").into(),
                     address: SocketAddress::UNSPECIFIED,
                 };
-                self.functions[number].holder.started(now, runner, StartOutcome::Started(instance))
+                self.functions[number]
+                    .holder
+                    .started(now, runner, StartOutcome::Started(instance))
             }
             SimEvent::Probed(runner) => {
                 let functions = &mut self.functions[number];
@@ -340,7 +365,9 @@
 
     fn charge(&mut self, number: usize, runner: RunnerId) {
         let functions = &mut self.functions[number];
-        let Some(sim_runner) = functions.runners.remove(&runner) else { return };
+        let Some(sim_runner) = functions.runners.remove(&runner) else {
+            return;
+        };
         let gb = f64::from(functions.call_stream.profile.memory_mb) / 1024.0;
         let gb_seconds = gb * self.now.since(sim_runner.begun_at).as_secs_f64();
         self.costs_report.gb_seconds += gb_seconds;
@@ -376,7 +403,9 @@
 
     fn finish_call(&mut self, number: usize, ticket: Ticket, outcome: &RequestOutcome) {
         let functions = &mut self.functions[number];
-        let Some(call) = functions.calls.remove(&ticket) else { return };
+        let Some(call) = functions.calls.remove(&ticket) else {
+            return;
+        };
         let profile = functions.call_stream.profile;
         let taken_span = self.now.since(call.first_at);
         let remaining_time = profile.timeout.saturating_sub(taken_span);
@@ -399,7 +428,10 @@
                 self.schedule(
                     number,
                     pause,
-                    SimEvent::Retry(Call { max_attempts: call.max_attempts + 1, ..call }),
+                    SimEvent::Retry(Call {
+                        max_attempts: call.max_attempts + 1,
+                        ..call
+                    }),
                 );
             }
             _ => {
@@ -439,7 +471,11 @@
             running: 0,
             used: false,
         };
-        if self.functions[number].runners.insert(runner, sim_runner).is_none() {
+        if self.functions[number]
+            .runners
+            .insert(runner, sim_runner)
+            .is_none()
+        {
             self.costs_report.starts += 1;
             self.costs_report.start_cost += self.prices.start;
         }
@@ -461,9 +497,13 @@
         if sim_runner.running >= profile.slots {
             sim_runner.running += 1;
             functions.rejected_at.push_back(now);
-            functions.rejected_at.retain(|at| now.since(*at) < REJECTION_WINDOW);
-            self.costs_report.max_rejections =
-                self.costs_report.max_rejections.max(functions.rejected_at.len());
+            functions
+                .rejected_at
+                .retain(|at| now.since(*at) < REJECTION_WINDOW);
+            self.costs_report.max_rejections = self
+                .costs_report
+                .max_rejections
+                .max(functions.rejected_at.len());
             let end = SendResult::RejectedByRunner;
             return self.schedule(
                 number,
@@ -484,7 +524,11 @@
             body: Vec::new().into(),
         };
         let end = SendResult::Answered(outcome);
-        self.schedule(number, work.mul_f64(slowness), SimEvent::SendFinished(ticket, end, runner));
+        self.schedule(
+            number,
+            work.mul_f64(slowness),
+            SimEvent::SendFinished(ticket, end, runner),
+        );
     }
 }
 
--- a/crates/dataplane/tests/failure_detector.rs
+++ b/crates/dataplane/tests/failure_detector.rs
@@ -20,7 +20,10 @@
 }
 
 fn address(number: usize) -> SocketAddress {
-    SocketAddress(std::net::SocketAddrV4::new([10, 0, 0, 1].into(), 7000 + number as u16))
+    SocketAddress(std::net::SocketAddrV4::new(
+        [10, 0, 0, 1].into(),
+        7000 + number as u16,
+    ))
 }
 
 fn host(number: usize, incarnation: u64) -> Host {
@@ -35,16 +38,31 @@
 }
 
 fn instance(number: usize, incarnation: u64) -> MemberIncarnation {
-    MemberIncarnation { member: format!("th-{number}").into(), incarnation: incarnation.into() }
+    MemberIncarnation {
+        member: format!("th-{number}").into(),
+        incarnation: incarnation.into(),
+    }
 }
 
 fn heartbeat(number: usize, incarnation: u64, suspicions: Vec<Suspicion>) -> Heartbeat {
-    let MemberIncarnation { member, incarnation } = instance(number, incarnation);
-    Heartbeat { member, incarnation, count: 1, suspicions: LengthPrefixed(suspicions) }
+    let MemberIncarnation {
+        member,
+        incarnation,
+    } = instance(number, incarnation);
+    Heartbeat {
+        member,
+        incarnation,
+        count: 1,
+        suspicions: LengthPrefixed(suspicions),
+    }
 }
 
 fn alive_members(failure_detector: &FailureDetector, now: MonotonicTime) -> Vec<String> {
-    failure_detector.alive(now).iter().map(|host| host.member.to_string()).collect()
+    failure_detector
+        .alive(now)
+        .iter()
+        .map(|host| host.member.to_string())
+        .collect()
 }
 
 /// A fleet of watches under virtual time, with a leader that believes every word it is told.
@@ -64,7 +82,10 @@
 impl Fleet {
     fn new(count: usize, seed: u64, loss: f64) -> Self {
         let hosts: Vec<Host> = (0..count).map(|number| host(number, 1)).collect();
-        let detectors = hosts.iter().map(|host| Some(FailureDetector::new(host.clone()))).collect();
+        let detectors = hosts
+            .iter()
+            .map(|host| Some(FailureDetector::new(host.clone())))
+            .collect();
         let mut fleet = Self {
             detectors,
             hosts,
@@ -149,9 +170,16 @@
     fn believing_alive(&self, number: usize) -> usize {
         let member = &self.hosts[number].member;
         let believes_alive = |failure_detector: &&FailureDetector| {
-            failure_detector.alive(self.now).iter().any(|host| host.member == *member)
+            failure_detector
+                .alive(self.now)
+                .iter()
+                .any(|host| host.member == *member)
         };
-        self.detectors.iter().flatten().filter(believes_alive).count()
+        self.detectors
+            .iter()
+            .flatten()
+            .filter(believes_alive)
+            .count()
     }
 }
 
@@ -179,7 +207,10 @@
         fleet.loss = 0.0;
         fleet.run(FAILURE_TIMEOUT * 3);
         for number in (0..10).filter(|number| *number != 4) {
-            verify_that!((seed, number, fleet.believing_alive(number)), eq((seed, number, 9)))?;
+            verify_that!(
+                (seed, number, fleet.believing_alive(number)),
+                eq((seed, number, 9))
+            )?;
         }
         verify_that!((seed, fleet.believing_alive(4)), eq((seed, 0)))?;
     }
@@ -205,11 +236,23 @@
     for now in [START + ms(300), START + ms(600), late] {
         failure_detector.tick(now);
     }
-    verify_that!(failure_detector.received(late, &heartbeat(9, 1, vec![])), eq(false))?;
-    verify_that!(failure_detector.received(late, &heartbeat(2, 4, vec![])), eq(false))?;
-    verify_that!(alive_members(&failure_detector, late), elements_are![eq("th-1")])?;
+    verify_that!(
+        failure_detector.received(late, &heartbeat(9, 1, vec![])),
+        eq(false)
+    )?;
+    verify_that!(
+        failure_detector.received(late, &heartbeat(2, 4, vec![])),
+        eq(false)
+    )?;
+    verify_that!(
+        alive_members(&failure_detector, late),
+        elements_are![eq("th-1")]
+    )?;
     verify_that!(failure_detector.ignored_count(), eq(2))?;
-    verify_that!(failure_detector.received(late, &heartbeat(2, 5, vec![])), eq(true))?;
+    verify_that!(
+        failure_detector.received(late, &heartbeat(2, 5, vec![])),
+        eq(true)
+    )?;
     verify_that!(
         failure_detector.tick(late),
         contains(eq(&FailureDetectorOutput::MemberRecovered(instance(2, 5))))
@@ -222,7 +265,10 @@
     let mut failure_detector = FailureDetector::new(host(1, 1));
     failure_detector.set_host_list(START, 1, vec![host(1, 1), host(2, 5)], Vec::new());
     failure_detector.tick(START);
-    let suspicion = Suspicion { instance: instance(1, 1), remaining_relays: MAX_RELAYS };
+    let suspicion = Suspicion {
+        instance: instance(1, 1),
+        remaining_relays: MAX_RELAYS,
+    };
     failure_detector.received(START + ms(20), &heartbeat(2, 5, vec![suspicion]));
     verify_that!(failure_detector.next_due(), le(START + ms(20)))?;
     let outputs = failure_detector.tick(START + ms(20));
@@ -247,7 +293,10 @@
     let mut failure_detector = FailureDetector::new(host(0, 1));
     failure_detector.set_host_list(START, 1, hosts, Vec::new());
     failure_detector.tick(START);
-    let suspicion = Suspicion { instance: instance(5, 1), remaining_relays: 1 };
+    let suspicion = Suspicion {
+        instance: instance(5, 1),
+        remaining_relays: 1,
+    };
     failure_detector.received(START, &heartbeat(2, 1, vec![suspicion]));
     verify_that!(alive_members(&failure_detector, START).len(), eq(9))?;
     let is_forwarded = failure_detector.tick(START + ms(250)).into_iter().any(
@@ -272,7 +321,10 @@
     let is_suspicion = |output: &FailureDetectorOutput| {
         matches!(output, FailureDetectorOutput::MemberSuspected(_))
     };
-    verify_that!(failure_detector.tick(resumed_at).iter().any(is_suspicion), eq(false))?;
+    verify_that!(
+        failure_detector.tick(resumed_at).iter().any(is_suspicion),
+        eq(false)
+    )?;
     verify_that!(alive_members(&failure_detector, resumed_at).len(), eq(2))
 }
 
--- a/crates/dataplane/tests/holder.rs
+++ b/crates/dataplane/tests/holder.rs
@@ -58,7 +58,14 @@
         replica: Option<Host>,
         previous_lease: Option<PreviousLease>,
     ) -> Self {
-        Self::build(slots, max_runners, once_wait, replica, previous_lease, Vec::new())
+        Self::build(
+            slots,
+            max_runners,
+            once_wait,
+            replica,
+            previous_lease,
+            Vec::new(),
+        )
     }
 
     fn with_adopted_runners(slots: u32, adopted: Vec<ClaimedRunner>) -> Self {
@@ -110,14 +117,22 @@
     }
 
     fn send_count(&self, ticket: Ticket) -> usize {
-        self.sent.iter().filter(|(sent, _, _)| *sent == ticket).count()
+        self.sent
+            .iter()
+            .filter(|(sent, _, _)| *sent == ticket)
+            .count()
     }
 
     fn take(&mut self, outputs: Vec<HolderOutput>) {
         for output in outputs {
             self.outputs.push(output.clone());
             match output {
-                HolderOutput::Send { ticket, runner, attempt, .. } => {
+                HolderOutput::Send {
+                    ticket,
+                    runner,
+                    attempt,
+                    ..
+                } => {
                     self.sent.push((ticket, runner, attempt));
                 }
                 HolderOutput::End { ticket, outcome } => {
@@ -125,10 +140,15 @@
                 }
                 HolderOutput::Report(HolderMessage::Reserve) => {
                     self.next_runner += 1;
-                    let runner =
-                        RunnerId { fencing_token: FencingToken(1), ordinal: self.next_runner };
-                    let result =
-                        ReserveResult::Reserved { runner, worker: "w".into(), memory_mb: 100 };
+                    let runner = RunnerId {
+                        fencing_token: FencingToken(1),
+                        ordinal: self.next_runner,
+                    };
+                    let result = ReserveResult::Reserved {
+                        runner,
+                        worker: "w".into(),
+                        memory_mb: 100,
+                    };
                     let outputs = self.holder.reserved(self.now, &result);
                     self.take(outputs);
                 }
@@ -138,7 +158,8 @@
                         address: SocketAddress::UNSPECIFIED,
                     };
                     let outputs =
-                        self.holder.started(self.now, runner, StartOutcome::Started(instance));
+                        self.holder
+                            .started(self.now, runner, StartOutcome::Started(instance));
                     self.take(outputs);
                 }
                 HolderOutput::Probe { runner, .. } => {
@@ -237,16 +258,22 @@
     bench.end(first, SendResult::Lost);
     verify_that!(
         bench.ended.get(&first),
-        some(eq(&RequestOutcome::Unknown { reason: RequestFailureReason::ResponseLost }))
+        some(eq(&RequestOutcome::Unknown {
+            reason: RequestFailureReason::ResponseLost
+        }))
     )?;
     let sent_before = bench.sent.len();
     bench.submit("b", true, false);
     verify_that!(bench.sent.len(), eq(sent_before))?;
     let still_running =
-        bench.holder.running_listed(bench.now + ms(300), runner, Some(vec!["a".into()]));
+        bench
+            .holder
+            .running_listed(bench.now + ms(300), runner, Some(vec!["a".into()]));
     bench.take(still_running);
     verify_that!(bench.sent.len(), eq(sent_before))?;
-    let done = bench.holder.running_listed(bench.now + ms(300), runner, Some(Vec::new()));
+    let done = bench
+        .holder
+        .running_listed(bench.now + ms(300), runner, Some(Vec::new()));
     bench.take(done);
     verify_that!(bench.sent.len(), eq(sent_before + 1))
 }
@@ -268,9 +295,15 @@
     let repeated = bench.submit("only", true, false).1;
     verify_that!(
         repeated,
-        some(eq(&RequestOutcome::Unknown { reason: RequestFailureReason::ResponseLost }))
+        some(eq(&RequestOutcome::Unknown {
+            reason: RequestFailureReason::ResponseLost
+        }))
     )?;
-    let sends = bench.sent.iter().filter(|(sent, _, _)| *sent == ticket).count();
+    let sends = bench
+        .sent
+        .iter()
+        .filter(|(sent, _, _)| *sent == ticket)
+        .count();
     verify_that!(sends, eq(1))
 }
 
@@ -306,13 +339,18 @@
     bench.end(ticket, SendResult::RejectedByRunner);
     verify_that!(
         bench.ended.get(&ticket),
-        some(eq(&RequestOutcome::Unknown { reason: RequestFailureReason::ResponseLost }))
+        some(eq(&RequestOutcome::Unknown {
+            reason: RequestFailureReason::ResponseLost
+        }))
     )
 }
 
 fn adopted_runner() -> ClaimedRunner {
     ClaimedRunner {
-        runner: RunnerId { fencing_token: FencingToken(1), ordinal: 77 },
+        runner: RunnerId {
+            fencing_token: FencingToken(1),
+            ordinal: 77,
+        },
         worker: "w".into(),
         memory_mb: 100,
         instance: LengthPrefixed(vec![Instance {
@@ -332,19 +370,34 @@
     for number in 0..6 {
         bench.submit(&format!("t{number}"), false, false);
     }
-    let adopted_sends = bench.sent.iter().filter(|(_, runner, _)| runner.ordinal == 77).count();
+    let adopted_sends = bench
+        .sent
+        .iter()
+        .filter(|(_, runner, _)| runner.ordinal == 77)
+        .count();
     verify_that!(adopted_sends, eq(4))?;
     let (first, runner, _) = bench.sent[0];
     bench.answer(first, runner);
-    let adopted_sends = bench.sent.iter().filter(|(_, runner, _)| runner.ordinal == 77).count();
+    let adopted_sends = bench
+        .sent
+        .iter()
+        .filter(|(_, runner, _)| runner.ordinal == 77)
+        .count();
     verify_that!(adopted_sends, eq(6))
 }
 
 #[gtest]
 fn a_start_is_retried_until_the_platform_names_the_instance() -> Result<()> {
     let mut bench = Bench::new(1, 1, Duration::ZERO);
-    let runner = RunnerId { fencing_token: FencingToken(1), ordinal: 5 };
-    let result = ReserveResult::Reserved { runner, worker: "w".into(), memory_mb: 100 };
+    let runner = RunnerId {
+        fencing_token: FencingToken(1),
+        ordinal: 5,
+    };
+    let result = ReserveResult::Reserved {
+        runner,
+        worker: "w".into(),
+        memory_mb: 100,
+    };
     let starts = |outputs: &[HolderOutput]| {
         let is_start = |output: &&HolderOutput| matches!(output, HolderOutput::Start { runner: started, .. } if *started == runner);
         outputs.iter().filter(is_start).count()
@@ -355,8 +408,13 @@
         bench.now = bench.now + ms(200);
         verify_that!(starts(&bench.holder.tick(bench.now)), eq(1))?;
     }
-    let instance = Instance { name: "l1".into(), address: SocketAddress::UNSPECIFIED };
-    let outputs = bench.holder.started(bench.now, runner, StartOutcome::Started(instance.clone()));
+    let instance = Instance {
+        name: "l1".into(),
+        address: SocketAddress::UNSPECIFIED,
+    };
+    let outputs = bench
+        .holder
+        .started(bench.now, runner, StartOutcome::Started(instance.clone()));
     let reported = outputs.iter().any(|output| {
         matches!(output, HolderOutput::Report(HolderMessage::RunnerStatus { runner_status: RunnerStatus::Started { instance: reported }, .. })
             if *reported == instance)
@@ -367,10 +425,19 @@
 #[gtest]
 fn a_full_worker_costs_the_reservation_and_another_is_requested() -> Result<()> {
     let mut bench = Bench::new(1, 1, Duration::ZERO);
-    let runner = RunnerId { fencing_token: FencingToken(1), ordinal: 5 };
-    let result = ReserveResult::Reserved { runner, worker: "w".into(), memory_mb: 100 };
+    let runner = RunnerId {
+        fencing_token: FencingToken(1),
+        ordinal: 5,
+    };
+    let result = ReserveResult::Reserved {
+        runner,
+        worker: "w".into(),
+        memory_mb: 100,
+    };
     bench.holder.reserved(bench.now, &result);
-    let outputs = bench.holder.started(bench.now, runner, StartOutcome::NoCapacity);
+    let outputs = bench
+        .holder
+        .started(bench.now, runner, StartOutcome::NoCapacity);
     let gone = outputs.iter().any(|output| {
         matches!(
             output,
@@ -383,8 +450,9 @@
     verify_that!(gone, eq(true))?;
     bench.now = bench.now + ms(500);
     let outputs = bench.holder.tick(bench.now);
-    let requests_another =
-        outputs.iter().any(|output| matches!(output, HolderOutput::Report(HolderMessage::Reserve)));
+    let requests_another = outputs
+        .iter()
+        .any(|output| matches!(output, HolderOutput::Report(HolderMessage::Reserve)));
     verify_that!(requests_another, eq(true))
 }
 
@@ -395,11 +463,18 @@
     let (running, _) = bench.submit("running", false, false);
     let (waiting, _) = bench.submit("waiting", false, false);
     let outputs = bench.holder.close(bench.now);
-    let stops = outputs.iter().filter(|output| matches!(output, HolderOutput::Stop { .. })).count();
+    let stops = outputs
+        .iter()
+        .filter(|output| matches!(output, HolderOutput::Stop { .. }))
+        .count();
     bench.take(outputs);
     let claim = bench.holder.claim();
-    let orphaned: Vec<&ClaimedRunner> =
-        claim.runners.0.iter().filter(|listed| listed.is_adoptable.0).collect();
+    let orphaned: Vec<&ClaimedRunner> = claim
+        .runners
+        .0
+        .iter()
+        .filter(|listed| listed.is_adoptable.0)
+        .collect();
     verify_that!(claim.is_releasing.0, eq(true))?;
     verify_that!(orphaned.len(), eq(1))?;
     verify_that!(orphaned[0].instance.0.len(), eq(1))?;
@@ -413,7 +488,9 @@
     verify_that!(bench.sent.len(), eq(sent_before))?;
     verify_that!(
         bench.ended.get(&running),
-        some(eq(&RequestOutcome::Unknown { reason: RequestFailureReason::ResponseLost }))
+        some(eq(&RequestOutcome::Unknown {
+            reason: RequestFailureReason::ResponseLost
+        }))
     )?;
     verify_that!(
         reason(&bench.submit("late", false, false).1),
@@ -443,8 +520,11 @@
             let (sent_ticket, runner, _) = *bench.sent.last().expect("sent");
             if outcome_is_lost && sent_ticket == ticket {
                 bench.end(sent_ticket, SendResult::Lost);
-                let repeated =
-                    bench.sent.last().filter(|last| last.0 == ticket && last.2 > 1).copied();
+                let repeated = bench
+                    .sent
+                    .last()
+                    .filter(|last| last.0 == ticket && last.2 > 1)
+                    .copied();
                 if let Some((again_ticket, again_runner, _)) = repeated {
                     extras.push(bench.now);
                     bench.answer(again_ticket, again_runner);
@@ -457,7 +537,9 @@
             bench.sent.iter().map(|(_, runner, _)| *runner).collect();
         for runner in settled_runners.into_iter().rev().take(3) {
             let outputs =
-                bench.holder.running_listed(bench.now + ms(300), runner, Some(Vec::new()));
+                bench
+                    .holder
+                    .running_listed(bench.now + ms(300), runner, Some(Vec::new()));
             bench.take(outputs);
         }
     }
@@ -489,7 +571,10 @@
 
 fn retry_of(outcome: &Option<RequestOutcome>) -> Option<(RequestFailureReason, u32)> {
     match outcome {
-        Some(RequestOutcome::NotRun { reason, retry_after_ms }) => Some((*reason, *retry_after_ms)),
+        Some(RequestOutcome::NotRun {
+            reason,
+            retry_after_ms,
+        }) => Some((*reason, *retry_after_ms)),
         _ => None,
     }
 }
@@ -501,24 +586,40 @@
     let once = retry_of(&waiting_for_ledger.submit("o", true, false).1);
     verify_that!(
         once,
-        some((eq(RequestFailureReason::OnceNotYetAdmitted), all![ge(100), le(3000)]))
+        some((
+            eq(RequestFailureReason::OnceNotYetAdmitted),
+            all![ge(100), le(3000)]
+        ))
     )?;
     let repeated = retry_of(&waiting_for_ledger.submit("o", true, false).1);
-    verify_that!(repeated, some((eq(RequestFailureReason::RejectedBefore), ge(100))))?;
+    verify_that!(
+        repeated,
+        some((eq(RequestFailureReason::RejectedBefore), ge(100)))
+    )?;
     let repeat = retry_of(&waiting_for_ledger.submit("r", false, true).1);
-    verify_that!(repeat, some((eq(RequestFailureReason::RetryBudgetSpent), eq(2000))))?;
+    verify_that!(
+        repeat,
+        some((eq(RequestFailureReason::RetryBudgetSpent), eq(2000)))
+    )?;
 
     let mut busy = Bench::new(1, 1, Duration::ZERO);
     busy.warm();
     let (running, _) = busy.submit("running", false, false);
     let runner = busy.sent[0].1;
-    let outputs = busy.holder.handle_send_result(busy.now, running, SendResult::RejectedByRunner);
+    let outputs = busy
+        .holder
+        .handle_send_result(busy.now, running, SendResult::RejectedByRunner);
     busy.take(outputs);
     let rejected = retry_of(&busy.ended.get(&running).cloned());
-    verify_that!(rejected, some((eq(RequestFailureReason::RejectedByRunner), ge(100))))?;
+    verify_that!(
+        rejected,
+        some((eq(RequestFailureReason::RejectedByRunner), ge(100)))
+    )?;
     let mut immediate = Vec::new();
     for number in 0..200 {
-        immediate.push(retry_of(&busy.submit(&format!("t{number}"), false, false).1));
+        immediate.push(retry_of(
+            &busy.submit(&format!("t{number}"), false, false).1,
+        ));
     }
     let reported: Vec<(RequestFailureReason, u32)> = immediate.into_iter().flatten().collect();
     verify_that!(reported.len(), ge(1))?;
@@ -537,7 +638,10 @@
     let outputs = barred.holder.handle_send_result(barred.now, ticket, end);
     barred.take(outputs);
     let reported = retry_of(&barred.ended.get(&ticket).cloned());
-    verify_that!(reported, some((eq(RequestFailureReason::NotAllowed), ge(100))))?;
+    verify_that!(
+        reported,
+        some((eq(RequestFailureReason::NotAllowed), ge(100)))
+    )?;
     verify_that!(runner.ordinal, gt(0))
 }
 
@@ -609,9 +713,12 @@
     bench.submit("only", true, false);
     let batch_id = records(&bench.outputs)[0];
     let outputs = bench.holder.recorded(bench.now, batch_id, false);
-    let asks_for_another = outputs
-        .iter()
-        .any(|output| matches!(output, HolderOutput::Report(HolderMessage::ReplicaLost { .. })));
+    let asks_for_another = outputs.iter().any(|output| {
+        matches!(
+            output,
+            HolderOutput::Report(HolderMessage::ReplicaLost { .. })
+        )
+    });
     bench.take(outputs);
     verify_that!(asks_for_another, eq(true))?;
     bench.advance(ms(40));
@@ -627,14 +734,20 @@
     }
     verify_that!(bench.sent.len(), eq(1))?;
     let reported_complete = bench.outputs.iter().any(|output| {
-        matches!(output, HolderOutput::Report(HolderMessage::ReplicaComplete { .. }))
+        matches!(
+            output,
+            HolderOutput::Report(HolderMessage::ReplicaComplete { .. })
+        )
     });
     verify_that!(reported_complete, eq(true))
 }
 
 #[gtest]
 fn a_successor_admits_at_once_and_reruns_nothing_in_the_collected_ledger() -> Result<()> {
-    let previous_lease = PreviousLease { replica: replica("s"), fencing_token: FencingToken(0) };
+    let previous_lease = PreviousLease {
+        replica: replica("s"),
+        fencing_token: FencingToken(0),
+    };
     let mut bench = Bench::with_replica(2, ms(5000), None, Some(previous_lease));
     bench.warm();
     let (known, _) = bench.submit("ran", true, false);
@@ -650,11 +763,15 @@
         state: LedgerRecordState::Rejected,
         remaining_ms: 9000,
     };
-    let outputs = bench.holder.collected(bench.now, Some(vec![line, rejected_request]));
+    let outputs = bench
+        .holder
+        .collected(bench.now, Some(vec![line, rejected_request]));
     bench.take(outputs);
     verify_that!(
         bench.ended.get(&known),
-        some(eq(&RequestOutcome::Unknown { reason: RequestFailureReason::AlreadyRan }))
+        some(eq(&RequestOutcome::Unknown {
+            reason: RequestFailureReason::AlreadyRan
+        }))
     )?;
     verify_that!(bench.sent.iter().any(|sent| sent.0 == fresh), eq(true))?;
     verify_that!(
@@ -665,7 +782,10 @@
 
 #[gtest]
 fn a_successor_without_the_ledger_rejects_until_the_wait_is_over() -> Result<()> {
-    let previous_lease = PreviousLease { replica: replica("s"), fencing_token: FencingToken(0) };
+    let previous_lease = PreviousLease {
+        replica: replica("s"),
+        fencing_token: FencingToken(0),
+    };
     let mut bench = Bench::with_replica(2, ms(2000), None, Some(previous_lease));
     bench.warm();
     let (early, _) = bench.submit("early", true, false);
@@ -680,7 +800,10 @@
 }
 
 fn ample_retry_budget() -> Tuning {
-    Tuning::builder().retry_allowance(50).retry_allowance_immediate(true).build()
+    Tuning::builder()
+        .retry_allowance(50)
+        .retry_allowance_immediate(true)
+        .build()
 }
 
 fn failed_at(runner: RunnerId) -> RequestOutcome {
@@ -707,13 +830,20 @@
         bench.max_attempts = max_attempts;
         let (ticket, _) = bench.submit("refused", false, false);
         for _ in 0..12 {
-            if bench.sent.last().is_some_and(|(sent, _, _)| *sent == ticket) {
+            if bench
+                .sent
+                .last()
+                .is_some_and(|(sent, _, _)| *sent == ticket)
+            {
                 bench.end(ticket, SendResult::RejectedByRunner);
             }
             bench.advance(ms(100));
         }
         verify_that!(bench.send_count(ticket), eq(expected_sends))?;
-        let Some(RequestOutcome::NotRun { reason, retry_after_ms }) = bench.ended.get(&ticket)
+        let Some(RequestOutcome::NotRun {
+            reason,
+            retry_after_ms,
+        }) = bench.ended.get(&ticket)
         else {
             return fail!("a transaction that never ran is not refused");
         };
@@ -793,7 +923,9 @@
         verify_that!(bench.ended.contains_key(&ticket), eq(true))?;
     }
     let mut flawed = Bench::new(2, 1, Duration::ZERO).with_tuning(ample_retry_budget());
-    flawed.holder = flawed.holder.with_rules(Rules::without(Rule::RepeatSentToOneRunner));
+    flawed.holder = flawed
+        .holder
+        .with_rules(Rules::without(Rule::RepeatSentToOneRunner));
     flawed.warm();
     flawed.max_attempts = 3;
     let (ticket, _) = flawed.submit("passed again", false, true);
@@ -815,7 +947,9 @@
     verify_that!(bench.send_count(ticket), eq(1))?;
     verify_that!(
         bench.ended.get(&ticket),
-        some(eq(&RequestOutcome::Unknown { reason: RequestFailureReason::ResponseLost }))
+        some(eq(&RequestOutcome::Unknown {
+            reason: RequestFailureReason::ResponseLost
+        }))
     )?;
     let records = |order: &HolderOutput| matches!(order, HolderOutput::Record { .. });
     verify_that!(bench.outputs.iter().any(records), eq(false))?;
@@ -851,7 +985,10 @@
         bench.outputs.clear();
         bench.advance(ms(1900));
         let stops = |bench: &Bench| {
-            bench.outputs.iter().any(|order| matches!(order, HolderOutput::Stop { .. }))
+            bench
+                .outputs
+                .iter()
+                .any(|order| matches!(order, HolderOutput::Stop { .. }))
         };
         verify_that!(stops(&bench), eq(false))?;
         for _ in 0..3 {
@@ -888,7 +1025,13 @@
         .into_iter()
         .map(|rank| {
             bench.rank = rank;
-            bench.submit(&format!("rank {rank} of {}", bench.next_ticket), false, false).0
+            bench
+                .submit(
+                    &format!("rank {rank} of {}", bench.next_ticket),
+                    false,
+                    false,
+                )
+                .0
         })
         .collect();
     bench.sent.clear();
@@ -899,7 +1042,10 @@
         bench.answer(ticket, runner);
     }
     let order: Vec<Ticket> = bench.sent.iter().map(|(ticket, _, _)| *ticket).collect();
-    verify_that!(order, eq(&vec![waiting[2], waiting[1], waiting[3], waiting[0]]))
+    verify_that!(
+        order,
+        eq(&vec![waiting[2], waiting[1], waiting[3], waiting[0]])
+    )
 }
 
 #[gtest]
@@ -929,7 +1075,10 @@
 #[gtest]
 fn a_rarely_called_function_is_stopped_soon_and_a_frequent_one_is_not() -> Result<()> {
     for (call_count, is_stopped) in [(1, true), (12, false)] {
-        let tuning = Tuning::builder().idle_startups(10).rare_idle_limit(Some(ms(200))).build();
+        let tuning = Tuning::builder()
+            .idle_startups(10)
+            .rare_idle_limit(Some(ms(200)))
+            .build();
         let mut bench = Bench::new(2, 4, Duration::ZERO).with_tuning(tuning);
         bench.warm();
         for number in 1..call_count {
@@ -941,8 +1090,10 @@
         bench.outputs.clear();
         bench.advance(ms(150));
         bench.advance(ms(150));
-        let is_ordered =
-            bench.outputs.iter().any(|order| matches!(order, HolderOutput::Stop { .. }));
+        let is_ordered = bench
+            .outputs
+            .iter()
+            .any(|order| matches!(order, HolderOutput::Stop { .. }));
         verify_that!(is_ordered, eq(is_stopped))?;
     }
     Ok(())
--- a/crates/dataplane/tests/holder_costs.rs
+++ b/crates/dataplane/tests/holder_costs.rs
@@ -10,8 +10,16 @@
     Duration::from_millis(millis)
 }
 
-const LOW_START_COST: Prices = Prices { gb_second: 0.96, start: 0.15, late_value_fraction: 0.5 };
-const HIGH_START_COST: Prices = Prices { gb_second: 1.2, start: 0.45, late_value_fraction: 0.3 };
+const LOW_START_COST: Prices = Prices {
+    gb_second: 0.96,
+    start: 0.15,
+    late_value_fraction: 0.5,
+};
+const HIGH_START_COST: Prices = Prices {
+    gb_second: 1.2,
+    start: 0.45,
+    late_value_fraction: 0.3,
+};
 
 const LARGE: FunctionProfile = FunctionProfile {
     memory_mb: 1024,
@@ -51,8 +59,14 @@
 };
 
 fn streams(profile: FunctionProfile, rates: Vec<f64>, crowd_factor: f64) -> Vec<CallStream> {
-    let mut all: Vec<CallStream> =
-        rates.into_iter().map(|rate| CallStream { profile, rate, crowd_factor: 1.0 }).collect();
+    let mut all: Vec<CallStream> = rates
+        .into_iter()
+        .map(|rate| CallStream {
+            profile,
+            rate,
+            crowd_factor: 1.0,
+        })
+        .collect();
     if let Some(first) = all.first_mut() {
         first.crowd_factor = crowd_factor;
     }
@@ -63,12 +77,42 @@
 #[gtest]
 fn daily_costs_stay_within_bounds() -> Result<()> {
     let days = [
-        ("few large", LOW_START_COST, streams(LARGE, spread(8, 240.0, 1.1), 1.0), 400.0),
-        ("few large, a crowd", LOW_START_COST, streams(LARGE, spread(8, 240.0, 1.1), 4.0), 760.0),
-        ("many small", LOW_START_COST, streams(SMALL, spread(150, 60.0, 1.1), 1.0), 310.0),
-        ("few desks", HIGH_START_COST, streams(LEADER, spread(6, 240.0, 0.8), 1.0), 220.0),
-        ("few desks, a crowd", HIGH_START_COST, streams(LEADER, spread(6, 240.0, 0.8), 4.0), 480.0),
-        ("many syncs", HIGH_START_COST, streams(SYNC, spread(60, 30.0, 1.1), 1.0), 350.0),
+        (
+            "few large",
+            LOW_START_COST,
+            streams(LARGE, spread(8, 240.0, 1.1), 1.0),
+            400.0,
+        ),
+        (
+            "few large, a crowd",
+            LOW_START_COST,
+            streams(LARGE, spread(8, 240.0, 1.1), 4.0),
+            760.0,
+        ),
+        (
+            "many small",
+            LOW_START_COST,
+            streams(SMALL, spread(150, 60.0, 1.1), 1.0),
+            310.0,
+        ),
+        (
+            "few desks",
+            HIGH_START_COST,
+            streams(LEADER, spread(6, 240.0, 0.8), 1.0),
+            220.0,
+        ),
+        (
+            "few desks, a crowd",
+            HIGH_START_COST,
+            streams(LEADER, spread(6, 240.0, 0.8), 4.0),
+            480.0,
+        ),
+        (
+            "many syncs",
+            HIGH_START_COST,
+            streams(SYNC, spread(60, 30.0, 1.1), 1.0),
+            350.0,
+        ),
     ];
     let mut over_bounds = Vec::new();
     for (name, prices, streams, bound) in days {
--- a/crates/dataplane/tests/http_forms.rs
+++ b/crates/dataplane/tests/http_forms.rs
@@ -47,7 +47,10 @@
 }
 
 fn runner() -> RunnerId {
-    RunnerId { fencing_token: FencingToken(0x5_0000_0007), ordinal: 0x2b }
+    RunnerId {
+        fencing_token: FencingToken(0x5_0000_0007),
+        ordinal: 0x2b,
+    }
 }
 
 fn address(text: &str) -> SocketAddress {
@@ -56,8 +59,11 @@
 
 /// Every reason there is, by its number on the wire.
 fn reasons() -> Vec<(u8, RequestFailureReason)> {
-    let read =
-        |number: u8| decode::<RequestFailureReason>(&[number]).ok().map(|reason| (number, reason));
+    let read = |number: u8| {
+        decode::<RequestFailureReason>(&[number])
+            .ok()
+            .map(|reason| (number, reason))
+    };
     (0..=u8::MAX).filter_map(read).collect()
 }
 
@@ -91,13 +97,21 @@
         for millis in [None, Some(0), Some(50), Some(1000), Some(1001)] {
             let header = (kind == NotRunKind::BadRequest).then_some(seal::TIMEOUT);
             let retry_after = millis.map(Duration::from_millis);
-            let caller_response =
-                CallerResponse::NotRun { kind, reason: "the_reason", header, retry_after };
+            let caller_response = CallerResponse::NotRun {
+                kind,
+                reason: "the_reason",
+                header,
+                retry_after,
+            };
             let message = wire::response(
                 NativeIngressCodec.write_response(Some(&idempotency_key), caller_response),
             )
             .await;
-            set_header(&mut text, &format!("not run, {kind_name}, {millis:?} ms"), &message);
+            set_header(
+                &mut text,
+                &format!("not run, {kind_name}, {millis:?} ms"),
+                &message,
+            );
         }
     }
     let unnamed = CallerResponse::NotRun {
@@ -112,8 +126,10 @@
         &wire::response(NativeIngressCodec.write_response(None, unnamed)).await,
     );
     for (number, reason) in reasons() {
-        let caller_response =
-            CallerResponse::Unknown { reason, retry_after: Duration::from_millis(1500) };
+        let caller_response = CallerResponse::Unknown {
+            reason,
+            retry_after: Duration::from_millis(1500),
+        };
         let message = wire::response(
             NativeIngressCodec.write_response(Some(&idempotency_key), caller_response),
         )
@@ -168,7 +184,11 @@
     while let Ok(DaemonFrame { correlation, .. }) = read_frame::<_, DaemonFrame>(&mut stream).await
     {
         let (outcome, holder) = (outcome.clone(), LengthPrefixed(Vec::new()));
-        let body = DaemonMessage::Completed { outcome, holder, regional_tenths: 0 };
+        let body = DaemonMessage::Completed {
+            outcome,
+            holder,
+            regional_tenths: 0,
+        };
         let mut sent = Vec::new();
         append_frame(&mut sent, &DaemonFrame { correlation, body }).expect("a frame");
         if stream.write_all(&sent).await.is_err() {
@@ -214,9 +234,15 @@
     let own_host = host("daemon-2", "10.0.0.2:7000");
     let state = State::without_control(startup, own_host, Rules::ALL_ENFORCED, adapters, connector);
     state.agent.table.store(Arc::new(table()));
-    state.agent.hosts.store(Arc::new(vec![host("daemon-1", "10.0.0.1:7000")]));
+    state
+        .agent
+        .hosts
+        .store(Arc::new(vec![host("daemon-1", "10.0.0.1:7000")]));
     if is_serving {
-        state.agent.serving_until.set(MonotonicTime::now() + SERVING);
+        state
+            .agent
+            .serving_until
+            .set(MonotonicTime::now() + SERVING);
     }
     Arc::new(state)
 }
@@ -240,7 +266,13 @@
     let mut text = String::new();
     for (number, reason) in reasons() {
         let outcomes = [
-            ("not run", RequestOutcome::NotRun { reason, retry_after_ms: 1234 }),
+            (
+                "not run",
+                RequestOutcome::NotRun {
+                    reason,
+                    retry_after_ms: 1234,
+                },
+            ),
             ("unknown", RequestOutcome::Unknown { reason }),
         ];
         for (outcome_name, outcome) in outcomes {
@@ -266,9 +298,17 @@
         ("answer", answer(200, "5ea1")),
         (
             "not run",
-            RequestOutcome::NotRun { reason: RequestFailureReason::QueueFull, retry_after_ms: 9 },
+            RequestOutcome::NotRun {
+                reason: RequestFailureReason::QueueFull,
+                retry_after_ms: 9,
+            },
+        ),
+        (
+            "unknown",
+            RequestOutcome::Unknown {
+                reason: RequestFailureReason::ResponseLost,
+            },
         ),
-        ("unknown", RequestOutcome::Unknown { reason: RequestFailureReason::ResponseLost }),
     ];
     for (what, outcome) in outcomes {
         let state = daemon(outcome, true);
@@ -297,27 +337,55 @@
     let budget = "rudder-budget-ms: 3000\n";
     let asked = [
         ("no identity", header_fields(identity, "")),
-        ("empty identity", header_fields(identity, "rudder-transaction:\n")),
-        ("identity with a blank", header_fields(identity, "rudder-transaction: a b\n")),
+        (
+            "empty identity",
+            header_fields(identity, "rudder-transaction:\n"),
+        ),
+        (
+            "identity with a blank",
+            header_fields(identity, "rudder-transaction: a b\n"),
+        ),
         ("identity of 128", header_fields("try-1", &"x".repeat(128))),
         ("identity of 129", header_fields("try-1", &"x".repeat(129))),
         ("every letter", header_fields("try-1", "aZ09-_.:")),
         ("no budget", header_fields(budget, "")),
-        ("budget of 0", header_fields(budget, "rudder-budget-ms: 0\n")),
-        ("budget of 60001", header_fields(budget, "rudder-budget-ms: 60001\n")),
-        ("budget of 60000", header_fields(budget, "rudder-budget-ms: 60000\n")),
-        ("budget in words", header_fields(budget, "rudder-budget-ms: long\n")),
+        (
+            "budget of 0",
+            header_fields(budget, "rudder-budget-ms: 0\n"),
+        ),
+        (
+            "budget of 60001",
+            header_fields(budget, "rudder-budget-ms: 60001\n"),
+        ),
+        (
+            "budget of 60000",
+            header_fields(budget, "rudder-budget-ms: 60000\n"),
+        ),
+        (
+            "budget in words",
+            header_fields(budget, "rudder-budget-ms: long\n"),
+        ),
         ("no route", header_fields("/pay", "/nowhere")),
         ("other method", header_fields("POST", "PUT")),
-        ("announced too large", header_fields("content-length: 2", "content-length: 65")),
-        ("a repeat", header_fields(budget, "rudder-budget-ms: 3000\nrudder-repeat-of: try-0\n")),
+        (
+            "announced too large",
+            header_fields("content-length: 2", "content-length: 65"),
+        ),
+        (
+            "a repeat",
+            header_fields(budget, "rudder-budget-ms: 3000\nrudder-repeat-of: try-0\n"),
+        ),
     ];
     for (what, request_text) in asked {
         set_header(&mut text, what, &answered(&serving, &request_text).await);
     }
     let chunked = header_fields("content-length: 2", "transfer-encoding: chunked");
     let too_long = chunked.replace("{}", &format!("50\r\n{}\r\n0\r\n\r\n", "x".repeat(80)));
-    set_header(&mut text, "body too large", &answered(&serving, &too_long).await);
+    set_header(
+        &mut text,
+        "body too large",
+        &answered(&serving, &too_long).await,
+    );
     let idle = daemon(answer(200, "5ea1"), false);
     set_header(&mut text, "not serving", &answered(&idle, GOOD).await);
     set_header(
@@ -334,16 +402,30 @@
 async fn readiness_and_metrics_are_asked_at_the_ingress_as_before() {
     let mut text = String::new();
     for is_serving in [true, false] {
-        let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
+        let listener = tokio::net::TcpListener::bind("127.0.0.1:0")
+            .await
+            .expect("a port");
         let address = listener.local_addr().expect("an address");
         let (_stop_sender, stop) = tokio::sync::watch::channel(false);
-        tokio::spawn(serve_ingress(daemon(answer(200, "5ea1"), is_serving), listener, stop));
+        tokio::spawn(serve_ingress(
+            daemon(answer(200, "5ea1"), is_serving),
+            listener,
+            stop,
+        ));
         for path in ["/ready", "/metrics"] {
-            let mut stream = tokio::net::TcpStream::connect(address).await.expect("a connection");
+            let mut stream = tokio::net::TcpStream::connect(address)
+                .await
+                .expect("a connection");
             let request = format!("GET {path} HTTP/1.1\r\nhost: h\r\nconnection: close\r\n\r\n");
-            stream.write_all(request.as_bytes()).await.expect("it is sent");
+            stream
+                .write_all(request.as_bytes())
+                .await
+                .expect("it is sent");
             let mut message = String::new();
-            stream.read_to_string(&mut message).await.expect("an answer");
+            stream
+                .read_to_string(&mut message)
+                .await
+                .expect("an answer");
             let (head, body) = message.split_once("\r\n\r\n").expect("a head");
             let is_steady =
                 |line: &&str| !line.starts_with("date: ") && !line.starts_with("content-length: ");
@@ -391,11 +473,41 @@
     let usual = || runner_request(&idempotency_key, &complete, &payload);
     let sent = [
         ("a runner", usual()),
-        ("a runner of a region", RunnerRequest { function: &regional, ..usual() }),
-        ("a runner with a life", RunnerRequest { instance: Some(&plain_life), ..usual() }),
-        ("a runner started under a name", RunnerRequest { instance: Some(&named_life), ..usual() }),
-        ("no runner named", RunnerRequest { runner: None, ..usual() }),
-        ("no time left", RunnerRequest { remaining_time: Duration::ZERO, ..usual() }),
+        (
+            "a runner of a region",
+            RunnerRequest {
+                function: &regional,
+                ..usual()
+            },
+        ),
+        (
+            "a runner with a life",
+            RunnerRequest {
+                instance: Some(&plain_life),
+                ..usual()
+            },
+        ),
+        (
+            "a runner started under a name",
+            RunnerRequest {
+                instance: Some(&named_life),
+                ..usual()
+            },
+        ),
+        (
+            "no runner named",
+            RunnerRequest {
+                runner: None,
+                ..usual()
+            },
+        ),
+        (
+            "no time left",
+            RunnerRequest {
+                remaining_time: Duration::ZERO,
+                ..usual()
+            },
+        ),
     ];
     for (what, runner_request) in sent {
         let request = NativeRunnerCodec
@@ -463,8 +575,18 @@
     seen["asked for what it runs"] = json!(NativeRunnerCodec.running_path());
     let idempotency_key = IdempotencyKey::from("try-1");
     for is_rejected in [true, false] {
-        let digest = seal::seal(&idempotency_key, &function(), runner(), is_rejected, b"the body");
-        seen[if is_rejected { "seal of a refusal" } else { "seal of an answer" }] = json!(digest);
+        let digest = seal::seal(
+            &idempotency_key,
+            &function(),
+            runner(),
+            is_rejected,
+            b"the body",
+        );
+        seen[if is_rejected {
+            "seal of a refusal"
+        } else {
+            "seal of an answer"
+        }] = json!(digest);
     }
     check("runner_answers.json", &format!("{seen:#}\n"));
 }
--- a/crates/dataplane/tests/idle_retention.rs
+++ b/crates/dataplane/tests/idle_retention.rs
@@ -50,12 +50,22 @@
             previous_lease: None,
             adopted: Vec::new(),
         };
-        let tuning = Tuning::builder().idle_cost(Some(IdleCost::default())).build();
+        let tuning = Tuning::builder()
+            .idle_cost(Some(IdleCost::default()))
+            .build();
         let mut holder = Holder::new(START, terms).with_tuning(START, tuning);
         holder.set_warm(is_prewarmed);
         let (now, starting) = (START, Vec::new());
-        let mut bench =
-            Self { holder, now, startup, target, starting, next_number: 0, starts: 0, stops: 0 };
+        let mut bench = Self {
+            holder,
+            now,
+            startup,
+            target,
+            starting,
+            next_number: 0,
+            starts: 0,
+            stops: 0,
+        };
         let outputs = bench.holder.begin(START);
         bench.take(outputs);
         bench
@@ -66,10 +76,15 @@
             match output {
                 HolderOutput::Report(HolderMessage::Reserve) => {
                     self.next_number += 1;
-                    let runner =
-                        RunnerId { fencing_token: FencingToken(1), ordinal: self.next_number };
-                    let result =
-                        ReserveResult::Reserved { runner, worker: "w".into(), memory_mb: 1 };
+                    let runner = RunnerId {
+                        fencing_token: FencingToken(1),
+                        ordinal: self.next_number,
+                    };
+                    let result = ReserveResult::Reserved {
+                        runner,
+                        worker: "w".into(),
+                        memory_mb: 1,
+                    };
                     let outputs = self.holder.reserved(self.now, &result);
                     self.take(outputs);
                 }
@@ -81,12 +96,15 @@
                         address: SocketAddress::UNSPECIFIED,
                     };
                     let outputs =
-                        self.holder.started(self.now, runner, StartOutcome::Started(instance));
+                        self.holder
+                            .started(self.now, runner, StartOutcome::Started(instance));
                     self.take(outputs);
                 }
                 HolderOutput::Probe { runner, .. } => {
-                    let is_ready =
-                        self.starting.iter().any(|(at, one)| *one == runner && *at <= self.now);
+                    let is_ready = self
+                        .starting
+                        .iter()
+                        .any(|(at, one)| *one == runner && *at <= self.now);
                     let outputs = self.holder.probed(self.now, runner, is_ready);
                     self.take(outputs);
                 }
@@ -156,9 +174,12 @@
 
 #[gtest]
 fn a_runner_is_retained_while_idling_costs_less_than_a_cold_start() -> Result<()> {
-    for (memory_mb, gap_ms, is_retained) in
-        [(128, 1000, true), (128, 8000, false), (1024, 200, true), (1024, 3000, false)]
-    {
+    for (memory_mb, gap_ms, is_retained) in [
+        (128, 1000, true),
+        (128, 8000, false),
+        (1024, 200, true),
+        (1024, 3000, false),
+    ] {
         let mut bench = Bench::new(memory_mb, ms(500), ms(3000), false);
         bench.starts_for_calls(ms(gap_ms), 12);
         let starts = bench.starts_for_calls(ms(gap_ms), 10);
--- a/crates/dataplane/tests/ledger.rs
+++ b/crates/dataplane/tests/ledger.rs
@@ -17,11 +17,18 @@
 }
 
 fn record(name: &str, state: LedgerRecordState) -> LedgerRecord {
-    LedgerRecord { idempotency_key: name.into(), state, remaining_ms: 5000 }
+    LedgerRecord {
+        idempotency_key: name.into(),
+        state,
+        remaining_ms: 5000,
+    }
 }
 
 fn names(records: &[LedgerRecord]) -> BTreeMap<IdempotencyKey, LedgerRecordState> {
-    records.iter().map(|record| (record.idempotency_key.clone(), record.state)).collect()
+    records
+        .iter()
+        .map(|record| (record.idempotency_key.clone(), record.state))
+        .collect()
 }
 
 #[gtest]
@@ -39,7 +46,9 @@
             replica.record(now, &function(), LEASE, INCARNATION, &[record_of]);
         }
         if rng.random_bool(0.1) {
-            let outcome = RequestOutcome::Unknown { reason: RequestFailureReason::ResponseLost };
+            let outcome = RequestOutcome::Unknown {
+                reason: RequestFailureReason::ResponseLost,
+            };
             ledger.end(now, &name, true, deadline, outcome);
         }
     }
@@ -52,14 +61,24 @@
     let ranges = copy.compare(now, &function(), LEASE, INCARNATION, &ledger.digests(now));
     verify_that!(ranges.is_empty(), eq(false))?;
     let sent = ledger.records_in(now, &ranges);
-    let sent_ranges: BTreeSet<u8> =
-        sent.iter().map(|record_of| range_of(&record_of.idempotency_key) as u8).collect();
-    verify_that!(sent_ranges.iter().all(|range| ranges.contains(range)), eq(true))?;
+    let sent_ranges: BTreeSet<u8> = sent
+        .iter()
+        .map(|record_of| range_of(&record_of.idempotency_key) as u8)
+        .collect();
+    verify_that!(
+        sent_ranges.iter().all(|range| ranges.contains(range)),
+        eq(true)
+    )?;
     copy.record(now, &function(), LEASE, INCARNATION, &sent);
     let differing = copy.compare(now, &function(), LEASE, INCARNATION, &ledger.digests(now));
     verify_that!(differing, is_empty())?;
-    let collected = copy.collect(now, &function(), LEASE, INCARNATION).expect("a copy");
-    verify_that!(names(&collected) == names(&ledger.once_records(now)), eq(true))
+    let collected = copy
+        .collect(now, &function(), LEASE, INCARNATION)
+        .expect("a copy");
+    verify_that!(
+        names(&collected) == names(&ledger.once_records(now)),
+        eq(true)
+    )
 }
 
 #[gtest]
@@ -67,20 +86,37 @@
     let now = MonotonicTime(1_000_000_000);
     let mut replica = LedgerReplica::new(INCARNATION);
     let first = [record("a", LedgerRecordState::Recorded)];
-    verify_that!(replica.record(now, &function(), LEASE, INCARNATION, &first), eq(true))?;
+    verify_that!(
+        replica.record(now, &function(), LEASE, INCARNATION, &first),
+        eq(true)
+    )?;
     let collected = replica.collect(now, &function(), LEASE, INCARNATION);
     verify_that!(collected.map(|records| records.len()), some(eq(1)))?;
     let late = [record("b", LedgerRecordState::Recorded)];
-    verify_that!(replica.record(now, &function(), LEASE, INCARNATION, &late), eq(false))?;
-    verify_that!(replica.record(now, &function(), FencingToken(10), INCARNATION, &late), eq(true))
+    verify_that!(
+        replica.record(now, &function(), LEASE, INCARNATION, &late),
+        eq(false)
+    )?;
+    verify_that!(
+        replica.record(now, &function(), FencingToken(10), INCARNATION, &late),
+        eq(true)
+    )
 }
 
 #[gtest]
 fn a_replica_of_another_incarnation_rejects_requests() -> Result<()> {
     let now = MonotonicTime(1_000_000_000);
     let mut replica = LedgerReplica::new(Incarnation(6));
-    verify_that!(replica.record(now, &function(), LEASE, INCARNATION, &[]), eq(false))?;
-    verify_that!(replica.collect(now, &function(), LEASE, INCARNATION).is_none(), eq(true))
+    verify_that!(
+        replica.record(now, &function(), LEASE, INCARNATION, &[]),
+        eq(false)
+    )?;
+    verify_that!(
+        replica
+            .collect(now, &function(), LEASE, INCARNATION)
+            .is_none(),
+        eq(true)
+    )
 }
 
 #[gtest]
@@ -102,10 +138,18 @@
 
 #[gtest]
 fn digests_do_not_depend_on_order_but_on_state() -> Result<()> {
-    let records =
-        [record("a", LedgerRecordState::Recorded), record("b", LedgerRecordState::Answered)];
+    let records = [
+        record("a", LedgerRecordState::Recorded),
+        record("b", LedgerRecordState::Answered),
+    ];
     let reversed = [records[1].clone(), records[0].clone()];
-    verify_that!(digests(records.iter()) == digests(reversed.iter()), eq(true))?;
+    verify_that!(
+        digests(records.iter()) == digests(reversed.iter()),
+        eq(true)
+    )?;
     let changed = [record("a", LedgerRecordState::Unknown), records[1].clone()];
-    verify_that!(digests(records.iter()) == digests(changed.iter()), eq(false))
+    verify_that!(
+        digests(records.iter()) == digests(changed.iter()),
+        eq(false)
+    )
 }
--- a/crates/dataplane/tests/metrics_forms.rs
+++ b/crates/dataplane/tests/metrics_forms.rs
@@ -9,7 +9,10 @@
 fn every_metric_has_its_name_type_and_labels() {
     let gauges = Gauges::new();
     for outcome in ["answer", "not_run", "unknown", "left"] {
-        gauges.request_outcomes.with_label_values(&[outcome, "reason"]).inc();
+        gauges
+            .request_outcomes
+            .with_label_values(&[outcome, "reason"])
+            .inc();
         gauges.request_seconds.with_label_values(&[outcome]);
     }
     for found in ["held", "passed", "acquired"] {
--- a/crates/dataplane/tests/owners.rs
+++ b/crates/dataplane/tests/owners.rs
@@ -42,7 +42,9 @@
 fn only_the_hash_owner_requests_the_lease() -> Result<()> {
     let all_hosts = hosts();
     let function = FunctionKey::new("f", Version(2));
-    let owner = hash_owner(&function, all_hosts.iter()).expect("an owner").clone();
+    let owner = hash_owner(&function, all_hosts.iter())
+        .expect("an owner")
+        .clone();
     for host in &all_hosts {
         let step = lookup(&host.member, false, None, &all_hosts, 0);
         if host.member == owner.member {
@@ -62,8 +64,14 @@
 fn a_cached_owner_counts_only_in_its_listed_incarnation() -> Result<()> {
     let all_hosts = hosts();
     let function = FunctionKey::new("f", Version(2));
-    let owner = hash_owner(&function, all_hosts.iter()).expect("an owner").clone();
-    let own_host = all_hosts.iter().find(|host| host.member != owner.member).expect("one").clone();
+    let owner = hash_owner(&function, all_hosts.iter())
+        .expect("an owner")
+        .clone();
+    let own_host = all_hosts
+        .iter()
+        .find(|host| host.member != owner.member)
+        .expect("one")
+        .clone();
     let cached_host = all_hosts
         .iter()
         .find(|host| host.member != owner.member && host.member != own_host.member)
@@ -73,10 +81,19 @@
     verify_that!(hit, eq(&LookupStep::Forward(cached_host.clone())))?;
     let mut restarted_owner = cached_host.clone();
     restarted_owner.incarnation = 99.into();
-    let miss = lookup(&own_host.member, false, Some(&restarted_owner), &all_hosts, 0);
+    let miss = lookup(
+        &own_host.member,
+        false,
+        Some(&restarted_owner),
+        &all_hosts,
+        0,
+    );
     verify_that!(miss, eq(&LookupStep::Forward(owner.clone())))?;
-    let without: Vec<Host> =
-        all_hosts.iter().filter(|host| host.member != cached_host.member).cloned().collect();
+    let without: Vec<Host> = all_hosts
+        .iter()
+        .filter(|host| host.member != cached_host.member)
+        .cloned()
+        .collect();
     let after_removal = lookup(&own_host.member, false, Some(&cached_host), &without, 0);
     verify_that!(after_removal == LookupStep::Forward(cached_host), eq(false))
 }
@@ -85,8 +102,23 @@
 fn hops_are_bounded() -> Result<()> {
     let all_hosts = hosts();
     let cached_host = all_hosts[1].clone();
-    let at_hop_limit = lookup(&all_hosts[0].member, false, Some(&cached_host), &all_hosts, 2);
-    verify_that!(matches!(at_hop_limit, LookupStep::NotHolder | LookupStep::Acquire), eq(true))?;
-    verify_that!(lookup(&all_hosts[0].member, true, None, &all_hosts, 2), eq(&LookupStep::Serve))?;
-    verify_that!(lookup(&all_hosts[0].member, false, None, &[], 0), eq(&LookupStep::NoEligibleHost))
+    let at_hop_limit = lookup(
+        &all_hosts[0].member,
+        false,
+        Some(&cached_host),
+        &all_hosts,
+        2,
+    );
+    verify_that!(
+        matches!(at_hop_limit, LookupStep::NotHolder | LookupStep::Acquire),
+        eq(true)
+    )?;
+    verify_that!(
+        lookup(&all_hosts[0].member, true, None, &all_hosts, 2),
+        eq(&LookupStep::Serve)
+    )?;
+    verify_that!(
+        lookup(&all_hosts[0].member, false, None, &[], 0),
+        eq(&LookupStep::NoEligibleHost)
+    )
 }
--- a/crates/dataplane/tests/regional.rs
+++ b/crates/dataplane/tests/regional.rs
@@ -86,10 +86,15 @@
             match output {
                 HolderOutput::Report(HolderMessage::Reserve) => {
                     self.next_number += 1;
-                    let runner =
-                        RunnerId { fencing_token: FencingToken(1), ordinal: self.next_number };
-                    let result =
-                        ReserveResult::Reserved { runner, worker: "w".into(), memory_mb: 100 };
+                    let runner = RunnerId {
+                        fencing_token: FencingToken(1),
+                        ordinal: self.next_number,
+                    };
+                    let result = ReserveResult::Reserved {
+                        runner,
+                        worker: "w".into(),
+                        memory_mb: 100,
+                    };
                     let outputs = self.holder.reserved(self.now, &result);
                     self.take(outputs);
                 }
@@ -100,11 +105,13 @@
                         address: SocketAddress::UNSPECIFIED,
                     };
                     let outputs =
-                        self.holder.started(self.now, runner, StartOutcome::Started(instance));
+                        self.holder
+                            .started(self.now, runner, StartOutcome::Started(instance));
                     self.take(outputs);
                 }
                 HolderOutput::Send { ticket, runner, .. } => {
-                    self.running_requests.push((self.now + ms(100), ticket, runner));
+                    self.running_requests
+                        .push((self.now + ms(100), ticket, runner));
                 }
                 _ => {}
             }
@@ -122,12 +129,15 @@
         let end = self.now + span;
         while self.now < end {
             self.now = self.now + ms(10);
-            let due: Vec<_> =
-                self.running_requests.extract_if(.., |(at, _, _)| *at <= self.now).collect();
+            let due: Vec<_> = self
+                .running_requests
+                .extract_if(.., |(at, _, _)| *at <= self.now)
+                .collect();
             for (_, ticket, runner) in due {
                 let outcome = answer(runner);
                 let outputs =
-                    self.holder.handle_send_result(self.now, ticket, SendResult::Answered(outcome));
+                    self.holder
+                        .handle_send_result(self.now, ticket, SendResult::Answered(outcome));
                 self.take(outputs);
             }
             let outputs = self.holder.tick(self.now);
@@ -186,7 +196,11 @@
         held.enter_requests_from_west(per_second, ms(3000), false);
         let after = held.holder.regional_use_delay(held.now, &west());
         verify_that!(after.is_some(), eq(is_regional_key_used))?;
-        verify_that!(held.holder.regional_use_delay(held.now, &Region::from("north")), none())?;
+        verify_that!(
+            held.holder
+                .regional_use_delay(held.now, &Region::from("north")),
+            none()
+        )?;
         if let Some(after) = after {
             verify_that!(after, all![ge(STARTUP), le(STARTUP * 2 + ms(500))])?;
             held.enter_requests_from_west(per_second, after, false);
@@ -203,9 +217,15 @@
 fn a_regional_key_is_retained_for_seconds_and_dropped_without_callers() -> Result<()> {
     let mut held = HolderBench::new(all_regions());
     held.enter_requests_from_west(20, ms(4000), false);
-    verify_that!(held.holder.regional_use_delay(held.now, &west()), some(anything()))?;
+    verify_that!(
+        held.holder.regional_use_delay(held.now, &west()),
+        some(anything())
+    )?;
     held.run_for(ms(4000));
-    verify_that!(held.holder.regional_use_delay(held.now, &west()), some(anything()))?;
+    verify_that!(
+        held.holder.regional_use_delay(held.now, &west()),
+        some(anything())
+    )?;
     held.run_for(ms(8000));
     verify_that!(held.holder.regional_use_delay(held.now, &west()), none())
 }
@@ -223,7 +243,10 @@
     let rejected = held.enter_request(None, false);
     let is_rejected_without_runner = matches!(
         rejected,
-        Some(RequestOutcome::NotRun { reason: RequestFailureReason::NoRunnerAvailable, .. })
+        Some(RequestOutcome::NotRun {
+            reason: RequestFailureReason::NoRunnerAvailable,
+            ..
+        })
     );
     verify_that!(is_rejected_without_runner, eq(true))?;
     verify_that!(held.starting.len(), eq(1))?;
@@ -235,7 +258,10 @@
 fn a_regional_holder_reports_when_its_key_is_no_longer_needed() -> Result<()> {
     let mut held = HolderBench::new(all_regions().in_region(&west()));
     held.finish_startups();
-    verify_that!(held.holder.regional_use_delay(held.now, &west()), some(eq(Duration::ZERO)))?;
+    verify_that!(
+        held.holder.regional_use_delay(held.now, &west()),
+        some(eq(Duration::ZERO))
+    )?;
     held.run_for(ms(6000));
     verify_that!(held.holder.regional_use_delay(held.now, &west()), none())
 }
@@ -295,10 +321,16 @@
         let mut document = document.with_spec(spec, &checked_spec, "change".into());
         document.document_version.version = Version(2);
         let view = document.view();
-        let frame =
-            LeaderToDaemon::Spec { version: view.version, document: view.to_bytes().into() };
+        let frame = LeaderToDaemon::Spec {
+            version: view.version,
+            document: view.to_bytes().into(),
+        };
         control.received(&agent, START, frame);
-        let all_hosts = vec![own_host, host("daemon-2", "here", 4), host("daemon-3", "there", 5)];
+        let all_hosts = vec![
+            own_host,
+            host("daemon-2", "here", 4),
+            host("daemon-3", "there", 5),
+        ];
         agent.hosts.store(Arc::new(all_hosts));
         agent.serving_until.set(START + ms(60_000));
         Self { agent, now: START }
@@ -340,20 +372,29 @@
 fn ingress_uses_the_regional_key_while_it_is_in_use() -> Result<()> {
     let mut ingress_daemon = IngressDaemon::new("fresh");
     verify_that!(
-        ingress_daemon.agent.handle_regional_hint(ingress_daemon.now, &ingress_daemon.key(), 15),
+        ingress_daemon
+            .agent
+            .handle_regional_hint(ingress_daemon.now, &ingress_daemon.key(), 15),
         eq(true)
     )?;
     verify_that!(
-        ingress_daemon.agent.handle_regional_hint(ingress_daemon.now, &ingress_daemon.key(), 9),
+        ingress_daemon
+            .agent
+            .handle_regional_hint(ingress_daemon.now, &ingress_daemon.key(), 9),
         eq(false)
     )?;
     verify_that!(
-        ingress_daemon.agent.regional_keys_wanted(ingress_daemon.now),
+        ingress_daemon
+            .agent
+            .regional_keys_wanted(ingress_daemon.now),
         elements_are![eq(&ingress_daemon.regional_key())]
     )?;
     verify_that!(ingress_daemon.requested_key(), eq(&ingress_daemon.key()))?;
     ingress_daemon.now = ingress_daemon.now + ms(1600);
-    verify_that!(ingress_daemon.requested_key(), eq(&ingress_daemon.regional_key()))?;
+    verify_that!(
+        ingress_daemon.requested_key(),
+        eq(&ingress_daemon.regional_key())
+    )?;
     ingress_daemon.now = ingress_daemon.now + ms(8000);
     ingress_daemon.agent.handle_regional_hint(
         ingress_daemon.now,
@@ -361,12 +402,20 @@
         1,
     );
     ingress_daemon.now = ingress_daemon.now + ms(8000);
-    verify_that!(ingress_daemon.requested_key(), eq(&ingress_daemon.regional_key()))?;
+    verify_that!(
+        ingress_daemon.requested_key(),
+        eq(&ingress_daemon.regional_key())
+    )?;
     ingress_daemon.now = ingress_daemon.now + ms(3000);
     verify_that!(ingress_daemon.requested_key(), eq(&ingress_daemon.key()))?;
-    ingress_daemon.agent.handle_regional_hint(ingress_daemon.now, &ingress_daemon.key(), 1);
+    ingress_daemon
+        .agent
+        .handle_regional_hint(ingress_daemon.now, &ingress_daemon.key(), 1);
     ingress_daemon.now = ingress_daemon.now + ms(110);
-    verify_that!(ingress_daemon.requested_key(), eq(&ingress_daemon.regional_key()))?;
+    verify_that!(
+        ingress_daemon.requested_key(),
+        eq(&ingress_daemon.regional_key())
+    )?;
     ingress_daemon.agent.handle_regional_hint(
         ingress_daemon.now,
         &ingress_daemon.regional_key(),
@@ -378,7 +427,9 @@
 #[gtest]
 fn repeatable_idempotency_keys_stay_with_the_holder_for_all_regions() -> Result<()> {
     let mut ingress_daemon = IngressDaemon::new("may_come_again");
-    ingress_daemon.agent.handle_regional_hint(ingress_daemon.now, &ingress_daemon.key(), 1);
+    ingress_daemon
+        .agent
+        .handle_regional_hint(ingress_daemon.now, &ingress_daemon.key(), 1);
     ingress_daemon.now = ingress_daemon.now + ms(110);
     verify_that!(ingress_daemon.requested_key(), eq(&ingress_daemon.key()))
 }
@@ -386,7 +437,13 @@
 #[gtest]
 fn requests_a_regional_holder_cannot_serve_fall_back_to_the_holder_for_all_regions() -> Result<()> {
     let rejected = |reason| {
-        ForwardResult::Completed(RequestOutcome::NotRun { reason, retry_after_ms: 100 }, None)
+        ForwardResult::Completed(
+            RequestOutcome::NotRun {
+                reason,
+                retry_after_ms: 100,
+            },
+            None,
+        )
     };
     let ends = [
         (rejected(RequestFailureReason::NoRunnerAvailable), ms(300)),
@@ -397,11 +454,16 @@
     ];
     for (end, backoff) in ends {
         let mut ingress_daemon = IngressDaemon::new("fresh");
-        ingress_daemon.agent.handle_regional_hint(ingress_daemon.now, &ingress_daemon.key(), 1);
+        ingress_daemon
+            .agent
+            .handle_regional_hint(ingress_daemon.now, &ingress_daemon.key(), 1);
         ingress_daemon.now = ingress_daemon.now + ms(110);
         let mut forwarding = ingress_daemon.forwarding();
         forwarding.advance(&ingress_daemon.agent, ingress_daemon.now);
-        verify_that!(&forwarding.request().function, eq(&ingress_daemon.regional_key()))?;
+        verify_that!(
+            &forwarding.request().function,
+            eq(&ingress_daemon.regional_key())
+        )?;
         let step = forwarding.forwarded(&ingress_daemon.agent, ingress_daemon.now, end.clone());
         let continues = !matches!(step, ForwardingStep::End(..));
         verify_that!(continues, eq(true)).with_failure_message(|| format!("{end:?}"))?;
@@ -410,7 +472,10 @@
         ingress_daemon.now = ingress_daemon.now + backoff - ms(10);
         verify_that!(ingress_daemon.requested_key(), eq(&ingress_daemon.key()))?;
         ingress_daemon.now = ingress_daemon.now + ms(20);
-        verify_that!(ingress_daemon.requested_key(), eq(&ingress_daemon.regional_key()))?;
+        verify_that!(
+            ingress_daemon.requested_key(),
+            eq(&ingress_daemon.regional_key())
+        )?;
     }
     Ok(())
 }
@@ -418,7 +483,9 @@
 #[gtest]
 fn a_slow_regional_lease_is_not_waited_for() -> Result<()> {
     let mut ingress_daemon = IngressDaemon::new("fresh");
-    ingress_daemon.agent.handle_regional_hint(ingress_daemon.now, &ingress_daemon.key(), 1);
+    ingress_daemon
+        .agent
+        .handle_regional_hint(ingress_daemon.now, &ingress_daemon.key(), 1);
     ingress_daemon.now = ingress_daemon.now + ms(110);
     let mut forwarding = ingress_daemon.forwarding();
     forwarding.advance(&ingress_daemon.agent, ingress_daemon.now);
@@ -432,8 +499,13 @@
 fn a_region_without_eligible_hosts_is_served_by_other_regions() -> Result<()> {
     let mut ingress_daemon = IngressDaemon::new("fresh");
     let remote_host = host("daemon-3", "there", 5);
-    ingress_daemon.agent.hosts.store(Arc::new(vec![remote_host.clone()]));
-    ingress_daemon.agent.handle_regional_hint(ingress_daemon.now, &ingress_daemon.key(), 1);
+    ingress_daemon
+        .agent
+        .hosts
+        .store(Arc::new(vec![remote_host.clone()]));
+    ingress_daemon
+        .agent
+        .handle_regional_hint(ingress_daemon.now, &ingress_daemon.key(), 1);
     ingress_daemon.now = ingress_daemon.now + ms(110);
     let mut forwarding = ingress_daemon.forwarding();
     let step = forwarding.advance(&ingress_daemon.agent, ingress_daemon.now);
@@ -449,8 +521,13 @@
     if owner.member == ingress_daemon.agent.own_host.member {
         return Ok(());
     }
-    let step = ingress_daemon.forwarding().advance(&ingress_daemon.agent, ingress_daemon.now);
-    let ForwardingStep::Forward { body: DaemonMessage::FunctionRequest { region, .. }, .. } = step
+    let step = ingress_daemon
+        .forwarding()
+        .advance(&ingress_daemon.agent, ingress_daemon.now);
+    let ForwardingStep::Forward {
+        body: DaemonMessage::FunctionRequest { region, .. },
+        ..
+    } = step
     else {
         return fail!("it is not passed on");
     };
--- a/crates/dataplane/tests/settings_forms.rs
+++ b/crates/dataplane/tests/settings_forms.rs
@@ -58,7 +58,10 @@
 }
 
 fn shown(settings: &Value) -> Value {
-    daemon_settings::shown(&read(settings).expect("good settings"), &["north", "south", "east"])
+    daemon_settings::shown(
+        &read(settings).expect("good settings"),
+        &["north", "south", "east"],
+    )
 }
 
 fn with(mut settings: Value, key: &str, value: Value) -> Value {
@@ -86,7 +89,11 @@
     let mut text = setting_probes::answers(&full(), read);
     let several = [
         with(full(), "listen", json!("10.0.0.9:7200")),
-        with(full(), "seeds", json!(["10.0.0.1:1", "10.0.0.1:2", "10.0.0.1:3", "10.0.0.1:4"])),
+        with(
+            full(),
+            "seeds",
+            json!(["10.0.0.1:1", "10.0.0.1:2", "10.0.0.1:3", "10.0.0.1:4"]),
+        ),
         with(full(), "seeds", json!(["10.0.0.1:1", "nowhere", 3])),
         json!({"colour": 7}),
         json!({"member": 7, "threads": 257}),
--- a/crates/dataplane/tests/warm.rs
+++ b/crates/dataplane/tests/warm.rs
@@ -36,7 +36,10 @@
     let mut routes = serde_json::Map::new();
     for number in 0..12 {
         let name = format!("f{number}");
-        functions.insert(name.clone(), json!({"memory_mb": 100, "boot_ms": 800, "slots": 2}));
+        functions.insert(
+            name.clone(),
+            json!({"memory_mb": 100, "boot_ms": 800, "slots": 2}),
+        );
         let target_ms = if number % 2 == 0 { 300 } else { 1000 };
         routes.insert(
             format!("r{number}"),
@@ -50,8 +53,12 @@
     let checked_spec = read_spec(&spec).expect("a spec");
     let mut document = Document::founding(Vec::new());
     document.document_version.version = Version(1);
-    RoutingTable::build(&document.with_spec(spec, &checked_spec, "change".into()).view())
-        .expect("a table")
+    RoutingTable::build(
+        &document
+            .with_spec(spec, &checked_spec, "change".into())
+            .view(),
+    )
+    .expect("a table")
 }
 
 fn requests_of(
@@ -88,7 +95,14 @@
     let mut all_requested: Vec<FunctionKey> = Vec::new();
     for host in &hosts {
         let mut acquirer = WarmAcquirer::new(START);
-        let requests = requests_of(&mut acquirer, &host.member, &hosts, &no_owners, START, ms(900));
+        let requests = requests_of(
+            &mut acquirer,
+            &host.member,
+            &hosts,
+            &no_owners,
+            START,
+            ms(900),
+        );
         for pair in requests.windows(2) {
             verify_that!(pair[1].0.since(pair[0].0), ge(ms(5)))?;
         }
@@ -110,19 +124,34 @@
     let all_hosts = hosts();
     let table = table();
     let lost_host = &all_hosts[0];
-    let owners: BTreeMap<FunctionKey, Host> =
-        table.prewarmed_functions().map(|function| (function.clone(), lost_host.clone())).collect();
+    let owners: BTreeMap<FunctionKey, Host> = table
+        .prewarmed_functions()
+        .map(|function| (function.clone(), lost_host.clone()))
+        .collect();
     let staying_hosts = &all_hosts[1..];
     let mut request_count = 0;
     for host in staying_hosts {
         let mut acquirer = WarmAcquirer::new(START);
-        let before = requests_of(&mut acquirer, &host.member, &all_hosts, &owners, START, ms(300));
+        let before = requests_of(
+            &mut acquirer,
+            &host.member,
+            &all_hosts,
+            &owners,
+            START,
+            ms(300),
+        );
         verify_that!(before.len(), eq(0))?;
         let lost_at = START + ms(300);
         acquirer.changed(lost_at);
         verify_that!(acquirer.next_due(), le(lost_at))?;
-        let after =
-            requests_of(&mut acquirer, &host.member, staying_hosts, &owners, lost_at, ms(300));
+        let after = requests_of(
+            &mut acquirer,
+            &host.member,
+            staying_hosts,
+            &owners,
+            lost_at,
+            ms(300),
+        );
         request_count += after.len();
     }
     verify_that!(request_count, eq(6))
--- a/programs/controller/src/main.rs
+++ b/programs/controller/src/main.rs
@@ -25,7 +25,12 @@
     place: Option<String>,
     #[options(no_short, help = "IP:PORT for operators", meta = "PLACE")]
     operators: Option<String>,
-    #[options(no_short, long = "locality", help = "this machine's zone", meta = "NAME")]
+    #[options(
+        no_short,
+        long = "locality",
+        help = "this machine's zone",
+        meta = "NAME"
+    )]
     zone: Option<String>,
     #[options(
         no_short,
@@ -33,7 +38,11 @@
         meta = "PLACES"
     )]
     seeds: Option<String>,
-    #[options(no_short, help = "data folder; without one it has no vote", meta = "FOLDER")]
+    #[options(
+        no_short,
+        help = "data folder; without one it has no vote",
+        meta = "FOLDER"
+    )]
     data: Option<String>,
     #[options(
         no_short,
@@ -56,7 +65,10 @@
     settings_source.set_text("operators", flags.operators.as_deref());
     settings_source.set_text("locality", flags.zone.as_deref());
     settings_source.set_text("data", flags.data.as_deref());
-    settings_source.set("found_first", flags.found_first.then_some(Value::Bool(true)));
+    settings_source.set(
+        "found_first",
+        flags.found_first.then_some(Value::Bool(true)),
+    );
     settings_source.set_text("platform", flags.platform.as_deref());
     settings_source.set_list("seeds", flags.seeds.as_deref());
     ControllerSettings::read(&settings_source)
--- a/programs/controller/tests/command_line.rs
+++ b/programs/controller/tests/command_line.rs
@@ -9,8 +9,10 @@
 
 use settings_file::Binary;
 
-const CONTROLLER: Binary =
-    Binary { name: "rudder-controller", path: env!("CARGO_BIN_EXE_rudder-controller") };
+const CONTROLLER: Binary = Binary {
+    name: "rudder-controller",
+    path: env!("CARGO_BIN_EXE_rudder-controller"),
+};
 
 #[test]
 fn version_and_help_are_there() {
@@ -32,7 +34,10 @@
         file.display()
     );
     let error_text = CONTROLLER.refused("folder", &text, &[]);
-    assert!(error_text.contains("data cannot be written"), "{error_text}");
+    assert!(
+        error_text.contains("data cannot be written"),
+        "{error_text}"
+    );
     let _ = std::fs::remove_file(file);
 }
 
@@ -83,7 +88,12 @@
     for arguments in [
         &["--recover", "yes"][..],
         &["--recover", "i-accept-the-loss"],
-        &["--recover", "i-accept-the-loss", "--data", "/no/such/folder"],
+        &[
+            "--recover",
+            "i-accept-the-loss",
+            "--data",
+            "/no/such/folder",
+        ],
         &["--data", "/proc/no/such/folder"],
         &["--place", "192.0.2.1:7100"],
         &["--operators", "192.0.2.1:7111"],
--- a/programs/daemon/src/main.rs
+++ b/programs/daemon/src/main.rs
@@ -22,13 +22,26 @@
     boot: Option<PathBuf>,
     #[options(no_short, help = "this daemon's name", meta = "NAME")]
     member: Option<String>,
-    #[options(no_short, long = "locality", help = "this machine's zone", meta = "NAME")]
+    #[options(
+        no_short,
+        long = "locality",
+        help = "this machine's zone",
+        meta = "NAME"
+    )]
     zone: Option<String>,
-    #[options(no_short, help = "IP:PORT for other processes, TCP and UDP", meta = "PLACE")]
+    #[options(
+        no_short,
+        help = "IP:PORT for other processes, TCP and UDP",
+        meta = "PLACE"
+    )]
     place: Option<String>,
     #[options(no_short, help = "IP:PORT for callers", meta = "PLACE")]
     door: Option<String>,
-    #[options(no_short, help = "the three controllers' places, with commas", meta = "PLACES")]
+    #[options(
+        no_short,
+        help = "the three controllers' places, with commas",
+        meta = "PLACES"
+    )]
     seeds: Option<String>,
     #[options(no_short, help = "the platform's IP:PORT", meta = "PLACE")]
     platform: Option<String>,
@@ -81,8 +94,10 @@
 
 fn run(settings: DaemonSettings, settings_file: Option<PathBuf>) -> eyre::Result<()> {
     command_line::runtime(settings.threads)?.block_on(async {
-        let started_message =
-            format!("{} at {}, door at {}", settings.member, settings.address, settings.ingress);
+        let started_message = format!(
+            "{} at {}, door at {}",
+            settings.member, settings.address, settings.ingress
+        );
         let daemon = Daemon::open(settings).await?;
         log_event!(Info, events::STARTED, "{started_message}");
         let stop = command_line::stop_signal()?;
--- a/programs/daemon/tests/command_line.rs
+++ b/programs/daemon/tests/command_line.rs
@@ -9,7 +9,10 @@
 
 use settings_file::Binary;
 
-const DAEMON: Binary = Binary { name: "rudderd", path: env!("CARGO_BIN_EXE_rudderd") };
+const DAEMON: Binary = Binary {
+    name: "rudderd",
+    path: env!("CARGO_BIN_EXE_rudderd"),
+};
 
 #[test]
 fn version_and_help_are_there() {
@@ -60,8 +63,14 @@
     let least = r#"{"member": "d", "place": "127.0.0.1:0", "door": "127.0.0.1:0", "locality": "north",
             "seeds": ["127.0.0.1:1"], "platform": "127.0.0.1:4"}"#;
     let file = DAEMON.file("start", least);
-    let ready = DAEMON.file("ready", &least.replace('}', r#", "ready": "192.0.2.1:8081"}"#));
-    let (file_name, ready_name) = (file.to_str().expect("a path"), ready.to_str().expect("a path"));
+    let ready = DAEMON.file(
+        "ready",
+        &least.replace('}', r#", "ready": "192.0.2.1:8081"}"#),
+    );
+    let (file_name, ready_name) = (
+        file.to_str().expect("a path"),
+        ready.to_str().expect("a path"),
+    );
     let mut text = commands::output(DAEMON.path, &["--boot", ready_name], &[]);
     for arguments in [
         &["--place", "192.0.2.1:7100"][..],
@@ -72,6 +81,12 @@
         text += &commands::output(DAEMON.path, &arguments, &[]);
     }
     let _ = (std::fs::remove_file(&file), std::fs::remove_file(&ready));
-    let text = text.replace(file_name, "FILE").replace(ready_name, "FILE-WITH-READY");
-    forms::check(env!("CARGO_MANIFEST_DIR"), "starts.txt", &text.replace(&taken, "TAKEN"));
+    let text = text
+        .replace(file_name, "FILE")
+        .replace(ready_name, "FILE-WITH-READY");
+    forms::check(
+        env!("CARGO_MANIFEST_DIR"),
+        "starts.txt",
+        &text.replace(&taken, "TAKEN"),
+    );
 }
--- a/programs/rudderctl/src/arguments.rs
+++ b/programs/rudderctl/src/arguments.rs
@@ -45,24 +45,78 @@
         command: None,
         line: "rudderctl --at 10.0.0.1:7111,10.0.0.2:7111 members --output table",
     },
-    Example { command: None, line: "rudderctl spec > spec.json" },
-    Example { command: Some("found"), line: "rudderctl found" },
-    Example { command: Some("spec"), line: "rudderctl spec > spec.json" },
-    Example { command: Some("core"), line: "rudderctl core --output table" },
-    Example { command: Some("replace"), line: "rudderctl replace 5f3a91c2 77b0e41d" },
-    Example { command: Some("put"), line: "rudderctl put spec.json --wait" },
-    Example { command: Some("put"), line: "rudderctl put spec.json --number 42 --base-number 41" },
-    Example { command: Some("patch"), line: "rudderctl patch patch.json --base 17 --wait" },
-    Example { command: Some("items"), line: "rudderctl items items.json --change-id release-42" },
-    Example { command: Some("change"), line: "rudderctl change release-42" },
-    Example { command: Some("evacuate"), line: "rudderctl evacuate north --wait" },
-    Example { command: Some("restore"), line: "rudderctl restore north" },
-    Example { command: Some("members"), line: "rudderctl members --output table" },
-    Example { command: Some("holders"), line: "rudderctl holders --output table" },
-    Example { command: Some("workers"), line: "rudderctl workers --output table" },
-    Example { command: Some("runners"), line: "rudderctl runners --output table" },
-    Example { command: Some("events"), line: "rudderctl events --from 120 --follow" },
-    Example { command: Some("trace"), line: "rudderctl trace 17 --follow --output json" },
+    Example {
+        command: None,
+        line: "rudderctl spec > spec.json",
+    },
+    Example {
+        command: Some("found"),
+        line: "rudderctl found",
+    },
+    Example {
+        command: Some("spec"),
+        line: "rudderctl spec > spec.json",
+    },
+    Example {
+        command: Some("core"),
+        line: "rudderctl core --output table",
+    },
+    Example {
+        command: Some("replace"),
+        line: "rudderctl replace 5f3a91c2 77b0e41d",
+    },
+    Example {
+        command: Some("put"),
+        line: "rudderctl put spec.json --wait",
+    },
+    Example {
+        command: Some("put"),
+        line: "rudderctl put spec.json --number 42 --base-number 41",
+    },
+    Example {
+        command: Some("patch"),
+        line: "rudderctl patch patch.json --base 17 --wait",
+    },
+    Example {
+        command: Some("items"),
+        line: "rudderctl items items.json --change-id release-42",
+    },
+    Example {
+        command: Some("change"),
+        line: "rudderctl change release-42",
+    },
+    Example {
+        command: Some("evacuate"),
+        line: "rudderctl evacuate north --wait",
+    },
+    Example {
+        command: Some("restore"),
+        line: "rudderctl restore north",
+    },
+    Example {
+        command: Some("members"),
+        line: "rudderctl members --output table",
+    },
+    Example {
+        command: Some("holders"),
+        line: "rudderctl holders --output table",
+    },
+    Example {
+        command: Some("workers"),
+        line: "rudderctl workers --output table",
+    },
+    Example {
+        command: Some("runners"),
+        line: "rudderctl runners --output table",
+    },
+    Example {
+        command: Some("events"),
+        line: "rudderctl events --from 120 --follow",
+    },
+    Example {
+        command: Some("trace"),
+        line: "rudderctl trace 17 --follow --output json",
+    },
 ];
 
 /// Drives rudderstream over the operators' API.
@@ -164,11 +218,18 @@
     pub help: bool,
     #[options(free, required, help = "file with the JSON")]
     pub file: PathBuf,
-    #[options(help = "serial it is built on; read beforehand if not given", meta = "SERIAL")]
+    #[options(
+        help = "serial it is built on; read beforehand if not given",
+        meta = "SERIAL"
+    )]
     pub base: Option<u64>,
     #[options(no_short, help = "your own number for it", meta = "NUMBER")]
     pub number: Option<u64>,
-    #[options(no_short, help = "your own number of the spec it is built on", meta = "NUMBER")]
+    #[options(
+        no_short,
+        help = "your own number of the spec it is built on",
+        meta = "NUMBER"
+    )]
     pub base_number: Option<u64>,
     #[options(no_short, help = "the change's id; made up if not given", meta = "ID")]
     pub change_id: Option<String>,
@@ -208,7 +269,11 @@
 pub struct Events {
     #[options(help = "print this help")]
     pub help: bool,
-    #[options(no_short, help = "the first number wanted; 0 for all that are kept", default = "0")]
+    #[options(
+        no_short,
+        help = "the first number wanted; 0 for all that are kept",
+        default = "0"
+    )]
     pub from: u64,
     #[options(help = "go on as events happen, over changes of leader")]
     pub follow: bool,
--- a/programs/rudderctl/src/client.rs
+++ b/programs/rudderctl/src/client.rs
@@ -139,7 +139,9 @@
                     last_error = error;
                 }
                 Err(error) => {
-                    let change = body.and_then(|body| body["change_id"].as_str()).unwrap_or("");
+                    let change = body
+                        .and_then(|body| body["change_id"].as_str())
+                        .unwrap_or("");
                     return Err(ClientError::Lost(change.to_owned(), error));
                 }
             }
@@ -149,7 +151,9 @@
 
     /// Reads something and prints it.
     pub async fn get(&self, path: &str) -> Result<ExitCode, ClientError> {
-        self.call(Method::GET, path, None).await.map(|response| print(&response))
+        self.call(Method::GET, path, None)
+            .await
+            .map(|response| print(&response))
     }
 
     /// Reads a list and prints it, as JSON if nothing else is asked for. A refusal is printed as JSON.
@@ -168,7 +172,9 @@
 
     /// Asks for something without a body.
     pub async fn post(&self, path: &str) -> Result<ExitCode, ClientError> {
-        self.call(Method::POST, path, Some(&json!({}))).await.map(|response| print(&response))
+        self.call(Method::POST, path, Some(&json!({})))
+            .await
+            .map(|response| print(&response))
     }
 
     /// Founds the core; waits a little for the controllers to start and to meet, and for the first
@@ -176,11 +182,13 @@
     pub async fn found(&self) -> Result<ExitCode, ClientError> {
         let mut poll_count = 0;
         let response = loop {
-            let result = self.call(Method::POST, "/v1/core/found", Some(&json!({}))).await;
+            let result = self
+                .call(Method::POST, "/v1/core/found", Some(&json!({})))
+                .await;
             let is_not_ready = match &result {
-                Ok(response) => {
-                    response.json()["error"].as_str().is_some_and(|text| text.contains("seed"))
-                }
+                Ok(response) => response.json()["error"]
+                    .as_str()
+                    .is_some_and(|text| text.contains("seed")),
                 Err(ClientError::Unreachable(_)) => true,
                 Err(_) => false,
             };
@@ -226,7 +234,11 @@
             ChangeKind::Items => json!({"put": value["put"], "remove": value["remove"]}),
         };
         body["change_id"] = json!(submission.change_id.unwrap_or_else(generated_change_id));
-        body["wait"] = json!(if submission.wait { "in_force" } else { "accepted" });
+        body["wait"] = json!(if submission.wait {
+            "in_force"
+        } else {
+            "accepted"
+        });
         match (submission.number, submission.base_number, submission.base) {
             (None, None, Some(base)) => body["base_serial"] = json!(base),
             (None, None, None) => body["base_serial"] = self.newest_version().await?,
@@ -238,8 +250,14 @@
                 }
             }
         }
-        let method = if change_kind == ChangeKind::Full { Method::PUT } else { Method::PATCH };
-        self.call(method, "/v1/spec", Some(&body)).await.map(|response| print(&response))
+        let method = if change_kind == ChangeKind::Full {
+            Method::PUT
+        } else {
+            Method::PATCH
+        };
+        self.call(method, "/v1/spec", Some(&body))
+            .await
+            .map(|response| print(&response))
     }
 
     /// Evacuates or restores a zone.
@@ -257,7 +275,9 @@
             "force": force,
         });
         let path = format!("/v1/localities/{zone}/{action}");
-        self.call(Method::POST, &path, Some(&body)).await.map(|response| print(&response))
+        self.call(Method::POST, &path, Some(&body))
+            .await
+            .map(|response| print(&response))
     }
 
     /// Prints events, and goes on over changes of leader if asked to.
--- a/programs/rudderctl/src/main.rs
+++ b/programs/rudderctl/src/main.rs
@@ -42,19 +42,50 @@
         Command::Found(_) => client.found().await,
         Command::Replace(replace) => {
             client
-                .post(&format!("/v1/core/replace/{}/{}", replace.missing, replace.successor))
+                .post(&format!(
+                    "/v1/core/replace/{}/{}",
+                    replace.missing, replace.successor
+                ))
                 .await
         }
         Command::Core(options) => client.list(&table::CORE, options.output.or(output)).await,
         Command::Spec(_) => client.get("/v1/spec").await,
-        Command::Members(options) => client.list(&table::MEMBERS, options.output.or(output)).await,
-        Command::Holders(options) => client.list(&table::HOLDERS, options.output.or(output)).await,
-        Command::Workers(options) => client.list(&table::WORKERS, options.output.or(output)).await,
-        Command::Runners(options) => client.list(&table::RUNNERS, options.output.or(output)).await,
+        Command::Members(options) => {
+            client
+                .list(&table::MEMBERS, options.output.or(output))
+                .await
+        }
+        Command::Holders(options) => {
+            client
+                .list(&table::HOLDERS, options.output.or(output))
+                .await
+        }
+        Command::Workers(options) => {
+            client
+                .list(&table::WORKERS, options.output.or(output))
+                .await
+        }
+        Command::Runners(options) => {
+            client
+                .list(&table::RUNNERS, options.output.or(output))
+                .await
+        }
         Command::Change(named) => client.get(&format!("/v1/changes/{}", named.id)).await,
-        Command::Put(change) => client.change(ChangeKind::Full, change.to_submission()).await,
-        Command::Patch(change) => client.change(ChangeKind::Patch, change.to_submission()).await,
-        Command::Items(change) => client.change(ChangeKind::Items, change.to_submission()).await,
+        Command::Put(change) => {
+            client
+                .change(ChangeKind::Full, change.to_submission())
+                .await
+        }
+        Command::Patch(change) => {
+            client
+                .change(ChangeKind::Patch, change.to_submission())
+                .await
+        }
+        Command::Items(change) => {
+            client
+                .change(ChangeKind::Items, change.to_submission())
+                .await
+        }
         Command::Evacuate(zone_change) => {
             client
                 .zone_change(
@@ -83,8 +114,10 @@
 }
 
 async fn run_trace(at: &str, options: &Trace, output: Option<OutputFormat>) -> ExitCode {
-    let addresses: Result<Vec<SocketAddress>, _> =
-        at.split(',').map(|text| text.parse().map(SocketAddress)).collect();
+    let addresses: Result<Vec<SocketAddress>, _> = at
+        .split(',')
+        .map(|text| text.parse().map(SocketAddress))
+        .collect();
     let Ok(addresses) = addresses else {
         return PROGRAM.fail(format_args!("--at: not IP numbers with ports: {at:?}"), 2);
     };
--- a/programs/rudderctl/src/table.rs
+++ b/programs/rudderctl/src/table.rs
@@ -38,7 +38,14 @@
 pub const HOLDERS: Table = Table {
     path: "/v1/holders",
     rows: "holders",
-    columns: &["function", "member", "grant", "fencing", "handing_over", "runners"],
+    columns: &[
+        "function",
+        "member",
+        "grant",
+        "fencing",
+        "handing_over",
+        "runners",
+    ],
 };
 
 /// The workers.
@@ -52,14 +59,30 @@
 pub const RUNNERS: Table = Table {
     path: "/v1/runners",
     rows: "runners",
-    columns: &["runner", "function", "worker", "memory_mb", "ready", "draining", "left", "life"],
+    columns: &[
+        "runner",
+        "function",
+        "worker",
+        "memory_mb",
+        "ready",
+        "draining",
+        "left",
+        "life",
+    ],
 };
 
 /// The core as one controller sees it, and the other controllers.
 pub const CORE: Table = Table {
     path: "/v1/core",
     rows: "others",
-    columns: &["surveyor", "place", "operators", "accepted", "voter", "silent_ms"],
+    columns: &[
+        "surveyor",
+        "place",
+        "operators",
+        "accepted",
+        "voter",
+        "silent_ms",
+    ],
 };
 
 fn cell(value: &Value) -> String {
@@ -82,9 +105,18 @@
                 let _ = writeln!(text, "{key}: {}", cell(value));
             }
         }
-        let heads: Vec<String> = self.columns.iter().map(|column| column.to_uppercase()).collect();
+        let heads: Vec<String> = self
+            .columns
+            .iter()
+            .map(|column| column.to_uppercase())
+            .collect();
         let rows = answer[self.rows].as_array().into_iter().flatten();
-        let cells = rows.map(|row| self.columns.iter().map(|column| cell(&row[*column])).collect());
+        let cells = rows.map(|row| {
+            self.columns
+                .iter()
+                .map(|column| cell(&row[*column]))
+                .collect()
+        });
         let lines: Vec<Vec<String>> = std::iter::once(heads).chain(cells).collect();
         for line in &lines {
             let padded = line.iter().enumerate().map(|(column, cell)| {
--- a/programs/rudderctl/src/trace.rs
+++ b/programs/rudderctl/src/trace.rs
@@ -67,17 +67,27 @@
         if unreachable.len() == addresses.len() {
             return Err(TraceError::Unreachable);
         }
-        let newest = answers.iter().filter_map(|answer| answer["serial"].as_u64()).max();
+        let newest = answers
+            .iter()
+            .filter_map(|answer| answer["serial"].as_u64())
+            .max();
         let version = newest.ok_or(TraceError::Unknown(requested_version))?;
         let mut parts = BTreeMap::new();
-        for answer in answers.iter().filter(|answer| answer["serial"].as_u64() == Some(version)) {
+        for answer in answers
+            .iter()
+            .filter(|answer| answer["serial"].as_u64() == Some(version))
+        {
             for trace in answer["traces"].as_array().into_iter().flatten() {
                 let mut part = trace.clone();
                 part["surveyor"] = answer["surveyor"].clone();
                 parts.insert(part["term"].as_u64().unwrap_or(0), part);
             }
         }
-        Ok(Self { version, parts, unreachable })
+        Ok(Self {
+            version,
+            parts,
+            unreachable,
+        })
     }
 
     /// The serial traced.
@@ -87,25 +97,36 @@
 
     /// Whether some leader saw it in force everywhere.
     pub fn is_in_force(&self) -> bool {
-        self.parts.values().any(|part| part["in_force_ms"].is_number())
+        self.parts
+            .values()
+            .any(|part| part["in_force_ms"].is_number())
     }
 
     /// The way as JSON.
     pub fn to_value(&self) -> Value {
-        let unreachable: Vec<String> =
-            self.unreachable.iter().map(SocketAddress::to_string).collect();
+        let unreachable: Vec<String> = self
+            .unreachable
+            .iter()
+            .map(SocketAddress::to_string)
+            .collect();
         let parts: Vec<&Value> = self.parts.values().collect();
         json!({"serial": self.version, "in_force": self.is_in_force(), "parts": parts, "silent": unreachable})
     }
 }
 
 fn millis(value: &Value) -> String {
-    value.as_f64().map_or_else(|| "-".to_owned(), |millis| format!("{millis:.1} ms"))
+    value
+        .as_f64()
+        .map_or_else(|| "-".to_owned(), |millis| format!("{millis:.1} ms"))
 }
 
 impl fmt::Display for VersionTrace {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let force = if self.is_in_force() { "in force" } else { "not in force" };
+        let force = if self.is_in_force() {
+            "in force"
+        } else {
+            "not in force"
+        };
         writeln!(out, "serial {}: {force}", self.version)?;
         for (term, part) in &self.parts {
             writeln!(
@@ -116,7 +137,11 @@
                 millis(&part["committed_ms"]),
                 millis(&part["in_force_ms"]),
             )?;
-            writeln!(out, "  {:<24} {:>12} {:>14}  lagging", "daemon", "pushed", "acknowledged")?;
+            writeln!(
+                out,
+                "  {:<24} {:>12} {:>14}  lagging",
+                "daemon", "pushed", "acknowledged"
+            )?;
             for (member, row) in part["members"].as_object().into_iter().flatten() {
                 writeln!(
                     out,
@@ -128,7 +153,10 @@
             }
         }
         for address in &self.unreachable {
-            writeln!(out, "controller at {address} did not answer; what it alone saw is missing")?;
+            writeln!(
+                out,
+                "controller at {address} did not answer; what it alone saw is missing"
+            )?;
         }
         Ok(())
     }
--- a/programs/rudderctl/tests/command_forms.rs
+++ b/programs/rudderctl/tests/command_forms.rs
@@ -94,7 +94,10 @@
     let first = parts.next().unwrap_or_default().to_owned();
     let is_digit = |letter: char| letter.is_ascii_hexdigit();
     parts.fold(first, |shown, part| {
-        format!("{shown}\"rudderctl-MADE-UP{}", part.trim_start_matches(is_digit))
+        format!(
+            "{shown}\"rudderctl-MADE-UP{}",
+            part.trim_start_matches(is_digit)
+        )
     })
 }
 
@@ -202,39 +205,89 @@
 fn every_command_asks_as_it_did() {
     let spec = OwnFile::new("spec", r#"{"functions": {}, "routes": {}}"#);
     let patch = OwnFile::new("patch", r#"{"functions": {"f": null}}"#);
-    let items = OwnFile::new("items", r#"{"put": {"routes": {}}, "remove": {"functions": ["f"]}}"#);
+    let items = OwnFile::new(
+        "items",
+        r#"{"put": {"routes": {}}, "remove": {"functions": ["f"]}}"#,
+    );
     let accepted = json!({"state": "accepted", "serial": 4, "change_id": "c"});
     let current = json!({"serial": 17});
-    let then_accepted = || vec![("200 OK", current.to_string()), ("200 OK", accepted.to_string())];
+    let then_accepted = || {
+        vec![
+            ("200 OK", current.to_string()),
+            ("200 OK", accepted.to_string()),
+        ]
+    };
     let (spec, patch, items) = (spec.name(), patch.name(), items.name());
     let asked: Vec<Asked> = vec![
         (vec!["core"], ok(&json!({}))),
-        (vec!["replace", "5f", "77"], vec![("202 X", json!({"state": "replacing"}).to_string())]),
+        (
+            vec!["replace", "5f", "77"],
+            vec![("202 X", json!({"state": "replacing"}).to_string())],
+        ),
         (vec!["spec"], ok(&current)),
         (vec!["put", spec], then_accepted()),
         (vec!["put", spec, "--wait"], then_accepted()),
-        (vec!["put", spec, "--base", "3", "--change-id", "c"], ok(&accepted)),
+        (
+            vec!["put", spec, "--base", "3", "--change-id", "c"],
+            ok(&accepted),
+        ),
         (vec!["put", spec, "-b", "3", "-w"], ok(&accepted)),
-        (vec!["put", spec, "--number", "9", "--base-number", "8"], ok(&accepted)),
+        (
+            vec!["put", spec, "--number", "9", "--base-number", "8"],
+            ok(&accepted),
+        ),
         (vec!["put", spec, "--number", "9"], ok(&accepted)),
-        (vec!["put", spec, "--number", "9", "--base-number", "8", "--base", "3"], ok(&accepted)),
+        (
+            vec![
+                "put",
+                spec,
+                "--number",
+                "9",
+                "--base-number",
+                "8",
+                "--base",
+                "3",
+            ],
+            ok(&accepted),
+        ),
         (vec!["patch", patch, "--change-id", "c"], then_accepted()),
-        (vec!["patch", patch, "--base", "3", "--change-id", "c", "--wait"], ok(&accepted)),
+        (
+            vec!["patch", patch, "--base", "3", "--change-id", "c", "--wait"],
+            ok(&accepted),
+        ),
         (vec!["items", items, "--change-id", "c"], then_accepted()),
-        (vec!["items", items, "--number", "9", "--base-number", "8"], ok(&accepted)),
+        (
+            vec!["items", items, "--number", "9", "--base-number", "8"],
+            ok(&accepted),
+        ),
         (vec!["change", "release-42"], ok(&accepted)),
         (vec!["evacuate", "north"], ok(&accepted)),
-        (vec!["evacuate", "north", "--change-id", "c", "--wait", "--force"], ok(&accepted)),
+        (
+            vec!["evacuate", "north", "--change-id", "c", "--wait", "--force"],
+            ok(&accepted),
+        ),
         (vec!["evacuate", "north", "-w", "-f"], ok(&accepted)),
         (vec!["restore", "north", "--change-id", "c"], ok(&accepted)),
         (vec!["members"], ok(&json!({"members": []}))),
         (vec!["holders"], ok(&json!({"holders": []}))),
         (vec!["workers"], ok(&json!({"workers": []}))),
         (vec!["runners"], ok(&json!({"runners": []}))),
-        (vec!["events"], vec![("200 OK", "{\"number\":7}\n{\"number\":8}\n".to_owned())]),
-        (vec!["events", "--from", "120"], vec![("503 X", String::new())]),
-        (vec!["trace", "17", "--output", "json"], ok(&json!({"serial": 17, "traces": []}))),
-        (vec!["trace", "--json"], ok(&json!({"serial": 17, "traces": []}))),
+        (
+            vec!["events"],
+            vec![("200 OK", "{\"number\":7}\n{\"number\":8}\n".to_owned())],
+        ),
+        (
+            vec!["events", "--from", "120"],
+            vec![("503 X", String::new())],
+        ),
+        (
+            vec!["trace", "17", "--output", "json"],
+            ok(&json!({"serial": 17, "traces": []})),
+        ),
+        (
+            vec!["trace", "--json"],
+            ok(&json!({"serial": 17, "traces": []})),
+        ),
         (
             vec!["found"],
             vec![
@@ -250,14 +303,21 @@
         ),
         (
             vec!["found"],
-            vec![("409 X", json!({"error": "the core is founded already"}).to_string())],
+            vec![(
+                "409 X",
+                json!({"error": "the core is founded already"}).to_string(),
+            )],
         ),
     ];
     let mut text = String::new();
     for (arguments, answers) in asked {
         text += &Controller::answering(&answers).said(&arguments);
     }
-    for (path, shown) in [(spec, "SPEC-FILE"), (patch, "PATCH-FILE"), (items, "ITEMS-FILE")] {
+    for (path, shown) in [
+        (spec, "SPEC-FILE"),
+        (patch, "PATCH-FILE"),
+        (items, "ITEMS-FILE"),
+    ] {
         text = text.replace(path, shown);
     }
     check("asked.txt", &text);
@@ -266,10 +326,15 @@
 #[test]
 fn every_status_has_its_exit_code() {
     let mut text = String::new();
-    for status in ["200 OK", "202 X", "307 X", "400 X", "404 X", "409 X", "422 X", "500 X", "503 X"]
-    {
+    for status in [
+        "200 OK", "202 X", "307 X", "400 X", "404 X", "409 X", "422 X", "500 X", "503 X",
+    ] {
         let body = json!({"error": "because", "state": "not_accepted"}).to_string();
-        for arguments in [&["spec"][..], &["members", "--output", "table"], &["restore", "n"]] {
+        for arguments in [
+            &["spec"][..],
+            &["members", "--output", "table"],
+            &["restore", "n"],
+        ] {
             text += &Controller::answering(&[(status, body.clone())]).said(arguments);
         }
     }
@@ -316,8 +381,16 @@
 fn lists_are_printed_as_tables_and_as_json() {
     let mut text = String::new();
     for (command, answer) in lists() {
-        let (before, after) = (["--output", "table", command], [command, "--output", "table"]);
-        for arguments in [&[command][..], &before, &after, &[command, "--output", "json"]] {
+        let (before, after) = (
+            ["--output", "table", command],
+            [command, "--output", "table"],
+        );
+        for arguments in [
+            &[command][..],
+            &before,
+            &after,
+            &[command, "--output", "json"],
+        ] {
             text += &Controller::answering(&ok(&answer)).said(arguments);
         }
     }
@@ -338,9 +411,11 @@
     };
     let mut text = String::new();
     for answer in [trace(json!(4.75)), trace(Value::Null)] {
-        for arguments in
-            [&["trace", "17"][..], &["trace", "--output", "json"], &["--output", "json", "trace"]]
-        {
+        for arguments in [
+            &["trace", "17"][..],
+            &["trace", "--output", "json"],
+            &["--output", "json", "trace"],
+        ] {
             text += &Controller::answering(&ok(&answer)).said(arguments);
         }
     }
--- a/programs/rudderctl/tests/output.rs
+++ b/programs/rudderctl/tests/output.rs
@@ -13,7 +13,10 @@
 const QUORUM_LIST: &str = r#"{"surveyor": "5f", "term": 3, "leader": null, "others": []}"#;
 
 fn run(arguments: &[&str]) -> Output {
-    Command::new(env!("CARGO_BIN_EXE_rudderctl")).args(arguments).output().expect("it runs")
+    Command::new(env!("CARGO_BIN_EXE_rudderctl"))
+        .args(arguments)
+        .output()
+        .expect("it runs")
 }
 
 /// A controller that answers one call, and gives back its first line.
@@ -46,7 +49,10 @@
     let address_text = address.to_string();
     let output = run(&[&["--at", address_text.as_str()], arguments].concat());
     serve_response.join().expect("it answers");
-    (String::from_utf8_lossy(&output.stdout).into_owned(), output.status.code())
+    (
+        String::from_utf8_lossy(&output.stdout).into_owned(),
+        output.status.code(),
+    )
 }
 
 #[test]
@@ -72,7 +78,10 @@
     for arguments in [&["holders"][..], &["holders", "--output", "json"]] {
         let (text, exit_code) = run_against("200 OK", HOLDERS, arguments);
         let value: serde_json::Value = serde_json::from_str(&text).expect("JSON");
-        assert_eq!(value, serde_json::from_str::<serde_json::Value>(HOLDERS).expect("JSON"));
+        assert_eq!(
+            value,
+            serde_json::from_str::<serde_json::Value>(HOLDERS).expect("JSON")
+        );
         assert_eq!(exit_code, Some(0));
     }
 }
@@ -95,7 +104,10 @@
 #[test]
 fn every_command_has_an_example() {
     let help = String::from_utf8_lossy(&run(&["--help"]).stdout).into_owned();
-    assert!(help.contains("Examples:") && help.contains("Exit codes:"), "{help}");
+    assert!(
+        help.contains("Examples:") && help.contains("Exit codes:"),
+        "{help}"
+    );
     let commands = help.split("Commands:\n").nth(1).expect("commands");
     let names = commands.lines().take_while(|line| !line.is_empty());
     for name in names.filter_map(|line| line.split_whitespace().next()) {
--- a/testing/fleet/src/commands/capacity.rs
+++ b/testing/fleet/src/commands/capacity.rs
@@ -44,5 +44,9 @@
     if let Some(folder) = &synthetic.folder {
         println!("{}", record.write(folder)?.display());
     }
-    Ok(if record.stopped.is_none() { ExitCode::SUCCESS } else { ExitCode::from(1) })
+    Ok(if record.stopped.is_none() {
+        ExitCode::SUCCESS
+    } else {
+        ExitCode::from(1)
+    })
 }
--- a/testing/fleet/src/commands/control_side.rs
+++ b/testing/fleet/src/commands/control_side.rs
@@ -11,14 +11,25 @@
 fn cases(size: QuorumSize, seed: u64, stride: u64) -> Vec<SecondLossCase> {
     let mut cases = Vec::new();
     for repair in Repair::ALL {
-        let quiet_case = SecondLossCase { size, repair: *repair, second: None };
+        let quiet_case = SecondLossCase {
+            size,
+            repair: *repair,
+            second: None,
+        };
         let steps = quiet_case.steps(seed);
         for target in [Target::Leader, Target::Follower, Target::Victim] {
             for loss in SecondLossCase::tolerated_losses(size, *repair) {
                 let steps = (1..=steps).step_by(stride.max(1) as usize);
                 cases.extend(steps.map(|step| {
-                    let second = Some(SecondLoss { step, target, loss: *loss });
-                    SecondLossCase { second, ..quiet_case }
+                    let second = Some(SecondLoss {
+                        step,
+                        target,
+                        loss: *loss,
+                    });
+                    SecondLossCase {
+                        second,
+                        ..quiet_case
+                    }
                 }));
             }
         }
@@ -28,30 +39,45 @@
 
 /// Plays a second loss at each step, and prints the cases with breaches.
 pub fn lose_second_machines(chosen: &SecondLosses) -> ExitCode {
-    let Some(flaw) = Flaw::all().into_iter().find(|flaw| flaw.to_string() == chosen.flaw) else {
+    let Some(flaw) = Flaw::all()
+        .into_iter()
+        .find(|flaw| flaw.to_string() == chosen.flaw)
+    else {
         eprintln!("fleet: unknown flaw {:?}", chosen.flaw);
         return ExitCode::from(2);
     };
     let mut violation_count = 0;
-    let sizes = QuorumSize::ALL
-        .iter()
-        .filter(|size| chosen.machines.is_none_or(|machines| machines == size.machines));
+    let sizes = QuorumSize::ALL.iter().filter(|size| {
+        chosen
+            .machines
+            .is_none_or(|machines| machines == size.machines)
+    });
     for size in sizes {
         let mut case_count = 0;
         let mut violating_count = 0;
         for case in cases(*size, chosen.seed, chosen.stride) {
             case_count += 1;
-            let plan = SimPlan { flaw, ..case.plan(chosen.seed) };
+            let plan = SimPlan {
+                flaw,
+                ..case.plan(chosen.seed)
+            };
             let violations = Simulation::new(plan, false).run().violations;
             if let Some(violation) = violations.first() {
                 violating_count += 1;
                 println!("{} {:?}: {violation}", case.repair, case.second);
             }
         }
-        println!("{} machines: {case_count} cases, {violating_count} with breaches", size.machines);
+        println!(
+            "{} machines: {case_count} cases, {violating_count} with breaches",
+            size.machines
+        );
         violation_count += violating_count;
     }
-    if violation_count == 0 { ExitCode::SUCCESS } else { ExitCode::from(1) }
+    if violation_count == 0 {
+        ExitCode::SUCCESS
+    } else {
+        ExitCode::from(1)
+    }
 }
 
 /// Prints a table in Markdown: for each rule of the control side what is seen without it, and how
@@ -64,16 +90,23 @@
     for proof in SCENARIO_DETECTION_CASES {
         let found = proof.find(max_seeds);
         is_complete &= found.is_some();
-        let (seed, seen) = found
-            .map_or(("none".to_owned(), String::new()), |(seed, seen)| (seed.to_string(), seen));
-        println!("| {} | `{}` | {seed} | {seen} |", proof.scenario, proof.flaw);
+        let (seed, seen) = found.map_or(("none".to_owned(), String::new()), |(seed, seen)| {
+            (seed.to_string(), seen)
+        });
+        println!(
+            "| {} | `{}` | {seed} | {seen} |",
+            proof.scenario, proof.flaw
+        );
     }
     is_complete
 }
 
 /// Prints a table in Markdown: for each single loss the time to the next order and session leases.
 pub fn measure_recovery(chosen: &RecoveryOptions) -> ExitCode {
-    let Some(size) = QuorumSize::ALL.iter().find(|size| size.machines == chosen.machines) else {
+    let Some(size) = QuorumSize::ALL
+        .iter()
+        .find(|size| size.machines == chosen.machines)
+    else {
         eprintln!("fleet: there are quorums of 3, 5, 6 and 8 machines");
         return ExitCode::from(2);
     };
@@ -84,8 +117,9 @@
     println!("|---|---|---|---|---|---|---|---|---|");
     for single in SINGLE_LOSSES {
         let seeds = chosen.seed..chosen.seed + chosen.count;
-        let times: Vec<_> =
-            seeds.filter_map(|seed| single.measure(seed, size.machines, size.voters)).collect();
+        let times: Vec<_> = seeds
+            .filter_map(|seed| single.measure(seed, size.machines, size.voters))
+            .collect();
         let order = Spread::of(times.iter().map(|time| time.order));
         let first_lease = Spread::of(times.iter().map(|time| time.first_lease));
         let last_lease = Spread::of(times.iter().map(|time| time.last_lease));
--- a/testing/fleet/src/commands/days.rs
+++ b/testing/fleet/src/commands/days.rs
@@ -23,15 +23,26 @@
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Deployment(name) => {
-                write!(out, "unknown deployment {name:?}; there are: stezka, tintwell, small")
+                write!(
+                    out,
+                    "unknown deployment {name:?}; there are: stezka, tintwell, small"
+                )
             }
             Self::Fault(name) => {
                 let names: Vec<&str> = FaultName::ALL.iter().map(|fault| fault.as_str()).collect();
-                write!(out, "unknown fault {name:?}; there are: random, {}", names.join(", "))
+                write!(
+                    out,
+                    "unknown fault {name:?}; there are: random, {}",
+                    names.join(", ")
+                )
             }
             Self::Rule(name) => {
                 let names: Vec<String> = Rule::ALL.iter().map(Rule::to_string).collect();
-                write!(out, "unknown rule {name:?}; there are: {}", names.join(", "))
+                write!(
+                    out,
+                    "unknown rule {name:?}; there are: {}",
+                    names.join(", ")
+                )
             }
             Self::Folder(fault) => write!(out, "{fault}"),
         }
@@ -75,7 +86,11 @@
     print!("{verdict}");
     let violation_count = verdict.violation_count();
     println!("violations: {violation_count}");
-    if verdict.is_clean() { ExitCode::SUCCESS } else { ExitCode::from(1) }
+    if verdict.is_clean() {
+        ExitCode::SUCCESS
+    } else {
+        ExitCode::from(1)
+    }
 }
 
 /// Prints a table in Markdown: for each fault its runs, shares, and times to recovery.
@@ -86,7 +101,10 @@
         let verdict = judge(&Evidence::read(folder)?);
         violation_count += verdict.violation_count();
         for recovery in verdict.figures.recoveries {
-            by_fault.entry(recovery.fault.clone()).or_default().push(recovery);
+            by_fault
+                .entry(recovery.fault.clone())
+                .or_default()
+                .push(recovery);
         }
     }
     println!(
@@ -102,7 +120,11 @@
         let mut down: Vec<u64> = runs.iter().map(|run| run.down_ms).collect();
         down.sort_unstable();
         let worst_share = runs.iter().map(|run| run.worst_share).fold(1.0, f64::min) * 100.0;
-        let after_return = runs.iter().map(|run| run.after_return_ms).max().unwrap_or(0);
+        let after_return = runs
+            .iter()
+            .map(|run| run.after_return_ms)
+            .max()
+            .unwrap_or(0);
         println!(
             "| {fault} | {} | {:.2} % | {:.2} % | {worst_share:.0} % | {} ms | {} ms | {after_return} ms |",
             runs.len(),
@@ -113,7 +135,11 @@
         );
     }
     println!("\nviolations in {} days: {violation_count}", folders.len());
-    Ok(if violation_count == 0 { ExitCode::SUCCESS } else { ExitCode::from(1) })
+    Ok(if violation_count == 0 {
+        ExitCode::SUCCESS
+    } else {
+        ExitCode::from(1)
+    })
 }
 
 pub fn run_and_conclude(day: &Day) -> eyre::Result<ExitCode> {
@@ -121,6 +147,8 @@
         std::fs::remove_dir_all(&day.folder).wrap_err("old folder")?;
     }
     let runtime = common::command_line::runtime(4)?;
-    let day_result = runtime.block_on(run_day(day)).map_err(|fault| eyre!("{fault}"))?;
+    let day_result = runtime
+        .block_on(run_day(day))
+        .map_err(|fault| eyre!("{fault}"))?;
     Ok(conclude(&day_result.verdict))
 }
