--- a/testing/fleet/src/commands/flags.rs
+++ b/testing/fleet/src/commands/flags.rs
@@ -53,17 +53,37 @@
     pub functions: usize,
     #[options(no_short, help = "functions that are called and so held, if not all")]
     pub held: Option<usize>,
-    #[options(no_short, help = "runners that each held function keeps", default = "1")]
+    #[options(
+        no_short,
+        help = "runners that each held function keeps",
+        default = "1"
+    )]
     pub runners: u32,
-    #[options(no_short, help = "changes of the spec while it is measured", default = "4")]
+    #[options(
+        no_short,
+        help = "changes of the spec while it is measured",
+        default = "4"
+    )]
     pub changes: u32,
     #[options(help = "seed", default = "1")]
     pub seed: u64,
-    #[options(no_short, help = "calls a second and daemon while it is measured", default = "4")]
+    #[options(
+        no_short,
+        help = "calls a second and daemon while it is measured",
+        default = "4"
+    )]
     pub calls: u32,
-    #[options(no_short, help = "seconds of virtual time that are measured", default = "10")]
+    #[options(
+        no_short,
+        help = "seconds of virtual time that are measured",
+        default = "10"
+    )]
     pub seconds: u64,
-    #[options(no_short, help = "seconds of real time after which it is stopped", default = "180")]
+    #[options(
+        no_short,
+        help = "seconds of real time after which it is stopped",
+        default = "180"
+    )]
     pub patience: u64,
     #[options(no_short, help = "a folder for the record; none is written without")]
     pub folder: Option<PathBuf>,
@@ -99,7 +119,11 @@
     pub at_once: usize,
     #[options(no_short, help = "a rule that the daemons lack", meta = "RULE")]
     pub without: Option<String>,
-    #[options(required, help = "the folder of settings, logs and records", meta = "FOLDER")]
+    #[options(
+        required,
+        help = "the folder of settings, logs and records",
+        meta = "FOLDER"
+    )]
     pub folder: PathBuf,
 }
 
@@ -147,13 +171,28 @@
     pub daemons: usize,
     #[options(no_short, help = "cause no faults, only changes")]
     pub calm: bool,
-    #[options(no_short, help = "the only faults of the day, with commas", default = "")]
+    #[options(
+        no_short,
+        help = "the only faults of the day, with commas",
+        default = ""
+    )]
     pub faults: String,
-    #[options(no_short, help = "longest milliseconds between two faults", default = "3500")]
+    #[options(
+        no_short,
+        help = "longest milliseconds between two faults",
+        default = "3500"
+    )]
     pub gap_ms: u64,
-    #[options(no_short, help = "operators number their orders, and their history is judged")]
+    #[options(
+        no_short,
+        help = "operators number their orders, and their history is judged"
+    )]
     pub orders: bool,
-    #[options(no_short, help = "longest milliseconds between two orders", default = "3000")]
+    #[options(
+        no_short,
+        help = "longest milliseconds between two orders",
+        default = "3000"
+    )]
     pub order_gap_ms: u64,
     #[options(help = "a rule to break on purpose", default = "none")]
     pub flaw: String,
@@ -223,6 +262,10 @@
     pub daemons: Option<usize>,
     #[options(no_short, help = "a safety rule that the daemons lack", meta = "RULE")]
     pub without: Option<String>,
-    #[options(no_short, help = "folder for settings, logs and records", default = "fleet-day")]
+    #[options(
+        no_short,
+        help = "folder for settings, logs and records",
+        default = "fleet-day"
+    )]
     pub folder: PathBuf,
 }
--- a/testing/fleet/src/commands/simulator.rs
+++ b/testing/fleet/src/commands/simulator.rs
@@ -31,11 +31,18 @@
             end.checked,
             end.baseline_violations.len()
         );
-        end.baseline_violations.iter().take(3).for_each(|violation| eprintln!("{violation}"));
+        end.baseline_violations
+            .iter()
+            .take(3)
+            .for_each(|violation| eprintln!("{violation}"));
         is_complete &= end.found.is_some() && end.baseline_violations.is_empty();
     }
     is_complete &= check_scenario_detection(proofs.seeds.unwrap_or(SEEDS_TO_FIND));
-    if is_complete { ExitCode::SUCCESS } else { ExitCode::from(1) }
+    if is_complete {
+        ExitCode::SUCCESS
+    } else {
+        ExitCode::from(1)
+    }
 }
 
 /// Runs the days of the seeds and prints how each ended.
@@ -96,15 +103,27 @@
 impl fmt::Display for PlanError {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         let (kind, given, known): (_, _, Vec<String>) = match self {
-            Self::Flaw(given) => ("flaw", given, Flaw::all().iter().map(Flaw::to_string).collect()),
-            Self::Fault(given) => {
-                ("fault", given, SimFault::ALL.iter().map(SimFault::to_string).collect())
-            }
-            Self::Scenario(given) => {
-                ("scenario", given, Scenario::ALL.iter().map(Scenario::to_string).collect())
-            }
+            Self::Flaw(given) => (
+                "flaw",
+                given,
+                Flaw::all().iter().map(Flaw::to_string).collect(),
+            ),
+            Self::Fault(given) => (
+                "fault",
+                given,
+                SimFault::ALL.iter().map(SimFault::to_string).collect(),
+            ),
+            Self::Scenario(given) => (
+                "scenario",
+                given,
+                Scenario::ALL.iter().map(Scenario::to_string).collect(),
+            ),
         };
-        write!(out, "unknown {kind} {given:?}; there are: {}", known.join(", "))
+        write!(
+            out,
+            "unknown {kind} {given:?}; there are: {}",
+            known.join(", ")
+        )
     }
 }
 
@@ -117,13 +136,19 @@
     if !sim.scenario.is_empty() {
         let scenario = Scenario::by_name(&sim.scenario)
             .ok_or_else(|| PlanError::Scenario(sim.scenario.clone()))?;
-        return Ok(Box::new(move |seed| SimPlan { flaw, ..scenario.plan(seed) }));
+        return Ok(Box::new(move |seed| SimPlan {
+            flaw,
+            ..scenario.plan(seed)
+        }));
     }
     let names = sim.faults.split(',').filter(|name| !name.is_empty());
     let focus = names
         .map(|name| SimFault::by_name(name).ok_or_else(|| PlanError::Fault(name.to_owned())))
         .collect::<Result<Vec<SimFault>, PlanError>>()?;
-    let (lasts, gap) = (Duration::from_secs(sim.lasts), Duration::from_millis(sim.gap_ms.max(400)));
+    let (lasts, gap) = (
+        Duration::from_secs(sim.lasts),
+        Duration::from_millis(sim.gap_ms.max(400)),
+    );
     let (daemons, has_faults) = (sim.daemons, !sim.calm);
     let (numbers_orders, order_gap) = (sim.orders, Duration::from_millis(sim.order_gap_ms));
     Ok(Box::new(move |seed| SimPlan {
--- a/testing/fleet/src/commands/soak.rs
+++ b/testing/fleet/src/commands/soak.rs
@@ -51,21 +51,33 @@
     if soak.folder.join("journal.jsonl").exists() {
         let _ = std::fs::remove_dir_all(&soak.folder);
     }
-    let end = run_soak(&soak).await.map_err(|error| eyre!("seed {}: {error}", soak.seed));
+    let end = run_soak(&soak)
+        .await
+        .map_err(|error| eyre!("seed {}: {error}", soak.seed));
     (soak, end)
 }
 
 /// Says how a soak ended; whether nothing was found.
 fn report(soak: &Soak, end: &SoakResult) -> eyre::Result<bool> {
     let findings = end.findings();
-    let answered = end.verdict.figures.to_string().lines().next().unwrap_or_default().to_owned();
+    let answered = end
+        .verdict
+        .figures
+        .to_string()
+        .lines()
+        .next()
+        .unwrap_or_default()
+        .to_owned();
     println!(
         "seed {}: {} troubles, {} findings; {answered}",
         soak.seed,
         end.planned_faults.len(),
         findings.len()
     );
-    findings.iter().take(10).for_each(|finding| println!("    {finding}"));
+    findings
+        .iter()
+        .take(10)
+        .for_each(|finding| println!("    {finding}"));
     std::fs::write(soak.folder.join("verdict.txt"), end.to_string()).wrap_err("verdict")?;
     Ok(findings.is_empty())
 }
--- a/testing/fleet/src/daemon_without_rule.rs
+++ b/testing/fleet/src/daemon_without_rule.rs
@@ -34,7 +34,9 @@
     let settings = DaemonSettings::read(&settings_source).map_err(|error| eyre!("{error}"))?;
     command_line::runtime(0)?.block_on(async {
         let opened = Daemon::open_with_rules(settings, Rules::without(rule)).await;
-        let daemon = opened.map_err(|error| eyre!("{error}")).wrap_err("opening")?;
+        let daemon = opened
+            .map_err(|error| eyre!("{error}"))
+            .wrap_err("opening")?;
         let stop = command_line::stop_signal()?;
         let _reread = command_line::reload_signal()?;
         daemon.run(stop).await;
--- a/testing/fleet/src/days/deployment.rs
+++ b/testing/fleet/src/days/deployment.rs
@@ -122,18 +122,24 @@
                     152,
                     300,
                 ),
-                Self::Small => {
-                    (&[("segment-check", false), ("bundle-check", true)], "club-page", 12, 300)
-                }
+                Self::Small => (
+                    &[("segment-check", false), ("bundle-check", true)],
+                    "club-page",
+                    12,
+                    300,
+                ),
             };
-        let busy = busy_names.iter().enumerate().map(|(index, (name, once))| PlannedFunction {
-            name: (*name).to_owned(),
-            memory_mb: 256 + 64 * (index as u64 % 4),
-            boot_ms: 400 + 100 * (index as u64 % 4),
-            slots: 4,
-            once: *once,
-            weight: 1000,
-        });
+        let busy = busy_names
+            .iter()
+            .enumerate()
+            .map(|(index, (name, once))| PlannedFunction {
+                name: (*name).to_owned(),
+                memory_mb: 256 + 64 * (index as u64 % 4),
+                boot_ms: 400 + 100 * (index as u64 % 4),
+                slots: 4,
+                once: *once,
+                weight: 1000,
+            });
         let busy_weight = busy_names.len() as u64 * 1000;
         let rare = (0..rare_count).map(|number| PlannedFunction {
             name: format!("{rare_prefix}-{number:03}"),
--- a/testing/fleet/src/days/fault/call_bursts.rs
+++ b/testing/fleet/src/days/fault/call_bursts.rs
@@ -8,8 +8,10 @@
 impl FaultInjector<'_> {
     pub(super) async fn send_burst(&mut self, fleet: &mut Fleet) -> Result<(), FleetError> {
         let caller_routes = self.deployment.caller_routes();
-        let busy_count =
-            caller_routes.iter().filter(|route| route["weight"] == json!(1000)).count();
+        let busy_count = caller_routes
+            .iter()
+            .filter(|route| route["weight"] == json!(1000))
+            .count();
         let is_rare = self.name == FaultName::RareCallBurst;
         let rare_count = caller_routes.len() - busy_count - 1;
         let burst = if is_rare {
--- a/testing/fleet/src/days/fault/catalogue.rs
+++ b/testing/fleet/src/days/fault/catalogue.rs
@@ -163,8 +163,11 @@
         let choose_one = |faults: &[FaultName], rng: &mut SeededRng| {
             faults[rng.below(faults.len() as u64) as usize]
         };
-        let heavy: Vec<FaultName> =
-            Self::ALL.iter().copied().filter(|fault| is_heavy(*fault)).collect();
+        let heavy: Vec<FaultName> = Self::ALL
+            .iter()
+            .copied()
+            .filter(|fault| is_heavy(*fault))
+            .collect();
         let mut chosen: Vec<FaultName> = (0..6).map(|_| choose_one(Self::ALL, &mut rng)).collect();
         chosen.push(choose_one(&heavy, &mut rng));
         chosen
@@ -180,7 +183,10 @@
                 checks::SPEC_NOT_IN_FORCE,
                 checks::REFUSED_CHANGE_IN_FORCE,
             ],
-            Self::SpecInvalid => &[checks::REFUSED_CHANGE_IN_FORCE, checks::UNCONFIGURED_FUNCTION],
+            Self::SpecInvalid => &[
+                checks::REFUSED_CHANGE_IN_FORCE,
+                checks::UNCONFIGURED_FUNCTION,
+            ],
             Self::SpecStorm | Self::SpecGrow => {
                 &[checks::SPEC_NOT_IN_FORCE, checks::CONFLICTING_CHANGES]
             }
@@ -197,12 +203,16 @@
             Self::LoseDisk | Self::ReplaceVoter => {
                 &[checks::SPEC_NOT_IN_FORCE, checks::SERVICE_DOWN]
             }
-            Self::FreezeHolder | Self::FreezeGroup => {
-                &[checks::ONCE_RUNS_TWICE, checks::TWO_HOLDERS, checks::SERVICE_DOWN]
-            }
-            Self::PartitionQuorum | Self::IsolateHolder | Self::IsolateZone => {
-                &[checks::ONCE_RUNS_TWICE, checks::TWO_HOLDERS, checks::SERVICE_DOWN]
-            }
+            Self::FreezeHolder | Self::FreezeGroup => &[
+                checks::ONCE_RUNS_TWICE,
+                checks::TWO_HOLDERS,
+                checks::SERVICE_DOWN,
+            ],
+            Self::PartitionQuorum | Self::IsolateHolder | Self::IsolateZone => &[
+                checks::ONCE_RUNS_TWICE,
+                checks::TWO_HOLDERS,
+                checks::SERVICE_DOWN,
+            ],
             Self::BlockOneDirection | Self::SlowNetwork => {
                 &[checks::ONCE_RUNS_TWICE, checks::TWO_HOLDERS]
             }
@@ -210,9 +220,11 @@
                 &[checks::SPEC_NOT_IN_FORCE, checks::CONFLICTING_CHANGES]
             }
             Self::StopOne | Self::StopHolder | Self::RollingRestart => &[checks::ANSWERS_DROPPED],
-            Self::RestartAll => {
-                &[checks::ONCE_RUNS_TWICE, checks::TWO_HOLDERS, checks::SERVICE_DOWN]
-            }
+            Self::RestartAll => &[
+                checks::ONCE_RUNS_TWICE,
+                checks::TWO_HOLDERS,
+                checks::SERVICE_DOWN,
+            ],
             Self::DrainWorker | Self::CrashWorker | Self::RunnerLeaves => &[checks::DRAINING_USED],
             Self::Evacuate => &[checks::EVACUATED_USED],
             Self::LostAnswers => &[checks::ONCE_RUNS_TWICE, checks::EXTRA_TRIES],
--- a/testing/fleet/src/days/fault/disks.rs
+++ b/testing/fleet/src/days/fault/disks.rs
@@ -10,7 +10,9 @@
         fleet: &mut Fleet,
         disk_fault: &str,
     ) -> Result<(), FleetError> {
-        let Some(leader) = fleet.leader().await else { return Ok(()) };
+        let Some(leader) = fleet.leader().await else {
+            return Ok(());
+        };
         self.disk_fault(fleet, &leader, disk_fault).await
     }
 
@@ -19,7 +21,9 @@
         fleet: &mut Fleet,
         disk_fault: &str,
     ) -> Result<(), FleetError> {
-        let Some(follower) = self.some_follower(fleet).await else { return Ok(()) };
+        let Some(follower) = self.some_follower(fleet).await else {
+            return Ok(());
+        };
         self.disk_fault(fleet, &follower, disk_fault).await
     }
 
--- a/testing/fleet/src/days/fault/mod.rs
+++ b/testing/fleet/src/days/fault/mod.rs
@@ -33,7 +33,11 @@
 
 /// The machines of a zone.
 fn machines_of(fleet: &Fleet, zone: &str) -> Vec<String> {
-    let machines = fleet.layout.machines.values().filter(|machine| machine.zone == zone);
+    let machines = fleet
+        .layout
+        .machines
+        .values()
+        .filter(|machine| machine.zone == zone);
     machines.map(|machine| machine.name.clone()).collect()
 }
 
@@ -109,13 +113,17 @@
             FaultName::DrainWorker => self.fail_worker(fleet, "drain", 6000).await,
             FaultName::CrashWorker => self.fail_worker(fleet, "crash", 3000).await,
             FaultName::Evacuate => self.evacuate(fleet).await,
-            FaultName::LostAnswers => self.inject_runner_faults(fleet, json!({"lose": 0.05})).await,
+            FaultName::LostAnswers => {
+                self.inject_runner_faults(fleet, json!({"lose": 0.05}))
+                    .await
+            }
             FaultName::WrongBytes => {
                 let shares = json!({"wrong": 0.02, "short": 0.02, "foreign": 0.02});
                 self.inject_runner_faults(fleet, shares).await
             }
             FaultName::Refusals => {
-                self.inject_runner_faults(fleet, json!({"refuse": 0.05, "break_off": 0.05})).await
+                self.inject_runner_faults(fleet, json!({"refuse": 0.05, "break_off": 0.05}))
+                    .await
             }
             FaultName::CallBurst | FaultName::RareCallBurst => self.send_burst(fleet).await,
         }
--- a/testing/fleet/src/days/fault/network.rs
+++ b/testing/fleet/src/days/fault/network.rs
@@ -10,7 +10,9 @@
 impl FaultInjector<'_> {
     /// The leader is cut off with half of the daemons.
     pub(super) async fn partition_quorum(&self, fleet: &Fleet) -> Result<(), FleetError> {
-        let Some(leader) = fleet.leader().await else { return Ok(()) };
+        let Some(leader) = fleet.leader().await else {
+            return Ok(());
+        };
         let daemons = fleet.running("daemon");
         let mut side: Vec<String> = daemons.iter().step_by(2).cloned().collect();
         side.push(leader);
@@ -18,7 +20,9 @@
     }
 
     pub(super) async fn isolate_holder(&self, fleet: &Fleet) -> Result<(), FleetError> {
-        let Some(name) = fleet.busiest_holder().await else { return Ok(()) };
+        let Some(name) = fleet.busiest_holder().await else {
+            return Ok(());
+        };
         self.isolate(fleet, &[name]).await
     }
 
@@ -30,8 +34,12 @@
     /// A daemon is heard by nobody, or hears nobody.
     pub(super) async fn block_one_direction(&mut self, fleet: &Fleet) -> Result<(), FleetError> {
         let names = fleet.running("daemon");
-        let Some(name) = self.choose_one(&names) else { return Ok(()) };
-        let Some(own_ip) = fleet.ip_of(&name) else { return Ok(()) };
+        let Some(name) = self.choose_one(&names) else {
+            return Ok(());
+        };
+        let Some(own_ip) = fleet.ip_of(&name) else {
+            return Ok(());
+        };
         let blocks_outgoing = self.rng.random_bool(0.5);
         for other_ip in fleet.other_ips(&[name]) {
             match blocks_outgoing {
@@ -53,7 +61,9 @@
 
     async fn isolate(&self, fleet: &Fleet, side: &[String]) -> Result<(), FleetError> {
         let side_ips: Vec<_> = side.iter().filter_map(|name| fleet.ip_of(name)).collect();
-        fleet.network_proxy.partition(&side_ips, &fleet.other_ips(side));
+        fleet
+            .network_proxy
+            .partition(&side_ips, &fleet.other_ips(side));
         pause(PARTITION_MS).await;
         fleet.network_proxy.clear_faults();
         Ok(())
--- a/testing/fleet/src/days/fault/processes.rs
+++ b/testing/fleet/src/days/fault/processes.rs
@@ -38,7 +38,9 @@
 impl FaultInjector<'_> {
     pub(super) async fn kill_one(&mut self, fleet: &mut Fleet) -> Result<(), FleetError> {
         let names = fleet.running("daemon");
-        let Some(name) = self.choose_one(&names) else { return Ok(()) };
+        let Some(name) = self.choose_one(&names) else {
+            return Ok(());
+        };
         kill_and_restart(fleet, &name).await
     }
 
@@ -50,12 +52,16 @@
     }
 
     pub(super) async fn kill_leader(&self, fleet: &mut Fleet) -> Result<(), FleetError> {
-        let Some(name) = fleet.leader().await else { return Ok(()) };
+        let Some(name) = fleet.leader().await else {
+            return Ok(());
+        };
         kill_and_restart(fleet, &name).await
     }
 
     pub(super) async fn lose_disk(&mut self, fleet: &mut Fleet) -> Result<(), FleetError> {
-        let Some(name) = self.some_follower(fleet).await else { return Ok(()) };
+        let Some(name) = self.some_follower(fleet).await else {
+            return Ok(());
+        };
         fleet.kill(&name).await;
         fleet.lose_disk(&name);
         pause(RESTART_DELAY_MS).await;
@@ -64,7 +70,9 @@
 
     /// An empty controller at a new address takes the place of a follower that is lost for good.
     pub(super) async fn replace_voter(&mut self, fleet: &mut Fleet) -> Result<(), FleetError> {
-        let Some(name) = self.some_follower(fleet).await else { return Ok(()) };
+        let Some(name) = self.some_follower(fleet).await else {
+            return Ok(());
+        };
         let zone = fleet.layout.machines[&name].zone.clone();
         fleet.kill(&name).await;
         fleet.layout.machines.remove(&name);
@@ -76,13 +84,17 @@
     }
 
     pub(super) async fn freeze_holder(&self, fleet: &mut Fleet) -> Result<(), FleetError> {
-        let Some(name) = fleet.busiest_holder().await else { return Ok(()) };
+        let Some(name) = fleet.busiest_holder().await else {
+            return Ok(());
+        };
         freeze_for(fleet, &[name], 6000).await;
         Ok(())
     }
 
     pub(super) async fn freeze_leader(&self, fleet: &mut Fleet) -> Result<(), FleetError> {
-        let Some(name) = fleet.leader().await else { return Ok(()) };
+        let Some(name) = fleet.leader().await else {
+            return Ok(());
+        };
         freeze_for(fleet, &[name], 4000).await;
         Ok(())
     }
@@ -95,12 +107,16 @@
 
     pub(super) async fn stop_one(&mut self, fleet: &mut Fleet) -> Result<(), FleetError> {
         let names = fleet.running("daemon");
-        let Some(name) = self.choose_one(&names) else { return Ok(()) };
+        let Some(name) = self.choose_one(&names) else {
+            return Ok(());
+        };
         stop_and_restart(fleet, &name).await
     }
 
     pub(super) async fn stop_holder(&self, fleet: &mut Fleet) -> Result<(), FleetError> {
-        let Some(name) = fleet.busiest_holder().await else { return Ok(()) };
+        let Some(name) = fleet.busiest_holder().await else {
+            return Ok(());
+        };
         stop_and_restart(fleet, &name).await
     }
 
@@ -123,7 +139,9 @@
 
     pub(super) async fn group_loses_disk(&mut self, fleet: &mut Fleet) -> Result<(), FleetError> {
         let group = group_of_daemons(fleet);
-        let Some(follower) = self.some_follower(fleet).await else { return Ok(()) };
+        let Some(follower) = self.some_follower(fleet).await else {
+            return Ok(());
+        };
         fleet.kill_all(&group).await;
         fleet.kill(&follower).await;
         fleet.lose_disk(&follower);
@@ -138,11 +156,15 @@
         let workers = fleet.workers_of(&zone).await;
         fleet.kill_all(&lost_machines).await;
         for worker in &workers {
-            fleet.platform(&format!("/v1/workers/{worker}/crash"), &json!({})).await?;
+            fleet
+                .platform(&format!("/v1/workers/{worker}/crash"), &json!({}))
+                .await?;
         }
         pause(5000).await;
         for worker in &workers {
-            fleet.platform(&format!("/v1/workers/{worker}/restore"), &json!({})).await?;
+            fleet
+                .platform(&format!("/v1/workers/{worker}/restore"), &json!({}))
+                .await?;
         }
         fleet.launch_all(&lost_machines).await
     }
--- a/testing/fleet/src/days/fault/spec_changes.rs
+++ b/testing/fleet/src/days/fault/spec_changes.rs
@@ -54,12 +54,21 @@
         invalid_spec["functions"]["never"] = json!({"memory_mb": 0, "boot_ms": 100, "slots": 1});
         invalid_spec["routes"]["canary"]["function"] = json!("never");
         let change_id = fleet.change_id();
-        fleet.put_spec(version, &change_id, &invalid_spec, "accepted").await?;
+        fleet
+            .put_spec(version, &change_id, &invalid_spec, "accepted")
+            .await?;
         let mut stale_spec = spec.clone();
         stale_spec["functions"]["never"] = json!({"memory_mb": 64, "boot_ms": 100, "slots": 1});
         stale_spec["routes"]["canary"]["function"] = json!("never");
         let change_id = fleet.change_id();
-        fleet.put_spec(version.saturating_sub(1), &change_id, &stale_spec, "accepted").await?;
+        fleet
+            .put_spec(
+                version.saturating_sub(1),
+                &change_id,
+                &stale_spec,
+                "accepted",
+            )
+            .await?;
         Ok(())
     }
 
@@ -75,7 +84,9 @@
             });
         }
         let change_id = fleet.change_id();
-        fleet.put_spec(version, &change_id, &spec, "in_force").await?;
+        fleet
+            .put_spec(version, &change_id, &spec, "in_force")
+            .await?;
         Ok(())
     }
 
@@ -98,7 +109,9 @@
                 }
             }
             let change_id = fleet.change_id();
-            fleet.put_spec(version, &change_id, &spec, "accepted").await?;
+            fleet
+                .put_spec(version, &change_id, &spec, "accepted")
+                .await?;
             pause(3300).await;
             self.call_each_ingress(fleet, "/probe").await;
         }
--- a/testing/fleet/src/days/fault/workers.rs
+++ b/testing/fleet/src/days/fault/workers.rs
@@ -15,47 +15,68 @@
         restore_after_ms: u64,
     ) -> Result<(), FleetError> {
         let worker = self.some_worker(fleet).await;
-        fleet.platform(&format!("/v1/workers/{worker}/{action}"), &json!({})).await?;
+        fleet
+            .platform(&format!("/v1/workers/{worker}/{action}"), &json!({}))
+            .await?;
         pause(restore_after_ms).await;
-        fleet.platform(&format!("/v1/workers/{worker}/restore"), &json!({})).await
+        fleet
+            .platform(&format!("/v1/workers/{worker}/restore"), &json!({}))
+            .await
     }
 
     /// Every fourth runner says that it leaves.
     pub(super) async fn remove_runners(&self, fleet: &Fleet) -> Result<(), FleetError> {
-        let (_, body) = fleet.call_operators(hyper::Method::GET, "/v1/runners", None).await?;
+        let (_, body) = fleet
+            .call_operators(hyper::Method::GET, "/v1/runners", None)
+            .await?;
         let rows = body["runners"].as_array().cloned().unwrap_or_default();
         for row in rows.iter().step_by(4) {
-            let Some(runner) = row["runner"].as_str() else { continue };
-            fleet.platform(&format!("/v1/runners/{runner}/leave"), &json!({})).await?;
+            let Some(runner) = row["runner"].as_str() else {
+                continue;
+            };
+            fleet
+                .platform(&format!("/v1/runners/{runner}/leave"), &json!({}))
+                .await?;
         }
         pause(7000).await;
         Ok(())
     }
 
     async fn some_worker(&mut self, fleet: &Fleet) -> String {
-        let used_workers: Vec<String> =
-            match fleet.call_operators(hyper::Method::GET, "/v1/workers", None).await {
-                Ok((_, body)) => body["workers"]
-                    .as_array()
-                    .into_iter()
-                    .flatten()
-                    .filter(|row| row["reserved_mb"].as_u64() > Some(0))
-                    .filter_map(|row| row["worker"].as_str().map(str::to_owned))
-                    .collect(),
-                Err(_) => Vec::new(),
-            };
-        self.choose_one(&used_workers).unwrap_or_else(|| "worker-00".to_owned())
+        let used_workers: Vec<String> = match fleet
+            .call_operators(hyper::Method::GET, "/v1/workers", None)
+            .await
+        {
+            Ok((_, body)) => body["workers"]
+                .as_array()
+                .into_iter()
+                .flatten()
+                .filter(|row| row["reserved_mb"].as_u64() > Some(0))
+                .filter_map(|row| row["worker"].as_str().map(str::to_owned))
+                .collect(),
+            Err(_) => Vec::new(),
+        };
+        self.choose_one(&used_workers)
+            .unwrap_or_else(|| "worker-00".to_owned())
     }
 
     pub(super) async fn evacuate(&mut self, fleet: &mut Fleet) -> Result<(), FleetError> {
-        let zones = fleet.layout.machines.values().map(|machine| machine.zone.clone());
+        let zones = fleet
+            .layout
+            .machines
+            .values()
+            .map(|machine| machine.zone.clone());
         let named_zones: BTreeSet<String> = zones.filter(|name| !name.is_empty()).collect();
         let names: Vec<String> = named_zones.into_iter().collect();
-        let Some(zone) = self.choose_one(&names) else { return Ok(()) };
+        let Some(zone) = self.choose_one(&names) else {
+            return Ok(());
+        };
         for action in ["evacuate", "restore"] {
             let body = json!({"change_id": fleet.change_id()});
             let path = format!("/v1/localities/{zone}/{action}");
-            let response = fleet.call_operators(hyper::Method::POST, &path, Some(&body)).await;
+            let response = fleet
+                .call_operators(hyper::Method::POST, &path, Some(&body))
+                .await;
             let status = response.as_ref().map_or(0, |(status, _)| *status);
             fleet.record_event(
                 "locality",
--- a/testing/fleet/src/days/run.rs
+++ b/testing/fleet/src/days/run.rs
@@ -78,7 +78,11 @@
     tokio::time::sleep(Duration::from_secs(8)).await;
     let mut rng = SeededRng::seeded(day.seed ^ 0x5eed);
     for name in &day.faults {
-        let mut fault = FaultInjector { name: *name, deployment: day.deployment, rng: &mut rng };
+        let mut fault = FaultInjector {
+            name: *name,
+            deployment: day.deployment,
+            rng: &mut rng,
+        };
         if let Err(report) = fault.inject(&mut fleet).await {
             fleet.record_event(
                 "fault_failed",
@@ -93,20 +97,29 @@
     let evidence = Evidence::read(&day.folder)?;
     let verdict = judge(&evidence);
     let workers_used = evidence.most_workers_used();
-    Ok(DayResult { verdict, workers_used })
+    Ok(DayResult {
+        verdict,
+        workers_used,
+    })
 }
 
 async fn save_metrics(fleet: &Fleet) {
     let mut pages = String::new();
     let ingresses = fleet.layout.machines.values().filter_map(|machine| {
-        machine.ingress.or(machine.operators).map(|address| (machine.name.clone(), address))
+        machine
+            .ingress
+            .or(machine.operators)
+            .map(|address| (machine.name.clone(), address))
     });
     for (name, address) in ingresses {
         let timeout = Duration::from_secs(1);
         let response =
             common::http::call_json(address, hyper::Method::GET, "/metrics", None, timeout).await;
         if let Ok(response) = response {
-            pages.push_str(&format!("# {name}\n{}\n", String::from_utf8_lossy(&response.body)));
+            pages.push_str(&format!(
+                "# {name}\n{}\n",
+                String::from_utf8_lossy(&response.body)
+            ));
         }
     }
     let _ = std::fs::write(fleet.folder().join("metrics.txt"), pages);
--- a/testing/fleet/src/faulty_disk_controller.rs
+++ b/testing/fleet/src/faulty_disk_controller.rs
@@ -32,7 +32,10 @@
 
 impl FaultyDisk {
     fn disk_state(&self) -> String {
-        std::fs::read_to_string(&self.control_file).unwrap_or_default().trim().to_owned()
+        std::fs::read_to_string(&self.control_file)
+            .unwrap_or_default()
+            .trim()
+            .to_owned()
     }
 }
 
@@ -56,7 +59,9 @@
     command_line::start_log();
     let boot_source = SettingsSource::open(Some(&flags.boot)).map_err(|error| eyre!("{error}"))?;
     let boot = ControllerSettings::read(&boot_source).map_err(|error| eyre!("{error}"))?;
-    let fault_hook = FaultyDisk { control_file: flags.boot.with_extension("json.disk") };
+    let fault_hook = FaultyDisk {
+        control_file: flags.boot.with_extension("json.disk"),
+    };
     command_line::runtime(2)?.block_on(async {
         let adapters = ControllerAdapters::own(boot.platform);
         let controller = Controller::open_with(&boot, Box::new(fault_hook), adapters)
--- a/testing/fleet/src/fleet/layout.rs
+++ b/testing/fleet/src/fleet/layout.rs
@@ -83,7 +83,9 @@
     let first = TcpListener::bind((ip, 0))?;
     let second = TcpListener::bind((ip, 0))?;
     let address_of = |listener: &TcpListener| {
-        listener.local_addr().map(|address| SocketAddress(SocketAddrV4::new(ip, address.port())))
+        listener
+            .local_addr()
+            .map(|address| SocketAddress(SocketAddrV4::new(ip, address.port())))
     };
     Ok((address_of(&first)?, address_of(&second)?))
 }
@@ -105,8 +107,10 @@
             .map(machine_addresses)
             .collect::<std::io::Result<Vec<(SocketAddress, SocketAddress)>>>()
             .map_err(at)?;
-        let seeds: Vec<String> =
-            endpoints[..3].iter().map(|(address, _)| address.to_string()).collect();
+        let seeds: Vec<String> = endpoints[..3]
+            .iter()
+            .map(|(address, _)| address.to_string())
+            .collect();
         let mut layout = Self {
             folder: folder.to_owned(),
             machines: BTreeMap::new(),
@@ -158,7 +162,15 @@
             });
             ingresses.push(ingress.to_string());
             let own_endpoints = (address, listen);
-            layout.add(&name, "daemon", &settings, Some(ingress), None, zone, own_endpoints)?;
+            layout.add(
+                &name,
+                "daemon",
+                &settings,
+                Some(ingress),
+                None,
+                zone,
+                own_endpoints,
+            )?;
         }
         let mut stub_arguments: Vec<String> = [
             ("--place", platform.to_string()),
@@ -167,7 +179,10 @@
             ("--localities", sizes.zones.to_string()),
             ("--doors", ingresses.join(",")),
             ("--seed", seed.to_string()),
-            ("--records", folder.join("platform-stub.jsonl").display().to_string()),
+            (
+                "--records",
+                folder.join("platform-stub.jsonl").display().to_string(),
+            ),
         ]
         .into_iter()
         .flat_map(|(flag, value)| [flag.to_owned(), value])
@@ -185,7 +200,9 @@
             zone: String::new(),
             endpoints: None,
         };
-        layout.machines.insert("platform-stub".to_owned(), platform_stub);
+        layout
+            .machines
+            .insert("platform-stub".to_owned(), platform_stub);
         Ok(layout)
     }
 
@@ -254,16 +271,30 @@
             "data": self.folder.join(format!("{name}.data")).display().to_string(),
             "platform": self.platform.to_string(),
         });
-        self.add(name, "controller", &settings, None, Some(operators), zone.to_owned(), endpoints)
+        self.add(
+            name,
+            "controller",
+            &settings,
+            None,
+            Some(operators),
+            zone.to_owned(),
+            endpoints,
+        )
     }
 
     /// Where operators reach the controllers.
     pub fn operators(&self) -> Vec<SocketAddress> {
-        self.machines.values().filter_map(|machine| machine.operators).collect()
+        self.machines
+            .values()
+            .filter_map(|machine| machine.operators)
+            .collect()
     }
 
     /// Where callers reach the daemons.
     pub fn ingresses(&self) -> Vec<SocketAddress> {
-        self.machines.values().filter_map(|machine| machine.ingress).collect()
+        self.machines
+            .values()
+            .filter_map(|machine| machine.ingress)
+            .collect()
     }
 }
--- a/testing/fleet/src/fleet/mod.rs
+++ b/testing/fleet/src/fleet/mod.rs
@@ -86,8 +86,14 @@
         let processes = BTreeMap::new();
         let network_proxy = NetworkProxy::new();
         let disturbed = BTreeSet::new();
-        let mut fleet =
-            Self { layout, journal, network_proxy, processes, disturbed, next_change: 1 };
+        let mut fleet = Self {
+            layout,
+            journal,
+            network_proxy,
+            processes,
+            disturbed,
+            next_change: 1,
+        };
 
         let names: Vec<String> = fleet.layout.machines.keys().cloned().collect();
         fleet.launch("platform-stub").await?;
@@ -116,7 +122,11 @@
 
     /// The IP numbers of all machines but some.
     pub fn other_ips(&self, names: &[String]) -> Vec<std::net::Ipv4Addr> {
-        let others = self.layout.machines.keys().filter(|name| !names.contains(name));
+        let others = self
+            .layout
+            .machines
+            .keys()
+            .filter(|name| !names.contains(name));
         others.filter_map(|name| self.ip_of(name)).collect()
     }
 
@@ -127,12 +137,17 @@
         let process = Process::start(machine, &self.layout.folder)?;
         self.disturbed.remove(name);
         self.processes.insert(name.to_owned(), process);
-        self.record_event("launch", json!({"machine": name, "door": self.ingress(name)}));
+        self.record_event(
+            "launch",
+            json!({"machine": name, "door": self.ingress(name)}),
+        );
         Ok(())
     }
 
     fn ingress(&self, name: &str) -> Option<String> {
-        self.layout.machines[name].ingress.map(|ingress| ingress.to_string())
+        self.layout.machines[name]
+            .ingress
+            .map(|ingress| ingress.to_string())
     }
 
     /// Writes to the journal.
@@ -166,8 +181,11 @@
     }
 
     async fn stop_proxy(&self, name: &str) {
-        if let Some((address, _)) =
-            self.layout.machines.get(name).and_then(|machine| machine.endpoints)
+        if let Some((address, _)) = self
+            .layout
+            .machines
+            .get(name)
+            .and_then(|machine| machine.endpoints)
         {
             self.network_proxy.stop_proxy(address).await;
         }
@@ -205,7 +223,10 @@
     /// Tells all daemons and controllers to read their settings again.
     pub fn reload_all(&self) {
         self.record_event("hang_up", json!({}));
-        let notified = self.processes.iter().filter(|(name, _)| *name != "platform-stub");
+        let notified = self
+            .processes
+            .iter()
+            .filter(|(name, _)| *name != "platform-stub");
         notified.for_each(|(_, process)| process.reload());
     }
 
@@ -219,12 +240,17 @@
     /// Processes that were started and not stopped, and have ended all the same.
     pub fn exited_processes(&mut self) -> Vec<String> {
         let processes = self.processes.iter_mut();
-        processes.filter_map(|(name, process)| process.has_exited().then(|| name.clone())).collect()
+        processes
+            .filter_map(|(name, process)| process.has_exited().then(|| name.clone()))
+            .collect()
     }
 
     /// Freezes a process.
     pub fn freeze(&mut self, name: &str) {
-        self.record_event("freeze", json!({"machine": name, "door": self.ingress(name)}));
+        self.record_event(
+            "freeze",
+            json!({"machine": name, "door": self.ingress(name)}),
+        );
         self.disturbed.insert(name.to_owned());
         if let Some(process) = self.processes.get(name) {
             process.freeze();
@@ -294,7 +320,10 @@
     /// Founds the core once its members have met.
     pub async fn found(&self) -> Result<(), FleetError> {
         for _ in 0..100 {
-            if let Ok((202, _)) = self.call_operators(Method::POST, "/v1/core/found", None).await {
+            if let Ok((202, _)) = self
+                .call_operators(Method::POST, "/v1/core/found", None)
+                .await
+            {
                 return self.await_leader().await;
             }
             tokio::time::sleep(Duration::from_millis(100)).await;
@@ -317,10 +346,17 @@
     pub async fn await_ready(&self, expected_count: usize) -> Result<(), FleetError> {
         for _ in 0..300 {
             let timeout = Duration::from_secs(1);
-            let called =
-                call_json(self.layout.platform, Method::GET, "/v1/daemons", None, timeout).await;
-            let ready_count =
-                called.ok().and_then(|called| called.json()["ready"].as_array().map(Vec::len));
+            let called = call_json(
+                self.layout.platform,
+                Method::GET,
+                "/v1/daemons",
+                None,
+                timeout,
+            )
+            .await;
+            let ready_count = called
+                .ok()
+                .and_then(|called| called.json()["ready"].as_array().map(Vec::len));
             if ready_count >= Some(expected_count) {
                 return Ok(());
             }
@@ -353,7 +389,9 @@
     ) -> Result<(u16, Value), FleetError> {
         let body = json!({"base_serial": base, "change_id": change_id, "spec": spec, "wait": wait});
         let sent_change = SentChange::new(&self.journal, base, change_id, spec);
-        let response = self.call_operators(Method::PUT, "/v1/spec", Some(&body)).await;
+        let response = self
+            .call_operators(Method::PUT, "/v1/spec", Some(&body))
+            .await;
         match &response {
             Ok((status, reply)) => sent_change.notified(*status, reply),
             Err(_) => drop(sent_change),
@@ -364,7 +402,9 @@
     /// The controller that says it leads; used only to choose whom to hurt.
     pub async fn leader(&self) -> Option<String> {
         for (name, machine) in &self.layout.machines {
-            let Some(operators) = machine.operators else { continue };
+            let Some(operators) = machine.operators else {
+                continue;
+            };
             let timeout = Duration::from_millis(500);
             let called = call_json(operators, Method::GET, "/v1/core", None, timeout).await;
             if called.is_ok_and(|called| called.json()["leads"] == json!(true)) {
@@ -376,10 +416,15 @@
 
     /// The daemon that holds most functions; used only to choose whom to hurt.
     pub async fn busiest_holder(&self) -> Option<String> {
-        let (_, body) = self.call_operators(Method::GET, "/v1/holders", None).await.ok()?;
+        let (_, body) = self
+            .call_operators(Method::GET, "/v1/holders", None)
+            .await
+            .ok()?;
         let mut held_counts: BTreeMap<String, usize> = BTreeMap::new();
         for row in body["holders"].as_array()? {
-            *held_counts.entry(row["member"].as_str()?.to_owned()).or_default() += 1;
+            *held_counts
+                .entry(row["member"].as_str()?.to_owned())
+                .or_default() += 1;
         }
         held_counts
             .into_iter()
@@ -404,7 +449,14 @@
     /// Has the platform do something.
     pub async fn platform(&self, path: &str, body: &Value) -> Result<(), FleetError> {
         let timeout = Duration::from_secs(2);
-        call_json(self.layout.platform, Method::POST, path, Some(body), timeout).await?;
+        call_json(
+            self.layout.platform,
+            Method::POST,
+            path,
+            Some(body),
+            timeout,
+        )
+        .await?;
         Ok(())
     }
 
@@ -424,6 +476,9 @@
 
     /// Where a machine's door is.
     pub fn ingress_of(&self, name: &str) -> Option<SocketAddress> {
-        self.layout.machines.get(name).and_then(|machine| machine.ingress)
+        self.layout
+            .machines
+            .get(name)
+            .and_then(|machine| machine.ingress)
     }
 }
--- a/testing/fleet/src/fleet/network_proxy.rs
+++ b/testing/fleet/src/fleet/network_proxy.rs
@@ -47,10 +47,16 @@
         let datagrams = UdpSocket::bind(address.address()).await?;
         let proxy_tasks = vec![
             tokio::spawn(accept(listener, listen, self.network_conditions.clone())),
-            tokio::spawn(proxy_datagrams(datagrams, listen, self.network_conditions.clone())),
+            tokio::spawn(proxy_datagrams(
+                datagrams,
+                listen,
+                self.network_conditions.clone(),
+            )),
         ];
-        let mut running_proxies =
-            self.running_proxies.lock().unwrap_or_else(PoisonError::into_inner);
+        let mut running_proxies = self
+            .running_proxies
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
         running_proxies.insert(address, proxy_tasks);
         Ok(())
     }
@@ -59,8 +65,10 @@
     /// which nobody listens.
     pub async fn stop_proxy(&self, address: SocketAddress) {
         let proxy_tasks = {
-            let mut running_proxies =
-                self.running_proxies.lock().unwrap_or_else(PoisonError::into_inner);
+            let mut running_proxies = self
+                .running_proxies
+                .lock()
+                .unwrap_or_else(PoisonError::into_inner);
             running_proxies.remove(&address).unwrap_or_default()
         };
         for task in proxy_tasks {
@@ -97,12 +105,14 @@
 
     /// Delays everything.
     pub fn set_delay(&self, span: Duration) {
-        self.network_conditions.send_modify(|network_conditions| network_conditions.delay = span);
+        self.network_conditions
+            .send_modify(|network_conditions| network_conditions.delay = span);
     }
 
     /// Mends everything.
     pub fn clear_faults(&self) {
-        self.network_conditions.send_replace(NetworkConditions::default());
+        self.network_conditions
+            .send_replace(NetworkConditions::default());
     }
 }
 
@@ -126,7 +136,12 @@
 ) {
     while let Ok((outer, from)) = listener.accept().await {
         let from_ip = ip_of(from.ip());
-        tokio::spawn(proxy_connection(outer, from_ip, listen, network_conditions.clone()));
+        tokio::spawn(proxy_connection(
+            outer,
+            from_ip,
+            listen,
+            network_conditions.clone(),
+        ));
     }
 }
 
@@ -136,16 +151,26 @@
     listen: SocketAddress,
     network_conditions: Arc<watch::Sender<NetworkConditions>>,
 ) {
-    let Ok(inner) = TcpStream::connect(listen.address()).await else { return };
+    let Ok(inner) = TcpStream::connect(listen.address()).await else {
+        return;
+    };
     let _ = outer.set_nodelay(true);
     let _ = inner.set_nodelay(true);
     let to_ip = *listen.0.ip();
     let (outer_reader, outer_writer) = outer.into_split();
     let (inner_reader, inner_writer) = inner.into_split();
-    let request_direction =
-        forward_stream(outer_reader, inner_writer, (from_ip, to_ip), network_conditions.clone());
-    let response_direction =
-        forward_stream(inner_reader, outer_writer, (to_ip, from_ip), network_conditions);
+    let request_direction = forward_stream(
+        outer_reader,
+        inner_writer,
+        (from_ip, to_ip),
+        network_conditions.clone(),
+    );
+    let response_direction = forward_stream(
+        inner_reader,
+        outer_writer,
+        (to_ip, from_ip),
+        network_conditions,
+    );
     tokio::select! {
         () = request_direction => {}
         () = response_direction => {}
@@ -164,7 +189,9 @@
         let is_open = conditions
             .wait_for(|network_conditions| !network_conditions.blocked.contains(&direction))
             .await;
-        let Ok(delay) = is_open.map(|network_conditions| network_conditions.delay) else { return };
+        let Ok(delay) = is_open.map(|network_conditions| network_conditions.delay) else {
+            return;
+        };
         if length == 0 {
             return;
         }
@@ -184,10 +211,14 @@
 ) {
     let mut datagram = vec![0; 64 << 10];
     loop {
-        let Ok((length, from)) = datagrams.recv_from(&mut datagram).await else { continue };
+        let Ok((length, from)) = datagrams.recv_from(&mut datagram).await else {
+            continue;
+        };
         let direction = (ip_of(from.ip()), *listen.0.ip());
         if !network_conditions.borrow().blocked.contains(&direction) {
-            let _ = datagrams.send_to(&datagram[..length], listen.address()).await;
+            let _ = datagrams
+                .send_to(&datagram[..length], listen.address())
+                .await;
         }
     }
 }
--- a/testing/fleet/src/fleet/process.rs
+++ b/testing/fleet/src/fleet/process.rs
@@ -18,12 +18,19 @@
     pub fn start(machine: &Machine, folder: &Path) -> Result<Self, FleetError> {
         let log_path = folder.join(format!("{}.log", machine.name));
         let at = |error| FleetError::Machine(log_path.clone(), error);
-        let log_file = OpenOptions::new().create(true).append(true).open(&log_path).map_err(at)?;
+        let log_file = OpenOptions::new()
+            .create(true)
+            .append(true)
+            .open(&log_path)
+            .map_err(at)?;
         let error_file = log_file.try_clone().map_err(at)?;
         let program_path = machine.binary.clone();
         let child = Command::new(&program_path)
             .args(&machine.arguments)
-            .env("RUST_LOG", std::env::var("RUST_LOG").unwrap_or_else(|_| "info".to_owned()))
+            .env(
+                "RUST_LOG",
+                std::env::var("RUST_LOG").unwrap_or_else(|_| "info".to_owned()),
+            )
             .stdin(Stdio::null())
             .stdout(log_file)
             .stderr(error_file)
--- a/testing/fleet/src/fleet/sent_change.rs
+++ b/testing/fleet/src/fleet/sent_change.rs
@@ -18,15 +18,20 @@
     pub fn new(journal: &'a Records, base: u64, change_id: &str, spec: &Value) -> Self {
         let text = |route: &Value, name: &str| route[name].as_str().unwrap_or("").to_owned();
         let routes = spec["routes"].as_object().into_iter().flatten();
-        let paths: BTreeMap<String, String> =
-            routes.map(|(_, route)| (text(route, "path"), text(route, "function"))).collect();
+        let paths: BTreeMap<String, String> = routes
+            .map(|(_, route)| (text(route, "path"), text(route, "function")))
+            .collect();
         let detail = json!({
             "change_id": change_id,
             "base": base,
             "sent_at": MonotonicTime::now().0,
             "paths": paths,
         });
-        Self { journal, detail, is_answered: false }
+        Self {
+            journal,
+            detail,
+            is_answered: false,
+        }
     }
 
     /// Writes down what its operator was told.
--- a/testing/fleet/src/history/anomaly.rs
+++ b/testing/fleet/src/history/anomaly.rs
@@ -54,11 +54,25 @@
             Self::InvalidAcknowledged(order) => {
                 write!(out, "order {} is invalid and was acknowledged", order.0)
             }
-            Self::NumberTwice { number, orders: (left, right) } => {
-                write!(out, "orders {} and {} were both accepted as {number}", left.0, right.0)
+            Self::NumberTwice {
+                number,
+                orders: (left, right),
+            } => {
+                write!(
+                    out,
+                    "orders {} and {} were both accepted as {number}",
+                    left.0, right.0
+                )
             }
-            Self::BaseTwice { base, orders: (left, right) } => {
-                write!(out, "orders {} and {} were both accepted on {base}", left.0, right.0)
+            Self::BaseTwice {
+                base,
+                orders: (left, right),
+            } => {
+                write!(
+                    out,
+                    "orders {} and {} were both accepted on {base}",
+                    left.0, right.0
+                )
             }
             Self::Unreachable { from, to } => {
                 write!(
@@ -76,14 +90,21 @@
                 write!(out, "order {} was taken, then refused", order.0)
             }
             Self::CurrentRefused(order) => {
-                write!(out, "order {} was refused as stale on the current version", order.0)
+                write!(
+                    out,
+                    "order {} was refused as stale on the current version",
+                    order.0
+                )
             }
             Self::ValidRefused(order) => {
                 write!(out, "order {} was refused as invalid and is valid", order.0)
             }
             Self::ZoneUnexplained { zone, evacuated } => {
                 let state = if *evacuated { "evacuated" } else { "in use" };
-                write!(out, "zone {zone} was read as {state}, which no order explains")
+                write!(
+                    out,
+                    "zone {zone} was read as {state}, which no order explains"
+                )
             }
         }
     }
--- a/testing/fleet/src/history/chain.rs
+++ b/testing/fleet/src/history/chain.rs
@@ -51,7 +51,11 @@
             }
         }
         for reading in &history.readings {
-            constraints.read.entry(reading.number).or_default().push(&reading.content);
+            constraints
+                .read
+                .entry(reading.number)
+                .or_default()
+                .push(&reading.content);
         }
         constraints
     }
@@ -59,13 +63,19 @@
     /// The next number after this one that must be on the way.
     fn next_after(&self, number: u64) -> Option<u64> {
         let after = number + 1..;
-        let acknowledged = self.acknowledged.range(after.clone()).next().map(|(next, _)| *next);
+        let acknowledged = self
+            .acknowledged
+            .range(after.clone())
+            .next()
+            .map(|(next, _)| *next);
         let read = self.read.range(after).next().map(|(next, _)| *next);
         acknowledged.into_iter().chain(read).min()
     }
 
     fn was_refused(&self, version: &RegisterVersion) -> bool {
-        version.order.is_some_and(|order| self.refused.contains(&order))
+        version
+            .order
+            .is_some_and(|order| self.refused.contains(&order))
     }
 
     fn fits(&self, version: &RegisterVersion) -> bool {
@@ -98,13 +108,23 @@
         for (index, order) in history.orders.iter().enumerate() {
             let was_sent = history.first_sent_at(OrderId(index)).is_some();
             if order.is_valid && order.number > order.base && was_sent {
-                orders_on.entry(order.base).or_default().push(OrderId(index));
+                orders_on
+                    .entry(order.base)
+                    .or_default()
+                    .push(OrderId(index));
             }
         }
         let constraints = ChainConstraints::of(history);
-        let first_version =
-            RegisterVersion { number: 0, order: None, content: first_content.clone() };
-        let chain = if constraints.fits(&first_version) { vec![first_version] } else { Vec::new() };
+        let first_version = RegisterVersion {
+            number: 0,
+            order: None,
+            content: first_content.clone(),
+        };
+        let chain = if constraints.fits(&first_version) {
+            vec![first_version]
+        } else {
+            Vec::new()
+        };
         Self {
             history,
             constraints,
@@ -117,8 +137,14 @@
 
     /// Where the search came to an end for want of orders.
     pub fn unreachable_version(&self) -> Anomaly {
-        let to = self.constraints.next_after(self.highest_reached).unwrap_or(self.highest_reached);
-        Anomaly::Unreachable { from: self.highest_reached, to }
+        let to = self
+            .constraints
+            .next_after(self.highest_reached)
+            .unwrap_or(self.highest_reached);
+        Anomaly::Unreachable {
+            from: self.highest_reached,
+            to,
+        }
     }
 
     /// The next way, if there is another one.
@@ -134,7 +160,8 @@
             let is_followed = self.constraints.followed.contains(&newest.number);
             let is_complete = is_reached && (!is_followed || candidates.is_empty());
             let chain = is_complete.then(|| self.chain.clone());
-            self.untried_branches.push(if is_complete { Vec::new() } else { candidates });
+            self.untried_branches
+                .push(if is_complete { Vec::new() } else { candidates });
             if chain.is_some() {
                 return chain;
             }
--- a/testing/fleet/src/history/mod.rs
+++ b/testing/fleet/src/history/mod.rs
@@ -54,7 +54,9 @@
             Self::Amend(items) => {
                 let mut content = base_content.clone();
                 for ((part, name), item) in items {
-                    let Some(part_items) = content[part].as_object_mut() else { continue };
+                    let Some(part_items) = content[part].as_object_mut() else {
+                        continue;
+                    };
                     match item {
                         Some(item) => drop(part_items.insert(name.clone(), item.clone())),
                         None => drop(part_items.remove(name)),
@@ -142,7 +144,11 @@
 
     /// An order is sent, for the first time or again.
     pub fn record_attempt(&mut self, at: MonotonicTime, order: OrderId) -> AttemptId {
-        self.attempts.push(Attempt { order, requested_at: at, answer: None });
+        self.attempts.push(Attempt {
+            order,
+            requested_at: at,
+            answer: None,
+        });
         AttemptId(self.attempts.len() - 1)
     }
 
@@ -196,7 +202,11 @@
 
     /// How many answers and readings can be judged.
     pub fn judged_count(&self) -> usize {
-        let answered = self.attempts.iter().filter(|attempt| attempt.answer.is_some()).count();
+        let answered = self
+            .attempts
+            .iter()
+            .filter(|attempt| attempt.answer.is_some())
+            .count();
         answered + self.readings.len() + self.zone_orders.len()
     }
 
@@ -208,11 +218,15 @@
     }
 
     fn attempts_of(&self, order: OrderId) -> impl Iterator<Item = &Attempt> {
-        self.attempts.iter().filter(move |attempt| attempt.order == order)
+        self.attempts
+            .iter()
+            .filter(move |attempt| attempt.order == order)
     }
 
     fn first_sent_at(&self, order: OrderId) -> Option<MonotonicTime> {
-        self.attempts_of(order).map(|attempt| attempt.requested_at).min()
+        self.attempts_of(order)
+            .map(|attempt| attempt.requested_at)
+            .min()
     }
 
     fn acknowledged_at(&self, order: OrderId) -> Option<MonotonicTime> {
--- a/testing/fleet/src/history/register.rs
+++ b/testing/fleet/src/history/register.rs
@@ -65,9 +65,15 @@
         }
         if let Some(other) = by_number.insert(order.number, id) {
             let orders = (other, id);
-            anomalies.push(Anomaly::NumberTwice { number: order.number, orders });
+            anomalies.push(Anomaly::NumberTwice {
+                number: order.number,
+                orders,
+            });
         } else if let Some(other) = by_base.insert(order.base, id) {
-            anomalies.push(Anomaly::BaseTwice { base: order.base, orders: (other, id) });
+            anomalies.push(Anomaly::BaseTwice {
+                base: order.base,
+                orders: (other, id),
+            });
         }
     }
     anomalies
@@ -94,7 +100,11 @@
                     .unwrap_or(MonotonicTime(u64::MAX)),
             })
             .collect();
-        Self { history, chain, intervals }
+        Self {
+            history,
+            chain,
+            intervals,
+        }
     }
 
     fn judge(mut self, anomalies: &mut Vec<Anomaly>) {
@@ -119,18 +129,23 @@
         self.order_earliest();
         for (version, interval) in self.chain.iter().zip(&self.intervals) {
             if interval.earliest > interval.latest {
-                anomalies.push(Anomaly::NotCurrent { number: version.number });
+                anomalies.push(Anomaly::NotCurrent {
+                    number: version.number,
+                });
             }
         }
     }
 
     fn index_of_number(&self, number: u64) -> Option<usize> {
-        self.chain.binary_search_by_key(&number, |version| version.number).ok()
+        self.chain
+            .binary_search_by_key(&number, |version| version.number)
+            .ok()
     }
 
     fn index_of_order(&self, order: OrderId) -> Option<usize> {
         let number = self.history.orders[order.0].number;
-        self.index_of_number(number).filter(|index| self.chain[*index].order == Some(order))
+        self.index_of_number(number)
+            .filter(|index| self.chain[*index].order == Some(order))
     }
 
     /// A version that is read was current, and the next one was not yet, while it was read.
@@ -140,7 +155,13 @@
             self.bound_by_current(reading.number, reading.requested_at, reading.received_at);
         }
         for attempt in &history.attempts {
-            if let Some((received_at, Answer::Stale { current: Some(current) })) = attempt.answer {
+            if let Some((
+                received_at,
+                Answer::Stale {
+                    current: Some(current),
+                },
+            )) = attempt.answer
+            {
                 self.bound_by_current(current, attempt.requested_at, received_at);
             }
         }
@@ -152,7 +173,9 @@
         requested_at: MonotonicTime,
         received_at: MonotonicTime,
     ) {
-        let Some(index) = self.index_of_number(number) else { return };
+        let Some(index) = self.index_of_number(number) else {
+            return;
+        };
         self.intervals[index].lower_latest(received_at);
         if let Some(next) = self.intervals.get_mut(index + 1) {
             next.raise_earliest(requested_at);
@@ -199,8 +222,9 @@
         if self.index_of_order(order).is_some() {
             return Some(Anomaly::AcceptedRefused(order));
         }
-        let first_above =
-            self.chain.partition_point(|version| version.number < refused_order.number);
+        let first_above = self
+            .chain
+            .partition_point(|version| version.number < refused_order.number);
         match self.intervals.get_mut(first_above) {
             Some(interval) if interval.earliest <= received_at => {
                 interval.lower_latest(received_at);
--- a/testing/fleet/src/history/zones.rs
+++ b/testing/fleet/src/history/zones.rs
@@ -5,15 +5,24 @@
 /// last one carried out, or by none that surely was. What was read of a zone of a sequence of
 /// readings is not compared among them.
 pub fn judge(history: &History) -> Vec<Anomaly> {
-    let zones: BTreeSet<&str> =
-        history.zone_orders.iter().map(|order| order.zone.as_str()).collect();
+    let zones: BTreeSet<&str> = history
+        .zone_orders
+        .iter()
+        .map(|order| order.zone.as_str())
+        .collect();
     let mut anomalies = Vec::new();
     for zone in zones {
-        let orders: Vec<&ZoneOrder> =
-            history.zone_orders.iter().filter(|order| order.zone == zone).collect();
+        let orders: Vec<&ZoneOrder> = history
+            .zone_orders
+            .iter()
+            .filter(|order| order.zone == zone)
+            .collect();
         for reading in &history.readings {
             let evacuated = reading.evacuated.contains(zone);
-            let anomaly = Anomaly::ZoneUnexplained { zone: zone.to_owned(), evacuated };
+            let anomaly = Anomaly::ZoneUnexplained {
+                zone: zone.to_owned(),
+                evacuated,
+            };
             if !is_explained(&orders, reading, evacuated) && !anomalies.contains(&anomaly) {
                 anomalies.push(anomaly);
             }
@@ -25,13 +34,20 @@
 /// Whether an order of this kind, or the state before all orders, may be what the reading shows.
 fn is_explained(orders: &[&ZoneOrder], reading: &Reading, evacuated: bool) -> bool {
     let certainly_done = |other: &ZoneOrder| {
-        other.is_acknowledged && other.ended_at.is_some_and(|ended| ended < reading.requested_at)
+        other.is_acknowledged
+            && other
+                .ended_at
+                .is_some_and(|ended| ended < reading.requested_at)
     };
     let certainly_after = |order: &ZoneOrder, other: &ZoneOrder| {
-        order.ended_at.is_some_and(|ended| ended < other.requested_at)
+        order
+            .ended_at
+            .is_some_and(|ended| ended < other.requested_at)
     };
-    let is_first =
-        !evacuated && !orders.iter().any(|other| other.evacuate && certainly_done(other));
+    let is_first = !evacuated
+        && !orders
+            .iter()
+            .any(|other| other.evacuate && certainly_done(other));
     is_first
         || orders.iter().any(|order| {
             let is_overridden = orders.iter().any(|other| {
--- a/testing/fleet/src/judge/checks/forbidden.rs
+++ b/testing/fleet/src/judge/checks/forbidden.rs
@@ -14,9 +14,15 @@
     grace: u64,
 ) -> Check {
     let instances = evidence.instances_by_runner();
-    let mut check = Check { name, checked: 0, violations: vec![] };
+    let mut check = Check {
+        name,
+        checked: 0,
+        violations: vec![],
+    };
     for run in &evidence.runs {
-        let Some(instance) = instances.get(run.runner.as_str()) else { continue };
+        let Some(instance) = instances.get(run.runner.as_str()) else {
+            continue;
+        };
         let location = location_of(instance);
         for (barred_location, from, until) in forbidden {
             if *barred_location != location || run.at < *from || run.at > *until {
@@ -43,7 +49,10 @@
     let mut open_spans: BTreeMap<String, u64> = BTreeMap::new();
     let mut closed_spans = Vec::new();
     for recorded in entries {
-        let name = recorded.detail[name_field].as_str().unwrap_or("").to_owned();
+        let name = recorded.detail[name_field]
+            .as_str()
+            .unwrap_or("")
+            .to_owned();
         let action = recorded.detail["deed"].as_str().unwrap_or("");
         if start_actions.contains(&action) {
             open_spans.entry(name).or_insert(recorded.at);
@@ -51,7 +60,11 @@
             closed_spans.push((name, from, recorded.at));
         }
     }
-    closed_spans.extend(open_spans.into_iter().map(|(name, from)| (name, from, u64::MAX)));
+    closed_spans.extend(
+        open_spans
+            .into_iter()
+            .map(|(name, from)| (name, from, u64::MAX)),
+    );
     closed_spans
 }
 
@@ -67,7 +80,11 @@
     let leaving: Vec<(String, u64, u64)> = evidence
         .recorded("runner_leaves")
         .filter_map(|recorded| {
-            Some((recorded.detail["runner"].as_str()?.to_owned(), recorded.at, u64::MAX))
+            Some((
+                recorded.detail["runner"].as_str()?.to_owned(),
+                recorded.at,
+                u64::MAX,
+            ))
         })
         .collect();
     let leaving_check = forbidden_runs(
@@ -83,8 +100,9 @@
 }
 
 pub(super) fn evacuated_used(evidence: &Evidence) -> Check {
-    let accepted =
-        evidence.recorded("locality").filter(|recorded| recorded.detail["status"] == json!(200));
+    let accepted = evidence
+        .recorded("locality")
+        .filter(|recorded| recorded.detail["status"] == json!(200));
     let forbidden = spans(accepted, "locality", &["evacuate"]);
     forbidden_runs(
         evidence,
--- a/testing/fleet/src/judge/checks/runners.rs
+++ b/testing/fleet/src/judge/checks/runners.rs
@@ -29,19 +29,30 @@
     }
     let mut extras: BTreeMap<&str, Vec<u64>> = BTreeMap::new();
     for run in &evidence.runs {
-        let Some(call) = calls.get(run.idempotency_key.as_str()) else { continue };
+        let Some(call) = calls.get(run.idempotency_key.as_str()) else {
+            continue;
+        };
         if run.attempt > 1 || call.repeat {
-            extras.entry(name_of(&run.function)).or_default().push(run.at);
+            extras
+                .entry(name_of(&run.function))
+                .or_default()
+                .push(run.at);
         }
     }
-    let mut check = Check { name: EXTRA_TRIES, checked: 0, violations: vec![] };
+    let mut check = Check {
+        name: EXTRA_TRIES,
+        checked: 0,
+        violations: vec![],
+    };
     for (function, extra_instants) in extras {
         let first_instants = firsts.get(function).cloned().unwrap_or_default();
         for (index, at) in extra_instants.iter().enumerate() {
             check.checked += 1;
             let window_start = at.saturating_sub(10 * SECOND);
-            let extra_count =
-                extra_instants[..=index].iter().filter(|instant| **instant > window_start).count();
+            let extra_count = extra_instants[..=index]
+                .iter()
+                .filter(|instant| **instant > window_start)
+                .count();
             let first_start = window_start.saturating_sub(SLACK);
             let first_count = first_instants
                 .iter()
@@ -63,9 +74,15 @@
     for run in &evidence.runs {
         ends_by_runner.entry(&run.runner).or_default().push(run.end);
     }
-    let mut check = Check { name: RUNNER_OVERLOADED, checked: 0, violations: vec![] };
+    let mut check = Check {
+        name: RUNNER_OVERLOADED,
+        checked: 0,
+        violations: vec![],
+    };
     for run in &evidence.runs {
-        let Some(instance) = instances.get(run.runner.as_str()) else { continue };
+        let Some(instance) = instances.get(run.runner.as_str()) else {
+            continue;
+        };
         check.checked += 1;
         if let Some(violation) = overload(run, instance, &ends_by_runner) {
             check.violations.push(violation);
@@ -98,6 +115,9 @@
         .map_or(0, |ends| ends.iter().filter(|end| **end <= run.at).count())
         as u64;
     (is_fresh && run.at_once > 1 + ended_count).then(|| {
-        format!("{} at once on fresh {} after {ended_count} runs", run.at_once, run.runner)
+        format!(
+            "{} at once on fresh {} after {ended_count} runs",
+            run.at_once, run.runner
+        )
     })
 }
--- a/testing/fleet/src/judge/checks/service.rs
+++ b/testing/fleet/src/judge/checks/service.rs
@@ -8,7 +8,11 @@
 use std::ops::Bound;
 
 pub(super) fn answers_dropped(evidence: &Evidence) -> Check {
-    let mut check = Check { name: ANSWERS_DROPPED, checked: 0, violations: vec![] };
+    let mut check = Check {
+        name: ANSWERS_DROPPED,
+        checked: 0,
+        violations: vec![],
+    };
     let stops: Vec<(&str, u64)> = evidence
         .recorded("stop")
         .filter_map(|recorded| Some((recorded.detail["door"].as_str()?, recorded.at)))
@@ -19,7 +23,9 @@
             if is_under_way && call.ingress == *ingress {
                 check.checked += 1;
                 if matches!(call.outcome.as_str(), "lost" | "unknown") {
-                    check.violations.push(format!("{} was {} at {ingress}", call.id, call.outcome));
+                    check
+                        .violations
+                        .push(format!("{} was {} at {ingress}", call.id, call.outcome));
                 }
             } else if is_under_way {
                 check.checked += 1;
@@ -36,7 +42,10 @@
     for recorded in evidence.recorded("stopped") {
         check.checked += 1;
         if recorded.detail["in_time"] == json!(false) {
-            check.violations.push(format!("{} did not stop in time", recorded.detail["machine"]));
+            check.violations.push(format!(
+                "{} did not stop in time",
+                recorded.detail["machine"]
+            ));
         }
     }
     check
@@ -45,19 +54,32 @@
 /// A holder is seen by what it sends and starts: once a later grant of a function was seen, nothing is
 /// sent under an earlier one any more. A runner may be taken over by the later holder as it stands.
 pub(super) fn two_holders(evidence: &Evidence) -> Check {
-    let mut check = Check { name: TWO_HOLDERS, checked: 0, violations: vec![] };
+    let mut check = Check {
+        name: TWO_HOLDERS,
+        checked: 0,
+        violations: vec![],
+    };
     let mut seen: BTreeMap<&str, BTreeMap<FencingToken, u64>> = BTreeMap::new();
     let starts = evidence
         .instances
         .iter()
         .map(|instance| (&instance.function, instance.fencing_token, instance.start));
-    let runs = evidence.runs.iter().map(|run| (&run.function, run.fencing_token, run.at));
+    let runs = evidence
+        .runs
+        .iter()
+        .map(|run| (&run.function, run.fencing_token, run.at));
     for (function, fencing_token, at) in starts.chain(runs) {
-        let first_at = seen.entry(function).or_default().entry(fencing_token).or_insert(at);
+        let first_at = seen
+            .entry(function)
+            .or_default()
+            .entry(fencing_token)
+            .or_insert(at);
         *first_at = at.min(*first_at);
     }
     for run in &evidence.runs {
-        let Some(leases) = seen.get(run.function.as_str()) else { continue };
+        let Some(leases) = seen.get(run.function.as_str()) else {
+            continue;
+        };
         let later_leases = leases.range((Bound::Excluded(run.fencing_token), Bound::Unbounded));
         let Some((later, first_at)) = later_leases.min_by_key(|(_, first_at)| **first_at) else {
             continue;
@@ -74,21 +96,35 @@
 }
 
 pub(super) fn service_down(evidence: &Evidence) -> Check {
-    let mut check = Check { name: SERVICE_DOWN, checked: 0, violations: vec![] };
+    let mut check = Check {
+        name: SERVICE_DOWN,
+        checked: 0,
+        violations: vec![],
+    };
     let heavy_fault_ends: Vec<&JournalEntry> = evidence
         .recorded("returned")
         .filter(|recorded| recorded.detail["heavy"] == json!(true))
         .collect();
-    let faults: Vec<u64> = evidence.recorded("fault").map(|recorded| recorded.at).collect();
+    let faults: Vec<u64> = evidence
+        .recorded("fault")
+        .map(|recorded| recorded.at)
+        .collect();
     for returned in heavy_fault_ends {
-        let next_fault = faults.iter().find(|at| **at > returned.at).copied().unwrap_or(u64::MAX);
+        let next_fault = faults
+            .iter()
+            .find(|at| **at > returned.at)
+            .copied()
+            .unwrap_or(u64::MAX);
         let from = returned.at + 12 * SECOND;
         let until = (from + 5 * SECOND).min(next_fault);
         let mut is_judged = false;
         for second in 0..5 {
             let span = from + second * SECOND..(from + (second + 1) * SECOND).min(until);
-            let calls: Vec<_> =
-                evidence.calls.iter().filter(|call| span.contains(&call.at)).collect();
+            let calls: Vec<_> = evidence
+                .calls
+                .iter()
+                .filter(|call| span.contains(&call.at))
+                .collect();
             if calls.len() < 20 {
                 continue;
             }
--- a/testing/fleet/src/judge/checks/spec.rs
+++ b/testing/fleet/src/judge/checks/spec.rs
@@ -21,8 +21,9 @@
     let changes: Vec<&JournalEntry> = evidence.recorded("change").filter(is_possible).collect();
     let mut allowed_routes = Vec::new();
     for (index, change) in changes.iter().enumerate() {
-        let next_certain =
-            changes[index + 1..].iter().find(|next| next.detail["state"] != json!("unknown"));
+        let next_certain = changes[index + 1..]
+            .iter()
+            .find(|next| next.detail["state"] != json!("unknown"));
         let until = next_certain.map_or(u64::MAX, |next| next.at + 3 * SECOND + SLACK);
         let from = change.detail["sent_at"].as_u64().unwrap_or(change.at);
         for (path, function) in change.detail["paths"].as_object().into_iter().flatten() {
@@ -41,12 +42,21 @@
     let calls = evidence.calls_by_id();
     let mut by_path: HashMap<String, BTreeSet<String>> = HashMap::new();
     for entry in allowed_routes(evidence) {
-        by_path.entry(entry.path).or_default().insert(entry.function);
+        by_path
+            .entry(entry.path)
+            .or_default()
+            .insert(entry.function);
     }
-    let mut check = Check { name: UNCONFIGURED_FUNCTION, checked: 0, violations: vec![] };
+    let mut check = Check {
+        name: UNCONFIGURED_FUNCTION,
+        checked: 0,
+        violations: vec![],
+    };
     for run in &evidence.runs {
         let Some(call) = calls.get(run.idempotency_key.as_str()) else {
-            check.violations.push(format!("{} ran and no caller sent it", run.idempotency_key));
+            check
+                .violations
+                .push(format!("{} ran and no caller sent it", run.idempotency_key));
             continue;
         };
         check.checked += 1;
@@ -54,7 +64,10 @@
             .get(&call.path)
             .is_some_and(|functions| functions.contains(name_of(&run.function)));
         if !is_allowed {
-            check.violations.push(format!("{} for {} ran on {}", call.id, call.path, run.function));
+            check.violations.push(format!(
+                "{} for {} ran on {}",
+                call.id, call.path, run.function
+            ));
         }
     }
     check
@@ -66,9 +79,15 @@
     for entry in allowed_routes(evidence) {
         by_path.entry(entry.path.clone()).or_default().push(entry);
     }
-    let mut check = Check { name: SPEC_NOT_IN_FORCE, checked: 0, violations: vec![] };
+    let mut check = Check {
+        name: SPEC_NOT_IN_FORCE,
+        checked: 0,
+        violations: vec![],
+    };
     for run in &evidence.runs {
-        let Some(call) = calls.get(run.idempotency_key.as_str()) else { continue };
+        let Some(call) = calls.get(run.idempotency_key.as_str()) else {
+            continue;
+        };
         check.checked += 1;
         let is_in_force = by_path.get(&call.path).is_some_and(|entries| {
             entries.iter().any(|entry| {
@@ -97,7 +116,11 @@
         .recorded("change")
         .filter(|recorded| recorded.detail["state"] != json!("not_accepted"))
         .collect();
-    let mut check = Check { name: INGRESS_BEHIND, checked: 0, violations: vec![] };
+    let mut check = Check {
+        name: INGRESS_BEHIND,
+        checked: 0,
+        violations: vec![],
+    };
     for call in &evidence.calls {
         let is_unsettled = changes.iter().any(|change| {
             let sent_at = change.detail["sent_at"].as_u64().unwrap_or(change.at);
@@ -118,12 +141,15 @@
         }
         check.checked += usize::from(found_no_route || !is_known);
         if found_no_route && is_known {
-            check
-                .violations
-                .push(format!("{} for {} found no route at {}", call.id, call.path, call.ingress));
+            check.violations.push(format!(
+                "{} for {} found no route at {}",
+                call.id, call.path, call.ingress
+            ));
         }
         if !is_known && call.outcome == "answer" {
-            check.violations.push(format!("{} for {}, gone, was answered", call.id, call.path));
+            check
+                .violations
+                .push(format!("{} for {}, gone, was answered", call.id, call.path));
         }
     }
     check
@@ -135,12 +161,18 @@
     let entries = allowed_routes(evidence);
     let is_refused = |recorded: &&JournalEntry| recorded.detail["state"] == json!("not_accepted");
     let refused: Vec<&JournalEntry> = evidence.recorded("change").filter(is_refused).collect();
-    let mut check = Check { name: REFUSED_CHANGE_IN_FORCE, checked: 0, violations: vec![] };
+    let mut check = Check {
+        name: REFUSED_CHANGE_IN_FORCE,
+        checked: 0,
+        violations: vec![],
+    };
     if refused.is_empty() {
         return check;
     }
     for run in &evidence.runs {
-        let Some(call) = calls.get(run.idempotency_key.as_str()) else { continue };
+        let Some(call) = calls.get(run.idempotency_key.as_str()) else {
+            continue;
+        };
         let function = name_of(&run.function);
         for change in refused.iter().filter(|change| change.at < run.at) {
             let Some(configured_function) = change.detail["paths"][&call.path].as_str() else {
@@ -158,9 +190,10 @@
                 check.checked += 1;
                 if configured_function == function {
                     let id = &change.detail["change_id"];
-                    check
-                        .violations
-                        .push(format!("{} ran on {function} of refused {id}", run.idempotency_key));
+                    check.violations.push(format!(
+                        "{} ran on {function} of refused {id}",
+                        run.idempotency_key
+                    ));
                 }
             }
         }
@@ -169,7 +202,11 @@
 }
 
 pub(super) fn conflicting_changes(evidence: &Evidence) -> Check {
-    let mut check = Check { name: CONFLICTING_CHANGES, checked: 0, violations: vec![] };
+    let mut check = Check {
+        name: CONFLICTING_CHANGES,
+        checked: 0,
+        violations: vec![],
+    };
     let mut accepted_on: BTreeMap<u64, String> = BTreeMap::new();
     for recorded in evidence.recorded("change") {
         check.checked += 1;
@@ -177,11 +214,16 @@
             continue;
         }
         let base = recorded.detail["base"].as_u64().unwrap_or(0);
-        let change = recorded.detail["change_id"].as_str().unwrap_or("").to_owned();
+        let change = recorded.detail["change_id"]
+            .as_str()
+            .unwrap_or("")
+            .to_owned();
         if let Some(other) = accepted_on.insert(base, change.clone())
             && other != change
         {
-            check.violations.push(format!("{other} and {change} were both accepted on {base}"));
+            check
+                .violations
+                .push(format!("{other} and {change} were both accepted on {base}"));
         }
     }
     check
--- a/testing/fleet/src/judge/evidence.rs
+++ b/testing/fleet/src/judge/evidence.rs
@@ -135,7 +135,11 @@
                 write!(out, "{} line {line}: no whole record", path.display())
             }
             Self::Foreign(path, line, field) => {
-                write!(out, "{} line {line}: a record without {field:?}", path.display())
+                write!(
+                    out,
+                    "{} line {line}: a record without {field:?}",
+                    path.display()
+                )
             }
         }
     }
@@ -175,8 +179,11 @@
         let mut caller_files = 0;
         for listed in std::fs::read_dir(folder).map_err(at)? {
             let path = listed.map_err(at)?.path();
-            let file_name =
-                path.file_name().and_then(|name| name.to_str()).unwrap_or("").to_owned();
+            let file_name = path
+                .file_name()
+                .and_then(|name| name.to_str())
+                .unwrap_or("")
+                .to_owned();
             if file_name.starts_with("callers") && file_name.ends_with(".jsonl") {
                 caller_files += 1;
                 caller_records.extend(read_lines(&path, &["id", "at", "end", "path", "outcome"])?);
@@ -188,13 +195,19 @@
         let entry_fields = ["kind", "at"];
         let stub_records = read_lines(&folder.join("platform-stub.jsonl"), &entry_fields)?;
         let journal_records = read_lines(&folder.join("journal.jsonl"), &entry_fields)?;
-        Ok(Self::from_records(&caller_records, &stub_records, &journal_records))
+        Ok(Self::from_records(
+            &caller_records,
+            &stub_records,
+            &journal_records,
+        ))
     }
 
     /// Takes records as they are.
     pub fn from_records(callers: &[Value], platform_stub: &[Value], journal: &[Value]) -> Self {
-        let mut evidence =
-            Self { calls: callers.iter().map(read_call).collect(), ..Self::default() };
+        let mut evidence = Self {
+            calls: callers.iter().map(read_call).collect(),
+            ..Self::default()
+        };
         evidence.calls.sort_by_key(|call| call.at);
         let mut open_runs: HashMap<(String, u64), usize> = HashMap::new();
         let mut open_instances: HashMap<String, usize> = HashMap::new();
@@ -224,7 +237,9 @@
             }
         }
         for record in journal {
-            evidence.journal.push(read_entry(record["kind"].as_str().unwrap_or(""), record));
+            evidence
+                .journal
+                .push(read_entry(record["kind"].as_str().unwrap_or(""), record));
         }
         evidence.runs.sort_by_key(|run| run.at);
         evidence.journal.sort_by_key(|recorded| recorded.at);
@@ -233,17 +248,25 @@
 
     /// The journal's entries of a kind.
     pub fn recorded<'a>(&'a self, kind: &'a str) -> impl Iterator<Item = &'a JournalEntry> {
-        self.journal.iter().filter(move |recorded| recorded.kind == kind)
+        self.journal
+            .iter()
+            .filter(move |recorded| recorded.kind == kind)
     }
 
     /// The calls by identity.
     pub fn calls_by_id(&self) -> HashMap<&str, &Call> {
-        self.calls.iter().map(|call| (call.id.as_str(), call)).collect()
+        self.calls
+            .iter()
+            .map(|call| (call.id.as_str(), call))
+            .collect()
     }
 
     /// The runners' lives by name.
     pub fn instances_by_runner(&self) -> HashMap<&str, &RunnerInstance> {
-        self.instances.iter().map(|instance| (instance.runner.as_str(), instance)).collect()
+        self.instances
+            .iter()
+            .map(|instance| (instance.runner.as_str(), instance))
+            .collect()
     }
 
     /// The most workers that had a runner at once.
@@ -258,8 +281,11 @@
         let mut most_count = 0;
         for (_, is_start, worker) in turns {
             let runner_count = runner_counts.entry(worker).or_default();
-            *runner_count =
-                if is_start { *runner_count + 1 } else { runner_count.saturating_sub(1) };
+            *runner_count = if is_start {
+                *runner_count + 1
+            } else {
+                runner_count.saturating_sub(1)
+            };
             let used: BTreeSet<&str> = runner_counts
                 .iter()
                 .filter(|(_, count)| **count > 0)
@@ -290,8 +316,10 @@
 
 fn read_run(record: &Value) -> Run {
     let runner = text(record, "runner");
-    let born_under =
-        runner.parse::<RunnerId>().map(|parsed| parsed.fencing_token).unwrap_or_default();
+    let born_under = runner
+        .parse::<RunnerId>()
+        .map(|parsed| parsed.fencing_token)
+        .unwrap_or_default();
     Run {
         at: number(record, "at"),
         end: u64::MAX,
@@ -307,8 +335,10 @@
 
 fn read_instance(record: &Value) -> RunnerInstance {
     let runner = text(record, "runner");
-    let fencing_token =
-        runner.parse::<RunnerId>().map(|parsed| parsed.fencing_token).unwrap_or_default();
+    let fencing_token = runner
+        .parse::<RunnerId>()
+        .map(|parsed| parsed.fencing_token)
+        .unwrap_or_default();
     RunnerInstance {
         fencing_token,
         runner,
@@ -323,5 +353,9 @@
 }
 
 fn read_entry(kind: &str, record: &Value) -> JournalEntry {
-    JournalEntry { kind: kind.to_owned(), at: number(record, "at"), detail: record.clone() }
+    JournalEntry {
+        kind: kind.to_owned(),
+        at: number(record, "at"),
+        detail: record.clone(),
+    }
 }
--- a/testing/fleet/src/judge/figures.rs
+++ b/testing/fleet/src/judge/figures.rs
@@ -134,10 +134,15 @@
     let last_call = evidence.calls.iter().map(|call| call.at).max().unwrap_or(0);
     let mut recoveries = Vec::new();
     for (index, fault) in faults.iter().enumerate() {
-        let until = faults.get(index + 1).map_or(last_call, |next| next.at - 2 * SECOND);
+        let until = faults
+            .get(index + 1)
+            .map_or(last_call, |next| next.at - 2 * SECOND);
         let mut bins: BTreeMap<u64, (usize, usize)> = BTreeMap::new();
         let (mut call_count, mut not_run_count, mut unknown_count) = (0, 0, 0);
-        for call in first_calls.iter().filter(|call| (fault.at..until).contains(&call.at)) {
+        for call in first_calls
+            .iter()
+            .filter(|call| (fault.at..until).contains(&call.at))
+        {
             let bin = bins.entry((call.at - fault.at) / HALF_SECOND).or_default();
             bin.0 += usize::from(call.outcome == "answer");
             bin.1 += 1;
--- a/testing/fleet/src/judge/mod.rs
+++ b/testing/fleet/src/judge/mod.rs
@@ -17,9 +17,20 @@
         .filter_map(|recorded| recorded.detail["fault"].as_str())
         .filter_map(crate::days::FaultName::by_name)
         .flat_map(|fault| {
-            fault.expected_checks().iter().map(move |check| (fault.to_string(), *check))
+            fault
+                .expected_checks()
+                .iter()
+                .map(move |check| (fault.to_string(), *check))
+        })
+        .filter(|(_, name)| {
+            checks
+                .iter()
+                .any(|check| check.name == *name && check.checked == 0)
         })
-        .filter(|(_, name)| checks.iter().any(|check| check.name == *name && check.checked == 0))
         .collect();
-    Verdict { checks, unexercised, figures: Figures::of(evidence) }
+    Verdict {
+        checks,
+        unexercised,
+        figures: Figures::of(evidence),
+    }
 }
--- a/testing/fleet/src/judge/verdict.rs
+++ b/testing/fleet/src/judge/verdict.rs
@@ -56,7 +56,10 @@
             }
         }
         for (fault, name) in &self.unexercised {
-            writeln!(out, "{fault} was to try {name:?}, and no case was looked at")?;
+            writeln!(
+                out,
+                "{fault} was to try {name:?}, and no case was looked at"
+            )?;
         }
         write!(out, "{}", self.figures)
     }
--- a/testing/fleet/src/sim/calls.rs
+++ b/testing/fleet/src/sim/calls.rs
@@ -24,7 +24,8 @@
                 self.shares_after_healing.resize(half_second + 1, (0, 0));
             }
             self.shares_after_healing[half_second].0 += 1;
-            self.calls_after_healing.insert(idempotency_key.clone(), half_second);
+            self.calls_after_healing
+                .insert(idempotency_key.clone(), half_second);
         }
     }
 
@@ -53,14 +54,22 @@
         self.next_number += 1;
         let idempotency_key = IdempotencyKey::from(format!("repeat-{}", self.next_number));
         if let Some(index) = self.random_ingress() {
-            self.call(index, idempotency_key, route_name, Duration::from_millis(2000), true);
+            self.call(
+                index,
+                idempotency_key,
+                route_name,
+                Duration::from_millis(2000),
+                true,
+            );
         }
     }
 
     pub(super) fn send_call(&mut self, route_name: &'static str) {
         self.next_number += 1;
         let idempotency_key = IdempotencyKey::from(format!("t{}", self.next_number));
-        let timeout = self.rng.within(Duration::from_millis(1000), Duration::from_millis(3000));
+        let timeout = self
+            .rng
+            .within(Duration::from_millis(1000), Duration::from_millis(3000));
         if let Some(index) = self.random_ingress() {
             self.call(index, idempotency_key, route_name, timeout, false);
         }
@@ -70,17 +79,26 @@
         let gap = Duration::from_secs_f64(1.0 / self.plan.rate);
         self.push(gap, Event::Call);
         self.next_number += 1;
-        let routes = ["f0", "f0", "f1", "f1", "f2", "f3", "f4", "f5", "canary", "canary"];
+        let routes = [
+            "f0", "f0", "f1", "f1", "f2", "f3", "f4", "f5", "canary", "canary",
+        ];
         let route_name = routes[self.rng.below(routes.len() as u64) as usize];
-        let timeout = self.rng.within(Duration::from_millis(500), Duration::from_millis(3000));
+        let timeout = self
+            .rng
+            .within(Duration::from_millis(500), Duration::from_millis(3000));
         let is_duplicate = self.rng.random_bool(self.plan.duplicate_share);
         let duplicate_after = self.rng.within(Duration::ZERO, Duration::from_millis(2900));
-        let Some(index) = self.random_ingress() else { return };
+        let Some(index) = self.random_ingress() else {
+            return;
+        };
         let idempotency_key = IdempotencyKey::from(format!("t{}", self.next_number));
         self.count_late_call(&idempotency_key);
         if is_duplicate {
             self.checks.mark_duplicate(&idempotency_key);
-            self.push(duplicate_after, Event::DuplicateCall(idempotency_key.clone(), route_name));
+            self.push(
+                duplicate_after,
+                Event::DuplicateCall(idempotency_key.clone(), route_name),
+            );
         }
         self.call(index, idempotency_key, route_name, timeout, false);
     }
@@ -92,7 +110,13 @@
         route_name: &'static str,
     ) {
         if let Some(index) = self.random_ingress() {
-            self.call(index, idempotency_key, route_name, Duration::from_millis(3000), false);
+            self.call(
+                index,
+                idempotency_key,
+                route_name,
+                Duration::from_millis(3000),
+                false,
+            );
         }
     }
 
@@ -102,18 +126,24 @@
             .shares_after_healing
             .chunks(2)
             .skip(12)
-            .map(|halves| halves.iter().fold((0, 0), |sum, half| (sum.0 + half.0, sum.1 + half.1)))
+            .map(|halves| {
+                halves
+                    .iter()
+                    .fold((0, 0), |sum, half| (sum.0 + half.0, sum.1 + half.1))
+            })
             .collect();
         for (second, (calls, answers)) in seconds_after_healing.into_iter().enumerate() {
-            self.checks.check_recovered_second(self.now, 12 + second as u64, calls, answers);
+            self.checks
+                .check_recovered_second(self.now, 12 + second as u64, calls, answers);
         }
     }
 
     /// The share answered from 12 s after the mending, and when at least half was answered for good.
     pub(super) fn recovery_figures(&self) -> (f64, Duration) {
         let settled = self.shares_after_healing.iter().skip(24);
-        let (calls, answers) =
-            settled.fold((0, 0), |sum, half_second| (sum.0 + half_second.0, sum.1 + half_second.1));
+        let (calls, answers) = settled.fold((0, 0), |sum, half_second| {
+            (sum.0 + half_second.0, sum.1 + half_second.1)
+        });
         let is_down = |half_second: &(u64, u64)| half_second.1 * 2 < half_second.0;
         let last_down = self.shares_after_healing.iter().rposition(is_down);
         let recovered_after =
--- a/testing/fleet/src/sim/checks/control.rs
+++ b/testing/fleet/src/sim/checks/control.rs
@@ -20,7 +20,8 @@
             );
         }
         let evacuated = &document.evacuated;
-        self.evacuated_since.retain(|zone, _| evacuated.contains(zone));
+        self.evacuated_since
+            .retain(|zone, _| evacuated.contains(zone));
         for zone in evacuated {
             self.evacuated_since.entry(zone.clone()).or_insert(at);
         }
@@ -64,7 +65,14 @@
                     .collect()
             })
             .unwrap_or_default();
-        self.committed.insert(version, CommittedVersion { at, content, routes });
+        self.committed.insert(
+            version,
+            CommittedVersion {
+                at,
+                content,
+                routes,
+            },
+        );
     }
 
     /// A version that only names daemons is to daemons what the last one was.
@@ -95,7 +103,9 @@
         self.count_check("accepted change");
         let is_committed_there = self.committed.get(&version).is_some_and(|known| {
             let recorded = known.content["changes"].as_array().into_iter().flatten();
-            recorded.into_iter().any(|item| item["id"].as_str() == Some(change.as_str()))
+            recorded
+                .into_iter()
+                .any(|item| item["id"].as_str() == Some(change.as_str()))
         });
         if !is_committed_there {
             self.report_violation(
@@ -107,7 +117,10 @@
             && let Some(other) = self.accepted_on.insert(base, change.clone())
             && other != *change
         {
-            self.report_violation(at, format!("{other} and {change} were both accepted on {base}"));
+            self.report_violation(
+                at,
+                format!("{other} and {change} were both accepted on {base}"),
+            );
         }
     }
 
@@ -121,7 +134,9 @@
         self.count_check("refused change");
         let contains_change = |known: &CommittedVersion| {
             let recorded = known.content["changes"].as_array().into_iter().flatten();
-            recorded.into_iter().any(|item| item["id"].as_str() == Some(change.as_str()))
+            recorded
+                .into_iter()
+                .any(|item| item["id"].as_str() == Some(change.as_str()))
         };
         if self.committed.values().any(contains_change) {
             self.report_violation(at, format!("{change} was refused and is committed"));
--- a/testing/fleet/src/sim/checks/mod.rs
+++ b/testing/fleet/src/sim/checks/mod.rs
@@ -187,7 +187,9 @@
         fencing_token: FencingToken,
     ) -> Option<(usize, FencingToken)> {
         self.count_check("send to a life");
-        let before = self.sent_by.insert(instance.clone(), (daemon, fencing_token));
+        let before = self
+            .sent_by
+            .insert(instance.clone(), (daemon, fencing_token));
         before.filter(|before| *before != (daemon, fencing_token))
     }
 
@@ -206,7 +208,11 @@
         seen.once = once;
         seen.repeat = repeat;
         if !repeat {
-            self.tries.entry(function.clone()).or_default().firsts.push_back(at);
+            self.tries
+                .entry(function.clone())
+                .or_default()
+                .firsts
+                .push_back(at);
         }
     }
 
@@ -215,12 +221,19 @@
         if let Some(tries) = self.tries.get_mut(from) {
             tries.firsts.pop_back();
         }
-        self.tries.entry(to.clone()).or_default().firsts.push_back(at);
+        self.tries
+            .entry(to.clone())
+            .or_default()
+            .firsts
+            .push_back(at);
     }
 
     /// The same identity will come again by another door.
     pub fn mark_duplicate(&mut self, idempotency_key: &IdempotencyKey) {
-        self.seen.entry(idempotency_key.clone()).or_default().is_duplicate = true;
+        self.seen
+            .entry(idempotency_key.clone())
+            .or_default()
+            .is_duplicate = true;
     }
 
     /// A run begins on a runner.
@@ -233,7 +246,10 @@
         fencing_token: FencingToken,
     ) {
         self.count_check("run");
-        if self.refused_under.contains(&(fencing_token, idempotency_key.clone())) {
+        if self
+            .refused_under
+            .contains(&(fencing_token, idempotency_key.clone()))
+        {
             self.report_violation(
                 at,
                 format!("{idempotency_key} runs under {fencing_token}, whose holder refused it"),
@@ -257,7 +273,9 @@
         }
         let versions: Vec<&CommittedVersion> = self.committed.values().collect();
         let is_allowed = versions.iter().enumerate().any(|(index, version)| {
-            let until = versions.get(index + 1).map(|next| next.at + IN_FORCE_WITHIN);
+            let until = versions
+                .get(index + 1)
+                .map(|next| next.at + IN_FORCE_WITHIN);
             version.routes.get(&route) == Some(&function.name)
                 && until.is_none_or(|until| at <= until)
         });
@@ -281,11 +299,19 @@
         self.count_check("extra try");
         let tries = self.tries.entry(function.clone()).or_default();
         tries.extras.push_back(at);
-        while tries.extras.front().is_some_and(|earlier| at.since(*earlier) > TRY_WINDOW) {
+        while tries
+            .extras
+            .front()
+            .is_some_and(|earlier| at.since(*earlier) > TRY_WINDOW)
+        {
             tries.extras.pop_front();
         }
         let first_span = TRY_WINDOW + FIRST_TRY_SLACK;
-        while tries.firsts.front().is_some_and(|earlier| at.since(*earlier) > first_span) {
+        while tries
+            .firsts
+            .front()
+            .is_some_and(|earlier| at.since(*earlier) > first_span)
+        {
             tries.firsts.pop_front();
         }
         let (firsts, extras) = (tries.firsts.len(), tries.extras.len());
@@ -380,7 +406,9 @@
 
     /// A transaction runs, or is sent, in a zone that may be evacuated.
     pub fn check_not_evacuated(&mut self, at: MonotonicTime, zone: &Zone) {
-        let Some(since) = self.evacuated_since.get(zone).copied() else { return };
+        let Some(since) = self.evacuated_since.get(zone).copied() else {
+            return;
+        };
         self.count_check("run in an evacuated zone");
         let known_since = since.max(self.control_outage_at);
         if at.since(known_since) > EVACUATED_WITHIN {
@@ -405,8 +433,11 @@
     /// A daemon serves with a spec.
     pub fn check_served_version(&mut self, at: MonotonicTime, daemon: usize, version: Version) {
         self.count_check("serving daemon's spec");
-        let due =
-            self.committed.iter().rev().find(|(_, version)| at.since(version.at) > IN_FORCE_WITHIN);
+        let due = self
+            .committed
+            .iter()
+            .rev()
+            .find(|(_, version)| at.since(version.at) > IN_FORCE_WITHIN);
         let due_version = due.map(|(due_version, _)| *due_version).unwrap_or_default();
         if version < due_version && self.served_late.insert((daemon, due_version)) {
             self.report_violation(
@@ -445,7 +476,8 @@
             && *reason != RequestFailureReason::NotHolder
         {
             self.count_check("refusal by a holder");
-            self.refused_under.insert((fencing_token, idempotency_key.clone()));
+            self.refused_under
+                .insert((fencing_token, idempotency_key.clone()));
         }
     }
 
@@ -516,6 +548,9 @@
 
     /// The newest committed serial.
     pub fn newest_version(&self) -> Version {
-        self.committed.last_key_value().map(|(version, _)| *version).unwrap_or_default()
+        self.committed
+            .last_key_value()
+            .map(|(version, _)| *version)
+            .unwrap_or_default()
     }
 }
--- a/testing/fleet/src/sim/controller.rs
+++ b/testing/fleet/src/sim/controller.rs
@@ -84,7 +84,10 @@
         let controller = &mut self.controllers[index];
         controller.instance += 1;
         let own_address = controller.address;
-        let controller_address = ControllerAddress { address: own_address, operators: own_address };
+        let controller_address = ControllerAddress {
+            address: own_address,
+            operators: own_address,
+        };
         let consensus = ConsensusNode::new(
             local_now,
             timing(),
@@ -96,12 +99,21 @@
         )
         .with_rules(rules)
         .with_quorum_policy(QuorumPolicy::new(voters, 1));
-        let controller_state =
-            ControllerState::new(consensus, leader_state_timing(), timing().election_timeout_min);
+        let controller_state = ControllerState::new(
+            consensus,
+            leader_state_timing(),
+            timing().election_timeout_min,
+        );
         controller.controller_state = Some(controller_state.with_rules(rules));
         let node = controller.node;
-        self.push(Duration::from_millis(1), Event::Tick(node, self.controllers[index].instance));
-        self.push(Duration::from_millis(50), Event::Poll(node, self.controllers[index].instance));
+        self.push(
+            Duration::from_millis(1),
+            Event::Tick(node, self.controllers[index].instance),
+        );
+        self.push(
+            Duration::from_millis(50),
+            Event::Poll(node, self.controllers[index].instance),
+        );
     }
 
     /// Kills a controller; the others find its address closed.
@@ -135,7 +147,11 @@
 
     /// The other controllers that reach a killed one find its place closed, a little later.
     fn notify_gone(&mut self, gone: Node, address: SocketAddress) {
-        let others: Vec<Node> = self.controllers.iter().map(|controller| controller.node).collect();
+        let others: Vec<Node> = self
+            .controllers
+            .iter()
+            .map(|controller| controller.node)
+            .collect();
         for other in others {
             let is_noticed = other != gone
                 && self.network.reaches(other, gone)
@@ -176,7 +192,9 @@
             return;
         }
         let local_now = self.controller_now(index);
-        let Some(controller_state) = &mut self.controllers[index].controller_state else { return };
+        let Some(controller_state) = &mut self.controllers[index].controller_state else {
+            return;
+        };
         let orders = controller_state.take(local_now, input);
         for order in orders {
             self.apply_controller_output(index, order);
@@ -188,7 +206,9 @@
         let instance = self.controllers[index].instance;
         match order {
             ControllerOutput::Send(to, frame) => {
-                let Some(to_node) = self.node_at(to) else { return };
+                let Some(to_node) = self.node_at(to) else {
+                    return;
+                };
                 if self.plan.flaw == Flaw::QuorumOfOne {
                     self.forge_approval(index, to_node, &frame);
                 }
@@ -228,27 +248,43 @@
     /// Makes a controller believe that another said yes to whatever it asked.
     fn forge_approval(&mut self, index: usize, to_node: Node, frame: &ConsensusFrame) {
         let body = match &frame.body {
-            ConsensusMessage::VoteRequest { term, is_pre_vote, .. } => {
-                ConsensusMessage::VoteResponse {
-                    term: if is_pre_vote.0 { Term(term.0 - 1) } else { *term },
-                    requested_term: *term,
-                    is_pre_vote: *is_pre_vote,
-                    granted: Flag(true),
-                    members: LengthPrefixed(Vec::new()),
-                    complete: Flag(true),
-                }
-            }
-            ConsensusMessage::Heartbeat { term, round, accepted, .. } => {
-                ConsensusMessage::HeartbeatResponse {
-                    term: *term,
-                    round: *round,
-                    accepted: *accepted,
-                }
-            }
-            ConsensusMessage::AcceptFull { term, document_version, .. }
-            | ConsensusMessage::AcceptDelta { term, document_version, .. } => {
-                ConsensusMessage::Accepted { term: *term, document_version: *document_version }
+            ConsensusMessage::VoteRequest {
+                term, is_pre_vote, ..
+            } => ConsensusMessage::VoteResponse {
+                term: if is_pre_vote.0 {
+                    Term(term.0 - 1)
+                } else {
+                    *term
+                },
+                requested_term: *term,
+                is_pre_vote: *is_pre_vote,
+                granted: Flag(true),
+                members: LengthPrefixed(Vec::new()),
+                complete: Flag(true),
+            },
+            ConsensusMessage::Heartbeat {
+                term,
+                round,
+                accepted,
+                ..
+            } => ConsensusMessage::HeartbeatResponse {
+                term: *term,
+                round: *round,
+                accepted: *accepted,
+            },
+            ConsensusMessage::AcceptFull {
+                term,
+                document_version,
+                ..
             }
+            | ConsensusMessage::AcceptDelta {
+                term,
+                document_version,
+                ..
+            } => ConsensusMessage::Accepted {
+                term: *term,
+                document_version: *document_version,
+            },
             _ => return,
         };
         let other_address = self.controllers[to_node.0].address;
@@ -260,7 +296,10 @@
             body,
         };
         let node = self.controllers[index].node;
-        self.push(Duration::from_micros(50), Event::ConsensusFrame(node, forged_frame));
+        self.push(
+            Duration::from_micros(50),
+            Event::ConsensusFrame(node, forged_frame),
+        );
     }
 
     fn check_commit(&mut self, index: usize) {
@@ -277,7 +316,9 @@
         let instance = self.controllers[index].instance;
         let node = self.controllers[index].node;
         let disk = &self.controllers[index].disk;
-        let own_delay = self.rng.within(Duration::from_micros(300), Duration::from_millis(12));
+        let own_delay = self
+            .rng
+            .within(Duration::from_micros(300), Duration::from_millis(12));
         let ends_at = (self.now + own_delay).max(disk.stalled_until);
         let is_failing = disk.failing_until > self.now;
         self.unsynced.push((index, job.clone()));
@@ -291,7 +332,10 @@
             self.push(late, Event::Durable(node, instance, job));
         } else if is_failing {
             let delay = ends_at.since(self.now);
-            self.push(delay, Event::Written(node, instance, ticket, WriteResult::Failed));
+            self.push(
+                delay,
+                Event::Written(node, instance, ticket, WriteResult::Failed),
+            );
         } else {
             let delay = ends_at.since(self.now);
             self.push(delay, Event::Durable(node, instance, job));
@@ -304,11 +348,14 @@
 
     pub(super) fn durable(&mut self, index: usize, job: &WriteJob) {
         self.controllers[index].disk.store(job);
-        self.unsynced.retain(|(owner, kept)| *owner != index || !is_same(kept, job));
+        self.unsynced
+            .retain(|(owner, kept)| *owner != index || !is_same(kept, job));
     }
 
     fn send_down(&mut self, stream: StreamId, frame: LeaderToDaemon) {
-        let Some(link) = self.links.get(&stream.0) else { return };
+        let Some(link) = self.links.get(&stream.0) else {
+            return;
+        };
         let (from, to) = (link.controller, link.daemon);
         if !self.network.reaches(from, to) {
             self.break_silently(stream.0);
@@ -354,7 +401,10 @@
         let sent_at = self.controller_now(index);
         let (age, listed_runners, workers) = self.platform.delayed_lists(self.now);
         let delay = self.network.delay(&mut self.rng);
-        self.push(delay, Event::Lists(node, instance, workers, sent_at - age, listed_runners));
+        self.push(
+            delay,
+            Event::Lists(node, instance, workers, sent_at - age, listed_runners),
+        );
     }
 
     fn operated(&mut self, index: usize, ticket: OperationTicket, reply: OperationReply) {
@@ -366,9 +416,14 @@
 
 fn is_same(left: &WriteJob, right: &WriteJob) -> bool {
     match (left, right) {
-        (WriteJob::Vote { term: left_term, .. }, WriteJob::Vote { term: right_term, .. }) => {
-            left_term == right_term
-        }
+        (
+            WriteJob::Vote {
+                term: left_term, ..
+            },
+            WriteJob::Vote {
+                term: right_term, ..
+            },
+        ) => left_term == right_term,
         (WriteJob::Version(left_document), WriteJob::Version(right_document)) => {
             left_document.document_version == right_document.document_version
         }
@@ -382,7 +437,11 @@
     pub fn store(&mut self, job: &WriteJob) {
         match job {
             WriteJob::Vote { term, candidate } => {
-                if self.durable.voted_for.is_none_or(|(voted_for, _)| voted_for < *term) {
+                if self
+                    .durable
+                    .voted_for
+                    .is_none_or(|(voted_for, _)| voted_for < *term)
+                {
                     self.durable.voted_for = Some((*term, *candidate));
                 }
             }
--- a/testing/fleet/src/sim/daemon/holders.rs
+++ b/testing/fleet/src/sim/daemon/holders.rs
@@ -24,8 +24,9 @@
         change: impl FnOnce(&mut Holder, MonotonicTime) -> Vec<HolderOutput>,
     ) {
         let local_now = self.daemon_now(index);
-        let Some(held) =
-            self.agent(index).and_then(|agent| agent.held_or_closing(function, fencing_token))
+        let Some(held) = self
+            .agent(index)
+            .and_then(|agent| agent.held_or_closing(function, fencing_token))
         else {
             return;
         };
@@ -53,11 +54,18 @@
         held: &Arc<HeldFunction<u64>>,
         order: HolderOutput,
     ) {
-        let requester =
-            Requester { node: self.daemons[index].node, instance: self.daemons[index].instance };
+        let requester = Requester {
+            node: self.daemons[index].node,
+            instance: self.daemons[index].instance,
+        };
         let function = held.function.clone();
         match order {
-            HolderOutput::Send { ticket, runner, address: runner_address, attempt } => {
+            HolderOutput::Send {
+                ticket,
+                runner,
+                address: runner_address,
+                attempt,
+            } => {
                 self.send_to_runner(index, held, ticket, runner, runner_address, attempt);
             }
             HolderOutput::End { ticket, outcome } => {
@@ -69,17 +77,29 @@
                     );
                 }
                 if let Some(number) = held.remove_waiter(ticket) {
-                    self.step(index, number, AwaitedStep::Outcome, |forwarding, agent, now| {
-                        forwarding.served(agent, now, outcome)
-                    });
+                    self.step(
+                        index,
+                        number,
+                        AwaitedStep::Outcome,
+                        |forwarding, agent, now| forwarding.served(agent, now, outcome),
+                    );
                 }
             }
-            HolderOutput::Start { runner, worker, spec } => {
+            HolderOutput::Start {
+                runner,
+                worker,
+                spec,
+            } => {
                 let local_now = self.daemon_now(index);
-                let may_start = self.agent(index).is_some_and(|agent| agent.is_serving(local_now));
+                let may_start = self
+                    .agent(index)
+                    .is_some_and(|agent| agent.is_serving(local_now));
                 if may_start && self.network.reaches(requester.node, PLATFORM) {
                     let delay = self.occasionally_long_delay();
-                    self.push(delay, Event::Start(requester, function, runner, worker, spec));
+                    self.push(
+                        delay,
+                        Event::Start(requester, function, runner, worker, spec),
+                    );
                 } else {
                     let delay = Duration::from_millis(500);
                     self.push(
@@ -88,7 +108,10 @@
                     );
                 }
             }
-            HolderOutput::Probe { runner, address: runner_address } => {
+            HolderOutput::Probe {
+                runner,
+                address: runner_address,
+            } => {
                 let is_ready = self
                     .platform
                     .at(runner_address)
@@ -96,7 +119,10 @@
                 let delay = self.network.delay(&mut self.rng);
                 self.push(delay, Event::Probed(requester, function, runner, is_ready));
             }
-            HolderOutput::ListRunning { runner, address: runner_address } => {
+            HolderOutput::ListRunning {
+                runner,
+                address: runner_address,
+            } => {
                 let self_reported_id = held.self_reported_id_of(runner);
                 let running = self
                     .platform
@@ -106,7 +132,9 @@
                 let delay = self.network.delay(&mut self.rng);
                 self.push(delay, Event::Settled(requester, function, runner, running));
             }
-            HolderOutput::Stop { runner, instance, .. } => {
+            HolderOutput::Stop {
+                runner, instance, ..
+            } => {
                 if self.network.reaches(requester.node, PLATFORM) {
                     let delay = self.network.delay(&mut self.rng);
                     self.push(delay, Event::Stop(requester, function, runner, instance));
@@ -137,9 +165,16 @@
         held: &Arc<HeldFunction<u64>>,
         replica_request: ReplicaRequest,
     ) {
-        let requester =
-            Requester { node: self.daemons[index].node, instance: self.daemons[index].instance };
-        let ReplicaRequest { replica, body, request_kind, timeout } = replica_request;
+        let requester = Requester {
+            node: self.daemons[index].node,
+            instance: self.daemons[index].instance,
+        };
+        let ReplicaRequest {
+            replica,
+            body,
+            request_kind,
+            timeout,
+        } = replica_request;
         let (function, fencing_token) = (held.function.clone(), held.fencing_token);
         self.next_number += 1;
         let number = self.next_number;
@@ -155,7 +190,9 @@
                 None,
             ),
         );
-        let Some(to_node) = self.node_at(replica.address) else { return };
+        let Some(to_node) = self.node_at(replica.address) else {
+            return;
+        };
         if self.network.reaches(requester.node, to_node) {
             let delay = self.network.delay(&mut self.rng);
             let asked = Event::ReplicaRequested(
@@ -184,7 +221,9 @@
     ) {
         let local_now = self.daemon_now(index);
         let node = self.daemons[index].node;
-        let Some(agent) = self.agent(index) else { return };
+        let Some(agent) = self.agent(index) else {
+            return;
+        };
         let reply = agent.answer_replica_request(local_now, body);
         if self.network.reaches(node, requester.node) {
             let delay = self.network.delay(&mut self.rng);
--- a/testing/fleet/src/sim/daemon/mod.rs
+++ b/testing/fleet/src/sim/daemon/mod.rs
@@ -25,7 +25,11 @@
 #[derive(Clone, Copy, Debug)]
 pub(in crate::sim) enum ReplyTarget {
     Caller,
-    Hop { node: Node, instance: u64, number: u64 },
+    Hop {
+        node: Node,
+        instance: u64,
+        number: u64,
+    },
 }
 
 struct PendingRequest {
@@ -99,11 +103,18 @@
         let zones =
             (0..3).map(|number| (Self::zone(number), if number < 2 { "east" } else { "west" }));
         let named = zones.filter(|_| self.plan.regional);
-        Regions::new(named.map(|(zone, region)| (zone, Region::from(region))).collect())
+        Regions::new(
+            named
+                .map(|(zone, region)| (zone, Region::from(region)))
+                .collect(),
+        )
     }
 
     pub(in crate::sim) fn agent(&self, index: usize) -> Option<Arc<Agent<u64>>> {
-        self.daemons[index].body.as_ref().map(|body| body.agent.clone())
+        self.daemons[index]
+            .body
+            .as_ref()
+            .map(|body| body.agent.clone())
     }
 
     pub(in crate::sim) fn schedule_wake(
@@ -115,8 +126,12 @@
         let span = local_at.since(self.daemon_now(index));
         let delay = virtual_span(span, self.daemons[index].clock_drift);
         let (node, instance) = (self.daemons[index].node, self.daemons[index].instance);
-        let Some(body) = &mut self.daemons[index].body else { return };
-        let Some(pending) = body.pending_requests.get_mut(&number) else { return };
+        let Some(body) = &mut self.daemons[index].body else {
+            return;
+        };
+        let Some(pending) = body.pending_requests.get_mut(&number) else {
+            return;
+        };
         pending.wakes += 1;
         let wake = Event::Lookup(node, instance, number, pending.wakes);
         self.push(delay, wake);
@@ -178,7 +193,9 @@
     pub(in crate::sim) fn begin_orderly_stop(&mut self, index: usize) {
         let local_now = self.daemon_now(index);
         let is_frozen = self.is_frozen(self.daemons[index].node);
-        let Some(body) = &mut self.daemons[index].body else { return };
+        let Some(body) = &mut self.daemons[index].body else {
+            return;
+        };
         if body.stop_deadline.is_some() {
             return;
         }
@@ -188,14 +205,21 @@
     }
 
     pub(in crate::sim) fn is_leaving(&self, index: usize) -> bool {
-        self.daemons[index].body.as_ref().is_some_and(|body| body.stop_deadline.is_some())
+        self.daemons[index]
+            .body
+            .as_ref()
+            .is_some_and(|body| body.stop_deadline.is_some())
     }
 
     /// A daemon that was warned goes when nothing is left in its hands, or when its grace is over.
     pub(in crate::sim) fn finish_stop_if_due(&mut self, index: usize) {
         let local_now = self.daemon_now(index);
-        let Some(body) = &self.daemons[index].body else { return };
-        let Some(stop_deadline) = body.stop_deadline else { return };
+        let Some(body) = &self.daemons[index].body else {
+            return;
+        };
+        let Some(stop_deadline) = body.stop_deadline else {
+            return;
+        };
         if local_now < stop_deadline && !body.agent.is_drained() {
             return;
         }
@@ -213,7 +237,10 @@
         if let Some(body) = &mut self.daemons[index].body {
             body.stop_deadline = Some(MonotonicTime(u64::MAX));
         }
-        self.push(Duration::from_millis(60), Event::ProcessGone(node, instance));
+        self.push(
+            Duration::from_millis(60),
+            Event::ProcessGone(node, instance),
+        );
     }
 
     pub(in crate::sim) fn is_daemon_serving(&self, index: usize) -> bool {
@@ -227,7 +254,8 @@
         if let Some(agent) = self.agent(index)
             && self.is_daemon_serving(index)
         {
-            self.checks.check_served_version(self.now, index, agent.table.load().version());
+            self.checks
+                .check_served_version(self.now, index, agent.table.load().version());
         }
         self.finish_stop_if_due(index);
     }
@@ -242,7 +270,9 @@
         ) -> Vec<DaemonControlOutput<u64>>,
     ) {
         let local_now = self.daemon_now(index);
-        let Some(body) = &mut self.daemons[index].body else { return };
+        let Some(body) = &mut self.daemons[index].body else {
+            return;
+        };
         let agent = body.agent.clone();
         let orders = change(&mut body.controller, &agent, local_now);
         for order in orders {
@@ -273,6 +303,9 @@
     }
 
     pub(in crate::sim) fn is_current_link(&self, index: usize, link: u64) -> bool {
-        self.daemons[index].body.as_ref().is_some_and(|body| body.link == Some(link))
+        self.daemons[index]
+            .body
+            .as_ref()
+            .is_some_and(|body| body.link == Some(link))
     }
 }
--- a/testing/fleet/src/sim/daemon/orders.rs
+++ b/testing/fleet/src/sim/daemon/orders.rs
@@ -24,7 +24,10 @@
                 }
             }
             DaemonControlOutput::Hangup => {
-                let link = self.daemons[index].body.as_mut().and_then(|body| body.link.take());
+                let link = self.daemons[index]
+                    .body
+                    .as_mut()
+                    .and_then(|body| body.link.take());
                 if let Some(link) = link {
                     self.close_link(link);
                 }
@@ -32,7 +35,9 @@
             DaemonControlOutput::SendFrame(frame) => self.send_up(index, frame),
             DaemonControlOutput::HeartbeatDatagram(heartbeat, to_addresses) => {
                 for to in to_addresses {
-                    let Some(to_node) = self.node_at(to) else { continue };
+                    let Some(to_node) = self.node_at(to) else {
+                        continue;
+                    };
                     self.count_event("heartbeats");
                     let copies = if self.rng.random_bool(0.01) { 2 } else { 1 };
                     for _ in 0..copies {
@@ -49,7 +54,9 @@
                 self.acquired(index, &function, result);
             }
             DaemonControlOutput::AcquiresLost => {
-                let Some(body) = &mut self.daemons[index].body else { return };
+                let Some(body) = &mut self.daemons[index].body else {
+                    return;
+                };
                 let waiting = std::mem::take(&mut body.acquires);
                 for function in waiting.into_keys() {
                     self.acquired(index, &function, None);
@@ -72,7 +79,8 @@
 
     pub(in crate::sim) fn check_install(&mut self, index: usize, version: Version) {
         let instance = self.daemons[index].instance;
-        self.checks.check_installed(self.now, index, instance, version);
+        self.checks
+            .check_installed(self.now, index, instance, version);
     }
 
     pub(in crate::sim) fn count_acquired(&mut self, result: Option<&AcquireResult>) {
@@ -86,10 +94,14 @@
     }
 
     pub(in crate::sim) fn send_up(&mut self, index: usize, frame: DaemonToLeader) {
-        let Some(body) = &self.daemons[index].body else { return };
+        let Some(body) = &self.daemons[index].body else {
+            return;
+        };
         let Some(link) = body.link else { return };
         let from = self.daemons[index].node;
-        let Some(to) = self.links.get(&link).map(|link| link.controller) else { return };
+        let Some(to) = self.links.get(&link).map(|link| link.controller) else {
+            return;
+        };
         if !self.network.reaches(from, to) {
             self.break_silently(link);
             return;
@@ -111,14 +123,17 @@
                 continue;
             };
             for held in agent.held_functions.load().values() {
-                let lives =
-                    held.with(
-                        |holder| {
-                            if holder.is_claimable() { holder.instances() } else { Vec::new() }
-                        },
-                    );
+                let lives = held.with(|holder| {
+                    if holder.is_claimable() {
+                        holder.instances()
+                    } else {
+                        Vec::new()
+                    }
+                });
                 held_instances.extend(
-                    lives.into_iter().map(|instance| (index, held.fencing_token, instance.name)),
+                    lives
+                        .into_iter()
+                        .map(|instance| (index, held.fencing_token, instance.name)),
                 );
             }
         }
@@ -135,7 +150,9 @@
         function: &FunctionKey,
         fencing_token: FencingToken,
     ) -> bool {
-        let held = self.agent(index).and_then(|agent| agent.held(function, fencing_token));
+        let held = self
+            .agent(index)
+            .and_then(|agent| agent.held(function, fencing_token));
         self.is_daemon_serving(index)
             && held.is_some_and(|held| held.with(|holder| holder.is_claimable()))
     }
@@ -143,15 +160,20 @@
     /// A function that has just been granted: nobody else may serve it, and every runner of it that is
     /// alive is among those taken over.
     pub(in crate::sim) fn check_granted(&mut self, index: usize) {
-        let Some(agent) = self.agent(index) else { return };
+        let Some(agent) = self.agent(index) else {
+            return;
+        };
         let held_functions = agent.held_functions.load_full();
         for held in held_functions.values() {
             if !self.checks.is_new_lease(held.fencing_token) {
                 continue;
             }
             let adopted = held.with(|holder| holder.instances());
-            let alive =
-                self.platform.runners.values().map(|runner| (&runner.function, &runner.instance));
+            let alive = self
+                .platform
+                .runners
+                .values()
+                .map(|runner| (&runner.function, &runner.instance));
             self.checks.check_granted_lease(
                 self.now,
                 &held.function,
@@ -183,11 +205,16 @@
         function: &FunctionKey,
         result: Option<AcquireResult>,
     ) {
-        let Some(body) = &mut self.daemons[index].body else { return };
+        let Some(body) = &mut self.daemons[index].body else {
+            return;
+        };
         for number in body.acquires.remove(function).unwrap_or_default() {
-            self.step(index, number, AwaitedStep::Acquired, |forwarding, agent, now| {
-                forwarding.acquired(agent, now, result.clone())
-            });
+            self.step(
+                index,
+                number,
+                AwaitedStep::Acquired,
+                |forwarding, agent, now| forwarding.acquired(agent, now, result.clone()),
+            );
         }
     }
 }
--- a/testing/fleet/src/sim/daemon/requests.rs
+++ b/testing/fleet/src/sim/daemon/requests.rs
@@ -16,7 +16,8 @@
 impl Simulation {
     pub(in crate::sim) fn occasionally_long_delay(&mut self) -> Duration {
         if self.rng.random_bool(0.02) {
-            self.rng.within(Duration::from_millis(10), Duration::from_millis(400))
+            self.rng
+                .within(Duration::from_millis(10), Duration::from_millis(400))
         } else {
             self.network.delay(&mut self.rng)
         }
@@ -32,7 +33,9 @@
         repeat: bool,
     ) {
         let local_now = self.daemon_now(index);
-        let Some(agent) = self.agent(index) else { return };
+        let Some(agent) = self.agent(index) else {
+            return;
+        };
         let table = agent.table.load_full();
         let route = table
             .route_named(route_name)
@@ -60,7 +63,10 @@
             hops: 0,
             repeat,
             wants_referral: true,
-            region: agent.own_region().cloned().unwrap_or_else(|| Region::from("")),
+            region: agent
+                .own_region()
+                .cloned()
+                .unwrap_or_else(|| Region::from("")),
             payload: Arc::new(RequestPayload::from_body(Vec::new().into())),
         };
         self.accept_request(index, request, ReplyTarget::Caller);
@@ -87,7 +93,9 @@
         let local_now = self.daemon_now(index);
         self.next_number += 1;
         let number = self.next_number;
-        let Some(body) = &mut self.daemons[index].body else { return };
+        let Some(body) = &mut self.daemons[index].body else {
+            return;
+        };
         let in_flight = body.agent.track_in_flight();
         let forwarding = Forwarding::new(local_now, request);
         let pending = PendingRequest {
@@ -106,7 +114,9 @@
     /// The time of a wait is up, unless something else has come since.
     pub(in crate::sim) fn wake(&mut self, index: usize, number: u64, wake: u64) {
         let is_due = self.daemons[index].body.as_ref().is_some_and(|body| {
-            body.pending_requests.get(&number).is_some_and(|pending| pending.wakes == wake)
+            body.pending_requests
+                .get(&number)
+                .is_some_and(|pending| pending.wakes == wake)
         });
         if is_due {
             self.advance(index, number);
@@ -115,22 +125,30 @@
 
     /// One look where a transaction goes next, if it waits for one.
     pub(in crate::sim) fn advance(&mut self, index: usize, number: u64) {
-        self.step(index, number, AwaitedStep::Lookup, |forwarding, agent, now| {
-            forwarding.advance(agent, now)
-        });
+        self.step(
+            index,
+            number,
+            AwaitedStep::Lookup,
+            |forwarding, agent, now| forwarding.advance(agent, now),
+        );
     }
 
     /// A wait for the leader's answer has lasted as long as it may.
     pub(in crate::sim) fn acquire_timed_out(&mut self, index: usize, number: u64) {
-        self.step(index, number, AwaitedStep::Acquired, |forwarding, agent, now| {
-            forwarding.advance(agent, now)
-        });
+        self.step(
+            index,
+            number,
+            AwaitedStep::Acquired,
+            |forwarding, agent, now| forwarding.advance(agent, now),
+        );
     }
 
     pub(in crate::sim) fn look_up_all(&mut self, index: usize) {
         let node = self.daemons[index].node;
         let instance = self.daemons[index].instance;
-        let Some(body) = &self.daemons[index].body else { return };
+        let Some(body) = &self.daemons[index].body else {
+            return;
+        };
         let waiting_lookups: Vec<u64> = body
             .pending_requests
             .iter()
@@ -139,8 +157,12 @@
             .collect();
         self.end_forwards_to_departed(index);
         for number in waiting_lookups {
-            let Some(body) = &mut self.daemons[index].body else { return };
-            let Some(pending) = body.pending_requests.get_mut(&number) else { continue };
+            let Some(body) = &mut self.daemons[index].body else {
+                return;
+            };
+            let Some(pending) = body.pending_requests.get_mut(&number) else {
+                continue;
+            };
             pending.wakes += 1;
             let wake = Event::Lookup(node, instance, number, pending.wakes);
             self.push(Duration::from_micros(2), wake);
@@ -150,11 +172,16 @@
     /// What was passed to a daemon that no longer counts as alive is not waited for; under a new number,
     /// so that what still comes back finds nobody.
     pub(in crate::sim) fn end_forwards_to_departed(&mut self, index: usize) {
-        let Some(body) = &mut self.daemons[index].body else { return };
+        let Some(body) = &mut self.daemons[index].body else {
+            return;
+        };
         let hosts = body.agent.hosts.load_full();
         let is_to_departed = |pending: &PendingRequest| {
             pending.awaited_step == AwaitedStep::Forwarded
-                && pending.forwarded_to.as_ref().is_some_and(|host| !is_current_owner(host, &hosts))
+                && pending
+                    .forwarded_to
+                    .as_ref()
+                    .is_some_and(|host| !is_current_owner(host, &hosts))
         };
         let lost: Vec<u64> = body
             .pending_requests
@@ -165,8 +192,12 @@
         for number in lost {
             self.next_number += 1;
             let new_number = self.next_number;
-            let Some(body) = &mut self.daemons[index].body else { return };
-            let Some(pending) = body.pending_requests.remove(&number) else { continue };
+            let Some(body) = &mut self.daemons[index].body else {
+                return;
+            };
+            let Some(pending) = body.pending_requests.remove(&number) else {
+                continue;
+            };
             body.pending_requests.insert(new_number, pending);
             self.count_event("passes to the gone");
             self.forwarded(index, new_number, ForwardResult::Lost);
@@ -181,8 +212,12 @@
         change: impl FnOnce(&mut Forwarding, &Agent<u64>, MonotonicTime) -> ForwardingStep<u64>,
     ) {
         let local_now = self.daemon_now(index);
-        let Some(body) = &mut self.daemons[index].body else { return };
-        let Some(pending) = body.pending_requests.get_mut(&number) else { return };
+        let Some(body) = &mut self.daemons[index].body else {
+            return;
+        };
+        let Some(pending) = body.pending_requests.get_mut(&number) else {
+            return;
+        };
         if pending.awaited_step != expected_step {
             return;
         }
@@ -198,13 +233,18 @@
             ForwardingStep::Wait { .. } | ForwardingStep::End(..) => AwaitedStep::Lookup,
         };
         if function != function_before && is_first {
-            self.checks.move_first_try(self.now, &function_before, &function);
+            self.checks
+                .move_first_try(self.now, &function_before, &function);
         }
         match next_step {
             ForwardingStep::Serve(held, holder_request) => {
                 self.serve(index, number, &held, holder_request)
             }
-            ForwardingStep::Forward { host, body, wait_until } => {
+            ForwardingStep::Forward {
+                host,
+                body,
+                wait_until,
+            } => {
                 pending.forwarded_to = Some(host.clone());
                 self.pass(index, number, &host, body, wait_until);
             }
@@ -222,17 +262,23 @@
         holder_request: HolderRequest,
     ) {
         let local_now = self.daemon_now(index);
-        let Some(agent) = self.agent(index) else { return };
+        let Some(agent) = self.agent(index) else {
+            return;
+        };
         let idempotency_key = holder_request.idempotency_key.clone();
         let (at_once, outputs) = held.admit(local_now, agent.ticket(), holder_request, number);
         if let Some((_, outcome)) = &at_once {
-            self.checks.record_holder_outcome(held.fencing_token, &idempotency_key, outcome);
+            self.checks
+                .record_holder_outcome(held.fencing_token, &idempotency_key, outcome);
         }
         self.drive(index, held, outputs);
         if let Some((number, outcome)) = at_once {
-            self.step(index, number, AwaitedStep::Outcome, |forwarding, agent, now| {
-                forwarding.served(agent, now, outcome)
-            });
+            self.step(
+                index,
+                number,
+                AwaitedStep::Outcome,
+                |forwarding, agent, now| forwarding.served(agent, now, outcome),
+            );
         }
     }
 
@@ -242,8 +288,14 @@
         let span = wait_until.since(self.daemon_now(index));
         let delay = virtual_span(span, self.daemons[index].clock_drift);
         self.push(delay, Event::AcquireTimedOut(node, instance, number));
-        let Some(body) = &mut self.daemons[index].body else { return };
-        let function = body.pending_requests[&number].forwarding.request().function.clone();
+        let Some(body) = &mut self.daemons[index].body else {
+            return;
+        };
+        let function = body.pending_requests[&number]
+            .forwarding
+            .request()
+            .function
+            .clone();
         let waiting = body.acquires.entry(function.clone()).or_default();
         waiting.push(number);
         if waiting.len() == 1 {
@@ -265,11 +317,16 @@
         let instance = self.daemons[index].instance;
         let wait_span = wait_until.since(self.daemon_now(index));
         let wait_span = virtual_span(wait_span, self.daemons[index].clock_drift);
-        let Some(to_node) = self.node_at(host.address) else { return };
+        let Some(to_node) = self.node_at(host.address) else {
+            return;
+        };
         let is_dead = self.daemons[to_node.daemon_index()].body.is_none();
         let delay = self.network.delay(&mut self.rng);
         if is_dead {
-            self.push(delay, Event::Forwarded(node, instance, number, ForwardResult::Unsent, 0));
+            self.push(
+                delay,
+                Event::Forwarded(node, instance, number, ForwardResult::Unsent, 0),
+            );
             return;
         }
         if !self.network.reaches(node, to_node) {
@@ -279,11 +336,21 @@
             } else {
                 (ForwardResult::Unsent, Duration::from_millis(400))
             };
-            self.push(failed_after, Event::Forwarded(node, instance, number, end, 0));
+            self.push(
+                failed_after,
+                Event::Forwarded(node, instance, number, end, 0),
+            );
             return;
         }
-        self.push(wait_span, Event::Forwarded(node, instance, number, ForwardResult::Lost, 0));
-        let reply_target = ReplyTarget::Hop { node, instance, number };
+        self.push(
+            wait_span,
+            Event::Forwarded(node, instance, number, ForwardResult::Lost, 0),
+        );
+        let reply_target = ReplyTarget::Hop {
+            node,
+            instance,
+            number,
+        };
         let to_instance = self.daemons[to_node.daemon_index()].instance;
         self.push(delay, Event::Hop(to_node, to_instance, reply_target, body));
     }
@@ -304,9 +371,12 @@
     }
 
     pub(in crate::sim) fn forwarded(&mut self, index: usize, number: u64, end: ForwardResult) {
-        self.step(index, number, AwaitedStep::Forwarded, |forwarding, agent, now| {
-            forwarding.forwarded(agent, now, end)
-        });
+        self.step(
+            index,
+            number,
+            AwaitedStep::Forwarded,
+            |forwarding, agent, now| forwarding.forwarded(agent, now, end),
+        );
     }
 
     pub(in crate::sim) fn end(
@@ -317,8 +387,12 @@
         holder: Option<Host>,
     ) {
         let node = self.daemons[index].node;
-        let Some(body) = &mut self.daemons[index].body else { return };
-        let Some(pending) = body.pending_requests.remove(&number) else { return };
+        let Some(body) = &mut self.daemons[index].body else {
+            return;
+        };
+        let Some(pending) = body.pending_requests.remove(&number) else {
+            return;
+        };
         let regional_tenths = self.regional_hint(index, &pending);
         match pending.reply_target {
             ReplyTarget::Caller => {
@@ -330,7 +404,11 @@
                 );
                 self.answer_caller(pending.forwarding.request(), &outcome);
             }
-            ReplyTarget::Hop { node: reply_node, instance, number } => {
+            ReplyTarget::Hop {
+                node: reply_node,
+                instance,
+                number,
+            } => {
                 if self.network.reaches(node, reply_node) {
                     let delay = self.network.delay(&mut self.rng);
                     let end = ForwardResult::Completed(outcome, holder);
@@ -348,9 +426,14 @@
         let request = pending.forwarding.request();
         let local_now = self.daemon_now(index);
         let agent = self.agent(index);
-        let own_word = agent
-            .map_or(0, |agent| agent.regional_hint(local_now, &request.function, &request.region));
-        if own_word > 0 { own_word } else { pending.regional_tenths }
+        let own_word = agent.map_or(0, |agent| {
+            agent.regional_hint(local_now, &request.function, &request.region)
+        });
+        if own_word > 0 {
+            own_word
+        } else {
+            pending.regional_tenths
+        }
     }
 
     /// A caller's daemon hears with an answer of its region's own key.
@@ -362,7 +445,9 @@
         regional_tenths: u8,
     ) {
         let local_now = self.daemon_now(index);
-        let Some(agent) = self.agent(index) else { return };
+        let Some(agent) = self.agent(index) else {
+            return;
+        };
         if request.function.is_regional() {
             self.count_event("served under a region's key");
         }
@@ -383,7 +468,9 @@
     ) {
         let idempotency_key = &request.idempotency_key;
         match outcome {
-            RequestOutcome::Response { seal, runner, body, .. } => {
+            RequestOutcome::Response {
+                seal, runner, body, ..
+            } => {
                 self.checks.answers(
                     self.now,
                     idempotency_key,
@@ -395,7 +482,10 @@
                 self.count_event("answer");
                 self.note_answered(idempotency_key);
             }
-            RequestOutcome::NotRun { reason, retry_after_ms } => {
+            RequestOutcome::NotRun {
+                reason,
+                retry_after_ms,
+            } => {
                 self.checks.check_not_run(self.now, idempotency_key);
                 self.count_event(reason.as_str());
                 if *retry_after_ms == 0 {
--- a/testing/fleet/src/sim/detection_cases.rs
+++ b/testing/fleet/src/sim/detection_cases.rs
@@ -56,14 +56,22 @@
             rate: 60.0,
             duplicate_share: 0.5,
             numbers_orders: self.numbers_orders,
-            order_gap: if self.numbers_orders { HURRIED_ORDER_GAP } else { ORDER_GAP },
+            order_gap: if self.numbers_orders {
+                HURRIED_ORDER_GAP
+            } else {
+                ORDER_GAP
+            },
             ..SimPlan::seeded(seed)
         }
     }
 
     /// Runs the days without the rule until one finds it, and the same days with it.
     pub fn run(&self, most_seeds: u64) -> DetectionResult {
-        let mut end = DetectionResult { found: None, baseline_violations: Vec::new(), checked: 0 };
+        let mut end = DetectionResult {
+            found: None,
+            baseline_violations: Vec::new(),
+            checked: 0,
+        };
         for seed in 1..=most_seeds {
             let baseline_end = Simulation::new(self.plan(seed, Flaw::None), false).run();
             end.checked += baseline_end.checked.values().sum::<u64>();
@@ -87,7 +95,13 @@
 impl fmt::Display for DetectionCase {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         let faults: Vec<String> = self.faults.iter().map(SimFault::to_string).collect();
-        write!(out, "{} ({}; faults {})", self.point, self.flaw, faults.join(","))
+        write!(
+            out,
+            "{} ({}; faults {})",
+            self.point,
+            self.flaw,
+            faults.join(",")
+        )
     }
 }
 
@@ -99,7 +113,14 @@
     expected_violation: &'static str,
     seeds: u64,
 ) -> DetectionCase {
-    case_with_flaw(point, Flaw::Without(rule), faults, gap_ms, expected_violation, seeds)
+    case_with_flaw(
+        point,
+        Flaw::Without(rule),
+        faults,
+        gap_ms,
+        expected_violation,
+        seeds,
+    )
 }
 
 const fn case_with_flaw(
@@ -111,7 +132,15 @@
     seeds: u64,
 ) -> DetectionCase {
     let gap = Duration::from_millis(gap_ms);
-    DetectionCase { point, flaw, faults, gap, expected_violation, seeds, numbers_orders: false }
+    DetectionCase {
+        point,
+        flaw,
+        faults,
+        gap,
+        expected_violation,
+        seeds,
+        numbers_orders: false,
+    }
 }
 
 use SimFault as F;
@@ -214,8 +243,22 @@
         "invalid at",
         6,
     ),
-    case_without_rule("draining", Rule::DrainObeyed, &[F::DrainWorker], 3000, "draining for", 6),
-    case_without_rule("draining", Rule::DrainObeyed, &[F::RunnerLeaves], 1000, "leaving for", 6),
+    case_without_rule(
+        "draining",
+        Rule::DrainObeyed,
+        &[F::DrainWorker],
+        3000,
+        "draining for",
+        6,
+    ),
+    case_without_rule(
+        "draining",
+        Rule::DrainObeyed,
+        &[F::RunnerLeaves],
+        1000,
+        "leaving for",
+        6,
+    ),
     case_without_rule(
         "evacuation",
         Rule::EvacuationObeyed,
@@ -240,8 +283,22 @@
         "extra try",
         24,
     ),
-    case_without_rule("flood", Rule::SlowStartRespected, &[F::CallBurst], 1000, "answers", 6),
-    case_without_rule("flood", Rule::SlotLimitRespected, &[F::CallBurst], 1000, "slots", 6),
+    case_without_rule(
+        "flood",
+        Rule::SlowStartRespected,
+        &[F::CallBurst],
+        1000,
+        "answers",
+        6,
+    ),
+    case_without_rule(
+        "flood",
+        Rule::SlotLimitRespected,
+        &[F::CallBurst],
+        1000,
+        "slots",
+        6,
+    ),
     case_without_rule(
         "flood",
         Rule::LostResponseKeepsSlot,
--- a/testing/fleet/src/sim/digest.rs
+++ b/testing/fleet/src/sim/digest.rs
@@ -73,7 +73,9 @@
         let mut counts: Vec<u64> = end.counts.values().copied().collect();
         counts.extend(end.checked.values());
         counts.sort_unstable();
-        counts.iter().for_each(|count| day_hasher.update(count.to_be_bytes()));
+        counts
+            .iter()
+            .for_each(|count| day_hasher.update(count.to_be_bytes()));
         let day_digest = day_hasher.finalize();
         self.hasher.update(day_digest);
         hexadecimal(&day_digest)
--- a/testing/fleet/src/sim/dispatch.rs
+++ b/testing/fleet/src/sim/dispatch.rs
@@ -240,7 +240,9 @@
             Event::RestoreWorkers => self.platform.restore(),
             Event::WorkersReturn(workers) => {
                 self.platform.workers.extend(workers);
-                self.platform.workers.sort_by(|left, right| left.worker.cmp(&right.worker));
+                self.platform
+                    .workers
+                    .sort_by(|left, right| left.worker.cmp(&right.worker));
             }
             Event::Restore(zone) => self.submit_change(None, ChangeKind::Restore { zone }),
             Event::Repeat(route_name) => self.repeat_call(&route_name),
--- a/testing/fleet/src/sim/faults.rs
+++ b/testing/fleet/src/sim/faults.rs
@@ -119,7 +119,10 @@
 
     /// The fault of a name.
     pub fn by_name(name: &str) -> Option<SimFault> {
-        Self::ALL.iter().copied().find(|fault| fault.to_string() == name)
+        Self::ALL
+            .iter()
+            .copied()
+            .find(|fault| fault.to_string() == name)
     }
 }
 
@@ -186,7 +189,9 @@
     fn random_group(&mut self) -> Vec<usize> {
         let count = 1 + self.rng.below(self.daemons.len() as u64 - 1) as usize;
         let first = self.random_daemon();
-        (0..count).map(|step| (first + step) % self.daemons.len()).collect()
+        (0..count)
+            .map(|step| (first + step) % self.daemons.len())
+            .collect()
     }
 
     pub(super) fn leading_controller(&self) -> Option<usize> {
@@ -205,7 +210,9 @@
 
     /// Causes one fault by chance, or the day's own; each is undone some time later.
     pub(super) fn inject_random_fault(&mut self) {
-        let lasts = self.rng.within(Duration::from_millis(300), Duration::from_millis(6000));
+        let lasts = self
+            .rng
+            .within(Duration::from_millis(300), Duration::from_millis(6000));
         let chosen = self.rng.below(SimFault::ALL.len() as u64) as usize;
         let own_count = self.plan.focus.len() as u64;
         let own = (own_count > 0).then(|| self.rng.below(own_count) as usize);
@@ -289,10 +296,14 @@
             }
             SimFault::FreezeHolder => {
                 let holder = (0..self.daemons.len()).max_by_key(|index| {
-                    self.agent(*index).map_or(0, |agent| agent.held_functions.load().len())
+                    self.agent(*index)
+                        .map_or(0, |agent| agent.held_functions.load().len())
                 });
                 if let Some(holder) = holder {
-                    self.freeze(self.daemons[holder].node, Duration::from_secs(3) + lasts / 2);
+                    self.freeze(
+                        self.daemons[holder].node,
+                        Duration::from_secs(3) + lasts / 2,
+                    );
                 }
             }
             SimFault::FreezeGroup => {
@@ -359,7 +370,10 @@
                 let count = self.platform.runners.len() as u64;
                 let chosen = self.rng.below(count) as usize;
                 if let Some(runner) = self.platform.runners.keys().nth(chosen).copied() {
-                    self.platform.leaving_since.entry(runner).or_insert(self.now);
+                    self.platform
+                        .leaving_since
+                        .entry(runner)
+                        .or_insert(self.now);
                     self.push(Duration::from_secs(6), Event::StopLeavingRunner(runner));
                 }
             }
@@ -442,8 +456,13 @@
         for index in (0..self.daemons.len()).filter(|index| index % 3 == number) {
             self.lose_daemon(index, lasts);
         }
-        let lost_workers: Vec<_> =
-            self.platform.workers.iter().filter(|listed| listed.zone == zone).cloned().collect();
+        let lost_workers: Vec<_> = self
+            .platform
+            .workers
+            .iter()
+            .filter(|listed| listed.zone == zone)
+            .cloned()
+            .collect();
         for lost_worker in &lost_workers {
             self.platform.crash(&lost_worker.worker);
         }
@@ -465,8 +484,10 @@
         let random_controller = self.random_controller_index();
         let isolated = self.leading_controller().unwrap_or(random_controller);
         let with_daemons = self.rng.below(self.daemons.len() as u64 + 1) as usize;
-        let left: Vec<Node> =
-            [Node(isolated)].into_iter().chain((0..with_daemons).map(Node::of_daemon)).collect();
+        let left: Vec<Node> = [Node(isolated)]
+            .into_iter()
+            .chain((0..with_daemons).map(Node::of_daemon))
+            .collect();
         let right: Vec<Node> = self
             .all_nodes()
             .into_iter()
@@ -481,15 +502,23 @@
             return;
         }
         let zone = Simulation::zone(self.rng.below(3) as usize);
-        self.submit_change(None, ChangeKind::Evacuate { zone: zone.clone(), force: false });
+        self.submit_change(
+            None,
+            ChangeKind::Evacuate {
+                zone: zone.clone(),
+                force: false,
+            },
+        );
         self.push(Duration::from_secs(6) + lasts, Event::Restore(zone));
     }
 
     /// Only when every member of the core is alive, on the disk it is known by, and nothing is
     /// unsettled, may one more disk be lost: the deployments bear one loss at a time.
     fn may_lose_disk(&self) -> bool {
-        let controller_states =
-            self.controllers.iter().filter_map(|controller| controller.controller_state.as_ref());
+        let controller_states = self
+            .controllers
+            .iter()
+            .filter_map(|controller| controller.controller_state.as_ref());
         let ready_plane = controller_states
             .into_iter()
             .find(|controller_state| controller_state.consensus().is_ready());
@@ -543,7 +572,10 @@
             controller.disk.failing_until = common::clock::MonotonicTime::ZERO;
         }
         for number in 0..3 {
-            self.push(Duration::from_secs(4), Event::Restore(Simulation::zone(number)));
+            self.push(
+                Duration::from_secs(4),
+                Event::Restore(Simulation::zone(number)),
+            );
         }
     }
 }
--- a/testing/fleet/src/sim/flaw.rs
+++ b/testing/fleet/src/sim/flaw.rs
@@ -22,9 +22,17 @@
     /// Every flaw, and none.
     pub fn all() -> Vec<Flaw> {
         let rules = Rule::ALL.iter().map(|rule| Flaw::Without(*rule));
-        let around =
-            [Flaw::SyncSkipped, Flaw::QuorumOfOne, Flaw::StopsUnconfirmed, Flaw::StopsUnheard];
-        [Flaw::None].into_iter().chain(around).chain(rules).collect()
+        let around = [
+            Flaw::SyncSkipped,
+            Flaw::QuorumOfOne,
+            Flaw::StopsUnconfirmed,
+            Flaw::StopsUnheard,
+        ];
+        [Flaw::None]
+            .into_iter()
+            .chain(around)
+            .chain(rules)
+            .collect()
     }
 
     /// The rules that are kept all the same.
--- a/testing/fleet/src/sim/founding.rs
+++ b/testing/fleet/src/sim/founding.rs
@@ -14,8 +14,9 @@
 
 impl Simulation {
     pub(super) fn found(&mut self, ids: &[ControllerId]) {
-        let addresses: Vec<SocketAddress> =
-            (1..=ids.len()).map(|last| Self::controller_address(last as u8)).collect();
+        let addresses: Vec<SocketAddress> = (1..=ids.len())
+            .map(|last| Self::controller_address(last as u8))
+            .collect();
         let founders = self.plan.founders;
         for (number, id) in ids.iter().enumerate() {
             let voters = ids
@@ -29,15 +30,21 @@
                     zone: Self::zone(other_number),
                 })
                 .collect();
-            let first_spec =
-                if self.plan.fresh_identities { with_fresh_identities(spec(0)) } else { spec(0) };
+            let first_spec = if self.plan.fresh_identities {
+                with_fresh_identities(spec(0))
+            } else {
+                spec(0)
+            };
             let checked_spec = read_spec(&first_spec).unwrap_or_default();
             let mut document = Document::founding(voters).with_spec(
                 first_spec,
                 &checked_spec,
                 ChangeId::from("founding"),
             );
-            document.document_version = DocumentVersion { term: Term(1), version: Version(2) };
+            document.document_version = DocumentVersion {
+                term: Term(1),
+                version: Version(2),
+            };
             let durable = PersistedState {
                 id: *id,
                 voted_for: None,
@@ -85,7 +92,10 @@
     }
 
     pub(super) fn daemon_address(&self, index: usize) -> SocketAddress {
-        SocketAddress(SocketAddrV4::new(Ipv4Addr::new(10, 0, 1, index as u8 + 1), 1))
+        SocketAddress(SocketAddrV4::new(
+            Ipv4Addr::new(10, 0, 1, index as u8 + 1),
+            1,
+        ))
     }
 
     pub(super) fn node_at(&self, address: SocketAddress) -> Option<Node> {
--- a/testing/fleet/src/sim/links.rs
+++ b/testing/fleet/src/sim/links.rs
@@ -21,37 +21,57 @@
         let controller = self.node_at(to).unwrap_or(PLATFORM);
         let is_alive =
             controller.is_controller() && self.controllers[controller.0].controller_state.is_some();
-        let controller_instance =
-            if is_alive { self.controllers[controller.0].instance } else { 0 };
+        let controller_instance = if is_alive {
+            self.controllers[controller.0].instance
+        } else {
+            0
+        };
         let reaches =
             self.network.reaches(daemon, controller) && self.network.reaches(controller, daemon);
-        let link =
-            Link { daemon, daemon_instance, controller, controller_instance, is_broken: !reaches };
+        let link = Link {
+            daemon,
+            daemon_instance,
+            controller,
+            controller_instance,
+            is_broken: !reaches,
+        };
         self.links.insert(number, link);
         let delay = self.network.delay(&mut self.rng);
         if is_alive && reaches {
             self.push(delay, Event::Dialed(number));
         } else {
-            let failed_after = if reaches { delay } else { Duration::from_millis(600) };
+            let failed_after = if reaches {
+                delay
+            } else {
+                Duration::from_millis(600)
+            };
             self.push(failed_after, Event::LinkLost(number, daemon));
         }
         number
     }
 
     pub(super) fn break_silently(&mut self, number: u64) {
-        let Some(link) = self.links.get_mut(&number) else { return };
+        let Some(link) = self.links.get_mut(&number) else {
+            return;
+        };
         if !link.is_broken {
             link.is_broken = true;
             let (daemon, controller) = (link.daemon, link.controller);
-            let daemon_after = self.rng.within(Duration::from_secs(1), Duration::from_secs(4));
-            let controller_after = self.rng.within(Duration::from_secs(1), Duration::from_secs(4));
+            let daemon_after = self
+                .rng
+                .within(Duration::from_secs(1), Duration::from_secs(4));
+            let controller_after = self
+                .rng
+                .within(Duration::from_secs(1), Duration::from_secs(4));
             self.push(daemon_after, Event::LinkLost(number, daemon));
             self.push(controller_after, Event::LinkLost(number, controller));
         }
     }
 
     pub(super) fn close_link(&mut self, number: u64) {
-        let Some(link) = self.links.get(&number) else { return };
+        let Some(link) = self.links.get(&number) else {
+            return;
+        };
         let (daemon, controller) = (link.daemon, link.controller);
         let delay = Duration::from_millis(4);
         self.push(delay, Event::LinkLost(number, daemon));
--- a/testing/fleet/src/sim/operator.rs
+++ b/testing/fleet/src/sim/operator.rs
@@ -72,7 +72,15 @@
         self.next_number += 1;
         let change = ChangeId::from(format!("change-{}", self.next_number));
         let target = self.rng.below(3) as usize;
-        self.send_pending_change(target, PendingChange { change, base, kind, attempts: 0 });
+        self.send_pending_change(
+            target,
+            PendingChange {
+                change,
+                base,
+                kind,
+                attempts: 0,
+            },
+        );
     }
 
     /// An operator sends a change, built on the newest serial or on one just before.
@@ -127,7 +135,9 @@
             self.handle_command_reply(ticket, reply);
             return;
         }
-        let Some(change) = self.changes.remove(&ticket) else { return };
+        let Some(change) = self.changes.remove(&ticket) else {
+            return;
+        };
         match reply {
             OperationReply::Redirect(leader) => {
                 let target = self.node_at(leader).map(|node| node.0);
@@ -140,12 +150,17 @@
                 let state = body["state"].as_str().unwrap_or("");
                 if status == 200 && matches!(state, "accepted" | "in_force") {
                     let version = Version(body["serial"].as_u64().unwrap_or(0));
-                    self.checks.check_accepted(self.now, &change.change, change.base, version);
+                    self.checks
+                        .check_accepted(self.now, &change.change, change.base, version);
                 } else if state == "not_accepted" && change.attempts == 1 {
                     self.refused_changes.push(change.change.clone());
                     self.checks.check_change_refused(self.now, &change.change);
                 }
-                self.count_event(if status == 200 { "change accepted" } else { "change refused" });
+                self.count_event(if status == 200 {
+                    "change accepted"
+                } else {
+                    "change refused"
+                });
             }
         }
     }
--- a/testing/fleet/src/sim/order_generator.rs
+++ b/testing/fleet/src/sim/order_generator.rs
@@ -25,8 +25,12 @@
     LowNumber,
 }
 
-const MISTAKES: [Mistake; 4] =
-    [Mistake::UnknownFunction, Mistake::SamePath, Mistake::NoTime, Mistake::LowNumber];
+const MISTAKES: [Mistake; 4] = [
+    Mistake::UnknownFunction,
+    Mistake::SamePath,
+    Mistake::NoTime,
+    Mistake::LowNumber,
+];
 
 fn canary_route(function: &str) -> Value {
     json!({
@@ -63,9 +67,14 @@
 
 /// An order with this number on this base; its label makes its content unlike any other.
 pub fn generate_order(rng: &mut SeededRng, number: u64, base: u64, label: u64) -> GeneratedOrder {
-    let mistake =
-        rng.random_bool(INVALID_SHARE).then(|| MISTAKES[rng.below(MISTAKES.len() as u64) as usize]);
-    let number = if matches!(mistake, Some(Mistake::LowNumber)) { base } else { number };
+    let mistake = rng
+        .random_bool(INVALID_SHARE)
+        .then(|| MISTAKES[rng.below(MISTAKES.len() as u64) as usize]);
+    let number = if matches!(mistake, Some(Mistake::LowNumber)) {
+        base
+    } else {
+        number
+    };
     if mistake.is_none() && rng.random_bool(ITEMS_SHARE) {
         return generate_item_order(rng, number, base, label);
     }
@@ -81,8 +90,16 @@
     }
     let effect = Effect::Replace(content.clone());
     let is_valid = mistake.is_none();
-    let order = Order { number, base, effect, is_valid };
-    GeneratedOrder { order, kind: ChangeKind::FullSpec(content.into()) }
+    let order = Order {
+        number,
+        base,
+        effect,
+        is_valid,
+    };
+    GeneratedOrder {
+        order,
+        kind: ChangeKind::FullSpec(content.into()),
+    }
 }
 
 /// The canary goes to another function.
@@ -92,7 +109,18 @@
     let item_name = ("routes".to_owned(), "canary".to_owned());
     let effect = Effect::Amend(BTreeMap::from([(item_name, Some(route.clone()))]));
     let put_routes = BTreeMap::from([("canary".to_owned(), route)]);
-    let items = ItemChange { put_routes, ..ItemChange::default() };
-    let order = Order { number, base, effect, is_valid: true };
-    GeneratedOrder { order, kind: ChangeKind::Items(Box::new(items)) }
+    let items = ItemChange {
+        put_routes,
+        ..ItemChange::default()
+    };
+    let order = Order {
+        number,
+        base,
+        effect,
+        is_valid: true,
+    };
+    GeneratedOrder {
+        order,
+        kind: ChangeKind::Items(Box::new(items)),
+    }
 }
--- a/testing/fleet/src/sim/orders.rs
+++ b/testing/fleet/src/sim/orders.rs
@@ -104,8 +104,11 @@
             if self.operators.commands.len() >= MAX_OPEN_COMMANDS {
                 return;
             }
-            let own_number =
-                if has_same_number { number } else { generate_number(&mut self.rng, base) };
+            let own_number = if has_same_number {
+                number
+            } else {
+                generate_number(&mut self.rng, base)
+            };
             self.send_order(own_number, base);
         }
     }
@@ -114,7 +117,10 @@
         self.next_number += 1;
         let label = self.next_number;
         let generated_order = generate_order(&mut self.rng, number, base, label);
-        let numbering = Numbering { number: generated_order.order.number, base_number: base };
+        let numbering = Numbering {
+            number: generated_order.order.number,
+            base_number: base,
+        };
         let operation = Operation::Change {
             base: None,
             numbering: Some(numbering),
@@ -128,7 +134,10 @@
 
     /// An operator wants a zone evacuated, or that to end.
     pub(super) fn send_zone_order(&mut self, zone: Zone, evacuate: bool) {
-        let order = self.operators.history.record_zone_order(self.now, zone.as_str(), evacuate);
+        let order = self
+            .operators
+            .history
+            .record_zone_order(self.now, zone.as_str(), evacuate);
         let kind = if evacuate {
             ChangeKind::Evacuate { zone, force: true }
         } else {
@@ -166,7 +175,9 @@
     /// Sends a wish to any controller.
     pub(super) fn send_command(&mut self, number: u64) {
         let now = self.now;
-        let Some(command) = self.operators.commands.get_mut(&number) else { return };
+        let Some(command) = self.operators.commands.get_mut(&number) else {
+            return;
+        };
         command.sent_count += 1;
         let command_kind = command.command_kind;
         let attempt = match command_kind {
@@ -184,7 +195,9 @@
         node: Node,
         redirect_count: u32,
     ) {
-        let Some(command) = self.operators.commands.get(&command_number) else { return };
+        let Some(command) = self.operators.commands.get(&command_number) else {
+            return;
+        };
         let operation = command.operation.clone();
         self.next_number += 1;
         let ticket = OperationTicket(self.next_number);
@@ -223,7 +236,9 @@
 
     /// An operator heard nothing for a second: it ends the connection and goes on to another one.
     pub(super) fn time_out_command(&mut self, ticket: OperationTicket) {
-        let Some(sent) = self.operators.sent.remove(&ticket) else { return };
+        let Some(sent) = self.operators.sent.remove(&ticket) else {
+            return;
+        };
         let received_at = self.now.max(sent.arrives_at);
         let disconnect_delay = self.rng.within(Duration::ZERO, DISCONNECT_WITHIN);
         let delay = received_at.since(self.now) + disconnect_delay;
@@ -233,7 +248,9 @@
 
     /// The same wish is sent again after a pause that grows, or given up.
     fn retry_later(&mut self, number: u64) {
-        let Some(command) = self.operators.commands.get_mut(&number) else { return };
+        let Some(command) = self.operators.commands.get_mut(&number) else {
+            return;
+        };
         let is_abandoned = match command.command_kind {
             CommandKind::Change(_) => command.sent_count >= MAX_ATTEMPTS,
             CommandKind::Zone(_) => self.now.since(command.started_at) >= ZONE_COMMAND_TIMEOUT,
@@ -258,11 +275,17 @@
         if self.rng.random_bool(LOST_ANSWER_SHARE) {
             return;
         }
-        let Some(sent) = self.operators.sent.remove(&ticket) else { return };
-        let Some(command) = self.operators.commands.get(&sent.command) else { return };
+        let Some(sent) = self.operators.sent.remove(&ticket) else {
+            return;
+        };
+        let Some(command) = self.operators.commands.get(&sent.command) else {
+            return;
+        };
         match (command.command_kind, reply) {
             (_, OperationReply::Redirect(leader)) => {
-                let node = self.node_at(leader).filter(|_| sent.redirect_count < MAX_REDIRECTS);
+                let node = self
+                    .node_at(leader)
+                    .filter(|_| sent.redirect_count < MAX_REDIRECTS);
                 match node {
                     Some(node) => {
                         self.send_to(sent.command, sent.attempt, node, sent.redirect_count + 1);
@@ -272,7 +295,9 @@
             }
             (CommandKind::Change(_), reply) => self.handle_change_reply(sent, reply),
             (CommandKind::Zone(order), OperationReply::Accepted { .. }) => {
-                self.operators.history.zone_order_acknowledged(self.now, order);
+                self.operators
+                    .history
+                    .zone_order_acknowledged(self.now, order);
                 self.end_command(sent.command, "zone order acknowledged");
             }
             (
@@ -284,7 +309,10 @@
             }
             (CommandKind::Read, OperationReply::Spec { document, .. }) => {
                 self.operators.learn_number(document.number);
-                let evacuated = document.evacuated.iter().map(|zone| zone.as_str().to_owned());
+                let evacuated = document
+                    .evacuated
+                    .iter()
+                    .map(|zone| zone.as_str().to_owned());
                 self.operators.history.record_reading(Reading {
                     requested_at: sent.sent_at,
                     received_at: self.now,
@@ -299,8 +327,15 @@
     }
 
     fn handle_change_reply(&mut self, sent: SentRequest, reply: OperationReply) {
-        let Some(command) = self.operators.commands.get(&sent.command) else { return };
-        let Operation::Change { change: Some(change), numbering, .. } = &command.operation else {
+        let Some(command) = self.operators.commands.get(&sent.command) else {
+            return;
+        };
+        let Operation::Change {
+            change: Some(change),
+            numbering,
+            ..
+        } = &command.operation
+        else {
             return;
         };
         let (change, numbering) = (change.clone(), *numbering);
@@ -312,7 +347,9 @@
                 }
                 Answer::Acknowledged
             }
-            OperationReply::Stale { number, .. } => Answer::Stale { current: Some(number) },
+            OperationReply::Stale { number, .. } => Answer::Stale {
+                current: Some(number),
+            },
             OperationReply::Invalid(_) => Answer::Invalid,
             _ => {
                 self.count_event("order without a clear answer");
@@ -325,7 +362,9 @@
             format!("{now} operator hears {answer:?} on {change} from {node} after {waited:?}")
         });
         if let Some(attempt) = sent.attempt {
-            self.operators.history.record_answer(self.now, attempt, answer);
+            self.operators
+                .history
+                .record_answer(self.now, attempt, answer);
         }
         if answer == Answer::Acknowledged {
             self.end_command(sent.command, "change accepted");
@@ -348,14 +387,17 @@
             self.checks.check_change_refused(self.now, &change);
         }
         let operators = std::mem::take(&mut self.operators);
-        self.checks.count_operator_answers(operators.history.judged_count());
+        self.checks
+            .count_operator_answers(operators.history.judged_count());
         for anomaly in operators.history.judge(&spec(0)) {
             self.checks.report_violation(self.now, anomaly.to_string());
         }
     }
 
     pub(super) fn schedule_reading(&mut self) {
-        let wait_span = self.rng.within(Duration::from_millis(100), Duration::from_millis(1500));
+        let wait_span = self
+            .rng
+            .within(Duration::from_millis(100), Duration::from_millis(1500));
         self.push(wait_span, Event::ReadBack);
     }
 }
--- a/testing/fleet/src/sim/plan.rs
+++ b/testing/fleet/src/sim/plan.rs
@@ -125,10 +125,16 @@
 
 impl fmt::Display for SimResult {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let counts: Vec<String> =
-            self.counts.iter().map(|(label, count)| format!("{label} {count}")).collect();
-        let checked: Vec<String> =
-            self.checked.iter().map(|(label, count)| format!("{label} {count}")).collect();
+        let counts: Vec<String> = self
+            .counts
+            .iter()
+            .map(|(label, count)| format!("{label} {count}"))
+            .collect();
+        let checked: Vec<String> = self
+            .checked
+            .iter()
+            .map(|(label, count)| format!("{label} {count}"))
+            .collect();
         write!(
             out,
             "{} breaches; after mending {:.0}% answered, back in {} ms; {}; checks: {}",
--- a/testing/fleet/src/sim/platform.rs
+++ b/testing/fleet/src/sim/platform.rs
@@ -97,7 +97,8 @@
                 leaving: self.leaving_since.contains_key(runner),
             })
             .collect();
-        self.listed_snapshots.push_back((now, listed, self.workers.clone()));
+        self.listed_snapshots
+            .push_back((now, listed, self.workers.clone()));
         while self.listed_snapshots.len() > 1
             && now.since(self.listed_snapshots[1].0) >= self.list_delay
         {
@@ -120,7 +121,10 @@
 
     /// The zone of a worker.
     pub fn zone_of(&self, worker: &WorkerName) -> Option<&Zone> {
-        self.workers.iter().find(|listed| listed.worker == *worker).map(|listed| &listed.zone)
+        self.workers
+            .iter()
+            .find(|listed| listed.worker == *worker)
+            .map(|listed| &listed.zone)
     }
 
     /// Who listens at a place.
@@ -142,11 +146,16 @@
         }
         let address = self.free_addresses.pop().unwrap_or_else(|| {
             self.address_count += 1;
-            SocketAddress(SocketAddrV4::new(Ipv4Addr::new(10, 0, 9, 1), self.address_count))
+            SocketAddress(SocketAddrV4::new(
+                Ipv4Addr::new(10, 0, 9, 1),
+                self.address_count,
+            ))
         });
         self.instance_count += 1;
-        let instance =
-            Instance { name: format!("l{}.{runner}", self.instance_count).into(), address };
+        let instance = Instance {
+            name: format!("l{}.{runner}", self.instance_count).into(),
+            address,
+        };
         started.instance = instance.clone();
         self.listening.insert(address, runner);
         self.by_instance.insert(instance.name.clone(), runner);
@@ -193,13 +202,17 @@
     pub fn drain(&mut self, now: MonotonicTime, index: usize) {
         let listed = &mut self.workers[index];
         listed.draining = true;
-        self.draining_since.entry(listed.worker.clone()).or_insert(now);
+        self.draining_since
+            .entry(listed.worker.clone())
+            .or_insert(now);
     }
 
     /// Takes every drained worker back.
     pub fn restore(&mut self) {
         self.draining_since.clear();
-        self.workers.iter_mut().for_each(|listed| listed.draining = false);
+        self.workers
+            .iter_mut()
+            .for_each(|listed| listed.draining = false);
     }
 }
 
@@ -235,12 +248,16 @@
                     .runners
                     .iter()
                     .map(|(key, held)| (key, &held.function, &held.instance));
-                self.checks.check_sole_start(self.now, &function, runner.fencing_token, alive);
+                self.checks
+                    .check_sole_start(self.now, &function, runner.fencing_token, alive);
             }
             let started = SimRunner {
                 function: function.clone(),
                 worker,
-                instance: Instance { name: "".into(), address: SocketAddress::UNSPECIFIED },
+                instance: Instance {
+                    name: "".into(),
+                    address: SocketAddress::UNSPECIFIED,
+                },
                 ready_at: self.now + spec.startup,
                 running: Default::default(),
                 slots: spec.slots,
@@ -249,7 +266,11 @@
             };
             self.platform.start(runner, started)
         };
-        let end = if is_answer_lost { StartOutcome::Lost } else { end };
+        let end = if is_answer_lost {
+            StartOutcome::Lost
+        } else {
+            end
+        };
         let delay = self.network.delay(&mut self.rng);
         self.push(delay, Event::Started(requester, function, runner, end));
     }
--- a/testing/fleet/src/sim/recovery.rs
+++ b/testing/fleet/src/sim/recovery.rs
@@ -33,7 +33,9 @@
     /// A daemon's session lease was renewed.
     pub fn renewed(&mut self, now: MonotonicTime, daemon: usize) {
         if let Some(started_at) = self.started_at {
-            self.renewed_after.entry(daemon).or_insert(now.since(started_at));
+            self.renewed_after
+                .entry(daemon)
+                .or_insert(now.since(started_at));
         }
     }
 
@@ -74,14 +76,46 @@
 
 /// The single losses that are measured.
 pub const SINGLE_LOSSES: &[SingleLoss] = &[
-    SingleLoss { target: Target::Leader, loss: Loss::Killed, name: "leader killed" },
-    SingleLoss { target: Target::Leader, loss: Loss::PowerLost, name: "leader without power" },
-    SingleLoss { target: Target::Leader, loss: Loss::Frozen, name: "leader frozen" },
-    SingleLoss { target: Target::Leader, loss: Loss::Isolation, name: "leader cut off" },
-    SingleLoss { target: Target::Leader, loss: Loss::Replaced, name: "leader replaced" },
-    SingleLoss { target: Target::Follower, loss: Loss::Killed, name: "follower killed" },
-    SingleLoss { target: Target::Follower, loss: Loss::Isolation, name: "follower cut off" },
-    SingleLoss { target: Target::Follower, loss: Loss::Replaced, name: "follower replaced" },
+    SingleLoss {
+        target: Target::Leader,
+        loss: Loss::Killed,
+        name: "leader killed",
+    },
+    SingleLoss {
+        target: Target::Leader,
+        loss: Loss::PowerLost,
+        name: "leader without power",
+    },
+    SingleLoss {
+        target: Target::Leader,
+        loss: Loss::Frozen,
+        name: "leader frozen",
+    },
+    SingleLoss {
+        target: Target::Leader,
+        loss: Loss::Isolation,
+        name: "leader cut off",
+    },
+    SingleLoss {
+        target: Target::Leader,
+        loss: Loss::Replaced,
+        name: "leader replaced",
+    },
+    SingleLoss {
+        target: Target::Follower,
+        loss: Loss::Killed,
+        name: "follower killed",
+    },
+    SingleLoss {
+        target: Target::Follower,
+        loss: Loss::Isolation,
+        name: "follower cut off",
+    },
+    SingleLoss {
+        target: Target::Follower,
+        loss: Loss::Replaced,
+        name: "follower replaced",
+    },
 ];
 
 const LOSS_STARTS_AT: Duration = Duration::from_secs(5);
@@ -117,7 +151,9 @@
 
     /// What one seed shows; nothing if something did not come back.
     pub fn measure(&self, seed: u64, controllers: usize, voters: usize) -> Option<RecoveryTimes> {
-        Simulation::new(self.plan(seed, controllers, voters), false).run().recovery
+        Simulation::new(self.plan(seed, controllers, voters), false)
+            .run()
+            .recovery
     }
 }
 
@@ -135,7 +171,10 @@
     pub fn of(times: impl Iterator<Item = Duration>) -> Self {
         let mut sorted_times: Vec<Duration> = times.collect();
         sorted_times.sort_unstable();
-        let median = sorted_times.get(sorted_times.len() / 2).copied().unwrap_or_default();
+        let median = sorted_times
+            .get(sorted_times.len() / 2)
+            .copied()
+            .unwrap_or_default();
         let worst = sorted_times.last().copied().unwrap_or_default();
         Self { median, worst }
     }
@@ -143,6 +182,11 @@
 
 impl fmt::Display for Spread {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(out, "{} ms | {} ms", self.median.as_millis(), self.worst.as_millis())
+        write!(
+            out,
+            "{} ms | {} ms",
+            self.median.as_millis(),
+            self.worst.as_millis()
+        )
     }
 }
--- a/testing/fleet/src/sim/reply_checks.rs
+++ b/testing/fleet/src/sim/reply_checks.rs
@@ -96,7 +96,9 @@
         ticket: OperationTicket,
         reply: &OperationReply,
     ) {
-        let Some(expectations) = self.reply_checks.expectations.remove(&ticket) else { return };
+        let Some(expectations) = self.reply_checks.expectations.remove(&ticket) else {
+            return;
+        };
         let required_version = expectations.acknowledged;
         match reply {
             OperationReply::Spec { document, .. } => {
@@ -113,12 +115,17 @@
                     ));
                 }
             }
-            OperationReply::Accepted { change, version, .. } => {
-                self.reply_checks.acknowledge(self.now, change, *version, expectations);
+            OperationReply::Accepted {
+                change, version, ..
+            } => {
+                self.reply_checks
+                    .acknowledge(self.now, change, *version, expectations);
                 self.recovery.acknowledged(self.now);
                 self.note_acknowledgement();
             }
-            OperationReply::Stale { change, version, .. } => {
+            OperationReply::Stale {
+                change, version, ..
+            } => {
                 self.checks.count_check("refusal by state");
                 if *version < required_version {
                     self.report_violation(format!(
@@ -144,8 +151,11 @@
 
     fn check_redirect(&mut self, controller: usize, leader: SocketAddress) {
         self.checks.count_check("redirect");
-        let last_heard_at =
-            self.reply_checks.last_heard_at.get(&(Node(controller), leader)).copied();
+        let last_heard_at = self
+            .reply_checks
+            .last_heard_at
+            .get(&(Node(controller), leader))
+            .copied();
         let contact_age = self.now.since(last_heard_at.unwrap_or_default());
         if contact_age > REDIRECT_CONTACT_WITHIN {
             let contact_age_ms = contact_age.as_millis();
@@ -163,7 +173,8 @@
     pub(super) fn observe_event(&mut self, event: &Event) {
         match event {
             Event::ConsensusFrame(node, frame) => {
-                self.reply_checks.record_contact(self.now, *node, frame.address);
+                self.reply_checks
+                    .record_contact(self.now, *node, frame.address);
             }
             Event::Operate(_, ticket, operation) => {
                 self.reply_checks.record_request(*ticket, operation)
--- a/testing/fleet/src/sim/runners.rs
+++ b/testing/fleet/src/sim/runners.rs
@@ -43,14 +43,23 @@
         runner_address: SocketAddress,
         attempt: u32,
     ) {
-        let requester =
-            Requester { node: self.daemons[index].node, instance: self.daemons[index].instance };
+        let requester = Requester {
+            node: self.daemons[index].node,
+            instance: self.daemons[index].instance,
+        };
         let local_now = self.daemon_now(index);
-        let Some(agent) = self.agent(index) else { return };
+        let Some(agent) = self.agent(index) else {
+            return;
+        };
         let (function, fencing_token) = (held.function.clone(), held.fencing_token);
         let Some(target) = held.runner_target(runner) else {
-            let ended =
-                Event::SendEnded(requester, function, ticket, fencing_token, SendResult::Unsent);
+            let ended = Event::SendEnded(
+                requester,
+                function,
+                ticket,
+                fencing_token,
+                SendResult::Unsent,
+            );
             self.push(Duration::from_micros(1), ended);
             return;
         };
@@ -69,7 +78,9 @@
                         format!("daemon {index} sends {idempotency_key} outside its member grant");
                     self.checks.report_violation(self.now, what);
                 }
-                let before = self.checks.check_send(&target.instance, index, fencing_token);
+                let before = self
+                    .checks
+                    .check_send(&target.instance, index, fencing_token);
                 if let Some((other, other_lease)) = before
                     && self.is_live_holder(other, &function, other_lease)
                 {
@@ -80,15 +91,24 @@
                     self.checks.report_violation(self.now, what);
                 }
                 let target_runner = target.self_reported_id;
-                let run =
-                    SimRun { requester, function, fencing_token, ticket, target_runner, call };
+                let run = SimRun {
+                    requester,
+                    function,
+                    fencing_token,
+                    ticket,
+                    target_runner,
+                    call,
+                };
                 let delay = self.occasionally_long_delay();
                 self.push(delay, Event::Run(runner_address, run));
             }
             Err(reason) => {
                 let end = SendResult::Forbidden(reason);
                 let delay = Duration::from_micros(1);
-                self.push(delay, Event::SendEnded(requester, function, ticket, fencing_token, end));
+                self.push(
+                    delay,
+                    Event::SendEnded(requester, function, ticket, fencing_token, end),
+                );
             }
         }
     }
@@ -96,7 +116,11 @@
     /// A send reaches whoever listens at a place now.
     pub(super) fn begin_run(&mut self, runner_address: SocketAddress, run: SimRun) {
         let Some((runner, held)) = self.platform.at(runner_address) else {
-            let end = if self.rng.random_bool(0.8) { SendResult::Unsent } else { SendResult::Lost };
+            let end = if self.rng.random_bool(0.8) {
+                SendResult::Unsent
+            } else {
+                SendResult::Lost
+            };
             self.end_send(&run, end);
             return;
         };
@@ -108,7 +132,9 @@
         let idempotency_key = run.call.idempotency_key.clone();
         let (function, worker, slots) = (held.function.clone(), held.worker.clone(), held.slots);
         let (ready_at, answered) = (held.ready_at, held.answered);
-        let Some(held) = self.platform.runners.get_mut(&runner) else { return };
+        let Some(held) = self.platform.runners.get_mut(&runner) else {
+            return;
+        };
         let own_count = held
             .running
             .values()
@@ -119,19 +145,26 @@
             self.reject_by_runner(&run, runner, &idempotency_key);
             return;
         }
-        held.running.insert(idempotency_key.clone(), run.fencing_token);
+        held.running
+            .insert(idempotency_key.clone(), run.fencing_token);
         let running_count = own_count + 1;
         let is_adopted = runner.fencing_token != run.fencing_token;
-        let answered = if is_adopted { answered.max((slots / 2).max(1) - 1) } else { answered };
+        let answered = if is_adopted {
+            answered.max((slots / 2).max(1) - 1)
+        } else {
+            answered
+        };
         self.trace_line(|now| {
             let daemon = run.requester.node.daemon_index();
             format!("{now} run {idempotency_key} on {runner} for daemon {daemon}")
         });
-        self.checks.check_slots(self.now, runner, running_count, slots, answered, ready_at);
+        self.checks
+            .check_slots(self.now, runner, running_count, slots, answered, ready_at);
         let since = self.platform.draining_since.get(&worker).copied();
         self.checks.check_not_draining(self.now, &worker, since);
         let leaves_since = self.platform.leaving_since.get(&runner).copied();
-        self.checks.check_not_leaving(self.now, runner, leaves_since);
+        self.checks
+            .check_not_leaving(self.now, runner, leaves_since);
         let worker_zone = self.platform.zone_of(&worker).cloned();
         let daemon_zone = Simulation::zone(run.requester.node.daemon_index());
         for zone in worker_zone.into_iter().chain([daemon_zone]) {
@@ -150,7 +183,10 @@
         }
         let is_long = drawn_fault == RunnerFault::BrokenEarly;
         let (shortest, longest) = if is_long { (200, 700) } else { (5, 60) };
-        let work = self.rng.within(Duration::from_millis(shortest), Duration::from_millis(longest));
+        let work = self.rng.within(
+            Duration::from_millis(shortest),
+            Duration::from_millis(longest),
+        );
         if drawn_fault == RunnerFault::Rejected {
             self.checks.did_not_run(&idempotency_key);
             self.reject_by_runner(&run, runner, &idempotency_key);
--- a/testing/fleet/src/sim/scenario/cut_off.rs
+++ b/testing/fleet/src/sim/scenario/cut_off.rs
@@ -26,8 +26,19 @@
 /// The day of a seed.
 pub fn plan(seed: u64) -> SimPlan {
     let mut script = ScriptBuilder::seeded(seed);
-    let targets = [Target::Leader, Target::Leader, Target::Follower, Target::Any, Target::Seed];
-    let directions = [Direction::Both, Direction::Both, Direction::Outgoing, Direction::Incoming];
+    let targets = [
+        Target::Leader,
+        Target::Leader,
+        Target::Follower,
+        Target::Any,
+        Target::Seed,
+    ];
+    let directions = [
+        Direction::Both,
+        Direction::Both,
+        Direction::Outgoing,
+        Direction::Incoming,
+    ];
     let target = script.one_of(&targets);
     let direction = script.one_of(&directions);
     let victim_return = script.one_of(&[
@@ -55,7 +66,11 @@
         }
     }
     add_operators(&mut script, returns_at);
-    script.plan(seed, QuorumSize::of_seed(seed), returns_at + Duration::from_secs(2))
+    script.plan(
+        seed,
+        QuorumSize::of_seed(seed),
+        returns_at + Duration::from_secs(2),
+    )
 }
 
 /// Changes that race, readings on either side, and evacuations.
@@ -64,13 +79,25 @@
     let until = returns_at + Duration::from_secs(2);
     script.repeat(from, until, CHANGE_INTERVAL, |_| Action::Change);
     // While a new leader is elected and the old one does not know yet.
-    script.repeat(CUT_AT, CUT_AT + CHANGE_BURST_LENGTH, CHANGE_BURST_INTERVAL, |_| Action::Change);
-    script.repeat(CUT_AT, CUT_AT + CHANGE_BURST_LENGTH, CHANGE_BURST_INTERVAL, |_| {
-        Action::Read(Target::Victim)
-    });
+    script.repeat(
+        CUT_AT,
+        CUT_AT + CHANGE_BURST_LENGTH,
+        CHANGE_BURST_INTERVAL,
+        |_| Action::Change,
+    );
+    script.repeat(
+        CUT_AT,
+        CUT_AT + CHANGE_BURST_LENGTH,
+        CHANGE_BURST_INTERVAL,
+        |_| Action::Read(Target::Victim),
+    );
     script.repeat(from, until, READ_INTERVAL, |rng| {
         let at_the_victim = rng.random_bool(0.5);
-        Action::Read(if at_the_victim { Target::Victim } else { Target::Any })
+        Action::Read(if at_the_victim {
+            Target::Victim
+        } else {
+            Target::Any
+        })
     });
     let mut zone = 0;
     let mut is_evacuated = false;
--- a/testing/fleet/src/sim/scenario/detection_cases.rs
+++ b/testing/fleet/src/sim/scenario/detection_cases.rs
@@ -24,7 +24,10 @@
     /// The first seed whose day shows the flaw, and what was seen.
     pub fn find(&self, most_seeds: u64) -> Option<(u64, String)> {
         (1..=most_seeds).find_map(|seed| {
-            let plan = SimPlan { flaw: self.flaw, ..self.scenario.plan(seed) };
+            let plan = SimPlan {
+                flaw: self.flaw,
+                ..self.scenario.plan(seed)
+            };
             let violations = Simulation::new(plan, false).run().violations;
             let seen = violations
                 .into_iter()
@@ -45,7 +48,11 @@
     rule: Rule,
     expected_violation: &'static str,
 ) -> ScenarioDetectionCase {
-    ScenarioDetectionCase { scenario, flaw: Flaw::Without(rule), expected_violation }
+    ScenarioDetectionCase {
+        scenario,
+        flaw: Flaw::Without(rule),
+        expected_violation,
+    }
 }
 
 const fn case_with_flaw(
@@ -53,15 +60,31 @@
     flaw: Flaw,
     expected_violation: &'static str,
 ) -> ScenarioDetectionCase {
-    ScenarioDetectionCase { scenario, flaw, expected_violation }
+    ScenarioDetectionCase {
+        scenario,
+        flaw,
+        expected_violation,
+    }
 }
 
 /// The proofs by scripted days.
 pub const SCENARIO_DETECTION_CASES: &[ScenarioDetectionCase] = &[
     rule(Scenario::Isolation, Rule::ReadConfirmedByMajority, "reads"),
     rule(Scenario::Isolation, Rule::LeaderHintIsRecent, "names"),
-    rule(Scenario::Isolation, Rule::StaleBaseRejected, "both accepted"),
-    case_with_flaw(Scenario::Isolation, Flaw::QuorumOfOne, "acknowledged before"),
+    rule(
+        Scenario::Isolation,
+        Rule::StaleBaseRejected,
+        "both accepted",
+    ),
+    case_with_flaw(
+        Scenario::Isolation,
+        Flaw::QuorumOfOne,
+        "acknowledged before",
+    ),
     case_with_flaw(Scenario::SecondLoss, Flaw::QuorumOfOne, "commit was lost"),
-    case_with_flaw(Scenario::PowerLoss, Flaw::SyncSkipped, "acknowledged before"),
+    case_with_flaw(
+        Scenario::PowerLoss,
+        Flaw::SyncSkipped,
+        "acknowledged before",
+    ),
 ];
--- a/testing/fleet/src/sim/scenario/many_changes.rs
+++ b/testing/fleet/src/sim/scenario/many_changes.rs
@@ -33,7 +33,10 @@
     let changes_end = FIRST_CHANGE_AT + CHANGE_INTERVAL * CHANGES;
     let middle = FIRST_CHANGE_AT + CHANGE_INTERVAL * CHANGES / 2;
     for turn in 0..CHANGES {
-        script.at(FIRST_CHANGE_AT + CHANGE_INTERVAL * turn, Action::LargeChange(FUNCTIONS));
+        script.at(
+            FIRST_CHANGE_AT + CHANGE_INTERVAL * turn,
+            Action::LargeChange(FUNCTIONS),
+        );
     }
     let absence_kind = script.one_of(&[
         AbsenceKind::AllChanges,
@@ -50,13 +53,26 @@
     script.at(returns_at, Action::Restart);
     let lasts = changes_end + Duration::from_secs(2);
     if matches!(absence_kind, AbsenceKind::ElectedOnReturn) {
-        let failure_timeout = script.rng.within(Duration::ZERO, Duration::from_millis(400));
-        script.at(returns_at + failure_timeout, Action::Lose(Target::Leader, Loss::Killed));
+        let failure_timeout = script
+            .rng
+            .within(Duration::ZERO, Duration::from_millis(400));
+        script.at(
+            returns_at + failure_timeout,
+            Action::Lose(Target::Leader, Loss::Killed),
+        );
     }
-    script.repeat(FIRST_CHANGE_AT, changes_end, READ_INTERVAL, |_| Action::Read(Target::Any));
+    script.repeat(FIRST_CHANGE_AT, changes_end, READ_INTERVAL, |_| {
+        Action::Read(Target::Any)
+    });
     for turn in 0..4 {
-        script.at(changes_end + Duration::from_millis(500) * turn, Action::ResendFirst);
-        script.at(lasts + Duration::from_secs(5) + CHANGE_INTERVAL * turn, Action::ResendFirst);
+        script.at(
+            changes_end + Duration::from_millis(500) * turn,
+            Action::ResendFirst,
+        );
+        script.at(
+            lasts + Duration::from_secs(5) + CHANGE_INTERVAL * turn,
+            Action::ResendFirst,
+        );
     }
     script.plan(seed, size, lasts)
 }
--- a/testing/fleet/src/sim/scenario/mod.rs
+++ b/testing/fleet/src/sim/scenario/mod.rs
@@ -40,10 +40,22 @@
 impl QuorumSize {
     /// The sizes of the deployments: three machines bear the loss of one, the others that of two.
     pub const ALL: &[QuorumSize] = &[
-        QuorumSize { machines: 3, voters: 3 },
-        QuorumSize { machines: 5, voters: 5 },
-        QuorumSize { machines: 6, voters: 5 },
-        QuorumSize { machines: 8, voters: 5 },
+        QuorumSize {
+            machines: 3,
+            voters: 3,
+        },
+        QuorumSize {
+            machines: 5,
+            voters: 5,
+        },
+        QuorumSize {
+            machines: 6,
+            voters: 5,
+        },
+        QuorumSize {
+            machines: 8,
+            voters: 5,
+        },
     ];
 
     /// The size that a seed plays.
@@ -64,12 +76,19 @@
 
 impl Scenario {
     /// Every scenario.
-    pub const ALL: &[Scenario] =
-        &[Scenario::Isolation, Scenario::SecondLoss, Scenario::ManyChanges, Scenario::PowerLoss];
+    pub const ALL: &[Scenario] = &[
+        Scenario::Isolation,
+        Scenario::SecondLoss,
+        Scenario::ManyChanges,
+        Scenario::PowerLoss,
+    ];
 
     /// The scenario of a name.
     pub fn by_name(name: &str) -> Option<Scenario> {
-        Self::ALL.iter().copied().find(|scenario| scenario.to_string() == name)
+        Self::ALL
+            .iter()
+            .copied()
+            .find(|scenario| scenario.to_string() == name)
     }
 
     /// The day of a seed.
@@ -102,7 +121,10 @@
 
 impl ScriptBuilder {
     fn seeded(seed: u64) -> Self {
-        Self { rng: SeededRng::seeded(seed ^ 0x5c71), actions: Vec::new() }
+        Self {
+            rng: SeededRng::seeded(seed ^ 0x5c71),
+            actions: Vec::new(),
+        }
     }
 
     fn at(&mut self, due_after: Duration, action: Action) {
@@ -133,7 +155,9 @@
     fn plan(mut self, seed: u64, size: QuorumSize, lasts: Duration) -> SimPlan {
         let until = lasts + SETTLING_TIME;
         self.repeat(lasts, until, SETTLING_INTERVAL, |_| Action::Change);
-        self.repeat(lasts, until, SETTLING_INTERVAL, |_| Action::Read(Target::Any));
+        self.repeat(lasts, until, SETTLING_INTERVAL, |_| {
+            Action::Read(Target::Any)
+        });
         SimPlan {
             script: self.actions,
             controllers: size.machines,
