--- a/testing/fleet/src/sim/scenario/power_loss.rs
+++ b/testing/fleet/src/sim/scenario/power_loss.rs
@@ -13,10 +13,17 @@
 /// The day of a seed.
 pub fn plan(seed: u64) -> SimPlan {
     let mut script = ScriptBuilder::seeded(seed);
-    script.repeat(Duration::from_secs(1), LASTS, CHANGE_INTERVAL, |_| Action::Change);
-    script.repeat(Duration::from_secs(2), LASTS, READ_INTERVAL, |_| Action::Read(Target::Any));
-    script.repeat(Duration::from_secs(4), LASTS - LOSS_INTERVAL / 2, LOSS_INTERVAL, |_| {
-        Action::PowerLossAfterAcknowledgement
+    script.repeat(Duration::from_secs(1), LASTS, CHANGE_INTERVAL, |_| {
+        Action::Change
     });
+    script.repeat(Duration::from_secs(2), LASTS, READ_INTERVAL, |_| {
+        Action::Read(Target::Any)
+    });
+    script.repeat(
+        Duration::from_secs(4),
+        LASTS - LOSS_INTERVAL / 2,
+        LOSS_INTERVAL,
+        |_| Action::PowerLossAfterAcknowledgement,
+    );
     script.plan(seed, QuorumSize::of_seed(seed), LASTS)
 }
--- a/testing/fleet/src/sim/scenario/second_loss.rs
+++ b/testing/fleet/src/sim/scenario/second_loss.rs
@@ -77,7 +77,11 @@
         let losses = Self::tolerated_losses(size, repair);
         let loss = losses[rng.below(losses.len() as u64) as usize];
         let step = 1 + rng.below(SEEDED_STEPS);
-        Self { size, repair, second: Some(SecondLoss { step, target, loss }) }
+        Self {
+            size,
+            repair,
+            second: Some(SecondLoss { step, target, loss }),
+        }
     }
 
     /// The second losses that a quorum bears while a repair goes on: of a disk only while fewer disks
@@ -103,14 +107,22 @@
         let counted_from = self.add_repair(&mut script, returns_at);
         script.at(counted_from, Action::CountSteps);
         let lasts = returns_at + COUNTED_FOR;
-        script.repeat(Duration::from_secs(1), lasts, CHANGE_INTERVAL, |_| Action::Change);
-        script.repeat(Duration::from_secs(2), lasts, READ_INTERVAL, |_| Action::Read(Target::Any));
+        script.repeat(Duration::from_secs(1), lasts, CHANGE_INTERVAL, |_| {
+            Action::Change
+        });
+        script.repeat(Duration::from_secs(2), lasts, READ_INTERVAL, |_| {
+            Action::Read(Target::Any)
+        });
         let founders = if self.repair == Repair::Growth {
             self.size.voters.div_ceil(2)
         } else {
             self.size.voters
         };
-        SimPlan { founders, second_loss: self.second, ..script.plan(seed, self.size, lasts) }
+        SimPlan {
+            founders,
+            second_loss: self.second,
+            ..script.plan(seed, self.size, lasts)
+        }
     }
 
     /// What the quorum is at, and from when on its steps are counted.
@@ -131,7 +143,10 @@
             }
             Repair::Growth => return Duration::ZERO,
             Repair::NewestLeaves => {
-                script.at(FIRST_LOSS_AT, Action::Lose(Target::Follower, Loss::PowerLost));
+                script.at(
+                    FIRST_LOSS_AT,
+                    Action::Lose(Target::Follower, Loss::PowerLost),
+                );
                 script.at(returns_at, Action::Restart);
                 script.at(returns_at, Action::Lose(target, Loss::Replaced));
                 script.at(returns_at + AWAY_FOR, Action::Restart);
@@ -142,7 +157,10 @@
 
     /// How many steps the control side takes in this case, without a second loss.
     pub fn steps(&self, seed: u64) -> u64 {
-        let quiet_case = Self { second: None, ..*self };
+        let quiet_case = Self {
+            second: None,
+            ..*self
+        };
         Simulation::new(quiet_case.plan(seed), false).run().steps
     }
 }
--- a/testing/fleet/src/sim/script.rs
+++ b/testing/fleet/src/sim/script.rs
@@ -156,7 +156,12 @@
                 self.submit_change(None, ChangeKind::Evacuate { zone, force: false });
             }
             Action::Restore(zone) => {
-                self.submit_change(None, ChangeKind::Restore { zone: Simulation::zone(zone) });
+                self.submit_change(
+                    None,
+                    ChangeKind::Restore {
+                        zone: Simulation::zone(zone),
+                    },
+                );
             }
             Action::ResendFirst => self.resend_first_acknowledged(),
             Action::CountSteps => self.script.counts_repair_steps = true,
@@ -190,11 +195,15 @@
             let leader = self.controllers[index].controller_state.as_ref()?;
             leader.consensus().accepted()
         });
-        let Some(document) = leader_document else { return Vec::new() };
+        let Some(document) = leader_document else {
+            return Vec::new();
+        };
         let is_follower = |index: &usize| {
             let controller = &self.controllers[*index];
-            let is_voter =
-                document.voters.iter().any(|member| member.id == controller.disk.durable.id);
+            let is_voter = document
+                .voters
+                .iter()
+                .any(|member| member.id == controller.disk.durable.id);
             Some(*index) != leading && controller.controller_state.is_some() && is_voter
         };
         (0..self.controllers.len()).filter(is_follower).collect()
@@ -233,7 +242,9 @@
     }
 
     fn restart_victim(&mut self) {
-        let Some(index) = self.script.victim else { return };
+        let Some(index) = self.script.victim else {
+            return;
+        };
         if self.controllers[index].controller_state.is_some() {
             self.kill_controller(index);
         }
@@ -254,7 +265,9 @@
     }
 
     fn resend_first_acknowledged(&mut self) {
-        let Some(first) = self.reply_checks.first_acknowledged() else { return };
+        let Some(first) = self.reply_checks.first_acknowledged() else {
+            return;
+        };
         if let Some(index) = self.resolve_target(Target::Any) {
             self.send_operation(Node(index), first);
         }
@@ -269,14 +282,19 @@
     }
 
     fn power_off_all(&mut self) {
-        let nodes = self.all_nodes().into_iter().filter(|node| *node != PLATFORM);
+        let nodes = self
+            .all_nodes()
+            .into_iter()
+            .filter(|node| *node != PLATFORM);
         for node in nodes.collect::<Vec<Node>>() {
             if node.is_controller() {
                 self.power_off_controller(node.0);
             } else {
                 self.kill_daemon(node.daemon_index());
             }
-            let off_for = self.rng.within(Duration::from_millis(100), Duration::from_millis(600));
+            let off_for = self
+                .rng
+                .within(Duration::from_millis(100), Duration::from_millis(600));
             self.push(off_for, Event::RestartNode(node));
         }
     }
@@ -285,7 +303,9 @@
     pub(super) fn note_acknowledgement(&mut self) {
         if std::mem::take(&mut self.script.loses_power_on_next_acknowledgement) {
             let at_once = self.rng.within(Duration::ZERO, Duration::from_millis(5));
-            let again = self.rng.within(Duration::from_millis(50), POWER_LOST_AGAIN_WITHIN);
+            let again = self
+                .rng
+                .within(Duration::from_millis(50), POWER_LOST_AGAIN_WITHIN);
             self.push(at_once, Event::RunAction(Action::LosePowerEverywhere));
             self.push(again, Event::RunAction(Action::LosePowerEverywhere));
         }
@@ -303,8 +323,10 @@
             return;
         }
         self.script.steps += 1;
-        let due_second_loss =
-            self.plan.second_loss.filter(|second| second.step == self.script.steps);
+        let due_second_loss = self
+            .plan
+            .second_loss
+            .filter(|second| second.step == self.script.steps);
         if let Some(second) = due_second_loss
             && let Some(index) = self.resolve_target(second.target)
         {
--- a/testing/fleet/src/sim/simulation.rs
+++ b/testing/fleet/src/sim/simulation.rs
@@ -67,8 +67,9 @@
     /// A founded core, daemons that have just started, and an empty platform.
     pub fn new(plan: SimPlan, is_tracing: bool) -> Self {
         let mut rng = SeededRng::seeded(plan.seed);
-        let ids: Vec<ControllerId> =
-            (0..plan.controllers).map(|_| ControllerId(rng.number() | 1)).collect();
+        let ids: Vec<ControllerId> = (0..plan.controllers)
+            .map(|_| ControllerId(rng.number() | 1))
+            .collect();
         let mut simulation = Self {
             now: STARTED_AT,
             rng,
@@ -142,7 +143,8 @@
 
     pub(super) fn push(&mut self, delay: Duration, event: Event) {
         self.next_event += 1;
-        self.queue.insert((self.now + delay, self.next_event), event);
+        self.queue
+            .insert((self.now + delay, self.next_event), event);
     }
 
     pub(super) fn push_in_order(&mut self, key: (Node, Node), delay: Duration, event: Event) {
@@ -163,7 +165,8 @@
     /// What the code found broken by itself is a breach like any other.
     fn take_violations(&mut self) {
         for violation in invariants::take_collected() {
-            self.checks.report_violation(self.now, violation.to_string());
+            self.checks
+                .report_violation(self.now, violation.to_string());
         }
     }
 
@@ -217,7 +220,9 @@
     }
 
     pub(super) fn is_frozen(&self, node: Node) -> bool {
-        self.frozen.get(&node).is_some_and(|until| *until > self.now)
+        self.frozen
+            .get(&node)
+            .is_some_and(|until| *until > self.now)
     }
 
     /// A frozen machine wakes: what came meanwhile is taken in the order in which it came, but for
@@ -227,8 +232,9 @@
             self.frozen.remove(&node);
             let deferred = self.deferred.remove(&node).unwrap_or_default();
             let is_read_first = self.plan.numbers_orders && self.rng.random_bool(0.8);
-            let (first, others): (Vec<Event>, Vec<Event>) =
-                deferred.into_iter().partition(|event| is_read_first && event.is_from_operator());
+            let (first, others): (Vec<Event>, Vec<Event>) = deferred
+                .into_iter()
+                .partition(|event| is_read_first && event.is_from_operator());
             for event in first.into_iter().chain(others) {
                 self.push(Duration::ZERO, event);
             }
@@ -245,12 +251,14 @@
 
     fn link_target(&self, event: &Event) -> Option<(Node, Option<u64>)> {
         match event {
-            Event::Dialed(number) | Event::LinkDown(number, _) => {
-                self.links.get(number).map(|link| (link.daemon, Some(link.daemon_instance)))
-            }
-            Event::LinkUp(number, _) => {
-                self.links.get(number).map(|link| (link.controller, Some(link.controller_instance)))
-            }
+            Event::Dialed(number) | Event::LinkDown(number, _) => self
+                .links
+                .get(number)
+                .map(|link| (link.daemon, Some(link.daemon_instance))),
+            Event::LinkUp(number, _) => self
+                .links
+                .get(number)
+                .map(|link| (link.controller, Some(link.controller_instance))),
             Event::LinkLost(_, node) => Some((*node, None)),
             _ => None,
         }
@@ -273,16 +281,24 @@
     pub(super) fn is_control_side_healthy(&self) -> bool {
         let is_awake = |node: &Node| self.frozen.get(node).is_none_or(|until| *until <= self.now);
         self.controllers.iter().any(|controller| {
-            controller.controller_state.as_ref().is_some_and(|controller_state| {
-                controller_state.consensus().is_ready()
-                    && controller_state
-                        .leader_state()
-                        .is_some_and(|leader_state| leader_state.is_open())
-            }) && is_awake(&controller.node)
-                && self.all_nodes().iter().skip(self.controllers.len()).all(|node| {
-                    self.network.reaches(controller.node, *node)
-                        && self.network.reaches(*node, controller.node)
+            controller
+                .controller_state
+                .as_ref()
+                .is_some_and(|controller_state| {
+                    controller_state.consensus().is_ready()
+                        && controller_state
+                            .leader_state()
+                            .is_some_and(|leader_state| leader_state.is_open())
                 })
+                && is_awake(&controller.node)
+                && self
+                    .all_nodes()
+                    .iter()
+                    .skip(self.controllers.len())
+                    .all(|node| {
+                        self.network.reaches(controller.node, *node)
+                            && self.network.reaches(*node, controller.node)
+                    })
         })
     }
 }
--- a/testing/fleet/src/soak/clients.rs
+++ b/testing/fleet/src/soak/clients.rs
@@ -33,10 +33,14 @@
                 let sending = fleet.put_spec(version, &change_id, &switched, "accepted");
                 // The change may be taken all the same; it is sent again as it was.
                 let _ = tokio::time::timeout(DISCONNECT_AFTER, sending).await;
-                fleet.put_spec(version, &change_id, &switched, "accepted").await?;
+                fleet
+                    .put_spec(version, &change_id, &switched, "accepted")
+                    .await?;
             }
             _ => {
-                fleet.put_spec(version, &change_id, &switched(spec), "accepted").await?;
+                fleet
+                    .put_spec(version, &change_id, &switched(spec), "accepted")
+                    .await?;
             }
         }
     }
@@ -58,10 +62,17 @@
 ) -> Result<(), FleetError> {
     let mut invalid_spec = spec.clone();
     invalid_spec["routes"]["canary"]["function"] = json!("nowhere");
-    fleet.put_spec(version, change_id, &invalid_spec, "accepted").await?;
+    fleet
+        .put_spec(version, change_id, &invalid_spec, "accepted")
+        .await?;
     let stale_id = format!("{change_id}-stale");
     fleet
-        .put_spec(version.saturating_sub(1), &stale_id, &switched(spec.clone()), "accepted")
+        .put_spec(
+            version.saturating_sub(1),
+            &stale_id,
+            &switched(spec.clone()),
+            "accepted",
+        )
         .await?;
     Ok(())
 }
@@ -77,7 +88,9 @@
     for number in 0..DISCONNECTS {
         let ingress = ingresses[rng.below(ingresses.len() as u64) as usize];
         let route = &routes[rng.below(routes.len().max(1) as u64) as usize];
-        let Some(path) = route["path"].as_str() else { continue };
+        let Some(path) = route["path"].as_str() else {
+            continue;
+        };
         // An identity that no record of callers has would look like a request that nobody sent: what is whole
         // asks for a path that leads nowhere.
         let is_complete = rng.random_bool(0.5);
@@ -93,9 +106,15 @@
 
 /// Bytes that are no message, at doors and where processes listen for each other.
 pub(super) async fn send_garbage(fleet: &Fleet, rng: &mut SeededRng) {
-    let process_addresses = fleet.layout.machines.values().filter_map(|machine| machine.endpoints);
-    let addresses: Vec<SocketAddress> =
-        process_addresses.map(|(address, _)| address).chain(fleet.layout.ingresses()).collect();
+    let process_addresses = fleet
+        .layout
+        .machines
+        .values()
+        .filter_map(|machine| machine.endpoints);
+    let addresses: Vec<SocketAddress> = process_addresses
+        .map(|(address, _)| address)
+        .chain(fleet.layout.ingresses())
+        .collect();
     for _ in 0..GARBAGE_REQUESTS {
         let address = addresses[rng.below(addresses.len() as u64) as usize];
         let bytes: Vec<u8> = (0..rng.below(400)).map(|_| rng.below(256) as u8).collect();
--- a/testing/fleet/src/soak/fault.rs
+++ b/testing/fleet/src/soak/fault.rs
@@ -119,7 +119,8 @@
 impl SoakInjector<'_> {
     /// Begins a trouble. One that finds nothing to hurt, since others have it already, does nothing.
     pub async fn begin(&mut self, fault: SoakFault) -> Result<FaultUndo, FleetError> {
-        self.fleet.record_event("trouble", json!({"trouble": fault.as_str()}));
+        self.fleet
+            .record_event("trouble", json!({"trouble": fault.as_str()}));
         match fault {
             SoakFault::KillDaemon => Ok(self.kill(self.some_daemon()).await),
             SoakFault::KillController => Ok(self.kill(self.some_controller()).await),
@@ -151,10 +152,12 @@
             SoakFault::DrainWorker => self.fail_worker("drain").await,
             SoakFault::LoseAnswers => self.set_runner_faults(json!({"lose": 0.05})).await,
             SoakFault::BreakAnswers => {
-                self.set_runner_faults(json!({"refuse": 0.05, "break_off": 0.05})).await
+                self.set_runner_faults(json!({"refuse": 0.05, "break_off": 0.05}))
+                    .await
             }
             SoakFault::WrongAnswers => {
-                self.set_runner_faults(json!({"wrong": 0.02, "short": 0.02, "foreign": 0.02})).await
+                self.set_runner_faults(json!({"wrong": 0.02, "short": 0.02, "foreign": 0.02}))
+                    .await
             }
             SoakFault::Reload => {
                 self.fleet.reload_all();
@@ -223,7 +226,10 @@
 
     async fn leader(&self) -> Option<String> {
         let leader = self.fleet.leader().await?;
-        self.fleet.undisturbed("controller").contains(&leader).then_some(leader)
+        self.fleet
+            .undisturbed("controller")
+            .contains(&leader)
+            .then_some(leader)
     }
 
     fn one_of(&self, names: Vec<String>) -> Option<String> {
@@ -233,29 +239,39 @@
     }
 
     async fn kill(&mut self, name: Option<String>) -> FaultUndo {
-        let Some(name) = name else { return FaultUndo::Nothing };
+        let Some(name) = name else {
+            return FaultUndo::Nothing;
+        };
         self.rng.number();
         self.fleet.kill(&name).await;
         FaultUndo::Launch(name)
     }
 
     fn stop(&mut self, name: Option<String>) -> FaultUndo {
-        let Some(name) = name else { return FaultUndo::Nothing };
+        let Some(name) = name else {
+            return FaultUndo::Nothing;
+        };
         self.rng.number();
         self.fleet.begin_stop(&name);
         FaultUndo::AwaitStopAndLaunch(name)
     }
 
     fn freeze(&mut self, name: Option<String>) -> FaultUndo {
-        let Some(name) = name else { return FaultUndo::Nothing };
+        let Some(name) = name else {
+            return FaultUndo::Nothing;
+        };
         self.rng.number();
         self.fleet.freeze(&name);
         FaultUndo::Resume(name)
     }
 
     fn block(&mut self, name: Option<String>, both_ways: bool) -> FaultUndo {
-        let Some(name) = name else { return FaultUndo::Nothing };
-        let Some(own_ip) = self.fleet.ip_of(&name) else { return FaultUndo::Nothing };
+        let Some(name) = name else {
+            return FaultUndo::Nothing;
+        };
+        let Some(own_ip) = self.fleet.ip_of(&name) else {
+            return FaultUndo::Nothing;
+        };
         self.rng.number();
         let mut directions = Vec::new();
         for other_ip in self.fleet.other_ips(std::slice::from_ref(&name)) {
@@ -264,17 +280,23 @@
                 directions.push((other_ip, own_ip));
             }
         }
-        directions.iter().for_each(|(from, to)| self.fleet.network_proxy.block(*from, *to));
-        self.fleet.record_event("cut", json!({"machine": name, "both_ways": both_ways}));
+        directions
+            .iter()
+            .for_each(|(from, to)| self.fleet.network_proxy.block(*from, *to));
+        self.fleet
+            .record_event("cut", json!({"machine": name, "both_ways": both_ways}));
         FaultUndo::Unblock(directions)
     }
 
     /// A controller's disk ails; which one, chance says: the leader's or another's.
     fn inject_disk_fault(&mut self, how: &str) -> Result<FaultUndo, FleetError> {
-        let Some(name) = self.some_controller() else { return Ok(FaultUndo::Nothing) };
+        let Some(name) = self.some_controller() else {
+            return Ok(FaultUndo::Nothing);
+        };
         self.rng.number();
         let control_file = self.fleet.layout.disk_file(&name);
-        self.fleet.record_event("disk", json!({"machine": name, "how": how}));
+        self.fleet
+            .record_event("disk", json!({"machine": name, "how": how}));
         std::fs::write(&control_file, how)
             .map_err(|error| FleetError::Machine(control_file.clone(), error))?;
         Ok(FaultUndo::RestoreDisk(control_file))
@@ -285,7 +307,9 @@
         let Some(worker) = self.one_of(self.fleet.workers_of(&zone).await) else {
             return Ok(FaultUndo::Nothing);
         };
-        self.fleet.platform(&format!("/v1/workers/{worker}/{action}"), &json!({})).await?;
+        self.fleet
+            .platform(&format!("/v1/workers/{worker}/{action}"), &json!({}))
+            .await?;
         Ok(FaultUndo::RestoreWorker(worker))
     }
 
--- a/testing/fleet/src/soak/mod.rs
+++ b/testing/fleet/src/soak/mod.rs
@@ -74,9 +74,15 @@
 impl SoakResult {
     /// Everything that must not happen and did.
     pub fn findings(&self) -> Vec<String> {
-        let judged = self.verdict.checks.iter().filter(|line| JUDGED_CHECKS.contains(&line.name));
+        let judged = self
+            .verdict
+            .checks
+            .iter()
+            .filter(|line| JUDGED_CHECKS.contains(&line.name));
         let broken = judged.flat_map(|line| {
-            line.violations.iter().map(move |violation| format!("{}: {violation}", line.name))
+            line.violations
+                .iter()
+                .map(move |violation| format!("{}: {violation}", line.name))
         });
         broken.chain(self.violations.iter().cloned()).collect()
     }
@@ -101,13 +107,19 @@
 /// Runs a soak and has it judged.
 pub async fn run_soak(soak: &Soak) -> Result<SoakResult, FleetError> {
     let deployment = Deployment::Small;
-    let sizes = Sizes { without: soak.without, has_faulty_disks: true, ..deployment.sizes() };
+    let sizes = Sizes {
+        without: soak.without,
+        has_faulty_disks: true,
+        ..deployment.sizes()
+    };
     let layout = Layout::new(&soak.folder, &soak.programs, &sizes, soak.seed, true)?;
     let ingresses = layout.ingresses();
     let mut fleet = Fleet::start(layout).await?;
     fleet.found().await?;
     let change_id = fleet.change_id();
-    fleet.put_spec(1, &change_id, &deployment.spec("canary-a"), "in_force").await?;
+    fleet
+        .put_spec(1, &change_id, &deployment.spec("canary-a"), "in_force")
+        .await?;
     fleet.await_ready(ingresses.len()).await?;
     let load_task = tokio::spawn(run_plan(callers(soak, deployment, &fleet)?));
     let planned_faults = draw_schedule(soak.seed, soak.lanes, soak.lasts);
@@ -117,13 +129,26 @@
     fleet.end().await;
     let verdict = judge(&Evidence::read(&soak.folder)?);
     let mut violations = violations_in(&soak.folder)?;
-    violations.extend(ended.into_iter().map(|name| format!("{name} ended by itself")));
-    Ok(SoakResult { planned_faults, verdict, violations })
+    violations.extend(
+        ended
+            .into_iter()
+            .map(|name| format!("{name} ended by itself")),
+    );
+    Ok(SoakResult {
+        planned_faults,
+        verdict,
+        violations,
+    })
 }
 
 fn callers(soak: &Soak, deployment: Deployment, fleet: &Fleet) -> Result<Plan, FleetError> {
     let (share, max_retries) = deployment.retry_behaviour();
-    let ingresses: Vec<String> = fleet.layout.ingresses().iter().map(ToString::to_string).collect();
+    let ingresses: Vec<String> = fleet
+        .layout
+        .ingresses()
+        .iter()
+        .map(ToString::to_string)
+        .collect();
     let plan = json!({
         "seed": soak.seed,
         "lasts_ms": (WARM_UP + soak.lasts + COOL_DOWN).as_millis() as u64,
@@ -153,7 +178,11 @@
 ) -> Result<(), FleetError> {
     let started_at = Instant::now() + WARM_UP;
     let rng = SeededRng::seeded(soak.seed ^ 0x7a0b);
-    let mut injector = SoakInjector { fleet, deployment, rng };
+    let mut injector = SoakInjector {
+        fleet,
+        deployment,
+        rng,
+    };
     let mut upcoming = planned_faults.iter().peekable();
     let mut active_faults: Vec<ActiveFault> = Vec::new();
     loop {
@@ -166,10 +195,13 @@
                 sleep_until(started_at + from).await;
                 if let Some(next) = upcoming.next() {
                     match injector.begin(next.fault).await {
-                        Ok(undo) => active_faults.push(ActiveFault { until: next.until, undo }),
-                        Err(error) => {
-                            injector.fleet.record_event("not_begun", json!(error.to_string()))
-                        }
+                        Ok(undo) => active_faults.push(ActiveFault {
+                            until: next.until,
+                            undo,
+                        }),
+                        Err(error) => injector
+                            .fleet
+                            .record_event("not_begun", json!(error.to_string())),
                     }
                 }
             }
@@ -182,8 +214,12 @@
             (Some(_), None) => {}
         }
     }
-    injector.fleet.record_event("fault", json!({"fault": "soak", "heavy": true}));
-    injector.fleet.record_event("returned", json!({"fault": "soak", "heavy": true}));
+    injector
+        .fleet
+        .record_event("fault", json!({"fault": "soak", "heavy": true}));
+    injector
+        .fleet
+        .record_event("returned", json!({"fault": "soak", "heavy": true}));
     Ok(())
 }
 
@@ -198,9 +234,18 @@
             continue;
         }
         let log_text = String::from_utf8_lossy(&std::fs::read(&path).map_err(at)?).into_owned();
-        let machine = path.file_stem().unwrap_or_default().to_string_lossy().into_owned();
+        let machine = path
+            .file_stem()
+            .unwrap_or_default()
+            .to_string_lossy()
+            .into_owned();
         let is_bad = |line: &&str| line.contains(&mark) || line.contains("panicked at");
-        found.extend(log_text.lines().filter(is_bad).map(|line| format!("{machine}: {line}")));
+        found.extend(
+            log_text
+                .lines()
+                .filter(is_bad)
+                .map(|line| format!("{machine}: {line}")),
+        );
     }
     Ok(found)
 }
--- a/testing/fleet/src/soak/schedule.rs
+++ b/testing/fleet/src/soak/schedule.rs
@@ -45,7 +45,14 @@
 /// The most troubles that overlap at any moment.
 pub fn max_concurrent(planned_faults: &[PlannedFault]) -> usize {
     let at_once = |offset: Duration| {
-        planned_faults.iter().filter(|held| held.from <= offset && offset < held.until).count()
+        planned_faults
+            .iter()
+            .filter(|held| held.from <= offset && offset < held.until)
+            .count()
     };
-    planned_faults.iter().map(|planned| at_once(planned.from)).max().unwrap_or(0)
+    planned_faults
+        .iter()
+        .map(|planned| at_once(planned.from))
+        .max()
+        .unwrap_or(0)
 }
--- a/testing/fleet/src/synthetic/calls/forwarding.rs
+++ b/testing/fleet/src/synthetic/calls/forwarding.rs
@@ -45,7 +45,9 @@
     ) {
         let number = self.number();
         let now = self.now;
-        let Some(started_daemon) = &mut self.daemons[daemon] else { return };
+        let Some(started_daemon) = &mut self.daemons[daemon] else {
+            return;
+        };
         let in_flight = started_daemon.agent.track_in_flight();
         let forwarding = Forwarding::new(now, request);
         let pending = PendingRequest {
@@ -56,23 +58,34 @@
             _in_flight: in_flight,
         };
         started_daemon.pending_requests.insert(number, pending);
-        self.step(daemon, number, AwaitedStep::Lookup, |forwarding, agent, now| {
-            forwarding.advance(agent, now)
-        });
+        self.step(
+            daemon,
+            number,
+            AwaitedStep::Lookup,
+            |forwarding, agent, now| forwarding.advance(agent, now),
+        );
     }
 
     /// The time of a wait is up, unless something else has come since.
     pub(super) fn advance(&mut self, daemon: usize, number: u64, wake: u64) {
-        if self.pending(daemon, number).is_some_and(|pending| pending.wakes == wake) {
-            self.step(daemon, number, AwaitedStep::Lookup, |forwarding, agent, now| {
-                forwarding.advance(agent, now)
-            });
+        if self
+            .pending(daemon, number)
+            .is_some_and(|pending| pending.wakes == wake)
+        {
+            self.step(
+                daemon,
+                number,
+                AwaitedStep::Lookup,
+                |forwarding, agent, now| forwarding.advance(agent, now),
+            );
         }
     }
 
     /// Something has changed that a waiting transaction may wait for.
     pub(in crate::synthetic) fn look_up_all(&mut self, daemon: usize) {
-        let Some(started_daemon) = &mut self.daemons[daemon] else { return };
+        let Some(started_daemon) = &mut self.daemons[daemon] else {
+            return;
+        };
         let mut waiting_lookups: Vec<(u64, u64)> = started_daemon
             .pending_requests
             .iter_mut()
@@ -84,7 +97,14 @@
             .collect();
         waiting_lookups.sort_unstable();
         for (number, wake) in waiting_lookups {
-            self.push(Duration::from_micros(2), Event::Lookup { daemon, number, wake });
+            self.push(
+                Duration::from_micros(2),
+                Event::Lookup {
+                    daemon,
+                    number,
+                    wake,
+                },
+            );
         }
     }
 
@@ -96,15 +116,20 @@
         change: impl FnOnce(&mut Forwarding, &Agent<u64>, MonotonicTime) -> ForwardingStep<u64>,
     ) {
         let now = self.now;
-        let Some(started_daemon) = &mut self.daemons[daemon] else { return };
+        let Some(started_daemon) = &mut self.daemons[daemon] else {
+            return;
+        };
         let agent = started_daemon.agent.clone();
-        let Some(pending) = started_daemon.pending_requests.get_mut(&number) else { return };
+        let Some(pending) = started_daemon.pending_requests.get_mut(&number) else {
+            return;
+        };
         if pending.awaited_step != expected_step {
             return;
         }
         let forwarding = &mut pending.forwarding;
-        let (next_step, _) =
-            self.meter.measure_step(Role::Ingress, Work::Calls, || change(forwarding, &agent, now));
+        let (next_step, _) = self.meter.measure_step(Role::Ingress, Work::Calls, || {
+            change(forwarding, &agent, now)
+        });
         pending.awaited_step = match &next_step {
             ForwardingStep::Serve(..) => AwaitedStep::Outcome,
             ForwardingStep::Forward { .. } => AwaitedStep::Forwarded,
@@ -115,16 +140,29 @@
             ForwardingStep::Serve(held, holder_request) => {
                 self.serve(daemon, number, &held, holder_request)
             }
-            ForwardingStep::Forward { host, body, wait_until } => {
+            ForwardingStep::Forward {
+                host,
+                body,
+                wait_until,
+            } => {
                 self.pass(daemon, number, &host, body, wait_until);
             }
             ForwardingStep::Acquire { wait_until } => self.acquire(daemon, number, wait_until),
             ForwardingStep::Wait { wait_until } => {
-                let Some(pending) = self.pending(daemon, number) else { return };
+                let Some(pending) = self.pending(daemon, number) else {
+                    return;
+                };
                 pending.wakes += 1;
                 let wake = pending.wakes;
                 let wait_span = wait_until.since(now);
-                self.push(wait_span, Event::Lookup { daemon, number, wake });
+                self.push(
+                    wait_span,
+                    Event::Lookup {
+                        daemon,
+                        number,
+                        wake,
+                    },
+                );
             }
             ForwardingStep::End(outcome, holder) => self.end(daemon, number, outcome, holder),
         }
@@ -138,7 +176,9 @@
         holder_request: HolderRequest,
     ) {
         let now = self.now;
-        let Some(agent) = self.agent(daemon) else { return };
+        let Some(agent) = self.agent(daemon) else {
+            return;
+        };
         let ((at_once, outputs), _) = self.meter.measure_step(Role::Holder, Work::Runs, || {
             held.admit(now, agent.ticket(), holder_request, number)
         });
@@ -150,9 +190,12 @@
     }
 
     pub(super) fn served(&mut self, daemon: usize, number: u64, outcome: RequestOutcome) {
-        self.step(daemon, number, AwaitedStep::Outcome, |forwarding, agent, now| {
-            forwarding.served(agent, now, outcome)
-        });
+        self.step(
+            daemon,
+            number,
+            AwaitedStep::Outcome,
+            |forwarding, agent, now| forwarding.served(agent, now, outcome),
+        );
     }
 
     fn pass(
@@ -163,22 +206,48 @@
         body: DaemonMessage,
         wait_until: MonotonicTime,
     ) {
-        let Some(other) = self.daemon_at(host.address) else { return };
+        let Some(other) = self.daemon_at(host.address) else {
+            return;
+        };
         let frame = hop_frame(number, body);
-        let encoded = self.meter.wire(Role::Ingress, Work::Calls, 1, || encode(&frame));
+        let encoded = self
+            .meter
+            .wire(Role::Ingress, Work::Calls, 1, || encode(&frame));
         let Ok(bytes) = encoded else { return };
-        self.meter.sent(Role::Ingress, Work::Calls, 1, wire::frame_bytes(bytes.len()));
+        self.meter.sent(
+            Role::Ingress,
+            Work::Calls,
+            1,
+            wire::frame_bytes(bytes.len()),
+        );
         let wait_span = wait_until.since(self.now);
-        self.push(wait_span, Event::Forwarded(daemon, number, ForwardResult::Lost));
+        self.push(
+            wait_span,
+            Event::Forwarded(daemon, number, ForwardResult::Lost),
+        );
         let reply_target = ReplyTarget::Hop { daemon, number };
         let delay = Self::delay(daemon, other);
-        self.push(delay, Event::Hop { daemon: other, reply_target, frame: bytes.into() });
+        self.push(
+            delay,
+            Event::Hop {
+                daemon: other,
+                reply_target,
+                frame: bytes.into(),
+            },
+        );
     }
 
     pub(super) fn handle_hop(&mut self, daemon: usize, reply_target: ReplyTarget, bytes: &Bytes) {
         let now = self.now;
-        self.meter.received(Role::Ingress, Work::Calls, 1, wire::frame_bytes(bytes.len()));
-        let read = self.meter.wire(Role::Ingress, Work::Calls, 1, || decode::<DaemonFrame>(bytes));
+        self.meter.received(
+            Role::Ingress,
+            Work::Calls,
+            1,
+            wire::frame_bytes(bytes.len()),
+        );
+        let read = self.meter.wire(Role::Ingress, Work::Calls, 1, || {
+            decode::<DaemonFrame>(bytes)
+        });
         let Ok(frame) = read else { return };
         if let Ok(request) = FunctionRequest::from_frame(now, frame.body) {
             self.accept_request(daemon, request, reply_target);
@@ -186,9 +255,21 @@
     }
 
     pub(super) fn handle_hop_done(&mut self, daemon: usize, number: u64, bytes: &Bytes) {
-        self.meter.received(Role::Ingress, Work::Calls, 1, wire::frame_bytes(bytes.len()));
-        let read = self.meter.wire(Role::Ingress, Work::Calls, 1, || decode::<DaemonFrame>(bytes));
-        if let Ok(DaemonFrame { body: DaemonMessage::Completed { outcome, holder, .. }, .. }) = read
+        self.meter.received(
+            Role::Ingress,
+            Work::Calls,
+            1,
+            wire::frame_bytes(bytes.len()),
+        );
+        let read = self.meter.wire(Role::Ingress, Work::Calls, 1, || {
+            decode::<DaemonFrame>(bytes)
+        });
+        if let Ok(DaemonFrame {
+            body: DaemonMessage::Completed {
+                outcome, holder, ..
+            },
+            ..
+        }) = read
         {
             let end = ForwardResult::Completed(outcome, holder.0.into_iter().next());
             self.forwarded(daemon, number, end);
@@ -196,31 +277,56 @@
     }
 
     pub(super) fn forwarded(&mut self, daemon: usize, number: u64, end: ForwardResult) {
-        self.step(daemon, number, AwaitedStep::Forwarded, |forwarding, agent, now| {
-            forwarding.forwarded(agent, now, end)
-        });
+        self.step(
+            daemon,
+            number,
+            AwaitedStep::Forwarded,
+            |forwarding, agent, now| forwarding.forwarded(agent, now, end),
+        );
     }
 
     fn end(&mut self, daemon: usize, number: u64, outcome: RequestOutcome, holder: Option<Host>) {
-        let Some(started_daemon) = &mut self.daemons[daemon] else { return };
-        let Some(pending) = started_daemon.pending_requests.remove(&number) else { return };
+        let Some(started_daemon) = &mut self.daemons[daemon] else {
+            return;
+        };
+        let Some(pending) = started_daemon.pending_requests.remove(&number) else {
+            return;
+        };
         match pending.reply_target {
             ReplyTarget::Caller => match outcome {
                 RequestOutcome::Response { .. } => self.record.answered += 1,
                 RequestOutcome::NotRun { .. } => self.record.not_run += 1,
                 RequestOutcome::Unknown { .. } => self.record.unknown += 1,
             },
-            ReplyTarget::Hop { daemon: requester, number } => {
+            ReplyTarget::Hop {
+                daemon: requester,
+                number,
+            } => {
                 let holder = LengthPrefixed(holder.into_iter().collect());
                 let frame = hop_frame(
                     number,
-                    DaemonMessage::Completed { outcome, holder, regional_tenths: 0 },
+                    DaemonMessage::Completed {
+                        outcome,
+                        holder,
+                        regional_tenths: 0,
+                    },
                 );
-                let encoded = self.meter.wire(Role::Ingress, Work::Calls, 1, || encode(&frame));
+                let encoded = self
+                    .meter
+                    .wire(Role::Ingress, Work::Calls, 1, || encode(&frame));
                 let Ok(bytes) = encoded else { return };
-                self.meter.sent(Role::Ingress, Work::Calls, 1, wire::frame_bytes(bytes.len()));
+                self.meter.sent(
+                    Role::Ingress,
+                    Work::Calls,
+                    1,
+                    wire::frame_bytes(bytes.len()),
+                );
                 let delay = Self::delay(daemon, requester);
-                let done = Event::HopDone { daemon: requester, number, frame: bytes.into() };
+                let done = Event::HopDone {
+                    daemon: requester,
+                    number,
+                    frame: bytes.into(),
+                };
                 self.push(delay, done);
             }
         }
@@ -229,8 +335,12 @@
     fn acquire(&mut self, daemon: usize, number: u64, wait_until: MonotonicTime) {
         let wait_span = wait_until.since(self.now);
         self.push(wait_span, Event::AcquireTimedOut(daemon, number));
-        let Some(started_daemon) = &mut self.daemons[daemon] else { return };
-        let Some(pending) = started_daemon.pending_requests.get(&number) else { return };
+        let Some(started_daemon) = &mut self.daemons[daemon] else {
+            return;
+        };
+        let Some(pending) = started_daemon.pending_requests.get(&number) else {
+            return;
+        };
         let function = pending.forwarding.request().function.clone();
         let waiting = started_daemon.acquires.entry(function.clone()).or_default();
         waiting.push(number);
@@ -247,11 +357,16 @@
         function: &FunctionKey,
         result: &Option<AcquireResult>,
     ) {
-        let Some(started_daemon) = &mut self.daemons[daemon] else { return };
+        let Some(started_daemon) = &mut self.daemons[daemon] else {
+            return;
+        };
         for number in started_daemon.acquires.remove(function).unwrap_or_default() {
-            self.step(daemon, number, AwaitedStep::Acquired, |forwarding, agent, now| {
-                forwarding.acquired(agent, now, result.clone())
-            });
+            self.step(
+                daemon,
+                number,
+                AwaitedStep::Acquired,
+                |forwarding, agent, now| forwarding.acquired(agent, now, result.clone()),
+            );
         }
     }
 }
--- a/testing/fleet/src/synthetic/calls/holder.rs
+++ b/testing/fleet/src/synthetic/calls/holder.rs
@@ -26,13 +26,16 @@
         change: impl FnOnce(&mut Holder, MonotonicTime) -> Vec<HolderOutput>,
     ) {
         let now = self.now;
-        let Some(agent) = self.agent(holder_key.daemon) else { return };
+        let Some(agent) = self.agent(holder_key.daemon) else {
+            return;
+        };
         let Some(held) = agent.held_or_closing(&holder_key.function, holder_key.fencing_token)
         else {
             return;
         };
-        let (outputs, _) =
-            self.meter.measure_step(Role::Holder, work, || held.with(|holder| change(holder, now)));
+        let (outputs, _) = self.meter.measure_step(Role::Holder, work, || {
+            held.with(|holder| change(holder, now))
+        });
         self.drive(holder_key.daemon, &held, outputs);
         self.tick_for_holder(holder_key.daemon, &held);
     }
@@ -64,7 +67,12 @@
     ) {
         let holder_key = holder_key.clone();
         match order {
-            HolderOutput::Send { ticket, runner, attempt, .. } => {
+            HolderOutput::Send {
+                ticket,
+                runner,
+                attempt,
+                ..
+            } => {
                 self.send_to_runner(holder_key, held, ticket, runner, attempt);
             }
             HolderOutput::End { ticket, outcome } => {
@@ -72,7 +80,11 @@
                     self.served(holder_key.daemon, number, outcome);
                 }
             }
-            HolderOutput::Start { runner, worker, spec } => {
+            HolderOutput::Start {
+                runner,
+                worker,
+                spec,
+            } => {
                 let body = json!({
                     "runner": runner.to_string(),
                     "function": holder_key.function.to_string(),
@@ -82,11 +94,15 @@
                     "slots": spec.slots,
                 });
                 let body_bytes = body.to_string().len() as u64;
-                self.meter.sent(Role::Platform, Work::Runners, 1, body_bytes + HTTP_HEADERS);
+                self.meter
+                    .sent(Role::Platform, Work::Runners, 1, body_bytes + HTTP_HEADERS);
                 let ready_at = self.now + PLATFORM_LATENCY + spec.startup;
                 let function = holder_key.function.clone();
                 let instance = self.platform.start(runner, function, worker, ready_at);
-                self.push(PLATFORM_LATENCY, Event::Started(holder_key, runner, instance));
+                self.push(
+                    PLATFORM_LATENCY,
+                    Event::Started(holder_key, runner, instance),
+                );
             }
             HolderOutput::Probe { runner, address } => {
                 let now = self.now;
@@ -97,15 +113,22 @@
                 self.push(RUNNER_LATENCY, Event::Probed(holder_key, runner, is_ready));
             }
             HolderOutput::ListRunning { runner, .. } => {
-                self.push(RUNNER_LATENCY, Event::Settled(holder_key, runner, Some(Vec::new())));
+                self.push(
+                    RUNNER_LATENCY,
+                    Event::Settled(holder_key, runner, Some(Vec::new())),
+                );
             }
             HolderOutput::Stop { runner, .. } => {
-                self.meter.sent(Role::Platform, Work::Runners, 1, HTTP_HEADERS);
+                self.meter
+                    .sent(Role::Platform, Work::Runners, 1, HTTP_HEADERS);
                 self.platform.stop(runner);
                 self.push(PLATFORM_LATENCY, Event::Stopped(holder_key, runner));
             }
             HolderOutput::Report(word) => {
-                self.push(Duration::from_micros(1), Event::FromHolder(holder_key, word));
+                self.push(
+                    Duration::from_micros(1),
+                    Event::FromHolder(holder_key, word),
+                );
             }
             _ => {}
         }
@@ -120,19 +143,28 @@
         attempt: u32,
     ) {
         let now = self.now;
-        let Some(agent) = self.agent(holder_key.daemon) else { return };
+        let Some(agent) = self.agent(holder_key.daemon) else {
+            return;
+        };
         let self_reported_id = held.self_reported_id_of(runner);
         let (call, _) = self.meter.measure_step(Role::Holder, Work::Runs, || {
-            let holder_request =
-                held.holder_request(ticket).ok_or(RequestFailureReason::NotServing)?;
+            let holder_request = held
+                .holder_request(ticket)
+                .ok_or(RequestFailureReason::NotServing)?;
             agent.runner_attempt(now, held, &holder_request, runner, attempt)
         });
         match call {
             Ok(call) => {
-                let work_span =
-                    self.rng.within(Duration::from_millis(10), Duration::from_millis(40));
+                let work_span = self
+                    .rng
+                    .within(Duration::from_millis(10), Duration::from_millis(40));
                 let call = Box::new(call);
-                let done = Event::RunDone { holder_key, ticket, runner: self_reported_id, call };
+                let done = Event::RunDone {
+                    holder_key,
+                    ticket,
+                    runner: self_reported_id,
+                    call,
+                };
                 self.push(RUNNER_LATENCY + work_span, done);
             }
             Err(reason) => {
--- a/testing/fleet/src/synthetic/calls/mod.rs
+++ b/testing/fleet/src/synthetic/calls/mod.rs
@@ -31,7 +31,10 @@
 const BUSY_SHARE: f64 = 0.9;
 
 fn hop_frame(number: u64, body: DaemonMessage) -> DaemonFrame {
-    DaemonFrame { correlation: CorrelationId(number), body }
+    DaemonFrame {
+        correlation: CorrelationId(number),
+        body,
+    }
 }
 
 impl SyntheticFleet {
@@ -39,16 +42,29 @@
         match event {
             Event::Fill => self.fill(),
             Event::Call => self.send_random_call(),
-            Event::Lookup { daemon, number, wake } => self.advance(daemon, number, wake),
+            Event::Lookup {
+                daemon,
+                number,
+                wake,
+            } => self.advance(daemon, number, wake),
             Event::AcquireTimedOut(daemon, number) => {
-                self.step(daemon, number, AwaitedStep::Acquired, |forwarding, agent, now| {
-                    forwarding.advance(agent, now)
-                });
+                self.step(
+                    daemon,
+                    number,
+                    AwaitedStep::Acquired,
+                    |forwarding, agent, now| forwarding.advance(agent, now),
+                );
             }
-            Event::Hop { daemon, reply_target, frame } => {
-                self.handle_hop(daemon, reply_target, &frame)
-            }
-            Event::HopDone { daemon, number, frame } => {
+            Event::Hop {
+                daemon,
+                reply_target,
+                frame,
+            } => self.handle_hop(daemon, reply_target, &frame),
+            Event::HopDone {
+                daemon,
+                number,
+                frame,
+            } => {
                 self.handle_hop_done(daemon, number, &frame);
             }
             Event::Forwarded(daemon, number, end) => self.forwarded(daemon, number, end),
@@ -58,7 +74,9 @@
                 });
             }
             Event::Stopped(holder_key, runner) => {
-                self.apply(&holder_key, Work::Runners, |holder, now| holder.stopped(now, runner));
+                self.apply(&holder_key, Work::Runners, |holder, now| {
+                    holder.stopped(now, runner)
+                });
             }
             Event::Probed(holder_key, runner, is_ready) => {
                 self.apply(&holder_key, Work::Runners, |holder, now| {
@@ -70,7 +88,12 @@
                     holder.running_listed(now, runner, running)
                 });
             }
-            Event::RunDone { holder_key, ticket, runner, call } => {
+            Event::RunDone {
+                holder_key,
+                ticket,
+                runner,
+                call,
+            } => {
                 self.run_done(holder_key, ticket, runner, &call);
             }
             Event::SendEnded(holder_key, ticket, end) => {
@@ -78,10 +101,21 @@
                     holder.handle_send_result(now, ticket, end)
                 });
             }
-            Event::ReplicaRequested { replica, holder_key, number, request_kind, frame } => {
+            Event::ReplicaRequested {
+                replica,
+                holder_key,
+                number,
+                request_kind,
+                frame,
+            } => {
                 self.handle_replica_request(replica, holder_key, number, request_kind, &frame);
             }
-            Event::ReplicaReplied { holder_key, number, request_kind, frame } => {
+            Event::ReplicaReplied {
+                holder_key,
+                number,
+                request_kind,
+                frame,
+            } => {
                 self.handle_replica_reply(&holder_key, number, request_kind, frame);
             }
             _ => {}
@@ -113,7 +147,11 @@
         self.push(Duration::from_secs_f64(1.0 / rate), Event::Call);
         let functions = self.size.held as u64;
         let busiest = (functions / 20).max(1);
-        let bound = if self.rng.random_bool(BUSY_SHARE) { busiest } else { functions };
+        let bound = if self.rng.random_bool(BUSY_SHARE) {
+            busiest
+        } else {
+            functions
+        };
         let function = self.rng.below(bound) as usize;
         self.call(function);
     }
@@ -122,7 +160,9 @@
         let daemon = self.rng.below(self.size.daemons as u64) as usize;
         let number = self.number();
         let now = self.now;
-        let Some(agent) = self.agent(daemon) else { return };
+        let Some(agent) = self.agent(daemon) else {
+            return;
+        };
         let route_name = catalogue::name_of(function);
         let path = format!("/{route_name}/{number}");
         let idempotency_key = IdempotencyKey::from(format!("transaction-{number:012}"));
--- a/testing/fleet/src/synthetic/catalogue.rs
+++ b/testing/fleet/src/synthetic/catalogue.rs
@@ -23,7 +23,11 @@
     let mut route_rows = Map::new();
     for number in 0..functions {
         let name = name_of(number);
-        let kind = if number % 4 == 0 { "once" } else { "repeatable" };
+        let kind = if number % 4 == 0 {
+            "once"
+        } else {
+            "repeatable"
+        };
         let route_row = json!({
             "method": "POST",
             "path": format!("/{name}/{{id}}"),
--- a/testing/fleet/src/synthetic/controllers.rs
+++ b/testing/fleet/src/synthetic/controllers.rs
@@ -40,7 +40,11 @@
 
 impl Controller {
     fn role(&self) -> Role {
-        if self.controller_state.consensus().is_leader() { Role::Leading } else { Role::Following }
+        if self.controller_state.consensus().is_leader() {
+            Role::Leading
+        } else {
+            Role::Following
+        }
     }
 }
 
@@ -48,8 +52,9 @@
     /// Three controllers whose disks hold the first spec.
     pub(super) fn found(&mut self, first_spec: Value) {
         let seeds = Self::seeds();
-        let ids: Vec<ControllerId> =
-            (0..seeds.len()).map(|_| ControllerId(self.rng.number() | 1)).collect();
+        let ids: Vec<ControllerId> = (0..seeds.len())
+            .map(|_| ControllerId(self.rng.number() | 1))
+            .collect();
         let members = ids.iter().zip(&seeds).enumerate();
         let voters: Vec<Voter> = members
             .map(|(number, (id, address))| Voter {
@@ -61,7 +66,10 @@
         let checked_spec = read_spec(&first_spec).unwrap_or_default();
         let founded = Document::founding(voters);
         let mut document = founded.with_spec(first_spec, &checked_spec, ChangeId::from("founding"));
-        document.document_version = DocumentVersion { term: Term(1), version: Version(2) };
+        document.document_version = DocumentVersion {
+            term: Term(1),
+            version: Version(2),
+        };
         self.record.document_bytes = document.to_bytes().len() as u64;
         let document_bytes = document.to_bytes();
         for (number, id) in ids.into_iter().enumerate() {
@@ -79,15 +87,24 @@
                 self.now,
                 timing,
                 persisted,
-                ControllerAddress { address, operators: address },
+                ControllerAddress {
+                    address,
+                    operators: address,
+                },
                 ZoneNumber::of(number).zone(),
                 seeds.clone(),
                 SeededRng::seeded(self.rng.number()),
             );
             let controller_state =
                 ControllerState::new(consensus, LeaderTiming::builder().build(), fresh_span);
-            self.controllers.push(Controller { controller_state, due: self.now });
-            self.push(Duration::from_millis(number as u64), Event::TickController(number));
+            self.controllers.push(Controller {
+                controller_state,
+                due: self.now,
+            });
+            self.push(
+                Duration::from_millis(number as u64),
+                Event::TickController(number),
+            );
             self.push(Duration::from_millis(50), Event::Poll(number));
         }
     }
@@ -102,7 +119,9 @@
         let now = self.now;
         let role = self.controllers[controller].role();
         let controller_state = &mut self.controllers[controller].controller_state;
-        let (orders, _) = self.meter.measure_step(role, work, || controller_state.take(now, input));
+        let (orders, _) = self
+            .meter
+            .measure_step(role, work, || controller_state.take(now, input));
         let due = self.controllers[controller].controller_state.next_due(now);
         self.controllers[controller].due = due;
         for order in orders {
@@ -124,11 +143,14 @@
         let role = self.controllers[controller].role();
         match order {
             ControllerOutput::Send(to, frame) => {
-                let Some(other) = Self::controller_at(to) else { return };
+                let Some(other) = Self::controller_at(to) else {
+                    return;
+                };
                 let Ok(bytes) = self.meter.wire(role, Work::Consensus, 1, || encode(&frame)) else {
                     return;
                 };
-                self.meter.sent(role, Work::Consensus, 1, wire::frame_bytes(bytes.len()));
+                self.meter
+                    .sent(role, Work::Consensus, 1, wire::frame_bytes(bytes.len()));
                 let delay = Self::delay(controller, other);
                 self.push(delay, Event::Consensus(other, bytes.into()));
             }
@@ -146,7 +168,8 @@
             ControllerOutput::RequestLists => self.read_lists(controller),
             ControllerOutput::StopRunner(order) => {
                 let runner = order.runner;
-                self.meter.sent(Role::Platform, Work::Runners, 1, HTTP_HEADERS);
+                self.meter
+                    .sent(Role::Platform, Work::Runners, 1, HTTP_HEADERS);
                 self.platform.stop(runner);
                 self.push(PLATFORM_LATENCY, Event::LeaderStopped(controller, runner));
             }
@@ -159,8 +182,11 @@
         let role = self.controllers[controller].role();
         let work = wire::work_down(frame);
         let link = stream.0 as usize;
-        let Ok(bytes) = self.meter.wire(role, work, 1, || encode(frame)) else { return };
-        self.meter.sent(role, work, 1, wire::frame_bytes(bytes.len()));
+        let Ok(bytes) = self.meter.wire(role, work, 1, || encode(frame)) else {
+            return;
+        };
+        self.meter
+            .sent(role, work, 1, wire::frame_bytes(bytes.len()));
         if work == Work::Hosts {
             self.record.hosts_bytes = wire::frame_bytes(bytes.len());
         }
@@ -170,16 +196,35 @@
 
     pub(super) fn close_link(&mut self, link: usize) {
         let delay = Self::delay(self.links[link].controller, self.links[link].daemon);
-        self.push(delay, Event::LinkLost { link, at_controller: false });
-        self.push(delay, Event::LinkLost { link, at_controller: true });
+        self.push(
+            delay,
+            Event::LinkLost {
+                link,
+                at_controller: false,
+            },
+        );
+        self.push(
+            delay,
+            Event::LinkLost {
+                link,
+                at_controller: true,
+            },
+        );
     }
 
     pub(super) fn handle_consensus_frame(&mut self, controller: usize, bytes: &Bytes) {
         let role = self.controllers[controller].role();
-        self.meter.received(role, Work::Consensus, 1, wire::frame_bytes(bytes.len()));
-        let read = self.meter.wire(role, Work::Consensus, 1, || decode::<ConsensusFrame>(bytes));
+        self.meter
+            .received(role, Work::Consensus, 1, wire::frame_bytes(bytes.len()));
+        let read = self
+            .meter
+            .wire(role, Work::Consensus, 1, || decode::<ConsensusFrame>(bytes));
         if let Ok(frame) = read {
-            self.step_controller(controller, Work::Consensus, ControllerInput::Consensus(frame));
+            self.step_controller(
+                controller,
+                Work::Consensus,
+                ControllerInput::Consensus(frame),
+            );
         }
     }
 
@@ -197,10 +242,15 @@
         }
         let controller = self.links[link].controller;
         let role = self.controllers[controller].role();
-        let Ok(frame) = decode::<DaemonToLeader>(bytes) else { return };
+        let Ok(frame) = decode::<DaemonToLeader>(bytes) else {
+            return;
+        };
         let work = wire::work_up(&frame);
-        let _ = self.meter.wire(role, work, 1, || decode::<DaemonToLeader>(bytes));
-        self.meter.received(role, work, 1, wire::frame_bytes(bytes.len()));
+        let _ = self
+            .meter
+            .wire(role, work, 1, || decode::<DaemonToLeader>(bytes));
+        self.meter
+            .received(role, work, 1, wire::frame_bytes(bytes.len()));
         self.step_controller(
             controller,
             work,
@@ -209,7 +259,11 @@
     }
 
     pub(super) fn leader_stopped(&mut self, controller: usize, runner: RunnerId) {
-        self.step_controller(controller, Work::Runners, ControllerInput::RunnerStopped(runner));
+        self.step_controller(
+            controller,
+            Work::Runners,
+            ControllerInput::RunnerStopped(runner),
+        );
     }
 
     /// The leader reads the platform's lists.
@@ -219,7 +273,11 @@
     }
 
     fn read_lists(&mut self, controller: usize) {
-        if !self.controllers[controller].controller_state.consensus().is_leader() {
+        if !self.controllers[controller]
+            .controller_state
+            .consensus()
+            .is_leader()
+        {
             return;
         }
         self.sample_visibility();
@@ -228,17 +286,25 @@
             (read_workers(&workers_body), read_runners(&runners_body))
         });
         let list_bytes = (workers_body.len() + runners_body.len()) as u64;
-        self.meter.sent(Role::Platform, Work::Lists, 2, 2 * HTTP_HEADERS);
-        self.meter.received(Role::Platform, Work::Lists, 2, list_bytes);
+        self.meter
+            .sent(Role::Platform, Work::Lists, 2, 2 * HTTP_HEADERS);
+        self.meter
+            .received(Role::Platform, Work::Lists, 2, list_bytes);
         let listed_at = self.now;
         self.step_controller(controller, Work::Lists, ControllerInput::Workers(workers));
-        self.step_controller(controller, Work::Lists, ControllerInput::Runners(listed_at, runners));
+        self.step_controller(
+            controller,
+            Work::Lists,
+            ControllerInput::Runners(listed_at, runners),
+        );
     }
 
     /// An operator changes one function.
     pub(super) fn send_change(&mut self) {
         let leads = |controller: &Controller| controller.controller_state.consensus().is_leader();
-        let Some(leader) = self.controllers.iter().position(leads) else { return };
+        let Some(leader) = self.controllers.iter().position(leads) else {
+            return;
+        };
         self.change_turn += 1;
         let patch = catalogue::change_of(&mut self.rng, self.size.functions, self.change_turn);
         let ticket = OperationTicket(self.number());
@@ -255,7 +321,10 @@
             kind: ChangeKind::Patch(patch),
             wait: Wait::Accepted,
         };
-        self.push(Duration::ZERO, Event::Operate(leader, ticket, Box::new(operation)));
+        self.push(
+            Duration::ZERO,
+            Event::Operate(leader, ticket, Box::new(operation)),
+        );
     }
 
     pub(super) fn operate(
@@ -272,7 +341,9 @@
     }
 
     fn operated(&mut self, ticket: OperationTicket, reply: OperationReply) {
-        let OperationReply::Accepted { version, .. } = reply else { return };
+        let OperationReply::Accepted { version, .. } = reply else {
+            return;
+        };
         if let Some(open_change) = self.changes.get_mut(&ticket) {
             open_change.version = Some(version.0);
         }
@@ -296,7 +367,9 @@
             .map(|(ticket, _)| *ticket)
             .collect();
         for ticket in done {
-            let Some(open_change) = self.changes.remove(&ticket) else { continue };
+            let Some(open_change) = self.changes.remove(&ticket) else {
+                continue;
+            };
             let network_ms = now.since(open_change.requested_at).as_secs_f64() * 1e3;
             let leader_ms = (leader_nanos - open_change.leader_nanos) as f64 / 1e6;
             self.record.in_force.push((network_ms, leader_ms));
--- a/testing/fleet/src/synthetic/daemons.rs
+++ b/testing/fleet/src/synthetic/daemons.rs
@@ -44,7 +44,9 @@
 
 impl SyntheticFleet {
     pub(super) fn agent(&self, daemon: usize) -> Option<Arc<Agent<u64>>> {
-        self.daemons[daemon].as_ref().map(|started_daemon| started_daemon.agent.clone())
+        self.daemons[daemon]
+            .as_ref()
+            .map(|started_daemon| started_daemon.agent.clone())
     }
 
     pub(super) fn start_daemon(&mut self, daemon: usize) {
@@ -82,14 +84,22 @@
     /// Time passes for a daemon, if it is due; what is due next is looked up as part of it.
     pub(super) fn tick_daemon(&mut self, daemon: usize) {
         let now = self.now;
-        if self.daemons[daemon].as_ref().is_none_or(|started_daemon| started_daemon.due > now) {
+        if self.daemons[daemon]
+            .as_ref()
+            .is_none_or(|started_daemon| started_daemon.due > now)
+        {
             return;
         }
-        self.control(daemon, Work::Ticks, |controller, agent, now| controller.tick(agent, now));
-        let Some(started_daemon) = &mut self.daemons[daemon] else { return };
+        self.control(daemon, Work::Ticks, |controller, agent, now| {
+            controller.tick(agent, now)
+        });
+        let Some(started_daemon) = &mut self.daemons[daemon] else {
+            return;
+        };
         let (agent, controller) = (&started_daemon.agent, &started_daemon.controller);
-        let (next_due, _) =
-            self.meter.measure_step(Role::Ingress, Work::Ticks, || controller.next_due(agent));
+        let (next_due, _) = self
+            .meter
+            .measure_step(Role::Ingress, Work::Ticks, || controller.next_due(agent));
         started_daemon.due = next_due.clamp(now + SHORTEST_IDLE, now + LONGEST_IDLE);
         let idle_span = started_daemon.due.since(now);
         self.push(idle_span, Event::TickDaemon(daemon));
@@ -97,7 +107,9 @@
 
     fn tick_sooner(&mut self, daemon: usize, due: MonotonicTime) {
         let now = self.now;
-        let Some(started_daemon) = &mut self.daemons[daemon] else { return };
+        let Some(started_daemon) = &mut self.daemons[daemon] else {
+            return;
+        };
         if due < started_daemon.due {
             started_daemon.due = due.max(now + SHORTEST_IDLE).min(started_daemon.due);
             let idle_span = started_daemon.due.since(now);
@@ -124,12 +136,14 @@
         ) -> Vec<DaemonControlOutput<u64>>,
     ) {
         let now = self.now;
-        let Some(started_daemon) = &mut self.daemons[daemon] else { return };
+        let Some(started_daemon) = &mut self.daemons[daemon] else {
+            return;
+        };
         let agent = started_daemon.agent.clone();
         let controller = &mut started_daemon.controller;
-        let (orders, nanos) = self
-            .meter
-            .measure_step(wire::daemon_role(work), work, || step(controller, &agent, now));
+        let (orders, nanos) = self.meter.measure_step(wire::daemon_role(work), work, || {
+            step(controller, &agent, now)
+        });
         for order in orders {
             if matches!(order, DaemonControlOutput::Installed(_)) && self.meter.is_open() {
                 self.record.installs.push(nanos as f64 / 1e6);
@@ -164,7 +178,9 @@
                 self.acquired(daemon, &function, &result);
             }
             DaemonControlOutput::AcquiresLost => {
-                let Some(started_daemon) = &mut self.daemons[daemon] else { return };
+                let Some(started_daemon) = &mut self.daemons[daemon] else {
+                    return;
+                };
                 for function in std::mem::take(&mut started_daemon.acquires).into_keys() {
                     self.acquired(daemon, &function, &None);
                 }
@@ -176,9 +192,15 @@
     }
 
     fn dial(&mut self, daemon: usize, to: SocketAddress) {
-        let Some(controller) = Self::controller_at(to) else { return };
+        let Some(controller) = Self::controller_at(to) else {
+            return;
+        };
         let link = self.links.len();
-        self.links.push(Link { daemon, controller, is_open: true });
+        self.links.push(Link {
+            daemon,
+            controller,
+            is_open: true,
+        });
         if let Some(started_daemon) = &mut self.daemons[daemon] {
             started_daemon.link = Some(link);
         }
@@ -207,7 +229,11 @@
         if at_controller {
             let controller = self.links[link].controller;
             let stream = controlplane::leader_state::StreamId(link as u64);
-            self.step_controller(controller, Work::Others, ControllerInput::StreamLost(stream));
+            self.step_controller(
+                controller,
+                Work::Others,
+                ControllerInput::StreamLost(stream),
+            );
         } else if self.is_current(link) {
             let daemon = self.links[link].daemon;
             if let Some(started_daemon) = &mut self.daemons[daemon] {
@@ -220,12 +246,17 @@
     }
 
     fn send_up(&mut self, daemon: usize, frame: &DaemonToLeader) {
-        let link = self.daemons[daemon].as_ref().and_then(|started_daemon| started_daemon.link);
+        let link = self.daemons[daemon]
+            .as_ref()
+            .and_then(|started_daemon| started_daemon.link);
         let Some(link) = link else { return };
         let work = wire::work_up(frame);
         let role = wire::daemon_role(work);
-        let Ok(bytes) = self.meter.wire(role, work, 1, || encode(frame)) else { return };
-        self.meter.sent(role, work, 1, wire::frame_bytes(bytes.len()));
+        let Ok(bytes) = self.meter.wire(role, work, 1, || encode(frame)) else {
+            return;
+        };
+        self.meter
+            .sent(role, work, 1, wire::frame_bytes(bytes.len()));
         let delay = Self::delay(daemon, self.links[link].controller);
         self.push(delay, Event::Up(link, bytes.into()));
     }
@@ -234,24 +265,36 @@
         if !self.links[link].is_open || !self.is_current(link) {
             return;
         }
-        let Ok(frame) = decode::<LeaderToDaemon>(bytes) else { return };
+        let Ok(frame) = decode::<LeaderToDaemon>(bytes) else {
+            return;
+        };
         let work = wire::work_down(&frame);
         let role = wire::daemon_role(work);
-        let _ = self.meter.wire(role, work, 1, || decode::<LeaderToDaemon>(bytes));
-        self.meter.received(role, work, 1, wire::frame_bytes(bytes.len()));
+        let _ = self
+            .meter
+            .wire(role, work, 1, || decode::<LeaderToDaemon>(bytes));
+        self.meter
+            .received(role, work, 1, wire::frame_bytes(bytes.len()));
         let daemon = self.links[link].daemon;
-        self.control(daemon, work, |controller, agent, now| controller.received(agent, now, frame));
+        self.control(daemon, work, |controller, agent, now| {
+            controller.received(agent, now, frame)
+        });
     }
 
     fn heartbeat(&mut self, daemon: usize, heartbeat: Heartbeat, addresses: &[SocketAddress]) {
-        let encoded =
-            self.meter.wire(Role::Ingress, Work::Heartbeats, 1, || encode_heartbeat(&heartbeat));
+        let encoded = self.meter.wire(Role::Ingress, Work::Heartbeats, 1, || {
+            encode_heartbeat(&heartbeat)
+        });
         let Ok(datagram) = encoded else { return };
         let bytes = wire::datagram_bytes(datagram.len());
         self.record.heartbeat_bytes = datagram.len() as u64;
         let count = addresses.len() as u64;
-        self.meter.sent(Role::Ingress, Work::Heartbeats, count, count * bytes);
-        let heartbeat = Rc::new(HeartbeatDatagram { heartbeat, datagram });
+        self.meter
+            .sent(Role::Ingress, Work::Heartbeats, count, count * bytes);
+        let heartbeat = Rc::new(HeartbeatDatagram {
+            heartbeat,
+            datagram,
+        });
         for address in addresses {
             if let Some(watcher) = self.daemon_at(*address) {
                 let delay = Self::delay(daemon, watcher);
@@ -262,23 +305,36 @@
 
     pub(super) fn handle_heartbeat(&mut self, daemon: usize, heartbeat: &Rc<HeartbeatDatagram>) {
         let now = self.now;
-        let Some(started_daemon) = &mut self.daemons[daemon] else { return };
+        let Some(started_daemon) = &mut self.daemons[daemon] else {
+            return;
+        };
         let bytes = wire::datagram_bytes(heartbeat.datagram.len());
-        self.meter.received(Role::Ingress, Work::Heartbeats, 1, bytes);
+        self.meter
+            .received(Role::Ingress, Work::Heartbeats, 1, bytes);
         started_daemon.heartbeats_received += 1;
-        if started_daemon.heartbeats_received.is_multiple_of(DECODE_EVERY) {
-            let _ = self.meter.wire(Role::Ingress, Work::Heartbeats, DECODE_EVERY, || {
-                decode_heartbeat(&heartbeat.datagram)
-            });
+        if started_daemon
+            .heartbeats_received
+            .is_multiple_of(DECODE_EVERY)
+        {
+            let _ = self
+                .meter
+                .wire(Role::Ingress, Work::Heartbeats, DECODE_EVERY, || {
+                    decode_heartbeat(&heartbeat.datagram)
+                });
         }
         let controller = &mut started_daemon.controller;
-        self.meter.measure_step(Role::Ingress, Work::Heartbeats, || {
-            controller.heartbeat(now, &heartbeat.heartbeat)
-        });
+        self.meter
+            .measure_step(Role::Ingress, Work::Heartbeats, || {
+                controller.heartbeat(now, &heartbeat.heartbeat)
+            });
     }
 
     pub(super) fn handle_holder_message(&mut self, holder_key: HolderKey, word: HolderMessage) {
-        let HolderKey { daemon, function, fencing_token } = holder_key;
+        let HolderKey {
+            daemon,
+            function,
+            fencing_token,
+        } = holder_key;
         self.control(daemon, Work::Runners, |controller, agent, now| {
             controller.holder_message(agent, now, function, fencing_token, word)
         });
@@ -287,16 +343,30 @@
     /// Lets go of every state machine, and weighs what that frees.
     pub(super) fn measure_memory(&mut self, record: &mut RunRecord) {
         for started_daemon in std::mem::take(&mut self.daemons).into_iter().flatten() {
-            let Daemon { agent, controller, pending_requests, acquires, .. } = started_daemon;
+            let Daemon {
+                agent,
+                controller,
+                pending_requests,
+                acquires,
+                ..
+            } = started_daemon;
             drop((pending_requests, acquires));
             let bytes_before = memory::live();
             agent.held_functions.store(Arc::new(BTreeMap::new()));
-            agent.closing.lock().unwrap_or_else(PoisonError::into_inner).clear();
+            agent
+                .closing
+                .lock()
+                .unwrap_or_else(PoisonError::into_inner)
+                .clear();
             let bytes_without_held = memory::live();
-            record.holder_bytes.push(bytes_before.saturating_sub(bytes_without_held));
+            record
+                .holder_bytes
+                .push(bytes_before.saturating_sub(bytes_without_held));
             drop(controller);
             drop(agent);
-            record.ingress_bytes.push(bytes_without_held.saturating_sub(memory::live()));
+            record
+                .ingress_bytes
+                .push(bytes_without_held.saturating_sub(memory::live()));
         }
         for controller in std::mem::take(&mut self.controllers) {
             let leads = controller.controller_state.consensus().is_leader();
--- a/testing/fleet/src/synthetic/fleet.rs
+++ b/testing/fleet/src/synthetic/fleet.rs
@@ -103,7 +103,9 @@
     }
 
     pub(super) fn fill_span(&self) -> Duration {
-        FILL_SHORTEST.max(Duration::from_millis(self.size.held as u64 * 1000 / FILL_RATE))
+        FILL_SHORTEST.max(Duration::from_millis(
+            self.size.held as u64 * 1000 / FILL_RATE,
+        ))
     }
 
     fn measured_from(&self) -> Duration {
@@ -115,7 +117,10 @@
     }
 
     pub(super) fn controller_address(controller: usize) -> SocketAddress {
-        SocketAddress(std::net::SocketAddrV4::new([10, 0, 0, controller as u8 + 1].into(), 7100))
+        SocketAddress(std::net::SocketAddrV4::new(
+            [10, 0, 0, controller as u8 + 1].into(),
+            7100,
+        ))
     }
 
     pub(super) fn daemon_address(daemon: usize) -> SocketAddress {
@@ -141,7 +146,8 @@
 
     pub(super) fn push(&mut self, delay: Duration, event: Event) {
         self.next_event += 1;
-        self.queue.insert((self.now + delay, self.next_event), event);
+        self.queue
+            .insert((self.now + delay, self.next_event), event);
     }
 
     pub(super) fn number(&mut self) -> u64 {
@@ -209,7 +215,10 @@
             Event::Dialed(link) => self.dialed(link),
             Event::Up(link, frame) => self.handle_up_frame(link, &frame),
             Event::FrameToDaemon(link, frame) => self.handle_down_frame(link, &frame),
-            Event::LinkLost { link, at_controller } => self.link_lost(link, at_controller),
+            Event::LinkLost {
+                link,
+                at_controller,
+            } => self.link_lost(link, at_controller),
             Event::HeartbeatDatagram(daemon, heartbeat) => {
                 self.handle_heartbeat(daemon, &heartbeat)
             }
@@ -250,6 +259,10 @@
     }
 
     pub(super) fn pending(&mut self, daemon: usize, number: u64) -> Option<&mut PendingRequest> {
-        self.daemons.get_mut(daemon)?.as_mut()?.pending_requests.get_mut(&number)
+        self.daemons
+            .get_mut(daemon)?
+            .as_mut()?
+            .pending_requests
+            .get_mut(&number)
     }
 }
--- a/testing/fleet/src/synthetic/meter.rs
+++ b/testing/fleet/src/synthetic/meter.rs
@@ -22,8 +22,13 @@
 
 impl Role {
     /// Every role.
-    pub const ALL: [Role; 5] =
-        [Role::Ingress, Role::Holder, Role::Following, Role::Leading, Role::Platform];
+    pub const ALL: [Role; 5] = [
+        Role::Ingress,
+        Role::Holder,
+        Role::Following,
+        Role::Leading,
+        Role::Platform,
+    ];
 }
 
 impl fmt::Display for Role {
@@ -156,7 +161,8 @@
     }
 
     fn counters(&mut self, role: Role, work: Work) -> Option<&mut WorkCounters> {
-        self.is_open.then(|| self.counters_by_work.entry((role, work)).or_default())
+        self.is_open
+            .then(|| self.counters_by_work.entry((role, work)).or_default())
     }
 
     /// Runs a step of a state machine, and counts its time and its swell. Gives its nanoseconds too.
--- a/testing/fleet/src/synthetic/page/capacity_model/controllers.rs
+++ b/testing/fleet/src/synthetic/page/capacity_model/controllers.rs
@@ -16,8 +16,12 @@
     /// A controller that follows.
     pub fn following(&self, runs: &[Run]) -> Vec<Figure> {
         let baseline_runs: Vec<&Run> = runs.iter().filter(|run| run.is_baseline()).collect();
-        let predictors =
-            [Predictor::One, Predictor::Daemons, Predictor::Changes, Predictor::ChangedFunctions];
+        let predictors = [
+            Predictor::One,
+            Predictor::Daemons,
+            Predictor::Changes,
+            Predictor::ChangedFunctions,
+        ];
         let by_one = |read: &dyn Fn(&Run) -> f64| {
             Fit::of(&predictors, &baseline_runs, |run| Some(read(run) / 2.0))
         };
@@ -56,37 +60,62 @@
         let idle = loaded("word of idle functions", &self.idle_each, DAEMONS);
         let ticks = loaded("ticks and commits", &self.leading_ticks, 1.0);
         let core = loaded("the core's talk", &self.leading_core, 1.0);
-        let installed = loaded("specs installed", &self.installed_each, DAEMONS * CHANGES_A_SECOND);
-        let lists = Fit::of(&[Predictor::One, Predictor::Instances], &baseline_runs, |run| {
-            Some(run.busy("leading lists"))
-        });
+        let installed = loaded(
+            "specs installed",
+            &self.installed_each,
+            DAEMONS * CHANGES_A_SECOND,
+        );
+        let lists = Fit::of(
+            &[Predictor::One, Predictor::Instances],
+            &baseline_runs,
+            |run| Some(run.busy("leading lists")),
+        );
         let lists = loaded("the platform's lists taken in", &lists, 1.0);
         let rows = [&renewals, &idle, &ticks, &core, &installed, &lists];
         let all_busy = Figure::sum("**processor time**", Unit::Cores, &rows);
-        let stream = Fit::of(&[Predictor::Daemons, Predictor::Held], &baseline_runs, |run| {
-            Some(stream_rate(run, &LEADING_STREAM))
-        });
+        let stream = Fit::of(
+            &[Predictor::Daemons, Predictor::Held],
+            &baseline_runs,
+            |run| Some(stream_rate(run, &LEADING_STREAM)),
+        );
         let stream_count = Fit::of(&[Predictor::Daemons], &baseline_runs, |run| {
-            let counted =
-                LEADING_STREAM.iter().map(|work| run.rate(work, "sent") + run.rate(work, "heard"));
+            let counted = LEADING_STREAM
+                .iter()
+                .map(|work| run.rate(work, "sent") + run.rate(work, "heard"));
             Some(counted.sum())
         });
-        let core_terms =
-            [Predictor::One, Predictor::Daemons, Predictor::Changes, Predictor::ChangedFunctions];
+        let core_terms = [
+            Predictor::One,
+            Predictor::Daemons,
+            Predictor::Changes,
+            Predictor::ChangedFunctions,
+        ];
         let core_bytes = Fit::of(&core_terms, &baseline_runs, |run| {
             Some(run.rate("leading core", "sent_bytes") + run.rate("leading core", "heard_bytes"))
         });
-        let memory_terms =
-            [Predictor::One, Predictor::Daemons, Predictor::Functions, Predictor::Held];
+        let memory_terms = [
+            Predictor::One,
+            Predictor::Daemons,
+            Predictor::Functions,
+            Predictor::Held,
+        ];
         let memory = Fit::of(&memory_terms, &baseline_runs, |run| {
             Some(run.number("leading_bytes") / MEGABYTE)
         });
-        let transient_memory =
-            Fit::of(&[Predictor::One, Predictor::Functions], &baseline_runs, |run| {
-                let works = ["leading changes", "leading core", "leading ticks", "leading disk"];
+        let transient_memory = Fit::of(
+            &[Predictor::One, Predictor::Functions],
+            &baseline_runs,
+            |run| {
+                let works = [
+                    "leading changes",
+                    "leading core",
+                    "leading ticks",
+                    "leading disk",
+                ];
                 let peaks = works.iter().map(|work| run.work(work, "swell_bytes"));
                 Some(peaks.fold(0.0, f64::max) / MEGABYTE)
-            });
+            },
+        );
         let memory = Figure::of("memory kept", Unit::Megabytes, &memory, 1.0);
         let transient_memory = Figure::of(
             "memory on top while a change is made",
@@ -95,21 +124,52 @@
             1.0,
         );
         let all_memory = Figure::sum("**memory**", Unit::Megabytes, &[&memory, &transient_memory]);
-        let network = Figure::of("a change: the network", Unit::Millis, &self.force_network, 1.0);
-        let own = Figure::of("a change: the leader", Unit::Millis, &self.force_leader, 1.0);
-        let install = Figure::of("a change: the slowest daemon", Unit::Millis, &self.install, 1.0);
-        let in_force =
-            Figure::sum("**a change in force**", Unit::Millis, &[&network, &own, &install]);
+        let network = Figure::of(
+            "a change: the network",
+            Unit::Millis,
+            &self.force_network,
+            1.0,
+        );
+        let own = Figure::of(
+            "a change: the leader",
+            Unit::Millis,
+            &self.force_leader,
+            1.0,
+        );
+        let install = Figure::of(
+            "a change: the slowest daemon",
+            Unit::Millis,
+            &self.install,
+            1.0,
+        );
+        let in_force = Figure::sum(
+            "**a change in force**",
+            Unit::Millis,
+            &[&network, &own, &install],
+        );
         let join = Fit::of(
-            &[Predictor::One, Predictor::Daemons, Predictor::DaemonsSquared],
+            &[
+                Predictor::One,
+                Predictor::Daemons,
+                Predictor::DaemonsSquared,
+            ],
             &baseline_runs,
             |run| (run.number("functions") == 200.0).then(|| run.number("join_ms")),
         );
-        let join =
-            Figure::of("every daemon joins at once, 200 functions", Unit::Millis, &join, 1.0);
+        let join = Figure::of(
+            "every daemon joins at once, 200 functions",
+            Unit::Millis,
+            &join,
+            1.0,
+        );
         vec![
             Figure::of("streams of all daemons", Unit::BytesASecond, &stream, 1.0),
-            Figure::of("streams of all daemons", Unit::MessagesASecond, &stream_count, 1.0),
+            Figure::of(
+                "streams of all daemons",
+                Unit::MessagesASecond,
+                &stream_count,
+                1.0,
+            ),
             Figure::of("the core's talk", Unit::BytesASecond, &core_bytes, 1.0),
             renewals,
             idle,
--- a/testing/fleet/src/synthetic/page/capacity_model/holder.rs
+++ b/testing/fleet/src/synthetic/page/capacity_model/holder.rs
@@ -20,7 +20,9 @@
         let called: Vec<&Run> = runs.iter().filter(|run| run.is_called()).collect();
         let predictors = [Predictor::One, Predictor::HeldPerDaemon];
         let by_daemon = |read: &dyn Fn(&Run) -> f64| {
-            Fit::of(&predictors, &baseline_runs, |run| Some(read(run) / run.daemons()))
+            Fit::of(&predictors, &baseline_runs, |run| {
+                Some(read(run) / run.daemons())
+            })
         };
         let by_call = |read: &dyn Fn(&Run) -> f64| {
             Fit::of(&[Predictor::One], &called, |run| {
@@ -42,15 +44,28 @@
             1.0,
         );
         let idle_busy = by_daemon(&|run| run.busy("holder idle"));
-        let idle_busy =
-            Figure::of("word of functions that are not called", Unit::BusyASecond, &idle_busy, 1.0);
+        let idle_busy = Figure::of(
+            "word of functions that are not called",
+            Unit::BusyASecond,
+            &idle_busy,
+            1.0,
+        );
         let ticks = self.ingress_ticks(runs).only(Predictor::HeldPerDaemon);
         let ticks = Figure::of("ticks of held functions", Unit::BusyASecond, &ticks, 1.0);
-        let all_busy =
-            Figure::sum("**control processor time**", Unit::BusyASecond, &[&idle_busy, &ticks]);
-        let memory =
-            Fit::of(&predictors, &baseline_runs, |run| Some(run.number("holder_bytes") / MEGABYTE));
-        let memory = Figure::of("**memory** of held functions", Unit::Megabytes, &memory, 1.0);
+        let all_busy = Figure::sum(
+            "**control processor time**",
+            Unit::BusyASecond,
+            &[&idle_busy, &ticks],
+        );
+        let memory = Fit::of(&predictors, &baseline_runs, |run| {
+            Some(run.number("holder_bytes") / MEGABYTE)
+        });
+        let memory = Figure::of(
+            "**memory** of held functions",
+            Unit::Megabytes,
+            &memory,
+            1.0,
+        );
         let runs_busy = by_call(&|run| run.busy("holder runs"));
         let runs_busy = Figure::of(
             "calls at their holder (not control)",
--- a/testing/fleet/src/synthetic/page/capacity_model/ingress.rs
+++ b/testing/fleet/src/synthetic/page/capacity_model/ingress.rs
@@ -20,20 +20,33 @@
         let baseline_runs: Vec<&Run> = runs.iter().filter(|run| run.is_baseline()).collect();
         let called: Vec<&Run> = runs.iter().filter(|run| run.is_called()).collect();
         let by_daemon = |predictors: &[Predictor], read: &dyn Fn(&Run) -> f64| {
-            Fit::of(predictors, &baseline_runs, |run| Some(read(run) / run.daemons()))
+            Fit::of(predictors, &baseline_runs, |run| {
+                Some(read(run) / run.daemons())
+            })
         };
         let of_change = |predictors: &[Predictor], read: &dyn Fn(&Run) -> f64| {
             Fit::of(predictors, &baseline_runs, |run| {
                 Some(read(run) / run.number("changes") / run.daemons())
             })
         };
-        let beats =
-            Figure::of("heartbeats sent and heard", Unit::BytesASecond, &self.beat_bytes, 1.0);
+        let beats = Figure::of(
+            "heartbeats sent and heard",
+            Unit::BytesASecond,
+            &self.beat_bytes,
+            1.0,
+        );
         let renewals = by_daemon(&[Predictor::One], &|run| stream_rate(run, &INGRESS_STREAM));
-        let renewals = Figure::of("renewals sent and heard", Unit::BytesASecond, &renewals, 1.0);
-        let hosts = Fit::of(&[Predictor::One, Predictor::Daemons], &baseline_runs, |run| {
-            Some(run.number("hosts_bytes"))
-        });
+        let renewals = Figure::of(
+            "renewals sent and heard",
+            Unit::BytesASecond,
+            &renewals,
+            1.0,
+        );
+        let hosts = Fit::of(
+            &[Predictor::One, Predictor::Daemons],
+            &baseline_runs,
+            |run| Some(run.number("hosts_bytes")),
+        );
         let hosts = Figure::of(
             "lists of daemons, 143 leaving and joining a day",
             Unit::BytesASecond,
@@ -43,8 +56,12 @@
         let spec_bytes = of_change(&[Predictor::One, Predictor::Functions], &|run| {
             run.work("door spec", "heard_bytes") + run.work("door spec", "sent_bytes")
         });
-        let spec_bytes =
-            Figure::of("changes of the spec", Unit::BytesASecond, &spec_bytes, CHANGES_A_SECOND);
+        let spec_bytes = Figure::of(
+            "changes of the spec",
+            Unit::BytesASecond,
+            &spec_bytes,
+            CHANGES_A_SECOND,
+        );
         let all_bytes = Figure::sum(
             "**control bytes**",
             Unit::BytesASecond,
@@ -53,11 +70,17 @@
         let beat_count = by_daemon(&[Predictor::One], &|run| {
             run.rate("door beats", "sent") + run.rate("door beats", "heard")
         });
-        let messages =
-            Figure::of("heartbeats sent and heard", Unit::MessagesASecond, &beat_count, 1.0);
-        let beat_size = Fit::of(&[Predictor::One, Predictor::Daemons], &baseline_runs, |run| {
-            Some(run.number("heartbeat_bytes"))
-        });
+        let messages = Figure::of(
+            "heartbeats sent and heard",
+            Unit::MessagesASecond,
+            &beat_count,
+            1.0,
+        );
+        let beat_size = Fit::of(
+            &[Predictor::One, Predictor::Daemons],
+            &baseline_runs,
+            |run| Some(run.number("heartbeat_bytes")),
+        );
         let beat_size = Figure::of("one heartbeat", Unit::Bytes, &beat_size, 1.0);
         let membership_ratio = Fit::of(&[Predictor::One], &baseline_runs, |run| {
             (run.daemons() == DAEMONS).then(|| DAEMONS / run.number("alive_seen"))
@@ -75,16 +98,21 @@
             &ticks.without(Predictor::HeldPerDaemon),
             1.0,
         );
-        let beats_busy =
-            by_daemon(&[Predictor::One, Predictor::Daemons], &|run| run.busy("door beats"));
+        let beats_busy = by_daemon(&[Predictor::One, Predictor::Daemons], &|run| {
+            run.busy("door beats")
+        });
         let beats_busy = Figure::of("heartbeats", Unit::BusyASecond, &beats_busy, 1.0);
         let renewals_busy = by_daemon(&[Predictor::One], &|run| run.busy("door renewals"));
         let renewals_busy = Figure::of("renewals", Unit::BusyASecond, &renewals_busy, 1.0);
         let spec_busy = of_change(&[Predictor::One, Predictor::Functions], &|run| {
             run.work("door spec", "think_us") + run.work("door spec", "wire_us")
         });
-        let spec_busy =
-            Figure::of("changes of the spec", Unit::BusyASecond, &spec_busy, CHANGES_A_SECOND);
+        let spec_busy = Figure::of(
+            "changes of the spec",
+            Unit::BusyASecond,
+            &spec_busy,
+            CHANGES_A_SECOND,
+        );
         let all_busy = Figure::sum(
             "**control processor time**",
             Unit::BusyASecond,
@@ -96,10 +124,11 @@
             |run| Some(run.number("door_bytes") / MEGABYTE),
         );
         let memory = Figure::of("memory kept", Unit::Megabytes, &memory, 1.0);
-        let transient_memory =
-            Fit::of(&[Predictor::One, Predictor::Functions], &baseline_runs, |run| {
-                Some(run.work("door spec", "swell_bytes") / MEGABYTE)
-            });
+        let transient_memory = Fit::of(
+            &[Predictor::One, Predictor::Functions],
+            &baseline_runs,
+            |run| Some(run.work("door spec", "swell_bytes") / MEGABYTE),
+        );
         let transient_memory = Figure::of(
             "memory on top while a change is installed",
             Unit::Megabytes,
@@ -107,13 +136,21 @@
             1.0,
         );
         let all_memory = Figure::sum("**memory**", Unit::Megabytes, &[&memory, &transient_memory]);
-        let install =
-            Figure::of("the slowest install of a change", Unit::Millis, &self.install, 1.0);
+        let install = Figure::of(
+            "the slowest install of a change",
+            Unit::Millis,
+            &self.install,
+            1.0,
+        );
         let call = Fit::of(&[Predictor::One], &called, |run| {
             Some(run.busy("door calls") * seconds_of(run) / run.number("called"))
         });
-        let call =
-            Figure::of("calls on their way (not control)", Unit::BusyASecond, &call, CALLS_AT_ONE);
+        let call = Figure::of(
+            "calls on their way (not control)",
+            Unit::BusyASecond,
+            &call,
+            CALLS_AT_ONE,
+        );
         vec![
             beats,
             renewals,
@@ -139,6 +176,8 @@
     pub(super) fn ingress_ticks(&self, runs: &[Run]) -> Fit {
         let baseline_runs: Vec<&Run> = runs.iter().filter(|run| run.is_baseline()).collect();
         let predictors = [Predictor::One, Predictor::Daemons, Predictor::HeldPerDaemon];
-        Fit::of(&predictors, &baseline_runs, |run| Some(run.busy("door ticks") / run.daemons()))
+        Fit::of(&predictors, &baseline_runs, |run| {
+            Some(run.busy("door ticks") / run.daemons())
+        })
     }
 }
--- a/testing/fleet/src/synthetic/page/capacity_model/mod.rs
+++ b/testing/fleet/src/synthetic/page/capacity_model/mod.rs
@@ -45,7 +45,10 @@
 }
 
 fn stream_rate(run: &Run, works: &[&str]) -> f64 {
-    works.iter().map(|work| run.rate(work, "sent_bytes") + run.rate(work, "heard_bytes")).sum()
+    works
+        .iter()
+        .map(|work| run.rate(work, "sent_bytes") + run.rate(work, "heard_bytes"))
+        .sum()
 }
 
 const LOADED: [Predictor; 3] = [Predictor::One, Predictor::Daemons, Predictor::Held];
@@ -62,12 +65,18 @@
     pub fn of(runs: &[Run]) -> Self {
         let baseline_runs: Vec<&Run> = runs.iter().filter(|run| run.is_baseline()).collect();
         Self {
-            beat_bytes: Fit::of(&[Predictor::One, Predictor::Daemons], &baseline_runs, |run| {
-                let sent_and_heard =
-                    run.rate("door beats", "sent_bytes") + run.rate("door beats", "heard_bytes");
-                Some(sent_and_heard / run.daemons())
+            beat_bytes: Fit::of(
+                &[Predictor::One, Predictor::Daemons],
+                &baseline_runs,
+                |run| {
+                    let sent_and_heard = run.rate("door beats", "sent_bytes")
+                        + run.rate("door beats", "heard_bytes");
+                    Some(sent_and_heard / run.daemons())
+                },
+            ),
+            renewal_each: Fit::of(&LOADED, &baseline_runs, |run| {
+                run.per_step("leading renewals")
             }),
-            renewal_each: Fit::of(&LOADED, &baseline_runs, |run| run.per_step("leading renewals")),
             idle_each: Fit::of(&LOADED, &baseline_runs, |run| run.per_step("leading idle")),
             leading_ticks: Fit::of(&LOADED_AND_CHANGED, &baseline_runs, |run| {
                 Some(run.busy("leading ticks"))
@@ -90,9 +99,11 @@
                 |run| run.in_force().map(|(_, leader_ms, _)| leader_ms),
             ),
             installed_each: Fit::of(&LOADED, &baseline_runs, |run| run.per_step("leading spec")),
-            install: Fit::of(&[Predictor::One, Predictor::Functions], &baseline_runs, |run| {
-                run.in_force().map(|(_, _, install_ms)| install_ms)
-            }),
+            install: Fit::of(
+                &[Predictor::One, Predictor::Functions],
+                &baseline_runs,
+                |run| run.in_force().map(|(_, _, install_ms)| install_ms),
+            ),
         }
     }
 
--- a/testing/fleet/src/synthetic/page/capacity_model/platform.rs
+++ b/testing/fleet/src/synthetic/page/capacity_model/platform.rs
@@ -37,17 +37,51 @@
             Figure::of(name, Unit::Seconds, &calls, 1.0)
         };
         vec![
-            Figure::of("lists, whole", Unit::BytesASecond, &by_poll("heard_bytes"), POLLS_A_SECOND),
-            Figure::of("reading them", Unit::BusyASecond, &by_poll("wire_us"), POLLS_A_SECOND),
-            Figure::of("calls for whole lists, as it stands", Unit::CallsASecond, &list_calls, 1.0)
-                .within(PLATFORM_CALLS_BUDGET),
-            Figure::of("calls for pages of 200, every 0.4 s", Unit::CallsASecond, &paged, 1.0)
-                .within(PLATFORM_CALLS_BUDGET),
-            Figure::of("one sweep of all pages at 26 calls/s", Unit::Seconds, &sweep, 1.0)
-                .within(1.0 / POLLS_A_SECOND),
-            after_loss("a rack of 20 lost: its stops and starts at 26 calls/s", RACK),
-            after_loss("a zone of 74 lost: its stops and starts at 26 calls/s", ZONE),
-            after_loss("a region of 247 lost: its stops and starts at 26 calls/s", REGION),
+            Figure::of(
+                "lists, whole",
+                Unit::BytesASecond,
+                &by_poll("heard_bytes"),
+                POLLS_A_SECOND,
+            ),
+            Figure::of(
+                "reading them",
+                Unit::BusyASecond,
+                &by_poll("wire_us"),
+                POLLS_A_SECOND,
+            ),
+            Figure::of(
+                "calls for whole lists, as it stands",
+                Unit::CallsASecond,
+                &list_calls,
+                1.0,
+            )
+            .within(PLATFORM_CALLS_BUDGET),
+            Figure::of(
+                "calls for pages of 200, every 0.4 s",
+                Unit::CallsASecond,
+                &paged,
+                1.0,
+            )
+            .within(PLATFORM_CALLS_BUDGET),
+            Figure::of(
+                "one sweep of all pages at 26 calls/s",
+                Unit::Seconds,
+                &sweep,
+                1.0,
+            )
+            .within(1.0 / POLLS_A_SECOND),
+            after_loss(
+                "a rack of 20 lost: its stops and starts at 26 calls/s",
+                RACK,
+            ),
+            after_loss(
+                "a zone of 74 lost: its stops and starts at 26 calls/s",
+                ZONE,
+            ),
+            after_loss(
+                "a region of 247 lost: its stops and starts at 26 calls/s",
+                REGION,
+            ),
         ]
     }
 }
--- a/testing/fleet/src/synthetic/page/figure.rs
+++ b/testing/fleet/src/synthetic/page/figure.rs
@@ -77,7 +77,11 @@
             }
             grouped.push(digit);
         }
-        if whole < 0 { format!("-{grouped}") } else { grouped }
+        if whole < 0 {
+            format!("-{grouped}")
+        } else {
+            grouped
+        }
     } else {
         let decimals = (2.0 - size.log10().floor()).clamp(0.0, 12.0) as usize;
         format!("{value:.decimals$}")
@@ -88,13 +92,28 @@
     /// One line that counts so often.
     pub fn of(name: &str, unit: Unit, fit: &Fit, factor: f64) -> Self {
         let parts = vec![(fit.clone(), factor)];
-        Self { name: name.to_owned(), unit, parts, budget: None, is_sum: false }
+        Self {
+            name: name.to_owned(),
+            unit,
+            parts,
+            budget: None,
+            is_sum: false,
+        }
     }
 
     /// The sum of other figures.
     pub fn sum(name: &str, unit: Unit, figures: &[&Figure]) -> Self {
-        let parts = figures.iter().flat_map(|figure| figure.parts.clone()).collect();
-        Self { name: name.to_owned(), unit, parts, budget: None, is_sum: true }
+        let parts = figures
+            .iter()
+            .flat_map(|figure| figure.parts.clone())
+            .collect();
+        Self {
+            name: name.to_owned(),
+            unit,
+            parts,
+            budget: None,
+            is_sum: true,
+        }
     }
 
     /// With what may be spent.
@@ -105,7 +124,10 @@
 
     /// Its value at the size of two years from now.
     pub fn at_target(&self) -> f64 {
-        self.parts.iter().map(|(fit, factor)| fit.line.at_target() * factor).sum()
+        self.parts
+            .iter()
+            .map(|(fit, factor)| fit.line.at_target() * factor)
+            .sum()
     }
 
     /// By how much it misses its budget: above one it does not fit.
@@ -133,7 +155,9 @@
         if self.is_sum {
             return "the sum of the rows named".to_owned();
         }
-        let Some((fit, factor)) = self.parts.first() else { return String::new() };
+        let Some((fit, factor)) = self.parts.first() else {
+            return String::new();
+        };
         let parts: Vec<String> = fit
             .line
             .parts
@@ -144,7 +168,11 @@
             })
             .collect();
         let line = parts.join(" + ");
-        if *factor == 1.0 { line } else { format!("({line}) × {}", format_figure(*factor)) }
+        if *factor == 1.0 {
+            line
+        } else {
+            format!("({line}) × {}", format_figure(*factor))
+        }
     }
 
     /// The row as Markdown.
@@ -154,14 +182,18 @@
             None => "worked out".to_owned(),
         };
         let value = format!("{} {}", format_figure(self.at_target()), self.unit);
-        let budget = self
-            .budget
-            .map_or("–".to_owned(), |budget| format!("{} {}", format_figure(budget), self.unit));
+        let budget = self.budget.map_or("–".to_owned(), |budget| {
+            format!("{} {}", format_figure(budget), self.unit)
+        });
         let ratio = match self.ratio() {
             Some(ratio) if ratio > 1.0 => format!("**{} × too much**", format_figure(ratio)),
             Some(ratio) => format_figure(ratio),
             None => "–".to_owned(),
         };
-        format!("| {} | {} | {value} | {spread} | {budget} | {ratio} |", self.name, self.formula())
+        format!(
+            "| {} | {} | {value} | {spread} | {budget} | {ratio} |",
+            self.name,
+            self.formula()
+        )
     }
 }
--- a/testing/fleet/src/synthetic/page/fit.rs
+++ b/testing/fleet/src/synthetic/page/fit.rs
@@ -109,14 +109,19 @@
     /// Without the terms that come to less than a millionth of every point.
     fn drop_negligible(mut self, points: &[(&Run, f64)]) -> Self {
         self.parts.retain(|(predictor, factor)| {
-            points.iter().any(|(run, value)| factor * predictor.of(run) > value.abs() * 1e-6)
+            points
+                .iter()
+                .any(|(run, value)| factor * predictor.of(run) > value.abs() * 1e-6)
         });
         self
     }
 
     /// Its value where terms have the values given.
     pub fn at(&self, value_of: impl Fn(Predictor) -> f64) -> f64 {
-        self.parts.iter().map(|(predictor, factor)| factor * value_of(*predictor)).sum()
+        self.parts
+            .iter()
+            .map(|(predictor, factor)| factor * value_of(*predictor))
+            .sum()
     }
 
     /// Its value at the size of two years from now.
@@ -142,7 +147,10 @@
     let scales: Vec<f64> = predictors
         .iter()
         .map(|predictor| {
-            points.iter().map(|(run, _)| predictor.of(run).abs()).fold(1e-12, f64::max)
+            points
+                .iter()
+                .map(|(run, _)| predictor.of(run).abs())
+                .fold(1e-12, f64::max)
         })
         .collect();
     let mut rows = vec![vec![0.0; count + 1]; count];
@@ -162,7 +170,11 @@
     }
     for pivot in 0..count {
         let best = (pivot..count)
-            .max_by(|left, right| rows[*left][pivot].abs().total_cmp(&rows[*right][pivot].abs()))
+            .max_by(|left, right| {
+                rows[*left][pivot]
+                    .abs()
+                    .total_cmp(&rows[*right][pivot].abs())
+            })
             .unwrap_or(pivot);
         rows.swap(pivot, best);
         if rows[pivot][pivot].abs() < 1e-18 {
@@ -181,7 +193,11 @@
     (0..count)
         .map(|index| {
             let divisor = rows[index][index];
-            if divisor.abs() < 1e-18 { 0.0 } else { rows[index][count] / divisor / scales[index] }
+            if divisor.abs() < 1e-18 {
+                0.0
+            } else {
+                rows[index][count] / divisor / scales[index]
+            }
         })
         .collect()
 }
@@ -198,25 +214,38 @@
 impl Fit {
     /// Fits what is read from each run; a run of which nothing is read is left out.
     pub fn of(predictors: &[Predictor], runs: &[&Run], read: impl Fn(&Run) -> Option<f64>) -> Self {
-        let points: Vec<(&Run, f64)> =
-            runs.iter().filter_map(|run| Some((*run, read(run)?))).collect();
+        let points: Vec<(&Run, f64)> = runs
+            .iter()
+            .filter_map(|run| Some((*run, read(run)?)))
+            .collect();
         let mut seeds: Vec<u64> = points.iter().map(|(run, _)| run.seed()).collect();
         seeds.sort_unstable();
         seeds.dedup();
         let by_seed = seeds
             .into_iter()
             .map(|seed| {
-                let seeded: Vec<(&Run, f64)> =
-                    points.iter().filter(|(run, _)| run.seed() == seed).copied().collect();
+                let seeded: Vec<(&Run, f64)> = points
+                    .iter()
+                    .filter(|(run, _)| run.seed() == seed)
+                    .copied()
+                    .collect();
                 LinearModel::fit(predictors, &seeded)
             })
             .collect();
-        Self { line: LinearModel::fit(predictors, &points), by_seed }
+        Self {
+            line: LinearModel::fit(predictors, &points),
+            by_seed,
+        }
     }
 
     /// A figure that nothing is measured for.
     pub fn fixed(value: f64) -> Self {
-        Self { line: LinearModel { parts: vec![(Predictor::One, value)] }, by_seed: Vec::new() }
+        Self {
+            line: LinearModel {
+                parts: vec![(Predictor::One, value)],
+            },
+            by_seed: Vec::new(),
+        }
     }
 
     /// Only the part that grows with one term.
@@ -230,7 +259,14 @@
     }
 
     fn restricted_to(&self, is_kept: &dyn Fn(Predictor) -> bool) -> Self {
-        let by_seed = self.by_seed.iter().map(|line| line.restricted_to(is_kept)).collect();
-        Self { line: self.line.restricted_to(is_kept), by_seed }
+        let by_seed = self
+            .by_seed
+            .iter()
+            .map(|line| line.restricted_to(is_kept))
+            .collect();
+        Self {
+            line: self.line.restricted_to(is_kept),
+            by_seed,
+        }
     }
 }
--- a/testing/fleet/src/synthetic/page/mod.rs
+++ b/testing/fleet/src/synthetic/page/mod.rs
@@ -34,7 +34,11 @@
         match self {
             Self::Record(error) => write!(out, "{error}"),
             Self::TooFew(folder, count) => {
-                write!(out, "{}: {count} whole runs; slopes need at least 6", folder.display())
+                write!(
+                    out,
+                    "{}: {count} whole runs; slopes need at least 6",
+                    folder.display()
+                )
             }
             Self::Unmarked(path, mark) => write!(out, "{}: no line {mark:?}", path.display()),
             Self::Plot(path, error) => write!(out, "{}: {error}", path.display()),
--- a/testing/fleet/src/synthetic/page/plots.rs
+++ b/testing/fleet/src/synthetic/page/plots.rs
@@ -40,20 +40,29 @@
 }
 
 fn leader_busy(run: &Run) -> f64 {
-    let works = ["leading renewals", "leading idle", "leading ticks", "leading core"];
+    let works = [
+        "leading renewals",
+        "leading idle",
+        "leading ticks",
+        "leading core",
+    ];
     works.iter().map(|work| run.busy(work)).sum()
 }
 
 fn in_force(run: &Run) -> Option<f64> {
-    run.in_force().map(|(network_ms, leader_ms, install_ms)| network_ms + leader_ms + install_ms)
+    run.in_force()
+        .map(|(network_ms, leader_ms, install_ms)| network_ms + leader_ms + install_ms)
 }
 
 /// Draws every plot into a folder, and names the files.
 pub fn draw_plots(folder: &Path, runs: &[Run]) -> Result<Vec<PathBuf>, PageError> {
     let capacity_model = CapacityModel::of(runs);
     let baseline_runs: Vec<&Run> = runs.iter().filter(|run| run.is_baseline()).collect();
-    let by_daemon_runs: Vec<&Run> =
-        baseline_runs.iter().copied().filter(|run| run.number("functions") == 200.0).collect();
+    let by_daemon_runs: Vec<&Run> = baseline_runs
+        .iter()
+        .copied()
+        .filter(|run| run.number("functions") == 200.0)
+        .collect();
     let held: Vec<&Run> = baseline_runs
         .iter()
         .copied()
@@ -84,7 +93,15 @@
                 })
                 .collect(),
             line: log_steps(40.0, 900.0)
-                .map(|size| (size, capacity_model.beat_bytes.line.at(at_size(size, 200.0, 200.0))))
+                .map(|size| {
+                    (
+                        size,
+                        capacity_model
+                            .beat_bytes
+                            .line
+                            .at(at_size(size, 200.0, 200.0)),
+                    )
+                })
                 .collect(),
             budget: 5_000.0,
             budget_name: "5 KB/s",
@@ -95,9 +112,17 @@
             sizes: "daemons",
             values: "microseconds a second",
             target: 740.0,
-            points: by_daemon_runs.iter().map(|run| (run.daemons(), leader_busy(run))).collect(),
+            points: by_daemon_runs
+                .iter()
+                .map(|run| (run.daemons(), leader_busy(run)))
+                .collect(),
             line: log_steps(40.0, 900.0)
-                .map(|size| (size, capacity_model.leader_busy(&at_size(size, 200.0, 200.0))))
+                .map(|size| {
+                    (
+                        size,
+                        capacity_model.leader_busy(&at_size(size, 200.0, 200.0)),
+                    )
+                })
                 .collect(),
             budget: 1e6,
             budget_name: "one core",
@@ -108,7 +133,10 @@
             sizes: "functions held, one runner each",
             values: "microseconds a second",
             target: 15_000.0,
-            points: held.iter().map(|run| (run.number("held"), leader_busy(run))).collect(),
+            points: held
+                .iter()
+                .map(|run| (run.number("held"), leader_busy(run)))
+                .collect(),
             line: log_steps(150.0, 18_000.0)
                 .map(|size| (size, capacity_model.leader_busy(&at_size(50.0, size, size))))
                 .collect(),
@@ -163,12 +191,20 @@
         let area = SVGBackend::new(path, (760, 460)).into_drawing_area();
         area.fill(&WHITE)?;
         let sizes = self.line.iter().map(|(size, _)| *size);
-        let (least, most) =
-            (sizes.clone().fold(f64::INFINITY, f64::min), sizes.fold(0.0, f64::max));
-        let values =
-            self.line.iter().chain(&self.points).map(|(_, value)| *value).chain([self.budget]);
-        let (lowest, highest) =
-            (values.clone().fold(f64::INFINITY, f64::min) * 0.6, values.fold(0.0, f64::max) * 1.8);
+        let (least, most) = (
+            sizes.clone().fold(f64::INFINITY, f64::min),
+            sizes.fold(0.0, f64::max),
+        );
+        let values = self
+            .line
+            .iter()
+            .chain(&self.points)
+            .map(|(_, value)| *value)
+            .chain([self.budget]);
+        let (lowest, highest) = (
+            values.clone().fold(f64::INFINITY, f64::min) * 0.6,
+            values.fold(0.0, f64::max) * 1.8,
+        );
         let mut chart = ChartBuilder::on(&area)
             .caption(self.title, ("sans-serif", 18))
             .margin(12)
@@ -188,7 +224,10 @@
             .label(format!("budget: {}", self.budget_name))
             .legend(|(x, y)| PathElement::new([(x, y), (x + 18, y)], RED.stroke_width(2)));
         chart
-            .draw_series(LineSeries::new(self.line.iter().copied(), BLUE.stroke_width(2)))?
+            .draw_series(LineSeries::new(
+                self.line.iter().copied(),
+                BLUE.stroke_width(2),
+            ))?
             .label("by the slopes")
             .legend(|(x, y)| PathElement::new([(x, y), (x + 18, y)], BLUE.stroke_width(2)));
         let target_line = [(self.target, lowest), (self.target, highest)];
@@ -197,7 +236,11 @@
             .label("the size of two years from now")
             .legend(|(x, y)| PathElement::new([(x, y), (x + 18, y)], BLACK.mix(0.4)));
         chart
-            .draw_series(self.points.iter().map(|point| Circle::new(*point, 4, BLACK.filled())))?
+            .draw_series(
+                self.points
+                    .iter()
+                    .map(|point| Circle::new(*point, 4, BLACK.filled())),
+            )?
             .label("measured")
             .legend(|(x, y)| Circle::new((x + 9, y), 4, BLACK.filled()));
         chart
--- a/testing/fleet/src/synthetic/page/runs.rs
+++ b/testing/fleet/src/synthetic/page/runs.rs
@@ -82,9 +82,14 @@
     /// The changes' longest time on the network, the leader's longest own time, and the slowest install,
     /// in milliseconds; none when no change came into force.
     pub fn in_force(&self) -> Option<(f64, f64, f64)> {
-        let rows = self.0["in_force_ms"].as_array().filter(|rows| !rows.is_empty())?;
-        let longest =
-            |part: usize| rows.iter().filter_map(|row| row[part].as_f64()).fold(0.0, f64::max);
+        let rows = self.0["in_force_ms"]
+            .as_array()
+            .filter(|rows| !rows.is_empty())?;
+        let longest = |part: usize| {
+            rows.iter()
+                .filter_map(|row| row[part].as_f64())
+                .fold(0.0, f64::max)
+        };
         Some((longest(0), longest(1), self.number("install_ms")))
     }
 }
@@ -95,7 +100,10 @@
     let mut runs = Vec::new();
     for entry in std::fs::read_dir(folder).map_err(file_error)? {
         let path = entry.map_err(file_error)?.path();
-        if path.extension().is_some_and(|extension| extension == "json") {
+        if path
+            .extension()
+            .is_some_and(|extension| extension == "json")
+        {
             let text = std::fs::read_to_string(&path)
                 .map_err(|error| RecordError::File(path.clone(), error))?;
             let value: Value = serde_json::from_str(&text)
@@ -103,7 +111,14 @@
             runs.push(Run::from(value));
         }
     }
-    let sizes = ["daemons", "functions", "held_wanted", "runners", "calls", "seed"];
+    let sizes = [
+        "daemons",
+        "functions",
+        "held_wanted",
+        "runners",
+        "calls",
+        "seed",
+    ];
     runs.sort_by_key(|run| sizes.map(|key| run.number(key) as u64));
     let usable_count = runs.iter().filter(|run| run.is_baseline()).count();
     if usable_count < 6 {
--- a/testing/fleet/src/synthetic/page/tables.rs
+++ b/testing/fleet/src/synthetic/page/tables.rs
@@ -20,8 +20,10 @@
         ("platform", capacity_model.platform(runs)),
     ];
     let over_budget = over_budget(&roles);
-    let mut made: BTreeMap<&'static str, String> =
-        roles.into_iter().map(|(name, figures)| (name, role_table(&figures))).collect();
+    let mut made: BTreeMap<&'static str, String> = roles
+        .into_iter()
+        .map(|(name, figures)| (name, role_table(&figures)))
+        .collect();
     made.insert("misses", over_budget);
     made.insert("runs", runs_table(runs));
     made.insert("crossed", crossed_table(&capacity_model, runs));
@@ -80,7 +82,11 @@
     let mut sizes: BTreeMap<[u64; 5], Size<'_>> = BTreeMap::new();
     for run in runs {
         let key = keys.map(|key| run.number(key) as u64);
-        sizes.entry(key).or_insert(Size { runs: Vec::new() }).runs.push(run);
+        sizes
+            .entry(key)
+            .or_insert(Size { runs: Vec::new() })
+            .runs
+            .push(run);
     }
     let mut table = String::from(
         "| daemons | functions | held | runners each | calls/s each | seeds | real time | memory | seen alive | answered | grants ended | change: network, leader, install |\n|---|---|---|---|---|---|---|---|---|---|---|---|\n",
@@ -88,14 +94,18 @@
     for ([daemons, functions, held, runners, calls], size) in sizes {
         let called = size.mean(|run| run.number("called"));
         let answered = if called > 0.0 {
-            format!("{:.1} %", size.mean(|run| run.number("answered")) / called * 100.0)
+            format!(
+                "{:.1} %",
+                size.mean(|run| run.number("answered")) / called * 100.0
+            )
         } else {
             "–".to_owned()
         };
         let part = |index: usize| {
             let read = |run: &Run| {
-                run.in_force()
-                    .map_or(0.0, |(network, leader, install)| [network, leader, install][index])
+                run.in_force().map_or(0.0, |(network, leader, install)| {
+                    [network, leader, install][index]
+                })
             };
             format_figure(size.mean(read))
         };
@@ -127,11 +137,18 @@
         let beat_bytes = (run.rate("door beats", "sent_bytes")
             + run.rate("door beats", "heard_bytes"))
             / run.daemons();
-        let leader_works = ["leading renewals", "leading idle", "leading ticks", "leading core"];
+        let leader_works = [
+            "leading renewals",
+            "leading idle",
+            "leading ticks",
+            "leading core",
+        ];
         let leader_busy: f64 = leader_works.iter().map(|work| run.busy(work)).sum();
         let in_force = run
             .in_force()
-            .map_or(0.0, |(network_ms, leader_ms, install_ms)| network_ms + leader_ms + install_ms);
+            .map_or(0.0, |(network_ms, leader_ms, install_ms)| {
+                network_ms + leader_ms + install_ms
+            });
         let rows = [
             (
                 "heartbeat bytes at a daemon, B/s",
@@ -143,7 +160,11 @@
                 capacity_model.leader_busy(&value_of),
                 leader_busy,
             ),
-            ("a change in force, ms", capacity_model.force_ms(&value_of), in_force),
+            (
+                "a change in force, ms",
+                capacity_model.force_ms(&value_of),
+                in_force,
+            ),
         ];
         for (name, predicted, measured) in rows {
             let _ = writeln!(
@@ -162,7 +183,10 @@
 }
 
 fn marks(name: &str) -> (String, String) {
-    (format!("<!-- made: {name} -->"), format!("<!-- end: {name} -->"))
+    (
+        format!("<!-- made: {name} -->"),
+        format!("<!-- end: {name} -->"),
+    )
 }
 
 /// The page with every table between its marks made anew.
@@ -172,8 +196,13 @@
     for (name, table) in tables(runs) {
         let (start_mark, end_mark) = marks(name);
         let unmarked = |mark: &str| PageError::Unmarked(page_path.to_owned(), mark.to_owned());
-        let from = page.find(&start_mark).ok_or_else(|| unmarked(&start_mark))? + start_mark.len();
-        let length = page[from..].find(&end_mark).ok_or_else(|| unmarked(&end_mark))?;
+        let from = page
+            .find(&start_mark)
+            .ok_or_else(|| unmarked(&start_mark))?
+            + start_mark.len();
+        let length = page[from..]
+            .find(&end_mark)
+            .ok_or_else(|| unmarked(&end_mark))?;
         page.replace_range(from..from + length, &format!("\n{table}"));
     }
     Ok(page)
--- a/testing/fleet/src/synthetic/platform.rs
+++ b/testing/fleet/src/synthetic/platform.rs
@@ -39,7 +39,12 @@
                 draining: false,
             })
             .collect();
-        Self { workers, runners: BTreeMap::new(), listening: HashMap::new(), started_count: 0 }
+        Self {
+            workers,
+            runners: BTreeMap::new(),
+            listening: HashMap::new(),
+            started_count: 0,
+        }
     }
 
     /// Starts a runner and names its life.
@@ -52,10 +57,21 @@
     ) -> Instance {
         self.started_count += 1;
         let [_, high, middle, low] = self.started_count.to_be_bytes();
-        let address = SocketAddress(SocketAddrV4::new(Ipv4Addr::new(11, high, middle, low), 9000));
+        let address = SocketAddress(SocketAddrV4::new(
+            Ipv4Addr::new(11, high, middle, low),
+            9000,
+        ));
         self.listening.insert(address, runner);
-        let instance = Instance { name: format!("life-{}", self.started_count).into(), address };
-        let started = SyntheticRunner { function, worker, ready_at, instance: instance.clone() };
+        let instance = Instance {
+            name: format!("life-{}", self.started_count).into(),
+            address,
+        };
+        let started = SyntheticRunner {
+            function,
+            worker,
+            ready_at,
+            instance: instance.clone(),
+        };
         self.runners.insert(runner, started);
         instance
     }
@@ -119,7 +135,10 @@
 /// Reads the list of workers as the leader's caller of the platform does.
 pub(super) fn read_workers(body: &[u8]) -> Vec<ListedWorker> {
     let listed: Value = serde_json::from_slice(body).unwrap_or_default();
-    let rows = listed["workers"].as_array().map(Vec::as_slice).unwrap_or_default();
+    let rows = listed["workers"]
+        .as_array()
+        .map(Vec::as_slice)
+        .unwrap_or_default();
     rows.iter()
         .map(|row| ListedWorker {
             worker: text(row, "worker").into(),
@@ -133,13 +152,19 @@
 /// Reads the list of runners as the leader's caller of the platform does.
 pub(super) fn read_runners(body: &[u8]) -> Vec<ListedRunner> {
     let listed: Value = serde_json::from_slice(body).unwrap_or_default();
-    let rows = listed["runners"].as_array().map(Vec::as_slice).unwrap_or_default();
+    let rows = listed["runners"]
+        .as_array()
+        .map(Vec::as_slice)
+        .unwrap_or_default();
     rows.iter()
         .filter_map(|row| {
             let key: FunctionKey = text(row, "function").parse().ok()?;
             let address = SocketAddress(text(row, "place").parse().ok()?);
             Some(ListedRunner {
-                instance: Instance { name: text(row, "life").into(), address },
+                instance: Instance {
+                    name: text(row, "life").into(),
+                    address,
+                },
                 runner: text(row, "runner").parse().ok(),
                 function: key.name.clone(),
                 key: Some(key),
--- a/testing/fleet/src/synthetic/record.rs
+++ b/testing/fleet/src/synthetic/record.rs
@@ -210,7 +210,15 @@
 
     /// The name of its file.
     pub fn file_name(&self) -> String {
-        let SyntheticSize { daemons, functions, held, runners, calls, seed, .. } = self.size;
+        let SyntheticSize {
+            daemons,
+            functions,
+            held,
+            runners,
+            calls,
+            seed,
+            ..
+        } = self.size;
         format!("d{daemons}-f{functions}-h{held}-r{runners}-k{calls}-s{seed}.json")
     }
 
--- a/testing/fleet/src/synthetic/size.rs
+++ b/testing/fleet/src/synthetic/size.rs
@@ -55,7 +55,10 @@
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Zero(flag) => {
-                write!(out, "--{flag} is 0; the least is 1, as nothing can be measured on nothing")
+                write!(
+                    out,
+                    "--{flag} is 0; the least is 1, as nothing can be measured on nothing"
+                )
             }
             Self::Held(held, functions) => {
                 write!(
--- a/testing/fleet/tests/capacity.rs
+++ b/testing/fleet/tests/capacity.rs
@@ -13,7 +13,9 @@
 }
 
 fn run(arguments: &[&str]) -> Result<Output> {
-    Ok(Command::new(env!("CARGO_BIN_EXE_fleet")).args(arguments).output()?)
+    Ok(Command::new(env!("CARGO_BIN_EXE_fleet"))
+        .args(arguments)
+        .output()?)
 }
 
 #[gtest]
@@ -29,25 +31,40 @@
 
 #[gtest]
 fn a_linear_fit_recovers_its_slopes() -> Result<()> {
-    let sizes = [(50.0, 200.0), (100.0, 200.0), (200.0, 5000.0), (740.0, 15000.0)];
+    let sizes = [
+        (50.0, 200.0),
+        (100.0, 200.0),
+        (200.0, 5000.0),
+        (740.0, 15000.0),
+    ];
     let runs: Vec<Run> = sizes
         .iter()
         .map(|(daemons, functions)| Run::from(json!({"daemons": daemons, "functions": functions})))
         .collect();
     let points: Vec<(&Run, f64)> = runs
         .iter()
-        .map(|run| (run, 7.0 + 3.0 * run.daemons() + 0.25 * run.number("functions")))
+        .map(|run| {
+            (
+                run,
+                7.0 + 3.0 * run.daemons() + 0.25 * run.number("functions"),
+            )
+        })
         .collect();
     let predictors = [Predictor::One, Predictor::Daemons, Predictor::Functions];
     let line = LinearModel::fit(&predictors, &points);
-    verify_that!(line.at_target(), near(7.0 + 3.0 * 740.0 + 0.25 * 15_000.0, 1e-3))
+    verify_that!(
+        line.at_target(),
+        near(7.0 + 3.0 * 740.0 + 0.25 * 15_000.0, 1e-3)
+    )
 }
 
 #[gtest]
 fn every_size_asked_for_was_run_with_three_seeds() -> Result<()> {
     let runs = read_runs(&documents().join("capacity/runs"))?;
     for daemons in [50.0, 100.0, 200.0, 400.0, 740.0] {
-        let complete_runs = runs.iter().filter(|run| run.is_baseline() && run.daemons() == daemons);
+        let complete_runs = runs
+            .iter()
+            .filter(|run| run.is_baseline() && run.daemons() == daemons);
         let mut seeds: Vec<u64> = complete_runs.map(|run| run.seed()).collect();
         seeds.sort_unstable();
         seeds.dedup();
--- a/testing/fleet/tests/command_line.rs
+++ b/testing/fleet/tests/command_line.rs
@@ -3,7 +3,10 @@
 use std::process::{Command, Output};
 
 fn run(arguments: &[&str]) -> Output {
-    Command::new(env!("CARGO_BIN_EXE_fleet")).args(arguments).output().expect("it runs")
+    Command::new(env!("CARGO_BIN_EXE_fleet"))
+        .args(arguments)
+        .output()
+        .expect("it runs")
 }
 
 #[test]
--- a/testing/fleet/tests/control_side.rs
+++ b/testing/fleet/tests/control_side.rs
@@ -8,7 +8,12 @@
 use std::time::Duration;
 
 fn violations(plan: SimPlan) -> Vec<String> {
-    Simulation::new(plan, false).run().violations.iter().map(ToString::to_string).collect()
+    Simulation::new(plan, false)
+        .run()
+        .violations
+        .iter()
+        .map(ToString::to_string)
+        .collect()
 }
 
 fn verify_clean_scenario(scenario: Scenario, seeds: std::ops::RangeInclusive<u64>) -> Result<()> {
@@ -53,13 +58,23 @@
 fn the_leader_may_lose_power_at_any_step_of_a_repair() -> Result<()> {
     for size in QuorumSize::ALL {
         for repair in Repair::ALL {
-            let quiet_case = SecondLossCase { size: *size, repair: *repair, second: None };
+            let quiet_case = SecondLossCase {
+                size: *size,
+                repair: *repair,
+                second: None,
+            };
             let steps = quiet_case.steps(1);
             verify_that!(steps, ge(100))?;
             for step in (1..=steps.min(400)).step_by(150) {
-                let second =
-                    Some(SecondLoss { step, target: Target::Leader, loss: Loss::PowerLost });
-                let case = SecondLossCase { second, ..quiet_case };
+                let second = Some(SecondLoss {
+                    step,
+                    target: Target::Leader,
+                    loss: Loss::PowerLost,
+                });
+                let case = SecondLossCase {
+                    second,
+                    ..quiet_case
+                };
                 verify_that!(violations(case.plan(1)), is_empty())
                     .with_failure_message(|| format!("{case:?}"))?;
             }
--- a/testing/fleet/tests/history.rs
+++ b/testing/fleet/tests/history.rs
@@ -17,7 +17,12 @@
 }
 
 fn replacement(number: u64, base: u64, label: u64) -> Order {
-    Order { number, base, effect: Effect::Replace(content(label)), is_valid: true }
+    Order {
+        number,
+        base,
+        effect: Effect::Replace(content(label)),
+        is_valid: true,
+    }
 }
 
 /// A history with shorthand.
@@ -131,20 +136,32 @@
     builder.read(31, 40, 2, 1);
     verify_that!(builder.anomalies(), is_empty())?;
     builder.read(42, 45, 0, 0);
-    verify_that!(builder.anomalies(), contains(eq(&Anomaly::NotCurrent { number: 2 })))
+    verify_that!(
+        builder.anomalies(),
+        contains(eq(&Anomaly::NotCurrent { number: 2 }))
+    )
 }
 
 #[gtest]
 fn named_items_are_read_as_applied_to_their_base() -> Result<()> {
     let item = |name: &str| ("routes".to_owned(), name.to_owned());
-    let amendment = Effect::Amend(BTreeMap::from([(item("a"), Some(json!(1))), (item("b"), None)]));
+    let amendment = Effect::Amend(BTreeMap::from([
+        (item("a"), Some(json!(1))),
+        (item("b"), None),
+    ]));
     let base_content = json!({"routes": {"b": 2, "c": 3}});
-    for (read_content, is_right) in
-        [(json!({"routes": {"a": 1, "c": 3}}), true), (json!({"routes": {"a": 1}}), false)]
-    {
+    for (read_content, is_right) in [
+        (json!({"routes": {"a": 1, "c": 3}}), true),
+        (json!({"routes": {"a": 1}}), false),
+    ] {
         let mut history = History::default();
         let effect = amendment.clone();
-        let order = history.order(Order { number: 1, base: 0, effect, is_valid: true });
+        let order = history.order(Order {
+            number: 1,
+            base: 0,
+            effect,
+            is_valid: true,
+        });
         let attempt = history.record_attempt(at(1), order);
         history.record_answer(at(5), attempt, Acknowledged);
         let (requested_at, received_at, evacuated) = (at(6), at(7), BTreeSet::new());
@@ -166,11 +183,17 @@
     let first = builder.order(2, 0, 1);
     builder.sent(1, 5, first, Acknowledged);
     builder.read(10, 12, 0, 0);
-    verify_that!(builder.anomalies(), contains(eq(&Anomaly::NotCurrent { number: 2 })))?;
+    verify_that!(
+        builder.anomalies(),
+        contains(eq(&Anomaly::NotCurrent { number: 2 }))
+    )?;
     let rival = builder.order(3, 0, 2);
     builder.lost(6, rival);
     builder.read(20, 22, 3, 2);
-    verify_that!(builder.anomalies(), contains(matches_pattern!(Anomaly::Unreachable { .. })))
+    verify_that!(
+        builder.anomalies(),
+        contains(matches_pattern!(Anomaly::Unreachable { .. }))
+    )
 }
 
 #[gtest]
@@ -181,7 +204,10 @@
     builder.sent(1, 5, left, Acknowledged);
     builder.sent(1, 5, right, Acknowledged);
     let orders = (left, right);
-    verify_that!(builder.anomalies(), elements_are![eq(&Anomaly::BaseTwice { base: 0, orders })])?;
+    verify_that!(
+        builder.anomalies(),
+        elements_are![eq(&Anomaly::BaseTwice { base: 0, orders })]
+    )?;
     let mut builder = HistoryBuilder::default();
     let left = builder.order(2, 0, 1);
     let right = builder.order(2, 0, 2);
@@ -197,11 +223,17 @@
 #[gtest]
 fn an_acknowledged_invalid_order_is_found() -> Result<()> {
     let mut builder = HistoryBuilder::default();
-    let order = builder.0.order(Order { is_valid: false, ..replacement(2, 0, 1) });
+    let order = builder.0.order(Order {
+        is_valid: false,
+        ..replacement(2, 0, 1)
+    });
     builder.sent(1, 5, order, Acknowledged);
     let low = builder.order(4, 4, 1);
     builder.sent(6, 7, low, Acknowledged);
-    let expected = [Anomaly::InvalidAcknowledged(order), Anomaly::InvalidAcknowledged(low)];
+    let expected = [
+        Anomaly::InvalidAcknowledged(order),
+        Anomaly::InvalidAcknowledged(low),
+    ];
     verify_that!(builder.anomalies(), eq(&expected))
 }
 
@@ -212,14 +244,20 @@
         let first = builder.order(2, 0, 1);
         builder.sent(1, 5, first, Acknowledged);
         builder.sent(10, 15, first, answer);
-        verify_that!(builder.anomalies(), elements_are![eq(&Anomaly::AcceptedRefused(first))])?;
+        verify_that!(
+            builder.anomalies(),
+            elements_are![eq(&Anomaly::AcceptedRefused(first))]
+        )?;
     }
     let mut builder = HistoryBuilder::default();
     let unclear = builder.order(2, 0, 1);
     builder.lost(1, unclear);
     builder.sent(10, 15, unclear, STALE);
     builder.read(20, 21, 2, 1);
-    verify_that!(builder.anomalies(), elements_are![eq(&Anomaly::AcceptedRefused(unclear))])
+    verify_that!(
+        builder.anomalies(),
+        elements_are![eq(&Anomaly::AcceptedRefused(unclear))]
+    )
 }
 
 #[gtest]
@@ -229,10 +267,16 @@
     builder.sent(1, 5, first, Acknowledged);
     let second = builder.order(3, 2, 2);
     builder.sent(10, 15, second, STALE);
-    verify_that!(builder.anomalies(), elements_are![eq(&Anomaly::CurrentRefused(second))])?;
+    verify_that!(
+        builder.anomalies(),
+        elements_are![eq(&Anomaly::CurrentRefused(second))]
+    )?;
     let third = builder.order(4, 2, 3);
     builder.sent(20, 25, third, Acknowledged);
-    verify_that!(builder.anomalies(), elements_are![eq(&Anomaly::CurrentRefused(second))])
+    verify_that!(
+        builder.anomalies(),
+        elements_are![eq(&Anomaly::CurrentRefused(second))]
+    )
 }
 
 #[gtest]
@@ -249,7 +293,10 @@
     builder.sent(20, 25, late, Answer::Stale { current: Some(2) });
     let next = builder.order(6, 3, 5);
     builder.sent(21, 40, next, Acknowledged);
-    verify_that!(builder.anomalies(), contains(eq(&Anomaly::NotCurrent { number: 3 })))
+    verify_that!(
+        builder.anomalies(),
+        contains(eq(&Anomaly::NotCurrent { number: 3 }))
+    )
 }
 
 #[gtest]
@@ -257,10 +304,16 @@
     let mut builder = HistoryBuilder::default();
     let first = builder.order(2, 0, 1);
     builder.sent(1, 5, first, Invalid);
-    verify_that!(builder.anomalies(), elements_are![eq(&Anomaly::ValidRefused(first))])?;
+    verify_that!(
+        builder.anomalies(),
+        elements_are![eq(&Anomaly::ValidRefused(first))]
+    )?;
     let other = builder.order(9, 0, 3);
     builder.sent(10, 15, other, Acknowledged);
-    verify_that!(builder.anomalies(), elements_are![eq(&Anomaly::ValidRefused(first))])
+    verify_that!(
+        builder.anomalies(),
+        elements_are![eq(&Anomaly::ValidRefused(first))]
+    )
 }
 
 #[gtest]
@@ -269,13 +322,19 @@
     let first = builder.order(2, 0, 1);
     builder.sent(1, 5, first, Acknowledged);
     builder.read(6, 7, 2, 9);
-    verify_that!(builder.anomalies(), contains(matches_pattern!(Anomaly::Unreachable { .. })))?;
+    verify_that!(
+        builder.anomalies(),
+        contains(matches_pattern!(Anomaly::Unreachable { .. }))
+    )?;
     let mut builder = HistoryBuilder::default();
     let first = builder.order(2, 0, 1);
     builder.lost(1, first);
     builder.read(6, 7, 2, 1);
     builder.read(8, 9, 0, 0);
-    verify_that!(builder.anomalies(), contains(eq(&Anomaly::NotCurrent { number: 2 })))
+    verify_that!(
+        builder.anomalies(),
+        contains(eq(&Anomaly::NotCurrent { number: 2 }))
+    )
 }
 
 #[gtest]
@@ -284,7 +343,10 @@
     let first = builder.order(2, 0, 1);
     builder.read(6, 7, 2, 1);
     builder.sent(8, 9, first, Acknowledged);
-    verify_that!(builder.anomalies(), contains(eq(&Anomaly::NotCurrent { number: 2 })))
+    verify_that!(
+        builder.anomalies(),
+        contains(eq(&Anomaly::NotCurrent { number: 2 }))
+    )
 }
 
 #[gtest]
@@ -301,7 +363,10 @@
     verify_that!(builder.anomalies(), is_empty())?;
     builder.read_zones(22, 23, 0, 0, &["z"]);
     let evacuated = true;
-    let late = Anomaly::ZoneUnexplained { zone: "z".to_owned(), evacuated };
+    let late = Anomaly::ZoneUnexplained {
+        zone: "z".to_owned(),
+        evacuated,
+    };
     verify_that!(builder.anomalies(), elements_are![eq(&late)])
 }
 
@@ -311,7 +376,10 @@
     let begin = builder.0.record_zone_order(at(1), "z", true);
     builder.0.zone_order_acknowledged(at(5), begin);
     builder.read_zones(6, 7, 0, 0, &[]);
-    let lost = Anomaly::ZoneUnexplained { zone: "z".to_owned(), evacuated: false };
+    let lost = Anomaly::ZoneUnexplained {
+        zone: "z".to_owned(),
+        evacuated: false,
+    };
     verify_that!(builder.anomalies(), elements_are![eq(&lost)])?;
     let mut builder = HistoryBuilder::default();
     let begin = builder.0.record_zone_order(at(1), "z", true);
@@ -322,7 +390,10 @@
     let finish = builder.0.record_zone_order(at(70), "z", false);
     builder.0.zone_order_acknowledged(at(75), finish);
     builder.read_zones(80, 81, 0, 0, &["z"]);
-    let late = Anomaly::ZoneUnexplained { zone: "z".to_owned(), evacuated: true };
+    let late = Anomaly::ZoneUnexplained {
+        zone: "z".to_owned(),
+        evacuated: true,
+    };
     verify_that!(builder.anomalies(), elements_are![eq(&late)])
 }
 
@@ -361,7 +432,11 @@
             builder.read(now, now + 3, number, label);
             continue;
         }
-        let base = if rng.random_bool(0.7) { number } else { previous_number };
+        let base = if rng.random_bool(0.7) {
+            number
+        } else {
+            previous_number
+        };
         let next_number = step * 10 + rng.below(3);
         let order = builder.order(next_number, base, step);
         let is_taken = base == number;
@@ -369,10 +444,20 @@
         if is_lost {
             builder.lost(now, order);
         } else if may_falsify {
-            builder.sent(now, now + 5, order, if is_taken { STALE } else { Acknowledged });
+            builder.sent(
+                now,
+                now + 5,
+                order,
+                if is_taken { STALE } else { Acknowledged },
+            );
             was_falsified = true;
         } else {
-            builder.sent(now, now + 5, order, if is_taken { Acknowledged } else { STALE });
+            builder.sent(
+                now,
+                now + 5,
+                order,
+                if is_taken { Acknowledged } else { STALE },
+            );
         }
         if is_taken {
             previous_number = std::mem::replace(&mut number, next_number);
--- a/testing/fleet/tests/invariants.rs
+++ b/testing/fleet/tests/invariants.rs
@@ -16,7 +16,11 @@
 }
 
 const fn case(invariant: Invariant, rule: Rule, faults: &'static [SimFault]) -> Case {
-    Case { invariant, flaw: Flaw::Without(rule), faults }
+    Case {
+        invariant,
+        flaw: Flaw::Without(rule),
+        faults,
+    }
 }
 
 use SimFault as F;
@@ -25,16 +29,36 @@
 /// `commit-never-lost` in `crates/controlplane/tests/quorum_proofs.rs`, and `sent-under-lease` one more in
 /// `platform/tests/connections/last_look.rs`.
 const CASES: &[Case] = &[
-    case(Invariant::SlotsRespected, Rule::SlotLimitRespected, &[F::CallBurst]),
-    case(Invariant::OnceSentOnce, Rule::OnceNotRetried, &[F::RunnerFaults]),
-    case(Invariant::RejectedNotSent, Rule::RejectedNeverRuns, &[F::CallBurst, F::RunnerFaults]),
+    case(
+        Invariant::SlotsRespected,
+        Rule::SlotLimitRespected,
+        &[F::CallBurst],
+    ),
+    case(
+        Invariant::OnceSentOnce,
+        Rule::OnceNotRetried,
+        &[F::RunnerFaults],
+    ),
+    case(
+        Invariant::RejectedNotSent,
+        Rule::RejectedNeverRuns,
+        &[F::CallBurst, F::RunnerFaults],
+    ),
     case(
         Invariant::RetryBudgetRespected,
         Rule::RetryBudgetCounted,
         &[F::RunnerFaults, F::CallBurst, F::ClientRetries],
     ),
-    case(Invariant::ChangeOnNamedBase, Rule::StaleBaseRejected, &[F::ChangeStorm]),
-    case(Invariant::ProposedSpecValid, Rule::InvalidChangeRejected, &[F::ChangeStorm]),
+    case(
+        Invariant::ChangeOnNamedBase,
+        Rule::StaleBaseRejected,
+        &[F::ChangeStorm],
+    ),
+    case(
+        Invariant::ProposedSpecValid,
+        Rule::InvalidChangeRejected,
+        &[F::ChangeStorm],
+    ),
     case(
         Invariant::SentUnderLease,
         Rule::ServesUnderSessionLease,
@@ -45,8 +69,16 @@
         Rule::LeaseExpiredBeforeRegrant,
         &[F::FreezeHolder, F::Isolation],
     ),
-    case(Invariant::GrantedAfterClaims, Rule::ClaimsQuorumAwaited, &[F::KillLeader, F::Isolation]),
-    case(Invariant::GrantedAfterClaims, Rule::ListedMembersAwaited, &[F::KillLeader, F::Isolation]),
+    case(
+        Invariant::GrantedAfterClaims,
+        Rule::ClaimsQuorumAwaited,
+        &[F::KillLeader, F::Isolation],
+    ),
+    case(
+        Invariant::GrantedAfterClaims,
+        Rule::ListedMembersAwaited,
+        &[F::KillLeader, F::Isolation],
+    ),
     Case {
         invariant: Invariant::OneLeaderPerTerm,
         flaw: Flaw::QuorumOfOne,
@@ -65,7 +97,9 @@
     };
     let name = format!("invariant {}:", case.invariant);
     let end = Simulation::new(plan, false).run();
-    end.violations.iter().any(|violation| violation.what.starts_with(&name))
+    end.violations
+        .iter()
+        .any(|violation| violation.what.starts_with(&name))
 }
 
 #[gtest]
--- a/testing/fleet/tests/judge.rs
+++ b/testing/fleet/tests/judge.rs
@@ -49,7 +49,8 @@
     for number in 0..100 {
         let at = 4 * SECOND + number * SECOND / 10;
         day.callers.push(call(&format!("t{number}"), at, "answer"));
-        day.platform_stub.extend(run(&format!("t{number}"), at + 1000, "r-1-1", number));
+        day.platform_stub
+            .extend(run(&format!("t{number}"), at + 1000, "r-1-1", number));
     }
     day
 }
@@ -73,15 +74,22 @@
 #[gtest]
 fn a_second_run_of_a_once_request_is_found() -> Result<()> {
     let mut day = clean_day();
-    day.platform_stub.extend(run("t5", 30 * SECOND, "r-1-1", 900));
-    verify_that!(violated_checks(&day), elements_are![eq("a once-transaction runs twice")])
+    day.platform_stub
+        .extend(run("t5", 30 * SECOND, "r-1-1", 900));
+    verify_that!(
+        violated_checks(&day),
+        elements_are![eq("a once-transaction runs twice")]
+    )
 }
 
 #[gtest]
 fn a_refused_request_that_ran_is_found() -> Result<()> {
     let mut day = clean_day();
     day.callers[7]["outcome"] = json!("not_run");
-    verify_that!(violated_checks(&day), elements_are![eq("refused as not run, and runs")])
+    verify_that!(
+        violated_checks(&day),
+        elements_are![eq("refused as not run, and runs")]
+    )
 }
 
 #[gtest]
@@ -112,13 +120,18 @@
 fn an_old_spec_in_use_after_three_seconds_is_found() -> Result<()> {
     let name = "an accepted spec not in force after 3 s, or undone";
     let mut late = clean_day();
-    late.journal.push(change(8 * SECOND, 2, "c2", "accepted", "g"));
+    late.journal
+        .push(change(8 * SECOND, 2, "c2", "accepted", "g"));
     verify_that!(violated_checks(&late), elements_are![eq(name)])?;
     let mut in_time = clean_day();
-    in_time.journal.push(change(12 * SECOND, 2, "c2", "accepted", "g"));
+    in_time
+        .journal
+        .push(change(12 * SECOND, 2, "c2", "accepted", "g"));
     verify_that!(violated_checks(&in_time), is_empty())?;
     let mut refused = clean_day();
-    refused.journal.push(change(3 * SECOND, 1, "c2", "not_accepted", "g"));
+    refused
+        .journal
+        .push(change(3 * SECOND, 1, "c2", "not_accepted", "g"));
     refused.platform_stub[5]["function"] = json!("g@2");
     verify_that!(violated_checks(&refused), contains(eq(name)))
 }
@@ -126,8 +139,12 @@
 #[gtest]
 fn two_changes_accepted_on_one_version_are_found() -> Result<()> {
     let mut day = clean_day();
-    day.journal.push(change(2 * SECOND, 1, "c2", "accepted", "f"));
-    verify_that!(violated_checks(&day), elements_are![eq("two changes on one version accepted")])
+    day.journal
+        .push(change(2 * SECOND, 1, "c2", "accepted", "f"));
+    verify_that!(
+        violated_checks(&day),
+        elements_are![eq("two changes on one version accepted")]
+    )
 }
 
 #[gtest]
@@ -161,7 +178,8 @@
     let mut day = clean_day();
     day.callers[20]["outcome"] = json!("lost");
     let at = day.callers[20]["at"].as_u64().unwrap_or(0) + 1000;
-    day.journal.push(json!({"kind": "stop", "at": at, "machine": "th-1", "door": "d1"}));
+    day.journal
+        .push(json!({"kind": "stop", "at": at, "machine": "th-1", "door": "d1"}));
     verify_that!(violated_checks(&day), elements_are![eq(name)])?;
     let mut slow = clean_day();
     slow.journal
@@ -185,7 +203,10 @@
             day.platform_stub.extend(retried_run);
         }
     }
-    verify_that!(violated_checks(&day), elements_are![eq("extra tries above a fifth in 10 s")])
+    verify_that!(
+        violated_checks(&day),
+        elements_are![eq("extra tries above a fifth in 10 s")]
+    )
 }
 
 #[gtest]
@@ -206,11 +227,19 @@
 #[gtest]
 fn two_holders_at_once_are_found() -> Result<()> {
     let mut day = clean_day();
-    day.platform_stub.push(start("r-2-1", 6 * SECOND, "worker-01"));
-    verify_that!(violated_checks(&day), elements_are![eq("two holders of one function at once")])?;
+    day.platform_stub
+        .push(start("r-2-1", 6 * SECOND, "worker-01"));
+    verify_that!(
+        violated_checks(&day),
+        elements_are![eq("two holders of one function at once")]
+    )?;
     let mut after = clean_day();
-    after.platform_stub.push(json!({"kind": "runner_stop", "at": 20 * SECOND, "runner": "r-1-1"}));
-    after.platform_stub.push(start("r-2-1", 21 * SECOND, "worker-01"));
+    after
+        .platform_stub
+        .push(json!({"kind": "runner_stop", "at": 20 * SECOND, "runner": "r-1-1"}));
+    after
+        .platform_stub
+        .push(start("r-2-1", 21 * SECOND, "worker-01"));
     verify_that!(violated_checks(&after), is_empty())?;
     let mut taken_over = clean_day();
     for record in taken_over
@@ -236,12 +265,18 @@
     day.journal
         .push(json!({"kind": "returned", "at": 3 * SECOND, "fault": "kill-herd", "heavy": true}));
     for number in 0..50 {
-        let mut late =
-            call(&format!("late{number}"), 16 * SECOND + number * SECOND / 50, "unknown");
+        let mut late = call(
+            &format!("late{number}"),
+            16 * SECOND + number * SECOND / 50,
+            "unknown",
+        );
         late["once"] = json!(false);
         day.callers.push(late);
     }
-    verify_that!(violated_checks(&day), elements_are![eq("mostly down 12 s after machines return")])
+    verify_that!(
+        violated_checks(&day),
+        elements_are![eq("mostly down 12 s after machines return")]
+    )
 }
 
 fn change_with_paths(at: u64, base: u64, paths: Value) -> Value {
@@ -264,34 +299,54 @@
     let name = "a door without an accepted spec after 3 s";
     let with_call_at = |at: u64| {
         let mut day = clean_day();
-        day.journal.push(change_with_paths(20 * SECOND, 2, json!({"/a": "f", "/b": "f"})));
-        day.callers.push(call_on("b1", at, "/b", "not_run", "no_route"));
+        day.journal.push(change_with_paths(
+            20 * SECOND,
+            2,
+            json!({"/a": "f", "/b": "f"}),
+        ));
+        day.callers
+            .push(call_on("b1", at, "/b", "not_run", "no_route"));
         day
     };
     verify_that!(violated_checks(&with_call_at(23 * SECOND)), is_empty())?;
-    verify_that!(violated_checks(&with_call_at(24 * SECOND)), elements_are![eq(name)])?;
+    verify_that!(
+        violated_checks(&with_call_at(24 * SECOND)),
+        elements_are![eq(name)]
+    )?;
     let mut gone = clean_day();
-    gone.journal.push(change_with_paths(20 * SECOND, 2, json!({"/a": "f", "/b": "f"})));
-    gone.journal.push(change_with_paths(30 * SECOND, 3, json!({"/a": "f"})));
-    gone.callers.push(call_on("b2", 34 * SECOND, "/b", "answer", ""));
-    gone.platform_stub.extend(run("b2", 34 * SECOND + 1000, "r-1-1", 700));
+    gone.journal.push(change_with_paths(
+        20 * SECOND,
+        2,
+        json!({"/a": "f", "/b": "f"}),
+    ));
+    gone.journal
+        .push(change_with_paths(30 * SECOND, 3, json!({"/a": "f"})));
+    gone.callers
+        .push(call_on("b2", 34 * SECOND, "/b", "answer", ""));
+    gone.platform_stub
+        .extend(run("b2", 34 * SECOND + 1000, "r-1-1", 700));
     verify_that!(violated_checks(&gone), contains(eq(name)))
 }
 
 #[gtest]
 fn a_run_that_only_a_refused_change_explains_is_found() -> Result<()> {
     let mut day = clean_day();
-    day.journal.push(change(5 * SECOND, 1, "c9", "not_accepted", "g"));
+    day.journal
+        .push(change(5 * SECOND, 1, "c9", "not_accepted", "g"));
     verify_that!(violated_checks(&day), is_empty())?;
     day.platform_stub[121]["function"] = json!("g@2");
-    verify_that!(violated_checks(&day), contains(eq("a refused change in force")))
+    verify_that!(
+        violated_checks(&day),
+        contains(eq("a refused change in force"))
+    )
 }
 
 #[gtest]
 fn a_leaving_runner_still_used_is_found() -> Result<()> {
     let leaves = |at: u64| {
         let mut day = clean_day();
-        day.platform_stub.push(json!({"kind": "runner_leaves", "at": at, "runner": "r-1-1"}));
+        day.platform_stub
+            .push(json!({"kind": "runner_leaves", "at": at, "runner": "r-1-1"}));
         violated_checks(&day)
     };
     verify_that!(leaves(11 * SECOND), is_empty())?;
@@ -309,12 +364,19 @@
         day.callers[20]["outcome"] = json!(outcome);
         day.callers[20]["reason"] = json!(reason);
         let at = day.callers[20]["at"].as_u64().unwrap_or(0) + 1000;
-        day.journal.push(json!({"kind": "stop", "at": at, "machine": "th-1", "door": ingress}));
+        day.journal
+            .push(json!({"kind": "stop", "at": at, "machine": "th-1", "door": ingress}));
         violated_checks(&day)
     };
     verify_that!(with_end("answer", "", "d1"), is_empty())?;
-    verify_that!(with_end("unknown", "answer_lost", "d1"), elements_are![eq(name)])?;
-    verify_that!(with_end("unknown", "holder_silent", "d2"), elements_are![eq(name)])?;
+    verify_that!(
+        with_end("unknown", "answer_lost", "d1"),
+        elements_are![eq(name)]
+    )?;
+    verify_that!(
+        with_end("unknown", "holder_silent", "d2"),
+        elements_are![eq(name)]
+    )?;
     verify_that!(with_end("unknown", "answer_lost", "d2"), is_empty())
 }
 
@@ -324,15 +386,22 @@
         let mut day = clean_day();
         for number in 0..count {
             day.callers[number]["once"] = json!(false);
-            let mut retried_run =
-                run(&format!("t{number}"), 13 * SECOND + number as u64, "r-1-1", 500);
+            let mut retried_run = run(
+                &format!("t{number}"),
+                13 * SECOND + number as u64,
+                "r-1-1",
+                500,
+            );
             retried_run[0]["attempt"] = json!(2);
             day.platform_stub.extend(retried_run);
         }
         violated_checks(&day)
     };
     verify_that!(with_extras(21), is_empty())?;
-    verify_that!(with_extras(24), elements_are![eq("extra tries above a fifth in 10 s")])
+    verify_that!(
+        with_extras(24),
+        elements_are![eq("extra tries above a fifth in 10 s")]
+    )
 }
 
 #[gtest]
@@ -363,9 +432,15 @@
     write("platform-stub.jsonl", "{\"kind\": \"probe\", \"at\": 1}\n");
     write("journal.jsonl", "{\"kind\": \"end\", \"at\": 1}\n");
     verify_that!(error(), eq(""))?;
-    write("callers.jsonl", &format!("{complete_call}\n{}", &complete_call[..20]));
+    write(
+        "callers.jsonl",
+        &format!("{complete_call}\n{}", &complete_call[..20]),
+    );
     verify_that!(error(), contains_substring("callers.jsonl line 2"))?;
-    write("callers.jsonl", &format!("{complete_call}\n{complete_call}"));
+    write(
+        "callers.jsonl",
+        &format!("{complete_call}\n{complete_call}"),
+    );
     verify_that!(error(), contains_substring("callers.jsonl line 2"))?;
     write("callers.jsonl", "{\"temperature\": 4}\n");
     verify_that!(error(), contains_substring("callers.jsonl line 1"))?;
--- a/testing/fleet/tests/simulator.rs
+++ b/testing/fleet/tests/simulator.rs
@@ -7,16 +7,27 @@
 use std::time::Duration;
 
 fn violations(seed: u64, flaw: Flaw) -> Vec<String> {
-    let plan = SimPlan { flaw, ..SimPlan::seeded(seed) };
-    Simulation::new(plan, false).run().violations.iter().map(ToString::to_string).collect()
+    let plan = SimPlan {
+        flaw,
+        ..SimPlan::seeded(seed)
+    };
+    Simulation::new(plan, false)
+        .run()
+        .violations
+        .iter()
+        .map(ToString::to_string)
+        .collect()
 }
 
 #[gtest]
 fn no_seed_violates_safety_and_service_recovers() -> Result<()> {
     for seed in 1..=24 {
         let sim_result = Simulation::new(SimPlan::seeded(seed), false).run();
-        let violations: Vec<String> =
-            sim_result.violations.iter().map(ToString::to_string).collect();
+        let violations: Vec<String> = sim_result
+            .violations
+            .iter()
+            .map(ToString::to_string)
+            .collect();
         verify_that!(violations, is_empty())?;
         verify_that!(sim_result.share_after, ge(0.5))?;
         verify_that!(sim_result.checked.get("run"), some(ge(&100)))?;
@@ -28,11 +39,21 @@
 #[gtest]
 fn idle_stops_and_warm_functions_violate_no_safety_check() -> Result<()> {
     for seed in 1..=12 {
-        let tuning = Tuning::builder().idle_startups(3).decay(Duration::from_secs(2)).build();
-        let plan = SimPlan { tuning, keeps_warm_functions: true, ..SimPlan::seeded(seed) };
+        let tuning = Tuning::builder()
+            .idle_startups(3)
+            .decay(Duration::from_secs(2))
+            .build();
+        let plan = SimPlan {
+            tuning,
+            keeps_warm_functions: true,
+            ..SimPlan::seeded(seed)
+        };
         let sim_result = Simulation::new(plan, false).run();
-        let violations: Vec<String> =
-            sim_result.violations.iter().map(ToString::to_string).collect();
+        let violations: Vec<String> = sim_result
+            .violations
+            .iter()
+            .map(ToString::to_string)
+            .collect();
         verify_that!(violations, is_empty())?;
         verify_that!(sim_result.share_after, ge(0.5))?;
     }
@@ -40,7 +61,12 @@
 }
 
 fn regional_plan(seed: u64) -> SimPlan {
-    SimPlan { regional: true, rate: 240.0, duplicate_share: 0.0, ..SimPlan::seeded(seed) }
+    SimPlan {
+        regional: true,
+        rate: 240.0,
+        duplicate_share: 0.0,
+        ..SimPlan::seeded(seed)
+    }
 }
 
 /// Functions that come to be held in two regions at once break no rule, and callers are served under both keys.
@@ -48,13 +74,23 @@
 fn regional_keys_violate_no_safety_check_and_serve() -> Result<()> {
     let mut served_count = 0;
     for seed in 1..=8 {
-        let plan = SimPlan { fresh_identities: true, ..regional_plan(seed) };
+        let plan = SimPlan {
+            fresh_identities: true,
+            ..regional_plan(seed)
+        };
         let sim_result = Simulation::new(plan, false).run();
-        let violations: Vec<String> =
-            sim_result.violations.iter().map(ToString::to_string).collect();
+        let violations: Vec<String> = sim_result
+            .violations
+            .iter()
+            .map(ToString::to_string)
+            .collect();
         verify_that!(violations, is_empty())?;
         verify_that!(sim_result.share_after, ge(0.5))?;
-        served_count += sim_result.counts.get("served under a region's key").copied().unwrap_or(0);
+        served_count += sim_result
+            .counts
+            .get("served under a region's key")
+            .copied()
+            .unwrap_or(0);
     }
     verify_that!(served_count, ge(1000))
 }
@@ -63,7 +99,12 @@
 #[gtest]
 fn answers_are_remembered_by_one_holder_only() -> Result<()> {
     let violations_of = |flaw: Flaw, seed: u64| {
-        let plan = SimPlan { flaw, duplicate_share: 0.5, has_faults: false, ..regional_plan(seed) };
+        let plan = SimPlan {
+            flaw,
+            duplicate_share: 0.5,
+            has_faults: false,
+            ..regional_plan(seed)
+        };
         Simulation::new(plan, false).run().violations
     };
     let is_found = (1..=6)
@@ -78,7 +119,11 @@
 /// The digest by which two versions of the code are compared is the same for the same seed, and another for another.
 #[gtest]
 fn a_day_has_one_digest_and_another_day_another() -> Result<()> {
-    let digest = |seed| Simulation::new(SimPlan::seeded(seed), false).run().event_digest;
+    let digest = |seed| {
+        Simulation::new(SimPlan::seeded(seed), false)
+            .run()
+            .event_digest
+    };
     verify_that!(digest(5), eq(&digest(5)))?;
     verify_that!(digest(5), not(eq(&digest(6))))
 }
@@ -142,10 +187,17 @@
     ];
     for (seed, focus, gap_ms) in cases {
         let gap = Duration::from_millis(gap_ms);
-        let plan = SimPlan { focus, gap, ..SimPlan::seeded(seed) };
+        let plan = SimPlan {
+            focus,
+            gap,
+            ..SimPlan::seeded(seed)
+        };
         let sim_result = Simulation::new(plan, false).run();
-        let violations: Vec<String> =
-            sim_result.violations.iter().map(ToString::to_string).collect();
+        let violations: Vec<String> = sim_result
+            .violations
+            .iter()
+            .map(ToString::to_string)
+            .collect();
         verify_that!(violations, is_empty())?;
     }
     Ok(())
@@ -170,17 +222,40 @@
     let cases = [
         (vec![], 3500, Duration::from_millis(3000)),
         (vec![], 3500, short_gap),
-        (vec![Evacuate, FreezeLeader, PartitionQuorum, Freeze], 1500, Duration::from_millis(3000)),
-        (vec![ChangeStorm, FreezeLeader, PartitionQuorum, KillLeader, RestartAll], 1500, short_gap),
+        (
+            vec![Evacuate, FreezeLeader, PartitionQuorum, Freeze],
+            1500,
+            Duration::from_millis(3000),
+        ),
+        (
+            vec![
+                ChangeStorm,
+                FreezeLeader,
+                PartitionQuorum,
+                KillLeader,
+                RestartAll,
+            ],
+            1500,
+            short_gap,
+        ),
     ];
     for (focus, gap_ms, order_gap) in cases {
         for seed in [11, 32, 112, 155, 221, 234] {
             let (focus, gap) = (focus.clone(), Duration::from_millis(gap_ms));
             let numbers_orders = true;
-            let plan = SimPlan { focus, gap, numbers_orders, order_gap, ..SimPlan::seeded(seed) };
+            let plan = SimPlan {
+                focus,
+                gap,
+                numbers_orders,
+                order_gap,
+                ..SimPlan::seeded(seed)
+            };
             let sim_result = Simulation::new(plan, false).run();
-            let violations: Vec<String> =
-                sim_result.violations.iter().map(ToString::to_string).collect();
+            let violations: Vec<String> = sim_result
+                .violations
+                .iter()
+                .map(ToString::to_string)
+                .collect();
             verify_that!(violations, is_empty())?;
             verify_that!(sim_result.checked.get("operator's answer"), some(ge(&40)))?;
         }
--- a/testing/fleet/tests/smoke.rs
+++ b/testing/fleet/tests/smoke.rs
@@ -15,8 +15,15 @@
 
 fn programs() -> PathBuf {
     let own_path = std::env::current_exe().expect("a path");
-    let folder = own_path.parent().and_then(Path::parent).expect("a folder").to_owned();
-    assert!(folder.join("rudderd").exists(), "build the workspace first: cargo build --workspace");
+    let folder = own_path
+        .parent()
+        .and_then(Path::parent)
+        .expect("a folder")
+        .to_owned();
+    assert!(
+        folder.join("rudderd").exists(),
+        "build the workspace first: cargo build --workspace"
+    );
     folder
 }
 
@@ -26,7 +33,12 @@
         let records = fleet.folder().join(format!("callers-{seed}-{round}.jsonl"));
         let ingresses: Vec<String> = match ingress {
             Some(ingress) => vec![ingress.to_string()],
-            None => fleet.layout.ingresses().iter().map(ToString::to_string).collect(),
+            None => fleet
+                .layout
+                .ingresses()
+                .iter()
+                .map(ToString::to_string)
+                .collect(),
         };
         let plan = json!({
             "seed": seed * 1000 + round, "lasts_ms": 0, "rate": 0.0, "doors": ingresses,
@@ -57,10 +69,15 @@
     let mut bad_spec = spec.clone();
     bad_spec["routes"]["canary"]["function"] = json!("nowhere");
     let (status, invalid) = fleet.put_spec(2, "bad", &bad_spec, "accepted").await?;
-    assert_eq!((status, &invalid["faults"][0]["path"]), (422, &json!("routes.canary.function")));
+    assert_eq!(
+        (status, &invalid["faults"][0]["path"]),
+        (422, &json!("routes.canary.function"))
+    );
     let (status, again) = fleet.put_spec(1, "first", &spec, "accepted").await?;
     assert_eq!((status, &again["serial"]), (200, &json!(2)));
-    let (_, change_status) = fleet.call_operators(Method::GET, "/v1/changes/stale", None).await?;
+    let (_, change_status) = fleet
+        .call_operators(Method::GET, "/v1/changes/stale", None)
+        .await?;
     assert_eq!(change_status["state"], json!("not_accepted"));
 
     trace(fleet);
@@ -69,7 +86,10 @@
 
     let holder = fleet.busiest_holder().await.expect("a holder");
     fleet.kill(&holder).await;
-    let other = fleet.running("daemon").into_iter().find(|name| *name != holder);
+    let other = fleet
+        .running("daemon")
+        .into_iter()
+        .find(|name| *name != holder);
     let other_ingress = other.and_then(|name| fleet.ingress_of(&name));
     call_until_answered(fleet, 2, other_ingress).await;
     fleet.launch(&holder).await?;
@@ -84,8 +104,14 @@
 
     let holder = fleet.busiest_holder().await.expect("a holder");
     let holder_ip = fleet.ip_of(&holder).expect("an address");
-    fleet.network_proxy.partition(&[holder_ip], &fleet.other_ips(std::slice::from_ref(&holder)));
-    let other = fleet.running("daemon").into_iter().find(|name| *name != holder);
+    fleet.network_proxy.partition(
+        &[holder_ip],
+        &fleet.other_ips(std::slice::from_ref(&holder)),
+    );
+    let other = fleet
+        .running("daemon")
+        .into_iter()
+        .find(|name| *name != holder);
     let other_ingress = other.and_then(|name| fleet.ingress_of(&name));
     call_until_answered(fleet, 4, other_ingress).await;
     fleet.network_proxy.clear_faults();
@@ -97,7 +123,12 @@
 }
 
 fn trace(fleet: &Fleet) {
-    let operators: Vec<String> = fleet.layout.operators().iter().map(ToString::to_string).collect();
+    let operators: Vec<String> = fleet
+        .layout
+        .operators()
+        .iter()
+        .map(ToString::to_string)
+        .collect();
     let run = |arguments: &[&str]| {
         std::process::Command::new(programs().join("rudderctl"))
             .args(["--at", &operators.join(","), "trace"])
@@ -109,9 +140,16 @@
     assert_eq!(traced.status.code(), Some(0));
     let change_trace: Value = serde_json::from_slice(&traced.stdout).expect("JSON");
     assert_eq!(change_trace["in_force"], json!(true), "{change_trace}");
-    let members = change_trace["parts"][0]["members"].as_object().expect("members");
+    let members = change_trace["parts"][0]["members"]
+        .as_object()
+        .expect("members");
     assert_eq!(members.len(), 3);
-    assert!(members.values().all(|row| row["acknowledged_ms"].is_number()), "{change_trace}");
+    assert!(
+        members
+            .values()
+            .all(|row| row["acknowledged_ms"].is_number()),
+        "{change_trace}"
+    );
     assert_eq!(run(&["77"]).status.code(), Some(3));
 }
 
@@ -120,7 +158,10 @@
     let timeout = Duration::from_secs(5);
     let no_header = call_json(ingress, Method::POST, "/segment-check", None, timeout).await;
     let no_header = no_header.expect("an answer");
-    assert_eq!((no_header.status.as_u16(), &no_header.json()["outcome"]), (400, &json!("not_run")));
+    assert_eq!(
+        (no_header.status.as_u16(), &no_header.json()["outcome"]),
+        (400, &json!("not_run"))
+    );
     assert_eq!(no_header.headers["rudder-outcome"], "not_run");
     let identity = "rudder-transaction: odd-1\r\nrudder-budget-ms: 1000\r\nhost: here\r\n\
                     connection: close\r\n";
@@ -137,7 +178,10 @@
         (no_budget, "400", "bad_header"),
     ] {
         let answer = raw_call(ingress, sent, false).await;
-        assert!(answer.starts_with(&format!("HTTP/1.1 {status}")), "{answer}");
+        assert!(
+            answer.starts_with(&format!("HTTP/1.1 {status}")),
+            "{answer}"
+        );
         assert!(answer.contains("\"outcome\":\"not_run\""), "{answer}");
         assert!(answer.contains(reason), "{answer}");
     }
@@ -150,7 +194,9 @@
 }
 
 async fn raw_call(ingress: SocketAddress, sent: &str, half_closes: bool) -> String {
-    let mut stream = tokio::net::TcpStream::connect(ingress.address()).await.expect("a connection");
+    let mut stream = tokio::net::TcpStream::connect(ingress.address())
+        .await
+        .expect("a connection");
     stream.write_all(sent.as_bytes()).await.expect("sent");
     if half_closes {
         stream.shutdown().await.expect("half closed");
@@ -168,8 +214,10 @@
         };
         let text = std::fs::read_to_string(boot_file).expect("settings");
         let settings: Value = serde_json::from_str(&text).expect("JSON");
-        let address: std::net::SocketAddr =
-            settings["place"].as_str().and_then(|text| text.parse().ok()).expect("a place");
+        let address: std::net::SocketAddr = settings["place"]
+            .as_str()
+            .and_then(|text| text.parse().ok())
+            .expect("a place");
         for sent_bytes in [
             &b"GET / HTTP/1.1\r\n\r\n"[..],
             b"RU\x01\x02\xff\xff\xff\xff",
@@ -184,7 +232,9 @@
                 assert!(rest.is_empty());
             }
         }
-        let socket = tokio::net::UdpSocket::bind("127.0.0.1:0").await.expect("a socket");
+        let socket = tokio::net::UdpSocket::bind("127.0.0.1:0")
+            .await
+            .expect("a socket");
         let _ = socket.send_to(b"RU\x01nonsense", address).await;
     }
 }
--- a/testing/fleet/tests/soak.rs
+++ b/testing/fleet/tests/soak.rs
@@ -15,8 +15,15 @@
 
 fn programs() -> PathBuf {
     let own_path = std::env::current_exe().expect("a path");
-    let folder = own_path.parent().and_then(Path::parent).expect("a folder").to_owned();
-    assert!(folder.join("rudderd").exists(), "build the workspace first: cargo build --workspace");
+    let folder = own_path
+        .parent()
+        .and_then(Path::parent)
+        .expect("a folder")
+        .to_owned();
+    assert!(
+        folder.join("rudderd").exists(),
+        "build the workspace first: cargo build --workspace"
+    );
     folder
 }
 
@@ -33,7 +40,10 @@
         let planned_faults = draw_schedule(seed, 3, lasts);
         verify_that!(draw_schedule(seed, 3, lasts) == planned_faults, eq(true))?;
         verify_that!(max_concurrent(&planned_faults), eq(3))?;
-        verify_that!(planned_faults.iter().all(|held| held.until <= lasts), eq(true))?;
+        verify_that!(
+            planned_faults.iter().all(|held| held.until <= lasts),
+            eq(true)
+        )?;
     }
     Ok(())
 }
@@ -90,8 +100,12 @@
     let spec = Deployment::Small.spec("canary-a");
     fleet.put_spec(1, "first", &spec, "in_force").await?;
     fleet.await_ready(4).await?;
-    fleet.platform("/v1/runner-faults", &json!({"lose": 1.0})).await?;
-    let (_, body) = fleet.call_operators(Method::GET, "/v1/holders", None).await?;
+    fleet
+        .platform("/v1/runner-faults", &json!({"lose": 1.0}))
+        .await?;
+    let (_, body) = fleet
+        .call_operators(Method::GET, "/v1/holders", None)
+        .await?;
     let daemons = fleet.running("daemon");
     let identity = "followed-by-its-identity";
     let ingress = fleet.ingress_of(&daemons[0]).expect("a door");
@@ -118,7 +132,9 @@
     verify_that!(numbers, contains(eq(&"3203")))?;
     let at_ingress = found.iter().filter(|(_, number)| number == "3201");
     verify_that!(
-        at_ingress.map(|(machine, _)| machine.as_str()).collect::<Vec<_>>(),
+        at_ingress
+            .map(|(machine, _)| machine.as_str())
+            .collect::<Vec<_>>(),
         elements_are![eq(&"daemon-01")]
     )?;
     std::fs::remove_dir_all(&folder)?;
@@ -136,9 +152,14 @@
     SentChange::new(&journal, 7, "change-25", &spec)
         .notified(200, &json!({"state": "accepted", "serial": 8}));
     let text = std::fs::read_to_string(folder.join("journal.jsonl"))?;
-    let written: Vec<serde_json::Value> =
-        text.lines().map(serde_json::from_str).collect::<std::result::Result<_, _>>()?;
-    let states: Vec<&str> = written.iter().filter_map(|note| note["state"].as_str()).collect();
+    let written: Vec<serde_json::Value> = text
+        .lines()
+        .map(serde_json::from_str)
+        .collect::<std::result::Result<_, _>>()?;
+    let states: Vec<&str> = written
+        .iter()
+        .filter_map(|note| note["state"].as_str())
+        .collect();
     verify_that!(states, elements_are![eq(&"unknown"), eq(&"accepted")])?;
     verify_that!(written[0]["paths"]["/canary"], eq(&json!("canary-b")))?;
     std::fs::remove_dir_all(&folder)?;
--- a/testing/loadgen/src/client_pool.rs
+++ b/testing/loadgen/src/client_pool.rs
@@ -61,13 +61,20 @@
     let started_at = Instant::now();
     for (due_at, scheduled_request) in schedule(&client_pool.plan) {
         tokio::time::sleep_until(started_at + due_at).await;
-        open_requests.spawn(run_scheduled_request(client_pool.clone(), scheduled_request));
+        open_requests.spawn(run_scheduled_request(
+            client_pool.clone(),
+            scheduled_request,
+        ));
         while open_requests.try_join_next().is_some() {}
     }
     while open_requests.join_next().await.is_some() {}
     polling_task.abort();
     client_pool.records.flush();
-    let summary = client_pool.summary.lock().unwrap_or_else(PoisonError::into_inner).clone();
+    let summary = client_pool
+        .summary
+        .lock()
+        .unwrap_or_else(PoisonError::into_inner)
+        .clone();
     Ok(summary)
 }
 
@@ -90,7 +97,11 @@
         let name = format!("{}-{number}", plan.seed);
         scheduled_requests.push((
             due_at,
-            ScheduledRequest { route_index: chosen_index.unwrap_or(0), seed: rng.number(), name },
+            ScheduledRequest {
+                route_index: chosen_index.unwrap_or(0),
+                seed: rng.number(),
+                name,
+            },
         ));
     }
     for (burst_number, burst) in plan.bursts.iter().enumerate() {
@@ -99,8 +110,14 @@
             let route_index =
                 (burst.first_route + turn as usize % burst.route_count) % plan.routes.len();
             let name = format!("{}-b{burst_number}-{turn}", plan.seed);
-            scheduled_requests
-                .push((burst_at, ScheduledRequest { route_index, seed: rng.number(), name }));
+            scheduled_requests.push((
+                burst_at,
+                ScheduledRequest {
+                    route_index,
+                    seed: rng.number(),
+                    name,
+                },
+            ));
         }
     }
     scheduled_requests.sort_by_key(|(due_at, _)| *due_at);
@@ -108,19 +125,27 @@
 }
 
 async fn poll_ready_ingresses(client_pool: Arc<ClientPool>) {
-    let Some(platform) = client_pool.plan.platform else { return };
+    let Some(platform) = client_pool.plan.platform else {
+        return;
+    };
     loop {
         let timeout = Duration::from_secs(1);
         if let Ok(called) = call_json(platform, Method::GET, "/v1/daemons", None, timeout).await {
             let body = called.json();
-            let listed = body.get("ready").and_then(Value::as_array).cloned().unwrap_or_default();
+            let listed = body
+                .get("ready")
+                .and_then(Value::as_array)
+                .cloned()
+                .unwrap_or_default();
             let addresses: Vec<SocketAddress> = listed
                 .iter()
                 .filter_map(|item| item.as_str()?.parse().ok().map(SocketAddress))
                 .collect();
             if !addresses.is_empty() {
-                *client_pool.ready_ingresses.lock().unwrap_or_else(PoisonError::into_inner) =
-                    addresses;
+                *client_pool
+                    .ready_ingresses
+                    .lock()
+                    .unwrap_or_else(PoisonError::into_inner) = addresses;
             }
         }
         tokio::time::sleep(Duration::from_millis(300)).await;
@@ -131,13 +156,22 @@
     let mut rng = SeededRng::seeded(scheduled_request.seed);
     let route = &client_pool.plan.routes[scheduled_request.route_index];
     let is_retrying = rng.random_bool(client_pool.plan.retry_behaviour.share);
-    let max_attempts =
-        if is_retrying { 1 + client_pool.plan.retry_behaviour.max_retries } else { 1 };
+    let max_attempts = if is_retrying {
+        1 + client_pool.plan.retry_behaviour.max_retries
+    } else {
+        1
+    };
     let mut repeat_of: Option<String> = None;
     for try_number in 0..max_attempts {
         let identity = format!("{}-{try_number}", scheduled_request.name);
-        let is_done =
-            send_once(&client_pool, route, &identity, repeat_of.as_deref(), &mut rng).await;
+        let is_done = send_once(
+            &client_pool,
+            route,
+            &identity,
+            repeat_of.as_deref(),
+            &mut rng,
+        )
+        .await;
         if is_done {
             return;
         }
@@ -159,8 +193,10 @@
     let mut used_ingress = None;
     for _ in 0..4 {
         let ingress = {
-            let ingresses =
-                client_pool.ready_ingresses.lock().unwrap_or_else(PoisonError::into_inner);
+            let ingresses = client_pool
+                .ready_ingresses
+                .lock()
+                .unwrap_or_else(PoisonError::into_inner);
             ingresses[rng.below(ingresses.len() as u64) as usize]
         };
         used_ingress = Some(ingress);
@@ -174,8 +210,17 @@
         if let Some(first_identity) = repeat_of {
             request = request.header(seal::REPEAT_OF, first_identity);
         }
-        let Ok(request) = request.body(Full::new(body.clone())) else { return true };
-        match call(ingress, request, timeout + Duration::from_millis(500), 8 << 20).await {
+        let Ok(request) = request.body(Full::new(body.clone())) else {
+            return true;
+        };
+        match call(
+            ingress,
+            request,
+            timeout + Duration::from_millis(500),
+            8 << 20,
+        )
+        .await
+        {
             Ok(called) => {
                 end = read_outcome(route, identity, &body, &called);
                 break;
@@ -203,8 +248,15 @@
         record["repeat_of"] = json!(first_identity);
     }
     client_pool.records.write(&record);
-    let mut summary = client_pool.summary.lock().unwrap_or_else(PoisonError::into_inner);
-    let label = if reason.is_empty() { outcome.clone() } else { format!("{outcome}:{reason}") };
+    let mut summary = client_pool
+        .summary
+        .lock()
+        .unwrap_or_else(PoisonError::into_inner);
+    let label = if reason.is_empty() {
+        outcome.clone()
+    } else {
+        format!("{outcome}:{reason}")
+    };
     *summary.counts.entry(label).or_default() += 1;
     outcome == "answer"
 }
--- a/testing/loadgen/src/plan.rs
+++ b/testing/loadgen/src/plan.rs
@@ -93,7 +93,9 @@
 fn share(reader: &PathReader<'_>) -> f64 {
     let read_share = reader.value().and_then(Value::as_f64).unwrap_or(0.0);
     if !(0.0..=1.0).contains(&read_share) {
-        reader.error(PathErrorReason::Malformed("is not between 0 and 1".to_owned()));
+        reader.error(PathErrorReason::Malformed(
+            "is not between 0 and 1".to_owned(),
+        ));
     }
     read_share
 }
@@ -133,13 +135,22 @@
             let rate_reader = root.field("rate");
             let retry_behaviour = root.field("impatience");
             let platform_reader = root.field("platform");
-            let ingresses: Vec<SocketAddress> =
-                root.field("doors").items().iter().filter_map(read_address).collect();
-            let routes: Vec<PlannedRoute> =
-                root.field("routes").items().iter().filter_map(read_route).collect();
+            let ingresses: Vec<SocketAddress> = root
+                .field("doors")
+                .items()
+                .iter()
+                .filter_map(read_address)
+                .collect();
+            let routes: Vec<PlannedRoute> = root
+                .field("routes")
+                .items()
+                .iter()
+                .filter_map(read_route)
+                .collect();
             if ingresses.is_empty() || routes.is_empty() {
-                root.field("doors")
-                    .error(PathErrorReason::Malformed("needs doors and routes".to_owned()));
+                root.field("doors").error(PathErrorReason::Malformed(
+                    "needs doors and routes".to_owned(),
+                ));
             }
             let bursts = root
                 .field("bursts")
--- a/testing/platform-stub/src/main.rs
+++ b/testing/platform-stub/src/main.rs
@@ -33,7 +33,11 @@
         default = "3"
     )]
     zones: usize,
-    #[options(no_short, help = "how late the lists are, in milliseconds", default = "1000")]
+    #[options(
+        no_short,
+        help = "how late the lists are, in milliseconds",
+        default = "1000"
+    )]
     lag: u64,
     #[options(no_short, help = "shortest run in milliseconds", default = "10")]
     work_shortest: u64,
@@ -59,7 +63,10 @@
         .split(',')
         .filter(|ingress| !ingress.is_empty())
         .map(|ingress| {
-            ingress.parse().map(SocketAddress).wrap_err_with(|| format!("--doors: {ingress}"))
+            ingress
+                .parse()
+                .map(SocketAddress)
+                .wrap_err_with(|| format!("--doors: {ingress}"))
         })
         .collect::<eyre::Result<Vec<SocketAddress>>>()?;
     let workers = (0..flags.workers)
@@ -71,16 +78,23 @@
             crashed: false,
         })
         .collect();
-    let work =
-        (Duration::from_millis(flags.work_shortest), Duration::from_millis(flags.work_longest));
+    let work = (
+        Duration::from_millis(flags.work_shortest),
+        Duration::from_millis(flags.work_longest),
+    );
     let shared_state = Arc::new(SharedRunnerState {
         records: Records::create(&flags.records).wrap_err("--records")?,
         runner_faults: Mutex::new(RunnerFaults::default()),
         rng: Mutex::new(SeededRng::seeded(flags.seed)),
         work,
     });
-    let platform =
-        Platform::new(shared_state, workers, Duration::from_millis(flags.lag), doors, flags.reuse);
+    let platform = Platform::new(
+        shared_state,
+        workers,
+        Duration::from_millis(flags.lag),
+        doors,
+        flags.reuse,
+    );
     command_line::runtime(4)?.block_on(async {
         let listener = TcpListener::bind(&flags.place).await.wrap_err("--place")?;
         let stop = command_line::stop_signal()?;
--- a/testing/platform-stub/src/platform/lists.rs
+++ b/testing/platform-stub/src/platform/lists.rs
@@ -14,7 +14,10 @@
 impl DelayedLists {
     /// No list yet.
     pub fn new(lag: Duration) -> Self {
-        Self { lag, taken: VecDeque::new() }
+        Self {
+            lag,
+            taken: VecDeque::new(),
+        }
     }
 
     /// Takes how things stand now.
@@ -26,7 +29,9 @@
     }
 
     fn age_ms(&self, now: MonotonicTime) -> u64 {
-        self.taken.front().map_or(0, |(taken_at, _, _)| now.since(*taken_at).as_millis() as u64 + 1)
+        self.taken.front().map_or(0, |(taken_at, _, _)| {
+            now.since(*taken_at).as_millis() as u64 + 1
+        })
     }
 
     /// The late list of workers.
--- a/testing/platform-stub/src/platform/mod.rs
+++ b/testing/platform-stub/src/platform/mod.rs
@@ -74,7 +74,10 @@
         reuse_ports: bool,
     ) -> Arc<Self> {
         let state = PlatformState {
-            workers: workers.into_iter().map(|worker| (worker.name.clone(), worker)).collect(),
+            workers: workers
+                .into_iter()
+                .map(|worker| (worker.name.clone(), worker))
+                .collect(),
             ..PlatformState::default()
         };
         Arc::new(Self {
@@ -121,8 +124,10 @@
                     let timeout = Duration::from_millis(800);
                     let called = call_json(ingress, Method::GET, "/ready", None, timeout).await;
                     let is_ready = called.is_ok_and(|called| called.status == StatusCode::OK);
-                    let mut ready_ingresses =
-                        platform.ready_ingresses.lock().unwrap_or_else(PoisonError::into_inner);
+                    let mut ready_ingresses = platform
+                        .ready_ingresses
+                        .lock()
+                        .unwrap_or_else(PoisonError::into_inner);
                     let has_changed = if is_ready {
                         ready_ingresses.insert(ingress)
                     } else {
@@ -155,10 +160,14 @@
                 json_response(StatusCode::OK, &lists.runners(MonotonicTime::now()))
             }
             (&Method::GET, ["v1", "daemons"]) => {
-                let ready_ingresses =
-                    self.ready_ingresses.lock().unwrap_or_else(PoisonError::into_inner);
-                let names: Vec<String> =
-                    ready_ingresses.iter().map(SocketAddress::to_string).collect();
+                let ready_ingresses = self
+                    .ready_ingresses
+                    .lock()
+                    .unwrap_or_else(PoisonError::into_inner);
+                let names: Vec<String> = ready_ingresses
+                    .iter()
+                    .map(SocketAddress::to_string)
+                    .collect();
                 json_response(StatusCode::OK, &json!({"ready": names}))
             }
             (&Method::POST, ["v1", "runners"]) => self.start(&body).await,
@@ -176,8 +185,11 @@
             (&Method::POST, ["v1", "runner-faults"]) => {
                 let runner_faults = RunnerFaults::from_value(&body);
                 self.shared_state.records.add("runner_faults", body);
-                *self.shared_state.runner_faults.lock().unwrap_or_else(PoisonError::into_inner) =
-                    runner_faults;
+                *self
+                    .shared_state
+                    .runner_faults
+                    .lock()
+                    .unwrap_or_else(PoisonError::into_inner) = runner_faults;
                 json_response(StatusCode::OK, &json!({}))
             }
             _ => json_response(StatusCode::NOT_FOUND, &json!({})),
@@ -185,7 +197,12 @@
     }
 
     async fn start(&self, body: &Value) -> HttpResponse {
-        let text = |name: &str| body.get(name).and_then(Value::as_str).unwrap_or("").to_owned();
+        let text = |name: &str| {
+            body.get(name)
+                .and_then(Value::as_str)
+                .unwrap_or("")
+                .to_owned()
+        };
         let number = |name: &str| body.get(name).and_then(Value::as_u64);
         let function = text("function");
         let (Ok(runner), Ok(key), Some(memory_mb), Some(boot_ms)) = (
@@ -201,7 +218,11 @@
             if state.ended.contains(&runner) {
                 return json_response(StatusCode::CONFLICT, &json!({"error": "ended"}));
             }
-            if self.reuse_ports { state.free_ports.pop() } else { None }
+            if self.reuse_ports {
+                state.free_ports.pop()
+            } else {
+                None
+            }
         };
         let address = |port| SocketAddrV4::new(Ipv4Addr::LOCALHOST, port);
         let bound = match TcpListener::bind(address(reused_port.unwrap_or(0))).await {
@@ -209,9 +230,15 @@
             Err(_) => TcpListener::bind(address(0)).await,
         };
         let Ok(listener) = bound else {
-            return json_response(StatusCode::SERVICE_UNAVAILABLE, &json!({"error": "no_port"}));
+            return json_response(
+                StatusCode::SERVICE_UNAVAILABLE,
+                &json!({"error": "no_port"}),
+            );
         };
-        let port = listener.local_addr().map(|address| address.port()).unwrap_or(0);
+        let port = listener
+            .local_addr()
+            .map(|address| address.port())
+            .unwrap_or(0);
         let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
         if let Some(hosted) = state.hosted.get(&runner) {
             let answer =
@@ -228,15 +255,22 @@
             .filter(|hosted| hosted.worker == worker_name)
             .map(|hosted| hosted.memory_mb)
             .sum();
-        let zone = state.workers.get(&worker_name).map(|worker| worker.zone.clone());
+        let zone = state
+            .workers
+            .get(&worker_name)
+            .map(|worker| worker.zone.clone());
         let has_room = state.workers.get(&worker_name).is_some_and(|worker| {
             !worker.crashed && !worker.draining && used_mb + memory_mb <= worker.memory_mb
         });
         if !has_room {
-            self.shared_state
-                .records
-                .add("start_refused", json!({"runner": runner.to_string(), "worker": worker_name}));
-            return json_response(StatusCode::INSUFFICIENT_STORAGE, &json!({"error": "no_room"}));
+            self.shared_state.records.add(
+                "start_refused",
+                json!({"runner": runner.to_string(), "worker": worker_name}),
+            );
+            return json_response(
+                StatusCode::INSUFFICIENT_STORAGE,
+                &json!({"error": "no_room"}),
+            );
         }
         let detail = json!({
             "runner": runner.to_string(),
@@ -252,8 +286,14 @@
         self.shared_state.records.add("runner_start", detail);
         let startup = Duration::from_millis(boot_ms);
         let slots = number("slots").map_or(usize::MAX, |slots| slots as usize);
-        let started =
-            Runner::start(self.shared_state.clone(), runner, key, startup, slots, listener);
+        let started = Runner::start(
+            self.shared_state.clone(),
+            runner,
+            key,
+            startup,
+            slots,
+            listener,
+        );
         state.instance_count += 1;
         let instance = format!("l{}.{runner}", state.instance_count);
         let answer = json!({"life": instance, "place": address(port).to_string()});
@@ -286,7 +326,9 @@
             return json_response(StatusCode::NOT_FOUND, &json!({"error": "no_such_runner"}));
         };
         hosted.leaving = true;
-        self.shared_state.records.add("runner_leaves", json!({"runner": runner.to_string()}));
+        self.shared_state
+            .records
+            .add("runner_leaves", json!({"runner": runner.to_string()}));
         let platform = self.clone();
         tokio::spawn(async move {
             tokio::time::sleep(LEAVE_NOTICE).await;
@@ -324,14 +366,18 @@
             }
             _ => return json_response(StatusCode::NOT_FOUND, &json!({"error": "no_such_deed"})),
         }
-        self.shared_state.records.add("worker", json!({"worker": worker_name, "deed": action}));
+        self.shared_state
+            .records
+            .add("worker", json!({"worker": worker_name, "deed": action}));
         json_response(StatusCode::OK, &json!({}))
     }
 }
 
 /// The key of a start, named by itself or by the life that it began.
 fn parse_runner(name: &str) -> Option<RunnerId> {
-    name.parse().ok().or_else(|| RunnerId::started_id(&InstanceId::from(name)))
+    name.parse()
+        .ok()
+        .or_else(|| RunnerId::started_id(&InstanceId::from(name)))
 }
 
 fn list_workers(state: &PlatformState) -> Value {
--- a/testing/platform-stub/src/records/mod.rs
+++ b/testing/platform-stub/src/records/mod.rs
@@ -15,7 +15,9 @@
 impl Records {
     /// Makes the file anew.
     pub fn create(file: &Path) -> std::io::Result<Self> {
-        Ok(Self { writer: Mutex::new(BufWriter::new(File::create(file)?)) })
+        Ok(Self {
+            writer: Mutex::new(BufWriter::new(File::create(file)?)),
+        })
     }
 
     /// Writes one record with the present moment.
@@ -33,6 +35,10 @@
 
     /// Brings everything to the file.
     pub fn flush(&self) {
-        let _ = self.writer.lock().unwrap_or_else(PoisonError::into_inner).flush();
+        let _ = self
+            .writer
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .flush();
     }
 }
--- a/testing/platform-stub/src/runner/mod.rs
+++ b/testing/platform-stub/src/runner/mod.rs
@@ -88,8 +88,11 @@
 
 impl SharedRunnerState {
     fn draw_behaviour(&self) -> (RunBehaviour, Duration) {
-        let runner_faults =
-            self.runner_faults.lock().unwrap_or_else(PoisonError::into_inner).clone();
+        let runner_faults = self
+            .runner_faults
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .clone();
         let mut rng = self.rng.lock().unwrap_or_else(PoisonError::into_inner);
         let work_span = rng.within(self.work.0, self.work.1);
         let mut point = rng.fraction();
@@ -134,7 +137,11 @@
 
 impl Drop for RunGuard {
     fn drop(&mut self) {
-        let mut running = self.runner.running.lock().unwrap_or_else(PoisonError::into_inner);
+        let mut running = self
+            .runner
+            .running
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
         running.remove(&self.number);
         let kind = if self.ended { "run_end" } else { "run_abort" };
         let detail = json!({"runner": self.runner.runner.to_string(), "run": self.number});
@@ -172,7 +179,11 @@
     pub fn stop(&self) {
         if !self.stopped.swap(true, Ordering::SeqCst) {
             self.stop.send_replace(true);
-            let running_count = self.running.lock().unwrap_or_else(PoisonError::into_inner).len();
+            let running_count = self
+                .running
+                .lock()
+                .unwrap_or_else(PoisonError::into_inner)
+                .len();
             let detail = json!({
                 "runner": self.runner.to_string(),
                 "function": self.function.to_string(),
@@ -225,14 +236,19 @@
         match (request.method(), request.uri().path()) {
             (&Method::GET, "/ready") => {
                 let is_ready = MonotonicTime::now() >= self.ready_at;
-                let status =
-                    if is_ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
+                let status = if is_ready {
+                    StatusCode::OK
+                } else {
+                    StatusCode::SERVICE_UNAVAILABLE
+                };
                 self.plain_response(status, json!({"ready": is_ready}).to_string())
             }
             (&Method::GET, "/running") => {
                 let running = self.running.lock().unwrap_or_else(PoisonError::into_inner);
-                let names: Vec<&str> =
-                    running.values().map(|(idempotency_key, _)| idempotency_key.as_str()).collect();
+                let names: Vec<&str> = running
+                    .values()
+                    .map(|(idempotency_key, _)| idempotency_key.as_str())
+                    .collect();
                 self.plain_response(StatusCode::OK, json!({"running": names}).to_string())
             }
             (&Method::POST, "/run") => self.handle_run(request, disconnect).await,
@@ -253,8 +269,9 @@
         let idempotency_key =
             IdempotencyKey::from(header_text(&head.headers, seal::IDEMPOTENCY_KEY));
         let attempt = header_text(&head.headers, seal::ATTEMPT).to_owned();
-        let fencing_token =
-            header_text(&head.headers, seal::FENCING_TOKEN).parse::<u64>().map(FencingToken::from);
+        let fencing_token = header_text(&head.headers, seal::FENCING_TOKEN)
+            .parse::<u64>()
+            .map(FencingToken::from);
         let fencing_token = fencing_token.unwrap_or(self.runner.fencing_token);
         let is_addressed_here = header_text(&head.headers, seal::RUNNER) == self.runner.to_string()
             && header_text(&head.headers, seal::FUNCTION) == self.function.to_string();
@@ -343,7 +360,10 @@
     /// Whether an earlier holder's transactions leave no slot to this one's.
     fn is_full_of_other_leases(&self, fencing_token: FencingToken) -> bool {
         let running = self.running.lock().unwrap_or_else(PoisonError::into_inner);
-        let own_count = running.values().filter(|(_, other)| *other == fencing_token).count();
+        let own_count = running
+            .values()
+            .filter(|(_, other)| *other == fencing_token)
+            .count();
         running.len() >= self.slots && own_count < self.slots
     }
 
@@ -359,7 +379,10 @@
         let at_once = {
             let mut running = self.running.lock().unwrap_or_else(PoisonError::into_inner);
             running.insert(number, (idempotency_key.clone(), fencing_token));
-            running.values().filter(|(_, other)| *other == fencing_token).count()
+            running
+                .values()
+                .filter(|(_, other)| *other == fencing_token)
+                .count()
         };
         let detail = json!({
             "runner": self.runner.to_string(),
@@ -372,7 +395,11 @@
             "ready": MonotonicTime::now() >= self.ready_at,
         });
         self.shared_state.records.add("run_begin", detail);
-        let mut guard = RunGuard { runner: self.clone(), number, ended: false };
+        let mut guard = RunGuard {
+            runner: self.clone(),
+            number,
+            ended: false,
+        };
         let mut stopped = self.stop.subscribe();
         tokio::select! {
             () = tokio::time::sleep(work_span) => guard.ended = true,
@@ -391,10 +418,19 @@
         is_rejected: bool,
         body: Bytes,
     ) -> Response<Full<Bytes>> {
-        let body_seal =
-            seal::seal(idempotency_key, &self.function, self.runner, is_rejected, &body);
+        let body_seal = seal::seal(
+            idempotency_key,
+            &self.function,
+            self.runner,
+            is_rejected,
+            &body,
+        );
         let mut response = self.plain_response(status, body);
-        put(&mut response, seal::IDEMPOTENCY_KEY, idempotency_key.as_str());
+        put(
+            &mut response,
+            seal::IDEMPOTENCY_KEY,
+            idempotency_key.as_str(),
+        );
         put(&mut response, seal::FUNCTION, &self.function.to_string());
         put(&mut response, seal::SEAL, &body_seal);
         response
@@ -403,6 +439,8 @@
 
 fn put(response: &mut Response<Full<Bytes>>, name: &'static str, text: &str) {
     if let Ok(value) = hyper::header::HeaderValue::from_str(text) {
-        response.headers_mut().insert(hyper::header::HeaderName::from_static(name), value);
+        response
+            .headers_mut()
+            .insert(hyper::header::HeaderName::from_static(name), value);
     }
 }
--- a/testing/support/commands.rs
+++ b/testing/support/commands.rs
@@ -16,6 +16,10 @@
     let exit_code = exit_code.map_or_else(|| "none".to_owned(), |code| code.to_string());
     let shown = arguments.join(" ");
     let text = format!("## {shown}\nexit code {exit_code}\n{printed}");
-    let text = if complained.is_empty() { text } else { format!("{text}on stderr:\n{complained}") };
+    let text = if complained.is_empty() {
+        text
+    } else {
+        format!("{text}on stderr:\n{complained}")
+    };
     text.replace(version, "VERSION") + "\n"
 }
--- a/testing/support/daemon_settings.rs
+++ b/testing/support/daemon_settings.rs
@@ -12,7 +12,12 @@
 /// Every value that was read; regions for the zones named.
 pub fn shown(settings: &DaemonSettings, zones: &[&str]) -> Value {
     let addresses: Vec<String> = settings.seeds.iter().map(ToString::to_string).collect();
-    let region_of = |zone: &str| settings.regions.of(&Zone::from(zone)).map(ToString::to_string);
+    let region_of = |zone: &str| {
+        settings
+            .regions
+            .of(&Zone::from(zone))
+            .map(ToString::to_string)
+    };
     let regions: Vec<(&str, Option<String>)> =
         zones.iter().map(|zone| (*zone, region_of(zone))).collect();
     let tuning = &settings.tuning;
--- a/testing/support/platform_double.rs
+++ b/testing/support/platform_double.rs
@@ -14,7 +14,9 @@
 }
 
 fn length(head: &str) -> usize {
-    let named = head.lines().find_map(|line| line.strip_prefix("content-length: "));
+    let named = head
+        .lines()
+        .find_map(|line| line.strip_prefix("content-length: "));
     named.and_then(|text| text.trim().parse().ok()).unwrap_or(0)
 }
 
@@ -42,9 +44,14 @@
         tokio::spawn(async move {
             for (status, body) in answers {
                 let (mut stream, _) = listener.accept().await.expect("a call");
-                let call = read_call(&mut stream).await.replace(&address.to_string(), "PLATFORM");
+                let call = read_call(&mut stream)
+                    .await
+                    .replace(&address.to_string(), "PLATFORM");
                 kept.lock().expect("the calls").push(call);
-                let head = format!("HTTP/1.1 {status} X\r\ncontent-length: {}\r\n\r\n", body.len());
+                let head = format!(
+                    "HTTP/1.1 {status} X\r\ncontent-length: {}\r\n\r\n",
+                    body.len()
+                );
                 let _ = stream.write_all(format!("{head}{body}").as_bytes()).await;
             }
         });
