--- a/testing/support/setting_probes.rs
+++ b/testing/support/setting_probes.rs
@@ -27,10 +27,15 @@
 /// The pointer of every value in a document, the document's own excepted.
 fn pointers(value: &Value, pointer: &str, found: &mut Vec<String>) {
     let inner: Vec<(String, &Value)> = match value {
-        Value::Object(fields) => fields.iter().map(|(key, inner)| (key.clone(), inner)).collect(),
-        Value::Array(items) => {
-            items.iter().enumerate().map(|(index, inner)| (index.to_string(), inner)).collect()
-        }
+        Value::Object(fields) => fields
+            .iter()
+            .map(|(key, inner)| (key.clone(), inner))
+            .collect(),
+        Value::Array(items) => items
+            .iter()
+            .enumerate()
+            .map(|(index, inner)| (index.to_string(), inner))
+            .collect(),
         _ => Vec::new(),
     };
     for (key, inner_value) in inner {
--- a/testing/support/settings_file.rs
+++ b/testing/support/settings_file.rs
@@ -18,7 +18,10 @@
 impl Binary {
     /// Runs it to its end.
     pub fn run(&self, arguments: &[&str]) -> Output {
-        Command::new(self.path).args(arguments).output().expect("it runs")
+        Command::new(self.path)
+            .args(arguments)
+            .output()
+            .expect("it runs")
     }
 
     /// A file of its own.
@@ -38,7 +41,10 @@
         let stderr_text = String::from_utf8_lossy(&output.stderr).trim().to_owned();
         assert_eq!(output.status.code(), Some(2), "{stderr_text}");
         assert_eq!(stderr_text.lines().count(), 1, "{stderr_text}");
-        assert!(stderr_text.contains(path.to_str().expect("a path")), "{stderr_text}");
+        assert!(
+            stderr_text.contains(path.to_str().expect("a path")),
+            "{stderr_text}"
+        );
         let _ = std::fs::remove_file(path);
         stderr_text
     }
@@ -47,7 +53,10 @@
     pub fn check_version_and_help(&self) {
         let version = self.run(&["--version"]);
         let version_text = String::from_utf8_lossy(&version.stdout).into_owned();
-        assert!(version_text.starts_with(&format!("{} ", self.name)), "{version_text}");
+        assert!(
+            version_text.starts_with(&format!("{} ", self.name)),
+            "{version_text}"
+        );
         assert_eq!(version.status.code(), Some(0));
         assert!(String::from_utf8_lossy(&self.run(&["--help"]).stdout).contains("--boot"));
     }
@@ -59,12 +68,24 @@
         assert!(self.refused("missing", "{}", &[]).contains("is missing"));
         assert!(self.refused("json", "{", &[]).contains("not JSON"));
         let bad_address = self.refused("place", r#"{"place": "localhost:1"}"#, &[]);
-        assert!(bad_address.contains("place is not an IP number with port"), "{bad_address}");
-        let overridden =
-            self.refused("flag", r#"{"place": "127.0.0.1:1"}"#, &["--place", "nowhere"]);
-        assert!(overridden.contains("place is not an IP number with port"), "{overridden}");
+        assert!(
+            bad_address.contains("place is not an IP number with port"),
+            "{bad_address}"
+        );
+        let overridden = self.refused(
+            "flag",
+            r#"{"place": "127.0.0.1:1"}"#,
+            &["--place", "nowhere"],
+        );
+        assert!(
+            overridden.contains("place is not an IP number with port"),
+            "{overridden}"
+        );
         let seeds = r#"{"seeds": ["127.0.0.1:1", "127.0.0.1:2"]}"#;
-        assert_eq!(self.run(&["--boot", "/no/such/file.json"]).status.code(), Some(2));
+        assert_eq!(
+            self.run(&["--boot", "/no/such/file.json"]).status.code(),
+            Some(2)
+        );
         let _ = self.refused("seeds", seeds, &[]);
     }
 
@@ -74,7 +95,13 @@
     pub fn check_early_hang_up(&self) {
         let pipe = std::env::temp_dir().join(format!("{}-{}.pipe", self.name, std::process::id()));
         let _ = std::fs::remove_file(&pipe);
-        assert!(Command::new("mkfifo").arg(&pipe).status().expect("mkfifo").success());
+        assert!(
+            Command::new("mkfifo")
+                .arg(&pipe)
+                .status()
+                .expect("mkfifo")
+                .success()
+        );
         let mut child = Command::new(self.path)
             .arg("--boot")
             .arg(&pipe)
@@ -82,13 +109,21 @@
             .spawn()
             .expect("it starts");
         let mut writer = loop {
-            let opened = OpenOptions::new().write(true).custom_flags(NONBLOCKING).open(&pipe);
+            let opened = OpenOptions::new()
+                .write(true)
+                .custom_flags(NONBLOCKING)
+                .open(&pipe);
             if let Ok(writer) = opened {
                 break writer;
             }
-            assert!(child.try_wait().expect("a status").is_none(), "it ended before it read");
+            assert!(
+                child.try_wait().expect("a status").is_none(),
+                "it ended before it read"
+            );
         };
-        let signalled = Command::new("kill").args(["-HUP", &child.id().to_string()]).status();
+        let signalled = Command::new("kill")
+            .args(["-HUP", &child.id().to_string()])
+            .status();
         assert!(signalled.expect("kill").success());
         writer.write_all(b"{}").expect("it reads");
         drop(writer);
--- a/testing/support/wire.rs
+++ b/testing/support/wire.rs
@@ -18,7 +18,9 @@
 fn shown(message: &[u8]) -> String {
     let text = String::from_utf8_lossy(message).replace("\r\n", "\n");
     let is_dated = |line: &str| line.starts_with("date: ");
-    let lines = text.split('\n').map(|line| if is_dated(line) { "date: DATE" } else { line });
+    let lines = text
+        .split('\n')
+        .map(|line| if is_dated(line) { "date: DATE" } else { line });
     lines.collect::<Vec<_>>().join("\n")
 }
 
@@ -29,7 +31,10 @@
     F: Future<Output = HttpResponse>,
 {
     let (near, mut far) = duplex(PIPE_BYTES);
-    let times = ConnectionLimits { header_bytes: 64 << 10, idle: Duration::from_secs(10) };
+    let times = ConnectionLimits {
+        header_bytes: 64 << 10,
+        idle: Duration::from_secs(10),
+    };
     let (_stop_sender, stop) = watch::channel(false);
     let (head, body) = request_text.split_once("\n\n").expect("a head");
     let sent = format!("{}\r\n\r\n{body}", head.replace('\n', "\r\n"));
@@ -48,14 +53,20 @@
 pub async fn response(served: HttpResponse) -> String {
     let waiting = Arc::new(Mutex::new(Some(served)));
     let handler = move |_| {
-        let served = waiting.lock().expect("a response").take().expect("one request");
+        let served = waiting
+            .lock()
+            .expect("a response")
+            .take()
+            .expect("one request");
         async move { served }
     };
     answered_by(handler, "GET / HTTP/1.1\nhost: h\nconnection: close\n\n").await
 }
 
 fn length(head: &str) -> usize {
-    let named = head.lines().find_map(|line| line.strip_prefix("content-length: "));
+    let named = head
+        .lines()
+        .find_map(|line| line.strip_prefix("content-length: "));
     named.and_then(|text| text.trim().parse().ok()).unwrap_or(0)
 }
 
