--- a/crates/common/src/frames/dial.rs
+++ b/crates/common/src/frames/dial.rs
@@ -9,7 +9,7 @@
 pub async fn connect_from(own_ip: Ipv4Addr, to: SocketAddress) -> std::io::Result<TcpStream> {
     let socket = TcpSocket::new_v4()?;
     socket.bind(SocketAddr::V4(SocketAddrV4::new(own_ip, 0)))?;
-    let stream = socket.connect(to.address()).await?;
+    let stream = socket.connect(to.to_std()).await?;
     crate::sockets::set_socket_options(&stream);
     Ok(stream)
 }
--- a/crates/common/src/frames/parts.rs
+++ b/crates/common/src/frames/parts.rs
@@ -147,8 +147,8 @@
     pub const UNSPECIFIED: SocketAddress =
         SocketAddress(SocketAddrV4::new(Ipv4Addr::UNSPECIFIED, 0));
 
-    /// The address as the operating system takes it.
-    pub fn address(self) -> SocketAddr {
+    /// The same address as the standard library's type, for binding and connecting.
+    pub fn to_std(self) -> SocketAddr {
         SocketAddr::V4(self.0)
     }
 }
--- a/crates/common/src/http/call.rs
+++ b/crates/common/src/http/call.rs
@@ -77,7 +77,7 @@
 /// Opens a connection; nothing is sent on it yet.
 pub async fn connect(address: SocketAddress, timeout: Duration) -> Result<TcpStream, CallError> {
     let connect_timeout = timeout.min(Duration::from_millis(1000));
-    let connected = tokio::time::timeout(connect_timeout, TcpStream::connect(address.address()));
+    let connected = tokio::time::timeout(connect_timeout, TcpStream::connect(address.to_std()));
     let opened_stream = match connected.await {
         Err(_) => return Err(CallError::ConnectTimeout),
         Ok(Err(error)) => return Err(CallError::NotSent(error)),
--- a/crates/common/src/http/line_stream.rs
+++ b/crates/common/src/http/line_stream.rs
@@ -30,7 +30,7 @@
     path: &str,
     mut on_line: impl FnMut(&str) -> ControlFlow<()>,
 ) -> Result<LineStreamEnd, CallError> {
-    let connecting = TcpStream::connect(address.address());
+    let connecting = TcpStream::connect(address.to_std());
     let stream = tokio::time::timeout(Duration::from_secs(1), connecting)
         .await
         .map_err(|_| CallError::ConnectTimeout)?
--- a/crates/controlplane/src/drivers/controller.rs
+++ b/crates/controlplane/src/drivers/controller.rs
@@ -168,7 +168,7 @@
 ) -> Result<TcpListener, SettingsError> {
     let error_of =
         |error| SettingsError::CannotListen(settings.source.clone(), key, address, error);
-    TcpListener::bind(address.address()).await.map_err(error_of)
+    TcpListener::bind(address.to_std()).await.map_err(error_of)
 }
 
 type OpenedDataDirectory = (DataDirectory, PersistedState, bool);
--- a/crates/controlplane/src/drivers/streams.rs
+++ b/crates/controlplane/src/drivers/streams.rs
@@ -81,8 +81,7 @@
 async fn probe_ended_process(address: SocketAddress, shared: &Shared) {
     for _ in 0..MAX_PROCESS_PROBES {
         let probe_result =
-            tokio::time::timeout(PROCESS_PROBE_TIMEOUT, TcpStream::connect(address.address()))
-                .await;
+            tokio::time::timeout(PROCESS_PROBE_TIMEOUT, TcpStream::connect(address.to_std())).await;
         match probe_result {
             Ok(Err(error)) if is_refusal(error.kind()) => {
                 let _ = shared
--- a/crates/dataplane/src/drivers/connector.rs
+++ b/crates/dataplane/src/drivers/connector.rs
@@ -42,7 +42,7 @@
 impl Connector for TcpConnector {
     fn to_runner(&self, address: SocketAddress) -> Opening<'_> {
         Box::pin(async move {
-            let stream = TcpStream::connect(address.address()).await?;
+            let stream = TcpStream::connect(address.to_std()).await?;
             sockets::set_socket_options(&stream);
             Ok(Box::new(stream) as Box<dyn ByteStream>)
         })
--- a/crates/dataplane/src/drivers/control.rs
+++ b/crates/dataplane/src/drivers/control.rs
@@ -234,7 +234,7 @@
             for address in addresses {
                 let _ = self
                     .heartbeat_socket
-                    .try_send_to(&datagram, address.address());
+                    .try_send_to(&datagram, address.to_std());
             }
         }
     }
--- a/crates/dataplane/src/drivers/daemon.rs
+++ b/crates/dataplane/src/drivers/daemon.rs
@@ -71,20 +71,20 @@
         } else {
             "listen"
         };
-        let process_listener = TcpListener::bind(settings.listen.address())
+        let process_listener = TcpListener::bind(settings.listen.to_std())
             .await
             .map_err(error_at(listen_key, settings.listen))?;
-        let ingress_listener = TcpListener::bind(settings.ingress.address())
+        let ingress_listener = TcpListener::bind(settings.ingress.to_std())
             .await
             .map_err(error_at("door", settings.ingress))?;
         let ready_listener = match settings.ready {
             Some(ready) => {
-                let listener = TcpListener::bind(ready.address()).await;
+                let listener = TcpListener::bind(ready.to_std()).await;
                 Some(listener.map_err(error_at("ready", ready))?)
             }
             None => None,
         };
-        let heartbeat_socket = UdpSocket::bind(settings.listen.address())
+        let heartbeat_socket = UdpSocket::bind(settings.listen.to_std())
             .await
             .map_err(error_at(listen_key, settings.listen))?;
         let (control, inputs) = mpsc::unbounded_channel();
--- a/testing/fleet/src/fleet/network_proxy.rs
+++ b/testing/fleet/src/fleet/network_proxy.rs
@@ -43,8 +43,8 @@
         address: SocketAddress,
         listen: SocketAddress,
     ) -> std::io::Result<()> {
-        let listener = TcpListener::bind(address.address()).await?;
-        let datagrams = UdpSocket::bind(address.address()).await?;
+        let listener = TcpListener::bind(address.to_std()).await?;
+        let datagrams = UdpSocket::bind(address.to_std()).await?;
         let proxy_tasks = vec![
             tokio::spawn(accept(listener, listen, self.network_conditions.clone())),
             tokio::spawn(proxy_datagrams(
@@ -151,7 +151,7 @@
     listen: SocketAddress,
     network_conditions: Arc<watch::Sender<NetworkConditions>>,
 ) {
-    let Ok(inner) = TcpStream::connect(listen.address()).await else {
+    let Ok(inner) = TcpStream::connect(listen.to_std()).await else {
         return;
     };
     let _ = outer.set_nodelay(true);
@@ -217,7 +217,7 @@
         let direction = (ip_of(from.ip()), *listen.0.ip());
         if !network_conditions.borrow().blocked.contains(&direction) {
             let _ = datagrams
-                .send_to(&datagram[..length], listen.address())
+                .send_to(&datagram[..length], listen.to_std())
                 .await;
         }
     }
--- a/testing/fleet/src/soak/clients.rs
+++ b/testing/fleet/src/soak/clients.rs
@@ -123,7 +123,7 @@
 }
 
 async fn send_and_disconnect(address: SocketAddress, bytes: &[u8]) {
-    let connecting = TcpStream::connect(address.address());
+    let connecting = TcpStream::connect(address.to_std());
     let connected = tokio::time::timeout(Duration::from_millis(200), connecting).await;
     if let Ok(Ok(mut stream)) = connected {
         let _ = stream.write_all(bytes).await;
--- a/testing/fleet/tests/smoke.rs
+++ b/testing/fleet/tests/smoke.rs
@@ -194,7 +194,7 @@
 }
 
 async fn raw_call(ingress: SocketAddress, sent: &str, half_closes: bool) -> String {
-    let mut stream = tokio::net::TcpStream::connect(ingress.address())
+    let mut stream = tokio::net::TcpStream::connect(ingress.to_std())
         .await
         .expect("a connection");
     stream.write_all(sent.as_bytes()).await.expect("sent");
--- a/testing/fleet/tests/soak.rs
+++ b/testing/fleet/tests/soak.rs
@@ -69,7 +69,7 @@
 }
 
 async fn call(ingress: SocketAddress, identity: &str) -> std::io::Result<String> {
-    let mut stream = TcpStream::connect(ingress.address()).await?;
+    let mut stream = TcpStream::connect(ingress.to_std()).await?;
     let head = format!(
         "POST /canary HTTP/1.1\r\nhost: x\r\nconnection: close\r\nrudder-transaction: {identity}\r\n\
          rudder-budget-ms: 3000\r\ncontent-length: 2\r\n\r\n{{}}"
