--- a/crates/common/src/frames/daemons.rs
+++ b/crates/common/src/frames/daemons.rs
@@ -204,7 +204,7 @@
         /// The function.
         function: FunctionKey,
         /// The route's name; dense numbers are not the same in every process.
-        route: IdempotencyKey,
+        route: ShortString,
         /// The spec the sender matched it with.
         version: Version,
         /// What is left of the budget, in milliseconds.
--- a/crates/dataplane/src/agent/forwarding/mod.rs
+++ b/crates/dataplane/src/agent/forwarding/mod.rs
@@ -18,7 +18,7 @@
 use common::frames::{
     DaemonMessage, Flag, Host, RequestFailureReason, RequestOutcome, RequestPayload,
 };
-use common::identity::{IdempotencyKey, Region};
+use common::identity::{Region, ShortString};
 use common::rules::Rule;
 use common::spec::RoutingTable;
 use std::time::Duration;
@@ -242,7 +242,7 @@
         DaemonMessage::FunctionRequest {
             idempotency_key: self.request.idempotency_key.clone(),
             function: self.request.function.clone(),
-            route: IdempotencyKey::from(self.request.route.as_str()),
+            route: ShortString::from(self.request.route.as_str()),
             version: self.request.version,
             timeout_ms: remaining_time.as_millis() as u32,
             hops: self.request.hops + 1,
