--- a/crates/common/src/events/mod.rs
+++ b/crates/common/src/events/mod.rs
@@ -1,13 +1,17 @@
-//! Numbered log events; each is described in `docs/events.md`.
+//! The catalogue of numbered events that processes log and operators follow.
+//!
+//! Numbers are stable: operators' tools match on them, and a number is never reused for another kind. Names may
+//! change; `docs/events.md` lists them as well, and a test holds it to this list. Numbers from 1000 are about any process,
+//! from 2000 about the control plane, from 3000 about daemons, their runners and requests.
 
 use std::fmt;
 
-/// One kind of event.
+/// One kind of event. Its `Display` form, `[E2104] lease granted`, begins a log line.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct Event {
-    /// Its number.
+    /// The stable number, four digits.
     pub number: u16,
-    /// Its short name.
+    /// A short name for people.
     pub name: &'static str,
 }
 
@@ -20,7 +24,7 @@
 macro_rules! events {
     ($($(#[$doc:meta])* $constant:ident = $number:literal, $name:literal;)+) => {
         $($(#[$doc])* pub const $constant: Event = Event { number: $number, name: $name };)+
-        /// Every event there is.
+        /// Every kind of event, in the order of their numbers.
         pub const ALL: &[Event] = &[$($constant),+];
     };
 }
@@ -32,115 +36,115 @@
     STOPPING = 1002, "stopping";
     /// A process has stopped.
     STOPPED = 1003, "stopped";
-    /// Settings that have changed could not be read; the process goes on with those it has.
+    /// Changed settings could not be read; the process goes on with those it has.
     SETTINGS_UNREADABLE = 1004, "settings unreadable";
-    /// A connection was closed for what it sent.
+    /// A connection was closed because of a frame it sent.
     FRAME_REJECTED = 1101, "frame rejected";
-    /// A heartbeat was not understood or came from a stranger.
+    /// A heartbeat could not be decoded, or came from a daemon that is not listed.
     HEARTBEAT_IGNORED = 1102, "heartbeat ignored";
-    /// A link to another process was lost.
+    /// The connection to another process was lost.
     LINK_LOST = 1103, "link lost";
-    /// The process found one of its own promises broken.
+    /// The process found one of its own invariants violated.
     INVARIANT_VIOLATED = 1201, "invariant violated";
-    /// A controller asks for votes.
-    ELECTION_STARTED = 2001, "campaign";
-    /// A controller leads.
+    /// A controller started an election and requests votes.
+    ELECTION_STARTED = 2001, "election started";
+    /// A controller was elected leader.
     LEADER_ELECTED = 2002, "elected";
     /// A controller no longer leads.
-    LEADER_STEPPED_DOWN = 2003, "stepped down";
+    LEADER_STEPPED_DOWN = 2003, "leader stepped down";
     /// A version of the document is committed.
     VERSION_COMMITTED = 2004, "committed";
     /// A version is in force at every daemon that serves.
     VERSION_IN_FORCE = 2005, "in force";
-    /// The disk failed a write.
-    DISK_WRITE_FAILED = 2006, "disk failed";
-    /// A file on disk was damaged and set aside.
-    DAMAGED_FILE_SET_ASIDE = 2007, "file set aside";
-    /// The core was founded.
-    QUORUM_FOUNDED = 2008, "founded";
-    /// The controller took long over one input, so that rounds and votes waited.
-    SLOW_INPUT = 2011, "slow step";
-    /// An operator's order was answered.
-    OPERATION_ANSWERED = 2012, "order answered";
-    /// The members of the core are changing.
-    QUORUM_RECONFIGURING = 2010, "succession";
+    /// A write to the disk failed.
+    DISK_WRITE_FAILED = 2006, "disk write failed";
+    /// A damaged file on the disk was set aside.
+    DAMAGED_FILE_SET_ASIDE = 2007, "damaged file set aside";
+    /// The control quorum was founded.
+    QUORUM_FOUNDED = 2008, "quorum founded";
     /// A disk write takes longer than an election timeout.
     DISK_STALLED = 2009, "disk stalled";
-    /// A daemon opened its stream.
-    MEMBER_CONNECTED = 2101, "member joined";
-    /// A daemon's stream was lost.
-    MEMBER_DISCONNECTED = 2102, "member lost";
-    /// The claims quorum stands; grants are given.
-    CLAIMS_QUORUM_REACHED = 2103, "claims quorum";
-    /// A function was granted.
-    LEASE_GRANTED = 2104, "granted";
-    /// A function was given back.
-    LEASE_RELEASED = 2105, "released";
-    /// A holder has lost a function; its runners are left for the next one, or being stopped.
-    FENCING_STARTED = 2106, "fencing";
-    /// Each runner of a lost holder is left or stopped; the function may be granted again.
-    FENCING_FINISHED = 2107, "fenced";
+    /// The voters of the control quorum are being replaced.
+    QUORUM_RECONFIGURING = 2010, "quorum reconfiguring";
+    /// The controller took long over one input, so that heartbeat rounds and votes waited.
+    SLOW_INPUT = 2011, "slow input";
+    /// An operator's request was answered.
+    OPERATION_ANSWERED = 2012, "operation answered";
+    /// A daemon opened its control stream.
+    MEMBER_CONNECTED = 2101, "member connected";
+    /// A daemon's control stream was lost.
+    MEMBER_DISCONNECTED = 2102, "member disconnected";
+    /// The claims quorum is reached; the leader grants leases.
+    CLAIMS_QUORUM_REACHED = 2103, "claims quorum reached";
+    /// A function lease was granted.
+    LEASE_GRANTED = 2104, "lease granted";
+    /// A holder released a function lease.
+    LEASE_RELEASED = 2105, "lease released";
+    /// A holder lost a function; its runners are kept for the next holder, or being stopped.
+    FENCING_STARTED = 2106, "fencing started";
+    /// Each runner of a lost holder is kept or stopped; the function may be granted again.
+    FENCING_FINISHED = 2107, "fencing finished";
     /// A claim was rejected.
     CLAIM_REJECTED = 2108, "claim rejected";
-    /// A runner without a holder was found; it is left for the next one, or being stopped.
-    ORPHANED_RUNNER_FOUND = 2109, "orphan";
+    /// A runner without a holder was found; it is kept for the next one, or being stopped.
+    ORPHANED_RUNNER_FOUND = 2109, "orphaned runner found";
     /// The platform did not answer.
-    PLATFORM_UNREACHABLE = 2110, "platform silent";
-    /// A last-known daemon never came back and no longer counts for the quorum.
-    ABSENT_MEMBER_DROPPED = 2111, "struck off";
-    /// No worker has room for a runner.
-    NO_WORKER_CAPACITY = 2112, "no room";
-    /// An idle function gave up its runners because memory is short.
-    IDLE_RUNNERS_RECLAIMED = 2115, "gave way";
-    /// A lightly used worker is being emptied.
-    WORKER_EVACUATING = 2116, "worker emptying";
-    /// A worker is empty and can be switched off.
-    WORKER_EVACUATED = 2117, "worker empty";
-    /// A daemon refused transactions.
-    REQUESTS_REJECTED = 2114, "sheds";
-    /// A runner that nobody holds is left for the next holder.
-    RUNNER_ORPHANED = 2118, "runner left";
-    /// A runner has gone from the platform's list.
-    RUNNER_UNLISTED = 2119, "runner vanished";
-    /// The watchers of a daemon miss its heartbeats.
-    MEMBER_SUSPECTED = 2120, "member silent";
-    /// A daemon that was missed is heard again.
-    MEMBER_RECOVERED = 2121, "member heard";
+    PLATFORM_UNREACHABLE = 2110, "platform unreachable";
+    /// A last-known daemon never came back and no longer counts for the claims quorum.
+    ABSENT_MEMBER_DROPPED = 2111, "absent member dropped";
+    /// No worker has capacity for a runner.
+    NO_WORKER_CAPACITY = 2112, "no worker capacity";
     /// An evacuation leaves little capacity.
     CAPACITY_LOW = 2113, "capacity low";
-    /// The daemon's member grant runs.
-    SERVING_STARTED = 3001, "serving";
-    /// The daemon's member grant ended; it serves no more, and leaves its runners.
-    SESSION_LEASE_ENDED = 3002, "grant ended";
+    /// A daemon rejected requests.
+    REQUESTS_REJECTED = 2114, "requests rejected";
+    /// An idle function gave up its runners because memory is short.
+    IDLE_RUNNERS_RECLAIMED = 2115, "idle runners reclaimed";
+    /// A lightly used worker is being evacuated.
+    WORKER_EVACUATING = 2116, "worker evacuating";
+    /// A worker is evacuated and can be switched off.
+    WORKER_EVACUATED = 2117, "worker evacuated";
+    /// A runner whose holder was lost is kept for the next holder.
+    RUNNER_ORPHANED = 2118, "runner orphaned";
+    /// A runner is no longer on the platform's list.
+    RUNNER_UNLISTED = 2119, "runner unlisted";
+    /// The watchers of a daemon miss its heartbeats; the others send it no requests until it recovers.
+    MEMBER_SUSPECTED = 2120, "member suspected";
+    /// A suspected daemon sends heartbeats again.
+    MEMBER_RECOVERED = 2121, "member recovered";
+    /// The daemon has a session lease and serves.
+    SERVING_STARTED = 3001, "serving started";
+    /// The daemon's session lease ended; it serves no more, and leaves its runners.
+    SESSION_LEASE_ENDED = 3002, "session lease ended";
     /// A spec was installed.
     SPEC_INSTALLED = 3003, "spec installed";
     /// A spec could not be installed.
-    SPEC_INSTALL_FAILED = 3004, "spec failed";
-    /// The stream to the leader is open.
-    STREAM_OPENED = 3005, "stream open";
-    /// The stream to the leader is lost.
+    SPEC_INSTALL_FAILED = 3004, "spec install failed";
+    /// The control stream to the leader is open.
+    STREAM_OPENED = 3005, "stream opened";
+    /// The control stream to the leader is lost.
     STREAM_LOST = 3006, "stream lost";
     /// A runner is ready.
     RUNNER_READY = 3101, "runner ready";
-    /// A runner did not start or died.
+    /// A runner did not start, or ended unexpectedly.
     RUNNER_FAILED = 3102, "runner failed";
-    /// A runner's answer was wrong, short or another's.
-    RESPONSE_REJECTED = 3103, "answer rejected";
+    /// A runner's response was wrong, incomplete or meant for another request.
+    RESPONSE_REJECTED = 3103, "response rejected";
     /// A runner is stopped.
     RUNNER_STOPPED = 3104, "runner stopped";
-    /// A function is being handed over.
-    HANDOVER_STARTED = 3105, "handing over";
-    /// A request that a caller brought here ended without an answer.
+    /// A function is being handed over to another daemon.
+    HANDOVER_STARTED = 3105, "handover started";
+    /// A request that a caller sent to this daemon ended without a response.
     REQUEST_FAILED = 3201, "request failed";
-    /// A request ended without an answer at the daemon that holds its function.
+    /// A request ended without a response at the daemon that holds its function.
     REQUEST_NOT_SERVED = 3202, "request not served";
-    /// A request was sent to a runner, and no good answer came.
+    /// A request was sent to a runner, and no valid response came.
     SEND_FAILED = 3203, "send failed";
-    /// So many requests without an answer were not logged, to keep the log small.
+    /// That many requests without a response were not logged, to keep the log small.
     REQUESTS_NOT_LOGGED = 3204, "requests not logged";
 }
 
-/// Writes a numbered event to the log.
+/// Writes a numbered event to the log at the given level, with an optional formatted detail after a colon.
 #[macro_export]
 macro_rules! log_event {
     ($level:ident, $event:expr) => {
