--- a/crates/common/src/frames/compress.rs
+++ b/crates/common/src/frames/compress.rs
@@ -1,4 +1,4 @@
-//! Compression of long texts in frames.
+//! Compression of long texts in frames, with DEFLATE (RFC 1951).
 
 use super::{ByteString, FrameError};
 use flate2::Compression;
@@ -10,7 +10,9 @@
 const MIN_COMPRESSED_LENGTH: usize = 256;
 const MAX_DECOMPRESSED_LENGTH: u64 = 64 << 20;
 
-/// Makes a text smaller for the wire; one of less than 256 bytes goes as it is.
+/// Compresses a JSON text for a frame; one of less than 256 bytes is sent as it is.
+///
+/// A compressed text begins with a byte that no JSON text begins with, which tells [`decompress`] the two apart.
 pub fn compress(text: &[u8]) -> ByteString {
     if text.len() < MIN_COMPRESSED_LENGTH {
         return ByteString::from(text.to_vec());
@@ -22,7 +24,10 @@
     }
 }
 
-/// The text that was packed; fails on what was not packed so, and on more than 64 MiB.
+/// Returns the text that was given to [`compress`].
+///
+/// # Errors
+/// [`FrameError::Connection`] if the bytes are not valid DEFLATE, or expand to more than 64 MiB.
 pub fn decompress(compressed: &ByteString) -> Result<Vec<u8>, FrameError> {
     let Some((DEFLATE_MARK, deflated_bytes)) = compressed
         .0
--- a/crates/common/src/frames/consensus.rs
+++ b/crates/common/src/frames/consensus.rs
@@ -1,25 +1,25 @@
-//! Frames between controllers: election, rounds, versions of the document.
+//! Frames between controllers: elections, heartbeat rounds, and replication of the document.
 
 use super::{ByteString, Flag, LengthPrefixed, SocketAddress};
 use crate::identity::{ControllerId, DocumentVersion, Incarnation, MemberName, Term, Zone};
 use binrw::binrw;
 
-/// A daemon as the core remembers it over a change of leader.
+/// A daemon as the control quorum remembers it over a change of leader.
 #[binrw]
 #[brw(big)]
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Debug)]
 pub struct KnownMember {
-    /// Its name.
+    /// The daemon's name.
     pub member: MemberName,
-    /// The life that was last granted to.
+    /// The incarnation that last had a session lease.
     pub incarnation: Incarnation,
-    /// Where it listens; another life there proves that this one is gone.
+    /// Where it listens; another incarnation at this address proves that this one has ended.
     pub address: SocketAddress,
 }
 
 impl KnownMember {
-    /// Whether this is another life of the same daemon, at the same place: only one of them can be
-    /// alive, since it holds the place's port.
+    /// Whether this is another incarnation of the same daemon at the same address. Only one of the two can be alive,
+    /// since it holds the port.
     pub fn is_other_incarnation_of(&self, other: &KnownMember) -> bool {
         self.member == other.member
             && self.address == other.address
@@ -27,140 +27,140 @@
     }
 }
 
-/// What one core member sends another.
+/// A frame from one controller to another: the sender, and a message.
 #[binrw]
 #[brw(big)]
 #[derive(Clone, Debug)]
 pub struct ConsensusFrame {
-    /// Who sends.
+    /// The sender.
     pub from: ControllerId,
-    /// Where answers reach the sender.
+    /// Where the sender listens for other processes.
     pub address: SocketAddress,
-    /// Where operators reach the sender.
+    /// Where the sender listens for operators' HTTP requests.
     pub operators: SocketAddress,
     /// The sender's zone.
     pub zone: Zone,
-    /// What is said.
+    /// The message.
     pub body: ConsensusMessage,
 }
 
-/// The parts of the core's talk.
+/// The messages between controllers.
 #[binrw]
 #[brw(big)]
 #[derive(Clone, Debug)]
 pub enum ConsensusMessage {
-    /// Says who is here and how far its disk is.
+    /// To the seeds and the voters, again and again: introduces the sender and says which version it has on disk.
     #[brw(magic = 1u8)]
     Hello {
-        /// The newest accepted version, zero when the disk is empty.
+        /// The sender's newest accepted version; zero if its disk is empty.
         accepted: DocumentVersion,
         /// The sender's term.
         term: Term,
-        /// Whether the sender keeps nothing: it never votes, and only passes on.
+        /// Whether the sender stores nothing: it never votes, and only relays between daemons and the leader.
         diskless: Flag,
     },
-    /// The first document, for a member it names whose disk holds none.
+    /// The founding document, sent to a voter that it names and whose disk holds none.
     #[brw(magic = 2u8)]
     Bootstrap {
-        /// The document.
+        /// The document as JSON, compressed by [`compress`](super::compress).
         document: ByteString,
     },
-    /// Asks for a vote.
+    /// From a candidate to each voter: requests its vote.
     #[brw(magic = 3u8)]
     VoteRequest {
-        /// The term asked for.
+        /// The term that the candidate wants to lead.
         term: Term,
         /// The candidate's newest accepted version.
         accepted: DocumentVersion,
-        /// Whether the candidate only asks if it would be given.
+        /// Whether this is a pre-vote: the voter answers whether it would vote so, and promises nothing.
         is_pre_vote: Flag,
     },
-    /// Answers a vote asked for; a yes is on disk before it is sent.
+    /// From a voter to a candidate. A vote (other than a pre-vote) is on the voter's disk before this is sent.
     #[brw(magic = 4u8)]
     VoteResponse {
         /// The voter's term.
         term: Term,
-        /// The term asked for.
+        /// The term of the vote request that is answered.
         requested_term: Term,
-        /// Whether it answers a trial.
+        /// Whether it answers a pre-vote.
         is_pre_vote: Flag,
-        /// Whether the vote is given.
+        /// Whether the vote is granted.
         granted: Flag,
-        /// The daemons the voter last heard of.
+        /// The daemons that the voter knows from the last leader's heartbeats.
         members: LengthPrefixed<KnownMember>,
-        /// Whether the voter heard of them in this life, from a leader that knew all.
+        /// Whether that list is complete: received since the voter started, from a leader whose list was complete.
         complete: Flag,
     },
-    /// One round of the leader.
+    /// From the leader to each voter, once in each heartbeat round.
     #[brw(magic = 5u8)]
     Heartbeat {
         /// The leader's term.
         term: Term,
-        /// The round's number.
+        /// The heartbeat round's number within the term.
         round: u64,
         /// The leader's newest accepted version.
         accepted: DocumentVersion,
         /// The newest committed version.
         committed: DocumentVersion,
-        /// The daemons that may hold grants.
+        /// The daemons that may have a session lease.
         members: LengthPrefixed<KnownMember>,
         /// Whether the leader knows that there are no others.
         complete: Flag,
     },
-    /// Answers a round.
+    /// From a voter to the leader: answers a heartbeat.
     #[brw(magic = 6u8)]
     HeartbeatResponse {
-        /// The answering member's term.
+        /// The voter's term.
         term: Term,
-        /// The round answered.
+        /// The heartbeat round that is answered.
         round: u64,
-        /// The newest version on the member's disk.
+        /// The newest version on the voter's disk.
         accepted: DocumentVersion,
     },
-    /// A whole version to be written.
+    /// From the leader to a voter: a full document to be written to disk.
     #[brw(magic = 7u8)]
     AcceptFull {
         /// The leader's term.
         term: Term,
-        /// Where the version stands.
+        /// The version of the resulting document.
         document_version: DocumentVersion,
-        /// The document, packed.
+        /// The document as JSON, compressed by [`compress`](super::compress).
         document: ByteString,
     },
-    /// A version to be written, as what leads to it from the one before.
+    /// From the leader to a voter: a version to be written to disk, as a delta from an earlier one.
     #[brw(magic = 10u8)]
     AcceptDelta {
         /// The leader's term.
         term: Term,
-        /// The version that the change leads from.
+        /// The version that the delta applies to.
         base: DocumentVersion,
-        /// Where the version stands.
+        /// The version of the resulting document.
         document_version: DocumentVersion,
-        /// The change, packed.
+        /// The delta as JSON, compressed by [`compress`](super::compress).
         delta: ByteString,
-        /// The digest of the changed document.
+        /// The SHA-256 digest of the resulting document.
         digest: ByteString,
     },
-    /// A change led from a version that is not held here: asks for the whole version.
+    /// From a voter to the leader: the delta's base is not the version held here; requests the full document.
     #[brw(magic = 11u8)]
     SnapshotRequest {
-        /// The member's term.
+        /// The voter's term.
         term: Term,
-        /// The newest version on the member's disk.
+        /// The newest version on the voter's disk.
         accepted: DocumentVersion,
     },
-    /// Names the leader and the members of the core to one that is no member.
+    /// Answers the hello of a controller that is not a voter: the addresses of the leader and of the voters.
     #[brw(magic = 9u8)]
     VoterAddresses {
-        /// Where they are reached.
+        /// Their addresses.
         addresses: LengthPrefixed<SocketAddress>,
     },
-    /// Says what is on disk, synced.
+    /// From a voter to the leader: the version that is synced to the voter's disk.
     #[brw(magic = 8u8)]
     Accepted {
-        /// The member's term.
+        /// The voter's term.
         term: Term,
-        /// The newest version on the member's disk.
+        /// The newest version on the voter's disk.
         document_version: DocumentVersion,
     },
 }
--- a/crates/common/src/frames/daemons.rs
+++ b/crates/common/src/frames/daemons.rs
@@ -1,4 +1,4 @@
-//! Frames between daemons: transactions passed on, their outcomes, and ledger copies.
+//! Frames between daemons: forwarded requests, their outcomes, and the replication of ledgers.
 
 use super::{ByteString, Flag, Host, LengthPrefixed};
 use crate::identity::{
@@ -8,48 +8,50 @@
 use binrw::binrw;
 use std::fmt;
 
-/// Why a transaction was not run, or is unknown.
+/// Why a request was not run, or why its outcome is unknown.
+///
+/// The numbers are those of the wire; the texts of [`as_str`](Self::as_str) are what callers read.
 #[binrw]
 #[brw(big)]
 #[brw(repr = u8)]
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum RequestFailureReason {
-    /// The asked daemon does not hold the function.
+    /// The daemon does not hold the function.
     NotHolder = 1,
-    /// The inbox is full.
+    /// The queue is full.
     QueueFull = 2,
-    /// It could not be finished in its budget.
+    /// It could not be finished before its deadline.
     DeadlineTooShort = 3,
-    /// The daemon has no member grant, or is leaving.
+    /// The daemon has no session lease, or is leaving.
     NotServing = 4,
-    /// No runner could be had.
+    /// No runner was available.
     NoRunnerAvailable = 5,
-    /// The share of extra tries is used up.
+    /// The retry budget is used up.
     RetryBudgetSpent = 6,
-    /// The runner itself refused, under seal.
+    /// The runner itself rejected it, under seal.
     RejectedByRunner = 7,
     /// The spec no longer allows it.
     NotAllowed = 8,
-    /// The same identity was refused before.
+    /// A request with the same idempotency key was rejected before.
     RejectedBefore = 9,
-    /// The same identity is under way.
+    /// A request with the same idempotency key is in progress.
     InProgress = 10,
-    /// The runner's answer was lost, cut short or wrong.
+    /// The runner's response was lost, cut short or invalid.
     ResponseLost = 11,
-    /// The holder fell silent.
+    /// The holder became unreachable.
     HolderUnreachable = 12,
-    /// No leader or owner was found in time.
+    /// No leader or hash owner was found in time.
     NoOwner = 13,
-    /// A new holder does not yet admit transactions that may run only once.
+    /// A new holder does not yet admit requests that may run only once.
     OnceNotYetAdmitted = 14,
-    /// The same identity ran before and its answer is not kept.
+    /// A request with the same idempotency key ran before, and its response is not stored.
     AlreadyRan = 15,
-    /// Nobody could be had to note a transaction that may run only once.
+    /// No ledger replica could record a request that may run only once.
     LedgerUnreachable = 16,
 }
 
 impl RequestFailureReason {
-    /// The reason as callers read it.
+    /// Returns the reason as callers read it.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::NotHolder => "not_holder",
@@ -78,34 +80,34 @@
     }
 }
 
-/// One header line that is passed on as it came.
+/// One header field that is forwarded unchanged.
 #[binrw]
 #[brw(big)]
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct HeaderField {
-    /// Its name.
+    /// The field's name.
     pub name: ShortString,
-    /// Its value.
+    /// The field's value.
     pub value: ByteString,
 }
 
-/// What a caller sent, as a runner is to get it.
+/// A caller's request as it is forwarded to a runner.
 #[binrw]
 #[brw(big)]
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct RequestPayload {
     /// The method.
     pub method: ShortString,
-    /// Path and query, untouched.
+    /// The path and query, unchanged.
     pub target: ShortString,
-    /// The header lines that are passed on, `host` among them.
+    /// The header fields that are forwarded, `host` among them.
     pub header_fields: LengthPrefixed<HeaderField>,
     /// The body.
     pub body: ByteString,
 }
 
 impl RequestPayload {
-    /// A parcel that is nothing but a body.
+    /// Creates a POST request to `/` with a body and no header fields.
     pub fn from_body(body: bytes::Bytes) -> Self {
         Self {
             method: ShortString::from("POST"),
@@ -116,31 +118,31 @@
     }
 }
 
-/// How a transaction ended.
+/// How a request ended.
 #[binrw]
 #[brw(big)]
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub enum RequestOutcome {
-    /// The runner's whole sealed body.
+    /// The runner's complete response, with its seal.
     #[brw(magic = 1u8)]
     Response {
-        /// The runner's status.
+        /// The HTTP status.
         status: u16,
-        /// The seal as the runner gave it.
+        /// The seal as the runner sent it.
         seal: ByteString,
-        /// The runner's name.
+        /// The runner.
         runner: crate::identity::RunnerId,
-        /// Header lines that go on to the caller.
+        /// The header fields that are forwarded to the caller.
         header_fields: LengthPrefixed<HeaderField>,
         /// The body.
         body: ByteString,
     },
-    /// Nothing was sent to a runner, and nothing will be.
+    /// It was not run by any runner, and will not be.
     #[brw(magic = 2u8)]
     NotRun {
         /// Why.
         reason: RequestFailureReason,
-        /// When to come back.
+        /// After how many milliseconds a retry is worthwhile.
         retry_after_ms: u32,
     },
     /// It may have run.
@@ -151,7 +153,7 @@
     },
 }
 
-/// What is known of a once-transaction in a ledger.
+/// What a ledger records of a request that may run only once.
 #[binrw]
 #[brw(big)]
 #[brw(repr = u8)]
@@ -159,131 +161,133 @@
 pub enum LedgerRecordState {
     /// It may be sent to a runner from now on.
     Recorded = 1,
-    /// It ran, and was answered.
+    /// It ran, and its response was valid.
     Answered = 2,
     /// It may have run.
     Unknown = 3,
-    /// It was refused, and must never run.
+    /// It was rejected, and must never run.
     Rejected = 4,
 }
 
-/// One line of a ledger.
+/// One entry of a ledger.
 #[binrw]
 #[brw(big)]
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct LedgerRecord {
-    /// The try's identity.
+    /// The request's idempotency key.
     pub idempotency_key: IdempotencyKey,
-    /// What is known of it.
+    /// What is recorded of it.
     pub state: LedgerRecordState,
-    /// How long it is worth keeping, in milliseconds.
+    /// How many milliseconds the entry has still to be kept.
     pub remaining_ms: u32,
 }
 
-/// What daemons say to each other: a question or its answer, tied by a number.
+/// A frame from one daemon to another: a request or the response to one.
 #[binrw]
 #[brw(big)]
 #[derive(Clone, Debug)]
 pub struct DaemonFrame {
-    /// Ties an answer to its question.
+    /// Ties a response to its request on this connection; the side that sends the request chooses it.
     pub correlation: CorrelationId,
-    /// What is said.
+    /// The message.
     pub body: DaemonMessage,
 }
 
-/// The parts of the daemons' talk.
+/// The messages between daemons.
 #[binrw]
 #[brw(big)]
 #[derive(Clone, Debug)]
 pub enum DaemonMessage {
-    /// Passes a transaction on.
+    /// From a daemon to the function's holder or hash owner: forwards a request. Answered by `Completed`.
     #[brw(magic = 1u8)]
     FunctionRequest {
-        /// The try's identity.
+        /// The request's idempotency key.
         idempotency_key: IdempotencyKey,
         /// The function.
         function: FunctionKey,
-        /// The route's name; dense numbers are not the same in every process.
+        /// The route's name, since an index is valid within one process only.
         route: ShortString,
-        /// The spec the sender matched it with.
+        /// The version of the spec that the sender matched it with.
         version: Version,
-        /// What is left of the budget, in milliseconds.
+        /// The time left until the request's deadline, in milliseconds.
         timeout_ms: u32,
-        /// How many hops it has made.
+        /// How many times it has been forwarded.
         hops: u8,
-        /// Whether it is a repeat: the caller's, or of one passed to a holder that fell silent.
+        /// Whether it is a repeat: marked so by the caller, or sent again because a holder became unreachable.
         repeat: Flag,
-        /// Whether the sender would rather be told the holder than have it passed on.
+        /// Whether the receiver, if it is not the holder, should name the holder instead of forwarding the request.
         wants_referral: Flag,
-        /// The region of the daemon that took it from its caller; empty when it lies in none.
+        /// The region of the daemon that took the request from its caller; empty if that daemon is in none.
         region: Region,
         /// What the caller sent.
         payload: RequestPayload,
     },
-    /// Brings the outcome back.
+    /// Answers `FunctionRequest` with the outcome.
     #[brw(magic = 2u8)]
     Completed {
-        /// How it ended.
+        /// The outcome.
         outcome: RequestOutcome,
-        /// The function's holder, when the answering daemon knows it; with an answer, nobody is named
-        /// when it is that daemon itself.
+        /// The function's holder, if the answering daemon knows it. Beside a response, none means that the answering
+        /// daemon is the holder.
         holder: LengthPrefixed<Host>,
-        /// In how many tenths of a second the callers of the asking region are served under a key of their own; zero
-        /// when they are not.
+        /// In how many tenths of a second callers of the requesting region will be served under a regional key; zero if
+        /// they will not.
         regional_tenths: u8,
     },
-    /// A holder has its steward note once-transactions.
+    /// From a holder to its ledger replica: records entries before their requests are sent. Answered by `Recorded`.
     #[brw(magic = 3u8)]
     Record {
         /// The function.
         function: FunctionKey,
-        /// The grant it is held under.
+        /// The fencing token of the lease that it is held under.
         fencing_token: FencingToken,
-        /// The steward's life that is meant.
+        /// The replica's incarnation that is meant; another one has lost the copy.
         incarnation: Incarnation,
-        /// The lines.
+        /// The entries.
         records: LengthPrefixed<LedgerRecord>,
     },
-    /// Whether the lines are noted.
+    /// Answers `Record`.
     #[brw(magic = 4u8)]
     Recorded {
-        /// Yes, or no: another life, or a successor has collected.
+        /// Whether the entries are stored. They are not if the replica has another incarnation, or a later holder has
+        /// collected the copy.
         is_stored: Flag,
     },
-    /// A successor collects what a steward noted for an earlier grant.
+    /// From a new holder to an earlier holder's ledger replica: requests the copy of that ledger. Answered by
+    /// `Collected`.
     #[brw(magic = 5u8)]
     Collect {
         /// The function.
         function: FunctionKey,
-        /// The earlier grant.
+        /// The fencing token of the earlier lease.
         fencing_token: FencingToken,
-        /// The steward's life that is meant.
+        /// The replica's incarnation that is meant; another one has lost the copy.
         incarnation: Incarnation,
     },
-    /// The steward's whole copy.
+    /// Answers `Collect` with the replica's copy.
     #[brw(magic = 6u8)]
     Collected {
-        /// Whether it is whole: the steward is in the life that is meant.
+        /// Whether the copy is complete: the replica has the incarnation that is meant.
         complete: Flag,
-        /// The lines.
+        /// The entries.
         records: LengthPrefixed<LedgerRecord>,
     },
-    /// A holder compares its ledger with its steward's copy.
+    /// From a holder to its ledger replica: compares the ledger with the copy. Answered by `Differs`.
     #[brw(magic = 7u8)]
     Compare {
         /// The function.
         function: FunctionKey,
-        /// The grant it is held under.
+        /// The fencing token of the lease that it is held under.
         fencing_token: FencingToken,
-        /// The steward's life that is meant.
+        /// The replica's incarnation that is meant; another one has lost the copy.
         incarnation: Incarnation,
-        /// A digest for each range of identities.
+        /// A digest for each range of idempotency keys.
         digests: LengthPrefixed<u64>,
     },
-    /// The ranges that differ.
+    /// Answers `Compare` with the ranges that differ.
     #[brw(magic = 8u8)]
     Differs {
-        /// Their numbers.
+        /// The positions of the ranges in the list of digests.
         ranges: LengthPrefixed<u8>,
     },
 }
--- a/crates/common/src/frames/dial.rs
+++ b/crates/common/src/frames/dial.rs
@@ -1,11 +1,11 @@
-//! Opening connections to other processes.
+//! Opening connections to other rudderstream processes.
 
 use super::{Channel, FrameError, SocketAddress, write_channel};
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
 use std::time::Duration;
 use tokio::net::{TcpSocket, TcpStream};
 
-/// Connects to another process from this process's own IP number; nothing is written yet.
+/// Connects to another process from this process's own IP address; nothing is written yet.
 pub async fn connect_from(own_ip: Ipv4Addr, to: SocketAddress) -> std::io::Result<TcpStream> {
     let socket = TcpSocket::new_v4()?;
     socket.bind(SocketAddr::V4(SocketAddrV4::new(own_ip, 0)))?;
@@ -14,8 +14,11 @@
     Ok(stream)
 }
 
-/// Opens a channel to another process from this process's own IP number, by which the machines of a
-/// fleet know each other.
+/// Connects to another process from this process's own IP address, by which machines know each other, and writes the
+/// channel's opening bytes.
+///
+/// # Errors
+/// [`FrameError::Connection`] if the connection cannot be opened, or not within `timeout`.
 pub async fn dial(
     own_ip: Ipv4Addr,
     to: SocketAddress,
--- a/crates/common/src/frames/heartbeat.rs
+++ b/crates/common/src/frames/heartbeat.rs
@@ -1,42 +1,42 @@
-//! Heartbeats between daemons, and the suspicions they carry.
+//! Heartbeats between daemons, and the suspicions that they spread.
 
 use super::LengthPrefixed;
 use crate::identity::{Incarnation, MemberName};
 use binrw::binrw;
 
-/// One life of a daemon.
+/// One incarnation of a daemon.
 #[binrw]
 #[brw(big)]
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Debug)]
 pub struct MemberIncarnation {
-    /// Whose.
+    /// The daemon's name.
     pub member: MemberName,
-    /// Which.
+    /// Its incarnation.
     pub incarnation: Incarnation,
 }
 
-/// That a daemon has fallen silent, as far as its watchers know.
+/// The suspicion that a daemon is unreachable, spread from daemon to daemon for a limited number of hops.
 #[binrw]
 #[brw(big)]
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct Suspicion {
-    /// Who is silent.
+    /// The suspected daemon.
     pub instance: MemberIncarnation,
-    /// How often the word may still be passed on.
+    /// How many more times the suspicion may be relayed.
     pub remaining_relays: u8,
 }
 
-/// What a daemon sends to its watchers. In calm times it carries nobody but its sender.
+/// Sent by a daemon to its watchers at a fixed interval. Without failures it carries no suspicion.
 #[binrw]
 #[brw(big)]
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct Heartbeat {
-    /// Who sends.
+    /// The sender's name.
     pub member: MemberName,
-    /// Which life of it.
+    /// The sender's incarnation.
     pub incarnation: Incarnation,
-    /// Counts the heartbeats of that life.
+    /// The sequence number of this heartbeat within the incarnation.
     pub count: u64,
-    /// Whom the sender believes silent.
+    /// The daemons that the sender suspects.
     pub suspicions: LengthPrefixed<Suspicion>,
 }
--- a/crates/common/src/frames/mod.rs
+++ b/crates/common/src/frames/mod.rs
@@ -1,4 +1,12 @@
-//! The frames that rudderstream's processes exchange.
+//! The frames that rudderstream's processes exchange, and their framing.
+//!
+//! - [`ConsensusFrame`]: between controllers, over TCP.
+//! - [`DaemonToLeader`] and [`LeaderToDaemon`]: on the control stream between a daemon and the leader, over TCP.
+//! - [`DaemonFrame`]: between daemons, over TCP: forwarded requests and copies of ledgers.
+//! - [`Heartbeat`]: from a daemon to its watchers, one UDP datagram each.
+//!
+//! All numbers are big-endian. A change of any frame's bytes needs another wire version (see `wire`); both sides of a
+//! connection must have the same one.
 
 mod compress;
 mod consensus;
--- a/crates/common/src/frames/parts.rs
+++ b/crates/common/src/frames/parts.rs
@@ -1,4 +1,4 @@
-//! The building blocks of frames: texts, lists, bytes, flags, places.
+//! The building blocks of frames: texts, lists, bytes, flags and addresses.
 
 use binrw::{BinRead, BinResult, BinWrite, Endian, binrw};
 use bytes::Bytes;
@@ -7,6 +7,9 @@
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
 
 /// Reads a short text: its length in two bytes, then UTF-8.
+///
+/// # Errors
+/// Fails if the input ends early or is not UTF-8.
 pub fn read_text<R: Read + Seek>(reader: &mut R, endian: Endian) -> BinResult<String> {
     let text_length = u16::read_options(reader, endian, ())?;
     let mut read_bytes = vec![0; text_length as usize];
@@ -18,7 +21,8 @@
     })
 }
 
-/// Writes a short text, cut at what two bytes of length can say.
+/// Writes a short text: its length in two bytes, then UTF-8. A text of more than 65535 bytes is cut at a character
+/// boundary.
 pub fn write_text<W: Write + Seek>(text: &str, writer: &mut W, endian: Endian) -> BinResult<()> {
     let mut end = text.len().min(u16::MAX as usize);
     while !text.is_char_boundary(end) {
@@ -29,7 +33,8 @@
     Ok(())
 }
 
-/// Many of one kind: a count, then each.
+/// A list on the wire: the number of items in four bytes, then the items. A list of none or one stands for an optional
+/// value.
 #[derive(Clone, PartialEq, Eq, Debug, Default)]
 pub struct LengthPrefixed<T>(pub Vec<T>);
 
@@ -73,7 +78,7 @@
     }
 }
 
-/// A long run of bytes.
+/// Bytes on the wire: their length in four bytes, then the bytes. Shared, not copied, by clones.
 #[derive(Clone, PartialEq, Eq, Default)]
 pub struct ByteString(pub Bytes);
 
@@ -124,7 +129,7 @@
     }
 }
 
-/// Yes or no in one byte.
+/// A boolean in one byte; any byte but zero is true.
 #[binrw]
 #[brw(big)]
 #[br(map = |read_byte: u8| Flag(read_byte != 0))]
@@ -132,7 +137,7 @@
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
 pub struct Flag(pub bool);
 
-/// Where a process listens: an IP number and a port.
+/// The address at which a process listens: IPv4 address and port, six bytes on the wire.
 #[binrw]
 #[brw(big)]
 #[br(map = |(ip_bits, port): (u32, u16)| {
@@ -143,7 +148,7 @@
 pub struct SocketAddress(pub SocketAddrV4);
 
 impl SocketAddress {
-    /// A place that is nowhere.
+    /// `0.0.0.0:0`, which stands for an unknown address.
     pub const UNSPECIFIED: SocketAddress =
         SocketAddress(SocketAddrV4::new(Ipv4Addr::UNSPECIFIED, 0));
 
--- a/crates/common/src/frames/stream.rs
+++ b/crates/common/src/frames/stream.rs
@@ -1,4 +1,8 @@
-//! Frames on the stream between a daemon and the leader.
+//! Frames on the control stream between a daemon and the leader.
+//!
+//! The daemon opens the stream and sends [`DaemonToLeader::Hello`], then `Claims`; the controller answers `Redirect` or
+//! `Welcome`. From then on both sides send at any time; requests and responses are tied by a correlation number that
+//! the daemon chooses.
 
 use super::{ByteString, Flag, LengthPrefixed, MemberIncarnation, SocketAddress};
 use crate::identity::{
@@ -7,111 +11,111 @@
 };
 use binrw::binrw;
 
-/// A daemon as others may reach it.
+/// A daemon, and how other processes reach it.
 #[binrw]
 #[brw(big)]
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct Host {
-    /// Its name.
+    /// The daemon's name.
     pub member: MemberName,
-    /// Which life of it.
+    /// Its incarnation.
     pub incarnation: Incarnation,
     /// Its zone.
     pub zone: Zone,
-    /// Where other processes reach it.
+    /// The address at which other processes reach it.
     pub address: SocketAddress,
-    /// Whether it may be given functions.
+    /// Whether function leases may be granted to it.
     pub eligible: Flag,
-    /// Its link in megabits a second; zero when it is not known.
+    /// The bandwidth of its link in megabits per second; zero if it is not known.
     pub link_mbps: u32,
 }
 
-/// One life of a runner, as the platform names it.
+/// One instance of a runner, as the platform names it.
 #[binrw]
 #[brw(big)]
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct Instance {
-    /// Its name.
+    /// The platform's name of it.
     pub name: InstanceId,
-    /// Where it listens.
+    /// The address at which it listens.
     pub address: SocketAddress,
 }
 
-/// One runner in a claim.
+/// One runner, as its holder reports it.
 #[binrw]
 #[brw(big)]
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct ClaimedRunner {
     /// The runner.
     pub runner: RunnerId,
-    /// Where it runs.
+    /// The worker on which it runs.
     pub worker: WorkerName,
-    /// The memory it needs.
+    /// Its memory in megabytes.
     pub memory_mb: u32,
-    /// Its life; none while the platform has not told it.
+    /// Its instance; none until the platform has named it.
     pub instance: LengthPrefixed<Instance>,
-    /// Whether it is ready and may be taken over by the next holder as it stands.
+    /// Whether it is ready, so that the next holder may adopt it as it runs.
     pub is_adoptable: Flag,
 }
 
-/// One function that a daemon holds.
+/// A daemon's report of one function that it holds.
 #[binrw]
 #[brw(big)]
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct Claim {
     /// The function.
     pub function: FunctionKey,
-    /// The grant it is held under.
+    /// The fencing token of the lease that it is held under.
     pub fencing_token: FencingToken,
     /// Its runners.
     pub runners: LengthPrefixed<ClaimedRunner>,
-    /// Whether it is given up, and these runners are still being stopped.
+    /// Whether the function is being released, and these runners are still being stopped.
     pub is_releasing: Flag,
-    /// Who keeps the copy of its ledger.
+    /// The daemon that keeps the copy of its ledger; none without one.
     pub replica: LengthPrefixed<Host>,
-    /// Whether that copy is whole.
+    /// Whether that copy is complete.
     pub complete: Flag,
 }
 
-/// How long a function has not been called.
+/// A function that has received no request for some time.
 #[binrw]
 #[brw(big)]
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct IdleFunction {
     /// The function.
     pub function: FunctionKey,
-    /// For so many milliseconds.
+    /// For how many milliseconds.
     pub idle_ms: u32,
 }
 
-/// Where the ledger of an earlier grant may be collected.
+/// The earlier lease of a function, and where its ledger may be collected.
 #[binrw]
 #[brw(big)]
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct PreviousLease {
-    /// The steward.
+    /// The daemon that keeps the copy of the ledger.
     pub replica: Host,
-    /// The earlier grant.
+    /// The fencing token of the earlier lease.
     pub fencing_token: FencingToken,
 }
 
-/// The leader's answer to an acquisition.
+/// The leader's answer to [`DaemonToLeader::Acquire`].
 #[binrw]
 #[brw(big)]
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub enum AcquireResult {
-    /// The asking daemon now holds the function.
+    /// The requesting daemon now holds the function.
     #[brw(magic = 1u8)]
     Granted {
-        /// Under this grant.
+        /// The fencing token of the new lease.
         fencing_token: FencingToken,
-        /// Without an earlier ledger, once-transactions may be admitted after so many milliseconds.
+        /// After how many milliseconds requests that may run only once are admitted if no earlier ledger was collected.
         once_wait_ms: u32,
-        /// Who is to keep a copy of the ledger; nobody when there is no other daemon.
+        /// The daemon that is to keep a copy of the ledger; none if there is no other daemon.
         replica: LengthPrefixed<Host>,
-        /// Where an earlier ledger may be collected.
+        /// The earlier leases whose ledgers are to be collected.
         previous_lease: LengthPrefixed<PreviousLease>,
-        /// Runners left by an earlier holder, renamed under this grant, to be taken over as they stand.
+        /// Orphaned runners of an earlier holder, renamed under this lease, to be adopted as they run.
         adopted: LengthPrefixed<ClaimedRunner>,
     },
     /// Another daemon holds it.
@@ -120,38 +124,38 @@
         /// That daemon.
         host: Host,
     },
-    /// The asking daemon may not hold it: no such function, or no valid member grant.
+    /// The requesting daemon may not hold it: there is no such function, or the daemon has no valid session lease.
     #[brw(magic = 3u8)]
     Rejected,
-    /// Nobody can be granted it yet: an earlier grant has still to end.
+    /// The function can be granted to nobody yet, since an earlier lease has still to end.
     #[brw(magic = 4u8)]
     RetryLater {
-        /// When that will be, in milliseconds, as far as is known now.
+        /// After how many milliseconds that is expected.
         wait_ms: u32,
     },
 }
 
-/// The leader's answer to a wish for a runner.
+/// The leader's answer to [`DaemonToLeader::Reserve`].
 #[binrw]
 #[brw(big)]
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub enum ReserveResult {
-    /// The memory is set aside.
+    /// The memory is reserved.
     #[brw(magic = 1u8)]
     Reserved {
-        /// The runner's name.
+        /// The new runner's identity.
         runner: RunnerId,
-        /// Where it is to start.
+        /// The worker on which it is to start.
         worker: WorkerName,
-        /// The memory set aside.
+        /// The reserved memory in megabytes.
         memory_mb: u32,
     },
-    /// No worker has room, or the grant is not the asking daemon's.
+    /// No worker has the capacity, or the lease is not the requesting daemon's.
     #[brw(magic = 2u8)]
     Rejected,
 }
 
-/// What became of a runner.
+/// The status of a runner, as its holder reports it.
 #[binrw]
 #[brw(big)]
 #[derive(Clone, PartialEq, Eq, Debug)]
@@ -159,251 +163,251 @@
     /// It is ready.
     #[brw(magic = 1u8)]
     Ready,
-    /// The platform confirmed that it is stopped, or never started it.
+    /// The platform confirmed that it has stopped, or never started it.
     #[brw(magic = 2u8)]
     Gone,
-    /// The platform told its life; it boots.
+    /// The platform named its instance, which is starting up.
     #[brw(magic = 3u8)]
     Started {
-        /// Its life.
+        /// The instance.
         instance: Instance,
     },
 }
 
-/// What a daemon says on its stream.
+/// A frame from a daemon to the leader.
 #[binrw]
 #[brw(big)]
 #[derive(Clone, Debug)]
 pub enum DaemonToLeader {
-    /// Opens the stream.
+    /// The first frame on a stream.
     #[brw(magic = 1u8)]
     Hello {
-        /// Who opens it; `eligible` is false while it is leaving.
+        /// The daemon that opens it; not `eligible` while it is leaving.
         host: Host,
-        /// Where callers reach it.
+        /// The address at which callers reach it.
         ingress: SocketAddress,
-        /// The newest spec it has installed.
+        /// The newest version of the spec that it has installed.
         version: Version,
-        /// How long this life has run, in milliseconds: for as long its earlier ones are surely gone.
+        /// How long this incarnation has run, in milliseconds: its earlier ones ended at least that long ago.
         age_ms: u32,
-        /// Whether this life has ever had a member grant, so that it may have started something.
+        /// Whether this incarnation has ever had a session lease, so that it may have started runners.
         granted: Flag,
     },
-    /// Every function held, sent after each Hello.
+    /// Every function that the daemon holds; follows each `Hello`.
     #[brw(magic = 2u8)]
     Claims {
-        /// All of them.
+        /// One claim for each function.
         claims: LengthPrefixed<Claim>,
     },
-    /// Asks for the member grant to go on.
+    /// Requests a renewal of the session lease. Answered by `Renewed`.
     #[brw(magic = 3u8)]
     Renew {
-        /// Ties the answer to the moment of sending.
+        /// Ties the answer to the time of sending, from which the lease is measured.
         correlation: CorrelationId,
-        /// The newest spec installed.
+        /// The newest version of the spec that is installed.
         version: Version,
     },
-    /// Says that a spec is installed.
+    /// Reports that a version of the spec is installed.
     #[brw(magic = 4u8)]
     Installed {
-        /// That spec.
+        /// That version.
         version: Version,
     },
-    /// Asks for the whole spec, as the change did not fit.
+    /// Requests the full spec, since a delta could not be applied. Answered by `Spec`.
     #[brw(magic = 5u8)]
     FullSpecRequest,
-    /// The hash owner asks who holds a function, or for it to be granted.
+    /// From a function's hash owner: requests the function's lease, or the name of its holder. Answered by `Acquired`.
     #[brw(magic = 6u8)]
     Acquire {
-        /// Ties the answer to it.
+        /// Ties the answer to this request.
         correlation: CorrelationId,
         /// The function.
         function: FunctionKey,
     },
-    /// Gives a function back; its runners are stopped.
+    /// Releases a function, whose runners are stopped except those listed.
     #[brw(magic = 7u8)]
     Release {
         /// The function.
         function: FunctionKey,
-        /// The grant given back.
+        /// The fencing token of the lease that is released.
         fencing_token: FencingToken,
-        /// Runners that are left as they stand for the next holder.
+        /// Runners that keep running for the next holder.
         runners: LengthPrefixed<ClaimedRunner>,
     },
-    /// Asks for memory for one more runner.
+    /// Requests memory for one more runner. Answered by `Reserved`.
     #[brw(magic = 8u8)]
     Reserve {
-        /// Ties the answer to it.
+        /// Ties the answer to this request.
         correlation: CorrelationId,
         /// The function.
         function: FunctionKey,
-        /// The grant it is held under.
+        /// The fencing token of the lease that it is held under.
         fencing_token: FencingToken,
     },
-    /// Tells what became of a runner.
+    /// Reports a change of a runner's status.
     #[brw(magic = 9u8)]
     RunnerUpdate {
         /// The function.
         function: FunctionKey,
         /// The runner.
         runner: RunnerId,
-        /// What became of it.
+        /// The new status.
         runner_status: RunnerStatus,
     },
-    /// Counts what the daemon refused since it last said so.
+    /// Counts a function's requests that the daemon rejected since the last such frame.
     #[brw(magic = 10u8)]
     Rejections {
         /// The function.
         function: FunctionKey,
-        /// How many.
+        /// The number of requests.
         count: u32,
-        /// The last reason.
+        /// The reason of the last rejection.
         reason: super::RequestFailureReason,
     },
-    /// The daemon is leaving; it has no more use for its grant.
+    /// The daemon is leaving and needs no session lease any more.
     #[brw(magic = 11u8)]
     Leaving,
-    /// The steward does not answer; the holder asks for another.
+    /// The ledger replica does not answer; requests another. Answered by `ReplicaAssigned`.
     #[brw(magic = 12u8)]
     ReplicaLost {
         /// The function.
         function: FunctionKey,
-        /// The grant it is held under.
+        /// The fencing token of the lease that it is held under.
         fencing_token: FencingToken,
-        /// The steward that is lost.
+        /// The replica that does not answer.
         lost: MemberName,
     },
-    /// How long held functions have not been called.
+    /// Reports for how long held functions have received no request.
     #[brw(magic = 14u8)]
     Idle {
-        /// Those idle for some seconds.
+        /// The functions that have been idle for some seconds.
         functions: LengthPrefixed<IdleFunction>,
     },
-    /// A watcher misses a daemon's heartbeats.
+    /// From a watcher: a daemon's heartbeats are missing.
     #[brw(magic = 15u8)]
     MemberSuspected {
         /// That daemon.
         instance: MemberIncarnation,
     },
-    /// A watcher hears that daemon again, or it speaks for itself.
+    /// From a watcher, or from the daemon itself: a suspected daemon is reachable.
     #[brw(magic = 16u8)]
     MemberRecovered {
         /// That daemon.
         instance: MemberIncarnation,
     },
-    /// Asks for the whole host list, as a change of it did not fit.
+    /// Requests the full list of hosts, since a delta could not be applied. Answered by `Hosts`.
     #[brw(magic = 17u8)]
     FullHostListRequest,
-    /// The steward's copy is whole.
+    /// The ledger replica's copy is complete.
     #[brw(magic = 13u8)]
     ReplicaComplete {
         /// The function.
         function: FunctionKey,
-        /// The grant it is held under.
+        /// The fencing token of the lease that it is held under.
         fencing_token: FencingToken,
-        /// The steward.
+        /// The daemon that keeps the copy of the ledger.
         replica: MemberName,
     },
 }
 
-/// What the leader says on a daemon's stream.
+/// A frame from a controller to a daemon.
 #[binrw]
 #[brw(big)]
 #[derive(Clone, Debug)]
 pub enum LeaderToDaemon {
-    /// This controller does not lead; the leader may be there.
+    /// Answers `Hello`: this controller is not the leader.
     #[brw(magic = 1u8)]
     Redirect {
-        /// The leader's place, or nowhere.
+        /// The leader's address, or [`SocketAddress::UNSPECIFIED`] if it is not known.
         leader: SocketAddress,
     },
-    /// This controller leads.
+    /// Answers `Hello`: this controller is the leader.
     #[brw(magic = 2u8)]
     Welcome {
-        /// Its term.
+        /// The leader's term.
         term: Term,
     },
-    /// The member grant goes on.
+    /// Answers `Renew`: the session lease is renewed.
     #[brw(magic = 3u8)]
     Renewed {
-        /// The renewal answered.
+        /// The renewal that is answered.
         correlation: CorrelationId,
-        /// How long the grant runs, from the moment the renewal was sent.
+        /// How many milliseconds the lease lasts, counted from when the daemon sent the renewal.
         lease_ms: u32,
-        /// The newest committed spec.
+        /// The newest committed version of the spec.
         version: Version,
     },
-    /// A whole spec.
+    /// A full spec to be installed.
     #[brw(magic = 4u8)]
     Spec {
-        /// Its serial.
+        /// Its version.
         version: Version,
-        /// The document.
+        /// The daemon's view of the document as JSON, compressed by [`compress`](super::compress).
         document: ByteString,
     },
-    /// A change of the spec.
+    /// A newer spec to be installed, as a delta.
     #[brw(magic = 5u8)]
     Change {
-        /// The serial it changes.
+        /// The version that the delta applies to.
         base: Version,
-        /// The serial that results.
+        /// The resulting version.
         version: Version,
-        /// The changes, as a JSON patch.
+        /// The delta as JSON, compressed by [`compress`](super::compress).
         patch: ByteString,
-        /// The digest of the resulting document.
+        /// The SHA-256 digest of the resulting view.
         digest: ByteString,
     },
-    /// The daemons there are.
+    /// The full list of daemons.
     #[brw(magic = 6u8)]
     Hosts {
-        /// The number of this list; the next change carries the next.
+        /// The number of this list; the next delta has the next number.
         number: u64,
-        /// All of them.
+        /// All daemons.
         hosts: LengthPrefixed<Host>,
-        /// Those among them that watchers miss.
+        /// Those among them that are suspected.
         suspected: LengthPrefixed<MemberIncarnation>,
     },
-    /// What has changed of them since the list or change numbered one less.
+    /// What has changed in the list of daemons since the list or delta of the number before.
     #[brw(magic = 15u8)]
     HostsDelta {
-        /// The number of the list that results.
+        /// The number of the resulting list.
         number: u64,
         /// Daemons that are new, or of which something has changed.
         put: LengthPrefixed<Host>,
-        /// Daemons that are no longer there.
+        /// Daemons that are no longer listed.
         removed: LengthPrefixed<MemberName>,
-        /// All that watchers miss now.
+        /// All daemons that are suspected now.
         suspected: LengthPrefixed<MemberIncarnation>,
     },
-    /// Answers an acquisition.
+    /// Answers `Acquire`.
     #[brw(magic = 7u8)]
     Acquired {
-        /// The question answered.
+        /// The request that is answered.
         correlation: CorrelationId,
         /// The function.
         function: FunctionKey,
         /// The answer.
         result: AcquireResult,
     },
-    /// Answers a wish for a runner.
+    /// Answers `Reserve`.
     #[brw(magic = 8u8)]
     Reserved {
-        /// The question answered.
+        /// The request that is answered.
         correlation: CorrelationId,
         /// The function.
         function: FunctionKey,
         /// The answer.
         result: ReserveResult,
     },
-    /// A claim does not stand: stop its runners and forget it.
+    /// A claim is not valid: the daemon stops its runners and forgets the function.
     #[brw(magic = 9u8)]
     Revoke {
         /// The function.
         function: FunctionKey,
-        /// The grant that does not stand.
+        /// The fencing token of the lease that is not valid.
         fencing_token: FencingToken,
     },
-    /// Let this runner finish, then stop it.
+    /// The daemon is to let this runner finish its requests, then to stop it.
     #[brw(magic = 10u8)]
     Drain {
         /// The function.
@@ -411,23 +415,23 @@
         /// The runner.
         runner: RunnerId,
     },
-    /// Hand this function over: finish, stop, release.
+    /// The daemon is to hand this function over: to finish its requests, stop its runners and release it.
     #[brw(magic = 11u8)]
     HandOver {
         /// The function.
         function: FunctionKey,
-        /// The grant to be released.
+        /// The fencing token of the lease to be released.
         fencing_token: FencingToken,
     },
-    /// Memory is short: stop the last runner if it is idle, and keep the function.
+    /// Memory is short: the daemon is to stop the function's last runner if it is idle, and to keep the function.
     #[brw(magic = 13u8)]
     ReclaimIdle {
         /// The function.
         function: FunctionKey,
-        /// The grant it is held under.
+        /// The fencing token of the lease that it is held under.
         fencing_token: FencingToken,
     },
-    /// The platform no longer lists this runner: it is gone, and its reservation is free.
+    /// The platform no longer lists this runner: it has ended, and its reservation is free.
     #[brw(magic = 14u8)]
     RunnerUnlisted {
         /// The function.
@@ -435,14 +439,14 @@
         /// The runner.
         runner: RunnerId,
     },
-    /// Another daemon is to keep the copy of a function's ledger.
+    /// Another daemon is to keep the copy of a function's ledger. Answers `ReplicaLost`, or comes by itself.
     #[brw(magic = 12u8)]
     ReplicaAssigned {
         /// The function.
         function: FunctionKey,
-        /// The grant it is held under.
+        /// The fencing token of the lease that it is held under.
         fencing_token: FencingToken,
-        /// That daemon; nobody when there is no other.
+        /// That daemon; none if there is no other.
         replica: LengthPrefixed<Host>,
     },
 }
--- a/crates/common/src/frames/wire.rs
+++ b/crates/common/src/frames/wire.rs
@@ -1,28 +1,30 @@
-//! Framing on the wire: channels, lengths, and the limits that are read.
+//! Framing: the opening bytes of connections, length-prefixed frames, and their limits.
+//!
+//! A connection opens with four bytes: `RU`, the wire version and the channel. Each frame that follows is its length in
+//! four bytes, then its bytes. A heartbeat's datagram is `RU`, the wire version, and the frame.
 
 use super::Heartbeat;
 use binrw::meta::{ReadEndian, WriteEndian};
 use binrw::{BinRead, BinWrite};
 use bytes::Bytes;
-use std::fmt;
 use std::io::Cursor;
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 
 const MAGIC: [u8; 2] = *b"RU";
-/// The serial of the frames' format; it goes up whenever a frame changes.
+/// The version of the wire format; it grows whenever a frame changes.
 const WIRE_VERSION: u8 = 6;
 const MAX_FRAME_LENGTH: u32 = 16 << 20;
-/// Of a frame so many bytes are asked for at once, so that memory follows what has come in.
+/// How many bytes of a frame are read at once, so that a length that is only announced allocates no memory.
 const MAX_READ_LENGTH: usize = 64 << 10;
 
-/// What a connection is for; its first four bytes say so.
+/// What a connection is for; its opening bytes say so.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Channel {
-    /// Between members of the core.
+    /// Between controllers.
     Consensus,
-    /// A daemon's stream to the leader.
+    /// The control stream from a daemon to a controller.
     Stream,
-    /// Transactions between daemons.
+    /// Between daemons.
     Daemons,
 }
 
@@ -36,59 +38,33 @@
     }
 }
 
-/// Why a frame could not be read or written.
-#[derive(Debug)]
+/// Why a frame or a connection's opening could not be read or written.
+#[derive(Debug, thiserror::Error)]
 pub enum FrameError {
-    /// The connection failed or ended.
-    Connection(std::io::Error),
-    /// The first bytes are not ours.
+    /// The connection failed, ended or was not opened in time.
+    #[error("connection: {0}")]
+    Connection(#[from] std::io::Error),
+    /// The opening bytes are not rudderstream's.
+    #[error("not a rudderstream connection")]
     WrongMagic,
-    /// The other side speaks frames of another serial.
+    /// The other side has this other wire version.
+    #[error("frames of serial {0}, ours are of {WIRE_VERSION}")]
     WrongVersion(u8),
-    /// No such channel here.
+    /// The channel of this number is not known.
+    #[error("channel {0} is not served here")]
     WrongChannel(u8),
-    /// The frame is larger than any should be.
+    /// The frame's length in bytes is above the limit of 16 MiB.
+    #[error("frame of {0} bytes")]
     Oversized(u32),
-    /// The frame's bytes do not make sense.
-    Malformed(binrw::Error),
-    /// Bytes are left over.
+    /// The frame's bytes do not decode.
+    #[error("malformed frame: {0}")]
+    Malformed(#[from] binrw::Error),
+    /// This many bytes were left over after decoding.
+    #[error("{0} bytes left over in a frame")]
     Trailing(usize),
 }
 
-impl fmt::Display for FrameError {
-    fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            Self::Connection(error) => write!(out, "connection: {error}"),
-            Self::WrongMagic => write!(out, "not a rudderstream connection"),
-            Self::WrongVersion(received) => {
-                write!(
-                    out,
-                    "frames of serial {received}, ours are of {WIRE_VERSION}"
-                )
-            }
-            Self::WrongChannel(received) => write!(out, "channel {received} is not served here"),
-            Self::Oversized(length) => write!(out, "frame of {length} bytes"),
-            Self::Malformed(error) => write!(out, "malformed frame: {error}"),
-            Self::Trailing(count) => write!(out, "{count} bytes left over in a frame"),
-        }
-    }
-}
-
-impl std::error::Error for FrameError {}
-
-impl From<std::io::Error> for FrameError {
-    fn from(error: std::io::Error) -> Self {
-        Self::Connection(error)
-    }
-}
-
-impl From<binrw::Error> for FrameError {
-    fn from(error: binrw::Error) -> Self {
-        Self::Malformed(error)
-    }
-}
-
-/// A frame as bytes.
+/// Encodes a frame, without its length.
 pub fn encode<T>(frame: &T) -> Result<Vec<u8>, FrameError>
 where
     T: for<'a> BinWrite<Args<'a> = ()> + WriteEndian,
@@ -98,7 +74,10 @@
     Ok(written_bytes.into_inner())
 }
 
-/// A frame from exactly these bytes.
+/// Decodes a frame from exactly these bytes.
+///
+/// # Errors
+/// [`FrameError::Malformed`] or [`FrameError::Trailing`].
 pub fn decode<T>(frame_bytes: &[u8]) -> Result<T, FrameError>
 where
     T: for<'a> BinRead<Args<'a> = ()> + ReadEndian,
@@ -112,7 +91,7 @@
     Ok(read_frame)
 }
 
-/// Says what the connection is for.
+/// Writes a connection's opening bytes.
 pub async fn write_channel<W: AsyncWrite + Unpin>(
     writer: &mut W,
     channel: Channel,
@@ -123,7 +102,11 @@
     Ok(())
 }
 
-/// Hears what the connection is for.
+/// Reads a connection's opening bytes.
+///
+/// # Errors
+/// [`FrameError::WrongMagic`], [`FrameError::WrongVersion`] or [`FrameError::WrongChannel`], or the connection's own
+/// error.
 pub async fn read_channel<R: AsyncRead + Unpin>(reader: &mut R) -> Result<Channel, FrameError> {
     let mut first_bytes = [0; 4];
     reader.read_exact(&mut first_bytes).await?;
@@ -139,7 +122,10 @@
         .ok_or(FrameError::WrongChannel(first_bytes[3]))
 }
 
-/// Appends one frame to what is to be written: its length, then its bytes.
+/// Appends one frame to an output buffer: its length, then its bytes. On an error the buffer is left as it was.
+///
+/// # Errors
+/// [`FrameError::Oversized`] for a frame above the limit, [`FrameError::Malformed`] for one that cannot be encoded.
 pub fn append_frame<T>(output: &mut Vec<u8>, frame: &T) -> Result<(), FrameError>
 where
     T: for<'a> BinWrite<Args<'a> = ()> + WriteEndian,
@@ -160,7 +146,7 @@
     Ok(())
 }
 
-/// Writes one frame: its length, then its bytes.
+/// Writes one frame: its length, then its bytes. Errors are those of [`append_frame`], or the connection's own.
 pub async fn write_frame<W, T>(writer: &mut W, frame: &T) -> Result<(), FrameError>
 where
     W: AsyncWrite + Unpin,
@@ -173,6 +159,9 @@
 }
 
 /// Reads one frame.
+///
+/// # Errors
+/// [`FrameError::Oversized`], the errors of [`decode`], or the connection's own.
 pub async fn read_frame<R, T>(reader: &mut R) -> Result<T, FrameError>
 where
     R: AsyncRead + Unpin,
@@ -181,7 +170,8 @@
     read_frame_in_parts(reader, || {}).await
 }
 
-/// Reads one frame, and notes each part of it that has come in while others are still under way.
+/// Reads one frame as [`read_frame`] does, and calls `on_part` after each part but the last, so that a large frame on a
+/// slow link can be told from a dead connection.
 pub async fn read_frame_in_parts<R, T>(
     reader: &mut R,
     mut on_part: impl FnMut(),
@@ -214,14 +204,14 @@
     decode(&frame_bytes)
 }
 
-/// A heartbeat as one datagram.
+/// Encodes a heartbeat as one datagram.
 pub fn encode_heartbeat(heartbeat: &Heartbeat) -> Result<Bytes, FrameError> {
     let mut output = vec![MAGIC[0], MAGIC[1], WIRE_VERSION];
     output.extend(encode(heartbeat)?);
     Ok(output.into())
 }
 
-/// A heartbeat from one datagram.
+/// Decodes a heartbeat from one datagram.
 pub fn decode_heartbeat(datagram: &[u8]) -> Result<Heartbeat, FrameError> {
     if datagram.len() < 3 || datagram[..2] != MAGIC {
         return Err(FrameError::WrongMagic);
