--- a/crates/common/src/clock/mod.rs
+++ b/crates/common/src/clock/mod.rs
@@ -1,30 +1,35 @@
-//! Time as processes count it: since boot, suspended time included, never the wall clock.
+//! Monotonic time as processes count it: since the machine's boot, suspended time included, never the wall clock.
+//!
+//! Leases are measured with it, so time in which a machine was suspended must count. Times of two machines are never
+//! compared; frames carry spans, in milliseconds.
 
 use std::fmt;
 use std::ops::{Add, Sub};
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
-/// A moment on this machine's boot clock, in nanoseconds.
+/// A point in time on this machine's boot clock, in nanoseconds since boot.
+///
+/// Arithmetic saturates at both ends.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug, Default)]
 pub struct MonotonicTime(pub u64);
 
 impl MonotonicTime {
-    /// The earliest moment.
+    /// The time of boot.
     pub const ZERO: MonotonicTime = MonotonicTime(0);
 
-    /// The present moment on CLOCK_BOOTTIME.
+    /// Reads `CLOCK_BOOTTIME`.
     pub fn now() -> Self {
         let read_time = rustix::time::clock_gettime(rustix::time::ClockId::Boottime);
         Self(read_time.tv_sec as u64 * 1_000_000_000 + read_time.tv_nsec as u64)
     }
 
-    /// The time from an earlier moment to this one; nothing if that is later.
+    /// The time elapsed from `earlier` to this; zero if `earlier` is later.
     pub fn since(self, earlier: MonotonicTime) -> Duration {
         Duration::from_nanos(self.0.saturating_sub(earlier.0))
     }
 
-    /// Whole milliseconds on this clock.
+    /// Full milliseconds since boot.
     pub fn millis(self) -> u64 {
         self.0 / 1_000_000
     }
@@ -55,23 +60,25 @@
     }
 }
 
-/// A moment that many threads read and one writes.
+/// A [`MonotonicTime`] that many threads read and one writes.
+///
+/// A read sees everything that the writer did before it set the time (acquire and release).
 pub struct SharedMonotonicTime(AtomicU64);
 
 impl SharedMonotonicTime {
-    /// Starts at the earliest moment.
+    /// Starts at [`MonotonicTime::ZERO`].
     pub const fn new() -> Self {
         Self(AtomicU64::new(0))
     }
 
-    /// Reads the moment.
+    /// Reads the time.
     pub fn get(&self) -> MonotonicTime {
         MonotonicTime(self.0.load(Ordering::Acquire))
     }
 
-    /// Replaces the moment.
-    pub fn set(&self, new_instant: MonotonicTime) {
-        self.0.store(new_instant.0, Ordering::Release);
+    /// Replaces the time.
+    pub fn set(&self, new_time: MonotonicTime) {
+        self.0.store(new_time.0, Ordering::Release);
     }
 }
 
--- a/crates/common/src/identity/function.rs
+++ b/crates/common/src/identity/function.rs
@@ -1,26 +1,28 @@
-//! Functions by name and generation, and the part of the callers that a holder serves.
+//! Functions by name and generation, and the set of callers that a lease covers.
 
 use super::{FunctionName, Region, Version};
 use binrw::binrw;
 use std::fmt;
 use std::str::FromStr;
 
-/// What a grant is for: a function's name with the serial at which it entered the catalogue, and the region whose
-/// callers are served under it.
+/// What a function lease covers: a function's name with its generation, and the region whose callers are served under
+/// it.
+///
+/// Its text form is `name@generation`, with `~region` appended to a regional key.
 #[binrw]
 #[brw(big)]
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct FunctionKey {
-    /// The name in the catalogue.
+    /// The function's name in the catalogue.
     pub name: FunctionName,
-    /// The serial that created it; a function deleted and made again is another one.
+    /// The document version that created it; a function deleted and created again is another function.
     pub generation: Version,
-    /// The only region whose callers are served under this key; empty when all others are.
+    /// The only region whose callers are served under this key; empty for the key of all regions.
     pub region: Region,
 }
 
 impl FunctionKey {
-    /// The key for the callers of all regions.
+    /// Returns the key for the callers of all regions.
     pub fn new(name: impl Into<FunctionName>, generation: Version) -> Self {
         Self {
             name: name.into(),
@@ -29,7 +31,7 @@
         }
     }
 
-    /// The same function's key for the callers of one region alone.
+    /// Returns the same function's key for the callers of one region alone.
     pub fn in_region(&self, region: &Region) -> Self {
         Self {
             name: self.name.clone(),
@@ -38,17 +40,17 @@
         }
     }
 
-    /// The same function's key for the callers of all regions.
+    /// Returns the same function's key for the callers of all regions.
     pub fn all_regions(&self) -> Self {
         Self::new(self.name.clone(), self.generation)
     }
 
-    /// Whether it is for the callers of one region alone.
+    /// Whether the key is for the callers of one region alone.
     pub fn is_regional(&self) -> bool {
         !self.region.as_str().is_empty()
     }
 
-    /// Whether two keys are of the same function, for whichever callers.
+    /// Whether both keys name the same function and generation, whatever their regions.
     pub fn is_same_function(&self, other: &Self) -> bool {
         self.name == other.name && self.generation == other.generation
     }
@@ -71,31 +73,24 @@
     }
 }
 
-/// The text is no function's key.
-#[derive(Debug)]
+/// A text is not a function key.
+#[derive(Debug, thiserror::Error)]
+#[error("{0:?} is not a function key")]
 pub struct FunctionKeyError(String);
 
-impl fmt::Display for FunctionKeyError {
-    fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(out, "{:?} is not a function key", self.0)
-    }
-}
-
-impl std::error::Error for FunctionKeyError {}
-
 impl FromStr for FunctionKey {
     type Err = FunctionKeyError;
     fn from_str(given_text: &str) -> Result<Self, FunctionKeyError> {
-        let read = || {
+        let parse = || {
             let (name, rest) = given_text.rsplit_once('@')?;
             let (generation, region) = rest.split_once('~').unwrap_or((rest, ""));
             let all_regions = Self::new(name, Version(generation.parse().ok()?));
             Some(all_regions.in_region(&Region::from(region)))
         };
-        read().ok_or_else(|| FunctionKeyError(given_text.to_owned()))
+        parse().ok_or_else(|| FunctionKeyError(given_text.to_owned()))
     }
 }
 
-/// A function's dense number in one snapshot of the spec.
+/// A function's index in one [`RoutingTable`](crate::spec::RoutingTable); not comparable between tables.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
 pub struct FunctionIndex(pub usize);
--- a/crates/common/src/identity/mod.rs
+++ b/crates/common/src/identity/mod.rs
@@ -1,4 +1,7 @@
 //! Newtypes for everything that has a name or a number.
+//!
+//! Each is its own type so that a function cannot be called with a member's name where a worker's is meant. All have a
+//! binary form for frames; names are cheap to clone.
 
 mod function;
 mod names;
--- a/crates/common/src/identity/names.rs
+++ b/crates/common/src/identity/names.rs
@@ -1,4 +1,6 @@
 //! Identities that are short texts.
+//!
+//! On the wire each is its length in two bytes, then UTF-8; see [`write_text`](crate::frames::write_text).
 
 use binrw::{BinRead, BinResult, BinWrite, Endian};
 use std::fmt;
@@ -82,20 +84,20 @@
 names! {
     /// A function's name in the catalogue.
     FunctionName,
-    /// A group of machines that may be lost together.
+    /// A failure domain: machines that may be lost together.
     Zone,
-    /// Zones that lie close together, as the settings group them.
+    /// A group of zones that lie close together, as the settings define it.
     Region,
     /// A daemon's name.
     MemberName,
     /// A worker's name.
     WorkerName,
-    /// A caller's identity of one try.
+    /// The identity that a caller gives one request, so that a repeat of it can be recognized.
     IdempotencyKey,
-    /// An operator's name for one change of the spec.
+    /// An operator's name for one change of the document.
     ChangeId,
-    /// The platform's own name of a runner's life; every start has another one.
+    /// The platform's own name of a runner's instance; every start makes another instance.
     InstanceId,
-    /// A short text as it stands on the wire: a method, a target, the name of a header line.
+    /// A short text in a frame: a method, a request target, a route's name, the name of a header field.
     ShortString,
 }
--- a/crates/common/src/identity/numbers.rs
+++ b/crates/common/src/identity/numbers.rs
@@ -1,4 +1,4 @@
-//! Identities and counts that are numbers.
+//! Identities and counters that are 64-bit numbers, big-endian on the wire.
 
 use binrw::{BinRead, BinResult, BinWrite, Endian, binrw};
 use std::fmt;
@@ -11,7 +11,7 @@
         pub struct $name(pub u64);
 
         impl $name {
-            /// The number that follows.
+            /// Returns the number that follows.
             pub fn next(self) -> Self {
                 Self(self.0 + 1)
             }
@@ -61,37 +61,37 @@
 }
 
 numbers! {
-    /// The number of a whole version of the spec.
+    /// The number of a version of the replicated document; it grows by one with each version.
     Version,
-    /// The number of a leader's reign.
+    /// An election term: at most one controller leads in each.
     Term,
-    /// The number of one function grant, unique over all leaders.
+    /// The fencing token of one function lease, unique over all leaders; a later lease has a greater one.
     FencingToken,
-    /// The number of one life of a daemon.
+    /// The incarnation of a daemon: each start of the process has another one.
     Incarnation,
-    /// A core member's random identity, kept on its disk.
+    /// A controller's random identity, stored on its disk.
     ControllerId,
-    /// Ties an answer to its question on a stream.
+    /// Ties a response to its request on a connection.
     CorrelationId,
-    /// Ties a finished piece of work to its order.
+    /// Ties a completion to the work that was ordered from a driver.
     Ticket,
 }
 
 impl FencingToken {
-    /// A number that no other leader gives: the term above, a count below.
-    pub fn of(leader_term: Term, issued_count: u64) -> Self {
+    /// Builds a token that no other leader issues: the term in the upper 32 bits, the leader's own count in the lower.
+    pub fn new(leader_term: Term, issued_count: u64) -> Self {
         Self((leader_term.0 << 32) | (issued_count & 0xffff_ffff))
     }
 }
 
-/// Where a version stands: the term first, then the serial.
+/// The full version of a document, ordered by term first, then by version number.
 #[binrw]
 #[brw(big)]
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Debug)]
 pub struct DocumentVersion {
-    /// The term under which it was last written.
+    /// The term in which it was last written.
     pub term: Term,
-    /// Its serial.
+    /// The version number.
     pub version: Version,
 }
 
--- a/crates/common/src/identity/runner.rs
+++ b/crates/common/src/identity/runner.rs
@@ -1,29 +1,32 @@
-//! Runners by grant and ordinal.
+//! Runner identities.
 
 use super::{FencingToken, InstanceId};
 use binrw::binrw;
 use std::fmt;
 use std::str::FromStr;
 
-/// A runner's name: the grant it runs under, and a number no other runner has.
+/// A runner's identity: the fencing token of the lease it was started under, and an ordinal.
+///
+/// Its text form is `r-TOKEN-ORDINAL`, both in hexadecimal.
 #[binrw]
 #[brw(big)]
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RunnerId {
-    /// The function grant under which it was placed.
+    /// The fencing token of the lease under which it was placed.
     pub fencing_token: FencingToken,
-    /// The leader's number for this placing.
+    /// The leader's number of this placement.
     pub ordinal: u64,
 }
 
 impl RunnerId {
-    /// The name under which a life was started, where the platform keeps it in the life's name after
-    /// a dot; a runner that was taken over goes by it all its life.
+    /// Returns the identity that an instance was started with, where the platform keeps it in the instance's name after
+    /// a dot. A runner that was adopted by a later holder still reports that one.
     pub fn started_id(instance: &InstanceId) -> Option<RunnerId> {
         instance.as_str().split_once('.')?.1.parse().ok()
     }
 
-    /// The name that a runner itself goes by: the one it was started under if that is known.
+    /// Returns the identity that the runner reports itself: the one it was started with if `instance` tells it, else
+    /// this one.
     pub fn self_reported_id(self, instance: Option<&InstanceId>) -> RunnerId {
         instance.and_then(Self::started_id).unwrap_or(self)
     }
@@ -41,18 +44,11 @@
     }
 }
 
-/// The text is no runner's name.
-#[derive(Debug)]
+/// A text is not a runner identity.
+#[derive(Debug, thiserror::Error)]
+#[error("{0:?} is not a runner id")]
 pub struct RunnerIdError(String);
 
-impl fmt::Display for RunnerIdError {
-    fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(out, "{:?} is not a runner id", self.0)
-    }
-}
-
-impl std::error::Error for RunnerIdError {}
-
 impl FromStr for RunnerId {
     type Err = RunnerIdError;
     fn from_str(given_text: &str) -> Result<Self, RunnerIdError> {
--- a/crates/common/tests/wire_forms/parts.rs
+++ b/crates/common/tests/wire_forms/parts.rs
@@ -79,7 +79,7 @@
 
 /// A grant.
 pub fn fencing_token() -> FencingToken {
-    FencingToken::of(Term(0x51), 0x5253)
+    FencingToken::new(Term(0x51), 0x5253)
 }
 
 /// A daemon.
--- a/crates/controlplane/src/leader_state/mod.rs
+++ b/crates/controlplane/src/leader_state/mod.rs
@@ -401,6 +401,6 @@
 
     fn next_fencing_token(&mut self) -> FencingToken {
         self.issued_token_count += 1;
-        FencingToken::of(self.term, self.issued_token_count)
+        FencingToken::new(self.term, self.issued_token_count)
     }
 }
