--- a/crates/common/src/spec/applied_changes.rs
+++ b/crates/common/src/spec/applied_changes.rs
@@ -1,21 +1,21 @@
-//! The compact memory of which numbered changes were taken.
+//! A compact record of which numbered changes were applied.
 
 use crate::identity::{ChangeId, Version};
 use crate::seal::{digest, hex};
 use std::collections::VecDeque;
 
-/// How many numbered changes are remembered; some ten bytes each.
+/// How many numbered changes are remembered, at about ten bytes each.
 const MAX_REMEMBERED: usize = 1024;
 const DIGEST_BYTES: usize = 8;
 
-/// What is known of a numbered change that an operator asks for, perhaps not for the first time.
+/// What is known of a change that an operator submits, perhaps not for the first time.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum ChangeStatus {
-    /// It was taken and made this version.
+    /// It was applied and created this version.
     Applied(Version),
-    /// It was not taken.
+    /// It was not applied.
     NotApplied,
-    /// Changes as old as that are forgotten: it may have been taken or not.
+    /// Changes as old as this are forgotten: it may have been applied or not.
     Forgotten,
 }
 
@@ -26,8 +26,9 @@
     digest: u64,
 }
 
-/// Which numbered changes were taken: number, version and a digest of the change's name, oldest
-/// first. Numbers only rise, so a number above all that is forgotten and not in here was never taken.
+/// The numbered changes that were applied: number, version and a digest of the change's name, oldest first.
+///
+/// Numbers only rise, so a number above every forgotten one that is not in this record was never applied.
 #[derive(Clone, PartialEq, Eq, Debug, Default)]
 pub struct AppliedChanges {
     forgotten_up_to: u64,
@@ -42,7 +43,7 @@
 }
 
 impl AppliedChanges {
-    /// A memory that lacks what came before; numbers up to this one may have been taken.
+    /// Creates a record that lacks what came before: numbers up to this one may have been applied.
     pub fn without(forgotten_up_to: u64) -> Self {
         Self {
             forgotten_up_to,
@@ -50,7 +51,8 @@
         }
     }
 
-    /// Notes a change that is taken; its number is above all earlier ones.
+    /// Records an applied change, whose number must be above all earlier ones. Beyond the limit the oldest is
+    /// forgotten.
     pub fn record_change(&mut self, number: u64, version: Version, change: &ChangeId) {
         self.remembered.push_back(AppliedChange {
             number,
@@ -64,13 +66,13 @@
         }
     }
 
-    /// Whether a change comes after all that are remembered, as each must that is noted.
+    /// Whether a change follows all that are remembered, as every recorded change must.
     pub fn is_next(&self, number: u64, version: Version) -> bool {
         let newest = self.remembered.back();
         newest.is_none_or(|newest| number > newest.number && version > newest.version)
     }
 
-    /// What became of a change with this number and name.
+    /// Returns the status of the change with this number and name.
     pub fn status_of(&self, number: u64, change: &ChangeId) -> ChangeStatus {
         let known = self
             .at_number(number)
@@ -82,7 +84,7 @@
         }
     }
 
-    /// The version that the change with this number made, whatever its name.
+    /// Returns the version that the change with this number created, whatever its name.
     pub fn version_at(&self, number: u64) -> Option<Version> {
         self.at_number(number).map(|applied| applied.version)
     }
@@ -95,12 +97,13 @@
         self.remembered.get(position)
     }
 
-    /// Numbers up to this one may have been taken and are forgotten.
+    /// Numbers up to this one may have been applied and are forgotten.
     pub fn forgotten_up_to(&self) -> u64 {
         self.forgotten_up_to
     }
 
-    /// The remembered changes as text: for each the steps of number and version, and the digest.
+    /// Encodes the remembered changes as hexadecimal text: for each the differences of number and version from the one
+    /// before, as LEB128 variable-length integers, and eight bytes of digest.
     pub fn to_text(&self) -> String {
         let mut encoded_bytes = Vec::with_capacity(self.remembered.len() * (DIGEST_BYTES + 2));
         let (mut last_number, mut last_version) = (0, 0);
@@ -113,7 +116,7 @@
         hex(&encoded_bytes)
     }
 
-    /// Reads such text; nothing if it is no such text.
+    /// Decodes a text of [`to_text`](Self::to_text); none if it is not one.
     pub fn from_text(forgotten_up_to: u64, text: &str) -> Option<Self> {
         let encoded_bytes = bytes_of_hex(text)?;
         let mut remainder = encoded_bytes.as_slice();
--- a/crates/common/src/spec/catalogue_delta.rs
+++ b/crates/common/src/spec/catalogue_delta.rs
@@ -1,5 +1,5 @@
-//! What leads from one catalogue of functions and routes to a newer one: the records that are new or
-//! different, and the names of those that are gone.
+//! Deltas between two catalogues of functions and routes: the records that are new or different, and the names of those
+//! that are removed.
 
 use super::SpecRecords;
 use super::fields::{append_fields, generations_json, read_generations};
@@ -16,11 +16,12 @@
 pub(super) struct Catalogue<'a> {
     /// The operators' spec.
     pub spec: &'a SpecRecords,
-    /// The serial at which each function entered the catalogue.
+    /// The version in which each function entered the catalogue.
     pub generations: &'a BTreeMap<FunctionName, Version>,
 }
 
-/// The change as JSON text, with other fields of the same object: its length and its cost grow with what differs.
+/// Encodes the delta as JSON text, with `other_fields` in the same object. Its length and cost grow with what differs,
+/// not with the catalogue.
 pub(super) fn catalogue_delta(
     base: Catalogue<'_>,
     newer: Catalogue<'_>,
@@ -64,14 +65,14 @@
     text
 }
 
-/// The records that a change puts, taken out of it without copying them.
+/// The records that a delta puts, moved out of it without copying them.
 pub(super) struct PutRecords {
     functions: Map<String, Value>,
     routes: Map<String, Value>,
 }
 
 impl PutRecords {
-    /// Takes them out; what is no object stays, for its reader to find fault with.
+    /// Moves them out. What is not an object stays in place, so that reading the delta reports it.
     pub fn take(change: &mut Value) -> Self {
         let mut extract_field = |field: &str| {
             let items = change.get_mut(field).and_then(Value::as_object_mut);
@@ -84,7 +85,7 @@
     }
 }
 
-/// Applies such a change.
+/// Applies a delta whose records were moved out by [`PutRecords::take`].
 pub(super) fn apply_catalogue_delta(
     root: &PathReader<'_>,
     put: PutRecords,
--- a/crates/common/src/spec/daemon_view.rs
+++ b/crates/common/src/spec/daemon_view.rs
@@ -1,4 +1,4 @@
-//! The part of the document that daemons need, and the changes by which they are told of a newer one.
+//! The part of the document that daemons need, and the deltas that bring it up to date.
 
 use super::catalogue_delta::{Catalogue, PutRecords, apply_catalogue_delta, catalogue_delta};
 use super::fields::{
@@ -13,18 +13,18 @@
 use serde_json::{Map, Value, json};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The part of the document that daemons need.
+/// The part of a document that daemons need.
 #[derive(Clone, PartialEq, Debug)]
 pub struct DaemonView {
-    /// Its serial.
+    /// The version of the document that last changed it.
     pub version: Version,
-    /// The operators' spec.
+    /// The spec as operators wrote it.
     pub spec: SpecRecords,
-    /// The serial at which each function entered the catalogue.
+    /// The version in which each function entered the catalogue.
     pub generations: BTreeMap<FunctionName, Version>,
     /// The evacuated zones.
     pub evacuated: BTreeSet<Zone>,
-    /// Where the members of the core stand.
+    /// The addresses of the voters.
     pub voters: Vec<SocketAddress>,
 }
 
@@ -38,12 +38,16 @@
         })
     }
 
-    /// The view as JSON text.
+    /// Encodes the view as JSON text.
     pub fn to_bytes(&self) -> Vec<u8> {
         text_with_spec(&self.spec, &self.other_fields())
     }
 
     /// Reads a view.
+    ///
+    /// # Errors
+    /// [`DocumentError::NotJson`] or [`DocumentError::Path`]. The spec itself is not checked; see
+    /// [`checked`](Self::checked).
     pub fn from_bytes(view_bytes: &[u8]) -> Result<Self, DocumentError> {
         let mut value: Value = serde_json::from_slice(view_bytes)?;
         let spec = extract_spec(&mut value)?;
@@ -58,15 +62,15 @@
         })
     }
 
-    /// The digest of the view: of its records, and of all else it says.
+    /// The SHA-256 digest of the view: of its records' digests and of all other fields.
     pub fn digest(&self) -> [u8; 32] {
         let mut digested_text = self.spec.digest().to_vec();
         write_json(&mut digested_text, &self.other_fields());
         crate::seal::digest(&digested_text)
     }
 
-    /// The change that leads from this view to a newer one, as JSON text: the records that are new or
-    /// different, the names of those that are gone, and what else a view says.
+    /// Encodes the delta from this view to a newer one as JSON text: the records that are new or different, the names
+    /// of those that are removed, and all other fields.
     pub fn delta_to(&self, newer_view: &DaemonView) -> Vec<u8> {
         let fields = [
             ("base", json!(self.version.0)),
@@ -86,21 +90,29 @@
         }
     }
 
-    /// Applies a change, and believes the result only if its digest is the sender's.
-    pub fn changed(&self, change_bytes: &[u8], digest: &[u8]) -> Result<DaemonView, DocumentError> {
+    /// Applies a delta to this view.
+    ///
+    /// # Errors
+    /// [`DocumentError::WrongBase`] if the delta applies to another version, [`DocumentError::WrongDigest`] if the
+    /// result is not the sender's; else as [`from_bytes`](Self::from_bytes).
+    pub fn apply_delta(
+        &self,
+        change_bytes: &[u8],
+        digest: &[u8],
+    ) -> Result<DaemonView, DocumentError> {
         let mut change: Value = serde_json::from_slice(change_bytes)?;
         if change["base"] != json!(self.version.0) {
             return Err(DocumentError::WrongBase);
         }
         let put = PutRecords::take(&mut change);
-        let changed_view = read_all(&change, |root| self.read_change(root, put))?;
+        let changed_view = read_all(&change, |root| self.read_delta(root, put))?;
         if changed_view.digest() != digest {
             return Err(DocumentError::WrongDigest);
         }
         Ok(changed_view)
     }
 
-    fn read_change(&self, root: &PathReader<'_>, put: PutRecords) -> Option<DaemonView> {
+    fn read_delta(&self, root: &PathReader<'_>, put: PutRecords) -> Option<DaemonView> {
         let (spec, generations) = apply_catalogue_delta(root, put, self.catalogue())?;
         Some(Self {
             version: Version(root.field("serial").number(0..=u64::MAX)?),
@@ -111,7 +123,10 @@
         })
     }
 
-    /// The checked spec.
+    /// Checks the spec and returns it.
+    ///
+    /// # Errors
+    /// [`DocumentError::Path`] with the first error found.
     pub fn checked(&self) -> Result<Spec, DocumentError> {
         self.spec.check().map_err(|errors| {
             let missing = PathError {
--- a/crates/common/src/spec/document.rs
+++ b/crates/common/src/spec/document.rs
@@ -1,4 +1,4 @@
-//! The one document that the control quorum replicates.
+//! The document that the control quorum replicates.
 
 use super::catalogue_delta::{Catalogue, PutRecords, apply_catalogue_delta, catalogue_delta};
 use super::fields::{
@@ -17,68 +17,73 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// How many of the last changes the document names.
+/// How many of the last changes the document lists by name.
 const MAX_NAMED_CHANGES: usize = 64;
 
-/// A member of the core as the document names it.
+/// A controller whose vote counts.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct Voter {
-    /// Its identity, kept on its disk.
+    /// Its identity, stored on its disk.
     pub id: ControllerId,
-    /// Where other processes reach it.
+    /// The address at which other processes reach it.
     pub address: SocketAddress,
     /// Its zone.
     pub zone: Zone,
 }
 
-/// A daemon that may hold a member grant: whatever life of it stands at its place.
+/// A daemon that may have a session lease, in whichever incarnation.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Debug)]
 pub struct ListedMember {
     /// Its name.
     pub member: MemberName,
-    /// Where it listens; only one life can hold that port.
+    /// The address at which it listens; only one incarnation can hold the port.
     pub address: SocketAddress,
 }
 
-/// What became of one change.
+/// One applied change.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct ChangeRecord {
     /// The operator's name for it.
     pub id: ChangeId,
-    /// The serial it made.
+    /// The version that it created.
     pub version: Version,
-    /// The operators' number that it brought; zero if they gave none.
+    /// The number that operators gave it; zero if they gave none.
     pub number: u64,
 }
 
-/// The one document that the core keeps.
+/// The replicated document: the operators' spec, and the control plane's own records that must survive a change of
+/// leader.
+///
+/// Its JSON keys keep their earlier names (`serial`, `core`, `former`, `taken`, `roster`, `unseen`), since disks hold
+/// them.
 #[derive(Clone, PartialEq, Debug)]
 pub struct Document {
-    /// Where it stands.
+    /// Its full version.
     pub document_version: DocumentVersion,
     /// The operators' own number of the spec; zero until they give one.
     pub number: u64,
-    /// The operators' spec, as they wrote it.
+    /// The spec as operators wrote it.
     pub spec: SpecRecords,
-    /// The serial at which each function entered the catalogue.
+    /// The version in which each function entered the catalogue.
     pub generations: BTreeMap<FunctionName, Version>,
     /// The evacuated zones.
     pub evacuated: BTreeSet<Zone>,
-    /// The members of the core.
+    /// The voters.
     pub voters: Vec<Voter>,
-    /// The members before, while a change of the core is not settled; else nobody.
+    /// The earlier voters while a replacement of voters is in progress (joint consensus); else empty.
     pub previous_voters: Vec<Voter>,
     /// The last changes, oldest first.
     pub changes: Vec<ChangeRecord>,
-    /// Which numbered changes were taken, much further back.
+    /// Which numbered changes were applied, reaching much further back than `changes`.
     pub applied_changes: Arc<AppliedChanges>,
-    /// The daemons that may hold member grants; nobody in documents that were written without it.
+    /// The daemons that may have session leases; empty in documents written before this field existed.
     pub membership: BTreeSet<ListedMember>,
     /// How many of the last versions changed nothing that daemons see.
     pub hidden_versions: u64,
 }
 
-/// Documents that were written without this memory know their last changes, and no earlier ones.
+/// Reads the record of applied changes. Documents written before it existed have only their last changes, and forget
+/// all earlier ones.
 fn read_applied_changes(
     reader: &PathReader<'_>,
     changes: &[ChangeRecord],
@@ -114,7 +119,7 @@
 }
 
 impl Document {
-    /// The first document, naming the core's founders.
+    /// Creates the first document of a new control quorum.
     pub fn founding(voters: Vec<Voter>) -> Self {
         Self {
             document_version: DocumentVersion {
@@ -134,7 +139,10 @@
         }
     }
 
-    /// Reads a document from its bytes.
+    /// Reads a document.
+    ///
+    /// # Errors
+    /// [`DocumentError::NotJson`] or [`DocumentError::Path`]. The spec itself is not checked.
     pub fn from_bytes(document_bytes: &[u8]) -> Result<Self, DocumentError> {
         let mut value: Value = serde_json::from_slice(document_bytes)?;
         let spec = extract_spec(&mut value)?;
@@ -164,7 +172,7 @@
         })
     }
 
-    /// The document as bytes.
+    /// Encodes the document as JSON text.
     pub fn to_bytes(&self) -> Vec<u8> {
         text_with_spec(&self.spec, &self.other_fields())
     }
@@ -188,15 +196,15 @@
         })
     }
 
-    /// The digest of the document: of its records, and of all else it says.
+    /// The SHA-256 digest of the document: of its records' digests and of all other fields.
     pub fn digest(&self) -> [u8; 32] {
         let mut digested_text = self.spec.digest().to_vec();
         write_json(&mut digested_text, &self.other_fields());
         crate::seal::digest(&digested_text)
     }
 
-    /// The change that leads from this version to a newer one, as JSON text: it grows with what differs,
-    /// not with the document.
+    /// Encodes the delta from this version to a newer one as JSON text. Its length grows with what differs, not with
+    /// the document.
     pub fn delta_to(&self, newer: &Document) -> Vec<u8> {
         let newest_recorded = self
             .changes
@@ -232,24 +240,31 @@
         catalogue_delta(self.catalogue(), newer.catalogue(), other_fields)
     }
 
-    /// Applies a change that leads from this version, and believes the result only if its digest is the
-    /// sender's.
-    pub fn changed(&self, change_bytes: &[u8], digest: &[u8]) -> Result<Document, DocumentError> {
-        let changed_document = self.changed_unverified(change_bytes)?;
+    /// Applies a delta to this version.
+    ///
+    /// # Errors
+    /// [`DocumentError::WrongDigest`] if the result is not the sender's; else as [`from_bytes`](Self::from_bytes).
+    pub fn apply_delta(
+        &self,
+        change_bytes: &[u8],
+        digest: &[u8],
+    ) -> Result<Document, DocumentError> {
+        let changed_document = self.apply_delta_unverified(change_bytes)?;
         if changed_document.digest() != digest {
             return Err(DocumentError::WrongDigest);
         }
         Ok(changed_document)
     }
 
-    /// Applies a change without a look at the result's digest.
-    pub fn changed_unverified(&self, change_bytes: &[u8]) -> Result<Document, DocumentError> {
+    /// Applies a delta without checking the result's digest. Only the simulator's planted flaw and
+    /// [`apply_delta`](Self::apply_delta) use it.
+    pub fn apply_delta_unverified(&self, change_bytes: &[u8]) -> Result<Document, DocumentError> {
         let mut change: Value = serde_json::from_slice(change_bytes)?;
         let put = PutRecords::take(&mut change);
-        read_all(&change, |root| self.read_change(root, put))
+        read_all(&change, |root| self.read_delta(root, put))
     }
 
-    fn read_change(&self, root: &PathReader<'_>, put: PutRecords) -> Option<Document> {
+    fn read_delta(&self, root: &PathReader<'_>, put: PutRecords) -> Option<Document> {
         let (spec, generations) = apply_catalogue_delta(root, put, self.catalogue())?;
         let mut changed_document = Self {
             document_version: DocumentVersion {
@@ -291,7 +306,7 @@
         }
     }
 
-    /// Names a change among the last ones, and remembers its number.
+    /// Records a change among the last ones, and its number.
     fn record_change(&mut self, recorded: ChangeRecord) {
         if recorded.number > 0 {
             Arc::make_mut(&mut self.applied_changes).record_change(
@@ -305,7 +320,7 @@
         self.changes.drain(..extra_count);
     }
 
-    /// The next version, with another spec; functions keep their generation while they stay.
+    /// Creates the next version with another spec. Functions that were in the spec keep their generation.
     pub fn with_spec(
         &self,
         new_spec: impl Into<SpecRecords>,
@@ -330,7 +345,7 @@
         }
     }
 
-    /// The same version, with the number that operators gave its spec.
+    /// Gives this version, which must have been created by a change, the number that operators gave its spec.
     pub fn numbered(mut self, number: u64) -> Self {
         self.number = number;
         if let Some(newest_change) = self.changes.last_mut() {
@@ -341,7 +356,7 @@
         self
     }
 
-    /// The next version, with a zone evacuated or restored.
+    /// Creates the next version with a zone evacuated or restored.
     pub fn with_zone(&self, zone: Zone, evacuate: bool, change: ChangeId) -> Self {
         let mut next_document = self.recording_change(change);
         if evacuate {
@@ -352,7 +367,7 @@
         next_document
     }
 
-    /// The next version, with one member of the core in another's place.
+    /// Creates the next version with other voters.
     pub fn with_voters(&self, voters: Vec<Voter>, change: ChangeId) -> Self {
         Self {
             voters,
@@ -360,7 +375,8 @@
         }
     }
 
-    /// The next version, with other daemons that may hold member grants: nothing that daemons see.
+    /// Creates the next version with other daemons that may have session leases, which changes nothing that daemons
+    /// see.
     pub fn with_membership(&self, membership: BTreeSet<ListedMember>) -> Self {
         let mut next_document = Self {
             membership,
@@ -371,7 +387,7 @@
         next_document
     }
 
-    /// The serial of the last version that changed what daemons see.
+    /// The last version that changed what daemons see.
     pub fn view_version(&self) -> Version {
         Version(
             self.document_version
@@ -381,13 +397,13 @@
         )
     }
 
-    /// Whether changes were dropped from the last ones.
+    /// Whether the oldest changes may have been dropped from the list of the last ones.
     pub fn has_forgotten_changes(&self) -> bool {
         self.changes.len() >= MAX_NAMED_CHANGES
     }
 
-    /// What became of a change without a number, by its name. A change that was taken is the first
-    /// one after its base, so it is forgotten only if that one is.
+    /// Returns the status of a change without a number, by its name. An applied change is the first one after its base,
+    /// so it is forgotten only if that one is.
     pub fn status_of_named(&self, base: Option<Version>, change: &ChangeId) -> ChangeStatus {
         if let Some(recorded) = self.changes.iter().find(|recorded| recorded.id == *change) {
             return ChangeStatus::Applied(recorded.version);
@@ -414,7 +430,7 @@
         next_document
     }
 
-    /// The part that daemons need.
+    /// Returns the part that daemons need.
     pub fn view(&self) -> DaemonView {
         DaemonView {
             version: self.view_version(),
--- a/crates/common/src/spec/document_error.rs
+++ b/crates/common/src/spec/document_error.rs
@@ -1,36 +1,20 @@
-//! Why bytes are no document, or no change of one.
+//! The error of reading documents, views and deltas.
 
 use crate::readers::PathError;
-use std::fmt;
 
-/// Why bytes are no document.
-#[derive(Debug)]
+/// Why bytes could not be read as a document, a view or a delta of one.
+#[derive(Debug, thiserror::Error)]
 pub enum DocumentError {
-    /// They are not JSON.
-    NotJson(serde_json::Error),
-    /// A path is wrong.
-    Path(PathError),
-    /// A change leads from another version than the one that is held.
+    /// The bytes are not JSON.
+    #[error("not JSON: {0}")]
+    NotJson(#[from] serde_json::Error),
+    /// A field is missing or invalid.
+    #[error("{0}")]
+    Path(#[source] PathError),
+    /// A delta applies to another version than the one held.
+    #[error("the change leads from another version")]
     WrongBase,
-    /// The result has another digest than its sender's.
+    /// The resulting document has another digest than its sender's.
+    #[error("the changed document has another digest")]
     WrongDigest,
 }
-
-impl fmt::Display for DocumentError {
-    fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            Self::NotJson(error) => write!(out, "not JSON: {error}"),
-            Self::Path(error) => write!(out, "{error}"),
-            Self::WrongBase => write!(out, "the change leads from another version"),
-            Self::WrongDigest => write!(out, "the changed document has another digest"),
-        }
-    }
-}
-
-impl std::error::Error for DocumentError {}
-
-impl From<serde_json::Error> for DocumentError {
-    fn from(error: serde_json::Error) -> Self {
-        Self::NotJson(error)
-    }
-}
--- a/crates/common/src/spec/fields.rs
+++ b/crates/common/src/spec/fields.rs
@@ -1,4 +1,4 @@
-//! The fields that documents, views and changes have in common, read from JSON and written as JSON.
+//! The fields that documents, views and deltas have in common, read from JSON and written as JSON.
 
 use super::records::write_json;
 use super::{ChangeRecord, DocumentError, ListedMember, SpecRecords, Voter};
@@ -139,7 +139,7 @@
     reader.items().iter().filter_map(read_address).collect()
 }
 
-/// Takes the spec out of a document or view, without copying it.
+/// Moves the spec out of a document or view, without copying it.
 pub(super) fn extract_spec(value: &mut Value) -> Result<SpecRecords, DocumentError> {
     let spec = value.get_mut("spec").map(Value::take).ok_or_else(|| {
         DocumentError::Path(PathError {
@@ -150,7 +150,7 @@
     Ok(SpecRecords::new(spec))
 }
 
-/// An object as JSON text, with a spec among its fields.
+/// Encodes an object as JSON text, with a spec as its first field.
 pub(super) fn text_with_spec(spec: &SpecRecords, other_fields: &Value) -> Vec<u8> {
     let (function_count, route_count) = spec.counts();
     let mut text = Vec::with_capacity(RECORD_LENGTH * (2 + function_count + route_count));
@@ -161,7 +161,7 @@
     text
 }
 
-/// Appends the fields of an object, and the brace that closes it, to an object that is being written.
+/// Appends the fields of an object, and the closing brace, to the text of an object that is being written.
 pub(super) fn append_fields(text: &mut Vec<u8>, fields: &Value) {
     let mut fields_text = Vec::new();
     write_json(&mut fields_text, fields);
--- a/crates/common/src/spec/mod.rs
+++ b/crates/common/src/spec/mod.rs
@@ -1,20 +1,28 @@
-//! The spec that operators write: a catalogue of functions, and routes to them.
+//! The spec that operators write, the document that carries it, and the table that requests are routed by.
+//!
+//! A spec is a catalogue of functions and the routes to them. Controllers replicate it inside a [`Document`]; daemons
+//! receive the [`DaemonView`] of the document, full or as a delta, and build a [`RoutingTable`] from it.
+//!
+//! The spec stays the JSON that its operator wrote, cut into one record for each function and route ([`SpecRecords`]);
+//! what is read from a record, [`FunctionSpec`] or [`RouteSpec`], is read once and shared between versions.
 
 mod applied_changes;
 mod catalogue_delta;
+mod content;
 mod daemon_view;
 mod document;
 mod document_error;
 mod fields;
 mod reader;
 mod records;
+mod route_reader;
 mod routing_table;
 
 pub use applied_changes::{AppliedChanges, ChangeStatus};
+pub use content::{CallerLimits, FunctionSpec, RouteMatcher, RouteSpec, Spec};
 pub use daemon_view::DaemonView;
 pub use document::{ChangeRecord, Document, ListedMember, Voter};
 pub use document_error::DocumentError;
-pub use reader::{CallerLimits, FunctionSpec, RouteMatcher, RouteSpec, Spec, read_spec};
-use reader::{read_function, read_route};
+pub use reader::read_spec;
 pub use records::{Record, RecordContent, SpecRecords};
 pub use routing_table::{FunctionEntry, RouteEntry, RouteMatch, RoutingTable};
--- a/crates/common/src/spec/records.rs
+++ b/crates/common/src/spec/records.rs
@@ -1,7 +1,9 @@
-//! A spec as records: one for each function and each route, shared between versions, so that a change
-//! costs what it changes.
+//! A spec cut into records, one for each function and each route, shared between versions so that a change costs what
+//! it changes.
 
-use super::{FunctionSpec, RouteMatcher, RouteSpec, Spec, read_function, read_route, read_spec};
+use super::reader::read_function;
+use super::route_reader::read_route;
+use super::{FunctionSpec, RouteMatcher, RouteSpec, Spec, read_spec};
 use crate::identity::FunctionName;
 use crate::readers::{PathError, PathErrorList, PathReader};
 use crate::seal::digest;
@@ -13,15 +15,15 @@
 const FUNCTIONS: &str = "functions";
 const ROUTES: &str = "routes";
 
-/// The length of a digest in bytes.
+/// The length of a SHA-256 digest in bytes.
 pub const DIGEST_LENGTH: usize = 32;
 
-/// What a record says once it is checked.
+/// What is read from a record.
 pub trait RecordContent: Sized {
-    /// The part of the spec it stands in.
+    /// The key of the spec under which its records are.
     const PART: &'static str;
 
-    /// Reads it; faults are noted with the reader.
+    /// Reads a record's content; errors are reported to the reader.
     fn read(name: &str, reader: &PathReader<'_>) -> Option<Self>;
 }
 
@@ -41,7 +43,7 @@
     }
 }
 
-/// One function or route as operators wrote it; what is derived from it is derived once.
+/// One function or route as operators wrote it. Its content and digest are computed once, when first needed.
 pub struct Record<T> {
     value: Value,
     checked: OnceLock<Option<Arc<T>>>,
@@ -62,7 +64,7 @@
         &self.value
     }
 
-    /// What it says; nothing when it has a fault of its own.
+    /// Returns its content; none if it has an error of its own.
     fn checked(&self, name: &str) -> Option<&Arc<T>> {
         let read_once = || {
             let errors = PathErrorList::default();
@@ -83,7 +85,7 @@
     }
 }
 
-/// The records of one part by name; copied only when it changes.
+/// The records of one part by name, copied on write.
 type Part<T> = Arc<BTreeMap<Arc<str>, Arc<Record<T>>>>;
 
 fn is_same<T>(one: &Arc<Record<T>>, other: &Arc<Record<T>>) -> bool {
@@ -106,11 +108,11 @@
     }
 }
 
-/// What leads from one part to another.
+/// The difference between two versions of a part.
 pub(super) struct PartDelta<'a> {
     /// The records that are new or different.
     put: Vec<(&'a str, &'a Value)>,
-    /// The names that are gone.
+    /// The names that are removed.
     pub removed: Vec<&'a str>,
 }
 
@@ -228,7 +230,7 @@
     text.push(b'}');
 }
 
-/// The operators' spec; a copy shares all records with its original.
+/// The operators' spec. A clone shares all records with its original.
 #[derive(Clone)]
 pub struct SpecRecords {
     functions: Option<Part<FunctionSpec>>,
@@ -237,7 +239,7 @@
 }
 
 impl SpecRecords {
-    /// The records of a spec; whatever is neither function nor route is kept as it is.
+    /// Cuts a spec into records; what is neither function nor route is kept as it is.
     pub fn new(mut spec: Value) -> Self {
         let (functions, routes) = match spec.as_object_mut() {
             Some(root) => (extract_part(root), extract_part(root)),
@@ -250,8 +252,8 @@
         }
     }
 
-    /// The same spec; records that are equal in an earlier one are shared with it, and so is what was
-    /// derived from them.
+    /// Returns the same spec with all records that are equal in an earlier spec shared with that one, and with them
+    /// their content and digest.
     pub fn sharing_records_with(&self, earlier: &SpecRecords) -> Self {
         Self {
             functions: part_sharing_records_with(&self.functions, &earlier.functions),
@@ -260,7 +262,7 @@
         }
     }
 
-    /// The spec as operators wrote it.
+    /// Returns the spec as operators wrote it.
     pub fn to_value(&self) -> Value {
         let mut spec = (*self.remainder).clone();
         if let Some(root) = spec.as_object_mut() {
@@ -305,32 +307,32 @@
         text.push(b'}');
     }
 
-    /// Puts a function in the place of what had its name.
+    /// Adds a function, or replaces the one with its name.
     pub fn put_function(&mut self, name: &str, function: Value) {
         put(&mut self.functions, name, function);
     }
 
-    /// Removes a function, if it is there.
+    /// Removes a function, if it exists.
     pub fn remove_function(&mut self, name: &str) {
         remove(&mut self.functions, name);
     }
 
-    /// Puts a route in the place of what had its name.
+    /// Adds a route, or replaces the one with its name.
     pub fn put_route(&mut self, name: &str, route: Value) {
         put(&mut self.routes, name, route);
     }
 
-    /// Removes a route, if it is there.
+    /// Removes a route, if it exists.
     pub fn remove_route(&mut self, name: &str) {
         remove(&mut self.routes, name);
     }
 
-    /// What is neither function nor route.
+    /// Returns what is neither function nor route.
     pub fn remainder(&self) -> &Value {
         &self.remainder
     }
 
-    /// Puts a field that is neither function nor route.
+    /// Sets a field that is neither functions nor routes.
     pub fn put_field(&mut self, name: &str, value: Value) {
         if let Some(root) = Arc::make_mut(&mut self.remainder).as_object_mut() {
             root.insert(name.to_owned(), value);
@@ -341,12 +343,12 @@
         self.remainder = Arc::new(remainder);
     }
 
-    /// Whether the spec has functions and routes at all, if only none.
+    /// Whether the spec has the keys `functions` and `routes`, be they empty.
     pub(super) fn has_parts(&self) -> (bool, bool) {
         (self.functions.is_some(), self.routes.is_some())
     }
 
-    /// Drops the parts that the spec is not to have, and adds empty ones that it is to have.
+    /// Drops or adds, empty, the keys `functions` and `routes`.
     pub(super) fn set_present_parts(&mut self, (has_functions, has_routes): (bool, bool)) {
         self.functions = has_functions.then(|| self.functions.take().unwrap_or_default());
         self.routes = has_routes.then(|| self.routes.take().unwrap_or_default());
@@ -360,7 +362,7 @@
         part_delta(&self.routes, &newer.routes)
     }
 
-    /// The number of functions and of routes.
+    /// Returns the number of functions and of routes.
     pub fn counts(&self) -> (usize, usize) {
         let function_count = self.functions.as_ref().map_or(0, |part| part.len());
         (
@@ -369,7 +371,7 @@
         )
     }
 
-    /// The digests of all records and of the rest, combined so that their order does not matter.
+    /// The digests of all records and of the rest, combined by XOR, so that one record's change costs one digest.
     pub fn digest(&self) -> [u8; DIGEST_LENGTH] {
         let mut remainder_text = Vec::new();
         write_json(&mut remainder_text, &self.remainder);
@@ -387,7 +389,7 @@
         combined
     }
 
-    /// What each function says, by name; nothing where it has a fault of its own.
+    /// Each function's content by name; none where the record has an error of its own.
     pub(super) fn checked_function_records(
         &self,
     ) -> impl Iterator<Item = (&Arc<str>, Option<&Arc<FunctionSpec>>)> {
@@ -395,7 +397,7 @@
         records.map(|(name, record)| (name, record.checked(name)))
     }
 
-    /// What each route says, by name; nothing where it has a fault of its own.
+    /// Each route's content by name; none where the record has an error of its own.
     pub(super) fn checked_route_records(
         &self,
     ) -> impl Iterator<Item = (&Arc<str>, Option<&Arc<RouteSpec>>)> {
@@ -403,8 +405,10 @@
         records.map(|(name, record)| (name, record.checked(name)))
     }
 
-    /// Checks the spec; on failure every fault with its path. Records that were checked with an earlier
-    /// spec are not read again.
+    /// Checks the spec. Records that were checked with an earlier spec are not read again.
+    ///
+    /// # Errors
+    /// Every error found, each with its path.
     pub fn check(&self) -> Result<Spec, Vec<PathError>> {
         match self.check_records() {
             Some(checked_spec) => Ok(checked_spec),
@@ -412,7 +416,7 @@
         }
     }
 
-    /// The checked spec if nothing at all is wrong with it.
+    /// The checked spec if it has no error at all; the slow path finds out which errors it has.
     fn check_records(&self) -> Option<Spec> {
         let functions = self.checked_functions()?;
         let routes = self.checked_routes(&functions)?;
--- a/crates/common/src/spec/routing_table.rs
+++ b/crates/common/src/spec/routing_table.rs
@@ -1,35 +1,37 @@
+//! The table by which a daemon finds the route and the function of a request.
+
 use super::{
     CallerLimits, DaemonView, DocumentError, FunctionSpec, RouteMatcher, RouteSpec, read_spec,
 };
 use crate::identity::{FunctionIndex, FunctionKey, FunctionName, IdempotencyKey, Version, Zone};
 use hyper::Method;
 use std::collections::hash_map::DefaultHasher;
-use std::collections::{BTreeSet, HashMap};
+use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::hash::{Hash, Hasher};
 use std::sync::Arc;
 use std::time::Duration;
 
-/// One function of a snapshot.
+/// One function of a table.
 pub struct FunctionEntry {
     /// Its key.
     pub key: FunctionKey,
-    /// What it needs.
+    /// Its spec.
     pub spec: Arc<FunctionSpec>,
 }
 
-/// One route of a snapshot.
+/// One route of a table.
 #[derive(Clone)]
 pub struct RouteEntry {
-    /// The route.
+    /// Its spec.
     pub spec: Arc<RouteSpec>,
-    /// Its function's dense number, or the first one's.
+    /// The index of its function, or of the first of several.
     pub function: FunctionIndex,
-    /// Several functions with their weights; empty when all goes to one.
+    /// Several functions with their weights; empty if all requests go to one.
     pub shares: Vec<(FunctionIndex, u32)>,
 }
 
 impl RouteEntry {
-    /// The function of one transaction; the same identity always leads to the same one.
+    /// Chooses the function of one request by weight. The same idempotency key always leads to the same function.
     pub fn choose_function(&self, idempotency_key: &IdempotencyKey) -> FunctionIndex {
         let weight_sum: u64 = self
             .shares
@@ -51,7 +53,7 @@
         self.function
     }
 
-    /// Whether the route may lead to a function.
+    /// Whether requests of this route may go to a function.
     pub fn may_lead_to(&self, function: FunctionIndex) -> bool {
         if self.shares.is_empty() {
             return self.function == function;
@@ -62,15 +64,15 @@
     }
 }
 
-/// What a look-up found.
+/// The result of a look-up.
 pub struct RouteMatch<'a> {
     /// The route.
     pub route: &'a RouteEntry,
-    /// The transaction's function.
+    /// The function that the request goes to.
     pub function: &'a FunctionEntry,
 }
 
-/// Where functions and routes stand, by their keys, names and matches.
+/// The positions of functions and routes in a table, by their keys, names and matches.
 #[derive(Default)]
 struct Index {
     matchers: HashMap<Method, matchit::Router<usize>>,
@@ -80,6 +82,21 @@
 }
 
 impl Index {
+    /// Adds a route under its name and its match; false if its pattern cannot be matched beside the others.
+    fn add_route(&mut self, spec: &RouteSpec, route_position: usize) -> bool {
+        match &spec.matching {
+            RouteMatcher::Pattern(method, path) => {
+                let matcher = self.matchers.entry(method.clone()).or_default();
+                if matcher.insert(path.clone(), route_position).is_err() {
+                    return false;
+                }
+            }
+            RouteMatcher::Prefix(host, prefix) => self.add_prefix(host, prefix, route_position),
+        }
+        self.by_route.insert(spec.name.clone(), route_position);
+        true
+    }
+
     fn add_prefix(&mut self, host: &str, prefix: &str, route_position: usize) {
         if let Some(host_prefixes) = self.prefixes.get_mut(host) {
             host_prefixes.insert(prefix.to_owned(), route_position);
@@ -90,8 +107,8 @@
     }
 }
 
-/// An immutable snapshot of a spec, made for look-ups; those that differ in neither keys, names nor matches share
-/// their index.
+/// An immutable table for look-ups in one version of a spec. Tables that differ in neither keys, names nor matches
+/// share their index.
 pub struct RoutingTable {
     version: Version,
     functions: Vec<FunctionEntry>,
@@ -103,7 +120,7 @@
 }
 
 impl RoutingTable {
-    /// A table without any function.
+    /// Creates a table without any function.
     pub fn empty() -> Self {
         Self {
             version: Version(0),
@@ -116,12 +133,16 @@
         }
     }
 
-    /// A table from a view; fails when the view's spec does not check.
+    /// Builds a table from a view.
+    ///
+    /// # Errors
+    /// [`DocumentError::Path`] with the first error of the view's spec.
     pub fn build(view: &DaemonView) -> Result<Self, DocumentError> {
         let checked_spec = view.checked()?;
         let mut table = RoutingTable {
             version: view.version,
             evacuated: view.evacuated.clone(),
+            limits: checked_spec.limits,
             ..Self::empty()
         };
         let (function_count, route_count) = view.spec.counts();
@@ -132,65 +153,65 @@
         };
         table.functions.reserve(function_count);
         table.routes.reserve(route_count);
-        for (function_name, function_spec) in checked_spec.functions {
+        table.add_functions(&mut index, checked_spec.functions, view);
+        table.add_routes(&mut index, checked_spec.routes);
+        table.index = Arc::new(index);
+        table.prewarmed = table.find_prewarmed();
+        Ok(table)
+    }
+
+    fn add_functions(
+        &mut self,
+        index: &mut Index,
+        function_specs: BTreeMap<FunctionName, Arc<FunctionSpec>>,
+        view: &DaemonView,
+    ) {
+        for (function_name, spec) in function_specs {
             let generation = view
                 .generations
                 .get(&function_name)
                 .copied()
                 .unwrap_or(view.version);
             let key = FunctionKey::new(function_name, generation);
-            index
-                .by_key
-                .insert(key.clone(), FunctionIndex(table.functions.len()));
-            table.functions.push(FunctionEntry {
-                key,
-                spec: function_spec,
-            });
+            let function = FunctionIndex(self.functions.len());
+            index.by_key.insert(key.clone(), function);
+            self.functions.push(FunctionEntry { key, spec });
         }
-        table.limits = checked_spec.limits;
-        let by_name: HashMap<_, _> = table
+    }
+
+    /// Adds the routes to functions that the table has already.
+    fn add_routes(&mut self, index: &mut Index, route_specs: Vec<Arc<RouteSpec>>) {
+        let by_name: HashMap<_, _> = self
             .functions
             .iter()
             .enumerate()
             .map(|(position, entry)| (entry.key.name.clone(), FunctionIndex(position)))
             .collect();
-        for route_spec in checked_spec.routes {
-            let Some(function) = by_name.get(&route_spec.function).copied() else {
+        for spec in route_specs {
+            let Some(function) = by_name.get(&spec.function).copied() else {
                 continue;
             };
-            let route_position = table.routes.len();
-            match &route_spec.matching {
-                RouteMatcher::Pattern(method, path) => {
-                    let matcher = index.matchers.entry(method.clone()).or_default();
-                    if matcher.insert(path.clone(), route_position).is_err() {
-                        continue;
-                    }
-                }
-                RouteMatcher::Prefix(host, prefix) => {
-                    index.add_prefix(host, prefix, route_position);
-                }
+            if !index.add_route(&spec, self.routes.len()) {
+                continue;
             }
-            let shares = route_spec
+            let shares = spec
                 .shares
                 .iter()
                 .filter_map(|(name, weight)| Some((*by_name.get(name)?, *weight)))
                 .collect();
-            index
-                .by_route
-                .insert(route_spec.name.clone(), route_position);
-            table.routes.push(RouteEntry {
-                spec: route_spec,
+            self.routes.push(RouteEntry {
+                spec,
                 function,
                 shares,
             });
         }
-        table.index = Arc::new(index);
-        table.prewarmed = table.find_prewarmed();
-        Ok(table)
     }
 
-    /// A table from a view, as [`Table::build`] makes it; what concerns neither the names of functions nor where
-    /// routes lead from is taken over from an earlier one.
+    /// Builds a table as [`RoutingTable::build`] does, but reuses an earlier table's index if neither the names of
+    /// functions nor the matches of routes have changed.
+    ///
+    /// # Errors
+    /// As [`RoutingTable::build`].
     pub fn build_after(earlier: &RoutingTable, view: &DaemonView) -> Result<Self, DocumentError> {
         match earlier.with_shape_of(view) {
             Some(table) => Ok(table),
@@ -198,8 +219,8 @@
         }
     }
 
-    /// The table of a view that has the same functions, and the same routes by name and match; none if it has
-    /// others, or any fault.
+    /// Builds the table of a view that has the same functions, and the same routes by name and match; none if it has
+    /// others, or any error.
     fn with_shape_of(&self, view: &DaemonView) -> Option<Self> {
         let function_specs = view.spec.checked_function_records();
         let mut functions = Vec::with_capacity(self.functions.len());
@@ -233,7 +254,7 @@
         Some(table)
     }
 
-    /// A route that stands where one with its name and match stood.
+    /// Builds the entry of a route if the route at its position had the same name and match.
     fn route_at_position(
         &self,
         position: usize,
@@ -276,25 +297,25 @@
         prewarmed_functions
     }
 
-    /// Whether a function boots longer than an answer by one of its routes is worth its full value.
+    /// Whether a function takes longer to start than one of its routes' target time, so that runners are kept warm for
+    /// it.
     pub fn is_prewarmed(&self, index: FunctionIndex) -> bool {
         self.prewarmed.contains(&index)
     }
 
-    /// The functions that boot longer than an answer is worth its full value.
+    /// The functions that take longer to start than one of their routes' target time.
     pub fn prewarmed_functions(&self) -> impl Iterator<Item = &FunctionKey> {
         self.prewarmed
             .iter()
             .map(|index| &self.function(*index).key)
     }
 
-    /// The serial this was made from.
+    /// The version of the view that the table was built from.
     pub fn version(&self) -> Version {
         self.version
     }
 
-    /// The route that a call leads to, and its function: by host and longest prefix, else by method and
-    /// path.
+    /// Finds the route of a request, and its function: by host and longest prefix, else by method and path.
     pub fn route(
         &self,
         method: &Method,
@@ -345,7 +366,7 @@
             .is_some_and(|(route, function)| route.may_lead_to(function))
     }
 
-    /// The callers' limits.
+    /// The limits for callers.
     pub fn limits(&self) -> CallerLimits {
         self.limits
     }
@@ -360,17 +381,17 @@
         self.routes.get(*self.index.by_route.get(route_name)?)
     }
 
-    /// The function of a dense number.
+    /// The function at an index of this table.
     pub fn function(&self, index: FunctionIndex) -> &FunctionEntry {
         &self.functions[index.0]
     }
 
-    /// The function of a key, for whichever callers the key is.
+    /// The function of a key, regional or not.
     pub fn function_of(&self, key: &FunctionKey) -> Option<&FunctionEntry> {
         self.index_of(key).map(|index| &self.functions[index.0])
     }
 
-    /// The dense number of a key's function.
+    /// The index of a key's function.
     pub fn index_of(&self, key: &FunctionKey) -> Option<FunctionIndex> {
         let found = if key.is_regional() {
             self.index.by_key.get(&key.all_regions())
@@ -380,7 +401,7 @@
         found.copied()
     }
 
-    /// All functions in dense order.
+    /// All functions in the order of their indexes.
     pub fn functions(&self) -> &[FunctionEntry] {
         &self.functions
     }
@@ -390,8 +411,8 @@
         self.routes.len()
     }
 
-    /// Whether callers may send the identity of a once-transaction of this function again, so that its
-    /// ledger is kept elsewhere and waited for; not so when no once-route of it asks for that.
+    /// Whether a ledger replica must record this function's requests before they are sent: true unless it has routes
+    /// whose requests may run only once, and none of these is [`recorded`](RouteSpec::recorded).
     pub fn is_recorded(&self, index: FunctionIndex) -> bool {
         let mut once_routes = self
             .routes
@@ -401,7 +422,7 @@
         once_routes.peek().is_none() || once_routes.any(|route| route.spec.recorded)
     }
 
-    /// The longest budget any route allows.
+    /// The longest time-out that any route allows.
     pub fn longest_timeout(&self) -> Duration {
         self.routes
             .iter()
--- a/crates/common/tests/document_deltas.rs
+++ b/crates/common/tests/document_deltas.rs
@@ -85,7 +85,7 @@
     let mut held = Document::founding(members(3));
     for number in 1..3_000 {
         let newer = random_version(&held, &mut rng, number * 3);
-        let changed = held.changed(&held.delta_to(&newer), &newer.digest())?;
+        let changed = held.apply_delta(&held.delta_to(&newer), &newer.digest())?;
         verify_that!(changed == newer, eq(true))?;
         verify_that!(changed.to_bytes() == newer.to_bytes(), eq(true))?;
         held = changed;
@@ -102,7 +102,7 @@
         let newer = random_version(&held, &mut rng, number * 3);
         let other_base = random_version(&held, &mut rng, number * 3 + 1);
         let change = held.delta_to(&newer);
-        if let Ok(changed) = other_base.changed(&change, &newer.digest()) {
+        if let Ok(changed) = other_base.apply_delta(&change, &newer.digest()) {
             verify_that!(changed == newer, eq(true))?;
         } else {
             refused += 1;
@@ -141,11 +141,11 @@
     let change = held.delta_to(&newer);
     for cut in 0..change.len() {
         verify_that!(
-            held.changed(&change[..cut], &newer.digest()).is_err(),
+            held.apply_delta(&change[..cut], &newer.digest()).is_err(),
             eq(true)
         )?;
     }
-    verify_that!(held.changed(&change, &[]).is_err(), eq(true))?;
+    verify_that!(held.apply_delta(&change, &[]).is_err(), eq(true))?;
     verify_that!(
         held.document_version,
         eq(DocumentVersion {
--- a/crates/common/tests/document_forms.rs
+++ b/crates/common/tests/document_forms.rs
@@ -213,7 +213,7 @@
 #[gtest]
 fn changes_lead_from_the_held_version_as_ever() -> Result<()> {
     let held = Document::from_bytes(&held_text("document/whole"))?;
-    let changed = held.changed(&held_text("document/change"), &newer_document().digest())?;
+    let changed = held.apply_delta(&held_text("document/change"), &newer_document().digest())?;
     verify_that!(changed == newer_document(), eq(true))?;
     verify_that!(
         changed
@@ -221,12 +221,12 @@
             .status_of(301, &"second spec".into()),
         eq(ChangeStatus::Applied(Version(7)))
     )?;
-    let unchanged = held.changed(&held_text("document/change-of-nothing"), &held.digest())?;
+    let unchanged = held.apply_delta(&held_text("document/change-of-nothing"), &held.digest())?;
     verify_that!(unchanged == held, eq(true))?;
     let held_view = DaemonView::from_bytes(&held_text("view/whole"))?;
     verify_that!(held_view == whole_document().view(), eq(true))?;
     let newer_view = newer_document().view();
-    let changed_view = held_view.changed(&held_text("view/change"), &newer_view.digest())?;
+    let changed_view = held_view.apply_delta(&held_text("view/change"), &newer_view.digest())?;
     verify_that!(changed_view == newer_view, eq(true))?;
     verify_that!(
         DaemonView::from_bytes(&held_text("view/newer"))? == newer_view,
--- a/crates/common/tests/records.rs
+++ b/crates/common/tests/records.rs
@@ -109,10 +109,10 @@
         };
         let newer_view = view_of(&newer_spec, version);
         let change = held_view.delta_to(&newer_view);
-        let changed_view = held_view.changed(&change, &newer_view.digest())?;
+        let changed_view = held_view.apply_delta(&change, &newer_view.digest())?;
         verify_that!(changed_view == newer_view, eq(true))?;
         verify_that!(
-            held_view.changed(&change, &held_view.digest()).is_err(),
+            held_view.apply_delta(&change, &held_view.digest()).is_err(),
             eq(true)
         )?;
         held_view = changed_view;
@@ -169,7 +169,7 @@
     spec["functions"]["f7"]["slots"] = json!(9);
     let newer_view = view_of(&SpecRecords::new(spec), 2);
     let change = base_view.delta_to(&newer_view);
-    let changed_view = base_view.changed(&change, &newer_view.digest())?;
+    let changed_view = base_view.apply_delta(&change, &newer_view.digest())?;
     let changed_table = RoutingTable::build(&changed_view)?;
     let pairs = base_table.functions().iter().zip(changed_table.functions());
     let shared = pairs.filter(|(held, newer)| std::sync::Arc::ptr_eq(&held.spec, &newer.spec));
--- a/crates/controlplane/src/consensus/replication.rs
+++ b/crates/controlplane/src/consensus/replication.rs
@@ -323,11 +323,11 @@
         if !self.rules.enforces(Rule::DeltaOnItsBase) {
             return available_versions
                 .next()?
-                .changed_unverified(&delta_bytes)
+                .apply_delta_unverified(&delta_bytes)
                 .ok();
         }
         let held_version = available_versions.find(|document| document.document_version == base)?;
-        held_version.changed(&delta_bytes, &digest.0).ok()
+        held_version.apply_delta(&delta_bytes, &digest.0).ok()
     }
 
     /// Whether an answer of this term is to this controller's lead; one of a later term ends it.
--- a/crates/dataplane/src/cluster_view/leader_frames.rs
+++ b/crates/dataplane/src/cluster_view/leader_frames.rs
@@ -23,7 +23,7 @@
                 digest,
             } => match &self.view {
                 Some(view) if view.version == base => {
-                    match view.changed(&decompress(&patch).unwrap_or_default(), &digest.0) {
+                    match view.apply_delta(&decompress(&patch).unwrap_or_default(), &digest.0) {
                         Ok(changed_view) => self.install(now, version, Ok(changed_view)),
                         Err(_) => self.outputs.push(ClusterViewOutput::SendFrame(
                             DaemonToLeader::FullSpecRequest,
