--- a/crates/common/src/http/call.rs
+++ b/crates/common/src/http/call.rs
@@ -1,4 +1,4 @@
-//! Calling over HTTP, so that what was sent, and what surely not, is known.
+//! Calls over HTTP/1.1, one connection each, whose errors tell what was certainly not sent.
 
 use crate::clock::MonotonicTime;
 use crate::frames::SocketAddress;
@@ -8,48 +8,57 @@
 use hyper::{Method, Request, StatusCode};
 use hyper_util::rt::TokioIo;
 use serde_json::Value;
-use std::fmt;
 use std::time::Duration;
 use tokio::net::TcpStream;
 
-/// What came back.
+const MAX_CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+const MAX_JSON_RESPONSE_BYTES: usize = 64 << 20;
+
+/// A complete response.
 pub struct CallResponse {
     /// The status.
     pub status: StatusCode,
     /// The headers.
     pub headers: HeaderMap,
-    /// The whole body.
+    /// The complete body.
     pub body: Bytes,
 }
 
 impl CallResponse {
-    /// The body as JSON, or null.
+    /// Parses the body as JSON; null if it is not JSON.
     pub fn json(&self) -> Value {
         serde_json::from_slice(&self.body).unwrap_or(Value::Null)
     }
 }
 
-/// Why a call brought nothing back.
-#[derive(Debug)]
+/// Why a call brought no response.
+#[derive(Debug, thiserror::Error)]
 pub enum CallError {
-    /// No connection came about; nothing was sent.
-    NotSent(std::io::Error),
-    /// The connection took too long to come about; nothing was sent.
+    /// The connection could not be opened; nothing was sent.
+    #[error("no connection: {0}")]
+    NotSent(#[source] std::io::Error),
+    /// The connection could not be opened in time; nothing was sent.
+    #[error("no connection in time")]
     ConnectTimeout,
-    /// Something was sent, and the answer was lost.
-    Lost(hyper::Error),
-    /// Something was sent, and no answer came in time.
+    /// Something may have been sent, and the response was lost.
+    #[error("answer lost: {0}")]
+    Lost(#[source] hyper::Error),
+    /// Something may have been sent, and no complete response arrived in time.
+    #[error("no answer in time")]
     Timeout,
-    /// The beginning of another answer stands within the head.
+    /// The beginning of another response was found within the response's head.
+    #[error("two answers ran into each other")]
     MergedResponses,
-    /// The answer's body was cut short or larger than allowed.
-    Body(String),
-    /// The request itself could not be made.
-    Request(hyper::http::Error),
+    /// The response's body was cut short, or is larger than allowed.
+    #[error("answer's body: {0}")]
+    Body(#[source] Box<dyn std::error::Error + Send + Sync>),
+    /// The request could not be built; nothing was sent.
+    #[error("request: {0}")]
+    Request(#[source] hyper::http::Error),
 }
 
 impl CallError {
-    /// Whether it is sure that the other side got nothing.
+    /// Whether the other side has certainly received nothing.
     pub fn is_certainly_unsent(&self) -> bool {
         matches!(
             self,
@@ -58,25 +67,12 @@
     }
 }
 
-impl fmt::Display for CallError {
-    fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            Self::NotSent(error) => write!(out, "no connection: {error}"),
-            Self::ConnectTimeout => write!(out, "no connection in time"),
-            Self::Lost(error) => write!(out, "answer lost: {error}"),
-            Self::Timeout => write!(out, "no answer in time"),
-            Self::MergedResponses => write!(out, "two answers ran into each other"),
-            Self::Body(reason) => write!(out, "answer's body: {reason}"),
-            Self::Request(error) => write!(out, "request: {error}"),
-        }
-    }
-}
-
-impl std::error::Error for CallError {}
-
-/// Opens a connection; nothing is sent on it yet.
+/// Opens a connection; nothing is sent on it yet. Takes no longer than `timeout`, nor than one second.
+///
+/// # Errors
+/// [`CallError::NotSent`] or [`CallError::ConnectTimeout`].
 pub async fn connect(address: SocketAddress, timeout: Duration) -> Result<TcpStream, CallError> {
-    let connect_timeout = timeout.min(Duration::from_millis(1000));
+    let connect_timeout = timeout.min(MAX_CONNECT_TIMEOUT);
     let connected = tokio::time::timeout(connect_timeout, TcpStream::connect(address.to_std()));
     let opened_stream = match connected.await {
         Err(_) => return Err(CallError::ConnectTimeout),
@@ -87,8 +83,10 @@
     Ok(opened_stream)
 }
 
-/// Sends a request on an open connection and takes the whole answer; whatever fails from here on may
-/// have been received.
+/// Sends a request on an open connection and reads the complete response.
+///
+/// # Errors
+/// Every error leaves open whether the other side received the request.
 pub async fn exchange(
     opened_stream: TcpStream,
     request: Request<Full<Bytes>>,
@@ -111,7 +109,7 @@
                 .map_err(CallError::Lost)?;
             let (head, body) = response.into_parts();
             let collected_body = Limited::new(body, max_body_bytes).collect().await;
-            let body = collected_body.map_err(|error| CallError::Body(error.to_string()))?;
+            let body = collected_body.map_err(CallError::Body)?;
             Ok(CallResponse {
                 status: head.status,
                 headers: head.headers,
@@ -129,7 +127,10 @@
     }
 }
 
-/// Calls over a connection of its own, so that what was sent, and what surely not, is known.
+/// Opens a connection, sends a request and reads the complete response; `timeout` covers all of it.
+///
+/// # Errors
+/// See [`CallError::is_certainly_unsent`].
 pub async fn call(
     address: SocketAddress,
     request: Request<Full<Bytes>>,
@@ -142,7 +143,10 @@
     exchange(opened_stream, request, remaining_timeout, max_body_bytes).await
 }
 
-/// Calls with a JSON body, or none.
+/// Calls with a JSON body, or none. The response may have up to 64 MiB.
+///
+/// # Errors
+/// As [`call`].
 pub async fn call_json(
     address: SocketAddress,
     method: Method,
@@ -160,5 +164,5 @@
         .header(CONTENT_TYPE, "application/json")
         .body(Full::new(body_bytes))
         .map_err(CallError::Request)?;
-    call(address, request, timeout, 64 << 20).await
+    call(address, request, timeout, MAX_JSON_RESPONSE_BYTES).await
 }
--- a/crates/common/src/http/head.rs
+++ b/crates/common/src/http/head.rs
@@ -1,14 +1,14 @@
-//! Reading the heads of answers.
+//! Reading the heads of responses.
 
 use hyper::StatusCode;
 use hyper::ext::ReasonPhrase;
 use hyper::header::{CONTENT_LENGTH, HeaderMap, TRANSFER_ENCODING};
 use hyper::http::Extensions;
 
-/// How every answer begins.
+/// How every response begins.
 const PROTOCOL: &[u8] = b"HTTP/1.";
 
-/// The first text of a header; empty when the header is missing, or is no text.
+/// Returns the first value of a header; empty if the header is missing or is not text.
 pub fn header_text<'a>(headers: &'a HeaderMap, name: &str) -> &'a str {
     headers
         .get(name)
@@ -16,8 +16,8 @@
         .unwrap_or("")
 }
 
-/// A header's text; empty when the header is missing, is no text, or stands more than once, so that
-/// nobody can tell which one is meant.
+/// Returns the value of a header; empty if the header is missing, is not text, or occurs more than once, so that it is
+/// ambiguous.
 pub fn single_text<'a>(headers: &'a HeaderMap, name: &str) -> &'a str {
     let mut values = headers.get_all(name).iter();
     match (values.next(), values.next()) {
@@ -26,8 +26,8 @@
     }
 }
 
-/// Whether an answer says where its body ends. A body that ends with its connection may have been cut
-/// short, and nobody would see it.
+/// Whether a response declares where its body ends (RFC 9112, section 6.3). A body that ends with its connection may
+/// have been cut short unnoticed.
 pub fn has_marked_end(status: StatusCode, headers: &HeaderMap) -> bool {
     let has_no_body = matches!(status, StatusCode::NO_CONTENT | StatusCode::NOT_MODIFIED);
     has_no_body || headers.contains_key(CONTENT_LENGTH) || is_chunked(headers)
@@ -41,8 +41,8 @@
     last_coding.is_some_and(|coding| coding.trim().eq_ignore_ascii_case("chunked"))
 }
 
-/// Whether the beginning of another answer stands within this head: a surplus answer was cut short on
-/// its connection, and the next one ran into it.
+/// Whether the beginning of another response is within this head: a surplus response was cut short on its connection,
+/// and the next one was appended to it.
 pub fn is_merged_response(headers: &HeaderMap, extensions: &Extensions) -> bool {
     let reason = extensions.get::<ReasonPhrase>();
     reason.is_some_and(|reason| contains_protocol_name(reason.as_bytes()))
--- a/crates/common/src/http/line_stream.rs
+++ b/crates/common/src/http/line_stream.rs
@@ -1,43 +1,51 @@
-//! Following a body of lines as they come.
+//! Following a response whose body is a stream of lines.
 
 use super::CallError;
 use crate::frames::SocketAddress;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Empty};
+use hyper::body::Incoming;
 use hyper::header::{HOST, LOCATION};
-use hyper::{Request, StatusCode};
+use hyper::{Request, Response, StatusCode};
 use hyper_util::rt::TokioIo;
 use std::ops::ControlFlow;
 use std::time::Duration;
 use tokio::net::TcpStream;
 
-/// How a stream of lines ended.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+
+/// How a stream of lines ended without an error.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum LineStreamEnd {
-    /// The reader had enough.
+    /// The reader stopped it.
     StoppedByReader,
     /// The other side ended it.
     Ended,
-    /// The answer had another status.
+    /// The response had another status than 200.
     Status(StatusCode),
-    /// Another place answers; nothing was read.
+    /// The response redirects to another address; nothing was read.
     Redirect(SocketAddress),
 }
 
-/// Reads a body of lines as they come, until the reader has enough.
+/// Requests `path` and calls `on_line` with each line of the body as it arrives, until that breaks or the body ends.
+/// There is no time-out after the connection is open.
+///
+/// # Errors
+/// A [`CallError`] if no connection could be opened, or it was lost.
 pub async fn follow_lines(
     address: SocketAddress,
     path: &str,
     mut on_line: impl FnMut(&str) -> ControlFlow<()>,
 ) -> Result<LineStreamEnd, CallError> {
     let connecting = TcpStream::connect(address.to_std());
-    let stream = tokio::time::timeout(Duration::from_secs(1), connecting)
+    let stream = tokio::time::timeout(CONNECT_TIMEOUT, connecting)
         .await
         .map_err(|_| CallError::ConnectTimeout)?
         .map_err(CallError::NotSent)?;
     let (mut sender, connection) = hyper::client::conn::http1::handshake(TokioIo::new(stream))
         .await
         .map_err(CallError::Lost)?;
+    // Detached: it ends when the response is dropped, or is cancelled if the reader stops.
     let driving = tokio::spawn(connection);
     let request = Request::builder()
         .uri(path)
@@ -48,24 +56,8 @@
         .send_request(request)
         .await
         .map_err(CallError::Lost)?;
-    if response.status() == StatusCode::TEMPORARY_REDIRECT {
-        let location = response
-            .headers()
-            .get(LOCATION)
-            .and_then(|value| value.to_str().ok());
-        let authority = location
-            .and_then(|text| text.strip_prefix("http://"))
-            .and_then(|text| text.split('/').next());
-        let redirect = authority
-            .and_then(|text| text.parse().ok())
-            .map(SocketAddress);
-        return Ok(redirect.map_or(
-            LineStreamEnd::Status(response.status()),
-            LineStreamEnd::Redirect,
-        ));
-    }
     if response.status() != StatusCode::OK {
-        return Ok(LineStreamEnd::Status(response.status()));
+        return Ok(end_without_lines(&response));
     }
     let mut unread_bytes: Vec<u8> = Vec::new();
     while let Some(frame) = response.body_mut().frame().await {
@@ -81,3 +73,21 @@
     }
     Ok(LineStreamEnd::Ended)
 }
+
+fn end_without_lines(response: &Response<Incoming>) -> LineStreamEnd {
+    let location = response
+        .headers()
+        .get(LOCATION)
+        .filter(|_| response.status() == StatusCode::TEMPORARY_REDIRECT)
+        .and_then(|value| value.to_str().ok());
+    let authority = location
+        .and_then(|text| text.strip_prefix("http://"))
+        .and_then(|text| text.split('/').next());
+    let redirect = authority
+        .and_then(|text| text.parse().ok())
+        .map(SocketAddress);
+    redirect.map_or(
+        LineStreamEnd::Status(response.status()),
+        LineStreamEnd::Redirect,
+    )
+}
--- a/crates/common/src/http/mod.rs
+++ b/crates/common/src/http/mod.rs
@@ -1,4 +1,4 @@
-//! The little that every program needs around hyper: serving, calling, JSON.
+//! What every program needs around hyper: serving, calling, and reading heads and JSON.
 
 mod call;
 mod head;
--- a/crates/common/src/http/serve.rs
+++ b/crates/common/src/http/serve.rs
@@ -1,4 +1,4 @@
-//! Serving over HTTP: answers, bodies within limits, connections that end in order.
+//! Serving over HTTP/1.1: responses, bodies within limits, and graceful shutdown.
 
 use bytes::Bytes;
 use http_body_util::combinators::UnsyncBoxBody;
@@ -10,7 +10,6 @@
 use hyper_util::rt::{TokioIo, TokioTimer};
 use serde_json::Value;
 use std::convert::Infallible;
-use std::fmt;
 use std::future::Future;
 use std::pin::Pin;
 use std::task::{Context, Poll};
@@ -25,12 +24,12 @@
 /// A response.
 pub type HttpResponse = Response<Body>;
 
-/// A body of known bytes.
+/// Creates a body from bytes.
 pub fn full_body(body_bytes: impl Into<Bytes>) -> Body {
     Full::new(body_bytes.into()).boxed_unsync()
 }
 
-/// A response of JSON.
+/// Creates a response of JSON.
 pub fn json_response(status: StatusCode, value: &Value) -> HttpResponse {
     let mut response = Response::new(full_body(value.to_string()));
     *response.status_mut() = status;
@@ -41,7 +40,7 @@
     response
 }
 
-/// A response of plain text.
+/// Creates a response of plain text, in the version that Prometheus reads.
 pub fn text_response(status: StatusCode, text: impl Into<Bytes>) -> HttpResponse {
     let mut response = Response::new(full_body(text));
     *response.status_mut() = status;
@@ -67,35 +66,26 @@
     }
 }
 
-/// A body that is sent as it comes.
+/// Creates a body whose chunks are sent as they arrive from the channel, until that is closed.
 pub fn stream_body(chunks: mpsc::Receiver<Bytes>) -> Body {
     ChannelBody(chunks).boxed_unsync()
 }
 
 /// Why a body was not read.
-#[derive(Debug)]
+#[derive(Debug, thiserror::Error)]
 pub enum BodyError {
     /// It is larger than allowed.
+    #[error("body too large")]
     TooLarge,
-    /// It broke off.
+    /// The connection broke before its end.
+    #[error("body broke off")]
     Interrupted,
-    /// It came too slowly.
+    /// It did not arrive in time.
+    #[error("body came too slowly")]
     TooSlow,
 }
 
-impl fmt::Display for BodyError {
-    fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
-        out.write_str(match self {
-            Self::TooLarge => "body too large",
-            Self::Interrupted => "body broke off",
-            Self::TooSlow => "body came too slowly",
-        })
-    }
-}
-
-impl std::error::Error for BodyError {}
-
-/// Reads a whole body, bounded in size and time.
+/// Reads a complete body within limits of size and time.
 pub async fn read_body(
     body: Incoming,
     max_body_bytes: usize,
@@ -111,12 +101,12 @@
     }
 }
 
-/// What a caller's connection may take.
+/// The limits of a caller's connection.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct ConnectionLimits {
-    /// The largest head, in bytes.
+    /// The largest head in bytes; at least 8 KiB are always allowed.
     pub header_bytes: usize,
-    /// How long the next head may take, the silence before it included.
+    /// How long the next head may take to arrive, idle time before it included.
     pub idle: Duration,
 }
 
@@ -124,7 +114,7 @@
 const MAX_HEAD_LENGTH: usize = 400 << 10;
 const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Serves HTTP/1.1 until told to stop, then lets open transactions end.
+/// Serves HTTP/1.1 until `stop` becomes true, then waits until the requests in progress are answered.
 pub async fn serve<H, F>(listener: TcpListener, handler: H, stop: watch::Receiver<bool>)
 where
     H: Fn(Request<Incoming>) -> F + Clone + Send + Sync + 'static,
@@ -137,7 +127,10 @@
     serve_callers(listener, handler, limits, stop).await;
 }
 
-/// The same, with limits that are looked up for each connection.
+/// Serves as [`serve`] does, with limits that are looked up for each connection.
+///
+/// Each connection has a task of its own, which is detached but joined by a channel: the function returns when all of
+/// them have ended.
 pub async fn serve_callers<H, F>(
     listener: TcpListener,
     handler: H,
@@ -170,7 +163,7 @@
     let _ = all_closed.recv().await;
 }
 
-/// Serves one connection until it ends; when told to stop, it ends with the transaction that is open.
+/// Serves one connection until it ends. When `stop` becomes true it is closed after the request in progress.
 pub async fn serve_connection<S, H, F>(
     stream: S,
     handler: H,
--- a/crates/common/src/readers/mod.rs
+++ b/crates/common/src/readers/mod.rs
@@ -1,4 +1,4 @@
-//! Readers of JSON that name the path of every fault.
+//! Readers of JSON that report each error with its path.
 
 mod path;
 mod settings;
--- a/crates/common/src/readers/path.rs
+++ b/crates/common/src/readers/path.rs
@@ -1,77 +1,54 @@
-//! A reader of one JSON value that knows its path and collects faults.
+//! A reader of a JSON value that knows its path and collects errors.
 
 use serde_json::Value;
 use std::fmt;
 use std::ops::RangeInclusive;
 use std::sync::{Mutex, PoisonError};
 
-/// What is wrong at one path of a JSON document.
-#[derive(Clone, PartialEq, Eq, Debug)]
+/// An error at one path of a JSON document.
+#[derive(Clone, PartialEq, Eq, Debug, thiserror::Error)]
+#[error("{} {reason}", if .path.is_empty() { "document" } else { .path })]
 pub struct PathError {
-    /// The path, with dots between names.
+    /// The path from the root, with dots between the names; empty for the document itself.
     pub path: String,
     /// What is wrong there.
     pub reason: PathErrorReason,
 }
 
-/// The kinds of fault a reader finds.
-#[derive(Clone, PartialEq, Eq, Debug)]
+/// The kinds of errors that a reader finds.
+#[derive(Clone, PartialEq, Eq, Debug, thiserror::Error)]
 pub enum PathErrorReason {
-    /// Something needed is not there.
+    /// A required value is missing.
+    #[error("is missing")]
     Missing,
-    /// Something of another type is there.
+    /// The value has another type than this.
+    #[error("is not {0}")]
     WrongType(&'static str),
-    /// The number is outside its bounds.
+    /// The number is not between these two, both included.
+    #[error("is not within {0} to {1}")]
     OutOfBounds(u64, u64),
-    /// No such field is known.
+    /// The field is not known.
+    #[error("is not a known key")]
     UnknownField,
-    /// The name points to nothing.
+    /// Something of this kind is referred to by this name, and does not exist.
+    #[error("names no {0}: {1:?}")]
     UnknownReference(&'static str, String),
-    /// Another entry says the same.
+    /// The entry of this name matches the same.
+    #[error("matches the same as {0}")]
     Duplicate(String),
-    /// The value is not of the needed form.
+    /// The value is malformed in the way described.
+    #[error("{0}")]
     Malformed(String),
 }
 
-impl fmt::Display for PathErrorReason {
-    fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            Self::Missing => write!(out, "is missing"),
-            Self::WrongType(kind) => write!(out, "is not {kind}"),
-            Self::OutOfBounds(least, most) => write!(out, "is not within {least} to {most}"),
-            Self::UnknownField => write!(out, "is not a known key"),
-            Self::UnknownReference(kind, name) => write!(out, "names no {kind}: {name:?}"),
-            Self::Duplicate(other) => write!(out, "matches the same as {other}"),
-            Self::Malformed(reason) => write!(out, "{reason}"),
-        }
-    }
-}
-
-impl fmt::Display for PathError {
-    fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(
-            out,
-            "{} {}",
-            if self.path.is_empty() {
-                "document"
-            } else {
-                &self.path
-            },
-            self.reason
-        )
-    }
-}
-
-impl std::error::Error for PathError {}
-
-/// The faults found so far.
+/// The errors found so far. Readers of one document share it.
 #[derive(Default)]
 pub struct PathErrorList {
     errors: Mutex<Vec<PathError>>,
 }
 
 impl PathErrorList {
-    /// Notes one fault.
+    /// Adds an error.
     pub fn add(&self, path: impl Into<String>, reason: PathErrorReason) {
         let mut errors = self.errors.lock().unwrap_or_else(PoisonError::into_inner);
         errors.push(PathError {
@@ -80,7 +57,7 @@
         });
     }
 
-    /// All that was found, in the order of finding.
+    /// Returns all errors, in the order in which they were found.
     pub fn into_inner(self) -> Vec<PathError> {
         self.errors
             .into_inner()
@@ -88,7 +65,9 @@
     }
 }
 
-/// Walks a JSON value and notes faults with their paths.
+/// A position in a JSON document, from which values are read.
+///
+/// Methods that read a value return none if it is missing or invalid, and add an error with its path to the list.
 #[derive(Clone)]
 pub struct PathReader<'a> {
     value: Option<&'a Value>,
@@ -97,7 +76,7 @@
 }
 
 impl<'a> PathReader<'a> {
-    /// A reader at the root of a document.
+    /// Creates a reader at the root of a document.
     pub fn new(value: &'a Value, errors: &'a PathErrorList) -> Self {
         Self {
             value: Some(value),
@@ -106,17 +85,17 @@
         }
     }
 
-    /// The path read so far.
+    /// The path from the root, with dots between the names.
     pub fn path(&self) -> &str {
         &self.path
     }
 
-    /// Whether anything but null stands here.
+    /// Whether there is a value here other than null.
     pub fn is_present(&self) -> bool {
         self.value.is_some_and(|value| !value.is_null())
     }
 
-    /// Notes a fault here.
+    /// Adds an error at this path.
     pub fn error(&self, reason: PathErrorReason) {
         self.errors.add(self.path.clone(), reason);
     }
@@ -129,7 +108,7 @@
         }
     }
 
-    /// Goes to a field, which need not be there.
+    /// Returns a reader for a field, which need not exist.
     pub fn field(&self, field_name: &str) -> PathReader<'a> {
         PathReader {
             value: self.value.and_then(|value| value.get(field_name)),
@@ -138,7 +117,7 @@
         }
     }
 
-    /// Notes every field that is not among the known ones.
+    /// Adds an error for each field that is not among the known ones.
     pub fn allow_only(&self, known_fields: &[&str]) {
         for (field_name, _) in self.object_entries() {
             if !known_fields.contains(&field_name) {
@@ -156,7 +135,7 @@
             .map(|(field_name, value)| (field_name.as_str(), value))
     }
 
-    /// The fields of an object, each with a reader.
+    /// Returns the fields of an object, each with a reader; empty if the value is missing. Another type is an error.
     pub fn fields(&self) -> Vec<(&'a str, PathReader<'a>)> {
         if self.is_present() && !self.value.is_some_and(Value::is_object) {
             self.error(PathErrorReason::WrongType("an object"));
@@ -176,7 +155,7 @@
             .collect()
     }
 
-    /// The items of an array, each with a reader.
+    /// Returns a reader for each item of an array; empty if the value is missing. Another type is an error.
     pub fn items(&self) -> Vec<PathReader<'a>> {
         if self.is_present() && !self.value.is_some_and(Value::is_array) {
             self.error(PathErrorReason::WrongType("an array"));
@@ -208,7 +187,7 @@
         typed_value
     }
 
-    /// A text that must be there and not be empty.
+    /// Reads a required, non-empty string.
     pub fn text(&self) -> Option<&'a str> {
         self.required("a text", Value::as_str).filter(|text| {
             if text.is_empty() {
@@ -218,7 +197,7 @@
         })
     }
 
-    /// A yes or no, with a default.
+    /// Reads an optional boolean.
     pub fn bool_or(&self, default_flag: bool) -> bool {
         if self.is_present() {
             self.required("true or false", Value::as_bool)
@@ -228,7 +207,7 @@
         }
     }
 
-    /// A whole number within bounds that must be there.
+    /// Reads a required integer within bounds.
     pub fn number(&self, bounds: RangeInclusive<u64>) -> Option<u64> {
         let read_number = self.required("a whole number", Value::as_u64)?;
         if !bounds.contains(&read_number) {
@@ -238,7 +217,7 @@
         Some(read_number)
     }
 
-    /// A whole number within bounds, with a default.
+    /// Reads an optional integer within bounds; the default also stands in for an invalid one, which is an error.
     pub fn number_or(&self, bounds: RangeInclusive<u64>, default_number: u64) -> u64 {
         if self.is_present() {
             self.number(bounds).unwrap_or(default_number)
@@ -247,7 +226,7 @@
         }
     }
 
-    /// Whatever stands here.
+    /// Returns the value other than null, without an error if there is none.
     pub fn value(&self) -> Option<&'a Value> {
         self.value.filter(|value| !value.is_null())
     }
--- a/crates/common/src/readers/settings.rs
+++ b/crates/common/src/readers/settings.rs
@@ -1,58 +1,48 @@
-//! Settings that a process starts with: a file, with flags laid over it.
+//! The settings that a process starts with: a JSON file, overridden by command-line flags.
 
 use super::{PathError, PathErrorList, PathErrorReason, PathReader};
 use crate::frames::SocketAddress;
 use serde_json::{Map, Value};
-use std::fmt;
 use std::net::SocketAddrV4;
 use std::ops::RangeInclusive;
 use std::path::{Path, PathBuf};
 
-/// Why a process could not take its boot settings.
-#[derive(Debug)]
+/// Why a process cannot start with its settings.
+#[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
-    /// The file could not be read.
-    Unreadable(PathBuf, std::io::Error),
-    /// The file is not JSON.
-    NotJson(PathBuf, serde_json::Error),
-    /// A key is wrong.
-    InvalidKey(String, PathError),
-    /// A folder cannot be written.
-    UnwritableFolder(String, PathBuf, std::io::Error),
-    /// An address cannot be listened on.
-    CannotListen(String, &'static str, SocketAddress, std::io::Error),
+    /// The settings file could not be read.
+    #[error("{file}: {1}", file = .0.display())]
+    Unreadable(PathBuf, #[source] std::io::Error),
+    /// The settings file is not JSON.
+    #[error("{file}: not JSON: {1}", file = .0.display())]
+    NotJson(PathBuf, #[source] serde_json::Error),
+    /// A key of the named source is missing or invalid.
+    #[error("{0}: {1}")]
+    InvalidKey(String, #[source] PathError),
+    /// The data folder that the named source gives cannot be written.
+    #[error("{0}: data cannot be written at {folder}: {2}", folder = .1.display())]
+    UnwritableFolder(String, PathBuf, #[source] std::io::Error),
+    /// The address that the named source gives under a key cannot be listened on.
+    #[error("{0}: {1} cannot listen at {2}: {3}")]
+    CannotListen(
+        String,
+        &'static str,
+        SocketAddress,
+        #[source] std::io::Error,
+    ),
 }
 
-impl fmt::Display for SettingsError {
-    fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            Self::Unreadable(file, error) => write!(out, "{}: {error}", file.display()),
-            Self::NotJson(file, error) => write!(out, "{}: not JSON: {error}", file.display()),
-            Self::InvalidKey(source, error) => write!(out, "{source}: {error}"),
-            Self::UnwritableFolder(source, folder, error) => {
-                write!(
-                    out,
-                    "{source}: data cannot be written at {}: {error}",
-                    folder.display()
-                )
-            }
-            Self::CannotListen(source, key, address, error) => {
-                write!(out, "{source}: {key} cannot listen at {address}: {error}")
-            }
-        }
-    }
-}
-
-impl std::error::Error for SettingsError {}
-
-/// Boot settings before they are checked: a file's, with flags laid over it.
+/// Settings before they are checked: those of a file, overridden by flags.
 pub struct SettingsSource {
     name: String,
     value: Value,
 }
 
 impl SettingsSource {
-    /// Reads the file, if one is named.
+    /// Reads the settings file; without one the settings are empty and their source is named `flags`.
+    ///
+    /// # Errors
+    /// [`SettingsError::Unreadable`] or [`SettingsError::NotJson`].
     pub fn open(file: Option<&Path>) -> Result<Self, SettingsError> {
         let Some(settings_file) = file else {
             return Ok(Self {
@@ -70,7 +60,7 @@
         })
     }
 
-    /// Settings that are already in memory.
+    /// Takes settings that are already in memory.
     pub fn from_value(name: impl Into<String>, value: Value) -> Self {
         Self {
             name: name.into(),
@@ -78,29 +68,32 @@
         }
     }
 
-    /// Lays a flag over the file's value.
+    /// Overrides a key by a flag's value, if the flag was given.
     pub fn set(&mut self, key: &str, flag_value: Option<Value>) {
         if let (Some(given_value), Some(fields)) = (flag_value, self.value.as_object_mut()) {
             fields.insert(key.to_owned(), given_value);
         }
     }
 
-    /// Lays a flag with a text over the file's value.
+    /// Overrides a key by a flag's text, if the flag was given.
     pub fn set_text(&mut self, key: &str, flag_text: Option<&str>) {
         self.set(key, flag_text.map(Value::from));
     }
 
-    /// Lays a flag with a list, its items separated by commas, over the file's value.
+    /// Overrides a key by a flag's list, its items separated by commas, if the flag was given.
     pub fn set_list(&mut self, key: &str, flag_text: Option<&str>) {
         self.set(key, flag_text.map(|text| text.split(',').collect()));
     }
 
-    /// The name that faults are reported under.
+    /// The name under which errors are reported: the file's path, or `flags`.
     pub fn name(&self) -> &str {
         &self.name
     }
 
-    /// Reads everything, and reports one fault: what is wrong before what is missing.
+    /// Reads the settings.
+    ///
+    /// # Errors
+    /// [`SettingsError::InvalidKey`] with one error: the first invalid value, or else the first missing one.
     pub fn read<T>(
         &self,
         read_settings: impl FnOnce(&PathReader<'_>) -> Option<T>,
@@ -128,7 +121,7 @@
     }
 }
 
-/// Reads an IP number and port.
+/// Reads an IPv4 address with a port.
 pub fn read_address(reader: &PathReader<'_>) -> Option<SocketAddress> {
     let address_text = reader.text()?;
     match address_text.parse::<SocketAddrV4>() {
@@ -142,7 +135,8 @@
     }
 }
 
-/// Reads where a process listens: its place, if nothing else is said. Both are on one IP number.
+/// Reads `listen`, the address that a process listens on if that is not the one at which others reach it: by default
+/// `address`. Both must have the same IP address.
 pub fn read_listen(root: &PathReader<'_>, address: Option<SocketAddress>) -> Option<SocketAddress> {
     let reader = root.field("listen");
     if !reader.is_present() {
@@ -158,7 +152,7 @@
     Some(listen)
 }
 
-/// Reads some addresses.
+/// Reads a required list of addresses, whose length must be within bounds.
 pub fn read_addresses(
     reader: &PathReader<'_>,
     allowed_count: RangeInclusive<usize>,
--- a/crates/dataplane/src/drivers/runner_connections.rs
+++ b/crates/dataplane/src/drivers/runner_connections.rs
@@ -124,7 +124,7 @@
             return Err(CallError::MergedResponses);
         }
         let collected_body = Limited::new(body, max_body_bytes).collect().await;
-        let body = collected_body.map_err(|error| CallError::Body(error.to_string()))?;
+        let body = collected_body.map_err(CallError::Body)?;
         Ok(CallResponse {
             status: head.status,
             headers: head.headers,
