--- a/crates/common/src/invariants.rs
+++ b/crates/common/src/invariants.rs
@@ -1,8 +1,8 @@
-//! Promises that the running code checks about itself.
+//! Invariants that the running code checks.
 //!
-//! A check stands behind the rule that keeps its promise, and does not repeat it: it looks at what was done.
-//! Each violation is counted on the metrics page, logged as an event, and handed to the proving tools. Debug
-//! builds stop at the first one, unless a rule was taken away on purpose or the process counts only.
+//! A check does not repeat the rule that upholds its invariant: it looks at what was done. Each violation is counted on
+//! the metrics page, logged as an event, and collected for tests on the threads that ask for it. Debug builds panic at
+//! the first one, unless a rule was disabled on purpose or the process only counts.
 
 use crate::events;
 use crate::log_event;
@@ -13,7 +13,7 @@
 use std::sync::LazyLock;
 use std::sync::atomic::{AtomicBool, Ordering};
 
-/// A promise that the code checks while it runs.
+/// An invariant that the code checks while it runs.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
 pub enum Invariant {
     /// A daemon never installs an older spec than the one it has.
@@ -22,19 +22,19 @@
     SlotsRespected,
     /// A request that may run only once is never sent after it may have run.
     OnceSentOnce,
-    /// What is refused as not run is with no runner.
+    /// A request that is reported as not run is with no runner.
     RejectedNotSent,
-    /// Extra tries stay within the retry budget.
+    /// Retries stay within the retry budget.
     RetryBudgetRespected,
-    /// A request's first byte leaves while the session lease runs.
+    /// A request's first byte is sent while the session lease lasts.
     SentUnderLease,
     /// A term has one leader.
     OneLeaderPerTerm,
-    /// No committed version is replaced by one with a lower serial.
+    /// No committed version is replaced by an older one.
     CommitNeverLost,
-    /// A change is put forward on the version that its operator named.
+    /// A change is proposed on the version that its operator named.
     ChangeOnNamedBase,
-    /// A version that is put forward has a spec that checks.
+    /// A proposed version has a valid spec.
     ProposedSpecValid,
     /// A function is granted only when every earlier lease on it has ended.
     GrantedAfterLease,
@@ -59,7 +59,7 @@
         Invariant::GrantedAfterClaims,
     ];
 
-    /// Its name on the metrics page and in the log.
+    /// Returns its name on the metrics page and in the log.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::SpecNeverOlder => "spec-never-older",
@@ -84,12 +84,12 @@
     }
 }
 
-/// An invariant that did not hold.
+/// A violation of an invariant.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct Violation {
-    /// Which one.
+    /// The violated invariant.
     pub invariant: Invariant,
-    /// What was seen.
+    /// What was observed.
     pub detail: String,
 }
 
@@ -102,7 +102,7 @@
 /// The name of the counters on the metrics page.
 pub const COUNTER_NAME: &str = "rudder_invariant_violations_total";
 
-/// How many violations a thread keeps for the proving tools.
+/// How many violations a thread collects.
 const COLLECTED_PER_THREAD: usize = 64;
 
 static COUNT_ONLY: AtomicBool = AtomicBool::new(false);
@@ -124,28 +124,33 @@
     static IS_COLLECTING: Cell<bool> = const { Cell::new(false) };
 }
 
-/// The counters of this process, one for each invariant.
+/// Returns the counters of this process, one for each invariant.
 pub fn counters() -> IntCounterVec {
     COUNTERS.clone()
 }
 
-/// From now on violations never stop this process: a deployed program counts them and goes on.
+/// From now on violations never panic in this process: a deployed program counts them and goes on.
 pub fn count_only() {
     COUNT_ONLY.store(true, Ordering::Relaxed);
 }
 
-/// From now on violations on this thread are kept for [`take_seen`] and do not stop it.
+/// From now on violations on this thread are collected for [`take_collected`] and do not panic. Forgets those collected
+/// before.
 pub fn collect_on_this_thread() {
     IS_COLLECTING.set(true);
     COLLECTED.take();
 }
 
-/// What this thread has seen since it was last asked.
+/// Returns the violations collected on this thread since the last call.
 pub fn take_collected() -> Vec<Violation> {
     COLLECTED.take()
 }
 
-/// Notes a violation if the condition does not hold.
+/// Reports a violation unless the condition holds. `detail` is evaluated only then.
+///
+/// # Panics
+/// On a violation in debug builds, if all `rules` are enforced and the thread neither collects nor the process only
+/// counts.
 pub fn require(rules: Rules, invariant: Invariant, holds: bool, detail: impl FnOnce() -> String) {
     if !holds {
         report_violation(
--- a/crates/common/src/rules.rs
+++ b/crates/common/src/rules.rs
@@ -1,248 +1,193 @@
-//! The safety rules by name, and a seam by which the proving tools take one away.
+//! The safety rules by name, and the switch by which tests plant a flaw: the absence of one rule.
+//!
+//! Each rule's doc says what the rule demands, and after "Found by" which committed run plants the flaw
+//! `without-NAME` and expects that its checks find it. `docs/proofs.md` describes these runs.
 
 use std::fmt;
 
-/// A rule that something which must never happen hangs on.
-#[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Rule {
-    /// A daemon serves only while its member grant runs, and gives up what it held when it ends.
-    ServesUnderSessionLease,
-    /// A renewal counts only with the newest committed spec installed.
-    RenewalNeedsNewestSpec,
-    /// A serial never goes down in a daemon.
-    VersionNeverDecreases,
-    /// Route and function are looked up in the newest spec right before a send.
-    SpecCheckedBeforeSend,
-    /// The member grant runs and the function is held under its grant right before the first byte of a
-    /// send is written.
-    LeaseCheckedBeforeSend,
-    /// What a byte was written of counts as sent.
-    PartialWriteCountsAsSent,
-    /// Another daemon's answer goes to the question that it names.
-    ReplyMatchesRequest,
-    /// A repeat of a transaction goes to one runner only.
-    RepeatSentToOneRunner,
-    /// A send names the runner that is meant, and another one refuses.
-    RunnerIdentityChecked,
-    /// An answer's seal is checked.
-    SealChecked,
-    /// An answer's seal must name this transaction, function and runner.
-    SealBoundToRequest,
-    /// An answer whose body may have been cut short, or is not as the runner made it, is not believed.
-    IncompleteBodyRejected,
-    /// An answer with another one's beginning in its head is not believed.
-    MergedHeadRejected,
-    /// A runner never has more transactions than slots.
-    SlotLimitRespected,
-    /// A fresh runner begins with one transaction at a time.
-    SlowStartRespected,
-    /// A lost answer keeps its slot until the runner is known to be done.
-    LostResponseKeepsSlot,
-    /// A request that may run only once is not sent again when its answer is lost.
-    OnceNotRetried,
-    /// Extra tries and repeats draw on one count.
-    RetryBudgetCounted,
-    /// A refusal is said only of what has left the inbox, and no runner was given.
-    RejectedNeverRuns,
-    /// A known identity gets what the ledger says.
-    KnownIdempotencyKeyAnswered,
-    /// A once-transaction is noted by a steward before it is sent.
-    LedgerReplicatedBeforeSend,
-    /// A successor collects the ledger, or waits, before it admits once-transactions.
-    LedgerCollectedBeforeAdmission,
-    /// Runners on unfit workers are drained.
-    DrainObeyed,
-    /// Functions held in an evacuated zone are handed over, and runners there drained.
-    EvacuationObeyed,
-    /// A daemon that is stopped in order hands out the answers it has in hand.
-    ResponsesDeliveredAtShutdown,
-    /// Runners of a lost holder are left for the next one, or stopped through the platform, before a
-    /// regrant.
-    FenceBeforeRegrant,
-    /// A function is granted anew only when its old holder's member grant has ended everywhere, or the
-    /// old holder gave it up.
-    LeaseExpiredBeforeRegrant,
-    /// A runner that was left is taken over by one holder only.
-    InstanceAdoptedOnce,
-    /// A new leader waits for the claims quorum, and for old grants to end.
-    ClaimsQuorumAwaited,
-    /// A new leader waits for each daemon of the roster that has not claimed.
-    ListedMembersAwaited,
-    /// A configuration is read only when a majority has confirmed the leader since it was asked for.
-    ReadConfirmedByMajority,
-    /// A controller names only a leader that it heard within the election time.
-    LeaderHintIsRecent,
-    /// A change built on another serial than the newest is refused.
-    StaleBaseRejected,
-    /// An invalid change is never written.
-    InvalidChangeRejected,
-    /// A core member is replaced in two committed steps.
-    VoterReplacedInTwoSteps,
-    /// An operator's order is refused only by state that a majority confirmed after it was asked.
-    RejectionConfirmedByMajority,
-    /// An order that was taken is known when it is sent again.
-    ResentChangeRecognized,
-    /// Two orders with one number are told apart by their content.
-    ChangeNumberBoundToContent,
-    /// An order is acknowledged when a majority has written it.
-    AcknowledgedByMajority,
-    /// An order whose caller hung up before it was put forward is dropped.
-    AbandonedChangeDropped,
-    /// A vote is on disk before it is given.
-    VotePersistedFirst,
-    /// A version is on disk before it is acknowledged.
-    AcceptPersistedFirst,
-    /// Nobody votes for a candidate whose version is older than the voter's.
-    CandidateIsUpToDate,
-    /// An answer to a round counts in the round's own term only.
-    HeartbeatResponseInItsTerm,
-    /// A change of the document is applied to the version that it leads from, and to no other.
-    DeltaOnItsBase,
-    /// A grant that answers a question from before its asker gave everything up is given back.
-    StaleLeaseReturned,
-    /// A leader that others name is dialed although no connection to it came about a moment before.
-    HintedLeaderDialed,
-    /// A function whose identities may come again has one holder, that remembers them, for all regions.
-    OneHolderRemembersKeys,
+macro_rules! rules {
+    ($($(#[$doc:meta])* $rule:ident = $name:literal,)+) => {
+        /// A rule on which a safety property depends.
+        #[derive(Clone, Copy, PartialEq, Eq, Debug)]
+        pub enum Rule {
+            $($(#[$doc])* $rule,)+
+        }
+
+        impl Rule {
+            /// Every rule.
+            pub const ALL: &[Rule] = &[$(Rule::$rule),+];
+
+            /// Returns the rule's name, as it appears in the names of flaws.
+            pub const fn as_str(self) -> &'static str {
+                match self {
+                    $(Self::$rule => $name,)+
+                }
+            }
+        }
+    };
 }
 
-impl Rule {
-    /// Every rule.
-    pub const ALL: &[Rule] = &[
-        Rule::ServesUnderSessionLease,
-        Rule::RenewalNeedsNewestSpec,
-        Rule::VersionNeverDecreases,
-        Rule::SpecCheckedBeforeSend,
-        Rule::LeaseCheckedBeforeSend,
-        Rule::PartialWriteCountsAsSent,
-        Rule::ReplyMatchesRequest,
-        Rule::RepeatSentToOneRunner,
-        Rule::RunnerIdentityChecked,
-        Rule::SealChecked,
-        Rule::SealBoundToRequest,
-        Rule::IncompleteBodyRejected,
-        Rule::MergedHeadRejected,
-        Rule::SlotLimitRespected,
-        Rule::SlowStartRespected,
-        Rule::LostResponseKeepsSlot,
-        Rule::OnceNotRetried,
-        Rule::RetryBudgetCounted,
-        Rule::RejectedNeverRuns,
-        Rule::KnownIdempotencyKeyAnswered,
-        Rule::LedgerReplicatedBeforeSend,
-        Rule::LedgerCollectedBeforeAdmission,
-        Rule::DrainObeyed,
-        Rule::EvacuationObeyed,
-        Rule::ResponsesDeliveredAtShutdown,
-        Rule::FenceBeforeRegrant,
-        Rule::LeaseExpiredBeforeRegrant,
-        Rule::InstanceAdoptedOnce,
-        Rule::ClaimsQuorumAwaited,
-        Rule::ListedMembersAwaited,
-        Rule::ReadConfirmedByMajority,
-        Rule::LeaderHintIsRecent,
-        Rule::StaleBaseRejected,
-        Rule::InvalidChangeRejected,
-        Rule::VoterReplacedInTwoSteps,
-        Rule::RejectionConfirmedByMajority,
-        Rule::ResentChangeRecognized,
-        Rule::ChangeNumberBoundToContent,
-        Rule::AcknowledgedByMajority,
-        Rule::AbandonedChangeDropped,
-        Rule::VotePersistedFirst,
-        Rule::AcceptPersistedFirst,
-        Rule::CandidateIsUpToDate,
-        Rule::HeartbeatResponseInItsTerm,
-        Rule::DeltaOnItsBase,
-        Rule::StaleLeaseReturned,
-        Rule::HintedLeaderDialed,
-        Rule::OneHolderRemembersKeys,
-    ];
+rules! {
+    /// A daemon serves only while it has a session lease, and gives up all it held when the lease ends. Found by `fleet
+    /// proofs`.
+    ServesUnderSessionLease = "member-grant",
+    /// A daemon's session lease is renewed only with the newest committed spec installed. Found by
+    /// `crates/dataplane/tests/agent.rs`.
+    RenewalNeedsNewestSpec = "renewal-needs-spec",
+    /// A daemon never installs an older spec than it has. Found by `crates/dataplane/tests/agent.rs`.
+    VersionNeverDecreases = "serial-only-up",
+    /// A request is sent to a runner only if the newest spec, looked up right before the send, still allows it. Found
+    /// by `crates/dataplane/tests/agent.rs`.
+    SpecCheckedBeforeSend = "spec-before-send",
+    /// The first byte of a send is written only while the session lease lasts and the function is still held under the
+    /// same function lease. Found by `platform/tests/connections/pre_send_check.rs`.
+    LeaseCheckedBeforeSend = "held-before-send",
+    /// A request of which a byte was written counts as sent, and is not reported as certainly unsent. Found by
+    /// `platform/tests/connections/sends.rs` and `daemons.rs`.
+    PartialWriteCountsAsSent = "written-is-sent",
+    /// A response of another daemon goes only to the request that it names. Found by
+    /// `platform/tests/connections/daemons.rs`.
+    ReplyMatchesRequest = "reply-matched",
+    /// A repeat of a request is sent to one runner only. Found by `crates/dataplane/tests/holder.rs`.
+    RepeatSentToOneRunner = "repeat-sent-once",
+    /// A send names the runner that is meant, and another runner at its address refuses it. Found by `fleet proofs`.
+    RunnerIdentityChecked = "runner-named",
+    /// A response without a valid seal is not accepted. Found by `fleet proofs`.
+    SealChecked = "seal-checked",
+    /// A response whose seal names another request, function or runner is not accepted. Found by `fleet proofs`.
+    SealBoundToRequest = "seal-names-asked",
+    /// A response is not accepted if its body may have been cut short, or is not as the runner made it. Found by
+    /// `platform/tests/connections/sends.rs`.
+    IncompleteBodyRejected = "body-whole",
+    /// A response with the beginning of another response in its head is not accepted. Found by
+    /// `platform/tests/connections/sends.rs`.
+    MergedHeadRejected = "head-unmixed",
+    /// A runner never has more requests than slots. Found by `fleet proofs`.
+    SlotLimitRespected = "slots-kept",
+    /// A new runner gets one request at first, and one more at a time with each response. Found by `fleet proofs`.
+    SlowStartRespected = "ramp-kept",
+    /// A request whose response was lost occupies its slot until the runner is known to be done with it. Found by
+    /// `fleet proofs`.
+    LostResponseKeepsSlot = "lost-keeps-slot",
+    /// A request that may run only once is not sent again when its response is lost. Found by
+    /// `testing/fleet/tests/invariants.rs`.
+    OnceNotRetried = "once-not-repeated",
+    /// A function's own retries and the callers' repeats draw on one retry budget. Found by `fleet proofs`.
+    RetryBudgetCounted = "tries-counted",
+    /// A request is reported as rejected only after it has left the queue and was given to no runner. Found by `fleet
+    /// proofs`.
+    RejectedNeverRuns = "refused-is-gone",
+    /// A request whose idempotency key is known gets the outcome that the ledger records. Found by `fleet proofs`.
+    KnownIdempotencyKeyAnswered = "identity-known",
+    /// A request that may run only once is recorded by a ledger replica before it is sent. Found by `fleet proofs`.
+    LedgerReplicatedBeforeSend = "ledger-noted",
+    /// A new holder collects the earlier ledger, or waits long enough, before it admits requests that may run only
+    /// once. Found by `fleet proofs`.
+    LedgerCollectedBeforeAdmission = "ledger-collected",
+    /// Runners on draining workers and leaving runners are drained. Found by `fleet proofs`.
+    DrainObeyed = "drain-obeyed",
+    /// Functions held in an evacuated zone are handed over, and runners there are drained. Found by `fleet proofs`.
+    EvacuationObeyed = "evacuation-obeyed",
+    /// A daemon that is stopped in an orderly way delivers the responses of the requests it has. Found by `fleet
+    /// proofs`.
+    ResponsesDeliveredAtShutdown = "answers-handed-out",
+    /// A function is granted again only when each runner of its lost holder is kept for the next holder, or stopped by
+    /// the platform. Found by `fleet proofs`.
+    FenceBeforeRegrant = "fence-before-regrant",
+    /// A function is granted again only when its holder's session lease has ended everywhere, or the holder released
+    /// it. Found by `fleet proofs`.
+    LeaseExpiredBeforeRegrant = "grant-outwaited",
+    /// An orphaned runner instance is adopted by one holder only. Found by `fleet proofs`.
+    InstanceAdoptedOnce = "life-adopted-once",
+    /// A new leader grants leases only after the claims quorum, and after earlier leases have ended. Found by `fleet
+    /// proofs`.
+    ClaimsQuorumAwaited = "claims-wait",
+    /// A new leader waits for each listed daemon that has not claimed. Found by `fleet proofs`.
+    ListedMembersAwaited = "roster-awaited",
+    /// A read is answered only when a majority has confirmed the leader since it was requested. Found by `fleet
+    /// proofs`.
+    ReadConfirmedByMajority = "reading-proven",
+    /// A controller names only a leader from which it received something within the election timeout. Found by `fleet
+    /// proofs` and `crates/controlplane/tests/quorum_proofs.rs`.
+    LeaderHintIsRecent = "leader-heard",
+    /// A change based on another version than the newest is rejected. Found by `fleet proofs`.
+    StaleBaseRejected = "stale-base-refused",
+    /// An invalid change is never written. Found by `fleet proofs`.
+    InvalidChangeRejected = "invalid-refused",
+    /// A voter is replaced in two committed steps (joint consensus). Found by
+    /// `crates/controlplane/tests/membership_change.rs`.
+    VoterReplacedInTwoSteps = "core-in-two-steps",
+    /// An operator's request is rejected only because of state that a majority confirmed after it arrived. No committed
+    /// run plants this flaw.
+    RejectionConfirmedByMajority = "refusal-proven",
+    /// A change that was applied is recognized when it is sent again. Found by `fleet proofs`.
+    ResentChangeRecognized = "taken-known",
+    /// Two changes with one number are told apart by their content. Found by `fleet proofs`.
+    ChangeNumberBoundToContent = "number-taken-once",
+    /// A change is acknowledged only when a majority has written it. Found by `fleet proofs`.
+    AcknowledgedByMajority = "acknowledged-by-majority",
+    /// A change whose caller disconnected before it was proposed is dropped. Found by `fleet proofs`.
+    AbandonedChangeDropped = "hung-up-dropped",
+    /// A vote is on disk before it is granted. Found by `crates/controlplane/tests/quorum_proofs.rs`.
+    VotePersistedFirst = "vote-on-disk",
+    /// A version is on disk before it is acknowledged. Found by `crates/controlplane/tests/quorum_model`.
+    AcceptPersistedFirst = "accept-on-disk",
+    /// A voter never votes for a candidate whose version is older than its own. Found by
+    /// `crates/controlplane/tests/quorum_model`.
+    CandidateIsUpToDate = "newest-elected",
+    /// A heartbeat response counts only in the term of its round. Found by
+    /// `crates/controlplane/tests/quorum_proofs.rs`.
+    HeartbeatResponseInItsTerm = "round-of-its-term",
+    /// A delta of the document is applied to its base version only. Found by
+    /// `crates/controlplane/tests/replication.rs`.
+    DeltaOnItsBase = "change-on-its-base",
+    /// A lease that answers a request from before the daemon gave everything up is released again. Found by
+    /// `crates/dataplane/tests/agent.rs`.
+    StaleLeaseReturned = "old-answer-void",
+    /// A leader that others name is dialed even if a connection to it has failed a moment before. Found by
+    /// `crates/dataplane/tests/control_session.rs`.
+    HintedLeaderDialed = "named-leader-dialed",
+    /// A function whose idempotency keys may be repeated has one holder for all regions, which records them. Found by
+    /// `testing/fleet/tests/simulator.rs`.
+    OneHolderRemembersKeys = "remembered-by-one",
+}
 
-    /// The rule of a name.
+impl Rule {
+    /// Finds a rule by its name.
     pub fn by_name(given_name: &str) -> Option<Rule> {
         Self::ALL
             .iter()
             .copied()
-            .find(|rule| rule.to_string() == given_name)
+            .find(|rule| rule.as_str() == given_name)
     }
 }
 
 impl fmt::Display for Rule {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
-        out.write_str(match self {
-            Self::ServesUnderSessionLease => "member-grant",
-            Self::RenewalNeedsNewestSpec => "renewal-needs-spec",
-            Self::VersionNeverDecreases => "serial-only-up",
-            Self::SpecCheckedBeforeSend => "spec-before-send",
-            Self::LeaseCheckedBeforeSend => "held-before-send",
-            Self::PartialWriteCountsAsSent => "written-is-sent",
-            Self::ReplyMatchesRequest => "reply-matched",
-            Self::RepeatSentToOneRunner => "repeat-sent-once",
-            Self::RunnerIdentityChecked => "runner-named",
-            Self::SealChecked => "seal-checked",
-            Self::SealBoundToRequest => "seal-names-asked",
-            Self::IncompleteBodyRejected => "body-whole",
-            Self::MergedHeadRejected => "head-unmixed",
-            Self::SlotLimitRespected => "slots-kept",
-            Self::SlowStartRespected => "ramp-kept",
-            Self::LostResponseKeepsSlot => "lost-keeps-slot",
-            Self::OnceNotRetried => "once-not-repeated",
-            Self::RetryBudgetCounted => "tries-counted",
-            Self::RejectedNeverRuns => "refused-is-gone",
-            Self::KnownIdempotencyKeyAnswered => "identity-known",
-            Self::LedgerReplicatedBeforeSend => "ledger-noted",
-            Self::LedgerCollectedBeforeAdmission => "ledger-collected",
-            Self::DrainObeyed => "drain-obeyed",
-            Self::EvacuationObeyed => "evacuation-obeyed",
-            Self::ResponsesDeliveredAtShutdown => "answers-handed-out",
-            Self::FenceBeforeRegrant => "fence-before-regrant",
-            Self::LeaseExpiredBeforeRegrant => "grant-outwaited",
-            Self::InstanceAdoptedOnce => "life-adopted-once",
-            Self::ClaimsQuorumAwaited => "claims-wait",
-            Self::ListedMembersAwaited => "roster-awaited",
-            Self::ReadConfirmedByMajority => "reading-proven",
-            Self::LeaderHintIsRecent => "leader-heard",
-            Self::StaleBaseRejected => "stale-base-refused",
-            Self::InvalidChangeRejected => "invalid-refused",
-            Self::VoterReplacedInTwoSteps => "core-in-two-steps",
-            Self::RejectionConfirmedByMajority => "refusal-proven",
-            Self::ResentChangeRecognized => "taken-known",
-            Self::ChangeNumberBoundToContent => "number-taken-once",
-            Self::AcknowledgedByMajority => "acknowledged-by-majority",
-            Self::AbandonedChangeDropped => "hung-up-dropped",
-            Self::VotePersistedFirst => "vote-on-disk",
-            Self::AcceptPersistedFirst => "accept-on-disk",
-            Self::CandidateIsUpToDate => "newest-elected",
-            Self::HeartbeatResponseInItsTerm => "round-of-its-term",
-            Self::DeltaOnItsBase => "change-on-its-base",
-            Self::StaleLeaseReturned => "old-answer-void",
-            Self::HintedLeaderDialed => "named-leader-dialed",
-            Self::OneHolderRemembersKeys => "remembered-by-one",
-        })
+        out.write_str(self.as_str())
     }
 }
 
-/// Which rules are kept. Deployed programs keep all of them; the proving tools take one away, to see
-/// that their checks find it.
+/// The rules that a process enforces. Deployed programs enforce all; tests disable one, to see that their checks
+/// find its absence.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct Rules(Option<Rule>);
 
 impl Rules {
-    /// All rules are kept.
+    /// All rules are enforced.
     pub const ALL_ENFORCED: Rules = Rules(None);
 
-    /// All but one.
+    /// All rules but one are enforced.
     pub const fn without(disabled_rule: Rule) -> Self {
         Self(Some(disabled_rule))
     }
 
-    /// Whether no rule was taken away.
+    /// Whether all rules are enforced.
     pub fn all_enforced(self) -> bool {
         self.0.is_none()
     }
 
-    /// Whether a rule is kept.
+    /// Whether a rule is enforced.
     pub fn enforces(self, rule: Rule) -> bool {
         self.0 != Some(rule)
     }
