--- a/crates/common/src/adapter/ingress.rs
+++ b/crates/common/src/adapter/ingress.rs
@@ -1,4 +1,4 @@
-//! What is read from callers and said to them.
+//! The codec of callers' requests and of the responses to them.
 
 use crate::frames::{HeaderField, RequestFailureReason};
 use crate::http::HttpResponse;
@@ -7,82 +7,82 @@
 use hyper::header::HeaderMap;
 use std::time::Duration;
 
-/// Why nothing ran, as far as a caller has to know.
+/// Why a request was not run, as far as it matters to a caller.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum NotRunKind {
-    /// A header is missing or wrong, or the body broke off.
+    /// A header is missing or invalid, or the body is incomplete.
     BadRequest,
-    /// No route fits, in a spec that is known to be in force.
+    /// No route matches in a spec that is known to be in force.
     NoRoute,
-    /// The identity was refused before.
+    /// A request with the same idempotency key was rejected before.
     Conflict,
     /// The body is too large.
     TooLarge,
-    /// The extra tries are spent.
+    /// The retry budget is spent.
     RetryBudgetSpent,
-    /// Come back later.
+    /// The request may be retried later.
     Unavailable,
 }
 
-/// What a caller is told.
+/// The response to a caller.
 #[derive(Clone, Debug)]
 pub enum CallerResponse {
-    /// The runner's whole answer.
+    /// The runner's complete response.
     Response {
         /// The function that ran.
         function: FunctionKey,
         /// The runner.
         runner: RunnerId,
-        /// The runner's status.
+        /// The HTTP status.
         status: u16,
-        /// The seal as the runner gave it.
+        /// The seal as the runner sent it.
         seal: Bytes,
-        /// Header lines that go with it.
+        /// The header fields that are forwarded.
         header_fields: Vec<HeaderField>,
         /// The body.
         body: Bytes,
     },
-    /// Nothing ran and nothing will.
+    /// The request was not run, and will not be.
     NotRun {
-        /// What kind of refusal.
+        /// The kind of rejection.
         kind: NotRunKind,
-        /// Why, for people.
+        /// The reason, for people.
         reason: &'static str,
-        /// The header at fault, if one is.
+        /// The missing or invalid header, if that is the reason.
         header: Option<&'static str>,
-        /// When coming back is worth it.
+        /// After how long a retry is worthwhile.
         retry_after: Option<Duration>,
     },
-    /// It may have run.
+    /// The request may have run.
     Unknown {
-        /// Why.
+        /// The reason.
         reason: RequestFailureReason,
-        /// When asking again is worth it.
+        /// After how long a repeat is worthwhile.
         retry_after: Duration,
     },
 }
 
-/// How callers' HTTP is read and written.
+/// Reads callers' requests and writes the responses, in one dialect of HTTP.
 pub trait IngressCodec: Send + Sync {
-    /// The header that carries a try's identity.
+    /// The header with the idempotency key.
     fn idempotency_key_header(&self) -> &'static str;
 
-    /// The header that carries how many milliseconds the caller waits.
+    /// The header with the caller's time-out in milliseconds.
     fn timeout_header(&self) -> &'static str;
 
-    /// Whether the caller marked the transaction a repeat.
+    /// Whether the caller marked the request as a repeat.
     fn is_repeat(&self, headers: &HeaderMap) -> bool;
 
-    /// The header lines that go on to a runner.
+    /// The header fields that are forwarded to a runner.
     fn forwarded_header_fields(&self, headers: &HeaderMap) -> Vec<HeaderField>;
 
-    /// Writes an answer; the identity is known unless it was the header at fault.
+    /// Writes a response. The idempotency key is known unless its header was missing or invalid.
     fn write_response(
         &self,
         idempotency_key: Option<&IdempotencyKey>,
         caller_response: CallerResponse,
     ) -> HttpResponse;
 
-    /// The path at which readiness is asked, beside the product's own.
+    /// The path of readiness probes, beside the product's own path.
     fn readiness_path(&self) -> &'static str;
 }
--- a/crates/common/src/adapter/mod.rs
+++ b/crates/common/src/adapter/mod.rs
@@ -1,5 +1,7 @@
-//! The seams behind which names and formats towards callers, runners and platform stand. A tongue only
-//! translates; what is decided is decided in the planes.
+//! The interfaces to callers, runners and the platform.
+//!
+//! An implementation knows the names and formats of one dialect and only translates; all decisions are made in the
+//! control plane and the data plane.
 
 mod ingress;
 mod native;
--- a/crates/common/src/adapter/native.rs
+++ b/crates/common/src/adapter/native.rs
@@ -1,4 +1,4 @@
-//! The platform's calls in the product's own dialect.
+//! The platform's API in the product's own dialect.
 
 use super::{
     ListedRunner, ListedWorker, PlatformAdapter, PlatformCall, RunnerList, StartOrder,
@@ -14,13 +14,13 @@
 
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The platform as the product itself speaks with it, under `/v1`.
+/// A client of a platform with the product's own API: JSON over HTTP, under `/v1`.
 pub struct NativePlatform {
     address: SocketAddress,
 }
 
 impl NativePlatform {
-    /// A platform that listens there.
+    /// Creates a client of the platform at an address.
     pub fn new(address: SocketAddress) -> Self {
         Self { address }
     }
--- a/crates/common/src/adapter/platform.rs
+++ b/crates/common/src/adapter/platform.rs
@@ -1,4 +1,4 @@
-//! What is asked of the platform: starts, stops and lists.
+//! The interface to the platform, which starts, stops and lists runners.
 
 use crate::frames::Instance;
 use crate::identity::{
@@ -8,55 +8,55 @@
 use std::pin::Pin;
 use std::time::Duration;
 
-/// A call under way.
+/// A call in progress.
 pub type PlatformCall<'a, T> = Pin<Box<dyn Future<Output = T> + Send + 'a>>;
 
-/// A runner to be started; the same order again finds the same runner.
+/// An order to start a runner. It is idempotent: the same order again finds the same runner.
 #[derive(Clone, Debug)]
 pub struct StartOrder {
-    /// The runner's own name with us, the start's key.
+    /// The runner's identity, which is the order's idempotency key.
     pub runner: RunnerId,
-    /// Its function.
+    /// The function that it runs.
     pub function: FunctionKey,
-    /// Where it is to run.
+    /// The worker on which it is to run.
     pub worker: WorkerName,
-    /// The memory it needs.
+    /// Its memory in megabytes.
     pub memory_mb: u32,
-    /// How long it boots on average.
+    /// How long it takes to start on average.
     pub startup: Duration,
-    /// How many transactions it may run at once.
+    /// How many requests it may run at once.
     pub slots: u32,
-    /// Who orders it.
+    /// The daemon that gives the order.
     pub member: MemberName,
 }
 
-/// How an order to start ended.
+/// The outcome of an order to start.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub enum StartOutcome {
-    /// It boots, or has booted.
+    /// The instance is starting, or has started.
     Started(Instance),
-    /// The worker has no room, or is gone, draining or unknown.
+    /// The worker has no capacity, or is gone, draining or unknown.
     NoCapacity,
-    /// The platform has too many calls; come back.
+    /// The platform has too many calls; the order may be retried.
     Busy,
-    /// There is no such function, or the order was wrong.
+    /// There is no such function, or the order is invalid.
     Rejected,
-    /// No answer; it may have been carried out.
+    /// There was no valid answer; the order may have been carried out.
     Lost,
 }
 
-/// A runner to be stopped.
+/// An order to stop a runner.
 #[derive(Clone, Debug)]
 pub struct StopOrder {
-    /// The runner's own name with us.
+    /// The runner's identity.
     pub runner: RunnerId,
-    /// Its function.
+    /// The function that it runs.
     pub function: FunctionKey,
-    /// Where it runs.
+    /// The worker on which it runs.
     pub worker: WorkerName,
-    /// Its life; without one the start is repeated to learn it, and then stopped.
+    /// Its instance. Without one, an adapter repeats the start to learn it, and then stops that.
     pub instance: Option<InstanceId>,
-    /// Who orders it.
+    /// The daemon that gives the order.
     pub member: MemberName,
 }
 
@@ -67,49 +67,49 @@
     pub worker: WorkerName,
     /// Its zone.
     pub zone: Zone,
-    /// Its whole memory.
+    /// Its total memory in megabytes.
     pub memory_mb: u32,
-    /// Whether it is being emptied.
+    /// Whether it is draining.
     pub draining: bool,
 }
 
 /// A runner as the platform lists it.
 #[derive(Clone, Debug)]
 pub struct ListedRunner {
-    /// Its life.
+    /// Its instance.
     pub instance: Instance,
-    /// Our own name for it, where the platform keeps that.
+    /// Its identity, where the platform stores it.
     pub runner: Option<RunnerId>,
     /// Its function's name.
     pub function: FunctionName,
-    /// Its function with generation, where the platform keeps that.
+    /// Its function with generation, where the platform stores it.
     pub key: Option<FunctionKey>,
-    /// Where it runs.
+    /// The worker on which it runs.
     pub worker: WorkerName,
-    /// Whether it is about to leave.
+    /// Whether it is about to end.
     pub leaving: bool,
 }
 
 /// The platform's list of runners.
 #[derive(Clone, Debug)]
 pub struct RunnerList {
-    /// How old its content was at most when the platform was asked for it.
+    /// The greatest age of its content when the platform was called.
     pub age: Duration,
     /// The runners.
     pub runners: Vec<ListedRunner>,
 }
 
-/// How the platform's HTTP is spoken.
+/// Calls the platform in one dialect of its API. Every call has a time-out of its own.
 pub trait PlatformAdapter: Send + Sync {
-    /// Orders a start.
+    /// Starts a runner.
     fn start_runner(&self, order: StartOrder) -> PlatformCall<'_, StartOutcome>;
 
-    /// Orders a stop; true when the runner has surely ended and its name never starts again.
+    /// Stops a runner; true if the runner has certainly ended and no order under its identity will start it again.
     fn stop(&self, order: StopOrder) -> PlatformCall<'_, bool>;
 
-    /// Lists the workers; none when it cannot be read now.
+    /// Lists the workers; none if the list cannot be read now.
     fn workers(&self) -> PlatformCall<'_, Option<Vec<ListedWorker>>>;
 
-    /// Lists all runners, page by page; none when it cannot be read whole now.
+    /// Lists all runners; none if the list cannot be read completely now.
     fn runners(&self) -> PlatformCall<'_, Option<RunnerList>>;
 }
--- a/crates/common/src/adapter/runner.rs
+++ b/crates/common/src/adapter/runner.rs
@@ -1,4 +1,4 @@
-//! What is said to runners and read from them.
+//! The codec of requests to runners and of their responses.
 
 use crate::frames::{HeaderField, RequestPayload, SocketAddress};
 use crate::identity::{FunctionKey, IdempotencyKey, InstanceId, RunnerId};
@@ -8,86 +8,89 @@
 use hyper::{Request, StatusCode};
 use std::time::Duration;
 
-/// What a send to a runner carries.
+/// A request to a runner.
 pub struct RunnerRequest<'a> {
-    /// The try's identity.
+    /// The idempotency key.
     pub idempotency_key: &'a IdempotencyKey,
     /// The function.
     pub function: &'a FunctionKey,
-    /// The runner that is meant; another one at its address refuses.
+    /// The runner that is meant; another one at its address rejects the request.
     pub runner: Option<RunnerId>,
-    /// Its life, as the platform names it.
+    /// Its instance, as the platform names it.
     pub instance: Option<&'a InstanceId>,
-    /// The number of this send.
+    /// The number of this attempt, from one.
     pub attempt: u32,
-    /// What is left of the budget.
+    /// The time left until the deadline.
     pub remaining_time: Duration,
     /// What the caller sent.
     pub payload: &'a RequestPayload,
 }
 
-/// How a seal can be checked.
+/// How the seal of a response can be checked.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum SealKind {
-    /// It is the product's own digest over names and body.
+    /// The seal is the product's own digest; see [`seal`](crate::seal).
     Digest,
-    /// Only the caller can check it; a good answer must have one.
+    /// Only the caller can check it; a valid response must have one.
     CheckedByCaller,
 }
 
-/// What a runner sent back, as it came.
+/// A runner's response as it was received, before it is checked.
 #[derive(Clone, Debug)]
 pub struct RunnerResponse {
-    /// The status.
+    /// The HTTP status.
     pub status: u16,
-    /// The identity that it names.
+    /// The idempotency key that it names.
     pub idempotency_key: String,
-    /// The function that it names, if this tongue names one.
+    /// The function that it names, if the dialect has that.
     pub function: Option<String>,
-    /// The runner that it names, if this tongue names one.
+    /// The runner that it names, if the dialect has that.
     pub runner: Option<String>,
     /// The seal; empty if it has none.
     pub seal: String,
     /// How the seal can be checked.
     pub seal_kind: SealKind,
-    /// Whether it says that it did not run.
+    /// Whether it reports that the runner rejected the request and did not run it.
     pub did_not_run: bool,
-    /// Whether it says that it is another runner than the one meant.
+    /// Whether it reports that it is from another runner than the one meant.
     pub is_other_runner: bool,
-    /// Whether the body cannot be the runner's own: its end was not marked, or it is encoded.
+    /// Whether the body may not be the runner's own: its end was not declared, or it is encoded.
     pub is_unreliable: bool,
-    /// Whether the runner wants the connection closed.
+    /// Whether the runner closes the connection.
     pub closes_connection: bool,
-    /// Header lines that go on to the caller.
+    /// The header fields that are forwarded to the caller.
     pub header_fields: Vec<HeaderField>,
     /// The body.
     pub body: Bytes,
 }
 
-/// How a runner that boots is found ready.
+/// How a starting runner is probed for readiness.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum ReadinessProbe {
-    /// It answers this path with 200 and its name in the header given.
+    /// It answers this path with status 200, and its identity in the header of this name.
     HttpGet(&'static str, &'static str),
-    /// It accepts connections.
+    /// It accepts TCP connections.
     TcpConnect,
 }
 
-/// How runners' HTTP is written and read.
+/// Writes requests to runners and reads their responses, in one dialect of HTTP.
 pub trait RunnerCodec: Send + Sync {
-    /// Writes a send.
+    /// Writes a request.
+    ///
+    /// # Errors
+    /// Fails if a header or the target is not valid in HTTP.
     fn request(
         &self,
         address: SocketAddress,
         runner_request: &RunnerRequest<'_>,
     ) -> Result<Request<Full<Bytes>>, hyper::http::Error>;
 
-    /// Reads an answer.
+    /// Reads a response.
     fn read(&self, status: StatusCode, headers: &HeaderMap, body: Bytes) -> RunnerResponse;
 
-    /// How a runner is found ready.
+    /// How a runner is probed for readiness.
     fn readiness_probe(&self) -> ReadinessProbe;
 
-    /// The path that lists what a runner is running, if there is one.
+    /// The path that lists what a runner is running, if the dialect has one.
     fn running_path(&self) -> Option<&'static str>;
 }
--- a/crates/common/src/ring/mod.rs
+++ b/crates/common/src/ring/mod.rs
@@ -1,21 +1,24 @@
-//! The member ring: rendezvous hashing names a function's hash owner, and a daemon's watchers.
+//! The assignment of functions and watchers to daemons, computed alike by every process from the same list of hosts.
+//!
+//! A function's hash owner is found by rendezvous hashing (highest random weight; Thaler and Ravishankar, 1998), so
+//! that a lost daemon moves only its own functions. A daemon's watchers are its successors on a ring of hashed names.
 
 use crate::frames::Host;
 use crate::identity::{FunctionKey, MemberName, Region, Zone};
 use sha2::{Digest, Sha256};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Which region each zone lies in, as the settings say; zones that they do not name lie in none.
+/// The region of each zone, as the settings define it. A zone that they do not name is in none.
 #[derive(Clone, Default, PartialEq, Eq, Debug)]
 pub struct Regions(BTreeMap<Zone, Region>);
 
 impl Regions {
-    /// The regions of the zones named.
+    /// Creates the map from each zone's region.
     pub fn new(region_by_zone: BTreeMap<Zone, Region>) -> Self {
         Self(region_by_zone)
     }
 
-    /// The region of a zone.
+    /// Returns the region of a zone.
     pub fn of(&self, zone: &Zone) -> Option<&Region> {
         self.0.get(zone)
     }
@@ -39,19 +42,17 @@
     ])
 }
 
-/// A link counts as wide that is at least so large a part of the widest.
+/// A link counts as wide if it has at least the widest link's bandwidth divided by this.
 const WIDE_LINK_DIVISOR: u32 = 4;
 
-/// A link of so many Mbit/s counts as wide beside any other: it carries the largest body that callers may send by
-/// default (256 KiB) in a fifth of a second.
+/// A link of this many Mbit/s counts as wide beside any other: it carries a body of 256 KiB in a fifth of a second.
 const WIDE_LINK_MBPS: u32 = 10;
 
-/// Functions stay with the hosts on wide links while there are so many of them.
+/// Functions are placed on wide links only while there are at least this many.
 const MIN_WIDE_HOSTS: usize = 3;
 
-/// The hosts that functions go to: all that are eligible, or those on wide links where others have much
-/// narrower ones, while enough of them stand in more than one zone. All answers of a function pass
-/// through the link of its holder.
+/// Returns the hosts that may become hash owners: all eligible ones, or only those on wide links if there are enough of
+/// them, in more than one zone. All responses of a function pass through its holder's link.
 pub fn candidate_hosts<'a>(hosts: impl Iterator<Item = &'a Host>) -> Vec<&'a Host> {
     let eligible_hosts: Vec<&Host> = hosts.filter(|host| host.eligible.0).collect();
     let widest = eligible_hosts
@@ -72,7 +73,7 @@
     }
 }
 
-/// The daemon whose turn it is to ask for a function; `None` when no host is eligible.
+/// Returns a function's hash owner, the daemon that requests its lease; none if no host is eligible.
 pub fn hash_owner<'a>(
     function: &FunctionKey,
     hosts: impl Iterator<Item = &'a Host>,
@@ -89,7 +90,7 @@
         .map(|(_, host)| host)
 }
 
-/// The same for any key: one that is for the callers of a region alone is held there.
+/// Returns the hash owner of any key; that of a regional key is a daemon of its region.
 pub fn hash_owner_in<'a>(
     function: &FunctionKey,
     hosts: impl Iterator<Item = &'a Host>,
@@ -104,20 +105,21 @@
     )
 }
 
-/// How many watchers of each daemon stand in other zones than its own.
+/// How many watchers of each daemon are in other zones than its own.
 pub const OTHER_ZONE_WATCHERS: usize = 2;
 
-/// How many stand in its own.
+/// How many watchers of each daemon are in its own zone.
 pub const OWN_ZONE_WATCHERS: usize = 1;
 
-/// Where a member stands on the ring.
+/// Returns a member's position on the ring.
 pub fn ring_position(member: &MemberName) -> u64 {
     weight("ring", member.as_str())
 }
 
-/// The daemons that watch a member: of those that follow it on the ring the first two in other
-/// zones and the first in its own; where there are too few of one kind, more of the other.
-/// The hosts come with their places on the ring.
+/// Returns the daemons that watch a member: of those that follow it on the ring, the first two in other zones and the
+/// first in its own; where there are too few of one kind, more of the other.
+///
+/// The hosts are given with their positions on the ring.
 pub fn watchers<'a>(
     watched_host: &Host,
     positioned_hosts: impl Iterator<Item = (u64, &'a Host)>,
