--- a/crates/common/src/command_line.rs
+++ b/crates/common/src/command_line.rs
@@ -1,4 +1,4 @@
-//! What every program does around its work: flags, faults, the log, the runtime, and signals.
+//! What every program needs around its work: flags, help, exit codes, the log, the runtime, and signals.
 
 use crate::events;
 use crate::invariants;
@@ -10,16 +10,16 @@
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::sync::watch;
 
-/// A line that a user may type, shown in the help.
+/// An example in the help.
 #[derive(Clone, Copy, Debug)]
 pub struct Example {
-    /// The command whose help shows it; none for the program's own.
+    /// The command whose help shows it; none for the program's own help.
     pub command: Option<&'static str>,
-    /// What is typed.
+    /// The command line.
     pub line: &'static str,
 }
 
-/// A program, as it names itself to its user.
+/// A program, as it presents itself to its user.
 #[derive(Clone, Copy, Debug)]
 pub struct Program {
     name: &'static str,
@@ -28,7 +28,7 @@
 }
 
 impl Program {
-    /// A program of a name and a version.
+    /// Creates a program of a name and a version.
     pub const fn new(name: &'static str, version: &'static str) -> Self {
         Self {
             name,
@@ -37,13 +37,14 @@
         }
     }
 
-    /// The same with examples in its help.
+    /// Adds examples to the help.
     pub const fn with_examples(mut self, examples: &'static [Example]) -> Self {
         self.examples = examples;
         self
     }
 
-    /// Reads the flags, or ends the process with help, the version or a fault.
+    /// Reads the process's flags. Exits with 0 after printing the help or the version, and with 2 after reporting an
+    /// error.
     pub fn flags<T: Options>(self, requests_version: impl FnOnce(&T) -> bool) -> T {
         let arguments: Vec<String> = std::env::args().skip(1).collect();
         match T::parse_args(&arguments, ParsingStyle::default()) {
@@ -93,14 +94,19 @@
         text
     }
 
-    /// Says why the program ends, and gives its exit code.
+    /// Reports an error to the standard error output and returns the exit code.
     pub fn fail(self, error: impl fmt::Display, exit_code: u8) -> ExitCode {
         eprintln!("{}: {error}", self.name);
         ExitCode::from(exit_code)
     }
 }
 
-/// Becomes true when the process is told to stop, by SIGTERM or from the terminal.
+/// Returns a channel that becomes true when the process receives SIGTERM or SIGINT.
+///
+/// The task that waits for the signals is detached and lives as long as the runtime.
+///
+/// # Errors
+/// Fails if the signal handler cannot be installed.
 pub fn stop_signal() -> std::io::Result<watch::Receiver<bool>> {
     let (stop_sender, stop) = watch::channel(false);
     let mut terminations = signal(SignalKind::terminate())?;
@@ -115,7 +121,12 @@
     Ok(stop)
 }
 
-/// Counts how often the process was told by SIGHUP that its settings have changed; it never dies of that.
+/// Returns a channel that counts the SIGHUP signals received, each a request to read the settings again.
+///
+/// The task that waits for the signals is detached and lives as long as the runtime.
+///
+/// # Errors
+/// Fails if the signal handler cannot be installed.
 pub fn reload_signal() -> std::io::Result<watch::Receiver<u64>> {
     let (reload_sender, reload) = watch::channel(0);
     let mut hangups = signal(SignalKind::hangup())?;
@@ -127,8 +138,8 @@
     Ok(reload)
 }
 
-/// Reads settings each time the process is told that they have changed, and applies those that could be
-/// read; goes on until the process ends.
+/// Reads and applies the settings each time that `reload` changes; settings that cannot be read (none) are skipped.
+/// Returns when the channel is closed.
 pub async fn apply_on_reload<T>(
     mut reload: watch::Receiver<u64>,
     read: impl Fn() -> Option<T>,
@@ -141,7 +152,11 @@
     }
 }
 
-/// The runtime for so many threads: zero lets the machine decide, and one thread does everything itself.
+/// Creates a runtime with this many worker threads: zero chooses one per processor, and one runs everything on the
+/// calling thread.
+///
+/// # Errors
+/// Fails if the operating system refuses a thread or the event queue.
 pub fn runtime(thread_count: usize) -> std::io::Result<Runtime> {
     if thread_count == 1 {
         return Builder::new_current_thread().enable_all().build();
@@ -153,8 +168,8 @@
     builder.enable_all().build()
 }
 
-/// A SIGHUP that comes before [`told_to_reread`] ends no process: the settings are read after it anyway. Once a
-/// handler was there, the system's own way with the signal does not come back.
+/// Keeps a SIGHUP that arrives before [`reload_signal`] from ending the process: the settings are read after it anyway.
+/// Once a handler was installed, the signal's default action does not come back.
 fn ignore_early_hangups() {
     if let Ok(hangup_runtime) = runtime(1) {
         let _runtime_guard = hangup_runtime.enter();
@@ -162,8 +177,8 @@
     }
 }
 
-/// Starts the log at the level that `RUST_LOG` names, or `info`; the first thing that a deployed program does. From
-/// then on it survives hang-ups, and goes on when it finds one of its invariants violated, and counts it.
+/// Starts the log at the level that `RUST_LOG` names, by default `info`. The first call of a deployed program: from
+/// then on a SIGHUP does not end it, and violated invariants are counted and do not panic.
 pub fn start_log() {
     ignore_early_hangups();
     invariants::count_only();
--- a/crates/common/src/metrics.rs
+++ b/crates/common/src/metrics.rs
@@ -1,6 +1,7 @@
-//! A page of metrics in Prometheus text format; all names are constants of the program.
+//! A page of metrics in the Prometheus text format.
 
 use crate::invariants;
+use prometheus::core::Collector;
 use prometheus::{
     Encoder, Histogram, HistogramOpts, HistogramVec, IntCounter, IntCounterVec, IntGauge, Opts,
     Registry, TextEncoder,
@@ -18,12 +19,15 @@
 }
 
 /// The metrics of one process.
+///
+/// # Panics
+/// The methods that add a metric panic if its name is invalid or taken; all names are constants of the program.
 pub struct MetricsPage {
     registry: Registry,
 }
 
 impl MetricsPage {
-    /// A page with the counts of violated invariants, which every process has.
+    /// Creates a page with the counters of violated invariants, which every process has.
     pub fn new() -> Self {
         let registry = Registry::new();
         registry
@@ -32,52 +36,44 @@
         Self { registry }
     }
 
-    /// A new counter.
+    /// Adds a counter.
     pub fn counter(&self, name: &str, help: &str) -> IntCounter {
         let metric = IntCounter::new(name, help).expect(VALID_NAME);
-        self.registry
-            .register(Box::new(metric.clone()))
-            .expect(VALID_NAME);
-        metric
+        self.register(metric)
     }
 
-    /// New counters, one for each value of the labels.
+    /// Adds counters, one for each combination of label values.
     pub fn counters(&self, name: &str, help: &str, labels: &[&str]) -> IntCounterVec {
         let metric = IntCounterVec::new(Opts::new(name, help), labels).expect(VALID_NAME);
-        self.registry
-            .register(Box::new(metric.clone()))
-            .expect(VALID_NAME);
-        metric
+        self.register(metric)
     }
 
-    /// A new gauge.
+    /// Adds a gauge.
     pub fn gauge(&self, name: &str, help: &str) -> IntGauge {
         let metric = IntGauge::new(name, help).expect(VALID_NAME);
-        self.registry
-            .register(Box::new(metric.clone()))
-            .expect(VALID_NAME);
-        metric
+        self.register(metric)
     }
 
-    /// A new histogram of seconds.
+    /// Adds a histogram of durations in seconds.
     pub fn seconds(&self, name: &str, help: &str) -> Histogram {
         let metric = Histogram::with_opts(seconds_options(name, help)).expect(VALID_NAME);
-        self.registry
-            .register(Box::new(metric.clone()))
-            .expect(VALID_NAME);
-        metric
+        self.register(metric)
     }
 
-    /// New histograms of seconds, one for each value of the labels.
+    /// Adds histograms of durations in seconds, one for each combination of label values.
     pub fn labelled_seconds(&self, name: &str, help: &str, labels: &[&str]) -> HistogramVec {
         let metric = HistogramVec::new(seconds_options(name, help), labels).expect(VALID_NAME);
+        self.register(metric)
+    }
+
+    fn register<M: Collector + Clone + 'static>(&self, metric: M) -> M {
         self.registry
             .register(Box::new(metric.clone()))
             .expect(VALID_NAME);
         metric
     }
 
-    /// The page's text.
+    /// Encodes the page.
     pub fn text(&self) -> Vec<u8> {
         let mut page_bytes = Vec::new();
         let _ = TextEncoder::new().encode(&self.registry.gather(), &mut page_bytes);
--- a/crates/common/src/seal.rs
+++ b/crates/common/src/seal.rs
@@ -1,31 +1,34 @@
-//! The seal a runner puts on its answer: a digest that names the transaction, function and runner.
+//! The seal that a runner puts on its response, and the headers between daemons, callers and runners.
+//!
+//! The seal is the SHA-256 digest, in hexadecimal, of the idempotency key, the function, the runner, whether the runner
+//! rejected the request, the body's length and the body.
 
 use crate::identity::{FunctionKey, IdempotencyKey, RunnerId};
 use sha2::{Digest, Sha256};
 use std::fmt::Write;
 
-/// Header with the try's identity.
+/// Header with the idempotency key.
 pub const IDEMPOTENCY_KEY: &str = "rudder-transaction";
-/// Header with the caller's budget in milliseconds.
+/// Header with the caller's time-out in milliseconds.
 pub const TIMEOUT: &str = "rudder-budget-ms";
-/// Header by which a caller marks a repeat of an earlier try.
+/// Header by which a caller marks a repeat of an earlier request.
 pub const REPEAT_OF: &str = "rudder-repeat-of";
 /// Header with the outcome: `answer`, `not_run` or `unknown`.
 pub const OUTCOME: &str = "rudder-outcome";
 /// Header with the function's key.
 pub const FUNCTION: &str = "rudder-function";
-/// Header with the runner's name.
+/// Header with the runner's identity.
 pub const RUNNER: &str = "rudder-runner";
-/// Header with the function grant under which a runner is sent a transaction.
+/// Header with the fencing token of the lease under which a runner is sent a request.
 pub const FENCING_TOKEN: &str = "rudder-grant";
-/// Header with the number of the send of one transaction, from one.
+/// Header with the number of the attempt to run one request, from one.
 pub const ATTEMPT: &str = "rudder-attempt";
 /// Header with the seal.
 pub const SEAL: &str = "rudder-seal";
-/// Header by which a runner says that it refused and did not run.
+/// Header by which a runner reports that it rejected the request and did not run it.
 pub const REJECTED: &str = "rudder-shed";
 
-/// Bytes as lower-case hexadecimal.
+/// Encodes bytes in lower-case hexadecimal.
 pub fn hex(given_bytes: &[u8]) -> String {
     given_bytes
         .iter()
@@ -35,12 +38,12 @@
         })
 }
 
-/// A SHA-256 digest.
+/// Computes the SHA-256 digest.
 pub fn digest(given_bytes: &[u8]) -> [u8; 32] {
     Sha256::digest(given_bytes).into()
 }
 
-/// The seal of a body for one transaction, function and runner; a refusal is sealed as such.
+/// Computes the seal of a body for one request, function and runner. A rejection has another seal than a response.
 pub fn seal(
     idempotency_key: &IdempotencyKey,
     function: &FunctionKey,
@@ -56,7 +59,7 @@
     seal_of_texts(idempotency_key, &function, &runner, is_rejected, body)
 }
 
-/// The seal for names as they were written down.
+/// Computes the seal from the names' text forms.
 pub fn seal_of_texts(
     idempotency_key: &str,
     function: &str,
