--- a/crates/common/src/frames/parts.rs
+++ b/crates/common/src/frames/parts.rs
@@ -39,8 +39,8 @@
 pub struct LengthPrefixed<T>(pub Vec<T>);
 
 impl<T> From<Vec<T>> for LengthPrefixed<T> {
-    fn from(given_items: Vec<T>) -> Self {
-        Self(given_items)
+    fn from(items: Vec<T>) -> Self {
+        Self(items)
     }
 }
 
@@ -89,14 +89,14 @@
 }
 
 impl From<Bytes> for ByteString {
-    fn from(given_bytes: Bytes) -> Self {
-        Self(given_bytes)
+    fn from(bytes: Bytes) -> Self {
+        Self(bytes)
     }
 }
 
 impl From<Vec<u8>> for ByteString {
-    fn from(given_bytes: Vec<u8>) -> Self {
-        Self(given_bytes.into())
+    fn from(bytes: Vec<u8>) -> Self {
+        Self(bytes.into())
     }
 }
 
@@ -171,7 +171,7 @@
 }
 
 impl From<SocketAddrV4> for SocketAddress {
-    fn from(given_address: SocketAddrV4) -> Self {
-        Self(given_address)
+    fn from(address: SocketAddrV4) -> Self {
+        Self(address)
     }
 }
--- a/crates/common/src/identity/function.rs
+++ b/crates/common/src/identity/function.rs
@@ -80,14 +80,14 @@
 
 impl FromStr for FunctionKey {
     type Err = FunctionKeyError;
-    fn from_str(given_text: &str) -> Result<Self, FunctionKeyError> {
+    fn from_str(text: &str) -> Result<Self, FunctionKeyError> {
         let parse = || {
-            let (name, rest) = given_text.rsplit_once('@')?;
+            let (name, rest) = text.rsplit_once('@')?;
             let (generation, region) = rest.split_once('~').unwrap_or((rest, ""));
             let all_regions = Self::new(name, Version(generation.parse().ok()?));
             Some(all_regions.in_region(&Region::from(region)))
         };
-        parse().ok_or_else(|| FunctionKeyError(given_text.to_owned()))
+        parse().ok_or_else(|| FunctionKeyError(text.to_owned()))
     }
 }
 
--- a/crates/common/src/identity/names.rs
+++ b/crates/common/src/identity/names.rs
@@ -21,20 +21,20 @@
         }
 
         impl From<&str> for $name {
-            fn from(given_text: &str) -> Self {
-                Self(Arc::from(given_text))
+            fn from(text: &str) -> Self {
+                Self(Arc::from(text))
             }
         }
 
         impl From<String> for $name {
-            fn from(given_text: String) -> Self {
-                Self(Arc::from(given_text))
+            fn from(text: String) -> Self {
+                Self(Arc::from(text))
             }
         }
 
         impl From<Arc<str>> for $name {
-            fn from(given_text: Arc<str>) -> Self {
-                Self(given_text)
+            fn from(text: Arc<str>) -> Self {
+                Self(text)
             }
         }
 
--- a/crates/common/src/identity/numbers.rs
+++ b/crates/common/src/identity/numbers.rs
@@ -18,8 +18,8 @@
         }
 
         impl From<u64> for $name {
-            fn from(given_number: u64) -> Self {
-                Self(given_number)
+            fn from(number: u64) -> Self {
+                Self(number)
             }
         }
 
--- a/crates/common/src/identity/runner.rs
+++ b/crates/common/src/identity/runner.rs
@@ -51,9 +51,9 @@
 
 impl FromStr for RunnerId {
     type Err = RunnerIdError;
-    fn from_str(given_text: &str) -> Result<Self, RunnerIdError> {
+    fn from_str(text: &str) -> Result<Self, RunnerIdError> {
         let parse = || {
-            let (token_text, ordinal_text) = given_text.strip_prefix("r-")?.split_once('-')?;
+            let (token_text, ordinal_text) = text.strip_prefix("r-")?.split_once('-')?;
             let fencing_token = FencingToken(u64::from_str_radix(token_text, 16).ok()?);
             let ordinal = u64::from_str_radix(ordinal_text, 16).ok()?;
             Some(RunnerId {
@@ -61,6 +61,6 @@
                 ordinal,
             })
         };
-        parse().ok_or_else(|| RunnerIdError(given_text.to_owned()))
+        parse().ok_or_else(|| RunnerIdError(text.to_owned()))
     }
 }
--- a/crates/common/src/lib.rs
+++ b/crates/common/src/lib.rs
@@ -17,7 +17,7 @@
 //! in `dataplane`. Its errors are enums with the cause as their source, and each prints that cause too, so that one
 //! line of a log is enough.
 
-#![deny(missing_docs)]
+#![deny(missing_docs, unreachable_pub)]
 
 pub mod adapter;
 pub mod clock;
--- a/crates/common/src/readers/settings.rs
+++ b/crates/common/src/readers/settings.rs
@@ -70,8 +70,8 @@
 
     /// Overrides a key by a flag's value, if the flag was given.
     pub fn set(&mut self, key: &str, flag_value: Option<Value>) {
-        if let (Some(given_value), Some(fields)) = (flag_value, self.value.as_object_mut()) {
-            fields.insert(key.to_owned(), given_value);
+        if let (Some(value), Some(fields)) = (flag_value, self.value.as_object_mut()) {
+            fields.insert(key.to_owned(), value);
         }
     }
 
--- a/crates/common/src/rules.rs
+++ b/crates/common/src/rules.rs
@@ -154,11 +154,8 @@
 
 impl Rule {
     /// Finds a rule by its name.
-    pub fn by_name(given_name: &str) -> Option<Rule> {
-        Self::ALL
-            .iter()
-            .copied()
-            .find(|rule| rule.as_str() == given_name)
+    pub fn by_name(name: &str) -> Option<Rule> {
+        Self::ALL.iter().copied().find(|rule| rule.as_str() == name)
     }
 }
 
--- a/crates/common/src/seal.rs
+++ b/crates/common/src/seal.rs
@@ -29,18 +29,16 @@
 pub const REJECTED: &str = "rudder-shed";
 
 /// Encodes bytes in lower-case hexadecimal.
-pub fn hex(given_bytes: &[u8]) -> String {
-    given_bytes
-        .iter()
-        .fold(String::new(), |mut hex_text, byte| {
-            let _ = write!(hex_text, "{byte:02x}");
-            hex_text
-        })
+pub fn hex(bytes: &[u8]) -> String {
+    bytes.iter().fold(String::new(), |mut hex_text, byte| {
+        let _ = write!(hex_text, "{byte:02x}");
+        hex_text
+    })
 }
 
 /// Computes the SHA-256 digest.
-pub fn digest(given_bytes: &[u8]) -> [u8; 32] {
-    Sha256::digest(given_bytes).into()
+pub fn digest(bytes: &[u8]) -> [u8; 32] {
+    Sha256::digest(bytes).into()
 }
 
 /// Computes the seal of a body for one request, function and runner. A rejection has another seal than a response.
--- a/crates/common/src/spec/catalogue_delta.rs
+++ b/crates/common/src/spec/catalogue_delta.rs
@@ -73,7 +73,7 @@
 
 impl PutRecords {
     /// Moves them out. What is not an object stays in place, so that reading the delta reports it.
-    pub fn take(change: &mut Value) -> Self {
+    pub(super) fn take(change: &mut Value) -> Self {
         let mut extract_field = |field: &str| {
             let items = change.get_mut(field).and_then(Value::as_object_mut);
             items.map(std::mem::take).unwrap_or_default()
--- a/crates/common/src/spec/reader.rs
+++ b/crates/common/src/spec/reader.rs
@@ -66,12 +66,9 @@
 }
 
 /// Reports a name that is empty, too long or has other characters than letters, digits, `-`, `_` and `.`.
-pub(super) fn check_name(given_name: &str, reader: &PathReader<'_>) {
+pub(super) fn check_name(name: &str, reader: &PathReader<'_>) {
     let is_allowed = |letter: char| letter.is_ascii_alphanumeric() || "-_.".contains(letter);
-    if given_name.is_empty()
-        || given_name.len() > MAX_NAME_LENGTH
-        || !given_name.chars().all(is_allowed)
-    {
+    if name.is_empty() || name.len() > MAX_NAME_LENGTH || !name.chars().all(is_allowed) {
         reader.error(PathErrorReason::Malformed(
             "needs a name of letters, digits, '-', '_' or '.'".to_owned(),
         ));
--- a/crates/common/src/spec/records.rs
+++ b/crates/common/src/spec/records.rs
@@ -16,7 +16,7 @@
 const ROUTES: &str = "routes";
 
 /// The length of a SHA-256 digest in bytes.
-pub const DIGEST_LENGTH: usize = 32;
+pub(super) const DIGEST_LENGTH: usize = 32;
 
 /// What is read from a record.
 pub trait RecordContent: Sized {
@@ -118,7 +118,7 @@
 
 impl PartDelta<'_> {
     /// Appends the records that are new or different as JSON text.
-    pub fn write_put(&self, text: &mut Vec<u8>) {
+    pub(super) fn write_put(&self, text: &mut Vec<u8>) {
         write_items(text, self.put.iter().copied());
     }
 }
--- a/crates/common/src/spec/route_reader.rs
+++ b/crates/common/src/spec/route_reader.rs
@@ -202,7 +202,7 @@
 
 impl NamedMatches {
     /// Adds what a route matches; false, with an error reported, if another route matches the same.
-    pub fn insert(&mut self, route: &RouteSpec, reader: &PathReader<'_>) -> bool {
+    pub(super) fn insert(&mut self, route: &RouteSpec, reader: &PathReader<'_>) -> bool {
         match &route.matching {
             RouteMatcher::Pattern(method, path) => {
                 self.insert_pattern(method, path, &route.name, &reader.field("path"))
