--- a/crates/common/src/ring/mod.rs
+++ b/crates/common/src/ring/mod.rs
@@ -19,7 +19,7 @@
     }
 
     /// Returns the region of a zone.
-    pub fn of(&self, zone: &Zone) -> Option<&Region> {
+    pub fn region_of(&self, zone: &Zone) -> Option<&Region> {
         self.0.get(zone)
     }
 }
@@ -101,7 +101,7 @@
     }
     hash_owner(
         function,
-        hosts.filter(|host| regions.of(&host.zone) == Some(&function.region)),
+        hosts.filter(|host| regions.region_of(&host.zone) == Some(&function.region)),
     )
 }
 
--- a/crates/dataplane/src/agent/regional.rs
+++ b/crates/dataplane/src/agent/regional.rs
@@ -33,7 +33,7 @@
 impl<W> Agent<W> {
     /// The region of this daemon; none when the settings name none.
     pub fn own_region(&self) -> Option<&Region> {
-        self.regions.of(&self.own_host.zone)
+        self.regions.region_of(&self.own_host.zone)
     }
 
     /// The key under which this region's callers of a function are served, if it is one of their own.
