--- a/crates/common/tests/wire_forms.rs
+++ b/crates/common/tests/wire_forms.rs
@@ -1,10 +1,10 @@
 //! Every frame on the wire has the bytes that it had when the fixture was written, and is read from them.
 
-#[path = "wire_forms/core_frames.rs"]
-mod core_frames;
+#[path = "wire_forms/consensus_frames.rs"]
+mod consensus_frames;
+#[path = "wire_forms/daemon_frames.rs"]
+mod daemon_frames;
 mod forms;
-#[path = "wire_forms/hop_frames.rs"]
-mod hop_frames;
 #[path = "wire_forms/kinds.rs"]
 mod kinds;
 #[path = "wire_forms/parts.rs"]
@@ -31,9 +31,9 @@
 const HEARTBEATS: &str = "heartbeats.txt";
 
 fn all_lines() -> Vec<Line> {
-    let mut header_fields = core_frames::header_fields();
+    let mut header_fields = consensus_frames::header_fields();
     header_fields.extend(stream_frames::header_fields());
-    header_fields.extend(hop_frames::header_fields());
+    header_fields.extend(daemon_frames::header_fields());
     header_fields
 }
 
@@ -84,21 +84,21 @@
         names.iter().map(move |name| format!("{above}/{name}"))
     };
     let plain = [
-        core_frames::CORE,
+        consensus_frames::CORE,
         stream_frames::UP,
         stream_frames::DOWN,
-        hop_frames::HOP,
+        daemon_frames::HOP,
     ];
     let plain_names = plain.into_iter().flatten().map(|name| (*name).to_owned());
     plain_names
         .chain(below("stream-up/runner", stream_frames::NEWS))
-        .chain(below("stream-up/sheds", hop_frames::REASONS))
+        .chain(below("stream-up/sheds", daemon_frames::REASONS))
         .chain(below("stream-down/acquired", stream_frames::ACQUIRED))
         .chain(below("stream-down/reserved", stream_frames::RESERVED))
-        .chain(below("hop/done", hop_frames::OUTCOMES))
-        .chain(below("hop/done/not-run", hop_frames::REASONS))
-        .chain(below("hop/done/unknown", hop_frames::REASONS))
-        .chain(below("hop/note", hop_frames::STATES))
+        .chain(below("hop/done", daemon_frames::OUTCOMES))
+        .chain(below("hop/done/not-run", daemon_frames::REASONS))
+        .chain(below("hop/done/unknown", daemon_frames::REASONS))
+        .chain(below("hop/note", daemon_frames::STATES))
         .collect()
 }
 
--- a/crates/common/tests/wire_forms/stream_frames.rs
+++ b/crates/common/tests/wire_forms/stream_frames.rs
@@ -1,6 +1,6 @@
 //! Samples of what a daemon and the leader say to each other.
 
-use crate::hop_frames::{ALL_REASONS, reason_kind};
+use crate::daemon_frames::{ALL_REASONS, reason_kind};
 use crate::kinds::kinds;
 use crate::parts::{
     Line, address, claim_runners, fencing_token, function, header_field, host, instance, long,
