--- a/crates/common/tests/applied_changes.rs
+++ b/crates/common/tests/applied_changes.rs
@@ -1,4 +1,4 @@
-//! What a document remembers of the changes that were taken.
+//! The record of applied changes in a document.
 
 use common::identity::{ChangeId, Version};
 use common::spec::{AppliedChanges, ChangeStatus, Document, Spec};
@@ -74,7 +74,7 @@
     document
 }
 
-/// The document's bytes as they were written before numbers were remembered.
+/// The document's bytes as they were written before this record existed.
 fn bytes_without_applied_changes(document: &Document) -> Vec<u8> {
     let mut value: Value = serde_json::from_slice(&document.to_bytes()).expect("JSON");
     value.as_object_mut().expect("an object").remove("taken");
--- a/crates/common/tests/clocks.rs
+++ b/crates/common/tests/clocks.rs
@@ -1,4 +1,4 @@
-//! No deployed code reads a wall clock, nor sleeps on anything but tokio's timer.
+//! Deployed code reads no wall clock and blocks no thread to sleep.
 
 use googletest::prelude::*;
 use std::path::{Path, PathBuf};
--- a/crates/common/tests/compression.rs
+++ b/crates/common/tests/compression.rs
@@ -1,4 +1,4 @@
-//! What is packed comes back; what was packed by nobody fails or stays itself.
+//! Compressed texts are restored; corrupt ones are an error.
 
 use common::frames::{ByteString, compress, decompress};
 use common::rng::SeededRng;
--- a/crates/common/tests/document_deltas.rs
+++ b/crates/common/tests/document_deltas.rs
@@ -1,5 +1,5 @@
-//! Versions of the document by what changes between them: the change leads to the very same version, costs its
-//! own size, and is believed only on the version that it leads from.
+//! Deltas between versions of the document: a delta reproduces the newer version exactly, is as small as the
+//! difference, and is accepted only on its base.
 
 use common::frames::SocketAddress;
 use common::identity::{ChangeId, ControllerId, DocumentVersion, Term};
@@ -56,7 +56,7 @@
         .collect()
 }
 
-/// A next version of any kind.
+/// A following version of a random kind.
 fn random_version(held: &Document, rng: &mut SeededRng, number: u64) -> Document {
     match rng.below(6) {
         0 => held.with_membership(membership(rng.below(20))),
@@ -97,7 +97,7 @@
 fn a_delta_is_accepted_only_on_its_base() -> Result<()> {
     let mut rng = SeededRng::seeded(22);
     let mut held = Document::founding(members(3));
-    let mut refused = 0;
+    let mut rejected_count = 0;
     for number in 1..300 {
         let newer = random_version(&held, &mut rng, number * 3);
         let other_base = random_version(&held, &mut rng, number * 3 + 1);
@@ -105,11 +105,11 @@
         if let Ok(changed) = other_base.apply_delta(&change, &newer.digest()) {
             verify_that!(changed == newer, eq(true))?;
         } else {
-            refused += 1;
+            rejected_count += 1;
         }
         held = newer;
     }
-    verify_that!(refused, gt(100))
+    verify_that!(rejected_count, gt(100))
 }
 
 #[gtest]
--- a/crates/common/tests/document_forms.rs
+++ b/crates/common/tests/document_forms.rs
@@ -1,9 +1,9 @@
-//! The document that controllers replicate, the view that daemons get, the changes between versions and the digests
-//! by which they are believed are written as when the fixture was made, and are read from it.
+//! The document that controllers replicate, the view that daemons get, the deltas between versions and the digests
+//! that verify them are written as when the fixture was made, and are read from it.
 
 mod forms;
 
-use common::frames::{ByteString, SocketAddress, compress, decompress};
+use common::frames::{ByteString, compress, decompress};
 use common::identity::{
     ChangeId, ControllerId, DocumentVersion, FunctionKey, RunnerId, Term, Version,
 };
@@ -12,25 +12,17 @@
 use common::spec::{
     AppliedChanges, ChangeStatus, DaemonView, Document, ListedMember, Voter, read_spec,
 };
-use forms::{Form, held_forms, hold};
+use forms::{Form, address, bytes_of_hex, held_forms, hold};
 use googletest::prelude::*;
 use serde_json::{Value, json};
 use std::collections::BTreeSet;
 
 const DOCUMENTS: &str = "documents.txt";
 const DIGESTS: &str = "digests.txt";
-/// A document of some size, as `pack` of the sources of the fixture's time made it smaller: the compressed bytes may
-/// change with the compressor, but what was packed is read for good.
+/// A document compressed by the sources of the fixture's time. The compressed bytes may change with the compressor, but
+/// these must be read for good.
 const PACKED: &str = "packed.txt";
 
-fn address(number: u8) -> SocketAddress {
-    SocketAddress(
-        format!("10.{number}.0.{}:{}", number + 1, 4000 + u16::from(number))
-            .parse()
-            .expect("it"),
-    )
-}
-
 fn voters(numbers: &[u8]) -> Vec<Voter> {
     let member = |number: &u8| Voter {
         id: ControllerId(0xabcd_ef00 + u64::from(*number)),
@@ -84,8 +76,8 @@
         .numbered(number)
 }
 
-/// A version that says something in every field.
-fn whole_document() -> Document {
+/// A version with a value in every field.
+fn full_document() -> Document {
     let mut document = Document::founding(voters(&[1, 2, 3]));
     document = with_spec(&document, spec(), "first spec", 300);
     document = document.with_zone("zone-7".into(), true, ChangeId::from("zone-7 out"));
@@ -96,9 +88,9 @@
     joint.with_membership(membership(&[5, 6]))
 }
 
-/// A version after it, with records put, changed and removed.
+/// A later version, with records added, changed and removed.
 fn newer_document() -> Document {
-    let held = whole_document();
+    let held = full_document();
     let mut newer_spec = spec();
     let functions = newer_spec["functions"].as_object_mut().expect("functions");
     functions.remove("resize");
@@ -149,7 +141,7 @@
 
 #[gtest]
 fn documents_views_and_changes_are_written_as_ever() -> Result<()> {
-    let (held, newer) = (whole_document(), newer_document());
+    let (held, newer) = (full_document(), newer_document());
     let (held_view, newer_view) = (held.view(), newer.view());
     let founding = Document::founding(voters(&[1]));
     hold(
@@ -172,7 +164,7 @@
 fn documents_are_read_as_ever() -> Result<()> {
     for (name, document) in [
         ("document/founding", Document::founding(voters(&[1]))),
-        ("document/whole", whole_document()),
+        ("document/whole", full_document()),
         ("document/newer", newer_document()),
     ] {
         let read = Document::from_bytes(&held_text(name))?;
@@ -184,7 +176,7 @@
 #[gtest]
 fn documents_of_earlier_sources_are_read_as_ever() -> Result<()> {
     let read = Document::from_bytes(&held_text("document/earlier"))?;
-    let whole = whole_document();
+    let expected = full_document();
     verify_that!(
         read.document_version,
         eq(DocumentVersion {
@@ -196,9 +188,9 @@
     verify_that!(read.hidden_versions, eq(0))?;
     verify_that!(read.membership.is_empty(), eq(true))?;
     verify_that!(*read.applied_changes, eq(&AppliedChanges::default()))?;
-    verify_that!(read.spec == whole.spec, eq(true))?;
-    verify_that!(read.voters, eq(&whole.voters))?;
-    verify_that!(read.previous_voters, eq(&whole.previous_voters))?;
+    verify_that!(read.spec == expected.spec, eq(true))?;
+    verify_that!(read.voters, eq(&expected.voters))?;
+    verify_that!(read.previous_voters, eq(&expected.previous_voters))?;
     let names: Vec<&str> = read
         .changes
         .iter()
@@ -224,7 +216,7 @@
     let unchanged = held.apply_delta(&held_text("document/change-of-nothing"), &held.digest())?;
     verify_that!(unchanged == held, eq(true))?;
     let held_view = DaemonView::from_bytes(&held_text("view/whole"))?;
-    verify_that!(held_view == whole_document().view(), eq(true))?;
+    verify_that!(held_view == full_document().view(), eq(true))?;
     let newer_view = newer_document().view();
     let changed_view = held_view.apply_delta(&held_text("view/change"), &newer_view.digest())?;
     verify_that!(changed_view == newer_view, eq(true))?;
@@ -255,10 +247,10 @@
     })
 }
 
-/// Digests and places that two processes must agree on, and names as they stand in headers and paths.
+/// Digests and ring positions that two processes must agree on, and the text forms of names in headers and paths.
 #[gtest]
 fn digests_seals_and_names_are_as_ever() -> Result<()> {
-    let (held, newer) = (whole_document(), newer_document());
+    let (held, newer) = (full_document(), newer_document());
     let text = |name: &str, text: String| Form {
         name: name.to_owned(),
         text,
@@ -298,7 +290,7 @@
 
 #[gtest]
 fn what_was_packed_is_unpacked_as_ever() -> Result<()> {
-    let long_text = whole_document().to_bytes();
+    let long_text = full_document().to_bytes();
     if std::env::var_os("RUDDERSTREAM_WRITE_FORMS").is_some() {
         let packed_text = hex(&compress(&long_text).0);
         return hold(
@@ -311,14 +303,7 @@
     }
     let held = held_forms(PACKED)?;
     verify_that!(held.len(), eq(1))?;
-    let pairs = held[0]
-        .text
-        .as_bytes()
-        .chunks(2)
-        .map(|pair| std::str::from_utf8(pair).expect("it"));
-    let packed_bytes: Vec<u8> = pairs
-        .map(|pair| u8::from_str_radix(pair, 16).expect("hexadecimal"))
-        .collect();
+    let packed_bytes = bytes_of_hex(&held[0].text);
     verify_that!(
         decompress(&ByteString::from(packed_bytes))? == long_text,
         eq(true)
--- a/crates/common/tests/events.rs
+++ b/crates/common/tests/events.rs
@@ -1,4 +1,4 @@
-//! The catalogue of events is whole.
+//! The catalogue of events is complete and stable.
 
 #[path = "../../../testing/support/forms.rs"]
 mod forms;
--- a/crates/common/tests/forms/mod.rs
+++ b/crates/common/tests/forms/mod.rs
@@ -1,14 +1,15 @@
 //! Compares forms that the sources write with those of a committed fixture file.
 //!
-//! A fixture file has one form a line: its name, a space, and the form as text. The names are words of the wire, so
-//! that they stay when types are renamed. With `RUDDERSTREAM_WRITE_FORMS` set the file is written anew, and the
-//! test fails all the same, so that it can never pass by what it has just written.
+//! A fixture file has one form per line: its name, a space, and the form as text. The names are independent of the
+//! sources' names, so that they stay when types are renamed. With `RUDDERSTREAM_WRITE_FORMS` set the file is written
+//! again, and the test fails all the same, so that it can never pass by what it has just written.
 
+use common::frames::SocketAddress;
 use googletest::prelude::*;
 use std::collections::BTreeSet;
 use std::path::PathBuf;
 
-/// With this variable set, fixtures are written anew and every test that holds one fails.
+/// With this variable set, fixtures are written again and every test that holds one fails.
 const WRITE: &str = "RUDDERSTREAM_WRITE_FORMS";
 
 /// One form by its name.
@@ -19,13 +20,33 @@
     pub text: String,
 }
 
+/// A sample address with the number in every part of it.
+pub fn address(number: u8) -> SocketAddress {
+    SocketAddress(
+        format!("10.{number}.0.{}:{}", number + 1, 4000 + u16::from(number))
+            .parse()
+            .expect("an address"),
+    )
+}
+
+/// Decodes hexadecimal text.
+pub fn bytes_of_hex(text: &str) -> Vec<u8> {
+    let pairs = text
+        .as_bytes()
+        .chunks(2)
+        .map(|pair| std::str::from_utf8(pair).expect("text"));
+    pairs
+        .map(|pair| u8::from_str_radix(pair, 16).expect("hexadecimal"))
+        .collect()
+}
+
 fn path_of(fixture: &str) -> PathBuf {
     PathBuf::from(env!("CARGO_MANIFEST_DIR"))
         .join("tests/forms")
         .join(fixture)
 }
 
-/// The forms in a fixture file; an error while fixtures are written anew.
+/// Reads the forms of a fixture file; an error while fixtures are being written.
 pub fn held_forms(fixture: &str) -> Result<Vec<Form>> {
     if std::env::var_os(WRITE).is_some() {
         fail!("fixtures are being written anew; run without {WRITE}")?;
@@ -54,7 +75,7 @@
     )
 }
 
-/// Succeeds only if the forms are those of the fixture file, name by name, text by text, in the file's order.
+/// Succeeds only if the forms are those of the fixture file: the same names and texts in the same order.
 pub fn hold(fixture: &str, forms: &[Form]) -> Result<()> {
     let names: BTreeSet<&str> = forms.iter().map(|form| form.name.as_str()).collect();
     verify_that!(names.len(), eq(forms.len()))?;
@@ -68,17 +89,17 @@
     }
     let held = held_forms(fixture)?;
     let mut differences = Vec::new();
-    for address in 0..held.len().max(forms.len()) {
+    for position in 0..held.len().max(forms.len()) {
         let as_line = |form: Option<&Form>| {
             form.map_or("nothing".to_owned(), |form| {
                 format!("{} {}", form.name, form.text)
             })
         };
-        let (held_line, made_line) = (as_line(held.get(address)), as_line(forms.get(address)));
+        let (held_line, made_line) = (as_line(held.get(position)), as_line(forms.get(position)));
         if held_line != made_line {
             differences.push(format!(
                 "line {}:\n  held {held_line}\n  made {made_line}",
-                address + 1
+                position + 1
             ));
         }
     }
--- a/crates/common/tests/frames.rs
+++ b/crates/common/tests/frames.rs
@@ -1,4 +1,4 @@
-//! Frames come back as they were sent, and broken ones are told apart.
+//! Frames round-trip, and broken ones are reported for what they are.
 
 use common::frames::{
     AcquireResult, Channel, ConsensusFrame, ConsensusMessage, DaemonFrame, DaemonMessage,
@@ -58,7 +58,7 @@
     Ok(())
 }
 
-/// One real frame of each kind that a process takes from another.
+/// Frames of each channel, as processes send them.
 fn real_frames() -> Vec<Vec<u8>> {
     let host = Host {
         member: "th-1".into(),
@@ -100,11 +100,11 @@
             digests: LengthPrefixed(vec![1, 2, 3]),
         },
     ];
-    let hops = requests.into_iter().map(|body| DaemonFrame {
+    let daemon_frames = requests.into_iter().map(|body| DaemonFrame {
         correlation: CorrelationId(8),
         body,
     });
-    let ups = [
+    let up_frames = [
         DaemonToLeader::Hello {
             host: host.clone(),
             ingress: SocketAddress::UNSPECIFIED,
@@ -122,7 +122,7 @@
             runners: LengthPrefixed(Vec::new()),
         },
     ];
-    let downs = [
+    let down_frames = [
         sample(),
         LeaderToDaemon::Hosts {
             number: 4,
@@ -172,9 +172,11 @@
             accepted: document_version,
         },
     ];
-    let daemon_bytes = hops.map(|frame| encode(&frame).expect("bytes"));
-    let up_bytes = ups.iter().map(|frame| encode(frame).expect("bytes"));
-    let down_bytes = downs.iter().map(|frame| encode(frame).expect("bytes"));
+    let daemon_bytes = daemon_frames.map(|frame| encode(&frame).expect("bytes"));
+    let up_bytes = up_frames.iter().map(|frame| encode(frame).expect("bytes"));
+    let down_bytes = down_frames
+        .iter()
+        .map(|frame| encode(frame).expect("bytes"));
     let consensus_bytes =
         consensus_messages.map(|body| encode(&consensus_frame(body)).expect("bytes"));
     daemon_bytes
@@ -197,7 +199,7 @@
 #[gtest]
 fn seeded_mutations_of_every_frame_are_rejected_or_decoded_fully() -> Result<()> {
     let mut rng = SeededRng::seeded(23);
-    let mut refused_count = 0;
+    let mut rejected_count = 0;
     for frame_bytes in real_frames() {
         for _ in 0..3000 {
             let mut broken_bytes = frame_bytes.clone();
@@ -215,10 +217,10 @@
                 decode::<LeaderToDaemon>(&broken_bytes).is_ok(),
                 decode::<ConsensusFrame>(&broken_bytes).is_ok(),
             ];
-            refused_count += read.iter().filter(|is_read| !**is_read).count();
+            rejected_count += read.iter().filter(|is_read| !**is_read).count();
         }
     }
-    verify_that!(refused_count, ge(60_000))
+    verify_that!(rejected_count, ge(60_000))
 }
 
 #[gtest]
@@ -352,7 +354,7 @@
         header_fields: LengthPrefixed(header_fields.clone()),
         body: vec![7; 1700].into(),
     };
-    let done = DaemonMessage::Completed {
+    let completed = DaemonMessage::Completed {
         outcome,
         holder: LengthPrefixed(Vec::new()),
         regional_tenths: 0,
@@ -369,6 +371,6 @@
         - 300
         - identity.len()
         - "POST/segments/7".len();
-    let outcome_overhead = framed(done)? - own_bytes(&header_fields) - 1700 - 32;
+    let outcome_overhead = framed(completed)? - own_bytes(&header_fields) - 1700 - 32;
     verify_that!(request_overhead + outcome_overhead, le(150))
 }
--- a/crates/common/tests/platform_forms.rs
+++ b/crates/common/tests/platform_forms.rs
@@ -1,4 +1,4 @@
-//! The product's own calls to the platform: their bytes, and what each answer is taken for.
+//! The product's own calls to the platform: their bytes, and how each response is understood.
 
 #[path = "../../../testing/support/forms.rs"]
 mod forms;
@@ -23,7 +23,7 @@
     FunctionKey::new("pay", Version(12))
 }
 
-fn begin_order(function: FunctionKey) -> StartOrder {
+fn start_order(function: FunctionKey) -> StartOrder {
     StartOrder {
         runner: runner(),
         function,
@@ -45,8 +45,8 @@
     }
 }
 
-fn shown(end: &StartOutcome) -> String {
-    match end {
+fn shown(outcome: &StartOutcome) -> String {
+    match outcome {
         StartOutcome::Started(instance) => {
             format!("begun as {} at {}", instance.name, instance.address)
         }
@@ -57,8 +57,8 @@
     }
 }
 
-fn put(text: &mut String, what: &str, double: &PlatformDouble, taken_for: &str) {
-    let _ = writeln!(text, "## {what}: {taken_for}");
+fn put(text: &mut String, what: &str, double: &PlatformDouble, understood_as: &str) {
+    let _ = writeln!(text, "## {what}: {understood_as}");
     for call in double.calls() {
         let _ = writeln!(text, "{call}\n");
     }
@@ -76,10 +76,15 @@
     let good = json!({"life": "life-9", "place": "10.0.0.3:9000"}).to_string();
     for key in [function(), function().in_region(&"north".into())] {
         let double = PlatformDouble::answering(&[(201, good.clone())]).await;
-        let end = NativePlatform::new(double.address)
-            .start_runner(begin_order(key.clone()))
+        let outcome = NativePlatform::new(double.address)
+            .start_runner(start_order(key.clone()))
             .await;
-        put(&mut text, &format!("start of {key}"), &double, &shown(&end));
+        put(
+            &mut text,
+            &format!("start of {key}"),
+            &double,
+            &shown(&outcome),
+        );
     }
     for body in [
         "{}",
@@ -88,17 +93,17 @@
         r#"{"life": "a"}"#,
     ] {
         let double = PlatformDouble::answering(&[(201, body.to_owned())]).await;
-        let end = NativePlatform::new(double.address)
-            .start_runner(begin_order(function()))
+        let outcome = NativePlatform::new(double.address)
+            .start_runner(start_order(function()))
             .await;
-        let _ = writeln!(text, "start, 201 {body}: {}", shown(&end));
+        let _ = writeln!(text, "start, 201 {body}: {}", shown(&outcome));
     }
     for status in STATUSES {
         let double = PlatformDouble::answering(&[(status, String::new())]).await;
-        let end = NativePlatform::new(double.address)
-            .start_runner(begin_order(function()))
+        let outcome = NativePlatform::new(double.address)
+            .start_runner(start_order(function()))
             .await;
-        let _ = writeln!(text, "start, {status} without a body: {}", shown(&end));
+        let _ = writeln!(text, "start, {status} without a body: {}", shown(&outcome));
     }
     check("platform_starts.txt", &text);
 }
@@ -123,8 +128,8 @@
         let is_stopped = NativePlatform::new(double.address)
             .stop(stop_order(Some("life-9")))
             .await;
-        let taken_for = if is_stopped { "stopped" } else { "not sure" };
-        let _ = writeln!(text, "stop, {status}: {taken_for}");
+        let understood_as = if is_stopped { "stopped" } else { "not sure" };
+        let _ = writeln!(text, "stop, {status}: {understood_as}");
     }
     check("platform_stops.txt", &text);
 }
@@ -132,12 +137,12 @@
 #[tokio::test]
 async fn workers_are_listed_and_taken_as_before() {
     let mut text = String::new();
-    let whole = json!({"workers": [
+    let full_list = json!({"workers": [
         {"worker": "w-1", "locality": "north", "memory_mb": 4096, "draining": true},
         {"worker": "w-2", "locality": "south", "memory_mb": 0},
     ]});
     let answers = [
-        (200, whole.to_string()),
+        (200, full_list.to_string()),
         (200, json!({"workers": []}).to_string()),
         (200, json!({}).to_string()),
         (200, json!({"workers": 7}).to_string()),
@@ -149,7 +154,7 @@
             200,
             json!({"workers": [{"worker": "w", "locality": "n", "memory_mb": -1}]}).to_string(),
         ),
-        (503, whole.to_string()),
+        (503, full_list.to_string()),
     ];
     for (status, body) in answers {
         let double = PlatformDouble::answering(&[(status, body.clone())]).await;
@@ -165,12 +170,12 @@
             };
             json!(workers.iter().map(row).collect::<Vec<_>>())
         });
-        let taken_for = rows.map_or_else(|| "not read".to_owned(), |rows| rows.to_string());
+        let understood_as = rows.map_or_else(|| "not read".to_owned(), |rows| rows.to_string());
         put(
             &mut text,
             &format!("workers, {status} {body}"),
             &double,
-            &taken_for,
+            &understood_as,
         );
     }
     check("platform_workers.txt", &text);
@@ -216,12 +221,12 @@
                 list.runners.iter().map(row).collect::<Vec<_>>()
             ])
         });
-        let taken_for = rows.map_or_else(|| "not read".to_owned(), |rows| rows.to_string());
+        let understood_as = rows.map_or_else(|| "not read".to_owned(), |rows| rows.to_string());
         put(
             &mut text,
             &format!("runners, {status} {body}"),
             &double,
-            &taken_for,
+            &understood_as,
         );
     }
     check("platform_runners.txt", &text);
--- a/crates/common/tests/records.rs
+++ b/crates/common/tests/records.rs
@@ -1,4 +1,4 @@
-//! A spec in records says what the whole text says: checked, written, changed and digested alike.
+//! A spec cut into records is checked, written, changed and digested as the full text is.
 
 use common::identity::{ChangeId, FunctionIndex, IdempotencyKey, Version};
 use common::rng::SeededRng;
@@ -176,7 +176,7 @@
     verify_that!(shared.count(), eq(19))
 }
 
-/// What a table answers, as text: every function, route and look-up.
+/// Everything that a table returns, as text: functions, routes and look-ups.
 fn lookup_results(table: &RoutingTable) -> String {
     let functions = table
         .functions()
--- a/crates/common/tests/ring.rs
+++ b/crates/common/tests/ring.rs
@@ -1,4 +1,4 @@
-//! The ring moves little when a daemon goes, and watchers stand in other zones.
+//! Hash owners and watchers: few functions move when a daemon goes, and most watchers are in other zones.
 
 use common::frames::{Flag, Host, SocketAddress};
 use common::identity::{FunctionKey, Region, Version};
@@ -19,7 +19,7 @@
 }
 
 #[gtest]
-fn functions_go_to_wide_links_while_enough_of_them_stand_in_more_than_one_zone() -> Result<()> {
+fn functions_go_to_wide_links_while_enough_of_them_are_in_more_than_one_zone() -> Result<()> {
     let mut all_hosts = hosts(40);
     for (number, host) in all_hosts.iter_mut().enumerate() {
         host.link_mbps = if number < 6 { 100 } else { 2 };
--- a/crates/common/tests/spec.rs
+++ b/crates/common/tests/spec.rs
@@ -1,4 +1,4 @@
-//! The spec's reader names every fault; its table agrees with a slow plain search; changes fit or fail.
+//! The spec's reader reports every error; its table agrees with a linear search; deltas apply or are rejected.
 
 use common::frames::SocketAddress;
 use common::identity::{ChangeId, ControllerId, Version, Zone};
@@ -46,7 +46,7 @@
         },
         "extra": 1,
     });
-    let errors = read_spec(&spec).expect_err("faults");
+    let errors = read_spec(&spec).expect_err("errors");
     let paths: Vec<String> = errors.iter().map(|error| error.path.clone()).collect();
     verify_that!(
         paths,
@@ -182,7 +182,7 @@
     );
     let error = source
         .read(|root| read_addresses(&root.field("seeds"), 1..=3))
-        .expect_err("a fault");
+        .expect_err("an error");
     verify_that!(
         error.to_string(),
         eq("file.json: seeds.1 is not an IP number with port: \"nowhere:2\"")
@@ -190,7 +190,7 @@
     let short = SettingsSource::from_value("file.json", json!({"seeds": []}));
     let error = short
         .read(|root| read_addresses(&root.field("seeds"), 1..=3))
-        .expect_err("a fault");
+        .expect_err("an error");
     verify_that!(
         error.to_string(),
         eq("file.json: seeds needs 1 to 3 addresses")
--- a/crates/common/tests/wire_forms.rs
+++ b/crates/common/tests/wire_forms.rs
@@ -1,4 +1,4 @@
-//! Every frame on the wire has the bytes that it had when the fixture was written, and is read from them.
+//! Every frame on the wire has the bytes that it had when the fixture was written, and is decoded from them.
 
 #[path = "wire_forms/consensus_frames.rs"]
 mod consensus_frames;
@@ -18,10 +18,10 @@
 };
 use common::identity::Version;
 use common::seal::hex;
-use forms::{Form, held_forms, hold};
+use forms::{Form, bytes_of_hex, held_forms, hold};
 use googletest::prelude::*;
 use kinds::kinds;
-use parts::{Line, long, member_life};
+use parts::{SampleFrame, long, member_incarnation};
 use std::net::Ipv4Addr;
 use std::time::Duration;
 use tokio::io::AsyncReadExt;
@@ -30,21 +30,11 @@
 const OPENINGS: &str = "openings.txt";
 const HEARTBEATS: &str = "heartbeats.txt";
 
-fn all_lines() -> Vec<Line> {
-    let mut header_fields = consensus_frames::header_fields();
-    header_fields.extend(stream_frames::header_fields());
-    header_fields.extend(daemon_frames::header_fields());
-    header_fields
-}
-
-fn bytes_of(hex_text: &str) -> Vec<u8> {
-    let pairs = hex_text
-        .as_bytes()
-        .chunks(2)
-        .map(|pair| std::str::from_utf8(pair).expect("text"));
-    pairs
-        .map(|pair| u8::from_str_radix(pair, 16).expect("hexadecimal"))
-        .collect()
+fn sample_frames() -> Vec<SampleFrame> {
+    let mut frames = consensus_frames::sample_frames();
+    frames.extend(stream_frames::sample_frames());
+    frames.extend(daemon_frames::sample_frames());
+    frames
 }
 
 fn form(name: &str, bytes: &[u8]) -> Form {
@@ -56,9 +46,9 @@
 
 #[gtest]
 fn every_frame_has_the_bytes_it_always_had() -> Result<()> {
-    let forms: Vec<Form> = all_lines()
+    let forms: Vec<Form> = sample_frames()
         .iter()
-        .map(|header_field| form(&header_field.name, &header_field.made.0))
+        .map(|sample| form(&sample.name, &sample.expected.0))
         .collect();
     hold(FRAMES, &forms)
 }
@@ -66,32 +56,32 @@
 #[gtest]
 fn every_frame_is_read_from_the_bytes_it_always_had() -> Result<()> {
     let held = held_forms(FRAMES)?;
-    let header_fields = all_lines();
-    verify_that!(held.len(), eq(header_fields.len()))?;
-    for (held_form, header_field) in held.iter().zip(header_fields) {
-        verify_that!(held_form.name, eq(&header_field.name))?;
-        let held_bytes = bytes_of(&held_form.text);
-        let (written_bytes, told) = (header_field.reload)(&held_bytes)?;
-        verify_that!(written_bytes == held_bytes, eq(true)).failure_message(&header_field.name)?;
-        verify_that!(told, eq(&header_field.made.1)).failure_message(&header_field.name)?;
+    let samples = sample_frames();
+    verify_that!(held.len(), eq(samples.len()))?;
+    for (held_form, sample) in held.iter().zip(samples) {
+        verify_that!(held_form.name, eq(&sample.name))?;
+        let held_bytes = bytes_of_hex(&held_form.text);
+        let (written_bytes, debug_form) = (sample.decode)(&held_bytes)?;
+        verify_that!(written_bytes == held_bytes, eq(true)).failure_message(&sample.name)?;
+        verify_that!(debug_form, eq(&sample.expected.1)).failure_message(&sample.name)?;
     }
     Ok(())
 }
 
-/// All names that the fixture must have, or have more of below them.
+/// The names that must be in the fixture, by themselves or as the beginning of others.
 fn needed_names() -> Vec<String> {
     let below = |above: &'static str, names: &'static [&'static str]| {
         names.iter().map(move |name| format!("{above}/{name}"))
     };
     let plain = [
-        consensus_frames::CORE,
+        consensus_frames::CONSENSUS,
         stream_frames::UP,
         stream_frames::DOWN,
-        daemon_frames::HOP,
+        daemon_frames::DAEMONS,
     ];
     let plain_names = plain.into_iter().flatten().map(|name| (*name).to_owned());
     plain_names
-        .chain(below("stream-up/runner", stream_frames::NEWS))
+        .chain(below("stream-up/runner", stream_frames::STATUSES))
         .chain(below("stream-up/sheds", daemon_frames::REASONS))
         .chain(below("stream-down/acquired", stream_frames::ACQUIRED))
         .chain(below("stream-down/reserved", stream_frames::RESERVED))
@@ -125,7 +115,7 @@
 
 const ALL_CHANNELS: [Channel; 3] = [Channel::Consensus, Channel::Stream, Channel::Daemons];
 
-/// What comes first on a dialed connection.
+/// Returns the opening bytes of a dialed connection.
 async fn dialed_bytes(channel: Channel) -> Vec<u8> {
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0")
         .await
@@ -133,8 +123,8 @@
     let std::net::SocketAddr::V4(address) = listener.local_addr().expect("an address") else {
         panic!("not of the fourth version")
     };
-    let patience = Duration::from_secs(10);
-    let dialed = dial(Ipv4Addr::LOCALHOST, address.into(), channel, patience).await;
+    let timeout = Duration::from_secs(10);
+    let dialed = dial(Ipv4Addr::LOCALHOST, address.into(), channel, timeout).await;
     let (mut accepted, _) = listener.accept().await.expect("a connection");
     drop(dialed.expect("a dialed connection"));
     let mut first_bytes = Vec::new();
@@ -176,7 +166,7 @@
     let held = held_forms(OPENINGS).expect("forms");
     for channel in ALL_CHANNELS {
         let held_form = held.iter().find(|form| form.name == channel_kind(&channel));
-        let held_bytes = bytes_of(&held_form.expect("held").text);
+        let held_bytes = bytes_of_hex(&held_form.expect("held").text);
         assert_eq!(
             read_channel(&mut held_bytes.as_slice())
                 .await
@@ -188,7 +178,7 @@
         .iter()
         .find(|form| form.name == "two-frames")
         .expect("held");
-    let held_bytes = bytes_of(&two_frames.text);
+    let held_bytes = bytes_of_hex(&two_frames.text);
     let mut reader = held_bytes.as_slice();
     let first = read_frame::<_, DaemonToLeader>(&mut reader)
         .await
@@ -212,11 +202,11 @@
     };
     let suspicions = vec![
         Suspicion {
-            instance: member_life(2),
+            instance: member_incarnation(2),
             remaining_relays: 0x21,
         },
         Suspicion {
-            instance: member_life(3),
+            instance: member_incarnation(3),
             remaining_relays: 0,
         },
     ];
@@ -242,7 +232,7 @@
     for (held_form, (name, heartbeat)) in held.iter().zip(heartbeats()) {
         verify_that!(held_form.name, eq(name))?;
         verify_that!(
-            decode_heartbeat(&bytes_of(&held_form.text))?,
+            decode_heartbeat(&bytes_of_hex(&held_form.text))?,
             eq(&heartbeat)
         )?;
     }
--- a/crates/common/tests/wire_forms/consensus_frames.rs
+++ b/crates/common/tests/wire_forms/consensus_frames.rs
@@ -1,13 +1,14 @@
-//! Samples of what controllers say to each other.
+//! Sample frames between controllers.
 
+use crate::forms::address;
 use crate::kinds::kinds;
-use crate::parts::{Line, address, document_version, header_field, long};
+use crate::parts::{SampleFrame, document_version, long, sample_frame};
 use common::frames::{
     ConsensusFrame, ConsensusMessage, Flag, KnownMember, LengthPrefixed, SocketAddress,
 };
 use common::identity::{ControllerId, Term};
 
-kinds!(CORE, core_kind, ConsensusMessage, {
+kinds!(CONSENSUS, consensus_kind, ConsensusMessage, {
     ConsensusMessage::Hello { .. } => "core/hello",
     ConsensusMessage::Bootstrap { .. } => "core/found",
     ConsensusMessage::VoteRequest { .. } => "core/vote-ask",
@@ -40,7 +41,7 @@
     }
 }
 
-/// The rest of a line's name, where a kind has several, and what is said.
+/// The end of a sample's name, where a kind has several samples, and the message.
 type Sample = (&'static str, ConsensusMessage);
 
 fn votes(term: Term) -> [Sample; 4] {
@@ -49,7 +50,7 @@
         accepted: document_version(0x20),
         is_pre_vote: Flag(is_pre_vote),
     };
-    let trial_reply = ConsensusMessage::VoteResponse {
+    let pre_vote_response = ConsensusMessage::VoteResponse {
         term,
         requested_term: Term(long(0x18)),
         is_pre_vote: Flag(true),
@@ -57,7 +58,7 @@
         members: LengthPrefixed(Vec::new()),
         complete: Flag(false),
     };
-    let vote_given = ConsensusMessage::VoteResponse {
+    let vote_response = ConsensusMessage::VoteResponse {
         term,
         requested_term: Term(long(0x18)),
         is_pre_vote: Flag(false),
@@ -68,13 +69,13 @@
     [
         ("", request(false)),
         ("/trial", request(true)),
-        ("/trial", trial_reply),
-        ("/given", vote_given),
+        ("/trial", pre_vote_response),
+        ("/given", vote_response),
     ]
 }
 
-fn rounds(term: Term) -> [Sample; 3] {
-    let round = |members, complete| ConsensusMessage::Heartbeat {
+fn heartbeats(term: Term) -> [Sample; 3] {
+    let heartbeat = |members, complete| ConsensusMessage::Heartbeat {
         term,
         round: long(0x18),
         accepted: document_version(0x20),
@@ -82,15 +83,15 @@
         members,
         complete: Flag(complete),
     };
-    let reply = ConsensusMessage::HeartbeatResponse {
+    let response = ConsensusMessage::HeartbeatResponse {
         term,
         round: long(0x18),
         accepted: document_version(0x20),
     };
     [
-        ("", round(known_members(), true)),
-        ("/nobody", round(LengthPrefixed(Vec::new()), false)),
-        ("", reply),
+        ("", heartbeat(known_members(), true)),
+        ("/nobody", heartbeat(LengthPrefixed(Vec::new()), false)),
+        ("", response),
     ]
 }
 
@@ -153,16 +154,16 @@
         ),
     ];
     samples.extend(votes(term));
-    samples.extend(rounds(term));
+    samples.extend(heartbeats(term));
     samples.extend(versions(term));
     samples
 }
 
-/// All lines of this channel.
-pub fn header_fields() -> Vec<Line> {
-    let as_line = |(rest, body): Sample| {
-        let name = format!("{}{rest}", core_kind(&body));
-        header_field(name, &in_frame(body))
+/// All samples.
+pub fn sample_frames() -> Vec<SampleFrame> {
+    let as_sample_frame = |(rest, body): Sample| {
+        let name = format!("{}{rest}", consensus_kind(&body));
+        sample_frame(name, &in_frame(body))
     };
-    samples().into_iter().map(as_line).collect()
+    samples().into_iter().map(as_sample_frame).collect()
 }
--- a/crates/common/tests/wire_forms/daemon_frames.rs
+++ b/crates/common/tests/wire_forms/daemon_frames.rs
@@ -1,14 +1,14 @@
-//! Samples of what daemons say to each other: transactions, outcomes, ledger notes.
+//! Sample frames between daemons: requests, outcomes and ledger entries.
 
 use crate::kinds::kinds;
-use crate::parts::{Line, fencing_token, function, header_field, host, long, runner, short};
+use crate::parts::{SampleFrame, fencing_token, function, host, long, runner, sample_frame, short};
 use common::frames::{
     DaemonFrame, DaemonMessage, Flag, HeaderField, LedgerRecord, LedgerRecordState, LengthPrefixed,
     RequestFailureReason, RequestOutcome, RequestPayload,
 };
 use common::identity::{CorrelationId, Version};
 
-kinds!(HOP, hop_kind, DaemonMessage, {
+kinds!(DAEMONS, daemon_kind, DaemonMessage, {
     DaemonMessage::FunctionRequest { .. } => "hop/ask",
     DaemonMessage::Completed { .. } => "hop/done",
     DaemonMessage::Record { .. } => "hop/note",
@@ -51,7 +51,7 @@
     LedgerRecordState::Rejected => "refused",
 });
 
-/// Every reason; that none is missing is seen in the fixture by `REASONS`.
+/// Every reason. That none is missing is found by `REASONS`, of which each must be in the fixture.
 pub const ALL_REASONS: [RequestFailureReason; 16] = [
     RequestFailureReason::NotHolder,
     RequestFailureReason::QueueFull,
@@ -78,14 +78,14 @@
     LedgerRecordState::Rejected,
 ];
 
-fn head_lines() -> LengthPrefixed<HeaderField> {
-    let head_line = |name: &str, value: &[u8]| HeaderField {
+fn header_fields() -> LengthPrefixed<HeaderField> {
+    let header_field = |name: &str, value: &[u8]| HeaderField {
         name: name.into(),
         value: value.to_vec().into(),
     };
     LengthPrefixed(vec![
-        head_line("host", b"segments.internal"),
-        head_line("x-raw", &[0xff, 0x00, 0x20]),
+        header_field("host", b"segments.internal"),
+        header_field("x-raw", &[0xff, 0x00, 0x20]),
     ])
 }
 
@@ -93,16 +93,16 @@
     RequestPayload {
         method: "PATCH".into(),
         target: "/segments/7?deep=yes".into(),
-        header_fields: head_lines(),
+        header_fields: header_fields(),
         body: b"{\"asked\":true}".to_vec().into(),
     }
 }
 
 fn request(repeat: bool, wants_referral: bool, region: &str) -> DaemonMessage {
-    let whole_key = function();
+    let all_regions_key = function();
     DaemonMessage::FunctionRequest {
         idempotency_key: "try-1".into(),
-        function: whole_key.in_region(&region.into()),
+        function: all_regions_key.in_region(&region.into()),
         route: "segment-check-post".into(),
         version: Version(long(0x40)),
         timeout_ms: short(0x48),
@@ -122,7 +122,7 @@
     }
 }
 
-fn done(outcome: RequestOutcome) -> DaemonMessage {
+fn completed(outcome: RequestOutcome) -> DaemonMessage {
     DaemonMessage::Completed {
         outcome,
         holder: LengthPrefixed(vec![host(3, true)]),
@@ -130,43 +130,46 @@
     }
 }
 
-/// The rest of a line's name, and what is said.
+/// The end of a sample's name, and the message.
 type Sample = (String, DaemonMessage);
 
 fn outcomes() -> Vec<Sample> {
-    let answer = RequestOutcome::Response {
+    let response = RequestOutcome::Response {
         status: 0x0123,
         seal: (0xc0..0xe0).collect::<Vec<u8>>().into(),
         runner: runner(0x58),
-        header_fields: head_lines(),
+        header_fields: header_fields(),
         body: b"{\"answered\":true}".to_vec().into(),
     };
-    let bare_answer = DaemonMessage::Completed {
-        outcome: answer.clone(),
+    let bare_response = DaemonMessage::Completed {
+        outcome: response.clone(),
         holder: LengthPrefixed(Vec::new()),
         regional_tenths: 0,
     };
     let not_run = |reason: RequestFailureReason| {
-        done(RequestOutcome::NotRun {
+        completed(RequestOutcome::NotRun {
             reason,
             retry_after_ms: short(0x5a),
         })
     };
-    let unknown = |reason: RequestFailureReason| done(RequestOutcome::Unknown { reason });
+    let unknown = |reason: RequestFailureReason| completed(RequestOutcome::Unknown { reason });
     let name = |body: &DaemonMessage, rest: &str| match body {
         DaemonMessage::Completed { outcome, .. } => format!("/{}/{rest}", outcome_kind(outcome)),
         _ => format!("/{rest}"),
     };
-    let answers = [("by-another", done(answer)), ("by-itself", bare_answer)];
+    let responses = [
+        ("by-another", completed(response)),
+        ("by-itself", bare_response),
+    ];
     let not_runs = ALL_REASONS.map(|reason| (reason_kind(&reason), not_run(reason)));
     let unknowns = ALL_REASONS.map(|reason| (reason_kind(&reason), unknown(reason)));
-    let all = answers.into_iter().chain(not_runs).chain(unknowns);
+    let all = responses.into_iter().chain(not_runs).chain(unknowns);
     all.map(|(rest, body)| (name(&body, rest), body)).collect()
 }
 
 fn ledger() -> Vec<Sample> {
     let incarnation = long(0x90).into();
-    let note_of = |state: LedgerRecordState| DaemonMessage::Record {
+    let record_of = |state: LedgerRecordState| DaemonMessage::Record {
         function: function(),
         fencing_token: fencing_token(),
         incarnation,
@@ -183,7 +186,7 @@
     let digests = LengthPrefixed(vec![long(0xb0), 0, long(0xb8)]);
     let mut samples: Vec<Sample> = ALL_STATES
         .into_iter()
-        .map(|state| (format!("/{}", state_kind(&state)), note_of(state)))
+        .map(|state| (format!("/{}", state_kind(&state)), record_of(state)))
         .collect();
     samples.extend([
         (
@@ -227,9 +230,9 @@
     samples
 }
 
-/// All lines of this channel.
-pub fn header_fields() -> Vec<Line> {
-    let bare_ask = DaemonMessage::FunctionRequest {
+/// All samples.
+pub fn sample_frames() -> Vec<SampleFrame> {
+    let bare_request = DaemonMessage::FunctionRequest {
         idempotency_key: "".into(),
         function: function(),
         route: "".into(),
@@ -244,13 +247,13 @@
     let mut samples: Vec<Sample> = vec![
         ("/repeat".to_owned(), request(true, false, "east")),
         ("/refer".to_owned(), request(false, true, "w\u{eb}st")),
-        ("/bare".to_owned(), bare_ask),
+        ("/bare".to_owned(), bare_request),
     ];
     samples.extend(outcomes());
     samples.extend(ledger());
-    let as_line = |(rest, body): Sample| {
-        let name = format!("{}{rest}", hop_kind(&body));
-        header_field(
+    let as_sample_frame = |(rest, body): Sample| {
+        let name = format!("{}{rest}", daemon_kind(&body));
+        sample_frame(
             name,
             &DaemonFrame {
                 correlation: CorrelationId(long(0x08)),
@@ -258,5 +261,5 @@
             },
         )
     };
-    samples.into_iter().map(as_line).collect()
+    samples.into_iter().map(as_sample_frame).collect()
 }
--- a/crates/common/tests/wire_forms/parts.rs
+++ b/crates/common/tests/wire_forms/parts.rs
@@ -1,36 +1,37 @@
-//! Sample values of what frames are made of: fixed, no two alike, and with the order of their bytes to be seen.
+//! Fixed sample values for the parts of frames. No two are alike, and the order of their bytes shows.
 
+use crate::forms::address;
 use binrw::meta::{ReadEndian, WriteEndian};
 use binrw::{BinRead, BinWrite};
 use common::frames::{
-    ClaimedRunner, Flag, FrameError, Host, Instance, LengthPrefixed, MemberIncarnation,
-    SocketAddress, decode, encode,
+    ClaimedRunner, Flag, FrameError, Host, Instance, LengthPrefixed, MemberIncarnation, decode,
+    encode,
 };
 use common::identity::{DocumentVersion, FencingToken, FunctionKey, RunnerId, Term, Version};
 use std::fmt::Debug;
 
-/// What a frame reads as: its bytes when it is written again, and what it says.
-pub type Reread = (Vec<u8>, String);
+/// A decoded frame: its bytes when it is encoded again, and its debug form.
+pub type Decoded = (Vec<u8>, String);
 
 /// One frame of the fixture.
-pub struct Line {
-    /// Its name on the wire.
+pub struct SampleFrame {
+    /// Its name in the fixture.
     pub name: String,
-    /// Its bytes, and what it says.
-    pub made: Reread,
-    /// Reads a frame of its kind.
-    pub reload: fn(&[u8]) -> Result<Reread, FrameError>,
+    /// Its bytes, and its debug form.
+    pub expected: Decoded,
+    /// Decodes a frame of its kind.
+    pub decode: fn(&[u8]) -> Result<Decoded, FrameError>,
 }
 
-fn written<T>(frame: &T) -> Result<Reread, FrameError>
+fn written<T>(frame: &T) -> Result<Decoded, FrameError>
 where
     T: Debug + for<'a> BinWrite<Args<'a> = ()> + WriteEndian,
 {
     Ok((encode(frame)?, format!("{frame:?}")))
 }
 
-/// A line of a frame.
-pub fn header_field<T>(name: impl Into<String>, frame: &T) -> Line
+/// Makes a sample of a frame.
+pub fn sample_frame<T>(name: impl Into<String>, frame: &T) -> SampleFrame
 where
     T: Debug
         + for<'a> BinWrite<Args<'a> = ()>
@@ -38,10 +39,10 @@
         + for<'a> BinRead<Args<'a> = ()>
         + ReadEndian,
 {
-    Line {
+    SampleFrame {
         name: name.into(),
-        made: written(frame).expect("a frame as bytes"),
-        reload: |frame_bytes| written(&decode::<T>(frame_bytes)?),
+        expected: written(frame).expect("a frame as bytes"),
+        decode: |frame_bytes| written(&decode::<T>(frame_bytes)?),
     }
 }
 
@@ -55,16 +56,7 @@
     (0..4).fold(0, |number, step| number << 8 | u32::from(first + step))
 }
 
-/// A place with the number in every part of it.
-pub fn address(number: u8) -> SocketAddress {
-    SocketAddress(
-        format!("10.{number}.0.{}:{}", number + 1, 4000 + u16::from(number))
-            .parse()
-            .expect("it"),
-    )
-}
-
-/// A version's place.
+/// A full version.
 pub fn document_version(first: u8) -> DocumentVersion {
     DocumentVersion {
         term: Term(long(first)),
@@ -77,7 +69,7 @@
     FunctionKey::new("segment-check", Version(long(0x60)))
 }
 
-/// A grant.
+/// A fencing token.
 pub fn fencing_token() -> FencingToken {
     FencingToken::new(Term(0x51), 0x5253)
 }
@@ -94,15 +86,15 @@
     }
 }
 
-/// One life of a daemon.
-pub fn member_life(number: u8) -> MemberIncarnation {
+/// One incarnation of a daemon.
+pub fn member_incarnation(number: u8) -> MemberIncarnation {
     MemberIncarnation {
         member: format!("daemon-{number}").into(),
         incarnation: long(number).into(),
     }
 }
 
-/// A runner's name.
+/// A runner's identity.
 pub fn runner(ordinal: u8) -> RunnerId {
     RunnerId {
         fencing_token: fencing_token(),
@@ -110,7 +102,7 @@
     }
 }
 
-/// One life of a runner.
+/// One instance of a runner.
 pub fn instance(number: u8) -> Instance {
     Instance {
         name: format!("life-{number}.r-51-{number:x}").into(),
@@ -118,7 +110,7 @@
     }
 }
 
-/// Two runners of a claim: one that is ready and fit, and one of which little is known.
+/// Two runners of a claim: one that is ready and adoptable, and one whose instance is not known.
 pub fn claim_runners() -> LengthPrefixed<ClaimedRunner> {
     LengthPrefixed(vec![
         ClaimedRunner {
--- a/crates/common/tests/wire_forms/stream_frames.rs
+++ b/crates/common/tests/wire_forms/stream_frames.rs
@@ -1,10 +1,11 @@
-//! Samples of what a daemon and the leader say to each other.
+//! Sample frames between a daemon and the leader.
 
 use crate::daemon_frames::{ALL_REASONS, reason_kind};
+use crate::forms::address;
 use crate::kinds::kinds;
 use crate::parts::{
-    Line, address, claim_runners, fencing_token, function, header_field, host, instance, long,
-    member_life, runner, short,
+    SampleFrame, claim_runners, fencing_token, function, host, instance, long, member_incarnation,
+    runner, sample_frame, short,
 };
 use common::frames::{
     AcquireResult, Claim, DaemonToLeader, Flag, IdleFunction, LeaderToDaemon, LengthPrefixed,
@@ -32,7 +33,7 @@
     DaemonToLeader::ReplicaComplete { .. } => "stream-up/steward-whole",
 });
 
-kinds!(NEWS, news_kind, RunnerStatus, {
+kinds!(STATUSES, status_kind, RunnerStatus, {
     RunnerStatus::Ready => "ready",
     RunnerStatus::Gone => "gone",
     RunnerStatus::Started { .. } => "begun",
@@ -68,7 +69,7 @@
     ReserveResult::Rejected => "shed",
 });
 
-const QUESTION: CorrelationId = CorrelationId(0x0809_0a0b_0c0d_0e0f);
+const CORRELATION: CorrelationId = CorrelationId(0x0809_0a0b_0c0d_0e0f);
 
 fn hello(is_eligible: bool, granted: bool) -> DaemonToLeader {
     DaemonToLeader::Hello {
@@ -102,7 +103,7 @@
     }
 }
 
-fn runner_news() -> [DaemonToLeader; 3] {
+fn runner_updates() -> [DaemonToLeader; 3] {
     [
         RunnerStatus::Ready,
         RunnerStatus::Gone,
@@ -137,7 +138,7 @@
         (
             "",
             DaemonToLeader::Renew {
-                correlation: QUESTION,
+                correlation: CORRELATION,
                 version: Version(long(0x20)),
             },
         ),
@@ -151,7 +152,7 @@
         (
             "",
             DaemonToLeader::Acquire {
-                correlation: QUESTION,
+                correlation: CORRELATION,
                 function: function.clone(),
             },
         ),
@@ -166,7 +167,7 @@
         (
             "",
             DaemonToLeader::Reserve {
-                correlation: QUESTION,
+                correlation: CORRELATION,
                 function: function.clone(),
                 fencing_token,
             },
@@ -189,13 +190,13 @@
         (
             "",
             DaemonToLeader::MemberSuspected {
-                instance: member_life(6),
+                instance: member_incarnation(6),
             },
         ),
         (
             "",
             DaemonToLeader::MemberRecovered {
-                instance: member_life(6),
+                instance: member_incarnation(6),
             },
         ),
         ("", DaemonToLeader::FullHostListRequest),
@@ -208,7 +209,7 @@
             },
         ),
     ];
-    samples.extend(runner_news().map(|frame| ("", frame)));
+    samples.extend(runner_updates().map(|frame| ("", frame)));
     samples.extend(ALL_REASONS.map(|reason| {
         (
             "",
@@ -226,7 +227,7 @@
     let kind = up_kind(frame);
     match frame {
         DaemonToLeader::RunnerUpdate { runner_status, .. } => {
-            format!("{kind}/{}", news_kind(runner_status))
+            format!("{kind}/{}", status_kind(runner_status))
         }
         DaemonToLeader::Rejections { reason, .. } => format!("{kind}/{}", reason_kind(reason)),
         _ => format!("{kind}{rest}"),
@@ -272,7 +273,7 @@
         (
             rest,
             LeaderToDaemon::Acquired {
-                correlation: QUESTION,
+                correlation: CORRELATION,
                 function: function(),
                 result,
             },
@@ -290,7 +291,7 @@
         (
             "",
             LeaderToDaemon::Reserved {
-                correlation: QUESTION,
+                correlation: CORRELATION,
                 function: function(),
                 result,
             },
@@ -300,7 +301,7 @@
 
 fn host_lists() -> [(&'static str, LeaderToDaemon); 3] {
     let hosts = LengthPrefixed(vec![host(11, true), host(12, false)]);
-    let suspected = LengthPrefixed(vec![member_life(12), member_life(13)]);
+    let suspected = LengthPrefixed(vec![member_incarnation(12), member_incarnation(13)]);
     let none = LeaderToDaemon::HostsDelta {
         number: long(0x68),
         put: LengthPrefixed(Vec::new()),
@@ -335,7 +336,7 @@
         replica,
     };
     let renewed = LeaderToDaemon::Renewed {
-        correlation: QUESTION,
+        correlation: CORRELATION,
         lease_ms: short(0x70),
         version: Version(long(0x74)),
     };
@@ -420,13 +421,13 @@
     }
 }
 
-/// All lines of this channel, of both directions.
-pub fn header_fields() -> Vec<Line> {
-    let ups = up_samples()
+/// All samples, of both directions.
+pub fn sample_frames() -> Vec<SampleFrame> {
+    let up_frames = up_samples()
         .into_iter()
-        .map(|(rest, frame)| header_field(up_name(rest, &frame), &frame));
-    let downs = down_samples()
+        .map(|(rest, frame)| sample_frame(up_name(rest, &frame), &frame));
+    let down_frames = down_samples()
         .into_iter()
-        .map(|(rest, frame)| header_field(down_name(rest, &frame), &frame));
-    ups.chain(downs).collect()
+        .map(|(rest, frame)| sample_frame(down_name(rest, &frame), &frame));
+    up_frames.chain(down_frames).collect()
 }
