--- a/crates/common/tests/document_forms.rs
+++ b/crates/common/tests/document_forms.rs
@@ -140,7 +140,7 @@
 }
 
 #[gtest]
-fn documents_views_and_changes_are_written_as_ever() -> Result<()> {
+fn documents_views_and_deltas_keep_their_written_form() -> Result<()> {
     let (held, newer) = (full_document(), newer_document());
     let (held_view, newer_view) = (held.view(), newer.view());
     let founding = Document::founding(voters(&[1]));
@@ -161,7 +161,7 @@
 }
 
 #[gtest]
-fn documents_are_read_as_ever() -> Result<()> {
+fn documents_are_read_from_their_held_form() -> Result<()> {
     for (name, document) in [
         ("document/founding", Document::founding(voters(&[1]))),
         ("document/whole", full_document()),
@@ -174,7 +174,7 @@
 }
 
 #[gtest]
-fn documents_of_earlier_sources_are_read_as_ever() -> Result<()> {
+fn documents_of_earlier_sources_are_read() -> Result<()> {
     let read = Document::from_bytes(&held_text("document/earlier"))?;
     let expected = full_document();
     verify_that!(
@@ -203,7 +203,7 @@
 }
 
 #[gtest]
-fn changes_lead_from_the_held_version_as_ever() -> Result<()> {
+fn held_deltas_apply_to_the_held_version() -> Result<()> {
     let held = Document::from_bytes(&held_text("document/whole"))?;
     let changed = held.apply_delta(&held_text("document/change"), &newer_document().digest())?;
     verify_that!(changed == newer_document(), eq(true))?;
@@ -249,7 +249,7 @@
 
 /// Digests and ring positions that two processes must agree on, and the text forms of names in headers and paths.
 #[gtest]
-fn digests_seals_and_names_are_as_ever() -> Result<()> {
+fn digests_seals_and_names_keep_their_form() -> Result<()> {
     let (held, newer) = (full_document(), newer_document());
     let text = |name: &str, text: String| Form {
         name: name.to_owned(),
@@ -289,7 +289,7 @@
 }
 
 #[gtest]
-fn what_was_packed_is_unpacked_as_ever() -> Result<()> {
+fn a_held_compressed_text_is_decompressed() -> Result<()> {
     let long_text = full_document().to_bytes();
     if std::env::var_os("RUDDERSTREAM_WRITE_FORMS").is_some() {
         let packed_text = hex(&compress(&long_text).0);
--- a/crates/common/tests/platform_forms.rs
+++ b/crates/common/tests/platform_forms.rs
@@ -71,7 +71,7 @@
 const STATUSES: [u16; 12] = [200, 201, 204, 400, 404, 408, 409, 429, 500, 502, 503, 507];
 
 #[tokio::test]
-async fn starts_are_called_and_taken_as_before() {
+async fn starts_keep_their_calls_and_outcomes() {
     let mut text = String::new();
     let good = json!({"life": "life-9", "place": "10.0.0.3:9000"}).to_string();
     for key in [function(), function().in_region(&"north".into())] {
@@ -109,7 +109,7 @@
 }
 
 #[tokio::test]
-async fn stops_are_called_and_taken_as_before() {
+async fn stops_keep_their_calls_and_outcomes() {
     let mut text = String::new();
     for instance in [Some("life-9"), None] {
         let double = PlatformDouble::answering(&[(200, "{}".to_owned())]).await;
@@ -135,7 +135,7 @@
 }
 
 #[tokio::test]
-async fn workers_are_listed_and_taken_as_before() {
+async fn worker_lists_keep_their_calls_and_results() {
     let mut text = String::new();
     let full_list = json!({"workers": [
         {"worker": "w-1", "locality": "north", "memory_mb": 4096, "draining": true},
@@ -182,7 +182,7 @@
 }
 
 #[tokio::test]
-async fn runners_are_listed_and_taken_as_before() {
+async fn runner_lists_keep_their_calls_and_results() {
     let mut text = String::new();
     let row = json!({
         "runner": runner().to_string(), "function": "pay@12~north", "worker": "w-1",
--- a/crates/common/tests/wire_forms.rs
+++ b/crates/common/tests/wire_forms.rs
@@ -45,7 +45,7 @@
 }
 
 #[gtest]
-fn every_frame_has_the_bytes_it_always_had() -> Result<()> {
+fn every_frame_keeps_its_bytes() -> Result<()> {
     let forms: Vec<Form> = sample_frames()
         .iter()
         .map(|sample| form(&sample.name, &sample.expected.0))
@@ -54,7 +54,7 @@
 }
 
 #[gtest]
-fn every_frame_is_read_from_the_bytes_it_always_had() -> Result<()> {
+fn every_frame_is_decoded_from_its_held_bytes() -> Result<()> {
     let held = held_forms(FRAMES)?;
     let samples = sample_frames();
     verify_that!(held.len(), eq(samples.len()))?;
@@ -93,7 +93,7 @@
 }
 
 #[gtest]
-fn no_variant_lacks_its_bytes_in_the_fixture() -> Result<()> {
+fn every_variant_is_in_the_fixture() -> Result<()> {
     let held = held_forms(FRAMES)?;
     let is_held = |needed: &str| {
         let below = format!("{needed}/");
@@ -133,7 +133,7 @@
 }
 
 #[tokio::test]
-async fn connections_open_as_they_always_did() {
+async fn connections_keep_their_opening_bytes() {
     let mut forms = Vec::new();
     for channel in ALL_CHANNELS {
         let mut written_bytes = Vec::new();
@@ -162,7 +162,7 @@
 }
 
 #[tokio::test]
-async fn connections_are_read_as_they_always_opened() {
+async fn connections_are_accepted_from_their_held_opening_bytes() {
     let held = held_forms(OPENINGS).expect("forms");
     for channel in ALL_CHANNELS {
         let held_form = held.iter().find(|form| form.name == channel_kind(&channel));
@@ -217,7 +217,7 @@
 }
 
 #[gtest]
-fn heartbeats_have_the_bytes_they_always_had() -> Result<()> {
+fn heartbeats_keep_their_bytes() -> Result<()> {
     let mut forms = Vec::new();
     for (name, heartbeat) in heartbeats() {
         forms.push(form(name, &encode_heartbeat(&heartbeat)?));
@@ -226,7 +226,7 @@
 }
 
 #[gtest]
-fn heartbeats_are_read_from_the_bytes_they_always_had() -> Result<()> {
+fn heartbeats_are_decoded_from_their_held_bytes() -> Result<()> {
     let held = held_forms(HEARTBEATS)?;
     verify_that!(held.len(), eq(heartbeats().len()))?;
     for (held_form, (name, heartbeat)) in held.iter().zip(heartbeats()) {
