--- a/crates/common/src/spec/route_reader.rs
+++ b/crates/common/src/spec/route_reader.rs
@@ -9,25 +9,27 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
+const KNOWN_KEYS: [&str; 14] = [
+    "method",
+    "path",
+    "host",
+    "prefix",
+    "function",
+    "functions",
+    "budget_ms",
+    "patience_ms",
+    "target_ms",
+    "rank",
+    "tries",
+    "kind",
+    "identities",
+    "labels",
+];
+
 /// Reads one route; none if a required key is missing or invalid.
 pub(super) fn read_route(route_name: &str, reader: &PathReader<'_>) -> Option<RouteSpec> {
     check_name(route_name, reader);
-    reader.allow_only(&[
-        "method",
-        "path",
-        "host",
-        "prefix",
-        "function",
-        "functions",
-        "budget_ms",
-        "patience_ms",
-        "target_ms",
-        "rank",
-        "tries",
-        "kind",
-        "identities",
-        "labels",
-    ]);
+    reader.allow_only(&KNOWN_KEYS);
     let by_prefix = reader.field("prefix").is_present() || reader.field("host").is_present();
     let matching = if by_prefix {
         read_prefix(reader)
--- a/crates/common/tests/frames.rs
+++ b/crates/common/tests/frames.rs
@@ -58,26 +58,31 @@
     Ok(())
 }
 
-/// Frames of each channel, as processes send them.
-fn real_frames() -> Vec<Vec<u8>> {
-    let host = Host {
+fn host() -> Host {
+    Host {
         member: "th-1".into(),
         incarnation: 5.into(),
         zone: "l".into(),
         address: SocketAddress::UNSPECIFIED,
         eligible: Flag(true),
         link_mbps: 0,
-    };
-    let function = FunctionKey::new("f", Version(2));
+    }
+}
+
+fn function() -> FunctionKey {
+    FunctionKey::new("f", Version(2))
+}
+
+fn daemon_messages() -> [DaemonMessage; 3] {
     let record = LedgerRecord {
         idempotency_key: "t-1".into(),
         state: LedgerRecordState::Recorded,
         remaining_ms: 900,
     };
-    let requests = [
+    [
         DaemonMessage::FunctionRequest {
             idempotency_key: "t-1".into(),
-            function: function.clone(),
+            function: function(),
             route: "r".into(),
             version: Version(3),
             timeout_ms: 900,
@@ -88,25 +93,24 @@
             payload: RequestPayload::from_body(b"{}".to_vec().into()),
         },
         DaemonMessage::Record {
-            function: function.clone(),
+            function: function(),
             fencing_token: FencingToken(4),
             incarnation: 5.into(),
             records: LengthPrefixed(vec![record.clone(), record]),
         },
         DaemonMessage::Compare {
-            function: function.clone(),
+            function: function(),
             fencing_token: FencingToken(4),
             incarnation: 5.into(),
             digests: LengthPrefixed(vec![1, 2, 3]),
         },
-    ];
-    let daemon_frames = requests.into_iter().map(|body| DaemonFrame {
-        correlation: CorrelationId(8),
-        body,
-    });
-    let up_frames = [
+    ]
+}
+
+fn frames_to_leader() -> [DaemonToLeader; 3] {
+    [
         DaemonToLeader::Hello {
-            host: host.clone(),
+            host: host(),
             ingress: SocketAddress::UNSPECIFIED,
             version: Version(3),
             age_ms: 700,
@@ -114,24 +118,27 @@
         },
         DaemonToLeader::Acquire {
             correlation: CorrelationId(8),
-            function: function.clone(),
+            function: function(),
         },
         DaemonToLeader::Release {
-            function: function.clone(),
+            function: function(),
             fencing_token: FencingToken(4),
             runners: LengthPrefixed(Vec::new()),
         },
-    ];
-    let down_frames = [
+    ]
+}
+
+fn frames_to_daemon() -> [LeaderToDaemon; 4] {
+    [
         sample(),
         LeaderToDaemon::Hosts {
             number: 4,
-            hosts: LengthPrefixed(vec![host.clone(), host.clone()]),
+            hosts: LengthPrefixed(vec![host(), host()]),
             suspected: LengthPrefixed(Vec::new()),
         },
         LeaderToDaemon::HostsDelta {
             number: 5,
-            put: LengthPrefixed(vec![host]),
+            put: LengthPrefixed(vec![host()]),
             removed: LengthPrefixed(vec!["th-3".into()]),
             suspected: LengthPrefixed(vec![MemberIncarnation {
                 member: "th-1".into(),
@@ -140,10 +147,13 @@
         },
         LeaderToDaemon::Acquired {
             correlation: CorrelationId(8),
-            function,
+            function: function(),
             result: AcquireResult::RetryLater { wait_ms: 900 },
         },
-    ];
+    ]
+}
+
+fn consensus_messages() -> [ConsensusMessage; 3] {
     let (term, document_version) = (
         Term(2),
         DocumentVersion {
@@ -151,7 +161,7 @@
             version: Version(3),
         },
     );
-    let consensus_messages = [
+    [
         ConsensusMessage::AcceptFull {
             term,
             document_version,
@@ -171,15 +181,22 @@
             term,
             accepted: document_version,
         },
-    ];
+    ]
+}
+
+/// Frames of each channel, as processes send them.
+fn real_frames() -> Vec<Vec<u8>> {
+    let daemon_frames = daemon_messages().map(|body| DaemonFrame {
+        correlation: CorrelationId(8),
+        body,
+    });
     let daemon_bytes = daemon_frames.map(|frame| encode(&frame).expect("bytes"));
-    let up_bytes = up_frames.iter().map(|frame| encode(frame).expect("bytes"));
-    let down_bytes = down_frames
-        .iter()
-        .map(|frame| encode(frame).expect("bytes"));
+    let up_bytes = frames_to_leader().map(|frame| encode(&frame).expect("bytes"));
+    let down_bytes = frames_to_daemon().map(|frame| encode(&frame).expect("bytes"));
     let consensus_bytes =
-        consensus_messages.map(|body| encode(&consensus_frame(body)).expect("bytes"));
+        consensus_messages().map(|body| encode(&consensus_frame(body)).expect("bytes"));
     daemon_bytes
+        .into_iter()
         .chain(up_bytes)
         .chain(down_bytes)
         .chain(consensus_bytes)
--- a/crates/common/tests/wire_forms/stream_frames.rs
+++ b/crates/common/tests/wire_forms/stream_frames.rs
@@ -118,14 +118,10 @@
     })
 }
 
-fn up_samples() -> Vec<(&'static str, DaemonToLeader)> {
-    let (function, fencing_token) = (function(), fencing_token());
-    let idle = |function, idle_ms| IdleFunction { function, idle_ms };
-    let idle_functions = vec![
-        idle(function.clone(), short(0x40)),
-        idle(function.in_region(&"east".into()), short(0x44)),
-    ];
-    let mut samples = vec![
+type UpSample = (&'static str, DaemonToLeader);
+
+fn session_samples() -> Vec<UpSample> {
+    vec![
         ("/staying", hello(true, false)),
         ("/leaving", hello(false, true)),
         ("/some", claims()),
@@ -148,6 +144,12 @@
                 version: Version(long(0x20)),
             },
         ),
+    ]
+}
+
+fn lease_samples() -> Vec<UpSample> {
+    let (function, fencing_token) = (function(), fencing_token());
+    vec![
         ("", DaemonToLeader::FullSpecRequest),
         (
             "",
@@ -172,6 +174,17 @@
                 fencing_token,
             },
         ),
+    ]
+}
+
+fn report_samples() -> Vec<UpSample> {
+    let (function, fencing_token) = (function(), fencing_token());
+    let idle = |function, idle_ms| IdleFunction { function, idle_ms };
+    let idle_functions = vec![
+        idle(function.clone(), short(0x40)),
+        idle(function.in_region(&"east".into()), short(0x44)),
+    ];
+    vec![
         ("", DaemonToLeader::Leaving),
         (
             "",
@@ -208,7 +221,13 @@
                 replica: "daemon-7".into(),
             },
         ),
-    ];
+    ]
+}
+
+fn up_samples() -> Vec<UpSample> {
+    let mut samples = session_samples();
+    samples.extend(lease_samples());
+    samples.extend(report_samples());
     samples.extend(runner_updates().map(|frame| ("", frame)));
     samples.extend(ALL_REASONS.map(|reason| {
         (
@@ -234,7 +253,7 @@
     }
 }
 
-fn acquisitions() -> [(&'static str, LeaderToDaemon); 5] {
+fn acquisitions() -> [DownSample; 5] {
     let granted = AcquireResult::Granted {
         fencing_token: fencing_token(),
         once_wait_ms: short(0x50),
@@ -281,7 +300,7 @@
     })
 }
 
-fn reservations() -> [(&'static str, LeaderToDaemon); 2] {
+fn reservations() -> [DownSample; 2] {
     let reserved = ReserveResult::Reserved {
         runner: runner(0x5c),
         worker: "worker-9".into(),
@@ -299,7 +318,7 @@
     })
 }
 
-fn host_lists() -> [(&'static str, LeaderToDaemon); 3] {
+fn host_lists() -> [DownSample; 3] {
     let hosts = LengthPrefixed(vec![host(11, true), host(12, false)]);
     let suspected = LengthPrefixed(vec![member_incarnation(12), member_incarnation(13)]);
     let none = LeaderToDaemon::HostsDelta {
@@ -328,13 +347,9 @@
     ]
 }
 
-fn down_samples() -> Vec<(&'static str, LeaderToDaemon)> {
-    let (function, fencing_token, runner) = (function(), fencing_token(), runner(0x6c));
-    let replica = |replica| LeaderToDaemon::ReplicaAssigned {
-        function: crate::parts::function(),
-        fencing_token,
-        replica,
-    };
+type DownSample = (&'static str, LeaderToDaemon);
+
+fn opening_samples() -> Vec<DownSample> {
     let renewed = LeaderToDaemon::Renewed {
         correlation: CORRELATION,
         lease_ms: short(0x70),
@@ -350,7 +365,7 @@
         version: Version(long(0x74)),
         document: b"{\"serial\":4}".to_vec().into(),
     };
-    let mut samples = vec![
+    vec![
         (
             "/known",
             LeaderToDaemon::Redirect {
@@ -372,6 +387,17 @@
         ("", renewed),
         ("", spec),
         ("", delta),
+    ]
+}
+
+fn order_samples() -> Vec<DownSample> {
+    let (function, fencing_token, runner) = (function(), fencing_token(), runner(0x6c));
+    let replica = |replica| LeaderToDaemon::ReplicaAssigned {
+        function: crate::parts::function(),
+        fencing_token,
+        replica,
+    };
+    vec![
         (
             "",
             LeaderToDaemon::Revoke {
@@ -403,7 +429,12 @@
         ("", LeaderToDaemon::RunnerUnlisted { function, runner }),
         ("/another", replica(LengthPrefixed(vec![host(17, true)]))),
         ("/nobody", replica(LengthPrefixed(Vec::new()))),
-    ];
+    ]
+}
+
+fn down_samples() -> Vec<DownSample> {
+    let mut samples = opening_samples();
+    samples.extend(order_samples());
     samples.extend(host_lists());
     samples.extend(acquisitions());
     samples.extend(reservations());
