--- a/testing/support/daemon_settings.rs
+++ b/testing/support/daemon_settings.rs
@@ -15,7 +15,7 @@
     let region_of = |zone: &str| {
         settings
             .regions
-            .of(&Zone::from(zone))
+            .region_of(&Zone::from(zone))
             .map(ToString::to_string)
     };
     let regions: Vec<(&str, Option<String>)> =
