--- a/crates/common/tests/frames.rs
+++ b/crates/common/tests/frames.rs
@@ -326,30 +326,14 @@
     verify_that!(MemberName::from("th-1").as_str(), eq("th-1"))
 }
 
-#[gtest]
-fn a_forwarded_request_adds_little_overhead() -> Result<()> {
-    let header_field = |name: &str, value: &str| HeaderField {
-        name: name.into(),
-        value: value.as_bytes().to_vec().into(),
-    };
-    let identity = "0f3c2a9e-6a55-4d0e-8a5c-1f3f6f0c9d11";
-    let header_fields = vec![
-        header_field("host", "segments.internal"),
-        header_field("content-type", "application/json"),
-    ];
-    let own_bytes = |header_fields: &[HeaderField]| -> usize {
-        let as_sent = |header_field: &HeaderField| {
-            header_field.name.as_str().len() + header_field.value.0.len() + ": \r\n".len()
-        };
-        header_fields.iter().map(as_sent).sum()
-    };
+fn forwarded_request(identity: &str, header_fields: Vec<HeaderField>) -> DaemonMessage {
     let payload = RequestPayload {
         method: "POST".into(),
         target: "/segments/7".into(),
-        header_fields: LengthPrefixed(header_fields.clone()),
+        header_fields: LengthPrefixed(header_fields),
         body: vec![7; 300].into(),
     };
-    let request = DaemonMessage::FunctionRequest {
+    DaemonMessage::FunctionRequest {
         idempotency_key: identity.into(),
         function: FunctionKey::new("segment-check", Version(2)),
         route: "segment-check-post".into(),
@@ -360,7 +344,10 @@
         wants_referral: Flag(true),
         region: "east".into(),
         payload,
-    };
+    }
+}
+
+fn completed_request(header_fields: Vec<HeaderField>) -> DaemonMessage {
     let outcome = RequestOutcome::Response {
         status: 200,
         seal: vec![1; 32].into(),
@@ -368,14 +355,35 @@
             fencing_token: FencingToken(4),
             ordinal: 5,
         },
-        header_fields: LengthPrefixed(header_fields.clone()),
+        header_fields: LengthPrefixed(header_fields),
         body: vec![7; 1700].into(),
     };
-    let completed = DaemonMessage::Completed {
+    DaemonMessage::Completed {
         outcome,
         holder: LengthPrefixed(Vec::new()),
         regional_tenths: 0,
+    }
+}
+
+#[gtest]
+fn a_forwarded_request_adds_little_overhead() -> Result<()> {
+    let header_field = |name: &str, value: &str| HeaderField {
+        name: name.into(),
+        value: value.as_bytes().to_vec().into(),
+    };
+    let identity = "0f3c2a9e-6a55-4d0e-8a5c-1f3f6f0c9d11";
+    let header_fields = vec![
+        header_field("host", "segments.internal"),
+        header_field("content-type", "application/json"),
+    ];
+    let own_bytes = |header_fields: &[HeaderField]| -> usize {
+        let as_sent = |header_field: &HeaderField| {
+            header_field.name.as_str().len() + header_field.value.0.len() + ": \r\n".len()
+        };
+        header_fields.iter().map(as_sent).sum()
     };
+    let request = forwarded_request(identity, header_fields.clone());
+    let completed = completed_request(header_fields.clone());
     let framed = |body: DaemonMessage| {
         encode(&DaemonFrame {
             correlation: CorrelationId(8),
--- a/crates/common/tests/wire_forms/daemon_frames.rs
+++ b/crates/common/tests/wire_forms/daemon_frames.rs
@@ -167,7 +167,7 @@
     all.map(|(rest, body)| (name(&body, rest), body)).collect()
 }
 
-fn ledger() -> Vec<Sample> {
+fn record_samples() -> Vec<Sample> {
     let incarnation = long(0x90).into();
     let record_of = |state: LedgerRecordState| DaemonMessage::Record {
         function: function(),
@@ -175,15 +175,6 @@
         incarnation,
         records: LengthPrefixed(vec![record(1, state)]),
     };
-    let records: Vec<LedgerRecord> = (1..)
-        .zip(ALL_STATES)
-        .map(|(n, state)| record(n, state))
-        .collect();
-    let collected = |complete| DaemonMessage::Collected {
-        complete: Flag(complete),
-        records: LengthPrefixed(records.clone()),
-    };
-    let digests = LengthPrefixed(vec![long(0xb0), 0, long(0xb8)]);
     let mut samples: Vec<Sample> = ALL_STATES
         .into_iter()
         .map(|state| (format!("/{}", state_kind(&state)), record_of(state)))
@@ -201,6 +192,22 @@
                 is_stored: Flag(false),
             },
         ),
+    ]);
+    samples
+}
+
+fn collection_samples() -> Vec<Sample> {
+    let incarnation = long(0x90).into();
+    let records: Vec<LedgerRecord> = (1..)
+        .zip(ALL_STATES)
+        .map(|(n, state)| record(n, state))
+        .collect();
+    let collected = |complete| DaemonMessage::Collected {
+        complete: Flag(complete),
+        records: LengthPrefixed(records.clone()),
+    };
+    let digests = LengthPrefixed(vec![long(0xb0), 0, long(0xb8)]);
+    vec![
         (
             String::new(),
             DaemonMessage::Collect {
@@ -226,8 +233,7 @@
                 ranges: LengthPrefixed(vec![0, 0x7f, 0xff]),
             },
         ),
-    ]);
-    samples
+    ]
 }
 
 /// All samples.
@@ -250,7 +256,8 @@
         ("/bare".to_owned(), bare_request),
     ];
     samples.extend(outcomes());
-    samples.extend(ledger());
+    samples.extend(record_samples());
+    samples.extend(collection_samples());
     let as_sample_frame = |(rest, body): Sample| {
         let name = format!("{}{rest}", daemon_kind(&body));
         sample_frame(
