--- a/crates/common/tests/frames.rs
+++ b/crates/common/tests/frames.rs
@@ -1,4 +1,4 @@
-//! Frames come back as they were sent, and broken ones are told apart.
+//! Frames round-trip, and broken ones are reported for what they are.
 
 use common::frames::{
     AcquireResult, Channel, ConsensusFrame, ConsensusMessage, DaemonFrame, DaemonMessage,
@@ -58,26 +58,31 @@
     Ok(())
 }
 
-/// One real frame of each kind that a process takes from another.
-fn real_frames() -> Vec<Vec<u8>> {
-    let host = Host {
+fn host() -> Host {
+    Host {
         member: "th-1".into(),
         incarnation: 5.into(),
         zone: "l".into(),
         address: SocketAddress::UNSPECIFIED,
         eligible: Flag(true),
         link_mbps: 0,
-    };
-    let function = FunctionKey::new("f", Version(2));
+    }
+}
+
+fn function() -> FunctionKey {
+    FunctionKey::new("f", Version(2))
+}
+
+fn daemon_messages() -> [DaemonMessage; 3] {
     let record = LedgerRecord {
         idempotency_key: "t-1".into(),
         state: LedgerRecordState::Recorded,
         remaining_ms: 900,
     };
-    let requests = [
+    [
         DaemonMessage::FunctionRequest {
             idempotency_key: "t-1".into(),
-            function: function.clone(),
+            function: function(),
             route: "r".into(),
             version: Version(3),
             timeout_ms: 900,
@@ -88,25 +93,24 @@
             payload: RequestPayload::from_body(b"{}".to_vec().into()),
         },
         DaemonMessage::Record {
-            function: function.clone(),
+            function: function(),
             fencing_token: FencingToken(4),
             incarnation: 5.into(),
             records: LengthPrefixed(vec![record.clone(), record]),
         },
         DaemonMessage::Compare {
-            function: function.clone(),
+            function: function(),
             fencing_token: FencingToken(4),
             incarnation: 5.into(),
             digests: LengthPrefixed(vec![1, 2, 3]),
         },
-    ];
-    let hops = requests.into_iter().map(|body| DaemonFrame {
-        correlation: CorrelationId(8),
-        body,
-    });
-    let ups = [
+    ]
+}
+
+fn frames_to_leader() -> [DaemonToLeader; 3] {
+    [
         DaemonToLeader::Hello {
-            host: host.clone(),
+            host: host(),
             ingress: SocketAddress::UNSPECIFIED,
             version: Version(3),
             age_ms: 700,
@@ -114,24 +118,27 @@
         },
         DaemonToLeader::Acquire {
             correlation: CorrelationId(8),
-            function: function.clone(),
+            function: function(),
         },
         DaemonToLeader::Release {
-            function: function.clone(),
+            function: function(),
             fencing_token: FencingToken(4),
             runners: LengthPrefixed(Vec::new()),
         },
-    ];
-    let downs = [
+    ]
+}
+
+fn frames_to_daemon() -> [LeaderToDaemon; 4] {
+    [
         sample(),
         LeaderToDaemon::Hosts {
             number: 4,
-            hosts: LengthPrefixed(vec![host.clone(), host.clone()]),
+            hosts: LengthPrefixed(vec![host(), host()]),
             suspected: LengthPrefixed(Vec::new()),
         },
         LeaderToDaemon::HostsDelta {
             number: 5,
-            put: LengthPrefixed(vec![host]),
+            put: LengthPrefixed(vec![host()]),
             removed: LengthPrefixed(vec!["th-3".into()]),
             suspected: LengthPrefixed(vec![MemberIncarnation {
                 member: "th-1".into(),
@@ -140,10 +147,13 @@
         },
         LeaderToDaemon::Acquired {
             correlation: CorrelationId(8),
-            function,
+            function: function(),
             result: AcquireResult::RetryLater { wait_ms: 900 },
         },
-    ];
+    ]
+}
+
+fn consensus_messages() -> [ConsensusMessage; 3] {
     let (term, document_version) = (
         Term(2),
         DocumentVersion {
@@ -151,7 +161,7 @@
             version: Version(3),
         },
     );
-    let consensus_messages = [
+    [
         ConsensusMessage::AcceptFull {
             term,
             document_version,
@@ -171,13 +181,22 @@
             term,
             accepted: document_version,
         },
-    ];
-    let daemon_bytes = hops.map(|frame| encode(&frame).expect("bytes"));
-    let up_bytes = ups.iter().map(|frame| encode(frame).expect("bytes"));
-    let down_bytes = downs.iter().map(|frame| encode(frame).expect("bytes"));
+    ]
+}
+
+/// Frames of each channel, as processes send them.
+fn real_frames() -> Vec<Vec<u8>> {
+    let daemon_frames = daemon_messages().map(|body| DaemonFrame {
+        correlation: CorrelationId(8),
+        body,
+    });
+    let daemon_bytes = daemon_frames.map(|frame| encode(&frame).expect("bytes"));
+    let up_bytes = frames_to_leader().map(|frame| encode(&frame).expect("bytes"));
+    let down_bytes = frames_to_daemon().map(|frame| encode(&frame).expect("bytes"));
     let consensus_bytes =
-        consensus_messages.map(|body| encode(&consensus_frame(body)).expect("bytes"));
+        consensus_messages().map(|body| encode(&consensus_frame(body)).expect("bytes"));
     daemon_bytes
+        .into_iter()
         .chain(up_bytes)
         .chain(down_bytes)
         .chain(consensus_bytes)
@@ -197,7 +216,7 @@
 #[gtest]
 fn seeded_mutations_of_every_frame_are_rejected_or_decoded_fully() -> Result<()> {
     let mut rng = SeededRng::seeded(23);
-    let mut refused_count = 0;
+    let mut rejected_count = 0;
     for frame_bytes in real_frames() {
         for _ in 0..3000 {
             let mut broken_bytes = frame_bytes.clone();
@@ -215,10 +234,10 @@
                 decode::<LeaderToDaemon>(&broken_bytes).is_ok(),
                 decode::<ConsensusFrame>(&broken_bytes).is_ok(),
             ];
-            refused_count += read.iter().filter(|is_read| !**is_read).count();
+            rejected_count += read.iter().filter(|is_read| !**is_read).count();
         }
     }
-    verify_that!(refused_count, ge(60_000))
+    verify_that!(rejected_count, ge(60_000))
 }
 
 #[gtest]
@@ -307,30 +326,14 @@
     verify_that!(MemberName::from("th-1").as_str(), eq("th-1"))
 }
 
-#[gtest]
-fn a_forwarded_request_adds_little_overhead() -> Result<()> {
-    let header_field = |name: &str, value: &str| HeaderField {
-        name: name.into(),
-        value: value.as_bytes().to_vec().into(),
-    };
-    let identity = "0f3c2a9e-6a55-4d0e-8a5c-1f3f6f0c9d11";
-    let header_fields = vec![
-        header_field("host", "segments.internal"),
-        header_field("content-type", "application/json"),
-    ];
-    let own_bytes = |header_fields: &[HeaderField]| -> usize {
-        let as_sent = |header_field: &HeaderField| {
-            header_field.name.as_str().len() + header_field.value.0.len() + ": \r\n".len()
-        };
-        header_fields.iter().map(as_sent).sum()
-    };
+fn forwarded_request(identity: &str, header_fields: Vec<HeaderField>) -> DaemonMessage {
     let payload = RequestPayload {
         method: "POST".into(),
         target: "/segments/7".into(),
-        header_fields: LengthPrefixed(header_fields.clone()),
+        header_fields: LengthPrefixed(header_fields),
         body: vec![7; 300].into(),
     };
-    let request = DaemonMessage::FunctionRequest {
+    DaemonMessage::FunctionRequest {
         idempotency_key: identity.into(),
         function: FunctionKey::new("segment-check", Version(2)),
         route: "segment-check-post".into(),
@@ -341,7 +344,10 @@
         wants_referral: Flag(true),
         region: "east".into(),
         payload,
-    };
+    }
+}
+
+fn completed_request(header_fields: Vec<HeaderField>) -> DaemonMessage {
     let outcome = RequestOutcome::Response {
         status: 200,
         seal: vec![1; 32].into(),
@@ -349,14 +355,35 @@
             fencing_token: FencingToken(4),
             ordinal: 5,
         },
-        header_fields: LengthPrefixed(header_fields.clone()),
+        header_fields: LengthPrefixed(header_fields),
         body: vec![7; 1700].into(),
     };
-    let done = DaemonMessage::Completed {
+    DaemonMessage::Completed {
         outcome,
         holder: LengthPrefixed(Vec::new()),
         regional_tenths: 0,
+    }
+}
+
+#[gtest]
+fn a_forwarded_request_adds_little_overhead() -> Result<()> {
+    let header_field = |name: &str, value: &str| HeaderField {
+        name: name.into(),
+        value: value.as_bytes().to_vec().into(),
+    };
+    let identity = "0f3c2a9e-6a55-4d0e-8a5c-1f3f6f0c9d11";
+    let header_fields = vec![
+        header_field("host", "segments.internal"),
+        header_field("content-type", "application/json"),
+    ];
+    let own_bytes = |header_fields: &[HeaderField]| -> usize {
+        let as_sent = |header_field: &HeaderField| {
+            header_field.name.as_str().len() + header_field.value.0.len() + ": \r\n".len()
+        };
+        header_fields.iter().map(as_sent).sum()
     };
+    let request = forwarded_request(identity, header_fields.clone());
+    let completed = completed_request(header_fields.clone());
     let framed = |body: DaemonMessage| {
         encode(&DaemonFrame {
             correlation: CorrelationId(8),
@@ -369,6 +396,6 @@
         - 300
         - identity.len()
         - "POST/segments/7".len();
-    let outcome_overhead = framed(done)? - own_bytes(&header_fields) - 1700 - 32;
+    let outcome_overhead = framed(completed)? - own_bytes(&header_fields) - 1700 - 32;
     verify_that!(request_overhead + outcome_overhead, le(150))
 }
--- a/crates/common/tests/spec.rs
+++ b/crates/common/tests/spec.rs
@@ -1,4 +1,4 @@
-//! The spec's reader names every fault; its table agrees with a slow plain search; changes fit or fail.
+//! The spec's reader reports every error; its table agrees with a linear search; deltas apply or are rejected.
 
 use common::frames::SocketAddress;
 use common::identity::{ChangeId, ControllerId, Version, Zone};
@@ -46,7 +46,7 @@
         },
         "extra": 1,
     });
-    let errors = read_spec(&spec).expect_err("faults");
+    let errors = read_spec(&spec).expect_err("errors");
     let paths: Vec<String> = errors.iter().map(|error| error.path.clone()).collect();
     verify_that!(
         paths,
@@ -154,15 +154,15 @@
     let (old_view, new_view) = (old_document.view(), new_document.view());
     let patch = old_view.delta_to(&new_view);
     verify_that!(
-        old_view.changed(&patch, &new_view.digest())? == new_view,
+        old_view.apply_delta(&patch, &new_view.digest())? == new_view,
         eq(true)
     )?;
-    verify_that!(old_view.changed(&patch, &[0; 32]).is_err(), eq(true))?;
+    verify_that!(old_view.apply_delta(&patch, &[0; 32]).is_err(), eq(true))?;
     let other_base = old_document
         .with_zone(Zone::from("south"), true, ChangeId::from("c3"))
         .view();
     verify_that!(
-        other_base.changed(&patch, &new_view.digest()).is_err(),
+        other_base.apply_delta(&patch, &new_view.digest()).is_err(),
         eq(true)
     )?;
     let decoded = DaemonView::from_bytes(&new_view.to_bytes())?;
@@ -182,7 +182,7 @@
     );
     let error = source
         .read(|root| read_addresses(&root.field("seeds"), 1..=3))
-        .expect_err("a fault");
+        .expect_err("an error");
     verify_that!(
         error.to_string(),
         eq("file.json: seeds.1 is not an IP number with port: \"nowhere:2\"")
@@ -190,7 +190,7 @@
     let short = SettingsSource::from_value("file.json", json!({"seeds": []}));
     let error = short
         .read(|root| read_addresses(&root.field("seeds"), 1..=3))
-        .expect_err("a fault");
+        .expect_err("an error");
     verify_that!(
         error.to_string(),
         eq("file.json: seeds needs 1 to 3 addresses")
--- a/crates/common/tests/wire_forms/stream_frames.rs
+++ b/crates/common/tests/wire_forms/stream_frames.rs
@@ -1,10 +1,11 @@
-//! Samples of what a daemon and the leader say to each other.
+//! Sample frames between a daemon and the leader.
 
-use crate::hop_frames::{ALL_REASONS, reason_kind};
+use crate::daemon_frames::{ALL_REASONS, reason_kind};
+use crate::forms::address;
 use crate::kinds::kinds;
 use crate::parts::{
-    Line, address, claim_runners, fencing_token, function, header_field, host, instance, long,
-    member_life, runner, short,
+    SampleFrame, claim_runners, fencing_token, function, host, instance, long, member_incarnation,
+    runner, sample_frame, short,
 };
 use common::frames::{
     AcquireResult, Claim, DaemonToLeader, Flag, IdleFunction, LeaderToDaemon, LengthPrefixed,
@@ -32,7 +33,7 @@
     DaemonToLeader::ReplicaComplete { .. } => "stream-up/steward-whole",
 });
 
-kinds!(NEWS, news_kind, RunnerStatus, {
+kinds!(STATUSES, status_kind, RunnerStatus, {
     RunnerStatus::Ready => "ready",
     RunnerStatus::Gone => "gone",
     RunnerStatus::Started { .. } => "begun",
@@ -68,7 +69,7 @@
     ReserveResult::Rejected => "shed",
 });
 
-const QUESTION: CorrelationId = CorrelationId(0x0809_0a0b_0c0d_0e0f);
+const CORRELATION: CorrelationId = CorrelationId(0x0809_0a0b_0c0d_0e0f);
 
 fn hello(is_eligible: bool, granted: bool) -> DaemonToLeader {
     DaemonToLeader::Hello {
@@ -102,7 +103,7 @@
     }
 }
 
-fn runner_news() -> [DaemonToLeader; 3] {
+fn runner_updates() -> [DaemonToLeader; 3] {
     [
         RunnerStatus::Ready,
         RunnerStatus::Gone,
@@ -117,14 +118,10 @@
     })
 }
 
-fn up_samples() -> Vec<(&'static str, DaemonToLeader)> {
-    let (function, fencing_token) = (function(), fencing_token());
-    let idle = |function, idle_ms| IdleFunction { function, idle_ms };
-    let idle_functions = vec![
-        idle(function.clone(), short(0x40)),
-        idle(function.in_region(&"east".into()), short(0x44)),
-    ];
-    let mut samples = vec![
+type UpSample = (&'static str, DaemonToLeader);
+
+fn session_samples() -> Vec<UpSample> {
+    vec![
         ("/staying", hello(true, false)),
         ("/leaving", hello(false, true)),
         ("/some", claims()),
@@ -137,7 +134,7 @@
         (
             "",
             DaemonToLeader::Renew {
-                correlation: QUESTION,
+                correlation: CORRELATION,
                 version: Version(long(0x20)),
             },
         ),
@@ -147,11 +144,17 @@
                 version: Version(long(0x20)),
             },
         ),
+    ]
+}
+
+fn lease_samples() -> Vec<UpSample> {
+    let (function, fencing_token) = (function(), fencing_token());
+    vec![
         ("", DaemonToLeader::FullSpecRequest),
         (
             "",
             DaemonToLeader::Acquire {
-                correlation: QUESTION,
+                correlation: CORRELATION,
                 function: function.clone(),
             },
         ),
@@ -166,11 +169,22 @@
         (
             "",
             DaemonToLeader::Reserve {
-                correlation: QUESTION,
+                correlation: CORRELATION,
                 function: function.clone(),
                 fencing_token,
             },
         ),
+    ]
+}
+
+fn report_samples() -> Vec<UpSample> {
+    let (function, fencing_token) = (function(), fencing_token());
+    let idle = |function, idle_ms| IdleFunction { function, idle_ms };
+    let idle_functions = vec![
+        idle(function.clone(), short(0x40)),
+        idle(function.in_region(&"east".into()), short(0x44)),
+    ];
+    vec![
         ("", DaemonToLeader::Leaving),
         (
             "",
@@ -189,13 +203,13 @@
         (
             "",
             DaemonToLeader::MemberSuspected {
-                instance: member_life(6),
+                instance: member_incarnation(6),
             },
         ),
         (
             "",
             DaemonToLeader::MemberRecovered {
-                instance: member_life(6),
+                instance: member_incarnation(6),
             },
         ),
         ("", DaemonToLeader::FullHostListRequest),
@@ -207,8 +221,14 @@
                 replica: "daemon-7".into(),
             },
         ),
-    ];
-    samples.extend(runner_news().map(|frame| ("", frame)));
+    ]
+}
+
+fn up_samples() -> Vec<UpSample> {
+    let mut samples = session_samples();
+    samples.extend(lease_samples());
+    samples.extend(report_samples());
+    samples.extend(runner_updates().map(|frame| ("", frame)));
     samples.extend(ALL_REASONS.map(|reason| {
         (
             "",
@@ -226,14 +246,14 @@
     let kind = up_kind(frame);
     match frame {
         DaemonToLeader::RunnerUpdate { runner_status, .. } => {
-            format!("{kind}/{}", news_kind(runner_status))
+            format!("{kind}/{}", status_kind(runner_status))
         }
         DaemonToLeader::Rejections { reason, .. } => format!("{kind}/{}", reason_kind(reason)),
         _ => format!("{kind}{rest}"),
     }
 }
 
-fn acquisitions() -> [(&'static str, LeaderToDaemon); 5] {
+fn acquisitions() -> [DownSample; 5] {
     let granted = AcquireResult::Granted {
         fencing_token: fencing_token(),
         once_wait_ms: short(0x50),
@@ -272,7 +292,7 @@
         (
             rest,
             LeaderToDaemon::Acquired {
-                correlation: QUESTION,
+                correlation: CORRELATION,
                 function: function(),
                 result,
             },
@@ -280,7 +300,7 @@
     })
 }
 
-fn reservations() -> [(&'static str, LeaderToDaemon); 2] {
+fn reservations() -> [DownSample; 2] {
     let reserved = ReserveResult::Reserved {
         runner: runner(0x5c),
         worker: "worker-9".into(),
@@ -290,7 +310,7 @@
         (
             "",
             LeaderToDaemon::Reserved {
-                correlation: QUESTION,
+                correlation: CORRELATION,
                 function: function(),
                 result,
             },
@@ -298,9 +318,9 @@
     })
 }
 
-fn host_lists() -> [(&'static str, LeaderToDaemon); 3] {
+fn host_lists() -> [DownSample; 3] {
     let hosts = LengthPrefixed(vec![host(11, true), host(12, false)]);
-    let suspected = LengthPrefixed(vec![member_life(12), member_life(13)]);
+    let suspected = LengthPrefixed(vec![member_incarnation(12), member_incarnation(13)]);
     let none = LeaderToDaemon::HostsDelta {
         number: long(0x68),
         put: LengthPrefixed(Vec::new()),
@@ -327,15 +347,11 @@
     ]
 }
 
-fn down_samples() -> Vec<(&'static str, LeaderToDaemon)> {
-    let (function, fencing_token, runner) = (function(), fencing_token(), runner(0x6c));
-    let replica = |replica| LeaderToDaemon::ReplicaAssigned {
-        function: crate::parts::function(),
-        fencing_token,
-        replica,
-    };
+type DownSample = (&'static str, LeaderToDaemon);
+
+fn opening_samples() -> Vec<DownSample> {
     let renewed = LeaderToDaemon::Renewed {
-        correlation: QUESTION,
+        correlation: CORRELATION,
         lease_ms: short(0x70),
         version: Version(long(0x74)),
     };
@@ -349,7 +365,7 @@
         version: Version(long(0x74)),
         document: b"{\"serial\":4}".to_vec().into(),
     };
-    let mut samples = vec![
+    vec![
         (
             "/known",
             LeaderToDaemon::Redirect {
@@ -371,6 +387,17 @@
         ("", renewed),
         ("", spec),
         ("", delta),
+    ]
+}
+
+fn order_samples() -> Vec<DownSample> {
+    let (function, fencing_token, runner) = (function(), fencing_token(), runner(0x6c));
+    let replica = |replica| LeaderToDaemon::ReplicaAssigned {
+        function: crate::parts::function(),
+        fencing_token,
+        replica,
+    };
+    vec![
         (
             "",
             LeaderToDaemon::Revoke {
@@ -402,7 +429,12 @@
         ("", LeaderToDaemon::RunnerUnlisted { function, runner }),
         ("/another", replica(LengthPrefixed(vec![host(17, true)]))),
         ("/nobody", replica(LengthPrefixed(Vec::new()))),
-    ];
+    ]
+}
+
+fn down_samples() -> Vec<DownSample> {
+    let mut samples = opening_samples();
+    samples.extend(order_samples());
     samples.extend(host_lists());
     samples.extend(acquisitions());
     samples.extend(reservations());
@@ -420,13 +452,13 @@
     }
 }
 
-/// All lines of this channel, of both directions.
-pub fn header_fields() -> Vec<Line> {
-    let ups = up_samples()
+/// All samples, of both directions.
+pub fn sample_frames() -> Vec<SampleFrame> {
+    let up_frames = up_samples()
         .into_iter()
-        .map(|(rest, frame)| header_field(up_name(rest, &frame), &frame));
-    let downs = down_samples()
+        .map(|(rest, frame)| sample_frame(up_name(rest, &frame), &frame));
+    let down_frames = down_samples()
         .into_iter()
-        .map(|(rest, frame)| header_field(down_name(rest, &frame), &frame));
-    ups.chain(downs).collect()
+        .map(|(rest, frame)| sample_frame(down_name(rest, &frame), &frame));
+    up_frames.chain(down_frames).collect()
 }
