--- a/crates/controlplane/src/consensus/output.rs
+++ b/crates/controlplane/src/consensus/output.rs
@@ -1,23 +1,25 @@
+//! What a consensus node is restored from and what it has its driver do.
+
 use common::frames::{ConsensusFrame, KnownMember, SocketAddress};
 use common::identity::{ControllerId, DocumentVersion, Term, Ticket};
 use common::spec::Document;
 use std::collections::BTreeSet;
 
-/// What a core member's disk remembers.
+/// A node's persistent state, as read from its disk at start.
 #[derive(Clone, Debug)]
 pub struct PersistedState {
-    /// The member's identity, made when the disk was empty.
+    /// The node's identity, created when the disk was empty.
     pub id: ControllerId,
     /// The last vote.
     pub voted_for: Option<(Term, ControllerId)>,
-    /// The newest whole version.
+    /// The newest readable version.
     pub accepted: Option<Document>,
     /// A version that was written here and can no longer be read; zero when there is none.
     pub unreadable_version: DocumentVersion,
 }
 
 impl PersistedState {
-    /// What an empty disk remembers.
+    /// The state on an empty disk.
     pub fn empty(id: ControllerId) -> Self {
         Self {
             id,
@@ -27,7 +29,7 @@
         }
     }
 
-    /// Whether nothing but an identity is remembered.
+    /// Whether the disk holds nothing but an identity.
     pub fn is_empty(&self) -> bool {
         self.voted_for.is_none()
             && self.accepted.is_none()
@@ -35,73 +37,74 @@
     }
 }
 
-/// What the disk is told to write.
+/// A write for the disk.
 #[derive(Clone, Debug)]
 pub enum WriteJob {
     /// A vote.
     Vote {
         /// The term voted in.
         term: Term,
-        /// Who got the vote.
+        /// Whom the vote is for.
         candidate: ControllerId,
     },
     /// A version of the document.
     Version(Document),
-    /// Read every kept file again; a damaged newest version is written anew from memory.
+    /// Read every stored file again; if the newest version is damaged, write it again from this copy.
     Scrub(Option<Document>),
 }
 
-/// How a write ended.
+/// The result of a write.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum WriteResult {
     /// It is on disk, synced.
     Synced,
-    /// It may or may not be on disk.
+    /// It failed; it may or may not be on disk.
     Failed,
 }
 
-/// What the core orders.
+/// What a driver is to carry out for a node, or is notified of.
 #[derive(Clone, Debug)]
 pub enum ConsensusOutput {
     /// Send a frame.
     Send {
-        /// Where to.
+        /// The receiver's address.
         to: SocketAddress,
         /// The frame.
         frame: ConsensusFrame,
     },
     /// Write to disk.
     Write {
-        /// Names the write when it has ended.
+        /// Identifies the write when it completes.
         ticket: Ticket,
         /// What to write.
         job: WriteJob,
     },
-    /// This controller asks for votes.
+    /// This controller has started an election.
     Campaigning {
-        /// In this term.
+        /// The term of the election.
         term: Term,
     },
-    /// This controller leads.
+    /// This controller has become leader.
     Elected {
-        /// In this term.
+        /// The term it leads.
         term: Term,
-        /// The daemons that may hold grants of earlier leaders.
+        /// The daemons that may hold leases of earlier leaders.
         members: BTreeSet<KnownMember>,
-        /// Whether there are surely no others.
+        /// Whether there are certainly no others.
         complete: bool,
     },
-    /// This controller leads no longer; a change in flight is unknown.
+    /// This controller no longer leads; the outcome of a proposal in flight is unknown.
     SteppedDown,
     /// A version is committed.
     Committed(Document),
-    /// The voters of the control quorum are about to change.
+    /// This leader proposes a change of the voters.
     MembershipChange {
-        /// Where the members will stand.
+        /// The addresses of the next voters.
         addresses: Vec<SocketAddress>,
-        /// Whether this ends the change.
+        /// Whether the proposal settles the change, rather than beginning it.
         settled: bool,
     },
-    /// The leader's disk did not end a write within an election timeout.
+    /// A write has been in flight for longer than the shortest election timeout, and the leader steps
+    /// down.
     DiskStalled,
 }
--- a/crates/controlplane/src/consensus/quorum_plan.rs
+++ b/crates/controlplane/src/consensus/quorum_plan.rs
@@ -1,15 +1,18 @@
-//! Which controllers ought to vote: how many the settings ask for, spread over zones. Pure decisions.
+//! The choice of the voters: as many as the settings ask for, spread over the zones.
+//!
+//! A pure function of the present voters, those of them that are lost, and the candidates.
 
 use common::identity::{ControllerId, Zone};
 use common::spec::Voter;
 use std::collections::BTreeSet;
 
-/// How many voters the control quorum has, unless the settings say otherwise.
+/// The default number of voters.
 pub const DEFAULT_VOTERS: usize = 3;
 
+/// How many zones may be lost by default without losing the majority.
 const DEFAULT_ZONE_LOSSES: usize = 1;
 
-/// The voters that the control quorum is to have, and how many of them may stand in one zone.
+/// How many voters the control quorum is to have, and how many of them one zone may hold.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct QuorumPolicy {
     voters: usize,
@@ -17,7 +20,7 @@
 }
 
 impl QuorumPolicy {
-    /// A quorum of so many voters, a majority of which is left when so many zones are lost.
+    /// A quorum of `voters` that keeps its majority when `zone_losses` zones are lost at once.
     pub fn new(voters: usize, zone_losses: usize) -> Self {
         let tolerated_losses = voters.saturating_sub(1) / 2;
         let zone_limit = tolerated_losses
@@ -26,19 +29,19 @@
         Self { voters, zone_limit }
     }
 
-    /// The smallest quorum a majority of which is left when so many machines, or so many zones, are
-    /// lost at once.
+    /// The smallest quorum that keeps its majority when `machine_losses` machines, or `zone_losses`
+    /// zones, are lost at once.
     pub fn tolerating(machine_losses: usize, zone_losses: usize) -> Self {
         let losses = machine_losses.max(zone_losses).max(1);
         Self::new(2 * losses + 1, zone_losses)
     }
 
-    /// How many voters there are to be.
+    /// The number of voters.
     pub fn voters(self) -> usize {
         self.voters
     }
 
-    /// How many of them one zone may hold.
+    /// The maximal number of voters in one zone.
     pub fn zone_limit(self) -> usize {
         self.zone_limit
     }
@@ -50,23 +53,24 @@
     }
 }
 
-/// What the next set of voters is chosen from.
+/// What the next voters are chosen from.
 pub struct QuorumPlan<'a> {
-    /// What the quorum is to look like.
+    /// The number and spread of the voters to reach.
     pub quorum_policy: QuorumPolicy,
-    /// The voters now.
+    /// The present voters.
     pub voters: &'a [Voter],
-    /// The voter that leads; it always stays.
+    /// The voter that leads; it always stays a voter.
     pub leader: ControllerId,
-    /// Those of the voters that are lost.
+    /// The voters that are lost.
     pub missing: &'a BTreeSet<ControllerId>,
-    /// Controllers that do not vote, are alive, and hold the state.
+    /// Controllers that may become voters: they do not vote, are alive and nearly up to date.
     pub candidates: Vec<Voter>,
 }
 
 impl QuorumPlan<'_> {
-    /// The next set of voters, if it is another one: lost voters are replaced, a quorum that is too
-    /// small grows, and a zone that holds too many gives one up. No voter goes without a successor.
+    /// The next voters, or none if they are the present ones: lost voters are replaced, a quorum that
+    /// is too small grows, and voters of a zone over its limit are replaced by others elsewhere. No
+    /// voter is removed without a successor.
     pub fn next_voters(mut self) -> Option<Vec<Voter>> {
         let mut next_voters = self.voters.to_vec();
         self.replace_missing_voters(&mut next_voters);
@@ -86,8 +90,8 @@
         }
     }
 
-    /// A controller at the lost one's address, else in its zone, else in the emptiest other zone that
-    /// has room.
+    /// The successor of a lost voter: a candidate at its address, else in its zone, else in the zone
+    /// with the fewest voters, if that is below its limit.
     fn take_replacement(&mut self, voters: &[Voter], index: usize) -> Option<Voter> {
         let missing = &voters[index];
         let at_its_address = self
@@ -105,8 +109,9 @@
         Some(self.candidates.swap_remove(candidate_index))
     }
 
-    /// A quorum that can bear a loss grows from one odd number to the next: an even number bears no
-    /// more machines than the odd one below it, and fewer zones.
+    /// Adds candidates up to the wanted number. Above three voters the quorum grows from one odd number
+    /// to the next: an even number tolerates the loss of no more machines than the odd one below it,
+    /// and of fewer zones.
     fn add_voters(&mut self, next_voters: &mut Vec<Voter>) {
         let mut additional_voters = self
             .quorum_policy
@@ -143,7 +148,7 @@
         }
     }
 
-    /// The candidate in the zone with the fewest voters, if that zone may hold one more.
+    /// The index of a candidate in the zone with the fewest voters, if that zone is below its limit.
     fn candidate_within_zone_limit(&self, voters: &[Voter]) -> Option<usize> {
         self.candidate_in_least_loaded_zone(voters)
             .filter(|candidate_index| {
