--- a/crates/controlplane/src/consensus/heartbeats.rs
+++ b/crates/controlplane/src/consensus/heartbeats.rs
@@ -1,20 +1,40 @@
+//! The leader's heartbeats, and what a majority's responses to them prove.
+//!
+//! Heartbeats are sent in numbered rounds. When a majority has answered a round, no other controller
+//! led a later term when that round was sent (Raft's read index, section 6.4 of Ongaro's dissertation),
+//! and that majority has been notified of the daemons that the round reported.
+
+use super::state::{Contact, ReportedMembership, Role};
+use super::{ConsensusNode, ConsensusOutput};
 use common::clock::MonotonicTime;
-use common::frames::KnownMember;
-use common::identity::ControllerId;
+use common::frames::{ConsensusMessage, Flag, KnownMember, LengthPrefixed, SocketAddress};
+use common::identity::{ControllerId, DocumentVersion, Term};
+use common::rules::Rule;
 use std::collections::{BTreeSet, VecDeque};
 use std::time::Duration;
 
+/// Every how many heartbeat intervals a round goes to controllers that do not vote as well: often
+/// enough for them to know the leader, whom they would otherwise forget at the election timeout.
+const NONVOTER_HEARTBEAT_EVERY: u32 = 2;
+
+/// The number of no round; the first round is 1.
+const NO_ROUND: u64 = 0;
+
+/// How many rounds without a majority's responses are remembered; the oldest is dropped first.
+const MAX_OPEN_ROUNDS: usize = 64;
+
 #[derive(Clone, Debug)]
 struct HeartbeatRound {
     number: u64,
     sent_at: MonotonicTime,
     responders: BTreeSet<ControllerId>,
+    /// The daemons that the round reported.
     members: BTreeSet<KnownMember>,
 }
 
-/// A leader's rounds, and what a majority's answers prove.
+/// The heartbeat rounds of one term's leader.
 #[derive(Clone, Debug)]
-pub struct HeartbeatRounds {
+pub(super) struct HeartbeatRounds {
     open_rounds: VecDeque<HeartbeatRound>,
     last_round_number: u64,
     next_heartbeat_at: MonotonicTime,
@@ -25,7 +45,7 @@
 }
 
 impl HeartbeatRounds {
-    /// No round yet; the election counts as the last proof of a majority.
+    /// No rounds yet; the first is due at once.
     pub fn new(elected_at: MonotonicTime) -> Self {
         Self {
             open_rounds: VecDeque::new(),
@@ -38,7 +58,7 @@
         }
     }
 
-    /// When this reign began.
+    /// When the leader was elected.
     pub fn elected_at(&self) -> MonotonicTime {
         self.elected_at
     }
@@ -48,24 +68,24 @@
         self.next_heartbeat_at
     }
 
-    /// Somebody waits for a proof: the next round starts as soon as the last one is so old.
+    /// Makes the next round due as soon as the last one is this old.
     pub fn expedite(&mut self, shortest_gap: Duration) {
         self.next_heartbeat_at = self
             .next_heartbeat_at
             .min(self.last_started_at + shortest_gap);
     }
 
-    /// When the newest round was sent that a majority answered.
+    /// When the newest round was sent that a majority has answered; zero before the first.
     pub fn quorum_confirmed_at(&self) -> MonotonicTime {
         self.quorum_confirmed_at
     }
 
-    /// The daemons that such a round named.
+    /// The daemons that this round reported.
     pub fn confirmed_members(&self) -> &BTreeSet<KnownMember> {
         &self.confirmed_members
     }
 
-    /// Starts a round and returns its number.
+    /// Starts a round, which the leader itself answers at once, and returns its number.
     pub fn start(
         &mut self,
         now: MonotonicTime,
@@ -82,13 +102,14 @@
             responders: BTreeSet::from([own_id]),
             members,
         });
-        if self.open_rounds.len() > 64 {
+        if self.open_rounds.len() > MAX_OPEN_ROUNDS {
             self.open_rounds.pop_front();
         }
         self.last_round_number
     }
 
-    /// Counts an answer.
+    /// Records a response. A round that a majority has answered is closed together with all earlier
+    /// ones; a response to a closed round changes nothing.
     pub fn record_response(
         &mut self,
         round_number: u64,
@@ -104,11 +125,154 @@
         };
         self.open_rounds[index].responders.insert(from);
         if is_majority(&self.open_rounds[index].responders) {
-            let won_round = self.open_rounds.drain(..=index).next_back();
-            if let Some(round) = won_round {
+            let confirmed_round = self.open_rounds.drain(..=index).next_back();
+            if let Some(round) = confirmed_round {
                 self.quorum_confirmed_at = self.quorum_confirmed_at.max(round.sent_at);
                 self.confirmed_members = round.members;
             }
         }
     }
 }
+
+impl ConsensusNode {
+    /// Brings the next heartbeat round forward, because a caller waits for a majority's confirmation:
+    /// it starts now, or as soon as the minimal gap since the last one has passed.
+    pub fn expedite_heartbeat(&mut self, now: MonotonicTime) -> Vec<ConsensusOutput> {
+        if let Role::Leader(heartbeats) = &mut self.role {
+            heartbeats.expedite(self.options.timing.min_heartbeat_gap);
+            if now >= heartbeats.next_heartbeat_at() {
+                self.send_due_heartbeats(now);
+            }
+        }
+        self.take_outputs()
+    }
+
+    /// Answers a heartbeat. One of an earlier term is answered with this node's term and no round
+    /// number: numbers begin anew in each term, and the response must prove nothing in a later one.
+    pub(super) fn send_heartbeat_response(&mut self, to: SocketAddress, term: Term, round: u64) {
+        let is_current_term = term == self.hard_state.term
+            || !self.options.enforces(Rule::HeartbeatResponseInItsTerm);
+        let round = if is_current_term { round } else { NO_ROUND };
+        let response = ConsensusMessage::HeartbeatResponse {
+            term: self.hard_state.term,
+            round,
+            accepted: self.accepted_version(),
+        };
+        self.send(to, response);
+    }
+
+    /// Steps down when no majority has answered this leader within the longest election timeout.
+    pub(super) fn step_down_if_quorum_lost(&mut self, now: MonotonicTime) {
+        let Role::Leader(heartbeats) = &self.role else {
+            return;
+        };
+        let quorum_proof_at = heartbeats
+            .quorum_confirmed_at()
+            .max(self.known_leader.last_heard_at);
+        if now.since(quorum_proof_at) > self.options.timing.election_timeout_max {
+            self.step_down(now, self.hard_state.term);
+        }
+    }
+
+    /// Starts the next heartbeat round if it is due; steps down first when this leader's disk is
+    /// stalled or it has lost its majority.
+    pub(super) fn send_due_heartbeats(&mut self, now: MonotonicTime) {
+        if self.is_disk_stalled(now) {
+            self.outputs.push(ConsensusOutput::DiskStalled);
+            self.step_down(now, self.hard_state.term);
+            return;
+        }
+        self.step_down_if_quorum_lost(now);
+        if matches!(&self.role, Role::Leader(heartbeats) if now >= heartbeats.next_heartbeat_at()) {
+            self.send_heartbeat_round(now);
+        }
+    }
+
+    fn send_heartbeat_round(&mut self, now: MonotonicTime) {
+        let reported = self.membership_to_report();
+        let Role::Leader(heartbeats) = &mut self.role else {
+            return;
+        };
+        let next_heartbeat_at = now + self.options.timing.heartbeat_interval;
+        let own_id = self.local.id;
+        let round = heartbeats.start(now, next_heartbeat_at, own_id, reported.members.clone());
+        let voter_addresses = self.voter_addresses();
+        let heartbeat = self.heartbeat(round, reported);
+        for voter_address in &voter_addresses {
+            self.send(*voter_address, heartbeat.clone());
+        }
+        if now >= self.timers.next_nonvoter_heartbeat_at {
+            self.timers.next_nonvoter_heartbeat_at =
+                now + self.options.timing.heartbeat_interval * NONVOTER_HEARTBEAT_EVERY;
+            let heartbeat = self.heartbeat(round, ReportedMembership::default());
+            for known_address in self.known_addresses().difference(&voter_addresses) {
+                self.send(*known_address, heartbeat.clone());
+            }
+        }
+        self.count_heartbeat_response(round, own_id);
+    }
+
+    /// The daemons that heartbeats report. None once the document lists them itself.
+    fn membership_to_report(&self) -> ReportedMembership {
+        let is_listed_in_document = self
+            .accepted()
+            .is_some_and(|document| !document.membership.is_empty());
+        if is_listed_in_document {
+            ReportedMembership::default()
+        } else {
+            self.membership.clone()
+        }
+    }
+
+    fn heartbeat(&self, round: u64, reported: ReportedMembership) -> ConsensusMessage {
+        ConsensusMessage::Heartbeat {
+            term: self.hard_state.term,
+            round,
+            accepted: self.accepted_version(),
+            committed: self.committed,
+            members: LengthPrefixed(reported.members.into_iter().collect()),
+            complete: Flag(reported.complete),
+        }
+    }
+
+    pub(super) fn handle_heartbeat_response(
+        &mut self,
+        now: MonotonicTime,
+        sender: Contact,
+        term: Term,
+        round: u64,
+        accepted: DocumentVersion,
+    ) {
+        if !self.is_leader_in_term(now, term) {
+            return;
+        }
+        let sender_address = sender.controller_address.address;
+        self.record_accepted(now, sender_address, accepted);
+        self.count_heartbeat_response(round, sender.id);
+        self.count_accepted(now);
+        self.catch_up_peer(now, sender_address);
+    }
+
+    /// Counts a response to a round. While a proposal is in flight, its voters must confirm the round
+    /// as well as those of the accepted version.
+    fn count_heartbeat_response(&mut self, round: u64, from: ControllerId) {
+        let Self {
+            role,
+            hard_state,
+            proposed,
+            ..
+        } = self;
+        let Role::Leader(heartbeats) = role else {
+            return;
+        };
+        let Some(accepted) = &hard_state.accepted else {
+            return;
+        };
+        heartbeats.record_response(round, from, |responders| {
+            Self::is_majority_of(accepted, responders)
+                && proposed
+                    .as_ref()
+                    .is_none_or(|proposed| Self::is_majority_of(proposed, responders))
+        });
+    }
+}
--- a/crates/controlplane/src/consensus/membership.rs
+++ b/crates/controlplane/src/consensus/membership.rs
@@ -1,8 +1,14 @@
-//! Membership changes of the control quorum: a joint configuration is committed by a majority of the
-//! former and of the next voters, then the next voters alone go on.
+//! Membership changes of the control quorum, by joint consensus (section 6 of the Raft paper).
+//!
+//! A change takes two versions. The joint version names the next and the previous voters and is committed
+//! by a majority of each; the version that settles the change drops the previous voters. The leader starts
+//! changes by itself towards the voters that the [`QuorumPlan`] asks for, or on an operator's command. At
+//! most one change is under way.
 
+use super::peers::Peer;
 use super::quorum_plan::QuorumPlan;
-use super::{ConsensusNode, ConsensusOutput, Peer, Role};
+use super::state::Role;
+use super::{ConsensusNode, ConsensusOutput};
 use common::clock::MonotonicTime;
 use common::frames::SocketAddress;
 use common::identity::{ChangeId, ControllerId, DocumentVersion, Term, Version};
@@ -11,8 +17,8 @@
 use std::collections::BTreeSet;
 use std::fmt;
 
-/// How many versions a controller may be behind and still take a voter's place: while changes follow
-/// each other closely, one that has the newest is rarely known to have it.
+/// How many versions a controller may be behind and still replace a voter: while changes follow each
+/// other closely, a controller that has the newest one is rarely known to have it.
 const MAX_CANDIDATE_LAG: u64 = 8;
 
 /// Why a voter cannot be replaced.
@@ -20,13 +26,13 @@
 pub enum MembershipError {
     /// This controller does not lead, or has not yet committed under its term.
     NotReady,
-    /// Another change is in flight, or an earlier membership change is not settled.
+    /// A proposal is in flight, or an earlier membership change is not settled.
     Busy,
-    /// The one to be replaced is no voter.
+    /// The controller to be replaced is not a voter.
     NoSuchMember,
-    /// The one to take its place is not there, or not level.
+    /// The successor is not alive, votes already, or is too far behind.
     NoSuchCandidate,
-    /// Afterwards no majority of the voters would be alive.
+    /// No majority of the next voters, or of the previous ones, is alive.
     NoMajority,
 }
 
@@ -45,8 +51,8 @@
 impl std::error::Error for MembershipError {}
 
 impl ConsensusNode {
-    /// Whether a set is a majority under a document: of its voters, and of the former ones while a
-    /// membership change is not settled.
+    /// Whether these controllers are a majority under a document: of its voters and, while a membership
+    /// change is not settled, of its previous voters as well.
     pub(super) fn is_majority_of(
         document: &Document,
         controller_ids: &BTreeSet<ControllerId>,
@@ -63,13 +69,15 @@
             && (document.previous_voters.is_empty() || has_majority(&document.previous_voters))
     }
 
+    /// Whether a controller was heard within twice the longest election timeout.
     fn is_alive(&self, now: MonotonicTime, id: ControllerId) -> bool {
-        id == self.id
-            || self.last_heard.get(&id).is_some_and(|last_heard_at| {
-                now.since(*last_heard_at) < self.timing.election_timeout_max * 2
+        id == self.local.id
+            || self.peers.last_heard.get(&id).is_some_and(|last_heard_at| {
+                now.since(*last_heard_at) < self.options.timing.election_timeout_max * 2
             })
     }
 
+    /// When this leader was elected; zero on a node that does not lead.
     fn elected_at(&self) -> MonotonicTime {
         match &self.role {
             Role::Leader(heartbeats) => heartbeats.elected_at(),
@@ -77,17 +85,21 @@
         }
     }
 
+    /// Since when a controller has been silent towards this leader.
     fn unreachable_since(&self, id: ControllerId) -> MonotonicTime {
-        self.last_heard
+        self.peers
+            .last_heard
             .get(&id)
             .copied()
             .unwrap_or_default()
             .max(self.elected_at())
     }
 
-    /// Controllers that do not vote, are alive, and follow this leader's versions.
+    /// The controllers that may become voters: they do not vote, are alive, and accept this leader's
+    /// versions.
     fn candidates(&self, now: MonotonicTime) -> Vec<Voter> {
         self.peers
+            .by_address
             .values()
             .filter(|peer| {
                 !self.is_voter(peer.id) && self.is_alive(now, peer.id) && self.is_caught_up(peer)
@@ -100,24 +112,25 @@
             .collect()
     }
 
-    /// Whether another's disk took a version of this leader's lately; the change that makes it a
-    /// voter brings it the whole newest one.
+    /// Whether a peer's disk has lately taken a version of this leader. The membership change itself
+    /// brings it the newest one.
     fn is_caught_up(&self, peer: &Peer) -> bool {
         let version_lag = self
             .committed
             .version
             .0
             .saturating_sub(peer.accepted.version.0);
-        peer.accepted.term == self.term && version_lag <= MAX_CANDIDATE_LAG
+        peer.accepted.term == self.hard_state.term && version_lag <= MAX_CANDIDATE_LAG
     }
 
-    /// The next step of a membership change, if one is due: settle one, or begin one towards the
-    /// voters that the settings ask for.
+    /// The version that the next step of a membership change proposes, if a step is due: it settles the
+    /// change under way, or begins one towards the voters that the settings ask for.
     fn next_membership_step(&self, now: MonotonicTime) -> Option<Document> {
         if !self.is_ready() || self.proposed.is_some() {
             return None;
         }
         let document = self
+            .hard_state
             .accepted
             .as_ref()
             .filter(|document| document.document_version == self.committed)?;
@@ -134,9 +147,9 @@
             .map(|member| member.id)
             .collect();
         let plan = QuorumPlan {
-            quorum_policy: self.quorum_policy,
+            quorum_policy: self.options.quorum_policy,
             voters: &document.voters,
-            leader: self.id,
+            leader: self.local.id,
             missing: &missing,
             candidates: self.candidates(now),
         };
@@ -144,15 +157,15 @@
         self.joint_document(now, document, next_voters).ok()
     }
 
-    /// Whether a voter is lost to this leader: it has been silent for long, its disk takes nothing,
-    /// or another controller stands at its address.
+    /// Whether this leader has lost a voter: it has been silent for too long, its disk takes no
+    /// versions, or another controller is at its address.
     fn is_missing(&self, now: MonotonicTime, member: &Voter) -> bool {
-        if member.id == self.id {
+        if member.id == self.local.id {
             return false;
         }
-        let at_its_address = self.peers.get(&member.address);
+        let at_its_address = self.peers.by_address.get(&member.address);
         let is_superseded = at_its_address.is_some_and(|peer| {
-            let last_heard_at = self.last_heard.get(&member.id);
+            let last_heard_at = self.peers.last_heard.get(&member.id);
             peer.id != member.id
                 && last_heard_at.is_none_or(|last_heard_at| *last_heard_at < peer.present_since)
         });
@@ -160,14 +173,17 @@
             peer.id == member.id
                 && peer.behind_since.is_some_and(|behind_since| {
                     now.since(behind_since.max(self.elected_at()))
-                        > self.timing.stalled_voter_timeout
+                        > self.options.timing.stalled_voter_timeout
                 })
         });
         let unreachable_for = now.since(self.unreachable_since(member.id));
-        is_superseded || is_stalled || unreachable_for > self.timing.unreachable_voter_timeout
+        is_superseded
+            || is_stalled
+            || unreachable_for > self.options.timing.unreachable_voter_timeout
     }
 
-    /// The joint version for these next voters; refused when the voters alive are no majority of both.
+    /// The joint version towards these voters. Refused when the voters alive are not a majority of the
+    /// next and of the previous voters, since the change could then not be committed.
     fn joint_document(
         &self,
         now: MonotonicTime,
@@ -175,7 +191,7 @@
         next_voters: Vec<Voter>,
     ) -> Result<Document, MembershipError> {
         let mut next_document = document.with_voters(next_voters, membership_change_id(document));
-        if self.rules.enforces(Rule::VoterReplacedInTwoSteps) {
+        if self.options.rules.enforces(Rule::VoterReplacedInTwoSteps) {
             next_document.previous_voters = document.voters.clone();
         }
         let alive: BTreeSet<ControllerId> = next_document
@@ -192,7 +208,12 @@
         }
     }
 
-    /// An operator has a voter replaced at once.
+    /// Replaces a voter by another controller, on an operator's command. Returns the joint version's
+    /// number and the outputs that propose it.
+    ///
+    /// # Errors
+    ///
+    /// See [`MembershipError`]; nothing is proposed then.
     pub fn replace(
         &mut self,
         now: MonotonicTime,
@@ -203,6 +224,7 @@
             return Err(MembershipError::NotReady);
         }
         let settled = self
+            .hard_state
             .accepted
             .as_ref()
             .filter(|document| document.previous_voters.is_empty() && self.proposed.is_none());
@@ -220,12 +242,13 @@
         let next_document = self.joint_document(now, document, next_voters)?;
         let version = next_document.document_version.version;
         self.start_proposal(now, next_document);
-        Ok((version, std::mem::take(&mut self.outputs)))
+        Ok((version, self.take_outputs()))
     }
 
+    /// Proposes the next step of a membership change, if one is due.
     pub(super) fn advance_membership_change(&mut self, now: MonotonicTime) {
         if let Some(mut document) = self.next_membership_step(now) {
-            document.document_version.term = self.term;
+            document.document_version.term = self.hard_state.term;
             let addresses: Vec<SocketAddress> = document
                 .voters
                 .iter()
@@ -239,25 +262,31 @@
         }
     }
 
-    /// A leader that a settled change has left out leads no longer.
+    /// Steps down when a settled change has removed this leader from the voters.
     pub(super) fn step_down_if_removed(&mut self, now: MonotonicTime) {
         let is_removed = self
+            .hard_state
             .accepted
             .as_ref()
             .is_some_and(|document| document.previous_voters.is_empty())
-            && !self.is_voter(self.id);
+            && !self.is_voter(self.local.id);
         if is_removed {
-            self.step_down(now, self.term);
+            self.step_down(now, self.hard_state.term);
         }
     }
 }
 
+/// The change identity of a membership change; its form is visible to operators.
 fn membership_change_id(document: &Document) -> ChangeId {
     ChangeId::from(format!("core-{}", document.document_version.version.next()))
 }
 
-/// A version in which only this member is left of the core, for operators who lost the majority for
-/// good. What was committed without reaching this disk is lost.
+/// A version with this controller as the only voter, for operators whose quorum has lost its majority for
+/// good. None when the document does not name the controller a voter. What was committed without
+/// reaching this disk is lost.
+///
+/// Term and version number skip far ahead, so that the version supersedes whatever the lost quorum may
+/// have written elsewhere.
 pub fn single_voter_document(document: &Document, id: ControllerId) -> Option<Document> {
     let own_member = document
         .voters
--- a/crates/controlplane/src/consensus/mod.rs
+++ b/crates/controlplane/src/consensus/mod.rs
@@ -1,4 +1,28 @@
-//! The core: election, and the one replicated document. No I/O; time and frames come in, orders go out.
+//! Consensus among the controllers on one replicated document.
+//!
+//! The algorithm is Raft (Ongaro and Ousterhout, "In Search of an Understandable Consensus Algorithm",
+//! 2014) with its pre-vote and joint consensus, reduced to a log of one entry: the document is small,
+//! each version replaces the one before, and only the newest is replicated. A version is ordered by its
+//! [`DocumentVersion`], the pair of term and version number, which stands for Raft's last log entry.
+//! The voters are part of the document.
+//!
+//! Nothing here does I/O, reads a clock or starts a task. A [`ConsensusNode`] is given time
+//! ([`ConsensusNode::tick`]), frames ([`ConsensusNode::receive`]) and completed writes
+//! ([`ConsensusNode::write_completed`]), and returns a list of [`ConsensusOutput`] for its driver to
+//! carry out in order. With the same inputs and seed it returns the same outputs, on which the
+//! simulator and the model checker depend.
+//!
+//! # Invariants
+//!
+//! * A term has at most one leader: a node votes once in a term, and a vote is on disk before it is sent.
+//! * A committed version is not lost: a version is on disk before it is acknowledged, a majority
+//!   acknowledges it before it is committed, and nobody votes for a candidate whose version is older
+//!   than the voter's.
+//! * A version counts as committed only when it was proposed in its leader's own term (Raft, section
+//!   5.4.2); a new leader therefore proposes the newest version it holds again under its term.
+//! * The voters change by a joint version, which is committed by a majority of the previous and of the
+//!   next voters.
+//! * A heartbeat response counts only in the heartbeat's term.
 
 mod bootstrap;
 mod election;
@@ -7,108 +31,68 @@
 mod output;
 mod peers;
 mod quorum_plan;
+mod receive;
 mod replication;
+mod state;
 mod timing;
+mod writes;
 
 pub use bootstrap::BootstrapError;
 pub use membership::{MembershipError, single_voter_document};
 pub use output::{ConsensusOutput, PersistedState, WriteJob, WriteResult};
+pub use peers::PeerStatus;
 pub use quorum_plan::{DEFAULT_VOTERS, QuorumPlan, QuorumPolicy};
 pub use replication::ProposeError;
 pub use timing::ConsensusTiming;
 
 use common::clock::MonotonicTime;
 use common::frames::{ConsensusFrame, ConsensusMessage, KnownMember, SocketAddress};
-use common::identity::{ControllerId, DocumentVersion, Term, Ticket, Zone};
+use common::identity::{ControllerId, DocumentVersion, Term, Zone};
 use common::rng::SeededRng;
 use common::rules::{Rule, Rules};
 use common::spec::Document;
-use heartbeats::HeartbeatRounds;
-use peers::{Peer, PeerGreeting};
-use replication::{EncodedVersion, VersionDelta};
-use std::collections::{BTreeMap, BTreeSet};
+use peers::PeerTable;
+use replication::EncodedVersion;
+use state::{HardState, LeaderKnowledge, LocalNode, NodeOptions, ReportedMembership, Role, Timers};
+use std::collections::BTreeSet;
+use writes::{PendingWriteKind, PendingWrites};
 
-const STARTUP_PRE_VOTES: u32 = 4;
-
-/// Where other controllers and operators reach one.
+/// Where one controller is reached.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct ControllerAddress {
-    /// For processes.
+    /// By other processes of the system.
     pub address: SocketAddress,
-    /// For operators.
+    /// By operators.
     pub operators: SocketAddress,
 }
 
-#[derive(Clone, Debug)]
-enum Role {
-    Follower,
-    PreCandidate {
-        granted: BTreeSet<ControllerId>,
-    },
-    Candidate {
-        granted: BTreeSet<ControllerId>,
-        vote_written: bool,
-    },
-    Leader(Box<HeartbeatRounds>),
-}
-
-#[derive(Clone, Debug)]
-enum PendingWriteKind {
-    Scrub,
-    Vote { term: Term, candidate: ControllerId },
-    Version(Box<Document>),
-}
-
-#[derive(Clone, Debug)]
-struct PendingWrite {
-    started_at: MonotonicTime,
-    write: PendingWriteKind,
-}
-
-/// One controller's part in the core.
+/// One controller's part in the consensus.
 #[derive(Clone, Debug)]
 pub struct ConsensusNode {
-    timing: ConsensusTiming,
-    id: ControllerId,
-    controller_address: ControllerAddress,
-    zone: Zone,
-    seeds: Vec<SocketAddress>,
+    local: LocalNode,
+    options: NodeOptions,
     rng: SeededRng,
-    term: Term,
-    voted_for: Option<(Term, ControllerId)>,
-    unreadable_version: DocumentVersion,
-    accepted: Option<Document>,
+    hard_state: HardState,
+    /// The newest version known to be committed; it is not persisted.
     committed: DocumentVersion,
     role: Role,
-    leader: Option<(ControllerId, ControllerAddress)>,
-    /// Who leads or has led the newest term of which that is known.
-    term_leader: Option<(Term, ControllerId)>,
-    leader_last_heard_at: MonotonicTime,
-    election_deadline: MonotonicTime,
-    next_hello_at: MonotonicTime,
-    next_scrub_at: MonotonicTime,
-    peers: BTreeMap<SocketAddress, Peer>,
-    last_heard: BTreeMap<ControllerId, MonotonicTime>,
-    members: BTreeSet<KnownMember>,
-    members_complete: bool,
-    inherited_members: BTreeSet<KnownMember>,
-    inherited_complete: bool,
-    pending_writes: BTreeMap<Ticket, PendingWrite>,
-    last_ticket: Ticket,
+    known_leader: LeaderKnowledge,
+    timers: Timers,
+    peers: PeerTable,
+    /// The daemons that the leader last reported; on the leader, those it reports.
+    membership: ReportedMembership,
+    /// What the candidate and its voters know of earlier leaders' daemons; collected in an election.
+    inherited_membership: ReportedMembership,
+    writes: PendingWrites,
+    /// The version that this leader has proposed and that is not committed yet.
     proposed: Option<Document>,
-    rules: Rules,
-    quorum_policy: QuorumPolicy,
-    may_bootstrap: bool,
-    diskless: bool,
-    hinted_addresses: BTreeSet<SocketAddress>,
-    next_nonvoter_heartbeat_at: MonotonicTime,
-    startup_pre_votes: u32,
+    /// The newest version as it was last encoded for sending.
     encoded_version: Option<EncodedVersion>,
     outputs: Vec<ConsensusOutput>,
 }
 
 impl ConsensusNode {
-    /// A core member with what its disk remembers.
+    /// A node that starts now, as a follower, from what its disk holds.
     pub fn new(
         now: MonotonicTime,
         timing: ConsensusTiming,
@@ -118,48 +102,30 @@
         seeds: Vec<SocketAddress>,
         rng: SeededRng,
     ) -> Self {
-        let accepted_term = persisted
-            .accepted
-            .as_ref()
-            .map_or(Term(0), |document| document.document_version.term);
-        let voted_term = persisted.voted_for.map_or(Term(0), |(term, _)| term);
-        let first_scrub_delay = timing.scrub_interval;
-        let initial_last_heard_at = now - timing.election_timeout_min;
         let mut node = Self {
-            timing,
-            id: persisted.id,
-            controller_address,
-            zone,
-            seeds,
+            local: LocalNode {
+                id: persisted.id,
+                controller_address,
+                zone,
+                diskless: false,
+            },
             rng,
-            term: accepted_term.max(voted_term),
-            voted_for: persisted.voted_for,
-            unreadable_version: persisted.unreadable_version,
-            accepted: persisted.accepted,
+            hard_state: HardState::restore(persisted),
             committed: DocumentVersion::default(),
             role: Role::Follower,
-            leader: None,
-            term_leader: None,
-            leader_last_heard_at: initial_last_heard_at,
-            election_deadline: now,
-            next_hello_at: now,
-            next_scrub_at: now + first_scrub_delay,
-            peers: BTreeMap::new(),
-            last_heard: BTreeMap::new(),
-            members: BTreeSet::new(),
-            members_complete: false,
-            inherited_members: BTreeSet::new(),
-            inherited_complete: false,
-            pending_writes: BTreeMap::new(),
-            last_ticket: Ticket(0),
+            known_leader: LeaderKnowledge::new(now - timing.election_timeout_min),
+            timers: Timers::new(now, &timing),
+            options: NodeOptions {
+                timing,
+                rules: Rules::ALL_ENFORCED,
+                quorum_policy: QuorumPolicy::default(),
+                may_bootstrap: false,
+            },
+            peers: PeerTable::new(seeds),
+            membership: ReportedMembership::default(),
+            inherited_membership: ReportedMembership::default(),
+            writes: PendingWrites::new(),
             proposed: None,
-            rules: Rules::ALL_ENFORCED,
-            quorum_policy: QuorumPolicy::default(),
-            may_bootstrap: false,
-            diskless: false,
-            hinted_addresses: BTreeSet::new(),
-            next_nonvoter_heartbeat_at: now,
-            startup_pre_votes: STARTUP_PRE_VOTES,
             encoded_version: None,
             outputs: Vec::new(),
         };
@@ -167,43 +133,45 @@
         node
     }
 
-    /// The same, with a rule taken away for proving.
+    /// Sets the safety rules in force. Tests disable single ones to prove that each is needed; the
+    /// default enforces all.
     pub fn with_rules(mut self, rules: Rules) -> Self {
-        self.rules = rules;
+        self.options.rules = rules;
         self
     }
 
-    /// The same, with other voters that the quorum is to have.
+    /// Sets how many voters the control quorum is to have and how they are spread over zones.
     pub fn with_quorum_policy(mut self, quorum_policy: QuorumPolicy) -> Self {
-        self.quorum_policy = quorum_policy;
+        self.options.quorum_policy = quorum_policy;
         self
     }
 
-    /// The same at the first start of the whole system: the seeds found the core.
+    /// Sets whether this node may bootstrap the control quorum by itself, together with the other
+    /// seeds. To be set only at the first start of the system.
     pub fn with_bootstrap(mut self, may_bootstrap: bool) -> Self {
-        self.may_bootstrap = may_bootstrap;
+        self.options.may_bootstrap = may_bootstrap;
         self
     }
 
-    /// The same without a disk: it never votes, and only passes on.
+    /// Sets that this node has no data directory: it never votes, and only forwards to the leader.
     pub fn without_disk(mut self) -> Self {
-        self.diskless = true;
+        self.local.diskless = true;
         self
     }
 
-    /// Takes other seeds.
+    /// Replaces the seed addresses.
     pub fn update_seeds(&mut self, seeds: Vec<SocketAddress>) {
-        self.seeds = seeds;
+        self.peers.seeds = seeds;
     }
 
     /// This controller's identity.
     pub fn id(&self) -> ControllerId {
-        self.id
+        self.local.id
     }
 
-    /// The present term.
+    /// The current term.
     pub fn term(&self) -> Term {
-        self.term
+        self.hard_state.term
     }
 
     /// Whether this controller leads.
@@ -211,20 +179,21 @@
         matches!(self.role, Role::Leader(_))
     }
 
-    /// Whether it leads and has committed its newest version under its own term.
+    /// Whether it leads and has committed a version under its own term.
     pub fn is_ready(&self) -> bool {
-        self.is_leader() && self.committed.term == self.term
+        self.is_leader() && self.committed.term == self.hard_state.term
     }
 
-    /// The leader, as far as is known.
+    /// The leader's addresses, as far as a leader is known.
     pub fn leader(&self) -> Option<ControllerAddress> {
-        self.leader
-            .map(|(_, controller_address)| controller_address)
+        self.known_leader
+            .current
+            .map(|leader| leader.controller_address)
     }
 
     /// The newest version on this disk.
     pub fn accepted(&self) -> Option<&Document> {
-        self.accepted.as_ref()
+        self.hard_state.accepted.as_ref()
     }
 
     /// The newest version known to be committed.
@@ -232,29 +201,18 @@
         self.committed
     }
 
-    /// Whether a change is in flight.
+    /// Whether a proposal is in flight.
     pub fn is_proposing(&self) -> bool {
         self.proposed.is_some()
     }
 
-    /// The change in flight.
+    /// The proposal in flight.
     pub fn proposed(&self) -> Option<&Document> {
         self.proposed.as_ref()
     }
 
-    /// Somebody waits for a proof of the majority: a round starts now, or as soon as the last one is
-    /// old enough.
-    pub fn expedite_heartbeat(&mut self, now: MonotonicTime) -> Vec<ConsensusOutput> {
-        if let Role::Leader(heartbeats) = &mut self.role {
-            heartbeats.expedite(self.timing.min_heartbeat_gap);
-            if now >= heartbeats.next_heartbeat_at() {
-                self.send_due_heartbeats(now);
-            }
-        }
-        std::mem::take(&mut self.outputs)
-    }
-
-    /// When the newest round was sent that a majority answered.
+    /// When the newest heartbeat round was sent that a majority has answered; zero on a node that does
+    /// not lead. At that time no other controller led a later term.
     pub fn quorum_confirmed_at(&self) -> MonotonicTime {
         match &self.role {
             Role::Leader(heartbeats) => heartbeats.quorum_confirmed_at(),
@@ -262,271 +220,99 @@
         }
     }
 
-    /// Whether a majority knows that this daemon may hold grants.
+    /// Whether a majority has been notified that this daemon may hold leases, so that any later leader
+    /// inherits it.
     pub fn is_confirmed(&self, member: &KnownMember) -> bool {
         matches!(&self.role, Role::Leader(heartbeats) if heartbeats.confirmed_members().contains(member))
     }
 
-    /// The leader names the daemons that may hold grants, and says whether there are no others.
+    /// Sets the daemons that may hold leases, for the next heartbeats to report; `complete` when there
+    /// are certainly no others.
     pub fn set_members(&mut self, members: BTreeSet<KnownMember>, complete: bool) {
-        self.members = members;
-        self.members_complete = complete;
-    }
-
-    /// Gives up what this moment has made too old to be said: a leader that was not heard within the
-    /// election time, and the lead without a majority that answered within it. To be called before
-    /// anything is said, since a process that stood still hears others before its timers fire.
-    pub fn expire_leadership(&mut self, now: MonotonicTime) -> Vec<ConsensusOutput> {
-        if self.is_leader() {
-            self.step_down_if_quorum_lost(now);
-        } else if self.rules.enforces(Rule::LeaderHintIsRecent) && self.has_lost_leader(now) {
-            self.leader = None;
-        }
-        std::mem::take(&mut self.outputs)
+        self.membership = ReportedMembership { members, complete };
     }
 
-    /// Whether the leader was not heard within the election time. The next trial may be later than that: after a
-    /// failed write others are let go first.
-    fn has_lost_leader(&self, now: MonotonicTime) -> bool {
-        now >= self.election_deadline
-            || now.since(self.leader_last_heard_at) > self.timing.election_timeout_max
+    /// When [`Self::tick`] is due next, unless an input changes that.
+    pub fn next_due(&self) -> MonotonicTime {
+        let due = match &self.role {
+            Role::Leader(heartbeats) => heartbeats.next_heartbeat_at(),
+            _ => self.timers.election_deadline,
+        };
+        due.min(self.timers.next_hello_at)
     }
 
-    /// Lets time pass.
+    /// Does what is due by now.
     pub fn tick(&mut self, now: MonotonicTime) -> Vec<ConsensusOutput> {
-        if now >= self.next_scrub_at && self.pending_writes.is_empty() && !self.diskless {
-            self.next_scrub_at = now + self.timing.scrub_interval;
-            self.submit_write(now, PendingWriteKind::Scrub);
-        }
-        if now >= self.next_hello_at {
-            self.next_hello_at = now + self.timing.hello_interval;
+        self.scrub_if_due(now);
+        if now >= self.timers.next_hello_at {
+            self.timers.next_hello_at = now + self.options.timing.hello_interval;
             self.forget_stale_peers(now);
             self.send_hellos();
         }
         self.bootstrap_on_first_start(now);
-        if matches!(self.role, Role::Leader(_)) {
+        if self.is_leader() {
             self.send_due_heartbeats(now);
             self.advance_membership_change(now);
-        } else if now >= self.election_deadline {
+        } else if now >= self.timers.election_deadline {
             self.start_pre_vote(now);
         }
-        std::mem::take(&mut self.outputs)
+        self.take_outputs()
     }
 
-    /// Takes a frame from another controller.
-    pub fn receive(&mut self, now: MonotonicTime, frame: ConsensusFrame) -> Vec<ConsensusOutput> {
-        let sender_address = ControllerAddress {
-            address: frame.address,
-            operators: frame.operators,
-        };
-        if frame.from == self.id {
-            return Vec::new();
-        }
-        self.record_peer(now, frame.from, sender_address, frame.zone);
-        match frame.body {
-            ConsensusMessage::Hello {
-                accepted,
-                term,
-                diskless,
-            } => {
-                if let Some(peer) = self.peers.get_mut(&frame.address) {
-                    let diskless = diskless.0;
-                    peer.greeting = Some(PeerGreeting {
-                        last_heard_at: now,
-                        term,
-                        diskless,
-                    });
-                }
-                if term <= self.term || !self.is_leader() {
-                    self.handle_hello(now, frame.from, sender_address, accepted);
-                }
-            }
-            ConsensusMessage::VoterAddresses { addresses } => {
-                if !self.is_voter(self.id) {
-                    self.hinted_addresses = addresses.0.into_iter().collect();
-                }
-            }
-            ConsensusMessage::Bootstrap { document } => self.handle_bootstrap(now, &document),
-            ConsensusMessage::VoteRequest {
-                term,
-                accepted,
-                is_pre_vote,
-            } => {
-                self.handle_vote_request(
-                    now,
-                    frame.from,
-                    sender_address,
-                    term,
-                    accepted,
-                    is_pre_vote.0,
-                );
-            }
-            ConsensusMessage::VoteResponse { .. } => {
-                self.handle_vote_response(now, frame.from, frame.body)
-            }
-            ConsensusMessage::Heartbeat {
-                term,
-                round,
-                accepted: _,
-                committed,
-                members,
-                complete,
-            } => {
-                if self.observe_leader(now, frame.from, sender_address, term) {
-                    self.members = members.0.into_iter().collect();
-                    self.members_complete = complete.0;
-                    self.committed = self.committed.max(committed);
-                }
-                if !self.diskless {
-                    self.send_heartbeat_response(sender_address.address, term, round);
-                }
-            }
-            ConsensusMessage::HeartbeatResponse {
-                term,
-                round,
-                accepted,
-            } => {
-                self.handle_heartbeat_response(
-                    now,
-                    frame.from,
-                    sender_address.address,
-                    term,
-                    round,
-                    accepted,
-                );
-            }
-            ConsensusMessage::AcceptFull {
-                term,
-                document_version,
-                document,
-            } => {
-                self.handle_accept(
-                    now,
-                    frame.from,
-                    sender_address,
-                    term,
-                    document_version,
-                    &document,
-                );
-            }
-            ConsensusMessage::AcceptDelta {
-                term,
-                base,
-                document_version,
-                delta,
-                digest,
-            } => {
-                let (delta, digest) = (&delta, &digest);
-                let version = VersionDelta {
-                    term,
-                    base,
-                    document_version,
-                    delta,
-                    digest,
-                };
-                self.handle_accept_delta(now, frame.from, sender_address, version);
-            }
-            ConsensusMessage::SnapshotRequest { term, accepted } => {
-                self.handle_snapshot_request(now, sender_address.address, term, accepted);
-            }
-            ConsensusMessage::Accepted {
-                term,
-                document_version,
-            } => {
-                self.handle_accepted(now, sender_address.address, term, document_version);
-            }
+    fn scrub_if_due(&mut self, now: MonotonicTime) {
+        if now >= self.timers.next_scrub_at && self.writes.is_empty() && !self.local.diskless {
+            self.timers.next_scrub_at = now + self.options.timing.scrub_interval;
+            self.submit_write(now, PendingWriteKind::Scrub);
         }
-        std::mem::take(&mut self.outputs)
     }
 
-    /// Hears that a write has ended.
-    pub fn write_completed(
-        &mut self,
-        now: MonotonicTime,
-        ticket: Ticket,
-        result: WriteResult,
-    ) -> Vec<ConsensusOutput> {
-        if let Some(ended) = self.pending_writes.remove(&ticket) {
-            match (ended.write, result) {
-                (PendingWriteKind::Vote { term, candidate }, WriteResult::Synced) => {
-                    self.vote_written(now, term, candidate);
-                }
-                (PendingWriteKind::Version(document), WriteResult::Synced) => {
-                    self.version_written(now, *document);
-                }
-                (PendingWriteKind::Scrub, WriteResult::Synced) => {}
-                (_, WriteResult::Failed) => {
-                    self.step_down(now, self.term);
-                    self.election_deadline = now + self.timing.election_timeout_max * 2;
-                }
-            }
+    /// Gives up leadership, or the knowledge of a leader, that has expired by now: a leader steps down
+    /// when no majority has answered within the election timeout, any other node forgets a leader that
+    /// it has not heard within it.
+    ///
+    /// To be called before this node's knowledge is passed on, since a process that was suspended
+    /// receives frames before its timers fire.
+    pub fn expire_leadership(&mut self, now: MonotonicTime) -> Vec<ConsensusOutput> {
+        if self.is_leader() {
+            self.step_down_if_quorum_lost(now);
+        } else if self.options.enforces(Rule::LeaderHintIsRecent) && self.has_lost_leader(now) {
+            self.known_leader.current = None;
         }
-        std::mem::take(&mut self.outputs)
+        self.take_outputs()
+    }
+
+    /// Whether the leader was not heard within the election timeout. The election deadline alone does
+    /// not tell: after a failed write it is later than that.
+    fn has_lost_leader(&self, now: MonotonicTime) -> bool {
+        now >= self.timers.election_deadline
+            || now.since(self.known_leader.last_heard_at) > self.options.timing.election_timeout_max
     }
 
     fn is_voter(&self, id: ControllerId) -> bool {
-        self.accepted
-            .as_ref()
-            .is_some_and(|document| document.voters.iter().any(|voter| voter.id == id))
+        self.hard_state.is_voter(id)
     }
 
-    fn accepted_document_version(&self) -> DocumentVersion {
-        self.accepted
-            .as_ref()
-            .map_or(DocumentVersion::default(), |document| {
-                document.document_version
-            })
+    fn accepted_version(&self) -> DocumentVersion {
+        self.hard_state.accepted_version()
+    }
+
+    /// The version that this leader has proposed, else the newest on its disk.
+    fn newest_document(&self) -> Option<&Document> {
+        self.proposed.as_ref().or(self.hard_state.accepted.as_ref())
     }
 
     fn send(&mut self, to: SocketAddress, body: ConsensusMessage) {
         let frame = ConsensusFrame {
-            from: self.id,
-            address: self.controller_address.address,
-            operators: self.controller_address.operators,
-            zone: self.zone.clone(),
+            from: self.local.id,
+            address: self.local.controller_address.address,
+            operators: self.local.controller_address.operators,
+            zone: self.local.zone.clone(),
             body,
         };
         self.outputs.push(ConsensusOutput::Send { to, frame });
     }
 
-    fn submit_write(&mut self, now: MonotonicTime, write: PendingWriteKind) {
-        self.last_ticket = self.last_ticket.next();
-        let job = match &write {
-            PendingWriteKind::Vote { term, candidate } => WriteJob::Vote {
-                term: *term,
-                candidate: *candidate,
-            },
-            PendingWriteKind::Version(document) => WriteJob::Version((**document).clone()),
-            PendingWriteKind::Scrub => WriteJob::Scrub(self.accepted.clone()),
-        };
-        self.pending_writes.insert(
-            self.last_ticket,
-            PendingWrite {
-                started_at: now,
-                write,
-            },
-        );
-        self.outputs.push(ConsensusOutput::Write {
-            ticket: self.last_ticket,
-            job,
-        });
-    }
-
-    /// When time must pass next, if nothing is heard before.
-    pub fn next_due(&self) -> MonotonicTime {
-        let due = match &self.role {
-            Role::Leader(heartbeats) => heartbeats.next_heartbeat_at(),
-            _ => self.election_deadline,
-        };
-        due.min(self.next_hello_at)
-    }
-
-    fn is_disk_stalled(&self, now: MonotonicTime) -> bool {
-        let is_state_write =
-            |pending: &&PendingWrite| !matches!(pending.write, PendingWriteKind::Scrub);
-        let state_writes = self.pending_writes.values().filter(is_state_write);
-        let oldest_start = state_writes.map(|pending| pending.started_at).min();
-        oldest_start
-            .is_some_and(|started_at| now.since(started_at) > self.timing.election_timeout_min)
+    fn take_outputs(&mut self) -> Vec<ConsensusOutput> {
+        std::mem::take(&mut self.outputs)
     }
 }
--- a/crates/controlplane/src/consensus/peers.rs
+++ b/crates/controlplane/src/consensus/peers.rs
@@ -1,32 +1,85 @@
-//! The other controllers, as one controller knows them: where they stand, what their disks hold, and who of
-//! them is greeted.
+//! The other controllers: where each is reached, what its disk holds, and whom this node greets.
 
+use super::bootstrap::BOOTSTRAP_VERSION;
+use super::state::Contact;
 use super::{ConsensusNode, ControllerAddress};
 use common::clock::MonotonicTime;
-use common::frames::{ConsensusMessage, Flag, SocketAddress};
+use common::frames::{ConsensusMessage, Flag, LengthPrefixed, SocketAddress, compress};
 use common::identity::{ControllerId, DocumentVersion, Term, Zone};
-use std::collections::BTreeSet;
+use std::collections::{BTreeMap, BTreeSet};
 
-/// So many controllers are remembered as heard.
+/// The limit on the controllers whose last frame is remembered; the longest silent one is dropped first.
 const MAX_HEARD_CONTROLLERS: usize = 64;
 
+/// Another controller's state, as an operator is shown it.
+#[derive(Clone, Copy, PartialEq, Eq, Debug)]
+pub struct PeerStatus {
+    /// Its identity.
+    pub id: ControllerId,
+    /// Where it is reached.
+    pub controller_address: ControllerAddress,
+    /// The newest version known to be on its disk.
+    pub accepted: DocumentVersion,
+    /// Whether it is a voter of the newest version on this node's disk.
+    pub is_voter: bool,
+    /// Milliseconds since its last frame.
+    pub silent_ms: u64,
+}
+
 /// Another controller as this one knows it.
 #[derive(Clone, Debug)]
 pub(super) struct Peer {
     pub id: ControllerId,
     pub controller_address: ControllerAddress,
     pub zone: Zone,
+    /// The newest version known to be on its disk (Raft's match index).
     pub accepted: DocumentVersion,
+    /// Since when its disk has been behind the committed version without taking a newer one.
     pub behind_since: Option<MonotonicTime>,
     pub last_heard_at: MonotonicTime,
-    /// When a version was last sent to it, and which.
+    /// When a version was last sent to it.
     pub document_sent_at: MonotonicTime,
+    /// The version that was last sent to it.
     pub last_sent_version: DocumentVersion,
+    /// Since when this controller has been the one at its address.
     pub present_since: MonotonicTime,
     pub greeting: Option<PeerGreeting>,
 }
 
-/// What another controller last said in greeting.
+impl Peer {
+    fn new(now: MonotonicTime, contact: Contact, zone: Zone) -> Self {
+        Self {
+            id: contact.id,
+            controller_address: contact.controller_address,
+            zone,
+            accepted: DocumentVersion::default(),
+            behind_since: None,
+            last_heard_at: now,
+            document_sent_at: MonotonicTime::ZERO,
+            last_sent_version: DocumentVersion::default(),
+            present_since: now,
+            greeting: None,
+        }
+    }
+
+    /// Records which version is on the peer's disk, given the newest committed one.
+    fn record_accepted(
+        &mut self,
+        now: MonotonicTime,
+        accepted: DocumentVersion,
+        committed: DocumentVersion,
+    ) {
+        let has_advanced = accepted > self.accepted;
+        self.accepted = accepted;
+        if accepted >= committed {
+            self.behind_since = None;
+        } else if has_advanced || self.behind_since.is_none() {
+            self.behind_since = Some(now);
+        }
+    }
+}
+
+/// What a controller last reported in a hello.
 #[derive(Clone, Debug)]
 pub(super) struct PeerGreeting {
     pub last_heard_at: MonotonicTime,
@@ -34,123 +87,221 @@
     pub diskless: bool,
 }
 
-impl ConsensusNode {
-    /// The other controllers heard lately, and whether each is a member of the core.
-    pub fn peers(
-        &self,
-        now: MonotonicTime,
-    ) -> Vec<(ControllerId, ControllerAddress, DocumentVersion, bool, u64)> {
-        self.peers
-            .values()
-            .map(|peer| {
-                let since_last_heard_ms = now.since(peer.last_heard_at).as_millis() as u64;
-                (
-                    peer.id,
-                    peer.controller_address,
-                    peer.accepted,
-                    self.is_voter(peer.id),
-                    since_last_heard_ms,
-                )
-            })
-            .collect()
+/// The other controllers that a node knows.
+#[derive(Clone, Debug)]
+pub(super) struct PeerTable {
+    /// The controller last heard from each address.
+    pub by_address: BTreeMap<SocketAddress, Peer>,
+    /// When each controller was last heard, from whichever address.
+    pub last_heard: BTreeMap<ControllerId, MonotonicTime>,
+    /// The configured addresses.
+    pub seeds: Vec<SocketAddress>,
+    /// Addresses of the leader and the voters, as another controller reported them to this one, which
+    /// does not vote.
+    pub hinted_addresses: BTreeSet<SocketAddress>,
+}
+
+impl PeerTable {
+    /// No controllers but the addresses of the seeds.
+    pub fn new(seeds: Vec<SocketAddress>) -> Self {
+        Self {
+            by_address: BTreeMap::new(),
+            last_heard: BTreeMap::new(),
+            seeds,
+            hinted_addresses: BTreeSet::new(),
+        }
     }
 
-    pub(super) fn record_peer(
+    /// Records that a controller was heard. Another controller at a known address replaces the one
+    /// before, of whose disk it says nothing.
+    pub fn record(&mut self, now: MonotonicTime, contact: Contact, zone: Zone) {
+        self.record_last_heard(now, contact.id);
+        let peer = self
+            .by_address
+            .entry(contact.controller_address.address)
+            .or_insert_with(|| Peer::new(now, contact, zone.clone()));
+        if peer.id != contact.id {
+            *peer = Peer::new(now, contact, zone);
+            return;
+        }
+        peer.controller_address = contact.controller_address;
+        peer.zone = zone;
+        peer.last_heard_at = now;
+    }
+
+    fn record_last_heard(&mut self, now: MonotonicTime, id: ControllerId) {
+        self.last_heard.insert(id, now);
+        if self.last_heard.len() <= MAX_HEARD_CONTROLLERS {
+            return;
+        }
+        let longest_silent = self
+            .last_heard
+            .iter()
+            .min_by_key(|(_, last_heard_at)| **last_heard_at)
+            .map(|(id, _)| *id);
+        if let Some(longest_silent) = longest_silent {
+            self.last_heard.remove(&longest_silent);
+        }
+    }
+
+    /// Records what a controller reported in a hello.
+    pub fn record_greeting(
         &mut self,
         now: MonotonicTime,
-        id: ControllerId,
-        controller_address: ControllerAddress,
-        zone: Zone,
+        address: SocketAddress,
+        term: Term,
+        diskless: bool,
     ) {
-        self.last_heard.insert(id, now);
-        if self.last_heard.len() > MAX_HEARD_CONTROLLERS
-            && let Some(longest_unheard) = self
-                .last_heard
-                .iter()
-                .min_by_key(|(_, last_heard_at)| **last_heard_at)
-                .map(|(id, _)| *id)
-        {
-            self.last_heard.remove(&longest_unheard);
-        }
-        let peer = self
-            .peers
-            .entry(controller_address.address)
-            .or_insert(Peer {
-                id,
-                controller_address,
-                zone: zone.clone(),
-                accepted: DocumentVersion::default(),
-                behind_since: None,
+        if let Some(peer) = self.by_address.get_mut(&address) {
+            peer.greeting = Some(PeerGreeting {
                 last_heard_at: now,
-                document_sent_at: MonotonicTime::ZERO,
-                last_sent_version: DocumentVersion::default(),
-                present_since: now,
-                greeting: None,
+                term,
+                diskless,
             });
-        if peer.id != id {
-            peer.accepted = DocumentVersion::default();
-            peer.behind_since = None;
-            peer.document_sent_at = MonotonicTime::ZERO;
-            peer.last_sent_version = DocumentVersion::default();
-            peer.present_since = now;
-            peer.greeting = None;
         }
-        peer.id = id;
-        peer.controller_address = controller_address;
-        peer.zone = zone;
-        peer.last_heard_at = now;
     }
 
-    /// Where those stand whose votes count, now or while a membership change is not settled.
+    /// The address from which this controller was last heard.
+    pub fn address_of(&self, id: ControllerId) -> Option<SocketAddress> {
+        self.by_address
+            .values()
+            .find(|peer| peer.id == id)
+            .map(|peer| peer.controller_address.address)
+    }
+
+    /// Whether the controller at this address has reported that it has no data directory.
+    pub fn is_diskless(&self, address: SocketAddress) -> bool {
+        let greeting = self
+            .by_address
+            .get(&address)
+            .and_then(|peer| peer.greeting.as_ref());
+        greeting.is_some_and(|greeting| greeting.diskless)
+    }
+}
+
+impl ConsensusNode {
+    /// The other controllers that were heard lately, by address.
+    pub fn peers(&self, now: MonotonicTime) -> Vec<PeerStatus> {
+        self.peers
+            .by_address
+            .values()
+            .map(|peer| PeerStatus {
+                id: peer.id,
+                controller_address: peer.controller_address,
+                accepted: peer.accepted,
+                is_voter: self.is_voter(peer.id),
+                silent_ms: now.since(peer.last_heard_at).as_millis() as u64,
+            })
+            .collect()
+    }
+
+    /// The addresses of the other controllers whose votes count: voters of the newest versions, and the
+    /// previous voters while a membership change is not settled.
     pub(super) fn voter_addresses(&self) -> BTreeSet<SocketAddress> {
-        let documents = self.accepted.iter().chain(&self.proposed);
+        let documents = self.hard_state.accepted.iter().chain(&self.proposed);
         let voters =
             documents.flat_map(|document| document.voters.iter().chain(&document.previous_voters));
         let mut voter_addresses: BTreeSet<SocketAddress> =
             voters.map(|voter| voter.address).collect();
-        voter_addresses.remove(&self.controller_address.address);
+        voter_addresses.remove(&self.local.controller_address.address);
         voter_addresses
     }
 
-    pub(super) fn hello_addresses(&self) -> BTreeSet<SocketAddress> {
+    /// The addresses that this node greets: voters, seeds and hinted addresses.
+    fn hello_addresses(&self) -> BTreeSet<SocketAddress> {
         let mut hello_addresses = self.voter_addresses();
-        hello_addresses.extend(self.seeds.iter().copied());
-        hello_addresses.extend(self.hinted_addresses.iter().copied());
-        hello_addresses.remove(&self.controller_address.address);
+        hello_addresses.extend(self.peers.seeds.iter().copied());
+        hello_addresses.extend(self.peers.hinted_addresses.iter().copied());
+        hello_addresses.remove(&self.local.controller_address.address);
         hello_addresses
     }
 
+    /// Every address at which a controller may be: those greeted, and those that were heard.
     pub(super) fn known_addresses(&self) -> BTreeSet<SocketAddress> {
         let mut known_addresses = self.hello_addresses();
-        known_addresses.extend(self.peers.keys().copied());
-        known_addresses.remove(&self.controller_address.address);
+        known_addresses.extend(self.peers.by_address.keys().copied());
+        known_addresses.remove(&self.local.controller_address.address);
         known_addresses
     }
 
-    pub(super) fn is_diskless(&self, address: SocketAddress) -> bool {
-        let greeting = self
-            .peers
-            .get(&address)
-            .and_then(|peer| peer.greeting.as_ref());
-        greeting.is_some_and(|greeting| greeting.diskless)
-    }
-
+    /// Drops peers that this node does not greet and that have been silent for four times as long as
+    /// it takes to replace a voter.
     pub(super) fn forget_stale_peers(&mut self, now: MonotonicTime) {
         let retained_addresses = self.hello_addresses();
-        let retention = self.timing.unreachable_voter_timeout * 4;
-        self.peers.retain(|address, peer| {
+        let retention = self.options.timing.unreachable_voter_timeout * 4;
+        self.peers.by_address.retain(|address, peer| {
             retained_addresses.contains(address) || now.since(peer.last_heard_at) < retention
         });
     }
 
     pub(super) fn send_hellos(&mut self) {
         let hello = ConsensusMessage::Hello {
-            accepted: self.accepted_document_version(),
-            term: self.term,
-            diskless: Flag(self.diskless),
+            accepted: self.accepted_version(),
+            term: self.hard_state.term,
+            diskless: Flag(self.local.diskless),
         };
         for hello_address in self.hello_addresses() {
             self.send(hello_address, hello.clone());
         }
     }
+
+    pub(super) fn handle_hello(
+        &mut self,
+        now: MonotonicTime,
+        sender: Contact,
+        accepted: DocumentVersion,
+    ) {
+        let sender_address = sender.controller_address.address;
+        self.record_accepted(now, sender_address, accepted);
+        if accepted == DocumentVersion::default() && self.is_voter(sender.id) {
+            self.resend_bootstrap_document(sender_address);
+        }
+        if !self.is_voter(sender.id) {
+            self.send_voter_addresses(sender_address);
+        }
+        if self.is_leader() {
+            self.catch_up_peer(now, sender_address);
+        }
+    }
+
+    /// Sends the first version to a voter whose disk is empty, as long as no later one was accepted.
+    fn resend_bootstrap_document(&mut self, to: SocketAddress) {
+        let bootstrap_document = self
+            .accepted()
+            .filter(|document| document.document_version == BOOTSTRAP_VERSION);
+        if let Some(document) = bootstrap_document {
+            let document = compress(&document.to_bytes());
+            self.send(to, ConsensusMessage::Bootstrap { document });
+        }
+    }
+
+    /// Reports the leader's and the voters' addresses to a controller that does not vote. The leader
+    /// itself need not: its heartbeats reach every known controller.
+    fn send_voter_addresses(&mut self, to: SocketAddress) {
+        let other_leader = self
+            .known_leader
+            .current
+            .filter(|leader| leader.id != self.local.id);
+        let Some(leader) = other_leader else {
+            return;
+        };
+        let mut hinted_addresses = self.voter_addresses();
+        hinted_addresses.insert(leader.controller_address.address);
+        hinted_addresses.remove(&to);
+        let addresses = LengthPrefixed(hinted_addresses.into_iter().collect());
+        self.send(to, ConsensusMessage::VoterAddresses { addresses });
+    }
+
+    /// Records which version the controller at this address has on its disk.
+    pub(super) fn record_accepted(
+        &mut self,
+        now: MonotonicTime,
+        address: SocketAddress,
+        accepted: DocumentVersion,
+    ) {
+        let committed = self.committed;
+        if let Some(peer) = self.peers.by_address.get_mut(&address) {
+            peer.record_accepted(now, accepted, committed);
+        }
+    }
 }
--- a/crates/controlplane/src/consensus/replication.rs
+++ b/crates/controlplane/src/consensus/replication.rs
@@ -1,12 +1,17 @@
-//! The replication of versions: the leader puts one forward, the others write it, a majority commits it. A
-//! version travels as the change from the one before, and whole to whoever does not hold that.
+//! Replication of the document's versions.
+//!
+//! The leader proposes a version, the other controllers write it, and it is committed when a majority of
+//! its voters has it on disk. Controllers that do not vote receive it too, so that they can become
+//! voters. A version is sent as the delta from the one before it, and in full to a controller that does
+//! not have that one. A version that is not acknowledged is sent again when its receiver's next hello
+//! or heartbeat response shows that it lacks it.
 
 use super::bootstrap::BOOTSTRAP_VERSION;
-use super::{ConsensusNode, ConsensusOutput, ControllerAddress, PendingWriteKind, Role};
+use super::state::Contact;
+use super::writes::PendingWriteKind;
+use super::{ConsensusNode, ConsensusOutput};
 use common::clock::MonotonicTime;
-use common::frames::{
-    ByteString, ConsensusMessage, LengthPrefixed, SocketAddress, compress, decompress,
-};
+use common::frames::{ByteString, ConsensusMessage, SocketAddress, compress, decompress};
 use common::identity::{ControllerId, DocumentVersion, Term};
 use common::invariants::{Invariant, require};
 use common::rules::Rule;
@@ -14,12 +19,12 @@
 use std::collections::BTreeSet;
 use std::fmt;
 
-/// Why a change cannot be put forward.
+/// Why a version cannot be proposed.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum ProposeError {
     /// This controller does not lead, or has not yet committed under its term.
     NotReady,
-    /// Another change is in flight.
+    /// Another proposal is in flight.
     Busy,
 }
 
@@ -34,7 +39,7 @@
 
 impl std::error::Error for ProposeError {}
 
-/// A version as it is sent: the change that leads to it, and the whole once somebody needs it.
+/// A version as it is sent: the delta that leads to it and, once a receiver needs it, the full document.
 #[derive(Clone, Debug)]
 pub(super) struct EncodedVersion {
     document_version: DocumentVersion,
@@ -49,17 +54,18 @@
     digest: ByteString,
 }
 
-/// A version as a leader sent it, by what changes.
+/// A version as received in the form of a delta.
+#[derive(Clone, Copy)]
 pub(super) struct VersionDelta<'a> {
     /// The leader's term.
     pub term: Term,
-    /// The version that the change leads from.
+    /// The version that the delta applies to.
     pub base: DocumentVersion,
-    /// Where the version stands.
+    /// The version that the delta leads to.
     pub document_version: DocumentVersion,
-    /// The change, packed.
+    /// The delta, compressed.
     pub delta: &'a ByteString,
-    /// The digest of the changed document.
+    /// The digest of the document that the delta leads to.
     pub digest: &'a ByteString,
 }
 
@@ -83,8 +89,8 @@
             .clone()
     }
 
-    /// The frame for a controller that holds this version of the leader's, or is about to.
-    fn frame_for(
+    /// The message for a controller that has this version of the leader's, or is about to have it.
+    fn message_for(
         &mut self,
         held_version: DocumentVersion,
         term: Term,
@@ -108,8 +114,14 @@
     }
 }
 
+/// The leader's side.
 impl ConsensusNode {
-    /// Puts the next version forward; from here on its outcome is accepted or unknown.
+    /// Proposes the next version. From here on it is either reported as committed, or its outcome is
+    /// unknown.
+    ///
+    /// # Errors
+    ///
+    /// See [`ProposeError`]; nothing is proposed then.
     pub fn propose(
         &mut self,
         now: MonotonicTime,
@@ -121,108 +133,147 @@
         if self.proposed.is_some() {
             return Err(ProposeError::Busy);
         }
-        document.document_version.term = self.term;
+        document.document_version.term = self.hard_state.term;
         self.start_proposal(now, document);
-        Ok(std::mem::take(&mut self.outputs))
+        Ok(self.take_outputs())
     }
 
+    /// Writes a proposal here and sends it to all known controllers.
     pub(super) fn start_proposal(&mut self, now: MonotonicTime, document: Document) {
-        self.encoded_version = Some(EncodedVersion::new(&document, self.accepted.as_ref()));
+        self.encoded_version = Some(EncodedVersion::new(&document, self.accepted()));
         self.proposed = Some(document.clone());
         self.submit_write(now, PendingWriteKind::Version(Box::new(document)));
         for known_address in self.known_addresses() {
             let held_version = self
                 .peers
+                .by_address
                 .get(&known_address)
                 .map(|peer| peer.accepted.max(peer.last_sent_version));
             self.send_newest_version(now, known_address, held_version.unwrap_or_default());
         }
     }
 
-    /// Sends the newest version of this leader's to a controller that holds that one, or is about to.
+    /// Sends this leader's newest version to a controller that has `held_version`, or is about to have
+    /// it. Nothing is sent to controllers without a data directory, nor before this leader has proposed
+    /// a version in its own term.
     fn send_newest_version(
         &mut self,
         now: MonotonicTime,
         to: SocketAddress,
         held_version: DocumentVersion,
     ) {
-        if self.is_diskless(to) {
+        if self.peers.is_diskless(to) {
             return;
         }
-        let newest = self.proposed.as_ref().or(self.accepted.as_ref());
-        let Some(document) = newest.filter(|document| document.document_version.term == self.term)
+        let term = self.hard_state.term;
+        let newest = self.proposed.as_ref().or(self.hard_state.accepted.as_ref());
+        let Some(document) = newest.filter(|document| document.document_version.term == term)
         else {
             return;
         };
-        let is_same_version =
-            |encoded: &&mut EncodedVersion| encoded.document_version == document.document_version;
-        let body = match self.encoded_version.as_mut().filter(is_same_version) {
-            Some(encoded_version) => encoded_version.frame_for(held_version, self.term, document),
-            None => {
-                let mut encoded_version = EncodedVersion::new(document, None);
-                let body = encoded_version.frame_for(held_version, self.term, document);
-                self.encoded_version = Some(encoded_version);
-                body
-            }
+        let document_version = document.document_version;
+        let encoded_version = match &mut self.encoded_version {
+            Some(encoded) if encoded.document_version == document_version => encoded,
+            other => other.insert(EncodedVersion::new(document, None)),
         };
-        if let Some(peer) = self.peers.get_mut(&to) {
+        let message = encoded_version.message_for(held_version, term, document);
+        if let Some(peer) = self.peers.by_address.get_mut(&to) {
             peer.document_sent_at = now;
-            peer.last_sent_version = document.document_version;
+            peer.last_sent_version = document_version;
         }
-        self.send(to, body);
+        self.send(to, message);
     }
 
-    pub(super) fn handle_hello(
+    /// Sends the newest version to a peer that lacks it, unless one was sent within the resend timeout.
+    pub(super) fn catch_up_peer(&mut self, now: MonotonicTime, address: SocketAddress) {
+        let Some(newest) = self.newest_document() else {
+            return;
+        };
+        let Some(peer) = self.peers.by_address.get(&address) else {
+            return;
+        };
+        let held_version = peer.accepted;
+        let is_resend_due = now.since(peer.document_sent_at) >= self.options.timing.resend_timeout;
+        if held_version < newest.document_version && is_resend_due {
+            self.send_newest_version(now, address, held_version);
+        }
+    }
+
+    /// Sends the full newest version to a controller that lacks the base of a delta.
+    pub(super) fn handle_snapshot_request(
         &mut self,
         now: MonotonicTime,
-        from: ControllerId,
-        controller_address: ControllerAddress,
+        from: SocketAddress,
+        term: Term,
         accepted: DocumentVersion,
     ) {
-        self.record_accepted(now, controller_address.address, accepted);
-        let bootstrap_document = self
-            .accepted
-            .as_ref()
-            .filter(|document| document.document_version == BOOTSTRAP_VERSION)
-            .cloned();
-        if let Some(document) = bootstrap_document
-            && accepted == DocumentVersion::default()
-            && self.is_voter(from)
-        {
-            let document = compress(&document.to_bytes());
-            self.send(
-                controller_address.address,
-                ConsensusMessage::Bootstrap { document },
-            );
+        if !self.is_leader_in_term(now, term) {
+            return;
         }
-        if !self.is_voter(from)
-            && let Some((leader_id, leader_address)) = self.leader
-            && leader_id != self.id
-        {
-            let mut hinted_addresses = self.voter_addresses();
-            hinted_addresses.insert(leader_address.address);
-            hinted_addresses.remove(&controller_address.address);
-            let addresses = LengthPrefixed(hinted_addresses.into_iter().collect());
-            self.send(
-                controller_address.address,
-                ConsensusMessage::VoterAddresses { addresses },
-            );
+        self.record_accepted(now, from, accepted);
+        self.send_newest_version(now, from, DocumentVersion::default());
+    }
+
+    pub(super) fn handle_accepted(
+        &mut self,
+        now: MonotonicTime,
+        from: SocketAddress,
+        term: Term,
+        document_version: DocumentVersion,
+    ) {
+        if term > self.hard_state.term {
+            self.step_down(now, term);
+            return;
         }
-        if self.is_leader() {
-            self.catch_up_peer(now, controller_address.address);
+        self.record_accepted(now, from, document_version);
+        self.count_accepted(now);
+    }
+
+    /// Commits the proposal once it is on this leader's disk and on those of a majority.
+    pub(super) fn count_accepted(&mut self, now: MonotonicTime) {
+        if !self.is_leader() {
+            return;
+        }
+        let Some(proposal) = &self.proposed else {
+            return;
+        };
+        let document_version = proposal.document_version;
+        if self.accepted_version() != document_version {
+            return;
         }
+        let mut accepted_by: BTreeSet<ControllerId> = self
+            .peers
+            .by_address
+            .values()
+            .filter(|peer| peer.accepted == document_version)
+            .map(|peer| peer.id)
+            .collect();
+        accepted_by.insert(self.local.id);
+        if !Self::is_majority_of(proposal, &accepted_by) {
+            return;
+        }
+        self.committed = document_version;
+        if let Some(committed_document) = self.proposed.take() {
+            self.outputs
+                .push(ConsensusOutput::Committed(committed_document));
+        }
+        self.step_down_if_removed(now);
+        self.advance_membership_change(now);
     }
+}
 
+/// The receiving side, and what both sides share.
+impl ConsensusNode {
+    /// Takes in a version that is sent in full.
     pub(super) fn handle_accept(
         &mut self,
         now: MonotonicTime,
-        from: ControllerId,
-        controller_address: ControllerAddress,
+        leader: Contact,
         term: Term,
         document_version: DocumentVersion,
         document: &ByteString,
     ) {
-        if !self.should_write_version(now, from, controller_address, term, document_version) {
+        if !self.should_write_version(now, leader, term, document_version) {
             return;
         }
         let Ok(document_bytes) = decompress(document) else {
@@ -235,251 +286,119 @@
         }
     }
 
-    /// A change is applied to the version that it leads from, on this disk or on its way there. Whoever
-    /// does not hold that one asks for the whole.
+    /// Takes in a version that is sent as a delta. Its base may be on this disk or on its way there; a
+    /// node that does not have it requests the full document.
     pub(super) fn handle_accept_delta(
         &mut self,
         now: MonotonicTime,
-        from: ControllerId,
-        controller_address: ControllerAddress,
+        leader: Contact,
         version: VersionDelta<'_>,
     ) {
-        let VersionDelta {
-            term,
-            base,
-            document_version,
-            delta,
-            digest,
-        } = version;
-        if !self.should_write_version(now, from, controller_address, term, document_version) {
+        let document_version = version.document_version;
+        if !self.should_write_version(now, leader, version.term, document_version) {
             return;
         }
-        let changed = self.apply_delta(base, delta, digest);
-        match changed.filter(|document| document.document_version == document_version) {
+        let document = self
+            .apply_delta(version)
+            .filter(|document| document.document_version == document_version);
+        match document {
             Some(document) => self.write_version(now, document),
             None => {
-                let accepted = self.accepted_document_version();
-                self.send(
-                    controller_address.address,
-                    ConsensusMessage::SnapshotRequest {
-                        term: self.term,
-                        accepted,
-                    },
-                );
+                let request = ConsensusMessage::SnapshotRequest {
+                    term: self.hard_state.term,
+                    accepted: self.accepted_version(),
+                };
+                self.send(leader.controller_address.address, request);
             }
         }
     }
 
-    /// Whether a version that a leader sent is to be written; says what is held already.
+    /// Whether a version that a leader sent is to be written. If it is on this disk already, or the
+    /// leader's term is over, this is answered with the newest version that is.
     fn should_write_version(
         &mut self,
         now: MonotonicTime,
-        from: ControllerId,
-        controller_address: ControllerAddress,
+        leader: Contact,
         term: Term,
         document_version: DocumentVersion,
     ) -> bool {
-        if !self.observe_leader(now, from, controller_address, term) {
-            self.send_accepted(controller_address.address);
+        let leader_address = leader.controller_address.address;
+        if !self.observe_leader(now, leader, term) {
+            self.send_accepted(leader_address);
             return false;
         }
-        if self.diskless {
+        if self.local.diskless {
             return false;
         }
-        if document_version <= self.accepted_document_version() {
-            self.send_accepted(controller_address.address);
+        if document_version <= self.accepted_version() {
+            self.send_accepted(leader_address);
             return false;
         }
         !self
-            .pending_versions()
+            .writes
+            .versions()
             .any(|document| document.document_version >= document_version)
     }
 
+    fn apply_delta(&self, version: VersionDelta<'_>) -> Option<Document> {
+        let delta_bytes = decompress(version.delta).ok()?;
+        let mut held_versions = self
+            .hard_state
+            .accepted
+            .iter()
+            .chain(self.writes.versions());
+        if !self.options.enforces(Rule::DeltaOnItsBase) {
+            return held_versions.next()?.changed_unverified(&delta_bytes).ok();
+        }
+        let base = held_versions.find(|document| document.document_version == version.base)?;
+        base.changed(&delta_bytes, &version.digest.0).ok()
+    }
+
     fn write_version(&mut self, now: MonotonicTime, document: Document) {
-        let unsynced = (!self.rules.enforces(Rule::AcceptPersistedFirst)).then(|| document.clone());
+        let unsynced =
+            (!self.options.enforces(Rule::AcceptPersistedFirst)).then(|| document.clone());
         self.submit_write(now, PendingWriteKind::Version(Box::new(document)));
         if let Some(unwritten) = unsynced {
             self.version_written(now, unwritten);
         }
     }
 
-    pub(super) fn pending_versions(&self) -> impl Iterator<Item = &Document> {
-        self.pending_writes
-            .values()
-            .filter_map(|pending| match &pending.write {
-                PendingWriteKind::Version(document) => Some(&**document),
-                PendingWriteKind::Vote { .. } | PendingWriteKind::Scrub => None,
-            })
-    }
-
-    fn apply_delta(
-        &self,
-        base: DocumentVersion,
-        delta: &ByteString,
-        digest: &ByteString,
-    ) -> Option<Document> {
-        let delta_bytes = decompress(delta).ok()?;
-        let mut available_versions = self.accepted.iter().chain(self.pending_versions());
-        if !self.rules.enforces(Rule::DeltaOnItsBase) {
-            return available_versions
-                .next()?
-                .changed_unverified(&delta_bytes)
-                .ok();
-        }
-        let held_version = available_versions.find(|document| document.document_version == base)?;
-        held_version.changed(&delta_bytes, &digest.0).ok()
-    }
-
-    /// Whether an answer of this term is to this controller's lead; one of a later term ends it.
-    fn is_leader_in_term(&mut self, now: MonotonicTime, term: Term) -> bool {
-        if term > self.term {
-            self.step_down(now, term);
-        }
-        term == self.term && self.is_leader()
-    }
-
-    /// Another controller lacks what a change leads from.
-    pub(super) fn handle_snapshot_request(
-        &mut self,
-        now: MonotonicTime,
-        from: SocketAddress,
-        term: Term,
-        accepted: DocumentVersion,
-    ) {
-        if !self.is_leader_in_term(now, term) {
-            return;
-        }
-        self.record_accepted(now, from, accepted);
-        self.send_newest_version(now, from, DocumentVersion::default());
-    }
-
-    fn send_accepted(&mut self, to: SocketAddress) {
-        let body = ConsensusMessage::Accepted {
-            term: self.term,
-            document_version: self.accepted_document_version(),
-        };
-        self.send(to, body);
-    }
-
+    /// A version is on disk: it may be acknowledged or, on the leader, counted.
     pub(super) fn version_written(&mut self, now: MonotonicTime, document: Document) {
-        let written_document_version = document.document_version;
-        self.term = self.term.max(written_document_version.term);
-        if written_document_version > self.accepted_document_version() {
-            let committed = self.committed;
-            let had_commit = self.accepted_document_version() >= committed;
-            let keeps_commit = !had_commit || written_document_version.version >= committed.version;
-            require(self.rules, Invariant::CommitNeverLost, keeps_commit, || {
-                format!(
-                    "{written_document_version} takes the place of {committed}, which is committed"
-                )
-            });
-            self.accepted = Some(document);
+        let written_version = document.document_version;
+        self.hard_state.term = self.hard_state.term.max(written_version.term);
+        if written_version > self.accepted_version() {
+            self.check_commit_kept(written_version);
+            self.hard_state.accepted = Some(document);
         }
-        if written_document_version == BOOTSTRAP_VERSION {
+        if written_version == BOOTSTRAP_VERSION {
             self.send_bootstrap_document();
         }
         if self.is_leader() {
             self.count_accepted(now);
-        } else if let Some((_, controller_address)) = self.leader {
-            self.send_accepted(controller_address.address);
-        }
-    }
-
-    pub(super) fn handle_accepted(
-        &mut self,
-        now: MonotonicTime,
-        from: SocketAddress,
-        term: Term,
-        document_version: DocumentVersion,
-    ) {
-        if term > self.term {
-            self.step_down(now, term);
-            return;
-        }
-        self.record_accepted(now, from, document_version);
-        self.count_accepted(now);
-    }
-
-    pub(super) fn handle_heartbeat_response(
-        &mut self,
-        now: MonotonicTime,
-        from: ControllerId,
-        address: SocketAddress,
-        term: Term,
-        round: u64,
-        accepted: DocumentVersion,
-    ) {
-        if !self.is_leader_in_term(now, term) {
-            return;
+        } else if let Some(leader) = self.known_leader.current {
+            self.send_accepted(leader.controller_address.address);
         }
-        self.record_accepted(now, address, accepted);
-        self.count_heartbeat_response(now, round, from);
-        self.count_accepted(now);
-        self.catch_up_peer(now, address);
     }
 
-    fn catch_up_peer(&mut self, now: MonotonicTime, address: SocketAddress) {
-        let newest_document = self.proposed.as_ref().or(self.accepted.as_ref());
-        let Some(document_version) =
-            newest_document.map(|held_version| held_version.document_version)
-        else {
-            return;
-        };
-        let Some(peer) = self.peers.get(&address) else {
-            return;
-        };
-        let held_version = peer.accepted;
-        if held_version < document_version
-            && now.since(peer.document_sent_at) >= self.timing.resend_timeout
-        {
-            self.send_newest_version(now, address, held_version);
-        }
-    }
-
-    fn record_accepted(
-        &mut self,
-        now: MonotonicTime,
-        address: SocketAddress,
-        accepted: DocumentVersion,
-    ) {
+    /// Checks that a committed version on this disk is not replaced by one with a lower number.
+    fn check_commit_kept(&self, written_version: DocumentVersion) {
         let committed = self.committed;
-        let Some(peer) = self.peers.get_mut(&address) else {
-            return;
-        };
-        let has_advanced = accepted > peer.accepted;
-        peer.accepted = accepted;
-        if accepted >= committed {
-            peer.behind_since = None;
-        } else if has_advanced || peer.behind_since.is_none() {
-            peer.behind_since = Some(now);
-        }
+        let had_commit = self.accepted_version() >= committed;
+        let keeps_commit = !had_commit || written_version.version >= committed.version;
+        require(
+            self.options.rules,
+            Invariant::CommitNeverLost,
+            keeps_commit,
+            || format!("{written_version} takes the place of {committed}, which is committed"),
+        );
     }
 
-    fn count_accepted(&mut self, now: MonotonicTime) {
-        if !matches!(self.role, Role::Leader(_)) {
-            return;
-        }
-        let Some(document) = &self.proposed else {
-            return;
+    fn send_accepted(&mut self, to: SocketAddress) {
+        let body = ConsensusMessage::Accepted {
+            term: self.hard_state.term,
+            document_version: self.accepted_version(),
         };
-        let mut accepted_by: BTreeSet<ControllerId> = self
-            .peers
-            .values()
-            .filter(|peer| peer.accepted == document.document_version)
-            .map(|peer| peer.id)
-            .collect();
-        if self.accepted_document_version() != document.document_version {
-            return;
-        }
-        accepted_by.insert(self.id);
-        if Self::is_majority_of(document, &accepted_by) {
-            self.committed = document.document_version;
-            let committed_document = document.clone();
-            self.proposed = None;
-            self.outputs
-                .push(ConsensusOutput::Committed(committed_document));
-            self.step_down_if_removed(now);
-            self.advance_membership_change(now);
-        }
+        self.send(to, body);
     }
 }
--- a/crates/controlplane/src/controller_state/operation.rs
+++ b/crates/controlplane/src/controller_state/operation.rs
@@ -428,14 +428,14 @@
         let peer_rows: Vec<Value> = consensus
             .peers(now)
             .into_iter()
-            .map(|(id, controller_address, accepted, is_voter, silent_ms)| {
+            .map(|peer| {
                 json!({
-                    "surveyor": format!("{:x}", id.0),
-                    "place": controller_address.address.to_string(),
-                    "operators": controller_address.operators.to_string(),
-                    "accepted": accepted.to_string(),
-                    "voter": is_voter,
-                    "silent_ms": silent_ms,
+                    "surveyor": format!("{:x}", peer.id.0),
+                    "place": peer.controller_address.address.to_string(),
+                    "operators": peer.controller_address.operators.to_string(),
+                    "accepted": peer.accepted.to_string(),
+                    "voter": peer.is_voter,
+                    "silent_ms": peer.silent_ms,
                 })
             })
             .collect();
