--- a/crates/controlplane/src/consensus/bootstrap.rs
+++ b/crates/controlplane/src/consensus/bootstrap.rs
@@ -13,7 +13,6 @@
 use common::identity::{DocumentVersion, Term, Version};
 use common::spec::{Document, Voter};
 use std::collections::BTreeSet;
-use std::fmt;
 
 /// The document version that a bootstrap creates.
 pub(super) const BOOTSTRAP_VERSION: DocumentVersion = DocumentVersion {
@@ -22,28 +21,19 @@
 };
 
 /// Why the control quorum cannot be bootstrapped.
-#[derive(Clone, Copy, PartialEq, Eq, Debug)]
+#[derive(Clone, Copy, PartialEq, Eq, Debug, thiserror::Error)]
 pub enum BootstrapError {
     /// This node or a seed has a document already, or is about to write one.
+    #[error("the core is founded already")]
     AlreadyBootstrapped,
     /// Not every seed has lately reported an empty disk.
+    #[error("not every seed has been heard with an empty disk")]
     SeedsMissing,
     /// This controller has no data directory.
+    #[error("a controller without a data folder founds nothing")]
     NoDataDirectory,
 }
 
-impl fmt::Display for BootstrapError {
-    fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
-        out.write_str(match self {
-            Self::AlreadyBootstrapped => "the core is founded already",
-            Self::SeedsMissing => "not every seed has been heard with an empty disk",
-            Self::NoDataDirectory => "a controller without a data folder founds nothing",
-        })
-    }
-}
-
-impl std::error::Error for BootstrapError {}
-
 /// The quorum that a bootstrap would create.
 struct InitialQuorum {
     voters: Vec<Voter>,
--- a/crates/controlplane/src/consensus/membership.rs
+++ b/crates/controlplane/src/consensus/membership.rs
@@ -15,41 +15,31 @@
 use common::rules::Rule;
 use common::spec::{Document, Voter};
 use std::collections::BTreeSet;
-use std::fmt;
 
 /// How many versions a controller may be behind and still replace a voter: while changes follow each
 /// other closely, a controller that has the newest one is rarely known to have it.
 const MAX_CANDIDATE_LAG: u64 = 8;
 
 /// Why a voter cannot be replaced.
-#[derive(Clone, Copy, PartialEq, Eq, Debug)]
+#[derive(Clone, Copy, PartialEq, Eq, Debug, thiserror::Error)]
 pub enum MembershipError {
     /// This controller does not lead, or has not yet committed under its term.
+    #[error("no ready leader here")]
     NotReady,
     /// A proposal is in flight, or an earlier membership change is not settled.
+    #[error("another change is in flight")]
     Busy,
     /// The controller to be replaced is not a voter.
+    #[error("no such member of the core")]
     NoSuchMember,
     /// The successor is not alive, votes already, or is too far behind.
+    #[error("no such controller, or it is not level yet")]
     NoSuchCandidate,
     /// No majority of the next voters, or of the previous ones, is alive.
+    #[error("afterwards no majority of the core would be alive")]
     NoMajority,
 }
 
-impl fmt::Display for MembershipError {
-    fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
-        out.write_str(match self {
-            Self::NotReady => "no ready leader here",
-            Self::Busy => "another change is in flight",
-            Self::NoSuchMember => "no such member of the core",
-            Self::NoSuchCandidate => "no such controller, or it is not level yet",
-            Self::NoMajority => "afterwards no majority of the core would be alive",
-        })
-    }
-}
-
-impl std::error::Error for MembershipError {}
-
 impl ConsensusNode {
     /// Whether these controllers are a majority under a document: of its voters and, while a membership
     /// change is not settled, of its previous voters as well.
--- a/crates/controlplane/src/consensus/replication.rs
+++ b/crates/controlplane/src/consensus/replication.rs
@@ -17,28 +17,18 @@
 use common::rules::Rule;
 use common::spec::Document;
 use std::collections::BTreeSet;
-use std::fmt;
 
 /// Why a version cannot be proposed.
-#[derive(Clone, Copy, PartialEq, Eq, Debug)]
+#[derive(Clone, Copy, PartialEq, Eq, Debug, thiserror::Error)]
 pub enum ProposeError {
     /// This controller does not lead, or has not yet committed under its term.
+    #[error("no ready leader here")]
     NotReady,
     /// Another proposal is in flight.
+    #[error("another change is in flight")]
     Busy,
 }
 
-impl fmt::Display for ProposeError {
-    fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
-        out.write_str(match self {
-            Self::NotReady => "no ready leader here",
-            Self::Busy => "another change is in flight",
-        })
-    }
-}
-
-impl std::error::Error for ProposeError {}
-
 /// A version as it is sent: the delta that leads to it and, once a receiver needs it, the full document.
 #[derive(Clone, Debug)]
 pub(super) struct EncodedVersion {
