--- a/crates/controlplane/tests/membership_change.rs
+++ b/crates/controlplane/tests/membership_change.rs
@@ -1,4 +1,4 @@
-//! A core member is replaced only in a way that no two majorities can miss each other.
+//! Membership changes: any two majorities that may decide during a change have a voter in common.
 
 use common::clock::MonotonicTime;
 use common::frames::{ConsensusFrame, SocketAddress};
@@ -66,7 +66,7 @@
 }
 
 impl Cluster {
-    /// Three founders, and a fourth controller in the third one's zone.
+    /// Three seeds, and a fourth controller in the third one's zone.
     fn new() -> Self {
         Self::under(Rules::ALL_ENFORCED)
     }
@@ -168,7 +168,7 @@
     fn bootstrap(&mut self) {
         self.stopped.insert(3);
         self.advance_time(Duration::from_secs(2));
-        let outputs = self.nodes[0].bootstrap(self.now).expect("founded");
+        let outputs = self.nodes[0].bootstrap(self.now).expect("bootstrapped");
         self.execute_outputs(0, outputs);
         self.advance_time(Duration::from_secs(3));
     }
@@ -204,7 +204,8 @@
     verify_that!(next_leader, not(eq(leader)))
 }
 
-/// A succession begins on one side of a cut; what that side commits, and how the bench is left.
+/// Starts a replacement on one side of a partition: the leader and the candidate against the two other voters.
+/// Returns the cluster some time later, the leader and the other voter that was up.
 fn partition_during_replacement(rules: Rules) -> (Cluster, usize, usize) {
     let mut cluster = Cluster::under(rules);
     cluster.bootstrap();
--- a/crates/controlplane/tests/quorum_model/explore.rs
+++ b/crates/controlplane/tests/quorum_model/explore.rs
@@ -1,4 +1,5 @@
-//! Every way in which a bounded number of deviations can fall into a quiet run.
+//! Bounded exhaustive exploration: every way in which a limited number of deviations can occur in an
+//! otherwise undisturbed run.
 
 use super::history::SafetyViolation;
 use super::model::{Deviation, Model, Setup};
@@ -6,27 +7,27 @@
 
 const MAX_STEPS_WITHOUT_LEADER: usize = 60;
 
-/// How far the exploration goes.
+/// The bounds of an exploration.
 #[derive(Clone, Copy, Debug)]
 pub struct ExplorationBounds {
-    /// How many deviations a run may have.
+    /// The maximal number of deviations in a run.
     pub deviations: usize,
-    /// Within how many steps one deviation follows another.
+    /// The maximal number of steps between one deviation and the next.
     pub window: usize,
-    /// How many orders are given.
+    /// The number of changes proposed in a run.
     pub changes: usize,
 }
 
 /// What was explored.
 #[derive(Clone, Copy, Default, Debug)]
 pub struct ExplorationCounts {
-    /// States that differ from each other.
+    /// Distinct states.
     pub states: usize,
-    /// Runs that came to their end.
+    /// Completed runs.
     pub runs: usize,
 }
 
-/// A breach, and the deviations that led to it, with the step at which each came.
+/// A violation, and the deviations that led to it with the step of each.
 pub type ViolatingRun = (SafetyViolation, Vec<(usize, Deviation)>);
 
 #[derive(Clone)]
@@ -38,7 +39,7 @@
     deviations: Vec<(usize, Deviation)>,
 }
 
-/// Explores all runs within the bound; the first breach ends it.
+/// Explores all runs within the bounds, until the first violation.
 pub fn explore(
     setup: Setup,
     bounds: ExplorationBounds,
@@ -96,7 +97,7 @@
     if run.model.wipes() == 0 {
         deviations.extend(running.iter().copied().map(Deviation::Wipe));
     }
-    if run.model.is_cut() {
+    if run.model.has_isolated_machine() {
         deviations.push(Deviation::Heal);
     } else {
         deviations.extend(running.iter().copied().map(Deviation::Isolate));
@@ -104,13 +105,13 @@
     if !run.model.is_quiet() {
         deviations.push(Deviation::Drop);
     }
-    if run.model.events_under_way() > 1 {
+    if run.model.events_in_flight() > 1 {
         deviations.push(Deviation::Delay);
     }
     deviations
 }
 
-/// One more step of a run without deviation; nothing when it has come to its end.
+/// Advances a run by one step without a deviation; none when it is completed.
 fn advance(mut run: Run) -> Result<Option<Run>, SafetyViolation> {
     run.steps += 1;
     if !run.model.is_quiet() {
--- a/crates/controlplane/tests/quorum_model/history.rs
+++ b/crates/controlplane/tests/quorum_model/history.rs
@@ -1,22 +1,23 @@
-//! What a control quorum did, judged against what must hold whatever happens.
+//! The safety checker: the elections, commits and reads of a control quorum, checked against the properties
+//! that hold in every run.
 
 use common::identity::{ControllerId, DocumentVersion, Term, Zone};
 use common::spec::Document;
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
-/// Something that must never happen.
+/// A violated property.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub enum SafetyViolation {
     /// Two controllers were elected in one term.
     TwoLeaders(Term),
-    /// Two different documents were committed under one stamp.
+    /// Two different documents were committed as one version.
     TwoVersions(DocumentVersion),
-    /// A committed change is not in a version that was committed above it.
+    /// A committed change (of the first version) is missing in a higher committed version (the second).
     LostChange(DocumentVersion, DocumentVersion),
-    /// A reader was served a version without a change that was committed before it asked.
+    /// A read returned a version without a change that was committed before the read was requested.
     StaleRead(DocumentVersion),
-    /// The quorum bears what was lost, and yet took no order.
+    /// No change was committed although the losses are within what the quorum tolerates.
     NoProgress,
 }
 
@@ -39,7 +40,7 @@
     }
 }
 
-/// The changes in a version: each change of these tests evacuates a zone of its own.
+/// The changes contained in a version: each change of these tests evacuates a zone of its own.
 pub type Changes = BTreeSet<Zone>;
 
 /// Elections and commits so far.
@@ -51,7 +52,7 @@
 }
 
 impl History {
-    /// Notes an election.
+    /// Records an election.
     pub fn elected(&mut self, term: Term, leader: ControllerId) -> Result<(), SafetyViolation> {
         let known_leader = *self.leaders.entry(term).or_insert(leader);
         if known_leader == leader {
@@ -61,7 +62,7 @@
         }
     }
 
-    /// Notes a commit.
+    /// Records a commit.
     pub fn committed(&mut self, document: &Document) -> Result<(), SafetyViolation> {
         let document_version = document.document_version;
         let changes = &document.evacuated;
@@ -85,12 +86,12 @@
         Ok(())
     }
 
-    /// Every change that was committed so far.
+    /// All changes committed so far.
     pub fn newest(&self) -> &Changes {
         &self.newest
     }
 
-    /// Judges what a reader is served that asked when these changes had been committed.
+    /// Checks a read that was requested when these changes had been committed.
     pub fn served(
         &self,
         changes_at_read: &Changes,
--- a/crates/controlplane/tests/quorum_model/main.rs
+++ b/crates/controlplane/tests/quorum_model/main.rs
@@ -1,5 +1,5 @@
-//! The shipped state machine of the control quorum, driven through orders of events that chance
-//! seldom brings: what is explored is `Core` itself.
+//! Model checking of the consensus: several instances of the product's own `ConsensusNode` are driven through
+//! orders of events that rarely occur by chance.
 
 mod explore;
 mod history;
@@ -26,7 +26,7 @@
 };
 const WALKS: u64 = 40;
 
-/// A number that a longer run by command asks for.
+/// A number from the environment, by which longer runs are started.
 fn number_from_env(name: &str, otherwise: u64) -> u64 {
     std::env::var(name)
         .ok()
@@ -51,7 +51,7 @@
     verify_that!(violating_run, none())
 }
 
-/// Explores with something taken away until a breach is found.
+/// Explores a setup with a flaw and returns the violation found.
 fn explore_until_violation(setup: Setup) -> Option<SafetyViolation> {
     let (counts, violating_run) = explore(setup, FLAWED_RULE_BOUNDS);
     println!("{} states: {violating_run:?}", counts.states);
@@ -93,7 +93,7 @@
     verify_that!(explore_until_violation(setup).is_some(), eq(true))
 }
 
-/// Many walks over quorums of one size: each bears its losses at any step, and is whole again after
+/// Random walks over quorums of one size: each tolerates its losses at any step, and is complete again after
 /// the repair.
 fn walk_all(machines: usize, zones: usize, tolerance: usize) -> Result<()> {
     let mut actions = 0;
--- a/crates/controlplane/tests/quorum_model/model.rs
+++ b/crates/controlplane/tests/quorum_model/model.rs
@@ -1,4 +1,5 @@
-//! Controllers, their disks and what is under way between them, one event at a time.
+//! A model of several controllers with their disks, clocks and the network between them, advanced by one event
+//! at a time.
 
 use super::history::{Changes, History, SafetyViolation};
 use common::clock::MonotonicTime;
@@ -25,22 +26,22 @@
 /// How a model is set up.
 #[derive(Clone, Copy, Debug)]
 pub struct Setup {
-    /// How many controllers start.
+    /// The number of controllers at the start.
     pub machines: usize,
-    /// Over how many zones they stand.
+    /// The number of zones over which they are spread.
     pub zones: usize,
-    /// How many machines may be lost at once.
+    /// The number of machines whose loss at once is to be tolerated.
     pub tolerance: usize,
-    /// The rules of the product that are kept.
+    /// The safety rules in force.
     pub rules: Rules,
-    /// Whether a wiped disk comes back under its former identity: a flaw.
+    /// Whether a wiped disk keeps its identity, which is a flaw.
     pub wiped_keeps_identity: bool,
-    /// What chance is drawn from.
+    /// The seed of all randomness.
     pub seed: u64,
 }
 
 impl Setup {
-    /// Controllers that keep every rule.
+    /// Controllers with all safety rules in force.
     pub fn correct(machines: usize, zones: usize, tolerance: usize, seed: u64) -> Self {
         let rules = Rules::ALL_ENFORCED;
         Self {
@@ -58,10 +59,10 @@
     }
 }
 
-/// What is wrong with a disk.
+/// An injected disk fault.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug)]
 pub enum DiskFault {
-    /// Writes never end.
+    /// Writes never complete.
     Hung,
     /// Writes fail.
     Full,
@@ -77,7 +78,7 @@
     isolated: bool,
     lost: bool,
     disk_fault: Option<DiskFault>,
-    /// What was committed when somebody asked this leader, by the moment of asking.
+    /// Reads requested from this leader: the time of each, and what was committed then.
     pending_reads: Vec<(MonotonicTime, Changes)>,
     fingerprint: u64,
 }
@@ -96,26 +97,26 @@
     }
 }
 
-/// Something that goes another way than in a quiet run.
+/// A deviation from an undisturbed run.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Deviation {
-    /// A machine loses power and starts again at once; writes under way are lost.
+    /// A machine loses power and starts again at once; writes in flight are lost.
     Crash(usize),
-    /// The same, and its disk is replaced by an empty one.
+    /// A machine crashes and starts again with an empty disk.
     Wipe(usize),
-    /// A machine is cut off from all others; a leader takes one more order then.
+    /// A machine is isolated from all others; if it leads, it proposes one more change first.
     Isolate(usize),
-    /// Cuts end; what was held up by them arrives.
+    /// All machines are connected again; frames held up meanwhile arrive.
     Heal,
-    /// A machine's clock runs on until its next timer fires.
+    /// A machine's clock advances to its next timer, which fires.
     Timeout(usize),
-    /// The next event comes after all others.
+    /// The next event is delayed until after all others.
     Delay,
     /// The next event, if it is a frame, is lost.
     Drop,
 }
 
-/// All controllers and what is under way.
+/// All controllers, and the events in flight between them.
 #[derive(Clone)]
 pub struct Model {
     setup: Setup,
@@ -155,7 +156,7 @@
 }
 
 impl Model {
-    /// A quorum that was founded with the first three controllers, all of them just started.
+    /// A quorum bootstrapped with the first three controllers; all controllers have just started.
     pub fn new(setup: Setup) -> Self {
         let mut model = Self {
             setup,
@@ -251,7 +252,7 @@
         Rc::make_mut(&mut self.machines[number])
     }
 
-    /// Starts a machine's process anew with what its disk holds.
+    /// Restarts a machine's process from what its disk holds.
     fn restart(&mut self, number: usize) {
         self.events
             .retain(|event| !matches!(&**event, Event::Written(owner, ..) if *owner == number));
@@ -278,7 +279,7 @@
         machine.fingerprint = writer.0.finish();
     }
 
-    /// What tells this state from others.
+    /// A hash of the state, to recognize a state explored before.
     pub fn fingerprint(&self) -> u64 {
         let mut writer = HashWriter(DefaultHasher::new());
         for machine in &self.machines {
@@ -301,12 +302,12 @@
         writer.0.finish()
     }
 
-    /// How many disks were lost so far.
+    /// The number of disks wiped so far.
     pub fn wipes(&self) -> usize {
         self.wipes
     }
 
-    /// What stands where, for whoever reads a failed run.
+    /// The state in a readable form, for the report of a failed run.
     pub fn describe(&self) -> String {
         let rows = self.machines.iter().enumerate().map(|(number, machine)| {
             let consensus = &machine.consensus;
@@ -331,18 +332,18 @@
         rows.collect::<Vec<String>>().join("\n")
     }
 
-    /// Whether nothing is under way.
+    /// Whether no event is in flight.
     pub fn is_quiet(&self) -> bool {
         self.events.is_empty()
     }
 
-    /// How many events are under way.
-    pub fn events_under_way(&self) -> usize {
+    /// The number of events in flight.
+    pub fn events_in_flight(&self) -> usize {
         self.events.len()
     }
 
-    /// Whether one machine is cut off.
-    pub fn is_cut(&self) -> bool {
+    /// Whether a machine is isolated.
+    pub fn has_isolated_machine(&self) -> bool {
         self.machines.iter().any(|machine| machine.isolated)
     }
 
@@ -350,7 +351,7 @@
         !self.machines[number].isolated && !self.machines[number].lost
     }
 
-    /// A leader that the others reach and that takes orders.
+    /// The leader that is ready and reachable, the one of the highest term if there are several.
     pub fn leader(&self) -> Option<usize> {
         let leads = |number: &usize| {
             self.is_reachable(*number) && self.machines[*number].consensus.is_ready()
@@ -360,7 +361,7 @@
             .max_by_key(|number| self.machines[*number].consensus.term())
     }
 
-    /// Whether a leader has all the voters that the setup asks for, all of them level with it.
+    /// Whether the quorum has as many voters as the setup asks for, all reachable and up to date.
     pub fn is_settled(&self) -> bool {
         let Some(leader) = self.leader() else {
             return false;
@@ -385,7 +386,7 @@
             && document.voters.iter().all(is_caught_up)
     }
 
-    /// Carries out the event that is due next.
+    /// Processes the next event.
     pub fn step(&mut self) -> Result<(), SafetyViolation> {
         let Some(event) = self.events.pop_front() else {
             return Ok(());
@@ -393,7 +394,7 @@
         self.process_event(&event)
     }
 
-    /// Carries out any event: the oldest between its two ends.
+    /// Processes a random event, in order per link: the oldest one on the link of the event drawn.
     pub fn step_any(&mut self, rng: &mut SeededRng) -> Result<(), SafetyViolation> {
         let index = rng.below(self.events.len() as u64) as usize;
         let Some(chosen) = self.events.get(index) else {
@@ -518,7 +519,7 @@
         Ok(())
     }
 
-    /// Somebody asks a leader for the newest version, whenever something happens at it.
+    /// Records a read request to a leader, whenever a change has been committed since the last one.
     fn record_read(&mut self, number: usize) {
         if !self.machines[number].consensus.is_leader() {
             if !self.machines[number].pending_reads.is_empty() {
@@ -533,12 +534,13 @@
             .last()
             .is_none_or(|(_, changes_at_read)| *changes_at_read != newest)
         {
-            let asked_at = machine.now;
-            machine.pending_reads.push((asked_at, newest));
+            let requested_at = machine.now;
+            machine.pending_reads.push((requested_at, newest));
         }
     }
 
-    /// Whoever asked before the newest round with a majority was sent is answered now.
+    /// Checks all reads that were requested before the newest heartbeat round with a majority was sent:
+    /// the leader could answer them now.
     fn check_reads(&mut self, number: usize) -> Result<(), SafetyViolation> {
         let machine = &self.machines[number];
         if !machine.consensus.is_ready() || machine.pending_reads.is_empty() {
@@ -548,15 +550,15 @@
         let Some(served) = machine.consensus.accepted() else {
             return Ok(());
         };
-        for (asked_at, changes_at_read) in &machine.pending_reads {
-            if *asked_at < quorum_proof_at {
+        for (requested_at, changes_at_read) in &machine.pending_reads {
+            if *requested_at < quorum_proof_at {
                 self.history.served(changes_at_read, served)?;
             }
         }
         Ok(())
     }
 
-    /// Lets time pass at every machine until the first timer fires.
+    /// Advances all clocks until the first timer fires.
     pub fn advance_time(&mut self) -> Result<(), SafetyViolation> {
         let spans = (0..self.machines.len())
             .filter(|number| !self.machines[*number].lost)
@@ -578,7 +580,7 @@
         ticked
     }
 
-    /// Has a leader take an order.
+    /// Has a leader propose a change, if it is ready and has none in flight.
     pub fn propose_change(&mut self, number: usize) -> Result<(), SafetyViolation> {
         let consensus = &self.machines[number].consensus;
         if !consensus.is_ready() || consensus.is_proposing() {
@@ -596,7 +598,7 @@
         })
     }
 
-    /// Does what deviates.
+    /// Applies a deviation.
     pub fn deviate(&mut self, deviation: Deviation) -> Result<(), SafetyViolation> {
         match deviation {
             Deviation::Crash(number) => self.restart(number),
@@ -636,26 +638,26 @@
         self.restart(number);
     }
 
-    /// A machine goes dark, for good or until it is brought back.
+    /// Takes a machine down, until it is restored.
     pub fn take_down(&mut self, number: usize) {
         self.machine(number).lost = true;
         self.renew_fingerprint(number);
     }
 
-    /// A machine runs on with a disk that takes nothing.
+    /// Injects a fault into the disk of a running machine.
     pub fn inject_disk_fault(&mut self, number: usize, disk_fault: DiskFault) {
         self.machine(number).disk_fault = Some(disk_fault);
         self.renew_fingerprint(number);
     }
 
-    /// A machine comes back with its disk, which is well again.
+    /// Restarts a machine with its disk, and ends the disk's fault.
     pub fn restore(&mut self, number: usize) {
         self.machine(number).lost = false;
         self.machine(number).disk_fault = None;
         self.restart(number);
     }
 
-    /// An empty machine comes up at a new address, in the zone of a lost one.
+    /// Adds a machine with an empty disk at a new address, in the zone of a lost one.
     pub fn add_successor(&mut self, lost: usize) {
         while self.zone(self.machines.len()) != self.zone(lost) {
             let unused = self.fresh_id();
@@ -675,7 +677,7 @@
         self.events.extend(std::mem::take(&mut self.delayed_events));
     }
 
-    /// The time on the clock of the machine that is ahead.
+    /// The latest time on any machine's clock.
     pub fn now(&self) -> MonotonicTime {
         self.machines
             .iter()
@@ -684,7 +686,7 @@
             .unwrap_or_default()
     }
 
-    /// Where the voters stand by the leader's newest version.
+    /// The machines of the voters, by the leader's newest version.
     pub fn voters(&self) -> Vec<usize> {
         let Some(leader) = self.leader() else {
             return Vec::new();
@@ -699,14 +701,14 @@
         members.iter().filter_map(machine_of).collect()
     }
 
-    /// Machines that are up, whether cut off or not.
+    /// The machines that are up, isolated or not.
     pub fn running(&self) -> Vec<usize> {
         (0..self.machines.len())
             .filter(|number| !self.machines[*number].lost)
             .collect()
     }
 
-    /// Carries out events and lets time pass until it is so; a breach if that takes for ever.
+    /// Processes events and advances time until the condition holds; fails if it takes too long.
     pub fn run_until(&mut self, condition: impl Fn(&Self) -> bool) -> Result<(), SafetyViolation> {
         let mut quiet_steps = 0;
         while !condition(self) {
@@ -722,7 +724,7 @@
         Ok(())
     }
 
-    /// One more order is taken and committed with what runs now.
+    /// Checks liveness: one more change is proposed and committed by the machines that run.
     pub fn make_progress(&mut self) -> Result<(), SafetyViolation> {
         self.run_until(|model| {
             model
@@ -734,8 +736,7 @@
             if let Some(leader) = self.leader() {
                 self.propose_change(leader)?;
             }
-            let ordered = self.proposed_changes;
-            let committed = Zone::from(format!("change-{ordered}"));
+            let committed = Zone::from(format!("change-{}", self.proposed_changes));
             let outcome = self.run_until(|model| {
                 model.history.newest().contains(&committed) || model.leader().is_none()
             });
--- a/crates/controlplane/tests/quorum_model/recovery.rs
+++ b/crates/controlplane/tests/quorum_model/recovery.rs
@@ -1,5 +1,5 @@
-//! How soon a quorum bears the next loss: after its founding, a loss, and a replacement. Frames and
-//! writes take no time here; what is measured is what the controllers wait for.
+//! How soon a quorum tolerates the next loss: after its bootstrap, after a loss and after a replacement. Frames
+//! and writes take no time here; what is measured are the controllers' own timeouts.
 
 use super::model::{DiskFault, Model, Setup};
 use super::number_from_env;
@@ -28,7 +28,7 @@
         .expect("time passes");
 }
 
-/// The times of many seeds, sorted; printed as median and worst.
+/// Measures with many seeds and returns the times sorted; prints median and worst.
 fn measured(what: &str, seeds: u64, time_of: impl Fn(u64) -> Duration) -> Vec<Duration> {
     let mut spans: Vec<Duration> = (0..number_from_env("QUORUM_SEEDS", seeds))
         .map(time_of)
@@ -100,7 +100,7 @@
     Ok(())
 }
 
-/// A voter that answers every round, and whose disk takes nothing, counts as lost too.
+/// A voter that answers every heartbeat, but whose disk takes no writes, counts as lost too.
 #[gtest]
 fn a_standby_replaces_a_voter_whose_disk_is_stalled() -> Result<()> {
     for (disk_fault, of_leader) in [
@@ -130,8 +130,8 @@
     Ok(())
 }
 
-/// The successor of a lost machine comes a second after the loss, with an empty disk and at another
-/// address; from its start on it takes no longer than this until the next loss is borne.
+/// The successor of a lost machine starts a second after the loss, with an empty disk and at another address;
+/// the time is measured from its start until the next loss is tolerated.
 #[gtest]
 fn a_successor_votes_soon_after_its_start_and_the_next_loss_is_tolerated() -> Result<()> {
     for number in 0..3 {
@@ -153,7 +153,7 @@
     Ok(())
 }
 
-/// Planned work: the successor comes first, then the machine that it stands for goes.
+/// Planned replacement: the successor starts first, then the machine that it replaces goes down.
 #[gtest]
 fn a_planned_replacement_takes_no_longer_than_an_unplanned_one() -> Result<()> {
     let spans = measured("a planned successor votes", SEEDS, |seed| {
--- a/crates/controlplane/tests/quorum_model/walk.rs
+++ b/crates/controlplane/tests/quorum_model/walk.rs
@@ -1,4 +1,4 @@
-//! Long random runs: losses up to what is tolerated, cuts, repairs and replacements.
+//! Long random runs: losses up to what is tolerated, partitions, repairs and replacements.
 
 use super::history::SafetyViolation;
 use super::model::{Deviation, DiskFault, Model, Setup};
@@ -7,10 +7,10 @@
 const CYCLES: usize = 4;
 const ACTIONS: u64 = 250;
 
-/// The first round begins with the three founders, and more voters join in the midst of it.
+/// The losses in the first cycle, which begins with the three initial voters while others still join.
 const LOSSES_WHILE_GROWING: usize = 1;
 
-/// Walks through rounds of losses, each with its repair; says how many events were carried out.
+/// Walks through cycles of losses, each followed by a repair, and returns the number of actions.
 pub fn walk(setup: Setup) -> Result<usize, SafetyViolation> {
     let mut model = Model::new(setup);
     let mut rng = SeededRng::seeded(setup.seed);
@@ -49,7 +49,7 @@
     Ok(actions)
 }
 
-/// Which machines are lost in a round: some by chance, or all of a zone.
+/// The machines to be lost in a cycle: some at random, or all of a zone.
 fn losses(model: &Model, setup: Setup, rng: &mut SeededRng) -> Vec<usize> {
     let running = model.running();
     let zone = rng.below(setup.zones as u64) as usize;
@@ -90,7 +90,7 @@
         84..86 => model.deviate(Deviation::Timeout(any)),
         86..89 => model.deviate(Deviation::Drop),
         89..92 => model.deviate(Deviation::Crash(any)),
-        92..94 if !model.is_cut() => model.deviate(Deviation::Isolate(any)),
+        92..94 if !model.has_isolated_machine() => model.deviate(Deviation::Isolate(any)),
         94..96 => model.deviate(Deviation::Heal),
         _ => {
             let next = losses.iter().find(|number| !lost.contains(number));
@@ -107,7 +107,7 @@
     }
 }
 
-/// A lost machine comes back with its disk, or with an empty one, or another one in its place.
+/// Restores a lost machine with its disk or with an empty one, or replaces it by another machine.
 fn repair(model: &mut Model, rng: &mut SeededRng, number: usize) -> Result<(), SafetyViolation> {
     match rng.below(3) {
         0 => model.restore(number),
--- a/crates/controlplane/tests/quorum_plan.rs
+++ b/crates/controlplane/tests/quorum_plan.rs
@@ -1,4 +1,4 @@
-//! Which controllers vote: as many as the settings ask for, spread so that a lost zone is borne.
+//! The choice of voters: as many as the settings ask for, spread so that the loss of a zone is tolerated.
 
 use common::frames::SocketAddress;
 use common::identity::{ControllerId, Zone};
@@ -20,7 +20,7 @@
     zones.iter().map(|(id, zone)| member(*id, zone)).collect()
 }
 
-/// The next voters' identities, or nobody when nothing is to change.
+/// The next voters' identities, sorted; empty when nothing is to change.
 fn planned(
     quorum_policy: QuorumPolicy,
     voters: &[(u64, &str)],
--- a/crates/controlplane/tests/quorum_proofs.rs
+++ b/crates/controlplane/tests/quorum_proofs.rs
@@ -1,5 +1,5 @@
-//! What one controller may say, and on what proof: frames that come late, at the wrong moment, or
-//! after it stood still.
+//! What a single controller may send, and on what evidence: with frames that arrive late, at the wrong time, or
+//! after the process was suspended.
 
 use common::clock::MonotonicTime;
 use common::frames::{
@@ -26,7 +26,7 @@
     Zone::from(format!("zone-{number}"))
 }
 
-/// Controller 1 of a quorum with 2 and 3, with the founding version on its disk.
+/// Controller 1 of a quorum with 2 and 3, with the bootstrap version on its disk.
 fn voter(rules: Rules) -> ConsensusNode {
     let members = (1..4).map(|number| Voter {
         id: ControllerId(number),
@@ -114,8 +114,8 @@
     sent(outputs).into_iter().filter(grants_vote).count()
 }
 
-/// What a voter in term 3 answers to round 5 of term 2, which was under way for long. The leader of
-/// term 3 may have a round 5 too, and must not take this for its answer.
+/// The responses, as term and round, of a voter in term 3 to a late heartbeat of round 5 of term 2. The leader
+/// of term 3 may have a round 5 too, and must not count this as its response.
 fn responses_to_late_heartbeat(rules: Rules) -> Vec<(u64, u64)> {
     let mut voter = voter(rules);
     voter.receive(START, frame(2, heartbeat(3, 1)));
@@ -134,7 +134,7 @@
     )
 }
 
-/// How many votes a voter has given before and after its disk had the first one.
+/// The number of votes granted before and after the first one is on disk.
 fn votes_around_write(rules: Rules) -> (usize, usize) {
     let mut voter = voter(rules);
     let accepted = voter.accepted().expect("a version").document_version;
@@ -181,7 +181,7 @@
     verify_that!(voter_without_rule.leader().is_some(), eq(true))
 }
 
-/// Controller 1, elected by 2 and with its first version committed.
+/// Controller 1 as leader, elected by 2 and with its first version committed, and the time.
 fn leader() -> (ConsensusNode, MonotonicTime) {
     let mut voter = voter(Rules::ALL_ENFORCED);
     let now = START + Duration::from_secs(5);
@@ -210,7 +210,7 @@
     (voter, now)
 }
 
-/// What a voter that agrees to everything says.
+/// The response of a voter that agrees to everything.
 fn agreeing_response(request: &ConsensusMessage) -> Option<ConsensusMessage> {
     match request {
         ConsensusMessage::VoteRequest {
@@ -287,7 +287,7 @@
     verify_that!(leader.quorum_confirmed_at(), eq(quorum_proof_at))
 }
 
-/// A voter that holds a committed version is given an older one by a leader that was elected without it.
+/// A voter with a committed version receives an older one from a leader that was elected without it.
 #[gtest]
 fn a_committed_version_replaced_by_an_older_one_is_a_violation() -> Result<()> {
     invariants::collect_on_this_thread();
@@ -328,7 +328,7 @@
     )
 }
 
-/// Whether a voter still names the leader that it heard once, so long after; a write of it fails in between.
+/// Whether a voter still names the leader that it last heard this long ago, when a write has failed since.
 fn names_leader_after_a_failed_write(unheard_for: Duration) -> bool {
     let mut voter = voter(Rules::ALL_ENFORCED);
     let accepted = voter.accepted().expect("a version").document_version;
--- a/crates/controlplane/tests/replication.rs
+++ b/crates/controlplane/tests/replication.rs
@@ -1,4 +1,4 @@
-//! How a version travels from the leader: as the change from the one before, and whole to whoever lacks that.
+//! Replication of versions: as deltas to peers that hold the base, in full to those that lack it.
 
 use common::clock::MonotonicTime;
 use common::frames::{
@@ -28,7 +28,7 @@
     Zone::from(format!("zone-{number}"))
 }
 
-/// A founding version with so many functions.
+/// A version by three voters with this many functions.
 fn bootstrapped_document(function_count: u64) -> Document {
     let members = (1..4).map(|number| Voter {
         id: ControllerId(number),
@@ -144,7 +144,8 @@
     }
 }
 
-/// A leader whose disk is quick and whose follower agrees to everything, until it has nothing to say.
+/// Runs a leader with an instant disk and a follower that agrees to everything, until nothing is left to do.
+/// Returns all outputs.
 fn run_until_settled(
     leader: &mut ConsensusNode,
     now: MonotonicTime,
@@ -181,7 +182,7 @@
     (leader, now)
 }
 
-/// What the leader sends when it puts a next version forward, not yet answered.
+/// The outputs with which the leader proposes a next version, unanswered as yet.
 fn proposal_outputs(
     leader: &mut ConsensusNode,
     now: MonotonicTime,
@@ -193,7 +194,7 @@
         name.len().is_multiple_of(2),
         ChangeId::from(name),
     );
-    leader.propose(now, next).expect("put forward")
+    leader.propose(now, next).expect("proposed")
 }
 
 fn accepted_document_version(consensus: &ConsensusNode) -> DocumentVersion {
@@ -215,7 +216,8 @@
     verify_that!(length, lt(2_000))
 }
 
-/// A follower that holds the leader's version, and the two next versions as they are sent to it.
+/// A follower that holds the leader's version, the deltas to the next two versions as sent to it, the time,
+/// and the leader.
 fn follower_and_two_deltas(
     rules: Rules,
 ) -> (
@@ -285,7 +287,7 @@
     verify_that!(follower.accepted() == leader.accepted(), eq(true))
 }
 
-/// What a follower makes of a change that leads from a version it does not hold.
+/// The number of wrong documents that a follower writes when it receives a delta whose base it lacks.
 fn written_without_base(rules: Rules) -> usize {
     let (mut follower, deltas, now, leader) = follower_and_two_deltas(rules);
     let outputs = follower.receive(now, frame(LEADER, deltas[1].clone()));
--- a/crates/controlplane/tests/settings_forms.rs
+++ b/crates/controlplane/tests/settings_forms.rs
@@ -1,4 +1,4 @@
-//! The controller's settings as users write them: what is read, and the complete answer to every wrong value.
+//! The controller's settings as users write them: the values read, and the full error text for every wrong value.
 
 #[path = "../../../testing/support/controller_settings.rs"]
 mod controller_settings;
@@ -14,7 +14,7 @@
 use std::fmt::Write;
 use std::path::PathBuf;
 
-/// A file with every key, none of them at its default.
+/// A settings file with every key, none of them at its default.
 fn full() -> Value {
     json!({
         "place": "10.0.0.1:7100",
@@ -39,7 +39,7 @@
     })
 }
 
-/// The keys that must be there.
+/// A settings file with the required keys only.
 fn least() -> Value {
     json!({
         "place": "10.0.0.1:7100", "operators": "10.0.0.2:7111", "locality": "north",
--- a/crates/controlplane/tests/storage.rs
+++ b/crates/controlplane/tests/storage.rs
@@ -1,4 +1,4 @@
-//! What the data folder gives back after crashes and damage.
+//! The data directory after crashes, damage and full disks.
 
 use common::frames::SocketAddress;
 use common::identity::{ChangeId, ControllerId, DocumentVersion, Term, Zone};
@@ -57,8 +57,8 @@
 }
 
 fn fill_directory(directory: &TempDirectory, count: u64) -> Vec<Document> {
-    let data_directory = DataDirectory::open(&directory.0).expect("a shelf");
-    data_directory.load(ControllerId(7)).expect("recalled");
+    let data_directory = DataDirectory::open(&directory.0).expect("a data directory");
+    data_directory.load(ControllerId(7)).expect("loaded");
     let stored_versions = document_versions(count);
     for document in &stored_versions {
         data_directory
@@ -218,7 +218,7 @@
     verify_that!(data_directory.is_first_start(), eq(false))
 }
 
-/// A disk that takes some more files and then no other one.
+/// A disk that takes this many more files and is full then.
 struct FullAfter(AtomicUsize);
 
 impl DiskFaultHook for FullAfter {
@@ -234,7 +234,7 @@
     }
 }
 
-/// The disk fills, or power is lost, at each write of the start that finds the damage.
+/// The disk becomes full, or power is lost, at each of the writes of the start that finds the damage.
 #[gtest]
 fn a_damaged_version_is_recorded_as_unreadable_at_whatever_write_the_start_ends() -> Result<()> {
     for writes in 1..4 {
--- a/crates/controlplane/tests/stored_forms.rs
+++ b/crates/controlplane/tests/stored_forms.rs
@@ -1,5 +1,5 @@
-//! A controller's data folder has the files and bytes that it had when the fixture was written, and one that earlier
-//! sources wrote is opened, written on, and mended as ever.
+//! The disk format: a controller's data directory has the files and bytes of the fixtures, and one written by an
+//! earlier version is opened, continued and repaired as before.
 
 mod forms;
 
@@ -14,16 +14,16 @@
 use std::fs;
 use std::path::Path;
 
-/// A healthy folder: identity, mark of the first start, two votes, three versions.
+/// An undamaged directory: identity, record of the first start, two votes, three versions.
 const DATA: &str = "data";
-/// The same after a start that found its newest version and its newest vote damaged.
+/// `DATA` after a start that found its newest version and its newest vote damaged.
 const DAMAGED: &str = "data-damaged";
-/// The same after a start that found its identity damaged.
+/// `DATA` after a start that found its identity damaged.
 const FOREIGN: &str = "data-foreign";
 
 const OWN: ControllerId = ControllerId(0x0102_0304_0506_0708);
 const OTHER: ControllerId = ControllerId(0xa1b2_c3d4);
-/// An identity that a start would draw for an empty disk.
+/// The identity offered to a directory without one.
 const FRESH: ControllerId = ControllerId(0xf4e5);
 
 const NEWEST_VERSION: &str = "spec-0000000000000003-0000000000000003";
@@ -37,7 +37,7 @@
     )
 }
 
-/// The versions in the folder, oldest first.
+/// The versions in the directory, oldest first.
 fn document_versions() -> [Document; 3] {
     let members = [(OWN, 1), (OTHER, 2)].map(|(id, number)| Voter {
         id,
@@ -74,7 +74,7 @@
     }
 }
 
-/// Fills a folder as a controller does from its first start on.
+/// Fills a directory as a controller does from its first start on.
 fn fill_directory(directory: &Path) -> Result<()> {
     let data_directory = DataDirectory::open(directory)?;
     data_directory.record_first_start()?;
