--- a/crates/controlplane/src/consensus/heartbeats.rs
+++ b/crates/controlplane/src/consensus/heartbeats.rs
@@ -46,7 +46,7 @@
 
 impl HeartbeatRounds {
     /// No rounds yet; the first is due at once.
-    pub fn new(elected_at: MonotonicTime) -> Self {
+    pub(super) fn new(elected_at: MonotonicTime) -> Self {
         Self {
             open_rounds: VecDeque::new(),
             last_round_number: 0,
@@ -59,34 +59,34 @@
     }
 
     /// When the leader was elected.
-    pub fn elected_at(&self) -> MonotonicTime {
+    pub(super) fn elected_at(&self) -> MonotonicTime {
         self.elected_at
     }
 
     /// When the next round is due.
-    pub fn next_heartbeat_at(&self) -> MonotonicTime {
+    pub(super) fn next_heartbeat_at(&self) -> MonotonicTime {
         self.next_heartbeat_at
     }
 
     /// Makes the next round due as soon as the last one is this old.
-    pub fn expedite(&mut self, shortest_gap: Duration) {
+    pub(super) fn expedite(&mut self, shortest_gap: Duration) {
         self.next_heartbeat_at = self
             .next_heartbeat_at
             .min(self.last_started_at + shortest_gap);
     }
 
     /// When the newest round was sent that a majority has answered; zero before the first.
-    pub fn quorum_confirmed_at(&self) -> MonotonicTime {
+    pub(super) fn quorum_confirmed_at(&self) -> MonotonicTime {
         self.quorum_confirmed_at
     }
 
     /// The daemons that this round reported.
-    pub fn confirmed_members(&self) -> &BTreeSet<KnownMember> {
+    pub(super) fn confirmed_members(&self) -> &BTreeSet<KnownMember> {
         &self.confirmed_members
     }
 
     /// Starts a round, which the leader itself answers at once, and returns its number.
-    pub fn start(
+    pub(super) fn start(
         &mut self,
         now: MonotonicTime,
         next_heartbeat_at: MonotonicTime,
@@ -110,7 +110,7 @@
 
     /// Records a response. A round that a majority has answered is closed together with all earlier
     /// ones; a response to a closed round changes nothing.
-    pub fn record_response(
+    pub(super) fn record_response(
         &mut self,
         round_number: u64,
         from: ControllerId,
--- a/crates/controlplane/src/consensus/peers.rs
+++ b/crates/controlplane/src/consensus/peers.rs
@@ -103,7 +103,7 @@
 
 impl PeerTable {
     /// No controllers but the addresses of the seeds.
-    pub fn new(seeds: Vec<SocketAddress>) -> Self {
+    pub(super) fn new(seeds: Vec<SocketAddress>) -> Self {
         Self {
             by_address: BTreeMap::new(),
             last_heard: BTreeMap::new(),
@@ -113,8 +113,8 @@
     }
 
     /// Records that a controller was heard. Another controller at a known address replaces the one
-    /// before, of whose disk it says nothing.
-    pub fn record(&mut self, now: MonotonicTime, contact: Contact, zone: Zone) {
+    /// before, together with all that was known of that one's disk.
+    pub(super) fn record(&mut self, now: MonotonicTime, contact: Contact, zone: Zone) {
         self.record_last_heard(now, contact.id);
         let peer = self
             .by_address
@@ -145,7 +145,7 @@
     }
 
     /// Records what a controller reported in a hello.
-    pub fn record_greeting(
+    pub(super) fn record_greeting(
         &mut self,
         now: MonotonicTime,
         address: SocketAddress,
@@ -162,7 +162,7 @@
     }
 
     /// The address from which this controller was last heard.
-    pub fn address_of(&self, id: ControllerId) -> Option<SocketAddress> {
+    pub(super) fn address_of(&self, id: ControllerId) -> Option<SocketAddress> {
         self.by_address
             .values()
             .find(|peer| peer.id == id)
@@ -170,7 +170,7 @@
     }
 
     /// Whether the controller at this address has reported that it has no data directory.
-    pub fn is_diskless(&self, address: SocketAddress) -> bool {
+    pub(super) fn is_diskless(&self, address: SocketAddress) -> bool {
         let greeting = self
             .by_address
             .get(&address)
--- a/crates/controlplane/src/consensus/receive.rs
+++ b/crates/controlplane/src/consensus/receive.rs
@@ -36,6 +36,8 @@
         self.take_outputs()
     }
 
+    /// Hands a message to its handler. One exhaustive match over the frame's wire form, so that a new kind of
+    /// message does not compile without a handler.
     fn dispatch(&mut self, now: MonotonicTime, sender: Contact, message: ConsensusMessage) {
         let sender_address = sender.controller_address.address;
         match message {
--- a/crates/controlplane/src/consensus/state.rs
+++ b/crates/controlplane/src/consensus/state.rs
@@ -34,7 +34,7 @@
 }
 
 impl NodeOptions {
-    pub fn enforces(&self, rule: Rule) -> bool {
+    pub(super) fn enforces(&self, rule: Rule) -> bool {
         self.rules.enforces(rule)
     }
 }
@@ -57,7 +57,7 @@
 
 impl HardState {
     /// Restores the state from what the disk holds.
-    pub fn restore(persisted: PersistedState) -> Self {
+    pub(super) fn restore(persisted: PersistedState) -> Self {
         let accepted_version = version_of(persisted.accepted.as_ref());
         let voted_term = persisted.voted_for.map_or(Term(0), |(term, _)| term);
         Self {
@@ -69,25 +69,25 @@
     }
 
     /// The newest version on this disk, zero when there is none.
-    pub fn accepted_version(&self) -> DocumentVersion {
+    pub(super) fn accepted_version(&self) -> DocumentVersion {
         version_of(self.accepted.as_ref())
     }
 
     /// Whether this disk holds at least what it ever acknowledged. A node whose newest version became
     /// unreadable neither votes nor campaigns until it has accepted that version or a newer one again.
-    pub fn may_vote(&self) -> bool {
+    pub(super) fn may_vote(&self) -> bool {
         self.accepted_version() >= self.unreadable_version
     }
 
     /// Whether the newest version on this disk names this controller a voter.
-    pub fn is_voter(&self, id: ControllerId) -> bool {
+    pub(super) fn is_voter(&self, id: ControllerId) -> bool {
         self.accepted
             .as_ref()
             .is_some_and(|document| document.voters.iter().any(|voter| voter.id == id))
     }
 
     /// Records a vote, unless one in this or a later term is recorded already.
-    pub fn record_vote(&mut self, term: Term, candidate: ControllerId) {
+    pub(super) fn record_vote(&mut self, term: Term, candidate: ControllerId) {
         if self
             .voted_for
             .is_none_or(|(voted_term, _)| voted_term < term)
@@ -145,7 +145,7 @@
 
 impl LeaderKnowledge {
     /// No leader is known.
-    pub fn new(last_heard_at: MonotonicTime) -> Self {
+    pub(super) fn new(last_heard_at: MonotonicTime) -> Self {
         Self {
             current: None,
             of_term: None,
@@ -169,7 +169,7 @@
 
 impl Timers {
     /// The timers of a node that starts now.
-    pub fn new(now: MonotonicTime, timing: &ConsensusTiming) -> Self {
+    pub(super) fn new(now: MonotonicTime, timing: &ConsensusTiming) -> Self {
         Self {
             election_deadline: now,
             next_hello_at: now,
--- a/crates/controlplane/src/consensus/writes.rs
+++ b/crates/controlplane/src/consensus/writes.rs
@@ -39,31 +39,31 @@
 
 impl PendingWrites {
     /// No writes in flight.
-    pub fn new() -> Self {
+    pub(super) fn new() -> Self {
         Self {
             by_ticket: BTreeMap::new(),
             last_ticket: Ticket(0),
         }
     }
 
-    pub fn is_empty(&self) -> bool {
+    pub(super) fn is_empty(&self) -> bool {
         self.by_ticket.is_empty()
     }
 
     /// Whether part of the node's state is being written.
-    pub fn has_state_write(&self) -> bool {
+    pub(super) fn has_state_write(&self) -> bool {
         self.state_writes().next().is_some()
     }
 
     /// Whether a vote in this or a later term is being written.
-    pub fn has_vote_since(&self, term: Term) -> bool {
+    pub(super) fn has_vote_since(&self, term: Term) -> bool {
         self.by_ticket.values().any(|pending| {
             matches!(pending.kind, PendingWriteKind::Vote { term: pending_term, .. } if pending_term >= term)
         })
     }
 
     /// The versions being written.
-    pub fn versions(&self) -> impl Iterator<Item = &Document> {
+    pub(super) fn versions(&self) -> impl Iterator<Item = &Document> {
         self.by_ticket
             .values()
             .filter_map(|pending| match &pending.kind {
--- a/crates/controlplane/src/settings.rs
+++ b/crates/controlplane/src/settings.rs
@@ -1,8 +1,8 @@
 //! The controller's settings: a JSON file with flags laid over it, read and checked at start.
 //!
 //! The keys keep the names under which users wrote them first; the fields have the terms of the code.
-//! Of all that is wrong the first error found is reported, so the order of the reads below is part of what
-//! users see.
+//! Of several errors one is reported, the first found, and wrong values before missing ones; so the order of
+//! the reads below is part of what users see.
 
 use crate::consensus::{ConsensusTiming, QuorumPolicy};
 use crate::leader_state::LeaderTiming;
@@ -89,7 +89,8 @@
     ///
     /// # Errors
     ///
-    /// [`SettingsError::InvalidKey`] with the first key found that is wrong, missing or unknown.
+    /// [`SettingsError::InvalidKey`] with the first key that is wrong or unknown, else the first that is
+    /// missing.
     pub fn read(settings_source: &SettingsSource) -> Result<Self, SettingsError> {
         settings_source.read(|root| Self::read_root(settings_source.name(), root))
     }
--- a/crates/controlplane/src/storage/directory.rs
+++ b/crates/controlplane/src/storage/directory.rs
@@ -72,8 +72,8 @@
     }
 
     /// Reads every stored file again and returns the names of the damaged ones. A copy of a damaged
-    /// version is kept, and the newest version is written again from memory. A damaged vote stays in
-    /// its place, since its name alone says that this node has voted.
+    /// version is kept, and the newest version is written again from memory. A damaged vote is
+    /// left as it is, since its name alone records that this node has voted in the term.
     ///
     /// # Errors
     ///
--- a/crates/controlplane/src/storage/file_names.rs
+++ b/crates/controlplane/src/storage/file_names.rs
@@ -23,7 +23,7 @@
 
 impl StoredFile {
     /// Reads a file name; none for files of another kind.
-    pub fn parse(file_name: &str) -> Option<Self> {
+    pub(super) fn parse(file_name: &str) -> Option<Self> {
         if let Some(term_text) = file_name.strip_prefix("vote-") {
             return Some(Self::Vote(Term(parse_number(term_text)?)));
         }
@@ -35,7 +35,7 @@
     }
 
     /// The file's name.
-    pub fn name(self) -> String {
+    pub(super) fn name(self) -> String {
         match self {
             Self::Vote(term) => format!("vote-{:016x}", term.0),
             Self::Version(DocumentVersion { term, version }) => {
@@ -44,7 +44,7 @@
         }
     }
 
-    pub fn is_vote(self) -> bool {
+    pub(super) fn is_vote(self) -> bool {
         matches!(self, Self::Vote(_))
     }
 }
