--- a/crates/dataplane/src/control_session/mod.rs
+++ b/crates/dataplane/src/control_session/mod.rs
@@ -1,4 +1,19 @@
-//! A daemon's stream to the leader and its member grant. No I/O; orders go out.
+//! A daemon's stream to the leading controller, and its session lease.
+//!
+//! [`ControlSession`] seeks the leader, keeps a stream to it and renews the session lease on it. It performs no I/O:
+//! its methods return [`ControlSessionOutput`]s that the caller carries out.
+//!
+//! * `controllers`: which controller is dialed next.
+//! * `session_lease`: the state of the lease.
+//! * `timing`: intervals, time-outs and backoffs.
+
+mod controllers;
+mod output;
+mod session_lease;
+mod timing;
+
+pub use output::ControlSessionOutput;
+pub use timing::ControlSessionTiming;
 
 use common::clock::MonotonicTime;
 use common::frames::{
@@ -7,118 +22,57 @@
 use common::identity::{CorrelationId, Term, Version};
 use common::rng::SeededRng;
 use common::rules::{Rule, Rules};
+use controllers::Controllers;
+use session_lease::SessionLease;
 use std::collections::BTreeMap;
 use std::time::Duration;
-use typed_builder::TypedBuilder;
-
-/// The liaison's times.
-#[derive(Clone, Debug, TypedBuilder)]
-pub struct ControlSessionTiming {
-    /// From one renewal to the next.
-    #[builder(default = Duration::from_millis(250))]
-    pub renewal_interval: Duration,
-    /// How long a connection may take to come about and be welcomed.
-    #[builder(default = Duration::from_millis(250))]
-    pub welcome_timeout: Duration,
-    /// How long a welcomed stream may bring no renewal before another leader is sought.
-    #[builder(default = Duration::from_millis(550))]
-    pub silence_timeout: Duration,
-    /// How long a controller that fell silent is left alone.
-    #[builder(default = Duration::from_millis(1500))]
-    pub unreachable_backoff: Duration,
-    /// How long one to which no connection came about is left alone although others name it as the leader: it may
-    /// have started since.
-    #[builder(default = Duration::from_millis(300))]
-    pub unreached_backoff: Duration,
-    /// The shortest wait before the next seed is tried.
-    #[builder(default = Duration::from_millis(30))]
-    pub min_retry_delay: Duration,
-    /// The longest wait before the next seed is tried.
-    #[builder(default = Duration::from_millis(150))]
-    pub max_retry_delay: Duration,
-    /// The longest wait after a controller said that it knows no leader, or named one again so soon.
-    #[builder(default = Duration::from_millis(60))]
-    pub max_no_leader_delay: Duration,
-    /// How long leaders of a term before the newest one heard are refused: their grants have then
-    /// surely ended.
-    #[builder(default = Duration::from_secs(5))]
-    pub stale_term_window: Duration,
-}
 
-/// What the liaison orders.
-#[derive(Clone, Debug)]
-pub enum ControlSessionOutput {
-    /// Open a stream there.
-    Dial(SocketAddress),
-    /// End the stream.
-    Hangup,
-    /// Say something on the stream.
-    SendFrame(DaemonToLeader),
-    /// The stream is open and the leader answers; claims follow.
-    Welcomed,
-    /// The stream is lost; questions on it get no answer.
-    Disconnected,
-    /// The member grant runs until then.
-    GrantedUntil(MonotonicTime),
-    /// The member grant has ended: stop every runner, forget every function and owner.
-    LeaseEnded,
-    /// Something that is not the liaison's own.
-    Frame(LeaderToDaemon),
-}
+/// The most renewals that are remembered while they have no response; the oldest are forgotten first.
+const MAX_PENDING_RENEWALS: usize = 16;
 
+/// The state of the stream to the leader.
 enum StreamState {
-    Idle {
-        dial_at: MonotonicTime,
-    },
-    Dialing {
-        give_up_at: MonotonicTime,
-    },
-    Open {
-        give_up_at: MonotonicTime,
-    },
+    /// No stream; the next controller is dialed at `dial_at`.
+    Idle { dial_at: MonotonicTime },
+    /// A connection is being established.
+    Dialing { give_up_at: MonotonicTime },
+    /// Connected, and the greeting is sent; the leader has not welcomed it yet.
+    Open { give_up_at: MonotonicTime },
+    /// The leader has accepted the stream.
     Welcomed {
         last_heard_at: MonotonicTime,
         renew_at: MonotonicTime,
     },
 }
 
-/// A controller that did not answer.
-#[derive(Clone, Copy)]
-struct UnreachableController {
-    address: SocketAddress,
-    since: MonotonicTime,
-    was_reached: bool,
+/// The newest leader known.
+struct KnownLeader {
+    term: Term,
+    last_heard_at: MonotonicTime,
 }
 
-/// A daemon's side of the stream.
+/// The daemon's side of the control stream.
 pub struct ControlSession {
     timing: ControlSessionTiming,
+    rules: Rules,
+    rng: SeededRng,
     host: Host,
     ingress: SocketAddress,
-    seeds: Vec<SocketAddress>,
-    controller_addresses: Vec<SocketAddress>,
-    next_seed: usize,
-    hinted_leader: Option<SocketAddress>,
-    dialed: SocketAddress,
-    unreachable: Option<UnreachableController>,
-    last_hint_at: MonotonicTime,
     started_at: MonotonicTime,
-    was_ever_leased: bool,
-    leader_heard_at: MonotonicTime,
-    state: StreamState,
-    term: Term,
-    lease_end: MonotonicTime,
-    granted: bool,
     version: Version,
-    renewals: BTreeMap<CorrelationId, MonotonicTime>,
-    last_correlation: CorrelationId,
-    rng: SeededRng,
     leaving: bool,
-    rules: Rules,
+    controllers: Controllers,
+    last_hint_at: MonotonicTime,
+    state: StreamState,
+    leader: KnownLeader,
+    lease: SessionLease,
+    /// When each renewal that has no response yet was sent.
+    pending_renewals: BTreeMap<CorrelationId, MonotonicTime>,
+    last_correlation: CorrelationId,
 }
 
 impl ControlSession {
-    /// A liaison that will seek the leader at once.
+    /// A session that seeks the leader at once. `host` and `ingress` are what this daemon announces of itself.
     pub fn new(
         now: MonotonicTime,
         timing: ControlSessionTiming,
@@ -127,41 +81,36 @@
         seeds: Vec<SocketAddress>,
         mut rng: SeededRng,
     ) -> Self {
-        let next_seed = rng.below(seeds.len().max(1) as u64) as usize;
+        let first_index = rng.below(seeds.len().max(1) as u64) as usize;
         Self {
             timing,
+            rules: Rules::ALL_ENFORCED,
+            rng,
             host,
             ingress,
-            controller_addresses: seeds.clone(),
-            seeds,
-            next_seed,
-            hinted_leader: None,
-            dialed: SocketAddress::UNSPECIFIED,
-            unreachable: None,
-            last_hint_at: MonotonicTime::ZERO,
             started_at: now,
-            was_ever_leased: false,
-            leader_heard_at: MonotonicTime::ZERO,
-            state: StreamState::Idle { dial_at: now },
-            term: Term(0),
-            lease_end: MonotonicTime::ZERO,
-            granted: false,
             version: Version(0),
-            renewals: BTreeMap::new(),
-            last_correlation: CorrelationId(0),
-            rng,
             leaving: false,
-            rules: Rules::ALL_ENFORCED,
+            controllers: Controllers::new(seeds, first_index),
+            last_hint_at: MonotonicTime::ZERO,
+            state: StreamState::Idle { dial_at: now },
+            leader: KnownLeader {
+                term: Term(0),
+                last_heard_at: MonotonicTime::ZERO,
+            },
+            lease: SessionLease::Never,
+            pending_renewals: BTreeMap::new(),
+            last_correlation: CorrelationId(0),
         }
     }
 
-    /// The same, with a rule taken away for proving.
+    /// Enforces only these rules, so that a test can show what a rule prevents.
     pub fn with_rules(mut self, rules: Rules) -> Self {
         self.rules = rules;
         self
     }
 
-    /// When something is due.
+    /// When [`ControlSession::tick`] is due next.
     pub fn next_due(&self) -> MonotonicTime {
         let state_due = match self.state {
             StreamState::Idle { dial_at } => dial_at,
@@ -178,32 +127,20 @@
                 }
             }
         };
-        if self.granted {
-            state_due.min(self.lease_end)
-        } else {
-            state_due
+        match self.lease.active_until() {
+            Some(lease_end) => state_due.min(lease_end),
+            None => state_due,
         }
     }
 
-    /// The seeds have changed; controllers known from the spec stay known.
+    /// Replaces the seed addresses; controllers known from the spec remain.
     pub fn set_seeds(&mut self, seeds: Vec<SocketAddress>) {
-        if seeds.is_empty() {
-            return;
-        }
-        self.controller_addresses
-            .retain(|address| !self.seeds.contains(address) || seeds.contains(address));
-        let new_addresses: Vec<SocketAddress> = seeds
-            .iter()
-            .copied()
-            .filter(|seed| !self.controller_addresses.contains(seed))
-            .collect();
-        self.controller_addresses.extend(new_addresses);
-        self.seeds = seeds;
+        self.controllers.set_seeds(seeds);
     }
 
-    /// When the member grant ends.
+    /// When the session lease ends or ended; zero if none was granted.
     pub fn lease_end(&self) -> MonotonicTime {
-        self.lease_end
+        self.lease.end()
     }
 
     /// Whether the leader has welcomed the stream.
@@ -211,27 +148,25 @@
         matches!(self.state, StreamState::Welcomed { .. })
     }
 
-    /// The term of the leader last heard.
+    /// The term of the last leader that welcomed a stream.
     pub fn term(&self) -> Term {
-        self.term
+        self.leader.term
     }
 
-    /// A number for a question.
+    /// A new correlation id for a request to the leader.
     pub fn correlation(&mut self) -> CorrelationId {
         self.last_correlation = self.last_correlation.next();
         self.last_correlation
     }
 
-    /// The data plane has installed a spec, which names where the core's members stand.
+    /// The data plane has installed a spec, which names the addresses of the voters.
     pub fn installed(
         &mut self,
         version: Version,
         voters: &[SocketAddress],
     ) -> Vec<ControlSessionOutput> {
         self.version = version;
-        self.controller_addresses = voters.to_vec();
-        let new_seeds = self.seeds.iter().filter(|seed| !voters.contains(seed));
-        self.controller_addresses.extend(new_seeds);
+        self.controllers.set_voters(voters);
         if self.is_welcomed() {
             vec![ControlSessionOutput::SendFrame(DaemonToLeader::Installed {
                 version,
@@ -241,13 +176,13 @@
         }
     }
 
-    /// The daemon is leaving: it takes on no function any more.
+    /// The daemon is leaving: it is not eligible for further functions, and does not renew its lease.
     pub fn leave(&mut self) -> Vec<ControlSessionOutput> {
         self.leaving = true;
         self.host.eligible.0 = false;
         if self.is_welcomed() {
             vec![ControlSessionOutput::SendFrame(
-                self.hello(self.leader_heard_at),
+                self.hello(self.leader.last_heard_at),
             )]
         } else {
             Vec::new()
@@ -264,7 +199,7 @@
             ingress: self.ingress,
             version: self.version,
             age_ms,
-            granted: Flag(self.was_ever_leased),
+            granted: Flag(self.lease.was_ever_granted()),
         }
     }
 
@@ -275,17 +210,17 @@
         self.state = StreamState::Idle {
             dial_at: now + delay,
         };
-        self.renewals.clear();
+        self.pending_renewals.clear();
     }
 
-    /// A leader that was named is dialed at once; without one, or when names come too fast, a little
-    /// later.
+    /// Schedules the next dial after a redirect: at once if it names a leader that may be dialed; after a short delay
+    /// if it names none, or follows too soon on the previous one.
     fn follow_hint(&mut self, now: MonotonicTime) {
-        let is_useful = self
-            .hinted_leader
-            .is_some_and(|named| self.may_dial_named(now, named));
+        let is_usable = self
+            .controllers
+            .has_usable_hint(now, &self.timing, self.rules);
         let is_first = now.since(self.last_hint_at) >= self.timing.min_retry_delay;
-        let dial_at = if is_useful && is_first {
+        let dial_at = if is_usable && is_first {
             self.last_hint_at = now;
             now
         } else {
@@ -305,30 +240,28 @@
         }
     }
 
-    /// Lets time pass.
+    /// Closes the stream to a controller that does not respond, and puts that controller into backoff.
+    fn abandon_dialed(&mut self, now: MonotonicTime, outputs: &mut Vec<ControlSessionOutput>) {
+        let was_reached = !matches!(self.state, StreamState::Dialing { .. });
+        self.controllers.mark_dialed_unreachable(now, was_reached);
+        self.hang_up(now, outputs);
+    }
+
+    /// Does what is due by now: ends the lease, dials, gives up a controller that does not respond, renews.
     pub fn tick(&mut self, now: MonotonicTime) -> Vec<ControlSessionOutput> {
         let mut outputs = Vec::new();
         self.end_lease_if_due(now, &mut outputs);
         match self.state {
-            StreamState::Idle { dial_at } if now >= dial_at => {
-                let dialed_address = self.next_controller(now);
-                self.dialed = dialed_address;
-                self.state = StreamState::Dialing {
-                    give_up_at: now + self.timing.welcome_timeout,
-                };
-                outputs.push(ControlSessionOutput::Dial(dialed_address));
-            }
+            StreamState::Idle { dial_at } if now >= dial_at => self.dial(now, &mut outputs),
             StreamState::Dialing { give_up_at } | StreamState::Open { give_up_at }
                 if now >= give_up_at =>
             {
-                self.mark_dialed_unreachable(now);
-                self.hang_up(now, &mut outputs);
+                self.abandon_dialed(now, &mut outputs);
             }
             StreamState::Welcomed { last_heard_at, .. }
                 if now.since(last_heard_at) > self.timing.silence_timeout =>
             {
-                self.mark_dialed_unreachable(now);
-                self.hang_up(now, &mut outputs);
+                self.abandon_dialed(now, &mut outputs);
             }
             StreamState::Welcomed {
                 last_heard_at,
@@ -338,78 +271,40 @@
                     last_heard_at,
                     renew_at: now + self.timing.renewal_interval,
                 };
-                let correlation = self.correlation();
-                self.renewals.insert(correlation, now);
-                while self.renewals.len() > 16 {
-                    self.renewals.pop_first();
-                }
-                let version = self.version;
-                outputs.push(ControlSessionOutput::SendFrame(DaemonToLeader::Renew {
-                    correlation,
-                    version,
-                }));
+                outputs.push(self.renew(now));
             }
             _ => {}
         }
         outputs
     }
 
-    /// A hinted leader first, else the controllers in turn; one that fell silent is left alone for a while.
-    fn next_controller(&mut self, now: MonotonicTime) -> SocketAddress {
-        if let Some(named_leader) = self.hinted_leader.take()
-            && self.may_dial_named(now, named_leader)
-        {
-            return named_leader;
-        }
-        let unreachable_address = self
-            .unreachable
-            .filter(|unreachable| now < unreachable.since + self.timing.unreachable_backoff)
-            .map(|unreachable| unreachable.address);
-        for _ in 0..self.controller_addresses.len() {
-            self.next_seed = (self.next_seed + 1) % self.controller_addresses.len();
-            if Some(self.controller_addresses[self.next_seed]) != unreachable_address {
-                break;
-            }
-        }
-        self.controller_addresses[self.next_seed]
-    }
-
-    /// The controller that was dialed last is left alone for a while.
-    fn mark_dialed_unreachable(&mut self, now: MonotonicTime) {
-        let was_reached = !matches!(self.state, StreamState::Dialing { .. });
-        self.unreachable = Some(UnreachableController {
-            address: self.dialed,
-            since: now,
-            was_reached,
-        });
+    fn dial(&mut self, now: MonotonicTime, outputs: &mut Vec<ControlSessionOutput>) {
+        let address = self.controllers.choose(now, &self.timing, self.rules);
+        self.state = StreamState::Dialing {
+            give_up_at: now + self.timing.welcome_timeout,
+        };
+        outputs.push(ControlSessionOutput::Dial(address));
     }
 
-    /// Whether a controller that another one names as the leader may be dialed.
-    fn may_dial_named(&self, now: MonotonicTime, named: SocketAddress) -> bool {
-        let Some(unreachable) = self
-            .unreachable
-            .filter(|unreachable| unreachable.address == named)
-        else {
-            return true;
-        };
-        let is_full_backoff =
-            unreachable.was_reached || !self.rules.enforces(Rule::HintedLeaderDialed);
-        let unreachable_backoff = if is_full_backoff {
-            self.timing.unreachable_backoff
-        } else {
-            self.timing.unreached_backoff
-        };
-        now >= unreachable.since + unreachable_backoff
+    fn renew(&mut self, now: MonotonicTime) -> ControlSessionOutput {
+        let correlation = self.correlation();
+        self.pending_renewals.insert(correlation, now);
+        while self.pending_renewals.len() > MAX_PENDING_RENEWALS {
+            self.pending_renewals.pop_first();
+        }
+        ControlSessionOutput::SendFrame(DaemonToLeader::Renew {
+            correlation,
+            version: self.version,
+        })
     }
 
     fn end_lease_if_due(&mut self, now: MonotonicTime, outputs: &mut Vec<ControlSessionOutput>) {
-        if self.granted && now >= self.lease_end {
-            self.granted = false;
+        if self.lease.end_if_due(now) {
             outputs.push(ControlSessionOutput::LeaseEnded);
         }
     }
 
-    /// The dialed connection is open.
+    /// The dialed connection is established.
     pub fn connected(&mut self, now: MonotonicTime) -> Vec<ControlSessionOutput> {
         if let StreamState::Dialing { .. } = self.state {
             self.state = StreamState::Open {
@@ -420,7 +315,7 @@
         Vec::new()
     }
 
-    /// The connection failed or ended.
+    /// The connection failed or was closed by the other side.
     pub fn disconnected(&mut self, now: MonotonicTime) -> Vec<ControlSessionOutput> {
         let was_welcomed = self.is_welcomed();
         self.go_idle(now);
@@ -431,22 +326,22 @@
         }
     }
 
-    /// A part of a long frame has come in: the leader is not silent, however slow the link is. It says
-    /// nothing of the member grant.
+    /// A part of a long frame has arrived: the leader responds, however slow the link is. It does not affect the
+    /// session lease.
     pub fn frame_part_received(&mut self, now: MonotonicTime) {
         if let StreamState::Welcomed { last_heard_at, .. } = &mut self.state {
             *last_heard_at = now;
         }
     }
 
-    /// The claims to send once welcomed.
+    /// The frame that claims the functions this daemon holds, to be sent once welcomed.
     pub fn claims(&self, claims: Vec<Claim>) -> DaemonToLeader {
         DaemonToLeader::Claims {
             claims: LengthPrefixed(claims),
         }
     }
 
-    /// Takes what the leader says.
+    /// Handles a frame from the controller.
     pub fn received(
         &mut self,
         now: MonotonicTime,
@@ -456,62 +351,76 @@
         self.end_lease_if_due(now, &mut outputs);
         match frame {
             LeaderToDaemon::Redirect { leader } => {
-                self.hinted_leader = (leader != SocketAddress::UNSPECIFIED).then_some(leader);
+                let hinted_leader = (leader != SocketAddress::UNSPECIFIED).then_some(leader);
+                self.controllers.set_hinted_leader(hinted_leader);
                 self.hang_up(now, &mut outputs);
                 self.follow_hint(now);
             }
-            LeaderToDaemon::Welcome { term } => {
-                let is_stale_leader = term < self.term
-                    && now.since(self.leader_heard_at) < self.timing.stale_term_window;
-                if is_stale_leader {
-                    self.mark_dialed_unreachable(now);
-                    self.hang_up(now, &mut outputs);
-                } else if !self.is_welcomed() {
-                    self.term = term;
-                    self.leader_heard_at = now;
-                    self.state = StreamState::Welcomed {
-                        last_heard_at: now,
-                        renew_at: now,
-                    };
-                    outputs.push(ControlSessionOutput::Welcomed);
-                }
-            }
+            LeaderToDaemon::Welcome { term } => self.welcomed(now, term, &mut outputs),
             LeaderToDaemon::Renewed {
                 correlation,
                 lease_ms,
                 version,
             } => {
-                let StreamState::Welcomed { renew_at, .. } = self.state else {
-                    return outputs;
-                };
-                self.state = StreamState::Welcomed {
-                    last_heard_at: now,
-                    renew_at,
-                };
-                self.leader_heard_at = now;
-                let Some(sent_at) = self.renewals.remove(&correlation) else {
-                    return outputs;
-                };
-                let new_lease_end = sent_at + Duration::from_millis(u64::from(lease_ms));
-                let is_newest =
-                    version <= self.version || !self.rules.enforces(Rule::RenewalNeedsNewestSpec);
-                if new_lease_end > self.lease_end && new_lease_end > now && is_newest {
-                    self.lease_end = new_lease_end;
-                    self.granted = true;
-                    self.was_ever_leased = true;
-                    outputs.push(ControlSessionOutput::GrantedUntil(new_lease_end));
-                }
+                let lease_span = Duration::from_millis(u64::from(lease_ms));
+                self.renewed(now, correlation, lease_span, version, &mut outputs);
             }
             other => {
-                if let StreamState::Welcomed { renew_at, .. } = self.state {
-                    self.state = StreamState::Welcomed {
-                        last_heard_at: now,
-                        renew_at,
-                    };
-                }
+                self.frame_part_received(now);
                 outputs.push(ControlSessionOutput::Frame(other));
             }
         }
         outputs
     }
+
+    /// The controller accepts the stream. A leader of a term before the newest one known is refused while a lease of
+    /// the newer one may run.
+    fn welcomed(
+        &mut self,
+        now: MonotonicTime,
+        term: Term,
+        outputs: &mut Vec<ControlSessionOutput>,
+    ) {
+        let is_stale_leader = term < self.leader.term
+            && now.since(self.leader.last_heard_at) < self.timing.stale_term_window;
+        if is_stale_leader {
+            self.abandon_dialed(now, outputs);
+        } else if !self.is_welcomed() {
+            self.leader = KnownLeader {
+                term,
+                last_heard_at: now,
+            };
+            self.state = StreamState::Welcomed {
+                last_heard_at: now,
+                renew_at: now,
+            };
+            outputs.push(ControlSessionOutput::Welcomed);
+        }
+    }
+
+    /// The leader has renewed the session lease. It runs from when the renewal was sent, which is before the leader
+    /// received it, and only while this daemon has a spec as new as the leader's.
+    fn renewed(
+        &mut self,
+        now: MonotonicTime,
+        correlation: CorrelationId,
+        lease_span: Duration,
+        version: Version,
+        outputs: &mut Vec<ControlSessionOutput>,
+    ) {
+        if !self.is_welcomed() {
+            return;
+        }
+        self.frame_part_received(now);
+        self.leader.last_heard_at = now;
+        let Some(sent_at) = self.pending_renewals.remove(&correlation) else {
+            return;
+        };
+        let has_newest_spec =
+            version <= self.version || !self.rules.enforces(Rule::RenewalNeedsNewestSpec);
+        let lease_end = sent_at + lease_span;
+        if has_newest_spec && self.lease.extend(now, lease_end) {
+            outputs.push(ControlSessionOutput::GrantedUntil(lease_end));
+        }
+    }
 }
