--- a/crates/dataplane/src/cluster_view/leader_frames.rs
+++ b/crates/dataplane/src/cluster_view/leader_frames.rs
@@ -1,8 +1,8 @@
-//! What the leader says on the stream: specs, lists of daemons, answers, orders about functions.
+//! Handling of the leader's frames: specs, host lists, responses to requests, commands about held functions.
 
 use super::{ClusterView, ClusterViewOutput};
 use common::clock::MonotonicTime;
-use common::frames::{DaemonToLeader, LeaderToDaemon, decompress};
+use common::frames::{ByteString, DaemonToLeader, LeaderToDaemon, decompress};
 use common::identity::Version;
 use common::invariants::{Invariant, require};
 use common::rules::Rule;
@@ -13,6 +13,7 @@
     pub(super) fn handle_frame(&mut self, now: MonotonicTime, frame: LeaderToDaemon) {
         match frame {
             LeaderToDaemon::Spec { version, document } => {
+                // Text that cannot be decompressed is reported as a document that cannot be parsed.
                 let text = decompress(&document).unwrap_or_default();
                 self.install(now, version, DaemonView::from_bytes(&text));
             }
@@ -21,20 +22,7 @@
                 version,
                 patch,
                 digest,
-            } => match &self.view {
-                Some(view) if view.version == base => {
-                    match view.changed(&decompress(&patch).unwrap_or_default(), &digest.0) {
-                        Ok(changed_view) => self.install(now, version, Ok(changed_view)),
-                        Err(_) => self.outputs.push(ClusterViewOutput::SendFrame(
-                            DaemonToLeader::FullSpecRequest,
-                        )),
-                    }
-                }
-                Some(view) if view.version >= version => {}
-                _ => self.outputs.push(ClusterViewOutput::SendFrame(
-                    DaemonToLeader::FullSpecRequest,
-                )),
-            },
+            } => self.apply_spec_delta(now, base, version, &patch, &digest),
             LeaderToDaemon::Hosts {
                 number,
                 hosts,
@@ -57,75 +45,62 @@
                     removed.0,
                     suspected.0,
                 );
-                if is_applied {
-                    self.refresh_hosts(now);
-                } else {
-                    self.outputs.push(ClusterViewOutput::SendFrame(
-                        DaemonToLeader::FullHostListRequest,
-                    ));
-                }
+                self.host_delta_handled(now, is_applied);
             }
             LeaderToDaemon::Acquired {
                 correlation,
                 function,
                 result,
-            } => {
-                self.acquired(now, correlation, function, result);
-            }
+            } => self.acquired(now, correlation, function, result),
             LeaderToDaemon::Reserved {
                 correlation,
                 function,
                 result,
-            } => {
-                self.reserved(correlation, function, result);
-            }
-            LeaderToDaemon::Revoke {
-                function,
-                fencing_token,
-            } => {
-                self.outputs
-                    .push(ClusterViewOutput::Revoke(function, fencing_token));
-            }
-            LeaderToDaemon::Drain { function, runner } => {
-                self.outputs
-                    .push(ClusterViewOutput::Drain(function, runner));
-            }
-            LeaderToDaemon::RunnerUnlisted { function, runner } => {
-                self.outputs
-                    .push(ClusterViewOutput::RunnerUnlisted(function, runner));
-            }
-            LeaderToDaemon::HandOver {
-                function,
-                fencing_token,
-            } => {
-                self.outputs
-                    .push(ClusterViewOutput::HandOver(function, fencing_token));
-            }
-            LeaderToDaemon::ReclaimIdle {
-                function,
-                fencing_token,
-            } => {
-                self.outputs
-                    .push(ClusterViewOutput::ReclaimIdle(function, fencing_token));
-            }
-            LeaderToDaemon::ReplicaAssigned {
-                function,
-                fencing_token,
-                replica,
-            } => {
-                let new_replica = replica.0.into_iter().next();
-                self.outputs.push(ClusterViewOutput::ReplicaAssigned(
-                    function,
-                    fencing_token,
-                    new_replica,
-                ));
+            } => self.reserved(correlation, function, result),
+            command => self.outputs.extend(function_command(command)),
+        }
+    }
+
+    /// Applies a delta to the installed spec; if it does not fit, the complete spec is requested.
+    fn apply_spec_delta(
+        &mut self,
+        now: MonotonicTime,
+        base: Version,
+        version: Version,
+        patch: &ByteString,
+        digest: &ByteString,
+    ) {
+        let changed_view = match &self.view {
+            Some(view) if view.version == base => {
+                view.changed(&decompress(patch).unwrap_or_default(), &digest.0)
             }
-            LeaderToDaemon::Redirect { .. }
-            | LeaderToDaemon::Welcome { .. }
-            | LeaderToDaemon::Renewed { .. } => {}
+            Some(view) if view.version >= version => return,
+            _ => return self.request_full_spec(),
+        };
+        match changed_view {
+            Ok(changed_view) => self.install(now, version, Ok(changed_view)),
+            Err(_) => self.request_full_spec(),
         }
     }
 
+    fn request_full_spec(&mut self) {
+        self.outputs.push(ClusterViewOutput::SendFrame(
+            DaemonToLeader::FullSpecRequest,
+        ));
+    }
+
+    /// A delta of the host list was applied; or it was not, and the complete list is requested.
+    fn host_delta_handled(&mut self, now: MonotonicTime, is_applied: bool) {
+        if is_applied {
+            self.refresh_hosts(now);
+        } else {
+            self.outputs.push(ClusterViewOutput::SendFrame(
+                DaemonToLeader::FullHostListRequest,
+            ));
+        }
+    }
+
+    /// Builds the routing table of a spec and reports it for use, unless a newer spec is installed already.
     fn install(
         &mut self,
         now: MonotonicTime,
@@ -162,3 +137,48 @@
         }
     }
 }
+
+/// The output that stands for a leader's command about a held function; none for any other frame.
+fn function_command(frame: LeaderToDaemon) -> Option<ClusterViewOutput> {
+    match frame {
+        LeaderToDaemon::Revoke {
+            function,
+            fencing_token,
+        } => Some(ClusterViewOutput::Revoke(function, fencing_token)),
+        LeaderToDaemon::Drain { function, runner } => {
+            Some(ClusterViewOutput::Drain(function, runner))
+        }
+        LeaderToDaemon::RunnerUnlisted { function, runner } => {
+            Some(ClusterViewOutput::RunnerUnlisted(function, runner))
+        }
+        LeaderToDaemon::HandOver {
+            function,
+            fencing_token,
+        } => Some(ClusterViewOutput::HandOver(function, fencing_token)),
+        LeaderToDaemon::ReclaimIdle {
+            function,
+            fencing_token,
+        } => Some(ClusterViewOutput::ReclaimIdle(function, fencing_token)),
+        LeaderToDaemon::ReplicaAssigned {
+            function,
+            fencing_token,
+            replica,
+        } => {
+            let new_replica = replica.0.into_iter().next();
+            Some(ClusterViewOutput::ReplicaAssigned(
+                function,
+                fencing_token,
+                new_replica,
+            ))
+        }
+        LeaderToDaemon::Redirect { .. }
+        | LeaderToDaemon::Welcome { .. }
+        | LeaderToDaemon::Renewed { .. }
+        | LeaderToDaemon::Spec { .. }
+        | LeaderToDaemon::Change { .. }
+        | LeaderToDaemon::Hosts { .. }
+        | LeaderToDaemon::HostsDelta { .. }
+        | LeaderToDaemon::Acquired { .. }
+        | LeaderToDaemon::Reserved { .. } => None,
+    }
+}
--- a/crates/dataplane/src/cluster_view/leader_requests.rs
+++ b/crates/dataplane/src/cluster_view/leader_requests.rs
@@ -1,4 +1,4 @@
-//! Questions to the leader, for functions and for runners, and its answers.
+//! Requests to the leader, for function leases and for runners, and its responses.
 
 use super::{ClusterView, ClusterViewOutput};
 use crate::holder::LeaseTerms;
@@ -8,17 +8,20 @@
 use common::rules::Rule;
 use std::time::Duration;
 
+/// How long a response to an acquisition is waited for.
 const ACQUIRE_TIMEOUT: Duration = Duration::from_secs(2);
 
+/// A request for a function lease that has no final response yet.
 pub(super) struct PendingAcquire {
     function: FunctionKey,
     requested_at: MonotonicTime,
+    /// When the leader expects to grant the lease, if it has announced a wait.
     expected_at: Option<MonotonicTime>,
 }
 
 impl ClusterView {
-    /// Asks the leader for a function. While a question for it is open whose answer is known to take
-    /// its time, no other is asked.
+    /// Requests a function lease from the leader. While the leader is known to grant it only later, no further
+    /// request is sent, and the remaining wait is reported instead.
     pub fn acquire(&mut self, now: MonotonicTime, function: FunctionKey) -> Vec<ClusterViewOutput> {
         let pending_expected_at = self
             .acquires
@@ -58,7 +61,7 @@
         self.take_outputs()
     }
 
-    /// Asks the leader for one more runner.
+    /// Requests one more runner for a held function from the leader.
     pub fn reserve(
         &mut self,
         function: FunctionKey,
@@ -124,18 +127,18 @@
         });
     }
 
-    /// Whether a grant is one that was given back already, named again to a question that crossed the word of
-    /// it.
+    /// Whether a granted lease is one that was released already: the leader repeats it in response to a request that
+    /// crossed the release on the wire.
     fn is_released(&self, function: &FunctionKey, result: &AcquireResult) -> bool {
         let AcquireResult::Granted { fencing_token, .. } = result else {
             return false;
         };
         self.released_leases
             .get(function)
-            .is_some_and(|released_leases| fencing_token <= released_leases)
+            .is_some_and(|released_token| fencing_token <= released_token)
     }
 
-    /// Takes a grant, or gives it back.
+    /// Accepts a granted lease, or releases it at once if the function cannot be held.
     fn accept_lease(
         &mut self,
         now: MonotonicTime,
@@ -210,8 +213,8 @@
         }
     }
 
-    /// The daemon is about to tell the leader that it holds nothing. A grant that is on its way to it then is
-    /// dropped by the leader as one that it does not claim, so it must not be taken.
+    /// The daemon is about to claim no function. The leader then drops any lease that is on its way here as one that
+    /// is not claimed, so that it must not be accepted.
     pub(super) fn void_pending_acquires(&mut self, now: MonotonicTime) {
         self.void_through = self.control_session.correlation();
         for pending in std::mem::take(&mut self.acquires).into_values() {
@@ -223,7 +226,7 @@
         }
     }
 
-    /// Gives up the questions whose answers are late.
+    /// Ends the acquisitions whose responses are overdue.
     pub(super) fn expire_late_acquires(&mut self, now: MonotonicTime) {
         let expired_correlations: Vec<CorrelationId> = self
             .acquires
--- a/crates/dataplane/src/cluster_view/mod.rs
+++ b/crates/dataplane/src/cluster_view/mod.rs
@@ -1,4 +1,11 @@
-//! What a daemon knows of the world: leader, spec, hosts, grants. No I/O; orders go out.
+//! One daemon's view of the cluster: the leader, the spec, the live members, the leases it is granted.
+//!
+//! [`ClusterView`] joins the [control session](crate::control_session) and the
+//! [failure detector](crate::failure_detector), interprets the leader's frames and sends requests to it. It performs no
+//! I/O: its methods return [`ClusterViewOutput`]s that the caller carries out.
+//!
+//! * `leader_frames`: the leader's frames.
+//! * `leader_requests`: requests to the leader, and its responses.
 
 mod leader_frames;
 mod leader_requests;
@@ -18,18 +25,21 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The keeper of one daemon.
+/// What one daemon knows of the cluster.
 pub struct ClusterView {
     control_session: ControlSession,
     failure_detector: FailureDetector,
     view: Option<DaemonView>,
     table: Arc<RoutingTable>,
     alive_hosts: Vec<Host>,
+    /// Acquisitions that wait for the leader.
     acquires: BTreeMap<CorrelationId, PendingAcquire>,
+    /// Reservations of runners that wait for the leader.
     reserves: BTreeMap<CorrelationId, (FunctionKey, FencingToken)>,
-    /// Answers to questions up to this one come from before everything was given up.
+    /// Requests up to this one were sent before the session lease ended: a lease granted in response is void.
     void_through: CorrelationId,
-    /// Grants that were given back on this stream: the leader may name them once more before it hears so.
+    /// Leases that were released on this stream: the leader may grant them once more before it has handled the
+    /// release.
     released_leases: BTreeMap<FunctionKey, FencingToken>,
     leaving: bool,
     rules: Rules,
@@ -37,7 +47,7 @@
 }
 
 impl ClusterView {
-    /// Knows nothing yet.
+    /// A view without leader, spec and members.
     pub fn new(control_session: ControlSession, own_host: Host) -> Self {
         Self {
             control_session,
@@ -55,13 +65,13 @@
         }
     }
 
-    /// The same, with a rule taken away for proving.
+    /// Enforces only these rules, so that a test can show what a rule prevents.
     pub fn with_rules(mut self, rules: Rules) -> Self {
         self.rules = rules;
         self
     }
 
-    /// The same with another pause between heartbeats.
+    /// Sets the heartbeat interval.
     pub fn with_heartbeat_interval(mut self, heartbeat_interval: Duration) -> Self {
         self.failure_detector = self
             .failure_detector
@@ -69,24 +79,24 @@
         self
     }
 
-    /// When something is due, at the latest.
+    /// When [`ClusterView::tick`] is due next.
     pub fn next_due(&self) -> MonotonicTime {
         self.control_session
             .next_due()
             .min(self.failure_detector.next_due())
     }
 
-    /// The seeds have changed.
+    /// Replaces the controllers' seed addresses.
     pub fn set_seeds(&mut self, seeds: Vec<SocketAddress>) {
         self.control_session.set_seeds(seeds);
     }
 
-    /// When the member grant ends.
+    /// When the session lease ends or ended; zero if none was granted.
     pub fn lease_end(&self) -> MonotonicTime {
         self.control_session.lease_end()
     }
 
-    /// The serial installed.
+    /// The version of the installed spec.
     pub fn version(&self) -> Version {
         self.table.version()
     }
@@ -100,7 +110,7 @@
         std::mem::take(&mut self.outputs)
     }
 
-    /// Lets time pass.
+    /// Does what is due by now.
     pub fn tick(&mut self, now: MonotonicTime) -> Vec<ClusterViewOutput> {
         let outputs = self.control_session.tick(now);
         self.apply_session_outputs(now, outputs);
@@ -141,26 +151,26 @@
         }
     }
 
-    /// The dialed stream is open.
+    /// The dialed stream is established.
     pub fn connected(&mut self, now: MonotonicTime) -> Vec<ClusterViewOutput> {
         let outputs = self.control_session.connected(now);
         self.apply_session_outputs(now, outputs);
         self.take_outputs()
     }
 
-    /// A part of a long frame of the leader has come in.
+    /// A part of a long frame from the leader has arrived.
     pub fn frame_part_received(&mut self, now: MonotonicTime) {
         self.control_session.frame_part_received(now);
     }
 
-    /// The stream failed or ended.
+    /// The stream failed or was closed by the other side.
     pub fn disconnected(&mut self, now: MonotonicTime) -> Vec<ClusterViewOutput> {
         let outputs = self.control_session.disconnected(now);
         self.apply_session_outputs(now, outputs);
         self.take_outputs()
     }
 
-    /// The leader says something.
+    /// Handles a frame from the leader.
     pub fn received(
         &mut self,
         now: MonotonicTime,
@@ -171,12 +181,12 @@
         self.take_outputs()
     }
 
-    /// A heartbeat came in; false when it is a stranger's.
+    /// Handles a heartbeat; false if its sender is not a listed member.
     pub fn heartbeat(&mut self, now: MonotonicTime, heartbeat: &Heartbeat) -> bool {
         self.failure_detector.received(now, heartbeat)
     }
 
-    /// The daemon is leaving: it takes on nothing any more.
+    /// The daemon is leaving: it accepts no further lease.
     pub fn leave(&mut self, now: MonotonicTime) -> Vec<ClusterViewOutput> {
         self.leaving = true;
         let outputs = self.control_session.leave();
@@ -184,7 +194,7 @@
         self.take_outputs()
     }
 
-    /// Sends the claims that were gathered.
+    /// Sends the claims of the held functions, if the leader has welcomed the stream.
     pub fn claims(&mut self, claims: Vec<Claim>) -> Vec<ClusterViewOutput> {
         if self.control_session.is_welcomed() {
             let frame = self.control_session.claims(claims);
--- a/crates/dataplane/src/cluster_view/outputs.rs
+++ b/crates/dataplane/src/cluster_view/outputs.rs
@@ -1,4 +1,4 @@
-//! What the keeper orders.
+//! What a cluster view has its caller do.
 
 use crate::holder::LeaseTerms;
 use common::clock::MonotonicTime;
@@ -10,60 +10,60 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// What the keeper orders.
+/// An action that a [`ClusterView`](super::ClusterView) requires, or an event that it reports.
 pub enum ClusterViewOutput {
-    /// Open a stream there.
+    /// Open a stream to this address.
     Dial(SocketAddress),
-    /// End the stream.
+    /// Close the stream.
     Hangup,
-    /// Say something on the stream.
+    /// Send a frame on the stream.
     SendFrame(DaemonToLeader),
-    /// Send a heartbeat to these places.
+    /// Send a heartbeat to these addresses.
     HeartbeatDatagram(Heartbeat, Vec<SocketAddress>),
-    /// The leader of this term has welcomed the stream: gather the claims, and send them.
+    /// The leader of this term has accepted the stream: collect the claims, and send them.
     Welcomed(Term),
-    /// The stream is lost: nobody's acquisition will be answered, nor these wishes for runners.
+    /// The stream is lost: pending acquisitions get no response, nor do these reservations of runners.
     StreamLost(Vec<(FunctionKey, FencingToken)>),
-    /// The member grant runs until then.
+    /// The session lease runs until this time.
     ServeUntil(MonotonicTime),
-    /// The member grant has ended: close every held function, forget every owner, send claims.
+    /// The session lease has ended: close every held function, drop every cached owner, send the (empty) claims.
     ReleaseAll,
-    /// A spec is installed.
+    /// A new spec is to be used.
     Install(Arc<RoutingTable>),
     /// A spec could not be installed.
     InstallFailed(Version, DocumentError),
-    /// The daemons alive have changed.
+    /// The list of live daemons has changed.
     Hosts(Vec<Host>),
-    /// A function is granted.
+    /// The lease of a function is granted to this daemon.
     LeaseGranted(LeaseTerms),
     /// Memory is short: stop an idle function's runners.
     ReclaimIdle(FunctionKey, FencingToken),
-    /// Another daemon is to keep the copy of a function's ledger, or nobody.
+    /// The daemon that keeps the replica of a function's ledger has changed; none if there is none.
     ReplicaAssigned(FunctionKey, FencingToken, Option<Host>),
-    /// An acquisition is answered; none when it must be tried again.
+    /// An acquisition has ended.
     Acquired {
         /// The function.
         function: FunctionKey,
-        /// The answer.
+        /// The leader's response; none if the acquisition has to be retried.
         result: Option<AcquireResult>,
-        /// How long the answer took.
+        /// Time from the request to the response.
         round_trip: Duration,
     },
-    /// A wish for a runner is answered.
+    /// The reservation of a runner has ended.
     Reserved {
         /// The function.
         function: FunctionKey,
-        /// The grant it was asked under.
+        /// The function lease under which it was requested.
         fencing_token: FencingToken,
-        /// The answer.
+        /// The leader's response.
         result: ReserveResult,
     },
-    /// A claim does not stand: close the function.
+    /// The function lease is not valid: close the function.
     Revoke(FunctionKey, FencingToken),
-    /// Drain a runner.
+    /// Send a runner no further requests, and stop it once it is idle.
     Drain(FunctionKey, RunnerId),
-    /// A runner is gone.
+    /// The platform no longer lists a runner.
     RunnerUnlisted(FunctionKey, RunnerId),
-    /// Hand a function over.
+    /// Release a function so that another daemon can hold it.
     HandOver(FunctionKey, FencingToken),
 }
