--- a/crates/dataplane/src/failure_detector/mod.rs
+++ b/crates/dataplane/src/failure_detector/mod.rs
@@ -1,5 +1,9 @@
-//! Who is alive: the leader's host list, less those who have fallen silent. Heartbeats go to a few
-//! neighbours on the ring and name nobody else, unless somebody is missed.
+//! Failure detection: which of the members on the leader's list are alive.
+//!
+//! Each daemon sends heartbeats by UDP to a few neighbours on the hash ring, its watchers. A watcher that misses
+//! [`MISSED_HEARTBEATS`] in a row suspects the member, reports it to the leader, and names it in its own heartbeats;
+//! those who receive that relay it once ([`MAX_RELAYS`]). A heartbeat from the member itself refutes the suspicion.
+//! No I/O: [`FailureDetector::tick`] returns what is to be sent.
 
 mod suspicion;
 
@@ -15,18 +19,20 @@
 use std::time::Duration;
 use suspicion::{MAX_SUSPICIONS, PeerSuspicions};
 
-/// From one heartbeat to the next, unless the boot settings say otherwise.
+/// Interval between two heartbeats, unless the settings give another.
 pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(250);
 
-/// So many heartbeats must be missed before a daemon counts as silent.
+/// How many consecutive heartbeats must be missing before a member is suspected.
 pub const MISSED_HEARTBEATS: u32 = 3;
 
-/// After this silence a daemon counts as gone, unless the boot settings say otherwise.
+/// Silence after which a member is suspected, unless the settings give another interval.
 pub const FAILURE_TIMEOUT: Duration = Duration::from_millis(750);
 
-/// How much later than it meant to a watcher may look before it doubts itself rather than the others.
+/// The longest gap between two ticks after which silence still counts against the others; after a longer one this
+/// daemon itself was held up, and has not seen heartbeats that may have arrived.
 const MAX_TICK_DELAY: Duration = Duration::from_millis(400);
 
+/// A member on the leader's list, and its last heartbeat.
 struct HeartbeatRecord {
     host: Host,
     ring_position: u64,
@@ -34,7 +40,7 @@
 }
 
 impl HeartbeatRecord {
-    fn instance(&self) -> MemberIncarnation {
+    fn incarnation(&self) -> MemberIncarnation {
         MemberIncarnation {
             member: self.host.member.clone(),
             incarnation: self.host.incarnation,
@@ -42,16 +48,24 @@
     }
 }
 
-/// What one daemon knows of the others.
+/// One daemon's view of which members are alive.
 pub struct FailureDetector {
     own_host: Host,
+    /// The members on the leader's list.
     records: BTreeMap<MemberName, HeartbeatRecord>,
+    /// The number of that list.
     list_number: u64,
+    /// The members that the leader suspects.
     suspected: BTreeSet<MemberIncarnation>,
+    /// The members that this daemon watches, and since when each has been silent.
     watched: BTreeMap<MemberIncarnation, MonotonicTime>,
+    /// The watched members that this daemon suspects.
     locally_suspected: BTreeSet<MemberIncarnation>,
+    /// The members that other daemons suspect.
     peer_suspicions: PeerSuspicions,
+    /// Where this daemon's heartbeats go.
     watcher_addresses: Vec<SocketAddress>,
+    /// Who suspects this daemon, and gets its next heartbeat as a refutation.
     refutation_targets: BTreeSet<SocketAddress>,
     heartbeat_interval: Duration,
     next_heartbeat_at: MonotonicTime,
@@ -62,7 +76,7 @@
 }
 
 impl FailureDetector {
-    /// Knows of nobody but itself.
+    /// A detector that has no host list yet.
     pub fn new(own_host: Host) -> Self {
         Self {
             own_host,
@@ -83,21 +97,19 @@
         }
     }
 
-    /// The same with another pause between heartbeats; the silence that is borne changes with it.
+    /// Sets the heartbeat interval; the failure time-out changes in proportion.
     pub fn with_heartbeat_interval(mut self, heartbeat_interval: Duration) -> Self {
         self.heartbeat_interval = heartbeat_interval;
         self
     }
 
-    /// When the next heartbeat is due, or a watched daemon will have been silent for too long.
+    /// When [`FailureDetector::tick`] is due next: for a heartbeat, or for a watched member's time-out.
     pub fn next_due(&self) -> MonotonicTime {
         let failure_timeout = self.failure_timeout();
-        let is_own_suspicion =
-            |instance: &MemberIncarnation| self.locally_suspected.contains(instance);
         let unsuspected = self
             .watched
             .iter()
-            .filter(|(instance, _)| !is_own_suspicion(instance));
+            .filter(|(incarnation, _)| !self.locally_suspected.contains(incarnation));
         let first_failure_at = unsuspected.map(|(_, since)| *since + failure_timeout).min();
         first_failure_at.map_or(self.next_heartbeat_at, |failure_at| {
             failure_at.min(self.next_heartbeat_at)
@@ -116,12 +128,12 @@
         }
     }
 
-    fn is_listed(&self, instance: &MemberIncarnation) -> bool {
-        let record = self.records.get(&instance.member);
-        record.is_some_and(|record| record.host.incarnation == instance.incarnation)
+    fn is_listed(&self, incarnation: &MemberIncarnation) -> bool {
+        let record = self.records.get(&incarnation.member);
+        record.is_some_and(|record| record.host.incarnation == incarnation.incarnation)
     }
 
-    /// Takes the leader's whole host list with its number, and whom it believes silent.
+    /// Replaces the host list by the leader's complete one, with its number and the members that the leader suspects.
     pub fn set_host_list(
         &mut self,
         now: MonotonicTime,
@@ -138,7 +150,7 @@
         self.set_suspected(now, suspected);
     }
 
-    /// Takes a change of that list; false when it does not follow on the list that is known.
+    /// Applies a delta to the host list; false, without any change, if it does not follow on the known list.
     pub fn update_host_list(
         &mut self,
         now: MonotonicTime,
@@ -190,14 +202,14 @@
         self.update_neighbours(now);
     }
 
-    /// Whom this daemon watches, and who watches it: by the leader's list alone, so that both sides
+    /// Determines whom this daemon watches, and who watches it, from the leader's list alone, so that both sides
     /// agree.
     fn update_neighbours(&mut self, now: MonotonicTime) {
         let suspected = &self.suspected;
         let on_ring: Vec<(u64, &Host)> = self
             .records
             .values()
-            .filter(|record| !suspected.contains(&record.instance()))
+            .filter(|record| !suspected.contains(&record.incarnation()))
             .map(|record| (record.ring_position, &record.host))
             .collect();
         let own_watchers = ring::watchers(&self.own_host, on_ring.iter().copied());
@@ -212,41 +224,52 @@
                 .into_iter()
                 .any(|watcher| watcher.member == *own_member);
             if is_watched && record.host.member != *own_member {
-                let instance = record.instance();
-                let since = earlier_watched_since.remove(&instance).unwrap_or(now);
-                self.watched.insert(instance, since);
+                let incarnation = record.incarnation();
+                let since = earlier_watched_since.remove(&incarnation).unwrap_or(now);
+                self.watched.insert(incarnation, since);
             }
         }
         let watched = &self.watched;
         self.locally_suspected
-            .retain(|instance| watched.contains_key(instance));
+            .retain(|incarnation| watched.contains_key(incarnation));
     }
 
-    /// Takes a heartbeat; one from a stranger changes nothing.
+    /// Handles a heartbeat; false, without any change, if its sender is not a listed member.
     pub fn received(&mut self, now: MonotonicTime, heartbeat: &Heartbeat) -> bool {
-        let instance = MemberIncarnation {
+        let incarnation = MemberIncarnation {
             member: heartbeat.member.clone(),
             incarnation: heartbeat.incarnation,
         };
-        if !self.is_listed(&instance) || instance.member == self.own_host.member {
+        if !self.is_listed(&incarnation) || incarnation.member == self.own_host.member {
             self.ignored_count += 1;
             return false;
         }
-        let Some(record) = self.records.get_mut(&instance.member) else {
+        let Some(record) = self.records.get_mut(&incarnation.member) else {
             return false;
         };
         record.last_heard_at = Some(now);
         let sender_address = record.host.address;
-        if let Some(since) = self.watched.get_mut(&instance) {
+        if let Some(since) = self.watched.get_mut(&incarnation) {
             *since = now;
         }
-        self.peer_suspicions.forget(&instance);
-        if self.locally_suspected.remove(&instance) || self.suspected.contains(&instance) {
+        self.peer_suspicions.forget(&incarnation);
+        if self.locally_suspected.remove(&incarnation) || self.suspected.contains(&incarnation) {
             self.outputs
-                .push(FailureDetectorOutput::MemberRecovered(instance));
+                .push(FailureDetectorOutput::MemberRecovered(incarnation));
         }
+        self.handle_suspicions(now, sender_address, &heartbeat.suspicions.0);
+        true
+    }
+
+    /// Records the suspicions in a heartbeat; one of this daemon is refuted by a heartbeat to its sender at once.
+    fn handle_suspicions(
+        &mut self,
+        now: MonotonicTime,
+        sender_address: SocketAddress,
+        suspicions: &[Suspicion],
+    ) {
         let own_incarnation = self.own_incarnation();
-        for suspicion in &heartbeat.suspicions.0 {
+        for suspicion in suspicions {
             if suspicion.instance == own_incarnation {
                 self.refutation_targets.insert(sender_address);
                 self.next_heartbeat_at = now;
@@ -254,17 +277,27 @@
                 self.peer_suspicions.received(now, suspicion);
             }
         }
-        true
     }
 
-    /// What a fresh stream's leader must be told: whom this daemon misses.
+    /// The members that this daemon itself suspects; a newly connected leader has to learn them.
     pub fn locally_suspected(&self) -> Vec<MemberIncarnation> {
         self.locally_suspected.iter().cloned().collect()
     }
 
-    /// Looks whom it misses, and what is due now.
+    /// Checks the watched members for time-outs, and does what is due by now.
     pub fn tick(&mut self, now: MonotonicTime) -> Vec<FailureDetectorOutput> {
         let failure_timeout = self.failure_timeout();
+        self.forgive_own_delay(now);
+        self.suspect_silent(now, failure_timeout);
+        self.peer_suspicions.expire(now, failure_timeout);
+        if now >= self.next_heartbeat_at {
+            self.send_heartbeat(now);
+        }
+        std::mem::take(&mut self.outputs)
+    }
+
+    /// Restarts the time-outs of all watched members if this daemon itself was held up.
+    fn forgive_own_delay(&mut self, now: MonotonicTime) {
         let was_delayed = self.last_tick_at.is_some_and(|last_tick_at| {
             now.since(last_tick_at) > MAX_TICK_DELAY.max(self.heartbeat_interval * 2)
         });
@@ -272,32 +305,31 @@
         if was_delayed {
             self.watched.values_mut().for_each(|since| *since = now);
         }
+    }
+
+    fn suspect_silent(&mut self, now: MonotonicTime, failure_timeout: Duration) {
         let newly_suspected: Vec<MemberIncarnation> = self
             .watched
             .iter()
-            .filter(|(instance, since)| {
-                now.since(**since) >= failure_timeout && !self.locally_suspected.contains(instance)
+            .filter(|(incarnation, since)| {
+                now.since(**since) >= failure_timeout
+                    && !self.locally_suspected.contains(incarnation)
             })
-            .map(|(instance, _)| instance.clone())
+            .map(|(incarnation, _)| incarnation.clone())
             .collect();
-        for instance in newly_suspected {
-            self.locally_suspected.insert(instance.clone());
+        for incarnation in newly_suspected {
+            self.locally_suspected.insert(incarnation.clone());
             self.next_heartbeat_at = now;
             self.outputs
-                .push(FailureDetectorOutput::MemberSuspected(instance));
+                .push(FailureDetectorOutput::MemberSuspected(incarnation));
         }
-        self.peer_suspicions.expire(now, failure_timeout);
-        if now >= self.next_heartbeat_at {
-            self.send_heartbeat(now);
-        }
-        std::mem::take(&mut self.outputs)
     }
 
     fn send_heartbeat(&mut self, now: MonotonicTime) {
         self.next_heartbeat_at = now + self.heartbeat_interval;
         self.heartbeat_count += 1;
-        let own_suspicions = self.locally_suspected.iter().map(|instance| Suspicion {
-            instance: instance.clone(),
+        let own_suspicions = self.locally_suspected.iter().map(|incarnation| Suspicion {
+            instance: incarnation.clone(),
             remaining_relays: MAX_RELAYS,
         });
         let suspicions: Vec<Suspicion> = own_suspicions
@@ -322,8 +354,8 @@
         ));
     }
 
-    /// The daemons that count as alive, this one always among them: those on the leader's list that
-    /// nobody misses. Whose heartbeats come in here is alive, whoever says otherwise.
+    /// The members that count as alive, this one always among them: those on the leader's list that nobody suspects.
+    /// A member whose heartbeats arrive here is alive, whoever suspects it.
     pub fn alive(&self, now: MonotonicTime) -> Vec<Host> {
         let failure_timeout = self.failure_timeout();
         let is_alive = |record: &&HeartbeatRecord| {
@@ -331,10 +363,10 @@
                 .last_heard_at
                 .is_some_and(|at| now.since(at) < failure_timeout);
             let is_self = record.host.member == self.own_host.member;
-            let instance = record.instance();
-            let is_suspected = self.suspected.contains(&instance)
-                || self.locally_suspected.contains(&instance)
-                || self.peer_suspicions.contains(&instance);
+            let incarnation = record.incarnation();
+            let is_suspected = self.suspected.contains(&incarnation)
+                || self.locally_suspected.contains(&incarnation)
+                || self.peer_suspicions.contains(&incarnation);
             is_self || is_recently_heard || !is_suspected
         };
         self.records
@@ -344,7 +376,7 @@
             .collect()
     }
 
-    /// How many heartbeats were ignored.
+    /// How many heartbeats were ignored since the start, as their senders were not listed.
     pub fn ignored_count(&self) -> u64 {
         self.ignored_count
     }
--- a/crates/dataplane/src/failure_detector/suspicion.rs
+++ b/crates/dataplane/src/failure_detector/suspicion.rs
@@ -1,77 +1,78 @@
-//! Suspicions: daemons that have fallen silent, what others say of it, and how it is refuted.
+//! Suspicions reported by other daemons, how far they are relayed, and how a heartbeat refutes them.
 
 use common::clock::MonotonicTime;
 use common::frames::{Heartbeat, MemberIncarnation, SocketAddress, Suspicion};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// How often a watcher's word that it misses somebody is told: by itself, and once by each who hears it.
+/// How many hops a suspicion travels: from the watcher that raises it, and once from each daemon that receives it.
 pub const MAX_RELAYS: u8 = 2;
 
-/// The most suspicions in one heartbeat, so that it stays one datagram.
+/// The most suspicions in one heartbeat, so that it fits one datagram.
 pub(super) const MAX_SUSPICIONS: usize = 16;
 
-/// What a watch orders.
+/// An action that a [`FailureDetector`](super::FailureDetector) requires.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub enum FailureDetectorOutput {
-    /// Send a heartbeat to these places.
+    /// Send a heartbeat to these addresses.
     HeartbeatDatagram(Heartbeat, Vec<SocketAddress>),
-    /// Tell the leader that this daemon is missed.
+    /// Report to the leader that this member's heartbeats are missing.
     MemberSuspected(MemberIncarnation),
-    /// Tell the leader that it is heard.
+    /// Report to the leader that this member's heartbeats arrive.
     MemberRecovered(MemberIncarnation),
 }
 
+/// What was last received of one suspected member.
 struct SuspicionRecord {
-    last_heard_at: MonotonicTime,
+    last_received_at: MonotonicTime,
     remaining_relays: u8,
 }
 
-/// Whom others miss, as their heartbeats said lately.
+/// The members that other daemons suspect, by their recent heartbeats.
 #[derive(Default)]
 pub(super) struct PeerSuspicions {
     records: BTreeMap<MemberIncarnation, SuspicionRecord>,
 }
 
 impl PeerSuspicions {
-    /// Takes another's word.
+    /// Records a suspicion that another daemon has sent.
     pub fn received(&mut self, now: MonotonicTime, suspicion: &Suspicion) {
         let remaining_relays = suspicion.remaining_relays.min(MAX_RELAYS).saturating_sub(1);
         self.records
             .entry(suspicion.instance.clone())
             .and_modify(|record| {
-                record.last_heard_at = now;
+                record.last_received_at = now;
                 record.remaining_relays = record.remaining_relays.max(remaining_relays);
             })
             .or_insert(SuspicionRecord {
-                last_heard_at: now,
+                last_received_at: now,
                 remaining_relays,
             });
     }
 
-    /// Forgets it: its heartbeat has come in.
-    pub fn forget(&mut self, instance: &MemberIncarnation) {
-        self.records.remove(instance);
+    /// Drops the suspicion of a member whose heartbeat has arrived.
+    pub fn forget(&mut self, incarnation: &MemberIncarnation) {
+        self.records.remove(incarnation);
     }
 
-    /// Forgets what nobody has said for so long.
+    /// Drops suspicions that were not repeated for `span`.
     pub fn expire(&mut self, now: MonotonicTime, span: Duration) {
         self.records
-            .retain(|_, record| now.since(record.last_heard_at) < span);
+            .retain(|_, record| now.since(record.last_received_at) < span);
     }
 
-    /// Whether somebody misses it.
-    pub fn contains(&self, instance: &MemberIncarnation) -> bool {
-        self.records.contains_key(instance)
+    /// Whether another daemon suspects this member.
+    pub fn contains(&self, incarnation: &MemberIncarnation) -> bool {
+        self.records.contains_key(incarnation)
     }
 
-    /// What is passed on.
+    /// The suspicions to be relayed with this daemon's own heartbeat.
     pub fn forwarded(&self) -> impl Iterator<Item = Suspicion> {
         self.records
             .iter()
             .filter(|(_, record)| record.remaining_relays > 0)
-            .map(|(instance, record)| Suspicion {
-                instance: instance.clone(),
+            .map(|(incarnation, record)| Suspicion {
+                instance: incarnation.clone(),
                 remaining_relays: record.remaining_relays,
             })
     }
