--- a/crates/dataplane/src/owners/mod.rs
+++ b/crates/dataplane/src/owners/mod.rs
@@ -1,4 +1,7 @@
-//! The source's ordinary path: cache, then hash owner, and only the hash owner asks the leader.
+//! Finding the daemon that holds a function: by the cache, else by the hash owner, and only the hash owner requests the
+//! function's lease from the leader.
+//!
+//! * `warm`: leases that are requested before a function is called.
 
 mod warm;
 
@@ -8,25 +11,25 @@
 use common::identity::{FunctionKey, MemberName};
 use common::ring::{self, Regions};
 
-/// The most daemons a transaction passes through after its caller's.
+/// The most times a request is forwarded: once from the caller's daemon, and once more.
 pub const MAX_HOPS: u8 = 2;
 
-/// What to do next with a transaction.
+/// What to do next with a request.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub enum LookupStep {
     /// This daemon holds the function.
     Serve,
-    /// Pass it to that daemon.
+    /// Forward it to that daemon.
     Forward(Host),
-    /// This daemon is the hash owner, and asks the leader.
+    /// This daemon is the hash owner, and requests the function's lease from the leader.
     Acquire,
-    /// This daemon is neither holder nor hash owner, and the transaction has come far enough.
+    /// This daemon is neither holder nor hash owner, and the request may not be forwarded further.
     NotHolder,
-    /// Nobody is eligible.
+    /// No live daemon is eligible to hold the function.
     NoEligibleHost,
 }
 
-/// What a step is decided from.
+/// What a step is decided by.
 pub struct LookupContext<'a> {
     /// The function.
     pub function: &'a FunctionKey,
@@ -34,24 +37,24 @@
     pub own_member: &'a MemberName,
     /// Whether this daemon holds the function.
     pub holds: bool,
-    /// The cached owner.
+    /// The owner in this daemon's cache.
     pub cached_owner: Option<&'a Host>,
-    /// The daemons alive.
+    /// The live daemons.
     pub hosts: &'a [Host],
-    /// Which regions their zones lie in.
+    /// The regions of their zones.
     pub regions: &'a Regions,
-    /// How many hops the transaction has made.
+    /// How many times the request was forwarded.
     pub hops: u8,
 }
 
-/// Whether a cached owner still stands in the host list, in the same life.
+/// Whether a cached owner is still on the host list, in the same incarnation.
 pub fn is_current_owner(cached_owner: &Host, hosts: &[Host]) -> bool {
     hosts.iter().any(|host| {
         host.member == cached_owner.member && host.incarnation == cached_owner.incarnation
     })
 }
 
-/// Decides the next step; a cached owner that is no longer valid counts as a miss.
+/// Decides the next step; a cached owner that is no longer valid counts as a cache miss.
 pub fn next_step(context: &LookupContext<'_>) -> LookupStep {
     if context.holds {
         return LookupStep::Serve;
--- a/crates/dataplane/src/owners/warm.rs
+++ b/crates/dataplane/src/owners/warm.rs
@@ -1,4 +1,4 @@
-//! Which functions are asked for before they are called.
+//! Acquisition of functions before they are called, so that their start-up time is not a caller's.
 
 use super::is_current_owner;
 use common::clock::MonotonicTime;
@@ -9,30 +9,33 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
+/// Interval between two scans for functions without a holder.
 const SCAN_INTERVAL: Duration = Duration::from_secs(2);
+/// The shortest interval between two requests to the leader.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(5);
+/// How long a function is not requested again.
 const REQUEST_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// What is looked at for functions that want an owner before they are called.
+/// The state of a daemon by which functions to acquire are chosen.
 pub struct WarmContext<'a> {
     /// The spec in use.
     pub table: &'a RoutingTable,
     /// This daemon.
     pub own_member: &'a MemberName,
-    /// The daemons alive.
+    /// The live daemons.
     pub hosts: &'a [Host],
-    /// Which regions their zones lie in.
+    /// The regions of their zones.
     pub regions: &'a Regions,
-    /// The keys that the callers of this daemon's region have to themselves.
+    /// The keys under which this daemon's region has functions of its own.
     pub regional: &'a [FunctionKey],
-    /// The owners learned so far.
+    /// The cached owners.
     pub owners: &'a BTreeMap<FunctionKey, Host>,
     /// Whether this daemon holds a function.
     pub holds: &'a dyn Fn(&FunctionKey) -> bool,
 }
 
 impl WarmContext<'_> {
-    /// Whether this daemon, as the hash owner, has to ask for a function: it is the only one that does.
+    /// Whether this daemon is the function's hash owner, which alone requests it, and no holder is known.
     fn should_acquire(&self, function: &FunctionKey) -> bool {
         let hash_owner = ring::hash_owner_in(function, self.hosts.iter(), self.regions);
         let has_owner = self.owners.get(function).is_some_and(|owner| {
@@ -44,7 +47,7 @@
     }
 }
 
-/// Seeks owners for functions that boot longer than their callers gladly wait, one after the other. No
+/// Chooses functions to acquire, one at a time: those whose start-up takes longer than their callers should wait. No
 /// I/O.
 pub struct WarmAcquirer {
     scan_at: MonotonicTime,
@@ -54,7 +57,7 @@
 }
 
 impl WarmAcquirer {
-    /// Looks at once.
+    /// An acquirer whose first scan is due at once.
     pub fn new(now: MonotonicTime) -> Self {
         Self {
             scan_at: now,
@@ -64,12 +67,12 @@
         }
     }
 
-    /// Spec, daemons alive or holdings have changed.
+    /// The spec, the live daemons or the held functions have changed: a scan is due at once.
     pub fn changed(&mut self, now: MonotonicTime) {
         self.scan_at = self.scan_at.min(now);
     }
 
-    /// When to look again.
+    /// When [`WarmAcquirer::next`] is due next.
     pub fn next_due(&self) -> MonotonicTime {
         if self.wanted.is_empty() {
             self.scan_at
@@ -78,20 +81,10 @@
         }
     }
 
-    /// The function that the leader is to be asked for now, if there is one.
+    /// The function to request from the leader now, if there is one.
     pub fn next(&mut self, now: MonotonicTime, context: &WarmContext<'_>) -> Option<FunctionKey> {
         if now >= self.scan_at {
-            self.scan_at = now + SCAN_INTERVAL;
-            self.requested
-                .retain(|_, requested_at| now.since(*requested_at) < REQUEST_RETRY_AFTER);
-            let candidates = context
-                .regional
-                .iter()
-                .chain(context.table.prewarmed_functions());
-            self.wanted = candidates
-                .filter(|function| context.should_acquire(function))
-                .cloned()
-                .collect();
+            self.scan(now, context);
         }
         if now < self.request_at {
             return None;
@@ -105,4 +98,18 @@
         }
         None
     }
+
+    fn scan(&mut self, now: MonotonicTime, context: &WarmContext<'_>) {
+        self.scan_at = now + SCAN_INTERVAL;
+        self.requested
+            .retain(|_, requested_at| now.since(*requested_at) < REQUEST_RETRY_AFTER);
+        let candidates = context
+            .regional
+            .iter()
+            .chain(context.table.prewarmed_functions());
+        self.wanted = candidates
+            .filter(|function| context.should_acquire(function))
+            .cloned()
+            .collect();
+    }
 }
