--- a/crates/dataplane/src/agent/daemon_control/held_functions.rs
+++ b/crates/dataplane/src/agent/daemon_control/held_functions.rs
@@ -1,4 +1,4 @@
-//! The functions that a daemon holds: granted, claimed again, given up, closed.
+//! The functions that a daemon holds: granted, claimed from a new leader, given up, closed.
 
 use super::{Agent, DaemonControl, DaemonControlOutput, HeldFunction};
 use crate::holder::{Holder, HolderOutput, LeaseTerms};
@@ -9,9 +9,10 @@
 use common::rules::Rule;
 use common::spec::RoutingTable;
 use std::collections::BTreeMap;
-use std::sync::{Arc, PoisonError};
+use std::sync::Arc;
 
 impl<W> DaemonControl<W> {
+    /// Applies a change to a held function's holder, and passes its outputs on.
     pub(super) fn apply(
         &mut self,
         held: &Arc<HeldFunction<W>>,
@@ -24,6 +25,7 @@
         }
     }
 
+    /// Applies a change to a holder if the function is held under this fencing token.
     pub(super) fn apply_if_held(
         &mut self,
         agent: &Agent<W>,
@@ -36,13 +38,10 @@
         }
     }
 
+    /// Claims all held functions from the leader, and reports the runners of those that are closing.
     pub(super) fn send_claims(&mut self, agent: &Agent<W>, now: MonotonicTime) {
         let held_functions = agent.held_functions.load_full();
-        let closing: Vec<Arc<HeldFunction<W>>> = agent
-            .closing
-            .lock()
-            .unwrap_or_else(PoisonError::into_inner)
-            .clone();
+        let closing = agent.lock_closing().clone();
         if self.cluster_view.is_welcomed() {
             for held in &closing {
                 held.with(|holder| holder.orphans_reported());
@@ -57,6 +56,7 @@
         self.apply_view_outputs(agent, now, view_outputs);
     }
 
+    /// The session lease has ended: closes every held function.
     pub(super) fn release_all(&mut self, agent: &Agent<W>, now: MonotonicTime) {
         if !agent.rules.enforces(Rule::ServesUnderSessionLease) {
             return;
@@ -70,11 +70,12 @@
         for held in released.values() {
             self.close(agent, now, held);
         }
-        agent.owners.store(Arc::new(BTreeMap::new()));
+        agent.owners.clear();
         self.send_claims(agent, now);
         self.outputs.push(DaemonControlOutput::Changed);
     }
 
+    /// Puts a new routing table into use, and gives up the functions that it no longer contains.
     pub(super) fn install(
         &mut self,
         agent: &Agent<W>,
@@ -105,6 +106,7 @@
         self.outputs.push(DaemonControlOutput::Changed);
     }
 
+    /// Starts to hold a function whose lease was granted, unless it is held under a newer lease.
     pub(super) fn granted(&mut self, agent: &Agent<W>, now: MonotonicTime, terms: LeaseTerms) {
         let (function, fencing_token) = (terms.function.clone(), terms.fencing_token);
         let held_fencing_token = agent
@@ -132,7 +134,7 @@
         });
         if let Some(displaced) = displaced {
             self.close(agent, now, &displaced);
-            self.report_left_runners(&displaced);
+            self.report_orphaned_runners(&displaced);
         }
         agent.cache_owner(&function, &agent.own_host);
         self.log_event(
@@ -143,6 +145,7 @@
         self.outputs.push(DaemonControlOutput::Changed);
     }
 
+    /// Passes a reserved runner to its function; if that is no longer held, the reservation is returned.
     pub(super) fn reserved(
         &mut self,
         agent: &Agent<W>,
@@ -165,8 +168,8 @@
         }
     }
 
-    /// Tells the leader what a function that was closed alone leaves behind.
-    pub(super) fn report_left_runners(&mut self, held: &Arc<HeldFunction<W>>) {
+    /// Releases a closed function's lease, with the runners that are still to be stopped.
+    pub(super) fn report_orphaned_runners(&mut self, held: &Arc<HeldFunction<W>>) {
         if !self.cluster_view.is_welcomed() {
             return;
         }
@@ -182,20 +185,18 @@
         });
     }
 
+    /// Closes a function that is no longer held; it stays among the closing ones until its runners have stopped.
     pub(super) fn close(
         &mut self,
         agent: &Agent<W>,
         now: MonotonicTime,
         held: &Arc<HeldFunction<W>>,
     ) {
-        agent
-            .closing
-            .lock()
-            .unwrap_or_else(PoisonError::into_inner)
-            .push(held.clone());
+        agent.lock_closing().push(held.clone());
         self.apply(held, |holder| holder.close(now));
     }
 
+    /// Removes a function from the held ones.
     pub(super) fn remove(&mut self, agent: &Agent<W>, function: &FunctionKey) {
         agent.held_functions.rcu(|held_functions| {
             let mut changed_functions = BTreeMap::clone(held_functions);
--- a/crates/dataplane/src/agent/daemon_control/mod.rs
+++ b/crates/dataplane/src/agent/daemon_control/mod.rs
@@ -1,5 +1,10 @@
-//! The control side of a daemon: what the leader, the holders and time have for its keeper, and what
-//! follows from it in its agent. No I/O; the drivers carry out the [`DaemonOrder`]s it returns.
+//! The control side of a daemon: events of the stream, of the holders and of the passing of time go through the
+//! [cluster view](crate::cluster_view), and what follows is applied to the [`Agent`]. No I/O; the drivers carry out the
+//! [`DaemonControlOutput`]s.
+//!
+//! * `held_functions`: the life cycle of the held functions.
+//! * `outputs`: what the drivers have to do.
+//! * `view_outputs`: the cluster view's outputs.
 
 mod held_functions;
 mod outputs;
@@ -19,15 +24,15 @@
 };
 use common::identity::{FencingToken, FunctionKey};
 use common::rng::SeededRng;
-use std::sync::{Arc, PoisonError};
+use std::sync::Arc;
 use std::time::Duration;
 
-/// A function not called for so long is reported to the leader as idle.
+/// How long a function has no requests before it is reported to the leader as idle.
 const IDLE_REPORT_AFTER: Duration = Duration::from_secs(3);
-/// How often the leader is told of idle functions and refusals.
+/// Interval between two reports of idle functions and rejected requests.
 const REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Feeds one daemon's keeper, and does in its agent what the keeper orders.
+/// Drives one daemon's cluster view, and applies its outputs to the daemon's agent.
 pub struct DaemonControl<W> {
     cluster_view: ClusterView,
     report_at: MonotonicTime,
@@ -58,7 +63,7 @@
         }
     }
 
-    /// The same with another pause between heartbeats.
+    /// Sets the heartbeat interval.
     pub fn with_heartbeat_interval(mut self, heartbeat_interval: Duration) -> Self {
         self.cluster_view = self
             .cluster_view
@@ -66,16 +71,16 @@
         self
     }
 
-    /// The same, seeking owners for warm functions before they are called.
+    /// Enables the acquisition of warm functions before they are called.
     pub fn with_warm(mut self, now: MonotonicTime) -> Self {
         self.warm_acquirer = Some(WarmAcquirer::new(now));
         self
     }
 
-    /// When something is due, at the latest.
+    /// When [`DaemonControl::tick`] is due next.
     pub fn next_due(&self, agent: &Agent<W>) -> MonotonicTime {
-        let seeks = self.cluster_view.is_welcomed() && !agent.is_leaving();
-        let warm_acquirer = self.warm_acquirer.as_ref().filter(|_| seeks);
+        let may_acquire = self.cluster_view.is_welcomed() && !agent.is_leaving();
+        let warm_acquirer = self.warm_acquirer.as_ref().filter(|_| may_acquire);
         let warm_due = warm_acquirer.map_or(self.report_at, WarmAcquirer::next_due);
         let first_due = self
             .cluster_view
@@ -89,12 +94,12 @@
         holders_due.fold(first_due, MonotonicTime::min)
     }
 
-    /// When the stream or a heartbeat is due.
+    /// When the stream or a heartbeat is due next.
     pub fn stream_due(&self) -> MonotonicTime {
         self.cluster_view.next_due()
     }
 
-    /// Asks for warm functions that want an owner.
+    /// Requests the next warm function that needs a holder.
     fn acquire_warm_functions(&mut self, agent: &Agent<W>, now: MonotonicTime) {
         if !agent.is_serving(now) || agent.is_leaving() || !self.cluster_view.is_welcomed() {
             return;
@@ -111,7 +116,7 @@
                 table: &table,
                 own_member: &agent.own_host.member,
                 hosts: &hosts,
-                regions: &agent.regions,
+                regions: &agent.regional_keys.regions,
                 regional: &regional,
                 owners: &owners,
                 holds: &|function| held_functions.contains_key(function),
@@ -123,14 +128,14 @@
         }
     }
 
-    /// Something has changed that functions may want an owner for.
+    /// Some state has changed by which warm functions may need a holder.
     pub fn recheck_warm_functions(&mut self, now: MonotonicTime) {
         if let Some(warm_acquirer) = &mut self.warm_acquirer {
             warm_acquirer.changed(now);
         }
     }
 
-    /// The seeds have changed.
+    /// Replaces the controllers' seed addresses.
     pub fn set_seeds(&mut self, seeds: Vec<SocketAddress>) {
         self.cluster_view.set_seeds(seeds);
     }
@@ -139,7 +144,7 @@
         std::mem::take(&mut self.outputs)
     }
 
-    /// Lets time pass.
+    /// Does what is due by now.
     pub fn tick(&mut self, agent: &Agent<W>, now: MonotonicTime) -> Vec<DaemonControlOutput<W>> {
         let view_outputs = self.cluster_view.tick(now);
         self.apply_view_outputs(agent, now, view_outputs);
@@ -147,7 +152,7 @@
             self.apply(held, |holder| holder.tick(now));
         }
         let closing: Vec<Arc<HeldFunction<W>>> = {
-            let mut closing = agent.closing.lock().unwrap_or_else(PoisonError::into_inner);
+            let mut closing = agent.lock_closing();
             closing.retain(|held| !held.with(|holder| holder.is_finished(now)));
             closing.clone()
         };
@@ -158,15 +163,12 @@
         if now >= self.report_at {
             self.report_at = now + REPORT_INTERVAL;
             self.report_load(agent, now);
-            agent
-                .ledger_replica
-                .lock()
-                .unwrap_or_else(PoisonError::into_inner)
-                .expire(now);
+            agent.expire_ledger_replica(now);
         }
         self.take_outputs()
     }
 
+    /// Reports idle functions and rejected requests to the leader.
     fn report_load(&mut self, agent: &Agent<W>, now: MonotonicTime) {
         let mut idle_functions = Vec::new();
         for held in agent.held_functions.load_full().values() {
@@ -193,7 +195,7 @@
         });
     }
 
-    /// The dialed stream is open.
+    /// The dialed stream is established.
     pub fn connected(
         &mut self,
         agent: &Agent<W>,
@@ -204,12 +206,12 @@
         self.take_outputs()
     }
 
-    /// A part of a long frame of the leader has come in.
+    /// A part of a long frame from the leader has arrived.
     pub fn frame_part_received(&mut self, now: MonotonicTime) {
         self.cluster_view.frame_part_received(now);
     }
 
-    /// The stream failed or ended.
+    /// The stream failed or was closed by the other side.
     pub fn disconnected(
         &mut self,
         agent: &Agent<W>,
@@ -220,7 +222,7 @@
         self.take_outputs()
     }
 
-    /// The leader says something.
+    /// Handles a frame from the leader.
     pub fn received(
         &mut self,
         agent: &Agent<W>,
@@ -232,12 +234,12 @@
         self.take_outputs()
     }
 
-    /// A heartbeat came in; false when it is a stranger's.
+    /// Handles a heartbeat; false if its sender is not a listed member.
     pub fn heartbeat(&mut self, now: MonotonicTime, heartbeat: &Heartbeat) -> bool {
         self.cluster_view.heartbeat(now, heartbeat)
     }
 
-    /// A transaction needs a function's owner.
+    /// A request needs the owner of a function.
     pub fn acquire(
         &mut self,
         agent: &Agent<W>,
@@ -249,7 +251,7 @@
         self.take_outputs()
     }
 
-    /// A holder has something for the leader.
+    /// Sends a holder's message to the leader.
     pub fn holder_message(
         &mut self,
         agent: &Agent<W>,
@@ -301,7 +303,7 @@
         self.take_outputs()
     }
 
-    /// The daemon is to stop in order: it takes on nothing, finishes what it holds, and gives it back.
+    /// Starts a graceful shutdown: the daemon accepts no further function, and finishes and releases those it holds.
     pub fn leave(&mut self, agent: &Agent<W>, now: MonotonicTime) -> Vec<DaemonControlOutput<W>> {
         agent.begin_leaving();
         let view_outputs = self.cluster_view.leave(now);
@@ -313,7 +315,7 @@
         self.take_outputs()
     }
 
-    /// The daemon is gone in a moment: it serves no more, and the leader need not wait for its grant.
+    /// The daemon is about to exit: it serves nothing more, and the leader need not wait for the end of its lease.
     pub fn departed(&mut self, agent: &Agent<W>) -> Vec<DaemonControlOutput<W>> {
         agent.serving_until.set(MonotonicTime::ZERO);
         self.send_frame(DaemonToLeader::Leaving);
--- a/crates/dataplane/src/agent/daemon_control/outputs.rs
+++ b/crates/dataplane/src/agent/daemon_control/outputs.rs
@@ -1,4 +1,4 @@
-//! What the control side of a daemon orders from its drivers.
+//! What the control side of a daemon has its drivers do.
 
 use super::HeldFunction;
 use crate::holder::HolderOutput;
@@ -8,28 +8,28 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// What the controller orders; the agent is changed already.
+/// An action for the drivers, or an event for them. The agent's state is changed already.
 pub enum DaemonControlOutput<W> {
-    /// Open a stream there.
+    /// Open a stream to this address.
     Dial(SocketAddress),
-    /// End the stream.
+    /// Close the stream.
     Hangup,
-    /// Say something on the stream, if it is open.
+    /// Send a frame on the stream, if it is open.
     SendFrame(DaemonToLeader),
-    /// Send a heartbeat to these places.
+    /// Send a heartbeat to these addresses.
     HeartbeatDatagram(Heartbeat, Vec<SocketAddress>),
-    /// Do what a holder orders.
+    /// Carry out a holder's outputs.
     Holder(Arc<HeldFunction<W>>, Vec<HolderOutput>),
-    /// Tell those who wait for an acquisition; none when it must be tried again.
+    /// An acquisition has ended, after this round trip: notify who waits for it. None if it has to be retried.
     Acquired(FunctionKey, Option<AcquireResult>, Duration),
-    /// Tell those who wait for acquisitions that the stream is lost.
+    /// The stream is lost: notify all who wait for an acquisition.
     AcquiresLost,
-    /// Something changed that a transaction may wait for.
+    /// Some state has changed that a request may wait for.
     Changed,
     /// Write an event to the log.
     LogEvent(Event, String),
-    /// A spec is in use.
+    /// The spec of this version is in use.
     Installed(Version),
-    /// The member grant has ended.
+    /// The session lease has ended.
     LeaseEnded,
 }
--- a/crates/dataplane/src/agent/daemon_control/view_outputs.rs
+++ b/crates/dataplane/src/agent/daemon_control/view_outputs.rs
@@ -1,10 +1,10 @@
-//! Carries out in the agent what the keeper orders.
+//! Application of the cluster view's outputs to the agent.
 
 use super::{Agent, DaemonControl, DaemonControlOutput};
 use crate::cluster_view::ClusterViewOutput;
 use common::clock::MonotonicTime;
 use common::events;
-use common::frames::AcquireResult;
+use common::frames::{AcquireResult, Host};
 use common::identity::{FencingToken, FunctionKey, RunnerId, Term};
 use common::rules::Rule;
 use std::sync::Arc;
@@ -45,17 +45,11 @@
             ClusterViewOutput::ServeUntil(lease_end) => self.serve_until(agent, now, lease_end),
             ClusterViewOutput::ReleaseAll => self.release_all(agent, now),
             ClusterViewOutput::Install(table) => self.install(agent, now, table),
-            ClusterViewOutput::InstallFailed(version, error) => {
-                self.log_event(
-                    events::SPEC_INSTALL_FAILED,
-                    format!("serial {version}: {error}"),
-                );
-            }
-            ClusterViewOutput::Hosts(alive_hosts) => {
-                agent.hosts.store(Arc::new(alive_hosts));
-                self.recheck_warm_functions(now);
-                self.outputs.push(DaemonControlOutput::Changed);
-            }
+            ClusterViewOutput::InstallFailed(version, error) => self.log_event(
+                events::SPEC_INSTALL_FAILED,
+                format!("serial {version}: {error}"),
+            ),
+            ClusterViewOutput::Hosts(alive_hosts) => self.set_hosts(agent, now, alive_hosts),
             ClusterViewOutput::LeaseGranted(terms) => self.granted(agent, now, terms),
             ClusterViewOutput::ReclaimIdle(function, fencing_token) => {
                 self.apply_if_held(agent, &function, fencing_token, |holder| {
@@ -71,16 +65,12 @@
                 function,
                 result,
                 round_trip,
-            } => {
-                self.acquired(agent, function, result, round_trip);
-            }
+            } => self.acquired(agent, function, result, round_trip),
             ClusterViewOutput::Reserved {
                 function,
                 fencing_token,
                 result,
-            } => {
-                self.reserved(agent, now, function, fencing_token, &result);
-            }
+            } => self.reserved(agent, now, function, fencing_token, &result),
             ClusterViewOutput::Revoke(function, fencing_token) => {
                 self.revoked(agent, now, &function, fencing_token)
             }
@@ -96,6 +86,12 @@
         }
     }
 
+    fn set_hosts(&mut self, agent: &Agent<W>, now: MonotonicTime, alive_hosts: Vec<Host>) {
+        agent.hosts.store(Arc::new(alive_hosts));
+        self.recheck_warm_functions(now);
+        self.outputs.push(DaemonControlOutput::Changed);
+    }
+
     fn welcomed(&mut self, agent: &Agent<W>, now: MonotonicTime, term: Term) {
         agent.set_has_leader(true);
         self.log_event(events::STREAM_OPENED, format!("leader of term {term}"));
@@ -159,7 +155,7 @@
         if let Some(held) = agent.held(function, fencing_token) {
             self.remove(agent, function);
             self.close(agent, now, &held);
-            self.report_left_runners(&held);
+            self.report_orphaned_runners(&held);
         }
     }
 
--- a/crates/dataplane/src/agent/forwarding/mod.rs
+++ b/crates/dataplane/src/agent/forwarding/mod.rs
@@ -1,8 +1,12 @@
-//! The forwarding of one transaction to its holder: here, by the cache, by the hash owner, or by asking
-//! the leader.
+//! The way of one request to the holder of its function: this daemon, or another that the cache, the hash owner or the
+//! leader names.
 //!
-//! [`Forwarding`] says step by step what is to be done with a transaction, and is told how each step
-//! ended. It sends and waits for nothing itself.
+//! [`Forwarding`] is a state machine without I/O. Each of its methods returns the next [`ForwardingStep`]; the caller
+//! carries it out, and calls the method for how the step ended.
+//!
+//! * `request`: the request as this daemon received it.
+//! * `step`: the steps.
+//! * `step_results`: what follows from the result of a step.
 
 mod request;
 mod step;
@@ -12,51 +16,67 @@
 pub use step::{ForwardResult, ForwardingStep};
 
 use super::{Agent, HeldFunction, HolderRequest};
-use crate::holder::not_run;
 use crate::owners::{LookupContext, LookupStep, next_step};
 use common::clock::MonotonicTime;
 use common::frames::{
     DaemonMessage, Flag, Host, RequestFailureReason, RequestOutcome, RequestPayload,
 };
-use common::identity::{IdempotencyKey, Region};
+use common::identity::{IdempotencyKey, Region, Version};
 use common::rules::Rule;
-use common::spec::RoutingTable;
+use common::spec::{RouteSpec, RoutingTable};
 use std::time::Duration;
-use step::refused_step;
+use step::{not_holder_outcome, refused_step};
 
-/// What is kept back of the budget for each hop, there and back, so that a refusal at the last moment
-/// still arrives as one.
+/// How much of the time to the deadline is reserved for each hop, there and back, so that a rejection at the last moment
+/// still arrives.
 const HOP_TIME_RESERVE: Duration = Duration::from_millis(25);
-/// How long a daemon waits for a spec as new as the one another daemon matched with.
+/// How long a daemon waits for a spec as new as the one by which another daemon matched the request.
 const SPEC_WAIT_TIMEOUT: Duration = Duration::from_millis(500);
-/// How long a daemon waits for a newer spec when the holder has refused by another one than its own.
+/// How long a daemon waits for a newer spec after a holder with another spec has rejected the request.
 const SPEC_MISMATCH_TIMEOUT: Duration = Duration::from_millis(300);
-/// How many refusals by another spec are followed by another look.
+/// After how many such rejections a request is still retried.
 const MAX_SPEC_MISMATCHES: u32 = 3;
-/// The pause before the leader is asked, or another daemon tried, again.
+/// The delay before the leader, or another daemon, is tried again.
 const RETRY_BACKOFF: Duration = Duration::from_millis(40);
-/// So long a region's own key is left alone after its holder was lost, and after it had no runner ready.
+/// How long a regional key is not used after its holder was lost.
 const REGIONAL_LOST_BACKOFF: Duration = Duration::from_secs(3);
+/// How long a regional key is not used after its holder had no runner ready.
 const REGIONAL_UNREADY_BACKOFF: Duration = Duration::from_millis(300);
-/// A body no larger than this is rather sent twice than its answer brought by a detour.
+/// The largest body that is sent again rather than have its response take a detour through a third daemon.
 const MAX_REFERRED_BODY_BYTES: usize = 64 << 10;
-/// What must be left of a budget so that a detour can be spared.
+/// The least time to the deadline with which a request is referred to its holder rather than forwarded.
 const MIN_REFERRAL_TIME: Duration = Duration::from_millis(300);
+/// When to retry after a daemon that is not the holder has rejected a request.
+const NOT_HOLDER_RETRY_AFTER: Duration = Duration::from_millis(50);
+/// When to retry after the spec here and the holder's still differ.
+const SPEC_MISMATCH_RETRY_AFTER: Duration = Duration::from_millis(200);
+/// When to retry after the spec does not route the request to its function.
+const UNKNOWN_ROUTE_RETRY_AFTER: Duration = Duration::from_millis(500);
+/// When to retry after no owner was found, if the leader has announced no wait.
+const NO_OWNER_RETRY_AFTER: Duration = Duration::from_millis(1000);
+/// The shortest such time, whatever the leader has announced.
+const MIN_NO_OWNER_RETRY_AFTER: Duration = Duration::from_millis(100);
 
-/// One transaction on its way through this daemon.
+/// One request on its way through this daemon.
 pub struct Forwarding {
     request: FunctionRequest,
+    /// Until when a spec as new as the request's is waited for.
     spec_deadline: MonotonicTime,
+    /// Until when a holder is sought; none before the search starts.
     give_up_at: Option<MonotonicTime>,
+    /// The leader is not asked before this time.
     acquire_not_before: MonotonicTime,
+    /// When the function can be ready, by the wait that the leader has announced.
     retry_at: Option<MonotonicTime>,
+    /// Until when a newer spec is waited for, after a rejection by a holder with another spec.
     spec_mismatch_until: Option<MonotonicTime>,
     spec_mismatch_count: u32,
+    /// How many holders were lost while they had the request.
     lost_holder_count: u32,
 }
 
 impl Forwarding {
-    /// A transaction at the start of its way through this daemon.
+    /// A request that this daemon has just received.
     pub fn new(now: MonotonicTime, request: FunctionRequest) -> Self {
         Self {
             request,
@@ -70,12 +90,12 @@
         }
     }
 
-    /// The transaction.
+    /// The request.
     pub fn request(&self) -> &FunctionRequest {
         &self.request
     }
 
-    /// After a holder fell silent with it nobody can say that it was not run.
+    /// After a holder was lost with the request, nobody knows that it was not run: such an outcome becomes unknown.
     fn unknown_after_loss<W>(&self, step: ForwardingStep<W>) -> ForwardingStep<W> {
         match step {
             ForwardingStep::End(RequestOutcome::NotRun { .. }, holder)
@@ -92,8 +112,8 @@
         }
     }
 
-    /// Looks where it goes next. A daemon without a member grant refuses at once, so that what lay in
-    /// its sockets while it was frozen goes no further.
+    /// Decides the next step by the current state of the daemon. A daemon without a session lease rejects the request at
+    /// once, so that what was buffered in its sockets while it was suspended goes no further.
     pub fn advance<W>(&mut self, agent: &Agent<W>, now: MonotonicTime) -> ForwardingStep<W> {
         let step = self.next_step(agent, now);
         self.unknown_after_loss(step)
@@ -107,17 +127,8 @@
             );
         }
         let table = agent.table.load();
-        if let Some(spec_mismatch_until) = self.spec_mismatch_until {
-            if table.version() <= self.request.version {
-                return if now < spec_mismatch_until {
-                    ForwardingStep::Wait {
-                        wait_until: spec_mismatch_until,
-                    }
-                } else {
-                    refused_step(RequestFailureReason::NotAllowed, Duration::from_millis(200))
-                };
-            }
-            self.spec_mismatch_until = None;
+        if let Some(step) = self.after_spec_mismatch(now, table.version()) {
+            return step;
         }
         if self.request.hops == 0 {
             self.apply_newer_spec(&table);
@@ -127,21 +138,9 @@
             .route_named(&self.request.route)
             .filter(|_| table.allows(&self.request.route, &self.request.function))
         else {
-            let is_spec_behind = table.version() < self.request.version && now < self.spec_deadline;
-            return if is_spec_behind {
-                ForwardingStep::Wait {
-                    wait_until: self.spec_deadline,
-                }
-            } else {
-                refused_step(RequestFailureReason::NotAllowed, Duration::from_millis(500))
-            };
+            return self.unknown_route_step(now, table.version());
         };
-        let queue_timeout = route.spec.queue_timeout;
-        let give_up_at = *self.give_up_at.get_or_insert(
-            self.request
-                .deadline
-                .min(now + queue_timeout.max(RETRY_BACKOFF)),
-        );
+        let give_up_at = self.give_up_at(now, route.spec.queue_timeout);
         if now >= give_up_at {
             return self.no_owner_step(now);
         }
@@ -150,71 +149,129 @@
             .load()
             .get(&self.request.function)
             .cloned();
-        let step = {
-            let owners = agent.owners.load();
-            let hosts = agent.hosts.load();
-            next_step(&LookupContext {
-                function: &self.request.function,
-                own_member: &agent.own_host.member,
-                holds: held.is_some(),
-                cached_owner: owners.get(&self.request.function),
-                hosts: &hosts,
-                regions: &agent.regions,
-                hops: self.request.hops,
-            })
-        };
-        match step {
-            LookupStep::Serve => match held {
-                Some(held) => {
-                    let holder_request = HolderRequest {
-                        idempotency_key: self.request.idempotency_key.clone(),
-                        route: self.request.route.clone(),
-                        deadline: self.request.deadline,
-                        once: route.spec.once,
-                        recorded: route.spec.recorded,
-                        max_attempts: route.spec.max_attempts,
-                        repeat: self.request.repeat,
-                        queue_timeout,
-                        target: route.spec.target,
-                        rank: route.spec.rank,
-                        region: self.foreign_region(agent),
-                        payload: self.request.payload.clone(),
-                    };
-                    ForwardingStep::Serve(held, holder_request)
-                }
-                None => ForwardingStep::Wait { wait_until: now },
-            },
-            LookupStep::Forward(host) if self.may_refer(&agent.own_host, &host, now) => {
-                ForwardingStep::End(not_run(RequestFailureReason::NotHolder, 50), Some(host))
+        match (self.look_up(agent, held.is_some()), held) {
+            (LookupStep::Serve, Some(held)) => {
+                ForwardingStep::Serve(held, self.holder_request(agent, &route.spec))
             }
-            LookupStep::Forward(host) => ForwardingStep::Forward {
-                host,
-                body: self.forward_frame(now),
-                wait_until: self.request.deadline + HOP_TIME_RESERVE,
-            },
-            LookupStep::Acquire if now < self.acquire_not_before => ForwardingStep::Wait {
-                wait_until: self.acquire_not_before.min(give_up_at),
-            },
-            LookupStep::Acquire => ForwardingStep::Acquire {
-                wait_until: give_up_at,
-            },
-            LookupStep::NotHolder => {
-                refused_step(RequestFailureReason::NotHolder, Duration::from_millis(50))
+            (LookupStep::Serve, None) => ForwardingStep::Wait { wait_until: now },
+            (LookupStep::Forward(host), _) => self.forward_step(agent, now, host),
+            (LookupStep::Acquire, _) => self.acquire_step(now, give_up_at),
+            (LookupStep::NotHolder, _) => {
+                refused_step(RequestFailureReason::NotHolder, NOT_HOLDER_RETRY_AFTER)
             }
-            LookupStep::NoEligibleHost
+            (LookupStep::NoEligibleHost, _)
                 if self.leave_regional_key(agent, now, REGIONAL_LOST_BACKOFF) =>
             {
                 self.next_step(agent, now)
             }
-            LookupStep::NoEligibleHost => ForwardingStep::Wait {
+            (LookupStep::NoEligibleHost, _) => ForwardingStep::Wait {
                 wait_until: give_up_at,
             },
         }
     }
 
-    /// A hash owner that knows the holder names it rather than pass a transaction on, if that spares the
-    /// answer a way between zones: the caller's daemon then goes there itself. Nothing was sent
-    /// from here, so it is surely not run.
+    /// After a holder with another spec has rejected the request: the step to take until this daemon has a newer spec than
+    /// the one by which the request was matched; none once it has, or without such a rejection.
+    fn after_spec_mismatch<W>(
+        &mut self,
+        now: MonotonicTime,
+        installed: Version,
+    ) -> Option<ForwardingStep<W>> {
+        let wait_until = self.spec_mismatch_until?;
+        if installed > self.request.version {
+            self.spec_mismatch_until = None;
+            return None;
+        }
+        Some(if now < wait_until {
+            ForwardingStep::Wait { wait_until }
+        } else {
+            refused_step(RequestFailureReason::NotAllowed, SPEC_MISMATCH_RETRY_AFTER)
+        })
+    }
+
+    /// The spec here does not route the request to its function: wait for the spec by which it was matched, if this
+    /// daemon's is older.
+    fn unknown_route_step<W>(&self, now: MonotonicTime, installed: Version) -> ForwardingStep<W> {
+        let is_spec_behind = installed < self.request.version && now < self.spec_deadline;
+        if is_spec_behind {
+            ForwardingStep::Wait {
+                wait_until: self.spec_deadline,
+            }
+        } else {
+            refused_step(RequestFailureReason::NotAllowed, UNKNOWN_ROUTE_RETRY_AFTER)
+        }
+    }
+
+    /// Until when a holder is sought. It is fixed when the search starts.
+    fn give_up_at(&mut self, now: MonotonicTime, queue_timeout: Duration) -> MonotonicTime {
+        *self.give_up_at.get_or_insert(
+            self.request
+                .deadline
+                .min(now + queue_timeout.max(RETRY_BACKOFF)),
+        )
+    }
+
+    fn look_up<W>(&self, agent: &Agent<W>, holds: bool) -> LookupStep {
+        let owners = agent.owners.load();
+        let hosts = agent.hosts.load();
+        next_step(&LookupContext {
+            function: &self.request.function,
+            own_member: &agent.own_host.member,
+            holds,
+            cached_owner: owners.get(&self.request.function),
+            hosts: &hosts,
+            regions: &agent.regional_keys.regions,
+            hops: self.request.hops,
+        })
+    }
+
+    fn holder_request<W>(&self, agent: &Agent<W>, route: &RouteSpec) -> HolderRequest {
+        HolderRequest {
+            idempotency_key: self.request.idempotency_key.clone(),
+            route: self.request.route.clone(),
+            deadline: self.request.deadline,
+            once: route.once,
+            recorded: route.recorded,
+            max_attempts: route.max_attempts,
+            repeat: self.request.repeat,
+            queue_timeout: route.queue_timeout,
+            target: route.target,
+            rank: route.rank,
+            region: self.foreign_region(agent),
+            payload: self.request.payload.clone(),
+        }
+    }
+
+    fn forward_step<W>(
+        &self,
+        agent: &Agent<W>,
+        now: MonotonicTime,
+        host: Host,
+    ) -> ForwardingStep<W> {
+        if self.may_refer(&agent.own_host, &host, now) {
+            return ForwardingStep::End(not_holder_outcome(), Some(host));
+        }
+        ForwardingStep::Forward {
+            host,
+            body: self.forward_frame(now),
+            wait_until: self.request.deadline + HOP_TIME_RESERVE,
+        }
+    }
+
+    fn acquire_step<W>(&self, now: MonotonicTime, give_up_at: MonotonicTime) -> ForwardingStep<W> {
+        if now < self.acquire_not_before {
+            ForwardingStep::Wait {
+                wait_until: self.acquire_not_before.min(give_up_at),
+            }
+        } else {
+            ForwardingStep::Acquire {
+                wait_until: give_up_at,
+            }
+        }
+    }
+
+    /// Whether a hash owner that knows the holder refers the caller's daemon to it rather than forward the request, as
+    /// that saves the response a detour between zones. Nothing was sent from here, so the request was certainly not run.
     fn may_refer(&self, own_host: &Host, holder: &Host, now: MonotonicTime) -> bool {
         self.request.hops == 1
             && self.request.wants_referral
@@ -228,8 +285,8 @@
         refused_step(
             RequestFailureReason::NoOwner,
             known_wait
-                .unwrap_or(Duration::from_millis(1000))
-                .max(Duration::from_millis(100)),
+                .unwrap_or(NO_OWNER_RETRY_AFTER)
+                .max(MIN_NO_OWNER_RETRY_AFTER),
         )
     }
 
@@ -253,7 +310,7 @@
         }
     }
 
-    /// At the caller's daemon: a newer spec may lead the same route elsewhere. Nothing has run yet.
+    /// At the caller's daemon: a newer spec may route the request to another function. Nothing was run yet.
     fn apply_newer_spec(&mut self, table: &RoutingTable) {
         if table.version() <= self.request.version {
             return;
@@ -267,8 +324,8 @@
         }
     }
 
-    /// At the caller's daemon: where this region's callers have a key of their own, it is asked for under that
-    /// one. Identities that may come again are remembered by one holder, and stay with it.
+    /// At the caller's daemon: uses the regional key if there is one. Requests whose idempotency keys are recorded stay
+    /// with the one holder that records them.
     fn use_regional_key<W>(&mut self, agent: &Agent<W>, now: MonotonicTime, table: &RoutingTable) {
         let is_remembered = table
             .route_named(&self.request.route)
@@ -281,8 +338,8 @@
             .unwrap_or(all_regions);
     }
 
-    /// At the caller's daemon: the region's own key does not serve, and the holder for all regions does. Says
-    /// whether it was under such a key.
+    /// At the caller's daemon: the regional key does not serve, so the holder for all regions is to. True if the request
+    /// was under a regional key.
     fn leave_regional_key<W>(
         &mut self,
         agent: &Agent<W>,
@@ -297,7 +354,7 @@
         was_regional
     }
 
-    /// The region of the caller's daemon, if it is another than this one's.
+    /// The region of the caller's daemon, if it differs from this one's.
     fn foreign_region<W>(&self, agent: &Agent<W>) -> Option<Region> {
         let is_foreign = agent
             .own_region()
--- a/crates/dataplane/src/agent/forwarding/request.rs
+++ b/crates/dataplane/src/agent/forwarding/request.rs
@@ -1,4 +1,4 @@
-//! A transaction as a daemon takes it on, from a caller or from another daemon.
+//! A request as a daemon receives it, from a caller or from another daemon.
 
 use common::clock::MonotonicTime;
 use common::frames::{DaemonMessage, RequestPayload};
@@ -6,33 +6,34 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A transaction that seeks its holder.
+/// A request on its way to the holder of its function.
 #[derive(Clone, Debug)]
 pub struct FunctionRequest {
-    /// The try's identity.
+    /// Its idempotency key.
     pub idempotency_key: IdempotencyKey,
-    /// The function.
+    /// The key of its function.
     pub function: FunctionKey,
-    /// The route that matched it.
+    /// The name of the route that matched it.
     pub route: String,
-    /// The spec it was matched with.
+    /// The version of the spec by which it was matched.
     pub version: Version,
-    /// When its budget ends.
+    /// When its caller gives it up.
     pub deadline: MonotonicTime,
-    /// How many hops it has made.
+    /// How many times it was forwarded.
     pub hops: u8,
-    /// Whether it is a repeat: the caller's, or of one passed to a holder that fell silent.
+    /// Whether it is a repeat: by the caller, or after a holder was lost with it.
     pub repeat: bool,
-    /// Whether whoever passed it on would rather be told the holder.
+    /// Whether the daemon that forwarded it prefers a referral to the holder.
     pub wants_referral: bool,
-    /// The region of the daemon that took it from its caller; empty when it lies in none.
+    /// The region of the daemon that received it from its caller; empty if that is in none.
     pub region: Region,
-    /// What the caller sent.
+    /// What the caller sent: method, target, header fields and body.
     pub payload: Arc<RequestPayload>,
 }
 
 impl FunctionRequest {
-    /// An ask as another daemon passed it on; none when the frame is something else.
+    /// The request in a frame from another daemon; the frame itself if it is of another kind. The frame carries the
+    /// remaining time, as the daemons' clocks differ.
     pub fn from_frame(
         now: MonotonicTime,
         frame: DaemonMessage,
--- a/crates/dataplane/src/agent/forwarding/step.rs
+++ b/crates/dataplane/src/agent/forwarding/step.rs
@@ -1,53 +1,63 @@
-//! The next step of a transaction, and how a step that left this daemon can end.
+//! The steps of a request's forwarding, and how a step that leaves this daemon can end.
 
-use super::{HeldFunction, HolderRequest};
+use super::{HeldFunction, HolderRequest, NOT_HOLDER_RETRY_AFTER};
 use crate::holder::not_run;
 use common::clock::MonotonicTime;
 use common::frames::{DaemonMessage, Host, RequestFailureReason, RequestOutcome};
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How a passed-on transaction came back.
+/// How the forwarding of a request to another daemon ended.
 #[derive(Clone, Debug)]
 pub enum ForwardResult {
-    /// With an outcome, from a holder if that is known.
+    /// With an outcome, and the holder if it is known.
     Completed(RequestOutcome, Option<Host>),
-    /// Surely nothing was sent.
+    /// Certainly nothing was sent.
     Unsent,
-    /// Sent, and nothing came back.
+    /// Something was sent, and no reply came.
     Lost,
 }
 
-/// What is to be done next for a transaction.
+/// What to do next with a request.
 pub enum ForwardingStep<W> {
-    /// Take it in here, and come back with its outcome.
+    /// Pass it to the holder in this daemon, then call [`Forwarding::served`](super::Forwarding::served).
     Serve(Arc<HeldFunction<W>>, HolderRequest),
-    /// Pass it to that daemon, and come back with how that ended, or when the time is up.
+    /// Send it to another daemon, then call [`Forwarding::forwarded`](super::Forwarding::forwarded).
     Forward {
         /// The daemon.
         host: Host,
-        /// What is said to it.
+        /// The frame to send.
         body: DaemonMessage,
-        /// Until when its answer is waited for.
+        /// Until when the reply is waited for.
         wait_until: MonotonicTime,
     },
-    /// Ask the leader for the function, and come back with its answer, or when the time is up.
+    /// Request the function from the leader, then call [`Forwarding::acquired`](super::Forwarding::acquired), or
+    /// [`Forwarding::advance`](super::Forwarding::advance) when the time is up.
     Acquire {
-        /// Until when the answer is waited for.
+        /// Until when the response is waited for.
         wait_until: MonotonicTime,
     },
-    /// Look again when something has changed, or when the time is up.
+    /// Call [`Forwarding::advance`](super::Forwarding::advance) when the daemon's state has changed, or the time is up.
     Wait {
-        /// When to look again in any case.
+        /// When to do so at the latest.
         wait_until: MonotonicTime,
     },
-    /// It has ended.
+    /// The request has ended with this outcome; the holder if it is known.
     End(RequestOutcome, Option<Host>),
 }
 
+/// The end of a request that was not run, with the time after which to retry.
 pub(super) fn refused_step<W>(
     reason: RequestFailureReason,
-    retry_span: Duration,
+    retry_after: Duration,
 ) -> ForwardingStep<W> {
-    ForwardingStep::End(not_run(reason, retry_span.as_millis() as u32), None)
+    ForwardingStep::End(not_run(reason, retry_after.as_millis() as u32), None)
+}
+
+/// The outcome at a daemon that is not the holder.
+pub(super) fn not_holder_outcome() -> RequestOutcome {
+    not_run(
+        RequestFailureReason::NotHolder,
+        NOT_HOLDER_RETRY_AFTER.as_millis() as u32,
+    )
 }
--- a/crates/dataplane/src/agent/forwarding/step_results.rs
+++ b/crates/dataplane/src/agent/forwarding/step_results.rs
@@ -1,18 +1,18 @@
-//! What follows when a step has ended: the holder here, another daemon, or the leader has answered.
+//! What follows from the result of a step: of the holder here, of another daemon, or of the leader.
 
-use super::step::refused_step;
+use super::step::{not_holder_outcome, refused_step};
 use super::{
     Agent, ForwardResult, Forwarding, ForwardingStep, HOP_TIME_RESERVE, MAX_SPEC_MISMATCHES,
-    REGIONAL_LOST_BACKOFF, REGIONAL_UNREADY_BACKOFF, RETRY_BACKOFF, SPEC_MISMATCH_TIMEOUT,
+    NOT_HOLDER_RETRY_AFTER, REGIONAL_LOST_BACKOFF, REGIONAL_UNREADY_BACKOFF, RETRY_BACKOFF,
+    SPEC_MISMATCH_RETRY_AFTER, SPEC_MISMATCH_TIMEOUT,
 };
-use crate::holder::not_run;
 use crate::owners::{MAX_HOPS, is_current_owner};
 use common::clock::MonotonicTime;
-use common::frames::{AcquireResult, RequestFailureReason, RequestOutcome};
+use common::frames::{AcquireResult, Host, RequestFailureReason, RequestOutcome};
 use std::time::Duration;
 
 impl Forwarding {
-    /// A holder refused by another spec than this daemon's: one of them is about to change.
+    /// A holder with another spec than this daemon's has rejected the request: one of the two is about to be updated.
     fn handle_spec_mismatch<W>(
         &mut self,
         agent: &Agent<W>,
@@ -20,12 +20,13 @@
     ) -> ForwardingStep<W> {
         self.spec_mismatch_count += 1;
         if self.spec_mismatch_count > MAX_SPEC_MISMATCHES {
-            return refused_step(RequestFailureReason::NotAllowed, Duration::from_millis(200));
+            return refused_step(RequestFailureReason::NotAllowed, SPEC_MISMATCH_RETRY_AFTER);
         }
         self.spec_mismatch_until = Some(now + SPEC_MISMATCH_TIMEOUT);
         self.advance(agent, now)
     }
 
+    /// Waits for a moment before the leader is asked again.
     fn back_off<W>(&mut self, now: MonotonicTime) -> ForwardingStep<W> {
         self.acquire_not_before = now + RETRY_BACKOFF;
         ForwardingStep::Wait {
@@ -33,7 +34,7 @@
         }
     }
 
-    /// The holder here has ended it; one that admits nothing any more proves that nothing was run.
+    /// The holder in this daemon has ended the request. One that admits nothing more proves that nothing was run.
     pub fn served<W>(
         &mut self,
         agent: &Agent<W>,
@@ -63,7 +64,7 @@
         ForwardingStep::End(outcome, (!holder_declined).then(|| agent.own_host.clone()))
     }
 
-    /// The daemon it was passed to has ended it, or could not be reached, or fell silent.
+    /// The daemon to which the request was sent has ended it, could not be reached, or was lost.
     pub fn forwarded<W>(
         &mut self,
         agent: &Agent<W>,
@@ -81,46 +82,8 @@
         end: ForwardResult,
     ) -> ForwardingStep<W> {
         match end {
-            ForwardResult::Completed(outcome, Some(holder))
-                if is_not_holder(&outcome)
-                    && self.request.hops == 0
-                    && self.request.wants_referral =>
-            {
-                self.request.wants_referral = false;
-                agent.cache_owner(&self.request.function, &holder);
-                self.advance(agent, now)
-            }
-            ForwardResult::Completed(outcome, _) if is_not_holder(&outcome) => {
-                agent.evict_owner(&self.request.function);
-                if self.request.hops > 0 {
-                    return refused_step(
-                        RequestFailureReason::NotHolder,
-                        Duration::from_millis(50),
-                    );
-                }
-                self.back_off(now)
-            }
-            ForwardResult::Completed(outcome, _)
-                if is_not_allowed(&outcome) && self.request.hops == 0 =>
-            {
-                self.handle_spec_mismatch(agent, now)
-            }
-            ForwardResult::Completed(
-                RequestOutcome::Unknown {
-                    reason: RequestFailureReason::HolderUnreachable,
-                },
-                _,
-            ) => self.after_loss(agent, now),
-            ForwardResult::Completed(outcome, _)
-                if self.falls_back_to_all_regions(agent, now, &outcome) =>
-            {
-                self.advance(agent, now)
-            }
             ForwardResult::Completed(outcome, holder) => {
-                if let Some(holder) = &holder {
-                    agent.cache_owner(&self.request.function, holder);
-                }
-                ForwardingStep::End(outcome, holder)
+                self.after_remote_outcome(agent, now, outcome, holder)
             }
             ForwardResult::Unsent => {
                 agent.evict_owner(&self.request.function);
@@ -131,8 +94,58 @@
         }
     }
 
-    /// Surely not run under the region's own key, for nobody holds it or its holder has no runner ready: the holder
-    /// for all regions is next.
+    fn after_remote_outcome<W>(
+        &mut self,
+        agent: &Agent<W>,
+        now: MonotonicTime,
+        outcome: RequestOutcome,
+        holder: Option<Host>,
+    ) -> ForwardingStep<W> {
+        let is_ingress_daemon = self.request.hops == 0;
+        if is_not_holder(&outcome) {
+            return self.after_not_holder(agent, now, holder);
+        }
+        if is_not_allowed(&outcome) && is_ingress_daemon {
+            return self.handle_spec_mismatch(agent, now);
+        }
+        if is_holder_unreachable(&outcome) {
+            return self.after_loss(agent, now);
+        }
+        if self.falls_back_to_all_regions(agent, now, &outcome) {
+            return self.advance(agent, now);
+        }
+        if let Some(holder) = &holder {
+            agent.cache_owner(&self.request.function, holder);
+        }
+        ForwardingStep::End(outcome, holder)
+    }
+
+    /// The other daemon is not the holder. At the caller's daemon, the first referral to the holder is followed.
+    fn after_not_holder<W>(
+        &mut self,
+        agent: &Agent<W>,
+        now: MonotonicTime,
+        referred_to: Option<Host>,
+    ) -> ForwardingStep<W> {
+        let is_ingress_daemon = self.request.hops == 0;
+        if let Some(holder) = &referred_to
+            && is_ingress_daemon
+            && self.request.wants_referral
+        {
+            self.request.wants_referral = false;
+            agent.cache_owner(&self.request.function, holder);
+            return self.advance(agent, now);
+        }
+        agent.evict_owner(&self.request.function);
+        if is_ingress_daemon {
+            self.back_off(now)
+        } else {
+            refused_step(RequestFailureReason::NotHolder, NOT_HOLDER_RETRY_AFTER)
+        }
+    }
+
+    /// Whether the request was certainly not run under its regional key, as nobody holds that or its holder has no runner
+    /// ready. The request then goes on under the key for all regions.
     fn falls_back_to_all_regions<W>(
         &mut self,
         agent: &Agent<W>,
@@ -153,7 +166,7 @@
         }
     }
 
-    /// A daemon fell silent with it: the next one, or one behind that.
+    /// A holder, or a daemon on the way to it, was lost with the request.
     fn after_loss<W>(&mut self, agent: &Agent<W>, now: MonotonicTime) -> ForwardingStep<W> {
         agent.evict_owner(&self.request.function);
         self.leave_regional_key(agent, now, REGIONAL_LOST_BACKOFF);
@@ -171,8 +184,8 @@
         )
     }
 
-    /// A repeatable transaction whose holder fell silent goes to the next one, as an extra try. Only the
-    /// caller's daemon does so: were those on the way to repeat it too, each pass would be multiplied.
+    /// Whether a request whose holder was lost is sent to the next holder, as a further attempt. Only the caller's daemon
+    /// does so: if those on the way repeated it as well, the attempts would multiply.
     fn may_retry_forward<W>(&self, agent: &Agent<W>, now: MonotonicTime) -> bool {
         let table = agent.table.load();
         let has_time = now + HOP_TIME_RESERVE + RETRY_BACKOFF < self.request.deadline;
@@ -182,8 +195,8 @@
         }) && self.request.hops == 0
     }
 
-    /// The leader has answered, or the question was lost. A wait that it foresees and that the caller
-    /// has not the patience for is told at once.
+    /// The leader has responded to the acquisition; none if the acquisition was lost. If the leader announces a wait that
+    /// goes beyond the request's time, the request ends at once.
     pub fn acquired<W>(
         &mut self,
         agent: &Agent<W>,
@@ -200,11 +213,10 @@
         now: MonotonicTime,
         result: Option<AcquireResult>,
     ) -> ForwardingStep<W> {
-        let give_up_at = self.give_up_at.unwrap_or(now);
         match result {
             Some(AcquireResult::Granted { .. }) => self.advance(agent, now),
             Some(AcquireResult::Owner { host }) if self.request.hops >= MAX_HOPS => {
-                ForwardingStep::End(not_run(RequestFailureReason::NotHolder, 50), Some(host))
+                ForwardingStep::End(not_holder_outcome(), Some(host))
             }
             Some(AcquireResult::Owner { host }) => {
                 let is_remote = host.member != agent.own_host.member;
@@ -219,24 +231,33 @@
                 self.advance(agent, now)
             }
             Some(AcquireResult::RetryLater { wait_ms }) => {
-                let wait = Duration::from_millis(u64::from(wait_ms));
-                let table = agent.table.load();
-                let startup = table
-                    .function_of(&self.request.function)
-                    .map(|entry| entry.spec.startup);
-                let ready_at = now + wait + startup.unwrap_or_default();
-                self.retry_at = Some(ready_at);
-                if ready_at >= give_up_at {
-                    return self.no_owner_step(now);
-                }
-                self.acquire_not_before = now + RETRY_BACKOFF;
-                ForwardingStep::Wait {
-                    wait_until: now + wait + RETRY_BACKOFF,
-                }
+                self.wait_for_lease(agent, now, Duration::from_millis(u64::from(wait_ms)))
             }
             Some(AcquireResult::Rejected) | None => self.back_off(now),
         }
     }
+
+    /// The leader expects to grant the lease after `wait`; the function then has to start.
+    fn wait_for_lease<W>(
+        &mut self,
+        agent: &Agent<W>,
+        now: MonotonicTime,
+        wait: Duration,
+    ) -> ForwardingStep<W> {
+        let table = agent.table.load();
+        let startup = table
+            .function_of(&self.request.function)
+            .map(|entry| entry.spec.startup);
+        let ready_at = now + wait + startup.unwrap_or_default();
+        self.retry_at = Some(ready_at);
+        if ready_at >= self.give_up_at.unwrap_or(now) {
+            return self.no_owner_step(now);
+        }
+        self.acquire_not_before = now + RETRY_BACKOFF;
+        ForwardingStep::Wait {
+            wait_until: now + wait + RETRY_BACKOFF,
+        }
+    }
 }
 
 fn is_not_holder(outcome: &RequestOutcome) -> bool {
@@ -258,3 +279,12 @@
         }
     )
 }
+
+fn is_holder_unreachable(outcome: &RequestOutcome) -> bool {
+    matches!(
+        outcome,
+        RequestOutcome::Unknown {
+            reason: RequestFailureReason::HolderUnreachable,
+        }
+    )
+}
--- a/crates/dataplane/src/agent/held.rs
+++ b/crates/dataplane/src/agent/held.rs
@@ -1,4 +1,4 @@
-//! A held function together with those who wait for its outcomes.
+//! A held function: its holder's state machine, and the requests that wait for their outcomes.
 
 use crate::holder::{AdmissionRequest, Holder, HolderOutput};
 use common::clock::MonotonicTime;
@@ -10,63 +10,64 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
 
-/// A transaction on its way to a runner.
+/// A request as the function's holder executes it.
 #[derive(Clone)]
 pub struct HolderRequest {
-    /// The try's identity.
+    /// Its idempotency key.
     pub idempotency_key: IdempotencyKey,
-    /// The route that matched it.
+    /// The name of the route that matched it.
     pub route: String,
-    /// When its budget ends.
+    /// When its caller gives it up.
     pub deadline: MonotonicTime,
     /// Whether it may be sent to a runner only once.
     pub once: bool,
-    /// Whether callers may send its identity again, so that it is remembered.
+    /// Whether callers may repeat its idempotency key, so that its outcome is recorded.
     pub recorded: bool,
-    /// The most runners it may go to.
+    /// The most runners it may be sent to.
     pub max_attempts: u32,
-    /// Whether the caller marked it a repeat.
+    /// Whether it repeats an earlier request.
     pub repeat: bool,
-    /// How long it may wait in the inbox.
+    /// How long it may wait in the queue.
     pub queue_timeout: Duration,
-    /// When an answer turns late.
+    /// The target latency: a later response counts as late.
     pub target: Duration,
-    /// Which goes first; the lowest before all others.
+    /// Its priority; the lowest rank goes first.
     pub rank: u8,
-    /// The region of its caller's daemon, if that is another than the holder's.
+    /// The region of its caller's daemon, if that differs from the holder's.
     pub region: Option<Region>,
-    /// What the caller sent.
+    /// What the caller sent: method, target, header fields and body.
     pub payload: Arc<RequestPayload>,
 }
 
-/// The runner that a send is meant for.
+/// The runner to which a request is sent.
 #[derive(Clone, Debug)]
 pub struct RunnerTarget {
-    /// The most connections that it takes.
+    /// The most connections that it accepts.
     pub connections: u32,
-    /// Its life, as the platform names it.
+    /// Its instance, as the platform names it.
     pub instance: InstanceId,
-    /// The name that it goes by itself.
+    /// The id by which it identifies itself in responses.
     pub self_reported_id: RunnerId,
 }
 
+/// A request and what waits for its outcome.
 struct WaitingRequest<W> {
     holder_request: HolderRequest,
     waiter: W,
 }
 
-/// A held function with those who wait for it.
+/// A held function, and the requests that wait for their outcomes. `W` is what waits for one.
 pub struct HeldFunction<W> {
     /// The function.
     pub function: FunctionKey,
-    /// The grant it is held under.
+    /// The fencing token of the lease under which it is held.
     pub fencing_token: FencingToken,
     holder: Mutex<Holder>,
     waiting_requests: Mutex<BTreeMap<Ticket, WaitingRequest<W>>>,
 }
 
 impl<W> HeldFunction<W> {
-    /// A function just granted.
+    /// A function whose lease was just granted.
     pub fn new(holder: Holder) -> Self {
         Self {
             function: holder.function().clone(),
@@ -76,12 +77,12 @@
         }
     }
 
-    /// Looks at or changes the holder.
+    /// Runs `access` on the holder, under its lock.
     pub fn with<T>(&self, access: impl FnOnce(&mut Holder) -> T) -> T {
         access(&mut self.holder.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
-    /// The name that a runner itself goes by.
+    /// The id by which a runner identifies itself in responses.
     pub fn self_reported_id_of(&self, runner: RunnerId) -> RunnerId {
         runner.self_reported_id(
             self.with(|holder| holder.instance_of(runner))
@@ -90,7 +91,7 @@
         )
     }
 
-    /// What a send to a runner has to know; none when the runner is gone.
+    /// The target of a send to a runner; none if the runner is gone.
     pub fn runner_target(&self, runner: RunnerId) -> Option<RunnerTarget> {
         let (connections, instance) =
             self.with(|holder| (holder.connections(), holder.instance_of(runner)));
@@ -103,7 +104,7 @@
         })
     }
 
-    /// What a ticket stands for, while somebody waits for it.
+    /// The request of a ticket, while its outcome is waited for.
     pub fn holder_request(&self, ticket: Ticket) -> Option<HolderRequest> {
         let waiting_requests = self
             .waiting_requests
@@ -111,10 +112,10 @@
             .unwrap_or_else(PoisonError::into_inner);
         waiting_requests
             .get(&ticket)
-            .map(|held| held.holder_request.clone())
+            .map(|waiting| waiting.holder_request.clone())
     }
 
-    /// Takes a transaction in. What waits for it comes back at once with an outcome that is known now.
+    /// Admits a request. If its outcome is known at once, that is returned together with what waits for it.
     pub fn admit(
         &self,
         now: MonotonicTime,
@@ -145,16 +146,18 @@
             .insert(ticket, waiting_request);
         let (immediate_outcome, outputs) = self.with(|holder| holder.admit(now, request));
         let immediate_end = immediate_outcome
-            .and_then(|outcome| self.remove_waiter(ticket).map(|held| (held, outcome)));
+            .and_then(|outcome| self.remove_waiter(ticket).map(|waiter| (waiter, outcome)));
         (immediate_end, outputs)
     }
 
-    /// A transaction has ended; gives back what waits for it.
+    /// A request has ended: returns what waits for its outcome, if that still does.
     pub fn remove_waiter(&self, ticket: Ticket) -> Option<W> {
         let mut waiting_requests = self
             .waiting_requests
             .lock()
             .unwrap_or_else(PoisonError::into_inner);
-        waiting_requests.remove(&ticket).map(|held| held.waiter)
+        waiting_requests
+            .remove(&ticket)
+            .map(|waiting| waiting.waiter)
     }
 }
--- /dev/null
+++ b/crates/dataplane/src/agent/in_flight.rs
@@ -0,0 +1,46 @@
+//! The requests that pass through a daemon at the moment.
+
+use common::identity::Ticket;
+use std::sync::Arc;
+use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
+
+/// Counts a daemon's in-flight requests, and numbers them.
+pub(super) struct InFlightRequests {
+    count: Arc<AtomicUsize>,
+    next_ticket: AtomicU64,
+}
+
+impl InFlightRequests {
+    /// No request is in flight.
+    pub fn new() -> Self {
+        Self {
+            count: Arc::new(AtomicUsize::new(0)),
+            next_ticket: AtomicU64::new(1),
+        }
+    }
+
+    /// A ticket that is unique in this process.
+    pub fn ticket(&self) -> Ticket {
+        Ticket(self.next_ticket.fetch_add(1, Ordering::Relaxed))
+    }
+
+    /// Counts a request until the guard is dropped.
+    pub fn track(&self) -> InFlightGuard {
+        self.count.fetch_add(1, Ordering::AcqRel);
+        InFlightGuard(self.count.clone())
+    }
+
+    /// Whether no request is in flight.
+    pub fn is_empty(&self) -> bool {
+        self.count.load(Ordering::Acquire) == 0
+    }
+}
+
+/// Counts one request as in flight until it is dropped.
+pub struct InFlightGuard(Arc<AtomicUsize>);
+
+impl Drop for InFlightGuard {
+    fn drop(&mut self) {
+        self.0.fetch_sub(1, Ordering::AcqRel);
+    }
+}
--- a/crates/dataplane/src/agent/mod.rs
+++ b/crates/dataplane/src/agent/mod.rs
@@ -1,9 +1,23 @@
-//! One daemon without I/O: its snapshots, the forwarding of a transaction, the carrying out of what keeper
-//! and holders order, the questions to stewards. The drivers and the simulator both feed it.
+//! One daemon's state and decisions, without I/O. The drivers, and the simulator in their place, feed it events and carry
+//! out its outputs.
+//!
+//! [`Agent`] is shared by all tasks of a daemon. What every request reads lies in it as snapshots that are replaced as a
+//! whole, so that reads take no lock.
+//!
+//! * `daemon_control`: the control side, which applies what the leader, the holders and the passing of time require.
+//! * `forwarding`: the way of one request to the holder of its function.
+//! * `held`: a held function, and the requests that wait for its outcomes.
+//! * `in_flight`: the requests that pass through this daemon.
+//! * `owner_cache`: the owners of functions learned so far.
+//! * `regional`: keys under which one region's callers have a function of their own.
+//! * `replica_requests`: requests to ledger replicas, and the answers as one.
+//! * `runner_response`: the checks before a send to a runner, and of its response.
 
 mod daemon_control;
 mod forwarding;
 mod held;
+mod in_flight;
+mod owner_cache;
 mod regional;
 mod replica_requests;
 mod runner_response;
@@ -11,7 +25,7 @@
 pub use daemon_control::{DaemonControl, DaemonControlOutput};
 pub use forwarding::{ForwardResult, Forwarding, ForwardingStep, FunctionRequest};
 pub use held::{HeldFunction, HolderRequest, RunnerTarget};
-pub use regional::{RegionalKeyUse, RegionalKeyUses};
+pub use in_flight::InFlightGuard;
 pub use replica_requests::{ReplicaRequest, ReplicaRequestKind};
 pub use runner_response::{RunnerAttempt, verify_response};
 
@@ -24,58 +38,53 @@
 use common::ring::Regions;
 use common::rules::{Rule, Rules};
 use common::spec::RoutingTable;
+use in_flight::InFlightRequests;
+use owner_cache::OwnerCache;
+use regional::RegionalKeys;
 use std::collections::BTreeMap;
-use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
-use std::sync::{Arc, Mutex, PoisonError};
+use std::sync::atomic::{AtomicBool, Ordering};
+use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
+/// When to retry with a daemon that has a leader, and waits only for the renewal of its lease.
 const RETRY_AFTER_WITH_LEADER: Duration = Duration::from_millis(400);
+/// When to retry with a daemon that has to find a leader first, or that is leaving.
 const RETRY_AFTER_WITHOUT_LEADER: Duration = Duration::from_millis(1000);
 
-/// One transaction in a daemon's hands.
-pub struct InFlightGuard(Arc<AtomicUsize>);
-
-impl Drop for InFlightGuard {
-    fn drop(&mut self) {
-        self.0.fetch_sub(1, Ordering::AcqRel);
-    }
+/// Whether a daemon can serve, apart from its session lease.
+struct Availability {
+    is_leaving: AtomicBool,
+    has_leader: AtomicBool,
 }
 
-/// What a daemon's parts share; tables are snapshots that are swapped whole. `W` is what waits for a
-/// transaction's outcome.
+/// The state that all tasks of a daemon share. `W` is what waits for a request's outcome.
 pub struct Agent<W> {
-    /// This daemon as others see it.
+    /// This daemon as it announces itself to the others.
     pub own_host: Host,
-    /// The rules kept.
+    /// The rules that are enforced.
     pub rules: Rules,
-    /// How held functions are run.
+    /// The tuning of held functions.
     pub tuning: Tuning,
-    /// The spec in use.
+    /// Snapshot of the routing table of the spec in use.
     pub table: ArcSwap<RoutingTable>,
-    /// The daemons alive.
+    /// Snapshot of the live daemons.
     pub hosts: ArcSwap<Vec<Host>>,
-    /// The owners learned so far.
-    pub owners: ArcSwap<BTreeMap<FunctionKey, Host>>,
-    /// The functions held.
+    /// Snapshot of the held functions.
     pub held_functions: ArcSwap<BTreeMap<FunctionKey, Arc<HeldFunction<W>>>>,
-    /// Which regions the zones lie in.
-    pub regions: Regions,
-    /// The functions that this region's callers have a key of their own for.
-    pub regional_key_uses: ArcSwap<RegionalKeyUses>,
-    /// The functions given up whose runners are not all stopped yet.
-    pub closing: Mutex<Vec<Arc<HeldFunction<W>>>>,
-    /// When the member grant ends.
+    /// When the session lease ends; zero without one.
     pub serving_until: SharedMonotonicTime,
-    /// The copies kept of other daemons' ledgers.
-    pub ledger_replica: Mutex<LedgerReplica>,
-    leaving: AtomicBool,
-    has_leader: AtomicBool,
-    in_flight: Arc<AtomicUsize>,
-    next_ticket: AtomicU64,
+    owners: OwnerCache,
+    regional_keys: RegionalKeys,
+    /// The functions given up whose runners have not all stopped yet.
+    pub closing: Mutex<Vec<Arc<HeldFunction<W>>>>,
+    /// The replicas kept of other daemons' ledgers.
+    pub(crate) ledger_replica: Mutex<LedgerReplica>,
+    availability: Availability,
+    in_flight: InFlightRequests,
 }
 
 impl<W> Agent<W> {
-    /// A daemon that knows and holds nothing yet.
+    /// A daemon without a spec, a lease and held functions.
     pub fn new(own_host: Host, rules: Rules) -> Self {
         let own_incarnation = own_host.incarnation;
         Self {
@@ -84,53 +93,55 @@
             tuning: Tuning::default(),
             table: ArcSwap::from_pointee(RoutingTable::empty()),
             hosts: ArcSwap::from_pointee(Vec::new()),
-            owners: ArcSwap::from_pointee(BTreeMap::new()),
             held_functions: ArcSwap::from_pointee(BTreeMap::new()),
-            regions: Regions::default(),
-            regional_key_uses: ArcSwap::from_pointee(RegionalKeyUses::new()),
-            closing: Mutex::new(Vec::new()),
             serving_until: SharedMonotonicTime::new(),
+            owners: OwnerCache::new(),
+            regional_keys: RegionalKeys::new(),
+            closing: Mutex::new(Vec::new()),
             ledger_replica: Mutex::new(LedgerReplica::new(own_incarnation)),
-            leaving: AtomicBool::new(false),
-            has_leader: AtomicBool::new(false),
-            in_flight: Arc::new(AtomicUsize::new(0)),
-            next_ticket: AtomicU64::new(1),
+            availability: Availability {
+                is_leaving: AtomicBool::new(false),
+                has_leader: AtomicBool::new(false),
+            },
+            in_flight: InFlightRequests::new(),
         }
     }
 
-    /// The same with other settings for what it holds.
+    /// Sets the tuning of held functions.
     pub fn with_tuning(mut self, tuning: Tuning) -> Self {
         self.tuning = tuning;
         self
     }
 
-    /// The same in zones that lie in these regions.
+    /// Sets the regions in which the zones lie.
     pub fn with_regions(mut self, regions: Regions) -> Self {
-        self.regions = regions;
+        self.regional_keys.regions = regions;
         self
     }
 
-    /// A number for a transaction in this process.
+    /// A ticket for a request, unique in this process.
     pub fn ticket(&self) -> Ticket {
-        Ticket(self.next_ticket.fetch_add(1, Ordering::Relaxed))
+        self.in_flight.ticket()
     }
 
-    /// Whether the member grant runs.
+    /// Whether the session lease runs, so that requests may be served.
     pub fn is_serving(&self, now: MonotonicTime) -> bool {
         now < self.serving_until.get()
             || (!self.rules.enforces(Rule::ServesUnderSessionLease)
                 && self.serving_until.get() > MonotonicTime::ZERO)
     }
 
-    /// Whether a leader has welcomed this daemon's stream.
+    /// Sets whether a leader has welcomed this daemon's stream.
     pub fn set_has_leader(&self, has_leader: bool) {
-        self.has_leader.store(has_leader, Ordering::Release);
+        self.availability
+            .has_leader
+            .store(has_leader, Ordering::Release);
     }
 
-    /// After what time a daemon that does not serve may do so again, as far as it knows: soon when the
-    /// leader has only to renew its grant, and not before a leader is found otherwise.
+    /// When to retry with a daemon that does not serve, as an estimate: soon if the leader has only to renew the lease,
+    /// later if a leader has to be found first.
     pub fn not_serving_retry_after(&self) -> Duration {
-        if self.has_leader.load(Ordering::Acquire) && !self.is_leaving() {
+        if self.availability.has_leader.load(Ordering::Acquire) && !self.is_leaving() {
             RETRY_AFTER_WITH_LEADER
         } else {
             RETRY_AFTER_WITHOUT_LEADER
@@ -139,35 +150,33 @@
 
     /// Whether the daemon is leaving.
     pub fn is_leaving(&self) -> bool {
-        self.leaving.load(Ordering::Acquire)
+        self.availability.is_leaving.load(Ordering::Acquire)
     }
 
-    /// The daemon takes no new callers any more.
+    /// The daemon accepts no new callers from now on.
     pub fn begin_leaving(&self) {
-        self.leaving.store(true, Ordering::Release);
+        self.availability.is_leaving.store(true, Ordering::Release);
     }
 
-    /// Whether the platform may send callers here.
+    /// Whether the platform may send callers to this daemon.
     pub fn is_ready(&self, now: MonotonicTime) -> bool {
         let is_evacuated = self.table.load().is_evacuated(&self.own_host.zone);
         self.is_serving(now) && !self.is_leaving() && !is_evacuated
     }
 
-    /// A transaction is in this daemon's hands, as the caller's daemon or on the way, until what is
-    /// given back is dropped: with its outcome, or when its caller hangs up.
+    /// Counts a request that passes through this daemon as in flight until the guard is dropped: when its outcome is
+    /// known, or its caller disconnects.
     pub fn track_in_flight(&self) -> InFlightGuard {
-        self.in_flight.fetch_add(1, Ordering::AcqRel);
-        InFlightGuard(self.in_flight.clone())
+        self.in_flight.track()
     }
 
-    /// Whether nothing is left that a daemon that leaves would drop.
+    /// Whether the daemon can stop without losing anything: no request is in flight, and no function is held.
     pub fn is_drained(&self) -> bool {
         !self.rules.enforces(Rule::ResponsesDeliveredAtShutdown)
-            || (self.in_flight.load(Ordering::Acquire) == 0
-                && self.held_functions.load().is_empty())
+            || (self.in_flight.is_empty() && self.held_functions.load().is_empty())
     }
 
-    /// A held function under one grant.
+    /// A function held under the lease with this fencing token.
     pub fn held(
         &self,
         function: &FunctionKey,
@@ -180,41 +189,31 @@
             .cloned()
     }
 
-    /// A function under one grant, held or given up.
+    /// A function held under the lease with this fencing token, or given up since.
     pub fn held_or_closing(
         &self,
         function: &FunctionKey,
         fencing_token: FencingToken,
     ) -> Option<Arc<HeldFunction<W>>> {
         self.held(function, fencing_token).or_else(|| {
-            let closing = self.closing.lock().unwrap_or_else(PoisonError::into_inner);
-            closing
+            self.lock_closing()
                 .iter()
                 .find(|held| held.function == *function && held.fencing_token == fencing_token)
                 .cloned()
         })
     }
 
-    /// Learns an owner.
+    fn lock_closing(&self) -> MutexGuard<'_, Vec<Arc<HeldFunction<W>>>> {
+        self.closing.lock().unwrap_or_else(PoisonError::into_inner)
+    }
+
+    /// Caches the owner of a function.
     pub fn cache_owner(&self, function: &FunctionKey, owner: &Host) {
-        let is_known = self.owners.load().get(function) == Some(owner);
-        if !is_known {
-            self.owners.rcu(|owners| {
-                let mut changed_owners = BTreeMap::clone(owners);
-                changed_owners.insert(function.clone(), owner.clone());
-                changed_owners
-            });
-        }
+        self.owners.insert(function, owner);
     }
 
-    /// Forgets an owner.
+    /// Drops the owner of a function from the cache.
     pub fn evict_owner(&self, function: &FunctionKey) {
-        if self.owners.load().contains_key(function) {
-            self.owners.rcu(|owners| {
-                let mut changed_owners = BTreeMap::clone(owners);
-                changed_owners.remove(function);
-                changed_owners
-            });
-        }
+        self.owners.evict(function);
     }
 }
--- /dev/null
+++ b/crates/dataplane/src/agent/owner_cache.rs
@@ -0,0 +1,51 @@
+//! The owners of functions that a daemon has learned from responses and from the leader.
+
+use arc_swap::{ArcSwap, Guard};
+use common::frames::Host;
+use common::identity::FunctionKey;
+use std::collections::BTreeMap;
+use std::sync::Arc;
+
+/// A cache of functions' owners. It is a hint only: an owner that no longer holds the function says so, and is then
+/// evicted. Reads take no lock; a change copies the map.
+pub(super) struct OwnerCache(ArcSwap<BTreeMap<FunctionKey, Host>>);
+
+impl OwnerCache {
+    /// An empty cache.
+    pub fn new() -> Self {
+        Self(ArcSwap::from_pointee(BTreeMap::new()))
+    }
+
+    /// The owners as they are now.
+    pub fn load(&self) -> Guard<Arc<BTreeMap<FunctionKey, Host>>> {
+        self.0.load()
+    }
+
+    /// Records an owner.
+    pub fn insert(&self, function: &FunctionKey, owner: &Host) {
+        let is_known = self.0.load().get(function) == Some(owner);
+        if !is_known {
+            self.0.rcu(|owners| {
+                let mut changed_owners = BTreeMap::clone(owners);
+                changed_owners.insert(function.clone(), owner.clone());
+                changed_owners
+            });
+        }
+    }
+
+    /// Drops the owner of a function.
+    pub fn evict(&self, function: &FunctionKey) {
+        if self.0.load().contains_key(function) {
+            self.0.rcu(|owners| {
+                let mut changed_owners = BTreeMap::clone(owners);
+                changed_owners.remove(function);
+                changed_owners
+            });
+        }
+    }
+
+    /// Drops all owners.
+    pub fn clear(&self) {
+        self.0.store(Arc::new(BTreeMap::new()));
+    }
+}
--- a/crates/dataplane/src/agent/regional.rs
+++ b/crates/dataplane/src/agent/regional.rs
@@ -1,48 +1,86 @@
-//! Functions whose callers in this daemon's region are served under a key of their own.
+//! Regional keys: functions whose callers in this daemon's region are served under a key of their own.
 //!
-//! The holder for all regions tells the daemons of a region with its answers once their callers keep a runner of
-//! their own busy ([`crate::holder`]). From the moment that it names on, those daemons turn to the region's own
-//! key: it has a hash owner, a grant and runners of its own, all in the region. Nothing of this is replicated: a
-//! daemon that does not know of it goes to the holder for all regions, which serves every caller.
+//! Once the callers of a region keep a runner of their own busy, the holder for all regions sends a hint to that region's
+//! daemons with its responses ([`crate::holder`]). From the time in the hint on, those daemons use the region's own key,
+//! which has a hash owner, a lease and runners of its own, all in the region. None of this is replicated: a daemon that
+//! has no hint forwards to the holder for all regions, which serves every caller.
 
 use super::Agent;
+use arc_swap::ArcSwap;
 use common::clock::MonotonicTime;
 use common::identity::{FunctionKey, Region};
+use common::ring::Regions;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// A region's own key is used for so long without another word of its holder.
+/// How long a regional key is used without a further hint of its holder.
 const KEY_USE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// The unit of the holder's word, in milliseconds.
+/// The unit of a hint, in milliseconds.
 const HINT_UNIT_MS: u64 = 100;
 
-/// Its holder's word renews the use once so much of that has passed.
+/// A further hint extends the use only once this much of it has passed, so that not every response changes the map.
 const KEY_USE_RENEWAL: Duration = Duration::from_secs(5);
 
-/// From when on, and until when, a region's own key is used.
+/// The period in which a regional key is used.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub struct RegionalKeyUse {
+struct RegionalKeyUse {
     from: MonotonicTime,
     until: MonotonicTime,
 }
 
-/// The uses known to a daemon, by the functions' keys for all regions.
-pub type RegionalKeyUses = BTreeMap<FunctionKey, RegionalKeyUse>;
+/// The periods known to a daemon, by the functions' keys for all regions.
+type RegionalKeyUses = BTreeMap<FunctionKey, RegionalKeyUse>;
+
+/// The regions of the zones, and the regional keys in use.
+pub(super) struct RegionalKeys {
+    /// The regions in which the zones lie.
+    pub regions: Regions,
+    uses: ArcSwap<RegionalKeyUses>,
+}
+
+impl RegionalKeys {
+    /// No regions, and no regional keys.
+    pub fn new() -> Self {
+        Self {
+            regions: Regions::default(),
+            uses: ArcSwap::from_pointee(RegionalKeyUses::new()),
+        }
+    }
+
+    /// Ends the use of a regional key.
+    fn remove(&self, all_regions: &FunctionKey) {
+        self.uses.rcu(|uses| {
+            let mut changed_uses = RegionalKeyUses::clone(uses);
+            changed_uses.remove(all_regions);
+            changed_uses
+        });
+    }
+
+    /// Sets the period in which a regional key is used, and drops the periods that are over.
+    fn set(&self, now: MonotonicTime, all_regions: &FunctionKey, regional_use: RegionalKeyUse) {
+        self.uses.rcu(|uses| {
+            let mut changed_uses = RegionalKeyUses::clone(uses);
+            changed_uses.retain(|_, known_use| now < known_use.until);
+            changed_uses.insert(all_regions.clone(), regional_use);
+            changed_uses
+        });
+    }
+}
 
 impl<W> Agent<W> {
-    /// The region of this daemon; none when the settings name none.
+    /// The region of this daemon; none if the settings name none.
     pub fn own_region(&self) -> Option<&Region> {
-        self.regions.of(&self.own_host.zone)
+        self.regional_keys.regions.of(&self.own_host.zone)
     }
 
-    /// The key under which this region's callers of a function are served, if it is one of their own.
+    /// The regional key under which this region's callers of a function are served, if one is in use.
     pub fn regional_key(
         &self,
         now: MonotonicTime,
         all_regions: &FunctionKey,
     ) -> Option<FunctionKey> {
-        let uses = self.regional_key_uses.load();
+        let uses = self.regional_keys.uses.load();
         let regional_use = uses.get(all_regions)?;
         let is_in_use = regional_use.from <= now && now < regional_use.until;
         self.own_region()
@@ -50,12 +88,12 @@
             .map(|region| all_regions.in_region(region))
     }
 
-    /// The keys of this region that are or will be in use.
+    /// The keys of this region that are in use or will be.
     pub fn regional_keys_wanted(&self, now: MonotonicTime) -> Vec<FunctionKey> {
         let Some(region) = self.own_region() else {
             return Vec::new();
         };
-        let uses = self.regional_key_uses.load();
+        let uses = self.regional_keys.uses.load();
         let wanted = uses
             .iter()
             .filter(|(_, regional_use)| now < regional_use.until);
@@ -64,39 +102,37 @@
             .collect()
     }
 
-    /// Hears with an answer in how many tenths of a second this region's callers are served under a key of their own,
-    /// or with zero that they are not. Says whether such a key has become known.
+    /// Handles the hint in a response: in how many tenths of a second this region's callers are to use the regional key,
+    /// or zero if they are not to use one. True if a regional key has become known that was not.
     pub fn handle_regional_hint(
         &self,
         now: MonotonicTime,
-        answered_key: &FunctionKey,
+        responding_key: &FunctionKey,
         regional_tenths: u8,
     ) -> bool {
-        let all_regions = answered_key.all_regions();
-        let current_use = self.regional_key_uses.load().get(&all_regions).copied();
+        let all_regions = responding_key.all_regions();
+        let current_use = self.regional_keys.uses.load().get(&all_regions).copied();
         match (current_use, regional_tenths) {
-            (Some(_), 0) if answered_key.is_regional() => self.drop_regional_key(answered_key),
-            (Some(known_key_use), 1..) if answered_key.is_regional() => {
-                let is_due = known_key_use.until.since(now)
-                    < KEY_USE_TIMEOUT.saturating_sub(KEY_USE_RENEWAL);
+            (Some(_), 0) if responding_key.is_regional() => self.regional_keys.remove(&all_regions),
+            (Some(known_use), 1..) if responding_key.is_regional() => {
+                let is_due =
+                    known_use.until.since(now) < KEY_USE_TIMEOUT.saturating_sub(KEY_USE_RENEWAL);
                 if is_due {
-                    self.set_regional_key_use(
+                    self.regional_keys.set(
                         now,
-                        all_regions,
+                        &all_regions,
                         RegionalKeyUse {
                             until: now + KEY_USE_TIMEOUT,
-                            ..known_key_use
+                            ..known_use
                         },
                     );
                 }
             }
-            (known_key_use, 1..)
-                if known_key_use.is_none_or(|known_key_use| known_key_use.until <= now) =>
-            {
+            (known_use, 1..) if known_use.is_none_or(|known_use| known_use.until <= now) => {
                 let from = now + Duration::from_millis(HINT_UNIT_MS * u64::from(regional_tenths));
-                self.set_regional_key_use(
+                self.regional_keys.set(
                     now,
-                    all_regions,
+                    &all_regions,
                     RegionalKeyUse {
                         from,
                         until: from + KEY_USE_TIMEOUT,
@@ -109,7 +145,8 @@
         false
     }
 
-    /// A region's own key does not serve at the moment: its callers go to the holder for all regions for a while.
+    /// Suspends the use of a regional key that does not serve at the moment: for the time of `backoff`, its callers use
+    /// the holder for all regions.
     pub fn suspend_regional_key(
         &self,
         now: MonotonicTime,
@@ -117,9 +154,9 @@
         backoff: Duration,
     ) {
         let from = now + backoff;
-        self.set_regional_key_use(
+        self.regional_keys.set(
             now,
-            function.all_regions(),
+            &function.all_regions(),
             RegionalKeyUse {
                 from,
                 until: from + KEY_USE_TIMEOUT,
@@ -127,32 +164,8 @@
         );
     }
 
-    /// This region's callers have a key of their own no more.
-    fn drop_regional_key(&self, function: &FunctionKey) {
-        let all_regions = function.all_regions();
-        self.regional_key_uses.rcu(|uses| {
-            let mut changed_uses = RegionalKeyUses::clone(uses);
-            changed_uses.remove(&all_regions);
-            changed_uses
-        });
-    }
-
-    fn set_regional_key_use(
-        &self,
-        now: MonotonicTime,
-        all_regions: FunctionKey,
-        regional_use: RegionalKeyUse,
-    ) {
-        self.regional_key_uses.rcu(|uses| {
-            let mut changed_uses = RegionalKeyUses::clone(uses);
-            changed_uses.retain(|_, known_key_use| now < known_key_use.until);
-            changed_uses.insert(all_regions.clone(), regional_use);
-            changed_uses
-        });
-    }
-
-    /// What is told with an outcome of a function held here to a daemon of a region: in how many tenths of a second its
-    /// callers are served under a key of their own.
+    /// The hint that goes with a response of a function held here to a daemon in `region`: in how many tenths of a second
+    /// that region's callers are to use the regional key; zero if they are not to use one.
     pub fn regional_hint(&self, now: MonotonicTime, function: &FunctionKey, region: &Region) -> u8 {
         let is_other_region = self
             .own_region()
--- a/crates/dataplane/src/agent/replica_requests.rs
+++ b/crates/dataplane/src/agent/replica_requests.rs
@@ -1,42 +1,45 @@
-//! Questions to stewards, the daemons that keep copies of others' ledgers, and answers as one.
+//! Requests to ledger replicas, the daemons that keep copies of others' ledgers, and this daemon's answers as one.
 
 use super::{Agent, HeldFunction};
 use crate::holder::{Holder, HolderOutput};
+use crate::ledger::LedgerReplica;
 use common::clock::MonotonicTime;
 use common::frames::{DaemonMessage, Flag, Host, LengthPrefixed};
 use common::rules::Rule;
-use std::sync::PoisonError;
+use std::sync::{MutexGuard, PoisonError};
 use std::time::Duration;
 
+/// How long the response to [`ReplicaRequestKind::Collect`] is waited for.
 const COLLECT_TIMEOUT: Duration = Duration::from_millis(600);
+/// How long the responses to all other kinds are waited for.
 const RECORD_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// What a question to a steward is about.
+/// What is requested from a ledger replica.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum ReplicaRequestKind {
-    /// An earlier holder's ledger.
+    /// The ledger of the function's previous holder.
     Collect,
-    /// Lines of this round to be noted.
+    /// To store the records of the batch with this id.
     Record(u64),
     /// The ranges in which its copy differs.
     Compare,
 }
 
-/// A question to a steward.
+/// A request to a ledger replica.
 #[derive(Clone, Debug)]
 pub struct ReplicaRequest {
-    /// The steward.
+    /// The daemon that keeps the replica.
     pub replica: Host,
-    /// What is asked.
+    /// The frame to send.
     pub body: DaemonMessage,
-    /// What it is about.
+    /// What it requests, by which the reply is interpreted.
     pub request_kind: ReplicaRequestKind,
-    /// How long an answer is waited for.
+    /// How long the reply is waited for.
     pub timeout: Duration,
 }
 
 impl<W> HeldFunction<W> {
-    /// The question that a holder's order stands for, if it is one.
+    /// The request to a ledger replica that a holder's output stands for; the output itself if it is another.
     pub fn replica_request(&self, output: HolderOutput) -> Result<ReplicaRequest, HolderOutput> {
         match output {
             HolderOutput::Collect { previous_lease } => Ok(ReplicaRequest {
@@ -81,7 +84,7 @@
 }
 
 impl ReplicaRequestKind {
-    /// Brings a steward's reply, or its silence, to the holder.
+    /// Passes a replica's reply to the holder; none if no reply came in time.
     pub fn reply(
         self,
         holder: &mut Holder,
@@ -106,45 +109,39 @@
 }
 
 impl<W> Agent<W> {
-    /// What this daemon says as another one's steward; none to what is no question for a steward.
+    /// Answers a request as another daemon's ledger replica; none if the frame is no such request.
     pub fn answer_replica_request(
         &self,
         now: MonotonicTime,
         replica_request: DaemonMessage,
     ) -> Option<DaemonMessage> {
-        let mut ledger_replica = self
-            .ledger_replica
-            .lock()
-            .unwrap_or_else(PoisonError::into_inner);
+        let mut ledger_replica = self.lock_ledger_replica();
         match replica_request {
             DaemonMessage::Record { .. }
                 if !self.rules.enforces(Rule::LedgerReplicatedBeforeSend) =>
             {
-                Some(DaemonMessage::Recorded {
-                    is_stored: Flag(true),
-                })
+                Some(recorded(true))
             }
             DaemonMessage::Record {
                 function,
                 fencing_token,
                 incarnation,
                 records,
-            } => {
-                let is_stored =
-                    ledger_replica.record(now, &function, fencing_token, incarnation, &records.0);
-                Some(DaemonMessage::Recorded {
-                    is_stored: Flag(is_stored),
-                })
-            }
+            } => Some(recorded(ledger_replica.record(
+                now,
+                &function,
+                fencing_token,
+                incarnation,
+                &records.0,
+            ))),
             DaemonMessage::Collect {
                 function,
                 fencing_token,
                 incarnation,
             } => {
                 let copy = ledger_replica.collect(now, &function, fencing_token, incarnation);
-                let complete = Flag(copy.is_some());
                 Some(DaemonMessage::Collected {
-                    complete,
+                    complete: Flag(copy.is_some()),
                     records: LengthPrefixed(copy.unwrap_or_default()),
                 })
             }
@@ -167,4 +164,21 @@
             | DaemonMessage::Differs { .. } => None,
         }
     }
+
+    /// Drops the copies of ledgers that are no longer needed.
+    pub(super) fn expire_ledger_replica(&self, now: MonotonicTime) {
+        self.lock_ledger_replica().expire(now);
+    }
+
+    fn lock_ledger_replica(&self) -> MutexGuard<'_, LedgerReplica> {
+        self.ledger_replica
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+    }
+}
+
+fn recorded(is_stored: bool) -> DaemonMessage {
+    DaemonMessage::Recorded {
+        is_stored: Flag(is_stored),
+    }
 }
--- a/crates/dataplane/src/agent/runner_response.rs
+++ b/crates/dataplane/src/agent/runner_response.rs
@@ -1,4 +1,4 @@
-//! What a runner's answer is worth, and the last look before a send.
+//! Verification of a runner's response, and the checks before a request is sent to a runner.
 
 use super::{Agent, HeldFunction, HolderRequest};
 use crate::holder::SendResult;
@@ -12,16 +12,17 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Statuses by which a caller is promised that nothing ran. From a runner that does not say so they are
-/// never passed on.
+/// Statuses that assure a caller that nothing was run. From a runner that does not declare that it did not run, they
+/// are never passed on.
 const NOT_RUN_STATUSES: [u16; 4] = [408, 421, 429, 503];
 
 /// The lowest status that ends a request.
 const LOWEST_FINAL_STATUS: u16 = 200;
-/// The lowest status of a failure; only with a failure can a runner say that it did not run.
+/// The lowest status of a failure; only with a failure can a runner declare that it did not run.
 const LOWEST_FAILURE_STATUS: u16 = 400;
 
-/// Decides what an answer is worth: only one that names what was asked, whole and sealed, is believed.
+/// Verifies a runner's response: it has to name the request that was sent, and be complete and sealed. Anything else
+/// counts as lost, as nobody can tell whether the request was run.
 pub fn verify_response(
     rules: Rules,
     idempotency_key: &IdempotencyKey,
@@ -37,6 +38,7 @@
     }
 }
 
+/// A response whose seal is a digest that this daemon can compute itself.
 fn verify_digest_seal(
     rules: Rules,
     idempotency_key: &IdempotencyKey,
@@ -79,6 +81,7 @@
     SendResult::Answered(answer_outcome(runner, response))
 }
 
+/// A response whose seal only the caller can check: names and completeness are verified here.
 fn verify_carried_seal(
     rules: Rules,
     idempotency_key: &IdempotencyKey,
@@ -133,36 +136,35 @@
     }
 }
 
-/// One send to a runner, as it goes out.
+/// One send of a request to a runner.
 #[derive(Clone, Debug)]
 pub struct RunnerAttempt {
-    /// The try's identity.
+    /// The request's idempotency key.
     pub idempotency_key: IdempotencyKey,
     /// The function.
     pub function: FunctionKey,
-    /// The runner that is meant; another one at its address refuses.
+    /// The runner that is to run it; another one at the same address rejects it.
     pub runner: Option<RunnerId>,
-    /// The number of this send.
+    /// The number of this attempt, from one.
     pub attempt: u32,
-    /// What is left of the budget.
+    /// The time until the request's deadline.
     pub remaining_time: Duration,
-    /// What the caller sent.
+    /// What the caller sent: method, target, header fields and body.
     pub payload: Arc<RequestPayload>,
 }
 
-/// The leader waits for more than that beyond the end of a lease before it grants anew; whoever sends later than
-/// that stood still between its look at the lease and its write.
+/// How long after the end of a lease a send may still leave. The leader waits for longer than that before it grants the
+/// lease to another daemon; whoever sends later was suspended between its check of the lease and its write.
 const LEASE_SLACK: Duration = Duration::from_millis(100);
 
 impl<W> Agent<W> {
-    /// Whether anything may be sent for a held function: the member grant runs, and the function was not
-    /// given up.
+    /// Whether anything may be sent for a held function: the session lease runs, and the function was not given up.
     pub fn may_send(&self, now: MonotonicTime, held: &HeldFunction<W>) -> bool {
         let is_held = self.held(&held.function, held.fencing_token).is_some();
         (self.is_serving(now) && is_held) || !self.rules.enforces(Rule::LeaseCheckedBeforeSend)
     }
 
-    /// Checks that what has just left did so while the session lease ran.
+    /// Checks the invariant that what has just been sent left while the session lease ran.
     pub fn check_sent_under_lease(&self, now: MonotonicTime) {
         let lease_end = self.serving_until.get();
         let is_under_lease = now < lease_end + LEASE_SLACK;
@@ -179,8 +181,8 @@
         );
     }
 
-    /// The last look before a transaction is handed to a connection: the member grant runs, the function
-    /// is held, and the newest spec still leads its route to this function.
+    /// The last checks before a request is written to a connection: the session lease runs, the function is held, and
+    /// the newest spec still routes the request to this function. An error is the reason why it may not be sent.
     pub fn runner_attempt(
         &self,
         now: MonotonicTime,
