--- a/crates/dataplane/src/request_pipeline/forward_to_holder.rs
+++ b/crates/dataplane/src/request_pipeline/forward_to_holder.rs
@@ -1,23 +1,25 @@
-//! Carries out the steps of a transaction's forwarding.
+//! Carries out the steps of a request's forwarding.
 
-use crate::agent::{ForwardResult, Forwarding, ForwardingStep, FunctionRequest};
-use crate::drivers::{HopCallResult, State, holder_driver};
+use crate::agent::{ForwardResult, Forwarding, ForwardingStep, FunctionRequest, HolderRequest};
+use crate::drivers::{HopCallResult, LocalHeldFunction, State, holder_driver};
 use crate::owners::is_current_owner;
 use common::clock::MonotonicTime;
 use common::frames::{DaemonMessage, Host, RequestOutcome};
 use common::identity::FunctionKey;
 use std::sync::Arc;
+use tokio::sync::oneshot;
 use tokio::time::timeout;
 
-/// How a transaction ended.
+/// How a request ended.
 pub struct ForwardedOutcome {
-    /// The function that it went to in the end.
+    /// The key of the function to which it went in the end.
     pub function: FunctionKey,
-    /// How it ended.
+    /// Its outcome.
     pub outcome: RequestOutcome,
     /// The holder, if it is known.
     pub holder: Option<Host>,
-    /// In how many tenths of a second the callers of the asking region are served under a key of their own.
+    /// In how many tenths of a second the callers of the request's region are to use a regional key; zero if they are not
+    /// to use one.
     pub regional_tenths: u8,
 }
 
@@ -39,8 +41,7 @@
     }
 }
 
-/// Waits until a daemon no longer counts as alive: it has fallen silent, is no longer listed, or lives
-/// anew.
+/// Waits until a daemon no longer counts as alive: it is suspected, no longer listed, or has a new incarnation.
 async fn host_gone(state: &State, host: &Host) {
     let mut changes = state.changes();
     while is_current_owner(host, &state.agent.hosts.load()) {
@@ -50,7 +51,7 @@
     }
 }
 
-/// What an answer of another daemon says of the asking region's own key.
+/// The hint about the regional key in another daemon's reply.
 fn regional_hint(hop_result: &HopCallResult) -> Option<u8> {
     match hop_result {
         HopCallResult::Reply(DaemonMessage::Completed {
@@ -62,78 +63,120 @@
     }
 }
 
-/// Hears what an answer says of this region's own key, if this is the caller's daemon.
-fn handle_regional_hint(state: &State, request: &FunctionRequest, regional_tenths: u8) {
-    let is_ingress_daemon = request.hops == 0;
-    if is_ingress_daemon
-        && state.agent.handle_regional_hint(
-            MonotonicTime::now(),
-            &request.function,
-            regional_tenths,
-        )
-    {
-        state.desired_functions_changed();
+/// One request's forwarding as it is carried out.
+struct ForwardingRun<'a> {
+    state: &'a Arc<State>,
+    forwarding: Forwarding,
+    regional_tenths: u8,
+}
+
+type LocalForwardingStep = ForwardingStep<oneshot::Sender<RequestOutcome>>;
+
+impl ForwardingRun<'_> {
+    fn advance(&mut self) -> LocalForwardingStep {
+        self.forwarding
+            .advance(&self.state.agent, MonotonicTime::now())
+    }
+
+    fn count_lookup(&self, result: &str) {
+        self.state.gauges.lookups.with_label_values(&[result]).inc();
+    }
+
+    /// Keeps a response's hint about the regional key for the daemon that forwarded the request; the caller's daemon uses
+    /// it itself.
+    fn handle_regional_hint(&mut self, regional_tenths: u8) {
+        self.regional_tenths = regional_tenths;
+        let request = self.forwarding.request();
+        let is_ingress_daemon = request.hops == 0;
+        if is_ingress_daemon
+            && self.state.agent.handle_regional_hint(
+                MonotonicTime::now(),
+                &request.function,
+                regional_tenths,
+            )
+        {
+            self.state.desired_functions_changed();
+        }
+    }
+
+    async fn serve(
+        &mut self,
+        held: LocalHeldFunction,
+        holder_request: HolderRequest,
+    ) -> LocalForwardingStep {
+        self.count_lookup("held");
+        let agent = &self.state.agent;
+        let outcome = holder_driver::serve(self.state, &held, holder_request).await;
+        let region = &self.forwarding.request().region;
+        let hint = agent.regional_hint(MonotonicTime::now(), &held.function, region);
+        self.handle_regional_hint(hint);
+        self.forwarding.served(agent, MonotonicTime::now(), outcome)
+    }
+
+    async fn forward(
+        &mut self,
+        host: Host,
+        body: DaemonMessage,
+        wait_until: MonotonicTime,
+    ) -> LocalForwardingStep {
+        self.count_lookup("passed");
+        let end = tokio::select! {
+            hop_result = self.state.hop_client.request(host.address, body, wait_until) => {
+                if let Some(hint) = regional_hint(&hop_result) {
+                    self.handle_regional_hint(hint);
+                }
+                forward_result(hop_result, &host)
+            }
+            () = host_gone(self.state, &host) => ForwardResult::Lost,
+        };
+        self.forwarding
+            .forwarded(&self.state.agent, MonotonicTime::now(), end)
+    }
+
+    async fn acquire(&mut self, wait_until: MonotonicTime) -> LocalForwardingStep {
+        self.count_lookup("acquired");
+        let wait = wait_until.since(MonotonicTime::now());
+        let acquiring = self.state.acquire(&self.forwarding.request().function);
+        match timeout(wait, acquiring).await {
+            Ok(result) => self
+                .forwarding
+                .acquired(&self.state.agent, MonotonicTime::now(), result),
+            Err(_) => self.advance(),
+        }
     }
 }
 
-/// Brings a transaction to its holder, and comes back with its outcome.
+/// Brings a request to the holder of its function, and returns its outcome.
 pub async fn forward_to_holder(state: &Arc<State>, request: FunctionRequest) -> ForwardedOutcome {
-    let agent = &state.agent;
-    let _in_flight = agent.track_in_flight();
+    let _in_flight = state.agent.track_in_flight();
     let mut changes = state.changes();
-    let mut forwarding = Forwarding::new(MonotonicTime::now(), request);
-    let mut step = forwarding.advance(agent, MonotonicTime::now());
-    let mut regional_tenths = 0;
+    let mut run = ForwardingRun {
+        state,
+        forwarding: Forwarding::new(MonotonicTime::now(), request),
+        regional_tenths: 0,
+    };
+    let mut step = run.advance();
     loop {
         step = match step {
-            ForwardingStep::Serve(held, holder_request) => {
-                state.gauges.lookups.with_label_values(&["held"]).inc();
-                let outcome = holder_driver::serve(state, &held, holder_request).await;
-                let request = forwarding.request();
-                regional_tenths =
-                    agent.regional_hint(MonotonicTime::now(), &held.function, &request.region);
-                handle_regional_hint(state, request, regional_tenths);
-                forwarding.served(agent, MonotonicTime::now(), outcome)
-            }
+            ForwardingStep::Serve(held, holder_request) => run.serve(held, holder_request).await,
             ForwardingStep::Forward {
                 host,
                 body,
                 wait_until,
-            } => {
-                state.gauges.lookups.with_label_values(&["passed"]).inc();
-                let end = tokio::select! {
-                    hop_result = state.hop_client.request(host.address, body, wait_until) => {
-                        if let Some(hint) = regional_hint(&hop_result) {
-                            regional_tenths = hint;
-                            handle_regional_hint(state, forwarding.request(), hint);
-                        }
-                        forward_result(hop_result, &host)
-                    }
-                    () = host_gone(state, &host) => ForwardResult::Lost,
-                };
-                forwarding.forwarded(agent, MonotonicTime::now(), end)
-            }
-            ForwardingStep::Acquire { wait_until } => {
-                state.gauges.lookups.with_label_values(&["acquired"]).inc();
-                let wait = wait_until.since(MonotonicTime::now());
-                let acquiring = state.acquire(&forwarding.request().function);
-                match timeout(wait, acquiring).await {
-                    Ok(result) => forwarding.acquired(agent, MonotonicTime::now(), result),
-                    Err(_) => forwarding.advance(agent, MonotonicTime::now()),
-                }
-            }
+            } => run.forward(host, body, wait_until).await,
+            ForwardingStep::Acquire { wait_until } => run.acquire(wait_until).await,
             ForwardingStep::Wait { wait_until } => {
                 let wait = wait_until.since(MonotonicTime::now());
+                // Advanced on a change and on the time-out alike.
                 let _ = timeout(wait, changes.changed()).await;
-                forwarding.advance(agent, MonotonicTime::now())
+                run.advance()
             }
             ForwardingStep::End(outcome, holder) => {
-                let function = forwarding.request().function.clone();
                 return ForwardedOutcome {
-                    function,
+                    function: run.forwarding.request().function.clone(),
                     outcome,
                     holder,
-                    regional_tenths,
+                    regional_tenths: run.regional_tenths,
                 };
             }
         }
--- a/crates/dataplane/src/request_pipeline/ingress_request.rs
+++ b/crates/dataplane/src/request_pipeline/ingress_request.rs
@@ -1,5 +1,5 @@
-//! One request at the daemon that took it: what is learned of it on its way, and what is counted and logged of its
-//! end.
+//! A request at the daemon that received it from its caller: what is learned of it on its way, and what is counted and
+//! logged when it ends.
 
 use crate::drivers::State;
 use common::adapter::CallerResponse;
@@ -10,24 +10,25 @@
 use std::fmt;
 use std::time::Duration;
 
-/// A request that ends later than that after its deadline is counted as overdue.
+/// How long after its deadline a request may end before it counts as overdue.
 const OVERDUE_GRACE: Duration = Duration::from_millis(250);
 
-/// The outcome that is counted of a request whose caller left before it ended.
+/// The outcome under which a request is counted whose caller disconnected before it ended.
 const ABANDONED: &str = "left";
 
-/// One request at the daemon that took it.
+/// A request at the daemon that received it from its caller. Dropped without [`IngressRequest::finish`], it counts as
+/// abandoned.
 pub struct IngressRequest<'a> {
     state: &'a State,
     /// When its head was read.
     pub started_at: MonotonicTime,
-    /// Its identity, once that is read.
+    /// Its idempotency key, once that is read.
     pub idempotency_key: Option<IdempotencyKey>,
     /// Its route, once that is found.
     pub route: Option<String>,
-    /// When its caller, or its route, gives it up.
+    /// Its deadline by its caller's time-out and its route's, once both are known.
     pub deadline: Option<MonotonicTime>,
-    /// Who held its function, if that is known.
+    /// The holder of its function, if that is known.
     pub holder: Option<MemberName>,
     is_finished: bool,
 }
@@ -46,7 +47,7 @@
         }
     }
 
-    /// Counts how it ended, logs it if it has no answer, and has the response made.
+    /// Counts how the request ended, logs it if no runner responded, and encodes the response.
     pub fn finish(mut self, caller_response: CallerResponse) -> HttpResponse {
         self.is_finished = true;
         let now = MonotonicTime::now();
--- a/crates/dataplane/src/request_pipeline/mod.rs
+++ b/crates/dataplane/src/request_pipeline/mod.rs
@@ -1,4 +1,12 @@
-//! One function a transaction, read from top to bottom, as a chain of filters.
+//! The way of a caller's request through this daemon, from its head to its response.
+//!
+//! [`handle_request`] checks the request, finds its route, reads its body, has it forwarded to the holder of its function,
+//! and makes the response of the outcome.
+//!
+//! * `forward_to_holder`: carries out the steps of the forwarding; also used for requests from other daemons.
+//! * `ingress_request`: what is counted and logged of a request when it ends.
+//! * `request_checks`: the checks before a request is forwarded, and their rejections.
+//! * `responses`: the responses to callers by outcome.
 
 mod forward_to_holder;
 mod ingress_request;
@@ -9,23 +17,27 @@
 
 use crate::agent::FunctionRequest;
 use crate::drivers::State;
-use common::adapter::{CallerResponse, IngressCodec, NotRunKind};
+use common::adapter::{CallerResponse, IngressCodec};
 use common::clock::MonotonicTime;
-use common::frames::{LengthPrefixed, RequestFailureReason, RequestPayload};
+use common::frames::{LengthPrefixed, RequestPayload};
 use common::http::{HttpResponse, read_body};
-use common::identity::{Region, ShortString};
+use common::identity::{IdempotencyKey, Region, ShortString};
+use common::spec::{RouteMatch, RoutingTable};
 use hyper::Request;
 use hyper::body::Incoming;
 use hyper::http::request::Parts;
 use ingress_request::IngressRequest;
-use request_checks::{check_content_length, identity, timeout};
-use responses::{body_error_response, outcome_response, permanent_rejection, retryable_rejection};
+use request_checks::{
+    RequestRejection, check_content_length, parse_idempotency_key, parse_timeout,
+};
+use responses::outcome_response;
 use std::sync::Arc;
 use std::time::Duration;
 
+/// How long a caller may take to send a body.
 const BODY_READ_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Takes one caller's transaction from its first byte to its answer.
+/// Handles one caller's request: returns its response, and counts and logs how it ended.
 pub async fn handle_request(state: &Arc<State>, request: Request<Incoming>) -> HttpResponse {
     let mut ingress_request = IngressRequest::new(state);
     let caller_response = respond_to(state, request, &mut ingress_request).await;
@@ -37,82 +49,95 @@
     request: Request<Incoming>,
     ingress_request: &mut IngressRequest<'_>,
 ) -> CallerResponse {
-    let (head, incoming_body) = request.into_parts();
-    let ingress = state.adapters.ingress.as_ref();
-
-    let idempotency_key = match identity(ingress, &head.headers) {
-        Ok(idempotency_key) => idempotency_key,
+    let function_request = match accept(state, request, ingress_request).await {
+        Ok(function_request) => function_request,
         Err(rejection) => return rejection.into(),
     };
-    ingress_request.idempotency_key = Some(idempotency_key.clone());
+    let forwarded_outcome = forward_to_holder(state, function_request).await;
+    ingress_request.holder = forwarded_outcome.holder.map(|host| host.member);
+    outcome_response(forwarded_outcome.function, forwarded_outcome.outcome)
+}
 
-    let requested_timeout = match timeout(ingress, &head.headers) {
-        Ok(requested_timeout) => requested_timeout,
-        Err(rejection) => return rejection.into(),
-    };
+/// Checks a request and reads its body. What is learned on the way is noted in `ingress_request`, so that a rejection is
+/// logged with it.
+async fn accept(
+    state: &State,
+    request: Request<Incoming>,
+    ingress_request: &mut IngressRequest<'_>,
+) -> Result<FunctionRequest, RequestRejection> {
+    let (head, incoming_body) = request.into_parts();
+    let ingress = state.adapters.ingress.as_ref();
+    let idempotency_key = parse_idempotency_key(ingress, &head.headers)?;
+    ingress_request.idempotency_key = Some(idempotency_key.clone());
+    let requested_timeout = parse_timeout(ingress, &head.headers)?;
 
     let table = state.agent.table.load_full();
-    let host = head
-        .headers
-        .get(hyper::header::HOST)
-        .and_then(|value| value.to_str().ok());
-    let route_match = table.route(
-        &head.method,
-        host.unwrap_or(""),
-        head.uri.path(),
-        &idempotency_key,
-    );
-    let Some(route_match) = route_match else {
-        return if state.agent.is_serving(MonotonicTime::now()) {
-            permanent_rejection(NotRunKind::NoRoute, "no_route")
-        } else {
-            retryable_rejection(
-                RequestFailureReason::NotServing,
-                state.agent.not_serving_retry_after(),
-            )
-        };
-    };
-    ingress_request.route = Some(route_match.route.spec.name.clone());
-    ingress_request.deadline =
-        Some(ingress_request.started_at + requested_timeout.min(route_match.route.spec.timeout));
+    let route_match =
+        match_route(&table, &head, &idempotency_key).ok_or_else(|| no_route_rejection(state))?;
+    let route = &route_match.route.spec;
+    let deadline = ingress_request.started_at + requested_timeout.min(route.timeout);
+    ingress_request.route = Some(route.name.clone());
+    ingress_request.deadline = Some(deadline);
 
     let max_body_bytes = state.body_limit(table.limits());
-    if let Err(rejection) = check_content_length(&head.headers, max_body_bytes) {
-        return rejection.into();
-    }
-    let body = match read_body(incoming_body, max_body_bytes, BODY_READ_TIMEOUT).await {
-        Ok(body) => body,
-        Err(error) => return body_error_response(&error),
-    };
-
+    check_content_length(&head.headers, max_body_bytes)?;
+    let body = read_body(incoming_body, max_body_bytes, BODY_READ_TIMEOUT).await?;
     if state.agent.is_leaving() || !state.agent.is_serving(MonotonicTime::now()) {
-        return retryable_rejection(
-            RequestFailureReason::NotServing,
-            state.agent.not_serving_retry_after(),
-        );
+        return Err(not_serving_rejection(state));
     }
 
-    let request = FunctionRequest {
+    Ok(FunctionRequest {
         idempotency_key,
         function: route_match.function.key.clone(),
-        route: route_match.route.spec.name.clone(),
+        route: route.name.clone(),
         version: table.version(),
-        deadline: ingress_request.started_at
-            + requested_timeout.min(route_match.route.spec.timeout),
+        deadline,
         hops: 0,
         repeat: ingress.is_repeat(&head.headers),
         wants_referral: true,
-        region: state
-            .agent
-            .own_region()
-            .cloned()
-            .unwrap_or_else(|| Region::from("")),
+        region: own_region(state),
         payload: Arc::new(payload(ingress, &head, body)),
-    };
-    let forwarded_outcome = forward_to_holder(state, request).await;
-    ingress_request.holder = forwarded_outcome.holder.map(|host| host.member);
+    })
+}
 
-    outcome_response(forwarded_outcome.function, forwarded_outcome.outcome)
+fn match_route<'a>(
+    table: &'a RoutingTable,
+    head: &Parts,
+    idempotency_key: &IdempotencyKey,
+) -> Option<RouteMatch<'a>> {
+    let host = head
+        .headers
+        .get(hyper::header::HOST)
+        .and_then(|value| value.to_str().ok());
+    table.route(
+        &head.method,
+        host.unwrap_or(""),
+        head.uri.path(),
+        idempotency_key,
+    )
+}
+
+/// Only a daemon that serves can tell that there is no route; another one's spec may be outdated.
+fn no_route_rejection(state: &State) -> RequestRejection {
+    if state.agent.is_serving(MonotonicTime::now()) {
+        RequestRejection::NoRoute
+    } else {
+        not_serving_rejection(state)
+    }
+}
+
+fn not_serving_rejection(state: &State) -> RequestRejection {
+    RequestRejection::NotServing {
+        retry_after: state.agent.not_serving_retry_after(),
+    }
+}
+
+fn own_region(state: &State) -> Region {
+    state
+        .agent
+        .own_region()
+        .cloned()
+        .unwrap_or_else(|| Region::from(""))
 }
 
 fn payload(ingress: &dyn IngressCodec, head: &Parts, body: bytes::Bytes) -> RequestPayload {
--- a/crates/dataplane/src/request_pipeline/request_checks.rs
+++ b/crates/dataplane/src/request_pipeline/request_checks.rs
@@ -1,40 +1,71 @@
-//! Checks of a caller's request before anything is done with it.
+//! The checks of a caller's request before it is forwarded.
 
 use common::adapter::{CallerResponse, IngressCodec, NotRunKind};
+use common::frames::RequestFailureReason;
+use common::http::BodyError;
 use common::identity::IdempotencyKey;
 use hyper::header::{CONTENT_LENGTH, HeaderMap};
 use std::time::Duration;
 
-/// What makes a call unfit before its body is read.
+/// Why a request is rejected before it is forwarded; it was certainly not run.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum RequestRejection {
     /// This header is missing or malformed.
     Header(&'static str),
-    /// The body is too large.
-    TooLarge,
+    /// No route matches.
+    NoRoute,
+    /// The body is larger than allowed.
+    BodyTooLarge,
+    /// The body could not be read.
+    BodyUnreadable,
+    /// This daemon serves no requests at the moment.
+    NotServing {
+        /// When to retry.
+        retry_after: Duration,
+    },
+}
+
+impl From<BodyError> for RequestRejection {
+    fn from(error: BodyError) -> Self {
+        match error {
+            BodyError::TooLarge => Self::BodyTooLarge,
+            BodyError::Interrupted | BodyError::TooSlow => Self::BodyUnreadable,
+        }
+    }
 }
 
 impl From<RequestRejection> for CallerResponse {
     fn from(rejection: RequestRejection) -> Self {
-        let (kind, reason, header) = match rejection {
-            RequestRejection::Header(header) => {
-                (NotRunKind::BadRequest, "bad_header", Some(header))
-            }
-            RequestRejection::TooLarge => (NotRunKind::TooLarge, "body_too_large", None),
-        };
-        Self::NotRun {
+        let permanent = |kind, reason, header| Self::NotRun {
             kind,
             reason,
             header,
             retry_after: None,
+        };
+        match rejection {
+            RequestRejection::Header(header) => {
+                permanent(NotRunKind::BadRequest, "bad_header", Some(header))
+            }
+            RequestRejection::NoRoute => permanent(NotRunKind::NoRoute, "no_route", None),
+            RequestRejection::BodyTooLarge => {
+                permanent(NotRunKind::TooLarge, "body_too_large", None)
+            }
+            RequestRejection::BodyUnreadable => permanent(NotRunKind::BadRequest, "bad_body", None),
+            RequestRejection::NotServing { retry_after } => Self::NotRun {
+                kind: NotRunKind::Unavailable,
+                reason: RequestFailureReason::NotServing.as_str(),
+                header: None,
+                retry_after: Some(retry_after),
+            },
         }
     }
 }
 
+/// The longest idempotency key, in bytes.
 const MAX_IDEMPOTENCY_KEY_LENGTH: usize = 128;
 
-/// The try's identity: letters, digits and `-_.:`, at most 128 of them.
-pub fn identity(
+/// Reads the idempotency key: letters, digits and `-_.:`, at most 128 of them.
+pub fn parse_idempotency_key(
     ingress: &dyn IngressCodec,
     headers: &HeaderMap,
 ) -> Result<IdempotencyKey, RequestRejection> {
@@ -49,8 +80,8 @@
         .ok_or_else(|| RequestRejection::Header(ingress.idempotency_key_header()))
 }
 
-/// How long the caller waits, in whole milliseconds.
-pub fn timeout(
+/// Reads how long the caller waits: an integer of milliseconds, from 1 to 60 000.
+pub fn parse_timeout(
     ingress: &dyn IngressCodec,
     headers: &HeaderMap,
 ) -> Result<Duration, RequestRejection> {
@@ -63,7 +94,7 @@
         .ok_or_else(|| RequestRejection::Header(ingress.timeout_header()))
 }
 
-/// Refuses a body whose announced length is too large, before any of it is read.
+/// Rejects a body whose announced length is too large, before any of it is read.
 pub fn check_content_length(
     headers: &HeaderMap,
     max_body_bytes: usize,
@@ -73,7 +104,7 @@
         .and_then(|value| value.to_str().ok())
         .and_then(|text| text.parse::<usize>().ok());
     match content_length {
-        Some(length) if length > max_body_bytes => Err(RequestRejection::TooLarge),
+        Some(length) if length > max_body_bytes => Err(RequestRejection::BodyTooLarge),
         _ => Ok(()),
     }
 }
--- a/crates/dataplane/src/request_pipeline/responses.rs
+++ b/crates/dataplane/src/request_pipeline/responses.rs
@@ -1,42 +1,11 @@
-//! What a caller is told of an outcome or a refusal.
+//! The responses to callers by the outcome of their requests.
 
 use common::adapter::{CallerResponse, NotRunKind};
 use common::frames::{RequestFailureReason, RequestOutcome};
-use common::http::BodyError;
 use common::identity::FunctionKey;
 use std::time::Duration;
 
-/// A refusal that no later try changes.
-pub fn permanent_rejection(kind: NotRunKind, reason: &'static str) -> CallerResponse {
-    CallerResponse::NotRun {
-        kind,
-        reason,
-        header: None,
-        retry_after: None,
-    }
-}
-
-/// Refused at the door, with a hint when to come back.
-pub fn retryable_rejection(reason: RequestFailureReason, retry_after: Duration) -> CallerResponse {
-    CallerResponse::NotRun {
-        kind: not_run_kind(reason),
-        reason: reason.as_str(),
-        header: None,
-        retry_after: Some(retry_after),
-    }
-}
-
-/// What a caller is told of a body that was not read.
-pub fn body_error_response(error: &BodyError) -> CallerResponse {
-    match error {
-        BodyError::TooLarge => permanent_rejection(NotRunKind::TooLarge, "body_too_large"),
-        BodyError::Interrupted | BodyError::TooSlow => {
-            permanent_rejection(NotRunKind::BadRequest, "bad_body")
-        }
-    }
-}
-
-/// What a caller is told of a transaction that has ended.
+/// The response to a request that has ended with this outcome.
 pub fn outcome_response(function: FunctionKey, outcome: RequestOutcome) -> CallerResponse {
     match outcome {
         RequestOutcome::Response {
@@ -69,8 +38,8 @@
     }
 }
 
-/// When it makes sense to ask what became of a transaction, with its own identity, or to try another:
-/// a silent holder is replaced when its grant has ended.
+/// When to retry after an unknown outcome, with the same idempotency key to learn the outcome or with another: a holder
+/// that was lost is replaced once its lease has ended.
 fn retry_after_of(reason: RequestFailureReason) -> Duration {
     match reason {
         RequestFailureReason::HolderUnreachable => Duration::from_millis(3000),
@@ -78,8 +47,8 @@
     }
 }
 
-/// That no route leads here is said only by the door, from a table in force; what a holder with another
-/// table says is no more than a reason to come back.
+/// The kind of a rejection by a holder. That no route matches is decided at the ingress only: a holder whose spec differs
+/// is a reason to retry.
 fn not_run_kind(reason: RequestFailureReason) -> NotRunKind {
     match reason {
         RequestFailureReason::RetryBudgetSpent => NotRunKind::RetryBudgetSpent,
