--- a/crates/dataplane/src/adapter/ingress.rs
+++ b/crates/dataplane/src/adapter/ingress.rs
@@ -1,16 +1,17 @@
-//! Callers' HTTP in the product's own dialect.
+//! The native HTTP protocol towards callers.
 
+use bytes::Bytes;
 use common::adapter::{CallerResponse, IngressCodec, NotRunKind};
 use common::frames::HeaderField;
 use common::http::{HttpResponse, full_body, json_response};
-use common::identity::IdempotencyKey;
+use common::identity::{FunctionKey, IdempotencyKey, RunnerId};
 use common::seal;
 use hyper::header::{CONTENT_TYPE, HeaderMap, HeaderName, HeaderValue, RETRY_AFTER};
 use hyper::{Response, StatusCode};
 use serde_json::json;
 use std::time::Duration;
 
-/// Callers' HTTP as the product itself speaks it.
+/// The native HTTP protocol towards callers.
 pub struct NativeIngressCodec;
 
 fn set_header(response: &mut HttpResponse, name: &'static str, text: &str) {
@@ -72,6 +73,29 @@
     response
 }
 
+fn runner_response(
+    function: &FunctionKey,
+    runner: RunnerId,
+    status: u16,
+    body_seal: &[u8],
+    body: Bytes,
+) -> HttpResponse {
+    let mut response = Response::new(full_body(body));
+    *response.status_mut() = StatusCode::from_u16(status).unwrap_or(StatusCode::OK);
+    response
+        .headers_mut()
+        .insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
+    set_header(&mut response, seal::OUTCOME, "answer");
+    set_header(&mut response, seal::FUNCTION, &function.to_string());
+    set_header(&mut response, seal::RUNNER, &runner.to_string());
+    set_header(
+        &mut response,
+        seal::SEAL,
+        std::str::from_utf8(body_seal).unwrap_or(""),
+    );
+    response
+}
+
 impl IngressCodec for NativeIngressCodec {
     fn idempotency_key_header(&self) -> &'static str {
         seal::IDEMPOTENCY_KEY
@@ -112,22 +136,7 @@
                 seal: body_seal,
                 body,
                 ..
-            } => {
-                let mut response = Response::new(full_body(body));
-                *response.status_mut() = StatusCode::from_u16(status).unwrap_or(StatusCode::OK);
-                response
-                    .headers_mut()
-                    .insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
-                set_header(&mut response, seal::OUTCOME, "answer");
-                set_header(&mut response, seal::FUNCTION, &function.to_string());
-                set_header(&mut response, seal::RUNNER, &runner.to_string());
-                set_header(
-                    &mut response,
-                    seal::SEAL,
-                    std::str::from_utf8(&body_seal).unwrap_or(""),
-                );
-                response
-            }
+            } => runner_response(&function, runner, status, &body_seal, body),
         };
         if let Some(idempotency_key) = idempotency_key {
             set_header(
--- a/crates/dataplane/src/adapter/mod.rs
+++ b/crates/dataplane/src/adapter/mod.rs
@@ -1,4 +1,6 @@
-//! The product's own way of speaking with callers and runners, and the three tongues that a daemon uses.
+//! The product's native HTTP protocols towards callers and runners, and the set of adapters that a daemon uses.
+//!
+//! The traits are in [`common::adapter`]; a platform can bring its own implementations.
 
 mod ingress;
 mod runner;
@@ -11,7 +13,7 @@
 use common::frames::SocketAddress;
 use std::sync::Arc;
 
-/// The tongues of one daemon.
+/// The adapters of one daemon.
 #[derive(Clone)]
 pub struct DaemonAdapters {
     /// Towards callers.
@@ -23,7 +25,7 @@
 }
 
 impl DaemonAdapters {
-    /// The product's own, with the platform at a place.
+    /// The native adapters, with the platform at this address.
     pub fn native(platform: SocketAddress) -> Self {
         Self {
             ingress: Arc::new(NativeIngressCodec),
--- a/crates/dataplane/src/adapter/runner.rs
+++ b/crates/dataplane/src/adapter/runner.rs
@@ -1,4 +1,4 @@
-//! Runners' HTTP in the product's own dialect.
+//! The native HTTP protocol towards runners.
 
 use bytes::Bytes;
 use common::adapter::{ReadinessProbe, RunnerCodec, RunnerRequest, RunnerResponse, SealKind};
@@ -9,7 +9,7 @@
 use hyper::header::{CONTENT_TYPE, HOST, HeaderMap};
 use hyper::{Method, Request, StatusCode};
 
-/// Runners' HTTP as the product itself speaks it.
+/// The native HTTP protocol towards runners.
 pub struct NativeRunnerCodec;
 
 impl RunnerCodec for NativeRunnerCodec {
