--- a/crates/dataplane/src/settings/mod.rs
+++ b/crates/dataplane/src/settings/mod.rs
@@ -1,4 +1,4 @@
-//! The daemon's boot settings.
+//! The daemon's settings, read once when the process starts.
 
 use crate::holder::{IdleCost, Tuning};
 use common::frames::SocketAddress;
@@ -9,78 +9,81 @@
 use common::ring::Regions;
 use std::time::Duration;
 
-/// What a daemon needs to know before it starts.
+/// The keys of the settings; any other is an error.
+const SETTINGS_KEYS: [&str; 27] = [
+    "member",
+    "locality",
+    "place",
+    "listen",
+    "door",
+    "seeds",
+    "platform",
+    "largest_body",
+    "grace_ms",
+    "threads",
+    "ready",
+    "beat_ms",
+    "link_mbps",
+    "warm",
+    "regions",
+    "tries_percent",
+    "tries_allowance",
+    "tries_allowance_at_once",
+    "idle_boots",
+    "idle_rare_ms",
+    "idle_stop",
+    "start_mb_s",
+    "late_mb_s",
+    "rise_ms",
+    "margin_percent",
+    "fall_ms",
+    "drain_every_ms",
+];
+
+/// The settings of a daemon.
 #[derive(Clone, Debug)]
 pub struct DaemonSettings {
-    /// Where the settings came from, for fault messages.
+    /// Where the settings came from, for error messages.
     pub source: String,
     /// Its name.
     pub member: MemberName,
     /// Its zone.
     pub zone: Zone,
-    /// Where other processes reach it, over TCP and UDP.
+    /// The address at which other processes reach it, over TCP and UDP.
     pub address: SocketAddress,
-    /// Where it listens for them, if that is another port.
+    /// The address on which it listens for them; `address` unless the settings give another.
     pub listen: SocketAddress,
-    /// Where callers reach it.
+    /// The address at which callers reach it.
     pub ingress: SocketAddress,
-    /// The three controllers' places.
+    /// The addresses of up to three controllers.
     pub seeds: Vec<SocketAddress>,
-    /// The platform.
+    /// The platform's address.
     pub platform: SocketAddress,
-    /// The largest body taken from a caller or a runner.
+    /// The largest body accepted from a caller or a runner, in bytes.
     pub max_body_bytes: usize,
-    /// How long a daemon may take to leave.
+    /// How long a graceful shutdown may take.
     pub grace: Duration,
-    /// Worker threads; zero lets the machine decide, and one does without any beside the first.
+    /// Worker threads; zero for the default number, one for a single-threaded runtime.
     pub threads: usize,
-    /// Where readiness and metrics are asked, if not at the door.
+    /// The address that serves readiness and metrics, if not the callers' listener.
     pub ready: Option<SocketAddress>,
-    /// From one heartbeat to the next.
+    /// Interval between two heartbeats.
     pub heartbeat_interval: Duration,
-    /// The machine's link in megabits a second; zero when it is not known.
+    /// The bandwidth of the machine's link in megabits per second; zero if it is not known.
     pub link_mbps: u32,
-    /// Whether functions that boot longer than their callers gladly wait are acquired before a call.
+    /// Whether functions whose start-up takes longer than their callers should wait are acquired before they are called.
     pub warm: bool,
-    /// Which regions the zones lie in.
+    /// The regions in which the zones lie.
     pub regions: Regions,
-    /// How the held functions are run.
+    /// The tuning of held functions.
     pub tuning: Tuning,
 }
 
 impl DaemonSettings {
-    /// Reads and checks the settings.
+    /// Reads and validates the settings; the error lists every faulty one.
     pub fn read(settings_source: &SettingsSource) -> Result<Self, SettingsError> {
         settings_source.read(|root| {
-            root.allow_only(&[
-                "member",
-                "locality",
-                "place",
-                "listen",
-                "door",
-                "seeds",
-                "platform",
-                "largest_body",
-                "grace_ms",
-                "threads",
-                "ready",
-                "beat_ms",
-                "link_mbps",
-                "warm",
-                "regions",
-                "tries_percent",
-                "tries_allowance",
-                "tries_allowance_at_once",
-                "idle_boots",
-                "idle_rare_ms",
-                "idle_stop",
-                "start_mb_s",
-                "late_mb_s",
-                "rise_ms",
-                "margin_percent",
-                "fall_ms",
-                "drain_every_ms",
-            ]);
+            root.allow_only(&SETTINGS_KEYS);
             let member = root.field("member").text();
             let zone = root.field("locality").text();
             let address = read_address(&root.field("place"));
@@ -125,7 +128,7 @@
     }
 }
 
-/// Reads which regions the zones lie in, as an object of texts by zone.
+/// Reads the regions of the zones: an object of strings, by zone.
 fn read_regions(reader: &PathReader<'_>) -> Regions {
     let zones = reader.fields().into_iter();
     let region_by_zone =
@@ -133,7 +136,7 @@
     Regions::new(region_by_zone.collect())
 }
 
-/// What stands for a span whose setting is faulty; the fault ends the start all the same.
+/// The value in place of a setting that is not valid; the process does not start with it, as the error is reported.
 const DEFAULT_IDLE_RARE: Duration = Duration::from_secs(1);
 
 fn read_idle_cost(root: &PathReader<'_>) -> IdleCost {
