--- a/crates/dataplane/src/agent/daemon_control/view_outputs.rs
+++ b/crates/dataplane/src/agent/daemon_control/view_outputs.rs
@@ -1,7 +1,7 @@
 //! Application of the cluster view's outputs to the agent.
 
 use super::{Agent, DaemonControl, DaemonControlOutput};
-use crate::cluster_view::ClusterViewOutput;
+use crate::cluster_view::{ClusterViewOutput, FunctionCommand};
 use common::clock::MonotonicTime;
 use common::events;
 use common::frames::{AcquireResult, Host};
@@ -45,22 +45,12 @@
             ClusterViewOutput::ServeUntil(lease_end) => self.serve_until(agent, now, lease_end),
             ClusterViewOutput::ReleaseAll => self.release_all(agent, now),
             ClusterViewOutput::Install(table) => self.install(agent, now, table),
-            ClusterViewOutput::InstallFailed(version, error) => self.log_event(
-                events::SPEC_INSTALL_FAILED,
-                format!("serial {version}: {error}"),
-            ),
+            ClusterViewOutput::InstallFailed(version, error) => {
+                let detail = format!("serial {version}: {error}");
+                self.log_event(events::SPEC_INSTALL_FAILED, detail);
+            }
             ClusterViewOutput::Hosts(alive_hosts) => self.set_hosts(agent, now, alive_hosts),
             ClusterViewOutput::LeaseGranted(terms) => self.granted(agent, now, terms),
-            ClusterViewOutput::ReclaimIdle(function, fencing_token) => {
-                self.apply_if_held(agent, &function, fencing_token, |holder| {
-                    holder.stop_if_unused(now)
-                });
-            }
-            ClusterViewOutput::ReplicaAssigned(function, fencing_token, replica) => {
-                self.apply_if_held(agent, &function, fencing_token, |holder| {
-                    holder.replica_assigned(now, replica)
-                });
-            }
             ClusterViewOutput::Acquired {
                 function,
                 result,
@@ -71,17 +61,42 @@
                 fencing_token,
                 result,
             } => self.reserved(agent, now, function, fencing_token, &result),
-            ClusterViewOutput::Revoke(function, fencing_token) => {
-                self.revoked(agent, now, &function, fencing_token)
+            ClusterViewOutput::Command(function, command) => {
+                self.apply_command(agent, now, &function, command)
+            }
+        }
+    }
+
+    /// Applies a leader's command to a held function; one about a lease that is not held is ignored.
+    fn apply_command(
+        &mut self,
+        agent: &Agent<W>,
+        now: MonotonicTime,
+        function: &FunctionKey,
+        command: FunctionCommand,
+    ) {
+        match command {
+            FunctionCommand::ReclaimIdle(fencing_token) => {
+                self.apply_if_held(agent, function, fencing_token, |holder| {
+                    holder.stop_if_unused(now)
+                });
+            }
+            FunctionCommand::ReplicaAssigned(fencing_token, replica) => {
+                self.apply_if_held(agent, function, fencing_token, |holder| {
+                    holder.replica_assigned(now, replica)
+                });
+            }
+            FunctionCommand::Revoke(fencing_token) => {
+                self.revoked(agent, now, function, fencing_token)
             }
-            ClusterViewOutput::RunnerUnlisted(function, runner) => {
-                self.apply_if_held(agent, &function, runner.fencing_token, |holder| {
+            FunctionCommand::RunnerUnlisted(runner) => {
+                self.apply_if_held(agent, function, runner.fencing_token, |holder| {
                     holder.vanished(now, runner)
                 });
             }
-            ClusterViewOutput::Drain(function, runner) => self.drain(agent, now, &function, runner),
-            ClusterViewOutput::HandOver(function, fencing_token) => {
-                self.begin_release(agent, now, &function, fencing_token)
+            FunctionCommand::Drain(runner) => self.drain(agent, now, function, runner),
+            FunctionCommand::HandOver(fencing_token) => {
+                self.begin_release(agent, now, function, fencing_token)
             }
         }
     }
--- a/crates/dataplane/src/agent/replica_requests.rs
+++ b/crates/dataplane/src/agent/replica_requests.rs
@@ -4,7 +4,7 @@
 use crate::holder::{Holder, HolderOutput};
 use crate::ledger::LedgerReplica;
 use common::clock::MonotonicTime;
-use common::frames::{DaemonMessage, Flag, Host, LengthPrefixed};
+use common::frames::{DaemonMessage, Flag, Host, LedgerRecord, LengthPrefixed};
 use common::rules::Rule;
 use std::sync::{MutexGuard, PoisonError};
 use std::time::Duration;
@@ -115,13 +115,10 @@
         now: MonotonicTime,
         replica_request: DaemonMessage,
     ) -> Option<DaemonMessage> {
+        let is_unreplicated = !self.rules.enforces(Rule::LedgerReplicatedBeforeSend);
         let mut ledger_replica = self.lock_ledger_replica();
         match replica_request {
-            DaemonMessage::Record { .. }
-                if !self.rules.enforces(Rule::LedgerReplicatedBeforeSend) =>
-            {
-                Some(recorded(true))
-            }
+            DaemonMessage::Record { .. } if is_unreplicated => Some(recorded(true)),
             DaemonMessage::Record {
                 function,
                 fencing_token,
@@ -140,10 +137,7 @@
                 incarnation,
             } => {
                 let copy = ledger_replica.collect(now, &function, fencing_token, incarnation);
-                Some(DaemonMessage::Collected {
-                    complete: Flag(copy.is_some()),
-                    records: LengthPrefixed(copy.unwrap_or_default()),
-                })
+                Some(collected(copy))
             }
             DaemonMessage::Compare {
                 function,
@@ -177,6 +171,14 @@
     }
 }
 
+/// The reply to a request for a ledger; the replica has no complete copy of it if `copy` is none.
+fn collected(copy: Option<Vec<LedgerRecord>>) -> DaemonMessage {
+    DaemonMessage::Collected {
+        complete: Flag(copy.is_some()),
+        records: LengthPrefixed(copy.unwrap_or_default()),
+    }
+}
+
 fn recorded(is_stored: bool) -> DaemonMessage {
     DaemonMessage::Recorded {
         is_stored: Flag(is_stored),
--- a/crates/dataplane/src/cluster_view/leader_frames.rs
+++ b/crates/dataplane/src/cluster_view/leader_frames.rs
@@ -1,6 +1,6 @@
 //! Handling of the leader's frames: specs, host lists, responses to requests, commands about held functions.
 
-use super::{ClusterView, ClusterViewOutput};
+use super::{ClusterView, ClusterViewOutput, FunctionCommand};
 use common::clock::MonotonicTime;
 use common::frames::{ByteString, DaemonToLeader, LeaderToDaemon, decompress};
 use common::identity::Version;
@@ -138,38 +138,35 @@
     }
 }
 
-/// The output that stands for a leader's command about a held function; none for any other frame.
+/// The command about a held function in a leader's frame; none in any other frame.
 fn function_command(frame: LeaderToDaemon) -> Option<ClusterViewOutput> {
-    match frame {
+    let (function, command) = match frame {
         LeaderToDaemon::Revoke {
             function,
             fencing_token,
-        } => Some(ClusterViewOutput::Revoke(function, fencing_token)),
-        LeaderToDaemon::Drain { function, runner } => {
-            Some(ClusterViewOutput::Drain(function, runner))
-        }
+        } => (function, FunctionCommand::Revoke(fencing_token)),
+        LeaderToDaemon::Drain { function, runner } => (function, FunctionCommand::Drain(runner)),
         LeaderToDaemon::RunnerUnlisted { function, runner } => {
-            Some(ClusterViewOutput::RunnerUnlisted(function, runner))
+            (function, FunctionCommand::RunnerUnlisted(runner))
         }
         LeaderToDaemon::HandOver {
             function,
             fencing_token,
-        } => Some(ClusterViewOutput::HandOver(function, fencing_token)),
+        } => (function, FunctionCommand::HandOver(fencing_token)),
         LeaderToDaemon::ReclaimIdle {
             function,
             fencing_token,
-        } => Some(ClusterViewOutput::ReclaimIdle(function, fencing_token)),
+        } => (function, FunctionCommand::ReclaimIdle(fencing_token)),
         LeaderToDaemon::ReplicaAssigned {
             function,
             fencing_token,
             replica,
         } => {
             let new_replica = replica.0.into_iter().next();
-            Some(ClusterViewOutput::ReplicaAssigned(
+            (
                 function,
-                fencing_token,
-                new_replica,
-            ))
+                FunctionCommand::ReplicaAssigned(fencing_token, new_replica),
+            )
         }
         LeaderToDaemon::Redirect { .. }
         | LeaderToDaemon::Welcome { .. }
@@ -179,6 +176,7 @@
         | LeaderToDaemon::Hosts { .. }
         | LeaderToDaemon::HostsDelta { .. }
         | LeaderToDaemon::Acquired { .. }
-        | LeaderToDaemon::Reserved { .. } => None,
-    }
+        | LeaderToDaemon::Reserved { .. } => return None,
+    };
+    Some(ClusterViewOutput::Command(function, command))
 }
--- a/crates/dataplane/src/cluster_view/mod.rs
+++ b/crates/dataplane/src/cluster_view/mod.rs
@@ -11,7 +11,7 @@
 mod leader_requests;
 mod outputs;
 
-pub use outputs::ClusterViewOutput;
+pub use outputs::{ClusterViewOutput, FunctionCommand};
 
 use crate::control_session::{ControlSession, ControlSessionOutput};
 use crate::failure_detector::{FailureDetector, FailureDetectorOutput};
--- a/crates/dataplane/src/cluster_view/outputs.rs
+++ b/crates/dataplane/src/cluster_view/outputs.rs
@@ -36,10 +36,6 @@
     Hosts(Vec<Host>),
     /// The lease of a function is granted to this daemon.
     LeaseGranted(LeaseTerms),
-    /// Memory is short: stop an idle function's runners.
-    ReclaimIdle(FunctionKey, FencingToken),
-    /// The daemon that keeps the replica of a function's ledger has changed; none if there is none.
-    ReplicaAssigned(FunctionKey, FencingToken, Option<Host>),
     /// An acquisition has ended.
     Acquired {
         /// The function.
@@ -58,12 +54,23 @@
         /// The leader's response.
         result: ReserveResult,
     },
+    /// The leader's command about a held function.
+    Command(FunctionKey, FunctionCommand),
+}
+
+/// A leader's command about one held function. Except for runners, whose ids contain it, each names the fencing token of
+/// the lease that it is about; a command about another lease is ignored.
+pub enum FunctionCommand {
+    /// Memory is short: stop an idle function's runners.
+    ReclaimIdle(FencingToken),
+    /// The daemon that keeps the replica of a function's ledger has changed; none if there is none.
+    ReplicaAssigned(FencingToken, Option<Host>),
     /// The function lease is not valid: close the function.
-    Revoke(FunctionKey, FencingToken),
+    Revoke(FencingToken),
     /// Send a runner no further requests, and stop it once it is idle.
-    Drain(FunctionKey, RunnerId),
+    Drain(RunnerId),
     /// The platform no longer lists a runner.
-    RunnerUnlisted(FunctionKey, RunnerId),
+    RunnerUnlisted(RunnerId),
     /// Release a function so that another daemon can hold it.
-    HandOver(FunctionKey, FencingToken),
+    HandOver(FencingToken),
 }
