--- a/crates/dataplane/tests/agent.rs
+++ b/crates/dataplane/tests/agent.rs
@@ -1,4 +1,4 @@
-//! One daemon's own decisions, fed by hand: last looks, serials, what is told at once.
+//! One daemon's decisions under a clock set by the test: checks before a send, spec versions, immediate rejections.
 
 use common::adapter::{RunnerResponse, SealKind};
 use common::clock::MonotonicTime;
@@ -44,7 +44,7 @@
     }
 }
 
-/// A document in which the route goes to one of two functions, or nowhere.
+/// A document whose route leads to one of two functions, or that has no route.
 fn document(version: u64, function: &str) -> Document {
     document_of(version, function, "repeatable")
 }
@@ -72,7 +72,7 @@
     frame_of(document(version, function))
 }
 
-/// The route may be run only once from now on.
+/// A spec in which the route's requests may be run at most once.
 fn once_frame(version: u64) -> LeaderToDaemon {
     frame_of(document_of(version, "f", "once"))
 }
@@ -477,7 +477,7 @@
     )
 }
 
-/// An answer as a runner gives it whose seal only the caller can check.
+/// The response of a runner whose seal only the caller can check.
 fn response_with_carried_seal(status: u16) -> RunnerResponse {
     RunnerResponse {
         status,
@@ -640,7 +640,7 @@
     Ok(())
 }
 
-/// A daemon that has passed a transaction on, and whose holder refused it by another spec.
+/// A daemon that has forwarded a request, and whose holder has rejected it by another spec.
 fn spec_mismatch() -> (DaemonBench, Forwarding, ForwardingStep<u64>) {
     let mut bench = DaemonBench::new(Rules::ALL_ENFORCED);
     bench.receive(spec_frame(3, "f"));
@@ -734,7 +734,7 @@
 }
 
 impl DaemonBench {
-    /// Serving, among others.
+    /// A serving daemon, with other daemons on its host list.
     fn serving_with(others: Vec<Host>) -> Self {
         let mut bench = DaemonBench::new(Rules::ALL_ENFORCED);
         bench.receive(spec_frame(3, "f"));
@@ -923,8 +923,8 @@
     matches!(step, ForwardingStep::End(outcome, _) if *outcome == suspected)
 }
 
-/// Were daemons on the way to repeat what was lost behind them, a transaction would reach more runners
-/// than its route allows: each of them would do so for each pass of the one before.
+/// If the daemons on the way retried what was lost behind them, a request would reach more runners than its route allows:
+/// each would multiply the attempts of the one before.
 #[gtest]
 fn only_the_ingress_daemon_retries_a_lost_request() -> Result<()> {
     let holder = remote_host("daemon-2", 4);
@@ -997,8 +997,8 @@
 
 const LATE_LEASE: FencingToken = FencingToken(2 << 32 | 1);
 
-/// A daemon that asked for a function, gave everything up as its lease ended, and was renewed after it; with the
-/// number of its question.
+/// A daemon that requested a function, released everything as its lease ended, and has a new lease; with the correlation
+/// id of its request.
 fn renewed_after_release(rules: Rules) -> (DaemonBench, CorrelationId) {
     let mut bench = DaemonBench::new(rules);
     bench.receive(spec_frame(2, "f"));
@@ -1031,8 +1031,8 @@
     (bench, acquire_request)
 }
 
-/// What a daemon makes of a grant that answers a question from before its lease ended, after which it had told the
-/// leader that it holds nothing: whether it holds the function, and whether it gives it back.
+/// How a daemon handles a function lease that was requested before its session lease ended, after which it had claimed
+/// no function: whether it holds the function, and whether it releases it.
 fn leased_after_release(rules: Rules) -> (bool, bool) {
     let (mut bench, acquire_request) = renewed_after_release(rules);
     let function = bench.key("f");
@@ -1052,7 +1052,7 @@
     )
 }
 
-/// The leader names a standing grant again to a question that crossed the word that it was given back.
+/// The leader grants a lease again in response to a request that crossed the lease's release.
 #[gtest]
 fn a_released_lease_is_not_accepted_from_a_later_answer() -> Result<()> {
     let (mut bench, acquire_request) = renewed_after_release(Rules::ALL_ENFORCED);
--- a/crates/dataplane/tests/control_session.rs
+++ b/crates/dataplane/tests/control_session.rs
@@ -1,4 +1,4 @@
-//! A daemon's member grant, its search for the leader, and whom it counts as alive.
+//! The session lease of a daemon, and its search for the leader.
 
 use common::clock::MonotonicTime;
 use common::frames::{DaemonToLeader, Flag, Host, LeaderToDaemon, SocketAddress};
@@ -138,7 +138,7 @@
     verify_that!(later_addresses.contains(&first_address), eq(false))
 }
 
-/// How long after the first dial a controller is dialed again that was without power then, and that the others name
+/// How long after the first dial a controller is dialed again that was powered off at the time, and that the others name
 /// as the leader as soon as it is back.
 fn leader_dialed_again_after(rules: Rules) -> Duration {
     let mut control_session = control_session().with_rules(rules);
@@ -196,7 +196,7 @@
     verify_that!(dialed(&paused.tick(START + ms(61))), some(anything()))
 }
 
-/// A leader that another has followed may still give what that one gives to others.
+/// A leader that was succeeded by another might grant what its successor has granted to others.
 #[gtest]
 fn a_leader_of_an_earlier_term_is_refused() -> Result<()> {
     let mut control_session = control_session();
--- a/crates/dataplane/tests/failure_detector.rs
+++ b/crates/dataplane/tests/failure_detector.rs
@@ -1,4 +1,4 @@
-//! Who is alive: heartbeats that name nobody, suspicions that reach all, refutations that end them.
+//! Which members count as alive: by heartbeats, by suspicions that reach every daemon, and by refutations.
 
 use common::clock::MonotonicTime;
 use common::frames::{
@@ -37,7 +37,7 @@
     }
 }
 
-fn instance(number: usize, incarnation: u64) -> MemberIncarnation {
+fn incarnation_of(number: usize, incarnation: u64) -> MemberIncarnation {
     MemberIncarnation {
         member: format!("th-{number}").into(),
         incarnation: incarnation.into(),
@@ -48,7 +48,7 @@
     let MemberIncarnation {
         member,
         incarnation,
-    } = instance(number, incarnation);
+    } = incarnation_of(number, incarnation);
     Heartbeat {
         member,
         incarnation,
@@ -65,7 +65,7 @@
         .collect()
 }
 
-/// A fleet of watches under virtual time, with a leader that believes every word it is told.
+/// A fleet of failure detectors under virtual time, with a leader that believes every report.
 struct Fleet {
     detectors: Vec<Option<FailureDetector>>,
     hosts: Vec<Host>,
@@ -130,12 +130,12 @@
                 .unwrap_or_default();
             for output in outputs {
                 match output {
-                    FailureDetectorOutput::MemberSuspected(instance) => {
+                    FailureDetectorOutput::MemberSuspected(incarnation) => {
                         self.suspicion_reports += 1;
-                        self.reported_suspected.insert(instance);
+                        self.reported_suspected.insert(incarnation);
                     }
-                    FailureDetectorOutput::MemberRecovered(instance) => {
-                        self.reported_suspected.remove(&instance);
+                    FailureDetectorOutput::MemberRecovered(incarnation) => {
+                        self.reported_suspected.remove(&incarnation);
                     }
                     FailureDetectorOutput::HeartbeatDatagram(heartbeat, addresses) => {
                         self.deliver(number, &heartbeat, &addresses)
@@ -255,7 +255,9 @@
     )?;
     verify_that!(
         failure_detector.tick(late),
-        contains(eq(&FailureDetectorOutput::MemberRecovered(instance(2, 5))))
+        contains(eq(&FailureDetectorOutput::MemberRecovered(incarnation_of(
+            2, 5
+        ))))
     )?;
     verify_that!(alive_members(&failure_detector, late).len(), eq(2))
 }
@@ -266,7 +268,7 @@
     failure_detector.set_host_list(START, 1, vec![host(1, 1), host(2, 5)], Vec::new());
     failure_detector.tick(START);
     let suspicion = Suspicion {
-        instance: instance(1, 1),
+        instance: incarnation_of(1, 1),
         remaining_relays: MAX_RELAYS,
     };
     failure_detector.received(START + ms(20), &heartbeat(2, 5, vec![suspicion]));
@@ -279,11 +281,13 @@
         2,
         Vec::new(),
         Vec::new(),
-        vec![instance(1, 1)],
+        vec![incarnation_of(1, 1)],
     );
     verify_that!(
         failure_detector.tick(START + ms(40)),
-        contains(eq(&FailureDetectorOutput::MemberRecovered(instance(1, 1))))
+        contains(eq(&FailureDetectorOutput::MemberRecovered(incarnation_of(
+            1, 1
+        ))))
     )
 }
 
@@ -294,7 +298,7 @@
     failure_detector.set_host_list(START, 1, hosts, Vec::new());
     failure_detector.tick(START);
     let suspicion = Suspicion {
-        instance: instance(5, 1),
+        instance: incarnation_of(5, 1),
         remaining_relays: 1,
     };
     failure_detector.received(START, &heartbeat(2, 1, vec![suspicion]));
--- a/crates/dataplane/tests/http_forms.rs
+++ b/crates/dataplane/tests/http_forms.rs
@@ -1,4 +1,4 @@
-//! Callers' and runners' HTTP in the product's own words: the bytes of every response and request, and what is read.
+//! The native HTTP protocols towards callers and runners: the bytes of every response and request, and what is read.
 
 #[path = "../../../testing/support/forms.rs"]
 mod forms;
@@ -57,7 +57,7 @@
     SocketAddress(text.parse().expect("an address"))
 }
 
-/// Every reason there is, by its number on the wire.
+/// All reasons, by their number on the wire.
 fn reasons() -> Vec<(u8, RequestFailureReason)> {
     let read = |number: u8| {
         decode::<RequestFailureReason>(&[number])
@@ -80,7 +80,7 @@
     }
 }
 
-/// The response to every outcome that a door can be told to say.
+/// The response to every outcome that the ingress codec can encode.
 #[tokio::test]
 async fn every_outcome_has_its_response() {
     let mut text = String::new();
@@ -157,7 +157,7 @@
     check("door_responses.txt", &text);
 }
 
-/// A connector to one other daemon, which ends every transaction in one way.
+/// A connector to one other daemon, which ends every request with the same outcome.
 struct OneDaemon {
     outcome: RequestOutcome,
 }
@@ -221,7 +221,7 @@
     RoutingTable::build(&document.view()).expect("a table")
 }
 
-/// A daemon that takes callers, beside one that holds the function and ends every transaction in one way.
+/// A daemon that receives callers, and another that holds the function and ends every request with the same outcome.
 fn daemon(outcome: RequestOutcome, is_serving: bool) -> Arc<State> {
     let settings = json!({
         "member": "daemon-2", "locality": "here", "place": "10.0.0.2:7000", "door": "10.0.0.2:8080",
@@ -259,8 +259,8 @@
 const GOOD: &str = "POST /pay HTTP/1.1\nhost: h\nrudder-transaction: try-1\nrudder-budget-ms: 3000\n\
                     content-length: 2\nconnection: close\n\n{}";
 
-/// The statuses and hints that callers get for each reason of each outcome, from the outcome of the function's holder
-/// to the bytes of the response.
+/// The statuses and retry times that callers get for each reason of each outcome, from the outcome of the function's
+/// holder to the bytes of the response.
 #[tokio::test]
 async fn every_reason_reaches_the_caller_as_before() {
     let mut text = String::new();
@@ -276,7 +276,7 @@
             ("unknown", RequestOutcome::Unknown { reason }),
         ];
         for (outcome_name, outcome) in outcomes {
-            // A daemon that says it is no holder is asked again until the budget ends.
+            // A daemon that is not the holder is tried again until the deadline.
             let is_asked_again = reason == RequestFailureReason::NotHolder;
             let budget = if is_asked_again { "800" } else { "3000" };
             let message = answered(&daemon(outcome, true), &GOOD.replace("3000", budget)).await;
@@ -290,7 +290,7 @@
     check("caller_outcomes.txt", &text);
 }
 
-/// What is counted of each request, with the labels that operators draw by.
+/// What is counted of each request, with the labels on which operators' dashboards rely.
 #[tokio::test]
 async fn every_end_is_counted_under_its_labels() {
     let mut text = String::new();
--- a/crates/dataplane/tests/owners.rs
+++ b/crates/dataplane/tests/owners.rs
@@ -1,4 +1,4 @@
-//! The source's four rules on the ordinary path, as far as one daemon decides them.
+//! The four rules by which a request finds its holder (docs/design/four-rules.md), as far as one daemon decides them.
 
 use common::frames::{Flag, Host, SocketAddress};
 use common::identity::{FunctionKey, MemberName, Version};
--- a/crates/dataplane/tests/regional.rs
+++ b/crates/dataplane/tests/regional.rs
@@ -1,5 +1,5 @@
-//! Regions whose callers keep a runner of their own busy are served under a key of their own, and go back to the holder
-//! for all regions when that one cannot serve.
+//! Regional keys: a region whose callers keep a runner of their own busy is served under a key of its own, and falls back
+//! to the holder for all regions if that cannot serve.
 
 use common::adapter::StartOutcome;
 use common::clock::MonotonicTime;
@@ -40,7 +40,7 @@
     Region::from("west")
 }
 
-/// A holder whose runners are ready when they are told to be, and take a tenth of a second for a call.
+/// A holder whose runners become ready when the test has them do so, and take 100 ms per request.
 struct HolderBench {
     holder: Holder,
     now: MonotonicTime,
@@ -165,7 +165,7 @@
         at_once
     }
 
-    /// Calls from the west, so many a second, for a while.
+    /// Requests from the west at a constant rate, for `span`.
     fn enter_requests_from_west(&mut self, per_second: u64, span: Duration, recorded: bool) {
         let interval = ms(1000 / per_second);
         let end = self.now + span;
@@ -285,7 +285,7 @@
     )
 }
 
-/// A caller's daemon in the west, serving, with another one there and one in the east.
+/// A serving caller's daemon in the west, with another daemon there and one in the east.
 struct IngressDaemon {
     agent: Agent<u64>,
     now: MonotonicTime,
@@ -360,7 +360,7 @@
         Forwarding::new(self.now, request)
     }
 
-    /// The key that a request is asked for under now.
+    /// The key under which a request is forwarded now.
     fn requested_key(&self) -> FunctionKey {
         let mut forwarding = self.forwarding();
         forwarding.advance(&self.agent, self.now);
--- a/crates/dataplane/tests/warm.rs
+++ b/crates/dataplane/tests/warm.rs
@@ -1,4 +1,4 @@
-//! Functions that boot longer than their callers gladly wait get an owner before they are called.
+//! Functions whose start-up takes longer than their callers should wait are acquired before they are called.
 
 use common::clock::MonotonicTime;
 use common::frames::{Flag, Host, SocketAddress};
@@ -30,7 +30,7 @@
         .collect()
 }
 
-/// Twelve functions that boot for 800 ms; the odd ones' callers gladly wait for a second.
+/// Twelve functions with a start-up of 800 ms; the target latency of the odd ones is a second.
 fn table() -> RoutingTable {
     let mut functions = serde_json::Map::new();
     let mut routes = serde_json::Map::new();
