--- a/crates/dataplane/src/agent/in_flight.rs
+++ b/crates/dataplane/src/agent/in_flight.rs
@@ -12,7 +12,7 @@
 
 impl InFlightRequests {
     /// No request is in flight.
-    pub fn new() -> Self {
+    pub(crate) fn new() -> Self {
         Self {
             count: Arc::new(AtomicUsize::new(0)),
             next_ticket: AtomicU64::new(1),
@@ -20,18 +20,18 @@
     }
 
     /// A ticket that is unique in this process.
-    pub fn ticket(&self) -> Ticket {
+    pub(crate) fn ticket(&self) -> Ticket {
         Ticket(self.next_ticket.fetch_add(1, Ordering::Relaxed))
     }
 
     /// Counts a request until the guard is dropped.
-    pub fn track(&self) -> InFlightGuard {
+    pub(crate) fn track(&self) -> InFlightGuard {
         self.count.fetch_add(1, Ordering::AcqRel);
         InFlightGuard(self.count.clone())
     }
 
     /// Whether no request is in flight.
-    pub fn is_empty(&self) -> bool {
+    pub(crate) fn is_empty(&self) -> bool {
         self.count.load(Ordering::Acquire) == 0
     }
 }
--- a/crates/dataplane/src/agent/owner_cache.rs
+++ b/crates/dataplane/src/agent/owner_cache.rs
@@ -12,17 +12,17 @@
 
 impl OwnerCache {
     /// An empty cache.
-    pub fn new() -> Self {
+    pub(crate) fn new() -> Self {
         Self(ArcSwap::from_pointee(BTreeMap::new()))
     }
 
     /// The owners as they are now.
-    pub fn load(&self) -> Guard<Arc<BTreeMap<FunctionKey, Host>>> {
+    pub(crate) fn load(&self) -> Guard<Arc<BTreeMap<FunctionKey, Host>>> {
         self.0.load()
     }
 
     /// Records an owner.
-    pub fn insert(&self, function: &FunctionKey, owner: &Host) {
+    pub(crate) fn insert(&self, function: &FunctionKey, owner: &Host) {
         let is_known = self.0.load().get(function) == Some(owner);
         if !is_known {
             self.0.rcu(|owners| {
@@ -34,7 +34,7 @@
     }
 
     /// Drops the owner of a function.
-    pub fn evict(&self, function: &FunctionKey) {
+    pub(crate) fn evict(&self, function: &FunctionKey) {
         if self.0.load().contains_key(function) {
             self.0.rcu(|owners| {
                 let mut changed_owners = BTreeMap::clone(owners);
@@ -45,7 +45,7 @@
     }
 
     /// Drops all owners.
-    pub fn clear(&self) {
+    pub(crate) fn clear(&self) {
         self.0.store(Arc::new(BTreeMap::new()));
     }
 }
--- a/crates/dataplane/src/agent/regional.rs
+++ b/crates/dataplane/src/agent/regional.rs
@@ -41,7 +41,7 @@
 
 impl RegionalKeys {
     /// No regions, and no regional keys.
-    pub fn new() -> Self {
+    pub(crate) fn new() -> Self {
         Self {
             regions: Regions::default(),
             uses: ArcSwap::from_pointee(RegionalKeyUses::new()),
--- a/crates/dataplane/src/control_session/controllers.rs
+++ b/crates/dataplane/src/control_session/controllers.rs
@@ -26,7 +26,7 @@
 
 impl Controllers {
     /// The controllers at the seed addresses; the one at `first_index` counts as tried already.
-    pub fn new(seeds: Vec<SocketAddress>, first_index: usize) -> Self {
+    pub(crate) fn new(seeds: Vec<SocketAddress>, first_index: usize) -> Self {
         Self {
             addresses: seeds.clone(),
             seeds,
@@ -38,7 +38,7 @@
     }
 
     /// Replaces the seeds; controllers known from the spec remain. An empty list is ignored.
-    pub fn set_seeds(&mut self, seeds: Vec<SocketAddress>) {
+    pub(crate) fn set_seeds(&mut self, seeds: Vec<SocketAddress>) {
         if seeds.is_empty() {
             return;
         }
@@ -54,19 +54,19 @@
     }
 
     /// Sets the voters that an installed spec names; the seeds remain as further candidates.
-    pub fn set_voters(&mut self, voters: &[SocketAddress]) {
+    pub(crate) fn set_voters(&mut self, voters: &[SocketAddress]) {
         self.addresses = voters.to_vec();
         let other_seeds = self.seeds.iter().filter(|seed| !voters.contains(seed));
         self.addresses.extend(other_seeds);
     }
 
     /// Sets the leader that a redirect names, if it names one.
-    pub fn set_hinted_leader(&mut self, leader: Option<SocketAddress>) {
+    pub(crate) fn set_hinted_leader(&mut self, leader: Option<SocketAddress>) {
         self.hinted_leader = leader;
     }
 
     /// Whether there is a hinted leader that may be dialed now.
-    pub fn has_usable_hint(
+    pub(crate) fn has_usable_hint(
         &self,
         now: MonotonicTime,
         timing: &ControlSessionTiming,
@@ -77,7 +77,7 @@
     }
 
     /// Chooses the controller to dial: a hinted leader first, else the next in turn that is not in backoff.
-    pub fn choose(
+    pub(crate) fn choose(
         &mut self,
         now: MonotonicTime,
         timing: &ControlSessionTiming,
@@ -109,7 +109,7 @@
     }
 
     /// Puts the controller that was dialed last into backoff.
-    pub fn mark_dialed_unreachable(&mut self, now: MonotonicTime, was_reached: bool) {
+    pub(crate) fn mark_dialed_unreachable(&mut self, now: MonotonicTime, was_reached: bool) {
         self.unreachable = Some(UnreachableController {
             address: self.dialed,
             since: now,
--- a/crates/dataplane/src/control_session/session_lease.rs
+++ b/crates/dataplane/src/control_session/session_lease.rs
@@ -21,7 +21,7 @@
 
 impl SessionLease {
     /// When the lease ends or ended; zero if none was granted.
-    pub fn end(self) -> MonotonicTime {
+    pub(crate) fn end(self) -> MonotonicTime {
         match self {
             Self::Never => MonotonicTime::ZERO,
             Self::Active { end } | Self::Ended { end } => end,
@@ -29,7 +29,7 @@
     }
 
     /// When the lease ends, while it is active.
-    pub fn active_until(self) -> Option<MonotonicTime> {
+    pub(crate) fn active_until(self) -> Option<MonotonicTime> {
         match self {
             Self::Active { end } => Some(end),
             Self::Never | Self::Ended { .. } => None,
@@ -37,12 +37,12 @@
     }
 
     /// Whether a lease was granted since the process started.
-    pub fn was_ever_granted(self) -> bool {
+    pub(crate) fn was_ever_granted(self) -> bool {
         !matches!(self, Self::Never)
     }
 
     /// Extends the lease up to `new_end`; false if that is past or no later than the known end.
-    pub fn extend(&mut self, now: MonotonicTime, new_end: MonotonicTime) -> bool {
+    pub(crate) fn extend(&mut self, now: MonotonicTime, new_end: MonotonicTime) -> bool {
         let is_extended = new_end > self.end() && new_end > now;
         if is_extended {
             *self = Self::Active { end: new_end };
@@ -51,7 +51,7 @@
     }
 
     /// Ends the lease if its time is up; true once for each lease that ends.
-    pub fn end_if_due(&mut self, now: MonotonicTime) -> bool {
+    pub(crate) fn end_if_due(&mut self, now: MonotonicTime) -> bool {
         match *self {
             Self::Active { end } if now >= end => {
                 *self = Self::Ended { end };
--- a/crates/dataplane/src/failure_detector/suspicion.rs
+++ b/crates/dataplane/src/failure_detector/suspicion.rs
@@ -36,7 +36,7 @@
 
 impl PeerSuspicions {
     /// Records a suspicion that another daemon has sent.
-    pub fn received(&mut self, now: MonotonicTime, suspicion: &Suspicion) {
+    pub(crate) fn received(&mut self, now: MonotonicTime, suspicion: &Suspicion) {
         let remaining_relays = suspicion.remaining_relays.min(MAX_RELAYS).saturating_sub(1);
         self.records
             .entry(suspicion.instance.clone())
@@ -51,23 +51,23 @@
     }
 
     /// Drops the suspicion of a member whose heartbeat has arrived.
-    pub fn forget(&mut self, incarnation: &MemberIncarnation) {
+    pub(crate) fn forget(&mut self, incarnation: &MemberIncarnation) {
         self.records.remove(incarnation);
     }
 
     /// Drops suspicions that were not repeated for `span`.
-    pub fn expire(&mut self, now: MonotonicTime, span: Duration) {
+    pub(crate) fn expire(&mut self, now: MonotonicTime, span: Duration) {
         self.records
             .retain(|_, record| now.since(record.last_received_at) < span);
     }
 
     /// Whether another daemon suspects this member.
-    pub fn contains(&self, incarnation: &MemberIncarnation) -> bool {
+    pub(crate) fn contains(&self, incarnation: &MemberIncarnation) -> bool {
         self.records.contains_key(incarnation)
     }
 
     /// The suspicions to be relayed with this daemon's own heartbeat.
-    pub fn forwarded(&self) -> impl Iterator<Item = Suspicion> {
+    pub(crate) fn forwarded(&self) -> impl Iterator<Item = Suspicion> {
         self.records
             .iter()
             .filter(|(_, record)| record.remaining_relays > 0)
--- a/crates/dataplane/src/request_pipeline/ingress_request.rs
+++ b/crates/dataplane/src/request_pipeline/ingress_request.rs
@@ -18,7 +18,7 @@
 
 /// A request at the daemon that received it from its caller. Dropped without [`IngressRequest::finish`], it counts as
 /// abandoned.
-pub struct IngressRequest<'a> {
+pub(crate) struct IngressRequest<'a> {
     state: &'a State,
     /// When its head was read.
     pub started_at: MonotonicTime,
@@ -35,7 +35,7 @@
 
 impl<'a> IngressRequest<'a> {
     /// A request whose head has just been read.
-    pub fn new(state: &'a State) -> Self {
+    pub(crate) fn new(state: &'a State) -> Self {
         Self {
             state,
             started_at: MonotonicTime::now(),
@@ -48,7 +48,7 @@
     }
 
     /// Counts how the request ended, logs it if no runner responded, and encodes the response.
-    pub fn finish(mut self, caller_response: CallerResponse) -> HttpResponse {
+    pub(crate) fn finish(mut self, caller_response: CallerResponse) -> HttpResponse {
         self.is_finished = true;
         let now = MonotonicTime::now();
         let (outcome, reason) = match &caller_response {
--- a/crates/dataplane/src/request_pipeline/request_checks.rs
+++ b/crates/dataplane/src/request_pipeline/request_checks.rs
@@ -65,7 +65,7 @@
 const MAX_IDEMPOTENCY_KEY_LENGTH: usize = 128;
 
 /// Reads the idempotency key: letters, digits and `-_.:`, at most 128 of them.
-pub fn parse_idempotency_key(
+pub(crate) fn parse_idempotency_key(
     ingress: &dyn IngressCodec,
     headers: &HeaderMap,
 ) -> Result<IdempotencyKey, RequestRejection> {
@@ -81,7 +81,7 @@
 }
 
 /// Reads how long the caller waits: an integer of milliseconds, from 1 to 60 000.
-pub fn parse_timeout(
+pub(crate) fn parse_timeout(
     ingress: &dyn IngressCodec,
     headers: &HeaderMap,
 ) -> Result<Duration, RequestRejection> {
@@ -95,7 +95,7 @@
 }
 
 /// Rejects a body whose announced length is too large, before any of it is read.
-pub fn check_content_length(
+pub(crate) fn check_content_length(
     headers: &HeaderMap,
     max_body_bytes: usize,
 ) -> Result<(), RequestRejection> {
--- a/crates/dataplane/src/request_pipeline/responses.rs
+++ b/crates/dataplane/src/request_pipeline/responses.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 /// The response to a request that has ended with this outcome.
-pub fn outcome_response(function: FunctionKey, outcome: RequestOutcome) -> CallerResponse {
+pub(crate) fn outcome_response(function: FunctionKey, outcome: RequestOutcome) -> CallerResponse {
     match outcome {
         RequestOutcome::Response {
             status,
