--- a/crates/dataplane/src/agent/forwarding/mod.rs
+++ b/crates/dataplane/src/agent/forwarding/mod.rs
@@ -25,7 +25,7 @@
 use common::rules::Rule;
 use common::spec::{RouteSpec, RoutingTable};
 use std::time::Duration;
-use step::{not_holder_outcome, refused_step};
+use step::{not_holder_outcome, rejected_step};
 
 /// How much of the time to the deadline is reserved for each hop, there and back, so that a rejection at the last moment
 /// still arrives.
@@ -64,7 +64,7 @@
     spec_deadline: MonotonicTime,
     /// Until when a holder is sought; none before the search starts.
     give_up_at: Option<MonotonicTime>,
-    /// The leader is not asked before this time.
+    /// No acquisition is requested before this time.
     acquire_not_before: MonotonicTime,
     /// When the function can be ready, by the wait that the leader has announced.
     retry_at: Option<MonotonicTime>,
@@ -121,7 +121,7 @@
 
     fn next_step<W>(&mut self, agent: &Agent<W>, now: MonotonicTime) -> ForwardingStep<W> {
         if !agent.is_serving(now) {
-            return refused_step(
+            return rejected_step(
                 RequestFailureReason::NotServing,
                 agent.not_serving_retry_after(),
             );
@@ -157,7 +157,7 @@
             (LookupStep::Forward(host), _) => self.forward_step(agent, now, host),
             (LookupStep::Acquire, _) => self.acquire_step(now, give_up_at),
             (LookupStep::NotHolder, _) => {
-                refused_step(RequestFailureReason::NotHolder, NOT_HOLDER_RETRY_AFTER)
+                rejected_step(RequestFailureReason::NotHolder, NOT_HOLDER_RETRY_AFTER)
             }
             (LookupStep::NoEligibleHost, _)
                 if self.leave_regional_key(agent, now, REGIONAL_LOST_BACKOFF) =>
@@ -185,7 +185,7 @@
         Some(if now < wait_until {
             ForwardingStep::Wait { wait_until }
         } else {
-            refused_step(RequestFailureReason::NotAllowed, SPEC_MISMATCH_RETRY_AFTER)
+            rejected_step(RequestFailureReason::NotAllowed, SPEC_MISMATCH_RETRY_AFTER)
         })
     }
 
@@ -198,7 +198,7 @@
                 wait_until: self.spec_deadline,
             }
         } else {
-            refused_step(RequestFailureReason::NotAllowed, UNKNOWN_ROUTE_RETRY_AFTER)
+            rejected_step(RequestFailureReason::NotAllowed, UNKNOWN_ROUTE_RETRY_AFTER)
         }
     }
 
@@ -282,7 +282,7 @@
 
     fn no_owner_step<W>(&self, now: MonotonicTime) -> ForwardingStep<W> {
         let known_wait = self.retry_at.map(|retry_at| retry_at.since(now));
-        refused_step(
+        rejected_step(
             RequestFailureReason::NoOwner,
             known_wait
                 .unwrap_or(NO_OWNER_RETRY_AFTER)
--- a/crates/dataplane/src/agent/forwarding/step.rs
+++ b/crates/dataplane/src/agent/forwarding/step.rs
@@ -47,7 +47,7 @@
 }
 
 /// The end of a request that was not run, with the time after which to retry.
-pub(super) fn refused_step<W>(
+pub(super) fn rejected_step<W>(
     reason: RequestFailureReason,
     retry_after: Duration,
 ) -> ForwardingStep<W> {
--- a/crates/dataplane/src/agent/forwarding/step_results.rs
+++ b/crates/dataplane/src/agent/forwarding/step_results.rs
@@ -1,6 +1,6 @@
 //! What follows from the result of a step: of the holder here, of another daemon, or of the leader.
 
-use super::step::{not_holder_outcome, refused_step};
+use super::step::{not_holder_outcome, rejected_step};
 use super::{
     Agent, ForwardResult, Forwarding, ForwardingStep, HOP_TIME_RESERVE, MAX_SPEC_MISMATCHES,
     NOT_HOLDER_RETRY_AFTER, REGIONAL_LOST_BACKOFF, REGIONAL_UNREADY_BACKOFF, RETRY_BACKOFF,
@@ -20,13 +20,13 @@
     ) -> ForwardingStep<W> {
         self.spec_mismatch_count += 1;
         if self.spec_mismatch_count > MAX_SPEC_MISMATCHES {
-            return refused_step(RequestFailureReason::NotAllowed, SPEC_MISMATCH_RETRY_AFTER);
+            return rejected_step(RequestFailureReason::NotAllowed, SPEC_MISMATCH_RETRY_AFTER);
         }
         self.spec_mismatch_until = Some(now + SPEC_MISMATCH_TIMEOUT);
         self.advance(agent, now)
     }
 
-    /// Waits for a moment before the leader is asked again.
+    /// Waits for a moment before the next acquisition.
     fn back_off<W>(&mut self, now: MonotonicTime) -> ForwardingStep<W> {
         self.acquire_not_before = now + RETRY_BACKOFF;
         ForwardingStep::Wait {
@@ -140,7 +140,7 @@
         if is_ingress_daemon {
             self.back_off(now)
         } else {
-            refused_step(RequestFailureReason::NotHolder, NOT_HOLDER_RETRY_AFTER)
+            rejected_step(RequestFailureReason::NotHolder, NOT_HOLDER_RETRY_AFTER)
         }
     }
 
--- a/crates/dataplane/src/agent/owner_cache.rs
+++ b/crates/dataplane/src/agent/owner_cache.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// A cache of functions' owners. It is a hint only: an owner that no longer holds the function says so, and is then
+/// A cache of functions' owners. It is a hint only: an owner that no longer holds the function declines, and is then
 /// evicted. Reads take no lock; a change copies the map.
 pub(super) struct OwnerCache(ArcSwap<BTreeMap<FunctionKey, Host>>);
 
--- a/crates/dataplane/src/agent/regional.rs
+++ b/crates/dataplane/src/agent/regional.rs
@@ -107,14 +107,14 @@
     pub fn handle_regional_hint(
         &self,
         now: MonotonicTime,
-        responding_key: &FunctionKey,
+        served_key: &FunctionKey,
         regional_tenths: u8,
     ) -> bool {
-        let all_regions = responding_key.all_regions();
+        let all_regions = served_key.all_regions();
         let current_use = self.regional_keys.uses.load().get(&all_regions).copied();
         match (current_use, regional_tenths) {
-            (Some(_), 0) if responding_key.is_regional() => self.regional_keys.remove(&all_regions),
-            (Some(known_use), 1..) if responding_key.is_regional() => {
+            (Some(_), 0) if served_key.is_regional() => self.regional_keys.remove(&all_regions),
+            (Some(known_use), 1..) if served_key.is_regional() => {
                 let is_due =
                     known_use.until.since(now) < KEY_USE_TIMEOUT.saturating_sub(KEY_USE_RENEWAL);
                 if is_due {
