--- a/crates/dataplane/tests/agent.rs
+++ b/crates/dataplane/tests/agent.rs
@@ -358,7 +358,7 @@
     forwarding.advance(&bench.agent, bench.now);
     let ForwardingStep::Wait { wait_until } = forwarding.served(&bench.agent, bench.now, declined)
     else {
-        return fail!("a transaction that was turned away is not looked at again");
+        return fail!("a declined request is not looked up again");
     };
     verify_that!(wait_until, gt(bench.now))?;
     let early_step = forwarding.advance(&bench.agent, bench.now + ms(1));
@@ -505,7 +505,7 @@
     let other_name = || "other".to_owned();
     let cases: Vec<(&str, RunnerResponse, &str)> = vec![
         (
-            "whole and sealed",
+            "complete and sealed",
             response_with_carried_seal(200),
             "answered",
         ),
@@ -601,12 +601,12 @@
             "lost",
         ),
         (
-            "ran, yet says what promises the contrary",
+            "ran, yet has a status that assures the contrary",
             response_with_carried_seal(503),
             "lost",
         ),
         (
-            "ran, yet asks to come back",
+            "ran, yet asks for a retry",
             response_with_carried_seal(429),
             "lost",
         ),
@@ -664,7 +664,7 @@
 fn ingress_looks_up_again_once_it_has_the_holders_newer_spec() -> Result<()> {
     let (mut bench, mut forwarding, step) = spec_mismatch();
     let ForwardingStep::Wait { wait_until } = step else {
-        return fail!("the door does not wait");
+        return fail!("the ingress daemon does not wait");
     };
     verify_that!(wait_until, eq(bench.now + ms(300)))?;
     let unchanged = forwarding.advance(&bench.agent, bench.now + ms(100));
@@ -770,9 +770,9 @@
     let holder = remote_host("daemon-2", 4);
     let bench = DaemonBench::serving_with(vec![holder.clone()]);
     bench.agent.cache_owner(&bench.key("f"), &holder);
-    let step_for = |wants_referral: bool, body: usize, budget: u64| {
+    let step_for = |wants_referral: bool, body: usize, timeout_ms: u64| {
         let payload = Arc::new(RequestPayload::from_body(vec![0; body].into()));
-        let deadline = bench.now + ms(budget);
+        let deadline = bench.now + ms(timeout_ms);
         let mut forwarding = Forwarding::new(
             bench.now,
             FunctionRequest {
@@ -814,7 +814,7 @@
     let ForwardingStep::Forward { host, body, .. } =
         forwarding.forwarded(&bench.agent, bench.now, end)
     else {
-        return fail!("the door does not go there");
+        return fail!("the ingress daemon does not follow the referral");
     };
     verify_that!(host, eq(&holder))?;
     verify_that!(
@@ -1014,7 +1014,7 @@
     bench.list_own_host();
     let function = bench.key("f");
     let outputs = bench.controller.acquire(&bench.agent, bench.now, function);
-    let acquire_request = acquire_correlation(&outputs).expect("a question");
+    let acquire_request = acquire_correlation(&outputs).expect("an acquisition");
     bench.now = bench.now + ms(300);
     let outputs = bench.controller.tick(&bench.agent, bench.now);
     let has_claimed_nothing = outputs.iter().any(|output| {
@@ -1060,7 +1060,7 @@
     let outputs = bench
         .controller
         .acquire(&bench.agent, bench.now, function.clone());
-    let later_acquire_request = acquire_correlation(&outputs).expect("a question");
+    let later_acquire_request = acquire_correlation(&outputs).expect("an acquisition");
     verify_that!(
         releases_lease(&bench.receive(granted_frame(acquire_request, &function))),
         eq(true)
--- a/crates/dataplane/tests/http_forms.rs
+++ b/crates/dataplane/tests/http_forms.rs
@@ -38,7 +38,7 @@
     forms::check(env!("CARGO_MANIFEST_DIR"), name, seen);
 }
 
-fn set_header(text: &mut String, what: &str, message: &str) {
+fn append_section(text: &mut String, what: &str, message: &str) {
     let _ = writeln!(text, "## {what}\n{message}\n");
 }
 
@@ -107,7 +107,7 @@
                 NativeIngressCodec.write_response(Some(&idempotency_key), caller_response),
             )
             .await;
-            set_header(
+            append_section(
                 &mut text,
                 &format!("not run, {kind_name}, {millis:?} ms"),
                 &message,
@@ -120,7 +120,7 @@
         header: Some(seal::IDEMPOTENCY_KEY),
         retry_after: None,
     };
-    set_header(
+    append_section(
         &mut text,
         "without an identity",
         &wire::response(NativeIngressCodec.write_response(None, unnamed)).await,
@@ -134,7 +134,7 @@
             NativeIngressCodec.write_response(Some(&idempotency_key), caller_response),
         )
         .await;
-        set_header(&mut text, &format!("unknown, {number}"), &message);
+        append_section(&mut text, &format!("unknown, {number}"), &message);
     }
     for status in [200, 201, 204, 302, 404, 503, 1000] {
         let caller_response = CallerResponse::Response {
@@ -152,7 +152,7 @@
             NativeIngressCodec.write_response(Some(&idempotency_key), caller_response),
         )
         .await;
-        set_header(&mut text, &format!("answer, {status}"), &message);
+        append_section(&mut text, &format!("answer, {status}"), &message);
     }
     check("door_responses.txt", &text);
 }
@@ -277,15 +277,15 @@
         ];
         for (outcome_name, outcome) in outcomes {
             // A daemon that is not the holder is tried again until the deadline.
-            let is_asked_again = reason == RequestFailureReason::NotHolder;
-            let budget = if is_asked_again { "800" } else { "3000" };
-            let message = answered(&daemon(outcome, true), &GOOD.replace("3000", budget)).await;
-            set_header(&mut text, &format!("{outcome_name}, {number}"), &message);
+            let is_retried = reason == RequestFailureReason::NotHolder;
+            let timeout_ms = if is_retried { "800" } else { "3000" };
+            let message = answered(&daemon(outcome, true), &GOOD.replace("3000", timeout_ms)).await;
+            append_section(&mut text, &format!("{outcome_name}, {number}"), &message);
         }
     }
     for status in [200, 404, 500] {
         let message = answered(&daemon(answer(status, "5ea1"), true), GOOD).await;
-        set_header(&mut text, &format!("answer, {status}"), &message);
+        append_section(&mut text, &format!("answer, {status}"), &message);
     }
     check("caller_outcomes.txt", &text);
 }
@@ -323,7 +323,7 @@
                 || line.starts_with("rudder_request_seconds_count")
         };
         let counts: Vec<&str> = page.lines().filter(is_count).collect();
-        set_header(&mut text, what, &counts.join("\n"));
+        append_section(&mut text, what, &counts.join("\n"));
     }
     check("counted_ends.txt", &text);
 }
@@ -333,37 +333,37 @@
     let mut text = String::new();
     let serving = daemon(answer(200, "5ea1"), true);
     let header_fields = |changed: &str, new: &str| GOOD.replace(changed, new);
-    let identity = "rudder-transaction: try-1\n";
-    let budget = "rudder-budget-ms: 3000\n";
-    let asked = [
-        ("no identity", header_fields(identity, "")),
+    let key_field = "rudder-transaction: try-1\n";
+    let timeout_field = "rudder-budget-ms: 3000\n";
+    let cases = [
+        ("no identity", header_fields(key_field, "")),
         (
             "empty identity",
-            header_fields(identity, "rudder-transaction:\n"),
+            header_fields(key_field, "rudder-transaction:\n"),
         ),
         (
             "identity with a blank",
-            header_fields(identity, "rudder-transaction: a b\n"),
+            header_fields(key_field, "rudder-transaction: a b\n"),
         ),
         ("identity of 128", header_fields("try-1", &"x".repeat(128))),
         ("identity of 129", header_fields("try-1", &"x".repeat(129))),
         ("every letter", header_fields("try-1", "aZ09-_.:")),
-        ("no budget", header_fields(budget, "")),
+        ("no budget", header_fields(timeout_field, "")),
         (
             "budget of 0",
-            header_fields(budget, "rudder-budget-ms: 0\n"),
+            header_fields(timeout_field, "rudder-budget-ms: 0\n"),
         ),
         (
             "budget of 60001",
-            header_fields(budget, "rudder-budget-ms: 60001\n"),
+            header_fields(timeout_field, "rudder-budget-ms: 60001\n"),
         ),
         (
             "budget of 60000",
-            header_fields(budget, "rudder-budget-ms: 60000\n"),
+            header_fields(timeout_field, "rudder-budget-ms: 60000\n"),
         ),
         (
             "budget in words",
-            header_fields(budget, "rudder-budget-ms: long\n"),
+            header_fields(timeout_field, "rudder-budget-ms: long\n"),
         ),
         ("no route", header_fields("/pay", "/nowhere")),
         ("other method", header_fields("POST", "PUT")),
@@ -373,28 +373,31 @@
         ),
         (
             "a repeat",
-            header_fields(budget, "rudder-budget-ms: 3000\nrudder-repeat-of: try-0\n"),
+            header_fields(
+                timeout_field,
+                "rudder-budget-ms: 3000\nrudder-repeat-of: try-0\n",
+            ),
         ),
     ];
-    for (what, request_text) in asked {
-        set_header(&mut text, what, &answered(&serving, &request_text).await);
+    for (what, request_text) in cases {
+        append_section(&mut text, what, &answered(&serving, &request_text).await);
     }
     let chunked = header_fields("content-length: 2", "transfer-encoding: chunked");
     let too_long = chunked.replace("{}", &format!("50\r\n{}\r\n0\r\n\r\n", "x".repeat(80)));
-    set_header(
+    append_section(
         &mut text,
         "body too large",
         &answered(&serving, &too_long).await,
     );
     let idle = daemon(answer(200, "5ea1"), false);
-    set_header(&mut text, "not serving", &answered(&idle, GOOD).await);
-    set_header(
+    append_section(&mut text, "not serving", &answered(&idle, GOOD).await);
+    append_section(
         &mut text,
         "not serving, no route",
         &answered(&idle, &header_fields("/pay", "/nowhere")).await,
     );
     serving.agent.begin_leaving();
-    set_header(&mut text, "leaving", &answered(&serving, GOOD).await);
+    append_section(&mut text, "leaving", &answered(&serving, GOOD).await);
     check("door_refusals.txt", &text);
 }
 
@@ -431,7 +434,7 @@
                 |line: &&str| !line.starts_with("date: ") && !line.starts_with("content-length: ");
             let head: Vec<&str> = head.lines().filter(is_steady).collect();
             let body = if path == "/ready" { body } else { "(the page)" };
-            set_header(&mut text, path, &format!("{}\n\n{body}", head.join("\n")));
+            append_section(&mut text, path, &format!("{}\n\n{body}", head.join("\n")));
         }
     }
     check("door_pages.txt", &text);
@@ -468,8 +471,8 @@
         }]),
         body: br#"{"sum": 3}"#.to_vec().into(),
     };
-    let plain_life = InstanceId::from("life-9");
-    let named_life = InstanceId::from("life-9.r-7-1f");
+    let plain_instance = InstanceId::from("life-9");
+    let named_instance = InstanceId::from("life-9.r-7-1f");
     let usual = || runner_request(&idempotency_key, &complete, &payload);
     let sent = [
         ("a runner", usual()),
@@ -483,14 +486,14 @@
         (
             "a runner with a life",
             RunnerRequest {
-                instance: Some(&plain_life),
+                instance: Some(&plain_instance),
                 ..usual()
             },
         ),
         (
             "a runner started under a name",
             RunnerRequest {
-                instance: Some(&named_life),
+                instance: Some(&named_instance),
                 ..usual()
             },
         ),
@@ -513,7 +516,7 @@
         let request = NativeRunnerCodec
             .request(address("10.0.0.3:9000"), &runner_request)
             .expect("a request");
-        set_header(&mut text, what, &wire::request(request).await);
+        append_section(&mut text, what, &wire::request(request).await);
     }
     check("runner_requests.txt", &text);
 }
