--- a/crates/dataplane/tests/agent.rs
+++ b/crates/dataplane/tests/agent.rs
@@ -1,4 +1,4 @@
-//! One daemon's own decisions, fed by hand: last looks, serials, what is told at once.
+//! One daemon's decisions under a clock set by the test: checks before a send, spec versions, immediate rejections.
 
 use common::adapter::{RunnerResponse, SealKind};
 use common::clock::MonotonicTime;
@@ -44,7 +44,7 @@
     }
 }
 
-/// A document in which the route goes to one of two functions, or nowhere.
+/// A document whose route leads to one of two functions, or that has no route.
 fn document(version: u64, function: &str) -> Document {
     document_of(version, function, "repeatable")
 }
@@ -72,7 +72,7 @@
     frame_of(document(version, function))
 }
 
-/// The route may be run only once from now on.
+/// A spec in which the route's requests may be run at most once.
 fn once_frame(version: u64) -> LeaderToDaemon {
     frame_of(document_of(version, "f", "once"))
 }
@@ -358,7 +358,7 @@
     forwarding.advance(&bench.agent, bench.now);
     let ForwardingStep::Wait { wait_until } = forwarding.served(&bench.agent, bench.now, declined)
     else {
-        return fail!("a transaction that was turned away is not looked at again");
+        return fail!("a declined request is not looked up again");
     };
     verify_that!(wait_until, gt(bench.now))?;
     let early_step = forwarding.advance(&bench.agent, bench.now + ms(1));
@@ -477,7 +477,7 @@
     )
 }
 
-/// An answer as a runner gives it whose seal only the caller can check.
+/// The response of a runner whose seal only the caller can check.
 fn response_with_carried_seal(status: u16) -> RunnerResponse {
     RunnerResponse {
         status,
@@ -505,7 +505,7 @@
     let other_name = || "other".to_owned();
     let cases: Vec<(&str, RunnerResponse, &str)> = vec![
         (
-            "whole and sealed",
+            "complete and sealed",
             response_with_carried_seal(200),
             "answered",
         ),
@@ -601,12 +601,12 @@
             "lost",
         ),
         (
-            "ran, yet says what promises the contrary",
+            "ran, yet has a status that assures the contrary",
             response_with_carried_seal(503),
             "lost",
         ),
         (
-            "ran, yet asks to come back",
+            "ran, yet asks for a retry",
             response_with_carried_seal(429),
             "lost",
         ),
@@ -640,7 +640,7 @@
     Ok(())
 }
 
-/// A daemon that has passed a transaction on, and whose holder refused it by another spec.
+/// A daemon that has forwarded a request, and whose holder has rejected it by another spec.
 fn spec_mismatch() -> (DaemonBench, Forwarding, ForwardingStep<u64>) {
     let mut bench = DaemonBench::new(Rules::ALL_ENFORCED);
     bench.receive(spec_frame(3, "f"));
@@ -664,7 +664,7 @@
 fn ingress_looks_up_again_once_it_has_the_holders_newer_spec() -> Result<()> {
     let (mut bench, mut forwarding, step) = spec_mismatch();
     let ForwardingStep::Wait { wait_until } = step else {
-        return fail!("the door does not wait");
+        return fail!("the ingress daemon does not wait");
     };
     verify_that!(wait_until, eq(bench.now + ms(300)))?;
     let unchanged = forwarding.advance(&bench.agent, bench.now + ms(100));
@@ -734,7 +734,7 @@
 }
 
 impl DaemonBench {
-    /// Serving, among others.
+    /// A serving daemon, with other daemons on its host list.
     fn serving_with(others: Vec<Host>) -> Self {
         let mut bench = DaemonBench::new(Rules::ALL_ENFORCED);
         bench.receive(spec_frame(3, "f"));
@@ -770,9 +770,9 @@
     let holder = remote_host("daemon-2", 4);
     let bench = DaemonBench::serving_with(vec![holder.clone()]);
     bench.agent.cache_owner(&bench.key("f"), &holder);
-    let step_for = |wants_referral: bool, body: usize, budget: u64| {
+    let step_for = |wants_referral: bool, body: usize, timeout_ms: u64| {
         let payload = Arc::new(RequestPayload::from_body(vec![0; body].into()));
-        let deadline = bench.now + ms(budget);
+        let deadline = bench.now + ms(timeout_ms);
         let mut forwarding = Forwarding::new(
             bench.now,
             FunctionRequest {
@@ -814,7 +814,7 @@
     let ForwardingStep::Forward { host, body, .. } =
         forwarding.forwarded(&bench.agent, bench.now, end)
     else {
-        return fail!("the door does not go there");
+        return fail!("the ingress daemon does not follow the referral");
     };
     verify_that!(host, eq(&holder))?;
     verify_that!(
@@ -923,8 +923,8 @@
     matches!(step, ForwardingStep::End(outcome, _) if *outcome == suspected)
 }
 
-/// Were daemons on the way to repeat what was lost behind them, a transaction would reach more runners
-/// than its route allows: each of them would do so for each pass of the one before.
+/// If the daemons on the way retried what was lost behind them, a request would reach more runners than its route allows:
+/// each would multiply the attempts of the one before.
 #[gtest]
 fn only_the_ingress_daemon_retries_a_lost_request() -> Result<()> {
     let holder = remote_host("daemon-2", 4);
@@ -997,8 +997,8 @@
 
 const LATE_LEASE: FencingToken = FencingToken(2 << 32 | 1);
 
-/// A daemon that asked for a function, gave everything up as its lease ended, and was renewed after it; with the
-/// number of its question.
+/// A daemon that requested a function, released everything as its lease ended, and has a new lease; with the correlation
+/// id of its request.
 fn renewed_after_release(rules: Rules) -> (DaemonBench, CorrelationId) {
     let mut bench = DaemonBench::new(rules);
     bench.receive(spec_frame(2, "f"));
@@ -1014,7 +1014,7 @@
     bench.list_own_host();
     let function = bench.key("f");
     let outputs = bench.controller.acquire(&bench.agent, bench.now, function);
-    let acquire_request = acquire_correlation(&outputs).expect("a question");
+    let acquire_request = acquire_correlation(&outputs).expect("an acquisition");
     bench.now = bench.now + ms(300);
     let outputs = bench.controller.tick(&bench.agent, bench.now);
     let has_claimed_nothing = outputs.iter().any(|output| {
@@ -1031,8 +1031,8 @@
     (bench, acquire_request)
 }
 
-/// What a daemon makes of a grant that answers a question from before its lease ended, after which it had told the
-/// leader that it holds nothing: whether it holds the function, and whether it gives it back.
+/// How a daemon handles a function lease that was requested before its session lease ended, after which it had claimed
+/// no function: whether it holds the function, and whether it releases it.
 fn leased_after_release(rules: Rules) -> (bool, bool) {
     let (mut bench, acquire_request) = renewed_after_release(rules);
     let function = bench.key("f");
@@ -1052,7 +1052,7 @@
     )
 }
 
-/// The leader names a standing grant again to a question that crossed the word that it was given back.
+/// The leader grants a lease again in response to a request that crossed the lease's release.
 #[gtest]
 fn a_released_lease_is_not_accepted_from_a_later_answer() -> Result<()> {
     let (mut bench, acquire_request) = renewed_after_release(Rules::ALL_ENFORCED);
@@ -1060,7 +1060,7 @@
     let outputs = bench
         .controller
         .acquire(&bench.agent, bench.now, function.clone());
-    let later_acquire_request = acquire_correlation(&outputs).expect("a question");
+    let later_acquire_request = acquire_correlation(&outputs).expect("an acquisition");
     verify_that!(
         releases_lease(&bench.receive(granted_frame(acquire_request, &function))),
         eq(true)
