--- a/crates/common/src/command_line.rs
+++ b/crates/common/src/command_line.rs
@@ -1,4 +1,5 @@
-//! What every program does around its work: flags, faults, the log, the runtime, and signals.
+//! What every program does around its work: command-line flags, errors and exit codes, the log, the runtime,
+//! and signals.
 
 use crate::events;
 use crate::invariants;
@@ -10,16 +11,16 @@
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::sync::watch;
 
-/// A line that a user may type, shown in the help.
+/// An example command line, shown in the help.
 #[derive(Clone, Copy, Debug)]
 pub struct Example {
-    /// The command whose help shows it; none for the program's own.
+    /// The command whose help shows it; `None` for the help of the program itself.
     pub command: Option<&'static str>,
-    /// What is typed.
+    /// The command line.
     pub line: &'static str,
 }
 
-/// A program, as it names itself to its user.
+/// A program's name and version, and the examples in its help.
 #[derive(Clone, Copy, Debug)]
 pub struct Program {
     name: &'static str,
@@ -28,7 +29,7 @@
 }
 
 impl Program {
-    /// A program of a name and a version.
+    /// A program without examples.
     pub const fn new(name: &'static str, version: &'static str) -> Self {
         Self {
             name,
@@ -37,13 +38,14 @@
         }
     }
 
-    /// The same with examples in its help.
+    /// Adds examples to the help.
     pub const fn with_examples(mut self, examples: &'static [Example]) -> Self {
         self.examples = examples;
         self
     }
 
-    /// Reads the flags, or ends the process with help, the version or a fault.
+    /// Parses the process's arguments. Prints the help or the version and exits with code 0 if one is
+    /// requested; prints an error and exits with code 2 if the arguments are invalid.
     pub fn flags<T: Options>(self, requests_version: impl FnOnce(&T) -> bool) -> T {
         let arguments: Vec<String> = std::env::args().skip(1).collect();
         match T::parse_args(&arguments, ParsingStyle::default()) {
@@ -93,14 +95,32 @@
         text
     }
 
-    /// Says why the program ends, and gives its exit code.
+    /// The exit code of a program that has ended; an error is printed, and `error_code` chooses its exit code.
+    pub fn finish<E: fmt::Display>(
+        self,
+        result: Result<(), E>,
+        error_code: impl FnOnce(&E) -> u8,
+    ) -> ExitCode {
+        match result {
+            Ok(()) => ExitCode::SUCCESS,
+            Err(error) => {
+                let exit_code = error_code(&error);
+                self.fail(error, exit_code)
+            }
+        }
+    }
+
+    /// Prints why the program ends, and returns its exit code.
     pub fn fail(self, error: impl fmt::Display, exit_code: u8) -> ExitCode {
         eprintln!("{}: {error}", self.name);
         ExitCode::from(exit_code)
     }
 }
 
-/// Becomes true when the process is told to stop, by SIGTERM or from the terminal.
+/// Becomes true when the process is asked to stop, by SIGTERM or SIGINT.
+///
+/// The task that waits for the signals is detached; it ends with the first of them. Fails if the runtime cannot
+/// register a handler.
 pub fn stop_signal() -> std::io::Result<watch::Receiver<bool>> {
     let (stop_sender, stop) = watch::channel(false);
     let mut terminations = signal(SignalKind::terminate())?;
@@ -115,7 +135,10 @@
     Ok(stop)
 }
 
-/// Counts how often the process was told by SIGHUP that its settings have changed; it never dies of that.
+/// Counts the SIGHUPs, by which the process is notified that its settings have changed; they never end it.
+///
+/// The task that counts them is detached and runs as long as the runtime. Fails if the runtime cannot register
+/// a handler.
 pub fn reload_signal() -> std::io::Result<watch::Receiver<u64>> {
     let (reload_sender, reload) = watch::channel(0);
     let mut hangups = signal(SignalKind::hangup())?;
@@ -127,8 +150,8 @@
     Ok(reload)
 }
 
-/// Reads settings each time the process is told that they have changed, and applies those that could be
-/// read; goes on until the process ends.
+/// Reads the settings again on each reload signal, and applies them if they could be read. Ends only with the
+/// sender of the signal, which lives as long as the runtime.
 pub async fn apply_on_reload<T>(
     mut reload: watch::Receiver<u64>,
     read: impl Fn() -> Option<T>,
@@ -141,7 +164,25 @@
     }
 }
 
-/// The runtime for so many threads: zero lets the machine decide, and one thread does everything itself.
+/// Runs a program's service until it has stopped on a stop signal, and logs its start and its end.
+///
+/// `reload` applies changed settings meanwhile (see [`apply_on_reload`]); its task is detached and is cancelled
+/// with the runtime. Fails if the handler of the stop signals cannot be registered.
+pub async fn run_service<F: Future<Output = ()>>(
+    start_message: impl fmt::Display,
+    reload: impl Future<Output = ()> + Send + 'static,
+    service: impl FnOnce(watch::Receiver<bool>) -> F,
+) -> std::io::Result<()> {
+    log_event!(Info, events::STARTED, "{start_message}");
+    let stop = stop_signal()?;
+    tokio::spawn(reload);
+    service(stop).await;
+    log_event!(Info, events::STOPPED);
+    Ok(())
+}
+
+/// A runtime with so many worker threads: zero leaves the number to the machine, and with one everything runs
+/// on the calling thread.
 pub fn runtime(thread_count: usize) -> std::io::Result<Runtime> {
     if thread_count == 1 {
         return Builder::new_current_thread().enable_all().build();
@@ -153,8 +194,8 @@
     builder.enable_all().build()
 }
 
-/// A SIGHUP that comes before [`told_to_reread`] ends no process: the settings are read after it anyway. Once a
-/// handler was there, the system's own way with the signal does not come back.
+/// Makes sure that a SIGHUP that comes before [`reload_signal`] does not end the process; the settings are read
+/// after it anyway. Tokio never unregisters a handler, so that the system's default action does not come back.
 fn ignore_early_hangups() {
     if let Ok(hangup_runtime) = runtime(1) {
         let _runtime_guard = hangup_runtime.enter();
@@ -162,8 +203,8 @@
     }
 }
 
-/// Starts the log at the level that `RUST_LOG` names, or `info`; the first thing that a deployed program does. From
-/// then on it survives hang-ups, and goes on when it finds one of its invariants violated, and counts it.
+/// Starts the log at the level that `RUST_LOG` names, or `info`; the first thing that a deployed program does.
+/// From then on SIGHUP does not end the process, and a violated invariant is counted instead of ending it.
 pub fn start_log() {
     ignore_early_hangups();
     invariants::count_only();
--- a/programs/controller/src/main.rs
+++ b/programs/controller/src/main.rs
@@ -1,4 +1,6 @@
-//! A controller: one member of the core.
+//! The controller as a program of its own: its flags, its settings, and its exit codes.
+//!
+//! Exit codes: 0 stopped by a signal; 1 a failure of the system; 2 invalid flags or settings.
 
 use common::command_line::{self, Program};
 use common::events;
@@ -59,6 +61,7 @@
     recover: Option<String>,
 }
 
+/// Reads the settings file with the flags laid over it.
 fn read_settings(flags: &Flags) -> Result<ControllerSettings, SettingsError> {
     let mut settings_source = SettingsSource::open(flags.boot.as_deref())?;
     settings_source.set_text("place", flags.place.as_deref());
@@ -75,7 +78,7 @@
 }
 
 const PROGRAM: Program = Program::new("rudder-controller", env!("CARGO_PKG_VERSION"));
-/// What an operator must say to have one disk lead alone.
+/// The phrase with which an operator accepts what `--recover` loses.
 const RECOVER_PHRASE: &str = "i-accept-the-loss";
 
 fn main() -> ExitCode {
@@ -90,16 +93,13 @@
     {
         return exit_code;
     }
-    match run(flags, &settings) {
-        Ok(()) => ExitCode::SUCCESS,
-        Err(report) => {
-            let exit_code = if report.is::<ControllerError>() { 2 } else { 1 };
-            PROGRAM.fail(report, exit_code)
-        }
-    }
+    PROGRAM.finish(run(flags, &settings), |report| {
+        if report.is::<ControllerError>() { 2 } else { 1 }
+    })
 }
 
-/// Has this disk lead alone, if the operator has accepted what is lost by that.
+/// Makes this controller the only voter by its data directory, if the operator has accepted the loss; returns
+/// the exit code if it cannot.
 fn recover(phrase: &str, settings: &ControllerSettings) -> Result<(), ExitCode> {
     if phrase != RECOVER_PHRASE {
         let error = format!("--recover needs the phrase {RECOVER_PHRASE}; see --help");
@@ -113,7 +113,7 @@
         .map_err(|error| PROGRAM.fail(format!("--recover: {error}"), 1))
 }
 
-/// Takes the seeds anew each time the process is told that its settings have changed.
+/// Applies the seeds on each reload signal; settings that cannot be read are logged and change nothing.
 async fn update_seeds(flags: Flags, seed_updater: SeedUpdater, reload: watch::Receiver<u64>) {
     let read = || {
         read_settings(&flags)
@@ -129,21 +129,13 @@
 fn run(flags: Flags, settings: &ControllerSettings) -> eyre::Result<()> {
     command_line::runtime(settings.threads)?.block_on(async {
         let controller = Controller::open(settings).await?;
-        tokio::spawn(update_seeds(
-            flags,
-            controller.seed_updater(),
-            command_line::reload_signal()?,
-        ));
-        log_event!(
-            Info,
-            events::STARTED,
+        let reload = command_line::reload_signal()?;
+        let reload_task = update_seeds(flags, controller.seed_updater(), reload);
+        let start_message = format!(
             "controller at {}, operators at {}",
-            settings.address,
-            settings.operators
+            settings.address, settings.operators
         );
-        let stop = command_line::stop_signal()?;
-        controller.run(stop).await;
-        log_event!(Info, events::STOPPED);
+        command_line::run_service(start_message, reload_task, |stop| controller.run(stop)).await?;
         Ok(())
     })
 }
--- a/programs/daemon/src/main.rs
+++ b/programs/daemon/src/main.rs
@@ -1,8 +1,8 @@
-//! A daemon: takes callers' transactions and runs the functions it holds.
+//! The daemon as a program of its own: its flags, its settings, and its exit codes.
+//!
+//! Exit codes: 0 stopped by a signal; 1 a failure of the system; 2 invalid flags or settings.
 
 use common::command_line::{self, Program};
-use common::events;
-use common::log_event;
 use common::readers::{SettingsError, SettingsSource};
 use dataplane::drivers::{Daemon, DaemonHandle};
 use dataplane::settings::DaemonSettings;
@@ -47,6 +47,7 @@
     platform: Option<String>,
 }
 
+/// Reads the settings file with the flags laid over it.
 fn read_settings(flags: &Flags) -> Result<DaemonSettings, SettingsError> {
     let mut settings_source = SettingsSource::open(flags.boot.as_deref())?;
     settings_source.set_text("member", flags.member.as_deref());
@@ -67,16 +68,13 @@
         Ok(settings) => settings,
         Err(error) => return PROGRAM.fail(error, 2),
     };
-    match run(settings, flags.boot) {
-        Ok(()) => ExitCode::SUCCESS,
-        Err(report) => {
-            let exit_code = if report.is::<SettingsError>() { 2 } else { 1 };
-            PROGRAM.fail(report, exit_code)
-        }
-    }
+    PROGRAM.finish(run(settings, flags.boot), |report| {
+        if report.is::<SettingsError>() { 2 } else { 1 }
+    })
 }
 
-/// Takes the file's seeds whenever the process is told that its settings have changed.
+/// Applies the file's seeds on each reload signal. Flags are not laid over them, so that a process that was
+/// started with `--seeds` can take others; a file that cannot be read changes nothing.
 async fn update_seeds(
     daemon: DaemonHandle,
     settings_file: Option<PathBuf>,
@@ -94,17 +92,14 @@
 
 fn run(settings: DaemonSettings, settings_file: Option<PathBuf>) -> eyre::Result<()> {
     command_line::runtime(settings.threads)?.block_on(async {
-        let started_message = format!(
+        let start_message = format!(
             "{} at {}, door at {}",
             settings.member, settings.address, settings.ingress
         );
         let daemon = Daemon::open(settings).await?;
-        log_event!(Info, events::STARTED, "{started_message}");
-        let stop = command_line::stop_signal()?;
         let reload = command_line::reload_signal()?;
-        tokio::spawn(update_seeds(daemon.handle(), settings_file, reload));
-        daemon.run(stop).await;
-        log_event!(Info, events::STOPPED);
+        let reload_task = update_seeds(daemon.handle(), settings_file, reload);
+        command_line::run_service(start_message, reload_task, |stop| daemon.run(stop)).await?;
         Ok(())
     })
 }
