--- a/programs/rudderctl/src/arguments.rs
+++ b/programs/rudderctl/src/arguments.rs
@@ -1,46 +1,16 @@
-//! The operators' command line: its commands, their flags, and examples for the help.
+//! The commands of `rudderctl`, their flags, and the examples in the help.
+//!
+//! Names of fields and variants are command-line arguments, and a doc comment on a type that derives
+//! [`Options`] is printed by the help: both are held by tests.
 
-use crate::client::ChangeSubmission;
+use crate::change::{ChangeBase, ChangeKind, ChangeOptions, SpecChange, ZoneAction, ZoneChange};
+use crate::output::OutputFormat;
 use common::command_line::Example;
 use gumdrop::Options;
-use std::fmt;
 use std::path::PathBuf;
-use std::str::FromStr;
 
-/// How an answer is printed.
-#[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum OutputFormat {
-    /// As JSON, for programs.
-    Json,
-    /// As a table, for people.
-    Table,
-}
-
-/// The text names no format.
-#[derive(Debug)]
-pub struct UnknownFormat(String);
-
-impl fmt::Display for UnknownFormat {
-    fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(out, "unknown format {:?}; there are: json, table", self.0)
-    }
-}
-
-impl std::error::Error for UnknownFormat {}
-
-impl FromStr for OutputFormat {
-    type Err = UnknownFormat;
-    fn from_str(given_text: &str) -> Result<Self, UnknownFormat> {
-        match given_text {
-            "json" => Ok(Self::Json),
-            "table" => Ok(Self::Table),
-            other => Err(UnknownFormat(other.to_owned())),
-        }
-    }
-}
-
-/// What the help shows beside the flags.
-pub const EXAMPLES: &[Example] = &[
+/// The examples that the help shows below the flags.
+pub(crate) const EXAMPLES: &[Example] = &[
     Example {
         command: None,
         line: "rudderctl --at 10.0.0.1:7111,10.0.0.2:7111 members --output table",
@@ -124,28 +94,28 @@
 /// Exit codes: 0 done; 1 it could not start; 2 wrong flags, places or files; 3 refused, or not known;
 /// 4 no controller answered, there is no quorum, or the answer was lost: a change's outcome is unknown.
 #[derive(Options)]
-pub struct Flags {
+pub(crate) struct Flags {
     #[options(help = "print this help")]
-    pub help: bool,
+    pub(crate) help: bool,
     #[options(no_short, help = "print the version")]
-    pub version: bool,
+    pub(crate) version: bool,
     #[options(
         help = "operators' places of controllers, with commas; the first that answers is used",
         default = "127.0.0.1:7111",
         meta = "PLACES"
     )]
-    pub at: String,
+    pub(crate) at: String,
     #[options(
         help = "how answers are printed: json, or table for lists; each command has its own default",
         meta = "FORMAT"
     )]
-    pub output: Option<OutputFormat>,
+    pub(crate) output: Option<OutputFormat>,
     #[options(command)]
-    pub command: Option<Command>,
+    pub(crate) command: Option<Command>,
 }
 
 #[derive(Options)]
-pub enum Command {
+pub(crate) enum Command {
     #[options(help = "found the core on three empty controllers, once")]
     Found(NoArguments),
     #[options(help = "show the core as one controller sees it")]
@@ -181,116 +151,136 @@
 }
 
 #[derive(Options)]
-pub struct NoArguments {
+pub(crate) struct NoArguments {
     #[options(help = "print this help")]
-    pub help: bool,
+    pub(crate) help: bool,
 }
 
 #[derive(Options)]
-pub struct ListCommand {
+pub(crate) struct ListCommand {
     #[options(help = "print this help")]
-    pub help: bool,
+    pub(crate) help: bool,
     #[options(help = "how it is printed: json or table", meta = "FORMAT")]
-    pub output: Option<OutputFormat>,
+    pub(crate) output: Option<OutputFormat>,
 }
 
 #[derive(Options)]
-pub struct Replace {
+pub(crate) struct Replace {
     #[options(help = "print this help")]
-    pub help: bool,
+    pub(crate) help: bool,
     #[options(free, required, help = "the member's identity, from `rudderctl core`")]
-    pub missing: String,
+    pub(crate) missing: String,
     #[options(free, required, help = "the identity of the one to take its place")]
-    pub successor: String,
+    pub(crate) successor: String,
 }
 
 #[derive(Options)]
-pub struct ChangeQuery {
+pub(crate) struct ChangeQuery {
     #[options(help = "print this help")]
-    pub help: bool,
+    pub(crate) help: bool,
     #[options(free, required, help = "the change's id")]
-    pub id: String,
+    pub(crate) id: String,
 }
 
 #[derive(Options)]
-pub struct Change {
+pub(crate) struct Change {
     #[options(help = "print this help")]
-    pub help: bool,
+    pub(crate) help: bool,
     #[options(free, required, help = "file with the JSON")]
-    pub file: PathBuf,
+    pub(crate) file: PathBuf,
     #[options(
         help = "serial it is built on; read beforehand if not given",
         meta = "SERIAL"
     )]
-    pub base: Option<u64>,
+    pub(crate) base: Option<u64>,
     #[options(no_short, help = "your own number for it", meta = "NUMBER")]
-    pub number: Option<u64>,
+    pub(crate) number: Option<u64>,
     #[options(
         no_short,
         help = "your own number of the spec it is built on",
         meta = "NUMBER"
     )]
-    pub base_number: Option<u64>,
+    pub(crate) base_number: Option<u64>,
     #[options(no_short, help = "the change's id; made up if not given", meta = "ID")]
-    pub change_id: Option<String>,
+    pub(crate) change_id: Option<String>,
     #[options(help = "wait until it is in force everywhere")]
-    pub wait: bool,
+    pub(crate) wait: bool,
 }
 
 impl Change {
-    /// The change as the client takes it.
-    pub fn to_submission(&self) -> ChangeSubmission<'_> {
-        ChangeSubmission {
+    /// The change that the flags describe.
+    pub(crate) fn to_spec_change(&self, kind: ChangeKind) -> SpecChange<'_> {
+        SpecChange {
+            kind,
             file: &self.file,
-            base: self.base,
-            number: self.number,
-            base_number: self.base_number,
-            change_id: self.change_id.clone(),
-            wait: self.wait,
+            base: ChangeBase {
+                version: self.base,
+                number: self.number,
+                base_number: self.base_number,
+            },
+            options: ChangeOptions {
+                change_id: self.change_id.clone(),
+                wait: self.wait,
+            },
         }
     }
 }
 
 #[derive(Options)]
-pub struct ZoneCommand {
+pub(crate) struct ZoneCommand {
     #[options(help = "print this help")]
-    pub help: bool,
+    pub(crate) help: bool,
     #[options(free, required, help = "the locality")]
-    pub zone: String,
+    pub(crate) zone: String,
     #[options(no_short, help = "the change's id; made up if not given", meta = "ID")]
-    pub change_id: Option<String>,
+    pub(crate) change_id: Option<String>,
     #[options(help = "wait until it is in force everywhere")]
-    pub wait: bool,
+    pub(crate) wait: bool,
     #[options(help = "even if no locality is left")]
-    pub force: bool,
+    pub(crate) force: bool,
+}
+
+impl ZoneCommand {
+    /// The change that the flags describe.
+    pub(crate) fn into_zone_change(self, action: ZoneAction) -> ZoneChange {
+        ZoneChange {
+            action,
+            zone: self.zone,
+            force: self.force,
+            options: ChangeOptions {
+                change_id: self.change_id,
+                wait: self.wait,
+            },
+        }
+    }
 }
 
 #[derive(Options)]
-pub struct Events {
+pub(crate) struct Events {
     #[options(help = "print this help")]
-    pub help: bool,
+    pub(crate) help: bool,
     #[options(
         no_short,
         help = "the first number wanted; 0 for all that are kept",
         default = "0"
     )]
-    pub from: u64,
+    pub(crate) from: u64,
     #[options(help = "go on as events happen, over changes of leader")]
-    pub follow: bool,
+    pub(crate) follow: bool,
 }
 
 #[derive(Options)]
-pub struct Trace {
+pub(crate) struct Trace {
     #[options(help = "print this help")]
-    pub help: bool,
+    pub(crate) help: bool,
     #[options(help = "print JSON instead of a table, as --output json does")]
-    pub json: bool,
+    pub(crate) json: bool,
     #[options(help = "how it is printed: json or table", meta = "FORMAT")]
-    pub output: Option<OutputFormat>,
+    pub(crate) output: Option<OutputFormat>,
     #[options(help = "ask again until the version is in force")]
-    pub follow: bool,
+    pub(crate) follow: bool,
     #[options(no_short, help = "how long to follow, in seconds", default = "30")]
-    pub patience: u64,
+    pub(crate) patience: u64,
     #[options(free, help = "the serial; the newest if not given")]
-    pub serial: Option<u64>,
+    pub(crate) serial: Option<u64>,
 }
--- a/programs/rudderctl/src/main.rs
+++ b/programs/rudderctl/src/main.rs
@@ -1,15 +1,25 @@
-//! The operators' command line.
+//! The operators' command line: a client of the operators' API.
+//!
+//! Exit codes: 0 done; 1 it could not start; 2 invalid flags, addresses or files; 3 refused or unknown; 4 no
+//! controller responded, there is no quorum, or the response was lost.
 
 mod arguments;
+mod change;
 mod client;
+mod events;
+mod output;
 mod table;
 mod trace;
 
-use arguments::{Command, EXAMPLES, Flags, OutputFormat, Trace};
-use client::{ChangeKind, ClientError, OperatorClient};
+use arguments::{Command, EXAMPLES, Flags, ListCommand, Trace};
+use change::{ChangeKind, ZoneAction};
+use client::{ClientError, OperatorClient};
 use common::command_line::{self, Program};
 use common::frames::SocketAddress;
+use output::OutputFormat;
 use std::process::ExitCode;
+use table::Table;
+use trace::TraceError;
 
 const PROGRAM: Program =
     Program::new("rudderctl", env!("CARGO_PKG_VERSION")).with_examples(EXAMPLES);
@@ -33,106 +43,75 @@
 }
 
 async fn run_command(
-    at: &str,
+    address_list: &str,
     output: Option<OutputFormat>,
     command: Command,
 ) -> Result<ExitCode, ClientError> {
-    let client = OperatorClient::new(at)?;
+    let client = OperatorClient::new(address_list)?;
+    let list = async |table: &Table, options: ListCommand| {
+        client.list(table, options.output.or(output)).await
+    };
     match command {
         Command::Found(_) => client.found().await,
         Command::Replace(replace) => {
-            client
-                .post(&format!(
-                    "/v1/core/replace/{}/{}",
-                    replace.missing, replace.successor
-                ))
-                .await
+            let path = format!("/v1/core/replace/{}/{}", replace.missing, replace.successor);
+            client.post(&path).await
         }
-        Command::Core(options) => client.list(&table::CORE, options.output.or(output)).await,
         Command::Spec(_) => client.get("/v1/spec").await,
-        Command::Members(options) => {
-            client
-                .list(&table::MEMBERS, options.output.or(output))
-                .await
-        }
-        Command::Holders(options) => {
-            client
-                .list(&table::HOLDERS, options.output.or(output))
-                .await
-        }
-        Command::Workers(options) => {
-            client
-                .list(&table::WORKERS, options.output.or(output))
-                .await
-        }
-        Command::Runners(options) => {
-            client
-                .list(&table::RUNNERS, options.output.or(output))
-                .await
-        }
-        Command::Change(named) => client.get(&format!("/v1/changes/{}", named.id)).await,
+        Command::Core(options) => list(&table::CORE, options).await,
+        Command::Members(options) => list(&table::MEMBERS, options).await,
+        Command::Holders(options) => list(&table::HOLDERS, options).await,
+        Command::Workers(options) => list(&table::WORKERS, options).await,
+        Command::Runners(options) => list(&table::RUNNERS, options).await,
+        Command::Change(query) => client.get(&format!("/v1/changes/{}", query.id)).await,
         Command::Put(change) => {
             client
-                .change(ChangeKind::Full, change.to_submission())
+                .change_spec(change.to_spec_change(ChangeKind::Full))
                 .await
         }
         Command::Patch(change) => {
             client
-                .change(ChangeKind::Patch, change.to_submission())
+                .change_spec(change.to_spec_change(ChangeKind::Patch))
                 .await
         }
         Command::Items(change) => {
             client
-                .change(ChangeKind::Items, change.to_submission())
+                .change_spec(change.to_spec_change(ChangeKind::Items))
                 .await
         }
-        Command::Evacuate(zone_change) => {
+        Command::Evacuate(zone) => {
             client
-                .zone_change(
-                    "evacuate",
-                    &zone_change.zone,
-                    zone_change.change_id,
-                    zone_change.wait,
-                    zone_change.force,
-                )
+                .change_zone(zone.into_zone_change(ZoneAction::Evacuate))
                 .await
         }
-        Command::Restore(zone_change) => {
+        Command::Restore(zone) => {
             client
-                .zone_change(
-                    "restore",
-                    &zone_change.zone,
-                    zone_change.change_id,
-                    zone_change.wait,
-                    zone_change.force,
-                )
+                .change_zone(zone.into_zone_change(ZoneAction::Restore))
                 .await
         }
-        Command::Events(events) => client.events(events.from, events.follow).await,
-        Command::Trace(options) => Ok(run_trace(at, &options, options.output.or(output)).await),
+        Command::Events(options) => {
+            events::print_events(client.addresses(), options.from, options.follow).await
+        }
+        Command::Trace(options) => {
+            let output = options.output.or(output);
+            Ok(print_trace(client.addresses(), &options, output).await)
+        }
     }
 }
 
-async fn run_trace(at: &str, options: &Trace, output: Option<OutputFormat>) -> ExitCode {
-    let addresses: Result<Vec<SocketAddress>, _> = at
-        .split(',')
-        .map(|text| text.parse().map(SocketAddress))
-        .collect();
-    let Ok(addresses) = addresses else {
-        return PROGRAM.fail(format_args!("--at: not IP numbers with ports: {at:?}"), 2);
-    };
-    match trace::follow(&addresses, options.serial, options.follow, options.patience).await {
-        Ok(version_trace) => {
-            if options.json || output == Some(OutputFormat::Json) {
-                println!("{}", version_trace.to_value());
-            } else {
-                print!("{version_trace}");
-            }
-            ExitCode::SUCCESS
-        }
-        Err(error) => {
-            let exit_code = error.exit_code();
-            PROGRAM.fail(error, exit_code)
+async fn print_trace(
+    addresses: &[SocketAddress],
+    options: &Trace,
+    output: Option<OutputFormat>,
+) -> ExitCode {
+    let version_trace =
+        trace::follow(addresses, options.serial, options.follow, options.patience).await;
+    let result = version_trace.map(|version_trace| {
+        if options.json || output == Some(OutputFormat::Json) {
+            println!("{}", version_trace.to_value());
+        } else {
+            print!("{version_trace}");
         }
-    }
+    });
+    PROGRAM.finish(result, TraceError::exit_code)
 }
--- a/programs/rudderctl/src/table.rs
+++ b/programs/rudderctl/src/table.rs
@@ -1,24 +1,24 @@
-//! Lists of the operators' API as tables for people.
+//! Lists of the operators' API, rendered as tables for people.
 
 use serde_json::Value;
 use std::fmt::Write;
 
-/// What stands where an answer has no value.
+/// The text of a missing or empty value.
 const NONE: &str = "-";
 const COLUMN_GAP: &str = "  ";
 
-/// A list of the operators' API, and which of its keys are shown.
-pub struct Table {
-    /// Where it is read.
-    pub path: &'static str,
-    /// The key of the list in the answer.
+/// A list of the operators' API, and the keys of it that are shown.
+pub(crate) struct Table {
+    /// The path at which the list is read.
+    pub(crate) path: &'static str,
+    /// The key of the list in the response.
     rows: &'static str,
-    /// The keys of a row, in their order.
+    /// The keys of a row, in the order of the columns.
     columns: &'static [&'static str],
 }
 
 /// The daemons.
-pub const MEMBERS: Table = Table {
+pub(crate) const MEMBERS: Table = Table {
     path: "/v1/members",
     rows: "members",
     columns: &[
@@ -34,8 +34,8 @@
     ],
 };
 
-/// The functions held.
-pub const HOLDERS: Table = Table {
+/// The function leases and their holders.
+pub(crate) const HOLDERS: Table = Table {
     path: "/v1/holders",
     rows: "holders",
     columns: &[
@@ -49,14 +49,14 @@
 };
 
 /// The workers.
-pub const WORKERS: Table = Table {
+pub(crate) const WORKERS: Table = Table {
     path: "/v1/workers",
     rows: "workers",
     columns: &["worker", "locality", "memory_mb", "reserved_mb", "draining"],
 };
 
 /// The runners.
-pub const RUNNERS: Table = Table {
+pub(crate) const RUNNERS: Table = Table {
     path: "/v1/runners",
     rows: "runners",
     columns: &[
@@ -71,8 +71,8 @@
     ],
 };
 
-/// The core as one controller sees it, and the other controllers.
-pub const CORE: Table = Table {
+/// The control quorum as one controller sees it, and the other controllers.
+pub(crate) const CORE: Table = Table {
     path: "/v1/core",
     rows: "others",
     columns: &[
@@ -97,35 +97,40 @@
 }
 
 impl Table {
-    /// The answer as text: what stands beside the list, a line each, then the list under its heads.
-    pub fn render(&self, answer: &Value) -> String {
+    /// The response as text: the other keys of the response, a line each, then the list below its headings.
+    pub(crate) fn render(&self, response: &Value) -> String {
         let mut text = String::new();
-        for (key, value) in answer.as_object().into_iter().flatten() {
+        for (key, value) in response.as_object().into_iter().flatten() {
             if key != self.rows {
                 let _ = writeln!(text, "{key}: {}", cell(value));
             }
         }
-        let heads: Vec<String> = self
+        let headings: Vec<String> = self
             .columns
             .iter()
             .map(|column| column.to_uppercase())
             .collect();
-        let rows = answer[self.rows].as_array().into_iter().flatten();
+        let rows = response[self.rows].as_array().into_iter().flatten();
         let cells = rows.map(|row| {
             self.columns
                 .iter()
                 .map(|column| cell(&row[*column]))
                 .collect()
         });
-        let lines: Vec<Vec<String>> = std::iter::once(heads).chain(cells).collect();
+        let lines: Vec<Vec<String>> = std::iter::once(headings).chain(cells).collect();
         for line in &lines {
-            let padded = line.iter().enumerate().map(|(column, cell)| {
-                let width = lines.iter().map(|line| line[column].chars().count()).max();
-                format!("{cell:<width$}", width = width.unwrap_or(0))
-            });
-            let joined = padded.collect::<Vec<_>>().join(COLUMN_GAP);
-            let _ = writeln!(text, "{}", joined.trim_end());
+            let _ = writeln!(text, "{}", padded(line, &lines));
         }
         text
     }
 }
+
+/// The cells of one line, each as wide as the widest of its column.
+fn padded(line: &[String], lines: &[Vec<String>]) -> String {
+    let cells = line.iter().enumerate().map(|(column, cell)| {
+        let width = lines.iter().map(|line| line[column].chars().count()).max();
+        format!("{cell:<width$}", width = width.unwrap_or(0))
+    });
+    let joined = cells.collect::<Vec<_>>().join(COLUMN_GAP);
+    joined.trim_end().to_owned()
+}
--- a/programs/rudderctl/src/trace.rs
+++ b/programs/rudderctl/src/trace.rs
@@ -1,4 +1,4 @@
-//! The trace of one version of the spec from its acceptance to every daemon.
+//! The trace of one version of the spec, from its acceptance by a leader to every daemon.
 
 use common::clock::MonotonicTime;
 use common::frames::SocketAddress;
@@ -9,101 +9,121 @@
 use std::fmt;
 use std::time::Duration;
 
-/// Why no way can be shown.
-#[derive(Debug)]
-pub enum TraceError {
-    /// No controller answered.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
+
+/// Why no trace can be shown.
+#[derive(Debug, thiserror::Error)]
+pub(crate) enum TraceError {
+    /// No controller responded.
+    #[error("no controller reached")]
     Unreachable,
-    /// No controller knows the serial.
-    Unknown(u64),
+    /// The newest version was requested, and no controller has led any yet.
+    #[error("no controller has led a version yet")]
+    NoVersion,
+    /// No controller has a trace of this version.
+    #[error("no controller knows serial {0}")]
+    UnknownVersion(u64),
 }
 
 impl TraceError {
-    /// What the process exits with.
-    pub fn exit_code(&self) -> u8 {
+    /// The exit code of the process.
+    pub(crate) fn exit_code(&self) -> u8 {
         match self {
-            Self::Unknown(_) => 3,
+            Self::NoVersion | Self::UnknownVersion(_) => 3,
             Self::Unreachable => 4,
         }
     }
 }
 
-impl fmt::Display for TraceError {
-    fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            Self::Unreachable => write!(out, "no controller reached"),
-            Self::Unknown(0) => write!(out, "no controller has led a version yet"),
-            Self::Unknown(version) => write!(out, "no controller knows serial {version}"),
+/// The trace of one version, with a part for each term in which a leader replicated it.
+pub(crate) struct VersionTrace {
+    version: u64,
+    /// The parts by their terms, as the controllers sent them.
+    parts: BTreeMap<u64, Value>,
+    unreachable: Vec<SocketAddress>,
+}
+
+/// What the controllers responded, and those that did not.
+struct TraceResponses {
+    responses: Vec<Value>,
+    unreachable: Vec<SocketAddress>,
+}
+
+/// Reads the traces of every controller. A controller without a trace of the version is left out.
+async fn read_responses(addresses: &[SocketAddress], requested_version: u64) -> TraceResponses {
+    let path = format!("/v1/traces/{requested_version}");
+    let (mut responses, mut unreachable) = (Vec::new(), Vec::new());
+    for address in addresses {
+        match call_json(*address, Method::GET, &path, None, REQUEST_TIMEOUT).await {
+            Ok(response) if response.status == StatusCode::OK => responses.push(response.json()),
+            Ok(_) => {}
+            Err(_) => unreachable.push(*address),
         }
     }
+    TraceResponses {
+        responses,
+        unreachable,
+    }
 }
 
-impl std::error::Error for TraceError {}
-
-/// One version's way, a part for each term in which it was led.
-pub struct VersionTrace {
-    version: u64,
-    parts: BTreeMap<u64, Value>,
-    unreachable: Vec<SocketAddress>,
+/// The parts of a version's trace by their terms, each with the controller that recorded it.
+fn parts_by_term(responses: &[Value], version: u64) -> BTreeMap<u64, Value> {
+    let mut parts = BTreeMap::new();
+    let of_version = responses
+        .iter()
+        .filter(|response| response["serial"].as_u64() == Some(version));
+    for response in of_version {
+        for trace in response["traces"].as_array().into_iter().flatten() {
+            let mut part = trace.clone();
+            part["surveyor"] = response["surveyor"].clone();
+            parts.insert(part["term"].as_u64().unwrap_or(0), part);
+        }
+    }
+    parts
 }
 
 impl VersionTrace {
-    /// Asks every controller, and joins what each saw while it led.
-    pub async fn read(
+    /// Reads the traces of a version from every controller and joins them; 0 stands for the newest version.
+    pub(crate) async fn read(
         addresses: &[SocketAddress],
         requested_version: u64,
     ) -> Result<Self, TraceError> {
-        let mut answers = Vec::new();
-        let mut unreachable = Vec::new();
-        for address in addresses {
-            let path = format!("/v1/traces/{requested_version}");
-            let timeout = Duration::from_secs(2);
-            match call_json(*address, Method::GET, &path, None, timeout).await {
-                Ok(response) if response.status == StatusCode::OK => answers.push(response.json()),
-                Ok(_) => {}
-                Err(_) => unreachable.push(*address),
-            }
-        }
+        let TraceResponses {
+            responses,
+            unreachable,
+        } = read_responses(addresses, requested_version).await;
         if unreachable.len() == addresses.len() {
             return Err(TraceError::Unreachable);
         }
-        let newest = answers
-            .iter()
-            .filter_map(|answer| answer["serial"].as_u64())
-            .max();
-        let version = newest.ok_or(TraceError::Unknown(requested_version))?;
-        let mut parts = BTreeMap::new();
-        for answer in answers
+        let versions = responses
             .iter()
-            .filter(|answer| answer["serial"].as_u64() == Some(version))
-        {
-            for trace in answer["traces"].as_array().into_iter().flatten() {
-                let mut part = trace.clone();
-                part["surveyor"] = answer["surveyor"].clone();
-                parts.insert(part["term"].as_u64().unwrap_or(0), part);
-            }
-        }
+            .filter_map(|response| response["serial"].as_u64());
+        let version = versions.max().ok_or(match requested_version {
+            0 => TraceError::NoVersion,
+            unknown => TraceError::UnknownVersion(unknown),
+        })?;
         Ok(Self {
             version,
-            parts,
+            parts: parts_by_term(&responses, version),
             unreachable,
         })
     }
 
-    /// The serial traced.
-    pub fn version(&self) -> u64 {
+    /// The version that is traced.
+    pub(crate) fn version(&self) -> u64 {
         self.version
     }
 
-    /// Whether some leader saw it in force everywhere.
-    pub fn is_in_force(&self) -> bool {
+    /// Whether some leader recorded that the version was in force everywhere.
+    pub(crate) fn is_in_force(&self) -> bool {
         self.parts
             .values()
             .any(|part| part["in_force_ms"].is_number())
     }
 
-    /// The way as JSON.
-    pub fn to_value(&self) -> Value {
+    /// The trace as JSON.
+    pub(crate) fn to_value(&self) -> Value {
         let unreachable: Vec<String> = self
             .unreachable
             .iter()
@@ -120,6 +140,33 @@
         .map_or_else(|| "-".to_owned(), |millis| format!("{millis:.1} ms"))
 }
 
+/// Writes the part of one term: when the version was committed and in force, and a row for each daemon.
+fn write_part(out: &mut fmt::Formatter<'_>, term: u64, part: &Value) -> fmt::Result {
+    writeln!(
+        out,
+        "term {term}, controller {}, {}: committed {}, in force {}",
+        part["surveyor"].as_str().unwrap_or("?"),
+        part["from"].as_str().unwrap_or("?"),
+        millis(&part["committed_ms"]),
+        millis(&part["in_force_ms"]),
+    )?;
+    writeln!(
+        out,
+        "  {:<24} {:>12} {:>14}  lagging",
+        "daemon", "pushed", "acknowledged"
+    )?;
+    for (member, row) in part["members"].as_object().into_iter().flatten() {
+        writeln!(
+            out,
+            "  {member:<24} {:>12} {:>14}  {}",
+            millis(&row["pushed_ms"]),
+            millis(&row["acknowledged_ms"]),
+            row["lagging"].as_str().unwrap_or("")
+        )?;
+    }
+    Ok(())
+}
+
 impl fmt::Display for VersionTrace {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         let force = if self.is_in_force() {
@@ -129,28 +176,7 @@
         };
         writeln!(out, "serial {}: {force}", self.version)?;
         for (term, part) in &self.parts {
-            writeln!(
-                out,
-                "term {term}, controller {}, {}: committed {}, in force {}",
-                part["surveyor"].as_str().unwrap_or("?"),
-                part["from"].as_str().unwrap_or("?"),
-                millis(&part["committed_ms"]),
-                millis(&part["in_force_ms"]),
-            )?;
-            writeln!(
-                out,
-                "  {:<24} {:>12} {:>14}  lagging",
-                "daemon", "pushed", "acknowledged"
-            )?;
-            for (member, row) in part["members"].as_object().into_iter().flatten() {
-                writeln!(
-                    out,
-                    "  {member:<24} {:>12} {:>14}  {}",
-                    millis(&row["pushed_ms"]),
-                    millis(&row["acknowledged_ms"]),
-                    row["lagging"].as_str().unwrap_or("")
-                )?;
-            }
+            write_part(out, *term, part)?;
         }
         for address in &self.unreachable {
             writeln!(
@@ -162,11 +188,9 @@
     }
 }
 
-const POLL_INTERVAL: Duration = Duration::from_millis(100);
-
-/// Reads the trace of a version, the newest if no serial is given; when told to follow, asks again
-/// until the version is in force everywhere or the patience (in seconds) has run out.
-pub async fn follow(
+/// Reads the trace of a version, the newest if none is given. With `follow` it reads again until the version is
+/// in force everywhere or the timeout, in seconds, is over; then it returns what it read last.
+pub(crate) async fn follow(
     addresses: &[SocketAddress],
     version: Option<u64>,
     follow: bool,
@@ -176,11 +200,11 @@
     let mut version = version.unwrap_or(0);
     loop {
         let read = VersionTrace::read(addresses, version).await;
-        let is_late = MonotonicTime::now() >= follow_until;
+        let is_over = MonotonicTime::now() >= follow_until;
         match read {
-            Ok(trace) if !follow || trace.is_in_force() || is_late => return Ok(trace),
+            Ok(trace) if !follow || trace.is_in_force() || is_over => return Ok(trace),
             Ok(trace) => version = trace.version(),
-            Err(error) if !follow || is_late => return Err(error),
+            Err(error) if !follow || is_over => return Err(error),
             Err(_) => {}
         }
         tokio::time::sleep(POLL_INTERVAL).await;
