--- a/crates/common/tests/document_forms.rs
+++ b/crates/common/tests/document_forms.rs
@@ -1,6 +1,7 @@
 //! The document that controllers replicate, the view that daemons get, the changes between versions and the digests
 //! by which they are believed are written as when the fixture was made, and are read from it.
 
+#[path = "../../../testing/support/form_list.rs"]
 mod forms;
 
 use common::frames::{ByteString, SocketAddress, compress, decompress};
--- a/crates/common/tests/wire_forms.rs
+++ b/crates/common/tests/wire_forms.rs
@@ -2,6 +2,7 @@
 
 #[path = "wire_forms/core_frames.rs"]
 mod core_frames;
+#[path = "../../../testing/support/form_list.rs"]
 mod forms;
 #[path = "wire_forms/hop_frames.rs"]
 mod hop_frames;
--- a/crates/controlplane/tests/stored_forms.rs
+++ b/crates/controlplane/tests/stored_forms.rs
@@ -1,6 +1,7 @@
 //! A controller's data folder has the files and bytes that it had when the fixture was written, and one that earlier
 //! sources wrote is opened, written on, and mended as ever.
 
+#[path = "../../../testing/support/form_folders.rs"]
 mod forms;
 
 use common::frames::SocketAddress;
