--- a/testing/support/controller_settings.rs
+++ b/testing/support/controller_settings.rs
@@ -8,26 +8,26 @@
     span.as_millis() as u64
 }
 
-/// Every value that was read.
-pub fn shown(boot: &ControllerSettings) -> Value {
-    let addresses: Vec<String> = boot.seeds.iter().map(ToString::to_string).collect();
-    let (consensus, leader) = (&boot.consensus_timing, &boot.leader_state_timing);
+/// Every value that was read, as JSON.
+pub fn shown(settings: &ControllerSettings) -> Value {
+    let addresses: Vec<String> = settings.seeds.iter().map(ToString::to_string).collect();
+    let (consensus, leader) = (&settings.consensus_timing, &settings.leader_state_timing);
     json!({
-        "file": boot.source,
-        "place": boot.address.to_string(),
-        "listen": boot.listen.to_string(),
-        "operators": boot.operators.to_string(),
-        "locality": boot.zone.as_str(),
+        "file": settings.source,
+        "place": settings.address.to_string(),
+        "listen": settings.listen.to_string(),
+        "operators": settings.operators.to_string(),
+        "locality": settings.zone.as_str(),
         "seeds": addresses,
-        "data": boot.data.as_ref().map(|folder| folder.display().to_string()),
-        "found_first": boot.bootstrap_on_first_start,
-        "voters": boot.quorum_policy.voters(),
-        "voters in one locality": boot.quorum_policy.zone_limit(),
-        "threads": boot.threads,
-        "platform": boot.platform.to_string(),
+        "data": settings.data.as_ref().map(|folder| folder.display().to_string()),
+        "found_first": settings.bootstrap_on_first_start,
+        "voters": settings.quorum_policy.voters(),
+        "voters in one locality": settings.quorum_policy.zone_limit(),
+        "threads": settings.threads,
+        "platform": settings.platform.to_string(),
         "placing": {"spread": leader.spread_over_zones, "emptying": leader.worker_evacuation},
         "timing": {
-            "list_every_ms": millis(boot.platform_poll_interval),
+            "list_every_ms": millis(settings.platform_poll_interval),
             "round_ms": millis(consensus.heartbeat_interval),
             "election_shortest_ms": millis(consensus.election_timeout_min),
             "election_longest_ms": millis(consensus.election_timeout_max),
--- a/testing/support/daemon_settings.rs
+++ b/testing/support/daemon_settings.rs
@@ -9,7 +9,7 @@
     span.as_millis() as u64
 }
 
-/// Every value that was read; regions for the zones named.
+/// Every value that was read, as JSON; regions are shown for these zones.
 pub fn shown(settings: &DaemonSettings, zones: &[&str]) -> Value {
     let addresses: Vec<String> = settings.seeds.iter().map(ToString::to_string).collect();
     let region_of = |zone: &str| {
--- a/testing/support/form_folders.rs
+++ b/testing/support/form_folders.rs
@@ -1,28 +1,30 @@
-//! Compares folders that the sources write with committed ones.
+//! Compares directories that the sources write with committed ones. Included by the tests that hold them.
 //!
-//! With `RUDDERSTREAM_WRITE_FORMS` set a committed folder is written anew where it differs, and the test fails all the
-//! same, so that it can never pass by what it has just written. Some folders are made from others: run it twice.
+//! While fixtures are rewritten, a committed directory is written only where it differs. Some are made from others:
+//! rewrite them twice.
+
+#[path = "fixtures.rs"]
+mod fixtures;
 
 use googletest::prelude::*;
 use std::collections::BTreeMap;
 use std::fs;
 use std::path::{Path, PathBuf};
 
-/// With this variable set, fixtures are written anew and every test that holds one fails.
-const WRITE: &str = "RUDDERSTREAM_WRITE_FORMS";
+const CRATE_FOLDER: &str = env!("CARGO_MANIFEST_DIR");
 
-/// A folder of the test's own, gone when the test ends.
+/// A temporary directory of the test; it is removed when the value is dropped.
 pub struct Folder(pub PathBuf);
 
 impl Folder {
-    /// An empty one.
+    /// A directory that does not exist yet.
     pub fn new(name: &str) -> Self {
         let path = std::env::temp_dir().join(format!("rudder-forms-{name}-{}", std::process::id()));
         let _ = fs::remove_dir_all(&path);
         Self(path)
     }
 
-    /// A copy of a committed folder, to be opened: opening writes.
+    /// A copy of a committed directory, which may be written to.
     pub fn copy_of(fixture: &str, name: &str) -> Result<Self> {
         let folder = Self::new(name);
         fs::create_dir_all(&folder.0)?;
@@ -40,9 +42,7 @@
 }
 
 fn fixture_path(fixture: &str) -> PathBuf {
-    PathBuf::from(env!("CARGO_MANIFEST_DIR"))
-        .join("tests/forms")
-        .join(fixture)
+    fixtures::path(CRATE_FOLDER, fixture)
 }
 
 fn files_in(folder: &Path) -> Result<BTreeMap<String, Vec<u8>>> {
@@ -67,24 +67,25 @@
             fs::write(fixture_path.join(file_name), file_bytes)?;
         }
     }
-    fail!(
-        "{} is written anew; look at what changed, and run without {WRITE}",
-        fixture_path.display()
-    )
+    fail!("{}", fixtures::rewritten_message(&fixture_path))
 }
 
-/// Succeeds only if a folder has the very files of the committed one that is made like it.
+/// Succeeds only if a directory has exactly the files of the committed one that is made in the same way.
 pub fn hold(fixture: &str, folder: &Path) -> Result<()> {
-    if std::env::var_os(WRITE).is_some() {
+    if fixtures::are_rewritten() {
         return write(fixture, &files_in(folder)?);
     }
     compare(fixture, folder)
 }
 
-/// Succeeds only if a folder has the very files of a committed one, byte by byte; an error while fixtures are written anew.
+/// Succeeds only if a directory has exactly the files of a committed one, byte for byte; an error while fixtures
+/// are being rewritten.
 pub fn compare(fixture: &str, folder: &Path) -> Result<()> {
-    if std::env::var_os(WRITE).is_some() {
-        return fail!("fixtures are being written anew; run without {WRITE}");
+    if fixtures::are_rewritten() {
+        return fail!(
+            "fixtures are being rewritten; run without {}",
+            fixtures::REWRITE_VARIABLE
+        );
     }
     let made = files_in(folder)?;
     let held = files_in(&fixture_path(fixture))?;
--- a/testing/support/platform_double.rs
+++ b/testing/support/platform_double.rs
@@ -1,4 +1,4 @@
-//! A platform that answers calls as a test says, and keeps what it was sent. Included by the tests that hold the calls.
+//! A platform that responds as a test prescribes, and records the calls. Included by the tests that hold the calls.
 
 use common::frames::SocketAddress;
 use std::net::SocketAddr;
@@ -6,9 +6,9 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-/// A platform's answers to calls, one after another, and the calls.
+/// A platform that gives prepared responses, one after another, and records the calls.
 pub struct PlatformDouble {
-    /// Where it listens.
+    /// The address at which it listens.
     pub address: SocketAddress,
     calls: Arc<Mutex<Vec<String>>>,
 }
@@ -23,16 +23,17 @@
 async fn read_call(stream: &mut TcpStream) -> String {
     let mut message = Vec::new();
     while !message.ends_with(b"\r\n\r\n") {
-        message.push(stream.read_u8().await.expect("a whole head"));
+        message.push(stream.read_u8().await.expect("a complete head"));
     }
     let mut body = vec![0; length(&String::from_utf8_lossy(&message))];
-    stream.read_exact(&mut body).await.expect("a whole body");
+    stream.read_exact(&mut body).await.expect("a complete body");
     message.extend(body);
     String::from_utf8_lossy(&message).replace("\r\n", "\n")
 }
 
 impl PlatformDouble {
-    /// A platform that gives these statuses and bodies, one for each call; then it closes connections.
+    /// A platform that responds with these statuses and bodies, one for each call, and then accepts no more. Its task
+    /// is detached and ends with the last response.
     pub async fn answering(answers: &[(u16, String)]) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let SocketAddr::V4(address) = listener.local_addr().expect("an address") else {
@@ -40,14 +41,14 @@
         };
         let address = SocketAddress(address);
         let calls = Arc::new(Mutex::new(Vec::new()));
-        let (kept, answers) = (calls.clone(), answers.to_vec());
+        let (recorded, answers) = (calls.clone(), answers.to_vec());
         tokio::spawn(async move {
             for (status, body) in answers {
                 let (mut stream, _) = listener.accept().await.expect("a call");
                 let call = read_call(&mut stream)
                     .await
                     .replace(&address.to_string(), "PLATFORM");
-                kept.lock().expect("the calls").push(call);
+                recorded.lock().expect("the calls").push(call);
                 let head = format!(
                     "HTTP/1.1 {status} X\r\ncontent-length: {}\r\n\r\n",
                     body.len()
@@ -58,7 +59,7 @@
         Self { address, calls }
     }
 
-    /// The calls so far, as they came.
+    /// The calls so far, in the order in which they came.
     pub fn calls(&self) -> Vec<String> {
         self.calls.lock().expect("the calls").clone()
     }
--- a/testing/support/setting_probes.rs
+++ b/testing/support/setting_probes.rs
@@ -1,10 +1,9 @@
-//! Asks a reader of settings for its answer to every wrong value of every key. Included by the tests that hold these
-//! answers.
+//! Gives a reader of settings every wrong value of every key. Included by the tests that hold its answers.
 
 use serde_json::{Value, json};
 use std::fmt::Write;
 
-/// What is put in the place of every value of a full file.
+/// The values by which every value of a full file is replaced.
 fn wrong_values() -> Vec<Value> {
     vec![
         json!(null),
@@ -24,7 +23,7 @@
     ]
 }
 
-/// The pointer of every value in a document, the document's own excepted.
+/// The JSON pointer (RFC 6901) of every value in a document, except the document's own.
 fn pointers(value: &Value, pointer: &str, found: &mut Vec<String>) {
     let inner: Vec<(String, &Value)> = match value {
         Value::Object(fields) => fields
@@ -62,20 +61,20 @@
     document
 }
 
-/// The bounds that an answer names.
+/// The bounds that an error names.
 fn bounds(answer: &str) -> Option<(u64, u64)> {
     let (least, most) = answer.split_once(" is not within ")?.1.split_once(" to ")?;
     Some((least.parse().ok()?, most.parse().ok()?))
 }
 
-/// The answers to every wrong value, a line each: the key, what stands there, and the complete text of the fault, or
-/// that the value was taken. Numbers are tried at both ends of the bounds that the reader names, and just outside.
+/// The answers to every wrong value, a line each: the key, its value, and the complete text of the error, or that the
+/// value was accepted. Numbers are tried at both ends of the bounds that the reader names, and just outside them.
 pub fn answers(full: &Value, read: impl Fn(&Value) -> Result<(), String>) -> String {
     let answer = |document: &Value| read(document).err().unwrap_or_else(|| "taken".to_owned());
     let mut text = String::new();
     let _ = writeln!(text, "the full file: {}", answer(full));
-    for whole in [json!({}), json!([]), json!(null), json!("text")] {
-        let _ = writeln!(text, "the whole file = {whole}: {}", answer(&whole));
+    for document in [json!({}), json!([]), json!(null), json!("text")] {
+        let _ = writeln!(text, "the whole file = {document}: {}", answer(&document));
     }
     let mut found = Vec::new();
     pointers(full, "", &mut found);
--- a/testing/support/settings_file.rs
+++ b/testing/support/settings_file.rs
@@ -1,5 +1,5 @@
-//! What each program that reads a settings file must say to its user: version, help, and every fault of the file by
-//! its key. Included by the programs' own tests, since only those know where the binary is.
+//! What each program that reads a settings file must print: version, help, and every error of the file by its key.
+//! Included by the programs' own tests, since only those know the path of the binary.
 
 use std::fs::OpenOptions;
 use std::io::Write;
@@ -9,14 +9,14 @@
 
 /// A program under test.
 pub struct Binary {
-    /// Its name, as it says it.
+    /// Its name, as it prints it.
     pub name: &'static str,
-    /// Where cargo has put it.
+    /// The path of the binary.
     pub path: &'static str,
 }
 
 impl Binary {
-    /// Runs it to its end.
+    /// Runs it until it ends.
     pub fn run(&self, arguments: &[&str]) -> Output {
         Command::new(self.path)
             .args(arguments)
@@ -24,7 +24,7 @@
             .expect("it runs")
     }
 
-    /// A file of its own.
+    /// A settings file of this test process, which the caller removes.
     pub fn file(&self, name: &str, text: &str) -> PathBuf {
         let file_name = format!("{}-{name}-{}.json", self.name, std::process::id());
         let path = std::env::temp_dir().join(file_name);
@@ -32,7 +32,7 @@
         path
     }
 
-    /// What it says, in one line that names the file, to settings that it refuses.
+    /// Checks that it refuses settings with exit code 2 and one line that names the file, and returns that line.
     pub fn refused(&self, name: &str, text: &str, more: &[&str]) -> String {
         let path = self.file(name, text);
         let mut arguments = vec!["--boot", path.to_str().expect("a path")];
@@ -49,7 +49,7 @@
         stderr_text
     }
 
-    /// Version and help are there.
+    /// Checks that it prints its version and its help.
     pub fn check_version_and_help(&self) {
         let version = self.run(&["--version"]);
         let version_text = String::from_utf8_lossy(&version.stdout).into_owned();
@@ -61,7 +61,7 @@
         assert!(String::from_utf8_lossy(&self.run(&["--help"]).stdout).contains("--boot"));
     }
 
-    /// Bad settings are named by file, key and reason.
+    /// Checks that it names bad settings by file, key and reason.
     pub fn check_bad_settings(&self) {
         let unknown = self.refused("unknown", r#"{"colour": "red"}"#, &[]);
         assert!(unknown.contains("colour is not a known key"), "{unknown}");
@@ -89,8 +89,8 @@
         let _ = self.refused("seeds", seeds, &[]);
     }
 
-    /// A hang-up that comes while the settings are still being read ends no process. The settings come through a
-    /// pipe: who can open it for writing knows that the process waits for them.
+    /// Checks that a SIGHUP that comes while the settings are still being read does not end it. The settings come
+    /// through a named pipe: once it can be opened for writing, the process is waiting for them.
     #[allow(dead_code)]
     pub fn check_early_hang_up(&self) {
         let pipe = std::env::temp_dir().join(format!("{}-{}.pipe", self.name, std::process::id()));
@@ -133,5 +133,5 @@
     }
 }
 
-/// The flag by which a pipe is opened only if somebody reads from it.
+/// `O_NONBLOCK`: opening a pipe for writing fails unless it is open for reading.
 const NONBLOCKING: i32 = 0o4000;
--- a/testing/support/wire.rs
+++ b/testing/support/wire.rs
@@ -1,4 +1,4 @@
-//! The bytes of HTTP requests and responses as the other side gets them. Included by the tests that hold them.
+//! The bytes of HTTP requests and responses as the peer receives them. Included by the tests that hold them.
 
 use bytes::Bytes;
 use common::http::{ConnectionLimits, HttpResponse, serve_connection};
@@ -14,7 +14,7 @@
 
 const PIPE_BYTES: usize = 1 << 20;
 
-/// The text of a message: line ends as in a text file, and no date.
+/// The text of a message, with plain line ends and without its date.
 fn shown(message: &[u8]) -> String {
     let text = String::from_utf8_lossy(message).replace("\r\n", "\n");
     let is_dated = |line: &str| line.starts_with("date: ");
@@ -24,14 +24,14 @@
     lines.collect::<Vec<_>>().join("\n")
 }
 
-/// What a caller gets to a request, of which the text is given with plain line ends.
+/// What a caller receives in response to a request, which is given as text with plain line ends.
 pub async fn answered_by<H, F>(handler: H, request_text: &str) -> String
 where
     H: Fn(Request<Incoming>) -> F,
     F: Future<Output = HttpResponse>,
 {
     let (near, mut far) = duplex(PIPE_BYTES);
-    let times = ConnectionLimits {
+    let limits = ConnectionLimits {
         header_bytes: 64 << 10,
         idle: Duration::from_secs(10),
     };
@@ -44,21 +44,21 @@
         far.read_to_end(&mut message).await.expect("an answer");
         message
     };
-    let serving = serve_connection(near, handler, times, stop);
+    let serving = serve_connection(near, handler, limits, stop);
     let (message, ()) = tokio::join!(reading, serving);
     shown(&message)
 }
 
-/// A response as a caller gets it who wants no other one.
-pub async fn response(served: HttpResponse) -> String {
-    let waiting = Arc::new(Mutex::new(Some(served)));
+/// A response as it is received on a connection that ends with it.
+pub async fn response(response: HttpResponse) -> String {
+    let pending_response = Arc::new(Mutex::new(Some(response)));
     let handler = move |_| {
-        let served = waiting
+        let response = pending_response
             .lock()
             .expect("a response")
             .take()
             .expect("one request");
-        async move { served }
+        async move { response }
     };
     answered_by(handler, "GET / HTTP/1.1\nhost: h\nconnection: close\n\n").await
 }
@@ -73,19 +73,19 @@
 async fn read_request(mut far: DuplexStream) -> Vec<u8> {
     let mut message = Vec::new();
     loop {
-        let byte = far.read_u8().await.expect("a whole request");
+        let byte = far.read_u8().await.expect("a complete request");
         message.push(byte);
-        let is_head_whole = message.ends_with(b"\r\n\r\n");
-        if is_head_whole {
+        let is_head_complete = message.ends_with(b"\r\n\r\n");
+        if is_head_complete {
             let mut body = vec![0; length(&String::from_utf8_lossy(&message))];
-            far.read_exact(&mut body).await.expect("a whole body");
+            far.read_exact(&mut body).await.expect("a complete body");
             message.extend(body);
             return message;
         }
     }
 }
 
-/// A request as the other side gets it.
+/// A request as the server receives it.
 #[allow(dead_code)]
 pub async fn request(request: Request<Full<Bytes>>) -> String {
     let (near, far) = duplex(PIPE_BYTES);
