--- a/programs/daemon/tests/command_line.rs
+++ b/programs/daemon/tests/command_line.rs
@@ -1,4 +1,4 @@
-//! What the command line says to a user.
+//! The command line of `rudderd`: its help, its errors, and the exit code of each.
 
 #[path = "../../../testing/support/commands.rs"]
 mod commands;
--- a/programs/rudderctl/tests/command_forms.rs
+++ b/programs/rudderctl/tests/command_forms.rs
@@ -1,5 +1,5 @@
-//! The operators' command line as its users know it: its help, how arguments are taken and refused, what each command
-//! asks of a controller, and what it prints of the answer and exits with.
+//! The forms of `rudderctl` that its users know: its help, how it accepts and refuses arguments, the requests of each
+//! command, and what it prints of the response and its exit code.
 
 #[path = "../../../testing/support/commands.rs"]
 mod commands;
@@ -24,11 +24,12 @@
     forms::check(env!("CARGO_MANIFEST_DIR"), name, seen);
 }
 
-fn said(arguments: &[&str]) -> String {
+/// What `rudderctl` prints, and its exit code.
+fn output_of(arguments: &[&str]) -> String {
     commands::output(PROGRAM, arguments, &[])
 }
 
-/// A controller that gives these statuses and bodies, one for each call, and keeps the calls.
+/// A controller that gives prepared responses, one for each call, and records the calls.
 struct Controller {
     address: SocketAddr,
     calls: Arc<Mutex<Vec<String>>>,
@@ -46,7 +47,7 @@
         if let Some(text) = line.strip_prefix("content-length: ") {
             length = text.trim().parse().expect("a length");
         }
-        // The length of a body with an id that was made up differs from run to run.
+        // The length of a body with a generated id differs from run to run.
         if !line.starts_with("content-length: ") {
             let _ = writeln!(head, "  {}", line.trim());
         }
@@ -57,16 +58,17 @@
 }
 
 impl Controller {
+    /// A controller that responds with these statuses and bodies. Its thread is detached and ends with the last one.
     fn answering(answers: &[(&str, String)]) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("an address");
         let calls = Arc::new(Mutex::new(Vec::new()));
-        let (kept, answers) = (calls.clone(), answers.iter().map(owned).collect::<Vec<_>>());
+        let (recorded, answers) = (calls.clone(), answers.iter().map(owned).collect::<Vec<_>>());
         std::thread::spawn(move || {
             for (status, body) in answers {
                 let (mut stream, _) = listener.accept().expect("a call");
                 let call = read_call(&stream).replace(&address.to_string(), "CONTROLLER");
-                kept.lock().expect("the calls").push(call);
+                recorded.lock().expect("the calls").push(call);
                 let length = body.len();
                 let head = format!("HTTP/1.1 {status}\r\ncontent-length: {length}\r\n\r\n");
                 let _ = stream.write_all(format!("{head}{body}").as_bytes());
@@ -75,13 +77,13 @@
         Self { address, calls }
     }
 
-    /// What a command asks and prints. An id that it makes up is shown as MADE-UP.
-    fn said(&self, arguments: &[&str]) -> String {
+    /// What a command requests and prints. An id that it generates is shown as MADE-UP.
+    fn output_of(&self, arguments: &[&str]) -> String {
         let address = self.address.to_string();
-        let text = said(&[&["--at", address.as_str()], arguments].concat());
+        let text = output_of(&[&["--at", address.as_str()], arguments].concat());
         let calls = self.calls.lock().expect("the calls").join("\n");
         let text = format!("{text}asked:\n{calls}\n").replace(&address, "CONTROLLER");
-        without_made_up_ids(&text)
+        without_generated_ids(&text)
     }
 }
 
@@ -89,7 +91,7 @@
     ((*status).to_owned(), body.clone())
 }
 
-fn without_made_up_ids(text: &str) -> String {
+fn without_generated_ids(text: &str) -> String {
     let mut parts = text.split("\"rudderctl-");
     let first = parts.next().unwrap_or_default().to_owned();
     let is_digit = |letter: char| letter.is_ascii_hexdigit();
@@ -101,10 +103,10 @@
     })
 }
 
-/// A file of its own, gone when it is dropped.
-struct OwnFile(PathBuf);
+/// A file of this test process; it is removed when the value is dropped.
+struct TemporaryFile(PathBuf);
 
-impl OwnFile {
+impl TemporaryFile {
     fn new(name: &str, text: &str) -> Self {
         let file_name = format!("rudderctl-forms-{name}-{}.json", std::process::id());
         let path = std::env::temp_dir().join(file_name);
@@ -117,7 +119,7 @@
     }
 }
 
-impl Drop for OwnFile {
+impl Drop for TemporaryFile {
     fn drop(&mut self) {
         let _ = std::fs::remove_file(&self.0);
     }
@@ -125,9 +127,9 @@
 
 #[test]
 fn help_and_version_are_as_they_were() {
-    let mut text = said(&["--help"]) + &said(&["-h"]) + &said(&["--version"]);
+    let mut text = output_of(&["--help"]) + &output_of(&["-h"]) + &output_of(&["--version"]);
     for command in COMMANDS {
-        text += &said(&[command, "--help"]);
+        text += &output_of(&[command, "--help"]);
     }
     check("help.txt", &text);
 }
@@ -135,7 +137,8 @@
 #[test]
 fn wrong_arguments_are_refused_as_they_were() {
     let nowhere = ["--at", "127.0.0.1:9"];
-    let mut text = said(&[]) + &said(&["nothing"]) + &said(&["--colour", "red", "spec"]);
+    let mut text =
+        output_of(&[]) + &output_of(&["nothing"]) + &output_of(&["--colour", "red", "spec"]);
     for arguments in [
         &["--at"][..],
         &["--at", "somewhere", "spec"],
@@ -146,10 +149,10 @@
         &["members", "--output"],
         &["members", "more"],
     ] {
-        text += &said(arguments);
+        text += &output_of(arguments);
     }
     for command in COMMANDS {
-        text += &said(&[&nowhere[..], &[command, "--colour"]].concat());
+        text += &output_of(&[&nowhere[..], &[command, "--colour"]].concat());
     }
     for arguments in [
         &["replace"][..],
@@ -167,17 +170,17 @@
         &["trace", "newest"],
         &["trace", "--patience", "long"],
     ] {
-        text += &said(&[&nowhere[..], arguments].concat());
+        text += &output_of(&[&nowhere[..], arguments].concat());
     }
-    let cut = OwnFile::new("cut", "{");
-    text += &said(&[&nowhere[..], &["put", cut.name()]].concat()).replace(cut.name(), "FILE");
+    let cut = TemporaryFile::new("cut", "{");
+    text += &output_of(&[&nowhere[..], &["put", cut.name()]].concat()).replace(cut.name(), "FILE");
     check("wrong_arguments.txt", &text);
 }
 
 #[test]
 fn a_core_that_nobody_reaches_has_its_exit_code() {
     let mut text = String::new();
-    let file = OwnFile::new("unreached", "{}");
+    let file = TemporaryFile::new("unreached", "{}");
     for arguments in [
         &["spec"][..],
         &["core"],
@@ -189,7 +192,7 @@
         &["trace"],
         &["put", file.name(), "--base", "3", "--change-id", "c"],
     ] {
-        text += &said(&[&["--at", "127.0.0.1:9,127.0.0.1:9"][..], arguments].concat());
+        text += &output_of(&[&["--at", "127.0.0.1:9,127.0.0.1:9"][..], arguments].concat());
     }
     check("unreached.txt", &text.replace(file.name(), "FILE"));
 }
@@ -198,14 +201,14 @@
     vec![("200 OK", body.to_string())]
 }
 
-/// What is typed, and a controller's answers.
-type Asked<'a> = (Vec<&'a str>, Vec<(&'a str, String)>);
+/// A command's arguments, and the responses of a controller.
+type CommandRun<'a> = (Vec<&'a str>, Vec<(&'a str, String)>);
 
 #[test]
 fn every_command_asks_as_it_did() {
-    let spec = OwnFile::new("spec", r#"{"functions": {}, "routes": {}}"#);
-    let patch = OwnFile::new("patch", r#"{"functions": {"f": null}}"#);
-    let items = OwnFile::new(
+    let spec = TemporaryFile::new("spec", r#"{"functions": {}, "routes": {}}"#);
+    let patch = TemporaryFile::new("patch", r#"{"functions": {"f": null}}"#);
+    let items = TemporaryFile::new(
         "items",
         r#"{"put": {"routes": {}}, "remove": {"functions": ["f"]}}"#,
     );
@@ -218,7 +221,7 @@
         ]
     };
     let (spec, patch, items) = (spec.name(), patch.name(), items.name());
-    let asked: Vec<Asked> = vec![
+    let runs: Vec<CommandRun> = vec![
         (vec!["core"], ok(&json!({}))),
         (
             vec!["replace", "5f", "77"],
@@ -310,8 +313,8 @@
         ),
     ];
     let mut text = String::new();
-    for (arguments, answers) in asked {
-        text += &Controller::answering(&answers).said(&arguments);
+    for (arguments, answers) in runs {
+        text += &Controller::answering(&answers).output_of(&arguments);
     }
     for (path, shown) in [
         (spec, "SPEC-FILE"),
@@ -335,11 +338,11 @@
             &["members", "--output", "table"],
             &["restore", "n"],
         ] {
-            text += &Controller::answering(&[(status, body.clone())]).said(arguments);
+            text += &Controller::answering(&[(status, body.clone())]).output_of(arguments);
         }
     }
     let no_json = Controller::answering(&[("200 OK", "no JSON".to_owned())]);
-    text += &no_json.said(&["spec"]);
+    text += &no_json.output_of(&["spec"]);
     check("statuses.txt", &text);
 }
 
@@ -391,7 +394,7 @@
             &after,
             &[command, "--output", "json"],
         ] {
-            text += &Controller::answering(&ok(&answer)).said(arguments);
+            text += &Controller::answering(&ok(&answer)).output_of(arguments);
         }
     }
     check("lists.txt", &text);
@@ -416,14 +419,15 @@
             &["trace", "--output", "json"],
             &["--output", "json", "trace"],
         ] {
-            text += &Controller::answering(&ok(&answer)).said(arguments);
+            text += &Controller::answering(&ok(&answer)).output_of(arguments);
         }
     }
     let unknown = || vec![("404 X", json!({"serial": null, "traces": []}).to_string())];
-    text += &Controller::answering(&unknown()).said(&["trace"]);
-    text += &Controller::answering(&unknown()).said(&["trace", "99"]);
+    text += &Controller::answering(&unknown()).output_of(&["trace"]);
+    text += &Controller::answering(&unknown()).output_of(&["trace", "99"]);
     let one = Controller::answering(&ok(&trace(json!(4.75))));
     let addresses = format!("{},127.0.0.1:9", one.address);
-    let with_a_silent_one = said(&["--at", &addresses, "trace"]).replace(&addresses, "CONTROLLERS");
-    check("traces.txt", &(text + &with_a_silent_one));
+    let with_an_unreachable_one =
+        output_of(&["--at", &addresses, "trace"]).replace(&addresses, "CONTROLLERS");
+    check("traces.txt", &(text + &with_an_unreachable_one));
 }
--- a/programs/rudderctl/tests/output.rs
+++ b/programs/rudderctl/tests/output.rs
@@ -1,4 +1,4 @@
-//! What the operators' command line prints.
+//! What `rudderctl` prints, and its exit codes.
 
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpListener};
@@ -19,11 +19,11 @@
         .expect("it runs")
 }
 
-/// A controller that answers one call, and gives back its first line.
-fn serve_response(status: &'static str, body: &'static str) -> (SocketAddr, JoinHandle<String>) {
+/// A controller that responds to one call; its thread returns the first line of the call.
+fn respond_once(status: &'static str, body: &'static str) -> (SocketAddr, JoinHandle<String>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
-    let serve_response = std::thread::spawn(move || {
+    let responding = std::thread::spawn(move || {
         let (mut stream, _) = listener.accept().expect("a call");
         let mut lines = BufReader::new(stream.try_clone().expect("a stream")).lines();
         let first_line = lines.next().expect("a line").expect("text");
@@ -37,7 +37,7 @@
         write!(stream, "{head}{body}").expect("it is sent");
         first_line
     });
-    (address, serve_response)
+    (address, responding)
 }
 
 fn run_against(
@@ -45,10 +45,10 @@
     body: &'static str,
     arguments: &[&str],
 ) -> (String, Option<i32>) {
-    let (address, serve_response) = serve_response(status, body);
+    let (address, responding) = respond_once(status, body);
     let address_text = address.to_string();
     let output = run(&[&["--at", address_text.as_str()], arguments].concat());
-    serve_response.join().expect("it answers");
+    responding.join().expect("it answers");
     (
         String::from_utf8_lossy(&output.stdout).into_owned(),
         output.status.code(),
@@ -69,8 +69,11 @@
 #[test]
 fn what_stands_beside_a_list_is_printed_before_it() {
     let (text, _) = run_against("200 OK", QUORUM_LIST, &["core", "--output", "table"]);
-    let heads = "SURVEYOR  PLACE  OPERATORS  ACCEPTED  VOTER  SILENT_MS";
-    assert_eq!(text, format!("leader: -\nsurveyor: 5f\nterm: 3\n{heads}\n"));
+    let headings = "SURVEYOR  PLACE  OPERATORS  ACCEPTED  VOTER  SILENT_MS";
+    assert_eq!(
+        text,
+        format!("leader: -\nsurveyor: 5f\nterm: 3\n{headings}\n")
+    );
 }
 
 #[test]
@@ -115,3 +118,28 @@
         assert!(text.contains(&format!("\n  rudderctl {name}")), "{text}");
     }
 }
+
+#[test]
+fn exit_codes_tell_usage_from_an_unreachable_core() {
+    assert_eq!(run(&["--version"]).status.code(), Some(0));
+    assert_eq!(run(&[]).status.code(), Some(2));
+    assert_eq!(run(&["--at", "somewhere", "spec"]).status.code(), Some(2));
+    assert_eq!(
+        run(&["--at", "127.0.0.1:9", "put", "/no/such/file"])
+            .status
+            .code(),
+        Some(2)
+    );
+    let unreachable = run(&["--at", "127.0.0.1:9", "spec"]);
+    assert_eq!(unreachable.status.code(), Some(4));
+    assert!(String::from_utf8_lossy(&unreachable.stderr).contains("no controller reached"));
+}
+
+#[test]
+fn trace_exit_codes_tell_usage_from_an_unreachable_core() {
+    assert_eq!(run(&["--at", "nowhere", "trace"]).status.code(), Some(2));
+    assert_eq!(
+        run(&["--at", "127.0.0.1:9", "trace", "3"]).status.code(),
+        Some(4)
+    );
+}
