--- a/programs/daemon/src/main.rs
+++ b/programs/daemon/src/main.rs
@@ -2,6 +2,8 @@
 //!
 //! Exit codes: 0 stopped by a signal; 1 a failure of the system; 2 invalid flags or settings.
 
+#![deny(unreachable_pub)]
+
 use common::command_line::{self, Program};
 use common::readers::{SettingsError, SettingsSource};
 use dataplane::drivers::{Daemon, DaemonHandle};
--- a/programs/rudderctl/src/main.rs
+++ b/programs/rudderctl/src/main.rs
@@ -3,6 +3,8 @@
 //! Exit codes: 0 done; 1 it could not start; 2 invalid flags, addresses or files; 3 refused or unknown; 4 no
 //! controller responded, there is no quorum, or the response was lost.
 
+#![deny(unreachable_pub)]
+
 mod arguments;
 mod change;
 mod client;
@@ -11,7 +13,7 @@
 mod table;
 mod trace;
 
-use arguments::{Command, EXAMPLES, Flags, ListCommand, Trace};
+use arguments::{Change, Command, EXAMPLES, Flags, ListCommand, Trace, ZoneCommand};
 use change::{ChangeKind, ZoneAction};
 use client::{ClientError, OperatorClient};
 use common::command_line::{self, Program};
@@ -51,6 +53,11 @@
     let list = async |table: &Table, options: ListCommand| {
         client.list(table, options.output.or(output)).await
     };
+    let change_spec =
+        async |kind, command: Change| client.change_spec(command.to_spec_change(kind)).await;
+    let change_zone = async |action, command: ZoneCommand| {
+        client.change_zone(command.into_zone_change(action)).await
+    };
     match command {
         Command::Found(_) => client.found().await,
         Command::Replace(replace) => {
@@ -64,31 +71,11 @@
         Command::Workers(options) => list(&table::WORKERS, options).await,
         Command::Runners(options) => list(&table::RUNNERS, options).await,
         Command::Change(query) => client.get(&format!("/v1/changes/{}", query.id)).await,
-        Command::Put(change) => {
-            client
-                .change_spec(change.to_spec_change(ChangeKind::Full))
-                .await
-        }
-        Command::Patch(change) => {
-            client
-                .change_spec(change.to_spec_change(ChangeKind::Patch))
-                .await
-        }
-        Command::Items(change) => {
-            client
-                .change_spec(change.to_spec_change(ChangeKind::Items))
-                .await
-        }
-        Command::Evacuate(zone) => {
-            client
-                .change_zone(zone.into_zone_change(ZoneAction::Evacuate))
-                .await
-        }
-        Command::Restore(zone) => {
-            client
-                .change_zone(zone.into_zone_change(ZoneAction::Restore))
-                .await
-        }
+        Command::Put(command) => change_spec(ChangeKind::Full, command).await,
+        Command::Patch(command) => change_spec(ChangeKind::Patch, command).await,
+        Command::Items(command) => change_spec(ChangeKind::Items, command).await,
+        Command::Evacuate(command) => change_zone(ZoneAction::Evacuate, command).await,
+        Command::Restore(command) => change_zone(ZoneAction::Restore, command).await,
         Command::Events(options) => {
             events::print_events(client.addresses(), options.from, options.follow).await
         }
--- a/testing/support/commands.rs
+++ b/testing/support/commands.rs
@@ -3,7 +3,7 @@
 use std::process::Command;
 
 /// What a program prints when it is run with arguments, and its exit code; its version is shown as VERSION.
-pub fn output(program: &str, arguments: &[&str], variables: &[(&str, &str)]) -> String {
+pub(crate) fn output(program: &str, arguments: &[&str], variables: &[(&str, &str)]) -> String {
     let output = Command::new(program)
         .args(arguments)
         .envs(variables.iter().copied())
--- a/testing/support/fixtures.rs
+++ b/testing/support/fixtures.rs
@@ -5,16 +5,16 @@
 
 /// With this variable set to 1, fixtures are rewritten, and every test that holds one fails all the same: no test
 /// can pass by what it has just written.
-pub const REWRITE_VARIABLE: &str = "RUDDERSTREAM_WRITE_FORMS";
+pub(crate) const REWRITE_VARIABLE: &str = "RUDDERSTREAM_WRITE_FORMS";
 
 /// Where a fixture of a crate is.
-pub fn path(crate_folder: &str, fixture: &str) -> PathBuf {
+pub(crate) fn path(crate_folder: &str, fixture: &str) -> PathBuf {
     Path::new(crate_folder).join("tests/forms").join(fixture)
 }
 
 /// Whether fixtures are being rewritten. Panics if the variable has another value than 1, so that a mistake in it
 /// neither rewrites fixtures nor lets a test pass.
-pub fn are_rewritten() -> bool {
+pub(crate) fn are_rewritten() -> bool {
     let Some(value) = std::env::var_os(REWRITE_VARIABLE) else {
         return false;
     };
@@ -26,7 +26,7 @@
 }
 
 /// What a test that has rewritten its fixture fails with.
-pub fn rewritten_message(fixture: &Path) -> String {
+pub(crate) fn rewritten_message(fixture: &Path) -> String {
     let fixture = fixture.display();
     format!("{fixture} was rewritten; check what changed, and run without {REWRITE_VARIABLE}")
 }
--- a/testing/support/form_folders.rs
+++ b/testing/support/form_folders.rs
@@ -14,18 +14,18 @@
 const CRATE_FOLDER: &str = env!("CARGO_MANIFEST_DIR");
 
 /// A temporary directory of the test; it is removed when the value is dropped.
-pub struct Folder(pub PathBuf);
+pub(crate) struct Folder(pub(crate) PathBuf);
 
 impl Folder {
     /// A directory that does not exist yet.
-    pub fn new(name: &str) -> Self {
+    pub(crate) fn new(name: &str) -> Self {
         let path = std::env::temp_dir().join(format!("rudder-forms-{name}-{}", std::process::id()));
         let _ = fs::remove_dir_all(&path);
         Self(path)
     }
 
     /// A copy of a committed directory, which may be written to.
-    pub fn copy_of(fixture: &str, name: &str) -> Result<Self> {
+    pub(crate) fn copy_of(fixture: &str, name: &str) -> Result<Self> {
         let folder = Self::new(name);
         fs::create_dir_all(&folder.0)?;
         for (file_name, file_bytes) in files_in(&fixture_path(fixture))? {
@@ -71,7 +71,7 @@
 }
 
 /// Succeeds only if a directory has exactly the files of the committed one that is made in the same way.
-pub fn hold(fixture: &str, folder: &Path) -> Result<()> {
+pub(crate) fn hold(fixture: &str, folder: &Path) -> Result<()> {
     if fixtures::are_rewritten() {
         return write(fixture, &files_in(folder)?);
     }
@@ -80,7 +80,7 @@
 
 /// Succeeds only if a directory has exactly the files of a committed one, byte for byte; an error while fixtures
 /// are being rewritten.
-pub fn compare(fixture: &str, folder: &Path) -> Result<()> {
+pub(crate) fn compare(fixture: &str, folder: &Path) -> Result<()> {
     if fixtures::are_rewritten() {
         return fail!(
             "fixtures are being rewritten; run without {}",
--- a/testing/support/form_list.rs
+++ b/testing/support/form_list.rs
@@ -13,15 +13,15 @@
 const CRATE_FOLDER: &str = env!("CARGO_MANIFEST_DIR");
 
 /// One form by its name.
-pub struct Form {
+pub(crate) struct Form {
     /// The form's name; it is unique and has no white space.
-    pub name: String,
+    pub(crate) name: String,
     /// The form as one line of text: hexadecimal for bytes.
-    pub text: String,
+    pub(crate) text: String,
 }
 
 /// The forms in a fixture; an error while fixtures are being rewritten.
-pub fn held_forms(fixture: &str) -> Result<Vec<Form>> {
+pub(crate) fn held_forms(fixture: &str) -> Result<Vec<Form>> {
     if fixtures::are_rewritten() {
         fail!(
             "fixtures are being rewritten; run without {}",
@@ -41,7 +41,7 @@
 }
 
 /// Succeeds only if the forms are those of the fixture: name by name, text by text, in the fixture's order.
-pub fn hold(fixture: &str, forms: &[Form]) -> Result<()> {
+pub(crate) fn hold(fixture: &str, forms: &[Form]) -> Result<()> {
     let names: BTreeSet<&str> = forms.iter().map(|form| form.name.as_str()).collect();
     verify_that!(names.len(), eq(forms.len()))?;
     verify_that!(
--- a/testing/support/forms.rs
+++ b/testing/support/forms.rs
@@ -2,14 +2,14 @@
 //! the fixtures are in `tests/forms` of their crate.
 
 #[path = "fixtures.rs"]
-pub mod fixtures;
+pub(crate) mod fixtures;
 
 /// The most lines that are named when a form differs from its fixture.
 const MAX_NAMED_LINES: usize = 20;
 
 /// Succeeds only if a form is equal to its fixture, byte for byte; panics with the lines that differ otherwise.
 #[track_caller]
-pub fn check(crate_folder: &str, name: &str, seen: &str) {
+pub(crate) fn check(crate_folder: &str, name: &str, seen: &str) {
     let fixture = fixtures::path(crate_folder, name);
     if fixtures::are_rewritten() {
         std::fs::create_dir_all(fixture.parent().expect("a folder")).expect("a folder");
--- a/testing/support/platform_double.rs
+++ b/testing/support/platform_double.rs
@@ -7,9 +7,9 @@
 use tokio::net::{TcpListener, TcpStream};
 
 /// A platform that gives prepared responses, one after another, and records the calls.
-pub struct PlatformDouble {
+pub(crate) struct PlatformDouble {
     /// The address at which it listens.
-    pub address: SocketAddress,
+    pub(crate) address: SocketAddress,
     calls: Arc<Mutex<Vec<String>>>,
 }
 
@@ -34,7 +34,7 @@
 impl PlatformDouble {
     /// A platform that responds with these statuses and bodies, one for each call, and then accepts no more. Its task
     /// is detached and ends with the last response.
-    pub async fn answering(answers: &[(u16, String)]) -> Self {
+    pub(crate) async fn answering(answers: &[(u16, String)]) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let SocketAddr::V4(address) = listener.local_addr().expect("an address") else {
             panic!("not an IPv4 address");
@@ -60,7 +60,7 @@
     }
 
     /// The calls so far, in the order in which they came.
-    pub fn calls(&self) -> Vec<String> {
+    pub(crate) fn calls(&self) -> Vec<String> {
         self.calls.lock().expect("the calls").clone()
     }
 }
--- a/testing/support/settings_file.rs
+++ b/testing/support/settings_file.rs
@@ -8,16 +8,16 @@
 use std::process::{Command, Output};
 
 /// A program under test.
-pub struct Binary {
+pub(crate) struct Binary {
     /// Its name, as it prints it.
-    pub name: &'static str,
+    pub(crate) name: &'static str,
     /// The path of the binary.
-    pub path: &'static str,
+    pub(crate) path: &'static str,
 }
 
 impl Binary {
     /// Runs it until it ends.
-    pub fn run(&self, arguments: &[&str]) -> Output {
+    pub(crate) fn run(&self, arguments: &[&str]) -> Output {
         Command::new(self.path)
             .args(arguments)
             .output()
@@ -25,7 +25,7 @@
     }
 
     /// A settings file of this test process, which the caller removes.
-    pub fn file(&self, name: &str, text: &str) -> PathBuf {
+    pub(crate) fn file(&self, name: &str, text: &str) -> PathBuf {
         let file_name = format!("{}-{name}-{}.json", self.name, std::process::id());
         let path = std::env::temp_dir().join(file_name);
         std::fs::write(&path, text).expect("a file");
@@ -33,7 +33,7 @@
     }
 
     /// Checks that it refuses settings with exit code 2 and one line that names the file, and returns that line.
-    pub fn refused(&self, name: &str, text: &str, more: &[&str]) -> String {
+    pub(crate) fn refused(&self, name: &str, text: &str, more: &[&str]) -> String {
         let path = self.file(name, text);
         let mut arguments = vec!["--boot", path.to_str().expect("a path")];
         arguments.extend(more);
@@ -50,7 +50,7 @@
     }
 
     /// Checks that it prints its version and its help.
-    pub fn check_version_and_help(&self) {
+    pub(crate) fn check_version_and_help(&self) {
         let version = self.run(&["--version"]);
         let version_text = String::from_utf8_lossy(&version.stdout).into_owned();
         assert!(
@@ -62,7 +62,7 @@
     }
 
     /// Checks that it names bad settings by file, key and reason.
-    pub fn check_bad_settings(&self) {
+    pub(crate) fn check_bad_settings(&self) {
         let unknown = self.refused("unknown", r#"{"colour": "red"}"#, &[]);
         assert!(unknown.contains("colour is not a known key"), "{unknown}");
         assert!(self.refused("missing", "{}", &[]).contains("is missing"));
@@ -92,7 +92,7 @@
     /// Checks that a SIGHUP that comes while the settings are still being read does not end it. The settings come
     /// through a named pipe: once it can be opened for writing, the process is waiting for them.
     #[allow(dead_code)]
-    pub fn check_early_hang_up(&self) {
+    pub(crate) fn check_early_hang_up(&self) {
         let pipe = std::env::temp_dir().join(format!("{}-{}.pipe", self.name, std::process::id()));
         let _ = std::fs::remove_file(&pipe);
         assert!(
--- a/testing/support/wire.rs
+++ b/testing/support/wire.rs
@@ -25,7 +25,7 @@
 }
 
 /// What a caller receives in response to a request, which is given as text with plain line ends.
-pub async fn answered_by<H, F>(handler: H, request_text: &str) -> String
+pub(crate) async fn answered_by<H, F>(handler: H, request_text: &str) -> String
 where
     H: Fn(Request<Incoming>) -> F,
     F: Future<Output = HttpResponse>,
@@ -50,7 +50,7 @@
 }
 
 /// A response as it is received on a connection that ends with it.
-pub async fn response(response: HttpResponse) -> String {
+pub(crate) async fn response(response: HttpResponse) -> String {
     let pending_response = Arc::new(Mutex::new(Some(response)));
     let handler = move |_| {
         let response = pending_response
@@ -87,7 +87,7 @@
 
 /// A request as the server receives it.
 #[allow(dead_code)]
-pub async fn request(request: Request<Full<Bytes>>) -> String {
+pub(crate) async fn request(request: Request<Full<Bytes>>) -> String {
     let (near, far) = duplex(PIPE_BYTES);
     let handshake = hyper::client::conn::http1::handshake(TokioIo::new(near));
     let (mut sender, connection) = handshake.await.expect("a connection");
