--- a/programs/rudderctl/tests/command_forms.rs
+++ b/programs/rudderctl/tests/command_forms.rs
@@ -204,42 +204,47 @@
 /// A command's arguments, and the responses of a controller.
 type CommandRun<'a> = (Vec<&'a str>, Vec<(&'a str, String)>);
 
-#[test]
-fn every_command_asks_as_it_did() {
-    let spec = TemporaryFile::new("spec", r#"{"functions": {}, "routes": {}}"#);
-    let patch = TemporaryFile::new("patch", r#"{"functions": {"f": null}}"#);
-    let items = TemporaryFile::new(
-        "items",
-        r#"{"put": {"routes": {}}, "remove": {"functions": ["f"]}}"#,
-    );
-    let accepted = json!({"state": "accepted", "serial": 4, "change_id": "c"});
-    let current = json!({"serial": 17});
-    let then_accepted = || {
-        vec![
-            ("200 OK", current.to_string()),
-            ("200 OK", accepted.to_string()),
-        ]
-    };
-    let (spec, patch, items) = (spec.name(), patch.name(), items.name());
-    let runs: Vec<CommandRun> = vec![
+/// The response to an accepted change.
+fn accepted() -> Value {
+    json!({"state": "accepted", "serial": 4, "change_id": "c"})
+}
+
+/// The response to a read of the spec.
+fn current_spec() -> Value {
+    json!({"serial": 17})
+}
+
+/// The responses to a change that reads the newest version first.
+fn read_then_accepted() -> Vec<(&'static str, String)> {
+    [ok(&current_spec()), ok(&accepted())].concat()
+}
+
+fn quorum_and_spec_reads() -> Vec<CommandRun<'static>> {
+    vec![
         (vec!["core"], ok(&json!({}))),
         (
             vec!["replace", "5f", "77"],
             vec![("202 X", json!({"state": "replacing"}).to_string())],
         ),
-        (vec!["spec"], ok(&current)),
-        (vec!["put", spec], then_accepted()),
-        (vec!["put", spec, "--wait"], then_accepted()),
+        (vec!["spec"], ok(&current_spec())),
+    ]
+}
+
+/// Changes of the spec from files, whose names are given.
+fn spec_changes<'a>(spec: &'a str, patch: &'a str, items: &'a str) -> Vec<CommandRun<'a>> {
+    vec![
+        (vec!["put", spec], read_then_accepted()),
+        (vec!["put", spec, "--wait"], read_then_accepted()),
         (
             vec!["put", spec, "--base", "3", "--change-id", "c"],
-            ok(&accepted),
+            ok(&accepted()),
         ),
-        (vec!["put", spec, "-b", "3", "-w"], ok(&accepted)),
+        (vec!["put", spec, "-b", "3", "-w"], ok(&accepted())),
         (
             vec!["put", spec, "--number", "9", "--base-number", "8"],
-            ok(&accepted),
+            ok(&accepted()),
         ),
-        (vec!["put", spec, "--number", "9"], ok(&accepted)),
+        (vec!["put", spec, "--number", "9"], ok(&accepted())),
         (
             vec![
                 "put",
@@ -251,26 +256,45 @@
                 "--base",
                 "3",
             ],
-            ok(&accepted),
+            ok(&accepted()),
+        ),
+        (
+            vec!["patch", patch, "--change-id", "c"],
+            read_then_accepted(),
         ),
-        (vec!["patch", patch, "--change-id", "c"], then_accepted()),
         (
             vec!["patch", patch, "--base", "3", "--change-id", "c", "--wait"],
-            ok(&accepted),
+            ok(&accepted()),
+        ),
+        (
+            vec!["items", items, "--change-id", "c"],
+            read_then_accepted(),
         ),
-        (vec!["items", items, "--change-id", "c"], then_accepted()),
         (
             vec!["items", items, "--number", "9", "--base-number", "8"],
-            ok(&accepted),
+            ok(&accepted()),
         ),
-        (vec!["change", "release-42"], ok(&accepted)),
-        (vec!["evacuate", "north"], ok(&accepted)),
+    ]
+}
+
+fn change_and_zone_commands() -> Vec<CommandRun<'static>> {
+    vec![
+        (vec!["change", "release-42"], ok(&accepted())),
+        (vec!["evacuate", "north"], ok(&accepted())),
         (
             vec!["evacuate", "north", "--change-id", "c", "--wait", "--force"],
-            ok(&accepted),
+            ok(&accepted()),
         ),
-        (vec!["evacuate", "north", "-w", "-f"], ok(&accepted)),
-        (vec!["restore", "north", "--change-id", "c"], ok(&accepted)),
+        (vec!["evacuate", "north", "-w", "-f"], ok(&accepted())),
+        (
+            vec!["restore", "north", "--change-id", "c"],
+            ok(&accepted()),
+        ),
+    ]
+}
+
+fn lists_and_streams() -> Vec<CommandRun<'static>> {
+    vec![
         (vec!["members"], ok(&json!({"members": []}))),
         (vec!["holders"], ok(&json!({"holders": []}))),
         (vec!["workers"], ok(&json!({"workers": []}))),
@@ -291,6 +315,11 @@
             vec!["trace", "--json"],
             ok(&json!({"serial": 17, "traces": []})),
         ),
+    ]
+}
+
+fn foundings() -> Vec<CommandRun<'static>> {
+    vec![
         (
             vec!["found"],
             vec![
@@ -301,7 +330,7 @@
                 ),
                 ("202 X", json!({"state": "founding"}).to_string()),
                 ("503 X", json!({"error": "no_leader"}).to_string()),
-                ("200 OK", current.to_string()),
+                ("200 OK", current_spec().to_string()),
             ],
         ),
         (
@@ -311,9 +340,27 @@
                 json!({"error": "the core is founded already"}).to_string(),
             )],
         ),
+    ]
+}
+
+#[test]
+fn every_command_asks_as_it_did() {
+    let spec = TemporaryFile::new("spec", r#"{"functions": {}, "routes": {}}"#);
+    let patch = TemporaryFile::new("patch", r#"{"functions": {"f": null}}"#);
+    let items = TemporaryFile::new(
+        "items",
+        r#"{"put": {"routes": {}}, "remove": {"functions": ["f"]}}"#,
+    );
+    let (spec, patch, items) = (spec.name(), patch.name(), items.name());
+    let runs = [
+        quorum_and_spec_reads(),
+        spec_changes(spec, patch, items),
+        change_and_zone_commands(),
+        lists_and_streams(),
+        foundings(),
     ];
     let mut text = String::new();
-    for (arguments, answers) in runs {
+    for (arguments, answers) in runs.concat() {
         text += &Controller::answering(&answers).output_of(&arguments);
     }
     for (path, shown) in [
