--- a/crates/controlplane/tests/stored_forms.rs
+++ b/crates/controlplane/tests/stored_forms.rs
@@ -1,6 +1,7 @@
 //! The disk format: a controller's data directory has the files and bytes of the fixtures, and one written by an
 //! earlier version is opened, continued and repaired as before.
 
+#[path = "../../../testing/support/form_folders.rs"]
 mod forms;
 
 use common::frames::SocketAddress;
