--- a/crates/common/src/events/mod.rs
+++ b/crates/common/src/events/mod.rs
@@ -1,8 +1,8 @@
 //! The catalogue of numbered events that processes log and operators follow.
 //!
 //! Numbers are stable: operators' tools match on them, and a number is never reused for another kind. Names may
-//! change; `docs/events.md` lists them as well, and a test holds it to this list. Numbers from 1000 are about any process,
-//! from 2000 about the control plane, from 3000 about daemons, their runners and requests.
+//! change; `docs/events.md` lists them as well, and a test holds it to this list. Numbers from 1000 are about any
+//! process, from 2000 about the control plane, from 3000 about daemons, their runners and requests.
 
 use std::fmt;
 
--- a/crates/common/src/invariants.rs
+++ b/crates/common/src/invariants.rs
@@ -146,11 +146,11 @@
     COLLECTED.take()
 }
 
-/// Reports a violation unless the condition holds. `detail` is evaluated only then.
+/// Reports a violation unless the condition holds; `detail` is evaluated only for a violation.
 ///
 /// # Panics
-/// On a violation in debug builds, if all `rules` are enforced and the thread neither collects nor the process only
-/// counts.
+/// On a violation in debug builds, unless a rule is disabled in `rules`, the thread collects violations or the process
+/// only counts them.
 pub fn require(rules: Rules, invariant: Invariant, holds: bool, detail: impl FnOnce() -> String) {
     if !holds {
         report_violation(
--- a/crates/common/src/spec/document.rs
+++ b/crates/common/src/spec/document.rs
@@ -256,8 +256,8 @@
         Ok(changed_document)
     }
 
-    /// Applies a delta without checking the result's digest. Only the simulator's planted flaw and
-    /// [`apply_delta`](Self::apply_delta) use it.
+    /// Applies a delta without checking the result's digest. Apart from [`apply_delta`](Self::apply_delta) it is only
+    /// for the planted flaw without [`DeltaOnItsBase`](crate::rules::Rule::DeltaOnItsBase).
     pub fn apply_delta_unverified(&self, change_bytes: &[u8]) -> Result<Document, DocumentError> {
         let mut change: Value = serde_json::from_slice(change_bytes)?;
         let put = PutRecords::take(&mut change);
