--- /dev/null
+++ b/crates/controlplane/src/leader_state/claims_quorum.rs
@@ -0,0 +1,241 @@
+//! The claims quorum: before a new leader issues leases, a majority of the members that may hold leases of an
+//! earlier leader has claimed what it holds, and the others have claimed as well or their leases have run out.
+
+use super::events::{ClaimsQuorumFields, MemberFields};
+use super::{LeaderOutput, LeaderState, QuorumProof};
+use common::clock::MonotonicTime;
+use common::events;
+use common::frames::KnownMember;
+use common::identity::{MemberName, Version};
+use common::rules::Rule;
+use common::spec::{Document, ListedMember};
+use std::collections::BTreeSet;
+use std::time::Duration;
+
+/// Between two requests for the lists, while something may run that is not known.
+const LIST_REQUEST_INTERVAL: Duration = Duration::from_millis(150);
+
+/// Who has to claim, and whether the quorum stands.
+pub(super) struct ClaimsQuorum {
+    /// The members that may hold leases of an earlier leader, as the control quorum's heartbeats name them.
+    pub last_known: BTreeSet<KnownMember>,
+    /// Whether there are surely no others.
+    pub last_known_complete: bool,
+    /// The committed membership at the election, without the members dropped since.
+    pub awaited_members: BTreeSet<ListedMember>,
+    /// When a member last came back as another incarnation.
+    pub member_restarted_at: MonotonicTime,
+    /// Whether the quorum was reached with a claim from everybody.
+    pub all_claimed: bool,
+    pub is_open: bool,
+    /// When the quorum was reached; the election before that.
+    pub opened_at: MonotonicTime,
+    /// The version that was committed at the election.
+    pub inherited_version: Version,
+    /// Whether no function existed in that version.
+    pub inherits_no_functions: bool,
+}
+
+impl ClaimsQuorum {
+    pub fn new(
+        elected_at: MonotonicTime,
+        last_known: BTreeSet<KnownMember>,
+        last_known_complete: bool,
+    ) -> Self {
+        Self {
+            last_known,
+            last_known_complete,
+            awaited_members: BTreeSet::new(),
+            member_restarted_at: MonotonicTime::ZERO,
+            all_claimed: false,
+            is_open: false,
+            opened_at: elected_at,
+            inherited_version: Version(0),
+            inherits_no_functions: false,
+        }
+    }
+
+    /// Takes over from earlier leaders with the first document committed in this term.
+    pub fn inherit(&mut self, document: &Document) {
+        self.inherited_version = document.document_version.version;
+        self.inherits_no_functions = document.generations.is_empty();
+        self.awaited_members = document.membership.clone();
+    }
+
+    /// Whether a claim is awaited from another incarnation of a member.
+    pub fn expects_other_incarnation_of(&self, known_member: &KnownMember) -> bool {
+        self.last_known
+            .iter()
+            .any(|known| known.is_other_incarnation_of(known_member))
+    }
+}
+
+/// How the members of an earlier leader stand with their claims.
+struct ClaimCount {
+    /// How many had to claim.
+    expected: usize,
+    /// How many have, under whatever incarnation.
+    claimed: usize,
+    /// Whether nothing else can hold a lease or run.
+    all_claimed: bool,
+}
+
+impl ClaimCount {
+    fn has_majority(&self) -> bool {
+        self.expected == 0 || self.claimed * 2 > self.expected
+    }
+}
+
+impl LeaderState {
+    /// Starts to issue leases once the claims quorum stands. Before that a lease could go to a second holder
+    /// while the first one is merely slow to claim it.
+    pub(super) fn open_if_due(&mut self, now: MonotonicTime, proof: &QuorumProof<'_>) {
+        if self.claims.is_open || !proof.ready || self.configuration.document.is_none() {
+            return;
+        }
+        if now.since(self.elected_at) > self.timing.drop_absent_after {
+            self.drop_absent_members();
+        }
+        if !self.claims.awaited_members.is_empty() {
+            self.open_by_membership(now);
+            return;
+        }
+        let count = self.count_last_known();
+        let is_due = count.has_majority() && (count.all_claimed || self.has_waited_for_claims(now));
+        if self.claims.inherits_no_functions
+            || is_due
+            || !self.rules.enforces(Rule::ClaimsQuorumAwaited)
+        {
+            self.open(now, &count);
+        }
+    }
+
+    /// Members that have not come back for long no longer count for the majority; their leases are still
+    /// waited out.
+    fn drop_absent_members(&mut self) {
+        let current = &self.members.current;
+        let (remaining, dropped): (BTreeSet<KnownMember>, BTreeSet<KnownMember>) =
+            std::mem::take(&mut self.claims.last_known)
+                .into_iter()
+                .partition(|known_member| current.contains_key(&known_member.member));
+        self.members.changed |= !dropped.is_empty();
+        self.claims.last_known = remaining;
+        let dropped_listed = self.drop_missing_awaited();
+        let dropped_names: BTreeSet<MemberName> = dropped
+            .into_iter()
+            .map(|known| known.member)
+            .chain(dropped_listed.into_iter().map(|listed| listed.member))
+            .collect();
+        for dropped_name in dropped_names {
+            let fields = MemberFields {
+                member: &dropped_name,
+            };
+            self.record_event(events::ABSENT_MEMBER_DROPPED, fields);
+        }
+    }
+
+    /// Counts the claims of the members that heartbeats named, where no membership list is committed yet.
+    fn count_last_known(&self) -> ClaimCount {
+        let last_known = &self.claims.last_known;
+        let has_successor_claimed = |known: &&KnownMember| {
+            let current = self.members.current.get(&known.member);
+            current.is_some_and(|current| self.has_claimed(current))
+        };
+        let claims_or_restarted =
+            |known: &KnownMember| self.has_claimed(known) || self.has_restarted_and_claimed(known);
+        let is_list_new = self.runner_lists.listed_at >= self.last_known_settled_at();
+        ClaimCount {
+            expected: last_known.len(),
+            claimed: last_known.iter().filter(has_successor_claimed).count(),
+            all_claimed: self.claims.last_known_complete
+                && !last_known.is_empty()
+                && is_list_new
+                && last_known.iter().all(claims_or_restarted),
+        }
+    }
+
+    fn has_claimed(&self, known_member: &KnownMember) -> bool {
+        let record = self.members.records.get(known_member);
+        record.is_some_and(|record| record.claimed)
+    }
+
+    /// Whether another incarnation stands in the member's stead and has claimed.
+    fn has_restarted_and_claimed(&self, known: &KnownMember) -> bool {
+        let current = self.members.current.get(&known.member);
+        current.is_some_and(|restarted_member| {
+            known.is_other_incarnation_of(restarted_member) && self.has_claimed(restarted_member)
+        })
+    }
+
+    /// From which instant on the platform's list shows what restarted members left: starts that an earlier
+    /// incarnation requested may reach the platform a little after its end.
+    fn last_known_settled_at(&self) -> MonotonicTime {
+        let has_restarted = self
+            .claims
+            .last_known
+            .iter()
+            .any(|known| self.has_restarted_and_claimed(known));
+        if has_restarted {
+            let settled_at = self.claims.member_restarted_at + self.timing.start_settle;
+            settled_at.max(self.elected_at)
+        } else {
+            self.elected_at
+        }
+    }
+
+    /// Whether all leases of earlier leaders have run out, and the platform's list shows what they left.
+    fn has_waited_for_claims(&self, now: MonotonicTime) -> bool {
+        let full_wait_end = self.elected_at + self.timing.claims_wait;
+        now >= full_wait_end
+            && self.runner_lists.listed_at >= full_wait_end + self.timing.start_settle
+    }
+
+    /// Opens by the committed membership list, which names every member that may hold a lease: when each
+    /// of them has claimed, or another incarnation at its address has, nothing else holds anything.
+    fn open_by_membership(&mut self, now: MonotonicTime) {
+        let count = ClaimCount {
+            expected: self.claims.awaited_members.len(),
+            claimed: self.count_claimed_names(),
+            all_claimed: self.have_all_awaited_claimed(),
+        };
+        let has_majority = count.has_majority();
+        let skips_wait = has_majority && !self.rules.enforces(Rule::ListedMembersAwaited);
+        let is_due = count.all_claimed || (has_majority && self.has_waited_for_claims(now));
+        if is_due || skips_wait || !self.rules.enforces(Rule::ClaimsQuorumAwaited) {
+            if count.all_claimed {
+                self.runner_lists.complete_from = self.compute_list_complete_from();
+            }
+            self.open(now, &count);
+        }
+    }
+
+    fn open(&mut self, now: MonotonicTime, count: &ClaimCount) {
+        self.claims.is_open = true;
+        self.claims.opened_at = now;
+        self.claims.all_claimed = count.all_claimed;
+        self.runner_lists.requested_at = MonotonicTime::ZERO;
+        self.members.changed = true;
+        self.membership_list.check_due = true;
+        self.acquisitions.check_due = true;
+        self.register_pending_list();
+        let fields = ClaimsQuorumFields {
+            last_known: count.expected,
+            claimed: count.claimed,
+            all_claimed: count.all_claimed,
+            waited_ms: now.since(self.elected_at).as_millis() as u64,
+            functions: self.lease_records.len(),
+        };
+        self.record_event(events::CLAIMS_QUORUM_REACHED, fields);
+    }
+
+    /// Requests the platform's lists at the election, and again from the opening on until they show
+    /// everything that earlier incarnations left.
+    pub(super) fn request_lists(&mut self, now: MonotonicTime) {
+        let is_wanted = self.runner_lists.requested_at == MonotonicTime::ZERO
+            || (self.claims.is_open && !self.is_runner_list_complete());
+        if is_wanted && now.since(self.runner_lists.requested_at) >= LIST_REQUEST_INTERVAL {
+            self.runner_lists.requested_at = now;
+            self.outputs.push(LeaderOutput::RequestLists);
+        }
+    }
+}
--- a/crates/controlplane/src/leader_state/document_delivery.rs
+++ b/crates/controlplane/src/leader_state/document_delivery.rs
@@ -1,75 +1,144 @@
+//! Delivery of the configuration: the committed document goes to every member, as deltas where possible.
+
+use super::events::{CapacityFields, InstallFailureFields, VersionFields};
 use super::{LeaderOutput, LeaderState, StreamId, TraceStep};
 use common::clock::MonotonicTime;
 use common::events;
 use common::frames::{Flag, LeaderToDaemon, compress};
-use common::identity::{FunctionKey, MemberName, RunnerId, Version};
+use common::identity::{MemberName, Version};
 use common::rules::Rule;
 use common::spec::{DaemonView, Document, RoutingTable};
-use serde_json::json;
+use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-/// How many versions daemons may be behind and still be told the difference.
+/// How many versions a member may be behind and still get a delta.
 pub const RETAINED_VIEWS: usize = 8;
 
-/// Whether a version is in force everywhere is looked at so often, not at each daemon's word.
-const IN_FORCE_EVERY: Duration = Duration::from_millis(5);
+/// Whether a version is in force is checked this often, not at each member's report.
+const IN_FORCE_CHECK_INTERVAL: Duration = Duration::from_millis(5);
 
-impl LeaderState {
-    /// Takes a committed document and pushes it to every daemon.
-    pub fn committed(&mut self, document: Document) {
-        let previously_evacuated = self.document.as_ref().map(|held| held.evacuated.clone());
-        let is_evacuation =
-            previously_evacuated.is_some_and(|earlier| !document.evacuated.is_subset(&earlier));
-        if self.document.is_none() {
-            self.inherited_version = document.document_version.version;
-            self.inherits_no_functions = document.generations.is_empty();
-            self.awaited_members = document.membership.clone();
-        }
-        self.membership_changed = true;
-        self.renewals.schedule_check();
-        let is_unseen = self.document.as_ref().is_some_and(|held| {
-            document.hidden_versions > 0 && held.view_version() == document.view_version()
-        });
-        if is_unseen {
-            self.document = Some(document);
-            return;
-        }
-        let view = document.view();
-        match RoutingTable::build_after(&self.table, &view) {
-            Ok(table) => self.table = table,
-            Err(error) => {
-                let detail = json!({"serial": view.version.0, "fault": error.to_string()});
-                self.record_event(events::SPEC_INSTALL_FAILED, detail);
-            }
+/// The committed document, and what is needed to deliver it to the members.
+pub(super) struct Configuration {
+    pub document: Option<Document>,
+    pub table: RoutingTable,
+    /// The newest views, oldest first: a member that has one of them installed gets a delta.
+    views: VecDeque<DaemonView>,
+    /// Views from before the election. They are used only once a version is committed in this term.
+    pub earlier_views: VecDeque<DaemonView>,
+    /// The frames to the newest view, by the version that they start from.
+    delta_frames: BTreeMap<Version, LeaderToDaemon>,
+    /// The frame with the complete newest view.
+    full_frame: Option<LeaderToDaemon>,
+    /// The longest time-out that a request may have had under any version of this term.
+    pub longest_timeout: Duration,
+    pub in_force: Version,
+    in_force_checked_at: MonotonicTime,
+}
+
+impl Configuration {
+    pub fn new() -> Self {
+        Self {
+            document: None,
+            table: RoutingTable::empty(),
+            views: VecDeque::new(),
+            earlier_views: VecDeque::new(),
+            delta_frames: BTreeMap::new(),
+            full_frame: None,
+            longest_timeout: Duration::ZERO,
+            in_force: Version(0),
+            in_force_checked_at: MonotonicTime::ZERO,
         }
-        self.replica_assignment_due = true;
-        self.acquisitions_changed = true;
+    }
+
+    /// Whether a document evacuates a zone that the present one does not.
+    fn evacuates_more(&self, document: &Document) -> bool {
+        let present = self.document.as_ref();
+        present.is_some_and(|present| !document.evacuated.is_subset(&present.evacuated))
+    }
+
+    /// Whether a document differs from the present one only in what members do not see.
+    fn is_same_for_members(&self, document: &Document) -> bool {
+        self.document.as_ref().is_some_and(|present| {
+            document.hidden_versions > 0 && present.view_version() == document.view_version()
+        })
+    }
+
+    /// Takes the document whose routing table was just built, with its view.
+    fn install(&mut self, document: Document, view: DaemonView) {
         self.longest_timeout = self.longest_timeout.max(self.table.longest_timeout());
         self.document = Some(document);
         let mut earlier_views = std::mem::take(&mut self.earlier_views);
         earlier_views.retain(|earlier| earlier.version < view.version);
         self.views.extend(earlier_views);
         if self
-            .views
-            .back()
-            .is_none_or(|newest_view| newest_view.version < view.version)
+            .newest_version()
+            .is_none_or(|newest| newest < view.version)
         {
             self.views.push_back(view);
             self.delta_frames.clear();
-            self.full_spec_cache = None;
+            self.full_frame = None;
         }
         let extra_count = self.views.len().saturating_sub(RETAINED_VIEWS);
         self.views.drain(..extra_count);
-        let obeys_evacuation = self.rules.enforces(Rule::EvacuationObeyed);
-        for record in self.members.values_mut() {
-            let is_evacuated = self.table.is_evacuated(&record.host.zone) && obeys_evacuation;
-            let eligible = Flag(record.is_self_eligible && !is_evacuated);
-            if record.host.eligible != eligible {
-                record.host.eligible = eligible;
-                self.hosts_changed = true;
+    }
+
+    fn newest_version(&self) -> Option<Version> {
+        self.views.back().map(|view| view.version)
+    }
+
+    /// The frame that brings a member from a version to the newest one. Frames are compressed once for all members.
+    fn frame_from(&mut self, base_version: Version) -> Option<LeaderToDaemon> {
+        let newest_view = self.views.back()?;
+        let mut retained_views = self.views.iter();
+        let Some(base_view) = retained_views.find(|view| view.version == base_version) else {
+            return self.full_frame();
+        };
+        let frame = self
+            .delta_frames
+            .entry(base_version)
+            .or_insert_with(|| spec_delta_frame(base_view, newest_view));
+        Some(frame.clone())
+    }
+
+    /// The frame with the complete newest version.
+    fn full_frame(&mut self) -> Option<LeaderToDaemon> {
+        let newest_view = self.views.back()?;
+        let frame = self
+            .full_frame
+            .get_or_insert_with(|| full_spec_frame(newest_view));
+        Some(frame.clone())
+    }
+}
+
+impl LeaderState {
+    /// Takes a committed document and pushes it to every member.
+    pub fn committed(&mut self, document: Document) {
+        let is_evacuation = self.configuration.evacuates_more(&document);
+        if self.configuration.document.is_none() {
+            self.claims.inherit(&document);
+        }
+        self.membership_list.check_due = true;
+        self.renewals.schedule_check();
+        if self.configuration.is_same_for_members(&document) {
+            self.configuration.document = Some(document);
+            return;
+        }
+        let view = document.view();
+        match RoutingTable::build_after(&self.configuration.table, &view) {
+            Ok(table) => self.configuration.table = table,
+            Err(error) => {
+                let fields = InstallFailureFields {
+                    version: view.version,
+                    error: &error,
+                };
+                self.record_event(events::SPEC_INSTALL_FAILED, fields);
             }
         }
-        let open_streams: Vec<StreamId> = self.streams.keys().copied().collect();
+        self.replica_assignment_due = true;
+        self.acquisitions.check_due = true;
+        self.configuration.install(document, view);
+        self.update_eligibility();
+        let open_streams: Vec<StreamId> = self.members.streams.keys().copied().collect();
         for open_stream in open_streams {
             self.push_newest(open_stream);
         }
@@ -79,49 +148,55 @@
         self.hand_over_evacuated();
     }
 
-    /// Says loudly that what is placed now will hardly fit on the workers that are left.
+    /// Members in evacuated zones take no functions.
+    fn update_eligibility(&mut self) {
+        let obeys_evacuation = self.rules.enforces(Rule::EvacuationObeyed);
+        for record in self.members.records.values_mut() {
+            let is_evacuated =
+                self.configuration.table.is_evacuated(&record.host.zone) && obeys_evacuation;
+            let eligible = Flag(record.is_self_eligible && !is_evacuated);
+            if record.host.eligible != eligible {
+                record.host.eligible = eligible;
+                self.hosts.push_due = true;
+            }
+        }
+    }
+
+    /// Warns operators when what is reserved will hardly fit on the workers that remain.
     fn warn_of_low_capacity(&mut self) {
         let needed_mb: u64 = self.reserved_mb().values().sum();
         let remaining_mb: u64 = self
             .workers
+            .records
             .iter()
             .filter(|(worker, _)| self.is_worker_usable(worker))
             .map(|(_, record)| u64::from(record.listed.memory_mb))
             .sum();
         if needed_mb * 10 > remaining_mb * 9 {
-            let detail = json!({"needed_mb": needed_mb, "left_mb": remaining_mb});
-            self.record_event(events::CAPACITY_LOW, detail);
+            let fields = CapacityFields {
+                needed_mb,
+                remaining_mb,
+            };
+            self.record_event(events::CAPACITY_LOW, fields);
         }
     }
 
+    /// Brings a member to the newest version, with a delta if it has one of the retained versions.
     pub(super) fn push_newest(&mut self, stream: StreamId) {
-        let Some(newest_view) = self.views.back() else {
+        let Some(version) = self.configuration.newest_version() else {
             return;
         };
-        let Some(known_member) = self.streams.get(&stream) else {
+        let Some((known_member, record)) = self.members.on_stream_mut(stream) else {
             return;
         };
-        let Some(record) = self.members.get_mut(known_member) else {
-            return;
-        };
-        if record.pushed >= newest_view.version {
+        if record.pushed >= version {
             return;
         }
-        let base_version = record.pushed;
-        let base_view = self.views.iter().find(|view| view.version == base_version);
-        let frame = match base_view {
-            Some(base) => {
-                let cached_frame = self.delta_frames.entry(base_version);
-                cached_frame.or_insert_with(|| spec_delta_frame(base, newest_view))
-            }
-            None => self
-                .full_spec_cache
-                .get_or_insert_with(|| full_spec_frame(newest_view)),
-        };
-        let frame = frame.clone();
-        record.pushed = newest_view.version;
-        let version = newest_view.version;
+        let base_version = std::mem::replace(&mut record.pushed, version);
         let member = known_member.member.clone();
+        let Some(frame) = self.configuration.frame_from(base_version) else {
+            return;
+        };
         self.outputs.push(LeaderOutput::VersionProgress {
             version,
             member,
@@ -130,153 +205,55 @@
         self.send_frame(stream, frame);
     }
 
+    /// A delta did not fit what the member has: it gets the complete document.
     pub(super) fn push_full_document(&mut self, stream: StreamId) {
-        if let Some(newest_view) = self.views.back() {
-            let frame = self
-                .full_spec_cache
-                .get_or_insert_with(|| full_spec_frame(newest_view))
-                .clone();
+        if let Some(frame) = self.configuration.full_frame() {
             self.send_frame(stream, frame);
         }
     }
 
+    /// Notes when the newest version is in force: every member that may use a session lease has installed it.
     pub(super) fn update_in_force(&mut self, now: MonotonicTime) {
-        let Some(version) = self.document.as_ref().map(Document::view_version) else {
+        let Some(version) = self
+            .configuration
+            .document
+            .as_ref()
+            .map(Document::view_version)
+        else {
             return;
         };
-        if self.in_force >= version || now.since(self.in_force_checked_at) < IN_FORCE_EVERY {
+        if self.configuration.in_force >= version
+            || now.since(self.configuration.in_force_checked_at) < IN_FORCE_CHECK_INTERVAL
+        {
             return;
         }
-        self.in_force_checked_at = now;
+        self.configuration.in_force_checked_at = now;
         let are_old_leases_over =
-            self.all_claimed || now >= self.elected_at + self.timing.full_lease_wait();
+            self.claims.all_claimed || now >= self.elected_at + self.timing.full_lease_wait();
         let is_installed_everywhere = self
             .members
+            .records
             .values()
             .all(|record| record.installed >= version || now >= record.lease_expiry_bound);
         if are_old_leases_over && is_installed_everywhere {
-            self.in_force = version;
-            self.record_event(events::VERSION_IN_FORCE, json!({"serial": version.0}));
-        }
-    }
-
-    /// Asks holders in evacuated zones for their functions, and drains runners there.
-    pub(super) fn hand_over_evacuated(&mut self) {
-        let held_functions = self
-            .lease_records
-            .iter()
-            .map(|(function, _)| function.clone())
-            .collect();
-        self.hand_over_if_evacuated(held_functions);
-        self.drain_from_unusable_workers();
-    }
-
-    /// Asks for those of these functions back whose holders stand in evacuated zones.
-    pub(super) fn hand_over_if_evacuated(&mut self, functions: Vec<FunctionKey>) {
-        if !self.rules.enforces(Rule::EvacuationObeyed) || !self.table.has_evacuated() {
-            return;
-        }
-        for function in functions {
-            let Some(entry) = self.lease_records.get_mut(&function) else {
-                continue;
-            };
-            if entry.handing_over || entry.fencing_since.is_some() {
-                continue;
-            }
-            let Some(record) = self.members.get(&entry.holder) else {
-                continue;
-            };
-            let Some(stream) = record.stream else {
-                continue;
-            };
-            if !self.table.is_evacuated(&record.host.zone) {
-                continue;
-            }
-            entry.handing_over = true;
-            let fencing_token = entry.fencing_token;
-            self.send_frame(
-                stream,
-                LeaderToDaemon::HandOver {
-                    function,
-                    fencing_token,
-                },
-            );
-        }
-    }
-
-    /// Tells holders to drain runners whose worker is draining, gone or evacuated.
-    pub(super) fn drain_from_unusable_workers(&mut self) {
-        let runners = self
-            .reservations
-            .iter()
-            .map(|(runner, _)| *runner)
-            .collect();
-        self.drain_if_worker_unusable(runners);
-    }
-
-    /// The same for these runners.
-    pub(super) fn drain_if_worker_unusable(&mut self, runners: Vec<RunnerId>) {
-        if !self.workers_listed {
-            return;
-        }
-        for runner in runners {
-            let Some(held) = self.reservations.get(runner) else {
-                continue;
-            };
-            if !held.draining && !self.is_worker_usable(&held.worker) {
-                let function = held.function.clone();
-                self.drain(function, runner);
-            }
-        }
-    }
-
-    /// Tells the holder to drain a runner that the platform says is about to leave.
-    pub(super) fn drain_leaving(&mut self, runner: RunnerId) {
-        let Some(held) = self.reservations.get(runner) else {
-            return;
-        };
-        if !held.draining && self.rules.enforces(Rule::DrainObeyed) {
-            let function = held.function.clone();
-            self.drain(function, runner);
+            self.configuration.in_force = version;
+            self.record_event(events::VERSION_IN_FORCE, VersionFields { version });
         }
     }
 
-    pub(super) fn drain(&mut self, function: FunctionKey, runner: RunnerId) {
-        if self
-            .reservations
-            .get(runner)
-            .is_some_and(|held| held.is_orphaned())
-        {
-            self.reservations.want_stop(runner);
-            return;
-        }
-        let Some(entry) = self.lease_records.get(&function) else {
-            return;
-        };
-        if entry.fencing_token != runner.fencing_token {
-            return;
-        }
-        let holder_record = self.members.get(&entry.holder);
-        let Some(stream) = holder_record.and_then(|record| record.stream) else {
-            return;
-        };
-        self.reservations
-            .update(runner, |held| held.draining = true);
-        self.send_frame(stream, LeaderToDaemon::Drain { function, runner });
-    }
-
     /// The committed document.
     pub fn document(&self) -> Option<&Document> {
-        self.document.as_ref()
+        self.configuration.document.as_ref()
     }
 
-    /// The daemons that have not installed a serial, and why as far as can be seen from here.
+    /// The members that have not installed a version, and why, as far as the leader can see.
     pub fn laggards(
         &self,
         now: MonotonicTime,
         version: Version,
     ) -> Vec<(MemberName, &'static str)> {
         self.members
+            .records
             .iter()
             .filter(|(_, record)| record.installed < version)
             .map(|(known_member, record)| {
--- a/crates/controlplane/src/leader_state/fence.rs
+++ b/crates/controlplane/src/leader_state/fence.rs
@@ -1,3 +1,6 @@
+//! Fencing: what a lost holder's lease covers is orphaned or stopped before the function is leased again.
+
+use super::events::{EventFields, FunctionFields, LeaseFields, RunnerFields};
 use super::{LeaderOutput, LeaderState};
 use common::adapter::StopOrder;
 use common::clock::MonotonicTime;
@@ -5,46 +8,79 @@
 use common::frames::{KnownMember, LeaderToDaemon};
 use common::identity::{FunctionKey, MemberName, RunnerId};
 use common::rules::Rule;
-use serde_json::json;
+use std::collections::BTreeSet;
+use std::time::Duration;
+
+/// Where the rule is lifted that a session lease is waited out, a holder counts as lost this long after it was
+/// heard.
+const UNSAFE_EXPIRY_AFTER: Duration = Duration::from_millis(400);
+
+/// Without a member to sweep, the next sweep is due after this; a member that joins schedules one.
+const IDLE_SWEEP_INTERVAL: Duration = Duration::from_secs(1);
+
+/// Orphans and stops that wait for their time are checked this often.
+const CHECK_INTERVAL: Duration = Duration::from_millis(40);
+
+/// The functions whose leases are being fenced, and when to look for more.
+pub(super) struct Fencing {
+    functions: BTreeSet<FunctionKey>,
+    pub check_due: bool,
+    checked_at: MonotonicTime,
+    /// Before this no member's lease ends that has not been swept yet.
+    next_sweep_at: MonotonicTime,
+}
 
-/// Without the rule that a grant is outwaited, a holder counts as lost so soon after it was heard.
-const UNSAFE_EXPIRY_AFTER: std::time::Duration = std::time::Duration::from_millis(400);
+impl Fencing {
+    pub fn new() -> Self {
+        Self {
+            functions: BTreeSet::new(),
+            check_due: true,
+            checked_at: MonotonicTime::ZERO,
+            next_sweep_at: MonotonicTime::ZERO,
+        }
+    }
 
-/// When nobody is there to be swept, the next look is due after so long; whoever joins asks for one.
-const IDLE_SWEEP_INTERVAL: std::time::Duration = std::time::Duration::from_secs(1);
+    /// The lease of the function has ended.
+    pub fn finish(&mut self, function: &FunctionKey) {
+        self.functions.remove(function);
+    }
 
-/// What waits for its time is looked at so often.
-const CHECK_INTERVAL: std::time::Duration = std::time::Duration::from_millis(40);
+    /// A session lease may end earlier than was known, or has begun: the next sweep is due.
+    pub fn schedule_sweep(&mut self) {
+        self.next_sweep_at = MonotonicTime::ZERO;
+    }
+}
 
 impl LeaderState {
-    /// Ends the entries of lost holders: their runners are left for the next holder, or stopped through
-    /// the platform.
-    pub(super) fn fence(&mut self, now: MonotonicTime) {
-        if !self.opened {
+    /// Ends the leases of lost holders: their runners wait for the next holder, or are stopped through the
+    /// platform. No function is leased again before that.
+    pub(super) fn progress_fencing(&mut self, now: MonotonicTime) {
+        if !self.claims.is_open {
             return;
         }
         self.sweep_expired_leases(now);
-        let is_due = now.since(self.fencing_checked_at) >= CHECK_INTERVAL;
+        let is_due = now.since(self.fencing.checked_at) >= CHECK_INTERVAL;
         if is_due {
-            self.fencing_checked_at = now;
+            self.fencing.checked_at = now;
             self.stop_expired_orphans(now);
             self.retry_stops(now);
         }
         self.order_stops(now);
-        if std::mem::take(&mut self.fencing_changed) || is_due {
+        if std::mem::take(&mut self.fencing.check_due) || is_due {
             self.clear_fenced(now);
         }
     }
 
-    /// Fences what daemons hold whose grants have ended. They are looked through only when one can have
-    /// ended since: an input must not cost with the number of daemons.
+    /// Fences what members hold whose session leases have ended. Members are looked through only when a lease
+    /// can have ended since: an input must not cost in proportion to their number.
     fn sweep_expired_leases(&mut self, now: MonotonicTime) {
         let waits_out_leases = self.rules.enforces(Rule::LeaseExpiredBeforeRegrant);
-        if waits_out_leases && now < self.next_sweep_at {
+        if waits_out_leases && now < self.fencing.next_sweep_at {
             return;
         }
         let lost_members: Vec<KnownMember> = self
             .members
+            .records
             .iter()
             .filter(|(_, record)| {
                 let is_early =
@@ -54,7 +90,7 @@
             .map(|(known_member, _)| known_member.clone())
             .collect();
         for lost_member in lost_members {
-            if let Some(record) = self.members.get_mut(&lost_member) {
+            if let Some(record) = self.members.records.get_mut(&lost_member) {
                 record.swept = true;
                 let lease_end = record.lease_expiry_bound;
                 self.lease_records
@@ -62,17 +98,12 @@
             }
             self.fence_all_held_by(now, &lost_member);
         }
-        let unswept = self.members.values().filter(|record| !record.swept);
+        let unswept = self.members.records.values().filter(|record| !record.swept);
         let next_end = unswept.map(|record| record.lease_expiry_bound).min();
-        self.next_sweep_at = next_end.unwrap_or(now + IDLE_SWEEP_INTERVAL);
+        self.fencing.next_sweep_at = next_end.unwrap_or(now + IDLE_SWEEP_INTERVAL);
     }
 
-    /// A daemon's grant may end earlier than was known, or has begun: the next sweep is due.
-    pub(super) fn schedule_sweep(&mut self) {
-        self.next_sweep_at = MonotonicTime::ZERO;
-    }
-
-    /// Fences every function of a daemon whose grant is over.
+    /// Fences every function of a member whose session lease is over.
     pub(super) fn fence_all_held_by(&mut self, now: MonotonicTime, holder: &KnownMember) {
         let held_functions: Vec<FunctionKey> = self
             .lease_records
@@ -85,16 +116,17 @@
             let Some(entry) = self.lease_records.get(&held_function) else {
                 continue;
             };
-            let detail = json!({
-                "function": held_function.to_string(),
-                "member": entry.holder.member.as_str(),
-                "grant": entry.fencing_token.0,
-            });
-            self.record_event(events::FENCING_STARTED, detail);
+            let fields = LeaseFields {
+                function: &held_function,
+                member: &entry.holder.member,
+                fencing_token: entry.fencing_token,
+            };
+            let event_record = fields.record(events::FENCING_STARTED);
+            self.push_event(event_record);
         }
     }
 
-    /// The holder has lost the function: each of its runners is left as it stands, or stopped.
+    /// The holder has lost the function: each of its runners is orphaned or stopped.
     pub(super) fn begin_fencing(&mut self, now: MonotonicTime, function: &FunctionKey) {
         let Some(entry) = self.lease_records.get_mut(function) else {
             return;
@@ -104,9 +136,9 @@
         }
         entry.fencing_since = Some(now);
         let fencing_token = entry.fencing_token;
-        self.fencing_functions.insert(function.clone());
-        self.acquisitions_changed = true;
-        self.fencing_changed = true;
+        self.fencing.functions.insert(function.clone());
+        self.acquisitions.check_due = true;
+        self.fencing.check_due = true;
         let held_runners: Vec<RunnerId> = self
             .reservations
             .all_of(function)
@@ -120,31 +152,36 @@
         }
     }
 
-    /// A runner that nobody holds is left for the next holder if it is fit to be taken over.
+    /// Orphans a runner that nobody holds if the next holder can adopt it; stops it if not.
     pub(super) fn orphan_or_stop(&mut self, now: MonotonicTime, runner: RunnerId) {
         let Some(reservation) = self.reservations.get(runner) else {
             return;
         };
-        let is_wanted = self.table.function_of(&reservation.function).is_some();
+        let is_wanted = self
+            .configuration
+            .table
+            .function_of(&reservation.function)
+            .is_some();
         let is_on_usable_worker =
-            !self.workers_listed || self.is_worker_usable(&reservation.worker);
+            !self.workers.are_listed || self.is_worker_usable(&reservation.worker);
         if reservation.is_adoptable() && is_wanted && is_on_usable_worker {
-            let detail = json!({
-                "function": reservation.function.to_string(),
-                "runner": runner.to_string(),
-                "worker": reservation.worker.as_str(),
-            });
+            let fields = RunnerFields {
+                function: &reservation.function,
+                runner,
+                worker: &reservation.worker,
+            };
+            let event_record = fields.record(events::RUNNER_ORPHANED);
             self.reservations.mark_orphaned(runner, now);
-            self.record_event(events::RUNNER_ORPHANED, detail);
+            self.push_event(event_record);
         } else {
             self.reservations.want_stop(runner);
         }
     }
 
-    /// Stops what was left and nobody took.
+    /// Stops orphaned runners that nobody has adopted in time.
     fn stop_expired_orphans(&mut self, now: MonotonicTime) {
         let orphan_timeout = self.timing.orphan_timeout;
-        let opened_at = self.opened_at;
+        let opened_at = self.claims.opened_at;
         let expired_orphans: Vec<RunnerId> = self
             .reservations
             .orphaned()
@@ -163,7 +200,7 @@
         }
     }
 
-    /// Stops that were ordered some time ago and not confirmed are ordered again.
+    /// Orders stops again that were not confirmed in time.
     fn retry_stops(&mut self, now: MonotonicTime) {
         let stop_retry_after = self.timing.stop_retry_after;
         let overdue_runners: Vec<RunnerId> = self
@@ -175,7 +212,7 @@
                 let requested_at = self
                     .reservations
                     .get(*runner)
-                    .and_then(|reservation| reservation.stop_asked_at);
+                    .and_then(|reservation| reservation.stop_requested_at);
                 requested_at.is_some_and(|requested_at| now.since(requested_at) >= stop_retry_after)
             })
             .collect();
@@ -187,7 +224,7 @@
     fn order_stops(&mut self, now: MonotonicTime) {
         for due_runner in self.reservations.take_due_stops() {
             self.reservations.update(due_runner, |reservation| {
-                reservation.stop_asked_at = Some(now)
+                reservation.stop_requested_at = Some(now)
             });
             let Some(reservation) = self.reservations.get(due_runner) else {
                 continue;
@@ -209,14 +246,15 @@
         }
     }
 
-    /// An entry is over when each of its runners is left, or has surely stopped.
+    /// Ends each fenced lease whose runners are all orphaned or have surely stopped.
     fn clear_fenced(&mut self, now: MonotonicTime) {
-        if self.fencing_functions.is_empty() {
+        if self.fencing.functions.is_empty() {
             return;
         }
         let needs_stops = self.rules.enforces(Rule::FenceBeforeRegrant);
         let cleared_functions: Vec<(FunctionKey, MonotonicTime)> = self
-            .fencing_functions
+            .fencing
+            .functions
             .iter()
             .filter_map(|function| {
                 let entry = self.lease_records.get(function)?;
@@ -233,50 +271,49 @@
             .collect();
         for (cleared_function, lease_expires_at) in cleared_functions {
             self.end_lease(now, &cleared_function, lease_expires_at);
-            self.record_event(
-                events::FENCING_FINISHED,
-                json!({"function": cleared_function.to_string()}),
-            );
+            let fields = FunctionFields {
+                function: &cleared_function,
+            };
+            self.record_event(events::FENCING_FINISHED, fields);
         }
     }
 
     /// The platform has confirmed that a runner is stopped and will never start.
     pub fn runner_stopped(&mut self, runner: RunnerId) {
         let runner = self.reservations.current_name(runner);
-        self.acquisitions_changed = true;
-        self.fencing_changed = true;
+        self.acquisitions.check_due = true;
+        self.fencing.check_due = true;
         if let Some(reservation) = self.reservations.end(runner) {
-            self.record_event(
-                events::RUNNER_STOPPED,
-                json!({
-                    "function": reservation.function.to_string(),
-                    "runner": runner.to_string(),
-                    "worker": reservation.worker.as_str(),
-                }),
-            );
+            let fields = RunnerFields {
+                function: &reservation.function,
+                runner,
+                worker: &reservation.worker,
+            };
+            self.record_event(events::RUNNER_STOPPED, fields);
         }
     }
 
-    /// A runner is gone without its holder's doing: the holder is told, and the reservation is free.
+    /// A runner is gone without an order of its holder: the holder is notified, and the memory is free.
     pub(super) fn runner_vanished(&mut self, runner: RunnerId) {
         let Some(reservation) = self.reservations.get(runner) else {
             return;
         };
         let function = reservation.function.clone();
-        let detail = json!({
-            "function": function.to_string(),
-            "runner": runner.to_string(),
-            "worker": reservation.worker.as_str(),
-        });
+        let fields = RunnerFields {
+            function: &function,
+            runner,
+            worker: &reservation.worker,
+        };
+        let event_record = fields.record(events::RUNNER_UNLISTED);
         let stream = self
             .lease_records
             .get(&function)
             .filter(|entry| entry.fencing_token == runner.fencing_token)
-            .and_then(|entry| self.members.get(&entry.holder)?.stream);
+            .and_then(|entry| self.members.records.get(&entry.holder)?.stream);
         self.reservations.end(runner);
-        self.acquisitions_changed = true;
-        self.fencing_changed = true;
-        self.record_event(events::RUNNER_UNLISTED, detail);
+        self.acquisitions.check_due = true;
+        self.fencing.check_due = true;
+        self.push_event(event_record);
         if let Some(stream) = stream {
             self.send_frame(stream, LeaderToDaemon::RunnerUnlisted { function, runner });
         }
--- /dev/null
+++ b/crates/controlplane/src/leader_state/host_list.rs
@@ -0,0 +1,229 @@
+//! The host list that every member gets: who there is, and who is suspected to have failed.
+
+use super::events::MemberFields;
+use super::{LeaderState, StreamId};
+use common::clock::MonotonicTime;
+use common::events;
+use common::frames::{Host, LeaderToDaemon, LengthPrefixed, MemberIncarnation};
+use common::identity::MemberName;
+use common::ring::candidate_hosts;
+use std::collections::{BTreeMap, BTreeSet};
+use std::time::Duration;
+
+/// A member that failure detectors report counts as suspected when its stream has brought nothing for this long.
+const SUSPECTED_AFTER: Duration = Duration::from_millis(700);
+/// Changes of the host list are gathered this long before they are pushed together.
+const HOST_LIST_PUSH_INTERVAL: Duration = Duration::from_millis(100);
+
+/// The host list as it was pushed, and what has to be pushed next.
+#[derive(Default)]
+pub(super) struct HostList {
+    pub push_due: bool,
+    pushed_at: MonotonicTime,
+    pushed: PushedHosts,
+    /// The members that failure detectors report; they count as suspected when their streams are silent too.
+    reported_suspects: BTreeSet<MemberIncarnation>,
+    suspected: BTreeSet<MemberIncarnation>,
+}
+
+impl HostList {
+    /// Whether functions go to other members than this one because its link is so much narrower than theirs.
+    pub fn passes_over(&self, member: &MemberName) -> bool {
+        self.pushed.passed_over.contains(member)
+    }
+
+    /// A member has opened a stream: earlier reports on it no longer count, and it needs the list.
+    pub fn member_connected(&mut self, member: &MemberName) {
+        self.reported_suspects
+            .retain(|instance| instance.member != *member);
+        self.push_due = true;
+    }
+
+    /// The frames for members that have the list as it was last pushed, and for all others.
+    fn frames(&self, hosts: &BTreeMap<MemberName, Host>) -> HostFrames {
+        let pushed = &self.pushed;
+        let put: Vec<Host> = hosts
+            .values()
+            .filter(|host| pushed.hosts.get(&host.member) != Some(host))
+            .cloned()
+            .collect();
+        let removed: Vec<MemberName> = pushed
+            .hosts
+            .keys()
+            .filter(|member| !hosts.contains_key(*member))
+            .cloned()
+            .collect();
+        let has_changed =
+            !put.is_empty() || !removed.is_empty() || pushed.suspected != self.suspected;
+        let number = pushed.number + u64::from(has_changed);
+        HostFrames {
+            number,
+            delta: LeaderToDaemon::HostsDelta {
+                number,
+                put: LengthPrefixed(put),
+                removed: LengthPrefixed(removed),
+                suspected: LengthPrefixed(self.suspected.iter().cloned().collect()),
+            },
+            full_list: LeaderToDaemon::Hosts {
+                number,
+                hosts: LengthPrefixed(hosts.values().cloned().collect()),
+                suspected: LengthPrefixed(self.suspected.iter().cloned().collect()),
+            },
+        }
+    }
+}
+
+/// One push of the host list.
+struct HostFrames {
+    number: u64,
+    delta: LeaderToDaemon,
+    full_list: LeaderToDaemon,
+}
+
+/// The host list as it was last pushed: its number, the hosts, the suspected members, and the members that
+/// functions pass over for others on wider links.
+#[derive(Default)]
+struct PushedHosts {
+    number: u64,
+    hosts: BTreeMap<MemberName, Host>,
+    suspected: BTreeSet<MemberIncarnation>,
+    passed_over: BTreeSet<MemberName>,
+}
+
+impl PushedHosts {
+    fn new(
+        number: u64,
+        hosts: BTreeMap<MemberName, Host>,
+        suspected: BTreeSet<MemberIncarnation>,
+    ) -> Self {
+        let suspected_names: BTreeSet<&MemberName> =
+            suspected.iter().map(|instance| &instance.member).collect();
+        let unsuspected_hosts = || {
+            hosts
+                .values()
+                .filter(|host| !suspected_names.contains(&host.member))
+        };
+        let fitting: BTreeSet<&MemberName> = candidate_hosts(unsuspected_hosts())
+            .into_iter()
+            .map(|host| &host.member)
+            .collect();
+        let passed_over = unsuspected_hosts()
+            .filter(|host| host.eligible.0 && !fitting.contains(&host.member))
+            .map(|host| host.member.clone())
+            .collect();
+        Self {
+            number,
+            hosts,
+            suspected,
+            passed_over,
+        }
+    }
+}
+
+impl LeaderState {
+    /// A failure detector reports that it no longer hears a member.
+    pub(super) fn handle_suspicion(&mut self, stream: StreamId, instance: MemberIncarnation) {
+        if self.members.streams.contains_key(&stream) && self.is_current_incarnation(&instance) {
+            self.hosts.reported_suspects.insert(instance);
+        }
+    }
+
+    /// A failure detector hears a member again.
+    pub(super) fn handle_suspicion_cleared(&mut self, instance: &MemberIncarnation) {
+        self.hosts.reported_suspects.remove(instance);
+    }
+
+    fn is_current_incarnation(&self, instance: &MemberIncarnation) -> bool {
+        let known_member = self.members.current.get(&instance.member);
+        known_member.is_some_and(|known| known.incarnation == instance.incarnation)
+    }
+
+    /// The reported members whose streams have brought nothing lately either. One without the other is no sign
+    /// of failure: the detector's own link may be cut, and a stream may be idle.
+    fn silent_suspects(&self, now: MonotonicTime) -> BTreeSet<MemberIncarnation> {
+        let has_recent_frame = |instance: &MemberIncarnation| {
+            let record = self.members.current_record(&instance.member);
+            record.is_some_and(|record| now.since(record.last_frame_at) < SUSPECTED_AFTER)
+        };
+        self.hosts
+            .reported_suspects
+            .iter()
+            .filter(|instance| !has_recent_frame(instance))
+            .cloned()
+            .collect()
+    }
+
+    fn update_suspected_members(&mut self, now: MonotonicTime) {
+        let reported_suspects = std::mem::take(&mut self.hosts.reported_suspects);
+        self.hosts.reported_suspects = reported_suspects
+            .into_iter()
+            .filter(|instance| self.is_current_incarnation(instance))
+            .collect();
+        let suspected = self.silent_suspects(now);
+        if suspected == self.hosts.suspected {
+            return;
+        }
+        self.hosts.push_due = true;
+        let previously_suspected = std::mem::replace(&mut self.hosts.suspected, suspected.clone());
+        for instance in suspected.difference(&previously_suspected) {
+            let member = &instance.member;
+            self.record_event(events::MEMBER_SUSPECTED, MemberFields { member });
+        }
+        for instance in previously_suspected.difference(&suspected) {
+            let member = &instance.member;
+            self.record_event(events::MEMBER_RECOVERED, MemberFields { member });
+        }
+    }
+
+    /// A delta of the host list did not fit what a member has: it gets the complete list.
+    pub(super) fn handle_full_hosts_request(&mut self, stream: StreamId) {
+        if let Some((_, record)) = self.members.on_stream_mut(stream) {
+            record.pushed_hosts_number = 0;
+            self.hosts.push_due = true;
+        }
+    }
+
+    /// Pushes the host list to every member that lacks the newest one. A member that has the list pushed before
+    /// gets the delta, all others the complete list.
+    pub(super) fn push_hosts(&mut self, now: MonotonicTime) {
+        self.update_suspected_members(now);
+        let is_too_early = now.since(self.hosts.pushed_at) < HOST_LIST_PUSH_INTERVAL;
+        if !self.hosts.push_due || is_too_early {
+            return;
+        }
+        self.hosts.push_due = false;
+        self.hosts.pushed_at = now;
+        let hosts: BTreeMap<MemberName, Host> = self
+            .members
+            .current
+            .values()
+            .filter_map(|known_member| self.members.records.get(known_member))
+            .map(|record| (record.host.member.clone(), record.host.clone()))
+            .collect();
+        let frames = self.hosts.frames(&hosts);
+        let suspected = self.hosts.suspected.clone();
+        let newly_pushed = PushedHosts::new(frames.number, hosts, suspected);
+        let earlier_number = std::mem::replace(&mut self.hosts.pushed, newly_pushed).number;
+        self.send_host_frames(&frames, earlier_number);
+    }
+
+    fn send_host_frames(&mut self, frames: &HostFrames, earlier_number: u64) {
+        let open_streams: Vec<StreamId> = self.members.streams.keys().copied().collect();
+        for open_stream in open_streams {
+            let Some((_, record)) = self.members.on_stream_mut(open_stream) else {
+                continue;
+            };
+            let member_number = std::mem::replace(&mut record.pushed_hosts_number, frames.number);
+            if member_number == frames.number {
+                continue;
+            }
+            let has_earlier_list = member_number > 0 && member_number == earlier_number;
+            let frame = if has_earlier_list {
+                &frames.delta
+            } else {
+                &frames.full_list
+            };
+            self.send_frame(open_stream, frame.clone());
+        }
+    }
+}
--- a/crates/controlplane/src/leader_state/link_moves.rs
+++ b/crates/controlplane/src/leader_state/link_moves.rs
@@ -1,62 +1,80 @@
-//! Keeps functions off narrow links. While daemons join a new leader, the host list that they are told may hold
-//! too few hosts on wide links, and hosts on narrow ones ask for functions. Once enough wide ones stand in it,
-//! such a question waits for one of theirs, and what hosts on narrow links hold is handed over.
+//! Keeps functions off narrow links. While members join a new leader, the host list that they get may name too
+//! few hosts on wide links, so that hosts on narrow ones request functions. Once enough wide ones stand in the
+//! list, such a request waits for one of theirs, and functions held on narrow links are handed over.
 
 use super::{LeaderState, PendingAcquisition};
 use common::clock::MonotonicTime;
 use common::frames::LeaderToDaemon;
 use common::identity::{FencingToken, FunctionKey};
 use std::cmp::Reverse;
+use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Holders on narrow links are looked for so often.
+/// Holders on narrow links are looked for this often.
 const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// So many functions are handed over at one look, those with the most runners first.
+/// At most this many functions are handed over per check, those with the most runners first.
 const MAX_MOVES_PER_CHECK: usize = 16;
 
-/// A function is handed over once in so long: where its next holder is on a narrow link again, a daemon that
-/// asks sees other hosts than the leader does.
+/// A function is handed over at most once in this time. If its next holder is on a narrow link again, the member
+/// that requested it sees other hosts than the leader does, and another move would not help.
 const MOVE_COOLDOWN: Duration = Duration::from_secs(10);
 
-/// A question from a host on a narrow link waits so long for one from a wide link; a daemon that still asks
-/// sees other hosts than the leader does.
+/// How long a request from a host on a narrow link waits for one from a wide link. After that it is granted:
+/// the requester sees other hosts than the leader does.
 const NARROW_LINK_REQUEST_DELAY: Duration = Duration::from_millis(1000);
 
+/// A lease that is to be handed over.
 struct LeaseMove {
     function: FunctionKey,
     fencing_token: FencingToken,
     runner_count: usize,
 }
 
+/// When leases were last moved off narrow links.
+pub(super) struct LinkMoves {
+    checked_at: MonotonicTime,
+    moved_off_at: BTreeMap<FunctionKey, MonotonicTime>,
+}
+
+impl LinkMoves {
+    pub fn new(elected_at: MonotonicTime) -> Self {
+        Self {
+            checked_at: elected_at,
+            moved_off_at: BTreeMap::new(),
+        }
+    }
+}
+
 impl LeaderState {
-    /// Whether a question waits for one from a host on a wide link.
+    /// Whether a request waits for one from a host on a wide link.
     pub(super) fn waits_for_wide_link_requester(
         &self,
         now: MonotonicTime,
         acquisition: &PendingAcquisition,
     ) -> bool {
-        let Some(requester) = self.streams.get(&acquisition.stream) else {
+        let Some(requester) = self.members.streams.get(&acquisition.stream) else {
             return false;
         };
-        let waits_since = acquisition.requested_at.max(self.opened_at);
-        self.pushed_hosts.passes_over(&requester.member)
+        let waits_since = acquisition.requested_at.max(self.claims.opened_at);
+        self.hosts.passes_over(&requester.member)
             && now.since(waits_since) < NARROW_LINK_REQUEST_DELAY
     }
 
-    /// Asks holders on narrow links for some of their functions while others should hold them.
+    /// Has holders on narrow links hand over some of their functions while others should hold them.
     pub(super) fn move_off_narrow_links(&mut self, now: MonotonicTime) {
-        if !self.opened || now.since(self.links_checked_at) < CHECK_INTERVAL {
+        if !self.claims.is_open || now.since(self.link_moves.checked_at) < CHECK_INTERVAL {
             return;
         }
-        self.links_checked_at = now;
-        self.moved_off_at
+        self.link_moves.checked_at = now;
+        self.link_moves
+            .moved_off_at
             .retain(|_, moved_at| now.since(*moved_at) < MOVE_COOLDOWN);
         for due_move in self.due_moves(now) {
             let Some(entry) = self.lease_records.get_mut(&due_move.function) else {
                 continue;
             };
-            let record = self.members.get(&entry.holder);
+            let record = self.members.records.get(&entry.holder);
             let Some(stream) = record.and_then(|record| record.stream) else {
                 continue;
             };
@@ -66,7 +84,7 @@
                 fencing_token,
                 ..
             } = due_move;
-            self.moved_off_at.insert(function.clone(), now);
+            self.link_moves.moved_off_at.insert(function.clone(), now);
             self.send_frame(
                 stream,
                 LeaderToDaemon::HandOver {
@@ -82,9 +100,9 @@
             .lease_records
             .iter()
             .filter(|(_, entry)| !entry.handing_over && entry.fencing_since.is_none())
-            .filter(|(_, entry)| self.pushed_hosts.passes_over(&entry.holder.member))
+            .filter(|(_, entry)| self.hosts.passes_over(&entry.holder.member))
             .filter(|(_, entry)| self.is_serving(&entry.holder, now))
-            .filter(|(function, _)| !self.moved_off_at.contains_key(*function))
+            .filter(|(function, _)| !self.link_moves.moved_off_at.contains_key(*function))
             .map(|(function, entry)| LeaseMove {
                 function: function.clone(),
                 fencing_token: entry.fencing_token,
--- a/crates/controlplane/src/leader_state/report.rs
+++ b/crates/controlplane/src/leader_state/report.rs
@@ -1,12 +1,17 @@
+//! Reports on the leader's state for operators. The keys are part of their interface and stay as they are.
+
 use super::LeaderState;
 use common::clock::MonotonicTime;
+use common::identity::Zone;
 use serde_json::{Value, json};
+use std::collections::BTreeSet;
 
 impl LeaderState {
-    /// The daemons, for operators.
+    /// The members, as operators read them.
     pub fn report_members(&self, now: MonotonicTime) -> Value {
         let rows: Vec<Value> = self
             .members
+            .records
             .iter()
             .map(|(known_member, record)| {
                 json!({
@@ -24,10 +29,10 @@
                 })
             })
             .collect();
-        json!({"members": rows, "open": self.opened})
+        json!({"members": rows, "open": self.claims.is_open})
     }
 
-    /// The holders, for operators.
+    /// The function leases, as operators read them.
     pub fn report_holders(&self) -> Value {
         let rows: Vec<Value> = self
             .lease_records
@@ -51,11 +56,12 @@
         json!({"holders": rows})
     }
 
-    /// The workers, for operators.
+    /// The workers, as operators read them.
     pub fn report_workers(&self) -> Value {
         let reserved_mb_sums = self.reserved_mb();
         let rows: Vec<Value> = self
             .workers
+            .records
             .values()
             .map(|record| {
                 let worker = &record.listed.worker;
@@ -71,7 +77,7 @@
         json!({"workers": rows})
     }
 
-    /// The runners, for operators.
+    /// The runners, as operators read them.
     pub fn report_runners(&self) -> Value {
         let rows: Vec<Value> = self
             .reservations
@@ -92,23 +98,26 @@
         json!({"runners": rows})
     }
 
-    /// Counts for the metrics page: members, entries, runners, workers in use.
+    /// Counts for the metrics: open streams, function leases, runners, workers in use.
     pub fn counts(&self) -> [(&'static str, u64); 4] {
         [
-            ("members", self.streams.len() as u64),
+            ("members", self.members.streams.len() as u64),
             ("holders", self.lease_records.len() as u64),
             ("runners", self.reservations.len() as u64),
             ("workers_used", self.reserved_mb().len() as u64),
         ]
     }
-}
 
-impl LeaderState {
-    /// Every zone that a daemon or worker stands in.
-    pub fn known_zones(&self) -> std::collections::BTreeSet<common::identity::Zone> {
-        let member_zones = self.members.values().map(|record| record.host.zone.clone());
+    /// Every zone with a member or a worker.
+    pub fn known_zones(&self) -> BTreeSet<Zone> {
+        let member_zones = self
+            .members
+            .records
+            .values()
+            .map(|record| record.host.zone.clone());
         let worker_zones = self
             .workers
+            .records
             .values()
             .map(|record| record.listed.zone.clone());
         member_zones.chain(worker_zones).collect()
--- a/crates/controlplane/src/leader_state/runner_list.rs
+++ b/crates/controlplane/src/leader_state/runner_list.rs
@@ -1,21 +1,35 @@
+//! The platform's list of runners: it shows what was orphaned under earlier leaders and what has vanished.
+
 use super::LeaderState;
+use super::events::FoundRunnerFields;
 use super::reservations::Reservation;
 use common::adapter::ListedRunner;
 use common::clock::MonotonicTime;
 use common::events;
 use common::identity::{FunctionKey, InstanceId, RunnerId, Version};
-use serde_json::json;
 use std::collections::BTreeSet;
 use std::time::Duration;
 
+/// The platform's list of runners, and when it is requested.
+#[derive(Default)]
+pub(super) struct RunnerLists {
+    /// The instant that the newest list shows.
+    pub listed_at: MonotonicTime,
+    /// A list that came before the claims quorum stood: its unknown runners may still be claimed.
+    pending: Vec<ListedRunner>,
+    pub requested_at: MonotonicTime,
+    /// From which instant on a list shows everything that earlier incarnations left.
+    pub complete_from: MonotonicTime,
+}
+
 impl LeaderState {
-    /// Takes the platform's list of runners, which shows how things stood at a moment. Runners are known
-    /// again by their lives; while the claims quorum is waited for, unknown ones may still be claimed.
+    /// Takes the platform's list of runners, which shows one instant. Runners are recognised by their
+    /// instances; while the claims quorum is awaited, unknown ones may still be claimed.
     pub fn runners_listed(&mut self, listed_at: MonotonicTime, listed_runners: &[ListedRunner]) {
-        if listed_at < self.runners_listed_at {
+        if listed_at < self.runner_lists.listed_at {
             return;
         }
-        self.runners_listed_at = listed_at;
+        self.runner_lists.listed_at = listed_at;
         for listed in listed_runners.iter().filter(|listed| listed.leaving) {
             if let Some(runner) = self
                 .reservations
@@ -29,17 +43,17 @@
             .map(|listed| &listed.instance.name)
             .collect();
         self.detect_vanished_runners(listed_at, &listed_instances);
-        if self.opened {
+        if self.claims.is_open {
             self.register_unknown_runners(listed_at, listed_runners);
         } else {
-            self.pending_runner_list = listed_runners.to_vec();
+            self.runner_lists.pending = listed_runners.to_vec();
         }
     }
 
-    /// The claims quorum stands: what it did not claim and is listed is held by nobody.
+    /// The claims quorum stands: what is listed and not claimed is held by nobody.
     pub(super) fn register_pending_list(&mut self) {
-        let listed_runners = std::mem::take(&mut self.pending_runner_list);
-        self.register_unknown_runners(self.runners_listed_at, &listed_runners);
+        let listed_runners = std::mem::take(&mut self.runner_lists.pending);
+        self.register_unknown_runners(self.runner_lists.listed_at, &listed_runners);
     }
 
     fn register_unknown_runners(
@@ -66,7 +80,7 @@
         }
     }
 
-    /// Whether the platform keeps the start's key, and it is one whose life was not known yet.
+    /// Whether the platform reports the key of the start, and that one's instance was not known yet.
     fn match_by_start_key(&mut self, listed_at: MonotonicTime, listed: &ListedRunner) -> bool {
         let Some(runner) = listed.runner else {
             return false;
@@ -82,7 +96,7 @@
         awaits_instance
     }
 
-    /// Whether a runner of the same function is being begun on the same worker: this life may be its.
+    /// Whether a runner of the same function is being started on the same worker: this instance may be its.
     fn may_be_starting_here(&self, listed: &ListedRunner) -> bool {
         self.reservations.values().any(|reservation| {
             reservation.instance.is_none()
@@ -91,10 +105,11 @@
         })
     }
 
-    /// A runner that nobody holds is left for the next holder of its function, under a name of this
-    /// reign, if its function is surely the one in the spec.
+    /// Records a runner that nobody holds, under a name of this term. It waits for the next holder of its
+    /// function if that function is surely the one in the specification.
     fn register_orphan(&mut self, listed_at: MonotonicTime, listed: &ListedRunner) {
         let same_name = self
+            .configuration
             .table
             .functions()
             .iter()
@@ -102,7 +117,7 @@
         let spec_entry = same_name.map(|entry| (entry.key.clone(), entry.spec.memory_mb));
         let is_same = |key: &FunctionKey| match &listed.key {
             Some(listed_key) => listed_key == key,
-            None => key.generation <= self.inherited_version,
+            None => key.generation <= self.claims.inherited_version,
         };
         let known = spec_entry.filter(|(key, _)| is_same(key));
         let is_wanted = known.is_some() && !listed.leaving;
@@ -121,16 +136,16 @@
         reservation.draining = !is_wanted;
         reservation.key_unknown = listed.key.is_none();
         self.reservations.insert(runner, reservation);
-        let detail = json!({
-            "runner": runner.to_string(),
-            "life": listed.instance.name.as_str(),
-            "worker": listed.worker.as_str(),
-        });
-        self.record_event(events::ORPHANED_RUNNER_FOUND, detail);
+        let fields = FoundRunnerFields {
+            runner,
+            instance: &listed.instance.name,
+            worker: &listed.worker,
+        };
+        self.record_event(events::ORPHANED_RUNNER_FOUND, fields);
         self.orphan_or_stop(listed_at, runner);
     }
 
-    /// What must have been listed by now and is not is gone.
+    /// A runner that should be in the list by now and is not has ended.
     fn detect_vanished_runners(
         &mut self,
         listed_at: MonotonicTime,
@@ -142,6 +157,7 @@
             .iter()
             .filter(|(_, reservation)| {
                 let startup = self
+                    .configuration
                     .table
                     .function_of(&reservation.function)
                     .map(|entry| entry.spec.startup);
--- a/crates/controlplane/src/leader_state/worker_evacuation.rs
+++ b/crates/controlplane/src/leader_state/worker_evacuation.rs
@@ -1,29 +1,64 @@
+//! Consolidation: the runners of a little used worker move to others, so that the worker can be switched off.
+
 use super::LeaderState;
+use super::events::WorkerFields;
 use common::clock::MonotonicTime;
 use common::events;
 use common::identity::WorkerName;
-use serde_json::json;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
+/// A new leader evacuates no worker before this.
+const FIRST_EVACUATION_AFTER: Duration = Duration::from_secs(15);
+/// Between two evacuations.
 const EVACUATION_INTERVAL: Duration = Duration::from_secs(8);
+/// After an evacuation that timed out.
 const EVACUATION_RETRY_DELAY: Duration = Duration::from_secs(30);
+/// An evacuation that takes longer is given up.
 const EVACUATION_TIMEOUT: Duration = Duration::from_secs(20);
+/// The share of their memory that the other workers keep free.
 const HEADROOM_PERCENT: u64 = 10;
 
-/// A worker that is being emptied so that it can be switched off.
-pub struct WorkerEvacuation {
-    pub(super) worker: WorkerName,
+/// A worker whose runners are being moved off, so that it can be switched off.
+struct WorkerEvacuation {
+    worker: WorkerName,
     since: MonotonicTime,
 }
 
+/// At most one worker is evacuated at a time.
+pub(super) struct WorkerEvacuations {
+    current: Option<WorkerEvacuation>,
+    next_at: MonotonicTime,
+}
+
+impl WorkerEvacuations {
+    pub fn new(elected_at: MonotonicTime) -> Self {
+        Self {
+            current: None,
+            next_at: elected_at + FIRST_EVACUATION_AFTER,
+        }
+    }
+
+    /// Whether the worker is being evacuated.
+    pub fn is_evacuating(&self, worker: &WorkerName) -> bool {
+        self.current
+            .as_ref()
+            .is_some_and(|evacuation| evacuation.worker == *worker)
+    }
+
+    /// Gives the worker that is being evacuated back to use.
+    pub fn cancel(&mut self) {
+        self.current = None;
+    }
+}
+
 impl LeaderState {
-    /// Empties the least used worker when all its runners fit on the others in use, one at a time.
+    /// Evacuates the least used worker if all its runners fit on the others in use. One worker at a time.
     pub(super) fn evacuate_workers(&mut self, now: MonotonicTime) {
-        if !self.opened || !self.timing.worker_evacuation {
+        if !self.claims.is_open || !self.timing.worker_evacuation {
             return;
         }
-        if let Some(worker_evacuation) = &self.worker_evacuation {
+        if let Some(worker_evacuation) = &self.evacuation.current {
             let worker = worker_evacuation.worker.clone();
             let is_empty = !self
                 .reservations
@@ -31,11 +66,12 @@
                 .any(|reservation| reservation.worker == worker);
             let is_timed_out = now.since(worker_evacuation.since) > EVACUATION_TIMEOUT;
             if is_empty {
-                self.record_event(events::WORKER_EVACUATED, json!({"worker": worker.as_str()}));
+                let fields = WorkerFields { worker: &worker };
+                self.record_event(events::WORKER_EVACUATED, fields);
             }
             if is_empty || is_timed_out {
-                self.worker_evacuation = None;
-                self.next_worker_evacuation_at = now
+                self.evacuation.current = None;
+                self.evacuation.next_at = now
                     + if is_empty {
                         EVACUATION_INTERVAL
                     } else {
@@ -44,20 +80,19 @@
             }
             return;
         }
-        if now < self.next_worker_evacuation_at {
+        if now < self.evacuation.next_at {
             return;
         }
-        self.next_worker_evacuation_at = now + EVACUATION_INTERVAL;
+        self.evacuation.next_at = now + EVACUATION_INTERVAL;
         if let Some(worker) = self.worker_to_evacuate() {
-            self.record_event(
-                events::WORKER_EVACUATING,
-                json!({"worker": worker.as_str()}),
-            );
-            self.worker_evacuation = Some(WorkerEvacuation { worker, since: now });
+            let fields = WorkerFields { worker: &worker };
+            self.record_event(events::WORKER_EVACUATING, fields);
+            self.evacuation.current = Some(WorkerEvacuation { worker, since: now });
             self.drain_from_unusable_workers();
         }
     }
 
+    /// The worker in use with the least memory reserved, if its runners, the largest first, fit on the others.
     fn worker_to_evacuate(&self) -> Option<WorkerName> {
         let reserved_mb_sums = self.reserved_mb();
         let used_workers: Vec<(&WorkerName, u64)> = reserved_mb_sums
@@ -73,7 +108,7 @@
             .iter()
             .filter(|(worker, _)| worker != least_used)
             .filter_map(|(worker, sum)| {
-                let memory_mb = u64::from(self.workers.get(*worker)?.listed.memory_mb);
+                let memory_mb = u64::from(self.workers.records.get(*worker)?.listed.memory_mb);
                 let headroom_mb = memory_mb * HEADROOM_PERCENT / 100;
                 Some((
                     *worker,
--- a/crates/controlplane/src/leader_state/workers.rs
+++ b/crates/controlplane/src/leader_state/workers.rs
@@ -1,46 +1,63 @@
+//! The platform's workers, and the reservation of their memory for runners.
+
+use super::events::MissingMemoryFields;
 use super::reservations::Reservation;
 use super::{LeaderState, StreamId};
 use common::adapter::ListedWorker;
 use common::clock::MonotonicTime;
 use common::events;
-use common::frames::{LeaderToDaemon, ReserveResult};
+use common::frames::{KnownMember, LeaderToDaemon, ReserveResult};
 use common::identity::{CorrelationId, FencingToken, FunctionKey, RunnerId, WorkerName, Zone};
 use common::rules::Rule;
-use serde_json::json;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
+/// Lacking memory is reported at most this often.
+const NO_ROOM_REPORT_INTERVAL: Duration = Duration::from_secs(1);
+
+/// One worker as the platform listed it.
 pub(super) struct WorkerRecord {
     pub listed: ListedWorker,
 }
 
+/// The platform's workers.
+#[derive(Default)]
+pub(super) struct Workers {
+    pub records: BTreeMap<WorkerName, WorkerRecord>,
+    /// Whether the platform has listed them in this term.
+    pub are_listed: bool,
+    /// When workers last refused to start a runner.
+    pub start_refused_at: BTreeMap<WorkerName, MonotonicTime>,
+    no_room_reported_at: MonotonicTime,
+}
+
 impl LeaderState {
-    /// Takes the platform's list of workers.
+    /// Takes the platform's list of workers, in place of the earlier one.
     pub fn workers_listed(&mut self, listed_workers: Vec<ListedWorker>) {
-        self.workers_listed = true;
-        self.workers = listed_workers
+        self.workers.are_listed = true;
+        self.workers.records = listed_workers
             .into_iter()
             .map(|listed| (listed.worker.clone(), WorkerRecord { listed }))
             .collect();
         self.drain_from_unusable_workers();
     }
 
+    /// Whether new runners may go to a worker: it is listed, and neither draining nor in an evacuated zone nor itself
+    /// being evacuated.
     pub(super) fn is_worker_usable(&self, worker: &WorkerName) -> bool {
-        let is_being_evacuated = self
-            .worker_evacuation
-            .as_ref()
-            .is_some_and(|worker_evacuation| worker_evacuation.worker == *worker);
-        !is_being_evacuated
-            && self.workers.get(worker).is_some_and(|record| {
+        !self.evacuation.is_evacuating(worker)
+            && self.workers.records.get(worker).is_some_and(|record| {
                 let is_draining = record.listed.draining && self.rules.enforces(Rule::DrainObeyed);
                 !is_draining && !self.is_evacuated(&record.listed.zone)
             })
     }
 
+    /// The memory in MiB that is reserved on each worker in use.
     pub(super) fn reserved_mb(&self) -> &BTreeMap<WorkerName, u64> {
         self.reservations.reserved_mb()
     }
 
+    /// A holder requests the memory for one more runner.
     pub(super) fn handle_reserve(
         &mut self,
         now: MonotonicTime,
@@ -49,15 +66,13 @@
         function: FunctionKey,
         fencing_token: FencingToken,
     ) {
-        let result = self.reserve(now, stream, &function, fencing_token);
-        self.send_frame(
-            stream,
-            LeaderToDaemon::Reserved {
-                correlation,
-                function,
-                result,
-            },
-        );
+        let reserved = self.reserve(now, stream, &function, fencing_token);
+        let frame = LeaderToDaemon::Reserved {
+            correlation,
+            function,
+            result: reserved.unwrap_or(ReserveResult::Rejected),
+        };
+        self.send_frame(stream, frame);
     }
 
     fn reserve(
@@ -66,71 +81,86 @@
         stream: StreamId,
         function: &FunctionKey,
         fencing_token: FencingToken,
-    ) -> ReserveResult {
-        let Some(requester) = self.streams.get(&stream) else {
-            return ReserveResult::Rejected;
-        };
-        let is_holder = self.lease_records.get(function).is_some_and(|entry| {
-            entry.holder == *requester
-                && entry.fencing_token == fencing_token
-                && entry.fencing_since.is_none()
-        });
-        if !is_holder || !self.opened || !self.has_lease(requester, now) {
-            return ReserveResult::Rejected;
+    ) -> Option<ReserveResult> {
+        let requester = self.members.streams.get(&stream)?;
+        if !self.may_reserve(now, requester, function, fencing_token) {
+            return None;
         }
-        let Some(spec) = self
-            .table
-            .function_of(function)
-            .map(|entry| entry.spec.clone())
-        else {
-            return ReserveResult::Rejected;
-        };
+        let spec = &self.configuration.table.function_of(function)?.spec;
         let needed_mb = spec.memory_mb;
         if !self.is_below_max_runners(function, spec.max_runners as usize) {
-            return ReserveResult::Rejected;
+            return None;
         }
-        let holder_zone = self
-            .members
-            .get(requester)
-            .map(|record| record.host.zone.clone());
+        let holder_record = self.members.records.get(requester);
+        let holder_zone = holder_record.map(|record| record.host.zone.clone());
         let has_runner = self
             .reservations
             .all_of(function)
             .any(|(_, reservation)| reservation.is_staying());
         if has_runner && self.is_other_function_starved(now, function) {
-            return ReserveResult::Rejected;
+            return None;
         }
         let chosen_worker = self.choose_worker(now, function, needed_mb, holder_zone.as_ref());
         let Some(worker) = chosen_worker else {
-            let detail = json!({"function": function.to_string(), "memory_mb": needed_mb});
-            if now.since(self.no_room_reported_at) > Duration::from_secs(1) {
-                self.no_room_reported_at = now;
-                self.record_event(events::NO_WORKER_CAPACITY, detail);
-            }
-            self.worker_evacuation = None;
-            self.stop_orphans(function);
-            self.evict_idle_functions(now, function, needed_mb);
-            if !has_runner {
-                self.reclaim_runner(now, function, needed_mb);
-            }
-            return ReserveResult::Rejected;
+            self.make_room(now, function, needed_mb, has_runner);
+            return None;
         };
-        self.starved_functions.remove(function);
+        self.pressure.starved_functions.remove(function);
         let runner = RunnerId {
             fencing_token,
             ordinal: self.next_fencing_token().0,
         };
         let reservation = Reservation::new(function.clone(), worker.clone(), needed_mb);
         self.reservations.insert(runner, reservation);
-        ReserveResult::Reserved {
+        Some(ReserveResult::Reserved {
             runner,
             worker,
             memory_mb: needed_mb,
+        })
+    }
+
+    /// Only the holder reserves, under its present lease and while its session lease stands.
+    fn may_reserve(
+        &self,
+        now: MonotonicTime,
+        requester: &KnownMember,
+        function: &FunctionKey,
+        fencing_token: FencingToken,
+    ) -> bool {
+        let is_holder = self.lease_records.get(function).is_some_and(|entry| {
+            entry.holder == *requester
+                && entry.fencing_token == fencing_token
+                && entry.fencing_since.is_none()
+        });
+        is_holder && self.claims.is_open && self.has_lease(requester, now)
+    }
+
+    /// No usable worker has room for a runner: whatever can give way does, and the holder tries again.
+    fn make_room(
+        &mut self,
+        now: MonotonicTime,
+        function: &FunctionKey,
+        needed_mb: u32,
+        has_runner: bool,
+    ) {
+        if now.since(self.workers.no_room_reported_at) > NO_ROOM_REPORT_INTERVAL {
+            self.workers.no_room_reported_at = now;
+            let fields = MissingMemoryFields {
+                function,
+                memory_mb: needed_mb,
+            };
+            self.record_event(events::NO_WORKER_CAPACITY, fields);
+        }
+        self.evacuation.cancel();
+        self.stop_orphans(function);
+        self.evict_idle_functions(now, function, needed_mb);
+        if !has_runner {
+            self.reclaim_runner(now, function, needed_mb);
         }
     }
 
-    /// Whether one more runner stays within the most that a function may have under all its keys together. A
-    /// holder that has them all under one key counts them itself.
+    /// Whether one more runner stays within the function's limit for all its keys together. A holder that has all of
+    /// them under one key checks the limit itself.
     fn is_below_max_runners(&self, function: &FunctionKey, limit: usize) -> bool {
         let staying = self
             .reservations
@@ -140,10 +170,10 @@
         total_count < limit || total_count == staying.count()
     }
 
-    /// Spread: a worker in use before an empty one, then the zone where the function has fewest
-    /// runners that stay, then the fullest that fits. Not spread: the holder's zone before others,
-    /// since bytes between zones are dear and the holder's loss takes the service with it anyhow;
-    /// then a worker in use without a runner of the function, one with, an empty one; then the fullest.
+    /// Chooses the worker of a new runner. If runners are spread over zones: a worker in use before an empty one, then
+    /// the zone with the fewest runners of the function, then the fullest worker that fits. If they are not: the
+    /// holder's zone before others, since traffic between zones is costly and the loss of the holder interrupts the
+    /// function anyway; then a worker in use without a runner of the function, one with, an empty one; then the fullest.
     fn choose_worker(
         &mut self,
         now: MonotonicTime,
@@ -152,7 +182,8 @@
         holder_zone: Option<&Zone>,
     ) -> Option<WorkerName> {
         let refused_start_cooldown = self.timing.refused_start_cooldown;
-        self.start_refused_at
+        self.workers
+            .start_refused_at
             .retain(|_, start_refused_at| now.since(*start_refused_at) < refused_start_cooldown);
         let mut zone_counts: BTreeMap<&Zone, usize> = BTreeMap::new();
         let mut function_workers: BTreeSet<&WorkerName> = BTreeSet::new();
@@ -162,13 +193,13 @@
             .filter(|(_, reservation)| !reservation.draining)
         {
             function_workers.insert(&reservation.worker);
-            if let Some(record) = self.workers.get(&reservation.worker) {
+            if let Some(record) = self.workers.records.get(&reservation.worker) {
                 *zone_counts.entry(&record.listed.zone).or_default() += 1;
             }
         }
         let reserved_mb_sums = self.reserved_mb();
-        let candidate_workers = self.workers.iter().filter(|(worker, _)| {
-            self.is_worker_usable(worker) && !self.start_refused_at.contains_key(*worker)
+        let candidate_workers = self.workers.records.iter().filter(|(worker, _)| {
+            self.is_worker_usable(worker) && !self.workers.start_refused_at.contains_key(*worker)
         });
         candidate_workers
             .filter_map(|(worker, record)| {
@@ -192,7 +223,7 @@
             .map(|(_, _, worker)| worker.clone())
     }
 
-    /// Memory is short: what was left for a next holder of another function goes first.
+    /// Memory is short: orphaned runners of other functions are stopped.
     fn stop_orphans(&mut self, requester: &FunctionKey) {
         let orphaned_runners: Vec<RunnerId> = self
             .reservations
@@ -210,8 +241,9 @@
         }
     }
 
-    fn has_lease(&self, known_member: &common::frames::KnownMember, now: MonotonicTime) -> bool {
+    fn has_lease(&self, known_member: &KnownMember, now: MonotonicTime) -> bool {
         self.members
+            .records
             .get(known_member)
             .is_some_and(|record| record.lease_expires_at > now)
     }
