--- a/crates/dataplane/tests/ledger.rs
+++ b/crates/dataplane/tests/ledger.rs
@@ -4,7 +4,7 @@
 use common::frames::{LedgerRecord, LedgerRecordState, RequestFailureReason, RequestOutcome};
 use common::identity::{FencingToken, FunctionKey, IdempotencyKey, Incarnation, Version};
 use common::rng::SeededRng;
-use dataplane::ledger::{Ledger, LedgerReplica, digests, range_of};
+use dataplane::ledger::{Ledger, LedgerReplica, RANGE_COUNT, digests, range_of};
 use googletest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -153,3 +153,44 @@
         eq(false)
     )
 }
+
+/// Two daemons of different builds compare their ledgers by these numbers: they must never change.
+#[gtest]
+fn range_digests_have_their_fixed_values() -> Result<()> {
+    let fixed_ranges = [
+        ("request-3", LedgerRecordState::Recorded, 0),
+        ("request-8", LedgerRecordState::Answered, 1),
+        ("a", LedgerRecordState::Unknown, 10),
+        ("b", LedgerRecordState::Rejected, 10),
+        (
+            "0190b0a2-5b7c-7cc2-8d25-3f2c9a7e1b44",
+            LedgerRecordState::Recorded,
+            4,
+        ),
+        ("zwölf", LedgerRecordState::Answered, 14),
+        ("request-7", LedgerRecordState::Unknown, 15),
+    ];
+    let fixed_digests: [u64; RANGE_COUNT] = [
+        0xbc37_5eb5_4466_97c9,
+        0xdcc4_a150_e1af_e9d6,
+        0,
+        0,
+        0x72f3_57a9_ed42_eb8a,
+        0,
+        0,
+        0,
+        0,
+        0,
+        0x5d8a_d404_0b48_5e12,
+        0,
+        0,
+        0,
+        0x83e6_b9af_86be_157a,
+        0xf223_bd3e_eb7d_8342,
+    ];
+    for (name, _, range) in fixed_ranges {
+        verify_that!(range_of(&name.into()), eq(range))?;
+    }
+    let records = fixed_ranges.map(|(name, state, _)| record(name, state));
+    verify_that!(digests(records.iter()), eq(&fixed_digests.to_vec()))
+}
