--- a/crates/dataplane/src/holder/admission.rs
+++ b/crates/dataplane/src/holder/admission.rs
@@ -1,4 +1,4 @@
-//! Admission of transactions: what is known is answered, what would be late is refused, the rest waits.
+//! Admission of requests: a known outcome is returned, what would be late is rejected, the rest is queued.
 
 use super::{AdmissionRequest, Holder, HolderOutput, QueuedRequest, not_run};
 use common::clock::MonotonicTime;
@@ -6,27 +6,25 @@
 use common::identity::IdempotencyKey;
 use common::rules::Rule;
 
+/// When a caller may retry at the next holder, in milliseconds.
+const RELEASING_RETRY_AFTER_MS: u32 = 50;
+/// When a caller may retry a regional holder that has no ready runner, in milliseconds.
+const REGIONAL_RETRY_AFTER_MS: u32 = 100;
+/// The shortest time after which a rejected caller may retry, in milliseconds.
+const MIN_RETRY_AFTER_MS: u128 = 100;
+
 impl Holder {
-    /// Takes a transaction in; an outcome at once, or none while it waits.
+    /// Admits a request; returns an outcome if there is one at once, and none if the request was queued.
     pub fn admit(
         &mut self,
         now: MonotonicTime,
         request: AdmissionRequest,
     ) -> (Option<RequestOutcome>, Vec<HolderOutput>) {
         if self.is_releasing() {
-            return (
-                Some(not_run(RequestFailureReason::NotHolder, 50)),
-                Vec::new(),
-            );
+            let outcome = not_run(RequestFailureReason::NotHolder, RELEASING_RETRY_AFTER_MS);
+            return (Some(outcome), Vec::new());
         }
-        self.last_request_at = now;
-        self.idle_stopped = false;
-        self.demand.record_call(now);
-        let shortest_target = self.shortest_target.unwrap_or(request.target);
-        self.shortest_target = Some(shortest_target.min(request.target));
-        self.regional
-            .record_call(now, request.region.as_ref(), request.recorded);
-        self.retry_budget.record_attempt(now, request.repeat);
+        self.record_call(now, &request);
         if request.recorded
             && let Some(known_outcome) = self.known_outcome(&request.idempotency_key)
         {
@@ -34,16 +32,34 @@
         }
         if self.is_unready_regional() {
             self.scale(now);
-            let outcome = not_run(RequestFailureReason::NoRunnerAvailable, 100);
-            return (Some(outcome), std::mem::take(&mut self.outputs));
+            let reason = RequestFailureReason::NoRunnerAvailable;
+            let outcome = not_run(reason, REGIONAL_RETRY_AFTER_MS);
+            return (Some(outcome), self.take_outputs());
         }
         if let Some((reason, retry_after)) = self.rejection_reason(now, &request) {
-            let retry_after_ms = retry_after.as_millis().max(100) as u32;
+            let retry_after_ms = retry_after.as_millis().max(MIN_RETRY_AFTER_MS) as u32;
             self.record_rejection(now, &request, reason, retry_after_ms);
             let outcome = not_run(reason, retry_after_ms);
             self.scale(now);
-            return (Some(outcome), std::mem::take(&mut self.outputs));
+            return (Some(outcome), self.take_outputs());
         }
+        self.enqueue(now, request);
+        self.dispatch(now);
+        self.scale(now);
+        (None, self.take_outputs())
+    }
+
+    /// Counts a call for demand, idle retention and retry budget, whatever becomes of it.
+    fn record_call(&mut self, now: MonotonicTime, request: &AdmissionRequest) {
+        self.lifecycle.wake();
+        self.idle_retention.record_request(now, request.target);
+        self.demand.record_call(now);
+        self.regional
+            .record_call(now, request.region.as_ref(), request.recorded);
+        self.retry_budget.record_attempt(now, request.repeat);
+    }
+
+    fn enqueue(&mut self, now: MonotonicTime, request: AdmissionRequest) {
         if request.repeat {
             self.spend_retry(now);
         }
@@ -54,23 +70,16 @@
                 request.deadline,
             );
         }
-        let queue_deadline = request.deadline.min(now + request.queue_timeout);
-        let target_deadline = now + request.target;
-        let index = self.queue_index(request.rank);
-        self.queue.insert(
-            index,
-            QueuedRequest {
-                request,
-                target_deadline,
-                queue_deadline,
-                attempt: 1,
-                may_have_run: false,
-                failure: None,
-            },
-        );
-        self.dispatch(now);
-        self.scale(now);
-        (None, std::mem::take(&mut self.outputs))
+        let queued = QueuedRequest {
+            target_deadline: now + request.target,
+            queue_deadline: request.deadline.min(now + request.queue_timeout),
+            attempt: 1,
+            may_have_run: false,
+            failure: None,
+            request,
+        };
+        let index = self.requests.queue_index(queued.request.rank);
+        self.requests.queue.insert(index, queued);
     }
 
     fn known_outcome(&self, idempotency_key: &IdempotencyKey) -> Option<RequestOutcome> {
@@ -86,8 +95,8 @@
         reason: RequestFailureReason,
         retry_after_ms: u32,
     ) {
-        self.rejected_count += 1;
-        self.last_rejection_reason = reason;
+        self.requests.count_rejection();
+        self.requests.set_rejection_reason(reason);
         if !request.recorded {
             return;
         }
@@ -101,9 +110,9 @@
         );
     }
 
-    /// How many transactions were refused since last asked.
+    /// The number of requests rejected since the last call, with the reason of the last one; none if there were
+    /// none.
     pub fn take_rejections(&mut self) -> Option<(u32, RequestFailureReason)> {
-        let rejected_count = std::mem::take(&mut self.rejected_count);
-        (rejected_count > 0).then_some((rejected_count, self.last_rejection_reason))
+        self.requests.take_rejections()
     }
 }
--- a/crates/dataplane/src/holder/demand.rs
+++ b/crates/dataplane/src/holder/demand.rs
@@ -5,12 +5,12 @@
 use std::time::Duration;
 
 const MIN_WINDOW_S: f64 = 0.25;
-/// So many calls of late say something of the rate even of a function that was never called before.
+/// This many recent calls make the rate known even for a function that was never called before.
 const KNOWN_RATE_CALLS: f64 = 32.0;
-/// How many break-even spans the calls' gaps are remembered.
+/// The time constant of the long-term rate, in break-even times.
 const LONG_TERM_BREAK_EVENS: f64 = 8.0;
 
-/// A count that fades.
+/// An exponentially decaying count of events.
 pub(super) struct DecayingCounter {
     time_constant: f64,
     count: f64,
@@ -37,13 +37,14 @@
         self.counted_at = Some(now);
     }
 
-    /// The time that the count stands for, when it began so long ago.
+    /// The time in seconds that the count stands for when counting began `age` seconds ago; count divided by it is
+    /// the rate.
     pub(super) fn effective_window(&self, age: f64) -> f64 {
         self.time_constant * (1.0 - (-age / self.time_constant).exp())
     }
 }
 
-/// What is asked of a function: calls a second of late, and the gap to be expected before the next one.
+/// The demand for a function: its recent rate of calls, and whether the next call is expected soon.
 pub struct Demand {
     short_term: DecayingCounter,
     long_term: DecayingCounter,
@@ -54,7 +55,7 @@
 }
 
 impl Demand {
-    /// Nothing was called yet.
+    /// Before the first call; `startup` and `break_even` give the time constants.
     pub fn new(
         now: MonotonicTime,
         tuning: &Tuning,
@@ -72,31 +73,31 @@
         }
     }
 
-    /// A call came.
+    /// Counts a call.
     pub fn record_call(&mut self, now: MonotonicTime) {
         self.first_at.get_or_insert(now);
         self.short_term.add(now);
         self.long_term.add(now);
     }
 
-    /// Whether any call came.
+    /// Whether there was any call.
     pub fn was_called(&self) -> bool {
         self.first_at.is_some()
     }
 
-    /// How long ago the first call came, in seconds.
+    /// The time since the first call, in seconds; zero before it.
     pub fn age(&self, now: MonotonicTime) -> f64 {
         self.first_at
             .map_or(0.0, |first_at| now.since(first_at).as_secs_f64())
     }
 
-    /// Whether it was called for long enough, or often enough, that its rate says something.
+    /// Whether there were calls for long enough, or enough of them, for the rate to be meaningful.
     pub fn is_known(&self, now: MonotonicTime) -> bool {
         self.age(now) >= 2.0 * self.short_term.time_constant
             || self.short_term.at(now) >= KNOWN_RATE_CALLS
     }
 
-    /// Calls a second: quick up, and slowly down.
+    /// The rate in calls per second; it rises at once and decays slowly.
     pub fn rate(&mut self, now: MonotonicTime) -> f64 {
         let effective_window = self
             .short_term
@@ -108,7 +109,7 @@
         self.smoothed
     }
 
-    /// Whether the next call is to be expected sooner than a runner kept for it costs more than a start.
+    /// Whether the next call is expected within the break-even time of a retained runner.
     pub fn is_frequent(&self, now: MonotonicTime, break_even: Duration) -> bool {
         let break_even = break_even.as_secs_f64();
         let effective_window = self.long_term.effective_window(self.age(now));
--- a/crates/dataplane/src/holder/idle_retention.rs
+++ b/crates/dataplane/src/holder/idle_retention.rs
@@ -1,39 +1,39 @@
-//! What keeping the last runner of a function is worth, and when it is stopped.
+//! What retaining the last runner of an idle function is worth, and when it is stopped.
 //!
-//! A runner that nobody calls costs its memory; without it the next call costs a start, and comes late where a boot
-//! takes longer than the caller gladly waits. The runner is kept while the next call is to be expected before its
-//! memory has cost as much as that: the break-even span.
+//! An idle runner costs its memory; without it the next request costs a cold start, and its response is late where a
+//! start-up takes longer than the request's target. The runner is retained while the next request is expected before
+//! its memory has cost as much as that: the break-even time.
 
 use super::Holder;
-use super::runners::Phase;
+use super::lifecycle::Lifecycle;
 use common::clock::MonotonicTime;
-use common::identity::RunnerId;
 use std::time::Duration;
 
-/// A runner is not stopped before it is so old: what it was started or taken over for may be on its way.
+/// A younger runner is not stopped: the requests that it was started or adopted for may be on their way.
 const STABLE_AFTER: Duration = Duration::from_secs(1);
-/// A function called often keeps a runner through so many break-even spans without a call.
+/// A frequently called function retains a runner for this many break-even times without a request.
 const FREQUENT_IDLE_FACTOR: u32 = 2;
-/// One called rarely keeps it for this part of a boot, for a call that follows at once.
+/// A rarely called one retains it for this fraction of a start-up, for a request that follows at once.
 const RARE_IDLE_STARTUPS: f64 = 0.25;
-/// A runner that was started before the first call is kept so long for it.
+/// A prewarmed runner is retained this long for the first request.
 const UNCALLED_IDLE_LIMIT: Duration = Duration::from_secs(60);
-/// How often a function is called is known after so many break-even spans.
+/// How often a function is called is known after this many break-even times.
 const KNOWN_DEMAND_BREAK_EVENS: u32 = 4;
-/// How far boots are taken to lie from their mean, until some are measured, and how fast measured ones count.
+/// The assumed mean deviation of start-up times, as a fraction of their mean, until some are measured.
 const INITIAL_DEVIATION_FRACTION: f64 = 0.3;
+/// The weight of one measured start-up time in the smoothed ones.
 const SMOOTHING_FACTOR: f64 = 0.125;
-/// A boot lies within so many mean deviations of the mean.
+/// Start-up times are taken to lie within this many mean deviations of their mean.
 const MAX_DEVIATIONS: f64 = 2.0;
 
-/// How long runners boot, as far as it was measured.
+/// The smoothed mean and mean deviation of runners' start-up times, in seconds.
 pub struct StartupTimes {
     mean: f64,
     deviation: f64,
 }
 
 impl StartupTimes {
-    /// None was measured yet; the spec names a mean.
+    /// Before any measurement; the spec gives the expected mean.
     pub fn new(expected: Duration) -> Self {
         let mean = expected.as_secs_f64();
         Self {
@@ -42,14 +42,14 @@
         }
     }
 
-    /// A boot took so long.
+    /// A runner's start-up took this long.
     pub fn record_startup(&mut self, span: Duration) {
         let distance = span.as_secs_f64() - self.mean;
         self.mean += distance * SMOOTHING_FACTOR;
         self.deviation += (distance.abs() - self.deviation) * SMOOTHING_FACTOR;
     }
 
-    /// The part of calls that start a runner whose answers take longer than a target.
+    /// The fraction of the requests that wait for a start-up whose responses exceed a target.
     pub fn late_fraction(&self, service_time: Duration, target: Duration) -> f64 {
         let half_width = (self.deviation * MAX_DEVIATIONS).max(f64::EPSILON);
         let longest = self.mean + half_width + service_time.as_secs_f64();
@@ -57,40 +57,87 @@
     }
 }
 
+/// What is known about the requests and start-ups of a function for the retention of its last runner.
+pub(super) struct IdleRetention {
+    startup_times: StartupTimes,
+    /// The shortest target of its requests.
+    shortest_target: Option<Duration>,
+    last_request_at: MonotonicTime,
+    is_warm: bool,
+}
+
+impl IdleRetention {
+    /// Before the first request; the spec gives the expected start-up time.
+    pub(super) fn new(now: MonotonicTime, startup: Duration) -> Self {
+        Self {
+            startup_times: StartupTimes::new(startup),
+            shortest_target: None,
+            last_request_at: now,
+            is_warm: false,
+        }
+    }
+
+    pub(super) fn set_warm(&mut self, is_warm: bool) {
+        self.is_warm = is_warm;
+    }
+
+    pub(super) fn record_request(&mut self, now: MonotonicTime, target: Duration) {
+        self.last_request_at = now;
+        let shortest_target = self.shortest_target.unwrap_or(target);
+        self.shortest_target = Some(shortest_target.min(target));
+    }
+
+    pub(super) fn record_startup(&mut self, span: Duration) {
+        self.startup_times.record_startup(span);
+    }
+
+    pub(super) fn since_last_request(&self, now: MonotonicTime) -> Duration {
+        now.since(self.last_request_at)
+    }
+
+    fn late_fraction(&self, service_time: Duration) -> f64 {
+        let target = self.shortest_target.unwrap_or(Duration::MAX);
+        self.startup_times.late_fraction(service_time, target)
+    }
+}
+
 impl Holder {
-    /// The span without a call after which the last runner has cost more than doing without it.
+    /// The time without a request after which the last runner has cost more than a cold start.
     pub(super) fn break_even(&self) -> Duration {
         let Some(cost) = self.tuning.idle_cost else {
             return self.spec.startup * self.tuning.idle_startups;
         };
-        let target = self.shortest_target.unwrap_or(Duration::MAX);
         let late_cost_mb_s = f64::from(cost.late_cost_mb_s)
-            * self.startup_times.late_fraction(self.service_time, target);
+            * self
+                .idle_retention
+                .late_fraction(self.requests.service_time);
         let cold_start_cost_mb_s = f64::from(cost.start_cost_mb_s) + late_cost_mb_s;
         self.spec.startup
             + Duration::from_secs_f64(cold_start_cost_mb_s / f64::from(self.spec.memory_mb.max(1)))
     }
 
-    /// How long the last runner is kept without a call; none when it is never stopped for that.
+    /// How long the last runner is retained without a request; none when it is never stopped for that.
     fn idle_limit(&self, now: MonotonicTime) -> Option<Duration> {
         let break_even = self.break_even();
         if self.tuning.idle_cost.is_some() {
-            if self.warm && !self.demand.was_called() {
+            if self.idle_retention.is_warm && !self.demand.was_called() {
                 return Some(UNCALLED_IDLE_LIMIT);
             }
             let is_unknown =
                 self.demand.age(now) < (break_even * KNOWN_DEMAND_BREAK_EVENS).as_secs_f64();
             let is_frequent = self.demand.is_frequent(now, break_even);
-            return Some(if is_frequent || (self.warm && is_unknown) {
-                break_even * FREQUENT_IDLE_FACTOR
-            } else {
-                self.spec
-                    .startup
-                    .mul_f64(RARE_IDLE_STARTUPS)
-                    .min(break_even)
-            });
+            return Some(
+                if is_frequent || (self.idle_retention.is_warm && is_unknown) {
+                    break_even * FREQUENT_IDLE_FACTOR
+                } else {
+                    self.spec
+                        .startup
+                        .mul_f64(RARE_IDLE_STARTUPS)
+                        .min(break_even)
+                },
+            );
         }
-        if self.warm || self.tuning.idle_startups == 0 {
+        if self.idle_retention.is_warm || self.tuning.idle_startups == 0 {
             return None;
         }
         Some(match self.tuning.rare_idle_limit {
@@ -102,9 +149,9 @@
         })
     }
 
-    /// Stops the runners of a function that nobody calls; it stays held.
+    /// Stops the runners of an idle function; its lease stays.
     pub(super) fn stop_runners_if_idle(&mut self, now: MonotonicTime) {
-        if self.is_releasing() || self.idle_stopped || self.spec.min_runners > 0 {
+        if self.lifecycle != Lifecycle::Serving || self.spec.min_runners > 0 {
             return;
         }
         let Some(idle_limit) = self.idle_limit(now) else {
@@ -112,29 +159,25 @@
         };
         let last_used_at = self
             .runners
-            .values()
+            .records()
             .map(|record| record.last_used_at)
             .max();
-        let has_ready = self
-            .runners
-            .values()
-            .any(|record| record.phase == Phase::Ready);
         let is_stable = self
             .runners
-            .values()
+            .records()
             .all(|record| now.since(record.started_at) >= STABLE_AFTER);
         let is_long_idle = self.idle(now).is_some_and(|span| span > idle_limit)
             && last_used_at.is_some_and(|last_used_at| now.since(last_used_at) > idle_limit);
-        if has_ready && is_long_idle && (is_stable || !self.has_adopted) {
+        let may_be_needed = self.runners.has_adopted() && !is_stable;
+        if self.runners.has_ready() && is_long_idle && !may_be_needed {
             self.stop_idle_runners(now);
         }
     }
 
-    /// Stops every runner until the next call.
+    /// Stops all runners until the next request.
     pub(super) fn stop_idle_runners(&mut self, now: MonotonicTime) {
-        self.idle_stopped = true;
-        let all_runners: Vec<RunnerId> = self.runners.keys().copied().collect();
-        for runner in all_runners {
+        self.lifecycle.stop_idle();
+        for runner in self.runners.ids() {
             self.stop_runner(now, runner);
         }
     }
--- a/crates/dataplane/src/holder/mod.rs
+++ b/crates/dataplane/src/holder/mod.rs
@@ -1,11 +1,13 @@
-//! A held function: inbox, runners with their slots, ledger of identities, retry budget. No I/O.
+//! A held function: its request queue, its runners with their slots, its ledger and its retry budget. No I/O.
 //!
-//! [`Holder`] is a state machine: each call takes the time and what happened, and returns what is to be
-//! done. The modules below each hold one part of its reactions.
+//! [`Holder`] is the state machine of the lease holder of one function. Each method takes the current time and
+//! one event, and returns the [`HolderOutput`]s that the caller has to carry out. The submodules each hold the
+//! reactions that belong to one concern.
 
 mod admission;
 mod demand;
 mod idle_retention;
+mod lifecycle;
 mod output;
 mod queue;
 mod regional;
@@ -14,6 +16,7 @@
 mod request;
 mod retry_budget;
 mod runner_events;
+mod runner_set;
 mod runners;
 mod scaling;
 mod send_result;
@@ -25,135 +28,95 @@
 
 use crate::ledger::Ledger;
 use common::clock::MonotonicTime;
-use common::frames::{Claim, Flag, Instance, LengthPrefixed, RequestFailureReason, RequestOutcome};
-use common::identity::{FencingToken, FunctionKey, RunnerId, Ticket};
+use common::frames::{
+    Claim, Flag, Instance, LengthPrefixed, RequestFailureReason, RequestOutcome, RunnerStatus,
+};
+use common::identity::{FencingToken, FunctionKey, RunnerId};
 use common::rules::{Rule, Rules};
 use common::spec::FunctionSpec;
 use demand::Demand;
-use idle_retention::StartupTimes;
+use idle_retention::IdleRetention;
+use lifecycle::Lifecycle;
 use regional::RegionalDemand;
 use replication::Replication;
-use request::{InFlight, QueuedRequest};
+use request::{InFlight, QueuedRequest, Requests};
 use retry_budget::RetryBudget;
-use runners::{Phase, RunnerRecord};
+use runner_set::RunnerSet;
 use scaling::Scaling;
-use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
-/// How long a transaction is taken to run until some have been measured.
-const INITIAL_SERVICE_TIME: Duration = Duration::from_millis(40);
-
-/// One held function.
-pub struct Holder {
+/// The lease that a function is held under.
+struct FunctionLease {
     function: FunctionKey,
     fencing_token: FencingToken,
+    held_since: MonotonicTime,
+}
+
+/// The lease holder of one function, as a state machine.
+pub struct Holder {
+    lease: FunctionLease,
+    lifecycle: Lifecycle,
     spec: FunctionSpec,
-    /// The most slots that any spec of this grant gave a runner.
-    max_slots: u32,
-    once_allowed_from: MonotonicTime,
-    runners: BTreeMap<RunnerId, RunnerRecord>,
-    queue: VecDeque<QueuedRequest>,
-    in_flight: BTreeMap<Ticket, InFlight>,
-    /// What was given to a connection, and has not come back with an end.
-    sent_to_runner: BTreeSet<Ticket>,
+    requests: Requests,
+    runners: RunnerSet,
     ledger: Ledger,
     replication: Replication,
     retry_budget: RetryBudget,
     scaling: Scaling,
     demand: Demand,
     regional: RegionalDemand,
-    startup_times: StartupTimes,
-    /// The shortest target of its calls.
-    shortest_target: Option<Duration>,
-    held_since: MonotonicTime,
-    has_adopted: bool,
-    service_time: Duration,
-    last_request_at: MonotonicTime,
-    rejected_count: u32,
-    last_rejection_reason: RequestFailureReason,
-    idle_stopped: bool,
-    releasing: bool,
-    closed: bool,
-    closed_at: MonotonicTime,
-    orphans_reported: bool,
-    released: bool,
+    idle_retention: IdleRetention,
     rules: Rules,
     tuning: Tuning,
-    warm: bool,
     outputs: Vec<HolderOutput>,
 }
 
 impl Holder {
-    /// A function that has just been granted.
+    /// The holder of a function whose lease has just been granted.
     pub fn new(now: MonotonicTime, terms: LeaseTerms) -> Self {
-        let is_replica_complete = terms.once_wait.is_zero();
-        let slots = terms.spec.slots;
-        let has_adopted = !terms.adopted.is_empty();
-        let (startup, startup_times) = (terms.spec.startup, StartupTimes::new(terms.spec.startup));
-        let demand = Demand::new(now, &Tuning::default(), startup, startup);
-        let runners = terms
-            .adopted
-            .into_iter()
-            .filter_map(|listed| Some((listed.runner, RunnerRecord::adopted(now, listed, slots)?)))
-            .collect();
+        let startup = terms.spec.startup;
+        let tuning = Tuning::default();
         Self {
-            function: terms.function,
-            fencing_token: terms.fencing_token,
-            max_slots: slots,
+            lease: FunctionLease {
+                function: terms.function,
+                fencing_token: terms.fencing_token,
+                held_since: now,
+            },
+            lifecycle: Lifecycle::Serving,
+            requests: Requests::new(),
+            runners: RunnerSet::adopted(now, terms.adopted, terms.spec.slots),
             spec: terms.spec,
-            once_allowed_from: now + terms.once_wait,
+            ledger: Ledger::default(),
             replication: Replication::new(
                 now,
                 terms.replica,
                 terms.previous_lease,
-                is_replica_complete,
+                terms.once_wait,
             ),
-            runners,
-            queue: VecDeque::new(),
-            in_flight: BTreeMap::new(),
-            sent_to_runner: BTreeSet::new(),
-            ledger: Ledger::default(),
-            retry_budget: RetryBudget::new(now, &Tuning::default()),
+            retry_budget: RetryBudget::new(now, &tuning),
             scaling: Scaling::new(now),
-            demand,
+            demand: Demand::new(now, &tuning, startup, startup),
             regional: RegionalDemand::default(),
-            startup_times,
-            shortest_target: None,
-            held_since: now,
-            has_adopted,
-            service_time: INITIAL_SERVICE_TIME,
-            last_request_at: now,
-            rejected_count: 0,
-            last_rejection_reason: RequestFailureReason::QueueFull,
-            idle_stopped: false,
-            releasing: false,
-            closed: false,
-            closed_at: now,
-            orphans_reported: false,
-            released: false,
+            idle_retention: IdleRetention::new(now, startup),
             rules: Rules::ALL_ENFORCED,
-            tuning: Tuning::default(),
-            warm: false,
+            tuning,
             outputs: Vec::new(),
         }
     }
 
-    /// The same, with a rule taken away for proving.
+    /// The same holder under other rules; a rule that is not enforced lets a test show what the rule prevents.
     pub fn with_rules(mut self, rules: Rules) -> Self {
         self.rules = rules;
         if !rules.enforces(Rule::SlowStartRespected) {
-            self.runners
-                .values_mut()
-                .for_each(|record| record.limit = record.slots);
+            self.runners.skip_slow_start();
         }
         if !rules.enforces(Rule::LedgerCollectedBeforeAdmission) {
-            self.once_allowed_from = MonotonicTime::ZERO;
             self.replication.skip_collection();
         }
         self
     }
 
-    /// The same with other settings.
+    /// The same holder with other settings; to be used before the first event.
     pub fn with_tuning(mut self, now: MonotonicTime, tuning: Tuning) -> Self {
         self.retry_budget = RetryBudget::new(now, &tuning);
         self.tuning = tuning;
@@ -161,80 +124,66 @@
         self
     }
 
-    /// Whether it is to keep one runner always.
-    pub fn set_warm(&mut self, warm: bool) {
-        self.warm = warm;
+    /// Sets whether the function is prewarmed: its last runner is then retained longer without requests.
+    pub fn set_warm(&mut self, is_warm: bool) {
+        self.idle_retention.set_warm(is_warm);
     }
 
-    /// The function.
+    /// The key of the held function.
     pub fn function(&self) -> &FunctionKey {
-        &self.function
+        &self.lease.function
     }
 
-    /// The grant it is held under.
+    /// The fencing token of the lease.
     pub fn fencing_token(&self) -> FencingToken {
-        self.fencing_token
+        self.lease.fencing_token
     }
 
-    /// The most connections that one of its runners takes.
+    /// The maximum number of connections to one of its runners.
     pub fn connections(&self) -> u32 {
         self.spec.connections
     }
 
-    /// A runner's life, once the platform has told it.
+    /// The instance that a runner is, once the platform has reported it.
     pub fn instance_of(&self, runner: RunnerId) -> Option<Instance> {
         self.runners
-            .get(&runner)
+            .get(runner)
             .and_then(|record| record.instance.clone())
     }
 
-    /// The lives it sends to.
+    /// The instances that requests may be sent to: those of all runners that are not orphaned.
     pub fn instances(&self) -> Vec<Instance> {
-        let used = self
-            .runners
-            .values()
-            .filter(|record| record.phase != Phase::Orphaned);
-        used.filter_map(|record| record.instance.clone()).collect()
+        self.runners.instances()
     }
 
-    /// The transactions waiting and running.
+    /// The numbers of queued requests and of requests in flight.
     pub fn request_counts(&self) -> (usize, usize) {
-        (self.queue.len(), self.in_flight.len())
+        (self.requests.queue.len(), self.requests.in_flight.len())
     }
 
-    /// The runners that can take transactions, and all there are.
+    /// The number of ready runners and that of all runners.
     pub fn runner_counts(&self) -> (usize, usize) {
-        let ready_count = self
-            .runners
-            .values()
-            .filter(|record| record.phase == Phase::Ready)
-            .count();
-        (ready_count, self.runners.len())
+        (self.runners.ready().count(), self.runners.len())
     }
 
-    /// What is claimed for it after a reconnection.
+    /// The claim to the lease that is sent to the leader after a reconnection.
     pub fn claim(&self) -> Claim {
-        let runners = self
-            .runners
-            .iter()
-            .map(|(runner, record)| record.to_claim(*runner))
-            .collect();
         Claim {
-            function: self.function.clone(),
-            fencing_token: self.fencing_token,
-            runners: LengthPrefixed(runners),
+            function: self.lease.function.clone(),
+            fencing_token: self.lease.fencing_token,
+            runners: LengthPrefixed(self.runners.claims()),
             is_releasing: Flag(!self.is_claimable()),
             replica: LengthPrefixed(self.replication.replica.iter().cloned().collect()),
-            complete: Flag(self.replication.complete),
+            complete: Flag(self.replication.is_complete()),
         }
     }
 
-    /// Whether it may be claimed: it is held, and not given up.
+    /// Whether the lease may be claimed: it has neither ended nor been given back.
     pub fn is_claimable(&self) -> bool {
-        !self.closed && !self.released
+        self.lifecycle.holds_lease()
     }
 
-    /// Lets time pass.
+    /// Does what is due at this time.
     pub fn tick(&mut self, now: MonotonicTime) -> Vec<HolderOutput> {
         self.ledger.expire(now);
         self.maintain_replica(now);
@@ -244,32 +193,56 @@
         self.scale(now);
         self.stop_runners_if_idle(now);
         self.finish_release(now);
-        std::mem::take(&mut self.outputs)
+        self.take_outputs()
     }
 
-    /// How long it has not been called, while it has nothing to do.
+    /// The time since the last request; none while it has requests, or no runner.
     pub fn idle(&self, now: MonotonicTime) -> Option<Duration> {
-        let is_idle =
-            self.queue.is_empty() && self.in_flight.is_empty() && !self.runners.is_empty();
-        is_idle.then(|| now.since(self.last_request_at))
+        let is_idle = self.requests.is_empty() && !self.runners.is_empty();
+        is_idle.then(|| self.idle_retention.since_last_request(now))
     }
 
-    /// Memory is short: an idle function stops its last runner, and starts one when it is called.
+    /// Stops all runners of an idle function because memory is short; the next request starts one again.
     pub fn stop_if_unused(&mut self, now: MonotonicTime) -> Vec<HolderOutput> {
-        if self.queue.is_empty() && self.in_flight.is_empty() {
+        if self.requests.is_empty() {
             self.stop_idle_runners(now);
         }
-        std::mem::take(&mut self.outputs)
+        self.take_outputs()
     }
 
-    /// A newer spec of the same function.
+    /// Replaces the spec by a newer one of the same function.
     pub fn update_spec(&mut self, spec: FunctionSpec) {
-        self.max_slots = self.max_slots.max(spec.slots);
+        self.runners.raise_max_slots(spec.slots);
         self.spec = spec;
     }
+
+    fn take_outputs(&mut self) -> Vec<HolderOutput> {
+        std::mem::take(&mut self.outputs)
+    }
+
+    fn report(&mut self, message: HolderMessage) {
+        self.outputs.push(HolderOutput::Report(message));
+    }
+
+    fn report_runner(&mut self, runner: RunnerId, runner_status: RunnerStatus) {
+        self.report(HolderMessage::RunnerStatus {
+            runner,
+            runner_status,
+        });
+    }
+
+    /// The number of slots that a new runner gets.
+    fn slots_per_runner(&self) -> u32 {
+        if self.rules.enforces(Rule::SlotLimitRespected) {
+            self.spec.slots
+        } else {
+            u32::MAX
+        }
+    }
 }
 
-/// A refusal.
+/// The outcome of a request that was rejected and has not run; `retry_after_ms` is when a retry makes sense, in
+/// milliseconds from now.
 pub fn not_run(reason: RequestFailureReason, retry_after_ms: u32) -> RequestOutcome {
     RequestOutcome::NotRun {
         reason,
--- a/crates/dataplane/src/holder/output.rs
+++ b/crates/dataplane/src/holder/output.rs
@@ -1,4 +1,4 @@
-//! What a holder orders, and the ends of its sends.
+//! The outputs of a holder, and the results of its sends.
 
 use common::frames::{
     ClaimedRunner, Host, LedgerRecord, PreviousLease, RequestFailureReason, RequestOutcome,
@@ -7,134 +7,134 @@
 use common::identity::{InstanceId, MemberName, RunnerId, Ticket, WorkerName};
 use common::spec::FunctionSpec;
 
-/// What a holder orders.
+/// An order of a holder, to be carried out by its driver.
 #[derive(Clone, Debug)]
 pub enum HolderOutput {
-    /// Send a transaction to a runner, after a last look at grant and spec.
+    /// Send a request to a runner, after a last check of lease and spec.
     Send {
-        /// Which transaction.
+        /// The request.
         ticket: Ticket,
-        /// Which runner.
+        /// The runner.
         runner: RunnerId,
         /// Where it listens.
         address: SocketAddress,
-        /// The number of this send.
+        /// The number of this attempt, from 1.
         attempt: u32,
     },
-    /// A transaction has ended.
+    /// A request has ended.
     End {
-        /// Which transaction.
+        /// The request.
         ticket: Ticket,
-        /// How.
+        /// Its outcome.
         outcome: RequestOutcome,
     },
     /// Have the platform start a runner.
     Start {
-        /// Which one.
+        /// The runner.
         runner: RunnerId,
-        /// Where.
+        /// The worker to start it on.
         worker: WorkerName,
-        /// What it needs, and what it will be held to.
+        /// The spec it is started by.
         spec: FunctionSpec,
     },
-    /// Ask a booting runner whether it is ready.
+    /// Probe a runner that is starting up for readiness.
     Probe {
-        /// Which one.
+        /// The runner.
         runner: RunnerId,
         /// Where it listens.
         address: SocketAddress,
     },
-    /// Ask a runner what it is running.
+    /// Have a runner list the requests that it is running.
     ListRunning {
-        /// Which one.
+        /// The runner.
         runner: RunnerId,
         /// Where it listens.
         address: SocketAddress,
     },
     /// Have the platform stop a runner.
     Stop {
-        /// Which one.
+        /// The runner.
         runner: RunnerId,
-        /// Where it runs.
+        /// The worker it runs on.
         worker: WorkerName,
-        /// Its life; none while the platform has not told it.
+        /// Its instance; none while the platform has not reported it.
         instance: Option<InstanceId>,
     },
-    /// Collect an earlier holder's ledger.
+    /// Collect the ledger of an earlier lease.
     Collect {
-        /// Where.
+        /// The earlier lease.
         previous_lease: PreviousLease,
     },
-    /// Have the steward note lines, and say whether it did.
+    /// Have the replica store records, and report the result to [`Holder::recorded`](super::Holder::recorded).
     Record {
-        /// Names the round.
+        /// Identifies the batch.
         batch_id: u64,
-        /// The steward.
+        /// The daemon that keeps the replica.
         replica: Host,
-        /// The lines.
+        /// The records.
         records: Vec<LedgerRecord>,
     },
-    /// Compare the ledger with the steward's copy.
+    /// Compare the ledger with the replica.
     Compare {
-        /// The steward.
+        /// The daemon that keeps the replica.
         replica: Host,
-        /// A digest for each range.
+        /// The digests of the ledger, one for each range.
         digests: Vec<u64>,
     },
-    /// Tell the leader.
+    /// Send a message to the leader.
     Report(HolderMessage),
 }
 
-/// What a holder has for the leader.
+/// A message of a holder to the leader.
 #[derive(Clone, Debug)]
 pub enum HolderMessage {
-    /// It wants one more runner.
+    /// Requests the reservation of one more runner.
     Reserve,
-    /// What became of a runner.
+    /// Reports a change of a runner's status.
     RunnerStatus {
-        /// Which one.
+        /// The runner.
         runner: RunnerId,
-        /// What became of it.
+        /// Its new status.
         runner_status: RunnerStatus,
     },
-    /// It wants another steward.
+    /// Requests another replica.
     ReplicaLost {
-        /// The one that does not answer.
+        /// The daemon that does not answer.
         lost: MemberName,
     },
-    /// The steward's copy is whole.
+    /// The replica is complete.
     ReplicaComplete {
-        /// The steward.
+        /// The daemon that keeps it.
         replica: MemberName,
     },
-    /// Everything is finished: the grant goes back.
+    /// All work is finished: the lease is given back.
     Released {
-        /// The runners left as they stand.
+        /// The orphaned runners, still running.
         runners: Vec<ClaimedRunner>,
     },
 }
 
-/// How a send to a runner ended.
+/// The result of a send to a runner.
 #[derive(Clone, Debug)]
 pub enum SendResult {
-    /// The runner's whole sealed body.
+    /// The runner returned a complete, sealed response.
     Answered(RequestOutcome),
-    /// The runner's own failure, after it ran.
+    /// The function ran on the runner, and failed.
     Failed(RequestOutcome),
-    /// The runner refused, and did not run it.
+    /// The runner rejected the request and did not run it.
     RejectedByRunner,
-    /// Another runner is at the address, and did not run it.
+    /// Another runner answered at the address and did not run the request.
     WrongRunner,
-    /// Nothing was sent: the member grant has ended, or the spec no longer allows it.
+    /// Nothing was sent: the session lease has ended, or the spec no longer allows the request.
     Forbidden(RequestFailureReason),
-    /// Surely nothing was sent: the runner could not be reached.
+    /// Certainly nothing was sent: the runner could not be reached.
     Unsent,
-    /// Something was sent, and no good answer came.
+    /// Something may have been sent, and no valid response came.
     Lost,
 }
 
 impl SendResult {
-    /// How a send failed, in a word; nothing if it brought an answer.
+    /// A short text for the log on how a send failed; none if it was answered.
     pub fn failure(&self) -> Option<&'static str> {
         match self {
             Self::Answered(_) => None,
--- a/crates/dataplane/src/holder/queue.rs
+++ b/crates/dataplane/src/holder/queue.rs
@@ -1,36 +1,37 @@
-//! The inbox of a holder: how long it may grow, who goes first, who is refused, what is sent next.
+//! The request queue of a holder: its limits, its order, which requests are rejected, and which is sent next.
 
-use super::runners::Phase;
 use super::{AdmissionRequest, Holder, HolderOutput, InFlight, QueuedRequest, not_run};
 use common::clock::MonotonicTime;
 use common::frames::{RequestFailureReason, RequestOutcome, SocketAddress};
 use common::identity::{RunnerId, Ticket};
 use common::invariants::{Invariant, require};
 use common::rules::Rule;
+use std::collections::VecDeque;
 use std::time::Duration;
 
 const MIN_QUEUE_LENGTH: usize = 32;
-/// The inbox takes what all the runners that a function may have would run in so many turns. It bounds the memory
-/// only: what would not be sent in time is refused by the time that it would have to wait.
+/// The queue takes as many requests for each slot that the function may have. This bounds only the memory: what would
+/// not be sent in time is rejected by its expected start.
 const QUEUED_REQUESTS_PER_SLOT: usize = 16;
+/// The shortest service time that estimates reckon with, in seconds.
+pub(super) const MIN_SERVICE_SECONDS: f64 = 0.001;
+/// A rejected caller may retry this long after its request would have been sent.
+const RETRY_MARGIN: Duration = Duration::from_millis(100);
+/// The shortest time after which a rejected caller may retry, in milliseconds.
+const MIN_RETRY_AFTER_MS: u128 = 100;
 
 impl Holder {
+    /// The number of requests that the ready runners take at once now.
     fn ready_limit(&self, now: MonotonicTime) -> u32 {
-        let ready_runners = self
-            .runners
-            .values()
-            .filter(|record| record.phase == Phase::Ready);
-        ready_runners.fold(0, |all, record| {
+        self.runners.ready().fold(0, |all, record| {
             all.saturating_add(record.current_limit(now))
         })
     }
 
+    /// The number of requests that the ready runners will take at once after their slow start.
     fn expected_ready_limit(&self, now: MonotonicTime) -> u32 {
-        let ready_runners = self
-            .runners
-            .values()
-            .filter(|record| record.phase == Phase::Ready);
-        ready_runners
+        self.runners
+            .ready()
             .map(|record| record.expected_limit(now).min(self.spec.slots.max(1)))
             .sum()
     }
@@ -40,22 +41,50 @@
         MIN_QUEUE_LENGTH.max(max_slots * QUEUED_REQUESTS_PER_SLOT)
     }
 
-    /// When a transaction behind so many others would be sent to a runner, by what runs and boots.
+    /// When a request behind this many others is expected to be sent, by what runs and what starts up.
     pub(super) fn expected_start(&self, now: MonotonicTime, ahead_count: usize) -> MonotonicTime {
-        let service_time = self.service_time.as_secs_f64().max(0.001);
+        let service_time = self.service_seconds();
+        let sources = self.slot_sources(now, service_time);
+        let queue_position = ahead_count as f64;
+        let mut served = 0.0;
+        let mut elapsed = sources[0].0;
+        let mut slots = 0.0;
+        for (ready_in, ready_slots) in sources {
+            let served_by_then = served + (ready_in - elapsed) * slots / service_time;
+            if slots > 0.0 && served_by_then >= queue_position - slots {
+                break;
+            }
+            served = served_by_then;
+            elapsed = ready_in;
+            slots += ready_slots;
+        }
+        let remaining = (queue_position - slots + 1.0 - served).max(0.0);
+        now + Duration::from_secs_f64(elapsed + remaining * service_time / slots.max(1.0))
+    }
+
+    /// The smoothed service time in seconds, never zero.
+    pub(super) fn service_seconds(&self) -> f64 {
+        self.requests
+            .service_time
+            .as_secs_f64()
+            .max(MIN_SERVICE_SECONDS)
+    }
+
+    /// When slots become available, as seconds from now with the number of slots, in the order of time; never empty.
+    fn slot_sources(&self, now: MonotonicTime, service_time: f64) -> Vec<(f64, f64)> {
+        let slots_per_runner = f64::from(self.spec.slots.max(1));
         let mut sources: Vec<(f64, f64)> = self
             .runners
-            .values()
-            .filter(|record| matches!(record.phase, Phase::StartRequested | Phase::StartingUp))
-            .map(|record| {
+            .starting()
+            .map(|(_, record)| {
                 let ready_in = (record.started_at + self.spec.startup)
                     .since(now)
                     .as_secs_f64();
-                (ready_in, f64::from(self.spec.slots.max(1)))
+                (ready_in, slots_per_runner)
             })
             .collect();
         let ready_limit = f64::from(self.ready_limit(now).max(self.expected_ready_limit(now)));
-        let busy_count = self.in_flight.len() as f64;
+        let busy_count = self.requests.in_flight.len() as f64;
         if ready_limit > 0.0 {
             let free_in = if busy_count < ready_limit {
                 0.0
@@ -64,56 +93,35 @@
             };
             sources.push((free_in, ready_limit));
         } else if sources.is_empty() {
-            sources.push((
-                self.spec.startup.as_secs_f64(),
-                f64::from(self.spec.slots.max(1)),
-            ));
+            sources.push((self.spec.startup.as_secs_f64(), slots_per_runner));
         }
         sources.sort_by(|one, other| one.0.total_cmp(&other.0));
-        let queue_position = ahead_count as f64;
-        let mut served = 0.0;
-        let mut elapsed = sources[0].0;
-        let mut slots = 0.0;
-        for (ready_in, ready_slots) in sources {
-            let served_by_then = served + (ready_in - elapsed) * slots / service_time;
-            if slots > 0.0 && served_by_then >= queue_position - slots {
-                break;
-            }
-            served = served_by_then;
-            elapsed = ready_in;
-            slots += ready_slots;
-        }
-        let remaining = (queue_position - slots + 1.0 - served).max(0.0);
-        now + Duration::from_secs_f64(elapsed + remaining * service_time / slots.max(1.0))
+        sources
     }
 
-    /// Where one of a rank goes: behind those of its own rank and of lower ones.
-    pub(super) fn queue_index(&self, rank: u8) -> usize {
-        self.queue
-            .partition_point(|queued| queued.request.rank <= rank)
-    }
-
-    /// Which one goes next: of the first rank that may be sent, the oldest whose target can still be met,
-    /// else the oldest.
+    /// The index of the request to be sent next: within the first rank that may be sent, the oldest that can still
+    /// meet its target, else the oldest.
     fn next_index(&self, now: MonotonicTime) -> Option<usize> {
         let may_send = |queued: &QueuedRequest| {
             !queued.request.is_recorded_once() || self.replication.is_available()
         };
-        let first_index = self.queue.iter().position(may_send)?;
-        let rank = self.queue[first_index].request.rank;
-        let same_rank = self.queue.iter().enumerate().skip(first_index);
+        let queue = &self.requests.queue;
+        let first_index = queue.iter().position(may_send)?;
+        let rank = queue[first_index].request.rank;
+        let same_rank = queue.iter().enumerate().skip(first_index);
         let timely = same_rank
             .take_while(|(_, queued)| queued.request.rank == rank)
             .find(|(_, queued)| {
-                may_send(queued) && now + self.service_time <= queued.target_deadline
+                may_send(queued) && now + self.requests.service_time <= queued.target_deadline
             });
-        Some(timely.map_or(first_index, |(address, _)| address))
+        Some(timely.map_or(first_index, |(index, _)| index))
     }
 
-    /// When a transaction that waits is to be given up, if none goes to a runner before.
+    /// When the first queued request has to be rejected if none is sent before.
     pub(super) fn queue_due(&self) -> Option<MonotonicTime> {
-        let half_service = self.service_time / 2;
-        self.queue
+        let half_service = self.requests.service_time / 2;
+        self.requests
+            .queue
             .iter()
             .map(|queued| {
                 queued
@@ -123,19 +131,16 @@
             .min()
     }
 
+    /// Why a request is not admitted, and after which time a retry makes sense; none if it is admitted.
     pub(super) fn rejection_reason(
         &mut self,
         now: MonotonicTime,
         request: &AdmissionRequest,
     ) -> Option<(RequestFailureReason, Duration)> {
         if request.is_recorded_once()
-            && !self.replication.is_collecting()
-            && now < self.once_allowed_from
+            && let Some(once_wait) = self.replication.once_wait(now)
         {
-            return Some((
-                RequestFailureReason::OnceNotYetAdmitted,
-                self.once_allowed_from.since(now),
-            ));
+            return Some((RequestFailureReason::OnceNotYetAdmitted, once_wait));
         }
         if request.repeat && !self.has_retry_budget(now) {
             return Some((
@@ -143,18 +148,21 @@
                 Duration::from_secs(2),
             ));
         }
-        if self.queue.len() >= self.queue_limit() {
+        if self.requests.queue.len() >= self.queue_limit() {
             return Some((RequestFailureReason::QueueFull, Duration::from_secs(1)));
         }
-        let start_at = self.expected_start(now, self.queue_index(request.rank));
+        let start_at = self.expected_start(now, self.requests.queue_index(request.rank));
         let queue_wait_end = now + request.queue_timeout;
-        if start_at + self.service_time > request.deadline || start_at > queue_wait_end {
-            let wait_span = start_at.since(now) + Duration::from_millis(100);
+        let end_at = start_at + self.requests.service_time;
+        if end_at > request.deadline || start_at > queue_wait_end {
+            let wait_span = start_at.since(now) + RETRY_MARGIN;
             return Some((RequestFailureReason::DeadlineTooShort, wait_span));
         }
         None
     }
 
+    /// Ends a request without a response: by an earlier attempt's failure, as unknown if it may have run, and else
+    /// as not run for this reason.
     pub(super) fn fail_request(
         &mut self,
         now: MonotonicTime,
@@ -168,50 +176,57 @@
                 reason: RequestFailureReason::ResponseLost,
             },
             None => {
-                self.last_rejection_reason = reason;
-                not_run(reason, retry_after.as_millis().max(100) as u32)
+                self.requests.set_rejection_reason(reason);
+                not_run(
+                    reason,
+                    retry_after.as_millis().max(MIN_RETRY_AFTER_MS) as u32,
+                )
             }
         };
         self.end(now, queued.request, outcome);
     }
 
-    /// Refuses at once what can no longer be finished; it leaves the inbox before it is refused.
+    /// Rejects the queued requests that can no longer be finished; each leaves the queue before it is rejected.
     pub(super) fn reject_late(&mut self, now: MonotonicTime) {
-        let mut still_queued = std::collections::VecDeque::new();
-        for queued in std::mem::take(&mut self.queue) {
+        let mut still_queued = VecDeque::new();
+        for queued in std::mem::take(&mut self.requests.queue) {
             let start_at = self.expected_start(now, still_queued.len());
-            let is_late = now >= queued.queue_deadline
-                || now + self.service_time / 2 > queued.request.deadline
-                || (self.ready_limit(now) == 0 && start_at > queued.queue_deadline);
-            if is_late {
-                let has_runner = !self.runners.is_empty();
-                let reason = if has_runner {
-                    RequestFailureReason::DeadlineTooShort
-                } else {
+            if self.is_late(now, &queued, start_at) {
+                let reason = if self.runners.is_empty() {
                     RequestFailureReason::NoRunnerAvailable
+                } else {
+                    RequestFailureReason::DeadlineTooShort
                 };
-                let retry_after = start_at.since(now) + Duration::from_millis(100);
+                let retry_after = start_at.since(now) + RETRY_MARGIN;
                 self.fail_request(now, queued, reason, retry_after);
             } else {
                 still_queued.push_back(queued);
             }
         }
-        self.queue = still_queued;
+        self.requests.queue = still_queued;
         if !self.rules.enforces(Rule::RejectedNeverRuns) {
             self.reject_in_flight(now);
         }
     }
 
-    /// What must never be: a refusal of what a runner was given.
+    fn is_late(&self, now: MonotonicTime, queued: &QueuedRequest, start_at: MonotonicTime) -> bool {
+        now >= queued.queue_deadline
+            || now + self.requests.service_time / 2 > queued.request.deadline
+            || (self.ready_limit(now) == 0 && start_at > queued.queue_deadline)
+    }
+
+    /// Rejects requests that a runner has; only reached when a test turns off the rule against that.
     fn reject_in_flight(&mut self, now: MonotonicTime) {
+        let service_time = self.requests.service_time;
         let overdue_tickets: Vec<Ticket> = self
+            .requests
             .in_flight
             .iter()
-            .filter(|(_, in_flight)| now.since(in_flight.sent_at) > self.service_time)
+            .filter(|(_, in_flight)| now.since(in_flight.sent_at) > service_time)
             .map(|(ticket, _)| *ticket)
             .collect();
         for ticket in overdue_tickets {
-            if let Some(in_flight) = self.in_flight.remove(&ticket) {
+            if let Some(in_flight) = self.requests.in_flight.remove(&ticket) {
                 self.fail_request(
                     now,
                     in_flight.queued,
@@ -222,56 +237,67 @@
         }
     }
 
-    /// Sends what waits to runners with a free slot.
+    /// Sends queued requests to runners with a free slot.
     pub(super) fn dispatch(&mut self, now: MonotonicTime) {
-        while !self.closed {
+        while !self.lifecycle.is_closed() {
             let Some(queued_index) = self.next_index(now) else {
                 return;
             };
-            let Some(runner) = self.free_runner(now) else {
+            let Some(runner) = self.runners.least_busy_free(now) else {
                 return;
             };
-            let Some(queued) = self.queue.remove(queued_index) else {
+            if self.dispatch_to(now, queued_index, runner).is_none() {
                 return;
-            };
-            let is_once = queued.request.is_recorded_once();
-            let Some(record) = self.runners.get_mut(&runner) else {
-                return;
-            };
-            let Some(address) = record.address() else {
-                return;
-            };
-            record.occupy_slot(now, queued.request.idempotency_key.clone());
-            let (busy_count, slots) = (record.busy_count(), self.max_slots.max(1) as usize);
-            require(
-                self.rules,
-                Invariant::SlotsRespected,
-                busy_count <= slots,
-                || format!("{busy_count} at once on {runner} of {slots} slots"),
-            );
-            let ticket = queued.request.ticket;
-            let attempt = queued.attempt;
-            let may_send = !(queued.request.once && queued.may_have_run);
-            require(self.rules, Invariant::OnceSentOnce, may_send, || {
-                format!(
-                    "{} is sent again to {runner}",
-                    queued.request.idempotency_key
-                )
-            });
-            self.in_flight.insert(
-                ticket,
-                InFlight {
-                    queued,
-                    runner,
-                    sent_at: now,
-                },
-            );
-            if !is_once || !self.replicate_before_send(now, ticket) {
-                self.emit_send(ticket, runner, address, attempt);
             }
         }
     }
 
+    /// Moves one queued request to a runner's slot; it is sent at once unless it has to be replicated first.
+    fn dispatch_to(
+        &mut self,
+        now: MonotonicTime,
+        queued_index: usize,
+        runner: RunnerId,
+    ) -> Option<()> {
+        let record = self.runners.get_mut(runner)?;
+        let address = record.address()?;
+        let queued = self.requests.queue.remove(queued_index)?;
+        record.occupy_slot(now, queued.request.idempotency_key.clone());
+        let busy_count = record.busy_count();
+        self.check_dispatch(&queued, runner, busy_count);
+        let is_once = queued.request.is_recorded_once();
+        let (ticket, attempt) = (queued.request.ticket, queued.attempt);
+        self.requests.in_flight.insert(
+            ticket,
+            InFlight {
+                queued,
+                runner,
+                sent_at: now,
+            },
+        );
+        if !is_once || !self.replicate_before_send(now, ticket) {
+            self.emit_send(ticket, runner, address, attempt);
+        }
+        Some(())
+    }
+
+    fn check_dispatch(&self, queued: &QueuedRequest, runner: RunnerId, busy_count: usize) {
+        let slots = self.runners.max_slots().max(1) as usize;
+        require(
+            self.rules,
+            Invariant::SlotsRespected,
+            busy_count <= slots,
+            || format!("{busy_count} at once on {runner} of {slots} slots"),
+        );
+        let may_send = !(queued.request.once && queued.may_have_run);
+        require(self.rules, Invariant::OnceSentOnce, may_send, || {
+            format!(
+                "{} is sent again to {runner}",
+                queued.request.idempotency_key
+            )
+        });
+    }
+
     pub(super) fn emit_send(
         &mut self,
         ticket: Ticket,
@@ -279,7 +305,7 @@
         address: SocketAddress,
         attempt: u32,
     ) {
-        self.sent_to_runner.insert(ticket);
+        self.requests.sent_to_runner.insert(ticket);
         self.outputs.push(HolderOutput::Send {
             ticket,
             runner,
@@ -287,12 +313,4 @@
             attempt,
         });
     }
-
-    fn free_runner(&self, now: MonotonicTime) -> Option<RunnerId> {
-        self.runners
-            .iter()
-            .filter(|(_, record)| record.has_free_slot(now))
-            .min_by_key(|(_, record)| record.busy_count())
-            .map(|(runner, _)| *runner)
-    }
 }
--- a/crates/dataplane/src/holder/regional.rs
+++ b/crates/dataplane/src/holder/regional.rs
@@ -1,46 +1,47 @@
-//! Regions whose callers keep a runner of their own busy: they are served under a key of their own.
+//! Regions whose callers keep a runner of their own busy: they are served under a regional key.
 //!
-//! What crosses regions is slow and dear, and a function that needs several runners anyway can as well have some of
-//! them where its callers are. A region's own key costs at least one runner there, so it is worth it only while the
-//! region's callers keep a fair part of that runner busy.
+//! Traffic between regions is slow and expensive, and a function that needs several runners anyway can as well have
+//! some of them close to its callers. A regional key costs at least one runner in the region, so it pays only while
+//! the region's callers keep a fair fraction of that runner busy.
 
 use super::Holder;
 use super::demand::DecayingCounter;
-use super::runners::Phase;
 use common::clock::MonotonicTime;
 use common::identity::Region;
 use common::rules::Rule;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Over which span a region's calls are counted.
+/// The time constant over which a region's calls are counted.
 const RATE_WINDOW: Duration = Duration::from_secs(2);
-/// The part of a runner's slots that a region's callers keep busy when they get a key of their own.
+/// The fraction of a runner's slots that a region's callers keep busy when they get a regional key.
 const OPEN_LOAD_FRACTION: f64 = 0.2;
-/// The part below which they lose it again.
+/// The fraction below which they lose it again.
 const CLOSE_LOAD_FRACTION: f64 = 0.1;
-/// The region's holder is found and its first runner boots within so many boot times and this span.
+/// The regional key comes into use after this many start-up times and the lookup margin: within these its holder is
+/// found and its first runner starts up.
 const STARTUPS_AHEAD: u32 = 2;
 const LOOKUP_MARGIN: Duration = Duration::from_millis(500);
-/// A key is kept for so long after it came into use, whatever the load.
+/// A regional key stays in use at least this long, whatever the load.
 const MIN_RETENTION: Duration = Duration::from_secs(5);
 
+/// The load from one region.
 struct RegionLoad {
     calls: DecayingCounter,
     first_at: MonotonicTime,
     in_use_from: Option<MonotonicTime>,
 }
 
-/// The calls of late from regions other than the holder's, and which of them are sent to a key of their own.
+/// The recent calls from other regions than the holder's, and which of these regions use a regional key.
 #[derive(Default)]
 pub struct RegionalDemand {
     loads: BTreeMap<Region, RegionLoad>,
-    /// Identities of this function may come again, and must find the one holder that remembers them.
+    /// Callers may retry requests under their idempotency keys; these must reach the one holder that has recorded them.
     has_recorded_calls: bool,
 }
 
 impl RegionalDemand {
-    /// A call came from a region, or from the holder's own.
+    /// Counts a call from another region, or from the holder's own (none).
     pub fn record_call(&mut self, now: MonotonicTime, region: Option<&Region>, is_recorded: bool) {
         self.has_recorded_calls |= is_recorded;
         let Some(region) = region else { return };
@@ -60,7 +61,7 @@
 }
 
 impl RegionLoad {
-    /// Slots in use on average, of late.
+    /// The recent average number of slots in use.
     fn busy_slots(&self, now: MonotonicTime, service_time: Duration) -> f64 {
         let age = now.since(self.first_at).as_secs_f64();
         let effective_window = self.calls.effective_window(age).max(f64::EPSILON);
@@ -69,26 +70,22 @@
 }
 
 impl Holder {
-    /// Whether it is held for one region alone and has no runner ready: its callers are better served by the holder
-    /// for all regions meanwhile.
+    /// Whether it holds a regional key and has no ready runner: its callers are meanwhile better served by the holder
+    /// for all regions.
     pub(super) fn is_unready_regional(&self) -> bool {
-        self.function.is_regional()
-            && !self
-                .runners
-                .values()
-                .any(|record| record.phase == Phase::Ready)
+        self.lease.function.is_regional() && !self.runners.has_ready()
     }
 
-    /// In what time a region's callers are served under a key of their own; none when they are not. Asked of a
-    /// holder for one region, it says whether that key stays in use.
+    /// The time until a region's callers are to use their regional key; none when they are not to use one. For the
+    /// holder of a regional key it is zero while that key stays in use.
     pub fn regional_use_delay(&mut self, now: MonotonicTime, region: &Region) -> Option<Duration> {
         let slots = f64::from(self.spec.slots.max(1));
-        if self.function.is_regional() {
-            let load = self.demand.rate(now) * self.service_time.as_secs_f64();
-            let is_young = now.since(self.held_since) < MIN_RETENTION;
+        if self.lease.function.is_regional() {
+            let load = self.demand.rate(now) * self.requests.service_time.as_secs_f64();
+            let is_young = now.since(self.lease.held_since) < MIN_RETENTION;
             return (is_young || load >= slots * CLOSE_LOAD_FRACTION).then_some(Duration::ZERO);
         }
-        let (startup, service_time) = (self.spec.startup, self.service_time);
+        let (startup, service_time) = (self.spec.startup, self.requests.service_time);
         if self.regional.has_recorded_calls && self.rules.enforces(Rule::OneHolderRemembersKeys) {
             return None;
         }
--- a/crates/dataplane/src/holder/releasing.rs
+++ b/crates/dataplane/src/holder/releasing.rs
@@ -1,106 +1,81 @@
-//! The end of a grant: the function is handed over or closed, and fit runners are left to the next holder.
+//! The end of a lease: the function is handed over or closed, and healthy runners are orphaned for the next holder.
 
 use super::runners::Phase;
 use super::{Holder, HolderMessage, HolderOutput};
 use common::clock::MonotonicTime;
 use common::frames::{ClaimedRunner, RequestFailureReason};
-use common::identity::RunnerId;
 use std::time::Duration;
 
-/// How long what is left is remembered when the leader cannot be told; it finds it in the platform's
-/// list.
-const ORPHAN_RETENTION: Duration = Duration::from_secs(10);
+/// When the caller of a request that was queued at the end of the lease may retry.
+const CLOSED_RETRY_AFTER: Duration = Duration::from_millis(500);
 
 impl Holder {
-    /// Whether it admits nothing any more.
+    /// Whether it admits no requests any more.
     pub fn is_releasing(&self) -> bool {
-        self.releasing || self.closed
+        !self.lifecycle.admits()
     }
 
-    /// Whether nothing is left to be done for it: what it had is ended, and the leader was told what it
-    /// left, or will find it in the platform's list.
+    /// Whether it can be dropped: it has nothing left to do, and the leader was told of the runners it orphaned or
+    /// will find them in the platform's list.
     pub fn is_finished(&self, now: MonotonicTime) -> bool {
-        let is_forgotten = self.orphans_reported || now.since(self.closed_at) > ORPHAN_RETENTION;
-        let has_work = self
-            .runners
-            .values()
-            .any(|record| record.phase != Phase::Orphaned);
-        let has_orphans = !self.runners.is_empty();
-        self.released
-            || (self.closed
-                && self.in_flight.is_empty()
-                && !has_work
-                && (is_forgotten || !has_orphans))
+        let has_work = !self.requests.in_flight.is_empty() || !self.runners.are_all_orphaned();
+        self.lifecycle
+            .is_finished(now, has_work, !self.runners.is_empty())
     }
 
-    /// The leader was told what is left.
+    /// The leader was told which runners were orphaned.
     pub fn orphans_reported(&mut self) {
-        self.orphans_reported = true;
+        self.lifecycle.record_orphans_reported();
     }
 
-    /// The runners that are left as they stand for the next holder.
+    /// The runners that are left running for the next holder.
     pub fn orphaned_runners(&self) -> Vec<ClaimedRunner> {
-        let orphaned = self
-            .runners
-            .iter()
-            .filter(|(_, record)| record.phase == Phase::Orphaned);
-        orphaned
-            .map(|(runner, record)| record.to_claim(*runner))
-            .collect()
+        self.runners.orphaned_claims()
     }
 
-    /// The function is to be handed over: admit nothing, finish, leave fit runners, release.
+    /// Begins to hand the function over: admits nothing more, finishes what was admitted, orphans healthy runners,
+    /// and then reports the release.
     pub fn begin_release(&mut self, now: MonotonicTime) -> Vec<HolderOutput> {
-        self.releasing = true;
+        self.lifecycle.begin_release();
         self.finish_release(now);
-        std::mem::take(&mut self.outputs)
+        self.take_outputs()
     }
 
-    /// The grant is gone: refuse what waits, send nothing more. Fit runners are left as they stand for
-    /// the next holder, the others stopped; what was sent may still be answered.
+    /// Ends the lease: rejects what is queued and sends nothing more. Healthy runners are orphaned for the next
+    /// holder, the others are stopped; what was already sent may still be answered.
     pub fn close(&mut self, now: MonotonicTime) -> Vec<HolderOutput> {
-        if !self.closed {
-            self.closed = true;
-            self.closed_at = now;
-        }
-        for queued in std::mem::take(&mut self.queue) {
+        self.lifecycle.close(now);
+        for queued in std::mem::take(&mut self.requests.queue) {
             self.fail_request(
                 now,
                 queued,
                 RequestFailureReason::NotServing,
-                Duration::from_millis(500),
+                CLOSED_RETRY_AFTER,
             );
         }
         self.orphan_runners(now);
-        std::mem::take(&mut self.outputs)
+        self.take_outputs()
     }
 
     fn orphan_runners(&mut self, now: MonotonicTime) {
-        let all_runners: Vec<RunnerId> = self.runners.keys().copied().collect();
-        for runner in all_runners {
-            match self.runners.get_mut(&runner) {
+        for runner in self.runners.ids() {
+            match self.runners.get_mut(runner) {
                 Some(record) if record.may_be_orphaned() => record.phase = Phase::Orphaned,
                 _ => self.stop_runner(now, runner),
             }
         }
     }
 
+    /// Completes a release as soon as no request and no runner of its own is left.
     pub(super) fn finish_release(&mut self, now: MonotonicTime) {
-        if !self.releasing || self.closed || self.released {
+        if !self.lifecycle.is_releasing() || !self.requests.is_empty() {
             return;
         }
-        if self.queue.is_empty() && self.in_flight.is_empty() {
-            self.orphan_runners(now);
-            if self
-                .runners
-                .values()
-                .all(|record| record.phase == Phase::Orphaned)
-            {
-                self.released = true;
-                let runners = self.orphaned_runners();
-                self.outputs
-                    .push(HolderOutput::Report(HolderMessage::Released { runners }));
-            }
+        self.orphan_runners(now);
+        if self.runners.are_all_orphaned() {
+            self.lifecycle.complete_release();
+            let runners = self.runners.orphaned_claims();
+            self.report(HolderMessage::Released { runners });
         }
     }
 }
--- a/crates/dataplane/src/holder/replication.rs
+++ b/crates/dataplane/src/holder/replication.rs
@@ -1,70 +1,100 @@
-//! The copy of the ledger that another daemon, the steward, keeps; and the ledger of an earlier holder.
+//! The replica of the ledger that another daemon keeps, and the collection of an earlier holder's ledger.
 
-use super::runners::RunnerRecord;
 use super::{Holder, HolderMessage, HolderOutput};
 use common::clock::MonotonicTime;
 use common::frames::{Host, LedgerRecord, PreviousLease, RequestFailureReason, RequestOutcome};
-use common::identity::Ticket;
+use common::identity::{IdempotencyKey, Ticket};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 const COMPARE_INTERVAL: Duration = Duration::from_secs(1);
 const REPLICA_REQUEST_INTERVAL: Duration = Duration::from_millis(500);
 
+/// Records under way to a replica.
 struct ReplicationBatch {
     replica: Host,
+    /// The requests that are sent to their runners once the records are stored.
     tickets: Vec<Ticket>,
     is_full_copy: bool,
 }
 
-/// Who keeps the copy of a holder's ledger, and how far it is.
+/// How far the replica's copy of the ledger is.
+#[derive(Clone, Copy, PartialEq, Eq, Debug)]
+enum ReplicaCopy {
+    Incomplete,
+    /// A full copy is under way.
+    Copying,
+    Complete,
+}
+
+/// The replication state of a holder's ledger.
 pub struct Replication {
     pub(super) replica: Option<Host>,
-    pub(super) complete: bool,
-    previous_lease: Option<PreviousLease>,
-    collecting: bool,
+    copy: ReplicaCopy,
+    /// The earlier lease whose ledger is being collected.
+    collecting_from: Option<PreviousLease>,
+    /// From when on once-only requests are admitted without a collected ledger.
+    once_allowed_from: MonotonicTime,
+    /// When the leader was last asked to replace a replica that does not answer.
     replacement_requested_at: Option<MonotonicTime>,
-    is_copying_all: bool,
     batches: BTreeMap<u64, ReplicationBatch>,
     next_batch_id: u64,
     compare_at: MonotonicTime,
 }
 
 impl Replication {
-    /// The replication as the leader granted it; whole at once when there is nothing to be copied.
+    /// The replication as the leader granted it; without a wait for once-only requests there was no earlier ledger,
+    /// and the empty replica is complete.
     pub fn new(
         now: MonotonicTime,
         replica: Option<Host>,
         previous_lease: Option<PreviousLease>,
-        complete: bool,
+        once_wait: Duration,
     ) -> Self {
+        let copy = if once_wait.is_zero() {
+            ReplicaCopy::Complete
+        } else {
+            ReplicaCopy::Incomplete
+        };
         Self {
             replica,
-            complete,
-            collecting: previous_lease.is_some(),
-            previous_lease,
+            copy,
+            collecting_from: previous_lease,
+            once_allowed_from: now + once_wait,
             replacement_requested_at: None,
-            is_copying_all: false,
             batches: BTreeMap::new(),
             next_batch_id: 1,
             compare_at: now + COMPARE_INTERVAL,
         }
     }
 
-    /// Forgets that an earlier ledger was to be collected.
+    /// Admits once-only requests at once, without the earlier ledger; only for runs that show what collection
+    /// prevents.
     pub(super) fn skip_collection(&mut self) {
-        self.collecting = false;
-        self.previous_lease = None;
+        self.once_allowed_from = MonotonicTime::ZERO;
+        self.collecting_from = None;
     }
 
     /// Whether an earlier holder's ledger is being collected.
     pub fn is_collecting(&self) -> bool {
-        self.collecting
+        self.collecting_from.is_some()
+    }
+
+    /// Whether the replica's copy is complete.
+    pub(super) fn is_complete(&self) -> bool {
+        self.copy == ReplicaCopy::Complete
     }
 
-    /// Whether a once-transaction can be noted now, or needs not be.
+    /// Whether a once-only request can be replicated now, or need not be.
     pub fn is_available(&self) -> bool {
-        !self.collecting && self.replacement_requested_at.is_none()
+        !self.is_collecting() && self.replacement_requested_at.is_none()
+    }
+
+    /// How long once-only requests are rejected for want of an earlier ledger; none when they are admitted, also to
+    /// wait for a collection.
+    pub(super) fn once_wait(&self, now: MonotonicTime) -> Option<Duration> {
+        (!self.is_collecting() && now < self.once_allowed_from)
+            .then(|| self.once_allowed_from.since(now))
     }
 
     fn open_batch(&mut self, replica: Host, tickets: Vec<Ticket>, is_full_copy: bool) -> u64 {
@@ -80,24 +110,54 @@
         );
         batch_id
     }
+
+    /// The leader has assigned another replica, or none.
+    fn assign(&mut self, replica: Option<Host>) {
+        self.replacement_requested_at = None;
+        self.copy = ReplicaCopy::Incomplete;
+        self.replica = replica;
+    }
+
+    /// A full copy has ended, well or not.
+    fn full_copy_ended(&mut self) {
+        if self.copy == ReplicaCopy::Copying {
+            self.copy = ReplicaCopy::Incomplete;
+        }
+    }
+
+    /// The replica lacks records; a full copy under way stays so.
+    fn replica_lost(&mut self, now: MonotonicTime) {
+        self.replacement_requested_at = Some(now);
+        if self.copy == ReplicaCopy::Complete {
+            self.copy = ReplicaCopy::Incomplete;
+        }
+    }
+
+    /// The replica that the leader is to be asked again to replace.
+    fn overdue_replacement(&self, now: MonotonicTime) -> Option<&Host> {
+        let requested_at = self.replacement_requested_at?;
+        let is_overdue = now.since(requested_at) > REPLICA_REQUEST_INTERVAL;
+        self.replica.as_ref().filter(|_| is_overdue)
+    }
 }
 
 impl Holder {
-    /// What is due as soon as the function is granted.
+    /// Emits what is due as soon as the lease is granted.
     pub fn begin(&mut self, now: MonotonicTime) -> Vec<HolderOutput> {
-        if let Some(previous_lease) = self.replication.previous_lease.clone() {
+        if let Some(previous_lease) = self.replication.collecting_from.clone() {
             self.outputs.push(HolderOutput::Collect { previous_lease });
         }
         self.scale(now);
-        std::mem::take(&mut self.outputs)
+        self.take_outputs()
     }
 
-    /// Notes a once-transaction with the steward; without one it may be sent at once.
+    /// Has the replica store the record of a once-only request; false without a replica, when the request may be
+    /// sent at once.
     pub(super) fn replicate_before_send(&mut self, now: MonotonicTime, ticket: Ticket) -> bool {
         let Some(replica) = self.replication.replica.clone() else {
             return false;
         };
-        let Some(in_flight) = self.in_flight.get(&ticket) else {
+        let Some(in_flight) = self.requests.in_flight.get(&ticket) else {
             return false;
         };
         let Some(record) = self
@@ -106,18 +166,28 @@
         else {
             return false;
         };
+        self.emit_records(replica, vec![ticket], false, vec![record]);
+        true
+    }
+
+    fn emit_records(
+        &mut self,
+        replica: Host,
+        tickets: Vec<Ticket>,
+        is_full_copy: bool,
+        records: Vec<LedgerRecord>,
+    ) {
         let batch_id = self
             .replication
-            .open_batch(replica.clone(), vec![ticket], false);
+            .open_batch(replica.clone(), tickets, is_full_copy);
         self.outputs.push(HolderOutput::Record {
             batch_id,
             replica,
-            records: vec![record],
+            records,
         });
-        true
     }
 
-    /// The steward has noted a round, or has not.
+    /// The replica has stored a batch of records, or has not.
     pub fn recorded(
         &mut self,
         now: MonotonicTime,
@@ -127,11 +197,11 @@
         let Some(batch) = self.replication.batches.remove(&batch_id) else {
             return Vec::new();
         };
-        let is_present = self.replication.replica.as_ref() == Some(&batch.replica);
+        let is_current = self.replication.replica.as_ref() == Some(&batch.replica);
         if batch.is_full_copy {
-            self.replication.is_copying_all = false;
+            self.replication.full_copy_ended();
         }
-        if is_stored && is_present {
+        if is_stored && is_current {
             if batch.is_full_copy {
                 self.report_replica_complete(&batch.replica);
             }
@@ -139,12 +209,9 @@
                 self.send_recorded(now, ticket);
             }
         } else {
-            if is_present && self.replication.replacement_requested_at.is_none() {
-                self.replication.replacement_requested_at = Some(now);
-                self.replication.complete = false;
-                let lost = batch.replica.member.clone();
-                self.outputs
-                    .push(HolderOutput::Report(HolderMessage::ReplicaLost { lost }));
+            if is_current && self.replication.replacement_requested_at.is_none() {
+                self.replication.replica_lost(now);
+                self.report_replica_lost(&batch.replica);
             }
             for ticket in batch.tickets {
                 self.cancel_send(now, ticket);
@@ -152,36 +219,41 @@
         }
         self.dispatch(now);
         self.finish_release(now);
-        std::mem::take(&mut self.outputs)
+        self.take_outputs()
     }
 
     fn report_replica_complete(&mut self, replica: &Host) {
-        self.replication.complete = true;
-        self.outputs
-            .push(HolderOutput::Report(HolderMessage::ReplicaComplete {
-                replica: replica.member.clone(),
-            }));
+        self.replication.copy = ReplicaCopy::Complete;
+        self.report(HolderMessage::ReplicaComplete {
+            replica: replica.member.clone(),
+        });
     }
 
+    fn report_replica_lost(&mut self, replica: &Host) {
+        self.report(HolderMessage::ReplicaLost {
+            lost: replica.member.clone(),
+        });
+    }
+
+    /// Sends a request whose record is stored.
     fn send_recorded(&mut self, now: MonotonicTime, ticket: Ticket) {
-        let Some(in_flight) = self.in_flight.get(&ticket) else {
+        let Some(in_flight) = self.requests.in_flight.get(&ticket) else {
             return;
         };
         let (runner, attempt) = (in_flight.runner, in_flight.queued.attempt);
-        let address = self.runners.get(&runner).and_then(RunnerRecord::address);
-        match address.filter(|_| !self.closed) {
-            Some(address) => {
-                self.emit_send(ticket, runner, address, attempt);
-            }
+        let address = self.runners.address_of(runner);
+        match address.filter(|_| !self.lifecycle.is_closed()) {
+            Some(address) => self.emit_send(ticket, runner, address, attempt),
             None => self.cancel_send(now, ticket),
         }
     }
 
+    /// Takes a request back from a runner that it was not sent to.
     fn cancel_send(&mut self, now: MonotonicTime, ticket: Ticket) {
-        let Some(in_flight) = self.in_flight.remove(&ticket) else {
+        let Some(in_flight) = self.requests.in_flight.remove(&ticket) else {
             return;
         };
-        if let Some(record) = self.runners.get_mut(&in_flight.runner) {
+        if let Some(record) = self.runners.get_mut(in_flight.runner) {
             let request = &in_flight.queued.request;
             record.release_slot(now, &request.idempotency_key, request.deadline, true);
         }
@@ -194,11 +266,11 @@
         now: MonotonicTime,
         records: Option<Vec<LedgerRecord>>,
     ) -> Vec<HolderOutput> {
-        if !std::mem::take(&mut self.replication.collecting) {
+        if self.replication.collecting_from.take().is_none() {
             return Vec::new();
         }
         if let Some(records) = records {
-            self.once_allowed_from = now;
+            self.replication.once_allowed_from = now;
             self.resolve_known(now, &records);
             for record in &records {
                 self.ledger.import_record(now, record);
@@ -207,34 +279,31 @@
             self.reject_queued_once(now);
         }
         self.dispatch(now);
-        std::mem::take(&mut self.outputs)
+        self.take_outputs()
     }
 
-    /// Those that wait here and ran, or may have run, at the earlier holder must not run again.
+    /// Ends the queued once-only requests that ran, or may have run, under the earlier lease.
     fn resolve_known(&mut self, now: MonotonicTime, records: &[LedgerRecord]) {
-        let is_known = |name: &common::identity::IdempotencyKey| {
-            records.iter().any(|record| record.idempotency_key == *name)
-        };
-        let all_queued = std::mem::take(&mut self.queue);
-        for queued in all_queued {
+        let is_known =
+            |key: &IdempotencyKey| records.iter().any(|record| record.idempotency_key == *key);
+        for queued in std::mem::take(&mut self.requests.queue) {
             if queued.request.is_recorded_once() && is_known(&queued.request.idempotency_key) {
                 let outcome = RequestOutcome::Unknown {
                     reason: RequestFailureReason::AlreadyRan,
                 };
                 self.end(now, queued.request, outcome);
             } else {
-                self.queue.push_back(queued);
+                self.requests.queue.push_back(queued);
             }
         }
     }
 
+    /// Rejects the queued once-only requests, unless they are admitted without the earlier ledger by now.
     fn reject_queued_once(&mut self, now: MonotonicTime) {
-        let retry_after = self.once_allowed_from.since(now);
-        if retry_after.is_zero() {
+        let Some(retry_after) = self.replication.once_wait(now) else {
             return;
-        }
-        let all_queued = std::mem::take(&mut self.queue);
-        for queued in all_queued {
+        };
+        for queued in std::mem::take(&mut self.requests.queue) {
             if queued.request.is_recorded_once() {
                 self.fail_request(
                     now,
@@ -243,90 +312,57 @@
                     retry_after,
                 );
             } else {
-                self.queue.push_back(queued);
+                self.requests.queue.push_back(queued);
             }
         }
     }
 
-    /// The leader has named another steward, or nobody.
+    /// The leader has assigned another replica, or none.
     pub fn replica_assigned(
         &mut self,
         now: MonotonicTime,
         replica: Option<Host>,
     ) -> Vec<HolderOutput> {
-        self.replication.replacement_requested_at = None;
-        self.replication.complete = false;
-        self.replication.is_copying_all = false;
-        self.replication.replica = replica;
+        self.replication.assign(replica);
         self.maintain_replica(now);
         self.dispatch(now);
-        std::mem::take(&mut self.outputs)
+        self.take_outputs()
     }
 
-    /// The ranges in which the steward's copy differs.
+    /// The replica's copy differs in these ranges.
     pub fn compared(&mut self, now: MonotonicTime, ranges: &[u8]) -> Vec<HolderOutput> {
-        if let Some(replica) = self
-            .replication
-            .replica
-            .clone()
-            .filter(|_| !ranges.is_empty())
+        if !ranges.is_empty()
+            && let Some(replica) = self.replication.replica.clone()
         {
             let records = self.ledger.records_in(now, ranges);
-            let batch_id = self
-                .replication
-                .open_batch(replica.clone(), Vec::new(), false);
-            self.outputs.push(HolderOutput::Record {
-                batch_id,
-                replica,
-                records,
-            });
+            self.emit_records(replica, Vec::new(), false, records);
         }
-        std::mem::take(&mut self.outputs)
+        self.take_outputs()
     }
 
-    /// Brings the steward's copy level, and keeps it so.
+    /// Brings the replica up to date, and compares it from time to time.
     pub(super) fn maintain_replica(&mut self, now: MonotonicTime) {
-        if self.closed || self.released {
+        if !self.lifecycle.holds_lease() {
             return;
         }
-        if let Some(replacement_requested_at) = self.replication.replacement_requested_at
-            && now.since(replacement_requested_at) > REPLICA_REQUEST_INTERVAL
-            && let Some(replica) = &self.replication.replica
-        {
-            self.replication.replacement_requested_at = Some(now);
+        if let Some(replica) = self.replication.overdue_replacement(now) {
             let lost = replica.member.clone();
-            self.outputs
-                .push(HolderOutput::Report(HolderMessage::ReplicaLost { lost }));
+            self.replication.replacement_requested_at = Some(now);
+            self.report(HolderMessage::ReplicaLost { lost });
         }
-        let Some(replica) = self
-            .replication
-            .replica
-            .clone()
-            .filter(|_| self.replication.is_available())
-        else {
+        if !self.replication.is_available() {
+            return;
+        }
+        let Some(replica) = self.replication.replica.clone() else {
             return;
         };
-        if !self.replication.complete
-            && !self.replication.is_copying_all
-            && now >= self.once_allowed_from
+        if self.replication.copy == ReplicaCopy::Incomplete
+            && now >= self.replication.once_allowed_from
         {
-            let records = self.ledger.once_records(now);
-            if records.is_empty() {
-                self.report_replica_complete(&replica);
-            } else {
-                self.replication.is_copying_all = true;
-                let batch_id = self
-                    .replication
-                    .open_batch(replica.clone(), Vec::new(), true);
-                self.outputs.push(HolderOutput::Record {
-                    batch_id,
-                    replica: replica.clone(),
-                    records,
-                });
-            }
+            self.copy_to_replica(now, &replica);
         }
         if now >= self.replication.compare_at
-            && self.replication.complete
+            && self.replication.is_complete()
             && self.ledger.has_once_records()
         {
             self.replication.compare_at = now + COMPARE_INTERVAL;
@@ -335,4 +371,14 @@
                 .push(HolderOutput::Compare { replica, digests });
         }
     }
+
+    fn copy_to_replica(&mut self, now: MonotonicTime, replica: &Host) {
+        let records = self.ledger.once_records(now);
+        if records.is_empty() {
+            self.report_replica_complete(replica);
+        } else {
+            self.replication.copy = ReplicaCopy::Copying;
+            self.emit_records(replica.clone(), Vec::new(), true, records);
+        }
+    }
 }
--- a/crates/dataplane/src/holder/request.rs
+++ b/crates/dataplane/src/holder/request.rs
@@ -1,77 +1,142 @@
-//! What a holder works on: the terms of its grant, and transactions waiting and sent.
+//! What a holder works on: the terms of its lease, and the requests that are queued or in flight.
 
 use common::clock::MonotonicTime;
-use common::frames::{ClaimedRunner, Host, PreviousLease, RequestOutcome};
+use common::frames::{ClaimedRunner, Host, PreviousLease, RequestFailureReason, RequestOutcome};
 use common::identity::{FencingToken, FunctionKey, IdempotencyKey, Region, RunnerId, Ticket};
 use common::spec::FunctionSpec;
+use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
-/// What the leader granted.
+/// How long a request is assumed to run until some have been measured.
+const INITIAL_SERVICE_TIME: Duration = Duration::from_millis(40);
+
+/// The terms of a function lease, as the leader granted it.
 #[derive(Clone, Debug)]
 pub struct LeaseTerms {
-    /// The function.
+    /// The key of the function.
     pub function: FunctionKey,
-    /// The grant.
+    /// The fencing token of the lease.
     pub fencing_token: FencingToken,
-    /// What the function needs.
+    /// The spec of the function.
     pub spec: FunctionSpec,
-    /// How long once-transactions are refused if no earlier ledger can be collected.
+    /// How long once-only requests are rejected if no earlier ledger can be collected.
     pub once_wait: Duration,
-    /// Who keeps a copy of the ledger.
+    /// The daemon that replicates the ledger.
     pub replica: Option<Host>,
-    /// Where an earlier ledger may be collected.
+    /// The earlier lease whose ledger may be collected.
     pub previous_lease: Option<PreviousLease>,
-    /// Runners left by an earlier holder, to be taken over as they stand.
+    /// Runners orphaned by an earlier holder, to be adopted without a restart.
     pub adopted: Vec<ClaimedRunner>,
 }
 
-/// A transaction as it reaches its holder.
+/// A request as it reaches the lease holder.
 #[derive(Clone, Debug)]
 pub struct AdmissionRequest {
-    /// Names it in this process.
+    /// Identifies the request within this process.
     pub ticket: Ticket,
-    /// The try's identity.
+    /// The idempotency key of the caller's request.
     pub idempotency_key: IdempotencyKey,
     /// Whether it may be sent to a runner only once.
     pub once: bool,
-    /// Whether callers may send its identity again, so that it is remembered.
+    /// Whether callers may retry it under the same key, so that its outcome is recorded in the ledger.
     pub recorded: bool,
-    /// The most runners it may go to.
+    /// The maximum number of runners it may be sent to.
     pub max_attempts: u32,
-    /// Whether the caller marked it a repeat.
+    /// Whether the caller marked it as a retry.
     pub repeat: bool,
-    /// When its budget ends.
+    /// When its caller stops waiting.
     pub deadline: MonotonicTime,
-    /// How long it may wait in the inbox.
+    /// How long it may wait in the queue.
     pub queue_timeout: Duration,
-    /// When an answer turns late.
+    /// The response time that is aimed at, from its admission.
     pub target: Duration,
-    /// Which goes first; the lowest before all others.
+    /// Its priority; the lowest rank goes first.
     pub rank: u8,
     /// The region of its caller's daemon, if that is another than the holder's.
     pub region: Option<Region>,
 }
 
 impl AdmissionRequest {
-    /// Whether it is noted elsewhere before it is sent.
+    /// Whether it has to be replicated before it is sent.
     pub fn is_recorded_once(&self) -> bool {
         self.once && self.recorded
     }
 }
 
-/// A transaction that waits in the inbox.
+/// A request in the queue.
 pub(super) struct QueuedRequest {
     pub(super) request: AdmissionRequest,
+    /// When its response becomes late.
     pub(super) target_deadline: MonotonicTime,
+    /// When it is rejected if it is still queued.
     pub(super) queue_deadline: MonotonicTime,
+    /// The number of the next send, from 1.
     pub(super) attempt: u32,
+    /// Whether an earlier attempt may have run.
     pub(super) may_have_run: bool,
+    /// The failure that an earlier attempt returned.
     pub(super) failure: Option<RequestOutcome>,
 }
 
-/// A transaction that was sent to a runner, or is being noted before it is.
+/// A request that was sent to a runner, or that is being replicated before that.
 pub(super) struct InFlight {
     pub(super) queued: QueuedRequest,
     pub(super) runner: RunnerId,
     pub(super) sent_at: MonotonicTime,
 }
+
+/// The requests of one held function.
+pub(super) struct Requests {
+    /// Ordered by rank, within a rank by arrival; retries go to the front.
+    pub(super) queue: VecDeque<QueuedRequest>,
+    pub(super) in_flight: BTreeMap<Ticket, InFlight>,
+    /// Those of `in_flight` that were handed to a connection and have not ended there.
+    pub(super) sent_to_runner: BTreeSet<Ticket>,
+    /// The smoothed time from a send to its response.
+    pub(super) service_time: Duration,
+    rejected_count: u32,
+    last_rejection_reason: RequestFailureReason,
+}
+
+impl Requests {
+    pub(super) fn new() -> Self {
+        Self {
+            queue: VecDeque::new(),
+            in_flight: BTreeMap::new(),
+            sent_to_runner: BTreeSet::new(),
+            service_time: INITIAL_SERVICE_TIME,
+            rejected_count: 0,
+            last_rejection_reason: RequestFailureReason::QueueFull,
+        }
+    }
+
+    /// Whether no request is queued or in flight.
+    pub(super) fn is_empty(&self) -> bool {
+        self.queue.is_empty() && self.in_flight.is_empty()
+    }
+
+    /// The index at which a request of this rank enters the queue: behind those of its own and of lower ranks.
+    pub(super) fn queue_index(&self, rank: u8) -> usize {
+        self.queue
+            .partition_point(|queued| queued.request.rank <= rank)
+    }
+
+    /// A send was answered after this time.
+    pub(super) fn record_service_time(&mut self, elapsed: Duration) {
+        self.service_time = (self.service_time * 9 + elapsed) / 10;
+    }
+
+    pub(super) fn count_rejection(&mut self) {
+        self.rejected_count += 1;
+    }
+
+    pub(super) fn set_rejection_reason(&mut self, reason: RequestFailureReason) {
+        self.last_rejection_reason = reason;
+    }
+
+    /// The number of rejections since the last call, with the reason of the last one; none if there were none.
+    pub(super) fn take_rejections(&mut self) -> Option<(u32, RequestFailureReason)> {
+        let rejected_count = std::mem::take(&mut self.rejected_count);
+        (rejected_count > 0).then_some((rejected_count, self.last_rejection_reason))
+    }
+}
--- a/crates/dataplane/src/holder/retry_budget.rs
+++ b/crates/dataplane/src/holder/retry_budget.rs
@@ -1,4 +1,5 @@
-//! The retry budget of a holder.
+//! The retry budget of a holder: retries are limited to a share of the first attempts, so that they cannot multiply an
+//! overload.
 
 use super::Tuning;
 use common::clock::MonotonicTime;
@@ -14,17 +15,20 @@
     retries: u64,
 }
 
-/// Counts first and extra tries over the last ten seconds.
+/// Counts first attempts and retries over the last ten seconds.
 pub struct RetryBudget {
     started_at: MonotonicTime,
+    /// The retries allowed for each hundred first attempts.
     percent: u64,
+    /// The retries allowed beside that share.
     allowance: u64,
+    /// Whether the allowance holds before the first window has passed.
     allowance_at_once: bool,
     buckets: VecDeque<Bucket>,
 }
 
 impl RetryBudget {
-    /// Starts without credit from before.
+    /// A budget that knows no attempts yet.
     pub fn new(now: MonotonicTime, tuning: &Tuning) -> Self {
         Self {
             started_at: now,
@@ -35,6 +39,7 @@
         }
     }
 
+    /// The bucket of this time; buckets older than the window are dropped.
     fn bucket(&mut self, now: MonotonicTime) -> &mut Bucket {
         let index = now.millis() / BUCKET_MS;
         let oldest_index = index.saturating_sub(WINDOW.as_millis() as u64 / BUCKET_MS);
@@ -60,14 +65,15 @@
         &mut self.buckets[newest_index]
     }
 
-    /// Counts a transaction that is no repeat.
+    /// Counts a request as a first attempt, unless its caller marked it as a retry.
     pub fn record_attempt(&mut self, now: MonotonicTime, repeat: bool) {
         if !repeat {
             self.bucket(now).first_attempts += 1;
         }
     }
 
-    /// Whether one more extra try stays within the share of the first ones and the allowance.
+    /// Whether one more retry stays within the share of the first attempts and the allowance. First attempts count at
+    /// most twice those of the last half window, so that a past peak does not pay for retries now.
     pub fn has_retry_budget(&mut self, now: MonotonicTime) -> bool {
         let index = self.bucket(now).index;
         let half_window_index = index.saturating_sub(WINDOW.as_millis() as u64 / BUCKET_MS / 2);
@@ -93,7 +99,7 @@
             < window_first_attempts.min(recent_first_attempts * 2) * self.percent / 100 + allowance
     }
 
-    /// Counts an extra try.
+    /// Counts a retry.
     pub fn spend(&mut self, now: MonotonicTime) {
         self.bucket(now).retries += 1;
     }
--- a/crates/dataplane/src/holder/runners.rs
+++ b/crates/dataplane/src/holder/runners.rs
@@ -1,4 +1,4 @@
-//! The runners of a holder: their phases, slots and due looks.
+//! One runner of a holder: its phase, its slots, and the checks that are due.
 
 use super::{Holder, HolderOutput};
 use common::clock::MonotonicTime;
@@ -8,68 +8,81 @@
 use std::time::Duration;
 
 const PROBE_INTERVAL: Duration = Duration::from_millis(20);
-/// A lost answer keeps its slot so long where a runner cannot be asked what it is running.
+/// How long a lost response occupies its slot where a runner cannot be asked what it is running.
 const LOST_SEND_SLOT_HOLD: Duration = Duration::from_millis(400);
-/// A runner that refused more than we know of gets nothing more for so long.
+/// How long a runner that rejected a request gets no more requests than it had then.
 const THROTTLE_DURATION: Duration = Duration::from_millis(200);
 const RUNNING_LIST_INTERVAL: Duration = Duration::from_millis(250);
 const STOP_RETRY_INTERVAL: Duration = Duration::from_millis(600);
 const START_RETRY_DELAY: Duration = Duration::from_millis(150);
 const START_TIMEOUT: Duration = Duration::from_secs(3);
 const UNRESOLVED_TIMEOUT: Duration = Duration::from_secs(6);
+/// A runner that lost this many responses in a row is stopped at once.
 const MAX_CONSECUTIVE_LOSSES: u32 = 5;
-/// A runner that owes so many answers in a row is replaced.
+/// A runner that lost this many responses in a row is replaced.
 const REPLACE_AFTER_LOSSES: u32 = 2;
 
-/// Where a runner is in its life.
+/// The phase of a runner's lifecycle.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Phase {
-    /// The platform was asked to start it.
+    /// The platform was ordered to start it.
     StartRequested,
     /// It is started, and not yet ready.
     StartingUp,
-    /// It takes transactions.
+    /// It takes requests.
     Ready,
-    /// It finishes what it has.
+    /// It takes no more requests and finishes those it has.
     Draining,
-    /// The platform was asked to stop it.
+    /// The platform was ordered to stop it.
     Stopping,
-    /// It is left as it stands to the next holder.
+    /// It is left running for the next holder.
     Orphaned,
 }
 
+/// A lost response: the runner may still be running the request.
 #[derive(Clone, Copy)]
 struct UnresolvedSend {
     since: MonotonicTime,
     until: MonotonicTime,
 }
 
-/// One runner.
+/// What is to be done with a runner at a check.
+enum DueAction {
+    Nothing,
+    RepeatStart,
+    Probe(SocketAddress),
+    ListRunning(SocketAddress),
+    Stop,
+    RepeatStop,
+}
+
+/// One runner of a holder.
 pub struct RunnerRecord {
-    /// Where it runs.
+    /// The worker it runs on.
     pub worker: WorkerName,
-    /// The memory set aside for it.
+    /// The memory reserved for it, in megabytes.
     pub memory_mb: u32,
-    /// Where it is in its life.
+    /// The phase of its lifecycle.
     pub phase: Phase,
-    /// Its life, once the platform has told it.
+    /// Its instance, once the platform has reported it.
     pub instance: Option<Instance>,
-    /// When it was asked for.
+    /// When its start was ordered.
     pub started_at: MonotonicTime,
     /// Since when it is in its phase.
     pub since: MonotonicTime,
-    /// When a transaction last ended on it.
+    /// When a request last began or ended on it.
     pub last_used_at: MonotonicTime,
-    /// How many transactions it was started to run at once.
+    /// The number of requests that it was started to run at once.
     pub slots: u32,
-    /// How many transactions it may have at once for now.
+    /// The number of requests that it may have at once; it grows from 1 to `slots` (slow start).
     pub limit: u32,
-    /// Whether a probe is out.
+    /// Whether a readiness probe is under way.
     pub probe_pending: bool,
     /// Since when it is to be drained as soon as another can take over.
     pub replace_since: Option<MonotonicTime>,
     running: BTreeSet<IdempotencyKey>,
     unresolved: BTreeMap<IdempotencyKey, UnresolvedSend>,
+    /// Until when it gets at most this many requests at once.
     throttle: Option<(MonotonicTime, u32)>,
     consecutive_losses: u32,
     next_check_at: MonotonicTime,
@@ -77,7 +90,7 @@
 }
 
 impl RunnerRecord {
-    /// A runner that the platform is asked to start.
+    /// A runner that the platform is ordered to start.
     pub fn starting(now: MonotonicTime, worker: WorkerName, memory_mb: u32, slots: u32) -> Self {
         Self {
             worker,
@@ -100,8 +113,8 @@
         }
     }
 
-    /// A runner taken over as it stands; its earlier holder's transactions may still run there, so it
-    /// begins with half of its slots.
+    /// A runner adopted from an earlier holder; that holder's requests may still run there, so it begins with half of
+    /// its slots. None if its instance is not known.
     pub fn adopted(now: MonotonicTime, listed: ClaimedRunner, slots: u32) -> Option<Self> {
         let instance = listed.instance.0.into_iter().next()?;
         let mut record = Self::starting(now, listed.worker, listed.memory_mb, slots);
@@ -116,17 +129,18 @@
         self.instance.as_ref().map(|instance| instance.address)
     }
 
-    /// The order to start it is to be repeated.
+    /// The platform did not carry the start order out; it is to be repeated soon.
     pub fn schedule_start_retry(&mut self, now: MonotonicTime) {
         self.start_retry_at = Some(now + START_RETRY_DELAY);
     }
 
-    /// Whether the next holder may take it over as it stands.
+    /// Whether it can be left running for the next holder: it is ready and healthy, or orphaned already.
     pub fn may_be_orphaned(&self) -> bool {
         let is_healthy = self.consecutive_losses < 2;
         self.phase == Phase::Orphaned || (self.is_usable() && self.instance.is_some() && is_healthy)
     }
 
+    /// The order to stop it.
     fn stop_output(&self, runner: RunnerId) -> HolderOutput {
         HolderOutput::Stop {
             runner,
@@ -135,7 +149,7 @@
         }
     }
 
-    /// How the leader is told of it.
+    /// Its form in reports to the leader.
     pub fn to_claim(&self, runner: RunnerId) -> ClaimedRunner {
         ClaimedRunner {
             runner,
@@ -146,25 +160,27 @@
         }
     }
 
-    /// Slots in use, those of lost answers included.
+    /// The number of slots in use, including those of lost responses.
     pub fn busy_count(&self) -> usize {
         self.running.len() + self.unresolved.len()
     }
 
-    /// Whether it is ready or will be, and stays so.
+    /// Whether it was ordered and is not ready yet.
+    pub fn is_starting(&self) -> bool {
+        matches!(self.phase, Phase::StartRequested | Phase::StartingUp)
+    }
+
+    /// Whether it is ready or starting, and is not to be replaced.
     pub fn is_starting_or_ready(&self) -> bool {
-        matches!(
-            self.phase,
-            Phase::StartRequested | Phase::StartingUp | Phase::Ready
-        ) && self.replace_since.is_none()
+        (self.is_starting() || self.phase == Phase::Ready) && self.replace_since.is_none()
     }
 
-    /// Whether it is ready and stays so.
+    /// Whether it is ready and is not to be replaced.
     pub fn is_usable(&self) -> bool {
         self.phase == Phase::Ready && self.replace_since.is_none()
     }
 
-    /// How many transactions it may have at once now.
+    /// The number of requests that it may have at once now.
     pub fn current_limit(&self, now: MonotonicTime) -> u32 {
         match self.throttle {
             Some((until, throttled_limit)) if now < until => self.limit.min(throttled_limit),
@@ -172,7 +188,7 @@
         }
     }
 
-    /// How many it will have at once within a few answers: its ramp widens fast.
+    /// The number of requests that it may have at once after its slow start, which takes few responses.
     pub fn expected_limit(&self, now: MonotonicTime) -> u32 {
         match self.throttle {
             Some((until, throttled_limit)) if now < until => self.slots.min(throttled_limit),
@@ -180,28 +196,29 @@
         }
     }
 
-    /// Whether one more transaction fits.
+    /// Whether it takes one more request.
     pub fn has_free_slot(&self, now: MonotonicTime) -> bool {
         self.phase == Phase::Ready && self.busy_count() < self.current_limit(now) as usize
     }
 
-    /// It refused one more than it has from here: others have the rest of its slots for now.
+    /// It rejected a request: it gets no more at once than it has now, for a while. The rest of its slots may be in use
+    /// for an earlier holder.
     pub fn handle_rejection(&mut self, now: MonotonicTime) {
         self.throttle = Some((now + THROTTLE_DURATION, self.busy_count() as u32));
     }
 
-    /// It is not asked whether it is ready before that.
+    /// Sets the time of its first readiness probe.
     pub fn probe_after(&mut self, first_probe_at: MonotonicTime) {
         self.next_check_at = first_probe_at;
     }
 
-    /// Takes a slot.
+    /// Occupies a slot for a request.
     pub fn occupy_slot(&mut self, now: MonotonicTime, idempotency_key: IdempotencyKey) {
         self.last_used_at = now;
         self.running.insert(idempotency_key);
     }
 
-    /// Frees a slot, or keeps it while it is not known whether the runner is done.
+    /// Frees a request's slot, or keeps it occupied while it is not known whether the runner is still running it.
     pub fn release_slot(
         &mut self,
         now: MonotonicTime,
@@ -227,13 +244,13 @@
         }
     }
 
-    /// An answered transaction widens the ramp by one, up to what the runner was started for.
+    /// A response widens the slow-start limit by one, up to the slots that the runner was started with.
     pub fn widen_limit(&mut self, slots: u32) {
         let upper_limit = self.slots.min(slots).max(1);
         self.limit = self.limit.saturating_add(1).min(upper_limit);
     }
 
-    /// Frees the slots of transactions that the runner is no longer running.
+    /// Frees the slots of lost responses whose requests the runner no longer lists.
     pub fn resolve_not_running(&mut self, now: MonotonicTime, running: &[IdempotencyKey]) {
         self.probe_pending = false;
         self.unresolved.retain(|idempotency_key, unresolved| {
@@ -243,13 +260,88 @@
 }
 
 impl RunnerRecord {
-    /// Frees the slots of lost answers by time alone.
+    /// The runner takes no more requests and finishes those it has.
+    pub(super) fn begin_draining(&mut self, now: MonotonicTime) {
+        self.phase = Phase::Draining;
+        self.since = now;
+    }
+
+    /// What is to be done with it now; the times of its next checks move on.
+    fn due_action(
+        &mut self,
+        now: MonotonicTime,
+        startup_timeout: Duration,
+        lists_running: bool,
+    ) -> DueAction {
+        if self.throttle.is_some_and(|(until, _)| now >= until) {
+            self.throttle = None;
+        }
+        if !lists_running {
+            self.expire_unresolved(now);
+        }
+        match self.phase {
+            Phase::StartRequested => self.due_start_action(now),
+            Phase::StartingUp => self.due_probe(now, startup_timeout),
+            Phase::Draining if self.busy_count() == 0 => DueAction::Stop,
+            Phase::Ready | Phase::Draining => self.due_unresolved_action(now, lists_running),
+            Phase::Stopping if now >= self.next_check_at => {
+                self.next_check_at = now + STOP_RETRY_INTERVAL;
+                DueAction::RepeatStop
+            }
+            Phase::Stopping | Phase::Orphaned => DueAction::Nothing,
+        }
+    }
+
+    fn due_start_action(&mut self, now: MonotonicTime) -> DueAction {
+        if now.since(self.started_at) > START_TIMEOUT {
+            DueAction::Stop
+        } else if self.start_retry_at.is_some_and(|retry_at| now >= retry_at) {
+            self.start_retry_at = None;
+            DueAction::RepeatStart
+        } else {
+            DueAction::Nothing
+        }
+    }
+
+    fn due_probe(&mut self, now: MonotonicTime, startup_timeout: Duration) -> DueAction {
+        if now.since(self.started_at) > startup_timeout {
+            return DueAction::Stop;
+        }
+        if now < self.next_check_at || self.probe_pending {
+            return DueAction::Nothing;
+        }
+        self.next_check_at = now + PROBE_INTERVAL;
+        self.probe_pending = true;
+        self.address().map_or(DueAction::Nothing, DueAction::Probe)
+    }
+
+    /// A runner whose lost responses stay unresolved, or that lost many in a row, is stopped; else it is asked what it
+    /// is running.
+    fn due_unresolved_action(&mut self, now: MonotonicTime, lists_running: bool) -> DueAction {
+        let oldest_unresolved = self
+            .unresolved
+            .values()
+            .map(|unresolved| unresolved.since)
+            .min();
+        let is_hung = oldest_unresolved.is_some_and(|since| now.since(since) > UNRESOLVED_TIMEOUT);
+        if is_hung || self.consecutive_losses >= MAX_CONSECUTIVE_LOSSES {
+            return DueAction::Stop;
+        }
+        if !lists_running || oldest_unresolved.is_none() || now < self.next_check_at {
+            return DueAction::Nothing;
+        }
+        self.next_check_at = now + RUNNING_LIST_INTERVAL;
+        self.address()
+            .map_or(DueAction::Nothing, DueAction::ListRunning)
+    }
+
+    /// Frees the slots of lost responses by time alone.
     fn expire_unresolved(&mut self, now: MonotonicTime) {
         self.unresolved
             .retain(|_, unresolved| now < unresolved.until);
     }
 
-    /// When something is to be looked at again; none when it is no sooner than the next look at all.
+    /// The time of the next check, if it may lie before the next regular tick.
     fn next_due(&self, lists_running: bool) -> Option<MonotonicTime> {
         let unresolved_until = self
             .unresolved
@@ -271,18 +363,19 @@
 }
 
 impl Holder {
-    /// When it is to be looked at again, if that is soon.
+    /// When [`Holder::tick`] is next needed, if that may be before the next regular tick.
     pub fn next_due(&self) -> Option<MonotonicTime> {
         let runners_due = self
             .runners
-            .values()
+            .records()
             .filter_map(|record| record.next_due(self.tuning.lists_running))
             .min();
         [runners_due, self.queue_due()].into_iter().flatten().min()
     }
 
+    /// Orders a runner to be stopped, unless that was done already.
     pub(super) fn stop_runner(&mut self, now: MonotonicTime, runner: RunnerId) {
-        let Some(record) = self.runners.get_mut(&runner) else {
+        let Some(record) = self.runners.get_mut(runner) else {
             return;
         };
         if record.phase != Phase::Stopping {
@@ -294,79 +387,32 @@
         }
     }
 
+    /// A runner is gone or unreachable: it is stopped, and scaling starts another if one is needed.
     pub(super) fn replace_failed_runner(&mut self, now: MonotonicTime, runner: RunnerId) {
         self.stop_runner(now, runner);
     }
 
-    /// Probes what boots, settles what hangs, stops what is done or will not be.
+    /// Probes runners that start up, resolves hung ones, and stops those that are done or failed to start.
     pub(super) fn check_runners(&mut self, now: MonotonicTime) {
         let startup_timeout = self.spec.startup * 3 + START_TIMEOUT;
         let mut stopped_runners: Vec<RunnerId> = Vec::new();
-        for (runner, record) in &mut self.runners {
-            if record.throttle.is_some_and(|(until, _)| now >= until) {
-                record.throttle = None;
-            }
-            if !self.tuning.lists_running {
-                record.expire_unresolved(now);
-            }
-            match record.phase {
-                Phase::StartRequested if now.since(record.started_at) > START_TIMEOUT => {
-                    stopped_runners.push(*runner);
-                }
-                Phase::StartRequested
-                    if record
-                        .start_retry_at
-                        .is_some_and(|start_retry_at| now >= start_retry_at) =>
-                {
-                    record.start_retry_at = None;
-                    self.outputs.push(HolderOutput::Start {
-                        runner: *runner,
-                        worker: record.worker.clone(),
-                        spec: self.spec.clone(),
-                    });
-                }
-                Phase::StartingUp if now.since(record.started_at) > startup_timeout => {
-                    stopped_runners.push(*runner);
-                }
-                Phase::StartingUp if now >= record.next_check_at && !record.probe_pending => {
-                    record.next_check_at = now + PROBE_INTERVAL;
-                    record.probe_pending = true;
-                    if let Some(address) = record.address() {
-                        self.outputs.push(HolderOutput::Probe {
-                            runner: *runner,
-                            address,
-                        });
-                    }
-                }
-                Phase::Draining if record.busy_count() == 0 => stopped_runners.push(*runner),
-                Phase::Stopping if now >= record.next_check_at => {
-                    record.next_check_at = now + STOP_RETRY_INTERVAL;
-                    self.outputs.push(record.stop_output(*runner));
+        for (runner, record) in self.runners.iter_mut() {
+            match record.due_action(now, startup_timeout, self.tuning.lists_running) {
+                DueAction::Nothing => {}
+                DueAction::Stop => stopped_runners.push(runner),
+                DueAction::RepeatStart => self.outputs.push(HolderOutput::Start {
+                    runner,
+                    worker: record.worker.clone(),
+                    spec: self.spec.clone(),
+                }),
+                DueAction::RepeatStop => self.outputs.push(record.stop_output(runner)),
+                DueAction::Probe(address) => {
+                    self.outputs.push(HolderOutput::Probe { runner, address });
                 }
-                Phase::Ready | Phase::Draining => {
-                    let oldest_unresolved = record
-                        .unresolved
-                        .values()
-                        .map(|unresolved| unresolved.since)
-                        .min();
-                    let is_hung = oldest_unresolved
-                        .is_some_and(|since| now.since(since) > UNRESOLVED_TIMEOUT);
-                    if is_hung || record.consecutive_losses >= MAX_CONSECUTIVE_LOSSES {
-                        stopped_runners.push(*runner);
-                    } else if self.tuning.lists_running
-                        && oldest_unresolved.is_some()
-                        && now >= record.next_check_at
-                    {
-                        record.next_check_at = now + RUNNING_LIST_INTERVAL;
-                        if let Some(address) = record.address() {
-                            self.outputs.push(HolderOutput::ListRunning {
-                                runner: *runner,
-                                address,
-                            });
-                        }
-                    }
+                DueAction::ListRunning(address) => {
+                    self.outputs
+                        .push(HolderOutput::ListRunning { runner, address });
                 }
-                _ => {}
             }
         }
         for runner in stopped_runners {
--- a/crates/dataplane/src/holder/send_result.rs
+++ b/crates/dataplane/src/holder/send_result.rs
@@ -1,6 +1,6 @@
-//! What follows the end of a send: the outcome is recorded and returned, or the transaction is retried.
+//! What follows a send: the outcome is recorded and returned, or the request is retried.
 
-use super::{AdmissionRequest, Holder, HolderOutput, QueuedRequest, SendResult, not_run};
+use super::{AdmissionRequest, Holder, HolderOutput, InFlight, QueuedRequest, SendResult, not_run};
 use common::clock::MonotonicTime;
 use common::frames::{RequestFailureReason, RequestOutcome};
 use common::identity::Ticket;
@@ -8,6 +8,11 @@
 use common::rules::Rule;
 use std::time::Duration;
 
+/// When the caller of a request that may no longer be sent from here may retry.
+const FORBIDDEN_RETRY_AFTER: Duration = Duration::from_millis(500);
+/// The shortest time after which the caller of a request that a runner rejected may retry.
+const MIN_REJECTED_RETRY_AFTER: Duration = Duration::from_millis(200);
+
 impl Holder {
     /// A send to a runner has ended.
     pub fn handle_send_result(
@@ -16,32 +21,15 @@
         ticket: Ticket,
         end: SendResult,
     ) -> Vec<HolderOutput> {
-        self.sent_to_runner.remove(&ticket);
-        let Some(in_flight) = self.in_flight.remove(&ticket) else {
+        self.requests.sent_to_runner.remove(&ticket);
+        let Some(in_flight) = self.requests.in_flight.remove(&ticket) else {
             return Vec::new();
         };
-        let is_resolved =
-            !matches!(end, SendResult::Lost) || !self.rules.enforces(Rule::LostResponseKeepsSlot);
-        if let Some(record) = self.runners.get_mut(&in_flight.runner) {
-            let request = &in_flight.queued.request;
-            record.release_slot(now, &request.idempotency_key, request.deadline, is_resolved);
-        }
+        self.release_runner_slot(now, &in_flight, &end);
         match end {
-            SendResult::Answered(outcome) => {
-                let elapsed_time = now.since(in_flight.sent_at);
-                self.service_time = (self.service_time * 9 + elapsed_time) / 10;
-                if let Some(record) = self.runners.get_mut(&in_flight.runner) {
-                    let slots = if self.rules.enforces(Rule::SlotLimitRespected) {
-                        self.spec.slots
-                    } else {
-                        u32::MAX
-                    };
-                    record.widen_limit(slots);
-                }
-                self.end(now, in_flight.queued.request, outcome);
-            }
+            SendResult::Answered(outcome) => self.handle_response(now, in_flight, outcome),
             SendResult::RejectedByRunner => {
-                if let Some(record) = self.runners.get_mut(&in_flight.runner) {
+                if let Some(record) = self.runners.get_mut(in_flight.runner) {
                     record.handle_rejection(now);
                 }
                 self.handle_rejection(now, in_flight.queued);
@@ -51,22 +39,47 @@
                 self.handle_misdirected(now, in_flight.queued);
             }
             SendResult::Forbidden(reason) => {
-                self.fail_request(now, in_flight.queued, reason, Duration::from_millis(500));
+                self.fail_request(now, in_flight.queued, reason, FORBIDDEN_RETRY_AFTER);
             }
             SendResult::Failed(outcome) => self.handle_failure(now, in_flight.queued, outcome),
             SendResult::Unsent => {
                 self.replace_failed_runner(now, in_flight.runner);
                 self.requeue(now, in_flight.queued);
             }
-            SendResult::Lost => self.handle_lost_answer(now, in_flight.queued),
+            SendResult::Lost => self.handle_lost_response(now, in_flight.queued),
         }
         self.dispatch(now);
         self.scale(now);
         self.finish_release(now);
-        std::mem::take(&mut self.outputs)
+        self.take_outputs()
+    }
+
+    fn release_runner_slot(&mut self, now: MonotonicTime, in_flight: &InFlight, end: &SendResult) {
+        let is_resolved =
+            !matches!(end, SendResult::Lost) || !self.rules.enforces(Rule::LostResponseKeepsSlot);
+        if let Some(record) = self.runners.get_mut(in_flight.runner) {
+            let request = &in_flight.queued.request;
+            record.release_slot(now, &request.idempotency_key, request.deadline, is_resolved);
+        }
+    }
+
+    fn handle_response(
+        &mut self,
+        now: MonotonicTime,
+        in_flight: InFlight,
+        outcome: RequestOutcome,
+    ) {
+        self.requests
+            .record_service_time(now.since(in_flight.sent_at));
+        let slots = self.slots_per_runner();
+        if let Some(record) = self.runners.get_mut(in_flight.runner) {
+            record.widen_limit(slots);
+        }
+        self.end(now, in_flight.queued.request, outcome);
     }
 
-    /// A runner's own failure: a repeatable transaction may go to another runner, else it is passed on.
+    /// The function failed on its runner: a repeatable request may go to another runner, else the failure is its
+    /// outcome.
     fn handle_failure(
         &mut self,
         now: MonotonicTime,
@@ -76,16 +89,16 @@
         queued.may_have_run = true;
         if self.may_retry(now, &queued) {
             queued.failure = Some(outcome);
-            self.repeat(now, queued);
+            self.retry(now, queued);
         } else {
             self.end(now, queued.request, outcome);
         }
     }
 
-    fn handle_lost_answer(&mut self, now: MonotonicTime, mut queued: QueuedRequest) {
+    fn handle_lost_response(&mut self, now: MonotonicTime, mut queued: QueuedRequest) {
         queued.may_have_run = true;
         if self.may_retry(now, &queued) {
-            self.repeat(now, queued);
+            self.retry(now, queued);
         } else {
             self.fail_request(
                 now,
@@ -96,13 +109,13 @@
         }
     }
 
-    /// A runner refused it: it did not run there, yet it arrived, and counts as a try.
+    /// A runner rejected the request: it did not run there, yet it arrived, and counts as an attempt.
     fn handle_rejection(&mut self, now: MonotonicTime, queued: QueuedRequest) {
         if self.may_retry(now, &queued) {
-            self.repeat(now, queued);
+            self.retry(now, queued);
         } else {
-            let start_at = self.expected_start(now, self.queue.len());
-            let retry_after = start_at.since(now).max(Duration::from_millis(200));
+            let start_at = self.expected_start(now, self.requests.queue.len());
+            let retry_after = start_at.since(now).max(MIN_REJECTED_RETRY_AFTER);
             self.fail_request(
                 now,
                 queued,
@@ -112,11 +125,11 @@
         }
     }
 
-    /// It came to another runner, which did not run it: the one that was meant never got it.
+    /// Another runner answered at the address and did not run the request; the intended runner never got it.
     fn handle_misdirected(&mut self, now: MonotonicTime, queued: QueuedRequest) {
-        let has_time_left = now + self.service_time < queued.request.deadline;
-        if has_time_left && !self.closed && self.has_retry_budget(now) {
-            self.repeat(now, queued);
+        let has_time_left = now + self.requests.service_time < queued.request.deadline;
+        if has_time_left && !self.lifecycle.is_closed() && self.has_retry_budget(now) {
+            self.retry(now, queued);
         } else {
             self.fail_request(
                 now,
@@ -127,10 +140,10 @@
         }
     }
 
-    /// Whether a repeatable transaction may go to one more runner. A repeat has had its tries elsewhere, or is
-    /// still having them there, and goes to one runner only.
+    /// Whether a repeatable request may go to one more runner. A caller's retry goes to one runner only: its other
+    /// attempts were made elsewhere, or are still under way there.
     fn may_retry(&mut self, now: MonotonicTime, queued: &QueuedRequest) -> bool {
-        let has_time_left = now + self.service_time * 2 < queued.request.deadline;
+        let has_time_left = now + self.requests.service_time * 2 < queued.request.deadline;
         let is_last_attempt =
             queued.request.repeat && self.rules.enforces(Rule::RepeatSentToOneRunner);
         let has_attempts_left = queued.attempt < queued.request.max_attempts && !is_last_attempt;
@@ -138,46 +151,49 @@
         may_run_again
             && has_time_left
             && has_attempts_left
-            && !self.closed
+            && !self.lifecycle.is_closed()
             && self.has_retry_budget(now)
     }
 
-    fn repeat(&mut self, now: MonotonicTime, mut queued: QueuedRequest) {
+    /// Queues a request for one more attempt, ahead of all others.
+    fn retry(&mut self, now: MonotonicTime, mut queued: QueuedRequest) {
         self.spend_retry(now);
         queued.attempt += 1;
         queued.queue_deadline = queued.request.deadline;
-        self.queue.push_front(queued);
+        self.requests.queue.push_front(queued);
     }
 
     pub(super) fn has_retry_budget(&mut self, now: MonotonicTime) -> bool {
         !self.rules.enforces(Rule::RetryBudgetCounted) || self.retry_budget.has_retry_budget(now)
     }
 
-    /// Takes an extra try out of the retry budget.
+    /// Takes one retry out of the retry budget.
     pub(super) fn spend_retry(&mut self, now: MonotonicTime) {
         let is_within = self.retry_budget.has_retry_budget(now);
         require(
             self.rules,
             Invariant::RetryBudgetRespected,
             is_within,
-            || format!("an extra try of {} beyond the budget", self.function),
+            || format!("an extra try of {} beyond the budget", self.lease.function),
         );
         self.retry_budget.spend(now);
     }
 
+    /// Puts a request that was not sent back to the head of the queue; that is not an attempt.
     pub(super) fn requeue(&mut self, now: MonotonicTime, queued: QueuedRequest) {
-        if self.closed {
+        if self.lifecycle.is_closed() {
             self.fail_request(
                 now,
                 queued,
                 RequestFailureReason::NotServing,
-                Duration::from_millis(500),
+                FORBIDDEN_RETRY_AFTER,
             );
         } else {
-            self.queue.push_front(queued);
+            self.requests.queue.push_front(queued);
         }
     }
 
+    /// Records a request's outcome and returns it to the caller.
     pub(super) fn end(
         &mut self,
         now: MonotonicTime,
@@ -185,19 +201,8 @@
         outcome: RequestOutcome,
     ) {
         if matches!(outcome, RequestOutcome::NotRun { .. }) {
-            self.rejected_count += 1;
-            let is_at_runner = self.sent_to_runner.contains(&request.ticket);
-            require(
-                self.rules,
-                Invariant::RejectedNotSent,
-                !is_at_runner,
-                || {
-                    format!(
-                        "{} is refused while a runner has it",
-                        request.idempotency_key
-                    )
-                },
-            );
+            self.requests.count_rejection();
+            self.check_not_sent(&request);
         }
         if request.recorded {
             let stored_outcome = match &outcome {
@@ -219,4 +224,19 @@
             outcome,
         });
     }
+
+    fn check_not_sent(&self, request: &AdmissionRequest) {
+        let is_at_runner = self.requests.sent_to_runner.contains(&request.ticket);
+        require(
+            self.rules,
+            Invariant::RejectedNotSent,
+            !is_at_runner,
+            || {
+                format!(
+                    "{} is refused while a runner has it",
+                    request.idempotency_key
+                )
+            },
+        );
+    }
 }
--- a/crates/dataplane/src/holder/tuning.rs
+++ b/crates/dataplane/src/holder/tuning.rs
@@ -1,44 +1,44 @@
-//! Settings of a holder that operators may change.
+//! The settings of a holder that operators may change.
 
 use std::time::Duration;
 use typed_builder::TypedBuilder;
 
-/// A holder's settings.
+/// The settings of a holder.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, TypedBuilder)]
 pub struct Tuning {
-    /// The extra tries of ten seconds, in hundredths of the first ones.
+    /// The retries allowed within ten seconds, in percent of the first attempts.
     #[builder(default = 20)]
     pub retry_percent: u64,
-    /// The extra tries of ten seconds beside that share.
+    /// The retries allowed within ten seconds beside that share.
     #[builder(default = 3)]
     pub retry_allowance: u64,
-    /// Whether a new holder has that allowance at once, and not only after ten seconds.
+    /// Whether a new holder has that allowance at once, rather than after ten seconds.
     #[builder(default = false)]
     pub retry_allowance_immediate: bool,
-    /// A start costs as much as keeping a runner for so many boot times: the last runner is stopped after
-    /// these without a transaction; 0 keeps it.
+    /// The cost of a cold start, in start-up times of a retained runner: the last runner is stopped after that time
+    /// without a request; 0 retains it always.
     #[builder(default = 0)]
     pub idle_startups: u32,
-    /// Where it is set, the last runner of a rarely called function is stopped after this span already.
+    /// If set, the last runner of a rarely called function is already stopped after this time.
     #[builder(default = None)]
     pub rare_idle_limit: Option<Duration>,
-    /// Where it is set, it goes before the two above: what a start and a late answer are worth, in memory kept.
+    /// If set, it takes precedence over the two above: the costs of a cold start and of a late response.
     #[builder(default = None)]
     pub idle_cost: Option<IdleCost>,
-    /// Whether runners can be asked what they are running.
+    /// Whether runners can list the requests that they are running.
     #[builder(default = true)]
     pub lists_running: bool,
-    /// Over which span calls are counted.
+    /// The time constant over which calls are counted.
     #[builder(default = Duration::from_millis(500))]
     pub rate_window: Duration,
-    /// The margin of slots over the load, in hundredths of the load's root.
+    /// The margin of slots over the load, in percent of the load's square root.
     #[builder(default = 100)]
     pub margin_percent: u32,
-    /// How slowly the wish for runners falls after a crowd; as long as four boots where it is not set, since a
-    /// runner given up too early costs a boot.
+    /// The time constant by which the demand decays after a peak; four start-up times if not set, since a runner given
+    /// up too early costs a start-up.
     #[builder(default, setter(strip_option))]
     pub decay: Option<Duration>,
-    /// From one extra runner's drain to the next; two fifths of a boot where it is not set.
+    /// The time from one excess runner's drain to the next; two fifths of a start-up time if not set.
     #[builder(default, setter(strip_option))]
     pub drain_interval: Option<Duration>,
 }
@@ -49,13 +49,13 @@
 const MIN_DRAIN_INTERVAL: Duration = Duration::from_millis(100);
 
 impl Tuning {
-    /// How slowly the wish for runners that boot for so long falls after a crowd.
+    /// The time constant by which the demand decays, for runners with this start-up time.
     pub fn decay_time(&self, startup: Duration) -> Duration {
         self.decay
             .unwrap_or_else(|| startup.mul_f64(DECAY_STARTUPS).max(MIN_DECAY))
     }
 
-    /// From one extra runner's drain to the next.
+    /// The time from one excess runner's drain to the next, for runners with this start-up time.
     pub fn drain_interval_for(&self, startup: Duration) -> Duration {
         self.drain_interval.unwrap_or_else(|| {
             startup
@@ -65,13 +65,13 @@
     }
 }
 
-/// What is weighed against the memory of a runner that nobody calls, in megabyte seconds: whoever pays for these says
-/// so by the settings.
+/// The costs that are weighed against the memory of an idle runner, in megabyte seconds; operators set them by what
+/// they pay for each.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct IdleCost {
-    /// A start, beside the memory that it takes while it boots.
+    /// The cost of a cold start, beside the memory that the runner takes while it starts up.
     pub start_cost_mb_s: u32,
-    /// An answer that comes late.
+    /// The cost of a late response.
     pub late_cost_mb_s: u32,
 }
 
