--- a/crates/dataplane/src/ledger/entries.rs
+++ b/crates/dataplane/src/ledger/entries.rs
@@ -1,4 +1,4 @@
-//! A holder's own ledger of transaction identities.
+//! A lease holder's own ledger of requests by idempotency key.
 
 use super::ranges::{digests, range_of};
 use common::clock::MonotonicTime;
@@ -7,64 +7,80 @@
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
 
+/// How long an entry outlives its request's deadline, so that late retries still find it.
 const RETENTION_AFTER_DEADLINE: Duration = Duration::from_secs(15);
-/// When a caller may come back with another identity, if nothing more is known.
+/// When a caller may retry under another key after a rejection that an earlier holder recorded, in milliseconds.
 const RETRY_AFTER_MS: u32 = 1000;
-const MAX_STORED_ANSWER_BYTES: usize = 64 << 10;
+/// The largest response body that is stored.
+const MAX_STORED_RESPONSE_BYTES: usize = 64 << 10;
 
-struct Recorded {
+/// What is known about one request.
+struct LedgerEntry {
     once: bool,
+    /// None while the request has not ended.
     outcome: Option<RequestOutcome>,
     expires_at: MonotonicTime,
 }
 
-/// A holder's own ledger: what is known of each identity.
+impl LedgerEntry {
+    fn state(&self) -> LedgerRecordState {
+        match &self.outcome {
+            None => LedgerRecordState::Recorded,
+            Some(RequestOutcome::Response { .. }) => LedgerRecordState::Answered,
+            Some(RequestOutcome::NotRun { .. }) => LedgerRecordState::Rejected,
+            Some(RequestOutcome::Unknown {
+                reason: RequestFailureReason::AlreadyRan,
+            }) => LedgerRecordState::Answered,
+            Some(RequestOutcome::Unknown { .. }) => LedgerRecordState::Unknown,
+        }
+    }
+
+    fn to_record(&self, now: MonotonicTime, idempotency_key: &IdempotencyKey) -> LedgerRecord {
+        LedgerRecord {
+            idempotency_key: idempotency_key.clone(),
+            state: self.state(),
+            remaining_ms: self.expires_at.since(now).as_millis() as u32,
+        }
+    }
+}
+
+/// A lease holder's own ledger: the outcomes of recorded requests by idempotency key.
 #[derive(Default)]
 pub struct Ledger {
-    recorded: HashMap<IdempotencyKey, Recorded>,
+    entries: HashMap<IdempotencyKey, LedgerEntry>,
     expiries: BTreeMap<MonotonicTime, Vec<IdempotencyKey>>,
 }
 
-fn state_of(recorded: &Recorded) -> LedgerRecordState {
-    match &recorded.outcome {
-        None => LedgerRecordState::Recorded,
-        Some(RequestOutcome::Response { .. }) => LedgerRecordState::Answered,
-        Some(RequestOutcome::NotRun { .. }) => LedgerRecordState::Rejected,
-        Some(RequestOutcome::Unknown {
-            reason: RequestFailureReason::AlreadyRan,
-        }) => LedgerRecordState::Answered,
-        Some(RequestOutcome::Unknown { .. }) => LedgerRecordState::Unknown,
-    }
-}
-
 impl Ledger {
-    /// The outcome for a repeated identity; none for a new one.
+    /// The outcome for a key that is known, [in progress](RequestFailureReason::InProgress) while its request has not
+    /// ended; none for a new key.
     pub fn known_outcome(&self, idempotency_key: &IdempotencyKey) -> Option<RequestOutcome> {
-        self.recorded.get(idempotency_key).map(|recorded| {
-            recorded.outcome.clone().unwrap_or(RequestOutcome::Unknown {
+        self.entries.get(idempotency_key).map(|entry| {
+            entry.outcome.clone().unwrap_or(RequestOutcome::Unknown {
                 reason: RequestFailureReason::InProgress,
             })
         })
     }
 
-    /// Notes an identity before anything is sent for it.
+    /// Records a key before its request is sent anywhere; the entry expires some time after the deadline.
     pub fn begin(&mut self, idempotency_key: IdempotencyKey, once: bool, deadline: MonotonicTime) {
-        let expires_at = deadline + RETENTION_AFTER_DEADLINE;
+        let entry = LedgerEntry {
+            once,
+            outcome: None,
+            expires_at: deadline + RETENTION_AFTER_DEADLINE,
+        };
+        self.insert(idempotency_key, entry);
+    }
+
+    fn insert(&mut self, idempotency_key: IdempotencyKey, entry: LedgerEntry) {
         self.expiries
-            .entry(expires_at)
+            .entry(entry.expires_at)
             .or_default()
             .push(idempotency_key.clone());
-        self.recorded.insert(
-            idempotency_key,
-            Recorded {
-                once,
-                outcome: None,
-                expires_at,
-            },
-        );
+        self.entries.insert(idempotency_key, entry);
     }
 
-    /// Notes how it ended; large answers are not kept.
+    /// Records the outcome of a request. Of a large response only the fact that the request ran is stored.
     pub fn end(
         &mut self,
         now: MonotonicTime,
@@ -74,24 +90,24 @@
         outcome: RequestOutcome,
     ) {
         let stored_outcome = match &outcome {
-            RequestOutcome::Response { body, .. } if body.0.len() > MAX_STORED_ANSWER_BYTES => {
+            RequestOutcome::Response { body, .. } if body.0.len() > MAX_STORED_RESPONSE_BYTES => {
                 RequestOutcome::Unknown {
                     reason: RequestFailureReason::AlreadyRan,
                 }
             }
             _ => outcome,
         };
-        if !self.recorded.contains_key(idempotency_key) {
+        if !self.entries.contains_key(idempotency_key) {
             self.begin(idempotency_key.clone(), once, deadline.max(now));
         }
-        if let Some(recorded) = self.recorded.get_mut(idempotency_key) {
-            recorded.outcome = Some(stored_outcome);
+        if let Some(entry) = self.entries.get_mut(idempotency_key) {
+            entry.outcome = Some(stored_outcome);
         }
     }
 
-    /// Takes over what an earlier holder knew; what is known here already stays.
+    /// Imports a record of an earlier holder's ledger; a key that is already known keeps its entry.
     pub fn import_record(&mut self, now: MonotonicTime, record: &LedgerRecord) {
-        if self.recorded.contains_key(&record.idempotency_key) {
+        if self.entries.contains_key(&record.idempotency_key) {
             return;
         }
         let outcome = match record.state {
@@ -106,54 +122,40 @@
                 retry_after_ms: RETRY_AFTER_MS,
             },
         };
-        let expires_at = now + Duration::from_millis(u64::from(record.remaining_ms));
-        self.expiries
-            .entry(expires_at)
-            .or_default()
-            .push(record.idempotency_key.clone());
-        let recorded = Recorded {
+        let entry = LedgerEntry {
             once: true,
             outcome: Some(outcome),
-            expires_at,
+            expires_at: now + Duration::from_millis(u64::from(record.remaining_ms)),
         };
-        self.recorded
-            .insert(record.idempotency_key.clone(), recorded);
+        self.insert(record.idempotency_key.clone(), entry);
     }
 
-    /// The lines of once-transactions, for a steward's copy.
+    /// The records of all once-only requests, for a replica.
     pub fn once_records(&self, now: MonotonicTime) -> Vec<LedgerRecord> {
-        self.recorded
+        self.entries
             .iter()
-            .filter(|(_, recorded)| recorded.once && recorded.expires_at > now)
-            .map(|(idempotency_key, recorded)| LedgerRecord {
-                idempotency_key: idempotency_key.clone(),
-                state: state_of(recorded),
-                remaining_ms: recorded.expires_at.since(now).as_millis() as u32,
-            })
+            .filter(|(_, entry)| entry.once && entry.expires_at > now)
+            .map(|(idempotency_key, entry)| entry.to_record(now, idempotency_key))
             .collect()
     }
 
-    /// The line of one once-transaction.
+    /// The record of one request; none for an unknown key.
     pub fn record_of(
         &self,
         now: MonotonicTime,
         idempotency_key: &IdempotencyKey,
     ) -> Option<LedgerRecord> {
-        self.recorded
+        self.entries
             .get(idempotency_key)
-            .map(|recorded| LedgerRecord {
-                idempotency_key: idempotency_key.clone(),
-                state: state_of(recorded),
-                remaining_ms: recorded.expires_at.since(now).as_millis() as u32,
-            })
+            .map(|entry| entry.to_record(now, idempotency_key))
     }
 
-    /// A digest for each range of once-transactions.
+    /// The digests of the once-only requests' records, one for each range.
     pub fn digests(&self, now: MonotonicTime) -> Vec<u64> {
         digests(self.once_records(now).iter())
     }
 
-    /// The lines of some ranges.
+    /// The once-only requests' records in these ranges.
     pub fn records_in(&self, now: MonotonicTime, ranges: &[u8]) -> Vec<LedgerRecord> {
         let is_wanted =
             |record: &LedgerRecord| ranges.contains(&(range_of(&record.idempotency_key) as u8));
@@ -163,24 +165,24 @@
             .collect()
     }
 
-    /// Whether there is any once-transaction.
+    /// Whether there is any once-only request.
     pub fn has_once_records(&self) -> bool {
-        self.recorded.values().any(|recorded| recorded.once)
+        self.entries.values().any(|entry| entry.once)
     }
 
-    /// Forgets identities whose callers have long stopped waiting.
+    /// Removes the entries whose time has come.
     pub fn expire(&mut self, now: MonotonicTime) {
-        while let Some(first_entry) = self.expiries.first_entry() {
-            if *first_entry.key() > now {
+        while let Some(first_expiry) = self.expiries.first_entry() {
+            if *first_expiry.key() > now {
                 return;
             }
-            for idempotency_key in first_entry.remove() {
+            for idempotency_key in first_expiry.remove() {
                 if self
-                    .recorded
+                    .entries
                     .get(&idempotency_key)
-                    .is_some_and(|recorded| recorded.expires_at <= now)
+                    .is_some_and(|entry| entry.expires_at <= now)
                 {
-                    self.recorded.remove(&idempotency_key);
+                    self.entries.remove(&idempotency_key);
                 }
             }
         }
--- a/crates/dataplane/src/ledger/mod.rs
+++ b/crates/dataplane/src/ledger/mod.rs
@@ -1,4 +1,5 @@
-//! Ledgers of once-transactions: the holder's own, the stewards' copies, and how copies are compared.
+//! Ledgers of requests by idempotency key: the lease holder's own, the replicas on other daemons, and the digests by
+//! which the two are compared.
 
 mod entries;
 mod ranges;
--- a/crates/dataplane/src/ledger/ranges.rs
+++ b/crates/dataplane/src/ledger/ranges.rs
@@ -1,28 +1,33 @@
-//! Digests over ranges of identities, by which two ledgers are compared.
+//! Digests over ranges of idempotency keys, by which a ledger and its replica are compared.
+//!
+//! Both daemons must compute the same ranges and digests, and digests go over the wire: the functions of this module
+//! must not change.
 
 use common::frames::{LedgerRecord, LedgerRecordState};
 use common::identity::IdempotencyKey;
 use sha2::{Digest, Sha256};
 
-/// How many ranges a ledger is compared in.
+/// The number of ranges that a ledger is compared in.
 pub const RANGE_COUNT: usize = 16;
 
+/// The first eight bytes, in network order, of the SHA-256 hash of a key, followed by a zero byte and the state if one
+/// is given.
 fn hash_number(idempotency_key: &IdempotencyKey, state: Option<LedgerRecordState>) -> u64 {
-    let mut running_digest = Sha256::new();
-    running_digest.update(idempotency_key.as_str());
+    let mut hasher = Sha256::new();
+    hasher.update(idempotency_key.as_str());
     if let Some(state) = state {
-        running_digest.update([0, state as u8]);
+        hasher.update([0, state as u8]);
     }
-    let digest_bytes: [u8; 32] = running_digest.finalize().into();
+    let digest_bytes: [u8; 32] = hasher.finalize().into();
     u64::from_be_bytes(digest_bytes[..8].try_into().unwrap_or_default())
 }
 
-/// The range of an identity.
+/// The range of a key, below [`RANGE_COUNT`].
 pub fn range_of(idempotency_key: &IdempotencyKey) -> usize {
     (hash_number(idempotency_key, None) % RANGE_COUNT as u64) as usize
 }
 
-/// A digest for each range; the order of the lines does not matter.
+/// A digest for each range, the exclusive or of its records' hashes: their order does not matter.
 pub fn digests<'a>(records: impl Iterator<Item = &'a LedgerRecord>) -> Vec<u64> {
     let mut range_digests = vec![0; RANGE_COUNT];
     for record in records {
--- a/crates/dataplane/src/ledger/replica.rs
+++ b/crates/dataplane/src/ledger/replica.rs
@@ -1,4 +1,4 @@
-//! The copies that a daemon keeps of other holders' ledgers.
+//! The replicas that a daemon keeps of other lease holders' ledgers.
 
 use super::ranges::digests;
 use common::clock::MonotonicTime;
@@ -7,6 +7,7 @@
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
 
+/// How long an empty copy is retained after its last use, above all to stay sealed.
 const EMPTY_COPY_RETENTION: Duration = Duration::from_secs(60);
 
 struct ReplicaEntry {
@@ -14,20 +15,38 @@
     expires_at: MonotonicTime,
 }
 
+/// The copy of one holder's ledger.
 struct LedgerCopy {
     entries: HashMap<IdempotencyKey, ReplicaEntry>,
+    /// Whether a later holder has collected it; it then takes no more records.
     sealed: bool,
     touched_at: MonotonicTime,
 }
 
-/// The copies that one daemon keeps of other daemons' ledgers.
+impl LedgerCopy {
+    /// The records that have not expired.
+    fn records(&self, now: MonotonicTime) -> Vec<LedgerRecord> {
+        self.entries
+            .iter()
+            .filter(|(_, entry)| entry.expires_at > now)
+            .map(|(idempotency_key, entry)| LedgerRecord {
+                idempotency_key: idempotency_key.clone(),
+                state: entry.state,
+                remaining_ms: entry.expires_at.since(now).as_millis() as u32,
+            })
+            .collect()
+    }
+}
+
+/// The copies that one daemon keeps of other daemons' ledgers, by function and fencing token. Requests that are meant
+/// for an earlier incarnation of the daemon are rejected: that one's copies are lost.
 pub struct LedgerReplica {
     incarnation: Incarnation,
     copies: BTreeMap<(FunctionKey, FencingToken), LedgerCopy>,
 }
 
 impl LedgerReplica {
-    /// Keeps nothing yet, in this life.
+    /// No copies yet, in this incarnation of the daemon.
     pub fn new(incarnation: Incarnation) -> Self {
         Self {
             incarnation,
@@ -53,7 +72,7 @@
         copy
     }
 
-    /// Notes lines; false when another life is meant, or a successor has collected already.
+    /// Stores records; false when another incarnation is meant, or the copy is sealed.
     pub fn record(
         &mut self,
         now: MonotonicTime,
@@ -84,7 +103,7 @@
         true
     }
 
-    /// Hands a copy to a successor, and takes no more lines for it; none when another life is meant.
+    /// Returns a copy to a later holder and seals it; none when another incarnation is meant.
     pub fn collect(
         &mut self,
         now: MonotonicTime,
@@ -97,10 +116,10 @@
         }
         let copy = self.copy(now, function, fencing_token);
         copy.sealed = true;
-        Some(entries(copy, now))
+        Some(copy.records(now))
     }
 
-    /// The ranges in which a copy differs from the holder's digests.
+    /// The ranges in which a copy differs from the holder's digests; all of them when another incarnation is meant.
     pub fn compare(
         &mut self,
         now: MonotonicTime,
@@ -112,7 +131,7 @@
         if incarnation != self.incarnation {
             return (0..holder_digests.len() as u8).collect();
         }
-        let own_records = entries(self.copy(now, function, fencing_token), now);
+        let own_records = self.copy(now, function, fencing_token).records(now);
         let own_digests = digests(own_records.iter());
         (0..holder_digests.len())
             .filter(|range| own_digests.get(*range) != holder_digests.get(*range))
@@ -120,7 +139,7 @@
             .collect()
     }
 
-    /// Forgets lines that nobody waits for any more.
+    /// Removes expired records, and empty copies some time after their last use.
     pub fn expire(&mut self, now: MonotonicTime) {
         for copy in self.copies.values_mut() {
             copy.entries.retain(|_, entry| entry.expires_at > now);
@@ -130,20 +149,8 @@
         });
     }
 
-    /// How many lines are kept.
+    /// The number of stored records.
     pub fn entry_count(&self) -> usize {
         self.copies.values().map(|copy| copy.entries.len()).sum()
     }
 }
-
-fn entries(copy: &LedgerCopy, now: MonotonicTime) -> Vec<LedgerRecord> {
-    copy.entries
-        .iter()
-        .filter(|(_, entry)| entry.expires_at > now)
-        .map(|(idempotency_key, entry)| LedgerRecord {
-            idempotency_key: idempotency_key.clone(),
-            state: entry.state,
-            remaining_ms: entry.expires_at.since(now).as_millis() as u32,
-        })
-        .collect()
-}
