--- a/crates/dataplane/src/pool/mod.rs
+++ b/crates/dataplane/src/pool/mod.rs
@@ -1,37 +1,38 @@
-//! Which kept connection to a runner is used, and which are dropped. No I/O.
+//! The pool of connections to runners: which idle connection is reused, and which are dropped. No I/O.
 
 use common::clock::MonotonicTime;
 use common::identity::RunnerId;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The longest that a connection is kept without a transaction.
+/// The maximum time that a connection is retained without a request.
 const MAX_IDLE: Duration = Duration::from_secs(10);
-/// A runner's own limit is not waited out: it may end the connection while a transaction is on its way.
+/// A connection is dropped this long before the runner's keep-alive time-out: the runner may close it while a request
+/// is on its way.
 const KEEP_ALIVE_MARGIN: Duration = Duration::from_secs(1);
 
-/// Names a connection in this process.
+/// Identifies a connection within this process.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
 pub struct ConnectionId(pub u64);
 
-/// Where a transaction goes.
+/// The connection that a request is sent on.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Checkout {
-    /// On a kept connection.
+    /// An idle connection.
     Reused(ConnectionId),
-    /// On a new one, which has to be opened.
+    /// A new connection, which has to be opened.
     Open(ConnectionId),
-    /// Nowhere: the runner takes no more connections.
+    /// None: the runner takes no more connections.
     Full,
 }
 
 struct PooledConnection {
     id: ConnectionId,
-    /// Until when it may be drawn; none while a transaction is on it.
+    /// Until when it may be reused; none while it is checked out.
     idle_until: Option<MonotonicTime>,
 }
 
-/// The connections to runners, one transaction at a time on each.
+/// The connections to runners, with one request at a time on each.
 #[derive(Default)]
 pub struct ConnectionPool {
     connections: BTreeMap<RunnerId, Vec<PooledConnection>>,
@@ -39,7 +40,8 @@
 }
 
 impl ConnectionPool {
-    /// A connection for one transaction: the kept one used last, or a new one while the runner takes more.
+    /// Checks out a connection for one request: the most recently used idle one, or a new one while there are fewer
+    /// than `max_connections`.
     pub fn checkout(
         &mut self,
         now: MonotonicTime,
@@ -58,7 +60,8 @@
         self.checkout_new(runner, max_connections)
     }
 
-    /// A new connection, though others may be kept; those are none the better for one that just failed.
+    /// Checks out a new connection although others may be idle; after one of these was found closed, the others are not
+    /// likely to be open.
     pub fn checkout_new(&mut self, runner: RunnerId, max_connections: u32) -> Checkout {
         let connections = self.connections.entry(runner).or_default();
         if connections.len() >= max_connections as usize {
@@ -73,8 +76,8 @@
         Checkout::Open(id)
     }
 
-    /// A believed answer came whole; false when the connection is to be dropped all the same. `kept_for`
-    /// is how long the runner keeps it idle, if it says so.
+    /// Returns a connection after a complete, valid response; false when it is to be dropped all the same.
+    /// `keep_alive` is the runner's own time-out for idle connections, if it sent one.
     pub fn check_in(
         &mut self,
         now: MonotonicTime,
@@ -103,7 +106,7 @@
         true
     }
 
-    /// A connection has ended, or brought what nobody asked for, or is not trusted any more.
+    /// Removes a connection that has ended or is not trusted any more.
     pub fn remove_connection(&mut self, runner: RunnerId, id: ConnectionId) {
         if let Some(connections) = self.connections.get_mut(&runner) {
             connections.retain(|connection| connection.id != id);
@@ -113,7 +116,7 @@
         }
     }
 
-    /// Drops what has been idle for too long.
+    /// Removes the connections that have been idle for too long, and returns their ids.
     pub fn remove_expired(&mut self, now: MonotonicTime) -> Vec<ConnectionId> {
         let mut removed_ids = Vec::new();
         self.connections.retain(|_, connections| {
@@ -129,7 +132,8 @@
         removed_ids
     }
 
-    /// A runner is being stopped: its idle connections go, those in use when their transactions end.
+    /// Removes the idle connections to a runner that is being stopped, and returns their ids; those in use go when
+    /// their requests end.
     pub fn remove_idle(&mut self, runner: RunnerId) -> Vec<ConnectionId> {
         let Some(connections) = self.connections.get_mut(&runner) else {
             return Vec::new();
@@ -143,7 +147,7 @@
         removed_ids
     }
 
-    /// How many connections there are to a runner.
+    /// The number of connections to a runner.
     pub fn count(&self, runner: RunnerId) -> usize {
         self.connections.get(&runner).map_or(0, Vec::len)
     }
