--- a/crates/dataplane/src/drivers/control.rs
+++ b/crates/dataplane/src/drivers/control.rs
@@ -1,14 +1,18 @@
-use super::{State, holder_driver};
+//! The control task: it feeds the daemon's control state machine and carries out its outputs.
+
+use super::control_input::ControlInput;
+use super::frame_batch::WRITE_BATCH_BYTES;
+use super::holder_driver;
+use super::state::State;
 use crate::agent::{DaemonControl, DaemonControlOutput};
 use crate::control_session::ControlSessionTiming;
-use crate::holder::HolderMessage;
 use common::clock::MonotonicTime;
 use common::events::{self, Event};
 use common::frames::{
     AcquireResult, Channel, DaemonToLeader, FrameError, Heartbeat, LeaderToDaemon, RequestOutcome,
     SocketAddress, append_frame, dial, encode_heartbeat, read_frame_in_parts,
 };
-use common::identity::{FencingToken, FunctionKey};
+use common::identity::FunctionKey;
 use common::log_event;
 use common::rng::SeededRng;
 use std::collections::HashMap;
@@ -16,43 +20,22 @@
 use std::time::Duration;
 use tokio::io::{AsyncWriteExt, BufReader};
 use tokio::net::UdpSocket;
+use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::sync::{mpsc, oneshot};
 
 const MAX_TICK_INTERVAL: Duration = Duration::from_millis(100);
 const MIN_TICK_INTERVAL: Duration = Duration::from_millis(5);
-const WRITE_BATCH_BYTES: usize = 64 << 10;
+const DIAL_TIMEOUT: Duration = Duration::from_millis(600);
+const WRITE_TIMEOUT: Duration = Duration::from_secs(2);
+const MAX_QUEUED_FRAMES: usize = 8192;
+/// How often expired connections to runners are closed.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What reaches the control task.
-pub enum ControlInput {
-    /// The dialed stream is open.
-    Connected(u64, mpsc::Sender<DaemonToLeader>),
-    /// The stream failed or ended.
-    Disconnected(u64),
-    /// The leader says something.
-    Received(u64, LeaderToDaemon),
-    /// A part of what the leader says has come in; the rest is under way.
-    Receiving(u64),
-    /// A heartbeat came in.
-    HeartbeatDatagram(Heartbeat),
-    /// A transaction needs a function's owner.
-    Acquire(FunctionKey, oneshot::Sender<AcquireResult>),
-    /// A holder has something for the leader.
-    HolderMessage(FunctionKey, FencingToken, HolderMessage),
-    /// Functions may want an owner that did not before.
-    DesiredFunctionsChanged,
-    /// The seeds have changed.
-    Seeds(Vec<SocketAddress>),
-    /// The daemon is leaving.
-    BeginShutdown,
-    /// The daemon has left.
-    ShutdownFinished,
-}
-
-/// Feeds the controller, and does what it orders.
+/// The state of the control task.
 pub struct Control {
     state: Arc<State>,
     controller: DaemonControl<oneshot::Sender<RequestOutcome>>,
+    /// The requests that wait for an acquisition.
     acquires: HashMap<FunctionKey, Vec<oneshot::Sender<AcquireResult>>>,
     current_stream_id: u64,
     stream: Option<mpsc::Sender<DaemonToLeader>>,
@@ -61,7 +44,7 @@
 }
 
 impl Control {
-    /// A control task's state.
+    /// The state before the first input.
     pub fn new(state: Arc<State>, heartbeat_socket: Arc<UdpSocket>) -> Self {
         let controller = DaemonControl::new(
             MonotonicTime::now(),
@@ -90,7 +73,8 @@
         }
     }
 
-    /// Runs as long as the process; wakes only when something is due, or comes in.
+    /// Runs until all senders of inputs are gone, in effect as long as the process. Wakes only when something is due or
+    /// an input arrives.
     pub async fn run(mut self, mut inputs: mpsc::UnboundedReceiver<ControlInput>) {
         let state = self.state.clone();
         let mut due = MonotonicTime::now();
@@ -135,60 +119,76 @@
         let now = MonotonicTime::now();
         let state = self.state.clone();
         let agent = &state.agent;
-        let outputs = match input {
+        match input {
             ControlInput::Connected(stream_id, sender) if stream_id == self.current_stream_id => {
                 self.stream = Some(sender);
-                self.controller.connected(agent, now)
+                let outputs = self.controller.connected(agent, now);
+                self.execute(outputs);
             }
             ControlInput::Disconnected(stream_id) if stream_id == self.current_stream_id => {
                 self.stream = None;
-                self.controller.disconnected(agent, now)
+                let outputs = self.controller.disconnected(agent, now);
+                self.execute(outputs);
             }
             ControlInput::Received(stream_id, frame) if stream_id == self.current_stream_id => {
-                self.controller.received(agent, now, frame)
+                let outputs = self.controller.received(agent, now, frame);
+                self.execute(outputs);
             }
             ControlInput::Receiving(stream_id) if stream_id == self.current_stream_id => {
                 self.controller.frame_part_received(now);
-                return;
             }
             ControlInput::Connected(..)
             | ControlInput::Disconnected(_)
             | ControlInput::Receiving(_)
-            | ControlInput::Received(..) => return,
-            ControlInput::HeartbeatDatagram(heartbeat) => {
-                if !self.controller.heartbeat(now, &heartbeat) {
-                    log_event!(
-                        Debug,
-                        events::HEARTBEAT_IGNORED,
-                        "from {}",
-                        heartbeat.member
-                    );
-                }
-                return;
-            }
+            | ControlInput::Received(..) => {}
+            ControlInput::HeartbeatDatagram(heartbeat) => self.handle_heartbeat(now, &heartbeat),
             ControlInput::Acquire(function, reply_sender) => {
-                let reply_senders = self.acquires.entry(function.clone()).or_default();
-                reply_senders.push(reply_sender);
-                if reply_senders.len() > 1 {
-                    return;
-                }
-                state.gauges.acquires.inc();
-                self.controller.acquire(agent, now, function)
+                self.request_acquire(now, function, reply_sender);
             }
-            ControlInput::HolderMessage(function, fencing_token, message) => self
-                .controller
-                .holder_message(agent, now, function, fencing_token, message),
-            ControlInput::Seeds(seeds) => {
-                self.controller.set_seeds(seeds);
-                return;
+            ControlInput::HolderMessage(function, fencing_token, message) => {
+                let outputs =
+                    self.controller
+                        .holder_message(agent, now, function, fencing_token, message);
+                self.execute(outputs);
             }
-            ControlInput::DesiredFunctionsChanged => {
-                self.controller.recheck_warm_functions(now);
-                return;
+            ControlInput::Seeds(seeds) => self.controller.set_seeds(seeds),
+            ControlInput::DesiredFunctionsChanged => self.controller.recheck_warm_functions(now),
+            ControlInput::BeginShutdown => {
+                let outputs = self.controller.leave(agent, now);
+                self.execute(outputs);
             }
-            ControlInput::BeginShutdown => self.controller.leave(agent, now),
-            ControlInput::ShutdownFinished => self.controller.departed(agent),
-        };
+            ControlInput::ShutdownFinished => {
+                let outputs = self.controller.departed(agent);
+                self.execute(outputs);
+            }
+        }
+    }
+
+    fn handle_heartbeat(&mut self, now: MonotonicTime, heartbeat: &Heartbeat) {
+        if !self.controller.heartbeat(now, heartbeat) {
+            log_event!(
+                Debug,
+                events::HEARTBEAT_IGNORED,
+                "from {}",
+                heartbeat.member
+            );
+        }
+    }
+
+    /// Acquires a function's owner for one more request; requests for the same function share one acquisition.
+    fn request_acquire(
+        &mut self,
+        now: MonotonicTime,
+        function: FunctionKey,
+        reply_sender: oneshot::Sender<AcquireResult>,
+    ) {
+        let reply_senders = self.acquires.entry(function.clone()).or_default();
+        reply_senders.push(reply_sender);
+        if reply_senders.len() > 1 {
+            return;
+        }
+        self.state.gauges.acquires.inc();
+        let outputs = self.controller.acquire(&self.state.agent, now, function);
         self.execute(outputs);
     }
 
@@ -198,6 +198,8 @@
                 DaemonControlOutput::Dial(address) => {
                     self.current_stream_id += 1;
                     self.stream = None;
+                    // Detached: it ends when its frame sender is dropped or the stream fails, and its inputs carry the
+                    // number of the stream.
                     tokio::spawn(run_stream(
                         self.state.clone(),
                         self.current_stream_id,
@@ -210,10 +212,10 @@
                 }
                 DaemonControlOutput::SendFrame(frame) => self.send_frame(frame),
                 DaemonControlOutput::HeartbeatDatagram(heartbeat, addresses) => {
-                    self.heartbeat(&heartbeat, &addresses)
+                    self.send_heartbeat(&heartbeat, &addresses);
                 }
                 DaemonControlOutput::Holder(held, outputs) => {
-                    holder_driver::drive(&held, &self.state, outputs)
+                    holder_driver::drive(&held, &self.state, outputs);
                 }
                 DaemonControlOutput::Acquired(function, result, round_trip) => {
                     self.acquired(&function, result, round_trip);
@@ -229,7 +231,7 @@
         }
     }
 
-    fn heartbeat(&self, heartbeat: &Heartbeat, addresses: &[SocketAddress]) {
+    fn send_heartbeat(&self, heartbeat: &Heartbeat, addresses: &[SocketAddress]) {
         if let Ok(datagram) = encode_heartbeat(heartbeat) {
             for address in addresses {
                 let _ = self
@@ -295,41 +297,50 @@
     address: SocketAddress,
 ) -> Result<(), FrameError> {
     let own_ip = *state.settings.address.0.ip();
-    let timed_out = || FrameError::Connection(std::io::ErrorKind::TimedOut.into());
-    let stream = dial(own_ip, address, Channel::Stream, Duration::from_millis(600)).await?;
-    let (sender, mut frames) = mpsc::channel::<DaemonToLeader>(8192);
+    let stream = dial(own_ip, address, Channel::Stream, DIAL_TIMEOUT).await?;
+    let (sender, frames) = mpsc::channel::<DaemonToLeader>(MAX_QUEUED_FRAMES);
     let _ = state
         .control
         .send(ControlInput::Connected(stream_id, sender));
-    let (reading_half, mut writing_half) = stream.into_split();
+    let (reading_half, writing_half) = stream.into_split();
+    tokio::select! {
+        ended = read_frames(state, stream_id, reading_half) => ended,
+        ended = write_frames(writing_half, frames) => ended,
+    }
+}
+
+async fn read_frames(
+    state: &State,
+    stream_id: u64,
+    reading_half: OwnedReadHalf,
+) -> Result<(), FrameError> {
     let mut reader = BufReader::new(reading_half);
-    let reading = async {
-        loop {
-            let report_receiving = || {
-                let _ = state.control.send(ControlInput::Receiving(stream_id));
-            };
-            let frame: LeaderToDaemon = read_frame_in_parts(&mut reader, report_receiving).await?;
-            let _ = state.control.send(ControlInput::Received(stream_id, frame));
-        }
-    };
-    let writing = async {
-        let mut sent_bytes = Vec::new();
-        while let Some(frame) = frames.recv().await {
-            append_frame(&mut sent_bytes, &frame)?;
-            while sent_bytes.len() < WRITE_BATCH_BYTES
-                && let Ok(next_frame) = frames.try_recv()
-            {
-                append_frame(&mut sent_bytes, &next_frame)?;
-            }
-            tokio::time::timeout(Duration::from_secs(2), writing_half.write_all(&sent_bytes))
-                .await
-                .map_err(|_| timed_out())??;
-            sent_bytes.clear();
+    loop {
+        let report_receiving = || {
+            let _ = state.control.send(ControlInput::Receiving(stream_id));
+        };
+        let frame: LeaderToDaemon = read_frame_in_parts(&mut reader, report_receiving).await?;
+        let _ = state.control.send(ControlInput::Received(stream_id, frame));
+    }
+}
+
+async fn write_frames(
+    mut writing_half: OwnedWriteHalf,
+    mut frames: mpsc::Receiver<DaemonToLeader>,
+) -> Result<(), FrameError> {
+    let timed_out = || FrameError::Connection(std::io::ErrorKind::TimedOut.into());
+    let mut batch = Vec::new();
+    while let Some(frame) = frames.recv().await {
+        append_frame(&mut batch, &frame)?;
+        while batch.len() < WRITE_BATCH_BYTES
+            && let Ok(next_frame) = frames.try_recv()
+        {
+            append_frame(&mut batch, &next_frame)?;
         }
-        Ok(())
-    };
-    tokio::select! {
-        ended = reading => ended,
-        ended = writing => ended,
+        tokio::time::timeout(WRITE_TIMEOUT, writing_half.write_all(&batch))
+            .await
+            .map_err(|_| timed_out())??;
+        batch.clear();
     }
+    Ok(())
 }
--- a/crates/dataplane/src/drivers/daemon.rs
+++ b/crates/dataplane/src/drivers/daemon.rs
@@ -1,7 +1,9 @@
 use super::connector::TcpConnector;
-use super::control::{Control, ControlInput};
+use super::control::Control;
+use super::control_input::ControlInput;
+use super::hops;
 use super::ingress::{serve_ingress, serve_ready};
-use super::{State, hops};
+use super::state::State;
 use crate::adapter::DaemonAdapters;
 use crate::settings::DaemonSettings;
 use common::clock::MonotonicTime;
@@ -18,20 +20,20 @@
 use tokio::net::{TcpListener, TcpStream, UdpSocket};
 use tokio::sync::{mpsc, watch};
 
-/// Tells a running daemon something.
+/// A handle to a running daemon.
 #[derive(Clone)]
 pub struct DaemonHandle {
     state: Arc<State>,
 }
 
 impl DaemonHandle {
-    /// The seeds have changed; those known are replaced.
+    /// Replaces the controllers' seed addresses.
     pub fn update_seeds(&self, seeds: Vec<SocketAddress>) {
         let _ = self.state.control.send(ControlInput::Seeds(seeds));
     }
 }
 
-/// A running daemon.
+/// A daemon with open listeners.
 pub struct Daemon {
     state: Arc<State>,
     inputs: mpsc::UnboundedReceiver<ControlInput>,
@@ -43,11 +45,17 @@
 
 impl Daemon {
     /// Opens the listeners.
+    ///
+    /// # Errors
+    /// [`SettingsError::CannotListen`] for the first address that cannot be opened.
     pub async fn open(settings: DaemonSettings) -> Result<Self, SettingsError> {
         Self::open_with_rules(settings, Rules::ALL_ENFORCED).await
     }
 
-    /// The same with a rule taken away for proving.
+    /// The same under other rules, for tests.
+    ///
+    /// # Errors
+    /// The same as of [`Self::open`].
     pub async fn open_with_rules(
         settings: DaemonSettings,
         rules: Rules,
@@ -56,7 +64,10 @@
         Self::open_with(settings, rules, adapters).await
     }
 
-    /// The same with other tongues than the product's own.
+    /// The same with other adapters than the native ones.
+    ///
+    /// # Errors
+    /// The same as of [`Self::open`].
     pub async fn open_with(
         settings: DaemonSettings,
         rules: Rules,
@@ -88,14 +99,7 @@
             .await
             .map_err(error_at(listen_key, settings.listen))?;
         let (control, inputs) = mpsc::unbounded_channel();
-        let host = Host {
-            member: settings.member.clone(),
-            incarnation: (SeededRng::from_os().number() | 1).into(),
-            zone: settings.zone.clone(),
-            address: settings.address,
-            eligible: Flag(true),
-            link_mbps: settings.link_mbps,
-        };
+        let host = own_host(&settings);
         let connector = Arc::new(TcpConnector::new(*settings.address.0.ip()));
         let state = Arc::new(State::new(
             settings, host, rules, adapters, connector, control,
@@ -111,14 +115,16 @@
         })
     }
 
-    /// What can be told to it while it runs.
+    /// A handle to it for the time that it runs.
     pub fn handle(&self) -> DaemonHandle {
         DaemonHandle {
             state: self.state.clone(),
         }
     }
 
-    /// Serves until told to stop, then leaves in an orderly way.
+    /// Serves until `stop`, then shuts down in an orderly way within the grace period.
+    ///
+    /// The ingress task is joined during shutdown; the other tasks are detached and end with the process.
     pub async fn run(self, mut stop: watch::Receiver<bool>) {
         let Self {
             state,
@@ -130,7 +136,7 @@
         } = self;
         tokio::spawn(Control::new(state.clone(), heartbeat_socket.clone()).run(inputs));
         tokio::spawn(receive_heartbeats(state.clone(), heartbeat_socket));
-        tokio::spawn(accept(process_listener, state.clone()));
+        tokio::spawn(accept_hops(process_listener, state.clone()));
         let (_ready_stop_sender, ready_stop) = watch::channel(false);
         if let Some(ready_listener) = ready_listener {
             tokio::spawn(serve_ready(state.clone(), ready_listener, ready_stop));
@@ -154,6 +160,18 @@
     }
 }
 
+/// This daemon as a host; each start of the process is a new incarnation, never zero.
+fn own_host(settings: &DaemonSettings) -> Host {
+    Host {
+        member: settings.member.clone(),
+        incarnation: (SeededRng::from_os().number() | 1).into(),
+        zone: settings.zone.clone(),
+        address: settings.address,
+        eligible: Flag(true),
+        link_mbps: settings.link_mbps,
+    }
+}
+
 async fn receive_heartbeats(state: Arc<State>, heartbeat_socket: Arc<UdpSocket>) {
     let mut datagram = vec![0; 64 << 10];
     loop {
@@ -175,13 +193,14 @@
     }
 }
 
-async fn accept(listener: TcpListener, state: Arc<State>) {
+/// Accepts connections of other daemons; the task of each is detached and ends with its connection.
+async fn accept_hops(listener: TcpListener, state: Arc<State>) {
     loop {
         match listener.accept().await {
             Ok((stream, from)) => {
                 let connection_state = state.clone();
                 tokio::spawn(async move {
-                    if let Err(error) = serve(connection_state.clone(), stream).await
+                    if let Err(error) = serve_channel(connection_state.clone(), stream).await
                         && !matches!(error, FrameError::Connection(_))
                     {
                         connection_state.gauges.rejected_frames.inc();
@@ -194,7 +213,7 @@
     }
 }
 
-async fn serve(state: Arc<State>, mut stream: TcpStream) -> Result<(), FrameError> {
+async fn serve_channel(state: Arc<State>, mut stream: TcpStream) -> Result<(), FrameError> {
     common::sockets::set_socket_options(&stream);
     let channel = tokio::time::timeout(Duration::from_secs(3), read_channel(&mut stream))
         .await
--- a/crates/dataplane/src/drivers/holder_driver.rs
+++ b/crates/dataplane/src/drivers/holder_driver.rs
@@ -1,17 +1,23 @@
-//! Held functions: transactions taken in, and the orders of their holders carried out.
+//! The driver of held functions: it admits requests and carries out the outputs of their holders.
+//!
+//! All tasks spawned here are detached. Each carries out one output, is bounded by a time-out, and reports its result
+//! to the holder, which ignores results that it no longer needs.
 
-use super::control::ControlInput;
-use super::{HopCallResult, LocalHeldFunction, State, platform, runners};
+use super::control_input::ControlInput;
+use super::hop_client::HopCallResult;
+use super::state::{LocalHeldFunction, State};
+use super::{platform, runners};
 use crate::agent::{HolderRequest, ReplicaRequest, ReplicaRequestKind};
 use crate::holder::{Holder, HolderOutput, SendResult};
 use common::clock::MonotonicTime;
 use common::events;
-use common::frames::{RequestFailureReason, RequestOutcome};
-use common::identity::{RunnerId, Ticket};
+use common::frames::{RequestFailureReason, RequestOutcome, SocketAddress};
+use common::identity::{InstanceId, RunnerId, Ticket, WorkerName};
+use common::spec::FunctionSpec;
 use std::sync::Arc;
 use tokio::sync::oneshot;
 
-/// Takes a transaction back when nobody waits for it any more, so that it is not sent to a runner from then on.
+/// Removes a request's waiter when the waiting ends, so that the request is not sent to a runner after that.
 struct WaiterGuard<'a> {
     held: &'a LocalHeldFunction,
     ticket: Ticket,
@@ -23,7 +29,7 @@
     }
 }
 
-/// Takes a transaction in and waits for its outcome.
+/// Admits a request and waits for its outcome.
 pub async fn serve(
     state: &Arc<State>,
     held: &LocalHeldFunction,
@@ -43,7 +49,7 @@
     }
 }
 
-/// Does what a holder orders.
+/// Carries out the outputs of a holder.
 pub fn drive(held: &LocalHeldFunction, state: &Arc<State>, outputs: Vec<HolderOutput>) {
     state.wake_control_if_due(held);
     for output in outputs {
@@ -51,64 +57,35 @@
             Ok(replica_request) => {
                 tokio::spawn(call_replica(state.clone(), held.clone(), replica_request));
             }
-            Err(order) => execute(held, state, order),
+            Err(output) => execute(held, state, output),
         }
     }
 }
 
-fn execute(held: &LocalHeldFunction, state: &Arc<State>, order: HolderOutput) {
-    let held = held.clone();
-    let state = state.clone();
-    match order {
+fn execute(held: &LocalHeldFunction, state: &Arc<State>, output: HolderOutput) {
+    match output {
         HolderOutput::Send {
             ticket,
             runner,
             address,
             attempt,
         } => {
-            tokio::spawn(async move {
-                let sent_at = MonotonicTime::now();
-                let end = runners::send(&state, &held, ticket, runner, address, attempt).await;
-                log_failed_send(&state, &held, (ticket, runner), &end, sent_at);
-                apply(&held, &state, |holder, now| {
-                    holder.handle_send_result(now, ticket, end)
-                });
-            });
-        }
-        HolderOutput::End { ticket, outcome } => {
-            log_unserved_request(&state, &held, ticket, &outcome);
-            if let Some(waiter) = held.remove_waiter(ticket) {
-                let _ = waiter.send(outcome);
-            }
+            let (held, state) = (held.clone(), state.clone());
+            tokio::spawn(send(held, state, ticket, runner, address, attempt));
         }
+        HolderOutput::End { ticket, outcome } => end(held, state, ticket, outcome),
         HolderOutput::Start {
             runner,
             worker,
             spec,
         } => {
-            tokio::spawn(async move {
-                let end = platform::start(&state, &held, runner, &worker, &spec).await;
-                apply(&held, &state, |holder, now| {
-                    holder.started(now, runner, end)
-                });
-            });
+            tokio::spawn(start(held.clone(), state.clone(), runner, worker, spec));
         }
         HolderOutput::Probe { runner, address } => {
-            tokio::spawn(async move {
-                let is_ready = runners::is_ready(&state, &held, runner, address).await;
-                apply(&held, &state, |holder, now| {
-                    holder.probed(now, runner, is_ready)
-                });
-            });
+            tokio::spawn(probe(held.clone(), state.clone(), runner, address));
         }
         HolderOutput::ListRunning { runner, address } => {
-            tokio::spawn(async move {
-                let running_keys =
-                    runners::list_running(&state, held.self_reported_id_of(runner), address).await;
-                apply(&held, &state, |holder, now| {
-                    holder.running_listed(now, runner, running_keys)
-                });
-            });
+            tokio::spawn(list_running(held.clone(), state.clone(), runner, address));
         }
         HolderOutput::Stop {
             runner,
@@ -116,23 +93,93 @@
             instance,
         } => {
             state.runner_connections.remove_idle(runner);
-            tokio::spawn(async move {
-                if platform::stop(&state, &held, runner, worker, instance).await {
-                    apply(&held, &state, |holder, now| holder.stopped(now, runner));
-                }
-            });
+            tokio::spawn(stop(held.clone(), state.clone(), runner, worker, instance));
         }
         HolderOutput::Report(message) => {
             let message =
                 ControlInput::HolderMessage(held.function.clone(), held.fencing_token, message);
             let _ = state.control.send(message);
         }
+        // These became replica requests in `drive`.
         HolderOutput::Collect { .. }
         | HolderOutput::Record { .. }
         | HolderOutput::Compare { .. } => {}
     }
 }
 
+async fn send(
+    held: LocalHeldFunction,
+    state: Arc<State>,
+    ticket: Ticket,
+    runner: RunnerId,
+    address: SocketAddress,
+    attempt: u32,
+) {
+    let sent_at = MonotonicTime::now();
+    let result = runners::send(&state, &held, ticket, runner, address, attempt).await;
+    log_failed_send(&state, &held, (ticket, runner), &result, sent_at);
+    apply(&held, &state, |holder, now| {
+        holder.handle_send_result(now, ticket, result)
+    });
+}
+
+fn end(held: &LocalHeldFunction, state: &State, ticket: Ticket, outcome: RequestOutcome) {
+    log_unserved_request(state, held, ticket, &outcome);
+    if let Some(waiter) = held.remove_waiter(ticket) {
+        let _ = waiter.send(outcome);
+    }
+}
+
+async fn start(
+    held: LocalHeldFunction,
+    state: Arc<State>,
+    runner: RunnerId,
+    worker: WorkerName,
+    spec: FunctionSpec,
+) {
+    let outcome = platform::start(&state, &held, runner, &worker, &spec).await;
+    apply(&held, &state, |holder, now| {
+        holder.started(now, runner, outcome)
+    });
+}
+
+async fn probe(
+    held: LocalHeldFunction,
+    state: Arc<State>,
+    runner: RunnerId,
+    address: SocketAddress,
+) {
+    let is_ready = runners::is_ready(&state, &held, runner, address).await;
+    apply(&held, &state, |holder, now| {
+        holder.probed(now, runner, is_ready)
+    });
+}
+
+async fn list_running(
+    held: LocalHeldFunction,
+    state: Arc<State>,
+    runner: RunnerId,
+    address: SocketAddress,
+) {
+    let self_reported_id = held.self_reported_id_of(runner);
+    let running_keys = runners::list_running(&state, self_reported_id, address).await;
+    apply(&held, &state, |holder, now| {
+        holder.running_listed(now, runner, running_keys)
+    });
+}
+
+async fn stop(
+    held: LocalHeldFunction,
+    state: Arc<State>,
+    runner: RunnerId,
+    worker: WorkerName,
+    instance: Option<InstanceId>,
+) {
+    if platform::stop(&state, &held, runner, worker, instance).await {
+        apply(&held, &state, |holder, now| holder.stopped(now, runner));
+    }
+}
+
 fn log_failed_send(
     state: &State,
     held: &LocalHeldFunction,
@@ -172,7 +219,7 @@
     }
 }
 
-/// Changes a holder and does what it orders.
+/// Applies an event to a holder and carries out its outputs.
 fn apply(
     held: &LocalHeldFunction,
     state: &Arc<State>,
--- a/crates/dataplane/src/drivers/hop_client.rs
+++ b/crates/dataplane/src/drivers/hop_client.rs
@@ -1,6 +1,7 @@
-//! Questions to other daemons, over one kept connection to each.
+//! Requests to other daemons, multiplexed over one persistent connection to each.
 
 use super::connector::{ByteStream, Connector};
+use super::frame_batch::WRITE_BATCH_BYTES;
 use super::metered_stream::{MeteredStream, WriteMeter};
 use common::clock::MonotonicTime;
 use common::events;
@@ -18,28 +19,27 @@
 use tokio::io::{AsyncRead, AsyncWrite, AsyncWriteExt, BufReader};
 use tokio::sync::{mpsc, oneshot};
 
-/// Frames are written together up to so many bytes.
-pub(super) const WRITE_BATCH_BYTES: usize = 64 << 10;
 const MAX_QUEUED_CALLS: usize = 1024;
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// How a passed-on transaction came back.
+/// The result of a request to another daemon.
 #[derive(Debug)]
 pub enum HopCallResult {
-    /// With an answer.
+    /// It was answered.
     Reply(DaemonMessage),
-    /// Surely nothing was sent.
+    /// Certainly nothing was sent.
     Unsent,
-    /// Sent, and nothing came back.
+    /// It may have been sent, and no reply came.
     Lost,
 }
 
+/// A request that waits to be written.
 struct HopCall {
     frame: DaemonFrame,
     end: oneshot::Sender<HopCallResult>,
 }
 
-/// Links to the other daemons, one each, kept open.
+/// The persistent connections to the other daemons, one to each.
 pub struct HopClient {
     connector: Arc<dyn Connector>,
     rules: Rules,
@@ -48,7 +48,7 @@
 }
 
 impl HopClient {
-    /// No links yet.
+    /// No connections yet.
     pub fn new(connector: Arc<dyn Connector>, rules: Rules) -> Self {
         Self {
             connector,
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Asks another daemon and waits for its answer.
+    /// Sends a request to another daemon and waits for its reply, at most until `wait_until`.
     pub async fn request(
         &self,
         address: SocketAddress,
@@ -88,6 +88,7 @@
             return sender.clone();
         }
         let (sender, calls) = mpsc::channel(MAX_QUEUED_CALLS);
+        // Detached: it ends with the connection, and then fails its calls. A sender to a closed one is replaced here.
         tokio::spawn(run_connection(
             self.connector.clone(),
             self.rules,
@@ -101,11 +102,11 @@
 
 struct AwaitedReply {
     end: oneshot::Sender<HopCallResult>,
-    /// How many bytes the connection has taken before the first one of this question.
+    /// The number of bytes that the connection had accepted before the first one of this request.
     first_byte: u64,
 }
 
-/// The questions on a connection that have no answer yet.
+/// The requests on a connection that have no reply yet.
 #[derive(Default)]
 struct PendingReplies(Mutex<BTreeMap<CorrelationId, AwaitedReply>>);
 
@@ -126,7 +127,8 @@
         }
     }
 
-    /// The connection has ended after so many bytes: what it took none of was not sent.
+    /// Fails all requests because the connection has ended after this many bytes: a request of which it accepted no
+    /// byte was not sent.
     fn fail_all(&self, rules: Rules, written: u64) {
         for awaited in std::mem::take(&mut *self.lock()).into_values() {
             let is_unsent =
--- a/crates/dataplane/src/drivers/hops.rs
+++ b/crates/dataplane/src/drivers/hops.rs
@@ -1,8 +1,8 @@
-//! Questions from other daemons, served on their connections.
+//! Requests from other daemons, served on their connections.
 
-use super::State;
 use super::connector::ByteStream;
-use super::hop_client::WRITE_BATCH_BYTES;
+use super::frame_batch::WRITE_BATCH_BYTES;
+use super::state::State;
 use crate::agent::FunctionRequest;
 use crate::request_pipeline::{ForwardedOutcome, forward_to_holder};
 use common::clock::MonotonicTime;
@@ -16,12 +16,16 @@
 
 const MAX_QUEUED_REPLIES: usize = 1024;
 
-/// Serves another daemon's link. Questions that are under way when it ends are given up: their daemon counts
-/// them as lost, and may ask again.
+/// Serves another daemon's connection until it ends. Requests that are under way then are cancelled: their daemon
+/// counts them as lost, and may retry them.
+///
+/// # Errors
+/// The [`FrameError`] that ended the connection, its regular end included.
 pub async fn serve(state: Arc<State>, stream: impl ByteStream + 'static) -> Result<(), FrameError> {
     let (reading_half, writing_half) = tokio::io::split(stream);
     let mut reader = BufReader::new(reading_half);
     let (reply_sender, replies) = mpsc::channel::<DaemonFrame>(MAX_QUEUED_REPLIES);
+    // Detached: it ends when the last reply sender is dropped or the connection fails.
     tokio::spawn(write_replies(writing_half, replies));
     let (_connection_guard, connection_end) = watch::channel(());
     loop {
@@ -29,6 +33,7 @@
         let call_state = state.clone();
         let call_reply_sender = reply_sender.clone();
         let mut call_connection_end = connection_end.clone();
+        // Detached, and cancelled by the drop of the connection guard.
         tokio::spawn(async move {
             let reply = tokio::select! {
                 reply = handle_call(&call_state, body) => reply,
@@ -66,7 +71,8 @@
     }
 }
 
-/// An answer that fits in no frame is lost by itself; those behind it are not.
+/// Appends a reply; one that is too large for a frame is replaced by a lost response, so that those behind it are not
+/// lost too.
 fn append_reply(sent_bytes: &mut Vec<u8>, frame: &DaemonFrame) {
     if append_frame(sent_bytes, frame).is_err() {
         let outcome = RequestOutcome::Unknown {
--- a/crates/dataplane/src/drivers/mod.rs
+++ b/crates/dataplane/src/drivers/mod.rs
@@ -1,8 +1,15 @@
-//! Thin drivers: the shared state, the control task, hops between daemons, calls to runners.
+//! The drivers of the data plane: all of its I/O, around state machines without any.
+//!
+//! [`State`] is shared by all tasks and depends on none of them. Of the tasks, that of the ingress is joined at
+//! shutdown; the driver task of a runner connection is cancelled with the connection, and a request from another daemon
+//! with that daemon's connection; all others are detached, and end with the process, with their connection, or after
+//! one bounded step.
 
 mod connector;
 mod control;
+mod control_input;
 mod daemon;
+mod frame_batch;
 mod gauges;
 pub mod holder_driver;
 mod hop_client;
--- a/crates/dataplane/src/drivers/state.rs
+++ b/crates/dataplane/src/drivers/state.rs
@@ -1,7 +1,11 @@
+//! The state that a daemon's tasks share. Its module depends on none of these tasks.
+
 use super::connector::Connector;
-use super::control::ControlInput;
+use super::control_input::ControlInput;
+use super::gauges::Gauges;
+use super::hop_client::HopClient;
+use super::request_log::RequestLog;
 use super::runner_connections::RunnerConnections;
-use super::{Gauges, HopClient, RequestLog};
 use crate::adapter::DaemonAdapters;
 use crate::agent::{Agent, HeldFunction};
 use crate::holder::Tuning;
@@ -14,28 +18,32 @@
 use std::sync::{Arc, PoisonError};
 use tokio::sync::{Notify, mpsc, oneshot, watch};
 
-/// A held function whose transactions wait on this process's tasks.
+/// A held function whose requests are awaited by tasks of this process.
 pub type LocalHeldFunction = Arc<HeldFunction<oneshot::Sender<RequestOutcome>>>;
 
-/// All that a daemon's tasks share.
+/// The state that a daemon's tasks share.
 pub struct State {
-    /// The boot settings.
+    /// The settings of the process.
     pub settings: DaemonSettings,
-    /// How callers, runners and platform are spoken with.
+    /// The adapters to callers, runners and platform.
     pub adapters: DaemonAdapters,
-    /// The daemon itself.
+    /// The daemon's agent: its leases and held functions.
     pub agent: Agent<oneshot::Sender<RequestOutcome>>,
-    /// Links to the other daemons.
+    /// The connections to the other daemons.
     pub hop_client: HopClient,
-    /// Connections to runners.
+    /// The connections to runners.
     pub runner_connections: Arc<RunnerConnections>,
     /// The metrics.
     pub gauges: Gauges,
-    /// The log of requests without an answer.
+    /// The log of requests without a response.
     pub request_log: RequestLog,
+    /// Wakes the control task to compute its due time anew.
     pub(super) control_wakeup: Notify,
+    /// When the control task is due next.
     pub(super) control_due_at: SharedMonotonicTime,
+    /// Counts the changes that a waiting request may depend on.
     pub(super) changes: watch::Sender<u64>,
+    /// The inputs of the control task.
     pub(super) control: mpsc::UnboundedSender<ControlInput>,
 }
 
@@ -70,7 +78,7 @@
         }
     }
 
-    /// A daemon without a control task: it neither seeks a leader nor lets time pass for what it holds.
+    /// The state of a daemon without a control task, for tests: it neither connects to a leader nor ticks its holders.
     pub fn without_control(
         settings: DaemonSettings,
         own_host: Host,
@@ -82,12 +90,12 @@
         Self::new(settings, own_host, rules, adapters, connector, control)
     }
 
-    /// Tells when something has changed that a transaction may wait for.
+    /// Notifies of changes that a waiting request may depend on.
     pub fn changes(&self) -> watch::Receiver<u64> {
         self.changes.subscribe()
     }
 
-    /// The largest body taken from a caller: what the spec says, or else the boot settings.
+    /// The maximum size of a caller's request body in bytes: the spec's if it sets one, else that of the settings.
     pub fn body_limit(&self, limits: CallerLimits) -> usize {
         if limits.body_bytes == CallerLimits::default().body_bytes {
             self.settings.max_body_bytes
@@ -96,7 +104,8 @@
         }
     }
 
-    /// Asks the leader for a function, together with all who ask for it now; none if the stream is lost.
+    /// Acquires a function's owner from the leader, sharing the acquisition with concurrent requests for it; none if
+    /// the stream to the leader is lost.
     pub async fn acquire(&self, function: &FunctionKey) -> Option<AcquireResult> {
         let (result_sender, result) = oneshot::channel();
         let _ = self
@@ -105,12 +114,12 @@
         result.await.ok()
     }
 
-    /// Functions may want an owner that did not before.
+    /// Notifies the control task that the set of functions that want an owner may have changed.
     pub fn desired_functions_changed(&self) {
         let _ = self.control.send(ControlInput::DesiredFunctionsChanged);
     }
 
-    /// Has the control task look earlier than it meant to, if a holder needs that.
+    /// Wakes the control task if a holder is due before the task is.
     pub(super) fn wake_control_if_due(&self, held: &LocalHeldFunction) {
         let holder_due = held.with(|holder| holder.next_due());
         if holder_due.is_some_and(|due| due < self.control_due_at.get()) {
@@ -118,7 +127,7 @@
         }
     }
 
-    /// Brings the gauges up to the moment.
+    /// Updates the gauges to the current state.
     pub(super) fn update_gauges(&self) {
         let held_functions = self.agent.held_functions.load_full();
         let (mut queued_sum, mut in_flight_sum, mut ready_sum, mut retained_sum) = (0, 0, 0, 0);
