--- a/crates/dataplane/src/drivers/runner_connections.rs
+++ b/crates/dataplane/src/drivers/runner_connections.rs
@@ -1,3 +1,5 @@
+//! The connections to runners: the streams behind the [pool](crate::pool), and exchanges on them.
+
 use super::connector::Connector;
 use super::metered_stream::{MeteredStream, WriteMeter, WritePermit};
 use crate::pool::{Checkout, ConnectionId, ConnectionPool};
@@ -23,21 +25,21 @@
 pub enum CheckoutError {
     /// The runner cannot be reached.
     Unreachable,
-    /// It takes no more connections.
+    /// The runner takes no more connections.
     Full,
 }
 
-/// How a request on a connection ended.
+/// The result of a request on a connection.
 pub enum ExchangeResult {
-    /// With a whole answer.
+    /// A complete response was received.
     Answered(CallResponse),
     /// No byte of the request was written, and none will be.
     NotSent,
-    /// Something may have been written, and no whole answer came.
+    /// Something may have been written, and no complete response was received.
     Lost(CallError),
 }
 
-/// A connection's place in the pool, from before it is opened; it is given up when this is dropped.
+/// A connection's entry in the pool, from before it is opened; it is removed when this is dropped.
 struct PoolReservation {
     owner: Weak<RunnerConnections>,
     runner: RunnerId,
@@ -52,7 +54,7 @@
     }
 }
 
-/// One connection; it is closed when it is dropped.
+/// One connection; it is closed, and its driver task cancelled, when it is dropped.
 pub struct RunnerConnection {
     reservation: PoolReservation,
     rules: Rules,
@@ -69,7 +71,7 @@
 }
 
 impl RunnerConnection {
-    /// Whether it has carried a transaction, or waited for one.
+    /// Whether it has been in the pool before: it may have been closed by the runner meanwhile.
     pub fn is_reused(&self) -> bool {
         self.is_reused
     }
@@ -80,8 +82,8 @@
         matches!(waiting.await, Ok(Ok(())))
     }
 
-    /// Sends a request and takes the whole answer. The permit is asked right before the first byte is
-    /// written: the process may have stood still since the request was handed over.
+    /// Sends a request and receives the complete response. The permit is checked right before the first byte is
+    /// written: the process may have been suspended since the request was handed over.
     pub async fn exchange(
         &mut self,
         request: Request<Full<Bytes>>,
@@ -91,9 +93,9 @@
     ) -> ExchangeResult {
         let written_before = self.meter.written();
         self.meter.set_permit(permit);
-        let asked =
+        let exchanged =
             tokio::time::timeout(timeout, self.exchange_once(request, max_body_bytes)).await;
-        match asked.unwrap_or(Err(CallError::Timeout)) {
+        match exchanged.unwrap_or(Err(CallError::Timeout)) {
             Ok(called) => ExchangeResult::Answered(called),
             Err(error) => {
                 self.close().await;
@@ -132,7 +134,7 @@
         })
     }
 
-    /// Ends the connection; nothing is written on it any more when this has come back.
+    /// Closes the connection: the driver task is cancelled and joined, so that nothing is written after this returns.
     async fn close(&mut self) {
         self.driver_task.abort();
         let _ = (&mut self.driver_task).await;
@@ -166,7 +168,10 @@
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// A kept connection, or a new one.
+    /// Checks out an idle connection, or opens a new one.
+    ///
+    /// # Errors
+    /// [`CheckoutError`] if the runner cannot be reached within the time-out, or takes no more connections.
     pub async fn checkout(
         self: &Arc<Self>,
         runner: RunnerId,
@@ -189,7 +194,10 @@
         self.open(runner, address, checkout, timeout).await
     }
 
-    /// A new connection, whatever is kept.
+    /// Opens a new connection although others may be idle.
+    ///
+    /// # Errors
+    /// The same as of [`Self::checkout`].
     pub async fn checkout_new(
         self: &Arc<Self>,
         runner: RunnerId,
@@ -226,6 +234,7 @@
         let opened = opened.ok().flatten();
         let (sender, connection, meter) = opened.ok_or(CheckoutError::Unreachable)?;
         let owner = reservation.owner.clone();
+        // Cancelled when the connection is dropped; else it ends with the connection and removes it from the pool.
         let driver_task = tokio::spawn(async move {
             let _ = connection.await;
             if let Some(owner) = owner.upgrade() {
@@ -252,8 +261,9 @@
         drop(ended_connection);
     }
 
-    /// Keeps a connection whose answer came whole and was believed.
-    pub fn keep(&self, mut connection: RunnerConnection, keep_alive: Option<Duration>) {
+    /// Returns a connection to the pool after a complete, valid response; `keep_alive` is the runner's own time-out for
+    /// idle connections, if it sent one.
+    pub fn check_in(&self, mut connection: RunnerConnection, keep_alive: Option<Duration>) {
         if connection.sender.is_closed() {
             return;
         }
@@ -272,7 +282,7 @@
         drop(surplus_connection);
     }
 
-    /// Closes what has been idle for too long.
+    /// Closes the connections that have been idle for too long.
     pub fn remove_expired(&self) {
         self.close(|pool| pool.remove_expired(MonotonicTime::now()));
     }
--- a/crates/dataplane/src/drivers/runners.rs
+++ b/crates/dataplane/src/drivers/runners.rs
@@ -1,27 +1,35 @@
+//! Requests to runners: sends of callers' requests, readiness probes, and lists of what a runner is running.
+
 use super::metered_stream::WritePermit;
-use super::runner_connections::{CheckoutError, ExchangeResult};
-use super::{LocalHeldFunction, State};
-use crate::agent::verify_response;
+use super::runner_connections::{CheckoutError, ExchangeResult, RunnerConnection};
+use super::state::{LocalHeldFunction, State};
+use crate::agent::{HolderRequest, RunnerAttempt, RunnerTarget, verify_response};
 use crate::holder::SendResult;
+use bytes::Bytes;
 use common::adapter::{ReadinessProbe, RunnerRequest};
 use common::clock::MonotonicTime;
 use common::events;
 use common::frames::{RequestFailureReason, SocketAddress};
-use common::http::{call_json, closes_connection, keep_alive_timeout, single_text};
+use common::http::{CallResponse, call_json, closes_connection, keep_alive_timeout, single_text};
 use common::identity::{IdempotencyKey, RunnerId, Ticket};
 use common::log_event;
 use common::seal;
-use hyper::{Method, StatusCode};
+use http_body_util::Full;
+use hyper::{Method, Request, StatusCode};
+use std::fmt;
+use std::ops::ControlFlow;
 use std::sync::Arc;
 use std::time::Duration;
 
 const READY_TIMEOUT: Duration = Duration::from_millis(100);
+const QUERY_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// Sends one transaction to a runner, on a kept connection if there is one. The last look at the newest
-/// spec comes when the connection is open, that at the member grant and the function's grant right before
-/// the first byte is written. A runner that is gone gets nothing: its address may be another one's. A kept
-/// connection that turns out to be gone before anything was written is no fault of the
-/// runner's, and a new one is opened at once.
+/// Sends one request to a runner, on an idle connection if there is one.
+///
+/// The newest spec, the session lease and the function lease are checked when the connection is open, and the leases
+/// again right before the first byte is written. Nothing is sent to a runner that is gone: its address may belong to
+/// another one. If an idle connection turns out to be closed before anything was written, that is no failure of the
+/// runner, and a new connection is opened at once.
 pub async fn send(
     state: &Arc<State>,
     held: &LocalHeldFunction,
@@ -36,121 +44,191 @@
     let Some(target) = held.runner_target(runner) else {
         return SendResult::Unsent;
     };
-    let max_connections = target.connections;
-    let mut is_send_counted = false;
+    let mut send = RunnerSend {
+        state,
+        held,
+        holder_request,
+        target,
+        runner,
+        address,
+        attempt,
+        is_counted: false,
+    };
     let mut must_be_new = false;
     loop {
-        let timeout = holder_request.deadline.since(MonotonicTime::now());
-        let checked_out = if must_be_new {
-            state
-                .runner_connections
-                .checkout_new(runner, address, max_connections, timeout)
-                .await
-        } else {
-            state
-                .runner_connections
-                .checkout(runner, address, max_connections, timeout)
-                .await
-        };
-        let mut connection = match checked_out {
+        match send.try_connection(must_be_new).await {
+            ControlFlow::Break(result) => return result,
+            ControlFlow::Continue(()) => must_be_new = true,
+        }
+    }
+}
+
+/// One send of a request to a runner, over as many connections as it takes.
+struct RunnerSend<'a> {
+    state: &'a Arc<State>,
+    held: &'a LocalHeldFunction,
+    holder_request: HolderRequest,
+    target: RunnerTarget,
+    runner: RunnerId,
+    address: SocketAddress,
+    attempt: u32,
+    is_counted: bool,
+}
+
+impl RunnerSend<'_> {
+    /// Sends on one connection; continues when that was an idle one that turned out to be closed.
+    async fn try_connection(&mut self, must_be_new: bool) -> ControlFlow<SendResult> {
+        let mut connection = match self.checkout(must_be_new).await {
             Ok(connection) => connection,
-            Err(CheckoutError::Unreachable) => return SendResult::Unsent,
-            Err(CheckoutError::Full) => return SendResult::RejectedByRunner,
+            Err(CheckoutError::Unreachable) => return ControlFlow::Break(SendResult::Unsent),
+            Err(CheckoutError::Full) => return ControlFlow::Break(SendResult::RejectedByRunner),
         };
-        must_be_new = true;
         if !connection.is_usable(READY_TIMEOUT).await {
-            if connection.is_reused() {
-                continue;
-            }
-            return SendResult::Unsent;
+            return unsent_on(&connection);
         }
-        let call = match state.agent.runner_attempt(
-            MonotonicTime::now(),
-            held,
-            &holder_request,
-            runner,
-            attempt,
-        ) {
-            Ok(call) => call,
+        let runner_attempt = match self.checked_attempt() {
+            Ok(runner_attempt) => runner_attempt,
             Err(reason) => {
-                state.runner_connections.keep(connection, None);
-                return SendResult::Forbidden(reason);
+                self.state.runner_connections.check_in(connection, None);
+                return ControlFlow::Break(SendResult::Forbidden(reason));
             }
         };
-        let runner_request = RunnerRequest {
-            idempotency_key: &call.idempotency_key,
-            function: &call.function,
-            runner: call.runner,
-            instance: call.runner.map(|_| &target.instance),
-            attempt,
-            remaining_time: call.remaining_time,
-            payload: &call.payload,
+        let Ok(request) = self.http_request(&runner_attempt) else {
+            let reason = RequestFailureReason::NotAllowed;
+            return ControlFlow::Break(SendResult::Forbidden(reason));
         };
-        let Ok(request) = state.adapters.runner.request(address, &runner_request) else {
-            return SendResult::Forbidden(RequestFailureReason::NotAllowed);
-        };
-        if !is_send_counted {
-            is_send_counted = true;
-            state.gauges.sends.inc();
-            if attempt > 1 {
-                state.gauges.retried_sends.inc();
-            }
-        }
-        let permit = send_permit(state.clone(), held.clone());
-        let max_body_bytes = state.settings.max_body_bytes;
+        self.count_send();
+        let permit = send_permit(self.state.clone(), self.held.clone());
+        let max_body_bytes = self.state.settings.max_body_bytes;
         match connection
-            .exchange(request, permit, call.remaining_time, max_body_bytes)
+            .exchange(
+                request,
+                permit,
+                runner_attempt.remaining_time,
+                max_body_bytes,
+            )
             .await
         {
-            ExchangeResult::Answered(called) => {
-                let keep_alive_timeout = keep_alive_timeout(&called.headers);
-                let is_last = closes_connection(&called.headers);
-                let response =
-                    state
-                        .adapters
-                        .runner
-                        .read(called.status, &called.headers, called.body);
-                let is_last = is_last || response.closes_connection;
-                let end = verify_response(
-                    state.agent.rules,
-                    &holder_request.idempotency_key,
-                    &held.function,
-                    target.self_reported_id,
-                    response,
-                );
-                if matches!(end, SendResult::Lost) {
-                    state.gauges.rejected_answers.inc();
-                    log_event!(
-                        Debug,
-                        events::RESPONSE_REJECTED,
-                        "{} on {runner}: seal",
-                        holder_request.idempotency_key
-                    );
-                } else if !is_last && !matches!(end, SendResult::WrongRunner) {
-                    state
-                        .runner_connections
-                        .keep(connection, keep_alive_timeout);
-                }
-                return end;
+            ExchangeResult::Answered(response) => {
+                ControlFlow::Break(self.verify(connection, response))
             }
-            ExchangeResult::NotSent if !state.agent.may_send(MonotonicTime::now(), held) => {
-                return SendResult::Forbidden(RequestFailureReason::NotServing);
+            ExchangeResult::NotSent if !self.may_send() => {
+                let reason = RequestFailureReason::NotServing;
+                ControlFlow::Break(SendResult::Forbidden(reason))
             }
-            ExchangeResult::NotSent if connection.is_reused() => {}
-            ExchangeResult::NotSent => return SendResult::Unsent,
+            ExchangeResult::NotSent => unsent_on(&connection),
             ExchangeResult::Lost(error) => {
-                log_event!(
-                    Debug,
-                    events::RESPONSE_REJECTED,
-                    "{} on {runner}: {error}",
-                    holder_request.idempotency_key
-                );
-                return SendResult::Lost;
+                self.log_rejected_response(&error);
+                ControlFlow::Break(SendResult::Lost)
             }
         }
     }
+
+    async fn checkout(&self, must_be_new: bool) -> Result<RunnerConnection, CheckoutError> {
+        let timeout = self.holder_request.deadline.since(MonotonicTime::now());
+        let connections = &self.state.runner_connections;
+        let max_connections = self.target.connections;
+        if must_be_new {
+            connections
+                .checkout_new(self.runner, self.address, max_connections, timeout)
+                .await
+        } else {
+            connections
+                .checkout(self.runner, self.address, max_connections, timeout)
+                .await
+        }
+    }
+
+    fn checked_attempt(&self) -> Result<RunnerAttempt, RequestFailureReason> {
+        self.state.agent.runner_attempt(
+            MonotonicTime::now(),
+            self.held,
+            &self.holder_request,
+            self.runner,
+            self.attempt,
+        )
+    }
+
+    fn http_request(
+        &self,
+        runner_attempt: &RunnerAttempt,
+    ) -> Result<Request<Full<Bytes>>, hyper::http::Error> {
+        let runner_request = RunnerRequest {
+            idempotency_key: &runner_attempt.idempotency_key,
+            function: &runner_attempt.function,
+            runner: runner_attempt.runner,
+            instance: runner_attempt.runner.map(|_| &self.target.instance),
+            attempt: self.attempt,
+            remaining_time: runner_attempt.remaining_time,
+            payload: &runner_attempt.payload,
+        };
+        self.state
+            .adapters
+            .runner
+            .request(self.address, &runner_request)
+    }
+
+    /// Counts the send once, however many connections it takes.
+    fn count_send(&mut self) {
+        if !self.is_counted {
+            self.is_counted = true;
+            self.state.gauges.sends.inc();
+            if self.attempt > 1 {
+                self.state.gauges.retried_sends.inc();
+            }
+        }
+    }
+
+    fn log_rejected_response(&self, cause: &dyn fmt::Display) {
+        log_event!(
+            Debug,
+            events::RESPONSE_REJECTED,
+            "{} on {}: {cause}",
+            self.holder_request.idempotency_key,
+            self.runner
+        );
+    }
+
+    fn may_send(&self) -> bool {
+        self.state.agent.may_send(MonotonicTime::now(), self.held)
+    }
+
+    /// Verifies a response; the connection is reused unless the response is invalid or closes it.
+    fn verify(&self, connection: RunnerConnection, called: CallResponse) -> SendResult {
+        let keep_alive_timeout = keep_alive_timeout(&called.headers);
+        let is_last = closes_connection(&called.headers);
+        let codec = &self.state.adapters.runner;
+        let response = codec.read(called.status, &called.headers, called.body);
+        let is_last = is_last || response.closes_connection;
+        let result = verify_response(
+            self.state.agent.rules,
+            &self.holder_request.idempotency_key,
+            &self.held.function,
+            self.target.self_reported_id,
+            response,
+        );
+        if matches!(result, SendResult::Lost) {
+            self.state.gauges.rejected_answers.inc();
+            self.log_rejected_response(&"seal");
+        } else if !is_last && !matches!(result, SendResult::WrongRunner) {
+            let connections = &self.state.runner_connections;
+            connections.check_in(connection, keep_alive_timeout);
+        }
+        result
+    }
+}
+
+/// What follows when nothing was sent on a connection: an idle one may have been closed by the runner meanwhile, but a
+/// new one that fails means that the runner is gone.
+fn unsent_on(connection: &RunnerConnection) -> ControlFlow<SendResult> {
+    if connection.is_reused() {
+        ControlFlow::Continue(())
+    } else {
+        ControlFlow::Break(SendResult::Unsent)
+    }
 }
 
+/// Permits a send while the leases are valid.
 fn send_permit(state: Arc<State>, held: LocalHeldFunction) -> WritePermit {
     let permit_state = state.clone();
     WritePermit {
@@ -159,15 +237,15 @@
     }
 }
 
-/// Whether a booting runner is ready, and is the one it should be. A connection that was opened to find
-/// that out is kept.
+/// Whether a runner that is starting up is ready, and is the intended one. A connection that was opened to find that
+/// out is put into the pool.
 pub async fn is_ready(
     state: &State,
     held: &LocalHeldFunction,
     runner: RunnerId,
     address: SocketAddress,
 ) -> bool {
-    let timeout = Duration::from_millis(800);
+    let timeout = QUERY_TIMEOUT;
     match state.adapters.runner.readiness_probe() {
         ReadinessProbe::HttpGet(path, name_header) => {
             let called = call_json(address, Method::GET, path, None, timeout).await;
@@ -185,7 +263,7 @@
                 .await
             {
                 Ok(connection) => {
-                    state.runner_connections.keep(connection, None);
+                    state.runner_connections.check_in(connection, None);
                     true
                 }
                 Err(_) => false,
@@ -194,15 +272,14 @@
     }
 }
 
-/// What a runner is running; none when it is gone, or another runner answers at its address.
+/// The requests that a runner is running; none when it is gone, or another runner answers at its address.
 pub async fn list_running(
     state: &State,
     runner: RunnerId,
     address: SocketAddress,
 ) -> Option<Vec<IdempotencyKey>> {
-    let timeout = Duration::from_millis(800);
     let path = state.adapters.runner.running_path()?;
-    match call_json(address, Method::GET, path, None, timeout).await {
+    match call_json(address, Method::GET, path, None, QUERY_TIMEOUT).await {
         Ok(called) => {
             if single_text(&called.headers, seal::RUNNER) != runner.to_string() {
                 return None;
