--- a/crates/dataplane/src/drivers/connector.rs
+++ b/crates/dataplane/src/drivers/connector.rs
@@ -1,5 +1,5 @@
-//! How byte streams to runners and to other daemons are opened. The drivers know only this seam, so that
-//! they run over any transport, and a failure can be brought about at each byte of an exchange.
+//! The opening of byte streams to runners and to other daemons. The drivers depend only on the traits here, so that
+//! they run over any transport, and tests can inject a failure at each byte of an exchange.
 
 use common::frames::{SocketAddress, connect_from};
 use common::sockets;
@@ -18,7 +18,7 @@
 /// A stream that is being opened.
 pub type Opening<'a> = Pin<Box<dyn Future<Output = io::Result<Box<dyn ByteStream>>> + Send + 'a>>;
 
-/// Opens byte streams; nothing is written on them.
+/// Opens byte streams; it writes nothing to them.
 pub trait Connector: Send + Sync {
     /// Opens a connection to a runner.
     fn to_runner(&self, address: SocketAddress) -> Opening<'_>;
@@ -33,7 +33,7 @@
 }
 
 impl TcpConnector {
-    /// Other daemons are called from this address, by which they know this machine.
+    /// Connections to other daemons are bound to this address, by which these identify the member.
     pub fn new(own_ip: Ipv4Addr) -> Self {
         Self { own_ip }
     }
--- a/crates/dataplane/src/drivers/gauges.rs
+++ b/crates/dataplane/src/drivers/gauges.rs
@@ -1,48 +1,50 @@
+//! The daemon's metrics.
+
 use common::metrics::MetricsPage;
 use prometheus::{Histogram, HistogramVec, IntCounter, IntCounterVec, IntGauge};
 
 /// The daemon's metrics.
 pub struct Gauges {
     page: MetricsPage,
-    /// Transactions of callers by outcome and reason.
+    /// Callers' requests by outcome and reason.
     pub request_outcomes: IntCounterVec,
-    /// How long callers' requests took, by outcome.
+    /// The durations of callers' requests in seconds, by outcome.
     pub request_seconds: HistogramVec,
-    /// Requests that ended long after their deadline.
+    /// Callers' requests that ended over a quarter of a second after their deadline.
     pub overdue_requests: IntCounter,
-    /// Look-ups of owners by where they were found.
+    /// Owner lookups by where the owner was found.
     pub lookups: IntCounterVec,
-    /// Acquisitions asked of the leader.
+    /// Acquisitions requested from the leader.
     pub acquires: IntCounter,
-    /// How long acquisitions took.
+    /// The round-trip times of acquisitions in seconds.
     pub acquire_seconds: Histogram,
-    /// Transactions sent to runners.
+    /// Requests sent to runners.
     pub sends: IntCounter,
-    /// Sends beyond a transaction's first.
+    /// Sends beyond a request's first.
     pub retried_sends: IntCounter,
-    /// Answers that were not believed.
+    /// Responses of runners that failed verification.
     pub rejected_answers: IntCounter,
-    /// Connections closed for what they sent.
+    /// Connections closed for an invalid frame.
     pub rejected_frames: IntCounter,
-    /// Functions held.
+    /// Held functions.
     pub held: IntGauge,
-    /// Runners ready.
+    /// Ready runners.
     pub ready_runners: IntGauge,
-    /// Transactions waiting.
+    /// Queued requests.
     pub queued: IntGauge,
-    /// Transactions on runners.
+    /// Requests in flight to runners.
     pub in_flight: IntGauge,
-    /// Whether the member grant runs.
+    /// 1 while the session lease is valid, else 0.
     pub serving: IntGauge,
-    /// The serial installed.
+    /// The version of the installed spec.
     pub version: IntGauge,
-    /// Member grants that ended.
+    /// Session leases that ended.
     pub leases_ended: IntCounter,
-    /// Lines kept for other daemons' ledgers.
+    /// Records stored as a replica of other daemons' ledgers.
     pub replica_entries: IntGauge,
-    /// How long a steward took to note a once-transaction.
+    /// The round-trip times of replication in seconds.
     pub replication_seconds: Histogram,
-    /// Functions whose last runner was kept although idle.
+    /// Functions whose last runner is retained although it is idle.
     pub idle_stop_skipped: IntGauge,
 }
 
@@ -106,7 +108,7 @@
         }
     }
 
-    /// The metrics page.
+    /// The metrics in text format.
     pub fn page(&self) -> Vec<u8> {
         self.page.text()
     }
--- a/crates/dataplane/src/drivers/ingress.rs
+++ b/crates/dataplane/src/drivers/ingress.rs
@@ -1,4 +1,6 @@
-use super::State;
+//! The callers' listener, and the readiness and metrics pages.
+
+use super::state::State;
 use crate::request_pipeline::handle_request;
 use common::clock::MonotonicTime;
 use common::http::{self, ConnectionLimits, HttpResponse, json_response, text_response};
@@ -9,7 +11,7 @@
 use tokio::net::TcpListener;
 use tokio::sync::watch;
 
-/// Serves callers until told to stop; also readiness and metrics, unless these have a place of their own.
+/// Serves callers until `stop`; also readiness and metrics, unless these have an address of their own.
 pub async fn serve_ingress(state: Arc<State>, listener: TcpListener, stop: watch::Receiver<bool>) {
     let has_ready_address = state.settings.ready.is_some();
     let times_state = state.clone();
@@ -26,7 +28,7 @@
             let status_response = if has_ready_address {
                 None
             } else {
-                page(&state, &request)
+                status_page(&state, &request)
             };
             match status_response {
                 Some(served) => served,
@@ -37,19 +39,20 @@
     http::serve_callers(listener, handler, times, stop).await;
 }
 
-/// Serves readiness and metrics at their own place as long as the process runs.
+/// Serves readiness and metrics at their own address until `stop`.
 pub async fn serve_ready(state: Arc<State>, listener: TcpListener, stop: watch::Receiver<bool>) {
     let handler = move |request: Request<Incoming>| {
         let state = state.clone();
         async move {
-            page(&state, &request)
+            status_page(&state, &request)
                 .unwrap_or_else(|| json_response(StatusCode::NOT_FOUND, &json!({})))
         }
     };
     http::serve(listener, handler, stop).await;
 }
 
-fn page(state: &State, request: &Request<Incoming>) -> Option<HttpResponse> {
+/// The response to a readiness or metrics request; none for any other request.
+fn status_page(state: &State, request: &Request<Incoming>) -> Option<HttpResponse> {
     if request.method() != Method::GET {
         return None;
     }
--- a/crates/dataplane/src/drivers/metered_stream.rs
+++ b/crates/dataplane/src/drivers/metered_stream.rs
@@ -1,24 +1,24 @@
-//! A byte stream that counts what was handed to it, and asks for permission before a request's first byte.
+//! A byte stream that counts the bytes it accepted, and checks a permit before a request's first byte.
 
 use super::connector::ByteStream;
-use std::fmt;
 use std::io::{self, IoSlice};
 use std::pin::Pin;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, PoisonError};
 use std::task::{Context, Poll};
+use thiserror::Error;
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
-/// What a request needs to be sent.
+/// The permit to send one request.
 pub struct WritePermit {
-    /// Whether it may still be sent; asked right before its first byte is written.
+    /// Whether the request may still be sent; called right before its first byte is written.
     pub is_valid: Box<dyn Fn() -> bool + Send>,
-    /// Hears that the first byte was written.
+    /// Called right after the first byte was written.
     pub on_first_write: Box<dyn Fn() + Send>,
 }
 
 impl WritePermit {
-    /// A permission that never ends.
+    /// A permit that is always valid.
     pub fn always() -> Self {
         Self {
             is_valid: Box::new(|| true),
@@ -27,19 +27,12 @@
     }
 }
 
-/// The permission to send has ended before the first byte was written.
-#[derive(Debug)]
-pub struct WriteNotPermitted;
+/// The permit ended before the first byte was written; nothing was sent.
+#[derive(Debug, Error)]
+#[error("the permission to send has ended")]
+pub struct WriteNotPermittedError;
 
-impl fmt::Display for WriteNotPermitted {
-    fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
-        out.write_str("the permission to send has ended")
-    }
-}
-
-impl std::error::Error for WriteNotPermitted {}
-
-/// What is known of a stream's writes.
+/// The write state of a stream, shared with the one who sends on it.
 #[derive(Default)]
 pub struct WriteMeter {
     written: AtomicU64,
@@ -47,12 +40,12 @@
 }
 
 impl WriteMeter {
-    /// The bytes that the stream has taken so far. What it has taken may have left.
+    /// The number of bytes that the stream has accepted so far; accepted bytes may have been sent.
     pub fn written(&self) -> u64 {
         self.written.load(Ordering::Acquire)
     }
 
-    /// Has the next byte written only if this permits it.
+    /// Sets the permit that is checked before the next byte is written.
     pub fn set_permit(&self, permit: WritePermit) {
         *self.permit.lock().unwrap_or_else(PoisonError::into_inner) = Some(permit);
     }
@@ -60,7 +53,7 @@
     fn write(&self, writing: impl FnOnce() -> Poll<io::Result<usize>>) -> Poll<io::Result<usize>> {
         let mut permit = self.permit.lock().unwrap_or_else(PoisonError::into_inner);
         if permit.as_ref().is_some_and(|permit| !(permit.is_valid)()) {
-            return Poll::Ready(Err(io::Error::other(WriteNotPermitted)));
+            return Poll::Ready(Err(io::Error::other(WriteNotPermittedError)));
         }
         let polled = writing();
         if let Poll::Ready(Ok(count)) = polled
@@ -75,14 +68,14 @@
     }
 }
 
-/// A stream with its meter.
+/// A byte stream whose writes are metered.
 pub struct MeteredStream {
     inner: Box<dyn ByteStream>,
     meter: Arc<WriteMeter>,
 }
 
 impl MeteredStream {
-    /// Counts what is written from now on.
+    /// Wraps a stream; the meter starts at zero.
     pub fn new(inner: Box<dyn ByteStream>) -> (Self, Arc<WriteMeter>) {
         let meter = Arc::new(WriteMeter::default());
         (
--- a/crates/dataplane/src/drivers/platform.rs
+++ b/crates/dataplane/src/drivers/platform.rs
@@ -1,10 +1,13 @@
-use super::{LocalHeldFunction, State};
+//! Orders to the platform.
+
+use super::state::{LocalHeldFunction, State};
 use common::adapter::{StartOrder, StartOutcome, StopOrder};
 use common::clock::MonotonicTime;
 use common::identity::{InstanceId, RunnerId, WorkerName};
 use common::spec::FunctionSpec;
 
-/// Has the platform start a runner.
+/// Orders the platform to start a runner. Without a session lease nothing is ordered, and the result is
+/// [`StartOutcome::Lost`].
 pub async fn start(
     state: &State,
     held: &LocalHeldFunction,
@@ -27,7 +30,7 @@
     state.adapters.platform.start_runner(order).await
 }
 
-/// Has the platform stop a runner; true only when it says that the runner is stopped for good.
+/// Orders the platform to stop a runner; true only when the platform confirms that it is stopped for good.
 pub async fn stop(
     state: &State,
     held: &LocalHeldFunction,
--- a/crates/dataplane/src/drivers/request_log.rs
+++ b/crates/dataplane/src/drivers/request_log.rs
@@ -1,5 +1,5 @@
-//! What a daemon writes of requests that did not end with an answer: enough to follow one by its identity from the
-//! daemon that took it to the runner and back, and never more lines than a small processor can bear.
+//! The log of requests that did not end with a response: enough to trace one by its idempotency key from the ingress
+//! daemon to the runner and back, at a limited rate.
 
 use common::clock::MonotonicTime;
 use common::events::{self, Event};
@@ -8,9 +8,9 @@
 use std::sync::{Mutex, PoisonError};
 use std::time::Duration;
 
-/// The span over which lines are counted.
+/// The window over which lines are counted.
 const WINDOW: Duration = Duration::from_secs(1);
-/// The most lines in one window.
+/// The maximum number of lines in one window.
 const MAX_LINES: u32 = 20;
 
 #[derive(Default)]
@@ -21,7 +21,7 @@
 }
 
 impl LogWindow {
-    /// Whether one more line fits; and how many were left out in a window that has just ended.
+    /// Whether one more line is within the limit, and how many lines were suppressed in a window that has just ended.
     fn admit(&mut self, now: MonotonicTime) -> (bool, u32) {
         let mut suppressed = 0;
         if now.since(self.started_at) >= WINDOW {
@@ -42,14 +42,14 @@
     }
 }
 
-/// The log of requests without an answer.
+/// The rate-limited log of requests without a response.
 #[derive(Default)]
 pub struct RequestLog {
     window: Mutex<LogWindow>,
 }
 
 impl RequestLog {
-    /// Writes a line, unless too many were written within a second; how many were left out is said with the next.
+    /// Writes a line unless the limit is reached; the number of suppressed lines is logged in the next window.
     pub fn write(&self, event: Event, detail: impl fmt::Display) {
         let (is_admitted, suppressed) = {
             let mut window = self.window.lock().unwrap_or_else(PoisonError::into_inner);
