--- a/crates/dataplane/tests/costs/mod.rs
+++ b/crates/dataplane/tests/costs/mod.rs
@@ -1,4 +1,5 @@
-//! A seeded day of calls for holders under virtual time, with a platform that boots, ramps and refuses.
+//! A seeded simulation of one day of calls to holders under virtual time, with runners that take time to start up, are
+//! slow at first, and reject requests beyond their slots.
 
 use common::adapter::StartOutcome;
 use common::clock::MonotonicTime;
@@ -15,7 +16,7 @@
 
 const START: MonotonicTime = MonotonicTime(50_000_000_000);
 const DAY: Duration = Duration::from_secs(34);
-/// Calls begin when what is kept warm has booted.
+/// Calls begin when prewarmed runners have started up.
 const WARM_UP: Duration = Duration::from_secs(3);
 const COOL_DOWN: Duration = Duration::from_secs(6);
 const TICK: Duration = Duration::from_millis(50);
@@ -25,51 +26,51 @@
 const CROWD: (f64, f64) = (14.0, 18.0);
 const REJECTION_WINDOW: Duration = Duration::from_secs(5);
 
-/// What a site charges.
+/// The prices of a site.
 #[derive(Clone, Copy)]
 pub struct Prices {
-    /// A runner's gigabyte for a second.
+    /// The price of one gigabyte of a runner for one second.
     pub gb_second: f64,
-    /// A start.
+    /// The price of a start.
     pub start: f64,
-    /// What a late answer keeps of its worth.
+    /// The fraction of its value that a late response keeps.
     pub late_value_fraction: f64,
 }
 
-/// A kind of function.
+/// The profile of a function.
 #[derive(Clone, Copy)]
 pub struct FunctionProfile {
-    /// Memory of one runner, in megabytes.
+    /// The memory of one runner, in megabytes.
     pub memory_mb: u32,
-    /// The mean boot.
+    /// The mean start-up time.
     pub startup: Duration,
-    /// Transactions one runner runs at once.
+    /// The number of requests that one runner runs at once.
     pub slots: u32,
-    /// The shortest and longest work.
+    /// The shortest and the longest service time.
     pub service: (Duration, Duration),
-    /// When an answer turns late.
+    /// The response time after which a response is late.
     pub target: Duration,
-    /// When a caller gives up.
+    /// The time after which a caller gives up.
     pub timeout: Duration,
-    /// Whether one runner is always kept.
+    /// Whether it is prewarmed.
     pub warm: bool,
 }
 
-/// One function's calls.
+/// The calls to one function.
 #[derive(Clone, Copy)]
 pub struct CallStream {
-    /// Its kind.
+    /// The profile of the function.
     pub profile: FunctionProfile,
-    /// Calls a second.
+    /// The rate in calls per second.
     pub rate: f64,
-    /// How many times as many come during the crowd.
+    /// The factor of the rate during the peak.
     pub crowd_factor: f64,
 }
 
-/// Rates of so many functions, falling with their place to a power.
+/// Rates for a number of functions that sum to `all_rate` and fall with a power of their rank.
 pub fn spread(count: usize, all_rate: f64, power: f64) -> Vec<f64> {
     let shares: Vec<f64> = (1..=count)
-        .map(|address| 1.0 / (address as f64).powf(power))
+        .map(|rank| 1.0 / (rank as f64).powf(power))
         .collect();
     let total_share: f64 = shares.iter().sum();
     shares
@@ -78,7 +79,7 @@
         .collect()
 }
 
-/// What a day came to.
+/// The costs of a simulated day.
 #[derive(Default)]
 pub struct CostReport {
     gb_seconds: f64,
@@ -91,12 +92,12 @@
     memory_cost: f64,
     start_cost: f64,
     lost_value: f64,
-    /// The most that runners of one function refused within five seconds.
+    /// The maximum number of requests that the runners of one function rejected within five seconds.
     pub max_rejections: usize,
 }
 
 impl CostReport {
-    /// Memory, starts and lost worth.
+    /// The sum of the costs of memory, starts and lost value.
     pub fn total(&self) -> f64 {
         self.memory_cost + self.start_cost + self.lost_value
     }
@@ -125,7 +126,7 @@
 #[derive(Clone, Copy)]
 struct Call {
     first_at: MonotonicTime,
-    max_attempts: u32,
+    attempt: u32,
 }
 
 enum SimEvent {
@@ -160,7 +161,7 @@
     due_at: Option<MonotonicTime>,
 }
 
-/// A day in play.
+/// A simulated day.
 pub struct DaySimulation {
     rng: SeededRng,
     prices: Prices,
@@ -168,11 +169,11 @@
     events: BTreeMap<(MonotonicTime, u64), (usize, SimEvent)>,
     next_event: u64,
     now: MonotonicTime,
-    costs_report: CostReport,
+    report: CostReport,
 }
 
 impl DaySimulation {
-    /// A day with holders as the users' machines have them.
+    /// A day with holders that have the settings of the users' machines.
     pub fn new(seed: u64, prices: Prices, streams: &[CallStream]) -> Self {
         let mut day = Self {
             rng: SeededRng::seeded(seed),
@@ -181,7 +182,7 @@
             events: BTreeMap::new(),
             next_event: 0,
             now: START,
-            costs_report: CostReport::default(),
+            report: CostReport::default(),
         };
         for (number, call_stream) in streams.iter().enumerate() {
             let terms = LeaseTerms {
@@ -229,10 +230,10 @@
     }
 
     fn begin(&mut self, number: usize) {
-        let functions = &mut self.functions[number];
-        if !functions.is_begun {
-            functions.is_begun = true;
-            let outputs = functions.holder.begin(self.now);
+        let function = &mut self.functions[number];
+        if !function.is_begun {
+            function.is_begun = true;
+            let outputs = function.holder.begin(self.now);
             self.execute_outputs(number, outputs);
             self.schedule(number, TICK, SimEvent::Tick);
         }
@@ -252,7 +253,7 @@
         Duration::from_secs_f64(next_gap)
     }
 
-    /// Plays it to its end.
+    /// Runs the simulation to its end.
     pub fn run(mut self) -> CostReport {
         while let Some(((at, _), (number, event))) = self.events.pop_first() {
             if at > START + WARM_UP + DAY + COOL_DOWN {
@@ -269,24 +270,24 @@
                 self.charge(number, runner);
             }
             let open_count = self.functions[number].calls.len() as u64;
-            self.costs_report.unserved += open_count;
-            self.costs_report.lost_value += open_count as f64;
+            self.report.unserved += open_count;
+            self.report.lost_value += open_count as f64;
         }
-        self.costs_report
+        self.report
     }
 
     fn schedule_due(&mut self, number: usize) {
-        let functions = &mut self.functions[number];
-        let due_at = functions
+        let function = &mut self.functions[number];
+        let due_at = function
             .holder
             .next_due()
             .map(|due_at| due_at.max(self.now + Duration::from_millis(1)));
         if let Some(due_at) = due_at
-            && functions
+            && function
                 .due_at
                 .is_none_or(|planned_at| planned_at <= self.now || due_at < planned_at)
         {
-            functions.due_at = Some(due_at);
+            function.due_at = Some(due_at);
             self.schedule(number, due_at.since(self.now), SimEvent::Due);
         }
     }
@@ -299,12 +300,12 @@
                     let next_gap = self.next_gap(number);
                     self.schedule(number, next_gap, SimEvent::Arrival);
                     self.begin(number);
-                    self.costs_report.calls += 1;
+                    self.report.calls += 1;
                     self.submit(
                         number,
                         Call {
                             first_at: now,
-                            max_attempts: 1,
+                            attempt: 1,
                         },
                     );
                 }
@@ -317,19 +318,19 @@
             }
             SimEvent::Due => self.functions[number].holder.tick(now),
             SimEvent::Reserved => {
-                let functions = &mut self.functions[number];
-                functions.next_runner += 1;
+                let function = &mut self.functions[number];
+                function.next_runner += 1;
                 let runner = RunnerId {
                     fencing_token: FencingToken(1),
-                    ordinal: functions.next_runner,
+                    ordinal: function.next_runner,
                 };
-                let memory_mb = functions.call_stream.profile.memory_mb;
+                let memory_mb = function.call_stream.profile.memory_mb;
                 let result = ReserveResult::Reserved {
                     runner,
                     worker: "w".into(),
                     memory_mb,
                 };
-                functions.holder.reserved(now, &result)
+                function.holder.reserved(now, &result)
             }
             SimEvent::Started(runner) => {
                 let instance = Instance {
@@ -341,45 +342,45 @@
                     .started(now, runner, StartOutcome::Started(instance))
             }
             SimEvent::Probed(runner) => {
-                let functions = &mut self.functions[number];
-                let is_ready = functions
+                let function = &mut self.functions[number];
+                let is_ready = function
                     .runners
                     .get(&runner)
                     .is_some_and(|sim_runner| sim_runner.ready_at <= now);
-                functions.holder.probed(now, runner, is_ready)
+                function.holder.probed(now, runner, is_ready)
             }
             SimEvent::Stopped(runner) => {
                 self.charge(number, runner);
                 self.functions[number].holder.stopped(now, runner)
             }
             SimEvent::SendFinished(ticket, end, runner) => {
-                let functions = &mut self.functions[number];
-                if let Some(sim_runner) = functions.runners.get_mut(&runner) {
+                let function = &mut self.functions[number];
+                if let Some(sim_runner) = function.runners.get_mut(&runner) {
                     sim_runner.running = sim_runner.running.saturating_sub(1);
                 }
-                functions.holder.handle_send_result(now, ticket, end)
+                function.holder.handle_send_result(now, ticket, end)
             }
         };
         self.execute_outputs(number, outputs);
     }
 
     fn charge(&mut self, number: usize, runner: RunnerId) {
-        let functions = &mut self.functions[number];
-        let Some(sim_runner) = functions.runners.remove(&runner) else {
+        let function = &mut self.functions[number];
+        let Some(sim_runner) = function.runners.remove(&runner) else {
             return;
         };
-        let gb = f64::from(functions.call_stream.profile.memory_mb) / 1024.0;
+        let gb = f64::from(function.call_stream.profile.memory_mb) / 1024.0;
         let gb_seconds = gb * self.now.since(sim_runner.begun_at).as_secs_f64();
-        self.costs_report.gb_seconds += gb_seconds;
-        self.costs_report.memory_cost += gb_seconds * self.prices.gb_second;
-        self.costs_report.unused += u64::from(!sim_runner.used);
+        self.report.gb_seconds += gb_seconds;
+        self.report.memory_cost += gb_seconds * self.prices.gb_second;
+        self.report.unused += u64::from(!sim_runner.used);
     }
 
     fn submit(&mut self, number: usize, call: Call) {
-        let functions = &mut self.functions[number];
-        functions.next_ticket += 1;
-        let ticket = Ticket(functions.next_ticket);
-        let profile = functions.call_stream.profile;
+        let function = &mut self.functions[number];
+        function.next_ticket += 1;
+        let ticket = Ticket(function.next_ticket);
+        let profile = function.call_stream.profile;
         let request = AdmissionRequest {
             ticket,
             idempotency_key: format!("t{ticket:?}").as_str().into(),
@@ -393,8 +394,8 @@
             rank: 0,
             region: None,
         };
-        functions.calls.insert(ticket, call);
-        let (at_once, outputs) = functions.holder.admit(self.now, request);
+        function.calls.insert(ticket, call);
+        let (at_once, outputs) = function.holder.admit(self.now, request);
         if let Some(outcome) = at_once {
             self.finish_call(number, ticket, &outcome);
         }
@@ -402,41 +403,41 @@
     }
 
     fn finish_call(&mut self, number: usize, ticket: Ticket, outcome: &RequestOutcome) {
-        let functions = &mut self.functions[number];
-        let Some(call) = functions.calls.remove(&ticket) else {
+        let function = &mut self.functions[number];
+        let Some(call) = function.calls.remove(&ticket) else {
             return;
         };
-        let profile = functions.call_stream.profile;
+        let profile = function.call_stream.profile;
         let taken_span = self.now.since(call.first_at);
         let remaining_time = profile.timeout.saturating_sub(taken_span);
         match outcome {
             RequestOutcome::Response { .. }
-                if taken_span <= profile.target && call.max_attempts == 1 => {}
+                if taken_span <= profile.target && call.attempt == 1 => {}
             RequestOutcome::Response { .. } if taken_span <= profile.target => {
-                self.costs_report.lost_value += (1.0 - self.prices.late_value_fraction) / 2.0;
+                self.report.lost_value += (1.0 - self.prices.late_value_fraction) / 2.0;
             }
             RequestOutcome::Response { .. } if !remaining_time.is_zero() => {
-                self.costs_report.late += 1;
-                self.costs_report.lost_value += 1.0 - self.prices.late_value_fraction;
+                self.report.late += 1;
+                self.report.lost_value += 1.0 - self.prices.late_value_fraction;
             }
             RequestOutcome::NotRun { retry_after_ms, .. }
-                if call.max_attempts < 4 && !remaining_time.is_zero() =>
+                if call.attempt < 4 && !remaining_time.is_zero() =>
             {
-                self.costs_report.rejections += 1;
+                self.report.rejections += 1;
                 let pause =
                     Duration::from_millis(u64::from(*retry_after_ms)).min(remaining_time / 3);
                 self.schedule(
                     number,
                     pause,
                     SimEvent::Retry(Call {
-                        max_attempts: call.max_attempts + 1,
+                        attempt: call.attempt + 1,
                         ..call
                     }),
                 );
             }
             _ => {
-                self.costs_report.unserved += 1;
-                self.costs_report.lost_value += 1.0;
+                self.report.unserved += 1;
+                self.report.lost_value += 1.0;
             }
         }
     }
@@ -476,8 +477,8 @@
             .insert(runner, sim_runner)
             .is_none()
         {
-            self.costs_report.starts += 1;
-            self.costs_report.start_cost += self.prices.start;
+            self.report.starts += 1;
+            self.report.start_cost += self.prices.start;
         }
         self.schedule(number, PLATFORM_LATENCY, SimEvent::Started(runner));
     }
@@ -486,8 +487,8 @@
         let profile = self.functions[number].call_stream.profile;
         let work = self.rng.within(profile.service.0, profile.service.1);
         let now = self.now;
-        let functions = &mut self.functions[number];
-        let Some(sim_runner) = functions.runners.get_mut(&runner) else {
+        let function = &mut self.functions[number];
+        let Some(sim_runner) = function.runners.get_mut(&runner) else {
             return self.schedule(
                 number,
                 PLATFORM_LATENCY,
@@ -496,14 +497,11 @@
         };
         if sim_runner.running >= profile.slots {
             sim_runner.running += 1;
-            functions.rejected_at.push_back(now);
-            functions
+            function.rejected_at.push_back(now);
+            function
                 .rejected_at
                 .retain(|at| now.since(*at) < REJECTION_WINDOW);
-            self.costs_report.max_rejections = self
-                .costs_report
-                .max_rejections
-                .max(functions.rejected_at.len());
+            self.report.max_rejections = self.report.max_rejections.max(function.rejected_at.len());
             let end = SendResult::RejectedByRunner;
             return self.schedule(
                 number,
--- a/crates/dataplane/tests/holder.rs
+++ b/crates/dataplane/tests/holder.rs
@@ -1,4 +1,4 @@
-//! A held function: slots, ramps, identities, extra tries, refusals.
+//! A held function: slots, slow start, idempotency keys, retries, rejections, replication.
 
 use common::adapter::StartOutcome;
 use common::clock::MonotonicTime;
@@ -544,10 +544,10 @@
         }
     }
     verify_that!(extras.len(), ge(100))?;
-    for (address, extra) in extras.iter().enumerate() {
+    for (index, extra) in extras.iter().enumerate() {
         let in_window =
             |instant: &&MonotonicTime| extra.since(**instant) <= ms(10_000) && **instant <= *extra;
-        let extra_count = extras[..=address].iter().filter(in_window).count();
+        let extra_count = extras[..=index].iter().filter(in_window).count();
         let first_count = firsts.iter().filter(in_window).count();
         verify_that!(extra_count as f64, le(first_count as f64 / 5.0 + 4.0))?;
     }
@@ -909,7 +909,7 @@
     verify_that!(bench.ended.get(&once), some(eq(&failed_at(runner))))
 }
 
-/// Its caller's daemon passed it on again after a silence: the first pass may still be having its tries.
+/// The caller's daemon forwards a request again when no reply came: the first one may still be making its attempts.
 #[gtest]
 fn a_repeat_is_sent_to_one_runner_only() -> Result<()> {
     let ends = [SendResult::Lost, SendResult::RejectedByRunner];
--- a/crates/dataplane/tests/holder_costs.rs
+++ b/crates/dataplane/tests/holder_costs.rs
@@ -1,4 +1,4 @@
-//! What holders cost over a day of calls: runner memory, starts, and worth lost to late or refused calls.
+//! The costs of holders over a simulated day of calls: runner memory, starts, and value lost to late or rejected calls.
 
 mod costs;
 
@@ -73,7 +73,7 @@
     all
 }
 
-/// Each day's mean cost over three seeds stays under its bound, and so do refusals by runners.
+/// Each day's mean cost over three seeds stays under its bound, and so do rejections by runners.
 #[gtest]
 fn daily_costs_stay_within_bounds() -> Result<()> {
     let days = [
--- a/crates/dataplane/tests/idle_retention.rs
+++ b/crates/dataplane/tests/idle_retention.rs
@@ -1,5 +1,5 @@
-//! When the last runner of a function is stopped: by what a start, a late answer and its memory cost, and by how often
-//! it is called and how long it boots.
+//! When the last runner of a function is stopped: by the costs of a start, of a late response and of its memory, by how
+//! often it is called and how long it starts up.
 
 use common::adapter::StartOutcome;
 use common::clock::MonotonicTime;
@@ -19,7 +19,7 @@
     Duration::from_millis(millis)
 }
 
-/// A held function whose runners boot as long as their spec says and answer at once.
+/// A held function whose runners take the start-up time of their spec and respond at once.
 struct Bench {
     holder: Holder,
     now: MonotonicTime,
@@ -161,7 +161,7 @@
         self.take(outputs);
     }
 
-    /// Calls with such gaps between them; says how many runners were started for them.
+    /// Submits calls with these gaps between them; returns how many runners were started for them.
     fn starts_for_calls(&mut self, gap: Duration, count: usize) -> usize {
         let before = self.starts;
         for _ in 0..count {
--- a/crates/dataplane/tests/ledger.rs
+++ b/crates/dataplane/tests/ledger.rs
@@ -1,4 +1,4 @@
-//! Ledgers: copies agree with a plain map, differ only where they differ, and are sealed by a successor.
+//! Ledgers and their replicas: repair by range digests, sealing by a later holder, incarnations and expiry.
 
 use common::clock::MonotonicTime;
 use common::frames::{LedgerRecord, LedgerRecordState, RequestFailureReason, RequestOutcome};
@@ -42,8 +42,8 @@
         let deadline = now + Duration::from_secs(3);
         ledger.begin(name.clone(), true, deadline);
         if rng.random_bool(0.9) {
-            let record_of = ledger.record_of(now, &name).expect("a line");
-            replica.record(now, &function(), LEASE, INCARNATION, &[record_of]);
+            let record = ledger.record_of(now, &name).expect("a record");
+            replica.record(now, &function(), LEASE, INCARNATION, &[record]);
         }
         if rng.random_bool(0.1) {
             let outcome = RequestOutcome::Unknown {
@@ -63,7 +63,7 @@
     let sent = ledger.records_in(now, &ranges);
     let sent_ranges: BTreeSet<u8> = sent
         .iter()
-        .map(|record_of| range_of(&record_of.idempotency_key) as u8)
+        .map(|record| range_of(&record.idempotency_key) as u8)
         .collect();
     verify_that!(
         sent_ranges.iter().all(|range| ranges.contains(range)),
--- a/crates/dataplane/tests/metrics_forms.rs
+++ b/crates/dataplane/tests/metrics_forms.rs
@@ -22,7 +22,7 @@
     forms::check(env!("CARGO_MANIFEST_DIR"), "metrics.txt", &page);
 }
 
-/// A fresh value of every field, so that each name stays with what it counts.
+/// Each field gets a value of its own, so that each metric name is held to what it counts.
 #[test]
 fn every_metric_counts_what_its_name_says() {
     let gauges = Gauges::new();
--- a/crates/dataplane/tests/pool.rs
+++ b/crates/dataplane/tests/pool.rs
@@ -1,4 +1,4 @@
-//! Which kept connection is used, and which are dropped.
+//! The connection pool: which idle connection is reused, and which are dropped.
 
 use common::clock::MonotonicTime;
 use common::identity::{FencingToken, RunnerId};
