--- a/crates/dataplane/src/drivers/control.rs
+++ b/crates/dataplane/src/drivers/control.rs
@@ -32,7 +32,7 @@
 const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
 /// The state of the control task.
-pub struct Control {
+pub(super) struct Control {
     state: Arc<State>,
     controller: DaemonControl<oneshot::Sender<RequestOutcome>>,
     /// The requests that wait for an acquisition.
@@ -45,7 +45,7 @@
 
 impl Control {
     /// The state before the first input.
-    pub fn new(state: Arc<State>, heartbeat_socket: Arc<UdpSocket>) -> Self {
+    pub(super) fn new(state: Arc<State>, heartbeat_socket: Arc<UdpSocket>) -> Self {
         let controller = DaemonControl::new(
             MonotonicTime::now(),
             &state.agent,
@@ -75,7 +75,7 @@
 
     /// Runs until all senders of inputs are gone, in effect as long as the process. Wakes only when something is due or
     /// an input arrives.
-    pub async fn run(mut self, mut inputs: mpsc::UnboundedReceiver<ControlInput>) {
+    pub(super) async fn run(mut self, mut inputs: mpsc::UnboundedReceiver<ControlInput>) {
         let state = self.state.clone();
         let mut due = MonotonicTime::now();
         loop {
--- a/crates/dataplane/src/drivers/ingress.rs
+++ b/crates/dataplane/src/drivers/ingress.rs
@@ -40,7 +40,11 @@
 }
 
 /// Serves readiness and metrics at their own address until `stop`.
-pub async fn serve_ready(state: Arc<State>, listener: TcpListener, stop: watch::Receiver<bool>) {
+pub(super) async fn serve_ready(
+    state: Arc<State>,
+    listener: TcpListener,
+    stop: watch::Receiver<bool>,
+) {
     let handler = move |request: Request<Incoming>| {
         let state = state.clone();
         async move {
--- a/crates/dataplane/src/drivers/metered_stream.rs
+++ b/crates/dataplane/src/drivers/metered_stream.rs
@@ -30,23 +30,23 @@
 /// The permit ended before the first byte was written; nothing was sent.
 #[derive(Debug, Error)]
 #[error("the permission to send has ended")]
-pub struct WriteNotPermittedError;
+pub(super) struct WriteNotPermittedError;
 
 /// The write state of a stream, shared with the one who sends on it.
 #[derive(Default)]
-pub struct WriteMeter {
+pub(super) struct WriteMeter {
     written: AtomicU64,
     permit: Mutex<Option<WritePermit>>,
 }
 
 impl WriteMeter {
     /// The number of bytes that the stream has accepted so far; accepted bytes may have been sent.
-    pub fn written(&self) -> u64 {
+    pub(super) fn written(&self) -> u64 {
         self.written.load(Ordering::Acquire)
     }
 
     /// Sets the permit that is checked before the next byte is written.
-    pub fn set_permit(&self, permit: WritePermit) {
+    pub(super) fn set_permit(&self, permit: WritePermit) {
         *self.permit.lock().unwrap_or_else(PoisonError::into_inner) = Some(permit);
     }
 
@@ -69,14 +69,14 @@
 }
 
 /// A byte stream whose writes are metered.
-pub struct MeteredStream {
+pub(super) struct MeteredStream {
     inner: Box<dyn ByteStream>,
     meter: Arc<WriteMeter>,
 }
 
 impl MeteredStream {
     /// Wraps a stream; the meter starts at zero.
-    pub fn new(inner: Box<dyn ByteStream>) -> (Self, Arc<WriteMeter>) {
+    pub(super) fn new(inner: Box<dyn ByteStream>) -> (Self, Arc<WriteMeter>) {
         let meter = Arc::new(WriteMeter::default());
         (
             Self {
--- a/crates/dataplane/src/drivers/platform.rs
+++ b/crates/dataplane/src/drivers/platform.rs
@@ -8,7 +8,7 @@
 
 /// Orders the platform to start a runner. Without a session lease nothing is ordered, and the result is
 /// [`StartOutcome::Lost`].
-pub async fn start(
+pub(super) async fn start(
     state: &State,
     held: &LocalHeldFunction,
     runner: RunnerId,
@@ -31,7 +31,7 @@
 }
 
 /// Orders the platform to stop a runner; true only when the platform confirms that it is stopped for good.
-pub async fn stop(
+pub(super) async fn stop(
     state: &State,
     held: &LocalHeldFunction,
     runner: RunnerId,
--- a/crates/dataplane/src/drivers/runners.rs
+++ b/crates/dataplane/src/drivers/runners.rs
@@ -30,7 +30,7 @@
 /// again right before the first byte is written. Nothing is sent to a runner that is gone: its address may belong to
 /// another one. If an idle connection turns out to be closed before anything was written, that is no failure of the
 /// runner, and a new connection is opened at once.
-pub async fn send(
+pub(super) async fn send(
     state: &Arc<State>,
     held: &LocalHeldFunction,
     ticket: Ticket,
@@ -239,7 +239,7 @@
 
 /// Whether a runner that is starting up is ready, and is the intended one. A connection that was opened to find that
 /// out is put into the pool.
-pub async fn is_ready(
+pub(super) async fn is_ready(
     state: &State,
     held: &LocalHeldFunction,
     runner: RunnerId,
@@ -273,7 +273,7 @@
 }
 
 /// The requests that a runner is running; none when it is gone, or another runner answers at its address.
-pub async fn list_running(
+pub(super) async fn list_running(
     state: &State,
     runner: RunnerId,
     address: SocketAddress,
--- a/crates/dataplane/src/holder/demand.rs
+++ b/crates/dataplane/src/holder/demand.rs
@@ -45,7 +45,7 @@
 }
 
 /// The demand for a function: its recent rate of calls, and whether the next call is expected soon.
-pub struct Demand {
+pub(super) struct Demand {
     short_term: DecayingCounter,
     long_term: DecayingCounter,
     first_at: Option<MonotonicTime>,
@@ -56,7 +56,7 @@
 
 impl Demand {
     /// Before the first call; `startup` and `break_even` give the time constants.
-    pub fn new(
+    pub(super) fn new(
         now: MonotonicTime,
         tuning: &Tuning,
         startup: Duration,
@@ -74,31 +74,31 @@
     }
 
     /// Counts a call.
-    pub fn record_call(&mut self, now: MonotonicTime) {
+    pub(super) fn record_call(&mut self, now: MonotonicTime) {
         self.first_at.get_or_insert(now);
         self.short_term.add(now);
         self.long_term.add(now);
     }
 
     /// Whether there was any call.
-    pub fn was_called(&self) -> bool {
+    pub(super) fn was_called(&self) -> bool {
         self.first_at.is_some()
     }
 
     /// The time since the first call, in seconds; zero before it.
-    pub fn age(&self, now: MonotonicTime) -> f64 {
+    pub(super) fn age(&self, now: MonotonicTime) -> f64 {
         self.first_at
             .map_or(0.0, |first_at| now.since(first_at).as_secs_f64())
     }
 
     /// Whether there were calls for long enough, or enough of them, for the rate to be meaningful.
-    pub fn is_known(&self, now: MonotonicTime) -> bool {
+    pub(super) fn is_known(&self, now: MonotonicTime) -> bool {
         self.age(now) >= 2.0 * self.short_term.time_constant
             || self.short_term.at(now) >= KNOWN_RATE_CALLS
     }
 
     /// The rate in calls per second; it rises at once and decays slowly.
-    pub fn rate(&mut self, now: MonotonicTime) -> f64 {
+    pub(super) fn rate(&mut self, now: MonotonicTime) -> f64 {
         let effective_window = self
             .short_term
             .effective_window(self.age(now).max(MIN_WINDOW_S));
@@ -110,7 +110,7 @@
     }
 
     /// Whether the next call is expected within the break-even time of a retained runner.
-    pub fn is_frequent(&self, now: MonotonicTime, break_even: Duration) -> bool {
+    pub(super) fn is_frequent(&self, now: MonotonicTime, break_even: Duration) -> bool {
         let break_even = break_even.as_secs_f64();
         let effective_window = self.long_term.effective_window(self.age(now));
         let count = self.long_term.at(now);
--- a/crates/dataplane/src/holder/idle_retention.rs
+++ b/crates/dataplane/src/holder/idle_retention.rs
@@ -27,14 +27,14 @@
 const MAX_DEVIATIONS: f64 = 2.0;
 
 /// The smoothed mean and mean deviation of runners' start-up times, in seconds.
-pub struct StartupTimes {
+pub(super) struct StartupTimes {
     mean: f64,
     deviation: f64,
 }
 
 impl StartupTimes {
     /// Before any measurement; the spec gives the expected mean.
-    pub fn new(expected: Duration) -> Self {
+    pub(super) fn new(expected: Duration) -> Self {
         let mean = expected.as_secs_f64();
         Self {
             mean,
@@ -43,14 +43,14 @@
     }
 
     /// A runner's start-up took this long.
-    pub fn record_startup(&mut self, span: Duration) {
+    pub(super) fn record_startup(&mut self, span: Duration) {
         let distance = span.as_secs_f64() - self.mean;
         self.mean += distance * SMOOTHING_FACTOR;
         self.deviation += (distance.abs() - self.deviation) * SMOOTHING_FACTOR;
     }
 
     /// The fraction of the requests that wait for a start-up whose responses exceed a target.
-    pub fn late_fraction(&self, service_time: Duration, target: Duration) -> f64 {
+    pub(super) fn late_fraction(&self, service_time: Duration, target: Duration) -> f64 {
         let half_width = (self.deviation * MAX_DEVIATIONS).max(f64::EPSILON);
         let longest = self.mean + half_width + service_time.as_secs_f64();
         ((longest - target.as_secs_f64()) / (2.0 * half_width)).clamp(0.0, 1.0)
--- a/crates/dataplane/src/holder/lifecycle.rs
+++ b/crates/dataplane/src/holder/lifecycle.rs
@@ -27,7 +27,7 @@
     Closed {
         /// When the lease ended.
         since: MonotonicTime,
-        /// Whether the leader knows the runners that were orphaned.
+        /// Whether the orphaned runners were reported to the leader.
         orphans_reported: bool,
     },
 }
@@ -58,8 +58,8 @@
         matches!(self, Self::Serving | Self::IdleStopped | Self::Releasing)
     }
 
-    /// Whether the holder can be dropped, as far as the lifecycle decides that; `has_work` tells that requests
-    /// or runners of its own are left, `has_orphans` that any runner is left.
+    /// Whether the holder can be dropped, as far as the lifecycle decides that; `has_work` is whether
+    /// requests or runners of its own remain, `has_orphans` whether any runner remains.
     pub(super) fn is_finished(self, now: MonotonicTime, has_work: bool, has_orphans: bool) -> bool {
         match self {
             Self::Released => true,
@@ -112,7 +112,7 @@
         }
     }
 
-    /// The leader was told which runners were orphaned; only a closed holder has any to report.
+    /// The orphaned runners were reported to the leader; only a closed holder has any to report.
     pub(super) fn record_orphans_reported(&mut self) {
         if let Self::Closed {
             orphans_reported, ..
--- a/crates/dataplane/src/holder/output.rs
+++ b/crates/dataplane/src/holder/output.rs
@@ -99,7 +99,7 @@
     },
     /// Requests another replica.
     ReplicaLost {
-        /// The daemon that does not answer.
+        /// The daemon that does not respond.
         lost: MemberName,
     },
     /// The replica is complete.
--- a/crates/dataplane/src/holder/regional.rs
+++ b/crates/dataplane/src/holder/regional.rs
@@ -34,7 +34,7 @@
 
 /// The recent calls from other regions than the holder's, and which of these regions use a regional key.
 #[derive(Default)]
-pub struct RegionalDemand {
+pub(super) struct RegionalDemand {
     loads: BTreeMap<Region, RegionLoad>,
     /// Callers may retry requests under their idempotency keys; these must reach the one holder that has recorded them.
     has_recorded_calls: bool,
@@ -42,7 +42,12 @@
 
 impl RegionalDemand {
     /// Counts a call from another region, or from the holder's own (none).
-    pub fn record_call(&mut self, now: MonotonicTime, region: Option<&Region>, is_recorded: bool) {
+    pub(super) fn record_call(
+        &mut self,
+        now: MonotonicTime,
+        region: Option<&Region>,
+        is_recorded: bool,
+    ) {
         self.has_recorded_calls |= is_recorded;
         let Some(region) = region else { return };
         if !self.loads.contains_key(region) {
--- a/crates/dataplane/src/holder/releasing.rs
+++ b/crates/dataplane/src/holder/releasing.rs
@@ -15,15 +15,15 @@
         !self.lifecycle.admits()
     }
 
-    /// Whether it can be dropped: it has nothing left to do, and the leader was told of the runners it orphaned or
-    /// will find them in the platform's list.
+    /// Whether it can be dropped: its work is finished, and the runners that it orphaned were reported to the leader or
+    /// will be found by it in the platform's list.
     pub fn is_finished(&self, now: MonotonicTime) -> bool {
         let has_work = !self.requests.in_flight.is_empty() || !self.runners.are_all_orphaned();
         self.lifecycle
             .is_finished(now, has_work, !self.runners.is_empty())
     }
 
-    /// The leader was told which runners were orphaned.
+    /// The orphaned runners were reported to the leader.
     pub fn orphans_reported(&mut self) {
         self.lifecycle.record_orphans_reported();
     }
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Completes a release as soon as no request and no runner of its own is left.
+    /// Completes a release as soon as no request and no runner of its own remains.
     pub(super) fn finish_release(&mut self, now: MonotonicTime) {
         if !self.lifecycle.is_releasing() || !self.requests.is_empty() {
             return;
--- a/crates/dataplane/src/holder/replication.rs
+++ b/crates/dataplane/src/holder/replication.rs
@@ -28,14 +28,14 @@
 }
 
 /// The replication state of a holder's ledger.
-pub struct Replication {
+pub(super) struct Replication {
     pub(super) replica: Option<Host>,
     copy: ReplicaCopy,
     /// The earlier lease whose ledger is being collected.
     collecting_from: Option<PreviousLease>,
     /// From when on once-only requests are admitted without a collected ledger.
     once_allowed_from: MonotonicTime,
-    /// When the leader was last asked to replace a replica that does not answer.
+    /// When the leader was last requested to replace a replica that does not respond.
     replacement_requested_at: Option<MonotonicTime>,
     batches: BTreeMap<u64, ReplicationBatch>,
     next_batch_id: u64,
@@ -45,7 +45,7 @@
 impl Replication {
     /// The replication as the leader granted it; without a wait for once-only requests there was no earlier ledger,
     /// and the empty replica is complete.
-    pub fn new(
+    pub(super) fn new(
         now: MonotonicTime,
         replica: Option<Host>,
         previous_lease: Option<PreviousLease>,
@@ -76,7 +76,7 @@
     }
 
     /// Whether an earlier holder's ledger is being collected.
-    pub fn is_collecting(&self) -> bool {
+    pub(super) fn is_collecting(&self) -> bool {
         self.collecting_from.is_some()
     }
 
@@ -86,7 +86,7 @@
     }
 
     /// Whether a once-only request can be replicated now, or need not be.
-    pub fn is_available(&self) -> bool {
+    pub(super) fn is_available(&self) -> bool {
         !self.is_collecting() && self.replacement_requested_at.is_none()
     }
 
@@ -133,7 +133,7 @@
         }
     }
 
-    /// The replica that the leader is to be asked again to replace.
+    /// The replica whose replacement is to be requested again.
     fn overdue_replacement(&self, now: MonotonicTime) -> Option<&Host> {
         let requested_at = self.replacement_requested_at?;
         let is_overdue = now.since(requested_at) > REPLICA_REQUEST_INTERVAL;
--- a/crates/dataplane/src/holder/retry_budget.rs
+++ b/crates/dataplane/src/holder/retry_budget.rs
@@ -16,7 +16,7 @@
 }
 
 /// Counts first attempts and retries over the last ten seconds.
-pub struct RetryBudget {
+pub(super) struct RetryBudget {
     started_at: MonotonicTime,
     /// The retries allowed for each hundred first attempts.
     percent: u64,
@@ -28,8 +28,8 @@
 }
 
 impl RetryBudget {
-    /// A budget that knows no attempts yet.
-    pub fn new(now: MonotonicTime, tuning: &Tuning) -> Self {
+    /// An empty budget: no attempts are counted yet.
+    pub(super) fn new(now: MonotonicTime, tuning: &Tuning) -> Self {
         Self {
             started_at: now,
             percent: tuning.retry_percent,
@@ -66,7 +66,7 @@
     }
 
     /// Counts a request as a first attempt, unless its caller marked it as a retry.
-    pub fn record_attempt(&mut self, now: MonotonicTime, repeat: bool) {
+    pub(super) fn record_attempt(&mut self, now: MonotonicTime, repeat: bool) {
         if !repeat {
             self.bucket(now).first_attempts += 1;
         }
@@ -74,7 +74,7 @@
 
     /// Whether one more retry stays within the share of the first attempts and the allowance. First attempts count at
     /// most twice those of the last half window, so that a past peak does not pay for retries now.
-    pub fn has_retry_budget(&mut self, now: MonotonicTime) -> bool {
+    pub(super) fn has_retry_budget(&mut self, now: MonotonicTime) -> bool {
         let index = self.bucket(now).index;
         let half_window_index = index.saturating_sub(WINDOW.as_millis() as u64 / BUCKET_MS / 2);
         let oldest_index = index.saturating_sub(WINDOW.as_millis() as u64 / BUCKET_MS);
@@ -100,7 +100,7 @@
     }
 
     /// Counts a retry.
-    pub fn spend(&mut self, now: MonotonicTime) {
+    pub(super) fn spend(&mut self, now: MonotonicTime) {
         self.bucket(now).retries += 1;
     }
 }
--- a/crates/dataplane/src/holder/runners.rs
+++ b/crates/dataplane/src/holder/runners.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 const PROBE_INTERVAL: Duration = Duration::from_millis(20);
-/// How long a lost response occupies its slot where a runner cannot be asked what it is running.
+/// How long a lost response occupies its slot where runners cannot list the requests that they are running.
 const LOST_SEND_SLOT_HOLD: Duration = Duration::from_millis(400);
 /// How long a runner that rejected a request gets no more requests than it had then.
 const THROTTLE_DURATION: Duration = Duration::from_millis(200);
@@ -24,7 +24,7 @@
 
 /// The phase of a runner's lifecycle.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Phase {
+pub(super) enum Phase {
     /// The platform was ordered to start it.
     StartRequested,
     /// It is started, and not yet ready.
@@ -57,7 +57,7 @@
 }
 
 /// One runner of a holder.
-pub struct RunnerRecord {
+pub(super) struct RunnerRecord {
     /// The worker it runs on.
     pub worker: WorkerName,
     /// The memory reserved for it, in megabytes.
@@ -78,7 +78,7 @@
     pub limit: u32,
     /// Whether a readiness probe is under way.
     pub probe_pending: bool,
-    /// Since when it is to be drained as soon as another can take over.
+    /// Since when it is to be drained as soon as another one is ready.
     pub replace_since: Option<MonotonicTime>,
     running: BTreeSet<IdempotencyKey>,
     unresolved: BTreeMap<IdempotencyKey, UnresolvedSend>,
@@ -91,7 +91,12 @@
 
 impl RunnerRecord {
     /// A runner that the platform is ordered to start.
-    pub fn starting(now: MonotonicTime, worker: WorkerName, memory_mb: u32, slots: u32) -> Self {
+    pub(super) fn starting(
+        now: MonotonicTime,
+        worker: WorkerName,
+        memory_mb: u32,
+        slots: u32,
+    ) -> Self {
         Self {
             worker,
             memory_mb,
@@ -115,7 +120,7 @@
 
     /// A runner adopted from an earlier holder; that holder's requests may still run there, so it begins with half of
     /// its slots. None if its instance is not known.
-    pub fn adopted(now: MonotonicTime, listed: ClaimedRunner, slots: u32) -> Option<Self> {
+    pub(super) fn adopted(now: MonotonicTime, listed: ClaimedRunner, slots: u32) -> Option<Self> {
         let instance = listed.instance.0.into_iter().next()?;
         let mut record = Self::starting(now, listed.worker, listed.memory_mb, slots);
         record.phase = Phase::Ready;
@@ -125,17 +130,17 @@
     }
 
     /// Where it listens.
-    pub fn address(&self) -> Option<SocketAddress> {
+    pub(super) fn address(&self) -> Option<SocketAddress> {
         self.instance.as_ref().map(|instance| instance.address)
     }
 
     /// The platform did not carry the start order out; it is to be repeated soon.
-    pub fn schedule_start_retry(&mut self, now: MonotonicTime) {
+    pub(super) fn schedule_start_retry(&mut self, now: MonotonicTime) {
         self.start_retry_at = Some(now + START_RETRY_DELAY);
     }
 
     /// Whether it can be left running for the next holder: it is ready and healthy, or orphaned already.
-    pub fn may_be_orphaned(&self) -> bool {
+    pub(super) fn may_be_orphaned(&self) -> bool {
         let is_healthy = self.consecutive_losses < 2;
         self.phase == Phase::Orphaned || (self.is_usable() && self.instance.is_some() && is_healthy)
     }
@@ -150,7 +155,7 @@
     }
 
     /// Its form in reports to the leader.
-    pub fn to_claim(&self, runner: RunnerId) -> ClaimedRunner {
+    pub(super) fn to_claim(&self, runner: RunnerId) -> ClaimedRunner {
         ClaimedRunner {
             runner,
             worker: self.worker.clone(),
@@ -161,27 +166,27 @@
     }
 
     /// The number of slots in use, including those of lost responses.
-    pub fn busy_count(&self) -> usize {
+    pub(super) fn busy_count(&self) -> usize {
         self.running.len() + self.unresolved.len()
     }
 
     /// Whether it was ordered and is not ready yet.
-    pub fn is_starting(&self) -> bool {
+    pub(super) fn is_starting(&self) -> bool {
         matches!(self.phase, Phase::StartRequested | Phase::StartingUp)
     }
 
     /// Whether it is ready or starting, and is not to be replaced.
-    pub fn is_starting_or_ready(&self) -> bool {
+    pub(super) fn is_starting_or_ready(&self) -> bool {
         (self.is_starting() || self.phase == Phase::Ready) && self.replace_since.is_none()
     }
 
     /// Whether it is ready and is not to be replaced.
-    pub fn is_usable(&self) -> bool {
+    pub(super) fn is_usable(&self) -> bool {
         self.phase == Phase::Ready && self.replace_since.is_none()
     }
 
     /// The number of requests that it may have at once now.
-    pub fn current_limit(&self, now: MonotonicTime) -> u32 {
+    pub(super) fn current_limit(&self, now: MonotonicTime) -> u32 {
         match self.throttle {
             Some((until, throttled_limit)) if now < until => self.limit.min(throttled_limit),
             _ => self.limit,
@@ -189,7 +194,7 @@
     }
 
     /// The number of requests that it may have at once after its slow start, which takes few responses.
-    pub fn expected_limit(&self, now: MonotonicTime) -> u32 {
+    pub(super) fn expected_limit(&self, now: MonotonicTime) -> u32 {
         match self.throttle {
             Some((until, throttled_limit)) if now < until => self.slots.min(throttled_limit),
             _ => self.slots,
@@ -197,29 +202,29 @@
     }
 
     /// Whether it takes one more request.
-    pub fn has_free_slot(&self, now: MonotonicTime) -> bool {
+    pub(super) fn has_free_slot(&self, now: MonotonicTime) -> bool {
         self.phase == Phase::Ready && self.busy_count() < self.current_limit(now) as usize
     }
 
     /// It rejected a request: it gets no more at once than it has now, for a while. The rest of its slots may be in use
     /// for an earlier holder.
-    pub fn handle_rejection(&mut self, now: MonotonicTime) {
+    pub(super) fn handle_rejection(&mut self, now: MonotonicTime) {
         self.throttle = Some((now + THROTTLE_DURATION, self.busy_count() as u32));
     }
 
     /// Sets the time of its first readiness probe.
-    pub fn probe_after(&mut self, first_probe_at: MonotonicTime) {
+    pub(super) fn probe_after(&mut self, first_probe_at: MonotonicTime) {
         self.next_check_at = first_probe_at;
     }
 
     /// Occupies a slot for a request.
-    pub fn occupy_slot(&mut self, now: MonotonicTime, idempotency_key: IdempotencyKey) {
+    pub(super) fn occupy_slot(&mut self, now: MonotonicTime, idempotency_key: IdempotencyKey) {
         self.last_used_at = now;
         self.running.insert(idempotency_key);
     }
 
     /// Frees a request's slot, or keeps it occupied while it is not known whether the runner is still running it.
-    pub fn release_slot(
+    pub(super) fn release_slot(
         &mut self,
         now: MonotonicTime,
         idempotency_key: &IdempotencyKey,
@@ -245,13 +250,13 @@
     }
 
     /// A response widens the slow-start limit by one, up to the slots that the runner was started with.
-    pub fn widen_limit(&mut self, slots: u32) {
+    pub(super) fn widen_limit(&mut self, slots: u32) {
         let upper_limit = self.slots.min(slots).max(1);
         self.limit = self.limit.saturating_add(1).min(upper_limit);
     }
 
     /// Frees the slots of lost responses whose requests the runner no longer lists.
-    pub fn resolve_not_running(&mut self, now: MonotonicTime, running: &[IdempotencyKey]) {
+    pub(super) fn resolve_not_running(&mut self, now: MonotonicTime, running: &[IdempotencyKey]) {
         self.probe_pending = false;
         self.unresolved.retain(|idempotency_key, unresolved| {
             running.contains(idempotency_key) || now.since(unresolved.since) < RUNNING_LIST_INTERVAL
@@ -315,8 +320,8 @@
         self.address().map_or(DueAction::Nothing, DueAction::Probe)
     }
 
-    /// A runner whose lost responses stay unresolved, or that lost many in a row, is stopped; else it is asked what it
-    /// is running.
+    /// A runner whose lost responses stay unresolved, or that lost many in a row, is stopped; else it has to list
+    /// the requests that it is running.
     fn due_unresolved_action(&mut self, now: MonotonicTime, lists_running: bool) -> DueAction {
         let oldest_unresolved = self
             .unresolved
--- a/crates/dataplane/src/holder/scaling.rs
+++ b/crates/dataplane/src/holder/scaling.rs
@@ -18,7 +18,7 @@
 const CANCEL_LOAD_FACTOR: f64 = 1.25;
 
 /// The scaling state of a holder: its open reservations and the times of its next steps.
-pub struct Scaling {
+pub(super) struct Scaling {
     reserving_since: Vec<MonotonicTime>,
     next_reserve_at: MonotonicTime,
     next_drain_at: MonotonicTime,
@@ -26,7 +26,7 @@
 
 impl Scaling {
     /// No reservation is open yet.
-    pub fn new(now: MonotonicTime) -> Self {
+    pub(super) fn new(now: MonotonicTime) -> Self {
         Self {
             reserving_since: Vec::new(),
             next_reserve_at: now,
@@ -35,7 +35,7 @@
     }
 
     /// A requested reservation was granted or rejected, or got no reply.
-    pub fn reserve_ended(&mut self, now: MonotonicTime, is_reserved: bool) {
+    pub(super) fn reserve_ended(&mut self, now: MonotonicTime, is_reserved: bool) {
         self.reserving_since.pop();
         if !is_reserved {
             self.next_reserve_at = now + RESERVE_RETRY_DELAY;
@@ -217,7 +217,7 @@
         }
     }
 
-    /// Drains the runners that are to be replaced, once another can take over or the wait for one has been too long.
+    /// Drains the runners that are to be replaced, once another one is ready or the wait for one has been too long.
     fn drain_replaced(&mut self, now: MonotonicTime, has_replacement: bool) {
         for (_, record) in self.runners.iter_mut() {
             let is_overdue = record
