--- a/crates/dataplane/tests/holder.rs
+++ b/crates/dataplane/tests/holder.rs
@@ -1098,3 +1098,104 @@
     }
     Ok(())
 }
+
+fn released_runners(bench: &Bench) -> Vec<usize> {
+    let released = |output: &HolderOutput| match output {
+        HolderOutput::Report(HolderMessage::Released { runners }) => Some(runners.len()),
+        _ => None,
+    };
+    bench.outputs.iter().filter_map(released).collect()
+}
+
+#[gtest]
+fn a_release_finishes_what_was_admitted_and_returns_the_lease_once() -> Result<()> {
+    let mut bench = Bench::new(1, 1, Duration::ZERO);
+    bench.warm();
+    let (running, _) = bench.submit("running", false, false);
+    let outputs = bench.holder.begin_release(bench.now);
+    bench.take(outputs);
+    verify_that!(bench.holder.is_releasing(), eq(true))?;
+    verify_that!(bench.holder.is_claimable(), eq(true))?;
+    verify_that!(
+        reason(&bench.submit("late", false, false).1),
+        some(eq(RequestFailureReason::NotHolder))
+    )?;
+    verify_that!(released_runners(&bench), is_empty())?;
+    let (_, runner, _) = *bench.sent.last().expect("sent");
+    bench.answer(running, runner);
+    verify_that!(bench.ended.contains_key(&running), eq(true))?;
+    verify_that!(released_runners(&bench), eq(&vec![1]))?;
+    verify_that!(bench.holder.is_claimable(), eq(false))?;
+    verify_that!(bench.holder.is_finished(bench.now), eq(true))?;
+    let outputs = bench.holder.begin_release(bench.now);
+    bench.take(outputs);
+    let outputs = bench.holder.close(bench.now);
+    bench.take(outputs);
+    bench.advance(ms(100));
+    verify_that!(released_runners(&bench), eq(&vec![1]))?;
+    verify_that!(bench.holder.is_finished(bench.now), eq(true))
+}
+
+#[gtest]
+fn a_closed_holder_is_finished_when_its_orphans_are_reported_or_after_ten_seconds() -> Result<()> {
+    for is_reported in [true, false] {
+        let mut bench = Bench::new(1, 1, Duration::ZERO);
+        bench.warm();
+        let (running, _) = bench.submit("running", false, false);
+        let outputs = bench.holder.begin_release(bench.now);
+        bench.take(outputs);
+        let outputs = bench.holder.close(bench.now);
+        bench.take(outputs);
+        if is_reported {
+            bench.holder.orphans_reported();
+        }
+        verify_that!(bench.holder.orphaned_runners().len(), eq(1))?;
+        verify_that!(bench.holder.is_finished(bench.now), eq(false))?;
+        let (_, runner, _) = *bench.sent.last().expect("sent");
+        bench.answer(running, runner);
+        verify_that!(bench.holder.is_finished(bench.now), eq(is_reported))?;
+        bench.advance(ms(6000));
+        let outputs = bench.holder.close(bench.now);
+        bench.take(outputs);
+        bench.advance(ms(4000));
+        verify_that!(bench.holder.is_finished(bench.now), eq(is_reported))?;
+        bench.advance(ms(1));
+        verify_that!(bench.holder.is_finished(bench.now), eq(true))?;
+        verify_that!(released_runners(&bench), is_empty())?;
+    }
+    Ok(())
+}
+
+#[gtest]
+fn an_unused_function_stops_its_runners_until_the_next_request() -> Result<()> {
+    let tuning = Tuning::builder().idle_startups(3).build();
+    let mut bench = Bench::new(1, 1, Duration::ZERO).with_tuning(tuning);
+    bench.warm();
+    let outputs = bench.holder.stop_if_unused(bench.now);
+    bench.take(outputs);
+    let stopped = stopped_runners(&bench);
+    verify_that!(stopped.len(), eq(1))?;
+    let outputs = bench.holder.stopped(bench.now, stopped[0]);
+    bench.take(outputs);
+    let started_before = bench.next_runner;
+    bench.advance(ms(1000));
+    verify_that!(bench.next_runner, eq(started_before))?;
+    let (next, _) = bench.submit("next", false, false);
+    verify_that!(bench.next_runner, eq(started_before + 1))?;
+    bench.advance(ms(60));
+    let (_, runner, _) = *bench.sent.last().expect("sent");
+    bench.answer(next, runner);
+    verify_that!(stopped_runners(&bench).len(), eq(1))?;
+    bench.advance(ms(290));
+    verify_that!(stopped_runners(&bench).len(), eq(1))?;
+    bench.advance(ms(20));
+    verify_that!(stopped_runners(&bench).len(), eq(2))
+}
+
+fn stopped_runners(bench: &Bench) -> Vec<RunnerId> {
+    let stopped = |output: &HolderOutput| match output {
+        HolderOutput::Stop { runner, .. } => Some(*runner),
+        _ => None,
+    };
+    bench.outputs.iter().filter_map(stopped).collect()
+}
