--- a/crates/dataplane/src/holder/demand.rs
+++ b/crates/dataplane/src/holder/demand.rs
@@ -5,12 +5,12 @@
 use std::time::Duration;
 
 const MIN_WINDOW_S: f64 = 0.25;
-/// So many calls of late say something of the rate even of a function that was never called before.
+/// This many recent calls make the rate known even for a function that was never called before.
 const KNOWN_RATE_CALLS: f64 = 32.0;
-/// How many break-even spans the calls' gaps are remembered.
+/// The time constant of the long-term rate, in break-even times.
 const LONG_TERM_BREAK_EVENS: f64 = 8.0;
 
-/// A count that fades.
+/// An exponentially decaying count of events.
 pub(super) struct DecayingCounter {
     time_constant: f64,
     count: f64,
@@ -37,14 +37,15 @@
         self.counted_at = Some(now);
     }
 
-    /// The time that the count stands for, when it began so long ago.
+    /// The time in seconds that the count stands for when counting began `age` seconds ago; count divided by it is
+    /// the rate.
     pub(super) fn effective_window(&self, age: f64) -> f64 {
         self.time_constant * (1.0 - (-age / self.time_constant).exp())
     }
 }
 
-/// What is asked of a function: calls a second of late, and the gap to be expected before the next one.
-pub struct Demand {
+/// The demand for a function: its recent rate of calls, and whether the next call is expected soon.
+pub(super) struct Demand {
     short_term: DecayingCounter,
     long_term: DecayingCounter,
     first_at: Option<MonotonicTime>,
@@ -54,8 +55,8 @@
 }
 
 impl Demand {
-    /// Nothing was called yet.
-    pub fn new(
+    /// Before the first call; `startup` and `break_even` give the time constants.
+    pub(super) fn new(
         now: MonotonicTime,
         tuning: &Tuning,
         startup: Duration,
@@ -72,32 +73,32 @@
         }
     }
 
-    /// A call came.
-    pub fn record_call(&mut self, now: MonotonicTime) {
+    /// Counts a call.
+    pub(super) fn record_call(&mut self, now: MonotonicTime) {
         self.first_at.get_or_insert(now);
         self.short_term.add(now);
         self.long_term.add(now);
     }
 
-    /// Whether any call came.
-    pub fn was_called(&self) -> bool {
+    /// Whether there was any call.
+    pub(super) fn was_called(&self) -> bool {
         self.first_at.is_some()
     }
 
-    /// How long ago the first call came, in seconds.
-    pub fn age(&self, now: MonotonicTime) -> f64 {
+    /// The time since the first call, in seconds; zero before it.
+    pub(super) fn age(&self, now: MonotonicTime) -> f64 {
         self.first_at
             .map_or(0.0, |first_at| now.since(first_at).as_secs_f64())
     }
 
-    /// Whether it was called for long enough, or often enough, that its rate says something.
-    pub fn is_known(&self, now: MonotonicTime) -> bool {
+    /// Whether there were calls for long enough, or enough of them, for the rate to be meaningful.
+    pub(super) fn is_known(&self, now: MonotonicTime) -> bool {
         self.age(now) >= 2.0 * self.short_term.time_constant
             || self.short_term.at(now) >= KNOWN_RATE_CALLS
     }
 
-    /// Calls a second: quick up, and slowly down.
-    pub fn rate(&mut self, now: MonotonicTime) -> f64 {
+    /// The rate in calls per second; it rises at once and decays slowly.
+    pub(super) fn rate(&mut self, now: MonotonicTime) -> f64 {
         let effective_window = self
             .short_term
             .effective_window(self.age(now).max(MIN_WINDOW_S));
@@ -108,8 +109,8 @@
         self.smoothed
     }
 
-    /// Whether the next call is to be expected sooner than a runner kept for it costs more than a start.
-    pub fn is_frequent(&self, now: MonotonicTime, break_even: Duration) -> bool {
+    /// Whether the next call is expected within the break-even time of a retained runner.
+    pub(super) fn is_frequent(&self, now: MonotonicTime, break_even: Duration) -> bool {
         let break_even = break_even.as_secs_f64();
         let effective_window = self.long_term.effective_window(self.age(now));
         let count = self.long_term.at(now);
--- a/crates/dataplane/tests/holder.rs
+++ b/crates/dataplane/tests/holder.rs
@@ -1,4 +1,4 @@
-//! A held function: slots, ramps, identities, extra tries, refusals.
+//! A held function: slots, slow start, idempotency keys, retries, rejections, replication.
 
 use common::adapter::StartOutcome;
 use common::clock::MonotonicTime;
@@ -544,10 +544,10 @@
         }
     }
     verify_that!(extras.len(), ge(100))?;
-    for (address, extra) in extras.iter().enumerate() {
+    for (index, extra) in extras.iter().enumerate() {
         let in_window =
             |instant: &&MonotonicTime| extra.since(**instant) <= ms(10_000) && **instant <= *extra;
-        let extra_count = extras[..=address].iter().filter(in_window).count();
+        let extra_count = extras[..=index].iter().filter(in_window).count();
         let first_count = firsts.iter().filter(in_window).count();
         verify_that!(extra_count as f64, le(first_count as f64 / 5.0 + 4.0))?;
     }
@@ -909,7 +909,7 @@
     verify_that!(bench.ended.get(&once), some(eq(&failed_at(runner))))
 }
 
-/// Its caller's daemon passed it on again after a silence: the first pass may still be having its tries.
+/// The caller's daemon forwards a request again when no reply came: the first one may still be making its attempts.
 #[gtest]
 fn a_repeat_is_sent_to_one_runner_only() -> Result<()> {
     let ends = [SendResult::Lost, SendResult::RejectedByRunner];
@@ -1098,3 +1098,104 @@
     }
     Ok(())
 }
+
+fn released_runners(bench: &Bench) -> Vec<usize> {
+    let released = |output: &HolderOutput| match output {
+        HolderOutput::Report(HolderMessage::Released { runners }) => Some(runners.len()),
+        _ => None,
+    };
+    bench.outputs.iter().filter_map(released).collect()
+}
+
+#[gtest]
+fn a_release_finishes_what_was_admitted_and_returns_the_lease_once() -> Result<()> {
+    let mut bench = Bench::new(1, 1, Duration::ZERO);
+    bench.warm();
+    let (running, _) = bench.submit("running", false, false);
+    let outputs = bench.holder.begin_release(bench.now);
+    bench.take(outputs);
+    verify_that!(bench.holder.is_releasing(), eq(true))?;
+    verify_that!(bench.holder.is_claimable(), eq(true))?;
+    verify_that!(
+        reason(&bench.submit("late", false, false).1),
+        some(eq(RequestFailureReason::NotHolder))
+    )?;
+    verify_that!(released_runners(&bench), is_empty())?;
+    let (_, runner, _) = *bench.sent.last().expect("sent");
+    bench.answer(running, runner);
+    verify_that!(bench.ended.contains_key(&running), eq(true))?;
+    verify_that!(released_runners(&bench), eq(&vec![1]))?;
+    verify_that!(bench.holder.is_claimable(), eq(false))?;
+    verify_that!(bench.holder.is_finished(bench.now), eq(true))?;
+    let outputs = bench.holder.begin_release(bench.now);
+    bench.take(outputs);
+    let outputs = bench.holder.close(bench.now);
+    bench.take(outputs);
+    bench.advance(ms(100));
+    verify_that!(released_runners(&bench), eq(&vec![1]))?;
+    verify_that!(bench.holder.is_finished(bench.now), eq(true))
+}
+
+#[gtest]
+fn a_closed_holder_is_finished_when_its_orphans_are_reported_or_after_ten_seconds() -> Result<()> {
+    for is_reported in [true, false] {
+        let mut bench = Bench::new(1, 1, Duration::ZERO);
+        bench.warm();
+        let (running, _) = bench.submit("running", false, false);
+        let outputs = bench.holder.begin_release(bench.now);
+        bench.take(outputs);
+        let outputs = bench.holder.close(bench.now);
+        bench.take(outputs);
+        if is_reported {
+            bench.holder.orphans_reported();
+        }
+        verify_that!(bench.holder.orphaned_runners().len(), eq(1))?;
+        verify_that!(bench.holder.is_finished(bench.now), eq(false))?;
+        let (_, runner, _) = *bench.sent.last().expect("sent");
+        bench.answer(running, runner);
+        verify_that!(bench.holder.is_finished(bench.now), eq(is_reported))?;
+        bench.advance(ms(6000));
+        let outputs = bench.holder.close(bench.now);
+        bench.take(outputs);
+        bench.advance(ms(4000));
+        verify_that!(bench.holder.is_finished(bench.now), eq(is_reported))?;
+        bench.advance(ms(1));
+        verify_that!(bench.holder.is_finished(bench.now), eq(true))?;
+        verify_that!(released_runners(&bench), is_empty())?;
+    }
+    Ok(())
+}
+
+#[gtest]
+fn an_unused_function_stops_its_runners_until_the_next_request() -> Result<()> {
+    let tuning = Tuning::builder().idle_startups(3).build();
+    let mut bench = Bench::new(1, 1, Duration::ZERO).with_tuning(tuning);
+    bench.warm();
+    let outputs = bench.holder.stop_if_unused(bench.now);
+    bench.take(outputs);
+    let stopped = stopped_runners(&bench);
+    verify_that!(stopped.len(), eq(1))?;
+    let outputs = bench.holder.stopped(bench.now, stopped[0]);
+    bench.take(outputs);
+    let started_before = bench.next_runner;
+    bench.advance(ms(1000));
+    verify_that!(bench.next_runner, eq(started_before))?;
+    let (next, _) = bench.submit("next", false, false);
+    verify_that!(bench.next_runner, eq(started_before + 1))?;
+    bench.advance(ms(60));
+    let (_, runner, _) = *bench.sent.last().expect("sent");
+    bench.answer(next, runner);
+    verify_that!(stopped_runners(&bench).len(), eq(1))?;
+    bench.advance(ms(290));
+    verify_that!(stopped_runners(&bench).len(), eq(1))?;
+    bench.advance(ms(20));
+    verify_that!(stopped_runners(&bench).len(), eq(2))
+}
+
+fn stopped_runners(bench: &Bench) -> Vec<RunnerId> {
+    let stopped = |output: &HolderOutput| match output {
+        HolderOutput::Stop { runner, .. } => Some(*runner),
+        _ => None,
+    };
+    bench.outputs.iter().filter_map(stopped).collect()
+}
