--- a/testing/fleet/src/judge/checks/forbidden.rs
+++ b/testing/fleet/src/judge/checks/forbidden.rs
@@ -1,36 +1,44 @@
-//! Places that are no longer to be used: draining workers, leaving runners, evacuated zones.
+//! Runs where none may begin any more: on draining workers and leaving runners, and in evacuated zones.
 
 use super::{DRAINING_USED, EVACUATED_USED, SECOND, SLACK};
 use crate::judge::{Check, Evidence, JournalEntry, RunnerInstance};
 use serde_json::json;
 use std::collections::BTreeMap;
 
-/// Runs that began where a thing was barred, some time after it was.
+/// How long a draining worker or leaving runner may still be used, in nanoseconds.
+const DRAIN_GRACE: u64 = 3 * SECOND;
+/// How long an evacuated zone may still be used, in nanoseconds.
+const EVACUATION_GRACE: u64 = 5 * SECOND;
+
+/// A span of time in which no run may begin at a location: a worker, a runner or a zone.
+struct ForbiddenSpan {
+    location: String,
+    from: u64,
+    until: u64,
+}
+
+/// Checks that no run begins at a forbidden location once the grace period is over.
 fn forbidden_runs(
     evidence: &Evidence,
     name: &'static str,
-    forbidden: &[(String, u64, u64)],
-    location_of: impl Fn(&RunnerInstance) -> String,
+    forbidden: &[ForbiddenSpan],
+    location_of: impl Fn(&RunnerInstance) -> &str,
     grace: u64,
 ) -> Check {
     let instances = evidence.instances_by_runner();
-    let mut check = Check {
-        name,
-        checked: 0,
-        violations: vec![],
-    };
+    let mut check = Check::new(name);
     for run in &evidence.runs {
         let Some(instance) = instances.get(run.runner.as_str()) else {
             continue;
         };
         let location = location_of(instance);
-        for (barred_location, from, until) in forbidden {
-            if *barred_location != location || run.at < *from || run.at > *until {
+        for span in forbidden {
+            if span.location != location || run.at < span.from || run.at > span.until {
                 continue;
             }
             check.checked += 1;
-            if run.at > from + grace + SLACK {
-                let late_ms = (run.at - from) / 1_000_000;
+            if run.at > span.from + grace + SLACK {
+                let late_ms = (run.at - span.from) / 1_000_000;
                 check.violations.push(format!(
                     "{} began on {} at {location} {late_ms} ms after it was barred",
                     run.idempotency_key, run.runner
@@ -41,74 +49,74 @@
     check
 }
 
-fn spans<'a>(
+/// The spans that begin with one of the given actions on a location and end with the next other action on it.
+fn forbidden_spans<'a>(
     entries: impl Iterator<Item = &'a JournalEntry>,
-    name_field: &str,
+    location_field: &str,
     start_actions: &[&str],
-) -> Vec<(String, u64, u64)> {
+) -> Vec<ForbiddenSpan> {
     let mut open_spans: BTreeMap<String, u64> = BTreeMap::new();
-    let mut closed_spans = Vec::new();
-    for recorded in entries {
-        let name = recorded.detail[name_field]
+    let mut spans = Vec::new();
+    for entry in entries {
+        let location = entry.detail[location_field]
             .as_str()
             .unwrap_or("")
             .to_owned();
-        let action = recorded.detail["deed"].as_str().unwrap_or("");
+        let action = entry.detail["deed"].as_str().unwrap_or("");
         if start_actions.contains(&action) {
-            open_spans.entry(name).or_insert(recorded.at);
-        } else if let Some(from) = open_spans.remove(&name) {
-            closed_spans.push((name, from, recorded.at));
+            open_spans.entry(location).or_insert(entry.at);
+        } else if let Some(from) = open_spans.remove(&location) {
+            spans.push(ForbiddenSpan {
+                location,
+                from,
+                until: entry.at,
+            });
         }
     }
-    closed_spans.extend(
+    spans.extend(
         open_spans
             .into_iter()
-            .map(|(name, from)| (name, from, u64::MAX)),
+            .map(|(location, from)| ForbiddenSpan {
+                location,
+                from,
+                until: u64::MAX,
+            }),
     );
-    closed_spans
+    spans
 }
 
+/// Draining and crashed workers until they are restored, and runners that announced that they leave.
 pub(super) fn draining_used(evidence: &Evidence) -> Check {
-    let forbidden = spans(evidence.recorded("worker"), "worker", &["drain", "crash"]);
-    let mut check = forbidden_runs(
-        evidence,
-        DRAINING_USED,
-        &forbidden,
-        |instance| instance.worker.clone(),
-        3 * SECOND,
-    );
-    let leaving: Vec<(String, u64, u64)> = evidence
-        .recorded("runner_leaves")
-        .filter_map(|recorded| {
-            Some((
-                recorded.detail["runner"].as_str()?.to_owned(),
-                recorded.at,
-                u64::MAX,
-            ))
+    let workers = forbidden_spans(evidence.entries_of("worker"), "worker", &["drain", "crash"]);
+    let runners: Vec<ForbiddenSpan> = evidence
+        .entries_of("runner_leaves")
+        .filter_map(|entry| {
+            Some(ForbiddenSpan {
+                location: entry.detail["runner"].as_str()?.to_owned(),
+                from: entry.at,
+                until: u64::MAX,
+            })
         })
         .collect();
-    let leaving_check = forbidden_runs(
-        evidence,
-        DRAINING_USED,
-        &leaving,
-        |instance| instance.runner.clone(),
-        3 * SECOND,
-    );
-    check.checked += leaving_check.checked;
-    check.violations.extend(leaving_check.violations);
+    let check_at = |spans: &[ForbiddenSpan], location_of: fn(&RunnerInstance) -> &str| {
+        forbidden_runs(evidence, DRAINING_USED, spans, location_of, DRAIN_GRACE)
+    };
+    let mut check = check_at(&workers, |instance| &instance.worker);
+    check.merge(check_at(&runners, |instance| &instance.runner));
     check
 }
 
+/// Zones whose evacuation was accepted, until they are restored.
 pub(super) fn evacuated_used(evidence: &Evidence) -> Check {
     let accepted = evidence
-        .recorded("locality")
-        .filter(|recorded| recorded.detail["status"] == json!(200));
-    let forbidden = spans(accepted, "locality", &["evacuate"]);
+        .entries_of("locality")
+        .filter(|entry| entry.detail["status"] == json!(200));
+    let zones = forbidden_spans(accepted, "locality", &["evacuate"]);
     forbidden_runs(
         evidence,
         EVACUATED_USED,
-        &forbidden,
-        |instance| instance.zone.clone(),
-        5 * SECOND,
+        &zones,
+        |instance| &instance.zone,
+        EVACUATION_GRACE,
     )
 }
--- a/testing/fleet/src/judge/checks/mod.rs
+++ b/testing/fleet/src/judge/checks/mod.rs
@@ -1,4 +1,4 @@
-//! The lines of what must never happen, each judged from evidence alone.
+//! The checks for what must never happen. Each uses only the recorded evidence; its name is part of the report.
 
 mod forbidden;
 mod outcomes;
@@ -16,45 +16,47 @@
     unconfigured_function,
 };
 
-/// A second in the nanoseconds of the records.
+/// Nanoseconds in a second, the unit of the records.
 const SECOND: u64 = 1_000_000_000;
-/// What clocks and records may differ by.
+/// The tolerance for differences between clocks and records, in nanoseconds.
 const SLACK: u64 = SECOND / 4;
-/// How long a send may be on its way from a holder to a runner.
+/// How long a request may be in flight from a lease holder to a runner, in nanoseconds.
 const DELIVERY_SLACK: u64 = SECOND / 10;
+/// How soon an accepted spec has to be in force everywhere, in nanoseconds.
+const IN_FORCE_WITHIN: u64 = 3 * SECOND;
 
-/// A once-transaction runs twice.
+/// A request that must run at most once ran more than once.
 pub const ONCE_RUNS_TWICE: &str = "a once-transaction runs twice";
-/// What was refused runs.
+/// A request ran whose caller was assured that it did not.
 pub const REFUSED_RUNS: &str = "refused as not run, and runs";
-/// A success without the runner's body.
+/// A successful answer is not the intact answer of a runner that ran the request.
 pub const UNSEALED_ANSWER: &str = "a success without its runner's own sealed body";
-/// A run on a function that its path was never given.
+/// A request ran on a function that no accepted spec ever configured for its path.
 pub const UNCONFIGURED_FUNCTION: &str = "a run on a function its path was never given";
-/// An old spec in use.
+/// A request ran as an older or later spec than the one in force has it.
 pub const SPEC_NOT_IN_FORCE: &str = "an accepted spec not in force after 3 s, or undone";
-/// A door that does not know a route, or knows one that is gone.
+/// An ingress did not know a route in force, or answered for one that was removed.
 pub const INGRESS_BEHIND: &str = "a door without an accepted spec after 3 s";
-/// Two changes on one version.
+/// Two changes of the spec were accepted on the same base version.
 pub const CONFLICTING_CHANGES: &str = "two changes on one version accepted";
-/// A refused change in force.
+/// A request ran as only a refused change configured it.
 pub const REFUSED_CHANGE_IN_FORCE: &str = "a refused change in force";
-/// Draining and leaving.
+/// A run began on a draining worker or a leaving runner after the grace period.
 pub const DRAINING_USED: &str = "a leaving runner or draining worker used after 3 s";
-/// Evacuation.
+/// A run began in an evacuated zone after the grace period.
 pub const EVACUATED_USED: &str = "an evacuated locality used after 5 s";
-/// Orderly stops.
+/// A graceful stop lost answers to requests in flight, or took too long.
 pub const ANSWERS_DROPPED: &str = "an orderly stop drops answers in hand";
-/// Extra tries.
+/// Retries exceeded the retry budget.
 pub const EXTRA_TRIES: &str = "extra tries above a fifth in 10 s";
-/// Slots and ramps.
+/// A runner got requests before it was ready, too many while it was fresh, or more than its slots.
 pub const RUNNER_OVERLOADED: &str = "a cold runner flooded, or slots exceeded";
-/// Two holders.
+/// A lease holder sent a request after a later holder of the same function had begun.
 pub const TWO_HOLDERS: &str = "two holders of one function at once";
-/// Recovery.
+/// Most requests were not answered 12 s after a heavy fault was undone.
 pub const SERVICE_DOWN: &str = "mostly down 12 s after machines return";
 
-/// Judges every line.
+/// Runs every check, in the order of the report.
 pub fn all(evidence: &Evidence) -> Vec<Check> {
     vec![
         once_runs_twice(evidence),
@@ -75,7 +77,7 @@
     ]
 }
 
-/// The name of a function without its version.
+/// The name of a function without its generation.
 fn name_of(function: &str) -> &str {
     function.rsplit_once('@').map_or(function, |(name, _)| name)
 }
--- a/testing/fleet/src/judge/checks/outcomes.rs
+++ b/testing/fleet/src/judge/checks/outcomes.rs
@@ -1,21 +1,18 @@
-//! What callers were told against what runners saw: nothing refused runs, nothing runs twice, every
-//! success is a runner's own.
+//! Outcomes at the callers compared with runs on runners: nothing refused runs, nothing runs twice, and every
+//! success is the answer of a runner that ran the request.
 
 use super::{ONCE_RUNS_TWICE, REFUSED_RUNS, UNSEALED_ANSWER};
 use crate::judge::{Check, Evidence};
 use std::collections::{BTreeSet, HashMap};
 
+/// A request that must run at most once has at most one run.
 pub(super) fn once_runs_twice(evidence: &Evidence) -> Check {
     let mut run_counts: HashMap<&str, usize> = HashMap::new();
     for run in &evidence.runs {
         *run_counts.entry(&run.idempotency_key).or_default() += 1;
     }
     let once_calls = evidence.calls.iter().filter(|call| call.once);
-    let mut check = Check {
-        name: ONCE_RUNS_TWICE,
-        checked: 0,
-        violations: vec![],
-    };
+    let mut check = Check::new(ONCE_RUNS_TWICE);
     for call in once_calls {
         check.checked += 1;
         let run_count = run_counts.get(call.id.as_str()).copied().unwrap_or(0);
@@ -28,6 +25,7 @@
     check
 }
 
+/// A request that was refused as not run has no run.
 pub(super) fn refused_runs(evidence: &Evidence) -> Check {
     let run_ids: BTreeSet<&str> = evidence
         .runs
@@ -37,7 +35,7 @@
     let refused_calls: Vec<_> = evidence
         .calls
         .iter()
-        .filter(|call| call.outcome == "not_run")
+        .filter(|call| call.is_refused())
         .collect();
     let violations = refused_calls
         .iter()
@@ -51,6 +49,7 @@
     }
 }
 
+/// Every answer is sealed and comes from a runner that ran the request.
 pub(super) fn unsealed_answer(evidence: &Evidence) -> Check {
     let ran_on: BTreeSet<(&str, &str)> = evidence
         .runs
@@ -60,7 +59,7 @@
     let answered: Vec<_> = evidence
         .calls
         .iter()
-        .filter(|call| call.outcome == "answer")
+        .filter(|call| call.is_answered())
         .collect();
     let violations = answered
         .iter()
--- a/testing/fleet/src/judge/checks/runners.rs
+++ b/testing/fleet/src/judge/checks/runners.rs
@@ -1,84 +1,97 @@
-//! The load on runners: extra tries, cold runners, slots.
+//! The load on runners: retries, runners that have just started, and slots.
 
 use super::spec::{AllowedRoute, allowed_routes};
 use super::{EXTRA_TRIES, RUNNER_OVERLOADED, SECOND, SLACK, name_of};
 use crate::judge::{Check, Evidence, Run, RunnerInstance};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// Counted for each function over all its routes, against a fifth of its first tries and three.
+/// The span in which retries are compared with first attempts, in nanoseconds.
+const RETRY_WINDOW: u64 = 10 * SECOND;
+/// How many first attempts allow one retry.
+const CALLS_PER_RETRY: usize = 5;
+/// How many retries are allowed on top, so that rare functions can be retried at all.
+const RETRY_ALLOWANCE: usize = 3;
+
+/// Compares the retries of each function, over all its routes, with its first attempts in the same window.
 pub(super) fn extra_tries(evidence: &Evidence) -> Check {
-    const ALLOWANCE: usize = 3;
-    let calls = evidence.calls_by_id();
-    let entries = allowed_routes(evidence);
-    let mut by_path: HashMap<&str, Vec<&AllowedRoute>> = HashMap::new();
-    for entry in &entries {
-        by_path.entry(&entry.path).or_default().push(entry);
+    let first_attempts = first_attempts_by_function(evidence);
+    let mut check = Check::new(EXTRA_TRIES);
+    for (function, retries) in retries_by_function(evidence) {
+        let first_attempts = first_attempts.get(function).map_or(&[][..], Vec::as_slice);
+        for (index, at) in retries.iter().enumerate() {
+            check.checked += 1;
+            let window_start = at.saturating_sub(RETRY_WINDOW);
+            let retry_count = retries[..=index]
+                .iter()
+                .filter(|retried_at| **retried_at > window_start)
+                .count();
+            let first_start = window_start.saturating_sub(SLACK);
+            let first_count = first_attempts
+                .iter()
+                .filter(|sent_at| **sent_at > first_start && **sent_at <= *at)
+                .count();
+            if retry_count > first_count / CALLS_PER_RETRY + RETRY_ALLOWANCE {
+                check.violations.push(format!(
+                    "{function}: {retry_count} extra to {first_count} first tries in 10 s"
+                ));
+            }
+        }
+    }
+    check
+}
+
+/// When first attempts were sent, for each function that they could reach at that time.
+fn first_attempts_by_function(evidence: &Evidence) -> BTreeMap<String, Vec<u64>> {
+    let mut routes_by_path: HashMap<String, Vec<AllowedRoute>> = HashMap::new();
+    for route in allowed_routes(evidence) {
+        routes_by_path
+            .entry(route.path.clone())
+            .or_default()
+            .push(route);
     }
-    let mut firsts: BTreeMap<&str, Vec<u64>> = BTreeMap::new();
+    let mut first_attempts: BTreeMap<String, Vec<u64>> = BTreeMap::new();
     for call in evidence.calls.iter().filter(|call| !call.repeat) {
-        let reached: BTreeSet<&str> = by_path
-            .get(call.path.as_str())
-            .into_iter()
-            .flatten()
-            .filter(|entry| (entry.from..=entry.until).contains(&call.at))
-            .map(|entry| entry.function.as_str())
+        let routes = routes_by_path.get(&call.path).into_iter().flatten();
+        let reachable: BTreeSet<&str> = routes
+            .filter(|route| route.is_allowed_at(call.at))
+            .map(|route| route.function.as_str())
             .collect();
-        for function in reached {
-            firsts.entry(function).or_default().push(call.at);
+        for function in reachable {
+            first_attempts
+                .entry(function.to_owned())
+                .or_default()
+                .push(call.at);
         }
     }
-    let mut extras: BTreeMap<&str, Vec<u64>> = BTreeMap::new();
+    first_attempts
+}
+
+/// When further attempts ran: retries within the fleet, and those that callers made.
+fn retries_by_function(evidence: &Evidence) -> BTreeMap<&str, Vec<u64>> {
+    let calls = evidence.calls_by_id();
+    let mut retries: BTreeMap<&str, Vec<u64>> = BTreeMap::new();
     for run in &evidence.runs {
         let Some(call) = calls.get(run.idempotency_key.as_str()) else {
             continue;
         };
         if run.attempt > 1 || call.repeat {
-            extras
+            retries
                 .entry(name_of(&run.function))
                 .or_default()
                 .push(run.at);
         }
     }
-    let mut check = Check {
-        name: EXTRA_TRIES,
-        checked: 0,
-        violations: vec![],
-    };
-    for (function, extra_instants) in extras {
-        let first_instants = firsts.get(function).cloned().unwrap_or_default();
-        for (index, at) in extra_instants.iter().enumerate() {
-            check.checked += 1;
-            let window_start = at.saturating_sub(10 * SECOND);
-            let extra_count = extra_instants[..=index]
-                .iter()
-                .filter(|instant| **instant > window_start)
-                .count();
-            let first_start = window_start.saturating_sub(SLACK);
-            let first_count = first_instants
-                .iter()
-                .filter(|instant| **instant > first_start && **instant <= *at)
-                .count();
-            if extra_count > first_count / 5 + ALLOWANCE {
-                check.violations.push(format!(
-                    "{function}: {extra_count} extra to {first_count} first tries in 10 s"
-                ));
-            }
-        }
-    }
-    check
+    retries
 }
 
+/// No run begins on a runner that is not ready, has no free slot, or has just started and is sent too much at once.
 pub(super) fn runner_overloaded(evidence: &Evidence) -> Check {
     let instances = evidence.instances_by_runner();
     let mut ends_by_runner: HashMap<&str, Vec<u64>> = HashMap::new();
     for run in &evidence.runs {
         ends_by_runner.entry(&run.runner).or_default().push(run.end);
     }
-    let mut check = Check {
-        name: RUNNER_OVERLOADED,
-        checked: 0,
-        violations: vec![],
-    };
+    let mut check = Check::new(RUNNER_OVERLOADED);
     for run in &evidence.runs {
         let Some(instance) = instances.get(run.runner.as_str()) else {
             continue;
@@ -91,6 +104,8 @@
     check
 }
 
+/// What is wrong with the load at the beginning of a run. A fresh runner may run one request more than it has
+/// finished, for a second after its startup.
 fn overload(
     run: &Run,
     instance: &RunnerInstance,
--- a/testing/fleet/src/judge/checks/spec.rs
+++ b/testing/fleet/src/judge/checks/spec.rs
@@ -1,14 +1,15 @@
-//! Specs: what is accepted comes into force everywhere, what is refused never does.
+//! Changes of the spec: what is accepted comes into force at every ingress in time, what is refused never does.
 
 use super::{
-    CONFLICTING_CHANGES, INGRESS_BEHIND, REFUSED_CHANGE_IN_FORCE, SECOND, SLACK, SPEC_NOT_IN_FORCE,
-    UNCONFIGURED_FUNCTION, name_of,
+    CONFLICTING_CHANGES, IN_FORCE_WITHIN, INGRESS_BEHIND, REFUSED_CHANGE_IN_FORCE, SECOND, SLACK,
+    SPEC_NOT_IN_FORCE, UNCONFIGURED_FUNCTION, name_of,
 };
-use crate::judge::{Check, Evidence, JournalEntry};
+use crate::judge::{Call, Check, Evidence, JournalEntry, Run};
 use serde_json::json;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// The change that put a function on a path: from when it may, and until when it may be used.
+/// A function that a change put on a path, and the time in which requests may run there: from when the change was
+/// sent until the next one that was surely taken has to be in force.
 pub(super) struct AllowedRoute {
     pub(super) path: String,
     pub(super) function: String,
@@ -16,16 +17,39 @@
     pub(super) until: u64,
 }
 
+impl AllowedRoute {
+    pub(super) fn is_allowed_at(&self, at: u64) -> bool {
+        (self.from..=self.until).contains(&at)
+    }
+}
+
+/// Whether a change was accepted, or may have been.
+fn may_be_accepted(change: &JournalEntry) -> bool {
+    change.detail["state"] != json!("not_accepted")
+}
+
+fn possible_changes(evidence: &Evidence) -> Vec<&JournalEntry> {
+    evidence
+        .entries_of("change")
+        .filter(|change| may_be_accepted(change))
+        .collect()
+}
+
+/// When a change was sent; its entry is written when its outcome is known.
+fn sent_at(change: &JournalEntry) -> u64 {
+    change.detail["sent_at"].as_u64().unwrap_or(change.at)
+}
+
+/// The routes of all changes that were or may have been accepted.
 pub(super) fn allowed_routes(evidence: &Evidence) -> Vec<AllowedRoute> {
-    let is_possible = |recorded: &&JournalEntry| recorded.detail["state"] != json!("not_accepted");
-    let changes: Vec<&JournalEntry> = evidence.recorded("change").filter(is_possible).collect();
+    let changes = possible_changes(evidence);
     let mut allowed_routes = Vec::new();
     for (index, change) in changes.iter().enumerate() {
         let next_certain = changes[index + 1..]
             .iter()
             .find(|next| next.detail["state"] != json!("unknown"));
-        let until = next_certain.map_or(u64::MAX, |next| next.at + 3 * SECOND + SLACK);
-        let from = change.detail["sent_at"].as_u64().unwrap_or(change.at);
+        let until = next_certain.map_or(u64::MAX, |next| next.at + IN_FORCE_WITHIN + SLACK);
+        let from = sent_at(change);
         for (path, function) in change.detail["paths"].as_object().into_iter().flatten() {
             allowed_routes.push(AllowedRoute {
                 path: path.clone(),
@@ -38,20 +62,17 @@
     allowed_routes
 }
 
+/// Every run belongs to a recorded call, and some spec had its function on the call's path.
 pub(super) fn unconfigured_function(evidence: &Evidence) -> Check {
     let calls = evidence.calls_by_id();
-    let mut by_path: HashMap<String, BTreeSet<String>> = HashMap::new();
-    for entry in allowed_routes(evidence) {
-        by_path
-            .entry(entry.path)
+    let mut functions_by_path: HashMap<String, BTreeSet<String>> = HashMap::new();
+    for route in allowed_routes(evidence) {
+        functions_by_path
+            .entry(route.path)
             .or_default()
-            .insert(entry.function);
+            .insert(route.function);
     }
-    let mut check = Check {
-        name: UNCONFIGURED_FUNCTION,
-        checked: 0,
-        violations: vec![],
-    };
+    let mut check = Check::new(UNCONFIGURED_FUNCTION);
     for run in &evidence.runs {
         let Some(call) = calls.get(run.idempotency_key.as_str()) else {
             check
@@ -60,7 +81,7 @@
             continue;
         };
         check.checked += 1;
-        let is_allowed = by_path
+        let is_allowed = functions_by_path
             .get(&call.path)
             .is_some_and(|functions| functions.contains(name_of(&run.function)));
         if !is_allowed {
@@ -73,26 +94,25 @@
     check
 }
 
+/// Every run began while a spec that had its function on the call's path could be in force.
 pub(super) fn spec_not_in_force(evidence: &Evidence) -> Check {
     let calls = evidence.calls_by_id();
-    let mut by_path: HashMap<String, Vec<AllowedRoute>> = HashMap::new();
-    for entry in allowed_routes(evidence) {
-        by_path.entry(entry.path.clone()).or_default().push(entry);
+    let mut routes_by_path: HashMap<String, Vec<AllowedRoute>> = HashMap::new();
+    for route in allowed_routes(evidence) {
+        routes_by_path
+            .entry(route.path.clone())
+            .or_default()
+            .push(route);
     }
-    let mut check = Check {
-        name: SPEC_NOT_IN_FORCE,
-        checked: 0,
-        violations: vec![],
-    };
+    let mut check = Check::new(SPEC_NOT_IN_FORCE);
     for run in &evidence.runs {
         let Some(call) = calls.get(run.idempotency_key.as_str()) else {
             continue;
         };
         check.checked += 1;
-        let is_in_force = by_path.get(&call.path).is_some_and(|entries| {
-            entries.iter().any(|entry| {
-                entry.function == name_of(&run.function)
-                    && (entry.from..=entry.until).contains(&run.at)
+        let is_in_force = routes_by_path.get(&call.path).is_some_and(|routes| {
+            routes.iter().any(|route| {
+                route.function == name_of(&run.function) && route.is_allowed_at(run.at)
             })
         });
         if !is_in_force {
@@ -108,37 +128,44 @@
     check
 }
 
-/// A path is known at every door from 3 s after the change that adds it, and unknown 3 s after the
-/// one that takes it away, whatever was restarted in between.
-pub(super) fn ingress_behind(evidence: &Evidence) -> Check {
-    let entries = allowed_routes(evidence);
-    let changes: Vec<&JournalEntry> = evidence
-        .recorded("change")
-        .filter(|recorded| recorded.detail["state"] != json!("not_accepted"))
-        .collect();
-    let mut check = Check {
-        name: INGRESS_BEHIND,
-        checked: 0,
-        violations: vec![],
+/// Whether a change adds or removes this path, compared with the newest change before it was sent.
+fn changes_path(changes: &[&JournalEntry], change: &JournalEntry, path: &str) -> bool {
+    let Some(paths) = change.detail["paths"].as_object() else {
+        return false;
     };
+    let previous = changes
+        .iter()
+        .rev()
+        .find(|earlier| earlier.at < sent_at(change));
+    let was_known = previous.is_some_and(|earlier| !earlier.detail["paths"][path].is_null());
+    paths.contains_key(path) != was_known
+}
+
+/// Whether a change that adds or removes the call's path may come into force during the call.
+fn is_unsettled(changes: &[&JournalEntry], call: &Call) -> bool {
+    changes.iter().any(|change| {
+        call.end >= sent_at(change)
+            && call.at <= change.at + IN_FORCE_WITHIN + SLACK
+            && changes_path(changes, change, &call.path)
+    })
+}
+
+/// A path is known at every ingress from 3 s after the change that adds it, and unknown from 3 s after the one that
+/// removes it, whatever was restarted in between.
+pub(super) fn ingress_behind(evidence: &Evidence) -> Check {
+    let routes = allowed_routes(evidence);
+    let changes = possible_changes(evidence);
+    let mut check = Check::new(INGRESS_BEHIND);
     for call in &evidence.calls {
-        let is_unsettled = changes.iter().any(|change| {
-            let sent_at = change.detail["sent_at"].as_u64().unwrap_or(change.at);
-            let turns = change.detail["paths"].as_object().is_some_and(|paths| {
-                let before = changes.iter().rev().find(|earlier| earlier.at < sent_at);
-                let known =
-                    before.is_some_and(|earlier| !earlier.detail["paths"][&call.path].is_null());
-                paths.contains_key(&call.path) != known
-            });
-            turns && call.end >= sent_at && call.at <= change.at + 3 * SECOND + SLACK
-        });
-        let is_known = entries.iter().any(|entry| {
-            entry.path == call.path && entry.from <= call.at && call.at < entry.until - 3 * SECOND
-        });
-        let found_no_route = call.reason == "no_route";
-        if is_unsettled || !matches!(call.outcome.as_str(), "answer" | "not_run") {
+        if !(call.is_answered() || call.is_refused()) || is_unsettled(&changes, call) {
             continue;
         }
+        let is_known = routes.iter().any(|route| {
+            route.path == call.path
+                && route.from <= call.at
+                && call.at < route.until - IN_FORCE_WITHIN
+        });
+        let found_no_route = call.reason == "no_route";
         check.checked += usize::from(found_no_route || !is_known);
         if found_no_route && is_known {
             check.violations.push(format!(
@@ -146,7 +173,7 @@
                 call.id, call.path, call.ingress
             ));
         }
-        if !is_known && call.outcome == "answer" {
+        if !is_known && call.is_answered() {
             check
                 .violations
                 .push(format!("{} for {}, gone, was answered", call.id, call.path));
@@ -155,69 +182,68 @@
     check
 }
 
-/// Runs that only a refused, losing or invalid change could have led where they began.
+/// No run is explained only by a refused change that was sent before it began.
 pub(super) fn refused_change_in_force(evidence: &Evidence) -> Check {
-    let calls = evidence.calls_by_id();
-    let entries = allowed_routes(evidence);
-    let is_refused = |recorded: &&JournalEntry| recorded.detail["state"] == json!("not_accepted");
-    let refused: Vec<&JournalEntry> = evidence.recorded("change").filter(is_refused).collect();
-    let mut check = Check {
-        name: REFUSED_CHANGE_IN_FORCE,
-        checked: 0,
-        violations: vec![],
-    };
-    if refused.is_empty() {
+    let mut check = Check::new(REFUSED_CHANGE_IN_FORCE);
+    let refused_changes: Vec<&JournalEntry> = evidence
+        .entries_of("change")
+        .filter(|change| !may_be_accepted(change))
+        .collect();
+    if refused_changes.is_empty() {
         return check;
     }
+    let calls = evidence.calls_by_id();
+    let routes = allowed_routes(evidence);
     for run in &evidence.runs {
         let Some(call) = calls.get(run.idempotency_key.as_str()) else {
             continue;
         };
-        let function = name_of(&run.function);
-        for change in refused.iter().filter(|change| change.at < run.at) {
-            let Some(configured_function) = change.detail["paths"][&call.path].as_str() else {
-                continue;
-            };
-            let is_allowed_elsewhere = entries.iter().any(|entry| {
-                entry.path == call.path
-                    && entry.function == configured_function
-                    && entry.from <= run.at
-            });
-            if is_allowed_elsewhere && configured_function != function {
-                check.checked += 1;
-            }
-            if !is_allowed_elsewhere {
-                check.checked += 1;
-                if configured_function == function {
-                    let id = &change.detail["change_id"];
-                    check.violations.push(format!(
-                        "{} ran on {function} of refused {id}",
-                        run.idempotency_key
-                    ));
-                }
-            }
+        for change in refused_changes.iter().filter(|change| change.at < run.at) {
+            check.merge(run_after_refusal(run, call, change, &routes));
         }
     }
     check
 }
 
-pub(super) fn conflicting_changes(evidence: &Evidence) -> Check {
-    let mut check = Check {
-        name: CONFLICTING_CHANGES,
-        checked: 0,
-        violations: vec![],
+/// Compares a run with one refused change. It is a case if the run could show the change to be in force or not: where
+/// an accepted change configures the same function, a run on that function shows nothing.
+fn run_after_refusal(
+    run: &Run,
+    call: &Call,
+    change: &JournalEntry,
+    routes: &[AllowedRoute],
+) -> Check {
+    let mut check = Check::new(REFUSED_CHANGE_IN_FORCE);
+    let Some(refused_function) = change.detail["paths"][&call.path].as_str() else {
+        return check;
     };
+    let function = name_of(&run.function);
+    let is_allowed_elsewhere = routes.iter().any(|route| {
+        route.path == call.path && route.function == refused_function && route.from <= run.at
+    });
+    let ran_as_refused = refused_function == function;
+    check.checked = usize::from(!is_allowed_elsewhere || !ran_as_refused);
+    if !is_allowed_elsewhere && ran_as_refused {
+        let id = &change.detail["change_id"];
+        check.violations.push(format!(
+            "{} ran on {function} of refused {id}",
+            run.idempotency_key
+        ));
+    }
+    check
+}
+
+/// At most one change is accepted on each base version.
+pub(super) fn conflicting_changes(evidence: &Evidence) -> Check {
+    let mut check = Check::new(CONFLICTING_CHANGES);
     let mut accepted_on: BTreeMap<u64, String> = BTreeMap::new();
-    for recorded in evidence.recorded("change") {
+    for entry in evidence.entries_of("change") {
         check.checked += 1;
-        if recorded.detail["status"] != json!(200) {
+        if entry.detail["status"] != json!(200) {
             continue;
         }
-        let base = recorded.detail["base"].as_u64().unwrap_or(0);
-        let change = recorded.detail["change_id"]
-            .as_str()
-            .unwrap_or("")
-            .to_owned();
+        let base = entry.detail["base"].as_u64().unwrap_or(0);
+        let change = entry.detail["change_id"].as_str().unwrap_or("").to_owned();
         if let Some(other) = accepted_on.insert(base, change.clone())
             && other != change
         {
--- a/testing/fleet/src/judge/evidence.rs
+++ b/testing/fleet/src/judge/evidence.rs
@@ -1,107 +1,126 @@
-//! What callers, runners and the platform recorded of a day.
+//! The evidence of one day: the records of callers, of runners and the platform, and of the fleet's journal.
 
 use common::identity::{FencingToken, RunnerId};
 use serde_json::Value;
-use std::collections::{BTreeMap, BTreeSet, HashMap};
-use std::fmt;
+use std::collections::{BTreeMap, HashMap};
 use std::path::{Path, PathBuf};
 
-/// One transaction as its caller saw it.
+/// The end of a run or a runner that the records do not show to have ended.
+const NEVER: u64 = u64::MAX;
+
+/// One request as its caller recorded it.
 #[derive(Clone, Debug, Default)]
 pub struct Call {
-    /// The try's identity.
+    /// The idempotency key of the attempt.
     pub id: String,
-    /// When it was sent, in nanoseconds.
+    /// When it was sent, in nanoseconds of the monotonic clock.
     pub at: u64,
-    /// When it ended.
+    /// When it ended, in nanoseconds of the monotonic clock.
     pub end: u64,
-    /// The path.
+    /// The requested path.
     pub path: String,
-    /// The function it should reach.
+    /// The function that the caller expects to reach.
     pub function: String,
-    /// Whether it may run only once.
+    /// Whether the request must run at most once.
     pub once: bool,
-    /// Whether it was marked a repeat.
+    /// Whether the caller marked it as a retry of an earlier request.
     pub repeat: bool,
-    /// How it ended: answer, not_run, unknown, lost or no_door.
+    /// The outcome: `answer`, `not_run`, `unknown`, `lost` or `no_door`.
     pub outcome: String,
-    /// The reason given.
+    /// The reason given with the outcome; empty if there was none.
     pub reason: String,
-    /// Whether the answer was sealed and its own.
+    /// Whether the answer's checksum is right and covers this request.
     pub sealed: bool,
     /// The runner that answered.
     pub runner: String,
-    /// The door it went through.
+    /// The ingress address that the request was sent to.
     pub ingress: String,
 }
 
-/// One run as its runner saw it.
+impl Call {
+    /// Whether a runner's answer came back.
+    pub fn is_answered(&self) -> bool {
+        self.outcome == "answer"
+    }
+
+    /// Whether the caller was assured that the request did not run.
+    pub fn is_refused(&self) -> bool {
+        self.outcome == "not_run"
+    }
+
+    /// Whether the caller cannot tell if the request ran: it got no definite outcome, or lost its connection.
+    pub fn is_indeterminate(&self) -> bool {
+        matches!(self.outcome.as_str(), "unknown" | "lost")
+    }
+}
+
+/// One execution of a request as its runner recorded it.
 #[derive(Clone, Debug, Default)]
 pub struct Run {
-    /// When it began.
+    /// When it began, in nanoseconds of the monotonic clock.
     pub at: u64,
-    /// When it ended; the largest number if it never did.
+    /// When it ended; `u64::MAX` if no end is recorded.
     pub end: u64,
     /// The runner.
     pub runner: String,
-    /// The function, with its generation.
+    /// The function and its generation, as `name@generation`.
     pub function: String,
-    /// The try's identity.
+    /// The idempotency key of the request.
     pub idempotency_key: String,
-    /// The number of the send, from one.
+    /// The number of the attempt, from one.
     pub attempt: u64,
-    /// The grant of the holder that sent it.
+    /// The fencing token of the lease holder that sent it.
     pub fencing_token: FencingToken,
-    /// How many of that holder's ran at once on that runner, this one included.
+    /// How many requests of that lease holder ran on the runner at this time, this one included.
     pub at_once: u64,
-    /// Whether the runner was ready.
+    /// Whether the runner had finished its startup.
     pub ready: bool,
 }
 
-/// One runner's life as the platform saw it.
+/// The lifetime of one runner as the platform recorded it.
 #[derive(Clone, Debug, Default)]
 pub struct RunnerInstance {
     /// The runner.
     pub runner: String,
-    /// The grant it was started under.
+    /// The fencing token of the lease under which it was started.
     pub fencing_token: FencingToken,
-    /// The function, with its generation.
+    /// The function and its generation, as `name@generation`.
     pub function: String,
-    /// The worker.
+    /// The worker that it runs on.
     pub worker: String,
-    /// The worker's zone, as the platform has it.
+    /// The worker's zone according to the platform.
     pub zone: String,
-    /// How many it may run at once.
+    /// How many requests it may run concurrently.
     pub slots: u64,
-    /// How long it boots, in nanoseconds.
+    /// How long its startup takes, in nanoseconds.
     pub startup: u64,
-    /// When it was started.
+    /// When it was started, in nanoseconds of the monotonic clock.
     pub start: u64,
-    /// When it was stopped; the largest number if it never was.
+    /// When it was stopped; `u64::MAX` if no stop is recorded.
     pub stop: u64,
 }
 
-/// Something done to the fleet, or told to operators.
+/// An action on the fleet or the platform, or an operator's change with its reply.
 #[derive(Clone, Debug)]
 pub struct JournalEntry {
-    /// The kind.
+    /// The kind of the entry, as in the record file.
     pub kind: String,
-    /// When.
+    /// When it was recorded, in nanoseconds of the monotonic clock.
     pub at: u64,
-    /// The particulars.
+    /// The complete record.
     pub detail: Value,
 }
 
-/// All that the judge decides from.
+/// The records of a day, from which alone the judge decides.
 #[derive(Clone, Debug, Default)]
 pub struct Evidence {
-    /// The callers' transactions.
+    /// The callers' requests, by the time they were sent.
     pub calls: Vec<Call>,
-    /// The runs.
+    /// The runs on runners, by the time they began.
     pub runs: Vec<Run>,
-    /// The runners' lives.
+    /// The runners, in the order of the platform's records.
     pub instances: Vec<RunnerInstance>,
-    /// The journal, and the platform's own deeds.
+    /// The fleet's journal and the platform's own actions, by time.
     pub journal: Vec<JournalEntry>,
 }
 
@@ -113,41 +132,24 @@
     record[name].as_u64().unwrap_or(0)
 }
 
-/// Why a day's folder cannot be judged.
-#[derive(Debug)]
+/// Why the records in a day's folder cannot be judged. The text of [`EvidenceError::File`] includes its cause.
+#[derive(Debug, thiserror::Error)]
 pub enum EvidenceError {
-    /// A file could not be read.
+    /// A file or the folder could not be read.
+    #[error("{path}: {cause}", path = .0.display(), cause = .1)]
     File(PathBuf, std::io::Error),
     /// The folder has no records of this kind.
+    #[error("{path}: no such records", path = .0.display())]
     Missing(PathBuf),
-    /// A line is no JSON object, or is cut short.
+    /// The numbered line is no JSON object, or is truncated.
+    #[error("{path} line {line}: no whole record", path = .0.display(), line = .1)]
     Unreadable(PathBuf, usize),
-    /// A line is a record of something else.
+    /// The numbered line lacks a field that every record of this file has.
+    #[error("{path} line {line}: a record without {field:?}", path = .0.display(), line = .1, field = .2)]
     Foreign(PathBuf, usize, &'static str),
 }
 
-impl fmt::Display for EvidenceError {
-    fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            Self::File(path, error) => write!(out, "{}: {error}", path.display()),
-            Self::Missing(path) => write!(out, "{}: no such records", path.display()),
-            Self::Unreadable(path, line) => {
-                write!(out, "{} line {line}: no whole record", path.display())
-            }
-            Self::Foreign(path, line, field) => {
-                write!(
-                    out,
-                    "{} line {line}: a record without {field:?}",
-                    path.display()
-                )
-            }
-        }
-    }
-}
-
-impl std::error::Error for EvidenceError {}
-
-/// Reads a file of records; each must be whole and have its fields.
+/// Reads a file of records, one JSON object a line; each must be complete and have the given fields.
 fn read_lines(path: &Path, fields: &[&'static str]) -> Result<Vec<Value>, EvidenceError> {
     let file_text = std::fs::read_to_string(path).map_err(|error| match error.kind() {
         std::io::ErrorKind::NotFound => EvidenceError::Missing(path.to_owned()),
@@ -171,27 +173,75 @@
     Ok(records)
 }
 
-impl Evidence {
-    /// Reads a day's folder; records that are missing, cut short or foreign are refused.
-    pub fn read(folder: &Path) -> Result<Self, EvidenceError> {
-        let at = |error| EvidenceError::File(folder.to_owned(), error);
-        let mut caller_records = Vec::new();
-        let mut caller_files = 0;
-        for listed in std::fs::read_dir(folder).map_err(at)? {
-            let path = listed.map_err(at)?.path();
-            let file_name = path
-                .file_name()
-                .and_then(|name| name.to_str())
-                .unwrap_or("")
-                .to_owned();
-            if file_name.starts_with("callers") && file_name.ends_with(".jsonl") {
-                caller_files += 1;
-                caller_records.extend(read_lines(&path, &["id", "at", "end", "path", "outcome"])?);
-            }
+/// Reads the records of all callers in a folder: the day's own and those of bursts and probes.
+fn read_caller_records(folder: &Path) -> Result<Vec<Value>, EvidenceError> {
+    let at = |error| EvidenceError::File(folder.to_owned(), error);
+    let mut records = Vec::new();
+    let mut file_count = 0;
+    for listed in std::fs::read_dir(folder).map_err(at)? {
+        let path = listed.map_err(at)?.path();
+        let file_name = path
+            .file_name()
+            .and_then(|name| name.to_str())
+            .unwrap_or("");
+        if file_name.starts_with("callers") && file_name.ends_with(".jsonl") {
+            file_count += 1;
+            records.extend(read_lines(&path, &["id", "at", "end", "path", "outcome"])?);
         }
-        if caller_files == 0 {
-            return Err(EvidenceError::Missing(folder.join("callers.jsonl")));
+    }
+    if file_count == 0 {
+        return Err(EvidenceError::Missing(folder.join("callers.jsonl")));
+    }
+    Ok(records)
+}
+
+/// Pairs the beginnings and ends of runs and runners in the platform's records.
+#[derive(Default)]
+struct PlatformRecordReader {
+    runs: Vec<Run>,
+    instances: Vec<RunnerInstance>,
+    journal: Vec<JournalEntry>,
+    /// Positions in `runs` of those without an end, by runner and run number.
+    open_runs: HashMap<(String, u64), usize>,
+    /// Positions in `instances` of those without an end, by runner.
+    open_instances: HashMap<String, usize>,
+}
+
+impl PlatformRecordReader {
+    fn add(&mut self, record: &Value) {
+        let runner = text(record, "runner");
+        let run_number = number(record, "run");
+        match record["kind"].as_str().unwrap_or("") {
+            "run_begin" => {
+                self.open_runs.insert((runner, run_number), self.runs.len());
+                self.runs.push(read_run(record));
+            }
+            "run_end" | "run_abort" => {
+                if let Some(index) = self.open_runs.remove(&(runner, run_number)) {
+                    self.runs[index].end = number(record, "at");
+                }
+            }
+            "runner_start" => {
+                self.open_instances.insert(runner, self.instances.len());
+                self.instances.push(read_instance(record));
+            }
+            "runner_stop" => {
+                if let Some(index) = self.open_instances.remove(&runner) {
+                    self.instances[index].stop = number(record, "at");
+                }
+            }
+            kind => self.journal.push(read_entry(kind, record)),
         }
+    }
+}
+
+impl Evidence {
+    /// Reads the record files of a day's folder.
+    ///
+    /// # Errors
+    /// Fails if a file is missing or unreadable, or has a record that is truncated or lacks a field.
+    pub fn read(folder: &Path) -> Result<Self, EvidenceError> {
+        let caller_records = read_caller_records(folder)?;
         let entry_fields = ["kind", "at"];
         let stub_records = read_lines(&folder.join("platform-stub.jsonl"), &entry_fields)?;
         let journal_records = read_lines(&folder.join("journal.jsonl"), &entry_fields)?;
@@ -202,58 +252,35 @@
         ))
     }
 
-    /// Takes records as they are.
+    /// Converts records that were read before; fields that are missing count as empty or zero.
     pub fn from_records(callers: &[Value], platform_stub: &[Value], journal: &[Value]) -> Self {
+        let mut reader = PlatformRecordReader::default();
+        for record in platform_stub {
+            reader.add(record);
+        }
         let mut evidence = Self {
             calls: callers.iter().map(read_call).collect(),
-            ..Self::default()
+            runs: reader.runs,
+            instances: reader.instances,
+            journal: reader.journal,
         };
+        evidence.journal.extend(
+            journal
+                .iter()
+                .map(|record| read_entry(record["kind"].as_str().unwrap_or(""), record)),
+        );
         evidence.calls.sort_by_key(|call| call.at);
-        let mut open_runs: HashMap<(String, u64), usize> = HashMap::new();
-        let mut open_instances: HashMap<String, usize> = HashMap::new();
-        for record in platform_stub {
-            let runner = text(record, "runner");
-            let run_number = number(record, "run");
-            match record["kind"].as_str().unwrap_or("") {
-                "run_begin" => {
-                    open_runs.insert((runner, run_number), evidence.runs.len());
-                    evidence.runs.push(read_run(record));
-                }
-                "run_end" | "run_abort" => {
-                    if let Some(index) = open_runs.remove(&(runner, run_number)) {
-                        evidence.runs[index].end = number(record, "at");
-                    }
-                }
-                "runner_start" => {
-                    open_instances.insert(runner, evidence.instances.len());
-                    evidence.instances.push(read_instance(record));
-                }
-                "runner_stop" => {
-                    if let Some(index) = open_instances.remove(&runner) {
-                        evidence.instances[index].stop = number(record, "at");
-                    }
-                }
-                kind => evidence.journal.push(read_entry(kind, record)),
-            }
-        }
-        for record in journal {
-            evidence
-                .journal
-                .push(read_entry(record["kind"].as_str().unwrap_or(""), record));
-        }
         evidence.runs.sort_by_key(|run| run.at);
-        evidence.journal.sort_by_key(|recorded| recorded.at);
+        evidence.journal.sort_by_key(|entry| entry.at);
         evidence
     }
 
-    /// The journal's entries of a kind.
-    pub fn recorded<'a>(&'a self, kind: &'a str) -> impl Iterator<Item = &'a JournalEntry> {
-        self.journal
-            .iter()
-            .filter(move |recorded| recorded.kind == kind)
+    /// The journal's entries of one kind, by time.
+    pub fn entries_of<'a>(&'a self, kind: &'a str) -> impl Iterator<Item = &'a JournalEntry> {
+        self.journal.iter().filter(move |entry| entry.kind == kind)
     }
 
-    /// The calls by identity.
+    /// The calls by idempotency key.
     pub fn calls_by_id(&self) -> HashMap<&str, &Call> {
         self.calls
             .iter()
@@ -261,7 +288,7 @@
             .collect()
     }
 
-    /// The runners' lives by name.
+    /// The runner instances by the runner's name.
     pub fn instances_by_runner(&self) -> HashMap<&str, &RunnerInstance> {
         self.instances
             .iter()
@@ -269,29 +296,25 @@
             .collect()
     }
 
-    /// The most workers that had a runner at once.
+    /// The largest number of workers that had a runner at the same time.
     pub fn most_workers_used(&self) -> usize {
-        let mut turns: Vec<(u64, bool, &str)> = Vec::new();
+        let mut changes: Vec<(u64, bool, &str)> = Vec::new();
         for instance in &self.instances {
-            turns.push((instance.start, true, &instance.worker));
-            turns.push((instance.stop, false, &instance.worker));
+            changes.push((instance.start, true, &instance.worker));
+            changes.push((instance.stop, false, &instance.worker));
         }
-        turns.sort_unstable();
+        changes.sort_unstable();
         let mut runner_counts: BTreeMap<&str, usize> = BTreeMap::new();
         let mut most_count = 0;
-        for (_, is_start, worker) in turns {
+        for (_, is_start, worker) in changes {
             let runner_count = runner_counts.entry(worker).or_default();
             *runner_count = if is_start {
                 *runner_count + 1
             } else {
                 runner_count.saturating_sub(1)
             };
-            let used: BTreeSet<&str> = runner_counts
-                .iter()
-                .filter(|(_, count)| **count > 0)
-                .map(|(name, _)| *name)
-                .collect();
-            most_count = most_count.max(used.len());
+            let used_count = runner_counts.values().filter(|count| **count > 0).count();
+            most_count = most_count.max(used_count);
         }
         most_count
     }
@@ -314,16 +337,22 @@
     }
 }
 
-fn read_run(record: &Value) -> Run {
-    let runner = text(record, "runner");
-    let born_under = runner
+/// The fencing token in a runner's name: the one of the lease under which it was started.
+fn starting_token(runner: &str) -> FencingToken {
+    runner
         .parse::<RunnerId>()
         .map(|parsed| parsed.fencing_token)
-        .unwrap_or_default();
+        .unwrap_or_default()
+}
+
+fn read_run(record: &Value) -> Run {
+    let runner = text(record, "runner");
     Run {
         at: number(record, "at"),
-        end: u64::MAX,
-        fencing_token: record["grant"].as_u64().map_or(born_under, FencingToken),
+        end: NEVER,
+        fencing_token: record["grant"]
+            .as_u64()
+            .map_or_else(|| starting_token(&runner), FencingToken),
         runner,
         function: text(record, "function"),
         idempotency_key: text(record, "transaction"),
@@ -335,12 +364,8 @@
 
 fn read_instance(record: &Value) -> RunnerInstance {
     let runner = text(record, "runner");
-    let fencing_token = runner
-        .parse::<RunnerId>()
-        .map(|parsed| parsed.fencing_token)
-        .unwrap_or_default();
     RunnerInstance {
-        fencing_token,
+        fencing_token: starting_token(&runner),
         runner,
         function: text(record, "function"),
         worker: text(record, "worker"),
@@ -348,7 +373,7 @@
         slots: number(record, "slots"),
         startup: number(record, "boot_ms") * 1_000_000,
         start: number(record, "at"),
-        stop: u64::MAX,
+        stop: NEVER,
     }
 }
 
--- a/testing/fleet/src/judge/figures.rs
+++ b/testing/fleet/src/judge/figures.rs
@@ -1,91 +1,81 @@
-//! A day's figures: shares of outcomes, and the recovery from each fault.
+//! The figures of a day: shares of outcomes, latencies, and how service recovered from each fault.
 
-use super::Evidence;
+use super::{Call, Evidence, JournalEntry};
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 use std::fmt;
 
+/// Nanoseconds in a second.
 const SECOND: u64 = 1_000_000_000;
-const HALF_SECOND: u64 = SECOND / 2;
+/// The width of the windows in which the share of answers is measured.
+const WINDOW: u64 = SECOND / 2;
+/// Windows with fewer calls are not measured.
+const MIN_WINDOW_CALLS: usize = 5;
+/// Service counts as down in a window whose share of answers is below this.
+const HEALTHY_SHARE: f64 = 0.9;
+/// The calls of a fault end this long before the next fault.
+const MARGIN_BEFORE_NEXT: u64 = 2 * SECOND;
 
-/// How service came back after one fault.
+/// How service recovered after one fault.
 #[derive(Clone, Debug)]
 pub struct Recovery {
-    /// The fault.
+    /// The name of the fault.
     pub fault: String,
-    /// The least share answered in any half second from the fault on, until service was back.
+    /// The lowest share of answers in any half second, from the fault to shortly before the next.
     pub worst_share: f64,
-    /// From the fault to the last half second below nine in ten answered, in milliseconds.
+    /// From the fault to the end of the last half second with fewer than nine in ten answered, in milliseconds.
     pub down_ms: u64,
-    /// The same, counted from the machines' return.
+    /// The time to the same end from when the fault was undone, in milliseconds.
     pub after_return_ms: u64,
-    /// The transactions of the fault's time.
+    /// The calls that were sent in that time, retries left out.
     pub calls: usize,
-    /// The share refused as not run.
+    /// The share that was refused as not run.
     pub not_run: f64,
-    /// The share unknown, or lost with its connection.
+    /// The share that ended unknown or with a lost connection.
     pub unknown: f64,
 }
 
-/// How a day went.
+/// The figures of a day.
 #[derive(Clone, Debug)]
 pub struct Figures {
-    /// Transactions by outcome and reason.
+    /// The number of calls by `outcome` or `outcome:reason`.
     pub outcomes: BTreeMap<String, usize>,
-    /// All transactions.
+    /// All calls.
     pub calls: usize,
-    /// Sends to runners.
+    /// All runs on runners.
     pub runs: usize,
-    /// Sends beyond the first of a transaction.
+    /// The runs that were not the first attempt of their request.
     pub extra_runs: usize,
-    /// Runners started.
+    /// The runners that were started.
     pub runners: usize,
-    /// The most workers in use at once.
+    /// The largest number of workers in use at the same time.
     pub workers_used: usize,
-    /// The middle time of an answer, in milliseconds.
+    /// The median latency of an answer, in milliseconds.
     pub median_ms: f64,
-    /// The time within which 99 in 100 answers came, in milliseconds.
+    /// The 99th percentile of the latency of an answer, in milliseconds.
     pub p99_ms: f64,
-    /// How service came back after each fault.
+    /// How service recovered from each fault, in the order of the faults.
     pub recoveries: Vec<Recovery>,
 }
 
 impl Figures {
-    /// Counts a day.
+    /// Computes the figures of a day.
     pub fn of(evidence: &Evidence) -> Self {
-        let mut outcomes: BTreeMap<String, usize> = BTreeMap::new();
-        for call in &evidence.calls {
-            let label = match (call.outcome.as_str(), call.reason.as_str()) {
-                (outcome, "") | (outcome @ "lost", _) => outcome.to_owned(),
-                (outcome, reason) => format!("{outcome}:{reason}"),
-            };
-            *outcomes.entry(label).or_default() += 1;
-        }
-        let mut spans: Vec<u64> = evidence
-            .calls
-            .iter()
-            .filter(|call| call.outcome == "answer")
-            .map(|call| call.end.saturating_sub(call.at))
-            .collect();
-        spans.sort_unstable();
-        let at_share = |share: f64| {
-            let index = ((spans.len() as f64 * share) as usize).min(spans.len().saturating_sub(1));
-            spans.get(index).map_or(0.0, |span| *span as f64 / 1e6)
-        };
+        let latencies = sorted_latencies(evidence);
         Self {
+            outcomes: count_outcomes(evidence),
             calls: evidence.calls.len(),
             runs: evidence.runs.len(),
             extra_runs: evidence.runs.iter().filter(|run| run.attempt > 1).count(),
             runners: evidence.instances.len(),
             workers_used: evidence.most_workers_used(),
-            median_ms: at_share(0.5),
-            p99_ms: at_share(0.99),
+            median_ms: percentile_ms(&latencies, 0.5),
+            p99_ms: percentile_ms(&latencies, 0.99),
             recoveries: recoveries(evidence),
-            outcomes,
         }
     }
 
-    /// The share of transactions whose label starts so.
+    /// The share of calls whose label in `outcomes` starts with the given text.
     pub fn share(&self, outcome: &str) -> f64 {
         let counted: usize = self
             .outcomes
@@ -96,7 +86,7 @@
         counted as f64 / self.calls.max(1) as f64
     }
 
-    /// The figures as JSON.
+    /// The figures as a JSON object.
     pub fn to_value(&self) -> Value {
         let recoveries: Vec<Value> = self
             .recoveries
@@ -127,55 +117,131 @@
     }
 }
 
+fn count_outcomes(evidence: &Evidence) -> BTreeMap<String, usize> {
+    let mut outcomes: BTreeMap<String, usize> = BTreeMap::new();
+    for call in &evidence.calls {
+        let label = match (call.outcome.as_str(), call.reason.as_str()) {
+            (outcome, "") | (outcome @ "lost", _) => outcome.to_owned(),
+            (outcome, reason) => format!("{outcome}:{reason}"),
+        };
+        *outcomes.entry(label).or_default() += 1;
+    }
+    outcomes
+}
+
+/// The latencies of all answers in nanoseconds, ascending.
+fn sorted_latencies(evidence: &Evidence) -> Vec<u64> {
+    let mut latencies: Vec<u64> = evidence
+        .calls
+        .iter()
+        .filter(|call| call.is_answered())
+        .map(|call| call.end.saturating_sub(call.at))
+        .collect();
+    latencies.sort_unstable();
+    latencies
+}
+
+/// The latency at a share of the sorted ones, in milliseconds; zero if there are none.
+fn percentile_ms(latencies: &[u64], share: f64) -> f64 {
+    let index = ((latencies.len() as f64 * share) as usize).min(latencies.len().saturating_sub(1));
+    latencies
+        .get(index)
+        .map_or(0.0, |latency| *latency as f64 / 1e6)
+}
+
+/// The calls of one half second.
+#[derive(Default)]
+struct ServiceWindow {
+    answered: usize,
+    calls: usize,
+}
+
+impl ServiceWindow {
+    fn answered_share(&self) -> f64 {
+        self.answered as f64 / self.calls as f64
+    }
+}
+
+/// The calls after one fault, counted by outcome and by half second since the fault.
+#[derive(Default)]
+struct FaultPeriod {
+    windows: BTreeMap<u64, ServiceWindow>,
+    calls: usize,
+    not_run: usize,
+    unknown: usize,
+}
+
+impl FaultPeriod {
+    fn of<'a>(fault_at: u64, calls: impl Iterator<Item = &'a Call>) -> Self {
+        let mut period = Self::default();
+        for call in calls {
+            let window = period
+                .windows
+                .entry((call.at - fault_at) / WINDOW)
+                .or_default();
+            window.answered += usize::from(call.is_answered());
+            window.calls += 1;
+            period.calls += 1;
+            period.not_run += usize::from(call.is_refused());
+            period.unknown += usize::from(call.is_indeterminate());
+        }
+        period
+    }
+
+    fn measured_windows(&self) -> impl Iterator<Item = (&u64, &ServiceWindow)> {
+        self.windows
+            .iter()
+            .filter(|(_, window)| window.calls >= MIN_WINDOW_CALLS)
+    }
+
+    fn worst_share(&self) -> f64 {
+        self.measured_windows()
+            .map(|(_, window)| window.answered_share())
+            .fold(1.0, f64::min)
+    }
+
+    /// From the fault to the end of the last unhealthy window, in nanoseconds; zero if all were healthy.
+    fn down_time(&self) -> u64 {
+        self.measured_windows()
+            .filter(|(_, window)| window.answered_share() < HEALTHY_SHARE)
+            .map(|(index, _)| (index + 1) * WINDOW)
+            .max()
+            .unwrap_or(0)
+    }
+
+    fn share_of_calls(&self, count: usize) -> f64 {
+        count as f64 / self.calls.max(1) as f64
+    }
+}
+
 fn recoveries(evidence: &Evidence) -> Vec<Recovery> {
-    let faults: Vec<_> = evidence.recorded("fault").collect();
-    let returns: Vec<_> = evidence.recorded("returned").collect();
+    let faults: Vec<_> = evidence.entries_of("fault").collect();
+    let returns: Vec<_> = evidence.entries_of("returned").collect();
     let first_calls: Vec<_> = evidence.calls.iter().filter(|call| !call.repeat).collect();
     let last_call = evidence.calls.iter().map(|call| call.at).max().unwrap_or(0);
-    let mut recoveries = Vec::new();
-    for (index, fault) in faults.iter().enumerate() {
+    let recovery_of = |(index, fault): (usize, &&JournalEntry)| {
         let until = faults
             .get(index + 1)
-            .map_or(last_call, |next| next.at - 2 * SECOND);
-        let mut bins: BTreeMap<u64, (usize, usize)> = BTreeMap::new();
-        let (mut call_count, mut not_run_count, mut unknown_count) = (0, 0, 0);
-        for call in first_calls
-            .iter()
-            .filter(|call| (fault.at..until).contains(&call.at))
-        {
-            let bin = bins.entry((call.at - fault.at) / HALF_SECOND).or_default();
-            bin.0 += usize::from(call.outcome == "answer");
-            bin.1 += 1;
-            call_count += 1;
-            not_run_count += usize::from(call.outcome == "not_run");
-            unknown_count += usize::from(matches!(call.outcome.as_str(), "unknown" | "lost"));
-        }
-        let shares = bins.iter().filter(|(_, (_, all))| *all >= 5);
-        let share_of = |answered: usize, all: usize| answered as f64 / all as f64;
-        let worst_share = shares
-            .clone()
-            .map(|(_, (answered, all))| share_of(*answered, *all))
-            .fold(1.0, f64::min);
-        let last_unhealthy = shares
-            .filter(|(_, (answered, all))| share_of(*answered, *all) < 0.9)
-            .map(|(bin, _)| (bin + 1) * HALF_SECOND)
-            .max();
-        let down = last_unhealthy.unwrap_or(0);
+            .map_or(last_call, |next| next.at - MARGIN_BEFORE_NEXT);
+        let span = fault.at..until;
+        let calls = first_calls.iter().filter(|call| span.contains(&call.at));
+        let period = FaultPeriod::of(fault.at, calls.copied());
+        let down = period.down_time();
         let returned_at = returns
             .iter()
-            .find(|recorded| recorded.at >= fault.at)
-            .map_or(fault.at, |recorded| recorded.at);
-        recoveries.push(Recovery {
+            .find(|entry| entry.at >= fault.at)
+            .map_or(fault.at, |entry| entry.at);
+        Recovery {
             fault: fault.detail["fault"].as_str().unwrap_or("").to_owned(),
-            worst_share,
-            calls: call_count,
-            not_run: share_of(not_run_count, call_count.max(1)),
-            unknown: share_of(unknown_count, call_count.max(1)),
+            worst_share: period.worst_share(),
             down_ms: down / 1_000_000,
             after_return_ms: (fault.at + down).saturating_sub(returned_at) / 1_000_000,
-        });
-    }
-    recoveries
+            calls: period.calls,
+            not_run: period.share_of_calls(period.not_run),
+            unknown: period.share_of_calls(period.unknown),
+        }
+    };
+    faults.iter().enumerate().map(recovery_of).collect()
 }
 
 impl fmt::Display for Figures {
--- a/testing/fleet/src/judge/mod.rs
+++ b/testing/fleet/src/judge/mod.rs
@@ -1,4 +1,4 @@
-//! Decides each line of what must never happen, only from what callers, runners and the platform saw.
+//! Checks a day of the fleet for safety violations, using only what callers, runners and the platform recorded.
 
 pub mod checks;
 mod evidence;
@@ -9,28 +9,33 @@
 pub use figures::{Figures, Recovery};
 pub use verdict::{Check, Verdict};
 
-/// Judges a day.
+/// Runs every check on the evidence of a day and computes its figures.
 pub fn judge(evidence: &Evidence) -> Verdict {
     let checks = checks::all(evidence);
-    let unexercised = evidence
-        .recorded("fault")
-        .filter_map(|recorded| recorded.detail["fault"].as_str())
+    Verdict {
+        unexercised: unexercised(evidence, &checks),
+        checks,
+        figures: Figures::of(evidence),
+    }
+}
+
+/// The checks that a fault of the day is meant to exercise and that found no case, with the fault's name.
+fn unexercised(evidence: &Evidence, checks: &[Check]) -> Vec<(String, &'static str)> {
+    let found_no_case = |name: &str| {
+        checks
+            .iter()
+            .any(|check| check.name == name && check.checked == 0)
+    };
+    evidence
+        .entries_of("fault")
+        .filter_map(|entry| entry.detail["fault"].as_str())
         .filter_map(crate::days::FaultName::by_name)
         .flat_map(|fault| {
             fault
                 .expected_checks()
                 .iter()
-                .map(move |check| (fault.to_string(), *check))
+                .map(move |name| (fault.to_string(), *name))
         })
-        .filter(|(_, name)| {
-            checks
-                .iter()
-                .any(|check| check.name == *name && check.checked == 0)
-        })
-        .collect();
-    Verdict {
-        checks,
-        unexercised,
-        figures: Figures::of(evidence),
-    }
+        .filter(|(_, name)| found_no_case(name))
+        .collect()
 }
--- a/testing/fleet/src/judge/verdict.rs
+++ b/testing/fleet/src/judge/verdict.rs
@@ -1,37 +1,54 @@
-//! What the judge found, line by line.
+//! The verdict on a day: the result of each check, and the day's figures.
 
 use super::Figures;
 use std::fmt;
 
-/// One line of what must never happen.
+/// The result of one check.
 #[derive(Clone, Debug)]
 pub struct Check {
-    /// What must never happen.
+    /// What must never happen; one of the names in [`checks`](super::checks).
     pub name: &'static str,
-    /// How many cases were looked at.
+    /// How many cases the check applied to.
     pub checked: usize,
-    /// Where it happened.
+    /// A description of each violation.
     pub violations: Vec<String>,
 }
 
-/// What the judge found.
+impl Check {
+    /// A check that has seen no case yet.
+    pub(super) fn new(name: &'static str) -> Self {
+        Self {
+            name,
+            checked: 0,
+            violations: Vec::new(),
+        }
+    }
+
+    /// Adds the cases and violations of another part of the same check.
+    pub(super) fn merge(&mut self, other: Check) {
+        self.checked += other.checked;
+        self.violations.extend(other.violations);
+    }
+}
+
+/// The verdict on a day.
 #[derive(Clone, Debug)]
 pub struct Verdict {
-    /// Every line.
+    /// The results of all checks, in the order of the report.
     pub checks: Vec<Check>,
-    /// The lines that the day's faults are meant to try, and that looked at no case.
+    /// The checks that a fault of the day is meant to exercise and that found no case, with the fault's name.
     pub unexercised: Vec<(String, &'static str)>,
-    /// How the day went.
+    /// The figures of the day.
     pub figures: Figures,
 }
 
 impl Verdict {
-    /// How many violations there are.
+    /// The number of violations in all checks.
     pub fn violation_count(&self) -> usize {
         self.checks.iter().map(|check| check.violations.len()).sum()
     }
 
-    /// Whether nothing happened that must never happen, and all was judged that was to be.
+    /// Whether no check was violated and every check that a fault is meant to exercise had a case.
     pub fn is_clean(&self) -> bool {
         self.violation_count() == 0 && self.unexercised.is_empty()
     }
