--- a/testing/fleet/src/history/anomaly.rs
+++ b/testing/fleet/src/history/anomaly.rs
@@ -1,49 +1,51 @@
+//! The findings of the linearizability check.
+
 use super::OrderId;
 use std::fmt;
 
-/// What no order of events explains.
+/// Something in a history that no sequence of events explains.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub enum Anomaly {
     /// An invalid order was acknowledged.
     InvalidAcknowledged(OrderId),
-    /// Two orders with one number were acknowledged.
+    /// Two orders with the same number were acknowledged.
     NumberTwice {
         /// The number.
         number: u64,
         /// The two orders.
         orders: (OrderId, OrderId),
     },
-    /// Two orders built on one version were acknowledged.
+    /// Two orders with the same base version were acknowledged.
     BaseTwice {
-        /// The number of that version.
+        /// The number of the base version.
         base: u64,
         /// The two orders.
         orders: (OrderId, OrderId),
     },
-    /// No orders that were sent lead from one version to another that was acknowledged or read.
+    /// No chain of orders that were sent leads from one version to another that was acknowledged or read.
     Unreachable {
-        /// The newest version that is reached.
+        /// The highest version number that a chain reaches.
         from: u64,
-        /// The one that is not.
+        /// The number of the version that none reaches.
         to: u64,
     },
-    /// Something about a version happened before it can have been current, or after it can still
-    /// have been: a reading went back, or an acknowledged change was not there.
+    /// The bounds on when a version became current contradict each other: a reading went back, or an acknowledged
+    /// change was missing.
     NotCurrent {
         /// The number of the version.
         number: u64,
     },
-    /// An order was refused once it had been taken.
+    /// An order was refused after it had taken effect.
     AcceptedRefused(OrderId),
-    /// An order was refused as built on an old version, and that version was current all the time.
+    /// An order was refused as stale although its base version was current during the entire attempt.
     CurrentRefused(OrderId),
-    /// A valid order above every number was refused as invalid.
+    /// A valid order with a number above the current one was refused as invalid.
     ValidRefused(OrderId),
-    /// A reading gave a zone's state that no order explains.
+    /// A reading showed a state of a zone that no order explains.
     ZoneUnexplained {
         /// The zone.
         zone: String,
-        /// Whether it was read as evacuated.
+        /// Whether the reading showed it as evacuated.
         evacuated: bool,
     },
 }
--- a/testing/fleet/src/history/chain.rs
+++ b/testing/fleet/src/history/chain.rs
@@ -1,24 +1,29 @@
+//! The search for chains of versions that agree with what was acknowledged, read and refused.
+
 use super::{Anomaly, Answer, History, OrderId};
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// One version on the way from the first to the newest.
+/// One version of the configuration in a chain from the first to the newest.
 #[derive(Clone, Debug)]
 pub struct RegisterVersion {
     /// Its number; zero for the state before the first order.
     pub number: u64,
-    /// The order that made it; none for the first.
+    /// The order that created it; none for the first.
     pub order: Option<OrderId>,
     /// The configuration.
     pub content: Value,
 }
 
-/// What must be on the way: numbers that were acknowledged, read, or said to be current.
+/// What a chain must contain: versions that were acknowledged, read, or reported as current.
 struct ChainConstraints<'a> {
+    /// The acknowledged orders by number.
     acknowledged: BTreeMap<u64, OrderId>,
+    /// The contents that were read, by number; empty where a number was only reported as current.
     read: BTreeMap<u64, Vec<&'a Value>>,
-    /// Bases on which orders were refused as stale: something followed them.
+    /// Base versions on which orders were refused as stale, so that another version must follow them.
     followed: BTreeSet<u64>,
+    /// Orders with a refused attempt; an earlier attempt may have taken effect all the same.
     refused: BTreeSet<OrderId>,
 }
 
@@ -60,7 +65,7 @@
         constraints
     }
 
-    /// The next number after this one that must be on the way.
+    /// The lowest number above this one that the chain must contain.
     fn next_after(&self, number: u64) -> Option<u64> {
         let after = number + 1..;
         let acknowledged = self
@@ -78,6 +83,7 @@
             .is_some_and(|order| self.refused.contains(&order))
     }
 
+    /// Whether a version agrees with what was acknowledged and read under its number.
     fn fits(&self, version: &RegisterVersion) -> bool {
         let is_acknowledged = self
             .acknowledged
@@ -88,21 +94,23 @@
     }
 }
 
-/// Walks the ways from the first version to the newest that was acknowledged, read, or shown by a
-/// refusal. Mostly there is one; orders of one number and base, none of them read or acknowledged,
-/// make more.
+/// A depth-first search for the chains from the first version to the newest that was acknowledged, read, or shown to
+/// exist by a refusal. Usually there is one. There are more where orders without a definite reply have the same number
+/// and base version and their content was not read.
 pub struct VersionChainSearch<'a> {
     history: &'a History,
     constraints: ChainConstraints<'a>,
+    /// The valid orders that were sent, by base version.
     orders_on: BTreeMap<u64, Vec<OrderId>>,
+    /// The chain up to the current point of the search.
     chain: Vec<RegisterVersion>,
-    /// For each version of the way the versions that may follow it and were not tried.
+    /// For each version of the chain the successors that were not tried yet.
     untried_branches: Vec<Vec<RegisterVersion>>,
     highest_reached: u64,
 }
 
 impl<'a> VersionChainSearch<'a> {
-    /// A search from the configuration before the first order.
+    /// Starts a search from the configuration before the first order.
     pub fn new(history: &'a History, first_content: &Value) -> Self {
         let mut orders_on: BTreeMap<u64, Vec<OrderId>> = BTreeMap::new();
         for (index, order) in history.orders.iter().enumerate() {
@@ -135,7 +143,7 @@
         }
     }
 
-    /// Where the search came to an end for want of orders.
+    /// The anomaly that no chain exists: the highest version that was reached and the next required one.
     pub fn unreachable_version(&self) -> Anomaly {
         let to = self
             .constraints
@@ -147,30 +155,30 @@
         }
     }
 
-    /// The next way, if there is another one.
+    /// The next chain, if there is another one.
     pub fn next_chain(&mut self) -> Option<Vec<RegisterVersion>> {
         if self.untried_branches.len() == self.chain.len() {
-            self.step()?;
+            self.try_next_branch()?;
         }
         loop {
             let newest = self.chain.last()?;
             self.highest_reached = self.highest_reached.max(newest.number);
-            let is_reached = self.constraints.next_after(newest.number).is_none();
+            let is_newest = self.constraints.next_after(newest.number).is_none();
             let candidates = self.candidates(newest);
             let is_followed = self.constraints.followed.contains(&newest.number);
-            let is_complete = is_reached && (!is_followed || candidates.is_empty());
+            let is_complete = is_newest && (!is_followed || candidates.is_empty());
             let chain = is_complete.then(|| self.chain.clone());
             self.untried_branches
                 .push(if is_complete { Vec::new() } else { candidates });
             if chain.is_some() {
                 return chain;
             }
-            self.step()?;
+            self.try_next_branch()?;
         }
     }
 
-    /// Goes on to the next version that was not tried, from the newest that has one.
-    fn step(&mut self) -> Option<()> {
+    /// Backtracks to the newest version with an untried successor and appends that; none if the search is exhausted.
+    fn try_next_branch(&mut self) -> Option<()> {
         while self.untried_branches.last()?.is_empty() {
             self.untried_branches.pop();
             self.chain.pop();
@@ -180,7 +188,8 @@
         Some(())
     }
 
-    /// The versions that may follow, the likeliest last: those that were sent early and not refused.
+    /// The possible successors of a version. The likeliest come last, since they are tried from the end: those that
+    /// were recorded early and not refused.
     fn candidates(&self, newest: &RegisterVersion) -> Vec<RegisterVersion> {
         let target = self.constraints.next_after(newest.number);
         let orders = self.orders_on.get(&newest.number).into_iter().flatten();
--- a/testing/fleet/src/history/mod.rs
+++ b/testing/fleet/src/history/mod.rs
@@ -1,15 +1,15 @@
-//! Judges what operators sent and heard against a sequential specification of the configuration.
+//! Checks a recorded history of operators' commands for linearizability, against a sequential specification of the
+//! configuration register.
 //!
-//! A [`History`] records each order with every sending of it, each answer, and each reading, with
-//! their times. [`History::judge`] looks for one order of events in which every acknowledged change
-//! happened once between its first sending and its acknowledgement, every refusal was true at some
-//! moment between asking and hearing, and every reading gave what was current at some moment while
-//! it was under way. An order without a clear answer may have happened or not. Whatever cannot be
-//! explained so is an [`Anomaly`].
+//! A [`History`] records each order, each attempt to send it, each reply and each reading, with their times.
+//! [`History::judge`] searches for one sequence of events in which every acknowledged change took effect exactly once
+//! between its first attempt and its acknowledgement, every refusal was justified at some time between the attempt and
+//! its reply, and every reading returned what was current at some time while it was in progress. An order without a
+//! definite reply may have taken effect or not. Whatever no such sequence explains is an [`Anomaly`].
 //!
-//! Versions carry numbers that only rise and name the number they are built on, so the chain of
-//! versions follows from the records, and the times are a system of lower and upper bounds: the
-//! check takes polynomial time, where linearizability in general does not.
+//! Versions have increasing numbers and name the number of their base version, so the chain of versions follows from
+//! the records, and the times are a system of lower and upper bounds. The check therefore takes polynomial time, where
+//! checking linearizability in general is NP-complete (Gibbons and Korach, "Testing Shared Memories", 1997).
 
 mod anomaly;
 mod chain;
@@ -22,44 +22,44 @@
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Names one order: all sendings of it carry the same number, base and content.
+/// Identifies one order; all attempts to send it carry the same number, base and content.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
 pub struct OrderId(pub usize);
 
-/// Names one sending of one order.
+/// Identifies one attempt to send an order.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
 pub struct AttemptId(usize);
 
-/// Names one evacuation, or the end of one.
+/// Identifies one order to evacuate a zone or to restore it.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
 pub struct ZoneOrderId(usize);
 
-/// One named item of a configuration: its part, such as routes, and its name there.
+/// The key of an item of a configuration: the section, such as `routes`, and the name within it.
 pub type ItemKey = (String, String);
 
-/// What an order makes of the configuration it is built on.
+/// How an order changes the configuration of its base version.
 #[derive(Clone, PartialEq, Debug)]
 pub enum Effect {
-    /// A whole configuration in its place.
+    /// Replaces the complete configuration.
     Replace(Value),
-    /// Items put, or removed where there is no value.
+    /// Sets items, or removes those without a value.
     Amend(BTreeMap<ItemKey, Option<Value>>),
 }
 
 impl Effect {
-    /// The configuration that follows.
+    /// The configuration that results from applying this to the base version's.
     pub fn applied_to(&self, base_content: &Value) -> Value {
         match self {
             Self::Replace(content) => content.clone(),
             Self::Amend(items) => {
                 let mut content = base_content.clone();
-                for ((part, name), item) in items {
-                    let Some(part_items) = content[part].as_object_mut() else {
+                for ((section, name), item) in items {
+                    let Some(section_items) = content[section].as_object_mut() else {
                         continue;
                     };
                     match item {
-                        Some(item) => drop(part_items.insert(name.clone(), item.clone())),
-                        None => drop(part_items.remove(name)),
+                        Some(item) => drop(section_items.insert(name.clone(), item.clone())),
+                        None => drop(section_items.remove(name)),
                     }
                 }
                 content
@@ -68,65 +68,96 @@
     }
 }
 
-/// A change of the configuration as an operator asks for it.
+/// A change of the configuration that an operator requests.
 #[derive(Clone, PartialEq, Debug)]
 pub struct Order {
-    /// The number that the version is to have.
+    /// The number of the version that it creates.
     pub number: u64,
-    /// The number of the version that it is built on; zero before the first.
+    /// The number of its base version; zero is the state before the first order.
     pub base: u64,
     /// What it changes.
     pub effect: Effect,
-    /// Whether it could be taken on its base at all.
+    /// Whether its content is valid on its base version.
     pub is_valid: bool,
 }
 
-/// A clear answer to one sending.
+/// A definite reply to one attempt.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Answer {
-    /// It is taken.
+    /// The change is accepted.
     Acknowledged,
-    /// Another version is current than the one it is built on.
+    /// Its base version is not the current one.
     Stale {
-        /// The number that was said to be current, if it was said.
+        /// The number of the current version, if the reply gave it.
         current: Option<u64>,
     },
-    /// It is invalid, or its number is not above the current one.
+    /// The order is invalid, or its number is not above the current one.
     Invalid,
 }
 
+/// One attempt to send an order, and when its definite reply arrived.
 struct Attempt {
     order: OrderId,
     requested_at: MonotonicTime,
     answer: Option<(MonotonicTime, Answer)>,
 }
 
-/// What one reading gave.
+/// The result of reading the configuration.
 #[derive(Clone, PartialEq, Debug)]
 pub struct Reading {
-    /// When it was asked for.
+    /// When the request was sent.
     pub requested_at: MonotonicTime,
-    /// When it was heard.
+    /// When the reply arrived.
     pub received_at: MonotonicTime,
-    /// The number of the version; zero before the first.
+    /// The number of the version; zero is the state before the first order.
     pub number: u64,
     /// The configuration.
     pub content: Value,
-    /// The evacuated zones.
+    /// The zones that were reported as evacuated.
     pub evacuated: BTreeSet<String>,
 }
 
-/// An evacuation, or the end of one, with all its sendings.
+/// How far an order about a zone has come.
+#[derive(Clone, Copy)]
+enum ZoneOrderState {
+    /// It is being sent, and may take effect at any time.
+    Pending,
+    /// It was acknowledged at this time, and took effect before.
+    Acknowledged(MonotonicTime),
+    /// It was abandoned at this time; it took effect before or never will.
+    Abandoned(MonotonicTime),
+}
+
+/// An order to evacuate a zone or to restore it, with all attempts to send it.
 struct ZoneOrder {
     zone: String,
     evacuate: bool,
     requested_at: MonotonicTime,
-    /// When it was acknowledged; or when it was given up, and can have no effect any more.
-    ended_at: Option<MonotonicTime>,
-    is_acknowledged: bool,
+    state: ZoneOrderState,
 }
 
-/// All that operators sent and heard.
+impl ZoneOrder {
+    /// From when on it can no longer take effect.
+    fn ended_at(&self) -> Option<MonotonicTime> {
+        match self.state {
+            ZoneOrderState::Pending => None,
+            ZoneOrderState::Acknowledged(at) | ZoneOrderState::Abandoned(at) => Some(at),
+        }
+    }
+
+    /// Whether it certainly took effect before a time.
+    fn is_done_before(&self, at: MonotonicTime) -> bool {
+        matches!(self.state, ZoneOrderState::Acknowledged(done_at) if done_at < at)
+    }
+
+    /// Whether it can only have taken effect before the other one was first sent.
+    fn precedes(&self, other: &ZoneOrder) -> bool {
+        self.ended_at()
+            .is_some_and(|ended| ended < other.requested_at)
+    }
+}
+
+/// Everything that operators sent and received.
 #[derive(Default)]
 pub struct History {
     orders: Vec<Order>,
@@ -136,13 +167,13 @@
 }
 
 impl History {
-    /// Notes an order before it is first sent.
-    pub fn order(&mut self, order: Order) -> OrderId {
+    /// Records an order before it is first sent.
+    pub fn record_order(&mut self, order: Order) -> OrderId {
         self.orders.push(order);
         OrderId(self.orders.len() - 1)
     }
 
-    /// An order is sent, for the first time or again.
+    /// Records an attempt to send an order, the first one or a retry.
     pub fn record_attempt(&mut self, at: MonotonicTime, order: OrderId) -> AttemptId {
         self.attempts.push(Attempt {
             order,
@@ -152,17 +183,17 @@
         AttemptId(self.attempts.len() - 1)
     }
 
-    /// A clear answer to a sending is heard.
+    /// Records the definite reply to an attempt.
     pub fn record_answer(&mut self, at: MonotonicTime, attempt: AttemptId, answer: Answer) {
         self.attempts[attempt.0].answer = Some((at, answer));
     }
 
-    /// A reading is heard.
+    /// Records a completed reading.
     pub fn record_reading(&mut self, reading: Reading) {
         self.readings.push(reading);
     }
 
-    /// A zone is to be evacuated, or that is to end.
+    /// Records an order to evacuate a zone or to restore it, before it is first sent.
     pub fn record_zone_order(
         &mut self,
         at: MonotonicTime,
@@ -173,25 +204,25 @@
             zone: zone.to_owned(),
             evacuate,
             requested_at: at,
-            ended_at: None,
-            is_acknowledged: false,
+            state: ZoneOrderState::Pending,
         });
         ZoneOrderId(self.zone_orders.len() - 1)
     }
 
-    /// An order about a zone is acknowledged.
+    /// Records that an order about a zone was acknowledged.
     pub fn zone_order_acknowledged(&mut self, at: MonotonicTime, order: ZoneOrderId) {
-        let zone_order = &mut self.zone_orders[order.0];
-        zone_order.ended_at = Some(at);
-        zone_order.is_acknowledged = true;
+        self.zone_orders[order.0].state = ZoneOrderState::Acknowledged(at);
     }
 
-    /// An order about a zone was given up; from this moment on it has no effect.
+    /// Records that a pending order about a zone was abandoned; from then on it cannot take effect.
     pub fn zone_order_abandoned(&mut self, at: MonotonicTime, order: ZoneOrderId) {
-        self.zone_orders[order.0].ended_at.get_or_insert(at);
+        let state = &mut self.zone_orders[order.0].state;
+        if matches!(state, ZoneOrderState::Pending) {
+            *state = ZoneOrderState::Abandoned(at);
+        }
     }
 
-    /// The newest number that was acknowledged or read; zero before the first.
+    /// The highest version number that was acknowledged or read; zero if none was.
     pub fn newest_number(&self) -> u64 {
         let read_numbers = self.readings.iter().map(|reading| reading.number);
         let acknowledged = self.orders.iter().enumerate().filter_map(|(index, order)| {
@@ -200,7 +231,7 @@
         read_numbers.chain(acknowledged).max().unwrap_or(0)
     }
 
-    /// How many answers and readings can be judged.
+    /// The number of replies, readings and orders about zones that [`History::judge`] has to explain.
     pub fn judged_count(&self) -> usize {
         let answered = self
             .attempts
@@ -210,7 +241,7 @@
         answered + self.readings.len() + self.zone_orders.len()
     }
 
-    /// What cannot be explained, if the configuration was this before the first order.
+    /// Everything that cannot be explained, given the configuration before the first order.
     pub fn judge(&self, first_content: &Value) -> Vec<Anomaly> {
         let mut anomalies = register::judge(self, first_content);
         anomalies.extend(zones::judge(self));
@@ -223,12 +254,14 @@
             .filter(move |attempt| attempt.order == order)
     }
 
+    /// When the first attempt at an order was made, if there was one.
     fn first_sent_at(&self, order: OrderId) -> Option<MonotonicTime> {
         self.attempts_of(order)
             .map(|attempt| attempt.requested_at)
             .min()
     }
 
+    /// When the first acknowledgement of an order arrived, if one did.
     fn acknowledged_at(&self, order: OrderId) -> Option<MonotonicTime> {
         let answers = self.attempts_of(order).filter_map(|attempt| attempt.answer);
         answers
--- a/testing/fleet/src/history/register.rs
+++ b/testing/fleet/src/history/register.rs
@@ -1,13 +1,15 @@
+//! The check of a chain of versions against the times at which replies and readings arrived.
+
 use super::chain::{RegisterVersion, VersionChainSearch};
 use super::{Anomaly, Answer, History, OrderId};
 use common::clock::MonotonicTime;
 use serde_json::Value;
 use std::collections::BTreeMap;
 
-/// How many ways through ambiguous orders are judged before a history counts as unexplained.
+/// How many chains are checked before an ambiguous history counts as unexplained.
 const MAX_CHAINS: usize = 256;
 
-/// The span in which a version must have become current.
+/// The interval in which a version must have become current; contradictory if `earliest` is after `latest`.
 #[derive(Clone, Copy)]
 struct TimeInterval {
     earliest: MonotonicTime,
@@ -24,7 +26,8 @@
     }
 }
 
-/// The configuration's part of the judgement.
+/// Checks orders and readings of the configuration: a history is explained if one of its chains is. If none is, the
+/// anomalies of the first and likeliest chain are returned.
 pub fn judge(history: &History, first_content: &Value) -> Vec<Anomaly> {
     let mut anomalies = judge_acknowledgements(history);
     if !anomalies.is_empty() {
@@ -50,7 +53,7 @@
     anomalies
 }
 
-/// What acknowledgements alone show.
+/// Finds anomalies that acknowledgements show without a chain: invalid orders, and two with one number or base.
 fn judge_acknowledgements(history: &History) -> Vec<Anomaly> {
     let mut anomalies = Vec::new();
     let mut by_number: BTreeMap<u64, OrderId> = BTreeMap::new();
@@ -79,6 +82,7 @@
     anomalies
 }
 
+/// A chain, and for each version the interval in which it became current.
 struct VersionIntervals<'a> {
     history: &'a History,
     chain: &'a [RegisterVersion],
@@ -86,6 +90,7 @@
 }
 
 impl<'a> VersionIntervals<'a> {
+    /// Bounds each version by the first attempt at its order and its acknowledgement.
     fn of(history: &'a History, chain: &'a [RegisterVersion]) -> Self {
         let intervals = chain
             .iter()
@@ -107,6 +112,7 @@
         }
     }
 
+    /// Narrows the intervals by readings and refusals, and adds the anomalies.
     fn judge(mut self, anomalies: &mut Vec<Anomaly>) {
         self.bound_by_readings();
         self.order_earliest();
@@ -148,7 +154,7 @@
             .filter(|index| self.chain[*index].order == Some(order))
     }
 
-    /// A version that is read was current, and the next one was not yet, while it was read.
+    /// Applies readings, and refusals that reported the current version.
     fn bound_by_readings(&mut self) {
         let history = self.history;
         for reading in &history.readings {
@@ -167,6 +173,7 @@
         }
     }
 
+    /// A version that was read became current before the reply, and its successor after the request.
     fn bound_by_current(
         &mut self,
         number: u64,
@@ -182,7 +189,7 @@
         }
     }
 
-    /// Each version becomes current after the one before.
+    /// Each version becomes current after its predecessor.
     fn order_earliest(&mut self) {
         let mut earliest = MonotonicTime::ZERO;
         for interval in &mut self.intervals {
@@ -191,6 +198,8 @@
         }
     }
 
+    /// A refusal as stale requires that the successor of the base version was current before the reply, unless the
+    /// attempt began before the base version itself was current.
     fn bound_by_stale(
         &mut self,
         order: OrderId,
@@ -214,6 +223,8 @@
         }
     }
 
+    /// A refusal of a valid order as invalid requires that a version with its number or a higher one was current before
+    /// the reply.
     fn bound_by_invalid(&mut self, order: OrderId, received_at: MonotonicTime) -> Option<Anomaly> {
         let refused_order = &self.history.orders[order.0];
         if !refused_order.is_valid {
--- a/testing/fleet/src/history/zones.rs
+++ b/testing/fleet/src/history/zones.rs
@@ -1,9 +1,11 @@
+//! The check of readings of zones against the orders to evacuate and restore them.
+
 use super::{Anomaly, History, Reading, ZoneOrder};
 use std::collections::BTreeSet;
 
-/// The zones' part of the judgement: each reading is explained by an order that may have been the
-/// last one carried out, or by none that surely was. What was read of a zone of a sequence of
-/// readings is not compared among them.
+/// Checks that each reading of a zone is explained by an order that may have been the latest to take effect, or by the
+/// initial state if no order to evacuate certainly took effect. Each reading is checked by itself; readings of one zone
+/// are not compared with each other.
 pub fn judge(history: &History) -> Vec<Anomaly> {
     let zones: BTreeSet<&str> = history
         .zone_orders
@@ -31,32 +33,15 @@
     anomalies
 }
 
-/// Whether an order of this kind, or the state before all orders, may be what the reading shows.
+/// Whether some order of this kind, or the state before all orders, may be what the reading shows.
 fn is_explained(orders: &[&ZoneOrder], reading: &Reading, evacuated: bool) -> bool {
-    let certainly_done = |other: &ZoneOrder| {
-        other.is_acknowledged
-            && other
-                .ended_at
-                .is_some_and(|ended| ended < reading.requested_at)
-    };
-    let certainly_after = |order: &ZoneOrder, other: &ZoneOrder| {
-        order
-            .ended_at
-            .is_some_and(|ended| ended < other.requested_at)
-    };
-    let is_first = !evacuated
-        && !orders
+    let is_done = |order: &ZoneOrder| order.is_done_before(reading.requested_at);
+    let may_be_initial = !evacuated && !orders.iter().any(|order| order.evacuate && is_done(order));
+    let may_be_latest = |order: &ZoneOrder| {
+        let is_overridden = orders
             .iter()
-            .any(|other| other.evacuate && certainly_done(other));
-    is_first
-        || orders.iter().any(|order| {
-            let is_overridden = orders.iter().any(|other| {
-                other.evacuate != evacuated
-                    && certainly_done(other)
-                    && certainly_after(order, other)
-            });
-            order.evacuate == evacuated
-                && order.requested_at <= reading.received_at
-                && !is_overridden
-        })
+            .any(|other| other.evacuate != evacuated && is_done(other) && order.precedes(other));
+        order.evacuate == evacuated && order.requested_at <= reading.received_at && !is_overridden
+    };
+    may_be_initial || orders.iter().any(|order| may_be_latest(order))
 }
--- a/testing/fleet/src/sim/orders.rs
+++ b/testing/fleet/src/sim/orders.rs
@@ -128,7 +128,7 @@
             kind: generated_order.kind,
             wait: Wait::Accepted,
         };
-        let order = self.operators.history.order(generated_order.order);
+        let order = self.operators.history.record_order(generated_order.order);
         self.begin_command(CommandKind::Change(order), operation);
     }
 
--- a/testing/fleet/tests/history.rs
+++ b/testing/fleet/tests/history.rs
@@ -31,7 +31,7 @@
 
 impl HistoryBuilder {
     fn order(&mut self, number: u64, base: u64, label: u64) -> OrderId {
-        self.0.order(replacement(number, base, label))
+        self.0.record_order(replacement(number, base, label))
     }
 
     fn sent(&mut self, from: u64, to: u64, order: OrderId, answer: Answer) {
@@ -156,7 +156,7 @@
     ] {
         let mut history = History::default();
         let effect = amendment.clone();
-        let order = history.order(Order {
+        let order = history.record_order(Order {
             number: 1,
             base: 0,
             effect,
@@ -223,7 +223,7 @@
 #[gtest]
 fn an_acknowledged_invalid_order_is_found() -> Result<()> {
     let mut builder = HistoryBuilder::default();
-    let order = builder.0.order(Order {
+    let order = builder.0.record_order(Order {
         is_valid: false,
         ..replacement(2, 0, 1)
     });
