--- a/testing/fleet/src/days/deployment.rs
+++ b/testing/fleet/src/days/deployment.rs
@@ -1,17 +1,17 @@
-//! The deployments that a day may run: their sizes, functions and callers.
+//! The deployments that a day can run: fleet size, functions, routes and callers.
 
 use crate::fleet::Sizes;
 use serde_json::{Map, Value, json};
 use std::fmt;
 
-/// A deployment's sizes and mix.
+/// A deployment with its fleet size and mix of requests.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Deployment {
-    /// Trail segments, bundles and elevation for load generators.
+    /// A trail mapping service: few callers that retry.
     Stezka,
-    /// Tint recipes for shop counters.
+    /// Paint recipes for shop counters: half of the callers retry several times.
     Tintwell,
-    /// A few of everything, for a quick look.
+    /// A small fleet with few functions, for quick runs.
     Small,
 }
 
@@ -25,24 +25,41 @@
     }
 }
 
+/// The weight of a route to a busy function; rare functions together get a ninth of all busy ones.
+pub(super) const BUSY_WEIGHT: u64 = 1000;
+
+/// The functions of a deployment: some named busy ones and many rare ones.
+struct FunctionMix {
+    /// The busy functions, and whether their requests must run at most once.
+    busy: &'static [(&'static str, bool)],
+    /// The beginning of the names of rare functions.
+    rare_prefix: &'static str,
+    rare_count: u64,
+    /// The memory of the smallest rare function, in megabytes.
+    rare_mb: u64,
+}
+
+/// A function of a deployment, which has one route with the same name.
 struct PlannedFunction {
     name: String,
     memory_mb: u64,
     boot_ms: u64,
     slots: u64,
+    /// Whether its requests must run at most once.
     once: bool,
+    /// The frequency of its requests relative to the others.
     weight: u64,
 }
 
 impl Deployment {
-    /// The deployment of a name.
+    /// The deployment with this name on the command line.
     pub fn by_name(given_name: &str) -> Option<Self> {
         [Self::Stezka, Self::Tintwell, Self::Small]
             .into_iter()
             .find(|deployment| deployment.to_string() == given_name)
     }
 
-    /// The fleet's sizes.
+    /// The size of the fleet.
     pub fn sizes(self) -> Sizes {
         match self {
             Self::Stezka => Sizes {
@@ -72,7 +89,7 @@
         }
     }
 
-    /// Transactions a second.
+    /// The rate of requests per second.
     pub fn rate(self) -> f64 {
         match self {
             Self::Stezka | Self::Tintwell => 300.0,
@@ -80,7 +97,7 @@
         }
     }
 
-    /// The share of callers that retry at once, and how often each does.
+    /// The share of callers that retry immediately, and the number of retries of each.
     pub fn retry_behaviour(self) -> (f64, u32) {
         match self {
             Self::Stezka => (0.05, 1),
@@ -89,47 +106,51 @@
         }
     }
 
+    fn mix(self) -> FunctionMix {
+        match self {
+            Self::Stezka => FunctionMix {
+                busy: &[
+                    ("segment-check", false),
+                    ("bundle-check", true),
+                    ("tile-index", false),
+                    ("elevation-rebuild", false),
+                    ("route-profile", false),
+                    ("volunteer-roster", true),
+                    ("platform-stub-weather", false),
+                    ("closure-notice", false),
+                ],
+                rare_prefix: "club-page",
+                rare_count: 150,
+                rare_mb: 400,
+            },
+            Self::Tintwell => FunctionMix {
+                busy: &[
+                    ("standard-tint", false),
+                    ("custom-tint", true),
+                    ("base-lookup", false),
+                    ("stock-count", false),
+                    ("label-print", true),
+                    ("catalogue-sync", false),
+                    ("shade-match", false),
+                    ("counter-hello", false),
+                ],
+                rare_prefix: "shade-family",
+                rare_count: 152,
+                rare_mb: 300,
+            },
+            Self::Small => FunctionMix {
+                busy: &[("segment-check", false), ("bundle-check", true)],
+                rare_prefix: "club-page",
+                rare_count: 12,
+                rare_mb: 300,
+            },
+        }
+    }
+
     fn functions(self) -> Vec<PlannedFunction> {
-        let (busy_names, rare_prefix, rare_count, rare_mb): (&[(&str, bool)], &str, u64, u64) =
-            match self {
-                Self::Stezka => (
-                    &[
-                        ("segment-check", false),
-                        ("bundle-check", true),
-                        ("tile-index", false),
-                        ("elevation-rebuild", false),
-                        ("route-profile", false),
-                        ("volunteer-roster", true),
-                        ("platform-stub-weather", false),
-                        ("closure-notice", false),
-                    ],
-                    "club-page",
-                    150,
-                    400,
-                ),
-                Self::Tintwell => (
-                    &[
-                        ("standard-tint", false),
-                        ("custom-tint", true),
-                        ("base-lookup", false),
-                        ("stock-count", false),
-                        ("label-print", true),
-                        ("catalogue-sync", false),
-                        ("shade-match", false),
-                        ("counter-hello", false),
-                    ],
-                    "shade-family",
-                    152,
-                    300,
-                ),
-                Self::Small => (
-                    &[("segment-check", false), ("bundle-check", true)],
-                    "club-page",
-                    12,
-                    300,
-                ),
-            };
-        let busy = busy_names
+        let mix = self.mix();
+        let busy = mix
+            .busy
             .iter()
             .enumerate()
             .map(|(index, (name, once))| PlannedFunction {
@@ -138,21 +159,21 @@
                 boot_ms: 400 + 100 * (index as u64 % 4),
                 slots: 4,
                 once: *once,
-                weight: 1000,
+                weight: BUSY_WEIGHT,
             });
-        let busy_weight = busy_names.len() as u64 * 1000;
-        let rare = (0..rare_count).map(|number| PlannedFunction {
-            name: format!("{rare_prefix}-{number:03}"),
-            memory_mb: rare_mb + 50 * (number % 3),
+        let busy_weight = mix.busy.len() as u64 * BUSY_WEIGHT;
+        let rare = (0..mix.rare_count).map(|number| PlannedFunction {
+            name: format!("{}-{number:03}", mix.rare_prefix),
+            memory_mb: mix.rare_mb + 50 * (number % 3),
             boot_ms: 300 + 100 * (number % 8),
             slots: 2,
             once: number % 10 == 9,
-            weight: busy_weight / (rare_count * 9),
+            weight: busy_weight / (mix.rare_count * 9),
         });
         busy.chain(rare).collect()
     }
 
-    /// The spec that the day begins with; the canary's route leads to the given function.
+    /// The spec at the beginning of a day, with the canary route leading to the given function.
     pub fn spec(self, canary: &str) -> Value {
         let mut functions = Map::new();
         let mut routes = Map::new();
@@ -198,7 +219,7 @@
         json!({"functions": functions, "routes": routes})
     }
 
-    /// The routes as callers use them.
+    /// The routes in the form of a load generator's plan.
     pub fn caller_routes(self) -> Vec<Value> {
         let mut routes: Vec<Value> = self
             .functions()
--- a/testing/fleet/src/days/fault/call_bursts.rs
+++ b/testing/fleet/src/days/fault/call_bursts.rs
@@ -1,6 +1,7 @@
-//! Crowds of callers on one busy function, or on all rare ones at once.
+//! Bursts of requests for one busy function, or for all rare ones.
 
 use super::{FaultInjector, FaultName};
+use crate::days::deployment::BUSY_WEIGHT;
 use crate::fleet::{Fleet, FleetError};
 use common::readers::SettingsSource;
 use serde_json::json;
@@ -10,7 +11,7 @@
         let caller_routes = self.deployment.caller_routes();
         let busy_count = caller_routes
             .iter()
-            .filter(|route| route["weight"] == json!(1000))
+            .filter(|route| route["weight"] == json!(BUSY_WEIGHT))
             .count();
         let is_rare = self.name == FaultName::RareCallBurst;
         let rare_count = caller_routes.len() - busy_count - 1;
--- a/testing/fleet/src/days/fault/catalogue.rs
+++ b/testing/fleet/src/days/fault/catalogue.rs
@@ -1,4 +1,4 @@
-//! The catalogue of faults: their names, which are heavy, and which lines of the judge they try.
+//! The catalogue of faults: their names, which are heavy, and the judge's checks that they exercise.
 
 use crate::judge::checks;
 use common::rng::SeededRng;
@@ -13,10 +13,10 @@
         }
 
         impl FaultName {
-            /// Every fault there is.
+            /// All faults.
             pub const ALL: &[FaultName] = &[$(FaultName::$variant),+];
 
-            /// The fault of a name; records of earlier versions have some under a former one.
+            /// The fault with this name, or with this name in records of earlier versions.
             pub fn by_name(given_name: &str) -> Option<FaultName> {
                 let former = RENAMED_FAULTS.iter().find(|(former, _)| *former == given_name);
                 former.map(|(_, fault)| *fault).or_else(|| {
@@ -24,7 +24,7 @@
                 })
             }
 
-            /// The name on the command line.
+            /// The name on the command line and in records.
             pub fn as_str(self) -> &'static str {
                 match self {
                     $(Self::$variant => $name,)+
@@ -35,67 +35,67 @@
 }
 
 faults! {
-    /// Turns the canary's route to the other function.
+    /// The canary's route is changed to its other function.
     SpecChange = "spec-change",
-    /// Two changes on one version, at the same time.
+    /// Two changes with the same base version are sent concurrently.
     SpecRace = "spec-race",
-    /// A change that does not check, and one on a stale version.
+    /// An invalid change and one with a stale base version are sent.
     SpecInvalid = "spec-invalid",
-    /// Ten changes as fast as they are accepted.
+    /// Ten changes are sent as fast as they are accepted.
     SpecStorm = "spec-storm",
-    /// A change that adds a thousand routes.
+    /// A change adds a thousand routes.
     SpecGrow = "spec-grow",
-    /// A daemon is killed and returns.
+    /// A daemon is killed and restarted.
     KillOne = "kill-one",
-    /// A third of the daemons are killed at once and return.
+    /// A third of the daemons are killed at once and restarted.
     KillGroup = "kill-group",
-    /// The leading controller is killed and returns.
+    /// The leader is killed and restarted.
     KillLeader = "kill-leader",
-    /// The leader is killed right after it accepted a change.
+    /// The leader is killed right after it accepted a change, and restarted.
     KillAfterAck = "kill-after-ack",
-    /// A following controller is killed, loses its disk and returns.
+    /// A follower is killed, loses its disk and is restarted.
     LoseDisk = "lose-disk",
-    /// A following controller is lost for good, and an empty one at a new address takes its place.
+    /// A follower is lost for good and replaced by an empty controller with a new address.
     ReplaceVoter = "replace-core",
-    /// The daemon that holds most is frozen for six seconds.
+    /// The daemon with the most function leases is frozen for six seconds.
     FreezeHolder = "freeze-holder",
-    /// The leading controller is frozen for four seconds.
+    /// The leader is frozen for four seconds.
     FreezeLeader = "freeze-leader",
-    /// A daemon is warned, given its grace, and returns.
+    /// A daemon is stopped gracefully and restarted.
     StopOne = "stop-one",
-    /// Every daemon and controller is killed and returns.
+    /// All daemons and controllers are killed at once and restarted.
     RestartAll = "restart-all",
-    /// A worker is emptied.
+    /// A worker is drained and restored.
     DrainWorker = "drain-worker",
-    /// A worker crashes with its runners and returns.
+    /// A worker crashes with its runners and is restored.
     CrashWorker = "crash-worker",
-    /// A zone is evacuated and brought back.
+    /// A zone is evacuated and restored.
     Evacuate = "evacuate",
-    /// Runners lose one answer in twenty.
+    /// Runners lose one answer in twenty after running the request.
     LostAnswers = "lost-answers",
-    /// Runners send wrong, short and foreign bodies.
+    /// Runners send wrong bodies, truncated ones, and answers to other requests.
     WrongBytes = "wrong-bytes",
-    /// Runners refuse and break off.
+    /// Runners refuse requests, and break connections off without running them.
     Refusals = "refusals",
-    /// A route is added, turned and removed, and called through every door each time.
+    /// A route is added, changed and removed, and called through every ingress each time.
     SpecRoutes = "spec-routes",
-    /// A third of the daemons and a controller are killed at once; the controller loses its disk.
+    /// A third of the daemons and a follower are killed at once and restarted; the follower loses its disk.
     GroupLosesDisk = "group-loses-disk",
-    /// A zone is lost whole, daemons, controller and workers, and returns.
+    /// All daemons, controllers and workers of a zone are lost and restored.
     LoseZone = "lose-zone",
-    /// A third of the daemons freeze at once for four seconds.
+    /// A third of the daemons are frozen at once for four seconds.
     FreezeGroup = "freeze-group",
-    /// The daemon that holds most is warned, given its grace, and returns.
+    /// The daemon with the most function leases is stopped gracefully and restarted.
     StopHolder = "stop-holder",
-    /// The leader is cut off from the other controllers, with half of the daemons on its side.
+    /// The leader and half of the daemons are partitioned from all other processes.
     PartitionQuorum = "cut-core",
-    /// The daemon that holds most is cut off from all other processes.
+    /// The daemon with the most function leases is partitioned from all other processes.
     IsolateHolder = "cut-holder",
-    /// A daemon is heard by nobody, or hears nobody.
+    /// The outgoing or the incoming traffic of a daemon is blocked.
     BlockOneDirection = "cut-one-way",
-    /// A zone is cut off from the others.
+    /// A zone is partitioned from the others.
     IsolateZone = "cut-zone",
-    /// Everything between the processes takes a fifth of a second longer.
+    /// Connections between processes are delayed by 200 ms.
     SlowNetwork = "slow-network",
     /// The leader's disk is full for six seconds, while changes are sent.
     DiskFull = "disk-full",
@@ -103,13 +103,13 @@
     DiskStalls = "disk-stalls",
     /// A follower's disk fails every write for six seconds, while changes are sent.
     DiskFails = "disk-fails",
-    /// Every daemon and controller is stopped in order and started again, one after the other.
+    /// All daemons and controllers are stopped gracefully and restarted, one after the other.
     RollingRestart = "rolling-restart",
-    /// Runners say that they leave, and stop six seconds later.
+    /// Every fourth runner announces that it leaves, and stops six seconds later.
     RunnerLeaves = "runner-leaves",
-    /// A crowd on one busy function.
+    /// Many requests for one busy function within three seconds.
     CallBurst = "crowd",
-    /// All rare functions are called at once.
+    /// One request for each rare function within half a second.
     RareCallBurst = "rare-crowd",
 }
 
@@ -128,7 +128,7 @@
     }
 }
 
-/// Whether callers may feel it; the judge looks at how service recovers after it.
+/// Whether the fault may interrupt service; the judge then checks that service recovers.
 pub(super) fn is_heavy(name: FaultName) -> bool {
     matches!(
         name,
@@ -152,12 +152,12 @@
 }
 
 impl FaultName {
-    /// Whether it needs controllers whose disks can be made to ail.
+    /// Whether it needs controllers with injectable disk faults.
     pub fn is_of_disk(self) -> bool {
         matches!(self, Self::DiskFull | Self::DiskStalls | Self::DiskFails)
     }
 
-    /// A seeded combination: some faults by chance, the last one heavy.
+    /// Seven faults drawn from a seed; the last one is heavy.
     pub fn random_faults(seed: u64) -> Vec<FaultName> {
         let mut rng = SeededRng::seeded(seed ^ 0xc0b1);
         let choose_one = |faults: &[FaultName], rng: &mut SeededRng| {
@@ -173,8 +173,8 @@
         chosen
     }
 
-    /// The lines of the judge that this fault is meant to try; a day in which one of them looked at
-    /// no case has not proved what it was run for.
+    /// The checks that this fault is meant to exercise. A day in which one of them found no case has not tested what
+    /// it was run for, and fails.
     pub fn expected_checks(self) -> &'static [&'static str] {
         match self {
             Self::SpecChange => &[checks::SPEC_NOT_IN_FORCE],
--- a/testing/fleet/src/days/fault/disks.rs
+++ b/testing/fleet/src/days/fault/disks.rs
@@ -1,4 +1,4 @@
-//! Faults of the controllers' disks: full, stalled, failing.
+//! Faults of the controllers' disks: full, stalled or failing.
 
 use super::{FaultInjector, pause};
 use crate::fleet::{Fleet, FleetError};
@@ -13,7 +13,7 @@
         let Some(leader) = fleet.leader().await else {
             return Ok(());
         };
-        self.disk_fault(fleet, &leader, disk_fault).await
+        self.fail_disk(fleet, &leader, disk_fault).await
     }
 
     pub(super) async fn fail_follower_disk(
@@ -24,11 +24,11 @@
         let Some(follower) = self.some_follower(fleet).await else {
             return Ok(());
         };
-        self.disk_fault(fleet, &follower, disk_fault).await
+        self.fail_disk(fleet, &follower, disk_fault).await
     }
 
-    /// A disk ails while changes go on being sent; what is not accepted then may be unknown.
-    async fn disk_fault(
+    /// Sends changes while a disk has a fault; their outcome may be unknown.
+    async fn fail_disk(
         &self,
         fleet: &mut Fleet,
         name: &str,
--- a/testing/fleet/src/days/fault/mod.rs
+++ b/testing/fleet/src/days/fault/mod.rs
@@ -1,4 +1,4 @@
-//! The faults of a day of the fleet: which there are, and how each is caused and undone.
+//! The faults of a day: the catalogue, and how each is injected and undone.
 
 mod call_bursts;
 mod catalogue;
@@ -17,13 +17,13 @@
 use serde_json::json;
 use std::time::Duration;
 
-/// A fault that is about to be caused, and what it needs to know.
+/// Injects one fault into a fleet.
 pub struct FaultInjector<'a> {
-    /// Which one.
+    /// The fault.
     pub name: FaultName,
-    /// The deployment.
+    /// The deployment that the fleet runs.
     pub deployment: Deployment,
-    /// Chance.
+    /// Chooses the targets.
     pub rng: &'a mut SeededRng,
 }
 
@@ -31,7 +31,7 @@
     tokio::time::sleep(Duration::from_millis(pause_ms)).await;
 }
 
-/// The machines of a zone.
+/// The names of the machines in a zone.
 fn machines_of(fleet: &Fleet, zone: &str) -> Vec<String> {
     let machines = fleet
         .layout
@@ -42,7 +42,10 @@
 }
 
 impl FaultInjector<'_> {
-    /// Causes it, and undoes it where it is meant to pass.
+    /// Injects the fault, waits for as long as it lasts, and undoes it unless it is permanent.
+    ///
+    /// # Errors
+    /// Fails if an action on the fleet fails; the fault may then have been injected in part.
     pub async fn inject(&mut self, fleet: &mut Fleet) -> Result<(), FleetError> {
         fleet.record_event(
             "fault",
@@ -75,6 +78,7 @@
         format!("locality-{}", 1 + self.rng.below(3))
     }
 
+    /// Runs the fault; without a suitable target it does nothing.
     async fn apply(&mut self, fleet: &mut Fleet) -> Result<(), FleetError> {
         match self.name {
             FaultName::SpecChange => self.switch_canary(fleet, "accepted").await,
--- a/testing/fleet/src/days/fault/network.rs
+++ b/testing/fleet/src/days/fault/network.rs
@@ -4,11 +4,11 @@
 use crate::fleet::{Fleet, FleetError};
 use std::time::Duration;
 
-/// How long a cut lasts.
+/// How long a partition lasts, in milliseconds.
 const PARTITION_MS: u64 = 6000;
 
 impl FaultInjector<'_> {
-    /// The leader is cut off with half of the daemons.
+    /// Partitions the leader and half of the daemons from all other processes.
     pub(super) async fn partition_quorum(&self, fleet: &Fleet) -> Result<(), FleetError> {
         let Some(leader) = fleet.leader().await else {
             return Ok(());
@@ -31,7 +31,7 @@
         self.isolate(fleet, &machines_of(fleet, &zone)).await
     }
 
-    /// A daemon is heard by nobody, or hears nobody.
+    /// Blocks the incoming or the outgoing traffic of a daemon.
     pub(super) async fn block_one_direction(&mut self, fleet: &Fleet) -> Result<(), FleetError> {
         let names = fleet.running("daemon");
         let Some(name) = self.choose_one(&names) else {
@@ -40,9 +40,9 @@
         let Some(own_ip) = fleet.ip_of(&name) else {
             return Ok(());
         };
-        let blocks_outgoing = self.rng.random_bool(0.5);
+        let blocks_incoming = self.rng.random_bool(0.5);
         for other_ip in fleet.other_ips(&[name]) {
-            match blocks_outgoing {
+            match blocks_incoming {
                 true => fleet.network_proxy.block(other_ip, own_ip),
                 false => fleet.network_proxy.block(own_ip, other_ip),
             }
--- a/testing/fleet/src/days/fault/processes.rs
+++ b/testing/fleet/src/days/fault/processes.rs
@@ -1,15 +1,15 @@
-//! Faults of the processes: killed, frozen, stopped in order, their disks lost.
+//! Faults of processes: killed, frozen or stopped gracefully, and lost disks.
 
 use super::{FaultInjector, machines_of, pause};
 use crate::fleet::{Fleet, FleetError};
 use serde_json::json;
 use std::time::Duration;
 
-/// How long a process that is stopped in order may take.
+/// The grace period of a process that is stopped gracefully.
 const STOP_GRACE: Duration = Duration::from_secs(6);
-/// How long a killed process stays away.
+/// How long a killed process is down, in milliseconds.
 const DOWN_MS: u64 = 3000;
-/// How long a process stays away that was stopped, or has lost its disk.
+/// How long a process that was stopped, or lost its disk, is down, in milliseconds.
 const RESTART_DELAY_MS: u64 = 1000;
 
 /// Every third daemon.
--- a/testing/fleet/src/days/fault/spec_changes.rs
+++ b/testing/fleet/src/days/fault/spec_changes.rs
@@ -1,10 +1,10 @@
-//! Faults of the spec: changes that race, that do not check, that come as a storm, that grow it.
+//! Changes of the spec: concurrent ones, invalid ones, many in a row, and one that makes it large.
 
 use super::{FaultInjector, pause};
 use crate::fleet::{Fleet, FleetError};
 use serde_json::json;
 
-/// How many changes a storm has.
+/// The number of changes that are sent in a row.
 const STORM_CHANGES: usize = 10;
 
 impl FaultInjector<'_> {
@@ -90,8 +90,8 @@
         Ok(())
     }
 
-    /// A route of its own: added, turned to another function, removed; each time every door is called
-    /// once the change must be in force.
+    /// Adds a route, changes its function and removes it. Each time the path is called through every ingress once the
+    /// change has to be in force.
     pub(super) async fn switch_routes(&mut self, fleet: &mut Fleet) -> Result<(), FleetError> {
         for function in [Some("canary-a"), Some("canary-b"), None] {
             let (version, mut spec) = fleet.spec().await?;
--- a/testing/fleet/src/days/fault/workers.rs
+++ b/testing/fleet/src/days/fault/workers.rs
@@ -1,5 +1,5 @@
-//! Faults of the users' platform and its runners: workers drained and crashed, zones evacuated, runners
-//! that leave or answer wrongly.
+//! Faults of the platform and its runners: drained and crashed workers, evacuated zones, and runners that leave or
+//! misbehave.
 
 use super::{FaultInjector, pause};
 use crate::fleet::{Fleet, FleetError};
@@ -7,7 +7,7 @@
 use std::collections::BTreeSet;
 
 impl FaultInjector<'_> {
-    /// Does something to a worker that is used, and restores it after a while.
+    /// Drains or crashes a worker in use, and restores it after a while.
     pub(super) async fn fail_worker(
         &mut self,
         fleet: &Fleet,
@@ -24,7 +24,7 @@
             .await
     }
 
-    /// Every fourth runner says that it leaves.
+    /// Lets every fourth runner announce that it leaves, and waits until they have stopped.
     pub(super) async fn remove_runners(&self, fleet: &Fleet) -> Result<(), FleetError> {
         let (_, body) = fleet
             .call_operators(hyper::Method::GET, "/v1/runners", None)
--- a/testing/fleet/src/days/mod.rs
+++ b/testing/fleet/src/days/mod.rs
@@ -1,4 +1,4 @@
-//! Days of the fleet: a deployment's load, a list of faults, and the judge's verdict.
+//! Test days: a fleet under a deployment's load and a list of faults, with the judge's verdict.
 
 mod deployment;
 mod fault;
--- a/testing/fleet/src/days/run.rs
+++ b/testing/fleet/src/days/run.rs
@@ -1,4 +1,4 @@
-//! Runs one day: starts the fleet, calls, causes the faults, and has it judged.
+//! Runs one day: starts the fleet, generates load, injects the faults, and judges the records.
 
 use super::{Deployment, FaultInjector, FaultName};
 use crate::fleet::{Fleet, FleetError, Layout};
@@ -11,56 +11,96 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// One day of the fleet.
+/// The settings of one day.
 #[derive(Clone, Debug)]
 pub struct Day {
     /// The deployment.
     pub deployment: Deployment,
-    /// The seed of callers, runner faults and choices.
+    /// The seed of callers, runner faults and the targets of faults.
     pub seed: u64,
-    /// The faults, one after the other.
+    /// The faults, injected one after the other.
     pub faults: Vec<FaultName>,
-    /// From the end of one fault to the next.
+    /// The time from the end of one fault to the next.
     pub gap: Duration,
-    /// The least time that callers call.
+    /// The least time for which load is generated; longer if the faults take longer.
     pub lasts: Duration,
     /// The folder of settings, logs and records.
     pub folder: PathBuf,
-    /// The folder of the programs.
+    /// The folder of the executables.
     pub programs: PathBuf,
-    /// Daemon machines, if not the deployment's.
+    /// The number of daemons, if not the deployment's.
     pub daemons: Option<usize>,
-    /// Transactions a second, if not the deployment's.
+    /// The rate of requests per second, if not the deployment's.
     pub rate: Option<f64>,
-    /// The rule that the daemons lack, if any.
+    /// The rule that the daemons run without, if any.
     pub without: Option<Rule>,
 }
 
-/// How a day ended.
+/// The result of a day.
 pub struct DayResult {
-    /// What the judge found.
+    /// The verdict of the judge.
     pub verdict: Verdict,
-    /// The most workers in use at once.
+    /// The largest number of workers in use at the same time.
     pub workers_used: usize,
 }
 
-/// Runs a day and has it judged.
+/// The load before the first fault.
+const WARM_UP: Duration = Duration::from_secs(8);
+/// The time reckoned for a fault itself, in milliseconds.
+const FAULT_MS: u64 = 8000;
+/// The load beyond the time reckoned for all faults, in milliseconds.
+const EXTRA_LOAD_MS: u64 = 12_000;
+
+/// Runs a day and judges its records.
+///
+/// # Errors
+/// Fails if the fleet cannot be started, or its records cannot be read. A fault that cannot be injected is noted in
+/// the journal and does not end the day.
 pub async fn run_day(day: &Day) -> Result<DayResult, FleetError> {
+    let mut fleet = start_fleet(day).await?;
+    let lasts_ms = load_ms(day);
+    let plan = load_plan(day, &fleet, lasts_ms)?;
+    fleet.record_event("callers", json!({"lasts_ms": lasts_ms}));
+    let load_task = tokio::spawn(run_plan(plan));
+    tokio::time::sleep(WARM_UP).await;
+    inject_all(day, &mut fleet).await;
+    let _ = load_task.await;
+    save_metrics(&fleet).await;
+    fleet.end().await;
+    let evidence = Evidence::read(&day.folder)?;
+    let verdict = judge(&evidence);
+    let workers_used = evidence.most_workers_used();
+    Ok(DayResult {
+        verdict,
+        workers_used,
+    })
+}
+
+/// Starts a fleet and waits until the deployment's spec is in force and all daemons are ready.
+async fn start_fleet(day: &Day) -> Result<Fleet, FleetError> {
     let mut sizes = day.deployment.sizes();
     sizes.daemons = day.daemons.unwrap_or(sizes.daemons);
     sizes.without = day.without;
     sizes.has_faulty_disks = day.faults.iter().any(|fault| fault.is_of_disk());
     let layout = Layout::new(&day.folder, &day.programs, &sizes, day.seed, true)?;
-    let ingresses = layout.ingresses();
     let mut fleet = Fleet::start(layout).await?;
-    fleet.found().await?;
+    fleet.bootstrap().await?;
     let spec = day.deployment.spec("canary-a");
     let change_id = fleet.change_id();
     fleet.put_spec(1, &change_id, &spec, "in_force").await?;
-    fleet.await_ready(ingresses.len()).await?;
+    fleet.await_ready(fleet.layout.ingresses().len()).await?;
+    Ok(fleet)
+}
+
+/// How long load is generated, in milliseconds.
+fn load_ms(day: &Day) -> u64 {
+    let faults_ms = (day.gap.as_millis() as u64 + FAULT_MS) * day.faults.len() as u64;
+    (day.lasts.as_millis() as u64).max(faults_ms + EXTRA_LOAD_MS)
+}
+
+fn load_plan(day: &Day, fleet: &Fleet, lasts_ms: u64) -> Result<Plan, FleetError> {
+    let ingresses = fleet.layout.ingresses();
     let (share, max_retries) = day.deployment.retry_behaviour();
-    let fault_millis = (day.gap.as_millis() as u64 + 8000) * day.faults.len() as u64;
-    let lasts_ms = (day.lasts.as_millis() as u64).max(fault_millis + 12_000);
     let plan = json!({
         "seed": day.seed,
         "lasts_ms": lasts_ms,
@@ -72,46 +112,38 @@
         "records": day.folder.join("callers.jsonl").display().to_string(),
     });
     let source = SettingsSource::from_value("plan", plan);
-    let plan = Plan::read(&source).map_err(|_| FleetError::NotInTime("a plan that reads"))?;
-    fleet.record_event("callers", json!({"lasts_ms": lasts_ms}));
-    let load_task = tokio::spawn(run_plan(plan));
-    tokio::time::sleep(Duration::from_secs(8)).await;
+    Plan::read(&source).map_err(|_| FleetError::NotInTime("a plan that reads"))
+}
+
+/// Injects the faults one after the other; one that fails is noted in the journal.
+async fn inject_all(day: &Day, fleet: &mut Fleet) {
     let mut rng = SeededRng::seeded(day.seed ^ 0x5eed);
     for name in &day.faults {
-        let mut fault = FaultInjector {
+        let mut injector = FaultInjector {
             name: *name,
             deployment: day.deployment,
             rng: &mut rng,
         };
-        if let Err(report) = fault.inject(&mut fleet).await {
+        if let Err(error) = injector.inject(fleet).await {
             fleet.record_event(
                 "fault_failed",
-                json!({"fault": name.as_str(), "why": report.to_string()}),
+                json!({"fault": name.as_str(), "why": error.to_string()}),
             );
         }
         tokio::time::sleep(day.gap).await;
     }
-    let _ = load_task.await;
-    save_metrics(&fleet).await;
-    fleet.end().await;
-    let evidence = Evidence::read(&day.folder)?;
-    let verdict = judge(&evidence);
-    let workers_used = evidence.most_workers_used();
-    Ok(DayResult {
-        verdict,
-        workers_used,
-    })
 }
 
+/// Saves the metrics pages of all daemons and controllers in the day's folder, as far as they can be had.
 async fn save_metrics(fleet: &Fleet) {
     let mut pages = String::new();
-    let ingresses = fleet.layout.machines.values().filter_map(|machine| {
+    let endpoints = fleet.layout.machines.values().filter_map(|machine| {
         machine
             .ingress
             .or(machine.operators)
             .map(|address| (machine.name.clone(), address))
     });
-    for (name, address) in ingresses {
+    for (name, address) in endpoints {
         let timeout = Duration::from_secs(1);
         let response =
             common::http::call_json(address, hyper::Method::GET, "/metrics", None, timeout).await;
--- a/testing/fleet/src/fleet/layout.rs
+++ b/testing/fleet/src/fleet/layout.rs
@@ -1,4 +1,4 @@
-//! The machines of a fleet: names, places, settings and files.
+//! The machines of a fleet: names, addresses, settings and files.
 
 use super::FleetError;
 use common::frames::SocketAddress;
@@ -8,62 +8,70 @@
 use std::net::{Ipv4Addr, SocketAddrV4, TcpListener};
 use std::path::{Path, PathBuf};
 
-/// One process and how it is started.
+/// The number of controllers that a fleet begins with.
+const CONTROLLERS: usize = 3;
+
+/// The address that other processes use for a process, and the one that it listens on behind its network proxy.
+pub type Endpoints = (SocketAddress, SocketAddress);
+
+/// One process of a fleet and how it is started.
 #[derive(Clone, Debug)]
 pub struct Machine {
     /// Its name.
     pub name: String,
-    /// Which program it runs.
+    /// The kind of program: `controller`, `daemon` or `platform-stub`.
     pub program: &'static str,
-    /// The program's file.
+    /// The path of the executable.
     pub binary: PathBuf,
-    /// Its arguments.
+    /// The command-line arguments.
     pub arguments: Vec<String>,
-    /// Where callers reach it.
+    /// The address for callers; daemons only.
     pub ingress: Option<SocketAddress>,
-    /// Where operators reach it.
+    /// The address of the operator API; controllers only.
     pub operators: Option<SocketAddress>,
-    /// Its zone.
+    /// Its zone; empty for the platform.
     pub zone: String,
-    /// Where other processes reach it, and where it listens behind its relay.
-    pub endpoints: Option<(SocketAddress, SocketAddress)>,
+    /// The address that other processes use, and the one that it listens on behind its network proxy.
+    pub endpoints: Option<Endpoints>,
 }
 
-/// The fleet's sizes.
+/// The size of a fleet, and which test programs replace the real ones.
 #[derive(Clone, Debug)]
 pub struct Sizes {
-    /// Daemon machines.
+    /// The number of daemons.
     pub daemons: usize,
-    /// Localities.
+    /// The number of zones.
     pub zones: usize,
-    /// Workers.
+    /// The number of workers.
     pub workers: usize,
-    /// Memory of one worker in megabytes.
+    /// The memory of each worker, in megabytes.
     pub worker_mb: u64,
-    /// Whether the controllers' disks can be made to ail.
+    /// Whether faults can be injected into the controllers' disks.
     pub has_faulty_disks: bool,
-    /// The rule that the daemons lack, if any.
+    /// The rule that the daemons are to run without, if any.
     pub without: Option<Rule>,
 }
 
-/// Who stands where.
+/// The machines of a fleet and the addresses that they use.
 #[derive(Clone, Debug)]
 pub struct Layout {
     /// The folder of settings, logs and records.
     pub folder: PathBuf,
-    /// Every process by name.
+    /// Every machine by name.
     pub machines: BTreeMap<String, Machine>,
-    /// The platform.
+    /// The address of the platform.
     pub platform: SocketAddress,
-    /// The folder of the programs.
+    /// The folder of the executables.
     pub programs: PathBuf,
-    /// The three seed addresses.
+    /// The addresses of the three first controllers, which every process gets as seeds.
     pub seeds: Vec<String>,
     has_faulty_disks: bool,
     without: Option<Rule>,
+    /// The number of controllers and daemons; gives the next one its loopback address.
     machine_count: usize,
 }
 
+/// Unused ports on the common loopback address.
 fn free_addresses(count: usize) -> std::io::Result<Vec<SocketAddress>> {
     let listeners = (0..count)
         .map(|_| TcpListener::bind((Ipv4Addr::LOCALHOST, 0)))
@@ -77,8 +85,8 @@
         .collect()
 }
 
-/// Two free ports on a loopback address of a machine's own.
-fn machine_addresses(number: usize) -> std::io::Result<(SocketAddress, SocketAddress)> {
+/// Two unused ports on a loopback address that only this machine uses.
+fn machine_addresses(number: usize) -> std::io::Result<Endpoints> {
     let ip = Ipv4Addr::new(127, 0, 1 + (number / 250) as u8, 1 + (number % 250) as u8);
     let first = TcpListener::bind((ip, 0))?;
     let second = TcpListener::bind((ip, 0))?;
@@ -91,7 +99,10 @@
 }
 
 impl Layout {
-    /// Lays out a fleet in a folder, which is made.
+    /// Lays out a fleet in a folder, which is created, and writes the settings of its machines there.
+    ///
+    /// # Errors
+    /// Fails if no ports are free or a file cannot be written.
     pub fn new(
         folder: &Path,
         programs: &Path,
@@ -101,146 +112,168 @@
     ) -> Result<Self, FleetError> {
         let at = |error| FleetError::Machine(folder.to_owned(), error);
         std::fs::create_dir_all(folder).map_err(at)?;
-        let addresses = free_addresses(4 + sizes.daemons).map_err(at)?;
-        let platform = addresses[0];
-        let endpoints = (0..3 + sizes.daemons)
+        let machine_count = CONTROLLERS + sizes.daemons;
+        // The first address is the platform's, the others are for operators and callers.
+        let addresses = free_addresses(1 + machine_count).map_err(at)?;
+        let endpoints = (0..machine_count)
             .map(machine_addresses)
-            .collect::<std::io::Result<Vec<(SocketAddress, SocketAddress)>>>()
+            .collect::<std::io::Result<Vec<Endpoints>>>()
             .map_err(at)?;
-        let seeds: Vec<String> = endpoints[..3]
-            .iter()
-            .map(|(address, _)| address.to_string())
-            .collect();
         let mut layout = Self {
             folder: folder.to_owned(),
             machines: BTreeMap::new(),
-            platform,
+            platform: addresses[0],
             programs: programs.to_owned(),
-            seeds: seeds.clone(),
+            seeds: endpoints[..CONTROLLERS]
+                .iter()
+                .map(|(address, _)| address.to_string())
+                .collect(),
             has_faulty_disks: sizes.has_faulty_disks,
             without: sizes.without,
-            machine_count: 3 + sizes.daemons,
+            machine_count,
         };
-        for number in 0..3 {
+        let zone_of = |number: usize| format!("locality-{}", number % sizes.zones + 1);
+        let (controllers, daemons) = endpoints.split_at(CONTROLLERS);
+        let (operators, ingresses) = addresses[1..].split_at(CONTROLLERS);
+        for (number, endpoints) in controllers.iter().enumerate() {
             let name = format!("controller-{}", number + 1);
-            let zone = format!("locality-{}", number % sizes.zones + 1);
-            let operators = addresses[1 + number];
-            let settings = json!({
-                "place": seeds[number],
-                "listen": endpoints[number].1.to_string(),
-                "operators": operators.to_string(),
-                "locality": zone,
-                "seeds": seeds,
-                "data": folder.join(format!("{name}.data")).display().to_string(),
-                "platform": platform.to_string(),
-            });
-            layout.add(
-                &name,
-                "controller",
-                &settings,
-                None,
-                Some(operators),
-                zone,
-                endpoints[number],
-            )?;
+            layout.put_controller(&name, &zone_of(number), operators[number], *endpoints)?;
         }
-        let mut ingresses = Vec::new();
-        for number in 0..sizes.daemons {
+        for (number, endpoints) in daemons.iter().enumerate() {
             let name = format!("daemon-{:02}", number + 1);
-            let zone = format!("locality-{}", number % sizes.zones + 1);
-            let ingress = addresses[4 + number];
-            let (address, listen) = endpoints[3 + number];
-            let settings = json!({
-                "member": name,
-                "place": address.to_string(),
-                "listen": listen.to_string(),
-                "door": ingress.to_string(),
-                "locality": zone,
-                "seeds": seeds,
-                "platform": platform.to_string(),
-                "threads": 2,
-            });
-            ingresses.push(ingress.to_string());
-            let own_endpoints = (address, listen);
-            layout.add(
-                &name,
-                "daemon",
-                &settings,
-                Some(ingress),
-                None,
-                zone,
-                own_endpoints,
-            )?;
+            layout.put_daemon(&name, &zone_of(number), ingresses[number], *endpoints)?;
         }
-        let mut stub_arguments: Vec<String> = [
-            ("--place", platform.to_string()),
+        layout.put_platform_stub(sizes, ingresses, seed, reuse_ports);
+        Ok(layout)
+    }
+
+    fn put_controller(
+        &mut self,
+        name: &str,
+        zone: &str,
+        operators: SocketAddress,
+        endpoints: Endpoints,
+    ) -> Result<(), FleetError> {
+        let settings = json!({
+            "place": endpoints.0.to_string(),
+            "listen": endpoints.1.to_string(),
+            "operators": operators.to_string(),
+            "locality": zone,
+            "seeds": self.seeds,
+            "data": self.folder.join(format!("{name}.data")).display().to_string(),
+            "platform": self.platform.to_string(),
+        });
+        let machine = Machine {
+            operators: Some(operators),
+            ..self.process_machine(name, "controller", zone, endpoints)
+        };
+        self.put_with_settings(machine, &settings)
+    }
+
+    fn put_daemon(
+        &mut self,
+        name: &str,
+        zone: &str,
+        ingress: SocketAddress,
+        endpoints: Endpoints,
+    ) -> Result<(), FleetError> {
+        let settings = json!({
+            "member": name,
+            "place": endpoints.0.to_string(),
+            "listen": endpoints.1.to_string(),
+            "door": ingress.to_string(),
+            "locality": zone,
+            "seeds": self.seeds,
+            "platform": self.platform.to_string(),
+            "threads": 2,
+        });
+        let machine = Machine {
+            ingress: Some(ingress),
+            ..self.process_machine(name, "daemon", zone, endpoints)
+        };
+        self.put_with_settings(machine, &settings)
+    }
+
+    fn put_platform_stub(
+        &mut self,
+        sizes: &Sizes,
+        ingresses: &[SocketAddress],
+        seed: u64,
+        reuse_ports: bool,
+    ) {
+        let name = "platform-stub";
+        let records = self.folder.join("platform-stub.jsonl");
+        let ingresses: Vec<String> = ingresses.iter().map(ToString::to_string).collect();
+        let options = [
+            ("--place", self.platform.to_string()),
             ("--workers", sizes.workers.to_string()),
             ("--memory", sizes.worker_mb.to_string()),
             ("--localities", sizes.zones.to_string()),
             ("--doors", ingresses.join(",")),
             ("--seed", seed.to_string()),
-            (
-                "--records",
-                folder.join("platform-stub.jsonl").display().to_string(),
-            ),
-        ]
-        .into_iter()
-        .flat_map(|(flag, value)| [flag.to_owned(), value])
-        .collect();
+            ("--records", records.display().to_string()),
+        ];
+        let mut arguments: Vec<String> = options
+            .into_iter()
+            .flat_map(|(flag, value)| [flag.to_owned(), value])
+            .collect();
         if reuse_ports {
-            stub_arguments.push("--reuse".to_owned());
+            arguments.push("--reuse".to_owned());
         }
-        let platform_stub = Machine {
-            name: "platform-stub".to_owned(),
-            program: "platform-stub",
-            binary: programs.join("platform-stub"),
-            arguments: stub_arguments,
+        let machine = Machine {
+            name: name.to_owned(),
+            program: name,
+            binary: self.programs.join(name),
+            arguments,
             ingress: None,
             operators: None,
             zone: String::new(),
             endpoints: None,
         };
-        layout
-            .machines
-            .insert("platform-stub".to_owned(), platform_stub);
-        Ok(layout)
+        self.machines.insert(name.to_owned(), machine);
     }
 
-    #[allow(clippy::too_many_arguments)]
-    fn add(
-        &mut self,
+    /// A controller or daemon behind a network proxy, without addresses for callers and operators.
+    fn process_machine(
+        &self,
         name: &str,
         program: &'static str,
-        settings: &Value,
-        ingress: Option<SocketAddress>,
-        operators: Option<SocketAddress>,
-        zone: String,
-        endpoints: (SocketAddress, SocketAddress),
-    ) -> Result<(), FleetError> {
-        let boot_path = self.folder.join(format!("{name}.json"));
-        let text = serde_json::to_string_pretty(settings).unwrap_or_default();
-        std::fs::write(&boot_path, text)
-            .map_err(|error| FleetError::Machine(boot_path.clone(), error))?;
-        let mut arguments = vec!["--boot".to_owned(), boot_path.display().to_string()];
+        zone: &str,
+        endpoints: Endpoints,
+    ) -> Machine {
+        let mut arguments = vec![
+            "--boot".to_owned(),
+            self.settings_path(name).display().to_string(),
+        ];
         if let Some(rule) = self.without.filter(|_| program == "daemon") {
             arguments.extend(["--without".to_owned(), rule.to_string()]);
         }
-        let machine = Machine {
+        Machine {
             name: name.to_owned(),
             program,
             binary: self.programs.join(self.binary_name(program)),
             arguments,
-            ingress,
-            operators,
-            zone,
+            ingress: None,
+            operators: None,
+            zone: zone.to_owned(),
             endpoints: Some(endpoints),
-        };
-        self.machines.insert(name.to_owned(), machine);
+        }
+    }
+
+    fn settings_path(&self, name: &str) -> PathBuf {
+        self.folder.join(format!("{name}.json"))
+    }
+
+    fn put_with_settings(&mut self, machine: Machine, settings: &Value) -> Result<(), FleetError> {
+        let path = self.settings_path(&machine.name);
+        let text = serde_json::to_string_pretty(settings).unwrap_or_default();
+        std::fs::write(&path, text).map_err(|error| FleetError::Machine(path, error))?;
+        self.machines.insert(machine.name.clone(), machine);
         Ok(())
     }
 
-    /// Controllers whose disks can be made to ail, and daemons that lack a rule, come from programs of the
-    /// proving tools around the same libraries.
+    /// The name of the executable. Controllers with disk faults and daemons without a rule are test programs around
+    /// the same libraries.
     fn binary_name(&self, program: &'static str) -> &'static str {
         match program {
             "controller" if self.has_faulty_disks => "ailing-controller",
@@ -251,38 +284,24 @@
         }
     }
 
-    /// The file that says how a controller's disk ails.
+    /// The file that controls the fault of a controller's disk; without it the disk works.
     pub fn disk_file(&self, name: &str) -> PathBuf {
         self.folder.join(format!("{name}.json.disk"))
     }
 
-    /// One more controller at an address of its own, with an empty disk, in another's zone.
+    /// Adds a controller with new addresses and an empty disk in the given zone.
+    ///
+    /// # Errors
+    /// Fails if no ports are free or its settings cannot be written.
     pub fn add_controller(&mut self, name: &str, zone: &str) -> Result<(), FleetError> {
         let at = |error| FleetError::Machine(self.folder.clone(), error);
         let operators = free_addresses(1).map_err(at)?[0];
         let endpoints = machine_addresses(self.machine_count).map_err(at)?;
         self.machine_count += 1;
-        let settings = json!({
-            "place": endpoints.0.to_string(),
-            "listen": endpoints.1.to_string(),
-            "operators": operators.to_string(),
-            "locality": zone,
-            "seeds": self.seeds,
-            "data": self.folder.join(format!("{name}.data")).display().to_string(),
-            "platform": self.platform.to_string(),
-        });
-        self.add(
-            name,
-            "controller",
-            &settings,
-            None,
-            Some(operators),
-            zone.to_owned(),
-            endpoints,
-        )
+        self.put_controller(name, zone, operators, endpoints)
     }
 
-    /// Where operators reach the controllers.
+    /// The operator API addresses of all controllers.
     pub fn operators(&self) -> Vec<SocketAddress> {
         self.machines
             .values()
@@ -290,7 +309,7 @@
             .collect()
     }
 
-    /// Where callers reach the daemons.
+    /// The ingress addresses of all daemons.
     pub fn ingresses(&self) -> Vec<SocketAddress> {
         self.machines
             .values()
--- a/testing/fleet/src/fleet/mod.rs
+++ b/testing/fleet/src/fleet/mod.rs
@@ -1,11 +1,11 @@
-//! The fleet's processes and how they are hurt.
+//! A fleet of real processes on one machine: starting and stopping them, disturbing them, and operating them.
 
 mod layout;
 mod network_proxy;
 mod process;
 mod sent_change;
 
-pub use layout::{Layout, Machine, Sizes};
+pub use layout::{Endpoints, Layout, Machine, Sizes};
 pub use network_proxy::NetworkProxy;
 pub use process::Process;
 pub use sent_change::SentChange;
@@ -17,68 +17,47 @@
 use platform_stub::records::Records;
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, BTreeSet};
-use std::fmt;
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Why the fleet could not do something.
-#[derive(Debug)]
+/// Why an action on the fleet failed. The texts include those of their causes.
+#[derive(Debug, thiserror::Error)]
 pub enum FleetError {
-    /// A process could not be started, or a file not be written.
+    /// A process could not be started, or a file could not be written.
+    #[error("{path}: {cause}", path = .0.display(), cause = .1)]
     Machine(PathBuf, std::io::Error),
-    /// Something awaited did not happen in time.
+    /// Something that was waited for did not happen in time.
+    #[error("not in time: {0}")]
     NotInTime(&'static str),
-    /// An operator's call failed.
-    Call(CallError),
-    /// The day's records cannot be judged.
-    Evidence(EvidenceError),
-    /// An operator's wish was refused.
+    /// An HTTP request to an operator API or the platform failed.
+    #[error(transparent)]
+    Call(#[from] CallError),
+    /// The records of the day cannot be judged.
+    #[error(transparent)]
+    Evidence(#[from] EvidenceError),
+    /// An operator's request was refused, with this status and body.
+    #[error("refused with {0}: {1}")]
     Refused(u16, Value),
 }
 
-impl fmt::Display for FleetError {
-    fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            Self::Machine(path, error) => write!(out, "{}: {error}", path.display()),
-            Self::NotInTime(what) => write!(out, "not in time: {what}"),
-            Self::Call(error) => write!(out, "{error}"),
-            Self::Evidence(error) => write!(out, "{error}"),
-            Self::Refused(status, body) => write!(out, "refused with {status}: {body}"),
-        }
-    }
-}
-
-impl std::error::Error for FleetError {}
-
-impl From<EvidenceError> for FleetError {
-    fn from(error: EvidenceError) -> Self {
-        Self::Evidence(error)
-    }
-}
-
-impl From<CallError> for FleetError {
-    fn from(error: CallError) -> Self {
-        Self::Call(error)
-    }
-}
-
-/// A running fleet.
+/// A running fleet. Its processes are killed when it is dropped.
 pub struct Fleet {
-    /// Who stands where.
+    /// The machines and their addresses.
     pub layout: Layout,
-    /// What was done to the fleet, and what operators were told.
+    /// The record of actions on the fleet and of operators' changes.
     pub journal: Records,
     /// The network between the processes.
     pub network_proxy: NetworkProxy,
     processes: BTreeMap<String, Process>,
-    /// Processes that were told to stop or stand still.
+    /// Processes that are stopping or frozen.
     disturbed: BTreeSet<String>,
-    next_change: u64,
+    /// The number in the latest change id.
+    latest_change: u64,
 }
 
 impl Fleet {
-    /// Lays out the folder and starts every process, the platform first.
+    /// Creates the journal and starts every process, the platform first.
     pub async fn start(layout: Layout) -> Result<Self, FleetError> {
         let journal_path = layout.folder.join("journal.jsonl");
         let journal = Records::create(&journal_path)
@@ -92,7 +71,7 @@
             network_proxy,
             processes,
             disturbed,
-            next_change: 1,
+            latest_change: 1,
         };
 
         let names: Vec<String> = fleet.layout.machines.keys().cloned().collect();
@@ -103,8 +82,8 @@
         Ok(fleet)
     }
 
-    /// Puts a machine's relay up.
-    async fn start_proxies_of(&self, name: &str) -> Result<(), FleetError> {
+    /// Starts a machine's network proxy, if it has one.
+    async fn start_proxy_of(&self, name: &str) -> Result<(), FleetError> {
         if let Some((address, listen)) = self.layout.machines[name].endpoints {
             self.network_proxy
                 .start_proxy(address, listen)
@@ -114,13 +93,13 @@
         Ok(())
     }
 
-    /// The IP number of a machine.
+    /// The loopback address of a machine between processes.
     pub fn ip_of(&self, name: &str) -> Option<std::net::Ipv4Addr> {
         let endpoints = self.layout.machines.get(name)?.endpoints;
         endpoints.map(|(address, _)| *address.0.ip())
     }
 
-    /// The IP numbers of all machines but some.
+    /// The loopback addresses of all machines except the named ones.
     pub fn other_ips(&self, names: &[String]) -> Vec<std::net::Ipv4Addr> {
         let others = self
             .layout
@@ -130,9 +109,9 @@
         others.filter_map(|name| self.ip_of(name)).collect()
     }
 
-    /// Starts one process.
+    /// Starts the process of a machine behind its network proxy.
     pub async fn launch(&mut self, name: &str) -> Result<(), FleetError> {
-        self.start_proxies_of(name).await?;
+        self.start_proxy_of(name).await?;
         let machine = &self.layout.machines[name];
         let process = Process::start(machine, &self.layout.folder)?;
         self.disturbed.remove(name);
@@ -150,13 +129,13 @@
             .map(|ingress| ingress.to_string())
     }
 
-    /// Writes to the journal.
+    /// Appends an entry to the journal.
     pub fn record_event(&self, kind: &str, detail: Value) {
         self.journal.add(kind, detail);
         self.journal.flush();
     }
 
-    /// Kills a process without warning.
+    /// Kills a process with SIGKILL.
     pub async fn kill(&mut self, name: &str) {
         self.record_event("kill", json!({"machine": name, "door": self.ingress(name)}));
         if let Some(mut process) = self.processes.remove(name) {
@@ -165,14 +144,14 @@
         self.stop_proxy(name).await;
     }
 
-    /// Kills some at once.
+    /// Kills several processes, one right after the other.
     pub async fn kill_all(&mut self, names: &[String]) {
         for name in names {
             self.kill(name).await;
         }
     }
 
-    /// Starts some.
+    /// Starts several processes, one right after the other.
     pub async fn launch_all(&mut self, names: &[String]) -> Result<(), FleetError> {
         for name in names {
             self.launch(name).await?;
@@ -191,27 +170,28 @@
         }
     }
 
-    /// Warns a process, and kills it when its grace is over; says how long it took.
+    /// Stops a process with SIGTERM, and kills it if it is still running after the grace period. Returns the time
+    /// taken.
     pub async fn stop(&mut self, name: &str, grace: Duration) -> Duration {
         self.record_event("stop", json!({"machine": name, "door": self.ingress(name)}));
         let started_at = Instant::now();
         if let Some(mut process) = self.processes.remove(name) {
             process.terminate();
-            let is_gone = process.wait(grace).await;
+            let has_ended = process.wait(grace).await;
             let taken_ms = started_at.elapsed().as_millis() as u64;
-            if !is_gone {
+            if !has_ended {
                 process.kill();
             }
             self.stop_proxy(name).await;
             self.record_event(
                 "stopped",
-                json!({"machine": name, "in_time": is_gone, "taken_ms": taken_ms}),
+                json!({"machine": name, "in_time": has_ended, "taken_ms": taken_ms}),
             );
         }
         started_at.elapsed()
     }
 
-    /// Warns a process, and leaves it to stop; [`Fleet::stop`] waits for it.
+    /// Sends SIGTERM to a process without waiting for its end; a later [`Fleet::stop`] waits.
     pub fn begin_stop(&mut self, name: &str) {
         self.record_event("stop", json!({"machine": name, "door": self.ingress(name)}));
         self.disturbed.insert(name.to_owned());
@@ -220,24 +200,24 @@
         }
     }
 
-    /// Tells all daemons and controllers to read their settings again.
+    /// Sends SIGHUP to all daemons and controllers, so that they reload their settings.
     pub fn reload_all(&self) {
         self.record_event("hang_up", json!({}));
-        let notified = self
+        let reloaded = self
             .processes
             .iter()
             .filter(|(name, _)| *name != "platform-stub");
-        notified.for_each(|(_, process)| process.reload());
+        reloaded.for_each(|(_, process)| process.reload());
     }
 
-    /// The running processes of one program that nothing was done to that is not undone.
+    /// The running processes of one program that are neither stopping nor frozen.
     pub fn undisturbed(&self, program: &str) -> Vec<String> {
         let mut names = self.running(program);
         names.retain(|name| !self.disturbed.contains(name));
         names
     }
 
-    /// Processes that were started and not stopped, and have ended all the same.
+    /// Processes that ended without having been stopped.
     pub fn exited_processes(&mut self) -> Vec<String> {
         let processes = self.processes.iter_mut();
         processes
@@ -245,7 +225,7 @@
             .collect()
     }
 
-    /// Freezes a process.
+    /// Freezes a process with SIGSTOP.
     pub fn freeze(&mut self, name: &str) {
         self.record_event(
             "freeze",
@@ -257,7 +237,7 @@
         }
     }
 
-    /// Wakes a frozen process.
+    /// Resumes a frozen process with SIGCONT.
     pub fn resume(&mut self, name: &str) {
         self.disturbed.remove(name);
         if let Some(process) = self.processes.get(name) {
@@ -266,13 +246,13 @@
         self.record_event("wake", json!({"machine": name, "door": self.ingress(name)}));
     }
 
-    /// Empties a controller's data folder.
+    /// Deletes a controller's data directory.
     pub fn lose_disk(&self, name: &str) {
         let _ = std::fs::remove_dir_all(self.layout.folder.join(format!("{name}.data")));
         self.record_event("lose_disk", json!({"machine": name}));
     }
 
-    /// Stops everything.
+    /// Stops all processes, the platform last.
     pub async fn end(&mut self) {
         let names: Vec<String> = self.processes.keys().cloned().collect();
         for name in &names {
@@ -298,7 +278,11 @@
         }
     }
 
-    /// Asks controllers in turn until one answers.
+    /// Sends a request to the operator API of the controllers in turn, until one is reached. Returns the status and
+    /// the JSON body.
+    ///
+    /// # Errors
+    /// Fails if no controller is reached, or if a request was sent and its response lost.
     pub async fn call_operators(
         &self,
         method: Method,
@@ -317,8 +301,8 @@
         Err(last_error)
     }
 
-    /// Founds the core once its members have met.
-    pub async fn found(&self) -> Result<(), FleetError> {
+    /// Bootstraps the control quorum once its voters have met, and waits for a leader.
+    pub async fn bootstrap(&self) -> Result<(), FleetError> {
         for _ in 0..100 {
             if let Ok((202, _)) = self
                 .call_operators(Method::POST, "/v1/core/found", None)
@@ -331,7 +315,7 @@
         Err(FleetError::NotInTime("founding"))
     }
 
-    /// Waits until a leader answers.
+    /// Waits until a leader answers for the spec.
     pub async fn await_leader(&self) -> Result<(), FleetError> {
         for _ in 0..200 {
             if let Ok((200, _)) = self.call_operators(Method::GET, "/v1/spec", None).await {
@@ -342,7 +326,7 @@
         Err(FleetError::NotInTime("a leader"))
     }
 
-    /// Waits until the platform finds that so many daemons are ready.
+    /// Waits until the platform's readiness probes found this many daemons ready.
     pub async fn await_ready(&self, expected_count: usize) -> Result<(), FleetError> {
         for _ in 0..300 {
             let timeout = Duration::from_secs(1);
@@ -365,7 +349,7 @@
         Err(FleetError::NotInTime("ready daemons"))
     }
 
-    /// The present serial and spec.
+    /// The current version number and spec.
     pub async fn spec(&self) -> Result<(u64, Value), FleetError> {
         match self.call_operators(Method::GET, "/v1/spec", None).await? {
             (200, body) => Ok((body["serial"].as_u64().unwrap_or(0), body["spec"].clone())),
@@ -373,13 +357,14 @@
         }
     }
 
-    /// A change id not used before.
+    /// A change id that was not used before.
     pub fn change_id(&mut self) -> String {
-        self.next_change += 1;
-        format!("change-{}", self.next_change)
+        self.latest_change += 1;
+        format!("change-{}", self.latest_change)
     }
 
-    /// Sends a whole spec, and writes down what was sent and what was told.
+    /// Replaces the spec, and records the change and its outcome in the journal. Returns the status and the JSON
+    /// body.
     pub async fn put_spec(
         &self,
         base: u64,
@@ -393,13 +378,13 @@
             .call_operators(Method::PUT, "/v1/spec", Some(&body))
             .await;
         match &response {
-            Ok((status, reply)) => sent_change.notified(*status, reply),
+            Ok((status, reply)) => sent_change.record_response(*status, reply),
             Err(_) => drop(sent_change),
         }
         response
     }
 
-    /// The controller that says it leads; used only to choose whom to hurt.
+    /// The controller that reports to be the leader; only for choosing the target of a fault.
     pub async fn leader(&self) -> Option<String> {
         for (name, machine) in &self.layout.machines {
             let Some(operators) = machine.operators else {
@@ -414,7 +399,7 @@
         None
     }
 
-    /// The daemon that holds most functions; used only to choose whom to hurt.
+    /// The daemon that holds the most function leases; only for choosing the target of a fault.
     pub async fn busiest_holder(&self) -> Option<String> {
         let (_, body) = self
             .call_operators(Method::GET, "/v1/holders", None)
@@ -446,7 +431,7 @@
             .collect()
     }
 
-    /// Has the platform do something.
+    /// Sends a POST request to the platform; its response is not evaluated.
     pub async fn platform(&self, path: &str, body: &Value) -> Result<(), FleetError> {
         let timeout = Duration::from_secs(2);
         call_json(
@@ -460,7 +445,7 @@
         Ok(())
     }
 
-    /// The running processes of one program.
+    /// The names of the running processes of one program.
     pub fn running(&self, program: &str) -> Vec<String> {
         self.processes
             .keys()
@@ -474,7 +459,7 @@
         &self.layout.folder
     }
 
-    /// Where a machine's door is.
+    /// The ingress address of a machine.
     pub fn ingress_of(&self, name: &str) -> Option<SocketAddress> {
         self.layout
             .machines
--- a/testing/fleet/src/fleet/network_proxy.rs
+++ b/testing/fleet/src/fleet/network_proxy.rs
@@ -1,4 +1,4 @@
-//! A relay between all processes that cuts and delays what they send.
+//! A proxy in front of each process that blocks or delays the traffic between machines.
 
 use common::frames::SocketAddress;
 use std::collections::{BTreeMap, BTreeSet};
@@ -11,25 +11,27 @@
 use tokio::sync::watch;
 use tokio::task::JoinHandle;
 
-/// What the network between the processes does now; machines are known by their IP numbers.
+/// The current condition of the network. Machines are identified by their loopback addresses.
 #[derive(Clone, Default)]
 struct NetworkConditions {
+    /// Blocked directions, as sender and receiver.
     blocked: BTreeSet<(Ipv4Addr, Ipv4Addr)>,
+    /// The delay added to each chunk of a connection; datagrams are not delayed.
     delay: Duration,
 }
 
-/// The network between the processes of a fleet: each listens behind a relay, which can cut any
-/// direction between any two. What is under way while a direction is cut is kept back, as a real
-/// network's senders would go on sending it, and arrives when the cut is mended, if anybody still
-/// listens; heartbeats are lost.
+/// The simulated network between the processes of a fleet. Each process listens behind a proxy, which can block any
+/// direction between any two machines. Data of a connection in a blocked direction is held back and delivered once the
+/// direction is unblocked, if the connection is still open, as TCP would retransmit it. Datagrams are dropped.
 #[derive(Clone)]
 pub struct NetworkProxy {
     network_conditions: Arc<watch::Sender<NetworkConditions>>,
+    /// The accepting tasks of each proxy; aborted and joined when it is stopped.
     running_proxies: Arc<Mutex<BTreeMap<SocketAddress, Vec<JoinHandle<()>>>>>,
 }
 
 impl NetworkProxy {
-    /// A network in which everything gets through.
+    /// A network without faults.
     pub fn new() -> Self {
         Self {
             network_conditions: Arc::new(watch::Sender::new(NetworkConditions::default())),
@@ -37,7 +39,7 @@
         }
     }
 
-    /// Stands before one process: what reaches its place is passed on to where it listens.
+    /// Starts the proxy of one process: traffic to `address` is forwarded to `listen`.
     pub async fn start_proxy(
         &self,
         address: SocketAddress,
@@ -61,8 +63,8 @@
         Ok(())
     }
 
-    /// No longer stands before a process that is gone: whoever dials it is refused, as by a machine on
-    /// which nobody listens.
+    /// Stops the proxy of a process that has ended, so that connecting to it is refused as on a machine without a
+    /// listener. Open connections end by themselves.
     pub async fn stop_proxy(&self, address: SocketAddress) {
         let proxy_tasks = {
             let mut running_proxies = self
@@ -77,14 +79,14 @@
         }
     }
 
-    /// Cuts what goes from one machine to another.
+    /// Blocks the direction from one machine to another.
     pub fn block(&self, from: Ipv4Addr, to: Ipv4Addr) {
         self.network_conditions.send_modify(|network_conditions| {
             network_conditions.blocked.insert((from, to));
         });
     }
 
-    /// Cuts two groups of machines apart, both ways.
+    /// Blocks both directions between two groups of machines.
     pub fn partition(&self, left_ips: &[Ipv4Addr], right_ips: &[Ipv4Addr]) {
         for left_ip in left_ips {
             for right_ip in right_ips {
@@ -94,7 +96,7 @@
         }
     }
 
-    /// Joins again what was cut; other cuts stay.
+    /// Unblocks these directions; others stay blocked.
     pub fn unblock(&self, directions: &[(Ipv4Addr, Ipv4Addr)]) {
         self.network_conditions.send_modify(|network_conditions| {
             directions.iter().for_each(|direction| {
@@ -103,13 +105,13 @@
         });
     }
 
-    /// Delays everything.
+    /// Delays all connections by the given time per chunk.
     pub fn set_delay(&self, span: Duration) {
         self.network_conditions
             .send_modify(|network_conditions| network_conditions.delay = span);
     }
 
-    /// Mends everything.
+    /// Unblocks all directions and removes the delay.
     pub fn clear_faults(&self) {
         self.network_conditions
             .send_replace(NetworkConditions::default());
@@ -136,6 +138,7 @@
 ) {
     while let Ok((outer, from)) = listener.accept().await {
         let from_ip = ip_of(from.ip());
+        // Detached: it ends with either side of the connection.
         tokio::spawn(proxy_connection(
             outer,
             from_ip,
--- a/testing/fleet/src/fleet/process.rs
+++ b/testing/fleet/src/fleet/process.rs
@@ -1,4 +1,4 @@
-//! One process of the fleet: started, stopped, frozen, killed.
+//! One process of the fleet and the signals that it is sent.
 
 use super::{FleetError, Machine};
 use rustix::process::{Pid, Signal, kill_process};
@@ -8,13 +8,13 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// One process of the fleet.
+/// A running process of the fleet; it is killed when this is dropped.
 pub struct Process {
     child: Child,
 }
 
 impl Process {
-    /// Starts a machine's program; its log is appended to a file of its name.
+    /// Starts a machine's program. Its output is appended to a log file with the machine's name.
     pub fn start(machine: &Machine, folder: &Path) -> Result<Self, FleetError> {
         let log_path = folder.join(format!("{}.log", machine.name));
         let at = |error| FleetError::Machine(log_path.clone(), error);
@@ -45,38 +45,38 @@
         }
     }
 
-    /// SIGTERM.
+    /// Sends SIGTERM.
     pub fn terminate(&self) {
         self.signal(Signal::TERM);
     }
 
-    /// SIGHUP.
+    /// Sends SIGHUP.
     pub fn reload(&self) {
         self.signal(Signal::HUP);
     }
 
-    /// Whether it has ended.
+    /// Whether the process has ended.
     pub fn has_exited(&mut self) -> bool {
         matches!(self.child.try_wait(), Ok(Some(_)))
     }
 
-    /// SIGKILL.
+    /// Sends SIGKILL and waits for the end.
     pub fn kill(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 
-    /// SIGSTOP.
+    /// Sends SIGSTOP.
     pub fn freeze(&self) {
         self.signal(Signal::STOP);
     }
 
-    /// SIGCONT.
+    /// Sends SIGCONT.
     pub fn resume(&self) {
         self.signal(Signal::CONT);
     }
 
-    /// Waits for the end; false when it does not come in time.
+    /// Waits for the end; returns whether it came within the timeout.
     pub async fn wait(&mut self, timeout: Duration) -> bool {
         let wait_until = Instant::now() + timeout;
         while Instant::now() < wait_until {
--- a/testing/fleet/src/fleet/sent_change.rs
+++ b/testing/fleet/src/fleet/sent_change.rs
@@ -1,12 +1,12 @@
-//! A change that was sent, until it is written down what became of it.
+//! The journal entry of a change of the spec, which is written whatever becomes of the change.
 
 use common::clock::MonotonicTime;
 use platform_stub::records::Records;
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 
-/// A change of the spec on its way. Whoever gives up waiting for the answer does not know whether it was taken, and
-/// that is written down too: the judge would take its effect for an old spec in use.
+/// A change of the spec in flight. If it is dropped without a response, it is recorded as `unknown`, since it may have
+/// been accepted: without an entry the judge would report its effect as a violation.
 pub struct SentChange<'a> {
     journal: &'a Records,
     detail: Value,
@@ -14,7 +14,7 @@
 }
 
 impl<'a> SentChange<'a> {
-    /// A change that is about to be sent.
+    /// Prepares the entry of a change that is about to be sent.
     pub fn new(journal: &'a Records, base: u64, change_id: &str, spec: &Value) -> Self {
         let text = |route: &Value, name: &str| route[name].as_str().unwrap_or("").to_owned();
         let routes = spec["routes"].as_object().into_iter().flatten();
@@ -34,8 +34,8 @@
         }
     }
 
-    /// Writes down what its operator was told.
-    pub fn notified(mut self, status: u16, reply: &Value) {
+    /// Records the status and the body of the response.
+    pub fn record_response(mut self, status: u16, reply: &Value) {
         self.write(status, &reply["state"], &reply["serial"]);
         self.is_answered = true;
     }
--- a/testing/fleet/src/soak/clients.rs
+++ b/testing/fleet/src/soak/clients.rs
@@ -1,4 +1,4 @@
-//! Clients and operators that misbehave, or that lose what they are told.
+//! Misbehaving callers and operators, and operators that lose responses.
 
 use super::SoakFault;
 use crate::days::Deployment;
@@ -10,18 +10,18 @@
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
 
-/// How long one trouble of operators may take altogether.
+/// The time limit for all changes of one fault.
 pub(super) const OPERATOR_TIMEOUT: Duration = Duration::from_millis(2500);
-/// How soon an operator that loses its answer hangs up.
+/// When an operator that loses the response closes its connection.
 const DISCONNECT_AFTER: Duration = Duration::from_millis(15);
-/// How many changes come one after the other.
+/// The number of changes, one after the other.
 const CHANGES: usize = 5;
-/// How many callers hang up.
+/// The number of callers that close their connections.
 const DISCONNECTS: u64 = 20;
-/// How many connections bring garbage.
+/// The number of connections that send garbage.
 const GARBAGE_REQUESTS: u64 = 8;
 
-/// What operators do in one trouble.
+/// Sends changes of the spec as operators, in the way of the given fault.
 pub(super) async fn change_spec(fleet: &mut Fleet, fault: SoakFault) -> Result<(), FleetError> {
     for _ in 0..CHANGES {
         let (version, spec) = fleet.spec().await?;
@@ -31,7 +31,7 @@
             SoakFault::LoseAcknowledgements => {
                 let switched = switched(spec);
                 let sending = fleet.put_spec(version, &change_id, &switched, "accepted");
-                // The change may be taken all the same; it is sent again as it was.
+                // The change may be accepted all the same; it is retried with the same id.
                 let _ = tokio::time::timeout(DISCONNECT_AFTER, sending).await;
                 fleet
                     .put_spec(version, &change_id, &switched, "accepted")
@@ -47,13 +47,14 @@
     Ok(())
 }
 
-/// The same spec with the canary's route on its other function.
+/// The spec with the canary's route changed to its other function.
 fn switched(mut spec: Value) -> Value {
     let is_a = spec["routes"]["canary"]["function"] == json!("canary-a");
     spec["routes"]["canary"]["function"] = json!(if is_a { "canary-b" } else { "canary-a" });
     spec
 }
 
+/// Sends an invalid change and one with a stale base version.
 async fn send_invalid(
     fleet: &Fleet,
     version: u64,
@@ -77,7 +78,7 @@
     Ok(())
 }
 
-/// Callers that leave: before their request is whole, or while it runs.
+/// Closes callers' connections before their requests are complete, or before the response.
 pub(super) async fn disconnect_mid_request(
     fleet: &Fleet,
     deployment: Deployment,
@@ -91,8 +92,7 @@
         let Some(path) = route["path"].as_str() else {
             continue;
         };
-        // An identity that no record of callers has would look like a request that nobody sent: what is whole
-        // asks for a path that leads nowhere.
+        // A run without a caller's record would be a violation, so complete requests use a path without a route.
         let is_complete = rng.random_bool(0.5);
         let path = if is_complete { "/left/behind" } else { path };
         let end = if is_complete { "\r\n\r\n{}" } else { "\r\n" };
@@ -104,7 +104,7 @@
     }
 }
 
-/// Bytes that are no message, at doors and where processes listen for each other.
+/// Sends random bytes to ingresses and to the addresses between processes.
 pub(super) async fn send_garbage(fleet: &Fleet, rng: &mut SeededRng) {
     let process_addresses = fleet
         .layout
--- a/testing/fleet/src/soak/fault.rs
+++ b/testing/fleet/src/soak/fault.rs
@@ -1,4 +1,4 @@
-//! The troubles of a soak: what each does to the fleet when it begins, and how it is undone.
+//! The faults of a soak: how each is injected and undone.
 
 use super::clients;
 use crate::days::Deployment;
@@ -10,24 +10,24 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// How long a process may take to stop in order.
+/// The grace period of a process that is stopped gracefully.
 const STOP_GRACE: Duration = Duration::from_secs(7);
-/// How much longer everything takes on a slow network.
+/// The delay of connections on a slow network.
 const ADDED_DELAY: Duration = Duration::from_millis(200);
 
 macro_rules! soak_faults {
     ($($(#[$doc:meta])* $variant:ident = $name:literal,)+) => {
-        /// A kind of trouble.
+        /// A kind of fault in a soak.
         #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
         pub enum SoakFault {
             $($(#[$doc])* $variant,)+
         }
 
         impl SoakFault {
-            /// Every kind there is.
+            /// All kinds.
             pub const ALL: &[SoakFault] = &[$(SoakFault::$variant),+];
 
-            /// Its name in records.
+            /// The name in records.
             pub fn as_str(self) -> &'static str {
                 match self {
                     $(Self::$variant => $name,)+
@@ -38,55 +38,55 @@
 }
 
 soak_faults! {
-    /// A daemon is killed and started again.
+    /// A daemon is killed and restarted.
     KillDaemon = "kill-daemon",
-    /// A daemon is stopped in order and started again.
+    /// A daemon is stopped gracefully and restarted.
     StopDaemon = "stop-daemon",
-    /// A daemon stands still.
+    /// A daemon is frozen.
     FreezeDaemon = "freeze-daemon",
-    /// The leader is killed and started again.
+    /// The leader is killed and restarted.
     KillLeader = "kill-leader",
-    /// A controller is killed and started again.
+    /// A controller is killed and restarted.
     KillController = "kill-controller",
-    /// A controller is stopped in order and started again.
+    /// A controller is stopped gracefully and restarted.
     StopController = "stop-controller",
-    /// The leader stands still.
+    /// The leader is frozen.
     FreezeLeader = "freeze-leader",
-    /// A daemon is cut off from all other processes.
+    /// A daemon is partitioned from all other processes.
     IsolateDaemon = "cut-daemon",
-    /// The leader is cut off from all other processes.
+    /// The leader is partitioned from all other processes.
     IsolateLeader = "cut-leader",
-    /// What one daemon sends is lost.
+    /// The outgoing traffic of a daemon is blocked.
     BlockDaemonOutgoing = "mute-daemon",
-    /// Everything between the processes takes a fifth of a second longer.
+    /// Connections between processes are delayed by 200 ms.
     SlowNetwork = "slow-network",
-    /// A controller's disk takes no more bytes.
+    /// A controller's disk is full.
     FillDisk = "fill-disk",
-    /// A controller's disk answers nothing.
+    /// A controller's disk stalls.
     StallDisk = "stall-disk",
     /// A controller's disk fails every write.
     FailDisk = "fail-disk",
     /// A worker crashes with its runners.
     CrashWorker = "crash-worker",
-    /// A worker is emptied.
+    /// A worker is drained.
     DrainWorker = "drain-worker",
-    /// Runners lose answers.
+    /// Runners lose answers after running the request.
     LoseAnswers = "lose-answers",
-    /// Runners refuse, and break answers off.
+    /// Runners refuse requests, and break connections off without running them.
     BreakAnswers = "break-answers",
-    /// Runners answer with wrong, short and foreign bodies.
+    /// Runners send wrong bodies, truncated ones, and answers to other requests.
     WrongAnswers = "wrong-answers",
-    /// All processes are told to read their settings again, several times.
+    /// All daemons and controllers get SIGHUP and reload their settings.
     Reload = "reload",
-    /// Operators send changes one after the other.
+    /// Operators send several changes of the spec.
     ChangeSpec = "change-spec",
-    /// Operators hang up before they hear what became of a change, and send it again.
+    /// Operators close the connection before the response to a change, and retry it.
     LoseAcknowledgements = "lose-acknowledgements",
-    /// Operators send changes that do not check, or build on an older version.
+    /// Operators send invalid changes and ones with a stale base version.
     InvalidSpecs = "invalid-specs",
-    /// Callers hang up in the middle of their requests, or while these run.
+    /// Callers close their connections within a request or before the response.
     HangUps = "hang-ups",
-    /// Connections bring bytes that are no message, to callers' doors and between processes.
+    /// Random bytes are sent to ingresses and to the addresses between processes.
     Garbage = "garbage",
 }
 
@@ -96,7 +96,7 @@
     }
 }
 
-/// What has to be undone when a trouble ends.
+/// How a fault is undone.
 pub(super) enum FaultUndo {
     Nothing,
     Launch(String),
@@ -109,7 +109,7 @@
     RestoreWorker(String),
 }
 
-/// Begins and ends troubles on a fleet.
+/// Injects faults into a fleet and undoes them.
 pub(super) struct SoakInjector<'a> {
     pub fleet: &'a mut Fleet,
     pub deployment: Deployment,
@@ -117,7 +117,7 @@
 }
 
 impl SoakInjector<'_> {
-    /// Begins a trouble. One that finds nothing to hurt, since others have it already, does nothing.
+    /// Injects a fault. It does nothing if no target is left that is not affected by another fault.
     pub async fn begin(&mut self, fault: SoakFault) -> Result<FaultUndo, FleetError> {
         self.fleet
             .record_event("trouble", json!({"trouble": fault.as_str()}));
@@ -164,10 +164,7 @@
                 Ok(FaultUndo::Nothing)
             }
             SoakFault::ChangeSpec | SoakFault::LoseAcknowledgements | SoakFault::InvalidSpecs => {
-                let timeout = clients::OPERATOR_TIMEOUT;
-                let change = clients::change_spec(self.fleet, fault);
-                // Without a leader nobody answers; that is no fault of the soak.
-                let _ = tokio::time::timeout(timeout, change).await;
+                self.change_spec(fault).await;
                 Ok(FaultUndo::Nothing)
             }
             SoakFault::HangUps => {
@@ -181,7 +178,14 @@
         }
     }
 
-    /// Ends a trouble.
+    /// Sends changes of the spec within the time limit. Without a leader there is no response, which is no failure of
+    /// the soak.
+    async fn change_spec(&mut self, fault: SoakFault) {
+        let change = clients::change_spec(self.fleet, fault);
+        let _ = tokio::time::timeout(clients::OPERATOR_TIMEOUT, change).await;
+    }
+
+    /// Undoes a fault.
     pub async fn end(&mut self, undo: FaultUndo) -> Result<(), FleetError> {
         match undo {
             FaultUndo::Nothing => Ok(()),
@@ -216,14 +220,17 @@
         }
     }
 
+    /// A daemon that is neither stopping nor frozen.
     fn some_daemon(&self) -> Option<String> {
         self.one_of(self.fleet.undisturbed("daemon"))
     }
 
+    /// A controller that is neither stopping nor frozen.
     fn some_controller(&self) -> Option<String> {
         self.one_of(self.fleet.undisturbed("controller"))
     }
 
+    /// The leader, unless it is stopping or frozen.
     async fn leader(&self) -> Option<String> {
         let leader = self.fleet.leader().await?;
         self.fleet
@@ -232,6 +239,7 @@
             .then_some(leader)
     }
 
+    /// Chooses a name without advancing the generator, so that a fault without a target draws nothing.
     fn one_of(&self, names: Vec<String>) -> Option<String> {
         let mut rng = self.rng.clone();
         let index = rng.below(names.len().max(1) as u64) as usize;
@@ -265,6 +273,7 @@
         FaultUndo::Resume(name)
     }
 
+    /// Blocks a machine's outgoing traffic to all others, and its incoming traffic too if `both_ways`.
     fn block(&mut self, name: Option<String>, both_ways: bool) -> FaultUndo {
         let Some(name) = name else {
             return FaultUndo::Nothing;
@@ -288,7 +297,7 @@
         FaultUndo::Unblock(directions)
     }
 
-    /// A controller's disk ails; which one, chance says: the leader's or another's.
+    /// Injects a fault into the disk of a random controller.
     fn inject_disk_fault(&mut self, how: &str) -> Result<FaultUndo, FleetError> {
         let Some(name) = self.some_controller() else {
             return Ok(FaultUndo::Nothing);
@@ -302,6 +311,7 @@
         Ok(FaultUndo::RestoreDisk(control_file))
     }
 
+    /// Drains or crashes a random worker of a random zone.
     async fn fail_worker(&mut self, action: &str) -> Result<FaultUndo, FleetError> {
         let zone = format!("locality-{}", 1 + self.rng.below(3));
         let Some(worker) = self.one_of(self.fleet.workers_of(&zone).await) else {
@@ -313,6 +323,7 @@
         Ok(FaultUndo::RestoreWorker(worker))
     }
 
+    /// Sets the shares of requests with which runners misbehave.
     async fn set_runner_faults(
         &mut self,
         shares: serde_json::Value,
--- a/testing/fleet/src/soak/mod.rs
+++ b/testing/fleet/src/soak/mod.rs
@@ -1,5 +1,5 @@
-//! A soak: real processes and real sockets under troubles that overlap, judged by what callers, runners and
-//! platform saw and by the invariants that the processes check themselves.
+//! Soak tests: a fleet of real processes under overlapping faults. The result is judged by the records of callers,
+//! runners and the platform, and by the invariants that the processes check themselves.
 
 mod clients;
 mod fault;
@@ -23,13 +23,13 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep_until};
 
-/// How long callers call before the first trouble.
+/// How long load is generated before the first fault.
 const WARM_UP: Duration = Duration::from_secs(3);
-/// How long callers go on after the last one: service must be back by then.
+/// How long load is generated after the last fault; service must have recovered by then.
 const COOL_DOWN: Duration = Duration::from_secs(18);
 
-/// Lines of the judge that say something while several troubles overlap. A stop in order may find that the holder
-/// is killed, and a drain that nobody can be told of it: those two are judged by days of one fault at a time.
+/// The checks that are valid under overlapping faults. Others are left to days with one fault at a time: during a
+/// graceful stop the lease holder may be killed, for instance, and a drain may not become known because of another fault.
 const JUDGED_CHECKS: [&str; 11] = [
     checks::ONCE_RUNS_TWICE,
     checks::REFUSED_RUNS,
@@ -44,47 +44,50 @@
     checks::SERVICE_DOWN,
 ];
 
-/// One soak.
+/// The settings of one soak.
 #[derive(Clone, Debug)]
 pub struct Soak {
-    /// The seed of troubles, callers and runner faults.
+    /// The seed of faults, callers and runner faults.
     pub seed: u64,
-    /// How long troubles come.
+    /// How long faults are injected.
     pub lasts: Duration,
-    /// How many at a time.
+    /// The number of sequences of faults that run concurrently.
     pub lanes: usize,
     /// The folder of settings, logs and records.
     pub folder: PathBuf,
-    /// The folder of the programs.
+    /// The folder of the executables.
     pub programs: PathBuf,
-    /// The rule that the daemons lack, if any.
+    /// The rule that the daemons run without, if any.
     pub without: Option<Rule>,
 }
 
-/// How a soak ended.
+/// The result of a soak.
 pub struct SoakResult {
-    /// What was caused.
+    /// The faults, by when they began.
     pub planned_faults: Vec<PlannedFault>,
-    /// What the judge found.
+    /// The verdict of the judge.
     pub verdict: Verdict,
-    /// What processes found broken by themselves, and processes that ended by themselves.
+    /// Invariant violations and panics in the logs of processes, and processes that ended unexpectedly.
     pub violations: Vec<String>,
 }
 
 impl SoakResult {
-    /// Everything that must not happen and did.
+    /// All violations, those of checks that are not valid under overlapping faults left out.
     pub fn findings(&self) -> Vec<String> {
         let judged = self
             .verdict
             .checks
             .iter()
-            .filter(|line| JUDGED_CHECKS.contains(&line.name));
-        let broken = judged.flat_map(|line| {
-            line.violations
+            .filter(|check| JUDGED_CHECKS.contains(&check.name));
+        let judged_violations = judged.flat_map(|check| {
+            check
+                .violations
                 .iter()
-                .map(move |violation| format!("{}: {violation}", line.name))
+                .map(move |violation| format!("{}: {violation}", check.name))
         });
-        broken.chain(self.violations.iter().cloned()).collect()
+        judged_violations
+            .chain(self.violations.iter().cloned())
+            .collect()
     }
 }
 
@@ -104,7 +107,10 @@
     }
 }
 
-/// Runs a soak and has it judged.
+/// Runs a soak and judges its records.
+///
+/// # Errors
+/// Fails if the fleet cannot be started, a fault cannot be undone, or the records cannot be read.
 pub async fn run_soak(soak: &Soak) -> Result<SoakResult, FleetError> {
     let deployment = Deployment::Small;
     let sizes = Sizes {
@@ -115,22 +121,22 @@
     let layout = Layout::new(&soak.folder, &soak.programs, &sizes, soak.seed, true)?;
     let ingresses = layout.ingresses();
     let mut fleet = Fleet::start(layout).await?;
-    fleet.found().await?;
+    fleet.bootstrap().await?;
     let change_id = fleet.change_id();
     fleet
         .put_spec(1, &change_id, &deployment.spec("canary-a"), "in_force")
         .await?;
     fleet.await_ready(ingresses.len()).await?;
-    let load_task = tokio::spawn(run_plan(callers(soak, deployment, &fleet)?));
+    let load_task = tokio::spawn(run_plan(load_plan(soak, deployment, &fleet)?));
     let planned_faults = draw_schedule(soak.seed, soak.lanes, soak.lasts);
     inject_all(&mut fleet, soak, deployment, &planned_faults).await?;
     let _ = load_task.await;
-    let ended = fleet.exited_processes();
+    let exited = fleet.exited_processes();
     fleet.end().await;
     let verdict = judge(&Evidence::read(&soak.folder)?);
     let mut violations = violations_in(&soak.folder)?;
     violations.extend(
-        ended
+        exited
             .into_iter()
             .map(|name| format!("{name} ended by itself")),
     );
@@ -141,7 +147,7 @@
     })
 }
 
-fn callers(soak: &Soak, deployment: Deployment, fleet: &Fleet) -> Result<Plan, FleetError> {
+fn load_plan(soak: &Soak, deployment: Deployment, fleet: &Fleet) -> Result<Plan, FleetError> {
     let (share, max_retries) = deployment.retry_behaviour();
     let ingresses: Vec<String> = fleet
         .layout
@@ -163,13 +169,14 @@
     Plan::read(&source).map_err(|_| FleetError::NotInTime("a plan that reads"))
 }
 
-/// A trouble that is under way, and when it ends.
+/// A fault that was injected and has to be undone.
 struct ActiveFault {
+    /// When, from the beginning of the soak.
     until: Duration,
     undo: FaultUndo,
 }
 
-/// Causes all troubles at their times, and undoes each at its own.
+/// Injects and undoes the planned faults at their times. One that cannot be injected is noted in the journal.
 async fn inject_all(
     fleet: &mut Fleet,
     soak: &Soak,
@@ -177,57 +184,61 @@
     planned_faults: &[PlannedFault],
 ) -> Result<(), FleetError> {
     let started_at = Instant::now() + WARM_UP;
-    let rng = SeededRng::seeded(soak.seed ^ 0x7a0b);
     let mut injector = SoakInjector {
         fleet,
         deployment,
-        rng,
+        rng: SeededRng::seeded(soak.seed ^ 0x7a0b),
     };
     let mut upcoming = planned_faults.iter().peekable();
     let mut active_faults: Vec<ActiveFault> = Vec::new();
     loop {
-        active_faults.sort_by_key(|held| std::cmp::Reverse(held.until));
-        let next_end = active_faults.last().map(|held| held.until);
-        let next_begin = upcoming.peek().map(|next| next.from);
-        match (next_begin, next_end) {
-            (None, None) => break,
-            (Some(from), end) if end.is_none_or(|until| from <= until) => {
-                sleep_until(started_at + from).await;
-                if let Some(next) = upcoming.next() {
-                    match injector.begin(next.fault).await {
-                        Ok(undo) => active_faults.push(ActiveFault {
-                            until: next.until,
-                            undo,
-                        }),
-                        Err(error) => injector
-                            .fleet
-                            .record_event("not_begun", json!(error.to_string())),
-                    }
-                }
-            }
-            (_, Some(until)) => {
-                sleep_until(started_at + until).await;
-                if let Some(held) = active_faults.pop() {
-                    injector.end(held.undo).await?;
-                }
-            }
-            (Some(_), None) => {}
+        // The first to be undone is last.
+        active_faults.sort_by_key(|active| std::cmp::Reverse(active.until));
+        let next_end = active_faults.last().map(|active| active.until);
+        let next = upcoming.next_if(|next| next_end.is_none_or(|until| next.from <= until));
+        if let Some(next) = next {
+            sleep_until(started_at + next.from).await;
+            active_faults.extend(begin_fault(&mut injector, next).await);
+        } else if let Some(active) = active_faults.pop() {
+            sleep_until(started_at + active.until).await;
+            injector.end(active.undo).await?;
+        } else {
+            break;
         }
     }
-    injector
-        .fleet
-        .record_event("fault", json!({"fault": "soak", "heavy": true}));
-    injector
-        .fleet
-        .record_event("returned", json!({"fault": "soak", "heavy": true}));
+    // The judge measures recovery from the last fault on.
+    for kind in ["fault", "returned"] {
+        injector
+            .fleet
+            .record_event(kind, json!({"fault": "soak", "heavy": true}));
+    }
     Ok(())
 }
 
-/// The violations and panics that processes wrote into their logs.
+/// Injects a fault; none is active if it could not be injected.
+async fn begin_fault(
+    injector: &mut SoakInjector<'_>,
+    planned: &PlannedFault,
+) -> Option<ActiveFault> {
+    match injector.begin(planned.fault).await {
+        Ok(undo) => Some(ActiveFault {
+            until: planned.until,
+            undo,
+        }),
+        Err(error) => {
+            injector
+                .fleet
+                .record_event("not_begun", json!(error.to_string()));
+            None
+        }
+    }
+}
+
+/// The invariant violations and panics in the logs of processes.
 fn violations_in(folder: &Path) -> Result<Vec<String>, FleetError> {
     let at = |error| FleetError::Machine(folder.to_owned(), error);
-    let mark = format!("[E{}]", events::INVARIANT_VIOLATED.number);
-    let mut found = Vec::new();
+    let violation_mark = format!("[E{}]", events::INVARIANT_VIOLATED.number);
+    let mut violations = Vec::new();
     for listed in std::fs::read_dir(folder).map_err(at)? {
         let path = listed.map_err(at)?.path();
         if path.extension().is_none_or(|extension| extension != "log") {
@@ -239,13 +250,13 @@
             .unwrap_or_default()
             .to_string_lossy()
             .into_owned();
-        let is_bad = |line: &&str| line.contains(&mark) || line.contains("panicked at");
-        found.extend(
+        let is_bad = |line: &&str| line.contains(&violation_mark) || line.contains("panicked at");
+        violations.extend(
             log_text
                 .lines()
                 .filter(is_bad)
                 .map(|line| format!("{machine}: {line}")),
         );
     }
-    Ok(found)
+    Ok(violations)
 }
--- a/testing/fleet/src/soak/schedule.rs
+++ b/testing/fleet/src/soak/schedule.rs
@@ -1,28 +1,28 @@
-//! When which troubles begin and end: drawn from a seed, so that two or three always overlap.
+//! The schedule of faults in a soak, drawn from a seed: several concurrent sequences with short gaps.
 
 use super::SoakFault;
 use common::rng::SeededRng;
 use std::time::Duration;
 
-/// The shortest time that a trouble lasts.
+/// The shortest duration of a fault.
 const SHORTEST_FAULT: Duration = Duration::from_millis(1500);
-/// The longest time that a trouble lasts.
+/// The longest duration of a fault.
 const LONGEST_FAULT: Duration = Duration::from_millis(5000);
-/// The longest time before a trouble that has ended is followed by the next.
+/// The longest gap between a fault and the next in its sequence.
 const LONGEST_GAP: Duration = Duration::from_millis(400);
 
-/// One trouble of a soak.
+/// One fault of a soak and its time.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct PlannedFault {
-    /// What.
+    /// The kind of fault.
     pub fault: SoakFault,
-    /// When it begins, from the beginning of the soak.
+    /// When it is injected, from the beginning of the soak.
     pub from: Duration,
-    /// When it ends.
+    /// When it is undone, from the beginning of the soak.
     pub until: Duration,
 }
 
-/// Draws the troubles of a soak, by when they begin: `lanes` of them at a time.
+/// Draws the faults of a soak in `lanes` concurrent sequences, sorted by when they begin.
 pub fn draw_schedule(seed: u64, lanes: usize, lasts: Duration) -> Vec<PlannedFault> {
     let mut rng = SeededRng::seeded(seed ^ 0x50a1);
     let mut planned_faults = Vec::new();
@@ -42,12 +42,12 @@
     planned_faults
 }
 
-/// The most troubles that overlap at any moment.
+/// The largest number of faults at the same time.
 pub fn max_concurrent(planned_faults: &[PlannedFault]) -> usize {
     let at_once = |offset: Duration| {
         planned_faults
             .iter()
-            .filter(|held| held.from <= offset && offset < held.until)
+            .filter(|planned| planned.from <= offset && offset < planned.until)
             .count()
     };
     planned_faults
--- a/testing/fleet/tests/smoke.rs
+++ b/testing/fleet/tests/smoke.rs
@@ -57,7 +57,7 @@
 }
 
 async fn exercise_fleet(fleet: &mut Fleet) -> Result<(), FleetError> {
-    fleet.found().await?;
+    fleet.bootstrap().await?;
     let spec = Deployment::Small.spec("canary-a");
     let (status, _) = fleet.put_spec(1, "first", &spec, "in_force").await?;
     assert_eq!(status, 200);
--- a/testing/fleet/tests/soak.rs
+++ b/testing/fleet/tests/soak.rs
@@ -96,7 +96,7 @@
 async fn failed_request(
     fleet: &mut Fleet,
 ) -> std::result::Result<Vec<(String, String)>, FleetError> {
-    fleet.found().await?;
+    fleet.bootstrap().await?;
     let spec = Deployment::Small.spec("canary-a");
     fleet.put_spec(1, "first", &spec, "in_force").await?;
     fleet.await_ready(4).await?;
@@ -150,7 +150,7 @@
     let spec = Deployment::Small.spec("canary-b");
     drop(SentChange::new(&journal, 7, "change-24", &spec));
     SentChange::new(&journal, 7, "change-25", &spec)
-        .notified(200, &json!({"state": "accepted", "serial": 8}));
+        .record_response(200, &json!({"state": "accepted", "serial": 8}));
     let text = std::fs::read_to_string(folder.join("journal.jsonl"))?;
     let written: Vec<serde_json::Value> = text
         .lines()
