--- a/testing/loadgen/src/client_pool.rs
+++ b/testing/loadgen/src/client_pool.rs
@@ -1,4 +1,4 @@
-//! The callers: when each calls, what it sends, and the record of what it was told.
+//! The callers: when requests are sent, how they are retried, and the records of their outcomes.
 
 use crate::plan::{Plan, PlannedRoute};
 use bytes::Bytes;
@@ -19,20 +19,30 @@
 use tokio::task::JoinSet;
 use tokio::time::Instant;
 
-/// How many transactions ended how.
+/// The number of attempts by outcome.
 #[derive(Clone, Debug, Default)]
 pub struct Summary {
-    /// Counts by outcome and reason.
+    /// The number of attempts by `outcome` or `outcome:reason`.
     pub counts: BTreeMap<String, u64>,
 }
 
 impl Summary {
-    /// The counts as JSON.
+    /// The counts as a JSON object.
     pub fn to_value(&self) -> Value {
         json!(self.counts)
     }
 }
 
+/// How many ingresses an attempt tries to connect to.
+const MAX_INGRESSES: usize = 4;
+/// How much longer than its timeout a request waits for the response.
+const RESPONSE_MARGIN: Duration = Duration::from_millis(500);
+/// The largest accepted body of a response, in bytes.
+const MAX_RESPONSE_BYTES: usize = 8 << 20;
+/// How often the ready ingresses are read from the platform.
+const POLL_INTERVAL: Duration = Duration::from_millis(300);
+
+/// What all requests of a load share.
 struct ClientPool {
     plan: Plan,
     records: Records,
@@ -40,13 +50,20 @@
     summary: Mutex<Summary>,
 }
 
+/// A request of the plan.
 struct ScheduledRequest {
     route_index: usize,
+    /// The seed of its random choices.
     seed: u64,
+    /// The beginning of the identities of its attempts.
     name: String,
 }
 
-/// Calls as planned, and counts how it went.
+/// Sends the requests of a plan, records and counts their outcomes. The polling task is aborted at the end; all
+/// requests are awaited.
+///
+/// # Errors
+/// Fails if the record file cannot be created.
 pub async fn run_plan(plan: Plan) -> std::io::Result<Summary> {
     let records = Records::create(&plan.records)?;
     let ready_ingresses = Mutex::new(plan.ingresses.clone());
@@ -78,8 +95,17 @@
     Ok(summary)
 }
 
+/// All requests of a plan with the times at which they are sent, ascending.
 fn schedule(plan: &Plan) -> Vec<(Duration, ScheduledRequest)> {
     let mut rng = SeededRng::seeded(plan.seed);
+    let mut scheduled_requests = schedule_rate(plan, &mut rng);
+    scheduled_requests.extend(schedule_bursts(plan, &mut rng));
+    scheduled_requests.sort_by_key(|(due_at, _)| *due_at);
+    scheduled_requests
+}
+
+/// Requests at the plan's rate, as a Poisson process; each for a random route by weight.
+fn schedule_rate(plan: &Plan, rng: &mut SeededRng) -> Vec<(Duration, ScheduledRequest)> {
     let weight_sum: u64 = plan.routes.iter().map(|route| route.weight).sum();
     let mut scheduled_requests = Vec::new();
     let mut due_at = Duration::ZERO;
@@ -94,36 +120,40 @@
             is_chosen
         });
         number += 1;
-        let name = format!("{}-{number}", plan.seed);
         scheduled_requests.push((
             due_at,
             ScheduledRequest {
                 route_index: chosen_index.unwrap_or(0),
                 seed: rng.number(),
-                name,
+                name: format!("{}-{number}", plan.seed),
             },
         ));
     }
+    scheduled_requests
+}
+
+/// The requests of bursts, evenly spaced.
+fn schedule_bursts(plan: &Plan, rng: &mut SeededRng) -> Vec<(Duration, ScheduledRequest)> {
+    let mut scheduled_requests = Vec::new();
     for (burst_number, burst) in plan.bursts.iter().enumerate() {
         for turn in 0..burst.count {
-            let burst_at = burst.at + burst.lasts.mul_f64(turn as f64 / burst.count as f64);
+            let due_at = burst.at + burst.lasts.mul_f64(turn as f64 / burst.count as f64);
             let route_index =
                 (burst.first_route + turn as usize % burst.route_count) % plan.routes.len();
-            let name = format!("{}-b{burst_number}-{turn}", plan.seed);
             scheduled_requests.push((
-                burst_at,
+                due_at,
                 ScheduledRequest {
                     route_index,
                     seed: rng.number(),
-                    name,
+                    name: format!("{}-b{burst_number}-{turn}", plan.seed),
                 },
             ));
         }
     }
-    scheduled_requests.sort_by_key(|(due_at, _)| *due_at);
     scheduled_requests
 }
 
+/// Keeps the ready ingresses up to date; an empty list is ignored.
 async fn poll_ready_ingresses(client_pool: Arc<ClientPool>) {
     let Some(platform) = client_pool.plan.platform else {
         return;
@@ -148,10 +178,11 @@
                     .unwrap_or_else(PoisonError::into_inner) = addresses;
             }
         }
-        tokio::time::sleep(Duration::from_millis(300)).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
+/// Sends a request, and retries it at once if this was drawn, until there is an answer.
 async fn run_scheduled_request(client_pool: Arc<ClientPool>, scheduled_request: ScheduledRequest) {
     let mut rng = SeededRng::seeded(scheduled_request.seed);
     let route = &client_pool.plan.routes[scheduled_request.route_index];
@@ -162,8 +193,8 @@
         1
     };
     let mut repeat_of: Option<String> = None;
-    for try_number in 0..max_attempts {
-        let identity = format!("{}-{try_number}", scheduled_request.name);
+    for attempt_number in 0..max_attempts {
+        let identity = format!("{}-{attempt_number}", scheduled_request.name);
         let is_done = send_once(
             &client_pool,
             route,
@@ -179,6 +210,75 @@
     }
 }
 
+/// One attempt at a request.
+struct Attempt<'a> {
+    route: &'a PlannedRoute,
+    identity: &'a str,
+    /// The identity of the first attempt, if this is a retry.
+    repeat_of: Option<&'a str>,
+    timeout: Duration,
+    body: Bytes,
+}
+
+impl Attempt<'_> {
+    /// The HTTP request; none if the plan's path is no valid URI.
+    fn request(&self, ingress: SocketAddress) -> Option<Request<Full<Bytes>>> {
+        let mut request = Request::builder()
+            .method(self.route.method.clone())
+            .uri(&self.route.path)
+            .header(HOST, ingress.to_string())
+            .header(CONTENT_TYPE, "application/json")
+            .header(seal::IDEMPOTENCY_KEY, self.identity)
+            .header(seal::TIMEOUT, self.timeout.as_millis().to_string());
+        if let Some(first_identity) = self.repeat_of {
+            request = request.header(seal::REPEAT_OF, first_identity);
+        }
+        request.body(Full::new(self.body.clone())).ok()
+    }
+
+    /// Adds what is known of every attempt to the record of its outcome.
+    fn complete_record(
+        &self,
+        record: &mut Value,
+        sent_at: MonotonicTime,
+        ingress: Option<SocketAddress>,
+    ) {
+        record["kind"] = json!("transaction");
+        record["at"] = json!(sent_at.0);
+        record["end"] = json!(MonotonicTime::now().0);
+        record["id"] = json!(self.identity);
+        record["function"] = json!(self.route.function);
+        record["path"] = json!(self.route.path);
+        record["once"] = json!(self.route.once);
+        record["budget_ms"] = json!(self.timeout.as_millis() as u64);
+        record["door"] = json!(ingress.map(|ingress| ingress.to_string()));
+        if let Some(first_identity) = self.repeat_of {
+            record["repeat_of"] = json!(first_identity);
+        }
+    }
+}
+
+impl ClientPool {
+    fn random_ready_ingress(&self, rng: &mut SeededRng) -> SocketAddress {
+        let ingresses = self
+            .ready_ingresses
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        ingresses[rng.below(ingresses.len() as u64) as usize]
+    }
+
+    fn count_outcome(&self, record: &Value) {
+        let outcome = record["outcome"].as_str().unwrap_or("");
+        let label = match record["reason"].as_str().unwrap_or("") {
+            "" => outcome.to_owned(),
+            reason => format!("{outcome}:{reason}"),
+        };
+        let mut summary = self.summary.lock().unwrap_or_else(PoisonError::into_inner);
+        *summary.counts.entry(label).or_default() += 1;
+    }
+}
+
+/// Sends and records one attempt; returns whether the request is finished, with an answer or as impossible to send.
 async fn send_once(
     client_pool: &ClientPool,
     route: &PlannedRoute,
@@ -186,81 +286,42 @@
     repeat_of: Option<&str>,
     rng: &mut SeededRng,
 ) -> bool {
-    let timeout = rng.within(route.timeout.0, route.timeout.1);
-    let body = Bytes::from(json!({"of": identity, "salt": rng.number()}).to_string());
+    let attempt = Attempt {
+        route,
+        identity,
+        repeat_of,
+        timeout: rng.within(route.timeout.0, route.timeout.1),
+        body: Bytes::from(json!({"of": identity, "salt": rng.number()}).to_string()),
+    };
     let sent_at = MonotonicTime::now();
-    let mut end = json!({"outcome": "no_door"});
+    let mut record = json!({"outcome": "no_door"});
     let mut used_ingress = None;
-    for _ in 0..4 {
-        let ingress = {
-            let ingresses = client_pool
-                .ready_ingresses
-                .lock()
-                .unwrap_or_else(PoisonError::into_inner);
-            ingresses[rng.below(ingresses.len() as u64) as usize]
-        };
+    for _ in 0..MAX_INGRESSES {
+        let ingress = client_pool.random_ready_ingress(rng);
         used_ingress = Some(ingress);
-        let mut request = Request::builder()
-            .method(route.method.clone())
-            .uri(&route.path)
-            .header(HOST, ingress.to_string())
-            .header(CONTENT_TYPE, "application/json")
-            .header(seal::IDEMPOTENCY_KEY, identity)
-            .header(seal::TIMEOUT, timeout.as_millis().to_string());
-        if let Some(first_identity) = repeat_of {
-            request = request.header(seal::REPEAT_OF, first_identity);
-        }
-        let Ok(request) = request.body(Full::new(body.clone())) else {
+        let Some(request) = attempt.request(ingress) else {
             return true;
         };
-        match call(
-            ingress,
-            request,
-            timeout + Duration::from_millis(500),
-            8 << 20,
-        )
-        .await
-        {
+        let response_timeout = attempt.timeout + RESPONSE_MARGIN;
+        match call(ingress, request, response_timeout, MAX_RESPONSE_BYTES).await {
             Ok(called) => {
-                end = read_outcome(route, identity, &body, &called);
+                record = read_outcome(route, identity, &attempt.body, &called);
                 break;
             }
             Err(error) if error.is_certainly_unsent() => {}
             Err(error) => {
-                end = json!({"outcome": "lost", "reason": error.to_string()});
+                record = json!({"outcome": "lost", "reason": error.to_string()});
                 break;
             }
         }
     }
-    let outcome = end["outcome"].as_str().unwrap_or("").to_owned();
-    let reason = end["reason"].as_str().unwrap_or("").to_owned();
-    let mut record = end;
-    record["kind"] = json!("transaction");
-    record["at"] = json!(sent_at.0);
-    record["end"] = json!(MonotonicTime::now().0);
-    record["id"] = json!(identity);
-    record["function"] = json!(route.function);
-    record["path"] = json!(route.path);
-    record["once"] = json!(route.once);
-    record["budget_ms"] = json!(timeout.as_millis() as u64);
-    record["door"] = json!(used_ingress.map(|ingress| ingress.to_string()));
-    if let Some(first_identity) = repeat_of {
-        record["repeat_of"] = json!(first_identity);
-    }
+    attempt.complete_record(&mut record, sent_at, used_ingress);
     client_pool.records.write(&record);
-    let mut summary = client_pool
-        .summary
-        .lock()
-        .unwrap_or_else(PoisonError::into_inner);
-    let label = if reason.is_empty() {
-        outcome.clone()
-    } else {
-        format!("{outcome}:{reason}")
-    };
-    *summary.counts.entry(label).or_default() += 1;
-    outcome == "answer"
+    client_pool.count_outcome(&record);
+    record["outcome"] == json!("answer")
 }
 
+/// The outcome of a response as a record: its headers, and for an answer whether the seal and the body are right.
 fn read_outcome(
     route: &PlannedRoute,
     identity: &str,
--- a/testing/loadgen/src/lib.rs
+++ b/testing/loadgen/src/lib.rs
@@ -1,4 +1,4 @@
-//! Seeded stand-in callers: load generators' phones, club editors, and counters that retry at once.
+//! A load generator: callers that send requests by a seeded plan, retry them, and record the outcomes.
 
 #![deny(missing_docs)]
 
--- a/testing/loadgen/src/main.rs
+++ b/testing/loadgen/src/main.rs
@@ -1,4 +1,4 @@
-//! Stand-in callers as a process.
+//! The load generator as a process.
 
 use common::command_line::{self, Program};
 use common::readers::SettingsSource;
--- a/testing/loadgen/src/plan.rs
+++ b/testing/loadgen/src/plan.rs
@@ -1,95 +1,82 @@
-//! The plan of a load: routes, rates, bursts and impatience.
+//! The plan of a load: routes, rate, bursts and retries.
 
 use common::frames::SocketAddress;
 use common::readers::{PathErrorReason, PathReader, SettingsError, SettingsSource, read_address};
 use hyper::Method;
 use serde_json::Value;
-use std::fmt;
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// One route that callers use.
+/// A route that callers use.
 #[derive(Clone, Debug)]
 pub struct PlannedRoute {
-    /// The method.
+    /// The HTTP method.
     pub method: Method,
     /// The path.
     pub path: String,
-    /// The function it should reach.
+    /// The function that its requests should reach, or the beginning of its name.
     pub function: String,
-    /// Whether its transactions may run only once.
+    /// Whether its requests must run at most once.
     pub once: bool,
-    /// How often it is used, against the others.
+    /// The frequency of its requests relative to the other routes.
     pub weight: u64,
-    /// The shortest and longest budget.
+    /// The shortest and the longest timeout of its requests.
     pub timeout: (Duration, Duration),
 }
 
-/// How some callers retry.
+/// How callers retry requests without an answer.
 #[derive(Clone, Debug)]
 pub struct RetryBehaviour {
-    /// The share of callers that retry at once.
+    /// The share of requests that are retried at once, from 0 to 1.
     pub share: f64,
-    /// How often each retries.
+    /// The largest number of retries of each of them.
     pub max_retries: u32,
 }
 
-/// Many transactions within a short time.
+/// Many requests within a short time.
 #[derive(Clone, Debug)]
 pub struct Burst {
-    /// When it begins, from the start.
+    /// When it begins, from the start of the load.
     pub at: Duration,
     /// How long it lasts.
     pub lasts: Duration,
-    /// How many transactions.
+    /// The number of requests.
     pub count: u64,
-    /// The place of the first route used.
+    /// The index of the first route that is used.
     pub first_route: usize,
-    /// How many routes are used, in turn.
+    /// The number of consecutive routes that are used in turn.
     pub route_count: usize,
 }
 
-/// What the callers do.
+/// The plan of a load.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// The seed of chance.
+    /// The seed of all random choices.
     pub seed: u64,
-    /// How long they call.
+    /// How long requests are sent at the rate; bursts may go on for longer.
     pub lasts: Duration,
-    /// Transactions a second.
+    /// The mean rate of requests per second; their gaps are exponentially distributed.
     pub rate: f64,
-    /// The daemons' doors.
+    /// The ingresses of the daemons.
     pub ingresses: Vec<SocketAddress>,
-    /// The platform, which knows the doors that are ready.
+    /// The platform, which lists the ready ingresses; without it all of them are used.
     pub platform: Option<SocketAddress>,
     /// The routes.
     pub routes: Vec<PlannedRoute>,
-    /// How some retry.
+    /// How requests are retried.
     pub retry_behaviour: RetryBehaviour,
-    /// The crowds.
+    /// The bursts.
     pub bursts: Vec<Burst>,
-    /// Where everything is recorded.
+    /// The path of the record file.
     pub records: PathBuf,
 }
 
 /// Why a plan could not be read.
-#[derive(Debug)]
-pub struct PlanError(SettingsError);
-
-impl fmt::Display for PlanError {
-    fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(out, "{}", self.0)
-    }
-}
-
-impl std::error::Error for PlanError {}
-
-impl From<SettingsError> for PlanError {
-    fn from(error: SettingsError) -> Self {
-        Self(error)
-    }
-}
+#[derive(Debug, thiserror::Error)]
+#[error(transparent)]
+pub struct PlanError(#[from] SettingsError);
 
+/// Reads a share from 0 to 1; zero if it is missing.
 fn share(reader: &PathReader<'_>) -> f64 {
     let read_share = reader.value().and_then(Value::as_f64).unwrap_or(0.0);
     if !(0.0..=1.0).contains(&read_share) {
@@ -100,6 +87,7 @@
     read_share
 }
 
+/// Reads a duration in milliseconds, up to a day.
 fn millis(reader: &PathReader<'_>) -> Option<Duration> {
     reader.number(0..=86_400_000).map(Duration::from_millis)
 }
@@ -117,74 +105,73 @@
     })
 }
 
+fn read_burst(reader: &PathReader<'_>) -> Option<Burst> {
+    Some(Burst {
+        at: millis(&reader.field("at_ms"))?,
+        lasts: millis(&reader.field("lasts_ms"))?,
+        count: reader.field("count").number(1..=1_000_000)?,
+        first_route: reader.field("first_route").number_or(0..=100_000, 0) as usize,
+        route_count: reader.field("route_count").number_or(1..=100_000, 1) as usize,
+    })
+}
+
+fn read_items<T>(
+    reader: &PathReader<'_>,
+    read_item: impl Fn(&PathReader<'_>) -> Option<T>,
+) -> Vec<T> {
+    reader.items().iter().filter_map(read_item).collect()
+}
+
+const FIELDS: [&str; 9] = [
+    "seed",
+    "lasts_ms",
+    "rate",
+    "doors",
+    "platform",
+    "routes",
+    "impatience",
+    "bursts",
+    "records",
+];
+
 impl Plan {
     /// Reads a plan.
+    ///
+    /// # Errors
+    /// Fails with all errors of fields that are missing, unknown or malformed.
     pub fn read(source: &SettingsSource) -> Result<Self, PlanError> {
-        let plan = source.read(|root| {
-            root.allow_only(&[
-                "seed",
-                "lasts_ms",
-                "rate",
-                "doors",
-                "platform",
-                "routes",
-                "impatience",
-                "bursts",
-                "records",
-            ]);
-            let rate_reader = root.field("rate");
-            let retry_behaviour = root.field("impatience");
-            let platform_reader = root.field("platform");
-            let ingresses: Vec<SocketAddress> = root
-                .field("doors")
-                .items()
-                .iter()
-                .filter_map(read_address)
-                .collect();
-            let routes: Vec<PlannedRoute> = root
-                .field("routes")
-                .items()
-                .iter()
-                .filter_map(read_route)
-                .collect();
-            if ingresses.is_empty() || routes.is_empty() {
-                root.field("doors").error(PathErrorReason::Malformed(
-                    "needs doors and routes".to_owned(),
-                ));
-            }
-            let bursts = root
-                .field("bursts")
-                .items()
-                .iter()
-                .filter_map(|item| {
-                    Some(Burst {
-                        at: millis(&item.field("at_ms"))?,
-                        lasts: millis(&item.field("lasts_ms"))?,
-                        count: item.field("count").number(1..=1_000_000)?,
-                        first_route: item.field("first_route").number_or(0..=100_000, 0) as usize,
-                        route_count: item.field("route_count").number_or(1..=100_000, 1) as usize,
-                    })
-                })
-                .collect();
-            Some(Self {
-                seed: root.field("seed").number_or(0..=u64::MAX, 1),
-                lasts: millis(&root.field("lasts_ms"))?,
-                rate: rate_reader.value().and_then(Value::as_f64)?,
-                ingresses,
-                platform: if platform_reader.is_present() {
-                    read_address(&platform_reader)
-                } else {
-                    None
-                },
-                routes,
-                retry_behaviour: RetryBehaviour {
-                    share: share(&retry_behaviour.field("share")),
-                    max_retries: retry_behaviour.field("most").number_or(0..=100, 0) as u32,
-                },
-                bursts,
-                records: PathBuf::from(root.field("records").text()?),
-            })
-        })?;
-        Ok(plan)
+        Ok(source.read(Self::read_root)?)
+    }
+
+    fn read_root(root: &PathReader<'_>) -> Option<Self> {
+        root.allow_only(&FIELDS);
+        let retry_reader = root.field("impatience");
+        let platform_reader = root.field("platform");
+        let ingresses = read_items(&root.field("doors"), read_address);
+        let routes = read_items(&root.field("routes"), read_route);
+        if ingresses.is_empty() || routes.is_empty() {
+            root.field("doors").error(PathErrorReason::Malformed(
+                "needs doors and routes".to_owned(),
+            ));
+        }
+        let bursts = read_items(&root.field("bursts"), read_burst);
+        Some(Self {
+            seed: root.field("seed").number_or(0..=u64::MAX, 1),
+            lasts: millis(&root.field("lasts_ms"))?,
+            rate: root.field("rate").value().and_then(Value::as_f64)?,
+            ingresses,
+            platform: if platform_reader.is_present() {
+                read_address(&platform_reader)
+            } else {
+                None
+            },
+            routes,
+            retry_behaviour: RetryBehaviour {
+                share: share(&retry_reader.field("share")),
+                max_retries: retry_reader.field("most").number_or(0..=100, 0) as u32,
+            },
+            bursts,
+            records: PathBuf::from(root.field("records").text()?),
+        })
     }
 }
--- a/testing/platform-stub/src/main.rs
+++ b/testing/platform-stub/src/main.rs
@@ -1,11 +1,11 @@
-//! The stand-in platform as a process.
+//! The platform double as a process.
 
 use common::command_line::{self, Program};
 use common::frames::SocketAddress;
 use common::rng::SeededRng;
 use eyre::WrapErr;
 use gumdrop::Options;
-use platform_stub::platform::{Platform, Worker};
+use platform_stub::platform::{Platform, Worker, WorkerState};
 use platform_stub::records::Records;
 use platform_stub::runner::{RunnerFaults, SharedRunnerState};
 use std::path::PathBuf;
@@ -70,12 +70,11 @@
         })
         .collect::<eyre::Result<Vec<SocketAddress>>>()?;
     let workers = (0..flags.workers)
-        .map(|place| Worker {
-            name: format!("worker-{place:02}"),
-            zone: format!("locality-{}", place % flags.zones.max(1) + 1),
+        .map(|number| Worker {
+            name: format!("worker-{number:02}"),
+            zone: format!("locality-{}", number % flags.zones.max(1) + 1),
             memory_mb: flags.memory,
-            draining: false,
-            crashed: false,
+            state: WorkerState::InUse,
         })
         .collect();
     let work = (
--- a/testing/platform-stub/src/platform/lists.rs
+++ b/testing/platform-stub/src/platform/lists.rs
@@ -1,48 +1,64 @@
-//! Lists that are as late as a real platform's.
+//! Lists with the delay of a real platform's.
 
 use common::clock::MonotonicTime;
 use serde_json::{Value, json};
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Lists that show how things stood some time ago.
+/// The lists of workers and runners as they were some time ago.
 pub struct DelayedLists {
     lag: Duration,
-    taken: VecDeque<(MonotonicTime, Value, Value)>,
+    snapshots: VecDeque<Snapshot>,
+}
+
+struct Snapshot {
+    taken_at: MonotonicTime,
+    workers: Value,
+    runners: Value,
 }
 
 impl DelayedLists {
-    /// No list yet.
+    /// Empty lists with the given delay.
     pub fn new(lag: Duration) -> Self {
         Self {
             lag,
-            taken: VecDeque::new(),
+            snapshots: VecDeque::new(),
         }
     }
 
-    /// Takes how things stand now.
-    pub fn take(&mut self, now: MonotonicTime, workers: Value, runners: Value) {
-        self.taken.push_back((now, workers, runners));
-        while self.taken.len() > 1 && now.since(self.taken[1].0) >= self.lag {
-            self.taken.pop_front();
+    /// Takes a snapshot of the current lists and drops those that are no longer needed.
+    pub fn take_snapshot(&mut self, now: MonotonicTime, workers: Value, runners: Value) {
+        self.snapshots.push_back(Snapshot {
+            taken_at: now,
+            workers,
+            runners,
+        });
+        while self.snapshots.len() > 1 && now.since(self.snapshots[1].taken_at) >= self.lag {
+            self.snapshots.pop_front();
         }
     }
 
     fn age_ms(&self, now: MonotonicTime) -> u64 {
-        self.taken.front().map_or(0, |(taken_at, _, _)| {
-            now.since(*taken_at).as_millis() as u64 + 1
+        self.snapshots.front().map_or(0, |snapshot| {
+            now.since(snapshot.taken_at).as_millis() as u64 + 1
         })
     }
 
-    /// The late list of workers.
+    /// The delayed list of workers with its age.
     pub fn workers(&self, now: MonotonicTime) -> Value {
-        let listed = self.taken.front().map(|(_, workers, _)| workers.clone());
+        let listed = self
+            .snapshots
+            .front()
+            .map(|snapshot| snapshot.workers.clone());
         json!({"age_ms": self.age_ms(now), "workers": listed.unwrap_or_else(|| json!([]))})
     }
 
-    /// The late list of runners.
+    /// The delayed list of runners with its age.
     pub fn runners(&self, now: MonotonicTime) -> Value {
-        let listed = self.taken.front().map(|(_, _, runners)| runners.clone());
+        let listed = self
+            .snapshots
+            .front()
+            .map(|snapshot| snapshot.runners.clone());
         json!({"age_ms": self.age_ms(now), "runners": listed.unwrap_or_else(|| json!([]))})
     }
 }
--- a/testing/platform-stub/src/platform/mod.rs
+++ b/testing/platform-stub/src/platform/mod.rs
@@ -1,4 +1,5 @@
-//! The platform's HTTP: start, stop, late lists, workers that drain and crash, readiness probes.
+//! The platform's HTTP API: starting and stopping runners, delayed lists, workers that drain and crash, and readiness
+//! probes of the daemons.
 
 mod lists;
 
@@ -13,59 +14,170 @@
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::{Ipv4Addr, SocketAddrV4};
-use std::sync::{Arc, Mutex, PoisonError};
+use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 use tokio::net::TcpListener;
 use tokio::sync::watch;
 
-/// One worker.
+/// Whether a worker can run anything.
+#[derive(Clone, Copy, PartialEq, Eq, Debug)]
+pub enum WorkerState {
+    /// It runs what it has and accepts more.
+    InUse,
+    /// It runs what it has and accepts no more.
+    Draining,
+    /// It has lost its runners and is not listed.
+    Crashed,
+}
+
+/// A worker.
 #[derive(Clone, Debug)]
 pub struct Worker {
     /// Its name.
     pub name: String,
     /// Its zone.
     pub zone: String,
-    /// Its memory.
+    /// Its memory in megabytes.
     pub memory_mb: u64,
-    /// Whether it is being emptied.
-    pub draining: bool,
-    /// Whether it is gone.
-    pub crashed: bool,
+    /// Its state.
+    pub state: WorkerState,
 }
 
+/// A runner on a worker, from its start to its stop.
 struct HostedRunner {
     runner: Arc<Runner>,
     instance: String,
     worker: String,
     memory_mb: u64,
     port: u16,
+    /// Whether it has announced that it leaves.
     leaving: bool,
 }
 
-/// How long before it stops a runner says that it leaves.
+impl HostedRunner {
+    /// The response to a request to start it.
+    fn start_response(&self) -> HttpResponse {
+        let body = json!({"life": self.instance, "place": loopback(self.port).to_string()});
+        json_response(StatusCode::CREATED, &body)
+    }
+}
+
+/// How long before its stop a runner announces that it leaves.
 const LEAVE_NOTICE: Duration = Duration::from_secs(6);
 
 #[derive(Default)]
 struct PlatformState {
     workers: BTreeMap<String, Worker>,
     hosted: HashMap<RunnerId, HostedRunner>,
+    /// Runners that were stopped, or must not be started any more.
     ended: BTreeSet<RunnerId>,
+    /// Ports of stopped runners.
     free_ports: Vec<u16>,
     instance_count: u64,
 }
 
-/// A whole stand-in platform.
+impl PlatformState {
+    /// Whether a worker accepts a runner with this memory.
+    fn has_room(&self, worker_name: &str, memory_mb: u64) -> bool {
+        let used_mb: u64 = self
+            .hosted
+            .values()
+            .filter(|hosted| hosted.worker == worker_name)
+            .map(|hosted| hosted.memory_mb)
+            .sum();
+        self.workers.get(worker_name).is_some_and(|worker| {
+            worker.state == WorkerState::InUse && used_mb + memory_mb <= worker.memory_mb
+        })
+    }
+
+    /// Stops a runner if there is one, and frees its port.
+    fn stop(&mut self, runner: RunnerId) {
+        if let Some(hosted) = self.hosted.remove(&runner) {
+            hosted.runner.stop();
+            self.free_ports.push(hosted.port);
+        }
+        self.ended.insert(runner);
+    }
+
+    fn stop_all_of(&mut self, worker_name: &str) {
+        let lost_runners: Vec<RunnerId> = self
+            .hosted
+            .iter()
+            .filter(|(_, hosted)| hosted.worker == worker_name)
+            .map(|(runner, _)| *runner)
+            .collect();
+        for runner in lost_runners {
+            self.stop(runner);
+        }
+    }
+}
+
+/// A request to start a runner.
+struct StartRequest {
+    runner: RunnerId,
+    /// The function as in the request, for the records.
+    function: String,
+    key: FunctionKey,
+    worker: String,
+    memory_mb: u64,
+    boot_ms: u64,
+    slots: Option<u64>,
+}
+
+impl StartRequest {
+    /// Reads the body of a request; none if a field is missing or malformed.
+    fn from_value(body: &Value) -> Option<Self> {
+        let text = |name: &str| body.get(name).and_then(Value::as_str).unwrap_or("");
+        let number = |name: &str| body.get(name).and_then(Value::as_u64);
+        Some(Self {
+            runner: text("runner").parse().ok()?,
+            function: text("function").to_owned(),
+            key: text("function").parse().ok()?,
+            worker: text("worker").to_owned(),
+            memory_mb: number("memory_mb")?,
+            boot_ms: number("boot_ms")?,
+            slots: number("slots"),
+        })
+    }
+}
+
+fn loopback(port: u16) -> SocketAddrV4 {
+    SocketAddrV4::new(Ipv4Addr::LOCALHOST, port)
+}
+
+/// Binds a port that was used before, or a new one if there is none or it is taken.
+async fn bind(reused_port: Option<u16>) -> Option<(TcpListener, u16)> {
+    let listener = match TcpListener::bind(loopback(reused_port.unwrap_or(0))).await {
+        Ok(listener) => listener,
+        Err(_) => TcpListener::bind(loopback(0)).await.ok()?,
+    };
+    let port = listener
+        .local_addr()
+        .map(|address| address.port())
+        .unwrap_or(0);
+    Some((listener, port))
+}
+
+/// A response with an error code.
+fn error_response(status: StatusCode, code: &str) -> HttpResponse {
+    json_response(status, &json!({"error": code}))
+}
+
+/// A platform with its workers, runners and lists.
 pub struct Platform {
     shared_state: Arc<SharedRunnerState>,
     state: Mutex<PlatformState>,
     lists: Mutex<DelayedLists>,
+    /// The ingresses to probe.
     ingresses: Vec<SocketAddress>,
     reuse_ports: bool,
+    /// The ingresses whose last probe found them ready.
     ready_ingresses: Mutex<BTreeSet<SocketAddress>>,
 }
 
 impl Platform {
-    /// A platform with these workers, whose lists are late by the given lag.
+    /// A platform with these workers, whose lists are delayed by `lag`. The ingresses are probed for readiness; with
+    /// `reuse_ports` new runners get the ports of stopped ones.
     pub fn new(
         shared_state: Arc<SharedRunnerState>,
         workers: Vec<Worker>,
@@ -90,7 +202,8 @@
         })
     }
 
-    /// Serves until told to stop.
+    /// Serves until `stop` is set. The tasks that refresh lists and probe ingresses are detached and end with the
+    /// runtime.
     pub async fn serve(self: Arc<Self>, listener: TcpListener, stop: watch::Receiver<bool>) {
         tokio::spawn(self.clone().refresh_lists());
         tokio::spawn(self.clone().probe_ingresses());
@@ -100,20 +213,22 @@
         self.shared_state.records.flush();
     }
 
+    /// Takes snapshots of the lists and flushes the records, ten times a second.
     async fn refresh_lists(self: Arc<Self>) {
         let mut ticking = tokio::time::interval(Duration::from_millis(100));
         loop {
             ticking.tick().await;
             let (workers, runners) = {
-                let state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
+                let state = self.lock_state();
                 (list_workers(&state), list_runners(&state))
             };
             let mut lists = self.lists.lock().unwrap_or_else(PoisonError::into_inner);
-            lists.take(MonotonicTime::now(), workers, runners);
+            lists.take_snapshot(MonotonicTime::now(), workers, runners);
             self.shared_state.records.flush();
         }
     }
 
+    /// Probes all ingresses each second, every one in a detached task, and records changes.
     async fn probe_ingresses(self: Arc<Self>) {
         let mut ticking = tokio::time::interval(Duration::from_secs(1));
         loop {
@@ -142,6 +257,7 @@
         }
     }
 
+    /// Routes a request to its handler.
     async fn answer(self: Arc<Self>, request: Request<Incoming>) -> HttpResponse {
         let (head, incoming_body) = request.into_parts();
         let Ok(body_bytes) = read_body(incoming_body, 1 << 20, Duration::from_secs(5)).await else {
@@ -159,64 +275,60 @@
                 let lists = self.lists.lock().unwrap_or_else(PoisonError::into_inner);
                 json_response(StatusCode::OK, &lists.runners(MonotonicTime::now()))
             }
-            (&Method::GET, ["v1", "daemons"]) => {
-                let ready_ingresses = self
-                    .ready_ingresses
-                    .lock()
-                    .unwrap_or_else(PoisonError::into_inner);
-                let names: Vec<String> = ready_ingresses
-                    .iter()
-                    .map(SocketAddress::to_string)
-                    .collect();
-                json_response(StatusCode::OK, &json!({"ready": names}))
-            }
+            (&Method::GET, ["v1", "daemons"]) => self.ready_daemons(),
             (&Method::POST, ["v1", "runners"]) => self.start(&body).await,
             (&Method::DELETE, ["v1", "runners", name]) => match parse_runner(name) {
                 Some(runner) => self.stop(runner),
-                None => json_response(StatusCode::BAD_REQUEST, &json!({"error": "bad_runner"})),
+                None => error_response(StatusCode::BAD_REQUEST, "bad_runner"),
             },
             (&Method::POST, ["v1", "workers", worker, action]) => {
                 self.set_worker_state(worker, action)
             }
             (&Method::POST, ["v1", "runners", name, "leave"]) => match parse_runner(name) {
                 Some(runner) => self.leave(runner),
-                None => json_response(StatusCode::BAD_REQUEST, &json!({"error": "bad_runner"})),
+                None => error_response(StatusCode::BAD_REQUEST, "bad_runner"),
             },
-            (&Method::POST, ["v1", "runner-faults"]) => {
-                let runner_faults = RunnerFaults::from_value(&body);
-                self.shared_state.records.add("runner_faults", body);
-                *self
-                    .shared_state
-                    .runner_faults
-                    .lock()
-                    .unwrap_or_else(PoisonError::into_inner) = runner_faults;
-                json_response(StatusCode::OK, &json!({}))
-            }
+            (&Method::POST, ["v1", "runner-faults"]) => self.set_runner_faults(body),
             _ => json_response(StatusCode::NOT_FOUND, &json!({})),
         }
     }
 
+    fn ready_daemons(&self) -> HttpResponse {
+        let ready_ingresses = self
+            .ready_ingresses
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        let names: Vec<String> = ready_ingresses
+            .iter()
+            .map(SocketAddress::to_string)
+            .collect();
+        json_response(StatusCode::OK, &json!({"ready": names}))
+    }
+
+    fn set_runner_faults(&self, body: Value) -> HttpResponse {
+        let runner_faults = RunnerFaults::from_value(&body);
+        self.shared_state.records.add("runner_faults", body);
+        *self
+            .shared_state
+            .runner_faults
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner) = runner_faults;
+        json_response(StatusCode::OK, &json!({}))
+    }
+
+    fn lock_state(&self) -> MutexGuard<'_, PlatformState> {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
+    }
+
+    /// Starts a runner, or returns the instance that an earlier request for it started.
     async fn start(&self, body: &Value) -> HttpResponse {
-        let text = |name: &str| {
-            body.get(name)
-                .and_then(Value::as_str)
-                .unwrap_or("")
-                .to_owned()
-        };
-        let number = |name: &str| body.get(name).and_then(Value::as_u64);
-        let function = text("function");
-        let (Ok(runner), Ok(key), Some(memory_mb), Some(boot_ms)) = (
-            text("runner").parse::<RunnerId>(),
-            function.parse::<FunctionKey>(),
-            number("memory_mb"),
-            number("boot_ms"),
-        ) else {
-            return json_response(StatusCode::BAD_REQUEST, &json!({"error": "bad_start"}));
+        let Some(request) = StartRequest::from_value(body) else {
+            return error_response(StatusCode::BAD_REQUEST, "bad_start");
         };
         let reused_port = {
-            let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
-            if state.ended.contains(&runner) {
-                return json_response(StatusCode::CONFLICT, &json!({"error": "ended"}));
+            let mut state = self.lock_state();
+            if state.ended.contains(&request.runner) {
+                return error_response(StatusCode::CONFLICT, "ended");
             }
             if self.reuse_ports {
                 state.free_ports.pop()
@@ -224,106 +336,96 @@
                 None
             }
         };
-        let address = |port| SocketAddrV4::new(Ipv4Addr::LOCALHOST, port);
-        let bound = match TcpListener::bind(address(reused_port.unwrap_or(0))).await {
-            Ok(listener) => Ok(listener),
-            Err(_) => TcpListener::bind(address(0)).await,
+        let Some((listener, port)) = bind(reused_port).await else {
+            return error_response(StatusCode::SERVICE_UNAVAILABLE, "no_port");
         };
-        let Ok(listener) = bound else {
-            return json_response(
-                StatusCode::SERVICE_UNAVAILABLE,
-                &json!({"error": "no_port"}),
-            );
-        };
-        let port = listener
-            .local_addr()
-            .map(|address| address.port())
-            .unwrap_or(0);
-        let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
-        if let Some(hosted) = state.hosted.get(&runner) {
-            let answer =
-                json!({"life": hosted.instance, "place": address(hosted.port).to_string()});
-            return json_response(StatusCode::CREATED, &answer);
+        let mut state = self.lock_state();
+        if let Some(hosted) = state.hosted.get(&request.runner) {
+            return hosted.start_response();
         }
-        if state.ended.contains(&runner) {
-            return json_response(StatusCode::CONFLICT, &json!({"error": "ended"}));
+        if state.ended.contains(&request.runner) {
+            return error_response(StatusCode::CONFLICT, "ended");
         }
-        let worker_name = text("worker");
-        let used_mb: u64 = state
-            .hosted
-            .values()
-            .filter(|hosted| hosted.worker == worker_name)
-            .map(|hosted| hosted.memory_mb)
-            .sum();
-        let zone = state
-            .workers
-            .get(&worker_name)
-            .map(|worker| worker.zone.clone());
-        let has_room = state.workers.get(&worker_name).is_some_and(|worker| {
-            !worker.crashed && !worker.draining && used_mb + memory_mb <= worker.memory_mb
-        });
-        if !has_room {
+        if !state.has_room(&request.worker, request.memory_mb) {
             self.shared_state.records.add(
                 "start_refused",
-                json!({"runner": runner.to_string(), "worker": worker_name}),
-            );
-            return json_response(
-                StatusCode::INSUFFICIENT_STORAGE,
-                &json!({"error": "no_room"}),
+                json!({"runner": request.runner.to_string(), "worker": request.worker}),
             );
+            return error_response(StatusCode::INSUFFICIENT_STORAGE, "no_room");
         }
+        self.record_start(&state, &request, port, reused_port);
+        self.host(&mut state, request, listener, port)
+            .start_response()
+    }
+
+    fn record_start(
+        &self,
+        state: &PlatformState,
+        request: &StartRequest,
+        port: u16,
+        reused_port: Option<u16>,
+    ) {
+        let zone = state
+            .workers
+            .get(&request.worker)
+            .map(|worker| &worker.zone);
         let detail = json!({
-            "runner": runner.to_string(),
-            "function": function,
-            "worker": worker_name,
+            "runner": request.runner.to_string(),
+            "function": request.function,
+            "worker": request.worker,
             "locality": zone,
-            "memory_mb": memory_mb,
-            "boot_ms": boot_ms,
-            "slots": number("slots"),
-            "place": address(port).to_string(),
+            "memory_mb": request.memory_mb,
+            "boot_ms": request.boot_ms,
+            "slots": request.slots,
+            "place": loopback(port).to_string(),
             "reused": reused_port == Some(port),
         });
         self.shared_state.records.add("runner_start", detail);
-        let startup = Duration::from_millis(boot_ms);
-        let slots = number("slots").map_or(usize::MAX, |slots| slots as usize);
+    }
+
+    /// Starts the runner behind its listener and adds it to the state.
+    fn host<'a>(
+        &self,
+        state: &'a mut PlatformState,
+        request: StartRequest,
+        listener: TcpListener,
+        port: u16,
+    ) -> &'a HostedRunner {
         let started = Runner::start(
             self.shared_state.clone(),
-            runner,
-            key,
-            startup,
-            slots,
+            request.runner,
+            request.key,
+            Duration::from_millis(request.boot_ms),
+            request.slots.map_or(usize::MAX, |slots| slots as usize),
             listener,
         );
         state.instance_count += 1;
-        let instance = format!("l{}.{runner}", state.instance_count);
-        let answer = json!({"life": instance, "place": address(port).to_string()});
         let hosted = HostedRunner {
             runner: started,
-            instance,
-            worker: worker_name,
-            memory_mb,
+            instance: format!("l{}.{}", state.instance_count, request.runner),
+            worker: request.worker,
+            memory_mb: request.memory_mb,
             port,
             leaving: false,
         };
-        state.hosted.insert(runner, hosted);
-        json_response(StatusCode::CREATED, &answer)
+        state
+            .hosted
+            .entry(request.runner)
+            .insert_entry(hosted)
+            .into_mut()
     }
 
+    /// Stops a runner; one that was never started cannot be started any more.
     fn stop(&self, runner: RunnerId) -> HttpResponse {
-        let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
-        if let Some(hosted) = state.hosted.remove(&runner) {
-            hosted.runner.stop();
-            state.free_ports.push(hosted.port);
-        }
-        state.ended.insert(runner);
+        self.lock_state().stop(runner);
         json_response(StatusCode::OK, &json!({"stopped": true}))
     }
 
-    /// A runner leaves by itself: it says so, and stops some time later.
+    /// Lets a runner announce that it leaves; it stops by itself some time later, in a detached task.
     fn leave(self: Arc<Self>, runner: RunnerId) -> HttpResponse {
-        let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
+        let mut state = self.lock_state();
         let Some(hosted) = state.hosted.get_mut(&runner) else {
-            return json_response(StatusCode::NOT_FOUND, &json!({"error": "no_such_runner"}));
+            return error_response(StatusCode::NOT_FOUND, "no_such_runner");
         };
         hosted.leaving = true;
         self.shared_state
@@ -337,34 +439,21 @@
         json_response(StatusCode::OK, &json!({}))
     }
 
+    /// Drains, crashes or restores a worker; a crash stops its runners at once.
     fn set_worker_state(&self, worker_name: &str, action: &str) -> HttpResponse {
-        let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
+        let mut state = self.lock_state();
         let Some(worker) = state.workers.get_mut(worker_name) else {
-            return json_response(StatusCode::NOT_FOUND, &json!({"error": "no_such_worker"}));
+            return error_response(StatusCode::NOT_FOUND, "no_such_worker");
         };
-        match action {
-            "drain" => worker.draining = true,
-            "restore" => {
-                worker.draining = false;
-                worker.crashed = false;
-            }
-            "crash" => {
-                worker.crashed = true;
-                let lost_runners: Vec<RunnerId> = state
-                    .hosted
-                    .iter()
-                    .filter(|(_, hosted)| hosted.worker == worker_name)
-                    .map(|(runner, _)| *runner)
-                    .collect();
-                for lost_runner in lost_runners {
-                    if let Some(hosted) = state.hosted.remove(&lost_runner) {
-                        hosted.runner.stop();
-                        state.free_ports.push(hosted.port);
-                        state.ended.insert(lost_runner);
-                    }
-                }
+        match (action, worker.state) {
+            ("drain", WorkerState::Crashed) => {}
+            ("drain", _) => worker.state = WorkerState::Draining,
+            ("restore", _) => worker.state = WorkerState::InUse,
+            ("crash", _) => {
+                worker.state = WorkerState::Crashed;
+                state.stop_all_of(worker_name);
             }
-            _ => return json_response(StatusCode::NOT_FOUND, &json!({"error": "no_such_deed"})),
+            _ => return error_response(StatusCode::NOT_FOUND, "no_such_deed"),
         }
         self.shared_state
             .records
@@ -373,7 +462,7 @@
     }
 }
 
-/// The key of a start, named by itself or by the life that it began.
+/// The runner with this name, or the one that was started as the instance with this name.
 fn parse_runner(name: &str) -> Option<RunnerId> {
     name.parse()
         .ok()
@@ -384,13 +473,13 @@
     let rows: Vec<Value> = state
         .workers
         .values()
-        .filter(|worker| !worker.crashed)
+        .filter(|worker| worker.state != WorkerState::Crashed)
         .map(|worker| {
             json!({
                 "worker": worker.name,
                 "locality": worker.zone,
                 "memory_mb": worker.memory_mb,
-                "draining": worker.draining,
+                "draining": worker.state == WorkerState::Draining,
             })
         })
         .collect();
@@ -405,7 +494,7 @@
             json!({
                 "runner": runner.to_string(),
                 "life": hosted.instance,
-                "place": SocketAddrV4::new(Ipv4Addr::LOCALHOST, hosted.port).to_string(),
+                "place": loopback(hosted.port).to_string(),
                 "function": hosted.runner.function.to_string(),
                 "worker": hosted.worker,
                 "leaving": hosted.leaving,
--- a/testing/platform-stub/src/runner/mod.rs
+++ b/testing/platform-stub/src/runner/mod.rs
@@ -1,4 +1,5 @@
-//! One runner: it boots, runs what it is sent, seals its answers, and misbehaves on order.
+//! A runner: it starts up, runs the requests that it is sent, seals its answers, and misbehaves at random in given
+//! shares of cases.
 
 use crate::records::Records;
 use bytes::Bytes;
@@ -10,37 +11,36 @@
 use http_body_util::{BodyExt, Full};
 use hyper::body::Incoming;
 use hyper::service::service_fn;
-use hyper::{Method, Request, Response, StatusCode};
+use hyper::{HeaderMap, Method, Request, Response, StatusCode};
 use hyper_util::rt::TokioIo;
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 use std::convert::Infallible;
-use std::fmt;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
 use tokio::net::TcpListener;
 use tokio::sync::{oneshot, watch};
 
-/// In which share of cases runners misbehave, and how.
+/// The shares of requests, from 0 to 1, with which runners misbehave.
 #[derive(Clone, Debug, Default)]
 pub struct RunnerFaults {
-    /// Runs, then breaks off without an answer.
+    /// Runs the request, then closes the connection without an answer.
     pub lose: f64,
-    /// Runs, then sends bytes that do not fit the seal.
+    /// Runs the request, then sends a body that does not match its seal.
     pub wrong: f64,
-    /// Runs, then sends a body cut short.
+    /// Runs the request, then sends a truncated body.
     pub short: f64,
-    /// Runs, then sends an answer sealed for another transaction.
+    /// Runs the request, then sends an answer that is sealed for another request.
     pub foreign: f64,
-    /// Refuses under seal, without running.
+    /// Refuses the request under seal without running it.
     pub refuse: f64,
-    /// Breaks off without running.
+    /// Closes the connection without running the request.
     pub break_off: f64,
 }
 
 impl RunnerFaults {
-    /// Reads the shares from JSON; what is not named is zero.
+    /// Reads the shares from a JSON object; missing ones are zero.
     pub fn from_value(value: &Value) -> Self {
         let share = |name: &str| value.get(name).and_then(Value::as_f64).unwrap_or(0.0);
         Self {
@@ -54,16 +54,7 @@
     }
 }
 
-impl fmt::Display for RunnerFaults {
-    fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(
-            out,
-            "lose {} wrong {} short {} foreign {} refuse {} break_off {}",
-            self.lose, self.wrong, self.short, self.foreign, self.refuse, self.break_off
-        )
-    }
-}
-
+/// How a runner handles one request; see [`RunnerFaults`].
 enum RunBehaviour {
     Answer,
     Lose,
@@ -74,19 +65,20 @@
     BreakOff,
 }
 
-/// What all runners of a platform-stub share.
+/// The state that all runners of a platform share.
 pub struct SharedRunnerState {
-    /// Where everything is recorded.
+    /// The platform's records.
     pub records: Records,
-    /// How runners misbehave now.
+    /// The current shares of misbehaviour.
     pub runner_faults: Mutex<RunnerFaults>,
-    /// Where chance comes from.
+    /// Draws the behaviour and the duration of runs.
     pub rng: Mutex<SeededRng>,
-    /// The shortest and longest run.
+    /// The shortest and the longest duration of a run.
     pub work: (Duration, Duration),
 }
 
 impl SharedRunnerState {
+    /// The behaviour for the next request, and how long its run takes.
     fn draw_behaviour(&self) -> (RunBehaviour, Duration) {
         let runner_faults = self
             .runner_faults
@@ -114,21 +106,33 @@
     }
 }
 
-/// One runner that is or was alive.
+/// A runner, until and after its stop.
 pub struct Runner {
-    /// Its name.
+    /// Its id.
     pub runner: RunnerId,
     /// Its function.
     pub function: FunctionKey,
+    /// When its startup is finished.
     ready_at: MonotonicTime,
     stopped: AtomicBool,
     stop: watch::Sender<bool>,
     slots: usize,
+    /// The current runs by number, with the fencing token of the lease holder.
     running: Mutex<BTreeMap<u64, (IdempotencyKey, FencingToken)>>,
     next_run: AtomicU64,
     shared_state: Arc<SharedRunnerState>,
 }
 
+/// A request to run, as in its headers.
+struct RunRequest {
+    idempotency_key: IdempotencyKey,
+    /// The token of the sending lease holder; that of the runner's start if there is none.
+    fencing_token: FencingToken,
+    /// The number of the attempt; zero if it is missing.
+    attempt: u64,
+}
+
+/// Removes a run and records its end when it is dropped, as aborted unless `ended` is set.
 struct RunGuard {
     runner: Arc<Runner>,
     number: u64,
@@ -150,7 +154,7 @@
 }
 
 impl Runner {
-    /// Starts a runner behind a listener.
+    /// Starts a runner behind a listener. Its tasks are detached and end with [`Runner::stop`].
     pub fn start(
         shared_state: Arc<SharedRunnerState>,
         runner: RunnerId,
@@ -175,7 +179,7 @@
         started
     }
 
-    /// Stops it at once, with whatever it is running.
+    /// Stops it at once and aborts its runs.
     pub fn stop(&self) {
         if !self.stopped.swap(true, Ordering::SeqCst) {
             self.stop.send_replace(true);
@@ -193,6 +197,7 @@
         }
     }
 
+    /// Serves connections, each in a detached task, until the runner stops.
     async fn accept(self: Arc<Self>, listener: TcpListener, mut stopped: watch::Receiver<bool>) {
         loop {
             let accepted = tokio::select! {
@@ -221,6 +226,7 @@
         }
     }
 
+    /// A response without a seal.
     fn plain_response(&self, status: StatusCode, body: impl Into<Bytes>) -> Response<Full<Bytes>> {
         let mut response = Response::new(Full::new(body.into()));
         *response.status_mut() = status;
@@ -256,6 +262,7 @@
         }
     }
 
+    /// Runs a request and answers it, as far as the drawn behaviour lets it.
     async fn handle_run(
         self: Arc<Self>,
         request: Request<Incoming>,
@@ -266,98 +273,115 @@
             return self.plain_response(StatusCode::BAD_REQUEST, "{}");
         };
         let body_bytes = collected_body.to_bytes();
-        let idempotency_key =
-            IdempotencyKey::from(header_text(&head.headers, seal::IDEMPOTENCY_KEY));
-        let attempt = header_text(&head.headers, seal::ATTEMPT).to_owned();
-        let fencing_token = header_text(&head.headers, seal::FENCING_TOKEN)
-            .parse::<u64>()
-            .map(FencingToken::from);
-        let fencing_token = fencing_token.unwrap_or(self.runner.fencing_token);
-        let is_addressed_here = header_text(&head.headers, seal::RUNNER) == self.runner.to_string()
-            && header_text(&head.headers, seal::FUNCTION) == self.function.to_string();
-        if !is_addressed_here {
+        let request = self.read_run_request(&head.headers);
+        if !self.is_addressed_by(&head.headers) {
             let detail = json!({
                 "runner": self.runner.to_string(),
                 "meant": header_text(&head.headers, seal::RUNNER),
-                "transaction": idempotency_key.as_str(),
+                "transaction": request.idempotency_key.as_str(),
             });
             self.shared_state.records.add("misdirected", detail);
             return self.plain_response(StatusCode::MISDIRECTED_REQUEST, "{}");
         }
-        let (behaviour, work_span) = self.shared_state.draw_behaviour();
-        let behaviour = if self.is_full_of_other_leases(fencing_token) {
+        let (drawn, work_span) = self.shared_state.draw_behaviour();
+        let behaviour = if self.is_full_of_other_leases(request.fencing_token) {
             RunBehaviour::Refuse
         } else {
-            behaviour
+            drawn
         };
         match behaviour {
-            RunBehaviour::Refuse => {
-                let detail = json!({"runner": self.runner.to_string(), "transaction": idempotency_key.as_str()});
-                self.shared_state.records.add("refused", detail);
-                let refusal = Bytes::from_static(b"{\"refused\":true}");
-                let mut response = self.sealed_response(
-                    StatusCode::SERVICE_UNAVAILABLE,
-                    &idempotency_key,
-                    true,
-                    refusal,
-                );
-                put(&mut response, seal::REJECTED, "1");
-                return response;
-            }
+            RunBehaviour::Refuse => return self.refuse(&request.idempotency_key),
             RunBehaviour::BreakOff => {
-                let detail = json!({"runner": self.runner.to_string(), "transaction": idempotency_key.as_str()});
-                self.shared_state.records.add("broke_off", detail);
+                self.record_without_run("broke_off", &request.idempotency_key);
                 disconnect.send_replace(true);
                 return std::future::pending().await;
             }
             _ => {}
         }
+        let idempotency_key = request.idempotency_key.clone();
         let (done_sender, done) = oneshot::channel();
-        let running = self.clone().run(
-            idempotency_key.clone(),
-            fencing_token,
-            attempt,
-            work_span,
-            done_sender,
-        );
-        tokio::spawn(running);
+        // Detached: it ends with the run or with the runner, also when the caller is gone.
+        tokio::spawn(self.clone().run(request, work_span, done_sender));
         if done.await.is_err() {
             return std::future::pending().await;
         }
+        if matches!(behaviour, RunBehaviour::Lose) {
+            disconnect.send_replace(true);
+            return std::future::pending().await;
+        }
+        self.run_response(&behaviour, &idempotency_key, &body_bytes)
+    }
+
+    fn read_run_request(&self, headers: &HeaderMap) -> RunRequest {
+        RunRequest {
+            idempotency_key: IdempotencyKey::from(header_text(headers, seal::IDEMPOTENCY_KEY)),
+            fencing_token: header_text(headers, seal::FENCING_TOKEN)
+                .parse::<u64>()
+                .map(FencingToken::from)
+                .unwrap_or(self.runner.fencing_token),
+            attempt: header_text(headers, seal::ATTEMPT).parse().unwrap_or(0),
+        }
+    }
+
+    /// Whether a request names this runner and its function.
+    fn is_addressed_by(&self, headers: &HeaderMap) -> bool {
+        header_text(headers, seal::RUNNER) == self.runner.to_string()
+            && header_text(headers, seal::FUNCTION) == self.function.to_string()
+    }
+
+    fn record_without_run(&self, kind: &str, idempotency_key: &IdempotencyKey) {
+        let detail = json!({
+            "runner": self.runner.to_string(),
+            "transaction": idempotency_key.as_str(),
+        });
+        self.shared_state.records.add(kind, detail);
+    }
+
+    /// Refuses a request under seal.
+    fn refuse(&self, idempotency_key: &IdempotencyKey) -> Response<Full<Bytes>> {
+        self.record_without_run("refused", idempotency_key);
+        let refusal = Bytes::from_static(b"{\"refused\":true}");
+        let mut response = self.sealed_response(
+            StatusCode::SERVICE_UNAVAILABLE,
+            idempotency_key,
+            true,
+            refusal,
+        );
+        put(&mut response, seal::REJECTED, "1");
+        response
+    }
+
+    /// The response after a run, falsified as the behaviour has it.
+    fn run_response(
+        &self,
+        behaviour: &RunBehaviour,
+        idempotency_key: &IdempotencyKey,
+        request_body: &[u8],
+    ) -> Response<Full<Bytes>> {
         let answer = json!({
             "transaction": idempotency_key.as_str(),
             "function": self.function.to_string(),
             "runner": self.runner.to_string(),
-            "echo": seal::hex(&seal::digest(&body_bytes)),
+            "echo": seal::hex(&seal::digest(request_body)),
         });
         let answer_bytes = Bytes::from(answer.to_string());
-        match behaviour {
-            RunBehaviour::Lose => {
-                disconnect.send_replace(true);
-                std::future::pending().await
-            }
-            RunBehaviour::Wrong => {
-                let mut response =
-                    self.sealed_response(StatusCode::OK, &idempotency_key, false, answer_bytes);
-                *response.body_mut() = Full::new(Bytes::from_static(b"{\"garbage\":true}"));
-                response
-            }
-            RunBehaviour::Short => {
-                let half_bytes = answer_bytes.slice(..answer_bytes.len() / 2);
-                let mut response =
-                    self.sealed_response(StatusCode::OK, &idempotency_key, false, answer_bytes);
-                *response.body_mut() = Full::new(half_bytes);
-                response
-            }
-            RunBehaviour::Foreign => {
-                let other = IdempotencyKey::from(format!("{idempotency_key}-other"));
-                self.sealed_response(StatusCode::OK, &other, false, answer_bytes)
-            }
-            _ => self.sealed_response(StatusCode::OK, &idempotency_key, false, answer_bytes),
+        let falsified_body = match behaviour {
+            RunBehaviour::Wrong => Some(Bytes::from_static(b"{\"garbage\":true}")),
+            RunBehaviour::Short => Some(answer_bytes.slice(..answer_bytes.len() / 2)),
+            _ => None,
+        };
+        let sealed_key = match behaviour {
+            RunBehaviour::Foreign => &IdempotencyKey::from(format!("{idempotency_key}-other")),
+            _ => idempotency_key,
+        };
+        let mut response = self.sealed_response(StatusCode::OK, sealed_key, false, answer_bytes);
+        if let Some(body) = falsified_body {
+            *response.body_mut() = Full::new(body);
         }
+        response
     }
 
-    /// Whether an earlier holder's transactions leave no slot to this one's.
+    /// Whether requests of other lease holders leave no slot for one with this token.
     fn is_full_of_other_leases(&self, fencing_token: FencingToken) -> bool {
         let running = self.running.lock().unwrap_or_else(PoisonError::into_inner);
         let own_count = running
@@ -367,14 +391,18 @@
         running.len() >= self.slots && own_count < self.slots
     }
 
+    /// Runs a request for the given time, and notifies `done` unless the runner is stopped before.
     async fn run(
         self: Arc<Self>,
-        idempotency_key: IdempotencyKey,
-        fencing_token: FencingToken,
-        attempt: String,
+        request: RunRequest,
         work_span: Duration,
         done: oneshot::Sender<()>,
     ) {
+        let RunRequest {
+            idempotency_key,
+            fencing_token,
+            attempt,
+        } = request;
         let number = self.next_run.fetch_add(1, Ordering::Relaxed);
         let at_once = {
             let mut running = self.running.lock().unwrap_or_else(PoisonError::into_inner);
@@ -388,7 +416,7 @@
             "runner": self.runner.to_string(),
             "function": self.function.to_string(),
             "transaction": idempotency_key.as_str(),
-            "attempt": attempt.parse::<u64>().unwrap_or(0),
+            "attempt": attempt,
             "run": number,
             "grant": fencing_token.0,
             "at_once": at_once,
@@ -411,6 +439,7 @@
         }
     }
 
+    /// A response whose seal covers the request's key, the runner and the body.
     fn sealed_response(
         &self,
         status: StatusCode,
