--- a/testing/fleet/src/synthetic/calls/mod.rs
+++ b/testing/fleet/src/synthetic/calls/mod.rs
@@ -10,6 +10,7 @@
 use super::events::{Event, ReplyTarget};
 use super::fleet::SyntheticFleet;
 use super::meter::{Role, Work};
+use super::platform::{HTTP_HEADERS, PLATFORM_LATENCY};
 use bytes::Bytes;
 use common::adapter::StartOutcome;
 use common::frames::{DaemonFrame, DaemonMessage, RequestPayload};
@@ -19,14 +20,11 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-const PLATFORM_LATENCY: Duration = Duration::from_millis(5);
 const RUNNER_LATENCY: Duration = Duration::from_millis(2);
 const FILL_INTERVAL: Duration = Duration::from_millis(10);
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(3000);
 const REQUEST: &[u8] = &[b'q'; 256];
 const ANSWER: &[u8] = &[b'a'; 256];
-/// What a call to the platform or a runner carries beside its body, with its answer's.
-const HTTP_HEADERS: u64 = 400;
 /// Of ten calls so many go to the busiest twentieth of the functions.
 const BUSY_SHARE: f64 = 0.9;
 
--- a/testing/fleet/src/synthetic/controllers.rs
+++ b/testing/fleet/src/synthetic/controllers.rs
@@ -4,7 +4,7 @@
 use super::events::Event;
 use super::fleet::{OpenChange, SyntheticFleet};
 use super::meter::{Role, Work};
-use super::platform::{read_runners, read_workers};
+use super::platform::{HTTP_HEADERS, PLATFORM_LATENCY, read_runners, read_workers};
 use super::wire;
 use super::zones::ZoneNumber;
 use bytes::Bytes;
@@ -28,9 +28,6 @@
 const SHORTEST_IDLE: Duration = Duration::from_millis(1);
 const POLL_INTERVAL: Duration = Duration::from_millis(400);
 const DISK_LATENCY: Duration = Duration::from_millis(4);
-const PLATFORM_LATENCY: Duration = Duration::from_millis(5);
-/// What a call to the platform carries beside its body, with its answer's.
-const HTTP_HEADERS: u64 = 400;
 
 /// One synthetic controller.
 pub(super) struct Controller {
--- a/testing/fleet/src/synthetic/meter.rs
+++ b/testing/fleet/src/synthetic/meter.rs
@@ -1,36 +1,25 @@
-//! Counts what each role sends, hears and computes, by kind of work.
+//! Counters of messages, processor time and memory, by role and kind of work.
 
 use super::memory;
 use rustix::time::{ClockId, clock_gettime};
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// Whose work it is.
+/// The role whose work is counted.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
 pub enum Role {
-    /// A daemon with its callers, its member grant, its spec, and the daemons it watches.
+    /// A daemon with its callers, session lease, spec and failure detection of other daemons.
     Ingress,
-    /// A daemon with the functions it holds.
+    /// A daemon with the function leases that it holds.
     Holder,
-    /// A controller that follows.
+    /// A follower among the controllers.
     Following,
-    /// The controller that leads.
+    /// The leader of the controllers.
     Leading,
-    /// Whoever calls the platform: the leader for lists, holders for runners.
+    /// The clients of the platform: the leader for lists, lease holders for runners.
     Platform,
 }
 
-impl Role {
-    /// Every role.
-    pub const ALL: [Role; 5] = [
-        Role::Ingress,
-        Role::Holder,
-        Role::Following,
-        Role::Leading,
-        Role::Platform,
-    ];
-}
-
 impl fmt::Display for Role {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         out.write_str(match self {
@@ -43,40 +32,40 @@
     }
 }
 
-/// What the work is for.
+/// A kind of work.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
 pub enum Work {
-    /// Time that passes.
+    /// Timers.
     Ticks,
     /// Heartbeats.
     Heartbeats,
-    /// Renewals of member grants.
+    /// Renewals of session leases.
     Renewals,
     /// Lists of daemons.
     Hosts,
-    /// The spec on its way to daemons.
+    /// Distribution of the spec to daemons.
     Spec,
-    /// What daemons say every second of functions that are not called.
+    /// The reports that daemons send each second about functions without requests.
     Idle,
-    /// Function grants, and runners' reservations.
+    /// Function leases and reservations of runners.
     Leases,
-    /// Transactions on their way to their holders.
+    /// Forwarding of requests to lease holders.
     Calls,
-    /// Transactions at their holders.
+    /// Requests at lease holders.
     Runs,
     /// Starts, probes and stops of runners.
     Runners,
-    /// Ledgers and their stewards.
+    /// Ledgers and their replicas.
     Replicas,
-    /// The core's talk.
+    /// Consensus between controllers.
     Consensus,
-    /// Documents made into bytes for the disk.
+    /// Serialization of documents for the disk.
     Disk,
     /// Operators' changes.
     Changes,
     /// The platform's lists.
     Lists,
-    /// Greetings and what is left.
+    /// Handshakes and everything else.
     Others,
 }
 
@@ -103,7 +92,7 @@
     }
 }
 
-/// What one kind of work came to.
+/// The counters of one kind of work.
 #[derive(Clone, Copy, Default, Debug)]
 pub struct WorkCounters {
     /// Calls into a state machine.
@@ -112,25 +101,25 @@
     pub sent: u64,
     /// Their bytes on the wire.
     pub sent_bytes: u64,
-    /// Messages heard.
+    /// Messages received.
     pub received: u64,
     /// Their bytes on the wire.
     pub received_bytes: u64,
     /// Processor time in state machines, in nanoseconds.
     pub step_nanos: u64,
-    /// Processor time of making and reading frames, in nanoseconds.
+    /// Processor time of encoding and decoding frames, in nanoseconds.
     pub wire_nanos: u64,
-    /// The most bytes of memory that one call took on top of what was kept.
+    /// The largest temporary memory of one call, in bytes.
     pub peak_bytes: u64,
 }
 
-/// The processor time of this thread, which other processes on the machine do not lengthen.
+/// The processor time of this thread, in nanoseconds; independent of the load by other processes.
 fn processor_nanos() -> u64 {
     let read_time = clock_gettime(ClockId::ThreadCPUTime);
     read_time.tv_sec as u64 * 1_000_000_000 + read_time.tv_nsec as u64
 }
 
-/// Sums by role and work, while it is open.
+/// Counters by role and work; they count only while it is open.
 #[derive(Default)]
 pub struct Meter {
     counters_by_work: BTreeMap<(Role, Work), WorkCounters>,
@@ -140,12 +129,12 @@
 }
 
 impl Meter {
-    /// Counts from now on.
+    /// Starts counting.
     pub fn open(&mut self) {
         self.is_open = true;
     }
 
-    /// Counts no more.
+    /// Stops counting.
     pub fn close(&mut self) {
         self.is_open = false;
     }
@@ -155,7 +144,7 @@
         self.is_open
     }
 
-    /// The sums.
+    /// The counters.
     pub fn counters_by_work(&self) -> &BTreeMap<(Role, Work), WorkCounters> {
         &self.counters_by_work
     }
@@ -165,7 +154,8 @@
             .then(|| self.counters_by_work.entry((role, work)).or_default())
     }
 
-    /// Runs a step of a state machine, and counts its time and its swell. Gives its nanoseconds too.
+    /// Runs a step of a state machine and counts its processor time and temporary memory. Returns its result and the
+    /// nanoseconds.
     pub fn measure_step<T>(
         &mut self,
         role: Role,
@@ -188,7 +178,8 @@
         (result, nanos)
     }
 
-    /// Makes or reads a frame, and counts its time as often as it stands for others.
+    /// Encodes or decodes a frame and counts its processor time, multiplied by the number of frames that it is a
+    /// sample of.
     pub fn wire<T>(
         &mut self,
         role: Role,
@@ -213,7 +204,7 @@
         }
     }
 
-    /// Counts messages heard.
+    /// Counts messages received.
     pub fn received(&mut self, role: Role, work: Work, count: u64, bytes: u64) {
         if let Some(counters) = self.counters(role, work) {
             counters.received += count;
--- a/testing/fleet/src/synthetic/mod.rs
+++ b/testing/fleet/src/synthetic/mod.rs
@@ -1,6 +1,6 @@
-//! Synthetic fleets: the real state machines of many daemons and three controllers in one process, under
-//! virtual time, with callers, runners and a platform that are answered in memory. What each role sends,
-//! hears, computes and keeps is measured.
+//! Synthetic fleets: the real state machines of many daemons and three controllers in one process, under virtual
+//! time, with callers, runners and a platform simulated in memory. The messages, processor time and memory of each
+//! role are measured.
 
 mod calls;
 mod catalogue;
@@ -19,6 +19,5 @@
 
 pub use fleet::SyntheticFleet;
 pub use memory::CountingAllocator;
-pub use meter::{Role, Work, WorkCounters};
-pub use record::{RecordError, RunRecord, StopReason};
-pub use size::{SizeError, SyntheticSize};
+pub use record::RecordError;
+pub use size::SyntheticSize;
--- a/testing/fleet/src/synthetic/page/capacity_model/mod.rs
+++ b/testing/fleet/src/synthetic/page/capacity_model/mod.rs
@@ -68,11 +68,7 @@
             beat_bytes: Fit::of(
                 &[Predictor::One, Predictor::Daemons],
                 &baseline_runs,
-                |run| {
-                    let sent_and_heard = run.rate("door beats", "sent_bytes")
-                        + run.rate("door beats", "heard_bytes");
-                    Some(sent_and_heard / run.daemons())
-                },
+                |run| Some(run.heartbeat_bytes()),
             ),
             renewal_each: Fit::of(&LOADED, &baseline_runs, |run| {
                 run.per_step("leading renewals")
@@ -85,7 +81,7 @@
                 Some(run.busy("leading core"))
             }),
             force_network: Fit::of(&[Predictor::One], &baseline_runs, |run| {
-                run.in_force().map(|(network_ms, _, _)| network_ms)
+                run.change_times().map(|times| times.network_ms)
             }),
             force_leader: Fit::of(
                 &[
@@ -96,13 +92,13 @@
                     Predictor::Held,
                 ],
                 &baseline_runs,
-                |run| run.in_force().map(|(_, leader_ms, _)| leader_ms),
+                |run| run.change_times().map(|times| times.leader_ms),
             ),
             installed_each: Fit::of(&LOADED, &baseline_runs, |run| run.per_step("leading spec")),
             install: Fit::of(
                 &[Predictor::One, Predictor::Functions],
                 &baseline_runs,
-                |run| run.in_force().map(|(_, _, install_ms)| install_ms),
+                |run| run.change_times().map(|times| times.install_ms),
             ),
         }
     }
--- a/testing/fleet/src/synthetic/page/mod.rs
+++ b/testing/fleet/src/synthetic/page/mod.rs
@@ -1,4 +1,4 @@
-//! The capacity page's tables and plots, made from the files that synthetic fleets wrote.
+//! The tables and plots of the capacity page, rendered from the records of synthetic fleets.
 
 mod capacity_model;
 mod figure;
@@ -7,49 +7,28 @@
 mod runs;
 mod tables;
 
-pub use fit::{Fit, LinearModel, Predictor};
-pub use plots::{DrawError, draw_plots};
+pub use fit::{LinearModel, Predictor};
+pub use plots::draw_plots;
 pub use runs::{Run, read_runs};
 pub use tables::{render_page, tables};
 
 use crate::synthetic::record::RecordError;
-use std::fmt;
+use plots::DrawError;
 use std::path::PathBuf;
 
-/// Why the page cannot be made.
-#[derive(Debug)]
+/// Why the page cannot be rendered. The texts include those of their causes.
+#[derive(Debug, thiserror::Error)]
 pub enum PageError {
-    /// The records.
-    Record(RecordError),
-    /// There are too few records for a slope.
+    /// The records cannot be read.
+    #[error(transparent)]
+    Record(#[from] RecordError),
+    /// The folder has too few complete runs for a fit; their number.
+    #[error("{path}: {count} whole runs; slopes need at least 6", path = .0.display(), count = .1)]
     TooFew(PathBuf, usize),
-    /// The page lacks a mark that a table stands behind.
+    /// The page lacks the mark of a table.
+    #[error("{path}: no line {mark:?}", path = .0.display(), mark = .1)]
     Unmarked(PathBuf, String),
     /// A plot cannot be drawn.
+    #[error("{path}: {cause}", path = .0.display(), cause = .1)]
     Plot(PathBuf, DrawError),
 }
-
-impl fmt::Display for PageError {
-    fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            Self::Record(error) => write!(out, "{error}"),
-            Self::TooFew(folder, count) => {
-                write!(
-                    out,
-                    "{}: {count} whole runs; slopes need at least 6",
-                    folder.display()
-                )
-            }
-            Self::Unmarked(path, mark) => write!(out, "{}: no line {mark:?}", path.display()),
-            Self::Plot(path, error) => write!(out, "{}: {error}", path.display()),
-        }
-    }
-}
-
-impl std::error::Error for PageError {}
-
-impl From<RecordError> for PageError {
-    fn from(error: RecordError) -> Self {
-        Self::Record(error)
-    }
-}
--- a/testing/fleet/src/synthetic/page/plots.rs
+++ b/testing/fleet/src/synthetic/page/plots.rs
@@ -39,19 +39,8 @@
     }
 }
 
-fn leader_busy(run: &Run) -> f64 {
-    let works = [
-        "leading renewals",
-        "leading idle",
-        "leading ticks",
-        "leading core",
-    ];
-    works.iter().map(|work| run.busy(work)).sum()
-}
-
 fn in_force(run: &Run) -> Option<f64> {
-    run.in_force()
-        .map(|(network_ms, leader_ms, install_ms)| network_ms + leader_ms + install_ms)
+    run.change_times().map(|times| times.total_ms())
 }
 
 /// Draws every plot into a folder, and names the files.
@@ -86,11 +75,7 @@
             target: 740.0,
             points: by_daemon_runs
                 .iter()
-                .map(|run| {
-                    let bytes = run.rate("door beats", "sent_bytes")
-                        + run.rate("door beats", "heard_bytes");
-                    (run.daemons(), bytes / run.daemons())
-                })
+                .map(|run| (run.daemons(), run.heartbeat_bytes()))
                 .collect(),
             line: log_steps(40.0, 900.0)
                 .map(|size| {
@@ -114,7 +99,7 @@
             target: 740.0,
             points: by_daemon_runs
                 .iter()
-                .map(|run| (run.daemons(), leader_busy(run)))
+                .map(|run| (run.daemons(), run.leader_busy()))
                 .collect(),
             line: log_steps(40.0, 900.0)
                 .map(|size| {
@@ -135,7 +120,7 @@
             target: 15_000.0,
             points: held
                 .iter()
-                .map(|run| (run.number("held"), leader_busy(run)))
+                .map(|run| (run.number("held"), run.leader_busy()))
                 .collect(),
             line: log_steps(150.0, 18_000.0)
                 .map(|size| (size, capacity_model.leader_busy(&at_size(50.0, size, size))))
--- a/testing/fleet/src/synthetic/page/runs.rs
+++ b/testing/fleet/src/synthetic/page/runs.rs
@@ -5,7 +5,32 @@
 use serde_json::Value;
 use std::path::Path;
 
-/// One run as its file tells it.
+/// The kinds of work that make up the leader's processor time at rest.
+const LEADER_WORKS: [&str; 4] = [
+    "leading renewals",
+    "leading idle",
+    "leading ticks",
+    "leading core",
+];
+
+/// The time of changes from their acceptance to being in force, by part, in milliseconds.
+pub(super) struct ChangeTimes {
+    /// The longest time on the network.
+    pub network_ms: f64,
+    /// The longest processor time of the leader.
+    pub leader_ms: f64,
+    /// The slowest installation at a daemon.
+    pub install_ms: f64,
+}
+
+impl ChangeTimes {
+    /// The sum of the parts.
+    pub fn total_ms(&self) -> f64 {
+        self.network_ms + self.leader_ms + self.install_ms
+    }
+}
+
+/// The record of one run.
 pub struct Run(Value);
 
 impl From<Value> for Run {
@@ -40,17 +65,20 @@
         self.0["stopped"].as_str()
     }
 
-    /// Whether slopes are taken from it: a whole run without calls, and not one of the crossed sizes
-    /// that the slopes are held against.
+    /// Whether both the daemons and the functions are many.
+    fn has_crossed_size(&self) -> bool {
+        self.daemons() > 50.0 && self.number("functions") > 200.0
+    }
+
+    /// Whether the models are fitted to it: a complete run without calls, and not of a crossed size, with which the
+    /// models are compared.
     pub fn is_baseline(&self) -> bool {
-        let is_crossed = self.daemons() > 50.0 && self.number("functions") > 200.0;
-        self.stopped().is_none() && self.number("calls") == 0.0 && !is_crossed
+        self.stopped().is_none() && self.number("calls") == 0.0 && !self.has_crossed_size()
     }
 
-    /// Whether it is one of the crossed sizes.
+    /// Whether it is a complete run of a crossed size.
     pub fn is_crossed(&self) -> bool {
-        let is_crossed = self.daemons() > 50.0 && self.number("functions") > 200.0;
-        self.stopped().is_none() && is_crossed
+        self.stopped().is_none() && self.has_crossed_size()
     }
 
     /// Whether it was called while it was measured, at a size where daemons see each other.
@@ -79,9 +107,19 @@
         (steps > 0.0).then(|| self.work(work, "think_us") / steps)
     }
 
-    /// The changes' longest time on the network, the leader's longest own time, and the slowest install,
-    /// in milliseconds; none when no change came into force.
-    pub fn in_force(&self) -> Option<(f64, f64, f64)> {
+    /// The leader's processor time per second without changes, in microseconds.
+    pub(super) fn leader_busy(&self) -> f64 {
+        LEADER_WORKS.iter().map(|work| self.busy(work)).sum()
+    }
+
+    /// Heartbeat bytes that a daemon sends and receives per second.
+    pub(super) fn heartbeat_bytes(&self) -> f64 {
+        (self.rate("door beats", "sent_bytes") + self.rate("door beats", "heard_bytes"))
+            / self.daemons()
+    }
+
+    /// How long changes took to come into force; none if no change did.
+    pub(super) fn change_times(&self) -> Option<ChangeTimes> {
         let rows = self.0["in_force_ms"]
             .as_array()
             .filter(|rows| !rows.is_empty())?;
@@ -90,7 +128,11 @@
                 .filter_map(|row| row[part].as_f64())
                 .fold(0.0, f64::max)
         };
-        Some((longest(0), longest(1), self.number("install_ms")))
+        Some(ChangeTimes {
+            network_ms: longest(0),
+            leader_ms: longest(1),
+            install_ms: self.number("install_ms"),
+        })
     }
 }
 
--- a/testing/fleet/src/synthetic/page/tables.rs
+++ b/testing/fleet/src/synthetic/page/tables.rs
@@ -3,6 +3,7 @@
 use super::capacity_model::CapacityModel;
 use super::figure::{Figure, format_figure};
 use super::fit::Predictor;
+use super::runs::ChangeTimes;
 use super::{PageError, Run};
 use crate::synthetic::record::RecordError;
 use std::collections::BTreeMap;
@@ -101,17 +102,20 @@
         } else {
             "–".to_owned()
         };
-        let part = |index: usize| {
-            let read = |run: &Run| {
-                run.in_force().map_or(0.0, |(network, leader, install)| {
-                    [network, leader, install][index]
-                })
-            };
+        let part = |part_of: fn(&ChangeTimes) -> f64| {
+            let read = |run: &Run| run.change_times().map_or(0.0, |times| part_of(&times));
             format_figure(size.mean(read))
         };
         let stopped = size.runs.iter().find_map(|run| run.stopped());
         let change = stopped.map_or_else(
-            || format!("{}, {}, {} ms", part(0), part(1), part(2)),
+            || {
+                format!(
+                    "{}, {}, {} ms",
+                    part(|times| times.network_ms),
+                    part(|times| times.leader_ms),
+                    part(|times| times.install_ms),
+                )
+            },
             |reason| format!("stopped: {reason}"),
         );
         let _ = writeln!(
@@ -134,31 +138,17 @@
     );
     for run in runs.iter().filter(|run| run.is_crossed()) {
         let value_of = |predictor: Predictor| predictor.of(run);
-        let beat_bytes = (run.rate("door beats", "sent_bytes")
-            + run.rate("door beats", "heard_bytes"))
-            / run.daemons();
-        let leader_works = [
-            "leading renewals",
-            "leading idle",
-            "leading ticks",
-            "leading core",
-        ];
-        let leader_busy: f64 = leader_works.iter().map(|work| run.busy(work)).sum();
-        let in_force = run
-            .in_force()
-            .map_or(0.0, |(network_ms, leader_ms, install_ms)| {
-                network_ms + leader_ms + install_ms
-            });
+        let in_force = run.change_times().map_or(0.0, |times| times.total_ms());
         let rows = [
             (
                 "heartbeat bytes at a daemon, B/s",
                 capacity_model.beat_bytes.line.at(value_of),
-                beat_bytes,
+                run.heartbeat_bytes(),
             ),
             (
                 "the leader's processor time, µs/s",
                 capacity_model.leader_busy(&value_of),
-                leader_busy,
+                run.leader_busy(),
             ),
             (
                 "a change in force, ms",
--- a/testing/fleet/src/synthetic/platform.rs
+++ b/testing/fleet/src/synthetic/platform.rs
@@ -7,6 +7,12 @@
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, HashMap};
 use std::net::{Ipv4Addr, SocketAddrV4};
+use std::time::Duration;
+
+/// The round trip to the platform in virtual time.
+pub(super) const PLATFORM_LATENCY: Duration = Duration::from_millis(5);
+/// The size of the HTTP headers of a request to the platform or a runner and of its response, in bytes.
+pub(super) const HTTP_HEADERS: u64 = 400;
 
 /// One synthetic runner.
 pub(super) struct SyntheticRunner {
--- a/testing/fleet/src/synthetic/record.rs
+++ b/testing/fleet/src/synthetic/record.rs
@@ -81,26 +81,17 @@
     pub counters_by_work: BTreeMap<(Role, Work), WorkCounters>,
 }
 
-/// Why a record cannot be kept.
-#[derive(Debug)]
+/// Why a record cannot be read or written. The texts include those of their causes.
+#[derive(Debug, thiserror::Error)]
 pub enum RecordError {
-    /// A file or folder.
+    /// A file or folder cannot be read or written.
+    #[error("{path}: {cause}", path = .0.display(), cause = .1)]
     File(PathBuf, std::io::Error),
     /// A file is not JSON.
+    #[error("{path}: not JSON: {cause}", path = .0.display(), cause = .1)]
     NotJson(PathBuf, serde_json::Error),
 }
 
-impl fmt::Display for RecordError {
-    fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            Self::File(path, error) => write!(out, "{}: {error}", path.display()),
-            Self::NotJson(path, error) => write!(out, "{}: not JSON: {error}", path.display()),
-        }
-    }
-}
-
-impl std::error::Error for RecordError {}
-
 fn rounded(value: f64) -> f64 {
     (value * 1000.0).round() / 1000.0
 }
--- a/testing/fleet/src/synthetic/size.rs
+++ b/testing/fleet/src/synthetic/size.rs
@@ -1,85 +1,64 @@
 //! The size of a synthetic fleet, checked against the memory of the machine.
 
-use std::fmt;
 use std::path::PathBuf;
 use std::time::Duration;
 
 const MEBIBYTE: u64 = 1 << 20;
-/// What a daemon takes without any function, and for each other daemon, and for each function, in
-/// bytes; rounded up from the runs of small fleets.
+/// The memory of a daemon in bytes, rounded up from runs of small fleets: its base, and for each other daemon and each
+/// function.
 const DAEMON_BYTES: u64 = 64 << 10;
 const DAEMON_BYTES_PER_DAEMON: u64 = 2 << 10;
 const DAEMON_BYTES_PER_FUNCTION: u64 = 4 << 10;
-/// What the three controllers, the runners and the frames under way take for each function.
+/// The memory of the controllers, runners and frames in flight for each function, in bytes.
 const CORE_BYTES_PER_FUNCTION: u64 = 40 << 10;
 
-/// What a synthetic fleet is made of.
+/// The size of a synthetic fleet and of its measurement.
 #[derive(Clone, Copy, Debug)]
 pub struct SyntheticSize {
-    /// How many daemons.
+    /// The number of daemons.
     pub daemons: usize,
-    /// How many functions, each with a route.
+    /// The number of functions, each with a route.
     pub functions: usize,
-    /// How many of them are called, and so held.
+    /// The number of functions that are called, so that a lease is held for them.
     pub held: usize,
-    /// How many runners each held function keeps.
+    /// The number of runners of each held function.
     pub runners: u32,
-    /// How many changes of the spec while it is measured.
+    /// The number of changes of the spec during the measurement.
     pub changes: u32,
     /// The seed.
     pub seed: u64,
-    /// Calls a second and daemon while it is measured.
+    /// Calls per second and daemon during the measurement.
     pub calls: u32,
-    /// How long it is measured, in virtual time.
+    /// The duration of the measurement in virtual time.
     pub measured: Duration,
-    /// How long it may run, in real time.
+    /// The limit of the real time of a run.
     pub patience: Duration,
 }
 
-/// Why a fleet cannot be made.
-#[derive(Debug)]
+/// Why a fleet of a size cannot be built. The text of [`SizeError::Unreadable`] includes its cause.
+#[derive(Debug, thiserror::Error)]
 pub enum SizeError {
-    /// A size of nothing.
+    /// The size given by this flag is zero.
+    #[error("--{0} is 0; the least is 1, as nothing can be measured on nothing")]
     Zero(&'static str),
     /// More functions are to be held than there are.
+    #[error("--held {0} is above the limit of {1}, as only functions of the spec can be held")]
     Held(usize, usize),
-    /// It would need more than half of the machine's memory: needed and half, in megabytes.
+    /// It would need more than half of the machine's memory; the needed memory and that half, in megabytes.
+    #[error(
+        "such a fleet needs some {0} MB, and the limit is {1} MB, half of the machine's memory, so that the rest of it goes on working; each daemon keeps the whole spec: use fewer daemons or functions"
+    )]
     Memory(u64, u64),
-    /// The machine does not say how much memory it has.
+    /// The file with the machine's memory cannot be read.
+    #[error("{path}: {cause}", path = .0.display(), cause = .1)]
     Unreadable(PathBuf, std::io::Error),
-    /// What the machine says is no number.
+    /// The file does not give the machine's memory.
+    #[error("{path}: no total of memory there", path = .0.display())]
     Unknown(PathBuf),
 }
 
-impl fmt::Display for SizeError {
-    fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            Self::Zero(flag) => {
-                write!(
-                    out,
-                    "--{flag} is 0; the least is 1, as nothing can be measured on nothing"
-                )
-            }
-            Self::Held(held, functions) => {
-                write!(
-                    out,
-                    "--held {held} is above the limit of {functions}, as only functions of the spec can be held"
-                )
-            }
-            Self::Memory(needed_mb, half_mb) => write!(
-                out,
-                "such a fleet needs some {needed_mb} MB, and the limit is {half_mb} MB, half of the machine's memory, so that the rest of it goes on working; each daemon keeps the whole spec: use fewer daemons or functions"
-            ),
-            Self::Unreadable(path, error) => write!(out, "{}: {error}", path.display()),
-            Self::Unknown(path) => write!(out, "{}: no total of memory there", path.display()),
-        }
-    }
-}
-
-impl std::error::Error for SizeError {}
-
 impl SyntheticSize {
-    /// The memory that it will need, in bytes.
+    /// An estimate of the memory that the fleet needs, in bytes.
     pub fn needed_bytes(&self) -> u64 {
         let daemons = self.daemons as u64;
         let functions = self.functions as u64;
@@ -91,7 +70,10 @@
             .saturating_add(functions.saturating_mul(CORE_BYTES_PER_FUNCTION))
     }
 
-    /// Refuses sizes of nothing, and what does not fit into half of the machine's memory.
+    /// Checks the size.
+    ///
+    /// # Errors
+    /// Fails if a size is zero, or the fleet does not fit into half of the machine's memory.
     pub fn checked(self) -> Result<Self, SizeError> {
         let sizes = [
             ("daemons", self.daemons as u64),
