--- a/testing/fleet/src/commands/capacity.rs
+++ b/testing/fleet/src/commands/capacity.rs
@@ -1,4 +1,4 @@
-//! Synthetic fleets, measured, and the capacity page made from their records.
+//! Measurements of synthetic fleets, and the capacity page that is rendered from their records.
 
 use super::flags::{Capacity, Synthetic};
 use fleet::synthetic::page::{PageError, draw_plots, read_runs, render_page};
@@ -6,7 +6,7 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-/// Makes the page's tables and plots anew.
+/// Renders the page's tables and plots.
 pub fn update_page(capacity: &Capacity) -> Result<ExitCode, PageError> {
     let runs = read_runs(&capacity.from.join("runs"))?;
     let rendered_page = render_page(&capacity.page, &runs)?;
@@ -19,7 +19,7 @@
     Ok(ExitCode::SUCCESS)
 }
 
-/// Runs a synthetic fleet, prints what it came to, and keeps it.
+/// Runs a synthetic fleet, prints its record and writes it to a file.
 pub fn measure(synthetic: &Synthetic) -> Result<ExitCode, RecordError> {
     let size = SyntheticSize {
         daemons: synthetic.daemons,
--- a/testing/fleet/src/commands/control_side.rs
+++ b/testing/fleet/src/commands/control_side.rs
@@ -1,4 +1,4 @@
-//! Losses in the control quorum: a second one at every step of a repair, and the time back to order.
+//! Losses in the control quorum: a second loss at every step of a repair, and recovery times.
 
 use super::flags::{RecoveryOptions, SecondLosses};
 use fleet::sim::{
@@ -7,7 +7,7 @@
 };
 use std::process::ExitCode;
 
-/// The places where a second loss may fall, for each quorum, repair, target and loss.
+/// The cases of a second loss: each quorum size, repair, target and kind of loss.
 fn cases(size: QuorumSize, seed: u64, stride: u64) -> Vec<SecondLossCase> {
     let mut cases = Vec::new();
     for repair in Repair::ALL {
@@ -37,7 +37,7 @@
     cases
 }
 
-/// Plays a second loss at each step, and prints the cases with breaches.
+/// Simulates a second loss at each step, and prints the cases with violations.
 pub fn lose_second_machines(chosen: &SecondLosses) -> ExitCode {
     let Some(flaw) = Flaw::all()
         .into_iter()
@@ -80,8 +80,8 @@
     }
 }
 
-/// Prints a table in Markdown: for each rule of the control side what is seen without it, and how
-/// soon; says whether all were found.
+/// Prints a Markdown table with the violation that is found without each rule of the control side, and the number of
+/// days until then. Returns whether all were found.
 pub fn check_scenario_detection(max_seeds: u64) -> bool {
     println!();
     println!("| scenario | broken | seeds to first finding | seen |");
@@ -101,7 +101,7 @@
     is_complete
 }
 
-/// Prints a table in Markdown: for each single loss the time to the next order and session leases.
+/// Prints a Markdown table with the times from each single loss to the next order and session leases.
 pub fn measure_recovery(chosen: &RecoveryOptions) -> ExitCode {
     let Some(size) = QuorumSize::ALL
         .iter()
--- a/testing/fleet/src/commands/days.rs
+++ b/testing/fleet/src/commands/days.rs
@@ -1,4 +1,4 @@
-//! Days of the whole fleet: run, judged, and summed up in a table.
+//! Days of a fleet: running, judging, and summarizing them in a table.
 
 use super::flags::Run;
 use common::rules::Rule;
@@ -11,7 +11,7 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-/// Why no day can be run.
+/// Why a day cannot be run as requested.
 pub enum DayError {
     Deployment(String),
     Fault(String),
@@ -93,7 +93,7 @@
     }
 }
 
-/// Prints a table in Markdown: for each fault its runs, shares, and times to recovery.
+/// Prints a Markdown table with the number of runs, shares of outcomes and recovery times of each fault.
 pub fn tabulate(folders: &[PathBuf]) -> Result<ExitCode, EvidenceError> {
     let mut by_fault: BTreeMap<String, Vec<Recovery>> = BTreeMap::new();
     let mut violation_count = 0;
--- a/testing/fleet/src/commands/mod.rs
+++ b/testing/fleet/src/commands/mod.rs
@@ -1,4 +1,4 @@
-//! What each command of the proving tool does.
+//! The commands of the test tool.
 
 pub mod capacity;
 pub mod control_side;
--- a/testing/fleet/src/commands/simulator.rs
+++ b/testing/fleet/src/commands/simulator.rs
@@ -1,4 +1,4 @@
-//! Simulated days over many seeds, and the proofs that each safety rule is needed.
+//! Simulated days with many seeds, and the detection cases of safety rules.
 
 use super::control_side::check_scenario_detection;
 use super::flags::{Proofs, Sim};
@@ -9,7 +9,7 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-/// Prints a table in Markdown: for each rule what is seen without it, and how soon.
+/// Prints a Markdown table with the violation that is found without each rule, and the number of days until then.
 pub fn check_detection(proofs: &Proofs) -> ExitCode {
     let mut is_complete = true;
     println!(
@@ -45,7 +45,7 @@
     }
 }
 
-/// Runs the days of the seeds and prints how each ended.
+/// Runs a day for each seed and prints the results.
 pub fn simulate(sim: &Sim) -> ExitCode {
     let plan_of = match plans(sim) {
         Ok(plan_of) => plan_of,
@@ -93,7 +93,7 @@
     }
 }
 
-/// Why there are no days to run.
+/// Why the requested days cannot be run.
 enum PlanError {
     Flaw(String),
     Fault(String),
@@ -127,7 +127,7 @@
     }
 }
 
-/// What makes the day of each seed.
+/// The function that makes the plan of a day from its seed.
 fn plans(sim: &Sim) -> Result<Box<dyn Fn(u64) -> SimPlan>, PlanError> {
     let flaw = Flaw::all()
         .into_iter()
--- a/testing/fleet/src/commands/soak.rs
+++ b/testing/fleet/src/commands/soak.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 use tokio::task::JoinSet;
 
-/// Runs soaks of consecutive seeds, some at a time, and prints what was found.
+/// Runs soaks with consecutive seeds, some of them concurrently, and prints their findings.
 pub fn run(options: &SoakOptions) -> eyre::Result<ExitCode> {
     let own_path = std::env::current_exe().wrap_err("own path")?;
     let programs = own_path.parent().map(Path::to_owned).unwrap_or_default();
@@ -57,7 +57,7 @@
     (soak, end)
 }
 
-/// Says how a soak ended; whether nothing was found.
+/// Prints the result of a soak; returns whether there are no findings.
 fn report(soak: &Soak, end: &SoakResult) -> eyre::Result<bool> {
     let findings = end.findings();
     let answered = end
--- a/testing/fleet/src/daemon_without_rule.rs
+++ b/testing/fleet/src/daemon_without_rule.rs
@@ -1,4 +1,4 @@
-//! A daemon with one safety rule taken away, to see that the judge finds what is broken.
+//! A daemon without one of its safety rules, to test that the judge finds the violations.
 
 use common::command_line::{self, Program};
 use common::readers::SettingsSource;
--- a/testing/fleet/src/faulty_disk_controller.rs
+++ b/testing/fleet/src/faulty_disk_controller.rs
@@ -1,4 +1,4 @@
-//! A controller whose disk does what a file beside its settings says: nothing, full, failing or stalled.
+//! A controller with injectable disk faults: a file beside its settings selects full, failing or stalled.
 
 use common::command_line::{self, Program};
 use common::readers::SettingsSource;
@@ -57,14 +57,15 @@
 fn main() -> eyre::Result<()> {
     let flags = PROGRAM.flags(|flags: &Flags| flags.version);
     command_line::start_log();
-    let boot_source = SettingsSource::open(Some(&flags.boot)).map_err(|error| eyre!("{error}"))?;
-    let boot = ControllerSettings::read(&boot_source).map_err(|error| eyre!("{error}"))?;
+    let settings_source =
+        SettingsSource::open(Some(&flags.boot)).map_err(|error| eyre!("{error}"))?;
+    let settings = ControllerSettings::read(&settings_source).map_err(|error| eyre!("{error}"))?;
     let fault_hook = FaultyDisk {
         control_file: flags.boot.with_extension("json.disk"),
     };
     command_line::runtime(2)?.block_on(async {
-        let adapters = ControllerAdapters::own(boot.platform);
-        let controller = Controller::open_with(&boot, Box::new(fault_hook), adapters)
+        let adapters = ControllerAdapters::own(settings.platform);
+        let controller = Controller::open_with(&settings, Box::new(fault_hook), adapters)
             .await
             .wrap_err("opening")?;
         let stop = command_line::stop_signal()?;
--- a/testing/fleet/src/lib.rs
+++ b/testing/fleet/src/lib.rs
@@ -1,4 +1,5 @@
-//! The whole fleet on one machine: settings, processes, load, faults, and the judge.
+//! Tests of complete fleets: real processes on one machine under load and faults with a judge of their records, a
+//! deterministic simulator, and synthetic fleets for measuring capacity.
 
 #![deny(missing_docs)]
 
--- a/testing/fleet/src/main.rs
+++ b/testing/fleet/src/main.rs
@@ -1,4 +1,4 @@
-//! The proving tool: whole days of the fleet, judged.
+//! The test tool for fleets: days, soaks, simulations and capacity measurements.
 
 mod commands;
 
--- a/testing/fleet/src/sim/calls.rs
+++ b/testing/fleet/src/sim/calls.rs
@@ -1,4 +1,4 @@
-//! Callers, and how soon they are served again after everything is mended.
+//! Callers, and how soon they are served again after all faults are undone.
 
 use super::event::Event;
 use super::simulation::Simulation;
@@ -12,7 +12,7 @@
         self.started_at() + self.plan.lasts
     }
 
-    /// Notes a call made after everything was mended, in its half second.
+    /// Counts a call made after all faults were undone, by half second.
     pub(super) fn count_late_call(&mut self, idempotency_key: &IdempotencyKey) {
         let faults_end_at = self.faults_end_at();
         if self.now < faults_end_at {
@@ -35,7 +35,8 @@
         }
     }
 
-    /// A refused caller: an impatient one repeats at once, by another door, and says so.
+    /// Handles a refusal at a caller: while callers retry, it soon repeats the request through another ingress, marked
+    /// as a retry.
     pub(super) fn note_refused(&mut self, request: &FunctionRequest) {
         if self.now < self.retrying_until && self.rng.random_bool(0.7) {
             let wait_span = self.rng.within(Duration::ZERO, Duration::from_millis(40));
@@ -103,7 +104,7 @@
         self.call(index, idempotency_key, route_name, timeout, false);
     }
 
-    /// The same identity comes again, by another door: it may be refused, and must not run twice.
+    /// Sends a request with the same idempotency key through another ingress: it may be refused, and must not run twice.
     pub(super) fn send_duplicate_call(
         &mut self,
         idempotency_key: IdempotencyKey,
@@ -120,7 +121,7 @@
         }
     }
 
-    /// From 12 s after the mending on, no second may have most calls unanswered.
+    /// Checks that most calls are answered in each second from 12 s after all faults were undone.
     pub(super) fn check_recovery(&mut self) {
         let seconds_after_healing: Vec<(u64, u64)> = self
             .shares_after_healing
@@ -138,7 +139,8 @@
         }
     }
 
-    /// The share answered from 12 s after the mending, and when at least half was answered for good.
+    /// The share of calls answered from 12 s after all faults were undone, and the time after which at least half of the
+    /// calls in each half second were answered.
     pub(super) fn recovery_figures(&self) -> (f64, Duration) {
         let settled = self.shares_after_healing.iter().skip(24);
         let (calls, answers) = settled.fold((0, 0), |sum, half_second| {
--- a/testing/fleet/src/sim/checks/control.rs
+++ b/testing/fleet/src/sim/checks/control.rs
@@ -1,4 +1,4 @@
-//! What the simulated day checks of the control side: commits, orders, and versions at daemons.
+//! The checks of the control side: commits, orders, and versions at daemons.
 
 use super::{CommittedVersion, SafetyChecks, content_of};
 use common::clock::MonotonicTime;
@@ -6,7 +6,7 @@
 use common::spec::{Document, RoutingTable, SpecRecords};
 
 impl SafetyChecks {
-    /// A leader committed a version.
+    /// Records that a leader committed a version.
     pub fn check_committed(&mut self, at: MonotonicTime, document: &Document) {
         self.count_check("commit");
         let version = document.document_version.version;
@@ -75,7 +75,7 @@
         );
     }
 
-    /// A version that only names daemons is to daemons what the last one was.
+    /// A version that only changes the list of daemons is for daemons the same as the previous one.
     fn check_visible_unchanged(&mut self, at: MonotonicTime, document: &Document) {
         let seen_version = document.view_version();
         let newest = self.committed.last_key_value();
@@ -92,7 +92,7 @@
         }
     }
 
-    /// An operator was told that a change is accepted.
+    /// Checks the acceptance of a change.
     pub fn check_accepted(
         &mut self,
         at: MonotonicTime,
@@ -124,12 +124,12 @@
         }
     }
 
-    /// So many answers to operators were judged by their history.
+    /// Counts the replies to operators that were checked by their history.
     pub fn count_operator_answers(&mut self, judged_count: usize) {
         *self.checked.entry("operator's answer").or_default() += judged_count as u64;
     }
 
-    /// An operator was told that a change is not accepted.
+    /// Checks the refusal of a change.
     pub fn check_change_refused(&mut self, at: MonotonicTime, change: &ChangeId) {
         self.count_check("refused change");
         let contains_change = |known: &CommittedVersion| {
@@ -143,7 +143,7 @@
         }
     }
 
-    /// A daemon installed a spec.
+    /// Checks that a daemon installs a committed spec.
     pub fn check_installed(
         &mut self,
         at: MonotonicTime,
--- a/testing/fleet/src/sim/checks/mod.rs
+++ b/testing/fleet/src/sim/checks/mod.rs
@@ -1,4 +1,4 @@
-//! What the simulator checks of each day, from what every process did.
+//! The safety checks of a simulated day, with knowledge of all processes.
 
 mod control;
 
@@ -17,23 +17,23 @@
 
 /// How long an older spec may still be used.
 const IN_FORCE_WITHIN: Duration = Duration::from_millis(3000);
-/// How long a draining worker may still get transactions.
+/// How long a draining worker may still get requests.
 const DRAINED_WITHIN: Duration = Duration::from_millis(3200);
-/// How long an evacuated zone may still get transactions.
+/// How long an evacuated zone may still get requests.
 const EVACUATED_WITHIN: Duration = Duration::from_millis(5200);
-/// The span over which extra tries are counted.
+/// The window in which retries are counted.
 const TRY_WINDOW: Duration = Duration::from_secs(10);
-/// How much earlier than at its holder a first try may have reached a door.
+/// How much earlier than its lease holder a first attempt may have reached an ingress.
 const FIRST_TRY_SLACK: Duration = Duration::from_secs(3);
-/// The small allowance of extra tries.
+/// The number of retries that are always allowed.
 const FREE_EXTRA_TRIES: usize = 3;
 
-/// Something that must never happen has happened.
+/// A violation of a safety property.
 #[derive(Clone, Debug)]
 pub struct SafetyViolation {
-    /// When, in virtual time.
+    /// The virtual time.
     pub at: MonotonicTime,
-    /// What.
+    /// The description.
     pub what: String,
 }
 
@@ -49,7 +49,7 @@
     routes: BTreeMap<String, FunctionName>,
 }
 
-/// What is known of one transaction from outside the daemons.
+/// What is known of a request from outside the daemons.
 #[derive(Default)]
 struct RequestRecord {
     route: String,
@@ -61,19 +61,19 @@
     is_duplicate: bool,
 }
 
-/// First and extra tries of one function, by moment.
+/// The times of first attempts and retries of a function.
 #[derive(Default)]
 struct TryWindow {
     firsts: VecDeque<MonotonicTime>,
     extras: VecDeque<MonotonicTime>,
 }
 
-/// A slow plain model of what is allowed, and everything that was seen.
+/// A simple model of what is allowed, with everything that was observed.
 #[derive(Default)]
 pub struct SafetyChecks {
-    /// What went wrong.
+    /// The violations that were found.
     pub violations: Vec<SafetyViolation>,
-    /// How often each kind of thing was looked at.
+    /// The number of cases of each check.
     pub checked: BTreeMap<&'static str, u64>,
     committed_content: BTreeMap<Version, Value>,
     committed: BTreeMap<Version, CommittedVersion>,
@@ -99,17 +99,17 @@
 }
 
 impl SafetyChecks {
-    /// Notes a breach.
+    /// Adds a violation.
     pub fn report_violation(&mut self, at: MonotonicTime, what: String) {
         self.violations.push(SafetyViolation { at, what });
     }
 
-    /// Counts that something was looked at.
+    /// Counts a case of a check.
     pub fn count_check(&mut self, kind: &'static str) {
         *self.checked.entry(kind).or_default() += 1;
     }
 
-    /// A daemon is granted a function: every runner of it that is alive is among those it takes over.
+    /// Checks that a new lease holder takes over all running runners of the function.
     pub fn check_granted_lease<'a>(
         &mut self,
         at: MonotonicTime,
@@ -137,7 +137,7 @@
         }
     }
 
-    /// A runner starts: every other one of its function that is alive is its grant's.
+    /// Checks at the start of a runner that all other running ones of the function belong to the same lease.
     pub fn check_sole_start<'a>(
         &mut self,
         at: MonotonicTime,
@@ -158,7 +158,7 @@
         }
     }
 
-    /// Who holds which lives at one moment: each is in one living holder's hands at most.
+    /// Checks that each runner instance is used by at most one running lease holder.
     pub fn check_owners<'a>(
         &mut self,
         at: MonotonicTime,
@@ -179,7 +179,7 @@
         }
     }
 
-    /// A holder sends to a life; gives back who sent there before under another grant.
+    /// Records that a lease holder sends to a runner instance; returns who sent there before under another lease.
     pub fn check_send(
         &mut self,
         instance: &InstanceId,
@@ -193,7 +193,7 @@
         before.filter(|before| *before != (daemon, fencing_token))
     }
 
-    /// A caller's transaction has reached a door and was led to a function.
+    /// Records that a request reached an ingress and was routed to a function.
     pub fn record_call(
         &mut self,
         at: MonotonicTime,
@@ -216,7 +216,7 @@
         }
     }
 
-    /// A newer spec leads a first try elsewhere before it has run.
+    /// Records that a newer spec routes a first attempt elsewhere before it has run.
     pub fn move_first_try(&mut self, at: MonotonicTime, from: &FunctionKey, to: &FunctionKey) {
         if let Some(tries) = self.tries.get_mut(from) {
             tries.firsts.pop_back();
@@ -228,7 +228,7 @@
             .push_back(at);
     }
 
-    /// The same identity will come again by another door.
+    /// Records that the same idempotency key will be sent again through another ingress.
     pub fn mark_duplicate(&mut self, idempotency_key: &IdempotencyKey) {
         self.seen
             .entry(idempotency_key.clone())
@@ -236,7 +236,7 @@
             .is_duplicate = true;
     }
 
-    /// A run begins on a runner.
+    /// Checks the beginning of a run on a runner.
     pub fn runs(
         &mut self,
         at: MonotonicTime,
@@ -323,7 +323,7 @@
         }
     }
 
-    /// A runner has so many transactions at once.
+    /// Checks the number of concurrent requests on a runner.
     pub fn check_slots(
         &mut self,
         at: MonotonicTime,
@@ -346,14 +346,14 @@
         }
     }
 
-    /// A runner refused under seal, and has not run.
+    /// Records that a runner refused a request under seal without running it.
     pub fn did_not_run(&mut self, idempotency_key: &IdempotencyKey) {
         if let Some(seen) = self.seen.get_mut(idempotency_key) {
             seen.runs -= 1;
         }
     }
 
-    /// The body that a runner makes for a transaction.
+    /// The body of a runner's answer to a request.
     pub fn make_body(&mut self, idempotency_key: &IdempotencyKey, runner: RunnerId) -> Vec<u8> {
         let seen = self.seen.entry(idempotency_key.clone()).or_default();
         let made_body =
@@ -362,12 +362,12 @@
         made_body
     }
 
-    /// There is no leader that can see to drains and evacuations at this moment.
+    /// Records that no leader can currently handle drains and evacuations.
     pub fn note_control_outage(&mut self, at: MonotonicTime) {
         self.control_outage_at = at;
     }
 
-    /// A transaction runs on a worker that may be drained.
+    /// Checks a run on a worker that may be draining.
     pub fn check_not_draining(
         &mut self,
         at: MonotonicTime,
@@ -386,7 +386,7 @@
         }
     }
 
-    /// A transaction runs on a runner that may be about to leave.
+    /// Checks a run on a runner that may have announced that it leaves.
     pub fn check_not_leaving(
         &mut self,
         at: MonotonicTime,
@@ -404,7 +404,7 @@
         }
     }
 
-    /// A transaction runs, or is sent, in a zone that may be evacuated.
+    /// Checks a run or a send in a zone that may be evacuated.
     pub fn check_not_evacuated(&mut self, at: MonotonicTime, zone: &Zone) {
         let Some(since) = self.evacuated_since.get(zone).copied() else {
             return;
@@ -425,12 +425,12 @@
         !self.evacuated_since.is_empty()
     }
 
-    /// Whether a grant is seen for the first time.
+    /// Whether a lease is seen for the first time.
     pub fn is_new_lease(&mut self, fencing_token: FencingToken) -> bool {
         self.granted.insert(fencing_token)
     }
 
-    /// A daemon serves with a spec.
+    /// Checks the age of the spec that a daemon serves with.
     pub fn check_served_version(&mut self, at: MonotonicTime, daemon: usize, version: Version) {
         self.count_check("serving daemon's spec");
         let due = self
@@ -447,7 +447,7 @@
         }
     }
 
-    /// A daemon that was stopped in order goes.
+    /// Checks the end of a daemon that was stopped gracefully.
     pub fn check_orderly_stop(
         &mut self,
         at: MonotonicTime,
@@ -464,8 +464,8 @@
         }
     }
 
-    /// A holder has ended a transaction. What it refused must never run under its grant, whoever sends
-    /// the identity again and through whatever door.
+    /// Records the outcome of a request at its lease holder. What it refused must never run under its lease, even if the
+    /// idempotency key is sent again through another ingress.
     pub fn record_holder_outcome(
         &mut self,
         fencing_token: FencingToken,
@@ -481,9 +481,8 @@
         }
     }
 
-    /// A caller was told that its transaction was not run. An identity that is sent twice may be
-    /// refused by a door that is no holder and run through another; what holders refuse is held
-    /// against them all the same.
+    /// Checks a refusal at a caller: the request must not have run. A key that is sent twice may be refused at one
+    /// ingress and run through another; refusals by lease holders are checked all the same.
     pub fn check_not_run(&mut self, at: MonotonicTime, idempotency_key: &IdempotencyKey) {
         self.count_check("not run");
         let seen = self.seen.entry(idempotency_key.clone()).or_default();
@@ -499,7 +498,7 @@
         }
     }
 
-    /// A caller got an answer: one that a runner made, for this transaction, to the last byte.
+    /// Checks an answer at a caller: it must be the complete answer of a runner to this request.
     pub fn answers(
         &mut self,
         at: MonotonicTime,
@@ -523,7 +522,7 @@
         }
     }
 
-    /// How many calls of one second after the mending were answered.
+    /// Checks how many calls of one second after all faults were undone were answered.
     pub fn check_recovered_second(
         &mut self,
         at: MonotonicTime,
@@ -541,12 +540,12 @@
         }
     }
 
-    /// Whether a serial that daemons see was committed.
+    /// Whether a version that daemons see was committed.
     pub fn is_committed(&self, version: Version) -> bool {
         self.committed.contains_key(&version)
     }
 
-    /// The newest committed serial.
+    /// The newest committed version.
     pub fn newest_version(&self) -> Version {
         self.committed
             .last_key_value()
--- a/testing/fleet/src/sim/controller.rs
+++ b/testing/fleet/src/sim/controller.rs
@@ -1,3 +1,5 @@
+//! Simulated controllers and their disks.
+
 use super::daemon::local_time;
 use super::event::Event;
 use super::flaw::Flaw;
@@ -22,31 +24,31 @@
 use controlplane::leader_state::{LeaderTiming, StreamId};
 use std::time::Duration;
 
-/// A virtual disk.
+/// A simulated disk.
 pub struct SimDisk {
-    /// What survives a crash.
+    /// The content that survives a crash.
     pub durable: PersistedState,
-    /// Until when writes hang.
+    /// Until when writes stall.
     pub stalled_until: MonotonicTime,
     /// Until when writes fail.
     pub failing_until: MonotonicTime,
-    /// The version before the newest.
+    /// The version before the newest one.
     pub previous: Option<Document>,
 }
 
-/// One virtual controller.
+/// A simulated controller.
 pub struct SimController {
     /// Its node.
     pub node: Node,
-    /// Counts its lives.
+    /// The number of its incarnation.
     pub instance: u64,
-    /// Where it is reached.
+    /// Its address.
     pub address: SocketAddress,
-    /// Its machine's clock, ahead of virtual time.
+    /// By how much its machine's clock is ahead of virtual time.
     pub clock_ahead: Duration,
     /// How many thousandths its machine's clock runs fast, or slow if negative.
     pub clock_drift: i64,
-    /// The controller itself, while it is alive.
+    /// Its state machine, while its process runs.
     pub controller_state: Option<ControllerState>,
     /// Its disk.
     pub disk: SimDisk,
@@ -74,7 +76,7 @@
         local_time(self.now, controller.clock_ahead, controller.clock_drift)
     }
 
-    /// Starts a controller with what its disk remembers.
+    /// Starts a controller from its disk.
     pub(super) fn start_controller(&mut self, index: usize) {
         let local_now = self.controller_now(index);
         let seed = self.rng.number();
@@ -116,7 +118,7 @@
         );
     }
 
-    /// Kills a controller; the others find its address closed.
+    /// Kills a controller's process; its connections are closed.
     pub(super) fn kill_controller(&mut self, index: usize) {
         let node = self.controllers[index].node;
         self.notify_gone(node, self.controllers[index].address);
@@ -124,13 +126,13 @@
         self.end_controller(index);
     }
 
-    /// A controller's machine loses power: nobody is told.
+    /// Cuts the power of a controller's machine; its connections break without being closed.
     pub(super) fn power_off_controller(&mut self, index: usize) {
         self.break_links_silently(self.controllers[index].node);
         self.end_controller(index);
     }
 
-    /// A controller's process ends; a write under way may or may not have reached the disk.
+    /// Ends a controller's process; a write in progress may or may not have reached the disk.
     fn end_controller(&mut self, index: usize) {
         self.controllers[index].controller_state = None;
         self.controllers[index].instance += 1;
@@ -145,7 +147,7 @@
         }
     }
 
-    /// The other controllers that reach a killed one find its place closed, a little later.
+    /// The other controllers that reach a killed one soon find its address closed.
     fn notify_gone(&mut self, gone: Node, address: SocketAddress) {
         let others: Vec<Node> = self
             .controllers
@@ -164,7 +166,7 @@
         }
     }
 
-    /// A controller's disk is replaced by an empty one.
+    /// Replaces a controller's disk by an empty one.
     pub(super) fn lose_disk(&mut self, index: usize) {
         let fresh_id = ControllerId(self.rng.number() | 1);
         let disk = &mut self.controllers[index].disk;
@@ -177,8 +179,8 @@
         disk.previous = None;
     }
 
-    /// The newest version on a disk rots: it is set aside at the start, and what it may have
-    /// acknowledged is remembered.
+    /// Corrupts the newest version on a disk: it is set aside at the next start, and the controller remembers what it
+    /// may have acknowledged.
     pub(super) fn damage_disk(&mut self, index: usize) {
         let disk = &mut self.controllers[index].disk;
         let damaged = disk.durable.accepted.take();
@@ -245,7 +247,7 @@
         }
     }
 
-    /// Makes a controller believe that another said yes to whatever it asked.
+    /// Makes a controller believe that another one granted its requests.
     fn forge_approval(&mut self, index: usize, to_node: Node, frame: &ConsensusFrame) {
         let body = match &frame.body {
             ConsensusMessage::VoteRequest {
@@ -433,7 +435,7 @@
 }
 
 impl SimDisk {
-    /// Makes a write durable.
+    /// Completes a write and makes it durable.
     pub fn store(&mut self, job: &WriteJob) {
         match job {
             WriteJob::Vote { term, candidate } => {
--- a/testing/fleet/src/sim/daemon/holders.rs
+++ b/testing/fleet/src/sim/daemon/holders.rs
@@ -1,4 +1,4 @@
-//! The holders of a simulated daemon: their orders, and the ledgers that stewards keep.
+//! The lease holders of a simulated daemon: their outputs, and the ledger replicas.
 
 use super::AwaitedStep;
 use crate::sim::event::Event;
@@ -15,7 +15,7 @@
 use std::time::Duration;
 
 impl Simulation {
-    /// Changes a held function and does what its holder orders.
+    /// Updates a held function and executes the outputs of its state machine.
     pub(in crate::sim) fn apply(
         &mut self,
         index: usize,
--- a/testing/fleet/src/sim/daemon/mod.rs
+++ b/testing/fleet/src/sim/daemon/mod.rs
@@ -1,4 +1,4 @@
-//! The daemons of the simulated world.
+//! Simulated daemons.
 
 mod holders;
 mod orders;
@@ -18,10 +18,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How long an orderly stop may take, and what the platform waits before it kills.
+/// The grace period of a graceful stop, after which the platform kills the process.
 pub(in crate::sim) const GRACE: Duration = Duration::from_millis(5600);
 
-/// Where an outcome goes back to.
+/// Where an outcome is returned to.
 #[derive(Clone, Copy, Debug)]
 pub(in crate::sim) enum ReplyTarget {
     Caller,
@@ -42,7 +42,7 @@
     _in_flight: InFlightGuard,
 }
 
-/// What a transaction in a daemon's hands waits for.
+/// What a request in a daemon waits for.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 enum AwaitedStep {
     Lookup,
@@ -51,21 +51,21 @@
     Acquired,
 }
 
-/// One virtual daemon.
+/// A simulated daemon.
 pub struct SimDaemon {
     /// Its node.
     pub node: Node,
-    /// Counts its lives.
+    /// The number of its incarnation.
     pub instance: u64,
-    /// Its machine's clock, ahead of virtual time.
+    /// By how much its machine's clock is ahead of virtual time.
     pub clock_ahead: Duration,
     /// How many thousandths its machine's clock runs fast, or slow if negative.
     pub clock_drift: i64,
-    /// Its body, while it is alive.
+    /// The state of its process, while it runs.
     pub body: Option<Box<DaemonProcess>>,
 }
 
-/// What dies with a daemon's process.
+/// The state that is lost with a daemon's process.
 pub struct DaemonProcess {
     pub(in crate::sim) agent: Arc<Agent<u64>>,
     controller: DaemonControl<u64>,
@@ -76,13 +76,13 @@
     pub(in crate::sim) is_disturbed: bool,
 }
 
-/// The moment on a clock that is ahead and runs fast or slow by some thousandths.
+/// The time on a clock that is ahead and drifts by some thousandths.
 pub(in crate::sim) fn local_time(now: MonotonicTime, ahead: Duration, drift: i64) -> MonotonicTime {
     let elapsed = now.0 as i128;
     MonotonicTime((elapsed + elapsed * i128::from(drift) / 1000) as u64) + ahead
 }
 
-/// What a span on such a clock is in virtual time.
+/// Converts a duration on such a clock to virtual time.
 pub(in crate::sim) fn virtual_span(span: Duration, drift: i64) -> Duration {
     let nanos = span.as_nanos() as i128 * 1000 / (1000 + i128::from(drift));
     Duration::from_nanos(nanos as u64) + Duration::from_micros(1)
@@ -98,7 +98,7 @@
         format!("locality-{}", number % 3 + 1).into()
     }
 
-    /// The first two zones lie in one region and the third in another, if the day has regions.
+    /// The region of a zone, if the day has regions: the first two zones belong to one and the third to another.
     fn regions(&self) -> Regions {
         let zones =
             (0..3).map(|number| (Self::zone(number), if number < 2 { "east" } else { "west" }));
@@ -137,7 +137,7 @@
         self.push(delay, wake);
     }
 
-    /// Starts a daemon, in a new life.
+    /// Starts a daemon in a new incarnation.
     pub(in crate::sim) fn start_daemon(&mut self, index: usize) {
         let local_now = self.daemon_now(index);
         let seed = self.rng.number();
@@ -182,14 +182,14 @@
         self.push(Duration::from_millis(1), tick);
     }
 
-    /// Kills a daemon; its callers learn nothing.
+    /// Kills a daemon; its callers get no response.
     pub(in crate::sim) fn kill_daemon(&mut self, index: usize) {
         self.daemons[index].body = None;
         self.daemons[index].instance += 1;
         self.close_links(self.daemons[index].node);
     }
 
-    /// Warns a daemon that it is to stop.
+    /// Begins the graceful stop of a daemon.
     pub(in crate::sim) fn begin_orderly_stop(&mut self, index: usize) {
         let local_now = self.daemon_now(index);
         let is_frozen = self.is_frozen(self.daemons[index].node);
@@ -211,7 +211,7 @@
             .is_some_and(|body| body.stop_deadline.is_some())
     }
 
-    /// A daemon that was warned goes when nothing is left in its hands, or when its grace is over.
+    /// Ends a stopping daemon when no requests are left, or when its grace period is over.
     pub(in crate::sim) fn finish_stop_if_due(&mut self, index: usize) {
         let local_now = self.daemon_now(index);
         let Some(body) = &self.daemons[index].body else {
--- a/testing/fleet/src/sim/daemon/orders.rs
+++ b/testing/fleet/src/sim/daemon/orders.rs
@@ -1,4 +1,4 @@
-//! Carries out what a simulated daemon orders, and checks what it is told.
+//! Executes the outputs of a simulated daemon, and checks the messages that it receives.
 
 use super::AwaitedStep;
 use crate::sim::event::Event;
@@ -115,7 +115,7 @@
         self.push_in_order(key, delay, Event::LinkUp(link, frame));
     }
 
-    /// Each life is in the hands of one living holder at most.
+    /// Checks that each runner instance is used by at most one running lease holder.
     pub(in crate::sim) fn check_instance_owners(&mut self) {
         let mut held_instances = Vec::new();
         for index in 0..self.daemons.len() {
@@ -143,7 +143,7 @@
         self.checks.check_owners(self.now, listed);
     }
 
-    /// Whether a daemon serves a function under a grant.
+    /// Whether a daemon serves a function under this lease.
     pub(in crate::sim) fn is_live_holder(
         &self,
         index: usize,
@@ -157,8 +157,7 @@
             && held.is_some_and(|held| held.with(|holder| holder.is_claimable()))
     }
 
-    /// A function that has just been granted: nobody else may serve it, and every runner of it that is
-    /// alive is among those taken over.
+    /// Checks a new function lease: no other daemon may serve the function, and all its running runners are taken over.
     pub(in crate::sim) fn check_granted(&mut self, index: usize) {
         let Some(agent) = self.agent(index) else {
             return;
--- a/testing/fleet/src/sim/daemon/requests.rs
+++ b/testing/fleet/src/sim/daemon/requests.rs
@@ -1,4 +1,4 @@
-//! Requests on their way through simulated daemons: from the call to what the caller is told.
+//! Requests in simulated daemons: from the call to the response to the caller.
 
 use super::{AwaitedStep, PendingRequest, ReplyTarget, virtual_span};
 use crate::sim::event::Event;
@@ -23,7 +23,7 @@
         }
     }
 
-    /// A caller's transaction reaches a daemon's door.
+    /// Handles a caller's request at a daemon's ingress.
     pub(in crate::sim) fn call(
         &mut self,
         index: usize,
@@ -72,7 +72,7 @@
         self.accept_request(index, request, ReplyTarget::Caller);
     }
 
-    /// Another daemon's frame.
+    /// Handles a frame of another daemon.
     pub(in crate::sim) fn handle_hop(
         &mut self,
         index: usize,
@@ -111,7 +111,7 @@
         self.advance(index, number);
     }
 
-    /// The time of a wait is up, unless something else has come since.
+    /// Handles the timeout of a wait, unless the request has advanced since.
     pub(in crate::sim) fn wake(&mut self, index: usize, number: u64, wake: u64) {
         let is_due = self.daemons[index].body.as_ref().is_some_and(|body| {
             body.pending_requests
@@ -123,7 +123,7 @@
         }
     }
 
-    /// One look where a transaction goes next, if it waits for one.
+    /// Repeats the lookup of a request that waits for one.
     pub(in crate::sim) fn advance(&mut self, index: usize, number: u64) {
         self.step(
             index,
@@ -133,7 +133,7 @@
         );
     }
 
-    /// A wait for the leader's answer has lasted as long as it may.
+    /// Handles the timeout of a wait for the leader's reply.
     pub(in crate::sim) fn acquire_timed_out(&mut self, index: usize, number: u64) {
         self.step(
             index,
@@ -169,8 +169,8 @@
         }
     }
 
-    /// What was passed to a daemon that no longer counts as alive is not waited for; under a new number,
-    /// so that what still comes back finds nobody.
+    /// Stops waiting for daemons that no longer count as alive. The request gets a new number, so that a late reply is
+    /// ignored.
     pub(in crate::sim) fn end_forwards_to_departed(&mut self, index: usize) {
         let Some(body) = &mut self.daemons[index].body else {
             return;
@@ -355,7 +355,7 @@
         self.push(delay, Event::Hop(to_node, to_instance, reply_target, body));
     }
 
-    /// The daemon that a request was passed to has answered, or will not.
+    /// Handles the reply, or its absence, of the daemon to which a request was forwarded.
     pub(in crate::sim) fn finish_forward(
         &mut self,
         index: usize,
@@ -421,7 +421,8 @@
         }
     }
 
-    /// What is said with an outcome of the asking region's own key: by the holder, or by whoever is nearer to it.
+    /// The hint that is sent with an outcome under the requesting region's own key: by the lease holder, or by a daemon
+    /// nearer to it.
     fn regional_hint(&self, index: usize, pending: &PendingRequest) -> u8 {
         let request = pending.forwarding.request();
         let local_now = self.daemon_now(index);
@@ -436,7 +437,7 @@
         }
     }
 
-    /// A caller's daemon hears with an answer of its region's own key.
+    /// Applies the hint that came with a reply about the region's own key.
     fn handle_regional_hint(
         &mut self,
         index: usize,
--- a/testing/fleet/src/sim/detection_cases.rs
+++ b/testing/fleet/src/sim/detection_cases.rs
@@ -1,3 +1,5 @@
+//! Detection cases by simulated days: flaws that the checks must find.
+
 use super::faults::SimFault;
 use super::flaw::Flaw;
 use super::plan::SimPlan;
@@ -6,48 +8,47 @@
 use std::fmt;
 use std::time::Duration;
 
-/// One rule of what must never happen: the faults that try it, what is seen without it, and that
-/// nothing is seen with it.
+/// A detection case: a flaw, the faults that expose it, and the violation that is expected with it and absent without.
 pub struct DetectionCase {
-    /// What must never happen, in the brief's order.
+    /// What must never happen, in the order of the requirements.
     pub point: &'static str,
-    /// What is broken on purpose.
+    /// The flaw that is introduced.
     pub flaw: Flaw,
-    /// The faults aimed at it.
+    /// The faults that expose it.
     pub faults: &'static [SimFault],
     /// The longest time from one fault to the next.
     pub gap: Duration,
-    /// What the breach that is looked for says.
+    /// The text of the expected violation.
     pub expected_violation: &'static str,
-    /// How many seeds find it with certainty.
+    /// The number of seeds after which it must have been found.
     pub seeds: u64,
     /// Whether operators send hundreds of numbered orders.
     pub numbers_orders: bool,
 }
 
-/// What a proof showed.
+/// The result of a detection case.
 pub struct DetectionResult {
-    /// The first seed that found the flaw, and what it saw.
+    /// The first seed that found the flaw, and the violation.
     pub found: Option<(u64, String)>,
-    /// Breaches of the same days with every rule kept.
+    /// The violations in the same days without the flaw.
     pub baseline_violations: Vec<String>,
-    /// How often the days with every rule kept looked at anything.
+    /// The number of checked cases in the days without the flaw.
     pub checked: u64,
 }
 
-/// The longest time between two orders where they are not what is proved.
+/// The longest time between two orders where the case is not about orders.
 const ORDER_GAP: Duration = Duration::from_millis(3000);
-/// The same where they are: hundreds in a day, as many under way as operators have at once.
+/// The longest time between two orders where the case is about them: hundreds in a day.
 const HURRIED_ORDER_GAP: Duration = Duration::from_millis(150);
 
 impl DetectionCase {
-    /// The same with hundreds of numbered orders.
+    /// This case with hundreds of numbered orders.
     const fn with_orders(mut self) -> Self {
         self.numbers_orders = true;
         self
     }
 
-    /// The day of a seed, with the flaw or without.
+    /// The plan of a day with this seed, with the flaw or without.
     pub fn plan(&self, seed: u64, flaw: Flaw) -> SimPlan {
         SimPlan {
             flaw,
@@ -65,7 +66,7 @@
         }
     }
 
-    /// Runs the days without the rule until one finds it, and the same days with it.
+    /// Runs days with the flaw until one finds it, and the same days without it.
     pub fn run(&self, most_seeds: u64) -> DetectionResult {
         let mut end = DetectionResult {
             found: None,
@@ -145,7 +146,7 @@
 
 use SimFault as F;
 
-/// The proofs by simulated days, a row for each rule.
+/// The detection cases by simulated days.
 pub const DETECTION_CASES: &[DetectionCase] = &[
     case_without_rule(
         "runs twice",
--- a/testing/fleet/src/sim/digest.rs
+++ b/testing/fleet/src/sim/digest.rs
@@ -1,7 +1,7 @@
 //! A digest of everything that happens in a simulated day, to tell whether a change altered behaviour.
 //!
-//! It covers the time, order and kind of each event, the bytes of each frame, and how the day ended, but no name
-//! of a type or field: renaming and restructuring leave it as it is.
+//! It covers the time, order and kind of each event, the bytes of each frame, and the result of the day, but no name of
+//! a type or field, so that renaming and restructuring do not change it.
 
 use super::event::Event;
 use super::plan::SimResult;
@@ -12,14 +12,14 @@
 use sha2::{Digest, Sha256};
 use std::fmt::Write;
 
-/// Collects what happens in one day.
+/// The digest of the events of one day.
 #[derive(Default)]
 pub(super) struct EventDigest {
     hasher: Sha256,
 }
 
 impl EventDigest {
-    /// Adds one event, with when it happens and its number in the order of scheduling.
+    /// Adds an event with its virtual time and its number in the order of scheduling.
     pub(super) fn add(&mut self, due_at: MonotonicTime, number: u64, event: &Event) {
         self.hasher.update(due_at.0.to_be_bytes());
         self.hasher.update(number.to_be_bytes());
@@ -55,7 +55,7 @@
     }
 }
 
-/// The digest of many days: of their events and how each ended.
+/// The digest of many days: of their events and results.
 #[derive(Default)]
 pub struct RunDigest {
     hasher: Sha256,
--- a/testing/fleet/src/sim/dispatch.rs
+++ b/testing/fleet/src/sim/dispatch.rs
@@ -1,4 +1,4 @@
-//! Leads each event to the part of the fleet that it is for.
+//! Dispatches each event to its handler.
 
 use super::event::Event;
 use super::flaw::Flaw;
--- a/testing/fleet/src/sim/event.rs
+++ b/testing/fleet/src/sim/event.rs
@@ -1,4 +1,4 @@
-//! What happens in a simulated fleet.
+//! The events of a simulated fleet.
 
 use super::daemon::ReplyTarget;
 use super::network::Node;
@@ -102,12 +102,12 @@
 }
 
 impl Event {
-    /// Whether it comes on an operator's connection.
+    /// Whether it arrives on an operator's connection.
     pub(super) fn is_from_operator(&self) -> bool {
         matches!(self, Self::Operate(..) | Self::Withdraw(..))
     }
 
-    /// A number for its kind, which stays the same when the kind is renamed.
+    /// The number of its kind for the digest; it must not change when the kind is renamed.
     pub(super) fn kind_number(&self) -> u8 {
         match self {
             Self::Tick(..) => 1,
@@ -166,7 +166,8 @@
         }
     }
 
-    /// The node whose process must be awake for it, and in which life if that matters.
+    /// The node whose process handles it, and the required incarnation if that matters. It is deferred while the node is
+    /// frozen.
     pub(super) fn target(&self) -> Option<(Node, Option<u64>)> {
         match self {
             Self::Tick(node, instance)
--- a/testing/fleet/src/sim/faults.rs
+++ b/testing/fleet/src/sim/faults.rs
@@ -1,3 +1,5 @@
+//! Random faults: their kinds, injection and end.
+
 use super::event::Event;
 use super::network::{Node, PLATFORM};
 use super::simulation::Simulation;
@@ -5,46 +7,46 @@
 use std::fmt;
 use std::time::Duration;
 
-/// What the simulator does to a fleet.
+/// The kinds of faults in the simulator.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum SimFault {
-    /// A controller is killed and returns; writes under way reach the disk or do not.
+    /// A controller is killed and restarted; writes in progress may or may not reach the disk.
     KillController,
-    /// The leading controller is killed and returns.
+    /// The leader is killed and restarted.
     KillLeader,
-    /// A daemon is killed and returns.
+    /// A daemon is killed and restarted.
     KillDaemon,
-    /// Some daemons are killed at once and return.
+    /// Some daemons are killed at once and restarted.
     KillGroup,
-    /// All controllers are killed and return.
+    /// All controllers are killed and restarted.
     KillQuorum,
-    /// Everything is killed and returns.
+    /// All processes are killed and restarted.
     RestartAll,
-    /// A zone is lost whole, workers and all, and returns.
+    /// All processes and workers of a zone are lost and restored.
     LoseZone,
-    /// A controller is killed and returns with an empty disk.
+    /// A controller is killed and restarted with an empty disk.
     LoseDisk,
-    /// A controller is lost for good, and an empty one at a new address takes its place.
+    /// A controller is lost for good and replaced by an empty one with a new address.
     ReplaceVoter,
-    /// A controller is killed, and the newest version on its disk rots.
+    /// A controller is killed, and the newest version on its disk is corrupted.
     DamageDisk,
     /// Some daemons are killed together with a controller that loses its disk.
     KillGroupAndDisk,
-    /// A machine freezes and wakes.
+    /// A machine is frozen and resumed.
     Freeze,
-    /// The daemon that holds most freezes for longer than a grant.
+    /// The daemon with the most function leases is frozen for longer than a lease.
     FreezeHolder,
-    /// Several daemons freeze at once.
+    /// Several daemons are frozen at once.
     FreezeGroup,
-    /// The leader freezes.
+    /// The leader is frozen.
     FreezeLeader,
-    /// A machine is cut off, both ways.
+    /// A machine is partitioned from all others.
     Isolation,
-    /// A machine hears nothing, or is not heard.
+    /// The incoming or the outgoing messages of a machine are lost.
     BlockOneDirection,
-    /// The fleet is cut in two.
+    /// The fleet is partitioned in two.
     Partition,
-    /// The core is cut in two, the daemons on the leader's side or not.
+    /// The quorum is partitioned in two, with the daemons on the leader's side or not.
     PartitionQuorum,
     /// A disk stalls.
     StallDisk,
@@ -52,34 +54,34 @@
     FailDisk,
     /// A worker crashes with its runners.
     CrashWorker,
-    /// A runner leaves by itself.
+    /// A runner ends by itself.
     LoseRunner,
-    /// A runner says that it leaves, and stops some time later.
+    /// A runner announces that it leaves, and stops some time later.
     RunnerLeaves,
-    /// A worker is drained, and comes back.
+    /// A worker is drained and restored.
     DrainWorker,
-    /// A zone is evacuated, and brought back.
+    /// A zone is evacuated and restored.
     Evacuate,
-    /// A daemon is warned, given its grace, and returns.
+    /// A daemon is stopped gracefully and restarted.
     StopInOrder,
-    /// A daemon is warned while another one freezes.
+    /// A daemon is stopped gracefully while another one is frozen.
     StopAll,
-    /// Runners lose, spoil and refuse answers.
+    /// Runners lose, corrupt and refuse answers.
     RunnerFaults,
-    /// A crowd calls one function.
+    /// A burst of requests for one function.
     CallBurst,
-    /// Every function is called at once.
+    /// A request for every function at once.
     RareCallBurst,
-    /// Callers repeat at once what was refused.
+    /// Callers retry refused requests at once.
     ClientRetries,
-    /// The platform's list of runners is very late.
+    /// The platform's list of runners has a long delay.
     DelayedList,
-    /// Operators send changes as fast as they can.
+    /// Operators send many changes in quick succession.
     ChangeStorm,
 }
 
 impl SimFault {
-    /// Every fault.
+    /// All faults.
     pub const ALL: &[SimFault] = &[
         SimFault::KillController,
         SimFault::KillLeader,
@@ -117,7 +119,7 @@
         SimFault::ChangeStorm,
     ];
 
-    /// The fault of a name.
+    /// The fault with this name.
     pub fn by_name(name: &str) -> Option<SimFault> {
         Self::ALL
             .iter()
@@ -185,7 +187,7 @@
         }
     }
 
-    /// Some daemons, at least one and not all.
+    /// Draws some daemons, at least one and not all.
     fn random_group(&mut self) -> Vec<usize> {
         let count = 1 + self.rng.below(self.daemons.len() as u64 - 1) as usize;
         let first = self.random_daemon();
@@ -208,7 +210,7 @@
         self.push(wait_span, Event::Fault);
     }
 
-    /// Causes one fault by chance, or the day's own; each is undone some time later.
+    /// Injects a random fault of those that the plan allows; each is undone some time later.
     pub(super) fn inject_random_fault(&mut self) {
         let lasts = self
             .rng
@@ -479,7 +481,7 @@
         }
     }
 
-    /// One controller, often the leader, alone or with some daemons, apart from the rest.
+    /// Partitions one controller, often the leader, alone or with some daemons, from the rest.
     fn partition_quorum(&mut self, lasts: Duration) {
         let random_controller = self.random_controller_index();
         let isolated = self.leading_controller().unwrap_or(random_controller);
@@ -512,8 +514,8 @@
         self.push(Duration::from_secs(6) + lasts, Event::Restore(zone));
     }
 
-    /// Only when every member of the core is alive, on the disk it is known by, and nothing is
-    /// unsettled, may one more disk be lost: the deployments bear one loss at a time.
+    /// Whether one more disk may be lost: only while every voter runs with the disk that the quorum knows and no change
+    /// of the quorum is pending, since the deployments tolerate one loss at a time.
     fn may_lose_disk(&self) -> bool {
         let controller_states = self
             .controllers
@@ -544,7 +546,7 @@
         controllers.chain(daemons).chain([PLATFORM]).collect()
     }
 
-    /// A killed machine returns.
+    /// Restarts a killed machine.
     pub(super) fn restart_node(&mut self, node: Node) {
         if node.is_controller() {
             if self.controllers[node.0].controller_state.is_none() {
@@ -555,7 +557,7 @@
         }
     }
 
-    /// Everything returns and is mended.
+    /// Restarts all machines and undoes all faults.
     pub(super) fn heal(&mut self) {
         self.network.clear_partitions();
         self.resume_all();
--- a/testing/fleet/src/sim/flaw.rs
+++ b/testing/fleet/src/sim/flaw.rs
@@ -1,25 +1,27 @@
+//! Flaws that are introduced on purpose to test the checks.
+
 use common::rules::{Rule, Rules};
 use std::fmt;
 
-/// Something broken on purpose, to see that the checks find it.
+/// A flaw that is introduced on purpose, to test that the checks find it.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Flaw {
-    /// Nothing is broken.
+    /// No flaw.
     None,
-    /// A rule is taken away in the programs' own code.
+    /// The programs run without this rule.
     Without(Rule),
-    /// The disk says that a write is synced before it is.
+    /// The disk reports a write as synced before it is.
     SyncSkipped,
     /// Each controller counts itself as a majority.
     QuorumOfOne,
-    /// The platform confirms the leader's stops and does not stop anything.
+    /// The platform confirms the leader's requests to stop runners and ignores them.
     StopsUnconfirmed,
-    /// The platform never hears what the leader wants stopped.
+    /// The leader's requests to stop runners do not reach the platform.
     StopsUnheard,
 }
 
 impl Flaw {
-    /// Every flaw, and none.
+    /// All flaws, [`Flaw::None`] first.
     pub fn all() -> Vec<Flaw> {
         let rules = Rule::ALL.iter().map(|rule| Flaw::Without(*rule));
         let around = [
@@ -35,7 +37,7 @@
             .collect()
     }
 
-    /// The rules that are kept all the same.
+    /// The rules that the programs still enforce.
     pub fn rules(self) -> Rules {
         match self {
             Self::Without(rule) => Rules::without(rule),
--- a/testing/fleet/src/sim/founding.rs
+++ b/testing/fleet/src/sim/founding.rs
@@ -1,4 +1,4 @@
-//! How a fleet begins, and where its processes stand.
+//! The bootstrap of a simulated fleet, and the addresses of its processes.
 
 use super::controller::{SimController, SimDisk};
 use super::network::Node;
@@ -71,12 +71,12 @@
         }
     }
 
-    /// Rates of clocks that differ by nearly a tenth at most, between any two machines.
+    /// Draws the drift of a machine's clock in thousandths; the rates of two machines differ by nearly a tenth at most.
     pub(super) fn random_drift(&mut self) -> i64 {
         self.rng.below(91) as i64 - 45
     }
 
-    /// The three seed addresses: where the first controllers stood.
+    /// The three seed addresses, those of the first controllers.
     pub(super) fn seeds(&self) -> Vec<SocketAddress> {
         (1..=3).map(Self::controller_address).collect()
     }
@@ -85,7 +85,7 @@
         SocketAddress(SocketAddrV4::new(Ipv4Addr::new(10, 0, 0, last), 1))
     }
 
-    /// A controller's machine is replaced by one at a new address.
+    /// Replaces a controller's machine by one with a new address.
     pub(super) fn move_controller(&mut self, index: usize) {
         self.moved_count += 1;
         self.controllers[index].address = Self::controller_address(10 + self.moved_count);
--- a/testing/fleet/src/sim/links.rs
+++ b/testing/fleet/src/sim/links.rs
@@ -84,7 +84,7 @@
         }
     }
 
-    /// The other ends of a machine's links find out only by silence.
+    /// Breaks the links of a machine without closing them: the other ends notice it only by a timeout.
     pub(super) fn break_links_silently(&mut self, node: Node) {
         for number in self.links_of(node) {
             self.break_silently(number);
--- a/testing/fleet/src/sim/network.rs
+++ b/testing/fleet/src/sim/network.rs
@@ -1,8 +1,10 @@
+//! The simulated network between nodes.
+
 use common::rng::SeededRng;
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// Names a node: controllers first, then daemons, the platform last.
+/// The number of a node: controllers come first, then daemons, and the platform is last.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
 pub struct Node(pub usize);
 
@@ -15,12 +17,12 @@
         Self(FIRST_DAEMON + index)
     }
 
-    /// Whether it is a controller's.
+    /// Whether this is a controller.
     pub fn is_controller(self) -> bool {
         self.0 < FIRST_DAEMON
     }
 
-    /// Which daemon's it is.
+    /// The index of the daemon.
     pub fn daemon_index(self) -> usize {
         self.0 - FIRST_DAEMON
     }
@@ -29,29 +31,29 @@
 /// The platform's node.
 pub const PLATFORM: Node = Node(1000);
 
-/// Who cannot reach whom, and how long messages take.
+/// The blocked directions and the delays of messages.
 #[derive(Default)]
 pub struct Network {
     blocked: BTreeSet<(Node, Node)>,
 }
 
 impl Network {
-    /// Cuts one direction.
+    /// Blocks one direction.
     pub fn block(&mut self, from: Node, to: Node) {
         self.blocked.insert((from, to));
     }
 
-    /// Mends everything.
+    /// Unblocks all directions.
     pub fn clear_partitions(&mut self) {
         self.blocked.clear();
     }
 
-    /// Whether a message gets through.
+    /// Whether messages in this direction are delivered.
     pub fn reaches(&self, from: Node, to: Node) -> bool {
         !self.blocked.contains(&(from, to))
     }
 
-    /// How long a message takes: mostly short, now and then long.
+    /// Draws the delay of a message: usually short, occasionally long.
     pub fn delay(&self, rng: &mut SeededRng) -> Duration {
         if rng.random_bool(0.01) {
             rng.within(Duration::from_millis(5), Duration::from_millis(150))
--- a/testing/fleet/src/sim/operator.rs
+++ b/testing/fleet/src/sim/operator.rs
@@ -1,3 +1,5 @@
+//! Operators with random changes of the spec.
+
 use super::event::Event;
 use super::simulation::Simulation;
 use common::identity::{ChangeId, Version};
@@ -6,7 +8,7 @@
 };
 use serde_json::{Value, json};
 
-/// One operator's change that is on its way.
+/// An operator's change in flight.
 pub struct PendingChange {
     change: ChangeId,
     base: Option<Version>,
@@ -14,7 +16,7 @@
     attempts: u32,
 }
 
-/// The same spec for callers who give every try an identity of its own.
+/// The spec for callers that use a new idempotency key for each attempt.
 pub fn with_fresh_identities(mut spec: Value) -> Value {
     let routes = spec["routes"].as_object_mut().into_iter().flatten();
     for (_, route) in routes {
@@ -23,7 +25,7 @@
     spec
 }
 
-/// The routes and functions of the virtual deployment; one function comes and goes.
+/// The routes and functions of the simulated deployment; one function is added and removed over time.
 pub fn spec(turn: u64) -> Value {
     let mut functions = serde_json::Map::new();
     let mut routes = serde_json::Map::new();
@@ -59,7 +61,7 @@
 }
 
 impl Simulation {
-    /// An operator sends one change.
+    /// Sends one change as an operator.
     pub(super) fn submit_change(&mut self, base: Option<Version>, kind: ChangeKind) {
         if self.plan.numbers_orders {
             match kind {
@@ -83,7 +85,7 @@
         );
     }
 
-    /// An operator sends a change, built on the newest serial or on one just before.
+    /// Sends a change as an operator, based on the newest version or on one shortly before.
     pub(super) fn send_change(&mut self) {
         if self.plan.numbers_orders {
             self.send_orders();
@@ -165,7 +167,7 @@
         }
     }
 
-    /// Refused changes must not be committed later either.
+    /// Checks that refused changes were not committed later.
     pub(super) fn check_refused(&mut self) {
         for change in std::mem::take(&mut self.refused_changes) {
             self.checks.check_change_refused(self.now, &change);
--- a/testing/fleet/src/sim/order_generator.rs
+++ b/testing/fleet/src/sim/order_generator.rs
@@ -1,4 +1,4 @@
-//! What operators ask for: configurations with their own uneven numbers, some of them invalid.
+//! Random orders of operators: configurations with irregular version numbers, some of them invalid.
 
 use super::operator::spec;
 use crate::history::{Effect, Order};
@@ -11,12 +11,12 @@
 const INVALID_SHARE: f64 = 0.12;
 /// The share of orders that change named items.
 const ITEMS_SHARE: f64 = 0.3;
-/// The share of orders built on an older version than the newest that the operator knows.
+/// The share of orders with an older base version than the newest that the operator has seen.
 const OLD_BASE_SHARE: f64 = 0.08;
-/// By how much a number is above the one it is built on, at most.
+/// The largest difference between an order's number and that of its base version.
 const LONGEST_STEP: u64 = 5;
 
-/// The ways in which an order can be invalid, whatever it is built on.
+/// The ways in which an order can be invalid on every base version.
 #[derive(Clone, Copy)]
 enum Mistake {
     UnknownFunction,
@@ -42,20 +42,20 @@
     })
 }
 
-/// An order as an operator draws it, and what it asks of a controller.
+/// A generated order and the operation that requests it.
 pub struct GeneratedOrder {
-    /// For the history.
+    /// The order for the history.
     pub order: Order,
-    /// For the controller.
+    /// The operation for the controller.
     pub kind: ChangeKind,
 }
 
-/// A number above the one it is built on, by an uneven step.
+/// Draws a number above that of the base version.
 pub fn generate_number(rng: &mut SeededRng, base: u64) -> u64 {
     base + 1 + rng.below(LONGEST_STEP)
 }
 
-/// What an order is built on: the newest version that is known, or now and then an older one.
+/// Draws a base version: the newest one seen, or occasionally an older one.
 pub fn generate_base(rng: &mut SeededRng, known_numbers: &[u64]) -> u64 {
     let newest = known_numbers.last().copied().unwrap_or(0);
     if rng.random_bool(OLD_BASE_SHARE) && known_numbers.len() > 1 {
@@ -65,7 +65,7 @@
     }
 }
 
-/// An order with this number on this base; its label makes its content unlike any other.
+/// Generates an order with this number and base version; the label makes its content unique.
 pub fn generate_order(rng: &mut SeededRng, number: u64, base: u64, label: u64) -> GeneratedOrder {
     let mistake = rng
         .random_bool(INVALID_SHARE)
@@ -102,7 +102,7 @@
     }
 }
 
-/// The canary goes to another function.
+/// Changes the function of the canary route.
 fn generate_item_order(rng: &mut SeededRng, number: u64, base: u64, label: u64) -> GeneratedOrder {
     let mut route = canary_route(&format!("f{}", rng.below(5)));
     route["labels"] = json!({"order": label});
--- a/testing/fleet/src/sim/orders.rs
+++ b/testing/fleet/src/sim/orders.rs
@@ -1,4 +1,4 @@
-//! How operators send: to any controller, again after silence or a failure, and read back.
+//! Operators with numbered orders: they send to any controller, retry after a timeout or failure, and read back.
 
 use super::event::Event;
 use super::network::Node;
@@ -14,28 +14,28 @@
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
 
-/// How many orders are under way at once.
+/// The largest number of orders in flight.
 const MAX_OPEN_COMMANDS: usize = 8;
-/// How long an operator waits for an answer.
+/// How long an operator waits for a reply.
 const REPLY_TIMEOUT: Duration = Duration::from_millis(1000);
 const INITIAL_BACKOFF: Duration = Duration::from_millis(60);
 const MAX_BACKOFF: Duration = Duration::from_millis(2000);
 const MAX_REDIRECTS: u32 = 2;
-/// How often an order is sent before it is given up.
+/// How often an order is sent before it is abandoned.
 const MAX_ATTEMPTS: u32 = 16;
-/// How long an evacuation may be sent again.
+/// How long an evacuation may be retried.
 const ZONE_COMMAND_TIMEOUT: Duration = Duration::from_secs(12);
 const LOST_REQUEST_SHARE: f64 = 0.03;
 const LOST_ANSWER_SHARE: f64 = 0.15;
 const LATE_REQUEST_SHARE: f64 = 0.04;
 const LONGEST_DELAY: Duration = Duration::from_secs(10);
-/// What is asked of a zone, by no version's number, comes late more often and later.
+/// Orders about zones have no version number; they are delayed more often and for longer.
 const LATE_ZONE_SHARE: f64 = 0.3;
 const LONGEST_ZONE_DELAY: Duration = Duration::from_secs(20);
-/// How soon after the last bytes of a request a controller hears that its caller hung up.
+/// How soon after the last bytes of a request a controller notices that its caller closed the connection.
 const DISCONNECT_WITHIN: Duration = Duration::from_millis(8);
 
-/// What an operator wants.
+/// The kind of an operator's command.
 #[derive(Clone, Copy)]
 enum CommandKind {
     Change(OrderId),
@@ -43,7 +43,7 @@
     Read,
 }
 
-/// A wish under way, sent once or more.
+/// A command in flight, with one or more attempts.
 struct OperatorCommand {
     command_kind: CommandKind,
     operation: Operation,
@@ -52,7 +52,7 @@
     started_at: MonotonicTime,
 }
 
-/// One sending that waits for its answer.
+/// An attempt that waits for its reply.
 struct SentRequest {
     command: u64,
     attempt: Option<AttemptId>,
@@ -62,7 +62,7 @@
     arrives_at: MonotonicTime,
 }
 
-/// All operators, and what they sent and heard.
+/// All operators, with the history of what they sent and received.
 pub struct Operators {
     history: History,
     commands: BTreeMap<u64, OperatorCommand>,
@@ -94,7 +94,7 @@
 }
 
 impl Simulation {
-    /// Operators send a change, or two at once on top of the same version.
+    /// Sends a change, or two concurrent ones with the same base version.
     pub(super) fn send_orders(&mut self) {
         let base = generate_base(&mut self.rng, &self.operators.known_numbers);
         let number = generate_number(&mut self.rng, base);
@@ -132,7 +132,7 @@
         self.begin_command(CommandKind::Change(order), operation);
     }
 
-    /// An operator wants a zone evacuated, or that to end.
+    /// Sends an order to evacuate a zone or to restore it.
     pub(super) fn send_zone_order(&mut self, zone: Zone, evacuate: bool) {
         let order = self
             .operators
@@ -153,7 +153,7 @@
         self.begin_command(CommandKind::Zone(order), operation);
     }
 
-    /// An operator reads the configuration.
+    /// Reads the configuration as an operator.
     pub(super) fn read_back(&mut self) {
         self.begin_command(CommandKind::Read, Operation::ReadSpec);
     }
@@ -172,7 +172,7 @@
         self.send_command(number);
     }
 
-    /// Sends a wish to any controller.
+    /// Sends a command to a random controller.
     pub(super) fn send_command(&mut self, number: u64) {
         let now = self.now;
         let Some(command) = self.operators.commands.get_mut(&number) else {
@@ -234,7 +234,7 @@
         }
     }
 
-    /// An operator heard nothing for a second: it ends the connection and goes on to another one.
+    /// Handles a timeout at an operator: it closes the connection and tries another controller.
     pub(super) fn time_out_command(&mut self, ticket: OperationTicket) {
         let Some(sent) = self.operators.sent.remove(&ticket) else {
             return;
@@ -246,7 +246,7 @@
         self.retry_later(sent.command);
     }
 
-    /// The same wish is sent again after a pause that grows, or given up.
+    /// Retries a command after a growing backoff, or abandons it.
     fn retry_later(&mut self, number: u64) {
         let Some(command) = self.operators.commands.get_mut(&number) else {
             return;
@@ -270,7 +270,7 @@
         self.count_event("order given up");
     }
 
-    /// A controller's answer has reached its operator.
+    /// Handles a controller's reply at its operator.
     pub(super) fn handle_command_reply(&mut self, ticket: OperationTicket, reply: OperationReply) {
         if self.rng.random_bool(LOST_ANSWER_SHARE) {
             return;
@@ -380,8 +380,7 @@
         self.count_event(label);
     }
 
-    /// Refused changes must not be committed later either, and all that operators heard must be
-    /// explained by one order of events.
+    /// Checks that refused changes were not committed later, and that the operators' history is linearizable.
     pub(super) fn check_operator_history(&mut self) {
         for change in std::mem::take(&mut self.operators.refused) {
             self.checks.check_change_refused(self.now, &change);
--- a/testing/fleet/src/sim/plan.rs
+++ b/testing/fleet/src/sim/plan.rs
@@ -1,4 +1,4 @@
-//! What a simulated day is made of, and how it ended.
+//! The plan and the result of a simulated day.
 
 use super::checks::SafetyViolation;
 use super::faults::SimFault;
@@ -11,61 +11,62 @@
 use std::fmt;
 use std::time::Duration;
 
-/// What a simulated day is made of.
+/// The plan of a simulated day.
 #[derive(Clone, Debug)]
 pub struct SimPlan {
-    /// The seed; it decides everything.
+    /// The seed of all random choices.
     pub seed: u64,
-    /// How long faults are caused.
+    /// How long faults are injected.
     pub lasts: Duration,
-    /// How many controllers, each with a disk.
+    /// The number of controllers, each with a disk.
     pub controllers: usize,
-    /// How many of them are to vote.
+    /// The intended number of voters.
     pub voters: usize,
-    /// How many of them found the core.
+    /// The number of controllers that bootstrap the quorum.
     pub founders: usize,
-    /// What is done to the control side, and when.
+    /// Timed actions on the control side, from the beginning of the day.
     pub script: Vec<(Duration, Action)>,
-    /// A loss at one step of the control side's work, counted from where the script says.
+    /// A loss at one step of the control side, counted from the script's [`Action::CountSteps`].
     pub second_loss: Option<SecondLoss>,
-    /// Whether the end of the script is judged.
+    /// Whether the state at the end of the script is checked.
     pub judges_script: bool,
-    /// Whether the day ends as soon as the control side is back after its single loss.
+    /// Whether the day ends as soon as the control side has recovered from its single loss.
     pub ends_when_recovered: bool,
-    /// Whether operators send changes by chance.
+    /// Whether operators send changes at random times.
     pub has_changes: bool,
-    /// How long the day goes on after everything is mended.
+    /// How long the day continues after all faults are undone.
     pub settling: Duration,
-    /// How many daemons.
+    /// The number of daemons.
     pub daemons: usize,
-    /// Transactions a second.
+    /// The rate of requests per second.
     pub rate: f64,
-    /// Whether faults are caused at all.
+    /// Whether random faults are injected.
     pub has_faults: bool,
-    /// The rule broken on purpose.
+    /// The flaw that is introduced on purpose.
     pub flaw: Flaw,
-    /// The share of transactions whose identity is sent twice.
+    /// The share of requests whose idempotency key is sent twice.
     pub duplicate_share: f64,
-    /// The only faults of the day; all of them if none is named.
+    /// The kinds of faults to choose from; all if this is empty.
     pub focus: Vec<SimFault>,
     /// The longest time from one fault to the next.
     pub gap: Duration,
-    /// How daemons run what they hold.
+    /// The tuning of lease holders.
     pub tuning: Tuning,
-    /// Whether functions that boot long are sought before they are called.
+    /// Whether functions with a long startup are kept warm.
     pub keeps_warm_functions: bool,
-    /// Whether the zones lie in two regions, so that busy functions come to have holders in both.
+    /// Whether the zones belong to two regions, so that busy functions get lease holders in both.
     pub regional: bool,
-    /// Whether callers give every try an identity of its own.
+    /// Whether callers use a new idempotency key for each attempt.
     pub fresh_identities: bool,
-    /// Whether operators number their orders, send them again, and read back, as the history judges.
+    /// Whether operators number their orders, retry them and read them back, so that the history can be checked for
+    /// linearizability.
     pub numbers_orders: bool,
-    /// The longest time from one order of operators to the next.
+    /// The longest time between two orders of operators.
     pub order_gap: Duration,
 }
 
 impl SimPlan {
-    /// A day of half a minute with faults.
+    /// The usual day: half a minute with random faults.
     pub fn seeded(seed: u64) -> Self {
         Self {
             seed,
@@ -95,31 +96,31 @@
         }
     }
 
-    /// The rules that the programs keep.
+    /// The rules that the programs enforce.
     pub fn rules(&self) -> Rules {
         self.flaw.rules()
     }
 }
 
-/// How a simulated day ended.
+/// The result of a simulated day.
 pub struct SimResult {
-    /// What must never happen, and did.
+    /// The violations that were found.
     pub violations: Vec<SafetyViolation>,
-    /// Transactions and changes by how they ended.
+    /// The number of requests and changes by outcome.
     pub counts: BTreeMap<String, u64>,
-    /// How often each check was made.
+    /// The number of cases of each check.
     pub checked: BTreeMap<&'static str, u64>,
-    /// Of the transactions called from 12 s after everything was mended, the share answered.
+    /// The share of requests answered from 12 s after all faults were undone.
     pub share_after: f64,
-    /// How long after everything was mended at least half of all calls were answered for good.
+    /// The time after which at least half of the calls were answered again, from when all faults were undone.
     pub recovered_after: Duration,
-    /// How many steps of the control side were counted.
+    /// The number of counted steps of the control side.
     pub steps: u64,
-    /// What the plan's single loss cost in time, if everything came back.
+    /// The recovery times from the plan's single loss, if everything recovered.
     pub recovery: Option<RecoveryTimes>,
-    /// The digest of everything that happened, for comparing two versions of the code.
+    /// The digest of all events, for comparing the behaviour of two versions of the code.
     pub event_digest: String,
-    /// What happened, if it was traced.
+    /// The trace of events, if it was requested.
     pub trace: Vec<String>,
 }
 
--- a/testing/fleet/src/sim/platform.rs
+++ b/testing/fleet/src/sim/platform.rs
@@ -1,3 +1,5 @@
+//! The simulated platform with its workers and runners.
+
 use super::event::Event;
 use super::network::Node;
 use super::simulation::Simulation;
@@ -12,52 +14,52 @@
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::time::Duration;
 
-/// One virtual runner.
+/// A simulated runner.
 #[derive(Clone)]
 pub struct SimRunner {
     /// Its function.
     pub function: FunctionKey,
-    /// Where it runs.
+    /// Its worker.
     pub worker: WorkerName,
-    /// Its life, as the platform names it.
+    /// Its instance id at the platform.
     pub instance: Instance,
-    /// When it is ready.
+    /// When its startup is finished.
     pub ready_at: MonotonicTime,
-    /// What it is running, and for which grant.
+    /// The requests that it runs, with the fencing tokens of their lease holders.
     pub running: BTreeMap<IdempotencyKey, FencingToken>,
-    /// How many it may run.
+    /// How many requests it may run concurrently.
     pub slots: u32,
-    /// How many good answers it has sent.
+    /// The number of good answers that it has sent.
     pub answered: u32,
-    /// The last answer it sealed, with the names in the seal.
+    /// The last answer that it sealed, with the names in the seal.
     pub last_sealed: Option<(IdempotencyKey, String, Vec<u8>)>,
 }
 
-/// A virtual platform: runners, late lists, stopped names that never start again, and addresses that
-/// are given to the next runner as soon as one is gone.
+/// A simulated platform: runners, delayed lists, stopped runner ids that never start again, and addresses that are
+/// reused as soon as a runner has ended.
 pub struct SimPlatform {
     /// The workers.
     pub workers: Vec<ListedWorker>,
-    /// Since when workers are being drained.
+    /// The draining workers and since when they are drained.
     pub draining_since: BTreeMap<WorkerName, MonotonicTime>,
-    /// The runners alive.
+    /// The running runners.
     pub runners: BTreeMap<RunnerId, SimRunner>,
-    /// The names that have ended.
+    /// The runner ids that have ended.
     pub ended: BTreeSet<RunnerId>,
-    /// How late the list of runners is.
+    /// The delay of the list of runners.
     pub list_delay: Duration,
     listening: BTreeMap<SocketAddress, RunnerId>,
     by_instance: BTreeMap<InstanceId, RunnerId>,
     instance_count: u64,
     free_addresses: Vec<SocketAddress>,
     address_count: u16,
-    /// Since when runners are about to leave.
+    /// The runners that announced that they leave, and when.
     pub leaving_since: BTreeMap<RunnerId, MonotonicTime>,
     listed_snapshots: VecDeque<(MonotonicTime, Vec<ListedRunner>, Vec<ListedWorker>)>,
 }
 
 impl SimPlatform {
-    /// Workers in three zones.
+    /// Creates workers in three zones.
     pub fn new(worker_count: usize, memory_mb: u32) -> Self {
         let workers = (0..worker_count)
             .map(|number| ListedWorker {
@@ -83,7 +85,7 @@
         }
     }
 
-    /// Takes a list as things stand.
+    /// Takes a snapshot of the current lists.
     pub fn snapshot_lists(&mut self, now: MonotonicTime) {
         let listed = self
             .runners
@@ -106,7 +108,7 @@
         }
     }
 
-    /// The late lists with their age.
+    /// The delayed lists with their age.
     pub fn delayed_lists(
         &self,
         now: MonotonicTime,
@@ -127,13 +129,13 @@
             .map(|listed| &listed.zone)
     }
 
-    /// Who listens at a place.
+    /// The runner that listens at an address.
     pub fn at(&self, address: SocketAddress) -> Option<(RunnerId, &SimRunner)> {
         let runner = *self.listening.get(&address)?;
         self.runners.get(&runner).map(|held| (runner, held))
     }
 
-    /// Starts a runner under a key, unless that has ended; the same key finds the same life.
+    /// Starts a runner with this id, unless the id has ended; the same id gives the same instance.
     pub fn start(&mut self, runner: RunnerId, mut started: SimRunner) -> StartOutcome {
         if let Some(held) = self.runners.get(&runner) {
             return StartOutcome::Started(held.instance.clone());
@@ -163,7 +165,7 @@
         StartOutcome::Started(instance)
     }
 
-    /// Stops a life for good; without one, whatever the key has started or will.
+    /// Stops an instance for good; without one, whatever was or will be started with the id.
     pub fn stop_instance(&mut self, runner: RunnerId, instance: Option<&InstanceId>) {
         match instance {
             Some(instance) => {
@@ -175,7 +177,7 @@
         }
     }
 
-    /// Stops the runner of a key for good.
+    /// Stops the runner with this id for good.
     pub fn stop(&mut self, runner: RunnerId) {
         self.leaving_since.remove(&runner);
         if let Some(held) = self.runners.remove(&runner) {
@@ -207,7 +209,7 @@
             .or_insert(now);
     }
 
-    /// Takes every drained worker back.
+    /// Restores all drained workers.
     pub fn restore(&mut self) {
         self.draining_since.clear();
         self.workers
@@ -216,17 +218,17 @@
     }
 }
 
-/// Who asked the platform for something.
+/// The sender of a request to the platform.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct Requester {
     /// The node.
     pub node: Node,
-    /// Its life.
+    /// Its incarnation.
     pub instance: u64,
 }
 
 impl Simulation {
-    /// An order to start reaches the platform; its answer may be lost, or the platform busy.
+    /// Handles a request to start a runner; its response may be lost, or the platform overloaded.
     pub(super) fn start_runner(
         &mut self,
         requester: Requester,
--- a/testing/fleet/src/sim/recovery.rs
+++ b/testing/fleet/src/sim/recovery.rs
@@ -9,7 +9,7 @@
 use std::fmt;
 use std::time::Duration;
 
-/// When the loss happened, and what has come back since.
+/// The time of the loss, and what has recovered since.
 #[derive(Default)]
 pub(super) struct RecoveryClock {
     started_at: Option<MonotonicTime>,
@@ -18,19 +18,19 @@
 }
 
 impl RecoveryClock {
-    /// The loss happens now.
+    /// Starts the measurement at the loss.
     pub fn start(&mut self, now: MonotonicTime) {
         self.started_at = Some(now);
     }
 
-    /// An order was acknowledged.
+    /// Records that an order was acknowledged.
     pub fn acknowledged(&mut self, now: MonotonicTime) {
         if let Some(started_at) = self.started_at {
             self.acknowledged_after.get_or_insert(now.since(started_at));
         }
     }
 
-    /// A daemon's session lease was renewed.
+    /// Records that a daemon's session lease was renewed.
     pub fn renewed(&mut self, now: MonotonicTime, daemon: usize) {
         if let Some(started_at) = self.started_at {
             self.renewed_after
@@ -39,7 +39,7 @@
         }
     }
 
-    /// What was measured, if everything came back.
+    /// The recovery times, if everything recovered.
     pub fn measured(&self, daemons: usize) -> Option<RecoveryTimes> {
         let first_lease = self.renewed_after.values().min().copied()?;
         let last_lease = self.renewed_after.values().max().copied()?;
@@ -52,25 +52,25 @@
     }
 }
 
-/// How long the control side was out of order after one loss.
+/// How long the control side took to recover from one loss.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct RecoveryTimes {
-    /// To the next acknowledged order.
+    /// The time to the next acknowledged order.
     pub order: Duration,
-    /// To the next renewed session lease.
+    /// The time to the next renewed session lease.
     pub first_lease: Duration,
-    /// Until the session lease of every daemon was renewed.
+    /// The time until the session lease of every daemon was renewed.
     pub last_lease: Duration,
 }
 
 /// A single loss in the control quorum.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct SingleLoss {
-    /// Whom it hits.
+    /// The controller that is lost.
     pub target: Target,
-    /// What it is.
+    /// The kind of loss.
     pub loss: Loss,
-    /// What it is called in tables.
+    /// The name in tables.
     pub name: &'static str,
 }
 
@@ -123,7 +123,7 @@
 const ORDER_INTERVAL: Duration = Duration::from_millis(40);
 
 impl SingleLoss {
-    /// The day of a seed: the loss, and orders in quick succession after it.
+    /// The plan of a day with this seed: the loss, and orders in quick succession after it.
     pub fn plan(&self, seed: u64, controllers: usize, voters: usize) -> SimPlan {
         let jitter = Duration::from_millis(seed.wrapping_mul(7919) % 1000);
         let loss_at = LOSS_STARTS_AT + jitter;
@@ -149,7 +149,7 @@
         }
     }
 
-    /// What one seed shows; nothing if something did not come back.
+    /// The recovery times with one seed; none if something did not recover.
     pub fn measure(&self, seed: u64, controllers: usize, voters: usize) -> Option<RecoveryTimes> {
         Simulation::new(self.plan(seed, controllers, voters), false)
             .run()
@@ -157,17 +157,17 @@
     }
 }
 
-/// The median and the worst of some times.
+/// The median and the maximum of some durations.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
 pub struct Spread {
     /// The median.
     pub median: Duration,
-    /// The worst.
+    /// The maximum.
     pub worst: Duration,
 }
 
 impl Spread {
-    /// The spread of times in any order.
+    /// Computes the spread of durations in any order.
     pub fn of(times: impl Iterator<Item = Duration>) -> Self {
         let mut sorted_times: Vec<Duration> = times.collect();
         sorted_times.sort_unstable();
--- a/testing/fleet/src/sim/reply_checks.rs
+++ b/testing/fleet/src/sim/reply_checks.rs
@@ -1,4 +1,4 @@
-//! Judges what controllers say to operators by what had been acknowledged when they were asked.
+//! Checks the replies of controllers to operators against what had been acknowledged when the request arrived.
 
 use super::event::Event;
 use super::network::Node;
@@ -10,18 +10,18 @@
 use std::collections::{HashMap, HashSet};
 use std::time::Duration;
 
-/// How long ago at most a controller may have heard the leader that it names: its longest election
-/// timeout by a clock that is slow by a twentieth, and the time to its next tick.
+/// The longest time since a controller received a frame of the leader that it reports: its longest election timeout on a
+/// clock that is slow by a twentieth, and the time to its next tick.
 const REDIRECT_CONTACT_WITHIN: Duration = Duration::from_millis(680);
 
-/// What an operator asked, and what stood when the question arrived.
+/// An operator's request and the state when it arrived.
 struct ReplyExpectation {
     operation: Operation,
     acknowledged: Version,
     was_accepted: bool,
 }
 
-/// What was asked of controllers, acknowledged by them, and heard among them.
+/// The requests to controllers, their acknowledgements, and the frames between them.
 #[derive(Default)]
 pub(super) struct ReplyChecks {
     expectations: HashMap<OperationTicket, ReplyExpectation>,
@@ -38,7 +38,7 @@
         self.first.clone()
     }
 
-    /// The newest serial that was acknowledged.
+    /// The newest version that was acknowledged.
     pub fn acknowledged(&self) -> Version {
         self.acknowledged
     }
@@ -48,12 +48,12 @@
         self.acknowledged_at
     }
 
-    /// A controller takes a frame of another one.
+    /// Records that a controller receives a frame of another one.
     pub fn record_contact(&mut self, now: MonotonicTime, controller: Node, from: SocketAddress) {
         self.last_heard_at.insert((controller, from), now);
     }
 
-    /// A question reaches a controller.
+    /// Records that a request reaches a controller.
     pub fn record_request(&mut self, ticket: OperationTicket, operation: &Operation) {
         let was_accepted =
             change_of(operation).is_some_and(|change| self.accepted_changes.contains(change));
@@ -89,7 +89,7 @@
 }
 
 impl Simulation {
-    /// A controller answers an operator.
+    /// Checks a controller's reply to an operator.
     pub(super) fn check_reply(
         &mut self,
         controller: usize,
@@ -169,7 +169,7 @@
         self.checks.report_violation(self.now, what);
     }
 
-    /// What is heard and asked is noted before it is taken.
+    /// Records received frames and requests before they are handled.
     pub(super) fn observe_event(&mut self, event: &Event) {
         match event {
             Event::ConsensusFrame(node, frame) => {
@@ -183,8 +183,8 @@
         }
     }
 
-    /// At the end of a scripted day: what was acknowledged can be read, orders are acknowledged
-    /// again, and the quorum has its full number of voters.
+    /// Checks the end of a scripted day: acknowledged changes can be read, orders are acknowledged again, and the quorum
+    /// has its full number of voters.
     pub(super) fn check_script_end(&mut self) {
         self.checks.count_check("end of a script");
         let acknowledged = self.reply_checks.acknowledged();
@@ -215,5 +215,5 @@
     }
 }
 
-/// How long after the mending orders must be acknowledged again.
+/// How long after all faults are undone orders must be acknowledged again.
 const ACKNOWLEDGED_AFTER: Duration = Duration::from_secs(6);
--- a/testing/fleet/src/sim/runners.rs
+++ b/testing/fleet/src/sim/runners.rs
@@ -1,3 +1,5 @@
+//! Requests on simulated runners: sends, runs and answers with injected faults.
+
 use super::event::Event;
 use super::platform::Requester;
 use super::simulation::Simulation;
@@ -10,7 +12,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// One transaction on a runner, and where its end goes back to.
+/// A request on a runner, and where its result is returned to.
 #[derive(Clone)]
 pub(super) struct SimRun {
     pub requester: Requester,
@@ -21,7 +23,7 @@
     pub call: RunnerAttempt,
 }
 
-/// What becomes of a runner's answer on its way.
+/// What happens to a runner's answer on its way.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 enum RunnerFault {
     None,
@@ -113,7 +115,7 @@
         }
     }
 
-    /// A send reaches whoever listens at a place now.
+    /// Delivers a request to the runner that currently listens at the address.
     pub(super) fn begin_run(&mut self, runner_address: SocketAddress, run: SimRun) {
         let Some((runner, held)) = self.platform.at(runner_address) else {
             let end = if self.rng.random_bool(0.8) {
@@ -275,7 +277,7 @@
         self.answer_send(&run, runner, &sealed_name, answer_seal, false, answer_body);
     }
 
-    /// An answer on its way back to the daemon, which decides what it is worth.
+    /// Delivers an answer to the daemon, which verifies it.
     fn answer_send(
         &mut self,
         run: &SimRun,
--- a/testing/fleet/src/sim/scenario/cut_off.rs
+++ b/testing/fleet/src/sim/scenario/cut_off.rs
@@ -1,4 +1,5 @@
-//! A controller is cut off for twenty seconds, one way or both, and returns in one of several ways.
+//! Scenario: a controller is partitioned for twenty seconds, in one direction or both, and returns in one of several
+//! ways.
 
 use super::{QuorumSize, ScriptBuilder};
 use crate::sim::plan::SimPlan;
@@ -8,13 +9,13 @@
 const CUT_AT: Duration = Duration::from_secs(5);
 const CUT_LASTS: Duration = Duration::from_secs(20);
 const CHANGE_INTERVAL: Duration = Duration::from_millis(400);
-/// How long a change of leaders takes at most, and how often operators ask in that time.
+/// The longest time of a change of leaders, and the interval of operators' requests in that time.
 const CHANGE_BURST_LENGTH: Duration = Duration::from_millis(1500);
 const CHANGE_BURST_INTERVAL: Duration = Duration::from_millis(20);
 const READ_INTERVAL: Duration = Duration::from_millis(150);
 const EVACUATION_INTERVAL: Duration = Duration::from_secs(5);
 
-/// How the cut-off controller comes back.
+/// How the partitioned controller returns.
 #[derive(Clone, Copy)]
 enum VictimReturn {
     Reconnected,
@@ -23,7 +24,7 @@
     Replaced,
 }
 
-/// The day of a seed.
+/// The plan of a day with this seed.
 pub fn plan(seed: u64) -> SimPlan {
     let mut script = ScriptBuilder::seeded(seed);
     let targets = [
@@ -73,12 +74,12 @@
     )
 }
 
-/// Changes that race, readings on either side, and evacuations.
+/// Adds concurrent changes, readings on either side, and evacuations.
 fn add_operators(script: &mut ScriptBuilder, returns_at: Duration) {
     let from = Duration::from_secs(2);
     let until = returns_at + Duration::from_secs(2);
     script.repeat(from, until, CHANGE_INTERVAL, |_| Action::Change);
-    // While a new leader is elected and the old one does not know yet.
+    // While a new leader is elected and the old one has not noticed yet.
     script.repeat(
         CUT_AT,
         CUT_AT + CHANGE_BURST_LENGTH,
--- a/testing/fleet/src/sim/scenario/detection_cases.rs
+++ b/testing/fleet/src/sim/scenario/detection_cases.rs
@@ -1,4 +1,4 @@
-//! The rules of the control side, each taken away and found by a scripted day.
+//! Detection cases of the control side: flaws that scripted days must find.
 
 use super::Scenario;
 use crate::sim::flaw::Flaw;
@@ -7,21 +7,21 @@
 use common::rules::Rule;
 use std::fmt;
 
-/// One rule, the days that try it, and what is seen without it.
+/// A detection case: a flaw, and the scenario that exposes it.
 pub struct ScenarioDetectionCase {
-    /// The days.
+    /// The scenario.
     pub scenario: Scenario,
-    /// What is broken on purpose.
+    /// The flaw that is introduced.
     pub flaw: Flaw,
-    /// What the breach that is looked for says.
+    /// The text of the expected violation.
     pub expected_violation: &'static str,
 }
 
-/// How many seeds find a flaw at the latest.
+/// The number of seeds after which a flaw must have been found.
 pub const SEEDS_TO_FIND: u64 = 50;
 
 impl ScenarioDetectionCase {
-    /// The first seed whose day shows the flaw, and what was seen.
+    /// The first seed whose day finds the flaw, and the violation.
     pub fn find(&self, most_seeds: u64) -> Option<(u64, String)> {
         (1..=most_seeds).find_map(|seed| {
             let plan = SimPlan {
@@ -67,7 +67,7 @@
     }
 }
 
-/// The proofs by scripted days.
+/// The detection cases by scripted days.
 pub const SCENARIO_DETECTION_CASES: &[ScenarioDetectionCase] = &[
     rule(Scenario::Isolation, Rule::ReadConfirmedByMajority, "reads"),
     rule(Scenario::Isolation, Rule::LeaderHintIsRecent, "names"),
--- a/testing/fleet/src/sim/scenario/many_changes.rs
+++ b/testing/fleet/src/sim/scenario/many_changes.rs
@@ -1,32 +1,32 @@
-//! Hundreds of changes of a large configuration, with members away for many of them.
+//! Scenario: hundreds of changes of a large configuration, with voters down for many of them.
 
 use super::{QuorumSize, ScriptBuilder};
 use crate::sim::plan::SimPlan;
 use crate::sim::script::{Action, Loss, Target};
 use std::time::Duration;
 
-/// How many changes a day has: more than the notes of orders and numbers that are kept.
+/// The number of changes of a day: more than the records of orders and numbers that are retained.
 const CHANGES: u32 = 700;
 const CHANGE_INTERVAL: Duration = Duration::from_millis(40);
 const FIRST_CHANGE_AT: Duration = Duration::from_secs(3);
 const READ_INTERVAL: Duration = Duration::from_millis(300);
-/// Functions beyond the usual ones, so that the configuration is large.
+/// The number of additional functions that make the configuration large.
 const FUNCTIONS: u64 = 24;
 
-/// How a member misses changes.
+/// How a voter misses changes.
 #[derive(Clone, Copy)]
 enum AbsenceKind {
-    /// It is away for all of them.
+    /// It is down for all of them.
     AllChanges,
-    /// It is back in the middle.
+    /// It returns in the middle.
     HalfOfChanges,
-    /// It is back in the middle with an empty disk.
+    /// It returns in the middle with an empty disk.
     Wiped,
-    /// It is back after all of them, and the leader goes right then.
+    /// It returns after all of them, and the leader is lost at that time.
     ElectedOnReturn,
 }
 
-/// The day of a seed.
+/// The plan of a day with this seed.
 pub fn plan(seed: u64) -> SimPlan {
     let mut script = ScriptBuilder::seeded(seed);
     let size = QuorumSize::of_seed(seed);
--- a/testing/fleet/src/sim/scenario/mod.rs
+++ b/testing/fleet/src/sim/scenario/mod.rs
@@ -1,4 +1,4 @@
-//! The control side's worst days: each a script of timed losses, cuts, orders and readings.
+//! Scenarios for the control side: scripts of timed losses, partitions, orders and readings.
 
 mod cut_off;
 mod detection_cases;
@@ -15,20 +15,20 @@
 use std::fmt;
 use std::time::Duration;
 
-/// A kind of day for the control side.
+/// A kind of scripted day.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Scenario {
-    /// A controller is cut off for twenty seconds, while orders and readings go on on either side.
+    /// A controller is partitioned for twenty seconds, with orders and readings on either side.
     Isolation,
-    /// Another loss falls on some step of a repair, a replacement or a growth of the quorum.
+    /// A second loss happens at some step of a repair, a replacement or a growth of the quorum.
     SecondLoss,
-    /// Hundreds of changes, with members away for many of them.
+    /// Hundreds of changes, with voters down for many of them.
     ManyChanges,
-    /// Everything loses power right after an acknowledgement, and again soon after.
+    /// All machines lose power right after an acknowledgement, and again soon after.
     PowerLoss,
 }
 
-/// How many machines with a disk a deployment has, and how many of them vote.
+/// The number of machines with a disk in a deployment, and of voters among them.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct QuorumSize {
     /// Machines with a disk.
@@ -38,7 +38,7 @@
 }
 
 impl QuorumSize {
-    /// The sizes of the deployments: three machines bear the loss of one, the others that of two.
+    /// The sizes of the deployments: three machines tolerate the loss of one, the others that of two.
     pub const ALL: &[QuorumSize] = &[
         QuorumSize {
             machines: 3,
@@ -58,24 +58,24 @@
         },
     ];
 
-    /// The size that a seed plays.
+    /// The size of the day with this seed.
     pub fn of_seed(seed: u64) -> Self {
         Self::ALL[(seed % Self::ALL.len() as u64) as usize]
     }
 
-    /// How many machines may be lost at once.
+    /// The number of machines that may be lost at once.
     pub fn tolerance(self) -> usize {
         (self.voters - 1) / 2
     }
 }
 
-/// How long a scripted day goes on after its faults are over.
+/// How long a scripted day continues after its faults.
 const SETTLING_TIME: Duration = Duration::from_secs(14);
-/// How often an operator reads and sends changes while the day closes.
+/// The interval of operators' readings and changes at the end of a day.
 const SETTLING_INTERVAL: Duration = Duration::from_millis(700);
 
 impl Scenario {
-    /// Every scenario.
+    /// All scenarios.
     pub const ALL: &[Scenario] = &[
         Scenario::Isolation,
         Scenario::SecondLoss,
@@ -83,7 +83,7 @@
         Scenario::PowerLoss,
     ];
 
-    /// The scenario of a name.
+    /// The scenario with this name.
     pub fn by_name(name: &str) -> Option<Scenario> {
         Self::ALL
             .iter()
@@ -91,7 +91,7 @@
             .find(|scenario| scenario.to_string() == name)
     }
 
-    /// The day of a seed.
+    /// The plan of a day with this seed.
     pub fn plan(self, seed: u64) -> SimPlan {
         match self {
             Self::Isolation => cut_off::plan(seed),
@@ -113,7 +113,7 @@
     }
 }
 
-/// A script in the making, with its own chance.
+/// Builds a script, with its own random generator.
 struct ScriptBuilder {
     rng: SeededRng,
     actions: Vec<(Duration, Action)>,
@@ -131,7 +131,7 @@
         self.actions.push((due_after, action));
     }
 
-    /// An action again and again, with random gaps of this length on average.
+    /// Adds an action repeatedly, with random gaps of this mean length.
     fn repeat(
         &mut self,
         from: Duration,
@@ -151,7 +151,7 @@
         choices[self.rng.below(choices.len() as u64) as usize]
     }
 
-    /// The day that this script makes; while it closes, orders and readings go on.
+    /// Builds the plan; at the end of the day orders and readings continue.
     fn plan(mut self, seed: u64, size: QuorumSize, lasts: Duration) -> SimPlan {
         let until = lasts + SETTLING_TIME;
         self.repeat(lasts, until, SETTLING_INTERVAL, |_| Action::Change);
--- a/testing/fleet/src/sim/scenario/power_loss.rs
+++ b/testing/fleet/src/sim/scenario/power_loss.rs
@@ -1,4 +1,4 @@
-//! Everything loses power right after an acknowledgement, and again within two seconds.
+//! Scenario: all machines lose power right after an acknowledgement, and again within two seconds.
 
 use super::{QuorumSize, ScriptBuilder};
 use crate::sim::plan::SimPlan;
@@ -10,7 +10,7 @@
 const LOSS_INTERVAL: Duration = Duration::from_secs(6);
 const LASTS: Duration = Duration::from_secs(20);
 
-/// The day of a seed.
+/// The plan of a day with this seed.
 pub fn plan(seed: u64) -> SimPlan {
     let mut script = ScriptBuilder::seeded(seed);
     script.repeat(Duration::from_secs(1), LASTS, CHANGE_INTERVAL, |_| {
--- a/testing/fleet/src/sim/scenario/second_loss.rs
+++ b/testing/fleet/src/sim/scenario/second_loss.rs
@@ -1,4 +1,4 @@
-//! Another loss at one step of a repair, a replacement or a growth of the quorum.
+//! Scenario: a second loss at one step of a repair, a replacement or a growth of the quorum.
 
 use super::{QuorumSize, ScriptBuilder};
 use crate::sim::plan::SimPlan;
@@ -8,23 +8,23 @@
 use std::fmt;
 use std::time::Duration;
 
-/// What the quorum is at when the second loss falls.
+/// What the quorum does when the second loss happens.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Repair {
     /// A voter that was without power returns and catches up.
     CatchUp,
-    /// A voter returned with an empty disk, and is taken in anew.
+    /// A voter returned with an empty disk and is added again.
     Wiped,
-    /// A voter was lost for good, and an empty machine at another address takes its place.
+    /// A voter was lost for good and is replaced by an empty machine with another address.
     Replacement,
-    /// The voters of a newly founded quorum become as many as they are to be.
+    /// A newly bootstrapped quorum grows to its intended number of voters.
     Growth,
-    /// A member that was away has missed the newest versions; one that has them leaves for good.
+    /// A voter that was down has missed the newest versions, and one that has them is lost for good.
     NewestLeaves,
 }
 
 impl Repair {
-    /// Every repair.
+    /// All repairs.
     pub const ALL: &[Repair] = &[
         Repair::CatchUp,
         Repair::Wiped,
@@ -46,12 +46,12 @@
     }
 }
 
-/// One place for a second loss.
+/// One case of a second loss.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct SecondLossCase {
-    /// The quorum.
+    /// The size of the quorum.
     pub size: QuorumSize,
-    /// What it is at.
+    /// What the quorum does.
     pub repair: Repair,
     /// The second loss, if there is one.
     pub second: Option<SecondLoss>,
@@ -59,15 +59,15 @@
 
 const FIRST_LOSS_AT: Duration = Duration::from_secs(5);
 const AWAY_FOR: Duration = Duration::from_secs(2);
-/// How long after the return of the first lost member steps are counted.
+/// How long after the return of the first lost voter the steps are counted.
 const COUNTED_FOR: Duration = Duration::from_secs(6);
-/// The most steps among which a seed chooses.
+/// The largest number of steps from which a seed chooses.
 const SEEDED_STEPS: u64 = 600;
 const CHANGE_INTERVAL: Duration = Duration::from_millis(250);
 const READ_INTERVAL: Duration = Duration::from_millis(400);
 
 impl SecondLossCase {
-    /// The case of a seed.
+    /// The case with this seed.
     pub fn seeded(seed: u64) -> Self {
         let mut rng = SeededRng::seeded(seed ^ 0x2d105);
         let size = QuorumSize::of_seed(seed);
@@ -84,13 +84,13 @@
         }
     }
 
-    /// The second losses that a quorum bears while a repair goes on: of a disk only while fewer disks
-    /// than it bears are lost or not yet filled.
+    /// The second losses that a quorum tolerates during a repair: a disk may only be lost while fewer disks than it
+    /// tolerates are lost or incomplete.
     pub fn tolerated_losses(size: QuorumSize, repair: Repair) -> &'static [Loss] {
         let lost_disks = match repair {
             Repair::CatchUp => 0,
             Repair::Wiped | Repair::Replacement | Repair::Growth => 1,
-            // The one that was away has not caught up, and so two are lost already.
+            // The voter that was down has not caught up, so two are lost already.
             Repair::NewestLeaves => 2,
         };
         if lost_disks < size.tolerance() {
@@ -100,7 +100,7 @@
         }
     }
 
-    /// The day of this case.
+    /// The plan of this case.
     pub fn plan(&self, seed: u64) -> SimPlan {
         let mut script = ScriptBuilder::seeded(seed);
         let returns_at = FIRST_LOSS_AT + AWAY_FOR;
@@ -125,7 +125,7 @@
         }
     }
 
-    /// What the quorum is at, and from when on its steps are counted.
+    /// Adds the repair to the script; returns from when on steps are counted.
     fn add_repair(&self, script: &mut ScriptBuilder, returns_at: Duration) -> Duration {
         let target = script.one_of(&[Target::Leader, Target::Follower]);
         match self.repair {
@@ -155,7 +155,7 @@
         returns_at
     }
 
-    /// How many steps the control side takes in this case, without a second loss.
+    /// The number of steps of the control side in this case without a second loss.
     pub fn steps(&self, seed: u64) -> u64 {
         let quiet_case = Self {
             second: None,
--- a/testing/fleet/src/sim/script.rs
+++ b/testing/fleet/src/sim/script.rs
@@ -1,4 +1,4 @@
-//! Timed actions on the control side of a simulated fleet, and the world's part in carrying them out.
+//! Timed actions on the control side of a simulated fleet, and their execution.
 
 use super::event::Event;
 use super::network::{Node, PLATFORM};
@@ -9,119 +9,119 @@
 use serde_json::{Value, json};
 use std::time::Duration;
 
-/// Which controller an action is about; chosen when the action is due.
+/// The target of an action; the controller is chosen when the action is due.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Target {
-    /// The one that leads.
+    /// The leader.
     Leader,
-    /// A voter that is alive and does not lead.
+    /// A running voter that is not the leader.
     Follower,
-    /// Any controller, as an operator picks one.
+    /// A random controller.
     Any,
     /// One of the controllers at the seed addresses.
     Seed,
-    /// The one that an earlier action cut off, stopped or replaced.
+    /// The target of an earlier loss or block.
     Victim,
 }
 
-/// Which messages of a controller are lost.
+/// The directions in which a controller's messages are lost.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Direction {
-    /// Those from it and those to it.
+    /// Outgoing and incoming messages.
     Both,
-    /// Those from it.
+    /// Outgoing messages.
     Outgoing,
-    /// Those to it.
+    /// Incoming messages.
     Incoming,
 }
 
-/// How a controller goes.
+/// The ways in which a controller is lost.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Loss {
-    /// Its process is killed; what was not yet synced may be lost.
+    /// Its process is killed; unsynced writes may be lost.
     Killed,
-    /// Its machine loses power: nobody is told, and what was not yet synced may be lost.
+    /// Its machine loses power: connections are not closed, and unsynced writes may be lost.
     PowerLost,
-    /// It returns with an empty disk at the same address.
+    /// It restarts with an empty disk at the same address.
     Wiped,
-    /// An empty machine at a new address takes its place.
+    /// It is replaced by an empty machine with a new address.
     Replaced,
-    /// Its process stands still until it is woken.
+    /// Its process is frozen until it is resumed.
     Frozen,
-    /// It neither hears nor is heard.
+    /// It is partitioned from all other nodes.
     Isolation,
 }
 
-/// One thing done to the control side, or asked of it.
+/// An action on the control side, or an operator's request.
 #[derive(Clone, Debug)]
 pub enum Action {
-    /// A controller goes; it becomes the victim.
+    /// A controller is lost; it becomes the victim.
     Lose(Target, Loss),
     /// Messages of a controller are lost; it becomes the victim.
     Cut(Target, Direction),
-    /// All messages get through again, and every frozen machine wakes.
+    /// All messages are delivered again, and all frozen machines are resumed.
     Rejoin,
-    /// The victim starts, or starts anew.
+    /// The victim is started or restarted.
     Restart,
-    /// The victim's machine is replaced by an empty one at a new address, which starts.
+    /// The victim's machine is replaced by an empty one with a new address, which is started.
     ReplaceVictim,
-    /// An operator sends changes, some of them racing and some invalid.
+    /// An operator sends changes, some of them concurrent and some invalid.
     Change,
-    /// An operator sends one whole spec with so many functions.
+    /// An operator sends a complete spec with this number of functions.
     LargeChange(u64),
     /// An operator reads the configuration.
     Read(Target),
     /// An operator evacuates a zone.
     Evacuate(usize),
-    /// An operator brings an evacuated zone back.
+    /// An operator restores an evacuated zone.
     Restore(usize),
-    /// An operator sends the first order that was acknowledged once more.
+    /// An operator retries the first acknowledged order.
     ResendFirst,
-    /// The steps of the control side are counted from here on, and the plan's second loss is due.
+    /// The steps of the control side are counted from here on; the plan's second loss falls on one of them.
     CountSteps,
-    /// Everything loses power right after the next acknowledgement, and again at most 2 s later.
+    /// All machines lose power right after the next acknowledgement, and again at most 2 s later.
     PowerLossAfterAcknowledgement,
-    /// All power is lost at once.
+    /// All machines lose power at once.
     LosePowerEverywhere,
-    /// The time to the next acknowledgement and to the next renewed session leases runs from here.
+    /// The measurement of the recovery times starts here.
     StartRecoveryClock,
 }
 
-/// Another loss, at one step of the control side's work.
+/// A second loss at one step of the control side.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct SecondLoss {
-    /// The step before which it falls, counted from one.
+    /// The step before which it happens, counted from one.
     pub step: u64,
-    /// Whom it hits.
+    /// The controller that is lost.
     pub target: Target,
-    /// What it is.
+    /// The kind of loss.
     pub loss: Loss,
 }
 
-/// How long a machine stays away after its second loss.
+/// How long a machine is down after the second loss.
 const SECOND_LOSS_LASTS: Duration = Duration::from_secs(3);
-/// The longest time from one loss of power everywhere to the next.
+/// The longest time between two power losses of all machines.
 const POWER_LOST_AGAIN_WITHIN: Duration = Duration::from_secs(2);
 
-/// What a script has done so far.
+/// The progress of a script.
 #[derive(Default)]
 pub(super) struct ScriptState {
     victim: Option<usize>,
     counts_repair_steps: bool,
-    /// How many steps the control side has taken since they are counted.
+    /// The number of steps of the control side since they are counted.
     pub steps: u64,
     loses_power_on_next_acknowledgement: bool,
 }
 
 impl Simulation {
-    /// Schedules the plan's script.
+    /// Schedules the actions of the plan's script.
     pub(super) fn schedule_script(&mut self) {
         for (due_after, action) in std::mem::take(&mut self.plan.script) {
             self.push(due_after, Event::RunAction(action));
         }
     }
 
-    /// Carries out one action.
+    /// Executes one action.
     pub(super) fn run_action(&mut self, action: Action) {
         self.trace_line(|now| format!("{now} action {action:?}"));
         match action {
@@ -188,7 +188,7 @@
         }
     }
 
-    /// The voters that are alive and do not lead.
+    /// The running voters that are not the leader.
     fn followers(&self) -> Vec<usize> {
         let leading = self.leading_controller();
         let leader_document = leading.and_then(|index| {
@@ -273,7 +273,7 @@
         }
     }
 
-    /// Sends an operation that is only judged by what is said on it.
+    /// Sends an operation of which only the reply is checked.
     pub(super) fn send_operation(&mut self, node: Node, operation: Operation) {
         self.next_number += 1;
         let ticket = OperationTicket(self.next_number);
@@ -299,7 +299,7 @@
         }
     }
 
-    /// An acknowledgement has just been said; power may be lost right after it.
+    /// Handles an acknowledgement that was just sent; power may be lost right after it.
     pub(super) fn note_acknowledgement(&mut self) {
         if std::mem::take(&mut self.script.loses_power_on_next_acknowledgement) {
             let at_once = self.rng.within(Duration::ZERO, Duration::from_millis(5));
@@ -311,8 +311,7 @@
         }
     }
 
-    /// Counts a step of the control side until everything is mended; the plan's second loss falls
-    /// before the step it names.
+    /// Counts a step of the control side until all faults are undone; the plan's second loss happens before its step.
     pub(super) fn count_repair_step(&mut self, event: &Event) {
         let is_step = match event {
             Event::ConsensusFrame(..) | Event::Durable(..) => true,
@@ -336,13 +335,13 @@
         }
     }
 
-    /// The moment at which the script's faults are over.
+    /// When the script's faults end.
     pub(super) fn script_end(&self) -> MonotonicTime {
         self.started_at() + self.plan.lasts
     }
 }
 
-/// The usual configuration with further functions that nobody calls.
+/// The usual spec with additional functions that are never called.
 fn large_spec(turn: u64, functions: u64) -> Value {
     let mut large_spec = spec(turn);
     for number in 0..functions {
--- a/testing/fleet/src/sim/simulation.rs
+++ b/testing/fleet/src/sim/simulation.rs
@@ -1,4 +1,4 @@
-//! A whole virtual fleet: its parts, its clock and its queue of events.
+//! A simulated fleet: its processes, virtual clock and queue of events.
 
 use super::checks::SafetyChecks;
 use super::controller::SimController;
@@ -23,10 +23,10 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::Duration;
 
-/// When every simulated day begins.
+/// The virtual time at which every simulated day begins.
 const STARTED_AT: MonotonicTime = MonotonicTime(1_000_000_000);
 
-/// A whole virtual fleet.
+/// A simulated fleet.
 pub struct Simulation {
     pub(super) plan: SimPlan,
     pub(super) now: MonotonicTime,
@@ -64,7 +64,7 @@
 }
 
 impl Simulation {
-    /// A founded core, daemons that have just started, and an empty platform.
+    /// Creates a bootstrapped control quorum, daemons that have just started, and an empty platform.
     pub fn new(plan: SimPlan, is_tracing: bool) -> Self {
         let mut rng = SeededRng::seeded(plan.seed);
         let ids: Vec<ControllerId> = (0..plan.controllers)
@@ -136,7 +136,7 @@
         simulation
     }
 
-    /// When the day began.
+    /// The virtual time at which the day began.
     pub(super) fn started_at(&self) -> MonotonicTime {
         STARTED_AT
     }
@@ -162,7 +162,7 @@
         *self.counts.entry(label.to_owned()).or_default() += count as u64;
     }
 
-    /// What the code found broken by itself is a breach like any other.
+    /// Adds the invariant violations that the code itself detected to those of the checks.
     fn take_violations(&mut self) {
         for violation in invariants::take_collected() {
             self.checks
@@ -170,7 +170,7 @@
         }
     }
 
-    /// Runs the day to its end.
+    /// Runs the day to its end and returns its result.
     pub fn run(mut self) -> SimResult {
         invariants::collect_on_this_thread();
         let end_at = self.now + self.plan.lasts + self.plan.settling;
@@ -225,8 +225,8 @@
             .is_some_and(|until| *until > self.now)
     }
 
-    /// A frozen machine wakes: what came meanwhile is taken in the order in which it came, but for
-    /// operators' connections, which may be read before all others.
+    /// Resumes a frozen machine: deferred events are handled in their order of arrival, except that operators'
+    /// connections may be read before all others.
     pub(super) fn resume_node(&mut self, node: Node) {
         if !self.is_frozen(node) {
             self.frozen.remove(&node);
@@ -241,7 +241,7 @@
         }
     }
 
-    /// Every frozen machine wakes.
+    /// Resumes all frozen machines.
     pub(super) fn resume_all(&mut self) {
         let frozen_nodes: Vec<Node> = std::mem::take(&mut self.frozen).into_keys().collect();
         for node in frozen_nodes {
@@ -277,7 +277,7 @@
         }
     }
 
-    /// Whether there is a leader that is awake and reaches the platform and every daemon.
+    /// Whether there is a leader that is not frozen and reaches the platform and every daemon.
     pub(super) fn is_control_side_healthy(&self) -> bool {
         let is_awake = |node: &Node| self.frozen.get(node).is_none_or(|until| *until <= self.now);
         self.controllers.iter().any(|controller| {
--- a/testing/fleet/src/synthetic/calls/forwarding.rs
+++ b/testing/fleet/src/synthetic/calls/forwarding.rs
@@ -1,4 +1,4 @@
-//! Transactions on their way through daemons: the steps of their forwarding, and the hops between daemons.
+//! Forwarding of requests through daemons, step by step, and the hops between daemons.
 
 use super::hop_frame;
 use crate::synthetic::events::{Event, ReplyTarget};
@@ -18,7 +18,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// What a transaction in a daemon's hands waits for.
+/// What a request in a daemon waits for.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub(super) enum AwaitedStep {
     Lookup,
@@ -27,7 +27,7 @@
     Acquired,
 }
 
-/// A transaction in a daemon's hands.
+/// A request in a daemon.
 pub(in crate::synthetic) struct PendingRequest {
     forwarding: Forwarding,
     reply_target: ReplyTarget,
@@ -66,7 +66,7 @@
         );
     }
 
-    /// The time of a wait is up, unless something else has come since.
+    /// Handles the timeout of a wait, unless the request has advanced since.
     pub(super) fn advance(&mut self, daemon: usize, number: u64, wake: u64) {
         if self
             .pending(daemon, number)
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Something has changed that a waiting transaction may wait for.
+    /// Repeats the lookup of waiting requests after a change.
     pub(in crate::synthetic) fn look_up_all(&mut self, daemon: usize) {
         let Some(started_daemon) = &mut self.daemons[daemon] else {
             return;
--- a/testing/fleet/src/synthetic/calls/holder.rs
+++ b/testing/fleet/src/synthetic/calls/holder.rs
@@ -1,4 +1,4 @@
-//! Holders and their runners: orders carried out in memory, runs answered after a while.
+//! Lease holders and their runners: outputs are executed in memory, and runs are answered after a delay.
 
 use super::{ANSWER, HTTP_HEADERS, PLATFORM_LATENCY, RUNNER_LATENCY};
 use crate::synthetic::events::{Event, HolderKey};
@@ -18,7 +18,7 @@
 use std::time::Duration;
 
 impl SyntheticFleet {
-    /// Changes a held function and does what its holder orders.
+    /// Updates a held function and executes the outputs of its state machine.
     pub(super) fn apply(
         &mut self,
         holder_key: &HolderKey,
@@ -174,7 +174,7 @@
         }
     }
 
-    /// A runner's answer, and what the holder's daemon thinks of it.
+    /// Handles a runner's answer at the lease holder.
     pub(super) fn run_done(
         &mut self,
         holder_key: HolderKey,
--- a/testing/fleet/src/synthetic/calls/mod.rs
+++ b/testing/fleet/src/synthetic/calls/mod.rs
@@ -1,4 +1,4 @@
-//! Transactions in a synthetic fleet: who calls, and what each event of a call leads to.
+//! Requests in a synthetic fleet: the callers, and the handling of each event of a call.
 
 mod forwarding;
 mod holder;
@@ -25,7 +25,7 @@
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(3000);
 const REQUEST: &[u8] = &[b'q'; 256];
 const ANSWER: &[u8] = &[b'a'; 256];
-/// Of ten calls so many go to the busiest twentieth of the functions.
+/// The share of calls to the busiest twentieth of the functions.
 const BUSY_SHARE: f64 = 0.9;
 
 fn hop_frame(number: u64, body: DaemonMessage) -> DaemonFrame {
@@ -120,7 +120,7 @@
         }
     }
 
-    /// Calls every function once, through some door each.
+    /// Calls every function once, each through a random ingress.
     fn fill(&mut self) {
         if self.fill_next == 0 {
             self.record.join_nanos = self.meter.leader_nanos;
--- a/testing/fleet/src/synthetic/calls/replicas.rs
+++ b/testing/fleet/src/synthetic/calls/replicas.rs
@@ -1,4 +1,4 @@
-//! Questions to stewards and their replies.
+//! Requests to ledger replicas and their replies.
 
 use super::hop_frame;
 use crate::synthetic::events::{Event, HolderKey};
--- a/testing/fleet/src/synthetic/catalogue.rs
+++ b/testing/fleet/src/synthetic/catalogue.rs
@@ -3,7 +3,7 @@
 use common::rng::SeededRng;
 use serde_json::{Map, Value, json};
 
-/// The name of the function, and of its route, of a number.
+/// The name of the function with this number, and of its route.
 pub(super) fn name_of(number: usize) -> String {
     format!("function-{number:05}")
 }
@@ -17,7 +17,7 @@
     })
 }
 
-/// A spec with so many functions, one route each; one in four may run only once.
+/// A spec with this number of functions, one route each; requests of one in four must run at most once.
 pub(super) fn spec_of(rng: &mut SeededRng, functions: usize, runners: u32) -> Value {
     let mut function_rows = Map::new();
     let mut route_rows = Map::new();
@@ -41,7 +41,7 @@
     json!({"functions": function_rows, "routes": route_rows})
 }
 
-/// A change of one function: its slots.
+/// Changes the slots of one function.
 pub(super) fn change_of(rng: &mut SeededRng, functions: usize, turn: u32) -> Value {
     let name = name_of(rng.below(functions as u64) as usize);
     json!({"functions": {name: {"slots": 5 + turn % 100}}})
--- a/testing/fleet/src/synthetic/controllers.rs
+++ b/testing/fleet/src/synthetic/controllers.rs
@@ -29,7 +29,7 @@
 const POLL_INTERVAL: Duration = Duration::from_millis(400);
 const DISK_LATENCY: Duration = Duration::from_millis(4);
 
-/// One synthetic controller.
+/// A synthetic controller.
 pub(super) struct Controller {
     pub controller_state: ControllerState,
     pub due: MonotonicTime,
@@ -46,7 +46,7 @@
 }
 
 impl SyntheticFleet {
-    /// Three controllers whose disks hold the first spec.
+    /// Creates the controllers with the first spec on their disks.
     pub(super) fn found(&mut self, first_spec: Value) {
         let seeds = Self::seeds();
         let ids: Vec<ControllerId> = (0..seeds.len())
@@ -106,7 +106,7 @@
         }
     }
 
-    /// Feeds a controller and does what it orders.
+    /// Gives an input to a controller and executes its outputs.
     pub(super) fn step_controller(
         &mut self,
         controller: usize,
@@ -126,7 +126,7 @@
         }
     }
 
-    /// Time passes for a controller that nothing else has reached.
+    /// Runs the timers of a controller.
     pub(super) fn tick_controller(&mut self, controller: usize) {
         if self.now >= self.controllers[controller].due {
             self.step_controller(controller, Work::Ticks, ControllerInput::Tick);
@@ -263,7 +263,7 @@
         );
     }
 
-    /// The leader reads the platform's lists.
+    /// Reads the platform's lists for the leader.
     pub(super) fn poll(&mut self, controller: usize) {
         self.push(POLL_INTERVAL, Event::Poll(controller));
         self.read_lists(controller);
@@ -296,7 +296,7 @@
         );
     }
 
-    /// An operator changes one function.
+    /// Changes one function as an operator.
     pub(super) fn send_change(&mut self) {
         let leads = |controller: &Controller| controller.controller_state.consensus().is_leader();
         let Some(leader) = self.controllers.iter().position(leads) else {
@@ -346,8 +346,7 @@
         }
     }
 
-    /// A change is in force: its time is that of the network, the leader's own from its asking, and the
-    /// slowest daemon's installing.
+    /// Records the changes that are in force with this event: their time on the network and the leader's processor time.
     fn event_record(&mut self, numbered: &NumberedEvent) {
         if numbered.event_record.event != events::VERSION_IN_FORCE {
             return;
--- a/testing/fleet/src/synthetic/daemons.rs
+++ b/testing/fleet/src/synthetic/daemons.rs
@@ -28,10 +28,10 @@
 
 const SHORTEST_IDLE: Duration = Duration::from_millis(5);
 const LONGEST_IDLE: Duration = Duration::from_millis(100);
-/// One heartbeat in so many is read from its bytes; its time stands for the others.
+/// One in this number of heartbeats is decoded from its bytes; its processor time is counted for the others too.
 const DECODE_EVERY: u64 = 8;
 
-/// One synthetic daemon.
+/// A synthetic daemon.
 pub(super) struct Daemon {
     pub agent: Arc<Agent<u64>>,
     pub controller: DaemonControl<u64>,
@@ -81,7 +81,7 @@
         self.push(first_tick, Event::TickDaemon(daemon));
     }
 
-    /// Time passes for a daemon, if it is due; what is due next is looked up as part of it.
+    /// Runs the timers of a daemon if they are due, and determines when the next ones are.
     pub(super) fn tick_daemon(&mut self, daemon: usize) {
         let now = self.now;
         if self.daemons[daemon]
@@ -117,14 +117,14 @@
         }
     }
 
-    /// Has a daemon look earlier than it meant to, if a holder needs that.
+    /// Runs the timers of a daemon earlier than planned if a lease holder needs it.
     pub(super) fn tick_for_holder(&mut self, daemon: usize, held: &HeldFunction<u64>) {
         if let Some(due) = held.with(|holder| holder.next_due()) {
             self.tick_sooner(daemon, due);
         }
     }
 
-    /// Feeds a daemon's controller and does what it orders.
+    /// Gives an input to a daemon's control session and executes the outputs.
     pub(super) fn control(
         &mut self,
         daemon: usize,
@@ -340,7 +340,7 @@
         });
     }
 
-    /// Lets go of every state machine, and weighs what that frees.
+    /// Drops all state machines and measures the memory that each frees.
     pub(super) fn measure_memory(&mut self, record: &mut RunRecord) {
         for started_daemon in std::mem::take(&mut self.daemons).into_iter().flatten() {
             let Daemon {
--- a/testing/fleet/src/synthetic/events.rs
+++ b/testing/fleet/src/synthetic/events.rs
@@ -1,4 +1,4 @@
-//! What happens in a synthetic fleet at a moment of virtual time.
+//! The events of a synthetic fleet.
 
 use bytes::Bytes;
 use common::frames::{Heartbeat, Instance};
@@ -8,7 +8,7 @@
 use dataplane::holder::{HolderMessage, SendResult};
 use std::rc::Rc;
 
-/// A heartbeat on its way, with its bytes.
+/// A heartbeat in flight with its encoded bytes.
 pub(super) struct HeartbeatDatagram {
     pub heartbeat: Heartbeat,
     pub datagram: Bytes,
@@ -22,14 +22,14 @@
     pub fencing_token: FencingToken,
 }
 
-/// Where an outcome goes back to.
+/// Where an outcome is returned to.
 #[derive(Clone, Copy)]
 pub(super) enum ReplyTarget {
     Caller,
     Hop { daemon: usize, number: u64 },
 }
 
-/// What happens at a moment.
+/// An event at a virtual time.
 pub(super) enum Event {
     StartDaemon(usize),
     TickDaemon(usize),
--- a/testing/fleet/src/synthetic/fleet.rs
+++ b/testing/fleet/src/synthetic/fleet.rs
@@ -1,4 +1,4 @@
-//! A synthetic fleet: its roles, its queue of events, and a run from start to record.
+//! A synthetic fleet: its state machines, its queue of events, and a run from start to record.
 
 use super::calls::PendingRequest;
 use super::catalogue;
@@ -24,18 +24,18 @@
 const FILL_RATE: u64 = 1000;
 const FILL_SHORTEST: Duration = Duration::from_millis(500);
 const SETTLING_TIME: Duration = Duration::from_secs(4);
-/// After its measuring a fleet goes on for so long, so that the last change can come into force.
+/// How long a fleet continues after its measurement, so that the last change can come into force.
 const DRAIN_TIME: Duration = Duration::from_millis(800);
 const LIMITS_CHECKED_EVERY: u64 = 512;
 
-/// One daemon's stream.
+/// The stream of a daemon to a controller.
 pub(super) struct Link {
     pub daemon: usize,
     pub controller: usize,
     pub is_open: bool,
 }
 
-/// A change on its way.
+/// A change in flight.
 pub(super) struct OpenChange {
     pub requested_at: MonotonicTime,
     pub leader_nanos: u64,
@@ -64,7 +64,8 @@
 }
 
 impl SyntheticFleet {
-    /// A founded core with so many functions in its spec, and daemons about to start.
+    /// Creates a bootstrapped control quorum with the functions of the size in its spec, and daemons that are about to
+    /// start.
     pub fn new(size: SyntheticSize) -> Result<Self, SizeError> {
         let half_bytes = half_of_memory()?;
         memory::start_counting();
@@ -155,7 +156,7 @@
         self.next_number
     }
 
-    /// Runs the fleet, and says what it came to.
+    /// Runs the fleet and returns the record of the run.
     pub fn run(mut self) -> RunRecord {
         let started_at = Instant::now();
         let ends_at = self.now + self.measured_from() + self.size.measured;
@@ -247,7 +248,7 @@
         }
     }
 
-    /// Notes how many daemons each daemon counts as alive.
+    /// Samples how many daemons each daemon counts as alive.
     pub(super) fn sample_visibility(&mut self) {
         if !self.meter.is_open() {
             return;
--- a/testing/fleet/src/synthetic/memory.rs
+++ b/testing/fleet/src/synthetic/memory.rs
@@ -1,4 +1,4 @@
-//! An allocator that counts what is kept, and the most at once.
+//! An allocator that counts the allocated memory and its peak.
 
 use std::alloc::{GlobalAlloc, Layout, System};
 use std::sync::atomic::{AtomicBool, AtomicIsize, Ordering};
@@ -7,8 +7,8 @@
 static LIVE: AtomicIsize = AtomicIsize::new(0);
 static PEAK: AtomicIsize = AtomicIsize::new(0);
 
-/// The system's allocator, which counts the bytes asked of it once it is told to. Only one thread may
-/// allocate while it counts.
+/// The system's allocator with counters of allocated bytes, which have to be started. Only one thread may allocate while
+/// it counts.
 pub struct CountingAllocator;
 
 fn note(change: isize) {
@@ -38,24 +38,24 @@
     }
 }
 
-/// Counts from now on.
+/// Starts counting.
 pub(super) fn start_counting() {
     IS_COUNTING.store(true, Ordering::Relaxed);
 }
 
-/// The bytes on the heap since counting began.
+/// The bytes allocated since counting started and not freed.
 pub(super) fn live() -> u64 {
     LIVE.load(Ordering::Relaxed).max(0) as u64
 }
 
-/// Forgets the peak, and gives the bytes on the heap now.
+/// Resets the peak; returns the currently allocated bytes.
 pub(super) fn reset_peak() -> u64 {
     let live_bytes = LIVE.load(Ordering::Relaxed);
     PEAK.store(live_bytes, Ordering::Relaxed);
     live_bytes.max(0) as u64
 }
 
-/// How far the heap has risen above what it was.
+/// The peak above an earlier number of allocated bytes.
 pub(super) fn peak_above(start_bytes: u64) -> u64 {
     (PEAK.load(Ordering::Relaxed).max(0) as u64).saturating_sub(start_bytes)
 }
--- a/testing/fleet/src/synthetic/page/capacity_model/controllers.rs
+++ b/testing/fleet/src/synthetic/page/capacity_model/controllers.rs
@@ -5,7 +5,7 @@
 use crate::synthetic::page::figure::{Figure, Unit};
 use crate::synthetic::page::fit::{Fit, Predictor};
 
-/// A controller's state machine runs in one task: one core.
+/// A controller's state machine runs in one task, so it can use one processor core.
 const CONTROLLER_BUDGET: f64 = 1.0;
 const CORE_MICROS: f64 = 1e-6;
 const FORCE_BUDGET_MS: f64 = 5_000.0;
@@ -13,7 +13,7 @@
 const LEADING_STREAM: [&str; 2] = ["leading renewals", "leading idle"];
 
 impl CapacityModel {
-    /// A controller that follows.
+    /// The figures of a follower.
     pub fn following(&self, runs: &[Run]) -> Vec<Figure> {
         let baseline_runs: Vec<&Run> = runs.iter().filter(|run| run.is_baseline()).collect();
         let predictors = [
@@ -50,7 +50,7 @@
         ]
     }
 
-    /// The controller that leads.
+    /// The figures of the leader.
     pub fn leading(&self, runs: &[Run]) -> Vec<Figure> {
         let baseline_runs: Vec<&Run> = runs.iter().filter(|run| run.is_baseline()).collect();
         let loaded = |name: &str, fit: &Fit, factor: f64| {
--- a/testing/fleet/src/synthetic/page/capacity_model/holder.rs
+++ b/testing/fleet/src/synthetic/page/capacity_model/holder.rs
@@ -1,4 +1,4 @@
-//! The figures of a daemon as holder.
+//! The figures of a daemon as lease holder.
 
 use super::{
     BUSY_BUDGET, BYTES_BUDGET, CALLS_AT_ONE, CapacityModel, MEGABYTE, MEMORY_BUDGET, seconds_of,
@@ -8,13 +8,13 @@
 use crate::synthetic::page::fit::{Fit, Predictor};
 
 const START_BUDGET_MS: f64 = 500.0;
-/// Door to hash owner, there to the leader and back, the reservation there and back, and the answer: six
-/// ways of 35 ms, 5 ms at the platform and 2 ms to the first probe.
+/// From the ingress to the hash owner, to the leader and back, the reservation and its reply, and the response: six hops
+/// of 35 ms, 5 ms at the platform and 2 ms to the first probe.
 const START_NETWORK_MS: f64 = 217.0;
 const LONGEST_BOOT_MS: f64 = 1_400.0;
 
 impl CapacityModel {
-    /// A daemon as holder.
+    /// The figures of a daemon as lease holder.
     pub fn holder(&self, runs: &[Run]) -> Vec<Figure> {
         let baseline_runs: Vec<&Run> = runs.iter().filter(|run| run.is_baseline()).collect();
         let called: Vec<&Run> = runs.iter().filter(|run| run.is_called()).collect();
--- a/testing/fleet/src/synthetic/page/capacity_model/ingress.rs
+++ b/testing/fleet/src/synthetic/page/capacity_model/ingress.rs
@@ -1,4 +1,4 @@
-//! The figures of a daemon as door.
+//! The figures of a daemon as ingress.
 
 use super::{
     BUSY_BUDGET, BYTES_BUDGET, CALLS_AT_ONE, CHANGES_A_SECOND, CapacityModel, DAEMONS, MEGABYTE,
@@ -8,14 +8,14 @@
 use crate::synthetic::page::figure::{Figure, Unit};
 use crate::synthetic::page::fit::{Fit, Predictor};
 
-/// The largest datagram that no network breaks up, without headers.
+/// The largest payload of a datagram that is not fragmented.
 const DATAGRAM_BUDGET: f64 = 1_472.0;
-/// Each daemon that fails or is replaced leaves and joins: two lists to every daemon.
+/// A daemon that fails or is replaced leaves and joins, so two lists are sent to every daemon.
 const HOSTS_A_SECOND: f64 = 2.0 * 143.0 / 86_400.0;
 const INGRESS_STREAM: [&str; 2] = ["door renewals", "door others"];
 
 impl CapacityModel {
-    /// A daemon as door.
+    /// The figures of a daemon as ingress.
     pub fn ingress(&self, runs: &[Run]) -> Vec<Figure> {
         let baseline_runs: Vec<&Run> = runs.iter().filter(|run| run.is_baseline()).collect();
         let called: Vec<&Run> = runs.iter().filter(|run| run.is_called()).collect();
--- a/testing/fleet/src/synthetic/page/capacity_model/mod.rs
+++ b/testing/fleet/src/synthetic/page/capacity_model/mod.rs
@@ -1,4 +1,4 @@
-//! What the capacity page says of each role, worked out from lines fitted to measured runs.
+//! The figures of each role on the capacity page, computed from models fitted to measured runs.
 
 mod controllers;
 mod holder;
@@ -8,7 +8,7 @@
 use super::Run;
 use super::fit::{Fit, Predictor};
 
-/// What a daemon may spend on control: bytes a second, microseconds of a core a second, megabytes.
+/// The budgets of a daemon for control: bytes per second, microseconds of processor time per second, and megabytes.
 const BYTES_BUDGET: f64 = 5_000.0;
 const BUSY_BUDGET: f64 = 50_000.0;
 const MEMORY_BUDGET: f64 = 256.0;
@@ -18,25 +18,25 @@
 const CHANGES_A_SECOND: f64 = 1_800.0 / 86_400.0;
 const MEGABYTE: f64 = 1e6;
 
-/// Every line that the page's figures are worked out from.
+/// The fitted models from which figures of the page are computed.
 pub struct CapacityModel {
-    /// Heartbeat bytes that a daemon sends and hears a second.
+    /// Heartbeat bytes that a daemon sends and receives per second.
     pub beat_bytes: Fit,
-    /// One renewal at the leader, in microseconds.
+    /// The processor time of one renewal at the leader, in microseconds.
     pub renewal_each: Fit,
-    /// One daemon's word of idle functions at the leader, in microseconds.
+    /// The processor time of one report of idle functions at the leader, in microseconds.
     pub idle_each: Fit,
-    /// The leader's ticks, a second.
+    /// The processor time of the leader's timers, in microseconds per second.
     pub leading_ticks: Fit,
-    /// The leader's talk with the core, a second.
+    /// The processor time of the leader's consensus, in microseconds per second.
     pub leading_core: Fit,
-    /// The network's part of a change, in milliseconds.
+    /// The time of a change on the network, in milliseconds.
     pub force_network: Fit,
-    /// The leader's own part of a change, in milliseconds.
+    /// The processor time of a change at the leader, in milliseconds.
     pub force_leader: Fit,
-    /// One daemon's word of a spec installed, at the leader, in microseconds.
+    /// The processor time of one report of an installed spec at the leader, in microseconds.
     pub installed_each: Fit,
-    /// The slowest daemon's install, in milliseconds.
+    /// The slowest installation of a change at a daemon, in milliseconds.
     pub install: Fit,
 }
 
@@ -61,7 +61,7 @@
 ];
 
 impl CapacityModel {
-    /// Fits the lines to whole runs without calls.
+    /// Fits the models to complete runs without calls.
     pub fn of(runs: &[Run]) -> Self {
         let baseline_runs: Vec<&Run> = runs.iter().filter(|run| run.is_baseline()).collect();
         Self {
@@ -103,7 +103,7 @@
         }
     }
 
-    /// The leader's processor time a second at any size, in microseconds.
+    /// The leader's processor time per second at any size, in microseconds.
     pub fn leader_busy(&self, value_of: &dyn Fn(Predictor) -> f64) -> f64 {
         let daemons = value_of(Predictor::Daemons);
         self.renewal_each.line.at(value_of) * daemons / 0.3
@@ -112,7 +112,7 @@
             + self.leading_core.line.at(value_of)
     }
 
-    /// The time of a change to in force at any size, in milliseconds.
+    /// The time for a change to come into force at any size, in milliseconds.
     pub fn force_ms(&self, value_of: &dyn Fn(Predictor) -> f64) -> f64 {
         self.force_network.line.at(value_of)
             + self.force_leader.line.at(value_of)
--- a/testing/fleet/src/synthetic/page/capacity_model/platform.rs
+++ b/testing/fleet/src/synthetic/page/capacity_model/platform.rs
@@ -1,4 +1,4 @@
-//! The figures of whoever calls the users' platform.
+//! The figures of the clients of the users' platform.
 
 use super::{CapacityModel, DAEMONS};
 use crate::synthetic::page::Run;
@@ -8,14 +8,14 @@
 const INSTANCES: f64 = 40_000.0;
 const PLATFORM_CALLS_BUDGET: f64 = 26.0;
 const PLATFORM_PAGE: f64 = 200.0;
-/// Machines in a rack, in a zone, and in a region.
+/// The number of machines in a rack, in a zone and in a region.
 const RACK: f64 = 20.0;
 const ZONE: f64 = 74.0;
 const REGION: f64 = 247.0;
 const POLLS_A_SECOND: f64 = 2.5;
 
 impl CapacityModel {
-    /// Whoever calls the platform.
+    /// The figures of the clients of the platform.
     pub fn platform(&self, runs: &[Run]) -> Vec<Figure> {
         let baseline_runs: Vec<&Run> = runs.iter().filter(|run| run.is_baseline()).collect();
         let predictors = [Predictor::One, Predictor::Daemons, Predictor::Instances];
--- a/testing/fleet/src/synthetic/page/figure.rs
+++ b/testing/fleet/src/synthetic/page/figure.rs
@@ -1,22 +1,22 @@
-//! One figure of the page: a fitted line at the size asked for, with its budget.
+//! A figure of the page: fitted models at the target size, with a budget.
 
 use super::fit::{Fit, Predictor};
 use std::fmt;
 
-/// What a figure is counted in.
+/// The unit of a figure.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Unit {
     /// Bytes.
     Bytes,
-    /// Bytes a second.
+    /// Bytes per second.
     BytesASecond,
     /// Megabytes.
     Megabytes,
-    /// Messages a second.
+    /// Messages per second.
     MessagesASecond,
-    /// Calls a second.
+    /// Calls per second.
     CallsASecond,
-    /// Microseconds of processor time a second.
+    /// Microseconds of processor time per second.
     BusyASecond,
     /// Processor cores.
     Cores,
@@ -45,22 +45,22 @@
     }
 }
 
-/// One row of a role's table: a sum of lines, each as often as it counts at the size of two years on.
+/// A row of a role's table: a sum of fitted models, each with its factor at the target size.
 #[derive(Clone, Debug)]
 pub struct Figure {
-    /// What it is.
+    /// The name.
     pub name: String,
-    /// What it is counted in.
+    /// The unit.
     pub unit: Unit,
-    /// The lines, each with its factor at that size.
+    /// The models, each with its factor at the target size.
     pub parts: Vec<(Fit, f64)>,
-    /// What may be spent.
+    /// The budget, if there is one.
     pub budget: Option<f64>,
-    /// Whether it is the sum of rows above.
+    /// Whether it is the sum of the rows above.
     pub is_sum: bool,
 }
 
-/// A number with three places that count, and thousands apart.
+/// Formats a number with three significant digits and separated thousands.
 pub fn format_figure(value: f64) -> String {
     let size = value.abs();
     if size == 0.0 {
@@ -89,7 +89,7 @@
 }
 
 impl Figure {
-    /// One line that counts so often.
+    /// A figure of one model with a factor.
     pub fn of(name: &str, unit: Unit, fit: &Fit, factor: f64) -> Self {
         let parts = vec![(fit.clone(), factor)];
         Self {
@@ -116,13 +116,13 @@
         }
     }
 
-    /// With what may be spent.
+    /// Sets the budget.
     pub fn within(mut self, budget: f64) -> Self {
         self.budget = Some(budget);
         self
     }
 
-    /// Its value at the size of two years from now.
+    /// The value at the target size.
     pub fn at_target(&self) -> f64 {
         self.parts
             .iter()
@@ -130,7 +130,7 @@
             .sum()
     }
 
-    /// By how much it misses its budget: above one it does not fit.
+    /// The ratio of the value to the budget; above one the budget is exceeded.
     pub fn ratio(&self) -> Option<f64> {
         self.budget.map(|budget| self.at_target() / budget)
     }
--- a/testing/fleet/src/synthetic/page/fit.rs
+++ b/testing/fleet/src/synthetic/page/fit.rs
@@ -1,33 +1,33 @@
-//! Lines fitted to measured runs by least squares.
+//! Linear models fitted to measured runs by least squares.
 
 use super::Run;
 use std::fmt;
 
-/// What a figure grows with.
+/// A predictor of a linear model.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Predictor {
-    /// Nothing: the intercept.
+    /// The constant one, for the intercept.
     One,
-    /// Daemons.
+    /// The number of daemons.
     Daemons,
-    /// Functions in the spec.
+    /// The number of functions in the spec.
     Functions,
-    /// Functions held by all daemons together.
+    /// The number of functions held by all daemons.
     Held,
-    /// Functions held by one daemon.
+    /// The mean number of functions held by one daemon.
     HeldPerDaemon,
-    /// Runners alive.
+    /// The number of running runners.
     Instances,
-    /// Daemons squared.
+    /// The square of the number of daemons.
     DaemonsSquared,
-    /// Changes of the spec a second.
+    /// Changes of the spec per second.
     Changes,
-    /// Changes of the spec a second, times functions in it.
+    /// Changes of the spec per second, times the functions in it.
     ChangedFunctions,
 }
 
 impl Predictor {
-    /// Its value in a run.
+    /// The value in a run.
     pub fn of(self, run: &Run) -> f64 {
         match self {
             Self::One => 1.0,
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Its value at the size of two years from now.
+    /// The value at the target size, that of two years from now.
     pub fn target(self) -> f64 {
         match self {
             Self::One => 1.0,
@@ -75,16 +75,16 @@
     }
 }
 
-/// An intercept and slopes.
+/// A linear model.
 #[derive(Clone, Debug)]
 pub struct LinearModel {
-    /// Each term with its factor.
+    /// The predictors with their coefficients.
     pub parts: Vec<(Predictor, f64)>,
 }
 
 impl LinearModel {
-    /// The line through points, by least squares of relative deviations; terms whose factor comes out
-    /// below nothing are left out, since no cost shrinks with size.
+    /// Fits a model to points by least squares of relative deviations. Predictors with negative coefficients are left
+    /// out, since no cost decreases with size.
     pub fn fit(predictors: &[Predictor], points: &[(&Run, f64)]) -> Self {
         let mut kept_terms: Vec<Predictor> = predictors.to_vec();
         loop {
@@ -106,7 +106,7 @@
         }
     }
 
-    /// Without the terms that come to less than a millionth of every point.
+    /// Removes predictors that contribute less than a millionth to every point.
     fn drop_negligible(mut self, points: &[(&Run, f64)]) -> Self {
         self.parts.retain(|(predictor, factor)| {
             points
@@ -116,7 +116,7 @@
         self
     }
 
-    /// Its value where terms have the values given.
+    /// The value of the model for given values of the predictors.
     pub fn at(&self, value_of: impl Fn(Predictor) -> f64) -> f64 {
         self.parts
             .iter()
@@ -124,7 +124,7 @@
             .sum()
     }
 
-    /// Its value at the size of two years from now.
+    /// The value at the target size, that of two years from now.
     pub fn at_target(&self) -> f64 {
         self.at(Predictor::target)
     }
@@ -141,7 +141,7 @@
     }
 }
 
-/// Weighted least squares by normal equations, each term scaled to its largest value.
+/// Solves weighted least squares by normal equations, with each predictor scaled to its largest value.
 fn solve(predictors: &[Predictor], points: &[(&Run, f64)]) -> Vec<f64> {
     let count = predictors.len();
     let scales: Vec<f64> = predictors
@@ -202,17 +202,17 @@
         .collect()
 }
 
-/// A line through all runs, and one through the runs of each seed.
+/// A model fitted to all runs, and one fitted to the runs of each seed.
 #[derive(Clone, Debug)]
 pub struct Fit {
-    /// Through all of them.
+    /// The model of all runs.
     pub line: LinearModel,
-    /// For each seed.
+    /// The models by seed.
     pub by_seed: Vec<LinearModel>,
 }
 
 impl Fit {
-    /// Fits what is read from each run; a run of which nothing is read is left out.
+    /// Fits the values that are read from the runs; runs without a value are left out.
     pub fn of(predictors: &[Predictor], runs: &[&Run], read: impl Fn(&Run) -> Option<f64>) -> Self {
         let points: Vec<(&Run, f64)> = runs
             .iter()
@@ -238,7 +238,7 @@
         }
     }
 
-    /// A figure that nothing is measured for.
+    /// A constant that is not measured.
     pub fn fixed(value: f64) -> Self {
         Self {
             line: LinearModel {
@@ -248,12 +248,12 @@
         }
     }
 
-    /// Only the part that grows with one term.
+    /// Only the contribution of one predictor.
     pub fn only(&self, wanted: Predictor) -> Self {
         self.restricted_to(&|predictor| predictor == wanted)
     }
 
-    /// All but the part that grows with one term.
+    /// All but the contribution of one predictor.
     pub fn without(&self, unwanted: Predictor) -> Self {
         self.restricted_to(&|predictor| predictor != unwanted)
     }
--- a/testing/fleet/src/synthetic/page/plots.rs
+++ b/testing/fleet/src/synthetic/page/plots.rs
@@ -1,4 +1,4 @@
-//! The page's plots.
+//! The plots of the page.
 
 use super::capacity_model::CapacityModel;
 use super::fit::Predictor;
@@ -25,7 +25,7 @@
     (0..=60).map(move |step| from * (to / from).powf(f64::from(step) / 60.0))
 }
 
-/// A fleet's sizes with all but one of them held still.
+/// The values of predictors at a fleet size, with a fixed rate of changes.
 fn at_size(daemons: f64, functions: f64, held: f64) -> impl Fn(Predictor) -> f64 {
     move |predictor| match predictor {
         Predictor::One => 1.0,
@@ -43,7 +43,7 @@
     run.change_times().map(|times| times.total_ms())
 }
 
-/// Draws every plot into a folder, and names the files.
+/// Draws all plots into a folder; returns the paths of the files.
 pub fn draw_plots(folder: &Path, runs: &[Run]) -> Result<Vec<PathBuf>, PageError> {
     let capacity_model = CapacityModel::of(runs);
     let baseline_runs: Vec<&Run> = runs.iter().filter(|run| run.is_baseline()).collect();
--- a/testing/fleet/src/synthetic/page/runs.rs
+++ b/testing/fleet/src/synthetic/page/runs.rs
@@ -40,17 +40,17 @@
 }
 
 impl Run {
-    /// A number of the record; zero when there is none.
+    /// A number of the record; zero if it is missing.
     pub fn number(&self, key: &str) -> f64 {
         self.0[key].as_f64().unwrap_or_default()
     }
 
-    /// Daemons.
+    /// The number of daemons.
     pub fn daemons(&self) -> f64 {
         self.number("daemons")
     }
 
-    /// Functions held, by one daemon on average.
+    /// The mean number of held functions per daemon.
     pub fn held_per_daemon(&self) -> f64 {
         self.number("held") / self.daemons()
     }
@@ -60,7 +60,7 @@
         self.number("seed") as u64
     }
 
-    /// Why it was stopped early.
+    /// Why it was stopped early, if it was.
     pub fn stopped(&self) -> Option<&str> {
         self.0["stopped"].as_str()
     }
@@ -81,27 +81,27 @@
         self.stopped().is_none() && self.has_crossed_size()
     }
 
-    /// Whether it was called while it was measured, at a size where daemons see each other.
+    /// Whether it is a complete run with calls, at a size where daemons see each other.
     pub fn is_called(&self) -> bool {
         self.stopped().is_none() && self.number("calls") > 0.0 && self.daemons() <= 50.0
     }
 
-    /// A sum of one role's work.
+    /// A counter of a role's kind of work.
     pub fn work(&self, work: &str, key: &str) -> f64 {
         self.0["work"][work][key].as_f64().unwrap_or_default()
     }
 
-    /// A sum of one role's work, a second.
+    /// A counter of a role's kind of work, per second.
     pub fn rate(&self, work: &str, key: &str) -> f64 {
         self.work(work, key) / self.number("measured_s")
     }
 
-    /// Processor time of one role's work a second, in microseconds, frames included.
+    /// Processor time of a role's kind of work per second, in microseconds, with encoding and decoding of frames.
     pub fn busy(&self, work: &str) -> f64 {
         self.rate(work, "think_us") + self.rate(work, "wire_us")
     }
 
-    /// Processor time of one step, in microseconds, frames not included.
+    /// Mean processor time of one step, in microseconds, without frames.
     pub fn per_step(&self, work: &str) -> Option<f64> {
         let steps = self.work(work, "steps");
         (steps > 0.0).then(|| self.work(work, "think_us") / steps)
@@ -136,7 +136,7 @@
     }
 }
 
-/// Reads every record of a folder, in the order of sizes.
+/// Reads all records in a folder, sorted by size and seed.
 pub fn read_runs(folder: &Path) -> Result<Vec<Run>, PageError> {
     let file_error = |error| RecordError::File(folder.to_owned(), error);
     let mut runs = Vec::new();
--- a/testing/fleet/src/synthetic/page/tables.rs
+++ b/testing/fleet/src/synthetic/page/tables.rs
@@ -1,4 +1,4 @@
-//! The page's tables.
+//! The tables of the page.
 
 use super::capacity_model::CapacityModel;
 use super::figure::{Figure, format_figure};
@@ -10,7 +10,7 @@
 use std::fmt::Write;
 use std::path::Path;
 
-/// The page's tables by their names, made from the runs.
+/// The tables by name, computed from the runs.
 pub fn tables(runs: &[Run]) -> BTreeMap<&'static str, String> {
     let capacity_model = CapacityModel::of(runs);
     let roles = [
@@ -41,7 +41,7 @@
     table
 }
 
-/// What does not fit, the worst first.
+/// The figures that exceed their budgets, the worst first.
 fn over_budget(roles: &[(&'static str, Vec<Figure>)]) -> String {
     let mut missing: Vec<(f64, &str, &Figure)> = roles
         .iter()
@@ -77,7 +77,7 @@
     }
 }
 
-/// How far the fleets went.
+/// The measured runs by size, with means over the seeds.
 fn runs_table(runs: &[Run]) -> String {
     let keys = ["daemons", "functions", "held_wanted", "runners", "calls"];
     let mut sizes: BTreeMap<[u64; 5], Size<'_>> = BTreeMap::new();
@@ -131,7 +131,7 @@
     table
 }
 
-/// What the slopes say of fleets that they were not taken from.
+/// The models compared with runs of crossed sizes, to which they were not fitted.
 fn crossed_table(capacity_model: &CapacityModel, runs: &[Run]) -> String {
     let mut table = String::from(
         "| fleet | figure | by the slopes | measured | measured ÷ slopes |\n|---|---|---|---|---|\n",
@@ -179,7 +179,7 @@
     )
 }
 
-/// The page with every table between its marks made anew.
+/// Renders the page with all tables between their marks replaced.
 pub fn render_page(page_path: &Path, runs: &[Run]) -> Result<String, PageError> {
     let mut page = std::fs::read_to_string(page_path)
         .map_err(|error| RecordError::File(page_path.to_owned(), error))?;
--- a/testing/fleet/src/synthetic/platform.rs
+++ b/testing/fleet/src/synthetic/platform.rs
@@ -1,4 +1,4 @@
-//! A stand-in platform in memory.
+//! A platform double in memory.
 
 use common::adapter::{ListedRunner, ListedWorker};
 use common::clock::MonotonicTime;
@@ -14,19 +14,19 @@
 /// The size of the HTTP headers of a request to the platform or a runner and of its response, in bytes.
 pub(super) const HTTP_HEADERS: u64 = 400;
 
-/// One synthetic runner.
+/// A synthetic runner.
 pub(super) struct SyntheticRunner {
     /// Its function.
     pub function: FunctionKey,
-    /// Where it runs.
+    /// Its worker.
     pub worker: WorkerName,
-    /// When it has booted.
+    /// When its startup is finished.
     pub ready_at: MonotonicTime,
-    /// Its life, as the platform names it.
+    /// Its instance at the platform.
     pub instance: Instance,
 }
 
-/// A platform that does at once what it is asked.
+/// A platform that executes all requests at once.
 pub(super) struct SyntheticPlatform {
     workers: Vec<ListedWorker>,
     runners: BTreeMap<RunnerId, SyntheticRunner>,
@@ -35,7 +35,7 @@
 }
 
 impl SyntheticPlatform {
-    /// So many workers, a zone each in turn.
+    /// Creates workers, assigned to the zones in turn.
     pub fn new(worker_count: usize, memory_mb: u32) -> Self {
         let workers = (0..worker_count)
             .map(|number| ListedWorker {
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Starts a runner and names its life.
+    /// Starts a runner; returns its instance.
     pub fn start(
         &mut self,
         runner: RunnerId,
@@ -89,18 +89,18 @@
         }
     }
 
-    /// Who listens at a place.
+    /// The runner that listens at an address.
     pub fn at(&self, address: SocketAddress) -> Option<(RunnerId, &SyntheticRunner)> {
         let runner = *self.listening.get(&address)?;
         self.runners.get(&runner).map(|held| (runner, held))
     }
 
-    /// How many runners there are.
+    /// The number of runners.
     pub fn runner_count(&self) -> usize {
         self.runners.len()
     }
 
-    /// Both lists as the platform sends them.
+    /// The lists of workers and runners as the platform sends them.
     pub fn list_bodies(&self) -> (Vec<u8>, Vec<u8>) {
         let workers: Vec<Value> = self
             .workers
@@ -138,7 +138,7 @@
     row[key].as_str().unwrap_or_default()
 }
 
-/// Reads the list of workers as the leader's caller of the platform does.
+/// Reads the list of workers as the leader's platform client does.
 pub(super) fn read_workers(body: &[u8]) -> Vec<ListedWorker> {
     let listed: Value = serde_json::from_slice(body).unwrap_or_default();
     let rows = listed["workers"]
@@ -155,7 +155,7 @@
         .collect()
 }
 
-/// Reads the list of runners as the leader's caller of the platform does.
+/// Reads the list of runners as the leader's platform client does.
 pub(super) fn read_runners(body: &[u8]) -> Vec<ListedRunner> {
     let listed: Value = serde_json::from_slice(body).unwrap_or_default();
     let rows = listed["runners"]
--- a/testing/fleet/src/synthetic/record.rs
+++ b/testing/fleet/src/synthetic/record.rs
@@ -1,4 +1,4 @@
-//! What one run of a synthetic fleet came to, as it is printed and written.
+//! The record of one run of a synthetic fleet, as it is printed and written.
 
 use super::meter::{Role, Work, WorkCounters};
 use super::size::SyntheticSize;
@@ -9,12 +9,12 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// Why a fleet was not run to its end, and at which moment of virtual time.
+/// Why a run was stopped early, and at which virtual time.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum StopReason {
-    /// Its real time was up.
+    /// The limit of real time was reached.
     TimeLimit(MonotonicTime),
-    /// It had taken half of the machine's memory.
+    /// Half of the machine's memory was used.
     MemoryLimit(MonotonicTime),
 }
 
@@ -29,55 +29,55 @@
     }
 }
 
-/// What one synthetic fleet came to.
+/// The record of one run.
 pub struct RunRecord {
     /// The fleet's size.
     pub size: SyntheticSize,
-    /// Real time taken.
+    /// The real time of the run.
     pub real_time: Duration,
-    /// Why it was not run to its end.
+    /// Why it was stopped early, if it was.
     pub stopped: Option<StopReason>,
     /// Functions held at the end, by all daemons together.
     pub held: u64,
-    /// Runners alive at the end.
+    /// Runners at the end.
     pub instances: u64,
-    /// Daemons that daemons counted as alive, summed over all looks.
+    /// The number of daemons that a daemon counts as alive, summed over all samples.
     pub visible_daemons: u64,
-    /// How many looks there were.
+    /// The number of samples.
     pub visibility_samples: u64,
-    /// Calls made while it was measured.
+    /// Calls during the measurement.
     pub called: u64,
     /// Calls answered.
     pub answered: u64,
     /// Calls not run.
     pub not_run: u64,
-    /// Calls of which nothing is known.
+    /// Calls with an unknown outcome.
     pub unknown: u64,
-    /// Member grants that ended.
+    /// Session leases that ended.
     pub leases_ended: u64,
-    /// Bytes of the core's document at first.
+    /// The size of the first document of the control quorum, in bytes.
     pub document_bytes: u64,
-    /// Bytes of the last heartbeat without headers.
+    /// The size of the last heartbeat without headers, in bytes.
     pub heartbeat_bytes: u64,
-    /// Bytes of the last list of daemons, with its headers.
+    /// The size of the last list of daemons with headers, in bytes.
     pub hosts_bytes: u64,
     /// The leader's processor time until every daemon had joined, in nanoseconds.
     pub join_nanos: u64,
-    /// Bytes on the heap at the end, everything together.
+    /// The size of the heap at the end, in bytes.
     pub heap_bytes: u64,
-    /// Bytes that each daemon freed beside the functions it held.
+    /// The memory of each daemon without its held functions, in bytes.
     pub ingress_bytes: Vec<u64>,
-    /// Bytes that each daemon's held functions freed.
+    /// The memory of each daemon's held functions, in bytes.
     pub holder_bytes: Vec<u64>,
-    /// Bytes that a following controller freed.
+    /// The memory of a follower, in bytes.
     pub following_bytes: u64,
-    /// Bytes that the leading controller freed.
+    /// The memory of the leader, in bytes.
     pub leading_bytes: u64,
-    /// For each change its time to in force, in milliseconds: the network's, and the leader's own.
+    /// For each change in force its time on the network and the leader's processor time, in milliseconds.
     pub in_force: Vec<(f64, f64)>,
-    /// Each daemon's time to install a change, in milliseconds.
+    /// The time of each installation of a change at a daemon, in milliseconds.
     pub installs: Vec<f64>,
-    /// The sums by role and work.
+    /// The counters by role and kind of work.
     pub counters_by_work: BTreeMap<(Role, Work), WorkCounters>,
 }
 
@@ -105,7 +105,7 @@
 }
 
 impl RunRecord {
-    /// Nothing measured yet.
+    /// An empty record.
     pub fn new(size: &SyntheticSize) -> Self {
         Self {
             size: *size,
@@ -135,7 +135,7 @@
         }
     }
 
-    /// How many daemons a daemon counts as alive, on average.
+    /// The mean number of daemons that a daemon counts as alive.
     pub fn visible_daemons(&self) -> f64 {
         self.visible_daemons as f64 / self.visibility_samples.max(1) as f64
     }
@@ -158,7 +158,7 @@
         Value::Object(rows)
     }
 
-    /// The record as JSON.
+    /// The record as a JSON object.
     pub fn to_value(&self) -> Value {
         let in_force: Vec<Value> = self
             .in_force
@@ -199,7 +199,7 @@
         })
     }
 
-    /// The name of its file.
+    /// The file name of the record.
     pub fn file_name(&self) -> String {
         let SyntheticSize {
             daemons,
@@ -213,7 +213,7 @@
         format!("d{daemons}-f{functions}-h{held}-r{runners}-k{calls}-s{seed}.json")
     }
 
-    /// Writes it into a folder, which is made if need be.
+    /// Writes the record into a folder, which is created if it is missing; returns the path.
     pub fn write(&self, folder: &Path) -> Result<PathBuf, RecordError> {
         std::fs::create_dir_all(folder)
             .map_err(|error| RecordError::File(folder.to_owned(), error))?;
--- a/testing/fleet/src/synthetic/wire.rs
+++ b/testing/fleet/src/synthetic/wire.rs
@@ -1,4 +1,4 @@
-//! What a message weighs on the wire, and which kind of work it is.
+//! The size of messages on the wire, and the kind of work that they belong to.
 
 use super::meter::{Role, Work};
 use common::frames::{DaemonToLeader, LeaderToDaemon};
@@ -10,20 +10,20 @@
 const FRAGMENT_HEADER: u64 = 20;
 const DATAGRAM_HEADER: u64 = 8;
 
-/// The bytes that a frame takes on a connection, with its length and the headers of its segments;
-/// acknowledgements are not counted.
+/// The size of a frame on a connection in bytes, with its length prefix and the headers of its segments, without
+/// acknowledgements.
 pub(super) fn frame_bytes(encoded_length: usize) -> u64 {
     let length = encoded_length as u64 + FRAME_LENGTH;
     length + length.div_ceil(SEGMENT) * SEGMENT_HEADERS
 }
 
-/// The bytes that a datagram takes, with the headers of its fragments.
+/// The size of a datagram in bytes, with the headers of its fragments.
 pub(super) fn datagram_bytes(encoded_length: usize) -> u64 {
     let length = encoded_length as u64 + DATAGRAM_HEADER;
     length + length.div_ceil(FRAGMENT) * FRAGMENT_HEADER
 }
 
-/// What a daemon's frame is for.
+/// The kind of work of a daemon's frame.
 pub(super) fn work_up(frame: &DaemonToLeader) -> Work {
     match frame {
         DaemonToLeader::Renew { .. } => Work::Renewals,
@@ -40,7 +40,7 @@
     }
 }
 
-/// What a leader's frame is for.
+/// The kind of work of a leader's frame.
 pub(super) fn work_down(frame: &LeaderToDaemon) -> Work {
     match frame {
         LeaderToDaemon::Renewed { .. } => Work::Renewals,
@@ -52,7 +52,7 @@
     }
 }
 
-/// The part of a daemon that such work belongs to.
+/// The role of a daemon to which a kind of work belongs.
 pub(super) fn daemon_role(work: Work) -> Role {
     match work {
         Work::Leases | Work::Idle | Work::Replicas | Work::Runs | Work::Runners => Role::Holder,
--- a/testing/fleet/src/synthetic/zones.rs
+++ b/testing/fleet/src/synthetic/zones.rs
@@ -6,23 +6,22 @@
 const ZONES: usize = 10;
 const REGIONS: usize = 3;
 
-/// A machine's zone and region: ten zones in three regions, machines dealt out in turn.
+/// The zone of a machine: there are ten zones in three regions, to which machines are assigned in turn.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct ZoneNumber(usize);
 
 impl ZoneNumber {
-    /// The zone of the machine of a number.
+    /// The zone of the machine with this number.
     pub fn of(number: usize) -> Self {
         Self(number % ZONES)
     }
 
-    /// The zone that stands for it.
+    /// The zone as in settings and frames.
     pub fn zone(self) -> Zone {
         format!("region-{}-zone-{}", self.0 % REGIONS + 1, self.0 + 1).into()
     }
 
-    /// How long a message takes to another zone: half a millisecond inside one, two in a region, and
-    /// thirty-five between regions.
+    /// The delay of a message to another zone: 0.5 ms within a zone, 2 ms within a region, and 35 ms between regions.
     pub fn delay_to(self, other: ZoneNumber) -> Duration {
         if self == other {
             Duration::from_micros(500)
--- a/testing/fleet/tests/capacity.rs
+++ b/testing/fleet/tests/capacity.rs
@@ -1,4 +1,4 @@
-//! The capacity page says what its files say, and sizes that cannot be are refused.
+//! Tests that the capacity page agrees with its records, and that impossible sizes are refused.
 
 use fleet::synthetic::page::{LinearModel, Predictor, Run, read_runs, render_page, tables};
 use fleet::synthetic::{SyntheticFleet, SyntheticSize};
--- a/testing/fleet/tests/command_line.rs
+++ b/testing/fleet/tests/command_line.rs
@@ -1,4 +1,4 @@
-//! Unknown faults, deployments and seeds are refused, and the valid ones listed.
+//! Tests that unknown faults, deployments and seeds are refused with a list of the valid ones.
 
 use std::process::{Command, Output};
 
--- a/testing/fleet/tests/control_side.rs
+++ b/testing/fleet/tests/control_side.rs
@@ -1,4 +1,4 @@
-//! The control side's worst days by seed, and the rules that they find missing.
+//! Tests of the scenarios for the control side, and of the flaws that they must find.
 
 use fleet::sim::{
     Loss, QuorumSize, Repair, SCENARIO_DETECTION_CASES, SEEDS_TO_FIND, SINGLE_LOSSES, Scenario,
@@ -29,7 +29,7 @@
     verify_clean_scenario(Scenario::Isolation, 1..=12)
 }
 
-/// Each of these named a leader that it had last heard twenty seconds ago.
+/// With each of these seeds a controller once reported a leader from which it had received nothing for twenty seconds.
 #[gtest]
 fn a_resumed_controller_does_not_redirect_to_a_former_leader() -> Result<()> {
     for seed in [92, 237, 314] {
@@ -53,7 +53,7 @@
     verify_clean_scenario(Scenario::ManyChanges, 1..=2)
 }
 
-/// Some steps of each repair, in each quorum, with the leader losing power there.
+/// Some steps of each repair and quorum size, with the leader losing power there.
 #[gtest]
 fn the_leader_may_lose_power_at_any_step_of_a_repair() -> Result<()> {
     for size in QuorumSize::ALL {
--- a/testing/fleet/tests/history.rs
+++ b/testing/fleet/tests/history.rs
@@ -1,4 +1,4 @@
-//! The judge of operators' histories: what is right is explained, and each kind of wrong is found.
+//! Tests of the linearizability check: correct histories are explained, and each kind of anomaly is found.
 
 use common::clock::MonotonicTime;
 use common::rng::SeededRng;
@@ -25,7 +25,7 @@
     }
 }
 
-/// A history with shorthand.
+/// A history with short methods for recording.
 #[derive(Default)]
 struct HistoryBuilder(History);
 
@@ -397,8 +397,8 @@
     verify_that!(builder.anomalies(), elements_are![eq(&late)])
 }
 
-/// A register that is right, drawn by chance with answers lost, and the same with one answer
-/// falsified. No two orders have one number, so nothing stands in for what was falsified.
+/// Random histories of a correct register with lost replies, with and without one falsified reply. No two orders have
+/// the same number, so no other order explains the falsified one.
 #[gtest]
 fn drawn_histories_of_a_right_register_are_explained_and_falsified_ones_found() -> Result<()> {
     let (mut falsified_count, mut found_count) = (0, 0);
@@ -419,7 +419,7 @@
     verify_that!(found_count, eq(falsified_count))
 }
 
-/// Each order takes effect within its sending, one after the other.
+/// Draws a history; each order takes effect during its attempt, one after the other.
 fn random_history(seed: u64, falsify: bool) -> (HistoryBuilder, bool) {
     let mut rng = SeededRng::seeded(seed);
     let mut builder = HistoryBuilder::default();
--- a/testing/fleet/tests/invariants.rs
+++ b/testing/fleet/tests/invariants.rs
@@ -1,4 +1,4 @@
-//! The invariants that the code checks by itself: each is found violated when the rule behind it is taken away.
+//! Tests that each invariant that the code checks itself is violated if the rule behind it is removed.
 
 use common::invariants::Invariant;
 use common::rules::Rule;
@@ -6,7 +6,7 @@
 use googletest::prelude::*;
 use std::time::Duration;
 
-/// How many seeds find each with certainty.
+/// The number of seeds after which each must have been found.
 const SEEDS: u64 = 12;
 
 struct Case {
@@ -25,7 +25,7 @@
 
 use SimFault as F;
 
-/// Those that chance finds; `spec-never-older` has a test of its own in `crates/dataplane/tests/agent.rs`,
+/// Those that random faults find; `spec-never-older` has a test of its own in `crates/dataplane/tests/agent.rs`,
 /// `commit-never-lost` in `crates/controlplane/tests/quorum_proofs.rs`, and `sent-under-lease` one more in
 /// `platform/tests/connections/last_look.rs`.
 const CASES: &[Case] = &[
--- a/testing/fleet/tests/judge.rs
+++ b/testing/fleet/tests/judge.rs
@@ -1,4 +1,4 @@
-//! The judge finds each planted violation, and none in a clean day.
+//! Tests that the judge finds each planted violation, and none in a clean day.
 
 use fleet::judge::{Evidence, judge};
 use googletest::prelude::*;
--- a/testing/fleet/tests/simulator.rs
+++ b/testing/fleet/tests/simulator.rs
@@ -1,4 +1,4 @@
-//! Both planes under seeded faults, and the flaws that the checks must find.
+//! Tests of both planes under seeded faults, and of the flaws that the checks must find.
 
 use common::rules::Rule;
 use dataplane::holder::Tuning;
@@ -35,7 +35,7 @@
     Ok(())
 }
 
-/// Functions that rest when they are idle, and owners sought before the first call, break no rule either.
+/// Pausing idle functions and acquiring leases before the first call cause no violation.
 #[gtest]
 fn idle_stops_and_warm_functions_violate_no_safety_check() -> Result<()> {
     for seed in 1..=12 {
@@ -69,7 +69,7 @@
     }
 }
 
-/// Functions that come to be held in two regions at once break no rule, and callers are served under both keys.
+/// Functions that are held in two regions cause no violation, and callers are served under both keys.
 #[gtest]
 fn regional_keys_violate_no_safety_check_and_serve() -> Result<()> {
     let mut served_count = 0;
@@ -95,7 +95,7 @@
     verify_that!(served_count, ge(1000))
 }
 
-/// An identity that may come again, by another door in another region, must find the holder that remembers it.
+/// A key that is sent again through an ingress in another region must reach the lease holder that remembers it.
 #[gtest]
 fn answers_are_remembered_by_one_holder_only() -> Result<()> {
     let violations_of = |flaw: Flaw, seed: u64| {
@@ -116,7 +116,7 @@
     Ok(())
 }
 
-/// The digest by which two versions of the code are compared is the same for the same seed, and another for another.
+/// The digest for comparing two versions of the code depends on the seed alone.
 #[gtest]
 fn a_day_has_one_digest_and_another_day_another() -> Result<()> {
     let digest = |seed| {
@@ -144,7 +144,7 @@
     Ok(())
 }
 
-/// Each rule of what must never happen: taken away it is found, and kept nothing is seen.
+/// Each flaw is found, and without it there is no violation.
 #[gtest]
 fn every_disabled_rule_is_detected_and_the_baseline_is_clean() -> Result<()> {
     for proof in DETECTION_CASES {
@@ -176,7 +176,7 @@
     Ok(())
 }
 
-/// What a holder was told on a stream that broke is told again: each seed failed before that was so.
+/// Messages to a lease holder on a broken stream are sent again; each of these seeds failed before.
 #[gtest]
 fn drains_and_evacuations_survive_the_loss_of_their_stream() -> Result<()> {
     use SimFault::{DrainWorker, Isolation, Partition, RunnerLeaves};
@@ -203,8 +203,8 @@
     Ok(())
 }
 
-/// Little memory is left and crowds on busy functions hold it: the one that has no runner gets one. It
-/// took 11.5 s before the functions that have several gave one back.
+/// Bursts for busy functions take nearly all memory; a function without a runner still gets one. It took 11.5 s before
+/// functions with several runners gave one back.
 #[gtest]
 fn a_function_without_a_runner_is_not_starved_by_those_that_have_several() -> Result<()> {
     let sim_result = Simulation::new(SimPlan::seeded(39776), false).run();
@@ -212,7 +212,7 @@
     verify_that!(sim_result.recovered_after, le(Duration::from_secs(6)))
 }
 
-/// What operators send and hear under faults of the control side is explained by one order of events.
+/// The history of operators under faults of the control side is linearizable.
 #[gtest]
 fn operator_histories_are_linearizable() -> Result<()> {
     use SimFault::{
--- a/testing/fleet/tests/smoke.rs
+++ b/testing/fleet/tests/smoke.rs
@@ -1,4 +1,4 @@
-//! Real processes, waited on by what they show: founding, a spec, answers, a killed holder, bad input.
+//! Smoke tests of real processes: bootstrap, a spec, answers, a killed lease holder, and bad input.
 
 use common::frames::SocketAddress;
 use common::http::call_json;
@@ -187,7 +187,7 @@
     }
 }
 
-/// A caller that breaks off in its body is refused, or finds its connection closed, as it comes.
+/// A caller that ends its request within the body is refused, or its connection is closed; both are correct.
 async fn half_closes(ingress: SocketAddress, half_sent: &str) {
     let answer = raw_call(ingress, half_sent, true).await;
     assert!(answer.is_empty() || answer.contains("bad_body"), "{answer}");
--- a/testing/fleet/tests/soak.rs
+++ b/testing/fleet/tests/soak.rs
@@ -1,4 +1,4 @@
-//! Real processes under troubles that overlap, in short; and that a failed request can be followed in their logs.
+//! A short soak of real processes under overlapping faults; and that a failed request can be traced in their logs.
 
 use common::frames::SocketAddress;
 use fleet::days::Deployment;
@@ -48,7 +48,7 @@
     Ok(())
 }
 
-/// The short form of the soak. Whole ones, over many seeds: `fleet soak --count 50 --folder FOLDER`.
+/// A short soak. Complete ones with many seeds: `fleet soak --count 50 --folder FOLDER`.
 #[gtest]
 fn a_short_soak_finds_nothing() -> Result<()> {
     let soak = Soak {
@@ -80,7 +80,7 @@
     Ok(answer)
 }
 
-/// The events that bear an identity, with the machines whose logs have them.
+/// The numbers of events with this idempotency key, and the machines whose logs have them.
 fn logged(folder: &Path, machines: &[String], identity: &str) -> Vec<(String, String)> {
     let mut found = Vec::new();
     for machine in machines {
@@ -141,7 +141,7 @@
     Ok(())
 }
 
-/// Found by the soak of seed 208: a change whose operator gave up was taken, and nothing was written down of it.
+/// Found by the soak with seed 208: a change whose operator gave up was accepted and not recorded.
 #[gtest]
 fn a_change_whose_sender_gives_up_is_recorded_as_unknown() -> Result<()> {
     let folder = folder("given-up");
--- a/testing/loadgen/tests/command_line.rs
+++ b/testing/loadgen/tests/command_line.rs
@@ -1,4 +1,4 @@
-//! A plan that does not read is refused with its path.
+//! Tests that a malformed plan is refused with its path.
 
 use std::process::Command;
 
--- a/testing/platform-stub/tests/command_line.rs
+++ b/testing/platform-stub/tests/command_line.rs
@@ -1,4 +1,4 @@
-//! The stand-in platform starts by its own name and says its version.
+//! Tests that the platform double prints its name and version.
 
 use std::process::Command;
 
