--- a/testing/fleet/src/commands/days.rs
+++ b/testing/fleet/src/commands/days.rs
@@ -6,49 +6,38 @@
 use fleet::days::{Day, Deployment, FaultName, run_day};
 use fleet::judge::{Evidence, EvidenceError, Recovery, Verdict, judge};
 use std::collections::BTreeMap;
-use std::fmt;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 use std::time::Duration;
 
 /// Why a day cannot be run as requested.
+#[derive(Debug, thiserror::Error)]
 pub enum DayError {
+    /// There is no deployment with this name.
+    #[error("unknown deployment {0:?}; there are: stezka, tintwell, small")]
     Deployment(String),
+    /// There is no fault with this name.
+    #[error("unknown fault {0:?}; there are: random, {known}", known = fault_names())]
     Fault(String),
+    /// There is no rule with this name.
+    #[error("unknown rule {0:?}; there are: {known}", known = rule_names())]
     Rule(String),
+    /// A folder cannot be determined.
+    #[error(transparent)]
     Folder(std::io::Error),
 }
 
-impl fmt::Display for DayError {
-    fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            Self::Deployment(name) => {
-                write!(
-                    out,
-                    "unknown deployment {name:?}; there are: stezka, tintwell, small"
-                )
-            }
-            Self::Fault(name) => {
-                let names: Vec<&str> = FaultName::ALL.iter().map(|fault| fault.as_str()).collect();
-                write!(
-                    out,
-                    "unknown fault {name:?}; there are: random, {}",
-                    names.join(", ")
-                )
-            }
-            Self::Rule(name) => {
-                let names: Vec<String> = Rule::ALL.iter().map(Rule::to_string).collect();
-                write!(
-                    out,
-                    "unknown rule {name:?}; there are: {}",
-                    names.join(", ")
-                )
-            }
-            Self::Folder(fault) => write!(out, "{fault}"),
-        }
-    }
+fn fault_names() -> String {
+    let names: Vec<&str> = FaultName::ALL.iter().map(|fault| fault.as_str()).collect();
+    names.join(", ")
+}
+
+fn rule_names() -> String {
+    let names: Vec<String> = Rule::ALL.iter().map(Rule::to_string).collect();
+    names.join(", ")
 }
 
+/// Reads the settings of a day from the command line.
 pub fn read_day(run: &Run) -> Result<Day, DayError> {
     let deployment = Deployment::by_name(&run.deployment)
         .ok_or_else(|| DayError::Deployment(run.deployment.clone()))?;
@@ -82,6 +71,7 @@
     })
 }
 
+/// Prints a verdict; the exit code is 1 unless it is clean.
 pub fn conclude(verdict: &Verdict) -> ExitCode {
     print!("{verdict}");
     let violation_count = verdict.violation_count();
@@ -142,6 +132,7 @@
     })
 }
 
+/// Runs a day in a new folder, and prints the verdict.
 pub fn run_and_conclude(day: &Day) -> eyre::Result<ExitCode> {
     if day.folder.join("journal.jsonl").exists() {
         std::fs::remove_dir_all(&day.folder).wrap_err("old folder")?;
@@ -149,6 +140,6 @@
     let runtime = common::command_line::runtime(4)?;
     let day_result = runtime
         .block_on(run_day(day))
-        .map_err(|fault| eyre!("{fault}"))?;
+        .map_err(|error| eyre!("{error}"))?;
     Ok(conclude(&day_result.verdict))
 }
--- a/testing/fleet/src/commands/simulator.rs
+++ b/testing/fleet/src/commands/simulator.rs
@@ -5,7 +5,6 @@
 use fleet::sim::{
     DETECTION_CASES, Flaw, RunDigest, SEEDS_TO_FIND, Scenario, SimFault, SimPlan, Simulation,
 };
-use std::fmt;
 use std::process::ExitCode;
 use std::time::Duration;
 
@@ -94,37 +93,19 @@
 }
 
 /// Why the requested days cannot be run.
+#[derive(Debug, thiserror::Error)]
 enum PlanError {
+    #[error("unknown flaw {0:?}; there are: {known}", known = joined(&Flaw::all()))]
     Flaw(String),
+    #[error("unknown fault {0:?}; there are: {known}", known = joined(SimFault::ALL))]
     Fault(String),
+    #[error("unknown scenario {0:?}; there are: {known}", known = joined(Scenario::ALL))]
     Scenario(String),
 }
 
-impl fmt::Display for PlanError {
-    fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let (kind, given, known): (_, _, Vec<String>) = match self {
-            Self::Flaw(given) => (
-                "flaw",
-                given,
-                Flaw::all().iter().map(Flaw::to_string).collect(),
-            ),
-            Self::Fault(given) => (
-                "fault",
-                given,
-                SimFault::ALL.iter().map(SimFault::to_string).collect(),
-            ),
-            Self::Scenario(given) => (
-                "scenario",
-                given,
-                Scenario::ALL.iter().map(Scenario::to_string).collect(),
-            ),
-        };
-        write!(
-            out,
-            "unknown {kind} {given:?}; there are: {}",
-            known.join(", ")
-        )
-    }
+fn joined(names: &[impl ToString]) -> String {
+    let names: Vec<String> = names.iter().map(ToString::to_string).collect();
+    names.join(", ")
 }
 
 /// The function that makes the plan of a day from its seed.
--- a/testing/fleet/src/main.rs
+++ b/testing/fleet/src/main.rs
@@ -42,7 +42,7 @@
         Some(Command::Proofs(proofs)) => return check_detection(&proofs),
         Some(Command::Run(run)) => match read_day(&run) {
             Ok(day) => run_and_conclude(&day),
-            Err(fault) => return PROGRAM.fail(fault, 2),
+            Err(error) => return PROGRAM.fail(error, 2),
         },
     };
     ended.unwrap_or_else(|report| PROGRAM.fail(format_args!("{report:#}"), 4))
