--- a/testing/fleet/src/sim/faults.rs
+++ b/testing/fleet/src/sim/faults.rs
@@ -3,6 +3,7 @@
 use super::event::Event;
 use super::network::{Node, PLATFORM};
 use super::simulation::Simulation;
+use common::identity::RunnerId;
 use controlplane::controller_state::ChangeKind;
 use std::fmt;
 use std::time::Duration;
@@ -226,127 +227,34 @@
 
     fn inject(&mut self, fault: SimFault, lasts: Duration) {
         match fault {
-            SimFault::KillController => {
-                let index = self.random_controller_index();
-                self.lose_controller(index, lasts);
-            }
-            SimFault::KillLeader => {
-                if let Some(index) = self.leading_controller() {
-                    self.lose_controller(index, lasts);
-                }
-            }
+            SimFault::KillController => drop(self.kill_random_controller(lasts)),
+            SimFault::KillLeader => self.kill_leader(lasts),
             SimFault::KillDaemon => {
                 let index = self.random_daemon();
                 self.lose_daemon(index, lasts);
             }
-            SimFault::KillGroup => {
-                for index in self.random_group() {
-                    self.lose_daemon(index, lasts);
-                }
-            }
-            SimFault::KillQuorum => {
-                for index in 0..self.controllers.len() {
-                    self.lose_controller(index, lasts);
-                }
-            }
-            SimFault::RestartAll => {
-                for index in 0..self.controllers.len() {
-                    self.lose_controller(index, lasts);
-                }
-                for index in 0..self.daemons.len() {
-                    self.lose_daemon(index, lasts);
-                }
-            }
+            SimFault::KillGroup => self.kill_group(lasts),
+            SimFault::KillQuorum => self.kill_quorum(lasts),
+            SimFault::RestartAll => self.kill_all(lasts),
             SimFault::LoseZone => self.lose_zone(lasts),
-            SimFault::LoseDisk => {
-                if self.may_lose_disk() {
-                    self.count_event("disk lost");
-                    let index = self.random_controller_index();
-                    self.lose_controller(index, lasts);
-                    self.lose_disk(index);
-                }
-            }
+            SimFault::LoseDisk => drop(self.lose_random_disk(lasts)),
             SimFault::ReplaceVoter => {
-                if self.may_lose_disk() {
-                    self.count_event("disk lost");
-                    let index = self.random_controller_index();
-                    self.lose_controller(index, lasts);
-                    self.lose_disk(index);
+                if let Some(index) = self.lose_random_disk(lasts) {
                     self.move_controller(index);
                 }
             }
-            SimFault::DamageDisk => {
-                if self.may_lose_disk() {
-                    let index = self.random_controller_index();
-                    self.lose_controller(index, lasts);
-                    self.damage_disk(index);
-                }
-            }
-            SimFault::KillGroupAndDisk => {
-                if self.may_lose_disk() {
-                    for index in self.random_group() {
-                        self.lose_daemon(index, lasts);
-                    }
-                    let index = self.random_controller_index();
-                    self.lose_controller(index, lasts);
-                    self.lose_disk(index);
-                }
-            }
+            SimFault::DamageDisk => self.damage_random_disk(lasts),
+            SimFault::KillGroupAndDisk => self.kill_group_and_disk(lasts),
             SimFault::Freeze => {
                 let node = self.random_node();
                 self.freeze(node, lasts);
             }
-            SimFault::FreezeHolder => {
-                let holder = (0..self.daemons.len()).max_by_key(|index| {
-                    self.agent(*index)
-                        .map_or(0, |agent| agent.held_functions.load().len())
-                });
-                if let Some(holder) = holder {
-                    self.freeze(
-                        self.daemons[holder].node,
-                        Duration::from_secs(3) + lasts / 2,
-                    );
-                }
-            }
-            SimFault::FreezeGroup => {
-                for index in self.random_group() {
-                    self.freeze(self.daemons[index].node, lasts);
-                }
-            }
-            SimFault::FreezeLeader => {
-                if let Some(index) = self.leading_controller() {
-                    self.freeze(self.controllers[index].node, lasts);
-                }
-            }
-            SimFault::Isolation => {
-                let isolated_node = self.random_node();
-                for other in self.all_nodes() {
-                    self.network.block(isolated_node, other);
-                    self.network.block(other, isolated_node);
-                }
-                self.push(lasts, Event::ClearPartitions);
-            }
-            SimFault::BlockOneDirection => {
-                let isolated_node = self.random_node();
-                let blocks_incoming = self.rng.random_bool(0.5);
-                for other in self.all_nodes() {
-                    if blocks_incoming {
-                        self.network.block(other, isolated_node);
-                    } else {
-                        self.network.block(isolated_node, other);
-                    }
-                }
-                self.push(lasts, Event::ClearPartitions);
-            }
-            SimFault::Partition => {
-                let salt = lasts.subsec_nanos() as usize;
-                let (left, right): (Vec<Node>, Vec<Node>) = self
-                    .all_nodes()
-                    .into_iter()
-                    .partition(|node| (node.0 * 7 + salt).is_multiple_of(3));
-                self.partition(&left, &right);
-                self.push(lasts, Event::ClearPartitions);
-            }
+            SimFault::FreezeHolder => self.freeze_holder(lasts),
+            SimFault::FreezeGroup => self.freeze_group(lasts),
+            SimFault::FreezeLeader => self.freeze_leader(lasts),
+            SimFault::Isolation => self.isolate_random_node(lasts),
+            SimFault::BlockOneDirection => self.block_one_direction(lasts),
+            SimFault::Partition => self.partition_fleet(lasts),
             SimFault::PartitionQuorum => self.partition_quorum(lasts),
             SimFault::StallDisk => {
                 let index = self.random_controller_index();
@@ -356,75 +264,210 @@
                 let index = self.random_controller_index();
                 self.controllers[index].disk.failing_until = self.now + lasts;
             }
-            SimFault::CrashWorker => {
-                let worker_index = self.rng.below(self.platform.workers.len() as u64) as usize;
-                let worker = self.platform.workers[worker_index].worker.clone();
-                self.platform.crash(&worker);
-            }
-            SimFault::LoseRunner => {
-                let count = self.platform.runners.len() as u64;
-                let chosen = self.rng.below(count) as usize;
-                if let Some(runner) = self.platform.runners.keys().nth(chosen).copied() {
-                    self.platform.stop(runner);
-                }
-            }
-            SimFault::RunnerLeaves => {
-                let count = self.platform.runners.len() as u64;
-                let chosen = self.rng.below(count) as usize;
-                if let Some(runner) = self.platform.runners.keys().nth(chosen).copied() {
-                    self.platform
-                        .leaving_since
-                        .entry(runner)
-                        .or_insert(self.now);
-                    self.push(Duration::from_secs(6), Event::StopLeavingRunner(runner));
-                }
-            }
-            SimFault::DrainWorker => {
-                let worker_index = self.rng.below(self.platform.workers.len() as u64) as usize;
-                self.platform.drain(self.now, worker_index);
-                self.push(Duration::from_secs(5) + lasts, Event::RestoreWorkers);
-            }
+            SimFault::CrashWorker => self.crash_random_worker(),
+            SimFault::LoseRunner => self.lose_random_runner(),
+            SimFault::RunnerLeaves => self.announce_leaving_runner(),
+            SimFault::DrainWorker => self.drain_random_worker(lasts),
             SimFault::Evacuate => self.evacuate(lasts),
             SimFault::StopInOrder => {
                 let index = self.random_daemon();
                 self.begin_orderly_stop(index);
             }
-            SimFault::StopAll => {
-                for index in self.random_group() {
-                    self.begin_orderly_stop(index);
-                }
-            }
+            SimFault::StopAll => self.stop_group(),
             SimFault::RunnerFaults => {
                 self.runner_fault_rate = 0.15;
                 self.push(lasts, Event::EndPlatformFaults);
             }
-            SimFault::CallBurst => {
-                let routes = ["f0", "f1", "canary"];
-                let route = routes[self.rng.below(routes.len() as u64) as usize];
-                for _ in 0..60 {
-                    self.send_call(route);
-                }
-            }
-            SimFault::RareCallBurst => {
-                for _ in 0..4 {
-                    for route in ["f0", "f1", "f2", "f3", "f4", "f5"] {
-                        self.send_call(route);
-                    }
-                }
-            }
-            SimFault::ClientRetries => {
-                self.retrying_until = self.now + lasts;
-            }
+            SimFault::CallBurst => self.send_call_burst(),
+            SimFault::RareCallBurst => self.send_rare_call_burst(),
+            SimFault::ClientRetries => self.retrying_until = self.now + lasts,
             SimFault::DelayedList => {
                 self.platform.list_delay = Duration::from_millis(1000) + lasts / 2;
                 self.push(lasts, Event::EndPlatformFaults);
             }
-            SimFault::ChangeStorm => {
-                for _ in 0..8 {
-                    self.send_change();
-                }
+            SimFault::ChangeStorm => self.send_change_storm(),
+        }
+    }
+
+    fn kill_random_controller(&mut self, lasts: Duration) -> usize {
+        let index = self.random_controller_index();
+        self.lose_controller(index, lasts);
+        index
+    }
+
+    fn kill_leader(&mut self, lasts: Duration) {
+        if let Some(index) = self.leading_controller() {
+            self.lose_controller(index, lasts);
+        }
+    }
+
+    fn kill_group(&mut self, lasts: Duration) {
+        for index in self.random_group() {
+            self.lose_daemon(index, lasts);
+        }
+    }
+
+    fn kill_quorum(&mut self, lasts: Duration) {
+        for index in 0..self.controllers.len() {
+            self.lose_controller(index, lasts);
+        }
+    }
+
+    fn kill_all(&mut self, lasts: Duration) {
+        self.kill_quorum(lasts);
+        for index in 0..self.daemons.len() {
+            self.lose_daemon(index, lasts);
+        }
+    }
+
+    /// Kills a random controller and empties its disk, if one more may be lost; returns its index.
+    fn lose_random_disk(&mut self, lasts: Duration) -> Option<usize> {
+        if !self.may_lose_disk() {
+            return None;
+        }
+        self.count_event("disk lost");
+        let index = self.kill_random_controller(lasts);
+        self.lose_disk(index);
+        Some(index)
+    }
+
+    fn damage_random_disk(&mut self, lasts: Duration) {
+        if self.may_lose_disk() {
+            let index = self.kill_random_controller(lasts);
+            self.damage_disk(index);
+        }
+    }
+
+    fn kill_group_and_disk(&mut self, lasts: Duration) {
+        if self.may_lose_disk() {
+            self.kill_group(lasts);
+            let index = self.kill_random_controller(lasts);
+            self.lose_disk(index);
+        }
+    }
+
+    fn freeze_holder(&mut self, lasts: Duration) {
+        let holder = (0..self.daemons.len()).max_by_key(|index| {
+            self.agent(*index)
+                .map_or(0, |agent| agent.held_functions.load().len())
+        });
+        if let Some(holder) = holder {
+            self.freeze(
+                self.daemons[holder].node,
+                Duration::from_secs(3) + lasts / 2,
+            );
+        }
+    }
+
+    fn freeze_group(&mut self, lasts: Duration) {
+        for index in self.random_group() {
+            self.freeze(self.daemons[index].node, lasts);
+        }
+    }
+
+    fn freeze_leader(&mut self, lasts: Duration) {
+        if let Some(index) = self.leading_controller() {
+            self.freeze(self.controllers[index].node, lasts);
+        }
+    }
+
+    fn isolate_random_node(&mut self, lasts: Duration) {
+        let isolated_node = self.random_node();
+        for other in self.all_nodes() {
+            self.network.block(isolated_node, other);
+            self.network.block(other, isolated_node);
+        }
+        self.push(lasts, Event::ClearPartitions);
+    }
+
+    fn block_one_direction(&mut self, lasts: Duration) {
+        let isolated_node = self.random_node();
+        let blocks_incoming = self.rng.random_bool(0.5);
+        for other in self.all_nodes() {
+            if blocks_incoming {
+                self.network.block(other, isolated_node);
+            } else {
+                self.network.block(isolated_node, other);
             }
         }
+        self.push(lasts, Event::ClearPartitions);
+    }
+
+    /// Partitions the fleet in two groups that depend on the duration.
+    fn partition_fleet(&mut self, lasts: Duration) {
+        let salt = lasts.subsec_nanos() as usize;
+        let (left, right): (Vec<Node>, Vec<Node>) = self
+            .all_nodes()
+            .into_iter()
+            .partition(|node| (node.0 * 7 + salt).is_multiple_of(3));
+        self.partition(&left, &right);
+        self.push(lasts, Event::ClearPartitions);
+    }
+
+    fn random_worker_index(&mut self) -> usize {
+        self.rng.below(self.platform.workers.len() as u64) as usize
+    }
+
+    fn random_runner(&mut self) -> Option<RunnerId> {
+        let count = self.platform.runners.len() as u64;
+        let chosen = self.rng.below(count) as usize;
+        self.platform.runners.keys().nth(chosen).copied()
+    }
+
+    fn crash_random_worker(&mut self) {
+        let worker_index = self.random_worker_index();
+        let worker = self.platform.workers[worker_index].worker.clone();
+        self.platform.crash(&worker);
+    }
+
+    fn lose_random_runner(&mut self) {
+        if let Some(runner) = self.random_runner() {
+            self.platform.stop(runner);
+        }
+    }
+
+    fn announce_leaving_runner(&mut self) {
+        if let Some(runner) = self.random_runner() {
+            self.platform
+                .leaving_since
+                .entry(runner)
+                .or_insert(self.now);
+            self.push(Duration::from_secs(6), Event::StopLeavingRunner(runner));
+        }
+    }
+
+    fn drain_random_worker(&mut self, lasts: Duration) {
+        let worker_index = self.random_worker_index();
+        self.platform.drain(self.now, worker_index);
+        self.push(Duration::from_secs(5) + lasts, Event::RestoreWorkers);
+    }
+
+    fn stop_group(&mut self) {
+        for index in self.random_group() {
+            self.begin_orderly_stop(index);
+        }
+    }
+
+    fn send_call_burst(&mut self) {
+        let routes = ["f0", "f1", "canary"];
+        let route = routes[self.rng.below(routes.len() as u64) as usize];
+        for _ in 0..60 {
+            self.send_call(route);
+        }
+    }
+
+    fn send_rare_call_burst(&mut self) {
+        for _ in 0..4 {
+            for route in ["f0", "f1", "f2", "f3", "f4", "f5"] {
+                self.send_call(route);
+            }
+        }
+    }
+
+    fn send_change_storm(&mut self) {
+        for _ in 0..8 {
+            self.send_change();
+        }
     }
 
     fn lose_controller(&mut self, index: usize, lasts: Duration) {
