--- a/testing/fleet/src/sim/checks/mod.rs
+++ b/testing/fleet/src/sim/checks/mod.rs
@@ -237,7 +237,7 @@
     }
 
     /// Checks the beginning of a run on a runner.
-    pub fn runs(
+    pub fn check_run(
         &mut self,
         at: MonotonicTime,
         idempotency_key: &IdempotencyKey,
@@ -499,7 +499,7 @@
     }
 
     /// Checks an answer at a caller: it must be the complete answer of a runner to this request.
-    pub fn answers(
+    pub fn check_answer(
         &mut self,
         at: MonotonicTime,
         idempotency_key: &IdempotencyKey,
--- a/testing/fleet/src/sim/daemon/requests.rs
+++ b/testing/fleet/src/sim/daemon/requests.rs
@@ -472,7 +472,7 @@
             RequestOutcome::Response {
                 seal, runner, body, ..
             } => {
-                self.checks.answers(
+                self.checks.check_answer(
                     self.now,
                     idempotency_key,
                     &request.function,
--- a/testing/fleet/src/sim/founding.rs
+++ b/testing/fleet/src/sim/founding.rs
@@ -13,7 +13,7 @@
 use std::time::Duration;
 
 impl Simulation {
-    pub(super) fn found(&mut self, ids: &[ControllerId]) {
+    pub(super) fn bootstrap(&mut self, ids: &[ControllerId]) {
         let addresses: Vec<SocketAddress> = (1..=ids.len())
             .map(|last| Self::controller_address(last as u8))
             .collect();
--- a/testing/fleet/src/sim/runners.rs
+++ b/testing/fleet/src/sim/runners.rs
@@ -172,7 +172,7 @@
         for zone in worker_zone.into_iter().chain([daemon_zone]) {
             self.checks.check_not_evacuated(self.now, &zone);
         }
-        self.checks.runs(
+        self.checks.check_run(
             self.now,
             &idempotency_key,
             run.call.attempt,
--- a/testing/fleet/src/sim/simulation.rs
+++ b/testing/fleet/src/sim/simulation.rs
@@ -105,7 +105,7 @@
             shares_after_healing: Vec::new(),
             plan,
         };
-        simulation.found(&ids);
+        simulation.bootstrap(&ids);
         for index in 0..simulation.plan.daemons {
             let clock_ahead = Duration::from_secs(simulation.rng.below(100_000));
             let clock_drift = simulation.random_drift();
--- a/testing/fleet/src/synthetic/controllers.rs
+++ b/testing/fleet/src/synthetic/controllers.rs
@@ -47,7 +47,7 @@
 
 impl SyntheticFleet {
     /// Creates the controllers with the first spec on their disks.
-    pub(super) fn found(&mut self, first_spec: Value) {
+    pub(super) fn bootstrap(&mut self, first_spec: Value) {
         let seeds = Self::seeds();
         let ids: Vec<ControllerId> = (0..seeds.len())
             .map(|_| ControllerId(self.rng.number() | 1))
--- a/testing/fleet/src/synthetic/fleet.rs
+++ b/testing/fleet/src/synthetic/fleet.rs
@@ -92,7 +92,7 @@
             rng: SeededRng::seeded(rng.number()),
         };
         let first_spec = catalogue::spec_of(&mut rng, size.functions, size.runners);
-        fleet.found(first_spec);
+        fleet.bootstrap(first_spec);
         for daemon in 0..size.daemons {
             fleet.daemons.push(None);
             let starts_at = fleet.rng.within(Duration::ZERO, STARTS_WITHIN);
