--- a/testing/fleet/src/commands/capacity.rs
+++ b/testing/fleet/src/commands/capacity.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 /// Renders the page's tables and plots.
-pub fn update_page(capacity: &Capacity) -> Result<ExitCode, PageError> {
+pub(crate) fn update_page(capacity: &Capacity) -> Result<ExitCode, PageError> {
     let runs = read_runs(&capacity.from.join("runs"))?;
     let rendered_page = render_page(&capacity.page, &runs)?;
     std::fs::write(&capacity.page, rendered_page)
@@ -20,7 +20,7 @@
 }
 
 /// Runs a synthetic fleet, prints its record and writes it to a file.
-pub fn measure(synthetic: &Synthetic) -> Result<ExitCode, RecordError> {
+pub(crate) fn measure(synthetic: &Synthetic) -> Result<ExitCode, RecordError> {
     let size = SyntheticSize {
         daemons: synthetic.daemons,
         functions: synthetic.functions,
--- a/testing/fleet/src/commands/control_side.rs
+++ b/testing/fleet/src/commands/control_side.rs
@@ -38,7 +38,7 @@
 }
 
 /// Simulates a second loss at each step, and prints the cases with violations.
-pub fn lose_second_machines(chosen: &SecondLosses) -> ExitCode {
+pub(crate) fn lose_second_machines(chosen: &SecondLosses) -> ExitCode {
     let Some(flaw) = Flaw::all()
         .into_iter()
         .find(|flaw| flaw.to_string() == chosen.flaw)
@@ -82,7 +82,7 @@
 
 /// Prints a Markdown table with the violation that is found without each rule of the control side, and the number of
 /// days until then. Returns whether all were found.
-pub fn check_scenario_detection(max_seeds: u64) -> bool {
+pub(crate) fn check_scenario_detection(max_seeds: u64) -> bool {
     println!();
     println!("| scenario | broken | seeds to first finding | seen |");
     println!("|---|---|---|---|");
@@ -102,7 +102,7 @@
 }
 
 /// Prints a Markdown table with the times from each single loss to the next order and session leases.
-pub fn measure_recovery(chosen: &RecoveryOptions) -> ExitCode {
+pub(crate) fn measure_recovery(chosen: &RecoveryOptions) -> ExitCode {
     let Some(size) = QuorumSize::ALL
         .iter()
         .find(|size| size.machines == chosen.machines)
--- a/testing/fleet/src/commands/days.rs
+++ b/testing/fleet/src/commands/days.rs
@@ -12,7 +12,7 @@
 
 /// Why a day cannot be run as requested.
 #[derive(Debug, thiserror::Error)]
-pub enum DayError {
+pub(crate) enum DayError {
     /// There is no deployment with this name.
     #[error("unknown deployment {0:?}; there are: stezka, tintwell, small")]
     Deployment(String),
@@ -38,7 +38,7 @@
 }
 
 /// Reads the settings of a day from the command line.
-pub fn read_day(run: &Run) -> Result<Day, DayError> {
+pub(crate) fn read_day(run: &Run) -> Result<Day, DayError> {
     let deployment = Deployment::by_name(&run.deployment)
         .ok_or_else(|| DayError::Deployment(run.deployment.clone()))?;
     let mut faults = Vec::new();
@@ -72,7 +72,7 @@
 }
 
 /// Prints a verdict; the exit code is 1 unless it is clean.
-pub fn conclude(verdict: &Verdict) -> ExitCode {
+pub(crate) fn conclude(verdict: &Verdict) -> ExitCode {
     print!("{verdict}");
     let violation_count = verdict.violation_count();
     println!("violations: {violation_count}");
@@ -84,7 +84,7 @@
 }
 
 /// Prints a Markdown table with the number of runs, shares of outcomes and recovery times of each fault.
-pub fn tabulate(folders: &[PathBuf]) -> Result<ExitCode, EvidenceError> {
+pub(crate) fn tabulate(folders: &[PathBuf]) -> Result<ExitCode, EvidenceError> {
     let mut by_fault: BTreeMap<String, Vec<Recovery>> = BTreeMap::new();
     let mut violation_count = 0;
     for folder in folders {
@@ -133,7 +133,7 @@
 }
 
 /// Runs a day in a new folder, and prints the verdict.
-pub fn run_and_conclude(day: &Day) -> eyre::Result<ExitCode> {
+pub(crate) fn run_and_conclude(day: &Day) -> eyre::Result<ExitCode> {
     if day.folder.join("journal.jsonl").exists() {
         std::fs::remove_dir_all(&day.folder).wrap_err("old folder")?;
     }
--- a/testing/fleet/src/commands/flags.rs
+++ b/testing/fleet/src/commands/flags.rs
@@ -5,7 +5,7 @@
 
 /// Runs rudderstream's whole fleet on this machine, hurts it, and judges what callers and runners saw.
 #[derive(Options)]
-pub struct Flags {
+pub(crate) struct Flags {
     #[options(help = "print this help")]
     pub help: bool,
     #[options(no_short, help = "print the version")]
@@ -15,7 +15,7 @@
 }
 
 #[derive(Options)]
-pub enum Command {
+pub(crate) enum Command {
     #[options(help = "run a day and judge it")]
     Run(Run),
     #[options(help = "soak real processes in troubles that overlap, over many seeds")]
@@ -44,7 +44,7 @@
 }
 
 #[derive(Options)]
-pub struct Synthetic {
+pub(crate) struct Synthetic {
     #[options(help = "print this help")]
     pub help: bool,
     #[options(no_short, help = "daemons", default = "50")]
@@ -90,7 +90,7 @@
 }
 
 #[derive(Options)]
-pub struct Capacity {
+pub(crate) struct Capacity {
     #[options(help = "print this help")]
     pub help: bool,
     #[options(
@@ -104,7 +104,7 @@
 }
 
 #[derive(Options)]
-pub struct SoakOptions {
+pub(crate) struct SoakOptions {
     #[options(help = "print this help")]
     pub help: bool,
     #[options(help = "the first seed", default = "1")]
@@ -128,13 +128,13 @@
 }
 
 #[derive(Options)]
-pub struct HelpOnly {
+pub(crate) struct HelpOnly {
     #[options(help = "print this help")]
     pub help: bool,
 }
 
 #[derive(Options)]
-pub struct Proofs {
+pub(crate) struct Proofs {
     #[options(help = "print this help")]
     pub help: bool,
     #[options(help = "the most seeds for each rule, if not the proof's own")]
@@ -142,7 +142,7 @@
 }
 
 #[derive(Options)]
-pub struct Judge {
+pub(crate) struct Judge {
     #[options(help = "print this help")]
     pub help: bool,
     #[options(free, required, help = "the day's folder")]
@@ -150,7 +150,7 @@
 }
 
 #[derive(Options)]
-pub struct Table {
+pub(crate) struct Table {
     #[options(help = "print this help")]
     pub help: bool,
     #[options(free, help = "the days' folders")]
@@ -158,7 +158,7 @@
 }
 
 #[derive(Options)]
-pub struct Sim {
+pub(crate) struct Sim {
     #[options(help = "print this help")]
     pub help: bool,
     #[options(help = "the first seed", default = "1")]
@@ -213,7 +213,7 @@
 
 /// Which second losses are played.
 #[derive(Options)]
-pub struct SecondLosses {
+pub(crate) struct SecondLosses {
     #[options(help = "print this help")]
     pub help: bool,
     #[options(help = "seed", default = "1")]
@@ -228,7 +228,7 @@
 
 /// What is measured after each single loss.
 #[derive(Options)]
-pub struct RecoveryOptions {
+pub(crate) struct RecoveryOptions {
     #[options(help = "print this help")]
     pub help: bool,
     #[options(help = "the first seed", default = "1")]
@@ -240,7 +240,7 @@
 }
 
 #[derive(Options)]
-pub struct Run {
+pub(crate) struct Run {
     #[options(help = "print this help")]
     pub help: bool,
     #[options(help = "stezka, tintwell or small", default = "small")]
--- a/testing/fleet/src/commands/mod.rs
+++ b/testing/fleet/src/commands/mod.rs
@@ -1,8 +1,8 @@
 //! The commands of the test tool.
 
-pub mod capacity;
-pub mod control_side;
-pub mod days;
-pub mod flags;
-pub mod simulator;
-pub mod soak;
+pub(crate) mod capacity;
+pub(crate) mod control_side;
+pub(crate) mod days;
+pub(crate) mod flags;
+pub(crate) mod simulator;
+pub(crate) mod soak;
--- a/testing/fleet/src/commands/simulator.rs
+++ b/testing/fleet/src/commands/simulator.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 /// Prints a Markdown table with the violation that is found without each rule, and the number of days until then.
-pub fn check_detection(proofs: &Proofs) -> ExitCode {
+pub(crate) fn check_detection(proofs: &Proofs) -> ExitCode {
     let mut is_complete = true;
     println!(
         "| point | broken | faults | seeds to first finding | seen | checks with all rules kept | breaches |"
@@ -45,7 +45,7 @@
 }
 
 /// Runs a day for each seed and prints the results.
-pub fn simulate(sim: &Sim) -> ExitCode {
+pub(crate) fn simulate(sim: &Sim) -> ExitCode {
     let plan_of = match plans(sim) {
         Ok(plan_of) => plan_of,
         Err(error) => {
--- a/testing/fleet/src/commands/soak.rs
+++ b/testing/fleet/src/commands/soak.rs
@@ -10,7 +10,7 @@
 use tokio::task::JoinSet;
 
 /// Runs soaks with consecutive seeds, some of them concurrently, and prints their findings.
-pub fn run(options: &SoakOptions) -> eyre::Result<ExitCode> {
+pub(crate) fn run(options: &SoakOptions) -> eyre::Result<ExitCode> {
     let own_path = std::env::current_exe().wrap_err("own path")?;
     let programs = own_path.parent().map(Path::to_owned).unwrap_or_default();
     let folder = std::path::absolute(&options.folder).wrap_err("folder")?;
--- a/testing/fleet/src/history/chain.rs
+++ b/testing/fleet/src/history/chain.rs
@@ -6,7 +6,7 @@
 
 /// One version of the configuration in a chain from the first to the newest.
 #[derive(Clone, Debug)]
-pub struct RegisterVersion {
+pub(crate) struct RegisterVersion {
     /// Its number; zero for the state before the first order.
     pub number: u64,
     /// The order that created it; none for the first.
@@ -97,7 +97,7 @@
 /// A depth-first search for the chains from the first version to the newest that was acknowledged, read, or shown to
 /// exist by a refusal. Usually there is one. There are more where orders without a definite reply have the same number
 /// and base version and their content was not read.
-pub struct VersionChainSearch<'a> {
+pub(crate) struct VersionChainSearch<'a> {
     history: &'a History,
     constraints: ChainConstraints<'a>,
     /// The valid orders that were sent, by base version.
@@ -111,7 +111,7 @@
 
 impl<'a> VersionChainSearch<'a> {
     /// Starts a search from the configuration before the first order.
-    pub fn new(history: &'a History, first_content: &Value) -> Self {
+    pub(crate) fn new(history: &'a History, first_content: &Value) -> Self {
         let mut orders_on: BTreeMap<u64, Vec<OrderId>> = BTreeMap::new();
         for (index, order) in history.orders.iter().enumerate() {
             let was_sent = history.first_sent_at(OrderId(index)).is_some();
@@ -144,7 +144,7 @@
     }
 
     /// The anomaly that no chain exists: the highest version that was reached and the next required one.
-    pub fn unreachable_version(&self) -> Anomaly {
+    pub(crate) fn unreachable_version(&self) -> Anomaly {
         let to = self
             .constraints
             .next_after(self.highest_reached)
@@ -156,7 +156,7 @@
     }
 
     /// The next chain, if there is another one.
-    pub fn next_chain(&mut self) -> Option<Vec<RegisterVersion>> {
+    pub(crate) fn next_chain(&mut self) -> Option<Vec<RegisterVersion>> {
         if self.untried_branches.len() == self.chain.len() {
             self.try_next_branch()?;
         }
--- a/testing/fleet/src/history/register.rs
+++ b/testing/fleet/src/history/register.rs
@@ -28,7 +28,7 @@
 
 /// Checks orders and readings of the configuration: a history is explained if one of its chains is. If none is, the
 /// anomalies of the first and likeliest chain are returned.
-pub fn judge(history: &History, first_content: &Value) -> Vec<Anomaly> {
+pub(crate) fn judge(history: &History, first_content: &Value) -> Vec<Anomaly> {
     let mut anomalies = judge_acknowledgements(history);
     if !anomalies.is_empty() {
         return anomalies;
--- a/testing/fleet/src/sim/controller.rs
+++ b/testing/fleet/src/sim/controller.rs
@@ -25,7 +25,7 @@
 use std::time::Duration;
 
 /// A simulated disk.
-pub struct SimDisk {
+pub(crate) struct SimDisk {
     /// The content that survives a crash.
     pub durable: PersistedState,
     /// Until when writes stall.
@@ -37,7 +37,7 @@
 }
 
 /// A simulated controller.
-pub struct SimController {
+pub(crate) struct SimController {
     /// Its node.
     pub node: Node,
     /// The number of its incarnation.
@@ -436,7 +436,7 @@
 
 impl SimDisk {
     /// Completes a write and makes it durable.
-    pub fn store(&mut self, job: &WriteJob) {
+    pub(crate) fn store(&mut self, job: &WriteJob) {
         match job {
             WriteJob::Vote { term, candidate } => {
                 if self
--- a/testing/fleet/src/sim/daemon/mod.rs
+++ b/testing/fleet/src/sim/daemon/mod.rs
@@ -52,7 +52,7 @@
 }
 
 /// A simulated daemon.
-pub struct SimDaemon {
+pub(crate) struct SimDaemon {
     /// Its node.
     pub node: Node,
     /// The number of its incarnation.
@@ -66,7 +66,7 @@
 }
 
 /// The state that is lost with a daemon's process.
-pub struct DaemonProcess {
+pub(crate) struct DaemonProcess {
     pub(in crate::sim) agent: Arc<Agent<u64>>,
     controller: DaemonControl<u64>,
     pending_requests: BTreeMap<u64, PendingRequest>,
--- a/testing/fleet/src/sim/operator.rs
+++ b/testing/fleet/src/sim/operator.rs
@@ -9,7 +9,7 @@
 use serde_json::{Value, json};
 
 /// An operator's change in flight.
-pub struct PendingChange {
+pub(crate) struct PendingChange {
     change: ChangeId,
     base: Option<Version>,
     kind: ChangeKind,
@@ -17,7 +17,7 @@
 }
 
 /// The spec for callers that use a new idempotency key for each attempt.
-pub fn with_fresh_identities(mut spec: Value) -> Value {
+pub(crate) fn with_fresh_identities(mut spec: Value) -> Value {
     let routes = spec["routes"].as_object_mut().into_iter().flatten();
     for (_, route) in routes {
         route["identities"] = json!("fresh");
@@ -26,7 +26,7 @@
 }
 
 /// The routes and functions of the simulated deployment; one function is added and removed over time.
-pub fn spec(turn: u64) -> Value {
+pub(crate) fn spec(turn: u64) -> Value {
     let mut functions = serde_json::Map::new();
     let mut routes = serde_json::Map::new();
     let function_count = if turn % 2 == 1 { 6 } else { 5 };
--- a/testing/fleet/src/sim/order_generator.rs
+++ b/testing/fleet/src/sim/order_generator.rs
@@ -43,7 +43,7 @@
 }
 
 /// A generated order and the operation that requests it.
-pub struct GeneratedOrder {
+pub(crate) struct GeneratedOrder {
     /// The order for the history.
     pub order: Order,
     /// The operation for the controller.
@@ -51,12 +51,12 @@
 }
 
 /// Draws a number above that of the base version.
-pub fn generate_number(rng: &mut SeededRng, base: u64) -> u64 {
+pub(crate) fn generate_number(rng: &mut SeededRng, base: u64) -> u64 {
     base + 1 + rng.below(LONGEST_STEP)
 }
 
 /// Draws a base version: the newest one seen, or occasionally an older one.
-pub fn generate_base(rng: &mut SeededRng, known_numbers: &[u64]) -> u64 {
+pub(crate) fn generate_base(rng: &mut SeededRng, known_numbers: &[u64]) -> u64 {
     let newest = known_numbers.last().copied().unwrap_or(0);
     if rng.random_bool(OLD_BASE_SHARE) && known_numbers.len() > 1 {
         known_numbers[known_numbers.len() - 2]
@@ -66,7 +66,12 @@
 }
 
 /// Generates an order with this number and base version; the label makes its content unique.
-pub fn generate_order(rng: &mut SeededRng, number: u64, base: u64, label: u64) -> GeneratedOrder {
+pub(crate) fn generate_order(
+    rng: &mut SeededRng,
+    number: u64,
+    base: u64,
+    label: u64,
+) -> GeneratedOrder {
     let mistake = rng
         .random_bool(INVALID_SHARE)
         .then(|| MISTAKES[rng.below(MISTAKES.len() as u64) as usize]);
--- a/testing/fleet/src/sim/orders.rs
+++ b/testing/fleet/src/sim/orders.rs
@@ -63,7 +63,7 @@
 }
 
 /// All operators, with the history of what they sent and received.
-pub struct Operators {
+pub(crate) struct Operators {
     history: History,
     commands: BTreeMap<u64, OperatorCommand>,
     sent: HashMap<OperationTicket, SentRequest>,
--- a/testing/fleet/src/sim/platform.rs
+++ b/testing/fleet/src/sim/platform.rs
@@ -16,7 +16,7 @@
 
 /// A simulated runner.
 #[derive(Clone)]
-pub struct SimRunner {
+pub(crate) struct SimRunner {
     /// Its function.
     pub function: FunctionKey,
     /// Its worker.
@@ -37,7 +37,7 @@
 
 /// A simulated platform: runners, delayed lists, stopped runner ids that never start again, and addresses that are
 /// reused as soon as a runner has ended.
-pub struct SimPlatform {
+pub(crate) struct SimPlatform {
     /// The workers.
     pub workers: Vec<ListedWorker>,
     /// The draining workers and since when they are drained.
@@ -60,7 +60,7 @@
 
 impl SimPlatform {
     /// Creates workers in three zones.
-    pub fn new(worker_count: usize, memory_mb: u32) -> Self {
+    pub(crate) fn new(worker_count: usize, memory_mb: u32) -> Self {
         let workers = (0..worker_count)
             .map(|number| ListedWorker {
                 worker: format!("worker-{number}").into(),
@@ -86,7 +86,7 @@
     }
 
     /// Takes a snapshot of the current lists.
-    pub fn snapshot_lists(&mut self, now: MonotonicTime) {
+    pub(crate) fn snapshot_lists(&mut self, now: MonotonicTime) {
         let listed = self
             .runners
             .iter()
@@ -109,7 +109,7 @@
     }
 
     /// The delayed lists with their age.
-    pub fn delayed_lists(
+    pub(crate) fn delayed_lists(
         &self,
         now: MonotonicTime,
     ) -> (Duration, Vec<ListedRunner>, Vec<ListedWorker>) {
@@ -122,7 +122,7 @@
     }
 
     /// The zone of a worker.
-    pub fn zone_of(&self, worker: &WorkerName) -> Option<&Zone> {
+    pub(crate) fn zone_of(&self, worker: &WorkerName) -> Option<&Zone> {
         self.workers
             .iter()
             .find(|listed| listed.worker == *worker)
@@ -130,13 +130,13 @@
     }
 
     /// The runner that listens at an address.
-    pub fn at(&self, address: SocketAddress) -> Option<(RunnerId, &SimRunner)> {
+    pub(crate) fn at(&self, address: SocketAddress) -> Option<(RunnerId, &SimRunner)> {
         let runner = *self.listening.get(&address)?;
         self.runners.get(&runner).map(|held| (runner, held))
     }
 
     /// Starts a runner with this id, unless the id has ended; the same id gives the same instance.
-    pub fn start(&mut self, runner: RunnerId, mut started: SimRunner) -> StartOutcome {
+    pub(crate) fn start(&mut self, runner: RunnerId, mut started: SimRunner) -> StartOutcome {
         if let Some(held) = self.runners.get(&runner) {
             return StartOutcome::Started(held.instance.clone());
         }
@@ -166,7 +166,7 @@
     }
 
     /// Stops an instance for good; without one, whatever was or will be started with the id.
-    pub fn stop_instance(&mut self, runner: RunnerId, instance: Option<&InstanceId>) {
+    pub(crate) fn stop_instance(&mut self, runner: RunnerId, instance: Option<&InstanceId>) {
         match instance {
             Some(instance) => {
                 if let Some(key) = self.by_instance.get(instance).copied() {
@@ -178,7 +178,7 @@
     }
 
     /// Stops the runner with this id for good.
-    pub fn stop(&mut self, runner: RunnerId) {
+    pub(crate) fn stop(&mut self, runner: RunnerId) {
         self.leaving_since.remove(&runner);
         if let Some(held) = self.runners.remove(&runner) {
             self.listening.remove(&held.instance.address);
@@ -188,7 +188,7 @@
     }
 
     /// Stops every runner of a worker.
-    pub fn crash(&mut self, worker: &WorkerName) {
+    pub(crate) fn crash(&mut self, worker: &WorkerName) {
         let lost_runners: Vec<RunnerId> = self
             .runners
             .iter()
@@ -201,7 +201,7 @@
     }
 
     /// Begins to drain a worker.
-    pub fn drain(&mut self, now: MonotonicTime, index: usize) {
+    pub(crate) fn drain(&mut self, now: MonotonicTime, index: usize) {
         let listed = &mut self.workers[index];
         listed.draining = true;
         self.draining_since
@@ -210,7 +210,7 @@
     }
 
     /// Restores all drained workers.
-    pub fn restore(&mut self) {
+    pub(crate) fn restore(&mut self) {
         self.draining_since.clear();
         self.workers
             .iter_mut()
@@ -220,7 +220,7 @@
 
 /// The sender of a request to the platform.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub struct Requester {
+pub(crate) struct Requester {
     /// The node.
     pub node: Node,
     /// Its incarnation.
--- a/testing/fleet/src/sim/recovery.rs
+++ b/testing/fleet/src/sim/recovery.rs
@@ -19,19 +19,19 @@
 
 impl RecoveryClock {
     /// Starts the measurement at the loss.
-    pub fn start(&mut self, now: MonotonicTime) {
+    pub(crate) fn start(&mut self, now: MonotonicTime) {
         self.started_at = Some(now);
     }
 
     /// Records that an order was acknowledged.
-    pub fn acknowledged(&mut self, now: MonotonicTime) {
+    pub(crate) fn acknowledged(&mut self, now: MonotonicTime) {
         if let Some(started_at) = self.started_at {
             self.acknowledged_after.get_or_insert(now.since(started_at));
         }
     }
 
     /// Records that a daemon's session lease was renewed.
-    pub fn renewed(&mut self, now: MonotonicTime, daemon: usize) {
+    pub(crate) fn renewed(&mut self, now: MonotonicTime, daemon: usize) {
         if let Some(started_at) = self.started_at {
             self.renewed_after
                 .entry(daemon)
@@ -40,7 +40,7 @@
     }
 
     /// The recovery times, if everything recovered.
-    pub fn measured(&self, daemons: usize) -> Option<RecoveryTimes> {
+    pub(crate) fn measured(&self, daemons: usize) -> Option<RecoveryTimes> {
         let first_lease = self.renewed_after.values().min().copied()?;
         let last_lease = self.renewed_after.values().max().copied()?;
         let is_whole = self.renewed_after.len() == daemons;
--- a/testing/fleet/src/sim/reply_checks.rs
+++ b/testing/fleet/src/sim/reply_checks.rs
@@ -34,27 +34,32 @@
 
 impl ReplyChecks {
     /// The first order that was acknowledged, as it was sent.
-    pub fn first_acknowledged(&self) -> Option<Operation> {
+    pub(crate) fn first_acknowledged(&self) -> Option<Operation> {
         self.first.clone()
     }
 
     /// The newest version that was acknowledged.
-    pub fn acknowledged(&self) -> Version {
+    pub(crate) fn acknowledged(&self) -> Version {
         self.acknowledged
     }
 
     /// When an order was last acknowledged.
-    pub fn acknowledged_at(&self) -> MonotonicTime {
+    pub(crate) fn acknowledged_at(&self) -> MonotonicTime {
         self.acknowledged_at
     }
 
     /// Records that a controller receives a frame of another one.
-    pub fn record_contact(&mut self, now: MonotonicTime, controller: Node, from: SocketAddress) {
+    pub(crate) fn record_contact(
+        &mut self,
+        now: MonotonicTime,
+        controller: Node,
+        from: SocketAddress,
+    ) {
         self.last_heard_at.insert((controller, from), now);
     }
 
     /// Records that a request reaches a controller.
-    pub fn record_request(&mut self, ticket: OperationTicket, operation: &Operation) {
+    pub(crate) fn record_request(&mut self, ticket: OperationTicket, operation: &Operation) {
         let was_accepted =
             change_of(operation).is_some_and(|change| self.accepted_changes.contains(change));
         let expectations = ReplyExpectation {
--- a/testing/fleet/src/sim/scenario/cut_off.rs
+++ b/testing/fleet/src/sim/scenario/cut_off.rs
@@ -25,7 +25,7 @@
 }
 
 /// The plan of a day with this seed.
-pub fn plan(seed: u64) -> SimPlan {
+pub(crate) fn plan(seed: u64) -> SimPlan {
     let mut script = ScriptBuilder::seeded(seed);
     let targets = [
         Target::Leader,
--- a/testing/fleet/src/sim/scenario/many_changes.rs
+++ b/testing/fleet/src/sim/scenario/many_changes.rs
@@ -27,7 +27,7 @@
 }
 
 /// The plan of a day with this seed.
-pub fn plan(seed: u64) -> SimPlan {
+pub(crate) fn plan(seed: u64) -> SimPlan {
     let mut script = ScriptBuilder::seeded(seed);
     let size = QuorumSize::of_seed(seed);
     let changes_end = FIRST_CHANGE_AT + CHANGE_INTERVAL * CHANGES;
--- a/testing/fleet/src/sim/scenario/power_loss.rs
+++ b/testing/fleet/src/sim/scenario/power_loss.rs
@@ -11,7 +11,7 @@
 const LASTS: Duration = Duration::from_secs(20);
 
 /// The plan of a day with this seed.
-pub fn plan(seed: u64) -> SimPlan {
+pub(crate) fn plan(seed: u64) -> SimPlan {
     let mut script = ScriptBuilder::seeded(seed);
     script.repeat(Duration::from_secs(1), LASTS, CHANGE_INTERVAL, |_| {
         Action::Change
--- a/testing/fleet/src/soak/fault.rs
+++ b/testing/fleet/src/soak/fault.rs
@@ -118,7 +118,7 @@
 
 impl SoakInjector<'_> {
     /// Injects a fault. It does nothing if no target is left that is not affected by another fault.
-    pub async fn begin(&mut self, fault: SoakFault) -> Result<FaultUndo, FleetError> {
+    pub(crate) async fn begin(&mut self, fault: SoakFault) -> Result<FaultUndo, FleetError> {
         self.fleet
             .record_event("trouble", json!({"trouble": fault.as_str()}));
         match fault {
@@ -186,7 +186,7 @@
     }
 
     /// Undoes a fault.
-    pub async fn end(&mut self, undo: FaultUndo) -> Result<(), FleetError> {
+    pub(crate) async fn end(&mut self, undo: FaultUndo) -> Result<(), FleetError> {
         match undo {
             FaultUndo::Nothing => Ok(()),
             FaultUndo::Launch(name) => self.fleet.launch(&name).await,
--- a/testing/fleet/src/synthetic/meter.rs
+++ b/testing/fleet/src/synthetic/meter.rs
@@ -121,7 +121,7 @@
 
 /// Counters by role and work; they count only while it is open.
 #[derive(Default)]
-pub struct Meter {
+pub(crate) struct Meter {
     counters_by_work: BTreeMap<(Role, Work), WorkCounters>,
     is_open: bool,
     /// Processor time of the leading controller's state machine since the start, in nanoseconds.
@@ -130,22 +130,22 @@
 
 impl Meter {
     /// Starts counting.
-    pub fn open(&mut self) {
+    pub(crate) fn open(&mut self) {
         self.is_open = true;
     }
 
     /// Stops counting.
-    pub fn close(&mut self) {
+    pub(crate) fn close(&mut self) {
         self.is_open = false;
     }
 
     /// Whether it counts.
-    pub fn is_open(&self) -> bool {
+    pub(crate) fn is_open(&self) -> bool {
         self.is_open
     }
 
     /// The counters.
-    pub fn counters_by_work(&self) -> &BTreeMap<(Role, Work), WorkCounters> {
+    pub(crate) fn counters_by_work(&self) -> &BTreeMap<(Role, Work), WorkCounters> {
         &self.counters_by_work
     }
 
@@ -156,7 +156,7 @@
 
     /// Runs a step of a state machine and counts its processor time and temporary memory. Returns its result and the
     /// nanoseconds.
-    pub fn measure_step<T>(
+    pub(crate) fn measure_step<T>(
         &mut self,
         role: Role,
         work: Work,
@@ -180,7 +180,7 @@
 
     /// Encodes or decodes a frame and counts its processor time, multiplied by the number of frames that it is a
     /// sample of.
-    pub fn wire<T>(
+    pub(crate) fn wire<T>(
         &mut self,
         role: Role,
         work: Work,
@@ -197,7 +197,7 @@
     }
 
     /// Counts messages sent.
-    pub fn sent(&mut self, role: Role, work: Work, count: u64, bytes: u64) {
+    pub(crate) fn sent(&mut self, role: Role, work: Work, count: u64, bytes: u64) {
         if let Some(counters) = self.counters(role, work) {
             counters.sent += count;
             counters.sent_bytes += bytes;
@@ -205,7 +205,7 @@
     }
 
     /// Counts messages received.
-    pub fn received(&mut self, role: Role, work: Work, count: u64, bytes: u64) {
+    pub(crate) fn received(&mut self, role: Role, work: Work, count: u64, bytes: u64) {
         if let Some(counters) = self.counters(role, work) {
             counters.received += count;
             counters.received_bytes += bytes;
--- a/testing/fleet/src/synthetic/page/capacity_model/controllers.rs
+++ b/testing/fleet/src/synthetic/page/capacity_model/controllers.rs
@@ -14,7 +14,7 @@
 
 impl CapacityModel {
     /// The figures of a follower.
-    pub fn following(&self, runs: &[Run]) -> Vec<Figure> {
+    pub(crate) fn following(&self, runs: &[Run]) -> Vec<Figure> {
         let baseline_runs: Vec<&Run> = runs.iter().filter(|run| run.is_baseline()).collect();
         let predictors = [
             Predictor::One,
@@ -51,7 +51,7 @@
     }
 
     /// The figures of the leader.
-    pub fn leading(&self, runs: &[Run]) -> Vec<Figure> {
+    pub(crate) fn leading(&self, runs: &[Run]) -> Vec<Figure> {
         let baseline_runs: Vec<&Run> = runs.iter().filter(|run| run.is_baseline()).collect();
         let loaded = |name: &str, fit: &Fit, factor: f64| {
             Figure::of(name, Unit::Cores, fit, factor * CORE_MICROS)
--- a/testing/fleet/src/synthetic/page/capacity_model/holder.rs
+++ b/testing/fleet/src/synthetic/page/capacity_model/holder.rs
@@ -15,7 +15,7 @@
 
 impl CapacityModel {
     /// The figures of a daemon as lease holder.
-    pub fn holder(&self, runs: &[Run]) -> Vec<Figure> {
+    pub(crate) fn holder(&self, runs: &[Run]) -> Vec<Figure> {
         let baseline_runs: Vec<&Run> = runs.iter().filter(|run| run.is_baseline()).collect();
         let called: Vec<&Run> = runs.iter().filter(|run| run.is_called()).collect();
         let predictors = [Predictor::One, Predictor::HeldPerDaemon];
--- a/testing/fleet/src/synthetic/page/capacity_model/ingress.rs
+++ b/testing/fleet/src/synthetic/page/capacity_model/ingress.rs
@@ -16,7 +16,7 @@
 
 impl CapacityModel {
     /// The figures of a daemon as ingress.
-    pub fn ingress(&self, runs: &[Run]) -> Vec<Figure> {
+    pub(crate) fn ingress(&self, runs: &[Run]) -> Vec<Figure> {
         let baseline_runs: Vec<&Run> = runs.iter().filter(|run| run.is_baseline()).collect();
         let called: Vec<&Run> = runs.iter().filter(|run| run.is_called()).collect();
         let by_daemon = |predictors: &[Predictor], read: &dyn Fn(&Run) -> f64| {
--- a/testing/fleet/src/synthetic/page/capacity_model/mod.rs
+++ b/testing/fleet/src/synthetic/page/capacity_model/mod.rs
@@ -19,7 +19,7 @@
 const MEGABYTE: f64 = 1e6;
 
 /// The fitted models from which figures of the page are computed.
-pub struct CapacityModel {
+pub(crate) struct CapacityModel {
     /// Heartbeat bytes that a daemon sends and receives per second.
     pub beat_bytes: Fit,
     /// The processor time of one renewal at the leader, in microseconds.
@@ -62,7 +62,7 @@
 
 impl CapacityModel {
     /// Fits the models to complete runs without calls.
-    pub fn of(runs: &[Run]) -> Self {
+    pub(crate) fn of(runs: &[Run]) -> Self {
         let baseline_runs: Vec<&Run> = runs.iter().filter(|run| run.is_baseline()).collect();
         Self {
             beat_bytes: Fit::of(
@@ -104,7 +104,7 @@
     }
 
     /// The leader's processor time per second at any size, in microseconds.
-    pub fn leader_busy(&self, value_of: &dyn Fn(Predictor) -> f64) -> f64 {
+    pub(crate) fn leader_busy(&self, value_of: &dyn Fn(Predictor) -> f64) -> f64 {
         let daemons = value_of(Predictor::Daemons);
         self.renewal_each.line.at(value_of) * daemons / 0.3
             + self.idle_each.line.at(value_of) * daemons
@@ -113,7 +113,7 @@
     }
 
     /// The time for a change to come into force at any size, in milliseconds.
-    pub fn force_ms(&self, value_of: &dyn Fn(Predictor) -> f64) -> f64 {
+    pub(crate) fn force_ms(&self, value_of: &dyn Fn(Predictor) -> f64) -> f64 {
         self.force_network.line.at(value_of)
             + self.force_leader.line.at(value_of)
             + self.install.line.at(value_of)
--- a/testing/fleet/src/synthetic/page/capacity_model/platform.rs
+++ b/testing/fleet/src/synthetic/page/capacity_model/platform.rs
@@ -16,7 +16,7 @@
 
 impl CapacityModel {
     /// The figures of the clients of the platform.
-    pub fn platform(&self, runs: &[Run]) -> Vec<Figure> {
+    pub(crate) fn platform(&self, runs: &[Run]) -> Vec<Figure> {
         let baseline_runs: Vec<&Run> = runs.iter().filter(|run| run.is_baseline()).collect();
         let predictors = [Predictor::One, Predictor::Daemons, Predictor::Instances];
         let by_poll = |key: &'static str| {
--- a/testing/fleet/src/synthetic/page/figure.rs
+++ b/testing/fleet/src/synthetic/page/figure.rs
@@ -5,7 +5,7 @@
 
 /// The unit of a figure.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Unit {
+pub(crate) enum Unit {
     /// Bytes.
     Bytes,
     /// Bytes per second.
@@ -47,7 +47,7 @@
 
 /// A row of a role's table: a sum of fitted models, each with its factor at the target size.
 #[derive(Clone, Debug)]
-pub struct Figure {
+pub(crate) struct Figure {
     /// The name.
     pub name: String,
     /// The unit.
@@ -61,7 +61,7 @@
 }
 
 /// Formats a number with three significant digits and separated thousands.
-pub fn format_figure(value: f64) -> String {
+pub(crate) fn format_figure(value: f64) -> String {
     let size = value.abs();
     if size == 0.0 {
         return "0".to_owned();
@@ -90,7 +90,7 @@
 
 impl Figure {
     /// A figure of one model with a factor.
-    pub fn of(name: &str, unit: Unit, fit: &Fit, factor: f64) -> Self {
+    pub(crate) fn of(name: &str, unit: Unit, fit: &Fit, factor: f64) -> Self {
         let parts = vec![(fit.clone(), factor)];
         Self {
             name: name.to_owned(),
@@ -102,7 +102,7 @@
     }
 
     /// The sum of other figures.
-    pub fn sum(name: &str, unit: Unit, figures: &[&Figure]) -> Self {
+    pub(crate) fn sum(name: &str, unit: Unit, figures: &[&Figure]) -> Self {
         let parts = figures
             .iter()
             .flat_map(|figure| figure.parts.clone())
@@ -117,13 +117,13 @@
     }
 
     /// Sets the budget.
-    pub fn within(mut self, budget: f64) -> Self {
+    pub(crate) fn within(mut self, budget: f64) -> Self {
         self.budget = Some(budget);
         self
     }
 
     /// The value at the target size.
-    pub fn at_target(&self) -> f64 {
+    pub(crate) fn at_target(&self) -> f64 {
         self.parts
             .iter()
             .map(|(fit, factor)| fit.line.at_target() * factor)
@@ -131,7 +131,7 @@
     }
 
     /// The ratio of the value to the budget; above one the budget is exceeded.
-    pub fn ratio(&self) -> Option<f64> {
+    pub(crate) fn ratio(&self) -> Option<f64> {
         self.budget.map(|budget| self.at_target() / budget)
     }
 
@@ -176,7 +176,7 @@
     }
 
     /// The row as Markdown.
-    pub fn row(&self) -> String {
+    pub(crate) fn row(&self) -> String {
         let spread = match self.spread() {
             Some((least, most)) => format!("{} to {}", format_figure(least), format_figure(most)),
             None => "worked out".to_owned(),
--- a/testing/fleet/src/synthetic/page/fit.rs
+++ b/testing/fleet/src/synthetic/page/fit.rs
@@ -204,7 +204,7 @@
 
 /// A model fitted to all runs, and one fitted to the runs of each seed.
 #[derive(Clone, Debug)]
-pub struct Fit {
+pub(crate) struct Fit {
     /// The model of all runs.
     pub line: LinearModel,
     /// The models by seed.
@@ -213,7 +213,11 @@
 
 impl Fit {
     /// Fits the values that are read from the runs; runs without a value are left out.
-    pub fn of(predictors: &[Predictor], runs: &[&Run], read: impl Fn(&Run) -> Option<f64>) -> Self {
+    pub(crate) fn of(
+        predictors: &[Predictor],
+        runs: &[&Run],
+        read: impl Fn(&Run) -> Option<f64>,
+    ) -> Self {
         let points: Vec<(&Run, f64)> = runs
             .iter()
             .filter_map(|run| Some((*run, read(run)?)))
@@ -239,7 +243,7 @@
     }
 
     /// A constant that is not measured.
-    pub fn fixed(value: f64) -> Self {
+    pub(crate) fn fixed(value: f64) -> Self {
         Self {
             line: LinearModel {
                 parts: vec![(Predictor::One, value)],
@@ -249,12 +253,12 @@
     }
 
     /// Only the contribution of one predictor.
-    pub fn only(&self, wanted: Predictor) -> Self {
+    pub(crate) fn only(&self, wanted: Predictor) -> Self {
         self.restricted_to(&|predictor| predictor == wanted)
     }
 
     /// All but the contribution of one predictor.
-    pub fn without(&self, unwanted: Predictor) -> Self {
+    pub(crate) fn without(&self, unwanted: Predictor) -> Self {
         self.restricted_to(&|predictor| predictor != unwanted)
     }
 
--- a/testing/fleet/src/synthetic/page/plots.rs
+++ b/testing/fleet/src/synthetic/page/plots.rs
@@ -7,7 +7,7 @@
 use std::path::{Path, PathBuf};
 
 /// Why a plot cannot be drawn.
-pub type DrawError = DrawingAreaErrorKind<std::io::Error>;
+pub(crate) type DrawError = DrawingAreaErrorKind<std::io::Error>;
 
 /// A plot of measured and modelled values by size, with logarithmic axes.
 struct Plot {
--- a/testing/fleet/src/synthetic/page/runs.rs
+++ b/testing/fleet/src/synthetic/page/runs.rs
@@ -25,7 +25,7 @@
 
 impl ChangeTimes {
     /// The sum of the parts.
-    pub fn total_ms(&self) -> f64 {
+    pub(crate) fn total_ms(&self) -> f64 {
         self.network_ms + self.leader_ms + self.install_ms
     }
 }
--- a/testing/fleet/src/synthetic/platform.rs
+++ b/testing/fleet/src/synthetic/platform.rs
@@ -36,7 +36,7 @@
 
 impl SyntheticPlatform {
     /// Creates workers, assigned to the zones in turn.
-    pub fn new(worker_count: usize, memory_mb: u32) -> Self {
+    pub(crate) fn new(worker_count: usize, memory_mb: u32) -> Self {
         let workers = (0..worker_count)
             .map(|number| ListedWorker {
                 worker: format!("worker-{number:04}").into(),
@@ -54,7 +54,7 @@
     }
 
     /// Starts a runner; returns its instance.
-    pub fn start(
+    pub(crate) fn start(
         &mut self,
         runner: RunnerId,
         function: FunctionKey,
@@ -83,25 +83,25 @@
     }
 
     /// Stops a runner.
-    pub fn stop(&mut self, runner: RunnerId) {
+    pub(crate) fn stop(&mut self, runner: RunnerId) {
         if let Some(stopped) = self.runners.remove(&runner) {
             self.listening.remove(&stopped.instance.address);
         }
     }
 
     /// The runner that listens at an address.
-    pub fn at(&self, address: SocketAddress) -> Option<(RunnerId, &SyntheticRunner)> {
+    pub(crate) fn at(&self, address: SocketAddress) -> Option<(RunnerId, &SyntheticRunner)> {
         let runner = *self.listening.get(&address)?;
         self.runners.get(&runner).map(|held| (runner, held))
     }
 
     /// The number of runners.
-    pub fn runner_count(&self) -> usize {
+    pub(crate) fn runner_count(&self) -> usize {
         self.runners.len()
     }
 
     /// The lists of workers and runners as the platform sends them.
-    pub fn list_bodies(&self) -> (Vec<u8>, Vec<u8>) {
+    pub(crate) fn list_bodies(&self) -> (Vec<u8>, Vec<u8>) {
         let workers: Vec<Value> = self
             .workers
             .iter()
--- a/testing/fleet/src/synthetic/zones.rs
+++ b/testing/fleet/src/synthetic/zones.rs
@@ -8,21 +8,21 @@
 
 /// The zone of a machine: there are ten zones in three regions, to which machines are assigned in turn.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub struct ZoneNumber(usize);
+pub(crate) struct ZoneNumber(usize);
 
 impl ZoneNumber {
     /// The zone of the machine with this number.
-    pub fn of(number: usize) -> Self {
+    pub(crate) fn of(number: usize) -> Self {
         Self(number % ZONES)
     }
 
     /// The zone as in settings and frames.
-    pub fn zone(self) -> Zone {
+    pub(crate) fn zone(self) -> Zone {
         format!("region-{}-zone-{}", self.0 % REGIONS + 1, self.0 + 1).into()
     }
 
     /// The delay of a message to another zone: 0.5 ms within a zone, 2 ms within a region, and 35 ms between regions.
-    pub fn delay_to(self, other: ZoneNumber) -> Duration {
+    pub(crate) fn delay_to(self, other: ZoneNumber) -> Duration {
         if self == other {
             Duration::from_micros(500)
         } else if self.0 % REGIONS == other.0 % REGIONS {
--- a/testing/platform-stub/src/platform/lists.rs
+++ b/testing/platform-stub/src/platform/lists.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 /// The lists of workers and runners as they were some time ago.
-pub struct DelayedLists {
+pub(crate) struct DelayedLists {
     lag: Duration,
     snapshots: VecDeque<Snapshot>,
 }
@@ -19,7 +19,7 @@
 
 impl DelayedLists {
     /// Empty lists with the given delay.
-    pub fn new(lag: Duration) -> Self {
+    pub(crate) fn new(lag: Duration) -> Self {
         Self {
             lag,
             snapshots: VecDeque::new(),
@@ -27,7 +27,7 @@
     }
 
     /// Takes a snapshot of the current lists and drops those that are no longer needed.
-    pub fn take_snapshot(&mut self, now: MonotonicTime, workers: Value, runners: Value) {
+    pub(crate) fn take_snapshot(&mut self, now: MonotonicTime, workers: Value, runners: Value) {
         self.snapshots.push_back(Snapshot {
             taken_at: now,
             workers,
@@ -45,7 +45,7 @@
     }
 
     /// The delayed list of workers with its age.
-    pub fn workers(&self, now: MonotonicTime) -> Value {
+    pub(crate) fn workers(&self, now: MonotonicTime) -> Value {
         let listed = self
             .snapshots
             .front()
@@ -54,7 +54,7 @@
     }
 
     /// The delayed list of runners with its age.
-    pub fn runners(&self, now: MonotonicTime) -> Value {
+    pub(crate) fn runners(&self, now: MonotonicTime) -> Value {
         let listed = self
             .snapshots
             .front()
