--- a/testing/fleet/src/commands/capacity.rs
+++ b/testing/fleet/src/commands/capacity.rs
@@ -1,4 +1,4 @@
-//! Synthetic fleets, measured, and the capacity page made from their records.
+//! Measurements of synthetic fleets, and the capacity page that is rendered from their records.
 
 use super::flags::{Capacity, Synthetic};
 use fleet::synthetic::page::{PageError, draw_plots, read_runs, render_page};
@@ -6,8 +6,8 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-/// Makes the page's tables and plots anew.
-pub fn update_page(capacity: &Capacity) -> Result<ExitCode, PageError> {
+/// Renders the page's tables and plots.
+pub(crate) fn update_page(capacity: &Capacity) -> Result<ExitCode, PageError> {
     let runs = read_runs(&capacity.from.join("runs"))?;
     let rendered_page = render_page(&capacity.page, &runs)?;
     std::fs::write(&capacity.page, rendered_page)
@@ -19,8 +19,8 @@
     Ok(ExitCode::SUCCESS)
 }
 
-/// Runs a synthetic fleet, prints what it came to, and keeps it.
-pub fn measure(synthetic: &Synthetic) -> Result<ExitCode, RecordError> {
+/// Runs a synthetic fleet, prints its record and writes it to a file.
+pub(crate) fn measure(synthetic: &Synthetic) -> Result<ExitCode, RecordError> {
     let size = SyntheticSize {
         daemons: synthetic.daemons,
         functions: synthetic.functions,
--- a/testing/fleet/src/commands/days.rs
+++ b/testing/fleet/src/commands/days.rs
@@ -1,4 +1,4 @@
-//! Days of the whole fleet: run, judged, and summed up in a table.
+//! Days of a fleet: running, judging, and summarizing them in a table.
 
 use super::flags::Run;
 use common::rules::Rule;
@@ -6,50 +6,39 @@
 use fleet::days::{Day, Deployment, FaultName, run_day};
 use fleet::judge::{Evidence, EvidenceError, Recovery, Verdict, judge};
 use std::collections::BTreeMap;
-use std::fmt;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 use std::time::Duration;
 
-/// Why no day can be run.
-pub enum DayError {
+/// Why a day cannot be run as requested.
+#[derive(Debug, thiserror::Error)]
+pub(crate) enum DayError {
+    /// There is no deployment with this name.
+    #[error("unknown deployment {0:?}; there are: stezka, tintwell, small")]
     Deployment(String),
+    /// There is no fault with this name.
+    #[error("unknown fault {0:?}; there are: random, {known}", known = fault_names())]
     Fault(String),
+    /// There is no rule with this name.
+    #[error("unknown rule {0:?}; there are: {known}", known = rule_names())]
     Rule(String),
+    /// A folder cannot be determined.
+    #[error(transparent)]
     Folder(std::io::Error),
 }
 
-impl fmt::Display for DayError {
-    fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            Self::Deployment(name) => {
-                write!(
-                    out,
-                    "unknown deployment {name:?}; there are: stezka, tintwell, small"
-                )
-            }
-            Self::Fault(name) => {
-                let names: Vec<&str> = FaultName::ALL.iter().map(|fault| fault.as_str()).collect();
-                write!(
-                    out,
-                    "unknown fault {name:?}; there are: random, {}",
-                    names.join(", ")
-                )
-            }
-            Self::Rule(name) => {
-                let names: Vec<String> = Rule::ALL.iter().map(Rule::to_string).collect();
-                write!(
-                    out,
-                    "unknown rule {name:?}; there are: {}",
-                    names.join(", ")
-                )
-            }
-            Self::Folder(fault) => write!(out, "{fault}"),
-        }
-    }
+fn fault_names() -> String {
+    let names: Vec<&str> = FaultName::ALL.iter().map(|fault| fault.as_str()).collect();
+    names.join(", ")
+}
+
+fn rule_names() -> String {
+    let names: Vec<String> = Rule::ALL.iter().map(Rule::to_string).collect();
+    names.join(", ")
 }
 
-pub fn read_day(run: &Run) -> Result<Day, DayError> {
+/// Reads the settings of a day from the command line.
+pub(crate) fn read_day(run: &Run) -> Result<Day, DayError> {
     let deployment = Deployment::by_name(&run.deployment)
         .ok_or_else(|| DayError::Deployment(run.deployment.clone()))?;
     let mut faults = Vec::new();
@@ -82,7 +71,8 @@
     })
 }
 
-pub fn conclude(verdict: &Verdict) -> ExitCode {
+/// Prints a verdict; the exit code is 1 unless it is clean.
+pub(crate) fn conclude(verdict: &Verdict) -> ExitCode {
     print!("{verdict}");
     let violation_count = verdict.violation_count();
     println!("violations: {violation_count}");
@@ -93,8 +83,8 @@
     }
 }
 
-/// Prints a table in Markdown: for each fault its runs, shares, and times to recovery.
-pub fn tabulate(folders: &[PathBuf]) -> Result<ExitCode, EvidenceError> {
+/// Prints a Markdown table with the number of runs, shares of outcomes and recovery times of each fault.
+pub(crate) fn tabulate(folders: &[PathBuf]) -> Result<ExitCode, EvidenceError> {
     let mut by_fault: BTreeMap<String, Vec<Recovery>> = BTreeMap::new();
     let mut violation_count = 0;
     for folder in folders {
@@ -142,13 +132,14 @@
     })
 }
 
-pub fn run_and_conclude(day: &Day) -> eyre::Result<ExitCode> {
+/// Runs a day in a new folder, and prints the verdict.
+pub(crate) fn run_and_conclude(day: &Day) -> eyre::Result<ExitCode> {
     if day.folder.join("journal.jsonl").exists() {
         std::fs::remove_dir_all(&day.folder).wrap_err("old folder")?;
     }
     let runtime = common::command_line::runtime(4)?;
     let day_result = runtime
         .block_on(run_day(day))
-        .map_err(|fault| eyre!("{fault}"))?;
+        .map_err(|error| eyre!("{error}"))?;
     Ok(conclude(&day_result.verdict))
 }
--- a/testing/fleet/src/commands/simulator.rs
+++ b/testing/fleet/src/commands/simulator.rs
@@ -1,16 +1,15 @@
-//! Simulated days over many seeds, and the proofs that each safety rule is needed.
+//! Simulated days with many seeds, and the detection cases of safety rules.
 
 use super::control_side::check_scenario_detection;
 use super::flags::{Proofs, Sim};
 use fleet::sim::{
     DETECTION_CASES, Flaw, RunDigest, SEEDS_TO_FIND, Scenario, SimFault, SimPlan, Simulation,
 };
-use std::fmt;
 use std::process::ExitCode;
 use std::time::Duration;
 
-/// Prints a table in Markdown: for each rule what is seen without it, and how soon.
-pub fn check_detection(proofs: &Proofs) -> ExitCode {
+/// Prints a Markdown table with the violation that is found without each rule, and the number of days until then.
+pub(crate) fn check_detection(proofs: &Proofs) -> ExitCode {
     let mut is_complete = true;
     println!(
         "| point | broken | faults | seeds to first finding | seen | checks with all rules kept | breaches |"
@@ -45,8 +44,8 @@
     }
 }
 
-/// Runs the days of the seeds and prints how each ended.
-pub fn simulate(sim: &Sim) -> ExitCode {
+/// Runs a day for each seed and prints the results.
+pub(crate) fn simulate(sim: &Sim) -> ExitCode {
     let plan_of = match plans(sim) {
         Ok(plan_of) => plan_of,
         Err(error) => {
@@ -93,41 +92,23 @@
     }
 }
 
-/// Why there are no days to run.
+/// Why the requested days cannot be run.
+#[derive(Debug, thiserror::Error)]
 enum PlanError {
+    #[error("unknown flaw {0:?}; there are: {known}", known = joined(&Flaw::all()))]
     Flaw(String),
+    #[error("unknown fault {0:?}; there are: {known}", known = joined(SimFault::ALL))]
     Fault(String),
+    #[error("unknown scenario {0:?}; there are: {known}", known = joined(Scenario::ALL))]
     Scenario(String),
 }
 
-impl fmt::Display for PlanError {
-    fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let (kind, given, known): (_, _, Vec<String>) = match self {
-            Self::Flaw(given) => (
-                "flaw",
-                given,
-                Flaw::all().iter().map(Flaw::to_string).collect(),
-            ),
-            Self::Fault(given) => (
-                "fault",
-                given,
-                SimFault::ALL.iter().map(SimFault::to_string).collect(),
-            ),
-            Self::Scenario(given) => (
-                "scenario",
-                given,
-                Scenario::ALL.iter().map(Scenario::to_string).collect(),
-            ),
-        };
-        write!(
-            out,
-            "unknown {kind} {given:?}; there are: {}",
-            known.join(", ")
-        )
-    }
+fn joined(names: &[impl ToString]) -> String {
+    let names: Vec<String> = names.iter().map(ToString::to_string).collect();
+    names.join(", ")
 }
 
-/// What makes the day of each seed.
+/// The function that makes the plan of a day from its seed.
 fn plans(sim: &Sim) -> Result<Box<dyn Fn(u64) -> SimPlan>, PlanError> {
     let flaw = Flaw::all()
         .into_iter()
--- a/testing/fleet/src/sim/platform.rs
+++ b/testing/fleet/src/sim/platform.rs
@@ -1,3 +1,5 @@
+//! The simulated platform with its workers and runners.
+
 use super::event::Event;
 use super::network::Node;
 use super::simulation::Simulation;
@@ -12,53 +14,53 @@
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::time::Duration;
 
-/// One virtual runner.
+/// A simulated runner.
 #[derive(Clone)]
-pub struct SimRunner {
+pub(crate) struct SimRunner {
     /// Its function.
     pub function: FunctionKey,
-    /// Where it runs.
+    /// Its worker.
     pub worker: WorkerName,
-    /// Its life, as the platform names it.
+    /// Its instance id at the platform.
     pub instance: Instance,
-    /// When it is ready.
+    /// When its startup is finished.
     pub ready_at: MonotonicTime,
-    /// What it is running, and for which grant.
+    /// The requests that it runs, with the fencing tokens of their lease holders.
     pub running: BTreeMap<IdempotencyKey, FencingToken>,
-    /// How many it may run.
+    /// How many requests it may run concurrently.
     pub slots: u32,
-    /// How many good answers it has sent.
+    /// The number of good answers that it has sent.
     pub answered: u32,
-    /// The last answer it sealed, with the names in the seal.
+    /// The last answer that it sealed, with the names in the seal.
     pub last_sealed: Option<(IdempotencyKey, String, Vec<u8>)>,
 }
 
-/// A virtual platform: runners, late lists, stopped names that never start again, and addresses that
-/// are given to the next runner as soon as one is gone.
-pub struct SimPlatform {
+/// A simulated platform: runners, delayed lists, stopped runner ids that never start again, and addresses that are
+/// reused as soon as a runner has ended.
+pub(crate) struct SimPlatform {
     /// The workers.
     pub workers: Vec<ListedWorker>,
-    /// Since when workers are being drained.
+    /// The draining workers and since when they are drained.
     pub draining_since: BTreeMap<WorkerName, MonotonicTime>,
-    /// The runners alive.
+    /// The running runners.
     pub runners: BTreeMap<RunnerId, SimRunner>,
-    /// The names that have ended.
+    /// The runner ids that have ended.
     pub ended: BTreeSet<RunnerId>,
-    /// How late the list of runners is.
+    /// The delay of the list of runners.
     pub list_delay: Duration,
     listening: BTreeMap<SocketAddress, RunnerId>,
     by_instance: BTreeMap<InstanceId, RunnerId>,
     instance_count: u64,
     free_addresses: Vec<SocketAddress>,
     address_count: u16,
-    /// Since when runners are about to leave.
+    /// The runners that announced that they leave, and when.
     pub leaving_since: BTreeMap<RunnerId, MonotonicTime>,
     listed_snapshots: VecDeque<(MonotonicTime, Vec<ListedRunner>, Vec<ListedWorker>)>,
 }
 
 impl SimPlatform {
-    /// Workers in three zones.
-    pub fn new(worker_count: usize, memory_mb: u32) -> Self {
+    /// Creates workers in three zones.
+    pub(crate) fn new(worker_count: usize, memory_mb: u32) -> Self {
         let workers = (0..worker_count)
             .map(|number| ListedWorker {
                 worker: format!("worker-{number}").into(),
@@ -83,8 +85,8 @@
         }
     }
 
-    /// Takes a list as things stand.
-    pub fn snapshot_lists(&mut self, now: MonotonicTime) {
+    /// Takes a snapshot of the current lists.
+    pub(crate) fn snapshot_lists(&mut self, now: MonotonicTime) {
         let listed = self
             .runners
             .iter()
@@ -106,8 +108,8 @@
         }
     }
 
-    /// The late lists with their age.
-    pub fn delayed_lists(
+    /// The delayed lists with their age.
+    pub(crate) fn delayed_lists(
         &self,
         now: MonotonicTime,
     ) -> (Duration, Vec<ListedRunner>, Vec<ListedWorker>) {
@@ -120,21 +122,21 @@
     }
 
     /// The zone of a worker.
-    pub fn zone_of(&self, worker: &WorkerName) -> Option<&Zone> {
+    pub(crate) fn zone_of(&self, worker: &WorkerName) -> Option<&Zone> {
         self.workers
             .iter()
             .find(|listed| listed.worker == *worker)
             .map(|listed| &listed.zone)
     }
 
-    /// Who listens at a place.
-    pub fn at(&self, address: SocketAddress) -> Option<(RunnerId, &SimRunner)> {
+    /// The runner that listens at an address.
+    pub(crate) fn at(&self, address: SocketAddress) -> Option<(RunnerId, &SimRunner)> {
         let runner = *self.listening.get(&address)?;
         self.runners.get(&runner).map(|held| (runner, held))
     }
 
-    /// Starts a runner under a key, unless that has ended; the same key finds the same life.
-    pub fn start(&mut self, runner: RunnerId, mut started: SimRunner) -> StartOutcome {
+    /// Starts a runner with this id, unless the id has ended; the same id gives the same instance.
+    pub(crate) fn start(&mut self, runner: RunnerId, mut started: SimRunner) -> StartOutcome {
         if let Some(held) = self.runners.get(&runner) {
             return StartOutcome::Started(held.instance.clone());
         }
@@ -163,8 +165,8 @@
         StartOutcome::Started(instance)
     }
 
-    /// Stops a life for good; without one, whatever the key has started or will.
-    pub fn stop_instance(&mut self, runner: RunnerId, instance: Option<&InstanceId>) {
+    /// Stops an instance for good; without one, whatever was or will be started with the id.
+    pub(crate) fn stop_instance(&mut self, runner: RunnerId, instance: Option<&InstanceId>) {
         match instance {
             Some(instance) => {
                 if let Some(key) = self.by_instance.get(instance).copied() {
@@ -175,8 +177,8 @@
         }
     }
 
-    /// Stops the runner of a key for good.
-    pub fn stop(&mut self, runner: RunnerId) {
+    /// Stops the runner with this id for good.
+    pub(crate) fn stop(&mut self, runner: RunnerId) {
         self.leaving_since.remove(&runner);
         if let Some(held) = self.runners.remove(&runner) {
             self.listening.remove(&held.instance.address);
@@ -186,7 +188,7 @@
     }
 
     /// Stops every runner of a worker.
-    pub fn crash(&mut self, worker: &WorkerName) {
+    pub(crate) fn crash(&mut self, worker: &WorkerName) {
         let lost_runners: Vec<RunnerId> = self
             .runners
             .iter()
@@ -199,7 +201,7 @@
     }
 
     /// Begins to drain a worker.
-    pub fn drain(&mut self, now: MonotonicTime, index: usize) {
+    pub(crate) fn drain(&mut self, now: MonotonicTime, index: usize) {
         let listed = &mut self.workers[index];
         listed.draining = true;
         self.draining_since
@@ -207,8 +209,8 @@
             .or_insert(now);
     }
 
-    /// Takes every drained worker back.
-    pub fn restore(&mut self) {
+    /// Restores all drained workers.
+    pub(crate) fn restore(&mut self) {
         self.draining_since.clear();
         self.workers
             .iter_mut()
@@ -216,17 +218,17 @@
     }
 }
 
-/// Who asked the platform for something.
+/// The sender of a request to the platform.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub struct Requester {
+pub(crate) struct Requester {
     /// The node.
     pub node: Node,
-    /// Its life.
+    /// Its incarnation.
     pub instance: u64,
 }
 
 impl Simulation {
-    /// An order to start reaches the platform; its answer may be lost, or the platform busy.
+    /// Handles a request to start a runner; its response may be lost, or the platform overloaded.
     pub(super) fn start_runner(
         &mut self,
         requester: Requester,
--- a/testing/fleet/src/synthetic/page/figure.rs
+++ b/testing/fleet/src/synthetic/page/figure.rs
@@ -1,22 +1,22 @@
-//! One figure of the page: a fitted line at the size asked for, with its budget.
+//! A figure of the page: fitted models at the target size, with a budget.
 
 use super::fit::{Fit, Predictor};
 use std::fmt;
 
-/// What a figure is counted in.
+/// The unit of a figure.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Unit {
+pub(crate) enum Unit {
     /// Bytes.
     Bytes,
-    /// Bytes a second.
+    /// Bytes per second.
     BytesASecond,
     /// Megabytes.
     Megabytes,
-    /// Messages a second.
+    /// Messages per second.
     MessagesASecond,
-    /// Calls a second.
+    /// Calls per second.
     CallsASecond,
-    /// Microseconds of processor time a second.
+    /// Microseconds of processor time per second.
     BusyASecond,
     /// Processor cores.
     Cores,
@@ -45,23 +45,23 @@
     }
 }
 
-/// One row of a role's table: a sum of lines, each as often as it counts at the size of two years on.
+/// A row of a role's table: a sum of fitted models, each with its factor at the target size.
 #[derive(Clone, Debug)]
-pub struct Figure {
-    /// What it is.
+pub(crate) struct Figure {
+    /// The name.
     pub name: String,
-    /// What it is counted in.
+    /// The unit.
     pub unit: Unit,
-    /// The lines, each with its factor at that size.
+    /// The models, each with its factor at the target size.
     pub parts: Vec<(Fit, f64)>,
-    /// What may be spent.
+    /// The budget, if there is one.
     pub budget: Option<f64>,
-    /// Whether it is the sum of rows above.
+    /// Whether it is the sum of the rows above.
     pub is_sum: bool,
 }
 
-/// A number with three places that count, and thousands apart.
-pub fn format_figure(value: f64) -> String {
+/// Formats a number with three significant digits and separated thousands.
+pub(crate) fn format_figure(value: f64) -> String {
     let size = value.abs();
     if size == 0.0 {
         return "0".to_owned();
@@ -89,8 +89,8 @@
 }
 
 impl Figure {
-    /// One line that counts so often.
-    pub fn of(name: &str, unit: Unit, fit: &Fit, factor: f64) -> Self {
+    /// A figure of one model with a factor.
+    pub(crate) fn of(name: &str, unit: Unit, fit: &Fit, factor: f64) -> Self {
         let parts = vec![(fit.clone(), factor)];
         Self {
             name: name.to_owned(),
@@ -102,7 +102,7 @@
     }
 
     /// The sum of other figures.
-    pub fn sum(name: &str, unit: Unit, figures: &[&Figure]) -> Self {
+    pub(crate) fn sum(name: &str, unit: Unit, figures: &[&Figure]) -> Self {
         let parts = figures
             .iter()
             .flat_map(|figure| figure.parts.clone())
@@ -116,22 +116,22 @@
         }
     }
 
-    /// With what may be spent.
-    pub fn within(mut self, budget: f64) -> Self {
+    /// Sets the budget.
+    pub(crate) fn within(mut self, budget: f64) -> Self {
         self.budget = Some(budget);
         self
     }
 
-    /// Its value at the size of two years from now.
-    pub fn at_target(&self) -> f64 {
+    /// The value at the target size.
+    pub(crate) fn at_target(&self) -> f64 {
         self.parts
             .iter()
             .map(|(fit, factor)| fit.line.at_target() * factor)
             .sum()
     }
 
-    /// By how much it misses its budget: above one it does not fit.
-    pub fn ratio(&self) -> Option<f64> {
+    /// The ratio of the value to the budget; above one the budget is exceeded.
+    pub(crate) fn ratio(&self) -> Option<f64> {
         self.budget.map(|budget| self.at_target() / budget)
     }
 
@@ -176,7 +176,7 @@
     }
 
     /// The row as Markdown.
-    pub fn row(&self) -> String {
+    pub(crate) fn row(&self) -> String {
         let spread = match self.spread() {
             Some((least, most)) => format!("{} to {}", format_figure(least), format_figure(most)),
             None => "worked out".to_owned(),
--- a/testing/fleet/src/synthetic/page/tables.rs
+++ b/testing/fleet/src/synthetic/page/tables.rs
@@ -1,15 +1,16 @@
-//! The page's tables.
+//! The tables of the page.
 
 use super::capacity_model::CapacityModel;
 use super::figure::{Figure, format_figure};
 use super::fit::Predictor;
+use super::runs::ChangeTimes;
 use super::{PageError, Run};
 use crate::synthetic::record::RecordError;
 use std::collections::BTreeMap;
 use std::fmt::Write;
 use std::path::Path;
 
-/// The page's tables by their names, made from the runs.
+/// The tables by name, computed from the runs.
 pub fn tables(runs: &[Run]) -> BTreeMap<&'static str, String> {
     let capacity_model = CapacityModel::of(runs);
     let roles = [
@@ -40,7 +41,7 @@
     table
 }
 
-/// What does not fit, the worst first.
+/// The figures that exceed their budgets, the worst first.
 fn over_budget(roles: &[(&'static str, Vec<Figure>)]) -> String {
     let mut missing: Vec<(f64, &str, &Figure)> = roles
         .iter()
@@ -76,7 +77,7 @@
     }
 }
 
-/// How far the fleets went.
+/// The measured runs by size, with means over the seeds.
 fn runs_table(runs: &[Run]) -> String {
     let keys = ["daemons", "functions", "held_wanted", "runners", "calls"];
     let mut sizes: BTreeMap<[u64; 5], Size<'_>> = BTreeMap::new();
@@ -101,17 +102,20 @@
         } else {
             "–".to_owned()
         };
-        let part = |index: usize| {
-            let read = |run: &Run| {
-                run.in_force().map_or(0.0, |(network, leader, install)| {
-                    [network, leader, install][index]
-                })
-            };
+        let part = |part_of: fn(&ChangeTimes) -> f64| {
+            let read = |run: &Run| run.change_times().map_or(0.0, |times| part_of(&times));
             format_figure(size.mean(read))
         };
         let stopped = size.runs.iter().find_map(|run| run.stopped());
         let change = stopped.map_or_else(
-            || format!("{}, {}, {} ms", part(0), part(1), part(2)),
+            || {
+                format!(
+                    "{}, {}, {} ms",
+                    part(|times| times.network_ms),
+                    part(|times| times.leader_ms),
+                    part(|times| times.install_ms),
+                )
+            },
             |reason| format!("stopped: {reason}"),
         );
         let _ = writeln!(
@@ -127,38 +131,24 @@
     table
 }
 
-/// What the slopes say of fleets that they were not taken from.
+/// The models compared with runs of crossed sizes, to which they were not fitted.
 fn crossed_table(capacity_model: &CapacityModel, runs: &[Run]) -> String {
     let mut table = String::from(
         "| fleet | figure | by the slopes | measured | measured ÷ slopes |\n|---|---|---|---|---|\n",
     );
     for run in runs.iter().filter(|run| run.is_crossed()) {
         let value_of = |predictor: Predictor| predictor.of(run);
-        let beat_bytes = (run.rate("door beats", "sent_bytes")
-            + run.rate("door beats", "heard_bytes"))
-            / run.daemons();
-        let leader_works = [
-            "leading renewals",
-            "leading idle",
-            "leading ticks",
-            "leading core",
-        ];
-        let leader_busy: f64 = leader_works.iter().map(|work| run.busy(work)).sum();
-        let in_force = run
-            .in_force()
-            .map_or(0.0, |(network_ms, leader_ms, install_ms)| {
-                network_ms + leader_ms + install_ms
-            });
+        let in_force = run.change_times().map_or(0.0, |times| times.total_ms());
         let rows = [
             (
                 "heartbeat bytes at a daemon, B/s",
                 capacity_model.beat_bytes.line.at(value_of),
-                beat_bytes,
+                run.heartbeat_bytes(),
             ),
             (
                 "the leader's processor time, µs/s",
                 capacity_model.leader_busy(&value_of),
-                leader_busy,
+                run.leader_busy(),
             ),
             (
                 "a change in force, ms",
@@ -189,7 +179,7 @@
     )
 }
 
-/// The page with every table between its marks made anew.
+/// Renders the page with all tables between their marks replaced.
 pub fn render_page(page_path: &Path, runs: &[Run]) -> Result<String, PageError> {
     let mut page = std::fs::read_to_string(page_path)
         .map_err(|error| RecordError::File(page_path.to_owned(), error))?;
