--- a/crates/controlplane/src/controller_state/changes.rs
+++ b/crates/controlplane/src/controller_state/changes.rs
@@ -1,10 +1,11 @@
-//! Operators' changes on their way: queued, put forward, acknowledged, or given up.
+//! Operators' changes: queued, evaluated, proposed and answered, or given up.
 
 use super::content::derive_change_id;
-use super::proposal_outcome::ProposalOutcome;
+use super::pending_changes::{ChangeRequest, ProposedChange, QueuedChange};
+use super::proposal_outcome::{ChangeEvaluator, ProposalOutcome};
 use super::{
-    ChangeKind, ControllerOutput, ControllerState, Numbering, Operation, OperationReply,
-    OperationTicket, Unavailable, Wait,
+    ChangeKind, ControllerOutput, ControllerState, Operation, OperationReply, OperationTicket,
+    Unavailable,
 };
 use crate::leader_state::LeaderState;
 use common::clock::MonotonicTime;
@@ -13,111 +14,13 @@
 use common::rules::Rule;
 use common::spec::Document;
 use serde_json::json;
-use std::collections::{BTreeSet, VecDeque};
 use std::time::Duration;
 
-/// How soon after a request its caller's hanging up is heard, if it came late over the network.
+/// How long after a request the end of its caller's connection may still be on its way here.
 const DISCONNECT_NOTICE_DELAY: Duration = Duration::from_millis(25);
-const COMMIT_TIMEOUT: Duration = Duration::from_secs(3);
-const PROPOSAL_TIMEOUT: Duration = Duration::from_millis(800);
-const IN_FORCE_TIMEOUT: Duration = Duration::from_secs(10);
-
-/// A change as an operator asked for it.
-pub struct ChangeRequest {
-    /// The serial it is built on.
-    pub base: Option<Version>,
-    /// The operators' own numbers.
-    pub numbering: Option<Numbering>,
-    /// The operator's name for it.
-    pub change: Option<ChangeId>,
-    /// What it does.
-    pub kind: ChangeKind,
-    /// What to wait for.
-    pub wait: Wait,
-}
-
-/// A change that waits to be put forward.
-pub(super) struct QueuedChange {
-    /// Whom to answer.
-    pub ticket: OperationTicket,
-    /// The version it is built on.
-    pub base: Option<Version>,
-    /// The operators' own numbers.
-    pub numbering: Option<Numbering>,
-    /// Its name.
-    pub change: ChangeId,
-    /// Whether the operator named it.
-    pub is_named: bool,
-    /// What it does.
-    pub kind: ChangeKind,
-    /// What its operator waits for.
-    pub wait: Wait,
-    /// When it was asked for.
-    pub requested_at: MonotonicTime,
-}
-
-impl QueuedChange {
-    fn into_proposed(self, version: Version, number: u64) -> ProposedChange {
-        ProposedChange {
-            ticket: self.ticket,
-            change: self.change,
-            version,
-            number,
-            wait: self.wait,
-            requested_at: self.requested_at,
-        }
-    }
-}
-
-struct ProposedChange {
-    ticket: OperationTicket,
-    change: ChangeId,
-    version: Version,
-    number: u64,
-    wait: Wait,
-    requested_at: MonotonicTime,
-}
-
-/// Operators' changes on their way.
-#[derive(Default)]
-pub struct OperatorChanges {
-    queue: VecDeque<QueuedChange>,
-    /// Those whose answer needs a majority's word.
-    awaiting_proof: VecDeque<QueuedChange>,
-    in_flight: Vec<ProposedChange>,
-    accepted: Vec<ProposedChange>,
-}
-
-fn take_expired(now: MonotonicTime, queue: &mut VecDeque<QueuedChange>) -> Vec<QueuedChange> {
-    let (expired, retained): (VecDeque<_>, VecDeque<_>) = std::mem::take(queue)
-        .into_iter()
-        .partition(|queued| now.since(queued.requested_at) > PROPOSAL_TIMEOUT);
-    *queue = retained;
-    expired.into()
-}
-
-fn accepted_reply(proposed_change: &ProposedChange, in_force: Version) -> OperationReply {
-    OperationReply::Accepted {
-        change: proposed_change.change.clone(),
-        version: proposed_change.version,
-        number: proposed_change.number,
-        in_force: in_force >= proposed_change.version,
-    }
-}
-
-impl OperatorChanges {
-    /// Whether no change waits to be put forward.
-    pub fn is_idle(&self) -> bool {
-        self.queue.is_empty()
-    }
-
-    /// Whether an answer waits for a majority's word.
-    pub fn needs_proof(&self) -> bool {
-        !self.awaiting_proof.is_empty()
-    }
-}
 
 impl ControllerState {
+    /// Queues a change; one without a name gets one.
     pub(super) fn queue_change(
         &mut self,
         requested_at: MonotonicTime,
@@ -133,6 +36,7 @@
         } = requested;
         let is_named = change.is_some();
         let change = change.unwrap_or_else(|| match &kind {
+            // Evacuating the same zone again later is another change, so its content cannot name it.
             ChangeKind::Evacuate { .. } | ChangeKind::Restore { .. } => {
                 ChangeId::from(format!("turn-{}-{}", self.consensus.term(), ticket.0))
             }
@@ -150,45 +54,16 @@
         });
     }
 
+    /// Proposes what can be proposed, and gives up what has waited too long.
     pub(super) fn progress_changes(&mut self, now: MonotonicTime) {
-        let awaiting_proof = std::mem::take(&mut self.changes.awaiting_proof);
-        self.changes.queue.extend(awaiting_proof);
+        self.changes.requeue_awaiting_proof();
         while self.may_evaluate_changes(now) {
             let Some(queued) = self.changes.queue.pop_front() else {
                 break;
             };
             self.begin_proposal(now, queued);
         }
-        let attached_changes: BTreeSet<ChangeId> = self
-            .changes
-            .in_flight
-            .iter()
-            .map(|proposed_change| proposed_change.change.clone())
-            .collect();
-        let (attached, others): (VecDeque<_>, VecDeque<_>) =
-            std::mem::take(&mut self.changes.queue)
-                .into_iter()
-                .partition(|queued| attached_changes.contains(&queued.change));
-        self.changes.queue = others;
-        for queued in attached {
-            let Some((version, number)) = self
-                .changes
-                .in_flight
-                .iter()
-                .find(|proposed_change| proposed_change.change == queued.change)
-                .map(|proposed_change| (proposed_change.version, proposed_change.number))
-            else {
-                continue;
-            };
-            self.changes.in_flight.push(ProposedChange {
-                ticket: queued.ticket,
-                change: queued.change,
-                version,
-                number,
-                wait: queued.wait,
-                requested_at: queued.requested_at,
-            });
-        }
+        self.changes.attach_repeated_changes();
         self.expire_changes(now);
     }
 
@@ -200,36 +75,26 @@
     }
 
     fn expire_changes(&mut self, now: MonotonicTime) {
-        let mut expired = take_expired(now, &mut self.changes.queue);
-        expired.extend(take_expired(now, &mut self.changes.awaiting_proof));
-        for queued in expired {
+        let expired = self.changes.take_expired(now);
+        for queued in expired.unproposed {
             let change = Some(queued.change);
             let reason = Unavailable::NoQuorum;
-            let reply = OperationReply::NotAccepted { reason, change };
-            self.answer(queued.ticket, reply);
+            self.answer(
+                queued.ticket,
+                OperationReply::NotAccepted { reason, change },
+            );
         }
-        let (expired, retained): (Vec<_>, Vec<_>) = std::mem::take(&mut self.changes.in_flight)
-            .into_iter()
-            .partition(|proposed_change| now.since(proposed_change.requested_at) > COMMIT_TIMEOUT);
-        self.changes.in_flight = retained;
-        for proposed_change in expired {
+        for proposed_change in expired.uncommitted {
             self.reply_unknown(&proposed_change);
         }
-        let (expired, retained): (Vec<_>, Vec<_>) = std::mem::take(&mut self.changes.accepted)
-            .into_iter()
-            .partition(|proposed_change| {
-                now.since(proposed_change.requested_at) > IN_FORCE_TIMEOUT
-            });
-        self.changes.accepted = retained;
-        for proposed_change in expired {
-            self.answer(
-                proposed_change.ticket,
-                accepted_reply(&proposed_change, Version(0)),
-            );
+        for proposed_change in expired.not_in_force {
+            let reply = proposed_change.accepted_reply(Version(0));
+            self.answer(proposed_change.ticket, reply);
         }
     }
 
-    fn answer(&mut self, ticket: OperationTicket, reply: OperationReply) {
+    /// Sends the reply to one operation.
+    pub(super) fn answer(&mut self, ticket: OperationTicket, reply: OperationReply) {
         self.outputs
             .push(ControllerOutput::OperatorReply(ticket, reply));
     }
@@ -249,7 +114,12 @@
         let Some(current_document) = self.consensus.accepted().cloned() else {
             return;
         };
-        let proposal_outcome = self.evaluate_change(&current_document, &queued);
+        let proposal_outcome = ChangeEvaluator {
+            current_document: &current_document,
+            leader_state: self.leader_state.as_ref(),
+            rules: self.rules,
+        }
+        .evaluate(&queued);
         if !self.may_act_on(now, &proposal_outcome, &queued) {
             self.changes.awaiting_proof.push_back(queued);
             return;
@@ -271,9 +141,9 @@
         }
     }
 
-    /// What is said from the state of the moment needs a majority's word from after it was asked for.
-    /// An evacuation, which is built on no version that could be overtaken, waits besides until its
-    /// caller would have been heard hanging up.
+    /// A result that depends on the current state must be confirmed by a majority after the request. An
+    /// evacuation has no base version that would make it stale, so it also waits until the end of its
+    /// caller's connection would have been noticed.
     fn may_act_on(
         &self,
         now: MonotonicTime,
@@ -342,6 +212,7 @@
         }
     }
 
+    /// Invariants of what is proposed, whatever the rules let through.
     fn check_proposal(&self, queued: &QueuedChange, next_document: &Document) {
         let Some(current) = self.consensus.accepted() else {
             return;
@@ -357,67 +228,41 @@
                 queued.change
             )
         });
-        // A second check of a whole spec is dear on a small share of a core: debug builds only.
+        // Checking a complete spec a second time costs too much on a small share of a CPU: debug builds only.
         let is_valid = !cfg!(debug_assertions) || next_document.spec.check().is_ok();
         require(self.rules, Invariant::ProposedSpecValid, is_valid, || {
             format!("{} is invalid and put forward", queued.change)
         });
     }
 
-    /// An operator hung up: what it asked for and was not put forward is dropped.
+    /// An operator's connection ended: what it asked for is dropped unless it has been proposed.
     pub(super) fn drop_disconnected_caller(&mut self, ticket: OperationTicket) {
         if self.rules.enforces(Rule::AbandonedChangeDropped) {
             self.waiting.retain(|waiting| waiting.ticket != ticket);
-            self.changes.queue.retain(|queued| queued.ticket != ticket);
-            self.changes
-                .awaiting_proof
-                .retain(|queued| queued.ticket != ticket);
+            self.changes.drop_unproposed(ticket);
         }
     }
 
-    pub(super) fn change_committed(&mut self, version: Version) {
-        let (done, retained): (Vec<_>, Vec<_>) = std::mem::take(&mut self.changes.in_flight)
-            .into_iter()
-            .partition(|proposed_change| proposed_change.version == version);
-        self.changes.in_flight = retained;
-        self.changes.accepted.extend(done);
-    }
-
+    /// Replies to committed changes that have come as far as their operators wait for.
     pub(super) fn answer_fulfilled_changes(&mut self) {
-        let in_force = self
-            .leader_state
-            .as_ref()
-            .map(|leader_state| leader_state.in_force())
-            .unwrap_or_default();
-        let (done, retained): (Vec<_>, Vec<_>) = std::mem::take(&mut self.changes.accepted)
-            .into_iter()
-            .partition(|proposed_change| {
-                proposed_change.wait == Wait::Accepted || in_force >= proposed_change.version
-            });
-        self.changes.accepted = retained;
-        for proposed_change in done {
-            self.answer(
-                proposed_change.ticket,
-                accepted_reply(&proposed_change, in_force),
-            );
+        let in_force = self.in_force();
+        for proposed_change in self.changes.take_fulfilled(in_force) {
+            let reply = proposed_change.accepted_reply(in_force);
+            self.answer(proposed_change.ticket, reply);
         }
     }
 
+    /// Leadership is lost: what was proposed is answered, and what was not waits for another leader.
     pub(super) fn drop_changes(&mut self) {
-        for proposed_change in std::mem::take(&mut self.changes.in_flight) {
+        let pending = std::mem::take(&mut self.changes);
+        for proposed_change in pending.in_flight {
             self.reply_unknown(&proposed_change);
         }
-        for proposed_change in std::mem::take(&mut self.changes.accepted) {
-            self.answer(
-                proposed_change.ticket,
-                accepted_reply(&proposed_change, Version(0)),
-            );
+        for proposed_change in pending.accepted {
+            let reply = proposed_change.accepted_reply(Version(0));
+            self.answer(proposed_change.ticket, reply);
         }
-        let awaiting_proof = std::mem::take(&mut self.changes.awaiting_proof);
-        for queued in std::mem::take(&mut self.changes.queue)
-            .into_iter()
-            .chain(awaiting_proof)
-        {
+        for queued in pending.queue.into_iter().chain(pending.awaiting_proof) {
             let operation = Operation::Change {
                 base: queued.base,
                 numbering: queued.numbering,
@@ -429,15 +274,17 @@
         }
     }
 
-    pub(super) fn report_change_status(&self, change: &ChangeId) -> OperationReply {
-        let in_force = self
-            .leader_state
+    fn in_force(&self) -> Version {
+        self.leader_state
             .as_ref()
             .map(|leader_state| leader_state.in_force())
-            .unwrap_or_default();
-        let noted_change = self
-            .consensus
-            .accepted()
+            .unwrap_or_default()
+    }
+
+    /// What is known here of the change of this name.
+    pub(super) fn report_change_status(&self, change: &ChangeId) -> OperationReply {
+        let document = self.consensus.accepted();
+        let recorded = document
             .filter(|_| !self.consensus.is_proposing())
             .and_then(|document| {
                 document
@@ -445,27 +292,16 @@
                     .iter()
                     .find(|recorded| recorded.id == *change)
             });
-        if let Some(recorded) = noted_change {
+        if let Some(recorded) = recorded {
             return OperationReply::Accepted {
                 change: change.clone(),
                 version: recorded.version,
                 number: recorded.number,
-                in_force: in_force >= recorded.version,
+                in_force: self.in_force() >= recorded.version,
             };
         }
-        let queued_changes = self
-            .changes
-            .queue
-            .iter()
-            .chain(&self.changes.awaiting_proof);
-        let is_pending = self.consensus.is_proposing()
-            || queued_changes
-                .into_iter()
-                .any(|queued| queued.change == *change);
-        let is_forgotten = self
-            .consensus
-            .accepted()
-            .is_some_and(Document::has_forgotten_changes);
+        let is_pending = self.consensus.is_proposing() || self.changes.is_queued(change);
+        let is_forgotten = document.is_some_and(Document::has_forgotten_changes);
         let state = if is_pending || is_forgotten {
             "unknown"
         } else {
--- a/crates/controlplane/src/controller_state/mod.rs
+++ b/crates/controlplane/src/controller_state/mod.rs
@@ -4,6 +4,7 @@
 mod content;
 mod history;
 mod operation;
+mod pending_changes;
 mod proposal_outcome;
 mod traces;
 
@@ -18,7 +19,6 @@
 use crate::leader_state::{
     EventRecord, LeaderOutput, LeaderState, LeaderTiming, QuorumProof, RETAINED_VIEWS, StreamId,
 };
-use changes::OperatorChanges;
 use common::adapter::{ListedRunner, ListedWorker, StopOrder};
 use common::clock::MonotonicTime;
 use common::events;
@@ -27,6 +27,7 @@
 use common::rules::Rules;
 use common::spec::DaemonView;
 use operation::WaitingOperation;
+use pending_changes::PendingChanges;
 use serde_json::json;
 use std::collections::{BTreeSet, VecDeque};
 use std::time::Duration;
@@ -95,7 +96,7 @@
     proof_freshness_limit: Duration,
     streams: BTreeSet<StreamId>,
     history: EventLog,
-    changes: OperatorChanges,
+    changes: PendingChanges,
     waiting: VecDeque<WaitingOperation>,
     traces: Traces,
     /// The last versions on this disk, committed or not; a leader's daemons that have one of them are told the
@@ -120,7 +121,7 @@
             proof_freshness_limit,
             streams: BTreeSet::new(),
             history: EventLog::default(),
-            changes: OperatorChanges::default(),
+            changes: PendingChanges::default(),
             waiting: VecDeque::new(),
             traces: Traces::default(),
             recent_views: VecDeque::new(),
@@ -401,7 +402,7 @@
                     if let Some(leader_state) = &mut self.leader_state {
                         leader_state.committed(document);
                     }
-                    self.change_committed(document_version.version);
+                    self.changes.commit(document_version.version);
                 }
                 ConsensusOutput::MembershipChange { addresses, settled } => {
                     let addresses: Vec<String> =
--- a/crates/controlplane/src/controller_state/operation.rs
+++ b/crates/controlplane/src/controller_state/operation.rs
@@ -1,4 +1,4 @@
-use super::changes::ChangeRequest;
+use super::pending_changes::ChangeRequest;
 use super::{ControllerOutput, ControllerState};
 use crate::consensus::ProposeError;
 use common::clock::MonotonicTime;
--- a/crates/controlplane/src/controller_state/proposal_outcome.rs
+++ b/crates/controlplane/src/controller_state/proposal_outcome.rs
@@ -1,39 +1,46 @@
-//! What one order of an operator comes to under the newest committed document.
+//! What one change comes to under the newest committed document. Nothing is written or sent here.
 
-use super::changes::QueuedChange;
 use super::content::with_items;
-use super::{ChangeKind, ControllerState, OperationReply, Unavailable};
+use super::pending_changes::QueuedChange;
+use super::{ChangeKind, OperationReply, Unavailable};
+use crate::leader_state::LeaderState;
 use common::identity::{Version, Zone};
 use common::readers::{PathError, PathErrorReason};
-use common::rules::Rule;
+use common::rules::{Rule, Rules};
 use common::spec::{ChangeStatus, Document, Spec, SpecRecords};
 use std::collections::BTreeSet;
 
-/// What an order comes to.
+/// What a change comes to.
 pub(super) enum ProposalOutcome {
-    /// It is in the history: that stays true whoever leads, and needs no proof.
+    /// It is in the history already. That stays true whoever leads, and needs no proof.
     Applied {
         /// The version that it made.
         version: Version,
-        /// The operators' number of that version.
+        /// The operators' number of that version; zero without one.
         number: u64,
     },
-    /// The state is as it asks for; true while nobody overtook this leader.
+    /// The state is as it requests; true as long as no other leader has been elected.
     AlreadyInState,
-    /// It is refused, or has no clear answer; true while nobody overtook this leader.
+    /// It is rejected, or has no definite result; true as long as no other leader has been elected.
     Answered(OperationReply),
     /// It makes this document.
     NewDocument(Box<Document>),
 }
 
-impl ControllerState {
-    /// Judges an order by the newest committed document.
-    pub(super) fn evaluate_change(
-        &self,
-        current_document: &Document,
-        requested: &QueuedChange,
-    ) -> ProposalOutcome {
-        match self.status_of(current_document, requested) {
+/// Evaluates changes against one committed document.
+pub(super) struct ChangeEvaluator<'a> {
+    /// The newest committed document.
+    pub current_document: &'a Document,
+    /// The leader's view of daemons and workers, for the zones that exist.
+    pub leader_state: Option<&'a LeaderState>,
+    /// The rules in force.
+    pub rules: Rules,
+}
+
+impl ChangeEvaluator<'_> {
+    /// What a change comes to.
+    pub fn evaluate(&self, requested: &QueuedChange) -> ProposalOutcome {
+        match self.status_of(requested) {
             ChangeStatus::Applied(version) => {
                 let number = requested.numbering.map_or(0, |given| given.number);
                 return ProposalOutcome::Applied { version, number };
@@ -45,134 +52,163 @@
             }
             ChangeStatus::NotApplied => {}
         }
-        let current_version = current_document.view_version();
-        let current_number = current_document.number;
-        let is_stale = requested.base.is_some_and(|base| base != current_version)
-            || requested
-                .numbering
-                .is_some_and(|given| given.base_number != current_number);
-        if is_stale && self.rules.enforces(Rule::StaleBaseRejected) {
+        if self.is_stale(requested) && self.rules.enforces(Rule::StaleBaseRejected) {
             return ProposalOutcome::Answered(OperationReply::Stale {
                 change: requested.change.clone(),
-                version: current_version,
-                number: current_number,
+                version: self.current_document.view_version(),
+                number: self.current_document.number,
             });
         }
-        if !requested.is_named && self.is_already_in_state(current_document, &requested.kind) {
+        if !requested.is_named && self.is_already_in_state(&requested.kind) {
             return ProposalOutcome::AlreadyInState;
         }
-        match self.next_document(current_document, requested) {
+        match self.next_document(requested) {
             Ok(next_document) => ProposalOutcome::NewDocument(Box::new(next_document)),
             Err(reply) => ProposalOutcome::Answered(reply),
         }
     }
 
-    /// Whether an order was taken already. Those of a number are known by number and content, the
-    /// others by their names; of both only so many are remembered.
-    fn status_of(&self, current_document: &Document, requested: &QueuedChange) -> ChangeStatus {
+    /// Whether a change has been applied already. A numbered change is known by number and content, any
+    /// other by its name; a bounded count of each is remembered.
+    fn status_of(&self, requested: &QueuedChange) -> ChangeStatus {
         if !self.rules.enforces(Rule::ResentChangeRecognized) {
             return ChangeStatus::NotApplied;
         }
-        if let Some(numbering) = requested.numbering {
-            let applied_changes = &current_document.applied_changes;
-            if !self.rules.enforces(Rule::ChangeNumberBoundToContent)
-                && let Some(version) = applied_changes.version_at(numbering.number)
-            {
-                return ChangeStatus::Applied(version);
-            }
-            return applied_changes.status_of(numbering.number, &requested.change);
+        let Some(numbering) = requested.numbering else {
+            return self
+                .current_document
+                .status_of_named(requested.base, &requested.change);
+        };
+        let applied_changes = &self.current_document.applied_changes;
+        if !self.rules.enforces(Rule::ChangeNumberBoundToContent)
+            && let Some(version) = applied_changes.version_at(numbering.number)
+        {
+            return ChangeStatus::Applied(version);
         }
-        current_document.status_of_named(requested.base, &requested.change)
+        applied_changes.status_of(numbering.number, &requested.change)
     }
 
-    fn is_already_in_state(&self, current_document: &Document, kind: &ChangeKind) -> bool {
+    fn is_stale(&self, requested: &QueuedChange) -> bool {
+        let current_version = self.current_document.view_version();
+        let current_number = self.current_document.number;
+        requested.base.is_some_and(|base| base != current_version)
+            || requested
+                .numbering
+                .is_some_and(|given| given.base_number != current_number)
+    }
+
+    fn is_already_in_state(&self, kind: &ChangeKind) -> bool {
         match kind {
-            ChangeKind::Evacuate { zone, .. } => current_document.evacuated.contains(zone),
-            ChangeKind::Restore { zone } => !current_document.evacuated.contains(zone),
+            ChangeKind::Evacuate { zone, .. } => self.current_document.evacuated.contains(zone),
+            ChangeKind::Restore { zone } => !self.current_document.evacuated.contains(zone),
             _ => false,
         }
     }
 
-    fn next_document(
-        &self,
-        current_document: &Document,
-        requested: &QueuedChange,
-    ) -> Result<Document, OperationReply> {
+    fn next_document(&self, requested: &QueuedChange) -> Result<Document, OperationReply> {
+        self.check_number(requested)?;
+        let current_spec = &self.current_document.spec;
+        match &requested.kind {
+            ChangeKind::FullSpec(new_spec) => {
+                self.with_spec(requested, new_spec.sharing_records_with(current_spec))
+            }
+            ChangeKind::Patch(merge_patch) => {
+                let mut new_spec = current_spec.to_value();
+                json_patch::merge(&mut new_spec, merge_patch);
+                let new_spec = SpecRecords::new(new_spec).sharing_records_with(current_spec);
+                self.with_spec(requested, new_spec)
+            }
+            ChangeKind::Items(items) => self.with_spec(requested, with_items(current_spec, items)),
+            ChangeKind::Evacuate { zone, force } => {
+                self.with_zone_evacuated(requested, zone, *force)
+            }
+            ChangeKind::Restore { zone } => self.with_zone_restored(requested, zone),
+        }
+    }
+
+    /// An operator's number must be above the current one.
+    fn check_number(&self, requested: &QueuedChange) -> Result<(), OperationReply> {
+        let current_number = self.current_document.number;
         let is_number_low = requested
             .numbering
-            .is_some_and(|given| given.number <= current_document.number);
+            .is_some_and(|given| given.number <= current_number);
         if is_number_low && self.rules.enforces(Rule::InvalidChangeRejected) {
-            let reason =
-                PathErrorReason::Malformed(format!("is not above {}", current_document.number));
+            let reason = PathErrorReason::Malformed(format!("is not above {current_number}"));
             let error = PathError {
                 path: "number".to_owned(),
                 reason,
             };
             return Err(OperationReply::Invalid(vec![error]));
         }
-        let number = requested
-            .numbering
-            .map_or(current_document.number, |given| given.number);
-        let with_spec = |new_spec: SpecRecords| {
-            let checked_spec = match new_spec.check() {
-                Ok(checked_spec) => checked_spec,
-                Err(faults) if self.rules.enforces(Rule::InvalidChangeRejected) => {
-                    return Err(OperationReply::Invalid(faults));
-                }
-                Err(_) => Spec::default(),
-            };
-            let change = requested.change.clone();
-            let next_document = current_document.with_spec(new_spec, &checked_spec, change);
-            Ok(if requested.numbering.is_some() {
-                next_document.numbered(number)
-            } else {
-                next_document
-            })
-        };
-        match &requested.kind {
-            ChangeKind::FullSpec(new_spec) => {
-                with_spec(new_spec.sharing_records_with(&current_document.spec))
-            }
-            ChangeKind::Patch(merge_patch) => {
-                let mut new_spec = current_document.spec.to_value();
-                json_patch::merge(&mut new_spec, merge_patch);
-                with_spec(SpecRecords::new(new_spec).sharing_records_with(&current_document.spec))
-            }
-            ChangeKind::Items(items) => with_spec(with_items(&current_document.spec, items)),
-            ChangeKind::Evacuate { zone, force } => {
-                let known_zones = self.known_zones();
-                if !known_zones.contains(zone) && !force {
-                    return Err(OperationReply::NoZone {
-                        zone: zone.clone(),
-                        known: known_zones,
-                    });
-                }
-                let remaining_count = known_zones
-                    .iter()
-                    .filter(|known| *known != zone && !current_document.evacuated.contains(*known))
-                    .count();
-                if remaining_count == 0 && !force {
-                    return Err(OperationReply::LastZone);
-                }
-                Ok(current_document.with_zone(zone.clone(), true, requested.change.clone()))
-            }
-            ChangeKind::Restore { zone } => {
-                let known_zones = self.known_zones();
-                if !known_zones.contains(zone) && !current_document.evacuated.contains(zone) {
-                    return Err(OperationReply::NoZone {
-                        zone: zone.clone(),
-                        known: known_zones,
-                    });
-                }
-                Ok(current_document.with_zone(zone.clone(), false, requested.change.clone()))
+        Ok(())
+    }
+
+    fn with_spec(
+        &self,
+        requested: &QueuedChange,
+        new_spec: SpecRecords,
+    ) -> Result<Document, OperationReply> {
+        let checked_spec = match new_spec.check() {
+            Ok(checked_spec) => checked_spec,
+            Err(errors) if self.rules.enforces(Rule::InvalidChangeRejected) => {
+                return Err(OperationReply::Invalid(errors));
             }
+            Err(_) => Spec::default(),
+        };
+        let change = requested.change.clone();
+        let next_document = self
+            .current_document
+            .with_spec(new_spec, &checked_spec, change);
+        Ok(match requested.numbering {
+            Some(numbering) => next_document.numbered(numbering.number),
+            None => next_document,
+        })
+    }
+
+    fn with_zone_evacuated(
+        &self,
+        requested: &QueuedChange,
+        zone: &Zone,
+        force: bool,
+    ) -> Result<Document, OperationReply> {
+        let known_zones = self.known_zones();
+        if !known_zones.contains(zone) && !force {
+            return Err(OperationReply::NoZone {
+                zone: zone.clone(),
+                known: known_zones,
+            });
+        }
+        let evacuated = &self.current_document.evacuated;
+        let remaining_count = known_zones
+            .iter()
+            .filter(|known| *known != zone && !evacuated.contains(*known))
+            .count();
+        if remaining_count == 0 && !force {
+            return Err(OperationReply::LastZone);
+        }
+        let change = requested.change.clone();
+        Ok(self.current_document.with_zone(zone.clone(), true, change))
+    }
+
+    fn with_zone_restored(
+        &self,
+        requested: &QueuedChange,
+        zone: &Zone,
+    ) -> Result<Document, OperationReply> {
+        let known_zones = self.known_zones();
+        if !known_zones.contains(zone) && !self.current_document.evacuated.contains(zone) {
+            return Err(OperationReply::NoZone {
+                zone: zone.clone(),
+                known: known_zones,
+            });
         }
+        let change = requested.change.clone();
+        Ok(self.current_document.with_zone(zone.clone(), false, change))
     }
 
     fn known_zones(&self) -> BTreeSet<Zone> {
         self.leader_state
-            .as_ref()
-            .map(|leader_state| leader_state.known_zones())
+            .map(LeaderState::known_zones)
             .unwrap_or_default()
     }
 }
