--- a/crates/controlplane/src/controller_state/changes.rs
+++ b/crates/controlplane/src/controller_state/changes.rs
@@ -5,7 +5,7 @@
 use super::proposal_outcome::{ChangeEvaluator, ProposalOutcome};
 use super::{
     ChangeKind, ControllerOutput, ControllerState, Operation, OperationReply, OperationTicket,
-    Unavailable,
+    Unavailable, UnrecordedChange,
 };
 use crate::leader_state::LeaderState;
 use common::clock::MonotonicTime;
@@ -13,7 +13,6 @@
 use common::invariants::{Invariant, require};
 use common::rules::Rule;
 use common::spec::Document;
-use serde_json::json;
 use std::time::Duration;
 
 /// How long after a request the end of its caller's connection may still be on its way here.
@@ -303,10 +302,13 @@
         let is_pending = self.consensus.is_proposing() || self.changes.is_queued(change);
         let is_forgotten = document.is_some_and(Document::has_forgotten_changes);
         let state = if is_pending || is_forgotten {
-            "unknown"
+            UnrecordedChange::Unknown
         } else {
-            "not_accepted"
+            UnrecordedChange::NotAccepted
         };
-        OperationReply::StatusAndBody(200, json!({"state": state, "change_id": change.as_str()}))
+        OperationReply::ChangeUnrecorded {
+            change: change.clone(),
+            state,
+        }
     }
 }
--- a/crates/controlplane/src/controller_state/content.rs
+++ b/crates/controlplane/src/controller_state/content.rs
@@ -1,4 +1,4 @@
-//! What operators' changes contain, and the names of those that were given none.
+//! The content of operators' changes, and the names of those that were given none.
 
 use super::{ChangeKind, ItemChange, Numbering};
 use common::identity::{ChangeId, Version};
@@ -6,6 +6,7 @@
 use common::spec::SpecRecords;
 use serde_json::{Value, json};
 
+/// The canonical form of a change's content. Its digest names changes in committed documents, so it must not vary.
 fn content_value(kind: &ChangeKind) -> Value {
     match kind {
         ChangeKind::FullSpec(spec) => json!({"spec": spec.to_value()}),
@@ -23,7 +24,7 @@
     }
 }
 
-/// The name of a change that its operator gave none: a digest of its numbers, its base and its
+/// The name of a change that its operator did not name: a digest of its numbers, its base version and its
 /// content, so that the same change sent again has the same name.
 pub fn derive_change_id(
     base: Option<Version>,
--- a/crates/controlplane/src/controller_state/history.rs
+++ b/crates/controlplane/src/controller_state/history.rs
@@ -1,6 +1,7 @@
+//! The newest events of this controller, numbered.
+
 use crate::leader_state::EventRecord;
 use common::identity::Term;
-use serde_json::{Value, json};
 use std::collections::VecDeque;
 
 const MAX_RETAINED_EVENTS: usize = 20_000;
@@ -8,25 +9,37 @@
 /// An event with its number.
 #[derive(Clone, Debug)]
 pub struct NumberedEvent {
-    /// The number: the leader's term above, a count below.
+    /// The leader's term in the upper 32 bits, a count in the lower ones.
     pub number: u64,
     /// The event.
     pub event_record: EventRecord,
 }
 
-impl NumberedEvent {
-    /// The event as operators read it.
-    pub fn to_value(&self) -> Value {
-        json!({
-            "number": self.number,
-            "event": self.event_record.event.number,
-            "name": self.event_record.event.name,
-            "detail": self.event_record.detail,
-        })
+/// One line of the events that operators read.
+#[derive(Clone, Debug)]
+pub enum EventEntry {
+    /// An event.
+    Event(NumberedEvent),
+    /// Events that were asked for are no longer retained.
+    Gap {
+        /// The first number asked for.
+        requested: u64,
+        /// The oldest number that is retained, or the next one to be given.
+        oldest: u64,
+    },
+}
+
+impl EventEntry {
+    /// The number under which operators read it.
+    pub fn number(&self) -> u64 {
+        match self {
+            Self::Event(numbered) => numbered.number,
+            Self::Gap { oldest, .. } => oldest - 1,
+        }
     }
 }
 
-/// The last events of this controller.
+/// The newest events of this controller.
 #[derive(Default)]
 pub struct EventLog {
     retained: VecDeque<NumberedEvent>,
@@ -34,13 +47,13 @@
 }
 
 impl EventLog {
-    /// A new reign begins: numbers go on above all of earlier reigns.
+    /// A new term as leader begins: its numbers are above those of all earlier terms.
     pub fn restart(&mut self, term: Term) {
         self.retained.clear();
         self.last_number = self.last_number.max(term.0 << 32);
     }
 
-    /// Keeps an event and numbers it.
+    /// Numbers an event and retains it.
     pub fn add(&mut self, event_record: EventRecord) -> NumberedEvent {
         self.last_number += 1;
         let numbered = NumberedEvent {
@@ -59,26 +72,24 @@
         self.last_number
     }
 
-    /// The events from a number on, a gap event first when some of them are lost.
-    pub fn from(&self, first_number: u64, limit: usize) -> Vec<Value> {
-        let oldest_number = self
+    /// At most `limit` events from a number on, after a gap entry if some of them are no longer retained.
+    pub fn from(&self, first_number: u64, limit: usize) -> Vec<EventEntry> {
+        let oldest = self
             .retained
             .front()
             .map_or(self.last_number + 1, |retained| retained.number);
-        let mut listed_events = Vec::new();
-        if first_number != 0 && first_number < oldest_number {
-            listed_events.push(json!({
-                "number": oldest_number - 1,
-                "event": 0,
-                "name": "gap",
-                "detail": {"asked": first_number, "oldest": oldest_number},
-            }));
+        let mut entries = Vec::new();
+        if first_number != 0 && first_number < oldest {
+            entries.push(EventEntry::Gap {
+                requested: first_number,
+                oldest,
+            });
         }
         let later_events = self
             .retained
             .iter()
             .filter(|retained| retained.number >= first_number);
-        listed_events.extend(later_events.take(limit).map(NumberedEvent::to_value));
-        listed_events
+        entries.extend(later_events.take(limit).cloned().map(EventEntry::Event));
+        entries
     }
 }
--- a/crates/controlplane/src/controller_state/mod.rs
+++ b/crates/controlplane/src/controller_state/mod.rs
@@ -1,94 +1,51 @@
-//! A whole controller without I/O: the core, the leader state while it leads, and operators' changes.
+//! A complete controller without I/O: the consensus node, the leader state while it leads, and operators'
+//! changes. A driver feeds it [`ControllerInput`] and carries out the [`ControllerOutput`] it returns.
 
 mod changes;
+mod consensus_outputs;
 mod content;
+mod event_records;
 mod history;
+mod io;
 mod operation;
+mod operations;
 mod pending_changes;
 mod proposal_outcome;
+mod reply;
 mod traces;
 
 pub use content::derive_change_id;
-pub use history::{EventLog, NumberedEvent};
-pub use operation::{
-    ChangeKind, ItemChange, Numbering, Operation, OperationReply, OperationTicket, Unavailable,
-    Wait,
+pub use history::{EventEntry, EventLog, NumberedEvent};
+pub use io::{ControllerInput, ControllerOutput};
+pub use operation::{ChangeKind, ItemChange, Numbering, Operation, OperationTicket, Wait};
+pub use reply::{
+    MemberProgress, MemberTraceReport, OperationReply, QuorumChangeError, QuorumPeer, QuorumStatus,
+    TraceReport, Unavailable, UnrecordedChange, VersionTraceReport,
 };
 
-use crate::consensus::{ConsensusNode, ConsensusOutput, ControllerAddress, WriteJob, WriteResult};
+use crate::consensus::{ConsensusNode, ControllerAddress, WriteResult};
 use crate::leader_state::{
-    EventRecord, LeaderOutput, LeaderState, LeaderTiming, QuorumProof, RETAINED_VIEWS, StreamId,
+    LeaderOutput, LeaderState, LeaderTiming, QuorumProof, RETAINED_VIEWS, StreamId,
 };
-use common::adapter::{ListedRunner, ListedWorker, StopOrder};
 use common::clock::MonotonicTime;
 use common::events;
-use common::frames::{ConsensusFrame, DaemonToLeader, LeaderToDaemon, SocketAddress};
-use common::identity::{DocumentVersion, RunnerId, Ticket, Version};
+use common::frames::{DaemonToLeader, LeaderToDaemon, SocketAddress};
+use common::identity::{DocumentVersion, Ticket, Version};
 use common::rules::Rules;
 use common::spec::DaemonView;
-use operation::WaitingOperation;
+use operations::WaitingOperation;
 use pending_changes::PendingChanges;
-use serde_json::json;
 use std::collections::{BTreeSet, VecDeque};
 use std::time::Duration;
 use traces::Traces;
 
+/// The longest spans between two inputs, by what the controller has to do.
 const LEADER_TICK_INTERVAL: Duration = Duration::from_millis(50);
 const URGENT_TICK_INTERVAL: Duration = Duration::from_millis(10);
 const WAITING_TICK_INTERVAL: Duration = Duration::from_millis(100);
 const IDLE_TICK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// What reaches a controller.
-#[derive(Debug)]
-pub enum ControllerInput {
-    /// Time passes.
-    Tick,
-    /// Another controller's frame.
-    Consensus(ConsensusFrame),
-    /// A write has ended.
-    Written(Ticket, WriteResult),
-    /// A daemon's frame.
-    Stream(StreamId, DaemonToLeader),
-    /// A daemon's stream has ended.
-    StreamLost(StreamId),
-    /// The platform's workers.
-    Workers(Vec<ListedWorker>),
-    /// The platform's runners as they stood at a moment.
-    Runners(MonotonicTime, Vec<ListedRunner>),
-    /// The platform confirmed a stop.
-    RunnerStopped(RunnerId),
-    /// An operator's wish.
-    Operate(OperationTicket, Operation),
-    /// An operator hung up and hears no answer any more.
-    CallerDisconnected(OperationTicket),
-    /// Connections to this place are refused: the process there is gone.
-    ProcessGone(SocketAddress),
-    /// Other seeds.
-    Seeds(Vec<SocketAddress>),
-}
-
-/// What a controller orders.
-#[derive(Debug)]
-pub enum ControllerOutput {
-    /// Send a frame to another controller.
-    Send(SocketAddress, ConsensusFrame),
-    /// Write to disk.
-    Write(Ticket, WriteJob),
-    /// Say something on a daemon's stream.
-    FrameToDaemon(StreamId, LeaderToDaemon),
-    /// End a daemon's stream.
-    Close(StreamId),
-    /// Ask the platform for its lists at once.
-    RequestLists,
-    /// Have the platform stop a runner.
-    StopRunner(StopOrder),
-    /// Answer an operator.
-    OperatorReply(OperationTicket, OperationReply),
-    /// An event was noted.
-    EventRecord(NumberedEvent),
-}
-
-/// A whole controller without I/O.
+/// A complete controller without I/O.
 pub struct ControllerState {
     consensus: ConsensusNode,
     leader_state: Option<LeaderState>,
@@ -99,8 +56,8 @@
     changes: PendingChanges,
     waiting: VecDeque<WaitingOperation>,
     traces: Traces,
-    /// The last versions on this disk, committed or not; a leader's daemons that have one of them are told the
-    /// difference.
+    /// The last versions on this disk, committed or not. A leader sends daemons that have one of them the
+    /// difference only.
     recent_views: VecDeque<DaemonView>,
     recent_document_version: DocumentVersion,
     rules: Rules,
@@ -108,7 +65,8 @@
 }
 
 impl ControllerState {
-    /// A controller around a core member.
+    /// A controller around a consensus node. A majority's confirmation of its leadership counts for
+    /// `proof_freshness_limit`.
     pub fn new(
         consensus: ConsensusNode,
         leader_state_timing: LeaderTiming,
@@ -131,13 +89,13 @@
         }
     }
 
-    /// The same, with a rule taken away for proving.
+    /// Sets the rules to enforce; tests lift one to see that their checks find it.
     pub fn with_rules(mut self, rules: Rules) -> Self {
         self.rules = rules;
         self
     }
 
-    /// The core member.
+    /// The consensus node.
     pub fn consensus(&self) -> &ConsensusNode {
         &self.consensus
     }
@@ -152,7 +110,7 @@
         self.history.newest()
     }
 
-    /// When time must pass next, if nothing reaches it before.
+    /// When the next tick is due unless another input comes first.
     pub fn next_due(&self, now: MonotonicTime) -> MonotonicTime {
         let longest_span = match (&self.leader_state, self.waiting.is_empty()) {
             (Some(leader_state), _) if leader_state.is_time_critical() => URGENT_TICK_INTERVAL,
@@ -163,10 +121,17 @@
         self.consensus.next_due().min(now + longest_span)
     }
 
-    /// Takes one input and returns what is ordered.
+    /// Handles one input and returns the outputs, in the order in which they are to be carried out.
     pub fn take(&mut self, now: MonotonicTime, input: ControllerInput) -> Vec<ControllerOutput> {
         let consensus_outputs = self.consensus.expire_leadership(now);
         self.execute(now, consensus_outputs);
+        self.handle_input(now, input);
+        self.remember_accepted_view();
+        self.progress(now);
+        std::mem::take(&mut self.outputs)
+    }
+
+    fn handle_input(&mut self, now: MonotonicTime, input: ControllerInput) {
         match input {
             ControllerInput::Tick => {
                 let consensus_outputs = self.consensus.tick(now);
@@ -176,17 +141,14 @@
                 let consensus_outputs = self.consensus.receive(now, frame);
                 self.execute(now, consensus_outputs);
             }
-            ControllerInput::Written(ticket, result) => {
-                if result == WriteResult::Failed {
-                    self.record_event(EventRecord {
-                        event: events::DISK_WRITE_FAILED,
-                        detail: json!({}),
-                    });
-                }
-                let consensus_outputs = self.consensus.write_completed(now, ticket, result);
-                self.execute(now, consensus_outputs);
-            }
+            ControllerInput::Written(ticket, result) => self.write_completed(now, ticket, result),
             ControllerInput::Stream(stream, frame) => self.handle_stream_frame(now, stream, frame),
+            ControllerInput::Operate(ticket, operation) => self.operate(now, ticket, operation),
+            ControllerInput::CallerDisconnected(ticket) => self.drop_disconnected_caller(ticket),
+            ControllerInput::ProcessGone(address) => {
+                self.consensus.leader_process_ended(now, address);
+            }
+            ControllerInput::Seeds(seeds) => self.consensus.update_seeds(seeds),
             ControllerInput::StreamLost(stream) => {
                 self.streams.remove(&stream);
                 if let Some(leader_state) = &mut self.leader_state {
@@ -208,20 +170,19 @@
                     leader_state.runner_stopped(runner);
                 }
             }
-            ControllerInput::Operate(ticket, operation) => self.operate(now, ticket, operation),
-            ControllerInput::CallerDisconnected(ticket) => self.drop_disconnected_caller(ticket),
-            ControllerInput::ProcessGone(address) => {
-                self.consensus.leader_process_ended(now, address)
-            }
-            ControllerInput::Seeds(seeds) => self.consensus.update_seeds(seeds),
         }
-        self.remember_accepted_view();
-        self.progress(now);
-        std::mem::take(&mut self.outputs)
     }
 
-    /// Keeps the newest version on this disk among the recent ones; a version that lost to another with its serial
-    /// makes room.
+    fn write_completed(&mut self, now: MonotonicTime, ticket: Ticket, result: WriteResult) {
+        if result == WriteResult::Failed {
+            self.record_event(event_records::disk_write_failed());
+        }
+        let consensus_outputs = self.consensus.write_completed(now, ticket, result);
+        self.execute(now, consensus_outputs);
+    }
+
+    /// Retains the newest version on this disk among the recent ones. One that lost against another of the
+    /// same number is removed.
     fn remember_accepted_view(&mut self) {
         let Some(document) = self.consensus.accepted() else {
             return;
@@ -231,11 +192,11 @@
         }
         self.recent_document_version = document.document_version;
         let version = document.view_version();
-        let is_seen = self
+        let is_retained = self
             .recent_views
             .back()
             .is_some_and(|newest| newest.version == version);
-        if is_seen && document.hidden_versions > 0 {
+        if is_retained && document.hidden_versions > 0 {
             return;
         }
         self.recent_views
@@ -250,25 +211,43 @@
         match &mut self.leader_state {
             Some(leader_state) => leader_state.receive(now, stream, frame),
             None => {
-                let leader = self
-                    .consensus
-                    .leader()
-                    .map_or(SocketAddress::UNSPECIFIED, |controller_address| {
-                        controller_address.address
-                    });
-                self.outputs.push(ControllerOutput::FrameToDaemon(
-                    stream,
-                    LeaderToDaemon::Redirect { leader },
-                ));
-                self.outputs.push(ControllerOutput::Close(stream));
+                self.redirect_daemon(stream);
                 self.streams.remove(&stream);
             }
         }
     }
 
+    /// Sends a daemon to the leader, if one is known, and ends its stream.
+    fn redirect_daemon(&mut self, stream: StreamId) {
+        let leader = self
+            .consensus
+            .leader()
+            .map_or(SocketAddress::UNSPECIFIED, |controller_address| {
+                controller_address.address
+            });
+        let frame = LeaderToDaemon::Redirect { leader };
+        self.outputs
+            .push(ControllerOutput::FrameToDaemon(stream, frame));
+        self.outputs.push(ControllerOutput::Close(stream));
+    }
+
+    /// What follows every input: operations and changes that can go on, then the leader's own work.
     fn progress(&mut self, now: MonotonicTime) {
         self.retry_waiting_operations(now);
         self.progress_changes(now);
+        if self.leader_state.is_none() {
+            return;
+        }
+        self.progress_leader_state(now);
+        self.answer_fulfilled_changes();
+        self.propose_membership(now);
+        if self.needs_heartbeat_round() {
+            let consensus_outputs = self.consensus.expedite_heartbeat(now);
+            self.execute(now, consensus_outputs);
+        }
+    }
+
+    fn progress_leader_state(&mut self, now: MonotonicTime) {
         let Some(leader_state) = &mut self.leader_state else {
             return;
         };
@@ -282,49 +261,46 @@
             confirmed: &|known_member| consensus.is_confirmed(known_member),
             proposed_membership: consensus.proposed().map(|document| &document.membership),
         };
-        for order in leader_state.progress(now, &proof) {
-            match order {
-                LeaderOutput::FrameToDaemon { stream, frame } => {
-                    self.outputs
-                        .push(ControllerOutput::FrameToDaemon(stream, frame));
-                }
-                LeaderOutput::RequestLists => self.outputs.push(ControllerOutput::RequestLists),
-                LeaderOutput::StopRunner(order) => {
-                    self.outputs.push(ControllerOutput::StopRunner(order));
-                }
-                LeaderOutput::EventRecord(event_record) => {
-                    if event_record.event == events::VERSION_IN_FORCE
-                        && let Some(version) = event_record.detail["serial"].as_u64()
-                    {
-                        self.traces.in_force(now, Version(version));
-                    }
-                    self.record_event(event_record);
-                }
-                LeaderOutput::VersionProgress {
-                    version,
-                    member,
-                    step,
-                } => {
-                    self.traces.step(now, version, member, step);
+        for output in leader_state.progress(now, &proof) {
+            self.execute_leader_output(now, output);
+        }
+    }
+
+    fn execute_leader_output(&mut self, now: MonotonicTime, output: LeaderOutput) {
+        match output {
+            LeaderOutput::FrameToDaemon { stream, frame } => {
+                self.outputs
+                    .push(ControllerOutput::FrameToDaemon(stream, frame));
+            }
+            LeaderOutput::RequestLists => self.outputs.push(ControllerOutput::RequestLists),
+            LeaderOutput::StopRunner(order) => {
+                self.outputs.push(ControllerOutput::StopRunner(order));
+            }
+            LeaderOutput::EventRecord(event_record) => {
+                if event_record.event == events::VERSION_IN_FORCE
+                    && let Some(version) = event_record.detail["serial"].as_u64()
+                {
+                    self.traces.in_force(now, Version(version));
                 }
+                self.record_event(event_record);
             }
+            LeaderOutput::VersionProgress {
+                version,
+                member,
+                step,
+            } => self.traces.step(now, version, member, step),
         }
-        self.answer_fulfilled_changes();
-        self.propose_membership(now);
-        let needs_heartbeat_round = self
-            .leader_state
-            .as_ref()
-            .is_some_and(LeaderState::needs_heartbeat_round)
-            || (self.leader_state.is_some() && !self.waiting.is_empty())
-            || self.changes.needs_proof();
-        if needs_heartbeat_round {
-            let consensus_outputs = self.consensus.expedite_heartbeat(now);
-            self.execute(now, consensus_outputs);
-        }
     }
 
-    /// Names of daemons that joined or are long gone are committed together, after operators' changes
-    /// that wait: those take the names along.
+    /// Whether something waits for a majority to confirm this leader.
+    fn needs_heartbeat_round(&self) -> bool {
+        self.leader_state.as_ref().is_some_and(|leader_state| {
+            leader_state.needs_heartbeat_round() || !self.waiting.is_empty()
+        }) || self.changes.needs_proof()
+    }
+
+    /// Daemons that joined or left for good are committed together, and only while no operator's change
+    /// waits: a change carries the membership along.
     fn propose_membership(&mut self, now: MonotonicTime) {
         let is_free =
             self.consensus.is_ready() && !self.consensus.is_proposing() && self.changes.is_idle();
@@ -343,109 +319,6 @@
         }
     }
 
-    fn record_event(&mut self, event_record: EventRecord) {
-        let numbered = self.history.add(event_record);
-        self.outputs.push(ControllerOutput::EventRecord(numbered));
-    }
-
-    fn execute(&mut self, now: MonotonicTime, consensus_outputs: Vec<ConsensusOutput>) {
-        for order in consensus_outputs {
-            match order {
-                ConsensusOutput::Send { to, frame } => {
-                    self.outputs.push(ControllerOutput::Send(to, frame))
-                }
-                ConsensusOutput::Write { ticket, job } => {
-                    self.outputs.push(ControllerOutput::Write(ticket, job));
-                }
-                ConsensusOutput::Campaigning { term } => {
-                    let detail = json!({"term": term.0});
-                    self.record_event(EventRecord {
-                        event: events::ELECTION_STARTED,
-                        detail,
-                    });
-                }
-                ConsensusOutput::Elected {
-                    term,
-                    members,
-                    complete,
-                } => {
-                    self.history.restart(term);
-                    let detail = json!({
-                        "term": term.0,
-                        "surveyor": format!("{:x}", self.consensus.id().0),
-                        "last_known": members.len(),
-                        "whole": complete,
-                    });
-                    self.record_event(EventRecord {
-                        event: events::LEADER_ELECTED,
-                        detail,
-                    });
-                    let leader_state_timing = self.leader_state_timing.clone();
-                    let leader_state =
-                        LeaderState::new(leader_state_timing, term, now, members, complete);
-                    let leader_state = leader_state.with_earlier_views(self.recent_views.clone());
-                    self.leader_state = Some(leader_state.with_rules(self.rules));
-                }
-                ConsensusOutput::SteppedDown => self.stepped_down(),
-                ConsensusOutput::Committed(document) => {
-                    let document_version = document.document_version;
-                    let detail = json!({"term": document_version.term.0, "serial": document_version.version.0});
-                    self.record_event(EventRecord {
-                        event: events::VERSION_COMMITTED,
-                        detail,
-                    });
-                    let seen_document_version = DocumentVersion {
-                        version: document.view_version(),
-                        ..document_version
-                    };
-                    self.traces.committed(now, seen_document_version);
-                    if let Some(leader_state) = &mut self.leader_state {
-                        leader_state.committed(document);
-                    }
-                    self.changes.commit(document_version.version);
-                }
-                ConsensusOutput::MembershipChange { addresses, settled } => {
-                    let addresses: Vec<String> =
-                        addresses.iter().map(SocketAddress::to_string).collect();
-                    let detail = json!({"core": addresses, "settled": settled});
-                    self.record_event(EventRecord {
-                        event: events::QUORUM_RECONFIGURING,
-                        detail,
-                    });
-                }
-                ConsensusOutput::DiskStalled => {
-                    self.record_event(EventRecord {
-                        event: events::DISK_STALLED,
-                        detail: json!({}),
-                    });
-                }
-            }
-        }
-    }
-
-    fn stepped_down(&mut self) {
-        let detail = json!({"term": self.consensus.term().0});
-        self.record_event(EventRecord {
-            event: events::LEADER_STEPPED_DOWN,
-            detail,
-        });
-        self.leader_state = None;
-        self.drop_changes();
-        let leader = self
-            .consensus
-            .leader()
-            .map_or(SocketAddress::UNSPECIFIED, |controller_address| {
-                controller_address.address
-            });
-        for stream in std::mem::take(&mut self.streams) {
-            self.outputs.push(ControllerOutput::FrameToDaemon(
-                stream,
-                LeaderToDaemon::Redirect { leader },
-            ));
-            self.outputs.push(ControllerOutput::Close(stream));
-        }
-    }
-
     fn other_leader(&self) -> Option<ControllerAddress> {
         if self.consensus.is_leader() {
             None
@@ -459,7 +332,7 @@
             && now.since(self.consensus.quorum_confirmed_at()) < self.proof_freshness_limit
     }
 
-    /// Whether a majority still followed this leader in a round that began after this moment.
+    /// Whether a majority confirmed this leader in a heartbeat round that began at or after `requested_at`.
     fn is_proven_since(&self, now: MonotonicTime, requested_at: MonotonicTime) -> bool {
         self.is_quorum_fresh(now) && self.consensus.quorum_confirmed_at() >= requested_at
     }
--- /dev/null
+++ b/crates/controlplane/src/controller_state/operations.rs
@@ -0,0 +1,251 @@
+//! Operators' requests: which are answered here, which are redirected, and which wait for a leader.
+
+use super::pending_changes::ChangeRequest;
+use super::{
+    ControllerOutput, ControllerState, Operation, OperationReply, OperationTicket,
+    QuorumChangeError, QuorumPeer, QuorumStatus, Unavailable,
+};
+use common::clock::MonotonicTime;
+use common::identity::ControllerId;
+use common::rules::Rule;
+use std::time::Duration;
+
+/// How long an operation waits for a leader, or for a majority to confirm this one.
+const LEADER_WAIT_TIMEOUT: Duration = Duration::from_millis(700);
+/// How many events one reply holds at most.
+const MAX_EVENTS_PER_REPLY: usize = 1000;
+
+/// An operation that waits for a leader.
+pub(super) struct WaitingOperation {
+    /// The operation that the reply belongs to.
+    pub ticket: OperationTicket,
+    operation: Operation,
+    requested_at: MonotonicTime,
+}
+
+impl ControllerState {
+    /// Handles an operation now, or lets it wait for a leader.
+    pub(super) fn operate(
+        &mut self,
+        now: MonotonicTime,
+        ticket: OperationTicket,
+        operation: Operation,
+    ) {
+        if self.must_wait_for_leader(now, now, &operation) {
+            self.wait_for_leader(now, ticket, operation);
+        } else {
+            self.operate_now(now, now, ticket, operation);
+        }
+    }
+
+    /// Queues an operation until there is a leader, or it has waited too long.
+    pub(super) fn wait_for_leader(
+        &mut self,
+        requested_at: MonotonicTime,
+        ticket: OperationTicket,
+        operation: Operation,
+    ) {
+        self.waiting.push_back(WaitingOperation {
+            ticket,
+            operation,
+            requested_at,
+        });
+    }
+
+    /// A rejected client backs off longer each time, so an operation waits a little for a leader instead.
+    /// A read waits until a majority has confirmed this leader after the request.
+    fn must_wait_for_leader(
+        &self,
+        now: MonotonicTime,
+        requested_at: MonotonicTime,
+        operation: &Operation,
+    ) -> bool {
+        match operation {
+            Operation::Bootstrap
+            | Operation::ShowQuorum
+            | Operation::Trace(_)
+            | Operation::Metrics
+            | Operation::Events(_) => false,
+            Operation::Change { .. } => {
+                self.leader_state.is_none() && self.other_leader().is_none()
+            }
+            _ => {
+                let must_be_proven = self.rules.enforces(Rule::ReadConfirmedByMajority);
+                let is_proven = self.is_proven_since(now, requested_at);
+                self.other_leader().is_none() && must_be_proven && !is_proven
+            }
+        }
+    }
+
+    /// Handles the waiting operations that need not wait any longer.
+    pub(super) fn retry_waiting_operations(&mut self, now: MonotonicTime) {
+        for waiting in std::mem::take(&mut self.waiting) {
+            let is_expired = now.since(waiting.requested_at) > LEADER_WAIT_TIMEOUT;
+            if is_expired
+                || !self.must_wait_for_leader(now, waiting.requested_at, &waiting.operation)
+            {
+                self.operate_now(now, waiting.requested_at, waiting.ticket, waiting.operation);
+            } else {
+                self.waiting.push_back(waiting);
+            }
+        }
+    }
+
+    fn operate_now(
+        &mut self,
+        now: MonotonicTime,
+        requested_at: MonotonicTime,
+        ticket: OperationTicket,
+        operation: Operation,
+    ) {
+        let reply = match operation {
+            Operation::Bootstrap => Some(self.bootstrap(now)),
+            Operation::Metrics => Some(OperationReply::MetricsUpdated),
+            Operation::ShowQuorum => {
+                Some(OperationReply::Quorum(Box::new(self.quorum_status(now))))
+            }
+            Operation::Trace(version) => {
+                Some(OperationReply::Trace(self.trace_report(now, version)))
+            }
+            Operation::Events(first_number) if self.leader_state.is_some() => {
+                let entries = self.history.from(first_number, MAX_EVENTS_PER_REPLY);
+                Some(OperationReply::Events(entries))
+            }
+            other => self.operate_as_leader(now, requested_at, ticket, other),
+        };
+        if let Some(reply) = reply {
+            self.outputs
+                .push(ControllerOutput::OperatorReply(ticket, reply));
+        }
+    }
+
+    /// Handles what only a leader can; a change that is queued has no reply yet.
+    fn operate_as_leader(
+        &mut self,
+        now: MonotonicTime,
+        requested_at: MonotonicTime,
+        ticket: OperationTicket,
+        operation: Operation,
+    ) -> Option<OperationReply> {
+        if let Some(controller_address) = self.other_leader() {
+            return Some(OperationReply::Redirect(controller_address.operators));
+        }
+        match operation {
+            Operation::Replace(missing, successor) => Some(self.replace(now, missing, successor)),
+            Operation::Change { change, .. } if self.leader_state.is_none() => {
+                Some(OperationReply::NotAccepted {
+                    reason: Unavailable::NoLeader,
+                    change,
+                })
+            }
+            Operation::Change {
+                base,
+                numbering,
+                change,
+                kind,
+                wait,
+            } => {
+                let requested = ChangeRequest {
+                    base,
+                    numbering,
+                    change,
+                    kind,
+                    wait,
+                };
+                self.queue_change(requested_at, ticket, requested);
+                None
+            }
+            other => Some(self.report(now, requested_at, other)),
+        }
+    }
+
+    fn report(
+        &self,
+        now: MonotonicTime,
+        requested_at: MonotonicTime,
+        operation: Operation,
+    ) -> OperationReply {
+        let is_sure = self.is_proven_since(now, requested_at)
+            || !self.rules.enforces(Rule::ReadConfirmedByMajority);
+        let (Some(leader_state), true) = (&self.leader_state, is_sure) else {
+            return OperationReply::TemporarilyUnavailable(Unavailable::NoLeader);
+        };
+        let report = match operation {
+            Operation::Members => leader_state.report_members(now),
+            Operation::Holders => leader_state.report_holders(),
+            Operation::Workers => leader_state.report_workers(),
+            Operation::Runners => leader_state.report_runners(),
+            Operation::ChangeStatus(change) => return self.report_change_status(&change),
+            _ => {
+                let Some(document) = leader_state.document() else {
+                    return OperationReply::TemporarilyUnavailable(Unavailable::NoDocument);
+                };
+                return OperationReply::Spec {
+                    document: Box::new(document.clone()),
+                    in_force: leader_state.in_force(),
+                };
+            }
+        };
+        OperationReply::LeaderReport(report)
+    }
+
+    fn bootstrap(&mut self, now: MonotonicTime) -> OperationReply {
+        match self.consensus.bootstrap(now) {
+            Ok(consensus_outputs) => {
+                self.execute(now, consensus_outputs);
+                OperationReply::Bootstrapping
+            }
+            Err(error) => OperationReply::QuorumChangeRejected(QuorumChangeError::from(error)),
+        }
+    }
+
+    fn replace(
+        &mut self,
+        now: MonotonicTime,
+        missing: ControllerId,
+        successor: ControllerId,
+    ) -> OperationReply {
+        match self.consensus.replace(now, missing, successor) {
+            Ok((version, consensus_outputs)) => {
+                self.execute(now, consensus_outputs);
+                OperationReply::ReplacingVoter { version }
+            }
+            Err(error) => OperationReply::QuorumChangeRejected(QuorumChangeError::from(error)),
+        }
+    }
+
+    fn quorum_status(&self, now: MonotonicTime) -> QuorumStatus {
+        let consensus = &self.consensus;
+        let peers = consensus
+            .peers(now)
+            .into_iter()
+            .map(
+                |(id, controller_address, accepted, is_voter, since_last_heard_ms)| QuorumPeer {
+                    id,
+                    controller_address,
+                    accepted,
+                    is_voter,
+                    since_last_heard_ms,
+                },
+            )
+            .collect();
+        QuorumStatus {
+            id: consensus.id(),
+            term: consensus.term(),
+            is_leader: consensus.is_leader(),
+            is_ready: consensus.is_ready(),
+            is_open: self
+                .leader_state
+                .as_ref()
+                .is_some_and(|leader_state| leader_state.is_open()),
+            leader: consensus
+                .leader()
+                .map(|controller_address| controller_address.operators),
+            accepted: consensus
+                .accepted()
+                .map(|document| document.document_version),
+            committed: consensus.committed(),
+            peers,
+        }
+    }
+}
--- a/crates/controlplane/src/controller_state/traces.rs
+++ b/crates/controlplane/src/controller_state/traces.rs
@@ -1,9 +1,11 @@
-use super::{ControllerState, OperationReply};
+//! How the last versions propagated, as this controller saw it while it led.
+
+use super::{ControllerState, MemberProgress, MemberTraceReport, TraceReport, VersionTraceReport};
 use crate::leader_state::TraceStep;
 use common::clock::MonotonicTime;
 use common::identity::{DocumentVersion, MemberName, Term, Version};
-use serde_json::{Map, Value, json};
 use std::collections::BTreeMap;
+use std::time::Duration;
 
 const MAX_RETAINED_TRACES: usize = 256;
 
@@ -22,9 +24,29 @@
     members: BTreeMap<MemberName, MemberTrace>,
 }
 
-/// The way of the last versions, as this controller saw it while it led.
+impl Trace {
+    fn span_until(&self, at: Option<MonotonicTime>) -> Option<Duration> {
+        at.map(|at| at.since(self.started_at))
+    }
+
+    fn member_reports(&self) -> BTreeMap<MemberName, MemberTraceReport> {
+        let report_of = |member_trace: &MemberTrace| MemberTraceReport {
+            progress: Some(MemberProgress {
+                pushed_after: self.span_until(member_trace.pushed_at),
+                installed_after: self.span_until(member_trace.installed_at),
+            }),
+            lagging: None,
+        };
+        self.members
+            .iter()
+            .map(|(member, member_trace)| (member.clone(), report_of(member_trace)))
+            .collect()
+    }
+}
+
+/// The traces of the last versions, by version and the term in which this controller led.
 #[derive(Default)]
-pub struct Traces {
+pub(super) struct Traces {
     retained: BTreeMap<(Version, Term), Trace>,
     term: Term,
 }
@@ -44,7 +66,7 @@
         })
     }
 
-    /// A change is on its way to the disks.
+    /// An operator's change makes this version.
     pub fn begin_proposal(&mut self, now: MonotonicTime, term: Term, version: Version) {
         self.term = term;
         self.begin(now, version, true);
@@ -58,7 +80,7 @@
             .get_or_insert(now);
     }
 
-    /// A version, and with it every older one, is in force or replaced at every daemon that serves.
+    /// A version is in force at every daemon that serves; every older one is in force or replaced.
     pub fn in_force(&mut self, now: MonotonicTime, version: Version) {
         self.begin(now, version, false);
         let current_term = self.term;
@@ -68,7 +90,7 @@
         }
     }
 
-    /// A version came one step further at a daemon.
+    /// A version came one step further at a daemon; ignored unless this controller traces the version.
     pub fn step(
         &mut self,
         now: MonotonicTime,
@@ -92,66 +114,50 @@
 }
 
 impl ControllerState {
-    pub(super) fn trace(&self, now: MonotonicTime, version: Version) -> OperationReply {
-        let newest = self
-            .traces
-            .retained
-            .keys()
-            .next_back()
-            .map(|(newest, _)| *newest);
+    /// How a version propagated, as far as this controller knows; version zero stands for the newest.
+    pub(super) fn trace_report(&self, now: MonotonicTime, version: Version) -> TraceReport {
+        let retained = &self.traces.retained;
         let requested = if version == Version(0) {
-            newest
+            retained.keys().next_back().map(|(newest, _)| *newest)
         } else {
             Some(version)
         };
-        let rows: Vec<Value> = self
-            .traces
-            .retained
+        let traces = retained
             .iter()
             .filter(|((retained, _), _)| Some(*retained) == requested)
-            .map(|(_, trace)| self.trace_row(now, requested.unwrap_or_default(), trace))
+            .map(|((version, _), trace)| self.version_trace_report(now, *version, trace))
             .collect();
-        let status = if rows.is_empty() { 404 } else { 200 };
-        let controller = format!("{:x}", self.consensus.id().0);
-        let body = json!({"serial": requested.map(|known| known.0), "surveyor": controller, "traces": rows});
-        OperationReply::StatusAndBody(status, body)
+        TraceReport {
+            version: requested,
+            controller: self.consensus.id(),
+            traces,
+        }
     }
 
-    fn trace_row(&self, now: MonotonicTime, version: Version, trace: &Trace) -> Value {
-        let since = |at: &Option<MonotonicTime>| {
-            at.map(|at| at.since(trace.started_at).as_secs_f64() * 1e3)
-        };
-        let mut members: Map<String, Value> = trace
-            .members
-            .iter()
-            .map(|(member, member_trace)| {
-                let row = json!({
-                    "pushed_ms": since(&member_trace.pushed_at),
-                    "acknowledged_ms": since(&member_trace.installed_at),
-                });
-                (member.to_string(), row)
-            })
-            .collect();
-        let is_present = self.consensus.is_leader() && self.consensus.term() == trace.term;
+    fn version_trace_report(
+        &self,
+        now: MonotonicTime,
+        version: Version,
+        trace: &Trace,
+    ) -> VersionTraceReport {
+        let is_leading_now = self.consensus.is_leader() && self.consensus.term() == trace.term;
+        let mut members = trace.member_reports();
         let laggards = self
             .leader_state
             .as_ref()
-            .filter(|_| is_present)
+            .filter(|_| is_leading_now)
             .map(|leader_state| leader_state.laggards(now, version));
         for (member, reason) in laggards.unwrap_or_default() {
-            let row = members
-                .entry(member.to_string())
-                .or_insert_with(|| json!({}));
-            row["lagging"] = json!(reason);
+            members.entry(member).or_default().lagging = Some(reason);
+        }
+        VersionTraceReport {
+            term: trace.term,
+            is_leading_now,
+            is_own_change: trace.is_own_change,
+            committed_after: trace.span_until(trace.committed_at),
+            in_force_after: trace.span_until(trace.in_force_at),
+            age: now.since(trace.started_at),
+            members,
         }
-        json!({
-            "term": trace.term.0,
-            "leads_now": is_present,
-            "from": if trace.is_own_change { "accepted here" } else { "taken over" },
-            "committed_ms": since(&trace.committed_at),
-            "in_force_ms": since(&trace.in_force_at),
-            "age_ms": now.since(trace.started_at).as_secs_f64() * 1e3,
-            "members": members,
-        })
     }
 }
--- a/crates/controlplane/src/drivers/operators.rs
+++ b/crates/controlplane/src/drivers/operators.rs
@@ -1,4 +1,5 @@
 use super::controller::Shared;
+use super::operator_api::{event_json, json_status_response};
 use crate::controller_state::{
     ChangeKind, Operation, OperationReply, Unavailable, derive_change_id,
 };
@@ -6,9 +7,7 @@
 use common::clock::MonotonicTime;
 use common::events;
 use common::frames::SocketAddress;
-use common::http::{
-    self, BodyError, HttpResponse, json_response, read_body, stream_body, text_response,
-};
+use common::http::{self, BodyError, HttpResponse, read_body, stream_body, text_response};
 use common::log_event;
 use common::spec::SpecRecords;
 use http_body_util::Full;
@@ -19,7 +18,7 @@
 };
 use hyper::http::request::Parts;
 use hyper::{Method, Request, Response, StatusCode};
-use serde_json::{Value, json};
+use serde_json::json;
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 use std::time::Duration;
@@ -41,13 +40,6 @@
     http::serve(listener, handler, stop).await;
 }
 
-fn json_status_response(status: u16, body: &Value) -> HttpResponse {
-    json_response(
-        StatusCode::from_u16(status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR),
-        body,
-    )
-}
-
 /// Answers one request, and measures how long an order took.
 async fn handle_request(shared: Arc<Shared>, request: Request<Incoming>) -> HttpResponse {
     let received_at = MonotonicTime::now();
@@ -307,7 +299,7 @@
             }
             return response;
         }
-        Some(OperationReply::StatusAndBody(200, batch)) => batch,
+        Some(OperationReply::Events(batch)) => batch,
         Some(reply) => {
             return shared
                 .operators
@@ -320,19 +312,14 @@
         let mut next_event_number = first_number;
         let mut batch = first_batch;
         loop {
-            let listed_events = batch.as_array().cloned().unwrap_or_default();
-            for listed_event in &listed_events {
-                let number = listed_event
-                    .get("number")
-                    .and_then(Value::as_u64)
-                    .unwrap_or(0);
-                next_event_number = next_event_number.max(number + 1);
-                let line = Bytes::from(format!("{listed_event}\n"));
+            for entry in &batch {
+                next_event_number = next_event_number.max(entry.number() + 1);
+                let line = Bytes::from(format!("{}\n", event_json(entry)));
                 if chunk_sender.send(line).await.is_err() {
                     return;
                 }
             }
-            if listed_events.is_empty() {
+            if batch.is_empty() {
                 if !following || *event_watch.borrow() == u64::MAX {
                     return;
                 }
@@ -345,7 +332,7 @@
                 .submit_operation(Operation::Events(next_event_number.max(1)))
                 .await
             {
-                Some(OperationReply::StatusAndBody(200, next_batch)) => batch = next_batch,
+                Some(OperationReply::Events(next_batch)) => batch = next_batch,
                 _ => return,
             }
         }
--- a/crates/controlplane/tests/operators_forms.rs
+++ b/crates/controlplane/tests/operators_forms.rs
@@ -5,19 +5,25 @@
 #[path = "../../../testing/support/wire.rs"]
 mod wire;
 
+use common::events;
 use common::frames::SocketAddress;
-use common::identity::{ChangeId, Term, Version, Zone};
+use common::identity::{ChangeId, ControllerId, DocumentVersion, MemberName, Term, Version, Zone};
 use common::readers::{PathError, PathErrorReason};
 use common::spec::Document;
+use controlplane::consensus::{BootstrapError, ControllerAddress, MembershipError};
 use controlplane::controller_state::{
-    ChangeKind, Operation, OperationReply, Unavailable, Wait, derive_change_id,
+    ChangeKind, EventEntry, MemberProgress, MemberTraceReport, NumberedEvent, Operation,
+    OperationReply, QuorumPeer, QuorumStatus, TraceReport, Unavailable, UnrecordedChange,
+    VersionTraceReport, Wait, derive_change_id,
 };
 use controlplane::drivers::{NativeOperatorApi, OperatorApiAdapter};
+use controlplane::leader_state::EventRecord;
 use hyper::http::request::Parts;
 use hyper::{Method, Request};
 use serde_json::{Value, json};
-use std::collections::BTreeSet;
+use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Write;
+use std::time::Duration;
 
 fn check(name: &str, seen: &str) {
     forms::check(env!("CARGO_MANIFEST_DIR"), name, seen);
@@ -332,10 +338,6 @@
     };
     let known: BTreeSet<Zone> = zones(&["north", "south"]);
     vec![
-        (
-            "said",
-            OperationReply::StatusAndBody(418, json!({"any": "body"})),
-        ),
         ("spec", spec),
         ("accepted", accepted(0, false)),
         ("accepted, numbered", accepted(9, false)),
@@ -359,6 +361,169 @@
     ]
 }
 
+/// The replies that only the product's own API gives.
+fn native_replies() -> Vec<(&'static str, OperationReply)> {
+    let address = |text: &str| SocketAddress(text.parse().expect("an address"));
+    let stored = |term, version| DocumentVersion {
+        term: Term(term),
+        version: Version(version),
+    };
+    let quorum = |leader, accepted, peers| {
+        OperationReply::Quorum(Box::new(QuorumStatus {
+            id: ControllerId(0xab),
+            term: Term(3),
+            is_leader: true,
+            is_ready: false,
+            is_open: true,
+            leader,
+            accepted,
+            committed: stored(2, 4),
+            peers,
+        }))
+    };
+    let peer = QuorumPeer {
+        id: ControllerId(0xcd),
+        controller_address: ControllerAddress {
+            address: address("10.0.0.2:7110"),
+            operators: address("10.0.0.2:7111"),
+        },
+        accepted: stored(3, 4),
+        is_voter: true,
+        since_last_heard_ms: 12,
+    };
+    let change_state = |state| OperationReply::ChangeUnrecorded {
+        change: ChangeId::from("release-42"),
+        state,
+    };
+    let rejected = |error| OperationReply::QuorumChangeRejected(error);
+    vec![
+        ("metrics", OperationReply::MetricsUpdated),
+        ("quorum, alone", quorum(None, None, Vec::new())),
+        (
+            "quorum",
+            quorum(
+                Some(address("10.0.0.1:7111")),
+                Some(stored(3, 5)),
+                vec![peer],
+            ),
+        ),
+        ("nothing traced", trace_reply(None, Vec::new())),
+        (
+            "version not traced",
+            trace_reply(Some(Version(9)), Vec::new()),
+        ),
+        ("trace", trace_reply(Some(Version(4)), version_traces())),
+        ("no events", OperationReply::Events(Vec::new())),
+        ("events", OperationReply::Events(event_entries())),
+        (
+            "report",
+            OperationReply::LeaderReport(json!({"members": [], "open": true})),
+        ),
+        ("bootstrapping", OperationReply::Bootstrapping),
+        (
+            "replacing",
+            OperationReply::ReplacingVoter {
+                version: Version(6),
+            },
+        ),
+        (
+            "no bootstrap",
+            rejected(BootstrapError::AlreadyBootstrapped.into()),
+        ),
+        (
+            "no replacement",
+            rejected(MembershipError::NoSuchMember.into()),
+        ),
+        ("change unknown", change_state(UnrecordedChange::Unknown)),
+        (
+            "change not accepted",
+            change_state(UnrecordedChange::NotAccepted),
+        ),
+    ]
+}
+
+fn trace_reply(version: Option<Version>, traces: Vec<VersionTraceReport>) -> OperationReply {
+    OperationReply::Trace(TraceReport {
+        version,
+        controller: ControllerId(0xab),
+        traces,
+    })
+}
+
+/// An inherited version that is hardly on its way, and one of this controller's that got everywhere but one daemon.
+fn version_traces() -> Vec<VersionTraceReport> {
+    let ms = Duration::from_millis;
+    let progress = |pushed_ms, installed_ms: Option<u64>| {
+        Some(MemberProgress {
+            pushed_after: Some(ms(pushed_ms)),
+            installed_after: installed_ms.map(ms),
+        })
+    };
+    let lagging = Some("cut off");
+    let members = [
+        (
+            "m-1",
+            MemberTraceReport {
+                progress: progress(2, Some(7)),
+                lagging: None,
+            },
+        ),
+        (
+            "m-2",
+            MemberTraceReport {
+                progress: progress(2, None),
+                lagging,
+            },
+        ),
+        (
+            "m-3",
+            MemberTraceReport {
+                progress: None,
+                lagging,
+            },
+        ),
+    ];
+    let inherited = VersionTraceReport {
+        term: Term(2),
+        is_leading_now: false,
+        is_own_change: false,
+        committed_after: None,
+        in_force_after: None,
+        age: ms(1),
+        members: BTreeMap::new(),
+    };
+    let own = VersionTraceReport {
+        term: Term(3),
+        is_leading_now: true,
+        is_own_change: true,
+        committed_after: Some(Duration::from_micros(1_500)),
+        in_force_after: Some(ms(9)),
+        age: ms(20),
+        members: members
+            .into_iter()
+            .map(|(name, report)| (MemberName::from(name), report))
+            .collect(),
+    };
+    vec![inherited, own]
+}
+
+fn event_entries() -> Vec<EventEntry> {
+    let event_record = EventRecord {
+        event: events::LEADER_ELECTED,
+        detail: json!({"term": 3}),
+    };
+    vec![
+        EventEntry::Gap {
+            requested: 5,
+            oldest: 8,
+        },
+        EventEntry::Event(NumberedEvent {
+            number: 8,
+            event_record,
+        }),
+    ]
+}
+
 fn reasons() -> [Unavailable; 10] {
     [
         Unavailable::NoLeader,
@@ -376,7 +541,8 @@
 
 #[tokio::test]
 async fn every_answer_has_its_bytes() {
-    let mut replies = replies();
+    let mut replies = native_replies();
+    replies.extend(self::replies());
     for reason in reasons() {
         for change in [None, Some(ChangeId::from("release-42"))] {
             let not_accepted = OperationReply::NotAccepted {
