--- a/crates/controlplane/src/drivers/disk.rs
+++ b/crates/controlplane/src/drivers/disk.rs
@@ -1,3 +1,5 @@
+//! The thread that writes to the data directory.
+
 use super::queue::InputSender;
 use crate::consensus::{WriteJob, WriteResult};
 use crate::controller_state::ControllerInput;
@@ -7,7 +9,8 @@
 use common::log_event;
 use std::sync::mpsc as blocking;
 
-/// Writes in a thread of its own, in order.
+/// Writes in a thread of its own, in the order of the jobs. The thread is detached: it ends once this is dropped
+/// and all jobs are done, or the controller takes no more results.
 pub struct DiskWriter {
     jobs: blocking::Sender<(Ticket, WriteJob)>,
 }
@@ -36,7 +39,7 @@
         Self { jobs }
     }
 
-    /// Orders a write.
+    /// Queues a write; its result becomes an input of the controller.
     pub fn write(&self, ticket: Ticket, job: WriteJob) {
         let _ = self.jobs.send((ticket, job));
     }
--- a/crates/controlplane/src/drivers/metrics.rs
+++ b/crates/controlplane/src/drivers/metrics.rs
@@ -1,11 +1,13 @@
+//! The metrics of a controller process.
+
 use super::queue::InputKind;
 use crate::controller_state::ControllerState;
 use common::metrics::MetricsPage;
 use prometheus::{HistogramVec, IntCounter, IntGauge};
 use std::time::Duration;
 
-/// The controller's metrics.
-pub struct ControllerMetrics {
+/// The metrics of a controller process.
+pub(super) struct ControllerMetrics {
     page: MetricsPage,
     is_leader: IntGauge,
     term: IntGauge,
@@ -25,7 +27,7 @@
 }
 
 impl ControllerMetrics {
-    /// All at zero.
+    /// All metrics, at zero.
     pub fn new() -> Self {
         let page = MetricsPage::new();
         Self {
@@ -65,7 +67,7 @@
         }
     }
 
-    /// Takes how long an input waited, and how long it took to handle.
+    /// Records how long an input waited in the queue, and how long it took to handle.
     pub fn observe_step(&self, kind: InputKind, queue_wait: Duration, handling_time: Duration) {
         let label = [kind.label()];
         self.queue_seconds
@@ -76,7 +78,7 @@
             .observe(handling_time.as_secs_f64());
     }
 
-    /// Takes how long an operator's order took to be answered.
+    /// Records the status of an operator's command, and the time from its receipt to its response.
     pub fn observe_command(&self, status: u16, elapsed: Duration) {
         let label = [status.to_string()];
         self.command_seconds
@@ -84,7 +86,7 @@
             .observe(elapsed.as_secs_f64());
     }
 
-    /// Takes the controller state's present state.
+    /// Sets the gauges from the controller's state.
     pub fn set(&self, controller_state: &ControllerState) {
         let consensus = controller_state.consensus();
         self.is_leader.set(i64::from(consensus.is_leader()));
@@ -103,7 +105,7 @@
         }
     }
 
-    /// Counts a connection closed for what it sent.
+    /// Counts a connection closed because of an invalid frame.
     pub fn count_rejected(&self) {
         self.rejected.inc();
     }
--- a/crates/controlplane/src/drivers/mod.rs
+++ b/crates/controlplane/src/drivers/mod.rs
@@ -1,13 +1,18 @@
-//! Thin drivers that feed the controller and do what it orders.
+//! Drivers: the tasks that feed the controller its inputs and carry out its outputs.
+//!
+//! [`Controller`] owns the loop; all other tasks know only the shared state and the input queue.
 
 mod controller;
 mod disk;
+mod event_stream;
 mod metrics;
 mod operator_api;
+mod operator_forwarding;
 mod operators;
 mod peer_links;
 mod platform;
 pub mod queue;
+mod shared;
 mod streams;
 
 pub use controller::{Controller, ControllerAdapters, ControllerError, SeedUpdater};
--- a/crates/controlplane/src/drivers/peer_links.rs
+++ b/crates/controlplane/src/drivers/peer_links.rs
@@ -1,3 +1,5 @@
+//! The connections to the other controllers.
+
 use common::frames::{Channel, ConsensusFrame, FrameError, SocketAddress, dial, write_frame};
 use std::collections::HashMap;
 use std::io::ErrorKind;
@@ -11,14 +13,20 @@
 const MAX_BACKOFF: Duration = Duration::from_millis(200);
 const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// One-way links to the other controllers; what cannot be sent soon is dropped.
-pub struct PeerLinks {
+/// How many frames wait for a connection at most.
+const QUEUED_FRAMES: usize = 256;
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
+const WRITE_TIMEOUT: Duration = Duration::from_secs(2);
+
+/// One-way connections to the other controllers. Frames that cannot be sent soon are dropped: consensus repeats
+/// what matters, and late heartbeats help nobody.
+pub(super) struct PeerLinks {
     own_ip: Ipv4Addr,
     senders: HashMap<SocketAddress, mpsc::Sender<ConsensusFrame>>,
 }
 
 impl PeerLinks {
-    /// No links yet.
+    /// No connections yet; they will leave from this address.
     pub fn new(own_ip: Ipv4Addr) -> Self {
         Self {
             own_ip,
@@ -31,7 +39,8 @@
         let own_ip = self.own_ip;
         self.senders.retain(|_, sender| !sender.is_closed());
         let sender = self.senders.entry(to).or_insert_with(|| {
-            let (sender, frames) = mpsc::channel(256);
+            let (sender, frames) = mpsc::channel(QUEUED_FRAMES);
+            // Detached: it ends when this sender is dropped, or when the connection has been idle.
             tokio::spawn(run_link(own_ip, to, frames));
             sender
         });
@@ -39,6 +48,8 @@
     }
 }
 
+/// Connects and writes until the link is idle. After a failure the frames that waited are dropped; from the second
+/// failure in a row on, the next attempt waits for another frame.
 async fn run_link(own_ip: Ipv4Addr, to: SocketAddress, mut frames: mpsc::Receiver<ConsensusFrame>) {
     let mut backoff = MIN_BACKOFF;
     let mut first_frame = None;
@@ -58,7 +69,7 @@
     }
 }
 
-/// Writes frames until nothing more is to be sent, or the other side ends the link.
+/// Writes frames until the connection is idle or no longer needed. The error is the end of the connection.
 async fn write_frames(
     own_ip: Ipv4Addr,
     to: SocketAddress,
@@ -66,7 +77,7 @@
     first_frame: Option<ConsensusFrame>,
     backoff: &mut Duration,
 ) -> Result<(), FrameError> {
-    let mut stream = dial(own_ip, to, Channel::Consensus, Duration::from_millis(500)).await?;
+    let mut stream = dial(own_ip, to, Channel::Consensus, CONNECT_TIMEOUT).await?;
     *backoff = MIN_BACKOFF;
     if let Some(frame) = first_frame {
         write_with_timeout(&mut stream, &frame).await?;
@@ -90,7 +101,7 @@
     stream: &mut TcpStream,
     frame: &ConsensusFrame,
 ) -> Result<(), FrameError> {
-    tokio::time::timeout(Duration::from_secs(2), write_frame(stream, frame))
+    tokio::time::timeout(WRITE_TIMEOUT, write_frame(stream, frame))
         .await
         .map_err(|_| FrameError::Connection(ErrorKind::TimedOut.into()))?
 }
--- a/crates/controlplane/src/drivers/platform.rs
+++ b/crates/controlplane/src/drivers/platform.rs
@@ -1,4 +1,6 @@
-use super::controller::Shared;
+//! Reads the platform's lists, and has it stop runners.
+
+use super::shared::Shared;
 use crate::controller_state::ControllerInput;
 use common::adapter::StopOrder;
 use common::clock::MonotonicTime;
@@ -7,12 +9,13 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Reads the platform's lists while this controller leads, and when the leader asks for them.
-pub async fn poll(shared: Arc<Shared>, platform_poll_interval: Duration) {
+/// Reads the platform's lists at each interval while this controller leads, and at once when the leader requests
+/// them. Once the controller has stopped this ends, or waits in vain until the process does.
+pub(super) async fn poll(shared: Arc<Shared>, platform_poll_interval: Duration) {
     let mut ticking = tokio::time::interval(platform_poll_interval);
     ticking.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     let mut was_unreachable = false;
-    let mut leadership = shared.leadership.subscribe();
+    let mut leadership = shared.published.leadership.subscribe();
     loop {
         if leadership.wait_for(|leadership| *leadership).await.is_err() || shared.inputs.is_closed()
         {
@@ -32,6 +35,7 @@
     }
 }
 
+/// Hands the workers to the controller; none if the platform or the controller cannot be reached.
 async fn read_workers(shared: &Shared) -> Option<()> {
     let listed_workers = shared.platform.workers().await?;
     shared
@@ -41,7 +45,9 @@
         .ok()
 }
 
+/// Hands the runners to the controller; none if the platform or the controller cannot be reached.
 async fn read_runners(shared: &Shared) -> Option<()> {
+    // The list is as old as it says from when it was requested: an earlier instant is the safe one.
     let sent_at = MonotonicTime::now();
     let list = shared.platform.runners().await?;
     shared
@@ -51,8 +57,9 @@
         .ok()
 }
 
-/// Has the platform stop a runner; only a clear yes counts.
-pub async fn stop_runner(shared: Arc<Shared>, order: StopOrder) {
+/// Has the platform stop a runner. Without a definite confirmation the controller gets no input and will order it
+/// again.
+pub(super) async fn stop_runner(shared: Arc<Shared>, order: StopOrder) {
     let runner = order.runner;
     if shared.platform.stop(order).await {
         let _ = shared
--- a/crates/controlplane/src/drivers/queue.rs
+++ b/crates/controlplane/src/drivers/queue.rs
@@ -1,5 +1,5 @@
-//! The controller's input queue. It has two lanes: what leadership depends on never waits behind
-//! daemons' frames, the platform's lists and operators' orders.
+//! The controller's input queue. It has two lanes: inputs that leadership depends on never wait behind daemons'
+//! frames, the platform's lists and operators' requests.
 
 use crate::controller_state::ControllerInput;
 use common::clock::MonotonicTime;
@@ -10,7 +10,7 @@
 const LEADERSHIP_CAPACITY: usize = 4_096;
 const ORDINARY_CAPACITY: usize = 16_384;
 
-/// The kinds of input that are measured apart.
+/// The kinds of input that are measured separately.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum InputKind {
     /// Time passes.
@@ -21,11 +21,11 @@
     Disk,
     /// A daemon's frame, or the end of its stream.
     Daemon,
-    /// Something of the platform.
+    /// A list of the platform's, or its confirmation of a stop.
     Platform,
-    /// An operator's order or question.
+    /// An operator's request, or the end of its connection.
     Operator,
-    /// Other seeds.
+    /// Changed seed addresses.
     Settings,
 }
 
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Whether leadership depends on it.
+    /// Whether leadership depends on inputs of this kind.
     fn is_leadership(self) -> bool {
         matches!(self, Self::Quorum | Self::Disk)
     }
@@ -81,17 +81,10 @@
     }
 }
 
-/// The controller has stopped and takes no input any more.
-#[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub struct QueueClosed;
-
-impl fmt::Display for QueueClosed {
-    fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
-        out.write_str("the controller has stopped")
-    }
-}
-
-impl std::error::Error for QueueClosed {}
+/// The controller has stopped and takes no more input.
+#[derive(Clone, Copy, PartialEq, Eq, Debug, thiserror::Error)]
+#[error("the controller has stopped")]
+pub struct QueueClosedError;
 
 /// An input and when it was queued.
 #[derive(Debug)]
@@ -111,7 +104,7 @@
     }
 }
 
-/// Queues inputs.
+/// The sending side of the queue.
 #[derive(Clone)]
 pub struct InputSender {
     leadership: mpsc::Sender<QueuedInput>,
@@ -128,21 +121,27 @@
     }
 
     /// Queues an input; waits while its lane is full.
-    pub async fn send(&self, input: ControllerInput) -> Result<(), QueueClosed> {
+    ///
+    /// # Errors
+    /// The controller has stopped.
+    pub async fn send(&self, input: ControllerInput) -> Result<(), QueueClosedError> {
         let lane = self.lane(&input);
         lane.send(QueuedInput::now(input))
             .await
-            .map_err(|_| QueueClosed)
+            .map_err(|_| QueueClosedError)
     }
 
     /// The same from a thread that may block.
-    pub fn blocking_send(&self, input: ControllerInput) -> Result<(), QueueClosed> {
+    ///
+    /// # Errors
+    /// The controller has stopped.
+    pub fn blocking_send(&self, input: ControllerInput) -> Result<(), QueueClosedError> {
         let lane = self.lane(&input);
         lane.blocking_send(QueuedInput::now(input))
-            .map_err(|_| QueueClosed)
+            .map_err(|_| QueueClosedError)
     }
 
-    /// Queues an input if its lane has room; whether it had.
+    /// Queues an input if its lane has room; false if it had none or the controller has stopped.
     pub fn try_send(&self, input: ControllerInput) -> bool {
         let lane = self.lane(&input);
         lane.try_send(QueuedInput::now(input)).is_ok()
@@ -154,14 +153,14 @@
     }
 }
 
-/// Rests so long; a timer would make even no rest a millisecond.
+/// Sleeps, and returns at once for a span of zero, which a timer would round up to a millisecond.
 async fn sleep_for(span: Duration) {
     if !span.is_zero() {
         tokio::time::sleep(span).await;
     }
 }
 
-/// The queue's end at the controller.
+/// The receiving side of the queue.
 pub struct InputQueue {
     leadership: mpsc::Receiver<QueuedInput>,
     ordinary: mpsc::Receiver<QueuedInput>,
@@ -187,8 +186,8 @@
 }
 
 impl InputQueue {
-    /// The next input: first what leadership depends on, then time if it is due, then all else. Between
-    /// two ticks one ordinary input is taken if there is any, so that ticks keep nothing waiting.
+    /// The next input: first those that leadership depends on, then a tick once `idle_timeout` is over, then all
+    /// others. Between two ticks one ordinary input is taken if there is any, so that ticks cannot starve them.
     pub async fn next(&mut self, idle_timeout: Duration) -> QueuedInput {
         let tick = || QueuedInput::now(ControllerInput::Tick);
         let next_input = tokio::select! {
--- a/crates/controlplane/src/drivers/streams.rs
+++ b/crates/controlplane/src/drivers/streams.rs
@@ -1,4 +1,6 @@
-use super::controller::Shared;
+//! Connections of other processes: controllers' consensus frames and daemons' streams.
+
+use super::shared::Shared;
 use crate::controller_state::ControllerInput;
 use crate::leader_state::StreamId;
 use common::events;
@@ -10,27 +12,33 @@
 use std::io::ErrorKind;
 use std::sync::Arc;
 use std::time::Duration;
-use tokio::io::{AsyncWriteExt, BufReader};
+use tokio::io::{AsyncRead, AsyncWriteExt, BufReader};
+use tokio::net::tcp::OwnedWriteHalf;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc;
 
-/// A daemon on a slow link is cut off only when so few bytes of a frame take longer than this.
+/// Frames are written in chunks with a timeout each, so that a daemon on a slow link is not cut off because of a
+/// large frame.
 const WRITE_CHUNK_BYTES: usize = 8 << 10;
 const CHUNK_WRITE_TIMEOUT: Duration = Duration::from_secs(3);
+/// How many frames to a daemon wait at most; one that does not keep up is disconnected.
+const QUEUED_FRAMES: usize = 4096;
+const CHANNEL_TIMEOUT: Duration = Duration::from_secs(3);
 const MAX_PROCESS_PROBES: usize = 4;
 const PROCESS_PROBE_INTERVAL: Duration = Duration::from_millis(20);
 const PROCESS_PROBE_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Accepts connections of other processes.
-pub async fn accept(listener: TcpListener, shared: Arc<Shared>) {
+/// Accepts connections of other processes. The task of each is detached; it ends with its connection, or when the
+/// controller has stopped.
+pub(super) async fn accept(listener: TcpListener, shared: Arc<Shared>) {
     loop {
         match listener.accept().await {
             Ok((stream, from)) => {
                 let connection_shared = shared.clone();
                 tokio::spawn(async move {
-                    if let Err(error) = serve(stream, &connection_shared).await {
-                        let is_disconnect = matches!(error, FrameError::Connection(_));
-                        if !is_disconnect {
+                    match serve(stream, &connection_shared).await {
+                        Ok(()) | Err(FrameError::Connection(_)) => {}
+                        Err(error) => {
                             log_event!(Warn, events::FRAME_REJECTED, "from {from}: {error}");
                             connection_shared.metrics.count_rejected();
                         }
@@ -42,42 +50,45 @@
     }
 }
 
-async fn serve(mut stream: TcpStream, shared: &Arc<Shared>) -> Result<(), FrameError> {
+async fn serve(mut stream: TcpStream, shared: &Shared) -> Result<(), FrameError> {
     common::sockets::set_socket_options(&stream);
-    let channel = tokio::time::timeout(Duration::from_secs(3), read_channel(&mut stream))
+    let channel = tokio::time::timeout(CHANNEL_TIMEOUT, read_channel(&mut stream))
         .await
-        .map_err(|_| FrameError::Connection(std::io::ErrorKind::TimedOut.into()))??;
+        .map_err(|_| timed_out())??;
     match channel {
-        Channel::Consensus => {
-            let mut reader = BufReader::new(stream);
-            let mut sender_address = None;
-            let ended = loop {
-                let frame: ConsensusFrame = match read_frame(&mut reader).await {
-                    Ok(frame) => frame,
-                    Err(error) => break error,
-                };
-                sender_address = Some(frame.address);
-                if shared
-                    .inputs
-                    .send(ControllerInput::Consensus(frame))
-                    .await
-                    .is_err()
-                {
-                    return Ok(());
-                }
-            };
-            if let Some(address) = sender_address {
-                probe_ended_process(address, shared).await;
-            }
-            Err(ended)
-        }
+        Channel::Consensus => serve_consensus(stream, shared).await,
         Channel::Stream => serve_stream(stream, shared).await,
         Channel::Daemons => Err(FrameError::WrongChannel(3)),
     }
 }
 
-/// A controller's link has ended: asks its place a few times, since a dying process closes its links
-/// before its listener, and says so if its process is gone.
+fn timed_out() -> FrameError {
+    FrameError::Connection(ErrorKind::TimedOut.into())
+}
+
+/// Reads another controller's frames until its connection ends.
+async fn serve_consensus(stream: TcpStream, shared: &Shared) -> Result<(), FrameError> {
+    let mut reader = BufReader::new(stream);
+    let mut sender_address = None;
+    let ended = loop {
+        let frame: ConsensusFrame = match read_frame(&mut reader).await {
+            Ok(frame) => frame,
+            Err(error) => break error,
+        };
+        sender_address = Some(frame.address);
+        let input = ControllerInput::Consensus(frame);
+        if shared.inputs.send(input).await.is_err() {
+            return Ok(());
+        }
+    };
+    if let Some(address) = sender_address {
+        probe_ended_process(address, shared).await;
+    }
+    Err(ended)
+}
+
+/// A controller's connection has ended. Connects to its address a few times, since a dying process closes its
+/// connections before its listener, and reports the process as gone if that is refused.
 async fn probe_ended_process(address: SocketAddress, shared: &Shared) {
     for _ in 0..MAX_PROCESS_PROBES {
         let probe_result =
@@ -104,57 +115,61 @@
     )
 }
 
-async fn serve_stream(stream: TcpStream, shared: &Arc<Shared>) -> Result<(), FrameError> {
-    let stream_id = StreamId(shared.next_id());
-    let (sender, mut frames) = mpsc::channel(4096);
-    if let Ok(mut open_streams) = shared.streams.lock() {
-        open_streams.insert(stream_id, sender);
-    }
-    let (reading_half, mut writing_half) = stream.into_split();
-    let mut reader = BufReader::new(reading_half);
-    let reading = async {
-        loop {
-            let frame: DaemonToLeader = read_frame(&mut reader).await?;
-            shared.metrics.frames_up.inc();
-            if shared
-                .inputs
-                .send(ControllerInput::Stream(stream_id, frame))
-                .await
-                .is_err()
-            {
-                return Ok::<(), FrameError>(());
-            }
-        }
-    };
-    let writing = async {
-        let mut sent_bytes = Vec::new();
-        while let Some(frame) = frames.recv().await {
-            shared.metrics.frames_down.inc();
-            if let LeaderToDaemon::Spec { document: blob, .. }
-            | LeaderToDaemon::Change { patch: blob, .. } = &frame
-            {
-                shared.metrics.pushed_bytes.inc_by(blob.0.len() as u64);
-            }
-            sent_bytes.clear();
-            append_frame(&mut sent_bytes, &frame)?;
-            for chunk in sent_bytes.chunks(WRITE_CHUNK_BYTES) {
-                tokio::time::timeout(CHUNK_WRITE_TIMEOUT, writing_half.write_all(chunk))
-                    .await
-                    .map_err(|_| FrameError::Connection(std::io::ErrorKind::TimedOut.into()))??;
-            }
-        }
-        Ok::<(), FrameError>(())
-    };
+/// Serves one daemon until either direction of its connection ends.
+async fn serve_stream(connection: TcpStream, shared: &Shared) -> Result<(), FrameError> {
+    let stream = StreamId(shared.next_id());
+    let (sender, frames) = mpsc::channel(QUEUED_FRAMES);
+    shared.streams.open(stream, sender);
+    let (reading_half, writing_half) = connection.into_split();
     let ended = tokio::select! {
-        ended = reading => ended,
-        ended = writing => ended,
+        ended = read_daemon_frames(stream, BufReader::new(reading_half), shared) => ended,
+        ended = write_daemon_frames(frames, writing_half, shared) => ended,
     };
-    if let Ok(mut open_streams) = shared.streams.lock() {
-        open_streams.remove(&stream_id);
-    }
+    shared.streams.close(stream);
     let _ = shared
         .inputs
-        .send(ControllerInput::StreamLost(stream_id))
+        .send(ControllerInput::StreamLost(stream))
         .await;
     ended
 }
+
+/// Hands a daemon's frames to the controller until that has stopped. The error is the end of the connection.
+async fn read_daemon_frames(
+    stream: StreamId,
+    mut reader: impl AsyncRead + Unpin,
+    shared: &Shared,
+) -> Result<(), FrameError> {
+    loop {
+        let frame: DaemonToLeader = read_frame(&mut reader).await?;
+        shared.metrics.frames_up.inc();
+        let input = ControllerInput::Stream(stream, frame);
+        if shared.inputs.send(input).await.is_err() {
+            return Ok(());
+        }
+    }
+}
+
+/// Writes the controller's frames until it closes the stream.
+async fn write_daemon_frames(
+    mut frames: mpsc::Receiver<LeaderToDaemon>,
+    mut writing_half: OwnedWriteHalf,
+    shared: &Shared,
+) -> Result<(), FrameError> {
+    let mut sent_bytes = Vec::new();
+    while let Some(frame) = frames.recv().await {
+        shared.metrics.frames_down.inc();
+        if let LeaderToDaemon::Spec { document: blob, .. }
+        | LeaderToDaemon::Change { patch: blob, .. } = &frame
+        {
+            shared.metrics.pushed_bytes.inc_by(blob.0.len() as u64);
+        }
+        sent_bytes.clear();
+        append_frame(&mut sent_bytes, &frame)?;
+        for chunk in sent_bytes.chunks(WRITE_CHUNK_BYTES) {
+            tokio::time::timeout(CHUNK_WRITE_TIMEOUT, writing_half.write_all(chunk))
+                .await
+                .map_err(|_| timed_out())??;
+        }
+    }
+    Ok(())
+}
