--- a/crates/controlplane/tests/controller_forms.rs
+++ b/crates/controlplane/tests/controller_forms.rs
@@ -1,5 +1,5 @@
-//! A whole controller as operators reach it over HTTP: readiness, the metrics page, and what it answers while it
-//! leads, and while nobody does. No process is started: the controller runs within the test.
+//! A complete controller over HTTP: readiness, the metrics page, and its responses while it leads, and while there is
+//! no leader. No process is started: the controller runs within the test.
 
 #[path = "../../../testing/support/forms.rs"]
 mod forms;
@@ -36,7 +36,7 @@
     listener.local_addr().expect("an address")
 }
 
-/// Starts a controller on ports that were free a moment ago; if another program has taken one since, on others.
+/// Starts a controller on ports that were just free; if another program has taken one since, it tries others.
 async fn started(seed: Option<SocketAddr>, data: Option<&Path>) -> Running {
     for _ in 0..20 {
         let (address, operators) = (free_port(), free_port());
@@ -45,9 +45,9 @@
             "seeds": [seed.unwrap_or(address).to_string()], "platform": "127.0.0.1:9",
             "found_first": data.is_some(), "data": data.map(|folder| folder.display().to_string()),
         });
-        let boot = ControllerSettings::read(&SettingsSource::from_value("FILE", settings))
+        let settings = ControllerSettings::read(&SettingsSource::from_value("FILE", settings))
             .expect("settings");
-        if let Ok(controller) = Controller::open(&boot).await {
+        if let Ok(controller) = Controller::open(&settings).await {
             let (stop_sender, stop) = watch::channel(false);
             tokio::spawn(controller.run(stop));
             return Running {
@@ -60,7 +60,7 @@
     panic!("no port is free");
 }
 
-/// The answer to a request, without what differs from one run to the next.
+/// The response to a request, without what differs between runs.
 async fn answered(operators: SocketAddr, line: &str, more: &str, body: &str) -> (String, String) {
     let mut stream = TcpStream::connect(operators).await.expect("a connection");
     let length = body.len();
@@ -101,7 +101,7 @@
     folder
 }
 
-/// A controller that has founded the core alone, and leads.
+/// A controller that has bootstrapped the quorum alone, and leads.
 async fn leading(data: &Path) -> Running {
     let running = started(None, Some(data)).await;
     let began = Instant::now();
@@ -114,7 +114,7 @@
     }
 }
 
-/// A metrics page without its values, and without which kinds of a label have come up.
+/// A metrics page without its values, and with the kinds of input merged into one label.
 fn names_of(page: &str) -> String {
     let mut lines: Vec<String> = Vec::new();
     for line in page.lines() {
@@ -191,7 +191,7 @@
     check("controller_without_leader.txt", &text);
 }
 
-/// The keys of an answer, and of what stands under them what users' programs compare with.
+/// The keys of a response, and those values that users' programs compare with.
 fn keys_of(value: &Value, key: &str) -> Value {
     match value {
         Value::Object(fields) => fields
@@ -216,7 +216,7 @@
     }
 }
 
-/// The answer to a question, asked again until it is as it must be in the end.
+/// The response to a request that is repeated until its response is the expected one.
 async fn awaited(
     operators: SocketAddr,
     line: &str,
@@ -239,7 +239,7 @@
     json!({"head": head, "keys": keys_of(&parsed, "")})
 }
 
-/// The events that every leader notes when it is elected and takes a change: elected, committed, in force.
+/// The events that every leader records when it is elected and accepts a change: elected, committed, in force.
 const SURE_EVENTS: [u64; 3] = [2002, 2004, 2005];
 
 fn sure_events(answer: &str) -> BTreeSet<String> {
@@ -305,7 +305,7 @@
     check("controller_leading.json", &format!("{seen:#}\n"));
 }
 
-/// What a controller answers that does not lead: it passes on, or says where to go.
+/// The responses of a controller that does not lead: it forwards the request, or redirects its caller.
 async fn at_another(running: &Running, other: &Running) -> Value {
     let is_found = |head: &str, _: &str| head.starts_with("HTTP/1.1 200");
     let is_sent_on = |head: &str, _: &str| head.starts_with("HTTP/1.1 307");
@@ -321,7 +321,7 @@
     })
 }
 
-/// What a controller answers that was passed a question and does not lead either.
+/// The responses of a controller that got a forwarded request and does not lead either.
 async fn passed_on_before(other: &Running, line: &str, word: &str) -> Value {
     let began = Instant::now();
     loop {
--- a/crates/controlplane/tests/controller_state/change_numbering.rs
+++ b/crates/controlplane/tests/controller_state/change_numbering.rs
@@ -1,5 +1,5 @@
-//! Operators number their specs themselves; beside the plane stands a slow list that says what each
-//! change must be answered.
+//! Operators number their specs themselves. Each reply is compared with that of a model, a plain list of the
+//! accepted changes.
 
 use super::cluster::TestCluster;
 use common::identity::Zone;
@@ -84,7 +84,7 @@
     }
 }
 
-/// The slow list: all that was taken, in order.
+/// The model: all accepted changes, in order.
 #[derive(Default)]
 struct ExpectedHistory(Vec<SentChange>);
 
@@ -133,9 +133,7 @@
             };
             earlier.push(sent.clone());
             let leader = cluster.await_leader();
-            let reply = cluster
-                .reply_to(leader, sent.operation())
-                .expect("an answer");
+            let reply = cluster.reply_to(leader, sent.operation()).expect("a reply");
             let expected = expected_history.expect(&sent);
             verify_that!(verdict_of(&reply), eq(expected)).with_failure_message(|| {
                 format!(
@@ -155,7 +153,7 @@
     .with_failure_message(|| format!("{seen:?}"))
 }
 
-/// What must hold whatever was killed: each number was built on the one before, and above it.
+/// What must hold whichever controllers were killed: each number is above the one before, and built on it.
 fn check_chain(cluster: &TestCluster, sent: &[SentChange]) -> Result<()> {
     let mut chain: BTreeMap<u64, (u64, Value)> = BTreeMap::new();
     for document in &cluster.committed {
@@ -285,7 +283,7 @@
         verdicts,
         eq([Verdict::Accepted, Verdict::Accepted, Verdict::Stale])
     )?;
-    verify_that!(cluster.accepted(leader).expect("one").number, eq(5))
+    verify_that!(cluster.accepted(leader).expect("a document").number, eq(5))
 }
 
 fn function(memory_mb: u64) -> Value {
@@ -356,7 +354,11 @@
         "labels": {"day": "one"},
     });
     verify_that!(
-        cluster.accepted(leader).expect("one").spec.to_value(),
+        cluster
+            .accepted(leader)
+            .expect("a document")
+            .spec
+            .to_value(),
         eq(&expected)
     )?;
     let dangling = ItemChange {
@@ -373,7 +375,7 @@
         reply.map(|reply| verdict_of(&reply)),
         some(eq(Verdict::Invalid))
     )?;
-    verify_that!(cluster.accepted(leader).expect("one").number, eq(8))
+    verify_that!(cluster.accepted(leader).expect("a document").number, eq(8))
 }
 
 #[gtest]
--- a/crates/controlplane/tests/controller_state/cluster.rs
+++ b/crates/controlplane/tests/controller_state/cluster.rs
@@ -1,4 +1,4 @@
-//! Some controllers whole, on virtual time, with disks, a network and faults.
+//! Complete controllers on virtual time, with simulated disks and network, and with injected faults.
 
 use common::clock::MonotonicTime;
 use common::events;
@@ -19,9 +19,9 @@
 /// What a disk holds.
 #[derive(Clone)]
 pub struct Disk {
-    /// What the core left there.
+    /// What consensus stored there.
     pub persisted: PersistedState,
-    /// Whether it began with the whole system's first start.
+    /// Whether it has been in use since the first start of all controllers.
     pub is_initial: bool,
 }
 
@@ -33,7 +33,7 @@
     pub zone: usize,
     /// The controller, while its process runs.
     pub controller_state: Option<ControllerState>,
-    /// The places of the seeds, by number.
+    /// The seeds, by their numbers.
     pub seeds: Vec<usize>,
     incarnation: u64,
 }
@@ -43,29 +43,29 @@
     Written(usize, u64, Ticket, WriteJob),
 }
 
-/// The controllers and all between them.
+/// The controllers and the network between them.
 pub struct TestCluster {
     /// Virtual time.
     pub now: MonotonicTime,
     /// The controllers.
     pub nodes: Vec<Node>,
-    /// Who does not reach whom.
+    /// The pairs whose messages are lost, sender first.
     pub cut_links: BTreeSet<(usize, usize)>,
-    /// Each version that a disk took, by node.
+    /// Each version written to a disk, by controller.
     pub written: Vec<(usize, Document)>,
-    /// Each version that a leader found committed.
+    /// Each version that a leader saw committed.
     pub committed: Vec<Document>,
-    /// What operators were told.
+    /// The replies to operators.
     pub replies: BTreeMap<OperationTicket, OperationReply>,
-    /// What daemons were told.
+    /// The frames to daemons.
     pub sent_to_daemons: Vec<(usize, LeaderToDaemon)>,
-    /// What faults and delays are drawn from.
+    /// The source of faults and delays.
     pub rng: SeededRng,
     events: BTreeMap<(MonotonicTime, u64), Event>,
     last_number: u64,
 }
 
-/// Where a controller stands.
+/// The address of a controller.
 pub fn address(number: usize) -> SocketAddress {
     SocketAddress(
         format!("10.0.0.{}:1", number + 1)
@@ -74,7 +74,7 @@
     )
 }
 
-/// Where operators reach it.
+/// The address at which it serves operators.
 pub fn operators(number: usize) -> SocketAddress {
     SocketAddress(
         format!("10.0.0.{}:2", number + 1)
@@ -169,14 +169,14 @@
         ));
     }
 
-    /// Starts all.
+    /// Starts all controllers.
     pub fn start_all(&mut self) {
         for number in 0..self.nodes.len() {
             self.start(number);
         }
     }
 
-    /// Kills a controller; a write under way reaches its disk or does not. Others find its place closed.
+    /// Kills a controller. A write under way is stored or lost; connections to its address are refused.
     pub fn kill(&mut self, number: usize) {
         self.nodes[number].controller_state = None;
         let pending: Vec<(MonotonicTime, u64)> = self
@@ -199,7 +199,7 @@
         }
     }
 
-    /// Cuts some off from others, both ways.
+    /// Partitions two groups of controllers from each other, in both directions.
     pub fn isolate(&mut self, left: &[usize], right: &[usize]) {
         for left_number in left {
             for right_number in right {
@@ -242,7 +242,7 @@
             .insert((self.now + span, self.last_number), event);
     }
 
-    /// Gives one input to a controller that runs.
+    /// Hands an input to a controller, if it runs.
     pub fn feed(&mut self, number: usize, input: ControllerInput) {
         let now = self.now;
         let Some(controller_state) = &mut self.nodes[number].controller_state else {
@@ -285,7 +285,7 @@
         }
     }
 
-    /// Lets time pass.
+    /// Advances virtual time.
     pub fn advance(&mut self, millis: u64) {
         let until = self.now + Duration::from_millis(millis);
         while self.now < until {
@@ -330,7 +330,7 @@
         }
     }
 
-    /// Who leads and has committed under its term.
+    /// The leader that has committed under its term.
     pub fn leader(&self) -> Option<usize> {
         (0..self.nodes.len()).find(|number| {
             self.nodes[*number]
@@ -340,7 +340,7 @@
         })
     }
 
-    /// Lets time pass until somebody leads.
+    /// Advances virtual time until there is a leader.
     pub fn await_leader(&mut self) -> usize {
         for _ in 0..400 {
             if let Some(leader) = self.leader() {
@@ -351,7 +351,7 @@
         panic!("nobody leads");
     }
 
-    /// An operator's wish at one controller.
+    /// Submits an operation at one controller.
     pub fn submit(&mut self, number: usize, operation: Operation) -> OperationTicket {
         self.last_number += 1;
         let ticket = OperationTicket(self.last_number);
@@ -359,7 +359,7 @@
         ticket
     }
 
-    /// An operator's wish, and the answer to it within four seconds; none if its controller died.
+    /// Submits an operation and waits at most four seconds for its reply; none if its controller was killed.
     pub fn reply_to(&mut self, number: usize, operation: Operation) -> Option<OperationReply> {
         let ticket = self.submit(number, operation);
         for _ in 0..200 {
@@ -371,12 +371,12 @@
         self.replies.remove(&ticket)
     }
 
-    /// A daemon speaks on a new stream.
+    /// Sends a daemon's frame on a new stream.
     pub fn stream(&mut self, number: usize, stream: u64, frame: common::frames::DaemonToLeader) {
         self.feed(number, ControllerInput::Stream(StreamId(stream), frame));
     }
 
-    /// The newest version at one controller.
+    /// The newest version on a controller's disk.
     pub fn accepted(&self, number: usize) -> Option<&Document> {
         self.nodes[number]
             .controller_state
@@ -385,7 +385,7 @@
             .accepted()
     }
 
-    /// Where the members of the core stand by one controller's newest version.
+    /// The voters in a controller's newest version, by number.
     pub fn voters_at(&self, number: usize) -> Vec<usize> {
         let document = self.accepted(number).expect("a document");
         let mut members: Vec<usize> = document
--- a/crates/controlplane/tests/controller_state/founding.rs
+++ b/crates/controlplane/tests/controller_state/founding.rs
@@ -1,4 +1,4 @@
-//! The core founds itself at the whole system's first start, and never a second time.
+//! The control quorum is bootstrapped at the first start of all controllers, and never a second time.
 
 use super::cluster::{TestCluster, address, operators};
 use common::frames::{DaemonToLeader, LeaderToDaemon};
@@ -7,7 +7,7 @@
 use googletest::prelude::*;
 use std::collections::BTreeSet;
 
-/// The members' identities of every founding that any disk took.
+/// The voters' identities of every first version that was written to any disk.
 fn foundings(cluster: &TestCluster) -> BTreeSet<Vec<u64>> {
     cluster
         .written
@@ -272,7 +272,7 @@
     Ok(())
 }
 
-/// Before, a controller that had just started waited a whole election timeout for a leader.
+/// A controller that has just started does not wait a full election timeout for a leader, as it once did.
 #[gtest]
 fn after_a_restart_of_all_a_leader_is_there_within_half_a_second() -> Result<()> {
     for seed in 0..20 {
@@ -294,7 +294,7 @@
     Ok(())
 }
 
-/// A voter that restarts next to a live leader takes nothing from it.
+/// A voter that restarts beside a live leader does not start an election.
 #[gtest]
 fn a_voter_that_restarts_beside_a_live_leader_changes_nothing() -> Result<()> {
     for seed in 0..20 {
--- a/crates/controlplane/tests/controller_state/main.rs
+++ b/crates/controlplane/tests/controller_state/main.rs
@@ -1,5 +1,5 @@
-//! Whole controllers without I/O: founding, passing on, replacement, operators' numbers and items, and
-//! the product's own words for them.
+//! Complete controllers without I/O: bootstrapping, redirects, replaced voters, operators' numbers and items, and
+//! the product's own API.
 
 mod change_numbering;
 mod cluster;
--- a/crates/controlplane/tests/controller_state/operator_api.rs
+++ b/crates/controlplane/tests/controller_state/operator_api.rs
@@ -1,4 +1,4 @@
-//! The product's own operators' interface, there and back.
+//! The product's own API: requests read, and responses written.
 
 use common::http::HttpResponse;
 use common::identity::{ChangeId, Version};
--- a/crates/controlplane/tests/controller_state/operator_changes.rs
+++ b/crates/controlplane/tests/controller_state/operator_changes.rs
@@ -1,5 +1,5 @@
-//! An order that was taken is acknowledged again; nothing is refused, and no evacuation carried out,
-//! by a controller that may have been overtaken or whose caller is gone.
+//! A repeated change is acknowledged again. A controller that may no longer be the leader rejects nothing, and an
+//! evacuation whose caller has disconnected is not carried out.
 
 use super::cluster::TestCluster;
 use common::identity::Zone;
@@ -59,7 +59,7 @@
     matches!(reply, Some(OperationReply::Accepted { .. }))
 }
 
-/// One that cannot be told apart from one that was taken is neither acknowledged nor refused.
+/// A change that may have been applied before, with its record forgotten, is neither acknowledged nor rejected.
 #[gtest]
 fn a_change_is_recognised_after_many_others_and_a_forgotten_one_is_not_refused() -> Result<()> {
     let mut cluster = founded_cluster(1);
@@ -153,7 +153,7 @@
     verify_that!(evacuated.contains(&Zone::from("l1")), eq(true))
 }
 
-/// It was refused for a zone that no daemon of the new lead had named yet.
+/// It was once rejected because no daemon had reported the zone to the new leader yet.
 #[gtest]
 fn a_committed_restore_that_waited_through_a_change_of_leader_is_acknowledged_again() -> Result<()>
 {
--- a/crates/controlplane/tests/operators_forms.rs
+++ b/crates/controlplane/tests/operators_forms.rs
@@ -1,4 +1,4 @@
-//! Operators' HTTP in the product's own words: what each path and body is read as, and the bytes of every answer.
+//! The product's own operators' API: how each path and body is read, and the bytes of every response.
 
 #[path = "../../../testing/support/forms.rs"]
 mod forms;
@@ -564,7 +564,7 @@
     check("operator_answers.txt", &text);
 }
 
-/// A change without a name is known again by what it says, also after the next version of the program has started.
+/// A change without a name is recognized by its content, also by the next release of the program.
 #[test]
 fn a_change_without_a_name_keeps_the_one_that_it_gets() {
     let spec = json!({"functions": {}, "routes": {}, "labels": {"made": "by hand"}});
--- a/crates/controlplane/tests/queue.rs
+++ b/crates/controlplane/tests/queue.rs
@@ -1,4 +1,4 @@
-//! The controller's input queue lets leadership pass, and keeps nothing else waiting for ever.
+//! The controller's input queue: inputs that leadership depends on come first, and no others starve.
 
 use common::frames::SocketAddress;
 use common::identity::Ticket;
@@ -52,7 +52,7 @@
 }
 
 #[tokio::test]
-async fn a_stopped_controller_takes_nothing() {
+async fn a_stopped_controller_accepts_no_input() {
     let (sender, queue) = input_queue();
     drop(queue);
     let sent = sender
--- a/crates/controlplane/tests/step_costs.rs
+++ b/crates/controlplane/tests/step_costs.rs
@@ -1,5 +1,5 @@
-//! What a controller's steps cost, counted in bytes asked of the allocator: rounds cost nothing of the
-//! document, and a change costs a few times the text that is written to disk, not copy upon copy.
+//! What a controller's steps cost, in allocated bytes: the cost of heartbeat rounds does not depend on the document,
+//! and a change costs a few times the text that is written to disk.
 
 #[allow(dead_code)]
 #[path = "controller_state/cluster.rs"]
@@ -14,18 +14,18 @@
 use std::alloc::{GlobalAlloc, Layout, System};
 use std::cell::Cell;
 
-/// A change was 87 texts with whole documents copied and differenced, and 15.7 while a follower read the whole
-/// text; now the disk is written whole, and the change is read.
+/// A change once cost 87 texts, when complete documents were copied and compared, and 15.7 while a follower parsed the
+/// complete text; now the disk gets the complete text, and only the change is parsed.
 const MAX_DOCUMENT_COPIES: f64 = 9.0;
 
-/// A change that is written while its buffer doubles, with the list of what it names.
+/// The text of a change in a buffer that grows by doubling, and the list of the items it names.
 const MAX_CHANGE_COPIES: f64 = 5.0;
 
 thread_local! {
     static ALLOCATED: Cell<usize> = const { Cell::new(0) };
 }
 
-/// The system's allocator, which counts the bytes that each thread asks for.
+/// The system's allocator, with a count of the bytes that each thread allocates.
 struct CountingAllocator;
 
 unsafe impl GlobalAlloc for CountingAllocator {
@@ -89,7 +89,7 @@
     )
 }
 
-/// Three controllers, one of them leading, with so many functions and routes.
+/// Three controllers, one of them the leader, with this many functions and routes.
 fn cluster_with(count: usize) -> (TestCluster, usize) {
     let mut cluster = TestCluster::new(5, &[0, 1, 2]);
     cluster.start_all();
@@ -128,8 +128,8 @@
     verify_that!(document_copies, lt(MAX_DOCUMENT_COPIES))
 }
 
-/// A large change is written from the records as they stand: its text, grown by doubling, and little else. With
-/// each record copied into a value first it was some ten texts.
+/// A large change is written directly from the records. When each record was copied into a value first, it cost some
+/// ten texts.
 #[gtest]
 fn the_text_of_a_large_change_is_written_without_copies_of_the_records() -> Result<()> {
     let spec_of = |count: usize| {
