--- a/crates/controlplane/src/controller_state/mod.rs
+++ b/crates/controlplane/src/controller_state/mod.rs
@@ -122,16 +122,20 @@
     }
 
     /// Handles one input and returns the outputs, in the order in which they are to be carried out.
-    pub fn take(&mut self, now: MonotonicTime, input: ControllerInput) -> Vec<ControllerOutput> {
+    pub fn handle_input(
+        &mut self,
+        now: MonotonicTime,
+        input: ControllerInput,
+    ) -> Vec<ControllerOutput> {
         let consensus_outputs = self.consensus.expire_leadership(now);
         self.execute(now, consensus_outputs);
-        self.handle_input(now, input);
+        self.dispatch_input(now, input);
         self.remember_accepted_view();
         self.progress(now);
         std::mem::take(&mut self.outputs)
     }
 
-    fn handle_input(&mut self, now: MonotonicTime, input: ControllerInput) {
+    fn dispatch_input(&mut self, now: MonotonicTime, input: ControllerInput) {
         match input {
             ControllerInput::Tick => {
                 let consensus_outputs = self.consensus.tick(now);
--- a/crates/controlplane/src/drivers/controller.rs
+++ b/crates/controlplane/src/drivers/controller.rs
@@ -298,7 +298,7 @@
         }
         let kind = InputKind::of(&input);
         let begun_at = MonotonicTime::now();
-        for output in self.controller_state.take(begun_at, input) {
+        for output in self.controller_state.handle_input(begun_at, input) {
             self.execute(output);
         }
         let handling_time = MonotonicTime::now().since(begun_at);
--- a/crates/controlplane/tests/controller_state/cluster.rs
+++ b/crates/controlplane/tests/controller_state/cluster.rs
@@ -248,7 +248,7 @@
         let Some(controller_state) = &mut self.nodes[number].controller_state else {
             return;
         };
-        for output in controller_state.take(now, input) {
+        for output in controller_state.handle_input(now, input) {
             self.execute(number, output);
         }
     }
--- a/testing/fleet/src/sim/controller.rs
+++ b/testing/fleet/src/sim/controller.rs
@@ -195,7 +195,7 @@
         let Some(controller_state) = &mut self.controllers[index].controller_state else {
             return;
         };
-        let orders = controller_state.take(local_now, input);
+        let orders = controller_state.handle_input(local_now, input);
         for order in orders {
             self.apply_controller_output(index, order);
         }
--- a/testing/fleet/src/synthetic/controllers.rs
+++ b/testing/fleet/src/synthetic/controllers.rs
@@ -121,7 +121,7 @@
         let controller_state = &mut self.controllers[controller].controller_state;
         let (orders, _) = self
             .meter
-            .measure_step(role, work, || controller_state.take(now, input));
+            .measure_step(role, work, || controller_state.handle_input(now, input));
         let due = self.controllers[controller].controller_state.next_due(now);
         self.controllers[controller].due = due;
         for order in orders {
