--- a/crates/controlplane/src/controller_state/history.rs
+++ b/crates/controlplane/src/controller_state/history.rs
@@ -41,20 +41,20 @@
 
 /// The newest events of this controller.
 #[derive(Default)]
-pub struct EventLog {
+pub(super) struct EventLog {
     retained: VecDeque<NumberedEvent>,
     last_number: u64,
 }
 
 impl EventLog {
     /// A new term as leader begins: its numbers are above those of all earlier terms.
-    pub fn restart(&mut self, term: Term) {
+    pub(super) fn restart(&mut self, term: Term) {
         self.retained.clear();
         self.last_number = self.last_number.max(term.0 << 32);
     }
 
     /// Numbers an event and retains it.
-    pub fn add(&mut self, event_record: EventRecord) -> NumberedEvent {
+    pub(super) fn add(&mut self, event_record: EventRecord) -> NumberedEvent {
         self.last_number += 1;
         let numbered = NumberedEvent {
             number: self.last_number,
@@ -68,12 +68,12 @@
     }
 
     /// The newest number.
-    pub fn newest(&self) -> u64 {
+    pub(super) fn newest(&self) -> u64 {
         self.last_number
     }
 
     /// At most `limit` events from a number on, after a gap entry if some of them are no longer retained.
-    pub fn from(&self, first_number: u64, limit: usize) -> Vec<EventEntry> {
+    pub(super) fn from(&self, first_number: u64, limit: usize) -> Vec<EventEntry> {
         let oldest = self
             .retained
             .front()
--- a/crates/controlplane/src/controller_state/mod.rs
+++ b/crates/controlplane/src/controller_state/mod.rs
@@ -15,7 +15,7 @@
 mod traces;
 
 pub use content::derive_change_id;
-pub use history::{EventEntry, EventLog, NumberedEvent};
+pub use history::{EventEntry, NumberedEvent};
 pub use io::{ControllerInput, ControllerOutput};
 pub use operation::{ChangeKind, ItemChange, Numbering, Operation, OperationTicket, Wait};
 pub use reply::{
@@ -33,6 +33,7 @@
 use common::identity::{DocumentVersion, Ticket, Version};
 use common::rules::Rules;
 use common::spec::DaemonView;
+use history::EventLog;
 use operations::WaitingOperation;
 use pending_changes::PendingChanges;
 use std::collections::{BTreeSet, VecDeque};
--- a/crates/controlplane/src/controller_state/pending_changes.rs
+++ b/crates/controlplane/src/controller_state/pending_changes.rs
@@ -49,7 +49,7 @@
 
 impl QueuedChange {
     /// The change once it has made a version; `number` is the operators' own, zero without one.
-    pub fn into_proposed(self, version: Version, number: u64) -> ProposedChange {
+    pub(super) fn into_proposed(self, version: Version, number: u64) -> ProposedChange {
         ProposedChange {
             ticket: self.ticket,
             change: self.change,
@@ -79,7 +79,7 @@
 
 impl ProposedChange {
     /// The reply once the change is committed; `in_force` is the newest version in force everywhere.
-    pub fn accepted_reply(&self, in_force: Version) -> OperationReply {
+    pub(super) fn accepted_reply(&self, in_force: Version) -> OperationReply {
         OperationReply::Accepted {
             change: self.change.clone(),
             version: self.version,
@@ -114,17 +114,17 @@
 
 impl PendingChanges {
     /// Whether no change waits to be proposed.
-    pub fn is_idle(&self) -> bool {
+    pub(super) fn is_idle(&self) -> bool {
         self.queue.is_empty()
     }
 
     /// Whether a reply waits to be confirmed by a majority.
-    pub fn needs_proof(&self) -> bool {
+    pub(super) fn needs_proof(&self) -> bool {
         !self.awaiting_proof.is_empty()
     }
 
     /// Whether a change of this name waits to be proposed.
-    pub fn is_queued(&self, change: &ChangeId) -> bool {
+    pub(super) fn is_queued(&self, change: &ChangeId) -> bool {
         self.queue
             .iter()
             .chain(&self.awaiting_proof)
@@ -132,13 +132,13 @@
     }
 
     /// Returns the changes that waited for proof to the end of the queue.
-    pub fn requeue_awaiting_proof(&mut self) {
+    pub(super) fn requeue_awaiting_proof(&mut self) {
         let awaiting_proof = std::mem::take(&mut self.awaiting_proof);
         self.queue.extend(awaiting_proof);
     }
 
     /// Queued changes of the same name as one in flight wait for its version instead of making another.
-    pub fn attach_repeated_changes(&mut self) {
+    pub(super) fn attach_repeated_changes(&mut self) {
         let in_flight_changes: BTreeSet<ChangeId> = self
             .in_flight
             .iter()
@@ -160,7 +160,7 @@
     }
 
     /// Removes the changes that have waited too long.
-    pub fn take_expired(&mut self, now: MonotonicTime) -> ExpiredChanges {
+    pub(super) fn take_expired(&mut self, now: MonotonicTime) -> ExpiredChanges {
         let mut unproposed = take_expired_queued(now, &mut self.queue);
         unproposed.extend(take_expired_queued(now, &mut self.awaiting_proof));
         let uncommitted = take_matching(&mut self.in_flight, |proposed_change| {
@@ -177,7 +177,7 @@
     }
 
     /// A version is committed, and with it the changes that made it.
-    pub fn commit(&mut self, version: Version) {
+    pub(super) fn commit(&mut self, version: Version) {
         let committed = take_matching(&mut self.in_flight, |proposed_change| {
             proposed_change.version == version
         });
@@ -185,14 +185,14 @@
     }
 
     /// Removes the committed changes that have come as far as their operators wait for.
-    pub fn take_fulfilled(&mut self, in_force: Version) -> Vec<ProposedChange> {
+    pub(super) fn take_fulfilled(&mut self, in_force: Version) -> Vec<ProposedChange> {
         take_matching(&mut self.accepted, |proposed_change| {
             proposed_change.wait == Wait::Accepted || in_force >= proposed_change.version
         })
     }
 
     /// Drops what the operation asked for unless it has been proposed.
-    pub fn drop_unproposed(&mut self, ticket: OperationTicket) {
+    pub(super) fn drop_unproposed(&mut self, ticket: OperationTicket) {
         self.queue.retain(|queued| queued.ticket != ticket);
         self.awaiting_proof.retain(|queued| queued.ticket != ticket);
     }
--- a/crates/controlplane/src/controller_state/proposal_outcome.rs
+++ b/crates/controlplane/src/controller_state/proposal_outcome.rs
@@ -39,7 +39,7 @@
 
 impl ChangeEvaluator<'_> {
     /// What a change comes to.
-    pub fn evaluate(&self, requested: &QueuedChange) -> ProposalOutcome {
+    pub(super) fn evaluate(&self, requested: &QueuedChange) -> ProposalOutcome {
         match self.status_of(requested) {
             ChangeStatus::Applied(version) => {
                 let number = requested.numbering.map_or(0, |given| given.number);
--- a/crates/controlplane/src/controller_state/traces.rs
+++ b/crates/controlplane/src/controller_state/traces.rs
@@ -67,13 +67,13 @@
     }
 
     /// An operator's change makes this version.
-    pub fn begin_proposal(&mut self, now: MonotonicTime, term: Term, version: Version) {
+    pub(super) fn begin_proposal(&mut self, now: MonotonicTime, term: Term, version: Version) {
         self.term = term;
         self.begin(now, version, true);
     }
 
     /// A version is committed, or committed again by a new leader.
-    pub fn committed(&mut self, now: MonotonicTime, document_version: DocumentVersion) {
+    pub(super) fn committed(&mut self, now: MonotonicTime, document_version: DocumentVersion) {
         self.term = document_version.term;
         self.begin(now, document_version.version, false)
             .committed_at
@@ -81,7 +81,7 @@
     }
 
     /// A version is in force at every daemon that serves; every older one is in force or replaced.
-    pub fn in_force(&mut self, now: MonotonicTime, version: Version) {
+    pub(super) fn in_force(&mut self, now: MonotonicTime, version: Version) {
         self.begin(now, version, false);
         let current_term = self.term;
         let passed = self.retained.range_mut(..=(version, Term(u64::MAX)));
@@ -91,7 +91,7 @@
     }
 
     /// A version came one step further at a daemon; ignored unless this controller traces the version.
-    pub fn step(
+    pub(super) fn step(
         &mut self,
         now: MonotonicTime,
         version: Version,
--- a/crates/controlplane/src/drivers/disk.rs
+++ b/crates/controlplane/src/drivers/disk.rs
@@ -11,13 +11,13 @@
 
 /// Writes in a thread of its own, in the order of the jobs. The thread is detached: it ends once this is dropped
 /// and all jobs are done, or the controller takes no more results.
-pub struct DiskWriter {
+pub(super) struct DiskWriter {
     jobs: blocking::Sender<(Ticket, WriteJob)>,
 }
 
 impl DiskWriter {
     /// Starts the thread.
-    pub fn start(data_directory: DataDirectory, inputs: InputSender) -> Self {
+    pub(super) fn start(data_directory: DataDirectory, inputs: InputSender) -> Self {
         let (jobs, job_receiver) = blocking::channel::<(Ticket, WriteJob)>();
         std::thread::spawn(move || {
             for (ticket, job) in job_receiver {
@@ -40,7 +40,7 @@
     }
 
     /// Queues a write; its result becomes an input of the controller.
-    pub fn write(&self, ticket: Ticket, job: WriteJob) {
+    pub(super) fn write(&self, ticket: Ticket, job: WriteJob) {
         let _ = self.jobs.send((ticket, job));
     }
 }
--- a/crates/controlplane/src/drivers/metrics.rs
+++ b/crates/controlplane/src/drivers/metrics.rs
@@ -28,7 +28,7 @@
 
 impl ControllerMetrics {
     /// All metrics, at zero.
-    pub fn new() -> Self {
+    pub(super) fn new() -> Self {
         let page = MetricsPage::new();
         Self {
             frames_up: page.counter("rudder_stream_frames_up_total", "frames from daemons"),
@@ -68,7 +68,12 @@
     }
 
     /// Records how long an input waited in the queue, and how long it took to handle.
-    pub fn observe_step(&self, kind: InputKind, queue_wait: Duration, handling_time: Duration) {
+    pub(super) fn observe_step(
+        &self,
+        kind: InputKind,
+        queue_wait: Duration,
+        handling_time: Duration,
+    ) {
         let label = [kind.label()];
         self.queue_seconds
             .with_label_values(&label)
@@ -79,7 +84,7 @@
     }
 
     /// Records the status of an operator's command, and the time from its receipt to its response.
-    pub fn observe_command(&self, status: u16, elapsed: Duration) {
+    pub(super) fn observe_command(&self, status: u16, elapsed: Duration) {
         let label = [status.to_string()];
         self.command_seconds
             .with_label_values(&label)
@@ -87,7 +92,7 @@
     }
 
     /// Sets the gauges from the controller's state.
-    pub fn set(&self, controller_state: &ControllerState) {
+    pub(super) fn set(&self, controller_state: &ControllerState) {
         let consensus = controller_state.consensus();
         self.is_leader.set(i64::from(consensus.is_leader()));
         self.term.set(consensus.term().0 as i64);
@@ -106,12 +111,12 @@
     }
 
     /// Counts a connection closed because of an invalid frame.
-    pub fn count_rejected(&self) {
+    pub(super) fn count_rejected(&self) {
         self.rejected.inc();
     }
 
     /// The metrics page.
-    pub fn page(&self) -> Vec<u8> {
+    pub(super) fn page(&self) -> Vec<u8> {
         self.page.text()
     }
 }
--- a/crates/controlplane/src/drivers/operator_api/requests.rs
+++ b/crates/controlplane/src/drivers/operator_api/requests.rs
@@ -32,7 +32,7 @@
 
 impl RequestError {
     /// The HTTP status.
-    pub fn status(&self) -> u16 {
+    pub(super) fn status(&self) -> u16 {
         match self {
             Self::NoSuchPath => 404,
             Self::NotAController | Self::NotAVersion | Self::NotAnEventNumber => 400,
@@ -42,7 +42,7 @@
     }
 
     /// The body of the response.
-    pub fn body(&self) -> Value {
+    pub(super) fn body(&self) -> Value {
         match self {
             Self::NotJson(error) => json!({
                 "error": self.to_string(),
--- a/crates/controlplane/src/drivers/peer_links.rs
+++ b/crates/controlplane/src/drivers/peer_links.rs
@@ -27,7 +27,7 @@
 
 impl PeerLinks {
     /// No connections yet; they will leave from this address.
-    pub fn new(own_ip: Ipv4Addr) -> Self {
+    pub(super) fn new(own_ip: Ipv4Addr) -> Self {
         Self {
             own_ip,
             senders: HashMap::new(),
@@ -35,7 +35,7 @@
     }
 
     /// Sends a frame, or drops it.
-    pub fn send(&mut self, to: SocketAddress, frame: ConsensusFrame) {
+    pub(super) fn send(&mut self, to: SocketAddress, frame: ConsensusFrame) {
         let own_ip = self.own_ip;
         self.senders.retain(|_, sender| !sender.is_closed());
         let sender = self.senders.entry(to).or_insert_with(|| {
--- a/crates/controlplane/src/drivers/shared.rs
+++ b/crates/controlplane/src/drivers/shared.rs
@@ -28,21 +28,21 @@
 
 impl OpenStreams {
     /// Opens a stream whose task receives the frames from this sender's other end.
-    pub fn open(&self, stream: StreamId, sender: mpsc::Sender<LeaderToDaemon>) {
+    pub(super) fn open(&self, stream: StreamId, sender: mpsc::Sender<LeaderToDaemon>) {
         if let Ok(mut senders) = self.senders.lock() {
             senders.insert(stream, sender);
         }
     }
 
     /// Drops the sender, by which the stream's task ends.
-    pub fn close(&self, stream: StreamId) {
+    pub(super) fn close(&self, stream: StreamId) {
         if let Ok(mut senders) = self.senders.lock() {
             senders.remove(&stream);
         }
     }
 
     /// Queues a frame. A stream whose queue is full is closed: its daemon does not keep up.
-    pub fn send(&self, stream: StreamId, frame: LeaderToDaemon) {
+    pub(super) fn send(&self, stream: StreamId, frame: LeaderToDaemon) {
         let Ok(mut senders) = self.senders.lock() else {
             return;
         };
@@ -74,17 +74,21 @@
     }
 
     /// Whether any leader is known.
-    pub fn has_leader(&self) -> bool {
+    pub(super) fn has_leader(&self) -> bool {
         self.has_leader.load(Ordering::Relaxed)
     }
 
     /// The newest spec on this controller's disk. Tasks that read changes share its records.
-    pub fn newest_spec(&self) -> Option<Arc<SpecRecords>> {
+    pub(super) fn newest_spec(&self) -> Option<Arc<SpecRecords>> {
         self.newest_spec.load_full()
     }
 
     /// Publishes what an input has changed. `spec_version` is the version of the spec published last.
-    pub fn update(&self, controller_state: &ControllerState, spec_version: &mut DocumentVersion) {
+    pub(super) fn update(
+        &self,
+        controller_state: &ControllerState,
+        spec_version: &mut DocumentVersion,
+    ) {
         let consensus = controller_state.consensus();
         if let Some(document) = consensus.accepted()
             && document.document_version != *spec_version
@@ -101,17 +105,17 @@
     }
 
     /// An event has been recorded.
-    pub fn event_recorded(&self, number: u64) {
+    pub(super) fn event_recorded(&self, number: u64) {
         self.newest_event.send_replace(number);
     }
 
     /// The controller has stopped: there will be no more events.
-    pub fn stopped(&self) {
+    pub(super) fn stopped(&self) {
         self.newest_event.send_replace(STOPPED);
     }
 
     /// Notices of events.
-    pub fn watch_events(&self) -> EventWatch {
+    pub(super) fn watch_events(&self) -> EventWatch {
         EventWatch(self.newest_event.subscribe())
     }
 }
@@ -121,12 +125,12 @@
 
 impl EventWatch {
     /// Whether the controller has stopped.
-    pub fn is_stopped(&self) -> bool {
+    pub(super) fn is_stopped(&self) -> bool {
         *self.0.borrow() == STOPPED
     }
 
     /// Waits for the next event; false if there will be none.
-    pub async fn changed(&mut self) -> bool {
+    pub(super) async fn changed(&mut self) -> bool {
         self.0.changed().await.is_ok()
     }
 }
@@ -155,7 +159,7 @@
 }
 
 impl Shared {
-    pub fn new(
+    pub(super) fn new(
         inputs: InputSender,
         operators: Arc<dyn OperatorApiAdapter>,
         platform: Arc<dyn PlatformAdapter>,
@@ -175,13 +179,13 @@
     }
 
     /// A number that no stream or operation of this process has had.
-    pub fn next_id(&self) -> u64 {
+    pub(super) fn next_id(&self) -> u64 {
         self.id_counter.fetch_add(1, Ordering::Relaxed)
     }
 
     /// Hands an operation to the controller and waits for its reply; none if the controller has stopped.
     /// Dropping the future tells the controller that the caller's connection has ended.
-    pub async fn submit_operation(&self, operation: Operation) -> Option<OperationReply> {
+    pub(super) async fn submit_operation(&self, operation: Operation) -> Option<OperationReply> {
         let ticket = OperationTicket(self.next_id());
         let mut pending = PendingOperation {
             shared: self,
@@ -202,7 +206,7 @@
     }
 
     /// Hands a reply to the task that waits for it.
-    pub fn operation_answered(&self, ticket: OperationTicket, reply: OperationReply) {
+    pub(super) fn operation_answered(&self, ticket: OperationTicket, reply: OperationReply) {
         if let Ok(mut operations) = self.operations.lock()
             && let Some(reply_sender) = operations.remove(&ticket)
         {
