--- a/crates/controlplane/tests/controller_forms.rs
+++ b/crates/controlplane/tests/controller_forms.rs
@@ -221,12 +221,12 @@
     operators: SocketAddr,
     line: &str,
     body: &str,
-    is_whole: impl Fn(&str, &str) -> bool,
+    is_expected: impl Fn(&str, &str) -> bool,
 ) -> (String, String) {
     let began = Instant::now();
     loop {
         let (head, answer) = answered(operators, line, "", body).await;
-        if is_whole(&head, &answer) {
+        if is_expected(&head, &answer) {
             return (head, answer);
         }
         assert!(began.elapsed() < PATIENCE, "{line}: {head} {answer}");
--- a/crates/controlplane/tests/controller_state/change_numbering.rs
+++ b/crates/controlplane/tests/controller_state/change_numbering.rs
@@ -180,7 +180,7 @@
 }
 
 #[gtest]
-fn a_change_retried_after_kills_is_never_refused_once_committed() -> Result<()> {
+fn a_change_retried_after_kills_is_never_rejected_once_committed() -> Result<()> {
     let (mut unknown_count, mut retry_count, mut kill_count) = (0, 0, 0);
     for seed in 0..40 {
         let mut cluster = founded_cluster(seed);
--- a/crates/controlplane/tests/controller_state/founding.rs
+++ b/crates/controlplane/tests/controller_state/founding.rs
@@ -154,7 +154,7 @@
 }
 
 #[gtest]
-fn an_operation_waits_for_a_leader_instead_of_being_refused() -> Result<()> {
+fn an_operation_waits_for_a_leader_instead_of_being_rejected() -> Result<()> {
     let mut cluster = TestCluster::new(7, &[0, 1, 2]);
     cluster.start_all();
     let leader = cluster.await_leader();
--- a/crates/controlplane/tests/controller_state/operator_api.rs
+++ b/crates/controlplane/tests/controller_state/operator_api.rs
@@ -83,7 +83,7 @@
 }
 
 #[tokio::test]
-async fn a_change_without_base_or_of_mixed_form_is_refused_with_its_path() {
+async fn a_change_without_base_or_of_mixed_form_is_rejected_with_its_path() {
     let cases = [
         (json!({"change_id": "c", "patch": {}}), "base_serial"),
         (
--- a/crates/controlplane/tests/controller_state/operator_changes.rs
+++ b/crates/controlplane/tests/controller_state/operator_changes.rs
@@ -61,7 +61,7 @@
 
 /// A change that may have been applied before, with its record forgotten, is neither acknowledged nor rejected.
 #[gtest]
-fn a_change_is_recognised_after_many_others_and_a_forgotten_one_is_not_refused() -> Result<()> {
+fn a_change_is_recognized_after_many_others_and_a_forgotten_one_is_not_rejected() -> Result<()> {
     let mut cluster = founded_cluster(1);
     let leader = cluster.await_leader();
     for number in 1..=1100 {
@@ -97,7 +97,7 @@
 }
 
 #[gtest]
-fn a_leader_that_may_have_been_overtaken_refuses_nothing() -> Result<()> {
+fn a_leader_that_may_have_been_deposed_rejects_nothing() -> Result<()> {
     for seed in 0..20 {
         let mut cluster = founded_cluster(seed);
         let leader = cluster.await_leader();
@@ -174,8 +174,8 @@
         cluster.cut_links.clear();
         cluster.advance(1500);
         let reply = cluster.replies.remove(&ticket);
-        let is_refused = matches!(reply, Some(OperationReply::NoZone { .. }));
-        verify_that!(is_refused, eq(false)).with_failure_message(|| format!("seed {seed}"))?;
+        let is_rejected = matches!(reply, Some(OperationReply::NoZone { .. }));
+        verify_that!(is_rejected, eq(false)).with_failure_message(|| format!("seed {seed}"))?;
         retry_count += u32::from(cluster.leader() == Some(leader) && is_accepted(&reply));
     }
     verify_that!(retry_count, ge(3))
