--- a/crates/controlplane/src/consensus/replication.rs
+++ b/crates/controlplane/src/consensus/replication.rs
@@ -338,7 +338,10 @@
             .iter()
             .chain(self.writes.versions());
         if !self.options.enforces(Rule::DeltaOnItsBase) {
-            return held_versions.next()?.apply_delta_unverified(&delta_bytes).ok();
+            return held_versions
+                .next()?
+                .apply_delta_unverified(&delta_bytes)
+                .ok();
         }
         let base = held_versions.find(|document| document.document_version == version.base)?;
         base.apply_delta(&delta_bytes, &version.digest.0).ok()
--- a/crates/controlplane/src/drivers/disk.rs
+++ b/crates/controlplane/src/drivers/disk.rs
@@ -1,3 +1,5 @@
+//! The thread that writes to the data directory.
+
 use super::queue::InputSender;
 use crate::consensus::{WriteJob, WriteResult};
 use crate::controller_state::ControllerInput;
@@ -7,14 +9,15 @@
 use common::log_event;
 use std::sync::mpsc as blocking;
 
-/// Writes in a thread of its own, in order.
-pub struct DiskWriter {
+/// Writes in a thread of its own, in the order of the jobs. The thread is detached: it ends once this is dropped
+/// and all jobs are done, or the controller takes no more results.
+pub(super) struct DiskWriter {
     jobs: blocking::Sender<(Ticket, WriteJob)>,
 }
 
 impl DiskWriter {
     /// Starts the thread.
-    pub fn start(data_directory: DataDirectory, inputs: InputSender) -> Self {
+    pub(super) fn start(data_directory: DataDirectory, inputs: InputSender) -> Self {
         let (jobs, job_receiver) = blocking::channel::<(Ticket, WriteJob)>();
         std::thread::spawn(move || {
             for (ticket, job) in job_receiver {
@@ -36,8 +39,8 @@
         Self { jobs }
     }
 
-    /// Orders a write.
-    pub fn write(&self, ticket: Ticket, job: WriteJob) {
+    /// Queues a write; its result becomes an input of the controller.
+    pub(super) fn write(&self, ticket: Ticket, job: WriteJob) {
         let _ = self.jobs.send((ticket, job));
     }
 }
--- a/crates/controlplane/src/drivers/metrics.rs
+++ b/crates/controlplane/src/drivers/metrics.rs
@@ -1,11 +1,13 @@
+//! The metrics of a controller process.
+
 use super::queue::InputKind;
 use crate::controller_state::ControllerState;
 use common::metrics::MetricsPage;
 use prometheus::{HistogramVec, IntCounter, IntGauge};
 use std::time::Duration;
 
-/// The controller's metrics.
-pub struct ControllerMetrics {
+/// The metrics of a controller process.
+pub(super) struct ControllerMetrics {
     page: MetricsPage,
     is_leader: IntGauge,
     term: IntGauge,
@@ -25,8 +27,8 @@
 }
 
 impl ControllerMetrics {
-    /// All at zero.
-    pub fn new() -> Self {
+    /// All metrics, at zero.
+    pub(super) fn new() -> Self {
         let page = MetricsPage::new();
         Self {
             frames_up: page.counter("rudder_stream_frames_up_total", "frames from daemons"),
@@ -65,8 +67,13 @@
         }
     }
 
-    /// Takes how long an input waited, and how long it took to handle.
-    pub fn observe_step(&self, kind: InputKind, queue_wait: Duration, handling_time: Duration) {
+    /// Records how long an input waited in the queue, and how long it took to handle.
+    pub(super) fn observe_step(
+        &self,
+        kind: InputKind,
+        queue_wait: Duration,
+        handling_time: Duration,
+    ) {
         let label = [kind.label()];
         self.queue_seconds
             .with_label_values(&label)
@@ -76,16 +83,16 @@
             .observe(handling_time.as_secs_f64());
     }
 
-    /// Takes how long an operator's order took to be answered.
-    pub fn observe_command(&self, status: u16, elapsed: Duration) {
+    /// Records the status of an operator's command, and the time from its receipt to its response.
+    pub(super) fn observe_command(&self, status: u16, elapsed: Duration) {
         let label = [status.to_string()];
         self.command_seconds
             .with_label_values(&label)
             .observe(elapsed.as_secs_f64());
     }
 
-    /// Takes the controller state's present state.
-    pub fn set(&self, controller_state: &ControllerState) {
+    /// Sets the gauges from the controller's state.
+    pub(super) fn set(&self, controller_state: &ControllerState) {
         let consensus = controller_state.consensus();
         self.is_leader.set(i64::from(consensus.is_leader()));
         self.term.set(consensus.term().0 as i64);
@@ -103,13 +110,13 @@
         }
     }
 
-    /// Counts a connection closed for what it sent.
-    pub fn count_rejected(&self) {
+    /// Counts a connection closed because of an invalid frame.
+    pub(super) fn count_rejected(&self) {
         self.rejected.inc();
     }
 
     /// The metrics page.
-    pub fn page(&self) -> Vec<u8> {
+    pub(super) fn page(&self) -> Vec<u8> {
         self.page.text()
     }
 }
--- a/crates/controlplane/tests/controller_state/operator_api.rs
+++ b/crates/controlplane/tests/controller_state/operator_api.rs
@@ -1,4 +1,4 @@
-//! The product's own operators' interface, there and back.
+//! The product's own API: requests read, and responses written.
 
 use common::http::HttpResponse;
 use common::identity::{ChangeId, Version};
@@ -83,7 +83,7 @@
 }
 
 #[tokio::test]
-async fn a_change_without_base_or_of_mixed_form_is_refused_with_its_path() {
+async fn a_change_without_base_or_of_mixed_form_is_rejected_with_its_path() {
     let cases = [
         (json!({"change_id": "c", "patch": {}}), "base_serial"),
         (
