--- a/crates/controlplane/src/controller_state/event_records.rs
+++ b/crates/controlplane/src/controller_state/event_records.rs
@@ -31,6 +31,7 @@
 ) -> EventRecord {
     let detail = json!({
         "term": term.0,
+        "controller": format!("{:x}", leader.0),
         "surveyor": format!("{:x}", leader.0),
         "last_known": known_members,
         "whole": complete,
--- a/crates/controlplane/src/drivers/operator_api/responses.rs
+++ b/crates/controlplane/src/drivers/operator_api/responses.rs
@@ -82,6 +82,7 @@
         .iter()
         .map(|peer| {
             json!({
+                "controller": format!("{:x}", peer.id.0),
                 "surveyor": format!("{:x}", peer.id.0),
                 "place": peer.controller_address.address.to_string(),
                 "operators": peer.controller_address.operators.to_string(),
@@ -92,6 +93,7 @@
         })
         .collect();
     json!({
+        "controller": format!("{:x}", status.id.0),
         "surveyor": format!("{:x}", status.id.0),
         "term": status.term.0,
         "leads": status.is_leader,
@@ -146,6 +148,7 @@
     let status = if rows.is_empty() { 404 } else { 200 };
     let body = json!({
         "serial": report.version.map(|version| version.0),
+        "controller": format!("{:x}", report.controller.0),
         "surveyor": format!("{:x}", report.controller.0),
         "traces": rows,
     });
--- a/crates/controlplane/tests/controller_forms.rs
+++ b/crates/controlplane/tests/controller_forms.rs
@@ -80,12 +80,18 @@
 
 /// A body without the identity that a controller draws when it starts on an empty disk.
 fn without_identity(body: &str) -> String {
-    const KEY: &str = "\"surveyor\":\"";
-    let mut parts = body.split(KEY);
+    without_identity_at(
+        "\"surveyor\":\"",
+        &without_identity_at("\"controller\":\"", body),
+    )
+}
+
+fn without_identity_at(key: &str, body: &str) -> String {
+    let mut parts = body.split(key);
     let first = parts.next().unwrap_or_default().to_owned();
     parts.fold(first, |shown, part| {
         let rest = part.trim_start_matches(|letter: char| letter.is_ascii_hexdigit());
-        format!("{shown}{KEY}DRAWN{rest}")
+        format!("{shown}{key}DRAWN{rest}")
     })
 }
 
--- a/programs/rudderctl/src/main.rs
+++ b/programs/rudderctl/src/main.rs
@@ -8,6 +8,7 @@
 mod arguments;
 mod change;
 mod client;
+mod controller_key;
 mod events;
 mod output;
 mod table;
--- a/programs/rudderctl/src/table.rs
+++ b/programs/rudderctl/src/table.rs
@@ -1,5 +1,6 @@
 //! Lists of the operators' API, rendered as tables for people.
 
+use crate::controller_key::{CONTROLLER, EARLIER_CONTROLLER, controller_of};
 use serde_json::Value;
 use std::fmt::Write;
 
@@ -76,7 +77,7 @@
     path: "/v1/core",
     rows: "others",
     columns: &[
-        "surveyor",
+        CONTROLLER,
         "place",
         "operators",
         "accepted",
@@ -96,13 +97,28 @@
     }
 }
 
+/// The value of a row in one column.
+fn field<'a>(row: &'a Value, column: &str) -> &'a Value {
+    if column == CONTROLLER {
+        controller_of(row)
+    } else {
+        &row[column]
+    }
+}
+
 impl Table {
     /// The response as text: the other keys of the response, a line each, then the list below its headings.
     pub(crate) fn render(&self, response: &Value) -> String {
         let mut text = String::new();
         for (key, value) in response.as_object().into_iter().flatten() {
-            if key != self.rows {
-                let _ = writeln!(text, "{key}: {}", cell(value));
+            let is_repeated = key == EARLIER_CONTROLLER && !response[CONTROLLER].is_null();
+            if key != self.rows && !is_repeated {
+                let shown_key = if key == EARLIER_CONTROLLER {
+                    CONTROLLER
+                } else {
+                    key
+                };
+                let _ = writeln!(text, "{shown_key}: {}", cell(value));
             }
         }
         let headings: Vec<String> = self
@@ -114,7 +130,7 @@
         let cells = rows.map(|row| {
             self.columns
                 .iter()
-                .map(|column| cell(&row[*column]))
+                .map(|column| cell(field(row, column)))
                 .collect()
         });
         let lines: Vec<Vec<String>> = std::iter::once(headings).chain(cells).collect();
--- a/programs/rudderctl/src/trace.rs
+++ b/programs/rudderctl/src/trace.rs
@@ -1,5 +1,6 @@
 //! The trace of one version of the spec, from its acceptance by a leader to every daemon.
 
+use crate::controller_key::{CONTROLLER, EARLIER_CONTROLLER, controller_of};
 use common::clock::MonotonicTime;
 use common::frames::SocketAddress;
 use common::http::call_json;
@@ -76,7 +77,9 @@
     for response in of_version {
         for trace in response["traces"].as_array().into_iter().flatten() {
             let mut part = trace.clone();
-            part["surveyor"] = response["surveyor"].clone();
+            let controller = controller_of(response);
+            part[CONTROLLER] = controller.clone();
+            part[EARLIER_CONTROLLER] = controller.clone();
             parts.insert(part["term"].as_u64().unwrap_or(0), part);
         }
     }
@@ -145,7 +148,7 @@
     writeln!(
         out,
         "term {term}, controller {}, {}: committed {}, in force {}",
-        part["surveyor"].as_str().unwrap_or("?"),
+        controller_of(part).as_str().unwrap_or("?"),
         part["from"].as_str().unwrap_or("?"),
         millis(&part["committed_ms"]),
         millis(&part["in_force_ms"]),
--- a/programs/rudderctl/tests/output.rs
+++ b/programs/rudderctl/tests/output.rs
@@ -69,13 +69,23 @@
 #[test]
 fn what_stands_beside_a_list_is_printed_before_it() {
     let (text, _) = run_against("200 OK", QUORUM_LIST, &["core", "--output", "table"]);
-    let headings = "SURVEYOR  PLACE  OPERATORS  ACCEPTED  VOTER  SILENT_MS";
+    let headings = "CONTROLLER  PLACE  OPERATORS  ACCEPTED  VOTER  SILENT_MS";
     assert_eq!(
         text,
-        format!("leader: -\nsurveyor: 5f\nterm: 3\n{headings}\n")
+        format!("leader: -\ncontroller: 5f\nterm: 3\n{headings}\n")
     );
 }
 
+#[test]
+fn a_controller_that_states_its_identity_by_both_keys_is_printed_once() {
+    let both = r#"{"controller": "5f", "surveyor": "5f", "others": [
+        {"controller": "77", "surveyor": "77", "place": "p"}]}"#;
+    let (text, _) = run_against("200 OK", both, &["core", "--output", "table"]);
+    let headings = "CONTROLLER  PLACE  OPERATORS  ACCEPTED  VOTER  SILENT_MS";
+    let row = "77          p      -          -         -      -";
+    assert_eq!(text, format!("controller: 5f\n{headings}\n{row}\n"));
+}
+
 #[test]
 fn lists_are_json_unless_something_else_is_asked_for() {
     for arguments in [&["holders"][..], &["holders", "--output", "json"]] {
