--- a/testing/fleet/src/synthetic/page/capacity_model/controllers.rs
+++ b/testing/fleet/src/synthetic/page/capacity_model/controllers.rs
@@ -53,6 +53,15 @@
     /// The figures of the leader.
     pub(crate) fn leading(&self, runs: &[Run]) -> Vec<Figure> {
         let baseline_runs: Vec<&Run> = runs.iter().filter(|run| run.is_baseline()).collect();
+        let mut figures = leading_streams(&baseline_runs);
+        figures.extend(self.leading_processor_time(&baseline_runs));
+        figures.extend(leading_memory(&baseline_runs));
+        figures.extend(self.change_in_force());
+        figures.push(leading_join(&baseline_runs));
+        figures
+    }
+
+    fn leading_processor_time(&self, baseline_runs: &[&Run]) -> Vec<Figure> {
         let loaded = |name: &str, fit: &Fit, factor: f64| {
             Figure::of(name, Unit::Cores, fit, factor * CORE_MICROS)
         };
@@ -67,63 +76,25 @@
         );
         let lists = Fit::of(
             &[Predictor::One, Predictor::Instances],
-            &baseline_runs,
+            baseline_runs,
             |run| Some(run.busy("leading lists")),
         );
         let lists = loaded("the platform's lists taken in", &lists, 1.0);
         let rows = [&renewals, &idle, &ticks, &core, &installed, &lists];
         let all_busy = Figure::sum("**processor time**", Unit::Cores, &rows);
-        let stream = Fit::of(
-            &[Predictor::Daemons, Predictor::Held],
-            &baseline_runs,
-            |run| Some(stream_rate(run, &LEADING_STREAM)),
-        );
-        let stream_count = Fit::of(&[Predictor::Daemons], &baseline_runs, |run| {
-            let counted = LEADING_STREAM
-                .iter()
-                .map(|work| run.rate(work, "sent") + run.rate(work, "heard"));
-            Some(counted.sum())
-        });
-        let core_terms = [
-            Predictor::One,
-            Predictor::Daemons,
-            Predictor::Changes,
-            Predictor::ChangedFunctions,
-        ];
-        let core_bytes = Fit::of(&core_terms, &baseline_runs, |run| {
-            Some(run.rate("leading core", "sent_bytes") + run.rate("leading core", "heard_bytes"))
-        });
-        let memory_terms = [
-            Predictor::One,
-            Predictor::Daemons,
-            Predictor::Functions,
-            Predictor::Held,
-        ];
-        let memory = Fit::of(&memory_terms, &baseline_runs, |run| {
-            Some(run.number("leading_bytes") / MEGABYTE)
-        });
-        let transient_memory = Fit::of(
-            &[Predictor::One, Predictor::Functions],
-            &baseline_runs,
-            |run| {
-                let works = [
-                    "leading changes",
-                    "leading core",
-                    "leading ticks",
-                    "leading disk",
-                ];
-                let peaks = works.iter().map(|work| run.work(work, "swell_bytes"));
-                Some(peaks.fold(0.0, f64::max) / MEGABYTE)
-            },
-        );
-        let memory = Figure::of("memory kept", Unit::Megabytes, &memory, 1.0);
-        let transient_memory = Figure::of(
-            "memory on top while a change is made",
-            Unit::Megabytes,
-            &transient_memory,
-            1.0,
-        );
-        let all_memory = Figure::sum("**memory**", Unit::Megabytes, &[&memory, &transient_memory]);
+        vec![
+            renewals,
+            idle,
+            ticks,
+            core,
+            installed,
+            lists,
+            all_busy.within(CONTROLLER_BUDGET),
+        ]
+    }
+
+    /// The time for a change to come into force, by part.
+    fn change_in_force(&self) -> Vec<Figure> {
         let network = Figure::of(
             "a change: the network",
             Unit::Millis,
@@ -147,45 +118,94 @@
             Unit::Millis,
             &[&network, &own, &install],
         );
-        let join = Fit::of(
-            &[
-                Predictor::One,
-                Predictor::Daemons,
-                Predictor::DaemonsSquared,
-            ],
-            &baseline_runs,
-            |run| (run.number("functions") == 200.0).then(|| run.number("join_ms")),
-        );
-        let join = Figure::of(
-            "every daemon joins at once, 200 functions",
-            Unit::Millis,
-            &join,
-            1.0,
-        );
-        vec![
-            Figure::of("streams of all daemons", Unit::BytesASecond, &stream, 1.0),
-            Figure::of(
-                "streams of all daemons",
-                Unit::MessagesASecond,
-                &stream_count,
-                1.0,
-            ),
-            Figure::of("the core's talk", Unit::BytesASecond, &core_bytes, 1.0),
-            renewals,
-            idle,
-            ticks,
-            core,
-            installed,
-            lists,
-            all_busy.within(CONTROLLER_BUDGET),
-            memory,
-            transient_memory,
-            all_memory,
-            network,
-            own,
-            install,
-            in_force.within(FORCE_BUDGET_MS),
-            join,
-        ]
+        vec![network, own, install, in_force.within(FORCE_BUDGET_MS)]
     }
 }
+
+/// The traffic of daemons' streams and of consensus at the leader.
+fn leading_streams(baseline_runs: &[&Run]) -> Vec<Figure> {
+    let stream = Fit::of(
+        &[Predictor::Daemons, Predictor::Held],
+        baseline_runs,
+        |run| Some(stream_rate(run, &LEADING_STREAM)),
+    );
+    let stream_count = Fit::of(&[Predictor::Daemons], baseline_runs, |run| {
+        let counted = LEADING_STREAM
+            .iter()
+            .map(|work| run.rate(work, "sent") + run.rate(work, "heard"));
+        Some(counted.sum())
+    });
+    let core_terms = [
+        Predictor::One,
+        Predictor::Daemons,
+        Predictor::Changes,
+        Predictor::ChangedFunctions,
+    ];
+    let core_bytes = Fit::of(&core_terms, baseline_runs, |run| {
+        Some(run.rate("leading core", "sent_bytes") + run.rate("leading core", "heard_bytes"))
+    });
+    vec![
+        Figure::of("streams of all daemons", Unit::BytesASecond, &stream, 1.0),
+        Figure::of(
+            "streams of all daemons",
+            Unit::MessagesASecond,
+            &stream_count,
+            1.0,
+        ),
+        Figure::of("the core's talk", Unit::BytesASecond, &core_bytes, 1.0),
+    ]
+}
+
+fn leading_memory(baseline_runs: &[&Run]) -> Vec<Figure> {
+    let memory_terms = [
+        Predictor::One,
+        Predictor::Daemons,
+        Predictor::Functions,
+        Predictor::Held,
+    ];
+    let memory = Fit::of(&memory_terms, baseline_runs, |run| {
+        Some(run.number("leading_bytes") / MEGABYTE)
+    });
+    let transient_memory = Fit::of(
+        &[Predictor::One, Predictor::Functions],
+        baseline_runs,
+        |run| {
+            let works = [
+                "leading changes",
+                "leading core",
+                "leading ticks",
+                "leading disk",
+            ];
+            let peaks = works.iter().map(|work| run.work(work, "swell_bytes"));
+            Some(peaks.fold(0.0, f64::max) / MEGABYTE)
+        },
+    );
+    let memory = Figure::of("memory kept", Unit::Megabytes, &memory, 1.0);
+    let transient_memory = Figure::of(
+        "memory on top while a change is made",
+        Unit::Megabytes,
+        &transient_memory,
+        1.0,
+    );
+    let all_memory = Figure::sum("**memory**", Unit::Megabytes, &[&memory, &transient_memory]);
+    vec![memory, transient_memory, all_memory]
+}
+
+/// The leader's processor time until all daemons have joined.
+fn leading_join(baseline_runs: &[&Run]) -> Figure {
+    let join = Fit::of(
+        &[
+            Predictor::One,
+            Predictor::Daemons,
+            Predictor::DaemonsSquared,
+        ],
+        baseline_runs,
+        |run| (run.number("functions") == 200.0).then(|| run.number("join_ms")),
+    );
+    Figure::of(
+        "every daemon joins at once, 200 functions",
+        Unit::Millis,
+        &join,
+        1.0,
+    )
+}
