--- a/crates/common/src/frames/daemons.rs
+++ b/crates/common/src/frames/daemons.rs
@@ -210,7 +210,7 @@
         /// The version of the spec that the sender matched it with.
         version: Version,
         /// The time left until the request's deadline, in milliseconds.
-        timeout_ms: u32,
+        time_limit_ms: u32,
         /// How many times it has been forwarded.
         hops: u8,
         /// Whether it is a repeat: marked so by the caller, or sent again because a holder became unreachable.
--- a/crates/common/src/spec/reader.rs
+++ b/crates/common/src/spec/reader.rs
@@ -126,13 +126,13 @@
             ));
     }
     let memory_mb = reader.field("memory_mb").number(1..=1_000_000);
-    let boot_ms = reader.field("boot_ms").number(0..=600_000);
+    let startup_millis = reader.field("boot_ms").number(0..=600_000);
     let slots = reader.field("slots").number(1..=10_000);
     let connections = reader.field("connections").number_or(1..=100_000, 1024) as u32;
     Some(FunctionSpec {
         connections,
         memory_mb: memory_mb? as u32,
-        startup: Duration::from_millis(boot_ms?),
+        startup: Duration::from_millis(startup_millis?),
         slots: slots? as u32,
         min_runners,
         max_runners,
--- a/crates/common/tests/document_forms.rs
+++ b/crates/common/tests/document_forms.rs
@@ -1,6 +1,8 @@
 //! The document that controllers replicate, the view that daemons get, the deltas between versions and the digests
 //! that verify them are written as when the fixture was made, and are read from it.
 
+mod form_samples;
+#[path = "../../../testing/support/form_list.rs"]
 mod forms;
 
 use common::frames::{ByteString, compress, decompress};
@@ -12,7 +14,8 @@
 use common::spec::{
     AppliedChanges, ChangeStatus, DaemonView, Document, ListedMember, Voter, read_spec,
 };
-use forms::{Form, address, bytes_of_hex, held_forms, hold};
+use form_samples::{address, bytes_of_hex};
+use forms::{Form, held_forms, hold};
 use googletest::prelude::*;
 use serde_json::{Value, json};
 use std::collections::BTreeSet;
--- a/crates/common/tests/wire_forms.rs
+++ b/crates/common/tests/wire_forms.rs
@@ -4,6 +4,8 @@
 mod consensus_frames;
 #[path = "wire_forms/daemon_frames.rs"]
 mod daemon_frames;
+mod form_samples;
+#[path = "../../../testing/support/form_list.rs"]
 mod forms;
 #[path = "wire_forms/kinds.rs"]
 mod kinds;
@@ -18,7 +20,8 @@
 };
 use common::identity::Version;
 use common::seal::hex;
-use forms::{Form, bytes_of_hex, held_forms, hold};
+use form_samples::bytes_of_hex;
+use forms::{Form, held_forms, hold};
 use googletest::prelude::*;
 use kinds::kinds;
 use parts::{SampleFrame, long, member_incarnation};
@@ -86,7 +89,7 @@
         .chain(below("stream-down/acquired", stream_frames::ACQUIRED))
         .chain(below("stream-down/reserved", stream_frames::RESERVED))
         .chain(below("hop/done", daemon_frames::OUTCOMES))
-        .chain(below("hop/done/not-run", daemon_frames::REASONS))
+        .chain(below("hop/done/not_run", daemon_frames::REASONS))
         .chain(below("hop/done/unknown", daemon_frames::REASONS))
         .chain(below("hop/note", daemon_frames::STATES))
         .collect()
--- a/crates/common/tests/wire_forms/consensus_frames.rs
+++ b/crates/common/tests/wire_forms/consensus_frames.rs
@@ -1,6 +1,6 @@
 //! Sample frames between controllers.
 
-use crate::forms::address;
+use crate::form_samples::address;
 use crate::kinds::kinds;
 use crate::parts::{SampleFrame, document_version, long, sample_frame};
 use common::frames::{
--- a/crates/common/tests/wire_forms/daemon_frames.rs
+++ b/crates/common/tests/wire_forms/daemon_frames.rs
@@ -21,7 +21,7 @@
 
 kinds!(OUTCOMES, outcome_kind, RequestOutcome, {
     RequestOutcome::Response { .. } => "answer",
-    RequestOutcome::NotRun { .. } => "not-run",
+    RequestOutcome::NotRun { .. } => "not_run",
     RequestOutcome::Unknown { .. } => "unknown",
 });
 
@@ -105,7 +105,7 @@
         function: all_regions_key.in_region(&region.into()),
         route: "segment-check-post".into(),
         version: Version(long(0x40)),
-        timeout_ms: short(0x48),
+        time_limit_ms: short(0x48),
         hops: 0x4c,
         repeat: Flag(repeat),
         wants_referral: Flag(wants_referral),
@@ -243,7 +243,7 @@
         function: function(),
         route: "".into(),
         version: Version(0),
-        timeout_ms: 0,
+        time_limit_ms: 0,
         hops: 0,
         repeat: Flag(false),
         wants_referral: Flag(false),
--- a/crates/common/tests/wire_forms/parts.rs
+++ b/crates/common/tests/wire_forms/parts.rs
@@ -1,6 +1,6 @@
 //! Fixed sample values for the parts of frames. No two are alike, and the order of their bytes shows.
 
-use crate::forms::address;
+use crate::form_samples::address;
 use binrw::meta::{ReadEndian, WriteEndian};
 use binrw::{BinRead, BinWrite};
 use common::frames::{
--- a/crates/common/tests/wire_forms/stream_frames.rs
+++ b/crates/common/tests/wire_forms/stream_frames.rs
@@ -1,7 +1,7 @@
 //! Sample frames between a daemon and the leader.
 
 use crate::daemon_frames::{ALL_REASONS, reason_kind};
-use crate::forms::address;
+use crate::form_samples::address;
 use crate::kinds::kinds;
 use crate::parts::{
     SampleFrame, claim_runners, fencing_token, function, host, instance, long, member_incarnation,
--- /dev/null
+++ b/crates/common/tests/withdrawn_words.rs
@@ -0,0 +1,259 @@
+//! Names in the code keep to the terms of the field: withdrawn words do not come back.
+//!
+//! The words, what to use instead, and the exceptions with their reasons are in `.ci/withdrawn-words.txt`.
+
+use googletest::prelude::*;
+use std::collections::BTreeSet;
+use std::path::{Path, PathBuf};
+
+const LIST: &str = include_str!("../../../.ci/withdrawn-words.txt");
+const ROOTS: [&str; 4] = ["crates", "programs", "platform", "testing"];
+const ALSO_IN_COMMENTS: &str = "(also in comments)";
+
+/// One barred word.
+struct BarredWord {
+    word: &'static str,
+    instead: &'static str,
+    is_barred_in_comments: bool,
+}
+
+/// A file or folder in which one word is allowed.
+struct Exception {
+    word: &'static str,
+    path: &'static str,
+}
+
+#[derive(Default)]
+struct WordList {
+    barred: Vec<BarredWord>,
+    exceptions: Vec<Exception>,
+}
+
+impl WordList {
+    fn parse(text: &'static str) -> Self {
+        let mut list = Self::default();
+        let lines = text.lines().map(str::trim);
+        for line in lines.filter(|line| !line.is_empty() && !line.starts_with('#')) {
+            let (head, tail) = line.split_once(':').expect("a colon in each line");
+            let tail = tail.trim();
+            assert!(!tail.is_empty(), "no reason or other word: {line}");
+            match head.strip_prefix("allow ") {
+                Some(exception) => {
+                    let (word, path) = exception.split_once(" in ").expect("a word and a path");
+                    list.exceptions.push(Exception { word, path });
+                }
+                None => list.barred.push(BarredWord {
+                    word: head,
+                    instead: tail.trim_end_matches(ALSO_IN_COMMENTS).trim(),
+                    is_barred_in_comments: tail.ends_with(ALSO_IN_COMMENTS),
+                }),
+            }
+        }
+        list
+    }
+
+    fn is_allowed(&self, word: &str, path: &str) -> bool {
+        self.exceptions
+            .iter()
+            .any(|exception| exception.word == word && path.starts_with(exception.path))
+    }
+
+    /// Each barred word in a source text, as a line that says where it stands and what to use instead.
+    fn findings(&self, path: &str, source: &str) -> Vec<String> {
+        let mut findings = Vec::new();
+        for (line_number, line) in split_lines(source) {
+            let code_words = identifier_words(&line.code);
+            let comment_words = identifier_words(&line.comment);
+            for barred in &self.barred {
+                let is_in_code = code_words.contains(barred.word);
+                let is_in_comment =
+                    barred.is_barred_in_comments && comment_words.contains(barred.word);
+                if (is_in_code || is_in_comment) && !self.is_allowed(barred.word, path) {
+                    findings.push(format!(
+                        "{path}:{line_number}: {} (use {})",
+                        barred.word, barred.instead
+                    ));
+                }
+            }
+        }
+        findings
+    }
+}
+
+/// One line of a source, its strings left out, parted into code and comment.
+#[derive(Default)]
+struct SourceLine {
+    code: String,
+    comment: String,
+}
+
+#[derive(Clone, Copy, PartialEq)]
+enum Scanning {
+    Code,
+    LineComment,
+    BlockComment,
+    Text,
+    RawText { hashes: usize },
+}
+
+/// The lines of a source with their numbers, from one.
+fn split_lines(source: &str) -> Vec<(usize, SourceLine)> {
+    let mut lines = vec![SourceLine::default()];
+    let mut scanning = Scanning::Code;
+    let characters: Vec<char> = source.chars().collect();
+    let mut index = 0;
+    while index < characters.len() {
+        let character = characters[index];
+        let rest = &characters[index..];
+        let line = lines.last_mut().expect("a line");
+        let mut consumed = 1;
+        match scanning {
+            Scanning::Code => {
+                if rest.starts_with(&['/', '/']) {
+                    scanning = Scanning::LineComment;
+                } else if rest.starts_with(&['/', '*']) {
+                    scanning = Scanning::BlockComment;
+                } else if let Some((hashes, opening)) = raw_text_opening(rest, &line.code) {
+                    scanning = Scanning::RawText { hashes };
+                    consumed = opening;
+                } else if character == '"' {
+                    scanning = Scanning::Text;
+                } else if let Some(length) = character_literal(rest) {
+                    consumed = length;
+                } else {
+                    line.code.push(character);
+                }
+            }
+            Scanning::LineComment if character == '\n' => scanning = Scanning::Code,
+            Scanning::LineComment => line.comment.push(character),
+            Scanning::BlockComment if rest.starts_with(&['*', '/']) => {
+                scanning = Scanning::Code;
+                consumed = 2;
+            }
+            Scanning::BlockComment => line.comment.push(character),
+            Scanning::Text if character == '\\' => consumed = 2,
+            Scanning::Text if character == '"' => scanning = Scanning::Code,
+            Scanning::Text => {}
+            Scanning::RawText { hashes } => {
+                let closing = rest.iter().skip(1).take_while(|next| **next == '#').count();
+                if character == '"' && closing >= hashes {
+                    scanning = Scanning::Code;
+                    consumed = 1 + hashes;
+                }
+            }
+        }
+        let passed = &characters[index..(index + consumed).min(characters.len())];
+        lines.extend(
+            passed
+                .iter()
+                .filter(|passed| **passed == '\n')
+                .map(|_| SourceLine::default()),
+        );
+        index += consumed;
+    }
+    (1..).zip(lines).collect()
+}
+
+/// How many marks a raw string has and how long its opening is, if one begins here.
+fn raw_text_opening(rest: &[char], code_before: &str) -> Option<(usize, usize)> {
+    let is_within_word = code_before
+        .chars()
+        .next_back()
+        .is_some_and(|last| last.is_alphanumeric() && last != 'b');
+    if rest[0] != 'r' || is_within_word {
+        return None;
+    }
+    let hashes = rest[1..].iter().take_while(|next| **next == '#').count();
+    (rest.get(1 + hashes) == Some(&'"')).then_some((hashes, 2 + hashes))
+}
+
+/// How long the character literal is that begins here; none for a lifetime.
+fn character_literal(rest: &[char]) -> Option<usize> {
+    if rest[0] != '\'' {
+        return None;
+    }
+    match rest.get(1)? {
+        '\\' => rest[2..]
+            .iter()
+            .skip(1)
+            .position(|next| *next == '\'')
+            .map(|end| end + 4),
+        _ => (rest.get(2) == Some(&'\'')).then_some(3),
+    }
+}
+
+/// The words of all identifiers in a text, in lower case.
+fn identifier_words(text: &str) -> BTreeSet<String> {
+    let identifiers = text.split(|character: char| !character.is_alphanumeric());
+    identifiers.flat_map(camel_words).collect()
+}
+
+/// The words of an identifier's part without underscores.
+fn camel_words(part: &str) -> Vec<String> {
+    let mut words: Vec<String> = Vec::new();
+    let mut is_after_capital = false;
+    for character in part.chars() {
+        let is_capital = character.is_uppercase();
+        if is_capital && !is_after_capital || words.is_empty() {
+            words.push(String::new());
+        }
+        is_after_capital = is_capital;
+        words
+            .last_mut()
+            .expect("a word")
+            .extend(character.to_lowercase());
+    }
+    words
+}
+
+fn collect_sources(folder: &Path, sources: &mut Vec<PathBuf>) {
+    for entry in std::fs::read_dir(folder).expect("a folder") {
+        let path = entry.expect("an entry").path();
+        if path.is_dir() {
+            collect_sources(&path, sources);
+        } else if path.extension().is_some_and(|extension| extension == "rs") {
+            sources.push(path);
+        }
+    }
+}
+
+#[gtest]
+fn no_withdrawn_word_names_anything() -> Result<()> {
+    let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../..");
+    let list = WordList::parse(LIST);
+    let mut sources = Vec::new();
+    ROOTS
+        .iter()
+        .for_each(|folder| collect_sources(&root.join(folder), &mut sources));
+    verify_that!(sources.len(), ge(200))?;
+    sources.sort();
+    let mut findings = Vec::new();
+    for path in &sources {
+        let source = std::fs::read_to_string(path)?;
+        let shown_path = path.strip_prefix(&root)?.display().to_string();
+        findings.extend(list.findings(&shown_path, &source));
+    }
+    expect_that!(findings, is_empty());
+    Ok(())
+}
+
+#[gtest]
+fn words_are_found_in_each_kind_of_identifier_and_not_in_strings() -> Result<()> {
+    let list = WordList::parse("shelf: data directory (also in comments)\nplace: address");
+    let found = |source| list.findings("a.rs", source).len();
+    verify_that!(found("struct ShelfPath;"), eq(1))?;
+    verify_that!(found("const MAX_SHELF: u8 = 1;"), eq(1))?;
+    verify_that!(found("let own_place = 1;"), eq(1))?;
+    verify_that!(found("// on the shelf"), eq(1))?;
+    verify_that!(found("// in place of it"), eq(0))?;
+    verify_that!(found("let key = \"place\"; replace(key);"), eq(0))?;
+    verify_that!(found("let key = r#\"a \"place\" b\"#;"), eq(0))?;
+    verify_that!(found("let quote = '\"'; let place = 1;"), eq(1))
+}
+
+#[gtest]
+fn an_exception_allows_one_word_below_one_path() -> Result<()> {
+    let list = WordList::parse("place: address\nallow place in programs/: a command-line argument");
+    verify_that!(list.findings("programs/a.rs", "place: String").len(), eq(0))?;
+    verify_that!(list.findings("crates/a.rs", "place: String").len(), eq(1))
+}
--- a/crates/dataplane/src/agent/forwarding/mod.rs
+++ b/crates/dataplane/src/agent/forwarding/mod.rs
@@ -301,7 +301,7 @@
             function: self.request.function.clone(),
             route: ShortString::from(self.request.route.as_str()),
             version: self.request.version,
-            timeout_ms: remaining_time.as_millis() as u32,
+            time_limit_ms: remaining_time.as_millis() as u32,
             hops: self.request.hops + 1,
             repeat: Flag(self.request.repeat),
             wants_referral: Flag(self.request.hops == 0 && self.request.wants_referral),
--- a/crates/dataplane/src/holder/runner_events.rs
+++ b/crates/dataplane/src/holder/runner_events.rs
@@ -44,7 +44,7 @@
         self.scaling.reserve_ended(now, false);
     }
 
-    /// The platform replied to a start. Starts are idempotent: the same order again finds the same runner.
+    /// The platform replied to a start. Starts may be repeated: the same order again finds the same runner.
     pub fn started(
         &mut self,
         now: MonotonicTime,
--- a/crates/dataplane/tests/agent.rs
+++ b/crates/dataplane/tests/agent.rs
@@ -770,9 +770,9 @@
     let holder = remote_host("daemon-2", 4);
     let bench = DaemonBench::serving_with(vec![holder.clone()]);
     bench.agent.cache_owner(&bench.key("f"), &holder);
-    let step_for = |wants_referral: bool, body: usize, timeout_ms: u64| {
+    let step_for = |wants_referral: bool, body: usize, time_limit_ms: u64| {
         let payload = Arc::new(RequestPayload::from_body(vec![0; body].into()));
-        let deadline = bench.now + ms(timeout_ms);
+        let deadline = bench.now + ms(time_limit_ms);
         let mut forwarding = Forwarding::new(
             bench.now,
             FunctionRequest {
--- a/crates/dataplane/tests/http_forms.rs
+++ b/crates/dataplane/tests/http_forms.rs
@@ -278,8 +278,9 @@
         for (outcome_name, outcome) in outcomes {
             // A daemon that is not the holder is tried again until the deadline.
             let is_retried = reason == RequestFailureReason::NotHolder;
-            let timeout_ms = if is_retried { "800" } else { "3000" };
-            let message = answered(&daemon(outcome, true), &GOOD.replace("3000", timeout_ms)).await;
+            let time_limit_ms = if is_retried { "800" } else { "3000" };
+            let message =
+                answered(&daemon(outcome, true), &GOOD.replace("3000", time_limit_ms)).await;
             append_section(&mut text, &format!("{outcome_name}, {number}"), &message);
         }
     }
--- a/testing/fleet/src/synthetic/page/capacity_model/holder.rs
+++ b/testing/fleet/src/synthetic/page/capacity_model/holder.rs
@@ -11,7 +11,7 @@
 /// From the ingress to the hash owner, to the leader and back, the reservation and its reply, and the response: six hops
 /// of 35 ms, 5 ms at the platform and 2 ms to the first probe.
 const START_NETWORK_MS: f64 = 217.0;
-const LONGEST_BOOT_MS: f64 = 1_400.0;
+const LONGEST_STARTUP_MS: f64 = 1_400.0;
 
 impl CapacityModel {
     /// The figures of a daemon as lease holder.
@@ -87,7 +87,7 @@
             &ledger_bytes,
             CALLS_AT_ONE,
         );
-        let cold_start = Fit::fixed(START_NETWORK_MS + LONGEST_BOOT_MS);
+        let cold_start = Fit::fixed(START_NETWORK_MS + LONGEST_STARTUP_MS);
         let cold_start = Figure::of(
             "a start across regions: 217 ms of ways, and the longest boot of 1.4 s",
             Unit::Millis,
--- a/testing/fleet/tests/smoke.rs
+++ b/testing/fleet/tests/smoke.rs
@@ -209,10 +209,11 @@
 
 async fn send_garbage(fleet: &Fleet) {
     for (name, machine) in &fleet.layout.machines {
-        let Some(boot_file) = machine.arguments.get(1).filter(|_| name != "platform-stub") else {
+        let Some(settings_file) = machine.arguments.get(1).filter(|_| name != "platform-stub")
+        else {
             continue;
         };
-        let text = std::fs::read_to_string(boot_file).expect("settings");
+        let text = std::fs::read_to_string(settings_file).expect("settings");
         let settings: Value = serde_json::from_str(&text).expect("JSON");
         let address: std::net::SocketAddr = settings["place"]
             .as_str()
