--- a/crates/controlplane/src/leader_state/claims.rs
+++ b/crates/controlplane/src/leader_state/claims.rs
@@ -1,10 +1,10 @@
+use super::events::LeaseFields;
 use super::reservations::Reservation;
 use super::{LeaderState, LeaseRecord, StreamId};
 use common::clock::MonotonicTime;
 use common::events;
 use common::frames::{Claim, ClaimedRunner, KnownMember, LeaderToDaemon};
 use common::identity::{FunctionKey, RunnerId};
-use serde_json::json;
 use std::collections::BTreeSet;
 
 impl LeaderState {
@@ -163,14 +163,12 @@
             }
         }
         if !(is_same || is_free || is_older) {
-            self.record_event(
-                events::CLAIM_REJECTED,
-                json!({
-                    "function": claim.function.to_string(),
-                    "member": claimant.member.as_str(),
-                    "grant": claim.fencing_token.0,
-                }),
-            );
+            let fields = LeaseFields {
+                function: &claim.function,
+                member: &claimant.member,
+                fencing_token: claim.fencing_token,
+            };
+            self.record_event(events::CLAIM_REJECTED, fields);
             let frame = LeaderToDaemon::Revoke {
                 function: claim.function,
                 fencing_token: claim.fencing_token,
--- a/crates/controlplane/src/leader_state/document_delivery.rs
+++ b/crates/controlplane/src/leader_state/document_delivery.rs
@@ -1,3 +1,4 @@
+use super::events::{CapacityFields, InstallFailureFields, VersionFields};
 use super::{LeaderOutput, LeaderState, StreamId, TraceStep};
 use common::clock::MonotonicTime;
 use common::events;
@@ -5,7 +6,6 @@
 use common::identity::{FunctionKey, MemberName, RunnerId, Version};
 use common::rules::Rule;
 use common::spec::{DaemonView, Document, RoutingTable};
-use serde_json::json;
 use std::time::Duration;
 
 /// How many versions daemons may be behind and still be told the difference.
@@ -38,8 +38,11 @@
         match RoutingTable::build_after(&self.table, &view) {
             Ok(table) => self.table = table,
             Err(error) => {
-                let detail = json!({"serial": view.version.0, "fault": error.to_string()});
-                self.record_event(events::SPEC_INSTALL_FAILED, detail);
+                let fields = InstallFailureFields {
+                    version: view.version,
+                    error: &error,
+                };
+                self.record_event(events::SPEC_INSTALL_FAILED, fields);
             }
         }
         self.replica_assignment_due = true;
@@ -89,8 +92,11 @@
             .map(|(_, record)| u64::from(record.listed.memory_mb))
             .sum();
         if needed_mb * 10 > remaining_mb * 9 {
-            let detail = json!({"needed_mb": needed_mb, "left_mb": remaining_mb});
-            self.record_event(events::CAPACITY_LOW, detail);
+            let fields = CapacityFields {
+                needed_mb,
+                remaining_mb,
+            };
+            self.record_event(events::CAPACITY_LOW, fields);
         }
     }
 
@@ -156,7 +162,7 @@
             .all(|record| record.installed >= version || now >= record.lease_expiry_bound);
         if are_old_leases_over && is_installed_everywhere {
             self.in_force = version;
-            self.record_event(events::VERSION_IN_FORCE, json!({"serial": version.0}));
+            self.record_event(events::VERSION_IN_FORCE, VersionFields { version });
         }
     }
 
--- a/crates/controlplane/src/leader_state/fence.rs
+++ b/crates/controlplane/src/leader_state/fence.rs
@@ -1,3 +1,4 @@
+use super::events::{EventFields, FunctionFields, LeaseFields, RunnerFields};
 use super::{LeaderOutput, LeaderState};
 use common::adapter::StopOrder;
 use common::clock::MonotonicTime;
@@ -5,7 +6,6 @@
 use common::frames::{KnownMember, LeaderToDaemon};
 use common::identity::{FunctionKey, MemberName, RunnerId};
 use common::rules::Rule;
-use serde_json::json;
 
 /// Without the rule that a grant is outwaited, a holder counts as lost so soon after it was heard.
 const UNSAFE_EXPIRY_AFTER: std::time::Duration = std::time::Duration::from_millis(400);
@@ -85,12 +85,13 @@
             let Some(entry) = self.lease_records.get(&held_function) else {
                 continue;
             };
-            let detail = json!({
-                "function": held_function.to_string(),
-                "member": entry.holder.member.as_str(),
-                "grant": entry.fencing_token.0,
-            });
-            self.record_event(events::FENCING_STARTED, detail);
+            let fields = LeaseFields {
+                function: &held_function,
+                member: &entry.holder.member,
+                fencing_token: entry.fencing_token,
+            };
+            let event_record = fields.record(events::FENCING_STARTED);
+            self.push_event(event_record);
         }
     }
 
@@ -129,13 +130,14 @@
         let is_on_usable_worker =
             !self.workers_listed || self.is_worker_usable(&reservation.worker);
         if reservation.is_adoptable() && is_wanted && is_on_usable_worker {
-            let detail = json!({
-                "function": reservation.function.to_string(),
-                "runner": runner.to_string(),
-                "worker": reservation.worker.as_str(),
-            });
+            let fields = RunnerFields {
+                function: &reservation.function,
+                runner,
+                worker: &reservation.worker,
+            };
+            let event_record = fields.record(events::RUNNER_ORPHANED);
             self.reservations.mark_orphaned(runner, now);
-            self.record_event(events::RUNNER_ORPHANED, detail);
+            self.push_event(event_record);
         } else {
             self.reservations.want_stop(runner);
         }
@@ -233,10 +235,10 @@
             .collect();
         for (cleared_function, lease_expires_at) in cleared_functions {
             self.end_lease(now, &cleared_function, lease_expires_at);
-            self.record_event(
-                events::FENCING_FINISHED,
-                json!({"function": cleared_function.to_string()}),
-            );
+            let fields = FunctionFields {
+                function: &cleared_function,
+            };
+            self.record_event(events::FENCING_FINISHED, fields);
         }
     }
 
@@ -246,14 +248,12 @@
         self.acquisitions_changed = true;
         self.fencing_changed = true;
         if let Some(reservation) = self.reservations.end(runner) {
-            self.record_event(
-                events::RUNNER_STOPPED,
-                json!({
-                    "function": reservation.function.to_string(),
-                    "runner": runner.to_string(),
-                    "worker": reservation.worker.as_str(),
-                }),
-            );
+            let fields = RunnerFields {
+                function: &reservation.function,
+                runner,
+                worker: &reservation.worker,
+            };
+            self.record_event(events::RUNNER_STOPPED, fields);
         }
     }
 
@@ -263,11 +263,12 @@
             return;
         };
         let function = reservation.function.clone();
-        let detail = json!({
-            "function": function.to_string(),
-            "runner": runner.to_string(),
-            "worker": reservation.worker.as_str(),
-        });
+        let fields = RunnerFields {
+            function: &function,
+            runner,
+            worker: &reservation.worker,
+        };
+        let event_record = fields.record(events::RUNNER_UNLISTED);
         let stream = self
             .lease_records
             .get(&function)
@@ -276,7 +277,7 @@
         self.reservations.end(runner);
         self.acquisitions_changed = true;
         self.fencing_changed = true;
-        self.record_event(events::RUNNER_UNLISTED, detail);
+        self.push_event(event_record);
         if let Some(stream) = stream {
             self.send_frame(stream, LeaderToDaemon::RunnerUnlisted { function, runner });
         }
--- a/crates/controlplane/src/leader_state/functions.rs
+++ b/crates/controlplane/src/leader_state/functions.rs
@@ -1,3 +1,4 @@
+use super::events::{EventFields, LeaseFields, LeaseGrantedFields, RejectionsFields, RunnerFields};
 use super::{LeaderState, LeaseRecord, PendingAcquisition, StreamId};
 use common::clock::MonotonicTime;
 use common::events;
@@ -8,7 +9,6 @@
 use common::identity::{FencingToken, FunctionKey, RunnerId};
 use common::invariants::{Invariant, require};
 use common::rules::Rule;
-use serde_json::json;
 use std::time::Duration;
 
 /// A holder that has not renewed its member grant for so long is not named as an owner: the asker
@@ -199,16 +199,14 @@
             Duration::ZERO
         };
         let adopted = self.adopt_orphans(&acquisition.function, fencing_token);
-        self.record_event(
-            events::LEASE_GRANTED,
-            json!({
-                "function": acquisition.function.to_string(),
-                "member": requester.member.as_str(),
-                "grant": fencing_token.0,
-                "once_wait_ms": once_wait.as_millis() as u64,
-                "adopted": adopted.len(),
-            }),
-        );
+        let fields = LeaseGrantedFields {
+            function: &acquisition.function,
+            member: &requester.member,
+            fencing_token,
+            once_wait_ms: once_wait.as_millis() as u64,
+            adopted: adopted.len(),
+        };
+        self.record_event(events::LEASE_GRANTED, fields);
         let replica = if is_recorded {
             self.choose_replica(now, &acquisition.function, &requester, None)
         } else {
@@ -382,14 +380,12 @@
             return;
         }
         self.begin_fencing(now, &function);
-        self.record_event(
-            events::LEASE_RELEASED,
-            json!({
-                "function": function.to_string(),
-                "member": releaser.member.as_str(),
-                "grant": fencing_token.0,
-            }),
-        );
+        let fields = LeaseFields {
+            function: &function,
+            member: &releaser.member,
+            fencing_token,
+        };
+        self.record_event(events::LEASE_RELEASED, fields);
     }
 
     pub(super) fn end_lease(
@@ -450,17 +446,15 @@
         }
         match runner_status {
             RunnerStatus::Ready => {
-                let worker = reservation.worker.to_string();
+                let fields = RunnerFields {
+                    function,
+                    runner: current_name,
+                    worker: &reservation.worker,
+                };
+                let event_record = fields.record(events::RUNNER_READY);
                 self.reservations
                     .update(current_name, |reservation| reservation.ready = true);
-                self.record_event(
-                    events::RUNNER_READY,
-                    json!({
-                        "function": function.to_string(),
-                        "runner": current_name.to_string(),
-                        "worker": worker,
-                    }),
-                );
+                self.push_event(event_record);
             }
             RunnerStatus::Gone if current_name != runner => self.runner_vanished(current_name),
             RunnerStatus::Gone => {
@@ -489,12 +483,13 @@
         let Some(known_member) = self.streams.get(&stream) else {
             return;
         };
-        let detail = json!({
-            "function": function.to_string(),
-            "member": known_member.member.as_str(),
-            "count": count,
-            "reason": reason.as_str(),
-        });
-        self.record_event(events::REQUESTS_REJECTED, detail);
+        let fields = RejectionsFields {
+            function: &function,
+            member: &known_member.member,
+            count,
+            reason,
+        };
+        let event_record = fields.record(events::REQUESTS_REJECTED);
+        self.push_event(event_record);
     }
 }
--- a/crates/controlplane/src/leader_state/members.rs
+++ b/crates/controlplane/src/leader_state/members.rs
@@ -1,3 +1,4 @@
+use super::events::{ClaimsQuorumFields, MemberConnectedFields, MemberFields};
 use super::{LeaderOutput, LeaderState, QuorumProof, StreamId, TraceStep};
 use common::clock::MonotonicTime;
 use common::events;
@@ -7,7 +8,6 @@
 use common::identity::{FunctionKey, MemberName, Version};
 use common::ring::candidate_hosts;
 use common::rules::Rule;
-use serde_json::json;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A daemon that its watchers miss counts as silent when its stream has brought nothing for so long.
@@ -164,14 +164,12 @@
         self.hosts_changed = true;
         self.send_frame(stream, LeaderToDaemon::Welcome { term: self.term });
         self.push_newest(stream);
-        self.record_event(
-            events::MEMBER_CONNECTED,
-            json!({
-                "member": host.member.as_str(),
-                "incarnation": host.incarnation.0,
-                "locality": host.zone.as_str(),
-            }),
-        );
+        let fields = MemberConnectedFields {
+            member: &host.member,
+            incarnation: host.incarnation.0,
+            zone: &host.zone,
+        };
+        self.record_event(events::MEMBER_CONNECTED, fields);
     }
 
     /// A new life at the same place holds that place's port: the earlier one is gone, and its grant with
@@ -296,10 +294,10 @@
                 .chain(dropped_listed.into_iter().map(|listed| listed.member))
                 .collect();
             for dropped_name in dropped_names {
-                self.record_event(
-                    events::ABSENT_MEMBER_DROPPED,
-                    json!({"member": dropped_name.as_str()}),
-                );
+                let fields = MemberFields {
+                    member: &dropped_name,
+                };
+                self.record_event(events::ABSENT_MEMBER_DROPPED, fields);
             }
         }
         if !self.awaited_members.is_empty() {
@@ -381,17 +379,14 @@
         self.opened_at = now;
         self.all_claimed = all_claimed;
         self.register_pending_list();
-        let waited_ms = now.since(self.elected_at).as_millis() as u64;
-        self.record_event(
-            events::CLAIMS_QUORUM_REACHED,
-            json!({
-                "last_known": last_known,
-                "claimed": claimed,
-                "all_claimed": all_claimed,
-                "waited_ms": waited_ms,
-                "functions": self.lease_records.len(),
-            }),
-        );
+        let fields = ClaimsQuorumFields {
+            last_known,
+            claimed,
+            all_claimed,
+            waited_ms: now.since(self.elected_at).as_millis() as u64,
+            functions: self.lease_records.len(),
+        };
+        self.record_event(events::CLAIMS_QUORUM_REACHED, fields);
     }
 
     /// The lists are asked for at the election, and again from the opening on until everything is known
@@ -482,20 +477,20 @@
             .cloned()
             .collect::<Vec<MemberIncarnation>>()
         {
-            self.record_event(
-                events::MEMBER_SUSPECTED,
-                json!({"member": instance.member.as_str()}),
-            );
+            let fields = MemberFields {
+                member: &instance.member,
+            };
+            self.record_event(events::MEMBER_SUSPECTED, fields);
         }
         for instance in previously_suspected
             .difference(&self.suspected)
             .cloned()
             .collect::<Vec<MemberIncarnation>>()
         {
-            self.record_event(
-                events::MEMBER_RECOVERED,
-                json!({"member": instance.member.as_str()}),
-            );
+            let fields = MemberFields {
+                member: &instance.member,
+            };
+            self.record_event(events::MEMBER_RECOVERED, fields);
         }
     }
 
--- a/crates/controlplane/src/leader_state/memory_pressure.rs
+++ b/crates/controlplane/src/leader_state/memory_pressure.rs
@@ -1,9 +1,9 @@
+use super::events::{FunctionFields, ReclaimedRunnerFields};
 use super::{LeaderState, StreamId};
 use common::clock::MonotonicTime;
 use common::events;
 use common::frames::{IdleFunction, LeaderToDaemon};
 use common::identity::{FunctionKey, RunnerId};
-use serde_json::json;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -80,12 +80,12 @@
         };
         let function = function.clone();
         self.runner_reclaimed_at = now;
-        let detail = json!({
-            "function": function.to_string(),
-            "runner": runner.to_string(),
-            "for": requester.to_string(),
-        });
-        self.record_event(events::IDLE_RUNNERS_RECLAIMED, detail);
+        let fields = ReclaimedRunnerFields {
+            function: &function,
+            runner,
+            requester,
+        };
+        self.record_event(events::IDLE_RUNNERS_RECLAIMED, fields);
         self.drain(function, runner);
     }
 
@@ -173,10 +173,10 @@
             if let Some(idle_since) = self.idle_since.get_mut(&entry.holder) {
                 idle_since.remove(&function);
             }
-            self.record_event(
-                events::IDLE_RUNNERS_RECLAIMED,
-                json!({"function": function.to_string()}),
-            );
+            let fields = FunctionFields {
+                function: &function,
+            };
+            self.record_event(events::IDLE_RUNNERS_RECLAIMED, fields);
             self.send_frame(
                 stream,
                 LeaderToDaemon::ReclaimIdle {
--- a/crates/controlplane/src/leader_state/mod.rs
+++ b/crates/controlplane/src/leader_state/mod.rs
@@ -2,6 +2,7 @@
 
 mod claims;
 mod document_delivery;
+mod events;
 mod fence;
 mod function_leases;
 mod functions;
@@ -33,6 +34,7 @@
 };
 use common::rules::{Rule, Rules};
 use common::spec::{DaemonView, Document, ListedMember, RoutingTable};
+use events::{EventFields, MemberFields};
 use function_leases::{FunctionLeases, LeaseRecord};
 use members::{IncarnationHistory, MemberRecord, PushedHosts};
 use membership::DepartedMember;
@@ -360,10 +362,10 @@
             && record.stream == Some(stream)
         {
             record.stream = None;
-            self.record_event(
-                common::events::MEMBER_DISCONNECTED,
-                serde_json::json!({"member": known_member.member.as_str()}),
-            );
+            let fields = MemberFields {
+                member: &known_member.member,
+            };
+            self.record_event(common::events::MEMBER_DISCONNECTED, fields);
         }
     }
 
@@ -388,9 +390,13 @@
             .push(LeaderOutput::FrameToDaemon { stream, frame });
     }
 
-    fn record_event(&mut self, event: common::events::Event, detail: serde_json::Value) {
-        self.outputs
-            .push(LeaderOutput::EventRecord(EventRecord { event, detail }));
+    fn record_event(&mut self, event: common::events::Event, fields: impl EventFields) {
+        self.push_event(fields.record(event));
+    }
+
+    /// For a record made while its fields were still borrowed from this state.
+    fn push_event(&mut self, event_record: EventRecord) {
+        self.outputs.push(LeaderOutput::EventRecord(event_record));
     }
 
     fn is_serving(&self, known_member: &KnownMember, now: MonotonicTime) -> bool {
--- a/crates/controlplane/src/leader_state/runner_list.rs
+++ b/crates/controlplane/src/leader_state/runner_list.rs
@@ -1,10 +1,10 @@
 use super::LeaderState;
+use super::events::FoundRunnerFields;
 use super::reservations::Reservation;
 use common::adapter::ListedRunner;
 use common::clock::MonotonicTime;
 use common::events;
 use common::identity::{FunctionKey, InstanceId, RunnerId, Version};
-use serde_json::json;
 use std::collections::BTreeSet;
 use std::time::Duration;
 
@@ -121,12 +121,12 @@
         reservation.draining = !is_wanted;
         reservation.key_unknown = listed.key.is_none();
         self.reservations.insert(runner, reservation);
-        let detail = json!({
-            "runner": runner.to_string(),
-            "life": listed.instance.name.as_str(),
-            "worker": listed.worker.as_str(),
-        });
-        self.record_event(events::ORPHANED_RUNNER_FOUND, detail);
+        let fields = FoundRunnerFields {
+            runner,
+            instance: &listed.instance.name,
+            worker: &listed.worker,
+        };
+        self.record_event(events::ORPHANED_RUNNER_FOUND, fields);
         self.orphan_or_stop(listed_at, runner);
     }
 
--- a/crates/controlplane/src/leader_state/worker_evacuation.rs
+++ b/crates/controlplane/src/leader_state/worker_evacuation.rs
@@ -1,8 +1,8 @@
 use super::LeaderState;
+use super::events::WorkerFields;
 use common::clock::MonotonicTime;
 use common::events;
 use common::identity::WorkerName;
-use serde_json::json;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -31,7 +31,8 @@
                 .any(|reservation| reservation.worker == worker);
             let is_timed_out = now.since(worker_evacuation.since) > EVACUATION_TIMEOUT;
             if is_empty {
-                self.record_event(events::WORKER_EVACUATED, json!({"worker": worker.as_str()}));
+                let fields = WorkerFields { worker: &worker };
+                self.record_event(events::WORKER_EVACUATED, fields);
             }
             if is_empty || is_timed_out {
                 self.worker_evacuation = None;
@@ -49,10 +50,8 @@
         }
         self.next_worker_evacuation_at = now + EVACUATION_INTERVAL;
         if let Some(worker) = self.worker_to_evacuate() {
-            self.record_event(
-                events::WORKER_EVACUATING,
-                json!({"worker": worker.as_str()}),
-            );
+            let fields = WorkerFields { worker: &worker };
+            self.record_event(events::WORKER_EVACUATING, fields);
             self.worker_evacuation = Some(WorkerEvacuation { worker, since: now });
             self.drain_from_unusable_workers();
         }
--- a/crates/controlplane/src/leader_state/workers.rs
+++ b/crates/controlplane/src/leader_state/workers.rs
@@ -1,3 +1,4 @@
+use super::events::MissingMemoryFields;
 use super::reservations::Reservation;
 use super::{LeaderState, StreamId};
 use common::adapter::ListedWorker;
@@ -6,7 +7,6 @@
 use common::frames::{LeaderToDaemon, ReserveResult};
 use common::identity::{CorrelationId, FencingToken, FunctionKey, RunnerId, WorkerName, Zone};
 use common::rules::Rule;
-use serde_json::json;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
@@ -102,10 +102,13 @@
         }
         let chosen_worker = self.choose_worker(now, function, needed_mb, holder_zone.as_ref());
         let Some(worker) = chosen_worker else {
-            let detail = json!({"function": function.to_string(), "memory_mb": needed_mb});
             if now.since(self.no_room_reported_at) > Duration::from_secs(1) {
                 self.no_room_reported_at = now;
-                self.record_event(events::NO_WORKER_CAPACITY, detail);
+                let fields = MissingMemoryFields {
+                    function,
+                    memory_mb: needed_mb,
+                };
+                self.record_event(events::NO_WORKER_CAPACITY, fields);
             }
             self.worker_evacuation = None;
             self.stop_orphans(function);
