--- a/crates/controlplane/src/leader_state/claims.rs
+++ b/crates/controlplane/src/leader_state/claims.rs
@@ -14,7 +14,7 @@
         stream: StreamId,
         claims: Vec<Claim>,
     ) {
-        let Some(claimant) = self.streams.get(&stream).cloned() else {
+        let Some(claimant) = self.members.streams.get(&stream).cloned() else {
             return;
         };
         let (released_claims, claims): (Vec<Claim>, Vec<Claim>) =
@@ -48,7 +48,7 @@
         for unclaimed_runner in unclaimed_runners {
             self.reservations.want_stop(unclaimed_runner);
         }
-        if let Some(record) = self.members.get_mut(&claimant) {
+        if let Some(record) = self.members.records.get_mut(&claimant) {
             record.claimed = true;
         }
         self.renewals.schedule_check();
@@ -141,11 +141,11 @@
                 && entry.fencing_token == claim.fencing_token
                 && entry.fencing_since.is_none()
         });
-        let is_free = current_lease.is_none() && !self.opened;
+        let is_free = current_lease.is_none() && !self.claims.is_open;
         let is_older = current_lease.is_some_and(|entry| entry.fencing_token < claim.fencing_token)
-            && !self.opened;
+            && !self.claims.is_open;
         if is_older && let Some(entry) = current_lease {
-            let superseded_record = self.members.get(&entry.holder);
+            let superseded_record = self.members.records.get(&entry.holder);
             let frame = LeaderToDaemon::Revoke {
                 function: claim.function.clone(),
                 fencing_token: entry.fencing_token,
@@ -188,13 +188,13 @@
             };
             self.lease_records.insert(claim.function.clone(), entry);
         }
-        if let Some(record) = self.members.get_mut(claimant) {
+        if let Some(record) = self.members.records.get_mut(claimant) {
             let claimed_bound = self.elected_at + self.timing.full_lease_wait();
             record.lease_expiry_bound = record.lease_expiry_bound.max(claimed_bound);
             record.swept = false;
             record.last_heard_at = now;
         }
-        self.schedule_sweep();
+        self.fencing.schedule_sweep();
         for listed in claim.runners.0 {
             let is_new = self.reservations.get(listed.runner).is_none();
             if is_new && self.reservations.has_ended(listed.runner, None) {
--- a/crates/controlplane/src/leader_state/fence.rs
+++ b/crates/controlplane/src/leader_state/fence.rs
@@ -6,6 +6,7 @@
 use common::frames::{KnownMember, LeaderToDaemon};
 use common::identity::{FunctionKey, MemberName, RunnerId};
 use common::rules::Rule;
+use std::collections::BTreeSet;
 
 /// Without the rule that a grant is outwaited, a holder counts as lost so soon after it was heard.
 const UNSAFE_EXPIRY_AFTER: std::time::Duration = std::time::Duration::from_millis(400);
@@ -16,22 +17,52 @@
 /// What waits for its time is looked at so often.
 const CHECK_INTERVAL: std::time::Duration = std::time::Duration::from_millis(40);
 
+/// The functions whose leases are being fenced, and when to look for more.
+pub(super) struct Fencing {
+    functions: BTreeSet<FunctionKey>,
+    pub check_due: bool,
+    checked_at: MonotonicTime,
+    /// Before this no member's lease ends that has not been swept yet.
+    next_sweep_at: MonotonicTime,
+}
+
+impl Fencing {
+    pub fn new() -> Self {
+        Self {
+            functions: BTreeSet::new(),
+            check_due: true,
+            checked_at: MonotonicTime::ZERO,
+            next_sweep_at: MonotonicTime::ZERO,
+        }
+    }
+
+    /// The lease of the function has ended.
+    pub fn finish(&mut self, function: &FunctionKey) {
+        self.functions.remove(function);
+    }
+
+    /// A session lease may end earlier than was known, or has begun: the next sweep is due.
+    pub fn schedule_sweep(&mut self) {
+        self.next_sweep_at = MonotonicTime::ZERO;
+    }
+}
+
 impl LeaderState {
     /// Ends the entries of lost holders: their runners are left for the next holder, or stopped through
     /// the platform.
     pub(super) fn fence(&mut self, now: MonotonicTime) {
-        if !self.opened {
+        if !self.claims.is_open {
             return;
         }
         self.sweep_expired_leases(now);
-        let is_due = now.since(self.fencing_checked_at) >= CHECK_INTERVAL;
+        let is_due = now.since(self.fencing.checked_at) >= CHECK_INTERVAL;
         if is_due {
-            self.fencing_checked_at = now;
+            self.fencing.checked_at = now;
             self.stop_expired_orphans(now);
             self.retry_stops(now);
         }
         self.order_stops(now);
-        if std::mem::take(&mut self.fencing_changed) || is_due {
+        if std::mem::take(&mut self.fencing.check_due) || is_due {
             self.clear_fenced(now);
         }
     }
@@ -40,11 +71,12 @@
     /// ended since: an input must not cost with the number of daemons.
     fn sweep_expired_leases(&mut self, now: MonotonicTime) {
         let waits_out_leases = self.rules.enforces(Rule::LeaseExpiredBeforeRegrant);
-        if waits_out_leases && now < self.next_sweep_at {
+        if waits_out_leases && now < self.fencing.next_sweep_at {
             return;
         }
         let lost_members: Vec<KnownMember> = self
             .members
+            .records
             .iter()
             .filter(|(_, record)| {
                 let is_early =
@@ -54,7 +86,7 @@
             .map(|(known_member, _)| known_member.clone())
             .collect();
         for lost_member in lost_members {
-            if let Some(record) = self.members.get_mut(&lost_member) {
+            if let Some(record) = self.members.records.get_mut(&lost_member) {
                 record.swept = true;
                 let lease_end = record.lease_expiry_bound;
                 self.lease_records
@@ -62,14 +94,9 @@
             }
             self.fence_all_held_by(now, &lost_member);
         }
-        let unswept = self.members.values().filter(|record| !record.swept);
+        let unswept = self.members.records.values().filter(|record| !record.swept);
         let next_end = unswept.map(|record| record.lease_expiry_bound).min();
-        self.next_sweep_at = next_end.unwrap_or(now + IDLE_SWEEP_INTERVAL);
-    }
-
-    /// A daemon's grant may end earlier than was known, or has begun: the next sweep is due.
-    pub(super) fn schedule_sweep(&mut self) {
-        self.next_sweep_at = MonotonicTime::ZERO;
+        self.fencing.next_sweep_at = next_end.unwrap_or(now + IDLE_SWEEP_INTERVAL);
     }
 
     /// Fences every function of a daemon whose grant is over.
@@ -105,9 +132,9 @@
         }
         entry.fencing_since = Some(now);
         let fencing_token = entry.fencing_token;
-        self.fencing_functions.insert(function.clone());
-        self.acquisitions_changed = true;
-        self.fencing_changed = true;
+        self.fencing.functions.insert(function.clone());
+        self.acquisitions.check_due = true;
+        self.fencing.check_due = true;
         let held_runners: Vec<RunnerId> = self
             .reservations
             .all_of(function)
@@ -126,9 +153,13 @@
         let Some(reservation) = self.reservations.get(runner) else {
             return;
         };
-        let is_wanted = self.table.function_of(&reservation.function).is_some();
+        let is_wanted = self
+            .configuration
+            .table
+            .function_of(&reservation.function)
+            .is_some();
         let is_on_usable_worker =
-            !self.workers_listed || self.is_worker_usable(&reservation.worker);
+            !self.workers.are_listed || self.is_worker_usable(&reservation.worker);
         if reservation.is_adoptable() && is_wanted && is_on_usable_worker {
             let fields = RunnerFields {
                 function: &reservation.function,
@@ -146,7 +177,7 @@
     /// Stops what was left and nobody took.
     fn stop_expired_orphans(&mut self, now: MonotonicTime) {
         let orphan_timeout = self.timing.orphan_timeout;
-        let opened_at = self.opened_at;
+        let opened_at = self.claims.opened_at;
         let expired_orphans: Vec<RunnerId> = self
             .reservations
             .orphaned()
@@ -213,12 +244,13 @@
 
     /// An entry is over when each of its runners is left, or has surely stopped.
     fn clear_fenced(&mut self, now: MonotonicTime) {
-        if self.fencing_functions.is_empty() {
+        if self.fencing.functions.is_empty() {
             return;
         }
         let needs_stops = self.rules.enforces(Rule::FenceBeforeRegrant);
         let cleared_functions: Vec<(FunctionKey, MonotonicTime)> = self
-            .fencing_functions
+            .fencing
+            .functions
             .iter()
             .filter_map(|function| {
                 let entry = self.lease_records.get(function)?;
@@ -245,8 +277,8 @@
     /// The platform has confirmed that a runner is stopped and will never start.
     pub fn runner_stopped(&mut self, runner: RunnerId) {
         let runner = self.reservations.current_name(runner);
-        self.acquisitions_changed = true;
-        self.fencing_changed = true;
+        self.acquisitions.check_due = true;
+        self.fencing.check_due = true;
         if let Some(reservation) = self.reservations.end(runner) {
             let fields = RunnerFields {
                 function: &reservation.function,
@@ -273,10 +305,10 @@
             .lease_records
             .get(&function)
             .filter(|entry| entry.fencing_token == runner.fencing_token)
-            .and_then(|entry| self.members.get(&entry.holder)?.stream);
+            .and_then(|entry| self.members.records.get(&entry.holder)?.stream);
         self.reservations.end(runner);
-        self.acquisitions_changed = true;
-        self.fencing_changed = true;
+        self.acquisitions.check_due = true;
+        self.fencing.check_due = true;
         self.push_event(event_record);
         if let Some(stream) = stream {
             self.send_frame(stream, LeaderToDaemon::RunnerUnlisted { function, runner });
--- a/crates/controlplane/src/leader_state/functions.rs
+++ b/crates/controlplane/src/leader_state/functions.rs
@@ -1,14 +1,15 @@
 use super::events::{EventFields, LeaseFields, LeaseGrantedFields, RejectionsFields, RunnerFields};
-use super::{LeaderState, LeaseRecord, PendingAcquisition, StreamId};
+use super::{LeaderState, LeaseRecord, StreamId};
 use common::clock::MonotonicTime;
 use common::events;
 use common::frames::{
     AcquireResult, ClaimedRunner, KnownMember, LeaderToDaemon, LengthPrefixed, PreviousLease,
     RequestFailureReason, RunnerStatus,
 };
-use common::identity::{FencingToken, FunctionKey, RunnerId};
+use common::identity::{CorrelationId, FencingToken, FunctionKey, RunnerId};
 use common::invariants::{Invariant, require};
 use common::rules::Rule;
+use std::collections::BTreeMap;
 use std::time::Duration;
 
 /// A holder that has not renewed its member grant for so long is not named as an owner: the asker
@@ -26,17 +27,90 @@
 /// A shorter wait is waited out with the question open.
 const MIN_ANNOUNCED_WAIT: Duration = Duration::from_millis(200);
 
+/// A member's request for a function lease, or for the name of its holder.
+pub(super) struct PendingAcquisition {
+    pub stream: StreamId,
+    pub correlation: CorrelationId,
+    pub function: FunctionKey,
+    pub requested_at: MonotonicTime,
+    pub delay_announced: bool,
+}
+
+/// The requests that have no final answer yet.
+pub(super) struct Acquisitions {
+    pending: Vec<PendingAcquisition>,
+    pub check_due: bool,
+    checked_at: MonotonicTime,
+}
+
+impl Acquisitions {
+    pub fn new() -> Self {
+        Self {
+            pending: Vec::new(),
+            check_due: true,
+            checked_at: MonotonicTime::ZERO,
+        }
+    }
+
+    pub fn add(&mut self, acquisition: PendingAcquisition) {
+        self.pending.push(acquisition);
+    }
+
+    /// Drops the requests of a stream that has ended.
+    pub fn forget(&mut self, stream: StreamId) {
+        self.pending
+            .retain(|acquisition| acquisition.stream != stream);
+    }
+
+    /// All requests, if something has changed that an answer may depend on or the interval is over.
+    fn take_due(&mut self, now: MonotonicTime) -> Vec<PendingAcquisition> {
+        let is_due = now.since(self.checked_at) >= CHECK_INTERVAL;
+        if !is_due && !std::mem::take(&mut self.check_due) {
+            return Vec::new();
+        }
+        self.check_due = false;
+        self.checked_at = now;
+        std::mem::take(&mut self.pending)
+    }
+}
+
+/// When functions may again get requests that must not run twice: while a request of an earlier holder may
+/// still be under way, such a request waits or is answered from the earlier holder's replica.
+#[derive(Default)]
+pub(super) struct OnceDelays {
+    allowed_from: BTreeMap<FunctionKey, MonotonicTime>,
+    previous_leases: BTreeMap<FunctionKey, PreviousLease>,
+}
+
+impl OnceDelays {
+    /// A lease has ended; `previous_lease` is there if its replica has the complete ledger.
+    fn lease_ended(
+        &mut self,
+        now: MonotonicTime,
+        function: &FunctionKey,
+        allowed_from: MonotonicTime,
+        previous_lease: Option<PreviousLease>,
+    ) {
+        match previous_lease {
+            Some(previous_lease) => self
+                .previous_leases
+                .insert(function.clone(), previous_lease),
+            None => self.previous_leases.remove(function),
+        };
+        self.allowed_from.insert(function.clone(), allowed_from);
+        self.allowed_from
+            .retain(|_, retained_until| *retained_until > now);
+        let allowed_from = &self.allowed_from;
+        self.previous_leases
+            .retain(|remaining, _| allowed_from.contains_key(remaining));
+    }
+}
+
 impl LeaderState {
     /// Answers each acquisition that can be answered: grants to the asker when nobody holds, and says
     /// how long it will be if that is known.
     pub(super) fn answer_acquisitions(&mut self, now: MonotonicTime) {
-        let is_due = now.since(self.acquisitions_checked_at) >= CHECK_INTERVAL;
-        if !is_due && !std::mem::take(&mut self.acquisitions_changed) {
-            return;
-        }
-        self.acquisitions_changed = false;
-        self.acquisitions_checked_at = now;
-        for acquisition in std::mem::take(&mut self.pending_acquisitions) {
+        for acquisition in self.acquisitions.take_due(now) {
             let Some(result) = self.decide_acquisition(now, &acquisition) else {
                 self.keep_pending(now, acquisition);
                 continue;
@@ -77,7 +151,7 @@
                 },
             );
         }
-        self.pending_acquisitions.push(acquisition);
+        self.acquisitions.add(acquisition);
     }
 
     /// When a function that cannot be granted now could be: when the member grant of a holder whose
@@ -88,12 +162,12 @@
         now: MonotonicTime,
         acquisition: &PendingAcquisition,
     ) -> Option<AcquireResult> {
-        let due_at = if self.opened {
+        let due_at = if self.claims.is_open {
             let entry = self.lease_records.get(&acquisition.function)?;
             if entry.fencing_since.is_some() || entry.handing_over {
                 return None;
             }
-            let holder_record = self.members.get(&entry.holder)?;
+            let holder_record = self.members.records.get(&entry.holder)?;
             if holder_record.stream.is_some() {
                 return None;
             }
@@ -120,14 +194,14 @@
         now: MonotonicTime,
         acquisition: &PendingAcquisition,
     ) -> Option<AcquireResult> {
-        let requester = self.streams.get(&acquisition.stream).cloned()?;
+        let requester = self.members.streams.get(&acquisition.stream).cloned()?;
         if let Some(entry) = self.lease_records.get(&acquisition.function) {
             if entry.fencing_since.is_some() || entry.handing_over {
                 return None;
             }
-            let holder_record = self.members.get(&entry.holder)?;
+            let holder_record = self.members.records.get(&entry.holder)?;
             if entry.holder == requester {
-                if !self.opened {
+                if !self.claims.is_open {
                     return None;
                 }
                 return Some(AcquireResult::Granted {
@@ -146,7 +220,7 @@
                 host: holder_record.host.clone(),
             });
         }
-        if !self.opened {
+        if !self.claims.is_open {
             return None;
         }
         let has_runners = self
@@ -156,9 +230,19 @@
         if has_runners && self.rules.enforces(Rule::FenceBeforeRegrant) {
             return None;
         }
-        if self.table.function_of(&acquisition.function).is_none() {
-            let installed = self.members.get(&requester).map(|record| record.installed);
+        if self
+            .configuration
+            .table
+            .function_of(&acquisition.function)
+            .is_none()
+        {
+            let installed = self
+                .members
+                .records
+                .get(&requester)
+                .map(|record| record.installed);
             let newest = self
+                .configuration
                 .document
                 .as_ref()
                 .map(|document| document.view_version());
@@ -166,6 +250,7 @@
         }
         if !self
             .members
+            .records
             .get(&requester)
             .is_some_and(|record| record.host.eligible.0)
         {
@@ -188,7 +273,8 @@
         let fencing_token = self.next_fencing_token();
         let is_recorded = self.is_recorded(&acquisition.function);
         let once_allowed_from = self
-            .once_allowed_from
+            .once_delays
+            .allowed_from
             .get(&acquisition.function)
             .copied()
             .unwrap_or_default();
@@ -213,6 +299,7 @@
             None
         };
         let previous_lease = self
+            .once_delays
             .previous_leases
             .get(&acquisition.function)
             .filter(|_| !once_wait.is_zero())
@@ -241,7 +328,7 @@
     /// that were waited for have claimed.
     fn check_claims_quorum(&self, now: MonotonicTime, function: &FunctionKey) {
         let has_waited = now >= self.elected_at + self.timing.claims_wait;
-        let is_awaited = self.all_claimed || has_waited || self.inherits_no_functions;
+        let is_awaited = self.claims.all_claimed || has_waited || self.claims.inherits_no_functions;
         require(
             self.rules,
             Invariant::GrantedAfterClaims,
@@ -252,9 +339,10 @@
 
     /// Whether a function's once-transactions are noted elsewhere and waited for.
     fn is_recorded(&self, function: &FunctionKey) -> bool {
-        self.table
+        self.configuration
+            .table
             .index_of(function)
-            .is_none_or(|index| self.table.is_recorded(index))
+            .is_none_or(|index| self.configuration.table.is_recorded(index))
     }
 
     /// A function whose ledger has come to be wanted gets a steward.
@@ -270,7 +358,11 @@
             .map(|(function, entry)| (function.clone(), entry.fencing_token, entry.holder.clone()))
             .collect();
         for (function, fencing_token, holder) in functions_without_replica {
-            let stream = self.members.get(&holder).and_then(|record| record.stream);
+            let stream = self
+                .members
+                .records
+                .get(&holder)
+                .and_then(|record| record.stream);
             let replica = self.choose_replica(now, &function, &holder, None);
             let (Some(stream), Some(replica)) = (stream, replica) else {
                 continue;
@@ -300,7 +392,7 @@
             .filter(|(_, reservation)| reservation.is_orphaned())
             .filter(|(_, reservation)| {
                 !reservation.is_adoptable()
-                    || (self.workers_listed && !self.is_worker_usable(&reservation.worker))
+                    || (self.workers.are_listed && !self.is_worker_usable(&reservation.worker))
             })
             .map(|(runner, _)| runner)
             .collect();
@@ -368,7 +460,7 @@
         fencing_token: FencingToken,
         runners: LengthPrefixed<ClaimedRunner>,
     ) {
-        let Some(releaser) = self.streams.get(&stream).cloned() else {
+        let Some(releaser) = self.members.streams.get(&stream).cloned() else {
             return;
         };
         let is_holder = self
@@ -394,8 +486,8 @@
         function: &FunctionKey,
         lease_expires_at: MonotonicTime,
     ) {
-        self.fencing_functions.remove(function);
-        self.acquisitions_changed = true;
+        self.fencing.finish(function);
+        self.acquisitions.check_due = true;
         let ended_lease = self.lease_records.remove(function);
         let lease_end = ended_lease.as_ref().and_then(|entry| entry.lost_lease_end);
         let has_lease_ended = lease_end.is_none_or(|lease_end| now >= lease_end);
@@ -414,20 +506,9 @@
                     fencing_token,
                 })
             });
-        match previous_lease {
-            Some(previous_lease) => self
-                .previous_leases
-                .insert(function.clone(), previous_lease),
-            None => self.previous_leases.remove(function),
-        };
-        let once_allowed_from = lease_expires_at + self.longest_delay();
-        self.once_allowed_from
-            .insert(function.clone(), once_allowed_from);
-        self.once_allowed_from
-            .retain(|_, retained_until| *retained_until > now);
-        let once_allowed_from = &self.once_allowed_from;
-        self.previous_leases
-            .retain(|remaining, _| once_allowed_from.contains_key(remaining));
+        let allowed_from = lease_expires_at + self.longest_delay();
+        self.once_delays
+            .lease_ended(now, function, allowed_from, previous_lease);
     }
 
     pub(super) fn handle_runner_status(
@@ -459,7 +540,8 @@
             RunnerStatus::Gone if current_name != runner => self.runner_vanished(current_name),
             RunnerStatus::Gone => {
                 if reservation.instance.is_none() && !reservation.stop_wanted {
-                    self.start_refused_at
+                    self.workers
+                        .start_refused_at
                         .insert(reservation.worker.clone(), now);
                 }
                 self.runner_stopped(runner);
@@ -480,7 +562,7 @@
         count: u32,
         reason: RequestFailureReason,
     ) {
-        let Some(known_member) = self.streams.get(&stream) else {
+        let Some(known_member) = self.members.streams.get(&stream) else {
             return;
         };
         let fields = RejectionsFields {
--- a/crates/controlplane/src/leader_state/ledger_replicas.rs
+++ b/crates/controlplane/src/leader_state/ledger_replicas.rs
@@ -15,10 +15,12 @@
     ) -> Option<Host> {
         let holder_zone = self
             .members
+            .records
             .get(holder)
             .map(|record| record.host.zone.clone());
         let candidate_hosts: Vec<&Host> = self
             .members
+            .records
             .iter()
             .filter(|(known_member, _)| {
                 known_member.member != holder.member
@@ -45,7 +47,7 @@
         fencing_token: FencingToken,
         lost: &MemberName,
     ) {
-        let Some(holder) = self.streams.get(&stream).cloned() else {
+        let Some(holder) = self.members.streams.get(&stream).cloned() else {
             return;
         };
         let replica = self.choose_replica(now, &function, &holder, Some(lost));
@@ -75,7 +77,7 @@
         fencing_token: FencingToken,
         replica: &MemberName,
     ) {
-        let Some(holder) = self.streams.get(&stream) else {
+        let Some(holder) = self.members.streams.get(&stream) else {
             return;
         };
         let Some(entry) = self.lease_records.get_mut(function) else {
--- a/crates/controlplane/src/leader_state/link_moves.rs
+++ b/crates/controlplane/src/leader_state/link_moves.rs
@@ -7,6 +7,7 @@
 use common::frames::LeaderToDaemon;
 use common::identity::{FencingToken, FunctionKey};
 use std::cmp::Reverse;
+use std::collections::BTreeMap;
 use std::time::Duration;
 
 /// Holders on narrow links are looked for so often.
@@ -29,6 +30,21 @@
     runner_count: usize,
 }
 
+/// When leases were last moved off narrow links.
+pub(super) struct LinkMoves {
+    checked_at: MonotonicTime,
+    moved_off_at: BTreeMap<FunctionKey, MonotonicTime>,
+}
+
+impl LinkMoves {
+    pub fn new(elected_at: MonotonicTime) -> Self {
+        Self {
+            checked_at: elected_at,
+            moved_off_at: BTreeMap::new(),
+        }
+    }
+}
+
 impl LeaderState {
     /// Whether a question waits for one from a host on a wide link.
     pub(super) fn waits_for_wide_link_requester(
@@ -36,27 +52,28 @@
         now: MonotonicTime,
         acquisition: &PendingAcquisition,
     ) -> bool {
-        let Some(requester) = self.streams.get(&acquisition.stream) else {
+        let Some(requester) = self.members.streams.get(&acquisition.stream) else {
             return false;
         };
-        let waits_since = acquisition.requested_at.max(self.opened_at);
-        self.pushed_hosts.passes_over(&requester.member)
+        let waits_since = acquisition.requested_at.max(self.claims.opened_at);
+        self.hosts.pushed.passes_over(&requester.member)
             && now.since(waits_since) < NARROW_LINK_REQUEST_DELAY
     }
 
     /// Asks holders on narrow links for some of their functions while others should hold them.
     pub(super) fn move_off_narrow_links(&mut self, now: MonotonicTime) {
-        if !self.opened || now.since(self.links_checked_at) < CHECK_INTERVAL {
+        if !self.claims.is_open || now.since(self.link_moves.checked_at) < CHECK_INTERVAL {
             return;
         }
-        self.links_checked_at = now;
-        self.moved_off_at
+        self.link_moves.checked_at = now;
+        self.link_moves
+            .moved_off_at
             .retain(|_, moved_at| now.since(*moved_at) < MOVE_COOLDOWN);
         for due_move in self.due_moves(now) {
             let Some(entry) = self.lease_records.get_mut(&due_move.function) else {
                 continue;
             };
-            let record = self.members.get(&entry.holder);
+            let record = self.members.records.get(&entry.holder);
             let Some(stream) = record.and_then(|record| record.stream) else {
                 continue;
             };
@@ -66,7 +83,7 @@
                 fencing_token,
                 ..
             } = due_move;
-            self.moved_off_at.insert(function.clone(), now);
+            self.link_moves.moved_off_at.insert(function.clone(), now);
             self.send_frame(
                 stream,
                 LeaderToDaemon::HandOver {
@@ -82,9 +99,9 @@
             .lease_records
             .iter()
             .filter(|(_, entry)| !entry.handing_over && entry.fencing_since.is_none())
-            .filter(|(_, entry)| self.pushed_hosts.passes_over(&entry.holder.member))
+            .filter(|(_, entry)| self.hosts.pushed.passes_over(&entry.holder.member))
             .filter(|(_, entry)| self.is_serving(&entry.holder, now))
-            .filter(|(function, _)| !self.moved_off_at.contains_key(*function))
+            .filter(|(function, _)| !self.link_moves.moved_off_at.contains_key(*function))
             .map(|(function, entry)| LeaseMove {
                 function: function.clone(),
                 fencing_token: entry.fencing_token,
--- a/crates/controlplane/src/leader_state/membership.rs
+++ b/crates/controlplane/src/leader_state/membership.rs
@@ -4,7 +4,7 @@
 use common::frames::{KnownMember, SocketAddress};
 use common::identity::FunctionKey;
 use common::spec::ListedMember;
-use std::collections::BTreeSet;
+use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
 /// Names are gathered so long before they are committed together.
@@ -38,16 +38,44 @@
     now - Duration::from_millis(u64::from(age_ms)) * SLOWEST_CLOCK_TENTHS / 10
 }
 
+/// The list of members that may hold session leases, as far as it has to be changed in the document.
+pub(super) struct MembershipList {
+    /// The listed members without a record here.
+    departed: BTreeMap<ListedMember, DepartedMember>,
+    pub check_due: bool,
+    next_check_at: MonotonicTime,
+    /// Since when the committed list differs from the one that it should be.
+    change_since: Option<MonotonicTime>,
+}
+
+impl MembershipList {
+    pub fn new(elected_at: MonotonicTime) -> Self {
+        Self {
+            departed: BTreeMap::new(),
+            check_due: true,
+            next_check_at: elected_at,
+            change_since: None,
+        }
+    }
+}
+
 impl LeaderState {
     fn membership(&self) -> Option<&BTreeSet<ListedMember>> {
-        self.document.as_ref().map(|document| &document.membership)
+        self.configuration
+            .document
+            .as_ref()
+            .map(|document| &document.membership)
     }
 
     /// Whether a daemon may get its member grant: the committed roster names it, and so does the one in
     /// flight; and a majority followed this leader after it joined. Where no roster is committed yet, a
     /// round must have named it.
     pub(super) fn may_hold_lease(&self, known: &KnownMember, proof: &QuorumProof<'_>) -> bool {
-        let joined_at = self.members.get(known).map(|record| record.joined_at);
+        let joined_at = self
+            .members
+            .records
+            .get(known)
+            .map(|record| record.joined_at);
         if joined_at.is_none_or(|joined_at| proof.quorum_confirmed_at < joined_at) {
             return false;
         }
@@ -67,7 +95,8 @@
 
     /// Whether every place of the awaited roster has been claimed from by the life that stands there.
     pub(super) fn have_all_awaited_claimed(&self) -> bool {
-        self.awaited_members
+        self.claims
+            .awaited_members
             .iter()
             .all(|listed| self.claimant_at(listed).is_some())
     }
@@ -75,14 +104,24 @@
     /// How many of the awaited roster have claimed, by name.
     pub(super) fn count_claimed_names(&self) -> usize {
         let has_claimed = |listed: &&ListedMember| {
-            let known = self.current_incarnations.get(&listed.member);
-            known.is_some_and(|known| self.members.get(known).is_some_and(|record| record.claimed))
+            let known = self.members.current.get(&listed.member);
+            known.is_some_and(|known| {
+                self.members
+                    .records
+                    .get(known)
+                    .is_some_and(|record| record.claimed)
+            })
         };
-        self.awaited_members.iter().filter(has_claimed).count()
+        self.claims
+            .awaited_members
+            .iter()
+            .filter(has_claimed)
+            .count()
     }
 
     fn claimant_at(&self, listed: &ListedMember) -> Option<&MemberRecord> {
         self.members
+            .records
             .iter()
             .find(|(known, record)| record.claimed && supersedes(known, listed))
             .map(|(_, record)| record)
@@ -92,6 +131,7 @@
     /// they gave up under earlier leaders, have left.
     pub(super) fn compute_list_complete_from(&self) -> MonotonicTime {
         let claimants = self
+            .claims
             .awaited_members
             .iter()
             .filter_map(|listed| self.claimant_at(listed));
@@ -110,46 +150,48 @@
 
     /// Whether everything that runs and that nobody claimed is known.
     pub(super) fn is_runner_list_complete(&self) -> bool {
-        self.runners_listed_at >= self.list_complete_from
+        self.runner_lists.listed_at >= self.runner_lists.complete_from
     }
 
     /// From when on a list's unclaimed lives are nobody's: the election, or earlier if every earlier life
     /// was gone earlier.
     pub(super) fn unclaimed_from(&self) -> MonotonicTime {
-        if self.list_complete_from == MonotonicTime::ZERO {
+        if self.runner_lists.complete_from == MonotonicTime::ZERO {
             self.elected_at
         } else {
-            self.list_complete_from.min(self.elected_at)
+            self.runner_lists.complete_from.min(self.elected_at)
         }
     }
 
     /// Whether runners of a function may be there that are not known yet.
     pub(super) fn may_have_unlisted(&self, function: &FunctionKey) -> bool {
-        !self.is_runner_list_complete() && function.generation <= self.inherited_version
+        !self.is_runner_list_complete() && function.generation <= self.claims.inherited_version
     }
 
     /// Forgets for the quorum whom nobody heard of for long.
     pub(super) fn drop_missing_awaited(&mut self) -> Vec<ListedMember> {
-        let current_incarnations = &self.current_incarnations;
+        let current_incarnations = &self.members.current;
         let is_back = |listed: &ListedMember| current_incarnations.contains_key(&listed.member);
         let (remaining, dropped): (BTreeSet<ListedMember>, BTreeSet<ListedMember>) =
-            std::mem::take(&mut self.awaited_members)
+            std::mem::take(&mut self.claims.awaited_members)
                 .into_iter()
                 .partition(is_back);
-        self.awaited_members = remaining;
+        self.claims.awaited_members = remaining;
         dropped.into_iter().collect()
     }
 
     /// Notes who of the roster has no record here any more, and since when.
     fn update_departed_members(&mut self, now: MonotonicTime) {
-        let present: BTreeSet<ListedMember> = self.members.keys().map(listed_member).collect();
+        let present: BTreeSet<ListedMember> =
+            self.members.records.keys().map(listed_member).collect();
         let membership = self.membership().cloned().unwrap_or_default();
-        self.departed_members.retain(|absent_member, _| {
+        self.membership_list.departed.retain(|absent_member, _| {
             membership.contains(absent_member) && !present.contains(absent_member)
         });
         for absent_member in membership.difference(&present) {
             let was_orderly = false;
-            self.departed_members
+            self.membership_list
+                .departed
                 .entry(absent_member.clone())
                 .or_insert(DepartedMember {
                     since: now,
@@ -160,7 +202,7 @@
 
     /// A daemon that said it was leaving is gone: it holds nothing any more.
     pub(super) fn note_departed(&mut self, now: MonotonicTime, departed: &KnownMember) {
-        self.departed_members.insert(
+        self.membership_list.departed.insert(
             listed_member(departed),
             DepartedMember {
                 since: now,
@@ -174,15 +216,16 @@
     pub fn target_membership(&self, now: MonotonicTime) -> Option<BTreeSet<ListedMember>> {
         let membership = self.membership()?;
         let are_old_leases_over =
-            self.all_claimed || now >= self.elected_at + self.timing.full_lease_wait();
-        if membership.is_empty() && !(self.opened && are_old_leases_over) {
+            self.claims.all_claimed || now >= self.elected_at + self.timing.full_lease_wait();
+        if membership.is_empty() && !(self.claims.is_open && are_old_leases_over) {
             return None;
         }
         let full_lease_wait = self.timing.full_lease_wait();
         let orderly_removal_after = self.timing.restart_grace_period.max(full_lease_wait);
         let crash_removal_after = self.timing.drop_absent_after.max(full_lease_wait);
         let is_gone = |listed: &&ListedMember| {
-            self.departed_members
+            self.membership_list
+                .departed
                 .get(*listed)
                 .is_some_and(|departed_member| {
                     let span = if departed_member.was_orderly {
@@ -196,29 +239,29 @@
         let remaining = membership.iter().filter(|listed| !is_gone(listed)).cloned();
         Some(
             remaining
-                .chain(self.members.keys().map(listed_member))
+                .chain(self.members.records.keys().map(listed_member))
                 .collect(),
         )
     }
 
     /// The roster to be committed, when it has been wanted for a moment.
     pub fn due_membership(&mut self, now: MonotonicTime) -> Option<BTreeSet<ListedMember>> {
-        if !std::mem::take(&mut self.membership_changed)
-            && now < self.next_membership_check_at
-            && self.membership_change_since.is_none()
+        if !std::mem::take(&mut self.membership_list.check_due)
+            && now < self.membership_list.next_check_at
+            && self.membership_list.change_since.is_none()
         {
             return None;
         }
-        self.next_membership_check_at = now + CHECK_INTERVAL;
+        self.membership_list.next_check_at = now + CHECK_INTERVAL;
         self.update_departed_members(now);
         let wanted = self
             .target_membership(now)
             .filter(|wanted| self.membership() != Some(wanted));
         if wanted.is_none() {
-            self.membership_change_since = None;
+            self.membership_list.change_since = None;
             return None;
         }
-        let since = *self.membership_change_since.get_or_insert(now);
+        let since = *self.membership_list.change_since.get_or_insert(now);
         wanted.filter(|_| now.since(since) >= MEMBERSHIP_BATCH_WINDOW)
     }
 
@@ -229,6 +272,6 @@
 
     /// Whether something here is waited for that comes about within milliseconds.
     pub fn is_time_critical(&self) -> bool {
-        self.membership_change_since.is_some() || !self.renewals.is_empty()
+        self.membership_list.change_since.is_some() || !self.renewals.is_empty()
     }
 }
--- a/crates/controlplane/src/leader_state/memory_pressure.rs
+++ b/crates/controlplane/src/leader_state/memory_pressure.rs
@@ -2,7 +2,7 @@
 use super::{LeaderState, StreamId};
 use common::clock::MonotonicTime;
 use common::events;
-use common::frames::{IdleFunction, LeaderToDaemon};
+use common::frames::{IdleFunction, KnownMember, LeaderToDaemon};
 use common::identity::{FunctionKey, RunnerId};
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -15,6 +15,18 @@
 /// From one runner taken back to the next.
 const RECLAIM_INTERVAL: Duration = Duration::from_millis(500);
 
+/// Which functions may give memory back, and which lack it.
+#[derive(Default)]
+pub(super) struct MemoryPressure {
+    /// Since when functions are idle, as their holders reported.
+    pub idle_since: BTreeMap<KnownMember, BTreeMap<FunctionKey, MonotonicTime>>,
+    /// When functions gave their idle runners back.
+    yielded_at: BTreeMap<FunctionKey, MonotonicTime>,
+    /// When functions without a runner last found no room.
+    pub starved_functions: BTreeMap<FunctionKey, MonotonicTime>,
+    runner_reclaimed_at: MonotonicTime,
+}
+
 impl LeaderState {
     /// Whether a function with runners must wait, since another one has none and found no room.
     pub(super) fn is_other_function_starved(
@@ -22,9 +34,11 @@
         now: MonotonicTime,
         requester: &FunctionKey,
     ) -> bool {
-        self.starved_functions
+        self.pressure
+            .starved_functions
             .retain(|_, requested_at| now.since(*requested_at) < STARVATION_TIMEOUT);
-        self.starved_functions
+        self.pressure
+            .starved_functions
             .keys()
             .any(|function| function != requester)
     }
@@ -37,8 +51,10 @@
         requester: &FunctionKey,
         needed_mb: u32,
     ) {
-        self.starved_functions.insert(requester.clone(), now);
-        if now.since(self.runner_reclaimed_at) < RECLAIM_INTERVAL {
+        self.pressure
+            .starved_functions
+            .insert(requester.clone(), now);
+        if now.since(self.pressure.runner_reclaimed_at) < RECLAIM_INTERVAL {
             return;
         }
         let reserved_mb_sums = self.reserved_mb();
@@ -47,7 +63,7 @@
             let is_leaving = reservation.draining
                 || reservation.stop_wanted
                 || reservation.orphaned_since.is_some();
-            let Some(record) = self.workers.get(&reservation.worker) else {
+            let Some(record) = self.workers.records.get(&reservation.worker) else {
                 continue;
             };
             if is_leaving
@@ -79,7 +95,7 @@
             return;
         };
         let function = function.clone();
-        self.runner_reclaimed_at = now;
+        self.pressure.runner_reclaimed_at = now;
         let fields = ReclaimedRunnerFields {
             function: &function,
             runner,
@@ -96,7 +112,7 @@
         stream: StreamId,
         functions: Vec<IdleFunction>,
     ) {
-        let Some(holder) = self.streams.get(&stream) else {
+        let Some(holder) = self.members.streams.get(&stream) else {
             return;
         };
         let idle_since = functions
@@ -106,12 +122,13 @@
                 (idle.function, now - idle_span)
             })
             .collect();
-        self.idle_since.insert(holder.clone(), idle_since);
+        self.pressure.idle_since.insert(holder.clone(), idle_since);
     }
 
     /// The functions that their present holders called idle, those not called for longest first.
     fn idle_functions(&self) -> Vec<(MonotonicTime, FunctionKey)> {
         let mut idle_functions: Vec<(MonotonicTime, FunctionKey)> = self
+            .pressure
             .idle_since
             .iter()
             .flat_map(|(holder, functions)| {
@@ -137,11 +154,12 @@
         requester: &FunctionKey,
         needed_mb: u32,
     ) {
-        self.yielded_at
+        self.pressure
+            .yielded_at
             .retain(|_, at| now.since(*at) < YIELD_COOLDOWN);
         let is_evictable = |function: &FunctionKey| {
             function != requester
-                && !self.yielded_at.contains_key(function)
+                && !self.pressure.yielded_at.contains_key(function)
                 && self
                     .lease_records
                     .get(function)
@@ -161,6 +179,7 @@
             let fencing_token = entry.fencing_token;
             let stream = self
                 .members
+                .records
                 .get(&entry.holder)
                 .and_then(|record| record.stream);
             let Some(stream) = stream else { continue };
@@ -169,8 +188,8 @@
                 .all_of(&function)
                 .map(|(_, reservation)| reservation.memory_mb)
                 .sum::<u32>();
-            self.yielded_at.insert(function.clone(), now);
-            if let Some(idle_since) = self.idle_since.get_mut(&entry.holder) {
+            self.pressure.yielded_at.insert(function.clone(), now);
+            if let Some(idle_since) = self.pressure.idle_since.get_mut(&entry.holder) {
                 idle_since.remove(&function);
             }
             let fields = FunctionFields {
--- a/crates/controlplane/src/leader_state/mod.rs
+++ b/crates/controlplane/src/leader_state/mod.rs
@@ -1,11 +1,13 @@
 //! The leader's leader state: members and their grants, function grants, workers. All of it in memory.
 
 mod claims;
+mod claims_quorum;
 mod document_delivery;
 mod events;
 mod fence;
 mod function_leases;
 mod functions;
+mod host_list;
 mod ledger_replicas;
 mod link_moves;
 mod members;
@@ -24,26 +26,28 @@
 pub use output::{EventRecord, LeaderOutput, StreamId, TraceStep};
 pub use timing::LeaderTiming;
 
-use common::adapter::ListedRunner;
+use claims_quorum::ClaimsQuorum;
 use common::clock::MonotonicTime;
-use common::frames::{
-    DaemonToLeader, KnownMember, LeaderToDaemon, MemberIncarnation, PreviousLease,
-};
-use common::identity::{
-    CorrelationId, FencingToken, FunctionKey, MemberName, Term, Version, WorkerName, Zone,
-};
+use common::frames::{DaemonToLeader, KnownMember, LeaderToDaemon};
+use common::identity::{FencingToken, Term, Version, Zone};
 use common::rules::{Rule, Rules};
-use common::spec::{DaemonView, Document, ListedMember, RoutingTable};
+use common::spec::{DaemonView, ListedMember};
+use document_delivery::Configuration;
 use events::{EventFields, MemberFields};
+use fence::Fencing;
 use function_leases::{FunctionLeases, LeaseRecord};
-use members::{IncarnationHistory, MemberRecord, PushedHosts};
-use membership::DepartedMember;
+use functions::{Acquisitions, OnceDelays, PendingAcquisition};
+use host_list::HostList;
+use link_moves::LinkMoves;
+use members::{IncarnationHistory, Members};
+use membership::MembershipList;
+use memory_pressure::MemoryPressure;
 use renewals::Renewals;
 use reservations::Reservations;
-use std::collections::{BTreeMap, BTreeSet, VecDeque};
-use std::time::Duration;
-use worker_evacuation::WorkerEvacuation;
-use workers::WorkerRecord;
+use runner_list::RunnerLists;
+use std::collections::{BTreeSet, VecDeque};
+use worker_evacuation::WorkerEvacuations;
+use workers::Workers;
 
 /// What the core proves to the leader state at one moment.
 pub struct QuorumProof<'a> {
@@ -57,89 +61,37 @@
     pub proposed_membership: Option<&'a BTreeSet<ListedMember>>,
 }
 
-struct PendingAcquisition {
-    stream: StreamId,
-    correlation: CorrelationId,
-    function: FunctionKey,
-    requested_at: MonotonicTime,
-    delay_announced: bool,
-}
-
-/// The leader's leader state for one reign.
+/// The leader's state during one term: leases of members and functions, the workers and what is reserved on
+/// them. It is kept in memory only; a new leader rebuilds it from the members' claims and the platform's lists.
 pub struct LeaderState {
     timing: LeaderTiming,
-    term: Term,
     elected_at: MonotonicTime,
-    last_known: BTreeSet<KnownMember>,
-    last_known_complete: bool,
-    awaited_members: BTreeSet<ListedMember>,
-    departed_members: BTreeMap<ListedMember, DepartedMember>,
-    membership_changed: bool,
-    next_membership_check_at: MonotonicTime,
-    membership_change_since: Option<MonotonicTime>,
-    list_complete_from: MonotonicTime,
-    lists_requested_at: MonotonicTime,
-    document: Option<Document>,
-    table: RoutingTable,
-    views: VecDeque<DaemonView>,
-    /// Versions from before this reign; nothing is told to daemons before the first commit under it.
-    earlier_views: VecDeque<DaemonView>,
-    delta_frames: BTreeMap<Version, LeaderToDaemon>,
-    full_spec_cache: Option<LeaderToDaemon>,
-    longest_timeout: Duration,
-    in_force: Version,
-    in_force_checked_at: MonotonicTime,
-    streams: BTreeMap<StreamId, KnownMember>,
-    members: BTreeMap<KnownMember, MemberRecord>,
-    current_incarnations: BTreeMap<MemberName, KnownMember>,
+    tokens: FencingTokenIssuer,
+    claims: ClaimsQuorum,
+    members: Members,
+    membership_list: MembershipList,
+    hosts: HostList,
+    configuration: Configuration,
     lease_records: FunctionLeases,
-    fencing_functions: BTreeSet<FunctionKey>,
-    reservations: Reservations,
-    workers: BTreeMap<WorkerName, WorkerRecord>,
-    workers_listed: bool,
-    once_allowed_from: BTreeMap<FunctionKey, MonotonicTime>,
-    previous_leases: BTreeMap<FunctionKey, PreviousLease>,
-    start_refused_at: BTreeMap<WorkerName, MonotonicTime>,
-    member_restarted_at: MonotonicTime,
-    replica_assignment_due: bool,
-    fencing_changed: bool,
-    /// Before this no unswept daemon's grant ends.
-    next_sweep_at: MonotonicTime,
-    next_member_expiry_at: MonotonicTime,
-    fencing_checked_at: MonotonicTime,
-    acquisitions_changed: bool,
-    acquisitions_checked_at: MonotonicTime,
-    known_members_changed: bool,
-    idle_since: BTreeMap<KnownMember, BTreeMap<FunctionKey, MonotonicTime>>,
-    yielded_at: BTreeMap<FunctionKey, MonotonicTime>,
-    starved_functions: BTreeMap<FunctionKey, MonotonicTime>,
-    runner_reclaimed_at: MonotonicTime,
-    worker_evacuation: Option<WorkerEvacuation>,
-    next_worker_evacuation_at: MonotonicTime,
-    no_room_reported_at: MonotonicTime,
-    pending_acquisitions: Vec<PendingAcquisition>,
+    fencing: Fencing,
+    once_delays: OnceDelays,
+    acquisitions: Acquisitions,
     renewals: Renewals,
-    runners_listed_at: MonotonicTime,
-    pending_runner_list: Vec<ListedRunner>,
-    all_claimed: bool,
-    opened: bool,
-    opened_at: MonotonicTime,
-    inherited_version: Version,
-    inherits_no_functions: bool,
-    issued_token_count: u64,
-    hosts_changed: bool,
-    hosts_pushed_at: MonotonicTime,
-    pushed_hosts: PushedHosts,
-    links_checked_at: MonotonicTime,
-    moved_off_at: BTreeMap<FunctionKey, MonotonicTime>,
-    reported_suspects: BTreeSet<MemberIncarnation>,
-    suspected: BTreeSet<MemberIncarnation>,
+    replica_assignment_due: bool,
+    link_moves: LinkMoves,
+    reservations: Reservations,
+    runner_lists: RunnerLists,
+    workers: Workers,
+    evacuation: WorkerEvacuations,
+    pressure: MemoryPressure,
     rules: Rules,
     outputs: Vec<LeaderOutput>,
 }
 
 impl LeaderState {
-    /// An empty leader state for a new leader.
+    /// The state of a new leader, which holds nothing but the members that it has to hear from:
+    /// `last_known` are those that may hold leases of an earlier leader, and `last_known_complete` says
+    /// that there are surely no others.
     pub fn new(
         timing: LeaderTiming,
         term: Term,
@@ -149,70 +101,25 @@
     ) -> Self {
         Self {
             timing,
-            term,
             elected_at,
-            last_known,
-            last_known_complete,
-            awaited_members: BTreeSet::new(),
-            departed_members: BTreeMap::new(),
-            membership_changed: true,
-            next_membership_check_at: elected_at,
-            membership_change_since: None,
-            list_complete_from: MonotonicTime::ZERO,
-            lists_requested_at: MonotonicTime::ZERO,
-            document: None,
-            table: RoutingTable::empty(),
-            views: VecDeque::new(),
-            earlier_views: VecDeque::new(),
-            delta_frames: BTreeMap::new(),
-            full_spec_cache: None,
-            longest_timeout: Duration::ZERO,
-            in_force: Version(0),
-            in_force_checked_at: MonotonicTime::ZERO,
-            streams: BTreeMap::new(),
-            members: BTreeMap::new(),
-            current_incarnations: BTreeMap::new(),
+            tokens: FencingTokenIssuer::new(term),
+            claims: ClaimsQuorum::new(elected_at, last_known, last_known_complete),
+            members: Members::new(),
+            membership_list: MembershipList::new(elected_at),
+            hosts: HostList::default(),
+            configuration: Configuration::new(),
             lease_records: FunctionLeases::default(),
-            fencing_functions: BTreeSet::new(),
-            reservations: Reservations::default(),
-            workers: BTreeMap::new(),
-            workers_listed: false,
-            once_allowed_from: BTreeMap::new(),
-            previous_leases: BTreeMap::new(),
-            start_refused_at: BTreeMap::new(),
-            member_restarted_at: MonotonicTime::ZERO,
-            replica_assignment_due: false,
-            fencing_changed: true,
-            next_sweep_at: MonotonicTime::ZERO,
-            next_member_expiry_at: MonotonicTime::ZERO,
-            fencing_checked_at: MonotonicTime::ZERO,
-            acquisitions_changed: true,
-            acquisitions_checked_at: MonotonicTime::ZERO,
-            known_members_changed: true,
-            idle_since: BTreeMap::new(),
-            yielded_at: BTreeMap::new(),
-            starved_functions: BTreeMap::new(),
-            runner_reclaimed_at: MonotonicTime::ZERO,
-            worker_evacuation: None,
-            no_room_reported_at: MonotonicTime::ZERO,
-            next_worker_evacuation_at: elected_at + Duration::from_secs(15),
-            pending_acquisitions: Vec::new(),
+            fencing: Fencing::new(),
+            once_delays: OnceDelays::default(),
+            acquisitions: Acquisitions::new(),
             renewals: Renewals::default(),
-            runners_listed_at: MonotonicTime::ZERO,
-            pending_runner_list: Vec::new(),
-            all_claimed: false,
-            opened: false,
-            opened_at: elected_at,
-            inherited_version: Version(0),
-            inherits_no_functions: false,
-            issued_token_count: 0,
-            hosts_changed: false,
-            hosts_pushed_at: MonotonicTime::ZERO,
-            pushed_hosts: PushedHosts::default(),
-            links_checked_at: elected_at,
-            moved_off_at: BTreeMap::new(),
-            reported_suspects: BTreeSet::new(),
-            suspected: BTreeSet::new(),
+            replica_assignment_due: false,
+            link_moves: LinkMoves::new(elected_at),
+            reservations: Reservations::default(),
+            runner_lists: RunnerLists::default(),
+            workers: Workers::default(),
+            evacuation: WorkerEvacuations::new(elected_at),
+            pressure: MemoryPressure::default(),
             rules: Rules::ALL_ENFORCED,
             outputs: Vec::new(),
         }
@@ -227,41 +134,45 @@
     /// The same with the versions that this controller has seen lately: daemons that are a little behind are told
     /// what changed, and not the whole.
     pub fn with_earlier_views(mut self, views: VecDeque<DaemonView>) -> Self {
-        self.earlier_views = views;
+        self.configuration.earlier_views = views;
         self
     }
 
     fn is_evacuated(&self, zone: &Zone) -> bool {
-        self.rules.enforces(Rule::EvacuationObeyed) && self.table.is_evacuated(zone)
+        self.rules.enforces(Rule::EvacuationObeyed) && self.configuration.table.is_evacuated(zone)
     }
 
     /// Whether the claims quorum stands and grants are given.
     pub fn is_open(&self) -> bool {
-        self.opened
+        self.claims.is_open
     }
 
     /// The daemons that may hold grants, and whether there are surely no others.
     pub fn known_members(&self) -> (BTreeSet<KnownMember>, bool) {
-        let mut known_members: BTreeSet<KnownMember> = self.members.keys().cloned().collect();
-        if !self.opened {
-            known_members.extend(self.last_known.iter().cloned());
+        let mut known_members: BTreeSet<KnownMember> =
+            self.members.records.keys().cloned().collect();
+        if !self.claims.is_open {
+            known_members.extend(self.claims.last_known.iter().cloned());
         }
-        (known_members, self.last_known_complete || self.opened)
+        (
+            known_members,
+            self.claims.last_known_complete || self.claims.is_open,
+        )
     }
 
     /// The same, if they may have changed since last asked.
     pub fn take_known_members(&mut self) -> Option<(BTreeSet<KnownMember>, bool)> {
-        std::mem::take(&mut self.known_members_changed).then(|| self.known_members())
+        std::mem::take(&mut self.members.changed).then(|| self.known_members())
     }
 
     /// The newest serial that is in force everywhere.
     pub fn in_force(&self) -> Version {
-        self.in_force
+        self.configuration.in_force
     }
 
     /// Takes what a daemon says on its stream.
     pub fn receive(&mut self, now: MonotonicTime, stream: StreamId, frame: DaemonToLeader) {
-        self.acquisitions_changed = true;
+        self.acquisitions.check_due = true;
         self.note_frame_received(now, stream);
         match frame {
             DaemonToLeader::Hello {
@@ -297,7 +208,7 @@
                     requested_at: now,
                     delay_announced: false,
                 };
-                self.pending_acquisitions.push(pending_request);
+                self.acquisitions.add(pending_request);
             }
             DaemonToLeader::Release {
                 function,
@@ -351,14 +262,13 @@
 
     /// A stream has ended.
     pub fn stream_lost(&mut self, stream: StreamId) {
-        let Some(known_member) = self.streams.remove(&stream) else {
+        let Some(known_member) = self.members.streams.remove(&stream) else {
             return;
         };
-        self.acquisitions_changed = true;
-        self.pending_acquisitions
-            .retain(|acquisition| acquisition.stream != stream);
+        self.acquisitions.check_due = true;
+        self.acquisitions.forget(stream);
         self.renewals.forget(stream);
-        if let Some(record) = self.members.get_mut(&known_member)
+        if let Some(record) = self.members.records.get_mut(&known_member)
             && record.stream == Some(stream)
         {
             record.stream = None;
@@ -400,13 +310,36 @@
     }
 
     fn is_serving(&self, known_member: &KnownMember, now: MonotonicTime) -> bool {
-        self.members.get(known_member).is_some_and(|record| {
-            record.stream.is_some() && record.lease_expires_at > now && record.host.eligible.0
-        })
+        self.members
+            .records
+            .get(known_member)
+            .is_some_and(|record| {
+                record.stream.is_some() && record.lease_expires_at > now && record.host.eligible.0
+            })
     }
 
     fn next_fencing_token(&mut self) -> FencingToken {
-        self.issued_token_count += 1;
-        FencingToken::of(self.term, self.issued_token_count)
+        self.tokens.issue()
+    }
+}
+
+/// Issues the fencing tokens of one term. A token is greater than each one issued before it, and than all those
+/// of earlier terms, so that whoever sees two of them knows which lease is the newer.
+struct FencingTokenIssuer {
+    term: Term,
+    issued_count: u64,
+}
+
+impl FencingTokenIssuer {
+    fn new(term: Term) -> Self {
+        Self {
+            term,
+            issued_count: 0,
+        }
+    }
+
+    fn issue(&mut self) -> FencingToken {
+        self.issued_count += 1;
+        FencingToken::of(self.term, self.issued_count)
     }
 }
--- a/crates/controlplane/src/leader_state/renewals.rs
+++ b/crates/controlplane/src/leader_state/renewals.rs
@@ -92,6 +92,7 @@
 
     pub(super) fn answer_renewals(&mut self, now: MonotonicTime, proof: &QuorumProof<'_>) {
         let Some(committed_version) = self
+            .configuration
             .document
             .as_ref()
             .map(|document| document.view_version())
@@ -116,10 +117,10 @@
     ) {
         let lease_expires_at = proof.quorum_confirmed_at + self.timing.lease_length;
         let lease_expiry_bound = proof.quorum_confirmed_at + self.timing.full_lease_wait();
-        let Some(known_member) = self.streams.get(&renewal.stream).cloned() else {
+        let Some(known_member) = self.members.streams.get(&renewal.stream).cloned() else {
             return;
         };
-        let Some(record) = self.members.get(&known_member) else {
+        let Some(record) = self.members.records.get(&known_member) else {
             return;
         };
         let is_ready = record.claimed
@@ -130,7 +131,12 @@
         let is_proof_before_join = proof.quorum_confirmed_at < record.joined_at;
         renewal.needs_proof = is_ready && (is_proof_stale || is_proof_before_join);
         let may_renew = is_ready && !is_proof_stale && self.may_hold_lease(&known_member, proof);
-        let Some(record) = self.members.get_mut(&known_member).filter(|_| may_renew) else {
+        let Some(record) = self
+            .members
+            .records
+            .get_mut(&known_member)
+            .filter(|_| may_renew)
+        else {
             self.renewals.waiting.push(renewal);
             return;
         };
--- a/crates/controlplane/src/leader_state/report.rs
+++ b/crates/controlplane/src/leader_state/report.rs
@@ -7,6 +7,7 @@
     pub fn report_members(&self, now: MonotonicTime) -> Value {
         let rows: Vec<Value> = self
             .members
+            .records
             .iter()
             .map(|(known_member, record)| {
                 json!({
@@ -24,7 +25,7 @@
                 })
             })
             .collect();
-        json!({"members": rows, "open": self.opened})
+        json!({"members": rows, "open": self.claims.is_open})
     }
 
     /// The holders, for operators.
@@ -56,6 +57,7 @@
         let reserved_mb_sums = self.reserved_mb();
         let rows: Vec<Value> = self
             .workers
+            .records
             .values()
             .map(|record| {
                 let worker = &record.listed.worker;
@@ -95,7 +97,7 @@
     /// Counts for the metrics page: members, entries, runners, workers in use.
     pub fn counts(&self) -> [(&'static str, u64); 4] {
         [
-            ("members", self.streams.len() as u64),
+            ("members", self.members.streams.len() as u64),
             ("holders", self.lease_records.len() as u64),
             ("runners", self.reservations.len() as u64),
             ("workers_used", self.reserved_mb().len() as u64),
@@ -106,9 +108,14 @@
 impl LeaderState {
     /// Every zone that a daemon or worker stands in.
     pub fn known_zones(&self) -> std::collections::BTreeSet<common::identity::Zone> {
-        let member_zones = self.members.values().map(|record| record.host.zone.clone());
+        let member_zones = self
+            .members
+            .records
+            .values()
+            .map(|record| record.host.zone.clone());
         let worker_zones = self
             .workers
+            .records
             .values()
             .map(|record| record.listed.zone.clone());
         member_zones.chain(worker_zones).collect()
--- a/crates/controlplane/src/leader_state/runner_list.rs
+++ b/crates/controlplane/src/leader_state/runner_list.rs
@@ -8,14 +8,26 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
+/// The platform's list of runners, and when it is requested.
+#[derive(Default)]
+pub(super) struct RunnerLists {
+    /// The instant that the newest list shows.
+    pub listed_at: MonotonicTime,
+    /// A list that came before the claims quorum stood: its unknown runners may still be claimed.
+    pending: Vec<ListedRunner>,
+    pub requested_at: MonotonicTime,
+    /// From which instant on a list shows everything that earlier incarnations left.
+    pub complete_from: MonotonicTime,
+}
+
 impl LeaderState {
     /// Takes the platform's list of runners, which shows how things stood at a moment. Runners are known
     /// again by their lives; while the claims quorum is waited for, unknown ones may still be claimed.
     pub fn runners_listed(&mut self, listed_at: MonotonicTime, listed_runners: &[ListedRunner]) {
-        if listed_at < self.runners_listed_at {
+        if listed_at < self.runner_lists.listed_at {
             return;
         }
-        self.runners_listed_at = listed_at;
+        self.runner_lists.listed_at = listed_at;
         for listed in listed_runners.iter().filter(|listed| listed.leaving) {
             if let Some(runner) = self
                 .reservations
@@ -29,17 +41,17 @@
             .map(|listed| &listed.instance.name)
             .collect();
         self.detect_vanished_runners(listed_at, &listed_instances);
-        if self.opened {
+        if self.claims.is_open {
             self.register_unknown_runners(listed_at, listed_runners);
         } else {
-            self.pending_runner_list = listed_runners.to_vec();
+            self.runner_lists.pending = listed_runners.to_vec();
         }
     }
 
     /// The claims quorum stands: what it did not claim and is listed is held by nobody.
     pub(super) fn register_pending_list(&mut self) {
-        let listed_runners = std::mem::take(&mut self.pending_runner_list);
-        self.register_unknown_runners(self.runners_listed_at, &listed_runners);
+        let listed_runners = std::mem::take(&mut self.runner_lists.pending);
+        self.register_unknown_runners(self.runner_lists.listed_at, &listed_runners);
     }
 
     fn register_unknown_runners(
@@ -95,6 +107,7 @@
     /// reign, if its function is surely the one in the spec.
     fn register_orphan(&mut self, listed_at: MonotonicTime, listed: &ListedRunner) {
         let same_name = self
+            .configuration
             .table
             .functions()
             .iter()
@@ -102,7 +115,7 @@
         let spec_entry = same_name.map(|entry| (entry.key.clone(), entry.spec.memory_mb));
         let is_same = |key: &FunctionKey| match &listed.key {
             Some(listed_key) => listed_key == key,
-            None => key.generation <= self.inherited_version,
+            None => key.generation <= self.claims.inherited_version,
         };
         let known = spec_entry.filter(|(key, _)| is_same(key));
         let is_wanted = known.is_some() && !listed.leaving;
@@ -142,6 +155,7 @@
             .iter()
             .filter(|(_, reservation)| {
                 let startup = self
+                    .configuration
                     .table
                     .function_of(&reservation.function)
                     .map(|entry| entry.spec.startup);
--- a/crates/controlplane/src/leader_state/worker_evacuation.rs
+++ b/crates/controlplane/src/leader_state/worker_evacuation.rs
@@ -6,24 +6,53 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
+/// A new leader evacuates no worker before this.
+const FIRST_EVACUATION_AFTER: Duration = Duration::from_secs(15);
 const EVACUATION_INTERVAL: Duration = Duration::from_secs(8);
 const EVACUATION_RETRY_DELAY: Duration = Duration::from_secs(30);
 const EVACUATION_TIMEOUT: Duration = Duration::from_secs(20);
 const HEADROOM_PERCENT: u64 = 10;
 
 /// A worker that is being emptied so that it can be switched off.
-pub struct WorkerEvacuation {
-    pub(super) worker: WorkerName,
+struct WorkerEvacuation {
+    worker: WorkerName,
     since: MonotonicTime,
 }
 
+/// At most one worker is evacuated at a time.
+pub(super) struct WorkerEvacuations {
+    current: Option<WorkerEvacuation>,
+    next_at: MonotonicTime,
+}
+
+impl WorkerEvacuations {
+    pub fn new(elected_at: MonotonicTime) -> Self {
+        Self {
+            current: None,
+            next_at: elected_at + FIRST_EVACUATION_AFTER,
+        }
+    }
+
+    /// Whether the worker is being evacuated.
+    pub fn is_evacuating(&self, worker: &WorkerName) -> bool {
+        self.current
+            .as_ref()
+            .is_some_and(|evacuation| evacuation.worker == *worker)
+    }
+
+    /// Gives the worker that is being evacuated back to use.
+    pub fn cancel(&mut self) {
+        self.current = None;
+    }
+}
+
 impl LeaderState {
     /// Empties the least used worker when all its runners fit on the others in use, one at a time.
     pub(super) fn evacuate_workers(&mut self, now: MonotonicTime) {
-        if !self.opened || !self.timing.worker_evacuation {
+        if !self.claims.is_open || !self.timing.worker_evacuation {
             return;
         }
-        if let Some(worker_evacuation) = &self.worker_evacuation {
+        if let Some(worker_evacuation) = &self.evacuation.current {
             let worker = worker_evacuation.worker.clone();
             let is_empty = !self
                 .reservations
@@ -35,8 +64,8 @@
                 self.record_event(events::WORKER_EVACUATED, fields);
             }
             if is_empty || is_timed_out {
-                self.worker_evacuation = None;
-                self.next_worker_evacuation_at = now
+                self.evacuation.current = None;
+                self.evacuation.next_at = now
                     + if is_empty {
                         EVACUATION_INTERVAL
                     } else {
@@ -45,14 +74,14 @@
             }
             return;
         }
-        if now < self.next_worker_evacuation_at {
+        if now < self.evacuation.next_at {
             return;
         }
-        self.next_worker_evacuation_at = now + EVACUATION_INTERVAL;
+        self.evacuation.next_at = now + EVACUATION_INTERVAL;
         if let Some(worker) = self.worker_to_evacuate() {
             let fields = WorkerFields { worker: &worker };
             self.record_event(events::WORKER_EVACUATING, fields);
-            self.worker_evacuation = Some(WorkerEvacuation { worker, since: now });
+            self.evacuation.current = Some(WorkerEvacuation { worker, since: now });
             self.drain_from_unusable_workers();
         }
     }
@@ -72,7 +101,7 @@
             .iter()
             .filter(|(worker, _)| worker != least_used)
             .filter_map(|(worker, sum)| {
-                let memory_mb = u64::from(self.workers.get(*worker)?.listed.memory_mb);
+                let memory_mb = u64::from(self.workers.records.get(*worker)?.listed.memory_mb);
                 let headroom_mb = memory_mb * HEADROOM_PERCENT / 100;
                 Some((
                     *worker,
--- a/crates/controlplane/src/leader_state/workers.rs
+++ b/crates/controlplane/src/leader_state/workers.rs
@@ -14,11 +14,22 @@
     pub listed: ListedWorker,
 }
 
+/// The platform's workers.
+#[derive(Default)]
+pub(super) struct Workers {
+    pub records: BTreeMap<WorkerName, WorkerRecord>,
+    /// Whether the platform has listed them in this term.
+    pub are_listed: bool,
+    /// When workers last refused to start a runner.
+    pub start_refused_at: BTreeMap<WorkerName, MonotonicTime>,
+    no_room_reported_at: MonotonicTime,
+}
+
 impl LeaderState {
     /// Takes the platform's list of workers.
     pub fn workers_listed(&mut self, listed_workers: Vec<ListedWorker>) {
-        self.workers_listed = true;
-        self.workers = listed_workers
+        self.workers.are_listed = true;
+        self.workers.records = listed_workers
             .into_iter()
             .map(|listed| (listed.worker.clone(), WorkerRecord { listed }))
             .collect();
@@ -26,12 +37,8 @@
     }
 
     pub(super) fn is_worker_usable(&self, worker: &WorkerName) -> bool {
-        let is_being_evacuated = self
-            .worker_evacuation
-            .as_ref()
-            .is_some_and(|worker_evacuation| worker_evacuation.worker == *worker);
-        !is_being_evacuated
-            && self.workers.get(worker).is_some_and(|record| {
+        !self.evacuation.is_evacuating(worker)
+            && self.workers.records.get(worker).is_some_and(|record| {
                 let is_draining = record.listed.draining && self.rules.enforces(Rule::DrainObeyed);
                 !is_draining && !self.is_evacuated(&record.listed.zone)
             })
@@ -67,7 +74,7 @@
         function: &FunctionKey,
         fencing_token: FencingToken,
     ) -> ReserveResult {
-        let Some(requester) = self.streams.get(&stream) else {
+        let Some(requester) = self.members.streams.get(&stream) else {
             return ReserveResult::Rejected;
         };
         let is_holder = self.lease_records.get(function).is_some_and(|entry| {
@@ -75,10 +82,11 @@
                 && entry.fencing_token == fencing_token
                 && entry.fencing_since.is_none()
         });
-        if !is_holder || !self.opened || !self.has_lease(requester, now) {
+        if !is_holder || !self.claims.is_open || !self.has_lease(requester, now) {
             return ReserveResult::Rejected;
         }
         let Some(spec) = self
+            .configuration
             .table
             .function_of(function)
             .map(|entry| entry.spec.clone())
@@ -91,6 +99,7 @@
         }
         let holder_zone = self
             .members
+            .records
             .get(requester)
             .map(|record| record.host.zone.clone());
         let has_runner = self
@@ -102,15 +111,15 @@
         }
         let chosen_worker = self.choose_worker(now, function, needed_mb, holder_zone.as_ref());
         let Some(worker) = chosen_worker else {
-            if now.since(self.no_room_reported_at) > Duration::from_secs(1) {
-                self.no_room_reported_at = now;
+            if now.since(self.workers.no_room_reported_at) > Duration::from_secs(1) {
+                self.workers.no_room_reported_at = now;
                 let fields = MissingMemoryFields {
                     function,
                     memory_mb: needed_mb,
                 };
                 self.record_event(events::NO_WORKER_CAPACITY, fields);
             }
-            self.worker_evacuation = None;
+            self.evacuation.cancel();
             self.stop_orphans(function);
             self.evict_idle_functions(now, function, needed_mb);
             if !has_runner {
@@ -118,7 +127,7 @@
             }
             return ReserveResult::Rejected;
         };
-        self.starved_functions.remove(function);
+        self.pressure.starved_functions.remove(function);
         let runner = RunnerId {
             fencing_token,
             ordinal: self.next_fencing_token().0,
@@ -155,7 +164,8 @@
         holder_zone: Option<&Zone>,
     ) -> Option<WorkerName> {
         let refused_start_cooldown = self.timing.refused_start_cooldown;
-        self.start_refused_at
+        self.workers
+            .start_refused_at
             .retain(|_, start_refused_at| now.since(*start_refused_at) < refused_start_cooldown);
         let mut zone_counts: BTreeMap<&Zone, usize> = BTreeMap::new();
         let mut function_workers: BTreeSet<&WorkerName> = BTreeSet::new();
@@ -165,13 +175,13 @@
             .filter(|(_, reservation)| !reservation.draining)
         {
             function_workers.insert(&reservation.worker);
-            if let Some(record) = self.workers.get(&reservation.worker) {
+            if let Some(record) = self.workers.records.get(&reservation.worker) {
                 *zone_counts.entry(&record.listed.zone).or_default() += 1;
             }
         }
         let reserved_mb_sums = self.reserved_mb();
-        let candidate_workers = self.workers.iter().filter(|(worker, _)| {
-            self.is_worker_usable(worker) && !self.start_refused_at.contains_key(*worker)
+        let candidate_workers = self.workers.records.iter().filter(|(worker, _)| {
+            self.is_worker_usable(worker) && !self.workers.start_refused_at.contains_key(*worker)
         });
         candidate_workers
             .filter_map(|(worker, record)| {
@@ -215,6 +225,7 @@
 
     fn has_lease(&self, known_member: &common::frames::KnownMember, now: MonotonicTime) -> bool {
         self.members
+            .records
             .get(known_member)
             .is_some_and(|record| record.lease_expires_at > now)
     }
