--- a/crates/controlplane/src/leader_state/claims_quorum.rs
+++ b/crates/controlplane/src/leader_state/claims_quorum.rs
@@ -10,9 +10,10 @@
 use common::rules::Rule;
 use common::spec::ListedMember;
 use std::collections::BTreeSet;
+use std::time::Duration;
 
-/// From one asking for the lists to the next, while something may run that is not known.
-const LIST_REQUEST_INTERVAL: std::time::Duration = std::time::Duration::from_millis(150);
+/// Between two requests for the lists, while something may run that is not known.
+const LIST_REQUEST_INTERVAL: Duration = Duration::from_millis(150);
 
 /// Who has to claim, and whether the quorum stands.
 pub(super) struct ClaimsQuorum {
@@ -55,143 +56,166 @@
     }
 }
 
+/// How the members of an earlier leader stand with their claims.
+struct ClaimCount {
+    /// How many had to claim.
+    expected: usize,
+    /// How many have, under whatever incarnation.
+    claimed: usize,
+    /// Whether nothing else can hold a lease or run.
+    all_claimed: bool,
+}
+
+impl ClaimCount {
+    fn has_majority(&self) -> bool {
+        self.expected == 0 || self.claimed * 2 > self.expected
+    }
+}
+
 impl LeaderState {
+    /// Starts to issue leases once the claims quorum stands. Before that a lease could go to a second holder
+    /// while the first one is merely slow to claim it.
     pub(super) fn open_if_due(&mut self, now: MonotonicTime, proof: &QuorumProof<'_>) {
         if self.claims.is_open || !proof.ready || self.configuration.document.is_none() {
             return;
         }
         if now.since(self.elected_at) > self.timing.drop_absent_after {
-            let current_incarnations = &self.members.current;
-            let (remaining, dropped): (BTreeSet<KnownMember>, BTreeSet<KnownMember>) =
-                std::mem::take(&mut self.claims.last_known)
-                    .into_iter()
-                    .partition(|known_member| {
-                        current_incarnations.contains_key(&known_member.member)
-                    });
-            self.members.changed |= !dropped.is_empty();
-            self.claims.last_known = remaining;
-            let dropped_listed = self.drop_missing_awaited();
-            let dropped_names: BTreeSet<MemberName> = dropped
-                .into_iter()
-                .map(|known| known.member)
-                .chain(dropped_listed.into_iter().map(|listed| listed.member))
-                .collect();
-            for dropped_name in dropped_names {
-                let fields = MemberFields {
-                    member: &dropped_name,
-                };
-                self.record_event(events::ABSENT_MEMBER_DROPPED, fields);
-            }
+            self.drop_absent_members();
         }
         if !self.claims.awaited_members.is_empty() {
             self.open_by_membership(now);
             return;
         }
-        let has_claimed = |known_member: &KnownMember| {
-            self.members
-                .records
-                .get(known_member)
-                .is_some_and(|record| record.claimed)
-        };
-        let has_successor_claimed = |known_member: &KnownMember| {
-            self.members
-                .current
-                .get(&known_member.member)
-                .is_some_and(&has_claimed)
+        let count = self.count_last_known();
+        let is_due = count.has_majority() && (count.all_claimed || self.has_waited_for_claims(now));
+        if self.claims.inherits_no_functions
+            || is_due
+            || !self.rules.enforces(Rule::ClaimsQuorumAwaited)
+        {
+            self.open(now, &count);
+        }
+    }
+
+    /// Members that have not come back for long no longer count for the majority; their leases are still
+    /// waited out.
+    fn drop_absent_members(&mut self) {
+        let current = &self.members.current;
+        let (remaining, dropped): (BTreeSet<KnownMember>, BTreeSet<KnownMember>) =
+            std::mem::take(&mut self.claims.last_known)
+                .into_iter()
+                .partition(|known_member| current.contains_key(&known_member.member));
+        self.members.changed |= !dropped.is_empty();
+        self.claims.last_known = remaining;
+        let dropped_listed = self.drop_missing_awaited();
+        let dropped_names: BTreeSet<MemberName> = dropped
+            .into_iter()
+            .map(|known| known.member)
+            .chain(dropped_listed.into_iter().map(|listed| listed.member))
+            .collect();
+        for dropped_name in dropped_names {
+            let fields = MemberFields {
+                member: &dropped_name,
+            };
+            self.record_event(events::ABSENT_MEMBER_DROPPED, fields);
+        }
+    }
+
+    /// Counts the claims of the members that heartbeats named, where no membership list is committed yet.
+    fn count_last_known(&self) -> ClaimCount {
+        let last_known = &self.claims.last_known;
+        let has_successor_claimed = |known: &&KnownMember| {
+            let current = self.members.current.get(&known.member);
+            current.is_some_and(|current| self.has_claimed(current))
         };
-        let claimed_count = self
+        let claims_or_restarted =
+            |known: &KnownMember| self.has_claimed(known) || self.has_restarted_and_claimed(known);
+        let is_list_new = self.runner_lists.listed_at >= self.last_known_settled_at();
+        ClaimCount {
+            expected: last_known.len(),
+            claimed: last_known.iter().filter(has_successor_claimed).count(),
+            all_claimed: self.claims.last_known_complete
+                && !last_known.is_empty()
+                && is_list_new
+                && last_known.iter().all(claims_or_restarted),
+        }
+    }
+
+    fn has_claimed(&self, known_member: &KnownMember) -> bool {
+        let record = self.members.records.get(known_member);
+        record.is_some_and(|record| record.claimed)
+    }
+
+    /// Whether another incarnation stands in the member's stead and has claimed.
+    fn has_restarted_and_claimed(&self, known: &KnownMember) -> bool {
+        let current = self.members.current.get(&known.member);
+        current.is_some_and(|restarted_member| {
+            known.is_other_incarnation_of(restarted_member) && self.has_claimed(restarted_member)
+        })
+    }
+
+    /// From which instant on the platform's list shows what restarted members left: starts that an earlier
+    /// incarnation requested may reach the platform a little after its end.
+    fn last_known_settled_at(&self) -> MonotonicTime {
+        let has_restarted = self
             .claims
             .last_known
             .iter()
-            .filter(|known| has_successor_claimed(known))
-            .count();
-        let has_majority =
-            self.claims.last_known.is_empty() || claimed_count * 2 > self.claims.last_known.len();
-        let is_restarted = |known: &KnownMember| {
-            let current_incarnation = self.members.current.get(&known.member);
-            current_incarnation.is_some_and(|restarted_member| {
-                known.is_other_incarnation_of(restarted_member) && has_claimed(restarted_member)
-            })
-        };
-        let has_restarted = self.claims.last_known.iter().any(&is_restarted);
-        let restart_settled_at = self.claims.member_restarted_at + self.timing.start_settle;
-        let list_complete_from = if has_restarted {
-            restart_settled_at.max(self.elected_at)
+            .any(|known| self.has_restarted_and_claimed(known));
+        if has_restarted {
+            let settled_at = self.claims.member_restarted_at + self.timing.start_settle;
+            settled_at.max(self.elected_at)
         } else {
             self.elected_at
-        };
-        let is_list_new = self.runner_lists.listed_at >= list_complete_from;
-        let all_claimed = self.claims.last_known_complete
-            && !self.claims.last_known.is_empty()
-            && is_list_new
-            && self
-                .claims
-                .last_known
-                .iter()
-                .all(|known| has_claimed(known) || is_restarted(known));
-        let full_wait_end = self.elected_at + self.timing.claims_wait;
-        let has_waited = now >= full_wait_end
-            && self.runner_lists.listed_at >= full_wait_end + self.timing.start_settle;
-        let is_due = has_majority && (all_claimed || has_waited);
-        if self.claims.inherits_no_functions
-            || is_due
-            || !self.rules.enforces(Rule::ClaimsQuorumAwaited)
-        {
-            self.open(
-                now,
-                self.claims.last_known.len(),
-                claimed_count,
-                all_claimed,
-            );
         }
     }
 
-    /// The committed roster names whoever may hold a grant: when each of them has claimed, or its place
-    /// has, nothing else holds anything. Those that do not come are waited for until their grants have
-    /// ended, and the platform's list shows what they left.
-    fn open_by_membership(&mut self, now: MonotonicTime) {
-        let claimed_count = self.count_claimed_names();
-        let has_majority = claimed_count * 2 > self.claims.awaited_members.len();
-        let all_claimed = self.have_all_awaited_claimed();
+    /// Whether all leases of earlier leaders have run out, and the platform's list shows what they left.
+    fn has_waited_for_claims(&self, now: MonotonicTime) -> bool {
         let full_wait_end = self.elected_at + self.timing.claims_wait;
-        let has_waited = now >= full_wait_end
-            && self.runner_lists.listed_at >= full_wait_end + self.timing.start_settle;
+        now >= full_wait_end
+            && self.runner_lists.listed_at >= full_wait_end + self.timing.start_settle
+    }
+
+    /// Opens by the committed membership list, which names every member that may hold a lease: when each
+    /// of them has claimed, or another incarnation at its address has, nothing else holds anything.
+    fn open_by_membership(&mut self, now: MonotonicTime) {
+        let count = ClaimCount {
+            expected: self.claims.awaited_members.len(),
+            claimed: self.count_claimed_names(),
+            all_claimed: self.have_all_awaited_claimed(),
+        };
+        let has_majority = count.has_majority();
         let skips_wait = has_majority && !self.rules.enforces(Rule::ListedMembersAwaited);
-        let is_due = all_claimed || (has_majority && has_waited);
+        let is_due = count.all_claimed || (has_majority && self.has_waited_for_claims(now));
         if is_due || skips_wait || !self.rules.enforces(Rule::ClaimsQuorumAwaited) {
-            if all_claimed {
+            if count.all_claimed {
                 self.runner_lists.complete_from = self.compute_list_complete_from();
             }
-            self.open(
-                now,
-                self.claims.awaited_members.len(),
-                claimed_count,
-                all_claimed,
-            );
+            self.open(now, &count);
         }
     }
 
-    fn open(&mut self, now: MonotonicTime, last_known: usize, claimed: usize, all_claimed: bool) {
+    fn open(&mut self, now: MonotonicTime, count: &ClaimCount) {
         self.claims.is_open = true;
+        self.claims.opened_at = now;
+        self.claims.all_claimed = count.all_claimed;
         self.runner_lists.requested_at = MonotonicTime::ZERO;
         self.members.changed = true;
         self.membership_list.check_due = true;
         self.acquisitions.check_due = true;
-        self.claims.opened_at = now;
-        self.claims.all_claimed = all_claimed;
         self.register_pending_list();
         let fields = ClaimsQuorumFields {
-            last_known,
-            claimed,
-            all_claimed,
+            last_known: count.expected,
+            claimed: count.claimed,
+            all_claimed: count.all_claimed,
             waited_ms: now.since(self.elected_at).as_millis() as u64,
             functions: self.lease_records.len(),
         };
         self.record_event(events::CLAIMS_QUORUM_REACHED, fields);
     }
 
-    /// The lists are asked for at the election, and again from the opening on until everything is known
-    /// that earlier lives left.
+    /// Requests the platform's lists at the election, and again from the opening on until they show
+    /// everything that earlier incarnations left.
     pub(super) fn request_lists(&mut self, now: MonotonicTime) {
         let is_wanted = self.runner_lists.requested_at == MonotonicTime::ZERO
             || (self.claims.is_open && !self.is_runner_list_complete());
@@ -201,10 +225,10 @@
         }
     }
 
-    /// From when on transactions that may run only once are safe with a function never granted by
-    /// this leader: whoever held it had stopped when the claims quorum stood, or when every grant of
-    /// an earlier leader had ended. A function that is
-    /// younger than this reign was held by nobody.
+    /// From which instant on requests that must not run twice are safe with a function that this leader has
+    /// not leased yet: its holder had stopped when the claims quorum stood, or when every lease of an earlier
+    /// leader had ended, and what it accepted may be under way for the longest delay after that. A function
+    /// younger than this term had no holder.
     pub(super) fn once_safe_from(&self, function: &FunctionKey) -> MonotonicTime {
         if function.generation > self.claims.inherited_version {
             return MonotonicTime::ZERO;
@@ -216,9 +240,9 @@
         stopped_at + self.longest_delay()
     }
 
-    /// How long a transaction may be under way: its budget, and a member grant for which a daemon
-    /// on its way may have been frozen without losing the right to pass it on.
-    pub(super) fn longest_delay(&self) -> std::time::Duration {
+    /// How long a request may be under way: its time-out, and one session lease, for which a member that
+    /// forwards it may be frozen without losing the right to do so.
+    pub(super) fn longest_delay(&self) -> Duration {
         self.configuration.longest_timeout + self.timing.lease_length
     }
 }
--- a/crates/controlplane/src/leader_state/host_list.rs
+++ b/crates/controlplane/src/leader_state/host_list.rs
@@ -4,30 +4,86 @@
 use super::{LeaderState, StreamId};
 use common::clock::MonotonicTime;
 use common::events;
-use common::frames::{Host, KnownMember, LeaderToDaemon, LengthPrefixed, MemberIncarnation};
+use common::frames::{Host, LeaderToDaemon, LengthPrefixed, MemberIncarnation};
 use common::identity::MemberName;
 use common::ring::candidate_hosts;
 use std::collections::{BTreeMap, BTreeSet};
+use std::time::Duration;
 
-/// A daemon that its watchers miss counts as silent when its stream has brought nothing for so long.
-const SUSPECTED_AFTER: std::time::Duration = std::time::Duration::from_millis(700);
-const HOST_LIST_PUSH_INTERVAL: std::time::Duration = std::time::Duration::from_millis(100);
+/// A member that failure detectors report counts as suspected when its stream has brought nothing for this long.
+const SUSPECTED_AFTER: Duration = Duration::from_millis(700);
+/// Changes of the host list are gathered this long before they are pushed together.
+const HOST_LIST_PUSH_INTERVAL: Duration = Duration::from_millis(100);
 
 /// The host list as it was pushed, and what has to be pushed next.
 #[derive(Default)]
 pub(super) struct HostList {
     pub push_due: bool,
     pushed_at: MonotonicTime,
-    pub pushed: PushedHosts,
+    pushed: PushedHosts,
     /// The members that failure detectors report; they count as suspected when their streams are silent too.
-    pub reported_suspects: BTreeSet<MemberIncarnation>,
+    reported_suspects: BTreeSet<MemberIncarnation>,
     suspected: BTreeSet<MemberIncarnation>,
 }
 
-/// The host list as it was last pushed: its number, the daemons, those that watchers miss, and those that
+impl HostList {
+    /// Whether functions go to other members than this one because its link is so much narrower than theirs.
+    pub fn passes_over(&self, member: &MemberName) -> bool {
+        self.pushed.passed_over.contains(member)
+    }
+
+    /// A member has opened a stream: earlier reports on it no longer count, and it needs the list.
+    pub fn member_connected(&mut self, member: &MemberName) {
+        self.reported_suspects
+            .retain(|instance| instance.member != *member);
+        self.push_due = true;
+    }
+
+    /// The frames for members that have the list as it was last pushed, and for all others.
+    fn frames(&self, hosts: &BTreeMap<MemberName, Host>) -> HostFrames {
+        let pushed = &self.pushed;
+        let put: Vec<Host> = hosts
+            .values()
+            .filter(|host| pushed.hosts.get(&host.member) != Some(host))
+            .cloned()
+            .collect();
+        let removed: Vec<MemberName> = pushed
+            .hosts
+            .keys()
+            .filter(|member| !hosts.contains_key(*member))
+            .cloned()
+            .collect();
+        let has_changed =
+            !put.is_empty() || !removed.is_empty() || pushed.suspected != self.suspected;
+        let number = pushed.number + u64::from(has_changed);
+        HostFrames {
+            number,
+            delta: LeaderToDaemon::HostsDelta {
+                number,
+                put: LengthPrefixed(put),
+                removed: LengthPrefixed(removed),
+                suspected: LengthPrefixed(self.suspected.iter().cloned().collect()),
+            },
+            full_list: LeaderToDaemon::Hosts {
+                number,
+                hosts: LengthPrefixed(hosts.values().cloned().collect()),
+                suspected: LengthPrefixed(self.suspected.iter().cloned().collect()),
+            },
+        }
+    }
+}
+
+/// One push of the host list.
+struct HostFrames {
+    number: u64,
+    delta: LeaderToDaemon,
+    full_list: LeaderToDaemon,
+}
+
+/// The host list as it was last pushed: its number, the hosts, the suspected members, and the members that
 /// functions pass over for others on wider links.
 #[derive(Default)]
-pub(super) struct PushedHosts {
+struct PushedHosts {
     number: u64,
     hosts: BTreeMap<MemberName, Host>,
     suspected: BTreeSet<MemberIncarnation>,
@@ -62,22 +118,17 @@
             passed_over,
         }
     }
-
-    /// Whether functions go to others than this daemon because its link is so much narrower.
-    pub(super) fn passes_over(&self, member: &MemberName) -> bool {
-        self.passed_over.contains(member)
-    }
 }
 
 impl LeaderState {
-    /// A watcher misses a daemon.
+    /// A failure detector reports that it no longer hears a member.
     pub(super) fn handle_suspicion(&mut self, stream: StreamId, instance: MemberIncarnation) {
         if self.members.streams.contains_key(&stream) && self.is_current_incarnation(&instance) {
             self.hosts.reported_suspects.insert(instance);
         }
     }
 
-    /// A watcher hears it again, or it speaks for itself.
+    /// A failure detector hears a member again.
     pub(super) fn handle_suspicion_cleared(&mut self, instance: &MemberIncarnation) {
         self.hosts.reported_suspects.remove(instance);
     }
@@ -87,72 +138,57 @@
         known_member.is_some_and(|known| known.incarnation == instance.incarnation)
     }
 
-    /// Silent is whom its watchers miss while its stream has brought nothing either.
-    fn update_suspected_members(&mut self, now: MonotonicTime) {
-        let reported_suspects = std::mem::take(&mut self.hosts.reported_suspects);
-        self.hosts.reported_suspects = reported_suspects
-            .into_iter()
-            .filter(|instance| self.is_current_incarnation(instance))
-            .collect();
+    /// The reported members whose streams have brought nothing lately either. One without the other is no sign
+    /// of failure: the detector's own link may be cut, and a stream may be idle.
+    fn silent_suspects(&self, now: MonotonicTime) -> BTreeSet<MemberIncarnation> {
         let has_recent_frame = |instance: &MemberIncarnation| {
-            let record = self
-                .members
-                .current
-                .get(&instance.member)
-                .and_then(|known| self.members.records.get(known));
+            let record = self.members.current_record(&instance.member);
             record.is_some_and(|record| now.since(record.last_frame_at) < SUSPECTED_AFTER)
         };
-        let suspected: BTreeSet<MemberIncarnation> = self
-            .hosts
+        self.hosts
             .reported_suspects
             .iter()
             .filter(|instance| !has_recent_frame(instance))
             .cloned()
+            .collect()
+    }
+
+    fn update_suspected_members(&mut self, now: MonotonicTime) {
+        let reported_suspects = std::mem::take(&mut self.hosts.reported_suspects);
+        self.hosts.reported_suspects = reported_suspects
+            .into_iter()
+            .filter(|instance| self.is_current_incarnation(instance))
             .collect();
+        let suspected = self.silent_suspects(now);
         if suspected == self.hosts.suspected {
             return;
         }
         self.hosts.push_due = true;
-        let previously_suspected = std::mem::replace(&mut self.hosts.suspected, suspected);
-        for instance in self
-            .hosts
-            .suspected
-            .difference(&previously_suspected)
-            .cloned()
-            .collect::<Vec<MemberIncarnation>>()
-        {
-            let fields = MemberFields {
-                member: &instance.member,
-            };
-            self.record_event(events::MEMBER_SUSPECTED, fields);
+        let previously_suspected = std::mem::replace(&mut self.hosts.suspected, suspected.clone());
+        for instance in suspected.difference(&previously_suspected) {
+            let member = &instance.member;
+            self.record_event(events::MEMBER_SUSPECTED, MemberFields { member });
         }
-        for instance in previously_suspected
-            .difference(&self.hosts.suspected)
-            .cloned()
-            .collect::<Vec<MemberIncarnation>>()
-        {
-            let fields = MemberFields {
-                member: &instance.member,
-            };
-            self.record_event(events::MEMBER_RECOVERED, fields);
+        for instance in previously_suspected.difference(&suspected) {
+            let member = &instance.member;
+            self.record_event(events::MEMBER_RECOVERED, MemberFields { member });
         }
     }
 
-    /// A change of the host list did not fit what a daemon has.
+    /// A delta of the host list did not fit what a member has: it gets the complete list.
     pub(super) fn handle_full_hosts_request(&mut self, stream: StreamId) {
-        if let Some(known_member) = self.members.streams.get(&stream)
-            && let Some(record) = self.members.records.get_mut(known_member)
-        {
+        if let Some((_, record)) = self.members.on_stream_mut(stream) {
             record.pushed_hosts_number = 0;
             self.hosts.push_due = true;
         }
     }
 
-    /// Tells every daemon who there is, changes of a tenth of a second at once: a fresh stream gets the
-    /// whole list, all others what has changed since they were last told.
+    /// Pushes the host list to every member that lacks the newest one. A member that has the list pushed before
+    /// gets the delta, all others the complete list.
     pub(super) fn push_hosts(&mut self, now: MonotonicTime) {
         self.update_suspected_members(now);
-        if !self.hosts.push_due || now.since(self.hosts.pushed_at) < HOST_LIST_PUSH_INTERVAL {
+        let is_too_early = now.since(self.hosts.pushed_at) < HOST_LIST_PUSH_INTERVAL;
+        if !self.hosts.push_due || is_too_early {
             return;
         }
         self.hosts.push_due = false;
@@ -164,65 +200,30 @@
             .filter_map(|known_member| self.members.records.get(known_member))
             .map(|record| (record.host.member.clone(), record.host.clone()))
             .collect();
-        let pushed = &self.hosts.pushed;
-        let put: Vec<Host> = hosts
-            .values()
-            .filter(|host| pushed.hosts.get(&host.member) != Some(host))
-            .cloned()
-            .collect();
-        let removed: Vec<MemberName> = pushed
-            .hosts
-            .keys()
-            .filter(|member| !hosts.contains_key(*member))
-            .cloned()
-            .collect();
-        let has_changed =
-            !put.is_empty() || !removed.is_empty() || pushed.suspected != self.hosts.suspected;
-        let number = if has_changed {
-            pushed.number + 1
-        } else {
-            pushed.number
-        };
-        let suspected = LengthPrefixed(self.hosts.suspected.iter().cloned().collect());
-        let change = LeaderToDaemon::HostsDelta {
-            number,
-            put: LengthPrefixed(put),
-            removed: LengthPrefixed(removed),
-            suspected: LengthPrefixed(self.hosts.suspected.iter().cloned().collect()),
-        };
-        let full_list = LeaderToDaemon::Hosts {
-            number,
-            hosts: LengthPrefixed(hosts.values().cloned().collect()),
-            suspected,
-        };
-        let pushed_number = std::mem::replace(
-            &mut self.hosts.pushed,
-            PushedHosts::new(number, hosts, self.hosts.suspected.clone()),
-        )
-        .number;
-        let open_streams: Vec<(StreamId, KnownMember)> = self
-            .members
-            .streams
-            .iter()
-            .map(|(stream, known)| (*stream, known.clone()))
-            .collect();
-        for (open_stream, known_member) in open_streams {
-            let Some(record) = self.members.records.get_mut(&known_member) else {
+        let frames = self.hosts.frames(&hosts);
+        let suspected = self.hosts.suspected.clone();
+        let newly_pushed = PushedHosts::new(frames.number, hosts, suspected);
+        let earlier_number = std::mem::replace(&mut self.hosts.pushed, newly_pushed).number;
+        self.send_host_frames(&frames, earlier_number);
+    }
+
+    fn send_host_frames(&mut self, frames: &HostFrames, earlier_number: u64) {
+        let open_streams: Vec<StreamId> = self.members.streams.keys().copied().collect();
+        for open_stream in open_streams {
+            let Some((_, record)) = self.members.on_stream_mut(open_stream) else {
                 continue;
             };
-            let last_pushed_number = std::mem::replace(&mut record.pushed_hosts_number, number);
-            if last_pushed_number == number {
+            let member_number = std::mem::replace(&mut record.pushed_hosts_number, frames.number);
+            if member_number == frames.number {
                 continue;
             }
-            let is_next = last_pushed_number > 0 && last_pushed_number == pushed_number;
-            self.send_frame(
-                open_stream,
-                if is_next {
-                    change.clone()
-                } else {
-                    full_list.clone()
-                },
-            );
+            let has_earlier_list = member_number > 0 && member_number == earlier_number;
+            let frame = if has_earlier_list {
+                &frames.delta
+            } else {
+                &frames.full_list
+            };
+            self.send_frame(open_stream, frame.clone());
         }
     }
 }
--- a/crates/controlplane/src/leader_state/link_moves.rs
+++ b/crates/controlplane/src/leader_state/link_moves.rs
@@ -1,6 +1,6 @@
-//! Keeps functions off narrow links. While daemons join a new leader, the host list that they are told may hold
-//! too few hosts on wide links, and hosts on narrow ones ask for functions. Once enough wide ones stand in it,
-//! such a question waits for one of theirs, and what hosts on narrow links hold is handed over.
+//! Keeps functions off narrow links. While members join a new leader, the host list that they get may name too
+//! few hosts on wide links, so that hosts on narrow ones request functions. Once enough wide ones stand in the
+//! list, such a request waits for one of theirs, and functions held on narrow links are handed over.
 
 use super::{LeaderState, PendingAcquisition};
 use common::clock::MonotonicTime;
@@ -10,20 +10,21 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Holders on narrow links are looked for so often.
+/// Holders on narrow links are looked for this often.
 const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// So many functions are handed over at one look, those with the most runners first.
+/// At most this many functions are handed over per check, those with the most runners first.
 const MAX_MOVES_PER_CHECK: usize = 16;
 
-/// A function is handed over once in so long: where its next holder is on a narrow link again, a daemon that
-/// asks sees other hosts than the leader does.
+/// A function is handed over at most once in this time. If its next holder is on a narrow link again, the member
+/// that requested it sees other hosts than the leader does, and another move would not help.
 const MOVE_COOLDOWN: Duration = Duration::from_secs(10);
 
-/// A question from a host on a narrow link waits so long for one from a wide link; a daemon that still asks
-/// sees other hosts than the leader does.
+/// How long a request from a host on a narrow link waits for one from a wide link. After that it is granted:
+/// the requester sees other hosts than the leader does.
 const NARROW_LINK_REQUEST_DELAY: Duration = Duration::from_millis(1000);
 
+/// A lease that is to be handed over.
 struct LeaseMove {
     function: FunctionKey,
     fencing_token: FencingToken,
@@ -46,7 +47,7 @@
 }
 
 impl LeaderState {
-    /// Whether a question waits for one from a host on a wide link.
+    /// Whether a request waits for one from a host on a wide link.
     pub(super) fn waits_for_wide_link_requester(
         &self,
         now: MonotonicTime,
@@ -56,11 +57,11 @@
             return false;
         };
         let waits_since = acquisition.requested_at.max(self.claims.opened_at);
-        self.hosts.pushed.passes_over(&requester.member)
+        self.hosts.passes_over(&requester.member)
             && now.since(waits_since) < NARROW_LINK_REQUEST_DELAY
     }
 
-    /// Asks holders on narrow links for some of their functions while others should hold them.
+    /// Has holders on narrow links hand over some of their functions while others should hold them.
     pub(super) fn move_off_narrow_links(&mut self, now: MonotonicTime) {
         if !self.claims.is_open || now.since(self.link_moves.checked_at) < CHECK_INTERVAL {
             return;
@@ -99,7 +100,7 @@
             .lease_records
             .iter()
             .filter(|(_, entry)| !entry.handing_over && entry.fencing_since.is_none())
-            .filter(|(_, entry)| self.hosts.pushed.passes_over(&entry.holder.member))
+            .filter(|(_, entry)| self.hosts.passes_over(&entry.holder.member))
             .filter(|(_, entry)| self.is_serving(&entry.holder, now))
             .filter(|(function, _)| !self.link_moves.moved_off_at.contains_key(*function))
             .map(|(function, entry)| LeaseMove {
--- a/crates/controlplane/src/leader_state/members.rs
+++ b/crates/controlplane/src/leader_state/members.rs
@@ -7,30 +7,106 @@
 use common::frames::{Flag, Host, KnownMember, LeaderToDaemon, SocketAddress};
 use common::identity::{MemberName, Version};
 use std::collections::BTreeMap;
+use std::time::Duration;
 
-/// Daemons that are gone are looked for so often.
-const MEMBER_EXPIRY_INTERVAL: std::time::Duration = std::time::Duration::from_millis(50);
+/// Members that are gone are looked for this often.
+const MEMBER_EXPIRY_INTERVAL: Duration = Duration::from_millis(50);
+
+/// What is known of one incarnation of a member.
 pub(super) struct MemberRecord {
+    /// As other members see it: not eligible while its zone is evacuated.
     pub host: Host,
+    /// Where it listens for callers.
     pub ingress: SocketAddress,
     pub stream: Option<StreamId>,
+    /// Whether the member itself is ready to hold functions, whatever becomes of its zone.
     pub is_self_eligible: bool,
+    /// Until when the member may use its session lease, by this clock.
     pub lease_expires_at: MonotonicTime,
+    /// From when on the member surely no longer uses the lease, however its clock drifts. Nothing that it
+    /// held goes to another before this.
     pub lease_expiry_bound: MonotonicTime,
+    /// The newest version that the member has installed.
     pub installed: Version,
+    /// The newest version that was sent on its stream.
     pub pushed: Version,
+    /// Whether it has claimed what it holds from earlier leaders.
     pub claimed: bool,
+    /// When it last said hello, claimed or renewed its lease.
     pub last_heard_at: MonotonicTime,
+    /// Whether the end of its lease has been dealt with.
     pub swept: bool,
     pub joined_at: MonotonicTime,
+    /// The latest instant at which the incarnation may have started.
     pub started_at: MonotonicTime,
+    /// Whether the incarnation ever had a session lease.
     pub had_lease: bool,
+    /// When its stream last brought a frame.
     pub last_frame_at: MonotonicTime,
+    /// The number of the host list that was last pushed to it; 0 asks for the complete list.
     pub pushed_hosts_number: u64,
+    /// Whether it announced that it leaves.
     pub has_departed: bool,
 }
 
-/// What a daemon says of its present life.
+impl MemberRecord {
+    /// A member that has just said hello for the first time.
+    fn new(
+        now: MonotonicTime,
+        host: Host,
+        ingress: SocketAddress,
+        version: Version,
+        history: &IncarnationHistory,
+    ) -> Self {
+        Self {
+            is_self_eligible: host.eligible.0,
+            host,
+            ingress,
+            stream: None,
+            lease_expires_at: MonotonicTime::ZERO,
+            lease_expiry_bound: MonotonicTime::ZERO,
+            installed: version,
+            pushed: version,
+            claimed: false,
+            last_heard_at: now,
+            swept: false,
+            joined_at: now,
+            started_at: history.started_at,
+            had_lease: history.had_lease,
+            last_frame_at: now,
+            pushed_hosts_number: 0,
+            has_departed: false,
+        }
+    }
+
+    /// The member says hello on a stream, with the version that it has installed.
+    fn connect(
+        &mut self,
+        now: MonotonicTime,
+        stream: StreamId,
+        host: Host,
+        ingress: SocketAddress,
+        version: Version,
+    ) {
+        self.stream = Some(stream);
+        self.host = host;
+        self.ingress = ingress;
+        self.installed = version;
+        self.pushed = version;
+        self.last_heard_at = now;
+        self.last_frame_at = now;
+        self.pushed_hosts_number = 0;
+        self.has_departed = false;
+    }
+
+    /// The member takes no functions any more.
+    fn make_ineligible(&mut self) {
+        self.is_self_eligible = false;
+        self.host.eligible = Flag(false);
+    }
+}
+
+/// What a member reports of its incarnation when it says hello.
 pub(super) struct IncarnationHistory {
     pub started_at: MonotonicTime,
     pub had_lease: bool,
@@ -56,9 +132,41 @@
             next_expiry_at: MonotonicTime::ZERO,
         }
     }
+
+    /// Makes the stream the one that the member is reached on.
+    fn attach(&mut self, stream: StreamId, known_member: &KnownMember) {
+        let record = self.records.get(known_member);
+        if let Some(earlier_stream) = record.and_then(|record| record.stream) {
+            self.streams.remove(&earlier_stream);
+        }
+        self.streams.insert(stream, known_member.clone());
+        self.current
+            .insert(known_member.member.clone(), known_member.clone());
+    }
+
+    /// The member on a stream, with its record.
+    pub fn on_stream_mut(&mut self, stream: StreamId) -> Option<(&KnownMember, &mut MemberRecord)> {
+        let known_member = self.streams.get(&stream)?;
+        Some((known_member, self.records.get_mut(known_member)?))
+    }
+
+    /// The record of the member that goes by a name at present.
+    pub fn current_record(&self, member: &MemberName) -> Option<&MemberRecord> {
+        self.records.get(self.current.get(member)?)
+    }
+
+    fn remove(&mut self, gone_member: &KnownMember) -> Option<MemberRecord> {
+        let record = self.records.remove(gone_member);
+        if self.current.get(&gone_member.member) == Some(gone_member) {
+            self.current.remove(&gone_member.member);
+        }
+        self.changed = true;
+        record
+    }
 }
 
 impl LeaderState {
+    /// A member opens its stream: whatever stood on an earlier stream of it, or with an earlier incarnation, ends.
     pub(super) fn handle_hello(
         &mut self,
         now: MonotonicTime,
@@ -83,62 +191,21 @@
         if is_restarted && !self.members.records.contains_key(&known_member) {
             self.claims.member_restarted_at = now;
         }
-        let earlier_stream = self
-            .members
-            .records
-            .get(&known_member)
-            .and_then(|record| record.stream);
-        if let Some(earlier_stream) = earlier_stream {
-            self.members.streams.remove(&earlier_stream);
-        }
-        self.members.streams.insert(stream, known_member.clone());
-        self.members
-            .current
-            .insert(host.member.clone(), known_member.clone());
+        self.members.attach(stream, &known_member);
         let is_self_eligible = host.eligible.0;
-        let eligible = Flag(is_self_eligible && !self.is_evacuated(&host.zone));
-        let record = self
-            .members
-            .records
-            .entry(known_member)
-            .or_insert(MemberRecord {
-                host: host.clone(),
-                ingress,
-                stream: None,
-                is_self_eligible,
-                lease_expires_at: MonotonicTime::ZERO,
-                lease_expiry_bound: MonotonicTime::ZERO,
-                installed: version,
-                pushed: version,
-                claimed: false,
-                last_heard_at: now,
-                swept: false,
-                joined_at: now,
-                started_at: history.started_at,
-                had_lease: history.had_lease,
-                last_frame_at: now,
-                pushed_hosts_number: 0,
-                has_departed: false,
+        let shown_host = Host {
+            eligible: Flag(is_self_eligible && !self.is_evacuated(&host.zone)),
+            ..host.clone()
+        };
+        let record =
+            self.members.records.entry(known_member).or_insert_with(|| {
+                MemberRecord::new(now, host.clone(), ingress, version, &history)
             });
+        record.is_self_eligible = is_self_eligible;
+        record.connect(now, stream, shown_host, ingress, version);
         self.members.changed = true;
         self.membership_list.check_due = true;
-        record.stream = Some(stream);
-        record.is_self_eligible = is_self_eligible;
-        record.host = Host {
-            eligible,
-            ..host.clone()
-        };
-        record.ingress = ingress;
-        record.installed = version;
-        record.pushed = version;
-        record.last_heard_at = now;
-        record.pushed_hosts_number = 0;
-        record.has_departed = false;
-        record.last_frame_at = now;
-        self.hosts
-            .reported_suspects
-            .retain(|instance| instance.member != host.member);
-        self.hosts.push_due = true;
+        self.hosts.member_connected(&host.member);
         self.send_frame(
             stream,
             LeaderToDaemon::Welcome {
@@ -154,8 +221,8 @@
         self.record_event(events::MEMBER_CONNECTED, fields);
     }
 
-    /// A new life at the same place holds that place's port: the earlier one is gone, and its grant with
-    /// it.
+    /// Ends the earlier incarnations of a member. The new one holds the port of their address, so they are
+    /// gone, and their session leases with them.
     fn end_earlier_incarnations(&mut self, now: MonotonicTime, restarted_member: &KnownMember) {
         let earlier_incarnations: Vec<KnownMember> = self
             .members
@@ -171,8 +238,7 @@
             };
             record.lease_expires_at = record.lease_expires_at.min(now);
             record.lease_expiry_bound = record.lease_expiry_bound.min(now);
-            record.is_self_eligible = false;
-            record.host.eligible = Flag(false);
+            record.make_ineligible();
             if let Some(earlier_stream) = record.stream.take() {
                 self.members.streams.remove(&earlier_stream);
                 self.acquisitions.forget(earlier_stream);
@@ -182,10 +248,9 @@
         }
     }
 
+    /// A member has installed a version; renewals may wait for that.
     pub(super) fn handle_installed(&mut self, stream: StreamId, version: Version) {
-        if let Some(known_member) = self.members.streams.get(&stream)
-            && let Some(record) = self.members.records.get_mut(known_member)
-        {
+        if let Some((known_member, record)) = self.members.on_stream_mut(stream) {
             let is_newer = record.installed < version;
             record.installed = record.installed.max(version);
             if is_newer {
@@ -200,13 +265,13 @@
         }
     }
 
+    /// A member leaves in order: it gives up its session lease and takes no functions any more.
     pub(super) fn handle_leaving(&mut self, now: MonotonicTime, stream: StreamId) {
-        let Some(known_member) = self.members.streams.get(&stream).cloned() else {
+        if !self.members.streams.contains_key(&stream) {
             return;
-        };
-        if let Some(record) = self.members.records.get_mut(&known_member) {
-            record.is_self_eligible = false;
-            record.host.eligible = Flag(false);
+        }
+        if let Some((_, record)) = self.members.on_stream_mut(stream) {
+            record.make_ineligible();
             record.lease_expires_at = now;
             record.lease_expiry_bound = now;
             record.swept = false;
@@ -217,6 +282,8 @@
         self.renewals.forget(stream);
     }
 
+    /// Forgets members without stream and lease once they hold nothing: at once if they left in order, else
+    /// after a while.
     pub(super) fn expire_members(&mut self, now: MonotonicTime) {
         if now < self.members.next_expiry_at {
             return;
@@ -236,31 +303,19 @@
             .filter(|known_member| !self.lease_records.holds_any(known_member))
             .collect();
         for gone_member in gone_members {
-            self.forget_member(now, &gone_member);
-            if self.members.current.get(&gone_member.member) == Some(&gone_member) {
-                self.members.current.remove(&gone_member.member);
+            let record = self.members.remove(&gone_member);
+            self.pressure.idle_since.remove(&gone_member);
+            if record.is_some_and(|record| record.has_departed) {
+                self.note_departed(now, &gone_member);
             }
             self.hosts.push_due = true;
-            self.members.changed = true;
             self.membership_list.check_due = true;
         }
     }
 
-    fn forget_member(&mut self, now: MonotonicTime, gone_member: &KnownMember) {
-        let Some(record) = self.members.records.remove(gone_member) else {
-            return;
-        };
-        self.pressure.idle_since.remove(gone_member);
-        if record.has_departed {
-            self.note_departed(now, gone_member);
-        }
-    }
-
-    /// Something came in on a daemon's stream: it is alive.
+    /// A frame came in on a member's stream: the member is alive.
     pub(super) fn note_frame_received(&mut self, now: MonotonicTime, stream: StreamId) {
-        if let Some(known_member) = self.members.streams.get(&stream)
-            && let Some(record) = self.members.records.get_mut(known_member)
-        {
+        if let Some((_, record)) = self.members.on_stream_mut(stream) {
             record.last_frame_at = now;
         }
     }
