--- a/crates/controlplane/src/leader_state/mod.rs
+++ b/crates/controlplane/src/leader_state/mod.rs
@@ -1,12 +1,12 @@
 //! The leader's leader state: members and their grants, function grants, workers. All of it in memory.
 
+mod acquisitions;
 mod claims;
 mod claims_quorum;
 mod document_delivery;
 mod events;
 mod fence;
 mod function_leases;
-mod functions;
 mod host_list;
 mod ledger_replicas;
 mod link_moves;
@@ -26,6 +26,7 @@
 pub use output::{EventRecord, LeaderOutput, StreamId, TraceStep};
 pub use timing::LeaderTiming;
 
+use acquisitions::{Acquisitions, OnceDelays, PendingAcquisition};
 use claims_quorum::ClaimsQuorum;
 use common::clock::MonotonicTime;
 use common::frames::{DaemonToLeader, KnownMember, LeaderToDaemon};
@@ -36,7 +37,6 @@
 use events::{EventFields, MemberFields};
 use fence::Fencing;
 use function_leases::{FunctionLeases, LeaseRecord};
-use functions::{Acquisitions, OnceDelays, PendingAcquisition};
 use host_list::HostList;
 use link_moves::LinkMoves;
 use members::{IncarnationHistory, Members};
