--- /dev/null
+++ b/crates/controlplane/src/leader_state/adoption.rs
@@ -0,0 +1,74 @@
+//! Orphaned runners: a lost holder's runners wait for the function's next holder, which adopts them.
+
+use super::LeaderState;
+use common::frames::ClaimedRunner;
+use common::identity::{FencingToken, FunctionKey, RunnerId};
+use common::rules::Rule;
+
+impl LeaderState {
+    /// Whether every orphaned runner of a function can still be adopted; those that cannot are stopped first.
+    pub(super) fn check_orphans(&mut self, function: &FunctionKey) -> bool {
+        let unadoptable_runners: Vec<RunnerId> = self
+            .reservations
+            .all_of(function)
+            .filter(|(_, reservation)| reservation.is_orphaned())
+            .filter(|(_, reservation)| {
+                !reservation.is_adoptable()
+                    || (self.workers.are_listed && !self.is_worker_usable(&reservation.worker))
+            })
+            .map(|(runner, _)| runner)
+            .collect();
+        for unadoptable_runner in &unadoptable_runners {
+            self.reservations.want_stop(*unadoptable_runner);
+        }
+        unadoptable_runners.is_empty() || !self.rules.enforces(Rule::FenceBeforeRegrant)
+    }
+
+    /// Whether no runner is left that may belong to an earlier holder of this regional key. The platform may not
+    /// report under which key a runner was started, so that it is recorded under the key of all regions; before a
+    /// region's key is leased such runners are stopped.
+    pub(super) fn check_unknown_keys(&mut self, function: &FunctionKey) -> bool {
+        let unknown_runners = self.reservations.with_unknown_key(function);
+        let orphaned_runners = unknown_runners.iter().filter(|runner| {
+            self.reservations
+                .get(**runner)
+                .is_some_and(|reservation| reservation.is_orphaned())
+        });
+        for orphaned_runner in orphaned_runners.copied().collect::<Vec<RunnerId>>() {
+            self.reservations.want_stop(orphaned_runner);
+        }
+        unknown_runners.is_empty() || !self.rules.enforces(Rule::FenceBeforeRegrant)
+    }
+
+    /// Gives the orphaned runners of a function to its next holder, under names with the new fencing token.
+    pub(super) fn adopt_orphans(
+        &mut self,
+        function: &FunctionKey,
+        fencing_token: FencingToken,
+    ) -> Vec<ClaimedRunner> {
+        let orphaned_runners: Vec<RunnerId> = self
+            .reservations
+            .all_of(function)
+            .filter(|(_, reservation)| reservation.is_orphaned())
+            .map(|(runner, _)| runner)
+            .collect();
+        let is_once = self.rules.enforces(Rule::InstanceAdoptedOnce);
+        let mut adopted = Vec::new();
+        for orphaned_runner in orphaned_runners {
+            let runner = RunnerId {
+                fencing_token,
+                ordinal: self.next_fencing_token().0,
+            };
+            if is_once {
+                self.reservations.adopt(orphaned_runner, runner);
+            } else {
+                self.reservations
+                    .adopt_without_transfer(orphaned_runner, runner);
+            }
+            if let Some(reservation) = self.reservations.get(runner) {
+                adopted.push(reservation.as_claim(runner));
+            }
+        }
+        adopted
+    }
+}
--- a/crates/controlplane/src/leader_state/claims.rs
+++ b/crates/controlplane/src/leader_state/claims.rs
@@ -177,15 +177,12 @@
             return;
         }
         if !is_same {
-            let entry = LeaseRecord {
-                holder: claimant.clone(),
-                fencing_token: claim.fencing_token,
-                fencing_since: None,
-                lost_lease_end: None,
-                handing_over: false,
-                replica: claim.replica.0.first().cloned(),
-                complete: claim.complete.0,
-            };
+            let entry = LeaseRecord::new(
+                claimant.clone(),
+                claim.fencing_token,
+                claim.replica.0.first().cloned(),
+                claim.complete.0,
+            );
             self.lease_records.insert(claim.function.clone(), entry);
         }
         if let Some(record) = self.members.records.get_mut(claimant) {
--- a/crates/controlplane/src/leader_state/claims_quorum.rs
+++ b/crates/controlplane/src/leader_state/claims_quorum.rs
@@ -6,7 +6,7 @@
 use common::clock::MonotonicTime;
 use common::events;
 use common::frames::KnownMember;
-use common::identity::{FunctionKey, MemberName, Version};
+use common::identity::{MemberName, Version};
 use common::rules::Rule;
 use common::spec::ListedMember;
 use std::collections::BTreeSet;
@@ -54,6 +54,13 @@
             inherits_no_functions: false,
         }
     }
+
+    /// Whether a claim is awaited from another incarnation of a member.
+    pub fn expects_other_incarnation_of(&self, known_member: &KnownMember) -> bool {
+        self.last_known
+            .iter()
+            .any(|known| known.is_other_incarnation_of(known_member))
+    }
 }
 
 /// How the members of an earlier leader stand with their claims.
@@ -224,25 +231,4 @@
             self.outputs.push(LeaderOutput::RequestLists);
         }
     }
-
-    /// From which instant on requests that must not run twice are safe with a function that this leader has
-    /// not leased yet: its holder had stopped when the claims quorum stood, or when every lease of an earlier
-    /// leader had ended, and what it accepted may be under way for the longest delay after that. A function
-    /// younger than this term had no holder.
-    pub(super) fn once_safe_from(&self, function: &FunctionKey) -> MonotonicTime {
-        if function.generation > self.claims.inherited_version {
-            return MonotonicTime::ZERO;
-        }
-        let stopped_at = self
-            .claims
-            .opened_at
-            .min(self.elected_at + self.timing.full_lease_wait());
-        stopped_at + self.longest_delay()
-    }
-
-    /// How long a request may be under way: its time-out, and one session lease, for which a member that
-    /// forwards it may be frozen without losing the right to do so.
-    pub(super) fn longest_delay(&self) -> Duration {
-        self.configuration.longest_timeout + self.timing.lease_length
-    }
 }
--- a/crates/controlplane/src/leader_state/function_leases.rs
+++ b/crates/controlplane/src/leader_state/function_leases.rs
@@ -1,24 +1,48 @@
-//! The function grants that stand, by function and by holder: what concerns one holder costs what that one
-//! holds, not what the fleet holds.
+//! The function leases that stand, by function and by holder: an operation on one holder costs as much as that
+//! one holds, not as much as all of them.
 
 use common::clock::MonotonicTime;
 use common::frames::{Host, KnownMember};
 use common::identity::{FencingToken, FunctionKey};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A function's grant to one daemon.
+/// The lease of a function to one member.
 pub(super) struct LeaseRecord {
     pub holder: KnownMember,
     pub fencing_token: FencingToken,
+    /// Since when the holder has lost the function while its runners may still run.
     pub fencing_since: Option<MonotonicTime>,
-    /// When the lease of a holder that was lost has surely ended.
+    /// When the session lease of a lost holder has surely ended.
     pub lost_lease_end: Option<MonotonicTime>,
+    /// Whether the holder was asked to give the function back.
     pub handing_over: bool,
+    /// The member that keeps the replica of the holder's ledger.
     pub replica: Option<Host>,
+    /// Whether the replica has the complete ledger.
     pub complete: bool,
 }
 
-/// All grants; an entry's holder never changes, another holder is another entry.
+impl LeaseRecord {
+    /// A lease that was just issued or claimed.
+    pub fn new(
+        holder: KnownMember,
+        fencing_token: FencingToken,
+        replica: Option<Host>,
+        complete: bool,
+    ) -> Self {
+        Self {
+            holder,
+            fencing_token,
+            fencing_since: None,
+            lost_lease_end: None,
+            handing_over: false,
+            replica,
+            complete,
+        }
+    }
+}
+
+/// All function leases. The holder of a record never changes: another holder has another lease.
 #[derive(Default)]
 pub(super) struct FunctionLeases {
     by_function: BTreeMap<FunctionKey, LeaseRecord>,
@@ -46,7 +70,7 @@
         self.by_function.iter()
     }
 
-    /// Puts an entry in the place of what stood for its function.
+    /// Records a lease, instead of the one that its function had.
     pub fn insert(&mut self, function: FunctionKey, entry: LeaseRecord) {
         self.remove(&function);
         self.by_holder
@@ -67,7 +91,7 @@
         Some(removed_lease)
     }
 
-    /// The entries of one holder.
+    /// The leases of one holder.
     pub fn all_of(
         &self,
         holder: &KnownMember,
@@ -86,7 +110,7 @@
             .collect()
     }
 
-    /// A holder was lost; its lease has surely ended at that moment.
+    /// Notes when the session lease of a lost holder has surely ended.
     pub fn set_lost_lease_end(&mut self, holder: &KnownMember, lease_end: MonotonicTime) {
         for function in self.functions_of(holder) {
             if let Some(entry) = self.by_function.get_mut(&function) {
@@ -95,7 +119,7 @@
         }
     }
 
-    /// Whether a daemon holds anything.
+    /// Whether a member holds any function.
     pub fn holds_any(&self, holder: &KnownMember) -> bool {
         self.by_holder.contains_key(holder)
     }
--- /dev/null
+++ b/crates/controlplane/src/leader_state/lease_end.rs
@@ -0,0 +1,141 @@
+//! The end of function leases, and what follows from it for requests that must not run twice.
+
+use super::events::LeaseFields;
+use super::{LeaderState, StreamId};
+use common::clock::MonotonicTime;
+use common::events;
+use common::frames::{ClaimedRunner, LengthPrefixed, PreviousLease};
+use common::identity::{FencingToken, FunctionKey};
+use common::invariants::{Invariant, require};
+use std::collections::BTreeMap;
+use std::time::Duration;
+
+/// When functions may again get requests that must not run twice: while a request of an earlier holder may
+/// still be under way, such a request waits or is answered from the earlier holder's replica.
+#[derive(Default)]
+pub(super) struct OnceDelays {
+    allowed_from: BTreeMap<FunctionKey, MonotonicTime>,
+    previous_leases: BTreeMap<FunctionKey, PreviousLease>,
+}
+
+impl OnceDelays {
+    /// The lease before the present one, whose replica can answer for its holder.
+    pub fn previous_lease(&self, function: &FunctionKey) -> Option<&PreviousLease> {
+        self.previous_leases.get(function)
+    }
+
+    /// A lease has ended; `previous_lease` is there if its replica has the complete ledger.
+    fn lease_ended(
+        &mut self,
+        now: MonotonicTime,
+        function: &FunctionKey,
+        allowed_from: MonotonicTime,
+        previous_lease: Option<PreviousLease>,
+    ) {
+        match previous_lease {
+            Some(previous_lease) => self
+                .previous_leases
+                .insert(function.clone(), previous_lease),
+            None => self.previous_leases.remove(function),
+        };
+        self.allowed_from.insert(function.clone(), allowed_from);
+        self.allowed_from
+            .retain(|_, retained_until| *retained_until > now);
+        let allowed_from = &self.allowed_from;
+        self.previous_leases
+            .retain(|remaining, _| allowed_from.contains_key(remaining));
+    }
+}
+
+impl LeaderState {
+    /// A holder gives its lease back, and reports which runners it leaves; a member that no longer holds the
+    /// lease reports what it still had.
+    pub(super) fn handle_release(
+        &mut self,
+        now: MonotonicTime,
+        stream: StreamId,
+        function: FunctionKey,
+        fencing_token: FencingToken,
+        runners: LengthPrefixed<ClaimedRunner>,
+    ) {
+        let Some(releaser) = self.members.streams.get(&stream).cloned() else {
+            return;
+        };
+        let is_holder = self
+            .lease_records
+            .get(&function)
+            .is_some_and(|entry| entry.holder == releaser && entry.fencing_token == fencing_token);
+        self.accept_released_runners(now, function.clone(), runners.0);
+        if !is_holder {
+            return;
+        }
+        self.begin_fencing(now, &function);
+        let fields = LeaseFields {
+            function: &function,
+            member: &releaser.member,
+            fencing_token,
+        };
+        self.record_event(events::LEASE_RELEASED, fields);
+    }
+
+    /// A lease has ended and nothing runs under it any more: the function can be leased again. Requests that must
+    /// not run twice wait until none of the former holder's can be under way; its replica may answer them before.
+    pub(super) fn end_lease(
+        &mut self,
+        now: MonotonicTime,
+        function: &FunctionKey,
+        lease_expires_at: MonotonicTime,
+    ) {
+        self.fencing.finish(function);
+        self.acquisitions.check_due = true;
+        let ended_lease = self.lease_records.remove(function);
+        let lease_end = ended_lease.as_ref().and_then(|entry| entry.lost_lease_end);
+        let has_lease_ended = lease_end.is_none_or(|lease_end| now >= lease_end);
+        require(
+            self.rules,
+            Invariant::GrantedAfterLease,
+            has_lease_ended,
+            || format!("{function} is free for the next grant before its holder's lease has ended"),
+        );
+        let previous_lease = ended_lease
+            .filter(|entry| entry.complete)
+            .and_then(|entry| {
+                let fencing_token = entry.fencing_token;
+                entry.replica.map(|replica| PreviousLease {
+                    replica,
+                    fencing_token,
+                })
+            });
+        let allowed_from = lease_expires_at + self.longest_delay();
+        self.once_delays
+            .lease_ended(now, function, allowed_from, previous_lease);
+    }
+
+    /// How long the next holder has to keep back requests that must not run twice.
+    pub(super) fn once_wait(&self, now: MonotonicTime, function: &FunctionKey) -> Duration {
+        let allowed_from = self.once_delays.allowed_from.get(function).copied();
+        let safe_from = self.once_safe_from(function);
+        allowed_from.unwrap_or_default().max(safe_from).since(now)
+    }
+
+    /// From which instant on requests that must not run twice are safe with a function that this leader has
+    /// not leased yet: its holder had stopped when the claims quorum stood, or when every lease of an earlier
+    /// leader had ended, and what it accepted may be under way for the longest delay after that. A function
+    /// younger than this term had no holder.
+    fn once_safe_from(&self, function: &FunctionKey) -> MonotonicTime {
+        if function.generation > self.claims.inherited_version {
+            return MonotonicTime::ZERO;
+        }
+        let stopped_at = self
+            .claims
+            .opened_at
+            .min(self.elected_at + self.timing.full_lease_wait());
+        stopped_at + self.longest_delay()
+    }
+
+    /// How long a request may be under way: its time-out, and one session lease, for which a member that
+    /// forwards it may be frozen without losing the right to do so.
+    fn longest_delay(&self) -> Duration {
+        self.configuration.longest_timeout + self.timing.lease_length
+    }
+}
--- a/crates/controlplane/src/leader_state/ledger_replicas.rs
+++ b/crates/controlplane/src/leader_state/ledger_replicas.rs
@@ -1,3 +1,5 @@
+//! Replicas of the holders' ledgers: which member keeps the replica for which lease.
+
 use super::{LeaderState, StreamId};
 use common::clock::MonotonicTime;
 use common::frames::{Host, KnownMember, LeaderToDaemon, LengthPrefixed};
@@ -5,7 +7,7 @@
 use common::ring;
 
 impl LeaderState {
-    /// Who is to keep the copy of a holder's ledger: another daemon, in another zone if there is one.
+    /// The member that is to keep the replica of a holder's ledger: another one, in another zone if possible.
     pub(super) fn choose_replica(
         &self,
         now: MonotonicTime,
@@ -39,6 +41,7 @@
             .cloned()
     }
 
+    /// A holder no longer reaches its replica: another member is assigned.
     pub(super) fn handle_replica_lost(
         &mut self,
         now: MonotonicTime,
@@ -70,6 +73,7 @@
         );
     }
 
+    /// The replica has the holder's complete ledger: it can answer for this lease when it has ended.
     pub(super) fn handle_replica_complete(
         &mut self,
         stream: StreamId,
@@ -91,4 +95,50 @@
             entry.complete = true;
         }
     }
+
+    /// Whether the function's holder keeps a ledger of its requests, with a replica at another member.
+    pub(super) fn is_recorded(&self, function: &FunctionKey) -> bool {
+        self.configuration
+            .table
+            .index_of(function)
+            .is_none_or(|index| self.configuration.table.is_recorded(index))
+    }
+
+    /// Assigns replicas to functions whose new specification wants a ledger.
+    pub(super) fn assign_replicas(&mut self, now: MonotonicTime) {
+        if !std::mem::take(&mut self.replica_assignment_due) {
+            return;
+        }
+        let functions_without_replica: Vec<(FunctionKey, FencingToken, KnownMember)> = self
+            .lease_records
+            .iter()
+            .filter(|(_, entry)| entry.replica.is_none() && entry.fencing_since.is_none())
+            .filter(|(function, _)| self.is_recorded(function))
+            .map(|(function, entry)| (function.clone(), entry.fencing_token, entry.holder.clone()))
+            .collect();
+        for (function, fencing_token, holder) in functions_without_replica {
+            let stream = self
+                .members
+                .records
+                .get(&holder)
+                .and_then(|record| record.stream);
+            let replica = self.choose_replica(now, &function, &holder, None);
+            let (Some(stream), Some(replica)) = (stream, replica) else {
+                continue;
+            };
+            if let Some(entry) = self.lease_records.get_mut(&function) {
+                entry.replica = Some(replica.clone());
+                entry.complete = false;
+            }
+            let replica = LengthPrefixed(vec![replica]);
+            self.send_frame(
+                stream,
+                LeaderToDaemon::ReplicaAssigned {
+                    function,
+                    fencing_token,
+                    replica,
+                },
+            );
+        }
+    }
 }
--- a/crates/controlplane/src/leader_state/members.rs
+++ b/crates/controlplane/src/leader_state/members.rs
@@ -183,12 +183,8 @@
         };
         self.fencing.schedule_sweep();
         self.end_earlier_incarnations(now, &known_member);
-        let is_restarted = self
-            .claims
-            .last_known
-            .iter()
-            .any(|known| known.is_other_incarnation_of(&known_member));
-        if is_restarted && !self.members.records.contains_key(&known_member) {
+        let is_new = !self.members.records.contains_key(&known_member);
+        if is_new && self.claims.expects_other_incarnation_of(&known_member) {
             self.claims.member_restarted_at = now;
         }
         self.members.attach(stream, &known_member);
--- a/crates/controlplane/src/leader_state/mod.rs
+++ b/crates/controlplane/src/leader_state/mod.rs
@@ -1,6 +1,7 @@
 //! The leader's leader state: members and their grants, function grants, workers. All of it in memory.
 
 mod acquisitions;
+mod adoption;
 mod claims;
 mod claims_quorum;
 mod document_delivery;
@@ -8,6 +9,7 @@
 mod fence;
 mod function_leases;
 mod host_list;
+mod lease_end;
 mod ledger_replicas;
 mod link_moves;
 mod members;
@@ -18,6 +20,7 @@
 mod report;
 mod reservations;
 mod runner_list;
+mod runner_status;
 mod timing;
 mod worker_evacuation;
 mod workers;
@@ -26,7 +29,7 @@
 pub use output::{EventRecord, LeaderOutput, StreamId, TraceStep};
 pub use timing::LeaderTiming;
 
-use acquisitions::{Acquisitions, OnceDelays, PendingAcquisition};
+use acquisitions::{Acquisitions, PendingAcquisition};
 use claims_quorum::ClaimsQuorum;
 use common::clock::MonotonicTime;
 use common::frames::{DaemonToLeader, KnownMember, LeaderToDaemon};
@@ -38,6 +41,7 @@
 use fence::Fencing;
 use function_leases::{FunctionLeases, LeaseRecord};
 use host_list::HostList;
+use lease_end::OnceDelays;
 use link_moves::LinkMoves;
 use members::{IncarnationHistory, Members};
 use membership::MembershipList;
--- /dev/null
+++ b/crates/controlplane/src/leader_state/runner_status.rs
@@ -0,0 +1,76 @@
+//! What members report of their runners and requests.
+
+use super::events::{EventFields, RejectionsFields, RunnerFields};
+use super::{LeaderState, StreamId};
+use common::clock::MonotonicTime;
+use common::events;
+use common::frames::{RequestFailureReason, RunnerStatus};
+use common::identity::{FunctionKey, RunnerId};
+
+impl LeaderState {
+    /// A holder reports how one of its runners stands. A runner that was adopted meanwhile goes by another name.
+    pub(super) fn handle_runner_status(
+        &mut self,
+        now: MonotonicTime,
+        function: &FunctionKey,
+        runner: RunnerId,
+        runner_status: RunnerStatus,
+    ) {
+        let current_name = self.reservations.current_name(runner);
+        let Some(reservation) = self.reservations.get(current_name) else {
+            return;
+        };
+        if reservation.function != *function {
+            return;
+        }
+        match runner_status {
+            RunnerStatus::Ready => {
+                let fields = RunnerFields {
+                    function,
+                    runner: current_name,
+                    worker: &reservation.worker,
+                };
+                let event_record = fields.record(events::RUNNER_READY);
+                self.reservations
+                    .update(current_name, |reservation| reservation.ready = true);
+                self.push_event(event_record);
+            }
+            RunnerStatus::Gone if current_name != runner => self.runner_vanished(current_name),
+            RunnerStatus::Gone => {
+                if reservation.instance.is_none() && !reservation.stop_wanted {
+                    self.workers
+                        .start_refused_at
+                        .insert(reservation.worker.clone(), now);
+                }
+                self.runner_stopped(runner);
+            }
+            RunnerStatus::Started { instance } => {
+                let owner = self.reservations.runner_with_instance(&instance.name);
+                if owner.is_none_or(|owner| owner == current_name) {
+                    self.reservations.note_started(current_name, instance, now);
+                }
+            }
+        }
+    }
+
+    /// A member reports requests that it rejected; operators get an event.
+    pub(super) fn handle_rejections(
+        &mut self,
+        stream: StreamId,
+        function: FunctionKey,
+        count: u32,
+        reason: RequestFailureReason,
+    ) {
+        let Some(known_member) = self.members.streams.get(&stream) else {
+            return;
+        };
+        let fields = RejectionsFields {
+            function: &function,
+            member: &known_member.member,
+            count,
+            reason,
+        };
+        let event_record = fields.record(events::REQUESTS_REJECTED);
+        self.push_event(event_record);
+    }
+}
