--- a/crates/controlplane/src/leader_state/claims.rs
+++ b/crates/controlplane/src/leader_state/claims.rs
@@ -1,3 +1,5 @@
+//! Claims: after an election, or on a new stream, each member reports the leases and runners that it holds.
+
 use super::events::LeaseFields;
 use super::reservations::Reservation;
 use super::{LeaderState, LeaseRecord, StreamId};
@@ -7,7 +9,21 @@
 use common::identity::{FunctionKey, RunnerId};
 use std::collections::BTreeSet;
 
+/// How a claim stands to the lease on record.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum ClaimStanding {
+    /// It is the lease on record.
+    Held,
+    /// Nobody else has claimed the function, and the claims quorum is still awaited.
+    Free,
+    /// Its fencing token is greater than the one claimed before, and the claims quorum is still awaited.
+    Newer,
+    /// Another lease stands, or leases are issued already.
+    Rejected,
+}
+
 impl LeaderState {
+    /// Takes all that a member holds. What is on record for it and not in the claims ends.
     pub(super) fn handle_claims(
         &mut self,
         now: MonotonicTime,
@@ -55,8 +71,7 @@
         self.resend_orders(&claimant);
     }
 
-    /// What a holder was told on an earlier stream may be lost with it: drains and hand-overs that
-    /// stand are told again.
+    /// Sends the drains and hand-overs that stand again: the holder may have lost them with its earlier stream.
     fn resend_orders(&mut self, claimant: &KnownMember) {
         let held_functions = self.lease_records.functions_of(claimant);
         for function in &held_functions {
@@ -73,7 +88,7 @@
         self.drain_if_worker_unusable(held_runners);
     }
 
-    /// The runners under the grants that a daemon holds.
+    /// The runners under the leases that a member holds.
     fn runners_of(&self, holder: &KnownMember) -> Vec<RunnerId> {
         self.lease_records
             .all_of(holder)
@@ -85,8 +100,8 @@
             .collect()
     }
 
-    /// Runners of a function given up are left for its next holder, or stand in the way of its next
-    /// grant until they are stopped. A life that somebody else has by now is no longer theirs.
+    /// Takes the runners of a function that its holder gave up: they wait for the next holder, or keep the next lease
+    /// from being issued until they are stopped. An instance that another runner has by now is not taken.
     pub(super) fn accept_released_runners(
         &mut self,
         now: MonotonicTime,
@@ -135,48 +150,16 @@
         claimant: &KnownMember,
         claim: Claim,
     ) {
-        let current_lease = self.lease_records.get(&claim.function);
-        let is_same = current_lease.is_some_and(|entry| {
-            entry.holder == *claimant
-                && entry.fencing_token == claim.fencing_token
-                && entry.fencing_since.is_none()
-        });
-        let is_free = current_lease.is_none() && !self.claims.is_open;
-        let is_older = current_lease.is_some_and(|entry| entry.fencing_token < claim.fencing_token)
-            && !self.claims.is_open;
-        if is_older && let Some(entry) = current_lease {
-            let superseded_record = self.members.records.get(&entry.holder);
-            let frame = LeaderToDaemon::Revoke {
-                function: claim.function.clone(),
-                fencing_token: entry.fencing_token,
-            };
-            if let Some(superseded_stream) = superseded_record.and_then(|record| record.stream) {
-                self.send_frame(superseded_stream, frame);
+        let standing = self.standing_of(claimant, &claim);
+        match standing {
+            ClaimStanding::Rejected => {
+                self.reject_claim(stream, claimant, claim);
+                return;
             }
-            let superseded_runners: Vec<RunnerId> = self
-                .reservations
-                .all_of(&claim.function)
-                .map(|(runner, _)| runner)
-                .collect();
-            for superseded_runner in superseded_runners {
-                self.reservations.want_stop(superseded_runner);
-            }
-        }
-        if !(is_same || is_free || is_older) {
-            let fields = LeaseFields {
-                function: &claim.function,
-                member: &claimant.member,
-                fencing_token: claim.fencing_token,
-            };
-            self.record_event(events::CLAIM_REJECTED, fields);
-            let frame = LeaderToDaemon::Revoke {
-                function: claim.function,
-                fencing_token: claim.fencing_token,
-            };
-            self.send_frame(stream, frame);
-            return;
+            ClaimStanding::Newer => self.supersede_lease(&claim.function),
+            ClaimStanding::Held | ClaimStanding::Free => {}
         }
-        if !is_same {
+        if standing != ClaimStanding::Held {
             let entry = LeaseRecord::new(
                 claimant.clone(),
                 claim.fencing_token,
@@ -193,23 +176,86 @@
         }
         self.fencing.schedule_sweep();
         for listed in claim.runners.0 {
-            let is_new = self.reservations.get(listed.runner).is_none();
-            if is_new && self.reservations.has_ended(listed.runner, None) {
-                continue;
-            }
-            if is_new {
-                let (function, memory_mb) = (claim.function.clone(), listed.memory_mb);
-                let reservation = Reservation::new(function, listed.worker, memory_mb);
-                self.reservations.insert(listed.runner, reservation);
-            }
-            if let Some(instance) = listed.instance.0.into_iter().next() {
-                self.reservations.note_started(listed.runner, instance, now);
+            self.accept_claimed_runner(now, &claim.function, listed);
+        }
+    }
+
+    fn standing_of(&self, claimant: &KnownMember, claim: &Claim) -> ClaimStanding {
+        let is_awaiting = !self.claims.is_open;
+        match self.lease_records.get(&claim.function) {
+            None if is_awaiting => ClaimStanding::Free,
+            Some(entry)
+                if entry.holder == *claimant
+                    && entry.fencing_token == claim.fencing_token
+                    && entry.fencing_since.is_none() =>
+            {
+                ClaimStanding::Held
             }
-            if is_new || listed.is_adoptable.0 {
-                self.reservations.update(listed.runner, |reservation| {
-                    reservation.ready = listed.is_adoptable.0
-                });
+            Some(entry) if is_awaiting && entry.fencing_token < claim.fencing_token => {
+                ClaimStanding::Newer
             }
+            _ => ClaimStanding::Rejected,
+        }
+    }
+
+    fn reject_claim(&mut self, stream: StreamId, claimant: &KnownMember, claim: Claim) {
+        let fields = LeaseFields {
+            function: &claim.function,
+            member: &claimant.member,
+            fencing_token: claim.fencing_token,
+        };
+        self.record_event(events::CLAIM_REJECTED, fields);
+        let frame = LeaderToDaemon::Revoke {
+            function: claim.function,
+            fencing_token: claim.fencing_token,
+        };
+        self.send_frame(stream, frame);
+    }
+
+    /// Revokes the recorded lease of a function for which a greater fencing token is claimed, and stops its runners.
+    fn supersede_lease(&mut self, function: &FunctionKey) {
+        let Some(entry) = self.lease_records.get(function) else {
+            return;
+        };
+        let frame = LeaderToDaemon::Revoke {
+            function: function.clone(),
+            fencing_token: entry.fencing_token,
+        };
+        let superseded_record = self.members.records.get(&entry.holder);
+        if let Some(superseded_stream) = superseded_record.and_then(|record| record.stream) {
+            self.send_frame(superseded_stream, frame);
+        }
+        let superseded_runners: Vec<RunnerId> = self
+            .reservations
+            .all_of(function)
+            .map(|(runner, _)| runner)
+            .collect();
+        for superseded_runner in superseded_runners {
+            self.reservations.want_stop(superseded_runner);
+        }
+    }
+
+    fn accept_claimed_runner(
+        &mut self,
+        now: MonotonicTime,
+        function: &FunctionKey,
+        listed: ClaimedRunner,
+    ) {
+        let is_new = self.reservations.get(listed.runner).is_none();
+        if is_new && self.reservations.has_ended(listed.runner, None) {
+            return;
+        }
+        if is_new {
+            let reservation = Reservation::new(function.clone(), listed.worker, listed.memory_mb);
+            self.reservations.insert(listed.runner, reservation);
+        }
+        if let Some(instance) = listed.instance.0.into_iter().next() {
+            self.reservations.note_started(listed.runner, instance, now);
+        }
+        if is_new || listed.is_adoptable.0 {
+            self.reservations.update(listed.runner, |reservation| {
+                reservation.ready = listed.is_adoptable.0
+            });
         }
     }
 }
--- a/crates/controlplane/src/leader_state/claims_quorum.rs
+++ b/crates/controlplane/src/leader_state/claims_quorum.rs
@@ -8,7 +8,7 @@
 use common::frames::KnownMember;
 use common::identity::{MemberName, Version};
 use common::rules::Rule;
-use common::spec::ListedMember;
+use common::spec::{Document, ListedMember};
 use std::collections::BTreeSet;
 use std::time::Duration;
 
@@ -55,6 +55,13 @@
         }
     }
 
+    /// Takes over from earlier leaders with the first document committed in this term.
+    pub fn inherit(&mut self, document: &Document) {
+        self.inherited_version = document.document_version.version;
+        self.inherits_no_functions = document.generations.is_empty();
+        self.awaited_members = document.membership.clone();
+    }
+
     /// Whether a claim is awaited from another incarnation of a member.
     pub fn expects_other_incarnation_of(&self, known_member: &KnownMember) -> bool {
         self.last_known
--- a/crates/controlplane/src/leader_state/document_delivery.rs
+++ b/crates/controlplane/src/leader_state/document_delivery.rs
@@ -1,19 +1,21 @@
+//! Delivery of the configuration: the committed document goes to every member, as deltas where possible.
+
 use super::events::{CapacityFields, InstallFailureFields, VersionFields};
 use super::{LeaderOutput, LeaderState, StreamId, TraceStep};
 use common::clock::MonotonicTime;
 use common::events;
 use common::frames::{Flag, LeaderToDaemon, compress};
-use common::identity::{FunctionKey, MemberName, RunnerId, Version};
+use common::identity::{MemberName, Version};
 use common::rules::Rule;
 use common::spec::{DaemonView, Document, RoutingTable};
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-/// How many versions daemons may be behind and still be told the difference.
+/// How many versions a member may be behind and still get a delta.
 pub const RETAINED_VIEWS: usize = 8;
 
-/// Whether a version is in force everywhere is looked at so often, not at each daemon's word.
-const IN_FORCE_EVERY: Duration = Duration::from_millis(5);
+/// Whether a version is in force is checked this often, not at each member's report.
+const IN_FORCE_CHECK_INTERVAL: Duration = Duration::from_millis(5);
 
 /// The committed document, and what is needed to deliver it to the members.
 pub(super) struct Configuration {
@@ -47,29 +49,77 @@
             in_force_checked_at: MonotonicTime::ZERO,
         }
     }
+
+    /// Whether a document evacuates a zone that the present one does not.
+    fn evacuates_more(&self, document: &Document) -> bool {
+        let present = self.document.as_ref();
+        present.is_some_and(|present| !document.evacuated.is_subset(&present.evacuated))
+    }
+
+    /// Whether a document differs from the present one only in what members do not see.
+    fn is_same_for_members(&self, document: &Document) -> bool {
+        self.document.as_ref().is_some_and(|present| {
+            document.hidden_versions > 0 && present.view_version() == document.view_version()
+        })
+    }
+
+    /// Takes the document whose routing table was just built, with its view.
+    fn install(&mut self, document: Document, view: DaemonView) {
+        self.longest_timeout = self.longest_timeout.max(self.table.longest_timeout());
+        self.document = Some(document);
+        let mut earlier_views = std::mem::take(&mut self.earlier_views);
+        earlier_views.retain(|earlier| earlier.version < view.version);
+        self.views.extend(earlier_views);
+        if self
+            .newest_version()
+            .is_none_or(|newest| newest < view.version)
+        {
+            self.views.push_back(view);
+            self.delta_frames.clear();
+            self.full_frame = None;
+        }
+        let extra_count = self.views.len().saturating_sub(RETAINED_VIEWS);
+        self.views.drain(..extra_count);
+    }
+
+    fn newest_version(&self) -> Option<Version> {
+        self.views.back().map(|view| view.version)
+    }
+
+    /// The frame that brings a member from a version to the newest one. Frames are compressed once for all members.
+    fn frame_from(&mut self, base_version: Version) -> Option<LeaderToDaemon> {
+        let newest_view = self.views.back()?;
+        let mut retained_views = self.views.iter();
+        let Some(base_view) = retained_views.find(|view| view.version == base_version) else {
+            return self.full_frame();
+        };
+        let frame = self
+            .delta_frames
+            .entry(base_version)
+            .or_insert_with(|| spec_delta_frame(base_view, newest_view));
+        Some(frame.clone())
+    }
+
+    /// The frame with the complete newest version.
+    fn full_frame(&mut self) -> Option<LeaderToDaemon> {
+        let newest_view = self.views.back()?;
+        let frame = self
+            .full_frame
+            .get_or_insert_with(|| full_spec_frame(newest_view));
+        Some(frame.clone())
+    }
 }
 
 impl LeaderState {
-    /// Takes a committed document and pushes it to every daemon.
+    /// Takes a committed document and pushes it to every member.
     pub fn committed(&mut self, document: Document) {
-        let previously_evacuated = self
-            .configuration
-            .document
-            .as_ref()
-            .map(|held| held.evacuated.clone());
-        let is_evacuation =
-            previously_evacuated.is_some_and(|earlier| !document.evacuated.is_subset(&earlier));
+        let is_evacuation = self.configuration.evacuates_more(&document);
         if self.configuration.document.is_none() {
-            self.claims.inherited_version = document.document_version.version;
-            self.claims.inherits_no_functions = document.generations.is_empty();
-            self.claims.awaited_members = document.membership.clone();
+            self.claims.inherit(&document);
         }
         self.membership_list.check_due = true;
         self.renewals.schedule_check();
-        let is_unseen = self.configuration.document.as_ref().is_some_and(|held| {
-            document.hidden_versions > 0 && held.view_version() == document.view_version()
-        });
-        if is_unseen {
+        if self.configuration.is_same_for_members(&document) {
             self.configuration.document = Some(document);
             return;
         }
@@ -86,30 +136,20 @@
         }
         self.replica_assignment_due = true;
         self.acquisitions.check_due = true;
-        self.configuration.longest_timeout = self
-            .configuration
-            .longest_timeout
-            .max(self.configuration.table.longest_timeout());
-        self.configuration.document = Some(document);
-        let mut earlier_views = std::mem::take(&mut self.configuration.earlier_views);
-        earlier_views.retain(|earlier| earlier.version < view.version);
-        self.configuration.views.extend(earlier_views);
-        if self
-            .configuration
-            .views
-            .back()
-            .is_none_or(|newest_view| newest_view.version < view.version)
-        {
-            self.configuration.views.push_back(view);
-            self.configuration.delta_frames.clear();
-            self.configuration.full_frame = None;
+        self.configuration.install(document, view);
+        self.update_eligibility();
+        let open_streams: Vec<StreamId> = self.members.streams.keys().copied().collect();
+        for open_stream in open_streams {
+            self.push_newest(open_stream);
         }
-        let extra_count = self
-            .configuration
-            .views
-            .len()
-            .saturating_sub(RETAINED_VIEWS);
-        self.configuration.views.drain(..extra_count);
+        if is_evacuation {
+            self.warn_of_low_capacity();
+        }
+        self.hand_over_evacuated();
+    }
+
+    /// Members in evacuated zones take no functions.
+    fn update_eligibility(&mut self) {
         let obeys_evacuation = self.rules.enforces(Rule::EvacuationObeyed);
         for record in self.members.records.values_mut() {
             let is_evacuated =
@@ -120,17 +160,9 @@
                 self.hosts.push_due = true;
             }
         }
-        let open_streams: Vec<StreamId> = self.members.streams.keys().copied().collect();
-        for open_stream in open_streams {
-            self.push_newest(open_stream);
-        }
-        if is_evacuation {
-            self.warn_of_low_capacity();
-        }
-        self.hand_over_evacuated();
     }
 
-    /// Says loudly that what is placed now will hardly fit on the workers that are left.
+    /// Warns operators when what is reserved will hardly fit on the workers that remain.
     fn warn_of_low_capacity(&mut self) {
         let needed_mb: u64 = self.reserved_mb().values().sum();
         let remaining_mb: u64 = self
@@ -149,39 +181,22 @@
         }
     }
 
+    /// Brings a member to the newest version, with a delta if it has one of the retained versions.
     pub(super) fn push_newest(&mut self, stream: StreamId) {
-        let Some(newest_view) = self.configuration.views.back() else {
-            return;
-        };
-        let Some(known_member) = self.members.streams.get(&stream) else {
+        let Some(version) = self.configuration.newest_version() else {
             return;
         };
-        let Some(record) = self.members.records.get_mut(known_member) else {
+        let Some((known_member, record)) = self.members.on_stream_mut(stream) else {
             return;
         };
-        if record.pushed >= newest_view.version {
+        if record.pushed >= version {
             return;
         }
-        let base_version = record.pushed;
-        let base_view = self
-            .configuration
-            .views
-            .iter()
-            .find(|view| view.version == base_version);
-        let frame = match base_view {
-            Some(base) => {
-                let cached_frame = self.configuration.delta_frames.entry(base_version);
-                cached_frame.or_insert_with(|| spec_delta_frame(base, newest_view))
-            }
-            None => self
-                .configuration
-                .full_frame
-                .get_or_insert_with(|| full_spec_frame(newest_view)),
-        };
-        let frame = frame.clone();
-        record.pushed = newest_view.version;
-        let version = newest_view.version;
+        let base_version = std::mem::replace(&mut record.pushed, version);
         let member = known_member.member.clone();
+        let Some(frame) = self.configuration.frame_from(base_version) else {
+            return;
+        };
         self.outputs.push(LeaderOutput::VersionProgress {
             version,
             member,
@@ -190,17 +205,14 @@
         self.send_frame(stream, frame);
     }
 
+    /// A delta did not fit what the member has: it gets the complete document.
     pub(super) fn push_full_document(&mut self, stream: StreamId) {
-        if let Some(newest_view) = self.configuration.views.back() {
-            let frame = self
-                .configuration
-                .full_frame
-                .get_or_insert_with(|| full_spec_frame(newest_view))
-                .clone();
+        if let Some(frame) = self.configuration.full_frame() {
             self.send_frame(stream, frame);
         }
     }
 
+    /// Notes when the newest version is in force: every member that may use a session lease has installed it.
     pub(super) fn update_in_force(&mut self, now: MonotonicTime) {
         let Some(version) = self
             .configuration
@@ -211,7 +223,7 @@
             return;
         };
         if self.configuration.in_force >= version
-            || now.since(self.configuration.in_force_checked_at) < IN_FORCE_EVERY
+            || now.since(self.configuration.in_force_checked_at) < IN_FORCE_CHECK_INTERVAL
         {
             return;
         }
@@ -229,118 +241,12 @@
         }
     }
 
-    /// Asks holders in evacuated zones for their functions, and drains runners there.
-    pub(super) fn hand_over_evacuated(&mut self) {
-        let held_functions = self
-            .lease_records
-            .iter()
-            .map(|(function, _)| function.clone())
-            .collect();
-        self.hand_over_if_evacuated(held_functions);
-        self.drain_from_unusable_workers();
-    }
-
-    /// Asks for those of these functions back whose holders stand in evacuated zones.
-    pub(super) fn hand_over_if_evacuated(&mut self, functions: Vec<FunctionKey>) {
-        if !self.rules.enforces(Rule::EvacuationObeyed) || !self.configuration.table.has_evacuated()
-        {
-            return;
-        }
-        for function in functions {
-            let Some(entry) = self.lease_records.get_mut(&function) else {
-                continue;
-            };
-            if entry.handing_over || entry.fencing_since.is_some() {
-                continue;
-            }
-            let Some(record) = self.members.records.get(&entry.holder) else {
-                continue;
-            };
-            let Some(stream) = record.stream else {
-                continue;
-            };
-            if !self.configuration.table.is_evacuated(&record.host.zone) {
-                continue;
-            }
-            entry.handing_over = true;
-            let fencing_token = entry.fencing_token;
-            self.send_frame(
-                stream,
-                LeaderToDaemon::HandOver {
-                    function,
-                    fencing_token,
-                },
-            );
-        }
-    }
-
-    /// Tells holders to drain runners whose worker is draining, gone or evacuated.
-    pub(super) fn drain_from_unusable_workers(&mut self) {
-        let runners = self
-            .reservations
-            .iter()
-            .map(|(runner, _)| *runner)
-            .collect();
-        self.drain_if_worker_unusable(runners);
-    }
-
-    /// The same for these runners.
-    pub(super) fn drain_if_worker_unusable(&mut self, runners: Vec<RunnerId>) {
-        if !self.workers.are_listed {
-            return;
-        }
-        for runner in runners {
-            let Some(held) = self.reservations.get(runner) else {
-                continue;
-            };
-            if !held.draining && !self.is_worker_usable(&held.worker) {
-                let function = held.function.clone();
-                self.drain(function, runner);
-            }
-        }
-    }
-
-    /// Tells the holder to drain a runner that the platform says is about to leave.
-    pub(super) fn drain_leaving(&mut self, runner: RunnerId) {
-        let Some(held) = self.reservations.get(runner) else {
-            return;
-        };
-        if !held.draining && self.rules.enforces(Rule::DrainObeyed) {
-            let function = held.function.clone();
-            self.drain(function, runner);
-        }
-    }
-
-    pub(super) fn drain(&mut self, function: FunctionKey, runner: RunnerId) {
-        if self
-            .reservations
-            .get(runner)
-            .is_some_and(|held| held.is_orphaned())
-        {
-            self.reservations.want_stop(runner);
-            return;
-        }
-        let Some(entry) = self.lease_records.get(&function) else {
-            return;
-        };
-        if entry.fencing_token != runner.fencing_token {
-            return;
-        }
-        let holder_record = self.members.records.get(&entry.holder);
-        let Some(stream) = holder_record.and_then(|record| record.stream) else {
-            return;
-        };
-        self.reservations
-            .update(runner, |held| held.draining = true);
-        self.send_frame(stream, LeaderToDaemon::Drain { function, runner });
-    }
-
     /// The committed document.
     pub fn document(&self) -> Option<&Document> {
         self.configuration.document.as_ref()
     }
 
-    /// The daemons that have not installed a serial, and why as far as can be seen from here.
+    /// The members that have not installed a version, and why, as far as the leader can see.
     pub fn laggards(
         &self,
         now: MonotonicTime,
--- a/crates/controlplane/src/leader_state/memory_pressure.rs
+++ b/crates/controlplane/src/leader_state/memory_pressure.rs
@@ -1,3 +1,5 @@
+//! What gives way when the workers' memory is short.
+
 use super::events::{FunctionFields, ReclaimedRunnerFields};
 use super::{LeaderState, StreamId};
 use common::clock::MonotonicTime;
@@ -7,12 +9,12 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// A function that gave way is left alone for so long.
+/// A function that gave up its runners is left alone for this long.
 const YIELD_COOLDOWN: Duration = Duration::from_secs(5);
 
-/// A function without a runner that found no room counts as starving for so long after it asked.
+/// A function without a runner counts as starved for this long after a request that found no room.
 const STARVATION_TIMEOUT: Duration = Duration::from_millis(1200);
-/// From one runner taken back to the next.
+/// Between two reclaimed runners.
 const RECLAIM_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Which functions may give memory back, and which lack it.
@@ -28,7 +30,7 @@
 }
 
 impl LeaderState {
-    /// Whether a function with runners must wait, since another one has none and found no room.
+    /// Whether a function with runners has to wait, since another one has none and found no room.
     pub(super) fn is_other_function_starved(
         &mut self,
         now: MonotonicTime,
@@ -43,8 +45,8 @@
             .any(|function| function != requester)
     }
 
-    /// A function without any runner finds no room: the one that has most gives one back, so that no
-    /// crowd on one takes another's only runner.
+    /// A function without a runner finds no room: the function with the most runners gives one up, so that the
+    /// load on one function does not take another's only runner.
     pub(super) fn reclaim_runner(
         &mut self,
         now: MonotonicTime,
@@ -57,25 +59,56 @@
         if now.since(self.pressure.runner_reclaimed_at) < RECLAIM_INTERVAL {
             return;
         }
+        let Some((function, runner)) = self.runner_to_reclaim(requester, needed_mb) else {
+            return;
+        };
+        self.pressure.runner_reclaimed_at = now;
+        let fields = ReclaimedRunnerFields {
+            function: &function,
+            runner,
+            requester,
+        };
+        self.record_event(events::IDLE_RUNNERS_RECLAIMED, fields);
+        self.drain(function, runner);
+    }
+
+    /// Of the function with the most runners, the runner whose worker then has just enough memory free; if none has,
+    /// the one whose worker has the most.
+    fn runner_to_reclaim(
+        &self,
+        requester: &FunctionKey,
+        needed_mb: u32,
+    ) -> Option<(FunctionKey, RunnerId)> {
+        let staying = self.staying_runners(requester);
+        let largest_function = staying.into_iter().max_by_key(|(_, runners)| runners.len());
+        let (function, runners) = largest_function.filter(|(_, runners)| runners.len() > 1)?;
+        let sufficient = runners
+            .iter()
+            .filter(|(freed_mb, _)| *freed_mb >= u64::from(needed_mb));
+        let (_, runner) = sufficient.min().or(runners.iter().max()).copied()?;
+        Some((function.clone(), runner))
+    }
+
+    /// The runners that stay, of all functions but the requester, each with the memory that would be free on its
+    /// worker without it.
+    fn staying_runners(
+        &self,
+        requester: &FunctionKey,
+    ) -> BTreeMap<&FunctionKey, Vec<(u64, RunnerId)>> {
         let reserved_mb_sums = self.reserved_mb();
         let mut staying: BTreeMap<&FunctionKey, Vec<(u64, RunnerId)>> = BTreeMap::new();
         for (runner, reservation) in self.reservations.iter() {
-            let is_leaving = reservation.draining
-                || reservation.stop_wanted
-                || reservation.orphaned_since.is_some();
-            let Some(record) = self.workers.records.get(&reservation.worker) else {
+            let worker = &reservation.worker;
+            let Some(record) = self.workers.records.get(worker) else {
                 continue;
             };
-            if is_leaving
+            if !reservation.is_staying()
                 || reservation.function == *requester
-                || !self.is_worker_usable(&reservation.worker)
+                || !self.is_worker_usable(worker)
             {
                 continue;
             }
-            let used_mb = reserved_mb_sums
-                .get(&reservation.worker)
-                .copied()
-                .unwrap_or(0);
+            let used_mb = reserved_mb_sums.get(worker).copied().unwrap_or(0);
             let free_mb = u64::from(record.listed.memory_mb).saturating_sub(used_mb);
             let freed_mb = free_mb + u64::from(reservation.memory_mb);
             staying
@@ -83,29 +116,10 @@
                 .or_default()
                 .push((freed_mb, *runner));
         }
-        let largest_function = staying.into_iter().max_by_key(|(_, runners)| runners.len());
-        let Some((function, runners)) = largest_function.filter(|(_, runners)| runners.len() > 1)
-        else {
-            return;
-        };
-        let sufficient = runners
-            .iter()
-            .filter(|(freed_mb, _)| *freed_mb >= u64::from(needed_mb));
-        let Some((_, runner)) = sufficient.min().or(runners.iter().max()).copied() else {
-            return;
-        };
-        let function = function.clone();
-        self.pressure.runner_reclaimed_at = now;
-        let fields = ReclaimedRunnerFields {
-            function: &function,
-            runner,
-            requester,
-        };
-        self.record_event(events::IDLE_RUNNERS_RECLAIMED, fields);
-        self.drain(function, runner);
+        staying
     }
 
-    /// A daemon says which of its functions are idle: all of them, in place of what it said before.
+    /// A member reports its idle functions: all of them, in place of its earlier report.
     pub(super) fn handle_idle(
         &mut self,
         now: MonotonicTime,
@@ -125,7 +139,7 @@
         self.pressure.idle_since.insert(holder.clone(), idle_since);
     }
 
-    /// The functions that their present holders called idle, those not called for longest first.
+    /// The functions that their present holders reported as idle, those not called for longest first.
     fn idle_functions(&self) -> Vec<(MonotonicTime, FunctionKey)> {
         let mut idle_functions: Vec<(MonotonicTime, FunctionKey)> = self
             .pressure
@@ -147,7 +161,8 @@
         idle_functions
     }
 
-    /// No worker has room: the least recently called function that is idle gives up its runners.
+    /// No worker has room: the idle functions not called for longest give up their runners, until twice the needed
+    /// memory comes free, as not all of it will be on one worker.
     pub(super) fn evict_idle_functions(
         &mut self,
         now: MonotonicTime,
@@ -157,52 +172,47 @@
         self.pressure
             .yielded_at
             .retain(|_, at| now.since(*at) < YIELD_COOLDOWN);
-        let is_evictable = |function: &FunctionKey| {
-            function != requester
-                && !self.pressure.yielded_at.contains_key(function)
-                && self
-                    .lease_records
-                    .get(function)
-                    .is_some_and(|entry| entry.fencing_since.is_none() && !entry.handing_over)
-                && self.reservations.all_of(function).next().is_some()
-        };
         let mut idle_functions = self.idle_functions();
-        idle_functions.retain(|(_, function)| is_evictable(function));
+        idle_functions.retain(|(_, function)| function != requester && self.is_evictable(function));
         let mut freed_mb = 0;
         for (_, function) in idle_functions {
             if freed_mb >= needed_mb * 2 {
                 return;
             }
-            let Some(entry) = self.lease_records.get(&function) else {
-                continue;
-            };
-            let fencing_token = entry.fencing_token;
-            let stream = self
-                .members
-                .records
-                .get(&entry.holder)
-                .and_then(|record| record.stream);
-            let Some(stream) = stream else { continue };
-            freed_mb += self
-                .reservations
-                .all_of(&function)
-                .map(|(_, reservation)| reservation.memory_mb)
-                .sum::<u32>();
-            self.pressure.yielded_at.insert(function.clone(), now);
-            if let Some(idle_since) = self.pressure.idle_since.get_mut(&entry.holder) {
-                idle_since.remove(&function);
-            }
-            let fields = FunctionFields {
-                function: &function,
-            };
-            self.record_event(events::IDLE_RUNNERS_RECLAIMED, fields);
-            self.send_frame(
-                stream,
-                LeaderToDaemon::ReclaimIdle {
-                    function,
-                    fencing_token,
-                },
-            );
+            freed_mb += self.evict(now, function).unwrap_or(0);
         }
     }
+
+    fn is_evictable(&self, function: &FunctionKey) -> bool {
+        let lease = self.lease_records.get(function);
+        !self.pressure.yielded_at.contains_key(function)
+            && lease.is_some_and(|entry| entry.fencing_since.is_none() && !entry.handing_over)
+            && self.reservations.all_of(function).next().is_some()
+    }
+
+    /// Has the holder stop a function's runners; the memory in MiB that this frees. None if the holder has no stream.
+    fn evict(&mut self, now: MonotonicTime, function: FunctionKey) -> Option<u32> {
+        let entry = self.lease_records.get(&function)?;
+        let fencing_token = entry.fencing_token;
+        let stream = self.members.records.get(&entry.holder)?.stream?;
+        let freed_mb = self
+            .reservations
+            .all_of(&function)
+            .map(|(_, reservation)| reservation.memory_mb)
+            .sum::<u32>();
+        self.pressure.yielded_at.insert(function.clone(), now);
+        if let Some(idle_since) = self.pressure.idle_since.get_mut(&entry.holder) {
+            idle_since.remove(&function);
+        }
+        let fields = FunctionFields {
+            function: &function,
+        };
+        self.record_event(events::IDLE_RUNNERS_RECLAIMED, fields);
+        let frame = LeaderToDaemon::ReclaimIdle {
+            function,
+            fencing_token,
+        };
+        self.send_frame(stream, frame);
+        Some(freed_mb)
+    }
 }
--- a/crates/controlplane/src/leader_state/mod.rs
+++ b/crates/controlplane/src/leader_state/mod.rs
@@ -5,6 +5,7 @@
 mod claims;
 mod claims_quorum;
 mod document_delivery;
+mod drains;
 mod events;
 mod fence;
 mod function_leases;
--- a/crates/controlplane/src/leader_state/workers.rs
+++ b/crates/controlplane/src/leader_state/workers.rs
@@ -1,15 +1,21 @@
+//! The platform's workers, and the reservation of their memory for runners.
+
 use super::events::MissingMemoryFields;
 use super::reservations::Reservation;
 use super::{LeaderState, StreamId};
 use common::adapter::ListedWorker;
 use common::clock::MonotonicTime;
 use common::events;
-use common::frames::{LeaderToDaemon, ReserveResult};
+use common::frames::{KnownMember, LeaderToDaemon, ReserveResult};
 use common::identity::{CorrelationId, FencingToken, FunctionKey, RunnerId, WorkerName, Zone};
 use common::rules::Rule;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
+/// Lacking memory is reported at most this often.
+const NO_ROOM_REPORT_INTERVAL: Duration = Duration::from_secs(1);
+
+/// One worker as the platform listed it.
 pub(super) struct WorkerRecord {
     pub listed: ListedWorker,
 }
@@ -26,7 +32,7 @@
 }
 
 impl LeaderState {
-    /// Takes the platform's list of workers.
+    /// Takes the platform's list of workers, in place of the earlier one.
     pub fn workers_listed(&mut self, listed_workers: Vec<ListedWorker>) {
         self.workers.are_listed = true;
         self.workers.records = listed_workers
@@ -36,6 +42,8 @@
         self.drain_from_unusable_workers();
     }
 
+    /// Whether new runners may go to a worker: it is listed, and neither draining nor in an evacuated zone nor itself
+    /// being evacuated.
     pub(super) fn is_worker_usable(&self, worker: &WorkerName) -> bool {
         !self.evacuation.is_evacuating(worker)
             && self.workers.records.get(worker).is_some_and(|record| {
@@ -44,10 +52,12 @@
             })
     }
 
+    /// The memory in MiB that is reserved on each worker in use.
     pub(super) fn reserved_mb(&self) -> &BTreeMap<WorkerName, u64> {
         self.reservations.reserved_mb()
     }
 
+    /// A holder requests the memory for one more runner.
     pub(super) fn handle_reserve(
         &mut self,
         now: MonotonicTime,
@@ -56,15 +66,13 @@
         function: FunctionKey,
         fencing_token: FencingToken,
     ) {
-        let result = self.reserve(now, stream, &function, fencing_token);
-        self.send_frame(
-            stream,
-            LeaderToDaemon::Reserved {
-                correlation,
-                function,
-                result,
-            },
-        );
+        let reserved = self.reserve(now, stream, &function, fencing_token);
+        let frame = LeaderToDaemon::Reserved {
+            correlation,
+            function,
+            result: reserved.unwrap_or(ReserveResult::Rejected),
+        };
+        self.send_frame(stream, frame);
     }
 
     fn reserve(
@@ -73,59 +81,29 @@
         stream: StreamId,
         function: &FunctionKey,
         fencing_token: FencingToken,
-    ) -> ReserveResult {
-        let Some(requester) = self.members.streams.get(&stream) else {
-            return ReserveResult::Rejected;
-        };
-        let is_holder = self.lease_records.get(function).is_some_and(|entry| {
-            entry.holder == *requester
-                && entry.fencing_token == fencing_token
-                && entry.fencing_since.is_none()
-        });
-        if !is_holder || !self.claims.is_open || !self.has_lease(requester, now) {
-            return ReserveResult::Rejected;
+    ) -> Option<ReserveResult> {
+        let requester = self.members.streams.get(&stream)?;
+        if !self.may_reserve(now, requester, function, fencing_token) {
+            return None;
         }
-        let Some(spec) = self
-            .configuration
-            .table
-            .function_of(function)
-            .map(|entry| entry.spec.clone())
-        else {
-            return ReserveResult::Rejected;
-        };
+        let spec = &self.configuration.table.function_of(function)?.spec;
         let needed_mb = spec.memory_mb;
         if !self.is_below_max_runners(function, spec.max_runners as usize) {
-            return ReserveResult::Rejected;
+            return None;
         }
-        let holder_zone = self
-            .members
-            .records
-            .get(requester)
-            .map(|record| record.host.zone.clone());
+        let holder_record = self.members.records.get(requester);
+        let holder_zone = holder_record.map(|record| record.host.zone.clone());
         let has_runner = self
             .reservations
             .all_of(function)
             .any(|(_, reservation)| reservation.is_staying());
         if has_runner && self.is_other_function_starved(now, function) {
-            return ReserveResult::Rejected;
+            return None;
         }
         let chosen_worker = self.choose_worker(now, function, needed_mb, holder_zone.as_ref());
         let Some(worker) = chosen_worker else {
-            if now.since(self.workers.no_room_reported_at) > Duration::from_secs(1) {
-                self.workers.no_room_reported_at = now;
-                let fields = MissingMemoryFields {
-                    function,
-                    memory_mb: needed_mb,
-                };
-                self.record_event(events::NO_WORKER_CAPACITY, fields);
-            }
-            self.evacuation.cancel();
-            self.stop_orphans(function);
-            self.evict_idle_functions(now, function, needed_mb);
-            if !has_runner {
-                self.reclaim_runner(now, function, needed_mb);
-            }
-            return ReserveResult::Rejected;
+            self.make_room(now, function, needed_mb, has_runner);
+            return None;
         };
         self.pressure.starved_functions.remove(function);
         let runner = RunnerId {
@@ -134,15 +112,55 @@
         };
         let reservation = Reservation::new(function.clone(), worker.clone(), needed_mb);
         self.reservations.insert(runner, reservation);
-        ReserveResult::Reserved {
+        Some(ReserveResult::Reserved {
             runner,
             worker,
             memory_mb: needed_mb,
+        })
+    }
+
+    /// Only the holder reserves, under its present lease and while its session lease stands.
+    fn may_reserve(
+        &self,
+        now: MonotonicTime,
+        requester: &KnownMember,
+        function: &FunctionKey,
+        fencing_token: FencingToken,
+    ) -> bool {
+        let is_holder = self.lease_records.get(function).is_some_and(|entry| {
+            entry.holder == *requester
+                && entry.fencing_token == fencing_token
+                && entry.fencing_since.is_none()
+        });
+        is_holder && self.claims.is_open && self.has_lease(requester, now)
+    }
+
+    /// No usable worker has room for a runner: whatever can give way does, and the holder tries again.
+    fn make_room(
+        &mut self,
+        now: MonotonicTime,
+        function: &FunctionKey,
+        needed_mb: u32,
+        has_runner: bool,
+    ) {
+        if now.since(self.workers.no_room_reported_at) > NO_ROOM_REPORT_INTERVAL {
+            self.workers.no_room_reported_at = now;
+            let fields = MissingMemoryFields {
+                function,
+                memory_mb: needed_mb,
+            };
+            self.record_event(events::NO_WORKER_CAPACITY, fields);
+        }
+        self.evacuation.cancel();
+        self.stop_orphans(function);
+        self.evict_idle_functions(now, function, needed_mb);
+        if !has_runner {
+            self.reclaim_runner(now, function, needed_mb);
         }
     }
 
-    /// Whether one more runner stays within the most that a function may have under all its keys together. A
-    /// holder that has them all under one key counts them itself.
+    /// Whether one more runner stays within the function's limit for all its keys together. A holder that has all of
+    /// them under one key checks the limit itself.
     fn is_below_max_runners(&self, function: &FunctionKey, limit: usize) -> bool {
         let staying = self
             .reservations
@@ -152,10 +170,10 @@
         total_count < limit || total_count == staying.count()
     }
 
-    /// Spread: a worker in use before an empty one, then the zone where the function has fewest
-    /// runners that stay, then the fullest that fits. Not spread: the holder's zone before others,
-    /// since bytes between zones are dear and the holder's loss takes the service with it anyhow;
-    /// then a worker in use without a runner of the function, one with, an empty one; then the fullest.
+    /// Chooses the worker of a new runner. If runners are spread over zones: a worker in use before an empty one, then
+    /// the zone with the fewest runners of the function, then the fullest worker that fits. If they are not: the
+    /// holder's zone before others, since traffic between zones is costly and the loss of the holder interrupts the
+    /// function anyway; then a worker in use without a runner of the function, one with, an empty one; then the fullest.
     fn choose_worker(
         &mut self,
         now: MonotonicTime,
@@ -205,7 +223,7 @@
             .map(|(_, _, worker)| worker.clone())
     }
 
-    /// Memory is short: what was left for a next holder of another function goes first.
+    /// Memory is short: orphaned runners of other functions are stopped.
     fn stop_orphans(&mut self, requester: &FunctionKey) {
         let orphaned_runners: Vec<RunnerId> = self
             .reservations
@@ -223,7 +241,7 @@
         }
     }
 
-    fn has_lease(&self, known_member: &common::frames::KnownMember, now: MonotonicTime) -> bool {
+    fn has_lease(&self, known_member: &KnownMember, now: MonotonicTime) -> bool {
         self.members
             .records
             .get(known_member)
