--- a/crates/controlplane/src/leader_state/acquisitions.rs
+++ b/crates/controlplane/src/leader_state/acquisitions.rs
@@ -30,9 +30,27 @@
     pub correlation: CorrelationId,
     pub function: FunctionKey,
     pub requested_at: MonotonicTime,
+    /// Whether the expected wait was announced to the requester.
     pub delay_announced: bool,
 }
 
+impl PendingAcquisition {
+    pub fn new(
+        now: MonotonicTime,
+        stream: StreamId,
+        correlation: CorrelationId,
+        function: FunctionKey,
+    ) -> Self {
+        Self {
+            stream,
+            correlation,
+            function,
+            requested_at: now,
+            delay_announced: false,
+        }
+    }
+}
+
 /// The requests that have no final answer yet.
 pub(super) struct Acquisitions {
     pending: Vec<PendingAcquisition>,
@@ -100,7 +118,7 @@
         self.send_frame(stream, frame);
     }
 
-    /// Keeps a request pending, and announces once how long it will be if that can be told.
+    /// Keeps a request pending, and announces the expected wait once, if there is an estimate.
     fn keep_pending(&mut self, now: MonotonicTime, mut acquisition: PendingAcquisition) {
         if now.since(acquisition.requested_at) >= ACQUISITION_TIMEOUT {
             return;
--- a/crates/controlplane/src/leader_state/events.rs
+++ b/crates/controlplane/src/leader_state/events.rs
@@ -9,7 +9,7 @@
 use serde_json::{Value, json};
 use std::fmt::Display;
 
-/// What an event says beside its kind. The fields are borrowed: an event costs no copies of names.
+/// The fields of an event beside its kind. They are borrowed: an event costs no copies of names.
 pub(super) trait EventFields {
     /// The fields as operators read them.
     fn to_json(&self) -> Value;
--- a/crates/controlplane/src/leader_state/fence.rs
+++ b/crates/controlplane/src/leader_state/fence.rs
@@ -1,3 +1,5 @@
+//! Fencing: what a lost holder's lease covers is orphaned or stopped before the function is leased again.
+
 use super::events::{EventFields, FunctionFields, LeaseFields, RunnerFields};
 use super::{LeaderOutput, LeaderState};
 use common::adapter::StopOrder;
@@ -7,15 +9,17 @@
 use common::identity::{FunctionKey, MemberName, RunnerId};
 use common::rules::Rule;
 use std::collections::BTreeSet;
+use std::time::Duration;
 
-/// Without the rule that a grant is outwaited, a holder counts as lost so soon after it was heard.
-const UNSAFE_EXPIRY_AFTER: std::time::Duration = std::time::Duration::from_millis(400);
+/// Where the rule is lifted that a session lease is waited out, a holder counts as lost this long after it was
+/// heard.
+const UNSAFE_EXPIRY_AFTER: Duration = Duration::from_millis(400);
 
-/// When nobody is there to be swept, the next look is due after so long; whoever joins asks for one.
-const IDLE_SWEEP_INTERVAL: std::time::Duration = std::time::Duration::from_secs(1);
+/// Without a member to sweep, the next sweep is due after this; a member that joins schedules one.
+const IDLE_SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What waits for its time is looked at so often.
-const CHECK_INTERVAL: std::time::Duration = std::time::Duration::from_millis(40);
+/// Orphans and stops that wait for their time are checked this often.
+const CHECK_INTERVAL: Duration = Duration::from_millis(40);
 
 /// The functions whose leases are being fenced, and when to look for more.
 pub(super) struct Fencing {
@@ -48,9 +52,9 @@
 }
 
 impl LeaderState {
-    /// Ends the entries of lost holders: their runners are left for the next holder, or stopped through
-    /// the platform.
-    pub(super) fn fence(&mut self, now: MonotonicTime) {
+    /// Ends the leases of lost holders: their runners wait for the next holder, or are stopped through the
+    /// platform. No function is leased again before that.
+    pub(super) fn progress_fencing(&mut self, now: MonotonicTime) {
         if !self.claims.is_open {
             return;
         }
@@ -67,8 +71,8 @@
         }
     }
 
-    /// Fences what daemons hold whose grants have ended. They are looked through only when one can have
-    /// ended since: an input must not cost with the number of daemons.
+    /// Fences what members hold whose session leases have ended. Members are looked through only when a lease
+    /// can have ended since: an input must not cost in proportion to their number.
     fn sweep_expired_leases(&mut self, now: MonotonicTime) {
         let waits_out_leases = self.rules.enforces(Rule::LeaseExpiredBeforeRegrant);
         if waits_out_leases && now < self.fencing.next_sweep_at {
@@ -99,7 +103,7 @@
         self.fencing.next_sweep_at = next_end.unwrap_or(now + IDLE_SWEEP_INTERVAL);
     }
 
-    /// Fences every function of a daemon whose grant is over.
+    /// Fences every function of a member whose session lease is over.
     pub(super) fn fence_all_held_by(&mut self, now: MonotonicTime, holder: &KnownMember) {
         let held_functions: Vec<FunctionKey> = self
             .lease_records
@@ -122,7 +126,7 @@
         }
     }
 
-    /// The holder has lost the function: each of its runners is left as it stands, or stopped.
+    /// The holder has lost the function: each of its runners is orphaned or stopped.
     pub(super) fn begin_fencing(&mut self, now: MonotonicTime, function: &FunctionKey) {
         let Some(entry) = self.lease_records.get_mut(function) else {
             return;
@@ -148,7 +152,7 @@
         }
     }
 
-    /// A runner that nobody holds is left for the next holder if it is fit to be taken over.
+    /// Orphans a runner that nobody holds if the next holder can adopt it; stops it if not.
     pub(super) fn orphan_or_stop(&mut self, now: MonotonicTime, runner: RunnerId) {
         let Some(reservation) = self.reservations.get(runner) else {
             return;
@@ -174,7 +178,7 @@
         }
     }
 
-    /// Stops what was left and nobody took.
+    /// Stops orphaned runners that nobody has adopted in time.
     fn stop_expired_orphans(&mut self, now: MonotonicTime) {
         let orphan_timeout = self.timing.orphan_timeout;
         let opened_at = self.claims.opened_at;
@@ -196,7 +200,7 @@
         }
     }
 
-    /// Stops that were ordered some time ago and not confirmed are ordered again.
+    /// Orders stops again that were not confirmed in time.
     fn retry_stops(&mut self, now: MonotonicTime) {
         let stop_retry_after = self.timing.stop_retry_after;
         let overdue_runners: Vec<RunnerId> = self
@@ -208,7 +212,7 @@
                 let requested_at = self
                     .reservations
                     .get(*runner)
-                    .and_then(|reservation| reservation.stop_asked_at);
+                    .and_then(|reservation| reservation.stop_requested_at);
                 requested_at.is_some_and(|requested_at| now.since(requested_at) >= stop_retry_after)
             })
             .collect();
@@ -220,7 +224,7 @@
     fn order_stops(&mut self, now: MonotonicTime) {
         for due_runner in self.reservations.take_due_stops() {
             self.reservations.update(due_runner, |reservation| {
-                reservation.stop_asked_at = Some(now)
+                reservation.stop_requested_at = Some(now)
             });
             let Some(reservation) = self.reservations.get(due_runner) else {
                 continue;
@@ -242,7 +246,7 @@
         }
     }
 
-    /// An entry is over when each of its runners is left, or has surely stopped.
+    /// Ends each fenced lease whose runners are all orphaned or have surely stopped.
     fn clear_fenced(&mut self, now: MonotonicTime) {
         if self.fencing.functions.is_empty() {
             return;
@@ -289,7 +293,7 @@
         }
     }
 
-    /// A runner is gone without its holder's doing: the holder is told, and the reservation is free.
+    /// A runner is gone without an order of its holder: the holder is notified, and the memory is free.
     pub(super) fn runner_vanished(&mut self, runner: RunnerId) {
         let Some(reservation) = self.reservations.get(runner) else {
             return;
--- a/crates/controlplane/src/leader_state/function_leases.rs
+++ b/crates/controlplane/src/leader_state/function_leases.rs
@@ -14,7 +14,7 @@
     pub fencing_since: Option<MonotonicTime>,
     /// When the session lease of a lost holder has surely ended.
     pub lost_lease_end: Option<MonotonicTime>,
-    /// Whether the holder was asked to give the function back.
+    /// Whether the holder has been requested to hand the function over.
     pub handing_over: bool,
     /// The member that keeps the replica of the holder's ledger.
     pub replica: Option<Host>,
--- a/crates/controlplane/src/leader_state/members.rs
+++ b/crates/controlplane/src/leader_state/members.rs
@@ -1,6 +1,7 @@
 //! Members: their streams, their incarnations and what is known of each.
 
 use super::events::MemberConnectedFields;
+use super::membership::started_at;
 use super::{LeaderOutput, LeaderState, StreamId, TraceStep};
 use common::clock::MonotonicTime;
 use common::events;
@@ -112,6 +113,15 @@
     pub had_lease: bool,
 }
 
+impl IncarnationHistory {
+    pub fn new(now: MonotonicTime, age_ms: u32, had_lease: Flag) -> Self {
+        Self {
+            started_at: started_at(now, age_ms),
+            had_lease: had_lease.0,
+        }
+    }
+}
+
 /// The members: their records, the stream that each has open, and which incarnation of a name is current.
 pub(super) struct Members {
     pub streams: BTreeMap<StreamId, KnownMember>,
--- a/crates/controlplane/src/leader_state/membership.rs
+++ b/crates/controlplane/src/leader_state/membership.rs
@@ -1,3 +1,6 @@
+//! The membership list: the members that may hold session leases, as the committed document names them. The next
+//! leader waits for the claims of exactly these.
+
 use super::members::MemberRecord;
 use super::{LeaderState, QuorumProof};
 use common::clock::MonotonicTime;
@@ -7,20 +10,20 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Names are gathered so long before they are committed together.
+/// Changes of the list are gathered this long before they are committed together.
 const MEMBERSHIP_BATCH_WINDOW: Duration = Duration::from_millis(30);
 const CHECK_INTERVAL: Duration = Duration::from_millis(500);
-/// A clock may run so many tenths slower than another.
+/// The slowest clock in tenths of the speed of another.
 const SLOWEST_CLOCK_TENTHS: u32 = 9;
 
-/// A daemon that the roster names and that has no record here.
+/// A listed member that has no record here.
 pub(super) struct DepartedMember {
     since: MonotonicTime,
-    /// Whether it said that it was leaving.
+    /// Whether it announced that it leaves.
     was_orderly: bool,
 }
 
-/// Whether a life proves that whatever else stood at a listed place is gone: it holds the port.
+/// Whether an incarnation proves that whatever else stood at a listed address is gone: it holds the port.
 fn supersedes(known: &KnownMember, listed: &ListedMember) -> bool {
     known.address == listed.address
         && (known.member == listed.member || known.address != SocketAddress::UNSPECIFIED)
@@ -33,7 +36,7 @@
     }
 }
 
-/// The moment from which a life has run, by this clock, at the latest.
+/// The latest instant, by this clock, at which an incarnation may have started that reports its age.
 pub(super) fn started_at(now: MonotonicTime, age_ms: u32) -> MonotonicTime {
     now - Duration::from_millis(u64::from(age_ms)) * SLOWEST_CLOCK_TENTHS / 10
 }
@@ -67,9 +70,9 @@
             .map(|document| &document.membership)
     }
 
-    /// Whether a daemon may get its member grant: the committed roster names it, and so does the one in
-    /// flight; and a majority followed this leader after it joined. Where no roster is committed yet, a
-    /// round must have named it.
+    /// Whether a member may get a session lease: the committed membership lists it, and so does the proposed
+    /// one; and a majority followed this leader after it joined. Without that the next leader might not know
+    /// whose lease to wait for. Where no membership is committed yet, a heartbeat round must have named it.
     pub(super) fn may_hold_lease(&self, known: &KnownMember, proof: &QuorumProof<'_>) -> bool {
         let joined_at = self
             .members
@@ -93,7 +96,7 @@
         }
     }
 
-    /// Whether every place of the awaited roster has been claimed from by the life that stands there.
+    /// Whether the incarnation that stands at each awaited address has claimed.
     pub(super) fn have_all_awaited_claimed(&self) -> bool {
         self.claims
             .awaited_members
@@ -101,7 +104,7 @@
             .all(|listed| self.claimant_at(listed).is_some())
     }
 
-    /// How many of the awaited roster have claimed, by name.
+    /// How many awaited members have claimed, by name.
     pub(super) fn count_claimed_names(&self) -> usize {
         let has_claimed = |listed: &&ListedMember| {
             let known = self.members.current.get(&listed.member);
@@ -127,8 +130,8 @@
             .map(|(_, record)| record)
     }
 
-    /// From when on a list of the platform shows whatever the lives before the present ones, and what
-    /// they gave up under earlier leaders, have left.
+    /// From which instant on a list of the platform shows everything that earlier incarnations, and the present
+    /// ones under earlier leaders, have left.
     pub(super) fn compute_list_complete_from(&self) -> MonotonicTime {
         let claimants = self
             .claims
@@ -148,13 +151,13 @@
             .unwrap_or(self.elected_at)
     }
 
-    /// Whether everything that runs and that nobody claimed is known.
+    /// Whether everything is known that runs and that nobody claimed.
     pub(super) fn is_runner_list_complete(&self) -> bool {
         self.runner_lists.listed_at >= self.runner_lists.complete_from
     }
 
-    /// From when on a list's unclaimed lives are nobody's: the election, or earlier if every earlier life
-    /// was gone earlier.
+    /// From which instant on unclaimed instances in a list are orphans: the election, or earlier if every
+    /// earlier incarnation was gone earlier.
     pub(super) fn unclaimed_from(&self) -> MonotonicTime {
         if self.runner_lists.complete_from == MonotonicTime::ZERO {
             self.elected_at
@@ -163,12 +166,12 @@
         }
     }
 
-    /// Whether runners of a function may be there that are not known yet.
+    /// Whether a function may have runners that are not known yet.
     pub(super) fn may_have_unlisted(&self, function: &FunctionKey) -> bool {
         !self.is_runner_list_complete() && function.generation <= self.claims.inherited_version
     }
 
-    /// Forgets for the quorum whom nobody heard of for long.
+    /// Stops awaiting the members that have not come back.
     pub(super) fn drop_missing_awaited(&mut self) -> Vec<ListedMember> {
         let current_incarnations = &self.members.current;
         let is_back = |listed: &ListedMember| current_incarnations.contains_key(&listed.member);
@@ -180,7 +183,7 @@
         dropped.into_iter().collect()
     }
 
-    /// Notes who of the roster has no record here any more, and since when.
+    /// Notes which listed members have no record here any more, and since when.
     fn update_departed_members(&mut self, now: MonotonicTime) {
         let present: BTreeSet<ListedMember> =
             self.members.records.keys().map(listed_member).collect();
@@ -200,7 +203,7 @@
         }
     }
 
-    /// A daemon that said it was leaving is gone: it holds nothing any more.
+    /// A member that announced its departure is gone: it holds nothing any more.
     pub(super) fn note_departed(&mut self, now: MonotonicTime, departed: &KnownMember) {
         self.membership_list.departed.insert(
             listed_member(departed),
@@ -211,8 +214,9 @@
         );
     }
 
-    /// The roster as it should be: with whoever joined, without those that have been gone long and
-    /// whose grants have surely ended, whatever they said as they left. None while it is not known who may hold grants.
+    /// The membership as it should be: with whoever joined, without those that have been gone long and whose
+    /// leases have surely ended, whether they left in order or not. None while it is not known who may hold
+    /// leases.
     pub fn target_membership(&self, now: MonotonicTime) -> Option<BTreeSet<ListedMember>> {
         let membership = self.membership()?;
         let are_old_leases_over =
@@ -244,7 +248,7 @@
         )
     }
 
-    /// The roster to be committed, when it has been wanted for a moment.
+    /// The membership to be committed, once it has been wanted for the batch window.
     pub fn due_membership(&mut self, now: MonotonicTime) -> Option<BTreeSet<ListedMember>> {
         if !std::mem::take(&mut self.membership_list.check_due)
             && now < self.membership_list.next_check_at
@@ -265,12 +269,12 @@
         wanted.filter(|_| now.since(since) >= MEMBERSHIP_BATCH_WINDOW)
     }
 
-    /// Whether a daemon waits for a newer proof of the majority.
+    /// Whether a member waits for a newer proof of the majority.
     pub fn needs_heartbeat_round(&self) -> bool {
         self.renewals.needs_proof()
     }
 
-    /// Whether something here is waited for that comes about within milliseconds.
+    /// Whether something is awaited here that comes about within milliseconds.
     pub fn is_time_critical(&self) -> bool {
         self.membership_list.change_since.is_some() || !self.renewals.is_empty()
     }
--- a/crates/controlplane/src/leader_state/mod.rs
+++ b/crates/controlplane/src/leader_state/mod.rs
@@ -1,4 +1,4 @@
-//! The leader's leader state: members and their grants, function grants, workers. All of it in memory.
+//! The leader's state: members and their session leases, function leases, workers. All of it is kept in memory.
 
 mod acquisitions;
 mod adoption;
@@ -54,15 +54,15 @@
 use worker_evacuation::WorkerEvacuations;
 use workers::Workers;
 
-/// What the core proves to the leader state at one moment.
+/// What the control quorum proves to the leader at one instant.
 pub struct QuorumProof<'a> {
-    /// Whether the leader has committed under its own term.
+    /// Whether the leader has committed a document under its own term.
     pub ready: bool,
-    /// When the newest round was sent that a majority answered.
+    /// When the newest heartbeat round was sent that a majority answered.
     pub quorum_confirmed_at: MonotonicTime,
-    /// Whether a round that a majority answered named a daemon.
+    /// Whether a heartbeat round that a majority answered named a member.
     pub confirmed: &'a dyn Fn(&KnownMember) -> bool,
-    /// The roster of the change in flight.
+    /// The membership of the change that is proposed and not committed yet.
     pub proposed_membership: Option<&'a BTreeSet<ListedMember>>,
 }
 
@@ -130,14 +130,14 @@
         }
     }
 
-    /// The same, with a rule taken away for proving.
+    /// Lifts a safety rule, for tests that show what the rule is good for.
     pub fn with_rules(mut self, rules: Rules) -> Self {
         self.rules = rules;
         self
     }
 
-    /// The same with the versions that this controller has seen lately: daemons that are a little behind are told
-    /// what changed, and not the whole.
+    /// Gives the versions that this controller has seen lately, so that members a little behind get deltas and
+    /// not the complete document.
     pub fn with_earlier_views(mut self, views: VecDeque<DaemonView>) -> Self {
         self.configuration.earlier_views = views;
         self
@@ -147,12 +147,12 @@
         self.rules.enforces(Rule::EvacuationObeyed) && self.configuration.table.is_evacuated(zone)
     }
 
-    /// Whether the claims quorum stands and grants are given.
+    /// Whether the claims quorum stands, so that leases are issued.
     pub fn is_open(&self) -> bool {
         self.claims.is_open
     }
 
-    /// The daemons that may hold grants, and whether there are surely no others.
+    /// The members that may hold leases, and whether there are surely no others.
     pub fn known_members(&self) -> (BTreeSet<KnownMember>, bool) {
         let mut known_members: BTreeSet<KnownMember> =
             self.members.records.keys().cloned().collect();
@@ -165,17 +165,17 @@
         )
     }
 
-    /// The same, if they may have changed since last asked.
+    /// The known members, if they may have changed since this was last called.
     pub fn take_known_members(&mut self) -> Option<(BTreeSet<KnownMember>, bool)> {
         std::mem::take(&mut self.members.changed).then(|| self.known_members())
     }
 
-    /// The newest serial that is in force everywhere.
+    /// The newest version that is in force with every member.
     pub fn in_force(&self) -> Version {
         self.configuration.in_force
     }
 
-    /// Takes what a daemon says on its stream.
+    /// Handles a frame from a member. One arm per frame: each goes to the module that it concerns.
     pub fn receive(&mut self, now: MonotonicTime, stream: StreamId, frame: DaemonToLeader) {
         self.acquisitions.check_due = true;
         self.note_frame_received(now, stream);
@@ -187,10 +187,7 @@
                 age_ms,
                 granted,
             } => {
-                let history = IncarnationHistory {
-                    started_at: membership::started_at(now, age_ms),
-                    had_lease: granted.0,
-                };
+                let history = IncarnationHistory::new(now, age_ms, granted);
                 self.handle_hello(now, stream, host, ingress, version, history);
             }
             DaemonToLeader::Claims { claims } => self.handle_claims(now, stream, claims.0),
@@ -206,14 +203,8 @@
                 correlation,
                 function,
             } => {
-                let pending_request = PendingAcquisition {
-                    stream,
-                    correlation,
-                    function,
-                    requested_at: now,
-                    delay_announced: false,
-                };
-                self.acquisitions.add(pending_request);
+                let acquisition = PendingAcquisition::new(now, stream, correlation, function);
+                self.acquisitions.add(acquisition);
             }
             DaemonToLeader::Release {
                 function,
@@ -265,7 +256,7 @@
         }
     }
 
-    /// A stream has ended.
+    /// A member's stream has ended; its lease stands until it expires.
     pub fn stream_lost(&mut self, stream: StreamId) {
         let Some(known_member) = self.members.streams.remove(&stream) else {
             return;
@@ -284,12 +275,12 @@
         }
     }
 
-    /// Does all that is due, and returns what has been ordered.
+    /// Does all that is due at this instant, and returns what is to be sent, requested and recorded, in order.
     pub fn progress(&mut self, now: MonotonicTime, proof: &QuorumProof<'_>) -> Vec<LeaderOutput> {
         self.expire_members(now);
         self.open_if_due(now, proof);
         self.request_lists(now);
-        self.fence(now);
+        self.progress_fencing(now);
         self.assign_replicas(now);
         self.answer_renewals(now, proof);
         self.answer_acquisitions(now);
@@ -309,7 +300,7 @@
         self.push_event(fields.record(event));
     }
 
-    /// For a record made while its fields were still borrowed from this state.
+    /// Takes a record made while its fields were still borrowed from this state.
     fn push_event(&mut self, event_record: EventRecord) {
         self.outputs.push(LeaderOutput::EventRecord(event_record));
     }
--- a/crates/controlplane/src/leader_state/output.rs
+++ b/crates/controlplane/src/leader_state/output.rs
@@ -1,19 +1,21 @@
+//! What the leader's state hands to the controller.
+
 use common::adapter::StopOrder;
 use common::events::Event;
 use common::frames::LeaderToDaemon;
 use common::identity::{MemberName, Version};
 use serde_json::Value;
 
-/// Names one daemon's stream in this process.
+/// Identifies one member's stream in this process.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
 pub struct StreamId(pub u64);
 
-/// Something operators are told.
+/// An event for operators.
 #[derive(Clone, Debug)]
 pub struct EventRecord {
-    /// The kind.
+    /// Its kind.
     pub event: Event,
-    /// The particulars.
+    /// Its fields, as JSON with the keys that operators read.
     pub detail: Value,
 }
 
@@ -23,38 +25,38 @@
     }
 }
 
-/// What the leader state orders.
+/// What the leader orders.
 #[derive(Clone, Debug)]
 pub enum LeaderOutput {
-    /// Say something on a daemon's stream.
+    /// Send a frame to a member.
     FrameToDaemon {
         /// The stream.
         stream: StreamId,
-        /// What to say.
+        /// The frame.
         frame: LeaderToDaemon,
     },
-    /// Ask the platform for its lists at once.
+    /// Request the lists of workers and runners from the platform at once.
     RequestLists,
     /// Have the platform stop a runner.
     StopRunner(StopOrder),
-    /// Tell operators.
+    /// Record an event.
     EventRecord(EventRecord),
-    /// A version came one step further at one daemon.
+    /// A version progressed at one member.
     VersionProgress {
         /// The version.
         version: Version,
-        /// The daemon.
+        /// The member.
         member: MemberName,
         /// The step.
         step: TraceStep,
     },
 }
 
-/// A step of a version at one daemon.
+/// A step of a version at one member.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum TraceStep {
-    /// It was pushed down the daemon's stream.
+    /// It was sent on the member's stream.
     Pushed,
-    /// The daemon said that it installed it.
+    /// The member reported that it has installed it.
     Installed,
 }
--- a/crates/controlplane/src/leader_state/renewals.rs
+++ b/crates/controlplane/src/leader_state/renewals.rs
@@ -1,4 +1,5 @@
-//! Renewals of session leases: each waits for a round of the quorum that a majority answered after it was asked.
+//! Renewals of session leases. Each waits for a heartbeat round that a majority answered after the request: only
+//! then is this controller surely still the leader, and the lease counts from the start of that round.
 
 use super::{LeaderState, QuorumProof, StreamId};
 use common::clock::MonotonicTime;
@@ -7,14 +8,14 @@
 use common::rules::Rule;
 use std::time::Duration;
 
-/// A renewal waits for a proof that is no older than so, beside its own age.
+/// A renewal waits for a proof that is older than its request by at most this.
 const MAX_PROOF_AGE: Duration = Duration::from_millis(20);
-/// A renewal that waited so long takes the proof there is.
+/// A renewal that has waited this long takes the proof there is.
 const PROOF_WAIT_TIMEOUT: Duration = Duration::from_millis(60);
-/// Renewals that wait are looked at again so often although no newer proof has come.
+/// Waiting renewals are looked at again this often although no newer proof has come.
 const CHECK_INTERVAL: Duration = Duration::from_millis(5);
 
-/// A renewal that a daemon asked for.
+/// A renewal that a member requested.
 pub(super) struct WaitingRenewal {
     pub stream: StreamId,
     pub correlation: CorrelationId,
@@ -33,7 +34,7 @@
 }
 
 impl Renewals {
-    /// Drops what was asked on a stream.
+    /// Drops the renewals requested on a stream.
     pub fn forget(&mut self, stream: StreamId) {
         self.new_renewals.retain(|renewal| renewal.stream != stream);
         self.waiting.retain(|renewal| renewal.stream != stream);
@@ -72,6 +73,7 @@
 }
 
 impl LeaderState {
+    /// A member requests a renewal, and reports the version that it has installed.
     pub(super) fn handle_renew(
         &mut self,
         now: MonotonicTime,
@@ -81,15 +83,16 @@
     ) {
         self.handle_installed(stream, version);
         self.renewals.forget(stream);
-        let pending_request = WaitingRenewal {
+        let renewal = WaitingRenewal {
             stream,
             correlation,
             requested_at: now,
             needs_proof: true,
         };
-        self.renewals.new_renewals.push(pending_request);
+        self.renewals.new_renewals.push(renewal);
     }
 
+    /// Answers each renewal that can be answered now.
     pub(super) fn answer_renewals(&mut self, now: MonotonicTime, proof: &QuorumProof<'_>) {
         let Some(committed_version) = self
             .configuration
--- a/crates/controlplane/src/leader_state/report.rs
+++ b/crates/controlplane/src/leader_state/report.rs
@@ -1,9 +1,13 @@
+//! Reports on the leader's state for operators. The keys are part of their interface and stay as they are.
+
 use super::LeaderState;
 use common::clock::MonotonicTime;
+use common::identity::Zone;
 use serde_json::{Value, json};
+use std::collections::BTreeSet;
 
 impl LeaderState {
-    /// The daemons, for operators.
+    /// The members, as operators read them.
     pub fn report_members(&self, now: MonotonicTime) -> Value {
         let rows: Vec<Value> = self
             .members
@@ -28,7 +32,7 @@
         json!({"members": rows, "open": self.claims.is_open})
     }
 
-    /// The holders, for operators.
+    /// The function leases, as operators read them.
     pub fn report_holders(&self) -> Value {
         let rows: Vec<Value> = self
             .lease_records
@@ -52,7 +56,7 @@
         json!({"holders": rows})
     }
 
-    /// The workers, for operators.
+    /// The workers, as operators read them.
     pub fn report_workers(&self) -> Value {
         let reserved_mb_sums = self.reserved_mb();
         let rows: Vec<Value> = self
@@ -73,7 +77,7 @@
         json!({"workers": rows})
     }
 
-    /// The runners, for operators.
+    /// The runners, as operators read them.
     pub fn report_runners(&self) -> Value {
         let rows: Vec<Value> = self
             .reservations
@@ -94,7 +98,7 @@
         json!({"runners": rows})
     }
 
-    /// Counts for the metrics page: members, entries, runners, workers in use.
+    /// Counts for the metrics: open streams, function leases, runners, workers in use.
     pub fn counts(&self) -> [(&'static str, u64); 4] {
         [
             ("members", self.members.streams.len() as u64),
@@ -103,11 +107,9 @@
             ("workers_used", self.reserved_mb().len() as u64),
         ]
     }
-}
 
-impl LeaderState {
-    /// Every zone that a daemon or worker stands in.
-    pub fn known_zones(&self) -> std::collections::BTreeSet<common::identity::Zone> {
+    /// Every zone with a member or a worker.
+    pub fn known_zones(&self) -> BTreeSet<Zone> {
         let member_zones = self
             .members
             .records
--- a/crates/controlplane/src/leader_state/reservations.rs
+++ b/crates/controlplane/src/leader_state/reservations.rs
@@ -1,12 +1,15 @@
+//! Reservations: the memory of workers that runners use, with indexes by function, instance and worker.
+
 use common::clock::MonotonicTime;
 use common::frames::{ClaimedRunner, Flag, Instance, LengthPrefixed};
 use common::identity::{FunctionKey, InstanceId, RunnerId, WorkerName};
 use std::collections::btree_map::Iter;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
+/// How many ended runners, ended instances and former names are remembered at most.
 const MAX_ENDED_REMEMBERED: usize = 8192;
 
-/// The memory set aside for one runner, and what is known of the runner.
+/// The memory reserved for one runner, and what is known of the runner.
 pub(super) struct Reservation {
     pub function: FunctionKey,
     pub worker: WorkerName,
@@ -16,14 +19,14 @@
     pub ready: bool,
     pub draining: bool,
     pub stop_wanted: bool,
-    pub stop_asked_at: Option<MonotonicTime>,
+    pub stop_requested_at: Option<MonotonicTime>,
     pub orphaned_since: Option<MonotonicTime>,
-    /// The platform did not tell under which of the function's keys it was started.
+    /// Whether the platform did not report under which of the function's keys it was started.
     pub key_unknown: bool,
 }
 
 impl Reservation {
-    /// A runner that has not begun yet.
+    /// A runner that has not started yet.
     pub fn new(function: FunctionKey, worker: WorkerName, memory_mb: u32) -> Self {
         Self {
             function,
@@ -34,28 +37,28 @@
             ready: false,
             draining: false,
             stop_wanted: false,
-            stop_asked_at: None,
+            stop_requested_at: None,
             orphaned_since: None,
             key_unknown: false,
         }
     }
 
-    /// Whether it can be taken over as it stands.
+    /// Whether the next holder can adopt it as it stands.
     pub fn is_adoptable(&self) -> bool {
         self.ready && !self.draining && !self.stop_wanted && self.instance.is_some()
     }
 
-    /// Whether it is there to stay.
+    /// Whether it is neither draining nor stopping nor orphaned.
     pub fn is_staying(&self) -> bool {
         !self.draining && !self.stop_wanted && self.orphaned_since.is_none()
     }
 
-    /// Whether nobody holds it, and the next holder may take it over.
+    /// Whether nobody holds it, and the next holder may adopt it.
     pub fn is_orphaned(&self) -> bool {
         self.orphaned_since.is_some() && !self.stop_wanted
     }
 
-    /// How the next holder is told of it.
+    /// The runner as its next holder gets it.
     pub fn as_claim(&self, runner: RunnerId) -> ClaimedRunner {
         ClaimedRunner {
             runner,
@@ -67,7 +70,7 @@
     }
 }
 
-/// All reservations, found by runner, by function and by life. A life is in one of them at most.
+/// All reservations, by runner, function and instance. An instance is in at most one of them.
 #[derive(Default)]
 pub(super) struct Reservations {
     all: BTreeMap<RunnerId, Reservation>,
@@ -101,7 +104,7 @@
         self.all.get(&runner)
     }
 
-    /// The name that a runner goes by now.
+    /// The name that a runner goes by after adoptions.
     pub fn current_name(&self, runner: RunnerId) -> RunnerId {
         let mut current_name = runner;
         while let Some(new_name) = self.renamed.get(&current_name) {
@@ -125,7 +128,7 @@
         unkeyed_runners.map(|(runner, _)| runner).collect()
     }
 
-    /// How many runners a function has that stay, under all its keys.
+    /// How many staying runners a function has under all its keys.
     pub fn staying_count(&self, function: &FunctionKey) -> usize {
         let keys = self.by_function.range(function.all_regions()..);
         let own_keys = keys.take_while(|(key, _)| key.is_same_function(function));
@@ -136,7 +139,7 @@
             .count()
     }
 
-    /// Who has a life.
+    /// The runner that has an instance.
     pub fn runner_with_instance(&self, instance: &InstanceId) -> Option<RunnerId> {
         self.by_instance.get(instance).copied()
     }
@@ -147,34 +150,34 @@
             || instance.is_some_and(|name| self.has_instance_ended(name))
     }
 
-    /// Whether a life is known to have ended.
+    /// Whether an instance is known to have ended.
     pub fn has_instance_ended(&self, instance: &InstanceId) -> bool {
         self.ended_instances.contains(instance)
     }
 
-    /// The memory set aside on each worker.
+    /// The memory in MiB that is reserved on each worker.
     pub fn reserved_mb(&self) -> &BTreeMap<WorkerName, u64> {
         &self.reserved_mb_by_worker
     }
 
-    /// Those to be stopped.
+    /// The runners that have to stop.
     pub fn stopping(&self) -> &BTreeSet<RunnerId> {
         &self.stopping
     }
 
-    /// Those whose stop is to be ordered now.
+    /// Takes the runners whose stop has to be ordered now.
     pub fn take_due_stops(&mut self) -> BTreeSet<RunnerId> {
         std::mem::take(&mut self.due_stops)
     }
 
-    /// Those left for a next holder.
+    /// The runners that wait for a next holder.
     pub fn orphaned(&self) -> &BTreeSet<RunnerId> {
         &self.orphaned
     }
 
-    /// Sets a reservation down; a life that another one has moves here.
+    /// Adds a reservation; an instance that another one has moves here.
     pub fn insert(&mut self, runner: RunnerId, mut reservation: Reservation) {
-        self.take(runner);
+        self.remove(runner);
         let instance = reservation.instance.take();
         let (stop_wanted, orphaned_since) =
             (reservation.stop_wanted, reservation.orphaned_since.take());
@@ -204,7 +207,8 @@
         }
     }
 
-    /// A runner's life is known. Whoever else had it goes: its name is now this one.
+    /// The instance of a runner is known. If another runner had it, that one was the same under an earlier
+    /// name.
     pub fn note_started(
         &mut self,
         runner: RunnerId,
@@ -220,7 +224,7 @@
             .copied()
             .filter(|other| *other != runner)
         {
-            self.take(other);
+            self.remove(other);
             self.rename(other, runner);
         }
         let Some(reservation) = self.all.get_mut(&runner) else {
@@ -246,14 +250,15 @@
         }
     }
 
-    /// Changes what is neither name, life, place nor fate.
+    /// Changes fields that no index depends on: neither name, function, instance, worker nor whether it is
+    /// stopped or orphaned.
     pub fn update(&mut self, runner: RunnerId, change: impl FnOnce(&mut Reservation)) {
         if let Some(reservation) = self.all.get_mut(&runner) {
             change(reservation);
         }
     }
 
-    /// It is to be stopped; nobody takes it over any more.
+    /// Marks a runner for stopping; nobody adopts it any more.
     pub fn want_stop(&mut self, runner: RunnerId) {
         if let Some(reservation) = self.all.get_mut(&runner) {
             reservation.stop_wanted = true;
@@ -264,7 +269,7 @@
         }
     }
 
-    /// Nobody holds it any more, and the next holder may take it over.
+    /// Marks a runner as orphaned: nobody holds it, and the next holder may adopt it.
     pub fn mark_orphaned(&mut self, runner: RunnerId, now: MonotonicTime) {
         if let Some(reservation) = self.all.get_mut(&runner) {
             reservation.orphaned_since.get_or_insert(now);
@@ -272,9 +277,9 @@
         }
     }
 
-    /// A left runner goes by a new name, under a new grant.
+    /// Gives an orphaned runner a new name, under a new lease.
     pub fn adopt(&mut self, orphaned_runner: RunnerId, runner: RunnerId) {
-        let Some(mut reservation) = self.take(orphaned_runner) else {
+        let Some(mut reservation) = self.remove(orphaned_runner) else {
             return;
         };
         reservation.orphaned_since = None;
@@ -283,7 +288,7 @@
         self.rename(orphaned_runner, runner);
     }
 
-    /// What must never be: it is taken over and left for others all the same.
+    /// Adopts a runner and leaves it for others all the same: what the rule of single adoption rules out.
     pub fn adopt_without_transfer(&mut self, orphaned_runner: RunnerId, runner: RunnerId) {
         let Some(orphaned) = self.all.get(&orphaned_runner) else {
             return;
@@ -299,8 +304,8 @@
         });
     }
 
-    /// Takes a reservation out.
-    pub fn take(&mut self, runner: RunnerId) -> Option<Reservation> {
+    /// Removes a reservation.
+    pub fn remove(&mut self, runner: RunnerId) -> Option<Reservation> {
         let reservation = self.all.remove(&runner)?;
         if let Some(runners) = self.by_function.get_mut(&reservation.function) {
             runners.remove(&runner);
@@ -335,7 +340,7 @@
         if self.ended_runners.len() > MAX_ENDED_REMEMBERED {
             self.ended_runners.pop_first();
         }
-        let reservation = self.take(runner)?;
+        let reservation = self.remove(runner)?;
         if let Some(instance) = &reservation.instance {
             self.ended_instances.insert(instance.name.clone());
             self.ended_instances_by_age.push_back(instance.name.clone());
--- a/crates/controlplane/src/leader_state/runner_list.rs
+++ b/crates/controlplane/src/leader_state/runner_list.rs
@@ -1,3 +1,5 @@
+//! The platform's list of runners: it shows what was orphaned under earlier leaders and what has vanished.
+
 use super::LeaderState;
 use super::events::FoundRunnerFields;
 use super::reservations::Reservation;
@@ -21,8 +23,8 @@
 }
 
 impl LeaderState {
-    /// Takes the platform's list of runners, which shows how things stood at a moment. Runners are known
-    /// again by their lives; while the claims quorum is waited for, unknown ones may still be claimed.
+    /// Takes the platform's list of runners, which shows one instant. Runners are recognised by their
+    /// instances; while the claims quorum is awaited, unknown ones may still be claimed.
     pub fn runners_listed(&mut self, listed_at: MonotonicTime, listed_runners: &[ListedRunner]) {
         if listed_at < self.runner_lists.listed_at {
             return;
@@ -48,7 +50,7 @@
         }
     }
 
-    /// The claims quorum stands: what it did not claim and is listed is held by nobody.
+    /// The claims quorum stands: what is listed and not claimed is held by nobody.
     pub(super) fn register_pending_list(&mut self) {
         let listed_runners = std::mem::take(&mut self.runner_lists.pending);
         self.register_unknown_runners(self.runner_lists.listed_at, &listed_runners);
@@ -78,7 +80,7 @@
         }
     }
 
-    /// Whether the platform keeps the start's key, and it is one whose life was not known yet.
+    /// Whether the platform reports the key of the start, and that one's instance was not known yet.
     fn match_by_start_key(&mut self, listed_at: MonotonicTime, listed: &ListedRunner) -> bool {
         let Some(runner) = listed.runner else {
             return false;
@@ -94,7 +96,7 @@
         awaits_instance
     }
 
-    /// Whether a runner of the same function is being begun on the same worker: this life may be its.
+    /// Whether a runner of the same function is being started on the same worker: this instance may be its.
     fn may_be_starting_here(&self, listed: &ListedRunner) -> bool {
         self.reservations.values().any(|reservation| {
             reservation.instance.is_none()
@@ -103,8 +105,8 @@
         })
     }
 
-    /// A runner that nobody holds is left for the next holder of its function, under a name of this
-    /// reign, if its function is surely the one in the spec.
+    /// Records a runner that nobody holds, under a name of this term. It waits for the next holder of its
+    /// function if that function is surely the one in the specification.
     fn register_orphan(&mut self, listed_at: MonotonicTime, listed: &ListedRunner) {
         let same_name = self
             .configuration
@@ -143,7 +145,7 @@
         self.orphan_or_stop(listed_at, runner);
     }
 
-    /// What must have been listed by now and is not is gone.
+    /// A runner that should be in the list by now and is not has ended.
     fn detect_vanished_runners(
         &mut self,
         listed_at: MonotonicTime,
--- a/crates/controlplane/src/leader_state/timing.rs
+++ b/crates/controlplane/src/leader_state/timing.rs
@@ -1,54 +1,56 @@
+//! Time-outs and intervals of the leader.
+
 use std::time::Duration;
 use typed_builder::TypedBuilder;
 
-/// The leader state's times.
+/// The time-outs and intervals of the leader.
 #[derive(Clone, Debug, TypedBuilder)]
 pub struct LeaderTiming {
-    /// How long a member grant runs.
+    /// How long a session lease runs.
     #[builder(default = Duration::from_millis(2000))]
     pub lease_length: Duration,
-    /// What is added before a grant counts as ended, for clocks that drift.
+    /// What is added before a session lease counts as ended, for clocks that drift.
     #[builder(default = Duration::from_millis(200))]
     pub drift_margin: Duration,
-    /// How long a new leader waits for claims that do not come; never less than a member grant
-    /// with its drift margin.
+    /// How long a new leader waits for claims that do not come; never less than a session lease with its drift
+    /// margin.
     #[builder(default = Duration::from_millis(2200))]
     pub claims_wait: Duration,
-    /// How long a runner's start may be on its way to the platform after its holder's grant.
+    /// How long the start of a runner may be on its way to the platform after its holder's lease has ended.
     #[builder(default = Duration::from_millis(400))]
     pub start_settle: Duration,
-    /// When a last-known daemon that never came back stops counting for the quorum.
+    /// After which time a member that never came back no longer counts for the quorum.
     #[builder(default = Duration::from_secs(4))]
     pub drop_absent_after: Duration,
-    /// How long a daemon that left in order may be away before the roster no longer names it: longer than
-    /// a restart takes, as a rule.
+    /// How long a member that left in order may be away before it leaves the membership list: longer than a
+    /// restart usually takes.
     #[builder(default = Duration::from_secs(2))]
     pub restart_grace_period: Duration,
-    /// Before a runner that did not stop is told again.
+    /// After which time an unconfirmed stop is ordered again.
     #[builder(default = Duration::from_millis(700))]
     pub stop_retry_after: Duration,
-    /// How long a runner that nobody holds is left for a next holder.
+    /// How long an orphaned runner waits for a next holder.
     #[builder(default = Duration::from_secs(4))]
     pub orphan_timeout: Duration,
-    /// How long after its start a runner may be missing in the platform's list, beside three boots.
+    /// How long after its start a runner may be missing in the platform's list, beside three start-up times.
     #[builder(default = Duration::from_secs(1))]
     pub list_lag: Duration,
-    /// How long a worker that refused a start is left alone.
+    /// How long a worker that refused a start gets no runners.
     #[builder(default = Duration::from_secs(1))]
     pub refused_start_cooldown: Duration,
-    /// Whether a function's runners are spread over zones; else they stand in their holder's.
+    /// Whether the runners of a function are spread over zones; if not, they go to their holder's zone.
     #[builder(default = true)]
     pub spread_over_zones: bool,
-    /// Whether little used workers are emptied.
+    /// Whether little used workers are evacuated.
     #[builder(default = true)]
     pub worker_evacuation: bool,
-    /// How long a daemon without stream and grant is remembered.
+    /// How long a member without stream and lease is remembered.
     #[builder(default = Duration::from_secs(5))]
     pub forget_after: Duration,
 }
 
 impl LeaderTiming {
-    /// How long after its proof a member grant may still be used anywhere.
+    /// How long after its proof a session lease may still be used anywhere.
     pub fn full_lease_wait(&self) -> Duration {
         self.lease_length + self.drift_margin
     }
--- a/crates/controlplane/src/leader_state/worker_evacuation.rs
+++ b/crates/controlplane/src/leader_state/worker_evacuation.rs
@@ -1,3 +1,5 @@
+//! Consolidation: the runners of a little used worker move to others, so that the worker can be switched off.
+
 use super::LeaderState;
 use super::events::WorkerFields;
 use common::clock::MonotonicTime;
@@ -8,12 +10,16 @@
 
 /// A new leader evacuates no worker before this.
 const FIRST_EVACUATION_AFTER: Duration = Duration::from_secs(15);
+/// Between two evacuations.
 const EVACUATION_INTERVAL: Duration = Duration::from_secs(8);
+/// After an evacuation that timed out.
 const EVACUATION_RETRY_DELAY: Duration = Duration::from_secs(30);
+/// An evacuation that takes longer is given up.
 const EVACUATION_TIMEOUT: Duration = Duration::from_secs(20);
+/// The share of their memory that the other workers keep free.
 const HEADROOM_PERCENT: u64 = 10;
 
-/// A worker that is being emptied so that it can be switched off.
+/// A worker whose runners are being moved off, so that it can be switched off.
 struct WorkerEvacuation {
     worker: WorkerName,
     since: MonotonicTime,
@@ -47,7 +53,7 @@
 }
 
 impl LeaderState {
-    /// Empties the least used worker when all its runners fit on the others in use, one at a time.
+    /// Evacuates the least used worker if all its runners fit on the others in use. One worker at a time.
     pub(super) fn evacuate_workers(&mut self, now: MonotonicTime) {
         if !self.claims.is_open || !self.timing.worker_evacuation {
             return;
@@ -86,6 +92,7 @@
         }
     }
 
+    /// The worker in use with the least memory reserved, if its runners, the largest first, fit on the others.
     fn worker_to_evacuate(&self) -> Option<WorkerName> {
         let reserved_mb_sums = self.reserved_mb();
         let used_workers: Vec<(&WorkerName, u64)> = reserved_mb_sums
