--- a/crates/controlplane/tests/leader_state.rs
+++ b/crates/controlplane/tests/leader_state.rs
@@ -1,4 +1,5 @@
-//! The leader's leader state: when it grants, whom it waits for, and from when a transaction may run only once.
+//! The leader's state: when it issues leases, whose claims it awaits, and from when on a request may be sent that
+//! must not run twice.
 
 #[path = "../../../testing/support/forms.rs"]
 mod forms;
@@ -6,15 +7,18 @@
 use common::adapter::{ListedRunner, ListedWorker};
 use common::clock::MonotonicTime;
 use common::frames::{
-    AcquireResult, Claim, ClaimedRunner, DaemonToLeader, Flag, Host, Instance, KnownMember,
-    LeaderToDaemon, LengthPrefixed, MemberIncarnation, ReserveResult, RunnerStatus, SocketAddress,
+    AcquireResult, Claim, ClaimedRunner, DaemonToLeader, Flag, Host, IdleFunction, Instance,
+    KnownMember, LeaderToDaemon, LengthPrefixed, MemberIncarnation, RequestFailureReason,
+    ReserveResult, RunnerStatus, SocketAddress,
 };
 use common::identity::{
     ChangeId, ControllerId, CorrelationId, DocumentVersion, FencingToken, FunctionKey, RunnerId,
     Term, Version,
 };
 use common::spec::{Document, ListedMember, Voter, read_spec};
-use controlplane::leader_state::{LeaderOutput, LeaderState, LeaderTiming, QuorumProof, StreamId};
+use controlplane::leader_state::{
+    EventRecord, LeaderOutput, LeaderState, LeaderTiming, QuorumProof, StreamId,
+};
 use googletest::prelude::*;
 use serde_json::json;
 use std::collections::{BTreeSet, VecDeque};
@@ -76,6 +80,8 @@
     leader_state: LeaderState,
     now: MonotonicTime,
     outputs: Vec<LeaderOutput>,
+    /// All events recorded so far.
+    events: Vec<EventRecord>,
 }
 
 impl Harness {
@@ -93,6 +99,7 @@
             leader_state,
             now: ELECTED,
             outputs: Vec::new(),
+            events: Vec::new(),
         }
     }
 
@@ -105,6 +112,11 @@
             proposed_membership: None,
         };
         self.outputs = self.leader_state.progress(self.now, &proof);
+        let recorded = self.outputs.iter().filter_map(|output| match output {
+            LeaderOutput::EventRecord(event_record) => Some(event_record.clone()),
+            _ => None,
+        });
+        self.events.extend(recorded);
     }
 
     fn join(&mut self, stream: u64, name: &str, claims: Vec<Claim>) {
@@ -242,7 +254,7 @@
     )
 }
 
-fn listed_life(leaving: bool) -> ListedRunner {
+fn listed_instance(leaving: bool) -> ListedRunner {
     ListedRunner {
         instance: instance(),
         runner: None,
@@ -259,7 +271,7 @@
     harness.join(2, "b", vec![]);
     harness.acquire(1);
     harness.advance(ms(2500));
-    let listed = [listed_life(leaving)];
+    let listed = [listed_instance(leaving)];
     harness.listed(&listed);
     harness.advance(ms(700));
     verify_that!(harness.leader_state.is_open(), eq(false))?;
@@ -503,7 +515,7 @@
 }
 
 #[gtest]
-fn a_daemon_is_suspected_only_when_its_watchers_and_its_stream_agree() -> Result<()> {
+fn a_daemon_is_suspected_only_when_failure_detectors_and_its_stream_agree() -> Result<()> {
     let mut harness = Harness::new(&[]);
     harness.join(1, "a", Vec::new());
     harness.join(2, "b", Vec::new());
@@ -548,7 +560,7 @@
 }
 
 impl Harness {
-    /// Who was told of hosts: the stream, the list's number, how many daemons were named.
+    /// The host lists sent: the stream, the list's number, how many hosts it names.
     fn hosts_sent(&self) -> Vec<(u64, u64, usize)> {
         let named = self.outputs.iter().filter_map(|output| match output {
             LeaderOutput::FrameToDaemon {
@@ -576,7 +588,7 @@
 }
 
 #[gtest]
-fn a_crowded_function_gives_one_runner_back_to_a_function_that_has_none() -> Result<()> {
+fn a_crowded_function_gives_one_runner_up_for_a_function_that_has_none() -> Result<()> {
     let mut harness = Harness::new(&["a"]);
     harness.join(1, "a", vec![]);
     harness.listed(&[]);
@@ -730,7 +742,7 @@
     else {
         return fail!("no room");
     };
-    harness.listed(&[listed_life(false)]);
+    harness.listed(&[listed_instance(false)]);
     harness.advance(ms(10));
     verify_that!(
         harness.leader_state.report_runners()["runners"]
@@ -749,7 +761,7 @@
             runner_status,
         },
     );
-    harness.listed(&[listed_life(false)]);
+    harness.listed(&[listed_instance(false)]);
     harness.advance(ms(10));
     verify_that!(
         harness.leader_state.report_runners()["runners"]
@@ -802,7 +814,7 @@
     SocketAddress(format!("10.0.0.{last}:1").parse().expect("an address"))
 }
 
-/// A daemon of the roster: its name, and the last number of its place.
+/// A listed member: its name, and the last number of its address.
 type Listed = (&'static str, u8);
 
 fn membership(listed: &[Listed]) -> BTreeSet<ListedMember> {
@@ -823,6 +835,7 @@
         leader_state,
         now: ELECTED,
         outputs: Vec::new(),
+        events: Vec::new(),
     }
 }
 
@@ -896,7 +909,7 @@
     verify_that!(harness.leader_state.is_open(), eq(true))
 }
 
-/// The earlier life was gone when the present one began; what it had ordered has settled a little later.
+/// The earlier incarnation was gone when the present one started; the starts it had requested settle a little later.
 #[gtest]
 fn an_unclaimed_instance_is_adopted_from_the_first_complete_list() -> Result<()> {
     let mut harness = elected_with_membership(&[("a", 1)]);
@@ -910,17 +923,17 @@
     verify_that!(harness.requests_lists(), eq(true))?;
     harness
         .leader_state
-        .runners_listed(ELECTED - ms(301), &[listed_life(false)]);
+        .runners_listed(ELECTED - ms(301), &[listed_instance(false)]);
     harness.advance(ms(30));
     verify_that!(harness.acquired(), none())?;
     harness
         .leader_state
-        .runners_listed(ELECTED - ms(300), &[listed_life(false)]);
+        .runners_listed(ELECTED - ms(300), &[listed_instance(false)]);
     harness.advance(ms(30));
     verify_that!(adopted(&harness).len(), eq(1))
 }
 
-/// A daemon that was granted to before the election may have left something a moment before it.
+/// A member with a lease from before the election may have orphaned a runner just before it.
 #[gtest]
 fn nothing_is_granted_before_a_list_shows_what_was_orphaned_until_the_election() -> Result<()> {
     let mut harness = elected_with_membership(&[("a", 1)]);
@@ -928,13 +941,13 @@
     harness.acquire(1);
     harness
         .leader_state
-        .runners_listed(ELECTED - ms(1), &[listed_life(false)]);
+        .runners_listed(ELECTED - ms(1), &[listed_instance(false)]);
     harness.advance(ms(30));
     verify_that!(harness.leader_state.is_open(), eq(true))?;
     verify_that!(harness.acquired(), none())?;
     harness
         .leader_state
-        .runners_listed(ELECTED, &[listed_life(false)]);
+        .runners_listed(ELECTED, &[listed_instance(false)]);
     harness.advance(ms(30));
     verify_that!(adopted(&harness).len(), eq(1))
 }
@@ -951,7 +964,7 @@
     harness.now = harness.now + ms(40);
     let due = harness.leader_state.due_membership(harness.now);
     verify_that!(due.as_ref(), some(eq(&membership(&[("a", 1), ("b", 2)]))))?;
-    let mut next_document = document().with_membership(due.expect("a roster"));
+    let mut next_document = document().with_membership(due.expect("a membership"));
     next_document.document_version = DocumentVersion {
         term: Term(5),
         version: Version(4),
@@ -1019,7 +1032,7 @@
     )
 }
 
-/// Daemons that are taken away in order would otherwise be waited for by the next leader.
+/// Members that left for good would otherwise be awaited by the next leader.
 #[gtest]
 fn a_daemon_that_departed_orderly_leaves_the_membership_when_it_does_not_restart() -> Result<()> {
     let mut harness = elected_with_membership(&[("a", 1), ("b", 2)]);
@@ -1057,7 +1070,7 @@
     Ok(())
 }
 
-/// With two controllers of three in touch, but most daemons taken away or cut off, the others serve.
+/// Where most members are gone or cut off, those that remain serve.
 #[gtest]
 fn a_leader_opens_with_those_that_joined_once_the_others_are_dropped() -> Result<()> {
     let mut harness = elected_with_membership(&[("a", 1), ("b", 2), ("c", 3), ("d", 4)]);
@@ -1075,7 +1088,7 @@
 const NARROW_MBPS: u32 = 2;
 const WIDE_MBPS: u32 = 100;
 
-/// A leader that knows one host, on a narrow link, and has granted the function to it.
+/// A leader with one member, on a narrow link, that holds the function.
 fn granted_on_a_narrow_link() -> Harness {
     let mut harness = Harness::new(&["a"]);
     harness.join_on(1, "a", NARROW_MBPS, vec![]);
@@ -1086,7 +1099,7 @@
     harness
 }
 
-/// How often the function is asked back in five seconds.
+/// How many hand-overs of the function are requested within five seconds.
 fn hand_overs(harness: &mut Harness) -> usize {
     let mut seen = 0;
     for _ in 0..50 {
@@ -1106,8 +1119,8 @@
     seen
 }
 
-/// A leader that daemons are still joining may know too few hosts on wide links, and grants to one on a narrow
-/// link. The busiest function of a deployment must not stay there once the others have joined.
+/// While members are still joining a leader it may have too few hosts on wide links, and issue leases to one on a
+/// narrow link. The busiest function of a deployment must not stay there once the others have joined.
 #[gtest]
 fn a_function_leaves_a_narrow_link_once_enough_wide_ones_have_joined() -> Result<()> {
     let mut harness = granted_on_a_narrow_link();
@@ -1130,7 +1143,7 @@
     verify_that!(hand_overs(&mut harness), eq(0))
 }
 
-/// A leader that has just opened, with hosts on wide links, and a question from the one on a narrow link.
+/// A leader that has just opened, with hosts on wide links, and a request from the one on a narrow link.
 fn acquisition_from_a_narrow_link() -> Harness {
     let mut harness = Harness::new(&["a"]);
     harness.join_on(1, "a", NARROW_MBPS, vec![]);
@@ -1144,8 +1157,8 @@
     harness
 }
 
-/// The first to ask may be a host on a narrow link, from when it knew no others. One on a wide link that asks
-/// meanwhile goes first, and the other is told of it.
+/// The first request may come from a host on a narrow link whose host list names no others yet. A request from a wide
+/// link that comes meanwhile goes first, and the other requester gets the holder's name.
 #[gtest]
 fn an_acquisition_from_a_narrow_link_waits_for_one_from_a_wide_link() -> Result<()> {
     let mut harness = acquisition_from_a_narrow_link();
@@ -1179,7 +1192,8 @@
     )
 }
 
-/// What a new leader tells a daemon that has serial 2, before and after it has committed serial 3; it saw both.
+/// What a new leader that has seen versions 2 and 3 sends to a member with version 2: the number of frames before it
+/// has committed version 3, and the frames after that.
 fn sent_by_a_new_leader() -> (usize, Vec<&'static str>) {
     let newest = document().with_zone("l9".into(), true, ChangeId::from("turn"));
     let earlier_views = VecDeque::from([document().view(), newest.view()]);
@@ -1195,6 +1209,7 @@
         leader_state,
         now: ELECTED,
         outputs: Vec::new(),
+        events: Vec::new(),
     };
     let sent = |harness: &Harness| -> Vec<&'static str> {
         let frames = harness.outputs.iter().filter_map(|output| match output {
@@ -1202,7 +1217,7 @@
             _ => None,
         });
         let specs = frames.filter_map(|frame| match frame {
-            LeaderToDaemon::Spec { .. } => Some("whole"),
+            LeaderToDaemon::Spec { .. } => Some("complete"),
             LeaderToDaemon::Change { .. } => Some("change"),
             _ => None,
         });
@@ -1223,7 +1238,7 @@
     verify_that!(sent, elements_are![eq(&"change")])
 }
 
-/// What operators are told of daemons, holders, workers and runners, with each key and each form of a value.
+/// The reports on members, holders, workers and runners, with each key and each form of a value.
 #[gtest]
 fn reports_keep_their_keys_and_values() {
     let mut harness = Harness::new(&["a", "b"]);
@@ -1263,3 +1278,173 @@
         &format!("{seen:#}\n"),
     );
 }
+
+fn worker(name: &str, zone: &str, memory_mb: u32) -> ListedWorker {
+    ListedWorker {
+        worker: name.into(),
+        zone: zone.into(),
+        memory_mb,
+        draining: false,
+    }
+}
+
+/// Leases, suspicion and fencing on one worker that is full.
+fn events_of_leases() -> Vec<EventRecord> {
+    let mut harness = two_daemons(vec![adoptable_claim(false)]);
+    harness
+        .leader_state
+        .workers_listed(vec![worker("w", "l1", 100)]);
+    let claims = LengthPrefixed(vec![claim(false)]);
+    harness.send(2, DaemonToLeader::Claims { claims });
+    let ready = DaemonToLeader::RunnerUpdate {
+        function: function(),
+        runner: old_runner(),
+        runner_status: RunnerStatus::Ready,
+    };
+    harness.send(1, ready);
+    let rejections = DaemonToLeader::Rejections {
+        function: function(),
+        count: 3,
+        reason: RequestFailureReason::QueueFull,
+    };
+    harness.send(1, rejections);
+    let idle = IdleFunction {
+        function: function(),
+        idle_ms: 900,
+    };
+    let functions = LengthPrefixed(vec![idle]);
+    harness.send(1, DaemonToLeader::Idle { functions });
+    let fencing_token = granted(&mut harness, 2, "g");
+    harness.advance(ms(1100));
+    reserve(&mut harness, 2, "g", fencing_token);
+    let release = DaemonToLeader::Release {
+        function: FunctionKey::new("g", Version(2)),
+        fencing_token,
+        runners: LengthPrefixed(Vec::new()),
+    };
+    harness.send(2, release);
+    end_a_lease(&mut harness);
+    harness.events
+}
+
+/// The holder of a function is suspected and cut off; its zone is evacuated after that.
+fn end_a_lease(harness: &mut Harness) {
+    let instance = || MemberIncarnation {
+        member: "a".into(),
+        incarnation: 1.into(),
+    };
+    harness.send(
+        2,
+        DaemonToLeader::MemberSuspected {
+            instance: instance(),
+        },
+    );
+    harness.advance(ms(900));
+    harness.send(
+        2,
+        DaemonToLeader::MemberRecovered {
+            instance: instance(),
+        },
+    );
+    harness.renew(2);
+    harness.leader_state.stream_lost(StreamId(1));
+    harness.advance(ms(900));
+    harness.renew(2);
+    let evacuated = document().with_zone("l1".into(), true, ChangeId::from("evacuated"));
+    harness.leader_state.committed(evacuated);
+    harness.advance(ms(10));
+    harness.leader_state.runner_stopped(old_runner());
+    harness.advance(ms(2300));
+}
+
+/// A runner that is missing in the platform's list, and one that nobody claimed.
+fn events_of_lists() -> Vec<EventRecord> {
+    let mut harness = two_daemons(vec![adoptable_claim(false)]);
+    harness.advance(ms(1100));
+    harness.listed(&[]);
+    harness.advance(ms(10));
+    let mut unclaimed = listed_instance(false);
+    unclaimed.instance.name = "l2".into();
+    harness.listed(&[unclaimed]);
+    harness.advance(ms(10));
+    harness.events
+}
+
+/// A function without a runner, while another one has all the memory.
+fn events_of_reclaiming() -> Vec<EventRecord> {
+    let mut harness = Harness::new(&["a"]);
+    harness.join(1, "a", vec![]);
+    harness.listed(&[]);
+    harness.advance(ms(10));
+    harness
+        .leader_state
+        .workers_listed(vec![worker("w", "l", 200)]);
+    let crowded_lease = granted(&mut harness, 1, "f");
+    for _ in 0..2 {
+        reserve(&mut harness, 1, "f", crowded_lease);
+    }
+    let starved_lease = granted(&mut harness, 1, "g");
+    reserve(&mut harness, 1, "g", starved_lease);
+    harness.events
+}
+
+/// A little used worker is evacuated.
+fn events_of_evacuation() -> Vec<EventRecord> {
+    let mut harness = Harness::new(&["a"]);
+    harness.join(1, "a", vec![]);
+    harness.listed(&[]);
+    harness.advance(ms(10));
+    harness
+        .leader_state
+        .workers_listed(vec![worker("w-1", "l", 200)]);
+    let fencing_token = granted(&mut harness, 1, "f");
+    for _ in 0..2 {
+        reserve(&mut harness, 1, "f", fencing_token);
+    }
+    let both = vec![worker("w-1", "l", 1000), worker("w-2", "l", 150)];
+    harness
+        .leader_state
+        .workers_listed(vec![worker("w-2", "l", 150)]);
+    let last = reserve(&mut harness, 1, "f", fencing_token);
+    harness.leader_state.workers_listed(both);
+    for _ in 0..16 {
+        harness.renew(1);
+        harness.advance(ms(1000));
+    }
+    if let ReserveResult::Reserved { runner, .. } = last {
+        harness.leader_state.runner_stopped(runner);
+    }
+    harness.advance(ms(10));
+    harness.events
+}
+
+/// A member that does not come back is no longer awaited.
+fn events_of_absence() -> Vec<EventRecord> {
+    let mut harness = Harness::new(&["a", "b"]);
+    harness.join(1, "a", vec![]);
+    harness.advance(ms(4100));
+    harness.events
+}
+
+/// The events of the leader by number, with each key and each form of a value.
+#[gtest]
+fn events_keep_their_keys_and_values() {
+    let shown = |events: Vec<EventRecord>| -> Vec<serde_json::Value> {
+        let lines = events
+            .into_iter()
+            .map(|event_record| json!([event_record.event.number, event_record.detail]));
+        lines.collect()
+    };
+    let seen = json!({
+        "leases": shown(events_of_leases()),
+        "lists": shown(events_of_lists()),
+        "reclaiming": shown(events_of_reclaiming()),
+        "evacuation": shown(events_of_evacuation()),
+        "absence": shown(events_of_absence()),
+    });
+    forms::check(
+        env!("CARGO_MANIFEST_DIR"),
+        "leader_events.json",
+        &format!("{seen:#}\n"),
+    );
+}
