--- a/crates/controlplane/src/leader_state/acquisitions.rs
+++ b/crates/controlplane/src/leader_state/acquisitions.rs
@@ -35,6 +35,7 @@
 }
 
 impl PendingAcquisition {
+    /// A request that has just come in.
     pub fn new(
         now: MonotonicTime,
         stream: StreamId,
@@ -59,6 +60,7 @@
 }
 
 impl Acquisitions {
+    /// No requests; the first call of `take_due` is due at once.
     pub fn new() -> Self {
         Self {
             pending: Vec::new(),
@@ -67,6 +69,7 @@
         }
     }
 
+    /// Adds a request, or one that stays pending.
     pub fn add(&mut self, acquisition: PendingAcquisition) {
         self.pending.push(acquisition);
     }
--- a/crates/controlplane/src/leader_state/claims_quorum.rs
+++ b/crates/controlplane/src/leader_state/claims_quorum.rs
@@ -37,6 +37,7 @@
 }
 
 impl ClaimsQuorum {
+    /// The state at an election; the document committed first completes it.
     pub fn new(
         elected_at: MonotonicTime,
         last_known: BTreeSet<KnownMember>,
--- a/crates/controlplane/src/leader_state/document_delivery.rs
+++ b/crates/controlplane/src/leader_state/document_delivery.rs
@@ -36,6 +36,7 @@
 }
 
 impl Configuration {
+    /// No document is committed in this term yet.
     pub fn new() -> Self {
         Self {
             document: None,
--- a/crates/controlplane/src/leader_state/fence.rs
+++ b/crates/controlplane/src/leader_state/fence.rs
@@ -31,6 +31,7 @@
 }
 
 impl Fencing {
+    /// Nothing is fenced; the first check is due at once.
     pub fn new() -> Self {
         Self {
             functions: BTreeSet::new(),
--- a/crates/controlplane/src/leader_state/function_leases.rs
+++ b/crates/controlplane/src/leader_state/function_leases.rs
@@ -50,22 +50,27 @@
 }
 
 impl FunctionLeases {
+    /// The lease of a function.
     pub fn get(&self, function: &FunctionKey) -> Option<&LeaseRecord> {
         self.by_function.get(function)
     }
 
+    /// The lease of a function, to be changed; its holder must stay.
     pub fn get_mut(&mut self, function: &FunctionKey) -> Option<&mut LeaseRecord> {
         self.by_function.get_mut(function)
     }
 
+    /// Whether a function is leased, also while it is fenced.
     pub fn contains(&self, function: &FunctionKey) -> bool {
         self.by_function.contains_key(function)
     }
 
+    /// How many functions are leased.
     pub fn len(&self) -> usize {
         self.by_function.len()
     }
 
+    /// All leases, by function.
     pub fn iter(&self) -> impl Iterator<Item = (&FunctionKey, &LeaseRecord)> {
         self.by_function.iter()
     }
@@ -80,6 +85,7 @@
         self.by_function.insert(function, entry);
     }
 
+    /// Ends the lease of a function.
     pub fn remove(&mut self, function: &FunctionKey) -> Option<LeaseRecord> {
         let removed_lease = self.by_function.remove(function)?;
         if let Some(functions) = self.by_holder.get_mut(&removed_lease.holder) {
--- a/crates/controlplane/src/leader_state/link_moves.rs
+++ b/crates/controlplane/src/leader_state/link_moves.rs
@@ -38,6 +38,7 @@
 }
 
 impl LinkMoves {
+    /// No lease has been moved; the first check is one interval after the election.
     pub fn new(elected_at: MonotonicTime) -> Self {
         Self {
             checked_at: elected_at,
--- a/crates/controlplane/src/leader_state/members.rs
+++ b/crates/controlplane/src/leader_state/members.rs
@@ -114,6 +114,7 @@
 }
 
 impl IncarnationHistory {
+    /// From the age in milliseconds that the member reports, and whether it ever had a session lease.
     pub fn new(now: MonotonicTime, age_ms: u32, had_lease: Flag) -> Self {
         Self {
             started_at: started_at(now, age_ms),
@@ -133,6 +134,7 @@
 }
 
 impl Members {
+    /// No member has joined yet.
     pub fn new() -> Self {
         Self {
             streams: BTreeMap::new(),
--- a/crates/controlplane/src/leader_state/membership.rs
+++ b/crates/controlplane/src/leader_state/membership.rs
@@ -12,6 +12,7 @@
 
 /// Changes of the list are gathered this long before they are committed together.
 const MEMBERSHIP_BATCH_WINDOW: Duration = Duration::from_millis(30);
+/// Without a reason to check earlier, the membership is checked this often.
 const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 /// The slowest clock in tenths of the speed of another.
 const SLOWEST_CLOCK_TENTHS: u32 = 9;
@@ -52,6 +53,7 @@
 }
 
 impl MembershipList {
+    /// Everybody listed counts as present until the first check.
     pub fn new(elected_at: MonotonicTime) -> Self {
         Self {
             departed: BTreeMap::new(),
--- a/crates/controlplane/src/leader_state/reservations.rs
+++ b/crates/controlplane/src/leader_state/reservations.rs
@@ -88,18 +88,22 @@
 }
 
 impl Reservations {
+    /// All reservations, by runner.
     pub fn iter(&self) -> Iter<'_, RunnerId, Reservation> {
         self.all.iter()
     }
 
+    /// All reservations.
     pub fn values(&self) -> impl Iterator<Item = &Reservation> {
         self.all.values()
     }
 
+    /// How many runners there are.
     pub fn len(&self) -> usize {
         self.all.len()
     }
 
+    /// The reservation of a runner.
     pub fn get(&self, runner: RunnerId) -> Option<&Reservation> {
         self.all.get(&runner)
     }
--- a/crates/controlplane/src/leader_state/worker_evacuation.rs
+++ b/crates/controlplane/src/leader_state/worker_evacuation.rs
@@ -32,6 +32,7 @@
 }
 
 impl WorkerEvacuations {
+    /// No worker is evacuated for a while after the election.
     pub fn new(elected_at: MonotonicTime) -> Self {
         Self {
             current: None,
