--- a/crates/controlplane/src/leader_state/fence.rs
+++ b/crates/controlplane/src/leader_state/fence.rs
@@ -1,6 +1,7 @@
 //! Fencing: what a lost holder's lease covers is orphaned or stopped before the function is leased again.
 
 use super::events::{EventFields, FunctionFields, LeaseFields, RunnerFields};
+use super::reservations::Reservation;
 use super::{LeaderOutput, LeaderState};
 use common::adapter::StopOrder;
 use common::clock::MonotonicTime;
@@ -144,7 +145,7 @@
             .reservations
             .all_of(function)
             .filter(|(runner, reservation)| {
-                runner.fencing_token == fencing_token && reservation.orphaned_since.is_none()
+                runner.fencing_token == fencing_token && !reservation.is_orphaned()
             })
             .map(|(runner, _)| runner)
             .collect();
@@ -192,7 +193,7 @@
                 let orphaned_since = self
                     .reservations
                     .get(*runner)
-                    .and_then(|reservation| reservation.orphaned_since);
+                    .and_then(Reservation::orphaned_since);
                 orphaned_since.is_none_or(|since| now.since(since.max(opened_at)) >= orphan_timeout)
             })
             .collect();
@@ -213,7 +214,7 @@
                 let requested_at = self
                     .reservations
                     .get(*runner)
-                    .and_then(|reservation| reservation.stop_requested_at);
+                    .and_then(Reservation::stop_ordered_at);
                 requested_at.is_some_and(|requested_at| now.since(requested_at) >= stop_retry_after)
             })
             .collect();
@@ -224,9 +225,7 @@
 
     fn order_stops(&mut self, now: MonotonicTime) {
         for due_runner in self.reservations.take_due_stops() {
-            self.reservations.update(due_runner, |reservation| {
-                reservation.stop_requested_at = Some(now)
-            });
+            self.reservations.note_stop_ordered(due_runner, now);
             let Some(reservation) = self.reservations.get(due_runner) else {
                 continue;
             };
--- a/crates/controlplane/src/leader_state/reservations.rs
+++ b/crates/controlplane/src/leader_state/reservations.rs
@@ -9,6 +9,17 @@
 /// How many ended runners, ended instances and former names are remembered at most.
 const MAX_ENDED_REMEMBERED: usize = 8192;
 
+/// Who answers for a runner. A runner that has to stop stays so until it has ended.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum Custody {
+    /// The holder of its function.
+    Held,
+    /// Nobody; the next holder may adopt it.
+    Orphaned { since: MonotonicTime },
+    /// Nobody; it has to stop. `ordered_at` is when the platform was last requested to stop it.
+    Stopping { ordered_at: Option<MonotonicTime> },
+}
+
 /// The memory reserved for one runner, and what is known of the runner.
 pub(super) struct Reservation {
     pub function: FunctionKey,
@@ -18,9 +29,7 @@
     pub started_at: MonotonicTime,
     pub ready: bool,
     pub draining: bool,
-    pub stop_wanted: bool,
-    pub stop_requested_at: Option<MonotonicTime>,
-    pub orphaned_since: Option<MonotonicTime>,
+    custody: Custody,
     /// Whether the platform did not report under which of the function's keys it was started.
     pub key_unknown: bool,
 }
@@ -36,26 +45,45 @@
             started_at: MonotonicTime::ZERO,
             ready: false,
             draining: false,
-            stop_wanted: false,
-            stop_requested_at: None,
-            orphaned_since: None,
+            custody: Custody::Held,
             key_unknown: false,
         }
     }
 
     /// Whether the next holder can adopt it as it stands.
     pub fn is_adoptable(&self) -> bool {
-        self.ready && !self.draining && !self.stop_wanted && self.instance.is_some()
+        self.ready && !self.draining && !self.is_stopping() && self.instance.is_some()
     }
 
     /// Whether it is neither draining nor stopping nor orphaned.
     pub fn is_staying(&self) -> bool {
-        !self.draining && !self.stop_wanted && self.orphaned_since.is_none()
+        !self.draining && self.custody == Custody::Held
     }
 
     /// Whether nobody holds it, and the next holder may adopt it.
     pub fn is_orphaned(&self) -> bool {
-        self.orphaned_since.is_some() && !self.stop_wanted
+        self.orphaned_since().is_some()
+    }
+
+    /// Whether it has to stop.
+    pub fn is_stopping(&self) -> bool {
+        matches!(self.custody, Custody::Stopping { .. })
+    }
+
+    /// Since when nobody holds it.
+    pub fn orphaned_since(&self) -> Option<MonotonicTime> {
+        match self.custody {
+            Custody::Orphaned { since } => Some(since),
+            Custody::Held | Custody::Stopping { .. } => None,
+        }
+    }
+
+    /// When its stop was last ordered.
+    pub fn stop_ordered_at(&self) -> Option<MonotonicTime> {
+        match self.custody {
+            Custody::Stopping { ordered_at } => ordered_at,
+            Custody::Held | Custody::Orphaned { .. } => None,
+        }
     }
 
     /// The runner as its next holder gets it.
@@ -183,9 +211,7 @@
     pub fn insert(&mut self, runner: RunnerId, mut reservation: Reservation) {
         self.remove(runner);
         let instance = reservation.instance.take();
-        let (stop_wanted, orphaned_since) =
-            (reservation.stop_wanted, reservation.orphaned_since.take());
-        reservation.stop_wanted = false;
+        let custody = std::mem::replace(&mut reservation.custody, Custody::Held);
         self.by_function
             .entry(reservation.function.clone())
             .or_default()
@@ -203,11 +229,10 @@
         if let Some(instance) = instance {
             self.note_started(runner, instance, started_at);
         }
-        if let Some(orphaned_since) = orphaned_since {
-            self.mark_orphaned(runner, orphaned_since);
-        }
-        if stop_wanted {
-            self.want_stop(runner);
+        match custody {
+            Custody::Held => {}
+            Custody::Orphaned { since } => self.mark_orphaned(runner, since),
+            Custody::Stopping { .. } => self.want_stop(runner),
         }
     }
 
@@ -265,8 +290,8 @@
     /// Marks a runner for stopping; nobody adopts it any more.
     pub fn want_stop(&mut self, runner: RunnerId) {
         if let Some(reservation) = self.all.get_mut(&runner) {
-            reservation.stop_wanted = true;
-            reservation.orphaned_since = None;
+            let ordered_at = reservation.stop_ordered_at();
+            reservation.custody = Custody::Stopping { ordered_at };
             self.orphaned.remove(&runner);
             self.stopping.insert(runner);
             self.due_stops.insert(runner);
@@ -276,17 +301,26 @@
     /// Marks a runner as orphaned: nobody holds it, and the next holder may adopt it.
     pub fn mark_orphaned(&mut self, runner: RunnerId, now: MonotonicTime) {
         if let Some(reservation) = self.all.get_mut(&runner) {
-            reservation.orphaned_since.get_or_insert(now);
+            let since = reservation.orphaned_since().unwrap_or(now);
+            reservation.custody = Custody::Orphaned { since };
             self.orphaned.insert(runner);
         }
     }
 
+    /// The stop of a runner has been ordered; it is ordered again if it is not confirmed.
+    pub fn note_stop_ordered(&mut self, runner: RunnerId, now: MonotonicTime) {
+        if let Some(reservation) = self.all.get_mut(&runner) {
+            let ordered_at = Some(now);
+            reservation.custody = Custody::Stopping { ordered_at };
+        }
+    }
+
     /// Gives an orphaned runner a new name, under a new lease.
     pub fn adopt(&mut self, orphaned_runner: RunnerId, runner: RunnerId) {
         let Some(mut reservation) = self.remove(orphaned_runner) else {
             return;
         };
-        reservation.orphaned_since = None;
+        reservation.custody = Custody::Held;
         reservation.key_unknown = false;
         self.insert(runner, reservation);
         self.rename(orphaned_runner, runner);
@@ -304,7 +338,8 @@
         self.insert(runner, reservation);
         self.update(runner, |reservation| reservation.instance = instance);
         self.update(orphaned_runner, |reservation| {
-            reservation.orphaned_since = Some(MonotonicTime(u64::MAX))
+            let since = MonotonicTime(u64::MAX);
+            reservation.custody = Custody::Orphaned { since };
         });
     }
 
--- a/crates/controlplane/src/leader_state/runner_status.rs
+++ b/crates/controlplane/src/leader_state/runner_status.rs
@@ -37,7 +37,7 @@
             }
             RunnerStatus::Gone if current_name != runner => self.runner_vanished(current_name),
             RunnerStatus::Gone => {
-                if reservation.instance.is_none() && !reservation.stop_wanted {
+                if reservation.instance.is_none() && !reservation.is_stopping() {
                     self.workers
                         .start_refused_at
                         .insert(reservation.worker.clone(), now);
