--- a/crates/controlplane/src/leader_state/acquisitions.rs
+++ b/crates/controlplane/src/leader_state/acquisitions.rs
@@ -36,7 +36,7 @@
 
 impl PendingAcquisition {
     /// A request that has just come in.
-    pub fn new(
+    pub(super) fn new(
         now: MonotonicTime,
         stream: StreamId,
         correlation: CorrelationId,
@@ -61,7 +61,7 @@
 
 impl Acquisitions {
     /// No requests; the first call of `take_due` is due at once.
-    pub fn new() -> Self {
+    pub(super) fn new() -> Self {
         Self {
             pending: Vec::new(),
             check_due: true,
@@ -70,12 +70,12 @@
     }
 
     /// Adds a request, or one that stays pending.
-    pub fn add(&mut self, acquisition: PendingAcquisition) {
+    pub(super) fn add(&mut self, acquisition: PendingAcquisition) {
         self.pending.push(acquisition);
     }
 
     /// Drops the requests of a stream that has ended.
-    pub fn forget(&mut self, stream: StreamId) {
+    pub(super) fn forget(&mut self, stream: StreamId) {
         self.pending
             .retain(|acquisition| acquisition.stream != stream);
     }
--- a/crates/controlplane/src/leader_state/claims_quorum.rs
+++ b/crates/controlplane/src/leader_state/claims_quorum.rs
@@ -38,7 +38,7 @@
 
 impl ClaimsQuorum {
     /// The state at an election; the document committed first completes it.
-    pub fn new(
+    pub(super) fn new(
         elected_at: MonotonicTime,
         last_known: BTreeSet<KnownMember>,
         last_known_complete: bool,
@@ -57,14 +57,14 @@
     }
 
     /// Takes over from earlier leaders with the first document committed in this term.
-    pub fn inherit(&mut self, document: &Document) {
+    pub(super) fn inherit(&mut self, document: &Document) {
         self.inherited_version = document.document_version.version;
         self.inherits_no_functions = document.generations.is_empty();
         self.awaited_members = document.membership.clone();
     }
 
     /// Whether a claim is awaited from another incarnation of a member.
-    pub fn expects_other_incarnation_of(&self, known_member: &KnownMember) -> bool {
+    pub(super) fn expects_other_incarnation_of(&self, known_member: &KnownMember) -> bool {
         self.last_known
             .iter()
             .any(|known| known.is_other_incarnation_of(known_member))
--- a/crates/controlplane/src/leader_state/document_delivery.rs
+++ b/crates/controlplane/src/leader_state/document_delivery.rs
@@ -37,7 +37,7 @@
 
 impl Configuration {
     /// No document is committed in this term yet.
-    pub fn new() -> Self {
+    pub(super) fn new() -> Self {
         Self {
             document: None,
             table: RoutingTable::empty(),
--- a/crates/controlplane/src/leader_state/fence.rs
+++ b/crates/controlplane/src/leader_state/fence.rs
@@ -33,7 +33,7 @@
 
 impl Fencing {
     /// Nothing is fenced; the first check is due at once.
-    pub fn new() -> Self {
+    pub(super) fn new() -> Self {
         Self {
             functions: BTreeSet::new(),
             check_due: true,
@@ -43,12 +43,12 @@
     }
 
     /// The lease of the function has ended.
-    pub fn finish(&mut self, function: &FunctionKey) {
+    pub(super) fn finish(&mut self, function: &FunctionKey) {
         self.functions.remove(function);
     }
 
     /// A session lease may end earlier than was known, or has begun: the next sweep is due.
-    pub fn schedule_sweep(&mut self) {
+    pub(super) fn schedule_sweep(&mut self) {
         self.next_sweep_at = MonotonicTime::ZERO;
     }
 }
--- a/crates/controlplane/src/leader_state/function_leases.rs
+++ b/crates/controlplane/src/leader_state/function_leases.rs
@@ -24,7 +24,7 @@
 
 impl LeaseRecord {
     /// A lease that was just issued or claimed.
-    pub fn new(
+    pub(super) fn new(
         holder: KnownMember,
         fencing_token: FencingToken,
         replica: Option<Host>,
@@ -51,32 +51,32 @@
 
 impl FunctionLeases {
     /// The lease of a function.
-    pub fn get(&self, function: &FunctionKey) -> Option<&LeaseRecord> {
+    pub(super) fn get(&self, function: &FunctionKey) -> Option<&LeaseRecord> {
         self.by_function.get(function)
     }
 
     /// The lease of a function, to be changed; its holder must stay.
-    pub fn get_mut(&mut self, function: &FunctionKey) -> Option<&mut LeaseRecord> {
+    pub(super) fn get_mut(&mut self, function: &FunctionKey) -> Option<&mut LeaseRecord> {
         self.by_function.get_mut(function)
     }
 
     /// Whether a function is leased, also while it is fenced.
-    pub fn contains(&self, function: &FunctionKey) -> bool {
+    pub(super) fn contains(&self, function: &FunctionKey) -> bool {
         self.by_function.contains_key(function)
     }
 
     /// How many functions are leased.
-    pub fn len(&self) -> usize {
+    pub(super) fn len(&self) -> usize {
         self.by_function.len()
     }
 
     /// All leases, by function.
-    pub fn iter(&self) -> impl Iterator<Item = (&FunctionKey, &LeaseRecord)> {
+    pub(super) fn iter(&self) -> impl Iterator<Item = (&FunctionKey, &LeaseRecord)> {
         self.by_function.iter()
     }
 
     /// Records a lease, instead of the one that its function had.
-    pub fn insert(&mut self, function: FunctionKey, entry: LeaseRecord) {
+    pub(super) fn insert(&mut self, function: FunctionKey, entry: LeaseRecord) {
         self.remove(&function);
         self.by_holder
             .entry(entry.holder.clone())
@@ -86,7 +86,7 @@
     }
 
     /// Ends the lease of a function.
-    pub fn remove(&mut self, function: &FunctionKey) -> Option<LeaseRecord> {
+    pub(super) fn remove(&mut self, function: &FunctionKey) -> Option<LeaseRecord> {
         let removed_lease = self.by_function.remove(function)?;
         if let Some(functions) = self.by_holder.get_mut(&removed_lease.holder) {
             functions.remove(function);
@@ -98,7 +98,7 @@
     }
 
     /// The leases of one holder.
-    pub fn all_of(
+    pub(super) fn all_of(
         &self,
         holder: &KnownMember,
     ) -> impl Iterator<Item = (&FunctionKey, &LeaseRecord)> {
@@ -107,7 +107,7 @@
     }
 
     /// The functions of one holder.
-    pub fn functions_of(&self, holder: &KnownMember) -> Vec<FunctionKey> {
+    pub(super) fn functions_of(&self, holder: &KnownMember) -> Vec<FunctionKey> {
         self.by_holder
             .get(holder)
             .into_iter()
@@ -117,7 +117,7 @@
     }
 
     /// Notes when the session lease of a lost holder has surely ended.
-    pub fn set_lost_lease_end(&mut self, holder: &KnownMember, lease_end: MonotonicTime) {
+    pub(super) fn set_lost_lease_end(&mut self, holder: &KnownMember, lease_end: MonotonicTime) {
         for function in self.functions_of(holder) {
             if let Some(entry) = self.by_function.get_mut(&function) {
                 entry.lost_lease_end = Some(lease_end);
@@ -126,7 +126,7 @@
     }
 
     /// Whether a member holds any function.
-    pub fn holds_any(&self, holder: &KnownMember) -> bool {
+    pub(super) fn holds_any(&self, holder: &KnownMember) -> bool {
         self.by_holder.contains_key(holder)
     }
 }
--- a/crates/controlplane/src/leader_state/host_list.rs
+++ b/crates/controlplane/src/leader_state/host_list.rs
@@ -28,12 +28,12 @@
 
 impl HostList {
     /// Whether functions go to other members than this one because its link is so much narrower than theirs.
-    pub fn passes_over(&self, member: &MemberName) -> bool {
+    pub(super) fn passes_over(&self, member: &MemberName) -> bool {
         self.pushed.passed_over.contains(member)
     }
 
     /// A member has opened a stream: earlier reports on it no longer count, and it needs the list.
-    pub fn member_connected(&mut self, member: &MemberName) {
+    pub(super) fn member_connected(&mut self, member: &MemberName) {
         self.reported_suspects
             .retain(|instance| instance.member != *member);
         self.push_due = true;
--- a/crates/controlplane/src/leader_state/lease_end.rs
+++ b/crates/controlplane/src/leader_state/lease_end.rs
@@ -20,7 +20,7 @@
 
 impl OnceDelays {
     /// The lease before the present one, whose replica can answer for its holder.
-    pub fn previous_lease(&self, function: &FunctionKey) -> Option<&PreviousLease> {
+    pub(super) fn previous_lease(&self, function: &FunctionKey) -> Option<&PreviousLease> {
         self.previous_leases.get(function)
     }
 
--- a/crates/controlplane/src/leader_state/link_moves.rs
+++ b/crates/controlplane/src/leader_state/link_moves.rs
@@ -39,7 +39,7 @@
 
 impl LinkMoves {
     /// No lease has been moved; the first check is one interval after the election.
-    pub fn new(elected_at: MonotonicTime) -> Self {
+    pub(super) fn new(elected_at: MonotonicTime) -> Self {
         Self {
             checked_at: elected_at,
             moved_off_at: BTreeMap::new(),
--- a/crates/controlplane/src/leader_state/members.rs
+++ b/crates/controlplane/src/leader_state/members.rs
@@ -115,7 +115,7 @@
 
 impl IncarnationHistory {
     /// From the age in milliseconds that the member reports, and whether it ever had a session lease.
-    pub fn new(now: MonotonicTime, age_ms: u32, had_lease: Flag) -> Self {
+    pub(super) fn new(now: MonotonicTime, age_ms: u32, had_lease: Flag) -> Self {
         Self {
             started_at: started_at(now, age_ms),
             had_lease: had_lease.0,
@@ -135,7 +135,7 @@
 
 impl Members {
     /// No member has joined yet.
-    pub fn new() -> Self {
+    pub(super) fn new() -> Self {
         Self {
             streams: BTreeMap::new(),
             records: BTreeMap::new(),
@@ -157,13 +157,16 @@
     }
 
     /// The member on a stream, with its record.
-    pub fn on_stream_mut(&mut self, stream: StreamId) -> Option<(&KnownMember, &mut MemberRecord)> {
+    pub(super) fn on_stream_mut(
+        &mut self,
+        stream: StreamId,
+    ) -> Option<(&KnownMember, &mut MemberRecord)> {
         let known_member = self.streams.get(&stream)?;
         Some((known_member, self.records.get_mut(known_member)?))
     }
 
     /// The record of the member that goes by a name at present.
-    pub fn current_record(&self, member: &MemberName) -> Option<&MemberRecord> {
+    pub(super) fn current_record(&self, member: &MemberName) -> Option<&MemberRecord> {
         self.records.get(self.current.get(member)?)
     }
 
--- a/crates/controlplane/src/leader_state/membership.rs
+++ b/crates/controlplane/src/leader_state/membership.rs
@@ -54,7 +54,7 @@
 
 impl MembershipList {
     /// Everybody listed counts as present until the first check.
-    pub fn new(elected_at: MonotonicTime) -> Self {
+    pub(super) fn new(elected_at: MonotonicTime) -> Self {
         Self {
             departed: BTreeMap::new(),
             check_due: true,
--- a/crates/controlplane/src/leader_state/renewals.rs
+++ b/crates/controlplane/src/leader_state/renewals.rs
@@ -35,23 +35,23 @@
 
 impl Renewals {
     /// Drops the renewals requested on a stream.
-    pub fn forget(&mut self, stream: StreamId) {
+    pub(super) fn forget(&mut self, stream: StreamId) {
         self.new_renewals.retain(|renewal| renewal.stream != stream);
         self.waiting.retain(|renewal| renewal.stream != stream);
     }
 
     /// Something has changed that renewals may wait for.
-    pub fn schedule_check(&mut self) {
+    pub(super) fn schedule_check(&mut self) {
         self.is_check_due = true;
     }
 
     /// Whether one waits for a newer proof of the majority.
-    pub fn needs_proof(&self) -> bool {
+    pub(super) fn needs_proof(&self) -> bool {
         self.waiting.iter().any(|renewal| renewal.needs_proof)
     }
 
     /// Whether nothing waits.
-    pub fn is_empty(&self) -> bool {
+    pub(super) fn is_empty(&self) -> bool {
         self.new_renewals.is_empty() && self.waiting.is_empty()
     }
 
--- a/crates/controlplane/src/leader_state/reservations.rs
+++ b/crates/controlplane/src/leader_state/reservations.rs
@@ -36,7 +36,7 @@
 
 impl Reservation {
     /// A runner that has not started yet.
-    pub fn new(function: FunctionKey, worker: WorkerName, memory_mb: u32) -> Self {
+    pub(super) fn new(function: FunctionKey, worker: WorkerName, memory_mb: u32) -> Self {
         Self {
             function,
             worker,
@@ -51,27 +51,27 @@
     }
 
     /// Whether the next holder can adopt it as it stands.
-    pub fn is_adoptable(&self) -> bool {
+    pub(super) fn is_adoptable(&self) -> bool {
         self.ready && !self.draining && !self.is_stopping() && self.instance.is_some()
     }
 
     /// Whether it is neither draining nor stopping nor orphaned.
-    pub fn is_staying(&self) -> bool {
+    pub(super) fn is_staying(&self) -> bool {
         !self.draining && self.custody == Custody::Held
     }
 
     /// Whether nobody holds it, and the next holder may adopt it.
-    pub fn is_orphaned(&self) -> bool {
+    pub(super) fn is_orphaned(&self) -> bool {
         self.orphaned_since().is_some()
     }
 
     /// Whether it has to stop.
-    pub fn is_stopping(&self) -> bool {
+    pub(super) fn is_stopping(&self) -> bool {
         matches!(self.custody, Custody::Stopping { .. })
     }
 
     /// Since when nobody holds it.
-    pub fn orphaned_since(&self) -> Option<MonotonicTime> {
+    pub(super) fn orphaned_since(&self) -> Option<MonotonicTime> {
         match self.custody {
             Custody::Orphaned { since } => Some(since),
             Custody::Held | Custody::Stopping { .. } => None,
@@ -79,7 +79,7 @@
     }
 
     /// When its stop was last ordered.
-    pub fn stop_ordered_at(&self) -> Option<MonotonicTime> {
+    pub(super) fn stop_ordered_at(&self) -> Option<MonotonicTime> {
         match self.custody {
             Custody::Stopping { ordered_at } => ordered_at,
             Custody::Held | Custody::Orphaned { .. } => None,
@@ -87,7 +87,7 @@
     }
 
     /// The runner as its next holder gets it.
-    pub fn as_claim(&self, runner: RunnerId) -> ClaimedRunner {
+    pub(super) fn as_claim(&self, runner: RunnerId) -> ClaimedRunner {
         ClaimedRunner {
             runner,
             worker: self.worker.clone(),
@@ -117,27 +117,27 @@
 
 impl Reservations {
     /// All reservations, by runner.
-    pub fn iter(&self) -> Iter<'_, RunnerId, Reservation> {
+    pub(super) fn iter(&self) -> Iter<'_, RunnerId, Reservation> {
         self.all.iter()
     }
 
     /// All reservations.
-    pub fn values(&self) -> impl Iterator<Item = &Reservation> {
+    pub(super) fn values(&self) -> impl Iterator<Item = &Reservation> {
         self.all.values()
     }
 
     /// How many runners there are.
-    pub fn len(&self) -> usize {
+    pub(super) fn len(&self) -> usize {
         self.all.len()
     }
 
     /// The reservation of a runner.
-    pub fn get(&self, runner: RunnerId) -> Option<&Reservation> {
+    pub(super) fn get(&self, runner: RunnerId) -> Option<&Reservation> {
         self.all.get(&runner)
     }
 
     /// The name that a runner goes by after adoptions.
-    pub fn current_name(&self, runner: RunnerId) -> RunnerId {
+    pub(super) fn current_name(&self, runner: RunnerId) -> RunnerId {
         let mut current_name = runner;
         while let Some(new_name) = self.renamed.get(&current_name) {
             current_name = *new_name;
@@ -146,13 +146,16 @@
     }
 
     /// The runners of a function with their reservations.
-    pub fn all_of(&self, function: &FunctionKey) -> impl Iterator<Item = (RunnerId, &Reservation)> {
+    pub(super) fn all_of(
+        &self,
+        function: &FunctionKey,
+    ) -> impl Iterator<Item = (RunnerId, &Reservation)> {
         let runners = self.by_function.get(function).into_iter().flatten();
         runners.filter_map(|runner| Some((*runner, self.all.get(runner)?)))
     }
 
     /// The runners of a function that may have been started under any of its keys.
-    pub fn with_unknown_key(&self, function: &FunctionKey) -> Vec<RunnerId> {
+    pub(super) fn with_unknown_key(&self, function: &FunctionKey) -> Vec<RunnerId> {
         let all_regions = function.all_regions();
         let unkeyed_runners = self
             .all_of(&all_regions)
@@ -161,7 +164,7 @@
     }
 
     /// How many staying runners a function has under all its keys.
-    pub fn staying_count(&self, function: &FunctionKey) -> usize {
+    pub(super) fn staying_count(&self, function: &FunctionKey) -> usize {
         let keys = self.by_function.range(function.all_regions()..);
         let own_keys = keys.take_while(|(key, _)| key.is_same_function(function));
         let runners = own_keys.flat_map(|(_, runners)| runners);
@@ -172,43 +175,43 @@
     }
 
     /// The runner that has an instance.
-    pub fn runner_with_instance(&self, instance: &InstanceId) -> Option<RunnerId> {
+    pub(super) fn runner_with_instance(&self, instance: &InstanceId) -> Option<RunnerId> {
         self.by_instance.get(instance).copied()
     }
 
     /// Whether a runner is known to have ended.
-    pub fn has_ended(&self, runner: RunnerId, instance: Option<&InstanceId>) -> bool {
+    pub(super) fn has_ended(&self, runner: RunnerId, instance: Option<&InstanceId>) -> bool {
         self.ended_runners.contains(&runner)
             || instance.is_some_and(|name| self.has_instance_ended(name))
     }
 
     /// Whether an instance is known to have ended.
-    pub fn has_instance_ended(&self, instance: &InstanceId) -> bool {
+    pub(super) fn has_instance_ended(&self, instance: &InstanceId) -> bool {
         self.ended_instances.contains(instance)
     }
 
     /// The memory in MiB that is reserved on each worker.
-    pub fn reserved_mb(&self) -> &BTreeMap<WorkerName, u64> {
+    pub(super) fn reserved_mb(&self) -> &BTreeMap<WorkerName, u64> {
         &self.reserved_mb_by_worker
     }
 
     /// The runners that have to stop.
-    pub fn stopping(&self) -> &BTreeSet<RunnerId> {
+    pub(super) fn stopping(&self) -> &BTreeSet<RunnerId> {
         &self.stopping
     }
 
     /// Takes the runners whose stop has to be ordered now.
-    pub fn take_due_stops(&mut self) -> BTreeSet<RunnerId> {
+    pub(super) fn take_due_stops(&mut self) -> BTreeSet<RunnerId> {
         std::mem::take(&mut self.due_stops)
     }
 
     /// The runners that wait for a next holder.
-    pub fn orphaned(&self) -> &BTreeSet<RunnerId> {
+    pub(super) fn orphaned(&self) -> &BTreeSet<RunnerId> {
         &self.orphaned
     }
 
     /// Adds a reservation; an instance that another one has moves here.
-    pub fn insert(&mut self, runner: RunnerId, mut reservation: Reservation) {
+    pub(super) fn insert(&mut self, runner: RunnerId, mut reservation: Reservation) {
         self.remove(runner);
         let instance = reservation.instance.take();
         let custody = std::mem::replace(&mut reservation.custody, Custody::Held);
@@ -238,7 +241,7 @@
 
     /// The instance of a runner is known. If another runner had it, that one was the same under an earlier
     /// name.
-    pub fn note_started(
+    pub(super) fn note_started(
         &mut self,
         runner: RunnerId,
         instance: Instance,
@@ -281,14 +284,14 @@
 
     /// Changes fields that no index depends on: neither name, function, instance, worker nor whether it is
     /// stopped or orphaned.
-    pub fn update(&mut self, runner: RunnerId, change: impl FnOnce(&mut Reservation)) {
+    pub(super) fn update(&mut self, runner: RunnerId, change: impl FnOnce(&mut Reservation)) {
         if let Some(reservation) = self.all.get_mut(&runner) {
             change(reservation);
         }
     }
 
     /// Marks a runner for stopping; nobody adopts it any more.
-    pub fn want_stop(&mut self, runner: RunnerId) {
+    pub(super) fn want_stop(&mut self, runner: RunnerId) {
         if let Some(reservation) = self.all.get_mut(&runner) {
             let ordered_at = reservation.stop_ordered_at();
             reservation.custody = Custody::Stopping { ordered_at };
@@ -299,7 +302,7 @@
     }
 
     /// Marks a runner as orphaned: nobody holds it, and the next holder may adopt it.
-    pub fn mark_orphaned(&mut self, runner: RunnerId, now: MonotonicTime) {
+    pub(super) fn mark_orphaned(&mut self, runner: RunnerId, now: MonotonicTime) {
         if let Some(reservation) = self.all.get_mut(&runner) {
             let since = reservation.orphaned_since().unwrap_or(now);
             reservation.custody = Custody::Orphaned { since };
@@ -308,7 +311,7 @@
     }
 
     /// The stop of a runner has been ordered; it is ordered again if it is not confirmed.
-    pub fn note_stop_ordered(&mut self, runner: RunnerId, now: MonotonicTime) {
+    pub(super) fn note_stop_ordered(&mut self, runner: RunnerId, now: MonotonicTime) {
         if let Some(reservation) = self.all.get_mut(&runner) {
             let ordered_at = Some(now);
             reservation.custody = Custody::Stopping { ordered_at };
@@ -316,7 +319,7 @@
     }
 
     /// Gives an orphaned runner a new name, under a new lease.
-    pub fn adopt(&mut self, orphaned_runner: RunnerId, runner: RunnerId) {
+    pub(super) fn adopt(&mut self, orphaned_runner: RunnerId, runner: RunnerId) {
         let Some(mut reservation) = self.remove(orphaned_runner) else {
             return;
         };
@@ -327,7 +330,7 @@
     }
 
     /// Adopts a runner and leaves it for others all the same: what the rule of single adoption rules out.
-    pub fn adopt_without_transfer(&mut self, orphaned_runner: RunnerId, runner: RunnerId) {
+    pub(super) fn adopt_without_transfer(&mut self, orphaned_runner: RunnerId, runner: RunnerId) {
         let Some(orphaned) = self.all.get(&orphaned_runner) else {
             return;
         };
@@ -344,7 +347,7 @@
     }
 
     /// Removes a reservation.
-    pub fn remove(&mut self, runner: RunnerId) -> Option<Reservation> {
+    pub(super) fn remove(&mut self, runner: RunnerId) -> Option<Reservation> {
         let reservation = self.all.remove(&runner)?;
         if let Some(runners) = self.by_function.get_mut(&reservation.function) {
             runners.remove(&runner);
@@ -374,7 +377,7 @@
     }
 
     /// A runner has ended for good.
-    pub fn end(&mut self, runner: RunnerId) -> Option<Reservation> {
+    pub(super) fn end(&mut self, runner: RunnerId) -> Option<Reservation> {
         self.ended_runners.insert(runner);
         if self.ended_runners.len() > MAX_ENDED_REMEMBERED {
             self.ended_runners.pop_first();
--- a/crates/controlplane/src/leader_state/worker_evacuation.rs
+++ b/crates/controlplane/src/leader_state/worker_evacuation.rs
@@ -33,7 +33,7 @@
 
 impl WorkerEvacuations {
     /// No worker is evacuated for a while after the election.
-    pub fn new(elected_at: MonotonicTime) -> Self {
+    pub(super) fn new(elected_at: MonotonicTime) -> Self {
         Self {
             current: None,
             next_at: elected_at + FIRST_EVACUATION_AFTER,
@@ -41,14 +41,14 @@
     }
 
     /// Whether the worker is being evacuated.
-    pub fn is_evacuating(&self, worker: &WorkerName) -> bool {
+    pub(super) fn is_evacuating(&self, worker: &WorkerName) -> bool {
         self.current
             .as_ref()
             .is_some_and(|evacuation| evacuation.worker == *worker)
     }
 
     /// Gives the worker that is being evacuated back to use.
-    pub fn cancel(&mut self) {
+    pub(super) fn cancel(&mut self) {
         self.current = None;
     }
 }
