--- a/crates/controlplane/tests/leader_state.rs
+++ b/crates/controlplane/tests/leader_state.rs
@@ -396,7 +396,20 @@
     name: &str,
     fencing_token: FencingToken,
 ) -> ReserveResult {
-    let function = FunctionKey::new(name, Version(2));
+    reserve_under(
+        harness,
+        stream,
+        FunctionKey::new(name, Version(2)),
+        fencing_token,
+    )
+}
+
+fn reserve_under(
+    harness: &mut Harness,
+    stream: u64,
+    function: FunctionKey,
+    fencing_token: FencingToken,
+) -> ReserveResult {
     harness.send(
         stream,
         DaemonToLeader::Reserve {
@@ -417,7 +430,10 @@
 }
 
 fn granted(harness: &mut Harness, stream: u64, name: &str) -> FencingToken {
-    let function = FunctionKey::new(name, Version(2));
+    granted_under(harness, stream, FunctionKey::new(name, Version(2)))
+}
+
+fn granted_under(harness: &mut Harness, stream: u64, function: FunctionKey) -> FencingToken {
     harness.send(
         stream,
         DaemonToLeader::Acquire {
@@ -445,54 +461,22 @@
         memory_mb: 100_000,
         draining: false,
     }]);
-    let complete = FunctionKey::new("f", Version(2));
-    let west = complete.in_region(&"west".into());
-    let mut fencing_tokens = Vec::new();
-    for (stream, function) in [(1, &complete), (2, &west)] {
-        let function = function.clone();
-        harness.send(
-            stream,
-            DaemonToLeader::Acquire {
-                correlation: CorrelationId(9),
-                function,
-            },
-        );
-        harness.advance(ms(10));
-        let Some(AcquireResult::Granted { fencing_token, .. }) = harness.acquired() else {
-            return fail!("not granted to {stream}");
-        };
-        fencing_tokens.push(fencing_token);
-    }
+    let all_regions = FunctionKey::new("f", Version(2));
+    let west = all_regions.in_region(&"west".into());
+    let fencing_tokens = [
+        granted_under(&mut harness, 1, all_regions.clone()),
+        granted_under(&mut harness, 2, west.clone()),
+    ];
     let mut reserve = |stream: u64, function: &FunctionKey| {
-        let (function, fencing_token) = (function.clone(), fencing_tokens[stream as usize - 1]);
-        let correlation = CorrelationId(4);
-        harness.send(
-            stream,
-            DaemonToLeader::Reserve {
-                correlation,
-                function,
-                fencing_token,
-            },
-        );
-        harness.advance(ms(10));
-        harness.outputs.iter().any(|output| {
-            matches!(
-                output,
-                LeaderOutput::FrameToDaemon {
-                    frame: LeaderToDaemon::Reserved {
-                        result: ReserveResult::Reserved { .. },
-                        ..
-                    },
-                    ..
-                }
-            )
-        })
+        let fencing_token = fencing_tokens[stream as usize - 1];
+        let answer = reserve_under(&mut harness, stream, function.clone(), fencing_token);
+        matches!(answer, ReserveResult::Reserved { .. })
     };
-    let is_given: Vec<bool> = (0..4).map(|_| reserve(1, &complete)).collect();
+    let is_given: Vec<bool> = (0..4).map(|_| reserve(1, &all_regions)).collect();
     verify_that!(is_given, each(eq(&true)))?;
     let is_given: Vec<bool> = (0..5).map(|_| reserve(2, &west)).collect();
     verify_that!(is_given, eq(&vec![true, true, true, true, false]))?;
-    verify_that!(reserve(1, &complete), eq(false))
+    verify_that!(reserve(1, &all_regions), eq(false))
 }
 
 #[gtest]
