--- a/crates/controlplane/src/lib.rs
+++ b/crates/controlplane/src/lib.rs
@@ -22,7 +22,7 @@
 //! The simulator and the model checker run the same state machines with drivers of their own, with
 //! simulated time, network and disks.
 
-#![deny(missing_docs)]
+#![deny(missing_docs, unreachable_pub)]
 
 pub mod consensus;
 pub mod controller_state;
--- a/crates/dataplane/src/lib.rs
+++ b/crates/dataplane/src/lib.rs
@@ -31,7 +31,7 @@
 //! * [`drivers`]: sockets, timers and tasks.
 //! * [`request_pipeline`]: the way of a caller's request.
 
-#![deny(missing_docs)]
+#![deny(missing_docs, unreachable_pub)]
 
 pub mod adapter;
 pub mod agent;
--- a/testing/fleet/src/lib.rs
+++ b/testing/fleet/src/lib.rs
@@ -1,7 +1,7 @@
 //! Tests of complete fleets: real processes on one machine under load and faults with a judge of their records, a
 //! deterministic simulator, and synthetic fleets for measuring capacity.
 
-#![deny(missing_docs)]
+#![deny(missing_docs, unreachable_pub)]
 
 pub mod days;
 pub mod fleet;
--- a/testing/loadgen/src/lib.rs
+++ b/testing/loadgen/src/lib.rs
@@ -1,6 +1,6 @@
 //! A load generator: callers that send requests by a seeded plan, retry them, and record the outcomes.
 
-#![deny(missing_docs)]
+#![deny(missing_docs, unreachable_pub)]
 
 mod client_pool;
 mod plan;
--- a/testing/platform-stub/src/lib.rs
+++ b/testing/platform-stub/src/lib.rs
@@ -1,6 +1,6 @@
 //! A test double of the users' platform: workers with limited memory, and runners that record every run.
 
-#![deny(missing_docs)]
+#![deny(missing_docs, unreachable_pub)]
 
 pub mod platform;
 pub mod records;
