--- a/crates/controlplane/src/leader_state/lease_end.rs
+++ b/crates/controlplane/src/leader_state/lease_end.rs
@@ -95,7 +95,7 @@
             self.rules,
             Invariant::GrantedAfterLease,
             has_lease_ended,
-            || format!("{function} is free for the next grant before its holder's lease has ended"),
+            || format!("{function} is free for the next lease before its holder's lease has ended"),
         );
         let previous_lease = ended_lease
             .filter(|entry| entry.complete)
--- a/crates/dataplane/src/agent/daemon_control/view_outputs.rs
+++ b/crates/dataplane/src/agent/daemon_control/view_outputs.rs
@@ -46,7 +46,7 @@
             ClusterViewOutput::ReleaseAll => self.release_all(agent, now),
             ClusterViewOutput::Install(table) => self.install(agent, now, table),
             ClusterViewOutput::InstallFailed(version, error) => {
-                let detail = format!("serial {version}: {error}");
+                let detail = format!("version {version}: {error}");
                 self.log_event(events::SPEC_INSTALL_FAILED, detail);
             }
             ClusterViewOutput::Hosts(alive_hosts) => self.set_hosts(agent, now, alive_hosts),
@@ -135,7 +135,7 @@
             self.recheck_warm_functions(now);
             self.log_event(
                 events::SERVING_STARTED,
-                format!("serial {}", self.cluster_view.version()),
+                format!("version {}", self.cluster_view.version()),
             );
             self.outputs.push(DaemonControlOutput::Changed);
         }
--- a/crates/dataplane/src/drivers/holder_driver.rs
+++ b/crates/dataplane/src/drivers/holder_driver.rs
@@ -212,7 +212,7 @@
     if let Some(holder_request) = held.holder_request(ticket) {
         let (function, fencing_token) = (&held.function, held.fencing_token);
         let detail = format_args!(
-            "{} {function} grant {fencing_token} {outcome} {reason}",
+            "{} {function} lease {fencing_token} {outcome} {reason}",
             holder_request.idempotency_key
         );
         state.request_log.write(events::REQUEST_NOT_SERVED, detail);
--- a/programs/daemon/src/main.rs
+++ b/programs/daemon/src/main.rs
@@ -95,7 +95,7 @@
 fn run(settings: DaemonSettings, settings_file: Option<PathBuf>) -> eyre::Result<()> {
     command_line::runtime(settings.threads)?.block_on(async {
         let start_message = format!(
-            "{} at {}, door at {}",
+            "{} at {}, ingress at {}",
             settings.member, settings.address, settings.ingress
         );
         let daemon = Daemon::open(settings).await?;
