--- a/crates/dataplane/src/agent/daemon_control/held_functions.rs
+++ b/crates/dataplane/src/agent/daemon_control/held_functions.rs
@@ -84,7 +84,11 @@
     ) {
         agent.table.store(table.clone());
         self.recheck_warm_functions(now);
-        let detail = format!("version {}, {} routes", table.version(), table.route_count());
+        let detail = format!(
+            "version {}, {} routes",
+            table.version(),
+            table.route_count()
+        );
         self.log_event(events::SPEC_INSTALLED, detail);
         self.outputs
             .push(DaemonControlOutput::Installed(table.version()));
