--- a/crates/common/src/adapter/native.rs
+++ b/crates/common/src/adapter/native.rs
@@ -137,7 +137,7 @@
         Box::pin(self.start_native(order))
     }
 
-    fn stop(&self, order: StopOrder) -> PlatformCall<'_, bool> {
+    fn stop_runner(&self, order: StopOrder) -> PlatformCall<'_, bool> {
         Box::pin(self.stop_native(order))
     }
 
--- a/crates/common/src/adapter/platform.rs
+++ b/crates/common/src/adapter/platform.rs
@@ -105,7 +105,7 @@
     fn start_runner(&self, order: StartOrder) -> PlatformCall<'_, StartOutcome>;
 
     /// Stops a runner; true if the runner has certainly ended and no order under its identity will start it again.
-    fn stop(&self, order: StopOrder) -> PlatformCall<'_, bool>;
+    fn stop_runner(&self, order: StopOrder) -> PlatformCall<'_, bool>;
 
     /// Lists the workers; none if the list cannot be read now.
     fn workers(&self) -> PlatformCall<'_, Option<Vec<ListedWorker>>>;
--- a/crates/common/src/adapter/runner.rs
+++ b/crates/common/src/adapter/runner.rs
@@ -79,14 +79,19 @@
     ///
     /// # Errors
     /// Fails if a header or the target is not valid in HTTP.
-    fn request(
+    fn encode_request(
         &self,
         address: SocketAddress,
         runner_request: &RunnerRequest<'_>,
     ) -> Result<Request<Full<Bytes>>, hyper::http::Error>;
 
     /// Reads a response.
-    fn read(&self, status: StatusCode, headers: &HeaderMap, body: Bytes) -> RunnerResponse;
+    fn decode_response(
+        &self,
+        status: StatusCode,
+        headers: &HeaderMap,
+        body: Bytes,
+    ) -> RunnerResponse;
 
     /// How a runner is probed for readiness.
     fn readiness_probe(&self) -> ReadinessProbe;
--- a/crates/common/src/frames/heartbeat.rs
+++ b/crates/common/src/frames/heartbeat.rs
@@ -21,7 +21,7 @@
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct Suspicion {
     /// The suspected daemon.
-    pub instance: MemberIncarnation,
+    pub incarnation: MemberIncarnation,
     /// How many more times the suspicion may be relayed.
     pub remaining_relays: u8,
 }
@@ -36,7 +36,7 @@
     /// The sender's incarnation.
     pub incarnation: Incarnation,
     /// The sequence number of this heartbeat within the incarnation.
-    pub count: u64,
+    pub sequence_number: u64,
     /// The daemons that the sender suspects.
     pub suspicions: LengthPrefixed<Suspicion>,
 }
--- a/crates/common/src/frames/stream.rs
+++ b/crates/common/src/frames/stream.rs
@@ -287,13 +287,13 @@
     #[brw(magic = 15u8)]
     MemberSuspected {
         /// That daemon.
-        instance: MemberIncarnation,
+        incarnation: MemberIncarnation,
     },
     /// From a watcher, or from the daemon itself: a suspected daemon is reachable.
     #[brw(magic = 16u8)]
     MemberRecovered {
         /// That daemon.
-        instance: MemberIncarnation,
+        incarnation: MemberIncarnation,
     },
     /// Requests the full list of hosts, since a delta could not be applied. Answered by `Hosts`.
     #[brw(magic = 17u8)]
@@ -353,7 +353,7 @@
         /// The resulting version.
         version: Version,
         /// The delta as JSON, compressed by [`compress`](super::compress).
-        patch: ByteString,
+        delta: ByteString,
         /// The SHA-256 digest of the resulting view.
         digest: ByteString,
     },
--- a/crates/common/src/readers/path.rs
+++ b/crates/common/src/readers/path.rs
@@ -96,7 +96,7 @@
     }
 
     /// Adds an error at this path.
-    pub fn error(&self, reason: PathErrorReason) {
+    pub fn add_error(&self, reason: PathErrorReason) {
         self.errors.add(self.path.clone(), reason);
     }
 
@@ -138,7 +138,7 @@
     /// Returns the fields of an object, each with a reader; empty if the value is missing. Another type is an error.
     pub fn fields(&self) -> Vec<(&'a str, PathReader<'a>)> {
         if self.is_present() && !self.value.is_some_and(Value::is_object) {
-            self.error(PathErrorReason::WrongType("an object"));
+            self.add_error(PathErrorReason::WrongType("an object"));
         }
         self.object_entries()
             .map(|(field_name, value)| {
@@ -158,7 +158,7 @@
     /// Returns a reader for each item of an array; empty if the value is missing. Another type is an error.
     pub fn items(&self) -> Vec<PathReader<'a>> {
         if self.is_present() && !self.value.is_some_and(Value::is_array) {
-            self.error(PathErrorReason::WrongType("an array"));
+            self.add_error(PathErrorReason::WrongType("an array"));
         }
         let item_values = self.value.and_then(Value::as_array).into_iter().flatten();
         item_values
@@ -177,12 +177,12 @@
         convert: impl FnOnce(&'a Value) -> Option<T>,
     ) -> Option<T> {
         let Some(value) = self.value.filter(|value| !value.is_null()) else {
-            self.error(PathErrorReason::Missing);
+            self.add_error(PathErrorReason::Missing);
             return None;
         };
         let typed_value = convert(value);
         if typed_value.is_none() {
-            self.error(PathErrorReason::WrongType(kind));
+            self.add_error(PathErrorReason::WrongType(kind));
         }
         typed_value
     }
@@ -191,7 +191,7 @@
     pub fn text(&self) -> Option<&'a str> {
         self.required("a text", Value::as_str).filter(|text| {
             if text.is_empty() {
-                self.error(PathErrorReason::Malformed("is empty".to_owned()));
+                self.add_error(PathErrorReason::Malformed("is empty".to_owned()));
             }
             !text.is_empty()
         })
@@ -211,7 +211,7 @@
     pub fn number(&self, bounds: RangeInclusive<u64>) -> Option<u64> {
         let read_number = self.required("a whole number", Value::as_u64)?;
         if !bounds.contains(&read_number) {
-            self.error(PathErrorReason::OutOfBounds(*bounds.start(), *bounds.end()));
+            self.add_error(PathErrorReason::OutOfBounds(*bounds.start(), *bounds.end()));
             return None;
         }
         Some(read_number)
--- a/crates/common/src/readers/settings.rs
+++ b/crates/common/src/readers/settings.rs
@@ -101,7 +101,7 @@
         let errors = PathErrorList::default();
         let root_reader = PathReader::new(&self.value, &errors);
         if !self.value.is_object() {
-            root_reader.error(PathErrorReason::WrongType("an object"));
+            root_reader.add_error(PathErrorReason::WrongType("an object"));
         }
         let read_value = read_settings(&root_reader);
         let mut found_errors = errors.into_inner();
@@ -127,7 +127,7 @@
     match address_text.parse::<SocketAddrV4>() {
         Ok(address) => Some(SocketAddress(address)),
         Err(_) => {
-            reader.error(PathErrorReason::Malformed(format!(
+            reader.add_error(PathErrorReason::Malformed(format!(
                 "is not an IP number with port: {address_text:?}"
             )));
             None
@@ -144,7 +144,7 @@
     }
     let listen = read_address(&reader)?;
     if address.is_some_and(|address| address.0.ip() != listen.0.ip()) {
-        reader.error(PathErrorReason::Malformed(
+        reader.add_error(PathErrorReason::Malformed(
             "is not on the IP number of place".to_owned(),
         ));
         return None;
@@ -158,13 +158,13 @@
     allowed_count: RangeInclusive<usize>,
 ) -> Option<Vec<SocketAddress>> {
     if !reader.is_present() {
-        reader.error(PathErrorReason::Missing);
+        reader.add_error(PathErrorReason::Missing);
         return None;
     }
     let read_items: Vec<SocketAddress> = reader.items().iter().filter_map(read_address).collect();
     if !allowed_count.contains(&read_items.len()) {
         let (min_count, max_count) = allowed_count.into_inner();
-        reader.error(PathErrorReason::Malformed(format!(
+        reader.add_error(PathErrorReason::Malformed(format!(
             "needs {min_count} to {max_count} addresses"
         )));
         return None;
--- a/crates/common/src/spec/document.rs
+++ b/crates/common/src/spec/document.rs
@@ -98,7 +98,7 @@
             .unwrap_or_default();
         let applied_changes = AppliedChanges::from_text(forgotten_up_to, remembered_text);
         if applied_changes.is_none() {
-            remembered_field.error(PathErrorReason::Malformed(
+            remembered_field.add_error(PathErrorReason::Malformed(
                 "is no list of taken changes".to_owned(),
             ));
         }
--- a/crates/common/src/spec/reader.rs
+++ b/crates/common/src/spec/reader.rs
@@ -20,7 +20,7 @@
     let errors = PathErrorList::default();
     let root_reader = PathReader::new(value, &errors);
     if !value.is_object() {
-        root_reader.error(PathErrorReason::WrongType("an object"));
+        root_reader.add_error(PathErrorReason::WrongType("an object"));
     }
     root_reader.allow_only(&["functions", "routes", "limits", "labels"]);
     let spec = Spec {
@@ -69,7 +69,7 @@
 pub(super) fn check_name(name: &str, reader: &PathReader<'_>) {
     let is_allowed = |letter: char| letter.is_ascii_alphanumeric() || "-_.".contains(letter);
     if name.is_empty() || name.len() > MAX_NAME_LENGTH || !name.chars().all(is_allowed) {
-        reader.error(PathErrorReason::Malformed(
+        reader.add_error(PathErrorReason::Malformed(
             "needs a name of letters, digits, '-', '_' or '.'".to_owned(),
         ));
     }
@@ -121,7 +121,7 @@
     if min_runners > max_runners {
         runners_reader
             .field("min")
-            .error(PathErrorReason::Malformed(
+            .add_error(PathErrorReason::Malformed(
                 "is above runners.max".to_owned(),
             ));
     }
--- a/crates/common/src/spec/route_reader.rs
+++ b/crates/common/src/spec/route_reader.rs
@@ -81,7 +81,7 @@
             .into_iter()
             .find(|method| method.as_str() == method_text);
         if found_method.is_none() {
-            method_reader.error(PathErrorReason::Malformed(format!(
+            method_reader.add_error(PathErrorReason::Malformed(format!(
                 "is not a method: {method_text:?}"
             )));
         }
@@ -90,7 +90,7 @@
     let path_reader = reader.field("path");
     let path = path_reader.text().filter(|path_text| {
         if !path_text.starts_with('/') {
-            path_reader.error(PathErrorReason::Malformed(
+            path_reader.add_error(PathErrorReason::Malformed(
                 "does not start with /".to_owned(),
             ));
         }
@@ -106,7 +106,7 @@
         let is_valid = prefix_text.starts_with('/') && prefix_text.ends_with('/');
         if !is_valid {
             let reason = "does not begin and end with /".to_owned();
-            prefix_reader.error(PathErrorReason::Malformed(reason));
+            prefix_reader.add_error(PathErrorReason::Malformed(reason));
         }
         is_valid
     });
@@ -115,7 +115,7 @@
             let reason = "does not go with a prefix".to_owned();
             reader
                 .field(pattern_key)
-                .error(PathErrorReason::Malformed(reason));
+                .add_error(PathErrorReason::Malformed(reason));
         }
     }
     Some(RouteMatcher::Prefix(host?, prefix?.to_owned()))
@@ -133,7 +133,7 @@
         })
         .collect();
     if reader.is_present() && shares.iter().all(|(_, weight)| *weight == 0) {
-        reader.error(PathErrorReason::Malformed(
+        reader.add_error(PathErrorReason::Malformed(
             "has weights that sum to 0".to_owned(),
         ));
     }
@@ -146,7 +146,7 @@
         "once" => Some(true),
         "repeatable" => Some(false),
         _ => {
-            reader.error(PathErrorReason::Malformed(
+            reader.add_error(PathErrorReason::Malformed(
                 "is neither once nor repeatable".to_owned(),
             ));
             None
@@ -162,7 +162,7 @@
         _ => {
             if reader.is_present() {
                 let reason = "is neither fresh nor may_come_again".to_owned();
-                reader.error(PathErrorReason::Malformed(reason));
+                reader.add_error(PathErrorReason::Malformed(reason));
             }
             true
         }
@@ -187,10 +187,12 @@
         } else {
             "functions"
         };
-        reader.field(key).error(PathErrorReason::UnknownReference(
-            "function",
-            unknown_name.to_string(),
-        ));
+        reader
+            .field(key)
+            .add_error(PathErrorReason::UnknownReference(
+                "function",
+                unknown_name.to_string(),
+            ));
     }
     unknown.is_none()
 }
@@ -216,7 +218,7 @@
                 if let Some(other_name) = duplicate {
                     reader
                         .field("prefix")
-                        .error(PathErrorReason::Duplicate(other_name));
+                        .add_error(PathErrorReason::Duplicate(other_name));
                 }
                 is_new
             }
@@ -239,7 +241,7 @@
             }
             Err(error) => PathErrorReason::Malformed(error.to_string()),
         };
-        reader.error(reason);
+        reader.add_error(reason);
         false
     }
 }
--- a/crates/common/tests/frames.rs
+++ b/crates/common/tests/frames.rs
@@ -18,7 +18,7 @@
     LeaderToDaemon::Change {
         base: Version(7),
         version: Version(8),
-        patch: b"[]".to_vec().into(),
+        delta: b"[]".to_vec().into(),
         digest: vec![1; 32].into(),
     }
 }
@@ -27,9 +27,9 @@
     Heartbeat {
         member: "th-1".into(),
         incarnation: 9.into(),
-        count: 3,
+        sequence_number: 3,
         suspicions: LengthPrefixed(vec![Suspicion {
-            instance: MemberIncarnation {
+            incarnation: MemberIncarnation {
                 member: "th-2".into(),
                 incarnation: 4.into(),
             },
--- a/crates/common/tests/platform_forms.rs
+++ b/crates/common/tests/platform_forms.rs
@@ -114,7 +114,7 @@
     for instance in [Some("life-9"), None] {
         let double = PlatformDouble::answering(&[(200, "{}".to_owned())]).await;
         let is_stopped = NativePlatform::new(double.address)
-            .stop(stop_order(instance))
+            .stop_runner(stop_order(instance))
             .await;
         put(
             &mut text,
@@ -126,7 +126,7 @@
     for status in STATUSES {
         let double = PlatformDouble::answering(&[(status, "{}".to_owned())]).await;
         let is_stopped = NativePlatform::new(double.address)
-            .stop(stop_order(Some("life-9")))
+            .stop_runner(stop_order(Some("life-9")))
             .await;
         let understood_as = if is_stopped { "stopped" } else { "not sure" };
         let _ = writeln!(text, "stop, {status}: {understood_as}");
--- a/crates/common/tests/spec.rs
+++ b/crates/common/tests/spec.rs
@@ -152,17 +152,17 @@
         ChangeId::from("c2"),
     );
     let (old_view, new_view) = (old_document.view(), new_document.view());
-    let patch = old_view.delta_to(&new_view);
+    let delta = old_view.delta_to(&new_view);
     verify_that!(
-        old_view.apply_delta(&patch, &new_view.digest())? == new_view,
+        old_view.apply_delta(&delta, &new_view.digest())? == new_view,
         eq(true)
     )?;
-    verify_that!(old_view.apply_delta(&patch, &[0; 32]).is_err(), eq(true))?;
+    verify_that!(old_view.apply_delta(&delta, &[0; 32]).is_err(), eq(true))?;
     let other_base = old_document
         .with_zone(Zone::from("south"), true, ChangeId::from("c3"))
         .view();
     verify_that!(
-        other_base.apply_delta(&patch, &new_view.digest()).is_err(),
+        other_base.apply_delta(&delta, &new_view.digest()).is_err(),
         eq(true)
     )?;
     let decoded = DaemonView::from_bytes(&new_view.to_bytes())?;
--- a/crates/common/tests/wire_forms.rs
+++ b/crates/common/tests/wire_forms.rs
@@ -200,16 +200,16 @@
     let heartbeat = |suspicions| Heartbeat {
         member: "daemon-1".into(),
         incarnation: long(0x10).into(),
-        count: long(0x18),
+        sequence_number: long(0x18),
         suspicions: LengthPrefixed(suspicions),
     };
     let suspicions = vec![
         Suspicion {
-            instance: member_incarnation(2),
+            incarnation: member_incarnation(2),
             remaining_relays: 0x21,
         },
         Suspicion {
-            instance: member_incarnation(3),
+            incarnation: member_incarnation(3),
             remaining_relays: 0,
         },
     ];
--- a/crates/common/tests/wire_forms/stream_frames.rs
+++ b/crates/common/tests/wire_forms/stream_frames.rs
@@ -203,13 +203,13 @@
         (
             "",
             DaemonToLeader::MemberSuspected {
-                instance: member_incarnation(6),
+                incarnation: member_incarnation(6),
             },
         ),
         (
             "",
             DaemonToLeader::MemberRecovered {
-                instance: member_incarnation(6),
+                incarnation: member_incarnation(6),
             },
         ),
         ("", DaemonToLeader::FullHostListRequest),
@@ -358,7 +358,7 @@
     let delta = LeaderToDaemon::Change {
         base: Version(long(0x74)),
         version: Version(long(0x7c)),
-        patch: b"{\"base\":3}".to_vec().into(),
+        delta: b"{\"base\":3}".to_vec().into(),
         digest: (0x80..0xa0).collect::<Vec<u8>>().into(),
     };
     let spec = LeaderToDaemon::Spec {
--- a/crates/controlplane/src/drivers/operator_api/requests.rs
+++ b/crates/controlplane/src/drivers/operator_api/requests.rs
@@ -134,7 +134,7 @@
 fn required_value(root: &PathReader<'_>, field_name: &str) -> Option<Value> {
     let reader = root.field(field_name);
     if !reader.is_present() {
-        reader.error(PathErrorReason::Missing);
+        reader.add_error(PathErrorReason::Missing);
     }
     reader.value().cloned()
 }
@@ -150,7 +150,7 @@
     if root.field("patch").is_present() {
         let reason = "does not go with put and remove".to_owned();
         root.field("patch")
-            .error(PathErrorReason::Malformed(reason));
+            .add_error(PathErrorReason::Malformed(reason));
     }
     let put_items = |part_name: &str| {
         let fields = put.field(part_name).fields().into_iter();
@@ -247,7 +247,7 @@
         _ => {
             if wait_reader.is_present() {
                 let reason = "is neither accepted nor in_force".to_owned();
-                wait_reader.error(PathErrorReason::Malformed(reason));
+                wait_reader.add_error(PathErrorReason::Malformed(reason));
             }
             Wait::Accepted
         }
--- a/crates/controlplane/src/drivers/platform.rs
+++ b/crates/controlplane/src/drivers/platform.rs
@@ -61,7 +61,7 @@
 /// again.
 pub(super) async fn stop_runner(shared: Arc<Shared>, order: StopOrder) {
     let runner = order.runner;
-    if shared.platform.stop(order).await {
+    if shared.platform.stop_runner(order).await {
         let _ = shared
             .inputs
             .send(ControllerInput::RunnerStopped(runner))
--- a/crates/controlplane/src/leader_state/document_delivery.rs
+++ b/crates/controlplane/src/leader_state/document_delivery.rs
@@ -275,7 +275,7 @@
     LeaderToDaemon::Change {
         base: base_view.version,
         version: newest_view.version,
-        patch: compress(&base_view.delta_to(newest_view)),
+        delta: compress(&base_view.delta_to(newest_view)),
         digest: newest_view.digest().to_vec().into(),
     }
 }
--- a/crates/controlplane/src/leader_state/host_list.rs
+++ b/crates/controlplane/src/leader_state/host_list.rs
@@ -35,7 +35,7 @@
     /// A member has opened a stream: earlier reports on it no longer count, and it needs the list.
     pub(super) fn member_connected(&mut self, member: &MemberName) {
         self.reported_suspects
-            .retain(|instance| instance.member != *member);
+            .retain(|suspect| suspect.member != *member);
         self.push_due = true;
     }
 
@@ -97,7 +97,7 @@
         suspected: BTreeSet<MemberIncarnation>,
     ) -> Self {
         let suspected_names: BTreeSet<&MemberName> =
-            suspected.iter().map(|instance| &instance.member).collect();
+            suspected.iter().map(|suspect| &suspect.member).collect();
         let unsuspected_hosts = || {
             hosts
                 .values()
@@ -122,33 +122,33 @@
 
 impl LeaderState {
     /// A failure detector reports that it no longer hears a member.
-    pub(super) fn handle_suspicion(&mut self, stream: StreamId, instance: MemberIncarnation) {
-        if self.members.streams.contains_key(&stream) && self.is_current_incarnation(&instance) {
-            self.hosts.reported_suspects.insert(instance);
+    pub(super) fn handle_suspicion(&mut self, stream: StreamId, suspect: MemberIncarnation) {
+        if self.members.streams.contains_key(&stream) && self.is_current_incarnation(&suspect) {
+            self.hosts.reported_suspects.insert(suspect);
         }
     }
 
     /// A failure detector hears a member again.
-    pub(super) fn handle_suspicion_cleared(&mut self, instance: &MemberIncarnation) {
-        self.hosts.reported_suspects.remove(instance);
+    pub(super) fn handle_suspicion_cleared(&mut self, suspect: &MemberIncarnation) {
+        self.hosts.reported_suspects.remove(suspect);
     }
 
-    fn is_current_incarnation(&self, instance: &MemberIncarnation) -> bool {
-        let known_member = self.members.current.get(&instance.member);
-        known_member.is_some_and(|known| known.incarnation == instance.incarnation)
+    fn is_current_incarnation(&self, suspect: &MemberIncarnation) -> bool {
+        let known_member = self.members.current.get(&suspect.member);
+        known_member.is_some_and(|known| known.incarnation == suspect.incarnation)
     }
 
     /// The reported members whose streams have brought nothing lately either. One without the other is no sign
     /// of failure: the detector's own link may be cut, and a stream may be idle.
     fn silent_suspects(&self, now: MonotonicTime) -> BTreeSet<MemberIncarnation> {
-        let has_recent_frame = |instance: &MemberIncarnation| {
-            let record = self.members.current_record(&instance.member);
+        let has_recent_frame = |suspect: &MemberIncarnation| {
+            let record = self.members.current_record(&suspect.member);
             record.is_some_and(|record| now.since(record.last_frame_at) < SUSPECTED_AFTER)
         };
         self.hosts
             .reported_suspects
             .iter()
-            .filter(|instance| !has_recent_frame(instance))
+            .filter(|suspect| !has_recent_frame(suspect))
             .cloned()
             .collect()
     }
@@ -157,7 +157,7 @@
         let reported_suspects = std::mem::take(&mut self.hosts.reported_suspects);
         self.hosts.reported_suspects = reported_suspects
             .into_iter()
-            .filter(|instance| self.is_current_incarnation(instance))
+            .filter(|suspect| self.is_current_incarnation(suspect))
             .collect();
         let suspected = self.silent_suspects(now);
         if suspected == self.hosts.suspected {
@@ -165,12 +165,12 @@
         }
         self.hosts.push_due = true;
         let previously_suspected = std::mem::replace(&mut self.hosts.suspected, suspected.clone());
-        for instance in suspected.difference(&previously_suspected) {
-            let member = &instance.member;
+        for suspect in suspected.difference(&previously_suspected) {
+            let member = &suspect.member;
             self.record_event(events::MEMBER_SUSPECTED, MemberFields { member });
         }
-        for instance in previously_suspected.difference(&suspected) {
-            let member = &instance.member;
+        for suspect in previously_suspected.difference(&suspected) {
+            let member = &suspect.member;
             self.record_event(events::MEMBER_RECOVERED, MemberFields { member });
         }
     }
--- a/crates/controlplane/src/leader_state/mod.rs
+++ b/crates/controlplane/src/leader_state/mod.rs
@@ -247,9 +247,11 @@
                 self.handle_replica_complete(stream, &function, fencing_token, &replica);
             }
             DaemonToLeader::Idle { functions } => self.handle_idle(now, stream, functions.0),
-            DaemonToLeader::MemberSuspected { instance } => self.handle_suspicion(stream, instance),
-            DaemonToLeader::MemberRecovered { instance } => {
-                self.handle_suspicion_cleared(&instance)
+            DaemonToLeader::MemberSuspected { incarnation } => {
+                self.handle_suspicion(stream, incarnation)
+            }
+            DaemonToLeader::MemberRecovered { incarnation } => {
+                self.handle_suspicion_cleared(&incarnation)
             }
             DaemonToLeader::FullHostListRequest => self.handle_full_hosts_request(stream),
             DaemonToLeader::Leaving => self.handle_leaving(now, stream),
--- a/crates/controlplane/tests/leader_state.rs
+++ b/crates/controlplane/tests/leader_state.rs
@@ -504,14 +504,14 @@
     harness.join(1, "a", Vec::new());
     harness.join(2, "b", Vec::new());
     harness.advance(ms(200));
-    let instance = || MemberIncarnation {
+    let suspect = || MemberIncarnation {
         member: "b".into(),
         incarnation: 1.into(),
     };
     harness.send(
         1,
         DaemonToLeader::MemberSuspected {
-            instance: instance(),
+            incarnation: suspect(),
         },
     );
     harness.advance(ms(200));
@@ -519,12 +519,12 @@
     harness.advance(ms(600));
     verify_that!(
         harness.suspected_sent(),
-        some(elements_are![eq(&instance())])
+        some(elements_are![eq(&suspect())])
     )?;
     harness.send(
         1,
         DaemonToLeader::MemberRecovered {
-            instance: instance(),
+            incarnation: suspect(),
         },
     );
     harness.advance(ms(200));
@@ -536,7 +536,7 @@
     harness.send(
         1,
         DaemonToLeader::MemberSuspected {
-            instance: earlier_incarnation,
+            incarnation: earlier_incarnation,
         },
     );
     harness.advance(ms(2000));
@@ -1313,21 +1313,21 @@
 
 /// The holder of a function is suspected and cut off; its zone is evacuated after that.
 fn end_a_lease(harness: &mut Harness) {
-    let instance = || MemberIncarnation {
+    let suspect = || MemberIncarnation {
         member: "a".into(),
         incarnation: 1.into(),
     };
     harness.send(
         2,
         DaemonToLeader::MemberSuspected {
-            instance: instance(),
+            incarnation: suspect(),
         },
     );
     harness.advance(ms(900));
     harness.send(
         2,
         DaemonToLeader::MemberRecovered {
-            instance: instance(),
+            incarnation: suspect(),
         },
     );
     harness.renew(2);
--- a/crates/dataplane/src/adapter/runner.rs
+++ b/crates/dataplane/src/adapter/runner.rs
@@ -13,7 +13,7 @@
 pub struct NativeRunnerCodec;
 
 impl RunnerCodec for NativeRunnerCodec {
-    fn request(
+    fn encode_request(
         &self,
         address: SocketAddress,
         runner_request: &RunnerRequest<'_>,
@@ -44,7 +44,12 @@
         request.body(Full::new(runner_request.payload.body.0.clone()))
     }
 
-    fn read(&self, status: StatusCode, headers: &HeaderMap, body: Bytes) -> RunnerResponse {
+    fn decode_response(
+        &self,
+        status: StatusCode,
+        headers: &HeaderMap,
+        body: Bytes,
+    ) -> RunnerResponse {
         RunnerResponse {
             status: status.as_u16(),
             idempotency_key: single_text(headers, seal::IDEMPOTENCY_KEY).to_owned(),
--- a/crates/dataplane/src/agent/daemon_control/held_functions.rs
+++ b/crates/dataplane/src/agent/daemon_control/held_functions.rs
@@ -101,7 +101,7 @@
                         && index.is_some_and(|index| table.is_prewarmed(index));
                     held.with(|holder| {
                         holder.update_spec(newest_spec);
-                        holder.set_warm(is_prewarmed);
+                        holder.set_prewarmed(is_prewarmed);
                     });
                 }
                 None => self.apply(held, |holder| holder.begin_release(now)),
@@ -128,7 +128,7 @@
         let index = table
             .index_of(&function)
             .filter(|_| !function.is_regional());
-        holder.set_warm(index.is_some_and(|index| table.is_prewarmed(index)));
+        holder.set_prewarmed(index.is_some_and(|index| table.is_prewarmed(index)));
         let held = Arc::new(HeldFunction::new(holder));
         let displaced = agent.held_functions.load().get(&function).cloned();
         agent.held_functions.rcu(|held_functions| {
@@ -145,7 +145,7 @@
             events::LEASE_GRANTED,
             format!("{function} under {fencing_token}"),
         );
-        self.apply(&held, |holder| holder.begin(now));
+        self.apply(&held, |holder| holder.start(now));
         self.outputs.push(DaemonControlOutput::Changed);
     }
 
--- a/crates/dataplane/src/agent/replica_requests.rs
+++ b/crates/dataplane/src/agent/replica_requests.rs
@@ -97,9 +97,9 @@
             }
             (Self::Collect, _) => holder.collected(now, None),
             (Self::Record(batch_id), Some(DaemonMessage::Recorded { is_stored })) => {
-                holder.recorded(now, batch_id, is_stored.0)
+                holder.handle_records_stored(now, batch_id, is_stored.0)
             }
-            (Self::Record(batch_id), _) => holder.recorded(now, batch_id, false),
+            (Self::Record(batch_id), _) => holder.handle_records_stored(now, batch_id, false),
             (Self::Compare, Some(DaemonMessage::Differs { ranges })) => {
                 holder.compared(now, &ranges.0)
             }
--- a/crates/dataplane/src/cluster_view/leader_frames.rs
+++ b/crates/dataplane/src/cluster_view/leader_frames.rs
@@ -20,9 +20,9 @@
             LeaderToDaemon::Change {
                 base,
                 version,
-                patch,
+                delta,
                 digest,
-            } => self.apply_spec_delta(now, base, version, &patch, &digest),
+            } => self.apply_spec_delta(now, base, version, &delta, &digest),
             LeaderToDaemon::Hosts {
                 number,
                 hosts,
@@ -67,12 +67,12 @@
         now: MonotonicTime,
         base: Version,
         version: Version,
-        patch: &ByteString,
+        delta: &ByteString,
         digest: &ByteString,
     ) {
         let changed_view = match &self.view {
             Some(view) if view.version == base => {
-                view.apply_delta(&decompress(patch).unwrap_or_default(), &digest.0)
+                view.apply_delta(&decompress(delta).unwrap_or_default(), &digest.0)
             }
             Some(view) if view.version >= version => return,
             _ => return self.request_full_spec(),
--- a/crates/dataplane/src/cluster_view/mod.rs
+++ b/crates/dataplane/src/cluster_view/mod.rs
@@ -129,11 +129,11 @@
                         .push(ClusterViewOutput::HeartbeatDatagram(heartbeat, addresses));
                     continue;
                 }
-                FailureDetectorOutput::MemberSuspected(instance) => {
-                    DaemonToLeader::MemberSuspected { instance }
+                FailureDetectorOutput::MemberSuspected(incarnation) => {
+                    DaemonToLeader::MemberSuspected { incarnation }
                 }
-                FailureDetectorOutput::MemberRecovered(instance) => {
-                    DaemonToLeader::MemberRecovered { instance }
+                FailureDetectorOutput::MemberRecovered(incarnation) => {
+                    DaemonToLeader::MemberRecovered { incarnation }
                 }
             };
             if self.control_session.is_welcomed() {
@@ -216,9 +216,9 @@
                 ControlSessionOutput::Welcomed => {
                     self.outputs
                         .push(ClusterViewOutput::Welcomed(self.control_session.term()));
-                    for instance in self.failure_detector.locally_suspected() {
+                    for incarnation in self.failure_detector.locally_suspected() {
                         self.outputs.push(ClusterViewOutput::SendFrame(
-                            DaemonToLeader::MemberSuspected { instance },
+                            DaemonToLeader::MemberSuspected { incarnation },
                         ));
                     }
                 }
--- a/crates/dataplane/src/drivers/platform.rs
+++ b/crates/dataplane/src/drivers/platform.rs
@@ -45,5 +45,5 @@
         instance,
         member: state.settings.member.clone(),
     };
-    state.adapters.platform.stop(order).await
+    state.adapters.platform.stop_runner(order).await
 }
--- a/crates/dataplane/src/drivers/runners.rs
+++ b/crates/dataplane/src/drivers/runners.rs
@@ -165,7 +165,7 @@
         self.state
             .adapters
             .runner
-            .request(self.address, &runner_request)
+            .encode_request(self.address, &runner_request)
     }
 
     /// Counts the send once, however many connections it takes.
@@ -198,7 +198,7 @@
         let keep_alive_timeout = keep_alive_timeout(&called.headers);
         let is_last = closes_connection(&called.headers);
         let codec = &self.state.adapters.runner;
-        let response = codec.read(called.status, &called.headers, called.body);
+        let response = codec.decode_response(called.status, &called.headers, called.body);
         let is_last = is_last || response.closes_connection;
         let result = verify_response(
             self.state.agent.rules,
--- a/crates/dataplane/src/failure_detector/mod.rs
+++ b/crates/dataplane/src/failure_detector/mod.rs
@@ -270,10 +270,10 @@
     ) {
         let own_incarnation = self.own_incarnation();
         for suspicion in suspicions {
-            if suspicion.instance == own_incarnation {
+            if suspicion.incarnation == own_incarnation {
                 self.refutation_targets.insert(sender_address);
                 self.next_heartbeat_at = now;
-            } else if self.is_listed(&suspicion.instance) {
+            } else if self.is_listed(&suspicion.incarnation) {
                 self.peer_suspicions.received(now, suspicion);
             }
         }
@@ -329,21 +329,21 @@
         self.next_heartbeat_at = now + self.heartbeat_interval;
         self.heartbeat_count += 1;
         let own_suspicions = self.locally_suspected.iter().map(|incarnation| Suspicion {
-            instance: incarnation.clone(),
+            incarnation: incarnation.clone(),
             remaining_relays: MAX_RELAYS,
         });
         let suspicions: Vec<Suspicion> = own_suspicions
             .chain(
                 self.peer_suspicions
                     .forwarded()
-                    .filter(|suspicion| !self.locally_suspected.contains(&suspicion.instance)),
+                    .filter(|suspicion| !self.locally_suspected.contains(&suspicion.incarnation)),
             )
             .take(MAX_SUSPICIONS)
             .collect();
         let heartbeat = Heartbeat {
             member: self.own_host.member.clone(),
             incarnation: self.own_host.incarnation,
-            count: self.heartbeat_count,
+            sequence_number: self.heartbeat_count,
             suspicions: LengthPrefixed(suspicions),
         };
         let mut target_addresses = std::mem::take(&mut self.refutation_targets);
--- a/crates/dataplane/src/failure_detector/suspicion.rs
+++ b/crates/dataplane/src/failure_detector/suspicion.rs
@@ -39,7 +39,7 @@
     pub(crate) fn received(&mut self, now: MonotonicTime, suspicion: &Suspicion) {
         let remaining_relays = suspicion.remaining_relays.min(MAX_RELAYS).saturating_sub(1);
         self.records
-            .entry(suspicion.instance.clone())
+            .entry(suspicion.incarnation.clone())
             .and_modify(|record| {
                 record.last_received_at = now;
                 record.remaining_relays = record.remaining_relays.max(remaining_relays);
@@ -72,7 +72,7 @@
             .iter()
             .filter(|(_, record)| record.remaining_relays > 0)
             .map(|(incarnation, record)| Suspicion {
-                instance: incarnation.clone(),
+                incarnation: incarnation.clone(),
                 remaining_relays: record.remaining_relays,
             })
     }
--- a/crates/dataplane/src/holder/idle_retention.rs
+++ b/crates/dataplane/src/holder/idle_retention.rs
@@ -77,7 +77,7 @@
         }
     }
 
-    pub(super) fn set_warm(&mut self, is_warm: bool) {
+    pub(super) fn set_prewarmed(&mut self, is_warm: bool) {
         self.is_warm = is_warm;
     }
 
--- a/crates/dataplane/src/holder/replication.rs
+++ b/crates/dataplane/src/holder/replication.rs
@@ -143,7 +143,7 @@
 
 impl Holder {
     /// Emits what is due as soon as the lease is granted.
-    pub fn begin(&mut self, now: MonotonicTime) -> Vec<HolderOutput> {
+    pub fn start(&mut self, now: MonotonicTime) -> Vec<HolderOutput> {
         if let Some(previous_lease) = self.replication.collecting_from.clone() {
             self.outputs.push(HolderOutput::Collect { previous_lease });
         }
@@ -188,7 +188,7 @@
     }
 
     /// The replica has stored a batch of records, or has not.
-    pub fn recorded(
+    pub fn handle_records_stored(
         &mut self,
         now: MonotonicTime,
         batch_id: u64,
--- a/crates/dataplane/tests/costs/mod.rs
+++ b/crates/dataplane/tests/costs/mod.rs
@@ -202,7 +202,7 @@
                 adopted: Vec::new(),
             };
             let mut holder = Holder::new(START, terms).with_tuning(START, tuning());
-            holder.set_warm(call_stream.profile.warm);
+            holder.set_prewarmed(call_stream.profile.warm);
             day.functions.push(SimFunction {
                 call_stream: *call_stream,
                 holder,
@@ -233,7 +233,7 @@
         let function = &mut self.functions[number];
         if !function.is_begun {
             function.is_begun = true;
-            let outputs = function.holder.begin(self.now);
+            let outputs = function.holder.start(self.now);
             self.execute_outputs(number, outputs);
             self.schedule(number, TICK, SimEvent::Tick);
         }
--- a/crates/dataplane/tests/holder.rs
+++ b/crates/dataplane/tests/holder.rs
@@ -364,7 +364,7 @@
 #[gtest]
 fn an_adopted_runner_is_used_at_once_with_half_of_its_slots() -> Result<()> {
     let mut bench = Bench::with_adopted_runners(8, vec![adopted_runner()]);
-    let outputs = bench.holder.begin(bench.now);
+    let outputs = bench.holder.start(bench.now);
     bench.take(outputs);
     verify_that!(bench.next_runner, eq(0))?;
     for number in 0..6 {
@@ -700,7 +700,9 @@
     let batch_ids = records(&bench.outputs);
     verify_that!(batch_ids.len(), eq(1))?;
     verify_that!(bench.sent.len(), eq(0))?;
-    let outputs = bench.holder.recorded(bench.now, batch_ids[0], true);
+    let outputs = bench
+        .holder
+        .handle_records_stored(bench.now, batch_ids[0], true);
     bench.take(outputs);
     verify_that!(bench.sent.first().map(|sent| sent.0), some(eq(ticket)))
 }
@@ -712,7 +714,9 @@
     bench.outputs.clear();
     bench.submit("only", true, false);
     let batch_id = records(&bench.outputs)[0];
-    let outputs = bench.holder.recorded(bench.now, batch_id, false);
+    let outputs = bench
+        .holder
+        .handle_records_stored(bench.now, batch_id, false);
     let asks_for_another = outputs.iter().any(|output| {
         matches!(
             output,
@@ -729,7 +733,9 @@
     let batch_ids = records(&bench.outputs);
     verify_that!(batch_ids.is_empty(), eq(false))?;
     for batch_id in batch_ids {
-        let outputs = bench.holder.recorded(bench.now, batch_id, true);
+        let outputs = bench
+            .holder
+            .handle_records_stored(bench.now, batch_id, true);
         bench.take(outputs);
     }
     verify_that!(bench.sent.len(), eq(1))?;
@@ -980,7 +986,7 @@
     {
         let tuning = Tuning::builder().idle_startups(idle_startups).build();
         let mut bench = Bench::new(2, 4, Duration::ZERO).with_tuning(tuning);
-        bench.holder.set_warm(is_prewarmed);
+        bench.holder.set_prewarmed(is_prewarmed);
         bench.warm();
         bench.outputs.clear();
         bench.advance(ms(1900));
--- a/crates/dataplane/tests/http_forms.rs
+++ b/crates/dataplane/tests/http_forms.rs
@@ -515,7 +515,7 @@
     ];
     for (what, runner_request) in sent {
         let request = NativeRunnerCodec
-            .request(address("10.0.0.3:9000"), &runner_request)
+            .encode_request(address("10.0.0.3:9000"), &runner_request)
             .expect("a request");
         append_section(&mut text, what, &wire::request(request).await);
     }
@@ -569,7 +569,7 @@
     let mut seen = json!({});
     for (what, status, headers) in answers {
         let status = StatusCode::from_u16(status).expect("a status");
-        seen[what] = shown(&NativeRunnerCodec.read(status, &headers, "the body".into()));
+        seen[what] = shown(&NativeRunnerCodec.decode_response(status, &headers, "the body".into()));
     }
     let readiness_probe = match NativeRunnerCodec.readiness_probe() {
         ReadinessProbe::HttpGet(path, header) => json!([path, header]),
--- a/crates/dataplane/tests/idle_retention.rs
+++ b/crates/dataplane/tests/idle_retention.rs
@@ -54,7 +54,7 @@
             .idle_cost(Some(IdleCost::default()))
             .build();
         let mut holder = Holder::new(START, terms).with_tuning(START, tuning);
-        holder.set_warm(is_prewarmed);
+        holder.set_prewarmed(is_prewarmed);
         let (now, starting) = (START, Vec::new());
         let mut bench = Self {
             holder,
@@ -66,7 +66,7 @@
             starts: 0,
             stops: 0,
         };
-        let outputs = bench.holder.begin(START);
+        let outputs = bench.holder.start(START);
         bench.take(outputs);
         bench
     }
--- a/crates/dataplane/tests/regional.rs
+++ b/crates/dataplane/tests/regional.rs
@@ -76,7 +76,7 @@
             starting: Vec::new(),
             next_number: 0,
         };
-        let outputs = held.holder.begin(START);
+        let outputs = held.holder.start(START);
         held.take(outputs);
         held
     }
--- a/testing/fleet/src/sim/controller.rs
+++ b/testing/fleet/src/sim/controller.rs
@@ -371,7 +371,7 @@
                 self.count_events("hosts told", put.0.len());
             }
             LeaderToDaemon::Spec { document: blob, .. }
-            | LeaderToDaemon::Change { patch: blob, .. } => {
+            | LeaderToDaemon::Change { delta: blob, .. } => {
                 self.count_events("spec bytes", blob.0.len());
             }
             _ => {}
--- a/testing/loadgen/src/plan.rs
+++ b/testing/loadgen/src/plan.rs
@@ -80,7 +80,7 @@
 fn share(reader: &PathReader<'_>) -> f64 {
     let read_share = reader.value().and_then(Value::as_f64).unwrap_or(0.0);
     if !(0.0..=1.0).contains(&read_share) {
-        reader.error(PathErrorReason::Malformed(
+        reader.add_error(PathErrorReason::Malformed(
             "is not between 0 and 1".to_owned(),
         ));
     }
@@ -150,7 +150,7 @@
         let ingresses = read_items(&root.field("doors"), read_address);
         let routes = read_items(&root.field("routes"), read_route);
         if ingresses.is_empty() || routes.is_empty() {
-            root.field("doors").error(PathErrorReason::Malformed(
+            root.field("doors").add_error(PathErrorReason::Malformed(
                 "needs doors and routes".to_owned(),
             ));
         }
