--- a/crates/dataplane/src/holder/output.rs
+++ b/crates/dataplane/src/holder/output.rs
@@ -65,7 +65,7 @@
         /// The earlier lease.
         previous_lease: PreviousLease,
     },
-    /// Have the replica store records, and report the result to [`Holder::recorded`](super::Holder::recorded).
+    /// Have the replica store records, and report the result to [`Holder::handle_records_stored`](super::Holder::handle_records_stored).
     Record {
         /// Identifies the batch.
         batch_id: u64,
