--- a/testing/fleet/src/fleet/layout.rs
+++ b/testing/fleet/src/fleet/layout.rs
@@ -1,12 +1,13 @@
 //! The machines of a fleet: names, addresses, settings and files.
 
 use super::FleetError;
+use super::address_block::AddressBlock;
 use common::frames::SocketAddress;
 use common::rules::Rule;
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
-use std::net::{Ipv4Addr, SocketAddrV4, TcpListener};
 use std::path::{Path, PathBuf};
+use std::sync::Arc;
 
 /// The number of controllers that a fleet begins with.
 const CONTROLLERS: usize = 3;
@@ -69,40 +70,15 @@
     without: Option<Rule>,
     /// The number of controllers and daemons; gives the next one its loopback address.
     machine_count: usize,
-}
-
-/// Unused ports on the common loopback address.
-fn free_addresses(count: usize) -> std::io::Result<Vec<SocketAddress>> {
-    let listeners = (0..count)
-        .map(|_| TcpListener::bind((Ipv4Addr::LOCALHOST, 0)))
-        .collect::<std::io::Result<Vec<TcpListener>>>()?;
-    listeners
-        .iter()
-        .map(|listener| {
-            let port = listener.local_addr()?.port();
-            Ok(SocketAddress(SocketAddrV4::new(Ipv4Addr::LOCALHOST, port)))
-        })
-        .collect()
-}
-
-/// Two unused ports on a loopback address that only this machine uses.
-fn machine_addresses(number: usize) -> std::io::Result<Endpoints> {
-    let ip = Ipv4Addr::new(127, 0, 1 + (number / 250) as u8, 1 + (number % 250) as u8);
-    let first = TcpListener::bind((ip, 0))?;
-    let second = TcpListener::bind((ip, 0))?;
-    let address_of = |listener: &TcpListener| {
-        listener
-            .local_addr()
-            .map(|address| SocketAddress(SocketAddrV4::new(ip, address.port())))
-    };
-    Ok((address_of(&first)?, address_of(&second)?))
+    /// Reserved as long as the layout or a copy of it exists.
+    address_block: Arc<AddressBlock>,
 }
 
 impl Layout {
     /// Lays out a fleet in a folder, which is created, and writes the settings of its machines there.
     ///
     /// # Errors
-    /// Fails if no ports are free or a file cannot be written.
+    /// Fails if no loopback addresses are free or a file cannot be written.
     pub fn new(
         folder: &Path,
         programs: &Path,
@@ -112,48 +88,39 @@
     ) -> Result<Self, FleetError> {
         let at = |error| FleetError::Machine(folder.to_owned(), error);
         std::fs::create_dir_all(folder).map_err(at)?;
-        let machine_count = CONTROLLERS + sizes.daemons;
-        // The first address is the platform's, the others are for operators and callers.
-        let addresses = free_addresses(1 + machine_count).map_err(at)?;
-        let endpoints = (0..machine_count)
-            .map(machine_addresses)
-            .collect::<std::io::Result<Vec<Endpoints>>>()
-            .map_err(at)?;
+        let address_block = AddressBlock::reserve().map_err(at)?;
         let mut layout = Self {
             folder: folder.to_owned(),
             machines: BTreeMap::new(),
-            platform: addresses[0],
+            platform: address_block.platform(),
             programs: programs.to_owned(),
-            seeds: endpoints[..CONTROLLERS]
-                .iter()
-                .map(|(address, _)| address.to_string())
+            seeds: (0..CONTROLLERS)
+                .map(|machine| address_block.proxy_of(machine).to_string())
                 .collect(),
             has_faulty_disks: sizes.has_faulty_disks,
             without: sizes.without,
-            machine_count,
+            machine_count: 0,
+            address_block: Arc::new(address_block),
         };
         let zone_of = |number: usize| format!("locality-{}", number % sizes.zones + 1);
-        let (controllers, daemons) = endpoints.split_at(CONTROLLERS);
-        let (operators, ingresses) = addresses[1..].split_at(CONTROLLERS);
-        for (number, endpoints) in controllers.iter().enumerate() {
+        for number in 0..CONTROLLERS {
             let name = format!("controller-{}", number + 1);
-            layout.put_controller(&name, &zone_of(number), operators[number], *endpoints)?;
+            layout.add_controller(&name, &zone_of(number))?;
         }
-        for (number, endpoints) in daemons.iter().enumerate() {
+        for number in 0..sizes.daemons {
             let name = format!("daemon-{:02}", number + 1);
-            layout.put_daemon(&name, &zone_of(number), ingresses[number], *endpoints)?;
+            layout.add_daemon(&name, &zone_of(number))?;
         }
-        layout.put_platform_stub(sizes, ingresses, seed, reuse_ports);
+        layout.put_platform_stub(sizes, seed, reuse_ports);
         Ok(layout)
     }
 
-    fn put_controller(
-        &mut self,
-        name: &str,
-        zone: &str,
-        operators: SocketAddress,
-        endpoints: Endpoints,
-    ) -> Result<(), FleetError> {
+    /// Adds a controller with new addresses and an empty disk in the given zone.
+    ///
+    /// # Errors
+    /// Fails if its settings cannot be written.
+    pub fn add_controller(&mut self, name: &str, zone: &str) -> Result<(), FleetError> {
+        let (endpoints, operators) = self.next_addresses();
         let settings = json!({
             "place": endpoints.0.to_string(),
             "listen": endpoints.1.to_string(),
@@ -170,13 +137,8 @@
         self.put_with_settings(machine, &settings)
     }
 
-    fn put_daemon(
-        &mut self,
-        name: &str,
-        zone: &str,
-        ingress: SocketAddress,
-        endpoints: Endpoints,
-    ) -> Result<(), FleetError> {
+    fn add_daemon(&mut self, name: &str, zone: &str) -> Result<(), FleetError> {
+        let (endpoints, ingress) = self.next_addresses();
         let settings = json!({
             "member": name,
             "place": endpoints.0.to_string(),
@@ -194,16 +156,21 @@
         self.put_with_settings(machine, &settings)
     }
 
-    fn put_platform_stub(
-        &mut self,
-        sizes: &Sizes,
-        ingresses: &[SocketAddress],
-        seed: u64,
-        reuse_ports: bool,
-    ) {
+    /// The addresses of the next machine: for other processes, and for operators or callers.
+    fn next_addresses(&mut self) -> (Endpoints, SocketAddress) {
+        let machine = self.machine_count;
+        self.machine_count += 1;
+        let endpoints = (
+            self.address_block.proxy_of(machine),
+            self.address_block.listen_of(machine),
+        );
+        (endpoints, self.address_block.client_address_of(machine))
+    }
+
+    fn put_platform_stub(&mut self, sizes: &Sizes, seed: u64, reuse_ports: bool) {
         let name = "platform-stub";
         let records = self.folder.join("platform-stub.jsonl");
-        let ingresses: Vec<String> = ingresses.iter().map(ToString::to_string).collect();
+        let ingresses: Vec<String> = self.ingresses().iter().map(ToString::to_string).collect();
         let options = [
             ("--place", self.platform.to_string()),
             ("--workers", sizes.workers.to_string()),
@@ -289,18 +256,6 @@
         self.folder.join(format!("{name}.json.disk"))
     }
 
-    /// Adds a controller with new addresses and an empty disk in the given zone.
-    ///
-    /// # Errors
-    /// Fails if no ports are free or its settings cannot be written.
-    pub fn add_controller(&mut self, name: &str, zone: &str) -> Result<(), FleetError> {
-        let at = |error| FleetError::Machine(self.folder.clone(), error);
-        let operators = free_addresses(1).map_err(at)?[0];
-        let endpoints = machine_addresses(self.machine_count).map_err(at)?;
-        self.machine_count += 1;
-        self.put_controller(name, zone, operators, endpoints)
-    }
-
     /// The operator API addresses of all controllers.
     pub fn operators(&self) -> Vec<SocketAddress> {
         self.machines
--- a/testing/fleet/src/fleet/mod.rs
+++ b/testing/fleet/src/fleet/mod.rs
@@ -1,5 +1,6 @@
 //! A fleet of real processes on one machine: starting and stopping them, disturbing them, and operating them.
 
+mod address_block;
 mod layout;
 mod network_proxy;
 mod process;
@@ -43,13 +44,14 @@
 
 /// A running fleet. Its processes are killed when it is dropped.
 pub struct Fleet {
+    /// Declared before the layout, since the processes must be killed before its addresses are released.
+    processes: BTreeMap<String, Process>,
     /// The machines and their addresses.
     pub layout: Layout,
     /// The record of actions on the fleet and of operators' changes.
     pub journal: Records,
     /// The network between the processes.
     pub network_proxy: NetworkProxy,
-    processes: BTreeMap<String, Process>,
     /// Processes that are stopping or frozen.
     disturbed: BTreeSet<String>,
     /// The number in the latest change id.
