--- a/testing/fleet/src/synthetic/page/capacity_model/controllers.rs
+++ b/testing/fleet/src/synthetic/page/capacity_model/controllers.rs
@@ -1,6 +1,6 @@
 //! The figures of controllers, the leader's and the followers'.
 
-use super::{CHANGES_A_SECOND, CapacityModel, DAEMONS, MEGABYTE, stream_rate};
+use super::{CHANGES_A_SECOND, CapacityModel, DAEMONS, MEGABYTE, baseline_runs, stream_rate};
 use crate::synthetic::page::Run;
 use crate::synthetic::page::figure::{Figure, Unit};
 use crate::synthetic::page::fit::{Fit, Predictor};
@@ -12,47 +12,46 @@
 const RENEWALS_A_SECOND: f64 = DAEMONS / 0.3;
 const LEADING_STREAM: [&str; 2] = ["leading renewals", "leading idle"];
 
-impl CapacityModel {
-    /// The figures of a follower.
-    pub(crate) fn following(&self, runs: &[Run]) -> Vec<Figure> {
-        let baseline_runs: Vec<&Run> = runs.iter().filter(|run| run.is_baseline()).collect();
-        let predictors = [
-            Predictor::One,
-            Predictor::Daemons,
-            Predictor::Changes,
-            Predictor::ChangedFunctions,
-        ];
-        let by_one = |read: &dyn Fn(&Run) -> f64| {
-            Fit::of(&predictors, &baseline_runs, |run| Some(read(run) / 2.0))
-        };
-        let bytes = by_one(&|run| {
-            run.rate("following core", "heard_bytes") + run.rate("following core", "sent_bytes")
-        });
-        let disk = by_one(&|run| run.rate("following disk", "sent_bytes"));
-        let busy = by_one(&|run| {
-            run.busy("following core") + run.busy("following disk") + run.busy("following ticks")
-        });
-        let memory = Fit::of(
-            &[Predictor::One, Predictor::Daemons, Predictor::Functions],
-            &baseline_runs,
-            |run| Some(run.number("following_bytes") / MEGABYTE),
-        );
-        let count = Fit::of(&[Predictor::One], &baseline_runs, |run| {
-            Some((run.rate("following core", "heard") + run.rate("following core", "sent")) / 2.0)
-        });
-        vec![
-            Figure::of("the core's talk", Unit::BytesASecond, &bytes, 1.0),
-            Figure::of("the core's talk", Unit::MessagesASecond, &count, 1.0),
-            Figure::of("documents to disk", Unit::BytesASecond, &disk, 1.0),
-            Figure::of("**processor time**", Unit::Cores, &busy, CORE_MICROS)
-                .within(CONTROLLER_BUDGET),
-            Figure::of("**memory kept**", Unit::Megabytes, &memory, 1.0),
-        ]
-    }
+/// The figures of a follower.
+pub(crate) fn following_figures(runs: &[Run]) -> Vec<Figure> {
+    let baseline_runs = baseline_runs(runs);
+    let predictors = [
+        Predictor::One,
+        Predictor::Daemons,
+        Predictor::Changes,
+        Predictor::ChangedFunctions,
+    ];
+    let by_one = |read: &dyn Fn(&Run) -> f64| {
+        Fit::of(&predictors, &baseline_runs, |run| Some(read(run) / 2.0))
+    };
+    let bytes = by_one(&|run| {
+        run.rate("following core", "heard_bytes") + run.rate("following core", "sent_bytes")
+    });
+    let disk = by_one(&|run| run.rate("following disk", "sent_bytes"));
+    let busy = by_one(&|run| {
+        run.busy("following core") + run.busy("following disk") + run.busy("following ticks")
+    });
+    let memory = Fit::of(
+        &[Predictor::One, Predictor::Daemons, Predictor::Functions],
+        &baseline_runs,
+        |run| Some(run.number("following_bytes") / MEGABYTE),
+    );
+    let count = Fit::of(&[Predictor::One], &baseline_runs, |run| {
+        Some((run.rate("following core", "heard") + run.rate("following core", "sent")) / 2.0)
+    });
+    vec![
+        Figure::of("the core's talk", Unit::BytesASecond, &bytes, 1.0),
+        Figure::of("the core's talk", Unit::MessagesASecond, &count, 1.0),
+        Figure::of("documents to disk", Unit::BytesASecond, &disk, 1.0),
+        Figure::of("**processor time**", Unit::Cores, &busy, CORE_MICROS).within(CONTROLLER_BUDGET),
+        Figure::of("**memory kept**", Unit::Megabytes, &memory, 1.0),
+    ]
+}
 
+impl CapacityModel {
     /// The figures of the leader.
     pub(crate) fn leading(&self, runs: &[Run]) -> Vec<Figure> {
-        let baseline_runs: Vec<&Run> = runs.iter().filter(|run| run.is_baseline()).collect();
+        let baseline_runs = baseline_runs(runs);
         let mut figures = leading_streams(&baseline_runs);
         figures.extend(self.leading_processor_time(&baseline_runs));
         figures.extend(leading_memory(&baseline_runs));
--- a/testing/fleet/src/synthetic/page/capacity_model/mod.rs
+++ b/testing/fleet/src/synthetic/page/capacity_model/mod.rs
@@ -5,6 +5,10 @@
 mod ingress;
 mod platform;
 
+pub(super) use controllers::following_figures;
+pub(super) use holder::holder_figures;
+pub(super) use platform::platform_figures;
+
 use super::Run;
 use super::fit::{Fit, Predictor};
 
@@ -40,8 +44,26 @@
     pub install: Fit,
 }
 
-fn seconds_of(run: &Run) -> f64 {
-    run.number("measured_s")
+/// The runs to which the models are fitted.
+fn baseline_runs(runs: &[Run]) -> Vec<&Run> {
+    runs.iter().filter(|run| run.is_baseline()).collect()
+}
+
+/// The runs in which callers send requests.
+fn called_runs(runs: &[Run]) -> Vec<&Run> {
+    runs.iter().filter(|run| run.is_called()).collect()
+}
+
+/// Fits a total of all daemons, as the part of one daemon.
+fn fit_per_daemon(predictors: &[Predictor], runs: &[&Run], read: impl Fn(&Run) -> f64) -> Fit {
+    Fit::of(predictors, runs, |run| Some(read(run) / run.daemons()))
+}
+
+/// Fits a rate per second as a constant for each call.
+fn fit_per_call(called_runs: &[&Run], read: impl Fn(&Run) -> f64) -> Fit {
+    Fit::of(&[Predictor::One], called_runs, |run| {
+        Some(read(run) * run.number("measured_s") / run.number("called"))
+    })
 }
 
 fn stream_rate(run: &Run, works: &[&str]) -> f64 {
@@ -63,7 +85,7 @@
 impl CapacityModel {
     /// Fits the models to complete runs without calls.
     pub(crate) fn of(runs: &[Run]) -> Self {
-        let baseline_runs: Vec<&Run> = runs.iter().filter(|run| run.is_baseline()).collect();
+        let baseline_runs = baseline_runs(runs);
         Self {
             beat_bytes: Fit::of(
                 &[Predictor::One, Predictor::Daemons],
--- a/testing/fleet/src/synthetic/page/fit.rs
+++ b/testing/fleet/src/synthetic/page/fit.rs
@@ -141,9 +141,11 @@
     }
 }
 
+/// The diagonal of a linear system below which an unknown is taken as undetermined.
+const SINGULAR: f64 = 1e-18;
+
 /// Solves weighted least squares by normal equations, with each predictor scaled to its largest value.
 fn solve(predictors: &[Predictor], points: &[(&Run, f64)]) -> Vec<f64> {
-    let count = predictors.len();
     let scales: Vec<f64> = predictors
         .iter()
         .map(|predictor| {
@@ -153,12 +155,36 @@
                 .fold(1e-12, f64::max)
         })
         .collect();
+    let mut rows = normal_equations(predictors, &scales, points);
+    eliminate(&mut rows);
+    rows.iter()
+        .zip(&scales)
+        .enumerate()
+        .map(|(index, (row, scale))| {
+            let divisor = row[index];
+            if divisor.abs() < SINGULAR {
+                0.0
+            } else {
+                row[predictors.len()] / divisor / scale
+            }
+        })
+        .collect()
+}
+
+/// The normal equations as rows of an augmented matrix; each point is weighted by its value, so that deviations count
+/// relative to it.
+fn normal_equations(
+    predictors: &[Predictor],
+    scales: &[f64],
+    points: &[(&Run, f64)],
+) -> Vec<Vec<f64>> {
+    let count = predictors.len();
     let mut rows = vec![vec![0.0; count + 1]; count];
     for (run, value) in points {
         let weight = 1.0 / value.abs().max(1e-9).powi(2);
         let values: Vec<f64> = predictors
             .iter()
-            .zip(&scales)
+            .zip(scales)
             .map(|(predictor, scale)| predictor.of(run) / scale)
             .collect();
         for left in 0..count {
@@ -168,6 +194,12 @@
             rows[left][count] += weight * values[left] * value;
         }
     }
+    rows
+}
+
+/// Reduces an augmented matrix to its diagonal by Gauss-Jordan elimination with partial pivoting.
+fn eliminate(rows: &mut [Vec<f64>]) {
+    let count = rows.len();
     for pivot in 0..count {
         let best = (pivot..count)
             .max_by(|left, right| {
@@ -177,7 +209,7 @@
             })
             .unwrap_or(pivot);
         rows.swap(pivot, best);
-        if rows[pivot][pivot].abs() < 1e-18 {
+        if rows[pivot][pivot].abs() < SINGULAR {
             continue;
         }
         let pivot_row = rows[pivot].clone();
@@ -190,16 +222,6 @@
             }
         }
     }
-    (0..count)
-        .map(|index| {
-            let divisor = rows[index][index];
-            if divisor.abs() < 1e-18 {
-                0.0
-            } else {
-                rows[index][count] / divisor / scales[index]
-            }
-        })
-        .collect()
 }
 
 /// A model fitted to all runs, and one fitted to the runs of each seed.
--- a/testing/fleet/src/synthetic/page/plots.rs
+++ b/testing/fleet/src/synthetic/page/plots.rs
@@ -9,33 +9,81 @@
 /// Why a plot cannot be drawn.
 pub(crate) type DrawError = DrawingAreaErrorKind<std::io::Error>;
 
+/// A chart with logarithmic axes.
+type Chart<'a> = ChartContext<'a, SVGBackend<'a>, Cartesian2d<LogCoord<f64>, LogCoord<f64>>>;
+
+/// The axis of sizes, from the smallest to the largest size at which the model is drawn.
+#[derive(Clone, Copy)]
+struct SizeAxis {
+    label: &'static str,
+    from: f64,
+    to: f64,
+    /// The target size, that of two years from now.
+    target: f64,
+}
+
+impl SizeAxis {
+    const fn daemons() -> Self {
+        Self {
+            label: "daemons",
+            from: 40.0,
+            to: 900.0,
+            target: 740.0,
+        }
+    }
+
+    const fn functions(label: &'static str) -> Self {
+        Self {
+            label,
+            from: 150.0,
+            to: 18_000.0,
+            target: 15_000.0,
+        }
+    }
+
+    /// The values of a model at sizes in even logarithmic steps.
+    fn model_line(self, value_at: impl Fn(f64) -> f64) -> Vec<(f64, f64)> {
+        (0..=60)
+            .map(|step| self.from * (self.to / self.from).powf(f64::from(step) / 60.0))
+            .map(|size| (size, value_at(size)))
+            .collect()
+    }
+}
+
+/// The axis of values, with the budget that is drawn across it.
+#[derive(Clone, Copy)]
+struct ValueAxis {
+    label: &'static str,
+    budget: f64,
+    budget_name: &'static str,
+}
+
+const HEARTBEAT_BYTES: ValueAxis = ValueAxis {
+    label: "bytes a second, sent and heard",
+    budget: 5_000.0,
+    budget_name: "5 KB/s",
+};
+const PROCESSOR_TIME: ValueAxis = ValueAxis {
+    label: "microseconds a second",
+    budget: 1e6,
+    budget_name: "one core",
+};
+const CHANGE_TIME: ValueAxis = ValueAxis {
+    label: "milliseconds",
+    budget: 5_000.0,
+    budget_name: "5 s",
+};
+
 /// A plot of measured and modelled values by size, with logarithmic axes.
 struct Plot {
     file: &'static str,
     title: &'static str,
-    /// The label of the axis of sizes.
-    sizes: &'static str,
-    /// The label of the axis of values.
-    values: &'static str,
-    /// The target size.
-    target: f64,
+    sizes: SizeAxis,
+    values: ValueAxis,
     /// The measured values by size.
     points: Vec<(f64, f64)>,
     /// The values of the model by size.
     line: Vec<(f64, f64)>,
-    budget: f64,
-    budget_name: &'static str,
-}
-
-fn log_steps(from: f64, to: f64) -> impl Iterator<Item = f64> {
-    (0..=60).map(move |step| from * (to / from).powf(f64::from(step) / 60.0))
-}
-
-/// The values of a model at sizes in even logarithmic steps.
-fn model_line(from: f64, to: f64, value_at: impl Fn(f64) -> f64) -> Vec<(f64, f64)> {
-    log_steps(from, to)
-        .map(|size| (size, value_at(size)))
-        .collect()
 }
 
 /// The values of predictors at a fleet size, with a fixed rate of changes.
@@ -102,98 +150,91 @@
     }
 }
 
+/// The points of those runs that have a value.
+fn points(
+    runs: &[&Run],
+    size_of: impl Fn(&Run) -> f64,
+    value_of: impl Fn(&Run) -> Option<f64>,
+) -> Vec<(f64, f64)> {
+    runs.iter()
+        .filter_map(|run| Some((size_of(run), value_of(run)?)))
+        .collect()
+}
+
 fn heartbeats_by_daemons(model: &CapacityModel, series: &Series<'_>) -> Plot {
+    let sizes = SizeAxis::daemons();
     let bytes_at = |daemons| model.beat_bytes.line.at(at_size(daemons, 200.0, 200.0));
     Plot {
         file: "bytes-at-a-daemon.svg",
         title: "Heartbeat bytes at a daemon",
-        sizes: "daemons",
-        values: "bytes a second, sent and heard",
-        target: 740.0,
-        points: series
-            .by_daemons
-            .iter()
-            .map(|run| (run.daemons(), run.heartbeat_bytes()))
-            .collect(),
-        line: model_line(40.0, 900.0, bytes_at),
-        budget: 5_000.0,
-        budget_name: "5 KB/s",
+        sizes,
+        values: HEARTBEAT_BYTES,
+        points: points(&series.by_daemons, Run::daemons, |run| {
+            Some(run.heartbeat_bytes())
+        }),
+        line: sizes.model_line(bytes_at),
     }
 }
 
 fn leader_by_daemons(model: &CapacityModel, series: &Series<'_>) -> Plot {
+    let sizes = SizeAxis::daemons();
     let busy_at = |daemons| model.leader_busy(&at_size(daemons, 200.0, 200.0));
     Plot {
         file: "leader-by-daemons.svg",
         title: "Processor time at the leader, 200 functions",
-        sizes: "daemons",
-        values: "microseconds a second",
-        target: 740.0,
-        points: series
-            .by_daemons
-            .iter()
-            .map(|run| (run.daemons(), run.leader_busy()))
-            .collect(),
-        line: model_line(40.0, 900.0, busy_at),
-        budget: 1e6,
-        budget_name: "one core",
+        sizes,
+        values: PROCESSOR_TIME,
+        points: points(&series.by_daemons, Run::daemons, |run| {
+            Some(run.leader_busy())
+        }),
+        line: sizes.model_line(busy_at),
     }
 }
 
 fn leader_by_functions(model: &CapacityModel, series: &Series<'_>) -> Plot {
+    let sizes = SizeAxis::functions("functions held, one runner each");
     let busy_at = |functions| model.leader_busy(&at_size(50.0, functions, functions));
     Plot {
         file: "leader-by-functions.svg",
         title: "Processor time at the leader, 50 daemons, every function held",
-        sizes: "functions held, one runner each",
-        values: "microseconds a second",
-        target: 15_000.0,
-        points: series
-            .by_held
-            .iter()
-            .map(|run| (run.number("held"), run.leader_busy()))
-            .collect(),
-        line: model_line(150.0, 18_000.0, busy_at),
-        budget: 1e6,
-        budget_name: "one core",
+        sizes,
+        values: PROCESSOR_TIME,
+        points: points(
+            &series.by_held,
+            |run| run.number("held"),
+            |run| Some(run.leader_busy()),
+        ),
+        line: sizes.model_line(busy_at),
     }
 }
 
 fn force_by_daemons(model: &CapacityModel, series: &Series<'_>) -> Plot {
+    let sizes = SizeAxis::daemons();
     let force_at = |daemons| model.force_ms(&at_size(daemons, 200.0, 200.0));
     Plot {
         file: "force-by-daemons.svg",
         title: "A change in force, 200 functions",
-        sizes: "daemons",
-        values: "milliseconds",
-        target: 740.0,
-        points: series
-            .by_daemons
-            .iter()
-            .filter_map(|run| Some((run.daemons(), in_force(run)?)))
-            .collect(),
-        line: model_line(40.0, 900.0, force_at),
-        budget: 5_000.0,
-        budget_name: "5 s",
+        sizes,
+        values: CHANGE_TIME,
+        points: points(&series.by_daemons, Run::daemons, in_force),
+        line: sizes.model_line(force_at),
     }
 }
 
 fn force_by_functions(model: &CapacityModel, series: &Series<'_>) -> Plot {
+    let sizes = SizeAxis::functions("functions in the spec");
     let force_at = |functions| model.force_ms(&at_size(50.0, functions, 200.0));
     Plot {
         file: "force-by-functions.svg",
         title: "A change in force, 50 daemons, 200 functions held",
-        sizes: "functions in the spec",
-        values: "milliseconds",
-        target: 15_000.0,
-        points: series
-            .by_functions
-            .iter()
-            .filter_map(|run| Some((run.number("functions"), in_force(run)?)))
-            .collect(),
-        line: model_line(150.0, 18_000.0, force_at),
-        budget: 5_000.0,
-        budget_name: "5 s",
+        sizes,
+        values: CHANGE_TIME,
+        points: points(
+            &series.by_functions,
+            |run| run.number("functions"),
+            in_force,
+        ),
+        line: sizes.model_line(force_at),
     }
 }
 
@@ -221,7 +262,7 @@
             .iter()
             .chain(&self.points)
             .map(|(_, value)| *value)
-            .chain([self.budget]);
+            .chain([self.values.budget]);
         (
             values.clone().fold(f64::INFINITY, f64::min) * 0.6,
             values.fold(0.0, f64::max) * 1.8,
@@ -242,14 +283,31 @@
         chart
             .configure_mesh()
             .light_line_style(WHITE)
-            .x_desc(self.sizes)
-            .y_desc(self.values)
+            .x_desc(self.sizes.label)
+            .y_desc(self.values.label)
             .label_style(("sans-serif", 13))
             .draw()?;
-        let budget_line = [(least, self.budget), (most, self.budget)];
+        self.draw_lines(&mut chart)?;
+        self.draw_points(&mut chart)?;
+        chart
+            .configure_series_labels()
+            .position(SeriesLabelPosition::UpperLeft)
+            .background_style(WHITE.mix(0.8))
+            .border_style(BLACK.mix(0.3))
+            .label_font(("sans-serif", 13))
+            .draw()?;
+        area.present()?;
+        Ok(())
+    }
+
+    /// Draws the budget, the model and the target size.
+    fn draw_lines(&self, chart: &mut Chart<'_>) -> Result<(), DrawError> {
+        let (least, most) = self.size_range();
+        let (lowest, highest) = self.value_range();
+        let budget_line = [(least, self.values.budget), (most, self.values.budget)];
         chart
             .draw_series(LineSeries::new(budget_line, RED.stroke_width(2)))?
-            .label(format!("budget: {}", self.budget_name))
+            .label(format!("budget: {}", self.values.budget_name))
             .legend(|(x, y)| PathElement::new([(x, y), (x + 18, y)], RED.stroke_width(2)));
         chart
             .draw_series(LineSeries::new(
@@ -258,27 +316,23 @@
             ))?
             .label("by the slopes")
             .legend(|(x, y)| PathElement::new([(x, y), (x + 18, y)], BLUE.stroke_width(2)));
-        let target_line = [(self.target, lowest), (self.target, highest)];
+        let target_line = [(self.sizes.target, lowest), (self.sizes.target, highest)];
         chart
             .draw_series(LineSeries::new(target_line, BLACK.mix(0.4).stroke_width(1)))?
             .label("the size of two years from now")
             .legend(|(x, y)| PathElement::new([(x, y), (x + 18, y)], BLACK.mix(0.4)));
+        Ok(())
+    }
+
+    fn draw_points(&self, chart: &mut Chart<'_>) -> Result<(), DrawError> {
+        let circles = self
+            .points
+            .iter()
+            .map(|point| Circle::new(*point, 4, BLACK.filled()));
         chart
-            .draw_series(
-                self.points
-                    .iter()
-                    .map(|point| Circle::new(*point, 4, BLACK.filled())),
-            )?
+            .draw_series(circles)?
             .label("measured")
             .legend(|(x, y)| Circle::new((x + 9, y), 4, BLACK.filled()));
-        chart
-            .configure_series_labels()
-            .position(SeriesLabelPosition::UpperLeft)
-            .background_style(WHITE.mix(0.8))
-            .border_style(BLACK.mix(0.3))
-            .label_font(("sans-serif", 13))
-            .draw()?;
-        area.present()?;
         Ok(())
     }
 }
--- a/testing/fleet/src/synthetic/page/tables.rs
+++ b/testing/fleet/src/synthetic/page/tables.rs
@@ -1,6 +1,6 @@
 //! The tables of the page.
 
-use super::capacity_model::CapacityModel;
+use super::capacity_model::{CapacityModel, following_figures, holder_figures, platform_figures};
 use super::figure::{Figure, format_figure};
 use super::fit::Predictor;
 use super::runs::ChangeTimes;
@@ -15,10 +15,10 @@
     let capacity_model = CapacityModel::of(runs);
     let roles = [
         ("door", capacity_model.ingress(runs)),
-        ("holder", capacity_model.holder(runs)),
-        ("following", capacity_model.following(runs)),
+        ("holder", holder_figures(runs)),
+        ("following", following_figures(runs)),
         ("leading", capacity_model.leading(runs)),
-        ("platform", capacity_model.platform(runs)),
+        ("platform", platform_figures(runs)),
     ];
     let over_budget = over_budget(&roles);
     let mut made: BTreeMap<&'static str, String> = roles
@@ -67,6 +67,7 @@
     table
 }
 
+/// The runs of one size of fleet, with different seeds.
 struct Size<'a> {
     runs: Vec<&'a Run>,
 }
@@ -75,8 +76,38 @@
     fn mean(&self, read: impl Fn(&Run) -> f64) -> f64 {
         self.runs.iter().map(|run| read(run)).sum::<f64>() / self.runs.len().max(1) as f64
     }
+
+    /// The share of calls that were answered.
+    fn answered(&self) -> String {
+        let called = self.mean(|run| run.number("called"));
+        if called > 0.0 {
+            let answered = self.mean(|run| run.number("answered"));
+            format!("{:.1} %", answered / called * 100.0)
+        } else {
+            "–".to_owned()
+        }
+    }
+
+    /// The parts of the time of a change, or why a run was stopped before one could be measured.
+    fn change(&self) -> String {
+        if let Some(reason) = self.runs.iter().find_map(|run| run.stopped()) {
+            return format!("stopped: {reason}");
+        }
+        let part = |part_of: fn(&ChangeTimes) -> f64| {
+            let read = |run: &Run| run.change_times().map_or(0.0, |times| part_of(&times));
+            format_figure(self.mean(read))
+        };
+        format!(
+            "{}, {}, {} ms",
+            part(|times| times.network_ms),
+            part(|times| times.leader_ms),
+            part(|times| times.install_ms),
+        )
+    }
 }
 
+const RUNS_TABLE_HEAD: &str = "| daemons | functions | held | runners each | calls/s each | seeds | real time | memory | seen alive | answered | grants ended | change: network, leader, install |\n|---|---|---|---|---|---|---|---|---|---|---|---|\n";
+
 /// The measured runs by size, with means over the seeds.
 fn runs_table(runs: &[Run]) -> String {
     let keys = ["daemons", "functions", "held_wanted", "runners", "calls"];
@@ -89,43 +120,18 @@
             .runs
             .push(run);
     }
-    let mut table = String::from(
-        "| daemons | functions | held | runners each | calls/s each | seeds | real time | memory | seen alive | answered | grants ended | change: network, leader, install |\n|---|---|---|---|---|---|---|---|---|---|---|---|\n",
-    );
+    let mut table = RUNS_TABLE_HEAD.to_owned();
     for ([daemons, functions, held, runners, calls], size) in sizes {
-        let called = size.mean(|run| run.number("called"));
-        let answered = if called > 0.0 {
-            format!(
-                "{:.1} %",
-                size.mean(|run| run.number("answered")) / called * 100.0
-            )
-        } else {
-            "–".to_owned()
-        };
-        let part = |part_of: fn(&ChangeTimes) -> f64| {
-            let read = |run: &Run| run.change_times().map_or(0.0, |times| part_of(&times));
-            format_figure(size.mean(read))
-        };
-        let stopped = size.runs.iter().find_map(|run| run.stopped());
-        let change = stopped.map_or_else(
-            || {
-                format!(
-                    "{}, {}, {} ms",
-                    part(|times| times.network_ms),
-                    part(|times| times.leader_ms),
-                    part(|times| times.install_ms),
-                )
-            },
-            |reason| format!("stopped: {reason}"),
-        );
         let _ = writeln!(
             table,
-            "| {daemons} | {functions} | {held} | {runners} | {calls} | {} | {:.0} s | {:.0} MB | {:.1} | {answered} | {:.0} | {change} |",
+            "| {daemons} | {functions} | {held} | {runners} | {calls} | {} | {:.0} s | {:.0} MB | {:.1} | {} | {:.0} | {} |",
             size.runs.len(),
             size.mean(|run| run.number("took_s")),
             size.mean(|run| run.number("heap_bytes")) / 1e6,
             size.mean(|run| run.number("alive_seen")),
+            size.answered(),
             size.mean(|run| run.number("grants_ended")),
+            size.change(),
         );
     }
     table
