--- a/testing/fleet/src/synthetic/record.rs
+++ b/testing/fleet/src/synthetic/record.rs
@@ -226,7 +226,18 @@
 
 impl fmt::Display for RunRecord {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let seconds = self.size.measured.as_secs_f64();
+        self.write_summary(out)?;
+        if let Some(stopped) = &self.stopped {
+            writeln!(out, "stopped: {stopped}")?;
+        }
+        self.write_counters(out)?;
+        self.write_memory(out)?;
+        self.write_changes(out)
+    }
+}
+
+impl RunRecord {
+    fn write_summary(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         writeln!(
             out,
             "{} daemons, {} functions ({} held, {} runners), seed {}: {:.0} s, {} MB; {:.1} daemons seen alive; {} of {} calls answered, {} grants ended",
@@ -241,10 +252,11 @@
             self.answered,
             self.called,
             self.leases_ended,
-        )?;
-        if let Some(stopped) = &self.stopped {
-            writeln!(out, "stopped: {stopped}")?;
-        }
+        )
+    }
+
+    /// Writes the counters of all daemons and controllers per second, a row for each role and kind of work.
+    fn write_counters(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         writeln!(
             out,
             "{:<22}{:>10}{:>10}{:>14}{:>10}{:>14}{:>12}{:>12}{:>10}",
@@ -258,8 +270,9 @@
             "wire us",
             "swell KB"
         )?;
+        let seconds = self.size.measured.as_secs_f64();
+        let per_second = |count: u64| count as f64 / seconds;
         for ((role, work), counters) in &self.counters_by_work {
-            let per_second = |count: u64| count as f64 / seconds;
             writeln!(
                 out,
                 "{:<22}{:>10.0}{:>10.0}{:>14.0}{:>10.0}{:>14.0}{:>12.0}{:>12.0}{:>10}",
@@ -274,6 +287,10 @@
                 counters.peak_bytes / 1024,
             )?;
         }
+        Ok(())
+    }
+
+    fn write_memory(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         writeln!(
             out,
             "memory: door {} KB, holder {} KB, following {} KB, leading {} KB",
@@ -281,7 +298,10 @@
             mean(&self.holder_bytes) / 1024,
             self.following_bytes / 1024,
             self.leading_bytes / 1024,
-        )?;
+        )
+    }
+
+    fn write_changes(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         let network_ms = most(self.in_force.iter().map(|(network_ms, _)| *network_ms));
         let leader_ms = most(self.in_force.iter().map(|(_, leader_ms)| *leader_ms));
         let install_ms = most(self.installs.iter().copied());
