--- a/testing/fleet/src/synthetic/controllers.rs
+++ b/testing/fleet/src/synthetic/controllers.rs
@@ -1,17 +1,17 @@
 //! The controllers of a synthetic fleet, and the messages to and from them.
 
 use super::catalogue;
-use super::events::Event;
-use super::fleet::{OpenChange, SyntheticFleet};
+use super::events::{ControllerEvent, ControllerLinkEvent, DaemonLinkEvent, Event};
+use super::fleet::SyntheticFleet;
+use super::members::{Controller, OpenChange};
 use super::meter::{Role, Work};
 use super::platform::{HTTP_HEADERS, PLATFORM_LATENCY, read_runners, read_workers};
 use super::wire;
 use super::zones::ZoneNumber;
 use bytes::Bytes;
-use common::clock::MonotonicTime;
 use common::events;
-use common::frames::{ConsensusFrame, DaemonToLeader, LeaderToDaemon, decode, encode};
-use common::identity::{ChangeId, ControllerId, DocumentVersion, RunnerId, Term, Ticket, Version};
+use common::frames::{ConsensusFrame, DaemonToLeader, LeaderToDaemon, SocketAddress, decode};
+use common::identity::{ChangeId, ControllerId, DocumentVersion, Term, Version};
 use common::rng::SeededRng;
 use common::spec::{Document, Voter, read_spec};
 use controlplane::consensus::{
@@ -29,22 +29,6 @@
 const POLL_INTERVAL: Duration = Duration::from_millis(400);
 const DISK_LATENCY: Duration = Duration::from_millis(4);
 
-/// A synthetic controller.
-pub(super) struct Controller {
-    pub controller_state: ControllerState,
-    pub due: MonotonicTime,
-}
-
-impl Controller {
-    fn role(&self) -> Role {
-        if self.controller_state.consensus().is_leader() {
-            Role::Leading
-        } else {
-            Role::Following
-        }
-    }
-}
-
 impl SyntheticFleet {
     /// Creates the controllers with the first spec on their disks.
     pub(super) fn bootstrap(&mut self, first_spec: Value) {
@@ -52,67 +36,92 @@
         let ids: Vec<ControllerId> = (0..seeds.len())
             .map(|_| ControllerId(self.rng.number() | 1))
             .collect();
-        let members = ids.iter().zip(&seeds).enumerate();
-        let voters: Vec<Voter> = members
-            .map(|(number, (id, address))| Voter {
-                id: *id,
-                address: *address,
-                zone: ZoneNumber::of(number).zone(),
-            })
-            .collect();
-        let checked_spec = read_spec(&first_spec).unwrap_or_default();
-        let founded = Document::founding(voters);
-        let mut document = founded.with_spec(first_spec, &checked_spec, ChangeId::from("founding"));
-        document.document_version = DocumentVersion {
-            term: Term(1),
-            version: Version(2),
-        };
-        self.record.document_bytes = document.to_bytes().len() as u64;
-        let document_bytes = document.to_bytes();
+        let document_bytes = first_document(&ids, &seeds, first_spec).to_bytes();
+        self.record.document_bytes = document_bytes.len() as u64;
         for (number, id) in ids.into_iter().enumerate() {
-            let accepted = Document::from_bytes(&document_bytes).ok();
             let persisted = PersistedState {
                 id,
                 voted_for: None,
-                accepted,
+                accepted: Document::from_bytes(&document_bytes).ok(),
                 unreadable_version: DocumentVersion::default(),
             };
-            let address = seeds[number];
-            let timing = ConsensusTiming::builder().build();
-            let fresh_span = timing.election_timeout_min;
-            let consensus = ConsensusNode::new(
-                self.now,
-                timing,
-                persisted,
-                ControllerAddress {
-                    address,
-                    operators: address,
-                },
-                ZoneNumber::of(number).zone(),
-                seeds.clone(),
-                SeededRng::seeded(self.rng.number()),
-            );
-            let controller_state =
-                ControllerState::new(consensus, LeaderTiming::builder().build(), fresh_span);
-            self.controllers.push(Controller {
-                controller_state,
-                due: self.now,
-            });
-            self.push(
-                Duration::from_millis(number as u64),
-                Event::TickController(number),
-            );
-            self.push(Duration::from_millis(50), Event::Poll(number));
+            self.start_controller(number, persisted, &seeds);
         }
     }
 
-    /// Gives an input to a controller and executes its outputs.
-    pub(super) fn step_controller(
+    fn start_controller(
         &mut self,
-        controller: usize,
-        work: Work,
-        input: ControllerInput,
+        number: usize,
+        persisted: PersistedState,
+        seeds: &[SocketAddress],
     ) {
+        let address = seeds[number];
+        let timing = ConsensusTiming::builder().build();
+        let fresh_span = timing.election_timeout_min;
+        let consensus = ConsensusNode::new(
+            self.now,
+            timing,
+            persisted,
+            ControllerAddress {
+                address,
+                operators: address,
+            },
+            ZoneNumber::of(number).zone(),
+            seeds.to_vec(),
+            SeededRng::seeded(self.rng.number()),
+        );
+        let controller_state =
+            ControllerState::new(consensus, LeaderTiming::builder().build(), fresh_span);
+        self.controllers.push(Controller {
+            controller_state,
+            due: self.now,
+        });
+        self.push(
+            Duration::from_millis(number as u64),
+            Event::Controller(number, ControllerEvent::Tick),
+        );
+        self.push(
+            Duration::from_millis(50),
+            Event::Controller(number, ControllerEvent::Poll),
+        );
+    }
+
+    /// Handles an event at a controller.
+    pub(super) fn handle_controller_event(&mut self, controller: usize, event: ControllerEvent) {
+        match event {
+            ControllerEvent::Tick => self.tick_controller(controller),
+            ControllerEvent::Poll => self.poll(controller),
+            ControllerEvent::Consensus(frame) => self.handle_consensus_frame(controller, &frame),
+            ControllerEvent::Written(ticket) => {
+                let input = ControllerInput::Written(ticket, WriteResult::Synced);
+                self.step_controller(controller, Work::Disk, input);
+            }
+            ControllerEvent::RunnerStopped(runner) => {
+                let input = ControllerInput::RunnerStopped(runner);
+                self.step_controller(controller, Work::Runners, input);
+            }
+            ControllerEvent::Operate(ticket, operation) => {
+                let input = ControllerInput::Operate(ticket, *operation);
+                self.step_controller(controller, Work::Changes, input);
+            }
+        }
+    }
+
+    /// Handles an event at a controller's end of a link.
+    pub(super) fn handle_controller_link_event(&mut self, link: usize, event: ControllerLinkEvent) {
+        match event {
+            ControllerLinkEvent::Frame(frame) => self.handle_up_frame(link, &frame),
+            ControllerLinkEvent::Lost => {
+                self.links[link].is_open = false;
+                let controller = self.links[link].controller;
+                let input = ControllerInput::StreamLost(StreamId(link as u64));
+                self.step_controller(controller, Work::Others, input);
+            }
+        }
+    }
+
+    /// Gives an input to a controller and executes its outputs.
+    fn step_controller(&mut self, controller: usize, work: Work, input: ControllerInput) {
         let now = self.now;
         let role = self.controllers[controller].role();
         let controller_state = &mut self.controllers[controller].controller_state;
@@ -127,36 +136,31 @@
     }
 
     /// Runs the timers of a controller.
-    pub(super) fn tick_controller(&mut self, controller: usize) {
+    fn tick_controller(&mut self, controller: usize) {
         if self.now >= self.controllers[controller].due {
             self.step_controller(controller, Work::Ticks, ControllerInput::Tick);
         }
         let due = self.controllers[controller].due;
         let idle_span = due.since(self.now).max(SHORTEST_IDLE);
-        self.push(idle_span, Event::TickController(controller));
+        self.push(
+            idle_span,
+            Event::Controller(controller, ControllerEvent::Tick),
+        );
     }
 
     fn apply_controller_output(&mut self, controller: usize, order: ControllerOutput) {
         let role = self.controllers[controller].role();
         match order {
-            ControllerOutput::Send(to, frame) => {
-                let Some(other) = Self::controller_at(to) else {
-                    return;
-                };
-                let Ok(bytes) = self.meter.wire(role, Work::Consensus, 1, || encode(&frame)) else {
-                    return;
-                };
-                self.meter
-                    .sent(role, Work::Consensus, 1, wire::frame_bytes(bytes.len()));
-                let delay = Self::delay(controller, other);
-                self.push(delay, Event::Consensus(other, bytes.into()));
-            }
+            ControllerOutput::Send(to, frame) => self.send_consensus(controller, to, &frame),
             ControllerOutput::Write(ticket, job) => {
                 if let WriteJob::Version(document) = &job {
                     let written_bytes = document.to_bytes().len() as u64;
                     self.meter.sent(role, Work::Disk, 1, written_bytes);
                 }
-                self.push(DISK_LATENCY, Event::Written(controller, ticket));
+                self.push(
+                    DISK_LATENCY,
+                    Event::Controller(controller, ControllerEvent::Written(ticket)),
+                );
             }
             ControllerOutput::FrameToDaemon(stream, frame) => {
                 self.send_down(controller, stream, &frame)
@@ -168,113 +172,83 @@
                 self.meter
                     .sent(Role::Platform, Work::Runners, 1, HTTP_HEADERS);
                 self.platform.stop(runner);
-                self.push(PLATFORM_LATENCY, Event::LeaderStopped(controller, runner));
+                let stopped = ControllerEvent::RunnerStopped(runner);
+                self.push(PLATFORM_LATENCY, Event::Controller(controller, stopped));
             }
             ControllerOutput::OperatorReply(ticket, reply) => self.operated(ticket, reply),
             ControllerOutput::EventRecord(numbered) => self.event_record(&numbered),
         }
     }
 
+    fn send_consensus(&mut self, controller: usize, to: SocketAddress, frame: &ConsensusFrame) {
+        let role = self.controllers[controller].role();
+        let Some(other) = Self::controller_at(to) else {
+            return;
+        };
+        let Some(bytes) = wire::encode_sent(&mut self.meter, role, Work::Consensus, frame) else {
+            return;
+        };
+        let delay = Self::delay(controller, other);
+        self.push(
+            delay,
+            Event::Controller(other, ControllerEvent::Consensus(bytes)),
+        );
+    }
+
     fn send_down(&mut self, controller: usize, stream: StreamId, frame: &LeaderToDaemon) {
         let role = self.controllers[controller].role();
         let work = wire::work_down(frame);
         let link = stream.0 as usize;
-        let Ok(bytes) = self.meter.wire(role, work, 1, || encode(frame)) else {
+        let Some(bytes) = wire::encode_sent(&mut self.meter, role, work, frame) else {
             return;
         };
-        self.meter
-            .sent(role, work, 1, wire::frame_bytes(bytes.len()));
         if work == Work::Hosts {
             self.record.hosts_bytes = wire::frame_bytes(bytes.len());
         }
         let delay = Self::delay(controller, self.links[link].daemon);
-        self.push(delay, Event::FrameToDaemon(link, bytes.into()));
-    }
-
-    pub(super) fn close_link(&mut self, link: usize) {
-        let delay = Self::delay(self.links[link].controller, self.links[link].daemon);
         self.push(
             delay,
-            Event::LinkLost {
-                link,
-                at_controller: false,
-            },
-        );
-        self.push(
-            delay,
-            Event::LinkLost {
-                link,
-                at_controller: true,
-            },
+            Event::DaemonLink(link, DaemonLinkEvent::Frame(bytes)),
         );
     }
 
-    pub(super) fn handle_consensus_frame(&mut self, controller: usize, bytes: &Bytes) {
+    fn handle_consensus_frame(&mut self, controller: usize, bytes: &Bytes) {
         let role = self.controllers[controller].role();
-        self.meter
-            .received(role, Work::Consensus, 1, wire::frame_bytes(bytes.len()));
-        let read = self
-            .meter
-            .wire(role, Work::Consensus, 1, || decode::<ConsensusFrame>(bytes));
-        if let Ok(frame) = read {
-            self.step_controller(
-                controller,
-                Work::Consensus,
-                ControllerInput::Consensus(frame),
-            );
+        let read = wire::decode_received(&mut self.meter, role, Work::Consensus, bytes);
+        if let Some(frame) = read {
+            let input = ControllerInput::Consensus(frame);
+            self.step_controller(controller, Work::Consensus, input);
         }
     }
 
-    pub(super) fn written(&mut self, controller: usize, ticket: Ticket) {
-        self.step_controller(
-            controller,
-            Work::Disk,
-            ControllerInput::Written(ticket, WriteResult::Synced),
-        );
-    }
-
-    pub(super) fn handle_up_frame(&mut self, link: usize, bytes: &Bytes) {
+    fn handle_up_frame(&mut self, link: usize, bytes: &Bytes) {
         if !self.links[link].is_open {
             return;
         }
         let controller = self.links[link].controller;
         let role = self.controllers[controller].role();
-        let Ok(frame) = decode::<DaemonToLeader>(bytes) else {
+        let Ok(classified) = decode::<DaemonToLeader>(bytes) else {
             return;
         };
-        let work = wire::work_up(&frame);
-        let _ = self
-            .meter
-            .wire(role, work, 1, || decode::<DaemonToLeader>(bytes));
-        self.meter
-            .received(role, work, 1, wire::frame_bytes(bytes.len()));
-        self.step_controller(
-            controller,
-            work,
-            ControllerInput::Stream(StreamId(link as u64), frame),
-        );
-    }
-
-    pub(super) fn leader_stopped(&mut self, controller: usize, runner: RunnerId) {
-        self.step_controller(
-            controller,
-            Work::Runners,
-            ControllerInput::RunnerStopped(runner),
-        );
+        let work = wire::work_up(&classified);
+        let Some(frame) = wire::decode_received(&mut self.meter, role, work, bytes) else {
+            return;
+        };
+        let input = ControllerInput::Stream(StreamId(link as u64), frame);
+        self.step_controller(controller, work, input);
     }
 
     /// Reads the platform's lists for the leader.
-    pub(super) fn poll(&mut self, controller: usize) {
-        self.push(POLL_INTERVAL, Event::Poll(controller));
+    fn poll(&mut self, controller: usize) {
+        self.push(
+            POLL_INTERVAL,
+            Event::Controller(controller, ControllerEvent::Poll),
+        );
         self.read_lists(controller);
     }
 
     fn read_lists(&mut self, controller: usize) {
-        if !self.controllers[controller]
-            .controller_state
-            .consensus()
-            .is_leader()
-        {
+        if !self.controllers[controller].is_leader() {
             return;
         }
         self.sample_visibility();
@@ -298,8 +272,7 @@
 
     /// Changes one function as an operator.
     pub(super) fn send_change(&mut self) {
-        let leads = |controller: &Controller| controller.controller_state.consensus().is_leader();
-        let Some(leader) = self.controllers.iter().position(leads) else {
+        let Some(leader) = self.controllers.iter().position(Controller::is_leader) else {
             return;
         };
         self.change_turn += 1;
@@ -318,23 +291,8 @@
             kind: ChangeKind::Patch(patch),
             wait: Wait::Accepted,
         };
-        self.push(
-            Duration::ZERO,
-            Event::Operate(leader, ticket, Box::new(operation)),
-        );
-    }
-
-    pub(super) fn operate(
-        &mut self,
-        controller: usize,
-        ticket: OperationTicket,
-        operation: Operation,
-    ) {
-        self.step_controller(
-            controller,
-            Work::Changes,
-            ControllerInput::Operate(ticket, operation),
-        );
+        let operate = ControllerEvent::Operate(ticket, Box::new(operation));
+        self.push(Duration::ZERO, Event::Controller(leader, operate));
     }
 
     fn operated(&mut self, ticket: OperationTicket, reply: OperationReply) {
@@ -372,3 +330,23 @@
         }
     }
 }
+
+/// The founding document with the first spec, as the control quorum has it on its disks.
+fn first_document(ids: &[ControllerId], seeds: &[SocketAddress], first_spec: Value) -> Document {
+    let members = ids.iter().zip(seeds).enumerate();
+    let voters: Vec<Voter> = members
+        .map(|(number, (id, address))| Voter {
+            id: *id,
+            address: *address,
+            zone: ZoneNumber::of(number).zone(),
+        })
+        .collect();
+    let checked_spec = read_spec(&first_spec).unwrap_or_default();
+    let founded = Document::founding(voters);
+    let mut document = founded.with_spec(first_spec, &checked_spec, ChangeId::from("founding"));
+    document.document_version = DocumentVersion {
+        term: Term(1),
+        version: Version(2),
+    };
+    document
+}
--- /dev/null
+++ b/testing/fleet/src/synthetic/daemons/callers.rs
@@ -0,0 +1,99 @@
+//! The callers of a synthetic fleet.
+
+use crate::synthetic::catalogue;
+use crate::synthetic::events::{Event, ReplyTarget};
+use crate::synthetic::fleet::SyntheticFleet;
+use crate::synthetic::meter::{Role, Work};
+use crate::synthetic::size::SyntheticSize;
+use bytes::Bytes;
+use common::frames::RequestPayload;
+use common::identity::IdempotencyKey;
+use dataplane::agent::FunctionRequest;
+use std::sync::Arc;
+use std::time::Duration;
+
+/// First calls per second.
+const FILL_RATE: u64 = 1000;
+const FILL_SHORTEST: Duration = Duration::from_millis(500);
+const FILL_INTERVAL: Duration = Duration::from_millis(10);
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(3000);
+const REQUEST: &[u8] = &[b'q'; 256];
+/// The share of calls to the busiest twentieth of the functions.
+const BUSY_SHARE: f64 = 0.9;
+
+/// The span in which every function is called for the first time.
+pub(in crate::synthetic) fn fill_span(size: &SyntheticSize) -> Duration {
+    FILL_SHORTEST.max(Duration::from_millis(size.held as u64 * 1000 / FILL_RATE))
+}
+
+impl SyntheticFleet {
+    /// Calls every function once, each through a random ingress.
+    pub(in crate::synthetic) fn fill(&mut self) {
+        if self.fill_next == 0 {
+            self.record.join_nanos = self.meter.leader_nanos;
+        }
+        let ticks = (fill_span(&self.size).as_millis() / FILL_INTERVAL.as_millis()).max(1) as usize;
+        let share = self.size.held.div_ceil(ticks);
+        let until = (self.fill_next + share).min(self.size.held);
+        for function in self.fill_next..until {
+            self.call(function);
+        }
+        self.fill_next = until;
+        if self.fill_next < self.size.held {
+            self.push(FILL_INTERVAL, Event::Fill);
+        }
+    }
+
+    /// Calls a random function through a random ingress.
+    pub(in crate::synthetic) fn send_random_call(&mut self) {
+        let rate = self.size.calls as f64 * self.size.daemons as f64;
+        if rate <= 0.0 {
+            return;
+        }
+        self.push(Duration::from_secs_f64(1.0 / rate), Event::Call);
+        let functions = self.size.held as u64;
+        let busiest = (functions / 20).max(1);
+        let bound = if self.rng.random_bool(BUSY_SHARE) {
+            busiest
+        } else {
+            functions
+        };
+        let function = self.rng.below(bound) as usize;
+        self.call(function);
+    }
+
+    fn call(&mut self, function: usize) {
+        let daemon = self.rng.below(self.size.daemons as u64) as usize;
+        let number = self.number();
+        let now = self.now;
+        let Some(agent) = self.agent(daemon) else {
+            return;
+        };
+        let route_name = catalogue::name_of(function);
+        let path = format!("/{route_name}/{number}");
+        let idempotency_key = IdempotencyKey::from(format!("transaction-{number:012}"));
+        self.record.called += 1;
+        let (matched, _) = self.meter.measure_step(Role::Ingress, Work::Calls, || {
+            let table = agent.table.load_full();
+            let found = table.route(&hyper::Method::POST, "callers", &path, &idempotency_key)?;
+            Some((found.function.key.clone(), table.version()))
+        });
+        let Some((key, version)) = matched.filter(|_| agent.is_serving(now)) else {
+            self.record.not_run += 1;
+            return;
+        };
+        let request = FunctionRequest {
+            idempotency_key,
+            function: key,
+            route: route_name,
+            version,
+            deadline: now + REQUEST_TIMEOUT,
+            hops: 0,
+            wants_referral: true,
+            region: "".into(),
+            repeat: false,
+            payload: Arc::new(RequestPayload::from_body(Bytes::from_static(REQUEST))),
+        };
+        self.accept_request(daemon, request, ReplyTarget::Caller);
+    }
+}
--- a/testing/fleet/src/synthetic/daemons.rs
+++ b/testing/fleet/src/synthetic/daemons/control.rs
@@ -1,29 +1,26 @@
-//! The daemons of a synthetic fleet, and the messages to and from them.
+//! The control sessions of daemons: their timers, their links to controllers, and their heartbeats.
 
-use super::calls::PendingRequest;
-use super::events::{Event, HeartbeatDatagram, HolderKey};
-use super::fleet::{Link, SyntheticFleet};
-use super::memory;
-use super::meter::{Role, Work};
-use super::record::RunRecord;
-use super::wire;
-use super::zones::ZoneNumber;
+use crate::synthetic::events::{
+    ControllerLinkEvent, DaemonEvent, DaemonLinkEvent, Event, HeartbeatDatagram,
+};
+use crate::synthetic::fleet::SyntheticFleet;
+use crate::synthetic::members::{Daemon, Link};
+use crate::synthetic::meter::{Role, Work};
+use crate::synthetic::wire;
+use crate::synthetic::zones::ZoneNumber;
 use bytes::Bytes;
 use common::clock::MonotonicTime;
 use common::frames::{
     DaemonToLeader, Flag, Heartbeat, Host, LeaderToDaemon, SocketAddress, decode, decode_heartbeat,
-    encode, encode_heartbeat,
+    encode_heartbeat,
 };
-use common::identity::FunctionKey;
 use common::rng::SeededRng;
 use common::rules::Rules;
-use controlplane::controller_state::ControllerInput;
 use dataplane::agent::{Agent, DaemonControl, DaemonControlOutput, HeldFunction};
 use dataplane::control_session::ControlSessionTiming;
-use dataplane::holder::HolderMessage;
 use std::collections::{BTreeMap, HashMap};
 use std::rc::Rc;
-use std::sync::{Arc, PoisonError};
+use std::sync::Arc;
 use std::time::Duration;
 
 const SHORTEST_IDLE: Duration = Duration::from_millis(5);
@@ -31,25 +28,34 @@
 /// One in this number of heartbeats is decoded from its bytes; its processor time is counted for the others too.
 const DECODE_EVERY: u64 = 8;
 
-/// A synthetic daemon.
-pub(super) struct Daemon {
-    pub agent: Arc<Agent<u64>>,
-    pub controller: DaemonControl<u64>,
-    pub pending_requests: HashMap<u64, PendingRequest>,
-    pub acquires: BTreeMap<FunctionKey, Vec<u64>>,
-    pub link: Option<usize>,
-    pub heartbeats_received: u64,
-    pub due: MonotonicTime,
-}
-
 impl SyntheticFleet {
-    pub(super) fn agent(&self, daemon: usize) -> Option<Arc<Agent<u64>>> {
-        self.daemons[daemon]
-            .as_ref()
-            .map(|started_daemon| started_daemon.agent.clone())
+    /// Handles an event at a daemon.
+    pub(in crate::synthetic) fn handle_daemon_event(&mut self, daemon: usize, event: DaemonEvent) {
+        match event {
+            DaemonEvent::Start => self.start_daemon(daemon),
+            DaemonEvent::Tick => self.tick_daemon(daemon),
+            DaemonEvent::Heartbeat(heartbeat) => self.handle_heartbeat(daemon, &heartbeat),
+            DaemonEvent::Hop {
+                reply_target,
+                frame,
+            } => self.handle_hop(daemon, reply_target, &frame),
+        }
+    }
+
+    /// Handles an event at a daemon's end of a link.
+    pub(in crate::synthetic) fn handle_daemon_link_event(
+        &mut self,
+        link: usize,
+        event: DaemonLinkEvent,
+    ) {
+        match event {
+            DaemonLinkEvent::Dialed => self.dialed(link),
+            DaemonLinkEvent::Frame(frame) => self.handle_down_frame(link, &frame),
+            DaemonLinkEvent::Lost => self.link_lost(link),
+        }
     }
 
-    pub(super) fn start_daemon(&mut self, daemon: usize) {
+    fn start_daemon(&mut self, daemon: usize) {
         let own_address = Self::daemon_address(daemon);
         let host = Host {
             member: format!("daemon-{daemon:03}").into(),
@@ -78,11 +84,11 @@
             due: self.now,
         });
         let first_tick = self.rng.within(Duration::ZERO, LONGEST_IDLE);
-        self.push(first_tick, Event::TickDaemon(daemon));
+        self.push(first_tick, Event::Daemon(daemon, DaemonEvent::Tick));
     }
 
     /// Runs the timers of a daemon if they are due, and determines when the next ones are.
-    pub(super) fn tick_daemon(&mut self, daemon: usize) {
+    fn tick_daemon(&mut self, daemon: usize) {
         let now = self.now;
         if self.daemons[daemon]
             .as_ref()
@@ -102,7 +108,7 @@
             .measure_step(Role::Ingress, Work::Ticks, || controller.next_due(agent));
         started_daemon.due = next_due.clamp(now + SHORTEST_IDLE, now + LONGEST_IDLE);
         let idle_span = started_daemon.due.since(now);
-        self.push(idle_span, Event::TickDaemon(daemon));
+        self.push(idle_span, Event::Daemon(daemon, DaemonEvent::Tick));
     }
 
     fn tick_sooner(&mut self, daemon: usize, due: MonotonicTime) {
@@ -113,7 +119,7 @@
         if due < started_daemon.due {
             started_daemon.due = due.max(now + SHORTEST_IDLE).min(started_daemon.due);
             let idle_span = started_daemon.due.since(now);
-            self.push(idle_span, Event::TickDaemon(daemon));
+            self.push(idle_span, Event::Daemon(daemon, DaemonEvent::Tick));
         }
     }
 
@@ -205,7 +211,7 @@
             started_daemon.link = Some(link);
         }
         let delay = Self::delay(daemon, controller) * 2;
-        self.push(delay, Event::Dialed(link));
+        self.push(delay, Event::DaemonLink(link, DaemonLinkEvent::Dialed));
     }
 
     fn is_current(&self, link: usize) -> bool {
@@ -215,7 +221,7 @@
             .is_some_and(|started_daemon| started_daemon.link == Some(link))
     }
 
-    pub(super) fn dialed(&mut self, link: usize) {
+    fn dialed(&mut self, link: usize) {
         if self.is_current(link) {
             let daemon = self.links[link].daemon;
             self.control(daemon, Work::Others, |controller, agent, now| {
@@ -224,25 +230,18 @@
         }
     }
 
-    pub(super) fn link_lost(&mut self, link: usize, at_controller: bool) {
+    fn link_lost(&mut self, link: usize) {
         self.links[link].is_open = false;
-        if at_controller {
-            let controller = self.links[link].controller;
-            let stream = controlplane::leader_state::StreamId(link as u64);
-            self.step_controller(
-                controller,
-                Work::Others,
-                ControllerInput::StreamLost(stream),
-            );
-        } else if self.is_current(link) {
-            let daemon = self.links[link].daemon;
-            if let Some(started_daemon) = &mut self.daemons[daemon] {
-                started_daemon.link = None;
-            }
-            self.control(daemon, Work::Others, |controller, agent, now| {
-                controller.disconnected(agent, now)
-            });
+        if !self.is_current(link) {
+            return;
         }
+        let daemon = self.links[link].daemon;
+        if let Some(started_daemon) = &mut self.daemons[daemon] {
+            started_daemon.link = None;
+        }
+        self.control(daemon, Work::Others, |controller, agent, now| {
+            controller.disconnected(agent, now)
+        });
     }
 
     fn send_up(&mut self, daemon: usize, frame: &DaemonToLeader) {
@@ -252,29 +251,28 @@
         let Some(link) = link else { return };
         let work = wire::work_up(frame);
         let role = wire::daemon_role(work);
-        let Ok(bytes) = self.meter.wire(role, work, 1, || encode(frame)) else {
+        let Some(bytes) = wire::encode_sent(&mut self.meter, role, work, frame) else {
             return;
         };
-        self.meter
-            .sent(role, work, 1, wire::frame_bytes(bytes.len()));
         let delay = Self::delay(daemon, self.links[link].controller);
-        self.push(delay, Event::Up(link, bytes.into()));
+        self.push(
+            delay,
+            Event::ControllerLink(link, ControllerLinkEvent::Frame(bytes)),
+        );
     }
 
-    pub(super) fn handle_down_frame(&mut self, link: usize, bytes: &Bytes) {
+    fn handle_down_frame(&mut self, link: usize, bytes: &Bytes) {
         if !self.links[link].is_open || !self.is_current(link) {
             return;
         }
-        let Ok(frame) = decode::<LeaderToDaemon>(bytes) else {
+        let Ok(classified) = decode::<LeaderToDaemon>(bytes) else {
             return;
         };
-        let work = wire::work_down(&frame);
+        let work = wire::work_down(&classified);
         let role = wire::daemon_role(work);
-        let _ = self
-            .meter
-            .wire(role, work, 1, || decode::<LeaderToDaemon>(bytes));
-        self.meter
-            .received(role, work, 1, wire::frame_bytes(bytes.len()));
+        let Some(frame) = wire::decode_received(&mut self.meter, role, work, bytes) else {
+            return;
+        };
         let daemon = self.links[link].daemon;
         self.control(daemon, work, |controller, agent, now| {
             controller.received(agent, now, frame)
@@ -298,12 +296,13 @@
         for address in addresses {
             if let Some(watcher) = self.daemon_at(*address) {
                 let delay = Self::delay(daemon, watcher);
-                self.push(delay, Event::HeartbeatDatagram(watcher, heartbeat.clone()));
+                let arrival = DaemonEvent::Heartbeat(heartbeat.clone());
+                self.push(delay, Event::Daemon(watcher, arrival));
             }
         }
     }
 
-    pub(super) fn handle_heartbeat(&mut self, daemon: usize, heartbeat: &Rc<HeartbeatDatagram>) {
+    fn handle_heartbeat(&mut self, daemon: usize, heartbeat: &Rc<HeartbeatDatagram>) {
         let now = self.now;
         let Some(started_daemon) = &mut self.daemons[daemon] else {
             return;
@@ -328,56 +327,4 @@
                 controller.heartbeat(now, &heartbeat.heartbeat)
             });
     }
-
-    pub(super) fn handle_holder_message(&mut self, holder_key: HolderKey, word: HolderMessage) {
-        let HolderKey {
-            daemon,
-            function,
-            fencing_token,
-        } = holder_key;
-        self.control(daemon, Work::Runners, |controller, agent, now| {
-            controller.holder_message(agent, now, function, fencing_token, word)
-        });
-    }
-
-    /// Drops all state machines and measures the memory that each frees.
-    pub(super) fn measure_memory(&mut self, record: &mut RunRecord) {
-        for started_daemon in std::mem::take(&mut self.daemons).into_iter().flatten() {
-            let Daemon {
-                agent,
-                controller,
-                pending_requests,
-                acquires,
-                ..
-            } = started_daemon;
-            drop((pending_requests, acquires));
-            let bytes_before = memory::live();
-            agent.held_functions.store(Arc::new(BTreeMap::new()));
-            agent
-                .closing
-                .lock()
-                .unwrap_or_else(PoisonError::into_inner)
-                .clear();
-            let bytes_without_held = memory::live();
-            record
-                .holder_bytes
-                .push(bytes_before.saturating_sub(bytes_without_held));
-            drop(controller);
-            drop(agent);
-            record
-                .ingress_bytes
-                .push(bytes_without_held.saturating_sub(memory::live()));
-        }
-        for controller in std::mem::take(&mut self.controllers) {
-            let leads = controller.controller_state.consensus().is_leader();
-            let bytes_before = memory::live();
-            drop(controller);
-            let freed_bytes = bytes_before.saturating_sub(memory::live());
-            if leads {
-                record.leading_bytes = freed_bytes;
-            } else {
-                record.following_bytes = freed_bytes;
-            }
-        }
-    }
 }
--- /dev/null
+++ b/testing/fleet/src/synthetic/daemons/forwarding.rs
@@ -0,0 +1,337 @@
+//! Forwarding of requests through daemons, step by step, and the hops between daemons.
+
+use super::numbered_frame;
+use crate::synthetic::events::{DaemonEvent, Event, ReplyTarget, RequestEvent, RequestKey};
+use crate::synthetic::fleet::SyntheticFleet;
+use crate::synthetic::members::{AwaitedStep, PendingRequest};
+use crate::synthetic::meter::{Role, Work};
+use crate::synthetic::wire;
+use bytes::Bytes;
+use common::clock::MonotonicTime;
+use common::frames::{
+    AcquireResult, DaemonFrame, DaemonMessage, Host, LengthPrefixed, RequestOutcome,
+};
+use common::identity::FunctionKey;
+use dataplane::agent::{
+    Agent, ForwardResult, Forwarding, ForwardingStep, FunctionRequest, HeldFunction, HolderRequest,
+};
+use std::sync::Arc;
+use std::time::Duration;
+
+impl SyntheticFleet {
+    /// Handles an event of a request that waits in a daemon.
+    pub(in crate::synthetic) fn handle_request_event(
+        &mut self,
+        request: RequestKey,
+        event: RequestEvent,
+    ) {
+        match event {
+            RequestEvent::Lookup(wake) => self.handle_wake(request, wake),
+            RequestEvent::AcquireTimedOut => self.advance(request, AwaitedStep::Acquired),
+            RequestEvent::HopDone(frame) => self.handle_hop_done(request, &frame),
+            RequestEvent::Forwarded(result) => self.forwarded(request, result),
+        }
+    }
+
+    pub(super) fn accept_request(
+        &mut self,
+        daemon: usize,
+        function_request: FunctionRequest,
+        reply_target: ReplyTarget,
+    ) {
+        let number = self.number();
+        let now = self.now;
+        let Some(started_daemon) = &mut self.daemons[daemon] else {
+            return;
+        };
+        let in_flight = started_daemon.agent.track_in_flight();
+        let pending = PendingRequest {
+            forwarding: Forwarding::new(now, function_request),
+            reply_target,
+            awaited_step: AwaitedStep::Lookup,
+            wakes: 0,
+            _in_flight: in_flight,
+        };
+        started_daemon.pending_requests.insert(number, pending);
+        self.advance(RequestKey { daemon, number }, AwaitedStep::Lookup);
+    }
+
+    /// Handles the timeout of a wait, unless the request has advanced since.
+    fn handle_wake(&mut self, request: RequestKey, wake: u64) {
+        if self
+            .pending(request)
+            .is_some_and(|pending| pending.wakes == wake)
+        {
+            self.advance(request, AwaitedStep::Lookup);
+        }
+    }
+
+    /// Repeats the lookup of waiting requests after a change.
+    pub(super) fn look_up_all(&mut self, daemon: usize) {
+        let Some(started_daemon) = &mut self.daemons[daemon] else {
+            return;
+        };
+        let mut waiting_lookups: Vec<(u64, u64)> = started_daemon
+            .pending_requests
+            .iter_mut()
+            .filter(|(_, pending)| pending.awaited_step == AwaitedStep::Lookup)
+            .map(|(number, pending)| {
+                pending.wakes += 1;
+                (*number, pending.wakes)
+            })
+            .collect();
+        waiting_lookups.sort_unstable();
+        for (number, wake) in waiting_lookups {
+            let request = RequestKey { daemon, number };
+            self.push(
+                Duration::from_micros(2),
+                Event::Request(request, RequestEvent::Lookup(wake)),
+            );
+        }
+    }
+
+    fn advance(&mut self, request: RequestKey, expected_step: AwaitedStep) {
+        self.step(request, expected_step, |forwarding, agent, now| {
+            forwarding.advance(agent, now)
+        });
+    }
+
+    /// Gives an input to a request that waits for it, and takes its next step.
+    fn step(
+        &mut self,
+        request: RequestKey,
+        expected_step: AwaitedStep,
+        change: impl FnOnce(&mut Forwarding, &Agent<u64>, MonotonicTime) -> ForwardingStep<u64>,
+    ) {
+        let now = self.now;
+        let Some(started_daemon) = &mut self.daemons[request.daemon] else {
+            return;
+        };
+        let agent = started_daemon.agent.clone();
+        let Some(pending) = started_daemon.pending_requests.get_mut(&request.number) else {
+            return;
+        };
+        if pending.awaited_step != expected_step {
+            return;
+        }
+        let forwarding = &mut pending.forwarding;
+        let (next_step, _) = self.meter.measure_step(Role::Ingress, Work::Calls, || {
+            change(forwarding, &agent, now)
+        });
+        pending.awaited_step = awaited_after(&next_step);
+        self.take_step(request, next_step);
+    }
+
+    fn take_step(&mut self, request: RequestKey, step: ForwardingStep<u64>) {
+        match step {
+            ForwardingStep::Serve(held, holder_request) => {
+                self.serve(request, &held, holder_request);
+            }
+            ForwardingStep::Forward {
+                host,
+                body,
+                wait_until,
+            } => self.forward(request, &host, body, wait_until),
+            ForwardingStep::Acquire { wait_until } => self.acquire(request, wait_until),
+            ForwardingStep::Wait { wait_until } => self.wait(request, wait_until),
+            ForwardingStep::End(outcome, holder) => self.end(request, outcome, holder),
+        }
+    }
+
+    fn wait(&mut self, request: RequestKey, wait_until: MonotonicTime) {
+        let Some(pending) = self.pending(request) else {
+            return;
+        };
+        pending.wakes += 1;
+        let wake = pending.wakes;
+        let wait_span = wait_until.since(self.now);
+        self.push(
+            wait_span,
+            Event::Request(request, RequestEvent::Lookup(wake)),
+        );
+    }
+
+    fn serve(
+        &mut self,
+        request: RequestKey,
+        held: &Arc<HeldFunction<u64>>,
+        holder_request: HolderRequest,
+    ) {
+        let now = self.now;
+        let RequestKey { daemon, number } = request;
+        let Some(agent) = self.agent(daemon) else {
+            return;
+        };
+        let ((at_once, outputs), _) = self.meter.measure_step(Role::Holder, Work::Runs, || {
+            held.admit(now, agent.ticket(), holder_request, number)
+        });
+        self.drive(daemon, held, outputs);
+        self.tick_for_holder(daemon, held);
+        if let Some((number, outcome)) = at_once {
+            self.served(RequestKey { daemon, number }, outcome);
+        }
+    }
+
+    pub(super) fn served(&mut self, request: RequestKey, outcome: RequestOutcome) {
+        self.step(request, AwaitedStep::Outcome, |forwarding, agent, now| {
+            forwarding.served(agent, now, outcome)
+        });
+    }
+
+    /// Forwards a request to another daemon.
+    fn forward(
+        &mut self,
+        request: RequestKey,
+        host: &Host,
+        body: DaemonMessage,
+        wait_until: MonotonicTime,
+    ) {
+        let Some(other) = self.daemon_at(host.address) else {
+            return;
+        };
+        let frame = numbered_frame(request.number, body);
+        let Some(frame) = self.encode_hop(&frame) else {
+            return;
+        };
+        let wait_span = wait_until.since(self.now);
+        let lost = RequestEvent::Forwarded(ForwardResult::Lost);
+        self.push(wait_span, Event::Request(request, lost));
+        let hop = DaemonEvent::Hop {
+            reply_target: ReplyTarget::Hop(request),
+            frame,
+        };
+        let delay = Self::delay(request.daemon, other);
+        self.push(delay, Event::Daemon(other, hop));
+    }
+
+    fn encode_hop(&mut self, frame: &DaemonFrame) -> Option<Bytes> {
+        wire::encode_sent(&mut self.meter, Role::Ingress, Work::Calls, frame)
+    }
+
+    fn decode_hop(&mut self, bytes: &Bytes) -> Option<DaemonFrame> {
+        wire::decode_received(&mut self.meter, Role::Ingress, Work::Calls, bytes)
+    }
+
+    /// Handles a request that another daemon forwarded.
+    pub(super) fn handle_hop(&mut self, daemon: usize, reply_target: ReplyTarget, bytes: &Bytes) {
+        let Some(frame) = self.decode_hop(bytes) else {
+            return;
+        };
+        if let Ok(function_request) = FunctionRequest::from_frame(self.now, frame.body) {
+            self.accept_request(daemon, function_request, reply_target);
+        }
+    }
+
+    fn handle_hop_done(&mut self, request: RequestKey, bytes: &Bytes) {
+        let Some(frame) = self.decode_hop(bytes) else {
+            return;
+        };
+        if let DaemonMessage::Completed {
+            outcome, holder, ..
+        } = frame.body
+        {
+            let result = ForwardResult::Completed(outcome, holder.0.into_iter().next());
+            self.forwarded(request, result);
+        }
+    }
+
+    fn forwarded(&mut self, request: RequestKey, result: ForwardResult) {
+        self.step(request, AwaitedStep::Forwarded, |forwarding, agent, now| {
+            forwarding.forwarded(agent, now, result)
+        });
+    }
+
+    /// Returns the outcome of a request to its caller, or to the daemon that forwarded it.
+    fn end(&mut self, request: RequestKey, outcome: RequestOutcome, holder: Option<Host>) {
+        let Some(started_daemon) = &mut self.daemons[request.daemon] else {
+            return;
+        };
+        let Some(pending) = started_daemon.pending_requests.remove(&request.number) else {
+            return;
+        };
+        match pending.reply_target {
+            ReplyTarget::Caller => match outcome {
+                RequestOutcome::Response { .. } => self.record.answered += 1,
+                RequestOutcome::NotRun { .. } => self.record.not_run += 1,
+                RequestOutcome::Unknown { .. } => self.record.unknown += 1,
+            },
+            ReplyTarget::Hop(requester) => {
+                self.reply_to_hop(request.daemon, requester, outcome, holder);
+            }
+        }
+    }
+
+    fn reply_to_hop(
+        &mut self,
+        daemon: usize,
+        requester: RequestKey,
+        outcome: RequestOutcome,
+        holder: Option<Host>,
+    ) {
+        let body = DaemonMessage::Completed {
+            outcome,
+            holder: LengthPrefixed(holder.into_iter().collect()),
+            regional_tenths: 0,
+        };
+        let Some(bytes) = self.encode_hop(&numbered_frame(requester.number, body)) else {
+            return;
+        };
+        let delay = Self::delay(daemon, requester.daemon);
+        self.push(
+            delay,
+            Event::Request(requester, RequestEvent::HopDone(bytes)),
+        );
+    }
+
+    /// Asks the leader for the function's lease, unless another request of the function did.
+    fn acquire(&mut self, request: RequestKey, wait_until: MonotonicTime) {
+        let RequestKey { daemon, number } = request;
+        let wait_span = wait_until.since(self.now);
+        self.push(
+            wait_span,
+            Event::Request(request, RequestEvent::AcquireTimedOut),
+        );
+        let Some(started_daemon) = &mut self.daemons[daemon] else {
+            return;
+        };
+        let Some(pending) = started_daemon.pending_requests.get(&number) else {
+            return;
+        };
+        let function = pending.forwarding.request().function.clone();
+        let waiting = started_daemon.acquires.entry(function.clone()).or_default();
+        waiting.push(number);
+        if waiting.len() == 1 {
+            self.control(daemon, Work::Leases, |controller, agent, now| {
+                controller.acquire(agent, now, function)
+            });
+        }
+    }
+
+    /// Gives the leader's reply to all requests that wait for the function's lease.
+    pub(super) fn acquired(
+        &mut self,
+        daemon: usize,
+        function: &FunctionKey,
+        result: &Option<AcquireResult>,
+    ) {
+        let Some(started_daemon) = &mut self.daemons[daemon] else {
+            return;
+        };
+        for number in started_daemon.acquires.remove(function).unwrap_or_default() {
+            let request = RequestKey { daemon, number };
+            self.step(request, AwaitedStep::Acquired, |forwarding, agent, now| {
+                forwarding.acquired(agent, now, result.clone())
+            });
+        }
+    }
+}
+
+/// What a request waits for after a step.
+fn awaited_after(step: &ForwardingStep<u64>) -> AwaitedStep {
+    match step {
+        ForwardingStep::Serve(..) => AwaitedStep::Outcome,
+        ForwardingStep::Forward { .. } => AwaitedStep::Forwarded,
+        ForwardingStep::Acquire { .. } => AwaitedStep::Acquired,
+        ForwardingStep::Wait { .. } | ForwardingStep::End(..) => AwaitedStep::Lookup,
+    }
+}
--- /dev/null
+++ b/testing/fleet/src/synthetic/daemons/holder.rs
@@ -0,0 +1,282 @@
+//! Lease holders and their runners: outputs are executed in memory, and runs are answered after a delay.
+
+use crate::synthetic::events::{Event, HolderEvent, HolderInput, HolderKey, RequestKey};
+use crate::synthetic::fleet::SyntheticFleet;
+use crate::synthetic::meter::{Role, Work};
+use crate::synthetic::platform::{HTTP_HEADERS, PLATFORM_LATENCY};
+use bytes::Bytes;
+use common::adapter::{RunnerResponse, SealKind, StartOutcome};
+use common::clock::MonotonicTime;
+use common::frames::{RequestFailureReason, SocketAddress};
+use common::identity::{RunnerId, Ticket, WorkerName};
+use common::rules::Rules;
+use common::seal;
+use common::spec::FunctionSpec;
+use dataplane::agent::{HeldFunction, RunnerAttempt, verify_response};
+use dataplane::holder::{Holder, HolderMessage, HolderOutput, SendResult};
+use serde_json::json;
+use std::sync::Arc;
+use std::time::Duration;
+
+const RUNNER_LATENCY: Duration = Duration::from_millis(2);
+const ANSWER: &[u8] = &[b'a'; 256];
+
+impl HolderInput {
+    /// The kind of work that it belongs to.
+    fn work(&self) -> Work {
+        match self {
+            Self::SendEnded(..) => Work::Runs,
+            _ => Work::Runners,
+        }
+    }
+
+    /// Gives it to a held function's state machine.
+    fn apply(self, holder: &mut Holder, now: MonotonicTime) -> Vec<HolderOutput> {
+        match self {
+            Self::Started(runner, instance) => {
+                holder.started(now, runner, StartOutcome::Started(instance))
+            }
+            Self::Stopped(runner) => holder.stopped(now, runner),
+            Self::Probed(runner, is_ready) => holder.probed(now, runner, is_ready),
+            Self::NothingRunning(runner) => holder.running_listed(now, runner, Some(Vec::new())),
+            Self::SendEnded(ticket, result) => holder.handle_send_result(now, ticket, result),
+        }
+    }
+}
+
+impl SyntheticFleet {
+    /// Handles an event at a held function.
+    pub(in crate::synthetic) fn handle_holder_event(
+        &mut self,
+        holder_key: HolderKey,
+        event: HolderEvent,
+    ) {
+        match event {
+            HolderEvent::Message(message) => self.handle_holder_message(holder_key, message),
+            HolderEvent::RunDone {
+                ticket,
+                runner,
+                call,
+            } => self.run_done(holder_key, ticket, runner, &call),
+            HolderEvent::Input(input) => {
+                self.apply(&holder_key, input.work(), |holder, now| {
+                    input.apply(holder, now)
+                });
+            }
+        }
+    }
+
+    fn handle_holder_message(&mut self, holder_key: HolderKey, message: HolderMessage) {
+        let HolderKey {
+            daemon,
+            function,
+            fencing_token,
+        } = holder_key;
+        self.control(daemon, Work::Runners, |controller, agent, now| {
+            controller.holder_message(agent, now, function, fencing_token, message)
+        });
+    }
+
+    /// Queues an input of a held function's state machine.
+    fn push_input(&mut self, delay: Duration, holder_key: HolderKey, input: HolderInput) {
+        self.push(delay, Event::Holder(holder_key, HolderEvent::Input(input)));
+    }
+
+    /// Updates a held function and executes the outputs of its state machine.
+    pub(super) fn apply(
+        &mut self,
+        holder_key: &HolderKey,
+        work: Work,
+        change: impl FnOnce(&mut Holder, MonotonicTime) -> Vec<HolderOutput>,
+    ) {
+        let now = self.now;
+        let Some(agent) = self.agent(holder_key.daemon) else {
+            return;
+        };
+        let Some(held) = agent.held_or_closing(&holder_key.function, holder_key.fencing_token)
+        else {
+            return;
+        };
+        let (outputs, _) = self.meter.measure_step(Role::Holder, work, || {
+            held.with(|holder| change(holder, now))
+        });
+        self.drive(holder_key.daemon, &held, outputs);
+        self.tick_for_holder(holder_key.daemon, &held);
+    }
+
+    pub(super) fn drive(
+        &mut self,
+        daemon: usize,
+        held: &Arc<HeldFunction<u64>>,
+        outputs: Vec<HolderOutput>,
+    ) {
+        let holder_key = HolderKey {
+            daemon,
+            function: held.function.clone(),
+            fencing_token: held.fencing_token,
+        };
+        for output in outputs {
+            match held.replica_request(output) {
+                Ok(replica_request) => self.send_replica_request(&holder_key, replica_request),
+                Err(order) => self.apply_holder_output(&holder_key, held, order),
+            }
+        }
+    }
+
+    fn apply_holder_output(
+        &mut self,
+        holder_key: &HolderKey,
+        held: &Arc<HeldFunction<u64>>,
+        output: HolderOutput,
+    ) {
+        let holder_key = holder_key.clone();
+        match output {
+            HolderOutput::Send {
+                ticket,
+                runner,
+                attempt,
+                ..
+            } => self.send_to_runner(holder_key, held, ticket, runner, attempt),
+            HolderOutput::End { ticket, outcome } => {
+                if let Some(number) = held.remove_waiter(ticket) {
+                    let daemon = holder_key.daemon;
+                    self.served(RequestKey { daemon, number }, outcome);
+                }
+            }
+            HolderOutput::Start {
+                runner,
+                worker,
+                spec,
+            } => self.start_runner(holder_key, runner, worker, &spec),
+            HolderOutput::Probe { runner, address } => {
+                let is_ready = self.is_ready(runner, address);
+                let probed = HolderInput::Probed(runner, is_ready);
+                self.push_input(RUNNER_LATENCY, holder_key, probed);
+            }
+            HolderOutput::ListRunning { runner, .. } => {
+                let listed = HolderInput::NothingRunning(runner);
+                self.push_input(RUNNER_LATENCY, holder_key, listed);
+            }
+            HolderOutput::Stop { runner, .. } => {
+                self.meter
+                    .sent(Role::Platform, Work::Runners, 1, HTTP_HEADERS);
+                self.platform.stop(runner);
+                self.push_input(PLATFORM_LATENCY, holder_key, HolderInput::Stopped(runner));
+            }
+            HolderOutput::Report(message) => {
+                self.push(
+                    Duration::from_micros(1),
+                    Event::Holder(holder_key, HolderEvent::Message(message)),
+                );
+            }
+            _ => {}
+        }
+    }
+
+    fn start_runner(
+        &mut self,
+        holder_key: HolderKey,
+        runner: RunnerId,
+        worker: WorkerName,
+        spec: &FunctionSpec,
+    ) {
+        let body = json!({
+            "runner": runner.to_string(),
+            "function": holder_key.function.to_string(),
+            "worker": worker.as_str(),
+            "memory_mb": spec.memory_mb,
+            "boot_ms": spec.startup.as_millis() as u64,
+            "slots": spec.slots,
+        });
+        let body_bytes = body.to_string().len() as u64;
+        self.meter
+            .sent(Role::Platform, Work::Runners, 1, body_bytes + HTTP_HEADERS);
+        let ready_at = self.now + PLATFORM_LATENCY + spec.startup;
+        let function = holder_key.function.clone();
+        let instance = self.platform.start(runner, function, worker, ready_at);
+        let started = HolderInput::Started(runner, instance);
+        self.push_input(PLATFORM_LATENCY, holder_key, started);
+    }
+
+    /// Whether the runner listens at the address and has started up.
+    fn is_ready(&self, runner: RunnerId, address: SocketAddress) -> bool {
+        self.platform
+            .at(address)
+            .is_some_and(|(there, held)| there == runner && self.now >= held.ready_at)
+    }
+
+    fn send_to_runner(
+        &mut self,
+        holder_key: HolderKey,
+        held: &Arc<HeldFunction<u64>>,
+        ticket: Ticket,
+        runner: RunnerId,
+        attempt: u32,
+    ) {
+        let now = self.now;
+        let Some(agent) = self.agent(holder_key.daemon) else {
+            return;
+        };
+        let self_reported_id = held.self_reported_id_of(runner);
+        let (call, _) = self.meter.measure_step(Role::Holder, Work::Runs, || {
+            let holder_request = held
+                .holder_request(ticket)
+                .ok_or(RequestFailureReason::NotServing)?;
+            agent.runner_attempt(now, held, &holder_request, runner, attempt)
+        });
+        match call {
+            Ok(call) => {
+                let work_span = self
+                    .rng
+                    .within(Duration::from_millis(10), Duration::from_millis(40));
+                let done = HolderEvent::RunDone {
+                    ticket,
+                    runner: self_reported_id,
+                    call: Box::new(call),
+                };
+                self.push(RUNNER_LATENCY + work_span, Event::Holder(holder_key, done));
+            }
+            Err(reason) => {
+                let barred = HolderInput::SendEnded(ticket, SendResult::Forbidden(reason));
+                self.push_input(Duration::from_micros(1), holder_key, barred);
+            }
+        }
+    }
+
+    /// Handles a runner's answer at the lease holder.
+    fn run_done(
+        &mut self,
+        holder_key: HolderKey,
+        ticket: Ticket,
+        runner: RunnerId,
+        call: &RunnerAttempt,
+    ) {
+        let body = Bytes::from_static(ANSWER);
+        let answer_seal = seal::seal(&call.idempotency_key, &call.function, runner, false, &body);
+        let response = RunnerResponse {
+            status: 200,
+            idempotency_key: call.idempotency_key.to_string(),
+            function: Some(call.function.to_string()),
+            runner: Some(runner.to_string()),
+            seal: answer_seal,
+            seal_kind: SealKind::Digest,
+            did_not_run: false,
+            is_other_runner: false,
+            is_unreliable: false,
+            closes_connection: false,
+            header_fields: Vec::new(),
+            body,
+        };
+        let (result, _) = self.meter.measure_step(Role::Holder, Work::Runs, || {
+            verify_response(
+                Rules::ALL_ENFORCED,
+                &call.idempotency_key,
+                &call.function,
+                runner,
+                response,
+            )
+        });
+        let ended = HolderInput::SendEnded(ticket, result);
+        self.push_input(RUNNER_LATENCY, holder_key, ended);
+    }
+}
--- a/testing/fleet/src/synthetic/events.rs
+++ b/testing/fleet/src/synthetic/events.rs
@@ -1,8 +1,8 @@
-//! The events of a synthetic fleet.
+//! The events of a synthetic fleet, grouped by the layer that handles them.
 
 use bytes::Bytes;
 use common::frames::{Heartbeat, Instance};
-use common::identity::{FencingToken, FunctionKey, IdempotencyKey, RunnerId, Ticket};
+use common::identity::{FencingToken, FunctionKey, RunnerId, Ticket};
 use controlplane::controller_state::{Operation, OperationTicket};
 use dataplane::agent::{ForwardResult, ReplicaRequestKind, RunnerAttempt};
 use dataplane::holder::{HolderMessage, SendResult};
@@ -22,75 +22,129 @@
     pub fencing_token: FencingToken,
 }
 
+/// A request in a daemon.
+#[derive(Clone, Copy)]
+pub(super) struct RequestKey {
+    pub daemon: usize,
+    pub number: u64,
+}
+
 /// Where an outcome is returned to.
 #[derive(Clone, Copy)]
 pub(super) enum ReplyTarget {
     Caller,
-    Hop { daemon: usize, number: u64 },
+    /// A request in the daemon that forwarded this one.
+    Hop(RequestKey),
 }
 
 /// An event at a virtual time.
 pub(super) enum Event {
-    StartDaemon(usize),
-    TickDaemon(usize),
-    TickController(usize),
-    Poll(usize),
-    Consensus(usize, Bytes),
-    Written(usize, Ticket),
-    Dialed(usize),
-    Up(usize, Bytes),
-    FrameToDaemon(usize, Bytes),
-    LinkLost {
-        link: usize,
-        at_controller: bool,
-    },
-    HeartbeatDatagram(usize, Rc<HeartbeatDatagram>),
-    Lookup {
-        daemon: usize,
-        number: u64,
-        wake: u64,
-    },
-    AcquireTimedOut(usize, u64),
+    /// An event at the controller with this number.
+    Controller(usize, ControllerEvent),
+    /// An event at the controller's end of the link with this number.
+    ControllerLink(usize, ControllerLinkEvent),
+    /// An operator changes one function.
+    Change,
+    /// An event at the daemon with this number.
+    Daemon(usize, DaemonEvent),
+    /// An event at the daemon's end of the link with this number.
+    DaemonLink(usize, DaemonLinkEvent),
+    /// A request in a daemon.
+    Request(RequestKey, RequestEvent),
+    /// An event at a held function.
+    Holder(HolderKey, HolderEvent),
+    /// A request to a ledger replica.
+    Replica(ReplicaRequestKey, ReplicaEvent),
+    /// The next functions are called for the first time.
+    Fill,
+    /// A caller calls a random function.
+    Call,
+    /// The measurement starts.
+    OpenMeter,
+}
+
+/// An event at a controller.
+pub(super) enum ControllerEvent {
+    Tick,
+    /// The platform's lists are due.
+    Poll,
+    Consensus(Bytes),
+    Written(Ticket),
+    RunnerStopped(RunnerId),
+    Operate(OperationTicket, Box<Operation>),
+}
+
+/// An event at a controller's end of a link.
+pub(super) enum ControllerLinkEvent {
+    Frame(Bytes),
+    Lost,
+}
+
+/// An event at a daemon.
+pub(super) enum DaemonEvent {
+    Start,
+    Tick,
+    Heartbeat(Rc<HeartbeatDatagram>),
+    /// A request arrives from another daemon.
     Hop {
-        daemon: usize,
         reply_target: ReplyTarget,
         frame: Bytes,
     },
-    HopDone {
-        daemon: usize,
-        number: u64,
-        frame: Bytes,
-    },
-    Forwarded(usize, u64, ForwardResult),
-    FromHolder(HolderKey, HolderMessage),
-    Started(HolderKey, RunnerId, Instance),
-    Stopped(HolderKey, RunnerId),
-    LeaderStopped(usize, RunnerId),
-    Probed(HolderKey, RunnerId, bool),
-    Settled(HolderKey, RunnerId, Option<Vec<IdempotencyKey>>),
+}
+
+/// An event at a daemon's end of a link.
+pub(super) enum DaemonLinkEvent {
+    Dialed,
+    Frame(Bytes),
+    Lost,
+}
+
+/// What happens to a request that waits in a daemon.
+pub(super) enum RequestEvent {
+    /// Its lookup is repeated, unless it has advanced since the wake with this number.
+    Lookup(u64),
+    AcquireTimedOut,
+    /// The other daemon's reply arrives.
+    HopDone(Bytes),
+    Forwarded(ForwardResult),
+}
+
+/// An event at a held function.
+pub(super) enum HolderEvent {
+    /// A message of its state machine to its daemon.
+    Message(HolderMessage),
+    /// A runner has run a request.
     RunDone {
-        holder_key: HolderKey,
         ticket: Ticket,
         runner: RunnerId,
         call: Box<RunnerAttempt>,
     },
-    SendEnded(HolderKey, Ticket, SendResult),
-    ReplicaRequested {
-        replica: usize,
-        holder_key: HolderKey,
-        number: u64,
-        request_kind: ReplicaRequestKind,
-        frame: Bytes,
-    },
-    ReplicaReplied {
-        holder_key: HolderKey,
-        number: u64,
-        request_kind: ReplicaRequestKind,
-        frame: Option<Bytes>,
-    },
-    Operate(usize, OperationTicket, Box<Operation>),
-    Fill,
-    Call,
-    Change,
-    OpenMeter,
+    /// An input of its state machine.
+    Input(HolderInput),
+}
+
+/// An input of a held function's state machine.
+pub(super) enum HolderInput {
+    Started(RunnerId, Instance),
+    Stopped(RunnerId),
+    Probed(RunnerId, bool),
+    /// The runner's list of running requests, which is empty.
+    NothingRunning(RunnerId),
+    SendEnded(Ticket, SendResult),
+}
+
+/// A request of a lease holder to a ledger replica.
+#[derive(Clone)]
+pub(super) struct ReplicaRequestKey {
+    pub holder: HolderKey,
+    pub number: u64,
+    pub request_kind: ReplicaRequestKind,
+}
+
+/// What happens to a request to a ledger replica.
+pub(super) enum ReplicaEvent {
+    /// It arrives at the daemon with this number.
+    Requested { replica: usize, frame: Bytes },
+    /// The reply arrives at the holder; none if the request timed out.
+    Replied(Option<Bytes>),
 }
--- a/testing/fleet/src/synthetic/fleet.rs
+++ b/testing/fleet/src/synthetic/fleet.rs
@@ -1,46 +1,22 @@
-//! A synthetic fleet: its state machines, its queue of events, and a run from start to record.
+//! The state of a synthetic fleet: its members, clock, queue of events and addresses.
 
-use super::calls::PendingRequest;
-use super::catalogue;
-use super::controllers::Controller;
-use super::daemons::Daemon;
-use super::events::Event;
-use super::memory;
+use super::events::{ControllerLinkEvent, DaemonLinkEvent, Event, RequestKey};
+use super::members::{Controller, Daemon, Link, OpenChange, PendingRequest};
 use super::meter::Meter;
 use super::platform::SyntheticPlatform;
-use super::record::{RunRecord, StopReason};
-use super::size::{SizeError, SyntheticSize, half_of_memory};
+use super::record::RunRecord;
+use super::size::SyntheticSize;
 use super::zones::ZoneNumber;
 use common::clock::MonotonicTime;
 use common::frames::SocketAddress;
 use common::rng::SeededRng;
 use controlplane::controller_state::OperationTicket;
+use dataplane::agent::Agent;
 use std::collections::{BTreeMap, HashSet};
-use std::time::{Duration, Instant};
+use std::sync::Arc;
+use std::time::Duration;
 
 const CONTROLLERS: usize = 3;
-const STARTS_WITHIN: Duration = Duration::from_millis(500);
-const FILL_STARTS_AT: Duration = Duration::from_millis(4500);
-const FILL_RATE: u64 = 1000;
-const FILL_SHORTEST: Duration = Duration::from_millis(500);
-const SETTLING_TIME: Duration = Duration::from_secs(4);
-/// How long a fleet continues after its measurement, so that the last change can come into force.
-const DRAIN_TIME: Duration = Duration::from_millis(800);
-const LIMITS_CHECKED_EVERY: u64 = 512;
-
-/// The stream of a daemon to a controller.
-pub(super) struct Link {
-    pub daemon: usize,
-    pub controller: usize,
-    pub is_open: bool,
-}
-
-/// A change in flight.
-pub(super) struct OpenChange {
-    pub requested_at: MonotonicTime,
-    pub leader_nanos: u64,
-    pub version: Option<u64>,
-}
 
 /// A synthetic fleet.
 pub struct SyntheticFleet {
@@ -55,24 +31,22 @@
     pub(super) pending_replica_requests: HashSet<u64>,
     pub(super) changes: BTreeMap<OperationTicket, OpenChange>,
     pub(super) change_turn: u32,
+    /// The next function that is called for the first time.
     pub(super) fill_next: usize,
-    pub(super) next_number: u64,
     pub(super) record: RunRecord,
+    /// The limit of the allocated memory, in bytes.
+    pub(super) half_bytes: u64,
+    last_number: u64,
     queue: BTreeMap<(MonotonicTime, u64), Event>,
-    next_event: u64,
-    half_bytes: u64,
+    last_event: u64,
 }
 
 impl SyntheticFleet {
-    /// Creates a bootstrapped control quorum with the functions of the size in its spec, and daemons that are about to
-    /// start.
-    pub fn new(size: SyntheticSize) -> Result<Self, SizeError> {
-        let half_bytes = half_of_memory()?;
-        memory::start_counting();
-        let mut rng = SeededRng::seeded(size.seed);
+    /// A fleet without members.
+    pub(super) fn empty(size: SyntheticSize, half_bytes: u64, rng: SeededRng) -> Self {
         let needed_mb = size.held as u64 * u64::from(size.runners) * 512;
         let worker_mb = (needed_mb / size.daemons as u64).max(16_384) as u32;
-        let mut fleet = Self {
+        Self {
             now: MonotonicTime(1_000_000_000),
             meter: Meter::default(),
             controllers: Vec::new(),
@@ -83,41 +57,45 @@
             changes: BTreeMap::new(),
             change_turn: 0,
             fill_next: 0,
-            next_number: 0,
             record: RunRecord::new(&size),
-            queue: BTreeMap::new(),
-            next_event: 0,
             half_bytes,
+            last_number: 0,
+            queue: BTreeMap::new(),
+            last_event: 0,
             size,
-            rng: SeededRng::seeded(rng.number()),
-        };
-        let first_spec = catalogue::spec_of(&mut rng, size.functions, size.runners);
-        fleet.bootstrap(first_spec);
-        for daemon in 0..size.daemons {
-            fleet.daemons.push(None);
-            let starts_at = fleet.rng.within(Duration::ZERO, STARTS_WITHIN);
-            fleet.push(starts_at, Event::StartDaemon(daemon));
+            rng,
         }
-        fleet.push(FILL_STARTS_AT, Event::Fill);
-        fleet.push(fleet.measured_from(), Event::OpenMeter);
-        Ok(fleet)
     }
 
-    pub(super) fn fill_span(&self) -> Duration {
-        FILL_SHORTEST.max(Duration::from_millis(
-            self.size.held as u64 * 1000 / FILL_RATE,
-        ))
+    /// Queues an event.
+    pub(super) fn push(&mut self, delay: Duration, event: Event) {
+        self.last_event += 1;
+        self.queue
+            .insert((self.now + delay, self.last_event), event);
     }
 
-    fn measured_from(&self) -> Duration {
-        FILL_STARTS_AT + self.fill_span() + SETTLING_TIME
+    /// Takes the next event out of the queue.
+    pub(super) fn pop(&mut self) -> Option<(MonotonicTime, Event)> {
+        let ((due_at, _), event) = self.queue.pop_first()?;
+        Some((due_at, event))
+    }
+
+    /// Drops all queued events.
+    pub(super) fn clear_queue(&mut self) {
+        self.queue.clear();
+    }
+
+    /// A number that was not used before.
+    pub(super) fn number(&mut self) -> u64 {
+        self.last_number += 1;
+        self.last_number
     }
 
     pub(super) fn seeds() -> Vec<SocketAddress> {
         (0..CONTROLLERS).map(Self::controller_address).collect()
     }
 
-    pub(super) fn controller_address(controller: usize) -> SocketAddress {
+    fn controller_address(controller: usize) -> SocketAddress {
         SocketAddress(std::net::SocketAddrV4::new(
             [10, 0, 0, controller as u8 + 1].into(),
             7100,
@@ -141,114 +119,28 @@
         (second == 1 && daemon < self.daemons.len()).then_some(daemon)
     }
 
+    /// The delay of a message between machines with these numbers.
     pub(super) fn delay(from: usize, to: usize) -> Duration {
         ZoneNumber::of(from).delay_to(ZoneNumber::of(to))
     }
 
-    pub(super) fn push(&mut self, delay: Duration, event: Event) {
-        self.next_event += 1;
-        self.queue
-            .insert((self.now + delay, self.next_event), event);
+    /// Closes a link at both ends.
+    pub(super) fn close_link(&mut self, link: usize) {
+        let delay = Self::delay(self.links[link].controller, self.links[link].daemon);
+        self.push(delay, Event::DaemonLink(link, DaemonLinkEvent::Lost));
+        self.push(
+            delay,
+            Event::ControllerLink(link, ControllerLinkEvent::Lost),
+        );
     }
 
-    pub(super) fn number(&mut self) -> u64 {
-        self.next_number += 1;
-        self.next_number
-    }
-
-    /// Runs the fleet and returns the record of the run.
-    pub fn run(mut self) -> RunRecord {
-        let started_at = Instant::now();
-        let ends_at = self.now + self.measured_from() + self.size.measured;
-        let mut stop_reason = None;
-        let mut is_measurement_over = false;
-        let mut step_count = 0;
-        while let Some(((due_at, _), event)) = self.queue.pop_first() {
-            if due_at > ends_at && !is_measurement_over {
-                is_measurement_over = true;
-                self.meter.close();
-            }
-            if due_at > ends_at + DRAIN_TIME {
-                break;
-            }
-            step_count += 1;
-            if step_count % LIMITS_CHECKED_EVERY == 0 {
-                stop_reason = self.stop_reason(started_at);
-                if stop_reason.is_some() {
-                    break;
-                }
-            }
-            self.now = due_at;
-            self.dispatch(event);
-        }
-        self.queue.clear();
-        self.conclude(started_at.elapsed(), stop_reason)
-    }
-
-    fn stop_reason(&self, started_at: Instant) -> Option<StopReason> {
-        if started_at.elapsed() > self.size.patience {
-            return Some(StopReason::TimeLimit(self.now));
-        }
-        (memory::live() > self.half_bytes).then_some(StopReason::MemoryLimit(self.now))
-    }
-
-    fn conclude(mut self, real_time: Duration, stop_reason: Option<StopReason>) -> RunRecord {
-        let mut record = std::mem::replace(&mut self.record, RunRecord::new(&self.size));
-        record.real_time = real_time;
-        record.heap_bytes = memory::live();
-        record.instances = self.platform.runner_count() as u64;
-        record.stopped = stop_reason;
-        record.counters_by_work = self.meter.counters_by_work().clone();
-        let held_count = |daemon: &Daemon| daemon.agent.held_functions.load().len() as u64;
-        record.held = self.daemons.iter().flatten().map(held_count).sum();
-        self.measure_memory(&mut record);
-        record
-    }
-
-    fn dispatch(&mut self, event: Event) {
-        match event {
-            Event::StartDaemon(daemon) => self.start_daemon(daemon),
-            Event::TickDaemon(daemon) => self.tick_daemon(daemon),
-            Event::TickController(controller) => self.tick_controller(controller),
-            Event::Poll(controller) => self.poll(controller),
-            Event::Consensus(controller, frame) => self.handle_consensus_frame(controller, &frame),
-            Event::Written(controller, ticket) => self.written(controller, ticket),
-            Event::Dialed(link) => self.dialed(link),
-            Event::Up(link, frame) => self.handle_up_frame(link, &frame),
-            Event::FrameToDaemon(link, frame) => self.handle_down_frame(link, &frame),
-            Event::LinkLost {
-                link,
-                at_controller,
-            } => self.link_lost(link, at_controller),
-            Event::HeartbeatDatagram(daemon, heartbeat) => {
-                self.handle_heartbeat(daemon, &heartbeat)
-            }
-            Event::FromHolder(holder_key, word) => self.handle_holder_message(holder_key, word),
-            Event::Operate(controller, ticket, operation) => {
-                self.operate(controller, ticket, *operation);
-            }
-            Event::Change => self.send_change(),
-            Event::OpenMeter => self.open_meter(),
-            Event::LeaderStopped(controller, runner) => self.leader_stopped(controller, runner),
-            other => self.dispatch_call(other),
-        }
-    }
-
-    fn open_meter(&mut self) {
-        self.meter.open();
-        self.record.called = 0;
-        self.record.answered = 0;
-        self.record.not_run = 0;
-        self.record.unknown = 0;
-        self.push(Duration::from_millis(1), Event::Call);
-        let change_count = self.size.changes;
-        for turn in 0..change_count {
-            let gap = self.size.measured.mul_f64(0.8) / change_count.max(1);
-            self.push(gap * turn + Duration::from_millis(50), Event::Change);
-        }
+    pub(super) fn agent(&self, daemon: usize) -> Option<Arc<Agent<u64>>> {
+        self.daemons[daemon]
+            .as_ref()
+            .map(|started_daemon| started_daemon.agent.clone())
     }
 
-    /// Samples how many daemons each daemon counts as alive.
+    /// Samples how many daemons each daemon counts as alive, while the measurement runs.
     pub(super) fn sample_visibility(&mut self) {
         if !self.meter.is_open() {
             return;
@@ -259,11 +151,11 @@
         }
     }
 
-    pub(super) fn pending(&mut self, daemon: usize, number: u64) -> Option<&mut PendingRequest> {
+    pub(super) fn pending(&mut self, request: RequestKey) -> Option<&mut PendingRequest> {
         self.daemons
-            .get_mut(daemon)?
+            .get_mut(request.daemon)?
             .as_mut()?
             .pending_requests
-            .get_mut(&number)
+            .get_mut(&request.number)
     }
 }
--- a/testing/fleet/src/synthetic/wire.rs
+++ b/testing/fleet/src/synthetic/wire.rs
@@ -1,7 +1,11 @@
-//! The size of messages on the wire, and the kind of work that they belong to.
+//! The frames between synthetic processes: metered encoding and decoding, their size on the wire, and the kind of work
+//! that they belong to.
 
-use super::meter::{Role, Work};
-use common::frames::{DaemonToLeader, LeaderToDaemon};
+use super::meter::{Meter, Role, Work};
+use binrw::meta::{ReadEndian, WriteEndian};
+use binrw::{BinRead, BinWrite};
+use bytes::Bytes;
+use common::frames::{DaemonToLeader, LeaderToDaemon, decode, encode};
 
 const SEGMENT: u64 = 1448;
 const SEGMENT_HEADERS: u64 = 52;
@@ -10,6 +14,30 @@
 const FRAGMENT_HEADER: u64 = 20;
 const DATAGRAM_HEADER: u64 = 8;
 
+/// Encodes a frame and counts it as sent; none if it cannot be encoded.
+pub(super) fn encode_sent<T>(meter: &mut Meter, role: Role, work: Work, frame: &T) -> Option<Bytes>
+where
+    T: for<'a> BinWrite<Args<'a> = ()> + WriteEndian,
+{
+    let encoded = meter.wire(role, work, 1, || encode(frame)).ok()?;
+    meter.sent(role, work, 1, frame_bytes(encoded.len()));
+    Some(encoded.into())
+}
+
+/// Counts a frame as received and decodes it; none if it is invalid.
+pub(super) fn decode_received<T>(
+    meter: &mut Meter,
+    role: Role,
+    work: Work,
+    encoded: &Bytes,
+) -> Option<T>
+where
+    T: for<'a> BinRead<Args<'a> = ()> + ReadEndian,
+{
+    meter.received(role, work, 1, frame_bytes(encoded.len()));
+    meter.wire(role, work, 1, || decode(encoded)).ok()
+}
+
 /// The size of a frame on a connection in bytes, with its length prefix and the headers of its segments, without
 /// acknowledgements.
 pub(super) fn frame_bytes(encoded_length: usize) -> u64 {
