--- a/testing/fleet/src/judge/checks/runners.rs
+++ b/testing/fleet/src/judge/checks/runners.rs
@@ -1,6 +1,6 @@
 //! The load on runners: retries, runners that have just started, and slots.
 
-use super::spec::{AllowedRoute, allowed_routes};
+use super::spec::allowed_routes_by_path;
 use super::{EXTRA_TRIES, RUNNER_OVERLOADED, SECOND, SLACK, name_of};
 use crate::judge::{Check, Evidence, Run, RunnerInstance};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -42,13 +42,7 @@
 
 /// When first attempts were sent, for each function that they could reach at that time.
 fn first_attempts_by_function(evidence: &Evidence) -> BTreeMap<String, Vec<u64>> {
-    let mut routes_by_path: HashMap<String, Vec<AllowedRoute>> = HashMap::new();
-    for route in allowed_routes(evidence) {
-        routes_by_path
-            .entry(route.path.clone())
-            .or_default()
-            .push(route);
-    }
+    let routes_by_path = allowed_routes_by_path(evidence);
     let mut first_attempts: BTreeMap<String, Vec<u64>> = BTreeMap::new();
     for call in evidence.calls.iter().filter(|call| !call.repeat) {
         let routes = routes_by_path.get(&call.path).into_iter().flatten();
--- a/testing/fleet/src/judge/checks/spec.rs
+++ b/testing/fleet/src/judge/checks/spec.rs
@@ -41,7 +41,7 @@
 }
 
 /// The routes of all changes that were or may have been accepted.
-pub(super) fn allowed_routes(evidence: &Evidence) -> Vec<AllowedRoute> {
+fn allowed_routes(evidence: &Evidence) -> Vec<AllowedRoute> {
     let changes = possible_changes(evidence);
     let mut allowed_routes = Vec::new();
     for (index, change) in changes.iter().enumerate() {
@@ -62,6 +62,18 @@
     allowed_routes
 }
 
+/// The same routes by path.
+pub(super) fn allowed_routes_by_path(evidence: &Evidence) -> HashMap<String, Vec<AllowedRoute>> {
+    let mut routes_by_path: HashMap<String, Vec<AllowedRoute>> = HashMap::new();
+    for route in allowed_routes(evidence) {
+        routes_by_path
+            .entry(route.path.clone())
+            .or_default()
+            .push(route);
+    }
+    routes_by_path
+}
+
 /// Every run belongs to a recorded call, and some spec had its function on the call's path.
 pub(super) fn unconfigured_function(evidence: &Evidence) -> Check {
     let calls = evidence.calls_by_id();
@@ -97,13 +109,7 @@
 /// Every run began while a spec that had its function on the call's path could be in force.
 pub(super) fn spec_not_in_force(evidence: &Evidence) -> Check {
     let calls = evidence.calls_by_id();
-    let mut routes_by_path: HashMap<String, Vec<AllowedRoute>> = HashMap::new();
-    for route in allowed_routes(evidence) {
-        routes_by_path
-            .entry(route.path.clone())
-            .or_default()
-            .push(route);
-    }
+    let routes_by_path = allowed_routes_by_path(evidence);
     let mut check = Check::new(SPEC_NOT_IN_FORCE);
     for run in &evidence.runs {
         let Some(call) = calls.get(run.idempotency_key.as_str()) else {
