--- a/testing/fleet/src/soak/fault.rs
+++ b/testing/fleet/src/soak/fault.rs
@@ -4,7 +4,7 @@
 use crate::days::Deployment;
 use crate::fleet::{Fleet, FleetError};
 use common::rng::SeededRng;
-use serde_json::json;
+use serde_json::{Value, json};
 use std::fmt;
 use std::net::Ipv4Addr;
 use std::path::PathBuf;
@@ -96,6 +96,82 @@
     }
 }
 
+/// The process that a fault affects.
+#[derive(Clone, Copy)]
+enum Target {
+    Daemon,
+    Controller,
+    Leader,
+}
+
+/// What is done to cause a fault.
+enum FaultAction {
+    Kill(Target),
+    Stop(Target),
+    Freeze(Target),
+    Block {
+        target: Target,
+        /// Whether incoming traffic is blocked too.
+        both_ways: bool,
+    },
+    SlowNetwork,
+    /// The state of the disk of a controller, as its control file gives it.
+    Disk(&'static str),
+    /// The platform's call for a worker.
+    Worker(&'static str),
+    /// The shares of requests with which runners misbehave.
+    RunnerFaults(Value),
+    Reload,
+    ChangeSpec,
+    HangUps,
+    Garbage,
+}
+
+impl SoakFault {
+    fn action(self) -> FaultAction {
+        match self {
+            Self::KillDaemon => FaultAction::Kill(Target::Daemon),
+            Self::KillController => FaultAction::Kill(Target::Controller),
+            Self::KillLeader => FaultAction::Kill(Target::Leader),
+            Self::StopDaemon => FaultAction::Stop(Target::Daemon),
+            Self::StopController => FaultAction::Stop(Target::Controller),
+            Self::FreezeDaemon => FaultAction::Freeze(Target::Daemon),
+            Self::FreezeLeader => FaultAction::Freeze(Target::Leader),
+            Self::IsolateDaemon => FaultAction::Block {
+                target: Target::Daemon,
+                both_ways: true,
+            },
+            Self::BlockDaemonOutgoing => FaultAction::Block {
+                target: Target::Daemon,
+                both_ways: false,
+            },
+            Self::IsolateLeader => FaultAction::Block {
+                target: Target::Leader,
+                both_ways: true,
+            },
+            Self::SlowNetwork => FaultAction::SlowNetwork,
+            Self::FillDisk => FaultAction::Disk("full"),
+            Self::StallDisk => FaultAction::Disk("stalled"),
+            Self::FailDisk => FaultAction::Disk("failing"),
+            Self::CrashWorker => FaultAction::Worker("crash"),
+            Self::DrainWorker => FaultAction::Worker("drain"),
+            Self::LoseAnswers => FaultAction::RunnerFaults(json!({"lose": 0.05})),
+            Self::BreakAnswers => {
+                FaultAction::RunnerFaults(json!({"refuse": 0.05, "break_off": 0.05}))
+            }
+            Self::WrongAnswers => {
+                FaultAction::RunnerFaults(json!({"wrong": 0.02, "short": 0.02, "foreign": 0.02}))
+            }
+            Self::Reload => FaultAction::Reload,
+            Self::ChangeSpec | Self::LoseAcknowledgements | Self::InvalidSpecs => {
+                FaultAction::ChangeSpec
+            }
+            Self::HangUps => FaultAction::HangUps,
+            Self::Garbage => FaultAction::Garbage,
+        }
+    }
+}
+
 /// How a fault is undone.
 pub(super) enum FaultUndo {
     Nothing,
@@ -121,57 +197,43 @@
     pub(crate) async fn begin(&mut self, fault: SoakFault) -> Result<FaultUndo, FleetError> {
         self.fleet
             .record_event("trouble", json!({"trouble": fault.as_str()}));
-        match fault {
-            SoakFault::KillDaemon => Ok(self.kill(self.some_daemon()).await),
-            SoakFault::KillController => Ok(self.kill(self.some_controller()).await),
-            SoakFault::KillLeader => {
-                let leader = self.leader().await;
-                Ok(self.kill(leader).await)
+        match fault.action() {
+            FaultAction::Kill(target) => {
+                let name = self.choose(target).await;
+                Ok(self.kill(name).await)
             }
-            SoakFault::StopDaemon => Ok(self.stop(self.some_daemon())),
-            SoakFault::StopController => Ok(self.stop(self.some_controller())),
-            SoakFault::FreezeDaemon => Ok(self.freeze(self.some_daemon())),
-            SoakFault::FreezeLeader => {
-                let leader = self.leader().await;
-                Ok(self.freeze(leader))
+            FaultAction::Stop(target) => {
+                let name = self.choose(target).await;
+                Ok(self.stop(name))
             }
-            SoakFault::IsolateDaemon => Ok(self.block(self.some_daemon(), true)),
-            SoakFault::BlockDaemonOutgoing => Ok(self.block(self.some_daemon(), false)),
-            SoakFault::IsolateLeader => {
-                let leader = self.leader().await;
-                Ok(self.block(leader, true))
+            FaultAction::Freeze(target) => {
+                let name = self.choose(target).await;
+                Ok(self.freeze(name))
             }
-            SoakFault::SlowNetwork => {
+            FaultAction::Block { target, both_ways } => {
+                let name = self.choose(target).await;
+                Ok(self.block(name, both_ways))
+            }
+            FaultAction::SlowNetwork => {
                 self.fleet.network_proxy.set_delay(ADDED_DELAY);
                 Ok(FaultUndo::ClearDelay)
             }
-            SoakFault::FillDisk => self.inject_disk_fault("full"),
-            SoakFault::StallDisk => self.inject_disk_fault("stalled"),
-            SoakFault::FailDisk => self.inject_disk_fault("failing"),
-            SoakFault::CrashWorker => self.fail_worker("crash").await,
-            SoakFault::DrainWorker => self.fail_worker("drain").await,
-            SoakFault::LoseAnswers => self.set_runner_faults(json!({"lose": 0.05})).await,
-            SoakFault::BreakAnswers => {
-                self.set_runner_faults(json!({"refuse": 0.05, "break_off": 0.05}))
-                    .await
-            }
-            SoakFault::WrongAnswers => {
-                self.set_runner_faults(json!({"wrong": 0.02, "short": 0.02, "foreign": 0.02}))
-                    .await
-            }
-            SoakFault::Reload => {
+            FaultAction::Disk(how) => self.inject_disk_fault(how),
+            FaultAction::Worker(action) => self.fail_worker(action).await,
+            FaultAction::RunnerFaults(shares) => self.set_runner_faults(shares).await,
+            FaultAction::Reload => {
                 self.fleet.reload_all();
                 Ok(FaultUndo::Nothing)
             }
-            SoakFault::ChangeSpec | SoakFault::LoseAcknowledgements | SoakFault::InvalidSpecs => {
+            FaultAction::ChangeSpec => {
                 self.change_spec(fault).await;
                 Ok(FaultUndo::Nothing)
             }
-            SoakFault::HangUps => {
+            FaultAction::HangUps => {
                 clients::disconnect_mid_request(self.fleet, self.deployment, &mut self.rng).await;
                 Ok(FaultUndo::Nothing)
             }
-            SoakFault::Garbage => {
+            FaultAction::Garbage => {
                 clients::send_garbage(self.fleet, &mut self.rng).await;
                 Ok(FaultUndo::Nothing)
             }
@@ -220,6 +282,15 @@
         }
     }
 
+    /// Chooses a process that no other fault affects.
+    async fn choose(&self, target: Target) -> Option<String> {
+        match target {
+            Target::Daemon => self.some_daemon(),
+            Target::Controller => self.some_controller(),
+            Target::Leader => self.leader().await,
+        }
+    }
+
     /// A daemon that is neither stopping nor frozen.
     fn some_daemon(&self) -> Option<String> {
         self.one_of(self.fleet.undisturbed("daemon"))
@@ -324,10 +395,7 @@
     }
 
     /// Sets the shares of requests with which runners misbehave.
-    async fn set_runner_faults(
-        &mut self,
-        shares: serde_json::Value,
-    ) -> Result<FaultUndo, FleetError> {
+    async fn set_runner_faults(&mut self, shares: Value) -> Result<FaultUndo, FleetError> {
         self.fleet.platform("/v1/runner-faults", &shares).await?;
         Ok(FaultUndo::ClearRunnerFaults)
     }
