--- a/testing/fleet/src/synthetic/daemons/holder.rs
+++ b/testing/fleet/src/synthetic/daemons/holder.rs
@@ -26,7 +26,9 @@
     fn work(&self) -> Work {
         match self {
             Self::SendEnded(..) => Work::Runs,
-            _ => Work::Runners,
+            Self::Started(..) | Self::Stopped(_) | Self::Probed(..) | Self::NothingRunning(_) => {
+                Work::Runners
+            }
         }
     }
 
