--- a/testing/platform-stub/src/platform/mod.rs
+++ b/testing/platform-stub/src/platform/mod.rs
@@ -2,162 +2,30 @@
 //! probes of the daemons.
 
 mod lists;
+mod starts;
+mod state;
 
-use crate::runner::{Runner, RunnerFaults, SharedRunnerState};
+pub use state::{Worker, WorkerState};
+
+use crate::runner::{RunnerFaults, SharedRunnerState};
 use common::clock::MonotonicTime;
 use common::frames::SocketAddress;
 use common::http::{self, HttpResponse, call_json, json_response, read_body};
-use common::identity::{FunctionKey, InstanceId, RunnerId};
+use common::identity::{InstanceId, RunnerId};
 use hyper::body::Incoming;
 use hyper::{Method, Request, StatusCode};
 use lists::DelayedLists;
 use serde_json::{Value, json};
-use std::collections::{BTreeMap, BTreeSet, HashMap};
-use std::net::{Ipv4Addr, SocketAddrV4};
+use state::PlatformState;
+use std::collections::BTreeSet;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 use tokio::net::TcpListener;
 use tokio::sync::watch;
 
-/// Whether a worker can run anything.
-#[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum WorkerState {
-    /// It runs what it has and accepts more.
-    InUse,
-    /// It runs what it has and accepts no more.
-    Draining,
-    /// It has lost its runners and is not listed.
-    Crashed,
-}
-
-/// A worker.
-#[derive(Clone, Debug)]
-pub struct Worker {
-    /// Its name.
-    pub name: String,
-    /// Its zone.
-    pub zone: String,
-    /// Its memory in megabytes.
-    pub memory_mb: u64,
-    /// Its state.
-    pub state: WorkerState,
-}
-
-/// A runner on a worker, from its start to its stop.
-struct HostedRunner {
-    runner: Arc<Runner>,
-    instance: String,
-    worker: String,
-    memory_mb: u64,
-    port: u16,
-    /// Whether it has announced that it leaves.
-    leaving: bool,
-}
-
-impl HostedRunner {
-    /// The response to a request to start it.
-    fn start_response(&self) -> HttpResponse {
-        let body = json!({"life": self.instance, "place": loopback(self.port).to_string()});
-        json_response(StatusCode::CREATED, &body)
-    }
-}
-
 /// How long before its stop a runner announces that it leaves.
 const LEAVE_NOTICE: Duration = Duration::from_secs(6);
 
-#[derive(Default)]
-struct PlatformState {
-    workers: BTreeMap<String, Worker>,
-    hosted: HashMap<RunnerId, HostedRunner>,
-    /// Runners that were stopped, or must not be started any more.
-    ended: BTreeSet<RunnerId>,
-    /// Ports of stopped runners.
-    free_ports: Vec<u16>,
-    instance_count: u64,
-}
-
-impl PlatformState {
-    /// Whether a worker accepts a runner with this memory.
-    fn has_room(&self, worker_name: &str, memory_mb: u64) -> bool {
-        let used_mb: u64 = self
-            .hosted
-            .values()
-            .filter(|hosted| hosted.worker == worker_name)
-            .map(|hosted| hosted.memory_mb)
-            .sum();
-        self.workers.get(worker_name).is_some_and(|worker| {
-            worker.state == WorkerState::InUse && used_mb + memory_mb <= worker.memory_mb
-        })
-    }
-
-    /// Stops a runner if there is one, and frees its port.
-    fn stop(&mut self, runner: RunnerId) {
-        if let Some(hosted) = self.hosted.remove(&runner) {
-            hosted.runner.stop();
-            self.free_ports.push(hosted.port);
-        }
-        self.ended.insert(runner);
-    }
-
-    fn stop_all_of(&mut self, worker_name: &str) {
-        let lost_runners: Vec<RunnerId> = self
-            .hosted
-            .iter()
-            .filter(|(_, hosted)| hosted.worker == worker_name)
-            .map(|(runner, _)| *runner)
-            .collect();
-        for runner in lost_runners {
-            self.stop(runner);
-        }
-    }
-}
-
-/// A request to start a runner.
-struct StartRequest {
-    runner: RunnerId,
-    /// The function as in the request, for the records.
-    function: String,
-    key: FunctionKey,
-    worker: String,
-    memory_mb: u64,
-    boot_ms: u64,
-    slots: Option<u64>,
-}
-
-impl StartRequest {
-    /// Reads the body of a request; none if a field is missing or malformed.
-    fn from_value(body: &Value) -> Option<Self> {
-        let text = |name: &str| body.get(name).and_then(Value::as_str).unwrap_or("");
-        let number = |name: &str| body.get(name).and_then(Value::as_u64);
-        Some(Self {
-            runner: text("runner").parse().ok()?,
-            function: text("function").to_owned(),
-            key: text("function").parse().ok()?,
-            worker: text("worker").to_owned(),
-            memory_mb: number("memory_mb")?,
-            boot_ms: number("boot_ms")?,
-            slots: number("slots"),
-        })
-    }
-}
-
-fn loopback(port: u16) -> SocketAddrV4 {
-    SocketAddrV4::new(Ipv4Addr::LOCALHOST, port)
-}
-
-/// Binds a port that was used before, or a new one if there is none or it is taken.
-async fn bind(reused_port: Option<u16>) -> Option<(TcpListener, u16)> {
-    let listener = match TcpListener::bind(loopback(reused_port.unwrap_or(0))).await {
-        Ok(listener) => listener,
-        Err(_) => TcpListener::bind(loopback(0)).await.ok()?,
-    };
-    let port = listener
-        .local_addr()
-        .map(|address| address.port())
-        .unwrap_or(0);
-    Some((listener, port))
-}
-
 /// A response with an error code.
 fn error_response(status: StatusCode, code: &str) -> HttpResponse {
     json_response(status, &json!({"error": code}))
@@ -220,7 +88,7 @@
             ticking.tick().await;
             let (workers, runners) = {
                 let state = self.lock_state();
-                (list_workers(&state), list_runners(&state))
+                (state.list_workers(), state.list_runners())
             };
             let mut lists = self.lists.lock().unwrap_or_else(PoisonError::into_inner);
             lists.take_snapshot(MonotonicTime::now(), workers, runners);
@@ -320,101 +188,6 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Starts a runner, or returns the instance that an earlier request for it started.
-    async fn start(&self, body: &Value) -> HttpResponse {
-        let Some(request) = StartRequest::from_value(body) else {
-            return error_response(StatusCode::BAD_REQUEST, "bad_start");
-        };
-        let reused_port = {
-            let mut state = self.lock_state();
-            if state.ended.contains(&request.runner) {
-                return error_response(StatusCode::CONFLICT, "ended");
-            }
-            if self.reuse_ports {
-                state.free_ports.pop()
-            } else {
-                None
-            }
-        };
-        let Some((listener, port)) = bind(reused_port).await else {
-            return error_response(StatusCode::SERVICE_UNAVAILABLE, "no_port");
-        };
-        let mut state = self.lock_state();
-        if let Some(hosted) = state.hosted.get(&request.runner) {
-            return hosted.start_response();
-        }
-        if state.ended.contains(&request.runner) {
-            return error_response(StatusCode::CONFLICT, "ended");
-        }
-        if !state.has_room(&request.worker, request.memory_mb) {
-            self.shared_state.records.add(
-                "start_refused",
-                json!({"runner": request.runner.to_string(), "worker": request.worker}),
-            );
-            return error_response(StatusCode::INSUFFICIENT_STORAGE, "no_room");
-        }
-        self.record_start(&state, &request, port, reused_port);
-        self.host(&mut state, request, listener, port)
-            .start_response()
-    }
-
-    fn record_start(
-        &self,
-        state: &PlatformState,
-        request: &StartRequest,
-        port: u16,
-        reused_port: Option<u16>,
-    ) {
-        let zone = state
-            .workers
-            .get(&request.worker)
-            .map(|worker| &worker.zone);
-        let detail = json!({
-            "runner": request.runner.to_string(),
-            "function": request.function,
-            "worker": request.worker,
-            "locality": zone,
-            "memory_mb": request.memory_mb,
-            "boot_ms": request.boot_ms,
-            "slots": request.slots,
-            "place": loopback(port).to_string(),
-            "reused": reused_port == Some(port),
-        });
-        self.shared_state.records.add("runner_start", detail);
-    }
-
-    /// Starts the runner behind its listener and adds it to the state.
-    fn host<'a>(
-        &self,
-        state: &'a mut PlatformState,
-        request: StartRequest,
-        listener: TcpListener,
-        port: u16,
-    ) -> &'a HostedRunner {
-        let started = Runner::start(
-            self.shared_state.clone(),
-            request.runner,
-            request.key,
-            Duration::from_millis(request.boot_ms),
-            request.slots.map_or(usize::MAX, |slots| slots as usize),
-            listener,
-        );
-        state.instance_count += 1;
-        let hosted = HostedRunner {
-            runner: started,
-            instance: format!("l{}.{}", state.instance_count, request.runner),
-            worker: request.worker,
-            memory_mb: request.memory_mb,
-            port,
-            leaving: false,
-        };
-        state
-            .hosted
-            .entry(request.runner)
-            .insert_entry(hosted)
-            .into_mut()
-    }
-
     /// Stops a runner; one that was never started cannot be started any more.
     fn stop(&self, runner: RunnerId) -> HttpResponse {
         self.lock_state().stop(runner);
@@ -468,38 +241,3 @@
         .ok()
         .or_else(|| RunnerId::started_id(&InstanceId::from(name)))
 }
-
-fn list_workers(state: &PlatformState) -> Value {
-    let rows: Vec<Value> = state
-        .workers
-        .values()
-        .filter(|worker| worker.state != WorkerState::Crashed)
-        .map(|worker| {
-            json!({
-                "worker": worker.name,
-                "locality": worker.zone,
-                "memory_mb": worker.memory_mb,
-                "draining": worker.state == WorkerState::Draining,
-            })
-        })
-        .collect();
-    Value::Array(rows)
-}
-
-fn list_runners(state: &PlatformState) -> Value {
-    let rows: Vec<Value> = state
-        .hosted
-        .iter()
-        .map(|(runner, hosted)| {
-            json!({
-                "runner": runner.to_string(),
-                "life": hosted.instance,
-                "place": loopback(hosted.port).to_string(),
-                "function": hosted.runner.function.to_string(),
-                "worker": hosted.worker,
-                "leaving": hosted.leaving,
-            })
-        })
-        .collect();
-    Value::Array(rows)
-}
