--- a/testing/loadgen/src/client_pool.rs
+++ b/testing/loadgen/src/client_pool.rs
@@ -1,16 +1,14 @@
-//! The callers: when requests are sent, how they are retried, and the records of their outcomes.
+//! The callers: they send the requests of a plan, retry them, and record and count the outcomes.
 
+use crate::attempt::{Attempt, read_outcome};
 use crate::plan::{Plan, PlannedRoute};
+use crate::schedule::{ScheduledRequest, schedule};
 use bytes::Bytes;
 use common::clock::MonotonicTime;
 use common::frames::SocketAddress;
-use common::http::{CallResponse, call, call_json, header_text};
-use common::identity::{FunctionKey, IdempotencyKey};
+use common::http::{call, call_json};
 use common::rng::SeededRng;
-use common::seal;
-use http_body_util::Full;
-use hyper::header::{CONTENT_TYPE, HOST};
-use hyper::{Method, Request};
+use hyper::Method;
 use platform_stub::records::Records;
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
@@ -50,15 +48,6 @@
     summary: Mutex<Summary>,
 }
 
-/// A request of the plan.
-struct ScheduledRequest {
-    route_index: usize,
-    /// The seed of its random choices.
-    seed: u64,
-    /// The beginning of the identities of its attempts.
-    name: String,
-}
-
 /// Sends the requests of a plan, records and counts their outcomes. The polling task is aborted at the end; all
 /// requests are awaited.
 ///
@@ -95,64 +84,6 @@
     Ok(summary)
 }
 
-/// All requests of a plan with the times at which they are sent, ascending.
-fn schedule(plan: &Plan) -> Vec<(Duration, ScheduledRequest)> {
-    let mut rng = SeededRng::seeded(plan.seed);
-    let mut scheduled_requests = schedule_rate(plan, &mut rng);
-    scheduled_requests.extend(schedule_bursts(plan, &mut rng));
-    scheduled_requests.sort_by_key(|(due_at, _)| *due_at);
-    scheduled_requests
-}
-
-/// Requests at the plan's rate, as a Poisson process; each for a random route by weight.
-fn schedule_rate(plan: &Plan, rng: &mut SeededRng) -> Vec<(Duration, ScheduledRequest)> {
-    let weight_sum: u64 = plan.routes.iter().map(|route| route.weight).sum();
-    let mut scheduled_requests = Vec::new();
-    let mut due_at = Duration::ZERO;
-    let mut number = 0;
-    while plan.rate > 0.0 && due_at < plan.lasts {
-        let gap_seconds = -(1.0 - rng.fraction()).ln() / plan.rate;
-        due_at += Duration::from_secs_f64(gap_seconds);
-        let mut point = rng.below(weight_sum.max(1));
-        let chosen_index = plan.routes.iter().position(|route| {
-            let is_chosen = point < route.weight;
-            point = point.saturating_sub(route.weight);
-            is_chosen
-        });
-        number += 1;
-        scheduled_requests.push((
-            due_at,
-            ScheduledRequest {
-                route_index: chosen_index.unwrap_or(0),
-                seed: rng.number(),
-                name: format!("{}-{number}", plan.seed),
-            },
-        ));
-    }
-    scheduled_requests
-}
-
-/// The requests of bursts, evenly spaced.
-fn schedule_bursts(plan: &Plan, rng: &mut SeededRng) -> Vec<(Duration, ScheduledRequest)> {
-    let mut scheduled_requests = Vec::new();
-    for (burst_number, burst) in plan.bursts.iter().enumerate() {
-        for turn in 0..burst.count {
-            let due_at = burst.at + burst.lasts.mul_f64(turn as f64 / burst.count as f64);
-            let route_index =
-                (burst.first_route + turn as usize % burst.route_count) % plan.routes.len();
-            scheduled_requests.push((
-                due_at,
-                ScheduledRequest {
-                    route_index,
-                    seed: rng.number(),
-                    name: format!("{}-b{burst_number}-{turn}", plan.seed),
-                },
-            ));
-        }
-    }
-    scheduled_requests
-}
-
 /// Keeps the ready ingresses up to date; an empty list is ignored.
 async fn poll_ready_ingresses(client_pool: Arc<ClientPool>) {
     let Some(platform) = client_pool.plan.platform else {
@@ -210,54 +141,6 @@
     }
 }
 
-/// One attempt at a request.
-struct Attempt<'a> {
-    route: &'a PlannedRoute,
-    identity: &'a str,
-    /// The identity of the first attempt, if this is a retry.
-    repeat_of: Option<&'a str>,
-    timeout: Duration,
-    body: Bytes,
-}
-
-impl Attempt<'_> {
-    /// The HTTP request; none if the plan's path is no valid URI.
-    fn request(&self, ingress: SocketAddress) -> Option<Request<Full<Bytes>>> {
-        let mut request = Request::builder()
-            .method(self.route.method.clone())
-            .uri(&self.route.path)
-            .header(HOST, ingress.to_string())
-            .header(CONTENT_TYPE, "application/json")
-            .header(seal::IDEMPOTENCY_KEY, self.identity)
-            .header(seal::TIMEOUT, self.timeout.as_millis().to_string());
-        if let Some(first_identity) = self.repeat_of {
-            request = request.header(seal::REPEAT_OF, first_identity);
-        }
-        request.body(Full::new(self.body.clone())).ok()
-    }
-
-    /// Adds what is known of every attempt to the record of its outcome.
-    fn complete_record(
-        &self,
-        record: &mut Value,
-        sent_at: MonotonicTime,
-        ingress: Option<SocketAddress>,
-    ) {
-        record["kind"] = json!("transaction");
-        record["at"] = json!(sent_at.0);
-        record["end"] = json!(MonotonicTime::now().0);
-        record["id"] = json!(self.identity);
-        record["function"] = json!(self.route.function);
-        record["path"] = json!(self.route.path);
-        record["once"] = json!(self.route.once);
-        record["budget_ms"] = json!(self.timeout.as_millis() as u64);
-        record["door"] = json!(ingress.map(|ingress| ingress.to_string()));
-        if let Some(first_identity) = self.repeat_of {
-            record["repeat_of"] = json!(first_identity);
-        }
-    }
-}
-
 impl ClientPool {
     fn random_ready_ingress(&self, rng: &mut SeededRng) -> SocketAddress {
         let ingresses = self
@@ -320,36 +203,3 @@
     client_pool.count_outcome(&record);
     record["outcome"] == json!("answer")
 }
-
-/// The outcome of a response as a record: its headers, and for an answer whether the seal and the body are right.
-fn read_outcome(
-    route: &PlannedRoute,
-    identity: &str,
-    sent_body: &[u8],
-    called: &CallResponse,
-) -> Value {
-    let body = called.json();
-    let outcome = header_text(&called.headers, seal::OUTCOME);
-    let mut end = json!({"outcome": outcome, "status": called.status.as_u16()});
-    if outcome == "answer" {
-        let function_text = header_text(&called.headers, seal::FUNCTION);
-        let runner_text = header_text(&called.headers, seal::RUNNER);
-        let is_sealed = match (function_text.parse::<FunctionKey>(), runner_text.parse()) {
-            (Ok(key), Ok(runner)) => {
-                let idempotency_key = IdempotencyKey::from(identity);
-                let right_seal = seal::seal(&idempotency_key, &key, runner, false, &called.body);
-                right_seal == header_text(&called.headers, seal::SEAL)
-                    && key.name.as_str().starts_with(&route.function)
-            }
-            _ => false,
-        };
-        let is_own_body = body["transaction"] == json!(identity)
-            && body["echo"] == json!(seal::hex(&seal::digest(sent_body)));
-        end["sealed"] = json!(is_sealed && is_own_body);
-        end["runner"] = json!(runner_text);
-    } else {
-        end["reason"] = body["reason"].clone();
-        end["retry_after_ms"] = body["retry_after_ms"].clone();
-    }
-    end
-}
