--- a/crates/dataplane/src/drivers/control.rs
+++ b/crates/dataplane/src/drivers/control.rs
@@ -32,7 +32,7 @@
 const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
 /// The state of the control task.
-pub(super) struct Control {
+pub(crate) struct Control {
     state: Arc<State>,
     controller: DaemonControl<oneshot::Sender<RequestOutcome>>,
     /// The requests that wait for an acquisition.
@@ -45,7 +45,7 @@
 
 impl Control {
     /// The state before the first input.
-    pub(super) fn new(state: Arc<State>, heartbeat_socket: Arc<UdpSocket>) -> Self {
+    pub(crate) fn new(state: Arc<State>, heartbeat_socket: Arc<UdpSocket>) -> Self {
         let controller = DaemonControl::new(
             MonotonicTime::now(),
             &state.agent,
@@ -75,7 +75,7 @@
 
     /// Runs until all senders of inputs are gone, in effect as long as the process. Wakes only when something is due or
     /// an input arrives.
-    pub(super) async fn run(mut self, mut inputs: mpsc::UnboundedReceiver<ControlInput>) {
+    pub(crate) async fn run(mut self, mut inputs: mpsc::UnboundedReceiver<ControlInput>) {
         let state = self.state.clone();
         let mut due = MonotonicTime::now();
         loop {
--- a/crates/dataplane/src/drivers/control_input.rs
+++ b/crates/dataplane/src/drivers/control_input.rs
@@ -7,7 +7,7 @@
 use tokio::sync::{mpsc, oneshot};
 
 /// An input of the control task. Streams to the leader are numbered; inputs of an earlier stream are ignored.
-pub(super) enum ControlInput {
+pub(crate) enum ControlInput {
     /// The dialed stream is open; frames are sent by this sender.
     Connected(u64, mpsc::Sender<DaemonToLeader>),
     /// The stream failed or ended.
--- a/crates/dataplane/src/drivers/frame_batch.rs
+++ b/crates/dataplane/src/drivers/frame_batch.rs
@@ -1,4 +1,4 @@
 //! The batching of frames into writes.
 
 /// Queued frames are written together until a batch has this many bytes.
-pub(super) const WRITE_BATCH_BYTES: usize = 64 << 10;
+pub(crate) const WRITE_BATCH_BYTES: usize = 64 << 10;
--- a/crates/dataplane/src/drivers/state.rs
+++ b/crates/dataplane/src/drivers/state.rs
@@ -44,11 +44,11 @@
     /// Counts the changes that a waiting request may depend on.
     pub(super) changes: watch::Sender<u64>,
     /// The inputs of the control task.
-    pub(super) control: mpsc::UnboundedSender<ControlInput>,
+    pub(crate) control: mpsc::UnboundedSender<ControlInput>,
 }
 
 impl State {
-    pub(super) fn new(
+    pub(crate) fn new(
         settings: DaemonSettings,
         own_host: Host,
         rules: Rules,
@@ -128,7 +128,7 @@
     }
 
     /// Updates the gauges to the current state.
-    pub(super) fn update_gauges(&self) {
+    pub(crate) fn update_gauges(&self) {
         let held_functions = self.agent.held_functions.load_full();
         let (mut queued_sum, mut in_flight_sum, mut ready_sum, mut retained_sum) = (0, 0, 0, 0);
         for held in held_functions.values() {
--- a/crates/dataplane/src/lib.rs
+++ b/crates/dataplane/src/lib.rs
@@ -3,7 +3,7 @@
 //!
 //! # The way of a request
 //!
-//! 1. [`request_pipeline`] checks a caller's request and finds its route and function.
+//! 1. [`server`] accepts a caller's request, and [`request_pipeline`] checks a caller's request and finds its route and function.
 //! 2. [`agent`] decides by [`owners`] which daemon holds the function. The request is served here, forwarded to another
 //!    daemon, or the function's lease is requested from the leader.
 //! 3. At the holder, [`holder`] queues the request, records it in the [`ledger`] where callers may repeat it, and chooses
@@ -28,8 +28,9 @@
 //! With I/O:
 //!
 //! * [`adapter`]: the native protocols towards callers and runners.
-//! * [`drivers`]: sockets, timers and tasks.
-//! * [`request_pipeline`]: the way of a caller's request.
+//! * [`server`]: the listeners, and the start and shutdown of a daemon. It uses the two below.
+//! * [`request_pipeline`]: the way of a caller's request. It uses the drivers.
+//! * [`drivers`]: sockets, timers and tasks towards the leader, other daemons, runners and the platform.
 
 #![deny(missing_docs, unreachable_pub)]
 
@@ -44,4 +45,5 @@
 pub mod owners;
 pub mod pool;
 pub mod request_pipeline;
+pub mod server;
 pub mod settings;
--- a/crates/dataplane/src/request_pipeline/mod.rs
+++ b/crates/dataplane/src/request_pipeline/mod.rs
@@ -1,7 +1,8 @@
 //! The way of a caller's request through this daemon, from its head to its response.
 //!
 //! [`handle_request`] checks the request, finds its route, reads its body, has it forwarded to the holder of its function,
-//! and makes the response of the outcome.
+//! and makes the response of the outcome. It uses the [`drivers`](crate::drivers) for what it sends; the
+//! [`server`](crate::server), which accepts the requests, uses it.
 //!
 //! * `forward_to_holder`: carries out the steps of the forwarding; also used for requests from other daemons.
 //! * `ingress_request`: what is counted and logged of a request when it ends.
--- a/crates/dataplane/src/drivers/daemon.rs
+++ b/crates/dataplane/src/server/daemon.rs
@@ -1,10 +1,9 @@
-use super::connector::TcpConnector;
-use super::control::Control;
-use super::control_input::ControlInput;
+//! A daemon process: its listeners are opened first, so that an address in use is reported before anything starts.
+
 use super::hops;
 use super::ingress::{serve_ingress, serve_ready};
-use super::state::State;
 use crate::adapter::DaemonAdapters;
+use crate::drivers::{Control, ControlInput, State, TcpConnector};
 use crate::settings::DaemonSettings;
 use common::clock::MonotonicTime;
 use common::events;
--- a/crates/dataplane/src/drivers/hops.rs
+++ b/crates/dataplane/src/server/hops.rs
@@ -1,9 +1,7 @@
 //! Requests from other daemons, served on their connections.
 
-use super::connector::ByteStream;
-use super::frame_batch::WRITE_BATCH_BYTES;
-use super::state::State;
 use crate::agent::FunctionRequest;
+use crate::drivers::{ByteStream, State, WRITE_BATCH_BYTES};
 use crate::request_pipeline::{ForwardedOutcome, forward_to_holder};
 use common::clock::MonotonicTime;
 use common::frames::{
--- a/crates/dataplane/src/drivers/ingress.rs
+++ b/crates/dataplane/src/server/ingress.rs
@@ -1,6 +1,6 @@
 //! The callers' listener, and the readiness and metrics pages.
 
-use super::state::State;
+use crate::drivers::State;
 use crate::request_pipeline::handle_request;
 use common::clock::MonotonicTime;
 use common::http::{self, ConnectionLimits, HttpResponse, json_response, text_response};
--- a/programs/daemon/src/main.rs
+++ b/programs/daemon/src/main.rs
@@ -6,7 +6,7 @@
 
 use common::command_line::{self, Program};
 use common::readers::{SettingsError, SettingsSource};
-use dataplane::drivers::{Daemon, DaemonHandle};
+use dataplane::server::{Daemon, DaemonHandle};
 use dataplane::settings::DaemonSettings;
 use gumdrop::Options;
 use std::path::PathBuf;
--- a/testing/fleet/src/daemon_without_rule.rs
+++ b/testing/fleet/src/daemon_without_rule.rs
@@ -3,7 +3,7 @@
 use common::command_line::{self, Program};
 use common::readers::SettingsSource;
 use common::rules::{Rule, Rules};
-use dataplane::drivers::Daemon;
+use dataplane::server::Daemon;
 use dataplane::settings::DaemonSettings;
 use eyre::{WrapErr, eyre};
 use gumdrop::Options;
