--- a/crates/dataplane/src/agent/daemon_control/held_functions.rs
+++ b/crates/dataplane/src/agent/daemon_control/held_functions.rs
@@ -1,6 +1,6 @@
 //! The functions that a daemon holds: granted, claimed from a new leader, given up, closed.
 
-use super::{Agent, DaemonControl, DaemonControlOutput, HeldFunction};
+use super::{Agent, DaemonControl, DaemonControlOutput, HeldFunction, HeldFunctions};
 use crate::holder::{Holder, HolderOutput, LeaseTerms};
 use common::clock::MonotonicTime;
 use common::events;
@@ -8,7 +8,6 @@
 use common::identity::{FencingToken, FunctionKey};
 use common::rules::Rule;
 use common::spec::RoutingTable;
-use std::collections::BTreeMap;
 use std::sync::Arc;
 
 impl<W> DaemonControl<W> {
@@ -40,7 +39,7 @@
 
     /// Claims all held functions from the leader, and reports the runners of those that are closing.
     pub(super) fn send_claims(&mut self, agent: &Agent<W>, now: MonotonicTime) {
-        let held_functions = agent.held_functions.load_full();
+        let held_functions = agent.held_functions();
         let closing = agent.lock_closing().clone();
         if self.cluster_view.is_welcomed() {
             for held in &closing {
@@ -61,7 +60,7 @@
         if !agent.rules.enforces(Rule::ServesUnderSessionLease) {
             return;
         }
-        let released = agent.held_functions.swap(Arc::new(BTreeMap::new()));
+        let released = agent.replace_held_functions(HeldFunctions::new());
         self.log_event(
             events::SESSION_LEASE_ENDED,
             format!("{} functions given up", released.len()),
@@ -82,7 +81,7 @@
         now: MonotonicTime,
         table: Arc<RoutingTable>,
     ) {
-        agent.table.store(table.clone());
+        agent.set_routing_table(table.clone());
         self.recheck_warm_functions(now);
         let detail = format!(
             "version {}, {} routes",
@@ -92,7 +91,7 @@
         self.log_event(events::SPEC_INSTALLED, detail);
         self.outputs
             .push(DaemonControlOutput::Installed(table.version()));
-        for held in agent.held_functions.load_full().values() {
+        for held in agent.held_functions().values() {
             match table.function_of(&held.function) {
                 Some(entry) => {
                     let newest_spec = (*entry.spec).clone();
@@ -114,9 +113,7 @@
     pub(super) fn granted(&mut self, agent: &Agent<W>, now: MonotonicTime, terms: LeaseTerms) {
         let (function, fencing_token) = (terms.function.clone(), terms.fencing_token);
         let held_fencing_token = agent
-            .held_functions
-            .load()
-            .get(&function)
+            .held_function(&function)
             .map(|held| held.fencing_token);
         if held_fencing_token >= Some(fencing_token) {
             return;
@@ -124,18 +121,14 @@
         let mut holder = Holder::new(now, terms)
             .with_rules(agent.rules)
             .with_tuning(now, agent.tuning);
-        let table = agent.table.load();
+        let table = agent.routing_table();
         let index = table
             .index_of(&function)
             .filter(|_| !function.is_regional());
         holder.set_prewarmed(index.is_some_and(|index| table.is_prewarmed(index)));
         let held = Arc::new(HeldFunction::new(holder));
-        let displaced = agent.held_functions.load().get(&function).cloned();
-        agent.held_functions.rcu(|held_functions| {
-            let mut changed_functions = BTreeMap::clone(held_functions);
-            changed_functions.insert(function.clone(), held.clone());
-            changed_functions
-        });
+        let displaced = agent.held_function(&function);
+        agent.insert_held_function(&held);
         if let Some(displaced) = displaced {
             self.close(agent, now, &displaced);
             self.report_orphaned_runners(&displaced);
@@ -202,11 +195,7 @@
 
     /// Removes a function from the held ones.
     pub(super) fn remove(&mut self, agent: &Agent<W>, function: &FunctionKey) {
-        agent.held_functions.rcu(|held_functions| {
-            let mut changed_functions = BTreeMap::clone(held_functions);
-            changed_functions.remove(function);
-            changed_functions
-        });
+        agent.remove_held_function(function);
         self.outputs.push(DaemonControlOutput::Changed);
     }
 }
--- a/crates/dataplane/src/agent/daemon_control/mod.rs
+++ b/crates/dataplane/src/agent/daemon_control/mod.rs
@@ -12,7 +12,7 @@
 
 pub use outputs::DaemonControlOutput;
 
-use super::{Agent, HeldFunction};
+use super::{Agent, HeldFunction, HeldFunctions};
 use crate::cluster_view::ClusterView;
 use crate::control_session::{ControlSession, ControlSessionTiming};
 use crate::holder::HolderMessage;
@@ -107,7 +107,7 @@
         let Some(warm_acquirer) = &mut self.warm_acquirer else {
             return;
         };
-        let (table, hosts) = (agent.table.load(), agent.hosts.load());
+        let (table, hosts) = (agent.routing_table(), agent.live_hosts());
         let (owners, held_functions) = (agent.owners.load(), agent.held_functions.load());
         let regional = agent.regional_keys_wanted(now);
         let wanted = warm_acquirer.next(
@@ -148,7 +148,7 @@
     pub fn tick(&mut self, agent: &Agent<W>, now: MonotonicTime) -> Vec<DaemonControlOutput<W>> {
         let view_outputs = self.cluster_view.tick(now);
         self.apply_view_outputs(agent, now, view_outputs);
-        for held in agent.held_functions.load_full().values() {
+        for held in agent.held_functions().values() {
             self.apply(held, |holder| holder.tick(now));
         }
         let closing: Vec<Arc<HeldFunction<W>>> = {
@@ -171,7 +171,7 @@
     /// Reports idle functions and rejected requests to the leader.
     fn report_load(&mut self, agent: &Agent<W>, now: MonotonicTime) {
         let mut idle_functions = Vec::new();
-        for held in agent.held_functions.load_full().values() {
+        for held in agent.held_functions().values() {
             let function = held.function.clone();
             let (idle_span, rejections) =
                 held.with(|holder| (holder.idle(now), holder.take_rejections()));
@@ -308,7 +308,7 @@
         agent.begin_leaving();
         let view_outputs = self.cluster_view.leave(now);
         self.apply_view_outputs(agent, now, view_outputs);
-        for held in agent.held_functions.load_full().values() {
+        for held in agent.held_functions().values() {
             self.log_event(events::HANDOVER_STARTED, held.function.to_string());
             self.apply(held, |holder| holder.begin_release(now));
         }
@@ -317,7 +317,7 @@
 
     /// The daemon is about to exit: it serves nothing more, and the leader need not wait for the end of its lease.
     pub fn departed(&mut self, agent: &Agent<W>) -> Vec<DaemonControlOutput<W>> {
-        agent.serving_until.set(MonotonicTime::ZERO);
+        agent.set_session_lease_end(MonotonicTime::ZERO);
         self.send_frame(DaemonToLeader::Leaving);
         self.take_outputs()
     }
--- a/crates/dataplane/src/agent/daemon_control/view_outputs.rs
+++ b/crates/dataplane/src/agent/daemon_control/view_outputs.rs
@@ -7,7 +7,6 @@
 use common::frames::{AcquireResult, Host};
 use common::identity::{FencingToken, FunctionKey, RunnerId, Term};
 use common::rules::Rule;
-use std::sync::Arc;
 use std::time::Duration;
 
 impl<W> DaemonControl<W> {
@@ -102,7 +101,7 @@
     }
 
     fn set_hosts(&mut self, agent: &Agent<W>, now: MonotonicTime, alive_hosts: Vec<Host>) {
-        agent.hosts.store(Arc::new(alive_hosts));
+        agent.set_live_hosts(alive_hosts);
         self.recheck_warm_functions(now);
         self.outputs.push(DaemonControlOutput::Changed);
     }
@@ -139,7 +138,7 @@
             );
             self.outputs.push(DaemonControlOutput::Changed);
         }
-        agent.serving_until.set(lease_end);
+        agent.set_session_lease_end(lease_end);
     }
 
     fn acquired(
--- a/crates/dataplane/src/agent/forwarding/mod.rs
+++ b/crates/dataplane/src/agent/forwarding/mod.rs
@@ -126,7 +126,7 @@
                 agent.not_serving_retry_after(),
             );
         }
-        let table = agent.table.load();
+        let table = agent.routing_table();
         if let Some(step) = self.after_spec_mismatch(now, table.version()) {
             return step;
         }
@@ -144,11 +144,7 @@
         if now >= give_up_at {
             return self.no_owner_step(now);
         }
-        let held = agent
-            .held_functions
-            .load()
-            .get(&self.request.function)
-            .cloned();
+        let held = agent.held_function(&self.request.function);
         match (self.look_up(agent, held.is_some()), held) {
             (LookupStep::Serve, Some(held)) => {
                 ForwardingStep::Serve(held, self.holder_request(agent, &route.spec))
@@ -213,7 +209,7 @@
 
     fn look_up<W>(&self, agent: &Agent<W>, holds: bool) -> LookupStep {
         let owners = agent.owners.load();
-        let hosts = agent.hosts.load();
+        let hosts = agent.live_hosts();
         next_step(&LookupContext {
             function: &self.request.function,
             own_member: &agent.own_host.member,
--- a/crates/dataplane/src/agent/forwarding/step_results.rs
+++ b/crates/dataplane/src/agent/forwarding/step_results.rs
@@ -187,7 +187,7 @@
     /// Whether a request whose holder was lost is sent to the next holder, as a further attempt. Only the caller's daemon
     /// does so: if those on the way repeated it as well, the attempts would multiply.
     fn may_retry_forward<W>(&self, agent: &Agent<W>, now: MonotonicTime) -> bool {
-        let table = agent.table.load();
+        let table = agent.routing_table();
         let has_time = now + HOP_TIME_RESERVE + RETRY_BACKOFF < self.request.deadline;
         let has_attempts_left = |max_attempts: u32| self.lost_holder_count + 1 < max_attempts;
         table.route_named(&self.request.route).is_some_and(|route| {
@@ -220,7 +220,7 @@
             }
             Some(AcquireResult::Owner { host }) => {
                 let is_remote = host.member != agent.own_host.member;
-                if is_remote && is_current_owner(&host, &agent.hosts.load()) {
+                if is_remote && is_current_owner(&host, &agent.live_hosts()) {
                     return self.advance(agent, now);
                 }
                 self.back_off(now)
@@ -244,7 +244,7 @@
         now: MonotonicTime,
         wait: Duration,
     ) -> ForwardingStep<W> {
-        let table = agent.table.load();
+        let table = agent.routing_table();
         let startup = table
             .function_of(&self.request.function)
             .map(|entry| entry.spec.startup);
--- a/crates/dataplane/src/agent/mod.rs
+++ b/crates/dataplane/src/agent/mod.rs
@@ -2,7 +2,7 @@
 //! out its outputs.
 //!
 //! [`Agent`] is shared by all tasks of a daemon. What every request reads lies in it as snapshots that are replaced as a
-//! whole, so that reads take no lock.
+//! whole, so that reads take no lock; they are read and replaced by the methods in `snapshots`.
 //!
 //! * `daemon_control`: the control side, which applies what the leader, the holders and the passing of time require.
 //! * `forwarding`: the way of one request to the holder of its function.
@@ -12,6 +12,7 @@
 //! * `regional`: keys under which one region's callers have a function of their own.
 //! * `replica_requests`: requests to ledger replicas, and the answers as one.
 //! * `runner_response`: the checks before a send to a runner, and of its response.
+//! * `snapshots`: what all tasks read: the routing table, the live daemons, the held functions, the session lease's end.
 
 mod daemon_control;
 mod forwarding;
@@ -21,6 +22,7 @@
 mod regional;
 mod replica_requests;
 mod runner_response;
+mod snapshots;
 
 pub use daemon_control::{DaemonControl, DaemonControlOutput};
 pub use forwarding::{ForwardResult, Forwarding, ForwardingStep, FunctionRequest};
@@ -28,6 +30,7 @@
 pub use in_flight::InFlightGuard;
 pub use replica_requests::{ReplicaRequest, ReplicaRequestKind};
 pub use runner_response::{RunnerAttempt, verify_response};
+pub use snapshots::HeldFunctions;
 
 use crate::holder::Tuning;
 use crate::ledger::LedgerReplica;
@@ -41,7 +44,6 @@
 use in_flight::InFlightRequests;
 use owner_cache::OwnerCache;
 use regional::RegionalKeys;
-use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -64,21 +66,17 @@
     /// The rules that are enforced.
     pub rules: Rules,
     /// The tuning of held functions.
-    pub tuning: Tuning,
-    /// Snapshot of the routing table of the spec in use.
-    pub table: ArcSwap<RoutingTable>,
-    /// Snapshot of the live daemons.
-    pub hosts: ArcSwap<Vec<Host>>,
-    /// Snapshot of the held functions.
-    pub held_functions: ArcSwap<BTreeMap<FunctionKey, Arc<HeldFunction<W>>>>,
-    /// When the session lease ends; zero without one.
-    pub serving_until: SharedMonotonicTime,
+    tuning: Tuning,
+    routing_table: ArcSwap<RoutingTable>,
+    live_hosts: ArcSwap<Vec<Host>>,
+    held_functions: ArcSwap<HeldFunctions<W>>,
+    session_lease_end: SharedMonotonicTime,
     owners: OwnerCache,
     regional_keys: RegionalKeys,
     /// The functions given up whose runners have not all stopped yet.
-    pub closing: Mutex<Vec<Arc<HeldFunction<W>>>>,
+    closing: Mutex<Vec<Arc<HeldFunction<W>>>>,
     /// The replicas kept of other daemons' ledgers.
-    pub(crate) ledger_replica: Mutex<LedgerReplica>,
+    ledger_replica: Mutex<LedgerReplica>,
     availability: Availability,
     in_flight: InFlightRequests,
 }
@@ -91,10 +89,10 @@
             own_host,
             rules,
             tuning: Tuning::default(),
-            table: ArcSwap::from_pointee(RoutingTable::empty()),
-            hosts: ArcSwap::from_pointee(Vec::new()),
-            held_functions: ArcSwap::from_pointee(BTreeMap::new()),
-            serving_until: SharedMonotonicTime::new(),
+            routing_table: ArcSwap::from_pointee(RoutingTable::empty()),
+            live_hosts: ArcSwap::from_pointee(Vec::new()),
+            held_functions: ArcSwap::from_pointee(HeldFunctions::new()),
+            session_lease_end: SharedMonotonicTime::new(),
             owners: OwnerCache::new(),
             regional_keys: RegionalKeys::new(),
             closing: Mutex::new(Vec::new()),
@@ -126,9 +124,9 @@
 
     /// Whether the session lease runs, so that requests may be served.
     pub fn is_serving(&self, now: MonotonicTime) -> bool {
-        now < self.serving_until.get()
+        now < self.session_lease_end()
             || (!self.rules.enforces(Rule::ServesUnderSessionLease)
-                && self.serving_until.get() > MonotonicTime::ZERO)
+                && self.session_lease_end() > MonotonicTime::ZERO)
     }
 
     /// Sets whether a leader has welcomed this daemon's stream.
@@ -160,7 +158,7 @@
 
     /// Whether the platform may send callers to this daemon.
     pub fn is_ready(&self, now: MonotonicTime) -> bool {
-        let is_evacuated = self.table.load().is_evacuated(&self.own_host.zone);
+        let is_evacuated = self.routing_table().is_evacuated(&self.own_host.zone);
         self.is_serving(now) && !self.is_leaving() && !is_evacuated
     }
 
@@ -203,6 +201,12 @@
         })
     }
 
+    /// Forgets the functions given up whose runners have not all stopped yet, so that the memory they take can be
+    /// measured.
+    pub fn forget_closing(&self) {
+        self.lock_closing().clear();
+    }
+
     fn lock_closing(&self) -> MutexGuard<'_, Vec<Arc<HeldFunction<W>>>> {
         self.closing.lock().unwrap_or_else(PoisonError::into_inner)
     }
--- a/crates/dataplane/src/agent/regional.rs
+++ b/crates/dataplane/src/agent/regional.rs
@@ -173,7 +173,7 @@
         if region.as_str().is_empty() || !(function.is_regional() || is_other_region) {
             return 0;
         }
-        let Some(held) = self.held_functions.load().get(function).cloned() else {
+        let Some(held) = self.held_function(function) else {
             return 0;
         };
         let after = held.with(|holder| holder.regional_use_delay(now, region));
--- a/crates/dataplane/src/agent/replica_requests.rs
+++ b/crates/dataplane/src/agent/replica_requests.rs
@@ -159,6 +159,11 @@
         }
     }
 
+    /// How many records are stored as a replica of other daemons' ledgers.
+    pub fn replica_entry_count(&self) -> usize {
+        self.lock_ledger_replica().entry_count()
+    }
+
     /// Drops the copies of ledgers that are no longer needed.
     pub(super) fn expire_ledger_replica(&self, now: MonotonicTime) {
         self.lock_ledger_replica().expire(now);
--- a/crates/dataplane/src/agent/runner_response.rs
+++ b/crates/dataplane/src/agent/runner_response.rs
@@ -166,7 +166,7 @@
 
     /// Checks the invariant that what has just been sent left while the session lease ran.
     pub fn check_sent_under_lease(&self, now: MonotonicTime) {
-        let lease_end = self.serving_until.get();
+        let lease_end = self.session_lease_end();
         let is_under_lease = now < lease_end + LEASE_SLACK;
         require(
             self.rules,
@@ -191,7 +191,7 @@
         runner: RunnerId,
         attempt: u32,
     ) -> Result<RunnerAttempt, RequestFailureReason> {
-        let table = self.table.load();
+        let table = self.routing_table();
         let is_allowed = table.allows(&holder_request.route, &held.function);
         if !is_allowed && self.rules.enforces(Rule::SpecCheckedBeforeSend) {
             return Err(RequestFailureReason::NotAllowed);
--- /dev/null
+++ b/crates/dataplane/src/agent/snapshots.rs
@@ -0,0 +1,95 @@
+//! What all tasks of a daemon read of its state: the routing table, the live daemons, the held functions and the end of
+//! the session lease.
+//!
+//! Each is a snapshot that is replaced as a whole, so that reads take no lock. A method that returns a [`Guard`] is the
+//! cheapest, for a read that is over soon; one that returns an [`Arc`] is for a snapshot that is kept meanwhile.
+
+use super::{Agent, HeldFunction};
+use arc_swap::Guard;
+use common::clock::MonotonicTime;
+use common::frames::Host;
+use common::identity::FunctionKey;
+use common::spec::RoutingTable;
+use std::collections::BTreeMap;
+use std::sync::Arc;
+
+/// Held functions by their keys.
+pub type HeldFunctions<W> = BTreeMap<FunctionKey, Arc<HeldFunction<W>>>;
+
+impl<W> Agent<W> {
+    /// The routing table of the spec in use.
+    pub fn routing_table(&self) -> Guard<Arc<RoutingTable>> {
+        self.routing_table.load()
+    }
+
+    /// The routing table of the spec in use, to be kept while a request is handled.
+    pub fn routing_table_snapshot(&self) -> Arc<RoutingTable> {
+        self.routing_table.load_full()
+    }
+
+    /// Puts a routing table into use.
+    pub fn set_routing_table(&self, table: Arc<RoutingTable>) {
+        self.routing_table.store(table);
+    }
+
+    /// The daemons that count as alive.
+    pub fn live_hosts(&self) -> Guard<Arc<Vec<Host>>> {
+        self.live_hosts.load()
+    }
+
+    /// Replaces the daemons that count as alive.
+    pub fn set_live_hosts(&self, live_hosts: Vec<Host>) {
+        self.live_hosts.store(Arc::new(live_hosts));
+    }
+
+    /// When the session lease ends; zero without one.
+    pub fn session_lease_end(&self) -> MonotonicTime {
+        self.session_lease_end.get()
+    }
+
+    /// Sets when the session lease ends.
+    pub fn set_session_lease_end(&self, lease_end: MonotonicTime) {
+        self.session_lease_end.set(lease_end);
+    }
+
+    /// All held functions.
+    pub fn held_functions(&self) -> Arc<HeldFunctions<W>> {
+        self.held_functions.load_full()
+    }
+
+    /// How many functions are held.
+    pub fn held_function_count(&self) -> usize {
+        self.held_functions.load().len()
+    }
+
+    /// A function that is held, under whichever lease.
+    pub fn held_function(&self, function: &FunctionKey) -> Option<Arc<HeldFunction<W>>> {
+        self.held_functions.load().get(function).cloned()
+    }
+
+    /// Replaces the held functions, and returns those that were held.
+    pub fn replace_held_functions(
+        &self,
+        held_functions: HeldFunctions<W>,
+    ) -> Arc<HeldFunctions<W>> {
+        self.held_functions.swap(Arc::new(held_functions))
+    }
+
+    /// Adds a held function, in place of one with the same key.
+    pub(super) fn insert_held_function(&self, held: &Arc<HeldFunction<W>>) {
+        self.held_functions.rcu(|held_functions| {
+            let mut changed_functions = BTreeMap::clone(held_functions);
+            changed_functions.insert(held.function.clone(), held.clone());
+            changed_functions
+        });
+    }
+
+    /// Removes a held function.
+    pub(super) fn remove_held_function(&self, function: &FunctionKey) {
+        self.held_functions.rcu(|held_functions| {
+            let mut changed_functions = BTreeMap::clone(held_functions);
+            changed_functions.remove(function);
+            changed_functions
+        });
+    }
+}
--- a/crates/dataplane/src/drivers/state.rs
+++ b/crates/dataplane/src/drivers/state.rs
@@ -15,7 +15,7 @@
 use common::identity::FunctionKey;
 use common::rules::Rules;
 use common::spec::CallerLimits;
-use std::sync::{Arc, PoisonError};
+use std::sync::Arc;
 use tokio::sync::{Notify, mpsc, oneshot, watch};
 
 /// A held function whose requests are awaited by tasks of this process.
@@ -129,7 +129,7 @@
 
     /// Updates the gauges to the current state.
     pub(crate) fn update_gauges(&self) {
-        let held_functions = self.agent.held_functions.load_full();
+        let held_functions = self.agent.held_functions();
         let (mut queued_sum, mut in_flight_sum, mut ready_sum, mut retained_sum) = (0, 0, 0, 0);
         for held in held_functions.values() {
             let ((queued, in_flight), (ready, all)) =
@@ -139,12 +139,7 @@
             ready_sum += ready;
             retained_sum += usize::from(all == 1 && queued + in_flight == 0);
         }
-        let entry_count = self
-            .agent
-            .ledger_replica
-            .lock()
-            .unwrap_or_else(PoisonError::into_inner)
-            .entry_count();
+        let entry_count = self.agent.replica_entry_count();
         self.gauges.held.set(held_functions.len() as i64);
         self.gauges.queued.set(queued_sum as i64);
         self.gauges.in_flight.set(in_flight_sum as i64);
--- a/crates/dataplane/src/request_pipeline/forward_to_holder.rs
+++ b/crates/dataplane/src/request_pipeline/forward_to_holder.rs
@@ -44,7 +44,7 @@
 /// Waits until a daemon no longer counts as alive: it is suspected, no longer listed, or has a new incarnation.
 async fn host_gone(state: &State, host: &Host) {
     let mut changes = state.changes();
-    while is_current_owner(host, &state.agent.hosts.load()) {
+    while is_current_owner(host, &state.agent.live_hosts()) {
         if changes.changed().await.is_err() {
             return;
         }
--- a/crates/dataplane/src/request_pipeline/mod.rs
+++ b/crates/dataplane/src/request_pipeline/mod.rs
@@ -72,7 +72,7 @@
     ingress_request.idempotency_key = Some(idempotency_key.clone());
     let requested_timeout = parse_timeout(ingress, &head.headers)?;
 
-    let table = state.agent.table.load_full();
+    let table = state.agent.routing_table_snapshot();
     let route_match =
         match_route(&table, &head, &idempotency_key).ok_or_else(|| no_route_rejection(state))?;
     let route = &route_match.route.spec;
--- a/crates/dataplane/src/server/ingress.rs
+++ b/crates/dataplane/src/server/ingress.rs
@@ -16,7 +16,7 @@
     let has_ready_address = state.settings.ready.is_some();
     let times_state = state.clone();
     let times = move || {
-        let limits = times_state.agent.table.load().limits();
+        let limits = times_state.agent.routing_table().limits();
         ConnectionLimits {
             header_bytes: limits.header_bytes,
             idle: limits.header.max(limits.idle),
@@ -72,7 +72,7 @@
             } else {
                 StatusCode::SERVICE_UNAVAILABLE
             };
-            let version = state.agent.table.load().version().0;
+            let version = state.agent.routing_table().version().0;
             Some(json_response(
                 status,
                 &json!({"ready": is_ready, "serial": version}),
--- a/crates/dataplane/tests/agent.rs
+++ b/crates/dataplane/tests/agent.rs
@@ -151,7 +151,7 @@
     }
 
     fn key(&self, function: &str) -> FunctionKey {
-        let table = self.agent.table.load();
+        let table = self.agent.routing_table();
         let entries = table.functions();
         entries
             .iter()
@@ -166,7 +166,7 @@
             idempotency_key: "t".into(),
             function: self.key("f"),
             route: "r".to_owned(),
-            version: self.agent.table.load().version(),
+            version: self.agent.routing_table().version(),
             deadline: self.now + ms(2000),
             hops: 0,
             repeat: false,
@@ -218,8 +218,7 @@
     let held: Arc<HeldFunction<u64>> = Arc::new(HeldFunction::new(Holder::new(bench.now, terms)));
     bench
         .agent
-        .held_functions
-        .store(Arc::new([(held.function.clone(), held.clone())].into()));
+        .replace_held_functions([(held.function.clone(), held.clone())].into());
     let holder_request = HolderRequest {
         idempotency_key: "t".into(),
         route: "r".to_owned(),
@@ -268,7 +267,7 @@
         let mut bench = DaemonBench::new(rules);
         bench.receive(spec_frame(5, "f"));
         bench.receive(spec_frame(4, "g"));
-        bench.agent.table.load().version()
+        bench.agent.routing_table().version()
     };
     verify_that!(version_after(Rules::ALL_ENFORCED), eq(Version(5)))?;
     invariants::collect_on_this_thread();
@@ -716,7 +715,7 @@
     let agent: Arc<Agent<u64>> = Arc::new(Agent::new(host(), Rules::ALL_ENFORCED));
     verify_that!(agent.is_ready(START), eq(false))?;
     verify_that!(
-        agent.table.load().version(),
+        agent.routing_table().version(),
         eq(RoutingTable::empty().version())
     )
 }
@@ -865,7 +864,7 @@
     verify_that!(matches!(first, ForwardingStep::Forward { .. }), eq(true))?;
     bench.mark_suspected(&holder);
     verify_that!(
-        is_current_owner(&holder, &bench.agent.hosts.load()),
+        is_current_owner(&holder, &bench.agent.live_hosts()),
         eq(false)
     )?;
     let step = forwarding.forwarded(&bench.agent, bench.now, ForwardResult::Lost);
--- a/crates/dataplane/tests/http_forms.rs
+++ b/crates/dataplane/tests/http_forms.rs
@@ -234,16 +234,14 @@
     let connector = Arc::new(OneDaemon { outcome });
     let own_host = host("daemon-2", "10.0.0.2:7000");
     let state = State::without_control(startup, own_host, Rules::ALL_ENFORCED, adapters, connector);
-    state.agent.table.store(Arc::new(table()));
+    state.agent.set_routing_table(Arc::new(table()));
     state
         .agent
-        .hosts
-        .store(Arc::new(vec![host("daemon-1", "10.0.0.1:7000")]));
+        .set_live_hosts(vec![host("daemon-1", "10.0.0.1:7000")]);
     if is_serving {
         state
             .agent
-            .serving_until
-            .set(MonotonicTime::now() + SERVING);
+            .set_session_lease_end(MonotonicTime::now() + SERVING);
     }
     Arc::new(state)
 }
--- a/crates/dataplane/tests/regional.rs
+++ b/crates/dataplane/tests/regional.rs
@@ -331,13 +331,13 @@
             host("daemon-2", "here", 4),
             host("daemon-3", "there", 5),
         ];
-        agent.hosts.store(Arc::new(all_hosts));
-        agent.serving_until.set(START + ms(60_000));
+        agent.set_live_hosts(all_hosts);
+        agent.set_session_lease_end(START + ms(60_000));
         Self { agent, now: START }
     }
 
     fn key(&self) -> FunctionKey {
-        self.agent.table.load().functions()[0].key.clone()
+        self.agent.routing_table().functions()[0].key.clone()
     }
 
     fn regional_key(&self) -> FunctionKey {
@@ -349,7 +349,7 @@
             idempotency_key: "t".into(),
             function: self.key(),
             route: "r".to_owned(),
-            version: self.agent.table.load().version(),
+            version: self.agent.routing_table().version(),
             deadline: self.now + ms(2000),
             hops: 0,
             repeat: false,
@@ -501,8 +501,7 @@
     let remote_host = host("daemon-3", "there", 5);
     ingress_daemon
         .agent
-        .hosts
-        .store(Arc::new(vec![remote_host.clone()]));
+        .set_live_hosts(vec![remote_host.clone()]);
     ingress_daemon
         .agent
         .handle_regional_hint(ingress_daemon.now, &ingress_daemon.key(), 1);
@@ -516,7 +515,7 @@
 #[gtest]
 fn the_region_of_the_ingress_daemon_is_forwarded() -> Result<()> {
     let ingress_daemon = IngressDaemon::new("fresh");
-    let hosts = ingress_daemon.agent.hosts.load();
+    let hosts = ingress_daemon.agent.live_hosts();
     let owner = hash_owner_in(&ingress_daemon.key(), hosts.iter(), &regions()).expect("an owner");
     if owner.member == ingress_daemon.agent.own_host.member {
         return Ok(());
--- a/testing/fleet/src/sim/daemon/mod.rs
+++ b/testing/fleet/src/sim/daemon/mod.rs
@@ -246,7 +246,7 @@
     pub(in crate::sim) fn is_daemon_serving(&self, index: usize) -> bool {
         let local_now = self.daemon_now(index);
         let body = self.daemons[index].body.as_ref();
-        body.is_some_and(|body| local_now < body.agent.serving_until.get())
+        body.is_some_and(|body| local_now < body.agent.session_lease_end())
     }
 
     pub(in crate::sim) fn tick_daemon(&mut self, index: usize) {
@@ -255,7 +255,7 @@
             && self.is_daemon_serving(index)
         {
             self.checks
-                .check_served_version(self.now, index, agent.table.load().version());
+                .check_served_version(self.now, index, agent.routing_table().version());
         }
         self.finish_stop_if_due(index);
     }
--- a/testing/fleet/src/sim/daemon/orders.rs
+++ b/testing/fleet/src/sim/daemon/orders.rs
@@ -122,7 +122,7 @@
             let Some(agent) = self.agent(index).filter(|_| self.is_daemon_serving(index)) else {
                 continue;
             };
-            for held in agent.held_functions.load().values() {
+            for held in agent.held_functions().values() {
                 let lives = held.with(|holder| {
                     if holder.is_claimable() {
                         holder.instances()
@@ -162,7 +162,7 @@
         let Some(agent) = self.agent(index) else {
             return;
         };
-        let held_functions = agent.held_functions.load_full();
+        let held_functions = agent.held_functions();
         for held in held_functions.values() {
             if !self.checks.is_new_lease(held.fencing_token) {
                 continue;
@@ -183,9 +183,7 @@
             for other in (0..self.daemons.len()).filter(|other| *other != index) {
                 let is_held = self.agent(other).is_some_and(|other_agent| {
                     other_agent
-                        .held_functions
-                        .load()
-                        .get(&held.function)
+                        .held_function(&held.function)
                         .is_some_and(|held| held.with(|holder| holder.is_claimable()))
                 });
                 if is_held && self.is_daemon_serving(other) {
--- a/testing/fleet/src/sim/daemon/requests.rs
+++ b/testing/fleet/src/sim/daemon/requests.rs
@@ -36,7 +36,7 @@
         let Some(agent) = self.agent(index) else {
             return;
         };
-        let table = agent.table.load_full();
+        let table = agent.routing_table_snapshot();
         let route = table
             .route_named(route_name)
             .filter(|_| agent.is_serving(local_now) && !agent.is_leaving());
@@ -175,7 +175,7 @@
         let Some(body) = &mut self.daemons[index].body else {
             return;
         };
-        let hosts = body.agent.hosts.load_full();
+        let hosts = body.agent.live_hosts();
         let is_to_departed = |pending: &PendingRequest| {
             pending.awaited_step == AwaitedStep::Forwarded
                 && pending
--- a/testing/fleet/src/sim/faults.rs
+++ b/testing/fleet/src/sim/faults.rs
@@ -349,7 +349,7 @@
     fn freeze_holder(&mut self, lasts: Duration) {
         let holder = (0..self.daemons.len()).max_by_key(|index| {
             self.agent(*index)
-                .map_or(0, |agent| agent.held_functions.load().len())
+                .map_or(0, |agent| agent.held_function_count())
         });
         if let Some(holder) = holder {
             self.freeze(
--- a/testing/fleet/src/synthetic/calls/mod.rs
+++ b/testing/fleet/src/synthetic/calls/mod.rs
@@ -166,7 +166,7 @@
         let idempotency_key = IdempotencyKey::from(format!("transaction-{number:012}"));
         self.record.called += 1;
         let (matched, _) = self.meter.measure_step(Role::Ingress, Work::Calls, || {
-            let table = agent.table.load_full();
+            let table = agent.routing_table_snapshot();
             let found = table.route(&hyper::Method::POST, "callers", &path, &idempotency_key)?;
             Some((found.function.key.clone(), table.version()))
         });
--- a/testing/fleet/src/synthetic/daemons.rs
+++ b/testing/fleet/src/synthetic/daemons.rs
@@ -18,12 +18,12 @@
 use common::rng::SeededRng;
 use common::rules::Rules;
 use controlplane::controller_state::ControllerInput;
-use dataplane::agent::{Agent, DaemonControl, DaemonControlOutput, HeldFunction};
+use dataplane::agent::{Agent, DaemonControl, DaemonControlOutput, HeldFunction, HeldFunctions};
 use dataplane::control_session::ControlSessionTiming;
 use dataplane::holder::HolderMessage;
 use std::collections::{BTreeMap, HashMap};
 use std::rc::Rc;
-use std::sync::{Arc, PoisonError};
+use std::sync::Arc;
 use std::time::Duration;
 
 const SHORTEST_IDLE: Duration = Duration::from_millis(5);
@@ -352,12 +352,8 @@
             } = started_daemon;
             drop((pending_requests, acquires));
             let bytes_before = memory::live();
-            agent.held_functions.store(Arc::new(BTreeMap::new()));
-            agent
-                .closing
-                .lock()
-                .unwrap_or_else(PoisonError::into_inner)
-                .clear();
+            agent.replace_held_functions(HeldFunctions::new());
+            agent.forget_closing();
             let bytes_without_held = memory::live();
             record
                 .holder_bytes
--- a/testing/fleet/src/synthetic/fleet.rs
+++ b/testing/fleet/src/synthetic/fleet.rs
@@ -199,7 +199,7 @@
         record.instances = self.platform.runner_count() as u64;
         record.stopped = stop_reason;
         record.counters_by_work = self.meter.counters_by_work().clone();
-        let held_count = |daemon: &Daemon| daemon.agent.held_functions.load().len() as u64;
+        let held_count = |daemon: &Daemon| daemon.agent.held_function_count() as u64;
         record.held = self.daemons.iter().flatten().map(held_count).sum();
         self.measure_memory(&mut record);
         record
@@ -254,7 +254,7 @@
             return;
         }
         for started_daemon in self.daemons.iter().flatten() {
-            self.record.visible_daemons += started_daemon.agent.hosts.load().len() as u64;
+            self.record.visible_daemons += started_daemon.agent.live_hosts().len() as u64;
             self.record.visibility_samples += 1;
         }
     }
