--- a/crates/dataplane/src/drivers/control.rs
+++ b/crates/dataplane/src/drivers/control.rs
@@ -187,7 +187,7 @@
         if reply_senders.len() > 1 {
             return;
         }
-        self.state.gauges.acquires.inc();
+        self.state.gauges.owners.acquires.inc();
         let outputs = self.controller.acquire(&self.state.agent, now, function);
         self.execute(outputs);
     }
@@ -224,9 +224,9 @@
                 DaemonControlOutput::Changed => self.state.changes.send_modify(|count| *count += 1),
                 DaemonControlOutput::LogEvent(event, detail) => log_control_event(event, &detail),
                 DaemonControlOutput::Installed(version) => {
-                    self.state.gauges.version.set(version.0 as i64);
+                    self.state.gauges.session.version.set(version.0 as i64);
                 }
-                DaemonControlOutput::LeaseEnded => self.state.gauges.leases_ended.inc(),
+                DaemonControlOutput::LeaseEnded => self.state.gauges.session.leases_ended.inc(),
             }
         }
     }
@@ -260,6 +260,7 @@
         if result.is_some() && round_trip > Duration::ZERO {
             self.state
                 .gauges
+                .owners
                 .acquire_seconds
                 .observe(round_trip.as_secs_f64());
         }
--- a/crates/dataplane/src/drivers/gauges.rs
+++ b/crates/dataplane/src/drivers/gauges.rs
@@ -1,4 +1,4 @@
-//! The daemon's metrics.
+//! The daemon's metrics, in groups by what they measure.
 
 use common::metrics::MetricsPage;
 use prometheus::{Histogram, HistogramVec, IntCounter, IntCounterVec, IntGauge};
@@ -6,44 +6,20 @@
 /// The daemon's metrics.
 pub struct Gauges {
     page: MetricsPage,
-    /// Callers' requests by outcome and reason.
-    pub request_outcomes: IntCounterVec,
-    /// The durations of callers' requests in seconds, by outcome.
-    pub request_seconds: HistogramVec,
-    /// Callers' requests that ended over a quarter of a second after their deadline.
-    pub overdue_requests: IntCounter,
-    /// Owner lookups by where the owner was found.
-    pub lookups: IntCounterVec,
-    /// Acquisitions requested from the leader.
-    pub acquires: IntCounter,
-    /// The round-trip times of acquisitions in seconds.
-    pub acquire_seconds: Histogram,
-    /// Requests sent to runners.
-    pub sends: IntCounter,
-    /// Sends beyond a request's first.
-    pub retried_sends: IntCounter,
-    /// Responses of runners that failed verification.
-    pub rejected_answers: IntCounter,
+    /// Callers' requests.
+    pub callers: CallerGauges,
+    /// The search for the owners of functions.
+    pub owners: OwnerGauges,
+    /// The exchange with runners.
+    pub runners: RunnerGauges,
     /// Connections closed for an invalid frame.
     pub rejected_frames: IntCounter,
-    /// Held functions.
-    pub held: IntGauge,
-    /// Ready runners.
-    pub ready_runners: IntGauge,
-    /// Queued requests.
-    pub queued: IntGauge,
-    /// Requests in flight to runners.
-    pub in_flight: IntGauge,
-    /// 1 while the session lease is valid, else 0.
-    pub serving: IntGauge,
-    /// The version of the installed spec.
-    pub version: IntGauge,
-    /// Session leases that ended.
-    pub leases_ended: IntCounter,
-    /// Records stored as a replica of other daemons' ledgers.
-    pub replica_entries: IntGauge,
-    /// The round-trip times of replication in seconds.
-    pub replication_seconds: Histogram,
+    /// The held functions.
+    pub held: HeldGauges,
+    /// The session with the leader.
+    pub session: SessionGauges,
+    /// The replication of ledgers.
+    pub replication: ReplicationGauges,
     /// Functions whose last runner is retained although it is idle.
     pub idle_stop_skipped: IntGauge,
 }
@@ -52,6 +28,49 @@
     /// All at zero.
     pub fn new() -> Self {
         let page = MetricsPage::new();
+        Self {
+            callers: CallerGauges::register(&page),
+            owners: OwnerGauges::register(&page),
+            runners: RunnerGauges::register(&page),
+            rejected_frames: page.counter(
+                "rudder_frames_rejected_total",
+                "connections closed for what they sent",
+            ),
+            held: HeldGauges::register(&page),
+            session: SessionGauges::register(&page),
+            replication: ReplicationGauges::register(&page),
+            idle_stop_skipped: page.gauge(
+                "rudder_idle_stop_skipped",
+                "functions whose last idle runner is kept",
+            ),
+            page,
+        }
+    }
+
+    /// The metrics in text format.
+    pub fn page(&self) -> Vec<u8> {
+        self.page.text()
+    }
+}
+
+impl Default for Gauges {
+    fn default() -> Self {
+        Self::new()
+    }
+}
+
+/// The metrics of callers' requests, at the daemon that received them.
+pub struct CallerGauges {
+    /// Callers' requests by outcome and reason.
+    pub request_outcomes: IntCounterVec,
+    /// The durations of callers' requests in seconds, by outcome.
+    pub request_seconds: HistogramVec,
+    /// Callers' requests that ended over a quarter of a second after their deadline.
+    pub overdue_requests: IntCounter,
+}
+
+impl CallerGauges {
+    fn register(page: &MetricsPage) -> Self {
         Self {
             request_outcomes: page.counters(
                 "rudder_transactions_total",
@@ -67,6 +86,23 @@
                 "rudder_requests_overdue_total",
                 "callers' requests that ended over a quarter of a second after their deadline",
             ),
+        }
+    }
+}
+
+/// The metrics of the search for the owners of functions.
+pub struct OwnerGauges {
+    /// Owner lookups by where the owner was found.
+    pub lookups: IntCounterVec,
+    /// Acquisitions requested from the leader.
+    pub acquires: IntCounter,
+    /// The round-trip times of acquisitions in seconds.
+    pub acquire_seconds: Histogram,
+}
+
+impl OwnerGauges {
+    fn register(page: &MetricsPage) -> Self {
+        Self {
             lookups: page.counters(
                 "rudder_owner_lookups_total",
                 "owner look-ups by where the owner was found",
@@ -77,45 +113,93 @@
                 "rudder_acquire_seconds",
                 "round trip of an acquisition to the leader",
             ),
+        }
+    }
+}
+
+/// The metrics of the exchange with runners.
+pub struct RunnerGauges {
+    /// Requests sent to runners.
+    pub sends: IntCounter,
+    /// Sends beyond a request's first.
+    pub retried_sends: IntCounter,
+    /// Responses of runners that failed verification.
+    pub rejected_answers: IntCounter,
+}
+
+impl RunnerGauges {
+    fn register(page: &MetricsPage) -> Self {
+        Self {
             sends: page.counter("rudder_sends_total", "transactions sent to runners"),
             retried_sends: page.counter("rudder_extra_sends_total", "sends beyond the first"),
             rejected_answers: page.counter("rudder_answers_rejected_total", "answers not believed"),
-            rejected_frames: page.counter(
-                "rudder_frames_rejected_total",
-                "connections closed for what they sent",
-            ),
-            held: page.gauge("rudder_functions_held", "functions held"),
+        }
+    }
+}
+
+/// The metrics of the held functions.
+pub struct HeldGauges {
+    /// Held functions.
+    pub functions: IntGauge,
+    /// Ready runners.
+    pub ready_runners: IntGauge,
+    /// Queued requests.
+    pub queued: IntGauge,
+    /// Requests in flight to runners.
+    pub in_flight: IntGauge,
+}
+
+impl HeldGauges {
+    fn register(page: &MetricsPage) -> Self {
+        Self {
+            functions: page.gauge("rudder_functions_held", "functions held"),
             ready_runners: page.gauge("rudder_runners_ready", "runners ready"),
             queued: page.gauge("rudder_transactions_waiting", "transactions in inboxes"),
             in_flight: page.gauge("rudder_transactions_running", "transactions on runners"),
+        }
+    }
+}
+
+/// The metrics of the session with the leader: its lease, and the spec it brought.
+pub struct SessionGauges {
+    /// 1 while the session lease is valid, else 0.
+    pub serving: IntGauge,
+    /// The version of the installed spec.
+    pub version: IntGauge,
+    /// Session leases that ended.
+    pub leases_ended: IntCounter,
+}
+
+impl SessionGauges {
+    fn register(page: &MetricsPage) -> Self {
+        Self {
             serving: page.gauge("rudder_serving", "1 while the member grant runs"),
             version: page.gauge("rudder_spec_serial", "the serial installed"),
             leases_ended: page.counter(
                 "rudder_member_grants_ended_total",
                 "member grants that ended",
             ),
+        }
+    }
+}
+
+/// The metrics of the replication of ledgers.
+pub struct ReplicationGauges {
+    /// Records stored as a replica of other daemons' ledgers.
+    pub replica_entries: IntGauge,
+    /// The round-trip times of replication in seconds.
+    pub round_trip_seconds: Histogram,
+}
+
+impl ReplicationGauges {
+    fn register(page: &MetricsPage) -> Self {
+        Self {
             replica_entries: page.gauge(
                 "rudder_ledger_lines",
                 "lines kept for other daemons' ledgers",
             ),
-            replication_seconds: page
+            round_trip_seconds: page
                 .seconds("rudder_note_seconds", "round trip of a note to a steward"),
-            idle_stop_skipped: page.gauge(
-                "rudder_idle_stop_skipped",
-                "functions whose last idle runner is kept",
-            ),
-            page,
         }
     }
-
-    /// The metrics in text format.
-    pub fn page(&self) -> Vec<u8> {
-        self.page.text()
-    }
-}
-
-impl Default for Gauges {
-    fn default() -> Self {
-        Self::new()
-    }
 }
--- a/crates/dataplane/src/drivers/holder_driver.rs
+++ b/crates/dataplane/src/drivers/holder_driver.rs
@@ -248,7 +248,8 @@
     if matches!(request_kind, ReplicaRequestKind::Record(_)) {
         state
             .gauges
-            .replication_seconds
+            .replication
+            .round_trip_seconds
             .observe(MonotonicTime::now().since(requested_at).as_secs_f64());
     }
     apply(&held, &state, |holder, now| {
--- a/crates/dataplane/src/drivers/mod.rs
+++ b/crates/dataplane/src/drivers/mod.rs
@@ -30,7 +30,9 @@
 pub(crate) use control::Control;
 pub(crate) use control_input::ControlInput;
 pub(crate) use frame_batch::WRITE_BATCH_BYTES;
-pub use gauges::Gauges;
+pub use gauges::{
+    CallerGauges, Gauges, HeldGauges, OwnerGauges, ReplicationGauges, RunnerGauges, SessionGauges,
+};
 pub use hop_client::{HopCallResult, HopClient};
 pub use metered_stream::WritePermit;
 pub use request_log::RequestLog;
--- a/crates/dataplane/src/drivers/state.rs
+++ b/crates/dataplane/src/drivers/state.rs
@@ -140,14 +140,14 @@
             retained_sum += usize::from(all == 1 && queued + in_flight == 0);
         }
         let entry_count = self.agent.replica_entry_count();
-        self.gauges.held.set(held_functions.len() as i64);
-        self.gauges.queued.set(queued_sum as i64);
-        self.gauges.in_flight.set(in_flight_sum as i64);
-        self.gauges.ready_runners.set(ready_sum as i64);
-        self.gauges.idle_stop_skipped.set(retained_sum as i64);
-        self.gauges.replica_entries.set(entry_count as i64);
-        self.gauges
-            .serving
-            .set(i64::from(self.agent.is_serving(MonotonicTime::now())));
+        let gauges = &self.gauges;
+        gauges.held.functions.set(held_functions.len() as i64);
+        gauges.held.queued.set(queued_sum as i64);
+        gauges.held.in_flight.set(in_flight_sum as i64);
+        gauges.held.ready_runners.set(ready_sum as i64);
+        gauges.idle_stop_skipped.set(retained_sum as i64);
+        gauges.replication.replica_entries.set(entry_count as i64);
+        let is_serving = self.agent.is_serving(MonotonicTime::now());
+        gauges.session.serving.set(i64::from(is_serving));
     }
 }
--- a/crates/dataplane/src/request_pipeline/forward_to_holder.rs
+++ b/crates/dataplane/src/request_pipeline/forward_to_holder.rs
@@ -79,7 +79,12 @@
     }
 
     fn count_lookup(&self, result: &str) {
-        self.state.gauges.lookups.with_label_values(&[result]).inc();
+        self.state
+            .gauges
+            .owners
+            .lookups
+            .with_label_values(&[result])
+            .inc();
     }
 
     /// Keeps a response's hint about the regional key for the daemon that forwarded the request; the caller's daemon uses
