--- a/crates/common/src/http/call.rs
+++ b/crates/common/src/http/call.rs
@@ -4,8 +4,9 @@
 use crate::frames::SocketAddress;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
+use hyper::body::Incoming;
 use hyper::header::{CONTENT_TYPE, HOST, HeaderMap};
-use hyper::{Method, Request, StatusCode};
+use hyper::{Method, Request, Response, StatusCode};
 use hyper_util::rt::TokioIo;
 use serde_json::Value;
 use std::time::Duration;
@@ -25,6 +26,24 @@
 }
 
 impl CallResponse {
+    /// Receives the body of a response whose head has arrived.
+    ///
+    /// # Errors
+    /// [`CallError::Body`] if the body is cut short or larger than allowed.
+    pub async fn receive(
+        response: Response<Incoming>,
+        max_body_bytes: usize,
+    ) -> Result<Self, CallError> {
+        let (head, body) = response.into_parts();
+        let collected_body = Limited::new(body, max_body_bytes).collect().await;
+        let body = collected_body.map_err(CallError::Body)?;
+        Ok(Self {
+            status: head.status,
+            headers: head.headers,
+            body: body.to_bytes(),
+        })
+    }
+
     /// Parses the body as JSON; null if it is not JSON.
     pub fn json(&self) -> Value {
         serde_json::from_slice(&self.body).unwrap_or(Value::Null)
@@ -107,14 +126,7 @@
                 .send_request(request)
                 .await
                 .map_err(CallError::Lost)?;
-            let (head, body) = response.into_parts();
-            let collected_body = Limited::new(body, max_body_bytes).collect().await;
-            let body = collected_body.map_err(CallError::Body)?;
-            Ok(CallResponse {
-                status: head.status,
-                headers: head.headers,
-                body: body.to_bytes(),
-            })
+            CallResponse::receive(response, max_body_bytes).await
         };
         tokio::select! {
             call_response = receiving => call_response,
--- a/crates/dataplane/src/agent/runner_response.rs
+++ b/crates/dataplane/src/agent/runner_response.rs
@@ -20,6 +20,8 @@
 const LOWEST_FINAL_STATUS: u16 = 200;
 /// The lowest status of a failure; only with a failure can a runner declare that it did not run.
 const LOWEST_FAILURE_STATUS: u16 = 400;
+/// The lowest status of a failure that is not the caller's.
+const LOWEST_SERVER_FAILURE_STATUS: u16 = 500;
 
 /// Verifies a runner's response: it has to name the request that was sent, and be complete and sealed. Anything else
 /// counts as lost, as nobody can tell whether the request was run.
@@ -30,100 +32,106 @@
     runner: RunnerId,
     response: RunnerResponse,
 ) -> SendResult {
+    let sent_request = SentRequest {
+        rules,
+        idempotency_key,
+        function,
+        runner,
+    };
     match response.seal_kind {
-        SealKind::Digest => verify_digest_seal(rules, idempotency_key, function, runner, response),
-        SealKind::CheckedByCaller => {
-            verify_carried_seal(rules, idempotency_key, function, runner, response)
-        }
+        SealKind::Digest => sent_request.verify_digest_seal(response),
+        SealKind::CheckedByCaller => sent_request.verify_carried_seal(response),
     }
 }
 
-/// A response whose seal is a digest that this daemon can compute itself.
-fn verify_digest_seal(
+/// What was sent to a runner, and what its response has to name.
+struct SentRequest<'a> {
     rules: Rules,
-    idempotency_key: &IdempotencyKey,
-    function: &FunctionKey,
+    idempotency_key: &'a IdempotencyKey,
+    function: &'a FunctionKey,
+    /// The id by which the runner identifies itself in responses.
     runner: RunnerId,
-    response: RunnerResponse,
-) -> SendResult {
-    let named_function = response.function.as_deref().unwrap_or("");
-    let named_runner = response.runner.as_deref().unwrap_or("");
-    let names_match = response.idempotency_key == idempotency_key.as_str()
-        && named_function == function.to_string()
-        && named_runner == runner.to_string();
-    let is_rejected = response.did_not_run;
-    let expected_seal = if rules.enforces(Rule::SealBoundToRequest) {
-        seal::seal(
-            idempotency_key,
-            function,
-            runner,
-            is_rejected,
-            &response.body,
-        )
-    } else {
-        seal::seal_of_texts(
-            &response.idempotency_key,
-            named_function,
-            named_runner,
-            is_rejected,
-            &response.body,
-        )
-    };
-    let is_verified = response.seal == expected_seal
-        && (names_match || !rules.enforces(Rule::SealBoundToRequest))
-        || !rules.enforces(Rule::SealChecked);
-    if !is_verified {
-        return SendResult::Lost;
-    }
-    if is_rejected {
-        return SendResult::RejectedByRunner;
-    }
-    SendResult::Answered(answer_outcome(runner, response))
 }
 
-/// A response whose seal only the caller can check: names and completeness are verified here.
-fn verify_carried_seal(
-    rules: Rules,
-    idempotency_key: &IdempotencyKey,
-    function: &FunctionKey,
-    runner: RunnerId,
-    response: RunnerResponse,
-) -> SendResult {
-    let names_mismatch = response.idempotency_key != idempotency_key.as_str()
-        || response
-            .function
-            .as_ref()
-            .is_some_and(|named| *named != function.to_string())
-        || response
-            .runner
-            .as_ref()
-            .is_some_and(|named| *named != runner.to_string());
-    if response.is_other_runner && response.idempotency_key == idempotency_key.as_str() {
-        return SendResult::WrongRunner;
-    }
-    if names_mismatch && rules.enforces(Rule::SealBoundToRequest) {
-        return SendResult::Lost;
-    }
-    if response.did_not_run && response.status >= LOWEST_FAILURE_STATUS {
-        return SendResult::RejectedByRunner;
-    }
-    if response.did_not_run
-        || response.status < LOWEST_FINAL_STATUS
-        || NOT_RUN_STATUSES.contains(&response.status)
-    {
-        return SendResult::Lost;
-    }
-    if response.is_unreliable && rules.enforces(Rule::IncompleteBodyRejected) {
-        return SendResult::Lost;
+impl SentRequest<'_> {
+    /// A response whose seal is a digest that this daemon can compute itself.
+    fn verify_digest_seal(&self, response: RunnerResponse) -> SendResult {
+        let named_function = response.function.as_deref().unwrap_or("");
+        let named_runner = response.runner.as_deref().unwrap_or("");
+        let names_match = response.idempotency_key == self.idempotency_key.as_str()
+            && named_function == self.function.to_string()
+            && named_runner == self.runner.to_string();
+        let is_rejected = response.did_not_run;
+        let expected_seal = if self.rules.enforces(Rule::SealBoundToRequest) {
+            seal::seal(
+                self.idempotency_key,
+                self.function,
+                self.runner,
+                is_rejected,
+                &response.body,
+            )
+        } else {
+            seal::seal_of_texts(
+                &response.idempotency_key,
+                named_function,
+                named_runner,
+                is_rejected,
+                &response.body,
+            )
+        };
+        let is_bound = names_match || !self.rules.enforces(Rule::SealBoundToRequest);
+        let is_sealed = response.seal == expected_seal && is_bound;
+        if !is_sealed && self.rules.enforces(Rule::SealChecked) {
+            return SendResult::Lost;
+        }
+        if is_rejected {
+            return SendResult::RejectedByRunner;
+        }
+        SendResult::Answered(answer_outcome(self.runner, response))
     }
-    let is_success = (200..300).contains(&response.status);
-    if is_success && response.seal.is_empty() && rules.enforces(Rule::SealChecked) {
-        return SendResult::Lost;
+
+    /// A response whose seal only the caller can check: names and completeness are verified here.
+    fn verify_carried_seal(&self, response: RunnerResponse) -> SendResult {
+        if response.is_other_runner && response.idempotency_key == self.idempotency_key.as_str() {
+            return SendResult::WrongRunner;
+        }
+        if self.is_contradicted_by(&response) && self.rules.enforces(Rule::SealBoundToRequest) {
+            return SendResult::Lost;
+        }
+        if response.did_not_run && response.status >= LOWEST_FAILURE_STATUS {
+            return SendResult::RejectedByRunner;
+        }
+        if response.did_not_run
+            || response.status < LOWEST_FINAL_STATUS
+            || NOT_RUN_STATUSES.contains(&response.status)
+        {
+            return SendResult::Lost;
+        }
+        if response.is_unreliable && self.rules.enforces(Rule::IncompleteBodyRejected) {
+            return SendResult::Lost;
+        }
+        let is_success = (200..300).contains(&response.status);
+        if is_success && response.seal.is_empty() && self.rules.enforces(Rule::SealChecked) {
+            return SendResult::Lost;
+        }
+        if response.status >= LOWEST_SERVER_FAILURE_STATUS {
+            return SendResult::Failed(answer_outcome(self.runner, response));
+        }
+        SendResult::Answered(answer_outcome(self.runner, response))
     }
-    if response.status >= 500 {
-        return SendResult::Failed(answer_outcome(runner, response));
+
+    /// Whether a response names another request, function or runner; function and runner may be left out.
+    fn is_contradicted_by(&self, response: &RunnerResponse) -> bool {
+        response.idempotency_key != self.idempotency_key.as_str()
+            || response
+                .function
+                .as_ref()
+                .is_some_and(|named| *named != self.function.to_string())
+            || response
+                .runner
+                .as_ref()
+                .is_some_and(|named| *named != self.runner.to_string())
     }
-    SendResult::Answered(answer_outcome(runner, response))
 }
 
 fn answer_outcome(runner: RunnerId, response: RunnerResponse) -> RequestOutcome {
--- a/crates/dataplane/src/drivers/holder_driver.rs
+++ b/crates/dataplane/src/drivers/holder_driver.rs
@@ -55,7 +55,11 @@
     for output in outputs {
         match held.replica_request(output) {
             Ok(replica_request) => {
-                tokio::spawn(call_replica(state.clone(), held.clone(), replica_request));
+                let task = HolderTask {
+                    held: held.clone(),
+                    state: state.clone(),
+                };
+                tokio::spawn(task.call_replica(replica_request));
             }
             Err(output) => execute(held, state, output),
         }
@@ -63,6 +67,10 @@
 }
 
 fn execute(held: &LocalHeldFunction, state: &Arc<State>, output: HolderOutput) {
+    let task = || HolderTask {
+        held: held.clone(),
+        state: state.clone(),
+    };
     match output {
         HolderOutput::Send {
             ticket,
@@ -70,8 +78,7 @@
             address,
             attempt,
         } => {
-            let (held, state) = (held.clone(), state.clone());
-            tokio::spawn(send(held, state, ticket, runner, address, attempt));
+            tokio::spawn(task().send(ticket, runner, address, attempt));
         }
         HolderOutput::End { ticket, outcome } => end(held, state, ticket, outcome),
         HolderOutput::Start {
@@ -79,13 +86,13 @@
             worker,
             spec,
         } => {
-            tokio::spawn(start(held.clone(), state.clone(), runner, worker, spec));
+            tokio::spawn(task().start(runner, worker, spec));
         }
         HolderOutput::Probe { runner, address } => {
-            tokio::spawn(probe(held.clone(), state.clone(), runner, address));
+            tokio::spawn(task().probe(runner, address));
         }
         HolderOutput::ListRunning { runner, address } => {
-            tokio::spawn(list_running(held.clone(), state.clone(), runner, address));
+            tokio::spawn(task().list_running(runner, address));
         }
         HolderOutput::Stop {
             runner,
@@ -93,7 +100,7 @@
             instance,
         } => {
             state.runner_connections.remove_idle(runner);
-            tokio::spawn(stop(held.clone(), state.clone(), runner, worker, instance));
+            tokio::spawn(task().stop(runner, worker, instance));
         }
         HolderOutput::Report(message) => {
             let message =
@@ -107,22 +114,6 @@
     }
 }
 
-async fn send(
-    held: LocalHeldFunction,
-    state: Arc<State>,
-    ticket: Ticket,
-    runner: RunnerId,
-    address: SocketAddress,
-    attempt: u32,
-) {
-    let sent_at = MonotonicTime::now();
-    let result = runners::send(&state, &held, ticket, runner, address, attempt).await;
-    log_failed_send(&state, &held, (ticket, runner), &result, sent_at);
-    apply(&held, &state, |holder, now| {
-        holder.handle_send_result(now, ticket, result)
-    });
-}
-
 fn end(held: &LocalHeldFunction, state: &State, ticket: Ticket, outcome: RequestOutcome) {
     log_unserved_request(state, held, ticket, &outcome);
     if let Some(waiter) = held.remove_waiter(ticket) {
@@ -130,71 +121,97 @@
     }
 }
 
-async fn start(
+/// A task that carries out one output of a holder, and applies the result to it.
+struct HolderTask {
     held: LocalHeldFunction,
     state: Arc<State>,
-    runner: RunnerId,
-    worker: WorkerName,
-    spec: FunctionSpec,
-) {
-    let outcome = platform::start(&state, &held, runner, &worker, &spec).await;
-    apply(&held, &state, |holder, now| {
-        holder.started(now, runner, outcome)
-    });
 }
 
-async fn probe(
-    held: LocalHeldFunction,
-    state: Arc<State>,
-    runner: RunnerId,
-    address: SocketAddress,
-) {
-    let is_ready = runners::is_ready(&state, &held, runner, address).await;
-    apply(&held, &state, |holder, now| {
-        holder.probed(now, runner, is_ready)
-    });
-}
+impl HolderTask {
+    async fn send(self, ticket: Ticket, runner: RunnerId, address: SocketAddress, attempt: u32) {
+        let sent_at = MonotonicTime::now();
+        let result = runners::send(&self.state, &self.held, ticket, runner, address, attempt).await;
+        self.log_failed_send(ticket, runner, &result, sent_at);
+        self.apply(|holder, now| holder.handle_send_result(now, ticket, result));
+    }
 
-async fn list_running(
-    held: LocalHeldFunction,
-    state: Arc<State>,
-    runner: RunnerId,
-    address: SocketAddress,
-) {
-    let self_reported_id = held.self_reported_id_of(runner);
-    let running_keys = runners::list_running(&state, self_reported_id, address).await;
-    apply(&held, &state, |holder, now| {
-        holder.running_listed(now, runner, running_keys)
-    });
-}
+    async fn start(self, runner: RunnerId, worker: WorkerName, spec: FunctionSpec) {
+        let outcome = platform::start(&self.state, &self.held, runner, &worker, &spec).await;
+        self.apply(|holder, now| holder.started(now, runner, outcome));
+    }
 
-async fn stop(
-    held: LocalHeldFunction,
-    state: Arc<State>,
-    runner: RunnerId,
-    worker: WorkerName,
-    instance: Option<InstanceId>,
-) {
-    if platform::stop(&state, &held, runner, worker, instance).await {
-        apply(&held, &state, |holder, now| holder.stopped(now, runner));
+    async fn probe(self, runner: RunnerId, address: SocketAddress) {
+        let is_ready = runners::is_ready(&self.state, &self.held, runner, address).await;
+        self.apply(|holder, now| holder.probed(now, runner, is_ready));
     }
-}
 
-fn log_failed_send(
-    state: &State,
-    held: &LocalHeldFunction,
-    (ticket, runner): (Ticket, RunnerId),
-    end: &SendResult,
-    sent_at: MonotonicTime,
-) {
-    if let (Some(failure_text), Some(holder_request)) = (end.failure(), held.holder_request(ticket))
-    {
-        let (idempotency_key, function) = (&holder_request.idempotency_key, &held.function);
+    async fn list_running(self, runner: RunnerId, address: SocketAddress) {
+        let self_reported_id = self.held.self_reported_id_of(runner);
+        let running_keys = runners::list_running(&self.state, self_reported_id, address).await;
+        self.apply(|holder, now| holder.running_listed(now, runner, running_keys));
+    }
+
+    async fn stop(self, runner: RunnerId, worker: WorkerName, instance: Option<InstanceId>) {
+        if platform::stop(&self.state, &self.held, runner, worker, instance).await {
+            self.apply(|holder, now| holder.stopped(now, runner));
+        }
+    }
+
+    async fn call_replica(self, replica_request: ReplicaRequest) {
+        let ReplicaRequest {
+            replica,
+            body,
+            request_kind,
+            timeout,
+        } = replica_request;
+        let requested_at = MonotonicTime::now();
+        let reply = match self
+            .state
+            .hop_client
+            .request(replica.address, body, requested_at + timeout)
+            .await
+        {
+            HopCallResult::Reply(reply) => Some(reply),
+            HopCallResult::Unsent | HopCallResult::Lost => None,
+        };
+        if matches!(request_kind, ReplicaRequestKind::Record(_)) {
+            self.state
+                .gauges
+                .replication
+                .round_trip_seconds
+                .observe(MonotonicTime::now().since(requested_at).as_secs_f64());
+        }
+        self.apply(|holder, now| request_kind.reply(holder, now, reply));
+    }
+
+    fn log_failed_send(
+        &self,
+        ticket: Ticket,
+        runner: RunnerId,
+        result: &SendResult,
+        sent_at: MonotonicTime,
+    ) {
+        let Some(failure_text) = result.failure() else {
+            return;
+        };
+        let Some(holder_request) = self.held.holder_request(ticket) else {
+            return;
+        };
+        let idempotency_key = &holder_request.idempotency_key;
+        let function = &self.held.function;
         let taken_ms = MonotonicTime::now().since(sent_at).as_millis();
         let detail = format_args!(
             "{idempotency_key} {function} on {runner} {failure_text} after {taken_ms} ms"
         );
-        state.request_log.write(events::SEND_FAILED, detail);
+        self.state.request_log.write(events::SEND_FAILED, detail);
+    }
+
+    /// Applies the result to the holder, and carries out what the holder puts out for it.
+    fn apply(&self, change: impl FnOnce(&mut Holder, MonotonicTime) -> Vec<HolderOutput>) {
+        let outputs = self
+            .held
+            .with(|holder| change(holder, MonotonicTime::now()));
+        drive(&self.held, &self.state, outputs);
     }
 }
 
@@ -218,41 +235,3 @@
         state.request_log.write(events::REQUEST_NOT_SERVED, detail);
     }
 }
-
-/// Applies an event to a holder and carries out its outputs.
-fn apply(
-    held: &LocalHeldFunction,
-    state: &Arc<State>,
-    change: impl FnOnce(&mut Holder, MonotonicTime) -> Vec<HolderOutput>,
-) {
-    let outputs = held.with(|holder| change(holder, MonotonicTime::now()));
-    drive(held, state, outputs);
-}
-
-async fn call_replica(state: Arc<State>, held: LocalHeldFunction, replica_request: ReplicaRequest) {
-    let ReplicaRequest {
-        replica,
-        body,
-        request_kind,
-        timeout,
-    } = replica_request;
-    let requested_at = MonotonicTime::now();
-    let reply = match state
-        .hop_client
-        .request(replica.address, body, requested_at + timeout)
-        .await
-    {
-        HopCallResult::Reply(reply) => Some(reply),
-        HopCallResult::Unsent | HopCallResult::Lost => None,
-    };
-    if matches!(request_kind, ReplicaRequestKind::Record(_)) {
-        state
-            .gauges
-            .replication
-            .round_trip_seconds
-            .observe(MonotonicTime::now().since(requested_at).as_secs_f64());
-    }
-    apply(&held, &state, |holder, now| {
-        request_kind.reply(holder, now, reply)
-    });
-}
--- a/crates/dataplane/src/drivers/runner_connections.rs
+++ b/crates/dataplane/src/drivers/runner_connections.rs
@@ -9,7 +9,7 @@
 use common::http::{CallError, CallResponse, is_merged_response};
 use common::identity::RunnerId;
 use common::rules::{Rule, Rules};
-use http_body_util::{BodyExt, Full, Limited};
+use http_body_util::Full;
 use hyper::Request;
 use hyper::client::conn::http1::{SendRequest, handshake};
 use hyper_util::rt::TokioIo;
@@ -119,19 +119,12 @@
             .send_request(request)
             .await
             .map_err(CallError::Lost)?;
-        let (head, body) = response.into_parts();
-        if is_merged_response(&head.headers, &head.extensions)
+        if is_merged_response(response.headers(), response.extensions())
             && self.rules.enforces(Rule::MergedHeadRejected)
         {
             return Err(CallError::MergedResponses);
         }
-        let collected_body = Limited::new(body, max_body_bytes).collect().await;
-        let body = collected_body.map_err(CallError::Body)?;
-        Ok(CallResponse {
-            status: head.status,
-            headers: head.headers,
-            body: body.to_bytes(),
-        })
+        CallResponse::receive(response, max_body_bytes).await
     }
 
     /// Closes the connection: the driver task is cancelled and joined, so that nothing is written after this returns.
--- a/crates/dataplane/src/server/daemon.rs
+++ b/crates/dataplane/src/server/daemon.rs
@@ -14,11 +14,23 @@
 use common::readers::SettingsError;
 use common::rng::SeededRng;
 use common::rules::Rules;
+use std::io;
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream, UdpSocket};
 use tokio::sync::{mpsc, watch};
 
+/// The delay before a listener that failed is tried again.
+const LISTENER_RETRY_DELAY: Duration = Duration::from_millis(20);
+/// How often a daemon that shuts down checks whether it has nothing left to finish.
+const DRAIN_CHECK_INTERVAL: Duration = Duration::from_millis(20);
+/// How long a daemon that exits leaves its last frames to be written.
+const LAST_FRAMES_TIME: Duration = Duration::from_millis(60);
+/// How long another daemon may take to name the channel of its connection.
+const CHANNEL_TIMEOUT: Duration = Duration::from_secs(3);
+/// The size of the buffer for heartbeats; no datagram is larger.
+const MAX_DATAGRAM_BYTES: usize = 64 << 10;
+
 /// A handle to a running daemon.
 #[derive(Clone)]
 pub struct DaemonHandle {
@@ -36,10 +48,7 @@
 pub struct Daemon {
     state: Arc<State>,
     inputs: mpsc::UnboundedReceiver<ControlInput>,
-    process_listener: TcpListener,
-    ingress_listener: TcpListener,
-    ready_listener: Option<TcpListener>,
-    heartbeat_socket: Arc<UdpSocket>,
+    listeners: Listeners,
 }
 
 impl Daemon {
@@ -72,45 +81,15 @@
         rules: Rules,
         adapters: DaemonAdapters,
     ) -> Result<Self, SettingsError> {
-        let error_at = |key: &'static str, address: SocketAddress| {
-            let source = settings.source.clone();
-            move |error| SettingsError::CannotListen(source, key, address, error)
-        };
-        let listen_key = if settings.listen == settings.address {
-            "place"
-        } else {
-            "listen"
-        };
-        let process_listener = TcpListener::bind(settings.listen.to_std())
-            .await
-            .map_err(error_at(listen_key, settings.listen))?;
-        let ingress_listener = TcpListener::bind(settings.ingress.to_std())
-            .await
-            .map_err(error_at("door", settings.ingress))?;
-        let ready_listener = match settings.ready {
-            Some(ready) => {
-                let listener = TcpListener::bind(ready.to_std()).await;
-                Some(listener.map_err(error_at("ready", ready))?)
-            }
-            None => None,
-        };
-        let heartbeat_socket = UdpSocket::bind(settings.listen.to_std())
-            .await
-            .map_err(error_at(listen_key, settings.listen))?;
+        let listeners = Listeners::open(&settings).await?;
         let (control, inputs) = mpsc::unbounded_channel();
         let host = own_host(&settings);
         let connector = Arc::new(TcpConnector::new(*settings.address.0.ip()));
-        let state = Arc::new(State::new(
-            settings, host, rules, adapters, connector, control,
-        ));
-        let heartbeat_socket = Arc::new(heartbeat_socket);
+        let state = State::new(settings, host, rules, adapters, connector, control);
         Ok(Self {
-            state,
+            state: Arc::new(state),
             inputs,
-            process_listener,
-            ingress_listener,
-            ready_listener,
-            heartbeat_socket,
+            listeners,
         })
     }
 
@@ -128,20 +107,22 @@
         let Self {
             state,
             inputs,
-            process_listener,
-            ingress_listener,
-            ready_listener,
-            heartbeat_socket,
+            listeners,
         } = self;
-        tokio::spawn(Control::new(state.clone(), heartbeat_socket.clone()).run(inputs));
-        tokio::spawn(receive_heartbeats(state.clone(), heartbeat_socket));
-        tokio::spawn(accept_hops(process_listener, state.clone()));
+        let heartbeats = listeners.heartbeats;
+        tokio::spawn(Control::new(state.clone(), heartbeats.clone()).run(inputs));
+        tokio::spawn(receive_heartbeats(state.clone(), heartbeats));
+        tokio::spawn(accept_hops(listeners.daemons, state.clone()));
         let (_ready_stop_sender, ready_stop) = watch::channel(false);
-        if let Some(ready_listener) = ready_listener {
+        if let Some(ready_listener) = listeners.ready {
             tokio::spawn(serve_ready(state.clone(), ready_listener, ready_stop));
         }
         let (ingress_stop_sender, ingress_stop) = watch::channel(false);
-        let ingress = tokio::spawn(serve_ingress(state.clone(), ingress_listener, ingress_stop));
+        let ingress = tokio::spawn(serve_ingress(
+            state.clone(),
+            listeners.ingress,
+            ingress_stop,
+        ));
         let _ = stop.wait_for(|stopping| *stopping).await;
         let shutdown_deadline = MonotonicTime::now() + state.settings.grace;
         state.agent.begin_leaving();
@@ -150,15 +131,72 @@
         let draining = async {
             let _ = ingress.await;
             while !state.agent.is_drained() {
-                tokio::time::sleep(Duration::from_millis(20)).await;
+                tokio::time::sleep(DRAIN_CHECK_INTERVAL).await;
             }
         };
         let _ = tokio::time::timeout(shutdown_deadline.since(MonotonicTime::now()), draining).await;
         let _ = state.control.send(ControlInput::ShutdownFinished);
-        tokio::time::sleep(Duration::from_millis(60)).await;
+        tokio::time::sleep(LAST_FRAMES_TIME).await;
+    }
+}
+
+/// The open listeners of a daemon.
+struct Listeners {
+    /// For connections of other daemons.
+    daemons: TcpListener,
+    /// For callers.
+    ingress: TcpListener,
+    /// For readiness and metrics, if these have an address of their own.
+    ready: Option<TcpListener>,
+    /// For heartbeats of other daemons; heartbeats are sent from it as well.
+    heartbeats: Arc<UdpSocket>,
+}
+
+impl Listeners {
+    async fn open(settings: &DaemonSettings) -> Result<Self, SettingsError> {
+        let listen_key = if settings.listen == settings.address {
+            "place"
+        } else {
+            "listen"
+        };
+        let daemons = listen_at(settings, listen_key, settings.listen).await?;
+        let ingress = listen_at(settings, "door", settings.ingress).await?;
+        let ready = match settings.ready {
+            Some(ready) => Some(listen_at(settings, "ready", ready).await?),
+            None => None,
+        };
+        let heartbeats = UdpSocket::bind(settings.listen.to_std())
+            .await
+            .map_err(|error| cannot_listen(settings, listen_key, settings.listen, error))?;
+        Ok(Self {
+            daemons,
+            ingress,
+            ready,
+            heartbeats: Arc::new(heartbeats),
+        })
     }
 }
 
+/// Opens a TCP listener at the address that the settings have under `key`.
+async fn listen_at(
+    settings: &DaemonSettings,
+    key: &'static str,
+    address: SocketAddress,
+) -> Result<TcpListener, SettingsError> {
+    TcpListener::bind(address.to_std())
+        .await
+        .map_err(|error| cannot_listen(settings, key, address, error))
+}
+
+fn cannot_listen(
+    settings: &DaemonSettings,
+    key: &'static str,
+    address: SocketAddress,
+    error: io::Error,
+) -> SettingsError {
+    SettingsError::CannotListen(settings.source.clone(), key, address, error)
+}
+
 /// This daemon as a host; each start of the process is a new incarnation, never zero.
 fn own_host(settings: &DaemonSettings) -> Host {
     Host {
@@ -172,10 +210,10 @@
 }
 
 async fn receive_heartbeats(state: Arc<State>, heartbeat_socket: Arc<UdpSocket>) {
-    let mut datagram = vec![0; 64 << 10];
+    let mut datagram = vec![0; MAX_DATAGRAM_BYTES];
     loop {
         let Ok((length, from)) = heartbeat_socket.recv_from(&mut datagram).await else {
-            tokio::time::sleep(Duration::from_millis(20)).await;
+            tokio::time::sleep(LISTENER_RETRY_DELAY).await;
             continue;
         };
         match decode_heartbeat(&datagram[..length]) {
@@ -207,14 +245,14 @@
                     }
                 });
             }
-            Err(_) => tokio::time::sleep(Duration::from_millis(20)).await,
+            Err(_) => tokio::time::sleep(LISTENER_RETRY_DELAY).await,
         }
     }
 }
 
 async fn serve_channel(state: Arc<State>, mut stream: TcpStream) -> Result<(), FrameError> {
     common::sockets::set_socket_options(&stream);
-    let channel = tokio::time::timeout(Duration::from_secs(3), read_channel(&mut stream))
+    let channel = tokio::time::timeout(CHANNEL_TIMEOUT, read_channel(&mut stream))
         .await
         .map_err(|_| FrameError::Connection(std::io::ErrorKind::TimedOut.into()))??;
     match channel {
