--- a/crates/dataplane/src/agent/daemon_control/held_functions.rs
+++ b/crates/dataplane/src/agent/daemon_control/held_functions.rs
@@ -4,7 +4,7 @@
 use crate::holder::{Holder, HolderOutput, LeaseTerms};
 use common::clock::MonotonicTime;
 use common::events;
-use common::frames::{DaemonToLeader, LengthPrefixed, ReserveResult, RunnerStatus};
+use common::frames::{ClaimedRunner, DaemonToLeader, LengthPrefixed, ReserveResult, RunnerStatus};
 use common::identity::{FencingToken, FunctionKey};
 use common::rules::Rule;
 use common::spec::RoutingTable;
@@ -174,7 +174,16 @@
             holder.orphans_reported();
             holder.orphaned_runners()
         });
-        let (function, fencing_token) = (held.function.clone(), held.fencing_token);
+        self.send_release(held.function.clone(), held.fencing_token, runners);
+    }
+
+    /// Releases a function's lease, with the runners that are still to be stopped.
+    pub(super) fn send_release(
+        &mut self,
+        function: FunctionKey,
+        fencing_token: FencingToken,
+        runners: Vec<ClaimedRunner>,
+    ) {
         self.send_frame(DaemonToLeader::Release {
             function,
             fencing_token,
--- a/crates/dataplane/src/agent/daemon_control/mod.rs
+++ b/crates/dataplane/src/agent/daemon_control/mod.rs
@@ -292,11 +292,7 @@
             HolderMessage::Released { runners } => {
                 if agent.held(&function, fencing_token).is_some() {
                     self.remove(agent, &function);
-                    self.send_frame(DaemonToLeader::Release {
-                        function,
-                        fencing_token,
-                        runners: LengthPrefixed(runners),
-                    });
+                    self.send_release(function, fencing_token, runners);
                 }
             }
         }
--- a/crates/dataplane/src/agent/daemon_control/outputs.rs
+++ b/crates/dataplane/src/agent/daemon_control/outputs.rs
@@ -20,8 +20,15 @@
     HeartbeatDatagram(Heartbeat, Vec<SocketAddress>),
     /// Carry out a holder's outputs.
     Holder(Arc<HeldFunction<W>>, Vec<HolderOutput>),
-    /// An acquisition has ended, after this round trip: notify who waits for it. None if it has to be retried.
-    Acquired(FunctionKey, Option<AcquireResult>, Duration),
+    /// An acquisition has ended: notify who waits for it.
+    Acquired {
+        /// The function.
+        function: FunctionKey,
+        /// The leader's response; none if the acquisition has to be retried.
+        result: Option<AcquireResult>,
+        /// Time from the request to the response.
+        round_trip: Duration,
+    },
     /// The stream is lost: notify all who wait for an acquisition.
     AcquiresLost,
     /// Some state has changed that a request may wait for.
--- a/crates/dataplane/src/agent/daemon_control/view_outputs.rs
+++ b/crates/dataplane/src/agent/daemon_control/view_outputs.rs
@@ -152,8 +152,11 @@
             agent.cache_owner(&function, host);
         }
         let is_settled = !matches!(result, None | Some(AcquireResult::RetryLater { .. }));
-        self.outputs
-            .push(DaemonControlOutput::Acquired(function, result, round_trip));
+        self.outputs.push(DaemonControlOutput::Acquired {
+            function,
+            result,
+            round_trip,
+        });
         if is_settled {
             self.outputs.push(DaemonControlOutput::Changed);
         }
--- a/crates/dataplane/src/cluster_view/leader_frames.rs
+++ b/crates/dataplane/src/cluster_view/leader_frames.rs
@@ -51,12 +51,12 @@
                 correlation,
                 function,
                 result,
-            } => self.acquired(now, correlation, function, result),
+            } => self.handle_acquire_result(now, correlation, function, result),
             LeaderToDaemon::Reserved {
                 correlation,
                 function,
                 result,
-            } => self.reserved(correlation, function, result),
+            } => self.handle_reserve_result(correlation, function, result),
             command => self.outputs.extend(function_command(command)),
         }
     }
--- a/crates/dataplane/src/cluster_view/leader_requests.rs
+++ b/crates/dataplane/src/cluster_view/leader_requests.rs
@@ -30,37 +30,44 @@
             .and_then(|pending| pending.expected_at);
         if let Some(expected_at) = pending_expected_at {
             let wait_ms = expected_at.since(now).as_millis() as u32;
-            let result = Some(AcquireResult::RetryLater { wait_ms });
-            let round_trip = Duration::ZERO;
-            self.outputs.push(ClusterViewOutput::Acquired {
-                function,
-                result,
-                round_trip,
-            });
+            let result = AcquireResult::RetryLater { wait_ms };
+            self.report_acquired(function, Some(result), Duration::ZERO);
         } else if self.control_session.is_welcomed() {
-            let correlation = self.control_session.correlation();
-            let pending = PendingAcquire {
-                function: function.clone(),
-                requested_at: now,
-                expected_at: None,
-            };
-            self.acquires.insert(correlation, pending);
-            self.outputs
-                .push(ClusterViewOutput::SendFrame(DaemonToLeader::Acquire {
-                    correlation,
-                    function,
-                }));
+            self.send_acquire(now, function);
         } else {
-            let round_trip = Duration::ZERO;
-            self.outputs.push(ClusterViewOutput::Acquired {
-                function,
-                result: None,
-                round_trip,
-            });
+            self.report_acquired(function, None, Duration::ZERO);
         }
         self.take_outputs()
     }
 
+    fn send_acquire(&mut self, now: MonotonicTime, function: FunctionKey) {
+        let correlation = self.control_session.correlation();
+        let pending = PendingAcquire {
+            function: function.clone(),
+            requested_at: now,
+            expected_at: None,
+        };
+        self.acquires.insert(correlation, pending);
+        self.outputs
+            .push(ClusterViewOutput::SendFrame(DaemonToLeader::Acquire {
+                correlation,
+                function,
+            }));
+    }
+
+    fn report_acquired(
+        &mut self,
+        function: FunctionKey,
+        result: Option<AcquireResult>,
+        round_trip: Duration,
+    ) {
+        self.outputs.push(ClusterViewOutput::Acquired {
+            function,
+            result,
+            round_trip,
+        });
+    }
+
     /// Requests one more runner for a held function from the leader.
     pub fn reserve(
         &mut self,
@@ -88,7 +95,8 @@
         self.take_outputs()
     }
 
-    pub(super) fn acquired(
+    /// Handles the leader's response to an acquisition.
+    pub(super) fn handle_acquire_result(
         &mut self,
         now: MonotonicTime,
         correlation: CorrelationId,
@@ -100,12 +108,7 @@
         {
             pending.expected_at = Some(now + Duration::from_millis(u64::from(*wait_ms)));
             let round_trip = now.since(pending.requested_at);
-            let result = Some(result);
-            self.outputs.push(ClusterViewOutput::Acquired {
-                function,
-                result,
-                round_trip,
-            });
+            self.report_acquired(function, Some(result), round_trip);
             return;
         }
         let round_trip = self
@@ -120,11 +123,7 @@
             }
             _ => Some(result),
         };
-        self.outputs.push(ClusterViewOutput::Acquired {
-            function,
-            result,
-            round_trip,
-        });
+        self.report_acquired(function, result, round_trip);
     }
 
     /// Whether a granted lease is one that was released already: the leader repeats it in response to a request that
@@ -160,10 +159,7 @@
             .table
             .function_of(function)
             .map(|entry| (*entry.spec).clone());
-        let is_void =
-            correlation <= self.void_through && self.rules.enforces(Rule::StaleLeaseReturned);
-        let may_hold = now < self.control_session.lease_end() && !self.leaving && !is_void;
-        let output = match spec.filter(|_| may_hold) {
+        let output = match spec.filter(|_| self.may_hold(now, correlation)) {
             Some(spec) => ClusterViewOutput::LeaseGranted(LeaseTerms {
                 function: function.clone(),
                 fencing_token: *fencing_token,
@@ -186,7 +182,16 @@
         self.outputs.push(output);
     }
 
-    pub(super) fn reserved(
+    /// Whether a function whose lease was requested under this correlation may be held.
+    fn may_hold(&self, now: MonotonicTime, correlation: CorrelationId) -> bool {
+        let is_void =
+            correlation <= self.void_through && self.rules.enforces(Rule::StaleLeaseReturned);
+        now < self.control_session.lease_end() && !self.is_leaving && !is_void
+    }
+
+    /// Handles the leader's response to a reservation; a runner that was reserved for a request that was given up is
+    /// returned.
+    pub(super) fn handle_reserve_result(
         &mut self,
         correlation: CorrelationId,
         function: FunctionKey,
@@ -218,11 +223,7 @@
     pub(super) fn void_pending_acquires(&mut self, now: MonotonicTime) {
         self.void_through = self.control_session.correlation();
         for pending in std::mem::take(&mut self.acquires).into_values() {
-            self.outputs.push(ClusterViewOutput::Acquired {
-                function: pending.function,
-                result: None,
-                round_trip: now.since(pending.requested_at),
-            });
+            self.report_acquired(pending.function, None, now.since(pending.requested_at));
         }
     }
 
@@ -238,11 +239,7 @@
             .collect();
         for expired_correlation in expired_correlations {
             if let Some(pending) = self.acquires.remove(&expired_correlation) {
-                self.outputs.push(ClusterViewOutput::Acquired {
-                    function: pending.function,
-                    result: None,
-                    round_trip: now.since(pending.requested_at),
-                });
+                self.report_acquired(pending.function, None, now.since(pending.requested_at));
             }
         }
     }
--- a/crates/dataplane/src/cluster_view/mod.rs
+++ b/crates/dataplane/src/cluster_view/mod.rs
@@ -41,7 +41,7 @@
     /// Leases that were released on this stream: the leader may grant them once more before it has handled the
     /// release.
     released_leases: BTreeMap<FunctionKey, FencingToken>,
-    leaving: bool,
+    is_leaving: bool,
     rules: Rules,
     outputs: Vec<ClusterViewOutput>,
 }
@@ -59,7 +59,7 @@
             reserves: BTreeMap::new(),
             void_through: CorrelationId(0),
             released_leases: BTreeMap::new(),
-            leaving: false,
+            is_leaving: false,
             rules: Rules::ALL_ENFORCED,
             outputs: Vec::new(),
         }
@@ -188,7 +188,7 @@
 
     /// The daemon is leaving: it accepts no further lease.
     pub fn leave(&mut self, now: MonotonicTime) -> Vec<ClusterViewOutput> {
-        self.leaving = true;
+        self.is_leaving = true;
         let outputs = self.control_session.leave();
         self.apply_session_outputs(now, outputs);
         self.take_outputs()
--- a/crates/dataplane/src/control_session/mod.rs
+++ b/crates/dataplane/src/control_session/mod.rs
@@ -60,7 +60,7 @@
     ingress: SocketAddress,
     started_at: MonotonicTime,
     version: Version,
-    leaving: bool,
+    is_leaving: bool,
     controllers: Controllers,
     last_hint_at: MonotonicTime,
     state: StreamState,
@@ -90,7 +90,7 @@
             ingress,
             started_at: now,
             version: Version(0),
-            leaving: false,
+            is_leaving: false,
             controllers: Controllers::new(seeds, first_index),
             last_hint_at: MonotonicTime::ZERO,
             state: StreamState::Idle { dial_at: now },
@@ -120,7 +120,7 @@
                 renew_at,
             } => {
                 let silence_deadline = last_heard_at + self.timing.silence_timeout;
-                if self.leaving {
+                if self.is_leaving {
                     silence_deadline
                 } else {
                     silence_deadline.min(renew_at)
@@ -178,7 +178,7 @@
 
     /// The daemon is leaving: it is not eligible for further functions, and does not renew its lease.
     pub fn leave(&mut self) -> Vec<ControlSessionOutput> {
-        self.leaving = true;
+        self.is_leaving = true;
         self.host.eligible.0 = false;
         if self.is_welcomed() {
             vec![ControlSessionOutput::SendFrame(
@@ -266,7 +266,7 @@
             StreamState::Welcomed {
                 last_heard_at,
                 renew_at,
-            } if now >= renew_at && !self.leaving => {
+            } if now >= renew_at && !self.is_leaving => {
                 self.state = StreamState::Welcomed {
                     last_heard_at,
                     renew_at: now + self.timing.renewal_interval,
--- a/crates/dataplane/src/drivers/control.rs
+++ b/crates/dataplane/src/drivers/control.rs
@@ -1,6 +1,6 @@
 //! The control task: it feeds the daemon's control state machine and carries out its outputs.
 
-use super::control_input::ControlInput;
+use super::control_input::{ControlInput, StreamEvent};
 use super::frame_batch::WRITE_BATCH_BYTES;
 use super::holder_driver;
 use super::state::State;
@@ -120,32 +120,20 @@
         let state = self.state.clone();
         let agent = &state.agent;
         match input {
-            ControlInput::Connected(stream_id, sender) if stream_id == self.current_stream_id => {
-                self.stream = Some(sender);
-                let outputs = self.controller.connected(agent, now);
-                self.execute(outputs);
-            }
-            ControlInput::Disconnected(stream_id) if stream_id == self.current_stream_id => {
-                self.stream = None;
-                let outputs = self.controller.disconnected(agent, now);
-                self.execute(outputs);
-            }
-            ControlInput::Received(stream_id, frame) if stream_id == self.current_stream_id => {
-                let outputs = self.controller.received(agent, now, frame);
-                self.execute(outputs);
-            }
-            ControlInput::Receiving(stream_id) if stream_id == self.current_stream_id => {
-                self.controller.frame_part_received(now);
+            ControlInput::Stream { stream_id, event } => {
+                if stream_id == self.current_stream_id {
+                    self.handle_stream_event(now, event);
+                }
             }
-            ControlInput::Connected(..)
-            | ControlInput::Disconnected(_)
-            | ControlInput::Receiving(_)
-            | ControlInput::Received(..) => {}
             ControlInput::HeartbeatDatagram(heartbeat) => self.handle_heartbeat(now, &heartbeat),
             ControlInput::Acquire(function, reply_sender) => {
                 self.request_acquire(now, function, reply_sender);
             }
-            ControlInput::HolderMessage(function, fencing_token, message) => {
+            ControlInput::HolderMessage {
+                function,
+                fencing_token,
+                message,
+            } => {
                 let outputs =
                     self.controller
                         .holder_message(agent, now, function, fencing_token, message);
@@ -164,6 +152,28 @@
         }
     }
 
+    /// Handles an event of the current stream.
+    fn handle_stream_event(&mut self, now: MonotonicTime, event: StreamEvent) {
+        let state = self.state.clone();
+        let agent = &state.agent;
+        let outputs = match event {
+            StreamEvent::Connected(sender) => {
+                self.stream = Some(sender);
+                self.controller.connected(agent, now)
+            }
+            StreamEvent::Disconnected => {
+                self.stream = None;
+                self.controller.disconnected(agent, now)
+            }
+            StreamEvent::Received(frame) => self.controller.received(agent, now, frame),
+            StreamEvent::Receiving => {
+                self.controller.frame_part_received(now);
+                return;
+            }
+        };
+        self.execute(outputs);
+    }
+
     fn handle_heartbeat(&mut self, now: MonotonicTime, heartbeat: &Heartbeat) {
         if !self.controller.heartbeat(now, heartbeat) {
             log_event!(
@@ -217,9 +227,11 @@
                 DaemonControlOutput::Holder(held, outputs) => {
                     holder_driver::drive(&held, &self.state, outputs);
                 }
-                DaemonControlOutput::Acquired(function, result, round_trip) => {
-                    self.acquired(&function, result, round_trip);
-                }
+                DaemonControlOutput::Acquired {
+                    function,
+                    result,
+                    round_trip,
+                } => self.handle_acquired(&function, result, round_trip),
                 DaemonControlOutput::AcquiresLost => self.acquires.clear(),
                 DaemonControlOutput::Changed => self.state.changes.send_modify(|count| *count += 1),
                 DaemonControlOutput::LogEvent(event, detail) => log_control_event(event, &detail),
@@ -251,7 +263,8 @@
         }
     }
 
-    fn acquired(
+    /// Passes the result of an acquisition to the requests that wait for it; none has each of them try again.
+    fn handle_acquired(
         &mut self,
         function: &FunctionKey,
         result: Option<AcquireResult>,
@@ -289,7 +302,10 @@
         state.gauges.rejected_frames.inc();
         log_event!(Warn, events::FRAME_REJECTED, "from {address}: {error}");
     }
-    let _ = state.control.send(ControlInput::Disconnected(stream_id));
+    let _ = state.control.send(ControlInput::Stream {
+        stream_id,
+        event: StreamEvent::Disconnected,
+    });
 }
 
 async fn drive_stream(
@@ -300,9 +316,10 @@
     let own_ip = *state.settings.address.0.ip();
     let stream = dial(own_ip, address, Channel::Stream, DIAL_TIMEOUT).await?;
     let (sender, frames) = mpsc::channel::<DaemonToLeader>(MAX_QUEUED_FRAMES);
-    let _ = state
-        .control
-        .send(ControlInput::Connected(stream_id, sender));
+    let _ = state.control.send(ControlInput::Stream {
+        stream_id,
+        event: StreamEvent::Connected(sender),
+    });
     let (reading_half, writing_half) = stream.into_split();
     tokio::select! {
         ended = read_frames(state, stream_id, reading_half) => ended,
@@ -318,10 +335,16 @@
     let mut reader = BufReader::new(reading_half);
     loop {
         let report_receiving = || {
-            let _ = state.control.send(ControlInput::Receiving(stream_id));
+            let _ = state.control.send(ControlInput::Stream {
+                stream_id,
+                event: StreamEvent::Receiving,
+            });
         };
         let frame: LeaderToDaemon = read_frame_in_parts(&mut reader, report_receiving).await?;
-        let _ = state.control.send(ControlInput::Received(stream_id, frame));
+        let _ = state.control.send(ControlInput::Stream {
+            stream_id,
+            event: StreamEvent::Received(frame),
+        });
     }
 }
 
--- a/crates/dataplane/src/drivers/holder_driver.rs
+++ b/crates/dataplane/src/drivers/holder_driver.rs
@@ -103,9 +103,11 @@
             tokio::spawn(task().stop(runner, worker, instance));
         }
         HolderOutput::Report(message) => {
-            let message =
-                ControlInput::HolderMessage(held.function.clone(), held.fencing_token, message);
-            let _ = state.control.send(message);
+            let _ = state.control.send(ControlInput::HolderMessage {
+                function: held.function.clone(),
+                fencing_token: held.fencing_token,
+                message,
+            });
         }
         // These became replica requests in `drive`.
         HolderOutput::Collect { .. }
--- a/crates/dataplane/src/holder/idle_retention.rs
+++ b/crates/dataplane/src/holder/idle_retention.rs
@@ -63,7 +63,7 @@
     /// The shortest target of its requests.
     shortest_target: Option<Duration>,
     last_request_at: MonotonicTime,
-    is_warm: bool,
+    is_prewarmed: bool,
 }
 
 impl IdleRetention {
@@ -73,12 +73,12 @@
             startup_times: StartupTimes::new(startup),
             shortest_target: None,
             last_request_at: now,
-            is_warm: false,
+            is_prewarmed: false,
         }
     }
 
-    pub(super) fn set_prewarmed(&mut self, is_warm: bool) {
-        self.is_warm = is_warm;
+    pub(super) fn set_prewarmed(&mut self, is_prewarmed: bool) {
+        self.is_prewarmed = is_prewarmed;
     }
 
     pub(super) fn record_request(&mut self, now: MonotonicTime, target: Duration) {
@@ -120,14 +120,14 @@
     fn idle_limit(&self, now: MonotonicTime) -> Option<Duration> {
         let break_even = self.break_even();
         if self.tuning.idle_cost.is_some() {
-            if self.idle_retention.is_warm && !self.demand.was_called() {
+            if self.idle_retention.is_prewarmed && !self.demand.was_called() {
                 return Some(UNCALLED_IDLE_LIMIT);
             }
             let is_unknown =
                 self.demand.age(now) < (break_even * KNOWN_DEMAND_BREAK_EVENS).as_secs_f64();
             let is_frequent = self.demand.is_frequent(now, break_even);
             return Some(
-                if is_frequent || (self.idle_retention.is_warm && is_unknown) {
+                if is_frequent || (self.idle_retention.is_prewarmed && is_unknown) {
                     break_even * FREQUENT_IDLE_FACTOR
                 } else {
                     self.spec
@@ -137,7 +137,7 @@
                 },
             );
         }
-        if self.idle_retention.is_warm || self.tuning.idle_startups == 0 {
+        if self.idle_retention.is_prewarmed || self.tuning.idle_startups == 0 {
             return None;
         }
         Some(match self.tuning.rare_idle_limit {
--- a/crates/dataplane/src/holder/mod.rs
+++ b/crates/dataplane/src/holder/mod.rs
@@ -125,8 +125,8 @@
     }
 
     /// Sets whether the function is prewarmed: its last runner is then retained longer without requests.
-    pub fn set_prewarmed(&mut self, is_warm: bool) {
-        self.idle_retention.set_prewarmed(is_warm);
+    pub fn set_prewarmed(&mut self, is_prewarmed: bool) {
+        self.idle_retention.set_prewarmed(is_prewarmed);
     }
 
     /// The key of the held function.
--- a/crates/dataplane/src/ledger/replica.rs
+++ b/crates/dataplane/src/ledger/replica.rs
@@ -19,7 +19,7 @@
 struct LedgerCopy {
     entries: HashMap<IdempotencyKey, ReplicaEntry>,
     /// Whether a later holder has collected it; it then takes no more records.
-    sealed: bool,
+    is_sealed: bool,
     touched_at: MonotonicTime,
 }
 
@@ -65,7 +65,7 @@
             .entry((function.clone(), fencing_token))
             .or_insert(LedgerCopy {
                 entries: HashMap::new(),
-                sealed: false,
+                is_sealed: false,
                 touched_at: now,
             });
         copy.touched_at = now;
@@ -85,7 +85,7 @@
             return false;
         }
         let copy = self.copy(now, function, fencing_token);
-        if copy.sealed {
+        if copy.is_sealed {
             return false;
         }
         for record in records {
@@ -115,7 +115,7 @@
             return None;
         }
         let copy = self.copy(now, function, fencing_token);
-        copy.sealed = true;
+        copy.is_sealed = true;
         Some(copy.records(now))
     }
 
--- a/testing/fleet/src/sim/daemon/orders.rs
+++ b/testing/fleet/src/sim/daemon/orders.rs
@@ -49,7 +49,9 @@
                 }
             }
             DaemonControlOutput::Holder(held, outputs) => self.drive(index, &held, outputs),
-            DaemonControlOutput::Acquired(function, result, _) => {
+            DaemonControlOutput::Acquired {
+                function, result, ..
+            } => {
                 self.count_acquired(result.as_ref());
                 self.acquired(index, &function, result);
             }
--- a/testing/fleet/src/synthetic/daemons.rs
+++ b/testing/fleet/src/synthetic/daemons.rs
@@ -174,7 +174,9 @@
                 self.heartbeat(daemon, heartbeat, &addresses)
             }
             DaemonControlOutput::Holder(held, outputs) => self.drive(daemon, &held, outputs),
-            DaemonControlOutput::Acquired(function, result, _) => {
+            DaemonControlOutput::Acquired {
+                function, result, ..
+            } => {
                 self.acquired(daemon, &function, &result);
             }
             DaemonControlOutput::AcquiresLost => {
