--- a/crates/dataplane/src/drivers/runner_connections.rs
+++ b/crates/dataplane/src/drivers/runner_connections.rs
@@ -11,7 +11,7 @@
 use common::rules::{Rule, Rules};
 use http_body_util::Full;
 use hyper::Request;
-use hyper::client::conn::http1::{SendRequest, handshake};
+use hyper::client::conn::http1::{Connection, SendRequest, handshake};
 use hyper_util::rt::TokioIo;
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError, Weak};
@@ -134,6 +134,13 @@
     }
 }
 
+/// An HTTP connection whose driver task is not started yet.
+struct OpenedStream {
+    sender: SendRequest<Full<Bytes>>,
+    connection: Connection<TokioIo<MeteredStream>, Full<Bytes>>,
+    meter: Arc<WriteMeter>,
+}
+
 #[derive(Default)]
 struct RunnerConnectionsInner {
     pool: ConnectionPool,
@@ -218,14 +225,13 @@
             runner,
             id,
         };
-        let connecting = async {
-            let (stream, meter) = MeteredStream::new(self.connector.to_runner(address).await.ok()?);
-            let (sender, connection) = handshake(TokioIo::new(stream)).await.ok()?;
-            Some((sender, connection, meter))
-        };
-        let opened = tokio::time::timeout(timeout.min(CONNECT_TIMEOUT), connecting).await;
-        let opened = opened.ok().flatten();
-        let (sender, connection, meter) = opened.ok_or(CheckoutError::Unreachable)?;
+        let opening = self.open_stream(address);
+        let opened = tokio::time::timeout(timeout.min(CONNECT_TIMEOUT), opening).await;
+        let OpenedStream {
+            sender,
+            connection,
+            meter,
+        } = opened.ok().flatten().ok_or(CheckoutError::Unreachable)?;
         let owner = reservation.owner.clone();
         // Cancelled when the connection is dropped; else it ends with the connection and removes it from the pool.
         let driver_task = tokio::spawn(async move {
@@ -234,10 +240,9 @@
                 owner.connection_ended(runner, id);
             }
         });
-        let rules = self.rules;
         Ok(RunnerConnection {
             reservation,
-            rules,
+            rules: self.rules,
             sender,
             meter,
             driver_task,
@@ -245,6 +250,17 @@
         })
     }
 
+    async fn open_stream(&self, address: SocketAddress) -> Option<OpenedStream> {
+        let stream = self.connector.to_runner(address).await.ok()?;
+        let (stream, meter) = MeteredStream::new(stream);
+        let (sender, connection) = handshake(TokioIo::new(stream)).await.ok()?;
+        Some(OpenedStream {
+            sender,
+            connection,
+            meter,
+        })
+    }
+
     fn connection_ended(&self, runner: RunnerId, id: ConnectionId) {
         let ended_connection = {
             let mut inner = self.lock();
--- a/crates/dataplane/src/drivers/state.rs
+++ b/crates/dataplane/src/drivers/state.rs
@@ -130,24 +130,40 @@
     /// Updates the gauges to the current state.
     pub(crate) fn update_gauges(&self) {
         let held_functions = self.agent.held_functions();
-        let (mut queued_sum, mut in_flight_sum, mut ready_sum, mut retained_sum) = (0, 0, 0, 0);
+        let mut totals = HeldTotals::default();
         for held in held_functions.values() {
-            let ((queued, in_flight), (ready, all)) =
-                held.with(|holder| (holder.request_counts(), holder.runner_counts()));
-            queued_sum += queued;
-            in_flight_sum += in_flight;
-            ready_sum += ready;
-            retained_sum += usize::from(all == 1 && queued + in_flight == 0);
+            totals.add(held);
         }
-        let entry_count = self.agent.replica_entry_count();
         let gauges = &self.gauges;
         gauges.held.functions.set(held_functions.len() as i64);
-        gauges.held.queued.set(queued_sum as i64);
-        gauges.held.in_flight.set(in_flight_sum as i64);
-        gauges.held.ready_runners.set(ready_sum as i64);
-        gauges.idle_stop_skipped.set(retained_sum as i64);
+        gauges.held.queued.set(totals.queued as i64);
+        gauges.held.in_flight.set(totals.in_flight as i64);
+        gauges.held.ready_runners.set(totals.ready_runners as i64);
+        gauges.idle_stop_skipped.set(totals.retained_idle as i64);
+        let entry_count = self.agent.replica_entry_count();
         gauges.replication.replica_entries.set(entry_count as i64);
         let is_serving = self.agent.is_serving(MonotonicTime::now());
         gauges.session.serving.set(i64::from(is_serving));
     }
 }
+
+/// Sums over the held functions.
+#[derive(Default)]
+struct HeldTotals {
+    queued: usize,
+    in_flight: usize,
+    ready_runners: usize,
+    /// Functions without requests that have one runner left.
+    retained_idle: usize,
+}
+
+impl HeldTotals {
+    fn add(&mut self, held: &LocalHeldFunction) {
+        let ((queued, in_flight), (ready_runners, all_runners)) =
+            held.with(|holder| (holder.request_counts(), holder.runner_counts()));
+        self.queued += queued;
+        self.in_flight += in_flight;
+        self.ready_runners += ready_runners;
+        self.retained_idle += usize::from(all_runners == 1 && queued + in_flight == 0);
+    }
+}
--- a/crates/dataplane/src/holder/runners.rs
+++ b/crates/dataplane/src/holder/runners.rs
@@ -56,6 +56,13 @@
     RepeatStop,
 }
 
+/// A lower limit for the requests that a runner has at once, while it is in force.
+#[derive(Clone, Copy)]
+struct Throttle {
+    until: MonotonicTime,
+    limit: u32,
+}
+
 /// One runner of a holder.
 pub(super) struct RunnerRecord {
     /// The worker it runs on.
@@ -82,8 +89,8 @@
     pub replace_since: Option<MonotonicTime>,
     running: BTreeSet<IdempotencyKey>,
     unresolved: BTreeMap<IdempotencyKey, UnresolvedSend>,
-    /// Until when it gets at most this many requests at once.
-    throttle: Option<(MonotonicTime, u32)>,
+    /// The lower limit after a rejection by the runner.
+    throttle: Option<Throttle>,
     consecutive_losses: u32,
     next_check_at: MonotonicTime,
     start_retry_at: Option<MonotonicTime>,
@@ -187,17 +194,18 @@
 
     /// The number of requests that it may have at once now.
     pub(super) fn current_limit(&self, now: MonotonicTime) -> u32 {
-        match self.throttle {
-            Some((until, throttled_limit)) if now < until => self.limit.min(throttled_limit),
-            _ => self.limit,
-        }
+        self.throttled(now, self.limit)
     }
 
     /// The number of requests that it may have at once after its slow start, which takes few responses.
     pub(super) fn expected_limit(&self, now: MonotonicTime) -> u32 {
+        self.throttled(now, self.slots)
+    }
+
+    fn throttled(&self, now: MonotonicTime, limit: u32) -> u32 {
         match self.throttle {
-            Some((until, throttled_limit)) if now < until => self.slots.min(throttled_limit),
-            _ => self.slots,
+            Some(throttle) if now < throttle.until => limit.min(throttle.limit),
+            _ => limit,
         }
     }
 
@@ -209,7 +217,10 @@
     /// It rejected a request: it gets no more at once than it has now, for a while. The rest of its slots may be in use
     /// for an earlier holder.
     pub(super) fn handle_rejection(&mut self, now: MonotonicTime) {
-        self.throttle = Some((now + THROTTLE_DURATION, self.busy_count() as u32));
+        self.throttle = Some(Throttle {
+            until: now + THROTTLE_DURATION,
+            limit: self.busy_count() as u32,
+        });
     }
 
     /// Sets the time of its first readiness probe.
@@ -278,7 +289,7 @@
         startup_timeout: Duration,
         lists_running: bool,
     ) -> DueAction {
-        if self.throttle.is_some_and(|(until, _)| now >= until) {
+        if self.throttle.is_some_and(|throttle| now >= throttle.until) {
             self.throttle = None;
         }
         if !lists_running {
@@ -354,7 +365,7 @@
             .map(|unresolved| unresolved.until)
             .min()
             .filter(|_| !lists_running);
-        let throttled_until = self.throttle.map(|(until, _)| until);
+        let throttled_until = self.throttle.map(|throttle| throttle.until);
         let check_at = match self.phase {
             Phase::StartingUp if !self.probe_pending => Some(self.next_check_at),
             Phase::Draining if self.busy_count() == 0 => Some(self.since),
