--- a/crates/dataplane/src/request_pipeline/mod.rs
+++ b/crates/dataplane/src/request_pipeline/mod.rs
@@ -1,7 +1,8 @@
 //! The way of a caller's request through this daemon, from its head to its response.
 //!
 //! [`handle_request`] checks the request, finds its route, reads its body, has it forwarded to the holder of its function,
-//! and makes the response of the outcome.
+//! and makes the response of the outcome. It uses the [`drivers`](crate::drivers) for what it sends; the
+//! [`server`](crate::server), which accepts the requests, uses it.
 //!
 //! * `forward_to_holder`: carries out the steps of the forwarding; also used for requests from other daemons.
 //! * `ingress_request`: what is counted and logged of a request when it ends.
@@ -71,7 +72,7 @@
     ingress_request.idempotency_key = Some(idempotency_key.clone());
     let requested_timeout = parse_timeout(ingress, &head.headers)?;
 
-    let table = state.agent.table.load_full();
+    let table = state.agent.routing_table_snapshot();
     let route_match =
         match_route(&table, &head, &idempotency_key).ok_or_else(|| no_route_rejection(state))?;
     let route = &route_match.route.spec;
--- a/testing/fleet/src/synthetic/fleet.rs
+++ b/testing/fleet/src/synthetic/fleet.rs
@@ -146,7 +146,7 @@
             return;
         }
         for started_daemon in self.daemons.iter().flatten() {
-            self.record.visible_daemons += started_daemon.agent.hosts.load().len() as u64;
+            self.record.visible_daemons += started_daemon.agent.live_hosts().len() as u64;
             self.record.visibility_samples += 1;
         }
     }
--- a/testing/fleet/src/synthetic/run.rs
+++ b/testing/fleet/src/synthetic/run.rs
@@ -9,8 +9,7 @@
 use super::record::{RunRecord, StopReason};
 use super::size::{SizeError, SyntheticSize, half_of_memory};
 use common::rng::SeededRng;
-use std::collections::BTreeMap;
-use std::sync::{Arc, PoisonError};
+use dataplane::agent::HeldFunctions;
 use std::time::{Duration, Instant};
 
 const STARTS_WITHIN: Duration = Duration::from_millis(500);
@@ -121,7 +120,7 @@
         record.instances = self.platform.runner_count() as u64;
         record.stopped = stop_reason;
         record.counters_by_work = self.meter.counters_by_work().clone();
-        let held_count = |daemon: &Daemon| daemon.agent.held_functions.load().len() as u64;
+        let held_count = |daemon: &Daemon| daemon.agent.held_function_count() as u64;
         record.held = self.daemons.iter().flatten().map(held_count).sum();
         for daemon in std::mem::take(&mut self.daemons).into_iter().flatten() {
             measure_daemon_memory(daemon, &mut record);
@@ -144,12 +143,8 @@
     } = daemon;
     drop((pending_requests, acquires));
     let bytes_before = memory::live();
-    agent.held_functions.store(Arc::new(BTreeMap::new()));
-    agent
-        .closing
-        .lock()
-        .unwrap_or_else(PoisonError::into_inner)
-        .clear();
+    agent.replace_held_functions(HeldFunctions::new());
+    agent.forget_closing();
     let bytes_without_held = memory::live();
     record
         .holder_bytes
