--- a/crates/controlplane/tests/controller_state/main.rs
+++ b/crates/controlplane/tests/controller_state/main.rs
@@ -6,3 +6,5 @@
 mod founding;
 mod operator_api;
 mod operator_changes;
+#[path = "../../../../testing/support/operator_requests.rs"]
+mod operator_requests;
--- a/crates/controlplane/tests/controller_state/operator_api.rs
+++ b/crates/controlplane/tests/controller_state/operator_api.rs
@@ -1,5 +1,6 @@
 //! The product's own API: requests read, and responses written.
 
+use super::operator_requests::request_head;
 use common::http::HttpResponse;
 use common::identity::{ChangeId, Version};
 use common::spec::Document;
@@ -9,26 +10,17 @@
 use controlplane::drivers::{NativeOperatorApi, OperatorApiAdapter};
 use googletest::prelude::*;
 use http_body_util::BodyExt;
-use hyper::http::request::Parts;
-use hyper::{Method, Request};
 use serde_json::{Value, json};
 
-fn head(method: Method, target: &str) -> Parts {
-    Request::builder()
-        .method(method)
-        .uri(target)
-        .body(())
-        .expect("a request")
-        .into_parts()
-        .0
-}
-
 fn read(
-    method: Method,
+    method: &str,
     target: &str,
     body: &Value,
 ) -> std::result::Result<Operation, Box<HttpResponse>> {
-    NativeOperatorApi.read(&head(method, target), body.to_string().as_bytes())
+    NativeOperatorApi.read(
+        &request_head(method, target, &[]),
+        body.to_string().as_bytes(),
+    )
 }
 
 async fn response_parts(served: HttpResponse) -> (u16, Value) {
@@ -59,7 +51,7 @@
         change,
         kind,
         wait,
-    }) = read(Method::PATCH, "/v1/spec", &body)
+    }) = read("PATCH", "/v1/spec", &body)
     else {
         panic!("a change");
     };
@@ -101,7 +93,7 @@
         (json!({"base_serial": 1, "put": {}}), "change_id"),
     ];
     for (body, path) in cases {
-        let Err(served) = read(Method::PATCH, "/v1/spec", &body) else {
+        let Err(served) = read("PATCH", "/v1/spec", &body) else {
             panic!("{body}")
         };
         let (status, answer) = response_parts(*served).await;
@@ -117,8 +109,11 @@
     }
 }
 
-#[tokio::test]
-async fn each_answer_has_its_status_and_body() {
+/// A reply with the status and the body of its response.
+type ReplyCase = (OperationReply, u16, Value);
+
+/// Replies on a change that was recorded, or rejected for its base.
+fn decided_cases() -> Vec<ReplyCase> {
     let change = ChangeId::from("c");
     let accepted = |number, in_force| OperationReply::Accepted {
         change: change.clone(),
@@ -126,48 +121,38 @@
         number,
         in_force,
     };
-    let named = Some(change.clone());
-    let cases = [
-        (
-            accepted(0, false),
-            200,
-            json!({"state": "accepted", "serial": 4, "change_id": "c"}),
-        ),
-        (
-            accepted(9, true),
-            200,
-            json!({"state": "in_force", "serial": 4, "number": 9, "change_id": "c"}),
-        ),
-        (
-            OperationReply::Stale {
-                change: change.clone(),
-                version: Version(6),
-                number: 0,
-            },
-            409,
-            json!({"error": "stale_base", "state": "not_accepted", "serial": 6, "change_id": "c"}),
-        ),
-        (
-            OperationReply::NotAccepted {
-                reason: Unavailable::NoQuorum,
-                change: named.clone(),
-            },
-            503,
-            json!({"error": "no_quorum", "state": "not_accepted", "change_id": "c"}),
-        ),
-        (
-            OperationReply::Unknown {
-                reason: Unavailable::NoQuorum,
-                change: named,
-            },
-            503,
-            json!({"error": "no_quorum", "state": "unknown", "change_id": "c"}),
-        ),
+    let stale = OperationReply::Stale {
+        change: change.clone(),
+        version: Version(6),
+        number: 0,
+    };
+    let accepted_body = json!({"state": "accepted", "serial": 4, "change_id": "c"});
+    let in_force_body = json!({"state": "in_force", "serial": 4, "number": 9, "change_id": "c"});
+    let stale_body =
+        json!({"error": "stale_base", "state": "not_accepted", "serial": 6, "change_id": "c"});
+    vec![
+        (accepted(0, false), 200, accepted_body),
+        (accepted(9, true), 200, in_force_body),
+        (stale, 409, stale_body),
+    ]
+}
+
+/// Replies where no leader decided.
+fn undecided_cases() -> Vec<ReplyCase> {
+    let change = Some(ChangeId::from("c"));
+    let not_accepted = OperationReply::NotAccepted {
+        reason: Unavailable::NoQuorum,
+        change: change.clone(),
+    };
+    let unknown = |reason, change| OperationReply::Unknown { reason, change };
+    let not_accepted_body =
+        json!({"error": "no_quorum", "state": "not_accepted", "change_id": "c"});
+    let unknown_body = json!({"error": "no_quorum", "state": "unknown", "change_id": "c"});
+    vec![
+        (not_accepted, 503, not_accepted_body),
+        (unknown(Unavailable::NoQuorum, change), 503, unknown_body),
         (
-            OperationReply::Unknown {
-                reason: Unavailable::LeaderLost,
-                change: None,
-            },
+            unknown(Unavailable::LeaderLost, None),
             503,
             json!({"error": "leader_lost", "state": "unknown"}),
         ),
@@ -176,19 +161,27 @@
             503,
             json!({"error": "no_leader"}),
         ),
-    ];
-    for (reply, status, body) in cases {
-        assert_that!(response_parts(respond(reply)).await, eq(&(status, body)));
-    }
-    let document = Box::new(Document::founding(Vec::new()).numbered(12));
-    let (status, body) = response_parts(respond(OperationReply::Spec {
-        document,
+    ]
+}
+
+fn spec_case() -> ReplyCase {
+    let reply = OperationReply::Spec {
+        document: Box::new(Document::founding(Vec::new()).numbered(12)),
         in_force: Version(1),
-    }))
-    .await;
-    let expected = json!({
+    };
+    let body = json!({
         "serial": 1, "number": 12, "in_force": 1, "evacuated": [],
         "spec": {"functions": {}, "routes": {}},
     });
-    assert_that!((status, body), eq(&(200, expected)));
+    (reply, 200, body)
+}
+
+#[tokio::test]
+async fn each_answer_has_its_status_and_body() {
+    let mut cases = decided_cases();
+    cases.extend(undecided_cases());
+    cases.push(spec_case());
+    for (reply, status, body) in cases {
+        assert_that!(response_parts(respond(reply)).await, eq(&(status, body)));
+    }
 }
--- a/crates/controlplane/tests/operators_forms.rs
+++ b/crates/controlplane/tests/operators_forms.rs
@@ -1,7 +1,11 @@
 //! The product's own operators' API: how each path and body is read, and the bytes of every response.
 
+#[path = "../../../testing/support/change_kinds.rs"]
+mod change_kinds;
 #[path = "../../../testing/support/forms.rs"]
 mod forms;
+#[path = "../../../testing/support/operator_requests.rs"]
+mod operator_requests;
 #[path = "../../../testing/support/wire.rs"]
 mod wire;
 
@@ -18,8 +22,7 @@
 };
 use controlplane::drivers::{NativeOperatorApi, OperatorApiAdapter};
 use controlplane::leader_state::EventRecord;
-use hyper::http::request::Parts;
-use hyper::{Method, Request};
+use operator_requests::request_head;
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Write;
@@ -29,33 +32,6 @@
     forms::check(env!("CARGO_MANIFEST_DIR"), name, seen);
 }
 
-fn head(method: &str, target: &str) -> Parts {
-    let method = Method::from_bytes(method.as_bytes()).expect("a method");
-    Request::builder()
-        .method(method)
-        .uri(target)
-        .body(())
-        .expect("a request")
-        .into_parts()
-        .0
-}
-
-fn shown_kind(kind: &ChangeKind) -> Value {
-    match kind {
-        ChangeKind::FullSpec(spec) => json!({"spec": spec.to_value()}),
-        ChangeKind::Patch(patch) => json!({"patch": patch}),
-        ChangeKind::Items(items) => json!({
-            "put": {
-                "functions": items.put_functions, "routes": items.put_routes,
-                "limits": items.limits, "labels": items.labels,
-            },
-            "remove": {"functions": items.remove_functions, "routes": items.remove_routes},
-        }),
-        ChangeKind::Evacuate { zone, force } => json!({"evacuate": zone.as_str(), "force": force}),
-        ChangeKind::Restore { zone } => json!({"restore": zone.as_str()}),
-    }
-}
-
 fn shown(operation: &Operation) -> Value {
     match operation {
         Operation::ReadSpec => json!("read the spec"),
@@ -69,7 +45,7 @@
             "base_serial": base.map(|base| base.0),
             "numbers": numbering.map(|given| [given.number, given.base_number]),
             "change_id": change.as_ref().map(ChangeId::as_str),
-            "change": shown_kind(kind),
+            "change": change_kinds::shown(kind),
             "wait": if *wait == Wait::InForce { "in_force" } else { "accepted" },
         }),
         Operation::ChangeStatus(change) => json!({"ask of the change": change.as_str()}),
@@ -87,7 +63,7 @@
 }
 
 async fn read(method: &str, target: &str, body: &str) -> String {
-    match NativeOperatorApi.read(&head(method, target), body.as_bytes()) {
+    match NativeOperatorApi.read(&request_head(method, target, &[]), body.as_bytes()) {
         Ok(operation) => shown(&operation).to_string(),
         Err(served) => wire::response(*served).await,
     }
@@ -135,239 +111,213 @@
     check("operator_paths.txt", &text);
 }
 
-#[tokio::test]
-async fn every_body_is_read_as_before() {
-    let mut text = String::new();
+/// A body with other keys; those that become `null` are left out.
+fn variant(body: &Value, changes: Value) -> Value {
+    let mut body = body.clone();
+    let fields = body.as_object_mut().expect("an object");
+    for (key, value) in changes.as_object().expect("an object") {
+        if value.is_null() {
+            fields.remove(key);
+        } else {
+            fields.insert(key.clone(), value.clone());
+        }
+    }
+    body
+}
+
+fn variants<const COUNT: usize>(body: &Value, changes: [Value; COUNT]) -> Vec<Value> {
+    changes.map(|changes| variant(body, changes)).into()
+}
+
+fn replacement_bodies() -> Vec<Value> {
     let spec = json!({"functions": {}, "routes": {}, "labels": {"made": "by hand"}});
+    let body = json!({"base_serial": 4, "change_id": "c", "spec": spec});
+    let mut bodies = variants(
+        &body,
+        [
+            json!({}),
+            json!({"wait": "in_force"}),
+            json!({"wait": "accepted"}),
+            json!({"wait": "long"}),
+            json!({"wait": 7}),
+            json!({"base_serial": null, "number": 7, "base_number": 5}),
+            json!({"number": 7, "base_number": 5}),
+            json!({"base_serial": null, "number": 7}),
+            json!({"base_serial": null, "base_number": 7}),
+            json!({"base_serial": null, "number": "7", "base_number": -1}),
+            json!({"base_serial": "4"}),
+            json!({"base_serial": null}),
+            json!({"change_id": null}),
+            json!({"change_id": ""}),
+            json!({"change_id": 7}),
+            json!({"spec": null}),
+            json!({"colour": 7}),
+        ],
+    );
+    bodies.extend([json!({}), json!([])]);
+    bodies
+}
+
+fn amendment_bodies() -> Vec<Value> {
     let put = json!({
         "functions": {"f": {"memory_mb": 1}}, "routes": {"r": {"kind": "once"}},
         "limits": {"idle_ms": 5}, "labels": {"day": "one"},
     });
     let remove = json!({"functions": ["g"], "routes": ["s", "t"]});
-    let bodies = [
-        (
-            "PUT /v1/spec",
-            json!({"base_serial": 4, "change_id": "c", "spec": spec}),
-        ),
-        (
-            "PUT /v1/spec",
-            json!({"base_serial": 4, "change_id": "c", "spec": spec, "wait": "in_force"}),
-        ),
-        (
-            "PUT /v1/spec",
-            json!({"base_serial": 4, "change_id": "c", "spec": spec, "wait": "accepted"}),
-        ),
-        (
-            "PUT /v1/spec",
-            json!({"base_serial": 4, "change_id": "c", "spec": spec, "wait": "long"}),
-        ),
-        (
-            "PUT /v1/spec",
-            json!({"base_serial": 4, "change_id": "c", "spec": spec, "wait": 7}),
-        ),
-        (
-            "PUT /v1/spec",
-            json!({"number": 7, "base_number": 5, "change_id": "c", "spec": spec}),
-        ),
-        (
-            "PUT /v1/spec",
-            json!({"number": 7, "base_number": 5, "base_serial": 4, "change_id": "c", "spec": spec}),
-        ),
-        (
-            "PUT /v1/spec",
-            json!({"number": 7, "change_id": "c", "spec": spec}),
-        ),
-        (
-            "PUT /v1/spec",
-            json!({"base_number": 7, "change_id": "c", "spec": spec}),
-        ),
-        (
-            "PUT /v1/spec",
-            json!({"number": "7", "base_number": -1, "change_id": "c", "spec": spec}),
-        ),
-        (
-            "PUT /v1/spec",
-            json!({"base_serial": "4", "change_id": "c", "spec": spec}),
-        ),
-        ("PUT /v1/spec", json!({"change_id": "c", "spec": spec})),
-        ("PUT /v1/spec", json!({"base_serial": 4, "spec": spec})),
-        (
-            "PUT /v1/spec",
-            json!({"base_serial": 4, "change_id": "", "spec": spec}),
-        ),
-        (
-            "PUT /v1/spec",
-            json!({"base_serial": 4, "change_id": 7, "spec": spec}),
-        ),
-        ("PUT /v1/spec", json!({"base_serial": 4, "change_id": "c"})),
-        (
-            "PUT /v1/spec",
-            json!({"base_serial": 4, "change_id": "c", "spec": spec, "colour": 7}),
-        ),
-        ("PUT /v1/spec", json!({})),
-        ("PUT /v1/spec", json!([])),
-        (
-            "PATCH /v1/spec",
-            json!({"base_serial": 4, "change_id": "c", "patch": {"functions": {"f": null}}}),
-        ),
-        (
-            "PATCH /v1/spec",
-            json!({"base_serial": 4, "change_id": "c"}),
-        ),
-        (
-            "PATCH /v1/spec",
-            json!({"base_serial": 4, "change_id": "c", "put": put, "remove": remove}),
-        ),
-        (
-            "PATCH /v1/spec",
-            json!({"base_serial": 4, "change_id": "c", "put": put}),
-        ),
-        (
-            "PATCH /v1/spec",
-            json!({"number": 7, "base_number": 5, "change_id": "c", "remove": remove}),
-        ),
-        (
-            "PATCH /v1/spec",
-            json!({"base_serial": 4, "change_id": "c", "put": put, "patch": {}}),
-        ),
-        (
-            "PATCH /v1/spec",
-            json!({"base_serial": 4, "change_id": "c", "put": {"roads": {}}, "remove": {"limits": []}}),
-        ),
-        (
-            "PATCH /v1/spec",
-            json!({"base_serial": 4, "change_id": "c", "put": {"functions": []}}),
-        ),
-        (
-            "PATCH /v1/spec",
-            json!({"base_serial": 4, "change_id": "c", "remove": {"routes": {"r": 1}}}),
-        ),
-        (
-            "PATCH /v1/spec",
-            json!({"base_serial": 4, "change_id": "c", "remove": {"routes": [7, ""]}}),
-        ),
-        (
-            "POST /v1/localities/north/evacuate",
-            json!({"change_id": "c"}),
-        ),
-        (
-            "POST /v1/localities/north/evacuate",
-            json!({"change_id": "c", "force": true, "wait": "in_force"}),
-        ),
-        (
-            "POST /v1/localities/north/evacuate",
-            json!({"change_id": "c", "force": "yes"}),
-        ),
-        (
-            "POST /v1/localities/north/evacuate",
-            json!({"change_id": "c", "base_serial": 4}),
-        ),
-        ("POST /v1/localities/north/evacuate", json!({})),
-        (
-            "POST /v1/localities/north/restore",
-            json!({"change_id": "c"}),
-        ),
-        (
-            "POST /v1/localities/north/restore",
-            json!({"change_id": "c", "number": 7, "base_number": 5}),
-        ),
+    let body = json!({"base_serial": 4, "change_id": "c"});
+    variants(
+        &body,
+        [
+            json!({"patch": {"functions": {"f": null}}}),
+            json!({}),
+            json!({"put": put, "remove": remove}),
+            json!({"put": put}),
+            json!({"base_serial": null, "number": 7, "base_number": 5, "remove": remove}),
+            json!({"put": put, "patch": {}}),
+            json!({"put": {"roads": {}}, "remove": {"limits": []}}),
+            json!({"put": {"functions": []}}),
+            json!({"remove": {"routes": {"r": 1}}}),
+            json!({"remove": {"routes": [7, ""]}}),
+        ],
+    )
+}
+
+fn evacuation_bodies() -> Vec<Value> {
+    let body = json!({"change_id": "c"});
+    variants(
+        &body,
+        [
+            json!({}),
+            json!({"force": true, "wait": "in_force"}),
+            json!({"force": "yes"}),
+            json!({"base_serial": 4}),
+            json!({"change_id": null}),
+        ],
+    )
+}
+
+fn restore_bodies() -> Vec<Value> {
+    let body = json!({"change_id": "c"});
+    variants(&body, [json!({}), json!({"number": 7, "base_number": 5})])
+}
+
+#[tokio::test]
+async fn every_body_is_read_as_before() {
+    let mut text = String::new();
+    let bodies_by_path = [
+        ("PUT", "/v1/spec", replacement_bodies()),
+        ("PATCH", "/v1/spec", amendment_bodies()),
+        ("POST", "/v1/localities/north/evacuate", evacuation_bodies()),
+        ("POST", "/v1/localities/north/restore", restore_bodies()),
     ];
-    for (line, body) in bodies {
-        let (method, target) = line.split_once(' ').expect("a method");
-        let answer = read(method, target, &body.to_string()).await;
-        let _ = writeln!(text, "## {line} {body}\n{answer}\n");
+    for (method, target, bodies) in bodies_by_path {
+        for body in bodies {
+            let answer = read(method, target, &body.to_string()).await;
+            let _ = writeln!(text, "## {method} {target} {body}\n{answer}\n");
+        }
     }
-    let _ = writeln!(
-        text,
-        "## PUT /v1/spec {{\n{}\n",
-        read("PUT", "/v1/spec", "{").await
-    );
+    let cut_answer = read("PUT", "/v1/spec", "{").await;
+    let _ = writeln!(text, "## PUT /v1/spec {{\n{cut_answer}\n");
     check("operator_bodies.txt", &text);
 }
 
-fn replies() -> Vec<(&'static str, OperationReply)> {
-    let change = ChangeId::from("release-42");
-    let version = Version(6);
-    let accepted = |number, in_force| OperationReply::Accepted {
-        change: change.clone(),
-        version,
-        number,
-        in_force,
-    };
-    let stale = |number| OperationReply::Stale {
-        change: change.clone(),
-        version,
-        number,
-    };
-    let path_error = |path: &str, reason| PathError {
-        path: path.to_owned(),
-        reason,
-    };
-    let invalid = OperationReply::Invalid(vec![
-        path_error("functions.f.slots", PathErrorReason::Missing),
-        path_error(
+fn invalid_reply() -> OperationReply {
+    let path_errors = [
+        ("functions.f.slots", PathErrorReason::Missing),
+        (
             "functions.f.boot_ms",
             PathErrorReason::WrongType("a whole number"),
         ),
-        path_error(
+        (
             "routes.r.budget_ms",
             PathErrorReason::OutOfBounds(1, 60_000),
         ),
-        path_error("routes.r.colour", PathErrorReason::UnknownField),
-        path_error(
+        ("routes.r.colour", PathErrorReason::UnknownField),
+        (
             "routes.r.function",
             PathErrorReason::UnknownReference("function", "g".to_owned()),
         ),
-        path_error(
+        (
             "routes.s",
             PathErrorReason::Duplicate("routes.r".to_owned()),
         ),
-        path_error(
+        (
             "routes.r.path",
             PathErrorReason::Malformed("is odd".to_owned()),
         ),
-        path_error("", PathErrorReason::Missing),
-    ]);
-    let zones = |names: &[&str]| names.iter().map(|name| Zone::from(*name)).collect();
+        ("", PathErrorReason::Missing),
+    ];
+    let path_error = |(path, reason): (&str, PathErrorReason)| PathError {
+        path: path.to_owned(),
+        reason,
+    };
+    OperationReply::Invalid(path_errors.map(path_error).into())
+}
+
+fn spec_reply() -> OperationReply {
     let mut document = Document::founding(Vec::new()).numbered(12);
     document.document_version.term = Term(3);
     document = document.with_zone(Zone::from("north"), true, ChangeId::from("c"));
-    let spec = OperationReply::Spec {
+    OperationReply::Spec {
         document: Box::new(document),
         in_force: Version(1),
+    }
+}
+
+fn accepted_reply(number: u64, in_force: bool) -> OperationReply {
+    OperationReply::Accepted {
+        change: ChangeId::from("release-42"),
+        version: Version(6),
+        number,
+        in_force,
+    }
+}
+
+fn stale_reply(number: u64) -> OperationReply {
+    OperationReply::Stale {
+        change: ChangeId::from("release-42"),
+        version: Version(6),
+        number,
+    }
+}
+
+fn replies() -> Vec<(&'static str, OperationReply)> {
+    let known: BTreeSet<Zone> = ["north", "south"].map(Zone::from).into();
+    let no_zone = OperationReply::NoZone {
+        zone: Zone::from("east"),
+        known,
     };
-    let known: BTreeSet<Zone> = zones(&["north", "south"]);
     vec![
-        ("spec", spec),
-        ("accepted", accepted(0, false)),
-        ("accepted, numbered", accepted(9, false)),
-        ("in force", accepted(0, true)),
-        ("in force, numbered", accepted(9, true)),
-        ("stale", stale(0)),
-        ("stale, numbered", stale(8)),
-        ("invalid", invalid),
-        (
-            "no zone",
-            OperationReply::NoZone {
-                zone: Zone::from("east"),
-                known,
-            },
-        ),
+        ("spec", spec_reply()),
+        ("accepted", accepted_reply(0, false)),
+        ("accepted, numbered", accepted_reply(9, false)),
+        ("in force", accepted_reply(0, true)),
+        ("in force, numbered", accepted_reply(9, true)),
+        ("stale", stale_reply(0)),
+        ("stale, numbered", stale_reply(8)),
+        ("invalid", invalid_reply()),
+        ("no zone", no_zone),
         ("last zone", OperationReply::LastZone),
         (
             "elsewhere",
-            OperationReply::Redirect(SocketAddress("10.0.0.1:7111".parse().expect("one"))),
+            OperationReply::Redirect(address("10.0.0.1:7111")),
         ),
     ]
 }
 
-/// The replies that only the product's own API gives.
-fn native_replies() -> Vec<(&'static str, OperationReply)> {
-    let address = |text: &str| SocketAddress(text.parse().expect("an address"));
-    let stored = |term, version| DocumentVersion {
+fn address(text: &str) -> SocketAddress {
+    SocketAddress(text.parse().expect("an address"))
+}
+
+fn document_version(term: u64, version: u64) -> DocumentVersion {
+    DocumentVersion {
         term: Term(term),
         version: Version(version),
-    };
+    }
+}
+
+/// A leader without peers that knows no leader's address, and one with a peer.
+fn quorum_replies() -> [(&'static str, OperationReply); 2] {
     let quorum = |leader, accepted, peers| {
         OperationReply::Quorum(Box::new(QuorumStatus {
             id: ControllerId(0xab),
@@ -377,7 +327,7 @@
             is_open: true,
             leader,
             accepted,
-            committed: stored(2, 4),
+            committed: document_version(2, 4),
             peers,
         }))
     };
@@ -387,45 +337,38 @@
             address: address("10.0.0.2:7110"),
             operators: address("10.0.0.2:7111"),
         },
-        accepted: stored(3, 4),
+        accepted: document_version(3, 4),
         is_voter: true,
         silent_ms: 12,
     };
-    let change_state = |state| OperationReply::ChangeUnrecorded {
-        change: ChangeId::from("release-42"),
-        state,
-    };
-    let rejected = |error| OperationReply::QuorumChangeRejected(error);
-    vec![
-        ("metrics", OperationReply::MetricsUpdated),
+    let leader = Some(address("10.0.0.1:7111"));
+    let accepted = Some(document_version(3, 5));
+    [
         ("quorum, alone", quorum(None, None, Vec::new())),
-        (
-            "quorum",
-            quorum(
-                Some(address("10.0.0.1:7111")),
-                Some(stored(3, 5)),
-                vec![peer],
-            ),
-        ),
+        ("quorum", quorum(leader, accepted, vec![peer])),
+    ]
+}
+
+fn trace_replies() -> [(&'static str, OperationReply); 3] {
+    [
         ("nothing traced", trace_reply(None, Vec::new())),
         (
             "version not traced",
             trace_reply(Some(Version(9)), Vec::new()),
         ),
         ("trace", trace_reply(Some(Version(4)), version_traces())),
-        ("no events", OperationReply::Events(Vec::new())),
-        ("events", OperationReply::Events(event_entries())),
-        (
-            "report",
-            OperationReply::LeaderReport(json!({"members": [], "open": true})),
-        ),
+    ]
+}
+
+/// Replies on the bootstrap and on the replacement of a voter.
+fn quorum_change_replies() -> [(&'static str, OperationReply); 4] {
+    let rejected = |error| OperationReply::QuorumChangeRejected(error);
+    let replacing = OperationReply::ReplacingVoter {
+        version: Version(6),
+    };
+    [
         ("bootstrapping", OperationReply::Bootstrapping),
-        (
-            "replacing",
-            OperationReply::ReplacingVoter {
-                version: Version(6),
-            },
-        ),
+        ("replacing", replacing),
         (
             "no bootstrap",
             rejected(BootstrapError::AlreadyBootstrapped.into()),
@@ -434,14 +377,37 @@
             "no replacement",
             rejected(MembershipError::NoSuchMember.into()),
         ),
-        ("change unknown", change_state(UnrecordedChange::Unknown)),
-        (
-            "change not accepted",
-            change_state(UnrecordedChange::NotAccepted),
-        ),
     ]
 }
 
+fn unrecorded_change_reply(state: UnrecordedChange) -> OperationReply {
+    OperationReply::ChangeUnrecorded {
+        change: ChangeId::from("release-42"),
+        state,
+    }
+}
+
+/// The replies that only the product's own API gives.
+fn native_replies() -> Vec<(&'static str, OperationReply)> {
+    let report = json!({"members": [], "open": true});
+    let unknown_change = unrecorded_change_reply(UnrecordedChange::Unknown);
+    let unaccepted_change = unrecorded_change_reply(UnrecordedChange::NotAccepted);
+    let mut replies = vec![("metrics", OperationReply::MetricsUpdated)];
+    replies.extend(quorum_replies());
+    replies.extend(trace_replies());
+    replies.extend([
+        ("no events", OperationReply::Events(Vec::new())),
+        ("events", OperationReply::Events(event_entries())),
+        ("report", OperationReply::LeaderReport(report)),
+    ]);
+    replies.extend(quorum_change_replies());
+    replies.extend([
+        ("change unknown", unknown_change),
+        ("change not accepted", unaccepted_change),
+    ]);
+    replies
+}
+
 fn trace_reply(version: Option<Version>, traces: Vec<VersionTraceReport>) -> OperationReply {
     OperationReply::Trace(TraceReport {
         version,
@@ -450,46 +416,38 @@
     })
 }
 
-/// An inherited version that is hardly on its way, and one of this controller's that got everywhere but one daemon.
-fn version_traces() -> Vec<VersionTraceReport> {
-    let ms = Duration::from_millis;
-    let progress = |pushed_ms, installed_ms: Option<u64>| {
+/// A daemon that has installed the version, one that has not, and one to which it was not sent.
+fn member_traces() -> BTreeMap<MemberName, MemberTraceReport> {
+    let progress = |installed_after: Option<Duration>| {
         Some(MemberProgress {
-            pushed_after: Some(ms(pushed_ms)),
-            installed_after: installed_ms.map(ms),
+            pushed_after: Some(Duration::from_millis(2)),
+            installed_after,
         })
     };
     let lagging = Some("cut off");
-    let members = [
-        (
-            "m-1",
-            MemberTraceReport {
-                progress: progress(2, Some(7)),
-                lagging: None,
-            },
-        ),
-        (
-            "m-2",
-            MemberTraceReport {
-                progress: progress(2, None),
-                lagging,
-            },
-        ),
-        (
-            "m-3",
-            MemberTraceReport {
-                progress: None,
-                lagging,
-            },
-        ),
+    let traces = [
+        ("m-1", progress(Some(Duration::from_millis(7))), None),
+        ("m-2", progress(None), lagging),
+        ("m-3", None, lagging),
     ];
+    traces
+        .into_iter()
+        .map(|(name, progress, lagging)| {
+            let report = MemberTraceReport { progress, lagging };
+            (MemberName::from(name), report)
+        })
+        .collect()
+}
+
+/// An inherited version that is hardly on its way, and one of this controller's that got everywhere but one daemon.
+fn version_traces() -> Vec<VersionTraceReport> {
     let inherited = VersionTraceReport {
         term: Term(2),
         is_leading_now: false,
         is_own_change: false,
         committed_after: None,
         in_force_after: None,
-        age: ms(1),
+        age: Duration::from_millis(1),
         members: BTreeMap::new(),
     };
     let own = VersionTraceReport {
@@ -497,12 +455,9 @@
         is_leading_now: true,
         is_own_change: true,
         committed_after: Some(Duration::from_micros(1_500)),
-        in_force_after: Some(ms(9)),
-        age: ms(20),
-        members: members
-            .into_iter()
-            .map(|(name, report)| (MemberName::from(name), report))
-            .collect(),
+        in_force_after: Some(Duration::from_millis(9)),
+        age: Duration::from_millis(20),
+        members: member_traces(),
     };
     vec![inherited, own]
 }
@@ -582,7 +537,7 @@
     let mut text = String::new();
     for kind in &kinds {
         let name = derive_change_id(Some(Version(4)), None, kind);
-        let _ = writeln!(text, "{}: {}", shown_kind(kind), name.as_str());
+        let _ = writeln!(text, "{}: {}", change_kinds::shown(kind), name.as_str());
     }
     check("change_names.txt", &text);
 }
--- /dev/null
+++ b/testing/support/operator_requests.rs
@@ -0,0 +1,14 @@
+//! Heads of operators' requests. Included by the tests of how they are read.
+
+use hyper::http::request::Parts;
+use hyper::{Method, Request};
+
+/// The head of a request with these headers.
+pub(crate) fn request_head(method: &str, target: &str, headers: &[(&str, &str)]) -> Parts {
+    let method = Method::from_bytes(method.as_bytes()).expect("a method");
+    let mut request = Request::builder().method(method).uri(target);
+    for (name, value) in headers {
+        request = request.header(*name, *value);
+    }
+    request.body(()).expect("a request").into_parts().0
+}
