--- a/crates/controlplane/tests/quorum_proofs.rs
+++ b/crates/controlplane/tests/quorum_proofs.rs
@@ -1,66 +1,23 @@
 //! What a single controller may send, and on what evidence: with frames that arrive late, at the wrong time, or
 //! after the process was suspended.
 
+#[path = "../../../testing/support/consensus_peers.rs"]
+mod consensus_peers;
+
 use common::clock::MonotonicTime;
-use common::frames::{
-    ConsensusFrame, ConsensusMessage, Flag, LengthPrefixed, SocketAddress, compress,
-};
-use common::identity::{ControllerId, DocumentVersion, Term, Ticket, Version, Zone};
+use common::frames::{ConsensusMessage, Flag, LengthPrefixed, compress};
+use common::identity::{DocumentVersion, Term, Ticket, Version};
 use common::invariants::{self, Invariant};
-use common::rng::SeededRng;
 use common::rules::{Rule, Rules};
-use common::spec::{Document, Voter};
-use controlplane::consensus::{
-    ConsensusNode, ConsensusOutput, ConsensusTiming, ControllerAddress, PersistedState, WriteResult,
-};
+use common::spec::Document;
+use consensus_peers::{START, address, agreeing_response, consensus_node, frame, three_voters};
+use controlplane::consensus::{ConsensusNode, ConsensusOutput, WriteResult};
 use googletest::prelude::*;
 use std::time::Duration;
 
-const START: MonotonicTime = MonotonicTime(1_000_000_000);
-
-fn address(number: u64) -> SocketAddress {
-    SocketAddress(format!("10.0.0.{number}:1").parse().expect("an address"))
-}
-
-fn zone(number: u64) -> Zone {
-    Zone::from(format!("zone-{number}"))
-}
-
 /// Controller 1 of a quorum with 2 and 3, with the bootstrap version on its disk.
 fn voter(rules: Rules) -> ConsensusNode {
-    let members = (1..4).map(|number| Voter {
-        id: ControllerId(number),
-        address: address(number),
-        zone: zone(number),
-    });
-    let mut disk = PersistedState::empty(ControllerId(1));
-    disk.accepted = Some(Document::founding(members.collect()));
-    let controller_address = ControllerAddress {
-        address: address(1),
-        operators: address(1),
-    };
-    let timing = ConsensusTiming::builder().build();
-    let seeds = (1..4).map(address).collect();
-    ConsensusNode::new(
-        START,
-        timing,
-        disk,
-        controller_address,
-        zone(1),
-        seeds,
-        SeededRng::seeded(1),
-    )
-    .with_rules(rules)
-}
-
-fn frame(from: u64, body: ConsensusMessage) -> ConsensusFrame {
-    ConsensusFrame {
-        from: ControllerId(from),
-        address: address(from),
-        operators: address(from),
-        zone: zone(from),
-        body,
-    }
+    consensus_node(1, Document::founding(three_voters()), rules)
 }
 
 fn heartbeat(term: u64, number: u64) -> ConsensusMessage {
@@ -191,12 +148,11 @@
         for output in std::mem::take(&mut waiting) {
             match output {
                 ConsensusOutput::Send { to, frame: request } if to == address(2) => {
-                    next.extend(
-                        agreeing_response(&request.body)
-                            .map(|body| frame(2, body))
-                            .into_iter()
-                            .flat_map(|reply| voter.receive(now, reply)),
-                    );
+                    let response = agreeing_response(&request.body)
+                        .or_else(|| heartbeat_response(&request.body));
+                    if let Some(body) = response {
+                        next.extend(voter.receive(now, frame(2, body)));
+                    }
                 }
                 ConsensusOutput::Write { ticket, .. } => {
                     next.extend(voter.write_completed(now, ticket, WriteResult::Synced));
@@ -210,48 +166,22 @@
     (voter, now)
 }
 
-/// The response of a voter that agrees to everything.
-fn agreeing_response(request: &ConsensusMessage) -> Option<ConsensusMessage> {
-    match request {
-        ConsensusMessage::VoteRequest {
-            term, is_pre_vote, ..
-        } => Some(ConsensusMessage::VoteResponse {
-            term: if is_pre_vote.0 {
-                Term(term.0 - 1)
-            } else {
-                *term
-            },
-            requested_term: *term,
-            is_pre_vote: *is_pre_vote,
-            granted: Flag(true),
-            members: LengthPrefixed(Vec::new()),
-            complete: Flag(true),
-        }),
-        ConsensusMessage::AcceptFull {
-            term,
-            document_version,
-            ..
-        }
-        | ConsensusMessage::AcceptDelta {
-            term,
-            document_version,
-            ..
-        } => Some(ConsensusMessage::Accepted {
-            term: *term,
-            document_version: *document_version,
-        }),
-        ConsensusMessage::Heartbeat {
-            term,
-            round,
-            accepted,
-            ..
-        } => Some(ConsensusMessage::HeartbeatResponse {
-            term: *term,
-            round: *round,
-            accepted: *accepted,
-        }),
-        _ => None,
-    }
+/// The response of a voter that still follows the sender.
+fn heartbeat_response(request: &ConsensusMessage) -> Option<ConsensusMessage> {
+    let ConsensusMessage::Heartbeat {
+        term,
+        round,
+        accepted,
+        ..
+    } = request
+    else {
+        return None;
+    };
+    Some(ConsensusMessage::HeartbeatResponse {
+        term: *term,
+        round: *round,
+        accepted: *accepted,
+    })
 }
 
 #[gtest]
--- a/crates/controlplane/tests/replication.rs
+++ b/crates/controlplane/tests/replication.rs
@@ -1,79 +1,31 @@
 //! Replication of versions: as deltas to peers that hold the base, in full to those that lack it.
 
+#[path = "../../../testing/support/consensus_peers.rs"]
+mod consensus_peers;
+
 use common::clock::MonotonicTime;
-use common::frames::{
-    ConsensusFrame, ConsensusMessage, Flag, LengthPrefixed, SocketAddress, encode,
-};
-use common::identity::{ChangeId, ControllerId, DocumentVersion, Term, Ticket, Zone};
-use common::rng::SeededRng;
+use common::frames::{ConsensusMessage, encode};
+use common::identity::{ChangeId, DocumentVersion, Term, Ticket};
 use common::rules::{Rule, Rules};
-use common::spec::{Document, Voter, read_spec};
-use controlplane::consensus::{
-    ConsensusNode, ConsensusOutput, ConsensusTiming, ControllerAddress, PersistedState, WriteJob,
-    WriteResult,
-};
+use common::spec::{Document, read_spec};
+use consensus_peers::{START, address, agreeing_response, consensus_node, frame, three_voters};
+use controlplane::consensus::{ConsensusNode, ConsensusOutput, WriteJob, WriteResult};
 use googletest::prelude::*;
 use serde_json::json;
 use std::time::Duration;
 
-const START: MonotonicTime = MonotonicTime(1_000_000_000);
 const LEADER: u64 = 1;
 const FOLLOWER: u64 = 2;
 
-fn address(number: u64) -> SocketAddress {
-    SocketAddress(format!("10.0.0.{number}:1").parse().expect("an address"))
-}
-
-fn zone(number: u64) -> Zone {
-    Zone::from(format!("zone-{number}"))
-}
-
 /// A version by three voters with this many functions.
 fn bootstrapped_document(function_count: u64) -> Document {
-    let members = (1..4).map(|number| Voter {
-        id: ControllerId(number),
-        address: address(number),
-        zone: zone(number),
-    });
     let mut spec = json!({"functions": {}, "routes": {}});
     for number in 0..function_count {
         spec["functions"][format!("f{number}")] =
             json!({"memory_mb": 100, "boot_ms": 10, "slots": 2, "connections": 1 + number});
     }
     let checked_spec = read_spec(&spec).expect("a good spec");
-    Document::founding(members.collect()).with_spec(spec, &checked_spec, ChangeId::from("first"))
-}
-
-fn controller(number: u64, document: Document, rules: Rules) -> ConsensusNode {
-    let mut disk = PersistedState::empty(ControllerId(number));
-    disk.accepted = Some(document);
-    let controller_address = ControllerAddress {
-        address: address(number),
-        operators: address(number),
-    };
-    let timing = ConsensusTiming::builder().build();
-    let seeds = (1..4).map(address).collect();
-    let rng = SeededRng::seeded(number);
-    ConsensusNode::new(
-        START,
-        timing,
-        disk,
-        controller_address,
-        zone(number),
-        seeds,
-        rng,
-    )
-    .with_rules(rules)
-}
-
-fn frame(from: u64, body: ConsensusMessage) -> ConsensusFrame {
-    ConsensusFrame {
-        from: ControllerId(from),
-        address: address(from),
-        operators: address(from),
-        zone: zone(from),
-        body,
-    }
+    Document::founding(three_voters()).with_spec(spec, &checked_spec, ChangeId::from("first"))
 }
 
 fn sent_to(number: u64, outputs: &[ConsensusOutput]) -> Vec<ConsensusMessage> {
@@ -111,39 +63,6 @@
         .collect()
 }
 
-fn agreeing_response(request: &ConsensusMessage) -> Option<ConsensusMessage> {
-    match request {
-        ConsensusMessage::VoteRequest {
-            term, is_pre_vote, ..
-        } => Some(ConsensusMessage::VoteResponse {
-            term: if is_pre_vote.0 {
-                Term(term.0 - 1)
-            } else {
-                *term
-            },
-            requested_term: *term,
-            is_pre_vote: *is_pre_vote,
-            granted: Flag(true),
-            members: LengthPrefixed(Vec::new()),
-            complete: Flag(true),
-        }),
-        ConsensusMessage::AcceptFull {
-            term,
-            document_version,
-            ..
-        }
-        | ConsensusMessage::AcceptDelta {
-            term,
-            document_version,
-            ..
-        } => Some(ConsensusMessage::Accepted {
-            term: *term,
-            document_version: *document_version,
-        }),
-        _ => None,
-    }
-}
-
 /// Runs a leader with an instant disk and a follower that agrees to everything, until nothing is left to do.
 /// Returns all outputs.
 fn run_until_settled(
@@ -174,7 +93,7 @@
 }
 
 fn leader(document: Document) -> (ConsensusNode, MonotonicTime) {
-    let mut leader = controller(LEADER, document, Rules::ALL_ENFORCED);
+    let mut leader = consensus_node(LEADER, document, Rules::ALL_ENFORCED);
     let now = START + Duration::from_secs(5);
     let first = leader.tick(now);
     run_until_settled(&mut leader, now, first);
@@ -228,7 +147,7 @@
 ) {
     let (mut leader, now) = leader(bootstrapped_document(20));
     let document = leader.accepted().expect("a version").clone();
-    let follower = controller(FOLLOWER, document, rules);
+    let follower = consensus_node(FOLLOWER, document, rules);
     let mut deltas = Vec::new();
     for name in ["bb", "c"] {
         let outputs = proposal_outputs(&mut leader, now, name);
