--- a/crates/common/tests/platform_forms.rs
+++ b/crates/common/tests/platform_forms.rs
@@ -4,59 +4,22 @@
 mod forms;
 #[path = "../../../testing/support/platform_double.rs"]
 mod platform_double;
+#[path = "../../../testing/support/platform_orders.rs"]
+mod platform_orders;
 
-use common::adapter::{NativePlatform, PlatformAdapter, StartOrder, StartOutcome, StopOrder};
-use common::identity::{FencingToken, FunctionKey, InstanceId, RunnerId, Version};
+use common::adapter::{NativePlatform, PlatformAdapter};
+use common::identity::{FunctionKey, Version};
 use platform_double::PlatformDouble;
+use platform_orders::{RUNNER, shown_list, shown_outcome, shown_stop, start_order, stop_order};
 use serde_json::json;
 use std::fmt::Write;
-use std::time::Duration;
 
-fn runner() -> RunnerId {
-    RunnerId {
-        fencing_token: FencingToken(0x5_0000_0007),
-        ordinal: 0x2b,
-    }
-}
+const WORKER: &str = "worker-3";
 
 fn function() -> FunctionKey {
     FunctionKey::new("pay", Version(12))
 }
 
-fn start_order(function: FunctionKey) -> StartOrder {
-    StartOrder {
-        runner: runner(),
-        function,
-        worker: "worker-3".into(),
-        memory_mb: 256,
-        startup: Duration::from_millis(1500),
-        slots: 4,
-        member: "daemon-1".into(),
-    }
-}
-
-fn stop_order(instance: Option<&str>) -> StopOrder {
-    StopOrder {
-        runner: runner(),
-        function: function(),
-        worker: "worker-3".into(),
-        instance: instance.map(InstanceId::from),
-        member: "daemon-1".into(),
-    }
-}
-
-fn shown(outcome: &StartOutcome) -> String {
-    match outcome {
-        StartOutcome::Started(instance) => {
-            format!("begun as {} at {}", instance.name, instance.address)
-        }
-        StartOutcome::NoCapacity => "no room".to_owned(),
-        StartOutcome::Busy => "busy".to_owned(),
-        StartOutcome::Rejected => "refused".to_owned(),
-        StartOutcome::Lost => "lost".to_owned(),
-    }
-}
-
 fn put(text: &mut String, what: &str, double: &PlatformDouble, understood_as: &str) {
     let _ = writeln!(text, "## {what}: {understood_as}");
     for call in double.calls() {
@@ -77,13 +40,13 @@
     for key in [function(), function().in_region(&"north".into())] {
         let double = PlatformDouble::answering(&[(201, good.clone())]).await;
         let outcome = NativePlatform::new(double.address)
-            .start_runner(start_order(key.clone()))
+            .start_runner(start_order(key.clone(), WORKER))
             .await;
         put(
             &mut text,
             &format!("start of {key}"),
             &double,
-            &shown(&outcome),
+            &shown_outcome(&outcome),
         );
     }
     for body in [
@@ -94,16 +57,20 @@
     ] {
         let double = PlatformDouble::answering(&[(201, body.to_owned())]).await;
         let outcome = NativePlatform::new(double.address)
-            .start_runner(start_order(function()))
+            .start_runner(start_order(function(), WORKER))
             .await;
-        let _ = writeln!(text, "start, 201 {body}: {}", shown(&outcome));
+        let _ = writeln!(text, "start, 201 {body}: {}", shown_outcome(&outcome));
     }
     for status in STATUSES {
         let double = PlatformDouble::answering(&[(status, String::new())]).await;
         let outcome = NativePlatform::new(double.address)
-            .start_runner(start_order(function()))
+            .start_runner(start_order(function(), WORKER))
             .await;
-        let _ = writeln!(text, "start, {status} without a body: {}", shown(&outcome));
+        let _ = writeln!(
+            text,
+            "start, {status} without a body: {}",
+            shown_outcome(&outcome)
+        );
     }
     check("platform_starts.txt", &text);
 }
@@ -114,22 +81,16 @@
     for instance in [Some("life-9"), None] {
         let double = PlatformDouble::answering(&[(200, "{}".to_owned())]).await;
         let is_stopped = NativePlatform::new(double.address)
-            .stop_runner(stop_order(instance))
+            .stop_runner(stop_order(function(), WORKER, instance))
             .await;
-        put(
-            &mut text,
-            "stop",
-            &double,
-            if is_stopped { "stopped" } else { "not sure" },
-        );
+        put(&mut text, "stop", &double, shown_stop(is_stopped));
     }
     for status in STATUSES {
         let double = PlatformDouble::answering(&[(status, "{}".to_owned())]).await;
         let is_stopped = NativePlatform::new(double.address)
-            .stop_runner(stop_order(Some("life-9")))
+            .stop_runner(stop_order(function(), WORKER, Some("life-9")))
             .await;
-        let understood_as = if is_stopped { "stopped" } else { "not sure" };
-        let _ = writeln!(text, "stop, {status}: {understood_as}");
+        let _ = writeln!(text, "stop, {status}: {}", shown_stop(is_stopped));
     }
     check("platform_stops.txt", &text);
 }
@@ -170,12 +131,11 @@
             };
             json!(workers.iter().map(row).collect::<Vec<_>>())
         });
-        let understood_as = rows.map_or_else(|| "not read".to_owned(), |rows| rows.to_string());
         put(
             &mut text,
             &format!("workers, {status} {body}"),
             &double,
-            &understood_as,
+            &shown_list(rows),
         );
     }
     check("platform_workers.txt", &text);
@@ -185,7 +145,7 @@
 async fn runner_lists_keep_their_calls_and_results() {
     let mut text = String::new();
     let row = json!({
-        "runner": runner().to_string(), "function": "pay@12~north", "worker": "w-1",
+        "runner": RUNNER.to_string(), "function": "pay@12~north", "worker": "w-1",
         "life": "life-9", "place": "10.0.0.3:9000", "leaving": true,
     });
     let without = |key: &str| {
@@ -221,12 +181,11 @@
                 list.runners.iter().map(row).collect::<Vec<_>>()
             ])
         });
-        let understood_as = rows.map_or_else(|| "not read".to_owned(), |rows| rows.to_string());
         put(
             &mut text,
             &format!("runners, {status} {body}"),
             &double,
-            &understood_as,
+            &shown_list(rows),
         );
     }
     check("platform_runners.txt", &text);
