--- a/crates/controlplane/tests/controller_state/change_numbering.rs
+++ b/crates/controlplane/tests/controller_state/change_numbering.rs
@@ -2,11 +2,12 @@
 //! accepted changes.
 
 use super::cluster::TestCluster;
+use super::operations::{numbered_change, zone_change};
 use common::identity::Zone;
 use common::rng::SeededRng;
 use common::spec::Document;
 use controlplane::controller_state::{
-    ChangeKind, ItemChange, Numbering, Operation, OperationReply, Wait, derive_change_id,
+    ChangeKind, ItemChange, Numbering, Operation, OperationReply, OperationTicket, derive_change_id,
 };
 use googletest::prelude::*;
 use serde_json::{Value, json};
@@ -55,13 +56,7 @@
     }
 
     fn operation(&self) -> Operation {
-        Operation::Change {
-            base: None,
-            numbering: Some(self.numbering()),
-            change: None,
-            kind: ChangeKind::FullSpec(self.spec().into()),
-            wait: Wait::Accepted,
-        }
+        numbered_change(self.numbering(), ChangeKind::FullSpec(self.spec().into()))
     }
 
     fn is_in(&self, document: &Document) -> bool {
@@ -108,19 +103,11 @@
     }
 }
 
-fn founded_cluster(seed: u64) -> TestCluster {
-    let mut cluster = TestCluster::new(seed, &[0, 1, 2]);
-    cluster.start_all();
-    cluster.await_leader();
-    cluster.advance(300);
-    cluster
-}
-
 #[gtest]
 fn every_number_is_answered_as_the_model_says() -> Result<()> {
     let mut seen: BTreeMap<String, usize> = BTreeMap::new();
     for seed in 0..8 {
-        let mut cluster = founded_cluster(seed);
+        let mut cluster = TestCluster::founded(seed);
         let mut expected_history = ExpectedHistory::default();
         let mut rng = SeededRng::seeded(seed);
         let mut earlier: Vec<SentChange> = Vec::new();
@@ -179,92 +166,156 @@
     Ok(())
 }
 
-#[gtest]
-fn a_change_retried_after_kills_is_never_rejected_once_committed() -> Result<()> {
-    let (mut unknown_count, mut retry_count, mut kill_count) = (0, 0, 0);
-    for seed in 0..40 {
-        let mut cluster = founded_cluster(seed);
-        let mut rng = SeededRng::seeded(1000 + seed);
-        let mut all_sent: Vec<SentChange> = Vec::new();
-        let mut accepted: Vec<SentChange> = Vec::new();
-        for _ in 0..12 {
-            let leader = cluster.await_leader();
-            let current = cluster.accepted(leader).expect("a document").number;
-            let rivals: Vec<SentChange> = (0..1 + rng.below(2))
-                .map(|_| SentChange::random(&mut rng, current))
-                .collect();
-            all_sent.extend(rivals.iter().cloned());
-            let tickets: Vec<_> = rivals
-                .iter()
-                .map(|sent| cluster.submit(leader, sent.operation()))
-                .collect();
-            if rng.random_bool(0.7) {
-                let span = rng.below(25);
-                cluster.advance(span);
-                let victim = if rng.random_bool(0.8) {
-                    leader
-                } else {
-                    rng.below(3) as usize
-                };
-                cluster.kill(victim);
-                kill_count += 1;
-                cluster.advance(400);
-                cluster.start(victim);
+/// How often a try had an unclear outcome, a retry was one of a recorded change, and a controller was killed.
+#[derive(Default)]
+struct RetryCounts {
+    unknown: usize,
+    recorded: usize,
+    killed: usize,
+}
+
+/// Operators that send rival changes and retry them, while controllers are killed.
+struct RetryingOperators {
+    cluster: TestCluster,
+    rng: SeededRng,
+    sent: Vec<SentChange>,
+    accepted: Vec<SentChange>,
+}
+
+impl RetryingOperators {
+    const MAX_TRIES: usize = 8;
+
+    fn new(seed: u64) -> Self {
+        Self {
+            cluster: TestCluster::founded(seed),
+            rng: SeededRng::seeded(1000 + seed),
+            sent: Vec::new(),
+            accepted: Vec::new(),
+        }
+    }
+
+    /// Sends one or two changes at once, after which a controller may be killed, and retries each until it is decided.
+    fn send_rivals(&mut self, counts: &mut RetryCounts) -> Result<()> {
+        let leader = self.cluster.await_leader();
+        let current = self.cluster.accepted(leader).expect("a document").number;
+        let rivals: Vec<SentChange> = (0..1 + self.rng.below(2))
+            .map(|_| SentChange::random(&mut self.rng, current))
+            .collect();
+        self.sent.extend(rivals.iter().cloned());
+        let tickets: Vec<OperationTicket> = rivals
+            .iter()
+            .map(|sent| self.cluster.submit(leader, sent.operation()))
+            .collect();
+        if self.rng.random_bool(0.7) {
+            self.kill_and_restart(leader);
+            counts.killed += 1;
+        }
+        self.cluster.advance(1000);
+        for (sent, ticket) in rivals.into_iter().zip(tickets) {
+            let verdict = self.decided_verdict(&sent, ticket, counts)?;
+            self.check_decision(sent, verdict)?;
+        }
+        Ok(())
+    }
+
+    /// Kills the leader, or any other controller, while the changes are under way.
+    fn kill_and_restart(&mut self, leader: usize) {
+        let span = self.rng.below(25);
+        self.cluster.advance(span);
+        let victim = if self.rng.random_bool(0.8) {
+            leader
+        } else {
+            self.rng.below(3) as usize
+        };
+        self.cluster.kill(victim);
+        self.cluster.advance(400);
+        self.cluster.start(victim);
+    }
+
+    /// The verdict on a change, which is retried while it is unclear. A change that a leader has recorded is accepted.
+    fn decided_verdict(
+        &mut self,
+        sent: &SentChange,
+        ticket: OperationTicket,
+        counts: &mut RetryCounts,
+    ) -> Result<Verdict> {
+        let first_reply = self.cluster.replies.remove(&ticket);
+        let mut verdict = first_reply.map_or(Verdict::Unknown, |reply| verdict_of(&reply));
+        for _ in 0..Self::MAX_TRIES {
+            if !matches!(verdict, Verdict::Unknown | Verdict::NotAccepted) {
+                break;
             }
-            cluster.advance(1000);
-            for (sent, ticket) in rivals.iter().zip(tickets) {
-                let mut verdict = cluster
-                    .replies
-                    .remove(&ticket)
-                    .map_or(Verdict::Unknown, |reply| verdict_of(&reply));
-                let mut try_count = 0;
-                while matches!(verdict, Verdict::Unknown | Verdict::NotAccepted) && try_count < 8 {
-                    unknown_count += usize::from(verdict == Verdict::Unknown);
-                    let at = cluster.await_leader();
-                    let was_taken = cluster
-                        .accepted(at)
-                        .is_some_and(|document| sent.is_in(document));
-                    retry_count += usize::from(was_taken);
-                    let reply = cluster.reply_to(at, sent.operation());
-                    verdict = reply.map_or(Verdict::Unknown, |reply| verdict_of(&reply));
-                    if was_taken {
-                        verify_that!(verdict, eq(Verdict::Accepted))?;
-                    }
-                    try_count += 1;
-                }
-                match verdict {
-                    Verdict::Accepted => accepted.push(sent.clone()),
-                    Verdict::Stale | Verdict::Invalid => {
-                        let is_committed = cluster
-                            .committed
-                            .iter()
-                            .any(|document| sent.is_in(document));
-                        verify_that!(is_committed, eq(false))?;
-                    }
-                    _ => {}
-                }
+            counts.unknown += usize::from(verdict == Verdict::Unknown);
+            let leader = self.cluster.await_leader();
+            let is_recorded = self
+                .cluster
+                .accepted(leader)
+                .is_some_and(|document| sent.is_in(document));
+            counts.recorded += usize::from(is_recorded);
+            let reply = self.cluster.reply_to(leader, sent.operation());
+            verdict = reply.map_or(Verdict::Unknown, |reply| verdict_of(&reply));
+            if is_recorded {
+                verify_that!(verdict, eq(Verdict::Accepted))?;
             }
         }
-        check_chain(&cluster, &all_sent)?;
-        let leader = cluster.await_leader();
-        let newest = cluster.accepted(leader).expect("a document").clone();
-        for sent in &accepted {
-            verify_that!(sent.is_in(&newest), eq(true))?;
+        Ok(verdict)
+    }
+
+    /// A change that was rejected is in no committed version.
+    fn check_decision(&mut self, sent: SentChange, verdict: Verdict) -> Result<()> {
+        match verdict {
+            Verdict::Accepted => self.accepted.push(sent),
+            Verdict::Stale | Verdict::Invalid => {
+                let is_committed = self
+                    .cluster
+                    .committed
+                    .iter()
+                    .any(|document| sent.is_in(document));
+                verify_that!(is_committed, eq(false))?;
+            }
+            Verdict::NotAccepted | Verdict::Unknown => {}
         }
-        let bases: Vec<u64> = accepted.iter().map(|sent| sent.base_number).collect();
-        let different: BTreeSet<(u64, u64, u64)> = accepted
+        Ok(())
+    }
+
+    /// Every accepted change is recorded, and no two of them are built on the same number.
+    fn check_accepted(&mut self) -> Result<()> {
+        check_chain(&self.cluster, &self.sent)?;
+        let leader = self.cluster.await_leader();
+        let newest = self.cluster.accepted(leader).expect("a document");
+        for sent in &self.accepted {
+            verify_that!(sent.is_in(newest), eq(true))?;
+        }
+        let different: BTreeSet<(u64, u64, u64)> = self
+            .accepted
             .iter()
             .map(|sent| (sent.number, sent.base_number, sent.content))
             .collect();
-        let different_bases: BTreeSet<u64> = bases.into_iter().collect();
-        verify_that!(different.len(), eq(different_bases.len()))?;
+        let different_bases: BTreeSet<u64> =
+            self.accepted.iter().map(|sent| sent.base_number).collect();
+        verify_that!(different.len(), eq(different_bases.len()))
+    }
+}
+
+#[gtest]
+fn a_change_retried_after_kills_is_never_rejected_once_committed() -> Result<()> {
+    let mut counts = RetryCounts::default();
+    for seed in 0..40 {
+        let mut operators = RetryingOperators::new(seed);
+        for _ in 0..12 {
+            operators.send_rivals(&mut counts)?;
+        }
+        operators.check_accepted()?;
     }
-    verify_that!(unknown_count.min(retry_count).min(kill_count), ge(10))
+    verify_that!(
+        counts.unknown.min(counts.recorded).min(counts.killed),
+        ge(10)
+    )
 }
 
 #[gtest]
 fn the_same_change_sent_twice_at_once_is_one_change() -> Result<()> {
-    let mut cluster = founded_cluster(4);
+    let mut cluster = TestCluster::founded(4);
     let leader = cluster.await_leader();
     let sent = SentChange {
         number: 5,
@@ -295,38 +346,33 @@
            "budget_ms": 1000, "kind": "once", "labels": {"of": name}})
 }
 
-fn change(numbering: Numbering, kind: ChangeKind) -> Operation {
-    let numbering = Some(numbering);
-    Operation::Change {
-        base: None,
-        numbering,
-        change: None,
-        kind,
-        wait: Wait::Accepted,
-    }
+/// Submits a numbered change to the leader and checks the verdict on it.
+fn check_verdict(
+    cluster: &mut TestCluster,
+    leader: usize,
+    (number, base_number): (u64, u64),
+    kind: ChangeKind,
+    expected: Verdict,
+) -> Result<()> {
+    let numbering = Numbering {
+        number,
+        base_number,
+    };
+    let reply = cluster.reply_to(leader, numbered_change(numbering, kind));
+    verify_that!(reply.map(|reply| verdict_of(&reply)), some(eq(expected)))
 }
 
 #[gtest]
 fn items_are_replaced_in_full_and_removed_by_name() -> Result<()> {
-    let mut cluster = founded_cluster(2);
+    let mut cluster = TestCluster::founded(2);
     let leader = cluster.await_leader();
     let first = json!({
         "functions": {"a": function(100), "b": function(200)},
         "routes": {"ra": route("ra", "a"), "rb": route("rb", "b")},
         "labels": {"day": "one"},
     });
-    let numbering = Numbering {
-        number: 3,
-        base_number: 0,
-    };
-    let reply = cluster.reply_to(
-        leader,
-        change(numbering, ChangeKind::FullSpec(first.into())),
-    );
-    verify_that!(
-        reply.map(|reply| verdict_of(&reply)),
-        some(eq(Verdict::Accepted))
-    )?;
+    let first = ChangeKind::FullSpec(first.into());
+    check_verdict(&mut cluster, leader, (3, 0), first, Verdict::Accepted)?;
     let items = ItemChange {
         put_functions: BTreeMap::from([("c".to_owned(), function(300))]),
         remove_functions: BTreeSet::from(["b".to_owned(), "nobody".to_owned()]),
@@ -335,16 +381,14 @@
         limits: Some(json!({"body_bytes": 4096})),
         labels: None,
     };
-    let numbering = Numbering {
-        number: 8,
-        base_number: 3,
-    };
-    let kind = ChangeKind::Items(Box::new(items));
+    let items = ChangeKind::Items(Box::new(items));
     for _ in 0..2 {
-        let reply = cluster.reply_to(leader, change(numbering, kind.clone()));
-        verify_that!(
-            reply.map(|reply| verdict_of(&reply)),
-            some(eq(Verdict::Accepted))
+        check_verdict(
+            &mut cluster,
+            leader,
+            (8, 3),
+            items.clone(),
+            Verdict::Accepted,
         )?;
     }
     let expected = json!({
@@ -353,42 +397,21 @@
         "limits": {"body_bytes": 4096},
         "labels": {"day": "one"},
     });
-    verify_that!(
-        cluster
-            .accepted(leader)
-            .expect("a document")
-            .spec
-            .to_value(),
-        eq(&expected)
-    )?;
+    let accepted = cluster.accepted(leader).expect("a document");
+    verify_that!(accepted.spec.to_value(), eq(&expected))?;
     let dangling = ItemChange {
         remove_functions: BTreeSet::from(["c".to_owned()]),
         ..ItemChange::default()
     };
-    let numbering = Numbering {
-        number: 9,
-        base_number: 8,
-    };
-    let kind = ChangeKind::Items(Box::new(dangling));
-    let reply = cluster.reply_to(leader, change(numbering, kind));
-    verify_that!(
-        reply.map(|reply| verdict_of(&reply)),
-        some(eq(Verdict::Invalid))
-    )?;
+    let dangling = ChangeKind::Items(Box::new(dangling));
+    check_verdict(&mut cluster, leader, (9, 8), dangling, Verdict::Invalid)?;
     verify_that!(cluster.accepted(leader).expect("a document").number, eq(8))
 }
 
 #[gtest]
 fn a_zone_change_without_an_id_is_accepted_again_and_changes_nothing() -> Result<()> {
-    let mut cluster = founded_cluster(6);
+    let mut cluster = TestCluster::founded(6);
     let leader = cluster.await_leader();
-    let zone_change = |kind| Operation::Change {
-        base: None,
-        numbering: None,
-        change: None,
-        kind,
-        wait: Wait::Accepted,
-    };
     let evacuate = |force| ChangeKind::Evacuate {
         zone: "l9".into(),
         force,
--- a/crates/controlplane/tests/controller_state/cluster.rs
+++ b/crates/controlplane/tests/controller_state/cluster.rs
@@ -120,6 +120,15 @@
         cluster
     }
 
+    /// Three controllers that have founded their quorum and have had a leader for a while.
+    pub fn founded(seed: u64) -> Self {
+        let mut cluster = Self::new(seed, &[0, 1, 2]);
+        cluster.start_all();
+        cluster.await_leader();
+        cluster.advance(300);
+        cluster
+    }
+
     /// Gives a stopped controller an empty disk.
     pub fn wipe(&mut self, number: usize, is_initial: bool) {
         let id = ControllerId(self.rng.number() | 1);
--- a/crates/controlplane/tests/controller_state/main.rs
+++ b/crates/controlplane/tests/controller_state/main.rs
@@ -4,6 +4,7 @@
 mod change_numbering;
 mod cluster;
 mod founding;
+mod operations;
 mod operator_api;
 mod operator_changes;
 #[path = "../../../../testing/support/operator_requests.rs"]
--- a/crates/controlplane/tests/controller_state/operator_changes.rs
+++ b/crates/controlplane/tests/controller_state/operator_changes.rs
@@ -2,44 +2,22 @@
 //! evacuation whose caller has disconnected is not carried out.
 
 use super::cluster::TestCluster;
+use super::operations::{numbered_change, zone_change};
 use common::identity::Zone;
 use controlplane::controller_state::{
-    ChangeKind, ControllerInput, Numbering, Operation, OperationReply, Unavailable, Wait,
+    ChangeKind, ControllerInput, Numbering, Operation, OperationReply, Unavailable,
 };
 use googletest::prelude::*;
 use serde_json::json;
 use std::time::Duration;
 
-fn founded_cluster(seed: u64) -> TestCluster {
-    let mut cluster = TestCluster::new(seed, &[0, 1, 2]);
-    cluster.start_all();
-    cluster.await_leader();
-    cluster.advance(300);
-    cluster
-}
-
 fn numbered(number: u64, base_number: u64) -> Operation {
     let spec = json!({"functions": {}, "routes": {}, "labels": {"made": number}});
-    Operation::Change {
-        base: None,
-        numbering: Some(Numbering {
-            number,
-            base_number,
-        }),
-        change: None,
-        kind: ChangeKind::FullSpec(spec.into()),
-        wait: Wait::Accepted,
-    }
-}
-
-fn zone_change(kind: ChangeKind) -> Operation {
-    Operation::Change {
-        base: None,
-        numbering: None,
-        change: None,
-        kind,
-        wait: Wait::Accepted,
-    }
+    let numbering = Numbering {
+        number,
+        base_number,
+    };
+    numbered_change(numbering, ChangeKind::FullSpec(spec.into()))
 }
 
 fn evacuate(zone: &str) -> Operation {
@@ -62,7 +40,7 @@
 /// A change that may have been applied before, with its record forgotten, is neither acknowledged nor rejected.
 #[gtest]
 fn a_change_is_recognized_after_many_others_and_a_forgotten_one_is_not_rejected() -> Result<()> {
-    let mut cluster = founded_cluster(1);
+    let mut cluster = TestCluster::founded(1);
     let leader = cluster.await_leader();
     for number in 1..=1100 {
         let reply = cluster.reply_to(leader, numbered(number, number - 1));
@@ -99,7 +77,7 @@
 #[gtest]
 fn a_leader_that_may_have_been_deposed_rejects_nothing() -> Result<()> {
     for seed in 0..20 {
-        let mut cluster = founded_cluster(seed);
+        let mut cluster = TestCluster::founded(seed);
         let leader = cluster.await_leader();
         cluster.reply_to(leader, numbered(5, 0));
         let others: Vec<usize> = (0..3).filter(|number| *number != leader).collect();
@@ -129,7 +107,7 @@
 
 #[gtest]
 fn an_evacuation_whose_caller_disconnected_is_not_executed() -> Result<()> {
-    let mut cluster = founded_cluster(3);
+    let mut cluster = TestCluster::founded(3);
     let leader = cluster.await_leader();
     let abandoned_ticket = cluster.submit(leader, evacuate("l1"));
     cluster.advance(8);
@@ -159,7 +137,7 @@
 {
     let mut retry_count = 0;
     for seed in 0..120 {
-        let mut cluster = founded_cluster(seed);
+        let mut cluster = TestCluster::founded(seed);
         let leader = cluster.await_leader();
         for number in 0..3 {
             let others: Vec<usize> = (0..3).filter(|other| *other != number).collect();
@@ -183,7 +161,7 @@
 
 #[gtest]
 fn nobody_is_redirected_to_a_leader_without_recent_heartbeat() -> Result<()> {
-    let mut cluster = founded_cluster(5);
+    let mut cluster = TestCluster::founded(5);
     let leader = cluster.await_leader();
     let follower = (0..3).find(|number| *number != leader).expect("a follower");
     let immediate_ticket = cluster.submit(follower, Operation::ReadSpec);
