--- a/crates/controlplane/tests/membership_change.rs
+++ b/crates/controlplane/tests/membership_change.rs
@@ -310,6 +310,33 @@
     )
 }
 
+/// The first controller, started anew with a document on its disk.
+fn first_voter_with(
+    accepted: Option<Document>,
+    timing: ConsensusTiming,
+    now: MonotonicTime,
+) -> ConsensusNode {
+    let persisted = PersistedState {
+        id: ControllerId(1),
+        voted_for: None,
+        accepted,
+        unreadable_version: DocumentVersion::default(),
+    };
+    let controller_address = ControllerAddress {
+        address: address(0),
+        operators: address(0),
+    };
+    ConsensusNode::new(
+        now,
+        timing,
+        persisted,
+        controller_address,
+        Zone::from("l0"),
+        (0..3).map(address).collect(),
+        SeededRng::seeded(9),
+    )
+}
+
 #[gtest]
 fn a_single_recovered_voter_leads_and_grows_to_three_again() -> Result<()> {
     let mut cluster = Cluster::new();
@@ -323,29 +350,10 @@
         controlplane::consensus::single_voter_document(&changed, ControllerId(77)).is_none(),
         eq(true)
     )?;
-    let persisted = PersistedState {
-        id: ControllerId(1),
-        voted_for: None,
-        accepted: Some(recovered_document),
-        unreadable_version: DocumentVersion::default(),
-    };
-    let controller_address = ControllerAddress {
-        address: address(0),
-        operators: address(0),
-    };
     let timing = ConsensusTiming::builder()
         .unreachable_voter_timeout(Duration::from_secs(3))
         .build();
-    let seeds = (0..3).map(address).collect();
-    cluster.nodes[0] = ConsensusNode::new(
-        cluster.now,
-        timing,
-        persisted,
-        controller_address,
-        "l0".into(),
-        seeds,
-        SeededRng::seeded(9),
-    );
+    cluster.nodes[0] = first_voter_with(Some(recovered_document), timing, cluster.now);
     for number in 1..3 {
         cluster.nodes[number] = new_node(
             number as u64 + 11,
@@ -372,28 +380,8 @@
         .committed
         .last()
         .map(|(_, document)| document.clone());
-    let persisted = PersistedState {
-        id: ControllerId(1),
-        voted_for: None,
-        accepted: known,
-        unreadable_version: DocumentVersion::default(),
-    };
     let timing = ConsensusTiming::builder().build();
-    let controller_address = ControllerAddress {
-        address: address(0),
-        operators: address(0),
-    };
-    let seeds = (0..3).map(address).collect();
-    let zone = Zone::from("l0");
-    let mut restarted = ConsensusNode::new(
-        cluster.now,
-        timing.clone(),
-        persisted,
-        controller_address,
-        zone,
-        seeds,
-        SeededRng::seeded(9),
-    );
+    let mut restarted = first_voter_with(known, timing.clone(), cluster.now);
     let mut requested_after = Duration::ZERO;
     while requested_after < timing.election_timeout_max {
         requested_after += Duration::from_millis(10);
--- a/crates/controlplane/tests/quorum_model/main.rs
+++ b/crates/controlplane/tests/quorum_model/main.rs
@@ -58,28 +58,26 @@
     violating_run.map(|(violation, _)| violation)
 }
 
+/// The violation found when one rule is not enforced.
+fn violation_without(rule: Rule) -> Option<SafetyViolation> {
+    explore_until_violation(Setup {
+        rules: Rules::without(rule),
+        ..Setup::correct(3, 3, 1, 1)
+    })
+}
+
 #[gtest]
 fn an_acknowledgement_before_the_disk_write_is_detected() -> Result<()> {
-    let rules = Rules::without(Rule::AcceptPersistedFirst);
     verify_that!(
-        explore_until_violation(Setup {
-            rules,
-            ..Setup::correct(3, 3, 1, 1)
-        })
-        .is_some(),
+        violation_without(Rule::AcceptPersistedFirst).is_some(),
         eq(true)
     )
 }
 
 #[gtest]
 fn a_vote_for_a_candidate_with_an_older_version_is_detected() -> Result<()> {
-    let rules = Rules::without(Rule::CandidateIsUpToDate);
     verify_that!(
-        explore_until_violation(Setup {
-            rules,
-            ..Setup::correct(3, 3, 1, 1)
-        })
-        .is_some(),
+        violation_without(Rule::CandidateIsUpToDate).is_some(),
         eq(true)
     )
 }
--- a/crates/controlplane/tests/quorum_model/model.rs
+++ b/crates/controlplane/tests/quorum_model/model.rs
@@ -434,39 +434,46 @@
                 if *incarnation != self.machines[owner].incarnation {
                     return Ok(());
                 }
-                let ticket = *ticket;
-                match self.machines[owner].disk_fault {
-                    Some(DiskFault::Hung) => return Ok(()),
-                    Some(DiskFault::Full) => {
-                        let failed = WriteResult::Failed;
-                        return self.apply_input(owner, |consensus, now| {
-                            consensus.write_completed(now, ticket, failed)
-                        });
-                    }
-                    None => {}
-                }
-                let disk = &mut self.machine(owner).disk;
-                match job {
-                    WriteJob::Vote { term, candidate } => {
-                        disk.voted_for = Some((*term, *candidate))
-                    }
-                    WriteJob::Version(document) => {
-                        let held_version = disk
-                            .accepted
-                            .as_ref()
-                            .map(|held_version| held_version.document_version);
-                        if held_version
-                            .is_none_or(|held_version| held_version < document.document_version)
-                        {
-                            disk.accepted = Some(document.clone());
-                        }
-                    }
-                    WriteJob::Scrub(_) => {}
+                self.process_write(owner, *ticket, job)
+            }
+        }
+    }
+
+    /// Lets a write end as its disk does, unless the disk hangs.
+    fn process_write(
+        &mut self,
+        owner: usize,
+        ticket: Ticket,
+        job: &WriteJob,
+    ) -> Result<(), SafetyViolation> {
+        let result = match self.machines[owner].disk_fault {
+            Some(DiskFault::Hung) => return Ok(()),
+            Some(DiskFault::Full) => WriteResult::Failed,
+            None => {
+                self.persist(owner, job);
+                WriteResult::Synced
+            }
+        };
+        self.apply_input(owner, |consensus, now| {
+            consensus.write_completed(now, ticket, result)
+        })
+    }
+
+    fn persist(&mut self, owner: usize, job: &WriteJob) {
+        let disk = &mut self.machine(owner).disk;
+        match job {
+            WriteJob::Vote { term, candidate } => disk.voted_for = Some((*term, *candidate)),
+            WriteJob::Version(document) => {
+                let held_version = disk
+                    .accepted
+                    .as_ref()
+                    .map(|held_version| held_version.document_version);
+                if held_version.is_none_or(|held_version| held_version < document.document_version)
+                {
+                    disk.accepted = Some(document.clone());
                 }
-                self.apply_input(owner, |consensus, now| {
-                    consensus.write_completed(now, ticket, WriteResult::Synced)
-                })
             }
+            WriteJob::Scrub(_) => {}
         }
     }
 
--- a/crates/controlplane/tests/storage.rs
+++ b/crates/controlplane/tests/storage.rs
@@ -3,7 +3,7 @@
 use common::frames::SocketAddress;
 use common::identity::{ChangeId, ControllerId, DocumentVersion, Term, Zone};
 use common::spec::{Document, Voter};
-use controlplane::consensus::WriteJob;
+use controlplane::consensus::{PersistedState, WriteJob};
 use controlplane::storage::{DataDirectory, DiskFaultHook};
 use googletest::prelude::*;
 use std::fs;
@@ -74,11 +74,32 @@
     stored_versions
 }
 
+/// A new directory with this many versions.
+fn filled_directory(name: &str, count: u64) -> (TempDirectory, Vec<Document>) {
+    let directory = TempDirectory::new(name);
+    let stored_versions = fill_directory(&directory, count);
+    (directory, stored_versions)
+}
+
+/// What a start of the controller finds in its directory, and the files that it quarantines.
+fn start(directory: &TempDirectory) -> Result<(PersistedState, Vec<String>)> {
+    Ok(DataDirectory::open(&directory.0)?.load(ControllerId(1))?)
+}
+
+/// Starts, and checks which version is known to be unreadable.
+fn check_unreadable_version(
+    directory: &TempDirectory,
+    expected: DocumentVersion,
+) -> Result<PersistedState> {
+    let (persisted, _) = start(directory)?;
+    verify_that!(persisted.unreadable_version, eq(expected))?;
+    Ok(persisted)
+}
+
 #[gtest]
 fn the_newest_version_and_vote_come_back_and_old_ones_go() -> Result<()> {
-    let directory = TempDirectory::new("newest");
-    let stored_versions = fill_directory(&directory, 30);
-    let (persisted, quarantined) = DataDirectory::open(&directory.0)?.load(ControllerId(1))?;
+    let (directory, stored_versions) = filled_directory("newest", 30);
+    let (persisted, quarantined) = start(&directory)?;
     verify_that!(persisted.id, eq(ControllerId(7)))?;
     verify_that!(persisted.voted_for, some(eq((Term(4), ControllerId(9)))))?;
     verify_that!(
@@ -92,15 +113,14 @@
 
 #[gtest]
 fn a_write_cut_at_any_byte_leaves_the_version_before() -> Result<()> {
-    let directory = TempDirectory::new("cut");
-    let stored_versions = fill_directory(&directory, 3);
+    let (directory, stored_versions) = filled_directory("cut", 3);
     let full_bytes = fs::read(directory.newest("spec-"))?;
     let temporary_path = directory
         .0
         .join(format!("spec-{:016x}-{:016x}.aside", 9, 9));
     for cut in (0..full_bytes.len()).step_by(37) {
         fs::write(&temporary_path, &full_bytes[..cut])?;
-        let (persisted, quarantined) = DataDirectory::open(&directory.0)?.load(ControllerId(1))?;
+        let (persisted, quarantined) = start(&directory)?;
         verify_that!(
             persisted.accepted.as_ref() == stored_versions.last(),
             eq(true)
@@ -113,33 +133,27 @@
 
 #[gtest]
 fn a_damaged_version_is_quarantined_and_the_loss_is_recorded() -> Result<()> {
-    let directory = TempDirectory::new("damaged");
-    let stored_versions = fill_directory(&directory, 4);
+    let (directory, stored_versions) = filled_directory("damaged", 4);
     let damaged_path = directory.newest("spec-");
     let mut damaged_bytes = fs::read(&damaged_path)?;
     let middle = damaged_bytes.len() / 2;
     damaged_bytes[middle] ^= 1;
     fs::write(&damaged_path, damaged_bytes)?;
     for _ in 0..2 {
-        let (persisted, _) = DataDirectory::open(&directory.0)?.load(ControllerId(1))?;
+        let persisted = check_unreadable_version(&directory, stored_versions[3].document_version)?;
         verify_that!(
             persisted.accepted.as_ref() == stored_versions.get(2),
             eq(true)
         )?;
-        verify_that!(
-            persisted.unreadable_version,
-            eq(stored_versions[3].document_version)
-        )?;
     }
     Ok(())
 }
 
 #[gtest]
 fn a_damaged_vote_still_counts_as_granted() -> Result<()> {
-    let directory = TempDirectory::new("vote");
-    fill_directory(&directory, 2);
+    let (directory, _) = filled_directory("vote", 2);
     fs::write(directory.newest("vote-"), "")?;
-    let (persisted, quarantined) = DataDirectory::open(&directory.0)?.load(ControllerId(1))?;
+    let (persisted, quarantined) = start(&directory)?;
     verify_that!(quarantined.len(), eq(1))?;
     verify_that!(persisted.voted_for, some(eq((Term(4), ControllerId(0)))))
 }
@@ -156,8 +170,7 @@
 
 #[gtest]
 fn a_damaged_newest_version_is_rewritten_from_memory_while_running() -> Result<()> {
-    let directory = TempDirectory::new("scrub");
-    let stored_versions = fill_directory(&directory, 4);
+    let (directory, stored_versions) = filled_directory("scrub", 4);
     let data_directory = DataDirectory::open(&directory.0)?;
     verify_that!(data_directory.scrub(stored_versions.last())?, is_empty())?;
     fs::write(directory.newest("spec-"), "rot")?;
@@ -178,14 +191,13 @@
         controlplane::storage::force_single_voter(&empty.0).is_err(),
         eq(true)
     )?;
-    let directory = TempDirectory::new("recover");
-    let stored_versions = fill_directory(&directory, 3);
+    let (directory, stored_versions) = filled_directory("recover", 3);
     let document_version = controlplane::storage::force_single_voter(&directory.0)?;
     verify_that!(
         document_version > stored_versions[2].document_version,
         eq(true)
     )?;
-    let (persisted, _) = DataDirectory::open(&directory.0)?.load(ControllerId(1))?;
+    let (persisted, _) = start(&directory)?;
     let recovered_document = persisted.accepted.expect("a version");
     verify_that!(recovered_document.voters.len(), eq(1))?;
     verify_that!(
@@ -238,42 +250,31 @@
 #[gtest]
 fn a_damaged_version_is_recorded_as_unreadable_at_whatever_write_the_start_ends() -> Result<()> {
     for writes in 1..4 {
-        let directory = TempDirectory::new("distrust-full");
-        let stored_versions = fill_directory(&directory, 4);
+        let (directory, stored_versions) = filled_directory("distrust-full", 4);
         fs::write(directory.newest("spec-"), "rot")?;
         let full = Box::new(FullAfter(AtomicUsize::new(writes)));
         let _ = DataDirectory::open_with(&directory.0, full)?.load(ControllerId(1));
-        let (persisted, _) = DataDirectory::open(&directory.0)?.load(ControllerId(1))?;
-        verify_that!(
-            persisted.unreadable_version,
-            eq(stored_versions[3].document_version)
-        )?;
+        check_unreadable_version(&directory, stored_versions[3].document_version)?;
     }
     Ok(())
 }
 
 #[gtest]
 fn older_damage_found_later_does_not_lower_the_unreadable_version() -> Result<()> {
-    let directory = TempDirectory::new("distrust-older");
-    let stored_versions = fill_directory(&directory, 4);
+    let (directory, stored_versions) = filled_directory("distrust-older", 4);
     for _ in 0..2 {
         fs::write(directory.newest("spec-"), "rot")?;
-        let (persisted, _) = DataDirectory::open(&directory.0)?.load(ControllerId(1))?;
-        verify_that!(
-            persisted.unreadable_version,
-            eq(stored_versions[3].document_version)
-        )?;
+        check_unreadable_version(&directory, stored_versions[3].document_version)?;
     }
     Ok(())
 }
 
 #[gtest]
 fn a_damaged_vote_counts_as_granted_at_every_later_start() -> Result<()> {
-    let directory = TempDirectory::new("vote-later");
-    fill_directory(&directory, 2);
+    let (directory, _) = filled_directory("vote-later", 2);
     fs::write(directory.newest("vote-"), "")?;
     for _ in 0..3 {
-        let (persisted, _) = DataDirectory::open(&directory.0)?.load(ControllerId(1))?;
+        let (persisted, _) = start(&directory)?;
         verify_that!(persisted.voted_for, some(eq((Term(4), ControllerId(0)))))?;
     }
     Ok(())
--- a/crates/controlplane/tests/stored_forms.rs
+++ b/crates/controlplane/tests/stored_forms.rs
@@ -159,6 +159,23 @@
     verify_that!(has(NEWEST_VERSION), eq(true))
 }
 
+/// What is left after the newest vote and the newest version were found damaged: the vote counts as given, and the
+/// version before is the accepted one.
+fn check_state_after_damage(persisted: &PersistedState) -> Result<()> {
+    verify_that!(persisted.voted_for, some(eq((Term(3), ControllerId(0)))))?;
+    verify_that!(
+        persisted.accepted.as_ref() == Some(&document_versions()[1]),
+        eq(true)
+    )?;
+    verify_that!(
+        persisted.unreadable_version,
+        eq(DocumentVersion {
+            term: Term(3),
+            version: Version(3)
+        })
+    )
+}
+
 #[gtest]
 fn damaged_files_of_earlier_sources_are_set_aside_as_ever() -> Result<()> {
     let directory = Folder::copy_of(DATA, "damaged")?;
@@ -167,11 +184,7 @@
     let (persisted, quarantined) = start(&directory)?;
     verify_that!(quarantined, eq(&[NEWEST_VERSION, NEWEST_VOTE]))?;
     verify_that!(persisted.id, eq(OWN))?;
-    verify_that!(persisted.voted_for, some(eq((Term(3), ControllerId(0)))))?;
-    verify_that!(
-        persisted.accepted.as_ref() == Some(&document_versions()[1]),
-        eq(true)
-    )?;
+    check_state_after_damage(&persisted)?;
     verify_that!(
         persisted.unreadable_version,
         eq(document_versions()[2].document_version)
@@ -184,18 +197,7 @@
     let directory = Folder::copy_of(DAMAGED, "known")?;
     let (persisted, quarantined) = start(&directory)?;
     verify_that!(quarantined, is_empty())?;
-    verify_that!(persisted.voted_for, some(eq((Term(3), ControllerId(0)))))?;
-    verify_that!(
-        persisted.accepted.as_ref() == Some(&document_versions()[1]),
-        eq(true)
-    )?;
-    verify_that!(
-        persisted.unreadable_version,
-        eq(DocumentVersion {
-            term: Term(3),
-            version: Version(3)
-        })
-    )?;
+    check_state_after_damage(&persisted)?;
     compare(DAMAGED, &directory.0)
 }
 
