--- a/crates/common/tests/frames.rs
+++ b/crates/common/tests/frames.rs
@@ -73,6 +73,26 @@
     FunctionKey::new("f", Version(2))
 }
 
+fn function_request(
+    idempotency_key: &str,
+    function: FunctionKey,
+    route: &str,
+    payload: RequestPayload,
+) -> DaemonMessage {
+    DaemonMessage::FunctionRequest {
+        idempotency_key: idempotency_key.into(),
+        function,
+        route: route.into(),
+        version: Version(3),
+        time_limit_ms: 900,
+        hops: 1,
+        repeat: Flag(false),
+        wants_referral: Flag(true),
+        region: "east".into(),
+        payload,
+    }
+}
+
 fn daemon_messages() -> [DaemonMessage; 3] {
     let record = LedgerRecord {
         idempotency_key: "t-1".into(),
@@ -80,18 +100,12 @@
         remaining_ms: 900,
     };
     [
-        DaemonMessage::FunctionRequest {
-            idempotency_key: "t-1".into(),
-            function: function(),
-            route: "r".into(),
-            version: Version(3),
-            time_limit_ms: 900,
-            hops: 1,
-            repeat: Flag(false),
-            wants_referral: Flag(true),
-            region: "east".into(),
-            payload: RequestPayload::from_body(b"{}".to_vec().into()),
-        },
+        function_request(
+            "t-1",
+            function(),
+            "r",
+            RequestPayload::from_body(b"{}".to_vec().into()),
+        ),
         DaemonMessage::Record {
             function: function(),
             fencing_token: FencingToken(4),
@@ -333,18 +347,8 @@
         header_fields: LengthPrefixed(header_fields),
         body: vec![7; 300].into(),
     };
-    DaemonMessage::FunctionRequest {
-        idempotency_key: identity.into(),
-        function: FunctionKey::new("segment-check", Version(2)),
-        route: "segment-check-post".into(),
-        version: Version(3),
-        time_limit_ms: 900,
-        hops: 1,
-        repeat: Flag(false),
-        wants_referral: Flag(true),
-        region: "east".into(),
-        payload,
-    }
+    let function = FunctionKey::new("segment-check", Version(2));
+    function_request(identity, function, "segment-check-post", payload)
 }
 
 fn completed_request(header_fields: Vec<HeaderField>) -> DaemonMessage {
--- a/crates/common/tests/withdrawn_words.rs
+++ b/crates/common/tests/withdrawn_words.rs
@@ -96,62 +96,80 @@
     RawText { hashes: usize },
 }
 
-/// The lines of a source with their numbers, from one.
-fn split_lines(source: &str) -> Vec<(usize, SourceLine)> {
-    let mut lines = vec![SourceLine::default()];
-    let mut scanning = Scanning::Code;
-    let characters: Vec<char> = source.chars().collect();
-    let mut index = 0;
-    while index < characters.len() {
-        let character = characters[index];
-        let rest = &characters[index..];
-        let line = lines.last_mut().expect("a line");
-        let mut consumed = 1;
-        match scanning {
-            Scanning::Code => {
-                if rest.starts_with(&['/', '/']) {
-                    scanning = Scanning::LineComment;
-                } else if rest.starts_with(&['/', '*']) {
-                    scanning = Scanning::BlockComment;
-                } else if let Some((hashes, opening)) = raw_text_opening(rest, &line.code) {
-                    scanning = Scanning::RawText { hashes };
-                    consumed = opening;
-                } else if character == '"' {
-                    scanning = Scanning::Text;
-                } else if let Some(length) = character_literal(rest) {
-                    consumed = length;
-                } else {
-                    line.code.push(character);
-                }
-            }
-            Scanning::LineComment if character == '\n' => scanning = Scanning::Code,
-            Scanning::LineComment => line.comment.push(character),
+/// Parts a source into lines, its strings left out.
+struct LineScanner {
+    scanning: Scanning,
+    lines: Vec<SourceLine>,
+}
+
+impl LineScanner {
+    fn line(&mut self) -> &mut SourceLine {
+        self.lines.last_mut().expect("a line")
+    }
+
+    /// Scans what begins at the first of the characters that are left; returns how many it was.
+    fn scan(&mut self, rest: &[char]) -> usize {
+        let character = rest[0];
+        match self.scanning {
+            Scanning::Code => return self.scan_code(rest),
+            Scanning::LineComment if character == '\n' => self.scanning = Scanning::Code,
+            Scanning::LineComment => self.line().comment.push(character),
             Scanning::BlockComment if rest.starts_with(&['*', '/']) => {
-                scanning = Scanning::Code;
-                consumed = 2;
+                self.scanning = Scanning::Code;
+                return 2;
             }
-            Scanning::BlockComment => line.comment.push(character),
-            Scanning::Text if character == '\\' => consumed = 2,
-            Scanning::Text if character == '"' => scanning = Scanning::Code,
+            Scanning::BlockComment => self.line().comment.push(character),
+            Scanning::Text if character == '\\' => return 2,
+            Scanning::Text if character == '"' => self.scanning = Scanning::Code,
             Scanning::Text => {}
             Scanning::RawText { hashes } => {
                 let closing = rest.iter().skip(1).take_while(|next| **next == '#').count();
                 if character == '"' && closing >= hashes {
-                    scanning = Scanning::Code;
-                    consumed = 1 + hashes;
+                    self.scanning = Scanning::Code;
+                    return 1 + hashes;
                 }
             }
         }
-        let passed = &characters[index..(index + consumed).min(characters.len())];
-        lines.extend(
-            passed
-                .iter()
-                .filter(|passed| **passed == '\n')
-                .map(|_| SourceLine::default()),
-        );
-        index += consumed;
+        1
+    }
+
+    fn scan_code(&mut self, rest: &[char]) -> usize {
+        if rest.starts_with(&['/', '/']) {
+            self.scanning = Scanning::LineComment;
+        } else if rest.starts_with(&['/', '*']) {
+            self.scanning = Scanning::BlockComment;
+        } else if let Some((hashes, opening)) = raw_text_opening(rest, &self.line().code) {
+            self.scanning = Scanning::RawText { hashes };
+            return opening;
+        } else if rest[0] == '"' {
+            self.scanning = Scanning::Text;
+        } else if let Some(length) = character_literal(rest) {
+            return length;
+        } else {
+            self.line().code.push(rest[0]);
+        }
+        1
+    }
+}
+
+/// The lines of a source with their numbers, from one.
+fn split_lines(source: &str) -> Vec<(usize, SourceLine)> {
+    let mut scanner = LineScanner {
+        scanning: Scanning::Code,
+        lines: vec![SourceLine::default()],
+    };
+    let characters: Vec<char> = source.chars().collect();
+    let mut rest = characters.as_slice();
+    while !rest.is_empty() {
+        let scanned_count = scanner.scan(rest).min(rest.len());
+        let (scanned, next) = rest.split_at(scanned_count);
+        let line_ends = scanned.iter().filter(|character| **character == '\n');
+        scanner
+            .lines
+            .extend(line_ends.map(|_| SourceLine::default()));
+        rest = next;
     }
-    (1..).zip(lines).collect()
+    (1..).zip(scanner.lines).collect()
 }
 
 /// How many marks a raw string has and how long its opening is, if one begins here.
