--- a/crates/controlplane/tests/leader_state.rs
+++ b/crates/controlplane/tests/leader_state/main.rs
@@ -1,7 +1,7 @@
 //! The leader's state: when it issues leases, whose claims it awaits, and from when on a request may be sent that
 //! must not run twice.
 
-#[path = "../../../testing/support/forms.rs"]
+#[path = "../../../../testing/support/forms.rs"]
 mod forms;
 
 use common::adapter::{ListedRunner, ListedWorker};
