--- /dev/null
+++ b/crates/controlplane/tests/leader_state/harness.rs
@@ -0,0 +1,274 @@
+//! A leader's state with daemons that join it, on virtual time.
+
+use super::samples::{document, function, function_named, hello, known};
+use common::adapter::{ListedRunner, ListedWorker};
+use common::clock::MonotonicTime;
+use common::frames::{
+    AcquireResult, Claim, ClaimedRunner, DaemonToLeader, Flag, Host, KnownMember, LeaderToDaemon,
+    LengthPrefixed, MemberIncarnation, ReserveResult, SocketAddress,
+};
+use common::identity::{CorrelationId, FencingToken, FunctionKey, RunnerId, Term, Version};
+use controlplane::leader_state::{
+    EventRecord, LeaderOutput, LeaderState, LeaderTiming, QuorumProof, StreamId,
+};
+use std::collections::BTreeSet;
+use std::time::Duration;
+
+/// When the leader was elected.
+pub const ELECTED: MonotonicTime = MonotonicTime(100_000_000_000);
+
+/// A span in milliseconds.
+pub fn ms(millis: u64) -> Duration {
+    Duration::from_millis(millis)
+}
+
+/// A leader that is proven to lead at each step, and what it did.
+pub struct Harness {
+    /// The state under test.
+    pub leader_state: LeaderState,
+    /// Virtual time.
+    pub now: MonotonicTime,
+    /// The outputs of the last step.
+    pub outputs: Vec<LeaderOutput>,
+    /// All events recorded so far.
+    pub events: Vec<EventRecord>,
+}
+
+impl Harness {
+    /// A leader that awaits these members.
+    pub fn new(last_known: &[&str]) -> Self {
+        Self::with_timing(LeaderTiming::builder().build(), last_known)
+    }
+
+    /// A leader of another timing that awaits these members.
+    pub fn with_timing(timing: LeaderTiming, last_known: &[&str]) -> Self {
+        let members: BTreeSet<KnownMember> = last_known.iter().map(|name| known(name)).collect();
+        let mut leader_state = LeaderState::new(timing, Term(5), ELECTED, members, true);
+        leader_state.committed(document());
+        Self::with_state(leader_state)
+    }
+
+    /// A leader that has just been elected.
+    pub fn with_state(leader_state: LeaderState) -> Self {
+        Self {
+            leader_state,
+            now: ELECTED,
+            outputs: Vec::new(),
+            events: Vec::new(),
+        }
+    }
+
+    /// An open leader with one daemon, on stream 1.
+    pub fn with_one_daemon() -> Self {
+        let mut harness = Self::new(&["a"]);
+        harness.join(1, "a", vec![]);
+        harness.listed(&[]);
+        harness.advance(ms(10));
+        harness
+    }
+
+    /// An open leader with two daemons, of which the first, on stream 1, makes these claims.
+    pub fn with_two_daemons(claims: Vec<Claim>) -> Self {
+        let mut harness = Self::new(&["a", "b"]);
+        harness.join(1, "a", claims);
+        harness.join(2, "b", vec![]);
+        harness.listed(&[]);
+        harness.advance(ms(10));
+        harness
+    }
+
+    /// Advances the time; the leader is proven to lead at the end of the span.
+    pub fn advance(&mut self, span: Duration) {
+        self.now = self.now + span;
+        let proof = QuorumProof {
+            ready: true,
+            quorum_confirmed_at: self.now,
+            confirmed: &|_| true,
+            proposed_membership: None,
+        };
+        self.outputs = self.leader_state.progress(self.now, &proof);
+        let recorded = self.outputs.iter().filter_map(|output| match output {
+            LeaderOutput::EventRecord(event_record) => Some(event_record.clone()),
+            _ => None,
+        });
+        self.events.extend(recorded);
+    }
+
+    /// Lets a daemon join, claim and ask for its session lease.
+    pub fn join(&mut self, stream: u64, name: &str, claims: Vec<Claim>) {
+        self.join_on(stream, name, 0, claims);
+    }
+
+    /// Lets a daemon join whose link has this width.
+    pub fn join_on(&mut self, stream: u64, name: &str, link_mbps: u32, claims: Vec<Claim>) {
+        let host = Host {
+            member: name.into(),
+            incarnation: 1.into(),
+            zone: format!("l{stream}").as_str().into(),
+            address: SocketAddress::UNSPECIFIED,
+            eligible: Flag(true),
+            link_mbps,
+        };
+        self.send(stream, hello(host, 700, true));
+        self.claim(stream, claims);
+        self.renew(stream);
+    }
+
+    /// Reports what a daemon holds.
+    pub fn claim(&mut self, stream: u64, claims: Vec<Claim>) {
+        let claims = LengthPrefixed(claims);
+        self.send(stream, DaemonToLeader::Claims { claims });
+    }
+
+    /// Asks for the session lease.
+    pub fn renew(&mut self, stream: u64) {
+        let frame = DaemonToLeader::Renew {
+            correlation: CorrelationId(1),
+            version: Version(2),
+        };
+        self.send(stream, frame);
+    }
+
+    /// Hands over the platform's list of runners, as it is now.
+    pub fn listed(&mut self, listed_runners: &[ListedRunner]) {
+        self.leader_state.runners_listed(self.now, listed_runners);
+    }
+
+    /// Hands over the platform's list of workers.
+    pub fn workers_listed(&mut self, workers: &[ListedWorker]) {
+        self.leader_state.workers_listed(workers.to_vec());
+    }
+
+    /// Hands over a daemon's frame.
+    pub fn send(&mut self, stream: u64, frame: DaemonToLeader) {
+        self.leader_state.receive(self.now, StreamId(stream), frame);
+    }
+
+    /// Reports a daemon as silent.
+    pub fn suspect(&mut self, stream: u64, incarnation: MemberIncarnation) {
+        self.send(stream, DaemonToLeader::MemberSuspected { incarnation });
+    }
+
+    /// Takes the report back.
+    pub fn refute(&mut self, stream: u64, incarnation: MemberIncarnation) {
+        self.send(stream, DaemonToLeader::MemberRecovered { incarnation });
+    }
+
+    /// Asks for the lease of the function.
+    pub fn acquire(&mut self, stream: u64) {
+        self.acquire_of(stream, function());
+    }
+
+    fn acquire_of(&mut self, stream: u64, function: FunctionKey) {
+        let frame = DaemonToLeader::Acquire {
+            correlation: CorrelationId(9),
+            function,
+        };
+        self.send(stream, frame);
+    }
+
+    /// Acquires the lease of a function, which must be free.
+    pub fn granted(&mut self, stream: u64, name: &str) -> FencingToken {
+        self.granted_under(stream, function_named(name))
+    }
+
+    /// Acquires the lease of a key, which must be free.
+    pub fn granted_under(&mut self, stream: u64, function: FunctionKey) -> FencingToken {
+        self.acquire_of(stream, function);
+        self.advance(ms(10));
+        match self.acquired() {
+            Some(AcquireResult::Granted { fencing_token, .. }) => fencing_token,
+            other => panic!("not granted: {other:?}"),
+        }
+    }
+
+    /// Asks for memory for one more runner of a function.
+    pub fn reserve(
+        &mut self,
+        stream: u64,
+        name: &str,
+        fencing_token: FencingToken,
+    ) -> ReserveResult {
+        self.reserve_under(stream, function_named(name), fencing_token)
+    }
+
+    /// Asks for memory for one more runner of a key.
+    pub fn reserve_under(
+        &mut self,
+        stream: u64,
+        function: FunctionKey,
+        fencing_token: FencingToken,
+    ) -> ReserveResult {
+        let frame = DaemonToLeader::Reserve {
+            correlation: CorrelationId(4),
+            function,
+            fencing_token,
+        };
+        self.send(stream, frame);
+        self.advance(ms(10));
+        let result = self.frames().find_map(|(_, frame)| match frame {
+            LeaderToDaemon::Reserved { result, .. } => Some(result.clone()),
+            _ => None,
+        });
+        result.expect("an answer")
+    }
+
+    /// The frames of the last step, with their streams.
+    pub fn frames(&self) -> impl Iterator<Item = (u64, &LeaderToDaemon)> {
+        self.outputs.iter().filter_map(|output| match output {
+            LeaderOutput::FrameToDaemon { stream, frame } => Some((stream.0, frame)),
+            _ => None,
+        })
+    }
+
+    /// The reply to the first acquisition that was replied to in the last step.
+    pub fn acquired(&self) -> Option<AcquireResult> {
+        self.frames().find_map(|(_, frame)| match frame {
+            LeaderToDaemon::Acquired { result, .. } => Some(result.clone()),
+            _ => None,
+        })
+    }
+
+    /// Whether an acquisition got its lease in the last step.
+    pub fn is_granted(&self) -> bool {
+        matches!(self.acquired(), Some(AcquireResult::Granted { .. }))
+    }
+
+    /// Whether an acquisition was told the holder in the last step.
+    pub fn names_holder(&self) -> bool {
+        matches!(self.acquired(), Some(AcquireResult::Owner { .. }))
+    }
+
+    /// The runners adopted with the lease that was granted in the last step.
+    pub fn adopted(&self) -> Vec<ClaimedRunner> {
+        match self.acquired() {
+            Some(AcquireResult::Granted { adopted, .. }) => adopted.0,
+            other => panic!("not granted: {other:?}"),
+        }
+    }
+
+    /// Whether the session lease of a stream was renewed in the last step.
+    pub fn is_renewed(&self, renewal_stream: u64) -> bool {
+        self.frames().any(|(stream, frame)| {
+            stream == renewal_stream && matches!(frame, LeaderToDaemon::Renewed { .. })
+        })
+    }
+
+    /// Whether the platform's lists were asked for in the last step.
+    pub fn requests_lists(&self) -> bool {
+        self.outputs
+            .iter()
+            .any(|output| matches!(output, LeaderOutput::RequestLists))
+    }
+
+    /// The runners that the platform is to stop.
+    pub fn stops(&self) -> Vec<RunnerId> {
+        self.outputs
+            .iter()
+            .filter_map(|output| match output {
+                LeaderOutput::StopRunner(order) => Some(order.runner),
+                _ => None,
+            })
+            .collect()
+    }
+}
--- /dev/null
+++ b/crates/controlplane/tests/leader_state/orphans.rs
@@ -0,0 +1,118 @@
+//! Runners that no daemon uses any more: adopted with the next lease, or stopped.
+
+use super::harness::{Harness, ms};
+use super::samples::{
+    adoptable_claim, function, hello, instance, listed_instance, old_runner, worker,
+};
+use common::frames::{
+    DaemonToLeader, Flag, Host, LeaderToDaemon, LengthPrefixed, ReserveResult, RunnerStatus,
+    SocketAddress,
+};
+use googletest::prelude::*;
+
+#[gtest]
+fn a_dead_holders_runner_is_adopted_once_only() -> Result<()> {
+    let mut harness = Harness::with_two_daemons(vec![adoptable_claim(false)]);
+    harness.advance(ms(2250));
+    harness.renew(2);
+    harness.acquire(2);
+    harness.advance(ms(10));
+    verify_that!(harness.stops(), is_empty())?;
+    let adopted_runners = harness.adopted();
+    verify_that!(adopted_runners.len(), eq(1))?;
+    verify_that!(adopted_runners[0].runner == old_runner(), eq(false))?;
+    harness.join(3, "a", vec![adoptable_claim(true)]);
+    harness.advance(ms(10));
+    harness.send(
+        2,
+        DaemonToLeader::Release {
+            function: function(),
+            fencing_token: adopted_runners[0].runner.fencing_token,
+            runners: LengthPrefixed(adopted_runners.clone()),
+        },
+    );
+    harness.acquire(3);
+    harness.advance(ms(10));
+    verify_that!(harness.stops(), is_empty())?;
+    let next_adopted = harness.adopted();
+    verify_that!(next_adopted.len(), eq(1))?;
+    verify_that!(next_adopted[0].instance.0, elements_are![eq(&instance())])
+}
+
+#[gtest]
+fn an_orphaned_runner_that_nobody_adopts_is_stopped() -> Result<()> {
+    let mut harness = Harness::with_two_daemons(vec![adoptable_claim(true)]);
+    verify_that!(harness.stops(), is_empty())?;
+    harness.advance(ms(3900));
+    verify_that!(harness.stops(), is_empty())?;
+    harness.advance(ms(200));
+    verify_that!(harness.stops(), elements_are![eq(&old_runner())])
+}
+
+#[gtest]
+fn another_incarnation_of_a_daemon_at_its_address_ends_the_lease_at_once() -> Result<()> {
+    let mut harness = Harness::with_two_daemons(vec![adoptable_claim(false)]);
+    let host = Host {
+        member: "a".into(),
+        incarnation: 2.into(),
+        zone: "l1".into(),
+        address: SocketAddress::UNSPECIFIED,
+        eligible: Flag(true),
+        link_mbps: 0,
+    };
+    harness.send(3, hello(host, 0, false));
+    harness.acquire(2);
+    harness.advance(ms(10));
+    verify_that!(harness.adopted().len(), eq(1))
+}
+
+#[gtest]
+fn an_instance_missing_from_the_list_is_no_longer_its_holders() -> Result<()> {
+    let mut harness = Harness::with_two_daemons(vec![adoptable_claim(false)]);
+    let is_notified = |harness: &Harness| {
+        harness.frames().any(|(_, frame)| {
+            matches!(frame, LeaderToDaemon::RunnerUnlisted { runner, .. } if *runner == old_runner())
+        })
+    };
+    harness.advance(ms(900));
+    harness.listed(&[]);
+    harness.advance(ms(10));
+    verify_that!(is_notified(&harness), eq(false))?;
+    harness.advance(ms(200));
+    harness.listed(&[]);
+    harness.advance(ms(10));
+    verify_that!(is_notified(&harness), eq(true))
+}
+
+fn known_runner_count(harness: &Harness) -> Option<usize> {
+    let report = harness.leader_state.report_runners();
+    report["runners"].as_array().map(Vec::len)
+}
+
+#[gtest]
+fn a_started_runner_not_yet_reported_is_not_taken_for_an_orphan() -> Result<()> {
+    let mut harness = Harness::with_two_daemons(vec![]);
+    harness.workers_listed(&[worker("w", "l", 300)]);
+    let fencing_token = harness.granted(2, "f");
+    let ReserveResult::Reserved { runner, .. } = harness.reserve(2, "f", fencing_token) else {
+        return fail!("no room");
+    };
+    harness.listed(&[listed_instance(false)]);
+    harness.advance(ms(10));
+    verify_that!(known_runner_count(&harness), some(eq(1)))?;
+    let runner_status = RunnerStatus::Started {
+        instance: instance(),
+    };
+    harness.send(
+        2,
+        DaemonToLeader::RunnerUpdate {
+            function: function(),
+            runner,
+            runner_status,
+        },
+    );
+    harness.listed(&[listed_instance(false)]);
+    harness.advance(ms(10));
+    verify_that!(known_runner_count(&harness), some(eq(1)))?;
+    verify_that!(harness.stops(), is_empty())
+}
--- /dev/null
+++ b/crates/controlplane/tests/leader_state/placement.rs
@@ -0,0 +1,94 @@
+//! On which workers runners are placed, and whose runner makes room for another function.
+
+use super::harness::{Harness, ms};
+use super::samples::{function, worker};
+use common::frames::{LeaderToDaemon, ReserveResult};
+use common::identity::{FunctionKey, RunnerId};
+use controlplane::leader_state::LeaderTiming;
+use googletest::prelude::*;
+
+#[gtest]
+fn max_runners_counts_a_functions_keys_of_all_regions_together() -> Result<()> {
+    let mut harness = Harness::new(&["daemon-1", "daemon-2"]);
+    harness.join(1, "daemon-1", Vec::new());
+    harness.join(2, "daemon-2", Vec::new());
+    harness.listed(&[]);
+    harness.advance(ms(10));
+    harness.workers_listed(&[worker("w-1", "l1", 100_000)]);
+    let all_regions = function();
+    let west = all_regions.in_region(&"west".into());
+    let fencing_tokens = [
+        harness.granted_under(1, all_regions.clone()),
+        harness.granted_under(2, west.clone()),
+    ];
+    let mut reserve = |stream: u64, function: &FunctionKey| {
+        let fencing_token = fencing_tokens[stream as usize - 1];
+        let answer = harness.reserve_under(stream, function.clone(), fencing_token);
+        matches!(answer, ReserveResult::Reserved { .. })
+    };
+    let is_given: Vec<bool> = (0..4).map(|_| reserve(1, &all_regions)).collect();
+    verify_that!(is_given, each(eq(&true)))?;
+    let is_given: Vec<bool> = (0..5).map(|_| reserve(2, &west)).collect();
+    verify_that!(is_given, eq(&vec![true, true, true, true, false]))?;
+    verify_that!(reserve(1, &all_regions), eq(false))
+}
+
+#[gtest]
+fn a_crowded_function_gives_one_runner_up_for_a_function_that_has_none() -> Result<()> {
+    let mut harness = Harness::with_one_daemon();
+    harness.workers_listed(&[worker("w", "l", 300)]);
+    let crowded_lease = harness.granted(1, "f");
+    for _ in 0..3 {
+        let given = harness.reserve(1, "f", crowded_lease);
+        verify_that!(matches!(given, ReserveResult::Reserved { .. }), eq(true))?;
+    }
+    let starved_lease = harness.granted(1, "g");
+    verify_that!(
+        harness.reserve(1, "g", starved_lease),
+        eq(&ReserveResult::Rejected)
+    )?;
+    let drained: Vec<RunnerId> = harness
+        .frames()
+        .filter_map(|(_, frame)| match frame {
+            LeaderToDaemon::Drain { runner, .. } => Some(*runner),
+            _ => None,
+        })
+        .collect();
+    verify_that!(drained.len(), eq(1))?;
+    verify_that!(drained[0].fencing_token, eq(crowded_lease))?;
+    harness.leader_state.runner_stopped(drained[0]);
+    verify_that!(
+        harness.reserve(1, "f", crowded_lease),
+        eq(&ReserveResult::Rejected)
+    )?;
+    let given = harness.reserve(1, "g", starved_lease);
+    verify_that!(matches!(given, ReserveResult::Reserved { .. }), eq(true))
+}
+
+#[gtest]
+fn without_spreading_a_runner_is_placed_in_its_holders_zone() -> Result<()> {
+    let timing = LeaderTiming::builder().spread_over_zones(false).build();
+    let mut harness = Harness::with_timing(timing, &["a"]);
+    harness.join(1, "a", vec![]);
+    harness.listed(&[]);
+    harness.advance(ms(10));
+    harness.workers_listed(&[
+        worker("far", "l9", 900),
+        worker("near-1", "l1", 200),
+        worker("near-2", "l1", 200),
+    ]);
+    let fencing_token = harness.granted(1, "f");
+    let mut worker_names = Vec::new();
+    for _ in 0..5 {
+        if let ReserveResult::Reserved { worker, .. } = harness.reserve(1, "f", fencing_token) {
+            worker_names.push(worker.to_string());
+        }
+    }
+    verify_that!(
+        worker_names[..4]
+            .iter()
+            .all(|name| name.starts_with("near")),
+        eq(true)
+    )?;
+    verify_that!(worker_names[4].as_str(), eq("far"))
+}
