--- a/crates/common/tests/clocks.rs
+++ b/crates/common/tests/clocks.rs
@@ -1,32 +1,25 @@
 //! Deployed code reads no wall clock and blocks no thread to sleep.
 
+#[path = "../../../testing/support/rust_sources.rs"]
+mod rust_sources;
+
 use googletest::prelude::*;
 use std::path::{Path, PathBuf};
 
-fn sources(folder: &Path, found: &mut Vec<PathBuf>) {
-    for listed in std::fs::read_dir(folder).expect("a folder") {
-        let path = listed.expect("an entry").path();
-        if path.is_dir() {
-            sources(&path, found);
-        } else if path.extension().is_some_and(|extension| extension == "rs") {
-            found.push(path);
-        }
-    }
-}
-
 #[gtest]
 fn deployed_code_reads_no_wall_clock() -> Result<()> {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../..");
-    let mut found = Vec::new();
     let packages = ["crates/common", "crates/dataplane", "crates/controlplane"];
     let programs = [
         "programs/daemon",
         "programs/controller",
         "programs/rudderctl",
     ];
-    for package in packages.iter().chain(&programs) {
-        sources(&root.join(package).join("src"), &mut found);
-    }
+    let found: Vec<PathBuf> = packages
+        .iter()
+        .chain(&programs)
+        .flat_map(|package| rust_sources::in_folder(&root.join(package).join("src")))
+        .collect();
     verify_that!(found.len(), ge(80))?;
     let forbidden = [
         "SystemTime",
--- a/crates/common/tests/platform_forms.rs
+++ b/crates/common/tests/platform_forms.rs
@@ -7,11 +7,11 @@
 #[path = "../../../testing/support/platform_orders.rs"]
 mod platform_orders;
 
-use common::adapter::{NativePlatform, PlatformAdapter};
+use common::adapter::{ListedRunner, ListedWorker, NativePlatform, PlatformAdapter};
 use common::identity::{FunctionKey, Version};
 use platform_double::PlatformDouble;
 use platform_orders::{RUNNER, shown_list, shown_outcome, shown_stop, start_order, stop_order};
-use serde_json::json;
+use serde_json::{Value, json};
 use std::fmt::Write;
 
 const WORKER: &str = "worker-3";
@@ -95,6 +95,15 @@
     check("platform_stops.txt", &text);
 }
 
+fn worker_row(worker: &ListedWorker) -> Value {
+    json!([
+        worker.worker.as_str(),
+        worker.zone.as_str(),
+        worker.memory_mb,
+        worker.draining,
+    ])
+}
+
 #[tokio::test]
 async fn worker_lists_keep_their_calls_and_results() {
     let mut text = String::new();
@@ -120,17 +129,7 @@
     for (status, body) in answers {
         let double = PlatformDouble::answering(&[(status, body.clone())]).await;
         let listed = NativePlatform::new(double.address).workers().await;
-        let rows = listed.map(|workers| {
-            let row = |worker: &common::adapter::ListedWorker| {
-                json!([
-                    worker.worker.as_str(),
-                    worker.zone.as_str(),
-                    worker.memory_mb,
-                    worker.draining,
-                ])
-            };
-            json!(workers.iter().map(row).collect::<Vec<_>>())
-        });
+        let rows = listed.map(|listed| listed.iter().map(worker_row).collect::<Value>());
         put(
             &mut text,
             &format!("workers, {status} {body}"),
@@ -141,6 +140,17 @@
     check("platform_workers.txt", &text);
 }
 
+fn runner_row(listed: &ListedRunner) -> Value {
+    json!({
+        "life": listed.instance.name.as_str(),
+        "place": listed.instance.address.to_string(),
+        "runner": listed.runner.map(|runner| runner.to_string()),
+        "function": listed.key.as_ref().map(ToString::to_string),
+        "worker": listed.worker.as_str(),
+        "leaving": listed.leaving,
+    })
+}
+
 #[tokio::test]
 async fn runner_lists_keep_their_calls_and_results() {
     let mut text = String::new();
@@ -166,20 +176,8 @@
         let double = PlatformDouble::answering(&[(status, body.clone())]).await;
         let listed = NativePlatform::new(double.address).runners().await;
         let rows = listed.map(|list| {
-            let row = |listed: &common::adapter::ListedRunner| {
-                json!({
-                    "life": listed.instance.name.as_str(),
-                    "place": listed.instance.address.to_string(),
-                    "runner": listed.runner.map(|runner| runner.to_string()),
-                    "function": listed.key.as_ref().map(ToString::to_string),
-                    "worker": listed.worker.as_str(),
-                    "leaving": listed.leaving,
-                })
-            };
-            json!([
-                list.age.as_millis() as u64,
-                list.runners.iter().map(row).collect::<Vec<_>>()
-            ])
+            let rows: Value = list.runners.iter().map(runner_row).collect();
+            json!([list.age.as_millis() as u64, rows])
         });
         put(
             &mut text,
--- a/crates/common/tests/withdrawn_words.rs
+++ b/crates/common/tests/withdrawn_words.rs
@@ -2,6 +2,9 @@
 //!
 //! The words, what to use instead, and the exceptions with their reasons are in `.ci/withdrawn-words.txt`.
 
+#[path = "../../../testing/support/rust_sources.rs"]
+mod rust_sources;
+
 use googletest::prelude::*;
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
@@ -224,25 +227,14 @@
     words
 }
 
-fn collect_sources(folder: &Path, sources: &mut Vec<PathBuf>) {
-    for entry in std::fs::read_dir(folder).expect("a folder") {
-        let path = entry.expect("an entry").path();
-        if path.is_dir() {
-            collect_sources(&path, sources);
-        } else if path.extension().is_some_and(|extension| extension == "rs") {
-            sources.push(path);
-        }
-    }
-}
-
 #[gtest]
 fn no_withdrawn_word_names_anything() -> Result<()> {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../..");
     let list = WordList::parse(LIST);
-    let mut sources = Vec::new();
-    ROOTS
+    let mut sources: Vec<PathBuf> = ROOTS
         .iter()
-        .for_each(|folder| collect_sources(&root.join(folder), &mut sources));
+        .flat_map(|folder| rust_sources::in_folder(&root.join(folder)))
+        .collect();
     verify_that!(sources.len(), ge(200))?;
     sources.sort();
     let mut findings = Vec::new();
