--- a/crates/common/tests/spec.rs
+++ b/crates/common/tests/spec.rs
@@ -174,25 +174,21 @@
     verify_that!(new_view.version, eq(Version(3)))
 }
 
+fn seeds_error(seeds: Value) -> String {
+    let source = SettingsSource::from_value("file.json", json!({"seeds": seeds}));
+    let read = source.read(|root| read_addresses(&root.field("seeds"), 1..=3));
+    read.expect_err("an error").to_string()
+}
+
 #[gtest]
 fn settings_errors_name_source_key_and_reason() -> Result<()> {
-    let source = SettingsSource::from_value(
-        "file.json",
-        json!({"seeds": ["127.0.0.1:1", "nowhere:2", "127.0.0.1:3"]}),
-    );
-    let error = source
-        .read(|root| read_addresses(&root.field("seeds"), 1..=3))
-        .expect_err("an error");
+    let seeds = json!(["127.0.0.1:1", "nowhere:2", "127.0.0.1:3"]);
     verify_that!(
-        error.to_string(),
+        seeds_error(seeds),
         eq("file.json: seeds.1 is not an IP number with port: \"nowhere:2\"")
     )?;
-    let short = SettingsSource::from_value("file.json", json!({"seeds": []}));
-    let error = short
-        .read(|root| read_addresses(&root.field("seeds"), 1..=3))
-        .expect_err("an error");
     verify_that!(
-        error.to_string(),
+        seeds_error(json!([])),
         eq("file.json: seeds needs 1 to 3 addresses")
     )
 }
--- a/crates/controlplane/tests/queue.rs
+++ b/crates/controlplane/tests/queue.rs
@@ -4,7 +4,7 @@
 use common::identity::Ticket;
 use controlplane::consensus::WriteResult;
 use controlplane::controller_state::ControllerInput;
-use controlplane::drivers::queue::{InputKind, InputQueue, input_queue};
+use controlplane::drivers::queue::{InputKind, InputQueue, InputSender, input_queue};
 use controlplane::leader_state::StreamId;
 use googletest::prelude::*;
 use std::time::Duration;
@@ -13,15 +13,21 @@
     InputKind::of(&queue.next(idle_timeout).await.input)
 }
 
-#[tokio::test]
-async fn leadership_does_not_wait_behind_daemons() {
-    let (sender, mut queue) = input_queue();
-    for stream in 0..1_000 {
+/// A queue in which this many inputs of daemons wait.
+async fn queue_of_daemons(count: u64) -> (InputSender, InputQueue) {
+    let (sender, queue) = input_queue();
+    for stream in 0..count {
         sender
             .send(ControllerInput::StreamLost(StreamId(stream)))
             .await
             .expect("queued");
     }
+    (sender, queue)
+}
+
+#[tokio::test]
+async fn leadership_does_not_wait_behind_daemons() {
+    let (sender, mut queue) = queue_of_daemons(1_000).await;
     sender
         .send(ControllerInput::ProcessGone(SocketAddress::UNSPECIFIED))
         .await
@@ -36,13 +42,7 @@
 
 #[tokio::test]
 async fn a_tick_that_is_due_comes_before_daemons_and_not_twice() {
-    let (sender, mut queue) = input_queue();
-    for stream in 0..3 {
-        sender
-            .send(ControllerInput::StreamLost(StreamId(stream)))
-            .await
-            .expect("queued");
-    }
+    let (_sender, mut queue) = queue_of_daemons(3).await;
     let mut kinds = Vec::new();
     for _ in 0..6 {
         kinds.push(next_kind(&mut queue, Duration::ZERO).await);
--- a/crates/controlplane/tests/quorum_model/recovery.rs
+++ b/crates/controlplane/tests/quorum_model/recovery.rs
@@ -46,14 +46,27 @@
     model.now().since(started_at)
 }
 
+/// How long the quorum takes to settle from the moment of a disturbance on.
+fn time_to_settle_after(model: &mut Model, disturb: impl FnOnce(&mut Model)) -> Duration {
+    let started_at = model.now();
+    disturb(model);
+    model.run_until(Model::is_settled).expect("it settles");
+    since(started_at, model)
+}
+
+/// A voter other than the leader.
+fn follower(model: &Model) -> usize {
+    let leader = model.leader().expect("a leader");
+    let mut voters = model.voters().into_iter();
+    voters.find(|voter| *voter != leader).expect("another")
+}
+
 #[gtest]
 fn three_initial_voters_grow_to_five_in_two_seconds() -> Result<()> {
     for (machines, zones) in [(5, 3), (6, 3), (8, 4)] {
         let spans = measured(&format!("five voters of {machines}"), SEEDS, |seed| {
             let mut model = Model::new(Setup::correct(machines, zones, 2, seed));
-            let started_at = model.now();
-            model.run_until(Model::is_settled).expect("it settles");
-            since(started_at, &model)
+            time_to_settle_after(&mut model, |_| {})
         });
         verify_that!(spans.last(), some(le(&BOOTSTRAP_LIMIT)))?;
     }
@@ -84,16 +97,8 @@
     for (machines, zones) in [(6, 3), (8, 4)] {
         let spans = measured(&format!("a standby votes, of {machines}"), SEEDS, |seed| {
             let mut model = settled(Setup::correct(machines, zones, 2, seed));
-            let leader = model.leader().expect("a leader");
-            let lost = model
-                .voters()
-                .into_iter()
-                .find(|voter| *voter != leader)
-                .expect("another");
-            let started_at = model.now();
-            model.take_down(lost);
-            model.run_until(Model::is_settled).expect("it settles");
-            since(started_at, &model)
+            let lost = follower(&model);
+            time_to_settle_after(&mut model, |model| model.take_down(lost))
         });
         verify_that!(spans.last(), some(le(&REPLACEMENT_LIMIT)))?;
     }
@@ -117,12 +122,11 @@
                 let leader = model.leader().expect("a leader");
                 let is_target = |voter: &usize| (*voter == leader) == of_leader;
                 let stalled = model.voters().into_iter().find(is_target).expect("a voter");
-                let started_at = model.now();
-                model.inject_disk_fault(stalled, disk_fault);
-                model.make_progress().expect("an order is taken");
-                model.make_progress().expect("another order is taken");
-                model.run_until(Model::is_settled).expect("it settles");
-                since(started_at, &model)
+                time_to_settle_after(&mut model, |model| {
+                    model.inject_disk_fault(stalled, disk_fault);
+                    model.make_progress().expect("an order is taken");
+                    model.make_progress().expect("another order is taken");
+                })
             },
         );
         verify_that!(spans.last(), some(le(&STALLED_REPLACEMENT_LIMIT)))?;
@@ -139,10 +143,7 @@
             let mut model = settled(Setup::correct(3, 3, 1, seed));
             model.take_down(number);
             wait(&mut model, SUCCESSOR_DELAY);
-            let started_at = model.now();
-            model.add_successor(number);
-            model.run_until(Model::is_settled).expect("it settles");
-            let span = since(started_at, &model);
+            let span = time_to_settle_after(&mut model, |model| model.add_successor(number));
             let next_lost = model.leader().expect("a leader");
             model.take_down(next_lost);
             model.make_progress().expect("the next loss is borne");
@@ -162,10 +163,7 @@
         let leaving = (0..3).find(|number| *number != leader).expect("another");
         model.add_successor(leaving);
         wait(&mut model, SUCCESSOR_DELAY);
-        let started_at = model.now();
-        model.take_down(leaving);
-        model.run_until(Model::is_settled).expect("it settles");
-        since(started_at, &model)
+        time_to_settle_after(&mut model, |model| model.take_down(leaving))
     });
     verify_that!(spans.last(), some(le(&REPLACEMENT_LIMIT)))
 }
