--- a/programs/rudderctl/src/change.rs
+++ b/programs/rudderctl/src/change.rs
@@ -2,7 +2,8 @@
 
 use common::rng::SeededRng;
 use hyper::Method;
-use serde_json::{Value, json};
+use serde::Serialize;
+use serde_json::Value;
 use std::path::{Path, PathBuf};
 
 /// Why a change's file cannot be sent.
@@ -36,15 +37,95 @@
         }
     }
 
-    fn to_body(self, file: &Value) -> Value {
+    fn content_of(self, file: Value) -> ChangeContent {
         match self {
-            Self::Full => json!({"spec": file}),
-            Self::Patch => json!({"patch": file}),
-            Self::Items => json!({"put": file["put"], "remove": file["remove"]}),
+            Self::Full => ChangeContent::Full { spec: file },
+            Self::Patch => ChangeContent::Patch { patch: file },
+            Self::Items => ChangeContent::Items {
+                put: file["put"].clone(),
+                remove: file["remove"].clone(),
+            },
         }
     }
 }
 
+/// What a change is to alter. The parts of the spec are the operators' own JSON, which controllers check.
+#[derive(Serialize)]
+#[serde(untagged)]
+enum ChangeContent {
+    /// The spec becomes this one.
+    Full { spec: Value },
+    /// A JSON merge patch is applied to the spec.
+    Patch { patch: Value },
+    /// Named items are put and removed; null stands for what the file does not have.
+    Items { put: Value, remove: Value },
+    /// A zone, which the request's path names, is evacuated or restored.
+    Zone { force: bool },
+}
+
+/// The step of a change that its response waits for.
+#[derive(Clone, Copy, Serialize)]
+#[serde(rename_all = "snake_case")]
+enum AwaitedStep {
+    Accepted,
+    InForce,
+}
+
+/// The operators' own numbers, as a request carries them; null stands for the one that is not given.
+#[derive(Serialize)]
+struct OperatorNumbers {
+    number: Option<u64>,
+    base_number: Option<u64>,
+}
+
+/// The version that a change is based on, as a request carries it; null if no leader has one.
+#[derive(Serialize)]
+struct BaseVersion {
+    base_serial: Option<u64>,
+}
+
+/// The body of a request that changes the spec or a zone.
+#[derive(Serialize)]
+pub(crate) struct ChangeRequest {
+    #[serde(flatten)]
+    content: ChangeContent,
+    change_id: String,
+    wait: AwaitedStep,
+    #[serde(flatten)]
+    operator_numbers: Option<OperatorNumbers>,
+    #[serde(flatten)]
+    base_version: Option<BaseVersion>,
+}
+
+impl ChangeRequest {
+    fn new(content: ChangeContent, options: ChangeOptions) -> Self {
+        let wait = if options.wait {
+            AwaitedStep::InForce
+        } else {
+            AwaitedStep::Accepted
+        };
+        Self {
+            content,
+            change_id: options.change_id.unwrap_or_else(generated_change_id),
+            wait,
+            operator_numbers: None,
+            base_version: None,
+        }
+    }
+
+    /// The id by which the outcome can be queried.
+    pub(crate) fn change_id(&self) -> &str {
+        &self.change_id
+    }
+
+    /// Bases the change on a version; `None` is sent as null.
+    pub(crate) fn set_base_version(&mut self, version: Option<u64>) {
+        self.base_version = Some(BaseVersion {
+            base_serial: version,
+        });
+    }
+}
+
 /// Identity of a change, and how long its request waits.
 pub(crate) struct ChangeOptions {
     /// The id by which the outcome can be queried; generated if there is none.
@@ -53,13 +134,6 @@
     pub(crate) wait: bool,
 }
 
-impl ChangeOptions {
-    fn add_to(self, body: &mut Value) {
-        body["change_id"] = json!(self.change_id.unwrap_or_else(generated_change_id));
-        body["wait"] = json!(if self.wait { "in_force" } else { "accepted" });
-    }
-}
-
 fn generated_change_id() -> String {
     format!("rudderctl-{:x}", SeededRng::from_os().number())
 }
@@ -81,13 +155,15 @@
         self.version.is_none() && self.number.is_none() && self.base_number.is_none()
     }
 
-    fn add_to(self, body: &mut Value) {
+    fn add_to(self, request: &mut ChangeRequest) {
         if self.number.is_some() || self.base_number.is_some() {
-            body["number"] = json!(self.number);
-            body["base_number"] = json!(self.base_number);
+            request.operator_numbers = Some(OperatorNumbers {
+                number: self.number,
+                base_number: self.base_number,
+            });
         }
-        if let Some(version) = self.version {
-            body["base_serial"] = json!(version);
+        if self.version.is_some() {
+            request.set_base_version(self.version);
         }
     }
 }
@@ -105,16 +181,15 @@
 }
 
 impl SpecChange<'_> {
-    /// Reads the file and builds the request's body. Fails if the file cannot be read or is not JSON.
-    pub(crate) fn into_body(self) -> Result<Value, ChangeFileError> {
+    /// Reads the file and builds the request. Fails if the file cannot be read or is not JSON.
+    pub(crate) fn into_request(self) -> Result<ChangeRequest, ChangeFileError> {
         let file_text = std::fs::read_to_string(self.file)
             .map_err(|error| ChangeFileError::Unreadable(self.file.to_owned(), error))?;
-        let value: Value = serde_json::from_str(&file_text)
+        let file: Value = serde_json::from_str(&file_text)
             .map_err(|error| ChangeFileError::NotJson(self.file.to_owned(), error))?;
-        let mut body = self.kind.to_body(&value);
-        self.options.add_to(&mut body);
-        self.base.add_to(&mut body);
-        Ok(body)
+        let mut request = ChangeRequest::new(self.kind.content_of(file), self.options);
+        self.base.add_to(&mut request);
+        Ok(request)
     }
 }
 
@@ -150,10 +225,7 @@
     }
 
     /// The body of the request.
-    pub(crate) fn into_body(self) -> Value {
-        let mut body = json!({});
-        self.options.add_to(&mut body);
-        body["force"] = json!(self.force);
-        body
+    pub(crate) fn into_request(self) -> ChangeRequest {
+        ChangeRequest::new(ChangeContent::Zone { force: self.force }, self.options)
     }
 }
--- a/programs/rudderctl/src/client.rs
+++ b/programs/rudderctl/src/client.rs
@@ -1,11 +1,13 @@
 //! A client of the operators' API, which any controller serves.
 
-use crate::change::{ChangeFileError, SpecChange, ZoneChange};
+use crate::change::{ChangeFileError, ChangeRequest, SpecChange, ZoneChange};
+use crate::lenient_json::{or_default, read_object};
 use crate::output::{OutputFormat, exit_code, print_json};
 use crate::table::Table;
 use common::frames::SocketAddress;
 use common::http::{CallError, CallResponse, call_json};
 use hyper::Method;
+use serde::Deserialize;
 use serde_json::{Value, json};
 use std::io::Write;
 use std::process::ExitCode;
@@ -44,16 +46,31 @@
         }
     }
 
-    /// The response to a request with this body was lost.
-    fn response_lost(body: Option<&Value>, error: CallError) -> Self {
-        let change_id = body.and_then(|body| body["change_id"].as_str());
-        match change_id.filter(|id| !id.is_empty()) {
-            Some(change_id) => Self::ChangeOutcomeUnknown(change_id.to_owned(), error),
-            None => Self::ResponseLost(error),
+    /// The same error for a request that bore this change's id.
+    fn of_change(self, change_id: &str) -> Self {
+        match self {
+            Self::ResponseLost(error) if !change_id.is_empty() => {
+                Self::ChangeOutcomeUnknown(change_id.to_owned(), error)
+            }
+            other => other,
         }
     }
 }
 
+/// The newest spec, of which only its version is read.
+#[derive(Default, Deserialize)]
+struct SpecResponse {
+    #[serde(default, rename = "serial", deserialize_with = "or_default")]
+    version: Option<u64>,
+}
+
+/// A refusal.
+#[derive(Default, Deserialize)]
+struct ErrorResponse {
+    #[serde(default, deserialize_with = "or_default")]
+    error: Option<String>,
+}
+
 /// Calls the first controller that responds.
 pub(crate) struct OperatorClient {
     addresses: Vec<SocketAddress>,
@@ -94,7 +111,7 @@
                 Err(error) if error.is_certainly_unsent() || method == Method::GET => {
                     last_error = error;
                 }
-                Err(error) => return Err(ClientError::response_lost(body, error)),
+                Err(error) => return Err(ClientError::ResponseLost(error)),
             }
         }
         Err(ClientError::Unreachable(last_error))
@@ -110,6 +127,17 @@
         Ok(print_json(&response))
     }
 
+    async fn send_change(
+        &self,
+        method: Method,
+        path: &str,
+        request: &ChangeRequest,
+    ) -> Result<ExitCode, ClientError> {
+        self.call_and_print(method, path, Some(&json!(request)))
+            .await
+            .map_err(|error| error.of_change(request.change_id()))
+    }
+
     /// Reads a document and prints it.
     pub(crate) async fn get(&self, path: &str) -> Result<ExitCode, ClientError> {
         self.call_and_print(Method::GET, path, None).await
@@ -156,18 +184,17 @@
         Ok(print_json(&response))
     }
 
-    /// The newest version of the spec, as soon as there is a leader that has it; null if there is none in time.
-    async fn newest_version(&self) -> Result<Value, ClientError> {
-        let mut version = Value::Null;
+    /// The newest version of the spec, as soon as there is a leader that has it; `None` if there is none in time.
+    async fn newest_version(&self) -> Result<Option<u64>, ClientError> {
         for _ in 0..MAX_POLLS {
             let response = self.call(Method::GET, "/v1/spec", None).await?;
-            version = response.json()["serial"].clone();
-            if version.is_number() {
-                break;
+            let spec: SpecResponse = read_object(&response.json());
+            if spec.version.is_some() {
+                return Ok(spec.version);
             }
             tokio::time::sleep(POLL_INTERVAL).await;
         }
-        Ok(version)
+        Ok(None)
     }
 
     /// Sends a change of the spec and prints the response. A change that does not say what it is based on is
@@ -178,27 +205,28 @@
     ) -> Result<ExitCode, ClientError> {
         let method = change.kind.method();
         let is_base_unspecified = change.base.is_unspecified();
-        let mut body = change.into_body()?;
+        let mut request = change.into_request()?;
         if is_base_unspecified {
-            body["base_serial"] = self.newest_version().await?;
+            request.set_base_version(self.newest_version().await?);
         }
-        self.call_and_print(method, "/v1/spec", Some(&body)).await
+        self.send_change(method, "/v1/spec", &request).await
     }
 
     /// Evacuates or restores a zone and prints the response.
     pub(crate) async fn change_zone(&self, change: ZoneChange) -> Result<ExitCode, ClientError> {
         let path = change.path();
-        let body = change.into_body();
-        self.call_and_print(Method::POST, &path, Some(&body)).await
+        self.send_change(Method::POST, &path, &change.into_request())
+            .await
     }
 }
 
 /// Whether the controllers cannot found a quorum yet: none was reached, or they have not connected to their seeds.
 fn is_not_ready(result: &Result<CallResponse, ClientError>) -> bool {
     match result {
-        Ok(response) => response.json()["error"]
-            .as_str()
-            .is_some_and(|text| text.contains("seed")),
+        Ok(response) => {
+            let refusal: ErrorResponse = read_object(&response.json());
+            refusal.error.is_some_and(|text| text.contains("seed"))
+        }
         Err(error) => matches!(error, ClientError::Unreachable(_)),
     }
 }
--- a/programs/rudderctl/src/events.rs
+++ b/programs/rudderctl/src/events.rs
@@ -1,9 +1,11 @@
 //! Prints the event log of the leader, and goes on over changes of leader.
 
 use crate::client::ClientError;
+use crate::lenient_json::{or_default, read_object};
 use crate::output::exit_code;
 use common::frames::SocketAddress;
 use common::http::{CallError, LineStreamEnd, follow_lines};
+use serde::Deserialize;
 use serde_json::Value;
 use std::io::Write;
 use std::ops::ControlFlow;
@@ -13,6 +15,19 @@
 /// Pause before another stream is opened, unless a controller has named the leader.
 const RECONNECT_INTERVAL: Duration = Duration::from_millis(300);
 
+/// An event, of which only its number is read; its line is printed as it was sent.
+#[derive(Default, Deserialize)]
+struct Event {
+    #[serde(default, deserialize_with = "or_default")]
+    number: Option<u64>,
+}
+
+/// The number of the event on a line, if it has one.
+fn event_number(line: &str) -> Option<u64> {
+    let value: Value = serde_json::from_str(line).ok()?;
+    read_object::<Event>(&value).number
+}
+
 /// Reads events from one controller after another.
 struct EventReader<'a> {
     addresses: &'a [SocketAddress],
@@ -61,8 +76,7 @@
             self.next_number, self.follow
         );
         follow_lines(address, &path, |line| {
-            let event: Value = serde_json::from_str(line).unwrap_or(Value::Null);
-            if let Some(number) = event["number"].as_u64() {
+            if let Some(number) = event_number(line) {
                 self.next_number = self.next_number.max(number + 1);
             }
             match writeln!(std::io::stdout(), "{line}") {
--- a/programs/rudderctl/src/main.rs
+++ b/programs/rudderctl/src/main.rs
@@ -10,9 +10,11 @@
 mod client;
 mod controller_key;
 mod events;
+mod lenient_json;
 mod output;
 mod table;
 mod trace;
+mod trace_response;
 
 use arguments::{Change, Command, EXAMPLES, Flags, ListCommand, Trace, ZoneCommand};
 use change::{ChangeKind, ZoneAction};
@@ -96,7 +98,7 @@
         trace::follow(addresses, options.serial, options.follow, options.patience).await;
     let result = version_trace.map(|version_trace| {
         if options.json || output == Some(OutputFormat::Json) {
-            println!("{}", version_trace.to_value());
+            println!("{}", version_trace.to_json());
         } else {
             print!("{version_trace}");
         }
--- a/programs/rudderctl/src/trace.rs
+++ b/programs/rudderctl/src/trace.rs
@@ -1,10 +1,11 @@
 //! The trace of one version of the spec, from its acceptance by a leader to every daemon.
 
-use crate::controller_key::{CONTROLLER, EARLIER_CONTROLLER, controller_of};
+use crate::trace_response::{TracePart, TraceRecord, TraceResponse};
 use common::clock::MonotonicTime;
 use common::frames::SocketAddress;
 use common::http::call_json;
 use hyper::{Method, StatusCode};
+use serde::Serialize;
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 use std::fmt;
@@ -40,14 +41,25 @@
 /// The trace of one version, with a part for each term in which a leader replicated it.
 pub(crate) struct VersionTrace {
     version: u64,
-    /// The parts by their terms, as the controllers sent them.
-    parts: BTreeMap<u64, Value>,
+    /// The parts by their terms.
+    parts: BTreeMap<u64, TracePart>,
     unreachable: Vec<SocketAddress>,
 }
 
+/// The trace of one version, as it is printed as JSON.
+#[derive(Serialize)]
+struct VersionTraceJson<'a> {
+    #[serde(rename = "serial")]
+    version: u64,
+    in_force: bool,
+    parts: Vec<&'a TracePart>,
+    #[serde(rename = "silent")]
+    unreachable: Vec<String>,
+}
+
 /// What the controllers responded, and those that did not.
 struct TraceResponses {
-    responses: Vec<Value>,
+    responses: Vec<TraceResponse>,
     unreachable: Vec<SocketAddress>,
 }
 
@@ -57,7 +69,9 @@
     let (mut responses, mut unreachable) = (Vec::new(), Vec::new());
     for address in addresses {
         match call_json(*address, Method::GET, &path, None, REQUEST_TIMEOUT).await {
-            Ok(response) if response.status == StatusCode::OK => responses.push(response.json()),
+            Ok(response) if response.status == StatusCode::OK => {
+                responses.push(TraceResponse::read(&response.json()));
+            }
             Ok(_) => {}
             Err(_) => unreachable.push(*address),
         }
@@ -68,22 +82,14 @@
     }
 }
 
-/// The parts of a version's trace by their terms, each with the controller that recorded it.
-fn parts_by_term(responses: &[Value], version: u64) -> BTreeMap<u64, Value> {
-    let mut parts = BTreeMap::new();
-    let of_version = responses
-        .iter()
-        .filter(|response| response["serial"].as_u64() == Some(version));
-    for response in of_version {
-        for trace in response["traces"].as_array().into_iter().flatten() {
-            let mut part = trace.clone();
-            let controller = controller_of(response);
-            part[CONTROLLER] = controller.clone();
-            part[EARLIER_CONTROLLER] = controller.clone();
-            parts.insert(part["term"].as_u64().unwrap_or(0), part);
-        }
-    }
-    parts
+/// The parts of a version's trace by their terms.
+fn parts_by_term(responses: Vec<TraceResponse>, version: u64) -> BTreeMap<u64, TracePart> {
+    responses
+        .into_iter()
+        .filter(|response| response.version == Some(version))
+        .flat_map(TraceResponse::into_parts)
+        .map(|part| (part.record.term, part))
+        .collect()
 }
 
 impl VersionTrace {
@@ -99,16 +105,14 @@
         if unreachable.len() == addresses.len() {
             return Err(TraceError::Unreachable);
         }
-        let versions = responses
-            .iter()
-            .filter_map(|response| response["serial"].as_u64());
+        let versions = responses.iter().filter_map(|response| response.version);
         let version = versions.max().ok_or(match requested_version {
             0 => TraceError::NoVersion,
             unknown => TraceError::UnknownVersion(unknown),
         })?;
         Ok(Self {
             version,
-            parts: parts_by_term(&responses, version),
+            parts: parts_by_term(responses, version),
             unreachable,
         })
     }
@@ -122,49 +126,51 @@
     pub(crate) fn is_in_force(&self) -> bool {
         self.parts
             .values()
-            .any(|part| part["in_force_ms"].is_number())
+            .any(|part| part.record.in_force_ms.is_some())
     }
 
     /// The trace as JSON.
-    pub(crate) fn to_value(&self) -> Value {
-        let unreachable: Vec<String> = self
-            .unreachable
-            .iter()
-            .map(SocketAddress::to_string)
-            .collect();
-        let parts: Vec<&Value> = self.parts.values().collect();
-        json!({"serial": self.version, "in_force": self.is_in_force(), "parts": parts, "silent": unreachable})
+    pub(crate) fn to_json(&self) -> Value {
+        json!(VersionTraceJson {
+            version: self.version,
+            in_force: self.is_in_force(),
+            parts: self.parts.values().collect(),
+            unreachable: self
+                .unreachable
+                .iter()
+                .map(SocketAddress::to_string)
+                .collect(),
+        })
     }
 }
 
-fn millis(value: &Value) -> String {
-    value
-        .as_f64()
-        .map_or_else(|| "-".to_owned(), |millis| format!("{millis:.1} ms"))
+fn millis_text(millis: Option<f64>) -> String {
+    millis.map_or_else(|| "-".to_owned(), |millis| format!("{millis:.1} ms"))
 }
 
 /// Writes the part of one term: when the version was committed and in force, and a row for each daemon.
-fn write_part(out: &mut fmt::Formatter<'_>, term: u64, part: &Value) -> fmt::Result {
+fn write_part(out: &mut fmt::Formatter<'_>, record: &TraceRecord) -> fmt::Result {
     writeln!(
         out,
-        "term {term}, controller {}, {}: committed {}, in force {}",
-        controller_of(part).as_str().unwrap_or("?"),
-        part["from"].as_str().unwrap_or("?"),
-        millis(&part["committed_ms"]),
-        millis(&part["in_force_ms"]),
+        "term {}, controller {}, {}: committed {}, in force {}",
+        record.term,
+        record.controller.as_deref().unwrap_or("?"),
+        record.origin.as_deref().unwrap_or("?"),
+        millis_text(record.committed_ms),
+        millis_text(record.in_force_ms),
     )?;
     writeln!(
         out,
         "  {:<24} {:>12} {:>14}  lagging",
         "daemon", "pushed", "acknowledged"
     )?;
-    for (member, row) in part["members"].as_object().into_iter().flatten() {
+    for (member, row) in &record.members {
         writeln!(
             out,
             "  {member:<24} {:>12} {:>14}  {}",
-            millis(&row["pushed_ms"]),
-            millis(&row["acknowledged_ms"]),
-            row["lagging"].as_str().unwrap_or("")
+            millis_text(row.pushed_ms),
+            millis_text(row.acknowledged_ms),
+            row.lagging.as_deref().unwrap_or("")
         )?;
     }
     Ok(())
@@ -178,8 +184,8 @@
             "not in force"
         };
         writeln!(out, "serial {}: {force}", self.version)?;
-        for (term, part) in &self.parts {
-            write_part(out, *term, part)?;
+        for part in self.parts.values() {
+            write_part(out, &part.record)?;
         }
         for address in &self.unreachable {
             writeln!(
--- /dev/null
+++ b/programs/rudderctl/src/trace_response.rs
@@ -0,0 +1,99 @@
+//! The traces of one version of the spec, as one controller sends them.
+
+use crate::controller_key::{CONTROLLER, EARLIER_CONTROLLER};
+use crate::lenient_json::{or_default, read_object};
+use serde::{Deserialize, Serialize};
+use serde_json::{Value, json};
+use std::collections::BTreeMap;
+
+/// A controller's response to a request for the traces of a version.
+#[derive(Default, Deserialize)]
+pub(crate) struct TraceResponse {
+    /// The version; none if the controller knows none.
+    #[serde(default, rename = "serial", deserialize_with = "or_default")]
+    pub(crate) version: Option<u64>,
+    #[serde(default, deserialize_with = "or_default")]
+    controller: Option<String>,
+    /// The controller's identity, as earlier controllers state it.
+    #[serde(default, deserialize_with = "or_default")]
+    surveyor: Option<String>,
+    /// A trace for each term in which the controller led the version.
+    #[serde(default, deserialize_with = "or_default")]
+    traces: Vec<Value>,
+}
+
+impl TraceResponse {
+    /// Reads a response's body; what is missing or of another type is left out.
+    pub(crate) fn read(body: &Value) -> Self {
+        read_object(body)
+    }
+
+    /// The traces, each with the controller that recorded it.
+    pub(crate) fn into_parts(self) -> impl Iterator<Item = TracePart> {
+        let controller = self.controller.or(self.surveyor);
+        self.traces
+            .into_iter()
+            .map(move |trace| TracePart::new(trace, controller.as_deref()))
+    }
+}
+
+/// The trace of a version in one term.
+#[derive(Serialize)]
+#[serde(transparent)]
+pub(crate) struct TracePart {
+    /// The trace as it was sent, with the controller's identity added: this is printed as JSON.
+    sent: Value,
+    /// What is read of it.
+    #[serde(skip)]
+    pub(crate) record: TraceRecord,
+}
+
+impl TracePart {
+    fn new(trace: Value, controller: Option<&str>) -> Self {
+        let mut sent = if trace.is_object() { trace } else { json!({}) };
+        sent[CONTROLLER] = json!(controller);
+        sent[EARLIER_CONTROLLER] = json!(controller);
+        Self {
+            record: read_object(&sent),
+            sent,
+        }
+    }
+}
+
+/// What a leader recorded of a version in one term. Spans are in milliseconds from the moment at which the leader
+/// had the version, and none where it has not come so far.
+#[derive(Default, Deserialize)]
+pub(crate) struct TraceRecord {
+    /// The term.
+    #[serde(default, deserialize_with = "or_default")]
+    pub(crate) term: u64,
+    /// The identity of the controller that recorded it.
+    #[serde(default, deserialize_with = "or_default")]
+    pub(crate) controller: Option<String>,
+    /// How the leader came to the version.
+    #[serde(default, rename = "from", deserialize_with = "or_default")]
+    pub(crate) origin: Option<String>,
+    /// When a majority of the voters had accepted it.
+    #[serde(default, deserialize_with = "or_default")]
+    pub(crate) committed_ms: Option<f64>,
+    /// When every daemon that serves had installed it.
+    #[serde(default, deserialize_with = "or_default")]
+    pub(crate) in_force_ms: Option<f64>,
+    /// The daemons by their names.
+    #[serde(default, deserialize_with = "or_default")]
+    pub(crate) members: BTreeMap<String, MemberRecord>,
+}
+
+/// How far a version has come at one daemon. Spans are in milliseconds, as in [`TraceRecord`].
+#[derive(Default, Deserialize)]
+pub(crate) struct MemberRecord {
+    /// When it was sent to the daemon.
+    #[serde(default, deserialize_with = "or_default")]
+    pub(crate) pushed_ms: Option<f64>,
+    /// When the daemon had installed it.
+    #[serde(default, deserialize_with = "or_default")]
+    pub(crate) acknowledged_ms: Option<f64>,
+    /// Why it has not come to the daemon.
+    #[serde(default, deserialize_with = "or_default")]
+    pub(crate) lagging: Option<String>,
+}
