--- a/programs/rudderctl/tests/output.rs
+++ b/programs/rudderctl/tests/output.rs
@@ -153,3 +153,34 @@
         Some(4)
     );
 }
+
+/// A trace as a controller of another version might send it: keys are missing, and others are unknown.
+const TRACE_OF_ANOTHER_VERSION: &str = r#"{"serial": 17, "shard": 2, "traces": [{
+    "term": 3, "committed_ms": 5, "quorum": ["a"], "members": {"daemon-1": {"pushed_ms": 1, "hops": 4}, "daemon-2": {}}
+}]}"#;
+
+#[test]
+fn missing_keys_of_a_trace_are_shown_as_unknown() {
+    let (text, exit_code) = run_against("200 OK", TRACE_OF_ANOTHER_VERSION, &["trace", "17"]);
+    assert_eq!(
+        text,
+        "serial 17: not in force\n\
+         term 3, controller ?, ?: committed 5.0 ms, in force -\n\
+        \x20 daemon                         pushed   acknowledged  lagging\n\
+        \x20 daemon-1                       1.0 ms              -  \n\
+        \x20 daemon-2                            -              -  \n"
+    );
+    assert_eq!(exit_code, Some(0));
+}
+
+#[test]
+fn unknown_keys_of_a_trace_are_printed_as_json_as_they_were_sent() {
+    let arguments = ["trace", "17", "--output", "json"];
+    let (text, exit_code) = run_against("200 OK", TRACE_OF_ANOTHER_VERSION, &arguments);
+    let part = r#"{"committed_ms":5,"controller":null,"members":{"daemon-1":{"hops":4,"pushed_ms":1},"daemon-2":{}},"quorum":["a"],"surveyor":null,"term":3}"#;
+    assert_eq!(
+        text,
+        format!("{{\"in_force\":false,\"parts\":[{part}],\"serial\":17,\"silent\":[]}}\n")
+    );
+    assert_eq!(exit_code, Some(0));
+}
