--- a/programs/rudderctl/src/trace_response.rs
+++ b/programs/rudderctl/src/trace_response.rs
@@ -15,8 +15,8 @@
     #[serde(default, deserialize_with = "or_default")]
     controller: Option<String>,
     /// The controller's identity, as earlier controllers state it.
-    #[serde(default, deserialize_with = "or_default")]
-    surveyor: Option<String>,
+    #[serde(default, rename = "surveyor", deserialize_with = "or_default")]
+    earlier_controller: Option<String>,
     /// A trace for each term in which the controller led the version.
     #[serde(default, deserialize_with = "or_default")]
     traces: Vec<Value>,
@@ -30,7 +30,7 @@
 
     /// The traces, each with the controller that recorded it.
     pub(crate) fn into_parts(self) -> impl Iterator<Item = TracePart> {
-        let controller = self.controller.or(self.surveyor);
+        let controller = self.controller.or(self.earlier_controller);
         self.traces
             .into_iter()
             .map(move |trace| TracePart::new(trace, controller.as_deref()))
