--- a/programs/controller/tests/command_line.rs
+++ b/programs/controller/tests/command_line.rs
@@ -48,8 +48,7 @@
 
 #[test]
 fn help_and_refusals_of_arguments_are_as_they_were() {
-    let mut text = String::new();
-    for arguments in [
+    let command_lines = [
         &["--help"][..],
         &["-h"],
         &["--version"],
@@ -70,9 +69,8 @@
         &["--boot", "/no/such/file.json"],
         &["--colour", "red"],
         &["more"],
-    ] {
-        text += &commands::output(CONTROLLER.path, arguments, &[]);
-    }
+    ];
+    let text = commands::outputs(CONTROLLER.path, &command_lines, &[]);
     forms::check(env!("CARGO_MANIFEST_DIR"), "arguments.txt", &text);
 }
 
--- a/programs/daemon/tests/command_line.rs
+++ b/programs/daemon/tests/command_line.rs
@@ -31,8 +31,7 @@
 
 #[test]
 fn help_and_refusals_of_arguments_are_as_they_were() {
-    let mut text = String::new();
-    for arguments in [
+    let command_lines = [
         &["--help"][..],
         &["-h"],
         &["--version"],
@@ -50,9 +49,8 @@
         &["--boot", "/no/such/file.json"],
         &["--colour", "red"],
         &["more"],
-    ] {
-        text += &commands::output(DAEMON.path, arguments, &[]);
-    }
+    ];
+    let text = commands::outputs(DAEMON.path, &command_lines, &[]);
     forms::check(env!("CARGO_MANIFEST_DIR"), "arguments.txt", &text);
 }
 
--- a/programs/rudderctl/tests/command_forms.rs
+++ b/programs/rudderctl/tests/command_forms.rs
@@ -137,10 +137,11 @@
 #[test]
 fn wrong_arguments_are_refused_as_they_were() {
     let nowhere = ["--at", "127.0.0.1:9"];
-    let mut text =
-        output_of(&[]) + &output_of(&["nothing"]) + &output_of(&["--colour", "red", "spec"]);
-    for arguments in [
-        &["--at"][..],
+    let command_lines = [
+        &[][..],
+        &["nothing"],
+        &["--colour", "red", "spec"],
+        &["--at"],
         &["--at", "somewhere", "spec"],
         &["--at", "127.0.0.1:1,somewhere", "members"],
         &["--at", "nowhere", "trace"],
@@ -148,9 +149,8 @@
         &["members", "--output", "xml"],
         &["members", "--output"],
         &["members", "more"],
-    ] {
-        text += &output_of(arguments);
-    }
+    ];
+    let mut text = commands::outputs(PROGRAM, &command_lines, &[]);
     for command in COMMANDS {
         text += &output_of(&[&nowhere[..], &[command, "--colour"]].concat());
     }
--- a/testing/support/commands.rs
+++ b/testing/support/commands.rs
@@ -23,3 +23,15 @@
     };
     text.replace(version, "VERSION") + "\n"
 }
+
+/// What a program prints for each of several command lines, one after another, with the same variables.
+pub(crate) fn outputs(
+    program: &str,
+    command_lines: &[&[&str]],
+    variables: &[(&str, &str)],
+) -> String {
+    command_lines
+        .iter()
+        .map(|arguments| output(program, arguments, variables))
+        .collect()
+}
