--- a/crates/common/src/http/call.rs
+++ b/crates/common/src/http/call.rs
@@ -4,6 +4,7 @@
 use crate::frames::SocketAddress;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
+use hyper::client::conn::http1::{self, SendRequest};
 use hyper::header::{CONTENT_TYPE, HOST, HeaderMap};
 use hyper::{Method, Request, StatusCode};
 use hyper_util::rt::TokioIo;
@@ -83,6 +84,26 @@
     Ok(opened_stream)
 }
 
+/// Sends a request and reads the complete response, while another future drives the connection.
+async fn send_and_receive(
+    sender: &mut SendRequest<Full<Bytes>>,
+    request: Request<Full<Bytes>>,
+    max_body_bytes: usize,
+) -> Result<CallResponse, CallError> {
+    let response = sender
+        .send_request(request)
+        .await
+        .map_err(CallError::Lost)?;
+    let (head, body) = response.into_parts();
+    let collected_body = Limited::new(body, max_body_bytes).collect().await;
+    let body = collected_body.map_err(CallError::Body)?;
+    Ok(CallResponse {
+        status: head.status,
+        headers: head.headers,
+        body: body.to_bytes(),
+    })
+}
+
 /// Sends a request on an open connection and reads the complete response.
 ///
 /// # Errors
@@ -94,30 +115,16 @@
     max_body_bytes: usize,
 ) -> Result<CallResponse, CallError> {
     let exchanging = async {
-        let (mut sender, connection) =
-            hyper::client::conn::http1::handshake(TokioIo::new(opened_stream))
-                .await
-                .map_err(CallError::Lost)?;
+        let (mut sender, connection) = http1::handshake(TokioIo::new(opened_stream))
+            .await
+            .map_err(CallError::Lost)?;
+        // The end of the connection is no outcome of its own: the receiving side reports what it means.
         let driving = async move {
             let _ = connection.await;
             std::future::pending::<()>().await;
         };
-        let receiving = async {
-            let response = sender
-                .send_request(request)
-                .await
-                .map_err(CallError::Lost)?;
-            let (head, body) = response.into_parts();
-            let collected_body = Limited::new(body, max_body_bytes).collect().await;
-            let body = collected_body.map_err(CallError::Body)?;
-            Ok(CallResponse {
-                status: head.status,
-                headers: head.headers,
-                body: body.to_bytes(),
-            })
-        };
         tokio::select! {
-            call_response = receiving => call_response,
+            call_response = send_and_receive(&mut sender, request, max_body_bytes) => call_response,
             () = driving => Err(CallError::Timeout),
         }
     };
--- a/crates/common/src/http/head.rs
+++ b/crates/common/src/http/head.rs
@@ -1,8 +1,8 @@
-//! Reading the heads of responses.
+//! Reading the heads of responses, and setting their headers.
 
 use hyper::StatusCode;
 use hyper::ext::ReasonPhrase;
-use hyper::header::{CONTENT_LENGTH, HeaderMap, TRANSFER_ENCODING};
+use hyper::header::{CONTENT_LENGTH, HeaderMap, HeaderValue, IntoHeaderName, TRANSFER_ENCODING};
 use hyper::http::Extensions;
 
 /// How every response begins.
@@ -55,3 +55,10 @@
     text.windows(PROTOCOL.len())
         .any(|window| window == PROTOCOL)
 }
+
+/// Sets a header, unless `text` is no valid value of one: then the headers stay as they are.
+pub fn set_header(headers: &mut HeaderMap, name: impl IntoHeaderName, text: &str) {
+    if let Ok(value) = HeaderValue::from_str(text) {
+        headers.insert(name, value);
+    }
+}
