--- a/crates/common/src/frames/parts.rs
+++ b/crates/common/src/frames/parts.rs
@@ -2,6 +2,7 @@
 
 use binrw::{BinRead, BinResult, BinWrite, Endian, binrw};
 use bytes::Bytes;
+use serde::{Serialize, Serializer};
 use std::fmt;
 use std::io::{Read, Seek, Write};
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
@@ -170,6 +171,12 @@
     }
 }
 
+impl Serialize for SocketAddress {
+    fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
+        serializer.collect_str(self)
+    }
+}
+
 impl From<SocketAddrV4> for SocketAddress {
     fn from(address: SocketAddrV4) -> Self {
         Self(address)
--- a/crates/common/src/identity/names.rs
+++ b/crates/common/src/identity/names.rs
@@ -1,8 +1,10 @@
 //! Identities that are short texts.
 //!
-//! On the wire each is its length in two bytes, then UTF-8; see [`write_text`](crate::frames::write_text).
+//! In a frame each is its length in two bytes, then UTF-8; see [`write_text`](crate::frames::write_text). In JSON it is
+//! a string.
 
 use binrw::{BinRead, BinResult, BinWrite, Endian};
+use serde::{Serialize, Serializer};
 use std::fmt;
 use std::io::{Read, Seek, Write};
 use std::sync::Arc;
@@ -56,6 +58,12 @@
             }
         }
 
+        impl Serialize for $name {
+            fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
+                serializer.serialize_str(&self.0)
+            }
+        }
+
         impl BinRead for $name {
             type Args<'a> = ();
             fn read_options<R: Read + Seek>(
--- a/crates/common/src/identity/numbers.rs
+++ b/crates/common/src/identity/numbers.rs
@@ -1,6 +1,8 @@
-//! Identities and counters that are 64-bit numbers, big-endian on the wire.
+//! Identities and counters that are 64-bit numbers, in frames big-endian. In JSON they are numbers, too, apart from a
+//! controller's identity, which is written in hexadecimal.
 
 use binrw::{BinRead, BinResult, BinWrite, Endian, binrw};
+use serde::{Serialize, Serializer};
 use std::fmt;
 use std::io::{Read, Seek, Write};
 
@@ -62,8 +64,10 @@
 
 numbers! {
     /// The number of a version of the replicated document; it grows by one with each version.
+    #[derive(Serialize)]
     Version,
     /// An election term: at most one controller leads in each.
+    #[derive(Serialize)]
     Term,
     /// The fencing token of one function lease, unique over all leaders; a later lease has a greater one.
     FencingToken,
@@ -77,6 +81,12 @@
     Ticket,
 }
 
+impl Serialize for ControllerId {
+    fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
+        serializer.collect_str(&format_args!("{:x}", self.0))
+    }
+}
+
 impl FencingToken {
     /// Builds a token that no other leader issues: the term in the upper 32 bits, the leader's own count in the lower.
     pub fn new(leader_term: Term, issued_count: u64) -> Self {
--- a/crates/common/src/spec/catalogue_delta.rs
+++ b/crates/common/src/spec/catalogue_delta.rs
@@ -2,10 +2,11 @@
 //! that are removed.
 
 use super::SpecRecords;
-use super::fields::{append_fields, generations_json, read_generations};
+use super::fields::{append_fields, read_generations};
 use crate::identity::{FunctionName, Version};
 use crate::readers::PathReader;
-use serde_json::{Map, Value, json};
+use serde::Serialize;
+use serde_json::{Map, Value};
 use std::collections::BTreeMap;
 
 const PUT_FUNCTIONS: &str = "put_functions";
@@ -20,51 +21,74 @@
     pub generations: &'a BTreeMap<FunctionName, Version>,
 }
 
+/// The fields of a delta but for the records that it puts, with those of the document or view beside them.
+#[derive(Serialize)]
+struct DeltaFields<'a, T> {
+    has_functions: bool,
+    has_routes: bool,
+    removed_functions: &'a [&'a str],
+    removed_routes: &'a [&'a str],
+    /// What is neither function nor route; null if it is the same as in the base.
+    #[serde(rename = "rest")]
+    remainder: Option<&'a Value>,
+    put_generations: BTreeMap<&'a FunctionName, Version>,
+    removed_generations: Vec<&'a FunctionName>,
+    #[serde(flatten)]
+    other_fields: &'a T,
+}
+
 /// Encodes the delta as JSON text, with `other_fields` in the same object. Its length and cost grow with what differs,
 /// not with the catalogue.
 pub(super) fn catalogue_delta(
     base: Catalogue<'_>,
     newer: Catalogue<'_>,
-    mut other_fields: Map<String, Value>,
+    other_fields: &impl Serialize,
 ) -> Vec<u8> {
     let functions = base.spec.function_delta(newer.spec);
     let routes = base.spec.route_delta(newer.spec);
-    let new_generations: BTreeMap<FunctionName, Version> = newer
-        .generations
-        .iter()
-        .filter(|(name, version)| base.generations.get(*name) != Some(version))
-        .map(|(name, version)| (name.clone(), *version))
-        .collect();
-    let is_removed = |name: &&FunctionName| !newer.generations.contains_key(*name);
-    let removed_generations: Vec<&str> = base
-        .generations
-        .keys()
-        .filter(is_removed)
-        .map(FunctionName::as_str)
-        .collect();
-    let is_remainder_same = base.spec.remainder() == newer.spec.remainder();
-    let remainder = (!is_remainder_same).then(|| newer.spec.remainder().clone());
     let (has_functions, has_routes) = newer.spec.has_parts();
-    let catalogue_fields = [
-        ("has_functions", json!(has_functions)),
-        ("has_routes", json!(has_routes)),
-        ("removed_functions", json!(functions.removed)),
-        ("removed_routes", json!(routes.removed)),
-        ("rest", json!(remainder)),
-        ("put_generations", generations_json(&new_generations)),
-        ("removed_generations", json!(removed_generations)),
-    ];
-    other_fields.extend(catalogue_fields.map(|(field, value)| (field.to_owned(), value)));
+    let remainder = newer.spec.remainder();
+    let delta_fields = DeltaFields {
+        has_functions,
+        has_routes,
+        removed_functions: &functions.removed,
+        removed_routes: &routes.removed,
+        remainder: (remainder != base.spec.remainder()).then_some(remainder),
+        put_generations: put_generations(base, newer),
+        removed_generations: removed_generations(base, newer),
+        other_fields,
+    };
     let mut text = Vec::new();
     text.extend_from_slice(b"{\"put_functions\":");
     functions.write_put(&mut text);
     text.extend_from_slice(b",\"put_routes\":");
     routes.write_put(&mut text);
     text.push(b',');
-    append_fields(&mut text, &Value::Object(other_fields));
+    append_fields(&mut text, &delta_fields);
     text
 }
 
+/// The generations that are new or different.
+fn put_generations<'a>(
+    base: Catalogue<'_>,
+    newer: Catalogue<'a>,
+) -> BTreeMap<&'a FunctionName, Version> {
+    newer
+        .generations
+        .iter()
+        .filter(|(name, version)| base.generations.get(*name) != Some(version))
+        .map(|(name, version)| (name, *version))
+        .collect()
+}
+
+/// The functions whose generations are removed.
+fn removed_generations<'a>(base: Catalogue<'a>, newer: Catalogue<'_>) -> Vec<&'a FunctionName> {
+    base.generations
+        .keys()
+        .filter(|name| !newer.generations.contains_key(*name))
+        .collect()
+}
+
 /// The records that a delta puts, moved out of it without copying them.
 pub(super) struct PutRecords {
     functions: Map<String, Value>,
--- a/crates/common/src/spec/daemon_view.rs
+++ b/crates/common/src/spec/daemon_view.rs
@@ -2,15 +2,15 @@
 
 use super::catalogue_delta::{Catalogue, PutRecords, apply_catalogue_delta, catalogue_delta};
 use super::fields::{
-    evacuated_json, extract_spec, generations_json, read_all, read_evacuated, read_generations,
-    read_voter_addresses, text_with_spec, voter_addresses_json,
+    extract_spec, fields_text, read_all, read_evacuated, read_generations, read_voter_addresses,
+    text_with_spec,
 };
-use super::records::write_json;
 use super::{DocumentError, Spec, SpecRecords};
 use crate::frames::SocketAddress;
 use crate::identity::{FunctionName, Version, Zone};
 use crate::readers::{PathError, PathErrorReason, PathReader};
-use serde_json::{Map, Value, json};
+use serde::Serialize;
+use serde_json::{Value, json};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// The part of a document that daemons need.
@@ -28,14 +28,37 @@
     pub voters: Vec<SocketAddress>,
 }
 
+/// A view's fields in JSON, but for the spec.
+#[derive(Serialize)]
+struct ViewFields<'a> {
+    #[serde(rename = "serial")]
+    version: Version,
+    generations: &'a BTreeMap<FunctionName, Version>,
+    evacuated: &'a BTreeSet<Zone>,
+    #[serde(rename = "core")]
+    voters: &'a [SocketAddress],
+}
+
+/// A delta's fields in JSON, but for those of the catalogue.
+#[derive(Serialize)]
+struct ViewDeltaFields<'a> {
+    /// The version that the delta applies to.
+    base: Version,
+    #[serde(rename = "serial")]
+    version: Version,
+    evacuated: &'a BTreeSet<Zone>,
+    #[serde(rename = "core")]
+    voters: &'a [SocketAddress],
+}
+
 impl DaemonView {
-    fn other_fields(&self) -> Value {
-        json!({
-            "serial": self.version.0,
-            "generations": generations_json(&self.generations),
-            "evacuated": evacuated_json(&self.evacuated),
-            "core": voter_addresses_json(&self.voters),
-        })
+    fn other_fields(&self) -> ViewFields<'_> {
+        ViewFields {
+            version: self.version,
+            generations: &self.generations,
+            evacuated: &self.evacuated,
+            voters: &self.voters,
+        }
     }
 
     /// Encodes the view as JSON text.
@@ -65,22 +88,20 @@
     /// The SHA-256 digest of the view: of its records' digests and of all other fields.
     pub fn digest(&self) -> [u8; 32] {
         let mut digested_text = self.spec.digest().to_vec();
-        write_json(&mut digested_text, &self.other_fields());
+        digested_text.extend(fields_text(&self.other_fields()));
         crate::seal::digest(&digested_text)
     }
 
     /// Encodes the delta from this view to a newer one as JSON text: the records that are new or different, the names
     /// of those that are removed, and all other fields.
     pub fn delta_to(&self, newer_view: &DaemonView) -> Vec<u8> {
-        let fields = [
-            ("base", json!(self.version.0)),
-            ("serial", json!(newer_view.version.0)),
-            ("evacuated", evacuated_json(&newer_view.evacuated)),
-            ("core", voter_addresses_json(&newer_view.voters)),
-        ];
-        let other_fields = fields.map(|(field, value)| (field.to_owned(), value));
-        let other_fields = Map::from_iter(other_fields);
-        catalogue_delta(self.catalogue(), newer_view.catalogue(), other_fields)
+        let other_fields = ViewDeltaFields {
+            base: self.version,
+            version: newer_view.version,
+            evacuated: &newer_view.evacuated,
+            voters: &newer_view.voters,
+        };
+        catalogue_delta(self.catalogue(), newer_view.catalogue(), &other_fields)
     }
 
     fn catalogue(&self) -> Catalogue<'_> {
--- a/crates/common/src/spec/document.rs
+++ b/crates/common/src/spec/document.rs
@@ -2,18 +2,17 @@
 
 use super::catalogue_delta::{Catalogue, PutRecords, apply_catalogue_delta, catalogue_delta};
 use super::fields::{
-    changes_json, evacuated_json, extract_spec, generations_json, membership_json, read_all,
-    read_changes, read_evacuated, read_generations, read_membership, read_voters, text_with_spec,
-    voters_json,
+    extract_spec, fields_text, read_all, read_changes, read_evacuated, read_generations,
+    read_membership, read_voters, text_with_spec,
 };
-use super::records::write_json;
 use super::{AppliedChanges, ChangeStatus, DaemonView, DocumentError, Spec, SpecRecords};
 use crate::frames::SocketAddress;
 use crate::identity::{
     ChangeId, ControllerId, DocumentVersion, FunctionName, MemberName, Term, Version, Zone,
 };
 use crate::readers::{PathErrorReason, PathReader};
-use serde_json::{Map, Value, json};
+use serde::Serialize;
+use serde_json::{Value, json};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
@@ -21,31 +20,35 @@
 const MAX_NAMED_CHANGES: usize = 64;
 
 /// A controller whose vote counts.
-#[derive(Clone, PartialEq, Eq, Debug)]
+#[derive(Clone, PartialEq, Eq, Debug, Serialize)]
 pub struct Voter {
     /// Its identity, stored on its disk.
     pub id: ControllerId,
     /// The address at which other processes reach it.
+    #[serde(rename = "place")]
     pub address: SocketAddress,
     /// Its zone.
+    #[serde(rename = "locality")]
     pub zone: Zone,
 }
 
 /// A daemon that may have a session lease, in whichever incarnation.
-#[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Debug)]
+#[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Debug, Serialize)]
 pub struct ListedMember {
     /// Its name.
     pub member: MemberName,
     /// The address at which it listens; only one incarnation can hold the port.
+    #[serde(rename = "place")]
     pub address: SocketAddress,
 }
 
 /// One applied change.
-#[derive(Clone, PartialEq, Eq, Debug)]
+#[derive(Clone, PartialEq, Eq, Debug, Serialize)]
 pub struct ChangeRecord {
     /// The operator's name for it.
     pub id: ChangeId,
     /// The version that it created.
+    #[serde(rename = "serial")]
     pub version: Version,
     /// The number that operators gave it; zero if they gave none.
     pub number: u64,
@@ -82,6 +85,61 @@
     pub hidden_versions: u64,
 }
 
+/// A document's fields in JSON, but for the spec.
+#[derive(Serialize)]
+struct DocumentFields<'a> {
+    term: Term,
+    #[serde(rename = "serial")]
+    version: Version,
+    number: u64,
+    generations: &'a BTreeMap<FunctionName, Version>,
+    evacuated: &'a BTreeSet<Zone>,
+    #[serde(rename = "core")]
+    voters: &'a [Voter],
+    #[serde(rename = "former")]
+    previous_voters: &'a [Voter],
+    changes: &'a [ChangeRecord],
+    #[serde(rename = "taken")]
+    applied_changes: AppliedChangesFields,
+    #[serde(rename = "roster")]
+    membership: &'a BTreeSet<ListedMember>,
+    #[serde(rename = "unseen")]
+    hidden_versions: u64,
+}
+
+/// The record of applied changes in JSON.
+#[derive(Serialize)]
+struct AppliedChangesFields {
+    #[serde(rename = "forgotten")]
+    forgotten_up_to: u64,
+    /// The text of [`AppliedChanges::to_text`].
+    #[serde(rename = "kept")]
+    remembered: String,
+}
+
+/// A delta's fields in JSON, but for those of the catalogue.
+#[derive(Serialize)]
+struct DocumentDeltaFields<'a> {
+    term: Term,
+    #[serde(rename = "serial")]
+    version: Version,
+    number: u64,
+    evacuated: &'a BTreeSet<Zone>,
+    #[serde(rename = "core")]
+    voters: &'a [Voter],
+    #[serde(rename = "former")]
+    previous_voters: &'a [Voter],
+    /// The changes since the base, oldest first.
+    #[serde(rename = "noted")]
+    new_changes: Vec<&'a ChangeRecord>,
+    #[serde(rename = "joined")]
+    added_members: Vec<&'a ListedMember>,
+    #[serde(rename = "left")]
+    removed_members: Vec<&'a ListedMember>,
+    #[serde(rename = "unseen")]
+    hidden_versions: u64,
+}
+
 /// Reads the record of applied changes. Documents written before it existed have only their last changes, and forget
 /// all earlier ones.
 fn read_applied_changes(
@@ -177,29 +235,29 @@
         text_with_spec(&self.spec, &self.other_fields())
     }
 
-    fn other_fields(&self) -> Value {
-        json!({
-            "term": self.document_version.term.0,
-            "serial": self.document_version.version.0,
-            "number": self.number,
-            "generations": generations_json(&self.generations),
-            "evacuated": evacuated_json(&self.evacuated),
-            "core": voters_json(&self.voters),
-            "former": voters_json(&self.previous_voters),
-            "changes": changes_json(&self.changes),
-            "taken": {
-                "forgotten": self.applied_changes.forgotten_up_to(),
-                "kept": self.applied_changes.to_text(),
+    fn other_fields(&self) -> DocumentFields<'_> {
+        DocumentFields {
+            term: self.document_version.term,
+            version: self.document_version.version,
+            number: self.number,
+            generations: &self.generations,
+            evacuated: &self.evacuated,
+            voters: &self.voters,
+            previous_voters: &self.previous_voters,
+            changes: &self.changes,
+            applied_changes: AppliedChangesFields {
+                forgotten_up_to: self.applied_changes.forgotten_up_to(),
+                remembered: self.applied_changes.to_text(),
             },
-            "roster": membership_json(&self.membership),
-            "unseen": self.hidden_versions,
-        })
+            membership: &self.membership,
+            hidden_versions: self.hidden_versions,
+        }
     }
 
     /// The SHA-256 digest of the document: of its records' digests and of all other fields.
     pub fn digest(&self) -> [u8; 32] {
         let mut digested_text = self.spec.digest().to_vec();
-        write_json(&mut digested_text, &self.other_fields());
+        digested_text.extend(fields_text(&self.other_fields()));
         crate::seal::digest(&digested_text)
     }
 
@@ -212,32 +270,19 @@
             .map(|recorded| recorded.version)
             .unwrap_or_default();
         let is_new = |recorded: &&ChangeRecord| recorded.version > newest_recorded;
-        let recorded: Vec<ChangeRecord> = newer.changes.iter().filter(is_new).cloned().collect();
-        let added_members = newer
-            .membership
-            .difference(&self.membership)
-            .cloned()
-            .collect();
-        let removed_members = self
-            .membership
-            .difference(&newer.membership)
-            .cloned()
-            .collect();
-        let fields = [
-            ("term", json!(newer.document_version.term.0)),
-            ("serial", json!(newer.document_version.version.0)),
-            ("number", json!(newer.number)),
-            ("evacuated", evacuated_json(&newer.evacuated)),
-            ("core", voters_json(&newer.voters)),
-            ("former", voters_json(&newer.previous_voters)),
-            ("noted", changes_json(&recorded)),
-            ("joined", membership_json(&added_members)),
-            ("left", membership_json(&removed_members)),
-            ("unseen", json!(newer.hidden_versions)),
-        ];
-        let other_fields = fields.map(|(field, value)| (field.to_owned(), value));
-        let other_fields = Map::from_iter(other_fields);
-        catalogue_delta(self.catalogue(), newer.catalogue(), other_fields)
+        let other_fields = DocumentDeltaFields {
+            term: newer.document_version.term,
+            version: newer.document_version.version,
+            number: newer.number,
+            evacuated: &newer.evacuated,
+            voters: &newer.voters,
+            previous_voters: &newer.previous_voters,
+            new_changes: newer.changes.iter().filter(is_new).collect(),
+            added_members: newer.membership.difference(&self.membership).collect(),
+            removed_members: self.membership.difference(&newer.membership).collect(),
+            hidden_versions: newer.hidden_versions,
+        };
+        catalogue_delta(self.catalogue(), newer.catalogue(), &other_fields)
     }
 
     /// Applies a delta to this version.
--- a/crates/common/src/spec/fields.rs
+++ b/crates/common/src/spec/fields.rs
@@ -1,11 +1,14 @@
-//! The fields that documents, views and deltas have in common, read from JSON and written as JSON.
+//! The fields that documents, views and deltas have in common, read from JSON, and the text that they are written as.
+//!
+//! The fields are written by types with `Serialize`, whose names for JSON the functions here read again.
 
 use super::records::write_json;
 use super::{ChangeRecord, DocumentError, ListedMember, SpecRecords, Voter};
 use crate::frames::SocketAddress;
 use crate::identity::{ControllerId, FunctionName, Version, Zone};
 use crate::readers::{PathError, PathErrorList, PathErrorReason, PathReader, read_address};
-use serde_json::{Map, Value, json};
+use serde::Serialize;
+use serde_json::{Value, json};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// About the length of a record's text, with its function's generation.
@@ -42,17 +45,6 @@
         .collect()
 }
 
-pub(super) fn generations_json(generations: &BTreeMap<FunctionName, Version>) -> Value {
-    let pairs = generations
-        .iter()
-        .map(|(name, version)| (name.to_string(), json!(version.0)));
-    Value::Object(pairs.collect::<Map<_, _>>())
-}
-
-pub(super) fn evacuated_json(evacuated: &BTreeSet<Zone>) -> Value {
-    Value::Array(evacuated.iter().map(|zone| json!(zone.as_str())).collect())
-}
-
 pub(super) fn read_changes(reader: &PathReader<'_>) -> Vec<ChangeRecord> {
     let change_items = reader.items();
     change_items
@@ -67,17 +59,6 @@
         .collect()
 }
 
-pub(super) fn changes_json(changes: &[ChangeRecord]) -> Value {
-    let rows = changes.iter().map(|recorded| {
-        json!({
-            "id": recorded.id.as_str(),
-            "serial": recorded.version.0,
-            "number": recorded.number,
-        })
-    });
-    Value::Array(rows.collect())
-}
-
 pub(super) fn read_voters(reader: &PathReader<'_>) -> Vec<Voter> {
     let member_items = reader.items();
     member_items
@@ -108,33 +89,6 @@
         .collect()
 }
 
-pub(super) fn membership_json(membership: &BTreeSet<ListedMember>) -> Value {
-    let rows = membership.iter().map(
-        |listed| json!({"member": listed.member.as_str(), "place": listed.address.to_string()}),
-    );
-    Value::Array(rows.collect())
-}
-
-pub(super) fn voters_json(members: &[Voter]) -> Value {
-    let rows = members.iter().map(|member| {
-        json!({
-            "id": format!("{:x}", member.id.0),
-            "place": member.address.to_string(),
-            "locality": member.zone.as_str(),
-        })
-    });
-    Value::Array(rows.collect())
-}
-
-pub(super) fn voter_addresses_json(voters: &[SocketAddress]) -> Value {
-    Value::Array(
-        voters
-            .iter()
-            .map(|address| json!(address.to_string()))
-            .collect(),
-    )
-}
-
 pub(super) fn read_voter_addresses(reader: &PathReader<'_>) -> Vec<SocketAddress> {
     reader.items().iter().filter_map(read_address).collect()
 }
@@ -150,8 +104,15 @@
     Ok(SpecRecords::new(spec))
 }
 
+/// The JSON text of an object; its keys are in alphabetical order, whatever the order of the type's fields.
+pub(super) fn fields_text(fields: &impl Serialize) -> Vec<u8> {
+    let mut text = Vec::new();
+    write_json(&mut text, &json!(fields));
+    text
+}
+
 /// Encodes an object as JSON text, with a spec as its first field.
-pub(super) fn text_with_spec(spec: &SpecRecords, other_fields: &Value) -> Vec<u8> {
+pub(super) fn text_with_spec(spec: &SpecRecords, other_fields: &impl Serialize) -> Vec<u8> {
     let (function_count, route_count) = spec.counts();
     let mut text = Vec::with_capacity(RECORD_LENGTH * (2 + function_count + route_count));
     text.extend_from_slice(b"{\"spec\":");
@@ -162,8 +123,7 @@
 }
 
 /// Appends the fields of an object, and the closing brace, to the text of an object that is being written.
-pub(super) fn append_fields(text: &mut Vec<u8>, fields: &Value) {
-    let mut fields_text = Vec::new();
-    write_json(&mut fields_text, fields);
-    text.extend_from_slice(&fields_text[1..]);
+pub(super) fn append_fields(text: &mut Vec<u8>, fields: &impl Serialize) {
+    let opening_brace = 1;
+    text.extend_from_slice(&fields_text(fields)[opening_brace..]);
 }
