--- a/crates/common/src/adapter/native.rs
+++ b/crates/common/src/adapter/native.rs
@@ -6,14 +6,41 @@
 };
 use crate::frames::{Instance, SocketAddress};
 use crate::http::call_json;
-use crate::identity::{FunctionKey, InstanceId, RunnerId};
+use crate::identity::{FunctionKey, InstanceId, RunnerId, WorkerName};
 use crate::readers::{PathErrorList, PathReader, read_address};
 use hyper::{Method, StatusCode};
+use serde::Serialize;
 use serde_json::json;
 use std::time::Duration;
 
+/// Time limit of one call, from connecting to the end of the response.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
+/// The body of a request to start a runner.
+#[derive(Serialize)]
+struct StartRequest<'a> {
+    runner: String,
+    function: String,
+    worker: &'a WorkerName,
+    memory_mb: u32,
+    #[serde(rename = "boot_ms")]
+    startup_millis: u64,
+    slots: u32,
+}
+
+impl<'a> From<&'a StartOrder> for StartRequest<'a> {
+    fn from(order: &'a StartOrder) -> Self {
+        Self {
+            runner: order.runner.to_string(),
+            function: order.function.to_string(),
+            worker: &order.worker,
+            memory_mb: order.memory_mb,
+            startup_millis: order.startup.as_millis() as u64,
+            slots: order.slots,
+        }
+    }
+}
+
 /// A client of a platform with the product's own API: JSON over HTTP, under `/v1`.
 pub struct NativePlatform {
     address: SocketAddress,
@@ -26,14 +53,7 @@
     }
 
     async fn start_native(&self, order: StartOrder) -> StartOutcome {
-        let body = json!({
-            "runner": order.runner.to_string(),
-            "function": order.function.to_string(),
-            "worker": order.worker.as_str(),
-            "memory_mb": order.memory_mb,
-            "boot_ms": order.startup.as_millis() as u64,
-            "slots": order.slots,
-        });
+        let body = json!(StartRequest::from(&order));
         let call = call_json(
             self.address,
             Method::POST,
@@ -46,17 +66,10 @@
         };
         match response.status {
             StatusCode::CREATED => {
-                let answer = response.json();
+                let started = response.json();
                 let errors = PathErrorList::default();
-                let address = read_address(&PathReader::new(&answer, &errors).field("place"));
-                let name = PathReader::new(&answer, &errors)
-                    .field("life")
-                    .text()
-                    .map(InstanceId::from);
-                let instance = name
-                    .zip(address)
-                    .map(|(name, address)| Instance { name, address });
-                instance.map_or(StartOutcome::Lost, StartOutcome::Started)
+                read_instance(&PathReader::new(&started, &errors))
+                    .map_or(StartOutcome::Lost, StartOutcome::Started)
             }
             StatusCode::CONFLICT | StatusCode::INSUFFICIENT_STORAGE => StartOutcome::NoCapacity,
             StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => StartOutcome::Busy,
@@ -85,14 +98,7 @@
             .field("workers")
             .items()
             .iter()
-            .filter_map(|item| {
-                Some(ListedWorker {
-                    worker: item.field("worker").text()?.into(),
-                    zone: item.field("locality").text()?.into(),
-                    memory_mb: item.field("memory_mb").number(0..=u64::from(u32::MAX))? as u32,
-                    draining: item.field("draining").bool_or(false),
-                })
-            })
+            .filter_map(read_worker)
             .collect();
         let is_complete = response.status == StatusCode::OK && errors.into_inner().is_empty();
         is_complete.then_some(workers)
@@ -109,7 +115,7 @@
             .field("runners")
             .items()
             .iter()
-            .filter_map(|item| read_runner(item))
+            .filter_map(read_runner)
             .collect();
         let is_complete = response.status == StatusCode::OK && errors.into_inner().is_empty();
         let age = Duration::from_millis(age_ms?);
@@ -117,13 +123,28 @@
     }
 }
 
+/// Reads how the platform names a runner's instance, and where it listens.
+fn read_instance(item: &PathReader<'_>) -> Option<Instance> {
+    Some(Instance {
+        address: read_address(&item.field("place"))?,
+        name: item.field("life").text()?.into(),
+    })
+}
+
+fn read_worker(item: &PathReader<'_>) -> Option<ListedWorker> {
+    Some(ListedWorker {
+        worker: item.field("worker").text()?.into(),
+        zone: item.field("locality").text()?.into(),
+        memory_mb: item.field("memory_mb").number(0..=u64::from(u32::MAX))? as u32,
+        draining: item.field("draining").bool_or(false),
+    })
+}
+
 fn read_runner(item: &PathReader<'_>) -> Option<ListedRunner> {
     let runner: Option<RunnerId> = item.field("runner").text()?.parse().ok();
     let key: FunctionKey = item.field("function").text()?.parse().ok()?;
-    let address = read_address(&item.field("place"))?;
-    let name = InstanceId::from(item.field("life").text()?);
     Some(ListedRunner {
-        instance: Instance { name, address },
+        instance: read_instance(item)?,
         runner,
         function: key.name.clone(),
         key: Some(key),
