--- a/crates/common/src/frames/compress.rs
+++ b/crates/common/src/frames/compress.rs
@@ -6,8 +6,11 @@
 use flate2::write::DeflateEncoder;
 use std::io::{Error, ErrorKind, Read, Write};
 
+/// The first byte of a compressed text.
 const DEFLATE_MARK: u8 = 1;
+/// The length in bytes from which a text is compressed.
 const MIN_COMPRESSED_LENGTH: usize = 256;
+/// The longest text that is accepted, in bytes, so that a short frame cannot take all memory.
 const MAX_DECOMPRESSED_LENGTH: u64 = 64 << 20;
 
 /// Compresses a JSON text for a frame; one of less than 256 bytes is sent as it is.
--- a/crates/common/src/frames/wire.rs
+++ b/crates/common/src/frames/wire.rs
@@ -10,9 +10,11 @@
 use std::io::Cursor;
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 
+/// How connections and datagrams of rudderstream begin.
 const MAGIC: [u8; 2] = *b"RU";
 /// The version of the wire format; it grows whenever a frame changes.
 const WIRE_VERSION: u8 = 6;
+/// The longest frame, in bytes, without its length.
 const MAX_FRAME_LENGTH: u32 = 16 << 20;
 /// How many bytes of a frame are read at once, so that a length that is only announced allocates no memory.
 const MAX_READ_LENGTH: usize = 64 << 10;
--- a/crates/common/src/http/call.rs
+++ b/crates/common/src/http/call.rs
@@ -12,7 +12,9 @@
 use std::time::Duration;
 use tokio::net::TcpStream;
 
+/// The longest time to open a connection, whatever the time-out of the call.
 const MAX_CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+/// The largest response of [`call_json`].
 const MAX_JSON_RESPONSE_BYTES: usize = 64 << 20;
 
 /// A complete response.
--- a/crates/common/src/http/line_stream.rs
+++ b/crates/common/src/http/line_stream.rs
@@ -12,6 +12,7 @@
 use std::time::Duration;
 use tokio::net::TcpStream;
 
+/// The longest time to open a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// How a stream of lines ended without an error.
--- a/crates/common/src/http/serve.rs
+++ b/crates/common/src/http/serve.rs
@@ -110,9 +110,14 @@
     pub idle: Duration,
 }
 
+/// The smallest buffer for a head, in bytes: hyper accepts no smaller one.
 const MIN_HEAD_BUFFER: usize = 8 << 10;
+/// The largest head that [`serve`] accepts, in bytes.
 const MAX_HEAD_LENGTH: usize = 400 << 10;
+/// How long the next head may take to arrive at [`serve`].
 const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
+/// The pause after a connection could not be accepted, as when the process has too many open files.
+const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Serves HTTP/1.1 until `stop` becomes true, then waits until the requests in progress are answered.
 pub async fn serve<H, F>(listener: TcpListener, handler: H, stop: watch::Receiver<bool>)
@@ -147,7 +152,7 @@
             _ = stop.wait_for(|stopping| *stopping) => break,
         };
         let Ok((accepted_stream, _)) = accepted else {
-            tokio::time::sleep(Duration::from_millis(20)).await;
+            tokio::time::sleep(ACCEPT_RETRY_INTERVAL).await;
             continue;
         };
         let _ = accepted_stream.set_nodelay(true);
--- a/crates/common/src/spec/applied_changes.rs
+++ b/crates/common/src/spec/applied_changes.rs
@@ -6,6 +6,7 @@
 
 /// How many numbered changes are remembered, at about ten bytes each.
 const MAX_REMEMBERED: usize = 1024;
+/// How many bytes of the digest of a change's name are remembered.
 const DIGEST_BYTES: usize = 8;
 
 /// What is known of a change that an operator submits, perhaps not for the first time.
--- a/crates/common/src/spec/catalogue_delta.rs
+++ b/crates/common/src/spec/catalogue_delta.rs
@@ -9,6 +9,7 @@
 use serde_json::{Map, Value};
 use std::collections::BTreeMap;
 
+/// The keys of the records that a delta puts.
 const PUT_FUNCTIONS: &str = "put_functions";
 const PUT_ROUTES: &str = "put_routes";
 
--- a/crates/common/src/spec/fields.rs
+++ b/crates/common/src/spec/fields.rs
@@ -14,6 +14,8 @@
 /// About the length of a record's text, with its function's generation.
 const RECORD_LENGTH: usize = 256;
 
+/// Reads a value with a reader at its root. Fails with the first error that was reported, or with a missing value if
+/// nothing could be read and none was.
 pub(super) fn read_all<T>(
     value: &Value,
     read_parts: impl FnOnce(&PathReader<'_>) -> Option<T>,
@@ -30,6 +32,7 @@
     }
 }
 
+/// Reads the version in which each function entered the catalogue, an object by names.
 pub(super) fn read_generations(reader: &PathReader<'_>) -> BTreeMap<FunctionName, Version> {
     let generation_fields = reader.fields().into_iter();
     generation_fields
@@ -37,6 +40,7 @@
         .collect()
 }
 
+/// Reads the evacuated zones, a list of names.
 pub(super) fn read_evacuated(reader: &PathReader<'_>) -> BTreeSet<Zone> {
     reader
         .items()
@@ -45,6 +49,7 @@
         .collect()
 }
 
+/// Reads the last changes, a list with the oldest first.
 pub(super) fn read_changes(reader: &PathReader<'_>) -> Vec<ChangeRecord> {
     let change_items = reader.items();
     change_items
@@ -59,6 +64,7 @@
         .collect()
 }
 
+/// Reads the voters; their identities are in hexadecimal.
 pub(super) fn read_voters(reader: &PathReader<'_>) -> Vec<Voter> {
     let member_items = reader.items();
     member_items
@@ -73,6 +79,7 @@
         .collect()
 }
 
+/// Reads the daemons that may have session leases; none in documents written before the field existed.
 pub(super) fn read_membership(reader: &PathReader<'_>) -> BTreeSet<ListedMember> {
     if !reader.is_present() {
         return BTreeSet::new();
@@ -89,6 +96,7 @@
         .collect()
 }
 
+/// Reads the addresses of the voters, as views carry them.
 pub(super) fn read_voter_addresses(reader: &PathReader<'_>) -> Vec<SocketAddress> {
     reader.items().iter().filter_map(read_address).collect()
 }
--- a/crates/common/src/spec/records.rs
+++ b/crates/common/src/spec/records.rs
@@ -12,7 +12,9 @@
 use std::fmt;
 use std::sync::{Arc, OnceLock};
 
+/// The key of the functions in a spec.
 const FUNCTIONS: &str = "functions";
+/// The key of the routes in a spec.
 const ROUTES: &str = "routes";
 
 /// The length of a SHA-256 digest in bytes.
--- a/crates/common/src/spec/route_reader.rs
+++ b/crates/common/src/spec/route_reader.rs
@@ -9,6 +9,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
+/// The keys that a route may have.
 const KNOWN_KEYS: [&str; 14] = [
     "method",
     "path",
--- a/programs/rudderctl/src/client.rs
+++ b/programs/rudderctl/src/client.rs
@@ -13,8 +13,11 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
+/// The longest wait for one controller, which with `--wait` includes the change's being in force.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(15);
+/// The pause before a leader is asked for again.
 const POLL_INTERVAL: Duration = Duration::from_millis(200);
+/// How many times a leader is asked for again: for 8 seconds, and the requests' own time.
 const MAX_POLLS: usize = 40;
 
 /// Why a command has no response to print.
--- a/programs/rudderctl/src/trace.rs
+++ b/programs/rudderctl/src/trace.rs
@@ -11,7 +11,9 @@
 use std::fmt;
 use std::time::Duration;
 
+/// The longest wait for one controller.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
+/// The pause before a trace that is followed is read again.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Why no trace can be shown.
