--- a/crates/common/src/http/call.rs
+++ b/crates/common/src/http/call.rs
@@ -5,6 +5,7 @@
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::Incoming;
+use hyper::client::conn::http1::{self, SendRequest};
 use hyper::header::{CONTENT_TYPE, HOST, HeaderMap};
 use hyper::{Method, Request, Response, StatusCode};
 use hyper_util::rt::TokioIo;
@@ -12,7 +13,9 @@
 use std::time::Duration;
 use tokio::net::TcpStream;
 
+/// The longest time to open a connection, whatever the time-out of the call.
 const MAX_CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+/// The largest response of [`call_json`].
 const MAX_JSON_RESPONSE_BYTES: usize = 64 << 20;
 
 /// A complete response.
@@ -102,6 +105,19 @@
     Ok(opened_stream)
 }
 
+/// Sends a request and reads the complete response, while another future drives the connection.
+async fn send_and_receive(
+    sender: &mut SendRequest<Full<Bytes>>,
+    request: Request<Full<Bytes>>,
+    max_body_bytes: usize,
+) -> Result<CallResponse, CallError> {
+    let response = sender
+        .send_request(request)
+        .await
+        .map_err(CallError::Lost)?;
+    CallResponse::receive(response, max_body_bytes).await
+}
+
 /// Sends a request on an open connection and reads the complete response.
 ///
 /// # Errors
@@ -113,23 +129,16 @@
     max_body_bytes: usize,
 ) -> Result<CallResponse, CallError> {
     let exchanging = async {
-        let (mut sender, connection) =
-            hyper::client::conn::http1::handshake(TokioIo::new(opened_stream))
-                .await
-                .map_err(CallError::Lost)?;
+        let (mut sender, connection) = http1::handshake(TokioIo::new(opened_stream))
+            .await
+            .map_err(CallError::Lost)?;
+        // The end of the connection is no outcome of its own: the receiving side reports what it means.
         let driving = async move {
             let _ = connection.await;
             std::future::pending::<()>().await;
         };
-        let receiving = async {
-            let response = sender
-                .send_request(request)
-                .await
-                .map_err(CallError::Lost)?;
-            CallResponse::receive(response, max_body_bytes).await
-        };
         tokio::select! {
-            call_response = receiving => call_response,
+            call_response = send_and_receive(&mut sender, request, max_body_bytes) => call_response,
             () = driving => Err(CallError::Timeout),
         }
     };
