--- a/crates/dataplane/tests/costs/mod.rs
+++ b/crates/dataplane/tests/costs/mod.rs
@@ -1,14 +1,17 @@
 //! A seeded simulation of one day of calls to holders under virtual time, with runners that take time to start up, are
 //! slow at first, and reject requests beyond their slots.
 
-use common::adapter::StartOutcome;
+use crate::held_function::{
+    admission_request, function_key, function_spec, lease_terms, report_started, reserved,
+    response, runner_id,
+};
 use common::clock::MonotonicTime;
-use common::frames::{Instance, LengthPrefixed, RequestOutcome, ReserveResult, SocketAddress};
-use common::identity::{FencingToken, FunctionKey, RunnerId, Ticket, Version};
+use common::frames::RequestOutcome;
+use common::identity::{RunnerId, Ticket};
 use common::rng::SeededRng;
 use common::spec::FunctionSpec;
 use dataplane::holder::{
-    AdmissionRequest, Holder, HolderMessage, HolderOutput, LeaseTerms, SendResult, Tuning,
+    AdmissionRequest, Holder, HolderMessage, HolderOutput, SendResult, Tuning,
 };
 use std::collections::{BTreeMap, VecDeque};
 use std::fmt;
@@ -161,6 +164,62 @@
     due_at: Option<MonotonicTime>,
 }
 
+impl SimFunction {
+    fn new(call_stream: CallStream) -> Self {
+        let profile = call_stream.profile;
+        let spec = FunctionSpec {
+            memory_mb: profile.memory_mb,
+            startup: profile.startup,
+            slots: profile.slots,
+            max_runners: 64,
+            ..function_spec()
+        };
+        let terms = lease_terms(function_key(), spec);
+        let mut holder = Holder::new(START, terms).with_tuning(START, tuning());
+        holder.set_prewarmed(profile.warm);
+        Self {
+            call_stream,
+            holder,
+            runners: BTreeMap::new(),
+            calls: BTreeMap::new(),
+            rejected_at: VecDeque::new(),
+            is_begun: false,
+            next_runner: 0,
+            next_ticket: 0,
+            due_at: None,
+        }
+    }
+
+    /// The leader has reserved memory for another runner.
+    fn handle_reserved(&mut self, now: MonotonicTime) -> Vec<HolderOutput> {
+        self.next_runner += 1;
+        let runner = runner_id(self.next_runner);
+        let result = reserved(runner, self.call_stream.profile.memory_mb);
+        self.holder.reserved(now, &result)
+    }
+
+    fn handle_probed(&mut self, now: MonotonicTime, runner: RunnerId) -> Vec<HolderOutput> {
+        let is_ready = self
+            .runners
+            .get(&runner)
+            .is_some_and(|sim_runner| sim_runner.ready_at <= now);
+        self.holder.probed(now, runner, is_ready)
+    }
+
+    fn handle_send_finished(
+        &mut self,
+        now: MonotonicTime,
+        ticket: Ticket,
+        end: SendResult,
+        runner: RunnerId,
+    ) -> Vec<HolderOutput> {
+        if let Some(sim_runner) = self.runners.get_mut(&runner) {
+            sim_runner.running = sim_runner.running.saturating_sub(1);
+        }
+        self.holder.handle_send_result(now, ticket, end)
+    }
+}
+
 /// A simulated day.
 pub struct DaySimulation {
     rng: SeededRng,
@@ -185,35 +244,7 @@
             report: CostReport::default(),
         };
         for (number, call_stream) in streams.iter().enumerate() {
-            let terms = LeaseTerms {
-                function: FunctionKey::new("f", Version(2)),
-                fencing_token: FencingToken(1),
-                spec: FunctionSpec {
-                    connections: 100,
-                    memory_mb: call_stream.profile.memory_mb,
-                    startup: call_stream.profile.startup,
-                    slots: call_stream.profile.slots,
-                    min_runners: 0,
-                    max_runners: 64,
-                },
-                once_wait: Duration::ZERO,
-                replica: None,
-                previous_lease: None,
-                adopted: Vec::new(),
-            };
-            let mut holder = Holder::new(START, terms).with_tuning(START, tuning());
-            holder.set_prewarmed(call_stream.profile.warm);
-            day.functions.push(SimFunction {
-                call_stream: *call_stream,
-                holder,
-                runners: BTreeMap::new(),
-                calls: BTreeMap::new(),
-                rejected_at: VecDeque::new(),
-                is_begun: false,
-                next_runner: 0,
-                next_ticket: 0,
-                due_at: None,
-            });
+            day.functions.push(SimFunction::new(*call_stream));
             if call_stream.profile.warm {
                 day.begin(number);
             }
@@ -295,75 +326,45 @@
     fn handle_event(&mut self, number: usize, event: SimEvent) {
         let now = self.now;
         let outputs = match event {
-            SimEvent::Arrival => {
-                if now < START + WARM_UP + DAY {
-                    let next_gap = self.next_gap(number);
-                    self.schedule(number, next_gap, SimEvent::Arrival);
-                    self.begin(number);
-                    self.report.calls += 1;
-                    self.submit(
-                        number,
-                        Call {
-                            first_at: now,
-                            attempt: 1,
-                        },
-                    );
-                }
-                return;
-            }
+            SimEvent::Arrival => return self.handle_arrival(number),
             SimEvent::Retry(call) => return self.submit(number, call),
             SimEvent::Tick => {
                 self.schedule(number, TICK, SimEvent::Tick);
                 self.functions[number].holder.tick(now)
             }
             SimEvent::Due => self.functions[number].holder.tick(now),
-            SimEvent::Reserved => {
-                let function = &mut self.functions[number];
-                function.next_runner += 1;
-                let runner = RunnerId {
-                    fencing_token: FencingToken(1),
-                    ordinal: function.next_runner,
-                };
-                let memory_mb = function.call_stream.profile.memory_mb;
-                let result = ReserveResult::Reserved {
-                    runner,
-                    worker: "w".into(),
-                    memory_mb,
-                };
-                function.holder.reserved(now, &result)
-            }
+            SimEvent::Reserved => self.functions[number].handle_reserved(now),
             SimEvent::Started(runner) => {
-                let instance = Instance {
-                    name: format!("life {runner}").into(),
-                    address: SocketAddress::UNSPECIFIED,
-                };
-                self.functions[number]
-                    .holder
-                    .started(now, runner, StartOutcome::Started(instance))
-            }
-            SimEvent::Probed(runner) => {
-                let function = &mut self.functions[number];
-                let is_ready = function
-                    .runners
-                    .get(&runner)
-                    .is_some_and(|sim_runner| sim_runner.ready_at <= now);
-                function.holder.probed(now, runner, is_ready)
+                report_started(&mut self.functions[number].holder, now, runner)
             }
+            SimEvent::Probed(runner) => self.functions[number].handle_probed(now, runner),
             SimEvent::Stopped(runner) => {
                 self.charge(number, runner);
                 self.functions[number].holder.stopped(now, runner)
             }
             SimEvent::SendFinished(ticket, end, runner) => {
-                let function = &mut self.functions[number];
-                if let Some(sim_runner) = function.runners.get_mut(&runner) {
-                    sim_runner.running = sim_runner.running.saturating_sub(1);
-                }
-                function.holder.handle_send_result(now, ticket, end)
+                self.functions[number].handle_send_finished(now, ticket, end, runner)
             }
         };
         self.execute_outputs(number, outputs);
     }
 
+    /// A call arrives, if the day has not ended, and the next is scheduled.
+    fn handle_arrival(&mut self, number: usize) {
+        if self.now >= START + WARM_UP + DAY {
+            return;
+        }
+        let next_gap = self.next_gap(number);
+        self.schedule(number, next_gap, SimEvent::Arrival);
+        self.begin(number);
+        self.report.calls += 1;
+        let first_call = Call {
+            first_at: self.now,
+            attempt: 1,
+        };
+        self.submit(number, first_call);
+    }
+
     fn charge(&mut self, number: usize, runner: RunnerId) {
         let function = &mut self.functions[number];
         let Some(sim_runner) = function.runners.remove(&runner) else {
@@ -379,21 +380,13 @@
     fn submit(&mut self, number: usize, call: Call) {
         let function = &mut self.functions[number];
         function.next_ticket += 1;
-        let ticket = Ticket(function.next_ticket);
         let profile = function.call_stream.profile;
         let request = AdmissionRequest {
-            ticket,
-            idempotency_key: format!("t{ticket:?}").as_str().into(),
-            once: false,
-            recorded: false,
-            max_attempts: 2,
-            repeat: false,
             deadline: call.first_at + profile.timeout,
-            queue_timeout: profile.timeout,
             target: profile.target,
-            rank: 0,
-            region: None,
+            ..admission_request(function.next_ticket, self.now, profile.timeout)
         };
+        let ticket = request.ticket;
         function.calls.insert(ticket, call);
         let (at_once, outputs) = function.holder.admit(self.now, request);
         if let Some(outcome) = at_once {
@@ -514,14 +507,7 @@
         let age = now.since(sim_runner.ready_at).as_secs_f64();
         let slow_start_share = (1.0 - age / SLOW_START_SECONDS).max(0.0);
         let slowness = sim_runner.speed * (1.0 + slow_start_share);
-        let outcome = RequestOutcome::Response {
-            header_fields: LengthPrefixed(Vec::new()),
-            status: 200,
-            seal: Vec::new().into(),
-            runner,
-            body: Vec::new().into(),
-        };
-        let end = SendResult::Answered(outcome);
+        let end = SendResult::Answered(response(runner, 200, b""));
         self.schedule(
             number,
             work.mul_f64(slowness),
--- /dev/null
+++ b/crates/dataplane/tests/holder/main.rs
@@ -0,0 +1,14 @@
+//! A held function: slots, slow start, idempotency keys, retries, rejections, replication.
+
+mod bench;
+#[path = "../support/held_function.rs"]
+mod held_function;
+#[path = "../support/holder_bench.rs"]
+mod holder_bench;
+mod once_requests;
+mod rejections;
+mod release;
+mod replication;
+mod retries;
+mod runners;
+mod sends;
--- a/crates/dataplane/tests/holder_costs.rs
+++ b/crates/dataplane/tests/holder_costs.rs
@@ -1,6 +1,8 @@
 //! The costs of holders over a simulated day of calls: runner memory, starts, and value lost to late or rejected calls.
 
 mod costs;
+#[path = "support/held_function.rs"]
+mod held_function;
 
 use costs::{CallStream, DaySimulation, FunctionProfile, Prices, spread};
 use googletest::prelude::*;
@@ -73,60 +75,52 @@
     all
 }
 
+/// A day of calls, and what its mean cost may be.
+struct BoundedDay {
+    name: &'static str,
+    prices: Prices,
+    streams: Vec<CallStream>,
+    cost_bound: f64,
+}
+
+fn bounded_days() -> [BoundedDay; 6] {
+    let day = |name, prices, streams, cost_bound| BoundedDay {
+        name,
+        prices,
+        streams,
+        cost_bound,
+    };
+    let large = |crowd_factor| streams(LARGE, spread(8, 240.0, 1.1), crowd_factor);
+    let small = streams(SMALL, spread(150, 60.0, 1.1), 1.0);
+    let leader = |crowd_factor| streams(LEADER, spread(6, 240.0, 0.8), crowd_factor);
+    let sync = streams(SYNC, spread(60, 30.0, 1.1), 1.0);
+    [
+        day("few large", LOW_START_COST, large(1.0), 400.0),
+        day("few large, a crowd", LOW_START_COST, large(4.0), 760.0),
+        day("many small", LOW_START_COST, small, 310.0),
+        day("few desks", HIGH_START_COST, leader(1.0), 220.0),
+        day("few desks, a crowd", HIGH_START_COST, leader(4.0), 480.0),
+        day("many syncs", HIGH_START_COST, sync, 350.0),
+    ]
+}
+
 /// Each day's mean cost over three seeds stays under its bound, and so do rejections by runners.
 #[gtest]
 fn daily_costs_stay_within_bounds() -> Result<()> {
-    let days = [
-        (
-            "few large",
-            LOW_START_COST,
-            streams(LARGE, spread(8, 240.0, 1.1), 1.0),
-            400.0,
-        ),
-        (
-            "few large, a crowd",
-            LOW_START_COST,
-            streams(LARGE, spread(8, 240.0, 1.1), 4.0),
-            760.0,
-        ),
-        (
-            "many small",
-            LOW_START_COST,
-            streams(SMALL, spread(150, 60.0, 1.1), 1.0),
-            310.0,
-        ),
-        (
-            "few desks",
-            HIGH_START_COST,
-            streams(LEADER, spread(6, 240.0, 0.8), 1.0),
-            220.0,
-        ),
-        (
-            "few desks, a crowd",
-            HIGH_START_COST,
-            streams(LEADER, spread(6, 240.0, 0.8), 4.0),
-            480.0,
-        ),
-        (
-            "many syncs",
-            HIGH_START_COST,
-            streams(SYNC, spread(60, 30.0, 1.1), 1.0),
-            350.0,
-        ),
-    ];
     let mut over_bounds = Vec::new();
-    for (name, prices, streams, bound) in days {
+    for day in bounded_days() {
+        let (name, cost_bound) = (day.name, day.cost_bound);
         let mut costs = Vec::new();
         for seed in 1..=3 {
-            let costs_report = DaySimulation::new(seed, prices, &streams).run();
+            let costs_report = DaySimulation::new(seed, day.prices, &day.streams).run();
             println!("{name}, seed {seed}: {costs_report}");
             costs.push(costs_report.total());
             verify_that!(costs_report.max_rejections, le(10))?;
         }
         let mean_cost = costs.iter().sum::<f64>() / costs.len() as f64;
-        println!("{name}: {mean_cost:.0} of {bound:.0}");
-        if mean_cost > bound {
-            over_bounds.push(format!("{name}: {mean_cost:.0} over {bound:.0}"));
+        println!("{name}: {mean_cost:.0} of {cost_bound:.0}");
+        if mean_cost > cost_bound {
+            over_bounds.push(format!("{name}: {mean_cost:.0} over {cost_bound:.0}"));
         }
     }
     verify_that!(over_bounds.join("; "), eq(""))
--- a/crates/dataplane/tests/idle_retention.rs
+++ b/crates/dataplane/tests/idle_retention.rs
@@ -1,15 +1,23 @@
 //! When the last runner of a function is stopped: by the costs of a start, of a late response and of its memory, by how
 //! often it is called and how long it starts up.
 
-use common::adapter::StartOutcome;
+#[path = "support/held_function.rs"]
+mod held_function;
+#[path = "support/holder_bench.rs"]
+mod holder_bench;
+
 use common::clock::MonotonicTime;
-use common::frames::{Instance, LengthPrefixed, RequestOutcome, ReserveResult, SocketAddress};
-use common::identity::{FencingToken, FunctionKey, RunnerId, Ticket, Version};
+use common::identity::RunnerId;
 use common::spec::FunctionSpec;
 use dataplane::holder::{
-    AdmissionRequest, Holder, HolderMessage, HolderOutput, IdleCost, LeaseTerms, SendResult, Tuning,
+    AdmissionRequest, Holder, HolderMessage, HolderOutput, IdleCost, SendResult, Tuning,
 };
 use googletest::prelude::*;
+use held_function::{
+    admission_request, function_key, function_spec, lease_terms, report_started, reserved,
+    response, runner_id,
+};
+use holder_bench::HolderBench;
 use std::time::Duration;
 
 const START: MonotonicTime = MonotonicTime(10_000_000_000);
@@ -34,131 +42,46 @@
 impl Bench {
     fn new(memory_mb: u32, startup: Duration, target: Duration, is_prewarmed: bool) -> Self {
         let spec = FunctionSpec {
-            connections: 100,
             memory_mb,
             startup,
             slots: 8,
-            min_runners: 0,
-            max_runners: 8,
-        };
-        let terms = LeaseTerms {
-            function: FunctionKey::new("f", Version(2)),
-            fencing_token: FencingToken(1),
-            spec,
-            once_wait: Duration::ZERO,
-            replica: None,
-            previous_lease: None,
-            adopted: Vec::new(),
+            ..function_spec()
         };
+        let terms = lease_terms(function_key(), spec);
         let tuning = Tuning::builder()
             .idle_cost(Some(IdleCost::default()))
             .build();
         let mut holder = Holder::new(START, terms).with_tuning(START, tuning);
         holder.set_prewarmed(is_prewarmed);
-        let (now, starting) = (START, Vec::new());
         let mut bench = Self {
             holder,
-            now,
+            now: START,
             startup,
             target,
-            starting,
+            starting: Vec::new(),
             next_number: 0,
             starts: 0,
             stops: 0,
         };
-        let outputs = bench.holder.start(START);
-        bench.take(outputs);
+        bench.drive(Holder::start);
         bench
     }
 
-    fn take(&mut self, outputs: Vec<HolderOutput>) {
-        for output in outputs {
-            match output {
-                HolderOutput::Report(HolderMessage::Reserve) => {
-                    self.next_number += 1;
-                    let runner = RunnerId {
-                        fencing_token: FencingToken(1),
-                        ordinal: self.next_number,
-                    };
-                    let result = ReserveResult::Reserved {
-                        runner,
-                        worker: "w".into(),
-                        memory_mb: 1,
-                    };
-                    let outputs = self.holder.reserved(self.now, &result);
-                    self.take(outputs);
-                }
-                HolderOutput::Start { runner, .. } => {
-                    self.starts += 1;
-                    self.starting.push((self.now + self.startup, runner));
-                    let instance = Instance {
-                        name: format!("{runner}").into(),
-                        address: SocketAddress::UNSPECIFIED,
-                    };
-                    let outputs =
-                        self.holder
-                            .started(self.now, runner, StartOutcome::Started(instance));
-                    self.take(outputs);
-                }
-                HolderOutput::Probe { runner, .. } => {
-                    let is_ready = self
-                        .starting
-                        .iter()
-                        .any(|(at, one)| *one == runner && *at <= self.now);
-                    let outputs = self.holder.probed(self.now, runner, is_ready);
-                    self.take(outputs);
-                }
-                HolderOutput::Stop { runner, .. } => {
-                    self.stops += 1;
-                    let outputs = self.holder.stopped(self.now, runner);
-                    self.take(outputs);
-                }
-                HolderOutput::Send { ticket, runner, .. } => {
-                    let outcome = RequestOutcome::Response {
-                        header_fields: LengthPrefixed(Vec::new()),
-                        status: 200,
-                        seal: Vec::new().into(),
-                        runner,
-                        body: Vec::new().into(),
-                    };
-                    let outputs = self.holder.handle_send_result(
-                        self.now,
-                        ticket,
-                        SendResult::Answered(outcome),
-                    );
-                    self.take(outputs);
-                }
-                _ => {}
-            }
-        }
-    }
-
     fn advance(&mut self, span: Duration) {
         let until = self.now + span;
         while self.now < until {
             self.now = self.now + STEP;
-            let outputs = self.holder.tick(self.now);
-            self.take(outputs);
+            self.drive(Holder::tick);
         }
     }
 
     fn call(&mut self) {
         self.next_number += 1;
         let request = AdmissionRequest {
-            ticket: Ticket(self.next_number),
-            idempotency_key: format!("t{}", self.next_number).as_str().into(),
-            once: false,
-            recorded: false,
-            max_attempts: 2,
-            repeat: false,
-            deadline: self.now + ms(5000),
-            queue_timeout: ms(5000),
             target: self.target,
-            rank: 0,
-            region: None,
+            ..admission_request(self.next_number, self.now, ms(5000))
         };
-        let (_, outputs) = self.holder.admit(self.now, request);
-        self.take(outputs);
+        self.drive(|holder, now| holder.admit(now, request).1);
     }
 
     /// Submits calls with these gaps between them; returns how many runners were started for them.
@@ -170,6 +93,45 @@
         }
         self.starts - before
     }
+
+    fn is_started_up(&self, runner: RunnerId) -> bool {
+        let is_ready = |(at, one): &(MonotonicTime, RunnerId)| *one == runner && *at <= self.now;
+        self.starting.iter().any(is_ready)
+    }
+}
+
+impl HolderBench for Bench {
+    fn holder(&mut self) -> (&mut Holder, MonotonicTime) {
+        (&mut self.holder, self.now)
+    }
+
+    fn reply_to(&mut self, output: HolderOutput) -> Vec<HolderOutput> {
+        match output {
+            HolderOutput::Report(HolderMessage::Reserve) => {
+                self.next_number += 1;
+                let result = reserved(runner_id(self.next_number), 1);
+                self.holder.reserved(self.now, &result)
+            }
+            HolderOutput::Start { runner, .. } => {
+                self.starts += 1;
+                self.starting.push((self.now + self.startup, runner));
+                report_started(&mut self.holder, self.now, runner)
+            }
+            HolderOutput::Probe { runner, .. } => {
+                let is_ready = self.is_started_up(runner);
+                self.holder.probed(self.now, runner, is_ready)
+            }
+            HolderOutput::Stop { runner, .. } => {
+                self.stops += 1;
+                self.holder.stopped(self.now, runner)
+            }
+            HolderOutput::Send { ticket, runner, .. } => {
+                let result = SendResult::Answered(response(runner, 200, b""));
+                self.holder.handle_send_result(self.now, ticket, result)
+            }
+            _ => Vec::new(),
+        }
+    }
 }
 
 #[gtest]
--- /dev/null
+++ b/crates/dataplane/tests/support/held_function.rs
@@ -0,0 +1,101 @@
+//! A held function as tests set it up: its spec, its lease, requests to it, and what the leader and the platform reply to
+//! its holder.
+
+use common::adapter::StartOutcome;
+use common::clock::MonotonicTime;
+use common::frames::{Instance, LengthPrefixed, RequestOutcome, ReserveResult, SocketAddress};
+use common::identity::{FencingToken, FunctionKey, RunnerId, Ticket, Version};
+use common::spec::FunctionSpec;
+use dataplane::holder::{AdmissionRequest, Holder, HolderOutput, LeaseTerms};
+use std::time::Duration;
+
+/// The fencing token of every lease and runner that these helpers make.
+const FENCING_TOKEN: FencingToken = FencingToken(1);
+
+/// A function with one slot a runner, whose holder keeps no runner without requests.
+pub fn function_spec() -> FunctionSpec {
+    FunctionSpec {
+        connections: 100,
+        memory_mb: 100,
+        startup: Duration::from_millis(100),
+        slots: 1,
+        min_runners: 0,
+        max_runners: 8,
+    }
+}
+
+/// A lease that follows no other, without a replica.
+pub fn lease_terms(function: FunctionKey, spec: FunctionSpec) -> LeaseTerms {
+    LeaseTerms {
+        function,
+        fencing_token: FENCING_TOKEN,
+        spec,
+        once_wait: Duration::ZERO,
+        replica: None,
+        previous_lease: None,
+        adopted: Vec::new(),
+    }
+}
+
+/// The function that is held.
+pub fn function_key() -> FunctionKey {
+    FunctionKey::new("f", Version(2))
+}
+
+/// The runner with this ordinal number.
+pub fn runner_id(ordinal: u64) -> RunnerId {
+    RunnerId {
+        fencing_token: FENCING_TOKEN,
+        ordinal,
+    }
+}
+
+/// A repeatable request under a key of its own that waits up to `timeout` for its response.
+pub fn admission_request(number: u64, now: MonotonicTime, timeout: Duration) -> AdmissionRequest {
+    AdmissionRequest {
+        ticket: Ticket(number),
+        idempotency_key: format!("t{number}").as_str().into(),
+        once: false,
+        recorded: false,
+        max_attempts: 2,
+        repeat: false,
+        deadline: now + timeout,
+        queue_timeout: timeout,
+        target: timeout,
+        rank: 0,
+        region: None,
+    }
+}
+
+/// The response of a runner, without header fields and seal.
+pub fn response(runner: RunnerId, status: u16, body: &[u8]) -> RequestOutcome {
+    RequestOutcome::Response {
+        header_fields: LengthPrefixed(Vec::new()),
+        status,
+        seal: Vec::new().into(),
+        runner,
+        body: body.to_vec().into(),
+    }
+}
+
+/// The leader's reply that reserves memory for a runner.
+pub fn reserved(runner: RunnerId, memory_mb: u32) -> ReserveResult {
+    ReserveResult::Reserved {
+        runner,
+        worker: "w".into(),
+        memory_mb,
+    }
+}
+
+/// Reports to the holder that the platform has started the runner.
+pub fn report_started(
+    holder: &mut Holder,
+    now: MonotonicTime,
+    runner: RunnerId,
+) -> Vec<HolderOutput> {
+    let instance = Instance {
+        name: format!("life of {runner}").into(),
+        address: SocketAddress::UNSPECIFIED,
+    };
+    holder.started(now, runner, StartOutcome::Started(instance))
+}
