--- /dev/null
+++ b/crates/dataplane/tests/agent/main.rs
@@ -0,0 +1,15 @@
+//! One daemon's decisions under a clock set by the test: checks before a send, spec versions, immediate rejections.
+
+mod bench;
+#[path = "../support/daemon_control.rs"]
+mod daemon_control;
+mod forwarding;
+#[path = "../support/host.rs"]
+mod host;
+mod late_leases;
+#[path = "../support/lease.rs"]
+mod lease;
+mod lost_requests;
+mod runner_responses;
+mod serving;
+mod spec_versions;
--- a/crates/dataplane/tests/costs/mod.rs
+++ b/crates/dataplane/tests/costs/mod.rs
@@ -2,9 +2,9 @@
 //! slow at first, and reject requests beyond their slots.
 
 use crate::held_function::{
-    admission_request, function_key, function_spec, lease_terms, report_started, reserved,
-    response, runner_id,
+    admission_request, function_key, report_started, reserved, response, runner_id,
 };
+use crate::lease::{function_spec, lease_terms};
 use common::clock::MonotonicTime;
 use common::frames::RequestOutcome;
 use common::identity::{RunnerId, Ticket};
--- a/crates/dataplane/tests/holder/bench.rs
+++ b/crates/dataplane/tests/holder/bench.rs
@@ -1,10 +1,10 @@
 //! A held function whose leader, platform and runners reply at once, and whose requests the test ends.
 
 use crate::held_function::{
-    admission_request, function_key, function_spec, lease_terms, report_started, reserved,
-    response, runner_id,
+    admission_request, function_key, report_started, reserved, response, runner_id,
 };
 use crate::holder_bench::HolderBench;
+use crate::lease::{function_spec, lease_terms};
 use common::clock::MonotonicTime;
 use common::frames::{ClaimedRunner, Host, PreviousLease, RequestFailureReason, RequestOutcome};
 use common::identity::{RunnerId, Ticket};
--- a/crates/dataplane/tests/holder/main.rs
+++ b/crates/dataplane/tests/holder/main.rs
@@ -5,6 +5,8 @@
 mod held_function;
 #[path = "../support/holder_bench.rs"]
 mod holder_bench;
+#[path = "../support/lease.rs"]
+mod lease;
 mod once_requests;
 mod rejections;
 mod release;
--- a/crates/dataplane/tests/holder_costs.rs
+++ b/crates/dataplane/tests/holder_costs.rs
@@ -3,6 +3,8 @@
 mod costs;
 #[path = "support/held_function.rs"]
 mod held_function;
+#[path = "support/lease.rs"]
+mod lease;
 
 use costs::{CallStream, DaySimulation, FunctionProfile, Prices, spread};
 use googletest::prelude::*;
--- a/crates/dataplane/tests/idle_retention.rs
+++ b/crates/dataplane/tests/idle_retention.rs
@@ -5,6 +5,8 @@
 mod held_function;
 #[path = "support/holder_bench.rs"]
 mod holder_bench;
+#[path = "support/lease.rs"]
+mod lease;
 
 use common::clock::MonotonicTime;
 use common::identity::RunnerId;
@@ -14,10 +16,10 @@
 };
 use googletest::prelude::*;
 use held_function::{
-    admission_request, function_key, function_spec, lease_terms, report_started, reserved,
-    response, runner_id,
+    admission_request, function_key, report_started, reserved, response, runner_id,
 };
 use holder_bench::HolderBench;
+use lease::{function_spec, lease_terms};
 use std::time::Duration;
 
 const START: MonotonicTime = MonotonicTime(10_000_000_000);
--- a/crates/dataplane/tests/owners.rs
+++ b/crates/dataplane/tests/owners.rs
@@ -1,22 +1,19 @@
 //! The four rules by which a request finds its holder (docs/design/four-rules.md), as far as one daemon decides them.
 
-use common::frames::{Flag, Host, SocketAddress};
+#[path = "support/host.rs"]
+mod host;
+#[path = "support/host_list.rs"]
+mod host_list;
+
+use common::frames::Host;
 use common::identity::{FunctionKey, MemberName, Version};
 use common::ring::{Regions, hash_owner};
 use dataplane::owners::{LookupContext, LookupStep, next_step};
 use googletest::prelude::*;
+use host_list::host_list;
 
 fn hosts() -> Vec<Host> {
-    (0..5)
-        .map(|number| Host {
-            member: format!("th-{number}").into(),
-            incarnation: (number + 1).into(),
-            zone: "here".into(),
-            address: SocketAddress::UNSPECIFIED,
-            eligible: Flag(true),
-            link_mbps: 0,
-        })
-        .collect()
+    host_list(5)
 }
 
 fn lookup(
--- a/crates/dataplane/tests/regional/holder.rs
+++ b/crates/dataplane/tests/regional/holder.rs
@@ -1,11 +1,12 @@
 //! When a function gets a holder of its own for a region, and when that holder serves.
 
+use crate::daemon_control::START;
 use crate::held_function::{
-    admission_request, function_key, function_spec, lease_terms, report_started, reserved,
-    response, runner_id,
+    admission_request, function_key, report_started, reserved, response, runner_id,
 };
 use crate::holder_bench::HolderBench;
-use crate::{START, ms, west};
+use crate::lease::{function_spec, lease_terms};
+use crate::{ms, west};
 use common::clock::MonotonicTime;
 use common::frames::{RequestFailureReason, RequestOutcome};
 use common::identity::{FunctionKey, Region, RunnerId, Ticket};
--- a/crates/dataplane/tests/regional/ingress.rs
+++ b/crates/dataplane/tests/regional/ingress.rs
@@ -1,35 +1,18 @@
 //! When the daemon of an ingress forwards requests under the key of its region.
 
-use crate::{START, ms, west};
+use crate::daemon_control::{START, function_request, spec_frame_of, welcomed_control};
+use crate::host::host;
+use crate::{ms, west};
 use common::clock::MonotonicTime;
-use common::frames::{
-    AcquireResult, DaemonMessage, Flag, Host, LeaderToDaemon, RequestFailureReason, RequestOutcome,
-    RequestPayload, SocketAddress,
-};
-use common::identity::{FunctionKey, Term, Version};
+use common::frames::{AcquireResult, DaemonMessage, RequestFailureReason, RequestOutcome};
+use common::identity::FunctionKey;
 use common::ring::{Regions, hash_owner_in};
-use common::rng::SeededRng;
 use common::rules::Rules;
-use common::spec::{Document, read_spec};
-use dataplane::agent::{
-    Agent, DaemonControl, ForwardResult, Forwarding, ForwardingStep, FunctionRequest,
-};
-use dataplane::control_session::ControlSessionTiming;
+use dataplane::agent::{Agent, ForwardResult, Forwarding, ForwardingStep, FunctionRequest};
 use googletest::prelude::*;
 use serde_json::json;
 use std::sync::Arc;
 
-fn host(name: &str, zone: &str, incarnation: u64) -> Host {
-    Host {
-        member: name.into(),
-        incarnation: incarnation.into(),
-        zone: zone.into(),
-        address: SocketAddress::UNSPECIFIED,
-        eligible: Flag(true),
-        link_mbps: 0,
-    }
-}
-
 fn regions() -> Regions {
     Regions::new(
         [("here", "west"), ("there", "east")]
@@ -48,19 +31,7 @@
     fn new(identities: &str) -> Self {
         let own_host = host("daemon-1", "here", 7);
         let agent = Agent::new(own_host.clone(), Rules::ALL_ENFORCED).with_regions(regions());
-        let timing = ControlSessionTiming::builder().build();
-        let seeds = vec![SocketAddress::UNSPECIFIED; 3];
-        let mut control = DaemonControl::new(
-            START,
-            &agent,
-            timing,
-            SocketAddress::UNSPECIFIED,
-            seeds,
-            SeededRng::seeded(3),
-        );
-        control.tick(&agent, START);
-        control.connected(&agent, START);
-        control.received(&agent, START, LeaderToDaemon::Welcome { term: Term(2) });
+        let mut control = welcomed_control(&agent);
         let spec = json!({
             "functions": {"f": {"memory_mb": 100, "boot_ms": 200, "slots": 2}},
             "routes": {"r": {
@@ -68,17 +39,7 @@
                 "budget_ms": 3000, "kind": "repeatable", "identities": identities,
             }},
         });
-        let checked_spec = read_spec(&spec).expect("a spec");
-        let mut document = Document::founding(Vec::new());
-        document.document_version.version = Version(1);
-        let mut document = document.with_spec(spec, &checked_spec, "change".into());
-        document.document_version.version = Version(2);
-        let view = document.view();
-        let frame = LeaderToDaemon::Spec {
-            version: view.version,
-            document: view.to_bytes().into(),
-        };
-        control.received(&agent, START, frame);
+        control.received(&agent, START, spec_frame_of(spec, 2));
         let all_hosts = vec![
             own_host,
             host("daemon-2", "here", 4),
@@ -99,16 +60,8 @@
 
     fn forwarding(&self) -> Forwarding {
         let request = FunctionRequest {
-            idempotency_key: "t".into(),
-            function: self.key(),
-            route: "r".to_owned(),
-            version: self.agent.table.load().version(),
-            deadline: self.now + ms(2000),
-            hops: 0,
-            repeat: false,
-            wants_referral: true,
             region: west(),
-            payload: Arc::new(RequestPayload::from_body(Vec::new().into())),
+            ..function_request(&self.agent, self.now, self.key())
         };
         Forwarding::new(self.now, request)
     }
--- /dev/null
+++ b/crates/dataplane/tests/support/daemon_control.rs
@@ -0,0 +1,62 @@
+//! A daemon whose control session the leader has welcomed, and what the leader and callers send to it.
+
+use common::clock::MonotonicTime;
+use common::frames::{LeaderToDaemon, RequestPayload, SocketAddress};
+use common::identity::{FunctionKey, Term, Version};
+use common::rng::SeededRng;
+use common::spec::{Document, read_spec};
+use dataplane::agent::{Agent, DaemonControl, FunctionRequest};
+use dataplane::control_session::ControlSessionTiming;
+use serde_json::Value;
+use std::sync::Arc;
+use std::time::Duration;
+
+/// When the session begins.
+pub const START: MonotonicTime = MonotonicTime(10_000_000_000);
+
+/// A control session that was welcomed at `START`.
+pub fn welcomed_control(agent: &Agent<u64>) -> DaemonControl<u64> {
+    let timing = ControlSessionTiming::builder().build();
+    let seeds = vec![SocketAddress::UNSPECIFIED; 3];
+    let rng = SeededRng::seeded(3);
+    let own_address = SocketAddress::UNSPECIFIED;
+    let mut control = DaemonControl::new(START, agent, timing, own_address, seeds, rng);
+    control.tick(agent, START);
+    control.connected(agent, START);
+    control.received(agent, START, LeaderToDaemon::Welcome { term: Term(2) });
+    control
+}
+
+/// The frame with which the leader puts a spec in force under this version.
+pub fn spec_frame_of(spec: Value, version: u64) -> LeaderToDaemon {
+    let checked_spec = read_spec(&spec).expect("a spec");
+    let mut document = Document::founding(Vec::new());
+    document.document_version.version = Version(1);
+    let mut document = document.with_spec(spec, &checked_spec, "change".into());
+    document.document_version.version = Version(version);
+    let view = document.view();
+    LeaderToDaemon::Spec {
+        version: view.version,
+        document: view.to_bytes().into(),
+    }
+}
+
+/// A caller's request on the route `r`, with two seconds left.
+pub fn function_request(
+    agent: &Agent<u64>,
+    now: MonotonicTime,
+    function: FunctionKey,
+) -> FunctionRequest {
+    FunctionRequest {
+        idempotency_key: "t".into(),
+        function,
+        route: "r".to_owned(),
+        version: agent.table.load().version(),
+        deadline: now + Duration::from_secs(2),
+        hops: 0,
+        repeat: false,
+        wants_referral: true,
+        region: "".into(),
+        payload: Arc::new(RequestPayload::from_body(Vec::new().into())),
+    }
+}
--- a/crates/dataplane/tests/support/held_function.rs
+++ b/crates/dataplane/tests/support/held_function.rs
@@ -1,42 +1,14 @@
-//! A held function as tests set it up: its spec, its lease, requests to it, and what the leader and the platform reply to
+//! A held function as tests set it up: requests to it, and what the leader and the platform reply to
 //! its holder.
 
+use crate::lease::FENCING_TOKEN;
 use common::adapter::StartOutcome;
 use common::clock::MonotonicTime;
 use common::frames::{Instance, LengthPrefixed, RequestOutcome, ReserveResult, SocketAddress};
-use common::identity::{FencingToken, FunctionKey, RunnerId, Ticket, Version};
-use common::spec::FunctionSpec;
-use dataplane::holder::{AdmissionRequest, Holder, HolderOutput, LeaseTerms};
+use common::identity::{FunctionKey, RunnerId, Ticket, Version};
+use dataplane::holder::{AdmissionRequest, Holder, HolderOutput};
 use std::time::Duration;
 
-/// The fencing token of every lease and runner that these helpers make.
-const FENCING_TOKEN: FencingToken = FencingToken(1);
-
-/// A function with one slot a runner, whose holder keeps no runner without requests.
-pub fn function_spec() -> FunctionSpec {
-    FunctionSpec {
-        connections: 100,
-        memory_mb: 100,
-        startup: Duration::from_millis(100),
-        slots: 1,
-        min_runners: 0,
-        max_runners: 8,
-    }
-}
-
-/// A lease that follows no other, without a replica.
-pub fn lease_terms(function: FunctionKey, spec: FunctionSpec) -> LeaseTerms {
-    LeaseTerms {
-        function,
-        fencing_token: FENCING_TOKEN,
-        spec,
-        once_wait: Duration::ZERO,
-        replica: None,
-        previous_lease: None,
-        adopted: Vec::new(),
-    }
-}
-
 /// The function that is held.
 pub fn function_key() -> FunctionKey {
     FunctionKey::new("f", Version(2))
--- a/crates/dataplane/tests/warm.rs
+++ b/crates/dataplane/tests/warm.rs
@@ -1,12 +1,18 @@
 //! Functions whose start-up takes longer than their callers should wait are acquired before they are called.
 
+#[path = "support/host.rs"]
+mod host;
+#[path = "support/host_list.rs"]
+mod host_list;
+
 use common::clock::MonotonicTime;
-use common::frames::{Flag, Host, SocketAddress};
+use common::frames::Host;
 use common::identity::{FunctionKey, MemberName, Version};
 use common::ring::{Regions, hash_owner};
 use common::spec::{Document, RoutingTable, read_spec};
 use dataplane::owners::{WarmAcquirer, WarmContext};
 use googletest::prelude::*;
+use host_list::host_list;
 use serde_json::json;
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -18,16 +24,7 @@
 }
 
 fn hosts() -> Vec<Host> {
-    (0..4)
-        .map(|number| Host {
-            member: format!("th-{number}").into(),
-            incarnation: (number + 1).into(),
-            zone: "here".into(),
-            address: SocketAddress::UNSPECIFIED,
-            eligible: Flag(true),
-            link_mbps: 0,
-        })
-        .collect()
+    host_list(4)
 }
 
 /// Twelve functions with a start-up of 800 ms; the target latency of the odd ones is a second.
