--- a/crates/dataplane/tests/control_session.rs
+++ b/crates/dataplane/tests/control_session.rs
@@ -59,6 +59,12 @@
     })
 }
 
+fn ends_lease(outputs: &[ControlSessionOutput]) -> bool {
+    outputs
+        .iter()
+        .any(|output| matches!(output, ControlSessionOutput::LeaseEnded))
+}
+
 fn welcomed(control_session: &mut ControlSession) -> CorrelationId {
     control_session.tick(START);
     control_session.connected(START);
@@ -81,19 +87,9 @@
     control_session.received(START + ms(700), renewed(correlation, 0));
     verify_that!(control_session.lease_end(), eq(START + ms(2000)))?;
     let before = control_session.tick(START + ms(1999));
-    verify_that!(
-        before
-            .iter()
-            .any(|output| matches!(output, ControlSessionOutput::LeaseEnded)),
-        eq(false)
-    )?;
+    verify_that!(ends_lease(&before), eq(false))?;
     let at_end = control_session.tick(START + ms(2000));
-    verify_that!(
-        at_end
-            .iter()
-            .any(|output| matches!(output, ControlSessionOutput::LeaseEnded)),
-        eq(true)
-    )
+    verify_that!(ends_lease(&at_end), eq(true))
 }
 
 #[gtest]
--- a/crates/dataplane/tests/holder/replication.rs
+++ b/crates/dataplane/tests/holder/replication.rs
@@ -22,6 +22,22 @@
     }
 }
 
+/// The lease whose ledger a successor may collect.
+fn previous_lease() -> PreviousLease {
+    PreviousLease {
+        replica: replica("s"),
+        fencing_token: FencingToken(0),
+    }
+}
+
+fn ledger_record(idempotency_key: &str, state: LedgerRecordState) -> LedgerRecord {
+    LedgerRecord {
+        idempotency_key: idempotency_key.into(),
+        state,
+        remaining_ms: 9000,
+    }
+}
+
 fn records(outputs: &[HolderOutput]) -> Vec<u64> {
     outputs
         .iter()
@@ -84,25 +100,13 @@
 
 #[gtest]
 fn a_successor_admits_at_once_and_reruns_nothing_in_the_collected_ledger() -> Result<()> {
-    let previous_lease = PreviousLease {
-        replica: replica("s"),
-        fencing_token: FencingToken(0),
-    };
-    let mut bench = Bench::with_replica(2, ms(5000), None, Some(previous_lease));
+    let mut bench = Bench::with_replica(2, ms(5000), None, Some(previous_lease()));
     bench.warm();
     let (known, _) = bench.submit("ran", true, false);
     let (fresh, _) = bench.submit("fresh", true, false);
     verify_that!(bench.sent.len(), eq(0))?;
-    let line = LedgerRecord {
-        idempotency_key: "ran".into(),
-        state: LedgerRecordState::Recorded,
-        remaining_ms: 9000,
-    };
-    let rejected_request = LedgerRecord {
-        idempotency_key: "no".into(),
-        state: LedgerRecordState::Rejected,
-        remaining_ms: 9000,
-    };
+    let line = ledger_record("ran", LedgerRecordState::Recorded);
+    let rejected_request = ledger_record("no", LedgerRecordState::Rejected);
     bench.drive(|holder, now| holder.collected(now, Some(vec![line, rejected_request])));
     verify_that!(
         bench.ended.get(&known),
@@ -119,11 +123,7 @@
 
 #[gtest]
 fn a_successor_without_the_ledger_rejects_until_the_wait_is_over() -> Result<()> {
-    let previous_lease = PreviousLease {
-        replica: replica("s"),
-        fencing_token: FencingToken(0),
-    };
-    let mut bench = Bench::with_replica(2, ms(2000), None, Some(previous_lease));
+    let mut bench = Bench::with_replica(2, ms(2000), None, Some(previous_lease()));
     bench.warm();
     let (early, _) = bench.submit("early", true, false);
     bench.drive(|holder, now| holder.collected(now, None));
--- a/crates/dataplane/tests/http_forms/callers.rs
+++ b/crates/dataplane/tests/http_forms/callers.rs
@@ -1,7 +1,8 @@
 //! Responses to callers, and the headers of theirs that are read.
 
 use crate::caller_responses::{append_not_run, append_unknown, written};
-use crate::{append_section, check, function, headers, kept_header_field, runner};
+use crate::http_forms::{append_section, function, headers, runner};
+use crate::{check, kept_header_field};
 use common::adapter::{CallerResponse, IngressCodec};
 use common::identity::IdempotencyKey;
 use common::seal;
--- a/crates/dataplane/tests/http_forms/ingress.rs
+++ b/crates/dataplane/tests/http_forms/ingress.rs
@@ -1,7 +1,8 @@
 //! The ingress of a daemon: what callers receive for each outcome, refusal and page.
 
 use crate::caller_responses::reasons;
-use crate::{address, append_section, check, kept_header_field, runner, wire};
+use crate::http_forms::{address, append_section, runner};
+use crate::{check, kept_header_field, wire};
 use common::clock::MonotonicTime;
 use common::frames::{
     DaemonFrame, DaemonMessage, Flag, Host, LengthPrefixed, RequestFailureReason, RequestOutcome,
--- a/crates/dataplane/tests/http_forms/runners.rs
+++ b/crates/dataplane/tests/http_forms/runners.rs
@@ -1,6 +1,7 @@
 //! Requests to runners, and what is read of their responses.
 
-use crate::{address, append_section, check, function, headers, kept_header_field, runner, wire};
+use crate::http_forms::{address, append_section, function, headers, runner};
+use crate::{check, kept_header_field, wire};
 use common::adapter::{ReadinessProbe, RunnerCodec, RunnerRequest, RunnerResponse, SealKind};
 use common::frames::{LengthPrefixed, RequestPayload};
 use common::identity::{FunctionKey, IdempotencyKey, InstanceId, ShortString};
--- a/crates/dataplane/tests/owners.rs
+++ b/crates/dataplane/tests/owners.rs
@@ -16,6 +16,16 @@
     host_list(5)
 }
 
+fn function() -> FunctionKey {
+    FunctionKey::new("f", Version(2))
+}
+
+fn hash_owner_among(hosts: &[Host]) -> Host {
+    hash_owner(&function(), hosts.iter())
+        .expect("an owner")
+        .clone()
+}
+
 fn lookup(
     own: &MemberName,
     holds: bool,
@@ -23,9 +33,8 @@
     hosts: &[Host],
     hops: u8,
 ) -> LookupStep {
-    let function = FunctionKey::new("f", Version(2));
     next_step(&LookupContext {
-        function: &function,
+        function: &function(),
         own_member: own,
         holds,
         cached_owner: cached_host,
@@ -38,10 +47,7 @@
 #[gtest]
 fn only_the_hash_owner_requests_the_lease() -> Result<()> {
     let all_hosts = hosts();
-    let function = FunctionKey::new("f", Version(2));
-    let owner = hash_owner(&function, all_hosts.iter())
-        .expect("an owner")
-        .clone();
+    let owner = hash_owner_among(&all_hosts);
     for host in &all_hosts {
         let step = lookup(&host.member, false, None, &all_hosts, 0);
         if host.member == owner.member {
@@ -60,10 +66,7 @@
 #[gtest]
 fn a_cached_owner_counts_only_in_its_listed_incarnation() -> Result<()> {
     let all_hosts = hosts();
-    let function = FunctionKey::new("f", Version(2));
-    let owner = hash_owner(&function, all_hosts.iter())
-        .expect("an owner")
-        .clone();
+    let owner = hash_owner_among(&all_hosts);
     let own_host = all_hosts
         .iter()
         .find(|host| host.member != owner.member)
--- a/testing/support/caller_responses.rs
+++ b/testing/support/caller_responses.rs
@@ -1,7 +1,8 @@
 //! The bytes that an ingress codec writes for requests that were not run, or whose outcome is unknown. Included by the
-//! tests that hold them, beside `wire`, with `append_section` at their root.
+//! tests that hold them, beside `wire` and `http_forms`.
 
-use crate::{append_section, wire};
+use crate::http_forms::append_section;
+use crate::wire;
 use common::adapter::{CallerResponse, IngressCodec, NotRunKind};
 use common::frames::{RequestFailureReason, decode};
 use common::identity::IdempotencyKey;
