--- a/crates/dataplane/tests/owners.rs
+++ b/crates/dataplane/tests/owners.rs
@@ -1,22 +1,29 @@
 //! The four rules by which a request finds its holder (docs/design/four-rules.md), as far as one daemon decides them.
 
-use common::frames::{Flag, Host, SocketAddress};
+#[path = "support/host.rs"]
+mod host;
+#[path = "support/host_list.rs"]
+mod host_list;
+
+use common::frames::Host;
 use common::identity::{FunctionKey, MemberName, Version};
 use common::ring::{Regions, hash_owner};
 use dataplane::owners::{LookupContext, LookupStep, next_step};
 use googletest::prelude::*;
+use host_list::host_list;
 
 fn hosts() -> Vec<Host> {
-    (0..5)
-        .map(|number| Host {
-            member: format!("th-{number}").into(),
-            incarnation: (number + 1).into(),
-            zone: "here".into(),
-            address: SocketAddress::UNSPECIFIED,
-            eligible: Flag(true),
-            link_mbps: 0,
-        })
-        .collect()
+    host_list(5)
+}
+
+fn function() -> FunctionKey {
+    FunctionKey::new("f", Version(2))
+}
+
+fn hash_owner_among(hosts: &[Host]) -> Host {
+    hash_owner(&function(), hosts.iter())
+        .expect("an owner")
+        .clone()
 }
 
 fn lookup(
@@ -26,9 +33,8 @@
     hosts: &[Host],
     hops: u8,
 ) -> LookupStep {
-    let function = FunctionKey::new("f", Version(2));
     next_step(&LookupContext {
-        function: &function,
+        function: &function(),
         own_member: own,
         holds,
         cached_owner: cached_host,
@@ -41,10 +47,7 @@
 #[gtest]
 fn only_the_hash_owner_requests_the_lease() -> Result<()> {
     let all_hosts = hosts();
-    let function = FunctionKey::new("f", Version(2));
-    let owner = hash_owner(&function, all_hosts.iter())
-        .expect("an owner")
-        .clone();
+    let owner = hash_owner_among(&all_hosts);
     for host in &all_hosts {
         let step = lookup(&host.member, false, None, &all_hosts, 0);
         if host.member == owner.member {
@@ -63,10 +66,7 @@
 #[gtest]
 fn a_cached_owner_counts_only_in_its_listed_incarnation() -> Result<()> {
     let all_hosts = hosts();
-    let function = FunctionKey::new("f", Version(2));
-    let owner = hash_owner(&function, all_hosts.iter())
-        .expect("an owner")
-        .clone();
+    let owner = hash_owner_among(&all_hosts);
     let own_host = all_hosts
         .iter()
         .find(|host| host.member != owner.member)
