--- a/crates/common/src/rules.rs
+++ b/crates/common/src/rules.rs
@@ -32,12 +32,12 @@
     /// proofs`.
     ServesUnderSessionLease = "member-grant",
     /// A daemon's session lease is renewed only with the newest committed spec installed. Found by
-    /// `crates/dataplane/tests/agent.rs`.
+    /// `crates/dataplane/tests/agent/spec_versions.rs`.
     RenewalNeedsNewestSpec = "renewal-needs-spec",
-    /// A daemon never installs an older spec than it has. Found by `crates/dataplane/tests/agent.rs`.
+    /// A daemon never installs an older spec than it has. Found by `crates/dataplane/tests/agent/spec_versions.rs`.
     VersionNeverDecreases = "serial-only-up",
     /// A request is sent to a runner only if the newest spec, looked up right before the send, still allows it. Found
-    /// by `crates/dataplane/tests/agent.rs`.
+    /// by `crates/dataplane/tests/agent/spec_versions.rs`.
     SpecCheckedBeforeSend = "spec-before-send",
     /// The first byte of a send is written only while the session lease lasts and the function is still held under the
     /// same function lease. Found by `platform/tests/connections/pre_send_check.rs`.
@@ -48,7 +48,7 @@
     /// A response of another daemon goes only to the request that it names. Found by
     /// `platform/tests/connections/daemons.rs`.
     ReplyMatchesRequest = "reply-matched",
-    /// A repeat of a request is sent to one runner only. Found by `crates/dataplane/tests/holder.rs`.
+    /// A repeat of a request is sent to one runner only. Found by `crates/dataplane/tests/holder/retries.rs`.
     RepeatSentToOneRunner = "repeat-sent-once",
     /// A send names the runner that is meant, and another runner at its address refuses it. Found by `fleet proofs`.
     RunnerIdentityChecked = "runner-named",
@@ -142,7 +142,7 @@
     /// `crates/controlplane/tests/replication.rs`.
     DeltaOnItsBase = "change-on-its-base",
     /// A lease that answers a request from before the daemon gave everything up is released again. Found by
-    /// `crates/dataplane/tests/agent.rs`.
+    /// `crates/dataplane/tests/agent/late_leases.rs`.
     StaleLeaseReturned = "old-answer-void",
     /// A leader that others name is dialed even if a connection to it has failed a moment before. Found by
     /// `crates/dataplane/tests/control_session.rs`.
--- a/testing/fleet/tests/smoke.rs
+++ b/testing/fleet/tests/smoke.rs
@@ -1,5 +1,8 @@
 //! Smoke tests of real processes: bootstrap, a spec, answers, a killed lease holder, and bad input.
 
+#[path = "support/programs.rs"]
+mod programs;
+
 use common::frames::SocketAddress;
 use common::http::call_json;
 use common::readers::SettingsSource;
@@ -8,25 +11,11 @@
 use fleet::judge::{Evidence, judge};
 use hyper::Method;
 use loadgen::{Plan, run_plan};
+use programs::programs;
 use serde_json::{Value, json};
-use std::path::{Path, PathBuf};
 use std::time::Duration;
 use tokio::io::AsyncWriteExt;
 
-fn programs() -> PathBuf {
-    let own_path = std::env::current_exe().expect("a path");
-    let folder = own_path
-        .parent()
-        .and_then(Path::parent)
-        .expect("a folder")
-        .to_owned();
-    assert!(
-        folder.join("rudderd").exists(),
-        "build the workspace first: cargo build --workspace"
-    );
-    folder
-}
-
 async fn call_until_answered(fleet: &Fleet, seed: u64, ingress: Option<SocketAddress>) -> Value {
     let mut total = json!({});
     for round in 0..200 {
--- a/testing/fleet/tests/soak.rs
+++ b/testing/fleet/tests/soak.rs
@@ -1,5 +1,8 @@
 //! A short soak of real processes under overlapping faults; and that a failed request can be traced in their logs.
 
+#[path = "support/programs.rs"]
+mod programs;
+
 use common::frames::SocketAddress;
 use fleet::days::Deployment;
 use fleet::fleet::{Fleet, FleetError, Layout, SentChange};
@@ -7,26 +10,13 @@
 use googletest::prelude::*;
 use hyper::Method;
 use platform_stub::records::Records;
+use programs::programs;
 use serde_json::json;
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-fn programs() -> PathBuf {
-    let own_path = std::env::current_exe().expect("a path");
-    let folder = own_path
-        .parent()
-        .and_then(Path::parent)
-        .expect("a folder")
-        .to_owned();
-    assert!(
-        folder.join("rudderd").exists(),
-        "build the workspace first: cargo build --workspace"
-    );
-    folder
-}
-
 fn folder(name: &str) -> PathBuf {
     let folder = std::env::temp_dir().join(format!("rudderstream-{name}-{}", std::process::id()));
     let _ = std::fs::remove_dir_all(&folder);
