--- a/crates/controlplane/src/consensus/peers.rs
+++ b/crates/controlplane/src/consensus/peers.rs
@@ -79,6 +79,16 @@
     }
 }
 
+/// A hello as received.
+#[derive(Clone, Copy)]
+pub(super) struct Hello {
+    /// The sender's newest accepted version; zero if its disk is empty.
+    pub accepted: DocumentVersion,
+    pub term: Term,
+    /// Whether the sender has no data directory, so that it never votes.
+    pub is_diskless: bool,
+}
+
 /// What a controller last reported in a hello.
 #[derive(Clone, Debug)]
 pub(super) struct PeerGreeting {
@@ -245,12 +255,18 @@
         }
     }
 
-    pub(super) fn handle_hello(
-        &mut self,
-        now: MonotonicTime,
-        sender: Contact,
-        accepted: DocumentVersion,
-    ) {
+    /// Takes in where another controller stands. A leader answers none that is in a later term.
+    pub(super) fn handle_hello(&mut self, now: MonotonicTime, sender: Contact, hello: Hello) {
+        let sender_address = sender.controller_address.address;
+        self.peers
+            .record_greeting(now, sender_address, hello.term, hello.is_diskless);
+        if hello.term <= self.hard_state.term || !self.is_leader() {
+            self.answer_hello(now, sender, hello.accepted);
+        }
+    }
+
+    /// Sends what the sender of a hello lacks.
+    fn answer_hello(&mut self, now: MonotonicTime, sender: Contact, accepted: DocumentVersion) {
         let sender_address = sender.controller_address.address;
         self.record_accepted(now, sender_address, accepted);
         if accepted == DocumentVersion::default() && self.is_voter(sender.id) {
@@ -264,6 +280,13 @@
         }
     }
 
+    /// Takes the addresses at which the leader and the voters are to be greeted. A voter knows them itself.
+    pub(super) fn handle_voter_addresses(&mut self, addresses: Vec<SocketAddress>) {
+        if !self.is_voter(self.local.id) {
+            self.peers.hinted_addresses = addresses.into_iter().collect();
+        }
+    }
+
     /// Sends the first version to a voter whose disk is empty, as long as no later one was accepted.
     fn resend_bootstrap_document(&mut self, to: SocketAddress) {
         let bootstrap_document = self
--- a/crates/controlplane/src/consensus/receive.rs
+++ b/crates/controlplane/src/consensus/receive.rs
@@ -1,6 +1,7 @@
 //! The dispatch of frames from other controllers.
 
 use super::election::{VoteRequest, VoteResponse};
+use super::peers::Hello;
 use super::replication::VersionDelta;
 use super::state::Contact;
 use super::{ConsensusNode, ConsensusOutput, ControllerAddress};
@@ -36,28 +37,58 @@
         self.take_outputs()
     }
 
-    /// Hands a message to its handler. One exhaustive match over the frame's wire form, so that a new kind of
-    /// message does not compile without a handler.
+    /// Hands a message to the handlers of its concern. Each step but the last returns a message that does not
+    /// concern it, and the last step is exhaustive: a new kind of message does not compile without a handler.
     fn dispatch(&mut self, now: MonotonicTime, sender: Contact, message: ConsensusMessage) {
-        let sender_address = sender.controller_address.address;
+        let Some(message) = self.dispatch_introduction(now, sender, message) else {
+            return;
+        };
+        let Some(message) = self.dispatch_election(now, sender, message) else {
+            return;
+        };
+        let Some(message) = self.dispatch_heartbeat(now, sender, message) else {
+            return;
+        };
+        self.dispatch_replication(now, sender, message);
+    }
+
+    /// Messages by which controllers find each other and begin the control quorum.
+    fn dispatch_introduction(
+        &mut self,
+        now: MonotonicTime,
+        sender: Contact,
+        message: ConsensusMessage,
+    ) -> Option<ConsensusMessage> {
         match message {
             ConsensusMessage::Hello {
                 accepted,
                 term,
                 diskless,
             } => {
-                self.peers
-                    .record_greeting(now, sender_address, term, diskless.0);
-                if term <= self.hard_state.term || !self.is_leader() {
-                    self.handle_hello(now, sender, accepted);
-                }
+                let hello = Hello {
+                    accepted,
+                    term,
+                    is_diskless: diskless.0,
+                };
+                self.handle_hello(now, sender, hello);
             }
             ConsensusMessage::VoterAddresses { addresses } => {
-                if !self.is_voter(self.local.id) {
-                    self.peers.hinted_addresses = addresses.0.into_iter().collect();
-                }
+                self.handle_voter_addresses(addresses.0);
             }
             ConsensusMessage::Bootstrap { document } => self.handle_bootstrap(now, &document),
+            other => return Some(other),
+        }
+        None
+    }
+
+    /// Requests for votes and the responses to them.
+    fn dispatch_election(
+        &mut self,
+        now: MonotonicTime,
+        sender: Contact,
+        message: ConsensusMessage,
+    ) -> Option<ConsensusMessage> {
+        match message {
             ConsensusMessage::VoteRequest {
                 term,
                 accepted,
@@ -88,6 +119,19 @@
                 };
                 self.handle_vote_response(now, sender.id, response);
             }
+            other => return Some(other),
+        }
+        None
+    }
+
+    /// The leader's heartbeats and the responses to them.
+    fn dispatch_heartbeat(
+        &mut self,
+        now: MonotonicTime,
+        sender: Contact,
+        message: ConsensusMessage,
+    ) -> Option<ConsensusMessage> {
+        match message {
             ConsensusMessage::Heartbeat {
                 term,
                 round,
@@ -110,6 +154,21 @@
                 round,
                 accepted,
             } => self.handle_heartbeat_response(now, sender, term, round, accepted),
+            other => return Some(other),
+        }
+        None
+    }
+
+    /// Versions of the document, and the acknowledgements of them. The other messages have been handled by now;
+    /// they are listed so that the match stays exhaustive.
+    fn dispatch_replication(
+        &mut self,
+        now: MonotonicTime,
+        sender: Contact,
+        message: ConsensusMessage,
+    ) {
+        let sender_address = sender.controller_address.address;
+        match message {
             ConsensusMessage::AcceptFull {
                 term,
                 document_version,
@@ -138,6 +197,13 @@
                 term,
                 document_version,
             } => self.handle_accepted(now, sender_address, term, document_version),
+            ConsensusMessage::Hello { .. }
+            | ConsensusMessage::VoterAddresses { .. }
+            | ConsensusMessage::Bootstrap { .. }
+            | ConsensusMessage::VoteRequest { .. }
+            | ConsensusMessage::VoteResponse { .. }
+            | ConsensusMessage::Heartbeat { .. }
+            | ConsensusMessage::HeartbeatResponse { .. } => {}
         }
     }
 
--- a/crates/controlplane/src/leader_state/link_moves.rs
+++ b/crates/controlplane/src/leader_state/link_moves.rs
@@ -2,7 +2,8 @@
 //! few hosts on wide links, so that hosts on narrow ones request functions. Once enough wide ones stand in the
 //! list, such a request waits for one of theirs, and functions held on narrow links are handed over.
 
-use super::{LeaderState, PendingAcquisition};
+use super::LeaderState;
+use super::acquisitions::PendingAcquisition;
 use common::clock::MonotonicTime;
 use common::frames::LeaderToDaemon;
 use common::identity::{FencingToken, FunctionKey};
--- a/crates/controlplane/src/leader_state/mod.rs
+++ b/crates/controlplane/src/leader_state/mod.rs
@@ -17,6 +17,7 @@
 mod membership;
 mod memory_pressure;
 mod output;
+mod receive;
 mod renewals;
 mod report;
 mod reservations;
@@ -30,10 +31,10 @@
 pub use output::{EventRecord, LeaderOutput, StreamId, TraceStep};
 pub use timing::LeaderTiming;
 
-use acquisitions::{Acquisitions, PendingAcquisition};
+use acquisitions::Acquisitions;
 use claims_quorum::ClaimsQuorum;
 use common::clock::MonotonicTime;
-use common::frames::{DaemonToLeader, KnownMember, LeaderToDaemon};
+use common::frames::{KnownMember, LeaderToDaemon};
 use common::identity::{FencingToken, Term, Version, Zone};
 use common::rules::{Rule, Rules};
 use common::spec::{DaemonView, ListedMember};
@@ -44,7 +45,7 @@
 use host_list::HostList;
 use lease_end::OnceDelays;
 use link_moves::LinkMoves;
-use members::{IncarnationHistory, Members};
+use members::Members;
 use membership::MembershipList;
 use memory_pressure::MemoryPressure;
 use renewals::Renewals;
@@ -175,89 +176,6 @@
         self.configuration.in_force
     }
 
-    /// Handles a frame from a member. One arm per frame: each goes to the module that it concerns.
-    pub fn receive(&mut self, now: MonotonicTime, stream: StreamId, frame: DaemonToLeader) {
-        self.acquisitions.check_due = true;
-        self.note_frame_received(now, stream);
-        match frame {
-            DaemonToLeader::Hello {
-                host,
-                ingress,
-                version,
-                age_ms,
-                granted,
-            } => {
-                let history = IncarnationHistory::new(now, age_ms, granted);
-                self.handle_hello(now, stream, host, ingress, version, history);
-            }
-            DaemonToLeader::Claims { claims } => self.handle_claims(now, stream, claims.0),
-            DaemonToLeader::Renew {
-                correlation,
-                version,
-            } => {
-                self.handle_renew(now, stream, correlation, version);
-            }
-            DaemonToLeader::Installed { version } => self.handle_installed(stream, version),
-            DaemonToLeader::FullSpecRequest => self.push_full_document(stream),
-            DaemonToLeader::Acquire {
-                correlation,
-                function,
-            } => {
-                let acquisition = PendingAcquisition::new(now, stream, correlation, function);
-                self.acquisitions.add(acquisition);
-            }
-            DaemonToLeader::Release {
-                function,
-                fencing_token,
-                runners,
-            } => {
-                self.handle_release(now, stream, function, fencing_token, runners);
-            }
-            DaemonToLeader::Reserve {
-                correlation,
-                function,
-                fencing_token,
-            } => {
-                self.handle_reserve(now, stream, correlation, function, fencing_token);
-            }
-            DaemonToLeader::RunnerUpdate {
-                function,
-                runner,
-                runner_status,
-            } => {
-                self.handle_runner_status(now, &function, runner, runner_status);
-            }
-            DaemonToLeader::Rejections {
-                function,
-                count,
-                reason,
-            } => self.handle_rejections(stream, function, count, reason),
-            DaemonToLeader::ReplicaLost {
-                function,
-                fencing_token,
-                lost,
-            } => {
-                self.handle_replica_lost(now, stream, function, fencing_token, &lost);
-            }
-            DaemonToLeader::ReplicaComplete {
-                function,
-                fencing_token,
-                replica,
-            } => {
-                self.handle_replica_complete(stream, &function, fencing_token, &replica);
-            }
-            DaemonToLeader::Idle { functions } => self.handle_idle(now, stream, functions.0),
-            DaemonToLeader::MemberSuspected { incarnation } => {
-                self.handle_suspicion(stream, incarnation)
-            }
-            DaemonToLeader::MemberRecovered { incarnation } => {
-                self.handle_suspicion_cleared(&incarnation)
-            }
-            DaemonToLeader::FullHostListRequest => self.handle_full_hosts_request(stream),
-            DaemonToLeader::Leaving => self.handle_leaving(now, stream),
-        }
-    }
-
     /// A member's stream has ended; its lease stands until it expires.
     pub fn stream_lost(&mut self, stream: StreamId) {
         let Some(known_member) = self.members.streams.remove(&stream) else {
