--- a/crates/controlplane/src/controller_state/consensus_outputs.rs
+++ b/crates/controlplane/src/controller_state/consensus_outputs.rs
@@ -31,7 +31,7 @@
                 ConsensusOutput::SteppedDown => self.stepped_down(),
                 ConsensusOutput::Committed(document) => self.committed(now, document),
                 ConsensusOutput::MembershipChange { addresses, settled } => {
-                    self.record_event(event_records::quorum_reconfiguring(&addresses, settled));
+                    self.record_event(event_records::quorum_reconfiguring(addresses, settled));
                 }
                 ConsensusOutput::DiskStalled => self.record_event(event_records::disk_stalled()),
             }
--- a/crates/controlplane/src/controller_state/content.rs
+++ b/crates/controlplane/src/controller_state/content.rs
@@ -4,23 +4,69 @@
 use common::identity::{ChangeId, Version};
 use common::seal::{digest, hex};
 use common::spec::SpecRecords;
+use serde::Serialize;
 use serde_json::{Value, json};
+use std::collections::{BTreeMap, BTreeSet};
 
-/// The canonical form of a change's content. Its digest names changes in committed documents, so it must not vary.
-fn content_value(kind: &ChangeKind) -> Value {
-    match kind {
-        ChangeKind::FullSpec(spec) => json!({"spec": spec.to_value()}),
-        ChangeKind::Patch(patch) => json!({"patch": patch}),
-        ChangeKind::Items(items) => json!({
-            "put_functions": items.put_functions,
-            "remove_functions": items.remove_functions,
-            "put_routes": items.put_routes,
-            "remove_routes": items.remove_routes,
-            "limits": items.limits,
-            "labels": items.labels,
-        }),
-        ChangeKind::Evacuate { zone, .. } => json!({"evacuate": zone.as_str()}),
-        ChangeKind::Restore { zone } => json!({"restore": zone.as_str()}),
+/// What the name of an unnamed change is the digest of. Names stand in committed documents, so neither the keys
+/// nor their alphabetical order may change.
+#[derive(Serialize)]
+struct NamedContent<'a> {
+    base_number: Option<u64>,
+    #[serde(rename = "base_serial")]
+    base_version: Option<u64>,
+    content: ChangeContent<'a>,
+    number: Option<u64>,
+}
+
+/// The canonical form of a change's content.
+#[derive(Serialize)]
+#[serde(untagged)]
+enum ChangeContent<'a> {
+    FullSpec {
+        spec: Value,
+    },
+    Patch {
+        patch: &'a Value,
+    },
+    Items {
+        labels: &'a Option<Value>,
+        limits: &'a Option<Value>,
+        put_functions: &'a BTreeMap<String, Value>,
+        put_routes: &'a BTreeMap<String, Value>,
+        remove_functions: &'a BTreeSet<String>,
+        remove_routes: &'a BTreeSet<String>,
+    },
+    Evacuate {
+        evacuate: &'a str,
+    },
+    Restore {
+        restore: &'a str,
+    },
+}
+
+impl<'a> ChangeContent<'a> {
+    fn of(kind: &'a ChangeKind) -> Self {
+        match kind {
+            ChangeKind::FullSpec(spec) => Self::FullSpec {
+                spec: spec.to_value(),
+            },
+            ChangeKind::Patch(patch) => Self::Patch { patch },
+            ChangeKind::Items(items) => Self::Items {
+                labels: &items.labels,
+                limits: &items.limits,
+                put_functions: &items.put_functions,
+                put_routes: &items.put_routes,
+                remove_functions: &items.remove_functions,
+                remove_routes: &items.remove_routes,
+            },
+            ChangeKind::Evacuate { zone, .. } => Self::Evacuate {
+                evacuate: zone.as_str(),
+            },
+            ChangeKind::Restore { zone } => Self::Restore {
+                restore: zone.as_str(),
+            },
+        }
     }
 }
 
@@ -31,13 +77,15 @@
     numbering: Option<Numbering>,
     kind: &ChangeKind,
 ) -> ChangeId {
-    let named = json!({
-        "base_serial": base.map(|base| base.0),
-        "number": numbering.map(|numbering| numbering.number),
-        "base_number": numbering.map(|numbering| numbering.base_number),
-        "content": content_value(kind),
-    });
-    ChangeId::from(hex(&digest(named.to_string().as_bytes())))
+    let named = NamedContent {
+        base_number: numbering.map(|numbering| numbering.base_number),
+        base_version: base.map(|base| base.0),
+        content: ChangeContent::of(kind),
+        number: numbering.map(|numbering| numbering.number),
+    };
+    // A `Value` sorts its keys, whatever the order of the fields.
+    let canonical = json!(named).to_string();
+    ChangeId::from(hex(&digest(canonical.as_bytes())))
 }
 
 /// A specification with named items put and removed.
--- a/crates/controlplane/src/controller_state/event_records.rs
+++ b/crates/controlplane/src/controller_state/event_records.rs
@@ -1,25 +1,24 @@
-//! The events that the controller itself records, with the details that operators read.
+//! The events that the controller itself records.
 
-use crate::leader_state::EventRecord;
+use crate::leader_state::{EventDetail, EventRecord};
 use common::events::{self, Event};
 use common::frames::SocketAddress;
 use common::identity::{ControllerId, DocumentVersion, Term};
-use serde_json::{Value, json};
 
-fn record(event: Event, detail: Value) -> EventRecord {
+fn record(event: Event, detail: EventDetail) -> EventRecord {
     EventRecord { event, detail }
 }
 
 pub(super) fn disk_write_failed() -> EventRecord {
-    record(events::DISK_WRITE_FAILED, json!({}))
+    record(events::DISK_WRITE_FAILED, EventDetail::NoFields {})
 }
 
 pub(super) fn disk_stalled() -> EventRecord {
-    record(events::DISK_STALLED, json!({}))
+    record(events::DISK_STALLED, EventDetail::NoFields {})
 }
 
 pub(super) fn election_started(term: Term) -> EventRecord {
-    record(events::ELECTION_STARTED, json!({"term": term.0}))
+    record(events::ELECTION_STARTED, EventDetail::Term { term })
 }
 
 /// `complete` says whether the `known_members` daemons are all that may hold a lease.
@@ -29,28 +28,30 @@
     known_members: usize,
     complete: bool,
 ) -> EventRecord {
-    let detail = json!({
-        "term": term.0,
-        "controller": format!("{:x}", leader.0),
-        "surveyor": format!("{:x}", leader.0),
-        "last_known": known_members,
-        "whole": complete,
-    });
+    let detail = EventDetail::LeaderElected {
+        term,
+        controller: leader,
+        surveyor: leader,
+        last_known: known_members,
+        complete,
+    };
     record(events::LEADER_ELECTED, detail)
 }
 
 pub(super) fn leader_stepped_down(term: Term) -> EventRecord {
-    record(events::LEADER_STEPPED_DOWN, json!({"term": term.0}))
+    record(events::LEADER_STEPPED_DOWN, EventDetail::Term { term })
 }
 
 pub(super) fn version_committed(committed: DocumentVersion) -> EventRecord {
-    let detail = json!({"term": committed.term.0, "serial": committed.version.0});
+    let detail = EventDetail::VersionCommitted {
+        term: committed.term,
+        version: committed.version,
+    };
     record(events::VERSION_COMMITTED, detail)
 }
 
 /// The voters are at these addresses, once the change is settled.
-pub(super) fn quorum_reconfiguring(voters: &[SocketAddress], settled: bool) -> EventRecord {
-    let addresses: Vec<String> = voters.iter().map(SocketAddress::to_string).collect();
-    let detail = json!({"core": addresses, "settled": settled});
+pub(super) fn quorum_reconfiguring(voters: Vec<SocketAddress>, settled: bool) -> EventRecord {
+    let detail = EventDetail::QuorumReconfiguring { voters, settled };
     record(events::QUORUM_RECONFIGURING, detail)
 }
--- a/crates/controlplane/src/controller_state/mod.rs
+++ b/crates/controlplane/src/controller_state/mod.rs
@@ -25,12 +25,12 @@
 
 use crate::consensus::{ConsensusNode, ControllerAddress, WriteResult};
 use crate::leader_state::{
-    LeaderOutput, LeaderState, LeaderTiming, QuorumProof, RETAINED_VIEWS, StreamId,
+    EventDetail, LeaderOutput, LeaderState, LeaderTiming, QuorumProof, RETAINED_VIEWS, StreamId,
 };
 use common::clock::MonotonicTime;
 use common::events;
 use common::frames::{DaemonToLeader, LeaderToDaemon, SocketAddress};
-use common::identity::{DocumentVersion, Ticket, Version};
+use common::identity::{DocumentVersion, Ticket};
 use common::rules::Rules;
 use common::spec::DaemonView;
 use history::EventLog;
@@ -283,9 +283,9 @@
             }
             LeaderOutput::EventRecord(event_record) => {
                 if event_record.event == events::VERSION_IN_FORCE
-                    && let Some(version) = event_record.detail["serial"].as_u64()
+                    && let EventDetail::Version { version } = event_record.detail
                 {
-                    self.traces.in_force(now, Version(version));
+                    self.traces.in_force(now, version);
                 }
                 self.record_event(event_record);
             }
--- a/crates/controlplane/src/controller_state/operation.rs
+++ b/crates/controlplane/src/controller_state/operation.rs
@@ -22,17 +22,17 @@
 /// item that does not exist is no error.
 #[derive(Clone, Debug, Default)]
 pub struct ItemChange {
-    /// The functions put, by name; the spec's JSON.
+    /// The functions put, by name: each as the operator wrote it. It is checked with the spec that results.
     pub put_functions: BTreeMap<String, Value>,
     /// The functions removed.
     pub remove_functions: BTreeSet<String>,
-    /// The routes put, by name; the spec's JSON.
+    /// The routes put, by name: each as the operator wrote it.
     pub put_routes: BTreeMap<String, Value>,
     /// The routes removed.
     pub remove_routes: BTreeSet<String>,
-    /// The callers' limits, if they change.
+    /// The callers' limits as the operator wrote them, if they change.
     pub limits: Option<Value>,
-    /// What is stored with the spec and never interpreted, if it changes.
+    /// What is stored with the spec and never interpreted, if it changes: any JSON.
     pub labels: Option<Value>,
 }
 
@@ -41,7 +41,8 @@
 pub enum ChangeKind {
     /// Replaces the spec.
     FullSpec(SpecRecords),
-    /// Applies a JSON merge patch (RFC 7396) to the spec.
+    /// Applies a JSON merge patch (RFC 7396) to the spec. A patch is any JSON: it need not have the form of a
+    /// spec, and only what results from it is checked.
     Patch(Value),
     /// Puts and removes named items of the spec.
     Items(Box<ItemChange>),
--- a/crates/controlplane/src/controller_state/operations.rs
+++ b/crates/controlplane/src/controller_state/operations.rs
@@ -5,6 +5,7 @@
     ControllerOutput, ControllerState, Operation, OperationReply, OperationTicket,
     QuorumChangeError, QuorumStatus, Unavailable,
 };
+use crate::leader_state::LeaderReport;
 use common::clock::MonotonicTime;
 use common::identity::ControllerId;
 use common::rules::Rule;
@@ -171,10 +172,10 @@
             return OperationReply::TemporarilyUnavailable(Unavailable::NoLeader);
         };
         let report = match operation {
-            Operation::Members => leader_state.report_members(now),
-            Operation::Holders => leader_state.report_holders(),
-            Operation::Workers => leader_state.report_workers(),
-            Operation::Runners => leader_state.report_runners(),
+            Operation::Members => LeaderReport::Members(leader_state.report_members(now)),
+            Operation::Holders => LeaderReport::Holders(leader_state.report_holders()),
+            Operation::Workers => LeaderReport::Workers(leader_state.report_workers()),
+            Operation::Runners => LeaderReport::Runners(leader_state.report_runners()),
             Operation::ChangeStatus(change) => return self.report_change_status(&change),
             _ => {
                 let Some(document) = leader_state.document() else {
--- a/crates/controlplane/src/controller_state/reply.rs
+++ b/crates/controlplane/src/controller_state/reply.rs
@@ -2,11 +2,11 @@
 
 use super::history::EventEntry;
 use crate::consensus::{BootstrapError, MembershipError, PeerStatus, ProposeError};
+use crate::leader_state::LeaderReport;
 use common::frames::SocketAddress;
 use common::identity::{ChangeId, ControllerId, DocumentVersion, MemberName, Term, Version, Zone};
 use common::readers::PathError;
 use common::spec::Document;
-use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
@@ -174,8 +174,8 @@
     Trace(TraceReport),
     /// Events, oldest first.
     Events(Vec<EventEntry>),
-    /// A list of the leader's, in the form that the leader state gives it.
-    LeaderReport(Value),
+    /// A list of the leader's.
+    LeaderReport(LeaderReport),
     /// Bootstrapping the control quorum has begun.
     Bootstrapping,
     /// Replacing a voter has begun.
--- a/crates/controlplane/src/drivers/operator_api/responses.rs
+++ b/crates/controlplane/src/drivers/operator_api/responses.rs
@@ -51,7 +51,7 @@
             "number": numbered.number,
             "event": numbered.event_record.event.number,
             "name": numbered.event_record.event.name,
-            "detail": numbered.event_record.detail,
+            "detail": numbered.event_record.detail.to_json(),
         }),
         EventEntry::Gap { requested, oldest } => json!({
             "number": entry.number(),
@@ -207,7 +207,7 @@
             Self::Quorum(status) => (200, quorum_json(&status)),
             Self::Trace(report) => trace_response(&report),
             Self::Events(entries) => (200, entries.iter().map(event_json).collect()),
-            Self::LeaderReport(report) => (200, report),
+            Self::LeaderReport(report) => (200, json!(report)),
             Self::Bootstrapping => (202, json!({"state": "founding"})),
             Self::ReplacingVoter { version } => {
                 (202, json!({"state": "replacing", "serial": version.0}))
--- a/crates/controlplane/src/leader_state/acquisitions.rs
+++ b/crates/controlplane/src/leader_state/acquisitions.rs
@@ -1,7 +1,6 @@
 //! Requests for function leases. Each stays pending until the leader can name the holder or issue the lease.
 
-use super::events::LeaseGrantedFields;
-use super::{LeaderState, LeaseRecord, StreamId};
+use super::{EventDetail, LeaderState, LeaseRecord, StreamId};
 use common::clock::MonotonicTime;
 use common::events;
 use common::frames::{AcquireResult, KnownMember, LeaderToDaemon, LengthPrefixed};
@@ -272,14 +271,14 @@
             Duration::ZERO
         };
         let adopted = self.adopt_orphans(function, fencing_token);
-        let fields = LeaseGrantedFields {
-            function,
-            member: &requester.member,
+        let detail = EventDetail::LeaseGranted {
+            function: function.clone(),
+            member: requester.member.clone(),
             fencing_token,
             once_wait_ms: once_wait.as_millis() as u64,
             adopted: adopted.len(),
         };
-        self.record_event(events::LEASE_GRANTED, fields);
+        self.record_event(events::LEASE_GRANTED, detail);
         let replica = if is_recorded {
             self.choose_replica(now, function, &requester, None)
         } else {
--- a/crates/controlplane/src/leader_state/claims.rs
+++ b/crates/controlplane/src/leader_state/claims.rs
@@ -1,8 +1,7 @@
 //! Claims: after an election, or on a new stream, each member reports the leases and runners that it holds.
 
-use super::events::LeaseFields;
 use super::reservations::Reservation;
-use super::{LeaderState, LeaseRecord, StreamId};
+use super::{EventDetail, LeaderState, LeaseRecord, StreamId};
 use common::clock::MonotonicTime;
 use common::events;
 use common::frames::{Claim, ClaimedRunner, KnownMember, LeaderToDaemon};
@@ -199,12 +198,12 @@
     }
 
     fn reject_claim(&mut self, stream: StreamId, claimant: &KnownMember, claim: Claim) {
-        let fields = LeaseFields {
-            function: &claim.function,
-            member: &claimant.member,
+        let detail = EventDetail::Lease {
+            function: claim.function.clone(),
+            member: claimant.member.clone(),
             fencing_token: claim.fencing_token,
         };
-        self.record_event(events::CLAIM_REJECTED, fields);
+        self.record_event(events::CLAIM_REJECTED, detail);
         let frame = LeaderToDaemon::Revoke {
             function: claim.function,
             fencing_token: claim.fencing_token,
--- a/crates/controlplane/src/leader_state/claims_quorum.rs
+++ b/crates/controlplane/src/leader_state/claims_quorum.rs
@@ -1,8 +1,7 @@
 //! The claims quorum: before a new leader issues leases, a majority of the members that may hold leases of an
 //! earlier leader has claimed what it holds, and the others have claimed as well or their leases have run out.
 
-use super::events::{ClaimsQuorumFields, MemberFields};
-use super::{LeaderOutput, LeaderState, QuorumProof};
+use super::{EventDetail, LeaderOutput, LeaderState, QuorumProof};
 use common::clock::MonotonicTime;
 use common::events;
 use common::frames::KnownMember;
@@ -127,11 +126,11 @@
             .map(|known| known.member)
             .chain(dropped_listed.into_iter().map(|listed| listed.member))
             .collect();
-        for dropped_name in dropped_names {
-            let fields = MemberFields {
-                member: &dropped_name,
-            };
-            self.record_event(events::ABSENT_MEMBER_DROPPED, fields);
+        for member in dropped_names {
+            self.record_event(
+                events::ABSENT_MEMBER_DROPPED,
+                EventDetail::Member { member },
+            );
         }
     }
 
@@ -219,14 +218,14 @@
         self.membership_list.check_due = true;
         self.acquisitions.check_due = true;
         self.register_pending_list();
-        let fields = ClaimsQuorumFields {
+        let detail = EventDetail::ClaimsQuorum {
             last_known: count.expected,
             claimed: count.claimed,
             all_claimed: count.all_claimed,
             waited_ms: now.since(self.elected_at).as_millis() as u64,
             functions: self.lease_records.len(),
         };
-        self.record_event(events::CLAIMS_QUORUM_REACHED, fields);
+        self.record_event(events::CLAIMS_QUORUM_REACHED, detail);
     }
 
     /// Requests the platform's lists at the election, and again from the opening on until they show
--- a/crates/controlplane/src/leader_state/document_delivery.rs
+++ b/crates/controlplane/src/leader_state/document_delivery.rs
@@ -1,7 +1,6 @@
 //! Delivery of the configuration: the committed document goes to every member, as deltas where possible.
 
-use super::events::{CapacityFields, InstallFailureFields, VersionFields};
-use super::{LeaderOutput, LeaderState, StreamId, TraceStep};
+use super::{EventDetail, LeaderOutput, LeaderState, StreamId, TraceStep};
 use common::clock::MonotonicTime;
 use common::events;
 use common::frames::{Flag, LeaderToDaemon, compress};
@@ -128,11 +127,11 @@
         match RoutingTable::build_after(&self.configuration.table, &view) {
             Ok(table) => self.configuration.table = table,
             Err(error) => {
-                let fields = InstallFailureFields {
+                let detail = EventDetail::InstallFailure {
                     version: view.version,
-                    error: &error,
+                    error: error.to_string(),
                 };
-                self.record_event(events::SPEC_INSTALL_FAILED, fields);
+                self.record_event(events::SPEC_INSTALL_FAILED, detail);
             }
         }
         self.replica_assignment_due = true;
@@ -174,11 +173,11 @@
             .map(|(_, record)| u64::from(record.listed.memory_mb))
             .sum();
         if needed_mb * 10 > remaining_mb * 9 {
-            let fields = CapacityFields {
+            let detail = EventDetail::Capacity {
                 needed_mb,
                 remaining_mb,
             };
-            self.record_event(events::CAPACITY_LOW, fields);
+            self.record_event(events::CAPACITY_LOW, detail);
         }
     }
 
@@ -238,7 +237,7 @@
             .all(|record| record.installed >= version || now >= record.lease_expiry_bound);
         if are_old_leases_over && is_installed_everywhere {
             self.configuration.in_force = version;
-            self.record_event(events::VERSION_IN_FORCE, VersionFields { version });
+            self.record_event(events::VERSION_IN_FORCE, EventDetail::Version { version });
         }
     }
 
--- a/crates/controlplane/src/leader_state/events.rs
+++ b/crates/controlplane/src/leader_state/events.rs
@@ -1,267 +1,235 @@
-//! The fields of the events that the leader records, one struct for each set of fields. They become JSON
-//! in this module alone; the keys are part of the operators' interface and stay as they are.
+//! The events that a controller records, and their fields. The keys are part of the operators' interface and
+//! stay as they are.
 
-use super::EventRecord;
+use crate::json_form;
 use common::events::Event;
-use common::frames::RequestFailureReason;
-use common::identity::{FencingToken, FunctionKey, InstanceId, MemberName, RunnerId, Version};
-use common::identity::{WorkerName, Zone};
+use common::frames::{RequestFailureReason, SocketAddress};
+use common::identity::{ControllerId, FencingToken, FunctionKey, Incarnation, InstanceId};
+use common::identity::{MemberName, RunnerId, Term, Version, WorkerName, Zone};
+use serde::Serialize;
 use serde_json::{Value, json};
-use std::fmt::Display;
-
-/// The fields of an event beside its kind. They are borrowed: an event costs no copies of names.
-pub(super) trait EventFields {
-    /// The fields as operators read them.
-    fn to_json(&self) -> Value;
-
-    /// The event with these fields.
-    fn record(&self, event: Event) -> EventRecord {
-        EventRecord {
-            event,
-            detail: self.to_json(),
-        }
-    }
-}
-
-/// What concerns one member.
-pub(super) struct MemberFields<'a> {
-    pub member: &'a MemberName,
-}
-
-impl EventFields for MemberFields<'_> {
-    fn to_json(&self) -> Value {
-        json!({
-            "member": self.member.as_str(),
-        })
-    }
-}
-
-/// A member opened its stream and was welcomed.
-pub(super) struct MemberConnectedFields<'a> {
-    pub member: &'a MemberName,
-    pub incarnation: u64,
-    pub zone: &'a Zone,
-}
-
-impl EventFields for MemberConnectedFields<'_> {
-    fn to_json(&self) -> Value {
-        json!({
-            "member": self.member.as_str(),
-            "incarnation": self.incarnation,
-            "locality": self.zone.as_str(),
-        })
-    }
-}
-
-/// The claims quorum stands.
-pub(super) struct ClaimsQuorumFields {
-    pub last_known: usize,
-    pub claimed: usize,
-    pub all_claimed: bool,
-    pub waited_ms: u64,
-    pub functions: usize,
-}
-
-impl EventFields for ClaimsQuorumFields {
-    fn to_json(&self) -> Value {
-        json!({
-            "last_known": self.last_known,
-            "claimed": self.claimed,
-            "all_claimed": self.all_claimed,
-            "waited_ms": self.waited_ms,
-            "functions": self.functions,
-        })
-    }
-}
-
-/// A function lease that is rejected, released or fenced.
-pub(super) struct LeaseFields<'a> {
-    pub function: &'a FunctionKey,
-    pub member: &'a MemberName,
-    pub fencing_token: FencingToken,
-}
-
-impl EventFields for LeaseFields<'_> {
-    fn to_json(&self) -> Value {
-        json!({
-            "function": self.function.to_string(),
-            "member": self.member.as_str(),
-            "grant": self.fencing_token.0,
-        })
-    }
-}
-
-/// A function lease that is issued; `adopted` counts the orphaned runners that go with it.
-pub(super) struct LeaseGrantedFields<'a> {
-    pub function: &'a FunctionKey,
-    pub member: &'a MemberName,
-    pub fencing_token: FencingToken,
-    pub once_wait_ms: u64,
-    pub adopted: usize,
-}
-
-impl EventFields for LeaseGrantedFields<'_> {
-    fn to_json(&self) -> Value {
-        json!({
-            "function": self.function.to_string(),
-            "member": self.member.as_str(),
-            "grant": self.fencing_token.0,
-            "once_wait_ms": self.once_wait_ms,
-            "adopted": self.adopted,
-        })
-    }
-}
-
-/// What concerns one function.
-pub(super) struct FunctionFields<'a> {
-    pub function: &'a FunctionKey,
-}
-
-impl EventFields for FunctionFields<'_> {
-    fn to_json(&self) -> Value {
-        json!({
-            "function": self.function.to_string(),
-        })
-    }
-}
-
-/// What concerns one runner of a known function.
-pub(super) struct RunnerFields<'a> {
-    pub function: &'a FunctionKey,
-    pub runner: RunnerId,
-    pub worker: &'a WorkerName,
-}
-
-impl EventFields for RunnerFields<'_> {
-    fn to_json(&self) -> Value {
-        json!({
-            "function": self.function.to_string(),
-            "runner": self.runner.to_string(),
-            "worker": self.worker.as_str(),
-        })
-    }
-}
-
-/// A runner that the platform lists and no holder claimed.
-pub(super) struct FoundRunnerFields<'a> {
-    pub runner: RunnerId,
-    pub instance: &'a InstanceId,
-    pub worker: &'a WorkerName,
-}
-
-impl EventFields for FoundRunnerFields<'_> {
-    fn to_json(&self) -> Value {
-        json!({
-            "runner": self.runner.to_string(),
-            "life": self.instance.as_str(),
-            "worker": self.worker.as_str(),
-        })
-    }
-}
-
-/// A runner that makes room for a function without one.
-pub(super) struct ReclaimedRunnerFields<'a> {
-    pub function: &'a FunctionKey,
-    pub runner: RunnerId,
-    pub requester: &'a FunctionKey,
-}
-
-impl EventFields for ReclaimedRunnerFields<'_> {
-    fn to_json(&self) -> Value {
-        json!({
-            "function": self.function.to_string(),
-            "runner": self.runner.to_string(),
-            "for": self.requester.to_string(),
-        })
-    }
-}
-
-/// The memory of a runner that fits on no worker.
-pub(super) struct MissingMemoryFields<'a> {
-    pub function: &'a FunctionKey,
-    pub memory_mb: u32,
-}
-
-impl EventFields for MissingMemoryFields<'_> {
-    fn to_json(&self) -> Value {
-        json!({
-            "function": self.function.to_string(),
-            "memory_mb": self.memory_mb,
-        })
-    }
-}
-
-/// The memory that is reserved, and that of the usable workers.
-pub(super) struct CapacityFields {
-    pub needed_mb: u64,
-    pub remaining_mb: u64,
-}
-
-impl EventFields for CapacityFields {
-    fn to_json(&self) -> Value {
-        json!({
-            "needed_mb": self.needed_mb,
-            "left_mb": self.remaining_mb,
-        })
-    }
-}
-
-/// What concerns one worker.
-pub(super) struct WorkerFields<'a> {
-    pub worker: &'a WorkerName,
-}
-
-impl EventFields for WorkerFields<'_> {
-    fn to_json(&self) -> Value {
-        json!({
-            "worker": self.worker.as_str(),
-        })
-    }
-}
-
-/// What concerns one version of the configuration.
-pub(super) struct VersionFields {
-    pub version: Version,
-}
-
-impl EventFields for VersionFields {
-    fn to_json(&self) -> Value {
-        json!({
-            "serial": self.version.0,
-        })
-    }
-}
-
-/// A version whose routing table could not be built.
-pub(super) struct InstallFailureFields<'a> {
-    pub version: Version,
-    pub error: &'a dyn Display,
-}
-
-impl EventFields for InstallFailureFields<'_> {
-    fn to_json(&self) -> Value {
-        json!({
-            "serial": self.version.0,
-            "fault": self.error.to_string(),
-        })
-    }
-}
-
-/// Requests that a member rejected.
-pub(super) struct RejectionsFields<'a> {
-    pub function: &'a FunctionKey,
-    pub member: &'a MemberName,
-    pub count: u32,
-    pub reason: RequestFailureReason,
-}
-
-impl EventFields for RejectionsFields<'_> {
-    fn to_json(&self) -> Value {
-        json!({
-            "function": self.function.to_string(),
-            "member": self.member.as_str(),
-            "count": self.count,
-            "reason": self.reason.as_str(),
-        })
+use std::fmt;
+
+/// An event for operators.
+#[derive(Clone, PartialEq, Eq, Debug)]
+pub struct EventRecord {
+    /// Its kind.
+    pub event: Event,
+    /// Its fields.
+    pub detail: EventDetail,
+}
+
+/// The fields of an event beside its kind: one variant for each set of fields. As JSON it is an object with the
+/// keys that operators read.
+#[derive(Clone, PartialEq, Eq, Debug, Serialize)]
+#[serde(untagged)]
+pub enum EventDetail {
+    /// An event without fields.
+    NoFields {},
+    /// What concerns one term.
+    Term {
+        /// The term.
+        #[serde(serialize_with = "json_form::number")]
+        term: Term,
+    },
+    /// A controller is elected leader.
+    LeaderElected {
+        /// Its term.
+        #[serde(serialize_with = "json_form::number")]
+        term: Term,
+        /// The leader.
+        #[serde(serialize_with = "json_form::controller_id")]
+        controller: ControllerId,
+        /// The leader, under the key's earlier name.
+        #[serde(serialize_with = "json_form::controller_id")]
+        surveyor: ControllerId,
+        /// How many daemons may hold a lease of an earlier leader.
+        last_known: usize,
+        /// Whether these are all that may hold one.
+        #[serde(rename = "whole")]
+        complete: bool,
+    },
+    /// A version is committed.
+    VersionCommitted {
+        /// The term of the leader that committed it.
+        #[serde(serialize_with = "json_form::number")]
+        term: Term,
+        /// The version.
+        #[serde(rename = "serial", serialize_with = "json_form::number")]
+        version: Version,
+    },
+    /// The control quorum changes.
+    QuorumReconfiguring {
+        /// Where the next voters are reached.
+        #[serde(rename = "core", serialize_with = "json_form::texts")]
+        voters: Vec<SocketAddress>,
+        /// Whether the change is complete.
+        settled: bool,
+    },
+    /// What concerns one member.
+    Member {
+        /// The member.
+        #[serde(serialize_with = "json_form::text")]
+        member: MemberName,
+    },
+    /// A member opened its stream and was welcomed.
+    MemberConnected {
+        /// The member.
+        #[serde(serialize_with = "json_form::text")]
+        member: MemberName,
+        /// Its incarnation.
+        #[serde(serialize_with = "json_form::number")]
+        incarnation: Incarnation,
+        /// Its zone.
+        #[serde(rename = "locality", serialize_with = "json_form::text")]
+        zone: Zone,
+    },
+    /// The claims quorum stands.
+    ClaimsQuorum {
+        /// How many members were expected.
+        last_known: usize,
+        /// How many of them have claimed.
+        claimed: usize,
+        /// Whether these are all that may hold a lease.
+        all_claimed: bool,
+        /// Milliseconds since the election.
+        waited_ms: u64,
+        /// How many functions are leased.
+        functions: usize,
+    },
+    /// A function lease that is rejected, released or fenced.
+    Lease {
+        /// The function.
+        #[serde(serialize_with = "json_form::text")]
+        function: FunctionKey,
+        /// The holder, or who claims to be it.
+        #[serde(serialize_with = "json_form::text")]
+        member: MemberName,
+        /// The lease's fencing token.
+        #[serde(rename = "grant", serialize_with = "json_form::number")]
+        fencing_token: FencingToken,
+    },
+    /// A function lease that is issued.
+    LeaseGranted {
+        /// The function.
+        #[serde(serialize_with = "json_form::text")]
+        function: FunctionKey,
+        /// The holder.
+        #[serde(serialize_with = "json_form::text")]
+        member: MemberName,
+        /// The lease's fencing token.
+        #[serde(rename = "grant", serialize_with = "json_form::number")]
+        fencing_token: FencingToken,
+        /// Milliseconds that requests which may run only once have to wait.
+        once_wait_ms: u64,
+        /// How many orphaned runners go with the lease.
+        adopted: usize,
+    },
+    /// What concerns one function.
+    Function {
+        /// The function.
+        #[serde(serialize_with = "json_form::text")]
+        function: FunctionKey,
+    },
+    /// What concerns one runner of a known function.
+    Runner {
+        /// The function.
+        #[serde(serialize_with = "json_form::text")]
+        function: FunctionKey,
+        /// The runner.
+        #[serde(serialize_with = "json_form::text")]
+        runner: RunnerId,
+        /// Its worker.
+        #[serde(serialize_with = "json_form::text")]
+        worker: WorkerName,
+    },
+    /// A runner that the platform lists and no holder claimed.
+    FoundRunner {
+        /// The runner.
+        #[serde(serialize_with = "json_form::text")]
+        runner: RunnerId,
+        /// The platform's name of it.
+        #[serde(rename = "life", serialize_with = "json_form::text")]
+        instance: InstanceId,
+        /// Its worker.
+        #[serde(serialize_with = "json_form::text")]
+        worker: WorkerName,
+    },
+    /// A runner that makes room for a function without one.
+    ReclaimedRunner {
+        /// The function whose runner it is.
+        #[serde(serialize_with = "json_form::text")]
+        function: FunctionKey,
+        /// The runner.
+        #[serde(serialize_with = "json_form::text")]
+        runner: RunnerId,
+        /// The function that has none.
+        #[serde(rename = "for", serialize_with = "json_form::text")]
+        requester: FunctionKey,
+    },
+    /// The memory of a runner that fits on no worker.
+    MissingMemory {
+        /// The runner's function.
+        #[serde(serialize_with = "json_form::text")]
+        function: FunctionKey,
+        /// The memory in MiB.
+        memory_mb: u32,
+    },
+    /// The memory that is reserved, and that of the usable workers.
+    Capacity {
+        /// What is reserved, in MiB.
+        needed_mb: u64,
+        /// What the usable workers have, in MiB.
+        #[serde(rename = "left_mb")]
+        remaining_mb: u64,
+    },
+    /// What concerns one worker.
+    Worker {
+        /// The worker.
+        #[serde(serialize_with = "json_form::text")]
+        worker: WorkerName,
+    },
+    /// What concerns one version of the configuration.
+    Version {
+        /// The version.
+        #[serde(rename = "serial", serialize_with = "json_form::number")]
+        version: Version,
+    },
+    /// A version whose routing table could not be built.
+    InstallFailure {
+        /// The version.
+        #[serde(rename = "serial", serialize_with = "json_form::number")]
+        version: Version,
+        /// Why.
+        #[serde(rename = "fault")]
+        error: String,
+    },
+    /// Requests that a member rejected.
+    Rejections {
+        /// Their function.
+        #[serde(serialize_with = "json_form::text")]
+        function: FunctionKey,
+        /// The member.
+        #[serde(serialize_with = "json_form::text")]
+        member: MemberName,
+        /// How many they are.
+        count: u32,
+        /// Why.
+        #[serde(serialize_with = "json_form::text")]
+        reason: RequestFailureReason,
+    },
+}
+
+impl EventDetail {
+    /// The fields as operators read them, the keys in alphabetical order.
+    pub fn to_json(&self) -> Value {
+        json!(self)
+    }
+}
+
+/// The JSON text that operators read.
+impl fmt::Display for EventDetail {
+    fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(out, "{}", self.to_json())
     }
 }
--- a/crates/controlplane/src/leader_state/fence.rs
+++ b/crates/controlplane/src/leader_state/fence.rs
@@ -1,8 +1,7 @@
 //! Fencing: what a lost holder's lease covers is orphaned or stopped before the function is leased again.
 
-use super::events::{EventFields, FunctionFields, LeaseFields, RunnerFields};
 use super::reservations::Reservation;
-use super::{LeaderOutput, LeaderState};
+use super::{EventDetail, LeaderOutput, LeaderState};
 use common::adapter::StopOrder;
 use common::clock::MonotonicTime;
 use common::events;
@@ -118,13 +117,12 @@
             let Some(entry) = self.lease_records.get(&held_function) else {
                 continue;
             };
-            let fields = LeaseFields {
-                function: &held_function,
-                member: &entry.holder.member,
+            let detail = EventDetail::Lease {
+                function: held_function,
+                member: entry.holder.member.clone(),
                 fencing_token: entry.fencing_token,
             };
-            let event_record = fields.record(events::FENCING_STARTED);
-            self.push_event(event_record);
+            self.record_event(events::FENCING_STARTED, detail);
         }
     }
 
@@ -167,14 +165,13 @@
         let is_on_usable_worker =
             !self.workers.are_listed || self.is_worker_usable(&reservation.worker);
         if reservation.is_adoptable() && is_wanted && is_on_usable_worker {
-            let fields = RunnerFields {
-                function: &reservation.function,
+            let detail = EventDetail::Runner {
+                function: reservation.function.clone(),
                 runner,
-                worker: &reservation.worker,
+                worker: reservation.worker.clone(),
             };
-            let event_record = fields.record(events::RUNNER_ORPHANED);
             self.reservations.mark_orphaned(runner, now);
-            self.push_event(event_record);
+            self.record_event(events::RUNNER_ORPHANED, detail);
         } else {
             self.reservations.want_stop(runner);
         }
@@ -271,10 +268,10 @@
             .collect();
         for (cleared_function, lease_expires_at) in cleared_functions {
             self.end_lease(now, &cleared_function, lease_expires_at);
-            let fields = FunctionFields {
-                function: &cleared_function,
+            let detail = EventDetail::Function {
+                function: cleared_function,
             };
-            self.record_event(events::FENCING_FINISHED, fields);
+            self.record_event(events::FENCING_FINISHED, detail);
         }
     }
 
@@ -284,12 +281,12 @@
         self.acquisitions.check_due = true;
         self.fencing.check_due = true;
         if let Some(reservation) = self.reservations.end(runner) {
-            let fields = RunnerFields {
-                function: &reservation.function,
+            let detail = EventDetail::Runner {
+                function: reservation.function,
                 runner,
-                worker: &reservation.worker,
+                worker: reservation.worker,
             };
-            self.record_event(events::RUNNER_STOPPED, fields);
+            self.record_event(events::RUNNER_STOPPED, detail);
         }
     }
 
@@ -299,12 +296,11 @@
             return;
         };
         let function = reservation.function.clone();
-        let fields = RunnerFields {
-            function: &function,
+        let detail = EventDetail::Runner {
+            function: function.clone(),
             runner,
-            worker: &reservation.worker,
+            worker: reservation.worker.clone(),
         };
-        let event_record = fields.record(events::RUNNER_UNLISTED);
         let stream = self
             .lease_records
             .get(&function)
@@ -313,7 +309,7 @@
         self.reservations.end(runner);
         self.acquisitions.check_due = true;
         self.fencing.check_due = true;
-        self.push_event(event_record);
+        self.record_event(events::RUNNER_UNLISTED, detail);
         if let Some(stream) = stream {
             self.send_frame(stream, LeaderToDaemon::RunnerUnlisted { function, runner });
         }
--- a/crates/controlplane/src/leader_state/host_list.rs
+++ b/crates/controlplane/src/leader_state/host_list.rs
@@ -1,7 +1,6 @@
 //! The host list that every member gets: who there is, and who is suspected to have failed.
 
-use super::events::MemberFields;
-use super::{LeaderState, StreamId};
+use super::{EventDetail, LeaderState, StreamId};
 use common::clock::MonotonicTime;
 use common::events;
 use common::frames::{Host, LeaderToDaemon, LengthPrefixed, MemberIncarnation};
@@ -166,12 +165,12 @@
         self.hosts.push_due = true;
         let previously_suspected = std::mem::replace(&mut self.hosts.suspected, suspected.clone());
         for suspect in suspected.difference(&previously_suspected) {
-            let member = &suspect.member;
-            self.record_event(events::MEMBER_SUSPECTED, MemberFields { member });
+            let member = suspect.member.clone();
+            self.record_event(events::MEMBER_SUSPECTED, EventDetail::Member { member });
         }
         for suspect in previously_suspected.difference(&suspected) {
-            let member = &suspect.member;
-            self.record_event(events::MEMBER_RECOVERED, MemberFields { member });
+            let member = suspect.member.clone();
+            self.record_event(events::MEMBER_RECOVERED, EventDetail::Member { member });
         }
     }
 
--- a/crates/controlplane/src/leader_state/lease_end.rs
+++ b/crates/controlplane/src/leader_state/lease_end.rs
@@ -1,7 +1,6 @@
 //! The end of function leases, and what follows from it for requests that must not run twice.
 
-use super::events::LeaseFields;
-use super::{LeaderState, StreamId};
+use super::{EventDetail, LeaderState, StreamId};
 use common::clock::MonotonicTime;
 use common::events;
 use common::frames::{ClaimedRunner, LengthPrefixed, PreviousLease};
@@ -70,12 +69,12 @@
             return;
         }
         self.begin_fencing(now, &function);
-        let fields = LeaseFields {
-            function: &function,
-            member: &releaser.member,
+        let detail = EventDetail::Lease {
+            function,
+            member: releaser.member,
             fencing_token,
         };
-        self.record_event(events::LEASE_RELEASED, fields);
+        self.record_event(events::LEASE_RELEASED, detail);
     }
 
     /// A lease has ended and nothing runs under it any more: the function can be leased again. Requests that must
--- a/crates/controlplane/src/leader_state/members.rs
+++ b/crates/controlplane/src/leader_state/members.rs
@@ -1,8 +1,7 @@
 //! Members: their streams, their incarnations and what is known of each.
 
-use super::events::MemberConnectedFields;
 use super::membership::started_at;
-use super::{LeaderOutput, LeaderState, StreamId, TraceStep};
+use super::{EventDetail, LeaderOutput, LeaderState, StreamId, TraceStep};
 use common::clock::MonotonicTime;
 use common::events;
 use common::frames::{Flag, Host, KnownMember, LeaderToDaemon, SocketAddress};
@@ -224,12 +223,12 @@
             },
         );
         self.push_newest(stream);
-        let fields = MemberConnectedFields {
-            member: &host.member,
-            incarnation: host.incarnation.0,
-            zone: &host.zone,
+        let detail = EventDetail::MemberConnected {
+            member: host.member,
+            incarnation: host.incarnation,
+            zone: host.zone,
         };
-        self.record_event(events::MEMBER_CONNECTED, fields);
+        self.record_event(events::MEMBER_CONNECTED, detail);
     }
 
     /// Ends the earlier incarnations of a member. The new one holds the port of their address, so they are
--- a/crates/controlplane/src/leader_state/memory_pressure.rs
+++ b/crates/controlplane/src/leader_state/memory_pressure.rs
@@ -1,7 +1,6 @@
 //! What gives way when the workers' memory is short.
 
-use super::events::{FunctionFields, ReclaimedRunnerFields};
-use super::{LeaderState, StreamId};
+use super::{EventDetail, LeaderState, StreamId};
 use common::clock::MonotonicTime;
 use common::events;
 use common::frames::{IdleFunction, KnownMember, LeaderToDaemon};
@@ -63,12 +62,12 @@
             return;
         };
         self.pressure.runner_reclaimed_at = now;
-        let fields = ReclaimedRunnerFields {
-            function: &function,
+        let detail = EventDetail::ReclaimedRunner {
+            function: function.clone(),
             runner,
-            requester,
+            requester: requester.clone(),
         };
-        self.record_event(events::IDLE_RUNNERS_RECLAIMED, fields);
+        self.record_event(events::IDLE_RUNNERS_RECLAIMED, detail);
         self.drain(function, runner);
     }
 
@@ -204,10 +203,10 @@
         if let Some(idle_since) = self.pressure.idle_since.get_mut(&entry.holder) {
             idle_since.remove(&function);
         }
-        let fields = FunctionFields {
-            function: &function,
+        let detail = EventDetail::Function {
+            function: function.clone(),
         };
-        self.record_event(events::IDLE_RUNNERS_RECLAIMED, fields);
+        self.record_event(events::IDLE_RUNNERS_RECLAIMED, detail);
         let frame = LeaderToDaemon::ReclaimIdle {
             function,
             fencing_token,
--- a/crates/controlplane/src/leader_state/mod.rs
+++ b/crates/controlplane/src/leader_state/mod.rs
@@ -28,18 +28,23 @@
 mod workers;
 
 pub use document_delivery::RETAINED_VIEWS;
-pub use output::{EventRecord, LeaderOutput, StreamId, TraceStep};
+pub use events::{EventDetail, EventRecord};
+pub use output::{LeaderOutput, StreamId, TraceStep};
+pub use report::{
+    HolderRow, HoldersReport, LeaderReport, MemberRow, MembersReport, RunnerRow, RunnersReport,
+    WorkerRow, WorkersReport,
+};
 pub use timing::LeaderTiming;
 
 use acquisitions::Acquisitions;
 use claims_quorum::ClaimsQuorum;
 use common::clock::MonotonicTime;
+use common::events::Event;
 use common::frames::{KnownMember, LeaderToDaemon};
 use common::identity::{FencingToken, Term, Version, Zone};
 use common::rules::{Rule, Rules};
 use common::spec::{DaemonView, ListedMember};
 use document_delivery::Configuration;
-use events::{EventFields, MemberFields};
 use fence::Fencing;
 use function_leases::{FunctionLeases, LeaseRecord};
 use host_list::HostList;
@@ -188,10 +193,11 @@
             && record.stream == Some(stream)
         {
             record.stream = None;
-            let fields = MemberFields {
-                member: &known_member.member,
-            };
-            self.record_event(common::events::MEMBER_DISCONNECTED, fields);
+            let member = known_member.member;
+            self.record_event(
+                common::events::MEMBER_DISCONNECTED,
+                EventDetail::Member { member },
+            );
         }
     }
 
@@ -216,12 +222,8 @@
             .push(LeaderOutput::FrameToDaemon { stream, frame });
     }
 
-    fn record_event(&mut self, event: common::events::Event, fields: impl EventFields) {
-        self.push_event(fields.record(event));
-    }
-
-    /// Takes a record made while its fields were still borrowed from this state.
-    fn push_event(&mut self, event_record: EventRecord) {
+    fn record_event(&mut self, event: Event, detail: EventDetail) {
+        let event_record = EventRecord { event, detail };
         self.outputs.push(LeaderOutput::EventRecord(event_record));
     }
 
--- a/crates/controlplane/src/leader_state/output.rs
+++ b/crates/controlplane/src/leader_state/output.rs
@@ -1,30 +1,14 @@
 //! What the leader's state hands to the controller.
 
+use super::EventRecord;
 use common::adapter::StopOrder;
-use common::events::Event;
 use common::frames::LeaderToDaemon;
 use common::identity::{MemberName, Version};
-use serde_json::Value;
 
 /// Identifies one member's stream in this process.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
 pub struct StreamId(pub u64);
 
-/// An event for operators.
-#[derive(Clone, Debug)]
-pub struct EventRecord {
-    /// Its kind.
-    pub event: Event,
-    /// Its fields, as JSON with the keys that operators read.
-    pub detail: Value,
-}
-
-impl PartialEq for EventRecord {
-    fn eq(&self, other: &Self) -> bool {
-        self.event == other.event && self.detail == other.detail
-    }
-}
-
 /// What the leader orders.
 #[derive(Clone, Debug)]
 pub enum LeaderOutput {
--- a/crates/controlplane/src/leader_state/report.rs
+++ b/crates/controlplane/src/leader_state/report.rs
@@ -1,101 +1,262 @@
 //! Reports on the leader's state for operators. The keys are part of their interface and stay as they are.
 
 use super::LeaderState;
+use super::function_leases::LeaseRecord;
+use super::members::MemberRecord;
+use super::reservations::Reservation;
+use crate::json_form;
 use common::clock::MonotonicTime;
-use common::identity::Zone;
-use serde_json::{Value, json};
+use common::frames::{KnownMember, SocketAddress};
+use common::identity::{FencingToken, FunctionKey, Incarnation, InstanceId, MemberName, RunnerId};
+use common::identity::{Version, WorkerName, Zone};
+use serde::Serialize;
 use std::collections::BTreeSet;
 
+/// A list of the leader's, in the form that operators read.
+#[derive(Clone, Debug, Serialize)]
+#[serde(untagged)]
+pub enum LeaderReport {
+    /// The members.
+    Members(MembersReport),
+    /// The function leases.
+    Holders(HoldersReport),
+    /// The workers.
+    Workers(WorkersReport),
+    /// The runners.
+    Runners(RunnersReport),
+}
+
+/// The members.
+#[derive(Clone, Debug, Serialize)]
+pub struct MembersReport {
+    /// One row for each member, by its name and incarnation.
+    pub members: Vec<MemberRow>,
+    /// Whether the claims quorum stands, so that leases are issued.
+    pub open: bool,
+}
+
+/// One incarnation of a member.
+#[derive(Clone, Debug, Serialize)]
+pub struct MemberRow {
+    /// Its name.
+    #[serde(serialize_with = "json_form::text")]
+    pub member: MemberName,
+    /// Its incarnation.
+    #[serde(serialize_with = "json_form::number")]
+    pub incarnation: Incarnation,
+    /// Its zone.
+    #[serde(rename = "locality", serialize_with = "json_form::text")]
+    pub zone: Zone,
+    /// Where other processes reach it.
+    #[serde(rename = "place", serialize_with = "json_form::text")]
+    pub address: SocketAddress,
+    /// Where it listens for callers.
+    #[serde(rename = "door", serialize_with = "json_form::text")]
+    pub ingress: SocketAddress,
+    /// Whether its stream is open.
+    pub connected: bool,
+    /// Whether function leases may be granted to it.
+    pub eligible: bool,
+    /// Whether it has a session lease.
+    #[serde(rename = "granted")]
+    pub has_lease: bool,
+    /// Milliseconds until its session lease ends.
+    #[serde(rename = "grant_left_ms")]
+    pub lease_remaining_ms: u64,
+    /// The newest version that it has installed.
+    #[serde(serialize_with = "json_form::number")]
+    pub installed: Version,
+    /// Whether it has claimed what it holds from earlier leaders.
+    pub claimed: bool,
+}
+
+/// The function leases.
+#[derive(Clone, Debug, Serialize)]
+pub struct HoldersReport {
+    /// One row for each lease, by its function.
+    pub holders: Vec<HolderRow>,
+}
+
+/// One function lease.
+#[derive(Clone, Debug, Serialize)]
+pub struct HolderRow {
+    /// The function.
+    #[serde(serialize_with = "json_form::text")]
+    pub function: FunctionKey,
+    /// The holder.
+    #[serde(serialize_with = "json_form::text")]
+    pub member: MemberName,
+    /// The lease's fencing token.
+    #[serde(rename = "grant", serialize_with = "json_form::number")]
+    pub fencing_token: FencingToken,
+    /// Whether the lease is over and what it left is being stopped.
+    pub fencing: bool,
+    /// Whether the holder is handing the function over.
+    pub handing_over: bool,
+    /// The function's runners.
+    #[serde(serialize_with = "json_form::texts")]
+    pub runners: Vec<RunnerId>,
+}
+
+/// The workers.
+#[derive(Clone, Debug, Serialize)]
+pub struct WorkersReport {
+    /// One row for each worker, by its name.
+    pub workers: Vec<WorkerRow>,
+}
+
+/// One worker.
+#[derive(Clone, Debug, Serialize)]
+pub struct WorkerRow {
+    /// Its name.
+    #[serde(serialize_with = "json_form::text")]
+    pub worker: WorkerName,
+    /// Its zone.
+    #[serde(rename = "locality", serialize_with = "json_form::text")]
+    pub zone: Zone,
+    /// Its memory in MiB.
+    pub memory_mb: u32,
+    /// What is reserved of it, in MiB.
+    pub reserved_mb: u64,
+    /// Whether the platform is emptying it.
+    pub draining: bool,
+}
+
+/// The runners.
+#[derive(Clone, Debug, Serialize)]
+pub struct RunnersReport {
+    /// One row for each runner.
+    pub runners: Vec<RunnerRow>,
+}
+
+/// One runner.
+#[derive(Clone, Debug, Serialize)]
+pub struct RunnerRow {
+    /// The runner.
+    #[serde(serialize_with = "json_form::text")]
+    pub runner: RunnerId,
+    /// Its function.
+    #[serde(serialize_with = "json_form::text")]
+    pub function: FunctionKey,
+    /// Its worker.
+    #[serde(serialize_with = "json_form::text")]
+    pub worker: WorkerName,
+    /// Its memory in MiB.
+    pub memory_mb: u32,
+    /// Whether it takes requests.
+    pub ready: bool,
+    /// Whether it is to stop.
+    pub draining: bool,
+    /// Whether its holder is gone.
+    #[serde(rename = "left")]
+    pub is_orphaned: bool,
+    /// The platform's name of it, once it has one.
+    #[serde(rename = "life", serialize_with = "json_form::optional_text")]
+    pub instance: Option<InstanceId>,
+}
+
+impl MemberRow {
+    fn new(now: MonotonicTime, known_member: &KnownMember, record: &MemberRecord) -> Self {
+        Self {
+            member: known_member.member.clone(),
+            incarnation: known_member.incarnation,
+            zone: record.host.zone.clone(),
+            address: record.host.address,
+            ingress: record.ingress,
+            connected: record.stream.is_some(),
+            eligible: record.host.eligible.0,
+            has_lease: record.lease_expires_at > now,
+            lease_remaining_ms: record.lease_expires_at.since(now).as_millis() as u64,
+            installed: record.installed,
+            claimed: record.claimed,
+        }
+    }
+}
+
+impl RunnerRow {
+    fn new(runner: RunnerId, reservation: &Reservation) -> Self {
+        Self {
+            runner,
+            function: reservation.function.clone(),
+            worker: reservation.worker.clone(),
+            memory_mb: reservation.memory_mb,
+            ready: reservation.ready,
+            draining: reservation.draining,
+            is_orphaned: reservation.is_orphaned(),
+            instance: reservation
+                .instance
+                .as_ref()
+                .map(|instance| instance.name.clone()),
+        }
+    }
+}
+
 impl LeaderState {
     /// The members, as operators read them.
-    pub fn report_members(&self, now: MonotonicTime) -> Value {
-        let rows: Vec<Value> = self
+    pub fn report_members(&self, now: MonotonicTime) -> MembersReport {
+        let members = self
             .members
             .records
             .iter()
-            .map(|(known_member, record)| {
-                json!({
-                    "member": known_member.member.as_str(),
-                    "incarnation": known_member.incarnation.0,
-                    "locality": record.host.zone.as_str(),
-                    "place": record.host.address.to_string(),
-                    "door": record.ingress.to_string(),
-                    "connected": record.stream.is_some(),
-                    "eligible": record.host.eligible.0,
-                    "granted": record.lease_expires_at > now,
-                    "grant_left_ms": record.lease_expires_at.since(now).as_millis() as u64,
-                    "installed": record.installed.0,
-                    "claimed": record.claimed,
-                })
-            })
+            .map(|(known_member, record)| MemberRow::new(now, known_member, record))
             .collect();
-        json!({"members": rows, "open": self.claims.is_open})
+        MembersReport {
+            members,
+            open: self.claims.is_open,
+        }
     }
 
     /// The function leases, as operators read them.
-    pub fn report_holders(&self) -> Value {
-        let rows: Vec<Value> = self
+    pub fn report_holders(&self) -> HoldersReport {
+        let holders = self
             .lease_records
             .iter()
-            .map(|(function, entry)| {
-                let runners: Vec<String> = self
-                    .reservations
-                    .all_of(function)
-                    .map(|(runner, _)| runner.to_string())
-                    .collect();
-                json!({
-                    "function": function.to_string(),
-                    "member": entry.holder.member.as_str(),
-                    "grant": entry.fencing_token.0,
-                    "fencing": entry.fencing_since.is_some(),
-                    "handing_over": entry.handing_over,
-                    "runners": runners,
-                })
-            })
+            .map(|(function, entry)| self.holder_row(function, entry))
             .collect();
-        json!({"holders": rows})
+        HoldersReport { holders }
+    }
+
+    fn holder_row(&self, function: &FunctionKey, entry: &LeaseRecord) -> HolderRow {
+        let runners = self.reservations.all_of(function);
+        HolderRow {
+            function: function.clone(),
+            member: entry.holder.member.clone(),
+            fencing_token: entry.fencing_token,
+            fencing: entry.fencing_since.is_some(),
+            handing_over: entry.handing_over,
+            runners: runners.map(|(runner, _)| runner).collect(),
+        }
     }
 
     /// The workers, as operators read them.
-    pub fn report_workers(&self) -> Value {
+    pub fn report_workers(&self) -> WorkersReport {
         let reserved_mb_sums = self.reserved_mb();
-        let rows: Vec<Value> = self
+        let workers = self
             .workers
             .records
             .values()
-            .map(|record| {
-                let worker = &record.listed.worker;
-                json!({
-                    "worker": worker.as_str(),
-                    "locality": record.listed.zone.as_str(),
-                    "memory_mb": record.listed.memory_mb,
-                    "reserved_mb": reserved_mb_sums.get(worker).copied().unwrap_or(0),
-                    "draining": record.listed.draining,
-                })
+            .map(|record| WorkerRow {
+                worker: record.listed.worker.clone(),
+                zone: record.listed.zone.clone(),
+                memory_mb: record.listed.memory_mb,
+                reserved_mb: reserved_mb_sums
+                    .get(&record.listed.worker)
+                    .copied()
+                    .unwrap_or(0),
+                draining: record.listed.draining,
             })
             .collect();
-        json!({"workers": rows})
+        WorkersReport { workers }
     }
 
     /// The runners, as operators read them.
-    pub fn report_runners(&self) -> Value {
-        let rows: Vec<Value> = self
+    pub fn report_runners(&self) -> RunnersReport {
+        let runners = self
             .reservations
             .iter()
-            .map(|(runner, reservation)| {
-                json!({
-                    "runner": runner.to_string(),
-                    "function": reservation.function.to_string(),
-                    "worker": reservation.worker.as_str(),
-                    "memory_mb": reservation.memory_mb,
-                    "ready": reservation.ready,
-                    "draining": reservation.draining,
-                    "left": reservation.is_orphaned(),
-                    "life": reservation.instance.as_ref().map(|instance| instance.name.as_str()),
-                })
-            })
+            .map(|(runner, reservation)| RunnerRow::new(*runner, reservation))
             .collect();
-        json!({"runners": rows})
+        RunnersReport { runners }
     }
 
     /// Counts for the metrics: open streams, function leases, runners, workers in use.
--- a/crates/controlplane/src/leader_state/runner_list.rs
+++ b/crates/controlplane/src/leader_state/runner_list.rs
@@ -1,8 +1,7 @@
 //! The platform's list of runners: it shows what was orphaned under earlier leaders and what has vanished.
 
-use super::LeaderState;
-use super::events::FoundRunnerFields;
 use super::reservations::Reservation;
+use super::{EventDetail, LeaderState};
 use common::adapter::ListedRunner;
 use common::clock::MonotonicTime;
 use common::events;
@@ -136,12 +135,12 @@
         reservation.draining = !is_wanted;
         reservation.key_unknown = listed.key.is_none();
         self.reservations.insert(runner, reservation);
-        let fields = FoundRunnerFields {
+        let detail = EventDetail::FoundRunner {
             runner,
-            instance: &listed.instance.name,
-            worker: &listed.worker,
+            instance: listed.instance.name.clone(),
+            worker: listed.worker.clone(),
         };
-        self.record_event(events::ORPHANED_RUNNER_FOUND, fields);
+        self.record_event(events::ORPHANED_RUNNER_FOUND, detail);
         self.orphan_or_stop(listed_at, runner);
     }
 
--- a/crates/controlplane/src/leader_state/runner_status.rs
+++ b/crates/controlplane/src/leader_state/runner_status.rs
@@ -1,7 +1,6 @@
 //! What members report of their runners and requests.
 
-use super::events::{EventFields, RejectionsFields, RunnerFields};
-use super::{LeaderState, StreamId};
+use super::{EventDetail, LeaderState, StreamId};
 use common::clock::MonotonicTime;
 use common::events;
 use common::frames::{RequestFailureReason, RunnerStatus};
@@ -25,15 +24,14 @@
         }
         match runner_status {
             RunnerStatus::Ready => {
-                let fields = RunnerFields {
-                    function,
+                let detail = EventDetail::Runner {
+                    function: function.clone(),
                     runner: current_name,
-                    worker: &reservation.worker,
+                    worker: reservation.worker.clone(),
                 };
-                let event_record = fields.record(events::RUNNER_READY);
                 self.reservations
                     .update(current_name, |reservation| reservation.ready = true);
-                self.push_event(event_record);
+                self.record_event(events::RUNNER_READY, detail);
             }
             RunnerStatus::Gone if current_name != runner => self.runner_vanished(current_name),
             RunnerStatus::Gone => {
@@ -64,13 +62,12 @@
         let Some(known_member) = self.members.streams.get(&stream) else {
             return;
         };
-        let fields = RejectionsFields {
-            function: &function,
-            member: &known_member.member,
+        let detail = EventDetail::Rejections {
+            function,
+            member: known_member.member.clone(),
             count,
             reason,
         };
-        let event_record = fields.record(events::REQUESTS_REJECTED);
-        self.push_event(event_record);
+        self.record_event(events::REQUESTS_REJECTED, detail);
     }
 }
--- a/crates/controlplane/src/leader_state/worker_evacuation.rs
+++ b/crates/controlplane/src/leader_state/worker_evacuation.rs
@@ -1,7 +1,6 @@
 //! Consolidation: the runners of a little used worker move to others, so that the worker can be switched off.
 
-use super::LeaderState;
-use super::events::WorkerFields;
+use super::{EventDetail, LeaderState};
 use common::clock::MonotonicTime;
 use common::events;
 use common::identity::WorkerName;
@@ -67,8 +66,7 @@
                 .any(|reservation| reservation.worker == worker);
             let is_timed_out = now.since(worker_evacuation.since) > EVACUATION_TIMEOUT;
             if is_empty {
-                let fields = WorkerFields { worker: &worker };
-                self.record_event(events::WORKER_EVACUATED, fields);
+                self.record_event(events::WORKER_EVACUATED, EventDetail::Worker { worker });
             }
             if is_empty || is_timed_out {
                 self.evacuation.current = None;
@@ -86,8 +84,10 @@
         }
         self.evacuation.next_at = now + EVACUATION_INTERVAL;
         if let Some(worker) = self.worker_to_evacuate() {
-            let fields = WorkerFields { worker: &worker };
-            self.record_event(events::WORKER_EVACUATING, fields);
+            let detail = EventDetail::Worker {
+                worker: worker.clone(),
+            };
+            self.record_event(events::WORKER_EVACUATING, detail);
             self.evacuation.current = Some(WorkerEvacuation { worker, since: now });
             self.drain_from_unusable_workers();
         }
--- a/crates/controlplane/src/leader_state/workers.rs
+++ b/crates/controlplane/src/leader_state/workers.rs
@@ -1,8 +1,7 @@
 //! The platform's workers, and the reservation of their memory for runners.
 
-use super::events::MissingMemoryFields;
 use super::reservations::Reservation;
-use super::{LeaderState, StreamId};
+use super::{EventDetail, LeaderState, StreamId};
 use common::adapter::ListedWorker;
 use common::clock::MonotonicTime;
 use common::events;
@@ -145,11 +144,11 @@
     ) {
         if now.since(self.workers.no_room_reported_at) > NO_ROOM_REPORT_INTERVAL {
             self.workers.no_room_reported_at = now;
-            let fields = MissingMemoryFields {
-                function,
+            let detail = EventDetail::MissingMemory {
+                function: function.clone(),
                 memory_mb: needed_mb,
             };
-            self.record_event(events::NO_WORKER_CAPACITY, fields);
+            self.record_event(events::NO_WORKER_CAPACITY, detail);
         }
         self.evacuation.cancel();
         self.stop_orphans(function);
--- a/crates/controlplane/src/lib.rs
+++ b/crates/controlplane/src/lib.rs
@@ -27,6 +27,7 @@
 pub mod consensus;
 pub mod controller_state;
 pub mod drivers;
+mod json_form;
 pub mod leader_state;
 pub mod settings;
 pub mod storage;
--- a/crates/controlplane/tests/leader_state.rs
+++ b/crates/controlplane/tests/leader_state.rs
@@ -12,8 +12,8 @@
     ReserveResult, RunnerStatus, SocketAddress,
 };
 use common::identity::{
-    ChangeId, ControllerId, CorrelationId, DocumentVersion, FencingToken, FunctionKey, RunnerId,
-    Term, Version,
+    ChangeId, ControllerId, CorrelationId, DocumentVersion, FencingToken, FunctionKey, MemberName,
+    RunnerId, Term, Version,
 };
 use common::spec::{Document, ListedMember, Voter, read_spec};
 use controlplane::leader_state::{
@@ -385,8 +385,8 @@
     harness.advance(ms(10));
     harness.advance(ms(10));
     verify_that!(
-        harness.leader_state.report_holders()["holders"][0]["member"],
-        eq(&json!("b"))
+        harness.leader_state.report_holders().holders[0].member,
+        eq(&MemberName::from("b"))
     )
 }
 
@@ -728,12 +728,7 @@
     };
     harness.listed(&[listed_instance(false)]);
     harness.advance(ms(10));
-    verify_that!(
-        harness.leader_state.report_runners()["runners"]
-            .as_array()
-            .map(Vec::len),
-        some(eq(1))
-    )?;
+    verify_that!(harness.leader_state.report_runners().runners.len(), eq(1))?;
     let runner_status = RunnerStatus::Started {
         instance: instance(),
     };
@@ -747,12 +742,7 @@
     );
     harness.listed(&[listed_instance(false)]);
     harness.advance(ms(10));
-    verify_that!(
-        harness.leader_state.report_runners()["runners"]
-            .as_array()
-            .map(Vec::len),
-        some(eq(1))
-    )?;
+    verify_that!(harness.leader_state.report_runners().runners.len(), eq(1))?;
     verify_that!(harness.stops(), is_empty())
 }
 
--- a/crates/controlplane/tests/operators_forms.rs
+++ b/crates/controlplane/tests/operators_forms.rs
@@ -17,7 +17,7 @@
     Wait, derive_change_id,
 };
 use controlplane::drivers::{NativeOperatorApi, OperatorApiAdapter};
-use controlplane::leader_state::EventRecord;
+use controlplane::leader_state::{EventDetail, EventRecord, LeaderReport, MembersReport};
 use hyper::http::request::Parts;
 use hyper::{Method, Request};
 use serde_json::{Value, json};
@@ -417,7 +417,10 @@
         ("events", OperationReply::Events(event_entries())),
         (
             "report",
-            OperationReply::LeaderReport(json!({"members": [], "open": true})),
+            OperationReply::LeaderReport(LeaderReport::Members(MembersReport {
+                members: Vec::new(),
+                open: true,
+            })),
         ),
         ("bootstrapping", OperationReply::Bootstrapping),
         (
@@ -510,7 +513,7 @@
 fn event_entries() -> Vec<EventEntry> {
     let event_record = EventRecord {
         event: events::LEADER_ELECTED,
-        detail: json!({"term": 3}),
+        detail: EventDetail::Term { term: Term(3) },
     };
     vec![
         EventEntry::Gap {
--- a/testing/fleet/src/synthetic/controllers.rs
+++ b/testing/fleet/src/synthetic/controllers.rs
@@ -21,7 +21,7 @@
     ChangeKind, ControllerInput, ControllerOutput, ControllerState, NumberedEvent, Operation,
     OperationReply, OperationTicket, Wait,
 };
-use controlplane::leader_state::{LeaderTiming, StreamId};
+use controlplane::leader_state::{EventDetail, LeaderTiming, StreamId};
 use serde_json::Value;
 use std::time::Duration;
 
@@ -351,7 +351,10 @@
         if numbered.event_record.event != events::VERSION_IN_FORCE {
             return;
         }
-        let in_force = numbered.event_record.detail["serial"].as_u64();
+        let in_force = match &numbered.event_record.detail {
+            EventDetail::Version { version } => Some(version.0),
+            _ => None,
+        };
         let leader_nanos = self.meter.leader_nanos;
         let now = self.now;
         let done: Vec<OperationTicket> = self
