--- a/crates/controlplane/src/consensus/mod.rs
+++ b/crates/controlplane/src/consensus/mod.rs
@@ -43,6 +43,7 @@
 pub use peers::PeerStatus;
 pub use quorum_plan::{DEFAULT_VOTERS, QuorumPlan, QuorumPolicy};
 pub use replication::ProposeError;
+pub use state::ReportedMembership;
 pub use timing::ConsensusTiming;
 
 use common::clock::MonotonicTime;
@@ -53,8 +54,7 @@
 use common::spec::Document;
 use peers::PeerTable;
 use replication::EncodedVersion;
-use state::{HardState, LeaderKnowledge, LocalNode, NodeOptions, ReportedMembership, Role, Timers};
-use std::collections::BTreeSet;
+use state::{HardState, LeaderKnowledge, LocalNode, NodeOptions, Role, Timers};
 use writes::{PendingWriteKind, PendingWrites};
 
 /// Where one controller is reached.
@@ -226,10 +226,9 @@
         matches!(&self.role, Role::Leader(heartbeats) if heartbeats.confirmed_members().contains(member))
     }
 
-    /// Sets the daemons that may hold leases, for the next heartbeats to report; `complete` when there
-    /// are certainly no others.
-    pub fn set_members(&mut self, members: BTreeSet<KnownMember>, complete: bool) {
-        self.membership = ReportedMembership { members, complete };
+    /// Sets the daemons that may hold leases, for the next heartbeats to report.
+    pub fn set_members(&mut self, membership: ReportedMembership) {
+        self.membership = membership;
     }
 
     /// When [`Self::tick`] is due next, unless an input changes that.
--- a/crates/controlplane/src/consensus/state.rs
+++ b/crates/controlplane/src/consensus/state.rs
@@ -181,8 +181,9 @@
 }
 
 /// The daemons that may hold leases, as a leader reports them to the voters.
-#[derive(Clone, Debug, Default)]
-pub(super) struct ReportedMembership {
+#[derive(Clone, PartialEq, Eq, Debug, Default)]
+pub struct ReportedMembership {
+    /// These daemons.
     pub members: BTreeSet<KnownMember>,
     /// Whether there are certainly no others.
     pub complete: bool,
--- a/crates/controlplane/src/controller_state/mod.rs
+++ b/crates/controlplane/src/controller_state/mod.rs
@@ -256,8 +256,8 @@
         let Some(leader_state) = &mut self.leader_state else {
             return;
         };
-        if let Some((known_members, complete)) = leader_state.take_known_members() {
-            self.consensus.set_members(known_members, complete);
+        if let Some(known_members) = leader_state.take_known_members() {
+            self.consensus.set_members(known_members);
         }
         let consensus = &self.consensus;
         let proof = QuorumProof {
--- a/crates/controlplane/src/controller_state/traces.rs
+++ b/crates/controlplane/src/controller_state/traces.rs
@@ -147,8 +147,9 @@
             .as_ref()
             .filter(|_| is_leading_now)
             .map(|leader_state| leader_state.laggards(now, version));
-        for (member, reason) in laggards.unwrap_or_default() {
-            members.entry(member).or_default().lagging = Some(reason);
+        for laggard in laggards.unwrap_or_default() {
+            let report = members.entry(laggard.member).or_default();
+            report.lagging = Some(laggard.reason.as_str());
         }
         VersionTraceReport {
             term: trace.term,
--- a/crates/controlplane/src/drivers/controller.rs
+++ b/crates/controlplane/src/drivers/controller.rs
@@ -8,7 +8,7 @@
 use crate::consensus::{ConsensusNode, ControllerAddress, PersistedState};
 use crate::controller_state::{ControllerInput, ControllerOutput, ControllerState, Operation};
 use crate::settings::ControllerSettings;
-use crate::storage::{DataDirectory, DataDirectoryError, DiskFaultHook, NoFaults};
+use crate::storage::{DataDirectory, DataDirectoryError, DiskFaultHook, LoadedState, NoFaults};
 use common::adapter::{NativePlatform, PlatformAdapter};
 use common::clock::MonotonicTime;
 use common::events;
@@ -224,7 +224,10 @@
     if settings.bootstrap_on_first_start {
         data_directory.record_first_start()?;
     }
-    let (persisted, quarantined) = data_directory.load(fresh_id)?;
+    let LoadedState {
+        persisted,
+        quarantined,
+    } = data_directory.load(fresh_id)?;
     for damaged_name in quarantined {
         log_event!(Warn, events::DAMAGED_FILE_SET_ASIDE, "{damaged_name}");
     }
--- a/crates/controlplane/src/drivers/operators.rs
+++ b/crates/controlplane/src/drivers/operators.rs
@@ -162,45 +162,36 @@
 
 /// At a leader, does what takes long about a change before it reaches the controller's loop: the change gets
 /// its name, and a complete spec shares its records with the newest one; new records are checked and digested.
-fn prepare_operation(shared: &Shared, operation: Operation) -> Operation {
+fn prepare_operation(shared: &Shared, mut operation: Operation) -> Operation {
     if !*shared.published.leadership.borrow() {
         return operation;
     }
-    match operation {
-        Operation::Change {
-            base,
-            numbering,
-            change,
-            kind,
-            wait,
-        } if !kind.is_zone_change() => {
-            let change = change.unwrap_or_else(|| derive_change_id(base, numbering, &kind));
-            Operation::Change {
-                base,
-                numbering,
-                change: Some(change),
-                kind: prepare_kind(shared, kind),
-                wait,
-            }
-        }
-        other => other,
+    if let Operation::Change {
+        base,
+        numbering,
+        change,
+        kind,
+        ..
+    } = &mut operation
+        && !kind.is_zone_change()
+    {
+        change.get_or_insert_with(|| derive_change_id(*base, *numbering, kind));
+        prepare_kind(shared, kind);
     }
+    operation
 }
 
-fn prepare_kind(shared: &Shared, kind: ChangeKind) -> ChangeKind {
-    match kind {
-        ChangeKind::FullSpec(spec) => ChangeKind::FullSpec(prepare_spec(shared, spec)),
-        other => other,
+fn prepare_kind(shared: &Shared, kind: &mut ChangeKind) {
+    if let ChangeKind::FullSpec(spec) = kind {
+        prepare_spec(shared, spec);
     }
 }
 
-fn prepare_spec(shared: &Shared, spec: SpecRecords) -> SpecRecords {
-    let spec = match shared.published.newest_spec() {
-        Some(newest_spec) => spec.sharing_records_with(&newest_spec),
-        None => spec,
-    };
+fn prepare_spec(shared: &Shared, spec: &mut SpecRecords) {
+    if let Some(newest_spec) = shared.published.newest_spec() {
+        *spec = spec.sharing_records_with(&newest_spec);
+    }
     // The records hold the results, which the controller's loop asks for again.
     let _ = spec.check();
     let _ = spec.digest();
-    spec
 }
--- a/crates/controlplane/src/leader_state/document_delivery.rs
+++ b/crates/controlplane/src/leader_state/document_delivery.rs
@@ -1,5 +1,6 @@
 //! Delivery of the configuration: the committed document goes to every member, as deltas where possible.
 
+use super::members::MemberRecord;
 use super::{EventDetail, LeaderOutput, LeaderState, StreamId, TraceStep};
 use common::clock::MonotonicTime;
 use common::events;
@@ -16,6 +17,47 @@
 /// Whether a version is in force is checked this often, not at each member's report.
 const IN_FORCE_CHECK_INTERVAL: Duration = Duration::from_millis(5);
 
+/// A member that has not installed a version.
+#[derive(Clone, PartialEq, Eq, Debug)]
+pub struct Laggard {
+    /// The member.
+    pub member: MemberName,
+    /// Why it has not, as far as the leader can see.
+    pub reason: LagReason,
+}
+
+/// Why a member has not installed a version.
+#[derive(Clone, Copy, PartialEq, Eq, Debug)]
+pub enum LagReason {
+    /// Its session lease has ended.
+    LeaseEnded,
+    /// Its stream is closed.
+    Disconnected,
+    /// It has not acknowledged the version yet.
+    NotAcknowledged,
+}
+
+impl LagReason {
+    fn of(now: MonotonicTime, record: &MemberRecord) -> Self {
+        if now >= record.lease_expiry_bound {
+            Self::LeaseEnded
+        } else if record.stream.is_none() {
+            Self::Disconnected
+        } else {
+            Self::NotAcknowledged
+        }
+    }
+
+    /// The reason as it stands in response bodies.
+    pub fn as_str(self) -> &'static str {
+        match self {
+            Self::LeaseEnded => "grant ended",
+            Self::Disconnected => "cut off",
+            Self::NotAcknowledged => "not acknowledged",
+        }
+    }
+}
+
 /// The committed document, and what is needed to deliver it to the members.
 pub(super) struct Configuration {
     pub document: Option<Document>,
@@ -247,24 +289,14 @@
     }
 
     /// The members that have not installed a version, and why, as far as the leader can see.
-    pub fn laggards(
-        &self,
-        now: MonotonicTime,
-        version: Version,
-    ) -> Vec<(MemberName, &'static str)> {
+    pub fn laggards(&self, now: MonotonicTime, version: Version) -> Vec<Laggard> {
         self.members
             .records
             .iter()
             .filter(|(_, record)| record.installed < version)
-            .map(|(known_member, record)| {
-                let reason = if now >= record.lease_expiry_bound {
-                    "grant ended"
-                } else if record.stream.is_none() {
-                    "cut off"
-                } else {
-                    "not acknowledged"
-                };
-                (known_member.member.clone(), reason)
+            .map(|(known_member, record)| Laggard {
+                member: known_member.member.clone(),
+                reason: LagReason::of(now, record),
             })
             .collect()
     }
--- a/crates/controlplane/src/leader_state/ledger_replicas.rs
+++ b/crates/controlplane/src/leader_state/ledger_replicas.rs
@@ -54,23 +54,30 @@
             return;
         };
         let replica = self.choose_replica(now, &function, &holder, Some(lost));
+        let is_holder = self
+            .lease_records
+            .get(&function)
+            .is_some_and(|entry| entry.holder == holder && entry.fencing_token == fencing_token);
+        if is_holder {
+            self.assign_replica(stream, function, replica);
+        }
+    }
+
+    /// Assigns another replica, or none, to a leased function, and notifies its holder on the stream.
+    fn assign_replica(&mut self, stream: StreamId, function: FunctionKey, replica: Option<Host>) {
         let Some(entry) = self.lease_records.get_mut(&function) else {
             return;
         };
-        if entry.holder != holder || entry.fencing_token != fencing_token {
-            return;
-        }
         entry.replica = replica.clone();
         entry.complete = false;
+        let fencing_token = entry.fencing_token;
         let replica = LengthPrefixed(replica.into_iter().collect());
-        self.send_frame(
-            stream,
-            LeaderToDaemon::ReplicaAssigned {
-                function,
-                fencing_token,
-                replica,
-            },
-        );
+        let frame = LeaderToDaemon::ReplicaAssigned {
+            function,
+            fencing_token,
+            replica,
+        };
+        self.send_frame(stream, frame);
     }
 
     /// The replica has the holder's complete ledger: it can answer for this lease when it has ended.
@@ -109,36 +116,23 @@
         if !std::mem::take(&mut self.replica_assignment_due) {
             return;
         }
-        let functions_without_replica: Vec<(FunctionKey, FencingToken, KnownMember)> = self
+        let functions_without_replica: Vec<(FunctionKey, KnownMember)> = self
             .lease_records
             .iter()
             .filter(|(_, entry)| entry.replica.is_none() && entry.fencing_since.is_none())
             .filter(|(function, _)| self.is_recorded(function))
-            .map(|(function, entry)| (function.clone(), entry.fencing_token, entry.holder.clone()))
+            .map(|(function, entry)| (function.clone(), entry.holder.clone()))
             .collect();
-        for (function, fencing_token, holder) in functions_without_replica {
+        for (function, holder) in functions_without_replica {
             let stream = self
                 .members
                 .records
                 .get(&holder)
                 .and_then(|record| record.stream);
             let replica = self.choose_replica(now, &function, &holder, None);
-            let (Some(stream), Some(replica)) = (stream, replica) else {
-                continue;
-            };
-            if let Some(entry) = self.lease_records.get_mut(&function) {
-                entry.replica = Some(replica.clone());
-                entry.complete = false;
+            if let (Some(stream), Some(replica)) = (stream, replica) {
+                self.assign_replica(stream, function, Some(replica));
             }
-            let replica = LengthPrefixed(vec![replica]);
-            self.send_frame(
-                stream,
-                LeaderToDaemon::ReplicaAssigned {
-                    function,
-                    fencing_token,
-                    replica,
-                },
-            );
         }
     }
 }
--- a/crates/controlplane/src/leader_state/members.rs
+++ b/crates/controlplane/src/leader_state/members.rs
@@ -51,48 +51,42 @@
 
 impl MemberRecord {
     /// A member that has just said hello for the first time.
-    fn new(
-        now: MonotonicTime,
-        host: Host,
-        ingress: SocketAddress,
-        version: Version,
-        history: &IncarnationHistory,
-    ) -> Self {
+    fn new(now: MonotonicTime, hello: &MemberHello) -> Self {
         Self {
-            is_self_eligible: host.eligible.0,
-            host,
-            ingress,
+            is_self_eligible: hello.host.eligible.0,
+            host: hello.host.clone(),
+            ingress: hello.ingress,
             stream: None,
             lease_expires_at: MonotonicTime::ZERO,
             lease_expiry_bound: MonotonicTime::ZERO,
-            installed: version,
-            pushed: version,
+            installed: hello.version,
+            pushed: hello.version,
             claimed: false,
             last_heard_at: now,
             swept: false,
             joined_at: now,
-            started_at: history.started_at,
-            had_lease: history.had_lease,
+            started_at: hello.history.started_at,
+            had_lease: hello.history.had_lease,
             last_frame_at: now,
             pushed_hosts_number: 0,
             has_departed: false,
         }
     }
 
-    /// The member says hello on a stream, with the version that it has installed.
+    /// The member says hello on a stream; `shown_host` is how other members are to see it.
     fn connect(
         &mut self,
         now: MonotonicTime,
         stream: StreamId,
-        host: Host,
-        ingress: SocketAddress,
-        version: Version,
+        hello: &MemberHello,
+        shown_host: Host,
     ) {
+        self.is_self_eligible = hello.host.eligible.0;
         self.stream = Some(stream);
-        self.host = host;
-        self.ingress = ingress;
-        self.installed = version;
-        self.pushed = version;
+        self.host = shown_host;
+        self.ingress = hello.ingress;
+        self.installed = hello.version;
+        self.pushed = hello.version;
         self.last_heard_at = now;
         self.last_frame_at = now;
         self.pushed_hosts_number = 0;
@@ -106,6 +100,17 @@
     }
 }
 
+/// What a member reports when it opens its stream.
+pub(super) struct MemberHello {
+    /// The member as it sees itself.
+    pub host: Host,
+    /// Where it listens for callers.
+    pub ingress: SocketAddress,
+    /// The version that it has installed.
+    pub version: Version,
+    pub history: IncarnationHistory,
+}
+
 /// What a member reports of its incarnation when it says hello.
 pub(super) struct IncarnationHistory {
     pub started_at: MonotonicTime,
@@ -185,11 +190,9 @@
         &mut self,
         now: MonotonicTime,
         stream: StreamId,
-        host: Host,
-        ingress: SocketAddress,
-        version: Version,
-        history: IncarnationHistory,
+        hello: MemberHello,
     ) {
+        let host = &hello.host;
         let known_member = KnownMember {
             member: host.member.clone(),
             incarnation: host.incarnation,
@@ -202,17 +205,16 @@
             self.claims.member_restarted_at = now;
         }
         self.members.attach(stream, &known_member);
-        let is_self_eligible = host.eligible.0;
         let shown_host = Host {
-            eligible: Flag(is_self_eligible && !self.is_evacuated(&host.zone)),
+            eligible: Flag(host.eligible.0 && !self.is_evacuated(&host.zone)),
             ..host.clone()
         };
-        let record =
-            self.members.records.entry(known_member).or_insert_with(|| {
-                MemberRecord::new(now, host.clone(), ingress, version, &history)
-            });
-        record.is_self_eligible = is_self_eligible;
-        record.connect(now, stream, shown_host, ingress, version);
+        let record = self
+            .members
+            .records
+            .entry(known_member)
+            .or_insert_with(|| MemberRecord::new(now, &hello));
+        record.connect(now, stream, &hello, shown_host);
         self.members.changed = true;
         self.membership_list.check_due = true;
         self.hosts.member_connected(&host.member);
@@ -224,9 +226,9 @@
         );
         self.push_newest(stream);
         let detail = EventDetail::MemberConnected {
-            member: host.member,
-            incarnation: host.incarnation,
-            zone: host.zone,
+            member: hello.host.member,
+            incarnation: hello.host.incarnation,
+            zone: hello.host.zone,
         };
         self.record_event(events::MEMBER_CONNECTED, detail);
     }
--- a/crates/controlplane/src/leader_state/mod.rs
+++ b/crates/controlplane/src/leader_state/mod.rs
@@ -27,7 +27,7 @@
 mod worker_evacuation;
 mod workers;
 
-pub use document_delivery::RETAINED_VIEWS;
+pub use document_delivery::{LagReason, Laggard, RETAINED_VIEWS};
 pub use events::{EventDetail, EventRecord};
 pub use output::{LeaderOutput, StreamId, TraceStep};
 pub use report::{
@@ -36,6 +36,7 @@
 };
 pub use timing::LeaderTiming;
 
+use crate::consensus::ReportedMembership;
 use acquisitions::Acquisitions;
 use claims_quorum::ClaimsQuorum;
 use common::clock::MonotonicTime;
@@ -158,21 +159,20 @@
         self.claims.is_open
     }
 
-    /// The members that may hold leases, and whether there are surely no others.
-    pub fn known_members(&self) -> (BTreeSet<KnownMember>, bool) {
-        let mut known_members: BTreeSet<KnownMember> =
-            self.members.records.keys().cloned().collect();
+    /// The members that may hold leases.
+    pub fn known_members(&self) -> ReportedMembership {
+        let mut members: BTreeSet<KnownMember> = self.members.records.keys().cloned().collect();
         if !self.claims.is_open {
-            known_members.extend(self.claims.last_known.iter().cloned());
+            members.extend(self.claims.last_known.iter().cloned());
+        }
+        ReportedMembership {
+            members,
+            complete: self.claims.last_known_complete || self.claims.is_open,
         }
-        (
-            known_members,
-            self.claims.last_known_complete || self.claims.is_open,
-        )
     }
 
     /// The known members, if they may have changed since this was last called.
-    pub fn take_known_members(&mut self) -> Option<(BTreeSet<KnownMember>, bool)> {
+    pub fn take_known_members(&mut self) -> Option<ReportedMembership> {
         std::mem::take(&mut self.members.changed).then(|| self.known_members())
     }
 
--- a/crates/controlplane/src/leader_state/receive.rs
+++ b/crates/controlplane/src/leader_state/receive.rs
@@ -1,7 +1,7 @@
 //! The dispatch of frames from members.
 
 use super::acquisitions::PendingAcquisition;
-use super::members::IncarnationHistory;
+use super::members::{IncarnationHistory, MemberHello};
 use super::{LeaderState, StreamId};
 use common::clock::MonotonicTime;
 use common::frames::DaemonToLeader;
@@ -50,8 +50,13 @@
                 age_ms,
                 granted,
             } => {
-                let history = IncarnationHistory::new(now, age_ms, granted);
-                self.handle_hello(now, stream, host, ingress, version, history);
+                let hello = MemberHello {
+                    host,
+                    ingress,
+                    version,
+                    history: IncarnationHistory::new(now, age_ms, granted),
+                };
+                self.handle_hello(now, stream, hello);
             }
             DaemonToLeader::Claims { claims } => self.handle_claims(now, stream, claims.0),
             DaemonToLeader::Renew {
--- a/crates/controlplane/src/storage/mod.rs
+++ b/crates/controlplane/src/storage/mod.rs
@@ -21,4 +21,4 @@
 pub use directory::DataDirectory;
 pub use error::DataDirectoryError;
 pub use fault_hook::{DiskFaultHook, NoFaults};
-pub use recovery::force_single_voter;
+pub use recovery::{LoadedState, force_single_voter};
--- a/crates/controlplane/src/storage/recovery.rs
+++ b/crates/controlplane/src/storage/recovery.rs
@@ -12,6 +12,15 @@
 /// The candidate of a vote that became unreadable: no controller, so that nobody is sent the vote again.
 const UNREADABLE_CANDIDATE: ControllerId = ControllerId(0);
 
+/// What a data directory holds at start.
+#[derive(Clone, Debug)]
+pub struct LoadedState {
+    /// The persistent state.
+    pub persisted: PersistedState,
+    /// The names of the damaged files, which are now kept under other names.
+    pub quarantined: Vec<String>,
+}
+
 /// Writes a version in which the controller of this disk is the only voter, and returns its document
 /// version. For operators whose control quorum has lost its majority for good; to be run while the
 /// controller is stopped.
@@ -25,7 +34,7 @@
         return Err(DataDirectoryError::NothingToRecover);
     }
     let data_directory = DataDirectory::open(directory)?;
-    let (persisted, _) = data_directory.load(ControllerId(0))?;
+    let persisted = data_directory.load(ControllerId(0))?.persisted;
     let recovered_document = persisted
         .accepted
         .as_ref()
@@ -37,7 +46,7 @@
 }
 
 impl DataDirectory {
-    /// Reads the persistent state, and returns the names of damaged files with it. An empty directory
+    /// Reads the persistent state. An empty directory
     /// takes `fresh_id` as its identity. Damage is recorded, and damaged files are kept under other
     /// names.
     ///
@@ -48,10 +57,7 @@
     ///
     /// [`DataDirectoryError::File`] when the directory could not be read, or damage not be recorded.
     /// What was found until then stays recorded, and the rest is found again by the next call.
-    pub fn load(
-        &self,
-        fresh_id: ControllerId,
-    ) -> Result<(PersistedState, Vec<String>), DataDirectoryError> {
+    pub fn load(&self, fresh_id: ControllerId) -> Result<LoadedState, DataDirectoryError> {
         let stored_id = self.read_id(file_names::IDENTITY);
         let mut persisted = PersistedState::empty(stored_id.unwrap_or(fresh_id));
         let damaged_names = self.read_stored_files(&mut persisted)?;
@@ -62,7 +68,10 @@
         if stored_id.is_none() {
             self.start_identity(&mut persisted)?;
         }
-        Ok((persisted, damaged_names))
+        Ok(LoadedState {
+            persisted,
+            quarantined: damaged_names,
+        })
     }
 
     /// Reads votes and versions from old to new, and returns the names of the damaged files.
--- a/crates/controlplane/tests/storage.rs
+++ b/crates/controlplane/tests/storage.rs
@@ -4,7 +4,7 @@
 use common::identity::{ChangeId, ControllerId, DocumentVersion, Term, Zone};
 use common::spec::{Document, Voter};
 use controlplane::consensus::WriteJob;
-use controlplane::storage::{DataDirectory, DiskFaultHook};
+use controlplane::storage::{DataDirectory, DiskFaultHook, LoadedState};
 use googletest::prelude::*;
 use std::fs;
 use std::io;
@@ -78,7 +78,10 @@
 fn the_newest_version_and_vote_come_back_and_old_ones_go() -> Result<()> {
     let directory = TempDirectory::new("newest");
     let stored_versions = fill_directory(&directory, 30);
-    let (persisted, quarantined) = DataDirectory::open(&directory.0)?.load(ControllerId(1))?;
+    let LoadedState {
+        persisted,
+        quarantined,
+    } = DataDirectory::open(&directory.0)?.load(ControllerId(1))?;
     verify_that!(persisted.id, eq(ControllerId(7)))?;
     verify_that!(persisted.voted_for, some(eq((Term(4), ControllerId(9)))))?;
     verify_that!(
@@ -100,7 +103,10 @@
         .join(format!("spec-{:016x}-{:016x}.aside", 9, 9));
     for cut in (0..full_bytes.len()).step_by(37) {
         fs::write(&temporary_path, &full_bytes[..cut])?;
-        let (persisted, quarantined) = DataDirectory::open(&directory.0)?.load(ControllerId(1))?;
+        let LoadedState {
+            persisted,
+            quarantined,
+        } = DataDirectory::open(&directory.0)?.load(ControllerId(1))?;
         verify_that!(
             persisted.accepted.as_ref() == stored_versions.last(),
             eq(true)
@@ -121,7 +127,9 @@
     damaged_bytes[middle] ^= 1;
     fs::write(&damaged_path, damaged_bytes)?;
     for _ in 0..2 {
-        let (persisted, _) = DataDirectory::open(&directory.0)?.load(ControllerId(1))?;
+        let persisted = DataDirectory::open(&directory.0)?
+            .load(ControllerId(1))?
+            .persisted;
         verify_that!(
             persisted.accepted.as_ref() == stored_versions.get(2),
             eq(true)
@@ -139,7 +147,10 @@
     let directory = TempDirectory::new("vote");
     fill_directory(&directory, 2);
     fs::write(directory.newest("vote-"), "")?;
-    let (persisted, quarantined) = DataDirectory::open(&directory.0)?.load(ControllerId(1))?;
+    let LoadedState {
+        persisted,
+        quarantined,
+    } = DataDirectory::open(&directory.0)?.load(ControllerId(1))?;
     verify_that!(quarantined.len(), eq(1))?;
     verify_that!(persisted.voted_for, some(eq((Term(4), ControllerId(0)))))
 }
@@ -147,10 +158,14 @@
 #[gtest]
 fn an_empty_folder_is_a_new_identity() -> Result<()> {
     let directory = TempDirectory::new("empty");
-    let (persisted, _) = DataDirectory::open(&directory.0)?.load(ControllerId(42))?;
+    let persisted = DataDirectory::open(&directory.0)?
+        .load(ControllerId(42))?
+        .persisted;
     verify_that!(persisted.id, eq(ControllerId(42)))?;
     verify_that!(persisted.accepted.is_none(), eq(true))?;
-    let (reopened, _) = DataDirectory::open(&directory.0)?.load(ControllerId(43))?;
+    let reopened = DataDirectory::open(&directory.0)?
+        .load(ControllerId(43))?
+        .persisted;
     verify_that!(reopened.id, eq(ControllerId(42)))
 }
 
@@ -162,7 +177,10 @@
     verify_that!(data_directory.scrub(stored_versions.last())?, is_empty())?;
     fs::write(directory.newest("spec-"), "rot")?;
     verify_that!(data_directory.scrub(stored_versions.last())?.len(), eq(1))?;
-    let (persisted, quarantined) = data_directory.load(ControllerId(1))?;
+    let LoadedState {
+        persisted,
+        quarantined,
+    } = data_directory.load(ControllerId(1))?;
     verify_that!(
         persisted.accepted.as_ref() == stored_versions.last(),
         eq(true)
@@ -185,7 +203,9 @@
         document_version > stored_versions[2].document_version,
         eq(true)
     )?;
-    let (persisted, _) = DataDirectory::open(&directory.0)?.load(ControllerId(1))?;
+    let persisted = DataDirectory::open(&directory.0)?
+        .load(ControllerId(1))?
+        .persisted;
     let recovered_document = persisted.accepted.expect("a version");
     verify_that!(recovered_document.voters.len(), eq(1))?;
     verify_that!(
@@ -213,7 +233,7 @@
     fill_directory(&directory, 2);
     fs::write(directory.0.join("identity"), "rot")?;
     let data_directory = DataDirectory::open(&directory.0)?;
-    let (persisted, _) = data_directory.load(ControllerId(9))?;
+    let persisted = data_directory.load(ControllerId(9))?.persisted;
     verify_that!(persisted.is_empty(), eq(true))?;
     verify_that!(data_directory.is_first_start(), eq(false))
 }
@@ -243,7 +263,9 @@
         fs::write(directory.newest("spec-"), "rot")?;
         let full = Box::new(FullAfter(AtomicUsize::new(writes)));
         let _ = DataDirectory::open_with(&directory.0, full)?.load(ControllerId(1));
-        let (persisted, _) = DataDirectory::open(&directory.0)?.load(ControllerId(1))?;
+        let persisted = DataDirectory::open(&directory.0)?
+            .load(ControllerId(1))?
+            .persisted;
         verify_that!(
             persisted.unreadable_version,
             eq(stored_versions[3].document_version)
@@ -258,7 +280,9 @@
     let stored_versions = fill_directory(&directory, 4);
     for _ in 0..2 {
         fs::write(directory.newest("spec-"), "rot")?;
-        let (persisted, _) = DataDirectory::open(&directory.0)?.load(ControllerId(1))?;
+        let persisted = DataDirectory::open(&directory.0)?
+            .load(ControllerId(1))?
+            .persisted;
         verify_that!(
             persisted.unreadable_version,
             eq(stored_versions[3].document_version)
@@ -273,7 +297,9 @@
     fill_directory(&directory, 2);
     fs::write(directory.newest("vote-"), "")?;
     for _ in 0..3 {
-        let (persisted, _) = DataDirectory::open(&directory.0)?.load(ControllerId(1))?;
+        let persisted = DataDirectory::open(&directory.0)?
+            .load(ControllerId(1))?
+            .persisted;
         verify_that!(persisted.voted_for, some(eq((Term(4), ControllerId(0)))))?;
     }
     Ok(())
--- a/crates/controlplane/tests/stored_forms.rs
+++ b/crates/controlplane/tests/stored_forms.rs
@@ -7,8 +7,8 @@
 use common::frames::SocketAddress;
 use common::identity::{ChangeId, ControllerId, DocumentVersion, Term, Version};
 use common::spec::{Document, ListedMember, Voter, read_spec};
-use controlplane::consensus::{PersistedState, WriteJob};
-use controlplane::storage::DataDirectory;
+use controlplane::consensus::WriteJob;
+use controlplane::storage::{DataDirectory, LoadedState};
 use forms::{Folder, compare, hold};
 use googletest::prelude::*;
 use serde_json::json;
@@ -94,7 +94,7 @@
     Ok(())
 }
 
-fn start(directory: &Folder) -> Result<(PersistedState, Vec<String>)> {
+fn start(directory: &Folder) -> Result<LoadedState> {
     Ok(DataDirectory::open(&directory.0)?.load(FRESH)?)
 }
 
@@ -116,7 +116,10 @@
 #[gtest]
 fn a_folder_of_earlier_sources_is_opened_as_ever() -> Result<()> {
     let directory = Folder::copy_of(DATA, "opened")?;
-    let (persisted, quarantined) = start(&directory)?;
+    let LoadedState {
+        persisted,
+        quarantined,
+    } = start(&directory)?;
     verify_that!(persisted.id, eq(OWN))?;
     verify_that!(persisted.voted_for, some(eq((Term(3), OTHER))))?;
     let newest = persisted.accepted.expect("a version");
@@ -140,13 +143,16 @@
 #[gtest]
 fn a_folder_of_earlier_sources_is_written_on() -> Result<()> {
     let directory = Folder::copy_of(DATA, "written-on")?;
-    let (persisted, _) = start(&directory)?;
+    let persisted = start(&directory)?.persisted;
     let newest = persisted.accepted.expect("a version");
     let next = newest.with_zone("zone-2".into(), false, ChangeId::from("zone-2 back"));
     let data_directory = DataDirectory::open(&directory.0)?;
     data_directory.write(&vote(5, OWN))?;
     data_directory.write(&WriteJob::Version(next.clone()))?;
-    let (persisted, quarantined) = start(&directory)?;
+    let LoadedState {
+        persisted,
+        quarantined,
+    } = start(&directory)?;
     verify_that!(persisted.id, eq(OWN))?;
     verify_that!(persisted.voted_for, some(eq((Term(5), OWN))))?;
     verify_that!(persisted.accepted == Some(next), eq(true))?;
@@ -164,7 +170,10 @@
     let directory = Folder::copy_of(DATA, "damaged")?;
     flip_byte(&directory, NEWEST_VERSION, 40)?;
     flip_byte(&directory, NEWEST_VOTE, 1)?;
-    let (persisted, quarantined) = start(&directory)?;
+    let LoadedState {
+        persisted,
+        quarantined,
+    } = start(&directory)?;
     verify_that!(quarantined, eq(&[NEWEST_VERSION, NEWEST_VOTE]))?;
     verify_that!(persisted.id, eq(OWN))?;
     verify_that!(persisted.voted_for, some(eq((Term(3), ControllerId(0)))))?;
@@ -182,7 +191,10 @@
 #[gtest]
 fn what_earlier_sources_kept_of_a_damage_is_known_as_ever() -> Result<()> {
     let directory = Folder::copy_of(DAMAGED, "known")?;
-    let (persisted, quarantined) = start(&directory)?;
+    let LoadedState {
+        persisted,
+        quarantined,
+    } = start(&directory)?;
     verify_that!(quarantined, is_empty())?;
     verify_that!(persisted.voted_for, some(eq((Term(3), ControllerId(0)))))?;
     verify_that!(
@@ -203,7 +215,7 @@
 fn a_folder_without_its_identity_is_foreign_as_ever() -> Result<()> {
     let directory = Folder::copy_of(DATA, "foreign")?;
     flip_byte(&directory, "identity", 1)?;
-    let (persisted, _) = start(&directory)?;
+    let persisted = start(&directory)?.persisted;
     verify_that!(persisted.id, eq(FRESH))?;
     verify_that!(persisted.voted_for, none())?;
     verify_that!(persisted.accepted.is_none(), eq(true))?;
