--- a/crates/controlplane/src/leader_state/acquisitions.rs
+++ b/crates/controlplane/src/leader_state/acquisitions.rs
@@ -155,7 +155,7 @@
             if entry.fencing_since.is_some() || entry.handing_over {
                 return None;
             }
-            let holder_record = self.members.records.get(&entry.holder)?;
+            let holder_record = self.members.get(&entry.holder)?;
             let is_cut_off = holder_record.stream.is_none();
             return is_cut_off.then(|| holder_record.lease_expiry_bound + EXPECTED_FENCING_TIME);
         }
@@ -172,7 +172,7 @@
         now: MonotonicTime,
         acquisition: &PendingAcquisition,
     ) -> Option<AcquireResult> {
-        let requester = self.members.streams.get(&acquisition.stream).cloned()?;
+        let requester = self.members.on_stream(acquisition.stream).cloned()?;
         let function = &acquisition.function;
         if let Some(entry) = self.lease_records.get(function) {
             return self.answer_held(now, entry, &requester);
@@ -183,7 +183,7 @@
         if self.configuration.table.function_of(function).is_none() {
             return self.answer_unknown_function(&requester);
         }
-        let record = self.members.records.get(&requester);
+        let record = self.members.get(&requester);
         if !record.is_some_and(|record| record.host.eligible.0) {
             return Some(AcquireResult::Rejected);
         }
@@ -202,7 +202,7 @@
         if entry.fencing_since.is_some() || entry.handing_over {
             return None;
         }
-        let holder_record = self.members.records.get(&entry.holder)?;
+        let holder_record = self.members.get(&entry.holder)?;
         if entry.holder == *requester {
             return self.claims.is_open.then(|| AcquireResult::Granted {
                 fencing_token: entry.fencing_token,
@@ -233,7 +233,7 @@
     /// A function that the newest version does not have is rejected, unless the requester has installed a
     /// version that is newer than this controller's.
     fn answer_unknown_function(&self, requester: &KnownMember) -> Option<AcquireResult> {
-        let record = self.members.records.get(requester);
+        let record = self.members.get(requester);
         let installed = record.map(|record| record.installed);
         let document = self.configuration.document.as_ref();
         let newest = document.map(|document| document.view_version());
--- a/crates/controlplane/src/leader_state/adoption.rs
+++ b/crates/controlplane/src/leader_state/adoption.rs
@@ -14,7 +14,7 @@
             .filter(|(_, reservation)| reservation.is_orphaned())
             .filter(|(_, reservation)| {
                 !reservation.is_adoptable()
-                    || (self.workers.are_listed && !self.is_worker_usable(&reservation.worker))
+                    || (self.workers.are_listed() && !self.is_worker_usable(&reservation.worker))
             })
             .map(|(runner, _)| runner)
             .collect();
--- a/crates/controlplane/src/leader_state/claims.rs
+++ b/crates/controlplane/src/leader_state/claims.rs
@@ -29,7 +29,7 @@
         stream: StreamId,
         claims: Vec<Claim>,
     ) {
-        let Some(claimant) = self.members.streams.get(&stream).cloned() else {
+        let Some(claimant) = self.members.on_stream(stream).cloned() else {
             return;
         };
         let (released_claims, claims): (Vec<Claim>, Vec<Claim>) =
@@ -63,7 +63,7 @@
         for unclaimed_runner in unclaimed_runners {
             self.reservations.want_stop(unclaimed_runner);
         }
-        if let Some(record) = self.members.records.get_mut(&claimant) {
+        if let Some(record) = self.members.get_mut(&claimant) {
             record.claimed = true;
         }
         self.renewals.schedule_check();
@@ -167,7 +167,7 @@
             );
             self.lease_records.insert(claim.function.clone(), entry);
         }
-        if let Some(record) = self.members.records.get_mut(claimant) {
+        if let Some(record) = self.members.get_mut(claimant) {
             let claimed_bound = self.elected_at + self.timing.full_lease_wait();
             record.lease_expiry_bound = record.lease_expiry_bound.max(claimed_bound);
             record.swept = false;
@@ -220,8 +220,7 @@
             function: function.clone(),
             fencing_token: entry.fencing_token,
         };
-        let superseded_record = self.members.records.get(&entry.holder);
-        if let Some(superseded_stream) = superseded_record.and_then(|record| record.stream) {
+        if let Some(superseded_stream) = self.members.stream_of(&entry.holder) {
             self.send_frame(superseded_stream, frame);
         }
         let superseded_runners: Vec<RunnerId> = self
--- a/crates/controlplane/src/leader_state/claims_quorum.rs
+++ b/crates/controlplane/src/leader_state/claims_quorum.rs
@@ -113,12 +113,15 @@
     /// Members that have not come back for long no longer count for the majority; their leases are still
     /// waited out.
     fn drop_absent_members(&mut self) {
-        let current = &self.members.current;
+        let members = &self.members;
+        let is_back = |known: &KnownMember| members.current_incarnation(&known.member).is_some();
         let (remaining, dropped): (BTreeSet<KnownMember>, BTreeSet<KnownMember>) =
             std::mem::take(&mut self.claims.last_known)
                 .into_iter()
-                .partition(|known_member| current.contains_key(&known_member.member));
-        self.members.changed |= !dropped.is_empty();
+                .partition(is_back);
+        if !dropped.is_empty() {
+            self.members.mark_changed();
+        }
         self.claims.last_known = remaining;
         let dropped_listed = self.drop_missing_awaited();
         let dropped_names: BTreeSet<MemberName> = dropped
@@ -138,7 +141,7 @@
     fn count_last_known(&self) -> ClaimCount {
         let last_known = &self.claims.last_known;
         let has_successor_claimed = |known: &&KnownMember| {
-            let current = self.members.current.get(&known.member);
+            let current = self.members.current_incarnation(&known.member);
             current.is_some_and(|current| self.has_claimed(current))
         };
         let claims_or_restarted =
@@ -155,13 +158,13 @@
     }
 
     fn has_claimed(&self, known_member: &KnownMember) -> bool {
-        let record = self.members.records.get(known_member);
+        let record = self.members.get(known_member);
         record.is_some_and(|record| record.claimed)
     }
 
     /// Whether another incarnation stands in the member's stead and has claimed.
     fn has_restarted_and_claimed(&self, known: &KnownMember) -> bool {
-        let current = self.members.current.get(&known.member);
+        let current = self.members.current_incarnation(&known.member);
         current.is_some_and(|restarted_member| {
             known.is_other_incarnation_of(restarted_member) && self.has_claimed(restarted_member)
         })
@@ -214,7 +217,7 @@
         self.claims.opened_at = now;
         self.claims.all_claimed = count.all_claimed;
         self.runner_lists.requested_at = MonotonicTime::ZERO;
-        self.members.changed = true;
+        self.members.mark_changed();
         self.membership_list.check_due = true;
         self.acquisitions.check_due = true;
         self.register_pending_list();
--- a/crates/controlplane/src/leader_state/document_delivery.rs
+++ b/crates/controlplane/src/leader_state/document_delivery.rs
@@ -180,8 +180,7 @@
         self.acquisitions.check_due = true;
         self.configuration.install(document, view);
         self.update_eligibility();
-        let open_streams: Vec<StreamId> = self.members.streams.keys().copied().collect();
-        for open_stream in open_streams {
+        for open_stream in self.members.open_streams() {
             self.push_newest(open_stream);
         }
         if is_evacuation {
@@ -193,7 +192,7 @@
     /// Members in evacuated zones take no functions.
     fn update_eligibility(&mut self) {
         let obeys_evacuation = self.rules.enforces(Rule::EvacuationObeyed);
-        for record in self.members.records.values_mut() {
+        for record in self.members.records_mut() {
             let is_evacuated =
                 self.configuration.table.is_evacuated(&record.host.zone) && obeys_evacuation;
             let eligible = Flag(record.is_self_eligible && !is_evacuated);
@@ -209,10 +208,9 @@
         let needed_mb: u64 = self.reserved_mb().values().sum();
         let remaining_mb: u64 = self
             .workers
-            .records
             .iter()
-            .filter(|(worker, _)| self.is_worker_usable(worker))
-            .map(|(_, record)| u64::from(record.listed.memory_mb))
+            .filter(|listed| self.is_worker_usable(&listed.worker))
+            .map(|listed| u64::from(listed.memory_mb))
             .sum();
         if needed_mb * 10 > remaining_mb * 9 {
             let detail = EventDetail::Capacity {
@@ -274,8 +272,7 @@
             self.claims.all_claimed || now >= self.elected_at + self.timing.full_lease_wait();
         let is_installed_everywhere = self
             .members
-            .records
-            .values()
+            .records()
             .all(|record| record.installed >= version || now >= record.lease_expiry_bound);
         if are_old_leases_over && is_installed_everywhere {
             self.configuration.in_force = version;
@@ -291,7 +288,6 @@
     /// The members that have not installed a version, and why, as far as the leader can see.
     pub fn laggards(&self, now: MonotonicTime, version: Version) -> Vec<Laggard> {
         self.members
-            .records
             .iter()
             .filter(|(_, record)| record.installed < version)
             .map(|(known_member, record)| Laggard {
--- a/crates/controlplane/src/leader_state/drains.rs
+++ b/crates/controlplane/src/leader_state/drains.rs
@@ -30,7 +30,7 @@
             if entry.handing_over || entry.fencing_since.is_some() {
                 continue;
             }
-            let Some(record) = self.members.records.get(&entry.holder) else {
+            let Some(record) = self.members.get(&entry.holder) else {
                 continue;
             };
             let Some(stream) = record.stream else {
@@ -63,7 +63,7 @@
 
     /// Has holders drain those of the runners whose worker is draining, gone or evacuated.
     pub(super) fn drain_if_worker_unusable(&mut self, runners: Vec<RunnerId>) {
-        if !self.workers.are_listed {
+        if !self.workers.are_listed() {
             return;
         }
         for runner in runners {
@@ -104,8 +104,7 @@
         if entry.fencing_token != runner.fencing_token {
             return;
         }
-        let holder_record = self.members.records.get(&entry.holder);
-        let Some(stream) = holder_record.and_then(|record| record.stream) else {
+        let Some(stream) = self.members.stream_of(&entry.holder) else {
             return;
         };
         self.reservations
--- a/crates/controlplane/src/leader_state/fence.rs
+++ b/crates/controlplane/src/leader_state/fence.rs
@@ -81,7 +81,6 @@
         }
         let lost_members: Vec<KnownMember> = self
             .members
-            .records
             .iter()
             .filter(|(_, record)| {
                 let is_early =
@@ -91,7 +90,7 @@
             .map(|(known_member, _)| known_member.clone())
             .collect();
         for lost_member in lost_members {
-            if let Some(record) = self.members.records.get_mut(&lost_member) {
+            if let Some(record) = self.members.get_mut(&lost_member) {
                 record.swept = true;
                 let lease_end = record.lease_expiry_bound;
                 self.lease_records
@@ -99,7 +98,7 @@
             }
             self.fence_all_held_by(now, &lost_member);
         }
-        let unswept = self.members.records.values().filter(|record| !record.swept);
+        let unswept = self.members.records().filter(|record| !record.swept);
         let next_end = unswept.map(|record| record.lease_expiry_bound).min();
         self.fencing.next_sweep_at = next_end.unwrap_or(now + IDLE_SWEEP_INTERVAL);
     }
@@ -163,7 +162,7 @@
             .function_of(&reservation.function)
             .is_some();
         let is_on_usable_worker =
-            !self.workers.are_listed || self.is_worker_usable(&reservation.worker);
+            !self.workers.are_listed() || self.is_worker_usable(&reservation.worker);
         if reservation.is_adoptable() && is_wanted && is_on_usable_worker {
             let detail = EventDetail::Runner {
                 function: reservation.function.clone(),
@@ -305,7 +304,7 @@
             .lease_records
             .get(&function)
             .filter(|entry| entry.fencing_token == runner.fencing_token)
-            .and_then(|entry| self.members.records.get(&entry.holder)?.stream);
+            .and_then(|entry| self.members.stream_of(&entry.holder));
         self.reservations.end(runner);
         self.acquisitions.check_due = true;
         self.fencing.check_due = true;
--- a/crates/controlplane/src/leader_state/host_list.rs
+++ b/crates/controlplane/src/leader_state/host_list.rs
@@ -122,7 +122,7 @@
 impl LeaderState {
     /// A failure detector reports that it no longer hears a member.
     pub(super) fn handle_suspicion(&mut self, stream: StreamId, suspect: MemberIncarnation) {
-        if self.members.streams.contains_key(&stream) && self.is_current_incarnation(&suspect) {
+        if self.members.on_stream(stream).is_some() && self.is_current_incarnation(&suspect) {
             self.hosts.reported_suspects.insert(suspect);
         }
     }
@@ -133,7 +133,7 @@
     }
 
     fn is_current_incarnation(&self, suspect: &MemberIncarnation) -> bool {
-        let known_member = self.members.current.get(&suspect.member);
+        let known_member = self.members.current_incarnation(&suspect.member);
         known_member.is_some_and(|known| known.incarnation == suspect.incarnation)
     }
 
@@ -194,9 +194,7 @@
         self.hosts.pushed_at = now;
         let hosts: BTreeMap<MemberName, Host> = self
             .members
-            .current
-            .values()
-            .filter_map(|known_member| self.members.records.get(known_member))
+            .current_records()
             .map(|record| (record.host.member.clone(), record.host.clone()))
             .collect();
         let frames = self.hosts.frames(&hosts);
@@ -207,8 +205,7 @@
     }
 
     fn send_host_frames(&mut self, frames: &HostFrames, earlier_number: u64) {
-        let open_streams: Vec<StreamId> = self.members.streams.keys().copied().collect();
-        for open_stream in open_streams {
+        for open_stream in self.members.open_streams() {
             let Some((_, record)) = self.members.on_stream_mut(open_stream) else {
                 continue;
             };
--- a/crates/controlplane/src/leader_state/lease_end.rs
+++ b/crates/controlplane/src/leader_state/lease_end.rs
@@ -57,7 +57,7 @@
         fencing_token: FencingToken,
         runners: LengthPrefixed<ClaimedRunner>,
     ) {
-        let Some(releaser) = self.members.streams.get(&stream).cloned() else {
+        let Some(releaser) = self.members.on_stream(stream).cloned() else {
             return;
         };
         let is_holder = self
--- a/crates/controlplane/src/leader_state/ledger_replicas.rs
+++ b/crates/controlplane/src/leader_state/ledger_replicas.rs
@@ -17,12 +17,10 @@
     ) -> Option<Host> {
         let holder_zone = self
             .members
-            .records
             .get(holder)
             .map(|record| record.host.zone.clone());
         let candidate_hosts: Vec<&Host> = self
             .members
-            .records
             .iter()
             .filter(|(known_member, _)| {
                 known_member.member != holder.member
@@ -50,7 +48,7 @@
         fencing_token: FencingToken,
         lost: &MemberName,
     ) {
-        let Some(holder) = self.members.streams.get(&stream).cloned() else {
+        let Some(holder) = self.members.on_stream(stream).cloned() else {
             return;
         };
         let replica = self.choose_replica(now, &function, &holder, Some(lost));
@@ -88,7 +86,7 @@
         fencing_token: FencingToken,
         replica: &MemberName,
     ) {
-        let Some(holder) = self.members.streams.get(&stream) else {
+        let Some(holder) = self.members.on_stream(stream) else {
             return;
         };
         let Some(entry) = self.lease_records.get_mut(function) else {
@@ -124,11 +122,7 @@
             .map(|(function, entry)| (function.clone(), entry.holder.clone()))
             .collect();
         for (function, holder) in functions_without_replica {
-            let stream = self
-                .members
-                .records
-                .get(&holder)
-                .and_then(|record| record.stream);
+            let stream = self.members.stream_of(&holder);
             let replica = self.choose_replica(now, &function, &holder, None);
             if let (Some(stream), Some(replica)) = (stream, replica) {
                 self.assign_replica(stream, function, Some(replica));
--- a/crates/controlplane/src/leader_state/link_moves.rs
+++ b/crates/controlplane/src/leader_state/link_moves.rs
@@ -55,7 +55,7 @@
         now: MonotonicTime,
         acquisition: &PendingAcquisition,
     ) -> bool {
-        let Some(requester) = self.members.streams.get(&acquisition.stream) else {
+        let Some(requester) = self.members.on_stream(acquisition.stream) else {
             return false;
         };
         let waits_since = acquisition.requested_at.max(self.claims.opened_at);
@@ -76,8 +76,7 @@
             let Some(entry) = self.lease_records.get_mut(&due_move.function) else {
                 continue;
             };
-            let record = self.members.records.get(&entry.holder);
-            let Some(stream) = record.and_then(|record| record.stream) else {
+            let Some(stream) = self.members.stream_of(&entry.holder) else {
                 continue;
             };
             entry.handing_over = true;
--- a/crates/controlplane/src/leader_state/members.rs
+++ b/crates/controlplane/src/leader_state/members.rs
@@ -2,11 +2,12 @@
 
 use super::membership::started_at;
 use super::{EventDetail, LeaderOutput, LeaderState, StreamId, TraceStep};
+use crate::consensus::ReportedMembership;
 use common::clock::MonotonicTime;
 use common::events;
 use common::frames::{Flag, Host, KnownMember, LeaderToDaemon, SocketAddress};
 use common::identity::{MemberName, Version};
-use std::collections::BTreeMap;
+use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
 /// Members that are gone are looked for this often.
@@ -129,11 +130,11 @@
 
 /// The members: their records, the stream that each has open, and which incarnation of a name is current.
 pub(super) struct Members {
-    pub streams: BTreeMap<StreamId, KnownMember>,
-    pub records: BTreeMap<KnownMember, MemberRecord>,
-    pub current: BTreeMap<MemberName, KnownMember>,
+    streams: BTreeMap<StreamId, KnownMember>,
+    records: BTreeMap<KnownMember, MemberRecord>,
+    current: BTreeMap<MemberName, KnownMember>,
     /// Whether the set has changed since the control quorum last took it.
-    pub changed: bool,
+    changed: bool,
     next_expiry_at: MonotonicTime,
 }
 
@@ -160,6 +161,73 @@
             .insert(known_member.member.clone(), known_member.clone());
     }
 
+    /// The member on a stream.
+    pub(super) fn on_stream(&self, stream: StreamId) -> Option<&KnownMember> {
+        self.streams.get(&stream)
+    }
+
+    /// The streams that are open.
+    pub(super) fn open_streams(&self) -> Vec<StreamId> {
+        self.streams.keys().copied().collect()
+    }
+
+    /// How many streams are open.
+    pub(super) fn open_stream_count(&self) -> usize {
+        self.streams.len()
+    }
+
+    /// The record of one incarnation.
+    pub(super) fn get(&self, known_member: &KnownMember) -> Option<&MemberRecord> {
+        self.records.get(known_member)
+    }
+
+    /// The record of one incarnation, to be changed.
+    pub(super) fn get_mut(&mut self, known_member: &KnownMember) -> Option<&mut MemberRecord> {
+        self.records.get_mut(known_member)
+    }
+
+    /// Every incarnation that has a record.
+    pub(super) fn known(&self) -> impl Iterator<Item = &KnownMember> {
+        self.records.keys()
+    }
+
+    /// Every incarnation with its record.
+    pub(super) fn iter(&self) -> impl Iterator<Item = (&KnownMember, &MemberRecord)> {
+        self.records.iter()
+    }
+
+    /// Every record.
+    pub(super) fn records(&self) -> impl Iterator<Item = &MemberRecord> {
+        self.records.values()
+    }
+
+    /// Every record, to be changed.
+    pub(super) fn records_mut(&mut self) -> impl Iterator<Item = &mut MemberRecord> {
+        self.records.values_mut()
+    }
+
+    /// The stream on which one incarnation is reached.
+    pub(super) fn stream_of(&self, known_member: &KnownMember) -> Option<StreamId> {
+        self.records.get(known_member)?.stream
+    }
+
+    /// The incarnation that goes by a name at present.
+    pub(super) fn current_incarnation(&self, member: &MemberName) -> Option<&KnownMember> {
+        self.current.get(member)
+    }
+
+    /// The records of the present incarnations, by their names.
+    pub(super) fn current_records(&self) -> impl Iterator<Item = &MemberRecord> {
+        self.current
+            .values()
+            .filter_map(|known_member| self.records.get(known_member))
+    }
+
+    /// The members that may hold leases have changed, so that the control quorum is to take them again.
+    pub(super) fn mark_changed(&mut self) {
+        self.changed = true;
+    }
+
     /// The member on a stream, with its record.
     pub(super) fn on_stream_mut(
         &mut self,
@@ -185,6 +253,23 @@
 }
 
 impl LeaderState {
+    /// The members that may hold leases.
+    pub fn known_members(&self) -> ReportedMembership {
+        let mut members: BTreeSet<KnownMember> = self.members.known().cloned().collect();
+        if !self.claims.is_open {
+            members.extend(self.claims.last_known.iter().cloned());
+        }
+        ReportedMembership {
+            members,
+            complete: self.claims.last_known_complete || self.claims.is_open,
+        }
+    }
+
+    /// The known members, if they may have changed since this was last called.
+    pub fn take_known_members(&mut self) -> Option<ReportedMembership> {
+        std::mem::take(&mut self.members.changed).then(|| self.known_members())
+    }
+
     /// A member opens its stream: whatever stood on an earlier stream of it, or with an earlier incarnation, ends.
     pub(super) fn handle_hello(
         &mut self,
@@ -294,6 +379,41 @@
         self.renewals.forget(stream);
     }
 
+    /// A member's stream has ended; its lease stands until it expires.
+    pub fn stream_lost(&mut self, stream: StreamId) {
+        let Some(known_member) = self.members.streams.remove(&stream) else {
+            return;
+        };
+        self.acquisitions.check_due = true;
+        self.acquisitions.forget(stream);
+        self.renewals.forget(stream);
+        if let Some(record) = self.members.records.get_mut(&known_member)
+            && record.stream == Some(stream)
+        {
+            record.stream = None;
+            let member = known_member.member;
+            self.record_event(events::MEMBER_DISCONNECTED, EventDetail::Member { member });
+        }
+    }
+
+    /// Whether a member is connected, has a session lease and may be given functions.
+    pub(super) fn is_serving(&self, known_member: &KnownMember, now: MonotonicTime) -> bool {
+        self.members
+            .records
+            .get(known_member)
+            .is_some_and(|record| {
+                record.stream.is_some() && record.lease_expires_at > now && record.host.eligible.0
+            })
+    }
+
+    /// Whether a member has a session lease.
+    pub(super) fn has_lease(&self, known_member: &KnownMember, now: MonotonicTime) -> bool {
+        self.members
+            .records
+            .get(known_member)
+            .is_some_and(|record| record.lease_expires_at > now)
+    }
+
     /// Forgets members without stream and lease once they hold nothing: at once if they left in order, else
     /// after a while.
     pub(super) fn expire_members(&mut self, now: MonotonicTime) {
--- a/crates/controlplane/src/leader_state/membership.rs
+++ b/crates/controlplane/src/leader_state/membership.rs
@@ -76,11 +76,7 @@
     /// one; and a majority followed this leader after it joined. Without that the next leader might not know
     /// whose lease to wait for. Where no membership is committed yet, a heartbeat round must have named it.
     pub(super) fn may_hold_lease(&self, known: &KnownMember, proof: &QuorumProof<'_>) -> bool {
-        let joined_at = self
-            .members
-            .records
-            .get(known)
-            .map(|record| record.joined_at);
+        let joined_at = self.members.get(known).map(|record| record.joined_at);
         if joined_at.is_none_or(|joined_at| proof.quorum_confirmed_at < joined_at) {
             return false;
         }
@@ -109,13 +105,9 @@
     /// How many awaited members have claimed, by name.
     pub(super) fn count_claimed_names(&self) -> usize {
         let has_claimed = |listed: &&ListedMember| {
-            let known = self.members.current.get(&listed.member);
-            known.is_some_and(|known| {
-                self.members
-                    .records
-                    .get(known)
-                    .is_some_and(|record| record.claimed)
-            })
+            self.members
+                .current_record(&listed.member)
+                .is_some_and(|record| record.claimed)
         };
         self.claims
             .awaited_members
@@ -126,7 +118,6 @@
 
     fn claimant_at(&self, listed: &ListedMember) -> Option<&MemberRecord> {
         self.members
-            .records
             .iter()
             .find(|(known, record)| record.claimed && supersedes(known, listed))
             .map(|(_, record)| record)
@@ -175,8 +166,8 @@
 
     /// Stops awaiting the members that have not come back.
     pub(super) fn drop_missing_awaited(&mut self) -> Vec<ListedMember> {
-        let current_incarnations = &self.members.current;
-        let is_back = |listed: &ListedMember| current_incarnations.contains_key(&listed.member);
+        let members = &self.members;
+        let is_back = |listed: &ListedMember| members.current_incarnation(&listed.member).is_some();
         let (remaining, dropped): (BTreeSet<ListedMember>, BTreeSet<ListedMember>) =
             std::mem::take(&mut self.claims.awaited_members)
                 .into_iter()
@@ -187,8 +178,7 @@
 
     /// Notes which listed members have no record here any more, and since when.
     fn update_departed_members(&mut self, now: MonotonicTime) {
-        let present: BTreeSet<ListedMember> =
-            self.members.records.keys().map(listed_member).collect();
+        let present: BTreeSet<ListedMember> = self.members.known().map(listed_member).collect();
         let membership = self.membership().cloned().unwrap_or_default();
         self.membership_list.departed.retain(|absent_member, _| {
             membership.contains(absent_member) && !present.contains(absent_member)
@@ -245,7 +235,7 @@
         let remaining = membership.iter().filter(|listed| !is_gone(listed)).cloned();
         Some(
             remaining
-                .chain(self.members.records.keys().map(listed_member))
+                .chain(self.members.known().map(listed_member))
                 .collect(),
         )
     }
--- a/crates/controlplane/src/leader_state/memory_pressure.rs
+++ b/crates/controlplane/src/leader_state/memory_pressure.rs
@@ -98,7 +98,7 @@
         let mut staying: BTreeMap<&FunctionKey, Vec<(u64, RunnerId)>> = BTreeMap::new();
         for (runner, reservation) in self.reservations.iter() {
             let worker = &reservation.worker;
-            let Some(record) = self.workers.records.get(worker) else {
+            let Some(listed) = self.workers.get(worker) else {
                 continue;
             };
             if !reservation.is_staying()
@@ -108,7 +108,7 @@
                 continue;
             }
             let used_mb = reserved_mb_sums.get(worker).copied().unwrap_or(0);
-            let free_mb = u64::from(record.listed.memory_mb).saturating_sub(used_mb);
+            let free_mb = u64::from(listed.memory_mb).saturating_sub(used_mb);
             let freed_mb = free_mb + u64::from(reservation.memory_mb);
             staying
                 .entry(&reservation.function)
@@ -125,7 +125,7 @@
         stream: StreamId,
         functions: Vec<IdleFunction>,
     ) {
-        let Some(holder) = self.members.streams.get(&stream) else {
+        let Some(holder) = self.members.on_stream(stream) else {
             return;
         };
         let idle_since = functions
@@ -193,7 +193,7 @@
     fn evict(&mut self, now: MonotonicTime, function: FunctionKey) -> Option<u32> {
         let entry = self.lease_records.get(&function)?;
         let fencing_token = entry.fencing_token;
-        let stream = self.members.records.get(&entry.holder)?.stream?;
+        let stream = self.members.stream_of(&entry.holder)?;
         let freed_mb = self
             .reservations
             .all_of(&function)
--- a/crates/controlplane/src/leader_state/mod.rs
+++ b/crates/controlplane/src/leader_state/mod.rs
@@ -36,7 +36,6 @@
 };
 pub use timing::LeaderTiming;
 
-use crate::consensus::ReportedMembership;
 use acquisitions::Acquisitions;
 use claims_quorum::ClaimsQuorum;
 use common::clock::MonotonicTime;
@@ -159,48 +158,11 @@
         self.claims.is_open
     }
 
-    /// The members that may hold leases.
-    pub fn known_members(&self) -> ReportedMembership {
-        let mut members: BTreeSet<KnownMember> = self.members.records.keys().cloned().collect();
-        if !self.claims.is_open {
-            members.extend(self.claims.last_known.iter().cloned());
-        }
-        ReportedMembership {
-            members,
-            complete: self.claims.last_known_complete || self.claims.is_open,
-        }
-    }
-
-    /// The known members, if they may have changed since this was last called.
-    pub fn take_known_members(&mut self) -> Option<ReportedMembership> {
-        std::mem::take(&mut self.members.changed).then(|| self.known_members())
-    }
-
     /// The newest version that is in force with every member.
     pub fn in_force(&self) -> Version {
         self.configuration.in_force
     }
 
-    /// A member's stream has ended; its lease stands until it expires.
-    pub fn stream_lost(&mut self, stream: StreamId) {
-        let Some(known_member) = self.members.streams.remove(&stream) else {
-            return;
-        };
-        self.acquisitions.check_due = true;
-        self.acquisitions.forget(stream);
-        self.renewals.forget(stream);
-        if let Some(record) = self.members.records.get_mut(&known_member)
-            && record.stream == Some(stream)
-        {
-            record.stream = None;
-            let member = known_member.member;
-            self.record_event(
-                common::events::MEMBER_DISCONNECTED,
-                EventDetail::Member { member },
-            );
-        }
-    }
-
     /// Does all that is due at this instant, and returns what is to be sent, requested and recorded, in order.
     pub fn progress(&mut self, now: MonotonicTime, proof: &QuorumProof<'_>) -> Vec<LeaderOutput> {
         self.expire_members(now);
@@ -227,15 +189,6 @@
         self.outputs.push(LeaderOutput::EventRecord(event_record));
     }
 
-    fn is_serving(&self, known_member: &KnownMember, now: MonotonicTime) -> bool {
-        self.members
-            .records
-            .get(known_member)
-            .is_some_and(|record| {
-                record.stream.is_some() && record.lease_expires_at > now && record.host.eligible.0
-            })
-    }
-
     fn next_fencing_token(&mut self) -> FencingToken {
         self.tokens.issue()
     }
--- a/crates/controlplane/src/leader_state/renewals.rs
+++ b/crates/controlplane/src/leader_state/renewals.rs
@@ -120,10 +120,10 @@
     ) {
         let lease_expires_at = proof.quorum_confirmed_at + self.timing.lease_length;
         let lease_expiry_bound = proof.quorum_confirmed_at + self.timing.full_lease_wait();
-        let Some(known_member) = self.members.streams.get(&renewal.stream).cloned() else {
+        let Some(known_member) = self.members.on_stream(renewal.stream).cloned() else {
             return;
         };
-        let Some(record) = self.members.records.get(&known_member) else {
+        let Some(record) = self.members.get(&known_member) else {
             return;
         };
         let is_ready = record.claimed
@@ -134,12 +134,7 @@
         let is_proof_before_join = proof.quorum_confirmed_at < record.joined_at;
         renewal.needs_proof = is_ready && (is_proof_stale || is_proof_before_join);
         let may_renew = is_ready && !is_proof_stale && self.may_hold_lease(&known_member, proof);
-        let Some(record) = self
-            .members
-            .records
-            .get_mut(&known_member)
-            .filter(|_| may_renew)
-        else {
+        let Some(record) = self.members.get_mut(&known_member).filter(|_| may_renew) else {
             self.renewals.waiting.push(renewal);
             return;
         };
--- a/crates/controlplane/src/leader_state/report.rs
+++ b/crates/controlplane/src/leader_state/report.rs
@@ -196,7 +196,6 @@
     pub fn report_members(&self, now: MonotonicTime) -> MembersReport {
         let members = self
             .members
-            .records
             .iter()
             .map(|(known_member, record)| MemberRow::new(now, known_member, record))
             .collect();
@@ -233,17 +232,13 @@
         let reserved_mb_sums = self.reserved_mb();
         let workers = self
             .workers
-            .records
-            .values()
-            .map(|record| WorkerRow {
-                worker: record.listed.worker.clone(),
-                zone: record.listed.zone.clone(),
-                memory_mb: record.listed.memory_mb,
-                reserved_mb: reserved_mb_sums
-                    .get(&record.listed.worker)
-                    .copied()
-                    .unwrap_or(0),
-                draining: record.listed.draining,
+            .iter()
+            .map(|listed| WorkerRow {
+                worker: listed.worker.clone(),
+                zone: listed.zone.clone(),
+                memory_mb: listed.memory_mb,
+                reserved_mb: reserved_mb_sums.get(&listed.worker).copied().unwrap_or(0),
+                draining: listed.draining,
             })
             .collect();
         WorkersReport { workers }
@@ -262,7 +257,7 @@
     /// Counts for the metrics: open streams, function leases, runners, workers in use.
     pub fn counts(&self) -> [(&'static str, u64); 4] {
         [
-            ("members", self.members.streams.len() as u64),
+            ("members", self.members.open_stream_count() as u64),
             ("holders", self.lease_records.len() as u64),
             ("runners", self.reservations.len() as u64),
             ("workers_used", self.reserved_mb().len() as u64),
@@ -273,14 +268,9 @@
     pub fn known_zones(&self) -> BTreeSet<Zone> {
         let member_zones = self
             .members
-            .records
-            .values()
+            .records()
             .map(|record| record.host.zone.clone());
-        let worker_zones = self
-            .workers
-            .records
-            .values()
-            .map(|record| record.listed.zone.clone());
+        let worker_zones = self.workers.iter().map(|listed| listed.zone.clone());
         member_zones.chain(worker_zones).collect()
     }
 }
--- a/crates/controlplane/src/leader_state/runner_status.rs
+++ b/crates/controlplane/src/leader_state/runner_status.rs
@@ -37,8 +37,7 @@
             RunnerStatus::Gone => {
                 if reservation.instance.is_none() && !reservation.is_stopping() {
                     self.workers
-                        .start_refused_at
-                        .insert(reservation.worker.clone(), now);
+                        .note_refused_start(now, reservation.worker.clone());
                 }
                 self.runner_stopped(runner);
             }
@@ -59,7 +58,7 @@
         count: u32,
         reason: RequestFailureReason,
     ) {
-        let Some(known_member) = self.members.streams.get(&stream) else {
+        let Some(known_member) = self.members.on_stream(stream) else {
             return;
         };
         let detail = EventDetail::Rejections {
--- a/crates/controlplane/src/leader_state/worker_evacuation.rs
+++ b/crates/controlplane/src/leader_state/worker_evacuation.rs
@@ -109,7 +109,7 @@
             .iter()
             .filter(|(worker, _)| worker != least_used)
             .filter_map(|(worker, sum)| {
-                let memory_mb = u64::from(self.workers.records.get(*worker)?.listed.memory_mb);
+                let memory_mb = u64::from(self.workers.get(worker)?.memory_mb);
                 let headroom_mb = memory_mb * HEADROOM_PERCENT / 100;
                 Some((
                     *worker,
--- a/crates/controlplane/src/leader_state/workers.rs
+++ b/crates/controlplane/src/leader_state/workers.rs
@@ -14,29 +14,47 @@
 /// Lacking memory is reported at most this often.
 const NO_ROOM_REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// One worker as the platform listed it.
-pub(super) struct WorkerRecord {
-    pub listed: ListedWorker,
-}
-
 /// The platform's workers.
 #[derive(Default)]
 pub(super) struct Workers {
-    pub records: BTreeMap<WorkerName, WorkerRecord>,
+    /// The workers as the platform listed them.
+    listed: BTreeMap<WorkerName, ListedWorker>,
     /// Whether the platform has listed them in this term.
-    pub are_listed: bool,
+    are_listed: bool,
     /// When workers last refused to start a runner.
-    pub start_refused_at: BTreeMap<WorkerName, MonotonicTime>,
+    start_refused_at: BTreeMap<WorkerName, MonotonicTime>,
     no_room_reported_at: MonotonicTime,
 }
 
+impl Workers {
+    /// Whether the platform has listed them in this term.
+    pub(super) fn are_listed(&self) -> bool {
+        self.are_listed
+    }
+
+    /// A worker as the platform listed it.
+    pub(super) fn get(&self, worker: &WorkerName) -> Option<&ListedWorker> {
+        self.listed.get(worker)
+    }
+
+    /// Every worker that the platform listed, by its name.
+    pub(super) fn iter(&self) -> impl Iterator<Item = &ListedWorker> {
+        self.listed.values()
+    }
+
+    /// A worker refused to start a runner; for a while it gets no others.
+    pub(super) fn note_refused_start(&mut self, now: MonotonicTime, worker: WorkerName) {
+        self.start_refused_at.insert(worker, now);
+    }
+}
+
 impl LeaderState {
     /// Takes the platform's list of workers, in place of the earlier one.
     pub fn workers_listed(&mut self, listed_workers: Vec<ListedWorker>) {
         self.workers.are_listed = true;
-        self.workers.records = listed_workers
+        self.workers.listed = listed_workers
             .into_iter()
-            .map(|listed| (listed.worker.clone(), WorkerRecord { listed }))
+            .map(|listed| (listed.worker.clone(), listed))
             .collect();
         self.drain_from_unusable_workers();
     }
@@ -45,9 +63,9 @@
     /// being evacuated.
     pub(super) fn is_worker_usable(&self, worker: &WorkerName) -> bool {
         !self.evacuation.is_evacuating(worker)
-            && self.workers.records.get(worker).is_some_and(|record| {
-                let is_draining = record.listed.draining && self.rules.enforces(Rule::DrainObeyed);
-                !is_draining && !self.is_evacuated(&record.listed.zone)
+            && self.workers.get(worker).is_some_and(|listed| {
+                let is_draining = listed.draining && self.rules.enforces(Rule::DrainObeyed);
+                !is_draining && !self.is_evacuated(&listed.zone)
             })
     }
 
@@ -81,7 +99,7 @@
         function: &FunctionKey,
         fencing_token: FencingToken,
     ) -> Option<ReserveResult> {
-        let requester = self.members.streams.get(&stream)?;
+        let requester = self.members.on_stream(stream)?;
         if !self.may_reserve(now, requester, function, fencing_token) {
             return None;
         }
@@ -90,7 +108,7 @@
         if !self.is_below_max_runners(function, spec.max_runners as usize) {
             return None;
         }
-        let holder_record = self.members.records.get(requester);
+        let holder_record = self.members.get(requester);
         let holder_zone = holder_record.map(|record| record.host.zone.clone());
         let has_runner = self
             .reservations
@@ -192,19 +210,19 @@
             .filter(|(_, reservation)| !reservation.draining)
         {
             function_workers.insert(&reservation.worker);
-            if let Some(record) = self.workers.records.get(&reservation.worker) {
-                *zone_counts.entry(&record.listed.zone).or_default() += 1;
+            if let Some(listed) = self.workers.get(&reservation.worker) {
+                *zone_counts.entry(&listed.zone).or_default() += 1;
             }
         }
         let reserved_mb_sums = self.reserved_mb();
-        let candidate_workers = self.workers.records.iter().filter(|(worker, _)| {
+        let candidate_workers = self.workers.listed.iter().filter(|(worker, _)| {
             self.is_worker_usable(worker) && !self.workers.start_refused_at.contains_key(*worker)
         });
         candidate_workers
-            .filter_map(|(worker, record)| {
+            .filter_map(|(worker, listed)| {
                 let used_mb = reserved_mb_sums.get(worker).copied().unwrap_or(0);
-                let free_mb = u64::from(record.listed.memory_mb).checked_sub(used_mb)?;
-                let zone = &record.listed.zone;
+                let free_mb = u64::from(listed.memory_mb).checked_sub(used_mb)?;
+                let zone = &listed.zone;
                 let rank = if self.timing.spread_over_zones {
                     let zone_count = zone_counts.get(zone).copied().unwrap_or(0);
                     (false, usize::from(used_mb == 0), zone_count)
@@ -239,11 +257,4 @@
             self.reservations.want_stop(orphaned_runner);
         }
     }
-
-    fn has_lease(&self, known_member: &KnownMember, now: MonotonicTime) -> bool {
-        self.members
-            .records
-            .get(known_member)
-            .is_some_and(|record| record.lease_expires_at > now)
-    }
 }
