--- a/crates/controlplane/src/controller_state/event_records.rs
+++ b/crates/controlplane/src/controller_state/event_records.rs
@@ -31,7 +31,7 @@
     let detail = EventDetail::LeaderElected {
         term,
         controller: leader,
-        surveyor: leader,
+        controller_again: leader,
         last_known: known_members,
         complete,
     };
--- a/crates/controlplane/src/leader_state/events.rs
+++ b/crates/controlplane/src/leader_state/events.rs
@@ -41,8 +41,8 @@
         #[serde(serialize_with = "json_form::controller_id")]
         controller: ControllerId,
         /// The leader, under the key's earlier name.
-        #[serde(serialize_with = "json_form::controller_id")]
-        surveyor: ControllerId,
+        #[serde(rename = "surveyor", serialize_with = "json_form::controller_id")]
+        controller_again: ControllerId,
         /// How many daemons may hold a lease of an earlier leader.
         last_known: usize,
         /// Whether these are all that may hold one.
