--- a/crates/controlplane/src/leader_state/members.rs
+++ b/crates/controlplane/src/leader_state/members.rs
@@ -1,13 +1,11 @@
-//! Members: their streams, their incarnations and what is known of each.
+//! The table of members: their streams, their incarnations and what is known of each.
 
+use super::StreamId;
 use super::membership::started_at;
-use super::{EventDetail, LeaderOutput, LeaderState, StreamId, TraceStep};
-use crate::consensus::ReportedMembership;
 use common::clock::MonotonicTime;
-use common::events;
-use common::frames::{Flag, Host, KnownMember, LeaderToDaemon, SocketAddress};
+use common::frames::{Flag, Host, KnownMember, SocketAddress};
 use common::identity::{MemberName, Version};
-use std::collections::{BTreeMap, BTreeSet};
+use std::collections::BTreeMap;
 use std::time::Duration;
 
 /// Members that are gone are looked for this often.
@@ -52,7 +50,7 @@
 
 impl MemberRecord {
     /// A member that has just said hello for the first time.
-    fn new(now: MonotonicTime, hello: &MemberHello) -> Self {
+    pub(super) fn new(now: MonotonicTime, hello: &MemberHello) -> Self {
         Self {
             is_self_eligible: hello.host.eligible.0,
             host: hello.host.clone(),
@@ -75,7 +73,7 @@
     }
 
     /// The member says hello on a stream; `shown_host` is how other members are to see it.
-    fn connect(
+    pub(super) fn connect(
         &mut self,
         now: MonotonicTime,
         stream: StreamId,
@@ -95,7 +93,7 @@
     }
 
     /// The member takes no functions any more.
-    fn make_ineligible(&mut self) {
+    pub(super) fn make_ineligible(&mut self) {
         self.is_self_eligible = false;
         self.host.eligible = Flag(false);
     }
@@ -151,7 +149,7 @@
     }
 
     /// Makes the stream the one that the member is reached on.
-    fn attach(&mut self, stream: StreamId, known_member: &KnownMember) {
+    pub(super) fn attach(&mut self, stream: StreamId, known_member: &KnownMember) {
         let record = self.records.get(known_member);
         if let Some(earlier_stream) = record.and_then(|record| record.stream) {
             self.streams.remove(&earlier_stream);
@@ -223,6 +221,34 @@
             .filter_map(|known_member| self.records.get(known_member))
     }
 
+    /// The record of one incarnation; a new one is made for an incarnation that has none.
+    pub(super) fn get_or_insert(
+        &mut self,
+        known_member: KnownMember,
+        new_record: impl FnOnce() -> MemberRecord,
+    ) -> &mut MemberRecord {
+        self.records.entry(known_member).or_insert_with(new_record)
+    }
+
+    /// A stream has ended; returns the member that was on it.
+    pub(super) fn close_stream(&mut self, stream: StreamId) -> Option<KnownMember> {
+        self.streams.remove(&stream)
+    }
+
+    /// Whether it is time to look for members that are gone; it is then not due again for a while.
+    pub(super) fn take_expiry_due(&mut self, now: MonotonicTime) -> bool {
+        let is_due = now >= self.next_expiry_at;
+        if is_due {
+            self.next_expiry_at = now + MEMBER_EXPIRY_INTERVAL;
+        }
+        is_due
+    }
+
+    /// Whether the members that may hold leases have changed since this was last called.
+    pub(super) fn take_changed(&mut self) -> bool {
+        std::mem::take(&mut self.changed)
+    }
+
     /// The members that may hold leases have changed, so that the control quorum is to take them again.
     pub(super) fn mark_changed(&mut self) {
         self.changed = true;
@@ -242,7 +268,8 @@
         self.records.get(self.current.get(member)?)
     }
 
-    fn remove(&mut self, gone_member: &KnownMember) -> Option<MemberRecord> {
+    /// Forgets an incarnation; returns its record.
+    pub(super) fn remove(&mut self, gone_member: &KnownMember) -> Option<MemberRecord> {
         let record = self.records.remove(gone_member);
         if self.current.get(&gone_member.member) == Some(gone_member) {
             self.current.remove(&gone_member.member);
@@ -251,204 +278,3 @@
         record
     }
 }
-
-impl LeaderState {
-    /// The members that may hold leases.
-    pub fn known_members(&self) -> ReportedMembership {
-        let mut members: BTreeSet<KnownMember> = self.members.known().cloned().collect();
-        if !self.claims.is_open {
-            members.extend(self.claims.last_known.iter().cloned());
-        }
-        ReportedMembership {
-            members,
-            complete: self.claims.last_known_complete || self.claims.is_open,
-        }
-    }
-
-    /// The known members, if they may have changed since this was last called.
-    pub fn take_known_members(&mut self) -> Option<ReportedMembership> {
-        std::mem::take(&mut self.members.changed).then(|| self.known_members())
-    }
-
-    /// A member opens its stream: whatever stood on an earlier stream of it, or with an earlier incarnation, ends.
-    pub(super) fn handle_hello(
-        &mut self,
-        now: MonotonicTime,
-        stream: StreamId,
-        hello: MemberHello,
-    ) {
-        let host = &hello.host;
-        let known_member = KnownMember {
-            member: host.member.clone(),
-            incarnation: host.incarnation,
-            address: host.address,
-        };
-        self.fencing.schedule_sweep();
-        self.end_earlier_incarnations(now, &known_member);
-        let is_new = !self.members.records.contains_key(&known_member);
-        if is_new && self.claims.expects_other_incarnation_of(&known_member) {
-            self.claims.member_restarted_at = now;
-        }
-        self.members.attach(stream, &known_member);
-        let shown_host = Host {
-            eligible: Flag(host.eligible.0 && !self.is_evacuated(&host.zone)),
-            ..host.clone()
-        };
-        let record = self
-            .members
-            .records
-            .entry(known_member)
-            .or_insert_with(|| MemberRecord::new(now, &hello));
-        record.connect(now, stream, &hello, shown_host);
-        self.members.changed = true;
-        self.membership_list.check_due = true;
-        self.hosts.member_connected(&host.member);
-        self.send_frame(
-            stream,
-            LeaderToDaemon::Welcome {
-                term: self.tokens.term,
-            },
-        );
-        self.push_newest(stream);
-        let detail = EventDetail::MemberConnected {
-            member: hello.host.member,
-            incarnation: hello.host.incarnation,
-            zone: hello.host.zone,
-        };
-        self.record_event(events::MEMBER_CONNECTED, detail);
-    }
-
-    /// Ends the earlier incarnations of a member. The new one holds the port of their address, so they are
-    /// gone, and their session leases with them.
-    fn end_earlier_incarnations(&mut self, now: MonotonicTime, restarted_member: &KnownMember) {
-        let earlier_incarnations: Vec<KnownMember> = self
-            .members
-            .records
-            .keys()
-            .filter(|known| known.is_other_incarnation_of(restarted_member))
-            .cloned()
-            .collect();
-        for earlier_incarnation in earlier_incarnations {
-            self.claims.member_restarted_at = now;
-            let Some(record) = self.members.records.get_mut(&earlier_incarnation) else {
-                continue;
-            };
-            record.lease_expires_at = record.lease_expires_at.min(now);
-            record.lease_expiry_bound = record.lease_expiry_bound.min(now);
-            record.make_ineligible();
-            if let Some(earlier_stream) = record.stream.take() {
-                self.members.streams.remove(&earlier_stream);
-                self.acquisitions.forget(earlier_stream);
-                self.renewals.forget(earlier_stream);
-            }
-            self.fence_all_held_by(now, &earlier_incarnation);
-        }
-    }
-
-    /// A member has installed a version; renewals may wait for that.
-    pub(super) fn handle_installed(&mut self, stream: StreamId, version: Version) {
-        if let Some((known_member, record)) = self.members.on_stream_mut(stream) {
-            let is_newer = record.installed < version;
-            record.installed = record.installed.max(version);
-            if is_newer {
-                self.renewals.schedule_check();
-                let member = known_member.member.clone();
-                self.outputs.push(LeaderOutput::VersionProgress {
-                    version,
-                    member,
-                    step: TraceStep::Installed,
-                });
-            }
-        }
-    }
-
-    /// A member leaves in order: it gives up its session lease and takes no functions any more.
-    pub(super) fn handle_leaving(&mut self, now: MonotonicTime, stream: StreamId) {
-        if !self.members.streams.contains_key(&stream) {
-            return;
-        }
-        if let Some((_, record)) = self.members.on_stream_mut(stream) {
-            record.make_ineligible();
-            record.lease_expires_at = now;
-            record.lease_expiry_bound = now;
-            record.swept = false;
-            record.has_departed = true;
-            self.hosts.push_due = true;
-        }
-        self.fencing.schedule_sweep();
-        self.renewals.forget(stream);
-    }
-
-    /// A member's stream has ended; its lease stands until it expires.
-    pub fn stream_lost(&mut self, stream: StreamId) {
-        let Some(known_member) = self.members.streams.remove(&stream) else {
-            return;
-        };
-        self.acquisitions.check_due = true;
-        self.acquisitions.forget(stream);
-        self.renewals.forget(stream);
-        if let Some(record) = self.members.records.get_mut(&known_member)
-            && record.stream == Some(stream)
-        {
-            record.stream = None;
-            let member = known_member.member;
-            self.record_event(events::MEMBER_DISCONNECTED, EventDetail::Member { member });
-        }
-    }
-
-    /// Whether a member is connected, has a session lease and may be given functions.
-    pub(super) fn is_serving(&self, known_member: &KnownMember, now: MonotonicTime) -> bool {
-        self.members
-            .records
-            .get(known_member)
-            .is_some_and(|record| {
-                record.stream.is_some() && record.lease_expires_at > now && record.host.eligible.0
-            })
-    }
-
-    /// Whether a member has a session lease.
-    pub(super) fn has_lease(&self, known_member: &KnownMember, now: MonotonicTime) -> bool {
-        self.members
-            .records
-            .get(known_member)
-            .is_some_and(|record| record.lease_expires_at > now)
-    }
-
-    /// Forgets members without stream and lease once they hold nothing: at once if they left in order, else
-    /// after a while.
-    pub(super) fn expire_members(&mut self, now: MonotonicTime) {
-        if now < self.members.next_expiry_at {
-            return;
-        }
-        self.members.next_expiry_at = now + MEMBER_EXPIRY_INTERVAL;
-        let forget_after = self.timing.forget_after;
-        let gone_members: Vec<KnownMember> = self
-            .members
-            .records
-            .iter()
-            .filter(|(_, record)| {
-                record.stream.is_none()
-                    && now >= record.lease_expiry_bound
-                    && (record.has_departed || now.since(record.last_heard_at) > forget_after)
-            })
-            .map(|(known_member, _)| known_member.clone())
-            .filter(|known_member| !self.lease_records.holds_any(known_member))
-            .collect();
-        for gone_member in gone_members {
-            let record = self.members.remove(&gone_member);
-            self.pressure.idle_since.remove(&gone_member);
-            if record.is_some_and(|record| record.has_departed) {
-                self.note_departed(now, &gone_member);
-            }
-            self.hosts.push_due = true;
-            self.membership_list.check_due = true;
-        }
-    }
-
-    /// A frame came in on a member's stream: the member is alive.
-    pub(super) fn note_frame_received(&mut self, now: MonotonicTime, stream: StreamId) {
-        if let Some((_, record)) = self.members.on_stream_mut(stream) {
-            record.last_frame_at = now;
-        }
-    }
-}
--- a/crates/controlplane/src/leader_state/mod.rs
+++ b/crates/controlplane/src/leader_state/mod.rs
@@ -13,6 +13,7 @@
 mod lease_end;
 mod ledger_replicas;
 mod link_moves;
+mod member_sessions;
 mod members;
 mod membership;
 mod memory_pressure;
