--- a/crates/controlplane/src/consensus/receive.rs
+++ b/crates/controlplane/src/consensus/receive.rs
@@ -1,6 +1,7 @@
 //! The dispatch of frames from other controllers.
 
 use super::election::{VoteRequest, VoteResponse};
+use super::peers::Hello;
 use super::replication::VersionDelta;
 use super::state::Contact;
 use super::{ConsensusNode, ConsensusOutput, ControllerAddress};
@@ -36,8 +37,7 @@
         self.take_outputs()
     }
 
-    /// Hands a message to its handler. One exhaustive match over the frame's wire form, so that a new kind of
-    /// message does not compile without a handler.
+    /// Calls the handler of each kind of message. One exhaustive match, so that a kind without a handler does not compile.
     fn dispatch(&mut self, now: MonotonicTime, sender: Contact, message: ConsensusMessage) {
         let sender_address = sender.controller_address.address;
         match message {
@@ -46,16 +46,15 @@
                 term,
                 diskless,
             } => {
-                self.peers
-                    .record_greeting(now, sender_address, term, diskless.0);
-                if term <= self.hard_state.term || !self.is_leader() {
-                    self.handle_hello(now, sender, accepted);
-                }
+                let hello = Hello {
+                    accepted,
+                    term,
+                    is_diskless: diskless.0,
+                };
+                self.handle_hello(now, sender, hello);
             }
             ConsensusMessage::VoterAddresses { addresses } => {
-                if !self.is_voter(self.local.id) {
-                    self.peers.hinted_addresses = addresses.0.into_iter().collect();
-                }
+                self.handle_voter_addresses(addresses.0);
             }
             ConsensusMessage::Bootstrap { document } => self.handle_bootstrap(now, &document),
             ConsensusMessage::VoteRequest {
--- a/crates/controlplane/src/leader_state/claims.rs
+++ b/crates/controlplane/src/leader_state/claims.rs
@@ -1,8 +1,7 @@
 //! Claims: after an election, or on a new stream, each member reports the leases and runners that it holds.
 
-use super::events::LeaseFields;
 use super::reservations::Reservation;
-use super::{LeaderState, LeaseRecord, StreamId};
+use super::{EventDetail, LeaderState, LeaseRecord, StreamId};
 use common::clock::MonotonicTime;
 use common::events;
 use common::frames::{Claim, ClaimedRunner, KnownMember, LeaderToDaemon};
@@ -30,7 +29,7 @@
         stream: StreamId,
         claims: Vec<Claim>,
     ) {
-        let Some(claimant) = self.members.streams.get(&stream).cloned() else {
+        let Some(claimant) = self.members.on_stream(stream).cloned() else {
             return;
         };
         let (released_claims, claims): (Vec<Claim>, Vec<Claim>) =
@@ -64,7 +63,7 @@
         for unclaimed_runner in unclaimed_runners {
             self.reservations.want_stop(unclaimed_runner);
         }
-        if let Some(record) = self.members.records.get_mut(&claimant) {
+        if let Some(record) = self.members.get_mut(&claimant) {
             record.claimed = true;
         }
         self.renewals.schedule_check();
@@ -168,7 +167,7 @@
             );
             self.lease_records.insert(claim.function.clone(), entry);
         }
-        if let Some(record) = self.members.records.get_mut(claimant) {
+        if let Some(record) = self.members.get_mut(claimant) {
             let claimed_bound = self.elected_at + self.timing.full_lease_wait();
             record.lease_expiry_bound = record.lease_expiry_bound.max(claimed_bound);
             record.swept = false;
@@ -199,12 +198,12 @@
     }
 
     fn reject_claim(&mut self, stream: StreamId, claimant: &KnownMember, claim: Claim) {
-        let fields = LeaseFields {
-            function: &claim.function,
-            member: &claimant.member,
+        let detail = EventDetail::Lease {
+            function: claim.function.clone(),
+            member: claimant.member.clone(),
             fencing_token: claim.fencing_token,
         };
-        self.record_event(events::CLAIM_REJECTED, fields);
+        self.record_event(events::CLAIM_REJECTED, detail);
         let frame = LeaderToDaemon::Revoke {
             function: claim.function,
             fencing_token: claim.fencing_token,
@@ -221,8 +220,7 @@
             function: function.clone(),
             fencing_token: entry.fencing_token,
         };
-        let superseded_record = self.members.records.get(&entry.holder);
-        if let Some(superseded_stream) = superseded_record.and_then(|record| record.stream) {
+        if let Some(superseded_stream) = self.members.stream_of(&entry.holder) {
             self.send_frame(superseded_stream, frame);
         }
         let superseded_runners: Vec<RunnerId> = self
--- a/crates/controlplane/src/leader_state/document_delivery.rs
+++ b/crates/controlplane/src/leader_state/document_delivery.rs
@@ -1,7 +1,7 @@
 //! Delivery of the configuration: the committed document goes to every member, as deltas where possible.
 
-use super::events::{CapacityFields, InstallFailureFields, VersionFields};
-use super::{LeaderOutput, LeaderState, StreamId, TraceStep};
+use super::members::MemberRecord;
+use super::{EventDetail, LeaderOutput, LeaderState, StreamId, TraceStep};
 use common::clock::MonotonicTime;
 use common::events;
 use common::frames::{Flag, LeaderToDaemon, compress};
@@ -17,6 +17,47 @@
 /// Whether a version is in force is checked this often, not at each member's report.
 const IN_FORCE_CHECK_INTERVAL: Duration = Duration::from_millis(5);
 
+/// A member that has not installed a version.
+#[derive(Clone, PartialEq, Eq, Debug)]
+pub struct Laggard {
+    /// The member.
+    pub member: MemberName,
+    /// Why it has not, as far as the leader can see.
+    pub reason: LagReason,
+}
+
+/// Why a member has not installed a version.
+#[derive(Clone, Copy, PartialEq, Eq, Debug)]
+pub enum LagReason {
+    /// Its session lease has ended.
+    LeaseEnded,
+    /// Its stream is closed.
+    Disconnected,
+    /// It has not acknowledged the version yet.
+    NotAcknowledged,
+}
+
+impl LagReason {
+    fn of(now: MonotonicTime, record: &MemberRecord) -> Self {
+        if now >= record.lease_expiry_bound {
+            Self::LeaseEnded
+        } else if record.stream.is_none() {
+            Self::Disconnected
+        } else {
+            Self::NotAcknowledged
+        }
+    }
+
+    /// The reason as it stands in response bodies.
+    pub fn as_str(self) -> &'static str {
+        match self {
+            Self::LeaseEnded => "grant ended",
+            Self::Disconnected => "cut off",
+            Self::NotAcknowledged => "not acknowledged",
+        }
+    }
+}
+
 /// The committed document, and what is needed to deliver it to the members.
 pub(super) struct Configuration {
     pub document: Option<Document>,
@@ -128,19 +169,18 @@
         match RoutingTable::build_after(&self.configuration.table, &view) {
             Ok(table) => self.configuration.table = table,
             Err(error) => {
-                let fields = InstallFailureFields {
+                let detail = EventDetail::InstallFailure {
                     version: view.version,
-                    error: &error,
+                    error: error.to_string(),
                 };
-                self.record_event(events::SPEC_INSTALL_FAILED, fields);
+                self.record_event(events::SPEC_INSTALL_FAILED, detail);
             }
         }
         self.replica_assignment_due = true;
         self.acquisitions.check_due = true;
         self.configuration.install(document, view);
         self.update_eligibility();
-        let open_streams: Vec<StreamId> = self.members.streams.keys().copied().collect();
-        for open_stream in open_streams {
+        for open_stream in self.members.open_streams() {
             self.push_newest(open_stream);
         }
         if is_evacuation {
@@ -152,7 +192,7 @@
     /// Members in evacuated zones take no functions.
     fn update_eligibility(&mut self) {
         let obeys_evacuation = self.rules.enforces(Rule::EvacuationObeyed);
-        for record in self.members.records.values_mut() {
+        for record in self.members.records_mut() {
             let is_evacuated =
                 self.configuration.table.is_evacuated(&record.host.zone) && obeys_evacuation;
             let eligible = Flag(record.is_self_eligible && !is_evacuated);
@@ -168,17 +208,16 @@
         let needed_mb: u64 = self.reserved_mb().values().sum();
         let remaining_mb: u64 = self
             .workers
-            .records
             .iter()
-            .filter(|(worker, _)| self.is_worker_usable(worker))
-            .map(|(_, record)| u64::from(record.listed.memory_mb))
+            .filter(|listed| self.is_worker_usable(&listed.worker))
+            .map(|listed| u64::from(listed.memory_mb))
             .sum();
         if needed_mb * 10 > remaining_mb * 9 {
-            let fields = CapacityFields {
+            let detail = EventDetail::Capacity {
                 needed_mb,
                 remaining_mb,
             };
-            self.record_event(events::CAPACITY_LOW, fields);
+            self.record_event(events::CAPACITY_LOW, detail);
         }
     }
 
@@ -233,12 +272,11 @@
             self.claims.all_claimed || now >= self.elected_at + self.timing.full_lease_wait();
         let is_installed_everywhere = self
             .members
-            .records
-            .values()
+            .records()
             .all(|record| record.installed >= version || now >= record.lease_expiry_bound);
         if are_old_leases_over && is_installed_everywhere {
             self.configuration.in_force = version;
-            self.record_event(events::VERSION_IN_FORCE, VersionFields { version });
+            self.record_event(events::VERSION_IN_FORCE, EventDetail::Version { version });
         }
     }
 
@@ -248,24 +286,13 @@
     }
 
     /// The members that have not installed a version, and why, as far as the leader can see.
-    pub fn laggards(
-        &self,
-        now: MonotonicTime,
-        version: Version,
-    ) -> Vec<(MemberName, &'static str)> {
+    pub fn laggards(&self, now: MonotonicTime, version: Version) -> Vec<Laggard> {
         self.members
-            .records
             .iter()
             .filter(|(_, record)| record.installed < version)
-            .map(|(known_member, record)| {
-                let reason = if now >= record.lease_expiry_bound {
-                    "grant ended"
-                } else if record.stream.is_none() {
-                    "cut off"
-                } else {
-                    "not acknowledged"
-                };
-                (known_member.member.clone(), reason)
+            .map(|(known_member, record)| Laggard {
+                member: known_member.member.clone(),
+                reason: LagReason::of(now, record),
             })
             .collect()
     }
--- a/crates/controlplane/src/leader_state/fence.rs
+++ b/crates/controlplane/src/leader_state/fence.rs
@@ -1,8 +1,7 @@
 //! Fencing: what a lost holder's lease covers is orphaned or stopped before the function is leased again.
 
-use super::events::{EventFields, FunctionFields, LeaseFields, RunnerFields};
 use super::reservations::Reservation;
-use super::{LeaderOutput, LeaderState};
+use super::{EventDetail, LeaderOutput, LeaderState};
 use common::adapter::StopOrder;
 use common::clock::MonotonicTime;
 use common::events;
@@ -82,7 +81,6 @@
         }
         let lost_members: Vec<KnownMember> = self
             .members
-            .records
             .iter()
             .filter(|(_, record)| {
                 let is_early =
@@ -92,7 +90,7 @@
             .map(|(known_member, _)| known_member.clone())
             .collect();
         for lost_member in lost_members {
-            if let Some(record) = self.members.records.get_mut(&lost_member) {
+            if let Some(record) = self.members.get_mut(&lost_member) {
                 record.swept = true;
                 let lease_end = record.lease_expiry_bound;
                 self.lease_records
@@ -100,7 +98,7 @@
             }
             self.fence_all_held_by(now, &lost_member);
         }
-        let unswept = self.members.records.values().filter(|record| !record.swept);
+        let unswept = self.members.records().filter(|record| !record.swept);
         let next_end = unswept.map(|record| record.lease_expiry_bound).min();
         self.fencing.next_sweep_at = next_end.unwrap_or(now + IDLE_SWEEP_INTERVAL);
     }
@@ -118,13 +116,12 @@
             let Some(entry) = self.lease_records.get(&held_function) else {
                 continue;
             };
-            let fields = LeaseFields {
-                function: &held_function,
-                member: &entry.holder.member,
+            let detail = EventDetail::Lease {
+                function: held_function,
+                member: entry.holder.member.clone(),
                 fencing_token: entry.fencing_token,
             };
-            let event_record = fields.record(events::FENCING_STARTED);
-            self.push_event(event_record);
+            self.record_event(events::FENCING_STARTED, detail);
         }
     }
 
@@ -165,16 +162,15 @@
             .function_of(&reservation.function)
             .is_some();
         let is_on_usable_worker =
-            !self.workers.are_listed || self.is_worker_usable(&reservation.worker);
+            !self.workers.are_listed() || self.is_worker_usable(&reservation.worker);
         if reservation.is_adoptable() && is_wanted && is_on_usable_worker {
-            let fields = RunnerFields {
-                function: &reservation.function,
+            let detail = EventDetail::Runner {
+                function: reservation.function.clone(),
                 runner,
-                worker: &reservation.worker,
+                worker: reservation.worker.clone(),
             };
-            let event_record = fields.record(events::RUNNER_ORPHANED);
             self.reservations.mark_orphaned(runner, now);
-            self.push_event(event_record);
+            self.record_event(events::RUNNER_ORPHANED, detail);
         } else {
             self.reservations.want_stop(runner);
         }
@@ -271,10 +267,10 @@
             .collect();
         for (cleared_function, lease_expires_at) in cleared_functions {
             self.end_lease(now, &cleared_function, lease_expires_at);
-            let fields = FunctionFields {
-                function: &cleared_function,
+            let detail = EventDetail::Function {
+                function: cleared_function,
             };
-            self.record_event(events::FENCING_FINISHED, fields);
+            self.record_event(events::FENCING_FINISHED, detail);
         }
     }
 
@@ -284,12 +280,12 @@
         self.acquisitions.check_due = true;
         self.fencing.check_due = true;
         if let Some(reservation) = self.reservations.end(runner) {
-            let fields = RunnerFields {
-                function: &reservation.function,
+            let detail = EventDetail::Runner {
+                function: reservation.function,
                 runner,
-                worker: &reservation.worker,
+                worker: reservation.worker,
             };
-            self.record_event(events::RUNNER_STOPPED, fields);
+            self.record_event(events::RUNNER_STOPPED, detail);
         }
     }
 
@@ -299,21 +295,20 @@
             return;
         };
         let function = reservation.function.clone();
-        let fields = RunnerFields {
-            function: &function,
+        let detail = EventDetail::Runner {
+            function: function.clone(),
             runner,
-            worker: &reservation.worker,
+            worker: reservation.worker.clone(),
         };
-        let event_record = fields.record(events::RUNNER_UNLISTED);
         let stream = self
             .lease_records
             .get(&function)
             .filter(|entry| entry.fencing_token == runner.fencing_token)
-            .and_then(|entry| self.members.records.get(&entry.holder)?.stream);
+            .and_then(|entry| self.members.stream_of(&entry.holder));
         self.reservations.end(runner);
         self.acquisitions.check_due = true;
         self.fencing.check_due = true;
-        self.push_event(event_record);
+        self.record_event(events::RUNNER_UNLISTED, detail);
         if let Some(stream) = stream {
             self.send_frame(stream, LeaderToDaemon::RunnerUnlisted { function, runner });
         }
--- a/crates/controlplane/src/leader_state/host_list.rs
+++ b/crates/controlplane/src/leader_state/host_list.rs
@@ -1,7 +1,6 @@
 //! The host list that every member gets: who there is, and who is suspected to have failed.
 
-use super::events::MemberFields;
-use super::{LeaderState, StreamId};
+use super::{EventDetail, LeaderState, StreamId};
 use common::clock::MonotonicTime;
 use common::events;
 use common::frames::{Host, LeaderToDaemon, LengthPrefixed, MemberIncarnation};
@@ -123,7 +122,7 @@
 impl LeaderState {
     /// A failure detector reports that it no longer hears a member.
     pub(super) fn handle_suspicion(&mut self, stream: StreamId, suspect: MemberIncarnation) {
-        if self.members.streams.contains_key(&stream) && self.is_current_incarnation(&suspect) {
+        if self.members.on_stream(stream).is_some() && self.is_current_incarnation(&suspect) {
             self.hosts.reported_suspects.insert(suspect);
         }
     }
@@ -134,7 +133,7 @@
     }
 
     fn is_current_incarnation(&self, suspect: &MemberIncarnation) -> bool {
-        let known_member = self.members.current.get(&suspect.member);
+        let known_member = self.members.current_incarnation(&suspect.member);
         known_member.is_some_and(|known| known.incarnation == suspect.incarnation)
     }
 
@@ -166,12 +165,12 @@
         self.hosts.push_due = true;
         let previously_suspected = std::mem::replace(&mut self.hosts.suspected, suspected.clone());
         for suspect in suspected.difference(&previously_suspected) {
-            let member = &suspect.member;
-            self.record_event(events::MEMBER_SUSPECTED, MemberFields { member });
+            let member = suspect.member.clone();
+            self.record_event(events::MEMBER_SUSPECTED, EventDetail::Member { member });
         }
         for suspect in previously_suspected.difference(&suspected) {
-            let member = &suspect.member;
-            self.record_event(events::MEMBER_RECOVERED, MemberFields { member });
+            let member = suspect.member.clone();
+            self.record_event(events::MEMBER_RECOVERED, EventDetail::Member { member });
         }
     }
 
@@ -195,9 +194,7 @@
         self.hosts.pushed_at = now;
         let hosts: BTreeMap<MemberName, Host> = self
             .members
-            .current
-            .values()
-            .filter_map(|known_member| self.members.records.get(known_member))
+            .current_records()
             .map(|record| (record.host.member.clone(), record.host.clone()))
             .collect();
         let frames = self.hosts.frames(&hosts);
@@ -208,8 +205,7 @@
     }
 
     fn send_host_frames(&mut self, frames: &HostFrames, earlier_number: u64) {
-        let open_streams: Vec<StreamId> = self.members.streams.keys().copied().collect();
-        for open_stream in open_streams {
+        for open_stream in self.members.open_streams() {
             let Some((_, record)) = self.members.on_stream_mut(open_stream) else {
                 continue;
             };
--- a/crates/controlplane/src/leader_state/ledger_replicas.rs
+++ b/crates/controlplane/src/leader_state/ledger_replicas.rs
@@ -17,12 +17,10 @@
     ) -> Option<Host> {
         let holder_zone = self
             .members
-            .records
             .get(holder)
             .map(|record| record.host.zone.clone());
         let candidate_hosts: Vec<&Host> = self
             .members
-            .records
             .iter()
             .filter(|(known_member, _)| {
                 known_member.member != holder.member
@@ -50,27 +48,34 @@
         fencing_token: FencingToken,
         lost: &MemberName,
     ) {
-        let Some(holder) = self.members.streams.get(&stream).cloned() else {
+        let Some(holder) = self.members.on_stream(stream).cloned() else {
             return;
         };
         let replica = self.choose_replica(now, &function, &holder, Some(lost));
+        let is_holder = self
+            .lease_records
+            .get(&function)
+            .is_some_and(|entry| entry.holder == holder && entry.fencing_token == fencing_token);
+        if is_holder {
+            self.assign_replica(stream, function, replica);
+        }
+    }
+
+    /// Assigns another replica, or none, to a leased function, and notifies its holder on the stream.
+    fn assign_replica(&mut self, stream: StreamId, function: FunctionKey, replica: Option<Host>) {
         let Some(entry) = self.lease_records.get_mut(&function) else {
             return;
         };
-        if entry.holder != holder || entry.fencing_token != fencing_token {
-            return;
-        }
         entry.replica = replica.clone();
         entry.complete = false;
+        let fencing_token = entry.fencing_token;
         let replica = LengthPrefixed(replica.into_iter().collect());
-        self.send_frame(
-            stream,
-            LeaderToDaemon::ReplicaAssigned {
-                function,
-                fencing_token,
-                replica,
-            },
-        );
+        let frame = LeaderToDaemon::ReplicaAssigned {
+            function,
+            fencing_token,
+            replica,
+        };
+        self.send_frame(stream, frame);
     }
 
     /// The replica has the holder's complete ledger: it can answer for this lease when it has ended.
@@ -81,7 +86,7 @@
         fencing_token: FencingToken,
         replica: &MemberName,
     ) {
-        let Some(holder) = self.members.streams.get(&stream) else {
+        let Some(holder) = self.members.on_stream(stream) else {
             return;
         };
         let Some(entry) = self.lease_records.get_mut(function) else {
@@ -109,36 +114,19 @@
         if !std::mem::take(&mut self.replica_assignment_due) {
             return;
         }
-        let functions_without_replica: Vec<(FunctionKey, FencingToken, KnownMember)> = self
+        let functions_without_replica: Vec<(FunctionKey, KnownMember)> = self
             .lease_records
             .iter()
             .filter(|(_, entry)| entry.replica.is_none() && entry.fencing_since.is_none())
             .filter(|(function, _)| self.is_recorded(function))
-            .map(|(function, entry)| (function.clone(), entry.fencing_token, entry.holder.clone()))
+            .map(|(function, entry)| (function.clone(), entry.holder.clone()))
             .collect();
-        for (function, fencing_token, holder) in functions_without_replica {
-            let stream = self
-                .members
-                .records
-                .get(&holder)
-                .and_then(|record| record.stream);
+        for (function, holder) in functions_without_replica {
+            let stream = self.members.stream_of(&holder);
             let replica = self.choose_replica(now, &function, &holder, None);
-            let (Some(stream), Some(replica)) = (stream, replica) else {
-                continue;
-            };
-            if let Some(entry) = self.lease_records.get_mut(&function) {
-                entry.replica = Some(replica.clone());
-                entry.complete = false;
+            if let (Some(stream), Some(replica)) = (stream, replica) {
+                self.assign_replica(stream, function, Some(replica));
             }
-            let replica = LengthPrefixed(vec![replica]);
-            self.send_frame(
-                stream,
-                LeaderToDaemon::ReplicaAssigned {
-                    function,
-                    fencing_token,
-                    replica,
-                },
-            );
         }
     }
 }
--- a/crates/controlplane/src/leader_state/link_moves.rs
+++ b/crates/controlplane/src/leader_state/link_moves.rs
@@ -2,7 +2,8 @@
 //! few hosts on wide links, so that hosts on narrow ones request functions. Once enough wide ones stand in the
 //! list, such a request waits for one of theirs, and functions held on narrow links are handed over.
 
-use super::{LeaderState, PendingAcquisition};
+use super::LeaderState;
+use super::acquisitions::PendingAcquisition;
 use common::clock::MonotonicTime;
 use common::frames::LeaderToDaemon;
 use common::identity::{FencingToken, FunctionKey};
@@ -54,7 +55,7 @@
         now: MonotonicTime,
         acquisition: &PendingAcquisition,
     ) -> bool {
-        let Some(requester) = self.members.streams.get(&acquisition.stream) else {
+        let Some(requester) = self.members.on_stream(acquisition.stream) else {
             return false;
         };
         let waits_since = acquisition.requested_at.max(self.claims.opened_at);
@@ -75,8 +76,7 @@
             let Some(entry) = self.lease_records.get_mut(&due_move.function) else {
                 continue;
             };
-            let record = self.members.records.get(&entry.holder);
-            let Some(stream) = record.and_then(|record| record.stream) else {
+            let Some(stream) = self.members.stream_of(&entry.holder) else {
                 continue;
             };
             entry.handing_over = true;
--- a/crates/controlplane/src/leader_state/members.rs
+++ b/crates/controlplane/src/leader_state/members.rs
@@ -1,11 +1,9 @@
-//! Members: their streams, their incarnations and what is known of each.
+//! The table of members: their streams, their incarnations and what is known of each.
 
-use super::events::MemberConnectedFields;
+use super::StreamId;
 use super::membership::started_at;
-use super::{LeaderOutput, LeaderState, StreamId, TraceStep};
 use common::clock::MonotonicTime;
-use common::events;
-use common::frames::{Flag, Host, KnownMember, LeaderToDaemon, SocketAddress};
+use common::frames::{Flag, Host, KnownMember, SocketAddress};
 use common::identity::{MemberName, Version};
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -52,48 +50,42 @@
 
 impl MemberRecord {
     /// A member that has just said hello for the first time.
-    fn new(
-        now: MonotonicTime,
-        host: Host,
-        ingress: SocketAddress,
-        version: Version,
-        history: &IncarnationHistory,
-    ) -> Self {
+    pub(super) fn new(now: MonotonicTime, hello: &MemberHello) -> Self {
         Self {
-            is_self_eligible: host.eligible.0,
-            host,
-            ingress,
+            is_self_eligible: hello.host.eligible.0,
+            host: hello.host.clone(),
+            ingress: hello.ingress,
             stream: None,
             lease_expires_at: MonotonicTime::ZERO,
             lease_expiry_bound: MonotonicTime::ZERO,
-            installed: version,
-            pushed: version,
+            installed: hello.version,
+            pushed: hello.version,
             claimed: false,
             last_heard_at: now,
             swept: false,
             joined_at: now,
-            started_at: history.started_at,
-            had_lease: history.had_lease,
+            started_at: hello.history.started_at,
+            had_lease: hello.history.had_lease,
             last_frame_at: now,
             pushed_hosts_number: 0,
             has_departed: false,
         }
     }
 
-    /// The member says hello on a stream, with the version that it has installed.
-    fn connect(
+    /// The member says hello on a stream; `shown_host` is how other members are to see it.
+    pub(super) fn connect(
         &mut self,
         now: MonotonicTime,
         stream: StreamId,
-        host: Host,
-        ingress: SocketAddress,
-        version: Version,
+        hello: &MemberHello,
+        shown_host: Host,
     ) {
+        self.is_self_eligible = hello.host.eligible.0;
         self.stream = Some(stream);
-        self.host = host;
-        self.ingress = ingress;
-        self.installed = version;
-        self.pushed = version;
+        self.host = shown_host;
+        self.ingress = hello.ingress;
+        self.installed = hello.version;
+        self.pushed = hello.version;
         self.last_heard_at = now;
         self.last_frame_at = now;
         self.pushed_hosts_number = 0;
@@ -101,12 +93,23 @@
     }
 
     /// The member takes no functions any more.
-    fn make_ineligible(&mut self) {
+    pub(super) fn make_ineligible(&mut self) {
         self.is_self_eligible = false;
         self.host.eligible = Flag(false);
     }
 }
 
+/// What a member reports when it opens its stream.
+pub(super) struct MemberHello {
+    /// The member as it sees itself.
+    pub host: Host,
+    /// Where it listens for callers.
+    pub ingress: SocketAddress,
+    /// The version that it has installed.
+    pub version: Version,
+    pub history: IncarnationHistory,
+}
+
 /// What a member reports of its incarnation when it says hello.
 pub(super) struct IncarnationHistory {
     pub started_at: MonotonicTime,
@@ -125,11 +128,11 @@
 
 /// The members: their records, the stream that each has open, and which incarnation of a name is current.
 pub(super) struct Members {
-    pub streams: BTreeMap<StreamId, KnownMember>,
-    pub records: BTreeMap<KnownMember, MemberRecord>,
-    pub current: BTreeMap<MemberName, KnownMember>,
+    streams: BTreeMap<StreamId, KnownMember>,
+    records: BTreeMap<KnownMember, MemberRecord>,
+    current: BTreeMap<MemberName, KnownMember>,
     /// Whether the set has changed since the control quorum last took it.
-    pub changed: bool,
+    changed: bool,
     next_expiry_at: MonotonicTime,
 }
 
@@ -146,7 +149,7 @@
     }
 
     /// Makes the stream the one that the member is reached on.
-    fn attach(&mut self, stream: StreamId, known_member: &KnownMember) {
+    pub(super) fn attach(&mut self, stream: StreamId, known_member: &KnownMember) {
         let record = self.records.get(known_member);
         if let Some(earlier_stream) = record.and_then(|record| record.stream) {
             self.streams.remove(&earlier_stream);
@@ -156,6 +159,101 @@
             .insert(known_member.member.clone(), known_member.clone());
     }
 
+    /// The member on a stream.
+    pub(super) fn on_stream(&self, stream: StreamId) -> Option<&KnownMember> {
+        self.streams.get(&stream)
+    }
+
+    /// The streams that are open.
+    pub(super) fn open_streams(&self) -> Vec<StreamId> {
+        self.streams.keys().copied().collect()
+    }
+
+    /// How many streams are open.
+    pub(super) fn open_stream_count(&self) -> usize {
+        self.streams.len()
+    }
+
+    /// The record of one incarnation.
+    pub(super) fn get(&self, known_member: &KnownMember) -> Option<&MemberRecord> {
+        self.records.get(known_member)
+    }
+
+    /// The record of one incarnation, to be changed.
+    pub(super) fn get_mut(&mut self, known_member: &KnownMember) -> Option<&mut MemberRecord> {
+        self.records.get_mut(known_member)
+    }
+
+    /// Every incarnation that has a record.
+    pub(super) fn known(&self) -> impl Iterator<Item = &KnownMember> {
+        self.records.keys()
+    }
+
+    /// Every incarnation with its record.
+    pub(super) fn iter(&self) -> impl Iterator<Item = (&KnownMember, &MemberRecord)> {
+        self.records.iter()
+    }
+
+    /// Every record.
+    pub(super) fn records(&self) -> impl Iterator<Item = &MemberRecord> {
+        self.records.values()
+    }
+
+    /// Every record, to be changed.
+    pub(super) fn records_mut(&mut self) -> impl Iterator<Item = &mut MemberRecord> {
+        self.records.values_mut()
+    }
+
+    /// The stream on which one incarnation is reached.
+    pub(super) fn stream_of(&self, known_member: &KnownMember) -> Option<StreamId> {
+        self.records.get(known_member)?.stream
+    }
+
+    /// The incarnation that goes by a name at present.
+    pub(super) fn current_incarnation(&self, member: &MemberName) -> Option<&KnownMember> {
+        self.current.get(member)
+    }
+
+    /// The records of the present incarnations, by their names.
+    pub(super) fn current_records(&self) -> impl Iterator<Item = &MemberRecord> {
+        self.current
+            .values()
+            .filter_map(|known_member| self.records.get(known_member))
+    }
+
+    /// The record of one incarnation; a new one is made for an incarnation that has none.
+    pub(super) fn get_or_insert(
+        &mut self,
+        known_member: KnownMember,
+        new_record: impl FnOnce() -> MemberRecord,
+    ) -> &mut MemberRecord {
+        self.records.entry(known_member).or_insert_with(new_record)
+    }
+
+    /// A stream has ended; returns the member that was on it.
+    pub(super) fn close_stream(&mut self, stream: StreamId) -> Option<KnownMember> {
+        self.streams.remove(&stream)
+    }
+
+    /// Whether it is time to look for members that are gone; it is then not due again for a while.
+    pub(super) fn take_expiry_due(&mut self, now: MonotonicTime) -> bool {
+        let is_due = now >= self.next_expiry_at;
+        if is_due {
+            self.next_expiry_at = now + MEMBER_EXPIRY_INTERVAL;
+        }
+        is_due
+    }
+
+    /// Whether the members that may hold leases have changed since this was last called.
+    pub(super) fn take_changed(&mut self) -> bool {
+        std::mem::take(&mut self.changed)
+    }
+
+    /// The members that may hold leases have changed, so that the control quorum is to take them again.
+    pub(super) fn mark_changed(&mut self) {
+        self.changed = true;
+    }
+
     /// The member on a stream, with its record.
     pub(super) fn on_stream_mut(
         &mut self,
@@ -170,7 +268,8 @@
         self.records.get(self.current.get(member)?)
     }
 
-    fn remove(&mut self, gone_member: &KnownMember) -> Option<MemberRecord> {
+    /// Forgets an incarnation; returns its record.
+    pub(super) fn remove(&mut self, gone_member: &KnownMember) -> Option<MemberRecord> {
         let record = self.records.remove(gone_member);
         if self.current.get(&gone_member.member) == Some(gone_member) {
             self.current.remove(&gone_member.member);
@@ -179,155 +278,3 @@
         record
     }
 }
-
-impl LeaderState {
-    /// A member opens its stream: whatever stood on an earlier stream of it, or with an earlier incarnation, ends.
-    pub(super) fn handle_hello(
-        &mut self,
-        now: MonotonicTime,
-        stream: StreamId,
-        host: Host,
-        ingress: SocketAddress,
-        version: Version,
-        history: IncarnationHistory,
-    ) {
-        let known_member = KnownMember {
-            member: host.member.clone(),
-            incarnation: host.incarnation,
-            address: host.address,
-        };
-        self.fencing.schedule_sweep();
-        self.end_earlier_incarnations(now, &known_member);
-        let is_new = !self.members.records.contains_key(&known_member);
-        if is_new && self.claims.expects_other_incarnation_of(&known_member) {
-            self.claims.member_restarted_at = now;
-        }
-        self.members.attach(stream, &known_member);
-        let is_self_eligible = host.eligible.0;
-        let shown_host = Host {
-            eligible: Flag(is_self_eligible && !self.is_evacuated(&host.zone)),
-            ..host.clone()
-        };
-        let record =
-            self.members.records.entry(known_member).or_insert_with(|| {
-                MemberRecord::new(now, host.clone(), ingress, version, &history)
-            });
-        record.is_self_eligible = is_self_eligible;
-        record.connect(now, stream, shown_host, ingress, version);
-        self.members.changed = true;
-        self.membership_list.check_due = true;
-        self.hosts.member_connected(&host.member);
-        self.send_frame(
-            stream,
-            LeaderToDaemon::Welcome {
-                term: self.tokens.term,
-            },
-        );
-        self.push_newest(stream);
-        let fields = MemberConnectedFields {
-            member: &host.member,
-            incarnation: host.incarnation.0,
-            zone: &host.zone,
-        };
-        self.record_event(events::MEMBER_CONNECTED, fields);
-    }
-
-    /// Ends the earlier incarnations of a member. The new one holds the port of their address, so they are
-    /// gone, and their session leases with them.
-    fn end_earlier_incarnations(&mut self, now: MonotonicTime, restarted_member: &KnownMember) {
-        let earlier_incarnations: Vec<KnownMember> = self
-            .members
-            .records
-            .keys()
-            .filter(|known| known.is_other_incarnation_of(restarted_member))
-            .cloned()
-            .collect();
-        for earlier_incarnation in earlier_incarnations {
-            self.claims.member_restarted_at = now;
-            let Some(record) = self.members.records.get_mut(&earlier_incarnation) else {
-                continue;
-            };
-            record.lease_expires_at = record.lease_expires_at.min(now);
-            record.lease_expiry_bound = record.lease_expiry_bound.min(now);
-            record.make_ineligible();
-            if let Some(earlier_stream) = record.stream.take() {
-                self.members.streams.remove(&earlier_stream);
-                self.acquisitions.forget(earlier_stream);
-                self.renewals.forget(earlier_stream);
-            }
-            self.fence_all_held_by(now, &earlier_incarnation);
-        }
-    }
-
-    /// A member has installed a version; renewals may wait for that.
-    pub(super) fn handle_installed(&mut self, stream: StreamId, version: Version) {
-        if let Some((known_member, record)) = self.members.on_stream_mut(stream) {
-            let is_newer = record.installed < version;
-            record.installed = record.installed.max(version);
-            if is_newer {
-                self.renewals.schedule_check();
-                let member = known_member.member.clone();
-                self.outputs.push(LeaderOutput::VersionProgress {
-                    version,
-                    member,
-                    step: TraceStep::Installed,
-                });
-            }
-        }
-    }
-
-    /// A member leaves in order: it gives up its session lease and takes no functions any more.
-    pub(super) fn handle_leaving(&mut self, now: MonotonicTime, stream: StreamId) {
-        if !self.members.streams.contains_key(&stream) {
-            return;
-        }
-        if let Some((_, record)) = self.members.on_stream_mut(stream) {
-            record.make_ineligible();
-            record.lease_expires_at = now;
-            record.lease_expiry_bound = now;
-            record.swept = false;
-            record.has_departed = true;
-            self.hosts.push_due = true;
-        }
-        self.fencing.schedule_sweep();
-        self.renewals.forget(stream);
-    }
-
-    /// Forgets members without stream and lease once they hold nothing: at once if they left in order, else
-    /// after a while.
-    pub(super) fn expire_members(&mut self, now: MonotonicTime) {
-        if now < self.members.next_expiry_at {
-            return;
-        }
-        self.members.next_expiry_at = now + MEMBER_EXPIRY_INTERVAL;
-        let forget_after = self.timing.forget_after;
-        let gone_members: Vec<KnownMember> = self
-            .members
-            .records
-            .iter()
-            .filter(|(_, record)| {
-                record.stream.is_none()
-                    && now >= record.lease_expiry_bound
-                    && (record.has_departed || now.since(record.last_heard_at) > forget_after)
-            })
-            .map(|(known_member, _)| known_member.clone())
-            .filter(|known_member| !self.lease_records.holds_any(known_member))
-            .collect();
-        for gone_member in gone_members {
-            let record = self.members.remove(&gone_member);
-            self.pressure.idle_since.remove(&gone_member);
-            if record.is_some_and(|record| record.has_departed) {
-                self.note_departed(now, &gone_member);
-            }
-            self.hosts.push_due = true;
-            self.membership_list.check_due = true;
-        }
-    }
-
-    /// A frame came in on a member's stream: the member is alive.
-    pub(super) fn note_frame_received(&mut self, now: MonotonicTime, stream: StreamId) {
-        if let Some((_, record)) = self.members.on_stream_mut(stream) {
-            record.last_frame_at = now;
-        }
-    }
-}
--- a/crates/controlplane/src/leader_state/memory_pressure.rs
+++ b/crates/controlplane/src/leader_state/memory_pressure.rs
@@ -1,7 +1,6 @@
 //! What gives way when the workers' memory is short.
 
-use super::events::{FunctionFields, ReclaimedRunnerFields};
-use super::{LeaderState, StreamId};
+use super::{EventDetail, LeaderState, StreamId};
 use common::clock::MonotonicTime;
 use common::events;
 use common::frames::{IdleFunction, KnownMember, LeaderToDaemon};
@@ -63,12 +62,12 @@
             return;
         };
         self.pressure.runner_reclaimed_at = now;
-        let fields = ReclaimedRunnerFields {
-            function: &function,
+        let detail = EventDetail::ReclaimedRunner {
+            function: function.clone(),
             runner,
-            requester,
+            requester: requester.clone(),
         };
-        self.record_event(events::IDLE_RUNNERS_RECLAIMED, fields);
+        self.record_event(events::IDLE_RUNNERS_RECLAIMED, detail);
         self.drain(function, runner);
     }
 
@@ -99,7 +98,7 @@
         let mut staying: BTreeMap<&FunctionKey, Vec<(u64, RunnerId)>> = BTreeMap::new();
         for (runner, reservation) in self.reservations.iter() {
             let worker = &reservation.worker;
-            let Some(record) = self.workers.records.get(worker) else {
+            let Some(listed) = self.workers.get(worker) else {
                 continue;
             };
             if !reservation.is_staying()
@@ -109,7 +108,7 @@
                 continue;
             }
             let used_mb = reserved_mb_sums.get(worker).copied().unwrap_or(0);
-            let free_mb = u64::from(record.listed.memory_mb).saturating_sub(used_mb);
+            let free_mb = u64::from(listed.memory_mb).saturating_sub(used_mb);
             let freed_mb = free_mb + u64::from(reservation.memory_mb);
             staying
                 .entry(&reservation.function)
@@ -126,7 +125,7 @@
         stream: StreamId,
         functions: Vec<IdleFunction>,
     ) {
-        let Some(holder) = self.members.streams.get(&stream) else {
+        let Some(holder) = self.members.on_stream(stream) else {
             return;
         };
         let idle_since = functions
@@ -194,7 +193,7 @@
     fn evict(&mut self, now: MonotonicTime, function: FunctionKey) -> Option<u32> {
         let entry = self.lease_records.get(&function)?;
         let fencing_token = entry.fencing_token;
-        let stream = self.members.records.get(&entry.holder)?.stream?;
+        let stream = self.members.stream_of(&entry.holder)?;
         let freed_mb = self
             .reservations
             .all_of(&function)
@@ -204,10 +203,10 @@
         if let Some(idle_since) = self.pressure.idle_since.get_mut(&entry.holder) {
             idle_since.remove(&function);
         }
-        let fields = FunctionFields {
-            function: &function,
+        let detail = EventDetail::Function {
+            function: function.clone(),
         };
-        self.record_event(events::IDLE_RUNNERS_RECLAIMED, fields);
+        self.record_event(events::IDLE_RUNNERS_RECLAIMED, detail);
         let frame = LeaderToDaemon::ReclaimIdle {
             function,
             fencing_token,
--- a/crates/controlplane/src/leader_state/mod.rs
+++ b/crates/controlplane/src/leader_state/mod.rs
@@ -13,10 +13,12 @@
 mod lease_end;
 mod ledger_replicas;
 mod link_moves;
+mod member_sessions;
 mod members;
 mod membership;
 mod memory_pressure;
 mod output;
+mod receive;
 mod renewals;
 mod report;
 mod reservations;
@@ -26,25 +28,30 @@
 mod worker_evacuation;
 mod workers;
 
-pub use document_delivery::RETAINED_VIEWS;
-pub use output::{EventRecord, LeaderOutput, StreamId, TraceStep};
+pub use document_delivery::{LagReason, Laggard, RETAINED_VIEWS};
+pub use events::{EventDetail, EventRecord};
+pub use output::{LeaderOutput, StreamId, TraceStep};
+pub use report::{
+    HolderRow, HoldersReport, LeaderReport, MemberRow, MembersReport, RunnerRow, RunnersReport,
+    WorkerRow, WorkersReport,
+};
 pub use timing::LeaderTiming;
 
-use acquisitions::{Acquisitions, PendingAcquisition};
+use acquisitions::Acquisitions;
 use claims_quorum::ClaimsQuorum;
 use common::clock::MonotonicTime;
-use common::frames::{DaemonToLeader, KnownMember, LeaderToDaemon};
+use common::events::Event;
+use common::frames::{KnownMember, LeaderToDaemon};
 use common::identity::{FencingToken, Term, Version, Zone};
 use common::rules::{Rule, Rules};
 use common::spec::{DaemonView, ListedMember};
 use document_delivery::Configuration;
-use events::{EventFields, MemberFields};
 use fence::Fencing;
 use function_leases::{FunctionLeases, LeaseRecord};
 use host_list::HostList;
 use lease_end::OnceDelays;
 use link_moves::LinkMoves;
-use members::{IncarnationHistory, Members};
+use members::Members;
 use membership::MembershipList;
 use memory_pressure::MemoryPressure;
 use renewals::Renewals;
@@ -152,131 +159,11 @@
         self.claims.is_open
     }
 
-    /// The members that may hold leases, and whether there are surely no others.
-    pub fn known_members(&self) -> (BTreeSet<KnownMember>, bool) {
-        let mut known_members: BTreeSet<KnownMember> =
-            self.members.records.keys().cloned().collect();
-        if !self.claims.is_open {
-            known_members.extend(self.claims.last_known.iter().cloned());
-        }
-        (
-            known_members,
-            self.claims.last_known_complete || self.claims.is_open,
-        )
-    }
-
-    /// The known members, if they may have changed since this was last called.
-    pub fn take_known_members(&mut self) -> Option<(BTreeSet<KnownMember>, bool)> {
-        std::mem::take(&mut self.members.changed).then(|| self.known_members())
-    }
-
     /// The newest version that is in force with every member.
     pub fn in_force(&self) -> Version {
         self.configuration.in_force
     }
 
-    /// Handles a frame from a member. One arm per frame: each goes to the module that it concerns.
-    pub fn receive(&mut self, now: MonotonicTime, stream: StreamId, frame: DaemonToLeader) {
-        self.acquisitions.check_due = true;
-        self.note_frame_received(now, stream);
-        match frame {
-            DaemonToLeader::Hello {
-                host,
-                ingress,
-                version,
-                age_ms,
-                granted,
-            } => {
-                let history = IncarnationHistory::new(now, age_ms, granted);
-                self.handle_hello(now, stream, host, ingress, version, history);
-            }
-            DaemonToLeader::Claims { claims } => self.handle_claims(now, stream, claims.0),
-            DaemonToLeader::Renew {
-                correlation,
-                version,
-            } => {
-                self.handle_renew(now, stream, correlation, version);
-            }
-            DaemonToLeader::Installed { version } => self.handle_installed(stream, version),
-            DaemonToLeader::FullSpecRequest => self.push_full_document(stream),
-            DaemonToLeader::Acquire {
-                correlation,
-                function,
-            } => {
-                let acquisition = PendingAcquisition::new(now, stream, correlation, function);
-                self.acquisitions.add(acquisition);
-            }
-            DaemonToLeader::Release {
-                function,
-                fencing_token,
-                runners,
-            } => {
-                self.handle_release(now, stream, function, fencing_token, runners);
-            }
-            DaemonToLeader::Reserve {
-                correlation,
-                function,
-                fencing_token,
-            } => {
-                self.handle_reserve(now, stream, correlation, function, fencing_token);
-            }
-            DaemonToLeader::RunnerUpdate {
-                function,
-                runner,
-                runner_status,
-            } => {
-                self.handle_runner_status(now, &function, runner, runner_status);
-            }
-            DaemonToLeader::Rejections {
-                function,
-                count,
-                reason,
-            } => self.handle_rejections(stream, function, count, reason),
-            DaemonToLeader::ReplicaLost {
-                function,
-                fencing_token,
-                lost,
-            } => {
-                self.handle_replica_lost(now, stream, function, fencing_token, &lost);
-            }
-            DaemonToLeader::ReplicaComplete {
-                function,
-                fencing_token,
-                replica,
-            } => {
-                self.handle_replica_complete(stream, &function, fencing_token, &replica);
-            }
-            DaemonToLeader::Idle { functions } => self.handle_idle(now, stream, functions.0),
-            DaemonToLeader::MemberSuspected { incarnation } => {
-                self.handle_suspicion(stream, incarnation)
-            }
-            DaemonToLeader::MemberRecovered { incarnation } => {
-                self.handle_suspicion_cleared(&incarnation)
-            }
-            DaemonToLeader::FullHostListRequest => self.handle_full_hosts_request(stream),
-            DaemonToLeader::Leaving => self.handle_leaving(now, stream),
-        }
-    }
-
-    /// A member's stream has ended; its lease stands until it expires.
-    pub fn stream_lost(&mut self, stream: StreamId) {
-        let Some(known_member) = self.members.streams.remove(&stream) else {
-            return;
-        };
-        self.acquisitions.check_due = true;
-        self.acquisitions.forget(stream);
-        self.renewals.forget(stream);
-        if let Some(record) = self.members.records.get_mut(&known_member)
-            && record.stream == Some(stream)
-        {
-            record.stream = None;
-            let fields = MemberFields {
-                member: &known_member.member,
-            };
-            self.record_event(common::events::MEMBER_DISCONNECTED, fields);
-        }
-    }
-
     /// Does all that is due at this instant, and returns what is to be sent, requested and recorded, in order.
     pub fn progress(&mut self, now: MonotonicTime, proof: &QuorumProof<'_>) -> Vec<LeaderOutput> {
         self.expire_members(now);
@@ -298,24 +185,11 @@
             .push(LeaderOutput::FrameToDaemon { stream, frame });
     }
 
-    fn record_event(&mut self, event: common::events::Event, fields: impl EventFields) {
-        self.push_event(fields.record(event));
-    }
-
-    /// Takes a record made while its fields were still borrowed from this state.
-    fn push_event(&mut self, event_record: EventRecord) {
+    fn record_event(&mut self, event: Event, detail: EventDetail) {
+        let event_record = EventRecord { event, detail };
         self.outputs.push(LeaderOutput::EventRecord(event_record));
     }
 
-    fn is_serving(&self, known_member: &KnownMember, now: MonotonicTime) -> bool {
-        self.members
-            .records
-            .get(known_member)
-            .is_some_and(|record| {
-                record.stream.is_some() && record.lease_expires_at > now && record.host.eligible.0
-            })
-    }
-
     fn next_fencing_token(&mut self) -> FencingToken {
         self.tokens.issue()
     }
--- a/crates/controlplane/tests/leader_state/leases.rs
+++ b/crates/controlplane/tests/leader_state/leases.rs
@@ -3,9 +3,9 @@
 use super::harness::{Harness, ms};
 use super::samples::{claim, instance, listed_instance, old_runner};
 use common::frames::AcquireResult;
+use common::identity::MemberName;
 use controlplane::leader_state::LeaderTiming;
 use googletest::prelude::*;
-use serde_json::json;
 
 #[gtest]
 fn nothing_is_granted_before_every_last_known_daemon_claims_or_the_full_wait_is_over() -> Result<()>
@@ -124,7 +124,7 @@
     harness.advance(ms(10));
     harness.advance(ms(10));
     verify_that!(
-        harness.leader_state.report_holders()["holders"][0]["member"],
-        eq(&json!("b"))
+        harness.leader_state.report_holders().holders[0].member,
+        eq(&MemberName::from("b"))
     )
 }
--- a/crates/controlplane/tests/leader_state/orphans.rs
+++ b/crates/controlplane/tests/leader_state/orphans.rs
@@ -84,9 +84,8 @@
     verify_that!(is_notified(&harness), eq(true))
 }
 
-fn known_runner_count(harness: &Harness) -> Option<usize> {
-    let report = harness.leader_state.report_runners();
-    report["runners"].as_array().map(Vec::len)
+fn known_runner_count(harness: &Harness) -> usize {
+    harness.leader_state.report_runners().runners.len()
 }
 
 #[gtest]
@@ -99,7 +98,7 @@
     };
     harness.listed(&[listed_instance(false)]);
     harness.advance(ms(10));
-    verify_that!(known_runner_count(&harness), some(eq(1)))?;
+    verify_that!(known_runner_count(&harness), eq(1))?;
     let runner_status = RunnerStatus::Started {
         instance: instance(),
     };
@@ -113,6 +112,6 @@
     );
     harness.listed(&[listed_instance(false)]);
     harness.advance(ms(10));
-    verify_that!(known_runner_count(&harness), some(eq(1)))?;
+    verify_that!(known_runner_count(&harness), eq(1))?;
     verify_that!(harness.stops(), is_empty())
 }
--- a/crates/controlplane/tests/operators_forms.rs
+++ b/crates/controlplane/tests/operators_forms.rs
@@ -21,7 +21,7 @@
     Wait, derive_change_id,
 };
 use controlplane::drivers::{NativeOperatorApi, OperatorApiAdapter};
-use controlplane::leader_state::EventRecord;
+use controlplane::leader_state::{EventDetail, EventRecord, LeaderReport, MembersReport};
 use operator_requests::request_head;
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, BTreeSet};
@@ -389,7 +389,10 @@
 
 /// The replies that only the product's own API gives.
 fn native_replies() -> Vec<(&'static str, OperationReply)> {
-    let report = json!({"members": [], "open": true});
+    let report = LeaderReport::Members(MembersReport {
+        members: Vec::new(),
+        open: true,
+    });
     let unknown_change = unrecorded_change_reply(UnrecordedChange::Unknown);
     let unaccepted_change = unrecorded_change_reply(UnrecordedChange::NotAccepted);
     let mut replies = vec![("metrics", OperationReply::MetricsUpdated)];
@@ -465,7 +468,7 @@
 fn event_entries() -> Vec<EventEntry> {
     let event_record = EventRecord {
         event: events::LEADER_ELECTED,
-        detail: json!({"term": 3}),
+        detail: EventDetail::Term { term: Term(3) },
     };
     vec![
         EventEntry::Gap {
--- a/crates/controlplane/tests/storage.rs
+++ b/crates/controlplane/tests/storage.rs
@@ -4,7 +4,7 @@
 use common::identity::{ChangeId, ControllerId, DocumentVersion, Term, Zone};
 use common::spec::{Document, Voter};
 use controlplane::consensus::{PersistedState, WriteJob};
-use controlplane::storage::{DataDirectory, DiskFaultHook};
+use controlplane::storage::{DataDirectory, DiskFaultHook, LoadedState};
 use googletest::prelude::*;
 use std::fs;
 use std::io;
@@ -83,7 +83,11 @@
 
 /// What a start of the controller finds in its directory, and the files that it quarantines.
 fn start(directory: &TempDirectory) -> Result<(PersistedState, Vec<String>)> {
-    Ok(DataDirectory::open(&directory.0)?.load(ControllerId(1))?)
+    let LoadedState {
+        persisted,
+        quarantined,
+    } = DataDirectory::open(&directory.0)?.load(ControllerId(1))?;
+    Ok((persisted, quarantined))
 }
 
 /// Starts, and checks which version is known to be unreadable.
@@ -161,10 +165,14 @@
 #[gtest]
 fn an_empty_folder_is_a_new_identity() -> Result<()> {
     let directory = TempDirectory::new("empty");
-    let (persisted, _) = DataDirectory::open(&directory.0)?.load(ControllerId(42))?;
+    let persisted = DataDirectory::open(&directory.0)?
+        .load(ControllerId(42))?
+        .persisted;
     verify_that!(persisted.id, eq(ControllerId(42)))?;
     verify_that!(persisted.accepted.is_none(), eq(true))?;
-    let (reopened, _) = DataDirectory::open(&directory.0)?.load(ControllerId(43))?;
+    let reopened = DataDirectory::open(&directory.0)?
+        .load(ControllerId(43))?
+        .persisted;
     verify_that!(reopened.id, eq(ControllerId(42)))
 }
 
@@ -175,7 +183,10 @@
     verify_that!(data_directory.scrub(stored_versions.last())?, is_empty())?;
     fs::write(directory.newest("spec-"), "rot")?;
     verify_that!(data_directory.scrub(stored_versions.last())?.len(), eq(1))?;
-    let (persisted, quarantined) = data_directory.load(ControllerId(1))?;
+    let LoadedState {
+        persisted,
+        quarantined,
+    } = data_directory.load(ControllerId(1))?;
     verify_that!(
         persisted.accepted.as_ref() == stored_versions.last(),
         eq(true)
@@ -225,7 +236,7 @@
     fill_directory(&directory, 2);
     fs::write(directory.0.join("identity"), "rot")?;
     let data_directory = DataDirectory::open(&directory.0)?;
-    let (persisted, _) = data_directory.load(ControllerId(9))?;
+    let persisted = data_directory.load(ControllerId(9))?.persisted;
     verify_that!(persisted.is_empty(), eq(true))?;
     verify_that!(data_directory.is_first_start(), eq(false))
 }
