--- a/testing/fleet/src/sim/calls.rs
+++ b/testing/fleet/src/sim/calls.rs
@@ -2,23 +2,18 @@
 
 use super::event::Event;
 use super::simulation::Simulation;
-use common::clock::MonotonicTime;
 use common::identity::IdempotencyKey;
 use dataplane::agent::FunctionRequest;
 use std::time::Duration;
 
 impl Simulation {
-    fn faults_end_at(&self) -> MonotonicTime {
-        self.started_at() + self.plan.lasts
-    }
-
     /// Counts a call made after all faults were undone, by half second.
     pub(super) fn count_late_call(&mut self, idempotency_key: &IdempotencyKey) {
         let faults_end_at = self.faults_end_at();
-        if self.now < faults_end_at {
+        if self.queue.now() < faults_end_at {
             return;
         }
-        let half_second = (self.now.since(faults_end_at).as_millis() / 500) as usize;
+        let half_second = (self.queue.now().since(faults_end_at).as_millis() / 500) as usize;
         if half_second < 34 {
             if self.shares_after_healing.len() <= half_second {
                 self.shares_after_healing.resize(half_second + 1, (0, 0));
@@ -38,9 +33,10 @@
     /// Handles a refusal at a caller: while callers retry, it soon repeats the request through another ingress, marked
     /// as a retry.
     pub(super) fn note_refused(&mut self, request: &FunctionRequest) {
-        if self.now < self.retrying_until && self.rng.random_bool(0.7) {
+        if self.queue.now() < self.retrying_until && self.rng.random_bool(0.7) {
             let wait_span = self.rng.within(Duration::ZERO, Duration::from_millis(40));
-            self.push(wait_span, Event::Repeat(request.route.clone()));
+            self.queue
+                .push(wait_span, Event::Repeat(request.route.clone()));
         }
     }
 
@@ -52,8 +48,7 @@
     }
 
     pub(super) fn repeat_call(&mut self, route_name: &str) {
-        self.next_number += 1;
-        let idempotency_key = IdempotencyKey::from(format!("repeat-{}", self.next_number));
+        let idempotency_key = IdempotencyKey::from(format!("repeat-{}", self.numbers.next()));
         if let Some(index) = self.random_ingress() {
             self.call(
                 index,
@@ -66,8 +61,7 @@
     }
 
     pub(super) fn send_call(&mut self, route_name: &'static str) {
-        self.next_number += 1;
-        let idempotency_key = IdempotencyKey::from(format!("t{}", self.next_number));
+        let idempotency_key = IdempotencyKey::from(format!("t{}", self.numbers.next()));
         let timeout = self
             .rng
             .within(Duration::from_millis(1000), Duration::from_millis(3000));
@@ -78,8 +72,8 @@
 
     pub(super) fn send_random_call(&mut self) {
         let gap = Duration::from_secs_f64(1.0 / self.plan.rate);
-        self.push(gap, Event::Call);
-        self.next_number += 1;
+        self.queue.push(gap, Event::Call);
+        let number = self.numbers.next();
         let routes = [
             "f0", "f0", "f1", "f1", "f2", "f3", "f4", "f5", "canary", "canary",
         ];
@@ -92,11 +86,11 @@
         let Some(index) = self.random_ingress() else {
             return;
         };
-        let idempotency_key = IdempotencyKey::from(format!("t{}", self.next_number));
+        let idempotency_key = IdempotencyKey::from(format!("t{number}"));
         self.count_late_call(&idempotency_key);
         if is_duplicate {
             self.checks.mark_duplicate(&idempotency_key);
-            self.push(
+            self.queue.push(
                 duplicate_after,
                 Event::DuplicateCall(idempotency_key.clone(), route_name),
             );
@@ -134,8 +128,12 @@
             })
             .collect();
         for (second, (calls, answers)) in seconds_after_healing.into_iter().enumerate() {
-            self.checks
-                .check_recovered_second(self.now, 12 + second as u64, calls, answers);
+            self.checks.check_recovered_second(
+                self.queue.now(),
+                12 + second as u64,
+                calls,
+                answers,
+            );
         }
     }
 
--- a/testing/fleet/src/sim/controller.rs
+++ b/testing/fleet/src/sim/controller.rs
@@ -73,7 +73,11 @@
 impl Simulation {
     pub(super) fn controller_now(&self, index: usize) -> MonotonicTime {
         let controller = &self.controllers[index];
-        local_time(self.now, controller.clock_ahead, controller.clock_drift)
+        local_time(
+            self.queue.now(),
+            controller.clock_ahead,
+            controller.clock_drift,
+        )
     }
 
     /// Starts a controller from its disk.
@@ -108,11 +112,11 @@
         );
         controller.controller_state = Some(controller_state.with_rules(rules));
         let node = controller.node;
-        self.push(
+        self.queue.push(
             Duration::from_millis(1),
             Event::Tick(node, self.controllers[index].instance),
         );
-        self.push(
+        self.queue.push(
             Duration::from_millis(50),
             Event::Poll(node, self.controllers[index].instance),
         );
@@ -161,7 +165,8 @@
                 && !self.rng.random_bool(0.1);
             if is_noticed {
                 let delay = self.network.delay(&mut self.rng);
-                self.push(delay, Event::ControllerGone(other, address));
+                self.queue
+                    .push(delay, Event::ControllerGone(other, address));
             }
         }
     }
@@ -217,7 +222,8 @@
                 if self.network.reaches(node, to_node) && !self.rng.random_bool(0.001) {
                     let key = (node, to_node);
                     let delay = self.network.delay(&mut self.rng);
-                    self.push_in_order(key, delay, Event::ConsensusFrame(to_node, frame));
+                    self.queue
+                        .push_in_order(key, delay, Event::ConsensusFrame(to_node, frame));
                 }
             }
             ControllerOutput::Write(ticket, job) => self.write(index, ticket, job),
@@ -228,7 +234,7 @@
                 let requester = Requester { node, instance };
                 if self.network.reaches(node, PLATFORM) {
                     let delay = self.network.delay(&mut self.rng);
-                    self.push(delay, Event::LeaderStop(requester, order));
+                    self.queue.push(delay, Event::LeaderStop(requester, order));
                 }
             }
             ControllerOutput::OperatorReply(ticket, reply) => self.operated(index, ticket, reply),
@@ -236,13 +242,13 @@
                 if numbered.event_record.event == events::VERSION_COMMITTED {
                     self.check_commit(index);
                 }
-                if self.is_tracing {
-                    let line = format!(
-                        "{} controller {index} {} {}",
-                        self.now, numbered.event_record.event, numbered.event_record.detail
-                    );
-                    self.trace.push(line);
-                }
+                self.record.trace(self.queue.now(), || {
+                    let event_record = &numbered.event_record;
+                    format!(
+                        "controller {index} {} {}",
+                        event_record.event, event_record.detail
+                    )
+                });
             }
         }
     }
@@ -298,7 +304,7 @@
             body,
         };
         let node = self.controllers[index].node;
-        self.push(
+        self.queue.push(
             Duration::from_micros(50),
             Event::ConsensusFrame(node, forged_frame),
         );
@@ -310,7 +316,7 @@
             .as_ref()
             .and_then(|controller_state| controller_state.consensus().accepted().cloned());
         if let Some(document) = committed_document {
-            self.checks.check_committed(self.now, &document);
+            self.checks.check_committed(self.queue.now(), &document);
         }
     }
 
@@ -321,27 +327,27 @@
         let own_delay = self
             .rng
             .within(Duration::from_micros(300), Duration::from_millis(12));
-        let ends_at = (self.now + own_delay).max(disk.stalled_until);
-        let is_failing = disk.failing_until > self.now;
+        let ends_at = (self.queue.now() + own_delay).max(disk.stalled_until);
+        let is_failing = disk.failing_until > self.queue.now();
         self.unsynced.push((index, job.clone()));
         let skips_sync = self.plan.flaw == Flaw::SyncSkipped;
         if skips_sync {
-            self.push(
+            self.queue.push(
                 Duration::from_micros(100),
                 Event::Written(node, instance, ticket, WriteResult::Synced),
             );
-            let late = ends_at.since(self.now) + Duration::from_secs(20);
-            self.push(late, Event::Durable(node, instance, job));
+            let late = ends_at.since(self.queue.now()) + Duration::from_secs(20);
+            self.queue.push(late, Event::Durable(node, instance, job));
         } else if is_failing {
-            let delay = ends_at.since(self.now);
-            self.push(
+            let delay = ends_at.since(self.queue.now());
+            self.queue.push(
                 delay,
                 Event::Written(node, instance, ticket, WriteResult::Failed),
             );
         } else {
-            let delay = ends_at.since(self.now);
-            self.push(delay, Event::Durable(node, instance, job));
-            self.push(
+            let delay = ends_at.since(self.queue.now());
+            self.queue.push(delay, Event::Durable(node, instance, job));
+            self.queue.push(
                 delay + Duration::from_nanos(1),
                 Event::Written(node, instance, ticket, WriteResult::Synced),
             );
@@ -363,28 +369,34 @@
             self.break_silently(stream.0);
             return;
         }
-        self.count_event("frames down");
+        self.record.count_event("frames down");
         match &frame {
-            LeaderToDaemon::Renewed { .. } => self.recovery.renewed(self.now, to.daemon_index()),
-            LeaderToDaemon::Hosts { hosts, .. } => self.count_events("hosts told", hosts.0.len()),
+            LeaderToDaemon::Renewed { .. } => {
+                self.recovery.renewed(self.queue.now(), to.daemon_index())
+            }
+            LeaderToDaemon::Hosts { hosts, .. } => {
+                self.record.count_events("hosts told", hosts.0.len())
+            }
             LeaderToDaemon::HostsDelta { put, .. } => {
-                self.count_events("hosts told", put.0.len());
+                self.record.count_events("hosts told", put.0.len());
             }
             LeaderToDaemon::Spec { document: blob, .. }
             | LeaderToDaemon::Change { delta: blob, .. } => {
-                self.count_events("spec bytes", blob.0.len());
+                self.record.count_events("spec bytes", blob.0.len());
             }
             _ => {}
         }
         let delay = self.network.delay(&mut self.rng);
         let key = (Node(2_000_000 + stream.0 as usize), to);
-        self.push_in_order(key, delay, Event::LinkDown(stream.0, frame));
+        self.queue
+            .push_in_order(key, delay, Event::LinkDown(stream.0, frame));
     }
 
     pub(super) fn poll_platform(&mut self, index: usize) {
         let node = self.controllers[index].node;
         let instance = self.controllers[index].instance;
-        self.push(Duration::from_millis(400), Event::Poll(node, instance));
+        self.queue
+            .push(Duration::from_millis(400), Event::Poll(node, instance));
         let leads = self.controllers[index]
             .controller_state
             .as_ref()
@@ -401,9 +413,9 @@
             return;
         }
         let sent_at = self.controller_now(index);
-        let (age, listed_runners, workers) = self.platform.delayed_lists(self.now);
+        let (age, listed_runners, workers) = self.platform.delayed_lists(self.queue.now());
         let delay = self.network.delay(&mut self.rng);
-        self.push(
+        self.queue.push(
             delay,
             Event::Lists(node, instance, workers, sent_at - age, listed_runners),
         );
@@ -412,7 +424,7 @@
     fn operated(&mut self, index: usize, ticket: OperationTicket, reply: OperationReply) {
         self.check_reply(index, ticket, &reply);
         let delay = self.network.delay(&mut self.rng);
-        self.push(delay, Event::OperatorReply(ticket, reply));
+        self.queue.push(delay, Event::OperatorReply(ticket, reply));
     }
 }
 
--- a/testing/fleet/src/sim/daemon/holders.rs
+++ b/testing/fleet/src/sim/daemon/holders.rs
@@ -96,13 +96,13 @@
                     .is_some_and(|agent| agent.is_serving(local_now));
                 if may_start && self.network.reaches(requester.node, PLATFORM) {
                     let delay = self.occasionally_long_delay();
-                    self.push(
+                    self.queue.push(
                         delay,
                         Event::Start(requester, function, runner, worker, spec),
                     );
                 } else {
                     let delay = Duration::from_millis(500);
-                    self.push(
+                    self.queue.push(
                         delay,
                         Event::Started(requester, function, runner, StartOutcome::Lost),
                     );
@@ -115,9 +115,12 @@
                 let is_ready = self
                     .platform
                     .at(runner_address)
-                    .is_some_and(|(there, held)| there == runner && self.now >= held.ready_at);
+                    .is_some_and(|(there, held)| {
+                        there == runner && self.queue.now() >= held.ready_at
+                    });
                 let delay = self.network.delay(&mut self.rng);
-                self.push(delay, Event::Probed(requester, function, runner, is_ready));
+                self.queue
+                    .push(delay, Event::Probed(requester, function, runner, is_ready));
             }
             HolderOutput::ListRunning {
                 runner,
@@ -130,19 +133,21 @@
                     .filter(|(there, _)| *there == self_reported_id)
                     .map(|(_, held)| held.running.keys().cloned().collect());
                 let delay = self.network.delay(&mut self.rng);
-                self.push(delay, Event::Settled(requester, function, runner, running));
+                self.queue
+                    .push(delay, Event::Settled(requester, function, runner, running));
             }
             HolderOutput::Stop {
                 runner, instance, ..
             } => {
                 if self.network.reaches(requester.node, PLATFORM) {
                     let delay = self.network.delay(&mut self.rng);
-                    self.push(delay, Event::Stop(requester, function, runner, instance));
+                    self.queue
+                        .push(delay, Event::Stop(requester, function, runner, instance));
                 }
             }
             HolderOutput::Report(word) => {
                 let fencing_token = held.fencing_token;
-                self.push(
+                self.queue.push(
                     Duration::from_micros(1),
                     Event::FromHolder(
                         requester.node,
@@ -176,10 +181,9 @@
             timeout,
         } = replica_request;
         let (function, fencing_token) = (held.function.clone(), held.fencing_token);
-        self.next_number += 1;
-        let number = self.next_number;
+        let number = self.numbers.next();
         self.pending_replica_requests.insert(number);
-        self.push(
+        self.queue.push(
             timeout,
             Event::ReplicaReplied(
                 requester,
@@ -204,7 +208,7 @@
                 request_kind,
                 body,
             );
-            self.push(delay, asked);
+            self.queue.push(delay, asked);
         }
     }
 
@@ -227,7 +231,7 @@
         let reply = agent.answer_replica_request(local_now, body);
         if self.network.reaches(node, requester.node) {
             let delay = self.network.delay(&mut self.rng);
-            self.push(
+            self.queue.push(
                 delay,
                 Event::ReplicaReplied(
                     requester,
--- a/testing/fleet/src/sim/daemon/mod.rs
+++ b/testing/fleet/src/sim/daemon/mod.rs
@@ -91,7 +91,7 @@
 impl Simulation {
     pub(in crate::sim) fn daemon_now(&self, index: usize) -> MonotonicTime {
         let daemon = &self.daemons[index];
-        local_time(self.now, daemon.clock_ahead, daemon.clock_drift)
+        local_time(self.queue.now(), daemon.clock_ahead, daemon.clock_drift)
     }
 
     pub(in crate::sim) fn zone(number: usize) -> Zone {
@@ -134,7 +134,7 @@
         };
         pending.wakes += 1;
         let wake = Event::Lookup(node, instance, number, pending.wakes);
-        self.push(delay, wake);
+        self.queue.push(delay, wake);
     }
 
     /// Starts a daemon in a new incarnation.
@@ -179,7 +179,7 @@
             is_disturbed: false,
         }));
         let tick = Event::Tick(self.daemons[index].node, self.daemons[index].instance);
-        self.push(Duration::from_millis(1), tick);
+        self.queue.push(Duration::from_millis(1), tick);
     }
 
     /// Kills a daemon; its callers get no response.
@@ -229,7 +229,8 @@
             .map(|pending| pending.forwarding.request().idempotency_key.clone())
             .collect();
         if !body.is_disturbed {
-            self.checks.check_orderly_stop(self.now, index, &in_flight);
+            self.checks
+                .check_orderly_stop(self.queue.now(), index, &in_flight);
         }
         self.with_controller(index, |controller, agent, _| controller.departed(agent));
         let node = self.daemons[index].node;
@@ -237,7 +238,7 @@
         if let Some(body) = &mut self.daemons[index].body {
             body.stop_deadline = Some(MonotonicTime(u64::MAX));
         }
-        self.push(
+        self.queue.push(
             Duration::from_millis(60),
             Event::ProcessGone(node, instance),
         );
@@ -255,7 +256,7 @@
             && self.is_daemon_serving(index)
         {
             self.checks
-                .check_served_version(self.now, index, agent.table.load().version());
+                .check_served_version(self.queue.now(), index, agent.table.load().version());
         }
         self.finish_stop_if_due(index);
     }
--- a/testing/fleet/src/sim/daemon/orders.rs
+++ b/testing/fleet/src/sim/daemon/orders.rs
@@ -38,12 +38,13 @@
                     let Some(to_node) = self.node_at(to) else {
                         continue;
                     };
-                    self.count_event("heartbeats");
+                    self.record.count_event("heartbeats");
                     let copies = if self.rng.random_bool(0.01) { 2 } else { 1 };
                     for _ in 0..copies {
                         if self.network.reaches(node, to_node) && !self.rng.random_bool(0.01) {
                             let delay = self.network.delay(&mut self.rng);
-                            self.push(delay, Event::HeartbeatDatagram(to_node, heartbeat.clone()));
+                            self.queue
+                                .push(delay, Event::HeartbeatDatagram(to_node, heartbeat.clone()));
                         }
                     }
                 }
@@ -68,23 +69,22 @@
                 if event == common::events::LEASE_GRANTED {
                     self.check_granted(index);
                 }
-                if self.is_tracing {
-                    let line = format!("{} daemon {index} {event} {detail}", self.now);
-                    self.trace.push(line);
-                }
+                self.record.trace(self.queue.now(), || {
+                    format!("daemon {index} {event} {detail}")
+                });
             }
-            DaemonControlOutput::LeaseEnded => self.count_event("grants ended"),
+            DaemonControlOutput::LeaseEnded => self.record.count_event("grants ended"),
         }
     }
 
     pub(in crate::sim) fn check_install(&mut self, index: usize, version: Version) {
         let instance = self.daemons[index].instance;
         self.checks
-            .check_installed(self.now, index, instance, version);
+            .check_installed(self.queue.now(), index, instance, version);
     }
 
     pub(in crate::sim) fn count_acquired(&mut self, result: Option<&AcquireResult>) {
-        self.count_event(match result {
+        self.record.count_event(match result {
             Some(AcquireResult::Granted { .. }) => "acquired: granted",
             Some(AcquireResult::Owner { .. }) => "acquired: owner",
             Some(AcquireResult::RetryLater { .. }) => "acquired: later",
@@ -106,13 +106,14 @@
             self.break_silently(link);
             return;
         }
-        self.count_event("frames up");
+        self.record.count_event("frames up");
         if matches!(frame, DaemonToLeader::Acquire { .. }) {
-            self.count_event("acquisitions");
+            self.record.count_event("acquisitions");
         }
         let delay = self.network.delay(&mut self.rng);
         let key = (Node(1_000_000 + link as usize), to);
-        self.push_in_order(key, delay, Event::LinkUp(link, frame));
+        self.queue
+            .push_in_order(key, delay, Event::LinkUp(link, frame));
     }
 
     /// Checks that each runner instance is used by at most one running lease holder.
@@ -140,7 +141,7 @@
         let listed = held_instances
             .iter()
             .map(|(index, fencing_token, instance)| (*index, *fencing_token, instance));
-        self.checks.check_owners(self.now, listed);
+        self.checks.check_owners(self.queue.now(), listed);
     }
 
     /// Whether a daemon serves a function under this lease.
@@ -174,7 +175,7 @@
                 .values()
                 .map(|runner| (&runner.function, &runner.instance));
             self.checks.check_granted_lease(
-                self.now,
+                self.queue.now(),
                 &held.function,
                 held.fencing_token,
                 &adopted,
@@ -192,7 +193,7 @@
                     let function = &held.function;
                     let what =
                         format!("daemon {index} is granted {function}, which daemon {other} holds");
-                    self.checks.report_violation(self.now, what);
+                    self.checks.report_violation(self.queue.now(), what);
                 }
             }
         }
--- a/testing/fleet/src/sim/daemon/requests.rs
+++ b/testing/fleet/src/sim/daemon/requests.rs
@@ -41,13 +41,14 @@
             .route_named(route_name)
             .filter(|_| agent.is_serving(local_now) && !agent.is_leaving());
         let Some(route) = route else {
-            self.checks.check_not_run(self.now, &idempotency_key);
-            self.count_event("not_run");
+            self.checks
+                .check_not_run(self.queue.now(), &idempotency_key);
+            self.record.count_event("not_run");
             return;
         };
         let function = table.function(route.function).key.clone();
         self.checks.record_call(
-            self.now,
+            self.queue.now(),
             &function,
             &idempotency_key,
             route_name,
@@ -91,8 +92,7 @@
         reply_target: ReplyTarget,
     ) {
         let local_now = self.daemon_now(index);
-        self.next_number += 1;
-        let number = self.next_number;
+        let number = self.numbers.next();
         let Some(body) = &mut self.daemons[index].body else {
             return;
         };
@@ -165,7 +165,7 @@
             };
             pending.wakes += 1;
             let wake = Event::Lookup(node, instance, number, pending.wakes);
-            self.push(Duration::from_micros(2), wake);
+            self.queue.push(Duration::from_micros(2), wake);
         }
     }
 
@@ -190,8 +190,7 @@
             .map(|(number, _)| *number)
             .collect();
         for number in lost {
-            self.next_number += 1;
-            let new_number = self.next_number;
+            let new_number = self.numbers.next();
             let Some(body) = &mut self.daemons[index].body else {
                 return;
             };
@@ -199,7 +198,7 @@
                 continue;
             };
             body.pending_requests.insert(new_number, pending);
-            self.count_event("passes to the gone");
+            self.record.count_event("passes to the gone");
             self.forwarded(index, new_number, ForwardResult::Lost);
         }
     }
@@ -234,7 +233,7 @@
         };
         if function != function_before && is_first {
             self.checks
-                .move_first_try(self.now, &function_before, &function);
+                .move_first_try(self.queue.now(), &function_before, &function);
         }
         match next_step {
             ForwardingStep::Serve(held, holder_request) => {
@@ -287,7 +286,8 @@
         let instance = self.daemons[index].instance;
         let span = wait_until.since(self.daemon_now(index));
         let delay = virtual_span(span, self.daemons[index].clock_drift);
-        self.push(delay, Event::AcquireTimedOut(node, instance, number));
+        self.queue
+            .push(delay, Event::AcquireTimedOut(node, instance, number));
         let Some(body) = &mut self.daemons[index].body else {
             return;
         };
@@ -323,7 +323,7 @@
         let is_dead = self.daemons[to_node.daemon_index()].body.is_none();
         let delay = self.network.delay(&mut self.rng);
         if is_dead {
-            self.push(
+            self.queue.push(
                 delay,
                 Event::Forwarded(node, instance, number, ForwardResult::Unsent, 0),
             );
@@ -336,13 +336,13 @@
             } else {
                 (ForwardResult::Unsent, Duration::from_millis(400))
             };
-            self.push(
+            self.queue.push(
                 failed_after,
                 Event::Forwarded(node, instance, number, end, 0),
             );
             return;
         }
-        self.push(
+        self.queue.push(
             wait_span,
             Event::Forwarded(node, instance, number, ForwardResult::Lost, 0),
         );
@@ -352,7 +352,8 @@
             number,
         };
         let to_instance = self.daemons[to_node.daemon_index()].instance;
-        self.push(delay, Event::Hop(to_node, to_instance, reply_target, body));
+        self.queue
+            .push(delay, Event::Hop(to_node, to_instance, reply_target, body));
     }
 
     /// Handles the reply, or its absence, of the daemon to which a request was forwarded.
@@ -412,7 +413,7 @@
                 if self.network.reaches(node, reply_node) {
                     let delay = self.network.delay(&mut self.rng);
                     let end = ForwardResult::Completed(outcome, holder);
-                    self.push(
+                    self.queue.push(
                         delay,
                         Event::Forwarded(reply_node, instance, number, end, regional_tenths),
                     );
@@ -450,11 +451,11 @@
             return;
         };
         if request.function.is_regional() {
-            self.count_event("served under a region's key");
+            self.record.count_event("served under a region's key");
         }
         let is_answer = matches!(outcome, RequestOutcome::Response { .. });
         if is_answer && agent.handle_regional_hint(local_now, &request.function, regional_tenths) {
-            self.count_event("regional keys heard of");
+            self.record.count_event("regional keys heard of");
             self.with_controller(index, |controller, _, now| {
                 controller.recheck_warm_functions(now);
                 Vec::new()
@@ -473,29 +474,29 @@
                 seal, runner, body, ..
             } => {
                 self.checks.check_answer(
-                    self.now,
+                    self.queue.now(),
                     idempotency_key,
                     &request.function,
                     *runner,
                     &seal.0,
                     body,
                 );
-                self.count_event("answer");
+                self.record.count_event("answer");
                 self.note_answered(idempotency_key);
             }
             RequestOutcome::NotRun {
                 reason,
                 retry_after_ms,
             } => {
-                self.checks.check_not_run(self.now, idempotency_key);
-                self.count_event(reason.as_str());
+                self.checks.check_not_run(self.queue.now(), idempotency_key);
+                self.record.count_event(reason.as_str());
                 if *retry_after_ms == 0 {
                     let what = format!("{idempotency_key} is refused without a time to come back");
-                    self.checks.report_violation(self.now, what);
+                    self.checks.report_violation(self.queue.now(), what);
                 }
                 self.note_refused(request);
             }
-            RequestOutcome::Unknown { .. } => self.count_event("unknown"),
+            RequestOutcome::Unknown { .. } => self.record.count_event("unknown"),
         }
     }
 }
--- a/testing/fleet/src/sim/dispatch.rs
+++ b/testing/fleet/src/sim/dispatch.rs
@@ -12,7 +12,8 @@
     pub(super) fn dispatch(&mut self, event: Event) {
         match event {
             Event::Tick(node, instance) => {
-                self.push(Duration::from_millis(20), Event::Tick(node, instance));
+                self.queue
+                    .push(Duration::from_millis(20), Event::Tick(node, instance));
                 if node.is_controller() {
                     self.step_controller(node.0, ControllerInput::Tick);
                 } else {
@@ -93,7 +94,8 @@
             }
             Event::ProcessGone(node, _) => {
                 self.kill_daemon(node.daemon_index());
-                self.push(Duration::from_millis(700), Event::RestartNode(node));
+                self.queue
+                    .push(Duration::from_millis(700), Event::RestartNode(node));
             }
             Event::Run(address, run) => self.begin_run(address, run),
             Event::RunDone(runner, run, fault_code) => self.run_done(runner, run, fault_code),
@@ -158,7 +160,8 @@
             Event::Stop(requester, function, runner, instance) => {
                 self.platform.stop_instance(runner, instance.as_ref());
                 let delay = self.network.delay(&mut self.rng);
-                self.push(delay, Event::Stopped(requester, function, runner));
+                self.queue
+                    .push(delay, Event::Stopped(requester, function, runner));
             }
             Event::Stopped(requester, function, runner) => {
                 let index = requester.node.daemon_index();
@@ -174,7 +177,8 @@
                 }
                 let delay = self.network.delay(&mut self.rng);
                 if self.plan.flaw != Flaw::StopsUnheard {
-                    self.push(delay, Event::LeaderStopped(requester, runner));
+                    self.queue
+                        .push(delay, Event::LeaderStopped(requester, runner));
                 }
             }
             Event::LeaderStopped(requester, runner) => {
@@ -206,13 +210,13 @@
             }
             Event::OperatorReply(ticket, reply) => self.handle_operation_reply(ticket, reply),
             Event::ListTick => {
-                self.platform.snapshot_lists(self.now);
+                self.platform.snapshot_lists(self.queue.now());
                 self.check_instance_owners();
                 let is_late = self.platform.list_delay > Duration::from_millis(1000);
                 if is_late || !self.is_control_side_healthy() {
-                    self.checks.note_control_outage(self.now);
+                    self.checks.note_control_outage(self.queue.now());
                 }
-                self.push(Duration::from_millis(100), Event::ListTick);
+                self.queue.push(Duration::from_millis(100), Event::ListTick);
             }
             Event::Call => self.send_random_call(),
             Event::DuplicateCall(idempotency_key, route_name) => {
--- a/testing/fleet/src/sim/faults.rs
+++ b/testing/fleet/src/sim/faults.rs
@@ -208,7 +208,7 @@
 
     pub(super) fn schedule_fault(&mut self) {
         let wait_span = self.rng.within(Duration::from_millis(300), self.plan.gap);
-        self.push(wait_span, Event::Fault);
+        self.queue.push(wait_span, Event::Fault);
     }
 
     /// Injects a random fault of those that the plan allows; each is undone some time later.
@@ -220,8 +220,9 @@
         let own_count = self.plan.focus.len() as u64;
         let own = (own_count > 0).then(|| self.rng.below(own_count) as usize);
         let fault = own.map_or(SimFault::ALL[chosen], |own| self.plan.focus[own]);
-        self.trace_line(|now| format!("{now} fault {fault} for {lasts:?}"));
-        self.count_event(&format!("fault {fault}"));
+        self.record
+            .trace(self.queue.now(), || format!("fault {fault} for {lasts:?}"));
+        self.record.count_event(&format!("fault {fault}"));
         self.inject(fault, lasts);
     }
 
@@ -258,11 +259,11 @@
             SimFault::PartitionQuorum => self.partition_quorum(lasts),
             SimFault::StallDisk => {
                 let index = self.random_controller_index();
-                self.controllers[index].disk.stalled_until = self.now + lasts;
+                self.controllers[index].disk.stalled_until = self.queue.now() + lasts;
             }
             SimFault::FailDisk => {
                 let index = self.random_controller_index();
-                self.controllers[index].disk.failing_until = self.now + lasts;
+                self.controllers[index].disk.failing_until = self.queue.now() + lasts;
             }
             SimFault::CrashWorker => self.crash_random_worker(),
             SimFault::LoseRunner => self.lose_random_runner(),
@@ -276,14 +277,14 @@
             SimFault::StopAll => self.stop_group(),
             SimFault::RunnerFaults => {
                 self.runner_fault_rate = 0.15;
-                self.push(lasts, Event::EndPlatformFaults);
+                self.queue.push(lasts, Event::EndPlatformFaults);
             }
             SimFault::CallBurst => self.send_call_burst(),
             SimFault::RareCallBurst => self.send_rare_call_burst(),
-            SimFault::ClientRetries => self.retrying_until = self.now + lasts,
+            SimFault::ClientRetries => self.retrying_until = self.queue.now() + lasts,
             SimFault::DelayedList => {
                 self.platform.list_delay = Duration::from_millis(1000) + lasts / 2;
-                self.push(lasts, Event::EndPlatformFaults);
+                self.queue.push(lasts, Event::EndPlatformFaults);
             }
             SimFault::ChangeStorm => self.send_change_storm(),
         }
@@ -325,7 +326,7 @@
         if !self.may_lose_disk() {
             return None;
         }
-        self.count_event("disk lost");
+        self.record.count_event("disk lost");
         let index = self.kill_random_controller(lasts);
         self.lose_disk(index);
         Some(index)
@@ -377,7 +378,7 @@
             self.network.block(isolated_node, other);
             self.network.block(other, isolated_node);
         }
-        self.push(lasts, Event::ClearPartitions);
+        self.queue.push(lasts, Event::ClearPartitions);
     }
 
     fn block_one_direction(&mut self, lasts: Duration) {
@@ -390,7 +391,7 @@
                 self.network.block(isolated_node, other);
             }
         }
-        self.push(lasts, Event::ClearPartitions);
+        self.queue.push(lasts, Event::ClearPartitions);
     }
 
     /// Partitions the fleet in two groups that depend on the duration.
@@ -401,7 +402,7 @@
             .into_iter()
             .partition(|node| (node.0 * 7 + salt).is_multiple_of(3));
         self.partition(&left, &right);
-        self.push(lasts, Event::ClearPartitions);
+        self.queue.push(lasts, Event::ClearPartitions);
     }
 
     fn random_worker_index(&mut self) -> usize {
@@ -431,15 +432,17 @@
             self.platform
                 .leaving_since
                 .entry(runner)
-                .or_insert(self.now);
-            self.push(Duration::from_secs(6), Event::StopLeavingRunner(runner));
+                .or_insert(self.queue.now());
+            self.queue
+                .push(Duration::from_secs(6), Event::StopLeavingRunner(runner));
         }
     }
 
     fn drain_random_worker(&mut self, lasts: Duration) {
         let worker_index = self.random_worker_index();
-        self.platform.drain(self.now, worker_index);
-        self.push(Duration::from_secs(5) + lasts, Event::RestoreWorkers);
+        self.platform.drain(self.queue.now(), worker_index);
+        self.queue
+            .push(Duration::from_secs(5) + lasts, Event::RestoreWorkers);
     }
 
     fn stop_group(&mut self) {
@@ -472,16 +475,18 @@
 
     fn lose_controller(&mut self, index: usize, lasts: Duration) {
         self.kill_controller(index);
-        self.push(lasts, Event::RestartNode(self.controllers[index].node));
+        self.queue
+            .push(lasts, Event::RestartNode(self.controllers[index].node));
     }
 
     fn lose_daemon(&mut self, index: usize, lasts: Duration) {
         self.kill_daemon(index);
-        self.push(lasts, Event::RestartNode(self.daemons[index].node));
+        self.queue
+            .push(lasts, Event::RestartNode(self.daemons[index].node));
     }
 
     pub(super) fn freeze(&mut self, node: Node, lasts: Duration) {
-        let until = self.now + lasts;
+        let until = self.queue.now() + lasts;
         let frozen_until = self.frozen.entry(node).or_insert(until);
         *frozen_until = (*frozen_until).max(until);
         let wakes_at = *frozen_until;
@@ -491,7 +496,8 @@
         {
             body.is_disturbed = true;
         }
-        self.push(wakes_at.since(self.now), Event::ResumeNode(node));
+        self.queue
+            .push(wakes_at.since(self.queue.now()), Event::ResumeNode(node));
     }
 
     fn lose_zone(&mut self, lasts: Duration) {
@@ -512,7 +518,7 @@
             self.platform.crash(&lost_worker.worker);
         }
         self.platform.workers.retain(|listed| listed.zone != zone);
-        self.push(lasts, Event::WorkersReturn(lost_workers));
+        self.queue.push(lasts, Event::WorkersReturn(lost_workers));
     }
 
     fn partition(&mut self, left: &[Node], right: &[Node]) {
@@ -539,7 +545,7 @@
             .filter(|node| !left.contains(node) && *node != PLATFORM)
             .collect();
         self.partition(&left, &right);
-        self.push(lasts, Event::ClearPartitions);
+        self.queue.push(lasts, Event::ClearPartitions);
     }
 
     fn evacuate(&mut self, lasts: Duration) {
@@ -554,7 +560,8 @@
                 force: false,
             },
         );
-        self.push(Duration::from_secs(6) + lasts, Event::Restore(zone));
+        self.queue
+            .push(Duration::from_secs(6) + lasts, Event::Restore(zone));
     }
 
     /// Whether one more disk may be lost: only while every voter runs with the disk that the quorum knows and no change
@@ -617,7 +624,7 @@
             controller.disk.failing_until = common::clock::MonotonicTime::ZERO;
         }
         for number in 0..3 {
-            self.push(
+            self.queue.push(
                 Duration::from_secs(4),
                 Event::Restore(Simulation::zone(number)),
             );
--- a/testing/fleet/src/sim/links.rs
+++ b/testing/fleet/src/sim/links.rs
@@ -16,8 +16,7 @@
 
 impl Simulation {
     pub(super) fn dial(&mut self, daemon: Node, daemon_instance: u64, to: SocketAddress) -> u64 {
-        self.next_number += 1;
-        let number = self.next_number;
+        let number = self.numbers.next();
         let controller = self.node_at(to).unwrap_or(PLATFORM);
         let is_alive =
             controller.is_controller() && self.controllers[controller.0].controller_state.is_some();
@@ -38,14 +37,15 @@
         self.links.insert(number, link);
         let delay = self.network.delay(&mut self.rng);
         if is_alive && reaches {
-            self.push(delay, Event::Dialed(number));
+            self.queue.push(delay, Event::Dialed(number));
         } else {
             let failed_after = if reaches {
                 delay
             } else {
                 Duration::from_millis(600)
             };
-            self.push(failed_after, Event::LinkLost(number, daemon));
+            self.queue
+                .push(failed_after, Event::LinkLost(number, daemon));
         }
         number
     }
@@ -63,8 +63,10 @@
             let controller_after = self
                 .rng
                 .within(Duration::from_secs(1), Duration::from_secs(4));
-            self.push(daemon_after, Event::LinkLost(number, daemon));
-            self.push(controller_after, Event::LinkLost(number, controller));
+            self.queue
+                .push(daemon_after, Event::LinkLost(number, daemon));
+            self.queue
+                .push(controller_after, Event::LinkLost(number, controller));
         }
     }
 
@@ -74,8 +76,8 @@
         };
         let (daemon, controller) = (link.daemon, link.controller);
         let delay = Duration::from_millis(4);
-        self.push(delay, Event::LinkLost(number, daemon));
-        self.push(delay, Event::LinkLost(number, controller));
+        self.queue.push(delay, Event::LinkLost(number, daemon));
+        self.queue.push(delay, Event::LinkLost(number, controller));
     }
 
     pub(super) fn close_links(&mut self, node: Node) {
--- a/testing/fleet/src/sim/operator.rs
+++ b/testing/fleet/src/sim/operator.rs
@@ -71,8 +71,7 @@
             }
             return;
         }
-        self.next_number += 1;
-        let change = ChangeId::from(format!("change-{}", self.next_number));
+        let change = ChangeId::from(format!("change-{}", self.numbers.next()));
         let target = self.rng.below(3) as usize;
         self.send_pending_change(
             target,
@@ -113,8 +112,7 @@
 
     fn send_pending_change(&mut self, target: usize, mut change: PendingChange) {
         change.attempts += 1;
-        self.next_number += 1;
-        let ticket = OperationTicket(self.next_number);
+        let ticket = OperationTicket(self.numbers.next());
         let operation = Operation::Change {
             base: change.base,
             numbering: None,
@@ -125,7 +123,8 @@
         self.changes.insert(ticket, change);
         let node = self.controllers[target].node;
         let delay = self.network.delay(&mut self.rng);
-        self.push(delay, Event::Operate(node, ticket, operation));
+        self.queue
+            .push(delay, Event::Operate(node, ticket, operation));
     }
 
     pub(super) fn handle_operation_reply(
@@ -152,13 +151,18 @@
                 let state = body["state"].as_str().unwrap_or("");
                 if status == 200 && matches!(state, "accepted" | "in_force") {
                     let version = Version(body["serial"].as_u64().unwrap_or(0));
-                    self.checks
-                        .check_accepted(self.now, &change.change, change.base, version);
+                    self.checks.check_accepted(
+                        self.queue.now(),
+                        &change.change,
+                        change.base,
+                        version,
+                    );
                 } else if state == "not_accepted" && change.attempts == 1 {
                     self.refused_changes.push(change.change.clone());
-                    self.checks.check_change_refused(self.now, &change.change);
+                    self.checks
+                        .check_change_refused(self.queue.now(), &change.change);
                 }
-                self.count_event(if status == 200 {
+                self.record.count_event(if status == 200 {
                     "change accepted"
                 } else {
                     "change refused"
@@ -170,13 +174,13 @@
     /// Checks that refused changes were not committed later.
     pub(super) fn check_refused(&mut self) {
         for change in std::mem::take(&mut self.refused_changes) {
-            self.checks.check_change_refused(self.now, &change);
+            self.checks.check_change_refused(self.queue.now(), &change);
         }
     }
 
     pub(super) fn schedule_change(&mut self) {
         let longest_span = self.plan.order_gap;
         let wait_span = self.rng.within(longest_span / 10, longest_span);
-        self.push(wait_span, Event::Change);
+        self.queue.push(wait_span, Event::Change);
     }
 }
--- a/testing/fleet/src/sim/orders.rs
+++ b/testing/fleet/src/sim/orders.rs
@@ -114,8 +114,7 @@
     }
 
     fn send_order(&mut self, number: u64, base: u64) {
-        self.next_number += 1;
-        let label = self.next_number;
+        let label = self.numbers.next();
         let generated_order = generate_order(&mut self.rng, number, base, label);
         let numbering = Numbering {
             number: generated_order.order.number,
@@ -134,10 +133,10 @@
 
     /// Sends an order to evacuate a zone or to restore it.
     pub(super) fn send_zone_order(&mut self, zone: Zone, evacuate: bool) {
-        let order = self
-            .operators
-            .history
-            .record_zone_order(self.now, zone.as_str(), evacuate);
+        let order =
+            self.operators
+                .history
+                .record_zone_order(self.queue.now(), zone.as_str(), evacuate);
         let kind = if evacuate {
             ChangeKind::Evacuate { zone, force: true }
         } else {
@@ -166,7 +165,7 @@
             operation,
             sent_count: 0,
             backoff: INITIAL_BACKOFF,
-            started_at: self.now,
+            started_at: self.queue.now(),
         };
         self.operators.commands.insert(number, command);
         self.send_command(number);
@@ -174,7 +173,7 @@
 
     /// Sends a command to a random controller.
     pub(super) fn send_command(&mut self, number: u64) {
-        let now = self.now;
+        let now = self.queue.now();
         let Some(command) = self.operators.commands.get_mut(&number) else {
             return;
         };
@@ -199,8 +198,7 @@
             return;
         };
         let operation = command.operation.clone();
-        self.next_number += 1;
-        let ticket = OperationTicket(self.next_number);
+        let ticket = OperationTicket(self.numbers.next());
         let command_kind = command.command_kind;
         let delay = self.request_delay(command_kind);
         let sent = SentRequest {
@@ -208,18 +206,22 @@
             attempt,
             node,
             redirect_count,
-            sent_at: self.now,
-            arrives_at: self.now + delay,
+            sent_at: self.queue.now(),
+            arrives_at: self.queue.now() + delay,
         };
         self.operators.sent.insert(ticket, sent);
-        self.trace_line(|now| {
+        self.record.trace(self.queue.now(), || {
             let number = node.0;
-            format!("{now} operator sends wish {command_number} to {number} as {ticket:?}, there in {delay:?}")
+            format!(
+                "operator sends wish {command_number} to {number} as {ticket:?}, there in {delay:?}"
+            )
         });
         if !self.rng.random_bool(LOST_REQUEST_SHARE) {
-            self.push(delay, Event::Operate(node, ticket, operation));
+            self.queue
+                .push(delay, Event::Operate(node, ticket, operation));
         }
-        self.push(REPLY_TIMEOUT, Event::ClientTimedOut(ticket));
+        self.queue
+            .push(REPLY_TIMEOUT, Event::ClientTimedOut(ticket));
     }
 
     fn request_delay(&mut self, command_kind: CommandKind) -> Duration {
@@ -239,10 +241,10 @@
         let Some(sent) = self.operators.sent.remove(&ticket) else {
             return;
         };
-        let received_at = self.now.max(sent.arrives_at);
+        let received_at = self.queue.now().max(sent.arrives_at);
         let disconnect_delay = self.rng.within(Duration::ZERO, DISCONNECT_WITHIN);
-        let delay = received_at.since(self.now) + disconnect_delay;
-        self.push(delay, Event::Withdraw(sent.node, ticket));
+        let delay = received_at.since(self.queue.now()) + disconnect_delay;
+        self.queue.push(delay, Event::Withdraw(sent.node, ticket));
         self.retry_later(sent.command);
     }
 
@@ -253,21 +255,25 @@
         };
         let is_abandoned = match command.command_kind {
             CommandKind::Change(_) => command.sent_count >= MAX_ATTEMPTS,
-            CommandKind::Zone(_) => self.now.since(command.started_at) >= ZONE_COMMAND_TIMEOUT,
+            CommandKind::Zone(_) => {
+                self.queue.now().since(command.started_at) >= ZONE_COMMAND_TIMEOUT
+            }
             CommandKind::Read => true,
         };
         if !is_abandoned {
             let backoff = command.backoff;
             command.backoff = (backoff * 2).min(MAX_BACKOFF);
-            self.push(backoff, Event::Resend(number));
+            self.queue.push(backoff, Event::Resend(number));
             return;
         }
         let command_kind = command.command_kind;
         self.operators.commands.remove(&number);
         if let CommandKind::Zone(order) = command_kind {
-            self.operators.history.zone_order_abandoned(self.now, order);
+            self.operators
+                .history
+                .zone_order_abandoned(self.queue.now(), order);
         }
-        self.count_event("order given up");
+        self.record.count_event("order given up");
     }
 
     /// Handles a controller's reply at its operator.
@@ -297,14 +303,16 @@
             (CommandKind::Zone(order), OperationReply::Accepted { .. }) => {
                 self.operators
                     .history
-                    .zone_order_acknowledged(self.now, order);
+                    .zone_order_acknowledged(self.queue.now(), order);
                 self.end_command(sent.command, "zone order acknowledged");
             }
             (
                 CommandKind::Zone(order),
                 OperationReply::NoZone { .. } | OperationReply::LastZone,
             ) => {
-                self.operators.history.zone_order_abandoned(self.now, order);
+                self.operators
+                    .history
+                    .zone_order_abandoned(self.queue.now(), order);
                 self.end_command(sent.command, "zone order refused");
             }
             (CommandKind::Read, OperationReply::Spec { document, .. }) => {
@@ -315,7 +323,7 @@
                     .map(|zone| zone.as_str().to_owned());
                 self.operators.history.record_reading(Reading {
                     requested_at: sent.sent_at,
-                    received_at: self.now,
+                    received_at: self.queue.now(),
                     number: document.number,
                     content: document.spec.to_value(),
                     evacuated: evacuated.collect(),
@@ -341,7 +349,8 @@
         let (change, numbering) = (change.clone(), *numbering);
         let answer = match reply {
             OperationReply::Accepted { version, .. } => {
-                self.checks.check_accepted(self.now, &change, None, version);
+                self.checks
+                    .check_accepted(self.queue.now(), &change, None, version);
                 if let Some(numbering) = numbering {
                     self.operators.learn_number(numbering.number);
                 }
@@ -352,24 +361,24 @@
             },
             OperationReply::Invalid(_) => Answer::Invalid,
             _ => {
-                self.count_event("order without a clear answer");
+                self.record.count_event("order without a clear answer");
                 self.retry_later(sent.command);
                 return;
             }
         };
-        let (node, waited) = (sent.node.0, self.now.since(sent.sent_at));
-        self.trace_line(|now| {
-            format!("{now} operator hears {answer:?} on {change} from {node} after {waited:?}")
+        let (node, waited) = (sent.node.0, self.queue.now().since(sent.sent_at));
+        self.record.trace(self.queue.now(), || {
+            format!("operator hears {answer:?} on {change} from {node} after {waited:?}")
         });
         if let Some(attempt) = sent.attempt {
             self.operators
                 .history
-                .record_answer(self.now, attempt, answer);
+                .record_answer(self.queue.now(), attempt, answer);
         }
         if answer == Answer::Acknowledged {
             self.end_command(sent.command, "change accepted");
         } else {
-            self.checks.check_change_refused(self.now, &change);
+            self.checks.check_change_refused(self.queue.now(), &change);
             self.operators.refused.push(change);
             self.end_command(sent.command, "change refused");
         }
@@ -377,19 +386,20 @@
 
     fn end_command(&mut self, number: u64, label: &str) {
         self.operators.commands.remove(&number);
-        self.count_event(label);
+        self.record.count_event(label);
     }
 
     /// Checks that refused changes were not committed later, and that the operators' history is linearizable.
     pub(super) fn check_operator_history(&mut self) {
         for change in std::mem::take(&mut self.operators.refused) {
-            self.checks.check_change_refused(self.now, &change);
+            self.checks.check_change_refused(self.queue.now(), &change);
         }
         let operators = std::mem::take(&mut self.operators);
         self.checks
             .count_operator_answers(operators.history.judged_count());
         for anomaly in operators.history.judge(&spec(0)) {
-            self.checks.report_violation(self.now, anomaly.to_string());
+            self.checks
+                .report_violation(self.queue.now(), anomaly.to_string());
         }
     }
 
@@ -397,6 +407,6 @@
         let wait_span = self
             .rng
             .within(Duration::from_millis(100), Duration::from_millis(1500));
-        self.push(wait_span, Event::ReadBack);
+        self.queue.push(wait_span, Event::ReadBack);
     }
 }
--- a/testing/fleet/src/sim/platform.rs
+++ b/testing/fleet/src/sim/platform.rs
@@ -250,8 +250,12 @@
                     .runners
                     .iter()
                     .map(|(key, held)| (key, &held.function, &held.instance));
-                self.checks
-                    .check_sole_start(self.now, &function, runner.fencing_token, alive);
+                self.checks.check_sole_start(
+                    self.queue.now(),
+                    &function,
+                    runner.fencing_token,
+                    alive,
+                );
             }
             let started = SimRunner {
                 function: function.clone(),
@@ -260,7 +264,7 @@
                     name: "".into(),
                     address: SocketAddress::UNSPECIFIED,
                 },
-                ready_at: self.now + spec.startup,
+                ready_at: self.queue.now() + spec.startup,
                 running: Default::default(),
                 slots: spec.slots,
                 answered: 0,
@@ -274,6 +278,7 @@
             end
         };
         let delay = self.network.delay(&mut self.rng);
-        self.push(delay, Event::Started(requester, function, runner, end));
+        self.queue
+            .push(delay, Event::Started(requester, function, runner, end));
     }
 }
--- a/testing/fleet/src/sim/reply_checks.rs
+++ b/testing/fleet/src/sim/reply_checks.rs
@@ -124,8 +124,8 @@
                 change, version, ..
             } => {
                 self.reply_checks
-                    .acknowledge(self.now, change, *version, expectations);
-                self.recovery.acknowledged(self.now);
+                    .acknowledge(self.queue.now(), change, *version, expectations);
+                self.recovery.acknowledged(self.queue.now());
                 self.note_acknowledgement();
             }
             OperationReply::Stale {
@@ -161,7 +161,7 @@
             .last_heard_at
             .get(&(Node(controller), leader))
             .copied();
-        let contact_age = self.now.since(last_heard_at.unwrap_or_default());
+        let contact_age = self.queue.now().since(last_heard_at.unwrap_or_default());
         if contact_age > REDIRECT_CONTACT_WITHIN {
             let contact_age_ms = contact_age.as_millis();
             self.report_violation(format!(
@@ -171,7 +171,7 @@
     }
 
     fn report_violation(&mut self, what: String) {
-        self.checks.report_violation(self.now, what);
+        self.checks.report_violation(self.queue.now(), what);
     }
 
     /// Records received frames and requests before they are handled.
@@ -179,7 +179,7 @@
         match event {
             Event::ConsensusFrame(node, frame) => {
                 self.reply_checks
-                    .record_contact(self.now, *node, frame.address);
+                    .record_contact(self.queue.now(), *node, frame.address);
             }
             Event::Operate(_, ticket, operation) => {
                 self.reply_checks.record_request(*ticket, operation)
@@ -214,7 +214,7 @@
                 "{voters} of {wanted} voters at the end, settled: {is_settled}"
             ));
         }
-        if self.reply_checks.acknowledged_at() < self.script_end() + ACKNOWLEDGED_AFTER {
+        if self.reply_checks.acknowledged_at() < self.faults_end_at() + ACKNOWLEDGED_AFTER {
             self.report_violation("no order is acknowledged after the mending".to_owned());
         }
     }
--- a/testing/fleet/src/sim/runners.rs
+++ b/testing/fleet/src/sim/runners.rs
@@ -62,7 +62,7 @@
                 fencing_token,
                 SendResult::Unsent,
             );
-            self.push(Duration::from_micros(1), ended);
+            self.queue.push(Duration::from_micros(1), ended);
             return;
         };
         let call = held
@@ -78,7 +78,7 @@
                     let idempotency_key = &call.idempotency_key;
                     let what =
                         format!("daemon {index} sends {idempotency_key} outside its member grant");
-                    self.checks.report_violation(self.now, what);
+                    self.checks.report_violation(self.queue.now(), what);
                 }
                 let before = self
                     .checks
@@ -90,7 +90,7 @@
                         "daemon {index} under {fencing_token} and daemon {other} under {other_lease} send to \
                          the same life of {function}"
                     );
-                    self.checks.report_violation(self.now, what);
+                    self.checks.report_violation(self.queue.now(), what);
                 }
                 let target_runner = target.self_reported_id;
                 let run = SimRun {
@@ -102,12 +102,12 @@
                     call,
                 };
                 let delay = self.occasionally_long_delay();
-                self.push(delay, Event::Run(runner_address, run));
+                self.queue.push(delay, Event::Run(runner_address, run));
             }
             Err(reason) => {
                 let end = SendResult::Forbidden(reason);
                 let delay = Duration::from_micros(1);
-                self.push(
+                self.queue.push(
                     delay,
                     Event::SendEnded(requester, function, ticket, fencing_token, end),
                 );
@@ -127,7 +127,7 @@
             return;
         };
         if run.call.runner.is_some() && run.target_runner != runner {
-            self.count_event("another runner at the address");
+            self.record.count_event("another runner at the address");
             self.end_send(&run, SendResult::Lost);
             return;
         }
@@ -143,7 +143,8 @@
             .filter(|fencing_token| **fencing_token == run.fencing_token)
             .count() as u32;
         if held.running.len() as u32 >= slots && own_count < slots {
-            self.count_event("refused beside an earlier holder's");
+            self.record
+                .count_event("refused beside an earlier holder's");
             self.reject_by_runner(&run, runner, &idempotency_key);
             return;
         }
@@ -156,24 +157,31 @@
         } else {
             answered
         };
-        self.trace_line(|now| {
+        self.record.trace(self.queue.now(), || {
             let daemon = run.requester.node.daemon_index();
-            format!("{now} run {idempotency_key} on {runner} for daemon {daemon}")
+            format!("run {idempotency_key} on {runner} for daemon {daemon}")
         });
-        self.checks
-            .check_slots(self.now, runner, running_count, slots, answered, ready_at);
+        self.checks.check_slots(
+            self.queue.now(),
+            runner,
+            running_count,
+            slots,
+            answered,
+            ready_at,
+        );
         let since = self.platform.draining_since.get(&worker).copied();
-        self.checks.check_not_draining(self.now, &worker, since);
+        self.checks
+            .check_not_draining(self.queue.now(), &worker, since);
         let leaves_since = self.platform.leaving_since.get(&runner).copied();
         self.checks
-            .check_not_leaving(self.now, runner, leaves_since);
+            .check_not_leaving(self.queue.now(), runner, leaves_since);
         let worker_zone = self.platform.zone_of(&worker).cloned();
         let daemon_zone = Simulation::zone(run.requester.node.daemon_index());
         for zone in worker_zone.into_iter().chain([daemon_zone]) {
-            self.checks.check_not_evacuated(self.now, &zone);
+            self.checks.check_not_evacuated(self.queue.now(), &zone);
         }
         self.checks.check_run(
-            self.now,
+            self.queue.now(),
             &idempotency_key,
             run.call.attempt,
             &function,
@@ -198,7 +206,8 @@
             return;
         }
         let fault_code = drawn_fault as u8;
-        self.push(work, Event::RunDone(runner, run, fault_code));
+        self.queue
+            .push(work, Event::RunDone(runner, run, fault_code));
     }
 
     fn reject_by_runner(
@@ -315,16 +324,9 @@
     fn end_send(&mut self, run: &SimRun, end: SendResult) {
         let delay = self.network.delay(&mut self.rng);
         let function = run.function.clone();
-        self.push(
+        self.queue.push(
             delay,
             Event::SendEnded(run.requester, function, run.ticket, run.fencing_token, end),
         );
     }
-
-    pub(super) fn trace_line(&mut self, line: impl FnOnce(common::clock::MonotonicTime) -> String) {
-        if self.is_tracing {
-            let line = line(self.now);
-            self.trace.push(line);
-        }
-    }
 }
--- a/testing/fleet/src/sim/script.rs
+++ b/testing/fleet/src/sim/script.rs
@@ -4,7 +4,6 @@
 use super::network::{Node, PLATFORM};
 use super::operator::spec;
 use super::simulation::Simulation;
-use common::clock::MonotonicTime;
 use controlplane::controller_state::{ChangeKind, Operation, OperationTicket};
 use serde_json::{Value, json};
 use std::time::Duration;
@@ -117,13 +116,14 @@
     /// Schedules the actions of the plan's script.
     pub(super) fn schedule_script(&mut self) {
         for (due_after, action) in std::mem::take(&mut self.plan.script) {
-            self.push(due_after, Event::RunAction(action));
+            self.queue.push(due_after, Event::RunAction(action));
         }
     }
 
     /// Executes one action.
     pub(super) fn run_action(&mut self, action: Action) {
-        self.trace_line(|now| format!("{now} action {action:?}"));
+        self.record
+            .trace(self.queue.now(), || format!("action {action:?}"));
         match action {
             Action::Lose(target, loss) => {
                 if let Some(index) = self.resolve_target(target) {
@@ -169,7 +169,7 @@
                 self.script.loses_power_on_next_acknowledgement = true
             }
             Action::LosePowerEverywhere => self.power_off_all(),
-            Action::StartRecoveryClock => self.recovery.start(self.now),
+            Action::StartRecoveryClock => self.recovery.start(self.queue.now()),
         }
     }
 
@@ -275,10 +275,10 @@
 
     /// Sends an operation of which only the reply is checked.
     pub(super) fn send_operation(&mut self, node: Node, operation: Operation) {
-        self.next_number += 1;
-        let ticket = OperationTicket(self.next_number);
+        let ticket = OperationTicket(self.numbers.next());
         let delay = self.network.delay(&mut self.rng);
-        self.push(delay, Event::Operate(node, ticket, operation));
+        self.queue
+            .push(delay, Event::Operate(node, ticket, operation));
     }
 
     fn power_off_all(&mut self) {
@@ -295,7 +295,7 @@
             let off_for = self
                 .rng
                 .within(Duration::from_millis(100), Duration::from_millis(600));
-            self.push(off_for, Event::RestartNode(node));
+            self.queue.push(off_for, Event::RestartNode(node));
         }
     }
 
@@ -306,8 +306,10 @@
             let again = self
                 .rng
                 .within(Duration::from_millis(50), POWER_LOST_AGAIN_WITHIN);
-            self.push(at_once, Event::RunAction(Action::LosePowerEverywhere));
-            self.push(again, Event::RunAction(Action::LosePowerEverywhere));
+            self.queue
+                .push(at_once, Event::RunAction(Action::LosePowerEverywhere));
+            self.queue
+                .push(again, Event::RunAction(Action::LosePowerEverywhere));
         }
     }
 
@@ -318,7 +320,8 @@
             Event::Written(node, ..) => node.is_controller(),
             _ => false,
         };
-        if !is_step || !self.script.counts_repair_steps || self.now >= self.script_end() {
+        if !is_step || !self.script.counts_repair_steps || self.queue.now() >= self.faults_end_at()
+        {
             return;
         }
         self.script.steps += 1;
@@ -329,16 +332,14 @@
         if let Some(second) = due_second_loss
             && let Some(index) = self.resolve_target(second.target)
         {
-            self.trace_line(|now| format!("{now} second loss {second:?} of controller {index}"));
+            self.record.trace(self.queue.now(), || {
+                format!("second loss {second:?} of controller {index}")
+            });
             self.apply_loss(index, second.loss);
-            self.push(SECOND_LOSS_LASTS, Event::RestartNode(Node(index)));
+            self.queue
+                .push(SECOND_LOSS_LASTS, Event::RestartNode(Node(index)));
         }
     }
-
-    /// When the script's faults end.
-    pub(super) fn script_end(&self) -> MonotonicTime {
-        self.started_at() + self.plan.lasts
-    }
 }
 
 /// The usual spec with additional functions that are never called.
--- a/testing/fleet/src/sim/simulation.rs
+++ b/testing/fleet/src/sim/simulation.rs
@@ -3,16 +3,18 @@
 use super::checks::SafetyChecks;
 use super::controller::SimController;
 use super::daemon::SimDaemon;
-use super::digest::EventDigest;
 use super::event::Event;
+use super::event_queue::{EventQueue, STARTED_AT};
 use super::links::Link;
 use super::network::{Network, Node, PLATFORM};
+use super::number_sequence::NumberSequence;
 use super::operator::PendingChange;
 use super::orders::Operators;
 use super::plan::{SimPlan, SimResult};
 use super::platform::SimPlatform;
 use super::recovery::RecoveryClock;
 use super::reply_checks::ReplyChecks;
+use super::run_record::RunRecord;
 use super::script::ScriptState;
 use common::clock::MonotonicTime;
 use common::identity::{ChangeId, ControllerId, IdempotencyKey};
@@ -23,13 +25,15 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::Duration;
 
-/// The virtual time at which every simulated day begins.
-const STARTED_AT: MonotonicTime = MonotonicTime(1_000_000_000);
+/// A day ends early once it has more violations than this.
+const MAX_VIOLATIONS: usize = 20;
 
 /// A simulated fleet.
 pub struct Simulation {
     pub(super) plan: SimPlan,
-    pub(super) now: MonotonicTime,
+    pub(super) queue: EventQueue,
+    pub(super) numbers: NumberSequence,
+    pub(super) record: RunRecord,
     pub(super) rng: SeededRng,
     pub(super) controllers: Vec<SimController>,
     pub(super) daemons: Vec<SimDaemon>,
@@ -46,17 +50,9 @@
     pub(super) changes: HashMap<OperationTicket, PendingChange>,
     pub(super) refused_changes: Vec<ChangeId>,
     pub(super) operators: Operators,
-    pub(super) next_number: u64,
     pub(super) runner_fault_rate: f64,
     pub(super) retrying_until: MonotonicTime,
     pub(super) pending_replica_requests: BTreeSet<u64>,
-    pub(super) is_tracing: bool,
-    pub(super) trace: Vec<String>,
-    counts: BTreeMap<String, u64>,
-    queue: BTreeMap<(MonotonicTime, u64), Event>,
-    next_event: u64,
-    last_in_order: HashMap<(Node, Node), MonotonicTime>,
-    event_digest: EventDigest,
     pub(super) is_healed: bool,
     pub(super) moved_count: u8,
     pub(super) calls_after_healing: BTreeMap<IdempotencyKey, usize>,
@@ -71,7 +67,9 @@
             .map(|_| ControllerId(rng.number() | 1))
             .collect();
         let mut simulation = Self {
-            now: STARTED_AT,
+            queue: EventQueue::new(),
+            numbers: NumberSequence::default(),
+            record: RunRecord::new(is_tracing),
             rng,
             controllers: Vec::new(),
             daemons: Vec::new(),
@@ -88,17 +86,9 @@
             changes: HashMap::new(),
             refused_changes: Vec::new(),
             operators: Operators::default(),
-            next_number: 0,
             runner_fault_rate: 0.0,
             retrying_until: MonotonicTime::ZERO,
             pending_replica_requests: BTreeSet::new(),
-            is_tracing,
-            trace: Vec::new(),
-            counts: BTreeMap::new(),
-            queue: BTreeMap::new(),
-            next_event: 0,
-            last_in_order: HashMap::new(),
-            event_digest: EventDigest::default(),
             is_healed: false,
             moved_count: 0,
             calls_after_healing: BTreeMap::new(),
@@ -119,8 +109,8 @@
             });
             simulation.start_daemon(index);
         }
-        simulation.push(Duration::ZERO, Event::ListTick);
-        simulation.push(Duration::from_secs(3), Event::Call);
+        simulation.queue.push(Duration::ZERO, Event::ListTick);
+        simulation.queue.push(Duration::from_secs(3), Event::Call);
         if simulation.plan.has_changes {
             simulation.schedule_change();
         }
@@ -129,57 +119,35 @@
         }
         simulation.schedule_script();
         if simulation.plan.has_faults {
-            simulation.push(Duration::from_secs(6), Event::Fault);
+            simulation.queue.push(Duration::from_secs(6), Event::Fault);
         }
         let lasts = simulation.plan.lasts;
-        simulation.push(lasts, Event::Heal);
+        simulation.queue.push(lasts, Event::Heal);
         simulation
     }
 
-    /// The virtual time at which the day began.
-    pub(super) fn started_at(&self) -> MonotonicTime {
-        STARTED_AT
-    }
-
-    pub(super) fn push(&mut self, delay: Duration, event: Event) {
-        self.next_event += 1;
-        self.queue
-            .insert((self.now + delay, self.next_event), event);
-    }
-
-    pub(super) fn push_in_order(&mut self, key: (Node, Node), delay: Duration, event: Event) {
-        let earliest = self.last_in_order.get(&key).copied().unwrap_or_default();
-        let due_at = (self.now + delay).max(earliest + Duration::from_nanos(1));
-        self.last_in_order.insert(key, due_at);
-        self.push(due_at.since(self.now), event);
-    }
-
-    pub(super) fn count_event(&mut self, label: &str) {
-        self.count_events(label, 1);
-    }
-
-    pub(super) fn count_events(&mut self, label: &str, count: usize) {
-        *self.counts.entry(label.to_owned()).or_default() += count as u64;
+    /// The virtual time at which the plan's faults end.
+    pub(super) fn faults_end_at(&self) -> MonotonicTime {
+        STARTED_AT + self.plan.lasts
     }
 
     /// Adds the invariant violations that the code itself detected to those of the checks.
     fn take_violations(&mut self) {
         for violation in invariants::take_collected() {
             self.checks
-                .report_violation(self.now, violation.to_string());
+                .report_violation(self.queue.now(), violation.to_string());
         }
     }
 
     /// Runs the day to its end and returns its result.
     pub fn run(mut self) -> SimResult {
         invariants::collect_on_this_thread();
-        let end_at = self.now + self.plan.lasts + self.plan.settling;
-        while let Some(((due_at, number), event)) = self.queue.pop_first() {
-            if due_at > end_at || self.checks.violations.len() > 20 {
-                break;
-            }
-            self.now = self.now.max(due_at);
-            self.event_digest.add(due_at, number, &event);
+        let end_at = self.queue.now() + self.plan.lasts + self.plan.settling;
+        while self.checks.violations.len() <= MAX_VIOLATIONS
+            && let Some(due) = self.queue.pop_due(end_at)
+        {
+            self.record.digest_event(&due);
+            let event = due.event;
             let target = event.target().or_else(|| self.link_target(&event));
             if let Some((node, instance)) = target {
                 if self.is_frozen(node) {
@@ -206,23 +174,24 @@
         self.check_operator_history();
         let (share_after, recovered_after) = self.recovery_figures();
         self.check_recovery();
+        let record = self.record.finish();
         SimResult {
             violations: self.checks.violations,
-            counts: self.counts,
+            counts: record.counts,
             checked: self.checks.checked,
             share_after,
             recovered_after,
             steps: self.script.steps,
             recovery: self.recovery.measured(self.plan.daemons),
-            event_digest: self.event_digest.finish(),
-            trace: self.trace,
+            event_digest: record.event_digest,
+            trace: record.trace_lines,
         }
     }
 
     pub(super) fn is_frozen(&self, node: Node) -> bool {
         self.frozen
             .get(&node)
-            .is_some_and(|until| *until > self.now)
+            .is_some_and(|until| *until > self.queue.now())
     }
 
     /// Resumes a frozen machine: deferred events are handled in their order of arrival, except that operators'
@@ -236,7 +205,7 @@
                 .into_iter()
                 .partition(|event| is_read_first && event.is_from_operator());
             for event in first.into_iter().chain(others) {
-                self.push(Duration::ZERO, event);
+                self.queue.push(Duration::ZERO, event);
             }
         }
     }
@@ -279,7 +248,11 @@
 
     /// Whether there is a leader that is not frozen and reaches the platform and every daemon.
     pub(super) fn is_control_side_healthy(&self) -> bool {
-        let is_awake = |node: &Node| self.frozen.get(node).is_none_or(|until| *until <= self.now);
+        let is_awake = |node: &Node| {
+            self.frozen
+                .get(node)
+                .is_none_or(|until| *until <= self.queue.now())
+        };
         self.controllers.iter().any(|controller| {
             controller
                 .controller_state
