--- a/testing/fleet/src/sim/calls.rs
+++ b/testing/fleet/src/sim/calls.rs
@@ -41,10 +41,10 @@
     }
 
     fn random_ingress(&mut self) -> Option<usize> {
-        let index = self.rng.below(self.daemons.len() as u64) as usize;
-        let is_frozen = self.is_frozen(self.daemons[index].node);
-        let is_open = self.daemons[index].body.is_some() && !self.is_leaving(index);
-        (is_open && !is_frozen).then_some(index)
+        let index = self.rng.below(self.nodes.daemons().len() as u64) as usize;
+        let daemon = self.nodes.daemon(index);
+        let is_frozen = self.frozen.contains(daemon.node, self.queue.now());
+        (daemon.is_accepting() && !is_frozen).then_some(index)
     }
 
     pub(super) fn repeat_call(&mut self, route_name: &str) {
--- /dev/null
+++ b/testing/fleet/src/sim/connections.rs
@@ -0,0 +1,86 @@
+//! Opens, breaks and closes the links between the machines, and tells both ends of it.
+
+use super::event::Event;
+use super::links::Link;
+use super::network::{Node, PLATFORM};
+use super::simulation::Simulation;
+use common::frames::SocketAddress;
+use std::time::Duration;
+
+/// How soon both ends notice that a link was closed.
+const CLOSE_NOTICED_AFTER: Duration = Duration::from_millis(4);
+/// How long a daemon dials an address that it does not reach.
+const DIAL_TIMEOUT: Duration = Duration::from_millis(600);
+/// The shortest and the longest time until an end notices a link that broke without being closed.
+const BREAK_NOTICED_WITHIN: (Duration, Duration) = (Duration::from_secs(1), Duration::from_secs(4));
+
+impl Simulation {
+    /// Dials a controller; returns the number of the link, which may fail.
+    pub(super) fn dial(&mut self, daemon: Node, daemon_instance: u64, to: SocketAddress) -> u64 {
+        let number = self.numbers.next();
+        let controller = self.nodes.node_at(to).unwrap_or(PLATFORM);
+        let controller_instance = if controller.is_controller() {
+            self.nodes.controller(controller.0).running_instance()
+        } else {
+            None
+        };
+        let reaches =
+            self.network.reaches(daemon, controller) && self.network.reaches(controller, daemon);
+        let link = Link {
+            daemon,
+            daemon_instance,
+            controller,
+            controller_instance: controller_instance.unwrap_or(0),
+            is_broken: !reaches,
+        };
+        self.links.insert(number, link);
+        let delay = self.network.delay(&mut self.rng);
+        if controller_instance.is_some() && reaches {
+            self.queue.push(delay, Event::Dialed(number));
+        } else {
+            let failed_after = if reaches { delay } else { DIAL_TIMEOUT };
+            self.queue
+                .push(failed_after, Event::LinkLost(number, daemon));
+        }
+        number
+    }
+
+    /// Breaks a link without closing it: both ends notice it only by a timeout.
+    pub(super) fn break_silently(&mut self, number: u64) {
+        let Some((daemon, controller)) = self.links.mark_broken(number) else {
+            return;
+        };
+        let (shortest, longest) = BREAK_NOTICED_WITHIN;
+        let daemon_after = self.rng.within(shortest, longest);
+        let controller_after = self.rng.within(shortest, longest);
+        self.queue
+            .push(daemon_after, Event::LinkLost(number, daemon));
+        self.queue
+            .push(controller_after, Event::LinkLost(number, controller));
+    }
+
+    /// Closes a link.
+    pub(super) fn close_link(&mut self, number: u64) {
+        let Some(link) = self.links.get(number) else {
+            return;
+        };
+        for node in [link.daemon, link.controller] {
+            self.queue
+                .push(CLOSE_NOTICED_AFTER, Event::LinkLost(number, node));
+        }
+    }
+
+    /// Closes the links of a machine.
+    pub(super) fn close_links(&mut self, node: Node) {
+        for number in self.links.numbers_of(node) {
+            self.close_link(number);
+        }
+    }
+
+    /// Breaks the links of a machine without closing them: the other ends notice it only by a timeout.
+    pub(super) fn break_links_silently(&mut self, node: Node) {
+        for number in self.links.numbers_of(node) {
+            self.break_silently(number);
+        }
+    }
+}
--- a/testing/fleet/src/sim/controller.rs
+++ b/testing/fleet/src/sim/controller.rs
@@ -1,22 +1,22 @@
 //! Simulated controllers and their disks.
 
+use super::addresses::{seeds, zone_of_machine};
 use super::daemon::local_time;
+use super::disk::{SimDisk, UnsyncedWrite};
 use super::event::Event;
 use super::flaw::Flaw;
-use super::network::{Node, PLATFORM};
-use super::platform::Requester;
+use super::network::{Node, PLATFORM, Requester};
 use super::simulation::Simulation;
 use common::clock::MonotonicTime;
 use common::events;
 use common::frames::{
     ConsensusFrame, ConsensusMessage, Flag, LeaderToDaemon, LengthPrefixed, SocketAddress,
 };
-use common::identity::{ControllerId, DocumentVersion, Term, Ticket};
+use common::identity::{ControllerId, Term, Ticket};
 use common::rng::SeededRng;
-use common::spec::Document;
+use common::spec::{Document, Voter};
 use controlplane::consensus::{
-    ConsensusNode, ConsensusTiming, ControllerAddress, PersistedState, QuorumPolicy, WriteJob,
-    WriteResult,
+    ConsensusNode, ConsensusTiming, ControllerAddress, QuorumPolicy, WriteJob, WriteResult,
 };
 use controlplane::controller_state::{
     ControllerInput, ControllerOutput, ControllerState, OperationReply, OperationTicket,
@@ -24,18 +24,6 @@
 use controlplane::leader_state::{LeaderTiming, StreamId};
 use std::time::Duration;
 
-/// A simulated disk.
-pub(crate) struct SimDisk {
-    /// The content that survives a crash.
-    pub durable: PersistedState,
-    /// Until when writes stall.
-    pub stalled_until: MonotonicTime,
-    /// Until when writes fail.
-    pub failing_until: MonotonicTime,
-    /// The version before the newest one.
-    pub previous: Option<Document>,
-}
-
 /// A simulated controller.
 pub(crate) struct SimController {
     /// Its node.
@@ -62,6 +50,59 @@
         .build()
 }
 
+impl SimController {
+    /// The time on its machine's clock.
+    pub(super) fn local_time(&self, now: MonotonicTime) -> MonotonicTime {
+        local_time(now, self.clock_ahead, self.clock_drift)
+    }
+
+    /// Whether its process runs.
+    pub(super) fn is_running(&self) -> bool {
+        self.controller_state.is_some()
+    }
+
+    /// Its incarnation, while its process runs.
+    pub(super) fn running_instance(&self) -> Option<u64> {
+        self.is_running().then_some(self.instance)
+    }
+
+    /// Whether it believes to lead.
+    pub(super) fn is_leader(&self) -> bool {
+        self.controller_state
+            .as_ref()
+            .is_some_and(|controller_state| controller_state.consensus().is_leader())
+    }
+
+    /// Whether it leads, is ready, and hands out leases.
+    pub(super) fn is_open_leader(&self) -> bool {
+        self.controller_state
+            .as_ref()
+            .is_some_and(|controller_state| {
+                let leader_state = controller_state.leader_state();
+                controller_state.consensus().is_ready()
+                    && leader_state.is_some_and(|leader_state| leader_state.is_open())
+            })
+    }
+
+    /// The newest document that its process accepted.
+    pub(super) fn accepted_by_process(&self) -> Option<&Document> {
+        self.controller_state.as_ref()?.consensus().accepted()
+    }
+
+    /// Whether its disk belongs to one of these voters.
+    pub(super) fn is_one_of(&self, voters: &[Voter]) -> bool {
+        voters.iter().any(|voter| voter.id == self.disk.durable.id)
+    }
+
+    /// Its current process as the sender of a request.
+    pub(super) fn requester(&self) -> Requester {
+        Requester {
+            node: self.node,
+            instance: self.instance,
+        }
+    }
+}
+
 fn leader_state_timing() -> LeaderTiming {
     LeaderTiming::builder()
         .lease_length(Duration::from_millis(1600))
@@ -71,23 +112,14 @@
 }
 
 impl Simulation {
-    pub(super) fn controller_now(&self, index: usize) -> MonotonicTime {
-        let controller = &self.controllers[index];
-        local_time(
-            self.queue.now(),
-            controller.clock_ahead,
-            controller.clock_drift,
-        )
-    }
-
     /// Starts a controller from its disk.
     pub(super) fn start_controller(&mut self, index: usize) {
-        let local_now = self.controller_now(index);
+        let local_now = self.nodes.controller(index).local_time(self.queue.now());
         let seed = self.rng.number();
-        let seeds = self.seeds();
+        let seeds = seeds();
         let rules = self.plan.rules();
         let voters = self.plan.voters;
-        let controller = &mut self.controllers[index];
+        let controller = self.nodes.controller_mut(index);
         controller.instance += 1;
         let own_address = controller.address;
         let controller_address = ControllerAddress {
@@ -99,7 +131,7 @@
             timing(),
             controller.disk.durable.clone(),
             controller_address,
-            Self::zone(index),
+            zone_of_machine(index),
             seeds,
             SeededRng::seeded(seed),
         )
@@ -114,39 +146,38 @@
         let node = controller.node;
         self.queue.push(
             Duration::from_millis(1),
-            Event::Tick(node, self.controllers[index].instance),
+            Event::Tick(node, self.nodes.controller(index).instance),
         );
         self.queue.push(
             Duration::from_millis(50),
-            Event::Poll(node, self.controllers[index].instance),
+            Event::Poll(node, self.nodes.controller(index).instance),
         );
     }
 
     /// Kills a controller's process; its connections are closed.
     pub(super) fn kill_controller(&mut self, index: usize) {
-        let node = self.controllers[index].node;
-        self.notify_gone(node, self.controllers[index].address);
+        let node = self.nodes.controller(index).node;
+        self.notify_gone(node, self.nodes.controller(index).address);
         self.close_links(node);
         self.end_controller(index);
     }
 
     /// Cuts the power of a controller's machine; its connections break without being closed.
     pub(super) fn power_off_controller(&mut self, index: usize) {
-        self.break_links_silently(self.controllers[index].node);
+        self.break_links_silently(self.nodes.controller(index).node);
         self.end_controller(index);
     }
 
     /// Ends a controller's process; a write in progress may or may not have reached the disk.
     fn end_controller(&mut self, index: usize) {
-        self.controllers[index].controller_state = None;
-        self.controllers[index].instance += 1;
-        let unsynced = std::mem::take(&mut self.unsynced);
-        for (owner, job) in unsynced {
+        self.nodes.controller_mut(index).controller_state = None;
+        self.nodes.controller_mut(index).instance += 1;
+        for write in self.unsynced.take() {
             let reached_disk = self.rng.random_bool(0.5) && self.plan.flaw != Flaw::SyncSkipped;
-            if owner == index && reached_disk {
-                self.controllers[index].disk.store(&job);
-            } else if owner != index {
-                self.unsynced.push((owner, job));
+            if write.controller == index && reached_disk {
+                self.nodes.controller_mut(index).disk.store(&write.job);
+            } else if write.controller != index {
+                self.unsynced.push(write);
             }
         }
     }
@@ -154,7 +185,8 @@
     /// The other controllers that reach a killed one soon find its address closed.
     fn notify_gone(&mut self, gone: Node, address: SocketAddress) {
         let others: Vec<Node> = self
-            .controllers
+            .nodes
+            .controllers()
             .iter()
             .map(|controller| controller.node)
             .collect();
@@ -174,32 +206,15 @@
     /// Replaces a controller's disk by an empty one.
     pub(super) fn lose_disk(&mut self, index: usize) {
         let fresh_id = ControllerId(self.rng.number() | 1);
-        let disk = &mut self.controllers[index].disk;
-        disk.durable = PersistedState {
-            id: fresh_id,
-            voted_for: None,
-            accepted: None,
-            unreadable_version: DocumentVersion::default(),
-        };
-        disk.previous = None;
-    }
-
-    /// Corrupts the newest version on a disk: it is set aside at the next start, and the controller remembers what it
-    /// may have acknowledged.
-    pub(super) fn damage_disk(&mut self, index: usize) {
-        let disk = &mut self.controllers[index].disk;
-        let damaged = disk.durable.accepted.take();
-        disk.durable.unreadable_version =
-            damaged.map_or(DocumentVersion::default(), |held| held.document_version);
-        disk.durable.accepted = disk.previous.take();
+        self.nodes.controller_mut(index).disk.wipe(fresh_id);
     }
 
     pub(super) fn step_controller(&mut self, index: usize, input: ControllerInput) {
-        if index >= self.controllers.len() {
+        if index >= self.nodes.controllers().len() {
             return;
         }
-        let local_now = self.controller_now(index);
-        let Some(controller_state) = &mut self.controllers[index].controller_state else {
+        let local_now = self.nodes.controller(index).local_time(self.queue.now());
+        let Some(controller_state) = &mut self.nodes.controller_mut(index).controller_state else {
             return;
         };
         let orders = controller_state.handle_input(local_now, input);
@@ -209,11 +224,10 @@
     }
 
     fn apply_controller_output(&mut self, index: usize, order: ControllerOutput) {
-        let node = self.controllers[index].node;
-        let instance = self.controllers[index].instance;
+        let node = self.nodes.controller(index).node;
         match order {
             ControllerOutput::Send(to, frame) => {
-                let Some(to_node) = self.node_at(to) else {
+                let Some(to_node) = self.nodes.node_at(to) else {
                     return;
                 };
                 if self.plan.flaw == Flaw::QuorumOfOne {
@@ -231,7 +245,7 @@
             ControllerOutput::Close(stream) => self.close_link(stream.0),
             ControllerOutput::RequestLists => self.read_lists(index),
             ControllerOutput::StopRunner(order) => {
-                let requester = Requester { node, instance };
+                let requester = self.nodes.controller(index).requester();
                 if self.network.reaches(node, PLATFORM) {
                     let delay = self.network.delay(&mut self.rng);
                     self.queue.push(delay, Event::LeaderStop(requester, order));
@@ -295,15 +309,15 @@
             },
             _ => return,
         };
-        let other_address = self.controllers[to_node.0].address;
+        let other_address = self.nodes.controller(to_node.0).address;
         let forged_frame = ConsensusFrame {
-            from: self.controllers[to_node.0].disk.durable.id,
+            from: self.nodes.controller(to_node.0).disk.durable.id,
             address: other_address,
             operators: other_address,
             zone: "here".into(),
             body,
         };
-        let node = self.controllers[index].node;
+        let node = self.nodes.controller(index).node;
         self.queue.push(
             Duration::from_micros(50),
             Event::ConsensusFrame(node, forged_frame),
@@ -311,25 +325,24 @@
     }
 
     fn check_commit(&mut self, index: usize) {
-        let committed_document = self.controllers[index]
-            .controller_state
-            .as_ref()
-            .and_then(|controller_state| controller_state.consensus().accepted().cloned());
-        if let Some(document) = committed_document {
-            self.checks.check_committed(self.queue.now(), &document);
+        if let Some(document) = self.nodes.controller(index).accepted_by_process() {
+            self.checks.check_committed(self.queue.now(), document);
         }
     }
 
     fn write(&mut self, index: usize, ticket: Ticket, job: WriteJob) {
-        let instance = self.controllers[index].instance;
-        let node = self.controllers[index].node;
-        let disk = &self.controllers[index].disk;
+        let instance = self.nodes.controller(index).instance;
+        let node = self.nodes.controller(index).node;
+        let disk = &self.nodes.controller(index).disk;
         let own_delay = self
             .rng
             .within(Duration::from_micros(300), Duration::from_millis(12));
         let ends_at = (self.queue.now() + own_delay).max(disk.stalled_until);
         let is_failing = disk.failing_until > self.queue.now();
-        self.unsynced.push((index, job.clone()));
+        self.unsynced.push(UnsyncedWrite {
+            controller: index,
+            job: job.clone(),
+        });
         let skips_sync = self.plan.flaw == Flaw::SyncSkipped;
         if skips_sync {
             self.queue.push(
@@ -355,13 +368,12 @@
     }
 
     pub(super) fn durable(&mut self, index: usize, job: &WriteJob) {
-        self.controllers[index].disk.store(job);
-        self.unsynced
-            .retain(|(owner, kept)| *owner != index || !is_same(kept, job));
+        self.nodes.controller_mut(index).disk.store(job);
+        self.unsynced.complete(index, job);
     }
 
     fn send_down(&mut self, stream: StreamId, frame: LeaderToDaemon) {
-        let Some(link) = self.links.get(&stream.0) else {
+        let Some(link) = self.links.get(stream.0) else {
             return;
         };
         let (from, to) = (link.controller, link.daemon);
@@ -393,26 +405,22 @@
     }
 
     pub(super) fn poll_platform(&mut self, index: usize) {
-        let node = self.controllers[index].node;
-        let instance = self.controllers[index].instance;
+        let node = self.nodes.controller(index).node;
+        let instance = self.nodes.controller(index).instance;
         self.queue
             .push(Duration::from_millis(400), Event::Poll(node, instance));
-        let leads = self.controllers[index]
-            .controller_state
-            .as_ref()
-            .is_some_and(|controller_state| controller_state.consensus().is_leader());
-        if leads {
+        if self.nodes.controller(index).is_leader() {
             self.read_lists(index);
         }
     }
 
     fn read_lists(&mut self, index: usize) {
-        let node = self.controllers[index].node;
-        let instance = self.controllers[index].instance;
+        let node = self.nodes.controller(index).node;
+        let instance = self.nodes.controller(index).instance;
         if !self.network.reaches(node, PLATFORM) {
             return;
         }
-        let sent_at = self.controller_now(index);
+        let sent_at = self.nodes.controller(index).local_time(self.queue.now());
         let (age, listed_runners, workers) = self.platform.delayed_lists(self.queue.now());
         let delay = self.network.delay(&mut self.rng);
         self.queue.push(
@@ -427,52 +435,3 @@
         self.queue.push(delay, Event::OperatorReply(ticket, reply));
     }
 }
-
-fn is_same(left: &WriteJob, right: &WriteJob) -> bool {
-    match (left, right) {
-        (
-            WriteJob::Vote {
-                term: left_term, ..
-            },
-            WriteJob::Vote {
-                term: right_term, ..
-            },
-        ) => left_term == right_term,
-        (WriteJob::Version(left_document), WriteJob::Version(right_document)) => {
-            left_document.document_version == right_document.document_version
-        }
-        (WriteJob::Scrub(_), WriteJob::Scrub(_)) => true,
-        _ => false,
-    }
-}
-
-impl SimDisk {
-    /// Completes a write and makes it durable.
-    pub(crate) fn store(&mut self, job: &WriteJob) {
-        match job {
-            WriteJob::Vote { term, candidate } => {
-                if self
-                    .durable
-                    .voted_for
-                    .is_none_or(|(voted_for, _)| voted_for < *term)
-                {
-                    self.durable.voted_for = Some((*term, *candidate));
-                }
-            }
-            WriteJob::Scrub(_) => {}
-            WriteJob::Version(document) => {
-                let is_newer = self
-                    .durable
-                    .accepted
-                    .as_ref()
-                    .is_none_or(|held| held.document_version < document.document_version);
-                if is_newer {
-                    self.previous = self.durable.accepted.replace(document.clone());
-                    if self.durable.unreadable_version <= document.document_version {
-                        self.durable.unreadable_version = DocumentVersion::default();
-                    }
-                }
-            }
-        }
-    }
-}
--- a/testing/fleet/src/sim/daemon/holders.rs
+++ b/testing/fleet/src/sim/daemon/holders.rs
@@ -2,8 +2,7 @@
 
 use super::AwaitedStep;
 use crate::sim::event::Event;
-use crate::sim::network::PLATFORM;
-use crate::sim::platform::Requester;
+use crate::sim::network::{PLATFORM, Requester};
 use crate::sim::simulation::Simulation;
 use common::adapter::StartOutcome;
 use common::clock::MonotonicTime;
@@ -25,6 +24,7 @@
     ) {
         let local_now = self.daemon_now(index);
         let Some(held) = self
+            .nodes
             .agent(index)
             .and_then(|agent| agent.held_or_closing(function, fencing_token))
         else {
@@ -54,10 +54,7 @@
         held: &Arc<HeldFunction<u64>>,
         order: HolderOutput,
     ) {
-        let requester = Requester {
-            node: self.daemons[index].node,
-            instance: self.daemons[index].instance,
-        };
+        let requester = self.nodes.daemon(index).requester();
         let function = held.function.clone();
         match order {
             HolderOutput::Send {
@@ -92,6 +89,7 @@
             } => {
                 let local_now = self.daemon_now(index);
                 let may_start = self
+                    .nodes
                     .agent(index)
                     .is_some_and(|agent| agent.is_serving(local_now));
                 if may_start && self.network.reaches(requester.node, PLATFORM) {
@@ -170,10 +168,7 @@
         held: &Arc<HeldFunction<u64>>,
         replica_request: ReplicaRequest,
     ) {
-        let requester = Requester {
-            node: self.daemons[index].node,
-            instance: self.daemons[index].instance,
-        };
+        let requester = self.nodes.daemon(index).requester();
         let ReplicaRequest {
             replica,
             body,
@@ -194,7 +189,7 @@
                 None,
             ),
         );
-        let Some(to_node) = self.node_at(replica.address) else {
+        let Some(to_node) = self.nodes.node_at(replica.address) else {
             return;
         };
         if self.network.reaches(requester.node, to_node) {
@@ -224,8 +219,8 @@
         body: DaemonMessage,
     ) {
         let local_now = self.daemon_now(index);
-        let node = self.daemons[index].node;
-        let Some(agent) = self.agent(index) else {
+        let node = self.nodes.daemon(index).node;
+        let Some(agent) = self.nodes.agent(index) else {
             return;
         };
         let reply = agent.answer_replica_request(local_now, body);
--- a/testing/fleet/src/sim/daemon/mod.rs
+++ b/testing/fleet/src/sim/daemon/mod.rs
@@ -4,12 +4,13 @@
 mod orders;
 mod requests;
 
+use crate::sim::addresses::{self, zone_of_machine};
 use crate::sim::event::Event;
-use crate::sim::network::Node;
+use crate::sim::network::{Node, Requester};
 use crate::sim::simulation::Simulation;
 use common::clock::MonotonicTime;
 use common::frames::{Flag, Host};
-use common::identity::{FunctionKey, IdempotencyKey, Region, Zone};
+use common::identity::{FunctionKey, IdempotencyKey, Region};
 use common::ring::Regions;
 use common::rng::SeededRng;
 use dataplane::agent::{Agent, DaemonControl, DaemonControlOutput, Forwarding, InFlightGuard};
@@ -88,20 +89,61 @@
     Duration::from_nanos(nanos as u64) + Duration::from_micros(1)
 }
 
-impl Simulation {
-    pub(in crate::sim) fn daemon_now(&self, index: usize) -> MonotonicTime {
-        let daemon = &self.daemons[index];
-        local_time(self.queue.now(), daemon.clock_ahead, daemon.clock_drift)
+impl SimDaemon {
+    /// The time on its machine's clock.
+    pub(in crate::sim) fn local_time(&self, now: MonotonicTime) -> MonotonicTime {
+        local_time(now, self.clock_ahead, self.clock_drift)
+    }
+
+    /// Its agent, while its process runs.
+    pub(in crate::sim) fn agent(&self) -> Option<Arc<Agent<u64>>> {
+        self.body.as_ref().map(|body| body.agent.clone())
+    }
+
+    /// Its incarnation, while its process runs.
+    pub(in crate::sim) fn running_instance(&self) -> Option<u64> {
+        self.body.is_some().then_some(self.instance)
     }
 
-    pub(in crate::sim) fn zone(number: usize) -> Zone {
-        format!("locality-{}", number % 3 + 1).into()
+    /// Whether its process runs and is not stopping.
+    pub(in crate::sim) fn is_accepting(&self) -> bool {
+        self.body
+            .as_ref()
+            .is_some_and(|body| body.stop_deadline.is_none())
+    }
+
+    /// Whether its process runs under a session lease.
+    pub(in crate::sim) fn is_serving(&self, now: MonotonicTime) -> bool {
+        let local_now = self.local_time(now);
+        let body = self.body.as_ref();
+        body.is_some_and(|body| local_now < body.agent.serving_until.get())
     }
 
+    /// Whether its process uses this link.
+    pub(in crate::sim) fn is_current_link(&self, link: u64) -> bool {
+        self.body
+            .as_ref()
+            .is_some_and(|body| body.link == Some(link))
+    }
+
+    /// Its current process as the sender of a request.
+    pub(in crate::sim) fn requester(&self) -> Requester {
+        Requester {
+            node: self.node,
+            instance: self.instance,
+        }
+    }
+}
+
+impl Simulation {
     /// The region of a zone, if the day has regions: the first two zones belong to one and the third to another.
     fn regions(&self) -> Regions {
-        let zones =
-            (0..3).map(|number| (Self::zone(number), if number < 2 { "east" } else { "west" }));
+        let zones = (0..3).map(|number| {
+            (
+                zone_of_machine(number),
+                if number < 2 { "east" } else { "west" },
+            )
+        });
         let named = zones.filter(|_| self.plan.regional);
         Regions::new(
             named
@@ -110,13 +152,6 @@
         )
     }
 
-    pub(in crate::sim) fn agent(&self, index: usize) -> Option<Arc<Agent<u64>>> {
-        self.daemons[index]
-            .body
-            .as_ref()
-            .map(|body| body.agent.clone())
-    }
-
     pub(in crate::sim) fn schedule_wake(
         &mut self,
         index: usize,
@@ -124,9 +159,12 @@
         number: u64,
     ) {
         let span = local_at.since(self.daemon_now(index));
-        let delay = virtual_span(span, self.daemons[index].clock_drift);
-        let (node, instance) = (self.daemons[index].node, self.daemons[index].instance);
-        let Some(body) = &mut self.daemons[index].body else {
+        let delay = virtual_span(span, self.nodes.daemon(index).clock_drift);
+        let (node, instance) = (
+            self.nodes.daemon(index).node,
+            self.nodes.daemon(index).instance,
+        );
+        let Some(body) = &mut self.nodes.daemon_mut(index).body else {
             return;
         };
         let Some(pending) = body.pending_requests.get_mut(&number) else {
@@ -141,11 +179,11 @@
     pub(in crate::sim) fn start_daemon(&mut self, index: usize) {
         let local_now = self.daemon_now(index);
         let seed = self.rng.number();
-        let own_address = self.daemon_address(index);
+        let own_address = addresses::daemon_address(index);
         let host = Host {
             member: format!("daemon-{index}").into(),
             incarnation: (self.rng.number() | 1).into(),
-            zone: Self::zone(index),
+            zone: zone_of_machine(index),
             address: own_address,
             eligible: Flag(true),
             link_mbps: 0,
@@ -159,7 +197,7 @@
             &agent,
             ControlSessionTiming::builder().build(),
             own_address,
-            self.seeds(),
+            addresses::seeds(),
             SeededRng::seeded(seed),
         );
         let controller = if self.plan.keeps_warm_functions {
@@ -167,7 +205,7 @@
         } else {
             controller
         };
-        let daemon = &mut self.daemons[index];
+        let daemon = self.nodes.daemon_mut(index);
         daemon.instance += 1;
         daemon.body = Some(Box::new(DaemonProcess {
             agent,
@@ -178,22 +216,27 @@
             stop_deadline: None,
             is_disturbed: false,
         }));
-        let tick = Event::Tick(self.daemons[index].node, self.daemons[index].instance);
+        let tick = Event::Tick(
+            self.nodes.daemon(index).node,
+            self.nodes.daemon(index).instance,
+        );
         self.queue.push(Duration::from_millis(1), tick);
     }
 
     /// Kills a daemon; its callers get no response.
     pub(in crate::sim) fn kill_daemon(&mut self, index: usize) {
-        self.daemons[index].body = None;
-        self.daemons[index].instance += 1;
-        self.close_links(self.daemons[index].node);
+        self.nodes.daemon_mut(index).body = None;
+        self.nodes.daemon_mut(index).instance += 1;
+        self.close_links(self.nodes.daemon(index).node);
     }
 
     /// Begins the graceful stop of a daemon.
     pub(in crate::sim) fn begin_orderly_stop(&mut self, index: usize) {
         let local_now = self.daemon_now(index);
-        let is_frozen = self.is_frozen(self.daemons[index].node);
-        let Some(body) = &mut self.daemons[index].body else {
+        let is_frozen = self
+            .frozen
+            .contains(self.nodes.daemon(index).node, self.queue.now());
+        let Some(body) = &mut self.nodes.daemon_mut(index).body else {
             return;
         };
         if body.stop_deadline.is_some() {
@@ -204,17 +247,10 @@
         self.with_controller(index, |controller, agent, now| controller.leave(agent, now));
     }
 
-    pub(in crate::sim) fn is_leaving(&self, index: usize) -> bool {
-        self.daemons[index]
-            .body
-            .as_ref()
-            .is_some_and(|body| body.stop_deadline.is_some())
-    }
-
     /// Ends a stopping daemon when no requests are left, or when its grace period is over.
     pub(in crate::sim) fn finish_stop_if_due(&mut self, index: usize) {
         let local_now = self.daemon_now(index);
-        let Some(body) = &self.daemons[index].body else {
+        let Some(body) = &self.nodes.daemon(index).body else {
             return;
         };
         let Some(stop_deadline) = body.stop_deadline else {
@@ -233,9 +269,9 @@
                 .check_orderly_stop(self.queue.now(), index, &in_flight);
         }
         self.with_controller(index, |controller, agent, _| controller.departed(agent));
-        let node = self.daemons[index].node;
-        let instance = self.daemons[index].instance;
-        if let Some(body) = &mut self.daemons[index].body {
+        let node = self.nodes.daemon(index).node;
+        let instance = self.nodes.daemon(index).instance;
+        if let Some(body) = &mut self.nodes.daemon_mut(index).body {
             body.stop_deadline = Some(MonotonicTime(u64::MAX));
         }
         self.queue.push(
@@ -244,15 +280,9 @@
         );
     }
 
-    pub(in crate::sim) fn is_daemon_serving(&self, index: usize) -> bool {
-        let local_now = self.daemon_now(index);
-        let body = self.daemons[index].body.as_ref();
-        body.is_some_and(|body| local_now < body.agent.serving_until.get())
-    }
-
     pub(in crate::sim) fn tick_daemon(&mut self, index: usize) {
         self.with_controller(index, |controller, agent, now| controller.tick(agent, now));
-        if let Some(agent) = self.agent(index)
+        if let Some(agent) = self.nodes.agent(index)
             && self.is_daemon_serving(index)
         {
             self.checks
@@ -271,7 +301,7 @@
         ) -> Vec<DaemonControlOutput<u64>>,
     ) {
         let local_now = self.daemon_now(index);
-        let Some(body) = &mut self.daemons[index].body else {
+        let Some(body) = &mut self.nodes.daemon_mut(index).body else {
             return;
         };
         let agent = body.agent.clone();
@@ -287,14 +317,14 @@
         heartbeat: &common::frames::Heartbeat,
     ) {
         let local_now = self.daemon_now(index);
-        if let Some(body) = &mut self.daemons[index].body {
+        if let Some(body) = &mut self.nodes.daemon_mut(index).body {
             body.controller.heartbeat(local_now, heartbeat);
         }
     }
 
     pub(in crate::sim) fn link_lost(&mut self, index: usize, link: u64) {
-        if self.is_current_link(index, link) {
-            if let Some(body) = &mut self.daemons[index].body {
+        if self.nodes.daemon(index).is_current_link(link) {
+            if let Some(body) = &mut self.nodes.daemon_mut(index).body {
                 body.link = None;
             }
             self.with_controller(index, |controller, agent, now| {
@@ -302,11 +332,4 @@
             });
         }
     }
-
-    pub(in crate::sim) fn is_current_link(&self, index: usize, link: u64) -> bool {
-        self.daemons[index]
-            .body
-            .as_ref()
-            .is_some_and(|body| body.link == Some(link))
-    }
 }
--- a/testing/fleet/src/sim/daemon/orders.rs
+++ b/testing/fleet/src/sim/daemon/orders.rs
@@ -14,17 +14,19 @@
         index: usize,
         order: DaemonControlOutput<u64>,
     ) {
-        let node = self.daemons[index].node;
-        let instance = self.daemons[index].instance;
+        let node = self.nodes.daemon(index).node;
+        let instance = self.nodes.daemon(index).instance;
         match order {
             DaemonControlOutput::Dial(to) => {
                 let link = self.dial(node, instance, to);
-                if let Some(body) = &mut self.daemons[index].body {
+                if let Some(body) = &mut self.nodes.daemon_mut(index).body {
                     body.link = Some(link);
                 }
             }
             DaemonControlOutput::Hangup => {
-                let link = self.daemons[index]
+                let link = self
+                    .nodes
+                    .daemon_mut(index)
                     .body
                     .as_mut()
                     .and_then(|body| body.link.take());
@@ -35,7 +37,7 @@
             DaemonControlOutput::SendFrame(frame) => self.send_up(index, frame),
             DaemonControlOutput::HeartbeatDatagram(heartbeat, to_addresses) => {
                 for to in to_addresses {
-                    let Some(to_node) = self.node_at(to) else {
+                    let Some(to_node) = self.nodes.node_at(to) else {
                         continue;
                     };
                     self.record.count_event("heartbeats");
@@ -55,7 +57,7 @@
                 self.acquired(index, &function, result);
             }
             DaemonControlOutput::AcquiresLost => {
-                let Some(body) = &mut self.daemons[index].body else {
+                let Some(body) = &mut self.nodes.daemon_mut(index).body else {
                     return;
                 };
                 let waiting = std::mem::take(&mut body.acquires);
@@ -78,7 +80,7 @@
     }
 
     pub(in crate::sim) fn check_install(&mut self, index: usize, version: Version) {
-        let instance = self.daemons[index].instance;
+        let instance = self.nodes.daemon(index).instance;
         self.checks
             .check_installed(self.queue.now(), index, instance, version);
     }
@@ -94,12 +96,12 @@
     }
 
     pub(in crate::sim) fn send_up(&mut self, index: usize, frame: DaemonToLeader) {
-        let Some(body) = &self.daemons[index].body else {
+        let Some(body) = &self.nodes.daemon(index).body else {
             return;
         };
         let Some(link) = body.link else { return };
-        let from = self.daemons[index].node;
-        let Some(to) = self.links.get(&link).map(|link| link.controller) else {
+        let from = self.nodes.daemon(index).node;
+        let Some(to) = self.links.get(link).map(|link| link.controller) else {
             return;
         };
         if !self.network.reaches(from, to) {
@@ -119,8 +121,12 @@
     /// Checks that each runner instance is used by at most one running lease holder.
     pub(in crate::sim) fn check_instance_owners(&mut self) {
         let mut held_instances = Vec::new();
-        for index in 0..self.daemons.len() {
-            let Some(agent) = self.agent(index).filter(|_| self.is_daemon_serving(index)) else {
+        for index in 0..self.nodes.daemons().len() {
+            let Some(agent) = self
+                .nodes
+                .agent(index)
+                .filter(|_| self.is_daemon_serving(index))
+            else {
                 continue;
             };
             for held in agent.held_functions.load().values() {
@@ -152,6 +158,7 @@
         fencing_token: FencingToken,
     ) -> bool {
         let held = self
+            .nodes
             .agent(index)
             .and_then(|agent| agent.held(function, fencing_token));
         self.is_daemon_serving(index)
@@ -160,7 +167,7 @@
 
     /// Checks a new function lease: no other daemon may serve the function, and all its running runners are taken over.
     pub(in crate::sim) fn check_granted(&mut self, index: usize) {
-        let Some(agent) = self.agent(index) else {
+        let Some(agent) = self.nodes.agent(index) else {
             return;
         };
         let held_functions = agent.held_functions.load_full();
@@ -181,8 +188,8 @@
                 &adopted,
                 alive,
             );
-            for other in (0..self.daemons.len()).filter(|other| *other != index) {
-                let is_held = self.agent(other).is_some_and(|other_agent| {
+            for other in (0..self.nodes.daemons().len()).filter(|other| *other != index) {
+                let is_held = self.nodes.agent(other).is_some_and(|other_agent| {
                     other_agent
                         .held_functions
                         .load()
@@ -205,7 +212,7 @@
         function: &FunctionKey,
         result: Option<AcquireResult>,
     ) {
-        let Some(body) = &mut self.daemons[index].body else {
+        let Some(body) = &mut self.nodes.daemon_mut(index).body else {
             return;
         };
         for number in body.acquires.remove(function).unwrap_or_default() {
--- a/testing/fleet/src/sim/daemon/requests.rs
+++ b/testing/fleet/src/sim/daemon/requests.rs
@@ -33,7 +33,7 @@
         repeat: bool,
     ) {
         let local_now = self.daemon_now(index);
-        let Some(agent) = self.agent(index) else {
+        let Some(agent) = self.nodes.agent(index) else {
             return;
         };
         let table = agent.table.load_full();
@@ -93,7 +93,7 @@
     ) {
         let local_now = self.daemon_now(index);
         let number = self.numbers.next();
-        let Some(body) = &mut self.daemons[index].body else {
+        let Some(body) = &mut self.nodes.daemon_mut(index).body else {
             return;
         };
         let in_flight = body.agent.track_in_flight();
@@ -113,7 +113,7 @@
 
     /// Handles the timeout of a wait, unless the request has advanced since.
     pub(in crate::sim) fn wake(&mut self, index: usize, number: u64, wake: u64) {
-        let is_due = self.daemons[index].body.as_ref().is_some_and(|body| {
+        let is_due = self.nodes.daemon(index).body.as_ref().is_some_and(|body| {
             body.pending_requests
                 .get(&number)
                 .is_some_and(|pending| pending.wakes == wake)
@@ -144,9 +144,9 @@
     }
 
     pub(in crate::sim) fn look_up_all(&mut self, index: usize) {
-        let node = self.daemons[index].node;
-        let instance = self.daemons[index].instance;
-        let Some(body) = &self.daemons[index].body else {
+        let node = self.nodes.daemon(index).node;
+        let instance = self.nodes.daemon(index).instance;
+        let Some(body) = &self.nodes.daemon(index).body else {
             return;
         };
         let waiting_lookups: Vec<u64> = body
@@ -157,7 +157,7 @@
             .collect();
         self.end_forwards_to_departed(index);
         for number in waiting_lookups {
-            let Some(body) = &mut self.daemons[index].body else {
+            let Some(body) = &mut self.nodes.daemon_mut(index).body else {
                 return;
             };
             let Some(pending) = body.pending_requests.get_mut(&number) else {
@@ -172,7 +172,7 @@
     /// Stops waiting for daemons that no longer count as alive. The request gets a new number, so that a late reply is
     /// ignored.
     pub(in crate::sim) fn end_forwards_to_departed(&mut self, index: usize) {
-        let Some(body) = &mut self.daemons[index].body else {
+        let Some(body) = &mut self.nodes.daemon_mut(index).body else {
             return;
         };
         let hosts = body.agent.hosts.load_full();
@@ -191,7 +191,7 @@
             .collect();
         for number in lost {
             let new_number = self.numbers.next();
-            let Some(body) = &mut self.daemons[index].body else {
+            let Some(body) = &mut self.nodes.daemon_mut(index).body else {
                 return;
             };
             let Some(pending) = body.pending_requests.remove(&number) else {
@@ -211,7 +211,7 @@
         change: impl FnOnce(&mut Forwarding, &Agent<u64>, MonotonicTime) -> ForwardingStep<u64>,
     ) {
         let local_now = self.daemon_now(index);
-        let Some(body) = &mut self.daemons[index].body else {
+        let Some(body) = &mut self.nodes.daemon_mut(index).body else {
             return;
         };
         let Some(pending) = body.pending_requests.get_mut(&number) else {
@@ -261,7 +261,7 @@
         holder_request: HolderRequest,
     ) {
         let local_now = self.daemon_now(index);
-        let Some(agent) = self.agent(index) else {
+        let Some(agent) = self.nodes.agent(index) else {
             return;
         };
         let idempotency_key = holder_request.idempotency_key.clone();
@@ -282,13 +282,13 @@
     }
 
     pub(in crate::sim) fn acquire(&mut self, index: usize, number: u64, wait_until: MonotonicTime) {
-        let node = self.daemons[index].node;
-        let instance = self.daemons[index].instance;
+        let node = self.nodes.daemon(index).node;
+        let instance = self.nodes.daemon(index).instance;
         let span = wait_until.since(self.daemon_now(index));
-        let delay = virtual_span(span, self.daemons[index].clock_drift);
+        let delay = virtual_span(span, self.nodes.daemon(index).clock_drift);
         self.queue
             .push(delay, Event::AcquireTimedOut(node, instance, number));
-        let Some(body) = &mut self.daemons[index].body else {
+        let Some(body) = &mut self.nodes.daemon_mut(index).body else {
             return;
         };
         let function = body.pending_requests[&number]
@@ -313,14 +313,14 @@
         body: DaemonMessage,
         wait_until: MonotonicTime,
     ) {
-        let node = self.daemons[index].node;
-        let instance = self.daemons[index].instance;
+        let node = self.nodes.daemon(index).node;
+        let instance = self.nodes.daemon(index).instance;
         let wait_span = wait_until.since(self.daemon_now(index));
-        let wait_span = virtual_span(wait_span, self.daemons[index].clock_drift);
-        let Some(to_node) = self.node_at(host.address) else {
+        let wait_span = virtual_span(wait_span, self.nodes.daemon(index).clock_drift);
+        let Some(to_node) = self.nodes.node_at(host.address) else {
             return;
         };
-        let is_dead = self.daemons[to_node.daemon_index()].body.is_none();
+        let is_dead = self.nodes.daemon(to_node.daemon_index()).body.is_none();
         let delay = self.network.delay(&mut self.rng);
         if is_dead {
             self.queue.push(
@@ -351,7 +351,7 @@
             instance,
             number,
         };
-        let to_instance = self.daemons[to_node.daemon_index()].instance;
+        let to_instance = self.nodes.daemon(to_node.daemon_index()).instance;
         self.queue
             .push(delay, Event::Hop(to_node, to_instance, reply_target, body));
     }
@@ -364,7 +364,7 @@
         end: ForwardResult,
         regional_tenths: u8,
     ) {
-        let body = self.daemons[index].body.as_mut();
+        let body = self.nodes.daemon_mut(index).body.as_mut();
         if let Some(pending) = body.and_then(|body| body.pending_requests.get_mut(&number)) {
             pending.regional_tenths = regional_tenths;
         }
@@ -387,8 +387,8 @@
         outcome: RequestOutcome,
         holder: Option<Host>,
     ) {
-        let node = self.daemons[index].node;
-        let Some(body) = &mut self.daemons[index].body else {
+        let node = self.nodes.daemon(index).node;
+        let Some(body) = &mut self.nodes.daemon_mut(index).body else {
             return;
         };
         let Some(pending) = body.pending_requests.remove(&number) else {
@@ -427,7 +427,7 @@
     fn regional_hint(&self, index: usize, pending: &PendingRequest) -> u8 {
         let request = pending.forwarding.request();
         let local_now = self.daemon_now(index);
-        let agent = self.agent(index);
+        let agent = self.nodes.agent(index);
         let own_word = agent.map_or(0, |agent| {
             agent.regional_hint(local_now, &request.function, &request.region)
         });
@@ -447,7 +447,7 @@
         regional_tenths: u8,
     ) {
         let local_now = self.daemon_now(index);
-        let Some(agent) = self.agent(index) else {
+        let Some(agent) = self.nodes.agent(index) else {
             return;
         };
         if request.function.is_regional() {
--- a/testing/fleet/src/sim/dispatch.rs
+++ b/testing/fleet/src/sim/dispatch.rs
@@ -28,7 +28,7 @@
                 self.step_controller(node.0, ControllerInput::ProcessGone(address));
             }
             Event::Durable(node, instance, job) => {
-                if self.controllers[node.0].instance == instance {
+                if self.nodes.controller(node.0).instance == instance {
                     self.durable(node.0, &job);
                 }
             }
@@ -40,8 +40,11 @@
                 self.step_controller(node.0, ControllerInput::Runners(content_at, runners));
             }
             Event::Dialed(number) => {
-                if let Some(link) = self.links.get(&number)
-                    && self.is_current_link(link.daemon.daemon_index(), number)
+                if let Some(link) = self.links.get(number)
+                    && self
+                        .nodes
+                        .daemon(link.daemon.daemon_index())
+                        .is_current_link(number)
                 {
                     let index = link.daemon.daemon_index();
                     self.with_controller(index, |controller, agent, now| {
@@ -50,18 +53,18 @@
                 }
             }
             Event::LinkUp(number, frame) => {
-                let Some(link) = self.links.get(&number).filter(|link| !link.is_broken) else {
+                let Some(link) = self.links.get_unbroken(number) else {
                     return;
                 };
                 let index = link.controller.0;
                 self.step_controller(index, ControllerInput::Stream(StreamId(number), frame));
             }
             Event::LinkDown(number, frame) => {
-                let Some(link) = self.links.get(&number).filter(|link| !link.is_broken) else {
+                let Some(link) = self.links.get_unbroken(number) else {
                     return;
                 };
                 let index = link.daemon.daemon_index();
-                if self.is_current_link(index, number) {
+                if self.nodes.daemon(index).is_current_link(number) {
                     self.with_controller(index, |controller, agent, now| {
                         controller.received(agent, now, frame)
                     });
--- a/testing/fleet/src/sim/event.rs
+++ b/testing/fleet/src/sim/event.rs
@@ -1,8 +1,7 @@
 //! The events of a simulated fleet.
 
 use super::daemon::ReplyTarget;
-use super::network::Node;
-use super::platform::Requester;
+use super::network::{Node, Requester};
 use super::runners::SimRun;
 use super::script::Action;
 use common::adapter::{ListedRunner, ListedWorker, StartOutcome, StopOrder};
--- a/testing/fleet/src/sim/faults.rs
+++ b/testing/fleet/src/sim/faults.rs
@@ -1,5 +1,6 @@
 //! Random faults: their kinds, injection and end.
 
+use super::addresses::zone_of_machine;
 use super::event::Event;
 use super::network::{Node, PLATFORM};
 use super::simulation::Simulation;
@@ -172,17 +173,17 @@
 
 impl Simulation {
     fn random_controller_index(&mut self) -> usize {
-        self.rng.below(self.controllers.len() as u64) as usize
+        self.rng.below(self.nodes.controllers().len() as u64) as usize
     }
 
     fn random_daemon(&mut self) -> usize {
-        self.rng.below(self.daemons.len() as u64) as usize
+        self.rng.below(self.nodes.daemons().len() as u64) as usize
     }
 
     fn random_node(&mut self) -> Node {
-        let count = self.controllers.len() + self.daemons.len();
+        let count = self.nodes.controllers().len() + self.nodes.daemons().len();
         let index = self.rng.below(count as u64) as usize;
-        match index.checked_sub(self.controllers.len()) {
+        match index.checked_sub(self.nodes.controllers().len()) {
             Some(daemon) => Node::of_daemon(daemon),
             None => Node(index),
         }
@@ -190,22 +191,13 @@
 
     /// Draws some daemons, at least one and not all.
     fn random_group(&mut self) -> Vec<usize> {
-        let count = 1 + self.rng.below(self.daemons.len() as u64 - 1) as usize;
+        let count = 1 + self.rng.below(self.nodes.daemons().len() as u64 - 1) as usize;
         let first = self.random_daemon();
         (0..count)
-            .map(|step| (first + step) % self.daemons.len())
+            .map(|step| (first + step) % self.nodes.daemons().len())
             .collect()
     }
 
-    pub(super) fn leading_controller(&self) -> Option<usize> {
-        self.controllers.iter().position(|controller| {
-            controller
-                .controller_state
-                .as_ref()
-                .is_some_and(|controller_state| controller_state.consensus().is_leader())
-        })
-    }
-
     pub(super) fn schedule_fault(&mut self) {
         let wait_span = self.rng.within(Duration::from_millis(300), self.plan.gap);
         self.queue.push(wait_span, Event::Fault);
@@ -241,7 +233,7 @@
             SimFault::LoseDisk => drop(self.lose_random_disk(lasts)),
             SimFault::ReplaceVoter => {
                 if let Some(index) = self.lose_random_disk(lasts) {
-                    self.move_controller(index);
+                    self.nodes.move_controller(index);
                 }
             }
             SimFault::DamageDisk => self.damage_random_disk(lasts),
@@ -259,11 +251,11 @@
             SimFault::PartitionQuorum => self.partition_quorum(lasts),
             SimFault::StallDisk => {
                 let index = self.random_controller_index();
-                self.controllers[index].disk.stalled_until = self.queue.now() + lasts;
+                self.nodes.controller_mut(index).disk.stalled_until = self.queue.now() + lasts;
             }
             SimFault::FailDisk => {
                 let index = self.random_controller_index();
-                self.controllers[index].disk.failing_until = self.queue.now() + lasts;
+                self.nodes.controller_mut(index).disk.failing_until = self.queue.now() + lasts;
             }
             SimFault::CrashWorker => self.crash_random_worker(),
             SimFault::LoseRunner => self.lose_random_runner(),
@@ -297,7 +289,7 @@
     }
 
     fn kill_leader(&mut self, lasts: Duration) {
-        if let Some(index) = self.leading_controller() {
+        if let Some(index) = self.nodes.leading_controller() {
             self.lose_controller(index, lasts);
         }
     }
@@ -309,21 +301,21 @@
     }
 
     fn kill_quorum(&mut self, lasts: Duration) {
-        for index in 0..self.controllers.len() {
+        for index in 0..self.nodes.controllers().len() {
             self.lose_controller(index, lasts);
         }
     }
 
     fn kill_all(&mut self, lasts: Duration) {
         self.kill_quorum(lasts);
-        for index in 0..self.daemons.len() {
+        for index in 0..self.nodes.daemons().len() {
             self.lose_daemon(index, lasts);
         }
     }
 
     /// Kills a random controller and empties its disk, if one more may be lost; returns its index.
     fn lose_random_disk(&mut self, lasts: Duration) -> Option<usize> {
-        if !self.may_lose_disk() {
+        if !self.nodes.may_lose_disk() {
             return None;
         }
         self.record.count_event("disk lost");
@@ -333,14 +325,14 @@
     }
 
     fn damage_random_disk(&mut self, lasts: Duration) {
-        if self.may_lose_disk() {
+        if self.nodes.may_lose_disk() {
             let index = self.kill_random_controller(lasts);
-            self.damage_disk(index);
+            self.nodes.controller_mut(index).disk.damage();
         }
     }
 
     fn kill_group_and_disk(&mut self, lasts: Duration) {
-        if self.may_lose_disk() {
+        if self.nodes.may_lose_disk() {
             self.kill_group(lasts);
             let index = self.kill_random_controller(lasts);
             self.lose_disk(index);
@@ -348,13 +340,14 @@
     }
 
     fn freeze_holder(&mut self, lasts: Duration) {
-        let holder = (0..self.daemons.len()).max_by_key(|index| {
-            self.agent(*index)
+        let holder = (0..self.nodes.daemons().len()).max_by_key(|index| {
+            self.nodes
+                .agent(*index)
                 .map_or(0, |agent| agent.held_functions.load().len())
         });
         if let Some(holder) = holder {
             self.freeze(
-                self.daemons[holder].node,
+                self.nodes.daemon(holder).node,
                 Duration::from_secs(3) + lasts / 2,
             );
         }
@@ -362,19 +355,19 @@
 
     fn freeze_group(&mut self, lasts: Duration) {
         for index in self.random_group() {
-            self.freeze(self.daemons[index].node, lasts);
+            self.freeze(self.nodes.daemon(index).node, lasts);
         }
     }
 
     fn freeze_leader(&mut self, lasts: Duration) {
-        if let Some(index) = self.leading_controller() {
-            self.freeze(self.controllers[index].node, lasts);
+        if let Some(index) = self.nodes.leading_controller() {
+            self.freeze(self.nodes.controller(index).node, lasts);
         }
     }
 
     fn isolate_random_node(&mut self, lasts: Duration) {
         let isolated_node = self.random_node();
-        for other in self.all_nodes() {
+        for other in self.nodes.all() {
             self.network.block(isolated_node, other);
             self.network.block(other, isolated_node);
         }
@@ -384,7 +377,7 @@
     fn block_one_direction(&mut self, lasts: Duration) {
         let isolated_node = self.random_node();
         let blocks_incoming = self.rng.random_bool(0.5);
-        for other in self.all_nodes() {
+        for other in self.nodes.all() {
             if blocks_incoming {
                 self.network.block(other, isolated_node);
             } else {
@@ -398,7 +391,8 @@
     fn partition_fleet(&mut self, lasts: Duration) {
         let salt = lasts.subsec_nanos() as usize;
         let (left, right): (Vec<Node>, Vec<Node>) = self
-            .all_nodes()
+            .nodes
+            .all()
             .into_iter()
             .partition(|node| (node.0 * 7 + salt).is_multiple_of(3));
         self.partition(&left, &right);
@@ -476,23 +470,20 @@
     fn lose_controller(&mut self, index: usize, lasts: Duration) {
         self.kill_controller(index);
         self.queue
-            .push(lasts, Event::RestartNode(self.controllers[index].node));
+            .push(lasts, Event::RestartNode(self.nodes.controller(index).node));
     }
 
     fn lose_daemon(&mut self, index: usize, lasts: Duration) {
         self.kill_daemon(index);
         self.queue
-            .push(lasts, Event::RestartNode(self.daemons[index].node));
+            .push(lasts, Event::RestartNode(self.nodes.daemon(index).node));
     }
 
     pub(super) fn freeze(&mut self, node: Node, lasts: Duration) {
         let until = self.queue.now() + lasts;
-        let frozen_until = self.frozen.entry(node).or_insert(until);
-        *frozen_until = (*frozen_until).max(until);
-        let wakes_at = *frozen_until;
+        let wakes_at = self.frozen.freeze(node, until);
         if !node.is_controller()
-            && let Some(daemon) = self.daemons.get_mut(node.daemon_index())
-            && let Some(body) = &mut daemon.body
+            && let Some(body) = &mut self.nodes.daemon_mut(node.daemon_index()).body
         {
             body.is_disturbed = true;
         }
@@ -502,9 +493,9 @@
 
     fn lose_zone(&mut self, lasts: Duration) {
         let number = self.rng.below(3) as usize;
-        let zone = Simulation::zone(number);
+        let zone = zone_of_machine(number);
         self.lose_controller(number, lasts);
-        for index in (0..self.daemons.len()).filter(|index| index % 3 == number) {
+        for index in (0..self.nodes.daemons().len()).filter(|index| index % 3 == number) {
             self.lose_daemon(index, lasts);
         }
         let lost_workers: Vec<_> = self
@@ -533,14 +524,15 @@
     /// Partitions one controller, often the leader, alone or with some daemons, from the rest.
     fn partition_quorum(&mut self, lasts: Duration) {
         let random_controller = self.random_controller_index();
-        let isolated = self.leading_controller().unwrap_or(random_controller);
-        let with_daemons = self.rng.below(self.daemons.len() as u64 + 1) as usize;
+        let isolated = self.nodes.leading_controller().unwrap_or(random_controller);
+        let with_daemons = self.rng.below(self.nodes.daemons().len() as u64 + 1) as usize;
         let left: Vec<Node> = [Node(isolated)]
             .into_iter()
             .chain((0..with_daemons).map(Node::of_daemon))
             .collect();
         let right: Vec<Node> = self
-            .all_nodes()
+            .nodes
+            .all()
             .into_iter()
             .filter(|node| !left.contains(node) && *node != PLATFORM)
             .collect();
@@ -552,7 +544,7 @@
         if self.checks.has_evacuated_zone() {
             return;
         }
-        let zone = Simulation::zone(self.rng.below(3) as usize);
+        let zone = zone_of_machine(self.rng.below(3) as usize);
         self.submit_change(
             None,
             ChangeKind::Evacuate {
@@ -564,45 +556,13 @@
             .push(Duration::from_secs(6) + lasts, Event::Restore(zone));
     }
 
-    /// Whether one more disk may be lost: only while every voter runs with the disk that the quorum knows and no change
-    /// of the quorum is pending, since the deployments tolerate one loss at a time.
-    fn may_lose_disk(&self) -> bool {
-        let controller_states = self
-            .controllers
-            .iter()
-            .filter_map(|controller| controller.controller_state.as_ref());
-        let ready_plane = controller_states
-            .into_iter()
-            .find(|controller_state| controller_state.consensus().is_ready());
-        let Some(document) =
-            ready_plane.and_then(|controller_state| controller_state.consensus().accepted())
-        else {
-            return false;
-        };
-        let is_known = |controller: &super::controller::SimController| {
-            let durable = &controller.disk.durable;
-            let accepted_document_version =
-                durable.accepted.as_ref().map(|held| held.document_version);
-            controller.controller_state.is_some()
-                && document.voters.iter().any(|member| member.id == durable.id)
-                && accepted_document_version.unwrap_or_default() >= durable.unreadable_version
-        };
-        document.previous_voters.is_empty() && self.controllers.iter().all(is_known)
-    }
-
-    pub(super) fn all_nodes(&self) -> Vec<Node> {
-        let controllers = (0..self.controllers.len()).map(Node);
-        let daemons = (0..self.daemons.len()).map(Node::of_daemon);
-        controllers.chain(daemons).chain([PLATFORM]).collect()
-    }
-
     /// Restarts a killed machine.
     pub(super) fn restart_node(&mut self, node: Node) {
         if node.is_controller() {
-            if self.controllers[node.0].controller_state.is_none() {
+            if !self.nodes.controller(node.0).is_running() {
                 self.start_controller(node.0);
             }
-        } else if self.daemons[node.daemon_index()].body.is_none() {
+        } else if self.nodes.daemon(node.daemon_index()).body.is_none() {
             self.start_daemon(node.daemon_index());
         }
     }
@@ -614,19 +574,18 @@
         self.runner_fault_rate = 0.0;
         self.platform.list_delay = Duration::from_millis(1000);
         self.platform.restore();
-        for node in self.all_nodes() {
+        for node in self.nodes.all() {
             if node != PLATFORM {
                 self.restart_node(node);
             }
         }
-        for controller in &mut self.controllers {
-            controller.disk.stalled_until = common::clock::MonotonicTime::ZERO;
-            controller.disk.failing_until = common::clock::MonotonicTime::ZERO;
+        for controller in self.nodes.controllers_mut() {
+            controller.disk.mend();
         }
         for number in 0..3 {
             self.queue.push(
                 Duration::from_secs(4),
-                Event::Restore(Simulation::zone(number)),
+                Event::Restore(zone_of_machine(number)),
             );
         }
     }
--- a/testing/fleet/src/sim/mod.rs
+++ b/testing/fleet/src/sim/mod.rs
@@ -1,19 +1,24 @@
 //! The real state machines of both planes under virtual time, with a virtual network, disk and platform.
 
+mod addresses;
 mod calls;
 mod checks;
+mod connections;
 mod controller;
 mod daemon;
 mod detection_cases;
 mod digest;
+mod disk;
 mod dispatch;
 mod event;
 mod event_queue;
 mod faults;
 mod flaw;
 mod founding;
+mod frozen_nodes;
 mod links;
 mod network;
+mod nodes;
 mod number_sequence;
 mod operator;
 mod order_generator;
--- a/testing/fleet/src/sim/network.rs
+++ b/testing/fleet/src/sim/network.rs
@@ -31,6 +31,15 @@
 /// The platform's node.
 pub(crate) const PLATFORM: Node = Node(1000);
 
+/// The process that sent a request, to which the reply is returned.
+#[derive(Clone, Copy, PartialEq, Eq, Debug)]
+pub(crate) struct Requester {
+    /// The node.
+    pub node: Node,
+    /// Its incarnation.
+    pub instance: u64,
+}
+
 /// The blocked directions and the delays of messages.
 #[derive(Default)]
 pub(crate) struct Network {
--- a/testing/fleet/src/sim/operator.rs
+++ b/testing/fleet/src/sim/operator.rs
@@ -121,7 +121,7 @@
             wait: Wait::Accepted,
         };
         self.changes.insert(ticket, change);
-        let node = self.controllers[target].node;
+        let node = self.nodes.controller(target).node;
         let delay = self.network.delay(&mut self.rng);
         self.queue
             .push(delay, Event::Operate(node, ticket, operation));
@@ -141,7 +141,7 @@
         };
         match reply {
             OperationReply::Redirect(leader) => {
-                let target = self.node_at(leader).map(|node| node.0);
+                let target = self.nodes.node_at(leader).map(|node| node.0);
                 if let Some(target) = target.filter(|_| change.attempts < 3) {
                     self.send_pending_change(target, change);
                 }
--- a/testing/fleet/src/sim/orders.rs
+++ b/testing/fleet/src/sim/orders.rs
@@ -183,8 +183,8 @@
             CommandKind::Change(order) => Some(self.operators.history.record_attempt(now, order)),
             CommandKind::Zone(_) | CommandKind::Read => None,
         };
-        let target = self.rng.below(self.controllers.len() as u64) as usize;
-        self.send_to(number, attempt, self.controllers[target].node, 0);
+        let target = self.rng.below(self.nodes.controllers().len() as u64) as usize;
+        self.send_to(number, attempt, self.nodes.controller(target).node, 0);
     }
 
     fn send_to(
@@ -290,6 +290,7 @@
         match (command.command_kind, reply) {
             (_, OperationReply::Redirect(leader)) => {
                 let node = self
+                    .nodes
                     .node_at(leader)
                     .filter(|_| sent.redirect_count < MAX_REDIRECTS);
                 match node {
--- a/testing/fleet/src/sim/platform.rs
+++ b/testing/fleet/src/sim/platform.rs
@@ -1,7 +1,7 @@
 //! The simulated platform with its workers and runners.
 
 use super::event::Event;
-use super::network::Node;
+use super::network::Requester;
 use super::simulation::Simulation;
 use common::adapter::{ListedRunner, ListedWorker, StartOutcome};
 use common::clock::MonotonicTime;
@@ -218,15 +218,6 @@
     }
 }
 
-/// The sender of a request to the platform.
-#[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub(crate) struct Requester {
-    /// The node.
-    pub node: Node,
-    /// Its incarnation.
-    pub instance: u64,
-}
-
 impl Simulation {
     /// Handles a request to start a runner; its response may be lost, or the platform overloaded.
     pub(super) fn start_runner(
--- a/testing/fleet/src/sim/reply_checks.rs
+++ b/testing/fleet/src/sim/reply_checks.rs
@@ -193,11 +193,7 @@
     pub(super) fn check_script_end(&mut self) {
         self.checks.count_check("end of a script");
         let acknowledged = self.reply_checks.acknowledged();
-        let ready_leader = self.controllers.iter().find_map(|controller| {
-            let state = controller.controller_state.as_ref()?;
-            state.consensus().is_ready().then(|| state.consensus())
-        });
-        let Some(document) = ready_leader.and_then(|consensus| consensus.accepted()) else {
+        let Some(document) = self.nodes.ready_leader_document() else {
             self.report_violation("no leader is ready at the end".to_owned());
             return;
         };
--- a/testing/fleet/src/sim/runners.rs
+++ b/testing/fleet/src/sim/runners.rs
@@ -1,7 +1,8 @@
 //! Requests on simulated runners: sends, runs and answers with injected faults.
 
+use super::addresses::zone_of_machine;
 use super::event::Event;
-use super::platform::Requester;
+use super::network::Requester;
 use super::simulation::Simulation;
 use common::adapter::{RunnerResponse, SealKind};
 use common::frames::SocketAddress;
@@ -45,12 +46,9 @@
         runner_address: SocketAddress,
         attempt: u32,
     ) {
-        let requester = Requester {
-            node: self.daemons[index].node,
-            instance: self.daemons[index].instance,
-        };
+        let requester = self.nodes.daemon(index).requester();
         let local_now = self.daemon_now(index);
-        let Some(agent) = self.agent(index) else {
+        let Some(agent) = self.nodes.agent(index) else {
             return;
         };
         let (function, fencing_token) = (held.function.clone(), held.fencing_token);
@@ -176,7 +174,7 @@
         self.checks
             .check_not_leaving(self.queue.now(), runner, leaves_since);
         let worker_zone = self.platform.zone_of(&worker).cloned();
-        let daemon_zone = Simulation::zone(run.requester.node.daemon_index());
+        let daemon_zone = zone_of_machine(run.requester.node.daemon_index());
         for zone in worker_zone.into_iter().chain([daemon_zone]) {
             self.checks.check_not_evacuated(self.queue.now(), &zone);
         }
--- a/testing/fleet/src/sim/script.rs
+++ b/testing/fleet/src/sim/script.rs
@@ -1,5 +1,6 @@
 //! Timed actions on the control side of a simulated fleet, and their execution.
 
+use super::addresses::zone_of_machine;
 use super::event::Event;
 use super::network::{Node, PLATFORM};
 use super::operator::spec;
@@ -152,14 +153,14 @@
             Action::LargeChange(functions) => self.send_large_change(functions),
             Action::Read(target) => self.read_configuration(target),
             Action::Evacuate(zone) => {
-                let zone = Simulation::zone(zone);
+                let zone = zone_of_machine(zone);
                 self.submit_change(None, ChangeKind::Evacuate { zone, force: false });
             }
             Action::Restore(zone) => {
                 self.submit_change(
                     None,
                     ChangeKind::Restore {
-                        zone: Simulation::zone(zone),
+                        zone: zone_of_machine(zone),
                     },
                 );
             }
@@ -174,43 +175,22 @@
     }
 
     fn resolve_target(&mut self, target: Target) -> Option<usize> {
-        let count = self.controllers.len() as u64;
+        let count = self.nodes.controllers().len() as u64;
         match target {
-            Target::Leader => self.leading_controller(),
+            Target::Leader => self.nodes.leading_controller(),
             Target::Any => Some(self.rng.below(count) as usize),
             Target::Seed => Some(self.rng.below(count.min(3)) as usize),
             Target::Victim => self.script.victim,
             Target::Follower => {
-                let followers = self.followers();
+                let followers = self.nodes.followers();
                 let chosen = self.rng.below(followers.len() as u64) as usize;
                 followers.get(chosen).copied()
             }
         }
     }
 
-    /// The running voters that are not the leader.
-    fn followers(&self) -> Vec<usize> {
-        let leading = self.leading_controller();
-        let leader_document = leading.and_then(|index| {
-            let leader = self.controllers[index].controller_state.as_ref()?;
-            leader.consensus().accepted()
-        });
-        let Some(document) = leader_document else {
-            return Vec::new();
-        };
-        let is_follower = |index: &usize| {
-            let controller = &self.controllers[*index];
-            let is_voter = document
-                .voters
-                .iter()
-                .any(|member| member.id == controller.disk.durable.id);
-            Some(*index) != leading && controller.controller_state.is_some() && is_voter
-        };
-        (0..self.controllers.len()).filter(is_follower).collect()
-    }
-
     fn apply_loss(&mut self, index: usize, loss: Loss) {
-        let node = self.controllers[index].node;
+        let node = self.nodes.controller(index).node;
         match loss {
             Loss::Killed => self.kill_controller(index),
             Loss::PowerLost => self.power_off_controller(index),
@@ -221,7 +201,7 @@
             Loss::Replaced => {
                 self.power_off_controller(index);
                 self.lose_disk(index);
-                self.move_controller(index);
+                self.nodes.move_controller(index);
             }
             Loss::Frozen => self.freeze(node, Duration::from_secs(3600)),
             Loss::Isolation => self.isolate_controller(index, Direction::Both),
@@ -230,7 +210,7 @@
 
     fn isolate_controller(&mut self, index: usize, direction: Direction) {
         let node = Node(index);
-        let others = self.all_nodes().into_iter().filter(|other| *other != node);
+        let others = self.nodes.all().into_iter().filter(|other| *other != node);
         for other in others.collect::<Vec<Node>>() {
             if direction != Direction::Incoming {
                 self.network.block(node, other);
@@ -245,7 +225,7 @@
         let Some(index) = self.script.victim else {
             return;
         };
-        if self.controllers[index].controller_state.is_some() {
+        if self.nodes.controller(index).is_running() {
             self.kill_controller(index);
         }
         self.start_controller(index);
@@ -283,7 +263,8 @@
 
     fn power_off_all(&mut self) {
         let nodes = self
-            .all_nodes()
+            .nodes
+            .all()
             .into_iter()
             .filter(|node| *node != PLATFORM);
         for node in nodes.collect::<Vec<Node>>() {
--- a/testing/fleet/src/sim/simulation.rs
+++ b/testing/fleet/src/sim/simulation.rs
@@ -1,12 +1,14 @@
 //! A simulated fleet: its processes, virtual clock and queue of events.
 
 use super::checks::SafetyChecks;
-use super::controller::SimController;
 use super::daemon::SimDaemon;
+use super::disk::UnsyncedWrites;
 use super::event::Event;
 use super::event_queue::{EventQueue, STARTED_AT};
-use super::links::Link;
-use super::network::{Network, Node, PLATFORM};
+use super::frozen_nodes::FrozenNodes;
+use super::links::Links;
+use super::network::{Network, Node};
+use super::nodes::Nodes;
 use super::number_sequence::NumberSequence;
 use super::operator::PendingChange;
 use super::orders::Operators;
@@ -20,7 +22,6 @@
 use common::identity::{ChangeId, ControllerId, IdempotencyKey};
 use common::invariants;
 use common::rng::SeededRng;
-use controlplane::consensus::WriteJob;
 use controlplane::controller_state::OperationTicket;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::Duration;
@@ -35,18 +36,16 @@
     pub(super) numbers: NumberSequence,
     pub(super) record: RunRecord,
     pub(super) rng: SeededRng,
-    pub(super) controllers: Vec<SimController>,
-    pub(super) daemons: Vec<SimDaemon>,
+    pub(super) nodes: Nodes,
+    pub(super) frozen: FrozenNodes,
+    pub(super) unsynced: UnsyncedWrites,
     pub(super) platform: SimPlatform,
     pub(super) network: Network,
-    pub(super) links: HashMap<u64, Link>,
-    pub(super) frozen: BTreeMap<Node, MonotonicTime>,
-    deferred: BTreeMap<Node, Vec<Event>>,
+    pub(super) links: Links,
     pub(super) checks: SafetyChecks,
     pub(super) script: ScriptState,
     pub(super) reply_checks: ReplyChecks,
     pub(super) recovery: RecoveryClock,
-    pub(super) unsynced: Vec<(usize, WriteJob)>,
     pub(super) changes: HashMap<OperationTicket, PendingChange>,
     pub(super) refused_changes: Vec<ChangeId>,
     pub(super) operators: Operators,
@@ -54,7 +53,6 @@
     pub(super) retrying_until: MonotonicTime,
     pub(super) pending_replica_requests: BTreeSet<u64>,
     pub(super) is_healed: bool,
-    pub(super) moved_count: u8,
     pub(super) calls_after_healing: BTreeMap<IdempotencyKey, usize>,
     pub(super) shares_after_healing: Vec<(u64, u64)>,
 }
@@ -71,18 +69,16 @@
             numbers: NumberSequence::default(),
             record: RunRecord::new(is_tracing),
             rng,
-            controllers: Vec::new(),
-            daemons: Vec::new(),
+            nodes: Nodes::default(),
+            frozen: FrozenNodes::default(),
+            unsynced: UnsyncedWrites::default(),
             platform: SimPlatform::new(4, 1300),
             network: Network::default(),
-            links: HashMap::new(),
-            frozen: BTreeMap::new(),
-            deferred: BTreeMap::new(),
+            links: Links::default(),
             checks: SafetyChecks::default(),
             script: ScriptState::default(),
             reply_checks: ReplyChecks::default(),
             recovery: RecoveryClock::default(),
-            unsynced: Vec::new(),
             changes: HashMap::new(),
             refused_changes: Vec::new(),
             operators: Operators::default(),
@@ -90,7 +86,6 @@
             retrying_until: MonotonicTime::ZERO,
             pending_replica_requests: BTreeSet::new(),
             is_healed: false,
-            moved_count: 0,
             calls_after_healing: BTreeMap::new(),
             shares_after_healing: Vec::new(),
             plan,
@@ -100,7 +95,7 @@
             let clock_ahead = Duration::from_secs(simulation.rng.below(100_000));
             let clock_drift = simulation.random_drift();
             let node = Node::of_daemon(index);
-            simulation.daemons.push(SimDaemon {
+            simulation.nodes.add_daemon(SimDaemon {
                 node,
                 instance: 0,
                 clock_ahead,
@@ -150,11 +145,11 @@
             let event = due.event;
             let target = event.target().or_else(|| self.link_target(&event));
             if let Some((node, instance)) = target {
-                if self.is_frozen(node) {
-                    self.deferred.entry(node).or_default().push(event);
+                if self.frozen.contains(node, self.queue.now()) {
+                    self.frozen.defer(node, event);
                     continue;
                 }
-                if !self.is_alive(node, instance) {
+                if !self.nodes.is_alive(node, instance) {
                     continue;
                 }
             }
@@ -188,18 +183,11 @@
         }
     }
 
-    pub(super) fn is_frozen(&self, node: Node) -> bool {
-        self.frozen
-            .get(&node)
-            .is_some_and(|until| *until > self.queue.now())
-    }
-
     /// Resumes a frozen machine: deferred events are handled in their order of arrival, except that operators'
     /// connections may be read before all others.
     pub(super) fn resume_node(&mut self, node: Node) {
-        if !self.is_frozen(node) {
-            self.frozen.remove(&node);
-            let deferred = self.deferred.remove(&node).unwrap_or_default();
+        if !self.frozen.contains(node, self.queue.now()) {
+            let deferred = self.frozen.resume(node);
             let is_read_first = self.plan.numbers_orders && self.rng.random_bool(0.8);
             let (first, others): (Vec<Event>, Vec<Event>) = deferred
                 .into_iter()
@@ -212,8 +200,7 @@
 
     /// Resumes all frozen machines.
     pub(super) fn resume_all(&mut self) {
-        let frozen_nodes: Vec<Node> = std::mem::take(&mut self.frozen).into_keys().collect();
-        for node in frozen_nodes {
+        for node in self.frozen.end_all() {
             self.resume_node(node);
         }
     }
@@ -222,56 +209,37 @@
         match event {
             Event::Dialed(number) | Event::LinkDown(number, _) => self
                 .links
-                .get(number)
+                .get(*number)
                 .map(|link| (link.daemon, Some(link.daemon_instance))),
             Event::LinkUp(number, _) => self
                 .links
-                .get(number)
+                .get(*number)
                 .map(|link| (link.controller, Some(link.controller_instance))),
             Event::LinkLost(_, node) => Some((*node, None)),
             _ => None,
         }
     }
 
-    fn is_alive(&self, node: Node, instance: Option<u64>) -> bool {
-        if node.is_controller() {
-            let controller = &self.controllers[node.0];
-            controller.controller_state.is_some()
-                && instance.is_none_or(|instance| instance == controller.instance)
-        } else if node != PLATFORM {
-            let daemon = &self.daemons[node.daemon_index()];
-            daemon.body.is_some() && instance.is_none_or(|instance| instance == daemon.instance)
-        } else {
-            true
-        }
-    }
-
     /// Whether there is a leader that is not frozen and reaches the platform and every daemon.
     pub(super) fn is_control_side_healthy(&self) -> bool {
-        let is_awake = |node: &Node| {
-            self.frozen
-                .get(node)
-                .is_none_or(|until| *until <= self.queue.now())
+        let is_awake = |node: Node| !self.frozen.contains(node, self.queue.now());
+        let reaches_all = |node: Node| {
+            self.nodes.served_nodes().all(|served| {
+                self.network.reaches(node, served) && self.network.reaches(served, node)
+            })
         };
-        self.controllers.iter().any(|controller| {
-            controller
-                .controller_state
-                .as_ref()
-                .is_some_and(|controller_state| {
-                    controller_state.consensus().is_ready()
-                        && controller_state
-                            .leader_state()
-                            .is_some_and(|leader_state| leader_state.is_open())
-                })
-                && is_awake(&controller.node)
-                && self
-                    .all_nodes()
-                    .iter()
-                    .skip(self.controllers.len())
-                    .all(|node| {
-                        self.network.reaches(controller.node, *node)
-                            && self.network.reaches(*node, controller.node)
-                    })
+        self.nodes.controllers().iter().any(|controller| {
+            controller.is_open_leader() && is_awake(controller.node) && reaches_all(controller.node)
         })
     }
+
+    /// The time on the clock of a daemon's machine.
+    pub(super) fn daemon_now(&self, index: usize) -> MonotonicTime {
+        self.nodes.daemon(index).local_time(self.queue.now())
+    }
+
+    /// Whether a daemon runs under a session lease.
+    pub(super) fn is_daemon_serving(&self, index: usize) -> bool {
+        self.nodes.daemon(index).is_serving(self.queue.now())
+    }
 }
