--- a/testing/fleet/src/sim/calls.rs
+++ b/testing/fleet/src/sim/calls.rs
@@ -7,33 +7,20 @@
 use std::time::Duration;
 
 impl Simulation {
-    /// Counts a call made after all faults were undone, by half second.
+    /// Counts a call made after all faults were undone, to tell when the fleet serves again.
     pub(super) fn count_late_call(&mut self, idempotency_key: &IdempotencyKey) {
         let faults_end_at = self.faults_end_at();
         if self.queue.now() < faults_end_at {
             return;
         }
-        let half_second = (self.queue.now().since(faults_end_at).as_millis() / 500) as usize;
-        if half_second < 34 {
-            if self.shares_after_healing.len() <= half_second {
-                self.shares_after_healing.resize(half_second + 1, (0, 0));
-            }
-            self.shares_after_healing[half_second].0 += 1;
-            self.calls_after_healing
-                .insert(idempotency_key.clone(), half_second);
-        }
-    }
-
-    pub(super) fn note_answered(&mut self, idempotency_key: &IdempotencyKey) {
-        if let Some(half_second) = self.calls_after_healing.remove(idempotency_key) {
-            self.shares_after_healing[half_second].1 += 1;
-        }
+        let after = self.queue.now().since(faults_end_at);
+        self.answer_shares.record_call(after, idempotency_key);
     }
 
     /// Handles a refusal at a caller: while callers retry, it soon repeats the request through another ingress, marked
     /// as a retry.
     pub(super) fn note_refused(&mut self, request: &FunctionRequest) {
-        if self.queue.now() < self.retrying_until && self.rng.random_bool(0.7) {
+        if self.faults.are_callers_retrying(self.queue.now()) && self.rng.random_bool(0.7) {
             let wait_span = self.rng.within(Duration::ZERO, Duration::from_millis(40));
             self.queue
                 .push(wait_span, Event::Repeat(request.route.clone()));
@@ -117,37 +104,13 @@
 
     /// Checks that most calls are answered in each second from 12 s after all faults were undone.
     pub(super) fn check_recovery(&mut self) {
-        let seconds_after_healing: Vec<(u64, u64)> = self
-            .shares_after_healing
-            .chunks(2)
-            .skip(12)
-            .map(|halves| {
-                halves
-                    .iter()
-                    .fold((0, 0), |sum, half| (sum.0 + half.0, sum.1 + half.1))
-            })
-            .collect();
-        for (second, (calls, answers)) in seconds_after_healing.into_iter().enumerate() {
+        for (second, share) in self.answer_shares.settled_seconds() {
             self.checks.check_recovered_second(
                 self.queue.now(),
-                12 + second as u64,
-                calls,
-                answers,
+                second,
+                share.calls,
+                share.answers,
             );
         }
     }
-
-    /// The share of calls answered from 12 s after all faults were undone, and the time after which at least half of the
-    /// calls in each half second were answered.
-    pub(super) fn recovery_figures(&self) -> (f64, Duration) {
-        let settled = self.shares_after_healing.iter().skip(24);
-        let (calls, answers) = settled.fold((0, 0), |sum, half_second| {
-            (sum.0 + half_second.0, sum.1 + half_second.1)
-        });
-        let is_down = |half_second: &(u64, u64)| half_second.1 * 2 < half_second.0;
-        let last_down = self.shares_after_healing.iter().rposition(is_down);
-        let recovered_after =
-            Duration::from_millis(500) * last_down.map_or(0, |last| last as u32 + 1);
-        (answers as f64 / calls.max(1) as f64, recovered_after)
-    }
 }
--- a/testing/fleet/src/sim/daemon/holders.rs
+++ b/testing/fleet/src/sim/daemon/holders.rs
@@ -1,14 +1,13 @@
-//! The lease holders of a simulated daemon: their outputs, and the ledger replicas.
+//! The lease holders of a simulated daemon, and the execution of their outputs.
 
 use super::AwaitedStep;
 use crate::sim::event::Event;
-use crate::sim::network::{PLATFORM, Requester};
+use crate::sim::network::PLATFORM;
 use crate::sim::simulation::Simulation;
 use common::adapter::StartOutcome;
 use common::clock::MonotonicTime;
-use common::frames::DaemonMessage;
 use common::identity::{FencingToken, FunctionKey};
-use dataplane::agent::{HeldFunction, ReplicaRequest, ReplicaRequestKind};
+use dataplane::agent::HeldFunction;
 use dataplane::holder::{Holder, HolderOutput};
 use std::sync::Arc;
 use std::time::Duration;
@@ -161,98 +160,4 @@
             | HolderOutput::Compare { .. } => {}
         }
     }
-
-    pub(in crate::sim) fn send_replica_request(
-        &mut self,
-        index: usize,
-        held: &Arc<HeldFunction<u64>>,
-        replica_request: ReplicaRequest,
-    ) {
-        let requester = self.nodes.daemon(index).requester();
-        let ReplicaRequest {
-            replica,
-            body,
-            request_kind,
-            timeout,
-        } = replica_request;
-        let (function, fencing_token) = (held.function.clone(), held.fencing_token);
-        let number = self.numbers.next();
-        self.pending_replica_requests.insert(number);
-        self.queue.push(
-            timeout,
-            Event::ReplicaReplied(
-                requester,
-                number,
-                function.clone(),
-                fencing_token,
-                request_kind,
-                None,
-            ),
-        );
-        let Some(to_node) = self.nodes.node_at(replica.address) else {
-            return;
-        };
-        if self.network.reaches(requester.node, to_node) {
-            let delay = self.network.delay(&mut self.rng);
-            let asked = Event::ReplicaRequested(
-                to_node,
-                requester,
-                number,
-                function,
-                fencing_token,
-                request_kind,
-                body,
-            );
-            self.queue.push(delay, asked);
-        }
-    }
-
-    #[allow(clippy::too_many_arguments)]
-    pub(in crate::sim) fn handle_replica_request(
-        &mut self,
-        index: usize,
-        requester: Requester,
-        number: u64,
-        function: FunctionKey,
-        fencing_token: FencingToken,
-        request_kind: ReplicaRequestKind,
-        body: DaemonMessage,
-    ) {
-        let local_now = self.daemon_now(index);
-        let node = self.nodes.daemon(index).node;
-        let Some(agent) = self.nodes.agent(index) else {
-            return;
-        };
-        let reply = agent.answer_replica_request(local_now, body);
-        if self.network.reaches(node, requester.node) {
-            let delay = self.network.delay(&mut self.rng);
-            self.queue.push(
-                delay,
-                Event::ReplicaReplied(
-                    requester,
-                    number,
-                    function,
-                    fencing_token,
-                    request_kind,
-                    reply,
-                ),
-            );
-        }
-    }
-
-    pub(in crate::sim) fn handle_replica_reply(
-        &mut self,
-        index: usize,
-        number: u64,
-        function: &FunctionKey,
-        fencing_token: FencingToken,
-        request_kind: ReplicaRequestKind,
-        reply: Option<DaemonMessage>,
-    ) {
-        if self.pending_replica_requests.remove(&number) {
-            self.apply(index, function, fencing_token, |holder, now| {
-                request_kind.reply(holder, now, reply)
-            });
-        }
-    }
 }
--- a/testing/fleet/src/sim/daemon/mod.rs
+++ b/testing/fleet/src/sim/daemon/mod.rs
@@ -2,8 +2,11 @@
 
 mod holders;
 mod orders;
+mod replicas;
 mod requests;
 
+pub(super) use replicas::{PendingReplicaRequests, ReplicaExchange};
+
 use crate::sim::addresses::{self, zone_of_machine};
 use crate::sim::event::Event;
 use crate::sim::network::{Node, Requester};
--- a/testing/fleet/src/sim/daemon/orders.rs
+++ b/testing/fleet/src/sim/daemon/orders.rs
@@ -178,9 +178,8 @@
             let adopted = held.with(|holder| holder.instances());
             let alive = self
                 .platform
-                .runners
-                .values()
-                .map(|runner| (&runner.function, &runner.instance));
+                .running()
+                .map(|(_, runner)| (&runner.function, &runner.instance));
             self.checks.check_granted_lease(
                 self.queue.now(),
                 &held.function,
--- a/testing/fleet/src/sim/daemon/requests.rs
+++ b/testing/fleet/src/sim/daemon/requests.rs
@@ -482,7 +482,7 @@
                     body,
                 );
                 self.record.count_event("answer");
-                self.note_answered(idempotency_key);
+                self.answer_shares.record_answer(idempotency_key);
             }
             RequestOutcome::NotRun {
                 reason,
--- a/testing/fleet/src/sim/dispatch.rs
+++ b/testing/fleet/src/sim/dispatch.rs
@@ -108,43 +108,10 @@
                     holder.handle_send_result(now, ticket, end)
                 });
             }
-            Event::ReplicaRequested(
-                node,
-                requester,
-                number,
-                function,
-                fencing_token,
-                request_kind,
-                body,
-            ) => {
-                let index = node.daemon_index();
-                self.handle_replica_request(
-                    index,
-                    requester,
-                    number,
-                    function,
-                    fencing_token,
-                    request_kind,
-                    body,
-                );
-            }
-            Event::ReplicaReplied(
-                requester,
-                number,
-                function,
-                fencing_token,
-                request_kind,
-                reply,
-            ) => {
-                self.handle_replica_reply(
-                    requester.node.daemon_index(),
-                    number,
-                    &function,
-                    fencing_token,
-                    request_kind,
-                    reply,
-                );
+            Event::ReplicaRequested(node, exchange, body) => {
+                self.handle_replica_request(node, exchange, body);
             }
+            Event::ReplicaReplied(exchange, reply) => self.handle_replica_reply(exchange, reply),
             other => self.dispatch_external(other),
         }
     }
@@ -215,7 +182,7 @@
             Event::ListTick => {
                 self.platform.snapshot_lists(self.queue.now());
                 self.check_instance_owners();
-                let is_late = self.platform.list_delay > Duration::from_millis(1000);
+                let is_late = self.platform.are_lists_late();
                 if is_late || !self.is_control_side_healthy() {
                     self.checks.note_control_outage(self.queue.now());
                 }
@@ -228,11 +195,11 @@
             Event::RunAction(action) => self.run_action(action),
             Event::Change => {
                 self.send_change();
-                if !self.is_healed {
+                if !self.faults.is_healed() {
                     self.schedule_change();
                 }
             }
-            Event::Fault if !self.is_healed => {
+            Event::Fault if !self.faults.is_healed() => {
                 self.inject_random_fault();
                 self.schedule_fault();
             }
@@ -240,22 +207,19 @@
             Event::ClearPartitions => self.network.clear_partitions(),
             Event::ResumeNode(node) => self.resume_node(node),
             Event::EndPlatformFaults => {
-                self.runner_fault_rate = 0.0;
-                self.platform.list_delay = Duration::from_millis(1000);
+                self.faults.end_runner_faults();
+                self.platform.end_list_delay();
             }
             Event::StopLeavingRunner(runner) => self.platform.stop(runner),
             Event::RestoreWorkers => self.platform.restore(),
             Event::WorkersReturn(workers) => {
-                self.platform.workers.extend(workers);
-                self.platform
-                    .workers
-                    .sort_by(|left, right| left.worker.cmp(&right.worker));
+                self.platform.return_workers(workers);
             }
             Event::Restore(zone) => self.submit_change(None, ChangeKind::Restore { zone }),
             Event::Repeat(route_name) => self.repeat_call(&route_name),
             Event::Heal => {
                 self.heal();
-                self.is_healed = true;
+                self.faults.mark_healed();
             }
             _ => {}
         }
--- a/testing/fleet/src/sim/event.rs
+++ b/testing/fleet/src/sim/event.rs
@@ -1,6 +1,6 @@
 //! The events of a simulated fleet.
 
-use super::daemon::ReplyTarget;
+use super::daemon::{ReplicaExchange, ReplyTarget};
 use super::network::{Node, Requester};
 use super::runners::SimRun;
 use super::script::Action;
@@ -15,7 +15,7 @@
 use common::spec::FunctionSpec;
 use controlplane::consensus::{WriteJob, WriteResult};
 use controlplane::controller_state::{Operation, OperationReply, OperationTicket};
-use dataplane::agent::{ForwardResult, ReplicaRequestKind};
+use dataplane::agent::ForwardResult;
 use dataplane::holder::{HolderMessage, SendResult};
 
 pub(super) enum Event {
@@ -59,23 +59,8 @@
     Run(SocketAddress, SimRun),
     RunDone(RunnerId, SimRun, u8),
     SendEnded(Requester, FunctionKey, Ticket, FencingToken, SendResult),
-    ReplicaRequested(
-        Node,
-        Requester,
-        u64,
-        FunctionKey,
-        FencingToken,
-        ReplicaRequestKind,
-        DaemonMessage,
-    ),
-    ReplicaReplied(
-        Requester,
-        u64,
-        FunctionKey,
-        FencingToken,
-        ReplicaRequestKind,
-        Option<DaemonMessage>,
-    ),
+    ReplicaRequested(Node, ReplicaExchange, DaemonMessage),
+    ReplicaReplied(ReplicaExchange, Option<DaemonMessage>),
     Operate(Node, OperationTicket, Operation),
     Withdraw(Node, OperationTicket),
     ClientTimedOut(OperationTicket),
@@ -184,8 +169,10 @@
             | Self::LeaderStopped(requester, _)
             | Self::Probed(requester, ..)
             | Self::Settled(requester, ..)
-            | Self::ReplicaReplied(requester, ..)
             | Self::SendEnded(requester, ..) => Some((requester.node, Some(requester.instance))),
+            Self::ReplicaReplied(exchange, _) => {
+                Some((exchange.requester.node, Some(exchange.requester.instance)))
+            }
             Self::ConsensusFrame(node, _)
             | Self::ControllerGone(node, _)
             | Self::HeartbeatDatagram(node, _)
--- a/testing/fleet/src/sim/faults.rs
+++ b/testing/fleet/src/sim/faults.rs
@@ -268,14 +268,14 @@
             }
             SimFault::StopAll => self.stop_group(),
             SimFault::RunnerFaults => {
-                self.runner_fault_rate = 0.15;
+                self.faults.start_runner_faults();
                 self.queue.push(lasts, Event::EndPlatformFaults);
             }
             SimFault::CallBurst => self.send_call_burst(),
             SimFault::RareCallBurst => self.send_rare_call_burst(),
-            SimFault::ClientRetries => self.retrying_until = self.queue.now() + lasts,
+            SimFault::ClientRetries => self.faults.retry_until(self.queue.now() + lasts),
             SimFault::DelayedList => {
-                self.platform.list_delay = Duration::from_millis(1000) + lasts / 2;
+                self.platform.delay_lists(lasts / 2);
                 self.queue.push(lasts, Event::EndPlatformFaults);
             }
             SimFault::ChangeStorm => self.send_change_storm(),
@@ -400,18 +400,18 @@
     }
 
     fn random_worker_index(&mut self) -> usize {
-        self.rng.below(self.platform.workers.len() as u64) as usize
+        self.rng.below(self.platform.worker_count() as u64) as usize
     }
 
     fn random_runner(&mut self) -> Option<RunnerId> {
-        let count = self.platform.runners.len() as u64;
+        let count = self.platform.runner_count() as u64;
         let chosen = self.rng.below(count) as usize;
-        self.platform.runners.keys().nth(chosen).copied()
+        self.platform.nth_runner(chosen)
     }
 
     fn crash_random_worker(&mut self) {
         let worker_index = self.random_worker_index();
-        let worker = self.platform.workers[worker_index].worker.clone();
+        let worker = self.platform.worker_name(worker_index);
         self.platform.crash(&worker);
     }
 
@@ -423,10 +423,7 @@
 
     fn announce_leaving_runner(&mut self) {
         if let Some(runner) = self.random_runner() {
-            self.platform
-                .leaving_since
-                .entry(runner)
-                .or_insert(self.queue.now());
+            self.platform.announce_leaving(runner, self.queue.now());
             self.queue
                 .push(Duration::from_secs(6), Event::StopLeavingRunner(runner));
         }
@@ -498,17 +495,7 @@
         for index in (0..self.nodes.daemons().len()).filter(|index| index % 3 == number) {
             self.lose_daemon(index, lasts);
         }
-        let lost_workers: Vec<_> = self
-            .platform
-            .workers
-            .iter()
-            .filter(|listed| listed.zone == zone)
-            .cloned()
-            .collect();
-        for lost_worker in &lost_workers {
-            self.platform.crash(&lost_worker.worker);
-        }
-        self.platform.workers.retain(|listed| listed.zone != zone);
+        let lost_workers = self.platform.remove_zone(&zone);
         self.queue.push(lasts, Event::WorkersReturn(lost_workers));
     }
 
@@ -571,8 +558,8 @@
     pub(super) fn heal(&mut self) {
         self.network.clear_partitions();
         self.resume_all();
-        self.runner_fault_rate = 0.0;
-        self.platform.list_delay = Duration::from_millis(1000);
+        self.faults.end_runner_faults();
+        self.platform.end_list_delay();
         self.platform.restore();
         for node in self.nodes.all() {
             if node != PLATFORM {
--- a/testing/fleet/src/sim/mod.rs
+++ b/testing/fleet/src/sim/mod.rs
@@ -1,6 +1,8 @@
 //! The real state machines of both planes under virtual time, with a virtual network, disk and platform.
 
+mod active_faults;
 mod addresses;
+mod answer_shares;
 mod calls;
 mod checks;
 mod connections;
@@ -25,6 +27,7 @@
 mod orders;
 mod plan;
 mod platform;
+mod platform_requests;
 mod recovery;
 mod reply_checks;
 mod run_record;
--- a/testing/fleet/src/sim/operator.rs
+++ b/testing/fleet/src/sim/operator.rs
@@ -7,15 +7,45 @@
     ChangeKind, Operation, OperationReply, OperationTicket, Wait,
 };
 use serde_json::{Value, json};
+use std::collections::HashMap;
 
 /// An operator's change in flight.
-pub(crate) struct PendingChange {
+struct PendingChange {
     change: ChangeId,
     base: Option<Version>,
     kind: ChangeKind,
     attempts: u32,
 }
 
+/// The changes of operators in flight, and those that were refused.
+#[derive(Default)]
+pub(super) struct PendingChanges {
+    in_flight: HashMap<OperationTicket, PendingChange>,
+    refused: Vec<ChangeId>,
+}
+
+impl PendingChanges {
+    /// Records that a change is sent.
+    fn begin(&mut self, ticket: OperationTicket, change: PendingChange) {
+        self.in_flight.insert(ticket, change);
+    }
+
+    /// Removes a change that was answered.
+    fn end(&mut self, ticket: OperationTicket) -> Option<PendingChange> {
+        self.in_flight.remove(&ticket)
+    }
+
+    /// Records that a change was refused: it must not be committed later.
+    fn refuse(&mut self, change: ChangeId) {
+        self.refused.push(change);
+    }
+
+    /// Removes and returns the refused changes.
+    fn take_refused(&mut self) -> Vec<ChangeId> {
+        std::mem::take(&mut self.refused)
+    }
+}
+
 /// The spec for callers that use a new idempotency key for each attempt.
 pub(crate) fn with_fresh_identities(mut spec: Value) -> Value {
     let routes = spec["routes"].as_object_mut().into_iter().flatten();
@@ -120,7 +150,7 @@
             kind: change.kind.clone(),
             wait: Wait::Accepted,
         };
-        self.changes.insert(ticket, change);
+        self.changes.begin(ticket, change);
         let node = self.nodes.controller(target).node;
         let delay = self.network.delay(&mut self.rng);
         self.queue
@@ -136,7 +166,7 @@
             self.handle_command_reply(ticket, reply);
             return;
         }
-        let Some(change) = self.changes.remove(&ticket) else {
+        let Some(change) = self.changes.end(ticket) else {
             return;
         };
         match reply {
@@ -158,7 +188,7 @@
                         version,
                     );
                 } else if state == "not_accepted" && change.attempts == 1 {
-                    self.refused_changes.push(change.change.clone());
+                    self.changes.refuse(change.change.clone());
                     self.checks
                         .check_change_refused(self.queue.now(), &change.change);
                 }
@@ -173,7 +203,7 @@
 
     /// Checks that refused changes were not committed later.
     pub(super) fn check_refused(&mut self) {
-        for change in std::mem::take(&mut self.refused_changes) {
+        for change in self.changes.take_refused() {
             self.checks.check_change_refused(self.queue.now(), &change);
         }
     }
--- a/testing/fleet/src/sim/platform.rs
+++ b/testing/fleet/src/sim/platform.rs
@@ -1,19 +1,18 @@
 //! The simulated platform with its workers and runners.
 
-use super::event::Event;
-use super::network::Requester;
-use super::simulation::Simulation;
 use common::adapter::{ListedRunner, ListedWorker, StartOutcome};
 use common::clock::MonotonicTime;
 use common::frames::{Instance, SocketAddress};
 use common::identity::{
     FencingToken, FunctionKey, IdempotencyKey, InstanceId, RunnerId, WorkerName, Zone,
 };
-use common::spec::FunctionSpec;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::time::Duration;
 
+/// The usual age of the lists of runners and workers.
+const USUAL_LIST_DELAY: Duration = Duration::from_millis(1000);
+
 /// A simulated runner.
 #[derive(Clone)]
 pub(crate) struct SimRunner {
@@ -39,22 +38,22 @@
 /// reused as soon as a runner has ended.
 pub(crate) struct SimPlatform {
     /// The workers.
-    pub workers: Vec<ListedWorker>,
+    workers: Vec<ListedWorker>,
     /// The draining workers and since when they are drained.
-    pub draining_since: BTreeMap<WorkerName, MonotonicTime>,
+    draining_since: BTreeMap<WorkerName, MonotonicTime>,
     /// The running runners.
-    pub runners: BTreeMap<RunnerId, SimRunner>,
+    runners: BTreeMap<RunnerId, SimRunner>,
     /// The runner ids that have ended.
-    pub ended: BTreeSet<RunnerId>,
+    ended: BTreeSet<RunnerId>,
     /// The delay of the list of runners.
-    pub list_delay: Duration,
+    list_delay: Duration,
     listening: BTreeMap<SocketAddress, RunnerId>,
     by_instance: BTreeMap<InstanceId, RunnerId>,
     instance_count: u64,
     free_addresses: Vec<SocketAddress>,
     address_count: u16,
     /// The runners that announced that they leave, and when.
-    pub leaving_since: BTreeMap<RunnerId, MonotonicTime>,
+    leaving_since: BTreeMap<RunnerId, MonotonicTime>,
     listed_snapshots: VecDeque<(MonotonicTime, Vec<ListedRunner>, Vec<ListedWorker>)>,
 }
 
@@ -74,7 +73,7 @@
             draining_since: BTreeMap::new(),
             runners: BTreeMap::new(),
             ended: BTreeSet::new(),
-            list_delay: Duration::from_millis(1000),
+            list_delay: USUAL_LIST_DELAY,
             listening: BTreeMap::new(),
             by_instance: BTreeMap::new(),
             instance_count: 0,
@@ -200,6 +199,95 @@
         }
     }
 
+    /// The number of workers.
+    pub(crate) fn worker_count(&self) -> usize {
+        self.workers.len()
+    }
+
+    /// The name of a worker.
+    pub(crate) fn worker_name(&self, index: usize) -> WorkerName {
+        self.workers[index].worker.clone()
+    }
+
+    /// The running runners.
+    pub(crate) fn running(&self) -> impl Iterator<Item = (&RunnerId, &SimRunner)> {
+        self.runners.iter()
+    }
+
+    /// The number of running runners.
+    pub(crate) fn runner_count(&self) -> usize {
+        self.runners.len()
+    }
+
+    /// The id of the running runner with this index in the order of ids.
+    pub(crate) fn nth_runner(&self, index: usize) -> Option<RunnerId> {
+        self.runners.keys().nth(index).copied()
+    }
+
+    /// The running runner with this id.
+    pub(crate) fn runner(&self, runner: RunnerId) -> Option<&SimRunner> {
+        self.runners.get(&runner)
+    }
+
+    /// The running runner with this id, to change it.
+    pub(crate) fn runner_mut(&mut self, runner: RunnerId) -> Option<&mut SimRunner> {
+        self.runners.get_mut(&runner)
+    }
+
+    /// Whether a runner with this id runs or has ended.
+    pub(crate) fn has_seen(&self, runner: RunnerId) -> bool {
+        self.ended.contains(&runner) || self.runners.contains_key(&runner)
+    }
+
+    /// Since when a worker is drained.
+    pub(crate) fn draining_since(&self, worker: &WorkerName) -> Option<MonotonicTime> {
+        self.draining_since.get(worker).copied()
+    }
+
+    /// When a runner announced that it leaves.
+    pub(crate) fn leaving_since(&self, runner: RunnerId) -> Option<MonotonicTime> {
+        self.leaving_since.get(&runner).copied()
+    }
+
+    /// Lets a runner announce that it leaves.
+    pub(crate) fn announce_leaving(&mut self, runner: RunnerId, now: MonotonicTime) {
+        self.leaving_since.entry(runner).or_insert(now);
+    }
+
+    /// Makes the lists older than usual.
+    pub(crate) fn delay_lists(&mut self, additional_delay: Duration) {
+        self.list_delay = USUAL_LIST_DELAY + additional_delay;
+    }
+
+    /// Gives the lists their usual age again.
+    pub(crate) fn end_list_delay(&mut self) {
+        self.list_delay = USUAL_LIST_DELAY;
+    }
+
+    /// Whether the lists are older than usual.
+    pub(crate) fn are_lists_late(&self) -> bool {
+        self.list_delay > USUAL_LIST_DELAY
+    }
+
+    /// Loses all workers of a zone with their runners; returns the workers.
+    pub(crate) fn remove_zone(&mut self, zone: &Zone) -> Vec<ListedWorker> {
+        let lost_workers: Vec<ListedWorker> = self
+            .workers
+            .extract_if(.., |listed| listed.zone == *zone)
+            .collect();
+        for lost_worker in &lost_workers {
+            self.crash(&lost_worker.worker);
+        }
+        lost_workers
+    }
+
+    /// Returns lost workers, without runners.
+    pub(crate) fn return_workers(&mut self, workers: Vec<ListedWorker>) {
+        self.workers.extend(workers);
+        self.workers
+            .sort_by(|left, right| left.worker.cmp(&right.worker));
+    }
+
     /// Begins to drain a worker.
     pub(crate) fn drain(&mut self, now: MonotonicTime, index: usize) {
         let listed = &mut self.workers[index];
@@ -217,59 +305,3 @@
             .for_each(|listed| listed.draining = false);
     }
 }
-
-impl Simulation {
-    /// Handles a request to start a runner; its response may be lost, or the platform overloaded.
-    pub(super) fn start_runner(
-        &mut self,
-        requester: Requester,
-        function: FunctionKey,
-        runner: RunnerId,
-        worker: WorkerName,
-        spec: &FunctionSpec,
-    ) {
-        let is_busy = self.rng.random_bool(0.02);
-        let is_answer_lost = self.rng.random_bool(0.02);
-        let is_known =
-            self.platform.ended.contains(&runner) || self.platform.runners.contains_key(&runner);
-        let end = if is_busy {
-            StartOutcome::Busy
-        } else {
-            if !is_known {
-                let alive = self
-                    .platform
-                    .runners
-                    .iter()
-                    .map(|(key, held)| (key, &held.function, &held.instance));
-                self.checks.check_sole_start(
-                    self.queue.now(),
-                    &function,
-                    runner.fencing_token,
-                    alive,
-                );
-            }
-            let started = SimRunner {
-                function: function.clone(),
-                worker,
-                instance: Instance {
-                    name: "".into(),
-                    address: SocketAddress::UNSPECIFIED,
-                },
-                ready_at: self.queue.now() + spec.startup,
-                running: Default::default(),
-                slots: spec.slots,
-                answered: 0,
-                last_sealed: None,
-            };
-            self.platform.start(runner, started)
-        };
-        let end = if is_answer_lost {
-            StartOutcome::Lost
-        } else {
-            end
-        };
-        let delay = self.network.delay(&mut self.rng);
-        self.queue
-            .push(delay, Event::Started(requester, function, runner, end));
-    }
-}
--- a/testing/fleet/src/sim/runners.rs
+++ b/testing/fleet/src/sim/runners.rs
@@ -132,7 +132,7 @@
         let idempotency_key = run.call.idempotency_key.clone();
         let (function, worker, slots) = (held.function.clone(), held.worker.clone(), held.slots);
         let (ready_at, answered) = (held.ready_at, held.answered);
-        let Some(held) = self.platform.runners.get_mut(&runner) else {
+        let Some(held) = self.platform.runner_mut(runner) else {
             return;
         };
         let own_count = held
@@ -167,10 +167,10 @@
             answered,
             ready_at,
         );
-        let since = self.platform.draining_since.get(&worker).copied();
+        let since = self.platform.draining_since(&worker);
         self.checks
             .check_not_draining(self.queue.now(), &worker, since);
-        let leaves_since = self.platform.leaving_since.get(&runner).copied();
+        let leaves_since = self.platform.leaving_since(runner);
         self.checks
             .check_not_leaving(self.queue.now(), runner, leaves_since);
         let worker_zone = self.platform.zone_of(&worker).cloned();
@@ -198,7 +198,7 @@
         if drawn_fault == RunnerFault::Rejected {
             self.checks.did_not_run(&idempotency_key);
             self.reject_by_runner(&run, runner, &idempotency_key);
-            if let Some(held) = self.platform.runners.get_mut(&runner) {
+            if let Some(held) = self.platform.runner_mut(runner) {
                 held.running.remove(&idempotency_key);
             }
             return;
@@ -220,7 +220,7 @@
     }
 
     fn drawn_fault(&mut self) -> RunnerFault {
-        if !self.rng.random_bool(self.runner_fault_rate) {
+        if !self.rng.random_bool(self.faults.runner_fault_rate()) {
             return RunnerFault::None;
         }
         let all = [
@@ -237,7 +237,7 @@
 
     pub(super) fn run_done(&mut self, runner: RunnerId, run: SimRun, fault_code: u8) {
         let idempotency_key = run.call.idempotency_key.clone();
-        let Some(held) = self.platform.runners.get_mut(&runner) else {
+        let Some(held) = self.platform.runner_mut(runner) else {
             if fault_code != RunnerFault::BrokenEarly as u8 {
                 self.end_send(&run, SendResult::Lost);
             }
@@ -277,7 +277,7 @@
         if is_good
             && fault_code != RunnerFault::WrongByte as u8
             && fault_code != RunnerFault::Short as u8
-            && let Some(held) = self.platform.runners.get_mut(&runner)
+            && let Some(held) = self.platform.runner_mut(runner)
         {
             held.answered += 1;
         }
@@ -296,8 +296,7 @@
     ) {
         let function = self
             .platform
-            .runners
-            .get(&runner)
+            .runner(runner)
             .map_or(run.function.to_string(), |held| held.function.to_string());
         let response = RunnerResponse {
             status: 200,
--- a/testing/fleet/src/sim/simulation.rs
+++ b/testing/fleet/src/sim/simulation.rs
@@ -1,7 +1,9 @@
 //! A simulated fleet: its processes, virtual clock and queue of events.
 
+use super::active_faults::ActiveFaults;
+use super::answer_shares::AnswerShares;
 use super::checks::SafetyChecks;
-use super::daemon::SimDaemon;
+use super::daemon::{PendingReplicaRequests, SimDaemon};
 use super::disk::UnsyncedWrites;
 use super::event::Event;
 use super::event_queue::{EventQueue, STARTED_AT};
@@ -10,7 +12,7 @@
 use super::network::{Network, Node};
 use super::nodes::Nodes;
 use super::number_sequence::NumberSequence;
-use super::operator::PendingChange;
+use super::operator::PendingChanges;
 use super::orders::Operators;
 use super::plan::{SimPlan, SimResult};
 use super::platform::SimPlatform;
@@ -19,11 +21,9 @@
 use super::run_record::RunRecord;
 use super::script::ScriptState;
 use common::clock::MonotonicTime;
-use common::identity::{ChangeId, ControllerId, IdempotencyKey};
+use common::identity::ControllerId;
 use common::invariants;
 use common::rng::SeededRng;
-use controlplane::controller_state::OperationTicket;
-use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::Duration;
 
 /// A day ends early once it has more violations than this.
@@ -46,15 +46,11 @@
     pub(super) script: ScriptState,
     pub(super) reply_checks: ReplyChecks,
     pub(super) recovery: RecoveryClock,
-    pub(super) changes: HashMap<OperationTicket, PendingChange>,
-    pub(super) refused_changes: Vec<ChangeId>,
+    pub(super) changes: PendingChanges,
     pub(super) operators: Operators,
-    pub(super) runner_fault_rate: f64,
-    pub(super) retrying_until: MonotonicTime,
-    pub(super) pending_replica_requests: BTreeSet<u64>,
-    pub(super) is_healed: bool,
-    pub(super) calls_after_healing: BTreeMap<IdempotencyKey, usize>,
-    pub(super) shares_after_healing: Vec<(u64, u64)>,
+    pub(super) faults: ActiveFaults,
+    pub(super) replica_requests: PendingReplicaRequests,
+    pub(super) answer_shares: AnswerShares,
 }
 
 impl Simulation {
@@ -79,15 +75,11 @@
             script: ScriptState::default(),
             reply_checks: ReplyChecks::default(),
             recovery: RecoveryClock::default(),
-            changes: HashMap::new(),
-            refused_changes: Vec::new(),
+            changes: PendingChanges::default(),
             operators: Operators::default(),
-            runner_fault_rate: 0.0,
-            retrying_until: MonotonicTime::ZERO,
-            pending_replica_requests: BTreeSet::new(),
-            is_healed: false,
-            calls_after_healing: BTreeMap::new(),
-            shares_after_healing: Vec::new(),
+            faults: ActiveFaults::default(),
+            replica_requests: PendingReplicaRequests::default(),
+            answer_shares: AnswerShares::default(),
             plan,
         };
         simulation.bootstrap(&ids);
@@ -167,15 +159,14 @@
         }
         self.check_refused();
         self.check_operator_history();
-        let (share_after, recovered_after) = self.recovery_figures();
         self.check_recovery();
         let record = self.record.finish();
         SimResult {
             violations: self.checks.violations,
             counts: record.counts,
             checked: self.checks.checked,
-            share_after,
-            recovered_after,
+            share_after: self.answer_shares.settled_share(),
+            recovered_after: self.answer_shares.recovered_after(),
             steps: self.script.steps,
             recovery: self.recovery.measured(self.plan.daemons),
             event_digest: record.event_digest,
