--- a/testing/fleet/src/sim/calls.rs
+++ b/testing/fleet/src/sim/calls.rs
@@ -1,6 +1,6 @@
 //! Callers, and how soon they are served again after all faults are undone.
 
-use super::event::Event;
+use super::event::CallerEvent;
 use super::simulation::Simulation;
 use common::identity::IdempotencyKey;
 use dataplane::agent::FunctionRequest;
@@ -23,7 +23,7 @@
         if self.faults.are_callers_retrying(self.queue.now()) && self.rng.random_bool(0.7) {
             let wait_span = self.rng.within(Duration::ZERO, Duration::from_millis(40));
             self.queue
-                .push(wait_span, Event::Repeat(request.route.clone()));
+                .push(wait_span, CallerEvent::Repeat(request.route.clone()));
         }
     }
 
@@ -59,7 +59,7 @@
 
     pub(super) fn send_random_call(&mut self) {
         let gap = Duration::from_secs_f64(1.0 / self.plan.rate);
-        self.queue.push(gap, Event::Call);
+        self.queue.push(gap, CallerEvent::Call);
         let number = self.numbers.next();
         let routes = [
             "f0", "f0", "f1", "f1", "f2", "f3", "f4", "f5", "canary", "canary",
@@ -79,7 +79,7 @@
             self.checks.mark_duplicate(&idempotency_key);
             self.queue.push(
                 duplicate_after,
-                Event::DuplicateCall(idempotency_key.clone(), route_name),
+                CallerEvent::DuplicateCall(idempotency_key.clone(), route_name),
             );
         }
         self.call(index, idempotency_key, route_name, timeout, false);
--- a/testing/fleet/src/sim/connections.rs
+++ b/testing/fleet/src/sim/connections.rs
@@ -1,10 +1,12 @@
-//! Opens, breaks and closes the links between the machines, and tells both ends of it.
+//! Opens, breaks and closes the links between the machines, and delivers what arrives on them.
 
-use super::event::Event;
+use super::event::LinkEvent;
 use super::links::Link;
 use super::network::{Node, PLATFORM};
 use super::simulation::Simulation;
-use common::frames::SocketAddress;
+use common::frames::{DaemonToLeader, LeaderToDaemon, SocketAddress};
+use controlplane::controller_state::ControllerInput;
+use controlplane::leader_state::StreamId;
 use std::time::Duration;
 
 /// How soon both ends notice that a link was closed.
@@ -36,11 +38,11 @@
         self.links.insert(number, link);
         let delay = self.network.delay(&mut self.rng);
         if controller_instance.is_some() && reaches {
-            self.queue.push(delay, Event::Dialed(number));
+            self.queue.push(delay, LinkEvent::Dialed(number));
         } else {
             let failed_after = if reaches { delay } else { DIAL_TIMEOUT };
             self.queue
-                .push(failed_after, Event::LinkLost(number, daemon));
+                .push(failed_after, LinkEvent::LinkLost(number, daemon));
         }
         number
     }
@@ -54,9 +56,9 @@
         let daemon_after = self.rng.within(shortest, longest);
         let controller_after = self.rng.within(shortest, longest);
         self.queue
-            .push(daemon_after, Event::LinkLost(number, daemon));
+            .push(daemon_after, LinkEvent::LinkLost(number, daemon));
         self.queue
-            .push(controller_after, Event::LinkLost(number, controller));
+            .push(controller_after, LinkEvent::LinkLost(number, controller));
     }
 
     /// Closes a link.
@@ -66,7 +68,7 @@
         };
         for node in [link.daemon, link.controller] {
             self.queue
-                .push(CLOSE_NOTICED_AFTER, Event::LinkLost(number, node));
+                .push(CLOSE_NOTICED_AFTER, LinkEvent::LinkLost(number, node));
         }
     }
 
@@ -83,4 +85,39 @@
             self.break_silently(number);
         }
     }
+
+    /// Tells a daemon that the link that it dialed is open, if it still wants it.
+    pub(super) fn handle_dialed(&mut self, number: u64) {
+        let Some(link) = self.links.get(number) else {
+            return;
+        };
+        let index = link.daemon.daemon_index();
+        if self.nodes.daemon(index).is_current_link(number) {
+            self.with_controller(index, |controller, agent, now| {
+                controller.connected(agent, now)
+            });
+        }
+    }
+
+    /// Delivers a daemon's frame to the controller.
+    pub(super) fn deliver_up(&mut self, number: u64, frame: DaemonToLeader) {
+        let Some(link) = self.links.get_unbroken(number) else {
+            return;
+        };
+        let index = link.controller.0;
+        self.step_controller(index, ControllerInput::Stream(StreamId(number), frame));
+    }
+
+    /// Delivers a controller's frame to the daemon, if it still uses the link.
+    pub(super) fn deliver_down(&mut self, number: u64, frame: LeaderToDaemon) {
+        let Some(link) = self.links.get_unbroken(number) else {
+            return;
+        };
+        let index = link.daemon.daemon_index();
+        if self.nodes.daemon(index).is_current_link(number) {
+            self.with_controller(index, |controller, agent, now| {
+                controller.received(agent, now, frame)
+            });
+        }
+    }
 }
--- a/testing/fleet/src/sim/controller.rs
+++ b/testing/fleet/src/sim/controller.rs
@@ -3,7 +3,7 @@
 use super::addresses::{seeds, zone_of_machine};
 use super::daemon::local_time;
 use super::disk::{SimDisk, UnsyncedWrite};
-use super::event::Event;
+use super::event::{ControllerEvent, Event, LinkEvent, OperatorEvent, PlatformEvent};
 use super::flaw::Flaw;
 use super::network::{Node, PLATFORM, Requester};
 use super::simulation::Simulation;
@@ -150,7 +150,7 @@
         );
         self.queue.push(
             Duration::from_millis(50),
-            Event::Poll(node, self.nodes.controller(index).instance),
+            ControllerEvent::Poll(node, self.nodes.controller(index).instance),
         );
     }
 
@@ -198,7 +198,7 @@
             if is_noticed {
                 let delay = self.network.delay(&mut self.rng);
                 self.queue
-                    .push(delay, Event::ControllerGone(other, address));
+                    .push(delay, ControllerEvent::ControllerGone(other, address));
             }
         }
     }
@@ -236,8 +236,11 @@
                 if self.network.reaches(node, to_node) && !self.rng.random_bool(0.001) {
                     let key = (node, to_node);
                     let delay = self.network.delay(&mut self.rng);
-                    self.queue
-                        .push_in_order(key, delay, Event::ConsensusFrame(to_node, frame));
+                    self.queue.push_in_order(
+                        key,
+                        delay,
+                        ControllerEvent::ConsensusFrame(to_node, frame),
+                    );
                 }
             }
             ControllerOutput::Write(ticket, job) => self.write(index, ticket, job),
@@ -248,7 +251,8 @@
                 let requester = self.nodes.controller(index).requester();
                 if self.network.reaches(node, PLATFORM) {
                     let delay = self.network.delay(&mut self.rng);
-                    self.queue.push(delay, Event::LeaderStop(requester, order));
+                    self.queue
+                        .push(delay, PlatformEvent::LeaderStop(requester, order));
                 }
             }
             ControllerOutput::OperatorReply(ticket, reply) => self.operated(index, ticket, reply),
@@ -320,7 +324,7 @@
         let node = self.nodes.controller(index).node;
         self.queue.push(
             Duration::from_micros(50),
-            Event::ConsensusFrame(node, forged_frame),
+            ControllerEvent::ConsensusFrame(node, forged_frame),
         );
     }
 
@@ -347,22 +351,24 @@
         if skips_sync {
             self.queue.push(
                 Duration::from_micros(100),
-                Event::Written(node, instance, ticket, WriteResult::Synced),
+                ControllerEvent::Written(node, instance, ticket, WriteResult::Synced),
             );
             let late = ends_at.since(self.queue.now()) + Duration::from_secs(20);
-            self.queue.push(late, Event::Durable(node, instance, job));
+            self.queue
+                .push(late, ControllerEvent::Durable(node, instance, job));
         } else if is_failing {
             let delay = ends_at.since(self.queue.now());
             self.queue.push(
                 delay,
-                Event::Written(node, instance, ticket, WriteResult::Failed),
+                ControllerEvent::Written(node, instance, ticket, WriteResult::Failed),
             );
         } else {
             let delay = ends_at.since(self.queue.now());
-            self.queue.push(delay, Event::Durable(node, instance, job));
+            self.queue
+                .push(delay, ControllerEvent::Durable(node, instance, job));
             self.queue.push(
                 delay + Duration::from_nanos(1),
-                Event::Written(node, instance, ticket, WriteResult::Synced),
+                ControllerEvent::Written(node, instance, ticket, WriteResult::Synced),
             );
         }
     }
@@ -401,14 +407,16 @@
         let delay = self.network.delay(&mut self.rng);
         let key = (Node(2_000_000 + stream.0 as usize), to);
         self.queue
-            .push_in_order(key, delay, Event::LinkDown(stream.0, frame));
+            .push_in_order(key, delay, LinkEvent::LinkDown(stream.0, frame));
     }
 
     pub(super) fn poll_platform(&mut self, index: usize) {
         let node = self.nodes.controller(index).node;
         let instance = self.nodes.controller(index).instance;
-        self.queue
-            .push(Duration::from_millis(400), Event::Poll(node, instance));
+        self.queue.push(
+            Duration::from_millis(400),
+            ControllerEvent::Poll(node, instance),
+        );
         if self.nodes.controller(index).is_leader() {
             self.read_lists(index);
         }
@@ -425,13 +433,14 @@
         let delay = self.network.delay(&mut self.rng);
         self.queue.push(
             delay,
-            Event::Lists(node, instance, workers, sent_at - age, listed_runners),
+            ControllerEvent::Lists(node, instance, workers, sent_at - age, listed_runners),
         );
     }
 
     fn operated(&mut self, index: usize, ticket: OperationTicket, reply: OperationReply) {
         self.check_reply(index, ticket, &reply);
         let delay = self.network.delay(&mut self.rng);
-        self.queue.push(delay, Event::OperatorReply(ticket, reply));
+        self.queue
+            .push(delay, OperatorEvent::OperatorReply(ticket, reply));
     }
 }
--- a/testing/fleet/src/sim/daemon/holders.rs
+++ b/testing/fleet/src/sim/daemon/holders.rs
@@ -1,7 +1,7 @@
 //! The lease holders of a simulated daemon, and the execution of their outputs.
 
 use super::AwaitedStep;
-use crate::sim::event::Event;
+use crate::sim::event::{DaemonEvent, HolderEvent, PlatformEvent};
 use crate::sim::network::PLATFORM;
 use crate::sim::simulation::Simulation;
 use common::adapter::StartOutcome;
@@ -95,13 +95,13 @@
                     let delay = self.occasionally_long_delay();
                     self.queue.push(
                         delay,
-                        Event::Start(requester, function, runner, worker, spec),
+                        PlatformEvent::Start(requester, function, runner, worker, spec),
                     );
                 } else {
                     let delay = Duration::from_millis(500);
                     self.queue.push(
                         delay,
-                        Event::Started(requester, function, runner, StartOutcome::Lost),
+                        HolderEvent::Started(requester, function, runner, StartOutcome::Lost),
                     );
                 }
             }
@@ -116,8 +116,10 @@
                         there == runner && self.queue.now() >= held.ready_at
                     });
                 let delay = self.network.delay(&mut self.rng);
-                self.queue
-                    .push(delay, Event::Probed(requester, function, runner, is_ready));
+                self.queue.push(
+                    delay,
+                    HolderEvent::Probed(requester, function, runner, is_ready),
+                );
             }
             HolderOutput::ListRunning {
                 runner,
@@ -130,23 +132,27 @@
                     .filter(|(there, _)| *there == self_reported_id)
                     .map(|(_, held)| held.running.keys().cloned().collect());
                 let delay = self.network.delay(&mut self.rng);
-                self.queue
-                    .push(delay, Event::Settled(requester, function, runner, running));
+                self.queue.push(
+                    delay,
+                    HolderEvent::Settled(requester, function, runner, running),
+                );
             }
             HolderOutput::Stop {
                 runner, instance, ..
             } => {
                 if self.network.reaches(requester.node, PLATFORM) {
                     let delay = self.network.delay(&mut self.rng);
-                    self.queue
-                        .push(delay, Event::Stop(requester, function, runner, instance));
+                    self.queue.push(
+                        delay,
+                        PlatformEvent::Stop(requester, function, runner, instance),
+                    );
                 }
             }
             HolderOutput::Report(word) => {
                 let fencing_token = held.fencing_token;
                 self.queue.push(
                     Duration::from_micros(1),
-                    Event::FromHolder(
+                    DaemonEvent::FromHolder(
                         requester.node,
                         requester.instance,
                         function,
--- a/testing/fleet/src/sim/daemon/mod.rs
+++ b/testing/fleet/src/sim/daemon/mod.rs
@@ -8,7 +8,7 @@
 pub(super) use replicas::{PendingReplicaRequests, ReplicaExchange};
 
 use crate::sim::addresses::{self, zone_of_machine};
-use crate::sim::event::Event;
+use crate::sim::event::{DaemonEvent, Event};
 use crate::sim::network::{Node, Requester};
 use crate::sim::simulation::Simulation;
 use common::clock::MonotonicTime;
@@ -174,7 +174,7 @@
             return;
         };
         pending.wakes += 1;
-        let wake = Event::Lookup(node, instance, number, pending.wakes);
+        let wake = DaemonEvent::Lookup(node, instance, number, pending.wakes);
         self.queue.push(delay, wake);
     }
 
@@ -279,7 +279,7 @@
         }
         self.queue.push(
             Duration::from_millis(60),
-            Event::ProcessGone(node, instance),
+            DaemonEvent::ProcessGone(node, instance),
         );
     }
 
--- a/testing/fleet/src/sim/daemon/orders.rs
+++ b/testing/fleet/src/sim/daemon/orders.rs
@@ -1,7 +1,7 @@
 //! Executes the outputs of a simulated daemon, and checks the messages that it receives.
 
 use super::AwaitedStep;
-use crate::sim::event::Event;
+use crate::sim::event::{DaemonEvent, LinkEvent};
 use crate::sim::network::Node;
 use crate::sim::simulation::Simulation;
 use common::frames::{AcquireResult, DaemonToLeader};
@@ -45,8 +45,10 @@
                     for _ in 0..copies {
                         if self.network.reaches(node, to_node) && !self.rng.random_bool(0.01) {
                             let delay = self.network.delay(&mut self.rng);
-                            self.queue
-                                .push(delay, Event::HeartbeatDatagram(to_node, heartbeat.clone()));
+                            self.queue.push(
+                                delay,
+                                DaemonEvent::HeartbeatDatagram(to_node, heartbeat.clone()),
+                            );
                         }
                     }
                 }
@@ -115,7 +117,7 @@
         let delay = self.network.delay(&mut self.rng);
         let key = (Node(1_000_000 + link as usize), to);
         self.queue
-            .push_in_order(key, delay, Event::LinkUp(link, frame));
+            .push_in_order(key, delay, LinkEvent::LinkUp(link, frame));
     }
 
     /// Checks that each runner instance is used by at most one running lease holder.
--- a/testing/fleet/src/sim/daemon/replicas.rs
+++ b/testing/fleet/src/sim/daemon/replicas.rs
@@ -1,6 +1,6 @@
 //! The requests of lease holders to the daemons that hold replicas of their ledgers.
 
-use crate::sim::event::Event;
+use crate::sim::event::DaemonEvent;
 use crate::sim::network::{Node, Requester};
 use crate::sim::simulation::Simulation;
 use common::frames::DaemonMessage;
@@ -59,14 +59,14 @@
         self.replica_requests.begin(exchange.number);
         self.queue.push(
             replica_request.timeout,
-            Event::ReplicaReplied(exchange.clone(), None),
+            DaemonEvent::ReplicaReplied(exchange.clone(), None),
         );
         let Some(to_node) = self.nodes.node_at(replica_request.replica.address) else {
             return;
         };
         if self.network.reaches(exchange.requester.node, to_node) {
             let delay = self.network.delay(&mut self.rng);
-            let requested = Event::ReplicaRequested(to_node, exchange, replica_request.body);
+            let requested = DaemonEvent::ReplicaRequested(to_node, exchange, replica_request.body);
             self.queue.push(delay, requested);
         }
     }
@@ -87,7 +87,7 @@
         if self.network.reaches(node, exchange.requester.node) {
             let delay = self.network.delay(&mut self.rng);
             self.queue
-                .push(delay, Event::ReplicaReplied(exchange, reply));
+                .push(delay, DaemonEvent::ReplicaReplied(exchange, reply));
         }
     }
 
--- a/testing/fleet/src/sim/daemon/requests.rs
+++ b/testing/fleet/src/sim/daemon/requests.rs
@@ -1,7 +1,7 @@
 //! Requests in simulated daemons: from the call to the response to the caller.
 
 use super::{AwaitedStep, PendingRequest, ReplyTarget, virtual_span};
-use crate::sim::event::Event;
+use crate::sim::event::DaemonEvent;
 use crate::sim::simulation::Simulation;
 use common::clock::MonotonicTime;
 use common::frames::{DaemonMessage, Host, RequestOutcome, RequestPayload};
@@ -164,7 +164,7 @@
                 continue;
             };
             pending.wakes += 1;
-            let wake = Event::Lookup(node, instance, number, pending.wakes);
+            let wake = DaemonEvent::Lookup(node, instance, number, pending.wakes);
             self.queue.push(Duration::from_micros(2), wake);
         }
     }
@@ -287,7 +287,7 @@
         let span = wait_until.since(self.daemon_now(index));
         let delay = virtual_span(span, self.nodes.daemon(index).clock_drift);
         self.queue
-            .push(delay, Event::AcquireTimedOut(node, instance, number));
+            .push(delay, DaemonEvent::AcquireTimedOut(node, instance, number));
         let Some(body) = &mut self.nodes.daemon_mut(index).body else {
             return;
         };
@@ -325,7 +325,7 @@
         if is_dead {
             self.queue.push(
                 delay,
-                Event::Forwarded(node, instance, number, ForwardResult::Unsent, 0),
+                DaemonEvent::Forwarded(node, instance, number, ForwardResult::Unsent, 0),
             );
             return;
         }
@@ -338,13 +338,13 @@
             };
             self.queue.push(
                 failed_after,
-                Event::Forwarded(node, instance, number, end, 0),
+                DaemonEvent::Forwarded(node, instance, number, end, 0),
             );
             return;
         }
         self.queue.push(
             wait_span,
-            Event::Forwarded(node, instance, number, ForwardResult::Lost, 0),
+            DaemonEvent::Forwarded(node, instance, number, ForwardResult::Lost, 0),
         );
         let reply_target = ReplyTarget::Hop {
             node,
@@ -352,8 +352,10 @@
             number,
         };
         let to_instance = self.nodes.daemon(to_node.daemon_index()).instance;
-        self.queue
-            .push(delay, Event::Hop(to_node, to_instance, reply_target, body));
+        self.queue.push(
+            delay,
+            DaemonEvent::Hop(to_node, to_instance, reply_target, body),
+        );
     }
 
     /// Handles the reply, or its absence, of the daemon to which a request was forwarded.
@@ -415,7 +417,7 @@
                     let end = ForwardResult::Completed(outcome, holder);
                     self.queue.push(
                         delay,
-                        Event::Forwarded(reply_node, instance, number, end, regional_tenths),
+                        DaemonEvent::Forwarded(reply_node, instance, number, end, regional_tenths),
                     );
                 }
             }
--- a/testing/fleet/src/sim/digest.rs
+++ b/testing/fleet/src/sim/digest.rs
@@ -3,7 +3,7 @@
 //! It covers the time, order and kind of each event, the bytes of each frame, and the result of the day, but no name of
 //! a type or field, so that renaming and restructuring do not change it.
 
-use super::event::Event;
+use super::event::{ControllerEvent, DaemonEvent, Event, LinkEvent};
 use super::plan::SimResult;
 use binrw::BinWrite;
 use binrw::meta::WriteEndian;
@@ -25,12 +25,15 @@
         self.hasher.update(number.to_be_bytes());
         self.hasher.update([event.kind_number()]);
         match event {
-            Event::ConsensusFrame(_, frame) => self.add_frame(frame),
-            Event::LinkUp(_, frame) => self.add_frame(frame),
-            Event::LinkDown(_, frame) => self.add_frame(frame),
-            Event::HeartbeatDatagram(_, heartbeat) => self.add_frame(heartbeat),
-            Event::Hop(_, _, _, body) | Event::ReplicaRequested(.., body) => self.add_frame(body),
-            Event::ReplicaReplied(.., Some(body)) => self.add_frame(body),
+            Event::Controller(ControllerEvent::ConsensusFrame(_, frame)) => self.add_frame(frame),
+            Event::Link(LinkEvent::LinkUp(_, frame)) => self.add_frame(frame),
+            Event::Link(LinkEvent::LinkDown(_, frame)) => self.add_frame(frame),
+            Event::Daemon(DaemonEvent::HeartbeatDatagram(_, heartbeat)) => {
+                self.add_frame(heartbeat)
+            }
+            Event::Daemon(DaemonEvent::Hop(_, _, _, body))
+            | Event::Daemon(DaemonEvent::ReplicaRequested(.., body)) => self.add_frame(body),
+            Event::Daemon(DaemonEvent::ReplicaReplied(.., Some(body))) => self.add_frame(body),
             _ => {}
         }
     }
--- /dev/null
+++ b/testing/fleet/src/sim/event/surroundings.rs
@@ -0,0 +1,133 @@
+//! The events around the fleet: at the platform, the operators and the callers, and the faults.
+
+use crate::sim::network::{Node, Requester};
+use crate::sim::runners::SimRun;
+use crate::sim::script::Action;
+use common::adapter::{ListedWorker, StopOrder};
+use common::frames::SocketAddress;
+use common::identity::{FunctionKey, IdempotencyKey, InstanceId, RunnerId, WorkerName, Zone};
+use common::spec::FunctionSpec;
+use controlplane::controller_state::{OperationReply, OperationTicket};
+
+/// An event at the platform or at a runner.
+pub(in crate::sim) enum PlatformEvent {
+    /// A request to start a runner arrives.
+    Start(Requester, FunctionKey, RunnerId, WorkerName, FunctionSpec),
+    /// A request to stop a runner arrives.
+    Stop(Requester, FunctionKey, RunnerId, Option<InstanceId>),
+    /// A leader's request to stop a runner arrives.
+    LeaderStop(Requester, StopOrder),
+    /// A request arrives at the address of a runner.
+    Run(SocketAddress, SimRun),
+    /// A run ends, with the fault of its answer.
+    RunDone(RunnerId, SimRun, u8),
+    /// The platform takes a snapshot of its lists.
+    ListTick,
+    /// Drained workers are restored.
+    RestoreWorkers,
+    /// A runner that announced its end stops.
+    StopLeavingRunner(RunnerId),
+    /// Lost workers return.
+    WorkersReturn(Vec<ListedWorker>),
+}
+
+impl PlatformEvent {
+    /// The number of its kind for the digest.
+    pub(super) fn kind_number(&self) -> u8 {
+        match self {
+            Self::Start(..) => 19,
+            Self::Stop(..) => 21,
+            Self::LeaderStop(..) => 23,
+            Self::Run(..) => 27,
+            Self::RunDone(..) => 28,
+            Self::ListTick => 38,
+            Self::RestoreWorkers => 49,
+            Self::StopLeavingRunner(..) => 50,
+            Self::WorkersReturn(..) => 51,
+        }
+    }
+}
+
+/// An event at an operator.
+pub(in crate::sim) enum OperatorEvent {
+    /// An operator has waited too long.
+    ClientTimedOut(OperationTicket),
+    /// An operator sends a command again.
+    Resend(u64),
+    /// An operator reads the configuration.
+    ReadBack,
+    /// A reply arrives at an operator.
+    OperatorReply(OperationTicket, OperationReply),
+    /// An operator sends a change.
+    Change,
+    /// An operator restores a zone.
+    Restore(Zone),
+}
+
+impl OperatorEvent {
+    /// The number of its kind for the digest.
+    pub(super) fn kind_number(&self) -> u8 {
+        match self {
+            Self::ClientTimedOut(..) => 34,
+            Self::Resend(..) => 35,
+            Self::ReadBack => 36,
+            Self::OperatorReply(..) => 37,
+            Self::Change => 42,
+            Self::Restore(..) => 52,
+        }
+    }
+}
+
+/// An event at a caller.
+pub(in crate::sim) enum CallerEvent {
+    /// A caller sends a request.
+    Call,
+    /// A caller sends a request again with the same idempotency key.
+    DuplicateCall(IdempotencyKey, &'static str),
+    /// A caller repeats a refused request.
+    Repeat(String),
+}
+
+impl CallerEvent {
+    /// The number of its kind for the digest.
+    pub(super) fn kind_number(&self) -> u8 {
+        match self {
+            Self::Call => 39,
+            Self::DuplicateCall(..) => 40,
+            Self::Repeat(..) => 41,
+        }
+    }
+}
+
+/// A fault, an action of the script, or its end.
+pub(in crate::sim) enum FaultEvent {
+    /// A random fault begins.
+    RandomFault,
+    /// An action of the plan's script is due.
+    RunAction(Action),
+    /// A machine starts again.
+    RestartNode(Node),
+    /// All partitions end.
+    ClearPartitions,
+    /// A frozen machine may resume.
+    ResumeNode(Node),
+    /// The faults of the platform and the runners end.
+    EndPlatformFaults,
+    /// All faults are undone.
+    Heal,
+}
+
+impl FaultEvent {
+    /// The number of its kind for the digest.
+    pub(super) fn kind_number(&self) -> u8 {
+        match self {
+            Self::RandomFault => 43,
+            Self::RunAction(..) => 44,
+            Self::RestartNode(..) => 45,
+            Self::ClearPartitions => 46,
+            Self::ResumeNode(..) => 47,
+            Self::EndPlatformFaults => 48,
+            Self::Heal => 53,
+        }
+    }
+}
--- a/testing/fleet/src/sim/event_queue.rs
+++ b/testing/fleet/src/sim/event_queue.rs
@@ -44,14 +44,19 @@
     }
 
     /// Schedules an event after a delay.
-    pub(super) fn push(&mut self, delay: Duration, event: Event) {
+    pub(super) fn push(&mut self, delay: Duration, event: impl Into<Event>) {
         self.last_number += 1;
         self.scheduled
-            .insert((self.now + delay, self.last_number), event);
+            .insert((self.now + delay, self.last_number), event.into());
     }
 
     /// Schedules an event after a delay, but not before the events that were scheduled for the same stream of messages.
-    pub(super) fn push_in_order(&mut self, stream: (Node, Node), delay: Duration, event: Event) {
+    pub(super) fn push_in_order(
+        &mut self,
+        stream: (Node, Node),
+        delay: Duration,
+        event: impl Into<Event>,
+    ) {
         let earliest = self.last_in_order.get(&stream).copied().unwrap_or_default();
         let due_at = (self.now + delay).max(earliest + Duration::from_nanos(1));
         self.last_in_order.insert(stream, due_at);
--- a/testing/fleet/src/sim/faults.rs
+++ b/testing/fleet/src/sim/faults.rs
@@ -1,7 +1,7 @@
 //! Random faults: their kinds, injection and end.
 
 use super::addresses::zone_of_machine;
-use super::event::Event;
+use super::event::{FaultEvent, OperatorEvent, PlatformEvent};
 use super::network::{Node, PLATFORM};
 use super::simulation::Simulation;
 use common::identity::RunnerId;
@@ -200,7 +200,7 @@
 
     pub(super) fn schedule_fault(&mut self) {
         let wait_span = self.rng.within(Duration::from_millis(300), self.plan.gap);
-        self.queue.push(wait_span, Event::Fault);
+        self.queue.push(wait_span, FaultEvent::RandomFault);
     }
 
     /// Injects a random fault of those that the plan allows; each is undone some time later.
@@ -269,14 +269,14 @@
             SimFault::StopAll => self.stop_group(),
             SimFault::RunnerFaults => {
                 self.faults.start_runner_faults();
-                self.queue.push(lasts, Event::EndPlatformFaults);
+                self.queue.push(lasts, FaultEvent::EndPlatformFaults);
             }
             SimFault::CallBurst => self.send_call_burst(),
             SimFault::RareCallBurst => self.send_rare_call_burst(),
             SimFault::ClientRetries => self.faults.retry_until(self.queue.now() + lasts),
             SimFault::DelayedList => {
                 self.platform.delay_lists(lasts / 2);
-                self.queue.push(lasts, Event::EndPlatformFaults);
+                self.queue.push(lasts, FaultEvent::EndPlatformFaults);
             }
             SimFault::ChangeStorm => self.send_change_storm(),
         }
@@ -371,7 +371,7 @@
             self.network.block(isolated_node, other);
             self.network.block(other, isolated_node);
         }
-        self.queue.push(lasts, Event::ClearPartitions);
+        self.queue.push(lasts, FaultEvent::ClearPartitions);
     }
 
     fn block_one_direction(&mut self, lasts: Duration) {
@@ -384,7 +384,7 @@
                 self.network.block(isolated_node, other);
             }
         }
-        self.queue.push(lasts, Event::ClearPartitions);
+        self.queue.push(lasts, FaultEvent::ClearPartitions);
     }
 
     /// Partitions the fleet in two groups that depend on the duration.
@@ -396,7 +396,7 @@
             .into_iter()
             .partition(|node| (node.0 * 7 + salt).is_multiple_of(3));
         self.partition(&left, &right);
-        self.queue.push(lasts, Event::ClearPartitions);
+        self.queue.push(lasts, FaultEvent::ClearPartitions);
     }
 
     fn random_worker_index(&mut self) -> usize {
@@ -424,16 +424,20 @@
     fn announce_leaving_runner(&mut self) {
         if let Some(runner) = self.random_runner() {
             self.platform.announce_leaving(runner, self.queue.now());
-            self.queue
-                .push(Duration::from_secs(6), Event::StopLeavingRunner(runner));
+            self.queue.push(
+                Duration::from_secs(6),
+                PlatformEvent::StopLeavingRunner(runner),
+            );
         }
     }
 
     fn drain_random_worker(&mut self, lasts: Duration) {
         let worker_index = self.random_worker_index();
         self.platform.drain(self.queue.now(), worker_index);
-        self.queue
-            .push(Duration::from_secs(5) + lasts, Event::RestoreWorkers);
+        self.queue.push(
+            Duration::from_secs(5) + lasts,
+            PlatformEvent::RestoreWorkers,
+        );
     }
 
     fn stop_group(&mut self) {
@@ -466,14 +470,18 @@
 
     fn lose_controller(&mut self, index: usize, lasts: Duration) {
         self.kill_controller(index);
-        self.queue
-            .push(lasts, Event::RestartNode(self.nodes.controller(index).node));
+        self.queue.push(
+            lasts,
+            FaultEvent::RestartNode(self.nodes.controller(index).node),
+        );
     }
 
     fn lose_daemon(&mut self, index: usize, lasts: Duration) {
         self.kill_daemon(index);
-        self.queue
-            .push(lasts, Event::RestartNode(self.nodes.daemon(index).node));
+        self.queue.push(
+            lasts,
+            FaultEvent::RestartNode(self.nodes.daemon(index).node),
+        );
     }
 
     pub(super) fn freeze(&mut self, node: Node, lasts: Duration) {
@@ -484,8 +492,10 @@
         {
             body.is_disturbed = true;
         }
-        self.queue
-            .push(wakes_at.since(self.queue.now()), Event::ResumeNode(node));
+        self.queue.push(
+            wakes_at.since(self.queue.now()),
+            FaultEvent::ResumeNode(node),
+        );
     }
 
     fn lose_zone(&mut self, lasts: Duration) {
@@ -496,7 +506,8 @@
             self.lose_daemon(index, lasts);
         }
         let lost_workers = self.platform.remove_zone(&zone);
-        self.queue.push(lasts, Event::WorkersReturn(lost_workers));
+        self.queue
+            .push(lasts, PlatformEvent::WorkersReturn(lost_workers));
     }
 
     fn partition(&mut self, left: &[Node], right: &[Node]) {
@@ -524,7 +535,7 @@
             .filter(|node| !left.contains(node) && *node != PLATFORM)
             .collect();
         self.partition(&left, &right);
-        self.queue.push(lasts, Event::ClearPartitions);
+        self.queue.push(lasts, FaultEvent::ClearPartitions);
     }
 
     fn evacuate(&mut self, lasts: Duration) {
@@ -540,7 +551,7 @@
             },
         );
         self.queue
-            .push(Duration::from_secs(6) + lasts, Event::Restore(zone));
+            .push(Duration::from_secs(6) + lasts, OperatorEvent::Restore(zone));
     }
 
     /// Restarts a killed machine.
@@ -572,7 +583,7 @@
         for number in 0..3 {
             self.queue.push(
                 Duration::from_secs(4),
-                Event::Restore(zone_of_machine(number)),
+                OperatorEvent::Restore(zone_of_machine(number)),
             );
         }
     }
--- a/testing/fleet/src/sim/network.rs
+++ b/testing/fleet/src/sim/network.rs
@@ -71,3 +71,10 @@
         }
     }
 }
+
+impl Requester {
+    /// The process that handles a reply to it.
+    pub(crate) fn target(self) -> (Node, Option<u64>) {
+        (self.node, Some(self.instance))
+    }
+}
--- a/testing/fleet/src/sim/operator.rs
+++ b/testing/fleet/src/sim/operator.rs
@@ -1,6 +1,6 @@
 //! Operators with random changes of the spec.
 
-use super::event::Event;
+use super::event::{ControllerEvent, OperatorEvent};
 use super::simulation::Simulation;
 use common::identity::{ChangeId, Version};
 use controlplane::controller_state::{
@@ -154,7 +154,7 @@
         let node = self.nodes.controller(target).node;
         let delay = self.network.delay(&mut self.rng);
         self.queue
-            .push(delay, Event::Operate(node, ticket, operation));
+            .push(delay, ControllerEvent::Operate(node, ticket, operation));
     }
 
     pub(super) fn handle_operation_reply(
@@ -211,6 +211,6 @@
     pub(super) fn schedule_change(&mut self) {
         let longest_span = self.plan.order_gap;
         let wait_span = self.rng.within(longest_span / 10, longest_span);
-        self.queue.push(wait_span, Event::Change);
+        self.queue.push(wait_span, OperatorEvent::Change);
     }
 }
--- a/testing/fleet/src/sim/orders.rs
+++ b/testing/fleet/src/sim/orders.rs
@@ -1,6 +1,6 @@
 //! Operators with numbered orders: they send to any controller, retry after a timeout or failure, and read back.
 
-use super::event::Event;
+use super::event::{ControllerEvent, OperatorEvent};
 use super::network::Node;
 use super::operator::spec;
 use super::order_generator::{generate_base, generate_number, generate_order};
@@ -218,10 +218,10 @@
         });
         if !self.rng.random_bool(LOST_REQUEST_SHARE) {
             self.queue
-                .push(delay, Event::Operate(node, ticket, operation));
+                .push(delay, ControllerEvent::Operate(node, ticket, operation));
         }
         self.queue
-            .push(REPLY_TIMEOUT, Event::ClientTimedOut(ticket));
+            .push(REPLY_TIMEOUT, OperatorEvent::ClientTimedOut(ticket));
     }
 
     fn request_delay(&mut self, command_kind: CommandKind) -> Duration {
@@ -244,7 +244,8 @@
         let received_at = self.queue.now().max(sent.arrives_at);
         let disconnect_delay = self.rng.within(Duration::ZERO, DISCONNECT_WITHIN);
         let delay = received_at.since(self.queue.now()) + disconnect_delay;
-        self.queue.push(delay, Event::Withdraw(sent.node, ticket));
+        self.queue
+            .push(delay, ControllerEvent::Withdraw(sent.node, ticket));
         self.retry_later(sent.command);
     }
 
@@ -263,7 +264,7 @@
         if !is_abandoned {
             let backoff = command.backoff;
             command.backoff = (backoff * 2).min(MAX_BACKOFF);
-            self.queue.push(backoff, Event::Resend(number));
+            self.queue.push(backoff, OperatorEvent::Resend(number));
             return;
         }
         let command_kind = command.command_kind;
@@ -408,6 +409,6 @@
         let wait_span = self
             .rng
             .within(Duration::from_millis(100), Duration::from_millis(1500));
-        self.queue.push(wait_span, Event::ReadBack);
+        self.queue.push(wait_span, OperatorEvent::ReadBack);
     }
 }
--- a/testing/fleet/src/sim/platform_requests.rs
+++ b/testing/fleet/src/sim/platform_requests.rs
@@ -1,13 +1,18 @@
 //! The platform's side of the requests that daemons and leaders send to it.
 
-use super::event::Event;
+use super::event::{ControllerEvent, HolderEvent, PlatformEvent};
+use super::flaw::Flaw;
 use super::network::Requester;
 use super::platform::SimRunner;
 use super::simulation::Simulation;
-use common::adapter::StartOutcome;
+use common::adapter::{StartOutcome, StopOrder};
 use common::frames::{Instance, SocketAddress};
-use common::identity::{FunctionKey, RunnerId, WorkerName};
+use common::identity::{FunctionKey, InstanceId, RunnerId, WorkerName};
 use common::spec::FunctionSpec;
+use std::time::Duration;
+
+/// How often the platform takes a snapshot of its lists.
+const LIST_INTERVAL: Duration = Duration::from_millis(100);
 
 impl Simulation {
     /// Handles a request to start a runner; its response may be lost, or the platform overloaded.
@@ -58,7 +63,47 @@
             end
         };
         let delay = self.network.delay(&mut self.rng);
+        self.queue.push(
+            delay,
+            HolderEvent::Started(requester, function, runner, end),
+        );
+    }
+
+    /// Handles a daemon's request to stop a runner.
+    pub(super) fn stop_runner(
+        &mut self,
+        requester: Requester,
+        function: FunctionKey,
+        runner: RunnerId,
+        instance: Option<&InstanceId>,
+    ) {
+        self.platform.stop_instance(runner, instance);
+        let delay = self.network.delay(&mut self.rng);
         self.queue
-            .push(delay, Event::Started(requester, function, runner, end));
+            .push(delay, HolderEvent::Stopped(requester, function, runner));
+    }
+
+    /// Handles a leader's request to stop a runner; with a planted flaw it is not stopped, or not confirmed either.
+    pub(super) fn stop_runner_for_leader(&mut self, requester: Requester, order: &StopOrder) {
+        let flaw = self.plan.flaw;
+        if !matches!(flaw, Flaw::StopsUnconfirmed | Flaw::StopsUnheard) {
+            self.platform
+                .stop_instance(order.runner, order.instance.as_ref());
+        }
+        let delay = self.network.delay(&mut self.rng);
+        if flaw != Flaw::StopsUnheard {
+            let stopped = ControllerEvent::LeaderStopped(requester, order.runner);
+            self.queue.push(delay, stopped);
+        }
+    }
+
+    /// Takes a snapshot of the platform's lists, and checks what must hold at every moment.
+    pub(super) fn handle_list_tick(&mut self) {
+        self.platform.snapshot_lists(self.queue.now());
+        self.check_instance_owners();
+        if self.platform.are_lists_late() || !self.is_control_side_healthy() {
+            self.checks.note_control_outage(self.queue.now());
+        }
+        self.queue.push(LIST_INTERVAL, PlatformEvent::ListTick);
     }
 }
--- a/testing/fleet/src/sim/reply_checks.rs
+++ b/testing/fleet/src/sim/reply_checks.rs
@@ -1,6 +1,6 @@
 //! Checks the replies of controllers to operators against what had been acknowledged when the request arrived.
 
-use super::event::Event;
+use super::event::{ControllerEvent, Event};
 use super::network::Node;
 use super::simulation::Simulation;
 use common::clock::MonotonicTime;
@@ -177,11 +177,11 @@
     /// Records received frames and requests before they are handled.
     pub(super) fn observe_event(&mut self, event: &Event) {
         match event {
-            Event::ConsensusFrame(node, frame) => {
+            Event::Controller(ControllerEvent::ConsensusFrame(node, frame)) => {
                 self.reply_checks
                     .record_contact(self.queue.now(), *node, frame.address);
             }
-            Event::Operate(_, ticket, operation) => {
+            Event::Controller(ControllerEvent::Operate(_, ticket, operation)) => {
                 self.reply_checks.record_request(*ticket, operation)
             }
             _ => {}
--- a/testing/fleet/src/sim/runners.rs
+++ b/testing/fleet/src/sim/runners.rs
@@ -1,7 +1,7 @@
 //! Requests on simulated runners: sends, runs and answers with injected faults.
 
 use super::addresses::zone_of_machine;
-use super::event::Event;
+use super::event::{HolderEvent, PlatformEvent};
 use super::network::Requester;
 use super::simulation::Simulation;
 use common::adapter::{RunnerResponse, SealKind};
@@ -53,7 +53,7 @@
         };
         let (function, fencing_token) = (held.function.clone(), held.fencing_token);
         let Some(target) = held.runner_target(runner) else {
-            let ended = Event::SendEnded(
+            let ended = HolderEvent::SendEnded(
                 requester,
                 function,
                 ticket,
@@ -100,14 +100,15 @@
                     call,
                 };
                 let delay = self.occasionally_long_delay();
-                self.queue.push(delay, Event::Run(runner_address, run));
+                self.queue
+                    .push(delay, PlatformEvent::Run(runner_address, run));
             }
             Err(reason) => {
                 let end = SendResult::Forbidden(reason);
                 let delay = Duration::from_micros(1);
                 self.queue.push(
                     delay,
-                    Event::SendEnded(requester, function, ticket, fencing_token, end),
+                    HolderEvent::SendEnded(requester, function, ticket, fencing_token, end),
                 );
             }
         }
@@ -205,7 +206,7 @@
         }
         let fault_code = drawn_fault as u8;
         self.queue
-            .push(work, Event::RunDone(runner, run, fault_code));
+            .push(work, PlatformEvent::RunDone(runner, run, fault_code));
     }
 
     fn reject_by_runner(
@@ -323,7 +324,7 @@
         let function = run.function.clone();
         self.queue.push(
             delay,
-            Event::SendEnded(run.requester, function, run.ticket, run.fencing_token, end),
+            HolderEvent::SendEnded(run.requester, function, run.ticket, run.fencing_token, end),
         );
     }
 }
--- a/testing/fleet/src/sim/script.rs
+++ b/testing/fleet/src/sim/script.rs
@@ -1,7 +1,7 @@
 //! Timed actions on the control side of a simulated fleet, and their execution.
 
 use super::addresses::zone_of_machine;
-use super::event::Event;
+use super::event::{ControllerEvent, Event, FaultEvent};
 use super::network::{Node, PLATFORM};
 use super::operator::spec;
 use super::simulation::Simulation;
@@ -117,7 +117,7 @@
     /// Schedules the actions of the plan's script.
     pub(super) fn schedule_script(&mut self) {
         for (due_after, action) in std::mem::take(&mut self.plan.script) {
-            self.queue.push(due_after, Event::RunAction(action));
+            self.queue.push(due_after, FaultEvent::RunAction(action));
         }
     }
 
@@ -258,7 +258,7 @@
         let ticket = OperationTicket(self.numbers.next());
         let delay = self.network.delay(&mut self.rng);
         self.queue
-            .push(delay, Event::Operate(node, ticket, operation));
+            .push(delay, ControllerEvent::Operate(node, ticket, operation));
     }
 
     fn power_off_all(&mut self) {
@@ -276,7 +276,7 @@
             let off_for = self
                 .rng
                 .within(Duration::from_millis(100), Duration::from_millis(600));
-            self.queue.push(off_for, Event::RestartNode(node));
+            self.queue.push(off_for, FaultEvent::RestartNode(node));
         }
     }
 
@@ -288,17 +288,18 @@
                 .rng
                 .within(Duration::from_millis(50), POWER_LOST_AGAIN_WITHIN);
             self.queue
-                .push(at_once, Event::RunAction(Action::LosePowerEverywhere));
+                .push(at_once, FaultEvent::RunAction(Action::LosePowerEverywhere));
             self.queue
-                .push(again, Event::RunAction(Action::LosePowerEverywhere));
+                .push(again, FaultEvent::RunAction(Action::LosePowerEverywhere));
         }
     }
 
     /// Counts a step of the control side until all faults are undone; the plan's second loss happens before its step.
     pub(super) fn count_repair_step(&mut self, event: &Event) {
         let is_step = match event {
-            Event::ConsensusFrame(..) | Event::Durable(..) => true,
-            Event::Written(node, ..) => node.is_controller(),
+            Event::Controller(ControllerEvent::ConsensusFrame(..))
+            | Event::Controller(ControllerEvent::Durable(..)) => true,
+            Event::Controller(ControllerEvent::Written(node, ..)) => node.is_controller(),
             _ => false,
         };
         if !is_step || !self.script.counts_repair_steps || self.queue.now() >= self.faults_end_at()
@@ -317,8 +318,10 @@
                 format!("second loss {second:?} of controller {index}")
             });
             self.apply_loss(index, second.loss);
-            self.queue
-                .push(SECOND_LOSS_LASTS, Event::RestartNode(Node(index)));
+            self.queue.push(
+                SECOND_LOSS_LASTS,
+                Event::Fault(FaultEvent::RestartNode(Node(index))),
+            );
         }
     }
 }
--- a/testing/fleet/src/sim/simulation.rs
+++ b/testing/fleet/src/sim/simulation.rs
@@ -5,7 +5,7 @@
 use super::checks::SafetyChecks;
 use super::daemon::{PendingReplicaRequests, SimDaemon};
 use super::disk::UnsyncedWrites;
-use super::event::Event;
+use super::event::{CallerEvent, Event, FaultEvent, LinkEvent, PlatformEvent};
 use super::event_queue::{EventQueue, STARTED_AT};
 use super::frozen_nodes::FrozenNodes;
 use super::links::Links;
@@ -96,8 +96,12 @@
             });
             simulation.start_daemon(index);
         }
-        simulation.queue.push(Duration::ZERO, Event::ListTick);
-        simulation.queue.push(Duration::from_secs(3), Event::Call);
+        simulation
+            .queue
+            .push(Duration::ZERO, PlatformEvent::ListTick);
+        simulation
+            .queue
+            .push(Duration::from_secs(3), CallerEvent::Call);
         if simulation.plan.has_changes {
             simulation.schedule_change();
         }
@@ -106,10 +110,12 @@
         }
         simulation.schedule_script();
         if simulation.plan.has_faults {
-            simulation.queue.push(Duration::from_secs(6), Event::Fault);
+            simulation
+                .queue
+                .push(Duration::from_secs(6), FaultEvent::RandomFault);
         }
         let lasts = simulation.plan.lasts;
-        simulation.queue.push(lasts, Event::Heal);
+        simulation.queue.push(lasts, FaultEvent::Heal);
         simulation
     }
 
@@ -198,15 +204,16 @@
 
     fn link_target(&self, event: &Event) -> Option<(Node, Option<u64>)> {
         match event {
-            Event::Dialed(number) | Event::LinkDown(number, _) => self
+            Event::Link(LinkEvent::Dialed(number))
+            | Event::Link(LinkEvent::LinkDown(number, _)) => self
                 .links
                 .get(*number)
                 .map(|link| (link.daemon, Some(link.daemon_instance))),
-            Event::LinkUp(number, _) => self
+            Event::Link(LinkEvent::LinkUp(number, _)) => self
                 .links
                 .get(*number)
                 .map(|link| (link.controller, Some(link.controller_instance))),
-            Event::LinkLost(_, node) => Some((*node, None)),
+            Event::Link(LinkEvent::LinkLost(_, node)) => Some((*node, None)),
             _ => None,
         }
     }
