--- /dev/null
+++ b/testing/fleet/src/sim/bootstrap.rs
@@ -0,0 +1,102 @@
+//! The bootstrap of a simulated fleet.
+
+use super::addresses::{controller_address, zone_of_machine};
+use super::controller::SimController;
+use super::daemon::SimDaemon;
+use super::disk::SimDisk;
+use super::network::Node;
+use super::operator::{spec, with_fresh_identities};
+use super::simulation::Simulation;
+use common::frames::SocketAddress;
+use common::identity::{ChangeId, ControllerId, DocumentVersion, Term, Version};
+use common::spec::{Document, Voter, read_spec};
+use controlplane::consensus::PersistedState;
+use std::time::Duration;
+
+impl Simulation {
+    /// Creates the controllers, of which the founders hold the first document, and starts them.
+    pub(super) fn bootstrap_controllers(&mut self, ids: &[ControllerId]) {
+        let founders = self.plan.founders;
+        let document = self.first_document(&ids[..founders.min(ids.len())]);
+        for (index, id) in ids.iter().enumerate() {
+            let durable = PersistedState {
+                id: *id,
+                voted_for: None,
+                accepted: (index < founders).then(|| document.clone()),
+                unreadable_version: DocumentVersion::default(),
+            };
+            let clock_ahead = self.random_clock_lead();
+            let clock_drift = self.random_drift();
+            self.nodes.add_controller(SimController {
+                node: Node(index),
+                instance: 0,
+                address: founding_address(index),
+                clock_ahead,
+                clock_drift,
+                controller_state: None,
+                disk: SimDisk::holding(durable),
+            });
+            self.start_controller(index);
+        }
+    }
+
+    /// Creates the daemons and starts them.
+    pub(super) fn bootstrap_daemons(&mut self) {
+        for index in 0..self.plan.daemons {
+            let clock_ahead = self.random_clock_lead();
+            let clock_drift = self.random_drift();
+            self.nodes.add_daemon(SimDaemon {
+                node: Node::of_daemon(index),
+                instance: 0,
+                clock_ahead,
+                clock_drift,
+                body: None,
+            });
+            self.start_daemon(index);
+        }
+    }
+
+    /// The document that the founding voters hold before the day begins.
+    fn first_document(&self, founding_ids: &[ControllerId]) -> Document {
+        let voters = founding_ids
+            .iter()
+            .enumerate()
+            .map(|(index, id)| Voter {
+                id: *id,
+                address: founding_address(index),
+                zone: zone_of_machine(index),
+            })
+            .collect();
+        let first_spec = if self.plan.fresh_identities {
+            with_fresh_identities(spec(0))
+        } else {
+            spec(0)
+        };
+        let checked_spec = read_spec(&first_spec).unwrap_or_default();
+        let mut document = Document::founding(voters).with_spec(
+            first_spec,
+            &checked_spec,
+            ChangeId::from("founding"),
+        );
+        document.document_version = DocumentVersion {
+            term: Term(1),
+            version: Version(2),
+        };
+        document
+    }
+
+    /// Draws by how much a machine's clock is ahead.
+    fn random_clock_lead(&mut self) -> Duration {
+        Duration::from_secs(self.rng.below(100_000))
+    }
+
+    /// Draws the drift of a machine's clock in thousandths; the rates of two machines differ by nearly a tenth at most.
+    fn random_drift(&mut self) -> i64 {
+        self.rng.below(91) as i64 - 45
+    }
+}
+
+/// The address of a controller that was there from the beginning.
+fn founding_address(index: usize) -> SocketAddress {
+    controller_address(index as u8 + 1)
+}
--- a/testing/fleet/src/sim/checks/control.rs
+++ b/testing/fleet/src/sim/checks/control.rs
@@ -2,16 +2,43 @@
 
 use super::{CommittedVersion, SafetyChecks, content_of};
 use common::clock::MonotonicTime;
-use common::identity::{ChangeId, Version};
+use common::identity::{ChangeId, DocumentVersion, FunctionName, Version};
 use common::spec::{Document, RoutingTable, SpecRecords};
+use std::collections::BTreeMap;
 
 impl SafetyChecks {
-    /// Records that a leader committed a version.
+    /// Checks and records that a leader committed a version.
     pub fn check_committed(&mut self, at: MonotonicTime, document: &Document) {
         self.count_check("commit");
+        self.check_valid_spec(at, document);
+        self.record_evacuated_zones(at, document);
+        self.check_no_commit_lost(at, document);
         let version = document.document_version.version;
         let content = content_of(document);
-        let term = document.document_version.term;
+        if let Some(known) = self.committed_content.get(&version) {
+            if *known != content {
+                self.report_violation(
+                    at,
+                    format!("serial {version} was committed twice, with other content"),
+                );
+            }
+            return;
+        }
+        self.committed_content.insert(version, content.clone());
+        if document.hidden_versions > 0 {
+            self.check_visible_unchanged(at, document);
+            return;
+        }
+        let committed_version = CommittedVersion {
+            at,
+            content,
+            routes: function_of_each_route(document),
+        };
+        self.committed.insert(version, committed_version);
+    }
+
+    fn check_valid_spec(&mut self, at: MonotonicTime, document: &Document) {
+        let version = document.document_version.version;
         if let Err(errors) = document.spec.check() {
             let paths: Vec<&str> = errors.iter().map(|error| error.path.as_str()).collect();
             self.report_violation(
@@ -19,12 +46,20 @@
                 format!("serial {version} is committed and invalid at {paths:?}"),
             );
         }
+    }
+
+    fn record_evacuated_zones(&mut self, at: MonotonicTime, document: &Document) {
         let evacuated = &document.evacuated;
         self.evacuated_since
             .retain(|zone, _| evacuated.contains(zone));
         for zone in evacuated {
             self.evacuated_since.entry(zone.clone()).or_insert(at);
         }
+    }
+
+    /// Checks that versions rise with terms: otherwise a later leader did not know a commit of an earlier one.
+    fn check_no_commit_lost(&mut self, at: MonotonicTime, document: &Document) {
+        let DocumentVersion { term, version } = document.document_version;
         let term_versions = self.term_versions.clone();
         for (other_term, (first_version, last_version)) in term_versions {
             let is_lost = (other_term < term && last_version > version)
@@ -39,40 +74,6 @@
         }
         let version_range = self.term_versions.entry(term).or_insert((version, version));
         *version_range = (version_range.0.min(version), version_range.1.max(version));
-        if let Some(known) = self.committed_content.get(&version) {
-            if *known != content {
-                self.report_violation(
-                    at,
-                    format!("serial {version} was committed twice, with other content"),
-                );
-            }
-            return;
-        }
-        self.committed_content.insert(version, content.clone());
-        if document.hidden_versions > 0 {
-            self.check_visible_unchanged(at, document);
-            return;
-        }
-        let routes = RoutingTable::build(&document.view())
-            .map(|table| {
-                let spec = document.spec.to_value();
-                let named = spec["routes"].as_object().into_iter().flatten();
-                named
-                    .filter_map(|(name, _)| {
-                        let route = table.route_named(name)?;
-                        Some((name.clone(), route.spec.function.clone()))
-                    })
-                    .collect()
-            })
-            .unwrap_or_default();
-        self.committed.insert(
-            version,
-            CommittedVersion {
-                at,
-                content,
-                routes,
-            },
-        );
     }
 
     /// A version that only changes the list of daemons is for daemons the same as the previous one.
@@ -164,3 +165,18 @@
         }
     }
 }
+
+/// The name of the function that each route of a version leads to.
+fn function_of_each_route(document: &Document) -> BTreeMap<String, FunctionName> {
+    let Ok(table) = RoutingTable::build(&document.view()) else {
+        return BTreeMap::new();
+    };
+    let spec = document.spec.to_value();
+    let named_routes = spec["routes"].as_object().into_iter().flatten();
+    named_routes
+        .filter_map(|(name, _)| {
+            let route = table.route_named(name)?;
+            Some((name.clone(), route.spec.function.clone()))
+        })
+        .collect()
+}
--- a/testing/fleet/src/sim/checks/mod.rs
+++ b/testing/fleet/src/sim/checks/mod.rs
@@ -271,15 +271,7 @@
                 format!("{idempotency_key} ran after it was refused as not run"),
             );
         }
-        let versions: Vec<&CommittedVersion> = self.committed.values().collect();
-        let is_allowed = versions.iter().enumerate().any(|(index, version)| {
-            let until = versions
-                .get(index + 1)
-                .map(|next| next.at + IN_FORCE_WITHIN);
-            version.routes.get(&route) == Some(&function.name)
-                && until.is_none_or(|until| at <= until)
-        });
-        if !is_allowed {
+        if !self.is_in_force(at, &route, function) {
             self.report_violation(
                 at,
                 format!("{idempotency_key} for {route} ran on {function}, not in force"),
@@ -290,6 +282,18 @@
         }
     }
 
+    /// Whether a version that a daemon may still use leads a route to a function.
+    fn is_in_force(&self, at: MonotonicTime, route: &str, function: &FunctionKey) -> bool {
+        let versions: Vec<&CommittedVersion> = self.committed.values().collect();
+        versions.iter().enumerate().any(|(index, version)| {
+            let until = versions
+                .get(index + 1)
+                .map(|next| next.at + IN_FORCE_WITHIN);
+            version.routes.get(route) == Some(&function.name)
+                && until.is_none_or(|until| at <= until)
+        })
+    }
+
     fn check_extra_try(
         &mut self,
         at: MonotonicTime,
--- a/testing/fleet/src/sim/controller.rs
+++ b/testing/fleet/src/sim/controller.rs
@@ -273,45 +273,8 @@
 
     /// Makes a controller believe that another one granted its requests.
     fn forge_approval(&mut self, index: usize, to_node: Node, frame: &ConsensusFrame) {
-        let body = match &frame.body {
-            ConsensusMessage::VoteRequest {
-                term, is_pre_vote, ..
-            } => ConsensusMessage::VoteResponse {
-                term: if is_pre_vote.0 {
-                    Term(term.0 - 1)
-                } else {
-                    *term
-                },
-                requested_term: *term,
-                is_pre_vote: *is_pre_vote,
-                granted: Flag(true),
-                members: LengthPrefixed(Vec::new()),
-                complete: Flag(true),
-            },
-            ConsensusMessage::Heartbeat {
-                term,
-                round,
-                accepted,
-                ..
-            } => ConsensusMessage::HeartbeatResponse {
-                term: *term,
-                round: *round,
-                accepted: *accepted,
-            },
-            ConsensusMessage::AcceptFull {
-                term,
-                document_version,
-                ..
-            }
-            | ConsensusMessage::AcceptDelta {
-                term,
-                document_version,
-                ..
-            } => ConsensusMessage::Accepted {
-                term: *term,
-                document_version: *document_version,
-            },
-            _ => return,
+        let Some(body) = forged_reply(&frame.body) else {
+            return;
         };
         let other_address = self.nodes.controller(to_node.0).address;
         let forged_frame = ConsensusFrame {
@@ -444,3 +407,48 @@
             .push(delay, OperatorEvent::OperatorReply(ticket, reply));
     }
 }
+
+/// The reply by which a controller would grant a request of another one; none if it is not a request.
+fn forged_reply(message: &ConsensusMessage) -> Option<ConsensusMessage> {
+    let reply = match message {
+        ConsensusMessage::VoteRequest {
+            term, is_pre_vote, ..
+        } => ConsensusMessage::VoteResponse {
+            term: if is_pre_vote.0 {
+                Term(term.0 - 1)
+            } else {
+                *term
+            },
+            requested_term: *term,
+            is_pre_vote: *is_pre_vote,
+            granted: Flag(true),
+            members: LengthPrefixed(Vec::new()),
+            complete: Flag(true),
+        },
+        ConsensusMessage::Heartbeat {
+            term,
+            round,
+            accepted,
+            ..
+        } => ConsensusMessage::HeartbeatResponse {
+            term: *term,
+            round: *round,
+            accepted: *accepted,
+        },
+        ConsensusMessage::AcceptFull {
+            term,
+            document_version,
+            ..
+        }
+        | ConsensusMessage::AcceptDelta {
+            term,
+            document_version,
+            ..
+        } => ConsensusMessage::Accepted {
+            term: *term,
+            document_version: *document_version,
+        },
+        _ => return None,
+    };
+    Some(reply)
+}
--- a/testing/fleet/src/sim/faults.rs
+++ b/testing/fleet/src/sim/faults.rs
@@ -222,26 +222,16 @@
         match fault {
             SimFault::KillController => drop(self.kill_random_controller(lasts)),
             SimFault::KillLeader => self.kill_leader(lasts),
-            SimFault::KillDaemon => {
-                let index = self.random_daemon();
-                self.lose_daemon(index, lasts);
-            }
+            SimFault::KillDaemon => self.kill_random_daemon(lasts),
             SimFault::KillGroup => self.kill_group(lasts),
             SimFault::KillQuorum => self.kill_quorum(lasts),
             SimFault::RestartAll => self.kill_all(lasts),
             SimFault::LoseZone => self.lose_zone(lasts),
             SimFault::LoseDisk => drop(self.lose_random_disk(lasts)),
-            SimFault::ReplaceVoter => {
-                if let Some(index) = self.lose_random_disk(lasts) {
-                    self.nodes.move_controller(index);
-                }
-            }
+            SimFault::ReplaceVoter => self.replace_random_voter(lasts),
             SimFault::DamageDisk => self.damage_random_disk(lasts),
             SimFault::KillGroupAndDisk => self.kill_group_and_disk(lasts),
-            SimFault::Freeze => {
-                let node = self.random_node();
-                self.freeze(node, lasts);
-            }
+            SimFault::Freeze => self.freeze_random_node(lasts),
             SimFault::FreezeHolder => self.freeze_holder(lasts),
             SimFault::FreezeGroup => self.freeze_group(lasts),
             SimFault::FreezeLeader => self.freeze_leader(lasts),
@@ -249,39 +239,65 @@
             SimFault::BlockOneDirection => self.block_one_direction(lasts),
             SimFault::Partition => self.partition_fleet(lasts),
             SimFault::PartitionQuorum => self.partition_quorum(lasts),
-            SimFault::StallDisk => {
-                let index = self.random_controller_index();
-                self.nodes.controller_mut(index).disk.stalled_until = self.queue.now() + lasts;
-            }
-            SimFault::FailDisk => {
-                let index = self.random_controller_index();
-                self.nodes.controller_mut(index).disk.failing_until = self.queue.now() + lasts;
-            }
+            SimFault::StallDisk => self.stall_random_disk(lasts),
+            SimFault::FailDisk => self.fail_random_disk(lasts),
             SimFault::CrashWorker => self.crash_random_worker(),
             SimFault::LoseRunner => self.lose_random_runner(),
             SimFault::RunnerLeaves => self.announce_leaving_runner(),
             SimFault::DrainWorker => self.drain_random_worker(lasts),
             SimFault::Evacuate => self.evacuate(lasts),
-            SimFault::StopInOrder => {
-                let index = self.random_daemon();
-                self.begin_orderly_stop(index);
-            }
+            SimFault::StopInOrder => self.stop_random_daemon(),
             SimFault::StopAll => self.stop_group(),
-            SimFault::RunnerFaults => {
-                self.faults.start_runner_faults();
-                self.queue.push(lasts, FaultEvent::EndPlatformFaults);
-            }
+            SimFault::RunnerFaults => self.start_runner_faults(lasts),
             SimFault::CallBurst => self.send_call_burst(),
             SimFault::RareCallBurst => self.send_rare_call_burst(),
             SimFault::ClientRetries => self.faults.retry_until(self.queue.now() + lasts),
-            SimFault::DelayedList => {
-                self.platform.delay_lists(lasts / 2);
-                self.queue.push(lasts, FaultEvent::EndPlatformFaults);
-            }
+            SimFault::DelayedList => self.delay_lists(lasts),
             SimFault::ChangeStorm => self.send_change_storm(),
         }
     }
 
+    fn kill_random_daemon(&mut self, lasts: Duration) {
+        let index = self.random_daemon();
+        self.lose_daemon(index, lasts);
+    }
+
+    fn replace_random_voter(&mut self, lasts: Duration) {
+        if let Some(index) = self.lose_random_disk(lasts) {
+            self.nodes.move_controller(index);
+        }
+    }
+
+    fn freeze_random_node(&mut self, lasts: Duration) {
+        let node = self.random_node();
+        self.freeze(node, lasts);
+    }
+
+    fn stall_random_disk(&mut self, lasts: Duration) {
+        let index = self.random_controller_index();
+        self.nodes.controller_mut(index).disk.stalled_until = self.queue.now() + lasts;
+    }
+
+    fn fail_random_disk(&mut self, lasts: Duration) {
+        let index = self.random_controller_index();
+        self.nodes.controller_mut(index).disk.failing_until = self.queue.now() + lasts;
+    }
+
+    fn stop_random_daemon(&mut self) {
+        let index = self.random_daemon();
+        self.begin_orderly_stop(index);
+    }
+
+    fn start_runner_faults(&mut self, lasts: Duration) {
+        self.faults.start_runner_faults();
+        self.queue.push(lasts, FaultEvent::EndPlatformFaults);
+    }
+
+    fn delay_lists(&mut self, lasts: Duration) {
+        self.platform.delay_lists(lasts / 2);
+        self.queue.push(lasts, FaultEvent::EndPlatformFaults);
+    }
+
     fn kill_random_controller(&mut self, lasts: Duration) -> usize {
         let index = self.random_controller_index();
         self.lose_controller(index, lasts);
--- a/testing/fleet/src/sim/mod.rs
+++ b/testing/fleet/src/sim/mod.rs
@@ -1,8 +1,22 @@
 //! The real state machines of both planes under virtual time, with a virtual network, disk and platform.
+//!
+//! [`Simulation`] owns one struct for each concern, and the modules depend on each other in one direction:
+//!
+//! 1. `event_queue`, `number_sequence`, `run_record`, `network`, `links`, `frozen_nodes`, `disk`, `platform`,
+//!    `addresses`, `answer_shares` and `active_faults` hold their own state and know nothing of the simulation.
+//! 2. `nodes` holds the controllers and daemons, and answers questions about them without changing anything.
+//! 3. `checks`, `recovery` and the history of operators record what they are told, and read nothing else.
+//! 4. `controller`, `daemon`, `connections`, `platform_requests`, `runners`, `calls`, `operator` and `orders` are the
+//!    steps of the simulation that need several of these at once.
+//! 5. `faults` and `script` disturb the fleet, `reply_checks` compares what operators are told, and `dispatch` hands each
+//!    event to its step.
+//!
+//! Events name the data of the upper layers that they carry, such as a run or an action; they call none of them.
 
 mod active_faults;
 mod addresses;
 mod answer_shares;
+mod bootstrap;
 mod calls;
 mod checks;
 mod connections;
@@ -16,7 +30,6 @@
 mod event_queue;
 mod faults;
 mod flaw;
-mod founding;
 mod frozen_nodes;
 mod links;
 mod network;
--- a/testing/fleet/src/sim/orders.rs
+++ b/testing/fleet/src/sim/orders.rs
@@ -7,7 +7,9 @@
 use super::simulation::Simulation;
 use crate::history::{Answer, AttemptId, History, OrderId, Reading, ZoneOrderId};
 use common::clock::MonotonicTime;
+use common::frames::SocketAddress;
 use common::identity::{ChangeId, Zone};
+use common::spec::Document;
 use controlplane::controller_state::{
     ChangeKind, Numbering, Operation, OperationReply, OperationTicket, Wait,
 };
@@ -289,18 +291,7 @@
             return;
         };
         match (command.command_kind, reply) {
-            (_, OperationReply::Redirect(leader)) => {
-                let node = self
-                    .nodes
-                    .node_at(leader)
-                    .filter(|_| sent.redirect_count < MAX_REDIRECTS);
-                match node {
-                    Some(node) => {
-                        self.send_to(sent.command, sent.attempt, node, sent.redirect_count + 1);
-                    }
-                    None => self.retry_later(sent.command),
-                }
-            }
+            (_, OperationReply::Redirect(leader)) => self.follow_redirect(sent, leader),
             (CommandKind::Change(_), reply) => self.handle_change_reply(sent, reply),
             (CommandKind::Zone(order), OperationReply::Accepted { .. }) => {
                 self.operators
@@ -318,24 +309,40 @@
                 self.end_command(sent.command, "zone order refused");
             }
             (CommandKind::Read, OperationReply::Spec { document, .. }) => {
-                self.operators.learn_number(document.number);
-                let evacuated = document
-                    .evacuated
-                    .iter()
-                    .map(|zone| zone.as_str().to_owned());
-                self.operators.history.record_reading(Reading {
-                    requested_at: sent.sent_at,
-                    received_at: self.queue.now(),
-                    number: document.number,
-                    content: document.spec.to_value(),
-                    evacuated: evacuated.collect(),
-                });
+                self.record_reading(&sent, &document);
                 self.end_command(sent.command, "configuration read");
             }
             _ => self.retry_later(sent.command),
         }
     }
 
+    /// Sends a command to the leader that a controller named, or retries it later.
+    fn follow_redirect(&mut self, sent: SentRequest, leader: SocketAddress) {
+        let node = self
+            .nodes
+            .node_at(leader)
+            .filter(|_| sent.redirect_count < MAX_REDIRECTS);
+        match node {
+            Some(node) => self.send_to(sent.command, sent.attempt, node, sent.redirect_count + 1),
+            None => self.retry_later(sent.command),
+        }
+    }
+
+    fn record_reading(&mut self, sent: &SentRequest, document: &Document) {
+        self.operators.learn_number(document.number);
+        let evacuated = document
+            .evacuated
+            .iter()
+            .map(|zone| zone.as_str().to_owned());
+        self.operators.history.record_reading(Reading {
+            requested_at: sent.sent_at,
+            received_at: self.queue.now(),
+            number: document.number,
+            content: document.spec.to_value(),
+            evacuated: evacuated.collect(),
+        });
+    }
+
     fn handle_change_reply(&mut self, sent: SentRequest, reply: OperationReply) {
         let Some(command) = self.operators.commands.get(&sent.command) else {
             return;
--- a/testing/fleet/src/sim/reply_checks.rs
+++ b/testing/fleet/src/sim/reply_checks.rs
@@ -107,18 +107,7 @@
         let required_version = expectations.acknowledged;
         match reply {
             OperationReply::Spec { document, .. } => {
-                self.checks.count_check("reading");
-                let version = document.view_version();
-                if version < required_version {
-                    self.report_violation(format!(
-                        "controller {controller} reads {version}, {required_version} was acknowledged before"
-                    ));
-                }
-                if !self.checks.is_committed(version) {
-                    self.report_violation(format!(
-                        "controller {controller} reads {version}, which is not committed"
-                    ));
-                }
+                self.check_reading(controller, document.view_version(), required_version);
             }
             OperationReply::Accepted {
                 change, version, ..
@@ -130,20 +119,7 @@
             }
             OperationReply::Stale {
                 change, version, ..
-            } => {
-                self.checks.count_check("refusal by state");
-                if *version < required_version {
-                    self.report_violation(format!(
-                        "controller {controller} refuses {change} by {version}, {required_version} was \
-                         acknowledged before"
-                    ));
-                }
-                if expectations.was_accepted {
-                    self.report_violation(format!(
-                        "controller {controller} refuses {change}, which was acknowledged before"
-                    ));
-                }
-            }
+            } => self.check_stale(controller, change, *version, &expectations),
             OperationReply::Invalid(_) if expectations.was_accepted => {
                 self.report_violation(format!(
                     "controller {controller} finds a taken order invalid"
@@ -154,6 +130,42 @@
         }
     }
 
+    fn check_reading(&mut self, controller: usize, version: Version, required_version: Version) {
+        self.checks.count_check("reading");
+        if version < required_version {
+            self.report_violation(format!(
+                "controller {controller} reads {version}, {required_version} was acknowledged before"
+            ));
+        }
+        if !self.checks.is_committed(version) {
+            self.report_violation(format!(
+                "controller {controller} reads {version}, which is not committed"
+            ));
+        }
+    }
+
+    fn check_stale(
+        &mut self,
+        controller: usize,
+        change: &ChangeId,
+        version: Version,
+        expectations: &ReplyExpectation,
+    ) {
+        self.checks.count_check("refusal by state");
+        let required_version = expectations.acknowledged;
+        if version < required_version {
+            self.report_violation(format!(
+                "controller {controller} refuses {change} by {version}, {required_version} was \
+                 acknowledged before"
+            ));
+        }
+        if expectations.was_accepted {
+            self.report_violation(format!(
+                "controller {controller} refuses {change}, which was acknowledged before"
+            ));
+        }
+    }
+
     fn check_redirect(&mut self, controller: usize, leader: SocketAddress) {
         self.checks.count_check("redirect");
         let last_heard_at = self
--- a/testing/fleet/src/sim/runners.rs
+++ b/testing/fleet/src/sim/runners.rs
@@ -5,14 +5,20 @@
 use super::network::Requester;
 use super::simulation::Simulation;
 use common::adapter::{RunnerResponse, SealKind};
+use common::clock::MonotonicTime;
 use common::frames::SocketAddress;
-use common::identity::{FencingToken, FunctionKey, IdempotencyKey, RunnerId, Ticket};
+use common::identity::{
+    FencingToken, FunctionKey, IdempotencyKey, InstanceId, RunnerId, Ticket, WorkerName,
+};
 use common::seal;
 use dataplane::agent::{HeldFunction, RunnerAttempt, verify_response};
 use dataplane::holder::SendResult;
 use std::sync::Arc;
 use std::time::Duration;
 
+/// How soon a lease holder hears of a send that did not leave its daemon.
+const SEND_ENDS_AT_ONCE: Duration = Duration::from_micros(1);
+
 /// A request on a runner, and where its result is returned to.
 #[derive(Clone)]
 pub(super) struct SimRun {
@@ -24,6 +30,18 @@
     pub call: RunnerAttempt,
 }
 
+/// The state of a runner as it began a request.
+struct AdmittedRun {
+    function: FunctionKey,
+    worker: WorkerName,
+    /// How many requests of the same lease holder it runs, with this one.
+    running_count: u32,
+    slots: u32,
+    /// The number of answers that allow concurrent requests.
+    answered: u32,
+    ready_at: MonotonicTime,
+}
+
 /// What happens to a runner's answer on its way.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 enum RunnerFault {
@@ -53,14 +71,16 @@
         };
         let (function, fencing_token) = (held.function.clone(), held.fencing_token);
         let Some(target) = held.runner_target(runner) else {
-            let ended = HolderEvent::SendEnded(
-                requester,
-                function,
-                ticket,
-                fencing_token,
-                SendResult::Unsent,
+            self.queue.push(
+                SEND_ENDS_AT_ONCE,
+                HolderEvent::SendEnded(
+                    requester,
+                    function,
+                    ticket,
+                    fencing_token,
+                    SendResult::Unsent,
+                ),
             );
-            self.queue.push(Duration::from_micros(1), ended);
             return;
         };
         let call = held
@@ -72,70 +92,90 @@
         match call {
             Ok(call) => {
                 agent.check_sent_under_lease(local_now);
-                if !self.is_daemon_serving(index) {
-                    let idempotency_key = &call.idempotency_key;
-                    let what =
-                        format!("daemon {index} sends {idempotency_key} outside its member grant");
-                    self.checks.report_violation(self.queue.now(), what);
-                }
-                let before = self
-                    .checks
-                    .check_send(&target.instance, index, fencing_token);
-                if let Some((other, other_lease)) = before
-                    && self.is_live_holder(other, &function, other_lease)
-                {
-                    let what = format!(
-                        "daemon {index} under {fencing_token} and daemon {other} under {other_lease} send to \
-                         the same life of {function}"
-                    );
-                    self.checks.report_violation(self.queue.now(), what);
-                }
-                let target_runner = target.self_reported_id;
                 let run = SimRun {
                     requester,
                     function,
                     fencing_token,
                     ticket,
-                    target_runner,
+                    target_runner: target.self_reported_id,
                     call,
                 };
+                self.check_send(index, &target.instance, &run);
                 let delay = self.occasionally_long_delay();
                 self.queue
                     .push(delay, PlatformEvent::Run(runner_address, run));
             }
             Err(reason) => {
-                let end = SendResult::Forbidden(reason);
-                let delay = Duration::from_micros(1);
+                let result = SendResult::Forbidden(reason);
                 self.queue.push(
-                    delay,
-                    HolderEvent::SendEnded(requester, function, ticket, fencing_token, end),
+                    SEND_ENDS_AT_ONCE,
+                    HolderEvent::SendEnded(requester, function, ticket, fencing_token, result),
                 );
             }
         }
     }
 
+    /// Checks that a daemon sends to a runner under a session lease and as its only lease holder.
+    fn check_send(&mut self, index: usize, instance: &InstanceId, run: &SimRun) {
+        let (function, fencing_token) = (&run.function, run.fencing_token);
+        if !self.is_daemon_serving(index) {
+            let idempotency_key = &run.call.idempotency_key;
+            let what = format!("daemon {index} sends {idempotency_key} outside its member grant");
+            self.checks.report_violation(self.queue.now(), what);
+        }
+        let before = self.checks.check_send(instance, index, fencing_token);
+        if let Some((other, other_lease)) = before
+            && self.is_live_holder(other, function, other_lease)
+        {
+            let what = format!(
+                "daemon {index} under {fencing_token} and daemon {other} under {other_lease} send to \
+                 the same life of {function}"
+            );
+            self.checks.report_violation(self.queue.now(), what);
+        }
+    }
+
     /// Delivers a request to the runner that currently listens at the address.
     pub(super) fn begin_run(&mut self, runner_address: SocketAddress, run: SimRun) {
-        let Some((runner, held)) = self.platform.at(runner_address) else {
-            let end = if self.rng.random_bool(0.8) {
+        let Some(runner) = self.find_addressed_runner(runner_address, &run) else {
+            return;
+        };
+        let Some(admitted) = self.admit_run(runner, &run) else {
+            return;
+        };
+        self.record.trace(self.queue.now(), || {
+            let daemon = run.requester.node.daemon_index();
+            let idempotency_key = &run.call.idempotency_key;
+            format!("run {idempotency_key} on {runner} for daemon {daemon}")
+        });
+        self.check_admitted_run(runner, &run, &admitted);
+        self.schedule_answer(runner, run);
+    }
+
+    /// The runner at an address, if there is one and a request is meant for it; otherwise the send ends.
+    fn find_addressed_runner(&mut self, address: SocketAddress, run: &SimRun) -> Option<RunnerId> {
+        let Some((runner, _)) = self.platform.at(address) else {
+            let result = if self.rng.random_bool(0.8) {
                 SendResult::Unsent
             } else {
                 SendResult::Lost
             };
-            self.end_send(&run, end);
-            return;
+            self.end_send(run, result);
+            return None;
         };
         if run.call.runner.is_some() && run.target_runner != runner {
             self.record.count_event("another runner at the address");
-            self.end_send(&run, SendResult::Lost);
-            return;
+            self.end_send(run, SendResult::Lost);
+            return None;
         }
-        let idempotency_key = run.call.idempotency_key.clone();
-        let (function, worker, slots) = (held.function.clone(), held.worker.clone(), held.slots);
-        let (ready_at, answered) = (held.ready_at, held.answered);
-        let Some(held) = self.platform.runner_mut(runner) else {
-            return;
-        };
+        Some(runner)
+    }
+
+    /// Lets a runner begin a request, unless requests of an earlier lease holder take its slots.
+    fn admit_run(&mut self, runner: RunnerId, run: &SimRun) -> Option<AdmittedRun> {
+        let idempotency_key = &run.call.idempotency_key;
+        let held = self.platform.runner_mut(runner)?;
+        let slots = held.slots;
         let own_count = held
             .running
             .values()
@@ -144,48 +184,59 @@
         if held.running.len() as u32 >= slots && own_count < slots {
             self.record
                 .count_event("refused beside an earlier holder's");
-            self.reject_by_runner(&run, runner, &idempotency_key);
-            return;
+            self.reject_by_runner(run, runner, idempotency_key);
+            return None;
         }
         held.running
             .insert(idempotency_key.clone(), run.fencing_token);
-        let running_count = own_count + 1;
         let is_adopted = runner.fencing_token != run.fencing_token;
-        let answered = if is_adopted {
-            answered.max((slots / 2).max(1) - 1)
+        let least_answered = if is_adopted {
+            (slots / 2).max(1) - 1
         } else {
-            answered
+            0
         };
-        self.record.trace(self.queue.now(), || {
-            let daemon = run.requester.node.daemon_index();
-            format!("run {idempotency_key} on {runner} for daemon {daemon}")
-        });
+        Some(AdmittedRun {
+            function: held.function.clone(),
+            worker: held.worker.clone(),
+            running_count: own_count + 1,
+            slots,
+            answered: held.answered.max(least_answered),
+            ready_at: held.ready_at,
+        })
+    }
+
+    /// Checks that a request may run on its runner, on its worker and in its zones.
+    fn check_admitted_run(&mut self, runner: RunnerId, run: &SimRun, admitted: &AdmittedRun) {
+        let now = self.queue.now();
         self.checks.check_slots(
-            self.queue.now(),
+            now,
             runner,
-            running_count,
-            slots,
-            answered,
-            ready_at,
+            admitted.running_count,
+            admitted.slots,
+            admitted.answered,
+            admitted.ready_at,
         );
-        let since = self.platform.draining_since(&worker);
-        self.checks
-            .check_not_draining(self.queue.now(), &worker, since);
-        let leaves_since = self.platform.leaving_since(runner);
+        let draining_since = self.platform.draining_since(&admitted.worker);
         self.checks
-            .check_not_leaving(self.queue.now(), runner, leaves_since);
-        let worker_zone = self.platform.zone_of(&worker).cloned();
+            .check_not_draining(now, &admitted.worker, draining_since);
+        let leaving_since = self.platform.leaving_since(runner);
+        self.checks.check_not_leaving(now, runner, leaving_since);
+        let worker_zone = self.platform.zone_of(&admitted.worker).cloned();
         let daemon_zone = zone_of_machine(run.requester.node.daemon_index());
         for zone in worker_zone.into_iter().chain([daemon_zone]) {
-            self.checks.check_not_evacuated(self.queue.now(), &zone);
+            self.checks.check_not_evacuated(now, &zone);
         }
         self.checks.check_run(
-            self.queue.now(),
-            &idempotency_key,
+            now,
+            &run.call.idempotency_key,
             run.call.attempt,
-            &function,
+            &admitted.function,
             run.fencing_token,
         );
+    }
+
+    /// Draws how long a run takes and what happens to its answer.
+    fn schedule_answer(&mut self, runner: RunnerId, run: SimRun) {
         let drawn_fault = self.drawn_fault();
         if drawn_fault == RunnerFault::BrokenEarly {
             self.end_send(&run, SendResult::Lost);
@@ -197,10 +248,11 @@
             Duration::from_millis(longest),
         );
         if drawn_fault == RunnerFault::Rejected {
-            self.checks.did_not_run(&idempotency_key);
-            self.reject_by_runner(&run, runner, &idempotency_key);
+            let idempotency_key = &run.call.idempotency_key;
+            self.checks.did_not_run(idempotency_key);
+            self.reject_by_runner(&run, runner, idempotency_key);
             if let Some(held) = self.platform.runner_mut(runner) {
-                held.running.remove(&idempotency_key);
+                held.running.remove(idempotency_key);
             }
             return;
         }
--- a/testing/fleet/src/sim/simulation.rs
+++ b/testing/fleet/src/sim/simulation.rs
@@ -3,7 +3,7 @@
 use super::active_faults::ActiveFaults;
 use super::answer_shares::AnswerShares;
 use super::checks::SafetyChecks;
-use super::daemon::{PendingReplicaRequests, SimDaemon};
+use super::daemon::PendingReplicaRequests;
 use super::disk::UnsyncedWrites;
 use super::event::{CallerEvent, Event, FaultEvent, LinkEvent, PlatformEvent};
 use super::event_queue::{EventQueue, STARTED_AT};
@@ -26,6 +26,10 @@
 use common::rng::SeededRng;
 use std::time::Duration;
 
+/// When callers send their first request.
+const FIRST_CALL_AFTER: Duration = Duration::from_secs(3);
+/// When the first random fault begins.
+const FIRST_FAULT_AFTER: Duration = Duration::from_secs(6);
 /// A day ends early once it has more violations than this.
 const MAX_VIOLATIONS: usize = 20;
 
@@ -82,41 +86,27 @@
             answer_shares: AnswerShares::default(),
             plan,
         };
-        simulation.bootstrap(&ids);
-        for index in 0..simulation.plan.daemons {
-            let clock_ahead = Duration::from_secs(simulation.rng.below(100_000));
-            let clock_drift = simulation.random_drift();
-            let node = Node::of_daemon(index);
-            simulation.nodes.add_daemon(SimDaemon {
-                node,
-                instance: 0,
-                clock_ahead,
-                clock_drift,
-                body: None,
-            });
-            simulation.start_daemon(index);
-        }
-        simulation
-            .queue
-            .push(Duration::ZERO, PlatformEvent::ListTick);
+        simulation.bootstrap_controllers(&ids);
+        simulation.bootstrap_daemons();
+        simulation.schedule_first_events();
         simulation
-            .queue
-            .push(Duration::from_secs(3), CallerEvent::Call);
-        if simulation.plan.has_changes {
-            simulation.schedule_change();
+    }
+
+    /// Schedules the events that begin each recurring activity of the plan, and its end.
+    fn schedule_first_events(&mut self) {
+        self.queue.push(Duration::ZERO, PlatformEvent::ListTick);
+        self.queue.push(FIRST_CALL_AFTER, CallerEvent::Call);
+        if self.plan.has_changes {
+            self.schedule_change();
         }
-        if simulation.plan.numbers_orders {
-            simulation.schedule_reading();
+        if self.plan.numbers_orders {
+            self.schedule_reading();
         }
-        simulation.schedule_script();
-        if simulation.plan.has_faults {
-            simulation
-                .queue
-                .push(Duration::from_secs(6), FaultEvent::RandomFault);
+        self.schedule_script();
+        if self.plan.has_faults {
+            self.queue.push(FIRST_FAULT_AFTER, FaultEvent::RandomFault);
         }
-        let lasts = simulation.plan.lasts;
-        simulation.queue.push(lasts, FaultEvent::Heal);
-        simulation
+        self.queue.push(self.plan.lasts, FaultEvent::Heal);
     }
 
     /// The virtual time at which the plan's faults end.
