--- a/testing/fleet/src/sim/bootstrap.rs
+++ b/testing/fleet/src/sim/bootstrap.rs
@@ -29,7 +29,7 @@
             let clock_drift = self.random_drift();
             self.nodes.add_controller(SimController {
                 node: Node(index),
-                instance: 0,
+                incarnation: 0,
                 address: founding_address(index),
                 clock_ahead,
                 clock_drift,
@@ -47,7 +47,7 @@
             let clock_drift = self.random_drift();
             self.nodes.add_daemon(SimDaemon {
                 node: Node::of_daemon(index),
-                instance: 0,
+                incarnation: 0,
                 clock_ahead,
                 clock_drift,
                 body: None,
--- a/testing/fleet/src/sim/checks/control.rs
+++ b/testing/fleet/src/sim/checks/control.rs
@@ -149,7 +149,7 @@
         &mut self,
         at: MonotonicTime,
         daemon: usize,
-        instance: u64,
+        incarnation: u64,
         version: Version,
     ) {
         self.count_check("install");
@@ -159,7 +159,7 @@
                 format!("daemon {daemon} installed {version}, never committed"),
             );
         }
-        let before = self.installed.insert((daemon, instance), version);
+        let before = self.installed.insert((daemon, incarnation), version);
         if before.is_some_and(|before| before > version) {
             self.report_violation(at, format!("daemon {daemon} went back to {version}"));
         }
--- a/testing/fleet/src/sim/connections.rs
+++ b/testing/fleet/src/sim/connections.rs
@@ -18,11 +18,11 @@
 
 impl Simulation {
     /// Dials a controller; returns the number of the link, which may fail.
-    pub(super) fn dial(&mut self, daemon: Node, daemon_instance: u64, to: SocketAddress) -> u64 {
+    pub(super) fn dial(&mut self, daemon: Node, daemon_incarnation: u64, to: SocketAddress) -> u64 {
         let number = self.numbers.next();
         let controller = self.nodes.node_at(to).unwrap_or(PLATFORM);
-        let controller_instance = if controller.is_controller() {
-            self.nodes.controller(controller.0).running_instance()
+        let controller_incarnation = if controller.is_controller() {
+            self.nodes.controller(controller.0).running_incarnation()
         } else {
             None
         };
@@ -30,14 +30,14 @@
             self.network.reaches(daemon, controller) && self.network.reaches(controller, daemon);
         let link = Link {
             daemon,
-            daemon_instance,
+            daemon_incarnation,
             controller,
-            controller_instance: controller_instance.unwrap_or(0),
+            controller_incarnation: controller_incarnation.unwrap_or(0),
             is_broken: !reaches,
         };
         self.links.insert(number, link);
         let delay = self.network.delay(&mut self.rng);
-        if controller_instance.is_some() && reaches {
+        if controller_incarnation.is_some() && reaches {
             self.queue.push(delay, LinkEvent::Dialed(number));
         } else {
             let failed_after = if reaches { delay } else { DIAL_TIMEOUT };
--- a/testing/fleet/src/sim/controller.rs
+++ b/testing/fleet/src/sim/controller.rs
@@ -29,7 +29,7 @@
     /// Its node.
     pub node: Node,
     /// The number of its incarnation.
-    pub instance: u64,
+    pub incarnation: u64,
     /// Its address.
     pub address: SocketAddress,
     /// By how much its machine's clock is ahead of virtual time.
@@ -62,8 +62,8 @@
     }
 
     /// Its incarnation, while its process runs.
-    pub(super) fn running_instance(&self) -> Option<u64> {
-        self.is_running().then_some(self.instance)
+    pub(super) fn running_incarnation(&self) -> Option<u64> {
+        self.is_running().then_some(self.incarnation)
     }
 
     /// Whether it believes to lead.
@@ -98,7 +98,7 @@
     pub(super) fn requester(&self) -> Requester {
         Requester {
             node: self.node,
-            instance: self.instance,
+            incarnation: self.incarnation,
         }
     }
 }
@@ -120,7 +120,7 @@
         let rules = self.plan.rules();
         let voters = self.plan.voters;
         let controller = self.nodes.controller_mut(index);
-        controller.instance += 1;
+        controller.incarnation += 1;
         let own_address = controller.address;
         let controller_address = ControllerAddress {
             address: own_address,
@@ -146,11 +146,11 @@
         let node = controller.node;
         self.queue.push(
             Duration::from_millis(1),
-            Event::Tick(node, self.nodes.controller(index).instance),
+            Event::Tick(node, self.nodes.controller(index).incarnation),
         );
         self.queue.push(
             Duration::from_millis(50),
-            ControllerEvent::Poll(node, self.nodes.controller(index).instance),
+            ControllerEvent::Poll(node, self.nodes.controller(index).incarnation),
         );
     }
 
@@ -171,7 +171,7 @@
     /// Ends a controller's process; a write in progress may or may not have reached the disk.
     fn end_controller(&mut self, index: usize) {
         self.nodes.controller_mut(index).controller_state = None;
-        self.nodes.controller_mut(index).instance += 1;
+        self.nodes.controller_mut(index).incarnation += 1;
         for write in self.unsynced.take() {
             let reached_disk = self.rng.random_bool(0.5) && self.plan.flaw != Flaw::SyncSkipped;
             if write.controller == index && reached_disk {
@@ -298,7 +298,7 @@
     }
 
     fn write(&mut self, index: usize, ticket: Ticket, job: WriteJob) {
-        let instance = self.nodes.controller(index).instance;
+        let incarnation = self.nodes.controller(index).incarnation;
         let node = self.nodes.controller(index).node;
         let disk = &self.nodes.controller(index).disk;
         let own_delay = self
@@ -314,24 +314,24 @@
         if skips_sync {
             self.queue.push(
                 Duration::from_micros(100),
-                ControllerEvent::Written(node, instance, ticket, WriteResult::Synced),
+                ControllerEvent::Written(node, incarnation, ticket, WriteResult::Synced),
             );
             let late = ends_at.since(self.queue.now()) + Duration::from_secs(20);
             self.queue
-                .push(late, ControllerEvent::Durable(node, instance, job));
+                .push(late, ControllerEvent::Durable(node, incarnation, job));
         } else if is_failing {
             let delay = ends_at.since(self.queue.now());
             self.queue.push(
                 delay,
-                ControllerEvent::Written(node, instance, ticket, WriteResult::Failed),
+                ControllerEvent::Written(node, incarnation, ticket, WriteResult::Failed),
             );
         } else {
             let delay = ends_at.since(self.queue.now());
             self.queue
-                .push(delay, ControllerEvent::Durable(node, instance, job));
+                .push(delay, ControllerEvent::Durable(node, incarnation, job));
             self.queue.push(
                 delay + Duration::from_nanos(1),
-                ControllerEvent::Written(node, instance, ticket, WriteResult::Synced),
+                ControllerEvent::Written(node, incarnation, ticket, WriteResult::Synced),
             );
         }
     }
@@ -375,10 +375,10 @@
 
     pub(super) fn poll_platform(&mut self, index: usize) {
         let node = self.nodes.controller(index).node;
-        let instance = self.nodes.controller(index).instance;
+        let incarnation = self.nodes.controller(index).incarnation;
         self.queue.push(
             Duration::from_millis(400),
-            ControllerEvent::Poll(node, instance),
+            ControllerEvent::Poll(node, incarnation),
         );
         if self.nodes.controller(index).is_leader() {
             self.read_lists(index);
@@ -387,7 +387,7 @@
 
     fn read_lists(&mut self, index: usize) {
         let node = self.nodes.controller(index).node;
-        let instance = self.nodes.controller(index).instance;
+        let incarnation = self.nodes.controller(index).incarnation;
         if !self.network.reaches(node, PLATFORM) {
             return;
         }
@@ -396,7 +396,7 @@
         let delay = self.network.delay(&mut self.rng);
         self.queue.push(
             delay,
-            ControllerEvent::Lists(node, instance, workers, sent_at - age, listed_runners),
+            ControllerEvent::Lists(node, incarnation, workers, sent_at - age, listed_runners),
         );
     }
 
--- a/testing/fleet/src/sim/daemon/holders.rs
+++ b/testing/fleet/src/sim/daemon/holders.rs
@@ -154,7 +154,7 @@
                     Duration::from_micros(1),
                     DaemonEvent::FromHolder(
                         requester.node,
-                        requester.instance,
+                        requester.incarnation,
                         function,
                         fencing_token,
                         word,
--- a/testing/fleet/src/sim/daemon/mod.rs
+++ b/testing/fleet/src/sim/daemon/mod.rs
@@ -31,7 +31,7 @@
     Caller,
     Hop {
         node: Node,
-        instance: u64,
+        incarnation: u64,
         number: u64,
     },
 }
@@ -60,7 +60,7 @@
     /// Its node.
     pub node: Node,
     /// The number of its incarnation.
-    pub instance: u64,
+    pub incarnation: u64,
     /// By how much its machine's clock is ahead of virtual time.
     pub clock_ahead: Duration,
     /// How many thousandths its machine's clock runs fast, or slow if negative.
@@ -104,8 +104,8 @@
     }
 
     /// Its incarnation, while its process runs.
-    pub(in crate::sim) fn running_instance(&self) -> Option<u64> {
-        self.body.is_some().then_some(self.instance)
+    pub(in crate::sim) fn running_incarnation(&self) -> Option<u64> {
+        self.body.is_some().then_some(self.incarnation)
     }
 
     /// Whether its process runs and is not stopping.
@@ -133,7 +133,7 @@
     pub(in crate::sim) fn requester(&self) -> Requester {
         Requester {
             node: self.node,
-            instance: self.instance,
+            incarnation: self.incarnation,
         }
     }
 }
@@ -163,9 +163,9 @@
     ) {
         let span = local_at.since(self.daemon_now(index));
         let delay = virtual_span(span, self.nodes.daemon(index).clock_drift);
-        let (node, instance) = (
+        let (node, incarnation) = (
             self.nodes.daemon(index).node,
-            self.nodes.daemon(index).instance,
+            self.nodes.daemon(index).incarnation,
         );
         let Some(body) = &mut self.nodes.daemon_mut(index).body else {
             return;
@@ -174,7 +174,7 @@
             return;
         };
         pending.wakes += 1;
-        let wake = DaemonEvent::Lookup(node, instance, number, pending.wakes);
+        let wake = DaemonEvent::Lookup(node, incarnation, number, pending.wakes);
         self.queue.push(delay, wake);
     }
 
@@ -209,7 +209,7 @@
             controller
         };
         let daemon = self.nodes.daemon_mut(index);
-        daemon.instance += 1;
+        daemon.incarnation += 1;
         daemon.body = Some(Box::new(DaemonProcess {
             agent,
             controller,
@@ -221,7 +221,7 @@
         }));
         let tick = Event::Tick(
             self.nodes.daemon(index).node,
-            self.nodes.daemon(index).instance,
+            self.nodes.daemon(index).incarnation,
         );
         self.queue.push(Duration::from_millis(1), tick);
     }
@@ -229,7 +229,7 @@
     /// Kills a daemon; its callers get no response.
     pub(in crate::sim) fn kill_daemon(&mut self, index: usize) {
         self.nodes.daemon_mut(index).body = None;
-        self.nodes.daemon_mut(index).instance += 1;
+        self.nodes.daemon_mut(index).incarnation += 1;
         self.close_links(self.nodes.daemon(index).node);
     }
 
@@ -273,13 +273,13 @@
         }
         self.with_controller(index, |controller, agent, _| controller.departed(agent));
         let node = self.nodes.daemon(index).node;
-        let instance = self.nodes.daemon(index).instance;
+        let incarnation = self.nodes.daemon(index).incarnation;
         if let Some(body) = &mut self.nodes.daemon_mut(index).body {
             body.stop_deadline = Some(MonotonicTime(u64::MAX));
         }
         self.queue.push(
             Duration::from_millis(60),
-            DaemonEvent::ProcessGone(node, instance),
+            DaemonEvent::ProcessGone(node, incarnation),
         );
     }
 
--- a/testing/fleet/src/sim/daemon/orders.rs
+++ b/testing/fleet/src/sim/daemon/orders.rs
@@ -15,10 +15,10 @@
         order: DaemonControlOutput<u64>,
     ) {
         let node = self.nodes.daemon(index).node;
-        let instance = self.nodes.daemon(index).instance;
+        let incarnation = self.nodes.daemon(index).incarnation;
         match order {
             DaemonControlOutput::Dial(to) => {
-                let link = self.dial(node, instance, to);
+                let link = self.dial(node, incarnation, to);
                 if let Some(body) = &mut self.nodes.daemon_mut(index).body {
                     body.link = Some(link);
                 }
@@ -82,9 +82,9 @@
     }
 
     pub(in crate::sim) fn check_install(&mut self, index: usize, version: Version) {
-        let instance = self.nodes.daemon(index).instance;
+        let incarnation = self.nodes.daemon(index).incarnation;
         self.checks
-            .check_installed(self.queue.now(), index, instance, version);
+            .check_installed(self.queue.now(), index, incarnation, version);
     }
 
     pub(in crate::sim) fn count_acquired(&mut self, result: Option<&AcquireResult>) {
--- a/testing/fleet/src/sim/daemon/requests.rs
+++ b/testing/fleet/src/sim/daemon/requests.rs
@@ -145,7 +145,7 @@
 
     pub(in crate::sim) fn look_up_all(&mut self, index: usize) {
         let node = self.nodes.daemon(index).node;
-        let instance = self.nodes.daemon(index).instance;
+        let incarnation = self.nodes.daemon(index).incarnation;
         let Some(body) = &self.nodes.daemon(index).body else {
             return;
         };
@@ -164,7 +164,7 @@
                 continue;
             };
             pending.wakes += 1;
-            let wake = DaemonEvent::Lookup(node, instance, number, pending.wakes);
+            let wake = DaemonEvent::Lookup(node, incarnation, number, pending.wakes);
             self.queue.push(Duration::from_micros(2), wake);
         }
     }
@@ -283,11 +283,13 @@
 
     pub(in crate::sim) fn acquire(&mut self, index: usize, number: u64, wait_until: MonotonicTime) {
         let node = self.nodes.daemon(index).node;
-        let instance = self.nodes.daemon(index).instance;
+        let incarnation = self.nodes.daemon(index).incarnation;
         let span = wait_until.since(self.daemon_now(index));
         let delay = virtual_span(span, self.nodes.daemon(index).clock_drift);
-        self.queue
-            .push(delay, DaemonEvent::AcquireTimedOut(node, instance, number));
+        self.queue.push(
+            delay,
+            DaemonEvent::AcquireTimedOut(node, incarnation, number),
+        );
         let Some(body) = &mut self.nodes.daemon_mut(index).body else {
             return;
         };
@@ -314,7 +316,7 @@
         wait_until: MonotonicTime,
     ) {
         let node = self.nodes.daemon(index).node;
-        let instance = self.nodes.daemon(index).instance;
+        let incarnation = self.nodes.daemon(index).incarnation;
         let wait_span = wait_until.since(self.daemon_now(index));
         let wait_span = virtual_span(wait_span, self.nodes.daemon(index).clock_drift);
         let Some(to_node) = self.nodes.node_at(host.address) else {
@@ -325,7 +327,7 @@
         if is_dead {
             self.queue.push(
                 delay,
-                DaemonEvent::Forwarded(node, instance, number, ForwardResult::Unsent, 0),
+                DaemonEvent::Forwarded(node, incarnation, number, ForwardResult::Unsent, 0),
             );
             return;
         }
@@ -338,23 +340,23 @@
             };
             self.queue.push(
                 failed_after,
-                DaemonEvent::Forwarded(node, instance, number, end, 0),
+                DaemonEvent::Forwarded(node, incarnation, number, end, 0),
             );
             return;
         }
         self.queue.push(
             wait_span,
-            DaemonEvent::Forwarded(node, instance, number, ForwardResult::Lost, 0),
+            DaemonEvent::Forwarded(node, incarnation, number, ForwardResult::Lost, 0),
         );
         let reply_target = ReplyTarget::Hop {
             node,
-            instance,
+            incarnation,
             number,
         };
-        let to_instance = self.nodes.daemon(to_node.daemon_index()).instance;
+        let to_incarnation = self.nodes.daemon(to_node.daemon_index()).incarnation;
         self.queue.push(
             delay,
-            DaemonEvent::Hop(to_node, to_instance, reply_target, body),
+            DaemonEvent::Hop(to_node, to_incarnation, reply_target, body),
         );
     }
 
@@ -409,7 +411,7 @@
             }
             ReplyTarget::Hop {
                 node: reply_node,
-                instance,
+                incarnation,
                 number,
             } => {
                 if self.network.reaches(node, reply_node) {
@@ -417,7 +419,13 @@
                     let end = ForwardResult::Completed(outcome, holder);
                     self.queue.push(
                         delay,
-                        DaemonEvent::Forwarded(reply_node, instance, number, end, regional_tenths),
+                        DaemonEvent::Forwarded(
+                            reply_node,
+                            incarnation,
+                            number,
+                            end,
+                            regional_tenths,
+                        ),
                     );
                 }
             }
--- a/testing/fleet/src/sim/detection_cases.rs
+++ b/testing/fleet/src/sim/detection_cases.rs
@@ -106,25 +106,8 @@
     }
 }
 
-const fn case_without_rule(
-    point: &'static str,
-    rule: Rule,
-    faults: &'static [SimFault],
-    gap_ms: u64,
-    expected_violation: &'static str,
-    seeds: u64,
-) -> DetectionCase {
-    case_with_flaw(
-        point,
-        Flaw::Without(rule),
-        faults,
-        gap_ms,
-        expected_violation,
-        seeds,
-    )
-}
-
-const fn case_with_flaw(
+/// A case without numbered orders.
+const fn case(
     point: &'static str,
     flaw: Flaw,
     faults: &'static [SimFault],
@@ -148,71 +131,71 @@
 
 /// The detection cases by simulated days.
 pub const DETECTION_CASES: &[DetectionCase] = &[
-    case_without_rule(
+    case(
         "runs twice",
-        Rule::KnownIdempotencyKeyAnswered,
+        Flaw::Without(Rule::KnownIdempotencyKeyAnswered),
         &[F::RunnerFaults],
         2000,
         "ran 2 times",
         6,
     ),
-    case_without_rule(
+    case(
         "runs twice",
-        Rule::LedgerReplicatedBeforeSend,
+        Flaw::Without(Rule::LedgerReplicatedBeforeSend),
         &[F::KillDaemon, F::FreezeHolder],
         1500,
         "ran 2 times",
         12,
     ),
-    case_without_rule(
+    case(
         "runs twice",
-        Rule::LedgerCollectedBeforeAdmission,
+        Flaw::Without(Rule::LedgerCollectedBeforeAdmission),
         &[F::KillDaemon, F::FreezeHolder],
         1500,
         "ran 2 times",
         12,
     ),
-    case_without_rule(
+    case(
         "refused runs",
-        Rule::RejectedNeverRuns,
+        Flaw::Without(Rule::RejectedNeverRuns),
         &[F::CallBurst, F::RunnerFaults],
         1000,
         "refused as not run",
         6,
     ),
-    case_without_rule(
+    case(
         "foreign answer",
-        Rule::SealChecked,
+        Flaw::Without(Rule::SealChecked),
         &[F::RunnerFaults],
         1000,
         "no runner made",
         6,
     ),
-    case_without_rule(
+    case(
         "foreign answer",
-        Rule::SealBoundToRequest,
+        Flaw::Without(Rule::SealBoundToRequest),
         &[F::RunnerFaults],
         1000,
         "no runner made",
         6,
     ),
-    case_without_rule(
+    case(
         "not allowed",
-        Rule::RunnerIdentityChecked,
+        Flaw::Without(Rule::RunnerIdentityChecked),
         &[F::LoseRunner, F::CrashWorker],
         500,
         "not in force",
         12,
     ),
-    case_without_rule(
+    case(
         "in force",
-        Rule::ServesUnderSessionLease,
+        Flaw::Without(Rule::ServesUnderSessionLease),
         &[F::Isolation, F::FreezeHolder],
         1500,
         "member grant",
         6,
     ),
-    case_with_flaw(
+    case(
         "in force",
         Flaw::SyncSkipped,
         &[F::KillQuorum, F::KillLeader],
@@ -220,7 +203,7 @@
         "commit was lost",
         20,
     ),
-    case_with_flaw(
+    case(
         "in force",
         Flaw::QuorumOfOne,
         &[F::PartitionQuorum, F::Partition],
@@ -228,127 +211,127 @@
         "",
         20,
     ),
-    case_without_rule(
+    case(
         "refused in force",
-        Rule::StaleBaseRejected,
+        Flaw::Without(Rule::StaleBaseRejected),
         &[F::ChangeStorm],
         1500,
         "both accepted",
         6,
     ),
-    case_without_rule(
+    case(
         "refused in force",
-        Rule::InvalidChangeRejected,
+        Flaw::Without(Rule::InvalidChangeRejected),
         &[F::ChangeStorm],
         1500,
         "invalid at",
         6,
     ),
-    case_without_rule(
+    case(
         "draining",
-        Rule::DrainObeyed,
+        Flaw::Without(Rule::DrainObeyed),
         &[F::DrainWorker],
         3000,
         "draining for",
         6,
     ),
-    case_without_rule(
+    case(
         "draining",
-        Rule::DrainObeyed,
+        Flaw::Without(Rule::DrainObeyed),
         &[F::RunnerLeaves],
         1000,
         "leaving for",
         6,
     ),
-    case_without_rule(
+    case(
         "evacuation",
-        Rule::EvacuationObeyed,
+        Flaw::Without(Rule::EvacuationObeyed),
         &[F::Evacuate],
         3000,
         "evacuated for",
         6,
     ),
-    case_without_rule(
+    case(
         "orderly stop",
-        Rule::ResponsesDeliveredAtShutdown,
+        Flaw::Without(Rule::ResponsesDeliveredAtShutdown),
         &[F::StopInOrder],
         1500,
         "stops in order",
         6,
     ),
-    case_without_rule(
+    case(
         "extra tries",
-        Rule::RetryBudgetCounted,
+        Flaw::Without(Rule::RetryBudgetCounted),
         &[F::RunnerFaults, F::CallBurst, F::ClientRetries],
         700,
         "extra try",
         24,
     ),
-    case_without_rule(
+    case(
         "flood",
-        Rule::SlowStartRespected,
+        Flaw::Without(Rule::SlowStartRespected),
         &[F::CallBurst],
         1000,
         "answers",
         6,
     ),
-    case_without_rule(
+    case(
         "flood",
-        Rule::SlotLimitRespected,
+        Flaw::Without(Rule::SlotLimitRespected),
         &[F::CallBurst],
         1000,
         "slots",
         6,
     ),
-    case_without_rule(
+    case(
         "flood",
-        Rule::LostResponseKeepsSlot,
+        Flaw::Without(Rule::LostResponseKeepsSlot),
         &[F::RunnerFaults, F::CallBurst],
         700,
         "at once on",
         12,
     ),
-    case_without_rule(
+    case(
         "two holders",
-        Rule::FenceBeforeRegrant,
+        Flaw::Without(Rule::FenceBeforeRegrant),
         &[F::KillDaemon, F::FreezeHolder],
         1500,
         "is alive",
         6,
     ),
-    case_without_rule(
+    case(
         "two holders",
-        Rule::LeaseExpiredBeforeRegrant,
+        Flaw::Without(Rule::LeaseExpiredBeforeRegrant),
         &[F::FreezeHolder, F::Isolation],
         1500,
         "send to the same life",
         12,
     ),
-    case_without_rule(
+    case(
         "two holders",
-        Rule::InstanceAdoptedOnce,
+        Flaw::Without(Rule::InstanceAdoptedOnce),
         &[F::StopInOrder, F::KillDaemon],
         1500,
         "is in the hands of",
         12,
     ),
-    case_without_rule(
+    case(
         "two holders",
-        Rule::ClaimsQuorumAwaited,
+        Flaw::Without(Rule::ClaimsQuorumAwaited),
         &[F::KillLeader, F::Isolation],
         1200,
         "",
         20,
     ),
-    case_without_rule(
+    case(
         "two holders",
-        Rule::ListedMembersAwaited,
+        Flaw::Without(Rule::ListedMembersAwaited),
         &[F::KillLeader, F::Isolation],
         1200,
         "",
         20,
     ),
-    case_with_flaw(
+    case(
         "two holders",
         Flaw::StopsUnconfirmed,
         &[F::KillDaemon, F::FreezeHolder],
@@ -356,43 +339,43 @@
         "is alive",
         6,
     ),
-    case_without_rule(
+    case(
         "orders",
-        Rule::ResentChangeRecognized,
+        Flaw::Without(Rule::ResentChangeRecognized),
         &[F::KillLeader],
         1500,
         "was taken, then refused",
         50,
     )
     .with_orders(),
-    case_without_rule(
+    case(
         "orders",
-        Rule::ChangeNumberBoundToContent,
+        Flaw::Without(Rule::ChangeNumberBoundToContent),
         &[F::KillLeader],
         1500,
         "both accepted as",
         50,
     )
     .with_orders(),
-    case_without_rule(
+    case(
         "orders",
-        Rule::AcknowledgedByMajority,
+        Flaw::Without(Rule::AcknowledgedByMajority),
         &[F::KillLeader, F::PartitionQuorum],
         1500,
         "",
         50,
     )
     .with_orders(),
-    case_without_rule(
+    case(
         "orders",
-        Rule::AbandonedChangeDropped,
+        Flaw::Without(Rule::AbandonedChangeDropped),
         &[F::Evacuate],
         500,
         "which no order explains",
         50,
     )
     .with_orders(),
-    case_with_flaw(
+    case(
         "down",
         Flaw::StopsUnheard,
         &[F::KillGroup, F::DrainWorker],
--- a/testing/fleet/src/sim/dispatch.rs
+++ b/testing/fleet/src/sim/dispatch.rs
@@ -14,7 +14,7 @@
     /// Handles an event whose target runs and is not frozen.
     pub(super) fn dispatch(&mut self, event: Event) {
         match event {
-            Event::Tick(node, instance) => self.handle_tick(node, instance),
+            Event::Tick(node, incarnation) => self.handle_tick(node, incarnation),
             Event::Controller(event) => self.handle_controller_event(event),
             Event::Link(event) => self.handle_link_event(event),
             Event::Daemon(event) => self.handle_daemon_event(event),
@@ -26,9 +26,9 @@
         }
     }
 
-    fn handle_tick(&mut self, node: Node, instance: u64) {
+    fn handle_tick(&mut self, node: Node, incarnation: u64) {
         self.queue
-            .push(Duration::from_millis(20), Event::Tick(node, instance));
+            .push(Duration::from_millis(20), Event::Tick(node, incarnation));
         if node.is_controller() {
             self.step_controller(node.0, ControllerInput::Tick);
         } else {
@@ -45,8 +45,8 @@
             ControllerEvent::ControllerGone(node, address) => {
                 self.step_controller(node.0, ControllerInput::ProcessGone(address));
             }
-            ControllerEvent::Durable(node, instance, job) => {
-                if self.nodes.controller(node.0).instance == instance {
+            ControllerEvent::Durable(node, incarnation, job) => {
+                if self.nodes.controller(node.0).incarnation == incarnation {
                     self.durable(node.0, &job);
                 }
             }
--- a/testing/fleet/src/sim/links.rs
+++ b/testing/fleet/src/sim/links.rs
@@ -6,9 +6,9 @@
 /// A stream between a daemon and a controller.
 pub(super) struct Link {
     pub daemon: Node,
-    pub daemon_instance: u64,
+    pub daemon_incarnation: u64,
     pub controller: Node,
-    pub controller_instance: u64,
+    pub controller_incarnation: u64,
     /// Whether it no longer carries frames, which its ends may not have noticed.
     pub is_broken: bool,
 }
--- a/testing/fleet/src/sim/network.rs
+++ b/testing/fleet/src/sim/network.rs
@@ -37,7 +37,7 @@
     /// The node.
     pub node: Node,
     /// Its incarnation.
-    pub instance: u64,
+    pub incarnation: u64,
 }
 
 /// The blocked directions and the delays of messages.
@@ -75,6 +75,6 @@
 impl Requester {
     /// The process that handles a reply to it.
     pub(crate) fn target(self) -> (Node, Option<u64>) {
-        (self.node, Some(self.instance))
+        (self.node, Some(self.incarnation))
     }
 }
--- a/testing/fleet/src/sim/nodes.rs
+++ b/testing/fleet/src/sim/nodes.rs
@@ -97,16 +97,17 @@
     }
 
     /// Whether the process of a node runs, in the given incarnation if there is one. The platform always does.
-    pub(super) fn is_alive(&self, node: Node, instance: Option<u64>) -> bool {
+    pub(super) fn is_alive(&self, node: Node, incarnation: Option<u64>) -> bool {
         if node == PLATFORM {
             return true;
         }
-        let running_instance = if node.is_controller() {
-            self.controllers[node.0].running_instance()
+        let running_incarnation = if node.is_controller() {
+            self.controllers[node.0].running_incarnation()
         } else {
-            self.daemons[node.daemon_index()].running_instance()
+            self.daemons[node.daemon_index()].running_incarnation()
         };
-        running_instance.is_some() && (instance.is_none() || instance == running_instance)
+        running_incarnation.is_some()
+            && (incarnation.is_none() || incarnation == running_incarnation)
     }
 
     /// The index of the first controller that believes to lead.
--- a/testing/fleet/src/sim/simulation.rs
+++ b/testing/fleet/src/sim/simulation.rs
@@ -132,12 +132,12 @@
             self.record.digest_event(&due);
             let event = due.event;
             let target = event.target().or_else(|| self.link_target(&event));
-            if let Some((node, instance)) = target {
+            if let Some((node, incarnation)) = target {
                 if self.frozen.contains(node, self.queue.now()) {
                     self.frozen.defer(node, event);
                     continue;
                 }
-                if !self.nodes.is_alive(node, instance) {
+                if !self.nodes.is_alive(node, incarnation) {
                     continue;
                 }
             }
@@ -198,11 +198,11 @@
             | Event::Link(LinkEvent::LinkDown(number, _)) => self
                 .links
                 .get(*number)
-                .map(|link| (link.daemon, Some(link.daemon_instance))),
+                .map(|link| (link.daemon, Some(link.daemon_incarnation))),
             Event::Link(LinkEvent::LinkUp(number, _)) => self
                 .links
                 .get(*number)
-                .map(|link| (link.controller, Some(link.controller_instance))),
+                .map(|link| (link.controller, Some(link.controller_incarnation))),
             Event::Link(LinkEvent::LinkLost(_, node)) => Some((*node, None)),
             _ => None,
         }
