--- a/testing/fleet/src/sim/daemon/holders.rs
+++ b/testing/fleet/src/sim/daemon/holders.rs
@@ -6,7 +6,9 @@
 use crate::sim::simulation::Simulation;
 use common::adapter::StartOutcome;
 use common::clock::MonotonicTime;
-use common::identity::{FencingToken, FunctionKey};
+use common::frames::RequestOutcome;
+use common::identity::{FencingToken, FunctionKey, RunnerId, Ticket, WorkerName};
+use common::spec::FunctionSpec;
 use dataplane::agent::HeldFunction;
 use dataplane::holder::{Holder, HolderOutput};
 use std::sync::Arc;
@@ -65,46 +67,13 @@
                 self.send_to_runner(index, held, ticket, runner, runner_address, attempt);
             }
             HolderOutput::End { ticket, outcome } => {
-                if let Some(holder_request) = held.holder_request(ticket) {
-                    self.checks.record_holder_outcome(
-                        held.fencing_token,
-                        &holder_request.idempotency_key,
-                        &outcome,
-                    );
-                }
-                if let Some(number) = held.remove_waiter(ticket) {
-                    self.step(
-                        index,
-                        number,
-                        AwaitedStep::Outcome,
-                        |forwarding, agent, now| forwarding.served(agent, now, outcome),
-                    );
-                }
+                self.end_held_request(index, held, ticket, outcome)
             }
             HolderOutput::Start {
                 runner,
                 worker,
                 spec,
-            } => {
-                let local_now = self.daemon_now(index);
-                let may_start = self
-                    .nodes
-                    .agent(index)
-                    .is_some_and(|agent| agent.is_serving(local_now));
-                if may_start && self.network.reaches(requester.node, PLATFORM) {
-                    let delay = self.occasionally_long_delay();
-                    self.queue.push(
-                        delay,
-                        PlatformEvent::Start(requester, function, runner, worker, spec),
-                    );
-                } else {
-                    let delay = Duration::from_millis(500);
-                    self.queue.push(
-                        delay,
-                        HolderEvent::Started(requester, function, runner, StartOutcome::Lost),
-                    );
-                }
-            }
+            } => self.request_start(index, function, runner, worker, spec),
             HolderOutput::Probe {
                 runner,
                 address: runner_address,
@@ -166,4 +135,59 @@
             | HolderOutput::Compare { .. } => {}
         }
     }
+
+    /// Returns the outcome of a request to the daemon in which it waits.
+    fn end_held_request(
+        &mut self,
+        index: usize,
+        held: &Arc<HeldFunction<u64>>,
+        ticket: Ticket,
+        outcome: RequestOutcome,
+    ) {
+        if let Some(holder_request) = held.holder_request(ticket) {
+            self.checks.record_holder_outcome(
+                held.fencing_token,
+                &holder_request.idempotency_key,
+                &outcome,
+            );
+        }
+        if let Some(number) = held.remove_waiter(ticket) {
+            self.step(
+                index,
+                number,
+                AwaitedStep::Outcome,
+                |forwarding, agent, now| forwarding.served(agent, now, outcome),
+            );
+        }
+    }
+
+    /// Requests a new runner from the platform, if the daemon serves and reaches it.
+    fn request_start(
+        &mut self,
+        index: usize,
+        function: FunctionKey,
+        runner: RunnerId,
+        worker: WorkerName,
+        spec: FunctionSpec,
+    ) {
+        let requester = self.nodes.daemon(index).requester();
+        let local_now = self.daemon_now(index);
+        let may_start = self
+            .nodes
+            .agent(index)
+            .is_some_and(|agent| agent.is_serving(local_now));
+        if may_start && self.network.reaches(requester.node, PLATFORM) {
+            let delay = self.occasionally_long_delay();
+            self.queue.push(
+                delay,
+                PlatformEvent::Start(requester, function, runner, worker, spec),
+            );
+        } else {
+            let delay = Duration::from_millis(500);
+            self.queue.push(
+                delay,
+                HolderEvent::Started(requester, function, runner, StartOutcome::Lost),
+            );
+        }
+    }
 }
--- a/testing/fleet/src/sim/runners.rs
+++ b/testing/fleet/src/sim/runners.rs
@@ -100,10 +100,7 @@
                     target_runner: target.self_reported_id,
                     call,
                 };
-                self.check_send(index, &target.instance, &run);
-                let delay = self.occasionally_long_delay();
-                self.queue
-                    .push(delay, PlatformEvent::Run(runner_address, run));
+                self.send_run(index, &target.instance, runner_address, run);
             }
             Err(reason) => {
                 let result = SendResult::Forbidden(reason);
@@ -115,6 +112,20 @@
         }
     }
 
+    /// Sends a request to the address of a runner, and checks that the daemon may.
+    fn send_run(
+        &mut self,
+        index: usize,
+        instance: &InstanceId,
+        runner_address: SocketAddress,
+        run: SimRun,
+    ) {
+        self.check_send(index, instance, &run);
+        let delay = self.occasionally_long_delay();
+        self.queue
+            .push(delay, PlatformEvent::Run(runner_address, run));
+    }
+
     /// Checks that a daemon sends to a runner under a session lease and as its only lease holder.
     fn check_send(&mut self, index: usize, instance: &InstanceId, run: &SimRun) {
         let (function, fencing_token) = (&run.function, run.fencing_token);
