--- a/testing/fleet/src/sim/calls.rs
+++ b/testing/fleet/src/sim/calls.rs
@@ -1,59 +1,41 @@
 //! Callers, and how soon they are served again after all faults are undone.
 
-use super::event::Event;
+use super::event::CallerEvent;
 use super::simulation::Simulation;
-use common::clock::MonotonicTime;
 use common::identity::IdempotencyKey;
 use dataplane::agent::FunctionRequest;
 use std::time::Duration;
 
 impl Simulation {
-    fn faults_end_at(&self) -> MonotonicTime {
-        self.started_at() + self.plan.lasts
-    }
-
-    /// Counts a call made after all faults were undone, by half second.
+    /// Counts a call made after all faults were undone, to tell when the fleet serves again.
     pub(super) fn count_late_call(&mut self, idempotency_key: &IdempotencyKey) {
         let faults_end_at = self.faults_end_at();
-        if self.now < faults_end_at {
+        if self.queue.now() < faults_end_at {
             return;
         }
-        let half_second = (self.now.since(faults_end_at).as_millis() / 500) as usize;
-        if half_second < 34 {
-            if self.shares_after_healing.len() <= half_second {
-                self.shares_after_healing.resize(half_second + 1, (0, 0));
-            }
-            self.shares_after_healing[half_second].0 += 1;
-            self.calls_after_healing
-                .insert(idempotency_key.clone(), half_second);
-        }
-    }
-
-    pub(super) fn note_answered(&mut self, idempotency_key: &IdempotencyKey) {
-        if let Some(half_second) = self.calls_after_healing.remove(idempotency_key) {
-            self.shares_after_healing[half_second].1 += 1;
-        }
+        let after = self.queue.now().since(faults_end_at);
+        self.answer_shares.record_call(after, idempotency_key);
     }
 
     /// Handles a refusal at a caller: while callers retry, it soon repeats the request through another ingress, marked
     /// as a retry.
     pub(super) fn note_refused(&mut self, request: &FunctionRequest) {
-        if self.now < self.retrying_until && self.rng.random_bool(0.7) {
+        if self.faults.are_callers_retrying(self.queue.now()) && self.rng.random_bool(0.7) {
             let wait_span = self.rng.within(Duration::ZERO, Duration::from_millis(40));
-            self.push(wait_span, Event::Repeat(request.route.clone()));
+            self.queue
+                .push(wait_span, CallerEvent::Repeat(request.route.clone()));
         }
     }
 
     fn random_ingress(&mut self) -> Option<usize> {
-        let index = self.rng.below(self.daemons.len() as u64) as usize;
-        let is_frozen = self.is_frozen(self.daemons[index].node);
-        let is_open = self.daemons[index].body.is_some() && !self.is_leaving(index);
-        (is_open && !is_frozen).then_some(index)
+        let index = self.rng.below(self.nodes.daemons().len() as u64) as usize;
+        let daemon = self.nodes.daemon(index);
+        let is_frozen = self.frozen.contains(daemon.node, self.queue.now());
+        (daemon.is_accepting() && !is_frozen).then_some(index)
     }
 
     pub(super) fn repeat_call(&mut self, route_name: &str) {
-        self.next_number += 1;
-        let idempotency_key = IdempotencyKey::from(format!("repeat-{}", self.next_number));
+        let idempotency_key = IdempotencyKey::from(format!("repeat-{}", self.numbers.next()));
         if let Some(index) = self.random_ingress() {
             self.call(
                 index,
@@ -66,8 +48,7 @@
     }
 
     pub(super) fn send_call(&mut self, route_name: &'static str) {
-        self.next_number += 1;
-        let idempotency_key = IdempotencyKey::from(format!("t{}", self.next_number));
+        let idempotency_key = IdempotencyKey::from(format!("t{}", self.numbers.next()));
         let timeout = self
             .rng
             .within(Duration::from_millis(1000), Duration::from_millis(3000));
@@ -78,8 +59,8 @@
 
     pub(super) fn send_random_call(&mut self) {
         let gap = Duration::from_secs_f64(1.0 / self.plan.rate);
-        self.push(gap, Event::Call);
-        self.next_number += 1;
+        self.queue.push(gap, CallerEvent::Call);
+        let number = self.numbers.next();
         let routes = [
             "f0", "f0", "f1", "f1", "f2", "f3", "f4", "f5", "canary", "canary",
         ];
@@ -92,13 +73,13 @@
         let Some(index) = self.random_ingress() else {
             return;
         };
-        let idempotency_key = IdempotencyKey::from(format!("t{}", self.next_number));
+        let idempotency_key = IdempotencyKey::from(format!("t{number}"));
         self.count_late_call(&idempotency_key);
         if is_duplicate {
             self.checks.mark_duplicate(&idempotency_key);
-            self.push(
+            self.queue.push(
                 duplicate_after,
-                Event::DuplicateCall(idempotency_key.clone(), route_name),
+                CallerEvent::DuplicateCall(idempotency_key.clone(), route_name),
             );
         }
         self.call(index, idempotency_key, route_name, timeout, false);
@@ -123,33 +104,13 @@
 
     /// Checks that most calls are answered in each second from 12 s after all faults were undone.
     pub(super) fn check_recovery(&mut self) {
-        let seconds_after_healing: Vec<(u64, u64)> = self
-            .shares_after_healing
-            .chunks(2)
-            .skip(12)
-            .map(|halves| {
-                halves
-                    .iter()
-                    .fold((0, 0), |sum, half| (sum.0 + half.0, sum.1 + half.1))
-            })
-            .collect();
-        for (second, (calls, answers)) in seconds_after_healing.into_iter().enumerate() {
-            self.checks
-                .check_recovered_second(self.now, 12 + second as u64, calls, answers);
+        for (second, share) in self.answer_shares.settled_seconds() {
+            self.checks.check_recovered_second(
+                self.queue.now(),
+                second,
+                share.calls,
+                share.answers,
+            );
         }
     }
-
-    /// The share of calls answered from 12 s after all faults were undone, and the time after which at least half of the
-    /// calls in each half second were answered.
-    pub(super) fn recovery_figures(&self) -> (f64, Duration) {
-        let settled = self.shares_after_healing.iter().skip(24);
-        let (calls, answers) = settled.fold((0, 0), |sum, half_second| {
-            (sum.0 + half_second.0, sum.1 + half_second.1)
-        });
-        let is_down = |half_second: &(u64, u64)| half_second.1 * 2 < half_second.0;
-        let last_down = self.shares_after_healing.iter().rposition(is_down);
-        let recovered_after =
-            Duration::from_millis(500) * last_down.map_or(0, |last| last as u32 + 1);
-        (answers as f64 / calls.max(1) as f64, recovered_after)
-    }
 }
--- a/testing/fleet/src/sim/daemon/holders.rs
+++ b/testing/fleet/src/sim/daemon/holders.rs
@@ -1,15 +1,15 @@
-//! The lease holders of a simulated daemon: their outputs, and the ledger replicas.
+//! The lease holders of a simulated daemon, and the execution of their outputs.
 
 use super::AwaitedStep;
-use crate::sim::event::Event;
+use crate::sim::event::{DaemonEvent, HolderEvent, PlatformEvent};
 use crate::sim::network::PLATFORM;
-use crate::sim::platform::Requester;
 use crate::sim::simulation::Simulation;
 use common::adapter::StartOutcome;
 use common::clock::MonotonicTime;
-use common::frames::DaemonMessage;
-use common::identity::{FencingToken, FunctionKey};
-use dataplane::agent::{HeldFunction, ReplicaRequest, ReplicaRequestKind};
+use common::frames::RequestOutcome;
+use common::identity::{FencingToken, FunctionKey, RunnerId, Ticket, WorkerName};
+use common::spec::FunctionSpec;
+use dataplane::agent::HeldFunction;
 use dataplane::holder::{Holder, HolderOutput};
 use std::sync::Arc;
 use std::time::Duration;
@@ -25,6 +25,7 @@
     ) {
         let local_now = self.daemon_now(index);
         let Some(held) = self
+            .nodes
             .agent(index)
             .and_then(|agent| agent.held_or_closing(function, fencing_token))
         else {
@@ -54,10 +55,7 @@
         held: &Arc<HeldFunction<u64>>,
         order: HolderOutput,
     ) {
-        let requester = Requester {
-            node: self.daemons[index].node,
-            instance: self.daemons[index].instance,
-        };
+        let requester = self.nodes.daemon(index).requester();
         let function = held.function.clone();
         match order {
             HolderOutput::Send {
@@ -69,45 +67,13 @@
                 self.send_to_runner(index, held, ticket, runner, runner_address, attempt);
             }
             HolderOutput::End { ticket, outcome } => {
-                if let Some(holder_request) = held.holder_request(ticket) {
-                    self.checks.record_holder_outcome(
-                        held.fencing_token,
-                        &holder_request.idempotency_key,
-                        &outcome,
-                    );
-                }
-                if let Some(number) = held.remove_waiter(ticket) {
-                    self.step(
-                        index,
-                        number,
-                        AwaitedStep::Outcome,
-                        |forwarding, agent, now| forwarding.served(agent, now, outcome),
-                    );
-                }
+                self.end_held_request(index, held, ticket, outcome)
             }
             HolderOutput::Start {
                 runner,
                 worker,
                 spec,
-            } => {
-                let local_now = self.daemon_now(index);
-                let may_start = self
-                    .agent(index)
-                    .is_some_and(|agent| agent.is_serving(local_now));
-                if may_start && self.network.reaches(requester.node, PLATFORM) {
-                    let delay = self.occasionally_long_delay();
-                    self.push(
-                        delay,
-                        Event::Start(requester, function, runner, worker, spec),
-                    );
-                } else {
-                    let delay = Duration::from_millis(500);
-                    self.push(
-                        delay,
-                        Event::Started(requester, function, runner, StartOutcome::Lost),
-                    );
-                }
-            }
+            } => self.request_start(index, function, runner, worker, spec),
             HolderOutput::Probe {
                 runner,
                 address: runner_address,
@@ -115,9 +81,14 @@
                 let is_ready = self
                     .platform
                     .at(runner_address)
-                    .is_some_and(|(there, held)| there == runner && self.now >= held.ready_at);
+                    .is_some_and(|(there, held)| {
+                        there == runner && self.queue.now() >= held.ready_at
+                    });
                 let delay = self.network.delay(&mut self.rng);
-                self.push(delay, Event::Probed(requester, function, runner, is_ready));
+                self.queue.push(
+                    delay,
+                    HolderEvent::Probed(requester, function, runner, is_ready),
+                );
             }
             HolderOutput::ListRunning {
                 runner,
@@ -130,23 +101,29 @@
                     .filter(|(there, _)| *there == self_reported_id)
                     .map(|(_, held)| held.running.keys().cloned().collect());
                 let delay = self.network.delay(&mut self.rng);
-                self.push(delay, Event::Settled(requester, function, runner, running));
+                self.queue.push(
+                    delay,
+                    HolderEvent::Settled(requester, function, runner, running),
+                );
             }
             HolderOutput::Stop {
                 runner, instance, ..
             } => {
                 if self.network.reaches(requester.node, PLATFORM) {
                     let delay = self.network.delay(&mut self.rng);
-                    self.push(delay, Event::Stop(requester, function, runner, instance));
+                    self.queue.push(
+                        delay,
+                        PlatformEvent::Stop(requester, function, runner, instance),
+                    );
                 }
             }
             HolderOutput::Report(word) => {
                 let fencing_token = held.fencing_token;
-                self.push(
+                self.queue.push(
                     Duration::from_micros(1),
-                    Event::FromHolder(
+                    DaemonEvent::FromHolder(
                         requester.node,
-                        requester.instance,
+                        requester.incarnation,
                         function,
                         fencing_token,
                         word,
@@ -159,101 +136,58 @@
         }
     }
 
-    pub(in crate::sim) fn send_replica_request(
+    /// Returns the outcome of a request to the daemon in which it waits.
+    fn end_held_request(
         &mut self,
         index: usize,
         held: &Arc<HeldFunction<u64>>,
-        replica_request: ReplicaRequest,
+        ticket: Ticket,
+        outcome: RequestOutcome,
     ) {
-        let requester = Requester {
-            node: self.daemons[index].node,
-            instance: self.daemons[index].instance,
-        };
-        let ReplicaRequest {
-            replica,
-            body,
-            request_kind,
-            timeout,
-        } = replica_request;
-        let (function, fencing_token) = (held.function.clone(), held.fencing_token);
-        self.next_number += 1;
-        let number = self.next_number;
-        self.pending_replica_requests.insert(number);
-        self.push(
-            timeout,
-            Event::ReplicaReplied(
-                requester,
-                number,
-                function.clone(),
-                fencing_token,
-                request_kind,
-                None,
-            ),
-        );
-        let Some(to_node) = self.node_at(replica.address) else {
-            return;
-        };
-        if self.network.reaches(requester.node, to_node) {
-            let delay = self.network.delay(&mut self.rng);
-            let asked = Event::ReplicaRequested(
-                to_node,
-                requester,
+        if let Some(holder_request) = held.holder_request(ticket) {
+            self.checks.record_holder_outcome(
+                held.fencing_token,
+                &holder_request.idempotency_key,
+                &outcome,
+            );
+        }
+        if let Some(number) = held.remove_waiter(ticket) {
+            self.step(
+                index,
                 number,
-                function,
-                fencing_token,
-                request_kind,
-                body,
+                AwaitedStep::Outcome,
+                |forwarding, agent, now| forwarding.served(agent, now, outcome),
             );
-            self.push(delay, asked);
         }
     }
 
-    #[allow(clippy::too_many_arguments)]
-    pub(in crate::sim) fn handle_replica_request(
+    /// Requests a new runner from the platform, if the daemon serves and reaches it.
+    fn request_start(
         &mut self,
         index: usize,
-        requester: Requester,
-        number: u64,
         function: FunctionKey,
-        fencing_token: FencingToken,
-        request_kind: ReplicaRequestKind,
-        body: DaemonMessage,
+        runner: RunnerId,
+        worker: WorkerName,
+        spec: FunctionSpec,
     ) {
+        let requester = self.nodes.daemon(index).requester();
         let local_now = self.daemon_now(index);
-        let node = self.daemons[index].node;
-        let Some(agent) = self.agent(index) else {
-            return;
-        };
-        let reply = agent.answer_replica_request(local_now, body);
-        if self.network.reaches(node, requester.node) {
-            let delay = self.network.delay(&mut self.rng);
-            self.push(
+        let may_start = self
+            .nodes
+            .agent(index)
+            .is_some_and(|agent| agent.is_serving(local_now));
+        if may_start && self.network.reaches(requester.node, PLATFORM) {
+            let delay = self.occasionally_long_delay();
+            self.queue.push(
                 delay,
-                Event::ReplicaReplied(
-                    requester,
-                    number,
-                    function,
-                    fencing_token,
-                    request_kind,
-                    reply,
-                ),
+                PlatformEvent::Start(requester, function, runner, worker, spec),
+            );
+        } else {
+            let delay = Duration::from_millis(500);
+            self.queue.push(
+                delay,
+                HolderEvent::Started(requester, function, runner, StartOutcome::Lost),
             );
-        }
-    }
-
-    pub(in crate::sim) fn handle_replica_reply(
-        &mut self,
-        index: usize,
-        number: u64,
-        function: &FunctionKey,
-        fencing_token: FencingToken,
-        request_kind: ReplicaRequestKind,
-        reply: Option<DaemonMessage>,
-    ) {
-        if self.pending_replica_requests.remove(&number) {
-            self.apply(index, function, fencing_token, |holder, now| {
-                request_kind.reply(holder, now, reply)
-            });
         }
     }
 }
--- a/testing/fleet/src/sim/daemon/mod.rs
+++ b/testing/fleet/src/sim/daemon/mod.rs
@@ -2,14 +2,18 @@
 
 mod holders;
 mod orders;
+mod replicas;
 mod requests;
 
-use crate::sim::event::Event;
-use crate::sim::network::Node;
+pub(super) use replicas::{PendingReplicaRequests, ReplicaExchange};
+
+use crate::sim::addresses::{self, zone_of_machine};
+use crate::sim::event::{DaemonEvent, Event};
+use crate::sim::network::{Node, Requester};
 use crate::sim::simulation::Simulation;
 use common::clock::MonotonicTime;
 use common::frames::{Flag, Host};
-use common::identity::{FunctionKey, IdempotencyKey, Region, Zone};
+use common::identity::{FunctionKey, IdempotencyKey, Region};
 use common::ring::Regions;
 use common::rng::SeededRng;
 use dataplane::agent::{Agent, DaemonControl, DaemonControlOutput, Forwarding, InFlightGuard};
@@ -27,7 +31,7 @@
     Caller,
     Hop {
         node: Node,
-        instance: u64,
+        incarnation: u64,
         number: u64,
     },
 }
@@ -56,7 +60,7 @@
     /// Its node.
     pub node: Node,
     /// The number of its incarnation.
-    pub instance: u64,
+    pub incarnation: u64,
     /// By how much its machine's clock is ahead of virtual time.
     pub clock_ahead: Duration,
     /// How many thousandths its machine's clock runs fast, or slow if negative.
@@ -88,20 +92,61 @@
     Duration::from_nanos(nanos as u64) + Duration::from_micros(1)
 }
 
-impl Simulation {
-    pub(in crate::sim) fn daemon_now(&self, index: usize) -> MonotonicTime {
-        let daemon = &self.daemons[index];
-        local_time(self.now, daemon.clock_ahead, daemon.clock_drift)
+impl SimDaemon {
+    /// The time on its machine's clock.
+    pub(in crate::sim) fn local_time(&self, now: MonotonicTime) -> MonotonicTime {
+        local_time(now, self.clock_ahead, self.clock_drift)
+    }
+
+    /// Its agent, while its process runs.
+    pub(in crate::sim) fn agent(&self) -> Option<Arc<Agent<u64>>> {
+        self.body.as_ref().map(|body| body.agent.clone())
+    }
+
+    /// Its incarnation, while its process runs.
+    pub(in crate::sim) fn running_incarnation(&self) -> Option<u64> {
+        self.body.is_some().then_some(self.incarnation)
     }
 
-    pub(in crate::sim) fn zone(number: usize) -> Zone {
-        format!("locality-{}", number % 3 + 1).into()
+    /// Whether its process runs and is not stopping.
+    pub(in crate::sim) fn is_accepting(&self) -> bool {
+        self.body
+            .as_ref()
+            .is_some_and(|body| body.stop_deadline.is_none())
+    }
+
+    /// Whether its process runs under a session lease.
+    pub(in crate::sim) fn is_serving(&self, now: MonotonicTime) -> bool {
+        let local_now = self.local_time(now);
+        let body = self.body.as_ref();
+        body.is_some_and(|body| local_now < body.agent.session_lease_end())
     }
 
+    /// Whether its process uses this link.
+    pub(in crate::sim) fn is_current_link(&self, link: u64) -> bool {
+        self.body
+            .as_ref()
+            .is_some_and(|body| body.link == Some(link))
+    }
+
+    /// Its current process as the sender of a request.
+    pub(in crate::sim) fn requester(&self) -> Requester {
+        Requester {
+            node: self.node,
+            incarnation: self.incarnation,
+        }
+    }
+}
+
+impl Simulation {
     /// The region of a zone, if the day has regions: the first two zones belong to one and the third to another.
     fn regions(&self) -> Regions {
-        let zones =
-            (0..3).map(|number| (Self::zone(number), if number < 2 { "east" } else { "west" }));
+        let zones = (0..3).map(|number| {
+            (
+                zone_of_machine(number),
+                if number < 2 { "east" } else { "west" },
+            )
+        });
         let named = zones.filter(|_| self.plan.regional);
         Regions::new(
             named
@@ -110,13 +155,6 @@
         )
     }
 
-    pub(in crate::sim) fn agent(&self, index: usize) -> Option<Arc<Agent<u64>>> {
-        self.daemons[index]
-            .body
-            .as_ref()
-            .map(|body| body.agent.clone())
-    }
-
     pub(in crate::sim) fn schedule_wake(
         &mut self,
         index: usize,
@@ -124,28 +162,31 @@
         number: u64,
     ) {
         let span = local_at.since(self.daemon_now(index));
-        let delay = virtual_span(span, self.daemons[index].clock_drift);
-        let (node, instance) = (self.daemons[index].node, self.daemons[index].instance);
-        let Some(body) = &mut self.daemons[index].body else {
+        let delay = virtual_span(span, self.nodes.daemon(index).clock_drift);
+        let (node, incarnation) = (
+            self.nodes.daemon(index).node,
+            self.nodes.daemon(index).incarnation,
+        );
+        let Some(body) = &mut self.nodes.daemon_mut(index).body else {
             return;
         };
         let Some(pending) = body.pending_requests.get_mut(&number) else {
             return;
         };
         pending.wakes += 1;
-        let wake = Event::Lookup(node, instance, number, pending.wakes);
-        self.push(delay, wake);
+        let wake = DaemonEvent::Lookup(node, incarnation, number, pending.wakes);
+        self.queue.push(delay, wake);
     }
 
     /// Starts a daemon in a new incarnation.
     pub(in crate::sim) fn start_daemon(&mut self, index: usize) {
         let local_now = self.daemon_now(index);
         let seed = self.rng.number();
-        let own_address = self.daemon_address(index);
+        let own_address = addresses::daemon_address(index);
         let host = Host {
             member: format!("daemon-{index}").into(),
             incarnation: (self.rng.number() | 1).into(),
-            zone: Self::zone(index),
+            zone: zone_of_machine(index),
             address: own_address,
             eligible: Flag(true),
             link_mbps: 0,
@@ -159,7 +200,7 @@
             &agent,
             ControlSessionTiming::builder().build(),
             own_address,
-            self.seeds(),
+            addresses::seeds(),
             SeededRng::seeded(seed),
         );
         let controller = if self.plan.keeps_warm_functions {
@@ -167,8 +208,8 @@
         } else {
             controller
         };
-        let daemon = &mut self.daemons[index];
-        daemon.instance += 1;
+        let daemon = self.nodes.daemon_mut(index);
+        daemon.incarnation += 1;
         daemon.body = Some(Box::new(DaemonProcess {
             agent,
             controller,
@@ -178,22 +219,27 @@
             stop_deadline: None,
             is_disturbed: false,
         }));
-        let tick = Event::Tick(self.daemons[index].node, self.daemons[index].instance);
-        self.push(Duration::from_millis(1), tick);
+        let tick = Event::Tick(
+            self.nodes.daemon(index).node,
+            self.nodes.daemon(index).incarnation,
+        );
+        self.queue.push(Duration::from_millis(1), tick);
     }
 
     /// Kills a daemon; its callers get no response.
     pub(in crate::sim) fn kill_daemon(&mut self, index: usize) {
-        self.daemons[index].body = None;
-        self.daemons[index].instance += 1;
-        self.close_links(self.daemons[index].node);
+        self.nodes.daemon_mut(index).body = None;
+        self.nodes.daemon_mut(index).incarnation += 1;
+        self.close_links(self.nodes.daemon(index).node);
     }
 
     /// Begins the graceful stop of a daemon.
     pub(in crate::sim) fn begin_orderly_stop(&mut self, index: usize) {
         let local_now = self.daemon_now(index);
-        let is_frozen = self.is_frozen(self.daemons[index].node);
-        let Some(body) = &mut self.daemons[index].body else {
+        let is_frozen = self
+            .frozen
+            .contains(self.nodes.daemon(index).node, self.queue.now());
+        let Some(body) = &mut self.nodes.daemon_mut(index).body else {
             return;
         };
         if body.stop_deadline.is_some() {
@@ -204,17 +250,10 @@
         self.with_controller(index, |controller, agent, now| controller.leave(agent, now));
     }
 
-    pub(in crate::sim) fn is_leaving(&self, index: usize) -> bool {
-        self.daemons[index]
-            .body
-            .as_ref()
-            .is_some_and(|body| body.stop_deadline.is_some())
-    }
-
     /// Ends a stopping daemon when no requests are left, or when its grace period is over.
     pub(in crate::sim) fn finish_stop_if_due(&mut self, index: usize) {
         let local_now = self.daemon_now(index);
-        let Some(body) = &self.daemons[index].body else {
+        let Some(body) = &self.nodes.daemon(index).body else {
             return;
         };
         let Some(stop_deadline) = body.stop_deadline else {
@@ -229,33 +268,31 @@
             .map(|pending| pending.forwarding.request().idempotency_key.clone())
             .collect();
         if !body.is_disturbed {
-            self.checks.check_orderly_stop(self.now, index, &in_flight);
+            self.checks
+                .check_orderly_stop(self.queue.now(), index, &in_flight);
         }
         self.with_controller(index, |controller, agent, _| controller.departed(agent));
-        let node = self.daemons[index].node;
-        let instance = self.daemons[index].instance;
-        if let Some(body) = &mut self.daemons[index].body {
+        let node = self.nodes.daemon(index).node;
+        let incarnation = self.nodes.daemon(index).incarnation;
+        if let Some(body) = &mut self.nodes.daemon_mut(index).body {
             body.stop_deadline = Some(MonotonicTime(u64::MAX));
         }
-        self.push(
+        self.queue.push(
             Duration::from_millis(60),
-            Event::ProcessGone(node, instance),
+            DaemonEvent::ProcessGone(node, incarnation),
         );
     }
 
-    pub(in crate::sim) fn is_daemon_serving(&self, index: usize) -> bool {
-        let local_now = self.daemon_now(index);
-        let body = self.daemons[index].body.as_ref();
-        body.is_some_and(|body| local_now < body.agent.session_lease_end())
-    }
-
     pub(in crate::sim) fn tick_daemon(&mut self, index: usize) {
         self.with_controller(index, |controller, agent, now| controller.tick(agent, now));
-        if let Some(agent) = self.agent(index)
+        if let Some(agent) = self.nodes.agent(index)
             && self.is_daemon_serving(index)
         {
-            self.checks
-                .check_served_version(self.now, index, agent.routing_table().version());
+            self.checks.check_served_version(
+                self.queue.now(),
+                index,
+                agent.routing_table().version(),
+            );
         }
         self.finish_stop_if_due(index);
     }
@@ -270,7 +307,7 @@
         ) -> Vec<DaemonControlOutput<u64>>,
     ) {
         let local_now = self.daemon_now(index);
-        let Some(body) = &mut self.daemons[index].body else {
+        let Some(body) = &mut self.nodes.daemon_mut(index).body else {
             return;
         };
         let agent = body.agent.clone();
@@ -286,14 +323,14 @@
         heartbeat: &common::frames::Heartbeat,
     ) {
         let local_now = self.daemon_now(index);
-        if let Some(body) = &mut self.daemons[index].body {
+        if let Some(body) = &mut self.nodes.daemon_mut(index).body {
             body.controller.heartbeat(local_now, heartbeat);
         }
     }
 
     pub(in crate::sim) fn link_lost(&mut self, index: usize, link: u64) {
-        if self.is_current_link(index, link) {
-            if let Some(body) = &mut self.daemons[index].body {
+        if self.nodes.daemon(index).is_current_link(link) {
+            if let Some(body) = &mut self.nodes.daemon_mut(index).body {
                 body.link = None;
             }
             self.with_controller(index, |controller, agent, now| {
@@ -301,11 +338,4 @@
             });
         }
     }
-
-    pub(in crate::sim) fn is_current_link(&self, index: usize, link: u64) -> bool {
-        self.daemons[index]
-            .body
-            .as_ref()
-            .is_some_and(|body| body.link == Some(link))
-    }
 }
--- a/testing/fleet/src/sim/daemon/orders.rs
+++ b/testing/fleet/src/sim/daemon/orders.rs
@@ -1,7 +1,7 @@
 //! Executes the outputs of a simulated daemon, and checks the messages that it receives.
 
 use super::AwaitedStep;
-use crate::sim::event::Event;
+use crate::sim::event::{DaemonEvent, LinkEvent};
 use crate::sim::network::Node;
 use crate::sim::simulation::Simulation;
 use common::frames::{AcquireResult, DaemonToLeader};
@@ -14,17 +14,19 @@
         index: usize,
         order: DaemonControlOutput<u64>,
     ) {
-        let node = self.daemons[index].node;
-        let instance = self.daemons[index].instance;
+        let node = self.nodes.daemon(index).node;
+        let incarnation = self.nodes.daemon(index).incarnation;
         match order {
             DaemonControlOutput::Dial(to) => {
-                let link = self.dial(node, instance, to);
-                if let Some(body) = &mut self.daemons[index].body {
+                let link = self.dial(node, incarnation, to);
+                if let Some(body) = &mut self.nodes.daemon_mut(index).body {
                     body.link = Some(link);
                 }
             }
             DaemonControlOutput::Hangup => {
-                let link = self.daemons[index]
+                let link = self
+                    .nodes
+                    .daemon_mut(index)
                     .body
                     .as_mut()
                     .and_then(|body| body.link.take());
@@ -35,15 +37,18 @@
             DaemonControlOutput::SendFrame(frame) => self.send_up(index, frame),
             DaemonControlOutput::HeartbeatDatagram(heartbeat, to_addresses) => {
                 for to in to_addresses {
-                    let Some(to_node) = self.node_at(to) else {
+                    let Some(to_node) = self.nodes.node_at(to) else {
                         continue;
                     };
-                    self.count_event("heartbeats");
+                    self.record.count_event("heartbeats");
                     let copies = if self.rng.random_bool(0.01) { 2 } else { 1 };
                     for _ in 0..copies {
                         if self.network.reaches(node, to_node) && !self.rng.random_bool(0.01) {
                             let delay = self.network.delay(&mut self.rng);
-                            self.push(delay, Event::HeartbeatDatagram(to_node, heartbeat.clone()));
+                            self.queue.push(
+                                delay,
+                                DaemonEvent::HeartbeatDatagram(to_node, heartbeat.clone()),
+                            );
                         }
                     }
                 }
@@ -56,7 +61,7 @@
                 self.acquired(index, &function, result);
             }
             DaemonControlOutput::AcquiresLost => {
-                let Some(body) = &mut self.daemons[index].body else {
+                let Some(body) = &mut self.nodes.daemon_mut(index).body else {
                     return;
                 };
                 let waiting = std::mem::take(&mut body.acquires);
@@ -70,23 +75,22 @@
                 if event == common::events::LEASE_GRANTED {
                     self.check_granted(index);
                 }
-                if self.is_tracing {
-                    let line = format!("{} daemon {index} {event} {detail}", self.now);
-                    self.trace.push(line);
-                }
+                self.record.trace(self.queue.now(), || {
+                    format!("daemon {index} {event} {detail}")
+                });
             }
-            DaemonControlOutput::LeaseEnded => self.count_event("grants ended"),
+            DaemonControlOutput::LeaseEnded => self.record.count_event("grants ended"),
         }
     }
 
     pub(in crate::sim) fn check_install(&mut self, index: usize, version: Version) {
-        let instance = self.daemons[index].instance;
+        let incarnation = self.nodes.daemon(index).incarnation;
         self.checks
-            .check_installed(self.now, index, instance, version);
+            .check_installed(self.queue.now(), index, incarnation, version);
     }
 
     pub(in crate::sim) fn count_acquired(&mut self, result: Option<&AcquireResult>) {
-        self.count_event(match result {
+        self.record.count_event(match result {
             Some(AcquireResult::Granted { .. }) => "acquired: granted",
             Some(AcquireResult::Owner { .. }) => "acquired: owner",
             Some(AcquireResult::RetryLater { .. }) => "acquired: later",
@@ -96,32 +100,37 @@
     }
 
     pub(in crate::sim) fn send_up(&mut self, index: usize, frame: DaemonToLeader) {
-        let Some(body) = &self.daemons[index].body else {
+        let Some(body) = &self.nodes.daemon(index).body else {
             return;
         };
         let Some(link) = body.link else { return };
-        let from = self.daemons[index].node;
-        let Some(to) = self.links.get(&link).map(|link| link.controller) else {
+        let from = self.nodes.daemon(index).node;
+        let Some(to) = self.links.get(link).map(|link| link.controller) else {
             return;
         };
         if !self.network.reaches(from, to) {
             self.break_silently(link);
             return;
         }
-        self.count_event("frames up");
+        self.record.count_event("frames up");
         if matches!(frame, DaemonToLeader::Acquire { .. }) {
-            self.count_event("acquisitions");
+            self.record.count_event("acquisitions");
         }
         let delay = self.network.delay(&mut self.rng);
         let key = (Node(1_000_000 + link as usize), to);
-        self.push_in_order(key, delay, Event::LinkUp(link, frame));
+        self.queue
+            .push_in_order(key, delay, LinkEvent::LinkUp(link, frame));
     }
 
     /// Checks that each runner instance is used by at most one running lease holder.
     pub(in crate::sim) fn check_instance_owners(&mut self) {
         let mut held_instances = Vec::new();
-        for index in 0..self.daemons.len() {
-            let Some(agent) = self.agent(index).filter(|_| self.is_daemon_serving(index)) else {
+        for index in 0..self.nodes.daemons().len() {
+            let Some(agent) = self
+                .nodes
+                .agent(index)
+                .filter(|_| self.is_daemon_serving(index))
+            else {
                 continue;
             };
             for held in agent.held_functions().values() {
@@ -142,7 +151,7 @@
         let listed = held_instances
             .iter()
             .map(|(index, fencing_token, instance)| (*index, *fencing_token, instance));
-        self.checks.check_owners(self.now, listed);
+        self.checks.check_owners(self.queue.now(), listed);
     }
 
     /// Whether a daemon serves a function under this lease.
@@ -153,6 +162,7 @@
         fencing_token: FencingToken,
     ) -> bool {
         let held = self
+            .nodes
             .agent(index)
             .and_then(|agent| agent.held(function, fencing_token));
         self.is_daemon_serving(index)
@@ -161,7 +171,7 @@
 
     /// Checks a new function lease: no other daemon may serve the function, and all its running runners are taken over.
     pub(in crate::sim) fn check_granted(&mut self, index: usize) {
-        let Some(agent) = self.agent(index) else {
+        let Some(agent) = self.nodes.agent(index) else {
             return;
         };
         let held_functions = agent.held_functions();
@@ -172,18 +182,17 @@
             let adopted = held.with(|holder| holder.instances());
             let alive = self
                 .platform
-                .runners
-                .values()
-                .map(|runner| (&runner.function, &runner.instance));
+                .running()
+                .map(|(_, runner)| (&runner.function, &runner.instance));
             self.checks.check_granted_lease(
-                self.now,
+                self.queue.now(),
                 &held.function,
                 held.fencing_token,
                 &adopted,
                 alive,
             );
-            for other in (0..self.daemons.len()).filter(|other| *other != index) {
-                let is_held = self.agent(other).is_some_and(|other_agent| {
+            for other in (0..self.nodes.daemons().len()).filter(|other| *other != index) {
+                let is_held = self.nodes.agent(other).is_some_and(|other_agent| {
                     other_agent
                         .held_function(&held.function)
                         .is_some_and(|held| held.with(|holder| holder.is_claimable()))
@@ -192,7 +201,7 @@
                     let function = &held.function;
                     let what =
                         format!("daemon {index} is granted {function}, which daemon {other} holds");
-                    self.checks.report_violation(self.now, what);
+                    self.checks.report_violation(self.queue.now(), what);
                 }
             }
         }
@@ -204,7 +213,7 @@
         function: &FunctionKey,
         result: Option<AcquireResult>,
     ) {
-        let Some(body) = &mut self.daemons[index].body else {
+        let Some(body) = &mut self.nodes.daemon_mut(index).body else {
             return;
         };
         for number in body.acquires.remove(function).unwrap_or_default() {
--- a/testing/fleet/src/sim/daemon/requests.rs
+++ b/testing/fleet/src/sim/daemon/requests.rs
@@ -1,7 +1,7 @@
 //! Requests in simulated daemons: from the call to the response to the caller.
 
 use super::{AwaitedStep, PendingRequest, ReplyTarget, virtual_span};
-use crate::sim::event::Event;
+use crate::sim::event::DaemonEvent;
 use crate::sim::simulation::Simulation;
 use common::clock::MonotonicTime;
 use common::frames::{DaemonMessage, Host, RequestOutcome, RequestPayload};
@@ -33,7 +33,7 @@
         repeat: bool,
     ) {
         let local_now = self.daemon_now(index);
-        let Some(agent) = self.agent(index) else {
+        let Some(agent) = self.nodes.agent(index) else {
             return;
         };
         let table = agent.routing_table_snapshot();
@@ -41,13 +41,14 @@
             .route_named(route_name)
             .filter(|_| agent.is_serving(local_now) && !agent.is_leaving());
         let Some(route) = route else {
-            self.checks.check_not_run(self.now, &idempotency_key);
-            self.count_event("not_run");
+            self.checks
+                .check_not_run(self.queue.now(), &idempotency_key);
+            self.record.count_event("not_run");
             return;
         };
         let function = table.function(route.function).key.clone();
         self.checks.record_call(
-            self.now,
+            self.queue.now(),
             &function,
             &idempotency_key,
             route_name,
@@ -91,9 +92,8 @@
         reply_target: ReplyTarget,
     ) {
         let local_now = self.daemon_now(index);
-        self.next_number += 1;
-        let number = self.next_number;
-        let Some(body) = &mut self.daemons[index].body else {
+        let number = self.numbers.next();
+        let Some(body) = &mut self.nodes.daemon_mut(index).body else {
             return;
         };
         let in_flight = body.agent.track_in_flight();
@@ -113,7 +113,7 @@
 
     /// Handles the timeout of a wait, unless the request has advanced since.
     pub(in crate::sim) fn wake(&mut self, index: usize, number: u64, wake: u64) {
-        let is_due = self.daemons[index].body.as_ref().is_some_and(|body| {
+        let is_due = self.nodes.daemon(index).body.as_ref().is_some_and(|body| {
             body.pending_requests
                 .get(&number)
                 .is_some_and(|pending| pending.wakes == wake)
@@ -144,9 +144,9 @@
     }
 
     pub(in crate::sim) fn look_up_all(&mut self, index: usize) {
-        let node = self.daemons[index].node;
-        let instance = self.daemons[index].instance;
-        let Some(body) = &self.daemons[index].body else {
+        let node = self.nodes.daemon(index).node;
+        let incarnation = self.nodes.daemon(index).incarnation;
+        let Some(body) = &self.nodes.daemon(index).body else {
             return;
         };
         let waiting_lookups: Vec<u64> = body
@@ -157,22 +157,22 @@
             .collect();
         self.end_forwards_to_departed(index);
         for number in waiting_lookups {
-            let Some(body) = &mut self.daemons[index].body else {
+            let Some(body) = &mut self.nodes.daemon_mut(index).body else {
                 return;
             };
             let Some(pending) = body.pending_requests.get_mut(&number) else {
                 continue;
             };
             pending.wakes += 1;
-            let wake = Event::Lookup(node, instance, number, pending.wakes);
-            self.push(Duration::from_micros(2), wake);
+            let wake = DaemonEvent::Lookup(node, incarnation, number, pending.wakes);
+            self.queue.push(Duration::from_micros(2), wake);
         }
     }
 
     /// Stops waiting for daemons that no longer count as alive. The request gets a new number, so that a late reply is
     /// ignored.
     pub(in crate::sim) fn end_forwards_to_departed(&mut self, index: usize) {
-        let Some(body) = &mut self.daemons[index].body else {
+        let Some(body) = &mut self.nodes.daemon_mut(index).body else {
             return;
         };
         let hosts = body.agent.live_hosts();
@@ -190,16 +190,15 @@
             .map(|(number, _)| *number)
             .collect();
         for number in lost {
-            self.next_number += 1;
-            let new_number = self.next_number;
-            let Some(body) = &mut self.daemons[index].body else {
+            let new_number = self.numbers.next();
+            let Some(body) = &mut self.nodes.daemon_mut(index).body else {
                 return;
             };
             let Some(pending) = body.pending_requests.remove(&number) else {
                 continue;
             };
             body.pending_requests.insert(new_number, pending);
-            self.count_event("passes to the gone");
+            self.record.count_event("passes to the gone");
             self.forwarded(index, new_number, ForwardResult::Lost);
         }
     }
@@ -212,7 +211,7 @@
         change: impl FnOnce(&mut Forwarding, &Agent<u64>, MonotonicTime) -> ForwardingStep<u64>,
     ) {
         let local_now = self.daemon_now(index);
-        let Some(body) = &mut self.daemons[index].body else {
+        let Some(body) = &mut self.nodes.daemon_mut(index).body else {
             return;
         };
         let Some(pending) = body.pending_requests.get_mut(&number) else {
@@ -234,7 +233,7 @@
         };
         if function != function_before && is_first {
             self.checks
-                .move_first_try(self.now, &function_before, &function);
+                .move_first_try(self.queue.now(), &function_before, &function);
         }
         match next_step {
             ForwardingStep::Serve(held, holder_request) => {
@@ -262,7 +261,7 @@
         holder_request: HolderRequest,
     ) {
         let local_now = self.daemon_now(index);
-        let Some(agent) = self.agent(index) else {
+        let Some(agent) = self.nodes.agent(index) else {
             return;
         };
         let idempotency_key = holder_request.idempotency_key.clone();
@@ -283,12 +282,15 @@
     }
 
     pub(in crate::sim) fn acquire(&mut self, index: usize, number: u64, wait_until: MonotonicTime) {
-        let node = self.daemons[index].node;
-        let instance = self.daemons[index].instance;
+        let node = self.nodes.daemon(index).node;
+        let incarnation = self.nodes.daemon(index).incarnation;
         let span = wait_until.since(self.daemon_now(index));
-        let delay = virtual_span(span, self.daemons[index].clock_drift);
-        self.push(delay, Event::AcquireTimedOut(node, instance, number));
-        let Some(body) = &mut self.daemons[index].body else {
+        let delay = virtual_span(span, self.nodes.daemon(index).clock_drift);
+        self.queue.push(
+            delay,
+            DaemonEvent::AcquireTimedOut(node, incarnation, number),
+        );
+        let Some(body) = &mut self.nodes.daemon_mut(index).body else {
             return;
         };
         let function = body.pending_requests[&number]
@@ -313,19 +315,19 @@
         body: DaemonMessage,
         wait_until: MonotonicTime,
     ) {
-        let node = self.daemons[index].node;
-        let instance = self.daemons[index].instance;
+        let node = self.nodes.daemon(index).node;
+        let incarnation = self.nodes.daemon(index).incarnation;
         let wait_span = wait_until.since(self.daemon_now(index));
-        let wait_span = virtual_span(wait_span, self.daemons[index].clock_drift);
-        let Some(to_node) = self.node_at(host.address) else {
+        let wait_span = virtual_span(wait_span, self.nodes.daemon(index).clock_drift);
+        let Some(to_node) = self.nodes.node_at(host.address) else {
             return;
         };
-        let is_dead = self.daemons[to_node.daemon_index()].body.is_none();
+        let is_dead = self.nodes.daemon(to_node.daemon_index()).body.is_none();
         let delay = self.network.delay(&mut self.rng);
         if is_dead {
-            self.push(
+            self.queue.push(
                 delay,
-                Event::Forwarded(node, instance, number, ForwardResult::Unsent, 0),
+                DaemonEvent::Forwarded(node, incarnation, number, ForwardResult::Unsent, 0),
             );
             return;
         }
@@ -336,23 +338,26 @@
             } else {
                 (ForwardResult::Unsent, Duration::from_millis(400))
             };
-            self.push(
+            self.queue.push(
                 failed_after,
-                Event::Forwarded(node, instance, number, end, 0),
+                DaemonEvent::Forwarded(node, incarnation, number, end, 0),
             );
             return;
         }
-        self.push(
+        self.queue.push(
             wait_span,
-            Event::Forwarded(node, instance, number, ForwardResult::Lost, 0),
+            DaemonEvent::Forwarded(node, incarnation, number, ForwardResult::Lost, 0),
         );
         let reply_target = ReplyTarget::Hop {
             node,
-            instance,
+            incarnation,
             number,
         };
-        let to_instance = self.daemons[to_node.daemon_index()].instance;
-        self.push(delay, Event::Hop(to_node, to_instance, reply_target, body));
+        let to_incarnation = self.nodes.daemon(to_node.daemon_index()).incarnation;
+        self.queue.push(
+            delay,
+            DaemonEvent::Hop(to_node, to_incarnation, reply_target, body),
+        );
     }
 
     /// Handles the reply, or its absence, of the daemon to which a request was forwarded.
@@ -363,7 +368,7 @@
         end: ForwardResult,
         regional_tenths: u8,
     ) {
-        let body = self.daemons[index].body.as_mut();
+        let body = self.nodes.daemon_mut(index).body.as_mut();
         if let Some(pending) = body.and_then(|body| body.pending_requests.get_mut(&number)) {
             pending.regional_tenths = regional_tenths;
         }
@@ -386,8 +391,8 @@
         outcome: RequestOutcome,
         holder: Option<Host>,
     ) {
-        let node = self.daemons[index].node;
-        let Some(body) = &mut self.daemons[index].body else {
+        let node = self.nodes.daemon(index).node;
+        let Some(body) = &mut self.nodes.daemon_mut(index).body else {
             return;
         };
         let Some(pending) = body.pending_requests.remove(&number) else {
@@ -406,15 +411,21 @@
             }
             ReplyTarget::Hop {
                 node: reply_node,
-                instance,
+                incarnation,
                 number,
             } => {
                 if self.network.reaches(node, reply_node) {
                     let delay = self.network.delay(&mut self.rng);
                     let end = ForwardResult::Completed(outcome, holder);
-                    self.push(
+                    self.queue.push(
                         delay,
-                        Event::Forwarded(reply_node, instance, number, end, regional_tenths),
+                        DaemonEvent::Forwarded(
+                            reply_node,
+                            incarnation,
+                            number,
+                            end,
+                            regional_tenths,
+                        ),
                     );
                 }
             }
@@ -426,7 +437,7 @@
     fn regional_hint(&self, index: usize, pending: &PendingRequest) -> u8 {
         let request = pending.forwarding.request();
         let local_now = self.daemon_now(index);
-        let agent = self.agent(index);
+        let agent = self.nodes.agent(index);
         let own_word = agent.map_or(0, |agent| {
             agent.regional_hint(local_now, &request.function, &request.region)
         });
@@ -446,15 +457,15 @@
         regional_tenths: u8,
     ) {
         let local_now = self.daemon_now(index);
-        let Some(agent) = self.agent(index) else {
+        let Some(agent) = self.nodes.agent(index) else {
             return;
         };
         if request.function.is_regional() {
-            self.count_event("served under a region's key");
+            self.record.count_event("served under a region's key");
         }
         let is_answer = matches!(outcome, RequestOutcome::Response { .. });
         if is_answer && agent.handle_regional_hint(local_now, &request.function, regional_tenths) {
-            self.count_event("regional keys heard of");
+            self.record.count_event("regional keys heard of");
             self.with_controller(index, |controller, _, now| {
                 controller.recheck_warm_functions(now);
                 Vec::new()
@@ -473,29 +484,29 @@
                 seal, runner, body, ..
             } => {
                 self.checks.check_answer(
-                    self.now,
+                    self.queue.now(),
                     idempotency_key,
                     &request.function,
                     *runner,
                     &seal.0,
                     body,
                 );
-                self.count_event("answer");
-                self.note_answered(idempotency_key);
+                self.record.count_event("answer");
+                self.answer_shares.record_answer(idempotency_key);
             }
             RequestOutcome::NotRun {
                 reason,
                 retry_after_ms,
             } => {
-                self.checks.check_not_run(self.now, idempotency_key);
-                self.count_event(reason.as_str());
+                self.checks.check_not_run(self.queue.now(), idempotency_key);
+                self.record.count_event(reason.as_str());
                 if *retry_after_ms == 0 {
                     let what = format!("{idempotency_key} is refused without a time to come back");
-                    self.checks.report_violation(self.now, what);
+                    self.checks.report_violation(self.queue.now(), what);
                 }
                 self.note_refused(request);
             }
-            RequestOutcome::Unknown { .. } => self.count_event("unknown"),
+            RequestOutcome::Unknown { .. } => self.record.count_event("unknown"),
         }
     }
 }
--- a/testing/fleet/src/sim/faults.rs
+++ b/testing/fleet/src/sim/faults.rs
@@ -1,6 +1,7 @@
 //! Random faults: their kinds, injection and end.
 
-use super::event::Event;
+use super::addresses::zone_of_machine;
+use super::event::{FaultEvent, OperatorEvent, PlatformEvent};
 use super::network::{Node, PLATFORM};
 use super::simulation::Simulation;
 use common::identity::RunnerId;
@@ -172,17 +173,17 @@
 
 impl Simulation {
     fn random_controller_index(&mut self) -> usize {
-        self.rng.below(self.controllers.len() as u64) as usize
+        self.rng.below(self.nodes.controllers().len() as u64) as usize
     }
 
     fn random_daemon(&mut self) -> usize {
-        self.rng.below(self.daemons.len() as u64) as usize
+        self.rng.below(self.nodes.daemons().len() as u64) as usize
     }
 
     fn random_node(&mut self) -> Node {
-        let count = self.controllers.len() + self.daemons.len();
+        let count = self.nodes.controllers().len() + self.nodes.daemons().len();
         let index = self.rng.below(count as u64) as usize;
-        match index.checked_sub(self.controllers.len()) {
+        match index.checked_sub(self.nodes.controllers().len()) {
             Some(daemon) => Node::of_daemon(daemon),
             None => Node(index),
         }
@@ -190,25 +191,16 @@
 
     /// Draws some daemons, at least one and not all.
     fn random_group(&mut self) -> Vec<usize> {
-        let count = 1 + self.rng.below(self.daemons.len() as u64 - 1) as usize;
+        let count = 1 + self.rng.below(self.nodes.daemons().len() as u64 - 1) as usize;
         let first = self.random_daemon();
         (0..count)
-            .map(|step| (first + step) % self.daemons.len())
+            .map(|step| (first + step) % self.nodes.daemons().len())
             .collect()
     }
 
-    pub(super) fn leading_controller(&self) -> Option<usize> {
-        self.controllers.iter().position(|controller| {
-            controller
-                .controller_state
-                .as_ref()
-                .is_some_and(|controller_state| controller_state.consensus().is_leader())
-        })
-    }
-
     pub(super) fn schedule_fault(&mut self) {
         let wait_span = self.rng.within(Duration::from_millis(300), self.plan.gap);
-        self.push(wait_span, Event::Fault);
+        self.queue.push(wait_span, FaultEvent::RandomFault);
     }
 
     /// Injects a random fault of those that the plan allows; each is undone some time later.
@@ -220,8 +212,9 @@
         let own_count = self.plan.focus.len() as u64;
         let own = (own_count > 0).then(|| self.rng.below(own_count) as usize);
         let fault = own.map_or(SimFault::ALL[chosen], |own| self.plan.focus[own]);
-        self.trace_line(|now| format!("{now} fault {fault} for {lasts:?}"));
-        self.count_event(&format!("fault {fault}"));
+        self.record
+            .trace(self.queue.now(), || format!("fault {fault} for {lasts:?}"));
+        self.record.count_event(&format!("fault {fault}"));
         self.inject(fault, lasts);
     }
 
@@ -229,26 +222,16 @@
         match fault {
             SimFault::KillController => drop(self.kill_random_controller(lasts)),
             SimFault::KillLeader => self.kill_leader(lasts),
-            SimFault::KillDaemon => {
-                let index = self.random_daemon();
-                self.lose_daemon(index, lasts);
-            }
+            SimFault::KillDaemon => self.kill_random_daemon(lasts),
             SimFault::KillGroup => self.kill_group(lasts),
             SimFault::KillQuorum => self.kill_quorum(lasts),
             SimFault::RestartAll => self.kill_all(lasts),
             SimFault::LoseZone => self.lose_zone(lasts),
             SimFault::LoseDisk => drop(self.lose_random_disk(lasts)),
-            SimFault::ReplaceVoter => {
-                if let Some(index) = self.lose_random_disk(lasts) {
-                    self.move_controller(index);
-                }
-            }
+            SimFault::ReplaceVoter => self.replace_random_voter(lasts),
             SimFault::DamageDisk => self.damage_random_disk(lasts),
             SimFault::KillGroupAndDisk => self.kill_group_and_disk(lasts),
-            SimFault::Freeze => {
-                let node = self.random_node();
-                self.freeze(node, lasts);
-            }
+            SimFault::Freeze => self.freeze_random_node(lasts),
             SimFault::FreezeHolder => self.freeze_holder(lasts),
             SimFault::FreezeGroup => self.freeze_group(lasts),
             SimFault::FreezeLeader => self.freeze_leader(lasts),
@@ -256,39 +239,65 @@
             SimFault::BlockOneDirection => self.block_one_direction(lasts),
             SimFault::Partition => self.partition_fleet(lasts),
             SimFault::PartitionQuorum => self.partition_quorum(lasts),
-            SimFault::StallDisk => {
-                let index = self.random_controller_index();
-                self.controllers[index].disk.stalled_until = self.now + lasts;
-            }
-            SimFault::FailDisk => {
-                let index = self.random_controller_index();
-                self.controllers[index].disk.failing_until = self.now + lasts;
-            }
+            SimFault::StallDisk => self.stall_random_disk(lasts),
+            SimFault::FailDisk => self.fail_random_disk(lasts),
             SimFault::CrashWorker => self.crash_random_worker(),
             SimFault::LoseRunner => self.lose_random_runner(),
             SimFault::RunnerLeaves => self.announce_leaving_runner(),
             SimFault::DrainWorker => self.drain_random_worker(lasts),
             SimFault::Evacuate => self.evacuate(lasts),
-            SimFault::StopInOrder => {
-                let index = self.random_daemon();
-                self.begin_orderly_stop(index);
-            }
+            SimFault::StopInOrder => self.stop_random_daemon(),
             SimFault::StopAll => self.stop_group(),
-            SimFault::RunnerFaults => {
-                self.runner_fault_rate = 0.15;
-                self.push(lasts, Event::EndPlatformFaults);
-            }
+            SimFault::RunnerFaults => self.start_runner_faults(lasts),
             SimFault::CallBurst => self.send_call_burst(),
             SimFault::RareCallBurst => self.send_rare_call_burst(),
-            SimFault::ClientRetries => self.retrying_until = self.now + lasts,
-            SimFault::DelayedList => {
-                self.platform.list_delay = Duration::from_millis(1000) + lasts / 2;
-                self.push(lasts, Event::EndPlatformFaults);
-            }
+            SimFault::ClientRetries => self.faults.retry_until(self.queue.now() + lasts),
+            SimFault::DelayedList => self.delay_lists(lasts),
             SimFault::ChangeStorm => self.send_change_storm(),
         }
     }
 
+    fn kill_random_daemon(&mut self, lasts: Duration) {
+        let index = self.random_daemon();
+        self.lose_daemon(index, lasts);
+    }
+
+    fn replace_random_voter(&mut self, lasts: Duration) {
+        if let Some(index) = self.lose_random_disk(lasts) {
+            self.nodes.move_controller(index);
+        }
+    }
+
+    fn freeze_random_node(&mut self, lasts: Duration) {
+        let node = self.random_node();
+        self.freeze(node, lasts);
+    }
+
+    fn stall_random_disk(&mut self, lasts: Duration) {
+        let index = self.random_controller_index();
+        self.nodes.controller_mut(index).disk.stalled_until = self.queue.now() + lasts;
+    }
+
+    fn fail_random_disk(&mut self, lasts: Duration) {
+        let index = self.random_controller_index();
+        self.nodes.controller_mut(index).disk.failing_until = self.queue.now() + lasts;
+    }
+
+    fn stop_random_daemon(&mut self) {
+        let index = self.random_daemon();
+        self.begin_orderly_stop(index);
+    }
+
+    fn start_runner_faults(&mut self, lasts: Duration) {
+        self.faults.start_runner_faults();
+        self.queue.push(lasts, FaultEvent::EndPlatformFaults);
+    }
+
+    fn delay_lists(&mut self, lasts: Duration) {
+        self.platform.delay_lists(lasts / 2);
+        self.queue.push(lasts, FaultEvent::EndPlatformFaults);
+    }
+
     fn kill_random_controller(&mut self, lasts: Duration) -> usize {
         let index = self.random_controller_index();
         self.lose_controller(index, lasts);
@@ -296,7 +305,7 @@
     }
 
     fn kill_leader(&mut self, lasts: Duration) {
-        if let Some(index) = self.leading_controller() {
+        if let Some(index) = self.nodes.leading_controller() {
             self.lose_controller(index, lasts);
         }
     }
@@ -308,38 +317,38 @@
     }
 
     fn kill_quorum(&mut self, lasts: Duration) {
-        for index in 0..self.controllers.len() {
+        for index in 0..self.nodes.controllers().len() {
             self.lose_controller(index, lasts);
         }
     }
 
     fn kill_all(&mut self, lasts: Duration) {
         self.kill_quorum(lasts);
-        for index in 0..self.daemons.len() {
+        for index in 0..self.nodes.daemons().len() {
             self.lose_daemon(index, lasts);
         }
     }
 
     /// Kills a random controller and empties its disk, if one more may be lost; returns its index.
     fn lose_random_disk(&mut self, lasts: Duration) -> Option<usize> {
-        if !self.may_lose_disk() {
+        if !self.nodes.may_lose_disk() {
             return None;
         }
-        self.count_event("disk lost");
+        self.record.count_event("disk lost");
         let index = self.kill_random_controller(lasts);
         self.lose_disk(index);
         Some(index)
     }
 
     fn damage_random_disk(&mut self, lasts: Duration) {
-        if self.may_lose_disk() {
+        if self.nodes.may_lose_disk() {
             let index = self.kill_random_controller(lasts);
-            self.damage_disk(index);
+            self.nodes.controller_mut(index).disk.damage();
         }
     }
 
     fn kill_group_and_disk(&mut self, lasts: Duration) {
-        if self.may_lose_disk() {
+        if self.nodes.may_lose_disk() {
             self.kill_group(lasts);
             let index = self.kill_random_controller(lasts);
             self.lose_disk(index);
@@ -347,13 +356,14 @@
     }
 
     fn freeze_holder(&mut self, lasts: Duration) {
-        let holder = (0..self.daemons.len()).max_by_key(|index| {
-            self.agent(*index)
+        let holder = (0..self.nodes.daemons().len()).max_by_key(|index| {
+            self.nodes
+                .agent(*index)
                 .map_or(0, |agent| agent.held_function_count())
         });
         if let Some(holder) = holder {
             self.freeze(
-                self.daemons[holder].node,
+                self.nodes.daemon(holder).node,
                 Duration::from_secs(3) + lasts / 2,
             );
         }
@@ -361,62 +371,63 @@
 
     fn freeze_group(&mut self, lasts: Duration) {
         for index in self.random_group() {
-            self.freeze(self.daemons[index].node, lasts);
+            self.freeze(self.nodes.daemon(index).node, lasts);
         }
     }
 
     fn freeze_leader(&mut self, lasts: Duration) {
-        if let Some(index) = self.leading_controller() {
-            self.freeze(self.controllers[index].node, lasts);
+        if let Some(index) = self.nodes.leading_controller() {
+            self.freeze(self.nodes.controller(index).node, lasts);
         }
     }
 
     fn isolate_random_node(&mut self, lasts: Duration) {
         let isolated_node = self.random_node();
-        for other in self.all_nodes() {
+        for other in self.nodes.all() {
             self.network.block(isolated_node, other);
             self.network.block(other, isolated_node);
         }
-        self.push(lasts, Event::ClearPartitions);
+        self.queue.push(lasts, FaultEvent::ClearPartitions);
     }
 
     fn block_one_direction(&mut self, lasts: Duration) {
         let isolated_node = self.random_node();
         let blocks_incoming = self.rng.random_bool(0.5);
-        for other in self.all_nodes() {
+        for other in self.nodes.all() {
             if blocks_incoming {
                 self.network.block(other, isolated_node);
             } else {
                 self.network.block(isolated_node, other);
             }
         }
-        self.push(lasts, Event::ClearPartitions);
+        self.queue.push(lasts, FaultEvent::ClearPartitions);
     }
 
     /// Partitions the fleet in two groups that depend on the duration.
     fn partition_fleet(&mut self, lasts: Duration) {
         let salt = lasts.subsec_nanos() as usize;
         let (left, right): (Vec<Node>, Vec<Node>) = self
-            .all_nodes()
+            .nodes
+            .all()
             .into_iter()
             .partition(|node| (node.0 * 7 + salt).is_multiple_of(3));
         self.partition(&left, &right);
-        self.push(lasts, Event::ClearPartitions);
+        self.queue.push(lasts, FaultEvent::ClearPartitions);
     }
 
     fn random_worker_index(&mut self) -> usize {
-        self.rng.below(self.platform.workers.len() as u64) as usize
+        self.rng.below(self.platform.worker_count() as u64) as usize
     }
 
     fn random_runner(&mut self) -> Option<RunnerId> {
-        let count = self.platform.runners.len() as u64;
+        let count = self.platform.runner_count() as u64;
         let chosen = self.rng.below(count) as usize;
-        self.platform.runners.keys().nth(chosen).copied()
+        self.platform.nth_runner(chosen)
     }
 
     fn crash_random_worker(&mut self) {
         let worker_index = self.random_worker_index();
-        let worker = self.platform.workers[worker_index].worker.clone();
+        let worker = self.platform.worker_name(worker_index);
         self.platform.crash(&worker);
     }
 
@@ -428,18 +439,21 @@
 
     fn announce_leaving_runner(&mut self) {
         if let Some(runner) = self.random_runner() {
-            self.platform
-                .leaving_since
-                .entry(runner)
-                .or_insert(self.now);
-            self.push(Duration::from_secs(6), Event::StopLeavingRunner(runner));
+            self.platform.announce_leaving(runner, self.queue.now());
+            self.queue.push(
+                Duration::from_secs(6),
+                PlatformEvent::StopLeavingRunner(runner),
+            );
         }
     }
 
     fn drain_random_worker(&mut self, lasts: Duration) {
         let worker_index = self.random_worker_index();
-        self.platform.drain(self.now, worker_index);
-        self.push(Duration::from_secs(5) + lasts, Event::RestoreWorkers);
+        self.platform.drain(self.queue.now(), worker_index);
+        self.queue.push(
+            Duration::from_secs(5) + lasts,
+            PlatformEvent::RestoreWorkers,
+        );
     }
 
     fn stop_group(&mut self) {
@@ -472,47 +486,44 @@
 
     fn lose_controller(&mut self, index: usize, lasts: Duration) {
         self.kill_controller(index);
-        self.push(lasts, Event::RestartNode(self.controllers[index].node));
+        self.queue.push(
+            lasts,
+            FaultEvent::RestartNode(self.nodes.controller(index).node),
+        );
     }
 
     fn lose_daemon(&mut self, index: usize, lasts: Duration) {
         self.kill_daemon(index);
-        self.push(lasts, Event::RestartNode(self.daemons[index].node));
+        self.queue.push(
+            lasts,
+            FaultEvent::RestartNode(self.nodes.daemon(index).node),
+        );
     }
 
     pub(super) fn freeze(&mut self, node: Node, lasts: Duration) {
-        let until = self.now + lasts;
-        let frozen_until = self.frozen.entry(node).or_insert(until);
-        *frozen_until = (*frozen_until).max(until);
-        let wakes_at = *frozen_until;
+        let until = self.queue.now() + lasts;
+        let wakes_at = self.frozen.freeze(node, until);
         if !node.is_controller()
-            && let Some(daemon) = self.daemons.get_mut(node.daemon_index())
-            && let Some(body) = &mut daemon.body
+            && let Some(body) = &mut self.nodes.daemon_mut(node.daemon_index()).body
         {
             body.is_disturbed = true;
         }
-        self.push(wakes_at.since(self.now), Event::ResumeNode(node));
+        self.queue.push(
+            wakes_at.since(self.queue.now()),
+            FaultEvent::ResumeNode(node),
+        );
     }
 
     fn lose_zone(&mut self, lasts: Duration) {
         let number = self.rng.below(3) as usize;
-        let zone = Simulation::zone(number);
+        let zone = zone_of_machine(number);
         self.lose_controller(number, lasts);
-        for index in (0..self.daemons.len()).filter(|index| index % 3 == number) {
+        for index in (0..self.nodes.daemons().len()).filter(|index| index % 3 == number) {
             self.lose_daemon(index, lasts);
         }
-        let lost_workers: Vec<_> = self
-            .platform
-            .workers
-            .iter()
-            .filter(|listed| listed.zone == zone)
-            .cloned()
-            .collect();
-        for lost_worker in &lost_workers {
-            self.platform.crash(&lost_worker.worker);
-        }
-        self.platform.workers.retain(|listed| listed.zone != zone);
-        self.push(lasts, Event::WorkersReturn(lost_workers));
+        let lost_workers = self.platform.remove_zone(&zone);
+        self.queue
+            .push(lasts, PlatformEvent::WorkersReturn(lost_workers));
     }
 
     fn partition(&mut self, left: &[Node], right: &[Node]) {
@@ -527,26 +538,27 @@
     /// Partitions one controller, often the leader, alone or with some daemons, from the rest.
     fn partition_quorum(&mut self, lasts: Duration) {
         let random_controller = self.random_controller_index();
-        let isolated = self.leading_controller().unwrap_or(random_controller);
-        let with_daemons = self.rng.below(self.daemons.len() as u64 + 1) as usize;
+        let isolated = self.nodes.leading_controller().unwrap_or(random_controller);
+        let with_daemons = self.rng.below(self.nodes.daemons().len() as u64 + 1) as usize;
         let left: Vec<Node> = [Node(isolated)]
             .into_iter()
             .chain((0..with_daemons).map(Node::of_daemon))
             .collect();
         let right: Vec<Node> = self
-            .all_nodes()
+            .nodes
+            .all()
             .into_iter()
             .filter(|node| !left.contains(node) && *node != PLATFORM)
             .collect();
         self.partition(&left, &right);
-        self.push(lasts, Event::ClearPartitions);
+        self.queue.push(lasts, FaultEvent::ClearPartitions);
     }
 
     fn evacuate(&mut self, lasts: Duration) {
         if self.checks.has_evacuated_zone() {
             return;
         }
-        let zone = Simulation::zone(self.rng.below(3) as usize);
+        let zone = zone_of_machine(self.rng.below(3) as usize);
         self.submit_change(
             None,
             ChangeKind::Evacuate {
@@ -554,48 +566,17 @@
                 force: false,
             },
         );
-        self.push(Duration::from_secs(6) + lasts, Event::Restore(zone));
-    }
-
-    /// Whether one more disk may be lost: only while every voter runs with the disk that the quorum knows and no change
-    /// of the quorum is pending, since the deployments tolerate one loss at a time.
-    fn may_lose_disk(&self) -> bool {
-        let controller_states = self
-            .controllers
-            .iter()
-            .filter_map(|controller| controller.controller_state.as_ref());
-        let ready_plane = controller_states
-            .into_iter()
-            .find(|controller_state| controller_state.consensus().is_ready());
-        let Some(document) =
-            ready_plane.and_then(|controller_state| controller_state.consensus().accepted())
-        else {
-            return false;
-        };
-        let is_known = |controller: &super::controller::SimController| {
-            let durable = &controller.disk.durable;
-            let accepted_document_version =
-                durable.accepted.as_ref().map(|held| held.document_version);
-            controller.controller_state.is_some()
-                && document.voters.iter().any(|member| member.id == durable.id)
-                && accepted_document_version.unwrap_or_default() >= durable.unreadable_version
-        };
-        document.previous_voters.is_empty() && self.controllers.iter().all(is_known)
-    }
-
-    pub(super) fn all_nodes(&self) -> Vec<Node> {
-        let controllers = (0..self.controllers.len()).map(Node);
-        let daemons = (0..self.daemons.len()).map(Node::of_daemon);
-        controllers.chain(daemons).chain([PLATFORM]).collect()
+        self.queue
+            .push(Duration::from_secs(6) + lasts, OperatorEvent::Restore(zone));
     }
 
     /// Restarts a killed machine.
     pub(super) fn restart_node(&mut self, node: Node) {
         if node.is_controller() {
-            if self.controllers[node.0].controller_state.is_none() {
+            if !self.nodes.controller(node.0).is_running() {
                 self.start_controller(node.0);
             }
-        } else if self.daemons[node.daemon_index()].body.is_none() {
+        } else if self.nodes.daemon(node.daemon_index()).body.is_none() {
             self.start_daemon(node.daemon_index());
         }
     }
@@ -604,22 +585,21 @@
     pub(super) fn heal(&mut self) {
         self.network.clear_partitions();
         self.resume_all();
-        self.runner_fault_rate = 0.0;
-        self.platform.list_delay = Duration::from_millis(1000);
+        self.faults.end_runner_faults();
+        self.platform.end_list_delay();
         self.platform.restore();
-        for node in self.all_nodes() {
+        for node in self.nodes.all() {
             if node != PLATFORM {
                 self.restart_node(node);
             }
         }
-        for controller in &mut self.controllers {
-            controller.disk.stalled_until = common::clock::MonotonicTime::ZERO;
-            controller.disk.failing_until = common::clock::MonotonicTime::ZERO;
+        for controller in self.nodes.controllers_mut() {
+            controller.disk.mend();
         }
         for number in 0..3 {
-            self.push(
+            self.queue.push(
                 Duration::from_secs(4),
-                Event::Restore(Simulation::zone(number)),
+                OperatorEvent::Restore(zone_of_machine(number)),
             );
         }
     }
--- a/testing/fleet/src/sim/network.rs
+++ b/testing/fleet/src/sim/network.rs
@@ -31,6 +31,15 @@
 /// The platform's node.
 pub(crate) const PLATFORM: Node = Node(1000);
 
+/// The process that sent a request, to which the reply is returned.
+#[derive(Clone, Copy, PartialEq, Eq, Debug)]
+pub(crate) struct Requester {
+    /// The node.
+    pub node: Node,
+    /// Its incarnation.
+    pub incarnation: u64,
+}
+
 /// The blocked directions and the delays of messages.
 #[derive(Default)]
 pub(crate) struct Network {
@@ -62,3 +71,10 @@
         }
     }
 }
+
+impl Requester {
+    /// The process that handles a reply to it.
+    pub(crate) fn target(self) -> (Node, Option<u64>) {
+        (self.node, Some(self.incarnation))
+    }
+}
--- a/testing/fleet/src/sim/operator.rs
+++ b/testing/fleet/src/sim/operator.rs
@@ -1,21 +1,51 @@
 //! Operators with random changes of the spec.
 
-use super::event::Event;
+use super::event::{ControllerEvent, OperatorEvent};
 use super::simulation::Simulation;
 use common::identity::{ChangeId, Version};
 use controlplane::controller_state::{
     ChangeKind, Operation, OperationReply, OperationTicket, Wait,
 };
 use serde_json::{Value, json};
+use std::collections::HashMap;
 
 /// An operator's change in flight.
-pub(crate) struct PendingChange {
+struct PendingChange {
     change: ChangeId,
     base: Option<Version>,
     kind: ChangeKind,
     attempts: u32,
 }
 
+/// The changes of operators in flight, and those that were refused.
+#[derive(Default)]
+pub(super) struct PendingChanges {
+    in_flight: HashMap<OperationTicket, PendingChange>,
+    refused: Vec<ChangeId>,
+}
+
+impl PendingChanges {
+    /// Records that a change is sent.
+    fn begin(&mut self, ticket: OperationTicket, change: PendingChange) {
+        self.in_flight.insert(ticket, change);
+    }
+
+    /// Removes a change that was answered.
+    fn end(&mut self, ticket: OperationTicket) -> Option<PendingChange> {
+        self.in_flight.remove(&ticket)
+    }
+
+    /// Records that a change was refused: it must not be committed later.
+    fn refuse(&mut self, change: ChangeId) {
+        self.refused.push(change);
+    }
+
+    /// Removes and returns the refused changes.
+    fn take_refused(&mut self) -> Vec<ChangeId> {
+        std::mem::take(&mut self.refused)
+    }
+}
+
 /// The spec for callers that use a new idempotency key for each attempt.
 pub(crate) fn with_fresh_identities(mut spec: Value) -> Value {
     let routes = spec["routes"].as_object_mut().into_iter().flatten();
@@ -71,8 +101,7 @@
             }
             return;
         }
-        self.next_number += 1;
-        let change = ChangeId::from(format!("change-{}", self.next_number));
+        let change = ChangeId::from(format!("change-{}", self.numbers.next()));
         let target = self.rng.below(3) as usize;
         self.send_pending_change(
             target,
@@ -113,8 +142,7 @@
 
     fn send_pending_change(&mut self, target: usize, mut change: PendingChange) {
         change.attempts += 1;
-        self.next_number += 1;
-        let ticket = OperationTicket(self.next_number);
+        let ticket = OperationTicket(self.numbers.next());
         let operation = Operation::Change {
             base: change.base,
             numbering: None,
@@ -122,10 +150,11 @@
             kind: change.kind.clone(),
             wait: Wait::Accepted,
         };
-        self.changes.insert(ticket, change);
-        let node = self.controllers[target].node;
+        self.changes.begin(ticket, change);
+        let node = self.nodes.controller(target).node;
         let delay = self.network.delay(&mut self.rng);
-        self.push(delay, Event::Operate(node, ticket, operation));
+        self.queue
+            .push(delay, ControllerEvent::Operate(node, ticket, operation));
     }
 
     pub(super) fn handle_operation_reply(
@@ -137,12 +166,12 @@
             self.handle_command_reply(ticket, reply);
             return;
         }
-        let Some(change) = self.changes.remove(&ticket) else {
+        let Some(change) = self.changes.end(ticket) else {
             return;
         };
         match reply {
             OperationReply::Redirect(leader) => {
-                let target = self.node_at(leader).map(|node| node.0);
+                let target = self.nodes.node_at(leader).map(|node| node.0);
                 if let Some(target) = target.filter(|_| change.attempts < 3) {
                     self.send_pending_change(target, change);
                 }
@@ -152,13 +181,18 @@
                 let state = body["state"].as_str().unwrap_or("");
                 if status == 200 && matches!(state, "accepted" | "in_force") {
                     let version = Version(body["serial"].as_u64().unwrap_or(0));
-                    self.checks
-                        .check_accepted(self.now, &change.change, change.base, version);
+                    self.checks.check_accepted(
+                        self.queue.now(),
+                        &change.change,
+                        change.base,
+                        version,
+                    );
                 } else if state == "not_accepted" && change.attempts == 1 {
-                    self.refused_changes.push(change.change.clone());
-                    self.checks.check_change_refused(self.now, &change.change);
+                    self.changes.refuse(change.change.clone());
+                    self.checks
+                        .check_change_refused(self.queue.now(), &change.change);
                 }
-                self.count_event(if status == 200 {
+                self.record.count_event(if status == 200 {
                     "change accepted"
                 } else {
                     "change refused"
@@ -169,14 +203,14 @@
 
     /// Checks that refused changes were not committed later.
     pub(super) fn check_refused(&mut self) {
-        for change in std::mem::take(&mut self.refused_changes) {
-            self.checks.check_change_refused(self.now, &change);
+        for change in self.changes.take_refused() {
+            self.checks.check_change_refused(self.queue.now(), &change);
         }
     }
 
     pub(super) fn schedule_change(&mut self) {
         let longest_span = self.plan.order_gap;
         let wait_span = self.rng.within(longest_span / 10, longest_span);
-        self.push(wait_span, Event::Change);
+        self.queue.push(wait_span, OperatorEvent::Change);
     }
 }
--- a/testing/fleet/src/sim/reply_checks.rs
+++ b/testing/fleet/src/sim/reply_checks.rs
@@ -1,6 +1,6 @@
 //! Checks the replies of controllers to operators against what had been acknowledged when the request arrived.
 
-use super::event::Event;
+use super::event::{ControllerEvent, Event};
 use super::network::Node;
 use super::simulation::Simulation;
 use common::clock::MonotonicTime;
@@ -107,43 +107,19 @@
         let required_version = expectations.acknowledged;
         match reply {
             OperationReply::Spec { document, .. } => {
-                self.checks.count_check("reading");
-                let version = document.view_version();
-                if version < required_version {
-                    self.report_violation(format!(
-                        "controller {controller} reads {version}, {required_version} was acknowledged before"
-                    ));
-                }
-                if !self.checks.is_committed(version) {
-                    self.report_violation(format!(
-                        "controller {controller} reads {version}, which is not committed"
-                    ));
-                }
+                self.check_reading(controller, document.view_version(), required_version);
             }
             OperationReply::Accepted {
                 change, version, ..
             } => {
                 self.reply_checks
-                    .acknowledge(self.now, change, *version, expectations);
-                self.recovery.acknowledged(self.now);
+                    .acknowledge(self.queue.now(), change, *version, expectations);
+                self.recovery.acknowledged(self.queue.now());
                 self.note_acknowledgement();
             }
             OperationReply::Stale {
                 change, version, ..
-            } => {
-                self.checks.count_check("refusal by state");
-                if *version < required_version {
-                    self.report_violation(format!(
-                        "controller {controller} refuses {change} by {version}, {required_version} was \
-                         acknowledged before"
-                    ));
-                }
-                if expectations.was_accepted {
-                    self.report_violation(format!(
-                        "controller {controller} refuses {change}, which was acknowledged before"
-                    ));
-                }
-            }
+            } => self.check_stale(controller, change, *version, &expectations),
             OperationReply::Invalid(_) if expectations.was_accepted => {
                 self.report_violation(format!(
                     "controller {controller} finds a taken order invalid"
@@ -154,6 +130,42 @@
         }
     }
 
+    fn check_reading(&mut self, controller: usize, version: Version, required_version: Version) {
+        self.checks.count_check("reading");
+        if version < required_version {
+            self.report_violation(format!(
+                "controller {controller} reads {version}, {required_version} was acknowledged before"
+            ));
+        }
+        if !self.checks.is_committed(version) {
+            self.report_violation(format!(
+                "controller {controller} reads {version}, which is not committed"
+            ));
+        }
+    }
+
+    fn check_stale(
+        &mut self,
+        controller: usize,
+        change: &ChangeId,
+        version: Version,
+        expectations: &ReplyExpectation,
+    ) {
+        self.checks.count_check("refusal by state");
+        let required_version = expectations.acknowledged;
+        if version < required_version {
+            self.report_violation(format!(
+                "controller {controller} refuses {change} by {version}, {required_version} was \
+                 acknowledged before"
+            ));
+        }
+        if expectations.was_accepted {
+            self.report_violation(format!(
+                "controller {controller} refuses {change}, which was acknowledged before"
+            ));
+        }
+    }
+
     fn check_redirect(&mut self, controller: usize, leader: SocketAddress) {
         self.checks.count_check("redirect");
         let last_heard_at = self
@@ -161,7 +173,7 @@
             .last_heard_at
             .get(&(Node(controller), leader))
             .copied();
-        let contact_age = self.now.since(last_heard_at.unwrap_or_default());
+        let contact_age = self.queue.now().since(last_heard_at.unwrap_or_default());
         if contact_age > REDIRECT_CONTACT_WITHIN {
             let contact_age_ms = contact_age.as_millis();
             self.report_violation(format!(
@@ -171,17 +183,17 @@
     }
 
     fn report_violation(&mut self, what: String) {
-        self.checks.report_violation(self.now, what);
+        self.checks.report_violation(self.queue.now(), what);
     }
 
     /// Records received frames and requests before they are handled.
     pub(super) fn observe_event(&mut self, event: &Event) {
         match event {
-            Event::ConsensusFrame(node, frame) => {
+            Event::Controller(ControllerEvent::ConsensusFrame(node, frame)) => {
                 self.reply_checks
-                    .record_contact(self.now, *node, frame.address);
+                    .record_contact(self.queue.now(), *node, frame.address);
             }
-            Event::Operate(_, ticket, operation) => {
+            Event::Controller(ControllerEvent::Operate(_, ticket, operation)) => {
                 self.reply_checks.record_request(*ticket, operation)
             }
             _ => {}
@@ -193,11 +205,7 @@
     pub(super) fn check_script_end(&mut self) {
         self.checks.count_check("end of a script");
         let acknowledged = self.reply_checks.acknowledged();
-        let ready_leader = self.controllers.iter().find_map(|controller| {
-            let state = controller.controller_state.as_ref()?;
-            state.consensus().is_ready().then(|| state.consensus())
-        });
-        let Some(document) = ready_leader.and_then(|consensus| consensus.accepted()) else {
+        let Some(document) = self.nodes.ready_leader_document() else {
             self.report_violation("no leader is ready at the end".to_owned());
             return;
         };
@@ -214,7 +222,7 @@
                 "{voters} of {wanted} voters at the end, settled: {is_settled}"
             ));
         }
-        if self.reply_checks.acknowledged_at() < self.script_end() + ACKNOWLEDGED_AFTER {
+        if self.reply_checks.acknowledged_at() < self.faults_end_at() + ACKNOWLEDGED_AFTER {
             self.report_violation("no order is acknowledged after the mending".to_owned());
         }
     }
--- a/testing/fleet/src/sim/script.rs
+++ b/testing/fleet/src/sim/script.rs
@@ -1,10 +1,10 @@
 //! Timed actions on the control side of a simulated fleet, and their execution.
 
-use super::event::Event;
+use super::addresses::zone_of_machine;
+use super::event::{ControllerEvent, Event, FaultEvent};
 use super::network::{Node, PLATFORM};
 use super::operator::spec;
 use super::simulation::Simulation;
-use common::clock::MonotonicTime;
 use controlplane::controller_state::{ChangeKind, Operation, OperationTicket};
 use serde_json::{Value, json};
 use std::time::Duration;
@@ -117,13 +117,14 @@
     /// Schedules the actions of the plan's script.
     pub(super) fn schedule_script(&mut self) {
         for (due_after, action) in std::mem::take(&mut self.plan.script) {
-            self.push(due_after, Event::RunAction(action));
+            self.queue.push(due_after, FaultEvent::RunAction(action));
         }
     }
 
     /// Executes one action.
     pub(super) fn run_action(&mut self, action: Action) {
-        self.trace_line(|now| format!("{now} action {action:?}"));
+        self.record
+            .trace(self.queue.now(), || format!("action {action:?}"));
         match action {
             Action::Lose(target, loss) => {
                 if let Some(index) = self.resolve_target(target) {
@@ -152,14 +153,14 @@
             Action::LargeChange(functions) => self.send_large_change(functions),
             Action::Read(target) => self.read_configuration(target),
             Action::Evacuate(zone) => {
-                let zone = Simulation::zone(zone);
+                let zone = zone_of_machine(zone);
                 self.submit_change(None, ChangeKind::Evacuate { zone, force: false });
             }
             Action::Restore(zone) => {
                 self.submit_change(
                     None,
                     ChangeKind::Restore {
-                        zone: Simulation::zone(zone),
+                        zone: zone_of_machine(zone),
                     },
                 );
             }
@@ -169,48 +170,27 @@
                 self.script.loses_power_on_next_acknowledgement = true
             }
             Action::LosePowerEverywhere => self.power_off_all(),
-            Action::StartRecoveryClock => self.recovery.start(self.now),
+            Action::StartRecoveryClock => self.recovery.start(self.queue.now()),
         }
     }
 
     fn resolve_target(&mut self, target: Target) -> Option<usize> {
-        let count = self.controllers.len() as u64;
+        let count = self.nodes.controllers().len() as u64;
         match target {
-            Target::Leader => self.leading_controller(),
+            Target::Leader => self.nodes.leading_controller(),
             Target::Any => Some(self.rng.below(count) as usize),
             Target::Seed => Some(self.rng.below(count.min(3)) as usize),
             Target::Victim => self.script.victim,
             Target::Follower => {
-                let followers = self.followers();
+                let followers = self.nodes.followers();
                 let chosen = self.rng.below(followers.len() as u64) as usize;
                 followers.get(chosen).copied()
             }
         }
     }
 
-    /// The running voters that are not the leader.
-    fn followers(&self) -> Vec<usize> {
-        let leading = self.leading_controller();
-        let leader_document = leading.and_then(|index| {
-            let leader = self.controllers[index].controller_state.as_ref()?;
-            leader.consensus().accepted()
-        });
-        let Some(document) = leader_document else {
-            return Vec::new();
-        };
-        let is_follower = |index: &usize| {
-            let controller = &self.controllers[*index];
-            let is_voter = document
-                .voters
-                .iter()
-                .any(|member| member.id == controller.disk.durable.id);
-            Some(*index) != leading && controller.controller_state.is_some() && is_voter
-        };
-        (0..self.controllers.len()).filter(is_follower).collect()
-    }
-
     fn apply_loss(&mut self, index: usize, loss: Loss) {
-        let node = self.controllers[index].node;
+        let node = self.nodes.controller(index).node;
         match loss {
             Loss::Killed => self.kill_controller(index),
             Loss::PowerLost => self.power_off_controller(index),
@@ -221,7 +201,7 @@
             Loss::Replaced => {
                 self.power_off_controller(index);
                 self.lose_disk(index);
-                self.move_controller(index);
+                self.nodes.move_controller(index);
             }
             Loss::Frozen => self.freeze(node, Duration::from_secs(3600)),
             Loss::Isolation => self.isolate_controller(index, Direction::Both),
@@ -230,7 +210,7 @@
 
     fn isolate_controller(&mut self, index: usize, direction: Direction) {
         let node = Node(index);
-        let others = self.all_nodes().into_iter().filter(|other| *other != node);
+        let others = self.nodes.all().into_iter().filter(|other| *other != node);
         for other in others.collect::<Vec<Node>>() {
             if direction != Direction::Incoming {
                 self.network.block(node, other);
@@ -245,7 +225,7 @@
         let Some(index) = self.script.victim else {
             return;
         };
-        if self.controllers[index].controller_state.is_some() {
+        if self.nodes.controller(index).is_running() {
             self.kill_controller(index);
         }
         self.start_controller(index);
@@ -275,15 +255,16 @@
 
     /// Sends an operation of which only the reply is checked.
     pub(super) fn send_operation(&mut self, node: Node, operation: Operation) {
-        self.next_number += 1;
-        let ticket = OperationTicket(self.next_number);
+        let ticket = OperationTicket(self.numbers.next());
         let delay = self.network.delay(&mut self.rng);
-        self.push(delay, Event::Operate(node, ticket, operation));
+        self.queue
+            .push(delay, ControllerEvent::Operate(node, ticket, operation));
     }
 
     fn power_off_all(&mut self) {
         let nodes = self
-            .all_nodes()
+            .nodes
+            .all()
             .into_iter()
             .filter(|node| *node != PLATFORM);
         for node in nodes.collect::<Vec<Node>>() {
@@ -295,7 +276,7 @@
             let off_for = self
                 .rng
                 .within(Duration::from_millis(100), Duration::from_millis(600));
-            self.push(off_for, Event::RestartNode(node));
+            self.queue.push(off_for, FaultEvent::RestartNode(node));
         }
     }
 
@@ -306,19 +287,23 @@
             let again = self
                 .rng
                 .within(Duration::from_millis(50), POWER_LOST_AGAIN_WITHIN);
-            self.push(at_once, Event::RunAction(Action::LosePowerEverywhere));
-            self.push(again, Event::RunAction(Action::LosePowerEverywhere));
+            self.queue
+                .push(at_once, FaultEvent::RunAction(Action::LosePowerEverywhere));
+            self.queue
+                .push(again, FaultEvent::RunAction(Action::LosePowerEverywhere));
         }
     }
 
     /// Counts a step of the control side until all faults are undone; the plan's second loss happens before its step.
     pub(super) fn count_repair_step(&mut self, event: &Event) {
         let is_step = match event {
-            Event::ConsensusFrame(..) | Event::Durable(..) => true,
-            Event::Written(node, ..) => node.is_controller(),
+            Event::Controller(ControllerEvent::ConsensusFrame(..))
+            | Event::Controller(ControllerEvent::Durable(..)) => true,
+            Event::Controller(ControllerEvent::Written(node, ..)) => node.is_controller(),
             _ => false,
         };
-        if !is_step || !self.script.counts_repair_steps || self.now >= self.script_end() {
+        if !is_step || !self.script.counts_repair_steps || self.queue.now() >= self.faults_end_at()
+        {
             return;
         }
         self.script.steps += 1;
@@ -329,16 +314,16 @@
         if let Some(second) = due_second_loss
             && let Some(index) = self.resolve_target(second.target)
         {
-            self.trace_line(|now| format!("{now} second loss {second:?} of controller {index}"));
+            self.record.trace(self.queue.now(), || {
+                format!("second loss {second:?} of controller {index}")
+            });
             self.apply_loss(index, second.loss);
-            self.push(SECOND_LOSS_LASTS, Event::RestartNode(Node(index)));
+            self.queue.push(
+                SECOND_LOSS_LASTS,
+                Event::Fault(FaultEvent::RestartNode(Node(index))),
+            );
         }
     }
-
-    /// When the script's faults end.
-    pub(super) fn script_end(&self) -> MonotonicTime {
-        self.started_at() + self.plan.lasts
-    }
 }
 
 /// The usual spec with additional functions that are never called.
--- a/testing/fleet/src/sim/simulation.rs
+++ b/testing/fleet/src/sim/simulation.rs
@@ -1,66 +1,60 @@
 //! A simulated fleet: its processes, virtual clock and queue of events.
 
+use super::active_faults::ActiveFaults;
+use super::answer_shares::AnswerShares;
 use super::checks::SafetyChecks;
-use super::controller::SimController;
-use super::daemon::SimDaemon;
-use super::digest::EventDigest;
-use super::event::Event;
-use super::links::Link;
-use super::network::{Network, Node, PLATFORM};
-use super::operator::PendingChange;
+use super::daemon::PendingReplicaRequests;
+use super::disk::UnsyncedWrites;
+use super::event::{CallerEvent, Event, FaultEvent, LinkEvent, PlatformEvent};
+use super::event_queue::{EventQueue, STARTED_AT};
+use super::frozen_nodes::FrozenNodes;
+use super::links::Links;
+use super::network::{Network, Node};
+use super::nodes::Nodes;
+use super::number_sequence::NumberSequence;
+use super::operator::PendingChanges;
 use super::orders::Operators;
 use super::plan::{SimPlan, SimResult};
 use super::platform::SimPlatform;
 use super::recovery::RecoveryClock;
 use super::reply_checks::ReplyChecks;
+use super::run_record::RunRecord;
 use super::script::ScriptState;
 use common::clock::MonotonicTime;
-use common::identity::{ChangeId, ControllerId, IdempotencyKey};
+use common::identity::ControllerId;
 use common::invariants;
 use common::rng::SeededRng;
-use controlplane::consensus::WriteJob;
-use controlplane::controller_state::OperationTicket;
-use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::Duration;
 
-/// The virtual time at which every simulated day begins.
-const STARTED_AT: MonotonicTime = MonotonicTime(1_000_000_000);
+/// When callers send their first request.
+const FIRST_CALL_AFTER: Duration = Duration::from_secs(3);
+/// When the first random fault begins.
+const FIRST_FAULT_AFTER: Duration = Duration::from_secs(6);
+/// A day ends early once it has more violations than this.
+const MAX_VIOLATIONS: usize = 20;
 
 /// A simulated fleet.
 pub struct Simulation {
     pub(super) plan: SimPlan,
-    pub(super) now: MonotonicTime,
+    pub(super) queue: EventQueue,
+    pub(super) numbers: NumberSequence,
+    pub(super) record: RunRecord,
     pub(super) rng: SeededRng,
-    pub(super) controllers: Vec<SimController>,
-    pub(super) daemons: Vec<SimDaemon>,
+    pub(super) nodes: Nodes,
+    pub(super) frozen: FrozenNodes,
+    pub(super) unsynced: UnsyncedWrites,
     pub(super) platform: SimPlatform,
     pub(super) network: Network,
-    pub(super) links: HashMap<u64, Link>,
-    pub(super) frozen: BTreeMap<Node, MonotonicTime>,
-    deferred: BTreeMap<Node, Vec<Event>>,
+    pub(super) links: Links,
     pub(super) checks: SafetyChecks,
     pub(super) script: ScriptState,
     pub(super) reply_checks: ReplyChecks,
     pub(super) recovery: RecoveryClock,
-    pub(super) unsynced: Vec<(usize, WriteJob)>,
-    pub(super) changes: HashMap<OperationTicket, PendingChange>,
-    pub(super) refused_changes: Vec<ChangeId>,
+    pub(super) changes: PendingChanges,
     pub(super) operators: Operators,
-    pub(super) next_number: u64,
-    pub(super) runner_fault_rate: f64,
-    pub(super) retrying_until: MonotonicTime,
-    pub(super) pending_replica_requests: BTreeSet<u64>,
-    pub(super) is_tracing: bool,
-    pub(super) trace: Vec<String>,
-    counts: BTreeMap<String, u64>,
-    queue: BTreeMap<(MonotonicTime, u64), Event>,
-    next_event: u64,
-    last_in_order: HashMap<(Node, Node), MonotonicTime>,
-    event_digest: EventDigest,
-    pub(super) is_healed: bool,
-    pub(super) moved_count: u8,
-    pub(super) calls_after_healing: BTreeMap<IdempotencyKey, usize>,
-    pub(super) shares_after_healing: Vec<(u64, u64)>,
+    pub(super) faults: ActiveFaults,
+    pub(super) replica_requests: PendingReplicaRequests,
+    pub(super) answer_shares: AnswerShares,
 }
 
 impl Simulation {
@@ -71,122 +65,79 @@
             .map(|_| ControllerId(rng.number() | 1))
             .collect();
         let mut simulation = Self {
-            now: STARTED_AT,
+            queue: EventQueue::new(),
+            numbers: NumberSequence::default(),
+            record: RunRecord::new(is_tracing),
             rng,
-            controllers: Vec::new(),
-            daemons: Vec::new(),
+            nodes: Nodes::default(),
+            frozen: FrozenNodes::default(),
+            unsynced: UnsyncedWrites::default(),
             platform: SimPlatform::new(4, 1300),
             network: Network::default(),
-            links: HashMap::new(),
-            frozen: BTreeMap::new(),
-            deferred: BTreeMap::new(),
+            links: Links::default(),
             checks: SafetyChecks::default(),
             script: ScriptState::default(),
             reply_checks: ReplyChecks::default(),
             recovery: RecoveryClock::default(),
-            unsynced: Vec::new(),
-            changes: HashMap::new(),
-            refused_changes: Vec::new(),
+            changes: PendingChanges::default(),
             operators: Operators::default(),
-            next_number: 0,
-            runner_fault_rate: 0.0,
-            retrying_until: MonotonicTime::ZERO,
-            pending_replica_requests: BTreeSet::new(),
-            is_tracing,
-            trace: Vec::new(),
-            counts: BTreeMap::new(),
-            queue: BTreeMap::new(),
-            next_event: 0,
-            last_in_order: HashMap::new(),
-            event_digest: EventDigest::default(),
-            is_healed: false,
-            moved_count: 0,
-            calls_after_healing: BTreeMap::new(),
-            shares_after_healing: Vec::new(),
+            faults: ActiveFaults::default(),
+            replica_requests: PendingReplicaRequests::default(),
+            answer_shares: AnswerShares::default(),
             plan,
         };
-        simulation.bootstrap(&ids);
-        for index in 0..simulation.plan.daemons {
-            let clock_ahead = Duration::from_secs(simulation.rng.below(100_000));
-            let clock_drift = simulation.random_drift();
-            let node = Node::of_daemon(index);
-            simulation.daemons.push(SimDaemon {
-                node,
-                instance: 0,
-                clock_ahead,
-                clock_drift,
-                body: None,
-            });
-            simulation.start_daemon(index);
-        }
-        simulation.push(Duration::ZERO, Event::ListTick);
-        simulation.push(Duration::from_secs(3), Event::Call);
-        if simulation.plan.has_changes {
-            simulation.schedule_change();
-        }
-        if simulation.plan.numbers_orders {
-            simulation.schedule_reading();
-        }
-        simulation.schedule_script();
-        if simulation.plan.has_faults {
-            simulation.push(Duration::from_secs(6), Event::Fault);
-        }
-        let lasts = simulation.plan.lasts;
-        simulation.push(lasts, Event::Heal);
+        simulation.bootstrap_controllers(&ids);
+        simulation.bootstrap_daemons();
+        simulation.schedule_first_events();
         simulation
     }
 
-    /// The virtual time at which the day began.
-    pub(super) fn started_at(&self) -> MonotonicTime {
-        STARTED_AT
-    }
-
-    pub(super) fn push(&mut self, delay: Duration, event: Event) {
-        self.next_event += 1;
-        self.queue
-            .insert((self.now + delay, self.next_event), event);
-    }
-
-    pub(super) fn push_in_order(&mut self, key: (Node, Node), delay: Duration, event: Event) {
-        let earliest = self.last_in_order.get(&key).copied().unwrap_or_default();
-        let due_at = (self.now + delay).max(earliest + Duration::from_nanos(1));
-        self.last_in_order.insert(key, due_at);
-        self.push(due_at.since(self.now), event);
-    }
-
-    pub(super) fn count_event(&mut self, label: &str) {
-        self.count_events(label, 1);
+    /// Schedules the events that begin each recurring activity of the plan, and its end.
+    fn schedule_first_events(&mut self) {
+        self.queue.push(Duration::ZERO, PlatformEvent::ListTick);
+        self.queue.push(FIRST_CALL_AFTER, CallerEvent::Call);
+        if self.plan.has_changes {
+            self.schedule_change();
+        }
+        if self.plan.numbers_orders {
+            self.schedule_reading();
+        }
+        self.schedule_script();
+        if self.plan.has_faults {
+            self.queue.push(FIRST_FAULT_AFTER, FaultEvent::RandomFault);
+        }
+        self.queue.push(self.plan.lasts, FaultEvent::Heal);
     }
 
-    pub(super) fn count_events(&mut self, label: &str, count: usize) {
-        *self.counts.entry(label.to_owned()).or_default() += count as u64;
+    /// The virtual time at which the plan's faults end.
+    pub(super) fn faults_end_at(&self) -> MonotonicTime {
+        STARTED_AT + self.plan.lasts
     }
 
     /// Adds the invariant violations that the code itself detected to those of the checks.
     fn take_violations(&mut self) {
         for violation in invariants::take_collected() {
             self.checks
-                .report_violation(self.now, violation.to_string());
+                .report_violation(self.queue.now(), violation.to_string());
         }
     }
 
     /// Runs the day to its end and returns its result.
     pub fn run(mut self) -> SimResult {
         invariants::collect_on_this_thread();
-        let end_at = self.now + self.plan.lasts + self.plan.settling;
-        while let Some(((due_at, number), event)) = self.queue.pop_first() {
-            if due_at > end_at || self.checks.violations.len() > 20 {
-                break;
-            }
-            self.now = self.now.max(due_at);
-            self.event_digest.add(due_at, number, &event);
+        let end_at = self.queue.now() + self.plan.lasts + self.plan.settling;
+        while self.checks.violations.len() <= MAX_VIOLATIONS
+            && let Some(due) = self.queue.pop_due(end_at)
+        {
+            self.record.digest_event(&due);
+            let event = due.event;
             let target = event.target().or_else(|| self.link_target(&event));
-            if let Some((node, instance)) = target {
-                if self.is_frozen(node) {
-                    self.deferred.entry(node).or_default().push(event);
+            if let Some((node, incarnation)) = target {
+                if self.frozen.contains(node, self.queue.now()) {
+                    self.frozen.defer(node, event);
                     continue;
                 }
-                if !self.is_alive(node, instance) {
+                if !self.nodes.is_alive(node, incarnation) {
                     continue;
                 }
             }
@@ -204,101 +155,79 @@
         }
         self.check_refused();
         self.check_operator_history();
-        let (share_after, recovered_after) = self.recovery_figures();
         self.check_recovery();
+        let record = self.record.finish();
         SimResult {
             violations: self.checks.violations,
-            counts: self.counts,
+            counts: record.counts,
             checked: self.checks.checked,
-            share_after,
-            recovered_after,
+            share_after: self.answer_shares.settled_share(),
+            recovered_after: self.answer_shares.recovered_after(),
             steps: self.script.steps,
             recovery: self.recovery.measured(self.plan.daemons),
-            event_digest: self.event_digest.finish(),
-            trace: self.trace,
+            event_digest: record.event_digest,
+            trace: record.trace_lines,
         }
     }
 
-    pub(super) fn is_frozen(&self, node: Node) -> bool {
-        self.frozen
-            .get(&node)
-            .is_some_and(|until| *until > self.now)
-    }
-
     /// Resumes a frozen machine: deferred events are handled in their order of arrival, except that operators'
     /// connections may be read before all others.
     pub(super) fn resume_node(&mut self, node: Node) {
-        if !self.is_frozen(node) {
-            self.frozen.remove(&node);
-            let deferred = self.deferred.remove(&node).unwrap_or_default();
+        if !self.frozen.contains(node, self.queue.now()) {
+            let deferred = self.frozen.resume(node);
             let is_read_first = self.plan.numbers_orders && self.rng.random_bool(0.8);
             let (first, others): (Vec<Event>, Vec<Event>) = deferred
                 .into_iter()
                 .partition(|event| is_read_first && event.is_from_operator());
             for event in first.into_iter().chain(others) {
-                self.push(Duration::ZERO, event);
+                self.queue.push(Duration::ZERO, event);
             }
         }
     }
 
     /// Resumes all frozen machines.
     pub(super) fn resume_all(&mut self) {
-        let frozen_nodes: Vec<Node> = std::mem::take(&mut self.frozen).into_keys().collect();
-        for node in frozen_nodes {
+        for node in self.frozen.end_all() {
             self.resume_node(node);
         }
     }
 
     fn link_target(&self, event: &Event) -> Option<(Node, Option<u64>)> {
         match event {
-            Event::Dialed(number) | Event::LinkDown(number, _) => self
+            Event::Link(LinkEvent::Dialed(number))
+            | Event::Link(LinkEvent::LinkDown(number, _)) => self
                 .links
-                .get(number)
-                .map(|link| (link.daemon, Some(link.daemon_instance))),
-            Event::LinkUp(number, _) => self
+                .get(*number)
+                .map(|link| (link.daemon, Some(link.daemon_incarnation))),
+            Event::Link(LinkEvent::LinkUp(number, _)) => self
                 .links
-                .get(number)
-                .map(|link| (link.controller, Some(link.controller_instance))),
-            Event::LinkLost(_, node) => Some((*node, None)),
+                .get(*number)
+                .map(|link| (link.controller, Some(link.controller_incarnation))),
+            Event::Link(LinkEvent::LinkLost(_, node)) => Some((*node, None)),
             _ => None,
         }
     }
 
-    fn is_alive(&self, node: Node, instance: Option<u64>) -> bool {
-        if node.is_controller() {
-            let controller = &self.controllers[node.0];
-            controller.controller_state.is_some()
-                && instance.is_none_or(|instance| instance == controller.instance)
-        } else if node != PLATFORM {
-            let daemon = &self.daemons[node.daemon_index()];
-            daemon.body.is_some() && instance.is_none_or(|instance| instance == daemon.instance)
-        } else {
-            true
-        }
-    }
-
     /// Whether there is a leader that is not frozen and reaches the platform and every daemon.
     pub(super) fn is_control_side_healthy(&self) -> bool {
-        let is_awake = |node: &Node| self.frozen.get(node).is_none_or(|until| *until <= self.now);
-        self.controllers.iter().any(|controller| {
-            controller
-                .controller_state
-                .as_ref()
-                .is_some_and(|controller_state| {
-                    controller_state.consensus().is_ready()
-                        && controller_state
-                            .leader_state()
-                            .is_some_and(|leader_state| leader_state.is_open())
-                })
-                && is_awake(&controller.node)
-                && self
-                    .all_nodes()
-                    .iter()
-                    .skip(self.controllers.len())
-                    .all(|node| {
-                        self.network.reaches(controller.node, *node)
-                            && self.network.reaches(*node, controller.node)
-                    })
+        let is_awake = |node: Node| !self.frozen.contains(node, self.queue.now());
+        let reaches_all = |node: Node| {
+            self.nodes.served_nodes().all(|served| {
+                self.network.reaches(node, served) && self.network.reaches(served, node)
+            })
+        };
+        self.nodes.controllers().iter().any(|controller| {
+            controller.is_open_leader() && is_awake(controller.node) && reaches_all(controller.node)
         })
     }
+
+    /// The time on the clock of a daemon's machine.
+    pub(super) fn daemon_now(&self, index: usize) -> MonotonicTime {
+        self.nodes.daemon(index).local_time(self.queue.now())
+    }
+
+    /// Whether a daemon runs under a session lease.
+    pub(super) fn is_daemon_serving(&self, index: usize) -> bool {
+        self.nodes.daemon(index).is_serving(self.queue.now())
+    }
 }
