--- a/crates/dataplane/src/agent/daemon_control/held_functions.rs
+++ b/crates/dataplane/src/agent/daemon_control/held_functions.rs
@@ -152,7 +152,9 @@
         result: &ReserveResult,
     ) {
         match (agent.held(&function, fencing_token), result) {
-            (Some(held), _) => self.apply(&held, |holder| holder.reserved(now, result)),
+            (Some(held), _) => {
+                self.apply(&held, |holder| holder.handle_reserve_result(now, result))
+            }
             (None, ReserveResult::Reserved { runner, .. }) => {
                 let runner_status = RunnerStatus::Gone;
                 self.send_frame(DaemonToLeader::RunnerUpdate {
--- a/crates/dataplane/src/holder/runner_events.rs
+++ b/crates/dataplane/src/holder/runner_events.rs
@@ -10,7 +10,11 @@
 
 impl Holder {
     /// The leader replied to a reservation.
-    pub fn reserved(&mut self, now: MonotonicTime, result: &ReserveResult) -> Vec<HolderOutput> {
+    pub fn handle_reserve_result(
+        &mut self,
+        now: MonotonicTime,
+        result: &ReserveResult,
+    ) -> Vec<HolderOutput> {
         self.scaling
             .reserve_ended(now, matches!(result, ReserveResult::Reserved { .. }));
         if let ReserveResult::Reserved {
--- a/crates/dataplane/tests/costs/mod.rs
+++ b/crates/dataplane/tests/costs/mod.rs
@@ -195,7 +195,7 @@
         self.next_runner += 1;
         let runner = runner_id(self.next_runner);
         let result = reserved(runner, self.call_stream.profile.memory_mb);
-        self.holder.reserved(now, &result)
+        self.holder.handle_reserve_result(now, &result)
     }
 
     fn handle_probed(&mut self, now: MonotonicTime, runner: RunnerId) -> Vec<HolderOutput> {
--- a/crates/dataplane/tests/holder/bench.rs
+++ b/crates/dataplane/tests/holder/bench.rs
@@ -202,7 +202,7 @@
             HolderOutput::Report(HolderMessage::Reserve) => {
                 self.next_runner += 1;
                 let result = reserved(runner_id(self.next_runner), MEMORY_MB);
-                self.holder.reserved(self.now, &result)
+                self.holder.handle_reserve_result(self.now, &result)
             }
             HolderOutput::Start { runner, .. } => {
                 report_started(&mut self.holder, self.now, runner)
--- a/crates/dataplane/tests/holder/runners.rs
+++ b/crates/dataplane/tests/holder/runners.rs
@@ -48,7 +48,10 @@
         let is_start = |output: &&HolderOutput| matches!(output, HolderOutput::Start { runner: started, .. } if *started == runner);
         outputs.iter().filter(is_start).count()
     };
-    verify_that!(starts(&bench.holder.reserved(bench.now, &result)), eq(1))?;
+    verify_that!(
+        starts(&bench.holder.handle_reserve_result(bench.now, &result)),
+        eq(1)
+    )?;
     for end in [StartOutcome::Lost, StartOutcome::Busy] {
         verify_that!(starts(&bench.holder.started(bench.now, runner, end)), eq(0))?;
         bench.now = bench.now + ms(200);
@@ -73,7 +76,7 @@
     let mut bench = Bench::new(1, 1, Duration::ZERO);
     let runner = runner_id(5);
     let result = reserved(runner, MEMORY_MB);
-    bench.holder.reserved(bench.now, &result);
+    bench.holder.handle_reserve_result(bench.now, &result);
     let outputs = bench
         .holder
         .started(bench.now, runner, StartOutcome::NoCapacity);
--- a/crates/dataplane/tests/idle_retention.rs
+++ b/crates/dataplane/tests/idle_retention.rs
@@ -112,7 +112,7 @@
             HolderOutput::Report(HolderMessage::Reserve) => {
                 self.next_number += 1;
                 let result = reserved(runner_id(self.next_number), 1);
-                self.holder.reserved(self.now, &result)
+                self.holder.handle_reserve_result(self.now, &result)
             }
             HolderOutput::Start { runner, .. } => {
                 self.starts += 1;
--- a/crates/dataplane/tests/regional/holder.rs
+++ b/crates/dataplane/tests/regional/holder.rs
@@ -107,7 +107,7 @@
             HolderOutput::Report(HolderMessage::Reserve) => {
                 self.next_number += 1;
                 let result = reserved(runner_id(self.next_number), MEMORY_MB);
-                self.holder.reserved(self.now, &result)
+                self.holder.handle_reserve_result(self.now, &result)
             }
             HolderOutput::Start { runner, .. } => {
                 self.starting.push(runner);
