--- a/crates/dataplane/src/agent/daemon_control/view_outputs.rs
+++ b/crates/dataplane/src/agent/daemon_control/view_outputs.rs
@@ -124,7 +124,7 @@
         self.outputs.push(DaemonControlOutput::AcquiresLost);
         for (function, fencing_token) in lost_reserves {
             if let Some(held) = agent.held(&function, fencing_token) {
-                held.with(|holder| holder.reserve_failed(now));
+                held.with(|holder| holder.handle_reserve_failure(now));
             }
         }
     }
--- a/crates/dataplane/src/holder/runner_events.rs
+++ b/crates/dataplane/src/holder/runner_events.rs
@@ -44,7 +44,7 @@
     }
 
     /// A reservation got no reply.
-    pub fn reserve_failed(&mut self, now: MonotonicTime) {
+    pub fn handle_reserve_failure(&mut self, now: MonotonicTime) {
         self.scaling.reserve_ended(now, false);
     }
 
