--- a/crates/dataplane/src/drivers/holder_driver.rs
+++ b/crates/dataplane/src/drivers/holder_driver.rs
@@ -210,7 +210,7 @@
 
     async fn start(self, runner: RunnerId, worker: WorkerName, spec: FunctionSpec) {
         let outcome = platform::start(&self.state, &self.held, runner, &worker, &spec).await;
-        self.apply(|holder, now| holder.started(now, runner, outcome));
+        self.apply(|holder, now| holder.handle_start_outcome(now, runner, outcome));
     }
 
     async fn probe(self, runner: RunnerId, address: SocketAddress) {
--- a/crates/dataplane/src/holder/runner_events.rs
+++ b/crates/dataplane/src/holder/runner_events.rs
@@ -49,7 +49,7 @@
     }
 
     /// The platform replied to a start. Starts may be repeated: the same order again finds the same runner.
-    pub fn started(
+    pub fn handle_start_outcome(
         &mut self,
         now: MonotonicTime,
         runner: RunnerId,
--- a/crates/dataplane/tests/holder/runners.rs
+++ b/crates/dataplane/tests/holder/runners.rs
@@ -53,7 +53,10 @@
         eq(1)
     )?;
     for end in [StartOutcome::Lost, StartOutcome::Busy] {
-        verify_that!(starts(&bench.holder.started(bench.now, runner, end)), eq(0))?;
+        verify_that!(
+            starts(&bench.holder.handle_start_outcome(bench.now, runner, end)),
+            eq(0)
+        )?;
         bench.now = bench.now + ms(200);
         verify_that!(starts(&bench.holder.tick(bench.now)), eq(1))?;
     }
@@ -61,9 +64,11 @@
         name: "l1".into(),
         address: SocketAddress::UNSPECIFIED,
     };
-    let outputs = bench
-        .holder
-        .started(bench.now, runner, StartOutcome::Started(instance.clone()));
+    let outputs = bench.holder.handle_start_outcome(
+        bench.now,
+        runner,
+        StartOutcome::Started(instance.clone()),
+    );
     let reported = outputs.iter().any(|output| {
         matches!(output, HolderOutput::Report(HolderMessage::RunnerStatus { runner_status: RunnerStatus::Started { instance: reported }, .. })
             if *reported == instance)
@@ -79,7 +84,7 @@
     bench.holder.handle_reserve_result(bench.now, &result);
     let outputs = bench
         .holder
-        .started(bench.now, runner, StartOutcome::NoCapacity);
+        .handle_start_outcome(bench.now, runner, StartOutcome::NoCapacity);
     let gone = outputs.iter().any(|output| {
         matches!(
             output,
--- a/crates/dataplane/tests/support/held_function.rs
+++ b/crates/dataplane/tests/support/held_function.rs
@@ -69,5 +69,5 @@
         name: format!("life of {runner}").into(),
         address: SocketAddress::UNSPECIFIED,
     };
-    holder.started(now, runner, StartOutcome::Started(instance))
+    holder.handle_start_outcome(now, runner, StartOutcome::Started(instance))
 }
--- a/testing/fleet/src/sim/dispatch.rs
+++ b/testing/fleet/src/sim/dispatch.rs
@@ -125,7 +125,7 @@
             HolderEvent::Started(requester, function, runner, end) => {
                 let index = requester.node.daemon_index();
                 self.apply(index, &function, runner.fencing_token, |holder, now| {
-                    holder.started(now, runner, end)
+                    holder.handle_start_outcome(now, runner, end)
                 });
             }
             HolderEvent::Stopped(requester, function, runner) => {
--- a/testing/fleet/src/synthetic/daemons/holder.rs
+++ b/testing/fleet/src/synthetic/daemons/holder.rs
@@ -36,7 +36,7 @@
     fn apply(self, holder: &mut Holder, now: MonotonicTime) -> Vec<HolderOutput> {
         match self {
             Self::Started(runner, instance) => {
-                holder.started(now, runner, StartOutcome::Started(instance))
+                holder.handle_start_outcome(now, runner, StartOutcome::Started(instance))
             }
             Self::Stopped(runner) => holder.stopped(now, runner),
             Self::Probed(runner, is_ready) => holder.probed(now, runner, is_ready),
