--- a/crates/dataplane/src/drivers/holder_driver.rs
+++ b/crates/dataplane/src/drivers/holder_driver.rs
@@ -215,7 +215,7 @@
 
     async fn probe(self, runner: RunnerId, address: SocketAddress) {
         let is_ready = runners::is_ready(&self.state, &self.held, runner, address).await;
-        self.apply(|holder, now| holder.probed(now, runner, is_ready));
+        self.apply(|holder, now| holder.handle_probe_result(now, runner, is_ready));
     }
 
     async fn list_running(self, runner: RunnerId, address: SocketAddress) {
--- a/crates/dataplane/src/holder/runner_events.rs
+++ b/crates/dataplane/src/holder/runner_events.rs
@@ -88,7 +88,7 @@
     }
 
     /// A readiness probe of a runner that is starting up has ended.
-    pub fn probed(
+    pub fn handle_probe_result(
         &mut self,
         now: MonotonicTime,
         runner: RunnerId,
--- a/crates/dataplane/tests/costs/mod.rs
+++ b/crates/dataplane/tests/costs/mod.rs
@@ -203,7 +203,7 @@
             .runners
             .get(&runner)
             .is_some_and(|sim_runner| sim_runner.ready_at <= now);
-        self.holder.probed(now, runner, is_ready)
+        self.holder.handle_probe_result(now, runner, is_ready)
     }
 
     fn handle_send_finished(
--- a/crates/dataplane/tests/holder/bench.rs
+++ b/crates/dataplane/tests/holder/bench.rs
@@ -207,7 +207,9 @@
             HolderOutput::Start { runner, .. } => {
                 report_started(&mut self.holder, self.now, runner)
             }
-            HolderOutput::Probe { runner, .. } => self.holder.probed(self.now, runner, true),
+            HolderOutput::Probe { runner, .. } => {
+                self.holder.handle_probe_result(self.now, runner, true)
+            }
             _ => Vec::new(),
         }
     }
--- a/crates/dataplane/tests/idle_retention.rs
+++ b/crates/dataplane/tests/idle_retention.rs
@@ -121,7 +121,7 @@
             }
             HolderOutput::Probe { runner, .. } => {
                 let is_ready = self.is_started_up(runner);
-                self.holder.probed(self.now, runner, is_ready)
+                self.holder.handle_probe_result(self.now, runner, is_ready)
             }
             HolderOutput::Stop { runner, .. } => {
                 self.stops += 1;
--- a/crates/dataplane/tests/regional/holder.rs
+++ b/crates/dataplane/tests/regional/holder.rs
@@ -48,7 +48,7 @@
 
     fn finish_startups(&mut self) {
         for runner in std::mem::take(&mut self.starting) {
-            self.drive(|holder, now| holder.probed(now, runner, true));
+            self.drive(|holder, now| holder.handle_probe_result(now, runner, true));
         }
     }
 
--- a/testing/fleet/src/sim/dispatch.rs
+++ b/testing/fleet/src/sim/dispatch.rs
@@ -137,7 +137,7 @@
             HolderEvent::Probed(requester, function, runner, is_ready) => {
                 let index = requester.node.daemon_index();
                 self.apply(index, &function, runner.fencing_token, |holder, now| {
-                    holder.probed(now, runner, is_ready)
+                    holder.handle_probe_result(now, runner, is_ready)
                 });
             }
             HolderEvent::Settled(requester, function, runner, running) => {
--- a/testing/fleet/src/synthetic/daemons/holder.rs
+++ b/testing/fleet/src/synthetic/daemons/holder.rs
@@ -39,7 +39,7 @@
                 holder.handle_start_outcome(now, runner, StartOutcome::Started(instance))
             }
             Self::Stopped(runner) => holder.stopped(now, runner),
-            Self::Probed(runner, is_ready) => holder.probed(now, runner, is_ready),
+            Self::Probed(runner, is_ready) => holder.handle_probe_result(now, runner, is_ready),
             Self::NothingRunning(runner) => holder.running_listed(now, runner, Some(Vec::new())),
             Self::SendEnded(ticket, result) => holder.handle_send_result(now, ticket, result),
         }
