--- a/crates/dataplane/src/drivers/holder_driver.rs
+++ b/crates/dataplane/src/drivers/holder_driver.rs
@@ -221,7 +221,7 @@
     async fn list_running(self, runner: RunnerId, address: SocketAddress) {
         let self_reported_id = self.held.self_reported_id_of(runner);
         let running_keys = runners::list_running(&self.state, self_reported_id, address).await;
-        self.apply(|holder, now| holder.running_listed(now, runner, running_keys));
+        self.apply(|holder, now| holder.handle_running_list(now, runner, running_keys));
     }
 
     async fn stop(self, runner: RunnerId, worker: WorkerName, instance: Option<InstanceId>) {
--- a/crates/dataplane/src/holder/runner_events.rs
+++ b/crates/dataplane/src/holder/runner_events.rs
@@ -110,7 +110,7 @@
     }
 
     /// A runner has listed the requests that it is running; none when it could not be reached.
-    pub fn running_listed(
+    pub fn handle_running_list(
         &mut self,
         now: MonotonicTime,
         runner: RunnerId,
--- a/crates/dataplane/tests/holder/retries.rs
+++ b/crates/dataplane/tests/holder/retries.rs
@@ -87,7 +87,7 @@
         let last_sent: Vec<SentRequest> = self.bench.sent.iter().rev().take(3).copied().collect();
         for sent in last_sent {
             self.bench.drive(|holder, now| {
-                holder.running_listed(now + ms(300), sent.runner, Some(Vec::new()))
+                holder.handle_running_list(now + ms(300), sent.runner, Some(Vec::new()))
             });
         }
     }
--- a/crates/dataplane/tests/holder/sends.rs
+++ b/crates/dataplane/tests/holder/sends.rs
@@ -36,9 +36,11 @@
     let sent_before = bench.sent.len();
     bench.submit("b", true, false);
     verify_that!(bench.sent.len(), eq(sent_before))?;
-    bench.drive(|holder, now| holder.running_listed(now + ms(300), runner, Some(vec!["a".into()])));
+    bench.drive(|holder, now| {
+        holder.handle_running_list(now + ms(300), runner, Some(vec!["a".into()]))
+    });
     verify_that!(bench.sent.len(), eq(sent_before))?;
-    bench.drive(|holder, now| holder.running_listed(now + ms(300), runner, Some(Vec::new())));
+    bench.drive(|holder, now| holder.handle_running_list(now + ms(300), runner, Some(Vec::new())));
     verify_that!(bench.sent.len(), eq(sent_before + 1))
 }
 
--- a/crates/dataplane/tests/holder/withdrawal.rs
+++ b/crates/dataplane/tests/holder/withdrawal.rs
@@ -92,7 +92,7 @@
     verify_that!(bench.sent.len(), eq(sent_before))?;
     verify_that!(bench.ended.get(&running), some(eq(&response_lost())))?;
     let runner = bench.last_sent().runner;
-    bench.drive(|holder, now| holder.running_listed(now + ms(300), runner, Some(Vec::new())));
+    bench.drive(|holder, now| holder.handle_running_list(now + ms(300), runner, Some(Vec::new())));
     verify_that!(bench.last_sent().ticket, eq(waiting))
 }
 
--- a/testing/fleet/src/sim/dispatch.rs
+++ b/testing/fleet/src/sim/dispatch.rs
@@ -143,7 +143,7 @@
             HolderEvent::Settled(requester, function, runner, running) => {
                 let index = requester.node.daemon_index();
                 self.apply(index, &function, runner.fencing_token, |holder, now| {
-                    holder.running_listed(now, runner, running)
+                    holder.handle_running_list(now, runner, running)
                 });
             }
             HolderEvent::SendEnded(requester, function, ticket, fencing_token, end) => {
--- a/testing/fleet/src/synthetic/daemons/holder.rs
+++ b/testing/fleet/src/synthetic/daemons/holder.rs
@@ -40,7 +40,9 @@
             }
             Self::Stopped(runner) => holder.stopped(now, runner),
             Self::Probed(runner, is_ready) => holder.handle_probe_result(now, runner, is_ready),
-            Self::NothingRunning(runner) => holder.running_listed(now, runner, Some(Vec::new())),
+            Self::NothingRunning(runner) => {
+                holder.handle_running_list(now, runner, Some(Vec::new()))
+            }
             Self::SendEnded(ticket, result) => holder.handle_send_result(now, ticket, result),
         }
     }
