--- a/crates/dataplane/src/drivers/holder_driver.rs
+++ b/crates/dataplane/src/drivers/holder_driver.rs
@@ -226,7 +226,7 @@
 
     async fn stop(self, runner: RunnerId, worker: WorkerName, instance: Option<InstanceId>) {
         if platform::stop(&self.state, &self.held, runner, worker, instance).await {
-            self.apply(|holder, now| holder.stopped(now, runner));
+            self.apply(|holder, now| holder.handle_runner_stopped(now, runner));
         }
     }
 
--- a/crates/dataplane/src/holder/runner_events.rs
+++ b/crates/dataplane/src/holder/runner_events.rs
@@ -127,7 +127,11 @@
     }
 
     /// The platform has confirmed that a runner is stopped.
-    pub fn stopped(&mut self, now: MonotonicTime, runner: RunnerId) -> Vec<HolderOutput> {
+    pub fn handle_runner_stopped(
+        &mut self,
+        now: MonotonicTime,
+        runner: RunnerId,
+    ) -> Vec<HolderOutput> {
         if self.runners.remove(runner).is_some() {
             self.report_runner(runner, RunnerStatus::Gone);
         }
--- a/crates/dataplane/tests/costs/mod.rs
+++ b/crates/dataplane/tests/costs/mod.rs
@@ -340,7 +340,9 @@
             SimEvent::Probed(runner) => self.functions[number].handle_probed(now, runner),
             SimEvent::Stopped(runner) => {
                 self.charge(number, runner);
-                self.functions[number].holder.stopped(now, runner)
+                self.functions[number]
+                    .holder
+                    .handle_runner_stopped(now, runner)
             }
             SimEvent::SendFinished(ticket, end, runner) => {
                 self.functions[number].handle_send_finished(now, ticket, end, runner)
--- a/crates/dataplane/tests/holder/runners.rs
+++ b/crates/dataplane/tests/holder/runners.rs
@@ -161,7 +161,7 @@
             continue;
         }
         let stopped = stopped_runners(&bench)[0];
-        bench.drive(|holder, now| holder.stopped(now, stopped));
+        bench.drive(|holder, now| holder.handle_runner_stopped(now, stopped));
         bench.advance(ms(5000));
         verify_that!(bench.holder.runner_counts(), eq((0, 0)))?;
         let (ticket, immediate) = bench.submit("next", false, false);
@@ -205,7 +205,7 @@
     bench.drive(Holder::stop_if_unused);
     let stopped = stopped_runners(&bench);
     verify_that!(stopped.len(), eq(1))?;
-    bench.drive(|holder, now| holder.stopped(now, stopped[0]));
+    bench.drive(|holder, now| holder.handle_runner_stopped(now, stopped[0]));
     let started_before = bench.next_runner;
     bench.advance(ms(1000));
     verify_that!(bench.next_runner, eq(started_before))?;
--- a/crates/dataplane/tests/idle_retention.rs
+++ b/crates/dataplane/tests/idle_retention.rs
@@ -125,7 +125,7 @@
             }
             HolderOutput::Stop { runner, .. } => {
                 self.stops += 1;
-                self.holder.stopped(self.now, runner)
+                self.holder.handle_runner_stopped(self.now, runner)
             }
             HolderOutput::Send { ticket, runner, .. } => {
                 let result = SendResult::Answered(response(runner, 200, b""));
--- a/testing/fleet/src/sim/dispatch.rs
+++ b/testing/fleet/src/sim/dispatch.rs
@@ -131,7 +131,7 @@
             HolderEvent::Stopped(requester, function, runner) => {
                 let index = requester.node.daemon_index();
                 self.apply(index, &function, runner.fencing_token, |holder, now| {
-                    holder.stopped(now, runner)
+                    holder.handle_runner_stopped(now, runner)
                 });
             }
             HolderEvent::Probed(requester, function, runner, is_ready) => {
--- a/testing/fleet/src/synthetic/daemons/holder.rs
+++ b/testing/fleet/src/synthetic/daemons/holder.rs
@@ -38,7 +38,7 @@
             Self::Started(runner, instance) => {
                 holder.handle_start_outcome(now, runner, StartOutcome::Started(instance))
             }
-            Self::Stopped(runner) => holder.stopped(now, runner),
+            Self::Stopped(runner) => holder.handle_runner_stopped(now, runner),
             Self::Probed(runner, is_ready) => holder.handle_probe_result(now, runner, is_ready),
             Self::NothingRunning(runner) => {
                 holder.handle_running_list(now, runner, Some(Vec::new()))
