--- a/crates/dataplane/src/agent/daemon_control/view_outputs.rs
+++ b/crates/dataplane/src/agent/daemon_control/view_outputs.rs
@@ -90,7 +90,7 @@
             }
             FunctionCommand::RunnerUnlisted(runner) => {
                 self.apply_if_held(agent, function, runner.fencing_token, |holder| {
-                    holder.vanished(now, runner)
+                    holder.handle_runner_gone(now, runner)
                 });
             }
             FunctionCommand::Drain(runner) => self.drain(agent, now, function, runner),
--- a/crates/dataplane/src/holder/runner_events.rs
+++ b/crates/dataplane/src/holder/runner_events.rs
@@ -141,7 +141,11 @@
     }
 
     /// The platform no longer lists a runner: it is gone.
-    pub fn vanished(&mut self, now: MonotonicTime, runner: RunnerId) -> Vec<HolderOutput> {
+    pub fn handle_runner_gone(
+        &mut self,
+        now: MonotonicTime,
+        runner: RunnerId,
+    ) -> Vec<HolderOutput> {
         self.runners.remove(runner);
         self.scale(now);
         self.finish_release(now);
