--- a/crates/dataplane/src/agent/replica_requests.rs
+++ b/crates/dataplane/src/agent/replica_requests.rs
@@ -93,9 +93,9 @@
     ) -> Vec<HolderOutput> {
         match (self, reply) {
             (Self::Collect, Some(DaemonMessage::Collected { complete, records })) if complete.0 => {
-                holder.collected(now, Some(records.0))
+                holder.handle_collected_ledger(now, Some(records.0))
             }
-            (Self::Collect, _) => holder.collected(now, None),
+            (Self::Collect, _) => holder.handle_collected_ledger(now, None),
             (Self::Record(batch_id), Some(DaemonMessage::Recorded { is_stored })) => {
                 holder.handle_records_stored(now, batch_id, is_stored.0)
             }
--- a/crates/dataplane/src/holder/replication.rs
+++ b/crates/dataplane/src/holder/replication.rs
@@ -261,7 +261,7 @@
     }
 
     /// An earlier holder's ledger has been collected, or could not be.
-    pub fn collected(
+    pub fn handle_collected_ledger(
         &mut self,
         now: MonotonicTime,
         records: Option<Vec<LedgerRecord>>,
--- a/crates/dataplane/tests/holder/replication.rs
+++ b/crates/dataplane/tests/holder/replication.rs
@@ -107,7 +107,9 @@
     verify_that!(bench.sent.len(), eq(0))?;
     let line = ledger_record("ran", LedgerRecordState::Recorded);
     let rejected_request = ledger_record("no", LedgerRecordState::Rejected);
-    bench.drive(|holder, now| holder.collected(now, Some(vec![line, rejected_request])));
+    bench.drive(|holder, now| {
+        holder.handle_collected_ledger(now, Some(vec![line, rejected_request]))
+    });
     verify_that!(
         bench.ended.get(&known),
         some(eq(&RequestOutcome::Unknown {
@@ -126,7 +128,7 @@
     let mut bench = Bench::with_replica(2, ms(2000), None, Some(previous_lease()));
     bench.warm();
     let (early, _) = bench.submit("early", true, false);
-    bench.drive(|holder, now| holder.collected(now, None));
+    bench.drive(|holder, now| holder.handle_collected_ledger(now, None));
     verify_that!(
         reason(&bench.ended.get(&early).cloned()),
         some(eq(RequestFailureReason::OnceNotYetAdmitted))
