--- a/crates/dataplane/src/agent/replica_requests.rs
+++ b/crates/dataplane/src/agent/replica_requests.rs
@@ -101,7 +101,7 @@
             }
             (Self::Record(batch_id), _) => holder.handle_records_stored(now, batch_id, false),
             (Self::Compare, Some(DaemonMessage::Differs { ranges })) => {
-                holder.compared(now, &ranges.0)
+                holder.handle_compare_result(now, &ranges.0)
             }
             (Self::Compare, _) => Vec::new(),
         }
--- a/crates/dataplane/src/holder/replication.rs
+++ b/crates/dataplane/src/holder/replication.rs
@@ -330,7 +330,11 @@
     }
 
     /// The replica's copy differs in these ranges.
-    pub fn compared(&mut self, now: MonotonicTime, ranges: &[u8]) -> Vec<HolderOutput> {
+    pub fn handle_compare_result(
+        &mut self,
+        now: MonotonicTime,
+        ranges: &[u8],
+    ) -> Vec<HolderOutput> {
         if !ranges.is_empty()
             && let Some(replica) = self.replication.replica.clone()
         {
