--- a/crates/dataplane/src/agent/daemon_control/view_outputs.rs
+++ b/crates/dataplane/src/agent/daemon_control/view_outputs.rs
@@ -82,7 +82,7 @@
             }
             FunctionCommand::ReplicaAssigned(fencing_token, replica) => {
                 self.apply_if_held(agent, function, fencing_token, |holder| {
-                    holder.replica_assigned(now, replica)
+                    holder.handle_replica_assigned(now, replica)
                 });
             }
             FunctionCommand::Revoke(fencing_token) => {
--- a/crates/dataplane/src/holder/replication.rs
+++ b/crates/dataplane/src/holder/replication.rs
@@ -318,7 +318,7 @@
     }
 
     /// The leader has assigned another replica, or none.
-    pub fn replica_assigned(
+    pub fn handle_replica_assigned(
         &mut self,
         now: MonotonicTime,
         replica: Option<Host>,
--- a/crates/dataplane/tests/holder/replication.rs
+++ b/crates/dataplane/tests/holder/replication.rs
@@ -82,7 +82,7 @@
     bench.advance(ms(40));
     verify_that!(bench.sent.len(), eq(0))?;
     bench.outputs.clear();
-    bench.drive(|holder, now| holder.replica_assigned(now, Some(replica("t"))));
+    bench.drive(|holder, now| holder.handle_replica_assigned(now, Some(replica("t"))));
     let batch_ids = records(&bench.outputs);
     verify_that!(batch_ids.is_empty(), eq(false))?;
     for batch_id in batch_ids {
