--- a/crates/dataplane/src/agent/daemon_control/held_functions.rs
+++ b/crates/dataplane/src/agent/daemon_control/held_functions.rs
@@ -43,7 +43,7 @@
         let closing = agent.lock_closing().clone();
         if self.cluster_view.is_welcomed() {
             for held in &closing {
-                held.with(|holder| holder.orphans_reported());
+                held.with(|holder| holder.record_orphans_reported());
             }
         }
         let claims = held_functions
@@ -173,7 +173,7 @@
             return;
         }
         let runners = held.with(|holder| {
-            holder.orphans_reported();
+            holder.record_orphans_reported();
             holder.orphaned_runners()
         });
         self.send_release(held.function.clone(), held.fencing_token, runners);
--- a/crates/dataplane/src/holder/releasing.rs
+++ b/crates/dataplane/src/holder/releasing.rs
@@ -24,7 +24,7 @@
     }
 
     /// The orphaned runners were reported to the leader.
-    pub fn orphans_reported(&mut self) {
+    pub fn record_orphans_reported(&mut self) {
         self.lifecycle.record_orphans_reported();
     }
 
--- a/crates/dataplane/tests/holder/release.rs
+++ b/crates/dataplane/tests/holder/release.rs
@@ -87,7 +87,7 @@
         bench.drive(Holder::begin_release);
         bench.drive(Holder::close);
         if is_reported {
-            bench.holder.orphans_reported();
+            bench.holder.record_orphans_reported();
         }
         verify_that!(bench.holder.orphaned_runners().len(), eq(1))?;
         verify_that!(bench.holder.is_finished(bench.now), eq(false))?;
