--- a/crates/dataplane/src/agent/daemon_control/view_outputs.rs
+++ b/crates/dataplane/src/agent/daemon_control/view_outputs.rs
@@ -185,7 +185,7 @@
     ) {
         if agent.rules.enforces(Rule::DrainObeyed) {
             self.apply_if_held(agent, function, runner.fencing_token, |holder| {
-                holder.drain(now, runner)
+                holder.drain_runner(now, runner)
             });
         }
     }
--- a/crates/dataplane/src/holder/runner_events.rs
+++ b/crates/dataplane/src/holder/runner_events.rs
@@ -153,7 +153,7 @@
     }
 
     /// The leader has ordered a runner to be drained.
-    pub fn drain(&mut self, now: MonotonicTime, runner: RunnerId) -> Vec<HolderOutput> {
+    pub fn drain_runner(&mut self, now: MonotonicTime, runner: RunnerId) -> Vec<HolderOutput> {
         if let Some(record) = self.runners.get_mut(runner) {
             record.replace_since.get_or_insert(now);
         }
