--- a/crates/dataplane/src/agent/daemon_control/mod.rs
+++ b/crates/dataplane/src/agent/daemon_control/mod.rs
@@ -174,7 +174,7 @@
         for held in agent.held_functions().values() {
             let function = held.function.clone();
             let (idle_span, rejections) =
-                held.with(|holder| (holder.idle(now), holder.take_rejections()));
+                held.with(|holder| (holder.idle_time(now), holder.take_rejections()));
             if let Some(idle_span) = idle_span.filter(|span| *span > IDLE_REPORT_AFTER) {
                 let idle_ms = idle_span.as_millis().min(u128::from(u32::MAX)) as u32;
                 idle_functions.push(IdleFunction {
--- a/crates/dataplane/src/holder/idle_retention.rs
+++ b/crates/dataplane/src/holder/idle_retention.rs
@@ -166,7 +166,7 @@
             .runners
             .records()
             .all(|record| now.since(record.started_at) >= STABLE_AFTER);
-        let is_long_idle = self.idle(now).is_some_and(|span| span > idle_limit)
+        let is_long_idle = self.idle_time(now).is_some_and(|span| span > idle_limit)
             && last_used_at.is_some_and(|last_used_at| now.since(last_used_at) > idle_limit);
         let may_be_needed = self.runners.has_adopted() && !is_stable;
         if self.runners.has_ready() && is_long_idle && !may_be_needed {
--- a/crates/dataplane/src/holder/mod.rs
+++ b/crates/dataplane/src/holder/mod.rs
@@ -198,7 +198,7 @@
     }
 
     /// The time since the last request; none while it has requests, or no runner.
-    pub fn idle(&self, now: MonotonicTime) -> Option<Duration> {
+    pub fn idle_time(&self, now: MonotonicTime) -> Option<Duration> {
         let is_idle = self.requests.is_empty() && !self.runners.is_empty();
         is_idle.then(|| self.idle_retention.since_last_request(now))
     }
