--- a/crates/dataplane/src/agent/held.rs
+++ b/crates/dataplane/src/agent/held.rs
@@ -94,7 +94,7 @@
     /// The target of a send to a runner; none if the runner is gone.
     pub fn runner_target(&self, runner: RunnerId) -> Option<RunnerTarget> {
         let (connections, instance) =
-            self.with(|holder| (holder.connections(), holder.instance_of(runner)));
+            self.with(|holder| (holder.max_connections(), holder.instance_of(runner)));
         let instance = instance?;
         let self_reported_id = runner.self_reported_id(Some(&instance.name));
         Some(RunnerTarget {
--- a/crates/dataplane/src/drivers/runners.rs
+++ b/crates/dataplane/src/drivers/runners.rs
@@ -256,7 +256,7 @@
             })
         }
         ReadinessProbe::TcpConnect => {
-            let max_connections = held.with(|holder| holder.connections());
+            let max_connections = held.with(|holder| holder.max_connections());
             match state
                 .runner_connections
                 .checkout_new(runner, address, max_connections, timeout)
--- a/crates/dataplane/src/holder/mod.rs
+++ b/crates/dataplane/src/holder/mod.rs
@@ -141,7 +141,7 @@
     }
 
     /// The maximum number of connections to one of its runners.
-    pub fn connections(&self) -> u32 {
+    pub fn max_connections(&self) -> u32 {
         self.spec.connections
     }
 
