--- a/crates/dataplane/src/drivers/holder_driver.rs
+++ b/crates/dataplane/src/drivers/holder_driver.rs
@@ -184,7 +184,7 @@
         let result = tokio::select! {
             biased;
             result = runners::send(&self.state, &self.held, ticket, runner, address, attempt) => result,
-            () = self.abandoned(ticket) => SendResult::BrokenOff,
+            () = self.abandoned(ticket) => SendResult::Aborted,
         };
         self.log_failed_send(ticket, runner, &result, sent_at);
         self.apply(|holder, now| holder.handle_send_result(now, ticket, result));
--- a/crates/dataplane/src/holder/output.rs
+++ b/crates/dataplane/src/holder/output.rs
@@ -132,7 +132,7 @@
     /// Something may have been sent, and no valid response came.
     Lost,
     /// The caller left, and the send was broken off; something may have been sent.
-    BrokenOff,
+    Aborted,
 }
 
 impl SendResult {
@@ -146,7 +146,7 @@
             Self::Forbidden(reason) => Some(reason.as_str()),
             Self::Unsent => Some("reached no runner"),
             Self::Lost => Some("lost its answer"),
-            Self::BrokenOff => Some("was left by its caller"),
+            Self::Aborted => Some("was left by its caller"),
         }
     }
 }
--- a/crates/dataplane/src/holder/send_result.rs
+++ b/crates/dataplane/src/holder/send_result.rs
@@ -47,7 +47,7 @@
                 self.requeue(now, in_flight.queued);
             }
             SendResult::Lost => self.handle_lost_response(now, in_flight.queued),
-            SendResult::BrokenOff => self.handle_broken_off(now, in_flight.queued),
+            SendResult::Aborted => self.handle_broken_off(now, in_flight.queued),
         }
         self.dispatch(now);
         self.scale(now);
@@ -56,7 +56,7 @@
     }
 
     fn release_runner_slot(&mut self, now: MonotonicTime, in_flight: &InFlight, end: &SendResult) {
-        let is_resolved = !matches!(end, SendResult::Lost | SendResult::BrokenOff)
+        let is_resolved = !matches!(end, SendResult::Lost | SendResult::Aborted)
             || !self.rules.enforces(Rule::LostResponseKeepsSlot);
         if let Some(record) = self.runners.get_mut(in_flight.runner) {
             record.release_slot(now, &in_flight.queued.request, is_resolved);
--- a/crates/dataplane/tests/agent/runner_responses.rs
+++ b/crates/dataplane/tests/agent/runner_responses.rs
@@ -234,7 +234,7 @@
         SendResult::RejectedByRunner => "shed",
         SendResult::WrongRunner => "other runner",
         SendResult::Lost => "lost",
-        SendResult::Forbidden(_) | SendResult::Unsent | SendResult::BrokenOff => "never",
+        SendResult::Forbidden(_) | SendResult::Unsent | SendResult::Aborted => "never",
     }
 }
 
--- a/crates/dataplane/tests/holder/withdrawal.rs
+++ b/crates/dataplane/tests/holder/withdrawal.rs
@@ -88,7 +88,7 @@
     let (mut bench, running) = busy_bench();
     let (waiting, _) = bench.submit("waiting", false, false);
     let sent_before = bench.sent.len();
-    bench.end(running, SendResult::BrokenOff);
+    bench.end(running, SendResult::Aborted);
     verify_that!(bench.sent.len(), eq(sent_before))?;
     verify_that!(bench.ended.get(&running), some(eq(&response_lost())))?;
     let runner = bench.last_sent().runner;
