--- a/crates/dataplane/src/drivers/holder_driver.rs
+++ b/crates/dataplane/src/drivers/holder_driver.rs
@@ -265,7 +265,7 @@
         result: &SendResult,
         sent_at: MonotonicTime,
     ) {
-        let Some(failure_text) = result.failure() else {
+        let Some(failure_text) = result.failure_text() else {
             return;
         };
         let Some(holder_request) = self.held.holder_request(ticket) else {
--- a/crates/dataplane/src/holder/output.rs
+++ b/crates/dataplane/src/holder/output.rs
@@ -137,7 +137,7 @@
 
 impl SendResult {
     /// A short text for the log on how a send failed; none if it was answered.
-    pub fn failure(&self) -> Option<&'static str> {
+    pub fn failure_text(&self) -> Option<&'static str> {
         match self {
             Self::Answered(_) => None,
             Self::Failed(_) => Some("failed at its runner"),
