--- a/crates/dataplane/src/agent/daemon_control/mod.rs
+++ b/crates/dataplane/src/agent/daemon_control/mod.rs
@@ -131,7 +131,7 @@
     /// Some state has changed by which warm functions may need a holder.
     pub fn recheck_warm_functions(&mut self, now: MonotonicTime) {
         if let Some(warm_acquirer) = &mut self.warm_acquirer {
-            warm_acquirer.changed(now);
+            warm_acquirer.schedule_scan(now);
         }
     }
 
--- a/crates/dataplane/src/owners/warm.rs
+++ b/crates/dataplane/src/owners/warm.rs
@@ -68,7 +68,7 @@
     }
 
     /// The spec, the live daemons or the held functions have changed: a scan is due at once.
-    pub fn changed(&mut self, now: MonotonicTime) {
+    pub fn schedule_scan(&mut self, now: MonotonicTime) {
         self.scan_at = self.scan_at.min(now);
     }
 
--- a/crates/dataplane/tests/warm.rs
+++ b/crates/dataplane/tests/warm.rs
@@ -139,7 +139,7 @@
         );
         verify_that!(before.len(), eq(0))?;
         let lost_at = START + ms(300);
-        acquirer.changed(lost_at);
+        acquirer.schedule_scan(lost_at);
         verify_that!(acquirer.next_due(), le(lost_at))?;
         let after = requests_of(
             &mut acquirer,
