--- a/crates/dataplane/src/agent/daemon_control/mod.rs
+++ b/crates/dataplane/src/agent/daemon_control/mod.rs
@@ -117,7 +117,7 @@
                 own_member: &agent.own_host.member,
                 hosts: &hosts,
                 regions: &agent.regional_keys.regions,
-                regional: &regional,
+                regional_keys: &regional,
                 owners: &owners,
                 holds: &|function| held_functions.contains_key(function),
             },
--- a/crates/dataplane/src/owners/warm.rs
+++ b/crates/dataplane/src/owners/warm.rs
@@ -27,7 +27,7 @@
     /// The regions of their zones.
     pub regions: &'a Regions,
     /// The keys under which this daemon's region has functions of its own.
-    pub regional: &'a [FunctionKey],
+    pub regional_keys: &'a [FunctionKey],
     /// The cached owners.
     pub owners: &'a BTreeMap<FunctionKey, Host>,
     /// Whether this daemon holds a function.
@@ -104,7 +104,7 @@
         self.requested
             .retain(|_, requested_at| now.since(*requested_at) < REQUEST_RETRY_AFTER);
         let candidates = context
-            .regional
+            .regional_keys
             .iter()
             .chain(context.table.prewarmed_functions());
         self.wanted = candidates
--- a/crates/dataplane/tests/warm.rs
+++ b/crates/dataplane/tests/warm.rs
@@ -72,7 +72,7 @@
         own_member,
         hosts,
         regions: &Regions::default(),
-        regional: &[],
+        regional_keys: &[],
         owners,
         holds: &|_| false,
     };
