--- a/crates/dataplane/src/holder/admission.rs
+++ b/crates/dataplane/src/holder/admission.rs
@@ -64,7 +64,7 @@
             self.spend_retry(now);
         }
         if request.recorded {
-            self.ledger.begin(
+            self.ledger.record_request(
                 request.idempotency_key.clone(),
                 request.once,
                 request.deadline,
--- a/crates/dataplane/src/ledger/entries.rs
+++ b/crates/dataplane/src/ledger/entries.rs
@@ -63,7 +63,12 @@
     }
 
     /// Records a key before its request is sent anywhere; the entry expires some time after the deadline.
-    pub fn begin(&mut self, idempotency_key: IdempotencyKey, once: bool, deadline: MonotonicTime) {
+    pub fn record_request(
+        &mut self,
+        idempotency_key: IdempotencyKey,
+        once: bool,
+        deadline: MonotonicTime,
+    ) {
         let entry = LedgerEntry {
             once,
             outcome: None,
@@ -98,7 +103,7 @@
             _ => outcome,
         };
         if !self.entries.contains_key(idempotency_key) {
-            self.begin(idempotency_key.clone(), once, deadline.max(now));
+            self.record_request(idempotency_key.clone(), once, deadline.max(now));
         }
         if let Some(entry) = self.entries.get_mut(idempotency_key) {
             entry.outcome = Some(stored_outcome);
--- a/crates/dataplane/tests/ledger.rs
+++ b/crates/dataplane/tests/ledger.rs
@@ -40,7 +40,7 @@
     for number in 0..400 {
         let name = IdempotencyKey::from(format!("t{number}"));
         let deadline = now + Duration::from_secs(3);
-        ledger.begin(name.clone(), true, deadline);
+        ledger.record_request(name.clone(), true, deadline);
         if rng.random_bool(0.9) {
             let record = ledger.record_of(now, &name).expect("a record");
             replica.record(now, &function(), LEASE, INCARNATION, &[record]);
