--- a/crates/dataplane/src/holder/admission.rs
+++ b/crates/dataplane/src/holder/admission.rs
@@ -101,7 +101,7 @@
             return;
         }
         let outcome = not_run(RequestFailureReason::RejectedBefore, retry_after_ms);
-        self.ledger.end(
+        self.ledger.record_outcome(
             now,
             &request.idempotency_key,
             request.once,
--- a/crates/dataplane/src/holder/send_result.rs
+++ b/crates/dataplane/src/holder/send_result.rs
@@ -222,7 +222,7 @@
                 }
                 other => other.clone(),
             };
-            self.ledger.end(
+            self.ledger.record_outcome(
                 now,
                 &request.idempotency_key,
                 request.once,
--- a/crates/dataplane/src/ledger/entries.rs
+++ b/crates/dataplane/src/ledger/entries.rs
@@ -86,7 +86,7 @@
     }
 
     /// Records the outcome of a request. Of a large response only the fact that the request ran is stored.
-    pub fn end(
+    pub fn record_outcome(
         &mut self,
         now: MonotonicTime,
         idempotency_key: &IdempotencyKey,
--- a/crates/dataplane/tests/ledger.rs
+++ b/crates/dataplane/tests/ledger.rs
@@ -49,7 +49,7 @@
             let outcome = RequestOutcome::Unknown {
                 reason: RequestFailureReason::ResponseLost,
             };
-            ledger.end(now, &name, true, deadline, outcome);
+            ledger.record_outcome(now, &name, true, deadline, outcome);
         }
     }
     let copy_of = |replica: &mut LedgerReplica| {
