--- a/crates/dataplane/tests/holder/release.rs
+++ b/crates/dataplane/tests/holder/release.rs
@@ -26,7 +26,7 @@
         .iter()
         .filter(|output| matches!(output, HolderOutput::Stop { .. }))
         .count();
-    bench.take(outputs);
+    bench.handle_outputs(outputs);
     let claim = bench.holder.claim();
     let orphaned: Vec<&ClaimedRunner> = claim
         .runners
--- a/crates/dataplane/tests/holder/replication.rs
+++ b/crates/dataplane/tests/holder/replication.rs
@@ -77,7 +77,7 @@
             HolderOutput::Report(HolderMessage::ReplicaLost { .. })
         )
     });
-    bench.take(outputs);
+    bench.handle_outputs(outputs);
     verify_that!(asks_for_another, eq(true))?;
     bench.advance(ms(40));
     verify_that!(bench.sent.len(), eq(0))?;
--- a/crates/dataplane/tests/support/holder_bench.rs
+++ b/crates/dataplane/tests/support/holder_bench.rs
@@ -12,10 +12,10 @@
     fn reply_to(&mut self, output: HolderOutput) -> Vec<HolderOutput>;
 
     /// Replies to these outputs, and to those that follow from them.
-    fn take(&mut self, outputs: Vec<HolderOutput>) {
+    fn handle_outputs(&mut self, outputs: Vec<HolderOutput>) {
         for output in outputs {
             let outputs = self.reply_to(output);
-            self.take(outputs);
+            self.handle_outputs(outputs);
         }
     }
 
@@ -23,6 +23,6 @@
     fn drive(&mut self, step: impl FnOnce(&mut Holder, MonotonicTime) -> Vec<HolderOutput>) {
         let (holder, now) = self.holder();
         let outputs = step(holder, now);
-        self.take(outputs);
+        self.handle_outputs(outputs);
     }
 }
