--- a/crates/dataplane/src/holder/mod.rs
+++ b/crates/dataplane/src/holder/mod.rs
@@ -1,8 +1,8 @@
-//! A held function: its request queue, its runners with their slots, its ledger and its retry budget. No I/O.
+//! The lease holder of one function, as a state machine without I/O.
 //!
-//! [`Holder`] is the state machine of the lease holder of one function. Each method takes the current time and
-//! one event, and returns the [`HolderOutput`]s that the caller has to carry out. The submodules each hold the
-//! reactions that belong to one concern.
+//! A [`Holder`] owns the function's request queue, its runners and their slots, its ledger and its retry budget. Each
+//! event is a method that takes the current time and returns the [`HolderOutput`]s that the caller has to carry out.
+//! Each submodule implements one concern.
 
 mod admission;
 mod demand;
@@ -73,7 +73,7 @@
 }
 
 impl Holder {
-    /// The holder of a function whose lease has just been granted.
+    /// Creates the holder of a function whose lease has just been granted.
     pub fn new(now: MonotonicTime, terms: LeaseTerms) -> Self {
         let startup = terms.spec.startup;
         let tuning = Tuning::default();
@@ -105,7 +105,7 @@
         }
     }
 
-    /// The same holder under other rules; a rule that is not enforced lets a test show what the rule prevents.
+    /// Replaces the enforced rules. Tests disable a rule to show the failure that it prevents.
     pub fn with_rules(mut self, rules: Rules) -> Self {
         self.rules = rules;
         if !rules.enforces(Rule::SlowStartRespected) {
@@ -117,7 +117,7 @@
         self
     }
 
-    /// The same holder with other settings; to be used before the first event.
+    /// Replaces the settings. Must be called before the first event.
     pub fn with_tuning(mut self, now: MonotonicTime, tuning: Tuning) -> Self {
         self.retry_budget = RetryBudget::new(now, &tuning);
         self.tuning = tuning;
@@ -125,49 +125,49 @@
         self
     }
 
-    /// Sets whether the function is prewarmed: its last runner is then retained longer without requests.
+    /// Sets whether the function is prewarmed. A prewarmed function retains its last runner longer when idle.
     pub fn set_prewarmed(&mut self, is_prewarmed: bool) {
         self.idle_retention.set_prewarmed(is_prewarmed);
     }
 
-    /// The key of the held function.
+    /// Returns the key of the held function.
     pub fn function(&self) -> &FunctionKey {
         &self.lease.function
     }
 
-    /// The fencing token of the lease.
+    /// Returns the fencing token of the lease.
     pub fn fencing_token(&self) -> FencingToken {
         self.lease.fencing_token
     }
 
-    /// The maximum number of connections to one of its runners.
+    /// Returns the maximum number of connections to one runner.
     pub fn max_connections(&self) -> u32 {
         self.spec.connections
     }
 
-    /// The instance that a runner is, once the platform has reported it.
+    /// Returns a runner's instance, or `None` until the platform has reported it.
     pub fn instance_of(&self, runner: RunnerId) -> Option<Instance> {
         self.runners
             .get(runner)
             .and_then(|record| record.instance.clone())
     }
 
-    /// The instances that requests may be sent to: those of all runners that are not orphaned.
+    /// Returns the instances that requests may be sent to: those of all runners that are not orphaned.
     pub fn instances(&self) -> Vec<Instance> {
         self.runners.instances()
     }
 
-    /// The numbers of queued requests and of requests in flight.
+    /// Returns the numbers of queued and of in-flight requests.
     pub fn request_counts(&self) -> (usize, usize) {
         (self.requests.queue.len(), self.requests.in_flight.len())
     }
 
-    /// The number of ready runners and that of all runners.
+    /// Returns the number of ready runners and the number of all runners.
     pub fn runner_counts(&self) -> (usize, usize) {
         (self.runners.ready().count(), self.runners.len())
     }
 
-    /// The claim to the lease that is sent to the leader after a reconnection.
+    /// Returns the claim to the lease that is sent to the leader after a reconnection.
     pub fn claim(&self) -> Claim {
         Claim {
             function: self.lease.function.clone(),
@@ -179,12 +179,12 @@
         }
     }
 
-    /// Whether the lease may be claimed: it has neither ended nor been given back.
+    /// Whether the lease may be claimed: it has neither ended nor been released.
     pub fn is_claimable(&self) -> bool {
         self.lifecycle.holds_lease()
     }
 
-    /// Does what is due at this time.
+    /// Runs all timed work that is due.
     pub fn tick(&mut self, now: MonotonicTime) -> Vec<HolderOutput> {
         self.ledger.expire(now);
         self.maintain_replica(now);
@@ -197,13 +197,13 @@
         self.take_outputs()
     }
 
-    /// The time since the last request; none while it has requests, or no runner.
+    /// Returns the time since the last request, or `None` while there are requests or if there is no runner.
     pub fn idle_time(&self, now: MonotonicTime) -> Option<Duration> {
         let is_idle = self.requests.is_empty() && !self.runners.is_empty();
         is_idle.then(|| self.idle_retention.since_last_request(now))
     }
 
-    /// Stops all runners of an idle function because memory is short; the next request starts one again.
+    /// Stops all runners if no request is queued or in flight, to free memory. The next request starts a runner again.
     pub fn stop_if_unused(&mut self, now: MonotonicTime) -> Vec<HolderOutput> {
         if self.requests.is_empty() {
             self.stop_idle_runners(now);
@@ -211,7 +211,7 @@
         self.take_outputs()
     }
 
-    /// Replaces the spec by a newer one of the same function.
+    /// Replaces the spec with a newer one of the same function.
     pub fn update_spec(&mut self, spec: FunctionSpec) {
         self.runners.raise_max_slots(spec.slots);
         self.spec = spec;
@@ -232,7 +232,7 @@
         });
     }
 
-    /// The number of slots that a new runner gets.
+    /// Returns the number of slots of a new runner.
     fn slots_per_runner(&self) -> u32 {
         if self.rules.enforces(Rule::SlotLimitRespected) {
             self.spec.slots
@@ -242,8 +242,8 @@
     }
 }
 
-/// The outcome of a request that was rejected and has not run; `retry_after_ms` is when a retry makes sense, in
-/// milliseconds from now.
+/// Returns the outcome of a request that was rejected without having run. `retry_after_ms` is the suggested delay
+/// before a retry, in milliseconds.
 pub fn not_run(reason: RequestFailureReason, retry_after_ms: u32) -> RequestOutcome {
     RequestOutcome::NotRun {
         reason,
