--- a/crates/dataplane/src/holder/admission.rs
+++ b/crates/dataplane/src/holder/admission.rs
@@ -1,4 +1,4 @@
-//! Admission of requests: a known outcome is returned, what would be late is rejected, the rest is queued.
+//! Admission of requests: returns a recorded outcome, rejects requests that would be late, and queues the others.
 
 use super::{AdmissionRequest, Holder, HolderOutput, QueuedRequest, not_run};
 use common::clock::MonotonicTime;
@@ -6,15 +6,15 @@
 use common::identity::IdempotencyKey;
 use common::rules::Rule;
 
-/// When a caller may retry at the next holder, in milliseconds.
+/// Delay after which a caller may retry at the next holder, in milliseconds.
 const RELEASING_RETRY_AFTER_MS: u32 = 50;
-/// When a caller may retry a regional holder that has no ready runner, in milliseconds.
+/// Delay after which a caller may retry at a regional holder that has no ready runner, in milliseconds.
 const REGIONAL_RETRY_AFTER_MS: u32 = 100;
-/// The shortest time after which a rejected caller may retry, in milliseconds.
+/// Minimum delay after which a rejected caller may retry, in milliseconds.
 const MIN_RETRY_AFTER_MS: u128 = 100;
 
 impl Holder {
-    /// Admits a request; returns an outcome if there is one at once, and none if the request was queued.
+    /// Admits a request. Returns its outcome if that is known immediately, or `None` if the request was queued.
     pub fn admit(
         &mut self,
         now: MonotonicTime,
@@ -49,9 +49,9 @@
         (None, self.take_outputs())
     }
 
-    /// Counts a call for demand, idle retention and retry budget, whatever becomes of it.
+    /// Counts a call towards demand, idle retention and the retry budget, whether or not it is admitted.
     fn record_call(&mut self, now: MonotonicTime, request: &AdmissionRequest) {
-        self.lifecycle.wake();
+        self.lifecycle.resume_serving();
         self.idle_retention.record_request(now, request.target);
         self.demand.record_call(now);
         self.regional
@@ -110,8 +110,8 @@
         );
     }
 
-    /// The number of requests rejected since the last call, with the reason of the last one; none if there were
-    /// none.
+    /// Returns the number of requests rejected since the previous call and the reason of the last rejection, or `None`
+    /// if there were none.
     pub fn take_rejections(&mut self) -> Option<(u32, RequestFailureReason)> {
         self.requests.take_rejections()
     }
--- a/crates/dataplane/src/holder/idle_retention.rs
+++ b/crates/dataplane/src/holder/idle_retention.rs
@@ -1,29 +1,30 @@
-//! What retaining the last runner of an idle function is worth, and when it is stopped.
+//! Decides how long the last runner of an idle function is retained.
 //!
-//! An idle runner costs its memory; without it the next request costs a cold start, and its response is late where a
-//! start-up takes longer than the request's target. The runner is retained while the next request is expected before
-//! its memory has cost as much as that: the break-even time.
+//! An idle runner costs memory. Without it the next request costs a cold start, and its response is late if the
+//! start-up exceeds the request's target. The break-even time is the idle time after which the memory has cost as much
+//! as the cold start; the runner is retained while the next request is expected earlier than that.
 
 use super::Holder;
 use super::lifecycle::Lifecycle;
 use common::clock::MonotonicTime;
 use std::time::Duration;
 
-/// A younger runner is not stopped: the requests that it was started or adopted for may be on their way.
+/// Minimum age of a runner before it is stopped: the requests that it was started or adopted for may still be on their
+/// way.
 const STABLE_AFTER: Duration = Duration::from_secs(1);
-/// A frequently called function retains a runner for this many break-even times without a request.
+/// Idle limit of a frequently called function, in break-even times.
 const FREQUENT_IDLE_FACTOR: u32 = 2;
-/// A rarely called one retains it for this fraction of a start-up, for a request that follows at once.
+/// Idle limit of a rarely called function, in start-up times; covers a request that follows directly.
 const RARE_IDLE_STARTUPS: f64 = 0.25;
-/// A prewarmed runner is retained this long for the first request.
+/// How long a prewarmed runner waits for the first request.
 const UNCALLED_IDLE_LIMIT: Duration = Duration::from_secs(60);
-/// How often a function is called is known after this many break-even times.
+/// Time after the first call until the call frequency counts as known, in break-even times.
 const KNOWN_DEMAND_BREAK_EVENS: u32 = 4;
-/// The assumed mean deviation of start-up times, as a fraction of their mean, until some are measured.
+/// Assumed mean deviation of start-up times before any measurement, as a fraction of their mean.
 const INITIAL_DEVIATION_FRACTION: f64 = 0.3;
-/// The weight of one measured start-up time in the smoothed ones.
+/// Weight of a new measurement in the exponentially smoothed start-up times.
 const SMOOTHING_FACTOR: f64 = 0.125;
-/// Start-up times are taken to lie within this many mean deviations of their mean.
+/// Start-up times are assumed to lie within this many mean deviations of their mean.
 const MAX_DEVIATIONS: f64 = 2.0;
 
 /// The smoothed mean and mean deviation of runners' start-up times, in seconds.
@@ -33,7 +34,7 @@
 }
 
 impl StartupTimes {
-    /// Before any measurement; the spec gives the expected mean.
+    /// Creates the state before any measurement, with the mean that the spec declares.
     pub(super) fn new(expected: Duration) -> Self {
         let mean = expected.as_secs_f64();
         Self {
@@ -42,14 +43,15 @@
         }
     }
 
-    /// A runner's start-up took this long.
+    /// Records the duration of a runner's start-up.
     pub(super) fn record_startup(&mut self, span: Duration) {
         let distance = span.as_secs_f64() - self.mean;
         self.mean += distance * SMOOTHING_FACTOR;
         self.deviation += (distance.abs() - self.deviation) * SMOOTHING_FACTOR;
     }
 
-    /// The fraction of the requests that wait for a start-up whose responses exceed a target.
+    /// Returns the expected fraction of late responses among the requests that wait for a start-up, assuming that
+    /// start-up times are uniformly distributed.
     pub(super) fn late_fraction(&self, service_time: Duration, target: Duration) -> f64 {
         let half_width = (self.deviation * MAX_DEVIATIONS).max(f64::EPSILON);
         let longest = self.mean + half_width + service_time.as_secs_f64();
@@ -57,17 +59,17 @@
     }
 }
 
-/// What is known about the requests and start-ups of a function for the retention of its last runner.
+/// The measurements by which the retention of a function's last runner is decided.
 pub(super) struct IdleRetention {
     startup_times: StartupTimes,
-    /// The shortest target of its requests.
+    /// The shortest target response time of the requests so far.
     shortest_target: Option<Duration>,
     last_request_at: MonotonicTime,
     is_prewarmed: bool,
 }
 
 impl IdleRetention {
-    /// Before the first request; the spec gives the expected start-up time.
+    /// Creates the state before the first request, with the start-up time that the spec declares.
     pub(super) fn new(now: MonotonicTime, startup: Duration) -> Self {
         Self {
             startup_times: StartupTimes::new(startup),
@@ -102,7 +104,7 @@
 }
 
 impl Holder {
-    /// The time without a request after which the last runner has cost more than a cold start.
+    /// Returns the idle time after which the memory of the last runner has cost more than a cold start.
     pub(super) fn break_even(&self) -> Duration {
         let Some(cost) = self.tuning.idle_cost else {
             return self.spec.startup * self.tuning.idle_startups;
@@ -116,7 +118,7 @@
             + Duration::from_secs_f64(cold_start_cost_mb_s / f64::from(self.spec.memory_mb.max(1)))
     }
 
-    /// How long the last runner is retained without a request; none when it is never stopped for that.
+    /// Returns the idle time after which the last runner is stopped, or `None` if it is retained indefinitely.
     fn idle_limit(&self, now: MonotonicTime) -> Option<Duration> {
         let break_even = self.break_even();
         if self.tuning.idle_cost.is_some() {
@@ -149,7 +151,7 @@
         })
     }
 
-    /// Stops the runners of an idle function; its lease stays.
+    /// Stops the runners if the function has been idle for too long. The lease is retained.
     pub(super) fn stop_runners_if_idle(&mut self, now: MonotonicTime) {
         if self.lifecycle != Lifecycle::Serving || self.spec.min_runners > 0 {
             return;
@@ -176,7 +178,7 @@
 
     /// Stops all runners until the next request.
     pub(super) fn stop_idle_runners(&mut self, now: MonotonicTime) {
-        self.lifecycle.stop_idle();
+        self.lifecycle.set_idle_stopped();
         for runner in self.runners.ids() {
             self.stop_runner(now, runner);
         }
--- a/crates/dataplane/src/holder/lifecycle.rs
+++ b/crates/dataplane/src/holder/lifecycle.rs
@@ -1,4 +1,4 @@
-//! The lifecycle of a held function, from the lease to the end of its work.
+//! The lifecycle of a held function, from the grant of the lease until the holder can be dropped.
 //!
 //! ```text
 //! Serving <-> IdleStopped --> Releasing --> Released
@@ -8,22 +8,22 @@
 use common::clock::MonotonicTime;
 use std::time::Duration;
 
-/// How long a closed holder with orphaned runners is retained while they cannot be reported to the leader.
-/// After that the leader finds them in the platform's list.
+/// How long a closed holder is retained while its orphaned runners cannot be reported to the leader. The leader then
+/// finds them in the platform's list.
 const ORPHAN_RETENTION: Duration = Duration::from_secs(10);
 
-/// The lifecycle state of a holder; all of its transitions are methods of this type.
+/// The lifecycle state of a holder. All transitions are methods of this type.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub(super) enum Lifecycle {
-    /// Requests are admitted, and at least one runner is wanted.
+    /// Requests are admitted, and at least one runner is kept running.
     Serving,
-    /// Requests are admitted, but all runners were stopped for want of requests; the next request ends that.
+    /// Requests are admitted, but all runners were stopped for lack of requests. The next request starts one again.
     IdleStopped,
-    /// The function is being handed over: nothing is admitted, and admitted requests run to their end.
+    /// The function is being handed over: no request is admitted, and admitted requests are completed.
     Releasing,
-    /// The lease went back to the leader after an orderly release. This is final.
+    /// The lease was returned to the leader after an orderly release. Final state.
     Released,
-    /// The lease has ended: nothing is sent to a runner any more, and what was sent may still be answered.
+    /// The lease has ended: no more requests are sent to runners, but responses to requests already sent are accepted.
     Closed {
         /// When the lease ended.
         since: MonotonicTime,
@@ -38,28 +38,28 @@
         matches!(self, Self::Serving | Self::IdleStopped)
     }
 
-    /// Whether all runners were stopped for want of requests.
+    /// Whether all runners were stopped for lack of requests.
     pub(super) fn is_idle_stopped(self) -> bool {
         self == Self::IdleStopped
     }
 
-    /// Whether an orderly release is under way.
+    /// Whether an orderly release is in progress.
     pub(super) fn is_releasing(self) -> bool {
         self == Self::Releasing
     }
 
-    /// Whether the lease ended before an orderly release was complete.
+    /// Whether the lease ended without a completed release.
     pub(super) fn is_closed(self) -> bool {
         matches!(self, Self::Closed { .. })
     }
 
-    /// Whether the lease is still in use here.
+    /// Whether the holder still has the lease.
     pub(super) fn holds_lease(self) -> bool {
         matches!(self, Self::Serving | Self::IdleStopped | Self::Releasing)
     }
 
-    /// Whether the holder can be dropped, as far as the lifecycle decides that; `has_work` is whether
-    /// requests or runners of its own remain, `has_orphans` whether any runner remains.
+    /// Whether the holder can be dropped. `has_work`: whether requests in flight or runners that are not orphaned
+    /// remain; `has_orphans`: whether any runner remains.
     pub(super) fn is_finished(self, now: MonotonicTime, has_work: bool, has_orphans: bool) -> bool {
         match self {
             Self::Released => true,
@@ -74,35 +74,35 @@
         }
     }
 
-    /// A request was admitted.
-    pub(super) fn wake(&mut self) {
+    /// Returns from `IdleStopped` to `Serving` when a request arrives.
+    pub(super) fn resume_serving(&mut self) {
         if *self == Self::IdleStopped {
             *self = Self::Serving;
         }
     }
 
-    /// All runners are stopped for want of requests.
-    pub(super) fn stop_idle(&mut self) {
+    /// Enters `IdleStopped` when all runners are stopped for lack of requests.
+    pub(super) fn set_idle_stopped(&mut self) {
         if *self == Self::Serving {
             *self = Self::IdleStopped;
         }
     }
 
-    /// An orderly release begins.
+    /// Begins an orderly release.
     pub(super) fn begin_release(&mut self) {
         if self.admits() {
             *self = Self::Releasing;
         }
     }
 
-    /// The orderly release is complete.
+    /// Completes the orderly release.
     pub(super) fn complete_release(&mut self) {
         if *self == Self::Releasing {
             *self = Self::Released;
         }
     }
 
-    /// The lease has ended.
+    /// Ends the lease without a completed release.
     pub(super) fn close(&mut self, now: MonotonicTime) {
         if self.holds_lease() {
             *self = Self::Closed {
@@ -112,7 +112,7 @@
         }
     }
 
-    /// The orphaned runners were reported to the leader; only a closed holder has any to report.
+    /// Records that the orphaned runners were reported to the leader. Has an effect only in `Closed`.
     pub(super) fn record_orphans_reported(&mut self) {
         if let Self::Closed {
             orphans_reported, ..
