--- a/crates/dataplane/src/holder/demand.rs
+++ b/crates/dataplane/src/holder/demand.rs
@@ -1,13 +1,13 @@
-//! The measured demand for a function.
+//! Measures the demand for a function.
 
 use super::Tuning;
 use common::clock::MonotonicTime;
 use std::time::Duration;
 
 const MIN_WINDOW_S: f64 = 0.25;
-/// This many recent calls make the rate known even for a function that was never called before.
+/// Number of recent calls from which the rate counts as known, however recent the first call.
 const KNOWN_RATE_CALLS: f64 = 32.0;
-/// The time constant of the long-term rate, in break-even times.
+/// Time constant of the long-term rate, in break-even times.
 const LONG_TERM_BREAK_EVENS: f64 = 8.0;
 
 /// An exponentially decaying count of events.
@@ -37,8 +37,8 @@
         self.counted_at = Some(now);
     }
 
-    /// The time in seconds that the count stands for when counting began `age` seconds ago; count divided by it is
-    /// the rate.
+    /// Returns the time in seconds that the count covers if counting began `age` seconds ago. The count divided by this
+    /// window is the rate.
     pub(super) fn effective_window(&self, age: f64) -> f64 {
         self.time_constant * (1.0 - (-age / self.time_constant).exp())
     }
@@ -48,14 +48,14 @@
 pub(super) struct Demand {
     short_term: DecayingCounter,
     long_term: DecayingCounter,
-    first_at: Option<MonotonicTime>,
-    smoothed: f64,
+    first_call_at: Option<MonotonicTime>,
+    smoothed_rate: f64,
     smoothed_at: MonotonicTime,
     decay: f64,
 }
 
 impl Demand {
-    /// Before the first call; `startup` and `break_even` give the time constants.
+    /// Creates the state before the first call. `startup` and `break_even` determine the time constants.
     pub(super) fn new(
         now: MonotonicTime,
         tuning: &Tuning,
@@ -66,8 +66,8 @@
         Self {
             short_term: DecayingCounter::new(tuning.rate_window.as_secs_f64().max(0.05)),
             long_term: DecayingCounter::new(break_even * LONG_TERM_BREAK_EVENS),
-            first_at: None,
-            smoothed: 0.0,
+            first_call_at: None,
+            smoothed_rate: 0.0,
             smoothed_at: now,
             decay: tuning.decay_time(startup).as_secs_f64().max(0.05),
         }
@@ -75,29 +75,29 @@
 
     /// Counts a call.
     pub(super) fn record_call(&mut self, now: MonotonicTime) {
-        self.first_at.get_or_insert(now);
+        self.first_call_at.get_or_insert(now);
         self.short_term.add(now);
         self.long_term.add(now);
     }
 
-    /// Whether there was any call.
+    /// Whether there has been any call.
     pub(super) fn was_called(&self) -> bool {
-        self.first_at.is_some()
+        self.first_call_at.is_some()
     }
 
-    /// The time since the first call, in seconds; zero before it.
+    /// Returns the time since the first call in seconds, or zero if there was none.
     pub(super) fn age(&self, now: MonotonicTime) -> f64 {
-        self.first_at
-            .map_or(0.0, |first_at| now.since(first_at).as_secs_f64())
+        self.first_call_at
+            .map_or(0.0, |first_call_at| now.since(first_call_at).as_secs_f64())
     }
 
-    /// Whether there were calls for long enough, or enough of them, for the rate to be meaningful.
+    /// Whether calls have come for long enough, or in sufficient number, for the rate to be meaningful.
     pub(super) fn is_known(&self, now: MonotonicTime) -> bool {
         self.age(now) >= 2.0 * self.short_term.time_constant
             || self.short_term.at(now) >= KNOWN_RATE_CALLS
     }
 
-    /// The rate in calls per second; it rises at once and decays slowly.
+    /// Returns the rate in calls per second. It rises immediately and decays slowly.
     pub(super) fn rate(&mut self, now: MonotonicTime) -> f64 {
         let effective_window = self
             .short_term
@@ -105,8 +105,9 @@
         let rate = self.short_term.at(now) / effective_window;
         let elapsed = now.since(self.smoothed_at).as_secs_f64();
         self.smoothed_at = now;
-        self.smoothed = rate.max(rate + (self.smoothed - rate) * (-elapsed / self.decay).exp());
-        self.smoothed
+        self.smoothed_rate =
+            rate.max(rate + (self.smoothed_rate - rate) * (-elapsed / self.decay).exp());
+        self.smoothed_rate
     }
 
     /// Whether the next call is expected within the break-even time of a retained runner.
