--- a/crates/dataplane/src/holder/output.rs
+++ b/crates/dataplane/src/holder/output.rs
@@ -1,4 +1,4 @@
-//! The outputs of a holder, and the results of its sends.
+//! The outputs of a holder, and the results of sends to runners.
 
 use common::frames::{
     ClaimedRunner, Host, LedgerRecord, PreviousLease, RequestFailureReason, RequestOutcome,
@@ -7,21 +7,21 @@
 use common::identity::{InstanceId, MemberName, RunnerId, Ticket, WorkerName};
 use common::spec::FunctionSpec;
 
-/// An order of a holder, to be carried out by its driver.
+/// An action that the caller of a [`Holder`](super::Holder) has to carry out.
 #[derive(Clone, Debug)]
 pub enum HolderOutput {
-    /// Send a request to a runner, after a last check of lease and spec.
+    /// Send a request to a runner, after a final check of lease and spec.
     Send {
         /// The request.
         ticket: Ticket,
         /// The runner.
         runner: RunnerId,
-        /// Where it listens.
+        /// The address that the runner listens on.
         address: SocketAddress,
         /// The number of this attempt, from 1.
         attempt: u32,
     },
-    /// A request has ended.
+    /// Return the outcome of a request to its caller.
     End {
         /// The request.
         ticket: Ticket,
@@ -34,21 +34,21 @@
         runner: RunnerId,
         /// The worker to start it on.
         worker: WorkerName,
-        /// The spec it is started by.
+        /// The spec of the function.
         spec: FunctionSpec,
     },
     /// Probe a runner that is starting up for readiness.
     Probe {
         /// The runner.
         runner: RunnerId,
-        /// Where it listens.
+        /// The address that the runner listens on.
         address: SocketAddress,
     },
     /// Have a runner list the requests that it is running.
     ListRunning {
         /// The runner.
         runner: RunnerId,
-        /// Where it listens.
+        /// The address that the runner listens on.
         address: SocketAddress,
     },
     /// Have the platform stop a runner.
@@ -57,7 +57,7 @@
         runner: RunnerId,
         /// The worker it runs on.
         worker: WorkerName,
-        /// Its instance; none while the platform has not reported it.
+        /// Its instance, or `None` if the platform has not reported it yet.
         instance: Option<InstanceId>,
     },
     /// Collect the ledger of an earlier lease.
@@ -65,20 +65,21 @@
         /// The earlier lease.
         previous_lease: PreviousLease,
     },
-    /// Have the replica store records, and report the result to [`Holder::handle_records_stored`](super::Holder::handle_records_stored).
+    /// Have the replica store records, and report the result to
+    /// [`Holder::handle_records_stored`](super::Holder::handle_records_stored).
     Record {
         /// Identifies the batch.
         batch_id: u64,
-        /// The daemon that keeps the replica.
+        /// The daemon that stores the replica.
         replica: Host,
         /// The records.
         records: Vec<LedgerRecord>,
     },
     /// Compare the ledger with the replica.
     Compare {
-        /// The daemon that keeps the replica.
+        /// The daemon that stores the replica.
         replica: Host,
-        /// The digests of the ledger, one for each range.
+        /// The digests of the ledger, one per range.
         digests: Vec<u64>,
     },
     /// Send a message to the leader.
@@ -97,19 +98,19 @@
         /// Its new status.
         runner_status: RunnerStatus,
     },
-    /// Requests another replica.
+    /// Requests another replica in place of an unresponsive one.
     ReplicaLost {
         /// The daemon that does not respond.
         lost: MemberName,
     },
-    /// The replica is complete.
+    /// Reports that the replica is complete.
     ReplicaComplete {
-        /// The daemon that keeps it.
+        /// The daemon that stores it.
         replica: MemberName,
     },
-    /// All work is finished: the lease is given back.
+    /// Returns the lease after all work is finished.
     Released {
-        /// The orphaned runners, still running.
+        /// The orphaned runners, which are left running.
         runners: Vec<ClaimedRunner>,
     },
 }
@@ -119,7 +120,7 @@
 pub enum SendResult {
     /// The runner returned a complete, sealed response.
     Answered(RequestOutcome),
-    /// The function ran on the runner, and failed.
+    /// The function ran on the runner and failed.
     Failed(RequestOutcome),
     /// The runner rejected the request and did not run it.
     RejectedByRunner,
@@ -127,26 +128,26 @@
     WrongRunner,
     /// Nothing was sent: the session lease has ended, or the spec no longer allows the request.
     Forbidden(RequestFailureReason),
-    /// Certainly nothing was sent: the runner could not be reached.
+    /// Nothing was sent: the runner could not be reached.
     Unsent,
-    /// Something may have been sent, and no valid response came.
+    /// The request may have been sent, but no valid response was received.
     Lost,
-    /// The caller left, and the send was broken off; something may have been sent.
+    /// The caller disconnected, and the send was aborted; the request may have been sent.
     Aborted,
 }
 
 impl SendResult {
-    /// A short text for the log on how a send failed; none if it was answered.
+    /// Returns a short description of the failure for the log, or `None` if the request was answered.
     pub fn failure_text(&self) -> Option<&'static str> {
         match self {
             Self::Answered(_) => None,
-            Self::Failed(_) => Some("failed at its runner"),
-            Self::RejectedByRunner => Some("refused by its runner"),
-            Self::WrongRunner => Some("met another runner"),
+            Self::Failed(_) => Some("failed on the runner"),
+            Self::RejectedByRunner => Some("was rejected by the runner"),
+            Self::WrongRunner => Some("was answered by another runner"),
             Self::Forbidden(reason) => Some(reason.as_str()),
-            Self::Unsent => Some("reached no runner"),
-            Self::Lost => Some("lost its answer"),
-            Self::Aborted => Some("was left by its caller"),
+            Self::Unsent => Some("could not reach the runner"),
+            Self::Lost => Some("lost its response"),
+            Self::Aborted => Some("was aborted: the caller disconnected"),
         }
     }
 }
