--- a/crates/dataplane/src/holder/releasing.rs
+++ b/crates/dataplane/src/holder/releasing.rs
@@ -1,4 +1,5 @@
-//! The end of a lease: the function is handed over or closed, and healthy runners are orphaned for the next holder.
+//! The end of a lease, by an orderly release or by closing the holder. Healthy runners are orphaned: they are left
+//! running for the next holder to adopt.
 
 use super::runners::Phase;
 use super::{Holder, HolderMessage, HolderOutput};
@@ -6,43 +7,43 @@
 use common::frames::{ClaimedRunner, RequestFailureReason};
 use std::time::Duration;
 
-/// When the caller of a request that was queued at the end of the lease may retry.
+/// Delay after which the caller of a request that was queued when the lease ended may retry.
 const CLOSED_RETRY_AFTER: Duration = Duration::from_millis(500);
 
 impl Holder {
-    /// Whether it admits no requests any more.
+    /// Whether the holder no longer admits requests.
     pub fn is_releasing(&self) -> bool {
         !self.lifecycle.admits()
     }
 
-    /// Whether it can be dropped: its work is finished, and the runners that it orphaned were reported to the leader or
-    /// will be found by it in the platform's list.
+    /// Whether the holder can be dropped: its work is finished, and the leader was notified of the orphaned runners or
+    /// will find them in the platform's list.
     pub fn is_finished(&self, now: MonotonicTime) -> bool {
         let has_work = !self.requests.in_flight.is_empty() || !self.runners.are_all_orphaned();
         self.lifecycle
             .is_finished(now, has_work, !self.runners.is_empty())
     }
 
-    /// The orphaned runners were reported to the leader.
+    /// Records that the orphaned runners were reported to the leader.
     pub fn record_orphans_reported(&mut self) {
         self.lifecycle.record_orphans_reported();
     }
 
-    /// The runners that are left running for the next holder.
+    /// Returns the runners that are left running for the next holder.
     pub fn orphaned_runners(&self) -> Vec<ClaimedRunner> {
         self.runners.orphaned_claims()
     }
 
-    /// Begins to hand the function over: admits nothing more, finishes what was admitted, orphans healthy runners,
-    /// and then reports the release.
+    /// Begins an orderly release: admits no more requests, completes the admitted ones, orphans healthy runners, and
+    /// then reports the release.
     pub fn begin_release(&mut self, now: MonotonicTime) -> Vec<HolderOutput> {
         self.lifecycle.begin_release();
         self.finish_release(now);
         self.take_outputs()
     }
 
-    /// Ends the lease: rejects what is queued and sends nothing more. Healthy runners are orphaned for the next
-    /// holder, the others are stopped; what was already sent may still be answered.
+    /// Ends the lease: rejects the queued requests and sends no more. Healthy runners are orphaned, the others are
+    /// stopped. Responses to requests that were already sent are still accepted.
     pub fn close(&mut self, now: MonotonicTime) -> Vec<HolderOutput> {
         self.lifecycle.close(now);
         for queued in std::mem::take(&mut self.requests.queue) {
@@ -66,7 +67,7 @@
         }
     }
 
-    /// Completes a release as soon as no request and no runner of its own remains.
+    /// Completes a release once no request is left and all remaining runners are orphaned.
     pub(super) fn finish_release(&mut self, now: MonotonicTime) {
         if !self.lifecycle.is_releasing() || !self.requests.is_empty() {
             return;
