--- a/crates/dataplane/src/holder/retry_budget.rs
+++ b/crates/dataplane/src/holder/retry_budget.rs
@@ -1,4 +1,4 @@
-//! The retry budget of a holder: retries are limited to a share of the first attempts, so that they cannot multiply an
+//! The retry budget of a holder: limits retries to a share of the first attempts, so that retries cannot amplify an
 //! overload.
 
 use super::Tuning;
@@ -15,31 +15,31 @@
     retries: u64,
 }
 
-/// Counts first attempts and retries over the last ten seconds.
+/// Counts first attempts and retries in a sliding window of ten seconds.
 pub(super) struct RetryBudget {
     started_at: MonotonicTime,
-    /// The retries allowed for each hundred first attempts.
+    /// The number of retries allowed per hundred first attempts.
     percent: u64,
-    /// The retries allowed beside that share.
+    /// The number of retries allowed in addition to that share.
     allowance: u64,
-    /// Whether the allowance holds before the first window has passed.
-    allowance_at_once: bool,
+    /// Whether the allowance also applies during the first window.
+    allowance_immediate: bool,
     buckets: VecDeque<Bucket>,
 }
 
 impl RetryBudget {
-    /// An empty budget: no attempts are counted yet.
+    /// Creates a budget with no attempts counted.
     pub(super) fn new(now: MonotonicTime, tuning: &Tuning) -> Self {
         Self {
             started_at: now,
             percent: tuning.retry_percent,
             allowance: tuning.retry_allowance,
-            allowance_at_once: tuning.retry_allowance_immediate,
+            allowance_immediate: tuning.retry_allowance_immediate,
             buckets: VecDeque::new(),
         }
     }
 
-    /// The bucket of this time; buckets older than the window are dropped.
+    /// Returns the current bucket, and removes buckets older than the window.
     fn bucket(&mut self, now: MonotonicTime) -> &mut Bucket {
         let index = now.millis() / BUCKET_MS;
         let oldest_index = index.saturating_sub(WINDOW.as_millis() as u64 / BUCKET_MS);
@@ -72,8 +72,8 @@
         }
     }
 
-    /// Whether one more retry stays within the share of the first attempts and the allowance. First attempts count at
-    /// most twice those of the last half window, so that a past peak does not pay for retries now.
+    /// Whether one more retry is within the budget. The number of first attempts is capped at twice that of the last
+    /// half window, so that a past peak does not allow retries now.
     pub(super) fn has_retry_budget(&mut self, now: MonotonicTime) -> bool {
         let index = self.bucket(now).index;
         let half_window_index = index.saturating_sub(WINDOW.as_millis() as u64 / BUCKET_MS / 2);
@@ -90,7 +90,7 @@
         let recent_first_attempts: u64 = recent_buckets.map(|bucket| bucket.first_attempts).sum();
         let retries: u64 = self.buckets.iter().map(|bucket| bucket.retries).sum();
         let is_window_full = now.since(self.started_at) >= WINDOW;
-        let allowance = if is_window_full || self.allowance_at_once {
+        let allowance = if is_window_full || self.allowance_immediate {
             self.allowance
         } else {
             0
