--- a/crates/dataplane/src/holder/queue.rs
+++ b/crates/dataplane/src/holder/queue.rs
@@ -1,4 +1,5 @@
-//! The request queue of a holder: its limits, its order, which requests are rejected, and which is sent next.
+//! The request queue of a holder: its length limit and order, the rejection of late requests, and the dispatch to
+//! runners.
 
 use super::{AdmissionRequest, Holder, HolderOutput, InFlight, QueuedRequest, not_run};
 use common::clock::MonotonicTime;
@@ -10,25 +11,25 @@
 use std::time::Duration;
 
 const MIN_QUEUE_LENGTH: usize = 32;
-/// The queue takes as many requests for each slot that the function may have. This bounds only the memory: what would
-/// not be sent in time is rejected by its expected start.
+/// Queue limit per slot that the function may have. It only bounds memory: requests that would not be sent in time are
+/// rejected by their expected start.
 const QUEUED_REQUESTS_PER_SLOT: usize = 16;
-/// The shortest service time that estimates reckon with, in seconds.
+/// Lower bound of the service time in estimates, in seconds.
 pub(super) const MIN_SERVICE_SECONDS: f64 = 0.001;
-/// A rejected caller may retry this long after its request would have been sent.
+/// Added to the expected wait of a rejected request to determine when its caller may retry.
 const RETRY_MARGIN: Duration = Duration::from_millis(100);
-/// The shortest time after which a rejected caller may retry, in milliseconds.
+/// Minimum delay after which a rejected caller may retry, in milliseconds.
 const MIN_RETRY_AFTER_MS: u128 = 100;
 
 impl Holder {
-    /// The number of requests that the ready runners take at once now.
+    /// Returns the number of concurrent requests that the ready runners accept now.
     fn ready_limit(&self, now: MonotonicTime) -> u32 {
         self.runners.ready().fold(0, |all, record| {
             all.saturating_add(record.current_limit(now))
         })
     }
 
-    /// The number of requests that the ready runners will take at once after their slow start.
+    /// Returns the number of concurrent requests that the ready runners accept after their slow start.
     fn expected_ready_limit(&self, now: MonotonicTime) -> u32 {
         self.runners
             .ready()
@@ -41,7 +42,8 @@
         MIN_QUEUE_LENGTH.max(max_slots * QUEUED_REQUESTS_PER_SLOT)
     }
 
-    /// When a request behind this many others is expected to be sent, by what runs and what starts up.
+    /// Estimates when a request behind `ahead_count` others will be sent, from the requests in flight and the runners
+    /// that are ready or starting up.
     pub(super) fn expected_start(&self, now: MonotonicTime, ahead_count: usize) -> MonotonicTime {
         let service_time = self.service_seconds();
         let sources = self.slot_sources(now, service_time);
@@ -62,7 +64,7 @@
         now + Duration::from_secs_f64(elapsed + remaining * service_time / slots.max(1.0))
     }
 
-    /// The smoothed service time in seconds, never zero.
+    /// Returns the smoothed service time in seconds; never zero.
     pub(super) fn service_seconds(&self) -> f64 {
         self.requests
             .service_time
@@ -70,7 +72,8 @@
             .max(MIN_SERVICE_SECONDS)
     }
 
-    /// When slots become available, as seconds from now with the number of slots, in the order of time; never empty.
+    /// Returns when slots become available, as pairs of seconds from now and number of slots, sorted by time; never
+    /// empty.
     fn slot_sources(&self, now: MonotonicTime, service_time: f64) -> Vec<(f64, f64)> {
         let slots_per_runner = f64::from(self.spec.slots.max(1));
         let mut sources: Vec<(f64, f64)> = self
@@ -99,8 +102,8 @@
         sources
     }
 
-    /// The index of the request to be sent next: within the first rank that may be sent, the oldest that can still
-    /// meet its target, else the oldest.
+    /// Returns the index of the request to send next. Of the requests that may be sent, this is the oldest one of the
+    /// lowest rank that can still meet its target, or else the oldest one of that rank.
     fn next_index(&self, now: MonotonicTime) -> Option<usize> {
         let may_send = |queued: &QueuedRequest| {
             !queued.request.is_recorded_once() || self.replication.is_available()
@@ -117,7 +120,7 @@
         Some(timely.map_or(first_index, |(index, _)| index))
     }
 
-    /// When the first queued request has to be rejected if none is sent before.
+    /// Returns the earliest time at which a queued request has to be rejected unless it is sent before.
     pub(super) fn queue_due(&self) -> Option<MonotonicTime> {
         let half_service = self.requests.service_time / 2;
         self.requests
@@ -131,7 +134,7 @@
             .min()
     }
 
-    /// Why a request is not admitted, and after which time a retry makes sense; none if it is admitted.
+    /// Returns why a request is rejected and the delay after which it may be retried, or `None` if it is admitted.
     pub(super) fn rejection_reason(
         &mut self,
         now: MonotonicTime,
@@ -161,8 +164,8 @@
         None
     }
 
-    /// Ends a request without a response: by an earlier attempt's failure, as unknown if it may have run, and else
-    /// as not run for this reason.
+    /// Ends a request without a response. Its outcome is the failure of an earlier attempt if there is one, unknown if
+    /// it may have run, and otherwise not run for the given reason.
     pub(super) fn fail_request(
         &mut self,
         now: MonotonicTime,
@@ -183,10 +186,11 @@
                 )
             }
         };
-        self.end(now, queued.request, outcome);
+        self.end_request(now, queued.request, outcome);
     }
 
-    /// Rejects the queued requests that can no longer be finished; each leaves the queue before it is rejected.
+    /// Rejects the queued requests that can no longer be completed in time. Each is removed from the queue before it is
+    /// rejected.
     pub(super) fn reject_late(&mut self, now: MonotonicTime) {
         let mut still_queued = VecDeque::new();
         for queued in std::mem::take(&mut self.requests.queue) {
@@ -215,7 +219,8 @@
             || (self.ready_limit(now) == 0 && start_at > queued.queue_deadline)
     }
 
-    /// Rejects requests that a runner has; only reached when a test turns off the rule against that.
+    /// Rejects requests that were already sent to a runner. Only reached when a test disables the rule that forbids
+    /// this.
     fn reject_in_flight(&mut self, now: MonotonicTime) {
         let service_time = self.requests.service_time;
         let overdue_tickets: Vec<Ticket> = self
@@ -252,7 +257,7 @@
         }
     }
 
-    /// Moves one queued request to a runner's slot; it is sent at once unless it has to be replicated first.
+    /// Assigns a queued request to a runner's slot, and sends it unless it has to be replicated first.
     fn dispatch_to(
         &mut self,
         now: MonotonicTime,
@@ -287,12 +292,12 @@
             self.rules,
             Invariant::SlotsRespected,
             busy_count <= slots,
-            || format!("{busy_count} at once on {runner} of {slots} slots"),
+            || format!("{busy_count} requests at once on {runner}, which has {slots} slots"),
         );
         let may_send = !(queued.request.once && queued.may_have_run);
         require(self.rules, Invariant::OnceSentOnce, may_send, || {
             format!(
-                "{} is sent again to {runner}",
+                "once-only request {} is sent again, to {runner}",
                 queued.request.idempotency_key
             )
         });
--- a/crates/dataplane/src/holder/replication.rs
+++ b/crates/dataplane/src/holder/replication.rs
@@ -1,4 +1,4 @@
-//! The replica of the ledger that another daemon keeps, and the collection of an earlier holder's ledger.
+//! Replication of the ledger to another daemon, and collection of the previous holder's ledger.
 
 use super::{Holder, HolderMessage, HolderOutput};
 use common::clock::MonotonicTime;
@@ -10,7 +10,7 @@
 const COMPARE_INTERVAL: Duration = Duration::from_secs(1);
 const REPLICA_REQUEST_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Records under way to a replica.
+/// A batch of records that is being sent to a replica.
 struct ReplicationBatch {
     replica: Host,
     /// The requests that are sent to their runners once the records are stored.
@@ -18,11 +18,11 @@
     is_full_copy: bool,
 }
 
-/// How far the replica's copy of the ledger is.
+/// The state of the replica's copy of the ledger.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 enum ReplicaCopy {
     Incomplete,
-    /// A full copy is under way.
+    /// A full copy is in progress.
     Copying,
     Complete,
 }
@@ -31,11 +31,11 @@
 pub(super) struct Replication {
     pub(super) replica: Option<Host>,
     copy: ReplicaCopy,
-    /// The earlier lease whose ledger is being collected.
+    /// The previous lease, while its ledger is being collected.
     collecting_from: Option<PreviousLease>,
-    /// From when on once-only requests are admitted without a collected ledger.
+    /// When once-only requests are first admitted without a collected ledger.
     once_allowed_from: MonotonicTime,
-    /// When the leader was last requested to replace a replica that does not respond.
+    /// When the leader was last asked to replace an unresponsive replica, while the replacement is outstanding.
     replacement_requested_at: Option<MonotonicTime>,
     batches: BTreeMap<u64, ReplicationBatch>,
     next_batch_id: u64,
@@ -43,8 +43,8 @@
 }
 
 impl Replication {
-    /// The replication as the leader granted it; without a wait for once-only requests there was no earlier ledger,
-    /// and the empty replica is complete.
+    /// Creates the state for a granted lease. A zero `once_wait` means that there is no earlier ledger, so that an
+    /// empty replica is already complete.
     pub(super) fn new(
         now: MonotonicTime,
         replica: Option<Host>,
@@ -68,14 +68,14 @@
         }
     }
 
-    /// Admits once-only requests at once, without the earlier ledger; only for runs that show what collection
+    /// Admits once-only requests immediately, without the earlier ledger. Only for runs that show what the collection
     /// prevents.
     pub(super) fn skip_collection(&mut self) {
         self.once_allowed_from = MonotonicTime::ZERO;
         self.collecting_from = None;
     }
 
-    /// Whether an earlier holder's ledger is being collected.
+    /// Whether the previous holder's ledger is being collected.
     pub(super) fn is_collecting(&self) -> bool {
         self.collecting_from.is_some()
     }
@@ -85,13 +85,13 @@
         self.copy == ReplicaCopy::Complete
     }
 
-    /// Whether a once-only request can be replicated now, or need not be.
+    /// Whether once-only requests can be sent now: no ledger is being collected, and no replica is being replaced.
     pub(super) fn is_available(&self) -> bool {
         !self.is_collecting() && self.replacement_requested_at.is_none()
     }
 
-    /// How long once-only requests are rejected for want of an earlier ledger; none when they are admitted, also to
-    /// wait for a collection.
+    /// Returns how much longer once-only requests are rejected because the earlier ledger is missing, or `None` if they
+    /// are admitted. While the ledger is being collected they are admitted and wait in the queue.
     pub(super) fn once_wait(&self, now: MonotonicTime) -> Option<Duration> {
         (!self.is_collecting() && now < self.once_allowed_from)
             .then(|| self.once_allowed_from.since(now))
@@ -111,29 +111,29 @@
         batch_id
     }
 
-    /// The leader has assigned another replica, or none.
+    /// Replaces the replica by the one that the leader has assigned, if any.
     fn assign(&mut self, replica: Option<Host>) {
         self.replacement_requested_at = None;
         self.copy = ReplicaCopy::Incomplete;
         self.replica = replica;
     }
 
-    /// A full copy has ended, well or not.
-    fn full_copy_ended(&mut self) {
+    /// Ends a full copy; the copy is incomplete until the caller reports it as complete.
+    fn end_full_copy(&mut self) {
         if self.copy == ReplicaCopy::Copying {
             self.copy = ReplicaCopy::Incomplete;
         }
     }
 
-    /// The replica lacks records; a full copy under way stays so.
-    fn replica_lost(&mut self, now: MonotonicTime) {
+    /// Marks the replica as incomplete and as to be replaced. A full copy in progress continues.
+    fn record_replica_lost(&mut self, now: MonotonicTime) {
         self.replacement_requested_at = Some(now);
         if self.copy == ReplicaCopy::Complete {
             self.copy = ReplicaCopy::Incomplete;
         }
     }
 
-    /// The replica whose replacement is to be requested again.
+    /// Returns the replica if its replacement has to be requested again.
     fn overdue_replacement(&self, now: MonotonicTime) -> Option<&Host> {
         let requested_at = self.replacement_requested_at?;
         let is_overdue = now.since(requested_at) > REPLICA_REQUEST_INTERVAL;
@@ -142,7 +142,7 @@
 }
 
 impl Holder {
-    /// Emits what is due as soon as the lease is granted.
+    /// Starts the holder: collects the previous ledger and requests the first runners.
     pub fn start(&mut self, now: MonotonicTime) -> Vec<HolderOutput> {
         if let Some(previous_lease) = self.replication.collecting_from.clone() {
             self.outputs.push(HolderOutput::Collect { previous_lease });
@@ -151,8 +151,8 @@
         self.take_outputs()
     }
 
-    /// Has the replica store the record of a once-only request; false without a replica, when the request may be
-    /// sent at once.
+    /// Has the replica store the record of a once-only request. Returns false if there is no replica, so that the
+    /// request may be sent immediately.
     pub(super) fn replicate_before_send(&mut self, now: MonotonicTime, ticket: Ticket) -> bool {
         let Some(replica) = self.replication.replica.clone() else {
             return false;
@@ -187,7 +187,7 @@
         });
     }
 
-    /// The replica has stored a batch of records, or has not.
+    /// Handles the result of storing a batch of records on the replica.
     pub fn handle_records_stored(
         &mut self,
         now: MonotonicTime,
@@ -199,7 +199,7 @@
         };
         let is_current = self.replication.replica.as_ref() == Some(&batch.replica);
         if batch.is_full_copy {
-            self.replication.full_copy_ended();
+            self.replication.end_full_copy();
         }
         if is_stored && is_current {
             if batch.is_full_copy {
@@ -210,7 +210,7 @@
             }
         } else {
             if is_current && self.replication.replacement_requested_at.is_none() {
-                self.replication.replica_lost(now);
+                self.replication.record_replica_lost(now);
                 self.report_replica_lost(&batch.replica);
             }
             for ticket in batch.tickets {
@@ -235,7 +235,7 @@
         });
     }
 
-    /// Sends a request whose record is stored.
+    /// Sends a request whose record the replica has stored.
     fn send_recorded(&mut self, now: MonotonicTime, ticket: Ticket) {
         let Some(in_flight) = self.requests.in_flight.get(&ticket) else {
             return;
@@ -248,7 +248,7 @@
         }
     }
 
-    /// Takes a request back from a runner that it was not sent to.
+    /// Releases the slot of a request that was not sent to its runner, and queues the request again.
     fn cancel_send(&mut self, now: MonotonicTime, ticket: Ticket) {
         let Some(in_flight) = self.requests.in_flight.remove(&ticket) else {
             return;
@@ -260,7 +260,7 @@
         self.requeue(now, in_flight.queued);
     }
 
-    /// An earlier holder's ledger has been collected, or could not be.
+    /// Handles the previous holder's ledger; `records` is `None` if it could not be collected.
     pub fn handle_collected_ledger(
         &mut self,
         now: MonotonicTime,
@@ -282,7 +282,7 @@
         self.take_outputs()
     }
 
-    /// Ends the queued once-only requests that ran, or may have run, under the earlier lease.
+    /// Ends the queued once-only requests that the previous lease's ledger lists: they ran or may have run.
     fn resolve_known(&mut self, now: MonotonicTime, records: &[LedgerRecord]) {
         let is_known =
             |key: &IdempotencyKey| records.iter().any(|record| record.idempotency_key == *key);
@@ -291,14 +291,14 @@
                 let outcome = RequestOutcome::Unknown {
                     reason: RequestFailureReason::AlreadyRan,
                 };
-                self.end(now, queued.request, outcome);
+                self.end_request(now, queued.request, outcome);
             } else {
                 self.requests.queue.push_back(queued);
             }
         }
     }
 
-    /// Rejects the queued once-only requests, unless they are admitted without the earlier ledger by now.
+    /// Rejects the queued once-only requests, unless they are by now admitted without the earlier ledger.
     fn reject_queued_once(&mut self, now: MonotonicTime) {
         let Some(retry_after) = self.replication.once_wait(now) else {
             return;
@@ -317,7 +317,7 @@
         }
     }
 
-    /// The leader has assigned another replica, or none.
+    /// Handles the leader's assignment of another replica, or of none.
     pub fn handle_replica_assigned(
         &mut self,
         now: MonotonicTime,
@@ -329,7 +329,7 @@
         self.take_outputs()
     }
 
-    /// The replica's copy differs in these ranges.
+    /// Sends the records of the ranges in which the replica's copy differs.
     pub fn handle_compare_result(
         &mut self,
         now: MonotonicTime,
@@ -344,7 +344,7 @@
         self.take_outputs()
     }
 
-    /// Brings the replica up to date, and compares it from time to time.
+    /// Brings the replica up to date, and compares it at regular intervals.
     pub(super) fn maintain_replica(&mut self, now: MonotonicTime) {
         if !self.lifecycle.holds_lease() {
             return;
--- a/crates/dataplane/src/holder/runner_events.rs
+++ b/crates/dataplane/src/holder/runner_events.rs
@@ -1,4 +1,4 @@
-//! Events of the runners, as the leader and the platform report them: reserved, started, ready, stopped, gone.
+//! Handles the events of a runner's life that the leader and the platform report, from its reservation to its stop.
 
 use super::runners::{Phase, RunnerRecord};
 use super::{Holder, HolderMessage, HolderOutput};
@@ -9,14 +9,14 @@
 use common::rules::Rule;
 
 impl Holder {
-    /// The leader replied to a reservation.
+    /// Handles the leader's reply to a reservation request.
     pub fn handle_reserve_result(
         &mut self,
         now: MonotonicTime,
         result: &ReserveResult,
     ) -> Vec<HolderOutput> {
         self.scaling
-            .reserve_ended(now, matches!(result, ReserveResult::Reserved { .. }));
+            .record_reserve_result(now, matches!(result, ReserveResult::Reserved { .. }));
         if let ReserveResult::Reserved {
             runner,
             worker,
@@ -43,22 +43,22 @@
         self.take_outputs()
     }
 
-    /// A reservation got no reply.
+    /// Handles a reservation request that got no reply.
     pub fn handle_reserve_failure(&mut self, now: MonotonicTime) {
-        self.scaling.reserve_ended(now, false);
+        self.scaling.record_reserve_result(now, false);
     }
 
-    /// The platform replied to a start. Starts may be repeated: the same order again finds the same runner.
+    /// Handles the platform's reply to a start. Starts are idempotent: repeating the order yields the same runner.
     pub fn handle_start_outcome(
         &mut self,
         now: MonotonicTime,
         runner: RunnerId,
-        end: StartOutcome,
+        outcome: StartOutcome,
     ) -> Vec<HolderOutput> {
         let Some(record) = self.runners.get_mut(runner) else {
             return Vec::new();
         };
-        match end {
+        match outcome {
             StartOutcome::Started(instance) => {
                 if record.instance.is_none() {
                     record.instance = Some(instance.clone());
@@ -78,7 +78,7 @@
             StartOutcome::Busy | StartOutcome::Lost => record.schedule_start_retry(now),
             StartOutcome::NoCapacity | StartOutcome::Rejected => {
                 self.runners.remove(runner);
-                self.scaling.reserve_ended(now, false);
+                self.scaling.record_reserve_result(now, false);
                 self.report_runner(runner, RunnerStatus::Gone);
                 self.scale(now);
                 self.finish_release(now);
@@ -87,7 +87,7 @@
         self.take_outputs()
     }
 
-    /// A readiness probe of a runner that is starting up has ended.
+    /// Handles the result of a readiness probe.
     pub fn handle_probe_result(
         &mut self,
         now: MonotonicTime,
@@ -98,7 +98,7 @@
             record.probe_pending = false;
             if is_ready && record.phase == Phase::StartingUp {
                 record.phase = Phase::Ready;
-                record.since = now;
+                record.phase_since = now;
                 record.last_used_at = now;
                 self.idle_retention
                     .record_startup(now.since(record.started_at));
@@ -109,7 +109,7 @@
         self.take_outputs()
     }
 
-    /// A runner has listed the requests that it is running; none when it could not be reached.
+    /// Handles a runner's list of the requests that it is running; `running` is `None` if it could not be reached.
     pub fn handle_running_list(
         &mut self,
         now: MonotonicTime,
@@ -126,7 +126,7 @@
         self.take_outputs()
     }
 
-    /// The platform has confirmed that a runner is stopped.
+    /// Handles the platform's confirmation that a runner is stopped.
     pub fn handle_runner_stopped(
         &mut self,
         now: MonotonicTime,
@@ -140,7 +140,7 @@
         self.take_outputs()
     }
 
-    /// The platform no longer lists a runner: it is gone.
+    /// Handles the report that the platform no longer lists a runner.
     pub fn handle_runner_gone(
         &mut self,
         now: MonotonicTime,
@@ -152,7 +152,7 @@
         self.take_outputs()
     }
 
-    /// The leader has ordered a runner to be drained.
+    /// Handles the leader's order to drain a runner: it is drained as soon as another one is ready.
     pub fn drain_runner(&mut self, now: MonotonicTime, runner: RunnerId) -> Vec<HolderOutput> {
         if let Some(record) = self.runners.get_mut(runner) {
             record.replace_since.get_or_insert(now);
--- a/crates/dataplane/src/holder/runners.rs
+++ b/crates/dataplane/src/holder/runners.rs
@@ -1,4 +1,4 @@
-//! One runner of a holder: its phase, its slots, and the checks that are due.
+//! One runner of a holder: its lifecycle phase, its slots, and its timed checks.
 
 use super::{AdmissionRequest, Holder, HolderOutput};
 use common::clock::MonotonicTime;
@@ -8,18 +8,18 @@
 use std::time::Duration;
 
 const PROBE_INTERVAL: Duration = Duration::from_millis(20);
-/// How long a lost response occupies its slot where runners cannot list the requests that they are running.
-const LOST_SEND_SLOT_HOLD: Duration = Duration::from_millis(400);
-/// How long a runner that rejected a request gets no more requests than it had then.
+/// How long a lost response occupies its slot if runners cannot list the requests that they are running.
+const LOST_RESPONSE_SLOT_RETENTION: Duration = Duration::from_millis(400);
+/// How long a runner that rejected a request is limited to the number of requests that it had at that time.
 const THROTTLE_DURATION: Duration = Duration::from_millis(200);
 const RUNNING_LIST_INTERVAL: Duration = Duration::from_millis(250);
 const STOP_RETRY_INTERVAL: Duration = Duration::from_millis(600);
 const START_RETRY_DELAY: Duration = Duration::from_millis(150);
 const START_TIMEOUT: Duration = Duration::from_secs(3);
 const UNRESOLVED_TIMEOUT: Duration = Duration::from_secs(6);
-/// A runner that lost this many responses in a row is stopped at once.
+/// Number of consecutive lost responses after which a runner is stopped immediately.
 const MAX_CONSECUTIVE_LOSSES: u32 = 5;
-/// A runner that lost this many responses in a row is replaced.
+/// Number of consecutive lost responses after which a runner is replaced.
 const REPLACE_AFTER_LOSSES: u32 = 2;
 
 /// The phase of a runner's lifecycle.
@@ -27,11 +27,11 @@
 pub(super) enum Phase {
     /// The platform was ordered to start it.
     StartRequested,
-    /// It is started, and not yet ready.
+    /// It has been started and is not yet ready.
     StartingUp,
-    /// It takes requests.
+    /// It accepts requests.
     Ready,
-    /// It takes no more requests and finishes those it has.
+    /// It accepts no more requests and completes those that it has.
     Draining,
     /// The platform was ordered to stop it.
     Stopping,
@@ -46,7 +46,7 @@
     until: MonotonicTime,
 }
 
-/// What is to be done with a runner at a check.
+/// The action that is due for a runner.
 enum DueAction {
     Nothing,
     RepeatStart,
@@ -56,7 +56,7 @@
     RepeatStop,
 }
 
-/// A lower limit for the requests that a runner has at once, while it is in force.
+/// A temporary, lower limit on the concurrent requests of a runner.
 #[derive(Clone, Copy)]
 struct Throttle {
     until: MonotonicTime,
@@ -65,7 +65,7 @@
 
 /// One runner of a holder.
 pub(super) struct RunnerRecord {
-    /// The worker it runs on.
+    /// The worker that it runs on.
     pub worker: WorkerName,
     /// The memory reserved for it, in megabytes.
     pub memory_mb: u32,
@@ -75,22 +75,22 @@
     pub instance: Option<Instance>,
     /// When its start was ordered.
     pub started_at: MonotonicTime,
-    /// Since when it is in its phase.
-    pub since: MonotonicTime,
-    /// When a request last began or ended on it.
+    /// When it entered its phase.
+    pub phase_since: MonotonicTime,
+    /// When a request last started or ended on it.
     pub last_used_at: MonotonicTime,
-    /// The number of requests that it was started to run at once.
+    /// The number of concurrent requests that it was started with.
     pub slots: u32,
-    /// The number of requests that it may have at once; it grows from 1 to `slots` (slow start).
+    /// The current limit on its concurrent requests, which grows from 1 to `slots` (slow start).
     pub limit: u32,
-    /// Whether a readiness probe is under way.
+    /// Whether a readiness probe is in progress.
     pub probe_pending: bool,
-    /// Since when it is to be drained as soon as another one is ready.
+    /// When it was marked to be replaced: it is drained as soon as another runner is ready.
     pub replace_since: Option<MonotonicTime>,
-    /// Requests by their tickets: two of one idempotency key occupy two slots.
+    /// The tickets of its requests. Tickets, because two requests with one idempotency key occupy two slots.
     running: BTreeSet<Ticket>,
     unresolved: Vec<UnresolvedSend>,
-    /// The lower limit after a rejection by the runner.
+    /// The temporary limit after the runner rejected a request.
     throttle: Option<Throttle>,
     consecutive_losses: u32,
     next_check_at: MonotonicTime,
@@ -98,7 +98,7 @@
 }
 
 impl RunnerRecord {
-    /// A runner that the platform is ordered to start.
+    /// Creates the record of a runner that the platform is ordered to start.
     pub(super) fn starting(
         now: MonotonicTime,
         worker: WorkerName,
@@ -111,7 +111,7 @@
             phase: Phase::StartRequested,
             instance: None,
             started_at: now,
-            since: now,
+            phase_since: now,
             last_used_at: now,
             slots,
             limit: 1,
@@ -126,8 +126,8 @@
         }
     }
 
-    /// A runner adopted from an earlier holder; that holder's requests may still run there, so it begins with half of
-    /// its slots. None if its instance is not known.
+    /// Creates the record of a runner adopted from an earlier holder, or returns `None` if its instance is not known.
+    /// The earlier holder's requests may still be running there, so its limit starts at half of its slots.
     pub(super) fn adopted(now: MonotonicTime, listed: ClaimedRunner, slots: u32) -> Option<Self> {
         let instance = listed.instance.0.into_iter().next()?;
         let mut record = Self::starting(now, listed.worker, listed.memory_mb, slots);
@@ -137,23 +137,23 @@
         Some(record)
     }
 
-    /// Where it listens.
+    /// Returns the address that it listens on, if its instance is known.
     pub(super) fn address(&self) -> Option<SocketAddress> {
         self.instance.as_ref().map(|instance| instance.address)
     }
 
-    /// The platform did not carry the start order out; it is to be repeated soon.
+    /// Schedules a retry of a start order that the platform did not carry out.
     pub(super) fn schedule_start_retry(&mut self, now: MonotonicTime) {
         self.start_retry_at = Some(now + START_RETRY_DELAY);
     }
 
-    /// Whether it can be left running for the next holder: it is ready and healthy, or orphaned already.
+    /// Whether it can be left running for the next holder: it is ready and healthy, or already orphaned.
     pub(super) fn may_be_orphaned(&self) -> bool {
         let is_healthy = self.consecutive_losses < 2;
         self.phase == Phase::Orphaned || (self.is_usable() && self.instance.is_some() && is_healthy)
     }
 
-    /// The order to stop it.
+    /// Returns the order to stop it.
     fn stop_output(&self, runner: RunnerId) -> HolderOutput {
         HolderOutput::Stop {
             runner,
@@ -162,7 +162,7 @@
         }
     }
 
-    /// Its form in reports to the leader.
+    /// Converts it to the form in which it is reported to the leader.
     pub(super) fn to_claim(&self, runner: RunnerId) -> ClaimedRunner {
         ClaimedRunner {
             runner,
@@ -173,32 +173,32 @@
         }
     }
 
-    /// The number of slots in use, including those of lost responses.
+    /// Returns the number of slots in use, including those of lost responses.
     pub(super) fn busy_count(&self) -> usize {
         self.running.len() + self.unresolved.len()
     }
 
-    /// Whether it was ordered and is not ready yet.
+    /// Whether it was ordered to start and is not ready yet.
     pub(super) fn is_starting(&self) -> bool {
         matches!(self.phase, Phase::StartRequested | Phase::StartingUp)
     }
 
-    /// Whether it is ready or starting, and is not to be replaced.
+    /// Whether it is ready or starting, and not to be replaced.
     pub(super) fn is_starting_or_ready(&self) -> bool {
         (self.is_starting() || self.phase == Phase::Ready) && self.replace_since.is_none()
     }
 
-    /// Whether it is ready and is not to be replaced.
+    /// Whether it is ready and not to be replaced.
     pub(super) fn is_usable(&self) -> bool {
         self.phase == Phase::Ready && self.replace_since.is_none()
     }
 
-    /// The number of requests that it may have at once now.
+    /// Returns the current limit on its concurrent requests.
     pub(super) fn current_limit(&self, now: MonotonicTime) -> u32 {
         self.throttled(now, self.limit)
     }
 
-    /// The number of requests that it may have at once after its slow start, which takes few responses.
+    /// Returns the limit on its concurrent requests after its slow start, which takes only a few responses.
     pub(super) fn expected_limit(&self, now: MonotonicTime) -> u32 {
         self.throttled(now, self.slots)
     }
@@ -210,13 +210,13 @@
         }
     }
 
-    /// Whether it takes one more request.
+    /// Whether it accepts one more request.
     pub(super) fn has_free_slot(&self, now: MonotonicTime) -> bool {
         self.phase == Phase::Ready && self.busy_count() < self.current_limit(now) as usize
     }
 
-    /// It rejected a request: it gets no more at once than it has now, for a while. The rest of its slots may be in use
-    /// for an earlier holder.
+    /// Throttles the runner after it rejected a request: for a short time it gets no more concurrent requests than it
+    /// has now. Its other slots may be in use by requests of an earlier holder.
     pub(super) fn handle_rejection(&mut self, now: MonotonicTime) {
         self.throttle = Some(Throttle {
             until: now + THROTTLE_DURATION,
@@ -235,7 +235,8 @@
         self.running.insert(ticket);
     }
 
-    /// Frees a request's slot, or keeps it occupied while it is not known whether the runner is still running it.
+    /// Frees a request's slot, or keeps it occupied if the runner may still be running the request (`is_resolved` is
+    /// false).
     pub(super) fn release_slot(
         &mut self,
         now: MonotonicTime,
@@ -254,14 +255,14 @@
             self.unresolved.push(UnresolvedSend {
                 idempotency_key: request.idempotency_key.clone(),
                 since: now,
-                until: request.deadline.min(now + LOST_SEND_SLOT_HOLD),
+                until: request.deadline.min(now + LOST_RESPONSE_SLOT_RETENTION),
             });
             self.next_check_at = now + RUNNING_LIST_INTERVAL;
         }
     }
 
-    /// A response widens the slow-start limit by one, up to the slots that the runner was started with.
-    pub(super) fn widen_limit(&mut self, slots: u32) {
+    /// Raises the slow-start limit by one after a response, up to the number of slots that the runner was started with.
+    pub(super) fn raise_limit(&mut self, slots: u32) {
         let upper_limit = self.slots.min(slots).max(1);
         self.limit = self.limit.saturating_add(1).min(upper_limit);
     }
@@ -277,13 +278,13 @@
 }
 
 impl RunnerRecord {
-    /// The runner takes no more requests and finishes those it has.
+    /// Starts draining: the runner accepts no more requests and completes those that it has.
     pub(super) fn begin_draining(&mut self, now: MonotonicTime) {
         self.phase = Phase::Draining;
-        self.since = now;
+        self.phase_since = now;
     }
 
-    /// What is to be done with it now; the times of its next checks move on.
+    /// Returns the action that is due now, and schedules the next check.
     fn due_action(
         &mut self,
         now: MonotonicTime,
@@ -332,8 +333,8 @@
         self.address().map_or(DueAction::Nothing, DueAction::Probe)
     }
 
-    /// A runner whose lost responses stay unresolved, or that lost many in a row, is stopped; else it has to list
-    /// the requests that it is running.
+    /// Stops a runner whose lost responses stay unresolved for too long or that lost many in a row. Otherwise has it
+    /// list the requests that it is running, if responses are unresolved.
     fn due_unresolved_action(&mut self, now: MonotonicTime, lists_running: bool) -> DueAction {
         let oldest_unresolved = self
             .unresolved
@@ -352,12 +353,12 @@
             .map_or(DueAction::Nothing, DueAction::ListRunning)
     }
 
-    /// Frees the slots of lost responses by time alone.
+    /// Frees the slots of lost responses whose retention time is over.
     fn expire_unresolved(&mut self, now: MonotonicTime) {
         self.unresolved.retain(|unresolved| now < unresolved.until);
     }
 
-    /// The time of the next check, if it may lie before the next regular tick.
+    /// Returns the time of the next check, if it may be before the next regular tick.
     fn next_due(&self, lists_running: bool) -> Option<MonotonicTime> {
         let unresolved_until = self
             .unresolved
@@ -368,7 +369,7 @@
         let throttled_until = self.throttle.map(|throttle| throttle.until);
         let check_at = match self.phase {
             Phase::StartingUp if !self.probe_pending => Some(self.next_check_at),
-            Phase::Draining if self.busy_count() == 0 => Some(self.since),
+            Phase::Draining if self.busy_count() == 0 => Some(self.phase_since),
             _ => None,
         };
         [unresolved_until, throttled_until, check_at]
@@ -379,7 +380,7 @@
 }
 
 impl Holder {
-    /// When [`Holder::tick`] is next needed, if that may be before the next regular tick.
+    /// Returns when [`Holder::tick`] is next needed, if that may be before the next regular tick.
     pub fn next_due(&self) -> Option<MonotonicTime> {
         let runners_due = self
             .runners
@@ -389,26 +390,27 @@
         [runners_due, self.queue_due()].into_iter().flatten().min()
     }
 
-    /// Orders a runner to be stopped, unless that was done already.
+    /// Orders the platform to stop a runner, unless that was already ordered.
     pub(super) fn stop_runner(&mut self, now: MonotonicTime, runner: RunnerId) {
         let Some(record) = self.runners.get_mut(runner) else {
             return;
         };
         if record.phase != Phase::Stopping {
             record.phase = Phase::Stopping;
-            record.since = now;
+            record.phase_since = now;
             record.next_check_at = now + STOP_RETRY_INTERVAL;
             let output = record.stop_output(runner);
             self.outputs.push(output);
         }
     }
 
-    /// A runner is gone or unreachable: it is stopped, and scaling starts another if one is needed.
+    /// Stops a runner that is gone or unreachable. Scaling starts another one if needed.
     pub(super) fn replace_failed_runner(&mut self, now: MonotonicTime, runner: RunnerId) {
         self.stop_runner(now, runner);
     }
 
-    /// Probes runners that start up, resolves hung ones, and stops those that are done or failed to start.
+    /// Carries out the due checks of all runners: start retries, readiness probes, lists of running requests, and
+    /// stops.
     pub(super) fn check_runners(&mut self, now: MonotonicTime) {
         let startup_timeout = self.spec.startup * 3 + START_TIMEOUT;
         let mut stopped_runners: Vec<RunnerId> = Vec::new();
--- a/crates/dataplane/src/holder/scaling.rs
+++ b/crates/dataplane/src/holder/scaling.rs
@@ -1,4 +1,4 @@
-//! How many runners a holder wants: it requests more, and drains or stops those that it does not need.
+//! Scales the number of runners with the load: requests more, and drains or stops those that are not needed.
 
 use super::runners::Phase;
 use super::{Holder, HolderMessage};
@@ -9,15 +9,16 @@
 const RESERVE_RETRY_DELAY: Duration = Duration::from_millis(400);
 const REPLACE_TIMEOUT: Duration = Duration::from_millis(1000);
 const MAX_PENDING_RESERVATIONS: usize = 8;
-/// A younger runner is not drained: the requests that it was started or adopted for may be on their way.
+/// Minimum age of a runner before it is drained: the requests that it was started or adopted for may still be on their
+/// way.
 const STABLE_AFTER: Duration = Duration::from_secs(1);
-/// A runner that starts up for nothing is stopped up to this fraction of its start-up; later it may as well be used.
+/// Fraction of the start-up time up to which an unneeded starting runner is stopped. After that it may as well be used.
 const CANCELLABLE_STARTUP_FRACTION: f64 = 0.5;
-/// A runner is given up only when a load higher by this factor could do without it too: measured loads vary, and
-/// what is given up on one variation is started again on the next.
+/// Hysteresis: a runner is stopped or drained only if it is not needed even for a load higher by this factor. Measured
+/// loads fluctuate, and a runner removed in one fluctuation would be started again in the next.
 const CANCEL_LOAD_FACTOR: f64 = 1.25;
 
-/// The scaling state of a holder: its open reservations and the times of its next steps.
+/// The scaling state of a holder: its pending reservations, and when it may next reserve or drain a runner.
 pub(super) struct Scaling {
     reserving_since: Vec<MonotonicTime>,
     next_reserve_at: MonotonicTime,
@@ -25,7 +26,7 @@
 }
 
 impl Scaling {
-    /// No reservation is open yet.
+    /// Creates the state with no pending reservation.
     pub(super) fn new(now: MonotonicTime) -> Self {
         Self {
             reserving_since: Vec::new(),
@@ -34,8 +35,8 @@
         }
     }
 
-    /// A requested reservation was granted or rejected, or got no reply.
-    pub(super) fn reserve_ended(&mut self, now: MonotonicTime, is_reserved: bool) {
+    /// Records that a pending reservation was granted, rejected, or got no reply.
+    pub(super) fn record_reserve_result(&mut self, now: MonotonicTime, is_reserved: bool) {
         self.reserving_since.pop();
         if !is_reserved {
             self.next_reserve_at = now + RESERVE_RETRY_DELAY;
@@ -44,7 +45,7 @@
 }
 
 impl Holder {
-    /// Requests runners or gives some up, by the load and the queue.
+    /// Adjusts the number of runners to the load and the queue.
     pub(super) fn scale(&mut self, now: MonotonicTime) {
         if self.is_releasing() {
             return;
@@ -77,23 +78,24 @@
         self.scale_down(now, retained_count);
     }
 
-    /// The fewest runners that are wanted without any load.
+    /// Returns the minimum number of runners without any load.
     fn runner_floor(&self) -> usize {
-        let unless_idle_stopped = u32::from(!self.lifecycle.is_idle_stopped());
+        let default_floor = u32::from(!self.lifecycle.is_idle_stopped());
         self.spec
             .min_runners
-            .max(unless_idle_stopped)
+            .max(default_floor)
             .min(self.spec.max_runners) as usize
     }
 
-    /// The runners for a load, given in slots, with a margin for its variation that grows with its square root.
+    /// Returns the number of runners for a load in slots, with a margin for fluctuations that grows with the square
+    /// root of the load.
     fn runners_for_load(&self, load: f64) -> usize {
         let margin = f64::from(self.tuning.margin_percent) / 100.0 * load.sqrt();
         ((load + margin) / f64::from(self.spec.slots.max(1))).ceil() as usize
     }
 
-    /// The runners to be started for the queue: those without which it would not be sent in time. Runners that are
-    /// ready, starting or reserved count with the requests that they can run until then.
+    /// Returns the number of additional runners needed to serve the queue in time, after subtracting the requests that
+    /// runners already ready, starting or reserved can run by then.
     fn runners_for_queue(&self, now: MonotonicTime, load: f64) -> usize {
         let Some(horizon) = self.queue_horizon(now) else {
             return 0;
@@ -119,8 +121,8 @@
         }
     }
 
-    /// The time within which the queue should be served, in seconds; none when it is empty. Where a target leaves no
-    /// time for a start-up it lies midway between the start-up and the deadline.
+    /// Returns the time within which the queue should be served, in seconds, or `None` if it is empty. For a request
+    /// whose target leaves no time for a start-up, it is midway between the start-up time and the deadline.
     fn queue_horizon(&self, now: MonotonicTime) -> Option<f64> {
         let startup = self.spec.startup.as_secs_f64();
         let service_time = self.service_seconds();
@@ -136,7 +138,7 @@
         horizons.max_by(f64::total_cmp)
     }
 
-    /// The number of requests that the present runners can run within a horizon in seconds.
+    /// Returns the number of requests that the present runners can run within a horizon in seconds.
     fn runner_capacity(&self, now: MonotonicTime, horizon: f64) -> f64 {
         let service_time = self.service_seconds();
         let slots = f64::from(self.spec.slots.max(1));
@@ -157,7 +159,7 @@
             .sum()
     }
 
-    /// Requests the runners that are missing, as far as not too many requests are open.
+    /// Requests the missing runners, up to the maximum number of pending reservations.
     fn reserve(&mut self, now: MonotonicTime, target_count: usize, pending_count: usize) {
         if now < self.scaling.next_reserve_at {
             return;
@@ -170,7 +172,8 @@
         }
     }
 
-    /// Stops the youngest runner that is starting up and no longer needed, while little of its start-up is paid for.
+    /// Stops the youngest starting runner if it is no longer needed and less than a fraction of its start-up has
+    /// passed.
     fn cancel_excess_startup(&mut self, now: MonotonicTime, target_count: usize) {
         let ready_count = self.usable_count();
         if self.runners.starting_or_ready_count() <= target_count || ready_count < target_count {
@@ -188,7 +191,7 @@
         }
     }
 
-    /// The number of runners that are ready and are not to be replaced.
+    /// Returns the number of runners that are ready and not to be replaced.
     fn usable_count(&self) -> usize {
         self.runners
             .records()
@@ -196,7 +199,7 @@
             .count()
     }
 
-    /// Drains the runners that are to be replaced, and from time to time one that is not needed.
+    /// Drains the runners that are to be replaced and, once per drain interval, one that is not needed.
     fn scale_down(&mut self, now: MonotonicTime, target_count: usize) {
         let usable_count = self.usable_count();
         self.drain_replaced(now, usable_count > 0);
@@ -209,7 +212,7 @@
                 .runners
                 .iter_mut()
                 .filter(|(_, record)| record.is_usable())
-                .filter(|(_, record)| now.since(record.since) >= STABLE_AFTER)
+                .filter(|(_, record)| now.since(record.phase_since) >= STABLE_AFTER)
                 .min_by_key(|(_, record)| record.busy_count());
             if let Some((_, record)) = least_busy {
                 record.begin_draining(now);
@@ -217,7 +220,7 @@
         }
     }
 
-    /// Drains the runners that are to be replaced, once another one is ready or the wait for one has been too long.
+    /// Drains the runners that are to be replaced, once another one is ready or [`REPLACE_TIMEOUT`] has passed.
     fn drain_replaced(&mut self, now: MonotonicTime, has_replacement: bool) {
         for (_, record) in self.runners.iter_mut() {
             let is_overdue = record
@@ -231,7 +234,7 @@
     }
 }
 
-/// The number of requests that one slot runs within a span; both times in seconds.
+/// Returns the number of requests that one slot runs within a span; both times are in seconds.
 fn requests_within(span: f64, service_time: f64) -> f64 {
     (span / service_time).max(0.0)
 }
--- a/crates/dataplane/src/holder/send_result.rs
+++ b/crates/dataplane/src/holder/send_result.rs
@@ -1,4 +1,4 @@
-//! What follows a send: the outcome is recorded and returned, or the request is retried.
+//! Handles the result of a send: records and returns the outcome, or retries the request.
 
 use super::{AdmissionRequest, Holder, HolderOutput, InFlight, QueuedRequest, SendResult, not_run};
 use common::clock::MonotonicTime;
@@ -8,25 +8,25 @@
 use common::rules::Rule;
 use std::time::Duration;
 
-/// When the caller of a request that may no longer be sent from here may retry.
+/// Delay after which the caller of a request that this holder may no longer send may retry.
 const FORBIDDEN_RETRY_AFTER: Duration = Duration::from_millis(500);
-/// The shortest time after which the caller of a request that a runner rejected may retry.
+/// Minimum delay after which the caller of a request that a runner rejected may retry.
 const MIN_REJECTED_RETRY_AFTER: Duration = Duration::from_millis(200);
 
 impl Holder {
-    /// A send to a runner has ended.
+    /// Handles the result of a send to a runner.
     pub fn handle_send_result(
         &mut self,
         now: MonotonicTime,
         ticket: Ticket,
-        end: SendResult,
+        result: SendResult,
     ) -> Vec<HolderOutput> {
         self.requests.sent_to_runner.remove(&ticket);
         let Some(in_flight) = self.requests.in_flight.remove(&ticket) else {
             return Vec::new();
         };
-        self.release_runner_slot(now, &in_flight, &end);
-        match end {
+        self.release_runner_slot(now, &in_flight, &result);
+        match result {
             SendResult::Answered(outcome) => self.handle_response(now, in_flight, outcome),
             SendResult::RejectedByRunner => {
                 if let Some(record) = self.runners.get_mut(in_flight.runner) {
@@ -47,7 +47,7 @@
                 self.requeue(now, in_flight.queued);
             }
             SendResult::Lost => self.handle_lost_response(now, in_flight.queued),
-            SendResult::Aborted => self.handle_broken_off(now, in_flight.queued),
+            SendResult::Aborted => self.handle_aborted(now, in_flight.queued),
         }
         self.dispatch(now);
         self.scale(now);
@@ -55,8 +55,13 @@
         self.take_outputs()
     }
 
-    fn release_runner_slot(&mut self, now: MonotonicTime, in_flight: &InFlight, end: &SendResult) {
-        let is_resolved = !matches!(end, SendResult::Lost | SendResult::Aborted)
+    fn release_runner_slot(
+        &mut self,
+        now: MonotonicTime,
+        in_flight: &InFlight,
+        result: &SendResult,
+    ) {
+        let is_resolved = !matches!(result, SendResult::Lost | SendResult::Aborted)
             || !self.rules.enforces(Rule::LostResponseKeepsSlot);
         if let Some(record) = self.runners.get_mut(in_flight.runner) {
             record.release_slot(now, &in_flight.queued.request, is_resolved);
@@ -73,13 +78,13 @@
             .record_service_time(now.since(in_flight.sent_at));
         let slots = self.slots_per_runner();
         if let Some(record) = self.runners.get_mut(in_flight.runner) {
-            record.widen_limit(slots);
+            record.raise_limit(slots);
         }
-        self.end(now, in_flight.queued.request, outcome);
+        self.end_request(now, in_flight.queued.request, outcome);
     }
 
-    /// The function failed on its runner: a repeatable request may go to another runner, else the failure is its
-    /// outcome.
+    /// Handles a failure of the function on its runner: retries a repeatable request if possible, and otherwise returns
+    /// the failure as the outcome.
     fn handle_failure(
         &mut self,
         now: MonotonicTime,
@@ -91,7 +96,7 @@
             queued.failure = Some(outcome);
             self.retry(now, queued);
         } else {
-            self.end(now, queued.request, outcome);
+            self.end_request(now, queued.request, outcome);
         }
     }
 
@@ -109,8 +114,8 @@
         }
     }
 
-    /// Nobody waits for the request any more, so it is not retried.
-    fn handle_broken_off(&mut self, now: MonotonicTime, mut queued: QueuedRequest) {
+    /// Handles an aborted send. No caller waits for the outcome any more, so the request is not retried.
+    fn handle_aborted(&mut self, now: MonotonicTime, mut queued: QueuedRequest) {
         queued.may_have_run = true;
         self.fail_request(
             now,
@@ -120,7 +125,7 @@
         );
     }
 
-    /// A runner rejected the request: it did not run there, yet it arrived, and counts as an attempt.
+    /// Handles a rejection by the runner: the request did not run, but it was delivered and counts as an attempt.
     fn handle_rejection(&mut self, now: MonotonicTime, queued: QueuedRequest) {
         if self.may_retry(now, &queued) {
             self.retry(now, queued);
@@ -136,7 +141,7 @@
         }
     }
 
-    /// Another runner answered at the address and did not run the request; the intended runner never got it.
+    /// Handles a request that was answered by a runner other than the intended one and ran on neither.
     fn handle_misdirected(&mut self, now: MonotonicTime, queued: QueuedRequest) {
         let has_time_left = now + self.requests.service_time < queued.request.deadline;
         if has_time_left && !self.lifecycle.is_closed() && self.has_retry_budget(now) {
@@ -151,8 +156,8 @@
         }
     }
 
-    /// Whether a repeatable request may go to one more runner. A caller's retry goes to one runner only: its other
-    /// attempts were made elsewhere, or are still under way there.
+    /// Whether a repeatable request may be sent to one more runner. A caller's own retry is sent to one runner only,
+    /// since earlier attempts were made elsewhere or may still be in progress there.
     fn may_retry(&mut self, now: MonotonicTime, queued: &QueuedRequest) -> bool {
         let has_time_left = now + self.requests.service_time * 2 < queued.request.deadline;
         let is_last_attempt =
@@ -166,7 +171,7 @@
             && self.has_retry_budget(now)
     }
 
-    /// Queues a request for one more attempt, ahead of all others.
+    /// Puts a request at the front of the queue for one more attempt.
     fn retry(&mut self, now: MonotonicTime, mut queued: QueuedRequest) {
         self.spend_retry(now);
         queued.attempt += 1;
@@ -178,19 +183,24 @@
         !self.rules.enforces(Rule::RetryBudgetCounted) || self.retry_budget.has_retry_budget(now)
     }
 
-    /// Takes one retry out of the retry budget.
+    /// Counts one retry against the retry budget.
     pub(super) fn spend_retry(&mut self, now: MonotonicTime) {
         let is_within = self.retry_budget.has_retry_budget(now);
         require(
             self.rules,
             Invariant::RetryBudgetRespected,
             is_within,
-            || format!("an extra try of {} beyond the budget", self.lease.function),
+            || {
+                format!(
+                    "extra try of {} exceeds the retry budget",
+                    self.lease.function
+                )
+            },
         );
         self.retry_budget.spend(now);
     }
 
-    /// Puts a request that was not sent back to the head of the queue; that is not an attempt.
+    /// Puts a request that was not sent back at the front of the queue. This does not count as an attempt.
     pub(super) fn requeue(&mut self, now: MonotonicTime, queued: QueuedRequest) {
         if self.lifecycle.is_closed() {
             self.fail_request(
@@ -205,7 +215,7 @@
     }
 
     /// Records a request's outcome and returns it to the caller.
-    pub(super) fn end(
+    pub(super) fn end_request(
         &mut self,
         now: MonotonicTime,
         request: AdmissionRequest,
@@ -244,7 +254,7 @@
             !is_at_runner,
             || {
                 format!(
-                    "{} is refused while a runner has it",
+                    "{} is rejected although it was sent to a runner",
                     request.idempotency_key
                 )
             },
