--- a/crates/dataplane/src/holder/runner_set.rs
+++ b/crates/dataplane/src/holder/runner_set.rs
@@ -9,13 +9,13 @@
 /// The runners of one held function, by id.
 pub(super) struct RunnerSet {
     records: BTreeMap<RunnerId, RunnerRecord>,
-    /// The largest number of slots that any spec under this lease gave a runner.
+    /// The largest number of slots per runner in any spec under this lease.
     max_slots: u32,
     has_adopted: bool,
 }
 
 impl RunnerSet {
-    /// The runners adopted from an earlier lease holder; one without a known instance is left out.
+    /// Adopts the runners of an earlier holder, except those without a known instance.
     pub(super) fn adopted(now: MonotonicTime, adopted: Vec<ClaimedRunner>, slots: u32) -> Self {
         let has_adopted = !adopted.is_empty();
         let records = adopted
@@ -29,22 +29,22 @@
         }
     }
 
-    /// Whether the lease began with runners of an earlier holder.
+    /// Whether the lease began with adopted runners.
     pub(super) fn has_adopted(&self) -> bool {
         self.has_adopted
     }
 
-    /// The largest number of slots that any spec under this lease gave a runner.
+    /// Returns the largest number of slots per runner in any spec under this lease.
     pub(super) fn max_slots(&self) -> u32 {
         self.max_slots
     }
 
-    /// A newer spec gives runners this many slots.
+    /// Raises the maximum to the number of slots per runner in a newer spec.
     pub(super) fn raise_max_slots(&mut self, slots: u32) {
         self.max_slots = self.max_slots.max(slots);
     }
 
-    /// Removes the slow start of all runners; only for runs that show what slow start prevents.
+    /// Disables the slow start of all runners. Only for runs that show what slow start prevents.
     pub(super) fn skip_slow_start(&mut self) {
         for record in self.records.values_mut() {
             record.limit = record.slots;
@@ -95,7 +95,7 @@
         self.records.values()
     }
 
-    /// The runners that take requests.
+    /// Returns the runners that accept requests.
     pub(super) fn ready(&self) -> impl Iterator<Item = &RunnerRecord> {
         self.records().filter(|record| record.phase == Phase::Ready)
     }
@@ -104,24 +104,24 @@
         self.ready().next().is_some()
     }
 
-    /// The runners that are starting up and not yet ready.
+    /// Returns the runners that are starting up.
     pub(super) fn starting(&self) -> impl Iterator<Item = (RunnerId, &RunnerRecord)> {
         self.iter().filter(|(_, record)| record.is_starting())
     }
 
-    /// How many are ready or starting, and are not to be replaced.
+    /// Returns the number of runners that are ready or starting, and not to be replaced.
     pub(super) fn starting_or_ready_count(&self) -> usize {
         self.records()
             .filter(|record| record.is_starting_or_ready())
             .count()
     }
 
-    /// Whether all are orphaned; also true when there is none.
+    /// Whether all runners are orphaned; also true if there is none.
     pub(super) fn are_all_orphaned(&self) -> bool {
         self.records().all(|record| record.phase == Phase::Orphaned)
     }
 
-    /// The orphaned runners, as reported to the leader.
+    /// Returns the orphaned runners in the form in which they are reported to the leader.
     pub(super) fn orphaned_claims(&self) -> Vec<ClaimedRunner> {
         self.iter()
             .filter(|(_, record)| record.phase == Phase::Orphaned)
@@ -129,14 +129,14 @@
             .collect()
     }
 
-    /// All runners, as claimed after a reconnection.
+    /// Returns all runners in the form in which they are claimed after a reconnection.
     pub(super) fn claims(&self) -> Vec<ClaimedRunner> {
         self.iter()
             .map(|(runner, record)| record.to_claim(runner))
             .collect()
     }
 
-    /// The known instances of runners that are not orphaned.
+    /// Returns the known instances of the runners that are not orphaned.
     pub(super) fn instances(&self) -> Vec<Instance> {
         self.records()
             .filter(|record| record.phase != Phase::Orphaned)
@@ -144,12 +144,12 @@
             .collect()
     }
 
-    /// Where a runner listens, once the platform has reported its instance.
+    /// Returns the address of a runner, or `None` until the platform has reported its instance.
     pub(super) fn address_of(&self, runner: RunnerId) -> Option<SocketAddress> {
         self.get(runner).and_then(RunnerRecord::address)
     }
 
-    /// The least busy runner with a free slot; of equally busy ones that with the lowest id.
+    /// Returns the runner with a free slot that has the fewest slots in use; ties go to the lowest id.
     pub(super) fn least_busy_free(&self, now: MonotonicTime) -> Option<RunnerId> {
         self.iter()
             .filter(|(_, record)| record.has_free_slot(now))
