--- a/crates/dataplane/src/holder/tuning.rs
+++ b/crates/dataplane/src/holder/tuning.rs
@@ -1,4 +1,4 @@
-//! The settings of a holder that operators may change.
+//! The settings of a holder that operators can change.
 
 use std::time::Duration;
 use typed_builder::TypedBuilder;
@@ -6,39 +6,40 @@
 /// The settings of a holder.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, TypedBuilder)]
 pub struct Tuning {
-    /// The retries allowed within ten seconds, in percent of the first attempts.
+    /// The number of retries allowed within ten seconds, in percent of the first attempts.
     #[builder(default = 20)]
     pub retry_percent: u64,
-    /// The retries allowed within ten seconds beside that share.
+    /// The number of retries allowed within ten seconds in addition to that share.
     #[builder(default = 3)]
     pub retry_allowance: u64,
-    /// Whether a new holder has that allowance at once, rather than after ten seconds.
+    /// Whether the allowance applies to a new holder immediately rather than after ten seconds.
     #[builder(default = false)]
     pub retry_allowance_immediate: bool,
-    /// The cost of a cold start, in start-up times of a retained runner: the last runner is stopped after that time
-    /// without a request; 0 retains it always.
+    /// The cost of a cold start, in start-up times of a retained runner. The last runner is stopped after that time
+    /// without a request; 0 retains it indefinitely.
     #[builder(default = 0)]
     pub idle_startups: u32,
-    /// If set, the last runner of a rarely called function is already stopped after this time.
+    /// If set, the idle time after which the last runner of a rarely called function is stopped.
     #[builder(default = None)]
     pub rare_idle_limit: Option<Duration>,
-    /// If set, it takes precedence over the two above: the costs of a cold start and of a late response.
+    /// The costs of a cold start and of a late response. If set, takes precedence over `idle_startups` and
+    /// `rare_idle_limit`.
     #[builder(default = None)]
     pub idle_cost: Option<IdleCost>,
     /// Whether runners can list the requests that they are running.
     #[builder(default = true)]
     pub lists_running: bool,
-    /// The time constant over which calls are counted.
+    /// The time constant over which the call rate is measured.
     #[builder(default = Duration::from_millis(500))]
     pub rate_window: Duration,
-    /// The margin of slots over the load, in percent of the load's square root.
+    /// The margin of slots above the load, in percent of the square root of the load.
     #[builder(default = 100)]
     pub margin_percent: u32,
-    /// The time constant by which the demand decays after a peak; four start-up times if not set, since a runner given
-    /// up too early costs a start-up.
+    /// The time constant with which the measured demand decays after a peak. The default is four start-up times, since
+    /// a runner removed too early costs another start-up.
     #[builder(default, setter(strip_option))]
     pub decay: Option<Duration>,
-    /// The time from one excess runner's drain to the next; two fifths of a start-up time if not set.
+    /// The interval between drains of excess runners. The default is two fifths of a start-up time.
     #[builder(default, setter(strip_option))]
     pub drain_interval: Option<Duration>,
 }
@@ -49,13 +50,13 @@
 const MIN_DRAIN_INTERVAL: Duration = Duration::from_millis(100);
 
 impl Tuning {
-    /// The time constant by which the demand decays, for runners with this start-up time.
+    /// Returns the time constant with which the demand decays, for runners with this start-up time.
     pub fn decay_time(&self, startup: Duration) -> Duration {
         self.decay
             .unwrap_or_else(|| startup.mul_f64(DECAY_STARTUPS).max(MIN_DECAY))
     }
 
-    /// The time from one excess runner's drain to the next, for runners with this start-up time.
+    /// Returns the interval between drains of excess runners, for runners with this start-up time.
     pub fn drain_interval_for(&self, startup: Duration) -> Duration {
         self.drain_interval.unwrap_or_else(|| {
             startup
@@ -65,11 +66,11 @@
     }
 }
 
-/// The costs that are weighed against the memory of an idle runner, in megabyte seconds; operators set them by what
-/// they pay for each.
+/// The costs that are weighed against the memory of an idle runner, in megabyte seconds. Operators derive them from
+/// their prices.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct IdleCost {
-    /// The cost of a cold start, beside the memory that the runner takes while it starts up.
+    /// The cost of a cold start, in addition to the memory that the runner takes during start-up.
     pub start_cost_mb_s: u32,
     /// The cost of a late response.
     pub late_cost_mb_s: u32,
--- a/crates/dataplane/src/holder/withdrawal.rs
+++ b/crates/dataplane/src/holder/withdrawal.rs
@@ -1,4 +1,4 @@
-//! Requests that are taken back while they wait: their daemon stops, or their caller has left.
+//! Withdrawal of queued requests, when the daemon that forwarded them stops or their caller disconnects.
 
 use super::{Holder, HolderOutput, QueuedRequest};
 use common::clock::MonotonicTime;
@@ -6,12 +6,12 @@
 use common::identity::Ticket;
 use std::time::Duration;
 
-/// When the caller of a withdrawn request may retry at another daemon.
+/// Delay after which the caller of a withdrawn request may retry at another daemon.
 const WITHDRAWN_RETRY_AFTER: Duration = Duration::from_millis(100);
 
 impl Holder {
-    /// Takes a request back: one that is queued ends at once, as not run unless an earlier attempt may have run. One that
-    /// is on its way to a runner goes on.
+    /// Withdraws a request. A queued request ends immediately, as not run unless an earlier attempt may have run. A
+    /// request that was dispatched to a runner is not affected.
     pub fn withdraw(&mut self, now: MonotonicTime, ticket: Ticket) -> Vec<HolderOutput> {
         if let Some(queued) = self.requests.remove_queued(ticket) {
             let reason = withdrawal_reason(&queued);
@@ -22,7 +22,8 @@
     }
 }
 
-/// A request whose end the ledger records ends for good; any other may go to the next holder.
+/// Returns the reason with which a withdrawn request ends. A recorded request is rejected for good, since the ledger
+/// records its outcome; any other may be sent to the next holder.
 fn withdrawal_reason(queued: &QueuedRequest) -> RequestFailureReason {
     if queued.request.recorded {
         RequestFailureReason::NotServing
