--- a/crates/dataplane/src/ledger/entries.rs
+++ b/crates/dataplane/src/ledger/entries.rs
@@ -1,4 +1,4 @@
-//! A lease holder's own ledger of requests by idempotency key.
+//! The ledger of a lease holder: its requests by idempotency key.
 
 use super::ranges::{digests, range_of};
 use common::clock::MonotonicTime;
@@ -7,17 +7,17 @@
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
 
-/// How long an entry outlives its request's deadline, so that late retries still find it.
+/// How long an entry is retained after its request's deadline, so that late retries still find it.
 const RETENTION_AFTER_DEADLINE: Duration = Duration::from_secs(15);
-/// When a caller may retry under another key after a rejection that an earlier holder recorded, in milliseconds.
-const RETRY_AFTER_MS: u32 = 1000;
+/// Delay after which a caller whose request an earlier holder rejected may retry under another key, in milliseconds.
+const IMPORTED_REJECTION_RETRY_AFTER_MS: u32 = 1000;
 /// The largest response body that is stored.
 const MAX_STORED_RESPONSE_BYTES: usize = 64 << 10;
 
-/// What is known about one request.
+/// The ledger entry of one request.
 struct LedgerEntry {
     once: bool,
-    /// None while the request has not ended.
+    /// The outcome, or `None` until the request has ended.
     outcome: Option<RequestOutcome>,
     expires_at: MonotonicTime,
 }
@@ -44,7 +44,7 @@
     }
 }
 
-/// A lease holder's own ledger: the outcomes of recorded requests by idempotency key.
+/// The ledger of a lease holder: the outcomes of recorded requests by idempotency key.
 #[derive(Default)]
 pub struct Ledger {
     entries: HashMap<IdempotencyKey, LedgerEntry>,
@@ -52,8 +52,8 @@
 }
 
 impl Ledger {
-    /// The outcome for a key that is known, [in progress](RequestFailureReason::InProgress) while its request has not
-    /// ended; none for a new key.
+    /// Returns the outcome recorded for a key, [in progress](RequestFailureReason::InProgress) until its request has
+    /// ended, or `None` for an unknown key.
     pub fn known_outcome(&self, idempotency_key: &IdempotencyKey) -> Option<RequestOutcome> {
         self.entries.get(idempotency_key).map(|entry| {
             entry.outcome.clone().unwrap_or(RequestOutcome::Unknown {
@@ -62,7 +62,7 @@
         })
     }
 
-    /// Records a key before its request is sent anywhere; the entry expires some time after the deadline.
+    /// Records a key before its request is sent anywhere. The entry expires some time after the deadline.
     pub fn record_request(
         &mut self,
         idempotency_key: IdempotencyKey,
@@ -85,7 +85,7 @@
         self.entries.insert(idempotency_key, entry);
     }
 
-    /// Records the outcome of a request. Of a large response only the fact that the request ran is stored.
+    /// Records the outcome of a request. For a large response, only the fact that the request ran is stored.
     pub fn record_outcome(
         &mut self,
         now: MonotonicTime,
@@ -110,7 +110,7 @@
         }
     }
 
-    /// Imports a record of an earlier holder's ledger; a key that is already known keeps its entry.
+    /// Imports a record of an earlier holder's ledger. A key that is already known keeps its entry.
     pub fn import_record(&mut self, now: MonotonicTime, record: &LedgerRecord) {
         if self.entries.contains_key(&record.idempotency_key) {
             return;
@@ -124,7 +124,7 @@
             },
             LedgerRecordState::Rejected => RequestOutcome::NotRun {
                 reason: RequestFailureReason::RejectedBefore,
-                retry_after_ms: RETRY_AFTER_MS,
+                retry_after_ms: IMPORTED_REJECTION_RETRY_AFTER_MS,
             },
         };
         let entry = LedgerEntry {
@@ -135,7 +135,7 @@
         self.insert(record.idempotency_key.clone(), entry);
     }
 
-    /// The records of all once-only requests, for a replica.
+    /// Returns the records of all once-only requests, for a replica.
     pub fn once_records(&self, now: MonotonicTime) -> Vec<LedgerRecord> {
         self.entries
             .iter()
@@ -144,7 +144,7 @@
             .collect()
     }
 
-    /// The record of one request; none for an unknown key.
+    /// Returns the record of one request, or `None` for an unknown key.
     pub fn record_of(
         &self,
         now: MonotonicTime,
@@ -155,12 +155,12 @@
             .map(|entry| entry.to_record(now, idempotency_key))
     }
 
-    /// The digests of the once-only requests' records, one for each range.
+    /// Returns the digests of the records of once-only requests, one per range.
     pub fn digests(&self, now: MonotonicTime) -> Vec<u64> {
         digests(self.once_records(now).iter())
     }
 
-    /// The once-only requests' records in these ranges.
+    /// Returns the records of once-only requests in these ranges.
     pub fn records_in(&self, now: MonotonicTime, ranges: &[u8]) -> Vec<LedgerRecord> {
         let is_wanted =
             |record: &LedgerRecord| ranges.contains(&(range_of(&record.idempotency_key) as u8));
@@ -170,12 +170,12 @@
             .collect()
     }
 
-    /// Whether there is any once-only request.
+    /// Whether there is any entry of a once-only request.
     pub fn has_once_records(&self) -> bool {
         self.entries.values().any(|entry| entry.once)
     }
 
-    /// Removes the entries whose time has come.
+    /// Removes expired entries.
     pub fn expire(&mut self, now: MonotonicTime) {
         while let Some(first_expiry) = self.expiries.first_entry() {
             if *first_expiry.key() > now {
--- a/crates/dataplane/src/ledger/mod.rs
+++ b/crates/dataplane/src/ledger/mod.rs
@@ -1,5 +1,5 @@
-//! Ledgers of requests by idempotency key: the lease holder's own, the replicas on other daemons, and the digests by
-//! which the two are compared.
+//! Ledgers of requests by idempotency key: a lease holder's own ledger, the replicas that other daemons store, and the
+//! digests by which the two are compared.
 
 mod entries;
 mod ranges;
--- a/crates/dataplane/src/ledger/replica.rs
+++ b/crates/dataplane/src/ledger/replica.rs
@@ -1,4 +1,4 @@
-//! The replicas that a daemon keeps of other lease holders' ledgers.
+//! The replicas that a daemon stores of other lease holders' ledgers.
 
 use super::ranges::digests;
 use common::clock::MonotonicTime;
@@ -7,7 +7,7 @@
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
 
-/// How long an empty copy is retained after its last use, above all to stay sealed.
+/// How long an empty copy is retained after its last use, mainly so that it stays sealed.
 const EMPTY_COPY_RETENTION: Duration = Duration::from_secs(60);
 
 struct ReplicaEntry {
@@ -18,13 +18,13 @@
 /// The copy of one holder's ledger.
 struct LedgerCopy {
     entries: HashMap<IdempotencyKey, ReplicaEntry>,
-    /// Whether a later holder has collected it; it then takes no more records.
+    /// Whether a later holder has collected the copy. A sealed copy accepts no more records.
     is_sealed: bool,
     touched_at: MonotonicTime,
 }
 
 impl LedgerCopy {
-    /// The records that have not expired.
+    /// Returns the records that have not expired.
     fn records(&self, now: MonotonicTime) -> Vec<LedgerRecord> {
         self.entries
             .iter()
@@ -38,15 +38,15 @@
     }
 }
 
-/// The copies that one daemon keeps of other daemons' ledgers, by function and fencing token. Requests that are meant
-/// for an earlier incarnation of the daemon are rejected: that one's copies are lost.
+/// The copies that one daemon stores of other daemons' ledgers, by function and fencing token. Requests addressed to an
+/// earlier incarnation of the daemon are rejected, since the copies of that incarnation are lost.
 pub struct LedgerReplica {
     incarnation: Incarnation,
     copies: BTreeMap<(FunctionKey, FencingToken), LedgerCopy>,
 }
 
 impl LedgerReplica {
-    /// No copies yet, in this incarnation of the daemon.
+    /// Creates an empty replica for this incarnation of the daemon.
     pub fn new(incarnation: Incarnation) -> Self {
         Self {
             incarnation,
@@ -72,7 +72,7 @@
         copy
     }
 
-    /// Stores records; false when another incarnation is meant, or the copy is sealed.
+    /// Stores records. Returns false if another incarnation is addressed or the copy is sealed.
     pub fn record(
         &mut self,
         now: MonotonicTime,
@@ -103,7 +103,7 @@
         true
     }
 
-    /// Returns a copy to a later holder and seals it; none when another incarnation is meant.
+    /// Seals a copy and returns its records to a later holder, or returns `None` if another incarnation is addressed.
     pub fn collect(
         &mut self,
         now: MonotonicTime,
@@ -119,7 +119,8 @@
         Some(copy.records(now))
     }
 
-    /// The ranges in which a copy differs from the holder's digests; all of them when another incarnation is meant.
+    /// Returns the ranges in which a copy differs from the holder's digests; all ranges if another incarnation is
+    /// addressed.
     pub fn compare(
         &mut self,
         now: MonotonicTime,
@@ -139,7 +140,7 @@
             .collect()
     }
 
-    /// Removes expired records, and empty copies some time after their last use.
+    /// Removes expired records, and empty copies that have been unused for some time.
     pub fn expire(&mut self, now: MonotonicTime) {
         for copy in self.copies.values_mut() {
             copy.entries.retain(|_, entry| entry.expires_at > now);
@@ -149,7 +150,7 @@
         });
     }
 
-    /// The number of stored records.
+    /// Returns the number of stored records.
     pub fn entry_count(&self) -> usize {
         self.copies.values().map(|copy| copy.entries.len()).sum()
     }
