--- a/crates/dataplane/src/owners/mod.rs
+++ b/crates/dataplane/src/owners/mod.rs
@@ -1,7 +1,7 @@
-//! Finding the daemon that holds a function: by the cache, else by the hash owner, and only the hash owner requests the
-//! function's lease from the leader.
+//! Lookup of the daemon that holds a function: the cached owner, or else the hash owner. Only the hash owner requests
+//! the function's lease from the leader.
 //!
-//! * `warm`: leases that are requested before a function is called.
+//! * `warm`: requests leases before a function is called.
 
 mod warm;
 
@@ -11,27 +11,27 @@
 use common::identity::{FunctionKey, MemberName};
 use common::ring::{self, Regions};
 
-/// The most times a request is forwarded: once from the caller's daemon, and once more.
+/// The maximum number of times that a request is forwarded: once from the caller's daemon, and once more.
 pub const MAX_HOPS: u8 = 2;
 
-/// What to do next with a request.
+/// The next step for a request.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub enum LookupStep {
     /// This daemon holds the function.
     Serve,
-    /// Forward it to that daemon.
+    /// Forward the request to that daemon.
     Forward(Host),
-    /// This daemon is the hash owner, and requests the function's lease from the leader.
+    /// This daemon is the hash owner and has to request the function's lease from the leader.
     Acquire,
-    /// This daemon is neither holder nor hash owner, and the request may not be forwarded further.
+    /// This daemon is not the holder, and the request may not be forwarded further.
     NotHolder,
     /// No live daemon is eligible to hold the function.
     NoEligibleHost,
 }
 
-/// What a step is decided by.
+/// The inputs by which the next step is decided.
 pub struct LookupContext<'a> {
-    /// The function.
+    /// The function that the request calls.
     pub function: &'a FunctionKey,
     /// This daemon.
     pub own_member: &'a MemberName,
@@ -41,9 +41,9 @@
     pub cached_owner: Option<&'a Host>,
     /// The live daemons.
     pub hosts: &'a [Host],
-    /// The regions of their zones.
+    /// The regions of the daemons' zones.
     pub regions: &'a Regions,
-    /// How many times the request was forwarded.
+    /// How many times the request has been forwarded.
     pub hops: u8,
 }
 
@@ -54,7 +54,7 @@
     })
 }
 
-/// Decides the next step; a cached owner that is no longer valid counts as a cache miss.
+/// Decides the next step. A cached owner that is no longer valid counts as a cache miss.
 pub fn next_step(context: &LookupContext<'_>) -> LookupStep {
     if context.holds {
         return LookupStep::Serve;
--- a/crates/dataplane/src/owners/warm.rs
+++ b/crates/dataplane/src/owners/warm.rs
@@ -1,4 +1,4 @@
-//! Acquisition of functions before they are called, so that their start-up time is not a caller's.
+//! Acquires functions before they are called, so that no caller has to wait for their start-up.
 
 use super::is_current_owner;
 use common::clock::MonotonicTime;
@@ -11,12 +11,12 @@
 
 /// Interval between two scans for functions without a holder.
 const SCAN_INTERVAL: Duration = Duration::from_secs(2);
-/// The shortest interval between two requests to the leader.
+/// Minimum interval between two requests to the leader.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(5);
-/// How long a function is not requested again.
+/// Time after which a function is requested again.
 const REQUEST_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// The state of a daemon by which functions to acquire are chosen.
+/// The state of a daemon from which the functions to acquire are selected.
 pub struct WarmContext<'a> {
     /// The spec in use.
     pub table: &'a RoutingTable,
@@ -24,9 +24,9 @@
     pub own_member: &'a MemberName,
     /// The live daemons.
     pub hosts: &'a [Host],
-    /// The regions of their zones.
+    /// The regions of the daemons' zones.
     pub regions: &'a Regions,
-    /// The keys under which this daemon's region has functions of its own.
+    /// The regional function keys of this daemon's region.
     pub regional_keys: &'a [FunctionKey],
     /// The cached owners.
     pub owners: &'a BTreeMap<FunctionKey, Host>,
@@ -35,7 +35,8 @@
 }
 
 impl WarmContext<'_> {
-    /// Whether this daemon is the function's hash owner, which alone requests it, and no holder is known.
+    /// Whether no holder of the function is known and this daemon is its hash owner. Only the hash owner requests the
+    /// lease.
     fn should_acquire(&self, function: &FunctionKey) -> bool {
         let hash_owner = ring::hash_owner_in(function, self.hosts.iter(), self.regions);
         let has_owner = self.owners.get(function).is_some_and(|owner| {
@@ -47,41 +48,41 @@
     }
 }
 
-/// Chooses functions to acquire, one at a time: those whose start-up takes longer than their callers should wait. No
-/// I/O.
+/// Selects the functions to acquire, one at a time: regional keys, and functions whose start-up takes longer than their
+/// callers should wait. No I/O.
 pub struct WarmAcquirer {
     scan_at: MonotonicTime,
     request_at: MonotonicTime,
-    wanted: VecDeque<FunctionKey>,
+    pending: VecDeque<FunctionKey>,
     requested: BTreeMap<FunctionKey, MonotonicTime>,
 }
 
 impl WarmAcquirer {
-    /// An acquirer whose first scan is due at once.
+    /// Creates an acquirer whose first scan is due immediately.
     pub fn new(now: MonotonicTime) -> Self {
         Self {
             scan_at: now,
             request_at: now,
-            wanted: VecDeque::new(),
+            pending: VecDeque::new(),
             requested: BTreeMap::new(),
         }
     }
 
-    /// The spec, the live daemons or the held functions have changed: a scan is due at once.
+    /// Makes a scan due immediately. Called when the spec, the live daemons or the held functions have changed.
     pub fn schedule_scan(&mut self, now: MonotonicTime) {
         self.scan_at = self.scan_at.min(now);
     }
 
-    /// When [`WarmAcquirer::next`] is due next.
+    /// Returns when [`WarmAcquirer::next`] is due next.
     pub fn next_due(&self) -> MonotonicTime {
-        if self.wanted.is_empty() {
+        if self.pending.is_empty() {
             self.scan_at
         } else {
             self.scan_at.min(self.request_at)
         }
     }
 
-    /// The function to request from the leader now, if there is one.
+    /// Returns the function to request from the leader now, if any.
     pub fn next(&mut self, now: MonotonicTime, context: &WarmContext<'_>) -> Option<FunctionKey> {
         if now >= self.scan_at {
             self.scan(now, context);
@@ -89,7 +90,7 @@
         if now < self.request_at {
             return None;
         }
-        while let Some(function) = self.wanted.pop_front() {
+        while let Some(function) = self.pending.pop_front() {
             if !self.requested.contains_key(&function) && context.should_acquire(&function) {
                 self.request_at = now + REQUEST_INTERVAL;
                 self.requested.insert(function.clone(), now);
@@ -107,7 +108,7 @@
             .regional_keys
             .iter()
             .chain(context.table.prewarmed_functions());
-        self.wanted = candidates
+        self.pending = candidates
             .filter(|function| context.should_acquire(function))
             .cloned()
             .collect();
