--- a/crates/dataplane/src/pool/mod.rs
+++ b/crates/dataplane/src/pool/mod.rs
@@ -1,38 +1,38 @@
-//! The pool of connections to runners: which idle connection is reused, and which are dropped. No I/O.
+//! The pool of connections to runners, without I/O: decides which idle connection is reused and which are closed.
 
 use common::clock::MonotonicTime;
 use common::identity::RunnerId;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The maximum time that a connection is retained without a request.
+/// Maximum time for which an idle connection is retained.
 const MAX_IDLE: Duration = Duration::from_secs(10);
-/// A connection is dropped this long before the runner's keep-alive time-out: the runner may close it while a request
-/// is on its way.
+/// How long before the runner's keep-alive timeout a connection is dropped. Closer to the timeout, the runner might
+/// close it while a request is on its way.
 const KEEP_ALIVE_MARGIN: Duration = Duration::from_secs(1);
 
 /// Identifies a connection within this process.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
 pub struct ConnectionId(pub u64);
 
-/// The connection that a request is sent on.
+/// The result of a checkout: the connection that a request is sent on, if any.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Checkout {
     /// An idle connection.
     Reused(ConnectionId),
-    /// A new connection, which has to be opened.
+    /// A new connection, which the caller has to open.
     Open(ConnectionId),
-    /// None: the runner takes no more connections.
+    /// No connection: the runner's connection limit is reached.
     Full,
 }
 
 struct PooledConnection {
     id: ConnectionId,
-    /// Until when it may be reused; none while it is checked out.
+    /// When it may no longer be reused; `None` while it is checked out.
     idle_until: Option<MonotonicTime>,
 }
 
-/// The connections to runners, with one request at a time on each.
+/// The connections to runners. Each carries one request at a time.
 #[derive(Default)]
 pub struct ConnectionPool {
     connections: BTreeMap<RunnerId, Vec<PooledConnection>>,
@@ -40,7 +40,7 @@
 }
 
 impl ConnectionPool {
-    /// Checks out a connection for one request: the most recently used idle one, or a new one while there are fewer
+    /// Checks out a connection for one request: the most recently used idle one, or a new one if the runner has fewer
     /// than `max_connections`.
     pub fn checkout(
         &mut self,
@@ -60,8 +60,8 @@
         self.checkout_new(runner, max_connections)
     }
 
-    /// Checks out a new connection although others may be idle; after one of these was found closed, the others are not
-    /// likely to be open.
+    /// Checks out a new connection even if others are idle. Used after an idle connection was found closed, since the
+    /// others are then probably closed as well.
     pub fn checkout_new(&mut self, runner: RunnerId, max_connections: u32) -> Checkout {
         let connections = self.connections.entry(runner).or_default();
         if connections.len() >= max_connections as usize {
@@ -76,8 +76,8 @@
         Checkout::Open(id)
     }
 
-    /// Returns a connection after a complete, valid response; false when it is to be dropped all the same.
-    /// `keep_alive` is the runner's own time-out for idle connections, if it sent one.
+    /// Returns a connection to the pool after a complete, valid response. Returns false if the caller has to drop it
+    /// nevertheless. `keep_alive` is the runner's timeout for idle connections, if it sent one.
     pub fn check_in(
         &mut self,
         now: MonotonicTime,
@@ -106,7 +106,7 @@
         true
     }
 
-    /// Removes a connection that has ended or is not trusted any more.
+    /// Removes a connection that was closed or must not be reused.
     pub fn remove_connection(&mut self, runner: RunnerId, id: ConnectionId) {
         if let Some(connections) = self.connections.get_mut(&runner) {
             connections.retain(|connection| connection.id != id);
@@ -116,7 +116,7 @@
         }
     }
 
-    /// Removes the connections that have been idle for too long, and returns their ids.
+    /// Removes the connections whose idle time has expired, and returns their ids.
     pub fn remove_expired(&mut self, now: MonotonicTime) -> Vec<ConnectionId> {
         let mut removed_ids = Vec::new();
         self.connections.retain(|_, connections| {
@@ -132,8 +132,8 @@
         removed_ids
     }
 
-    /// Removes the idle connections to a runner that is being stopped, and returns their ids; those in use go when
-    /// their requests end.
+    /// Removes the idle connections to a runner that is being stopped, and returns their ids. Connections in use are
+    /// removed when their requests end.
     pub fn remove_idle(&mut self, runner: RunnerId) -> Vec<ConnectionId> {
         let Some(connections) = self.connections.get_mut(&runner) else {
             return Vec::new();
@@ -147,7 +147,7 @@
         removed_ids
     }
 
-    /// The number of connections to a runner.
+    /// Returns the number of connections to a runner.
     pub fn count(&self, runner: RunnerId) -> usize {
         self.connections.get(&runner).map_or(0, Vec::len)
     }
