--- a/crates/dataplane/tests/holder/bench.rs
+++ b/crates/dataplane/tests/holder/bench.rs
@@ -1,4 +1,4 @@
-//! A held function whose leader, platform and runners reply at once, and whose requests the test ends.
+//! A held function for tests. The leader, the platform and readiness probes reply immediately; the test ends the sends.
 
 use crate::held_function::{
     admission_request, function_key, report_started, reserved, response, runner_id,
@@ -102,29 +102,29 @@
         self
     }
 
-    /// How often the request was sent to a runner.
+    /// Returns how many times the request was sent to a runner.
     pub(crate) fn send_count(&self, ticket: Ticket) -> usize {
-        let is_its_send = |sent: &&SentRequest| sent.ticket == ticket;
-        self.sent.iter().filter(is_its_send).count()
+        let is_same_request = |sent: &&SentRequest| sent.ticket == ticket;
+        self.sent.iter().filter(is_same_request).count()
     }
 
-    /// How many requests were sent to the runner.
+    /// Returns how many requests were sent to the runner with this ordinal number.
     pub(crate) fn sends_to(&self, ordinal: u64) -> usize {
         let is_sent_to = |sent: &&SentRequest| sent.runner.ordinal == ordinal;
         self.sent.iter().filter(is_sent_to).count()
     }
 
-    /// The request that was sent last.
+    /// Returns the request that was sent last.
     pub(crate) fn last_sent(&self) -> SentRequest {
         *self.sent.last().expect("sent")
     }
 
-    /// Whether one of the holder's outputs so far is of this kind.
+    /// Whether any of the holder's outputs so far satisfies the predicate.
     pub(crate) fn has_output(&self, is_kind: impl Fn(&HolderOutput) -> bool) -> bool {
         self.outputs.iter().any(is_kind)
     }
 
-    /// Admits a request; returns its outcome if that is known at once.
+    /// Submits a request for admission. Returns its ticket, and its outcome if that is known immediately.
     pub(crate) fn submit(
         &mut self,
         name: &str,
@@ -155,17 +155,17 @@
         self.drive(Holder::tick);
     }
 
-    pub(crate) fn end(&mut self, ticket: Ticket, end: SendResult) {
-        self.drive(|holder, now| holder.handle_send_result(now, ticket, end));
+    pub(crate) fn finish_send(&mut self, ticket: Ticket, result: SendResult) {
+        self.drive(|holder, now| holder.handle_send_result(now, ticket, result));
     }
 
     pub(crate) fn answer(&mut self, ticket: Ticket, runner: RunnerId) {
         let outcome = response(runner, 200, b"done");
-        self.end(ticket, SendResult::Answered(outcome));
+        self.finish_send(ticket, SendResult::Answered(outcome));
     }
 
-    /// Gives the holder its first runner, and takes its start-up into account.
-    pub(crate) fn warm(&mut self) {
+    /// Starts the first runner by a request, answers that request, and removes it from the list of sends.
+    pub(crate) fn warm_up(&mut self) {
         self.submit("warm", false, false);
         self.advance(ms(60));
         self.advance(ms(60));
@@ -215,7 +215,7 @@
     }
 }
 
-/// The reason why a request was not run, or has an unknown outcome.
+/// Returns the reason why a request was not run or has an unknown outcome.
 pub(crate) fn reason(outcome: &Option<RequestOutcome>) -> Option<RequestFailureReason> {
     match outcome {
         Some(RequestOutcome::NotRun { reason, .. } | RequestOutcome::Unknown { reason }) => {
@@ -225,14 +225,14 @@
     }
 }
 
-/// The outcome of a request whose response was lost.
+/// Returns the outcome of a request whose response was lost.
 pub(crate) fn response_lost() -> RequestOutcome {
     RequestOutcome::Unknown {
         reason: RequestFailureReason::ResponseLost,
     }
 }
 
-/// A retry budget that no test of retries spends.
+/// Returns settings with a retry budget that no test exhausts.
 pub(crate) fn ample_retry_budget() -> Tuning {
     Tuning::builder()
         .retry_allowance(50)
--- a/crates/dataplane/tests/holder/main.rs
+++ b/crates/dataplane/tests/holder/main.rs
@@ -1,4 +1,4 @@
-//! A held function: slots, slow start, idempotency keys, retries, rejections, replication.
+//! Tests of a held function: slots, slow start, idempotency keys, retries, rejections and replication.
 
 mod bench;
 #[path = "../support/held_function.rs"]
--- a/crates/dataplane/tests/holder/release.rs
+++ b/crates/dataplane/tests/holder/release.rs
@@ -1,4 +1,4 @@
-//! How a function lease is released and closed.
+//! Tests of the end of a function lease, by release or by closing.
 
 use crate::bench::{Bench, ms, reason, response_lost};
 use crate::holder_bench::HolderBench;
@@ -7,18 +7,19 @@
 use googletest::prelude::*;
 use std::time::Duration;
 
-fn released_runners(bench: &Bench) -> Vec<usize> {
-    let released = |output: &HolderOutput| match output {
+/// Returns the number of orphaned runners in each release that the holder reported.
+fn released_runner_counts(bench: &Bench) -> Vec<usize> {
+    let released_count = |output: &HolderOutput| match output {
         HolderOutput::Report(HolderMessage::Released { runners }) => Some(runners.len()),
         _ => None,
     };
-    bench.outputs.iter().filter_map(released).collect()
+    bench.outputs.iter().filter_map(released_count).collect()
 }
 
 #[gtest]
-fn a_closed_holder_rejects_its_queue_and_sends_nothing_more() -> Result<()> {
+fn a_closed_holder_rejects_its_queue_and_sends_no_more_requests() -> Result<()> {
     let mut bench = Bench::new(1, 1, Duration::ZERO);
-    bench.warm();
+    bench.warm_up();
     let (running, _) = bench.submit("running", false, false);
     let (waiting, _) = bench.submit("waiting", false, false);
     let outputs = bench.holder.close(bench.now);
@@ -43,7 +44,7 @@
         some(eq(RequestFailureReason::NotServing))
     )?;
     let sent_before = bench.sent.len();
-    bench.end(running, SendResult::Lost);
+    bench.finish_send(running, SendResult::Lost);
     verify_that!(bench.sent.len(), eq(sent_before))?;
     verify_that!(bench.ended.get(&running), some(eq(&response_lost())))?;
     verify_that!(
@@ -53,9 +54,9 @@
 }
 
 #[gtest]
-fn a_release_finishes_what_was_admitted_and_returns_the_lease_once() -> Result<()> {
+fn a_release_completes_admitted_requests_and_returns_the_lease_once() -> Result<()> {
     let mut bench = Bench::new(1, 1, Duration::ZERO);
-    bench.warm();
+    bench.warm_up();
     let (running, _) = bench.submit("running", false, false);
     bench.drive(Holder::begin_release);
     verify_that!(bench.holder.is_releasing(), eq(true))?;
@@ -64,17 +65,17 @@
         reason(&bench.submit("late", false, false).1),
         some(eq(RequestFailureReason::NotHolder))
     )?;
-    verify_that!(released_runners(&bench), is_empty())?;
+    verify_that!(released_runner_counts(&bench), is_empty())?;
     let runner = bench.last_sent().runner;
     bench.answer(running, runner);
     verify_that!(bench.ended.contains_key(&running), eq(true))?;
-    verify_that!(released_runners(&bench), eq(&vec![1]))?;
+    verify_that!(released_runner_counts(&bench), eq(&vec![1]))?;
     verify_that!(bench.holder.is_claimable(), eq(false))?;
     verify_that!(bench.holder.is_finished(bench.now), eq(true))?;
     bench.drive(Holder::begin_release);
     bench.drive(Holder::close);
     bench.advance(ms(100));
-    verify_that!(released_runners(&bench), eq(&vec![1]))?;
+    verify_that!(released_runner_counts(&bench), eq(&vec![1]))?;
     verify_that!(bench.holder.is_finished(bench.now), eq(true))
 }
 
@@ -82,7 +83,7 @@
 fn a_closed_holder_is_finished_when_its_orphans_are_reported_or_after_ten_seconds() -> Result<()> {
     for is_reported in [true, false] {
         let mut bench = Bench::new(1, 1, Duration::ZERO);
-        bench.warm();
+        bench.warm_up();
         let (running, _) = bench.submit("running", false, false);
         bench.drive(Holder::begin_release);
         bench.drive(Holder::close);
@@ -100,7 +101,7 @@
         verify_that!(bench.holder.is_finished(bench.now), eq(is_reported))?;
         bench.advance(ms(1));
         verify_that!(bench.holder.is_finished(bench.now), eq(true))?;
-        verify_that!(released_runners(&bench), is_empty())?;
+        verify_that!(released_runner_counts(&bench), is_empty())?;
     }
     Ok(())
 }
--- a/crates/dataplane/tests/holder/replication.rs
+++ b/crates/dataplane/tests/holder/replication.rs
@@ -1,4 +1,4 @@
-//! The replica of the ledger, and the successor that collects it.
+//! Tests of the replication of the ledger, and of its collection by the next holder.
 
 use crate::bench::{Bench, ms, reason};
 use crate::holder_bench::HolderBench;
@@ -22,7 +22,7 @@
     }
 }
 
-/// The lease whose ledger a successor may collect.
+/// Returns the previous lease, whose ledger a successor can collect.
 fn previous_lease() -> PreviousLease {
     PreviousLease {
         replica: replica("s"),
@@ -38,7 +38,7 @@
     }
 }
 
-fn records(outputs: &[HolderOutput]) -> Vec<u64> {
+fn batch_ids_of(outputs: &[HolderOutput]) -> Vec<u64> {
     outputs
         .iter()
         .filter_map(|output| match output {
@@ -51,10 +51,10 @@
 #[gtest]
 fn a_once_request_is_sent_only_after_its_replica_has_recorded_it() -> Result<()> {
     let mut bench = Bench::with_replica(2, Duration::ZERO, Some(replica("s")), None);
-    bench.warm();
+    bench.warm_up();
     bench.outputs.clear();
     let (ticket, _) = bench.submit("only", true, false);
-    let batch_ids = records(&bench.outputs);
+    let batch_ids = batch_ids_of(&bench.outputs);
     verify_that!(batch_ids.len(), eq(1))?;
     verify_that!(bench.sent.len(), eq(0))?;
     bench.drive(|holder, now| holder.handle_records_stored(now, batch_ids[0], true));
@@ -64,26 +64,26 @@
 #[gtest]
 fn an_unresponsive_replica_is_replaced_and_nothing_is_sent_meanwhile() -> Result<()> {
     let mut bench = Bench::with_replica(2, Duration::ZERO, Some(replica("s")), None);
-    bench.warm();
+    bench.warm_up();
     bench.outputs.clear();
     bench.submit("only", true, false);
-    let batch_id = records(&bench.outputs)[0];
+    let batch_id = batch_ids_of(&bench.outputs)[0];
     let outputs = bench
         .holder
         .handle_records_stored(bench.now, batch_id, false);
-    let asks_for_another = outputs.iter().any(|output| {
+    let requests_replacement = outputs.iter().any(|output| {
         matches!(
             output,
             HolderOutput::Report(HolderMessage::ReplicaLost { .. })
         )
     });
     bench.handle_outputs(outputs);
-    verify_that!(asks_for_another, eq(true))?;
+    verify_that!(requests_replacement, eq(true))?;
     bench.advance(ms(40));
     verify_that!(bench.sent.len(), eq(0))?;
     bench.outputs.clear();
     bench.drive(|holder, now| holder.handle_replica_assigned(now, Some(replica("t"))));
-    let batch_ids = records(&bench.outputs);
+    let batch_ids = batch_ids_of(&bench.outputs);
     verify_that!(batch_ids.is_empty(), eq(false))?;
     for batch_id in batch_ids {
         bench.drive(|holder, now| holder.handle_records_stored(now, batch_id, true));
@@ -99,16 +99,16 @@
 }
 
 #[gtest]
-fn a_successor_admits_at_once_and_reruns_nothing_in_the_collected_ledger() -> Result<()> {
+fn a_successor_reruns_no_request_of_the_collected_ledger_and_admits_others() -> Result<()> {
     let mut bench = Bench::with_replica(2, ms(5000), None, Some(previous_lease()));
-    bench.warm();
+    bench.warm_up();
     let (known, _) = bench.submit("ran", true, false);
     let (fresh, _) = bench.submit("fresh", true, false);
     verify_that!(bench.sent.len(), eq(0))?;
-    let line = ledger_record("ran", LedgerRecordState::Recorded);
+    let recorded_request = ledger_record("ran", LedgerRecordState::Recorded);
     let rejected_request = ledger_record("no", LedgerRecordState::Rejected);
     bench.drive(|holder, now| {
-        holder.handle_collected_ledger(now, Some(vec![line, rejected_request]))
+        holder.handle_collected_ledger(now, Some(vec![recorded_request, rejected_request]))
     });
     verify_that!(
         bench.ended.get(&known),
@@ -124,9 +124,9 @@
 }
 
 #[gtest]
-fn a_successor_without_the_ledger_rejects_until_the_wait_is_over() -> Result<()> {
+fn a_successor_without_the_ledger_rejects_once_requests_until_the_wait_is_over() -> Result<()> {
     let mut bench = Bench::with_replica(2, ms(2000), None, Some(previous_lease()));
-    bench.warm();
+    bench.warm_up();
     let (early, _) = bench.submit("early", true, false);
     bench.drive(|holder, now| holder.handle_collected_ledger(now, None));
     verify_that!(
--- a/crates/dataplane/tests/holder/retries.rs
+++ b/crates/dataplane/tests/holder/retries.rs
@@ -1,4 +1,4 @@
-//! Retries, and their budget.
+//! Tests of retries and of the retry budget.
 
 use crate::bench::{Bench, SentRequest, ample_retry_budget, ms, reason, response_lost};
 use crate::held_function::response;
@@ -15,7 +15,7 @@
 #[gtest]
 fn a_rejection_after_a_lost_attempt_is_unknown_and_never_not_run() -> Result<()> {
     let mut bench = Bench::new(2, 4, Duration::ZERO);
-    bench.warm();
+    bench.warm_up();
     bench.advance(ms(10_100));
     for number in 0..20 {
         let (ticket, _) = bench.submit(&format!("fill{number}"), false, false);
@@ -24,31 +24,32 @@
     }
     bench.max_attempts = 2;
     let (ticket, _) = bench.submit("risky", false, false);
-    bench.end(ticket, SendResult::Lost);
+    bench.finish_send(ticket, SendResult::Lost);
     verify_that!(bench.sent.last().map(|sent| sent.attempt), some(eq(2)))?;
-    bench.end(ticket, SendResult::RejectedByRunner);
+    bench.finish_send(ticket, SendResult::RejectedByRunner);
     verify_that!(bench.ended.get(&ticket), some(eq(&response_lost())))
 }
 
-/// Requests of which some are retries of callers, some lose their response, and the rest are answered at once.
+/// Random traffic: some requests are retries by callers, some lose their response, and the rest are answered
+/// immediately.
 struct RetryTraffic {
     bench: Bench,
     rng: SeededRng,
-    /// When first requests were submitted.
-    firsts: Vec<MonotonicTime>,
+    /// When first attempts were submitted.
+    first_attempts: Vec<MonotonicTime>,
     /// When retries were admitted or sent.
-    extras: Vec<MonotonicTime>,
+    retries: Vec<MonotonicTime>,
 }
 
 impl RetryTraffic {
     fn new() -> Self {
         let mut bench = Bench::new(4, 4, Duration::ZERO);
-        bench.warm();
+        bench.warm_up();
         Self {
             bench,
             rng: SeededRng::seeded(5),
-            firsts: Vec::new(),
-            extras: Vec::new(),
+            first_attempts: Vec::new(),
+            retries: Vec::new(),
         }
     }
 
@@ -58,14 +59,14 @@
         let sent_before = self.bench.sent.len();
         let (ticket, immediate) = self.bench.submit(&format!("t{number}"), false, repeat);
         if !repeat {
-            self.firsts.push(self.bench.now);
+            self.first_attempts.push(self.bench.now);
         } else if immediate.is_none() {
-            self.extras.push(self.bench.now);
+            self.retries.push(self.bench.now);
         }
-        let outcome_is_lost = self.rng.random_bool(0.3);
+        let is_response_lost = self.rng.random_bool(0.3);
         if self.bench.sent.len() > sent_before {
             let sent = self.bench.last_sent();
-            if outcome_is_lost && sent.ticket == ticket {
+            if is_response_lost && sent.ticket == ticket {
                 self.lose_and_answer_retry(ticket);
             } else {
                 self.bench.answer(sent.ticket, sent.runner);
@@ -74,16 +75,17 @@
     }
 
     fn lose_and_answer_retry(&mut self, ticket: Ticket) {
-        self.bench.end(ticket, SendResult::Lost);
+        self.bench.finish_send(ticket, SendResult::Lost);
         let last = self.bench.last_sent();
         if last.ticket == ticket && last.attempt > 1 {
-            self.extras.push(self.bench.now);
+            self.retries.push(self.bench.now);
             self.bench.answer(last.ticket, last.runner);
         }
     }
 
-    /// The runners of the last requests report that they run nothing.
-    fn settle_last_runners(&mut self) {
+    /// Has the runners of the last requests report that they are running no request, which frees the slots of lost
+    /// responses.
+    fn resolve_last_sends(&mut self) {
         let last_sent: Vec<SentRequest> = self.bench.sent.iter().rev().take(3).copied().collect();
         for sent in last_sent {
             self.bench.drive(|holder, now| {
@@ -98,16 +100,23 @@
     let mut traffic = RetryTraffic::new();
     for number in 0..4000 {
         traffic.submit(number);
-        traffic.settle_last_runners();
+        traffic.resolve_last_sends();
     }
-    let RetryTraffic { firsts, extras, .. } = traffic;
-    verify_that!(extras.len(), ge(100))?;
-    for (index, extra) in extras.iter().enumerate() {
+    let RetryTraffic {
+        first_attempts,
+        retries,
+        ..
+    } = traffic;
+    verify_that!(retries.len(), ge(100))?;
+    for (index, retry) in retries.iter().enumerate() {
         let in_window =
-            |instant: &&MonotonicTime| extra.since(**instant) <= ms(10_000) && **instant <= *extra;
-        let extra_count = extras[..=index].iter().filter(in_window).count();
-        let first_count = firsts.iter().filter(in_window).count();
-        verify_that!(extra_count as f64, le(first_count as f64 / 5.0 + 4.0))?;
+            |instant: &&MonotonicTime| retry.since(**instant) <= ms(10_000) && **instant <= *retry;
+        let retry_count = retries[..=index].iter().filter(in_window).count();
+        let first_attempt_count = first_attempts.iter().filter(in_window).count();
+        verify_that!(
+            retry_count as f64,
+            le(first_attempt_count as f64 / 5.0 + 4.0)
+        )?;
     }
     Ok(())
 }
@@ -117,7 +126,7 @@
 }
 
 #[gtest]
-fn a_rejected_request_is_retried_within_its_route_and_the_retry_budget() -> Result<()> {
+fn a_rejected_request_is_retried_within_its_attempt_limit_and_the_retry_budget() -> Result<()> {
     for (max_attempts, allowance, expected_sends) in [(1, 50, 1), (3, 50, 3), (9, 2, 3), (9, 0, 1)]
     {
         let tuning = Tuning::builder()
@@ -126,12 +135,12 @@
             .retry_allowance_immediate(true)
             .build();
         let mut bench = Bench::new(2, 4, Duration::ZERO).with_tuning(tuning);
-        bench.warm();
+        bench.warm_up();
         bench.max_attempts = max_attempts;
         let (ticket, _) = bench.submit("refused", false, false);
         for _ in 0..12 {
             if bench.sent.last().is_some_and(|sent| sent.ticket == ticket) {
-                bench.end(ticket, SendResult::RejectedByRunner);
+                bench.finish_send(ticket, SendResult::RejectedByRunner);
             }
             bench.advance(ms(100));
         }
@@ -141,7 +150,7 @@
             retry_after_ms,
         }) = bench.ended.get(&ticket)
         else {
-            return fail!("a transaction that never ran is not refused");
+            return fail!("a request that never ran has no outcome \"not run\"");
         };
         verify_that!(*reason, eq(RequestFailureReason::RejectedByRunner))?;
         verify_that!(*retry_after_ms, ge(200))?;
@@ -152,10 +161,10 @@
 #[gtest]
 fn a_runner_that_rejects_unexpectedly_is_throttled() -> Result<()> {
     let mut bench = Bench::new(4, 1, Duration::ZERO).with_tuning(ample_retry_budget());
-    bench.warm();
+    bench.warm_up();
     let (first, _) = bench.submit("a", true, false);
     let (second, _) = bench.submit("b", true, false);
-    bench.end(second, SendResult::RejectedByRunner);
+    bench.finish_send(second, SendResult::RejectedByRunner);
     verify_that!(
         reason(&bench.ended.get(&second).cloned()),
         some(eq(RequestFailureReason::RejectedByRunner))
@@ -172,12 +181,12 @@
 fn a_misdirected_request_is_requeued_and_its_runner_replaced() -> Result<()> {
     for once in [false, true] {
         let mut bench = Bench::new(2, 2, Duration::ZERO).with_tuning(ample_retry_budget());
-        bench.warm();
-        let (ticket, _) = bench.submit("lost way", once, false);
+        bench.warm_up();
+        let (ticket, _) = bench.submit("misdirected", once, false);
         let runner = bench.last_sent().runner;
-        bench.end(ticket, SendResult::WrongRunner);
-        let stops = |order: &HolderOutput| matches!(order, HolderOutput::Stop { runner: stopped, .. } if *stopped == runner);
-        verify_that!(bench.has_output(stops), eq(true))?;
+        bench.finish_send(ticket, SendResult::WrongRunner);
+        let is_stop = |output: &HolderOutput| matches!(output, HolderOutput::Stop { runner: stopped, .. } if *stopped == runner);
+        verify_that!(bench.has_output(is_stop), eq(true))?;
         verify_that!(bench.ended.get(&ticket), none())?;
         bench.advance(ms(60));
         bench.advance(ms(60));
@@ -191,30 +200,31 @@
 #[gtest]
 fn a_runner_failure_is_retried_or_forwarded_unchanged() -> Result<()> {
     let mut bench = Bench::new(2, 1, Duration::ZERO).with_tuning(ample_retry_budget());
-    bench.warm();
+    bench.warm_up();
     bench.max_attempts = 2;
     let (ticket, _) = bench.submit("fails", false, false);
     let runner = bench.last_sent().runner;
-    bench.end(ticket, SendResult::Failed(failed_at(runner)));
+    bench.finish_send(ticket, SendResult::Failed(failed_at(runner)));
     verify_that!(bench.send_count(ticket), eq(2))?;
-    bench.end(ticket, SendResult::Lost);
+    bench.finish_send(ticket, SendResult::Lost);
     verify_that!(bench.ended.get(&ticket), some(eq(&failed_at(runner))))?;
     let (once, _) = bench.submit("fails once", true, false);
-    bench.end(once, SendResult::Failed(failed_at(runner)));
+    bench.finish_send(once, SendResult::Failed(failed_at(runner)));
     verify_that!(bench.send_count(once), eq(1))?;
     verify_that!(bench.ended.get(&once), some(eq(&failed_at(runner))))
 }
 
-/// The caller's daemon forwards a request again when no reply came: the first one may still be making its attempts.
+/// A daemon forwards a request again if it got no reply. The attempts of the first request may still be in progress
+/// then.
 #[gtest]
-fn a_repeat_is_sent_to_one_runner_only() -> Result<()> {
+fn a_request_marked_as_a_retry_is_sent_to_one_runner_only() -> Result<()> {
     let ends = [SendResult::Lost, SendResult::RejectedByRunner];
     for end in ends {
         let mut bench = Bench::new(2, 1, Duration::ZERO).with_tuning(ample_retry_budget());
-        bench.warm();
+        bench.warm_up();
         bench.max_attempts = 3;
-        let (ticket, _) = bench.submit("passed again", false, true);
-        bench.end(ticket, end);
+        let (ticket, _) = bench.submit("forwarded again", false, true);
+        bench.finish_send(ticket, end);
         verify_that!(bench.send_count(ticket), eq(1))?;
         verify_that!(bench.ended.contains_key(&ticket), eq(true))?;
     }
@@ -222,9 +232,9 @@
     flawed.holder = flawed
         .holder
         .with_rules(Rules::without(Rule::RepeatSentToOneRunner));
-    flawed.warm();
+    flawed.warm_up();
     flawed.max_attempts = 3;
-    let (ticket, _) = flawed.submit("passed again", false, true);
-    flawed.end(ticket, SendResult::Lost);
+    let (ticket, _) = flawed.submit("forwarded again", false, true);
+    flawed.finish_send(ticket, SendResult::Lost);
     verify_that!(flawed.send_count(ticket), eq(2))
 }
--- a/crates/dataplane/tests/holder/runners.rs
+++ b/crates/dataplane/tests/holder/runners.rs
@@ -1,4 +1,4 @@
-//! When runners are adopted, started, replaced and stopped.
+//! Tests of the adoption, start, replacement and stop of runners.
 
 use crate::bench::{Bench, MEMORY_MB, ms};
 use crate::held_function::{reserved, runner_id};
@@ -24,7 +24,7 @@
 }
 
 #[gtest]
-fn an_adopted_runner_is_used_at_once_with_half_of_its_slots() -> Result<()> {
+fn an_adopted_runner_is_used_immediately_with_half_of_its_slots() -> Result<()> {
     let mut bench = Bench::with_adopted_runners(8, vec![adopted_runner()]);
     bench.drive(Holder::start);
     verify_that!(bench.next_runner, eq(0))?;
@@ -40,7 +40,7 @@
 }
 
 #[gtest]
-fn a_start_is_retried_until_the_platform_names_the_instance() -> Result<()> {
+fn a_start_is_retried_until_the_platform_reports_the_instance() -> Result<()> {
     let mut bench = Bench::new(1, 1, Duration::ZERO);
     let runner = runner_id(5);
     let result = reserved(runner, MEMORY_MB);
@@ -77,7 +77,7 @@
 }
 
 #[gtest]
-fn a_full_worker_costs_the_reservation_and_another_is_requested() -> Result<()> {
+fn a_start_without_capacity_gives_up_the_reservation_and_requests_another() -> Result<()> {
     let mut bench = Bench::new(1, 1, Duration::ZERO);
     let runner = runner_id(5);
     let result = reserved(runner, MEMORY_MB);
@@ -104,30 +104,30 @@
 }
 
 #[gtest]
-fn a_runner_with_two_consecutive_lost_answers_is_replaced() -> Result<()> {
+fn a_runner_with_two_consecutive_lost_responses_is_replaced() -> Result<()> {
     let mut bench = Bench::new(4, 4, Duration::ZERO);
-    bench.warm();
-    for (number, wanted_count) in [(0, 1), (1, 2)] {
+    bench.warm_up();
+    for (number, expected_runner_count) in [(0, 1), (1, 2)] {
         let (ticket, _) = bench.submit(&format!("t{number}"), true, false);
-        bench.end(ticket, SendResult::Lost);
-        verify_that!(bench.next_runner, eq(wanted_count))?;
+        bench.finish_send(ticket, SendResult::Lost);
+        verify_that!(bench.next_runner, eq(expected_runner_count))?;
     }
     Ok(())
 }
 
 #[gtest]
-fn calls_that_a_starting_runner_can_serve_in_time_start_no_other() -> Result<()> {
-    for (call_count, most_runners) in [(6, 1), (400, 4)] {
+fn calls_that_a_starting_runner_can_serve_in_time_start_no_other_runner() -> Result<()> {
+    for (call_count, expected_runner_count) in [(6, 1), (400, 4)] {
         let mut bench = Bench::new(2, 4, Duration::ZERO);
         for number in 0..call_count {
             bench.submit(&format!("t{number}"), false, false);
         }
-        verify_that!(bench.next_runner, eq(most_runners))?;
+        verify_that!(bench.next_runner, eq(expected_runner_count))?;
     }
     Ok(())
 }
 
-/// Whether the holder orders a runner to be stopped.
+/// Whether the output orders a runner to be stopped.
 fn is_stop(output: &HolderOutput) -> bool {
     matches!(output, HolderOutput::Stop { .. })
 }
@@ -141,14 +141,14 @@
 }
 
 #[gtest]
-fn an_idle_function_stops_its_last_runner_unless_it_is_kept_warm() -> Result<()> {
+fn an_idle_function_stops_its_last_runner_unless_it_is_prewarmed() -> Result<()> {
     for (idle_startups, is_prewarmed, is_stopped) in
         [(0, false, false), (20, true, false), (20, false, true)]
     {
         let tuning = Tuning::builder().idle_startups(idle_startups).build();
         let mut bench = Bench::new(2, 4, Duration::ZERO).with_tuning(tuning);
         bench.holder.set_prewarmed(is_prewarmed);
-        bench.warm();
+        bench.warm_up();
         bench.outputs.clear();
         bench.advance(ms(1900));
         let stops = |bench: &Bench| bench.has_output(is_stop);
@@ -174,14 +174,15 @@
 }
 
 #[gtest]
-fn a_rarely_called_function_is_stopped_soon_and_a_frequent_one_is_not() -> Result<()> {
+fn a_rarely_called_function_stops_its_runner_soon_and_a_frequently_called_one_does_not()
+-> Result<()> {
     for (call_count, is_stopped) in [(1, true), (12, false)] {
         let tuning = Tuning::builder()
             .idle_startups(10)
             .rare_idle_limit(Some(ms(200)))
             .build();
         let mut bench = Bench::new(2, 4, Duration::ZERO).with_tuning(tuning);
-        bench.warm();
+        bench.warm_up();
         for number in 1..call_count {
             bench.advance(ms(100));
             let (ticket, _) = bench.submit(&format!("t{number}"), false, false);
@@ -191,8 +192,8 @@
         bench.outputs.clear();
         bench.advance(ms(150));
         bench.advance(ms(150));
-        let is_ordered = bench.has_output(is_stop);
-        verify_that!(is_ordered, eq(is_stopped))?;
+        let stop_ordered = bench.has_output(is_stop);
+        verify_that!(stop_ordered, eq(is_stopped))?;
     }
     Ok(())
 }
@@ -201,7 +202,7 @@
 fn an_unused_function_stops_its_runners_until_the_next_request() -> Result<()> {
     let tuning = Tuning::builder().idle_startups(3).build();
     let mut bench = Bench::new(1, 1, Duration::ZERO).with_tuning(tuning);
-    bench.warm();
+    bench.warm_up();
     bench.drive(Holder::stop_if_unused);
     let stopped = stopped_runners(&bench);
     verify_that!(stopped.len(), eq(1))?;
--- a/crates/dataplane/tests/holder/sends.rs
+++ b/crates/dataplane/tests/holder/sends.rs
@@ -1,4 +1,4 @@
-//! How requests are sent: slots, slow start, and the order of the queue.
+//! Tests of the dispatch of requests: slots, slow start, and the order of the queue.
 
 use crate::bench::{Bench, SentRequest, ms, response_lost};
 use crate::holder_bench::HolderBench;
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 #[gtest]
-fn slow_start_begins_at_one_and_widens_with_answers() -> Result<()> {
+fn slow_start_begins_with_one_request_and_grows_with_each_response() -> Result<()> {
     let mut bench = Bench::new(4, 4, Duration::ZERO);
     for number in 0..6 {
         bench.submit(&format!("t{number}"), false, false);
@@ -26,12 +26,12 @@
 }
 
 #[gtest]
-fn a_lost_answer_holds_its_slot_until_the_runner_reports_it_done() -> Result<()> {
+fn a_lost_response_keeps_its_slot_until_the_runner_no_longer_lists_the_request() -> Result<()> {
     let mut bench = Bench::new(1, 1, Duration::ZERO);
-    bench.warm();
+    bench.warm_up();
     let (first, _) = bench.submit("a", true, false);
     let runner = bench.last_sent().runner;
-    bench.end(first, SendResult::Lost);
+    bench.finish_send(first, SendResult::Lost);
     verify_that!(bench.ended.get(&first), some(eq(&response_lost())))?;
     let sent_before = bench.sent.len();
     bench.submit("b", true, false);
@@ -45,28 +45,30 @@
 }
 
 #[gtest]
-fn a_lost_answer_holds_its_slot_for_a_time_where_runners_list_nothing() -> Result<()> {
+fn a_lost_response_keeps_its_slot_for_a_limited_time_if_runners_cannot_list_requests() -> Result<()>
+{
     let tuning = Tuning::builder().lists_running(false).build();
     let mut bench = Bench::new(1, 1, Duration::ZERO).with_tuning(tuning);
-    bench.warm();
+    bench.warm_up();
     let (first, _) = bench.submit("a", true, false);
-    bench.end(first, SendResult::Lost);
+    bench.finish_send(first, SendResult::Lost);
     let (second, _) = bench.submit("b", true, false);
     bench.advance(ms(390));
     verify_that!(bench.send_count(second), eq(0))?;
     verify_that!(bench.holder.next_due(), some(le(bench.now + ms(10))))?;
     bench.advance(ms(11));
     verify_that!(bench.send_count(second), eq(1))?;
-    let lists_running = |order: &HolderOutput| matches!(order, HolderOutput::ListRunning { .. });
-    verify_that!(bench.has_output(lists_running), eq(false))
+    let is_list_request =
+        |output: &HolderOutput| matches!(output, HolderOutput::ListRunning { .. });
+    verify_that!(bench.has_output(is_list_request), eq(false))
 }
 
-/// Guards against a runner that gets more requests than it has slots: two of one key, which is not recorded and was
-/// forwarded twice, once counted as one.
+/// Guards against sending a runner more requests than it has slots. Two requests with the same unrecorded key,
+/// forwarded twice, used to be counted as one.
 #[gtest]
 fn two_requests_of_one_key_occupy_two_slots() -> Result<()> {
     let mut bench = Bench::new(2, 1, Duration::ZERO);
-    bench.warm();
+    bench.warm_up();
     bench.recorded = false;
     let (first, _) = bench.submit("fresh", false, false);
     let runner = bench.last_sent().runner;
@@ -81,7 +83,7 @@
 #[gtest]
 fn a_spec_change_never_exceeds_the_slots_a_runner_was_started_with() -> Result<()> {
     let mut bench = Bench::new(2, 1, Duration::ZERO);
-    bench.warm();
+    bench.warm_up();
     let wider = FunctionSpec {
         connections: 100,
         memory_mb: 100,
@@ -106,7 +108,7 @@
 #[gtest]
 fn the_queue_is_ordered_by_rank_then_arrival() -> Result<()> {
     let mut bench = Bench::new(1, 1, Duration::ZERO);
-    bench.warm();
+    bench.warm_up();
     let (running, _) = bench.submit("running", false, false);
     let runner = bench.sent[0].runner;
     let waiting: Vec<Ticket> = [3, 1, 0, 1]
--- a/crates/dataplane/tests/holder/withdrawal.rs
+++ b/crates/dataplane/tests/holder/withdrawal.rs
@@ -1,4 +1,4 @@
-//! Requests that are taken back from a holder.
+//! Tests of the withdrawal of requests from a holder.
 
 use crate::bench::{Bench, ms, reason, response_lost};
 use crate::holder_bench::HolderBench;
@@ -12,15 +12,15 @@
     bench.drive(|holder, now| holder.withdraw(now, ticket));
 }
 
-/// A holder with a single slot that is taken.
+/// Returns a holder whose single slot is in use, and the request that uses it.
 fn busy_bench() -> (Bench, Ticket) {
     let mut bench = Bench::new(1, 1, Duration::ZERO);
-    bench.warm();
+    bench.warm_up();
     let (running, _) = bench.submit("running", false, false);
     (bench, running)
 }
 
-/// A stopping daemon withdraws what waits: the request must end, and must never run after that.
+/// Guards against running a request that was withdrawn from the queue, as a daemon does when it stops.
 #[gtest]
 fn a_queued_request_that_is_withdrawn_ends_as_not_run_and_is_never_sent() -> Result<()> {
     let (mut bench, running) = busy_bench();
@@ -38,9 +38,10 @@
     verify_that!(bench.sent.len(), eq(sent_before))
 }
 
-/// Its daemon may have another attempt made elsewhere only if this one's key is not known as rejected here.
+/// The ledger records the key of a recorded request as rejected, so the request must not be forwarded to another
+/// holder.
 #[gtest]
-fn a_withdrawn_request_whose_key_is_recorded_ends_for_good() -> Result<()> {
+fn a_withdrawn_recorded_request_is_rejected_for_good() -> Result<()> {
     let (mut bench, _) = busy_bench();
     bench.recorded = true;
     let (waiting, _) = bench.submit("waiting", false, false);
@@ -51,9 +52,9 @@
     )
 }
 
-/// What a runner has is never reported as not run.
+/// A request that was sent to a runner must never be reported as not run.
 #[gtest]
-fn a_request_at_a_runner_is_not_withdrawn() -> Result<()> {
+fn a_request_sent_to_a_runner_is_not_withdrawn() -> Result<()> {
     let (mut bench, running) = busy_bench();
     withdraw(&mut bench, running);
     verify_that!(bench.ended.contains_key(&running), eq(false))?;
@@ -62,15 +63,15 @@
     verify_that!(bench.ended.contains_key(&running), eq(true))
 }
 
-/// A request that waits for its second attempt may have run at its first.
+/// A request that is queued for its second attempt may have run in its first.
 #[gtest]
 fn a_withdrawn_retry_ends_as_unknown() -> Result<()> {
     let mut bench = Bench::new(1, 1, Duration::ZERO);
     bench.max_attempts = 2;
-    bench.warm();
+    bench.warm_up();
     let (first, _) = bench.submit("first", false, false);
     let (second, _) = bench.submit("second", false, false);
-    bench.end(first, SendResult::Lost);
+    bench.finish_send(first, SendResult::Lost);
     let waiting = if bench.last_sent().ticket == first {
         second
     } else {
@@ -82,13 +83,13 @@
     verify_that!(ended == Some(&response_lost()), eq(is_first))
 }
 
-/// Nobody waits for a request whose send was broken off, so it is not retried; its runner may still be at it.
+/// No caller waits for an aborted request, so it is not retried; its runner may still be running it.
 #[gtest]
-fn a_send_that_is_broken_off_is_not_retried_and_keeps_its_slot() -> Result<()> {
+fn an_aborted_send_is_not_retried_and_keeps_its_slot() -> Result<()> {
     let (mut bench, running) = busy_bench();
     let (waiting, _) = bench.submit("waiting", false, false);
     let sent_before = bench.sent.len();
-    bench.end(running, SendResult::Aborted);
+    bench.finish_send(running, SendResult::Aborted);
     verify_that!(bench.sent.len(), eq(sent_before))?;
     verify_that!(bench.ended.get(&running), some(eq(&response_lost())))?;
     let runner = bench.last_sent().runner;
@@ -96,13 +97,13 @@
     verify_that!(bench.last_sent().ticket, eq(waiting))
 }
 
-/// A release waits for the queue; when the last of it is withdrawn, the lease is given back.
+/// A release waits until the queue is empty, also when the last queued request is withdrawn rather than completed.
 #[gtest]
 fn a_release_ends_when_the_last_queued_request_is_withdrawn() -> Result<()> {
     let (mut bench, running) = busy_bench();
     let (waiting, _) = bench.submit("waiting", false, false);
     bench.drive(dataplane::holder::Holder::begin_release);
-    bench.end(running, SendResult::Lost);
+    bench.finish_send(running, SendResult::Lost);
     withdraw(&mut bench, waiting);
     bench.advance(Duration::from_secs(1));
     let is_released = |output: &HolderOutput| {
