--- a/crates/dataplane/tests/ledger.rs
+++ b/crates/dataplane/tests/ledger.rs
@@ -1,4 +1,4 @@
-//! Ledgers and their replicas: repair by range digests, sealing by a later holder, incarnations and expiry.
+//! Tests of ledgers and their replicas: repair by range digests, sealing by a later holder, incarnations and expiry.
 
 use common::clock::MonotonicTime;
 use common::frames::{LedgerRecord, LedgerRecordState, RequestFailureReason, RequestOutcome};
@@ -24,7 +24,7 @@
     }
 }
 
-fn names(records: &[LedgerRecord]) -> BTreeMap<IdempotencyKey, LedgerRecordState> {
+fn states_by_key(records: &[LedgerRecord]) -> BTreeMap<IdempotencyKey, LedgerRecordState> {
     records
         .iter()
         .map(|record| (record.idempotency_key.clone(), record.state))
@@ -76,13 +76,13 @@
         .collect(now, &function(), LEASE, INCARNATION)
         .expect("a copy");
     verify_that!(
-        names(&collected) == names(&ledger.once_records(now)),
+        states_by_key(&collected) == states_by_key(&ledger.once_records(now)),
         eq(true)
     )
 }
 
 #[gtest]
-fn after_collection_an_old_holder_can_record_nothing() -> Result<()> {
+fn after_collection_an_earlier_holder_can_store_no_more_records() -> Result<()> {
     let now = MonotonicTime(1_000_000_000);
     let mut replica = LedgerReplica::new(INCARNATION);
     let first = [record("a", LedgerRecordState::Recorded)];
@@ -137,7 +137,7 @@
 }
 
 #[gtest]
-fn digests_do_not_depend_on_order_but_on_state() -> Result<()> {
+fn digests_depend_on_state_but_not_on_order() -> Result<()> {
     let records = [
         record("a", LedgerRecordState::Recorded),
         record("b", LedgerRecordState::Answered),
@@ -154,7 +154,7 @@
     )
 }
 
-/// Two daemons of different builds compare their ledgers by these numbers: they must never change.
+/// Daemons of different builds compare their ledgers by these numbers, so they must never change.
 #[gtest]
 fn range_digests_have_their_fixed_values() -> Result<()> {
     let fixed_ranges = [
