--- a/crates/dataplane/tests/owners.rs
+++ b/crates/dataplane/tests/owners.rs
@@ -1,4 +1,4 @@
-//! The four rules by which a request finds its holder (docs/design/four-rules.md), as far as one daemon decides them.
+//! Tests of the lookup of a request's holder, as far as a single daemon decides it (docs/design/four-rules.md).
 
 #[path = "support/host.rs"]
 mod host;
