--- a/crates/dataplane/tests/pool.rs
+++ b/crates/dataplane/tests/pool.rs
@@ -1,4 +1,4 @@
-//! The connection pool: which idle connection is reused, and which are dropped.
+//! Tests of the connection pool: which idle connection is reused, and which are dropped.
 
 use common::clock::MonotonicTime;
 use common::identity::{FencingToken, RunnerId};
@@ -18,7 +18,7 @@
 
 fn checkout_new_id(pool: &mut ConnectionPool) -> ConnectionId {
     match pool.checkout(START, RUNNER, 2) {
-        Checkout::Open(number) => number,
+        Checkout::Open(id) => id,
         Checkout::Reused(_) | Checkout::Full => ConnectionId(0),
     }
 }
@@ -57,30 +57,24 @@
 }
 
 #[gtest]
-fn a_connection_is_not_reused_near_its_keep_alive_end() -> Result<()> {
+fn a_connection_is_not_reused_close_to_its_keep_alive_timeout() -> Result<()> {
     for (keep_alive, last_use_ms) in [
         (Some(ms(5000)), 3999),
         (None, 9999),
         (Some(ms(60_000)), 9999),
     ] {
         let mut pool = ConnectionPool::default();
-        let number = checkout_new_id(&mut pool);
-        pool.check_in(START, RUNNER, number, keep_alive);
+        let id = checkout_new_id(&mut pool);
+        pool.check_in(START, RUNNER, id, keep_alive);
         let last_use = START + ms(last_use_ms);
-        verify_that!(
-            pool.checkout(last_use, RUNNER, 2),
-            eq(Checkout::Reused(number))
-        )?;
-        pool.check_in(START, RUNNER, number, keep_alive);
+        verify_that!(pool.checkout(last_use, RUNNER, 2), eq(Checkout::Reused(id)))?;
+        pool.check_in(START, RUNNER, id, keep_alive);
         let too_late = pool.checkout(last_use + ms(1), RUNNER, 2);
         verify_that!(matches!(too_late, Checkout::Open(_)), eq(true))?;
     }
     let mut pool = ConnectionPool::default();
-    let number = checkout_new_id(&mut pool);
-    verify_that!(
-        pool.check_in(START, RUNNER, number, Some(ms(1000))),
-        eq(false)
-    )?;
+    let id = checkout_new_id(&mut pool);
+    verify_that!(pool.check_in(START, RUNNER, id, Some(ms(1000))), eq(false))?;
     verify_that!(pool.count(RUNNER), eq(0))
 }
 
