--- a/crates/dataplane/tests/warm.rs
+++ b/crates/dataplane/tests/warm.rs
@@ -1,4 +1,4 @@
-//! Functions whose start-up takes longer than their callers should wait are acquired before they are called.
+//! Tests that functions whose start-up takes longer than their callers should wait are acquired before they are called.
 
 #[path = "support/host.rs"]
 mod host;
@@ -27,7 +27,8 @@
     host_list(4)
 }
 
-/// Twelve functions with a start-up of 800 ms; the target latency of the odd ones is a second.
+/// Returns a table of twelve functions with a start-up time of 800 ms. Those with an odd number have a target latency
+/// of one second, the others one of 300 ms.
 fn table() -> RoutingTable {
     let mut functions = serde_json::Map::new();
     let mut routes = serde_json::Map::new();
@@ -85,7 +86,7 @@
 }
 
 #[gtest]
-fn each_warm_function_is_requested_once_and_only_by_its_hash_owner() -> Result<()> {
+fn each_prewarmed_function_is_requested_once_and_only_by_its_hash_owner() -> Result<()> {
     let hosts = hosts();
     let table = table();
     let no_owners = BTreeMap::new();
@@ -117,7 +118,7 @@
 }
 
 #[gtest]
-fn a_warm_function_is_requested_again_when_its_owner_disappears() -> Result<()> {
+fn a_prewarmed_function_is_requested_again_when_its_owner_disappears() -> Result<()> {
     let all_hosts = hosts();
     let table = table();
     let lost_host = &all_hosts[0];
@@ -125,9 +126,9 @@
         .prewarmed_functions()
         .map(|function| (function.clone(), lost_host.clone()))
         .collect();
-    let staying_hosts = &all_hosts[1..];
+    let remaining_hosts = &all_hosts[1..];
     let mut request_count = 0;
-    for host in staying_hosts {
+    for host in remaining_hosts {
         let mut acquirer = WarmAcquirer::new(START);
         let before = requests_of(
             &mut acquirer,
@@ -144,7 +145,7 @@
         let after = requests_of(
             &mut acquirer,
             &host.member,
-            staying_hosts,
+            remaining_hosts,
             &owners,
             lost_at,
             ms(300),
