--- a/crates/dataplane/tests/idle_retention.rs
+++ b/crates/dataplane/tests/idle_retention.rs
@@ -1,5 +1,5 @@
-//! When the last runner of a function is stopped: by the costs of a start, of a late response and of its memory, by how
-//! often it is called and how long it starts up.
+//! Tests of when the last runner of a function is stopped, depending on the costs of a start, of a late response and of
+//! memory, on the call frequency and on the start-up time.
 
 #[path = "support/held_function.rs"]
 mod held_function;
@@ -86,7 +86,7 @@
         self.drive(|holder, now| holder.admit(now, request).1);
     }
 
-    /// Submits calls with these gaps between them; returns how many runners were started for them.
+    /// Submits `count` calls, each followed by a pause of `gap`. Returns how many runners were started for them.
     fn starts_for_calls(&mut self, gap: Duration, count: usize) -> usize {
         let before = self.starts;
         for _ in 0..count {
@@ -97,7 +97,8 @@
     }
 
     fn is_started_up(&self, runner: RunnerId) -> bool {
-        let is_ready = |(at, one): &(MonotonicTime, RunnerId)| *one == runner && *at <= self.now;
+        let is_ready =
+            |(ready_at, id): &(MonotonicTime, RunnerId)| *id == runner && *ready_at <= self.now;
         self.starting.iter().any(is_ready)
     }
 }
@@ -148,13 +149,13 @@
         bench.starts_for_calls(ms(gap_ms), 12);
         let starts = bench.starts_for_calls(ms(gap_ms), 10);
         verify_that!(starts, eq(if is_retained { 0 } else { 10 }))
-            .with_failure_message(|| format!("{memory_mb} MB, a call each {gap_ms} ms"))?;
+            .with_failure_message(|| format!("{memory_mb} MB, one call every {gap_ms} ms"))?;
     }
     Ok(())
 }
 
 #[gtest]
-fn a_start_that_makes_the_answer_late_is_worth_more_memory() -> Result<()> {
+fn a_runner_is_retained_longer_if_a_cold_start_makes_responses_late() -> Result<()> {
     for (target_ms, is_retained) in [(3000, false), (400, true)] {
         let mut bench = Bench::new(128, ms(500), ms(target_ms), false);
         bench.starts_for_calls(ms(4000), 12);
@@ -189,7 +190,7 @@
 }
 
 #[gtest]
-fn a_runner_started_before_the_first_call_waits_a_minute_for_it() -> Result<()> {
+fn a_prewarmed_runner_is_retained_for_a_minute_before_the_first_call() -> Result<()> {
     let mut bench = Bench::new(1024, ms(750), ms(300), true);
     bench.advance(ms(59_000));
     verify_that!((bench.starts, bench.stops), eq((1, 0)))?;
@@ -198,7 +199,7 @@
 }
 
 #[gtest]
-fn a_new_holder_retains_a_warm_runner_over_a_short_pause() -> Result<()> {
+fn a_new_holder_retains_a_prewarmed_runner_during_a_short_pause() -> Result<()> {
     let mut bench = Bench::new(1024, ms(750), ms(300), true);
     bench.advance(ms(1000));
     bench.call();
