--- a/crates/dataplane/tests/costs/mod.rs
+++ b/crates/dataplane/tests/costs/mod.rs
@@ -1,5 +1,5 @@
-//! A seeded simulation of one day of calls to holders under virtual time, with runners that take time to start up, are
-//! slow at first, and reject requests beyond their slots.
+//! A seeded simulation of one day of calls to holders, in virtual time. Runners take time to start up, are slow at
+//! first, and reject requests that exceed their slots.
 
 use crate::held_function::{
     admission_request, function_key, report_started, reserved, response, runner_id,
@@ -19,24 +19,25 @@
 
 const START: MonotonicTime = MonotonicTime(50_000_000_000);
 const DAY: Duration = Duration::from_secs(34);
-/// Calls begin when prewarmed runners have started up.
+/// Time before the first calls, in which prewarmed runners start up.
 const WARM_UP: Duration = Duration::from_secs(3);
 const COOL_DOWN: Duration = Duration::from_secs(6);
 const TICK: Duration = Duration::from_millis(50);
 const LEADER_LATENCY: Duration = Duration::from_millis(12);
 const PLATFORM_LATENCY: Duration = Duration::from_millis(8);
 const SLOW_START_SECONDS: f64 = 3.0;
-const CROWD: (f64, f64) = (14.0, 18.0);
+/// Start and end of the peak, in seconds after the first calls.
+const PEAK: (f64, f64) = (14.0, 18.0);
 const REJECTION_WINDOW: Duration = Duration::from_secs(5);
 
-/// The prices of a site.
+/// The prices by which costs are computed.
 #[derive(Clone, Copy)]
 pub struct Prices {
     /// The price of one gigabyte of a runner for one second.
     pub gb_second: f64,
-    /// The price of a start.
+    /// The price of starting a runner.
     pub start: f64,
-    /// The fraction of its value that a late response keeps.
+    /// The fraction of a response's value that remains if it is late.
     pub late_value_fraction: f64,
 }
 
@@ -47,16 +48,16 @@
     pub memory_mb: u32,
     /// The mean start-up time.
     pub startup: Duration,
-    /// The number of requests that one runner runs at once.
+    /// The number of concurrent requests of one runner.
     pub slots: u32,
-    /// The shortest and the longest service time.
+    /// The minimum and the maximum service time.
     pub service: (Duration, Duration),
     /// The response time after which a response is late.
     pub target: Duration,
     /// The time after which a caller gives up.
     pub timeout: Duration,
     /// Whether it is prewarmed.
-    pub warm: bool,
+    pub is_prewarmed: bool,
 }
 
 /// The calls to one function.
@@ -66,19 +67,19 @@
     pub profile: FunctionProfile,
     /// The rate in calls per second.
     pub rate: f64,
-    /// The factor of the rate during the peak.
-    pub crowd_factor: f64,
+    /// The factor by which the rate is multiplied during the peak.
+    pub peak_factor: f64,
 }
 
-/// Rates for a number of functions that sum to `all_rate` and fall with a power of their rank.
-pub fn spread(count: usize, all_rate: f64, power: f64) -> Vec<f64> {
+/// Returns the rates of `count` functions, which sum to `total_rate` and decrease with a power of the function's rank.
+pub fn power_law_rates(count: usize, total_rate: f64, power: f64) -> Vec<f64> {
     let shares: Vec<f64> = (1..=count)
         .map(|rank| 1.0 / (rank as f64).powf(power))
         .collect();
     let total_share: f64 = shares.iter().sum();
     shares
         .into_iter()
-        .map(|share| all_rate * share / total_share)
+        .map(|share| total_rate * share / total_share)
         .collect()
 }
 
@@ -95,12 +96,12 @@
     memory_cost: f64,
     start_cost: f64,
     lost_value: f64,
-    /// The maximum number of requests that the runners of one function rejected within five seconds.
+    /// The maximum number of requests that the runners of one function rejected within [`REJECTION_WINDOW`].
     pub max_rejections: usize,
 }
 
 impl CostReport {
-    /// The sum of the costs of memory, starts and lost value.
+    /// Returns the sum of the costs of memory, starts and lost value.
     pub fn total(&self) -> f64 {
         self.memory_cost + self.start_cost + self.lost_value
     }
@@ -111,7 +112,7 @@
         write!(
             formatter,
             "total {:.0}: {:.0} GB*s, {} starts ({} unused), {} calls, {} late, {} unserved, \
-             {} told to come back, lost {:.0}, most refused {}",
+             {} rejected with a retry, lost value {:.0}, most rejected by runners {}",
             self.total(),
             self.gb_seconds,
             self.starts,
@@ -145,7 +146,7 @@
 }
 
 struct Runner {
-    begun_at: MonotonicTime,
+    started_at: MonotonicTime,
     ready_at: MonotonicTime,
     speed: f64,
     running: u32,
@@ -158,7 +159,7 @@
     runners: BTreeMap<RunnerId, Runner>,
     calls: BTreeMap<Ticket, Call>,
     rejected_at: VecDeque<MonotonicTime>,
-    is_begun: bool,
+    is_started: bool,
     next_runner: u64,
     next_ticket: u64,
     due_at: Option<MonotonicTime>,
@@ -176,21 +177,21 @@
         };
         let terms = lease_terms(function_key(), spec);
         let mut holder = Holder::new(START, terms).with_tuning(START, tuning());
-        holder.set_prewarmed(profile.warm);
+        holder.set_prewarmed(profile.is_prewarmed);
         Self {
             call_stream,
             holder,
             runners: BTreeMap::new(),
             calls: BTreeMap::new(),
             rejected_at: VecDeque::new(),
-            is_begun: false,
+            is_started: false,
             next_runner: 0,
             next_ticket: 0,
             due_at: None,
         }
     }
 
-    /// The leader has reserved memory for another runner.
+    /// Replies to the holder that memory is reserved for another runner.
     fn handle_reserved(&mut self, now: MonotonicTime) -> Vec<HolderOutput> {
         self.next_runner += 1;
         let runner = runner_id(self.next_runner);
@@ -210,13 +211,13 @@
         &mut self,
         now: MonotonicTime,
         ticket: Ticket,
-        end: SendResult,
+        result: SendResult,
         runner: RunnerId,
     ) -> Vec<HolderOutput> {
         if let Some(sim_runner) = self.runners.get_mut(&runner) {
             sim_runner.running = sim_runner.running.saturating_sub(1);
         }
-        self.holder.handle_send_result(now, ticket, end)
+        self.holder.handle_send_result(now, ticket, result)
     }
 }
 
@@ -232,7 +233,7 @@
 }
 
 impl DaySimulation {
-    /// A day with holders that have the settings of the users' machines.
+    /// Creates a day whose holders use the settings of the target deployment.
     pub fn new(seed: u64, prices: Prices, streams: &[CallStream]) -> Self {
         let mut day = Self {
             rng: SeededRng::seeded(seed),
@@ -245,8 +246,8 @@
         };
         for (number, call_stream) in streams.iter().enumerate() {
             day.functions.push(SimFunction::new(*call_stream));
-            if call_stream.profile.warm {
-                day.begin(number);
+            if call_stream.profile.is_prewarmed {
+                day.start_holder(number);
             }
             let first_gap = day.next_gap(number);
             day.schedule(number, WARM_UP + first_gap, SimEvent::Arrival);
@@ -260,10 +261,10 @@
             .insert((self.now + after, self.next_event), (number, event));
     }
 
-    fn begin(&mut self, number: usize) {
+    fn start_holder(&mut self, number: usize) {
         let function = &mut self.functions[number];
-        if !function.is_begun {
-            function.is_begun = true;
+        if !function.is_started {
+            function.is_started = true;
             let outputs = function.holder.start(self.now);
             self.execute_outputs(number, outputs);
             self.schedule(number, TICK, SimEvent::Tick);
@@ -272,11 +273,11 @@
 
     fn next_gap(&mut self, number: usize) -> Duration {
         let call_stream = self.functions[number].call_stream;
-        let passed = self.now.since(START + WARM_UP).as_secs_f64();
-        let is_crowd = (CROWD.0..CROWD.1).contains(&passed);
+        let elapsed = self.now.since(START + WARM_UP).as_secs_f64();
+        let is_peak = (PEAK.0..PEAK.1).contains(&elapsed);
         let rate = call_stream.rate
-            * if is_crowd {
-                call_stream.crowd_factor
+            * if is_peak {
+                call_stream.peak_factor
             } else {
                 1.0
             };
@@ -284,7 +285,7 @@
         Duration::from_secs_f64(next_gap)
     }
 
-    /// Runs the simulation to its end.
+    /// Runs the simulation to its end, and returns the costs.
     pub fn run(mut self) -> CostReport {
         while let Some(((at, _), (number, event))) = self.events.pop_first() {
             if at > START + WARM_UP + DAY + COOL_DOWN {
@@ -344,21 +345,21 @@
                     .holder
                     .handle_runner_stopped(now, runner)
             }
-            SimEvent::SendFinished(ticket, end, runner) => {
-                self.functions[number].handle_send_finished(now, ticket, end, runner)
+            SimEvent::SendFinished(ticket, result, runner) => {
+                self.functions[number].handle_send_finished(now, ticket, result, runner)
             }
         };
         self.execute_outputs(number, outputs);
     }
 
-    /// A call arrives, if the day has not ended, and the next is scheduled.
+    /// Submits a new call and schedules the next arrival, unless the day has ended.
     fn handle_arrival(&mut self, number: usize) {
         if self.now >= START + WARM_UP + DAY {
             return;
         }
         let next_gap = self.next_gap(number);
         self.schedule(number, next_gap, SimEvent::Arrival);
-        self.begin(number);
+        self.start_holder(number);
         self.report.calls += 1;
         let first_call = Call {
             first_at: self.now,
@@ -367,13 +368,14 @@
         self.submit(number, first_call);
     }
 
+    /// Removes a runner and adds the cost of its memory to the report.
     fn charge(&mut self, number: usize, runner: RunnerId) {
         let function = &mut self.functions[number];
         let Some(sim_runner) = function.runners.remove(&runner) else {
             return;
         };
         let gb = f64::from(function.call_stream.profile.memory_mb) / 1024.0;
-        let gb_seconds = gb * self.now.since(sim_runner.begun_at).as_secs_f64();
+        let gb_seconds = gb * self.now.since(sim_runner.started_at).as_secs_f64();
         self.report.gb_seconds += gb_seconds;
         self.report.memory_cost += gb_seconds * self.prices.gb_second;
         self.report.unused += u64::from(!sim_runner.used);
@@ -390,8 +392,8 @@
         };
         let ticket = request.ticket;
         function.calls.insert(ticket, call);
-        let (at_once, outputs) = function.holder.admit(self.now, request);
-        if let Some(outcome) = at_once {
+        let (immediate, outputs) = function.holder.admit(self.now, request);
+        if let Some(outcome) = immediate {
             self.finish_call(number, ticket, &outcome);
         }
         self.execute_outputs(number, outputs);
@@ -403,12 +405,11 @@
             return;
         };
         let profile = function.call_stream.profile;
-        let taken_span = self.now.since(call.first_at);
-        let remaining_time = profile.timeout.saturating_sub(taken_span);
+        let elapsed = self.now.since(call.first_at);
+        let remaining_time = profile.timeout.saturating_sub(elapsed);
         match outcome {
-            RequestOutcome::Response { .. }
-                if taken_span <= profile.target && call.attempt == 1 => {}
-            RequestOutcome::Response { .. } if taken_span <= profile.target => {
+            RequestOutcome::Response { .. } if elapsed <= profile.target && call.attempt == 1 => {}
+            RequestOutcome::Response { .. } if elapsed <= profile.target => {
                 self.report.lost_value += (1.0 - self.prices.late_value_fraction) / 2.0;
             }
             RequestOutcome::Response { .. } if !remaining_time.is_zero() => {
@@ -459,10 +460,10 @@
 
     fn start(&mut self, number: usize, runner: RunnerId) {
         let startup = self.functions[number].call_stream.profile.startup;
-        let begun_at = self.now + PLATFORM_LATENCY / 2;
+        let started_at = self.now + PLATFORM_LATENCY / 2;
         let sim_runner = Runner {
-            begun_at,
-            ready_at: begun_at + startup.mul_f64(0.7 + 0.6 * self.rng.fraction()),
+            started_at,
+            ready_at: started_at + startup.mul_f64(0.7 + 0.6 * self.rng.fraction()),
             speed: 0.9 + 0.2 * self.rng.fraction(),
             running: 0,
             used: false,
@@ -497,23 +498,23 @@
                 .rejected_at
                 .retain(|at| now.since(*at) < REJECTION_WINDOW);
             self.report.max_rejections = self.report.max_rejections.max(function.rejected_at.len());
-            let end = SendResult::RejectedByRunner;
+            let result = SendResult::RejectedByRunner;
             return self.schedule(
                 number,
                 PLATFORM_LATENCY,
-                SimEvent::SendFinished(ticket, end, runner),
+                SimEvent::SendFinished(ticket, result, runner),
             );
         }
         sim_runner.running += 1;
         sim_runner.used = true;
         let age = now.since(sim_runner.ready_at).as_secs_f64();
-        let slow_start_share = (1.0 - age / SLOW_START_SECONDS).max(0.0);
-        let slowness = sim_runner.speed * (1.0 + slow_start_share);
-        let end = SendResult::Answered(response(runner, 200, b""));
+        let slow_start_fraction = (1.0 - age / SLOW_START_SECONDS).max(0.0);
+        let slowdown = sim_runner.speed * (1.0 + slow_start_fraction);
+        let result = SendResult::Answered(response(runner, 200, b""));
         self.schedule(
             number,
-            work.mul_f64(slowness),
-            SimEvent::SendFinished(ticket, end, runner),
+            work.mul_f64(slowdown),
+            SimEvent::SendFinished(ticket, result, runner),
         );
     }
 }
--- a/crates/dataplane/tests/holder_costs.rs
+++ b/crates/dataplane/tests/holder_costs.rs
@@ -1,4 +1,5 @@
-//! The costs of holders over a simulated day of calls: runner memory, starts, and value lost to late or rejected calls.
+//! Tests the costs of holders over a simulated day of calls: runner memory, starts, and value lost to late or unserved
+//! calls.
 
 mod costs;
 #[path = "support/held_function.rs"]
@@ -6,7 +7,7 @@
 #[path = "support/lease.rs"]
 mod lease;
 
-use costs::{CallStream, DaySimulation, FunctionProfile, Prices, spread};
+use costs::{CallStream, DaySimulation, FunctionProfile, Prices, power_law_rates};
 use googletest::prelude::*;
 use std::time::Duration;
 
@@ -32,7 +33,7 @@
     service: (ms(60), ms(90)),
     target: ms(350),
     timeout: ms(2500),
-    warm: true,
+    is_prewarmed: true,
 };
 const SMALL: FunctionProfile = FunctionProfile {
     memory_mb: 192,
@@ -41,16 +42,16 @@
     service: (ms(55), ms(65)),
     target: ms(1000),
     timeout: ms(5000),
-    warm: false,
+    is_prewarmed: false,
 };
-const LEADER: FunctionProfile = FunctionProfile {
+const INTERACTIVE: FunctionProfile = FunctionProfile {
     memory_mb: 512,
     startup: ms(1400),
     slots: 4,
     service: (ms(30), ms(45)),
     target: ms(200),
     timeout: ms(4000),
-    warm: true,
+    is_prewarmed: true,
 };
 const SYNC: FunctionProfile = FunctionProfile {
     memory_mb: 192,
@@ -59,25 +60,25 @@
     service: (ms(55), ms(65)),
     target: ms(1200),
     timeout: ms(4000),
-    warm: false,
+    is_prewarmed: false,
 };
 
-fn streams(profile: FunctionProfile, rates: Vec<f64>, crowd_factor: f64) -> Vec<CallStream> {
+fn streams(profile: FunctionProfile, rates: Vec<f64>, peak_factor: f64) -> Vec<CallStream> {
     let mut all: Vec<CallStream> = rates
         .into_iter()
         .map(|rate| CallStream {
             profile,
             rate,
-            crowd_factor: 1.0,
+            peak_factor: 1.0,
         })
         .collect();
     if let Some(first) = all.first_mut() {
-        first.crowd_factor = crowd_factor;
+        first.peak_factor = peak_factor;
     }
     all
 }
 
-/// A day of calls, and what its mean cost may be.
+/// A day of calls and the upper bound of its mean cost.
 struct BoundedDay {
     name: &'static str,
     prices: Prices,
@@ -92,21 +93,27 @@
         streams,
         cost_bound,
     };
-    let large = |crowd_factor| streams(LARGE, spread(8, 240.0, 1.1), crowd_factor);
-    let small = streams(SMALL, spread(150, 60.0, 1.1), 1.0);
-    let leader = |crowd_factor| streams(LEADER, spread(6, 240.0, 0.8), crowd_factor);
-    let sync = streams(SYNC, spread(60, 30.0, 1.1), 1.0);
+    let large = |peak_factor| streams(LARGE, power_law_rates(8, 240.0, 1.1), peak_factor);
+    let small = streams(SMALL, power_law_rates(150, 60.0, 1.1), 1.0);
+    let interactive =
+        |peak_factor| streams(INTERACTIVE, power_law_rates(6, 240.0, 0.8), peak_factor);
+    let sync = streams(SYNC, power_law_rates(60, 30.0, 1.1), 1.0);
     [
         day("few large", LOW_START_COST, large(1.0), 400.0),
-        day("few large, a crowd", LOW_START_COST, large(4.0), 760.0),
+        day("few large, with a peak", LOW_START_COST, large(4.0), 760.0),
         day("many small", LOW_START_COST, small, 310.0),
-        day("few desks", HIGH_START_COST, leader(1.0), 220.0),
-        day("few desks, a crowd", HIGH_START_COST, leader(4.0), 480.0),
+        day("few interactive", HIGH_START_COST, interactive(1.0), 220.0),
+        day(
+            "few interactive, with a peak",
+            HIGH_START_COST,
+            interactive(4.0),
+            480.0,
+        ),
         day("many syncs", HIGH_START_COST, sync, 350.0),
     ]
 }
 
-/// Each day's mean cost over three seeds stays under its bound, and so do rejections by runners.
+/// Checks that the mean cost of each day over three seeds and the rejections by runners stay within their bounds.
 #[gtest]
 fn daily_costs_stay_within_bounds() -> Result<()> {
     let mut over_bounds = Vec::new();
