--- a/crates/dataplane/tests/support/daemon_control.rs
+++ b/crates/dataplane/tests/support/daemon_control.rs
@@ -1,4 +1,5 @@
-//! A daemon whose control session the leader has welcomed, and what the leader and callers send to it.
+//! Test support: a daemon with an established control session, and the messages that it gets from the leader and from
+//! callers.
 
 use common::clock::MonotonicTime;
 use common::frames::{LeaderToDaemon, RequestPayload, SocketAddress};
@@ -11,10 +12,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// When the session begins.
+/// When the control session starts.
 pub const START: MonotonicTime = MonotonicTime(10_000_000_000);
 
-/// A control session that was welcomed at `START`.
+/// Returns a control session that the leader welcomed at [`START`].
 pub fn welcomed_control(agent: &Agent<u64>) -> DaemonControl<u64> {
     let timing = ControlSessionTiming::builder().build();
     let seeds = vec![SocketAddress::UNSPECIFIED; 3];
@@ -27,7 +28,7 @@
     control
 }
 
-/// The frame with which the leader puts a spec in force under this version.
+/// Returns the frame by which the leader puts a spec in force under this version.
 pub fn spec_frame_of(spec: Value, version: u64) -> LeaderToDaemon {
     let checked_spec = read_spec(&spec).expect("a spec");
     let mut document = Document::founding(Vec::new());
@@ -41,7 +42,7 @@
     }
 }
 
-/// A caller's request on the route `r`, with two seconds left.
+/// Returns a caller's request on the route `r`, with a deadline two seconds from now.
 pub fn function_request(
     agent: &Agent<u64>,
     now: MonotonicTime,
--- a/crates/dataplane/tests/support/held_function.rs
+++ b/crates/dataplane/tests/support/held_function.rs
@@ -1,5 +1,4 @@
-//! A held function as tests set it up: requests to it, and what the leader and the platform reply to
-//! its holder.
+//! Test support: a held function, requests to it, and the replies of the leader and the platform to its holder.
 
 use crate::lease::FENCING_TOKEN;
 use common::adapter::StartOutcome;
@@ -9,12 +8,12 @@
 use dataplane::holder::{AdmissionRequest, Holder, HolderOutput};
 use std::time::Duration;
 
-/// The function that is held.
+/// Returns the key of the held function.
 pub fn function_key() -> FunctionKey {
     FunctionKey::new("f", Version(2))
 }
 
-/// The runner with this ordinal number.
+/// Returns the id of the runner with this ordinal number.
 pub fn runner_id(ordinal: u64) -> RunnerId {
     RunnerId {
         fencing_token: FENCING_TOKEN,
@@ -22,7 +21,7 @@
     }
 }
 
-/// A repeatable request under a key of its own that waits up to `timeout` for its response.
+/// Returns a repeatable request with a unique key, whose caller waits up to `timeout` for the response.
 pub fn admission_request(number: u64, now: MonotonicTime, timeout: Duration) -> AdmissionRequest {
     AdmissionRequest {
         ticket: Ticket(number),
@@ -39,7 +38,7 @@
     }
 }
 
-/// The response of a runner, without header fields and seal.
+/// Returns a runner's response without header fields and seal.
 pub fn response(runner: RunnerId, status: u16, body: &[u8]) -> RequestOutcome {
     RequestOutcome::Response {
         header_fields: LengthPrefixed(Vec::new()),
@@ -50,7 +49,7 @@
     }
 }
 
-/// The leader's reply that reserves memory for a runner.
+/// Returns the leader's reply that memory is reserved for a runner.
 pub fn reserved(runner: RunnerId, memory_mb: u32) -> ReserveResult {
     ReserveResult::Reserved {
         runner,
@@ -59,7 +58,7 @@
     }
 }
 
-/// Reports to the holder that the platform has started the runner.
+/// Reports to the holder that the platform has started the runner, and returns the holder's outputs.
 pub fn report_started(
     holder: &mut Holder,
     now: MonotonicTime,
--- a/crates/dataplane/tests/support/holder_bench.rs
+++ b/crates/dataplane/tests/support/holder_bench.rs
@@ -1,17 +1,17 @@
-//! A bench for one holder: the test plays the leader, the platform and the runners.
+//! Test support: a bench for one holder, in which the test acts as the leader, the platform and the runners.
 
 use common::clock::MonotonicTime;
 use dataplane::holder::{Holder, HolderOutput};
 
-/// A holder with what the test plays to it.
+/// A holder, and the replies of the test to its outputs.
 pub trait HolderBench {
-    /// The holder, and the present time.
+    /// Returns the holder and the current time.
     fn holder(&mut self) -> (&mut Holder, MonotonicTime);
 
-    /// Plays the reply to one output; returns the holder's outputs in response to that.
+    /// Replies to one output. Returns the outputs with which the holder responds to the reply.
     fn reply_to(&mut self, output: HolderOutput) -> Vec<HolderOutput>;
 
-    /// Replies to these outputs, and to those that follow from them.
+    /// Replies to these outputs and, recursively, to those that follow from them.
     fn handle_outputs(&mut self, outputs: Vec<HolderOutput>) {
         for output in outputs {
             let outputs = self.reply_to(output);
--- a/crates/dataplane/tests/support/host.rs
+++ b/crates/dataplane/tests/support/host.rs
@@ -1,8 +1,8 @@
-//! A daemon as it stands on a host list.
+//! Test support: an entry of a host list.
 
 use common::frames::{Flag, Host, SocketAddress};
 
-/// A daemon that may hold functions, without an address.
+/// Returns a daemon that is eligible to hold functions, with an unspecified address.
 pub fn host(name: &str, zone: &str, incarnation: u64) -> Host {
     Host {
         member: name.into(),
--- a/crates/dataplane/tests/support/lease.rs
+++ b/crates/dataplane/tests/support/lease.rs
@@ -1,4 +1,4 @@
-//! A function lease as tests set it up.
+//! Test support: the terms of a function lease.
 
 use common::identity::{FencingToken, FunctionKey};
 use common::spec::FunctionSpec;
@@ -8,7 +8,7 @@
 /// The fencing token of the lease, and of the runners under it.
 pub const FENCING_TOKEN: FencingToken = FencingToken(1);
 
-/// A function with one slot a runner, whose holder keeps no runner without requests.
+/// Returns the spec of a function with one slot per runner and no minimum number of runners.
 pub fn function_spec() -> FunctionSpec {
     FunctionSpec {
         connections: 100,
@@ -20,7 +20,7 @@
     }
 }
 
-/// A lease that follows no other, without a replica.
+/// Returns the terms of a lease without a previous lease and without a replica.
 pub fn lease_terms(function: FunctionKey, spec: FunctionSpec) -> LeaseTerms {
     LeaseTerms {
         function,
