--- a/crates/dataplane/src/holder/idle_retention.rs
+++ b/crates/dataplane/src/holder/idle_retention.rs
@@ -2,7 +2,7 @@
 //!
 //! An idle runner costs memory. Without it the next request costs a cold start, and its response is late if the
 //! start-up exceeds the request's target. The break-even time is the idle time after which the memory has cost as much
-//! as the cold start; the runner is retained while the next request is expected earlier than that.
+//! as both; the runner is retained while the next request is expected earlier than that.
 
 use super::Holder;
 use super::lifecycle::Lifecycle;
@@ -16,7 +16,7 @@
 const FREQUENT_IDLE_FACTOR: u32 = 2;
 /// Idle limit of a rarely called function, in start-up times; covers a request that follows directly.
 const RARE_IDLE_STARTUPS: f64 = 0.25;
-/// How long a prewarmed runner waits for the first request.
+/// Idle limit of a prewarmed runner before the first request.
 const UNCALLED_IDLE_LIMIT: Duration = Duration::from_secs(60);
 /// Time after the first call until the call frequency counts as known, in break-even times.
 const KNOWN_DEMAND_BREAK_EVENS: u32 = 4;
@@ -104,7 +104,7 @@
 }
 
 impl Holder {
-    /// Returns the idle time after which the memory of the last runner has cost more than a cold start.
+    /// Returns the break-even time: the idle time after which the last runner has cost more than a cold start would.
     pub(super) fn break_even(&self) -> Duration {
         let Some(cost) = self.tuning.idle_cost else {
             return self.spec.startup * self.tuning.idle_startups;
--- a/crates/dataplane/src/holder/replication.rs
+++ b/crates/dataplane/src/holder/replication.rs
@@ -33,7 +33,7 @@
     copy: ReplicaCopy,
     /// The previous lease, while its ledger is being collected.
     collecting_from: Option<PreviousLease>,
-    /// When once-only requests are first admitted without a collected ledger.
+    /// The time from which once-only requests are admitted without a collected ledger.
     once_allowed_from: MonotonicTime,
     /// When the leader was last asked to replace an unresponsive replica, while the replacement is outstanding.
     replacement_requested_at: Option<MonotonicTime>,
@@ -111,7 +111,7 @@
         batch_id
     }
 
-    /// Replaces the replica by the one that the leader has assigned, if any.
+    /// Replaces the replica with the one that the leader has assigned, if any.
     fn assign(&mut self, replica: Option<Host>) {
         self.replacement_requested_at = None;
         self.copy = ReplicaCopy::Incomplete;
--- a/crates/dataplane/src/holder/runners.rs
+++ b/crates/dataplane/src/holder/runners.rs
@@ -87,7 +87,7 @@
     pub probe_pending: bool,
     /// When it was marked to be replaced: it is drained as soon as another runner is ready.
     pub replace_since: Option<MonotonicTime>,
-    /// The tickets of its requests. Tickets, because two requests with one idempotency key occupy two slots.
+    /// Its requests, by ticket rather than idempotency key: two requests with the same key occupy two slots.
     running: BTreeSet<Ticket>,
     unresolved: Vec<UnresolvedSend>,
     /// The temporary limit after the runner rejected a request.
--- a/crates/dataplane/src/holder/withdrawal.rs
+++ b/crates/dataplane/src/holder/withdrawal.rs
@@ -1,4 +1,4 @@
-//! Withdrawal of queued requests, when the daemon that forwarded them stops or their caller disconnects.
+//! Withdrawal of queued requests, when the caller's daemon stops or the caller disconnects.
 
 use super::{Holder, HolderOutput, QueuedRequest};
 use common::clock::MonotonicTime;
