--- a/crates/controlplane/src/controller_state/event_records.rs
+++ b/crates/controlplane/src/controller_state/event_records.rs
@@ -31,7 +31,7 @@
     let detail = EventDetail::LeaderElected {
         term,
         controller: leader,
-        controller_again: leader,
+        controller_legacy_key: leader,
         last_known: known_members,
         complete,
     };
--- a/crates/controlplane/src/leader_state/events.rs
+++ b/crates/controlplane/src/leader_state/events.rs
@@ -42,7 +42,7 @@
         controller: ControllerId,
         /// The leader, under the key's earlier name.
         #[serde(rename = "surveyor", serialize_with = "json_form::controller_id")]
-        controller_again: ControllerId,
+        controller_legacy_key: ControllerId,
         /// How many daemons may hold a lease of an earlier leader.
         last_known: usize,
         /// Whether these are all that may hold one.
