--- a/crates/controlplane/src/controller_state/changes.rs
+++ b/crates/controlplane/src/controller_state/changes.rs
@@ -141,7 +141,10 @@
             ProposalOutcome::Applied { .. } => true,
             ProposalOutcome::AlreadyInState => is_proven,
             ProposalOutcome::Answered(reply) => {
-                let knows_zones = self.leader_state.as_ref().is_some_and(LeaderState::is_open);
+                let knows_zones = self
+                    .leader_state
+                    .as_ref()
+                    .is_some_and(LeaderState::is_claims_quorum_reached);
                 let concerns_zones = matches!(
                     reply,
                     OperationReply::NoZone { .. } | OperationReply::LastZone
--- a/crates/controlplane/src/controller_state/operations.rs
+++ b/crates/controlplane/src/controller_state/operations.rs
@@ -213,7 +213,7 @@
             is_open: self
                 .leader_state
                 .as_ref()
-                .is_some_and(|leader_state| leader_state.is_open()),
+                .is_some_and(|leader_state| leader_state.is_claims_quorum_reached()),
             leader: consensus
                 .leader()
                 .map(|controller_address| controller_address.operators),
--- a/crates/controlplane/src/leader_state/mod.rs
+++ b/crates/controlplane/src/leader_state/mod.rs
@@ -155,7 +155,7 @@
     }
 
     /// Whether the claims quorum stands, so that leases are issued.
-    pub fn is_open(&self) -> bool {
+    pub fn is_claims_quorum_reached(&self) -> bool {
         self.claims.is_open
     }
 
--- a/crates/controlplane/tests/leader_state/leases.rs
+++ b/crates/controlplane/tests/leader_state/leases.rs
@@ -15,11 +15,11 @@
     harness.join(2, "b", vec![]);
     harness.acquire(1);
     harness.advance(ms(100));
-    verify_that!(harness.leader_state.is_open(), eq(false))?;
+    verify_that!(harness.leader_state.is_claims_quorum_reached(), eq(false))?;
     verify_that!(harness.acquired(), none())?;
     harness.join(3, "c", vec![]);
     harness.advance(ms(100));
-    verify_that!(harness.leader_state.is_open(), eq(false))?;
+    verify_that!(harness.leader_state.is_claims_quorum_reached(), eq(false))?;
     harness.listed(&[]);
     harness.advance(ms(100));
     verify_that!(harness.is_granted(), eq(true))
@@ -34,10 +34,10 @@
     let listed = [listed_instance(leaving)];
     harness.listed(&listed);
     harness.advance(ms(700));
-    verify_that!(harness.leader_state.is_open(), eq(false))?;
+    verify_that!(harness.leader_state.is_claims_quorum_reached(), eq(false))?;
     harness.listed(&listed);
     harness.advance(ms(10));
-    verify_that!(harness.leader_state.is_open(), eq(true))?;
+    verify_that!(harness.leader_state.is_claims_quorum_reached(), eq(true))?;
     Ok(harness)
 }
 
@@ -77,7 +77,7 @@
     harness.listed(&[]);
     harness.acquire(2);
     harness.advance(ms(10));
-    verify_that!(harness.leader_state.is_open(), eq(true))?;
+    verify_that!(harness.leader_state.is_claims_quorum_reached(), eq(true))?;
     verify_that!(harness.acquired(), none())?;
     verify_that!(harness.stops(), elements_are![eq(&old_runner())])?;
     harness.leader_state.runner_stopped(old_runner());
--- a/crates/controlplane/tests/leader_state/membership.rs
+++ b/crates/controlplane/tests/leader_state/membership.rs
@@ -61,13 +61,13 @@
     join_as(&mut harness, 1, ("a", 1), 1, 5000, true);
     join_as(&mut harness, 2, ("b", 2), 9, 600, false);
     harness.advance(ms(100));
-    verify_that!(harness.leader_state.is_open(), eq(false))?;
+    verify_that!(harness.leader_state.is_claims_quorum_reached(), eq(false))?;
     join_as(&mut harness, 3, ("c", 4), 9, 600, false);
     harness.advance(ms(100));
-    verify_that!(harness.leader_state.is_open(), eq(false))?;
+    verify_that!(harness.leader_state.is_claims_quorum_reached(), eq(false))?;
     join_as(&mut harness, 4, ("d", 3), 9, 600, false);
     harness.advance(ms(10));
-    verify_that!(harness.leader_state.is_open(), eq(true))
+    verify_that!(harness.leader_state.is_claims_quorum_reached(), eq(true))
 }
 
 #[gtest]
@@ -78,11 +78,11 @@
     harness.advance(ms(2150));
     harness.listed(&[]);
     harness.advance(ms(10));
-    verify_that!(harness.leader_state.is_open(), eq(false))?;
+    verify_that!(harness.leader_state.is_claims_quorum_reached(), eq(false))?;
     harness.advance(ms(450));
     harness.listed(&[]);
     harness.advance(ms(10));
-    verify_that!(harness.leader_state.is_open(), eq(true))
+    verify_that!(harness.leader_state.is_claims_quorum_reached(), eq(true))
 }
 
 /// The earlier incarnation was gone when the present one started; the starts it had requested settle a little later.
@@ -95,7 +95,7 @@
     join_as(&mut harness, 1, ("a", 1), 9, 1000, false);
     harness.acquire(1);
     harness.advance(ms(10));
-    verify_that!(harness.leader_state.is_open(), eq(true))?;
+    verify_that!(harness.leader_state.is_claims_quorum_reached(), eq(true))?;
     verify_that!(harness.requests_lists(), eq(true))?;
     harness
         .leader_state
@@ -119,7 +119,7 @@
         .leader_state
         .runners_listed(ELECTED - ms(1), &[listed_instance(false)]);
     harness.advance(ms(30));
-    verify_that!(harness.leader_state.is_open(), eq(true))?;
+    verify_that!(harness.leader_state.is_claims_quorum_reached(), eq(true))?;
     verify_that!(harness.acquired(), none())?;
     harness
         .leader_state
@@ -252,9 +252,9 @@
     harness.advance(ms(3900));
     harness.listed(&[]);
     harness.advance(ms(50));
-    verify_that!(harness.leader_state.is_open(), eq(false))?;
+    verify_that!(harness.leader_state.is_claims_quorum_reached(), eq(false))?;
     harness.advance(ms(200));
     harness.listed(&[]);
     harness.advance(ms(50));
-    verify_that!(harness.leader_state.is_open(), eq(true))
+    verify_that!(harness.leader_state.is_claims_quorum_reached(), eq(true))
 }
--- a/crates/controlplane/tests/leader_state/narrow_links.rs
+++ b/crates/controlplane/tests/leader_state/narrow_links.rs
@@ -71,7 +71,7 @@
 #[gtest]
 fn an_acquisition_from_a_narrow_link_waits_for_one_from_a_wide_link() -> Result<()> {
     let mut harness = acquisition_from_a_narrow_link();
-    verify_that!(harness.leader_state.is_open(), eq(true))?;
+    verify_that!(harness.leader_state.is_claims_quorum_reached(), eq(true))?;
     verify_that!(harness.acquired(), none())?;
     harness.acquire(3);
     harness.advance(ms(100));
@@ -84,7 +84,7 @@
 fn an_acquisition_from_a_narrow_link_without_a_wide_rival_is_granted_after_a_second() -> Result<()>
 {
     let mut harness = acquisition_from_a_narrow_link();
-    verify_that!(harness.leader_state.is_open(), eq(true))?;
+    verify_that!(harness.leader_state.is_claims_quorum_reached(), eq(true))?;
     harness.advance(ms(900));
     verify_that!(harness.acquired(), none())?;
     harness.renew(1);
--- a/testing/fleet/src/sim/controller.rs
+++ b/testing/fleet/src/sim/controller.rs
@@ -80,7 +80,8 @@
             .is_some_and(|controller_state| {
                 let leader_state = controller_state.leader_state();
                 controller_state.consensus().is_ready()
-                    && leader_state.is_some_and(|leader_state| leader_state.is_open())
+                    && leader_state
+                        .is_some_and(|leader_state| leader_state.is_claims_quorum_reached())
             })
     }
 
