--- a/crates/controlplane/src/leader_state/acquisitions.rs
+++ b/crates/controlplane/src/leader_state/acquisitions.rs
@@ -150,7 +150,7 @@
         now: MonotonicTime,
         function: &FunctionKey,
     ) -> Option<MonotonicTime> {
-        if self.claims.is_open {
+        if self.claims.is_reached {
             let entry = self.lease_records.get(function)?;
             if entry.fencing_since.is_some() || entry.handing_over {
                 return None;
@@ -177,7 +177,7 @@
         if let Some(entry) = self.lease_records.get(function) {
             return self.answer_held(now, entry, &requester);
         }
-        if !self.claims.is_open || self.waits_for_stops(function) {
+        if !self.claims.is_reached || self.waits_for_stops(function) {
             return None;
         }
         if self.configuration.table.function_of(function).is_none() {
@@ -204,7 +204,7 @@
         }
         let holder_record = self.members.get(&entry.holder)?;
         if entry.holder == *requester {
-            return self.claims.is_open.then(|| AcquireResult::Granted {
+            return self.claims.is_reached.then(|| AcquireResult::Granted {
                 fencing_token: entry.fencing_token,
                 once_wait_ms: 0,
                 replica: LengthPrefixed(entry.replica.iter().cloned().collect()),
@@ -262,7 +262,7 @@
         requester: KnownMember,
         function: &FunctionKey,
     ) -> AcquireResult {
-        self.check_claims_quorum(now, function);
+        self.require_claims_quorum(now, function);
         let fencing_token = self.next_fencing_token();
         let is_recorded = self.is_recorded(function);
         let once_wait = if is_recorded {
@@ -308,7 +308,7 @@
 
     /// Checks the invariant that no lease is issued while one of an earlier leader may stand: those have all ended,
     /// or everybody who may hold one has claimed.
-    fn check_claims_quorum(&self, now: MonotonicTime, function: &FunctionKey) {
+    fn require_claims_quorum(&self, now: MonotonicTime, function: &FunctionKey) {
         let has_waited = now >= self.elected_at + self.timing.claims_wait;
         let is_awaited = self.claims.all_claimed || has_waited || self.claims.inherits_no_functions;
         require(
--- a/crates/controlplane/src/leader_state/claims.rs
+++ b/crates/controlplane/src/leader_state/claims.rs
@@ -180,7 +180,7 @@
     }
 
     fn standing_of(&self, claimant: &KnownMember, claim: &Claim) -> ClaimStanding {
-        let is_awaiting = !self.claims.is_open;
+        let is_awaiting = !self.claims.is_reached;
         match self.lease_records.get(&claim.function) {
             None if is_awaiting => ClaimStanding::Free,
             Some(entry)
--- a/crates/controlplane/src/leader_state/claims_quorum.rs
+++ b/crates/controlplane/src/leader_state/claims_quorum.rs
@@ -26,9 +26,9 @@
     pub member_restarted_at: MonotonicTime,
     /// Whether the quorum was reached with a claim from everybody.
     pub all_claimed: bool,
-    pub is_open: bool,
+    pub is_reached: bool,
     /// When the quorum was reached; the election before that.
-    pub opened_at: MonotonicTime,
+    pub reached_at: MonotonicTime,
     /// The version that was committed at the election.
     pub inherited_version: Version,
     /// Whether no function existed in that version.
@@ -48,8 +48,8 @@
             awaited_members: BTreeSet::new(),
             member_restarted_at: MonotonicTime::ZERO,
             all_claimed: false,
-            is_open: false,
-            opened_at: elected_at,
+            is_reached: false,
+            reached_at: elected_at,
             inherited_version: Version(0),
             inherits_no_functions: false,
         }
@@ -89,15 +89,15 @@
 impl LeaderState {
     /// Starts to issue leases once the claims quorum stands. Before that a lease could go to a second holder
     /// while the first one is merely slow to claim it.
-    pub(super) fn open_if_due(&mut self, now: MonotonicTime, proof: &QuorumProof<'_>) {
-        if self.claims.is_open || !proof.ready || self.configuration.document.is_none() {
+    pub(super) fn update_claims_quorum(&mut self, now: MonotonicTime, proof: &QuorumProof<'_>) {
+        if self.claims.is_reached || !proof.ready || self.configuration.document.is_none() {
             return;
         }
         if now.since(self.elected_at) > self.timing.drop_absent_after {
             self.drop_absent_members();
         }
         if !self.claims.awaited_members.is_empty() {
-            self.open_by_membership(now);
+            self.update_by_membership(now);
             return;
         }
         let count = self.count_last_known();
@@ -106,7 +106,7 @@
             || is_due
             || !self.rules.enforces(Rule::ClaimsQuorumAwaited)
         {
-            self.open(now, &count);
+            self.complete_claims_quorum(now, &count);
         }
     }
 
@@ -195,7 +195,7 @@
 
     /// Opens by the committed membership list, which names every member that may hold a lease: when each
     /// of them has claimed, or another incarnation at its address has, nothing else holds anything.
-    fn open_by_membership(&mut self, now: MonotonicTime) {
+    fn update_by_membership(&mut self, now: MonotonicTime) {
         let count = ClaimCount {
             expected: self.claims.awaited_members.len(),
             claimed: self.count_claimed_names(),
@@ -208,13 +208,13 @@
             if count.all_claimed {
                 self.runner_lists.complete_from = self.compute_list_complete_from();
             }
-            self.open(now, &count);
+            self.complete_claims_quorum(now, &count);
         }
     }
 
-    fn open(&mut self, now: MonotonicTime, count: &ClaimCount) {
-        self.claims.is_open = true;
-        self.claims.opened_at = now;
+    fn complete_claims_quorum(&mut self, now: MonotonicTime, count: &ClaimCount) {
+        self.claims.is_reached = true;
+        self.claims.reached_at = now;
         self.claims.all_claimed = count.all_claimed;
         self.runner_lists.requested_at = MonotonicTime::ZERO;
         self.members.mark_changed();
@@ -235,7 +235,7 @@
     /// everything that earlier incarnations left.
     pub(super) fn request_lists(&mut self, now: MonotonicTime) {
         let is_wanted = self.runner_lists.requested_at == MonotonicTime::ZERO
-            || (self.claims.is_open && !self.is_runner_list_complete());
+            || (self.claims.is_reached && !self.is_runner_list_complete());
         if is_wanted && now.since(self.runner_lists.requested_at) >= LIST_REQUEST_INTERVAL {
             self.runner_lists.requested_at = now;
             self.outputs.push(LeaderOutput::RequestLists);
--- a/crates/controlplane/src/leader_state/fence.rs
+++ b/crates/controlplane/src/leader_state/fence.rs
@@ -60,7 +60,7 @@
     /// Ends the leases of lost holders: their runners wait for the next holder, or are stopped through the
     /// platform. No function is leased again before that.
     pub(super) fn progress_fencing(&mut self, now: MonotonicTime) {
-        if !self.claims.is_open {
+        if !self.claims.is_reached {
             return;
         }
         self.sweep_expired_leases(now);
@@ -183,7 +183,7 @@
     /// Stops orphaned runners that nobody has adopted in time.
     fn stop_expired_orphans(&mut self, now: MonotonicTime) {
         let orphan_timeout = self.timing.orphan_timeout;
-        let opened_at = self.claims.opened_at;
+        let reached_at = self.claims.reached_at;
         let expired_orphans: Vec<RunnerId> = self
             .reservations
             .orphaned()
@@ -194,7 +194,8 @@
                     .reservations
                     .get(*runner)
                     .and_then(Reservation::orphaned_since);
-                orphaned_since.is_none_or(|since| now.since(since.max(opened_at)) >= orphan_timeout)
+                orphaned_since
+                    .is_none_or(|since| now.since(since.max(reached_at)) >= orphan_timeout)
             })
             .collect();
         for expired_orphan in expired_orphans {
--- a/crates/controlplane/src/leader_state/lease_end.rs
+++ b/crates/controlplane/src/leader_state/lease_end.rs
@@ -127,7 +127,7 @@
         }
         let stopped_at = self
             .claims
-            .opened_at
+            .reached_at
             .min(self.elected_at + self.timing.full_lease_wait());
         stopped_at + self.longest_delay()
     }
--- a/crates/controlplane/src/leader_state/link_moves.rs
+++ b/crates/controlplane/src/leader_state/link_moves.rs
@@ -58,14 +58,14 @@
         let Some(requester) = self.members.on_stream(acquisition.stream) else {
             return false;
         };
-        let waits_since = acquisition.requested_at.max(self.claims.opened_at);
+        let waits_since = acquisition.requested_at.max(self.claims.reached_at);
         self.hosts.passes_over(&requester.member)
             && now.since(waits_since) < NARROW_LINK_REQUEST_DELAY
     }
 
     /// Has holders on narrow links hand over some of their functions while others should hold them.
     pub(super) fn move_off_narrow_links(&mut self, now: MonotonicTime) {
-        if !self.claims.is_open || now.since(self.link_moves.checked_at) < CHECK_INTERVAL {
+        if !self.claims.is_reached || now.since(self.link_moves.checked_at) < CHECK_INTERVAL {
             return;
         }
         self.link_moves.checked_at = now;
--- a/crates/controlplane/src/leader_state/member_sessions.rs
+++ b/crates/controlplane/src/leader_state/member_sessions.rs
@@ -13,12 +13,12 @@
     /// The members that may hold leases.
     pub fn known_members(&self) -> ReportedMembership {
         let mut members: BTreeSet<KnownMember> = self.members.known().cloned().collect();
-        if !self.claims.is_open {
+        if !self.claims.is_reached {
             members.extend(self.claims.last_known.iter().cloned());
         }
         ReportedMembership {
             members,
-            complete: self.claims.last_known_complete || self.claims.is_open,
+            complete: self.claims.last_known_complete || self.claims.is_reached,
         }
     }
 
--- a/crates/controlplane/src/leader_state/membership.rs
+++ b/crates/controlplane/src/leader_state/membership.rs
@@ -213,7 +213,7 @@
         let membership = self.membership()?;
         let are_old_leases_over =
             self.claims.all_claimed || now >= self.elected_at + self.timing.full_lease_wait();
-        if membership.is_empty() && !(self.claims.is_open && are_old_leases_over) {
+        if membership.is_empty() && !(self.claims.is_reached && are_old_leases_over) {
             return None;
         }
         let full_lease_wait = self.timing.full_lease_wait();
--- a/crates/controlplane/src/leader_state/mod.rs
+++ b/crates/controlplane/src/leader_state/mod.rs
@@ -156,7 +156,7 @@
 
     /// Whether the claims quorum stands, so that leases are issued.
     pub fn is_claims_quorum_reached(&self) -> bool {
-        self.claims.is_open
+        self.claims.is_reached
     }
 
     /// The newest version that is in force with every member.
@@ -167,7 +167,7 @@
     /// Does all that is due at this instant, and returns what is to be sent, requested and recorded, in order.
     pub fn progress(&mut self, now: MonotonicTime, proof: &QuorumProof<'_>) -> Vec<LeaderOutput> {
         self.expire_members(now);
-        self.open_if_due(now, proof);
+        self.update_claims_quorum(now, proof);
         self.request_lists(now);
         self.progress_fencing(now);
         self.assign_replicas(now);
--- a/crates/controlplane/src/leader_state/report.rs
+++ b/crates/controlplane/src/leader_state/report.rs
@@ -201,7 +201,7 @@
             .collect();
         MembersReport {
             members,
-            open: self.claims.is_open,
+            open: self.claims.is_reached,
         }
     }
 
--- a/crates/controlplane/src/leader_state/runner_list.rs
+++ b/crates/controlplane/src/leader_state/runner_list.rs
@@ -42,7 +42,7 @@
             .map(|listed| &listed.instance.name)
             .collect();
         self.detect_vanished_runners(listed_at, &listed_instances);
-        if self.claims.is_open {
+        if self.claims.is_reached {
             self.register_unknown_runners(listed_at, listed_runners);
         } else {
             self.runner_lists.pending = listed_runners.to_vec();
--- a/crates/controlplane/src/leader_state/worker_evacuation.rs
+++ b/crates/controlplane/src/leader_state/worker_evacuation.rs
@@ -55,7 +55,7 @@
 impl LeaderState {
     /// Evacuates the least used worker if all its runners fit on the others in use. One worker at a time.
     pub(super) fn evacuate_workers(&mut self, now: MonotonicTime) {
-        if !self.claims.is_open || !self.timing.worker_evacuation {
+        if !self.claims.is_reached || !self.timing.worker_evacuation {
             return;
         }
         if let Some(worker_evacuation) = &self.evacuation.current {
--- a/crates/controlplane/src/leader_state/workers.rs
+++ b/crates/controlplane/src/leader_state/workers.rs
@@ -149,7 +149,7 @@
                 && entry.fencing_token == fencing_token
                 && entry.fencing_since.is_none()
         });
-        is_holder && self.claims.is_open && self.has_lease(requester, now)
+        is_holder && self.claims.is_reached && self.has_lease(requester, now)
     }
 
     /// No usable worker has room for a runner: whatever can give way does, and the holder tries again.
