--- a/crates/controlplane/src/leader_state/reservations.rs
+++ b/crates/controlplane/src/leader_state/reservations.rs
@@ -11,7 +11,7 @@
 
 /// Who answers for a runner. A runner that has to stop stays so until it has ended.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Custody {
+enum Ownership {
     /// The holder of its function.
     Held,
     /// Nobody; the next holder may adopt it.
@@ -29,7 +29,7 @@
     pub started_at: MonotonicTime,
     pub ready: bool,
     pub draining: bool,
-    custody: Custody,
+    ownership: Ownership,
     /// Whether the platform did not report under which of the function's keys it was started.
     pub key_unknown: bool,
 }
@@ -45,7 +45,7 @@
             started_at: MonotonicTime::ZERO,
             ready: false,
             draining: false,
-            custody: Custody::Held,
+            ownership: Ownership::Held,
             key_unknown: false,
         }
     }
@@ -57,7 +57,7 @@
 
     /// Whether it is neither draining nor stopping nor orphaned.
     pub(super) fn is_staying(&self) -> bool {
-        !self.draining && self.custody == Custody::Held
+        !self.draining && self.ownership == Ownership::Held
     }
 
     /// Whether nobody holds it, and the next holder may adopt it.
@@ -67,22 +67,22 @@
 
     /// Whether it has to stop.
     pub(super) fn is_stopping(&self) -> bool {
-        matches!(self.custody, Custody::Stopping { .. })
+        matches!(self.ownership, Ownership::Stopping { .. })
     }
 
     /// Since when nobody holds it.
     pub(super) fn orphaned_since(&self) -> Option<MonotonicTime> {
-        match self.custody {
-            Custody::Orphaned { since } => Some(since),
-            Custody::Held | Custody::Stopping { .. } => None,
+        match self.ownership {
+            Ownership::Orphaned { since } => Some(since),
+            Ownership::Held | Ownership::Stopping { .. } => None,
         }
     }
 
     /// When its stop was last ordered.
     pub(super) fn stop_ordered_at(&self) -> Option<MonotonicTime> {
-        match self.custody {
-            Custody::Stopping { ordered_at } => ordered_at,
-            Custody::Held | Custody::Orphaned { .. } => None,
+        match self.ownership {
+            Ownership::Stopping { ordered_at } => ordered_at,
+            Ownership::Held | Ownership::Orphaned { .. } => None,
         }
     }
 
@@ -214,7 +214,7 @@
     pub(super) fn insert(&mut self, runner: RunnerId, mut reservation: Reservation) {
         self.remove(runner);
         let instance = reservation.instance.take();
-        let custody = std::mem::replace(&mut reservation.custody, Custody::Held);
+        let ownership = std::mem::replace(&mut reservation.ownership, Ownership::Held);
         self.by_function
             .entry(reservation.function.clone())
             .or_default()
@@ -232,10 +232,10 @@
         if let Some(instance) = instance {
             self.note_started(runner, instance, started_at);
         }
-        match custody {
-            Custody::Held => {}
-            Custody::Orphaned { since } => self.mark_orphaned(runner, since),
-            Custody::Stopping { .. } => self.want_stop(runner),
+        match ownership {
+            Ownership::Held => {}
+            Ownership::Orphaned { since } => self.mark_orphaned(runner, since),
+            Ownership::Stopping { .. } => self.want_stop(runner),
         }
     }
 
@@ -294,7 +294,7 @@
     pub(super) fn want_stop(&mut self, runner: RunnerId) {
         if let Some(reservation) = self.all.get_mut(&runner) {
             let ordered_at = reservation.stop_ordered_at();
-            reservation.custody = Custody::Stopping { ordered_at };
+            reservation.ownership = Ownership::Stopping { ordered_at };
             self.orphaned.remove(&runner);
             self.stopping.insert(runner);
             self.due_stops.insert(runner);
@@ -305,7 +305,7 @@
     pub(super) fn mark_orphaned(&mut self, runner: RunnerId, now: MonotonicTime) {
         if let Some(reservation) = self.all.get_mut(&runner) {
             let since = reservation.orphaned_since().unwrap_or(now);
-            reservation.custody = Custody::Orphaned { since };
+            reservation.ownership = Ownership::Orphaned { since };
             self.orphaned.insert(runner);
         }
     }
@@ -314,7 +314,7 @@
     pub(super) fn note_stop_ordered(&mut self, runner: RunnerId, now: MonotonicTime) {
         if let Some(reservation) = self.all.get_mut(&runner) {
             let ordered_at = Some(now);
-            reservation.custody = Custody::Stopping { ordered_at };
+            reservation.ownership = Ownership::Stopping { ordered_at };
         }
     }
 
@@ -323,7 +323,7 @@
         let Some(mut reservation) = self.remove(orphaned_runner) else {
             return;
         };
-        reservation.custody = Custody::Held;
+        reservation.ownership = Ownership::Held;
         reservation.key_unknown = false;
         self.insert(runner, reservation);
         self.rename(orphaned_runner, runner);
@@ -342,7 +342,7 @@
         self.update(runner, |reservation| reservation.instance = instance);
         self.update(orphaned_runner, |reservation| {
             let since = MonotonicTime(u64::MAX);
-            reservation.custody = Custody::Orphaned { since };
+            reservation.ownership = Ownership::Orphaned { since };
         });
     }
 
