--- a/crates/controlplane/src/leader_state/adoption.rs
+++ b/crates/controlplane/src/leader_state/adoption.rs
@@ -19,7 +19,7 @@
             .map(|(runner, _)| runner)
             .collect();
         for unadoptable_runner in &unadoptable_runners {
-            self.reservations.want_stop(*unadoptable_runner);
+            self.reservations.mark_stopping(*unadoptable_runner);
         }
         unadoptable_runners.is_empty() || !self.rules.enforces(Rule::FenceBeforeRegrant)
     }
@@ -35,7 +35,7 @@
                 .is_some_and(|reservation| reservation.is_orphaned())
         });
         for orphaned_runner in orphaned_runners.copied().collect::<Vec<RunnerId>>() {
-            self.reservations.want_stop(orphaned_runner);
+            self.reservations.mark_stopping(orphaned_runner);
         }
         unknown_runners.is_empty() || !self.rules.enforces(Rule::FenceBeforeRegrant)
     }
--- a/crates/controlplane/src/leader_state/claims.rs
+++ b/crates/controlplane/src/leader_state/claims.rs
@@ -61,7 +61,7 @@
             .filter(|runner| !claimed_runners.contains(runner))
             .collect();
         for unclaimed_runner in unclaimed_runners {
-            self.reservations.want_stop(unclaimed_runner);
+            self.reservations.mark_stopping(unclaimed_runner);
         }
         if let Some(record) = self.members.get_mut(&claimant) {
             record.claimed = true;
@@ -137,7 +137,7 @@
                 self.reservations
                     .update(listed.runner, |reservation| reservation.ready = true);
             } else {
-                self.reservations.want_stop(listed.runner);
+                self.reservations.mark_stopping(listed.runner);
             }
         }
     }
@@ -229,7 +229,7 @@
             .map(|(runner, _)| runner)
             .collect();
         for superseded_runner in superseded_runners {
-            self.reservations.want_stop(superseded_runner);
+            self.reservations.mark_stopping(superseded_runner);
         }
     }
 
--- a/crates/controlplane/src/leader_state/drains.rs
+++ b/crates/controlplane/src/leader_state/drains.rs
@@ -95,7 +95,7 @@
             .get(runner)
             .is_some_and(|reservation| reservation.is_orphaned())
         {
-            self.reservations.want_stop(runner);
+            self.reservations.mark_stopping(runner);
             return;
         }
         let Some(entry) = self.lease_records.get(&function) else {
--- a/crates/controlplane/src/leader_state/fence.rs
+++ b/crates/controlplane/src/leader_state/fence.rs
@@ -176,7 +176,7 @@
             self.reservations.mark_orphaned(runner, now);
             self.record_event(events::RUNNER_ORPHANED, detail);
         } else {
-            self.reservations.want_stop(runner);
+            self.reservations.mark_stopping(runner);
         }
     }
 
@@ -199,7 +199,7 @@
             })
             .collect();
         for expired_orphan in expired_orphans {
-            self.reservations.want_stop(expired_orphan);
+            self.reservations.mark_stopping(expired_orphan);
         }
     }
 
@@ -220,7 +220,7 @@
             })
             .collect();
         for overdue_runner in overdue_runners {
-            self.reservations.want_stop(overdue_runner);
+            self.reservations.mark_stopping(overdue_runner);
         }
     }
 
--- a/crates/controlplane/src/leader_state/reservations.rs
+++ b/crates/controlplane/src/leader_state/reservations.rs
@@ -235,7 +235,7 @@
         match ownership {
             Ownership::Held => {}
             Ownership::Orphaned { since } => self.mark_orphaned(runner, since),
-            Ownership::Stopping { .. } => self.want_stop(runner),
+            Ownership::Stopping { .. } => self.mark_stopping(runner),
         }
     }
 
@@ -291,7 +291,7 @@
     }
 
     /// Marks a runner for stopping; nobody adopts it any more.
-    pub(super) fn want_stop(&mut self, runner: RunnerId) {
+    pub(super) fn mark_stopping(&mut self, runner: RunnerId) {
         if let Some(reservation) = self.all.get_mut(&runner) {
             let ordered_at = reservation.stop_ordered_at();
             reservation.ownership = Ownership::Stopping { ordered_at };
--- a/crates/controlplane/src/leader_state/workers.rs
+++ b/crates/controlplane/src/leader_state/workers.rs
@@ -254,7 +254,7 @@
             })
             .collect();
         for orphaned_runner in orphaned_runners {
-            self.reservations.want_stop(orphaned_runner);
+            self.reservations.mark_stopping(orphaned_runner);
         }
     }
 }
