--- a/crates/controlplane/src/leader_state/claims.rs
+++ b/crates/controlplane/src/leader_state/claims.rs
@@ -10,7 +10,7 @@
 
 /// How a claim stands to the lease on record.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum ClaimStanding {
+enum ClaimStatus {
     /// It is the lease on record.
     Held,
     /// Nobody else has claimed the function, and the claims quorum is still awaited.
@@ -149,16 +149,16 @@
         claimant: &KnownMember,
         claim: Claim,
     ) {
-        let standing = self.standing_of(claimant, &claim);
-        match standing {
-            ClaimStanding::Rejected => {
+        let status = self.claim_status(claimant, &claim);
+        match status {
+            ClaimStatus::Rejected => {
                 self.reject_claim(stream, claimant, claim);
                 return;
             }
-            ClaimStanding::Newer => self.supersede_lease(&claim.function),
-            ClaimStanding::Held | ClaimStanding::Free => {}
+            ClaimStatus::Newer => self.supersede_lease(&claim.function),
+            ClaimStatus::Held | ClaimStatus::Free => {}
         }
-        if standing != ClaimStanding::Held {
+        if status != ClaimStatus::Held {
             let entry = LeaseRecord::new(
                 claimant.clone(),
                 claim.fencing_token,
@@ -179,21 +179,21 @@
         }
     }
 
-    fn standing_of(&self, claimant: &KnownMember, claim: &Claim) -> ClaimStanding {
+    fn claim_status(&self, claimant: &KnownMember, claim: &Claim) -> ClaimStatus {
         let is_awaiting = !self.claims.is_reached;
         match self.lease_records.get(&claim.function) {
-            None if is_awaiting => ClaimStanding::Free,
+            None if is_awaiting => ClaimStatus::Free,
             Some(entry)
                 if entry.holder == *claimant
                     && entry.fencing_token == claim.fencing_token
                     && entry.fencing_since.is_none() =>
             {
-                ClaimStanding::Held
+                ClaimStatus::Held
             }
             Some(entry) if is_awaiting && entry.fencing_token < claim.fencing_token => {
-                ClaimStanding::Newer
+                ClaimStatus::Newer
             }
-            _ => ClaimStanding::Rejected,
+            _ => ClaimStatus::Rejected,
         }
     }
 
