--- a/crates/controlplane/src/leader_state/host_list.rs
+++ b/crates/controlplane/src/leader_state/host_list.rs
@@ -27,8 +27,8 @@
 
 impl HostList {
     /// Whether functions go to other members than this one because its link is so much narrower than theirs.
-    pub(super) fn passes_over(&self, member: &MemberName) -> bool {
-        self.pushed.passed_over.contains(member)
+    pub(super) fn is_on_narrow_link(&self, member: &MemberName) -> bool {
+        self.pushed.narrow_link_members.contains(member)
     }
 
     /// A member has opened a stream: earlier reports on it no longer count, and it needs the list.
@@ -86,7 +86,7 @@
     number: u64,
     hosts: BTreeMap<MemberName, Host>,
     suspected: BTreeSet<MemberIncarnation>,
-    passed_over: BTreeSet<MemberName>,
+    narrow_link_members: BTreeSet<MemberName>,
 }
 
 impl PushedHosts {
@@ -102,19 +102,19 @@
                 .values()
                 .filter(|host| !suspected_names.contains(&host.member))
         };
-        let fitting: BTreeSet<&MemberName> = candidate_hosts(unsuspected_hosts())
+        let candidates: BTreeSet<&MemberName> = candidate_hosts(unsuspected_hosts())
             .into_iter()
             .map(|host| &host.member)
             .collect();
-        let passed_over = unsuspected_hosts()
-            .filter(|host| host.eligible.0 && !fitting.contains(&host.member))
+        let narrow_link_members = unsuspected_hosts()
+            .filter(|host| host.eligible.0 && !candidates.contains(&host.member))
             .map(|host| host.member.clone())
             .collect();
         Self {
             number,
             hosts,
             suspected,
-            passed_over,
+            narrow_link_members,
         }
     }
 }
--- a/crates/controlplane/src/leader_state/link_moves.rs
+++ b/crates/controlplane/src/leader_state/link_moves.rs
@@ -59,7 +59,7 @@
             return false;
         };
         let waits_since = acquisition.requested_at.max(self.claims.reached_at);
-        self.hosts.passes_over(&requester.member)
+        self.hosts.is_on_narrow_link(&requester.member)
             && now.since(waits_since) < NARROW_LINK_REQUEST_DELAY
     }
 
@@ -101,7 +101,7 @@
             .lease_records
             .iter()
             .filter(|(_, entry)| !entry.handing_over && entry.fencing_since.is_none())
-            .filter(|(_, entry)| self.hosts.passes_over(&entry.holder.member))
+            .filter(|(_, entry)| self.hosts.is_on_narrow_link(&entry.holder.member))
             .filter(|(_, entry)| self.is_serving(&entry.holder, now))
             .filter(|(function, _)| !self.link_moves.moved_off_at.contains_key(*function))
             .map(|(function, entry)| LeaseMove {
