--- a/crates/controlplane/src/leader_state/acquisitions.rs
+++ b/crates/controlplane/src/leader_state/acquisitions.rs
@@ -250,9 +250,9 @@
         let function = &acquisition.function;
         self.is_serving(requester, now)
             && !self.waits_for_wide_link_requester(now, acquisition)
-            && self.check_orphans(function)
+            && self.stop_unadoptable_orphans(function)
             && !self.may_have_unlisted(function)
-            && (!function.is_regional() || self.check_unknown_keys(function))
+            && (!function.is_regional() || self.stop_orphans_with_unknown_key(function))
     }
 
     /// Issues the lease, with the function's orphaned runners and a replica for its ledger.
--- a/crates/controlplane/src/leader_state/adoption.rs
+++ b/crates/controlplane/src/leader_state/adoption.rs
@@ -7,7 +7,7 @@
 
 impl LeaderState {
     /// Whether every orphaned runner of a function can still be adopted; those that cannot are stopped first.
-    pub(super) fn check_orphans(&mut self, function: &FunctionKey) -> bool {
+    pub(super) fn stop_unadoptable_orphans(&mut self, function: &FunctionKey) -> bool {
         let unadoptable_runners: Vec<RunnerId> = self
             .reservations
             .all_of(function)
@@ -27,7 +27,7 @@
     /// Whether no runner is left that may belong to an earlier holder of this regional key. The platform may not
     /// report under which key a runner was started, so that it is recorded under the key of all regions; before a
     /// region's key is leased such runners are stopped.
-    pub(super) fn check_unknown_keys(&mut self, function: &FunctionKey) -> bool {
+    pub(super) fn stop_orphans_with_unknown_key(&mut self, function: &FunctionKey) -> bool {
         let unknown_runners = self.reservations.with_unknown_key(function);
         let orphaned_runners = unknown_runners.iter().filter(|runner| {
             self.reservations
