--- a/crates/controlplane/src/leader_state/workers.rs
+++ b/crates/controlplane/src/leader_state/workers.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 /// Lacking memory is reported at most this often.
-const NO_ROOM_REPORT_INTERVAL: Duration = Duration::from_secs(1);
+const NO_CAPACITY_REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
 /// The platform's workers.
 #[derive(Default)]
@@ -23,7 +23,7 @@
     are_listed: bool,
     /// When workers last refused to start a runner.
     start_refused_at: BTreeMap<WorkerName, MonotonicTime>,
-    no_room_reported_at: MonotonicTime,
+    no_capacity_reported_at: MonotonicTime,
 }
 
 impl Workers {
@@ -119,7 +119,7 @@
         }
         let chosen_worker = self.choose_worker(now, function, needed_mb, holder_zone.as_ref());
         let Some(worker) = chosen_worker else {
-            self.make_room(now, function, needed_mb, has_runner);
+            self.relieve_memory_pressure(now, function, needed_mb, has_runner);
             return None;
         };
         self.pressure.starved_functions.remove(function);
@@ -153,15 +153,15 @@
     }
 
     /// No usable worker has room for a runner: whatever can give way does, and the holder tries again.
-    fn make_room(
+    fn relieve_memory_pressure(
         &mut self,
         now: MonotonicTime,
         function: &FunctionKey,
         needed_mb: u32,
         has_runner: bool,
     ) {
-        if now.since(self.workers.no_room_reported_at) > NO_ROOM_REPORT_INTERVAL {
-            self.workers.no_room_reported_at = now;
+        if now.since(self.workers.no_capacity_reported_at) > NO_CAPACITY_REPORT_INTERVAL {
+            self.workers.no_capacity_reported_at = now;
             let detail = EventDetail::MissingMemory {
                 function: function.clone(),
                 memory_mb: needed_mb,
