--- a/crates/controlplane/src/leader_state/memory_pressure.rs
+++ b/crates/controlplane/src/leader_state/memory_pressure.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 /// A function that gave up its runners is left alone for this long.
-const YIELD_COOLDOWN: Duration = Duration::from_secs(5);
+const EVICTION_COOLDOWN: Duration = Duration::from_secs(5);
 
 /// A function without a runner counts as starved for this long after a request that found no room.
 const STARVATION_TIMEOUT: Duration = Duration::from_millis(1200);
@@ -22,7 +22,7 @@
     /// Since when functions are idle, as their holders reported.
     pub idle_since: BTreeMap<KnownMember, BTreeMap<FunctionKey, MonotonicTime>>,
     /// When functions gave their idle runners back.
-    yielded_at: BTreeMap<FunctionKey, MonotonicTime>,
+    evicted_at: BTreeMap<FunctionKey, MonotonicTime>,
     /// When functions without a runner last found no room.
     pub starved_functions: BTreeMap<FunctionKey, MonotonicTime>,
     runner_reclaimed_at: MonotonicTime,
@@ -169,8 +169,8 @@
         needed_mb: u32,
     ) {
         self.pressure
-            .yielded_at
-            .retain(|_, at| now.since(*at) < YIELD_COOLDOWN);
+            .evicted_at
+            .retain(|_, at| now.since(*at) < EVICTION_COOLDOWN);
         let mut idle_functions = self.idle_functions();
         idle_functions.retain(|(_, function)| function != requester && self.is_evictable(function));
         let mut freed_mb = 0;
@@ -184,7 +184,7 @@
 
     fn is_evictable(&self, function: &FunctionKey) -> bool {
         let lease = self.lease_records.get(function);
-        !self.pressure.yielded_at.contains_key(function)
+        !self.pressure.evicted_at.contains_key(function)
             && lease.is_some_and(|entry| entry.fencing_since.is_none() && !entry.handing_over)
             && self.reservations.all_of(function).next().is_some()
     }
@@ -199,7 +199,7 @@
             .all_of(&function)
             .map(|(_, reservation)| reservation.memory_mb)
             .sum::<u32>();
-        self.pressure.yielded_at.insert(function.clone(), now);
+        self.pressure.evicted_at.insert(function.clone(), now);
         if let Some(idle_since) = self.pressure.idle_since.get_mut(&entry.holder) {
             idle_since.remove(&function);
         }
