--- a/crates/controlplane/src/leader_state/member_sessions.rs
+++ b/crates/controlplane/src/leader_state/member_sessions.rs
@@ -47,14 +47,14 @@
             self.claims.member_restarted_at = now;
         }
         self.members.attach(stream, &known_member);
-        let shown_host = Host {
+        let advertised_host = Host {
             eligible: Flag(host.eligible.0 && !self.is_evacuated(&host.zone)),
             ..host.clone()
         };
         let record = self
             .members
             .get_or_insert(known_member, || MemberRecord::new(now, &hello));
-        record.connect(now, stream, &hello, shown_host);
+        record.connect(now, stream, &hello, advertised_host);
         self.members.mark_changed();
         self.membership_list.check_due = true;
         self.hosts.member_connected(&host.member);
--- a/crates/controlplane/src/leader_state/members.rs
+++ b/crates/controlplane/src/leader_state/members.rs
@@ -72,17 +72,17 @@
         }
     }
 
-    /// The member says hello on a stream; `shown_host` is how other members are to see it.
+    /// The member says hello on a stream; `advertised_host` is how other members are to see it.
     pub(super) fn connect(
         &mut self,
         now: MonotonicTime,
         stream: StreamId,
         hello: &MemberHello,
-        shown_host: Host,
+        advertised_host: Host,
     ) {
         self.is_self_eligible = hello.host.eligible.0;
         self.stream = Some(stream);
-        self.host = shown_host;
+        self.host = advertised_host;
         self.ingress = hello.ingress;
         self.installed = hello.version;
         self.pushed = hello.version;
