--- a/crates/controlplane/src/leader_state/acquisitions.rs
+++ b/crates/controlplane/src/leader_state/acquisitions.rs
@@ -251,7 +251,7 @@
         self.is_serving(requester, now)
             && !self.waits_for_wide_link_requester(now, acquisition)
             && self.stop_unadoptable_orphans(function)
-            && !self.may_have_unlisted(function)
+            && !self.may_have_unlisted_runners(function)
             && (!function.is_regional() || self.stop_orphans_with_unknown_key(function))
     }
 
--- a/crates/controlplane/src/leader_state/membership.rs
+++ b/crates/controlplane/src/leader_state/membership.rs
@@ -151,7 +151,7 @@
 
     /// From which instant on unclaimed instances in a list are orphans: the election, or earlier if every
     /// earlier incarnation was gone earlier.
-    pub(super) fn unclaimed_from(&self) -> MonotonicTime {
+    pub(super) fn orphans_detected_from(&self) -> MonotonicTime {
         if self.runner_lists.complete_from == MonotonicTime::ZERO {
             self.elected_at
         } else {
@@ -160,7 +160,7 @@
     }
 
     /// Whether a function may have runners that are not known yet.
-    pub(super) fn may_have_unlisted(&self, function: &FunctionKey) -> bool {
+    pub(super) fn may_have_unlisted_runners(&self, function: &FunctionKey) -> bool {
         !self.is_runner_list_complete() && function.generation <= self.claims.inherited_version
     }
 
--- a/crates/controlplane/src/leader_state/runner_list.rs
+++ b/crates/controlplane/src/leader_state/runner_list.rs
@@ -60,7 +60,7 @@
         listed_at: MonotonicTime,
         listed_runners: &[ListedRunner],
     ) {
-        if listed_at < self.unclaimed_from() {
+        if listed_at < self.orphans_detected_from() {
             return;
         }
         for listed in listed_runners {
