--- a/crates/controlplane/src/leader_state/claims.rs
+++ b/crates/controlplane/src/leader_state/claims.rs
@@ -170,7 +170,7 @@
         if let Some(record) = self.members.get_mut(claimant) {
             let claimed_bound = self.elected_at + self.timing.full_lease_wait();
             record.lease_expiry_bound = record.lease_expiry_bound.max(claimed_bound);
-            record.swept = false;
+            record.is_expiry_handled = false;
             record.last_heard_at = now;
         }
         self.fencing.schedule_sweep();
--- a/crates/controlplane/src/leader_state/fence.rs
+++ b/crates/controlplane/src/leader_state/fence.rs
@@ -30,7 +30,7 @@
     functions: BTreeSet<FunctionKey>,
     pub check_due: bool,
     checked_at: MonotonicTime,
-    /// Before this no member's lease ends that has not been swept yet.
+    /// Before this no member's lease ends that has not been is_expiry_handled yet.
     next_sweep_at: MonotonicTime,
 }
 
@@ -89,21 +89,24 @@
             .filter(|(_, record)| {
                 let is_early =
                     !waits_out_leases && now.since(record.last_heard_at) > UNSAFE_EXPIRY_AFTER;
-                !record.swept && (now >= record.lease_expiry_bound || is_early)
+                !record.is_expiry_handled && (now >= record.lease_expiry_bound || is_early)
             })
             .map(|(known_member, _)| known_member.clone())
             .collect();
         for lost_member in lost_members {
             if let Some(record) = self.members.get_mut(&lost_member) {
-                record.swept = true;
+                record.is_expiry_handled = true;
                 let lease_end = record.lease_expiry_bound;
                 self.lease_records
                     .set_lost_lease_end(&lost_member, lease_end);
             }
             self.fence_all_held_by(now, &lost_member);
         }
-        let unswept = self.members.records().filter(|record| !record.swept);
-        let next_end = unswept.map(|record| record.lease_expiry_bound).min();
+        let unhandled = self
+            .members
+            .records()
+            .filter(|record| !record.is_expiry_handled);
+        let next_end = unhandled.map(|record| record.lease_expiry_bound).min();
         self.fencing.next_sweep_at = next_end.unwrap_or(now + IDLE_SWEEP_INTERVAL);
     }
 
--- a/crates/controlplane/src/leader_state/member_sessions.rs
+++ b/crates/controlplane/src/leader_state/member_sessions.rs
@@ -125,7 +125,7 @@
             record.make_ineligible();
             record.lease_expires_at = now;
             record.lease_expiry_bound = now;
-            record.swept = false;
+            record.is_expiry_handled = false;
             record.has_departed = true;
             self.hosts.push_due = true;
         }
--- a/crates/controlplane/src/leader_state/members.rs
+++ b/crates/controlplane/src/leader_state/members.rs
@@ -34,7 +34,7 @@
     /// When it last said hello, claimed or renewed its lease.
     pub last_heard_at: MonotonicTime,
     /// Whether the end of its lease has been dealt with.
-    pub swept: bool,
+    pub is_expiry_handled: bool,
     pub joined_at: MonotonicTime,
     /// The latest instant at which the incarnation may have started.
     pub started_at: MonotonicTime,
@@ -62,7 +62,7 @@
             pushed: hello.version,
             claimed: false,
             last_heard_at: now,
-            swept: false,
+            is_expiry_handled: false,
             joined_at: now,
             started_at: hello.history.started_at,
             had_lease: hello.history.had_lease,
