--- a/crates/controlplane/src/leader_state/mod.rs
+++ b/crates/controlplane/src/leader_state/mod.rs
@@ -1,4 +1,4 @@
-//! The leader's state: members and their session leases, function leases, workers. All of it is kept in memory.
+//! In-memory state of the leader: members and their session leases, function leases, and workers.
 
 mod acquisitions;
 mod adoption;
@@ -61,20 +61,20 @@
 use worker_evacuation::WorkerEvacuations;
 use workers::Workers;
 
-/// What the control quorum proves to the leader at one instant.
+/// Evidence from the control quorum, at one instant, that this controller is the leader.
 pub struct QuorumProof<'a> {
-    /// Whether the leader has committed a document under its own term.
+    /// Whether the leader has committed a document in its own term.
     pub ready: bool,
-    /// When the newest heartbeat round was sent that a majority answered.
+    /// When the newest heartbeat round that a majority answered was sent.
     pub quorum_confirmed_at: MonotonicTime,
-    /// Whether a heartbeat round that a majority answered named a member.
+    /// Returns whether a heartbeat round that a majority answered named the member.
     pub confirmed: &'a dyn Fn(&KnownMember) -> bool,
-    /// The membership of the change that is proposed and not committed yet.
+    /// The membership in the proposed change that is not committed yet.
     pub proposed_membership: Option<&'a BTreeSet<ListedMember>>,
 }
 
-/// The leader's state during one term: leases of members and functions, the workers and what is reserved on
-/// them. It is kept in memory only; a new leader rebuilds it from the members' claims and the platform's lists.
+/// The leader's state during one term: session leases, function leases, workers and the memory reserved on them.
+/// It is kept in memory only; a new leader rebuilds it from the members' claims and the platform's lists.
 pub struct LeaderState {
     timing: LeaderTiming,
     elected_at: MonotonicTime,
@@ -101,9 +101,8 @@
 }
 
 impl LeaderState {
-    /// The state of a new leader, which holds nothing but the members that it has to hear from:
-    /// `last_known` are those that may hold leases of an earlier leader, and `last_known_complete` says
-    /// that there are surely no others.
+    /// Creates the state of a new leader. `last_known` are the members that may hold leases of an earlier
+    /// leader, whose claims it awaits; `last_known_complete` tells whether no other member can hold one.
     pub fn new(
         timing: LeaderTiming,
         term: Term,
@@ -137,14 +136,14 @@
         }
     }
 
-    /// Lifts a safety rule, for tests that show what the rule is good for.
+    /// Sets which safety rules are enforced. Tests lift a rule to show that its absence is detected.
     pub fn with_rules(mut self, rules: Rules) -> Self {
         self.rules = rules;
         self
     }
 
-    /// Gives the versions that this controller has seen lately, so that members a little behind get deltas and
-    /// not the complete document.
+    /// Sets the recent versions that this controller has seen, so that members that are slightly behind get deltas
+    /// instead of the complete document.
     pub fn with_earlier_views(mut self, views: VecDeque<DaemonView>) -> Self {
         self.configuration.earlier_views = views;
         self
@@ -154,17 +153,17 @@
         self.rules.enforces(Rule::EvacuationObeyed) && self.configuration.table.is_evacuated(zone)
     }
 
-    /// Whether the claims quorum stands, so that leases are issued.
+    /// Whether the claims quorum is reached. The leader grants leases only after that.
     pub fn is_claims_quorum_reached(&self) -> bool {
         self.claims.is_reached
     }
 
-    /// The newest version that is in force with every member.
+    /// The newest version that is in force at every member.
     pub fn in_force(&self) -> Version {
         self.configuration.in_force
     }
 
-    /// Does all that is due at this instant, and returns what is to be sent, requested and recorded, in order.
+    /// Performs all work that is due, and returns the resulting outputs in order.
     pub fn progress(&mut self, now: MonotonicTime, proof: &QuorumProof<'_>) -> Vec<LeaderOutput> {
         self.expire_members(now);
         self.update_claims_quorum(now, proof);
@@ -195,8 +194,8 @@
     }
 }
 
-/// Issues the fencing tokens of one term. A token is greater than each one issued before it, and than all those
-/// of earlier terms, so that whoever sees two of them knows which lease is the newer.
+/// Issues the fencing tokens of one term. Each token is greater than all tokens issued before it, including those
+/// of earlier terms, so the greater of two tokens belongs to the newer lease.
 struct FencingTokenIssuer {
     term: Term,
     issued_count: u64,
--- a/crates/controlplane/src/leader_state/timing.rs
+++ b/crates/controlplane/src/leader_state/timing.rs
@@ -1,56 +1,56 @@
-//! Time-outs and intervals of the leader.
+//! Timeouts and intervals of the leader.
 
 use std::time::Duration;
 use typed_builder::TypedBuilder;
 
-/// The time-outs and intervals of the leader.
+/// Timeouts and intervals of the leader.
 #[derive(Clone, Debug, TypedBuilder)]
 pub struct LeaderTiming {
-    /// How long a session lease runs.
+    /// Duration of a session lease.
     #[builder(default = Duration::from_millis(2000))]
     pub lease_length: Duration,
-    /// What is added before a session lease counts as ended, for clocks that drift.
+    /// Margin for clock drift, added to a session lease before it counts as ended.
     #[builder(default = Duration::from_millis(200))]
     pub drift_margin: Duration,
-    /// How long a new leader waits for claims that do not come; never less than a session lease with its drift
-    /// margin.
+    /// How long a new leader waits for missing claims; at least a session lease plus the drift margin.
     #[builder(default = Duration::from_millis(2200))]
     pub claims_wait: Duration,
-    /// How long the start of a runner may be on its way to the platform after its holder's lease has ended.
+    /// How long a request to start a runner may still be in flight to the platform after its holder's lease has
+    /// ended.
     #[builder(default = Duration::from_millis(400))]
     pub start_settle: Duration,
-    /// After which time a member that never came back no longer counts for the quorum.
+    /// Time after which a member that has not reconnected no longer counts toward the claims quorum.
     #[builder(default = Duration::from_secs(4))]
     pub drop_absent_after: Duration,
-    /// How long a member that left in order may be away before it leaves the membership list: longer than a
-    /// restart usually takes.
+    /// How long a member that left gracefully stays in the membership list; longer than a restart usually takes.
     #[builder(default = Duration::from_secs(2))]
     pub restart_grace_period: Duration,
-    /// After which time an unconfirmed stop is ordered again.
+    /// Time after which an unconfirmed stop order is repeated.
     #[builder(default = Duration::from_millis(700))]
     pub stop_retry_after: Duration,
-    /// How long an orphaned runner waits for a next holder.
+    /// How long an orphaned runner is kept for adoption by a new holder.
     #[builder(default = Duration::from_secs(4))]
     pub orphan_timeout: Duration,
-    /// How long after its start a runner may be missing in the platform's list, beside three start-up times.
+    /// How long after its start, in addition to three start-up times, a runner may be missing from the platform's
+    /// list.
     #[builder(default = Duration::from_secs(1))]
     pub list_lag: Duration,
-    /// How long a worker that refused a start gets no runners.
+    /// How long a worker that refused to start a runner gets no new runners.
     #[builder(default = Duration::from_secs(1))]
     pub refused_start_cooldown: Duration,
-    /// Whether the runners of a function are spread over zones; if not, they go to their holder's zone.
+    /// Whether the runners of a function are spread over zones; otherwise they are placed in their holder's zone.
     #[builder(default = true)]
     pub spread_over_zones: bool,
-    /// Whether little used workers are evacuated.
+    /// Whether underused workers are evacuated.
     #[builder(default = true)]
     pub worker_evacuation: bool,
-    /// How long a member without stream and lease is remembered.
+    /// How long the record of a member without a stream and a lease is kept.
     #[builder(default = Duration::from_secs(5))]
     pub forget_after: Duration,
 }
 
 impl LeaderTiming {
-    /// How long after its proof a session lease may still be used anywhere.
+    /// Time after its quorum proof for which a session lease may still be in use, including clock drift.
     pub fn full_lease_wait(&self) -> Duration {
         self.lease_length + self.drift_margin
     }
