--- a/crates/controlplane/src/leader_state/output.rs
+++ b/crates/controlplane/src/leader_state/output.rs
@@ -1,4 +1,4 @@
-//! What the leader's state hands to the controller.
+//! Outputs of the leader's state, which the controller executes.
 
 use super::EventRecord;
 use common::adapter::StopOrder;
@@ -9,38 +9,38 @@
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
 pub struct StreamId(pub u64);
 
-/// What the leader orders.
+/// An action that the controller performs for the leader.
 #[derive(Clone, Debug)]
 pub enum LeaderOutput {
     /// Send a frame to a member.
     FrameToDaemon {
-        /// The stream.
+        /// The member's stream.
         stream: StreamId,
         /// The frame.
         frame: LeaderToDaemon,
     },
-    /// Request the lists of workers and runners from the platform at once.
+    /// Request the lists of workers and runners from the platform immediately.
     RequestLists,
-    /// Have the platform stop a runner.
+    /// Order the platform to stop a runner.
     StopRunner(StopOrder),
     /// Record an event.
     EventRecord(EventRecord),
-    /// A version progressed at one member.
+    /// Trace the progress of a version at one member.
     VersionProgress {
         /// The version.
         version: Version,
         /// The member.
         member: MemberName,
-        /// The step.
+        /// The step that was reached.
         step: TraceStep,
     },
 }
 
-/// A step of a version at one member.
+/// A step in the delivery of a version to one member.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum TraceStep {
-    /// It was sent on the member's stream.
+    /// The version was sent on the member's stream.
     Pushed,
-    /// The member reported that it has installed it.
+    /// The member reported that it has installed the version.
     Installed,
 }
--- a/crates/controlplane/src/leader_state/receive.rs
+++ b/crates/controlplane/src/leader_state/receive.rs
@@ -1,4 +1,4 @@
-//! The dispatch of frames from members.
+//! Dispatches frames from members to their handlers.
 
 use super::acquisitions::PendingAcquisition;
 use super::members::{IncarnationHistory, MemberHello};
@@ -14,7 +14,7 @@
         self.dispatch(now, stream, frame);
     }
 
-    /// Calls the handler of each kind of frame. One exhaustive match, so that a kind without a handler does not compile.
+    /// Calls the handler for a frame. The match is exhaustive, so a new kind of frame without a handler does not compile.
     fn dispatch(&mut self, now: MonotonicTime, stream: StreamId, frame: DaemonToLeader) {
         match frame {
             DaemonToLeader::Hello {
