--- a/crates/controlplane/src/leader_state/events.rs
+++ b/crates/controlplane/src/leader_state/events.rs
@@ -1,5 +1,5 @@
-//! The events that a controller records, and their fields. The keys are part of the operators' interface and
-//! stay as they are.
+//! Events that a controller records, and their fields. The JSON keys are part of the operator interface and must not
+//! change.
 
 use crate::json_form;
 use common::events::Event;
@@ -13,26 +13,26 @@
 /// An event for operators.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct EventRecord {
-    /// Its kind.
+    /// The kind of the event.
     pub event: Event,
-    /// Its fields.
+    /// The fields of the event.
     pub detail: EventDetail,
 }
 
-/// The fields of an event beside its kind: one variant for each set of fields. As JSON it is an object with the
-/// keys that operators read.
+/// The fields of an event other than its kind, with one variant for each set of fields. Serializes to a JSON object
+/// with the keys that operators read.
 #[derive(Clone, PartialEq, Eq, Debug, Serialize)]
 #[serde(untagged)]
 pub enum EventDetail {
     /// An event without fields.
     NoFields {},
-    /// What concerns one term.
+    /// An event about one term.
     Term {
         /// The term.
         #[serde(serialize_with = "json_form::number")]
         term: Term,
     },
-    /// A controller is elected leader.
+    /// A controller was elected leader.
     LeaderElected {
         /// Its term.
         #[serde(serialize_with = "json_form::number")]
@@ -40,16 +40,16 @@
         /// The leader.
         #[serde(serialize_with = "json_form::controller_id")]
         controller: ControllerId,
-        /// The leader, under the key's earlier name.
+        /// The leader again, under the earlier name of the key.
         #[serde(rename = "surveyor", serialize_with = "json_form::controller_id")]
         controller_legacy_key: ControllerId,
-        /// How many daemons may hold a lease of an earlier leader.
+        /// Number of known daemons that may hold a lease of an earlier leader.
         last_known: usize,
-        /// Whether these are all that may hold one.
+        /// Whether no other daemon can hold one.
         #[serde(rename = "whole")]
         complete: bool,
     },
-    /// A version is committed.
+    /// A version was committed.
     VersionCommitted {
         /// The term of the leader that committed it.
         #[serde(serialize_with = "json_form::number")]
@@ -58,21 +58,21 @@
         #[serde(rename = "serial", serialize_with = "json_form::number")]
         version: Version,
     },
-    /// The control quorum changes.
+    /// A change of the control quorum began or was completed.
     QuorumReconfiguring {
-        /// Where the next voters are reached.
+        /// Addresses of the new voters.
         #[serde(rename = "core", serialize_with = "json_form::texts")]
         voters: Vec<SocketAddress>,
         /// Whether the change is complete.
         settled: bool,
     },
-    /// What concerns one member.
+    /// An event about one member.
     Member {
         /// The member.
         #[serde(serialize_with = "json_form::text")]
         member: MemberName,
     },
-    /// A member opened its stream and was welcomed.
+    /// A member opened its stream and got a `Welcome` frame.
     MemberConnected {
         /// The member.
         #[serde(serialize_with = "json_form::text")]
@@ -84,32 +84,32 @@
         #[serde(rename = "locality", serialize_with = "json_form::text")]
         zone: Zone,
     },
-    /// The claims quorum stands.
+    /// The claims quorum was reached.
     ClaimsQuorum {
-        /// How many members were expected.
+        /// Number of members that were expected to claim.
         last_known: usize,
-        /// How many of them have claimed.
+        /// Number of them that have claimed.
         claimed: usize,
-        /// Whether these are all that may hold a lease.
+        /// Whether everything that may hold a lease has claimed.
         all_claimed: bool,
         /// Milliseconds since the election.
         waited_ms: u64,
-        /// How many functions are leased.
+        /// Number of leased functions.
         functions: usize,
     },
-    /// A function lease that is rejected, released or fenced.
+    /// A function lease that was released or fenced, or a claim that was rejected.
     Lease {
         /// The function.
         #[serde(serialize_with = "json_form::text")]
         function: FunctionKey,
-        /// The holder, or who claims to be it.
+        /// The holder, or the member that claims to be the holder.
         #[serde(serialize_with = "json_form::text")]
         member: MemberName,
         /// The lease's fencing token.
         #[serde(rename = "grant", serialize_with = "json_form::number")]
         fencing_token: FencingToken,
     },
-    /// A function lease that is issued.
+    /// A function lease was granted.
     LeaseGranted {
         /// The function.
         #[serde(serialize_with = "json_form::text")]
@@ -120,18 +120,18 @@
         /// The lease's fencing token.
         #[serde(rename = "grant", serialize_with = "json_form::number")]
         fencing_token: FencingToken,
-        /// Milliseconds that requests which may run only once have to wait.
+        /// Milliseconds for which requests that may run only once have to wait.
         once_wait_ms: u64,
-        /// How many orphaned runners go with the lease.
+        /// Number of orphaned runners adopted with the lease.
         adopted: usize,
     },
-    /// What concerns one function.
+    /// An event about one function.
     Function {
         /// The function.
         #[serde(serialize_with = "json_form::text")]
         function: FunctionKey,
     },
-    /// What concerns one runner of a known function.
+    /// An event about one runner of a known function.
     Runner {
         /// The function.
         #[serde(serialize_with = "json_form::text")]
@@ -143,91 +143,91 @@
         #[serde(serialize_with = "json_form::text")]
         worker: WorkerName,
     },
-    /// A runner that the platform lists and no holder claimed.
+    /// The platform lists a runner that no holder claimed.
     FoundRunner {
         /// The runner.
         #[serde(serialize_with = "json_form::text")]
         runner: RunnerId,
-        /// The platform's name of it.
+        /// The platform's name for it.
         #[serde(rename = "life", serialize_with = "json_form::text")]
         instance: InstanceId,
         /// Its worker.
         #[serde(serialize_with = "json_form::text")]
         worker: WorkerName,
     },
-    /// A runner that makes room for a function without one.
+    /// A runner is reclaimed for a function that has none.
     ReclaimedRunner {
-        /// The function whose runner it is.
+        /// The function that gives up the runner.
         #[serde(serialize_with = "json_form::text")]
         function: FunctionKey,
         /// The runner.
         #[serde(serialize_with = "json_form::text")]
         runner: RunnerId,
-        /// The function that has none.
+        /// The function without a runner.
         #[serde(rename = "for", serialize_with = "json_form::text")]
         requester: FunctionKey,
     },
-    /// The memory of a runner that fits on no worker.
+    /// No worker has enough free memory for a runner.
     MissingMemory {
         /// The runner's function.
         #[serde(serialize_with = "json_form::text")]
         function: FunctionKey,
-        /// The memory in MiB.
+        /// The memory that the runner needs, in MiB.
         memory_mb: u32,
     },
-    /// The memory that is reserved, and that of the usable workers.
+    /// The reserved memory and the memory of the usable workers.
     Capacity {
-        /// What is reserved, in MiB.
+        /// Reserved memory in MiB.
         needed_mb: u64,
-        /// What the usable workers have, in MiB.
+        /// Total memory of the usable workers in MiB.
         #[serde(rename = "left_mb")]
         remaining_mb: u64,
     },
-    /// What concerns one worker.
+    /// An event about one worker.
     Worker {
         /// The worker.
         #[serde(serialize_with = "json_form::text")]
         worker: WorkerName,
     },
-    /// What concerns one version of the configuration.
+    /// An event about one version of the configuration.
     Version {
         /// The version.
         #[serde(rename = "serial", serialize_with = "json_form::number")]
         version: Version,
     },
-    /// A version whose routing table could not be built.
+    /// The routing table of a version could not be built.
     InstallFailure {
         /// The version.
         #[serde(rename = "serial", serialize_with = "json_form::number")]
         version: Version,
-        /// Why.
+        /// Why the build failed.
         #[serde(rename = "fault")]
         error: String,
     },
-    /// Requests that a member rejected.
+    /// A member rejected requests.
     Rejections {
-        /// Their function.
+        /// The function that they called.
         #[serde(serialize_with = "json_form::text")]
         function: FunctionKey,
         /// The member.
         #[serde(serialize_with = "json_form::text")]
         member: MemberName,
-        /// How many they are.
+        /// Number of rejected requests.
         count: u32,
-        /// Why.
+        /// Why they were rejected.
         #[serde(serialize_with = "json_form::text")]
         reason: RequestFailureReason,
     },
 }
 
 impl EventDetail {
-    /// The fields as operators read them, the keys in alphabetical order.
+    /// Returns the fields as a JSON object with its keys in alphabetical order.
     pub fn to_json(&self) -> Value {
         json!(self)
     }
 }
 
-/// The JSON text that operators read.
+/// Formats the fields as the JSON text that operators read.
 impl fmt::Display for EventDetail {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(out, "{}", self.to_json())
