--- a/crates/controlplane/src/leader_state/members.rs
+++ b/crates/controlplane/src/leader_state/members.rs
@@ -1,4 +1,4 @@
-//! The table of members: their streams, their incarnations and what is known of each.
+//! Table of members: their streams, their incarnations and what the leader knows about each.
 
 use super::StreamId;
 use super::membership::started_at;
@@ -8,48 +8,48 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Members that are gone are looked for this often.
+/// Interval between checks for members whose records can be dropped.
 const MEMBER_EXPIRY_INTERVAL: Duration = Duration::from_millis(50);
 
-/// What is known of one incarnation of a member.
+/// What the leader knows about one incarnation of a member.
 pub(super) struct MemberRecord {
-    /// As other members see it: not eligible while its zone is evacuated.
+    /// The host as advertised to other members: not eligible while its zone is evacuated.
     pub host: Host,
-    /// Where it listens for callers.
+    /// Address on which it listens for callers.
     pub ingress: SocketAddress,
     pub stream: Option<StreamId>,
-    /// Whether the member itself is ready to hold functions, whatever becomes of its zone.
+    /// Whether the member reports itself ready to hold functions, regardless of whether its zone is evacuated.
     pub is_self_eligible: bool,
-    /// Until when the member may use its session lease, by this clock.
+    /// When the member's session lease ends, by the leader's clock.
     pub lease_expires_at: MonotonicTime,
-    /// From when on the member surely no longer uses the lease, however its clock drifts. Nothing that it
-    /// held goes to another before this.
+    /// When the member has certainly stopped using the lease, allowing for clock drift. Nothing that it held is
+    /// given to another member before this.
     pub lease_expiry_bound: MonotonicTime,
     /// The newest version that the member has installed.
     pub installed: Version,
     /// The newest version that was sent on its stream.
     pub pushed: Version,
-    /// Whether it has claimed what it holds from earlier leaders.
+    /// Whether it has reported what it holds from earlier leaders.
     pub claimed: bool,
-    /// When it last said hello, claimed or renewed its lease.
+    /// When it last sent a `Hello`, claimed a function or renewed its lease.
     pub last_heard_at: MonotonicTime,
-    /// Whether the end of its lease has been dealt with.
+    /// Whether the functions that it held were fenced after the end of its lease.
     pub is_expiry_handled: bool,
     pub joined_at: MonotonicTime,
     /// The latest instant at which the incarnation may have started.
     pub started_at: MonotonicTime,
     /// Whether the incarnation ever had a session lease.
     pub had_lease: bool,
-    /// When its stream last brought a frame.
+    /// When the last frame arrived on its stream.
     pub last_frame_at: MonotonicTime,
-    /// The number of the host list that was last pushed to it; 0 asks for the complete list.
+    /// The number of the host list that was last pushed to it; 0 if it needs the complete list.
     pub pushed_hosts_number: u64,
-    /// Whether it announced that it leaves.
+    /// Whether it announced its departure.
     pub has_departed: bool,
 }
 
 impl MemberRecord {
-    /// A member that has just said hello for the first time.
+    /// Creates the record of a member whose first `Hello` has just arrived.
     pub(super) fn new(now: MonotonicTime, hello: &MemberHello) -> Self {
         Self {
             is_self_eligible: hello.host.eligible.0,
@@ -72,7 +72,7 @@
         }
     }
 
-    /// The member says hello on a stream; `advertised_host` is how other members are to see it.
+    /// Records a `Hello` on a stream; `advertised_host` is the host as other members see it.
     pub(super) fn connect(
         &mut self,
         now: MonotonicTime,
@@ -92,7 +92,7 @@
         self.has_departed = false;
     }
 
-    /// The member takes no functions any more.
+    /// Marks the member as taking no more functions.
     pub(super) fn make_ineligible(&mut self) {
         self.is_self_eligible = false;
         self.host.eligible = Flag(false);
@@ -101,23 +101,23 @@
 
 /// What a member reports when it opens its stream.
 pub(super) struct MemberHello {
-    /// The member as it sees itself.
+    /// The member's own description of its host.
     pub host: Host,
-    /// Where it listens for callers.
+    /// Address on which it listens for callers.
     pub ingress: SocketAddress,
     /// The version that it has installed.
     pub version: Version,
     pub history: IncarnationHistory,
 }
 
-/// What a member reports of its incarnation when it says hello.
+/// What a member's `Hello` reports about its incarnation.
 pub(super) struct IncarnationHistory {
     pub started_at: MonotonicTime,
     pub had_lease: bool,
 }
 
 impl IncarnationHistory {
-    /// From the age in milliseconds that the member reports, and whether it ever had a session lease.
+    /// Creates the history from the reported age in milliseconds and whether the incarnation ever had a session lease.
     pub(super) fn new(now: MonotonicTime, age_ms: u32, had_lease: Flag) -> Self {
         Self {
             started_at: started_at(now, age_ms),
@@ -126,18 +126,18 @@
     }
 }
 
-/// The members: their records, the stream that each has open, and which incarnation of a name is current.
+/// The members: their records, their open streams, and the current incarnation of each name.
 pub(super) struct Members {
     streams: BTreeMap<StreamId, KnownMember>,
     records: BTreeMap<KnownMember, MemberRecord>,
     current: BTreeMap<MemberName, KnownMember>,
-    /// Whether the set has changed since the control quorum last took it.
+    /// Whether the set has changed since it was last passed to the control quorum.
     changed: bool,
     next_expiry_at: MonotonicTime,
 }
 
 impl Members {
-    /// No member has joined yet.
+    /// Creates an empty table.
     pub(super) fn new() -> Self {
         Self {
             streams: BTreeMap::new(),
@@ -148,7 +148,7 @@
         }
     }
 
-    /// Makes the stream the one that the member is reached on.
+    /// Makes this the member's stream, in place of an earlier one, and the incarnation the current one.
     pub(super) fn attach(&mut self, stream: StreamId, known_member: &KnownMember) {
         let record = self.records.get(known_member);
         if let Some(earlier_stream) = record.and_then(|record| record.stream) {
@@ -159,69 +159,69 @@
             .insert(known_member.member.clone(), known_member.clone());
     }
 
-    /// The member on a stream.
+    /// Returns the member on a stream.
     pub(super) fn on_stream(&self, stream: StreamId) -> Option<&KnownMember> {
         self.streams.get(&stream)
     }
 
-    /// The streams that are open.
+    /// Returns the open streams.
     pub(super) fn open_streams(&self) -> Vec<StreamId> {
         self.streams.keys().copied().collect()
     }
 
-    /// How many streams are open.
+    /// Returns the number of open streams.
     pub(super) fn open_stream_count(&self) -> usize {
         self.streams.len()
     }
 
-    /// The record of one incarnation.
+    /// Returns the record of one incarnation.
     pub(super) fn get(&self, known_member: &KnownMember) -> Option<&MemberRecord> {
         self.records.get(known_member)
     }
 
-    /// The record of one incarnation, to be changed.
+    /// Returns a mutable reference to the record of one incarnation.
     pub(super) fn get_mut(&mut self, known_member: &KnownMember) -> Option<&mut MemberRecord> {
         self.records.get_mut(known_member)
     }
 
-    /// Every incarnation that has a record.
+    /// Iterates over all incarnations that have a record.
     pub(super) fn known(&self) -> impl Iterator<Item = &KnownMember> {
         self.records.keys()
     }
 
-    /// Every incarnation with its record.
+    /// Iterates over all incarnations and their records.
     pub(super) fn iter(&self) -> impl Iterator<Item = (&KnownMember, &MemberRecord)> {
         self.records.iter()
     }
 
-    /// Every record.
+    /// Iterates over all records.
     pub(super) fn records(&self) -> impl Iterator<Item = &MemberRecord> {
         self.records.values()
     }
 
-    /// Every record, to be changed.
+    /// Iterates mutably over all records.
     pub(super) fn records_mut(&mut self) -> impl Iterator<Item = &mut MemberRecord> {
         self.records.values_mut()
     }
 
-    /// The stream on which one incarnation is reached.
+    /// Returns the open stream of one incarnation.
     pub(super) fn stream_of(&self, known_member: &KnownMember) -> Option<StreamId> {
         self.records.get(known_member)?.stream
     }
 
-    /// The incarnation that goes by a name at present.
+    /// Returns the current incarnation of a member.
     pub(super) fn current_incarnation(&self, member: &MemberName) -> Option<&KnownMember> {
         self.current.get(member)
     }
 
-    /// The records of the present incarnations, by their names.
+    /// Iterates over the records of the current incarnations, ordered by member name.
     pub(super) fn current_records(&self) -> impl Iterator<Item = &MemberRecord> {
         self.current
             .values()
             .filter_map(|known_member| self.records.get(known_member))
     }
 
-    /// The record of one incarnation; a new one is made for an incarnation that has none.
+    /// Returns the record of one incarnation, and creates it if there is none.
     pub(super) fn get_or_insert(
         &mut self,
         known_member: KnownMember,
@@ -230,12 +230,12 @@
         self.records.entry(known_member).or_insert_with(new_record)
     }
 
-    /// A stream has ended; returns the member that was on it.
+    /// Removes a stream that has ended, and returns the member that was on it.
     pub(super) fn close_stream(&mut self, stream: StreamId) -> Option<KnownMember> {
         self.streams.remove(&stream)
     }
 
-    /// Whether it is time to look for members that are gone; it is then not due again for a while.
+    /// Whether the expiry check is due. If so, the next one is due after [`MEMBER_EXPIRY_INTERVAL`].
     pub(super) fn take_expiry_due(&mut self, now: MonotonicTime) -> bool {
         let is_due = now >= self.next_expiry_at;
         if is_due {
@@ -244,17 +244,17 @@
         is_due
     }
 
-    /// Whether the members that may hold leases have changed since this was last called.
+    /// Returns whether the members that may hold leases have changed since the last call.
     pub(super) fn take_changed(&mut self) -> bool {
         std::mem::take(&mut self.changed)
     }
 
-    /// The members that may hold leases have changed, so that the control quorum is to take them again.
+    /// Records that the members that may hold leases have changed and must be passed to the control quorum again.
     pub(super) fn mark_changed(&mut self) {
         self.changed = true;
     }
 
-    /// The member on a stream, with its record.
+    /// Returns the member on a stream and a mutable reference to its record.
     pub(super) fn on_stream_mut(
         &mut self,
         stream: StreamId,
@@ -263,12 +263,12 @@
         Some((known_member, self.records.get_mut(known_member)?))
     }
 
-    /// The record of the member that goes by a name at present.
+    /// Returns the record of a member's current incarnation.
     pub(super) fn current_record(&self, member: &MemberName) -> Option<&MemberRecord> {
         self.records.get(self.current.get(member)?)
     }
 
-    /// Forgets an incarnation; returns its record.
+    /// Removes an incarnation and returns its record.
     pub(super) fn remove(&mut self, gone_member: &KnownMember) -> Option<MemberRecord> {
         let record = self.records.remove(gone_member);
         if self.current.get(&gone_member.member) == Some(gone_member) {
