--- a/crates/controlplane/src/leader_state/member_sessions.rs
+++ b/crates/controlplane/src/leader_state/member_sessions.rs
@@ -1,4 +1,4 @@
-//! The sessions of members with the leader: how each begins and ends, and which members there are.
+//! Sessions of members with the leader: how each begins and ends, and which members are known.
 
 use super::members::{MemberHello, MemberRecord};
 use super::{EventDetail, LeaderOutput, LeaderState, StreamId, TraceStep};
@@ -10,7 +10,7 @@
 use std::collections::BTreeSet;
 
 impl LeaderState {
-    /// The members that may hold leases.
+    /// Returns the members that may hold leases.
     pub fn known_members(&self) -> ReportedMembership {
         let mut members: BTreeSet<KnownMember> = self.members.known().cloned().collect();
         if !self.claims.is_reached {
@@ -22,12 +22,12 @@
         }
     }
 
-    /// The known members, if they may have changed since this was last called.
+    /// Returns the known members if they may have changed since the last call.
     pub fn take_known_members(&mut self) -> Option<ReportedMembership> {
         self.members.take_changed().then(|| self.known_members())
     }
 
-    /// A member opens its stream: whatever stood on an earlier stream of it, or with an earlier incarnation, ends.
+    /// Handles a member's `Hello` on a new stream, which replaces the member's earlier streams and incarnations.
     pub(super) fn handle_hello(
         &mut self,
         now: MonotonicTime,
@@ -73,8 +73,8 @@
         self.record_event(events::MEMBER_CONNECTED, detail);
     }
 
-    /// Ends the earlier incarnations of a member. The new one holds the port of their address, so they are
-    /// gone, and their session leases with them.
+    /// Ends the earlier incarnations of a member. The new incarnation has bound their port, so their processes have
+    /// exited and their session leases are over.
     fn end_earlier_incarnations(&mut self, now: MonotonicTime, restarted_member: &KnownMember) {
         let earlier_incarnations: Vec<KnownMember> = self
             .members
@@ -99,7 +99,7 @@
         }
     }
 
-    /// A member has installed a version; renewals may wait for that.
+    /// Records that a member has installed a version. Renewals may be waiting for that.
     pub(super) fn handle_installed(&mut self, stream: StreamId, version: Version) {
         if let Some((known_member, record)) = self.members.on_stream_mut(stream) {
             let is_newer = record.installed < version;
@@ -116,7 +116,7 @@
         }
     }
 
-    /// A member leaves in order: it gives up its session lease and takes no functions any more.
+    /// Handles a graceful departure: the member gives up its session lease and takes no more functions.
     pub(super) fn handle_leaving(&mut self, now: MonotonicTime, stream: StreamId) {
         if self.members.on_stream(stream).is_none() {
             return;
@@ -133,7 +133,7 @@
         self.renewals.forget(stream);
     }
 
-    /// A member's stream has ended; its lease stands until it expires.
+    /// Handles the end of a member's stream. Its session lease lasts until it expires.
     pub fn stream_lost(&mut self, stream: StreamId) {
         let Some(known_member) = self.members.close_stream(stream) else {
             return;
@@ -150,7 +150,7 @@
         }
     }
 
-    /// Whether a member is connected, has a session lease and may be given functions.
+    /// Whether a member is connected, has a session lease and is eligible for functions.
     pub(super) fn is_serving(&self, known_member: &KnownMember, now: MonotonicTime) -> bool {
         self.members.get(known_member).is_some_and(|record| {
             record.stream.is_some() && record.lease_expires_at > now && record.host.eligible.0
@@ -164,8 +164,8 @@
             .is_some_and(|record| record.lease_expires_at > now)
     }
 
-    /// Forgets members without stream and lease once they hold nothing: at once if they left in order, else
-    /// after a while.
+    /// Drops the records of members that have no stream, lease or functions: immediately if they left gracefully,
+    /// otherwise after [`forget_after`](super::LeaderTiming::forget_after).
     pub(super) fn expire_members(&mut self, now: MonotonicTime) {
         if !self.members.take_expiry_due(now) {
             return;
@@ -193,7 +193,7 @@
         }
     }
 
-    /// A frame came in on a member's stream: the member is alive.
+    /// Records that a frame arrived on a member's stream, so the member is alive.
     pub(super) fn note_frame_received(&mut self, now: MonotonicTime, stream: StreamId) {
         if let Some((_, record)) = self.members.on_stream_mut(stream) {
             record.last_frame_at = now;
