--- a/crates/controlplane/src/leader_state/membership.rs
+++ b/crates/controlplane/src/leader_state/membership.rs
@@ -1,5 +1,5 @@
-//! The membership list: the members that may hold session leases, as the committed document names them. The next
-//! leader waits for the claims of exactly these.
+//! The membership list in the committed document: the members that may hold session leases. The next leader waits
+//! for the claims of exactly these members.
 
 use super::members::MemberRecord;
 use super::{LeaderState, QuorumProof};
@@ -10,21 +10,22 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Changes of the list are gathered this long before they are committed together.
+/// Changes to the list are batched for this long before they are committed together.
 const MEMBERSHIP_BATCH_WINDOW: Duration = Duration::from_millis(30);
-/// Without a reason to check earlier, the membership is checked this often.
+/// Maximum interval between checks of the membership.
 const CHECK_INTERVAL: Duration = Duration::from_millis(500);
-/// The slowest clock in tenths of the speed of another.
+/// Speed of the slowest clock relative to any other, in tenths.
 const SLOWEST_CLOCK_TENTHS: u32 = 9;
 
-/// A listed member that has no record here.
+/// A listed member that has no record at this leader.
 pub(super) struct DepartedMember {
     since: MonotonicTime,
-    /// Whether it announced that it leaves.
+    /// Whether it announced its departure.
     was_orderly: bool,
 }
 
-/// Whether an incarnation proves that whatever else stood at a listed address is gone: it holds the port.
+/// Whether an incarnation proves that no other process is left at a listed address, because it has bound that
+/// address itself.
 fn supersedes(known: &KnownMember, listed: &ListedMember) -> bool {
     known.address == listed.address
         && (known.member == listed.member || known.address != SocketAddress::UNSPECIFIED)
@@ -37,23 +38,23 @@
     }
 }
 
-/// The latest instant, by this clock, at which an incarnation may have started that reports its age.
+/// Returns the latest instant, by the local clock, at which an incarnation that reports this age may have started.
 pub(super) fn started_at(now: MonotonicTime, age_ms: u32) -> MonotonicTime {
     now - Duration::from_millis(u64::from(age_ms)) * SLOWEST_CLOCK_TENTHS / 10
 }
 
-/// The list of members that may hold session leases, as far as it has to be changed in the document.
+/// Tracks the changes to the membership list that have to be committed.
 pub(super) struct MembershipList {
-    /// The listed members without a record here.
+    /// Listed members without a record at this leader.
     departed: BTreeMap<ListedMember, DepartedMember>,
     pub check_due: bool,
     next_check_at: MonotonicTime,
-    /// Since when the committed list differs from the one that it should be.
+    /// Since when the committed list has differed from the target.
     change_since: Option<MonotonicTime>,
 }
 
 impl MembershipList {
-    /// Everybody listed counts as present until the first check.
+    /// Creates the tracker. All listed members count as present until the first check.
     pub(super) fn new(elected_at: MonotonicTime) -> Self {
         Self {
             departed: BTreeMap::new(),
@@ -72,9 +73,10 @@
             .map(|document| &document.membership)
     }
 
-    /// Whether a member may get a session lease: the committed membership lists it, and so does the proposed
-    /// one; and a majority followed this leader after it joined. Without that the next leader might not know
-    /// whose lease to wait for. Where no membership is committed yet, a heartbeat round must have named it.
+    /// Whether a member may get a session lease: the committed membership and any proposed one list it, and a
+    /// majority has answered a heartbeat round sent after it joined. Otherwise the next leader might not know that
+    /// it has to wait for this lease. If no membership is committed yet, a heartbeat round must have named the
+    /// member.
     pub(super) fn may_hold_lease(&self, known: &KnownMember, proof: &QuorumProof<'_>) -> bool {
         let joined_at = self.members.get(known).map(|record| record.joined_at);
         if joined_at.is_none_or(|joined_at| proof.quorum_confirmed_at < joined_at) {
@@ -94,7 +96,7 @@
         }
     }
 
-    /// Whether the incarnation that stands at each awaited address has claimed.
+    /// Whether an incarnation at the address of each awaited member has claimed.
     pub(super) fn have_all_awaited_claimed(&self) -> bool {
         self.claims
             .awaited_members
@@ -102,7 +104,7 @@
             .all(|listed| self.claimant_at(listed).is_some())
     }
 
-    /// How many awaited members have claimed, by name.
+    /// Counts the awaited members whose current incarnation, found by name, has claimed.
     pub(super) fn count_claimed_names(&self) -> usize {
         let has_claimed = |listed: &&ListedMember| {
             self.members
@@ -123,7 +125,7 @@
             .map(|(_, record)| record)
     }
 
-    /// From which instant on a list of the platform shows everything that earlier incarnations, and the present
+    /// Returns the instant from which the platform's list shows all runners that earlier incarnations, or current
     /// ones under earlier leaders, have left.
     pub(super) fn compute_list_complete_from(&self) -> MonotonicTime {
         let claimants = self
@@ -144,13 +146,13 @@
             .unwrap_or(self.elected_at)
     }
 
-    /// Whether everything is known that runs and that nobody claimed.
+    /// Whether all unclaimed runners are known.
     pub(super) fn is_runner_list_complete(&self) -> bool {
         self.runner_lists.listed_at >= self.runner_lists.complete_from
     }
 
-    /// From which instant on unclaimed instances in a list are orphans: the election, or earlier if every
-    /// earlier incarnation was gone earlier.
+    /// Returns the instant from which unclaimed instances in a list count as orphans: the election, or earlier if
+    /// every earlier incarnation had ended before it.
     pub(super) fn orphans_detected_from(&self) -> MonotonicTime {
         if self.runner_lists.complete_from == MonotonicTime::ZERO {
             self.elected_at
@@ -164,7 +166,7 @@
         !self.is_runner_list_complete() && function.generation <= self.claims.inherited_version
     }
 
-    /// Stops awaiting the members that have not come back.
+    /// Stops awaiting members that have not reconnected, and returns them.
     pub(super) fn drop_missing_awaited(&mut self) -> Vec<ListedMember> {
         let members = &self.members;
         let is_back = |listed: &ListedMember| members.current_incarnation(&listed.member).is_some();
@@ -176,7 +178,7 @@
         dropped.into_iter().collect()
     }
 
-    /// Notes which listed members have no record here any more, and since when.
+    /// Updates which listed members have no record at this leader, and since when.
     fn update_departed_members(&mut self, now: MonotonicTime) {
         let present: BTreeSet<ListedMember> = self.members.known().map(listed_member).collect();
         let membership = self.membership().cloned().unwrap_or_default();
@@ -195,7 +197,7 @@
         }
     }
 
-    /// A member that announced its departure is gone: it holds nothing any more.
+    /// Records that a member that announced its departure has left and holds nothing.
     pub(super) fn note_departed(&mut self, now: MonotonicTime, departed: &KnownMember) {
         self.membership_list.departed.insert(
             listed_member(departed),
@@ -206,9 +208,9 @@
         );
     }
 
-    /// The membership as it should be: with whoever joined, without those that have been gone long and whose
-    /// leases have surely ended, whether they left in order or not. None while it is not known who may hold
-    /// leases.
+    /// Returns the target membership: the listed members and those that have joined, without members that have been
+    /// absent long enough for their leases to have certainly ended. Returns `None` while it is not known which members
+    /// may hold leases.
     pub fn target_membership(&self, now: MonotonicTime) -> Option<BTreeSet<ListedMember>> {
         let membership = self.membership()?;
         let are_old_leases_over =
@@ -240,7 +242,7 @@
         )
     }
 
-    /// The membership to be committed, once it has been wanted for the batch window.
+    /// Returns the membership to commit, once it has differed from the committed one for the batch window.
     pub fn due_membership(&mut self, now: MonotonicTime) -> Option<BTreeSet<ListedMember>> {
         if !std::mem::take(&mut self.membership_list.check_due)
             && now < self.membership_list.next_check_at
@@ -261,12 +263,12 @@
         wanted.filter(|_| now.since(since) >= MEMBERSHIP_BATCH_WINDOW)
     }
 
-    /// Whether a member waits for a newer proof of the majority.
+    /// Whether a renewal waits for a newer proof from the majority.
     pub fn needs_heartbeat_round(&self) -> bool {
         self.renewals.needs_proof()
     }
 
-    /// Whether something is awaited here that comes about within milliseconds.
+    /// Whether work is pending that is due within milliseconds: a membership change or a renewal.
     pub fn is_time_critical(&self) -> bool {
         self.membership_list.change_since.is_some() || !self.renewals.is_empty()
     }
