--- a/crates/controlplane/src/leader_state/host_list.rs
+++ b/crates/controlplane/src/leader_state/host_list.rs
@@ -1,4 +1,4 @@
-//! The host list that every member gets: who there is, and who is suspected to have failed.
+//! The host list that is pushed to every member: the known hosts, and the members suspected to have failed.
 
 use super::{EventDetail, LeaderState, StreamId};
 use common::clock::MonotonicTime;
@@ -9,36 +9,36 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// A member that failure detectors report counts as suspected when its stream has brought nothing for this long.
+/// A member reported by failure detectors counts as suspected when no frame has arrived on its stream for this long.
 const SUSPECTED_AFTER: Duration = Duration::from_millis(700);
-/// Changes of the host list are gathered this long before they are pushed together.
+/// Minimum interval between pushes of the host list; changes in between are pushed together.
 const HOST_LIST_PUSH_INTERVAL: Duration = Duration::from_millis(100);
 
-/// The host list as it was pushed, and what has to be pushed next.
+/// The host list as last pushed, and the changes to push next.
 #[derive(Default)]
 pub(super) struct HostList {
     pub push_due: bool,
     pushed_at: MonotonicTime,
     pushed: PushedHosts,
-    /// The members that failure detectors report; they count as suspected when their streams are silent too.
+    /// Members reported by failure detectors. They count as suspected once their streams are silent too.
     reported_suspects: BTreeSet<MemberIncarnation>,
     suspected: BTreeSet<MemberIncarnation>,
 }
 
 impl HostList {
-    /// Whether functions go to other members than this one because its link is so much narrower than theirs.
+    /// Whether a member is not a candidate for functions because its link is much narrower than those of others.
     pub(super) fn is_on_narrow_link(&self, member: &MemberName) -> bool {
         self.pushed.narrow_link_members.contains(member)
     }
 
-    /// A member has opened a stream: earlier reports on it no longer count, and it needs the list.
+    /// Discards earlier reports on a member that has opened a stream, and schedules a push of the list.
     pub(super) fn member_connected(&mut self, member: &MemberName) {
         self.reported_suspects
             .retain(|suspect| suspect.member != *member);
         self.push_due = true;
     }
 
-    /// The frames for members that have the list as it was last pushed, and for all others.
+    /// Builds the delta for members that have the last pushed list, and the complete list for all others.
     fn frames(&self, hosts: &BTreeMap<MemberName, Host>) -> HostFrames {
         let pushed = &self.pushed;
         let put: Vec<Host> = hosts
@@ -79,8 +79,8 @@
     full_list: LeaderToDaemon,
 }
 
-/// The host list as it was last pushed: its number, the hosts, the suspected members, and the members that
-/// functions pass over for others on wider links.
+/// The host list as last pushed: its number, the hosts, the suspected members, and the members that get no functions
+/// while others are on wider links.
 #[derive(Default)]
 struct PushedHosts {
     number: u64,
@@ -120,14 +120,14 @@
 }
 
 impl LeaderState {
-    /// A failure detector reports that it no longer hears a member.
+    /// Handles a failure detector's report that it no longer reaches a member.
     pub(super) fn handle_suspicion(&mut self, stream: StreamId, suspect: MemberIncarnation) {
         if self.members.on_stream(stream).is_some() && self.is_current_incarnation(&suspect) {
             self.hosts.reported_suspects.insert(suspect);
         }
     }
 
-    /// A failure detector hears a member again.
+    /// Handles a failure detector's report that it reaches a member again.
     pub(super) fn handle_suspicion_cleared(&mut self, suspect: &MemberIncarnation) {
         self.hosts.reported_suspects.remove(suspect);
     }
@@ -137,8 +137,8 @@
         known_member.is_some_and(|known| known.incarnation == suspect.incarnation)
     }
 
-    /// The reported members whose streams have brought nothing lately either. One without the other is no sign
-    /// of failure: the detector's own link may be cut, and a stream may be idle.
+    /// Returns the reported members whose streams are silent too. Neither sign alone indicates a failure: the
+    /// detector's own link may be cut, and a stream may be idle.
     fn silent_suspects(&self, now: MonotonicTime) -> BTreeSet<MemberIncarnation> {
         let has_recent_frame = |suspect: &MemberIncarnation| {
             let record = self.members.current_record(&suspect.member);
@@ -174,7 +174,7 @@
         }
     }
 
-    /// A delta of the host list did not fit what a member has: it gets the complete list.
+    /// Schedules a push of the complete list to a member that could not apply a delta.
     pub(super) fn handle_full_hosts_request(&mut self, stream: StreamId) {
         if let Some((_, record)) = self.members.on_stream_mut(stream) {
             record.pushed_hosts_number = 0;
@@ -182,8 +182,8 @@
         }
     }
 
-    /// Pushes the host list to every member that lacks the newest one. A member that has the list pushed before
-    /// gets the delta, all others the complete list.
+    /// Pushes the host list to every member that lacks the newest one. Members that have the previous list get the
+    /// delta, all others get the complete list.
     pub(super) fn push_hosts(&mut self, now: MonotonicTime) {
         self.update_suspected_members(now);
         let is_too_early = now.since(self.hosts.pushed_at) < HOST_LIST_PUSH_INTERVAL;
