--- a/crates/controlplane/src/leader_state/runner_list.rs
+++ b/crates/controlplane/src/leader_state/runner_list.rs
@@ -1,4 +1,4 @@
-//! The platform's list of runners: it shows what was orphaned under earlier leaders and what has vanished.
+//! The platform's list of runners, which reveals runners orphaned under earlier leaders and runners that have vanished.
 
 use super::reservations::Reservation;
 use super::{EventDetail, LeaderState};
@@ -9,21 +9,21 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// The platform's list of runners, and when it is requested.
+/// What is known of the platform's lists of runners, and when they are requested.
 #[derive(Default)]
 pub(super) struct RunnerLists {
-    /// The instant that the newest list shows.
+    /// The instant at which the newest list was taken.
     pub listed_at: MonotonicTime,
-    /// A list that came before the claims quorum stood: its unknown runners may still be claimed.
+    /// The last list that arrived before the claims quorum was reached. Its unknown runners may still be claimed.
     pending: Vec<ListedRunner>,
     pub requested_at: MonotonicTime,
-    /// From which instant on a list shows everything that earlier incarnations left.
+    /// The instant from which a list shows every runner that earlier incarnations left.
     pub complete_from: MonotonicTime,
 }
 
 impl LeaderState {
-    /// Takes the platform's list of runners, which shows one instant. Runners are recognised by their
-    /// instances; while the claims quorum is awaited, unknown ones may still be claimed.
+    /// Processes the platform's list of runners as of `listed_at`. Runners are recognised by their instances. While
+    /// the claims quorum is awaited, unknown runners may still be claimed.
     pub fn runners_listed(&mut self, listed_at: MonotonicTime, listed_runners: &[ListedRunner]) {
         if listed_at < self.runner_lists.listed_at {
             return;
@@ -49,7 +49,7 @@
         }
     }
 
-    /// The claims quorum stands: what is listed and not claimed is held by nobody.
+    /// Registers the unclaimed runners of the pending list as orphans, once the claims quorum is reached.
     pub(super) fn register_pending_list(&mut self) {
         let listed_runners = std::mem::take(&mut self.runner_lists.pending);
         self.register_unknown_runners(self.runner_lists.listed_at, &listed_runners);
@@ -79,7 +79,8 @@
         }
     }
 
-    /// Whether the platform reports the key of the start, and that one's instance was not known yet.
+    /// Matches a listed instance to the reservation that the platform reports as its runner, if that has no instance
+    /// yet. Returns whether it did.
     fn match_by_start_key(&mut self, listed_at: MonotonicTime, listed: &ListedRunner) -> bool {
         let Some(runner) = listed.runner else {
             return false;
@@ -95,7 +96,7 @@
         awaits_instance
     }
 
-    /// Whether a runner of the same function is being started on the same worker: this instance may be its.
+    /// Whether a runner of the same function is starting on the same worker, so that the instance may belong to it.
     fn may_be_starting_here(&self, listed: &ListedRunner) -> bool {
         self.reservations.values().any(|reservation| {
             reservation.instance.is_none()
@@ -104,8 +105,8 @@
         })
     }
 
-    /// Records a runner that nobody holds, under a name of this term. It waits for the next holder of its
-    /// function if that function is surely the one in the specification.
+    /// Registers an unclaimed runner under a new name of this term. It can be adopted by the next holder of its
+    /// function if that is certainly the function in the current specification; otherwise it is stopped.
     fn register_orphan(&mut self, listed_at: MonotonicTime, listed: &ListedRunner) {
         let same_name = self
             .configuration
@@ -144,7 +145,7 @@
         self.orphan_or_stop(listed_at, runner);
     }
 
-    /// A runner that should be in the list by now and is not has ended.
+    /// Handles runners that should be in the list by now but are missing: they have ended.
     fn detect_vanished_runners(
         &mut self,
         listed_at: MonotonicTime,
