--- a/crates/controlplane/src/leader_state/reservations.rs
+++ b/crates/controlplane/src/leader_state/reservations.rs
@@ -1,4 +1,4 @@
-//! Reservations: the memory of workers that runners use, with indexes by function, instance and worker.
+//! Reservations of worker memory for runners, indexed by function, instance and worker.
 
 use common::clock::MonotonicTime;
 use common::frames::{ClaimedRunner, Flag, Instance, LengthPrefixed};
@@ -6,21 +6,21 @@
 use std::collections::btree_map::Iter;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// How many ended runners, ended instances and former names are remembered at most.
+/// Maximum number of ended runners, of ended instances and of former names that are remembered.
 const MAX_ENDED_REMEMBERED: usize = 8192;
 
-/// Who answers for a runner. A runner that has to stop stays so until it has ended.
+/// Who is responsible for a runner. A runner marked as stopping stays in that state until it has ended.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Ownership {
-    /// The holder of its function.
+    /// The holder of its function is responsible.
     Held,
-    /// Nobody; the next holder may adopt it.
+    /// No member holds it; the next holder may adopt it.
     Orphaned { since: MonotonicTime },
-    /// Nobody; it has to stop. `ordered_at` is when the platform was last requested to stop it.
+    /// It has to stop. `ordered_at` is when the platform was last ordered to stop it.
     Stopping { ordered_at: Option<MonotonicTime> },
 }
 
-/// The memory reserved for one runner, and what is known of the runner.
+/// The memory reserved for one runner, and the runner's state.
 pub(super) struct Reservation {
     pub function: FunctionKey,
     pub worker: WorkerName,
@@ -30,12 +30,12 @@
     pub ready: bool,
     pub draining: bool,
     ownership: Ownership,
-    /// Whether the platform did not report under which of the function's keys it was started.
+    /// Whether it is unknown under which of the function's keys it was started, because the platform did not report it.
     pub key_unknown: bool,
 }
 
 impl Reservation {
-    /// A runner that has not started yet.
+    /// Creates the reservation of a runner that has not started yet.
     pub(super) fn new(function: FunctionKey, worker: WorkerName, memory_mb: u32) -> Self {
         Self {
             function,
@@ -50,17 +50,17 @@
         }
     }
 
-    /// Whether the next holder can adopt it as it stands.
+    /// Whether the next holder can adopt it: it is ready, has an instance and neither drains nor stops.
     pub(super) fn is_adoptable(&self) -> bool {
         self.ready && !self.draining && !self.is_stopping() && self.instance.is_some()
     }
 
-    /// Whether it is neither draining nor stopping nor orphaned.
+    /// Whether it is not draining, stopping or orphaned.
     pub(super) fn is_staying(&self) -> bool {
         !self.draining && self.ownership == Ownership::Held
     }
 
-    /// Whether nobody holds it, and the next holder may adopt it.
+    /// Whether no member holds it, and the next holder may adopt it.
     pub(super) fn is_orphaned(&self) -> bool {
         self.orphaned_since().is_some()
     }
@@ -70,7 +70,7 @@
         matches!(self.ownership, Ownership::Stopping { .. })
     }
 
-    /// Since when nobody holds it.
+    /// Returns since when it has been orphaned.
     pub(super) fn orphaned_since(&self) -> Option<MonotonicTime> {
         match self.ownership {
             Ownership::Orphaned { since } => Some(since),
@@ -78,7 +78,7 @@
         }
     }
 
-    /// When its stop was last ordered.
+    /// Returns when its stop was last ordered.
     pub(super) fn stop_ordered_at(&self) -> Option<MonotonicTime> {
         match self.ownership {
             Ownership::Stopping { ordered_at } => ordered_at,
@@ -86,7 +86,7 @@
         }
     }
 
-    /// The runner as its next holder gets it.
+    /// Returns the runner in the form in which its next holder receives it.
     pub(super) fn as_claim(&self, runner: RunnerId) -> ClaimedRunner {
         ClaimedRunner {
             runner,
@@ -98,7 +98,7 @@
     }
 }
 
-/// All reservations, by runner, function and instance. An instance is in at most one of them.
+/// All reservations, indexed by runner, function and instance. An instance belongs to at most one reservation.
 #[derive(Default)]
 pub(super) struct Reservations {
     all: BTreeMap<RunnerId, Reservation>,
@@ -116,27 +116,27 @@
 }
 
 impl Reservations {
-    /// All reservations, by runner.
+    /// Iterates over all reservations, ordered by runner.
     pub(super) fn iter(&self) -> Iter<'_, RunnerId, Reservation> {
         self.all.iter()
     }
 
-    /// All reservations.
+    /// Iterates over all reservations.
     pub(super) fn values(&self) -> impl Iterator<Item = &Reservation> {
         self.all.values()
     }
 
-    /// How many runners there are.
+    /// Returns the number of reservations.
     pub(super) fn len(&self) -> usize {
         self.all.len()
     }
 
-    /// The reservation of a runner.
+    /// Returns the reservation of a runner.
     pub(super) fn get(&self, runner: RunnerId) -> Option<&Reservation> {
         self.all.get(&runner)
     }
 
-    /// The name that a runner goes by after adoptions.
+    /// Returns the current name of a runner, which changes with each adoption.
     pub(super) fn current_name(&self, runner: RunnerId) -> RunnerId {
         let mut current_name = runner;
         while let Some(new_name) = self.renamed.get(&current_name) {
@@ -145,7 +145,7 @@
         current_name
     }
 
-    /// The runners of a function with their reservations.
+    /// Iterates over the runners of a function and their reservations.
     pub(super) fn all_of(
         &self,
         function: &FunctionKey,
@@ -154,7 +154,7 @@
         runners.filter_map(|runner| Some((*runner, self.all.get(runner)?)))
     }
 
-    /// The runners of a function that may have been started under any of its keys.
+    /// Returns the runners of a function that may have been started under any of its keys.
     pub(super) fn with_unknown_key(&self, function: &FunctionKey) -> Vec<RunnerId> {
         let all_regions = function.all_regions();
         let unkeyed_runners = self
@@ -163,7 +163,7 @@
         unkeyed_runners.map(|(runner, _)| runner).collect()
     }
 
-    /// How many staying runners a function has under all its keys.
+    /// Counts the staying runners of a function under all its keys.
     pub(super) fn staying_count(&self, function: &FunctionKey) -> usize {
         let keys = self.by_function.range(function.all_regions()..);
         let own_keys = keys.take_while(|(key, _)| key.is_same_function(function));
@@ -174,12 +174,12 @@
             .count()
     }
 
-    /// The runner that has an instance.
+    /// Returns the runner that an instance belongs to.
     pub(super) fn runner_with_instance(&self, instance: &InstanceId) -> Option<RunnerId> {
         self.by_instance.get(instance).copied()
     }
 
-    /// Whether a runner is known to have ended.
+    /// Whether a runner, or its instance, is known to have ended.
     pub(super) fn has_ended(&self, runner: RunnerId, instance: Option<&InstanceId>) -> bool {
         self.ended_runners.contains(&runner)
             || instance.is_some_and(|name| self.has_instance_ended(name))
@@ -190,12 +190,12 @@
         self.ended_instances.contains(instance)
     }
 
-    /// The memory in MiB that is reserved on each worker.
+    /// Returns the reserved memory of each worker, in MiB.
     pub(super) fn reserved_mb(&self) -> &BTreeMap<WorkerName, u64> {
         &self.reserved_mb_by_worker
     }
 
-    /// The runners that have to stop.
+    /// Returns the runners that have to stop.
     pub(super) fn stopping(&self) -> &BTreeSet<RunnerId> {
         &self.stopping
     }
@@ -205,12 +205,12 @@
         std::mem::take(&mut self.due_stops)
     }
 
-    /// The runners that wait for a next holder.
+    /// Returns the orphaned runners.
     pub(super) fn orphaned(&self) -> &BTreeSet<RunnerId> {
         &self.orphaned
     }
 
-    /// Adds a reservation; an instance that another one has moves here.
+    /// Adds a reservation. If its instance belongs to another one, that one is replaced.
     pub(super) fn insert(&mut self, runner: RunnerId, mut reservation: Reservation) {
         self.remove(runner);
         let instance = reservation.instance.take();
@@ -239,8 +239,8 @@
         }
     }
 
-    /// The instance of a runner is known. If another runner had it, that one was the same under an earlier
-    /// name.
+    /// Records the instance of a runner. Another runner with this instance is the same runner under an earlier name
+    /// and is replaced.
     pub(super) fn note_started(
         &mut self,
         runner: RunnerId,
@@ -282,15 +282,15 @@
         }
     }
 
-    /// Changes fields that no index depends on: neither name, function, instance, worker nor whether it is
-    /// stopped or orphaned.
+    /// Changes fields that no index depends on. The function, the instance, the worker and the ownership must not be
+    /// changed this way.
     pub(super) fn update(&mut self, runner: RunnerId, change: impl FnOnce(&mut Reservation)) {
         if let Some(reservation) = self.all.get_mut(&runner) {
             change(reservation);
         }
     }
 
-    /// Marks a runner for stopping; nobody adopts it any more.
+    /// Marks a runner as stopping, so that it can no longer be adopted, and schedules the stop order.
     pub(super) fn mark_stopping(&mut self, runner: RunnerId) {
         if let Some(reservation) = self.all.get_mut(&runner) {
             let ordered_at = reservation.stop_ordered_at();
@@ -301,7 +301,7 @@
         }
     }
 
-    /// Marks a runner as orphaned: nobody holds it, and the next holder may adopt it.
+    /// Marks a runner as orphaned: no member holds it, and the next holder may adopt it.
     pub(super) fn mark_orphaned(&mut self, runner: RunnerId, now: MonotonicTime) {
         if let Some(reservation) = self.all.get_mut(&runner) {
             let since = reservation.orphaned_since().unwrap_or(now);
@@ -310,7 +310,7 @@
         }
     }
 
-    /// The stop of a runner has been ordered; it is ordered again if it is not confirmed.
+    /// Records that the stop of a runner was ordered; the order is repeated if it is not confirmed.
     pub(super) fn note_stop_ordered(&mut self, runner: RunnerId, now: MonotonicTime) {
         if let Some(reservation) = self.all.get_mut(&runner) {
             let ordered_at = Some(now);
@@ -318,7 +318,7 @@
         }
     }
 
-    /// Gives an orphaned runner a new name, under a new lease.
+    /// Adopts an orphaned runner under a new lease, which gives it a new name.
     pub(super) fn adopt(&mut self, orphaned_runner: RunnerId, runner: RunnerId) {
         let Some(mut reservation) = self.remove(orphaned_runner) else {
             return;
@@ -329,7 +329,9 @@
         self.rename(orphaned_runner, runner);
     }
 
-    /// Adopts a runner and leaves it for others all the same: what the rule of single adoption rules out.
+    /// Adopts a runner but also leaves it adoptable by others, which [`Rule::InstanceAdoptedOnce`] forbids.
+    ///
+    /// [`Rule::InstanceAdoptedOnce`]: common::rules::Rule::InstanceAdoptedOnce
     pub(super) fn adopt_without_transfer(&mut self, orphaned_runner: RunnerId, runner: RunnerId) {
         let Some(orphaned) = self.all.get(&orphaned_runner) else {
             return;
@@ -346,7 +348,7 @@
         });
     }
 
-    /// Removes a reservation.
+    /// Removes and returns a reservation.
     pub(super) fn remove(&mut self, runner: RunnerId) -> Option<Reservation> {
         let reservation = self.all.remove(&runner)?;
         if let Some(runners) = self.by_function.get_mut(&reservation.function) {
@@ -376,7 +378,7 @@
         Some(reservation)
     }
 
-    /// A runner has ended for good.
+    /// Removes the reservation of a runner that has ended, and remembers that it and its instance have ended.
     pub(super) fn end(&mut self, runner: RunnerId) -> Option<Reservation> {
         self.ended_runners.insert(runner);
         if self.ended_runners.len() > MAX_ENDED_REMEMBERED {
