--- a/crates/controlplane/src/leader_state/claims.rs
+++ b/crates/controlplane/src/leader_state/claims.rs
@@ -1,4 +1,4 @@
-//! Claims: after an election, or on a new stream, each member reports the leases and runners that it holds.
+//! Claims: after an election, and on each new stream, a member reports the leases and runners that it holds.
 
 use super::reservations::Reservation;
 use super::{EventDetail, LeaderState, LeaseRecord, StreamId};
@@ -8,21 +8,22 @@
 use common::identity::{FunctionKey, RunnerId};
 use std::collections::BTreeSet;
 
-/// How a claim stands to the lease on record.
+/// How a claim relates to the recorded lease of its function.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum ClaimStatus {
-    /// It is the lease on record.
+    /// It matches the recorded lease.
     Held,
-    /// Nobody else has claimed the function, and the claims quorum is still awaited.
+    /// No lease is recorded, and the claims quorum is still awaited.
     Free,
-    /// Its fencing token is greater than the one claimed before, and the claims quorum is still awaited.
+    /// Its fencing token is greater than the recorded one, and the claims quorum is still awaited.
     Newer,
-    /// Another lease stands, or leases are issued already.
+    /// It conflicts with the recorded lease, or the claims quorum has been reached already.
     Rejected,
 }
 
 impl LeaderState {
-    /// Takes all that a member holds. What is on record for it and not in the claims ends.
+    /// Handles the claims of a member, which list everything that it holds. Recorded leases and runners of the member
+    /// that are not in the claims are ended.
     pub(super) fn handle_claims(
         &mut self,
         now: MonotonicTime,
@@ -70,7 +71,7 @@
         self.resend_orders(&claimant);
     }
 
-    /// Sends the drains and hand-overs that stand again: the holder may have lost them with its earlier stream.
+    /// Resends outstanding drain and hand-over orders, which may have been lost with the holder's earlier stream.
     fn resend_orders(&mut self, claimant: &KnownMember) {
         let held_functions = self.lease_records.functions_of(claimant);
         for function in &held_functions {
@@ -87,7 +88,7 @@
         self.drain_if_worker_unusable(held_runners);
     }
 
-    /// The runners under the leases that a member holds.
+    /// Returns the runners under the leases that a member holds.
     fn runners_of(&self, holder: &KnownMember) -> Vec<RunnerId> {
         self.lease_records
             .all_of(holder)
@@ -99,8 +100,8 @@
             .collect()
     }
 
-    /// Takes the runners of a function that its holder gave up: they wait for the next holder, or keep the next lease
-    /// from being issued until they are stopped. An instance that another runner has by now is not taken.
+    /// Records the runners that a member left when it released a function. They are orphaned, or block the next lease
+    /// until they are stopped. Instances that belong to another runner by now are ignored.
     pub(super) fn accept_released_runners(
         &mut self,
         now: MonotonicTime,
@@ -211,7 +212,7 @@
         self.send_frame(stream, frame);
     }
 
-    /// Revokes the recorded lease of a function for which a greater fencing token is claimed, and stops its runners.
+    /// Revokes the recorded lease of a function for which a greater fencing token was claimed, and stops its runners.
     fn supersede_lease(&mut self, function: &FunctionKey) {
         let Some(entry) = self.lease_records.get(function) else {
             return;
--- a/crates/controlplane/src/leader_state/claims_quorum.rs
+++ b/crates/controlplane/src/leader_state/claims_quorum.rs
@@ -1,5 +1,5 @@
 //! The claims quorum: before a new leader issues leases, a majority of the members that may hold leases of an
-//! earlier leader has claimed what it holds, and the others have claimed as well or their leases have run out.
+//! earlier leader must have claimed, and each of the others must have claimed or its lease must have expired.
 
 use super::{EventDetail, LeaderOutput, LeaderState, QuorumProof};
 use common::clock::MonotonicTime;
@@ -11,32 +11,32 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// Between two requests for the lists, while something may run that is not known.
+/// Interval between requests for the platform's lists while unknown runners may exist.
 const LIST_REQUEST_INTERVAL: Duration = Duration::from_millis(150);
 
-/// Who has to claim, and whether the quorum stands.
+/// The members that have to claim, and whether the quorum is reached.
 pub(super) struct ClaimsQuorum {
-    /// The members that may hold leases of an earlier leader, as the control quorum's heartbeats name them.
+    /// The members that may hold leases of an earlier leader, as named in the control quorum's heartbeats.
     pub last_known: BTreeSet<KnownMember>,
-    /// Whether there are surely no others.
+    /// Whether no other member can hold such a lease.
     pub last_known_complete: bool,
-    /// The committed membership at the election, without the members dropped since.
+    /// The membership inherited from earlier leaders, without the members dropped since.
     pub awaited_members: BTreeSet<ListedMember>,
-    /// When a member last came back as another incarnation.
+    /// When a member last reconnected as another incarnation.
     pub member_restarted_at: MonotonicTime,
-    /// Whether the quorum was reached with a claim from everybody.
+    /// Whether the quorum was reached with claims from all members.
     pub all_claimed: bool,
     pub is_reached: bool,
-    /// When the quorum was reached; the election before that.
+    /// When the quorum was reached; until then, when the leader was elected.
     pub reached_at: MonotonicTime,
-    /// The version that was committed at the election.
+    /// The version inherited from earlier leaders: that of the first document committed in this term.
     pub inherited_version: Version,
-    /// Whether no function existed in that version.
+    /// Whether that version has no functions.
     pub inherits_no_functions: bool,
 }
 
 impl ClaimsQuorum {
-    /// The state at an election; the document committed first completes it.
+    /// Creates the state at an election, before the first document is committed in the term.
     pub(super) fn new(
         elected_at: MonotonicTime,
         last_known: BTreeSet<KnownMember>,
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Takes over from earlier leaders with the first document committed in this term.
+    /// Takes the membership and functions of earlier leaders from the first document committed in this term.
     pub(super) fn inherit(&mut self, document: &Document) {
         self.inherited_version = document.document_version.version;
         self.inherits_no_functions = document.generations.is_empty();
@@ -70,13 +70,13 @@
     }
 }
 
-/// How the members of an earlier leader stand with their claims.
+/// How many of the members known to an earlier leader have claimed.
 struct ClaimCount {
-    /// How many had to claim.
+    /// Number of members that have to claim.
     expected: usize,
-    /// How many have, under whatever incarnation.
+    /// Number of members that have claimed in any incarnation.
     claimed: usize,
-    /// Whether nothing else can hold a lease or run.
+    /// Whether no unclaimed lease or runner can exist.
     all_claimed: bool,
 }
 
@@ -87,7 +87,7 @@
 }
 
 impl LeaderState {
-    /// Starts to issue leases once the claims quorum stands. Before that a lease could go to a second holder
+    /// Completes the claims quorum once its conditions are met. A lease issued earlier could go to a second holder
     /// while the first one is merely slow to claim it.
     pub(super) fn update_claims_quorum(&mut self, now: MonotonicTime, proof: &QuorumProof<'_>) {
         if self.claims.is_reached || !proof.ready || self.configuration.document.is_none() {
@@ -110,8 +110,8 @@
         }
     }
 
-    /// Members that have not come back for long no longer count for the majority; their leases are still
-    /// waited out.
+    /// Excludes members that have been absent for [`drop_absent_after`](super::LeaderTiming::drop_absent_after) from
+    /// the majority. Their leases are still waited out.
     fn drop_absent_members(&mut self) {
         let members = &self.members;
         let is_back = |known: &KnownMember| members.current_incarnation(&known.member).is_some();
@@ -137,7 +137,7 @@
         }
     }
 
-    /// Counts the claims of the members that heartbeats named, where no membership list is committed yet.
+    /// Counts the claims of the members named in heartbeats. Used while no membership list is committed.
     fn count_last_known(&self) -> ClaimCount {
         let last_known = &self.claims.last_known;
         let has_successor_claimed = |known: &&KnownMember| {
@@ -162,7 +162,7 @@
         record.is_some_and(|record| record.claimed)
     }
 
-    /// Whether another incarnation stands in the member's stead and has claimed.
+    /// Whether another incarnation has replaced the member's and has claimed.
     fn has_restarted_and_claimed(&self, known: &KnownMember) -> bool {
         let current = self.members.current_incarnation(&known.member);
         current.is_some_and(|restarted_member| {
@@ -170,8 +170,8 @@
         })
     }
 
-    /// From which instant on the platform's list shows what restarted members left: starts that an earlier
-    /// incarnation requested may reach the platform a little after its end.
+    /// Returns the instant from which the platform's list shows what restarted members left. Starts that an earlier
+    /// incarnation requested may reach the platform shortly after its end.
     fn last_known_settled_at(&self) -> MonotonicTime {
         let has_restarted = self
             .claims
@@ -186,15 +186,15 @@
         }
     }
 
-    /// Whether all leases of earlier leaders have run out, and the platform's list shows what they left.
+    /// Whether all leases of earlier leaders have expired and the platform's list shows the runners they left.
     fn has_waited_for_claims(&self, now: MonotonicTime) -> bool {
         let full_wait_end = self.elected_at + self.timing.claims_wait;
         now >= full_wait_end
             && self.runner_lists.listed_at >= full_wait_end + self.timing.start_settle
     }
 
-    /// Opens by the committed membership list, which names every member that may hold a lease: when each
-    /// of them has claimed, or another incarnation at its address has, nothing else holds anything.
+    /// Evaluates the quorum by the committed membership list, which names every member that may hold a lease. Once
+    /// each of them, or another incarnation at its address, has claimed, no other lease can exist.
     fn update_by_membership(&mut self, now: MonotonicTime) {
         let count = ClaimCount {
             expected: self.claims.awaited_members.len(),
@@ -231,7 +231,7 @@
         self.record_event(events::CLAIMS_QUORUM_REACHED, detail);
     }
 
-    /// Requests the platform's lists at the election, and again from the opening on until they show
+    /// Requests the platform's lists at the election, and repeatedly once the quorum is reached until they show
     /// everything that earlier incarnations left.
     pub(super) fn request_lists(&mut self, now: MonotonicTime) {
         let is_wanted = self.runner_lists.requested_at == MonotonicTime::ZERO
