--- a/crates/controlplane/src/leader_state/adoption.rs
+++ b/crates/controlplane/src/leader_state/adoption.rs
@@ -1,4 +1,4 @@
-//! Orphaned runners: a lost holder's runners wait for the function's next holder, which adopts them.
+//! Adoption of orphaned runners: the runners of a lost holder are handed to the function's next holder.
 
 use super::LeaderState;
 use common::frames::ClaimedRunner;
@@ -6,7 +6,8 @@
 use common::rules::Rule;
 
 impl LeaderState {
-    /// Whether every orphaned runner of a function can still be adopted; those that cannot are stopped first.
+    /// Stops the orphaned runners of a function that can no longer be adopted. Returns whether there were none; the
+    /// function must not be leased before they have stopped.
     pub(super) fn stop_unadoptable_orphans(&mut self, function: &FunctionKey) -> bool {
         let unadoptable_runners: Vec<RunnerId> = self
             .reservations
@@ -24,9 +25,9 @@
         unadoptable_runners.is_empty() || !self.rules.enforces(Rule::FenceBeforeRegrant)
     }
 
-    /// Whether no runner is left that may belong to an earlier holder of this regional key. The platform may not
-    /// report under which key a runner was started, so that it is recorded under the key of all regions; before a
-    /// region's key is leased such runners are stopped.
+    /// Stops the orphaned runners that may belong to an earlier holder of this regional key. Returns whether no such
+    /// runner is left. If the platform does not report under which key a runner was started, the runner is recorded
+    /// under the key of all regions, and is stopped before the key of one region is leased.
     pub(super) fn stop_orphans_with_unknown_key(&mut self, function: &FunctionKey) -> bool {
         let unknown_runners = self.reservations.with_unknown_key(function);
         let orphaned_runners = unknown_runners.iter().filter(|runner| {
@@ -40,7 +41,7 @@
         unknown_runners.is_empty() || !self.rules.enforces(Rule::FenceBeforeRegrant)
     }
 
-    /// Gives the orphaned runners of a function to its next holder, under names with the new fencing token.
+    /// Transfers the orphaned runners of a function to its next holder. Their new names contain the new fencing token.
     pub(super) fn adopt_orphans(
         &mut self,
         function: &FunctionKey,
--- a/crates/controlplane/src/leader_state/drains.rs
+++ b/crates/controlplane/src/leader_state/drains.rs
@@ -1,4 +1,4 @@
-//! Hand-overs and drains: holders give functions back and empty runners before a zone or a worker goes away.
+//! Hand-overs and drains: holders give functions back and drain runners before a zone or a worker becomes unavailable.
 
 use super::LeaderState;
 use common::frames::LeaderToDaemon;
@@ -6,7 +6,7 @@
 use common::rules::Rule;
 
 impl LeaderState {
-    /// Has holders in evacuated zones hand over their functions, and drains the runners there.
+    /// Orders holders in evacuated zones to hand over their functions, and drains runners on unusable workers.
     pub(super) fn hand_over_evacuated(&mut self) {
         let held_functions = self
             .lease_records
@@ -17,7 +17,7 @@
         self.drain_from_unusable_workers();
     }
 
-    /// Has those of the functions handed over whose holders are in evacuated zones.
+    /// Orders the hand-over of those functions whose holders are in evacuated zones.
     pub(super) fn hand_over_if_evacuated(&mut self, functions: Vec<FunctionKey>) {
         if !self.rules.enforces(Rule::EvacuationObeyed) || !self.configuration.table.has_evacuated()
         {
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Has holders drain all runners whose worker is draining, gone or evacuated.
+    /// Orders holders to drain all runners whose worker is draining, gone or evacuated.
     pub(super) fn drain_from_unusable_workers(&mut self) {
         let runners = self
             .reservations
@@ -61,7 +61,7 @@
         self.drain_if_worker_unusable(runners);
     }
 
-    /// Has holders drain those of the runners whose worker is draining, gone or evacuated.
+    /// Orders holders to drain those of the runners whose worker is draining, gone or evacuated.
     pub(super) fn drain_if_worker_unusable(&mut self, runners: Vec<RunnerId>) {
         if !self.workers.are_listed() {
             return;
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Has the holder drain a runner that the platform is about to stop.
+    /// Orders the holder to drain a runner that the platform is about to stop.
     pub(super) fn drain_leaving(&mut self, runner: RunnerId) {
         let Some(reservation) = self.reservations.get(runner) else {
             return;
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Has the holder drain a runner; an orphaned one is stopped.
+    /// Orders the holder to drain a runner. An orphaned runner is stopped instead.
     pub(super) fn drain(&mut self, function: FunctionKey, runner: RunnerId) {
         if self
             .reservations
--- a/crates/controlplane/src/leader_state/lease_end.rs
+++ b/crates/controlplane/src/leader_state/lease_end.rs
@@ -1,4 +1,4 @@
-//! The end of function leases, and what follows from it for requests that must not run twice.
+//! The end of function leases, and how it delays requests that must not run twice.
 
 use super::{EventDetail, LeaderState, StreamId};
 use common::clock::MonotonicTime;
@@ -9,8 +9,8 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// When functions may again get requests that must not run twice: while a request of an earlier holder may
-/// still be under way, such a request waits or is answered from the earlier holder's replica.
+/// When each function may accept requests that must not run twice again. While requests of an earlier holder may be in
+/// flight, such a request waits or is answered from the earlier holder's replica.
 #[derive(Default)]
 pub(super) struct OnceDelays {
     allowed_from: BTreeMap<FunctionKey, MonotonicTime>,
@@ -18,12 +18,12 @@
 }
 
 impl OnceDelays {
-    /// The lease before the present one, whose replica can answer for its holder.
+    /// Returns the previous lease of a function, if its ledger replica can answer for the former holder.
     pub(super) fn previous_lease(&self, function: &FunctionKey) -> Option<&PreviousLease> {
         self.previous_leases.get(function)
     }
 
-    /// A lease has ended; `previous_lease` is there if its replica has the complete ledger.
+    /// Records the end of a lease. `previous_lease` is set if its replica has the complete ledger.
     fn lease_ended(
         &mut self,
         now: MonotonicTime,
@@ -47,8 +47,8 @@
 }
 
 impl LeaderState {
-    /// A holder gives its lease back, and reports which runners it leaves; a member that no longer holds the
-    /// lease reports what it still had.
+    /// Handles the release of a lease with the runners that the member leaves. A member that no longer holds the
+    /// lease reports its remaining runners in the same way.
     pub(super) fn handle_release(
         &mut self,
         now: MonotonicTime,
@@ -77,8 +77,8 @@
         self.record_event(events::LEASE_RELEASED, detail);
     }
 
-    /// A lease has ended and nothing runs under it any more: the function can be leased again. Requests that must
-    /// not run twice wait until none of the former holder's can be under way; its replica may answer them before.
+    /// Ends a lease under which nothing runs any more, so that the function can be leased again. Requests that must not
+    /// run twice wait until none of the former holder's can be in flight; its replica may answer them earlier.
     pub(super) fn end_lease(
         &mut self,
         now: MonotonicTime,
@@ -110,17 +110,17 @@
             .lease_ended(now, function, allowed_from, previous_lease);
     }
 
-    /// How long the next holder has to keep back requests that must not run twice.
+    /// Returns how long the next holder has to delay requests that must not run twice.
     pub(super) fn once_wait(&self, now: MonotonicTime, function: &FunctionKey) -> Duration {
         let allowed_from = self.once_delays.allowed_from.get(function).copied();
         let safe_from = self.once_safe_from(function);
         allowed_from.unwrap_or_default().max(safe_from).since(now)
     }
 
-    /// From which instant on requests that must not run twice are safe with a function that this leader has
-    /// not leased yet: its holder had stopped when the claims quorum stood, or when every lease of an earlier
-    /// leader had ended, and what it accepted may be under way for the longest delay after that. A function
-    /// younger than this term had no holder.
+    /// Returns the instant from which requests that must not run twice are safe for a function that this leader has
+    /// not leased yet. Its holder had stopped when the claims quorum was reached or when every lease of an earlier
+    /// leader had ended, and requests that it accepted may be in flight for the longest delay after that. A function
+    /// created in this term had no earlier holder.
     fn once_safe_from(&self, function: &FunctionKey) -> MonotonicTime {
         if function.generation > self.claims.inherited_version {
             return MonotonicTime::ZERO;
@@ -132,8 +132,8 @@
         stopped_at + self.longest_delay()
     }
 
-    /// How long a request may be under way: its time-out, and one session lease, for which a member that
-    /// forwards it may be frozen without losing the right to do so.
+    /// Returns how long a request may be in flight: its timeout plus one session lease, for which a member that
+    /// forwards it may be suspended without losing its lease.
     fn longest_delay(&self) -> Duration {
         self.configuration.longest_timeout + self.timing.lease_length
     }
