--- a/crates/controlplane/src/leader_state/acquisitions.rs
+++ b/crates/controlplane/src/leader_state/acquisitions.rs
@@ -1,4 +1,4 @@
-//! Requests for function leases. Each stays pending until the leader can name the holder or issue the lease.
+//! Requests for function leases. Each request stays pending until the leader can name the holder or grant the lease.
 
 use super::{EventDetail, LeaderState, LeaseRecord, StreamId};
 use common::clock::MonotonicTime;
@@ -9,18 +9,18 @@
 use common::rules::Rule;
 use std::time::Duration;
 
-/// A holder that has not renewed its session lease for this long is not named: the requester waits until the
-/// holder is heard again, or has lost the function.
+/// A holder that has not renewed its session lease for this long is not named. The requester waits until the holder
+/// renews it or has lost the function.
 const STALE_HOLDER_AFTER: Duration = Duration::from_millis(1000);
-/// How long the platform usually takes to stop a lost holder's runners.
+/// Usual time that the platform takes to stop a lost holder's runners.
 const EXPECTED_FENCING_TIME: Duration = Duration::from_millis(100);
-/// Within this time of an election, members that are alive have usually claimed.
+/// Usual time after an election by which all live members have claimed.
 const EXPECTED_CLAIMS_TIME: Duration = Duration::from_millis(700);
-/// Pending requests are looked at again this often although nothing has changed.
+/// Interval between checks of the pending requests when nothing has changed.
 const CHECK_INTERVAL: Duration = Duration::from_millis(20);
-/// How long a request stays pending; the member retries after that.
+/// How long a request stays pending. After that, the member retries.
 const ACQUISITION_TIMEOUT: Duration = Duration::from_secs(6);
-/// A shorter wait is not announced.
+/// Minimum expected wait that is announced to the requester.
 const MIN_ANNOUNCED_WAIT: Duration = Duration::from_millis(200);
 
 /// A member's request for a function lease, or for the name of its holder.
@@ -34,7 +34,7 @@
 }
 
 impl PendingAcquisition {
-    /// A request that has just come in.
+    /// Creates a request that has just arrived.
     pub(super) fn new(
         now: MonotonicTime,
         stream: StreamId,
@@ -51,7 +51,7 @@
     }
 }
 
-/// The requests that have no final answer yet.
+/// The requests that have not been answered finally.
 pub(super) struct Acquisitions {
     pending: Vec<PendingAcquisition>,
     pub check_due: bool,
@@ -59,7 +59,7 @@
 }
 
 impl Acquisitions {
-    /// No requests; the first call of `take_due` is due at once.
+    /// Creates an empty list whose first check is due immediately.
     pub(super) fn new() -> Self {
         Self {
             pending: Vec::new(),
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Adds a request, or one that stays pending.
+    /// Adds a new request, or one that stays pending.
     pub(super) fn add(&mut self, acquisition: PendingAcquisition) {
         self.pending.push(acquisition);
     }
@@ -79,7 +79,7 @@
             .retain(|acquisition| acquisition.stream != stream);
     }
 
-    /// All requests, if something has changed that an answer may depend on or the interval is over.
+    /// Takes all requests if something that an answer may depend on has changed, or if the check interval has passed.
     fn take_due(&mut self, now: MonotonicTime) -> Vec<PendingAcquisition> {
         let is_due = now.since(self.checked_at) >= CHECK_INTERVAL;
         if !is_due && !std::mem::take(&mut self.check_due) {
@@ -92,7 +92,7 @@
 }
 
 impl LeaderState {
-    /// Answers each request that can be answered now.
+    /// Answers the requests that can be answered now.
     pub(super) fn answer_acquisitions(&mut self, now: MonotonicTime) {
         for acquisition in self.acquisitions.take_due(now) {
             match self.decide_acquisition(now, &acquisition) {
@@ -120,7 +120,7 @@
         self.send_frame(stream, frame);
     }
 
-    /// Keeps a request pending, and announces the expected wait once, if there is an estimate.
+    /// Keeps a request pending until it times out, and announces the expected wait once if there is an estimate.
     fn keep_pending(&mut self, now: MonotonicTime, mut acquisition: PendingAcquisition) {
         if now.since(acquisition.requested_at) >= ACQUISITION_TIMEOUT {
             return;
@@ -135,7 +135,8 @@
         self.acquisitions.add(acquisition);
     }
 
-    /// How long a function cannot be leased, as far as that can be foretold and is worth announcing.
+    /// Estimates how long a function cannot be leased. Returns `None` if there is no estimate or it is too short to be
+    /// announced.
     fn estimate_wait(&self, now: MonotonicTime, function: &FunctionKey) -> Option<AcquireResult> {
         let wait_span = self.expected_free_at(now, function)?.since(now);
         (wait_span > MIN_ANNOUNCED_WAIT).then_some(AcquireResult::RetryLater {
@@ -143,8 +144,9 @@
         })
     }
 
-    /// When the session lease of a holder without stream has ended, or when a claims quorum that lacks a member
-    /// has waited for it. Nothing is foretold of a holder that is merely silent: it may be back any instant.
+    /// Returns when the function is expected to be free: when the session lease of a disconnected holder has ended, or
+    /// when the claims quorum has waited out its missing members. There is no estimate for a holder that is connected
+    /// but silent, since it may respond at any time.
     fn expected_free_at(
         &self,
         now: MonotonicTime,
@@ -165,8 +167,8 @@
         lacks_claims.then(|| waited_until + EXPECTED_FENCING_TIME)
     }
 
-    /// Names the holder, also while the claims quorum is awaited; issues a lease only once that stands. None leaves
-    /// the request pending.
+    /// Decides a request. The holder is named even while the claims quorum is awaited, but a lease is granted only once
+    /// it is reached. `None` leaves the request pending.
     fn decide_acquisition(
         &mut self,
         now: MonotonicTime,
@@ -191,8 +193,8 @@
             .then(|| self.grant(now, requester, function))
     }
 
-    /// The answer while the function is leased: its lease to the holder itself, the holder's name to others as
-    /// long as the holder can be expected to answer.
+    /// Answers a request for a leased function: the holder itself gets its lease again, and others get the holder's
+    /// address as long as the holder can be expected to respond.
     fn answer_held(
         &self,
         now: MonotonicTime,
@@ -221,7 +223,7 @@
         })
     }
 
-    /// Whether runners of the function still have to stop before its next lease.
+    /// Whether runners of the function still have to stop before it can be leased again.
     fn waits_for_stops(&self, function: &FunctionKey) -> bool {
         let has_runners = self
             .reservations
@@ -230,8 +232,8 @@
         has_runners && self.rules.enforces(Rule::FenceBeforeRegrant)
     }
 
-    /// A function that the newest version does not have is rejected, unless the requester has installed a
-    /// version that is newer than this controller's.
+    /// Rejects a function that the newest version does not contain, unless the requester has installed a version that
+    /// is newer than this controller's.
     fn answer_unknown_function(&self, requester: &KnownMember) -> Option<AcquireResult> {
         let record = self.members.get(requester);
         let installed = record.map(|record| record.installed);
@@ -240,7 +242,7 @@
         (installed <= newest).then_some(AcquireResult::Rejected)
     }
 
-    /// Whether the lease can be issued now. Runners that stand in its way are stopped.
+    /// Whether the lease can be granted now. Runners that prevent it are stopped.
     fn may_grant(
         &mut self,
         now: MonotonicTime,
@@ -255,7 +257,7 @@
             && (!function.is_regional() || self.stop_orphans_with_unknown_key(function))
     }
 
-    /// Issues the lease, with the function's orphaned runners and a replica for its ledger.
+    /// Grants the lease, with the function's orphaned runners and a replica for its ledger.
     fn grant(
         &mut self,
         now: MonotonicTime,
@@ -306,8 +308,8 @@
         }
     }
 
-    /// Checks the invariant that no lease is issued while one of an earlier leader may stand: those have all ended,
-    /// or everybody who may hold one has claimed.
+    /// Checks the invariant that no lease is granted while one of an earlier leader may exist unclaimed: all of those
+    /// have expired, or all members that may hold one have claimed.
     fn require_claims_quorum(&self, now: MonotonicTime, function: &FunctionKey) {
         let has_waited = now >= self.elected_at + self.timing.claims_wait;
         let is_awaited = self.claims.all_claimed || has_waited || self.claims.inherits_no_functions;
