--- a/crates/controlplane/src/leader_state/memory_pressure.rs
+++ b/crates/controlplane/src/leader_state/memory_pressure.rs
@@ -1,4 +1,4 @@
-//! What gives way when the workers' memory is short.
+//! Reclaims runners and idle functions when the workers' memory is short.
 
 use super::{EventDetail, LeaderState, StreamId};
 use common::clock::MonotonicTime;
@@ -8,20 +8,20 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// A function that gave up its runners is left alone for this long.
+/// Minimum interval between evictions of the same function.
 const EVICTION_COOLDOWN: Duration = Duration::from_secs(5);
 
-/// A function without a runner counts as starved for this long after a request that found no room.
+/// How long a function without a runner counts as starved after a request that found no room.
 const STARVATION_TIMEOUT: Duration = Duration::from_millis(1200);
-/// Between two reclaimed runners.
+/// Minimum interval between reclaimed runners.
 const RECLAIM_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Which functions may give memory back, and which lack it.
+/// The functions that can give up memory, and those that lack it.
 #[derive(Default)]
 pub(super) struct MemoryPressure {
-    /// Since when functions are idle, as their holders reported.
+    /// Since when functions have been idle, by reporting holder.
     pub idle_since: BTreeMap<KnownMember, BTreeMap<FunctionKey, MonotonicTime>>,
-    /// When functions gave their idle runners back.
+    /// When functions were last ordered to give up their idle runners.
     evicted_at: BTreeMap<FunctionKey, MonotonicTime>,
     /// When functions without a runner last found no room.
     pub starved_functions: BTreeMap<FunctionKey, MonotonicTime>,
@@ -29,7 +29,7 @@
 }
 
 impl LeaderState {
-    /// Whether a function with runners has to wait, since another one has none and found no room.
+    /// Whether another function has no runner and found no room, so that functions with runners have to wait.
     pub(super) fn is_other_function_starved(
         &mut self,
         now: MonotonicTime,
@@ -44,8 +44,8 @@
             .any(|function| function != requester)
     }
 
-    /// A function without a runner finds no room: the function with the most runners gives one up, so that the
-    /// load on one function does not take another's only runner.
+    /// Reclaims a runner from the function with the most runners for a function that has none, so that the load on one
+    /// function does not deprive another of its only runner.
     pub(super) fn reclaim_runner(
         &mut self,
         now: MonotonicTime,
@@ -71,8 +71,8 @@
         self.drain(function, runner);
     }
 
-    /// Of the function with the most runners, the runner whose worker then has just enough memory free; if none has,
-    /// the one whose worker has the most.
+    /// Chooses a runner of the function with the most runners: the one whose worker would then have the least sufficient
+    /// free memory, or if none has enough, the one whose worker would have the most.
     fn runner_to_reclaim(
         &self,
         requester: &FunctionKey,
@@ -88,7 +88,7 @@
         Some((function.clone(), runner))
     }
 
-    /// The runners that stay, of all functions but the requester, each with the memory that would be free on its
+    /// Returns the staying runners of all functions except the requester, each with the memory that would be free on its
     /// worker without it.
     fn staying_runners(
         &self,
@@ -118,7 +118,7 @@
         staying
     }
 
-    /// A member reports its idle functions: all of them, in place of its earlier report.
+    /// Handles a member's report of all its idle functions, which replaces its earlier report.
     pub(super) fn handle_idle(
         &mut self,
         now: MonotonicTime,
@@ -138,7 +138,7 @@
         self.pressure.idle_since.insert(holder.clone(), idle_since);
     }
 
-    /// The functions that their present holders reported as idle, those not called for longest first.
+    /// Returns the functions that their current holders reported as idle, longest idle first.
     fn idle_functions(&self) -> Vec<(MonotonicTime, FunctionKey)> {
         let mut idle_functions: Vec<(MonotonicTime, FunctionKey)> = self
             .pressure
@@ -160,8 +160,8 @@
         idle_functions
     }
 
-    /// No worker has room: the idle functions not called for longest give up their runners, until twice the needed
-    /// memory comes free, as not all of it will be on one worker.
+    /// Evicts idle functions, longest idle first, until twice the needed memory is freed, since not all of it will be on
+    /// one worker.
     pub(super) fn evict_idle_functions(
         &mut self,
         now: MonotonicTime,
@@ -189,7 +189,8 @@
             && self.reservations.all_of(function).next().is_some()
     }
 
-    /// Has the holder stop a function's runners; the memory in MiB that this frees. None if the holder has no stream.
+    /// Orders the holder to stop a function's runners, and returns the memory in MiB that this frees. Returns `None` if the
+    /// holder has no stream.
     fn evict(&mut self, now: MonotonicTime, function: FunctionKey) -> Option<u32> {
         let entry = self.lease_records.get(&function)?;
         let fencing_token = entry.fencing_token;
--- a/crates/controlplane/src/leader_state/worker_evacuation.rs
+++ b/crates/controlplane/src/leader_state/worker_evacuation.rs
@@ -1,4 +1,4 @@
-//! Consolidation: the runners of a little used worker move to others, so that the worker can be switched off.
+//! Consolidation: the runners of an underused worker move to other workers, so that it can be switched off.
 
 use super::{EventDetail, LeaderState};
 use common::clock::MonotonicTime;
@@ -7,31 +7,31 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// A new leader evacuates no worker before this.
+/// Delay after the election before the first evacuation.
 const FIRST_EVACUATION_AFTER: Duration = Duration::from_secs(15);
-/// Between two evacuations.
+/// Interval between two evacuations.
 const EVACUATION_INTERVAL: Duration = Duration::from_secs(8);
-/// After an evacuation that timed out.
+/// Delay before the next evacuation after one that timed out.
 const EVACUATION_RETRY_DELAY: Duration = Duration::from_secs(30);
-/// An evacuation that takes longer is given up.
+/// Time after which an evacuation is abandoned.
 const EVACUATION_TIMEOUT: Duration = Duration::from_secs(20);
-/// The share of their memory that the other workers keep free.
+/// Share of their memory that the remaining workers must keep free.
 const HEADROOM_PERCENT: u64 = 10;
 
-/// A worker whose runners are being moved off, so that it can be switched off.
+/// An evacuation of one worker that is in progress.
 struct WorkerEvacuation {
     worker: WorkerName,
     since: MonotonicTime,
 }
 
-/// At most one worker is evacuated at a time.
+/// Schedule of evacuations. At most one worker is evacuated at a time.
 pub(super) struct WorkerEvacuations {
     current: Option<WorkerEvacuation>,
     next_at: MonotonicTime,
 }
 
 impl WorkerEvacuations {
-    /// No worker is evacuated for a while after the election.
+    /// Creates the schedule. No worker is evacuated for a while after the election.
     pub(super) fn new(elected_at: MonotonicTime) -> Self {
         Self {
             current: None,
@@ -46,14 +46,14 @@
             .is_some_and(|evacuation| evacuation.worker == *worker)
     }
 
-    /// Gives the worker that is being evacuated back to use.
+    /// Cancels the evacuation in progress, so that the worker is used again.
     pub(super) fn cancel(&mut self) {
         self.current = None;
     }
 }
 
 impl LeaderState {
-    /// Evacuates the least used worker if all its runners fit on the others in use. One worker at a time.
+    /// Starts or completes the evacuation of the least used worker, if all its runners fit on the other workers in use.
     pub(super) fn evacuate_workers(&mut self, now: MonotonicTime) {
         if !self.claims.is_reached || !self.timing.worker_evacuation {
             return;
@@ -93,7 +93,8 @@
         }
     }
 
-    /// The worker in use with the least memory reserved, if its runners, the largest first, fit on the others.
+    /// Returns the worker in use with the least reserved memory, if its runners, placed largest first, fit on the
+    /// others.
     fn worker_to_evacuate(&self) -> Option<WorkerName> {
         let reserved_mb_sums = self.reserved_mb();
         let used_workers: Vec<(&WorkerName, u64)> = reserved_mb_sums
--- a/crates/controlplane/src/leader_state/workers.rs
+++ b/crates/controlplane/src/leader_state/workers.rs
@@ -11,45 +11,45 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Lacking memory is reported at most this often.
+/// Minimum interval between events about a lack of worker memory.
 const NO_CAPACITY_REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
 /// The platform's workers.
 #[derive(Default)]
 pub(super) struct Workers {
-    /// The workers as the platform listed them.
+    /// The workers in the platform's newest list.
     listed: BTreeMap<WorkerName, ListedWorker>,
-    /// Whether the platform has listed them in this term.
+    /// Whether the platform's list has arrived in this term.
     are_listed: bool,
-    /// When workers last refused to start a runner.
+    /// When each worker last refused to start a runner.
     start_refused_at: BTreeMap<WorkerName, MonotonicTime>,
     no_capacity_reported_at: MonotonicTime,
 }
 
 impl Workers {
-    /// Whether the platform has listed them in this term.
+    /// Whether the platform's list of workers has arrived in this term.
     pub(super) fn are_listed(&self) -> bool {
         self.are_listed
     }
 
-    /// A worker as the platform listed it.
+    /// Returns a worker of the platform's list.
     pub(super) fn get(&self, worker: &WorkerName) -> Option<&ListedWorker> {
         self.listed.get(worker)
     }
 
-    /// Every worker that the platform listed, by its name.
+    /// Iterates over the platform's workers, ordered by name.
     pub(super) fn iter(&self) -> impl Iterator<Item = &ListedWorker> {
         self.listed.values()
     }
 
-    /// A worker refused to start a runner; for a while it gets no others.
+    /// Records that a worker refused to start a runner, so that it gets no new runners for a while.
     pub(super) fn note_refused_start(&mut self, now: MonotonicTime, worker: WorkerName) {
         self.start_refused_at.insert(worker, now);
     }
 }
 
 impl LeaderState {
-    /// Takes the platform's list of workers, in place of the earlier one.
+    /// Replaces the list of workers by a new one from the platform.
     pub fn workers_listed(&mut self, listed_workers: Vec<ListedWorker>) {
         self.workers.are_listed = true;
         self.workers.listed = listed_workers
@@ -59,8 +59,8 @@
         self.drain_from_unusable_workers();
     }
 
-    /// Whether new runners may go to a worker: it is listed, and neither draining nor in an evacuated zone nor itself
-    /// being evacuated.
+    /// Whether new runners may be placed on a worker: it is listed, is not draining or being evacuated, and is not in an
+    /// evacuated zone.
     pub(super) fn is_worker_usable(&self, worker: &WorkerName) -> bool {
         !self.evacuation.is_evacuating(worker)
             && self.workers.get(worker).is_some_and(|listed| {
@@ -69,12 +69,12 @@
             })
     }
 
-    /// The memory in MiB that is reserved on each worker in use.
+    /// Returns the reserved memory of each worker in use, in MiB.
     pub(super) fn reserved_mb(&self) -> &BTreeMap<WorkerName, u64> {
         self.reservations.reserved_mb()
     }
 
-    /// A holder requests the memory for one more runner.
+    /// Handles a holder's request for the memory of one more runner.
     pub(super) fn handle_reserve(
         &mut self,
         now: MonotonicTime,
@@ -136,7 +136,7 @@
         })
     }
 
-    /// Only the holder reserves, under its present lease and while its session lease stands.
+    /// Whether a member may reserve memory: it holds the function under this lease and has a session lease.
     fn may_reserve(
         &self,
         now: MonotonicTime,
@@ -152,7 +152,8 @@
         is_holder && self.claims.is_reached && self.has_lease(requester, now)
     }
 
-    /// No usable worker has room for a runner: whatever can give way does, and the holder tries again.
+    /// Frees memory when no usable worker has room for a runner: cancels the evacuation of a worker, stops orphans,
+    /// evicts idle functions, and reclaims a runner if the function has none. The holder retries its request.
     fn relieve_memory_pressure(
         &mut self,
         now: MonotonicTime,
@@ -176,8 +177,8 @@
         }
     }
 
-    /// Whether one more runner stays within the function's limit for all its keys together. A holder that has all of
-    /// them under one key checks the limit itself.
+    /// Whether the function may get one more runner within its limit, which covers all its keys together. If all its
+    /// runners are under one key, the holder of that key checks the limit itself.
     fn is_below_max_runners(&self, function: &FunctionKey, limit: usize) -> bool {
         let staying = self
             .reservations
@@ -187,10 +188,10 @@
         total_count < limit || total_count == staying.count()
     }
 
-    /// Chooses the worker of a new runner. If runners are spread over zones: a worker in use before an empty one, then
-    /// the zone with the fewest runners of the function, then the fullest worker that fits. If they are not: the
-    /// holder's zone before others, since traffic between zones is costly and the loss of the holder interrupts the
-    /// function anyway; then a worker in use without a runner of the function, one with, an empty one; then the fullest.
+    /// Chooses the worker for a new runner. If runners are spread over zones, it prefers workers in use over empty ones,
+    /// then the zone with the fewest runners of the function, then the fullest worker that fits. Otherwise it prefers
+    /// the holder's zone, since traffic between zones is costly and the loss of the holder interrupts the function
+    /// anyway; then workers in use without a runner of the function, those with one, and empty ones; then the fullest.
     fn choose_worker(
         &mut self,
         now: MonotonicTime,
@@ -240,7 +241,7 @@
             .map(|(_, _, worker)| worker.clone())
     }
 
-    /// Memory is short: orphaned runners of other functions are stopped.
+    /// Stops the orphaned runners of other functions to free memory.
     fn stop_orphans(&mut self, requester: &FunctionKey) {
         let orphaned_runners: Vec<RunnerId> = self
             .reservations
