--- a/crates/controlplane/src/leader_state/ledger_replicas.rs
+++ b/crates/controlplane/src/leader_state/ledger_replicas.rs
@@ -1,4 +1,4 @@
-//! Replicas of the holders' ledgers: which member keeps the replica for which lease.
+//! Assignment of ledger replicas: which member keeps the replica of a holder's ledger.
 
 use super::{LeaderState, StreamId};
 use common::clock::MonotonicTime;
@@ -7,7 +7,7 @@
 use common::ring;
 
 impl LeaderState {
-    /// The member that is to keep the replica of a holder's ledger: another one, in another zone if possible.
+    /// Chooses the member that keeps the replica of a holder's ledger: not the holder, and in another zone if possible.
     pub(super) fn choose_replica(
         &self,
         now: MonotonicTime,
@@ -39,7 +39,7 @@
             .cloned()
     }
 
-    /// A holder no longer reaches its replica: another member is assigned.
+    /// Assigns another replica to a holder that reports its replica as unreachable.
     pub(super) fn handle_replica_lost(
         &mut self,
         now: MonotonicTime,
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Assigns another replica, or none, to a leased function, and notifies its holder on the stream.
+    /// Assigns another replica, or none, to a leased function, and notifies its holder.
     fn assign_replica(&mut self, stream: StreamId, function: FunctionKey, replica: Option<Host>) {
         let Some(entry) = self.lease_records.get_mut(&function) else {
             return;
@@ -78,7 +78,7 @@
         self.send_frame(stream, frame);
     }
 
-    /// The replica has the holder's complete ledger: it can answer for this lease when it has ended.
+    /// Records that the replica has the holder's complete ledger, so that it can answer for this lease after its end.
     pub(super) fn handle_replica_complete(
         &mut self,
         stream: StreamId,
@@ -109,7 +109,7 @@
             .is_none_or(|index| self.configuration.table.is_recorded(index))
     }
 
-    /// Assigns replicas to functions whose new specification wants a ledger.
+    /// Assigns replicas to leased functions that require a ledger under the new specification but have no replica.
     pub(super) fn assign_replicas(&mut self, now: MonotonicTime) {
         if !std::mem::take(&mut self.replica_assignment_due) {
             return;
--- a/crates/controlplane/src/leader_state/link_moves.rs
+++ b/crates/controlplane/src/leader_state/link_moves.rs
@@ -1,6 +1,7 @@
-//! Keeps functions off narrow links. While members join a new leader, the host list that they get may name too
-//! few hosts on wide links, so that hosts on narrow ones request functions. Once enough wide ones stand in the
-//! list, such a request waits for one of theirs, and functions held on narrow links are handed over.
+//! Keeps functions off hosts on narrow links. While members join a new leader, the host list may still contain too few
+//! hosts on wide links, so that hosts on narrow links request functions. Once the list contains enough hosts on wide
+//! links, a request from a narrow link waits for one from a wide link, and functions held on narrow links are handed
+//! over.
 
 use super::LeaderState;
 use super::acquisitions::PendingAcquisition;
@@ -11,21 +12,21 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Holders on narrow links are looked for this often.
+/// Interval between checks for holders on narrow links.
 const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// At most this many functions are handed over per check, those with the most runners first.
+/// Maximum number of functions handed over per check, those with the most runners first.
 const MAX_MOVES_PER_CHECK: usize = 16;
 
-/// A function is handed over at most once in this time. If its next holder is on a narrow link again, the member
-/// that requested it sees other hosts than the leader does, and another move would not help.
+/// Minimum interval between hand-overs of the same function. If its next holder is on a narrow link again, the
+/// requester sees a different set of hosts than the leader does, and another move would not help.
 const MOVE_COOLDOWN: Duration = Duration::from_secs(10);
 
-/// How long a request from a host on a narrow link waits for one from a wide link. After that it is granted:
-/// the requester sees other hosts than the leader does.
+/// How long a request from a host on a narrow link waits for one from a wide link. After that it is granted, since the
+/// requester sees a different set of hosts than the leader does.
 const NARROW_LINK_REQUEST_DELAY: Duration = Duration::from_millis(1000);
 
-/// A lease that is to be handed over.
+/// A lease to be handed over.
 struct LeaseMove {
     function: FunctionKey,
     fencing_token: FencingToken,
@@ -39,7 +40,7 @@
 }
 
 impl LinkMoves {
-    /// No lease has been moved; the first check is one interval after the election.
+    /// Schedules the first check one interval after the election.
     pub(super) fn new(elected_at: MonotonicTime) -> Self {
         Self {
             checked_at: elected_at,
@@ -49,7 +50,7 @@
 }
 
 impl LeaderState {
-    /// Whether a request waits for one from a host on a wide link.
+    /// Whether a request has to wait for one from a host on a wide link.
     pub(super) fn waits_for_wide_link_requester(
         &self,
         now: MonotonicTime,
@@ -63,7 +64,7 @@
             && now.since(waits_since) < NARROW_LINK_REQUEST_DELAY
     }
 
-    /// Has holders on narrow links hand over some of their functions while others should hold them.
+    /// Orders holders on narrow links to hand over some of their functions while hosts on wide links are available.
     pub(super) fn move_off_narrow_links(&mut self, now: MonotonicTime) {
         if !self.claims.is_reached || now.since(self.link_moves.checked_at) < CHECK_INTERVAL {
             return;
--- a/crates/controlplane/src/leader_state/runner_status.rs
+++ b/crates/controlplane/src/leader_state/runner_status.rs
@@ -1,4 +1,4 @@
-//! What members report of their runners and requests.
+//! Handles members' reports on their runners and on rejected requests.
 
 use super::{EventDetail, LeaderState, StreamId};
 use common::clock::MonotonicTime;
@@ -7,7 +7,7 @@
 use common::identity::{FunctionKey, RunnerId};
 
 impl LeaderState {
-    /// A holder reports how one of its runners stands. A runner that was adopted meanwhile goes by another name.
+    /// Handles a holder's report on one of its runners, which may have been renamed by an adoption in the meantime.
     pub(super) fn handle_runner_status(
         &mut self,
         now: MonotonicTime,
@@ -50,7 +50,7 @@
         }
     }
 
-    /// A member reports requests that it rejected; operators get an event.
+    /// Records an event about requests that a member rejected.
     pub(super) fn handle_rejections(
         &mut self,
         stream: StreamId,
