--- a/crates/controlplane/src/leader_state/document_delivery.rs
+++ b/crates/controlplane/src/leader_state/document_delivery.rs
@@ -1,4 +1,4 @@
-//! Delivery of the configuration: the committed document goes to every member, as deltas where possible.
+//! Delivery of the configuration: the committed document is pushed to every member, as deltas where possible.
 
 use super::members::MemberRecord;
 use super::{EventDetail, LeaderOutput, LeaderState, StreamId, TraceStep};
@@ -11,10 +11,10 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-/// How many versions a member may be behind and still get a delta.
+/// Number of recent views that are retained. A member that has installed one of them gets a delta.
 pub const RETAINED_VIEWS: usize = 8;
 
-/// Whether a version is in force is checked this often, not at each member's report.
+/// Minimum interval between checks whether a version is in force, so that not every member's report triggers one.
 const IN_FORCE_CHECK_INTERVAL: Duration = Duration::from_millis(5);
 
 /// A member that has not installed a version.
@@ -22,7 +22,7 @@
 pub struct Laggard {
     /// The member.
     pub member: MemberName,
-    /// Why it has not, as far as the leader can see.
+    /// The reason, as far as the leader can see.
     pub reason: LagReason,
 }
 
@@ -48,7 +48,7 @@
         }
     }
 
-    /// The reason as it stands in response bodies.
+    /// Returns the reason as it appears in response bodies.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::LeaseEnded => "grant ended",
@@ -58,26 +58,26 @@
     }
 }
 
-/// The committed document, and what is needed to deliver it to the members.
+/// The committed document, and the views and frames for its delivery to the members.
 pub(super) struct Configuration {
     pub document: Option<Document>,
     pub table: RoutingTable,
-    /// The newest views, oldest first: a member that has one of them installed gets a delta.
+    /// The newest views, oldest first. A member that has installed one of them gets a delta.
     views: VecDeque<DaemonView>,
-    /// Views from before the election. They are used only once a version is committed in this term.
+    /// Views from before the election, which are used only once a version is committed in this term.
     pub earlier_views: VecDeque<DaemonView>,
-    /// The frames to the newest view, by the version that they start from.
+    /// The delta frames to the newest view, by their base version.
     delta_frames: BTreeMap<Version, LeaderToDaemon>,
     /// The frame with the complete newest view.
     full_frame: Option<LeaderToDaemon>,
-    /// The longest time-out that a request may have had under any version of this term.
+    /// The longest timeout that a request may have had under any version of this term.
     pub longest_timeout: Duration,
     pub in_force: Version,
     in_force_checked_at: MonotonicTime,
 }
 
 impl Configuration {
-    /// No document is committed in this term yet.
+    /// Creates the configuration of a term in which no document is committed yet.
     pub(super) fn new() -> Self {
         Self {
             document: None,
@@ -92,20 +92,20 @@
         }
     }
 
-    /// Whether a document evacuates a zone that the present one does not.
+    /// Whether a document evacuates a zone that the current one does not.
     fn evacuates_more(&self, document: &Document) -> bool {
         let present = self.document.as_ref();
         present.is_some_and(|present| !document.evacuated.is_subset(&present.evacuated))
     }
 
-    /// Whether a document differs from the present one only in what members do not see.
+    /// Whether a document differs from the current one only in parts that are not sent to members.
     fn is_same_for_members(&self, document: &Document) -> bool {
         self.document.as_ref().is_some_and(|present| {
             document.hidden_versions > 0 && present.view_version() == document.view_version()
         })
     }
 
-    /// Takes the document whose routing table was just built, with its view.
+    /// Installs a document and its view, after its routing table was built.
     fn install(&mut self, document: Document, view: DaemonView) {
         self.longest_timeout = self.longest_timeout.max(self.table.longest_timeout());
         self.document = Some(document);
@@ -128,7 +128,8 @@
         self.views.back().map(|view| view.version)
     }
 
-    /// The frame that brings a member from a version to the newest one. Frames are compressed once for all members.
+    /// Returns the frame that takes a member from a version to the newest one: a delta, or the complete view if the base
+    /// is not retained. Each frame is compressed once for all members.
     fn frame_from(&mut self, base_version: Version) -> Option<LeaderToDaemon> {
         let newest_view = self.views.back()?;
         let mut retained_views = self.views.iter();
@@ -142,7 +143,7 @@
         Some(frame.clone())
     }
 
-    /// The frame with the complete newest version.
+    /// Returns the frame with the complete newest view.
     fn full_frame(&mut self) -> Option<LeaderToDaemon> {
         let newest_view = self.views.back()?;
         let frame = self
@@ -153,7 +154,7 @@
 }
 
 impl LeaderState {
-    /// Takes a committed document and pushes it to every member.
+    /// Installs a committed document and pushes it to every member.
     pub fn committed(&mut self, document: Document) {
         let is_evacuation = self.configuration.evacuates_more(&document);
         if self.configuration.document.is_none() {
@@ -189,7 +190,7 @@
         self.hand_over_evacuated();
     }
 
-    /// Members in evacuated zones take no functions.
+    /// Updates the eligibility of members. Members in evacuated zones are not eligible for functions.
     fn update_eligibility(&mut self) {
         let obeys_evacuation = self.rules.enforces(Rule::EvacuationObeyed);
         for record in self.members.records_mut() {
@@ -203,7 +204,7 @@
         }
     }
 
-    /// Warns operators when what is reserved will hardly fit on the workers that remain.
+    /// Warns operators when the reserved memory will hardly fit on the workers that remain usable.
     fn warn_of_low_capacity(&mut self) {
         let needed_mb: u64 = self.reserved_mb().values().sum();
         let remaining_mb: u64 = self
@@ -221,7 +222,7 @@
         }
     }
 
-    /// Brings a member to the newest version, with a delta if it has one of the retained versions.
+    /// Pushes the newest version to a member, as a delta if the member has one of the retained versions.
     pub(super) fn push_newest(&mut self, stream: StreamId) {
         let Some(version) = self.configuration.newest_version() else {
             return;
@@ -245,14 +246,14 @@
         self.send_frame(stream, frame);
     }
 
-    /// A delta did not fit what the member has: it gets the complete document.
+    /// Sends the complete document to a member that could not apply a delta.
     pub(super) fn push_full_document(&mut self, stream: StreamId) {
         if let Some(frame) = self.configuration.full_frame() {
             self.send_frame(stream, frame);
         }
     }
 
-    /// Notes when the newest version is in force: every member that may use a session lease has installed it.
+    /// Records when the newest version is in force: every member that may still use a session lease has installed it.
     pub(super) fn update_in_force(&mut self, now: MonotonicTime) {
         let Some(version) = self
             .configuration
@@ -280,12 +281,12 @@
         }
     }
 
-    /// The committed document.
+    /// Returns the committed document.
     pub fn document(&self) -> Option<&Document> {
         self.configuration.document.as_ref()
     }
 
-    /// The members that have not installed a version, and why, as far as the leader can see.
+    /// Returns the members that have not installed a version, and why, as far as the leader can see.
     pub fn laggards(&self, now: MonotonicTime, version: Version) -> Vec<Laggard> {
         self.members
             .iter()
