--- a/crates/controlplane/src/leader_state/fence.rs
+++ b/crates/controlplane/src/leader_state/fence.rs
@@ -1,4 +1,4 @@
-//! Fencing: what a lost holder's lease covers is orphaned or stopped before the function is leased again.
+//! Fencing: the runners of a lost holder are orphaned or stopped before the function is leased again.
 
 use super::function_leases::OrderAuthority;
 use super::reservations::Reservation;
@@ -12,30 +12,29 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// Where the rule is lifted that a session lease is waited out, a holder counts as lost this long after it was
-/// heard.
+/// Time without contact after which a holder counts as lost, if the rule that session leases are waited out is lifted.
 const UNSAFE_EXPIRY_AFTER: Duration = Duration::from_millis(400);
 
-/// Without a member to sweep, the next sweep is due after this; a member that joins schedules one.
+/// Interval until the next sweep if no member is left to sweep. A member that joins schedules one earlier.
 const IDLE_SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The name under which the leader stops a runner of a function that no daemon is known to have held.
+/// Holder name in orders to stop a runner of a function that no daemon is known to have held.
 const LEADER_AS_HOLDER: &str = "leader";
 
-/// Orphans and stops that wait for their time are checked this often.
+/// Interval between checks for expired orphans and unconfirmed stops.
 const CHECK_INTERVAL: Duration = Duration::from_millis(40);
 
-/// The functions whose leases are being fenced, and when to look for more.
+/// The functions whose leases are being fenced, and when to check for more.
 pub(super) struct Fencing {
     functions: BTreeSet<FunctionKey>,
     pub check_due: bool,
     checked_at: MonotonicTime,
-    /// Before this no member's lease ends that has not been is_expiry_handled yet.
+    /// No member's session lease whose end is still to be handled ends before this.
     next_sweep_at: MonotonicTime,
 }
 
 impl Fencing {
-    /// Nothing is fenced; the first check is due at once.
+    /// Creates the state without fenced functions. The first check is due immediately.
     pub(super) fn new() -> Self {
         Self {
             functions: BTreeSet::new(),
@@ -45,20 +44,20 @@
         }
     }
 
-    /// The lease of the function has ended.
+    /// Removes a function whose lease has ended.
     pub(super) fn finish(&mut self, function: &FunctionKey) {
         self.functions.remove(function);
     }
 
-    /// A session lease may end earlier than was known, or has begun: the next sweep is due.
+    /// Makes the next sweep due immediately, because a session lease has begun or may end earlier than expected.
     pub(super) fn schedule_sweep(&mut self) {
         self.next_sweep_at = MonotonicTime::ZERO;
     }
 }
 
 impl LeaderState {
-    /// Ends the leases of lost holders: their runners wait for the next holder, or are stopped through the
-    /// platform. No function is leased again before that.
+    /// Ends the leases of lost holders. Their runners are orphaned or stopped by the platform, and no function is leased
+    /// again before that.
     pub(super) fn progress_fencing(&mut self, now: MonotonicTime) {
         if !self.claims.is_reached {
             return;
@@ -76,8 +75,8 @@
         }
     }
 
-    /// Fences what members hold whose session leases have ended. Members are looked through only when a lease
-    /// can have ended since: an input must not cost in proportion to their number.
+    /// Fences the functions of members whose session leases have ended. Members are scanned only when a lease can have
+    /// ended since the last scan, because the cost of an input must not grow with their number.
     fn sweep_expired_leases(&mut self, now: MonotonicTime) {
         let waits_out_leases = self.rules.enforces(Rule::LeaseExpiredBeforeRegrant);
         if waits_out_leases && now < self.fencing.next_sweep_at {
@@ -132,7 +131,7 @@
         }
     }
 
-    /// The holder has lost the function: each of its runners is orphaned or stopped.
+    /// Begins to fence the lease of a holder that has lost the function: each of its runners is orphaned or stopped.
     pub(super) fn begin_fencing(&mut self, now: MonotonicTime, function: &FunctionKey) {
         let Some(entry) = self.lease_records.get_mut(function) else {
             return;
@@ -158,7 +157,7 @@
         }
     }
 
-    /// Orphans a runner that nobody holds if the next holder can adopt it; stops it if not.
+    /// Orphans a runner without a holder if the next holder can adopt it, and otherwise stops it.
     pub(super) fn orphan_or_stop(&mut self, now: MonotonicTime, runner: RunnerId) {
         let Some(reservation) = self.reservations.get(runner) else {
             return;
@@ -183,7 +182,7 @@
         }
     }
 
-    /// Stops orphaned runners that nobody has adopted in time.
+    /// Stops orphaned runners that were not adopted in time.
     fn stop_expired_orphans(&mut self, now: MonotonicTime) {
         let orphan_timeout = self.timing.orphan_timeout;
         let reached_at = self.claims.reached_at;
@@ -206,7 +205,7 @@
         }
     }
 
-    /// Orders stops again that were not confirmed in time.
+    /// Repeats stop orders that were not confirmed in time.
     fn retry_stops(&mut self, now: MonotonicTime) {
         let stop_retry_after = self.timing.stop_retry_after;
         let overdue_runners: Vec<RunnerId> = self
@@ -255,9 +254,9 @@
         }
     }
 
-    /// In whose name a runner of a function is stopped. The platform must neither see two holders under one fencing token
-    /// nor a token below one that it has seen: a stop goes out under the function's own lease, else under its last one,
-    /// and only where none is known under a new token of the leader's.
+    /// Returns the authority for stopping a runner of a function. The platform must see neither two holders under one
+    /// fencing token nor a token lower than one that it has seen. A stop is therefore ordered under the function's
+    /// current lease, else under its last one, and under a new token of the leader only if neither is known.
     fn stop_authority(&mut self, function: &FunctionKey) -> OrderAuthority {
         self.lease_records
             .order_authority(function)
@@ -267,7 +266,7 @@
             })
     }
 
-    /// Ends each fenced lease whose runners are all orphaned or have surely stopped.
+    /// Ends each fenced lease whose runners are all orphaned or confirmed as stopped.
     fn clear_fenced(&mut self, now: MonotonicTime) {
         if self.fencing.functions.is_empty() {
             return;
@@ -299,7 +298,7 @@
         }
     }
 
-    /// The platform has confirmed that a runner is stopped and will never start.
+    /// Handles the platform's confirmation that a runner has stopped and will never start.
     pub fn runner_stopped(&mut self, runner: RunnerId) {
         let runner = self.reservations.current_name(runner);
         self.acquisitions.check_due = true;
@@ -314,7 +313,7 @@
         }
     }
 
-    /// A runner is gone without an order of its holder: the holder is notified, and the memory is free.
+    /// Handles a runner that has ended without an order: its memory is freed and its holder is notified.
     pub(super) fn runner_vanished(&mut self, runner: RunnerId) {
         let Some(reservation) = self.reservations.get(runner) else {
             return;
