--- a/crates/controlplane/src/leader_state/renewals.rs
+++ b/crates/controlplane/src/leader_state/renewals.rs
@@ -1,5 +1,5 @@
-//! Renewals of session leases. Each waits for a heartbeat round that a majority answered after the request: only
-//! then is this controller surely still the leader, and the lease counts from the start of that round.
+//! Renewals of session leases. Each renewal waits for a recent heartbeat round that a majority answered, which proves
+//! that this controller was still the leader. The lease counts from the start of that round.
 
 use super::{LeaderState, QuorumProof, StreamId};
 use common::clock::MonotonicTime;
@@ -8,11 +8,11 @@
 use common::rules::Rule;
 use std::time::Duration;
 
-/// A renewal waits for a proof that is older than its request by at most this.
+/// Maximum age of the quorum proof relative to the request that it is used for.
 const MAX_PROOF_AGE: Duration = Duration::from_millis(20);
-/// A renewal that has waited this long takes the proof there is.
+/// Time after which a waiting renewal uses the newest proof available.
 const PROOF_WAIT_TIMEOUT: Duration = Duration::from_millis(60);
-/// Waiting renewals are looked at again this often although no newer proof has come.
+/// Interval between checks of waiting renewals when no newer proof has arrived.
 const CHECK_INTERVAL: Duration = Duration::from_millis(5);
 
 /// A renewal that a member requested.
@@ -23,7 +23,7 @@
     pub needs_proof: bool,
 }
 
-/// The renewals that are not answered yet.
+/// Renewals that have not been answered yet.
 #[derive(Default)]
 pub(super) struct Renewals {
     new_renewals: Vec<WaitingRenewal>,
@@ -40,22 +40,23 @@
         self.waiting.retain(|renewal| renewal.stream != stream);
     }
 
-    /// Something has changed that renewals may wait for.
+    /// Schedules a check because something that renewals may wait for has changed.
     pub(super) fn schedule_check(&mut self) {
         self.is_check_due = true;
     }
 
-    /// Whether one waits for a newer proof of the majority.
+    /// Whether a renewal waits for a newer proof from the majority.
     pub(super) fn needs_proof(&self) -> bool {
         self.waiting.iter().any(|renewal| renewal.needs_proof)
     }
 
-    /// Whether nothing waits.
+    /// Whether no renewal is waiting.
     pub(super) fn is_empty(&self) -> bool {
         self.new_renewals.is_empty() && self.waiting.is_empty()
     }
 
-    /// Those to be decided now: the new ones at once, the others when something has changed.
+    /// Takes the renewals to decide now: new ones immediately, waiting ones when something has changed or the check
+    /// interval has passed.
     fn take_due(&mut self, now: MonotonicTime, proof: MonotonicTime) -> Vec<WaitingRenewal> {
         let is_due = std::mem::take(&mut self.is_check_due)
             || proof != self.checked_proof
@@ -73,7 +74,7 @@
 }
 
 impl LeaderState {
-    /// A member requests a renewal, and reports the version that it has installed.
+    /// Handles a member's request for a renewal, which reports the version that it has installed.
     pub(super) fn handle_renew(
         &mut self,
         now: MonotonicTime,
@@ -92,7 +93,7 @@
         self.renewals.new_renewals.push(renewal);
     }
 
-    /// Answers each renewal that can be answered now.
+    /// Answers the renewals that can be answered now.
     pub(super) fn answer_renewals(&mut self, now: MonotonicTime, proof: &QuorumProof<'_>) {
         let Some(committed_version) = self
             .configuration
--- a/crates/controlplane/src/leader_state/report.rs
+++ b/crates/controlplane/src/leader_state/report.rs
@@ -1,4 +1,4 @@
-//! Reports on the leader's state for operators. The keys are part of their interface and stay as they are.
+//! Reports on the leader's state for operators. The JSON keys are part of the operator interface and must not change.
 
 use super::LeaderState;
 use super::function_leases::LeaseRecord;
@@ -12,7 +12,7 @@
 use serde::Serialize;
 use std::collections::BTreeSet;
 
-/// A list of the leader's, in the form that operators read.
+/// A report in the form that operators read.
 #[derive(Clone, Debug, Serialize)]
 #[serde(untagged)]
 pub enum LeaderReport {
@@ -26,12 +26,12 @@
     Runners(RunnersReport),
 }
 
-/// The members.
+/// Report on the members.
 #[derive(Clone, Debug, Serialize)]
 pub struct MembersReport {
-    /// One row for each member, by its name and incarnation.
+    /// One row for each incarnation, ordered by member name and incarnation.
     pub members: Vec<MemberRow>,
-    /// Whether the claims quorum stands, so that leases are issued.
+    /// Whether the claims quorum is reached, so that leases are granted.
     pub open: bool,
 }
 
@@ -47,10 +47,10 @@
     /// Its zone.
     #[serde(rename = "locality", serialize_with = "json_form::text")]
     pub zone: Zone,
-    /// Where other processes reach it.
+    /// Address at which other processes reach it.
     #[serde(rename = "place", serialize_with = "json_form::text")]
     pub address: SocketAddress,
-    /// Where it listens for callers.
+    /// Address on which it listens for callers.
     #[serde(rename = "door", serialize_with = "json_form::text")]
     pub ingress: SocketAddress,
     /// Whether its stream is open.
@@ -66,14 +66,14 @@
     /// The newest version that it has installed.
     #[serde(serialize_with = "json_form::number")]
     pub installed: Version,
-    /// Whether it has claimed what it holds from earlier leaders.
+    /// Whether it has reported what it holds from earlier leaders.
     pub claimed: bool,
 }
 
-/// The function leases.
+/// Report on the function leases.
 #[derive(Clone, Debug, Serialize)]
 pub struct HoldersReport {
-    /// One row for each lease, by its function.
+    /// One row for each lease, ordered by function.
     pub holders: Vec<HolderRow>,
 }
 
@@ -89,7 +89,7 @@
     /// The lease's fencing token.
     #[serde(rename = "grant", serialize_with = "json_form::number")]
     pub fencing_token: FencingToken,
-    /// Whether the lease is over and what it left is being stopped.
+    /// Whether the lease is being fenced: it is over, and its runners are being orphaned or stopped.
     pub fencing: bool,
     /// Whether the holder is handing the function over.
     pub handing_over: bool,
@@ -98,10 +98,10 @@
     pub runners: Vec<RunnerId>,
 }
 
-/// The workers.
+/// Report on the workers.
 #[derive(Clone, Debug, Serialize)]
 pub struct WorkersReport {
-    /// One row for each worker, by its name.
+    /// One row for each worker, ordered by name.
     pub workers: Vec<WorkerRow>,
 }
 
@@ -116,13 +116,13 @@
     pub zone: Zone,
     /// Its memory in MiB.
     pub memory_mb: u32,
-    /// What is reserved of it, in MiB.
+    /// Its reserved memory in MiB.
     pub reserved_mb: u64,
-    /// Whether the platform is emptying it.
+    /// Whether the platform is draining it.
     pub draining: bool,
 }
 
-/// The runners.
+/// Report on the runners.
 #[derive(Clone, Debug, Serialize)]
 pub struct RunnersReport {
     /// One row for each runner.
@@ -143,14 +143,14 @@
     pub worker: WorkerName,
     /// Its memory in MiB.
     pub memory_mb: u32,
-    /// Whether it takes requests.
+    /// Whether it accepts requests.
     pub ready: bool,
-    /// Whether it is to stop.
+    /// Whether it is being drained.
     pub draining: bool,
-    /// Whether its holder is gone.
+    /// Whether it has lost its holder and waits for adoption.
     #[serde(rename = "left")]
     pub is_orphaned: bool,
-    /// The platform's name of it, once it has one.
+    /// The platform's name for it, once known.
     #[serde(rename = "life", serialize_with = "json_form::optional_text")]
     pub instance: Option<InstanceId>,
 }
@@ -192,7 +192,7 @@
 }
 
 impl LeaderState {
-    /// The members, as operators read them.
+    /// Returns the report on members.
     pub fn report_members(&self, now: MonotonicTime) -> MembersReport {
         let members = self
             .members
@@ -205,7 +205,7 @@
         }
     }
 
-    /// The function leases, as operators read them.
+    /// Returns the report on function leases.
     pub fn report_holders(&self) -> HoldersReport {
         let holders = self
             .lease_records
@@ -227,7 +227,7 @@
         }
     }
 
-    /// The workers, as operators read them.
+    /// Returns the report on workers.
     pub fn report_workers(&self) -> WorkersReport {
         let reserved_mb_sums = self.reserved_mb();
         let workers = self
@@ -244,7 +244,7 @@
         WorkersReport { workers }
     }
 
-    /// The runners, as operators read them.
+    /// Returns the report on runners.
     pub fn report_runners(&self) -> RunnersReport {
         let runners = self
             .reservations
@@ -254,7 +254,7 @@
         RunnersReport { runners }
     }
 
-    /// Counts for the metrics: open streams, function leases, runners, workers in use.
+    /// Returns the counts for the metrics: open streams, function leases, runners and workers in use.
     pub fn counts(&self) -> [(&'static str, u64); 4] {
         [
             ("members", self.members.open_stream_count() as u64),
@@ -264,7 +264,7 @@
         ]
     }
 
-    /// Every zone with a member or a worker.
+    /// Returns every zone that has a member or a worker.
     pub fn known_zones(&self) -> BTreeSet<Zone> {
         let member_zones = self
             .members
