--- a/crates/controlplane/src/leader_state/acquisitions.rs
+++ b/crates/controlplane/src/leader_state/acquisitions.rs
@@ -317,7 +317,7 @@
             self.rules,
             Invariant::GrantedAfterClaims,
             is_awaited,
-            || format!("{function} is granted before the claims quorum stands"),
+            || format!("{function} was granted before the claims quorum was reached"),
         );
     }
 }
--- a/crates/controlplane/src/leader_state/lease_end.rs
+++ b/crates/controlplane/src/leader_state/lease_end.rs
@@ -94,7 +94,11 @@
             self.rules,
             Invariant::GrantedAfterLease,
             has_lease_ended,
-            || format!("{function} is free for the next lease before its holder's lease has ended"),
+            || {
+                format!(
+                    "{function} can be leased again before its holder's session lease has ended"
+                )
+            },
         );
         let previous_lease = ended_lease
             .filter(|entry| entry.complete)
