--- a/crates/controlplane/src/leader_state/acquisitions.rs
+++ b/crates/controlplane/src/leader_state/acquisitions.rs
@@ -216,7 +216,7 @@
         }
         let is_answerable = holder_record.stream.is_some()
             && now < holder_record.lease_expires_at
-            && now.since(holder_record.last_heard_at) < STALE_HOLDER_AFTER
+            && now.since(holder_record.last_contact_at) < STALE_HOLDER_AFTER
             && holder_record.is_self_eligible;
         is_answerable.then(|| AcquireResult::Owner {
             host: holder_record.host.clone(),
--- a/crates/controlplane/src/leader_state/claims.rs
+++ b/crates/controlplane/src/leader_state/claims.rs
@@ -172,7 +172,7 @@
             let claimed_bound = self.elected_at + self.timing.full_lease_wait();
             record.lease_expiry_bound = record.lease_expiry_bound.max(claimed_bound);
             record.is_expiry_handled = false;
-            record.last_heard_at = now;
+            record.last_contact_at = now;
         }
         self.fencing.schedule_sweep();
         for listed in claim.runners.0 {
--- a/crates/controlplane/src/leader_state/fence.rs
+++ b/crates/controlplane/src/leader_state/fence.rs
@@ -87,7 +87,7 @@
             .iter()
             .filter(|(_, record)| {
                 let is_early =
-                    !waits_out_leases && now.since(record.last_heard_at) > UNSAFE_EXPIRY_AFTER;
+                    !waits_out_leases && now.since(record.last_contact_at) > UNSAFE_EXPIRY_AFTER;
                 !record.is_expiry_handled && (now >= record.lease_expiry_bound || is_early)
             })
             .map(|(known_member, _)| known_member.clone())
--- a/crates/controlplane/src/leader_state/member_sessions.rs
+++ b/crates/controlplane/src/leader_state/member_sessions.rs
@@ -177,7 +177,7 @@
             .filter(|(_, record)| {
                 record.stream.is_none()
                     && now >= record.lease_expiry_bound
-                    && (record.has_departed || now.since(record.last_heard_at) > forget_after)
+                    && (record.has_departed || now.since(record.last_contact_at) > forget_after)
             })
             .map(|(known_member, _)| known_member.clone())
             .filter(|known_member| !self.lease_records.holds_any(known_member))
--- a/crates/controlplane/src/leader_state/members.rs
+++ b/crates/controlplane/src/leader_state/members.rs
@@ -32,7 +32,7 @@
     /// Whether it has reported what it holds from earlier leaders.
     pub claimed: bool,
     /// When it last sent a `Hello`, claimed a function or renewed its lease.
-    pub last_heard_at: MonotonicTime,
+    pub last_contact_at: MonotonicTime,
     /// Whether the functions that it held were fenced after the end of its lease.
     pub is_expiry_handled: bool,
     pub joined_at: MonotonicTime,
@@ -61,7 +61,7 @@
             installed: hello.version,
             pushed: hello.version,
             claimed: false,
-            last_heard_at: now,
+            last_contact_at: now,
             is_expiry_handled: false,
             joined_at: now,
             started_at: hello.history.started_at,
@@ -86,7 +86,7 @@
         self.ingress = hello.ingress;
         self.installed = hello.version;
         self.pushed = hello.version;
-        self.last_heard_at = now;
+        self.last_contact_at = now;
         self.last_frame_at = now;
         self.pushed_hosts_number = 0;
         self.has_departed = false;
--- a/crates/controlplane/src/leader_state/renewals.rs
+++ b/crates/controlplane/src/leader_state/renewals.rs
@@ -142,7 +142,7 @@
         record.had_lease = true;
         record.lease_expires_at = record.lease_expires_at.max(lease_expires_at);
         record.lease_expiry_bound = record.lease_expiry_bound.max(lease_expiry_bound);
-        record.last_heard_at = now;
+        record.last_contact_at = now;
         record.is_expiry_handled = false;
         let lease_ms = lease_expires_at.since(renewal.requested_at).as_millis() as u32;
         let correlation = renewal.correlation;
