--- a/crates/controlplane/tests/leader_state/harness.rs
+++ b/crates/controlplane/tests/leader_state/harness.rs
@@ -62,7 +62,7 @@
     pub fn with_one_daemon() -> Self {
         let mut harness = Self::new(&["a"]);
         harness.join(1, "a", vec![]);
-        harness.listed(&[]);
+        harness.list_runners(&[]);
         harness.advance(ms(10));
         harness
     }
@@ -72,7 +72,7 @@
         let mut harness = Self::new(&["a", "b"]);
         harness.join(1, "a", claims);
         harness.join(2, "b", vec![]);
-        harness.listed(&[]);
+        harness.list_runners(&[]);
         harness.advance(ms(10));
         harness
     }
@@ -96,11 +96,11 @@
 
     /// Lets a daemon join, claim and ask for its session lease.
     pub fn join(&mut self, stream: u64, name: &str, claims: Vec<Claim>) {
-        self.join_on(stream, name, 0, claims);
+        self.join_with_link(stream, name, 0, claims);
     }
 
     /// Lets a daemon join whose link has this width.
-    pub fn join_on(&mut self, stream: u64, name: &str, link_mbps: u32, claims: Vec<Claim>) {
+    pub fn join_with_link(&mut self, stream: u64, name: &str, link_mbps: u32, claims: Vec<Claim>) {
         let host = Host {
             member: name.into(),
             incarnation: 1.into(),
@@ -130,12 +130,12 @@
     }
 
     /// Hands over the platform's list of runners, as it is now.
-    pub fn listed(&mut self, listed_runners: &[ListedRunner]) {
+    pub fn list_runners(&mut self, listed_runners: &[ListedRunner]) {
         self.leader_state.runners_listed(self.now, listed_runners);
     }
 
     /// Hands over the platform's list of workers.
-    pub fn workers_listed(&mut self, workers: &[ListedWorker]) {
+    pub fn list_workers(&mut self, workers: &[ListedWorker]) {
         self.leader_state.workers_listed(workers.to_vec());
     }
 
@@ -150,16 +150,16 @@
     }
 
     /// Takes the report back.
-    pub fn refute(&mut self, stream: u64, incarnation: MemberIncarnation) {
+    pub fn clear_suspicion(&mut self, stream: u64, incarnation: MemberIncarnation) {
         self.send(stream, DaemonToLeader::MemberRecovered { incarnation });
     }
 
     /// Asks for the lease of the function.
     pub fn acquire(&mut self, stream: u64) {
-        self.acquire_of(stream, function());
+        self.send_acquire(stream, function());
     }
 
-    fn acquire_of(&mut self, stream: u64, function: FunctionKey) {
+    fn send_acquire(&mut self, stream: u64, function: FunctionKey) {
         let frame = DaemonToLeader::Acquire {
             correlation: CorrelationId(9),
             function,
@@ -168,15 +168,15 @@
     }
 
     /// Acquires the lease of a function, which must be free.
-    pub fn granted(&mut self, stream: u64, name: &str) -> FencingToken {
-        self.granted_under(stream, function_named(name))
+    pub fn acquire_lease(&mut self, stream: u64, name: &str) -> FencingToken {
+        self.acquire_lease_for_key(stream, function_named(name))
     }
 
     /// Acquires the lease of a key, which must be free.
-    pub fn granted_under(&mut self, stream: u64, function: FunctionKey) -> FencingToken {
-        self.acquire_of(stream, function);
+    pub fn acquire_lease_for_key(&mut self, stream: u64, function: FunctionKey) -> FencingToken {
+        self.send_acquire(stream, function);
         self.advance(ms(10));
-        match self.acquired() {
+        match self.acquire_result() {
             Some(AcquireResult::Granted { fencing_token, .. }) => fencing_token,
             other => panic!("not granted: {other:?}"),
         }
@@ -189,11 +189,11 @@
         name: &str,
         fencing_token: FencingToken,
     ) -> ReserveResult {
-        self.reserve_under(stream, function_named(name), fencing_token)
+        self.reserve_for_key(stream, function_named(name), fencing_token)
     }
 
     /// Asks for memory for one more runner of a key.
-    pub fn reserve_under(
+    pub fn reserve_for_key(
         &mut self,
         stream: u64,
         function: FunctionKey,
@@ -222,7 +222,7 @@
     }
 
     /// The reply to the first acquisition that was replied to in the last step.
-    pub fn acquired(&self) -> Option<AcquireResult> {
+    pub fn acquire_result(&self) -> Option<AcquireResult> {
         self.frames().find_map(|(_, frame)| match frame {
             LeaderToDaemon::Acquired { result, .. } => Some(result.clone()),
             _ => None,
@@ -231,17 +231,17 @@
 
     /// Whether an acquisition got its lease in the last step.
     pub fn is_granted(&self) -> bool {
-        matches!(self.acquired(), Some(AcquireResult::Granted { .. }))
+        matches!(self.acquire_result(), Some(AcquireResult::Granted { .. }))
     }
 
     /// Whether an acquisition was told the holder in the last step.
     pub fn names_holder(&self) -> bool {
-        matches!(self.acquired(), Some(AcquireResult::Owner { .. }))
+        matches!(self.acquire_result(), Some(AcquireResult::Owner { .. }))
     }
 
     /// The runners adopted with the lease that was granted in the last step.
-    pub fn adopted(&self) -> Vec<ClaimedRunner> {
-        match self.acquired() {
+    pub fn adopted_runners(&self) -> Vec<ClaimedRunner> {
+        match self.acquire_result() {
             Some(AcquireResult::Granted { adopted, .. }) => adopted.0,
             other => panic!("not granted: {other:?}"),
         }
@@ -255,7 +255,7 @@
     }
 
     /// Whether the platform's lists were asked for in the last step.
-    pub fn requests_lists(&self) -> bool {
+    pub fn has_requested_lists(&self) -> bool {
         self.outputs
             .iter()
             .any(|output| matches!(output, LeaderOutput::RequestLists))
@@ -273,7 +273,7 @@
     }
 
     /// The runners that the platform is to stop.
-    pub fn stops(&self) -> Vec<RunnerId> {
+    pub fn stopped_runners(&self) -> Vec<RunnerId> {
         let orders = self.stop_orders().into_iter();
         orders.map(|order| order.runner).collect()
     }
--- a/crates/controlplane/tests/leader_state/hosts.rs
+++ b/crates/controlplane/tests/leader_state/hosts.rs
@@ -57,7 +57,7 @@
         suspected_sent(&harness),
         some(elements_are![eq(&suspect())])
     )?;
-    harness.refute(1, suspect());
+    harness.clear_suspicion(1, suspect());
     harness.advance(ms(200));
     verify_that!(suspected_sent(&harness), some(is_empty()))?;
     let earlier_incarnation = MemberIncarnation {
--- a/crates/controlplane/tests/leader_state/leases.rs
+++ b/crates/controlplane/tests/leader_state/leases.rs
@@ -16,11 +16,11 @@
     harness.acquire(1);
     harness.advance(ms(100));
     verify_that!(harness.leader_state.is_claims_quorum_reached(), eq(false))?;
-    verify_that!(harness.acquired(), none())?;
+    verify_that!(harness.acquire_result(), none())?;
     harness.join(3, "c", vec![]);
     harness.advance(ms(100));
     verify_that!(harness.leader_state.is_claims_quorum_reached(), eq(false))?;
-    harness.listed(&[]);
+    harness.list_runners(&[]);
     harness.advance(ms(100));
     verify_that!(harness.is_granted(), eq(true))
 }
@@ -32,10 +32,10 @@
     harness.acquire(1);
     harness.advance(ms(2500));
     let listed = [listed_instance(leaving)];
-    harness.listed(&listed);
+    harness.list_runners(&listed);
     harness.advance(ms(700));
     verify_that!(harness.leader_state.is_claims_quorum_reached(), eq(false))?;
-    harness.listed(&listed);
+    harness.list_runners(&listed);
     harness.advance(ms(10));
     verify_that!(harness.leader_state.is_claims_quorum_reached(), eq(true))?;
     Ok(harness)
@@ -44,12 +44,12 @@
 #[gtest]
 fn after_the_full_wait_an_unclaimed_runner_is_adopted_with_the_lease() -> Result<()> {
     let harness = after_the_full_wait(false)?;
-    verify_that!(harness.stops(), is_empty())?;
+    verify_that!(harness.stopped_runners(), is_empty())?;
     let Some(AcquireResult::Granted {
         fencing_token,
         adopted,
         ..
-    }) = harness.acquired()
+    }) = harness.acquire_result()
     else {
         return fail!("not granted");
     };
@@ -61,9 +61,9 @@
 #[gtest]
 fn after_the_full_wait_an_unclaimed_runner_that_leaves_is_stopped_before_the_lease() -> Result<()> {
     let mut harness = after_the_full_wait(true)?;
-    verify_that!(harness.stops().len(), eq(1))?;
-    verify_that!(harness.acquired(), none())?;
-    let stopped = harness.stops()[0];
+    verify_that!(harness.stopped_runners().len(), eq(1))?;
+    verify_that!(harness.acquire_result(), none())?;
+    let stopped = harness.stopped_runners()[0];
     harness.leader_state.runner_stopped(stopped);
     harness.advance(ms(10));
     verify_that!(harness.is_granted(), eq(true))
@@ -74,12 +74,12 @@
     let mut harness = Harness::new(&["a", "b"]);
     harness.join(1, "a", vec![claim(true)]);
     harness.join(2, "b", vec![]);
-    harness.listed(&[]);
+    harness.list_runners(&[]);
     harness.acquire(2);
     harness.advance(ms(10));
     verify_that!(harness.leader_state.is_claims_quorum_reached(), eq(true))?;
-    verify_that!(harness.acquired(), none())?;
-    verify_that!(harness.stops(), elements_are![eq(&old_runner())])?;
+    verify_that!(harness.acquire_result(), none())?;
+    verify_that!(harness.stopped_runners(), elements_are![eq(&old_runner())])?;
     harness.leader_state.runner_stopped(old_runner());
     harness.advance(ms(10));
     verify_that!(harness.is_granted(), eq(true))
@@ -90,10 +90,10 @@
     let mut harness = Harness::new(&["a"]);
     harness.advance(ms(1500));
     harness.join(1, "a", vec![]);
-    harness.listed(&[]);
+    harness.list_runners(&[]);
     harness.acquire(1);
     harness.advance(ms(10));
-    let Some(AcquireResult::Granted { once_wait_ms, .. }) = harness.acquired() else {
+    let Some(AcquireResult::Granted { once_wait_ms, .. }) = harness.acquire_result() else {
         return fail!("not granted");
     };
     let lease_length = LeaderTiming::builder().build().lease_length;
@@ -106,7 +106,7 @@
     let mut harness = Harness::new(&["a", "b"]);
     harness.join(1, "a", vec![claim(false)]);
     harness.join(2, "b", vec![]);
-    harness.listed(&[]);
+    harness.list_runners(&[]);
     harness.advance(ms(10));
     harness.acquire(2);
     harness.advance(ms(10));
@@ -114,11 +114,11 @@
     harness.advance(ms(1500));
     harness.acquire(2);
     harness.advance(ms(10));
-    verify_that!(harness.acquired(), none())?;
-    verify_that!(harness.stops(), is_empty())?;
+    verify_that!(harness.acquire_result(), none())?;
+    verify_that!(harness.stopped_runners(), is_empty())?;
     harness.renew(2);
     harness.advance(ms(1200));
-    verify_that!(harness.stops(), elements_are![eq(&old_runner())])?;
+    verify_that!(harness.stopped_runners(), elements_are![eq(&old_runner())])?;
     harness.renew(2);
     harness.leader_state.runner_stopped(old_runner());
     harness.advance(ms(10));
--- a/crates/controlplane/tests/leader_state/membership.rs
+++ b/crates/controlplane/tests/leader_state/membership.rs
@@ -76,11 +76,11 @@
     join_as(&mut harness, 1, ("a", 1), 1, 5000, true);
     join_as(&mut harness, 2, ("b", 2), 1, 5000, true);
     harness.advance(ms(2150));
-    harness.listed(&[]);
+    harness.list_runners(&[]);
     harness.advance(ms(10));
     verify_that!(harness.leader_state.is_claims_quorum_reached(), eq(false))?;
     harness.advance(ms(450));
-    harness.listed(&[]);
+    harness.list_runners(&[]);
     harness.advance(ms(10));
     verify_that!(harness.leader_state.is_claims_quorum_reached(), eq(true))
 }
@@ -90,23 +90,23 @@
 fn an_unclaimed_instance_is_adopted_from_the_first_complete_list() -> Result<()> {
     let mut harness = elected_with_membership(&[("a", 1)]);
     harness.advance(ms(10));
-    verify_that!(harness.requests_lists(), eq(true))?;
+    verify_that!(harness.has_requested_lists(), eq(true))?;
     harness.advance(ms(190));
     join_as(&mut harness, 1, ("a", 1), 9, 1000, false);
     harness.acquire(1);
     harness.advance(ms(10));
     verify_that!(harness.leader_state.is_claims_quorum_reached(), eq(true))?;
-    verify_that!(harness.requests_lists(), eq(true))?;
+    verify_that!(harness.has_requested_lists(), eq(true))?;
     harness
         .leader_state
         .runners_listed(ELECTED - ms(301), &[listed_instance(false)]);
     harness.advance(ms(30));
-    verify_that!(harness.acquired(), none())?;
+    verify_that!(harness.acquire_result(), none())?;
     harness
         .leader_state
         .runners_listed(ELECTED - ms(300), &[listed_instance(false)]);
     harness.advance(ms(30));
-    verify_that!(harness.adopted().len(), eq(1))
+    verify_that!(harness.adopted_runners().len(), eq(1))
 }
 
 /// A member with a lease from before the election may have orphaned a runner just before it.
@@ -120,12 +120,12 @@
         .runners_listed(ELECTED - ms(1), &[listed_instance(false)]);
     harness.advance(ms(30));
     verify_that!(harness.leader_state.is_claims_quorum_reached(), eq(true))?;
-    verify_that!(harness.acquired(), none())?;
+    verify_that!(harness.acquire_result(), none())?;
     harness
         .leader_state
         .runners_listed(ELECTED, &[listed_instance(false)]);
     harness.advance(ms(30));
-    verify_that!(harness.adopted().len(), eq(1))
+    verify_that!(harness.adopted_runners().len(), eq(1))
 }
 
 #[gtest]
@@ -250,11 +250,11 @@
     let mut harness = elected_with_membership(&[("a", 1), ("b", 2), ("c", 3), ("d", 4)]);
     join_as(&mut harness, 1, ("a", 1), 1, 5000, true);
     harness.advance(ms(3900));
-    harness.listed(&[]);
+    harness.list_runners(&[]);
     harness.advance(ms(50));
     verify_that!(harness.leader_state.is_claims_quorum_reached(), eq(false))?;
     harness.advance(ms(200));
-    harness.listed(&[]);
+    harness.list_runners(&[]);
     harness.advance(ms(50));
     verify_that!(harness.leader_state.is_claims_quorum_reached(), eq(true))
 }
--- a/crates/controlplane/tests/leader_state/narrow_links.rs
+++ b/crates/controlplane/tests/leader_state/narrow_links.rs
@@ -10,9 +10,9 @@
 /// A leader with one member, on a narrow link, that holds the function.
 fn granted_on_a_narrow_link() -> Harness {
     let mut harness = Harness::new(&["a"]);
-    harness.join_on(1, "a", NARROW_MBPS, vec![]);
+    harness.join_with_link(1, "a", NARROW_MBPS, vec![]);
     harness.advance(ms(100));
-    harness.listed(&[]);
+    harness.list_runners(&[]);
     harness.acquire(1);
     harness.advance(ms(100));
     harness
@@ -38,7 +38,7 @@
     let mut harness = granted_on_a_narrow_link();
     verify_that!(harness.is_granted(), eq(true))?;
     for (stream, name) in [(2, "b"), (3, "c"), (4, "d")] {
-        harness.join_on(stream, name, WIDE_MBPS, vec![]);
+        harness.join_with_link(stream, name, WIDE_MBPS, vec![]);
     }
     verify_that!(hand_overs(&mut harness), eq(1))
 }
@@ -47,7 +47,7 @@
 fn a_function_stays_on_a_narrow_link_while_too_few_wide_ones_have_joined() -> Result<()> {
     let mut harness = granted_on_a_narrow_link();
     for (stream, name) in [(2, "b"), (3, "c")] {
-        harness.join_on(stream, name, WIDE_MBPS, vec![]);
+        harness.join_with_link(stream, name, WIDE_MBPS, vec![]);
     }
     verify_that!(hand_overs(&mut harness), eq(0))
 }
@@ -55,12 +55,12 @@
 /// A leader that has just opened, with hosts on wide links, and a request from the one on a narrow link.
 fn acquisition_from_a_narrow_link() -> Harness {
     let mut harness = Harness::new(&["a"]);
-    harness.join_on(1, "a", NARROW_MBPS, vec![]);
+    harness.join_with_link(1, "a", NARROW_MBPS, vec![]);
     for (stream, name) in [(2, "b"), (3, "c"), (4, "d")] {
-        harness.join_on(stream, name, WIDE_MBPS, vec![]);
+        harness.join_with_link(stream, name, WIDE_MBPS, vec![]);
     }
     harness.advance(ms(100));
-    harness.listed(&[]);
+    harness.list_runners(&[]);
     harness.acquire(1);
     harness.advance(ms(100));
     harness
@@ -72,7 +72,7 @@
 fn an_acquisition_from_a_narrow_link_waits_for_one_from_a_wide_link() -> Result<()> {
     let mut harness = acquisition_from_a_narrow_link();
     verify_that!(harness.leader_state.is_claims_quorum_reached(), eq(true))?;
-    verify_that!(harness.acquired(), none())?;
+    verify_that!(harness.acquire_result(), none())?;
     harness.acquire(3);
     harness.advance(ms(100));
     verify_that!(harness.is_granted(), eq(true))?;
@@ -86,7 +86,7 @@
     let mut harness = acquisition_from_a_narrow_link();
     verify_that!(harness.leader_state.is_claims_quorum_reached(), eq(true))?;
     harness.advance(ms(900));
-    verify_that!(harness.acquired(), none())?;
+    verify_that!(harness.acquire_result(), none())?;
     harness.renew(1);
     harness.advance(ms(200));
     verify_that!(harness.is_granted(), eq(true))
--- a/crates/controlplane/tests/leader_state/orphans.rs
+++ b/crates/controlplane/tests/leader_state/orphans.rs
@@ -17,8 +17,8 @@
     harness.renew(2);
     harness.acquire(2);
     harness.advance(ms(10));
-    verify_that!(harness.stops(), is_empty())?;
-    let adopted_runners = harness.adopted();
+    verify_that!(harness.stopped_runners(), is_empty())?;
+    let adopted_runners = harness.adopted_runners();
     verify_that!(adopted_runners.len(), eq(1))?;
     verify_that!(adopted_runners[0].runner == old_runner(), eq(false))?;
     harness.join(3, "a", vec![adoptable_claim(true)]);
@@ -33,8 +33,8 @@
     );
     harness.acquire(3);
     harness.advance(ms(10));
-    verify_that!(harness.stops(), is_empty())?;
-    let next_adopted = harness.adopted();
+    verify_that!(harness.stopped_runners(), is_empty())?;
+    let next_adopted = harness.adopted_runners();
     verify_that!(next_adopted.len(), eq(1))?;
     verify_that!(next_adopted[0].instance.0, elements_are![eq(&instance())])
 }
@@ -42,11 +42,11 @@
 #[gtest]
 fn an_orphaned_runner_that_nobody_adopts_is_stopped() -> Result<()> {
     let mut harness = Harness::with_two_daemons(vec![adoptable_claim(true)]);
-    verify_that!(harness.stops(), is_empty())?;
+    verify_that!(harness.stopped_runners(), is_empty())?;
     harness.advance(ms(3900));
-    verify_that!(harness.stops(), is_empty())?;
+    verify_that!(harness.stopped_runners(), is_empty())?;
     harness.advance(ms(200));
-    verify_that!(harness.stops(), elements_are![eq(&old_runner())])
+    verify_that!(harness.stopped_runners(), elements_are![eq(&old_runner())])
 }
 
 #[gtest]
@@ -63,7 +63,7 @@
     harness.send(3, hello(host, 0, false));
     harness.acquire(2);
     harness.advance(ms(10));
-    verify_that!(harness.adopted().len(), eq(1))
+    verify_that!(harness.adopted_runners().len(), eq(1))
 }
 
 #[gtest]
@@ -75,11 +75,11 @@
         })
     };
     harness.advance(ms(900));
-    harness.listed(&[]);
+    harness.list_runners(&[]);
     harness.advance(ms(10));
     verify_that!(is_notified(&harness), eq(false))?;
     harness.advance(ms(200));
-    harness.listed(&[]);
+    harness.list_runners(&[]);
     harness.advance(ms(10));
     verify_that!(is_notified(&harness), eq(true))
 }
@@ -91,12 +91,12 @@
 #[gtest]
 fn a_started_runner_not_yet_reported_is_not_taken_for_an_orphan() -> Result<()> {
     let mut harness = Harness::with_two_daemons(vec![]);
-    harness.workers_listed(&[worker("w", "l", 300)]);
-    let fencing_token = harness.granted(2, "f");
+    harness.list_workers(&[worker("w", "l", 300)]);
+    let fencing_token = harness.acquire_lease(2, "f");
     let ReserveResult::Reserved { runner, .. } = harness.reserve(2, "f", fencing_token) else {
         return fail!("no room");
     };
-    harness.listed(&[listed_instance(false)]);
+    harness.list_runners(&[listed_instance(false)]);
     harness.advance(ms(10));
     verify_that!(known_runner_count(&harness), eq(1))?;
     let runner_status = RunnerStatus::Started {
@@ -110,10 +110,10 @@
             runner_status,
         },
     );
-    harness.listed(&[listed_instance(false)]);
+    harness.list_runners(&[listed_instance(false)]);
     harness.advance(ms(10));
     verify_that!(known_runner_count(&harness), eq(1))?;
-    verify_that!(harness.stops(), is_empty())
+    verify_that!(harness.stopped_runners(), is_empty())
 }
 
 /// The platform saw one fencing token from two holders, the dead daemon and "leader": review case 4, ONE.
@@ -145,12 +145,12 @@
 #[gtest]
 fn a_found_runner_is_stopped_under_the_lease_that_stands() -> Result<()> {
     let mut harness = Harness::with_two_daemons(vec![]);
-    harness.workers_listed(&[worker("w", "l", 300)]);
-    let fencing_token = harness.granted(2, "f");
+    harness.list_workers(&[worker("w", "l", 300)]);
+    let fencing_token = harness.acquire_lease(2, "f");
     harness.advance(ms(10));
     let mut order = None;
     for _ in 0..80 {
-        harness.listed(&[listed_instance(false)]);
+        harness.list_runners(&[listed_instance(false)]);
         harness.advance(ms(100));
         harness.renew(2);
         if let Some(ordered) = harness.stop_orders().first() {
@@ -169,11 +169,11 @@
 #[gtest]
 fn a_runner_without_a_known_holder_is_stopped_under_new_tokens() -> Result<()> {
     let mut harness = Harness::with_two_daemons(vec![]);
-    harness.workers_listed(&[worker("w", "l", 300)]);
+    harness.list_workers(&[worker("w", "l", 300)]);
     let mut tokens = Vec::new();
     let mut stopped = None;
     for _ in 0..120 {
-        harness.listed(&[listed_instance(false)]);
+        harness.list_runners(&[listed_instance(false)]);
         harness.advance(ms(100));
         harness.renew(2);
         for order in harness.stop_orders() {
@@ -188,6 +188,6 @@
         return fail!("no stop was ordered");
     };
     harness.leader_state.runner_stopped(runner);
-    let granted = harness.granted(2, "f");
+    let granted = harness.acquire_lease(2, "f");
     verify_that!(Some(&granted), gt(tokens.last()))
 }
--- a/crates/controlplane/tests/leader_state/placement.rs
+++ b/crates/controlplane/tests/leader_state/placement.rs
@@ -12,18 +12,18 @@
     let mut harness = Harness::new(&["daemon-1", "daemon-2"]);
     harness.join(1, "daemon-1", Vec::new());
     harness.join(2, "daemon-2", Vec::new());
-    harness.listed(&[]);
+    harness.list_runners(&[]);
     harness.advance(ms(10));
-    harness.workers_listed(&[worker("w-1", "l1", 100_000)]);
+    harness.list_workers(&[worker("w-1", "l1", 100_000)]);
     let all_regions = function();
     let west = all_regions.in_region(&"west".into());
     let fencing_tokens = [
-        harness.granted_under(1, all_regions.clone()),
-        harness.granted_under(2, west.clone()),
+        harness.acquire_lease_for_key(1, all_regions.clone()),
+        harness.acquire_lease_for_key(2, west.clone()),
     ];
     let mut reserve = |stream: u64, function: &FunctionKey| {
         let fencing_token = fencing_tokens[stream as usize - 1];
-        let answer = harness.reserve_under(stream, function.clone(), fencing_token);
+        let answer = harness.reserve_for_key(stream, function.clone(), fencing_token);
         matches!(answer, ReserveResult::Reserved { .. })
     };
     let is_given: Vec<bool> = (0..4).map(|_| reserve(1, &all_regions)).collect();
@@ -36,13 +36,13 @@
 #[gtest]
 fn a_crowded_function_gives_one_runner_up_for_a_function_that_has_none() -> Result<()> {
     let mut harness = Harness::with_one_daemon();
-    harness.workers_listed(&[worker("w", "l", 300)]);
-    let crowded_lease = harness.granted(1, "f");
+    harness.list_workers(&[worker("w", "l", 300)]);
+    let crowded_lease = harness.acquire_lease(1, "f");
     for _ in 0..3 {
         let given = harness.reserve(1, "f", crowded_lease);
         verify_that!(matches!(given, ReserveResult::Reserved { .. }), eq(true))?;
     }
-    let starved_lease = harness.granted(1, "g");
+    let starved_lease = harness.acquire_lease(1, "g");
     verify_that!(
         harness.reserve(1, "g", starved_lease),
         eq(&ReserveResult::Rejected)
@@ -70,14 +70,14 @@
     let timing = LeaderTiming::builder().spread_over_zones(false).build();
     let mut harness = Harness::with_timing(timing, &["a"]);
     harness.join(1, "a", vec![]);
-    harness.listed(&[]);
+    harness.list_runners(&[]);
     harness.advance(ms(10));
-    harness.workers_listed(&[
+    harness.list_workers(&[
         worker("far", "l9", 900),
         worker("near-1", "l1", 200),
         worker("near-2", "l1", 200),
     ]);
-    let fencing_token = harness.granted(1, "f");
+    let fencing_token = harness.acquire_lease(1, "f");
     let mut worker_names = Vec::new();
     for _ in 0..5 {
         if let ReserveResult::Reserved { worker, .. } = harness.reserve(1, "f", fencing_token) {
--- a/crates/controlplane/tests/leader_state/recorded_forms.rs
+++ b/crates/controlplane/tests/leader_state/recorded_forms.rs
@@ -23,8 +23,8 @@
         draining: true,
         ..worker("w-2", "l1", 100_000)
     };
-    harness.workers_listed(&[worker("w", "l1", 100_000), draining_worker]);
-    let fencing_token = harness.granted(2, "g");
+    harness.list_workers(&[worker("w", "l1", 100_000), draining_worker]);
+    let fencing_token = harness.acquire_lease(2, "g");
     harness.reserve(2, "g", fencing_token);
     let leader_state = &harness.leader_state;
     let known_zones: Vec<String> = leader_state
@@ -51,7 +51,7 @@
 /// Leases, suspicion and fencing on one worker that is full.
 fn events_of_leases() -> Vec<EventRecord> {
     let mut harness = Harness::with_two_daemons(vec![adoptable_claim(false)]);
-    harness.workers_listed(&[worker("w", "l1", 100)]);
+    harness.list_workers(&[worker("w", "l1", 100)]);
     harness.claim(2, vec![claim(false)]);
     let ready = DaemonToLeader::RunnerUpdate {
         function: function(),
@@ -71,7 +71,7 @@
     };
     let functions = LengthPrefixed(vec![idle]);
     harness.send(1, DaemonToLeader::Idle { functions });
-    let fencing_token = harness.granted(2, "g");
+    let fencing_token = harness.acquire_lease(2, "g");
     harness.advance(ms(1100));
     harness.reserve(2, "g", fencing_token);
     let release = DaemonToLeader::Release {
@@ -89,7 +89,7 @@
     let suspect = || first_incarnation("a");
     harness.suspect(2, suspect());
     harness.advance(ms(900));
-    harness.refute(2, suspect());
+    harness.clear_suspicion(2, suspect());
     harness.renew(2);
     harness.leader_state.stream_lost(StreamId(1));
     harness.advance(ms(900));
@@ -105,11 +105,11 @@
 fn events_of_lists() -> Vec<EventRecord> {
     let mut harness = Harness::with_two_daemons(vec![adoptable_claim(false)]);
     harness.advance(ms(1100));
-    harness.listed(&[]);
+    harness.list_runners(&[]);
     harness.advance(ms(10));
     let mut unclaimed = listed_instance(false);
     unclaimed.instance.name = "l2".into();
-    harness.listed(&[unclaimed]);
+    harness.list_runners(&[unclaimed]);
     harness.advance(ms(10));
     harness.events
 }
@@ -117,12 +117,12 @@
 /// A function without a runner, while another one has all the memory.
 fn events_of_reclaiming() -> Vec<EventRecord> {
     let mut harness = Harness::with_one_daemon();
-    harness.workers_listed(&[worker("w", "l", 200)]);
-    let crowded_lease = harness.granted(1, "f");
+    harness.list_workers(&[worker("w", "l", 200)]);
+    let crowded_lease = harness.acquire_lease(1, "f");
     for _ in 0..2 {
         harness.reserve(1, "f", crowded_lease);
     }
-    let starved_lease = harness.granted(1, "g");
+    let starved_lease = harness.acquire_lease(1, "g");
     harness.reserve(1, "g", starved_lease);
     harness.events
 }
@@ -130,14 +130,14 @@
 /// A little used worker is evacuated.
 fn events_of_evacuation() -> Vec<EventRecord> {
     let mut harness = Harness::with_one_daemon();
-    harness.workers_listed(&[worker("w-1", "l", 200)]);
-    let fencing_token = harness.granted(1, "f");
+    harness.list_workers(&[worker("w-1", "l", 200)]);
+    let fencing_token = harness.acquire_lease(1, "f");
     for _ in 0..2 {
         harness.reserve(1, "f", fencing_token);
     }
-    harness.workers_listed(&[worker("w-2", "l", 150)]);
+    harness.list_workers(&[worker("w-2", "l", 150)]);
     let last = harness.reserve(1, "f", fencing_token);
-    harness.workers_listed(&[worker("w-1", "l", 1000), worker("w-2", "l", 150)]);
+    harness.list_workers(&[worker("w-1", "l", 1000), worker("w-2", "l", 150)]);
     for _ in 0..16 {
         harness.renew(1);
         harness.advance(ms(1000));
