--- a/crates/controlplane/tests/leader_state/delivery.rs
+++ b/crates/controlplane/tests/leader_state/delivery.rs
@@ -1,4 +1,4 @@
-//! How versions of the document get to the daemons.
+//! Delivery of document versions to daemons.
 
 use super::harness::{ELECTED, Harness, ms};
 use super::samples::document;
@@ -8,8 +8,8 @@
 use googletest::prelude::*;
 use std::collections::{BTreeSet, VecDeque};
 
-/// What a new leader that has seen versions 2 and 3 sends to a member with version 2: the number of frames before it
-/// has committed version 3, and the frames after that.
+/// Returns what a new leader that has seen versions 2 and 3 sends to a member with version 2: the number of document
+/// frames before it has committed version 3, and the document frames after that.
 fn sent_by_a_new_leader() -> (usize, Vec<&'static str>) {
     let newest = document().with_zone("l9".into(), true, ChangeId::from("turn"));
     let earlier_views = VecDeque::from([document().view(), newest.view()]);
@@ -30,7 +30,7 @@
         });
         specs.collect()
     };
-    harness.join(1, "th-1", Vec::new());
+    harness.join(1, "a", Vec::new());
     harness.advance(ms(1));
     let before_count = sent(&harness).len();
     harness.leader_state.committed(newest);
@@ -39,7 +39,7 @@
 }
 
 #[gtest]
-fn a_new_leader_sends_daemons_a_little_behind_the_delta() -> Result<()> {
+fn a_new_leader_sends_a_delta_to_daemons_that_are_slightly_behind() -> Result<()> {
     let (before_count, sent) = sent_by_a_new_leader();
     verify_that!(before_count, eq(0))?;
     verify_that!(sent, elements_are![eq(&"change")])
--- a/crates/controlplane/tests/leader_state/harness.rs
+++ b/crates/controlplane/tests/leader_state/harness.rs
@@ -1,4 +1,4 @@
-//! A leader's state with daemons that join it, on virtual time.
+//! Test harness: a leader's state with daemons that join it, on virtual time.
 
 use super::samples::{document, function, function_named, hello, known};
 use common::adapter::{ListedRunner, ListedWorker, StopOrder};
@@ -17,12 +17,12 @@
 /// When the leader was elected.
 pub const ELECTED: MonotonicTime = MonotonicTime(100_000_000_000);
 
-/// A span in milliseconds.
+/// Returns a duration in milliseconds.
 pub fn ms(millis: u64) -> Duration {
     Duration::from_millis(millis)
 }
 
-/// A leader that is proven to lead at each step, and what it did.
+/// A leader with a fresh quorum proof at each step, and its outputs.
 pub struct Harness {
     /// The state under test.
     pub leader_state: LeaderState,
@@ -35,12 +35,12 @@
 }
 
 impl Harness {
-    /// A leader that awaits these members.
+    /// Creates a leader that awaits these members.
     pub fn new(last_known: &[&str]) -> Self {
         Self::with_timing(LeaderTiming::builder().build(), last_known)
     }
 
-    /// A leader of another timing that awaits these members.
+    /// Creates a leader with this timing that awaits these members.
     pub fn with_timing(timing: LeaderTiming, last_known: &[&str]) -> Self {
         let members: BTreeSet<KnownMember> = last_known.iter().map(|name| known(name)).collect();
         let mut leader_state = LeaderState::new(timing, Term(5), ELECTED, members, true);
@@ -48,7 +48,7 @@
         Self::with_state(leader_state)
     }
 
-    /// A leader that has just been elected.
+    /// Creates a harness for the state of a leader that has just been elected.
     pub fn with_state(leader_state: LeaderState) -> Self {
         Self {
             leader_state,
@@ -58,7 +58,7 @@
         }
     }
 
-    /// An open leader with one daemon, on stream 1.
+    /// Creates a leader with one daemon, on stream 1, whose claims quorum is reached.
     pub fn with_one_daemon() -> Self {
         let mut harness = Self::new(&["a"]);
         harness.join(1, "a", vec![]);
@@ -67,7 +67,8 @@
         harness
     }
 
-    /// An open leader with two daemons, of which the first, on stream 1, makes these claims.
+    /// Creates a leader with two daemons, on streams 1 and 2, whose claims quorum is reached. The first daemon makes
+    /// these claims.
     pub fn with_two_daemons(claims: Vec<Claim>) -> Self {
         let mut harness = Self::new(&["a", "b"]);
         harness.join(1, "a", claims);
@@ -77,7 +78,7 @@
         harness
     }
 
-    /// Advances the time; the leader is proven to lead at the end of the span.
+    /// Advances the time and lets the leader progress, with a quorum proof from the end of the span.
     pub fn advance(&mut self, span: Duration) {
         self.now = self.now + span;
         let proof = QuorumProof {
@@ -94,12 +95,12 @@
         self.events.extend(recorded);
     }
 
-    /// Lets a daemon join, claim and ask for its session lease.
+    /// Lets a daemon join, claim and request its session lease.
     pub fn join(&mut self, stream: u64, name: &str, claims: Vec<Claim>) {
         self.join_with_link(stream, name, 0, claims);
     }
 
-    /// Lets a daemon join whose link has this width.
+    /// Lets a daemon with a link of this bandwidth join, claim and request its session lease.
     pub fn join_with_link(&mut self, stream: u64, name: &str, link_mbps: u32, claims: Vec<Claim>) {
         let host = Host {
             member: name.into(),
@@ -114,13 +115,13 @@
         self.renew(stream);
     }
 
-    /// Reports what a daemon holds.
+    /// Sends the claims of a daemon.
     pub fn claim(&mut self, stream: u64, claims: Vec<Claim>) {
         let claims = LengthPrefixed(claims);
         self.send(stream, DaemonToLeader::Claims { claims });
     }
 
-    /// Asks for the session lease.
+    /// Requests the renewal of a daemon's session lease.
     pub fn renew(&mut self, stream: u64) {
         let frame = DaemonToLeader::Renew {
             correlation: CorrelationId(1),
@@ -129,32 +130,32 @@
         self.send(stream, frame);
     }
 
-    /// Hands over the platform's list of runners, as it is now.
+    /// Delivers the platform's list of runners, taken at the current time.
     pub fn list_runners(&mut self, listed_runners: &[ListedRunner]) {
         self.leader_state.runners_listed(self.now, listed_runners);
     }
 
-    /// Hands over the platform's list of workers.
+    /// Delivers the platform's list of workers.
     pub fn list_workers(&mut self, workers: &[ListedWorker]) {
         self.leader_state.workers_listed(workers.to_vec());
     }
 
-    /// Hands over a daemon's frame.
+    /// Delivers a frame of a daemon.
     pub fn send(&mut self, stream: u64, frame: DaemonToLeader) {
         self.leader_state.receive(self.now, StreamId(stream), frame);
     }
 
-    /// Reports a daemon as silent.
+    /// Reports a daemon as suspected, on behalf of the daemon on the stream.
     pub fn suspect(&mut self, stream: u64, incarnation: MemberIncarnation) {
         self.send(stream, DaemonToLeader::MemberSuspected { incarnation });
     }
 
-    /// Takes the report back.
+    /// Withdraws the report.
     pub fn clear_suspicion(&mut self, stream: u64, incarnation: MemberIncarnation) {
         self.send(stream, DaemonToLeader::MemberRecovered { incarnation });
     }
 
-    /// Asks for the lease of the function.
+    /// Requests the lease of the function with a route.
     pub fn acquire(&mut self, stream: u64) {
         self.send_acquire(stream, function());
     }
@@ -167,12 +168,12 @@
         self.send(stream, frame);
     }
 
-    /// Acquires the lease of a function, which must be free.
+    /// Acquires the lease of a function, which must be free, and returns its fencing token.
     pub fn acquire_lease(&mut self, stream: u64, name: &str) -> FencingToken {
         self.acquire_lease_for_key(stream, function_named(name))
     }
 
-    /// Acquires the lease of a key, which must be free.
+    /// Acquires the lease of a function key, which must be free, and returns its fencing token.
     pub fn acquire_lease_for_key(&mut self, stream: u64, function: FunctionKey) -> FencingToken {
         self.send_acquire(stream, function);
         self.advance(ms(10));
@@ -182,7 +183,7 @@
         }
     }
 
-    /// Asks for memory for one more runner of a function.
+    /// Requests memory for one more runner of a function.
     pub fn reserve(
         &mut self,
         stream: u64,
@@ -192,7 +193,7 @@
         self.reserve_for_key(stream, function_named(name), fencing_token)
     }
 
-    /// Asks for memory for one more runner of a key.
+    /// Requests memory for one more runner of a function key.
     pub fn reserve_for_key(
         &mut self,
         stream: u64,
@@ -213,7 +214,7 @@
         result.expect("an answer")
     }
 
-    /// The frames of the last step, with their streams.
+    /// Iterates over the frames sent in the last step, with their streams.
     pub fn frames(&self) -> impl Iterator<Item = (u64, &LeaderToDaemon)> {
         self.outputs.iter().filter_map(|output| match output {
             LeaderOutput::FrameToDaemon { stream, frame } => Some((stream.0, frame)),
@@ -221,7 +222,7 @@
         })
     }
 
-    /// The reply to the first acquisition that was replied to in the last step.
+    /// Returns the first reply to an acquisition in the last step.
     pub fn acquire_result(&self) -> Option<AcquireResult> {
         self.frames().find_map(|(_, frame)| match frame {
             LeaderToDaemon::Acquired { result, .. } => Some(result.clone()),
@@ -229,17 +230,17 @@
         })
     }
 
-    /// Whether an acquisition got its lease in the last step.
+    /// Whether the first reply to an acquisition in the last step granted the lease.
     pub fn is_granted(&self) -> bool {
         matches!(self.acquire_result(), Some(AcquireResult::Granted { .. }))
     }
 
-    /// Whether an acquisition was told the holder in the last step.
+    /// Whether the first reply to an acquisition in the last step named the holder.
     pub fn names_holder(&self) -> bool {
         matches!(self.acquire_result(), Some(AcquireResult::Owner { .. }))
     }
 
-    /// The runners adopted with the lease that was granted in the last step.
+    /// Returns the runners adopted with the lease that was granted in the last step.
     pub fn adopted_runners(&self) -> Vec<ClaimedRunner> {
         match self.acquire_result() {
             Some(AcquireResult::Granted { adopted, .. }) => adopted.0,
@@ -254,14 +255,14 @@
         })
     }
 
-    /// Whether the platform's lists were asked for in the last step.
+    /// Whether the platform's lists were requested in the last step.
     pub fn has_requested_lists(&self) -> bool {
         self.outputs
             .iter()
             .any(|output| matches!(output, LeaderOutput::RequestLists))
     }
 
-    /// The orders to the platform to stop runners.
+    /// Returns the stop orders of the last step.
     pub fn stop_orders(&self) -> Vec<&StopOrder> {
         self.outputs
             .iter()
@@ -272,8 +273,8 @@
             .collect()
     }
 
-    /// The runners that the platform is to stop.
-    pub fn stopped_runners(&self) -> Vec<RunnerId> {
+    /// Returns the runners that the platform was ordered to stop in the last step.
+    pub fn runners_to_stop(&self) -> Vec<RunnerId> {
         let orders = self.stop_orders().into_iter();
         orders.map(|order| order.runner).collect()
     }
--- a/crates/controlplane/tests/leader_state/hosts.rs
+++ b/crates/controlplane/tests/leader_state/hosts.rs
@@ -1,11 +1,11 @@
-//! The lists of hosts that daemons get, and the suspected ones in them.
+//! The host lists pushed to daemons, and the suspected members in them.
 
 use super::harness::{Harness, ms};
 use super::samples::first_incarnation;
 use common::frames::{DaemonToLeader, LeaderToDaemon, MemberIncarnation};
 use googletest::prelude::*;
 
-/// The host lists sent: the stream, the list's number, how many hosts it names.
+/// Returns the host lists sent in the last step: the stream, the number of the list and how many hosts it contains.
 fn hosts_sent(harness: &Harness) -> Vec<(u64, u64, usize)> {
     let sent = harness.frames().filter_map(|(stream, frame)| match frame {
         LeaderToDaemon::Hosts { number, hosts, .. } => Some((stream, *number, hosts.0.len())),
@@ -15,7 +15,7 @@
     sent.collect()
 }
 
-/// The suspected daemons that the host list names, if one was sent.
+/// Returns the suspected members in the host list delta, if one was sent.
 fn suspected_sent(harness: &Harness) -> Option<Vec<MemberIncarnation>> {
     harness.frames().find_map(|(_, frame)| match frame {
         LeaderToDaemon::HostsDelta { suspected, .. } => Some(suspected.0.clone()),
--- a/crates/controlplane/tests/leader_state/leases.rs
+++ b/crates/controlplane/tests/leader_state/leases.rs
@@ -1,4 +1,4 @@
-//! When a new leader grants leases, and what it fences before.
+//! When a new leader grants leases, and what it fences first.
 
 use super::harness::{Harness, ms};
 use super::samples::{claim, instance, listed_instance, old_runner};
@@ -44,7 +44,7 @@
 #[gtest]
 fn after_the_full_wait_an_unclaimed_runner_is_adopted_with_the_lease() -> Result<()> {
     let harness = after_the_full_wait(false)?;
-    verify_that!(harness.stopped_runners(), is_empty())?;
+    verify_that!(harness.runners_to_stop(), is_empty())?;
     let Some(AcquireResult::Granted {
         fencing_token,
         adopted,
@@ -59,11 +59,11 @@
 }
 
 #[gtest]
-fn after_the_full_wait_an_unclaimed_runner_that_leaves_is_stopped_before_the_lease() -> Result<()> {
+fn after_the_full_wait_an_unclaimed_leaving_runner_is_stopped_before_the_grant() -> Result<()> {
     let mut harness = after_the_full_wait(true)?;
-    verify_that!(harness.stopped_runners().len(), eq(1))?;
+    verify_that!(harness.runners_to_stop().len(), eq(1))?;
     verify_that!(harness.acquire_result(), none())?;
-    let stopped = harness.stopped_runners()[0];
+    let stopped = harness.runners_to_stop()[0];
     harness.leader_state.runner_stopped(stopped);
     harness.advance(ms(10));
     verify_that!(harness.is_granted(), eq(true))
@@ -79,7 +79,7 @@
     harness.advance(ms(10));
     verify_that!(harness.leader_state.is_claims_quorum_reached(), eq(true))?;
     verify_that!(harness.acquire_result(), none())?;
-    verify_that!(harness.stopped_runners(), elements_are![eq(&old_runner())])?;
+    verify_that!(harness.runners_to_stop(), elements_are![eq(&old_runner())])?;
     harness.leader_state.runner_stopped(old_runner());
     harness.advance(ms(10));
     verify_that!(harness.is_granted(), eq(true))
@@ -115,10 +115,10 @@
     harness.acquire(2);
     harness.advance(ms(10));
     verify_that!(harness.acquire_result(), none())?;
-    verify_that!(harness.stopped_runners(), is_empty())?;
+    verify_that!(harness.runners_to_stop(), is_empty())?;
     harness.renew(2);
     harness.advance(ms(1200));
-    verify_that!(harness.stopped_runners(), elements_are![eq(&old_runner())])?;
+    verify_that!(harness.runners_to_stop(), elements_are![eq(&old_runner())])?;
     harness.renew(2);
     harness.leader_state.runner_stopped(old_runner());
     harness.advance(ms(10));
--- a/crates/controlplane/tests/leader_state/main.rs
+++ b/crates/controlplane/tests/leader_state/main.rs
@@ -1,5 +1,5 @@
-//! The leader's state: when it issues leases, whose claims it awaits, and from when on a request may be sent that
-//! must not run twice.
+//! Tests of the leader's state: when it grants leases, whose claims it awaits, and from when on requests that must not
+//! run twice may be sent.
 
 mod delivery;
 #[path = "../../../../testing/support/forms.rs"]
--- a/crates/controlplane/tests/leader_state/membership.rs
+++ b/crates/controlplane/tests/leader_state/membership.rs
@@ -1,4 +1,4 @@
-//! The listed members: who is awaited, who gets a session lease, and who is listed no more.
+//! The membership list: which members are awaited, which get a session lease, and which are removed.
 
 use super::harness::{ELECTED, Harness, ms};
 use super::samples::{document, hello, listed_instance};
@@ -27,9 +27,9 @@
 fn elected_with_membership(listed: &[Listed]) -> Harness {
     let timing = LeaderTiming::builder().build();
     let mut leader_state = LeaderState::new(timing, Term(5), ELECTED, BTreeSet::new(), false);
-    let mut made = document().with_membership(membership(listed));
-    made.document_version.term = Term(5);
-    leader_state.committed(made);
+    let mut document = document().with_membership(membership(listed));
+    document.document_version.term = Term(5);
+    leader_state.committed(document);
     Harness::with_state(leader_state)
 }
 
@@ -55,7 +55,7 @@
 }
 
 #[gtest]
-fn with_a_membership_the_leader_state_opens_when_each_address_has_claimed_in_any_incarnation()
+fn with_a_membership_the_claims_quorum_needs_a_claim_from_each_address_in_any_incarnation()
 -> Result<()> {
     let mut harness = elected_with_membership(&[("a", 1), ("b", 2), ("c", 3)]);
     join_as(&mut harness, 1, ("a", 1), 1, 5000, true);
@@ -85,7 +85,8 @@
     verify_that!(harness.leader_state.is_claims_quorum_reached(), eq(true))
 }
 
-/// The earlier incarnation was gone when the present one started; the starts it had requested settle a little later.
+/// The earlier incarnation had ended when the current one started. Starts that it had requested reach the platform
+/// slightly later.
 #[gtest]
 fn an_unclaimed_instance_is_adopted_from_the_first_complete_list() -> Result<()> {
     let mut harness = elected_with_membership(&[("a", 1)]);
@@ -111,7 +112,7 @@
 
 /// A member with a lease from before the election may have orphaned a runner just before it.
 #[gtest]
-fn nothing_is_granted_before_a_list_shows_what_was_orphaned_until_the_election() -> Result<()> {
+fn nothing_is_granted_before_a_list_shows_the_runners_orphaned_until_the_election() -> Result<()> {
     let mut harness = elected_with_membership(&[("a", 1)]);
     join_as(&mut harness, 1, ("a", 1), 1, 60_000, true);
     harness.acquire(1);
@@ -205,8 +206,8 @@
     )
 }
 
-/// A leader of two members, of which the second has just departed orderly.
-fn after_an_orderly_departure() -> Harness {
+/// Returns a leader with two members, the second of which has just left gracefully.
+fn after_a_graceful_departure() -> Harness {
     let mut harness = elected_with_membership(&[("a", 1), ("b", 2)]);
     join_as(&mut harness, 1, ("a", 1), 1, 5000, true);
     join_as(&mut harness, 2, ("b", 2), 1, 5000, true);
@@ -216,10 +217,10 @@
     harness
 }
 
-/// Members that left for good would otherwise be awaited by the next leader.
+/// Otherwise the next leader would await members that have left permanently.
 #[gtest]
-fn a_daemon_that_departed_orderly_leaves_the_membership_when_it_does_not_restart() -> Result<()> {
-    let mut harness = after_an_orderly_departure();
+fn a_gracefully_departed_daemon_leaves_the_membership_unless_it_restarts() -> Result<()> {
+    let mut harness = after_a_graceful_departure();
     let departed_at = harness.now;
     let mut due_membership = None;
     while due_membership.is_none() && harness.now.since(departed_at) < ms(4000) {
@@ -232,8 +233,8 @@
 }
 
 #[gtest]
-fn a_daemon_that_departed_orderly_and_restarts_stays_in_the_membership() -> Result<()> {
-    let mut harness = after_an_orderly_departure();
+fn a_gracefully_departed_daemon_that_restarts_stays_in_the_membership() -> Result<()> {
+    let mut harness = after_a_graceful_departure();
     harness.advance(ms(1000));
     verify_that!(harness.leader_state.due_membership(harness.now), none())?;
     join_as(&mut harness, 3, ("b", 2), 2, 100, false);
@@ -244,9 +245,9 @@
     Ok(())
 }
 
-/// Where most members are gone or cut off, those that remain serve.
+/// If most members are gone or disconnected, the remaining ones still serve.
 #[gtest]
-fn a_leader_opens_with_those_that_joined_once_the_others_are_dropped() -> Result<()> {
+fn the_joined_members_reach_the_claims_quorum_once_the_absent_ones_are_dropped() -> Result<()> {
     let mut harness = elected_with_membership(&[("a", 1), ("b", 2), ("c", 3), ("d", 4)]);
     join_as(&mut harness, 1, ("a", 1), 1, 5000, true);
     harness.advance(ms(3900));
--- a/crates/controlplane/tests/leader_state/narrow_links.rs
+++ b/crates/controlplane/tests/leader_state/narrow_links.rs
@@ -1,4 +1,4 @@
-//! Functions stay off daemons with narrow links where there are wide ones.
+//! Functions are kept off daemons on narrow links while enough daemons on wide links are available.
 
 use super::harness::{Harness, ms};
 use common::frames::LeaderToDaemon;
@@ -7,7 +7,7 @@
 const NARROW_MBPS: u32 = 2;
 const WIDE_MBPS: u32 = 100;
 
-/// A leader with one member, on a narrow link, that holds the function.
+/// Returns a leader with one member, on a narrow link, that holds the function.
 fn granted_on_a_narrow_link() -> Harness {
     let mut harness = Harness::new(&["a"]);
     harness.join_with_link(1, "a", NARROW_MBPS, vec![]);
@@ -18,7 +18,7 @@
     harness
 }
 
-/// How many hand-overs of the function are requested within five seconds.
+/// Counts the hand-overs of the function that are ordered within five seconds.
 fn hand_overs(harness: &mut Harness) -> usize {
     let mut seen = 0;
     for _ in 0..50 {
@@ -31,8 +31,8 @@
     seen
 }
 
-/// While members are still joining a leader it may have too few hosts on wide links, and issue leases to one on a
-/// narrow link. The busiest function of a deployment must not stay there once the others have joined.
+/// While members are still joining, the leader may know too few hosts on wide links and grant leases to one on a narrow
+/// link. The busiest function of a deployment must not stay there once the others have joined.
 #[gtest]
 fn a_function_leaves_a_narrow_link_once_enough_wide_ones_have_joined() -> Result<()> {
     let mut harness = granted_on_a_narrow_link();
@@ -52,7 +52,8 @@
     verify_that!(hand_overs(&mut harness), eq(0))
 }
 
-/// A leader that has just opened, with hosts on wide links, and a request from the one on a narrow link.
+/// Returns a leader that has just reached the claims quorum, with hosts on wide links and a request from the one on a
+/// narrow link.
 fn acquisition_from_a_narrow_link() -> Harness {
     let mut harness = Harness::new(&["a"]);
     harness.join_with_link(1, "a", NARROW_MBPS, vec![]);
@@ -66,8 +67,8 @@
     harness
 }
 
-/// The first request may come from a host on a narrow link whose host list names no others yet. A request from a wide
-/// link that comes meanwhile goes first, and the other requester gets the holder's name.
+/// The first request may come from a host on a narrow link whose host list contains no other hosts yet. A request that
+/// arrives from a wide link in the meantime is granted first, and the first requester gets the holder's name.
 #[gtest]
 fn an_acquisition_from_a_narrow_link_waits_for_one_from_a_wide_link() -> Result<()> {
     let mut harness = acquisition_from_a_narrow_link();
@@ -81,8 +82,8 @@
 }
 
 #[gtest]
-fn an_acquisition_from_a_narrow_link_without_a_wide_rival_is_granted_after_a_second() -> Result<()>
-{
+fn an_acquisition_from_a_narrow_link_without_a_competing_wide_one_is_granted_after_a_second()
+-> Result<()> {
     let mut harness = acquisition_from_a_narrow_link();
     verify_that!(harness.leader_state.is_claims_quorum_reached(), eq(true))?;
     harness.advance(ms(900));
--- a/crates/controlplane/tests/leader_state/orphans.rs
+++ b/crates/controlplane/tests/leader_state/orphans.rs
@@ -1,4 +1,4 @@
-//! Runners that no daemon uses any more: adopted with the next lease, or stopped.
+//! Runners without a holder are adopted with the next lease, or stopped.
 
 use super::harness::{Harness, ms};
 use super::samples::{
@@ -11,13 +11,13 @@
 use googletest::prelude::*;
 
 #[gtest]
-fn a_dead_holders_runner_is_adopted_once_only() -> Result<()> {
+fn the_runner_of_a_lost_holder_is_adopted_only_once() -> Result<()> {
     let mut harness = Harness::with_two_daemons(vec![adoptable_claim(false)]);
     harness.advance(ms(2250));
     harness.renew(2);
     harness.acquire(2);
     harness.advance(ms(10));
-    verify_that!(harness.stopped_runners(), is_empty())?;
+    verify_that!(harness.runners_to_stop(), is_empty())?;
     let adopted_runners = harness.adopted_runners();
     verify_that!(adopted_runners.len(), eq(1))?;
     verify_that!(adopted_runners[0].runner == old_runner(), eq(false))?;
@@ -33,7 +33,7 @@
     );
     harness.acquire(3);
     harness.advance(ms(10));
-    verify_that!(harness.stopped_runners(), is_empty())?;
+    verify_that!(harness.runners_to_stop(), is_empty())?;
     let next_adopted = harness.adopted_runners();
     verify_that!(next_adopted.len(), eq(1))?;
     verify_that!(next_adopted[0].instance.0, elements_are![eq(&instance())])
@@ -42,11 +42,11 @@
 #[gtest]
 fn an_orphaned_runner_that_nobody_adopts_is_stopped() -> Result<()> {
     let mut harness = Harness::with_two_daemons(vec![adoptable_claim(true)]);
-    verify_that!(harness.stopped_runners(), is_empty())?;
+    verify_that!(harness.runners_to_stop(), is_empty())?;
     harness.advance(ms(3900));
-    verify_that!(harness.stopped_runners(), is_empty())?;
+    verify_that!(harness.runners_to_stop(), is_empty())?;
     harness.advance(ms(200));
-    verify_that!(harness.stopped_runners(), elements_are![eq(&old_runner())])
+    verify_that!(harness.runners_to_stop(), elements_are![eq(&old_runner())])
 }
 
 #[gtest]
@@ -67,7 +67,7 @@
 }
 
 #[gtest]
-fn an_instance_missing_from_the_list_is_no_longer_its_holders() -> Result<()> {
+fn a_holder_is_notified_of_an_instance_missing_from_the_list() -> Result<()> {
     let mut harness = Harness::with_two_daemons(vec![adoptable_claim(false)]);
     let is_notified = |harness: &Harness| {
         harness.frames().any(|(_, frame)| {
@@ -113,12 +113,13 @@
     harness.list_runners(&[listed_instance(false)]);
     harness.advance(ms(10));
     verify_that!(known_runner_count(&harness), eq(1))?;
-    verify_that!(harness.stopped_runners(), is_empty())
+    verify_that!(harness.runners_to_stop(), is_empty())
 }
 
-/// The platform saw one fencing token from two holders, the dead daemon and "leader": review case 4, ONE.
+/// Guards against stop orders in which the leader uses the lost holder's fencing token under its own name "leader", so
+/// that the platform sees one token from two holders.
 #[gtest]
-fn a_dead_holders_runner_is_stopped_in_its_holders_name() -> Result<()> {
+fn the_runner_of_a_lost_holder_is_stopped_under_that_holders_lease() -> Result<()> {
     let mut harness = Harness::with_two_daemons(vec![adoptable_claim(false)]);
     harness.advance(ms(2250));
     harness.renew(2);
@@ -139,11 +140,10 @@
     verify_that!(order.fencing_token, eq(old_runner().fencing_token))
 }
 
-/// A runner that the platform's list shows late, while another daemon holds its function: the leader stopped it in the
-/// holder's name with a token above that holder's own, so that each later call of the holder was below it. Review case 3,
-/// ONE.
+/// The platform's list shows a runner late, while another daemon already holds its function. Guards against a stop in
+/// the holder's name with a token above the holder's own: each later call of the holder would have a lower token.
 #[gtest]
-fn a_found_runner_is_stopped_under_the_lease_that_stands() -> Result<()> {
+fn an_orphan_found_late_is_stopped_under_the_current_lease() -> Result<()> {
     let mut harness = Harness::with_two_daemons(vec![]);
     harness.list_workers(&[worker("w", "l", 300)]);
     let fencing_token = harness.acquire_lease(2, "f");
@@ -165,7 +165,7 @@
     verify_that!(order.fencing_token, eq(fencing_token))
 }
 
-/// A runner of a function that no daemon is known to have held: each stop has a token of its own, above all before it.
+/// No daemon is known to have held the function: each stop order has a new token, greater than all before it.
 #[gtest]
 fn a_runner_without_a_known_holder_is_stopped_under_new_tokens() -> Result<()> {
     let mut harness = Harness::with_two_daemons(vec![]);
--- a/crates/controlplane/tests/leader_state/placement.rs
+++ b/crates/controlplane/tests/leader_state/placement.rs
@@ -1,4 +1,4 @@
-//! On which workers runners are placed, and whose runner makes room for another function.
+//! Placement of runners on workers, and which runner is reclaimed for another function.
 
 use super::harness::{Harness, ms};
 use super::samples::{function, worker};
@@ -26,25 +26,25 @@
         let answer = harness.reserve_for_key(stream, function.clone(), fencing_token);
         matches!(answer, ReserveResult::Reserved { .. })
     };
-    let is_given: Vec<bool> = (0..4).map(|_| reserve(1, &all_regions)).collect();
-    verify_that!(is_given, each(eq(&true)))?;
-    let is_given: Vec<bool> = (0..5).map(|_| reserve(2, &west)).collect();
-    verify_that!(is_given, eq(&vec![true, true, true, true, false]))?;
+    let is_reserved: Vec<bool> = (0..4).map(|_| reserve(1, &all_regions)).collect();
+    verify_that!(is_reserved, each(eq(&true)))?;
+    let is_reserved: Vec<bool> = (0..5).map(|_| reserve(2, &west)).collect();
+    verify_that!(is_reserved, eq(&vec![true, true, true, true, false]))?;
     verify_that!(reserve(1, &all_regions), eq(false))
 }
 
 #[gtest]
-fn a_crowded_function_gives_one_runner_up_for_a_function_that_has_none() -> Result<()> {
+fn the_function_with_the_most_runners_yields_one_to_a_function_without_any() -> Result<()> {
     let mut harness = Harness::with_one_daemon();
     harness.list_workers(&[worker("w", "l", 300)]);
-    let crowded_lease = harness.acquire_lease(1, "f");
+    let crowded_token = harness.acquire_lease(1, "f");
     for _ in 0..3 {
-        let given = harness.reserve(1, "f", crowded_lease);
+        let given = harness.reserve(1, "f", crowded_token);
         verify_that!(matches!(given, ReserveResult::Reserved { .. }), eq(true))?;
     }
-    let starved_lease = harness.acquire_lease(1, "g");
+    let starved_token = harness.acquire_lease(1, "g");
     verify_that!(
-        harness.reserve(1, "g", starved_lease),
+        harness.reserve(1, "g", starved_token),
         eq(&ReserveResult::Rejected)
     )?;
     let drained: Vec<RunnerId> = harness
@@ -55,13 +55,13 @@
         })
         .collect();
     verify_that!(drained.len(), eq(1))?;
-    verify_that!(drained[0].fencing_token, eq(crowded_lease))?;
+    verify_that!(drained[0].fencing_token, eq(crowded_token))?;
     harness.leader_state.runner_stopped(drained[0]);
     verify_that!(
-        harness.reserve(1, "f", crowded_lease),
+        harness.reserve(1, "f", crowded_token),
         eq(&ReserveResult::Rejected)
     )?;
-    let given = harness.reserve(1, "g", starved_lease);
+    let given = harness.reserve(1, "g", starved_token);
     verify_that!(matches!(given, ReserveResult::Reserved { .. }), eq(true))
 }
 
--- a/crates/controlplane/tests/leader_state/recorded_forms.rs
+++ b/crates/controlplane/tests/leader_state/recorded_forms.rs
@@ -1,4 +1,4 @@
-//! The forms of reports and of events, with each key and each form of a value.
+//! Compares the JSON of reports and events, with every key and value form, with recorded fixtures.
 
 use super::forms;
 use super::harness::{Harness, ms};
@@ -15,7 +15,7 @@
 use googletest::prelude::*;
 use serde_json::json;
 
-/// The reports on members, holders, workers and runners, with each key and each form of a value.
+/// Covers the reports on members, holders, workers and runners, with every key and value form.
 #[gtest]
 fn reports_keep_their_keys_and_values() {
     let mut harness = Harness::with_two_daemons(vec![adoptable_claim(false)]);
@@ -48,7 +48,7 @@
     );
 }
 
-/// Leases, suspicion and fencing on one worker that is full.
+/// Records events of leases, suspicion and fencing, with one worker that is full.
 fn events_of_leases() -> Vec<EventRecord> {
     let mut harness = Harness::with_two_daemons(vec![adoptable_claim(false)]);
     harness.list_workers(&[worker("w", "l1", 100)]);
@@ -84,7 +84,7 @@
     harness.events
 }
 
-/// The holder of a function is suspected and cut off; its zone is evacuated after that.
+/// Suspects and disconnects the holder of a function, then evacuates its zone.
 fn end_a_lease(harness: &mut Harness) {
     let suspect = || first_incarnation("a");
     harness.suspect(2, suspect());
@@ -101,7 +101,7 @@
     harness.advance(ms(2300));
 }
 
-/// A runner that is missing in the platform's list, and one that nobody claimed.
+/// Records events of a runner that is missing from the platform's list, and of one that no member claimed.
 fn events_of_lists() -> Vec<EventRecord> {
     let mut harness = Harness::with_two_daemons(vec![adoptable_claim(false)]);
     harness.advance(ms(1100));
@@ -114,20 +114,20 @@
     harness.events
 }
 
-/// A function without a runner, while another one has all the memory.
+/// Records events of a function without a runner while another function has all the memory.
 fn events_of_reclaiming() -> Vec<EventRecord> {
     let mut harness = Harness::with_one_daemon();
     harness.list_workers(&[worker("w", "l", 200)]);
-    let crowded_lease = harness.acquire_lease(1, "f");
+    let crowded_token = harness.acquire_lease(1, "f");
     for _ in 0..2 {
-        harness.reserve(1, "f", crowded_lease);
+        harness.reserve(1, "f", crowded_token);
     }
-    let starved_lease = harness.acquire_lease(1, "g");
-    harness.reserve(1, "g", starved_lease);
+    let starved_token = harness.acquire_lease(1, "g");
+    harness.reserve(1, "g", starved_token);
     harness.events
 }
 
-/// A little used worker is evacuated.
+/// Records events of the evacuation of an underused worker.
 fn events_of_evacuation() -> Vec<EventRecord> {
     let mut harness = Harness::with_one_daemon();
     harness.list_workers(&[worker("w-1", "l", 200)]);
@@ -149,7 +149,7 @@
     harness.events
 }
 
-/// A member that does not come back is no longer awaited.
+/// Records events of a member that does not reconnect and is no longer awaited.
 fn events_of_absence() -> Vec<EventRecord> {
     let mut harness = Harness::new(&["a", "b"]);
     harness.join(1, "a", vec![]);
@@ -157,7 +157,7 @@
     harness.events
 }
 
-/// The events of the leader by number, with each key and each form of a value.
+/// Covers the events of the leader by number, with every key and value form.
 #[gtest]
 fn events_keep_their_keys_and_values() {
     let shown = |events: Vec<EventRecord>| -> Vec<serde_json::Value> {
--- a/crates/controlplane/tests/leader_state/samples.rs
+++ b/crates/controlplane/tests/leader_state/samples.rs
@@ -1,4 +1,4 @@
-//! The document, members, claims and list entries with which the tests begin.
+//! Sample documents, members, claims and list entries for the tests.
 
 use common::adapter::{ListedRunner, ListedWorker};
 use common::frames::{
@@ -11,7 +11,7 @@
 use common::spec::{Document, Voter, read_spec};
 use serde_json::json;
 
-/// Version 2, of term 5, with two functions and one route.
+/// Returns a document of version 2 and term 5, with two functions and one route.
 pub fn document() -> Document {
     let member = Voter {
         id: ControllerId(1),
@@ -26,16 +26,16 @@
         "routes": {"f": {"method": "POST", "path": "/f", "function": "f", "budget_ms": 3000, "kind": "once"}},
     });
     let checked_spec = read_spec(&spec).expect("a good spec");
-    let mut made =
+    let mut document =
         Document::founding(vec![member]).with_spec(spec, &checked_spec, ChangeId::from("c"));
-    made.document_version = DocumentVersion {
+    document.document_version = DocumentVersion {
         term: Term(5),
-        version: made.document_version.version,
+        version: document.document_version.version,
     };
-    made
+    document
 }
 
-/// A member in its first incarnation.
+/// Returns the first incarnation of a member, as known to the leader.
 pub fn known(name: &str) -> KnownMember {
     KnownMember {
         member: name.into(),
@@ -44,7 +44,7 @@
     }
 }
 
-/// The first incarnation of a member.
+/// Returns the first incarnation of a member, as failure detectors name it.
 pub fn first_incarnation(name: &str) -> MemberIncarnation {
     MemberIncarnation {
         member: name.into(),
@@ -52,17 +52,17 @@
     }
 }
 
-/// The key of a function of the document.
+/// Returns the key of a function of the document.
 pub fn function_named(name: &str) -> FunctionKey {
     FunctionKey::new(name, Version(2))
 }
 
-/// The key of the function with a route.
+/// Returns the key of the function with a route.
 pub fn function() -> FunctionKey {
     function_named("f")
 }
 
-/// The first frame of a stream.
+/// Returns the first frame of a stream.
 pub fn hello(host: Host, age_ms: u32, granted: bool) -> DaemonToLeader {
     let granted = Flag(granted);
     DaemonToLeader::Hello {
@@ -74,7 +74,7 @@
     }
 }
 
-/// The runner of the function's last lease.
+/// Returns the runner of the function's previous lease.
 pub fn old_runner() -> RunnerId {
     RunnerId {
         fencing_token: FencingToken(7),
@@ -82,7 +82,7 @@
     }
 }
 
-/// The instance in which the old runner runs.
+/// Returns the instance of the old runner.
 pub fn instance() -> Instance {
     Instance {
         name: "l1".into(),
@@ -90,15 +90,15 @@
     }
 }
 
-/// A claim of the function whose runner may be adopted.
+/// Returns a claim of the function whose runner can be adopted.
 pub fn adoptable_claim(is_releasing: bool) -> Claim {
-    let mut made = claim(is_releasing);
-    made.runners.0[0].instance = LengthPrefixed(vec![instance()]);
-    made.runners.0[0].is_adoptable = Flag(true);
-    made
+    let mut claim = claim(is_releasing);
+    claim.runners.0[0].instance = LengthPrefixed(vec![instance()]);
+    claim.runners.0[0].is_adoptable = Flag(true);
+    claim
 }
 
-/// A claim of the function with its old runner.
+/// Returns a claim of the function with its old runner, which cannot be adopted.
 pub fn claim(is_releasing: bool) -> Claim {
     let runner = ClaimedRunner {
         runner: old_runner(),
@@ -117,7 +117,7 @@
     }
 }
 
-/// The instance as the platform lists it, without the name of its runner.
+/// Returns the list entry of the instance, without the name of its runner.
 pub fn listed_instance(leaving: bool) -> ListedRunner {
     ListedRunner {
         instance: instance(),
@@ -129,7 +129,7 @@
     }
 }
 
-/// A worker as the platform lists it.
+/// Returns the list entry of a worker.
 pub fn worker(name: &str, zone: &str, memory_mb: u32) -> ListedWorker {
     ListedWorker {
         worker: name.into(),
