--- a/crates/controlplane/tests/step_costs.rs
+++ b/crates/controlplane/tests/step_costs.rs
@@ -1,5 +1,5 @@
-//! What a controller's steps cost, in allocated bytes: the cost of heartbeat rounds does not depend on the document,
-//! and a change costs a few times the text that is written to disk.
+//! Cost of a controller's steps in allocated bytes: the cost of heartbeat rounds does not depend on the size of the
+//! document, and a change costs a few copies of the text that is written to disk.
 
 #[allow(dead_code)]
 #[path = "controller_state/cluster.rs"]
@@ -16,18 +16,20 @@
 use std::alloc::{GlobalAlloc, Layout, System};
 use std::cell::Cell;
 
-/// A change once cost 87 texts, when complete documents were copied and compared, and 15.7 while a follower parsed the
-/// complete text; now the disk gets the complete text, and only the change is parsed.
+/// Copies of the document text that a change may allocate at each controller. The complete text is written to disk, but
+/// only the change is parsed. Copying and comparing complete documents costs 87 copies; parsing the complete text at
+/// followers costs 15.7.
 const MAX_DOCUMENT_COPIES: f64 = 9.0;
 
-/// The text of a change in a buffer that grows by doubling, and the list of the items it names.
+/// Copies of a change's text that writing it may allocate: the text, in a buffer that grows by doubling, and the list of
+/// changed items.
 const MAX_CHANGE_COPIES: f64 = 5.0;
 
 thread_local! {
     static ALLOCATED: Cell<usize> = const { Cell::new(0) };
 }
 
-/// The system's allocator, with a count of the bytes that each thread allocates.
+/// Counts the bytes that each thread allocates from the system allocator.
 struct CountingAllocator;
 
 unsafe impl GlobalAlloc for CountingAllocator {
@@ -91,7 +93,7 @@
     )
 }
 
-/// Three controllers, one of them the leader, with this many functions and routes.
+/// Returns three controllers and the index of their leader, with this many functions and routes.
 fn cluster_with(count: usize) -> (TestCluster, usize) {
     let mut cluster = TestCluster::new(5, &[0, 1, 2]);
     cluster.start_all();
@@ -103,13 +105,13 @@
 }
 
 #[gtest]
-fn idle_heartbeats_cost_the_same_whatever_the_document_size() -> Result<()> {
-    let quiet_bytes = |count: usize| {
+fn the_cost_of_idle_heartbeats_does_not_depend_on_the_document_size() -> Result<()> {
+    let idle_bytes = |count: usize| {
         let (mut cluster, _) = cluster_with(count);
         allocated_by(|| cluster.advance(2_000))
     };
-    let (small, large) = (quiet_bytes(10), quiet_bytes(1_100));
-    println!("quiet for 2 s: {small} bytes with 10 routes, {large} with 1,100");
+    let (small, large) = (idle_bytes(10), idle_bytes(1_100));
+    println!("idle for 2 s: {small} bytes with 10 routes, {large} with 1,100");
     verify_that!(large, lt(small * 3 / 2))
 }
 
@@ -126,12 +128,12 @@
         assert!(change(&mut cluster, leader, "second", items(1_100..1_101)));
     });
     let document_copies = change_bytes as f64 / (document_length * controllers) as f64;
-    println!("a change: {document_copies:.1} texts of {document_length} bytes at each controller");
+    println!("a change: {document_copies:.1} copies of {document_length} bytes at each controller");
     verify_that!(document_copies, lt(MAX_DOCUMENT_COPIES))
 }
 
-/// A large change is written directly from the records. When each record was copied into a value first, it cost some
-/// ten texts.
+/// A large change is written directly from the records. Copying each record into a value first costs about ten copies of
+/// the text.
 #[gtest]
 fn the_text_of_a_large_change_is_written_without_copies_of_the_records() -> Result<()> {
     let spec_of = |count: usize| {
@@ -147,7 +149,7 @@
     let newer = base.with_spec(spec_of(4_000), &checked_spec, "b".into());
     let mut length = 0;
     let bytes = allocated_by(|| length = base.delta_to(&newer).len());
-    let document_copies = bytes as f64 / length as f64;
-    println!("a change of {length} bytes: {document_copies:.1} texts");
-    verify_that!(document_copies, lt(MAX_CHANGE_COPIES))
+    let text_copies = bytes as f64 / length as f64;
+    println!("a change of {length} bytes: {text_copies:.1} copies");
+    verify_that!(text_copies, lt(MAX_CHANGE_COPIES))
 }
