--- a/crates/controlplane/src/leader_state/document_delivery.rs
+++ b/crates/controlplane/src/leader_state/document_delivery.rs
@@ -128,8 +128,8 @@
         self.views.back().map(|view| view.version)
     }
 
-    /// Returns the frame that takes a member from a version to the newest one: a delta, or the complete view if the base
-    /// is not retained. Each frame is compressed once for all members.
+    /// Returns the frame that takes a member from a version to the newest one: a delta, or the complete view if the
+    /// base is not retained. Each frame is compressed once for all members.
     fn frame_from(&mut self, base_version: Version) -> Option<LeaderToDaemon> {
         let newest_view = self.views.back()?;
         let mut retained_views = self.views.iter();
--- a/crates/controlplane/src/leader_state/fence.rs
+++ b/crates/controlplane/src/leader_state/fence.rs
@@ -56,8 +56,8 @@
 }
 
 impl LeaderState {
-    /// Ends the leases of lost holders. Their runners are orphaned or stopped by the platform, and no function is leased
-    /// again before that.
+    /// Ends the leases of lost holders. Their runners are orphaned or stopped by the platform, and no function is
+    /// leased again before that.
     pub(super) fn progress_fencing(&mut self, now: MonotonicTime) {
         if !self.claims.is_reached {
             return;
--- a/crates/controlplane/src/leader_state/lease_end.rs
+++ b/crates/controlplane/src/leader_state/lease_end.rs
@@ -9,8 +9,8 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// When each function may accept requests that must not run twice again. While requests of an earlier holder may be in
-/// flight, such a request waits or is answered from the earlier holder's replica.
+/// From when on each function may again accept requests that must not run twice. While requests of an earlier holder
+/// may be in flight, such a request waits or is answered from the earlier holder's replica.
 #[derive(Default)]
 pub(super) struct OnceDelays {
     allowed_from: BTreeMap<FunctionKey, MonotonicTime>,
--- a/crates/controlplane/src/leader_state/membership.rs
+++ b/crates/controlplane/src/leader_state/membership.rs
@@ -209,8 +209,8 @@
     }
 
     /// Returns the target membership: the listed members and those that have joined, without members that have been
-    /// absent long enough for their leases to have certainly ended. Returns `None` while it is not known which members
-    /// may hold leases.
+    /// absent, after a graceful departure or not, for so long that their leases have certainly ended. Returns `None`
+    /// while it is not known which members may hold leases.
     pub fn target_membership(&self, now: MonotonicTime) -> Option<BTreeSet<ListedMember>> {
         let membership = self.membership()?;
         let are_old_leases_over =
--- a/crates/controlplane/src/leader_state/memory_pressure.rs
+++ b/crates/controlplane/src/leader_state/memory_pressure.rs
@@ -71,8 +71,8 @@
         self.drain(function, runner);
     }
 
-    /// Chooses a runner of the function with the most runners: the one whose worker would then have the least sufficient
-    /// free memory, or if none has enough, the one whose worker would have the most.
+    /// Chooses a runner of the function with the most runners: the one whose worker would then have the least
+    /// sufficient free memory, or if none has enough, the one whose worker would have the most.
     fn runner_to_reclaim(
         &self,
         requester: &FunctionKey,
@@ -88,8 +88,8 @@
         Some((function.clone(), runner))
     }
 
-    /// Returns the staying runners of all functions except the requester, each with the memory that would be free on its
-    /// worker without it.
+    /// Returns the staying runners of all functions except the requester, each with the memory that would be free on
+    /// its worker without it.
     fn staying_runners(
         &self,
         requester: &FunctionKey,
@@ -160,8 +160,8 @@
         idle_functions
     }
 
-    /// Evicts idle functions, longest idle first, until twice the needed memory is freed, since not all of it will be on
-    /// one worker.
+    /// Evicts idle functions, longest idle first, until twice the needed memory is freed, since not all of it will be
+    /// on one worker.
     pub(super) fn evict_idle_functions(
         &mut self,
         now: MonotonicTime,
@@ -189,8 +189,8 @@
             && self.reservations.all_of(function).next().is_some()
     }
 
-    /// Orders the holder to stop a function's runners, and returns the memory in MiB that this frees. Returns `None` if the
-    /// holder has no stream.
+    /// Orders the holder to stop a function's runners, and returns the memory in MiB that this frees. Returns `None`
+    /// if the holder has no stream.
     fn evict(&mut self, now: MonotonicTime, function: FunctionKey) -> Option<u32> {
         let entry = self.lease_records.get(&function)?;
         let fencing_token = entry.fencing_token;
--- a/crates/controlplane/src/leader_state/mod.rs
+++ b/crates/controlplane/src/leader_state/mod.rs
@@ -158,7 +158,7 @@
         self.claims.is_reached
     }
 
-    /// The newest version that is in force at every member.
+    /// Returns the newest version that is in force at every member.
     pub fn in_force(&self) -> Version {
         self.configuration.in_force
     }
--- a/crates/controlplane/src/leader_state/receive.rs
+++ b/crates/controlplane/src/leader_state/receive.rs
@@ -14,7 +14,8 @@
         self.dispatch(now, stream, frame);
     }
 
-    /// Calls the handler for a frame. The match is exhaustive, so a new kind of frame without a handler does not compile.
+    /// Calls the handler for a frame. The match is exhaustive, so that a kind of frame without a handler does not
+    /// compile.
     fn dispatch(&mut self, now: MonotonicTime, stream: StreamId, frame: DaemonToLeader) {
         match frame {
             DaemonToLeader::Hello {
--- a/crates/controlplane/src/leader_state/worker_evacuation.rs
+++ b/crates/controlplane/src/leader_state/worker_evacuation.rs
@@ -53,7 +53,8 @@
 }
 
 impl LeaderState {
-    /// Starts or completes the evacuation of the least used worker, if all its runners fit on the other workers in use.
+    /// Continues the evacuation in progress. If there is none, starts to evacuate the least used worker if all its
+    /// runners fit on the other workers in use.
     pub(super) fn evacuate_workers(&mut self, now: MonotonicTime) {
         if !self.claims.is_reached || !self.timing.worker_evacuation {
             return;
--- a/crates/controlplane/src/leader_state/workers.rs
+++ b/crates/controlplane/src/leader_state/workers.rs
@@ -59,8 +59,8 @@
         self.drain_from_unusable_workers();
     }
 
-    /// Whether new runners may be placed on a worker: it is listed, is not draining or being evacuated, and is not in an
-    /// evacuated zone.
+    /// Whether new runners may be placed on a worker: it is listed, is not draining or being evacuated, and is not in
+    /// an evacuated zone.
     pub(super) fn is_worker_usable(&self, worker: &WorkerName) -> bool {
         !self.evacuation.is_evacuating(worker)
             && self.workers.get(worker).is_some_and(|listed| {
@@ -188,10 +188,11 @@
         total_count < limit || total_count == staying.count()
     }
 
-    /// Chooses the worker for a new runner. If runners are spread over zones, it prefers workers in use over empty ones,
-    /// then the zone with the fewest runners of the function, then the fullest worker that fits. Otherwise it prefers
-    /// the holder's zone, since traffic between zones is costly and the loss of the holder interrupts the function
-    /// anyway; then workers in use without a runner of the function, those with one, and empty ones; then the fullest.
+    /// Chooses the worker for a new runner. If runners are spread over zones, it prefers workers in use over empty
+    /// ones, then the zone with the fewest runners of the function, then the fullest worker that fits. Otherwise it
+    /// prefers the holder's zone, since traffic between zones is costly and the loss of the holder interrupts the
+    /// function anyway; then workers in use without a runner of the function, those with one, and empty ones; then
+    /// the fullest.
     fn choose_worker(
         &mut self,
         now: MonotonicTime,
--- a/crates/controlplane/tests/step_costs.rs
+++ b/crates/controlplane/tests/step_costs.rs
@@ -21,8 +21,8 @@
 /// followers costs 15.7.
 const MAX_DOCUMENT_COPIES: f64 = 9.0;
 
-/// Copies of a change's text that writing it may allocate: the text, in a buffer that grows by doubling, and the list of
-/// changed items.
+/// Copies of a change's text that writing it may allocate: the text, in a buffer that grows by doubling, and the list
+/// of changed items.
 const MAX_CHANGE_COPIES: f64 = 5.0;
 
 thread_local! {
@@ -132,8 +132,8 @@
     verify_that!(document_copies, lt(MAX_DOCUMENT_COPIES))
 }
 
-/// A large change is written directly from the records. Copying each record into a value first costs about ten copies of
-/// the text.
+/// A large change is written directly from the records. Copying each record into a value first costs about ten copies
+/// of the text.
 #[gtest]
 fn the_text_of_a_large_change_is_written_without_copies_of_the_records() -> Result<()> {
     let spec_of = |count: usize| {
