--- a/crates/dataplane/src/agent/in_flight.rs
+++ b/crates/dataplane/src/agent/in_flight.rs
@@ -1,17 +1,17 @@
-//! The requests that pass through a daemon at the moment.
+//! The requests in flight through a daemon.
 
 use common::identity::Ticket;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
 
-/// Counts a daemon's in-flight requests, and numbers them.
+/// Counts a daemon's in-flight requests, and issues their tickets.
 pub(super) struct InFlightRequests {
     count: Arc<AtomicUsize>,
     next_ticket: AtomicU64,
 }
 
 impl InFlightRequests {
-    /// No request is in flight.
+    /// Creates a counter of zero requests.
     pub(crate) fn new() -> Self {
         Self {
             count: Arc::new(AtomicUsize::new(0)),
@@ -19,18 +19,18 @@
         }
     }
 
-    /// A ticket that is unique in this process.
+    /// Returns a ticket that is unique in this process.
     pub(crate) fn ticket(&self) -> Ticket {
         Ticket(self.next_ticket.fetch_add(1, Ordering::Relaxed))
     }
 
-    /// Counts a request until the guard is dropped.
+    /// Counts a request as in flight until the guard is dropped.
     pub(crate) fn track(&self) -> InFlightGuard {
         self.count.fetch_add(1, Ordering::AcqRel);
         InFlightGuard(self.count.clone())
     }
 
-    /// The number of requests in flight.
+    /// Returns the number of requests in flight.
     pub(crate) fn count(&self) -> usize {
         self.count.load(Ordering::Acquire)
     }
--- a/crates/dataplane/src/agent/mod.rs
+++ b/crates/dataplane/src/agent/mod.rs
@@ -1,19 +1,20 @@
-//! One daemon's state and decisions, without I/O. The drivers, and the simulator in their place, feed it events and carry
-//! out its outputs.
+//! The state and decision logic of one daemon, without I/O. The drivers, or the simulator in their place, feed it
+//! events and carry out its outputs.
 //!
-//! [`Agent`] is shared by all tasks of a daemon. What every request reads lies in it as snapshots that are replaced as a
-//! whole, so that reads take no lock; they are read and replaced by the methods in `snapshots`.
+//! [`Agent`] is shared by all tasks of a daemon. The data that every request reads is kept in snapshots that are
+//! replaced as a whole, so that reads take no lock; the methods in `snapshots` read and replace them.
 //!
-//! * `daemon_control`: the control side, which applies what the leader, the holders and the passing of time require.
-//! * `forwarding`: the way of one request to the holder of its function.
-//! * `held`: a held function, and the requests that wait for its outcomes.
-//! * `in_flight`: the requests that pass through this daemon.
-//! * `owner_cache`: the owners of functions learned so far.
-//! * `regional`: keys under which one region's callers have a function of their own.
-//! * `replica_requests`: requests to ledger replicas, and the answers as one.
-//! * `runner_response`: the checks before a send to a runner, and of its response.
+//! * `daemon_control`: the control side, which handles the leader's frames, the holders' messages and timers.
+//! * `forwarding`: how a request reaches the holder of its function.
+//! * `held`: a held function, and the requests waiting for their outcomes.
+//! * `in_flight`: the requests in flight through this daemon.
+//! * `owner_cache`: the known owners of functions.
+//! * `regional`: regional keys, under which the callers of one region are served by their own holder.
+//! * `replica_requests`: requests to ledger replicas, and this daemon's replies as a replica.
+//! * `runner_response`: checks before a request is sent to a runner, and verification of the response.
 //! * `shutdown`: the phases of an orderly shutdown.
-//! * `snapshots`: what all tasks read: the routing table, the live daemons, the held functions, the session lease's end.
+//! * `snapshots`: the state that all tasks read: the routing table, the live daemons, the held functions and the end of
+//!   the session lease.
 
 mod daemon_control;
 mod forwarding;
@@ -51,20 +52,20 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-/// When to retry with a daemon that has a leader, and waits only for the renewal of its lease.
+/// Retry-after of a daemon that has a leader and only waits for the renewal of its lease.
 const RETRY_AFTER_WITH_LEADER: Duration = Duration::from_millis(400);
-/// When to retry with a daemon that has to find a leader first, or that is leaving.
+/// Retry-after of a daemon that has to find a leader first, or that is leaving.
 const RETRY_AFTER_WITHOUT_LEADER: Duration = Duration::from_millis(1000);
 
-/// Whether a daemon can serve, apart from its session lease.
+/// What determines a daemon's availability besides its session lease.
 struct Availability {
     is_leaving: AtomicBool,
     has_leader: AtomicBool,
 }
 
-/// The state that all tasks of a daemon share. `W` is what waits for a request's outcome.
+/// The state shared by all tasks of a daemon. `W` is the type of the waiter for a request's outcome.
 pub struct Agent<W> {
-    /// This daemon as it announces itself to the others.
+    /// This daemon, as announced to the other daemons.
     pub own_host: Host,
     /// The rules that are enforced.
     pub rules: Rules,
@@ -76,16 +77,16 @@
     session_lease_end: SharedMonotonicTime,
     owners: OwnerCache,
     regional_keys: RegionalKeys,
-    /// The functions given up whose runners have not all stopped yet.
+    /// Functions that are no longer held, but whose runners have not all stopped yet.
     closing: Mutex<Vec<Arc<HeldFunction<W>>>>,
-    /// The replicas kept of other daemons' ledgers.
+    /// Replicas of other daemons' ledgers.
     ledger_replica: Mutex<LedgerReplica>,
     availability: Availability,
     in_flight: InFlightRequests,
 }
 
 impl<W> Agent<W> {
-    /// A daemon without a spec, a lease and held functions.
+    /// Creates the state of a daemon without a spec, a session lease or held functions.
     pub fn new(own_host: Host, rules: Rules) -> Self {
         let own_incarnation = own_host.incarnation;
         Self {
@@ -114,18 +115,18 @@
         self
     }
 
-    /// Sets the regions in which the zones lie.
+    /// Sets the mapping of zones to regions.
     pub fn with_regions(mut self, regions: Regions) -> Self {
         self.regional_keys.regions = regions;
         self
     }
 
-    /// A ticket for a request, unique in this process.
+    /// Returns a ticket for a request, unique in this process.
     pub fn ticket(&self) -> Ticket {
         self.in_flight.ticket()
     }
 
-    /// Whether the session lease runs, so that requests may be served.
+    /// Whether the session lease is valid, so that requests may be served.
     pub fn is_serving(&self, now: MonotonicTime) -> bool {
         now < self.session_lease_end()
             || (!self.rules.enforces(Rule::ServesUnderSessionLease)
@@ -139,8 +140,8 @@
             .store(has_leader, Ordering::Release);
     }
 
-    /// When to retry with a daemon that does not serve, as an estimate: soon if the leader has only to renew the lease,
-    /// later if a leader has to be found first.
+    /// Returns the estimated time after which to retry a daemon that does not serve: short if the leader only has to
+    /// renew the lease, longer if a leader has to be found first.
     pub fn not_serving_retry_after(&self) -> Duration {
         if self.availability.has_leader.load(Ordering::Acquire) && !self.is_leaving() {
             RETRY_AFTER_WITH_LEADER
@@ -154,19 +155,19 @@
         self.availability.is_leaving.load(Ordering::Acquire)
     }
 
-    /// The daemon accepts no new callers from now on.
+    /// Marks the daemon as leaving, so that it accepts no new callers.
     pub fn begin_leaving(&self) {
         self.availability.is_leaving.store(true, Ordering::Release);
     }
 
-    /// Whether the platform may send callers to this daemon.
+    /// Whether the platform may direct callers to this daemon.
     pub fn is_ready(&self, now: MonotonicTime) -> bool {
         let is_evacuated = self.routing_table().is_evacuated(&self.own_host.zone);
         self.is_serving(now) && !self.is_leaving() && !is_evacuated
     }
 
-    /// Counts a request that passes through this daemon as in flight until the guard is dropped: when its outcome is
-    /// known, or its caller disconnects.
+    /// Counts a request as in flight through this daemon until the guard is dropped, when the request's outcome is
+    /// known or its caller has disconnected.
     pub fn track_in_flight(&self) -> InFlightGuard {
         self.in_flight.track()
     }
@@ -177,12 +178,12 @@
             || (self.in_flight_count() == 0 && self.held_functions.load().is_empty())
     }
 
-    /// The number of requests that pass through this daemon.
+    /// Returns the number of requests in flight through this daemon.
     pub fn in_flight_count(&self) -> usize {
         self.in_flight.count()
     }
 
-    /// A function held under the lease with this fencing token.
+    /// Returns a function if it is held under the lease with this fencing token.
     pub fn held(
         &self,
         function: &FunctionKey,
@@ -195,7 +196,7 @@
             .cloned()
     }
 
-    /// A function held under the lease with this fencing token, or given up since.
+    /// Returns a function if it is held under the lease with this fencing token, or has been closing since.
     pub fn held_or_closing(
         &self,
         function: &FunctionKey,
@@ -209,8 +210,8 @@
         })
     }
 
-    /// Forgets the functions given up whose runners have not all stopped yet, so that the memory they take can be
-    /// measured.
+    /// Drops the functions that are no longer held but whose runners have not all stopped yet, so that the memory they
+    /// take can be measured.
     pub fn forget_closing(&self) {
         self.lock_closing().clear();
     }
@@ -224,7 +225,7 @@
         self.owners.insert(function, owner);
     }
 
-    /// Drops the owner of a function from the cache.
+    /// Evicts the owner of a function from the cache.
     pub fn evict_owner(&self, function: &FunctionKey) {
         self.owners.evict(function);
     }
--- a/crates/dataplane/src/agent/owner_cache.rs
+++ b/crates/dataplane/src/agent/owner_cache.rs
@@ -1,4 +1,4 @@
-//! The owners of functions that a daemon has learned from responses and from the leader.
+//! The owners of functions, as learned from responses and from the leader.
 
 use arc_swap::{ArcSwap, Guard};
 use common::frames::Host;
@@ -6,22 +6,22 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// A cache of functions' owners. It is a hint only: an owner that no longer holds the function declines, and is then
-/// evicted. Reads take no lock; a change copies the map.
+/// A cache of functions' owners. Its entries are hints only: an owner that no longer holds the function declines
+/// requests, and is then evicted. Reads take no lock; a change copies the map.
 pub(super) struct OwnerCache(ArcSwap<BTreeMap<FunctionKey, Host>>);
 
 impl OwnerCache {
-    /// An empty cache.
+    /// Creates an empty cache.
     pub(crate) fn new() -> Self {
         Self(ArcSwap::from_pointee(BTreeMap::new()))
     }
 
-    /// The owners as they are now.
+    /// Returns the current entries.
     pub(crate) fn load(&self) -> Guard<Arc<BTreeMap<FunctionKey, Host>>> {
         self.0.load()
     }
 
-    /// Records an owner.
+    /// Caches the owner of a function.
     pub(crate) fn insert(&self, function: &FunctionKey, owner: &Host) {
         let is_known = self.0.load().get(function) == Some(owner);
         if !is_known {
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Drops the owner of a function.
+    /// Evicts the owner of a function.
     pub(crate) fn evict(&self, function: &FunctionKey) {
         if self.0.load().contains_key(function) {
             self.0.rcu(|owners| {
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Drops all owners.
+    /// Evicts all owners.
     pub(crate) fn clear(&self) {
         self.0.store(Arc::new(BTreeMap::new()));
     }
--- a/crates/dataplane/src/agent/snapshots.rs
+++ b/crates/dataplane/src/agent/snapshots.rs
@@ -1,8 +1,8 @@
-//! What all tasks of a daemon read of its state: the routing table, the live daemons, the held functions and the end of
+//! The state that all tasks of a daemon read: the routing table, the live daemons, the held functions and the end of
 //! the session lease.
 //!
-//! Each is a snapshot that is replaced as a whole, so that reads take no lock. A method that returns a [`Guard`] is the
-//! cheapest, for a read that is over soon; one that returns an [`Arc`] is for a snapshot that is kept meanwhile.
+//! Each part is a snapshot that is replaced as a whole, so that reads take no lock. Methods that return a [`Guard`] are
+//! the cheapest, for short reads; methods that return an [`Arc`] are for snapshots that are kept longer.
 
 use super::{Agent, HeldFunction};
 use arc_swap::Guard;
@@ -17,32 +17,32 @@
 pub type HeldFunctions<W> = BTreeMap<FunctionKey, Arc<HeldFunction<W>>>;
 
 impl<W> Agent<W> {
-    /// The routing table of the spec in use.
+    /// Returns the routing table of the installed spec.
     pub fn routing_table(&self) -> Guard<Arc<RoutingTable>> {
         self.routing_table.load()
     }
 
-    /// The routing table of the spec in use, to be kept while a request is handled.
+    /// Returns the routing table of the installed spec, to be kept while a request is handled.
     pub fn routing_table_snapshot(&self) -> Arc<RoutingTable> {
         self.routing_table.load_full()
     }
 
-    /// Puts a routing table into use.
+    /// Replaces the routing table.
     pub fn set_routing_table(&self, table: Arc<RoutingTable>) {
         self.routing_table.store(table);
     }
 
-    /// The daemons that count as alive.
+    /// Returns the daemons that are considered alive.
     pub fn live_hosts(&self) -> Guard<Arc<Vec<Host>>> {
         self.live_hosts.load()
     }
 
-    /// Replaces the daemons that count as alive.
+    /// Replaces the daemons that are considered alive.
     pub fn set_live_hosts(&self, live_hosts: Vec<Host>) {
         self.live_hosts.store(Arc::new(live_hosts));
     }
 
-    /// When the session lease ends; zero without one.
+    /// Returns when the session lease ends; zero without one.
     pub fn session_lease_end(&self) -> MonotonicTime {
         self.session_lease_end.get()
     }
@@ -52,22 +52,22 @@
         self.session_lease_end.set(lease_end);
     }
 
-    /// All held functions.
+    /// Returns all held functions.
     pub fn held_functions(&self) -> Arc<HeldFunctions<W>> {
         self.held_functions.load_full()
     }
 
-    /// How many functions are held.
+    /// Returns the number of held functions.
     pub fn held_function_count(&self) -> usize {
         self.held_functions.load().len()
     }
 
-    /// A function that is held, under whichever lease.
+    /// Returns a function if it is held, under any lease.
     pub fn held_function(&self, function: &FunctionKey) -> Option<Arc<HeldFunction<W>>> {
         self.held_functions.load().get(function).cloned()
     }
 
-    /// Replaces the held functions, and returns those that were held.
+    /// Replaces the held functions, and returns the previous ones.
     pub fn replace_held_functions(
         &self,
         held_functions: HeldFunctions<W>,
@@ -75,7 +75,7 @@
         self.held_functions.swap(Arc::new(held_functions))
     }
 
-    /// Adds a held function, in place of one with the same key.
+    /// Adds a held function, replacing any with the same key.
     pub(super) fn insert_held_function(&self, held: &Arc<HeldFunction<W>>) {
         self.held_functions.rcu(|held_functions| {
             let mut changed_functions = BTreeMap::clone(held_functions);
