--- a/crates/dataplane/src/agent/daemon_control/held_functions.rs
+++ b/crates/dataplane/src/agent/daemon_control/held_functions.rs
@@ -1,4 +1,4 @@
-//! The functions that a daemon holds: granted, claimed from a new leader, given up, closed.
+//! The life cycle of the functions that a daemon holds: grant, claim from a new leader, release and close.
 
 use super::{Agent, DaemonControl, DaemonControlOutput, HeldFunction, HeldFunctions};
 use crate::holder::{Holder, HolderOutput, LeaseTerms};
@@ -11,7 +11,7 @@
 use std::sync::Arc;
 
 impl<W> DaemonControl<W> {
-    /// Applies a change to a held function's holder, and passes its outputs on.
+    /// Applies a change to a held function's holder, and queues the resulting outputs for the drivers.
     pub(super) fn apply(
         &mut self,
         held: &Arc<HeldFunction<W>>,
@@ -55,7 +55,7 @@
         self.apply_view_outputs(agent, now, view_outputs);
     }
 
-    /// The session lease has ended: closes every held function.
+    /// Closes every held function, after the session lease has ended.
     pub(super) fn release_all(&mut self, agent: &Agent<W>, now: MonotonicTime) {
         if !agent.rules.enforces(Rule::ServesUnderSessionLease) {
             return;
@@ -74,7 +74,7 @@
         self.outputs.push(DaemonControlOutput::Changed);
     }
 
-    /// Puts a new routing table into use, and gives up the functions that it no longer contains.
+    /// Installs a new routing table, and releases the functions that it no longer contains.
     pub(super) fn install(
         &mut self,
         agent: &Agent<W>,
@@ -109,7 +109,7 @@
         self.outputs.push(DaemonControlOutput::Changed);
     }
 
-    /// Starts to hold a function whose lease was granted, unless it is held under a newer lease.
+    /// Starts holding a function whose lease was granted, unless it is already held under this lease or a newer one.
     pub(super) fn granted(&mut self, agent: &Agent<W>, now: MonotonicTime, terms: LeaseTerms) {
         let (function, fencing_token) = (terms.function.clone(), terms.fencing_token);
         let held_fencing_token = agent
@@ -142,7 +142,8 @@
         self.outputs.push(DaemonControlOutput::Changed);
     }
 
-    /// Passes a reserved runner to its function; if that is no longer held, the reservation is returned.
+    /// Passes the result of a reservation to the function's holder. If the function is no longer held, a reserved
+    /// runner is returned to the leader.
     pub(super) fn reserved(
         &mut self,
         agent: &Agent<W>,
@@ -165,7 +166,7 @@
         }
     }
 
-    /// Releases a closed function's lease, with the runners that are still to be stopped.
+    /// Releases a closed function's lease, and reports the runners that are still to be stopped.
     pub(super) fn report_orphaned_runners(&mut self, held: &Arc<HeldFunction<W>>) {
         if !self.cluster_view.is_welcomed() {
             return;
@@ -177,7 +178,7 @@
         self.send_release(held.function.clone(), held.fencing_token, runners);
     }
 
-    /// Releases a function's lease, with the runners that are still to be stopped.
+    /// Sends the release of a function's lease, with the runners that are still to be stopped.
     pub(super) fn send_release(
         &mut self,
         function: FunctionKey,
@@ -191,7 +192,8 @@
         });
     }
 
-    /// Closes a function that is no longer held; it stays among the closing ones until its runners have stopped.
+    /// Closes a function that is no longer held, and keeps it in the list of closing functions until its runners have
+    /// stopped.
     pub(super) fn close(
         &mut self,
         agent: &Agent<W>,
@@ -202,7 +204,7 @@
         self.apply(held, |holder| holder.close(now));
     }
 
-    /// Removes a function from the held ones.
+    /// Removes a function from the held functions.
     pub(super) fn remove(&mut self, agent: &Agent<W>, function: &FunctionKey) {
         agent.remove_held_function(function);
         self.outputs.push(DaemonControlOutput::Changed);
--- a/crates/dataplane/src/agent/daemon_control/mod.rs
+++ b/crates/dataplane/src/agent/daemon_control/mod.rs
@@ -1,10 +1,10 @@
-//! The control side of a daemon: events of the stream, of the holders and of the passing of time go through the
-//! [cluster view](crate::cluster_view), and what follows is applied to the [`Agent`]. No I/O; the drivers carry out the
-//! [`DaemonControlOutput`]s.
+//! The control side of a daemon. Events of the stream and of the holders, and timers, go through the [cluster
+//! view](crate::cluster_view), whose outputs are applied to the [`Agent`]. It performs no I/O: the drivers carry out
+//! the [`DaemonControlOutput`]s.
 //!
 //! * `held_functions`: the life cycle of the held functions.
-//! * `outputs`: what the drivers have to do.
-//! * `view_outputs`: the cluster view's outputs.
+//! * `outputs`: the actions for the drivers.
+//! * `view_outputs`: application of the cluster view's outputs.
 
 mod held_functions;
 mod outputs;
@@ -27,9 +27,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How long a function has no requests before it is reported to the leader as idle.
+/// How long a function is without requests before it is reported to the leader as idle.
 const IDLE_REPORT_AFTER: Duration = Duration::from_secs(3);
-/// Interval between two reports of idle functions and rejected requests.
+/// Interval between reports of idle functions and rejected requests.
 const REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Drives one daemon's cluster view, and applies its outputs to the daemon's agent.
@@ -41,7 +41,7 @@
 }
 
 impl<W> DaemonControl<W> {
-    /// The control side of a daemon that has just started.
+    /// Creates the control side of a daemon that has just started.
     pub fn new(
         now: MonotonicTime,
         agent: &Agent<W>,
@@ -77,7 +77,7 @@
         self
     }
 
-    /// When [`DaemonControl::tick`] is due next.
+    /// Returns when [`DaemonControl::tick`] is due next.
     pub fn next_due(&self, agent: &Agent<W>) -> MonotonicTime {
         let may_acquire = self.cluster_view.is_welcomed() && !agent.is_leaving();
         let warm_acquirer = self.warm_acquirer.as_ref().filter(|_| may_acquire);
@@ -94,7 +94,7 @@
         holders_due.fold(first_due, MonotonicTime::min)
     }
 
-    /// When the stream or a heartbeat is due next.
+    /// Returns when the control session or the failure detector is due next.
     pub fn stream_due(&self) -> MonotonicTime {
         self.cluster_view.next_due()
     }
@@ -128,7 +128,7 @@
         }
     }
 
-    /// Some state has changed by which warm functions may need a holder.
+    /// Rechecks which warm functions need a holder, after a change of the state that determines it.
     pub fn recheck_warm_functions(&mut self, now: MonotonicTime) {
         if let Some(warm_acquirer) = &mut self.warm_acquirer {
             warm_acquirer.changed(now);
@@ -144,7 +144,7 @@
         std::mem::take(&mut self.outputs)
     }
 
-    /// Does what is due by now.
+    /// Performs all actions that are due.
     pub fn tick(&mut self, agent: &Agent<W>, now: MonotonicTime) -> Vec<DaemonControlOutput<W>> {
         let view_outputs = self.cluster_view.tick(now);
         self.apply_view_outputs(agent, now, view_outputs);
@@ -195,7 +195,7 @@
         });
     }
 
-    /// The dialed stream is established.
+    /// Handles the establishment of the dialed stream.
     pub fn connected(
         &mut self,
         agent: &Agent<W>,
@@ -206,12 +206,12 @@
         self.take_outputs()
     }
 
-    /// A part of a long frame from the leader has arrived.
+    /// Handles the arrival of a part of a long frame from the leader.
     pub fn frame_part_received(&mut self, now: MonotonicTime) {
         self.cluster_view.frame_part_received(now);
     }
 
-    /// The stream failed or was closed by the other side.
+    /// Handles a stream that failed or was closed by the other side.
     pub fn disconnected(
         &mut self,
         agent: &Agent<W>,
@@ -234,12 +234,12 @@
         self.take_outputs()
     }
 
-    /// Handles a heartbeat; false if its sender is not a listed member.
+    /// Handles a heartbeat. Returns false if its sender is not a listed member.
     pub fn heartbeat(&mut self, now: MonotonicTime, heartbeat: &Heartbeat) -> bool {
         self.cluster_view.heartbeat(now, heartbeat)
     }
 
-    /// A request needs the owner of a function.
+    /// Acquires a function: requests its lease, or its current owner, from the leader.
     pub fn acquire(
         &mut self,
         agent: &Agent<W>,
@@ -299,7 +299,8 @@
         self.take_outputs()
     }
 
-    /// Starts a graceful shutdown: the daemon accepts no further function, and finishes and releases those it holds.
+    /// Starts a graceful shutdown: the daemon accepts no further functions, and finishes and releases those that it
+    /// holds.
     pub fn leave(&mut self, agent: &Agent<W>, now: MonotonicTime) -> Vec<DaemonControlOutput<W>> {
         agent.begin_leaving();
         let view_outputs = self.cluster_view.leave(now);
@@ -311,7 +312,7 @@
         self.take_outputs()
     }
 
-    /// The daemon is about to exit: it serves nothing more, and the leader need not wait for the end of its lease.
+    /// Gives up the session lease before the process exits, and tells the leader not to wait for its end.
     pub fn departed(&mut self, agent: &Agent<W>) -> Vec<DaemonControlOutput<W>> {
         agent.set_session_lease_end(MonotonicTime::ZERO);
         self.send_frame(DaemonToLeader::Leaving);
--- a/crates/dataplane/src/agent/daemon_control/outputs.rs
+++ b/crates/dataplane/src/agent/daemon_control/outputs.rs
@@ -1,4 +1,4 @@
-//! What the control side of a daemon has its drivers do.
+//! Outputs of a daemon's control side, to be carried out by its drivers.
 
 use super::HeldFunction;
 use crate::holder::HolderOutput;
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// An action for the drivers, or an event for them. The agent's state is changed already.
+/// An action for the drivers, or an event reported to them. The agent's state is already updated.
 pub enum DaemonControlOutput<W> {
     /// Open a stream to this address.
     Dial(SocketAddress),
@@ -20,22 +20,22 @@
     HeartbeatDatagram(Heartbeat, Vec<SocketAddress>),
     /// Carry out a holder's outputs.
     Holder(Arc<HeldFunction<W>>, Vec<HolderOutput>),
-    /// An acquisition has ended: notify who waits for it.
+    /// An acquisition has completed: notify its waiters.
     Acquired {
         /// The function.
         function: FunctionKey,
-        /// The leader's response; none if the acquisition has to be retried.
+        /// The leader's response; `None` if the acquisition has to be retried.
         result: Option<AcquireResult>,
         /// Time from the request to the response.
         round_trip: Duration,
     },
-    /// The stream is lost: notify all who wait for an acquisition.
+    /// The stream is lost: notify the waiters of all acquisitions.
     AcquiresLost,
-    /// Some state has changed that a request may wait for.
+    /// State that requests may be waiting for has changed.
     Changed,
     /// Write an event to the log.
     LogEvent(Event, String),
-    /// The spec of this version is in use.
+    /// The spec of this version is installed.
     Installed(Version),
     /// The session lease has ended.
     LeaseEnded,
--- a/crates/dataplane/src/agent/daemon_control/view_outputs.rs
+++ b/crates/dataplane/src/agent/daemon_control/view_outputs.rs
@@ -1,4 +1,4 @@
-//! Application of the cluster view's outputs to the agent.
+//! Applies the cluster view's outputs to the agent.
 
 use super::{Agent, DaemonControl, DaemonControlOutput};
 use crate::cluster_view::{ClusterViewOutput, FunctionCommand};
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Applies a leader's command to a held function; one about a lease that is not held is ignored.
+    /// Applies a command from the leader to a held function. A command for a lease that is not held is ignored.
     fn apply_command(
         &mut self,
         agent: &Agent<W>,
