--- a/crates/dataplane/src/agent/forwarding/mod.rs
+++ b/crates/dataplane/src/agent/forwarding/mod.rs
@@ -1,12 +1,12 @@
-//! The way of one request to the holder of its function: this daemon, or another that the cache, the hash owner or the
-//! leader names.
+//! Forwards one request to the holder of its function: this daemon, or another one known from the cache, the hash owner
+//! or the leader.
 //!
 //! [`Forwarding`] is a state machine without I/O. Each of its methods returns the next [`ForwardingStep`]; the caller
-//! carries it out, and calls the method for how the step ended.
+//! carries it out, and calls the method that matches its result.
 //!
 //! * `request`: the request as this daemon received it.
-//! * `step`: the steps.
-//! * `step_results`: what follows from the result of a step.
+//! * `step`: the steps, and the result of sending a request to another daemon.
+//! * `step_results`: handling of the result of a step.
 
 mod request;
 mod step;
@@ -27,14 +27,14 @@
 use std::time::Duration;
 use step::{not_holder_outcome, rejected_step, unknown_outcome, unknown_step};
 
-/// How much of the time to the deadline is reserved for each hop, there and back, so that a rejection at the last moment
+/// Time before the deadline that is reserved for the round trip of each hop, so that a rejection at the last moment
 /// still arrives.
 const HOP_TIME_RESERVE: Duration = Duration::from_millis(25);
-/// How long a daemon waits for a spec as new as the one by which another daemon matched the request.
+/// How long a daemon waits for a spec as new as the one with which another daemon matched the request.
 const SPEC_WAIT_TIMEOUT: Duration = Duration::from_millis(500);
-/// How long a daemon waits for a newer spec after a holder with another spec has rejected the request.
+/// How long a daemon waits for a newer spec after a holder with a different spec has rejected the request.
 const SPEC_MISMATCH_TIMEOUT: Duration = Duration::from_millis(300);
-/// After how many such rejections a request is still retried.
+/// The number of such rejections after which a request is still retried.
 const MAX_SPEC_MISMATCHES: u32 = 3;
 /// The delay before the leader, or another daemon, is tried again.
 const RETRY_BACKOFF: Duration = Duration::from_millis(40);
@@ -42,43 +42,44 @@
 const REGIONAL_LOST_BACKOFF: Duration = Duration::from_secs(3);
 /// How long a regional key is not used after its holder had no runner ready.
 const REGIONAL_UNREADY_BACKOFF: Duration = Duration::from_millis(300);
-/// The largest body that is sent again rather than have its response take a detour through a third daemon.
+/// The largest body of a request that is referred to its holder rather than forwarded. A referral sends the body again,
+/// but saves the response the detour through a third daemon.
 const MAX_REFERRED_BODY_BYTES: usize = 64 << 10;
-/// The least time to the deadline with which a request is referred to its holder rather than forwarded.
+/// The minimum time to the deadline for a request to be referred to its holder rather than forwarded.
 const MIN_REFERRAL_TIME: Duration = Duration::from_millis(300);
-/// When to retry after a daemon that is not the holder has rejected a request.
+/// Retry-after of a rejection by a daemon that is not the holder.
 const NOT_HOLDER_RETRY_AFTER: Duration = Duration::from_millis(50);
-/// When to retry after the spec here and the holder's still differ.
+/// Retry-after of a rejection because this daemon's spec and the holder's still differ.
 const SPEC_MISMATCH_RETRY_AFTER: Duration = Duration::from_millis(200);
-/// When to retry after the spec does not route the request to its function.
+/// Retry-after of a rejection because the spec does not route the request to its function.
 const UNKNOWN_ROUTE_RETRY_AFTER: Duration = Duration::from_millis(500);
-/// When to retry after no owner was found, if the leader has announced no wait.
+/// Retry-after of a rejection because no owner was found, if the leader has announced no wait.
 const NO_OWNER_RETRY_AFTER: Duration = Duration::from_millis(1000);
-/// The shortest such time, whatever the leader has announced.
+/// The minimum retry-after of such a rejection, whatever wait the leader has announced.
 const MIN_NO_OWNER_RETRY_AFTER: Duration = Duration::from_millis(100);
 
-/// One request on its way through this daemon.
+/// The state of one request that this daemon forwards.
 pub struct Forwarding {
     request: FunctionRequest,
-    /// Until when a spec as new as the request's is waited for.
+    /// When to stop waiting for a spec as new as the request's.
     spec_deadline: MonotonicTime,
-    /// Until when a holder is sought; none before the search starts.
+    /// When to stop looking for a holder; `None` before the search starts.
     give_up_at: Option<MonotonicTime>,
-    /// No acquisition is requested before this time.
+    /// The earliest time of the next acquisition.
     acquire_not_before: MonotonicTime,
-    /// When the function can be ready, by the wait that the leader has announced.
+    /// When the function is expected to be ready, given the wait that the leader has announced.
     retry_at: Option<MonotonicTime>,
-    /// Until when a newer spec is waited for, after a rejection by a holder with another spec.
+    /// When to stop waiting for a newer spec, after a rejection by a holder with a different spec.
     spec_mismatch_until: Option<MonotonicTime>,
     spec_mismatch_count: u32,
-    /// How many holders were lost while they had the request.
+    /// The number of holders that were lost while they had the request.
     lost_holder_count: u32,
-    /// Whether no holder is sought any more, as this daemon or the one that forwarded the request stops.
+    /// Whether to stop looking for a holder, as this daemon or the one that forwarded the request is shutting down.
     is_withdrawn: bool,
 }
 
 impl Forwarding {
-    /// A request that this daemon has just received.
+    /// Creates the state of a request that this daemon has just received.
     pub fn new(now: MonotonicTime, request: FunctionRequest) -> Self {
         Self {
             request,
@@ -93,14 +94,14 @@
         }
     }
 
-    /// The request.
+    /// Returns the request.
     pub fn request(&self) -> &FunctionRequest {
         &self.request
     }
 
-    /// Seeks no holder any more: this daemon stops, or the one that forwarded the request does. A request that waits here
-    /// for a holder ends with the next [`advance`](Self::advance); one that a holder has is to be withdrawn there, and ends
-    /// with that holder's outcome. False if nothing is to be done.
+    /// Stops looking for a holder, as this daemon or the one that forwarded the request is shutting down. A request
+    /// that waits here for a holder ends with the next [`advance`](Self::advance). A request that a holder already has
+    /// is to be withdrawn there, and ends with that holder's outcome. Returns false if nothing is to be done.
     pub fn withdraw<W>(&mut self, agent: &Agent<W>) -> bool {
         self.is_withdrawn = agent
             .rules
@@ -108,13 +109,14 @@
         self.is_withdrawn
     }
 
-    /// The last step of a request that a holder still has when this daemon exits: a runner may have it.
+    /// Returns the last step of a request that a holder still has when this daemon exits. Its outcome is unknown, as a
+    /// runner may have it.
     pub fn end_unfinished<W>(&self) -> ForwardingStep<W> {
         unknown_step()
     }
 
-    /// Settles a step: a withdrawn request does not go on, and after a holder was lost with a request, nobody knows that
-    /// it was not run, so that such an outcome becomes unknown.
+    /// Finalizes a step. A withdrawn request is not continued. If a holder was lost with the request, an outcome that
+    /// says it was not run becomes unknown, as the lost holder may have run it.
     fn settle<W>(&self, agent: &Agent<W>, step: ForwardingStep<W>) -> ForwardingStep<W> {
         let is_end = matches!(step, ForwardingStep::End(..));
         let step = if self.is_withdrawn && !is_end {
@@ -132,8 +134,8 @@
         }
     }
 
-    /// The end of a withdrawn request that nobody has. The daemon that forwarded it here, if one did, looks for another
-    /// holder.
+    /// Returns the last step of a withdrawn request that no holder has. If another daemon forwarded it here, that
+    /// daemon looks for another holder.
     fn withdrawn_step<W>(&self, agent: &Agent<W>) -> ForwardingStep<W> {
         if self.request.hops == 0 {
             rejected_step(
@@ -145,8 +147,8 @@
         }
     }
 
-    /// Decides the next step by the current state of the daemon. A daemon without a session lease rejects the request at
-    /// once, so that what was buffered in its sockets while it was suspended goes no further.
+    /// Decides the next step from the current state of the daemon. A daemon without a session lease rejects the request
+    /// at once, so that requests buffered in its sockets while it was suspended are not continued.
     pub fn advance<W>(&mut self, agent: &Agent<W>, now: MonotonicTime) -> ForwardingStep<W> {
         if self.is_withdrawn {
             return self.settle(agent, self.withdrawn_step(agent));
@@ -202,8 +204,9 @@
         }
     }
 
-    /// After a holder with another spec has rejected the request: the step to take until this daemon has a newer spec than
-    /// the one by which the request was matched; none once it has, or without such a rejection.
+    /// Returns the step after a rejection by a holder with a different spec: waits until this daemon has a newer spec
+    /// than the one with which the request was matched, and rejects the request when that takes too long. `None` once
+    /// the newer spec is installed, or without such a rejection.
     fn after_spec_mismatch<W>(
         &mut self,
         now: MonotonicTime,
@@ -221,8 +224,8 @@
         })
     }
 
-    /// The spec here does not route the request to its function: wait for the spec by which it was matched, if this
-    /// daemon's is older.
+    /// Handles a request that this daemon's spec does not route to its function: waits for the spec with which the
+    /// request was matched if this daemon's is older, and otherwise rejects the request.
     fn unknown_route_step<W>(&self, now: MonotonicTime, installed: Version) -> ForwardingStep<W> {
         let is_spec_behind = installed < self.request.version && now < self.spec_deadline;
         if is_spec_behind {
@@ -234,7 +237,7 @@
         }
     }
 
-    /// Until when a holder is sought. It is fixed when the search starts.
+    /// Returns when to stop looking for a holder. The time is fixed when the search starts.
     fn give_up_at(&mut self, now: MonotonicTime, queue_timeout: Duration) -> MonotonicTime {
         *self.give_up_at.get_or_insert(
             self.request
@@ -302,8 +305,9 @@
         }
     }
 
-    /// Whether a hash owner that knows the holder refers the caller's daemon to it rather than forward the request, as
-    /// that saves the response a detour between zones. Nothing was sent from here, so the request was certainly not run.
+    /// Whether a hash owner that knows the holder refers the ingress daemon to it rather than forward the request,
+    /// which saves the response a detour between zones. Nothing was sent from here, so the request was certainly not
+    /// run.
     fn may_refer(&self, own_host: &Host, holder: &Host, now: MonotonicTime) -> bool {
         self.request.hops == 1
             && self.request.wants_referral
@@ -342,7 +346,8 @@
         }
     }
 
-    /// At the caller's daemon: a newer spec may route the request to another function. Nothing was run yet.
+    /// At the ingress daemon: routes the request again if a newer spec is installed, which may lead to another
+    /// function. This is safe for a request that was not run yet.
     fn apply_newer_spec(&mut self, table: &RoutingTable) {
         if table.version() <= self.request.version {
             return;
@@ -356,7 +361,7 @@
         }
     }
 
-    /// At the caller's daemon: uses the regional key if there is one. Requests whose idempotency keys are recorded stay
+    /// At the ingress daemon: uses the regional key if there is one. Requests whose idempotency keys are recorded stay
     /// with the one holder that records them.
     fn use_regional_key<W>(&mut self, agent: &Agent<W>, now: MonotonicTime, table: &RoutingTable) {
         let is_remembered = table
@@ -370,8 +375,8 @@
             .unwrap_or(all_regions);
     }
 
-    /// At the caller's daemon: the regional key does not serve, so the holder for all regions is to. True if the request
-    /// was under a regional key.
+    /// At the ingress daemon: falls back to the holder for all regions, as the regional key cannot be served at the
+    /// moment. Returns true if the request was under a regional key.
     fn leave_regional_key<W>(
         &mut self,
         agent: &Agent<W>,
@@ -386,7 +391,7 @@
         was_regional
     }
 
-    /// The region of the caller's daemon, if it differs from this one's.
+    /// Returns the region of the ingress daemon, if it differs from this daemon's.
     fn foreign_region<W>(&self, agent: &Agent<W>) -> Option<Region> {
         let is_foreign = agent
             .own_region()
--- a/crates/dataplane/src/agent/forwarding/request.rs
+++ b/crates/dataplane/src/agent/forwarding/request.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A request on its way to the holder of its function.
+/// A request to be handled by the holder of its function.
 #[derive(Clone, Debug)]
 pub struct FunctionRequest {
     /// Its idempotency key.
@@ -15,25 +15,25 @@
     pub function: FunctionKey,
     /// The name of the route that matched it.
     pub route: String,
-    /// The version of the spec by which it was matched.
+    /// The version of the spec with which it was matched.
     pub version: Version,
-    /// When its caller gives it up.
+    /// When its caller stops waiting for it.
     pub deadline: MonotonicTime,
     /// How many times it was forwarded.
     pub hops: u8,
-    /// Whether it is a repeat: by the caller, or after a holder was lost with it.
+    /// Whether it is a repeat, either by the caller or after a holder was lost with it.
     pub repeat: bool,
-    /// Whether the daemon that forwarded it prefers a referral to the holder.
+    /// Whether the daemon that forwarded it wants to be referred to the holder rather than have it forwarded again.
     pub wants_referral: bool,
-    /// The region of the daemon that received it from its caller; empty if that is in none.
+    /// The region of the ingress daemon, which received it from its caller; empty if that daemon is in no region.
     pub region: Region,
-    /// What the caller sent: method, target, header fields and body.
+    /// The caller's method, target, header fields and body.
     pub payload: Arc<RequestPayload>,
 }
 
 impl FunctionRequest {
-    /// The request in a frame from another daemon; the frame itself if it is of another kind. The frame carries the
-    /// remaining time, as the daemons' clocks differ.
+    /// Reads a request from another daemon's frame, or returns the frame if it is of another kind. The frame carries
+    /// the remaining time rather than the deadline, as the daemons' clocks differ.
     pub fn from_frame(
         now: MonotonicTime,
         frame: DaemonMessage,
--- a/crates/dataplane/src/agent/forwarding/step.rs
+++ b/crates/dataplane/src/agent/forwarding/step.rs
@@ -1,4 +1,4 @@
-//! The steps of a request's forwarding, and how a step that leaves this daemon can end.
+//! The steps in forwarding a request, and the result of sending it to another daemon.
 
 use super::{HeldFunction, HolderRequest, NOT_HOLDER_RETRY_AFTER};
 use crate::holder::not_run;
@@ -7,14 +7,14 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How the forwarding of a request to another daemon ended.
+/// The result of sending a request to another daemon.
 #[derive(Clone, Debug)]
 pub enum ForwardResult {
-    /// With an outcome, and the holder if it is known.
+    /// The request has ended with this outcome; the holder if it is known.
     Completed(RequestOutcome, Option<Host>),
-    /// Certainly nothing was sent.
+    /// It is certain that nothing was sent.
     Unsent,
-    /// Something was sent, and no reply came.
+    /// Something was sent, but no reply arrived.
     Lost,
 }
 
@@ -28,25 +28,26 @@
         host: Host,
         /// The frame to send.
         body: DaemonMessage,
-        /// Until when the reply is waited for.
+        /// When to stop waiting for the reply.
         wait_until: MonotonicTime,
     },
     /// Request the function from the leader, then call [`Forwarding::acquired`](super::Forwarding::acquired), or
-    /// [`Forwarding::advance`](super::Forwarding::advance) when the time is up.
+    /// [`Forwarding::advance`](super::Forwarding::advance) at `wait_until`.
     Acquire {
-        /// Until when the response is waited for.
+        /// When to stop waiting for the response.
         wait_until: MonotonicTime,
     },
-    /// Call [`Forwarding::advance`](super::Forwarding::advance) when the daemon's state has changed, or the time is up.
+    /// Call [`Forwarding::advance`](super::Forwarding::advance) when the daemon's state has changed, or at
+    /// `wait_until`.
     Wait {
-        /// When to do so at the latest.
+        /// The latest time to do so.
         wait_until: MonotonicTime,
     },
     /// The request has ended with this outcome; the holder if it is known.
     End(RequestOutcome, Option<Host>),
 }
 
-/// The end of a request that was not run, with the time after which to retry.
+/// Returns the last step of a request that was not run, with its retry-after.
 pub(super) fn rejected_step<W>(
     reason: RequestFailureReason,
     retry_after: Duration,
@@ -54,7 +55,7 @@
     ForwardingStep::End(not_run(reason, retry_after.as_millis() as u32), None)
 }
 
-/// The outcome at a daemon that is not the holder.
+/// Returns the outcome at a daemon that is not the holder.
 pub(super) fn not_holder_outcome() -> RequestOutcome {
     not_run(
         RequestFailureReason::NotHolder,
@@ -62,14 +63,14 @@
     )
 }
 
-/// The outcome of a request that a holder had, and of which nothing more will be heard.
+/// Returns the outcome of a request whose holder was lost: nothing more will be received about it.
 pub(super) fn unknown_outcome() -> RequestOutcome {
     RequestOutcome::Unknown {
         reason: RequestFailureReason::HolderUnreachable,
     }
 }
 
-/// The end of such a request.
+/// Returns the last step of such a request.
 pub(super) fn unknown_step<W>() -> ForwardingStep<W> {
     ForwardingStep::End(unknown_outcome(), None)
 }
--- a/crates/dataplane/src/agent/forwarding/step_results.rs
+++ b/crates/dataplane/src/agent/forwarding/step_results.rs
@@ -1,4 +1,4 @@
-//! What follows from the result of a step: of the holder here, of another daemon, or of the leader.
+//! Handles the result of a step: from this daemon's holder, from another daemon, or from the leader.
 
 use super::step::{not_holder_outcome, rejected_step, unknown_step};
 use super::{
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 impl Forwarding {
-    /// A holder with another spec than this daemon's has rejected the request: one of the two is about to be updated.
+    /// Handles a rejection by a holder with a different spec than this daemon's: one of the two is about to be updated.
     fn handle_spec_mismatch<W>(
         &mut self,
         agent: &Agent<W>,
@@ -26,7 +26,7 @@
         self.advance(agent, now)
     }
 
-    /// Waits for a moment before the next acquisition.
+    /// Waits for `RETRY_BACKOFF` before the next acquisition.
     fn back_off<W>(&mut self, now: MonotonicTime) -> ForwardingStep<W> {
         self.acquire_not_before = now + RETRY_BACKOFF;
         ForwardingStep::Wait {
@@ -34,7 +34,8 @@
         }
     }
 
-    /// The holder in this daemon has ended the request. One that admits nothing more proves that nothing was run.
+    /// Handles the outcome returned by the holder in this daemon. A holder that admits no more requests has certainly
+    /// not run this one.
     pub fn served<W>(
         &mut self,
         agent: &Agent<W>,
@@ -64,7 +65,7 @@
         ForwardingStep::End(outcome, (!holder_declined).then(|| agent.own_host.clone()))
     }
 
-    /// The daemon to which the request was sent has ended it, could not be reached, or was lost.
+    /// Handles the result of sending the request to another daemon.
     pub fn forwarded<W>(
         &mut self,
         agent: &Agent<W>,
@@ -120,7 +121,8 @@
         ForwardingStep::End(outcome, holder)
     }
 
-    /// The other daemon is not the holder. At the caller's daemon, the first referral to the holder is followed.
+    /// Handles the reply of a daemon that is not the holder. The ingress daemon follows the first referral to the
+    /// holder.
     fn after_not_holder<W>(
         &mut self,
         agent: &Agent<W>,
@@ -144,8 +146,8 @@
         }
     }
 
-    /// Whether the request was certainly not run under its regional key, as nobody holds that or its holder has no runner
-    /// ready. The request then goes on under the key for all regions.
+    /// Falls back to the key for all regions if the request was certainly not run under its regional key, as no daemon
+    /// holds that key or its holder has no runner ready. Returns whether it did.
     fn falls_back_to_all_regions<W>(
         &mut self,
         agent: &Agent<W>,
@@ -166,7 +168,7 @@
         }
     }
 
-    /// A holder, or a daemon on the way to it, was lost with the request.
+    /// Handles the loss of the holder, or of a daemon on the way to it, while it had the request.
     fn after_loss<W>(&mut self, agent: &Agent<W>, now: MonotonicTime) -> ForwardingStep<W> {
         agent.evict_owner(&self.request.function);
         self.leave_regional_key(agent, now, REGIONAL_LOST_BACKOFF);
@@ -179,8 +181,8 @@
         unknown_step()
     }
 
-    /// Whether a request whose holder was lost is sent to the next holder, as a further attempt. Only the caller's daemon
-    /// does so: if those on the way repeated it as well, the attempts would multiply.
+    /// Whether a request whose holder was lost is sent to the next holder, as a further attempt. Only the ingress
+    /// daemon does so: if the daemons on the way retried it as well, the attempts would multiply.
     fn may_retry_forward<W>(&self, agent: &Agent<W>, now: MonotonicTime) -> bool {
         let table = agent.routing_table();
         let has_time = now + HOP_TIME_RESERVE + RETRY_BACKOFF < self.request.deadline;
@@ -190,8 +192,8 @@
         }) && self.request.hops == 0
     }
 
-    /// The leader has responded to the acquisition; none if the acquisition was lost. If the leader announces a wait that
-    /// goes beyond the request's time, the request ends at once.
+    /// Handles the leader's response to the acquisition; `None` if the acquisition was lost. If the leader announces a
+    /// wait that exceeds the request's remaining time, the request ends at once.
     pub fn acquired<W>(
         &mut self,
         agent: &Agent<W>,
@@ -232,7 +234,8 @@
         }
     }
 
-    /// The leader expects to grant the lease after `wait`; the function then has to start.
+    /// Waits for a lease that the leader expects to grant after `wait`; the function has to start after that. If it
+    /// cannot be ready in time, the request ends at once.
     fn wait_for_lease<W>(
         &mut self,
         agent: &Agent<W>,
