--- a/crates/dataplane/src/agent/held.rs
+++ b/crates/dataplane/src/agent/held.rs
@@ -1,4 +1,4 @@
-//! A held function: its holder's state machine, and the requests that wait for their outcomes.
+//! A held function: its holder's state machine, and the requests waiting for their outcomes.
 
 use crate::holder::{AdmissionRequest, Holder, HolderOutput};
 use common::clock::MonotonicTime;
@@ -10,20 +10,20 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
 
-/// A request as the function's holder executes it.
+/// A request as handled by the holder of its function.
 #[derive(Clone)]
 pub struct HolderRequest {
     /// Its idempotency key.
     pub idempotency_key: IdempotencyKey,
     /// The name of the route that matched it.
     pub route: String,
-    /// When its caller gives it up.
+    /// When its caller stops waiting for it.
     pub deadline: MonotonicTime,
     /// Whether it may be sent to a runner only once.
     pub once: bool,
     /// Whether callers may repeat its idempotency key, so that its outcome is recorded.
     pub recorded: bool,
-    /// The most runners it may be sent to.
+    /// The maximum number of runners that it may be sent to.
     pub max_attempts: u32,
     /// Whether it repeats an earlier request.
     pub repeat: bool,
@@ -31,32 +31,32 @@
     pub queue_timeout: Duration,
     /// The target latency: a later response counts as late.
     pub target: Duration,
-    /// Its priority; the lowest rank goes first.
+    /// Its priority: the lowest rank goes first.
     pub rank: u8,
-    /// The region of its caller's daemon, if that differs from the holder's.
+    /// The region of the ingress daemon, if it differs from the holder's.
     pub region: Option<Region>,
-    /// What the caller sent: method, target, header fields and body.
+    /// The caller's method, target, header fields and body.
     pub payload: Arc<RequestPayload>,
 }
 
 /// The runner to which a request is sent.
 #[derive(Clone, Debug)]
 pub struct RunnerTarget {
-    /// The most connections that it accepts.
+    /// The maximum number of connections that it accepts.
     pub connections: u32,
-    /// Its instance, as the platform names it.
+    /// The platform's id of its instance.
     pub instance: InstanceId,
     /// The id by which it identifies itself in responses.
     pub self_reported_id: RunnerId,
 }
 
-/// A request and what waits for its outcome.
+/// A request and the waiter for its outcome.
 struct WaitingRequest<W> {
     holder_request: HolderRequest,
     waiter: W,
 }
 
-/// A held function, and the requests that wait for their outcomes. `W` is what waits for one.
+/// A held function, and the requests waiting for their outcomes. `W` is the type of their waiters.
 pub struct HeldFunction<W> {
     /// The function.
     pub function: FunctionKey,
@@ -67,7 +67,7 @@
 }
 
 impl<W> HeldFunction<W> {
-    /// A function whose lease was just granted.
+    /// Creates the state of a function whose lease was just granted.
     pub fn new(holder: Holder) -> Self {
         Self {
             function: holder.function().clone(),
@@ -77,12 +77,12 @@
         }
     }
 
-    /// Runs `access` on the holder, under its lock.
+    /// Calls `access` with the holder locked.
     pub fn with<T>(&self, access: impl FnOnce(&mut Holder) -> T) -> T {
         access(&mut self.holder.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
-    /// The id by which a runner identifies itself in responses.
+    /// Returns the id by which a runner identifies itself in responses.
     pub fn self_reported_id_of(&self, runner: RunnerId) -> RunnerId {
         runner.self_reported_id(
             self.with(|holder| holder.instance_of(runner))
@@ -91,7 +91,7 @@
         )
     }
 
-    /// The target of a send to a runner; none if the runner is gone.
+    /// Returns the target of a send to a runner; `None` if the holder no longer has that runner.
     pub fn runner_target(&self, runner: RunnerId) -> Option<RunnerTarget> {
         let (connections, instance) =
             self.with(|holder| (holder.connections(), holder.instance_of(runner)));
@@ -104,7 +104,7 @@
         })
     }
 
-    /// The request of a ticket, while its outcome is waited for.
+    /// Returns the request with this ticket, while its outcome is pending.
     pub fn holder_request(&self, ticket: Ticket) -> Option<HolderRequest> {
         let waiting_requests = self
             .waiting_requests
@@ -115,7 +115,7 @@
             .map(|waiting| waiting.holder_request.clone())
     }
 
-    /// Admits a request. If its outcome is known at once, that is returned together with what waits for it.
+    /// Admits a request. An outcome that is known at once is returned together with its waiter.
     pub fn admit(
         &self,
         now: MonotonicTime,
@@ -150,7 +150,7 @@
         (immediate_end, outputs)
     }
 
-    /// Reads what waits for a request's outcome, while that does.
+    /// Calls `read` with the waiter for a request's outcome, while the outcome is pending.
     pub fn with_waiter<T>(&self, ticket: Ticket, read: impl FnOnce(&W) -> T) -> Option<T> {
         let waiting_requests = self
             .waiting_requests
@@ -161,7 +161,7 @@
             .map(|waiting| read(&waiting.waiter))
     }
 
-    /// A request has ended: returns what waits for its outcome, if that still does.
+    /// Removes a request that has ended, and returns the waiter for its outcome, if there still is one.
     pub fn remove_waiter(&self, ticket: Ticket) -> Option<W> {
         let mut waiting_requests = self
             .waiting_requests
--- a/crates/dataplane/src/agent/replica_requests.rs
+++ b/crates/dataplane/src/agent/replica_requests.rs
@@ -1,4 +1,5 @@
-//! Requests to ledger replicas, the daemons that keep copies of others' ledgers, and this daemon's answers as one.
+//! Requests to ledger replicas, the daemons that keep copies of other daemons' ledgers, and this daemon's replies as a
+//! replica.
 
 use super::{Agent, HeldFunction};
 use crate::holder::{Holder, HolderOutput};
@@ -9,9 +10,9 @@
 use std::sync::{MutexGuard, PoisonError};
 use std::time::Duration;
 
-/// How long the response to [`ReplicaRequestKind::Collect`] is waited for.
+/// How long to wait for the reply to [`ReplicaRequestKind::Collect`].
 const COLLECT_TIMEOUT: Duration = Duration::from_millis(600);
-/// How long the responses to all other kinds are waited for.
+/// How long to wait for the replies to all other kinds.
 const RECORD_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// What is requested from a ledger replica.
@@ -19,9 +20,9 @@
 pub enum ReplicaRequestKind {
     /// The ledger of the function's previous holder.
     Collect,
-    /// To store the records of the batch with this id.
+    /// The storing of the records in the batch with this id.
     Record(u64),
-    /// The ranges in which its copy differs.
+    /// The ranges in which the replica's copy differs.
     Compare,
 }
 
@@ -32,14 +33,15 @@
     pub replica: Host,
     /// The frame to send.
     pub body: DaemonMessage,
-    /// What it requests, by which the reply is interpreted.
+    /// The kind of request, which determines how the reply is interpreted.
     pub request_kind: ReplicaRequestKind,
-    /// How long the reply is waited for.
+    /// How long to wait for the reply.
     pub timeout: Duration,
 }
 
 impl<W> HeldFunction<W> {
-    /// The request to a ledger replica that a holder's output stands for; the output itself if it is another.
+    /// Converts a holder's output to the request to a ledger replica that it asks for; returns the output if it asks
+    /// for something else.
     pub fn replica_request(&self, output: HolderOutput) -> Result<ReplicaRequest, HolderOutput> {
         match output {
             HolderOutput::Collect { previous_lease } => Ok(ReplicaRequest {
@@ -84,7 +86,7 @@
 }
 
 impl ReplicaRequestKind {
-    /// Passes a replica's reply to the holder; none if no reply came in time.
+    /// Passes a replica's reply to the holder; `None` if no reply arrived in time.
     pub fn reply(
         self,
         holder: &mut Holder,
@@ -109,7 +111,8 @@
 }
 
 impl<W> Agent<W> {
-    /// Answers a request as another daemon's ledger replica; none if the frame is no such request.
+    /// Handles a request to this daemon as a ledger replica, and returns the reply; `None` if the frame is not such a
+    /// request.
     pub fn answer_replica_request(
         &self,
         now: MonotonicTime,
@@ -159,7 +162,7 @@
         }
     }
 
-    /// How many records are stored as a replica of other daemons' ledgers.
+    /// Returns the number of records stored as a replica of other daemons' ledgers.
     pub fn replica_entry_count(&self) -> usize {
         self.lock_ledger_replica().entry_count()
     }
@@ -176,7 +179,7 @@
     }
 }
 
-/// The reply to a request for a ledger; the replica has no complete copy of it if `copy` is none.
+/// Returns the reply to a request for a ledger. `copy` is `None` if the replica has no complete copy of it.
 fn collected(copy: Option<Vec<LedgerRecord>>) -> DaemonMessage {
     DaemonMessage::Collected {
         complete: Flag(copy.is_some()),
