--- a/crates/dataplane/src/agent/regional.rs
+++ b/crates/dataplane/src/agent/regional.rs
@@ -1,9 +1,9 @@
-//! Regional keys: functions whose callers in this daemon's region are served under a key of their own.
+//! Regional keys: keys under which this region's callers of a function have their own holder.
 //!
-//! Once the callers of a region keep a runner of their own busy, the holder for all regions sends a hint to that region's
-//! daemons with its responses ([`crate::holder`]). From the time in the hint on, those daemons use the region's own key,
-//! which has a hash owner, a lease and runners of its own, all in the region. None of this is replicated: a daemon that
-//! has no hint forwards to the holder for all regions, which serves every caller.
+//! Once the callers of a region keep a runner of their own busy, the holder for all regions sends a hint to that
+//! region's daemons with its responses ([`crate::holder`]). From the time given in the hint, those daemons use the
+//! regional key, which has its own hash owner, lease and runners, all in the region. None of this is replicated: a
+//! daemon that has no hint forwards to the holder for all regions, which serves every caller.
 
 use super::Agent;
 use arc_swap::ArcSwap;
@@ -13,34 +13,35 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// How long a regional key is used without a further hint of its holder.
+/// How long a regional key is used without another hint from its holder.
 const KEY_USE_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// The unit of a hint, in milliseconds.
 const HINT_UNIT_MS: u64 = 100;
 
-/// A further hint extends the use only once this much of it has passed, so that not every response changes the map.
+/// Another hint extends the use of a regional key only after this much of it has passed, so that not every response
+/// changes the map.
 const KEY_USE_RENEWAL: Duration = Duration::from_secs(5);
 
-/// The period in which a regional key is used.
+/// The period during which a regional key is used.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 struct RegionalKeyUse {
     from: MonotonicTime,
     until: MonotonicTime,
 }
 
-/// The periods known to a daemon, by the functions' keys for all regions.
+/// The known periods, by the function's key for all regions.
 type RegionalKeyUses = BTreeMap<FunctionKey, RegionalKeyUse>;
 
-/// The regions of the zones, and the regional keys in use.
+/// The mapping of zones to regions, and the regional keys in use.
 pub(super) struct RegionalKeys {
-    /// The regions in which the zones lie.
+    /// The mapping of zones to regions.
     pub regions: Regions,
     uses: ArcSwap<RegionalKeyUses>,
 }
 
 impl RegionalKeys {
-    /// No regions, and no regional keys.
+    /// Creates the state without regions and regional keys.
     pub(crate) fn new() -> Self {
         Self {
             regions: Regions::default(),
@@ -57,7 +58,7 @@
         });
     }
 
-    /// Sets the period in which a regional key is used, and drops the periods that are over.
+    /// Sets the period during which a regional key is used, and drops the periods that have ended.
     fn set(&self, now: MonotonicTime, all_regions: &FunctionKey, regional_use: RegionalKeyUse) {
         self.uses.rcu(|uses| {
             let mut changed_uses = RegionalKeyUses::clone(uses);
@@ -69,12 +70,12 @@
 }
 
 impl<W> Agent<W> {
-    /// The region of this daemon; none if the settings name none.
+    /// Returns the region of this daemon; `None` if the settings assign none.
     pub fn own_region(&self) -> Option<&Region> {
         self.regional_keys.regions.region_of(&self.own_host.zone)
     }
 
-    /// The regional key under which this region's callers of a function are served, if one is in use.
+    /// Returns the regional key under which this region's callers of a function are served, if one is in use.
     pub fn regional_key(
         &self,
         now: MonotonicTime,
@@ -88,7 +89,7 @@
             .map(|region| all_regions.in_region(region))
     }
 
-    /// The keys of this region that are in use or will be.
+    /// Returns this region's keys that are in use or will be.
     pub fn regional_keys_wanted(&self, now: MonotonicTime) -> Vec<FunctionKey> {
         let Some(region) = self.own_region() else {
             return Vec::new();
@@ -102,8 +103,8 @@
             .collect()
     }
 
-    /// Handles the hint in a response: in how many tenths of a second this region's callers are to use the regional key,
-    /// or zero if they are not to use one. True if a regional key has become known that was not.
+    /// Handles the hint in a response: after how many tenths of a second this region's callers are to use the regional
+    /// key, or zero if they are not to use one. Returns true if a regional key has newly become known.
     pub fn handle_regional_hint(
         &self,
         now: MonotonicTime,
@@ -145,8 +146,8 @@
         false
     }
 
-    /// Suspends the use of a regional key that does not serve at the moment: for the time of `backoff`, its callers use
-    /// the holder for all regions.
+    /// Suspends the use of a regional key that cannot be served at the moment: for the duration of `backoff`, its
+    /// callers use the holder for all regions.
     pub fn suspend_regional_key(
         &self,
         now: MonotonicTime,
@@ -164,8 +165,8 @@
         );
     }
 
-    /// The hint that goes with a response of a function held here to a daemon in `region`: in how many tenths of a second
-    /// that region's callers are to use the regional key; zero if they are not to use one.
+    /// Returns the hint to send with a response of a function held here to a daemon in `region`: after how many tenths
+    /// of a second that region's callers are to use the regional key, or zero if they are not to use one.
     pub fn regional_hint(&self, now: MonotonicTime, function: &FunctionKey, region: &Region) -> u8 {
         let is_other_region = self
             .own_region()
