--- a/crates/dataplane/src/cluster_view/leader_frames.rs
+++ b/crates/dataplane/src/cluster_view/leader_frames.rs
@@ -1,4 +1,4 @@
-//! Handling of the leader's frames: specs, host lists, responses to requests, commands about held functions.
+//! Handles the leader's frames: specs, host lists, responses to requests, and commands for held functions.
 
 use super::{ClusterView, ClusterViewOutput, FunctionCommand};
 use common::clock::MonotonicTime;
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Applies a delta to the installed spec; if it does not fit, the complete spec is requested.
+    /// Applies a delta to the installed spec; requests the complete spec if the delta does not apply to it.
     fn apply_spec_delta(
         &mut self,
         now: MonotonicTime,
@@ -89,7 +89,7 @@
         ));
     }
 
-    /// A delta of the host list was applied; or it was not, and the complete list is requested.
+    /// Refreshes the live hosts after a delta of the host list was applied; requests the complete list if it was not.
     fn host_delta_handled(&mut self, now: MonotonicTime, is_applied: bool) {
         if is_applied {
             self.refresh_hosts(now);
@@ -100,7 +100,8 @@
         }
     }
 
-    /// Builds the routing table of a spec and reports it for use, unless a newer spec is installed already.
+    /// Builds the routing table of a spec and reports it for installation, unless this version or a newer one is
+    /// already installed.
     fn install(
         &mut self,
         now: MonotonicTime,
@@ -138,7 +139,7 @@
     }
 }
 
-/// The command about a held function in a leader's frame; none in any other frame.
+/// Returns the command for a held function in a frame from the leader; `None` for any other frame.
 fn function_command(frame: LeaderToDaemon) -> Option<ClusterViewOutput> {
     let (function, command) = match frame {
         LeaderToDaemon::Revoke {
--- a/crates/dataplane/src/cluster_view/leader_requests.rs
+++ b/crates/dataplane/src/cluster_view/leader_requests.rs
@@ -1,4 +1,4 @@
-//! Requests to the leader, for function leases and for runners, and its responses.
+//! Requests to the leader for function leases and for runners, and its responses.
 
 use super::{ClusterView, ClusterViewOutput};
 use crate::holder::LeaseTerms;
@@ -8,7 +8,7 @@
 use common::rules::Rule;
 use std::time::Duration;
 
-/// How long a response to an acquisition is waited for.
+/// How long to wait for the response to an acquisition.
 const ACQUIRE_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// A request for a function lease that has no final response yet.
@@ -20,8 +20,8 @@
 }
 
 impl ClusterView {
-    /// Requests a function lease from the leader. While the leader is known to grant it only later, no further
-    /// request is sent, and the remaining wait is reported instead.
+    /// Requests a function lease from the leader. While a wait announced by the leader for this function is pending, no
+    /// further request is sent, and the remaining wait is reported instead.
     pub fn acquire(&mut self, now: MonotonicTime, function: FunctionKey) -> Vec<ClusterViewOutput> {
         let pending_expected_at = self
             .acquires
@@ -126,8 +126,8 @@
         self.report_acquired(function, result, round_trip);
     }
 
-    /// Whether a granted lease is one that was released already: the leader repeats it in response to a request that
-    /// crossed the release on the wire.
+    /// Whether a granted lease was already released: the leader grants it again in response to a request that crossed
+    /// the release on the wire.
     fn is_released(&self, function: &FunctionKey, result: &AcquireResult) -> bool {
         let AcquireResult::Granted { fencing_token, .. } = result else {
             return false;
@@ -182,15 +182,14 @@
         self.outputs.push(output);
     }
 
-    /// Whether a function whose lease was requested under this correlation may be held.
+    /// Whether a function whose lease was requested with this correlation id may be held.
     fn may_hold(&self, now: MonotonicTime, correlation: CorrelationId) -> bool {
         let is_void =
             correlation <= self.void_through && self.rules.enforces(Rule::StaleLeaseReturned);
         now < self.control_session.lease_end() && !self.is_leaving && !is_void
     }
 
-    /// Handles the leader's response to a reservation; a runner that was reserved for a request that was given up is
-    /// returned.
+    /// Handles the leader's response to a reservation. A runner that was reserved for an abandoned request is returned.
     pub(super) fn handle_reserve_result(
         &mut self,
         correlation: CorrelationId,
@@ -218,8 +217,9 @@
         }
     }
 
-    /// The daemon is about to claim no function. The leader then drops any lease that is on its way here as one that
-    /// is not claimed, so that it must not be accepted.
+    /// Cancels all pending acquisitions before the daemon claims no functions. The leader then drops every lease that
+    /// is not claimed, including one that is still in transit to this daemon, so that such a lease must not be
+    /// accepted.
     pub(super) fn void_pending_acquires(&mut self, now: MonotonicTime) {
         self.void_through = self.control_session.correlation();
         for pending in std::mem::take(&mut self.acquires).into_values() {
--- a/crates/dataplane/src/cluster_view/mod.rs
+++ b/crates/dataplane/src/cluster_view/mod.rs
@@ -1,10 +1,10 @@
-//! One daemon's view of the cluster: the leader, the spec, the live members, the leases it is granted.
+//! One daemon's view of the cluster: the leader, the spec, the live members, and the leases granted to the daemon.
 //!
-//! [`ClusterView`] joins the [control session](crate::control_session) and the
-//! [failure detector](crate::failure_detector), interprets the leader's frames and sends requests to it. It performs no
-//! I/O: its methods return [`ClusterViewOutput`]s that the caller carries out.
+//! [`ClusterView`] combines the [control session](crate::control_session) and the [failure
+//! detector](crate::failure_detector), interprets the leader's frames and sends requests to it. It performs no I/O: its
+//! methods return [`ClusterViewOutput`]s that the caller carries out.
 //!
-//! * `leader_frames`: the leader's frames.
+//! * `leader_frames`: handling of the leader's frames.
 //! * `leader_requests`: requests to the leader, and its responses.
 
 mod leader_frames;
@@ -25,21 +25,21 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// What one daemon knows of the cluster.
+/// One daemon's knowledge of the cluster.
 pub struct ClusterView {
     control_session: ControlSession,
     failure_detector: FailureDetector,
     view: Option<DaemonView>,
     table: Arc<RoutingTable>,
     alive_hosts: Vec<Host>,
-    /// Acquisitions that wait for the leader.
+    /// Acquisitions without a final response from the leader.
     acquires: BTreeMap<CorrelationId, PendingAcquire>,
-    /// Reservations of runners that wait for the leader.
+    /// Reservations of runners without a response from the leader.
     reserves: BTreeMap<CorrelationId, (FunctionKey, FencingToken)>,
-    /// Requests up to this one were sent before the session lease ended: a lease granted in response is void.
+    /// Requests up to this correlation id were sent before the session lease ended: a lease granted in response to them
+    /// is void.
     void_through: CorrelationId,
-    /// Leases that were released on this stream: the leader may grant them once more before it has handled the
-    /// release.
+    /// Leases that were released on this stream: the leader may grant them again before it has handled the release.
     released_leases: BTreeMap<FunctionKey, FencingToken>,
     is_leaving: bool,
     rules: Rules,
@@ -47,7 +47,7 @@
 }
 
 impl ClusterView {
-    /// A view without leader, spec and members.
+    /// Creates a view without a leader, a spec or members.
     pub fn new(control_session: ControlSession, own_host: Host) -> Self {
         Self {
             control_session,
@@ -79,7 +79,7 @@
         self
     }
 
-    /// When [`ClusterView::tick`] is due next.
+    /// Returns when [`ClusterView::tick`] is due next.
     pub fn next_due(&self) -> MonotonicTime {
         self.control_session
             .next_due()
@@ -91,12 +91,12 @@
         self.control_session.set_seeds(seeds);
     }
 
-    /// When the session lease ends or ended; zero if none was granted.
+    /// Returns when the session lease ends or ended; zero if none was granted.
     pub fn lease_end(&self) -> MonotonicTime {
         self.control_session.lease_end()
     }
 
-    /// The version of the installed spec.
+    /// Returns the version of the installed spec.
     pub fn version(&self) -> Version {
         self.table.version()
     }
@@ -110,7 +110,7 @@
         std::mem::take(&mut self.outputs)
     }
 
-    /// Does what is due by now.
+    /// Performs all actions that are due.
     pub fn tick(&mut self, now: MonotonicTime) -> Vec<ClusterViewOutput> {
         let outputs = self.control_session.tick(now);
         self.apply_session_outputs(now, outputs);
@@ -151,19 +151,19 @@
         }
     }
 
-    /// The dialed stream is established.
+    /// Handles the establishment of the dialed stream.
     pub fn connected(&mut self, now: MonotonicTime) -> Vec<ClusterViewOutput> {
         let outputs = self.control_session.connected(now);
         self.apply_session_outputs(now, outputs);
         self.take_outputs()
     }
 
-    /// A part of a long frame from the leader has arrived.
+    /// Handles the arrival of a part of a long frame from the leader.
     pub fn frame_part_received(&mut self, now: MonotonicTime) {
         self.control_session.frame_part_received(now);
     }
 
-    /// The stream failed or was closed by the other side.
+    /// Handles a stream that failed or was closed by the other side.
     pub fn disconnected(&mut self, now: MonotonicTime) -> Vec<ClusterViewOutput> {
         let outputs = self.control_session.disconnected(now);
         self.apply_session_outputs(now, outputs);
@@ -181,12 +181,12 @@
         self.take_outputs()
     }
 
-    /// Handles a heartbeat; false if its sender is not a listed member.
+    /// Handles a heartbeat. Returns false if its sender is not a listed member.
     pub fn heartbeat(&mut self, now: MonotonicTime, heartbeat: &Heartbeat) -> bool {
         self.failure_detector.received(now, heartbeat)
     }
 
-    /// The daemon is leaving: it accepts no further lease.
+    /// Marks the daemon as leaving: it accepts no further leases.
     pub fn leave(&mut self, now: MonotonicTime) -> Vec<ClusterViewOutput> {
         self.is_leaving = true;
         let outputs = self.control_session.leave();
--- a/crates/dataplane/src/cluster_view/outputs.rs
+++ b/crates/dataplane/src/cluster_view/outputs.rs
@@ -1,4 +1,4 @@
-//! What a cluster view has its caller do.
+//! Outputs of a cluster view, to be carried out by its caller.
 
 use crate::holder::LeaseTerms;
 use common::clock::MonotonicTime;
@@ -22,13 +22,13 @@
     HeartbeatDatagram(Heartbeat, Vec<SocketAddress>),
     /// The leader of this term has accepted the stream: collect the claims, and send them.
     Welcomed(Term),
-    /// The stream is lost: pending acquisitions get no response, nor do these reservations of runners.
+    /// The stream is lost: neither pending acquisitions nor these reservations of runners get a response.
     StreamLost(Vec<(FunctionKey, FencingToken)>),
-    /// The session lease runs until this time.
+    /// The session lease is valid until this time.
     ServeUntil(MonotonicTime),
     /// The session lease has ended: close every held function, drop every cached owner, send the (empty) claims.
     ReleaseAll,
-    /// A new spec is to be used.
+    /// Put the routing table of a new spec into use.
     Install(Arc<RoutingTable>),
     /// A spec could not be installed.
     InstallFailed(Version, DocumentError),
@@ -36,16 +36,16 @@
     Hosts(Vec<Host>),
     /// The lease of a function is granted to this daemon.
     LeaseGranted(LeaseTerms),
-    /// An acquisition has ended.
+    /// An acquisition has completed.
     Acquired {
         /// The function.
         function: FunctionKey,
-        /// The leader's response; none if the acquisition has to be retried.
+        /// The leader's response; `None` if the acquisition has to be retried.
         result: Option<AcquireResult>,
         /// Time from the request to the response.
         round_trip: Duration,
     },
-    /// The reservation of a runner has ended.
+    /// The reservation of a runner has completed.
     Reserved {
         /// The function.
         function: FunctionKey,
@@ -54,16 +54,16 @@
         /// The leader's response.
         result: ReserveResult,
     },
-    /// The leader's command about a held function.
+    /// A command from the leader for a held function.
     Command(FunctionKey, FunctionCommand),
 }
 
-/// A leader's command about one held function. Except for runners, whose ids contain it, each names the fencing token of
-/// the lease that it is about; a command about another lease is ignored.
+/// A command from the leader for one held function. It names the fencing token of the lease that it applies to, either
+/// directly or within a runner's id; a command for another lease is ignored.
 pub enum FunctionCommand {
     /// Memory is short: stop an idle function's runners.
     ReclaimIdle(FencingToken),
-    /// The daemon that keeps the replica of a function's ledger has changed; none if there is none.
+    /// The daemon that keeps the replica of a function's ledger has changed; `None` if no daemon keeps one.
     ReplicaAssigned(FencingToken, Option<Host>),
     /// The function lease is not valid: close the function.
     Revoke(FencingToken),
