--- a/crates/dataplane/src/control_session/controllers.rs
+++ b/crates/dataplane/src/control_session/controllers.rs
@@ -1,4 +1,4 @@
-//! Which controller is dialed next.
+//! Chooses the controller to dial next.
 
 use super::ControlSessionTiming;
 use common::clock::MonotonicTime;
@@ -14,7 +14,7 @@
     was_reached: bool,
 }
 
-/// The addresses of the controllers, and what is known of them: who is said to lead, who does not respond.
+/// The controllers' addresses, the controller hinted to be the leader, and the one that did not respond.
 pub(super) struct Controllers {
     seeds: Vec<SocketAddress>,
     addresses: Vec<SocketAddress>,
@@ -25,7 +25,7 @@
 }
 
 impl Controllers {
-    /// The controllers at the seed addresses; the one at `first_index` counts as tried already.
+    /// Creates the list from the seed addresses. The controller at `first_index` counts as already tried.
     pub(crate) fn new(seeds: Vec<SocketAddress>, first_index: usize) -> Self {
         Self {
             addresses: seeds.clone(),
@@ -60,12 +60,12 @@
         self.addresses.extend(other_seeds);
     }
 
-    /// Sets the leader that a redirect names, if it names one.
+    /// Sets the leader named by a redirect, if it names one.
     pub(crate) fn set_hinted_leader(&mut self, leader: Option<SocketAddress>) {
         self.hinted_leader = leader;
     }
 
-    /// Whether there is a hinted leader that may be dialed now.
+    /// Whether a hinted leader is known that may be dialed now.
     pub(crate) fn has_usable_hint(
         &self,
         now: MonotonicTime,
@@ -76,7 +76,8 @@
             .is_some_and(|hinted| self.may_dial_hinted(now, hinted, timing, rules))
     }
 
-    /// Chooses the controller to dial: a hinted leader first, else the next in turn that is not in backoff.
+    /// Chooses the controller to dial: a hinted leader if there is one, otherwise the next in turn that is not in
+    /// backoff.
     pub(crate) fn choose(
         &mut self,
         now: MonotonicTime,
@@ -117,7 +118,7 @@
         });
     }
 
-    /// Whether a controller that another one names as the leader may be dialed.
+    /// Whether a controller named as the leader by another one may be dialed.
     fn may_dial_hinted(
         &self,
         now: MonotonicTime,
--- a/crates/dataplane/src/control_session/mod.rs
+++ b/crates/dataplane/src/control_session/mod.rs
@@ -1,9 +1,9 @@
 //! A daemon's stream to the leading controller, and its session lease.
 //!
-//! [`ControlSession`] seeks the leader, keeps a stream to it and renews the session lease on it. It performs no I/O:
-//! its methods return [`ControlSessionOutput`]s that the caller carries out.
+//! [`ControlSession`] finds the leader, maintains a stream to it and renews the session lease on that stream. It
+//! performs no I/O: its methods return [`ControlSessionOutput`]s that the caller carries out.
 //!
-//! * `controllers`: which controller is dialed next.
+//! * `controllers`: the choice of the controller to dial next.
 //! * `session_lease`: the state of the lease.
 //! * `timing`: intervals, time-outs and backoffs.
 
@@ -27,7 +27,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The most renewals that are remembered while they have no response; the oldest are forgotten first.
+/// The maximum number of renewals without a response that are tracked; the oldest are dropped first.
 const MAX_PENDING_RENEWALS: usize = 16;
 
 /// The state of the stream to the leader.
@@ -36,7 +36,7 @@
     Idle { dial_at: MonotonicTime },
     /// A connection is being established.
     Dialing { give_up_at: MonotonicTime },
-    /// Connected, and the greeting is sent; the leader has not welcomed it yet.
+    /// Connected, and the hello is sent; the leader has not welcomed the stream yet.
     Open { give_up_at: MonotonicTime },
     /// The leader has accepted the stream.
     Welcomed {
@@ -45,7 +45,7 @@
     },
 }
 
-/// The newest leader known.
+/// The newest known leader.
 struct KnownLeader {
     term: Term,
     last_heard_at: MonotonicTime,
@@ -66,13 +66,14 @@
     state: StreamState,
     leader: KnownLeader,
     lease: SessionLease,
-    /// When each renewal that has no response yet was sent.
+    /// The times at which renewals without a response were sent.
     pending_renewals: BTreeMap<CorrelationId, MonotonicTime>,
     last_correlation: CorrelationId,
 }
 
 impl ControlSession {
-    /// A session that seeks the leader at once. `host` and `ingress` are what this daemon announces of itself.
+    /// Creates a session that looks for the leader at once. `host` and `ingress` are what this daemon announces about
+    /// itself.
     pub fn new(
         now: MonotonicTime,
         timing: ControlSessionTiming,
@@ -110,7 +111,7 @@
         self
     }
 
-    /// When [`ControlSession::tick`] is due next.
+    /// Returns when [`ControlSession::tick`] is due next.
     pub fn next_due(&self) -> MonotonicTime {
         let state_due = match self.state {
             StreamState::Idle { dial_at } => dial_at,
@@ -138,7 +139,7 @@
         self.controllers.set_seeds(seeds);
     }
 
-    /// When the session lease ends or ended; zero if none was granted.
+    /// Returns when the session lease ends or ended; zero if none was granted.
     pub fn lease_end(&self) -> MonotonicTime {
         self.lease.end()
     }
@@ -148,18 +149,19 @@
         matches!(self.state, StreamState::Welcomed { .. })
     }
 
-    /// The term of the last leader that welcomed a stream.
+    /// Returns the term of the last leader that welcomed a stream.
     pub fn term(&self) -> Term {
         self.leader.term
     }
 
-    /// A new correlation id for a request to the leader.
+    /// Returns a new correlation id for a request to the leader.
     pub fn correlation(&mut self) -> CorrelationId {
         self.last_correlation = self.last_correlation.next();
         self.last_correlation
     }
 
-    /// The data plane has installed a spec, which names the addresses of the voters.
+    /// Records the version of the installed spec and the voters' addresses in it, and reports the version to the
+    /// leader.
     pub fn installed(
         &mut self,
         version: Version,
@@ -176,7 +178,7 @@
         }
     }
 
-    /// The daemon is leaving: it is not eligible for further functions, and does not renew its lease.
+    /// Marks the daemon as leaving: it is not eligible for further functions, and no longer renews its lease.
     pub fn leave(&mut self) -> Vec<ControlSessionOutput> {
         self.is_leaving = true;
         self.host.eligible.0 = false;
@@ -214,7 +216,7 @@
     }
 
     /// Schedules the next dial after a redirect: at once if it names a leader that may be dialed; after a short delay
-    /// if it names none, or follows too soon on the previous one.
+    /// if it names none, or follows too soon after the previous one.
     fn follow_hint(&mut self, now: MonotonicTime) {
         let is_usable = self
             .controllers
@@ -247,7 +249,7 @@
         self.hang_up(now, outputs);
     }
 
-    /// Does what is due by now: ends the lease, dials, gives up a controller that does not respond, renews.
+    /// Performs all actions that are due: ends the lease, dials, abandons a controller that does not respond, renews.
     pub fn tick(&mut self, now: MonotonicTime) -> Vec<ControlSessionOutput> {
         let mut outputs = Vec::new();
         self.end_lease_if_due(now, &mut outputs);
@@ -304,7 +306,7 @@
         }
     }
 
-    /// The dialed connection is established.
+    /// Handles the establishment of the dialed connection.
     pub fn connected(&mut self, now: MonotonicTime) -> Vec<ControlSessionOutput> {
         if let StreamState::Dialing { .. } = self.state {
             self.state = StreamState::Open {
@@ -315,7 +317,7 @@
         Vec::new()
     }
 
-    /// The connection failed or was closed by the other side.
+    /// Handles a connection that failed or was closed by the other side.
     pub fn disconnected(&mut self, now: MonotonicTime) -> Vec<ControlSessionOutput> {
         let was_welcomed = self.is_welcomed();
         self.go_idle(now);
@@ -326,15 +328,15 @@
         }
     }
 
-    /// A part of a long frame has arrived: the leader responds, however slow the link is. It does not affect the
-    /// session lease.
+    /// Handles the arrival of a part of a long frame. It shows that the leader responds, however slow the link is, but
+    /// does not affect the session lease.
     pub fn frame_part_received(&mut self, now: MonotonicTime) {
         if let StreamState::Welcomed { last_heard_at, .. } = &mut self.state {
             *last_heard_at = now;
         }
     }
 
-    /// The frame that claims the functions this daemon holds, to be sent once welcomed.
+    /// Returns the frame that claims the functions this daemon holds, to be sent once the stream is welcomed.
     pub fn claims(&self, claims: Vec<Claim>) -> DaemonToLeader {
         DaemonToLeader::Claims {
             claims: LengthPrefixed(claims),
@@ -373,8 +375,8 @@
         outputs
     }
 
-    /// The controller accepts the stream. A leader of a term before the newest one known is refused while a lease of
-    /// the newer one may run.
+    /// Handles the acceptance of the stream by a leader. A leader of an earlier term than the newest known one is
+    /// rejected while a lease from the newer leader may still be valid.
     fn welcomed(
         &mut self,
         now: MonotonicTime,
@@ -398,8 +400,8 @@
         }
     }
 
-    /// The leader has renewed the session lease. It runs from when the renewal was sent, which is before the leader
-    /// received it, and only while this daemon has a spec as new as the leader's.
+    /// Handles a renewal of the session lease by the leader. The lease runs from when the renewal was sent, which is
+    /// before the leader received it. It is extended only if this daemon's spec is as new as the leader's.
     fn renewed(
         &mut self,
         now: MonotonicTime,
--- a/crates/dataplane/src/control_session/output.rs
+++ b/crates/dataplane/src/control_session/output.rs
@@ -1,4 +1,4 @@
-//! What a control session has its caller do.
+//! Outputs of a control session, to be carried out by its caller.
 
 use common::clock::MonotonicTime;
 use common::frames::{DaemonToLeader, LeaderToDaemon, SocketAddress};
@@ -16,7 +16,7 @@
     Welcomed,
     /// A welcomed stream is lost; requests pending on it get no response.
     Disconnected,
-    /// The session lease runs until this time.
+    /// The session lease is valid until this time.
     GrantedUntil(MonotonicTime),
     /// The session lease has ended: stop every runner, drop every held function and every cached owner.
     LeaseEnded,
--- a/crates/dataplane/src/control_session/session_lease.rs
+++ b/crates/dataplane/src/control_session/session_lease.rs
@@ -2,12 +2,12 @@
 
 use common::clock::MonotonicTime;
 
-/// The session lease: without an active one a daemon serves nothing.
+/// The session lease. A daemon without an active one serves nothing.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub(super) enum SessionLease {
-    /// None was granted since the process started.
+    /// No lease was granted since the process started.
     Never,
-    /// The lease runs, unless its end has passed since the last call of [`SessionLease::end_if_due`].
+    /// The lease is valid, unless it has expired since the last call of [`SessionLease::end_if_due`].
     Active {
         /// When it ends.
         end: MonotonicTime,
@@ -20,7 +20,7 @@
 }
 
 impl SessionLease {
-    /// When the lease ends or ended; zero if none was granted.
+    /// Returns when the lease ends or ended; zero if none was granted.
     pub(crate) fn end(self) -> MonotonicTime {
         match self {
             Self::Never => MonotonicTime::ZERO,
@@ -28,7 +28,7 @@
         }
     }
 
-    /// When the lease ends, while it is active.
+    /// Returns when the lease ends, if it is active.
     pub(crate) fn active_until(self) -> Option<MonotonicTime> {
         match self {
             Self::Active { end } => Some(end),
@@ -41,7 +41,8 @@
         !matches!(self, Self::Never)
     }
 
-    /// Extends the lease up to `new_end`; false if that is past or no later than the known end.
+    /// Extends the lease to `new_end`. Returns false, without any change, if that is in the past or no later than the
+    /// current end.
     pub(crate) fn extend(&mut self, now: MonotonicTime, new_end: MonotonicTime) -> bool {
         let is_extended = new_end > self.end() && new_end > now;
         if is_extended {
@@ -50,7 +51,7 @@
         is_extended
     }
 
-    /// Ends the lease if its time is up; true once for each lease that ends.
+    /// Ends the lease if it has expired. Returns true once for each lease that ends.
     pub(crate) fn end_if_due(&mut self, now: MonotonicTime) -> bool {
         match *self {
             Self::Active { end } if now >= end => {
--- a/crates/dataplane/src/control_session/timing.rs
+++ b/crates/dataplane/src/control_session/timing.rs
@@ -12,7 +12,7 @@
     /// How long a connection may take to be established, and then how long the leader may take to welcome it.
     #[builder(default = Duration::from_millis(250))]
     pub welcome_timeout: Duration,
-    /// How long a welcomed stream may stay silent before it is closed and another leader is sought.
+    /// How long a welcomed stream may stay silent before it is closed and the search for the leader starts again.
     #[builder(default = Duration::from_millis(550))]
     pub silence_timeout: Duration,
     /// How long a controller that stopped responding is not dialed.
@@ -28,11 +28,11 @@
     /// The longest delay before the next controller is tried.
     #[builder(default = Duration::from_millis(150))]
     pub max_retry_delay: Duration,
-    /// The longest delay after a redirect that names no leader, or that follows too soon on the previous one.
+    /// The longest delay after a redirect that names no leader, or that follows too soon after the previous one.
     #[builder(default = Duration::from_millis(60))]
     pub max_no_leader_delay: Duration,
-    /// How long after the last message of a leader those of earlier terms are refused. Any lease that such a leader
-    /// has granted ends within this time.
+    /// How long after a leader's last message leaders of earlier terms are rejected. Any lease granted by the newer
+    /// leader ends within this time.
     #[builder(default = Duration::from_secs(5))]
     pub stale_term_window: Duration,
 }
