--- a/crates/dataplane/src/failure_detector/mod.rs
+++ b/crates/dataplane/src/failure_detector/mod.rs
@@ -1,9 +1,9 @@
-//! Failure detection: which of the members on the leader's list are alive.
+//! Failure detection: determines which of the members on the leader's list are alive.
 //!
 //! Each daemon sends heartbeats by UDP to a few neighbours on the hash ring, its watchers. A watcher that misses
-//! [`MISSED_HEARTBEATS`] in a row suspects the member, reports it to the leader, and names it in its own heartbeats;
-//! those who receive that relay it once ([`MAX_RELAYS`]). A heartbeat from the member itself refutes the suspicion.
-//! No I/O: [`FailureDetector::tick`] returns what is to be sent.
+//! [`MISSED_HEARTBEATS`] in a row suspects the member, reports it to the leader, and adds the suspicion to its own
+//! heartbeats; the daemons that receive it relay it once ([`MAX_RELAYS`]). A heartbeat from the member itself refutes
+//! the suspicion. The detector performs no I/O: [`FailureDetector::tick`] returns what is to be sent.
 
 mod suspicion;
 
@@ -28,8 +28,8 @@
 /// Silence after which a member is suspected, unless the settings give another interval.
 pub const FAILURE_TIMEOUT: Duration = Duration::from_millis(750);
 
-/// The longest gap between two ticks after which silence still counts against the others; after a longer one this
-/// daemon itself was held up, and has not seen heartbeats that may have arrived.
+/// The longest gap between two ticks after which missing heartbeats still count. After a longer gap, this daemon itself
+/// was delayed and may not have processed heartbeats that arrived.
 const MAX_TICK_DELAY: Duration = Duration::from_millis(400);
 
 /// A member on the leader's list, and its last heartbeat.
@@ -53,7 +53,7 @@
     own_host: Host,
     /// The members on the leader's list.
     records: BTreeMap<MemberName, HeartbeatRecord>,
-    /// The number of that list.
+    /// The leader's sequence number of that list.
     list_number: u64,
     /// The members that the leader suspects.
     suspected: BTreeSet<MemberIncarnation>,
@@ -63,9 +63,9 @@
     locally_suspected: BTreeSet<MemberIncarnation>,
     /// The members that other daemons suspect.
     peer_suspicions: PeerSuspicions,
-    /// Where this daemon's heartbeats go.
+    /// The addresses to which this daemon's heartbeats are sent.
     watcher_addresses: Vec<SocketAddress>,
-    /// Who suspects this daemon, and gets its next heartbeat as a refutation.
+    /// The addresses of daemons that suspect this one, to which the next heartbeat is also sent as a refutation.
     refutation_targets: BTreeSet<SocketAddress>,
     heartbeat_interval: Duration,
     next_heartbeat_at: MonotonicTime,
@@ -76,7 +76,7 @@
 }
 
 impl FailureDetector {
-    /// A detector that has no host list yet.
+    /// Creates a detector without a host list.
     pub fn new(own_host: Host) -> Self {
         Self {
             own_host,
@@ -103,7 +103,7 @@
         self
     }
 
-    /// When [`FailureDetector::tick`] is due next: for a heartbeat, or for a watched member's time-out.
+    /// Returns when [`FailureDetector::tick`] is due next: for a heartbeat, or for a watched member's time-out.
     pub fn next_due(&self) -> MonotonicTime {
         let failure_timeout = self.failure_timeout();
         let unsuspected = self
@@ -133,7 +133,7 @@
         record.is_some_and(|record| record.host.incarnation == incarnation.incarnation)
     }
 
-    /// Replaces the host list by the leader's complete one, with its number and the members that the leader suspects.
+    /// Replaces the host list with the leader's complete one, its number and the members that the leader suspects.
     pub fn set_host_list(
         &mut self,
         now: MonotonicTime,
@@ -145,12 +145,13 @@
             hosts.iter().map(|host| host.member.clone()).collect();
         self.records
             .retain(|member, _| listed_members.contains(member));
-        self.put(hosts);
+        self.put_hosts(hosts);
         self.list_number = number;
         self.set_suspected(now, suspected);
     }
 
-    /// Applies a delta to the host list; false, without any change, if it does not follow on the known list.
+    /// Applies a delta to the host list. Returns false, without any change, if it does not directly follow the known
+    /// list.
     pub fn update_host_list(
         &mut self,
         now: MonotonicTime,
@@ -165,13 +166,13 @@
         for member in removed {
             self.records.remove(&member);
         }
-        self.put(put);
+        self.put_hosts(put);
         self.list_number = number;
         self.set_suspected(now, suspected);
         true
     }
 
-    fn put(&mut self, hosts: Vec<Host>) {
+    fn put_hosts(&mut self, hosts: Vec<Host>) {
         for host in hosts {
             if host.member == self.own_host.member {
                 self.own_host.eligible = host.eligible;
@@ -202,8 +203,8 @@
         self.update_neighbours(now);
     }
 
-    /// Determines whom this daemon watches, and who watches it, from the leader's list alone, so that both sides
-    /// agree.
+    /// Determines which members this daemon watches and which watch it. Only the leader's list is used, so that both
+    /// sides agree.
     fn update_neighbours(&mut self, now: MonotonicTime) {
         let suspected = &self.suspected;
         let on_ring: Vec<(u64, &Host)> = self
@@ -234,7 +235,7 @@
             .retain(|incarnation| watched.contains_key(incarnation));
     }
 
-    /// Handles a heartbeat; false, without any change, if its sender is not a listed member.
+    /// Handles a heartbeat. Returns false, and ignores it, if its sender is not another listed member.
     pub fn received(&mut self, now: MonotonicTime, heartbeat: &Heartbeat) -> bool {
         let incarnation = MemberIncarnation {
             member: heartbeat.member.clone(),
@@ -261,7 +262,8 @@
         true
     }
 
-    /// Records the suspicions in a heartbeat; one of this daemon is refuted by a heartbeat to its sender at once.
+    /// Records the suspicions in a heartbeat. A suspicion of this daemon is refuted at once by a heartbeat to the
+    /// sender.
     fn handle_suspicions(
         &mut self,
         now: MonotonicTime,
@@ -279,15 +281,15 @@
         }
     }
 
-    /// The members that this daemon itself suspects; a newly connected leader has to learn them.
+    /// Returns the members that this daemon itself suspects, to be reported to a newly connected leader.
     pub fn locally_suspected(&self) -> Vec<MemberIncarnation> {
         self.locally_suspected.iter().cloned().collect()
     }
 
-    /// Checks the watched members for time-outs, and does what is due by now.
+    /// Checks the watched members for time-outs, and performs all actions that are due.
     pub fn tick(&mut self, now: MonotonicTime) -> Vec<FailureDetectorOutput> {
         let failure_timeout = self.failure_timeout();
-        self.forgive_own_delay(now);
+        self.restart_timeouts_after_delay(now);
         self.suspect_silent(now, failure_timeout);
         self.peer_suspicions.expire(now, failure_timeout);
         if now >= self.next_heartbeat_at {
@@ -296,8 +298,8 @@
         std::mem::take(&mut self.outputs)
     }
 
-    /// Restarts the time-outs of all watched members if this daemon itself was held up.
-    fn forgive_own_delay(&mut self, now: MonotonicTime) {
+    /// Restarts the time-outs of all watched members if this daemon itself was delayed.
+    fn restart_timeouts_after_delay(&mut self, now: MonotonicTime) {
         let was_delayed = self.last_tick_at.is_some_and(|last_tick_at| {
             now.since(last_tick_at) > MAX_TICK_DELAY.max(self.heartbeat_interval * 2)
         });
@@ -354,8 +356,8 @@
         ));
     }
 
-    /// The members that count as alive, this one always among them: those on the leader's list that nobody suspects.
-    /// A member whose heartbeats arrive here is alive, whoever suspects it.
+    /// Returns the members on the leader's list that are considered alive: this daemon, the members that nobody
+    /// suspects, and those whose heartbeats arrive here, even if others suspect them.
     pub fn alive(&self, now: MonotonicTime) -> Vec<Host> {
         let failure_timeout = self.failure_timeout();
         let is_alive = |record: &&HeartbeatRecord| {
@@ -376,7 +378,7 @@
             .collect()
     }
 
-    /// How many heartbeats were ignored since the start, as their senders were not listed.
+    /// Returns the number of heartbeats ignored since the start because their senders were not listed.
     pub fn ignored_count(&self) -> u64 {
         self.ignored_count
     }
--- a/crates/dataplane/src/failure_detector/suspicion.rs
+++ b/crates/dataplane/src/failure_detector/suspicion.rs
@@ -8,7 +8,7 @@
 /// How many hops a suspicion travels: from the watcher that raises it, and once from each daemon that receives it.
 pub const MAX_RELAYS: u8 = 2;
 
-/// The most suspicions in one heartbeat, so that it fits one datagram.
+/// The maximum number of suspicions in one heartbeat, so that it fits in one datagram.
 pub(super) const MAX_SUSPICIONS: usize = 16;
 
 /// An action that a [`FailureDetector`](super::FailureDetector) requires.
@@ -22,13 +22,13 @@
     MemberRecovered(MemberIncarnation),
 }
 
-/// What was last received of one suspected member.
+/// The last suspicion received about one member.
 struct SuspicionRecord {
     last_received_at: MonotonicTime,
     remaining_relays: u8,
 }
 
-/// The members that other daemons suspect, by their recent heartbeats.
+/// The members that other daemons suspect, according to their recent heartbeats.
 #[derive(Default)]
 pub(super) struct PeerSuspicions {
     records: BTreeMap<MemberIncarnation, SuspicionRecord>,
@@ -66,7 +66,7 @@
         self.records.contains_key(incarnation)
     }
 
-    /// The suspicions to be relayed with this daemon's own heartbeat.
+    /// Returns the suspicions to be relayed with this daemon's own heartbeat.
     pub(crate) fn forwarded(&self) -> impl Iterator<Item = Suspicion> {
         self.records
             .iter()
