--- a/crates/dataplane/src/agent/shutdown.rs
+++ b/crates/dataplane/src/agent/shutdown.rs
@@ -4,22 +4,22 @@
 use std::fmt;
 use std::time::Duration;
 
-/// How long before the end of the grace period requests that no runner has are withdrawn: what a runner has got until
-/// then can still be answered.
-const WITHDRAWAL_TIME: Duration = Duration::from_millis(600);
-/// How long before the end of the grace period every request is answered, so that the answers still leave.
-const LAST_ANSWERS_TIME: Duration = Duration::from_millis(200);
-/// The largest part of a short grace period that either of them takes.
-const LARGEST_PART_OF_GRACE: u32 = 4;
+/// How long before the end of the grace period requests that no runner has are withdrawn. A request that a runner has
+/// by then can still be answered.
+const WITHDRAWAL_LEAD_TIME: Duration = Duration::from_millis(600);
+/// How long before the end of the grace period all requests are ended, so that their responses can still be sent.
+const ENDING_LEAD_TIME: Duration = Duration::from_millis(200);
+/// In a short grace period, each of these two phases takes at most the grace period divided by this.
+const PHASE_GRACE_DIVISOR: u32 = 4;
 
 /// A phase of an orderly shutdown.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
 pub enum ShutdownPhase {
-    /// The daemon is not told to stop, or finishes what it has.
+    /// The daemon has not been told to stop, or is finishing the requests that it has.
     Finishing,
     /// Requests that no runner has yet end as not run.
     Withdrawing,
-    /// Every request ends; the outcome of one that a runner has is unknown.
+    /// All requests end. The outcome of a request that a runner has is unknown.
     Ending,
 }
 
@@ -40,24 +40,24 @@
     pub withdraw_at: MonotonicTime,
     /// When all requests end.
     pub end_at: MonotonicTime,
-    /// When the process exits, whatever is left.
+    /// When the process exits, even with unfinished requests.
     pub exit_at: MonotonicTime,
 }
 
 impl ShutdownSchedule {
-    /// The schedule of a shutdown that begins now and may take the grace period.
+    /// Returns the schedule of a shutdown that begins at `now` and may take `grace`.
     pub fn new(now: MonotonicTime, grace: Duration) -> Self {
-        let largest_part = grace / LARGEST_PART_OF_GRACE;
-        let last_answers_time = LAST_ANSWERS_TIME.min(largest_part);
-        let withdrawal_time = WITHDRAWAL_TIME.min(largest_part + last_answers_time);
+        let max_phase_time = grace / PHASE_GRACE_DIVISOR;
+        let ending_lead_time = ENDING_LEAD_TIME.min(max_phase_time);
+        let withdrawal_lead_time = WITHDRAWAL_LEAD_TIME.min(max_phase_time + ending_lead_time);
         Self {
-            withdraw_at: now + (grace - withdrawal_time),
-            end_at: now + (grace - last_answers_time),
+            withdraw_at: now + (grace - withdrawal_lead_time),
+            end_at: now + (grace - ending_lead_time),
             exit_at: now + grace,
         }
     }
 
-    /// The phase at a time.
+    /// Returns the phase at `now`.
     pub fn phase(&self, now: MonotonicTime) -> ShutdownPhase {
         if now >= self.end_at {
             ShutdownPhase::Ending
