--- a/crates/dataplane/src/agent/runner_response.rs
+++ b/crates/dataplane/src/agent/runner_response.rs
@@ -1,4 +1,4 @@
-//! Verification of a runner's response, and the checks before a request is sent to a runner.
+//! Checks before a request is sent to a runner, and verification of the runner's response.
 
 use super::{Agent, HeldFunction, HolderRequest};
 use crate::holder::SendResult;
@@ -12,19 +12,19 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Statuses that assure a caller that nothing was run. From a runner that does not declare that it did not run, they
-/// are never passed on.
+/// Statuses that assure a caller that the request was not run. They are not passed on from a runner that does not
+/// declare that it did not run the request.
 const NOT_RUN_STATUSES: [u16; 4] = [408, 421, 429, 503];
 
-/// The lowest status that ends a request.
+/// The lowest status of a final response.
 const LOWEST_FINAL_STATUS: u16 = 200;
-/// The lowest status of a failure; only with a failure can a runner declare that it did not run.
+/// The lowest status of a failure. Only with a failure can a runner declare that it did not run a request.
 const LOWEST_FAILURE_STATUS: u16 = 400;
-/// The lowest status of a failure that is not the caller's.
+/// The lowest status of a failure that the caller did not cause.
 const LOWEST_SERVER_FAILURE_STATUS: u16 = 500;
 
-/// Verifies a runner's response: it has to name the request that was sent, and be complete and sealed. Anything else
-/// counts as lost, as nobody can tell whether the request was run.
+/// Verifies a runner's response: it has to name the request that was sent, and be complete and sealed. Any other
+/// response counts as lost, as it does not tell whether the request was run.
 pub fn verify_response(
     rules: Rules,
     idempotency_key: &IdempotencyKey,
@@ -44,7 +44,7 @@
     }
 }
 
-/// What was sent to a runner, and what its response has to name.
+/// The request that was sent to a runner, and that its response has to name.
 struct SentRequest<'a> {
     rules: Rules,
     idempotency_key: &'a IdempotencyKey,
@@ -54,7 +54,7 @@
 }
 
 impl SentRequest<'_> {
-    /// A response whose seal is a digest that this daemon can compute itself.
+    /// Verifies a response whose seal is a digest that this daemon can compute itself.
     fn verify_digest_seal(&self, response: RunnerResponse) -> SendResult {
         let named_function = response.function.as_deref().unwrap_or("");
         let named_runner = response.runner.as_deref().unwrap_or("");
@@ -90,7 +90,7 @@
         SendResult::Answered(answer_outcome(self.runner, response))
     }
 
-    /// A response whose seal only the caller can check: names and completeness are verified here.
+    /// Verifies a response whose seal only the caller can check: this daemon verifies its names and completeness.
     fn verify_carried_seal(&self, response: RunnerResponse) -> SendResult {
         if response.is_other_runner && response.idempotency_key == self.idempotency_key.as_str() {
             return SendResult::WrongRunner;
@@ -120,7 +120,7 @@
         SendResult::Answered(answer_outcome(self.runner, response))
     }
 
-    /// Whether a response names another request, function or runner; function and runner may be left out.
+    /// Whether a response names a different request, function or runner. It may omit the function and the runner.
     fn is_contradicted_by(&self, response: &RunnerResponse) -> bool {
         response.idempotency_key != self.idempotency_key.as_str()
             || response
@@ -151,28 +151,29 @@
     pub idempotency_key: IdempotencyKey,
     /// The function.
     pub function: FunctionKey,
-    /// The runner that is to run it; another one at the same address rejects it.
+    /// The runner that is to run it. A different runner at the same address rejects it.
     pub runner: Option<RunnerId>,
-    /// The number of this attempt, from one.
+    /// The number of this attempt, starting at one.
     pub attempt: u32,
     /// The time until the request's deadline.
     pub remaining_time: Duration,
-    /// What the caller sent: method, target, header fields and body.
+    /// The caller's method, target, header fields and body.
     pub payload: Arc<RequestPayload>,
 }
 
-/// How long after the end of a lease a send may still leave. The leader waits for longer than that before it grants the
-/// lease to another daemon; whoever sends later was suspended between its check of the lease and its write.
+/// How long after the end of the session lease a request may still be sent. The leader waits longer than this before it
+/// grants a lease to another daemon. A daemon that sends later was suspended between its check of the lease and its
+/// write.
 const LEASE_SLACK: Duration = Duration::from_millis(100);
 
 impl<W> Agent<W> {
-    /// Whether anything may be sent for a held function: the session lease runs, and the function was not given up.
+    /// Whether requests of a held function may be sent: the session lease is valid, and the function is still held.
     pub fn may_send(&self, now: MonotonicTime, held: &HeldFunction<W>) -> bool {
         let is_held = self.held(&held.function, held.fencing_token).is_some();
         (self.is_serving(now) && is_held) || !self.rules.enforces(Rule::LeaseCheckedBeforeSend)
     }
 
-    /// Checks the invariant that what has just been sent left while the session lease ran.
+    /// Checks the invariant that the request just sent was sent under a valid session lease.
     pub fn check_sent_under_lease(&self, now: MonotonicTime) {
         let lease_end = self.session_lease_end();
         let is_under_lease = now < lease_end + LEASE_SLACK;
@@ -182,15 +183,16 @@
             is_under_lease,
             || {
                 format!(
-                    "a request left {} ms after the lease",
+                    "a request was sent {} ms after the end of the session lease",
                     now.since(lease_end).as_millis()
                 )
             },
         );
     }
 
-    /// The last checks before a request is written to a connection: the session lease runs, the function is held, and
-    /// the newest spec still routes the request to this function. An error is the reason why it may not be sent.
+    /// Performs the last checks before a request is written to a connection: the session lease is valid, the function
+    /// is held, and the newest spec still routes the request to this function. The error is the reason why the request
+    /// may not be sent.
     pub fn runner_attempt(
         &self,
         now: MonotonicTime,
