--- a/crates/dataplane/src/agent/forwarding/mod.rs
+++ b/crates/dataplane/src/agent/forwarding/mod.rs
@@ -117,7 +117,7 @@
 
     /// Finalizes a step. A withdrawn request is not continued. If a holder was lost with the request, an outcome that
     /// says it was not run becomes unknown, as the lost holder may have run it.
-    fn settle<W>(&self, agent: &Agent<W>, step: ForwardingStep<W>) -> ForwardingStep<W> {
+    fn finalize_step<W>(&self, agent: &Agent<W>, step: ForwardingStep<W>) -> ForwardingStep<W> {
         let is_end = matches!(step, ForwardingStep::End(..));
         let step = if self.is_withdrawn && !is_end {
             self.withdrawn_step(agent)
@@ -151,10 +151,10 @@
     /// at once, so that requests buffered in its sockets while it was suspended are not continued.
     pub fn advance<W>(&mut self, agent: &Agent<W>, now: MonotonicTime) -> ForwardingStep<W> {
         if self.is_withdrawn {
-            return self.settle(agent, self.withdrawn_step(agent));
+            return self.finalize_step(agent, self.withdrawn_step(agent));
         }
         let step = self.next_step(agent, now);
-        self.settle(agent, step)
+        self.finalize_step(agent, step)
     }
 
     fn next_step<W>(&mut self, agent: &Agent<W>, now: MonotonicTime) -> ForwardingStep<W> {
@@ -364,15 +364,15 @@
     /// At the ingress daemon: uses the regional key if there is one. Requests whose idempotency keys are recorded stay
     /// with the one holder that records them.
     fn use_regional_key<W>(&mut self, agent: &Agent<W>, now: MonotonicTime, table: &RoutingTable) {
-        let is_remembered = table
+        let is_recorded = table
             .route_named(&self.request.route)
             .is_none_or(|route| route.spec.recorded)
             && agent.rules.enforces(Rule::OneHolderRemembersKeys);
-        let all_regions = self.request.function.all_regions();
+        let all_regions_key = self.request.function.all_regions();
         self.request.function = agent
-            .regional_key(now, &all_regions)
-            .filter(|_| !is_remembered)
-            .unwrap_or(all_regions);
+            .regional_key(now, &all_regions_key)
+            .filter(|_| !is_recorded)
+            .unwrap_or(all_regions_key);
     }
 
     /// At the ingress daemon: falls back to the holder for all regions, as the regional key cannot be served at the
--- a/crates/dataplane/src/agent/forwarding/step_results.rs
+++ b/crates/dataplane/src/agent/forwarding/step_results.rs
@@ -43,7 +43,7 @@
         outcome: RequestOutcome,
     ) -> ForwardingStep<W> {
         let step = self.after_serve(agent, now, outcome);
-        self.settle(agent, step)
+        self.finalize_step(agent, step)
     }
 
     fn after_serve<W>(
@@ -59,7 +59,7 @@
         if is_not_allowed(&outcome) && self.request.hops == 0 {
             return self.handle_spec_mismatch(agent, now);
         }
-        if self.falls_back_to_all_regions(agent, now, &outcome) {
+        if self.try_fall_back_to_all_regions(agent, now, &outcome) {
             return self.advance(agent, now);
         }
         ForwardingStep::End(outcome, (!holder_declined).then(|| agent.own_host.clone()))
@@ -73,7 +73,7 @@
         end: ForwardResult,
     ) -> ForwardingStep<W> {
         let step = self.after_forward(agent, now, end);
-        self.settle(agent, step)
+        self.finalize_step(agent, step)
     }
 
     fn after_forward<W>(
@@ -112,7 +112,7 @@
         if is_holder_unreachable(&outcome) {
             return self.after_loss(agent, now);
         }
-        if self.falls_back_to_all_regions(agent, now, &outcome) {
+        if self.try_fall_back_to_all_regions(agent, now, &outcome) {
             return self.advance(agent, now);
         }
         if let Some(holder) = &holder {
@@ -148,7 +148,7 @@
 
     /// Falls back to the key for all regions if the request was certainly not run under its regional key, as no daemon
     /// holds that key or its holder has no runner ready. Returns whether it did.
-    fn falls_back_to_all_regions<W>(
+    fn try_fall_back_to_all_regions<W>(
         &mut self,
         agent: &Agent<W>,
         now: MonotonicTime,
@@ -201,7 +201,7 @@
         result: Option<AcquireResult>,
     ) -> ForwardingStep<W> {
         let step = self.after_acquire(agent, now, result);
-        self.settle(agent, step)
+        self.finalize_step(agent, step)
     }
 
     fn after_acquire<W>(
