--- a/crates/dataplane/src/agent/regional.rs
+++ b/crates/dataplane/src/agent/regional.rs
@@ -50,20 +50,20 @@
     }
 
     /// Ends the use of a regional key.
-    fn remove(&self, all_regions: &FunctionKey) {
+    fn remove(&self, all_regions_key: &FunctionKey) {
         self.uses.rcu(|uses| {
             let mut changed_uses = RegionalKeyUses::clone(uses);
-            changed_uses.remove(all_regions);
+            changed_uses.remove(all_regions_key);
             changed_uses
         });
     }
 
     /// Sets the period during which a regional key is used, and drops the periods that have ended.
-    fn set(&self, now: MonotonicTime, all_regions: &FunctionKey, regional_use: RegionalKeyUse) {
+    fn set(&self, now: MonotonicTime, all_regions_key: &FunctionKey, regional_use: RegionalKeyUse) {
         self.uses.rcu(|uses| {
             let mut changed_uses = RegionalKeyUses::clone(uses);
             changed_uses.retain(|_, known_use| now < known_use.until);
-            changed_uses.insert(all_regions.clone(), regional_use);
+            changed_uses.insert(all_regions_key.clone(), regional_use);
             changed_uses
         });
     }
@@ -79,14 +79,14 @@
     pub fn regional_key(
         &self,
         now: MonotonicTime,
-        all_regions: &FunctionKey,
+        all_regions_key: &FunctionKey,
     ) -> Option<FunctionKey> {
         let uses = self.regional_keys.uses.load();
-        let regional_use = uses.get(all_regions)?;
+        let regional_use = uses.get(all_regions_key)?;
         let is_in_use = regional_use.from <= now && now < regional_use.until;
         self.own_region()
             .filter(|_| is_in_use)
-            .map(|region| all_regions.in_region(region))
+            .map(|region| all_regions_key.in_region(region))
     }
 
     /// Returns this region's keys that are in use or will be.
@@ -99,7 +99,7 @@
             .iter()
             .filter(|(_, regional_use)| now < regional_use.until);
         wanted
-            .map(|(all_regions, _)| all_regions.in_region(region))
+            .map(|(all_regions_key, _)| all_regions_key.in_region(region))
             .collect()
     }
 
@@ -111,17 +111,22 @@
         served_key: &FunctionKey,
         regional_tenths: u8,
     ) -> bool {
-        let all_regions = served_key.all_regions();
-        let current_use = self.regional_keys.uses.load().get(&all_regions).copied();
+        let all_regions_key = served_key.all_regions();
+        let current_use = self
+            .regional_keys
+            .uses
+            .load()
+            .get(&all_regions_key)
+            .copied();
         match (current_use, regional_tenths) {
-            (Some(_), 0) if served_key.is_regional() => self.regional_keys.remove(&all_regions),
+            (Some(_), 0) if served_key.is_regional() => self.regional_keys.remove(&all_regions_key),
             (Some(known_use), 1..) if served_key.is_regional() => {
                 let is_due =
                     known_use.until.since(now) < KEY_USE_TIMEOUT.saturating_sub(KEY_USE_RENEWAL);
                 if is_due {
                     self.regional_keys.set(
                         now,
-                        &all_regions,
+                        &all_regions_key,
                         RegionalKeyUse {
                             until: now + KEY_USE_TIMEOUT,
                             ..known_use
@@ -133,7 +138,7 @@
                 let from = now + Duration::from_millis(HINT_UNIT_MS * u64::from(regional_tenths));
                 self.regional_keys.set(
                     now,
-                    &all_regions,
+                    &all_regions_key,
                     RegionalKeyUse {
                         from,
                         until: from + KEY_USE_TIMEOUT,
