--- a/crates/dataplane/src/agent/daemon_control/held_functions.rs
+++ b/crates/dataplane/src/agent/daemon_control/held_functions.rs
@@ -32,7 +32,7 @@
         fencing_token: FencingToken,
         change: impl FnOnce(&mut Holder) -> Vec<HolderOutput>,
     ) {
-        if let Some(held) = agent.held(function, fencing_token) {
+        if let Some(held) = agent.held_under_lease(function, fencing_token) {
             self.apply(&held, change);
         }
     }
@@ -152,7 +152,7 @@
         fencing_token: FencingToken,
         result: &ReserveResult,
     ) {
-        match (agent.held(&function, fencing_token), result) {
+        match (agent.held_under_lease(&function, fencing_token), result) {
             (Some(held), _) => self.apply(&held, |holder| holder.reserved(now, result)),
             (None, ReserveResult::Reserved { runner, .. }) => {
                 let runner_status = RunnerStatus::Gone;
--- a/crates/dataplane/src/agent/daemon_control/mod.rs
+++ b/crates/dataplane/src/agent/daemon_control/mod.rs
@@ -290,7 +290,7 @@
                 });
             }
             HolderMessage::Released { runners } => {
-                if agent.held(&function, fencing_token).is_some() {
+                if agent.held_under_lease(&function, fencing_token).is_some() {
                     self.remove(agent, &function);
                     self.send_release(function, fencing_token, runners);
                 }
--- a/crates/dataplane/src/agent/daemon_control/view_outputs.rs
+++ b/crates/dataplane/src/agent/daemon_control/view_outputs.rs
@@ -123,7 +123,7 @@
         self.log_event(events::STREAM_LOST, String::new());
         self.outputs.push(DaemonControlOutput::AcquiresLost);
         for (function, fencing_token) in lost_reserves {
-            if let Some(held) = agent.held(&function, fencing_token) {
+            if let Some(held) = agent.held_under_lease(&function, fencing_token) {
                 held.with(|holder| holder.reserve_failed(now));
             }
         }
@@ -169,7 +169,7 @@
         function: &FunctionKey,
         fencing_token: FencingToken,
     ) {
-        if let Some(held) = agent.held(function, fencing_token) {
+        if let Some(held) = agent.held_under_lease(function, fencing_token) {
             self.remove(agent, function);
             self.close(agent, now, &held);
             self.report_orphaned_runners(&held);
--- a/crates/dataplane/src/agent/mod.rs
+++ b/crates/dataplane/src/agent/mod.rs
@@ -184,7 +184,7 @@
     }
 
     /// Returns a function if it is held under the lease with this fencing token.
-    pub fn held(
+    pub fn held_under_lease(
         &self,
         function: &FunctionKey,
         fencing_token: FencingToken,
@@ -202,7 +202,7 @@
         function: &FunctionKey,
         fencing_token: FencingToken,
     ) -> Option<Arc<HeldFunction<W>>> {
-        self.held(function, fencing_token).or_else(|| {
+        self.held_under_lease(function, fencing_token).or_else(|| {
             self.lock_closing()
                 .iter()
                 .find(|held| held.function == *function && held.fencing_token == fencing_token)
--- a/crates/dataplane/src/agent/runner_response.rs
+++ b/crates/dataplane/src/agent/runner_response.rs
@@ -169,7 +169,9 @@
 impl<W> Agent<W> {
     /// Whether requests of a held function may be sent: the session lease is valid, and the function is still held.
     pub fn may_send(&self, now: MonotonicTime, held: &HeldFunction<W>) -> bool {
-        let is_held = self.held(&held.function, held.fencing_token).is_some();
+        let is_held = self
+            .held_under_lease(&held.function, held.fencing_token)
+            .is_some();
         (self.is_serving(now) && is_held) || !self.rules.enforces(Rule::LeaseCheckedBeforeSend)
     }
 
--- a/crates/dataplane/tests/agent/late_leases.rs
+++ b/crates/dataplane/tests/agent/late_leases.rs
@@ -74,7 +74,10 @@
     let function = bench.key("f");
     let outputs = bench.receive(granted_frame(acquire_request, &function));
     (
-        bench.agent.held(&function, LATE_LEASE).is_some(),
+        bench
+            .agent
+            .held_under_lease(&function, LATE_LEASE)
+            .is_some(),
         releases_lease(&outputs),
     )
 }
@@ -102,5 +105,11 @@
         eq(true)
     )?;
     bench.receive(granted_frame(later_acquire_request, &function));
-    verify_that!(bench.agent.held(&function, LATE_LEASE).is_none(), eq(true))
+    verify_that!(
+        bench
+            .agent
+            .held_under_lease(&function, LATE_LEASE)
+            .is_none(),
+        eq(true)
+    )
 }
--- a/testing/fleet/src/sim/daemon/orders.rs
+++ b/testing/fleet/src/sim/daemon/orders.rs
@@ -164,7 +164,7 @@
         let held = self
             .nodes
             .agent(index)
-            .and_then(|agent| agent.held(function, fencing_token));
+            .and_then(|agent| agent.held_under_lease(function, fencing_token));
         self.is_daemon_serving(index)
             && held.is_some_and(|held| held.with(|holder| holder.is_claimable()))
     }
