--- a/crates/dataplane/src/agent/daemon_control/mod.rs
+++ b/crates/dataplane/src/agent/daemon_control/mod.rs
@@ -313,7 +313,7 @@
     }
 
     /// Gives up the session lease before the process exits, and tells the leader not to wait for its end.
-    pub fn departed(&mut self, agent: &Agent<W>) -> Vec<DaemonControlOutput<W>> {
+    pub fn finish_leaving(&mut self, agent: &Agent<W>) -> Vec<DaemonControlOutput<W>> {
         agent.set_session_lease_end(MonotonicTime::ZERO);
         self.send_frame(DaemonToLeader::Leaving);
         self.take_outputs()
--- a/crates/dataplane/src/drivers/control.rs
+++ b/crates/dataplane/src/drivers/control.rs
@@ -147,7 +147,7 @@
                 self.execute(outputs);
             }
             ControlInput::ShutdownFinished => {
-                let outputs = self.controller.departed(agent);
+                let outputs = self.controller.finish_leaving(agent);
                 self.execute(outputs);
             }
         }
--- a/testing/fleet/src/sim/daemon/shutdown.rs
+++ b/testing/fleet/src/sim/daemon/shutdown.rs
@@ -218,7 +218,9 @@
             self.checks
                 .check_orderly_stop(self.queue.now(), index, &in_flight);
         }
-        self.with_controller(index, |controller, agent, _| controller.departed(agent));
+        self.with_controller(index, |controller, agent, _| {
+            controller.finish_leaving(agent)
+        });
         let node = self.nodes.daemon(index).node;
         let incarnation = self.nodes.daemon(index).incarnation;
         if let Some(stop) = self
