--- a/crates/dataplane/src/agent/regional.rs
+++ b/crates/dataplane/src/agent/regional.rs
@@ -1,6 +1,6 @@
 //! Regional keys: keys under which this region's callers of a function have their own holder.
 //!
-//! Once the callers of a region keep a runner of their own busy, the holder for all regions sends a hint to that
+//! Once the callers of a region keep a runner busy on their own, the holder for all regions sends a hint to that
 //! region's daemons with its responses ([`crate::holder`]). From the time given in the hint, those daemons use the
 //! regional key, which has its own hash owner, lease and runners, all in the region. None of this is replicated: a
 //! daemon that has no hint forwards to the holder for all regions, which serves every caller.
--- a/crates/dataplane/src/agent/replica_requests.rs
+++ b/crates/dataplane/src/agent/replica_requests.rs
@@ -20,7 +20,7 @@
 pub enum ReplicaRequestKind {
     /// The ledger of the function's previous holder.
     Collect,
-    /// The storing of the records in the batch with this id.
+    /// Storage of the records in the batch with this id.
     Record(u64),
     /// The ranges in which the replica's copy differs.
     Compare,
--- a/crates/dataplane/src/agent/runner_response.rs
+++ b/crates/dataplane/src/agent/runner_response.rs
@@ -175,7 +175,8 @@
         (self.is_serving(now) && is_held) || !self.rules.enforces(Rule::LeaseCheckedBeforeSend)
     }
 
-    /// Checks the invariant that the request just sent was sent under a valid session lease.
+    /// Checks the invariant that the request just sent was sent under a valid session lease, with a tolerance of
+    /// `LEASE_SLACK`.
     pub fn check_sent_under_lease(&self, now: MonotonicTime) {
         let lease_end = self.session_lease_end();
         let is_under_lease = now < lease_end + LEASE_SLACK;
