--- a/crates/dataplane/tests/agent/bench.rs
+++ b/crates/dataplane/tests/agent/bench.rs
@@ -1,4 +1,4 @@
-//! A daemon under a clock set by the test, whose control session has been welcomed.
+//! A test bench with a daemon under a test-controlled clock, whose control session the leader has welcomed.
 
 use crate::daemon_control::{START, function_request, spec_frame_of, welcomed_control};
 use crate::host::host;
@@ -20,22 +20,22 @@
     Duration::from_millis(millis)
 }
 
-/// The daemon itself.
+/// Returns the host entry of the daemon under test.
 pub(crate) fn own_host() -> Host {
     host("daemon-1", "here", 7)
 }
 
-/// A daemon in another zone.
+/// Returns the host entry of a daemon in another zone.
 pub(crate) fn remote_host(name: &str, incarnation: u64) -> Host {
     host(name, "elsewhere", incarnation)
 }
 
-/// A spec whose route leads to one of two functions.
+/// Returns a frame with a spec that has two functions, and a route to the one named `function`.
 pub(crate) fn spec_frame(version: u64, function: &str) -> LeaderToDaemon {
     spec_frame_of(spec(function, "repeatable"), version)
 }
 
-/// A spec in which the route's requests may be run at most once.
+/// Returns a frame with a spec whose route runs a request at most once.
 pub(crate) fn once_frame(version: u64) -> LeaderToDaemon {
     spec_frame_of(spec("f", "once"), version)
 }
@@ -55,28 +55,28 @@
 
 pub(crate) struct DaemonBench {
     pub(crate) agent: Agent<u64>,
-    pub(crate) controller: DaemonControl<u64>,
+    pub(crate) control: DaemonControl<u64>,
     pub(crate) now: MonotonicTime,
 }
 
 impl DaemonBench {
-    /// A daemon whose stream is welcomed.
+    /// Creates a daemon whose stream the leader has welcomed.
     pub(crate) fn new(rules: Rules) -> Self {
         let agent = Agent::new(own_host(), rules);
-        let controller = welcomed_control(&agent);
+        let control = welcomed_control(&agent);
         Self {
             agent,
-            controller,
+            control,
             now: START,
         }
     }
 
-    /// A serving daemon that is alone on its host list.
+    /// Creates a serving daemon that is alone on its host list.
     pub(crate) fn serving() -> Self {
         Self::serving_with(Vec::new())
     }
 
-    /// A serving daemon, with other daemons on its host list.
+    /// Creates a serving daemon with other daemons on its host list.
     pub(crate) fn serving_with(others: Vec<Host>) -> Self {
         let mut bench = DaemonBench::new(Rules::ALL_ENFORCED);
         bench.receive(spec_frame(3, "f"));
@@ -86,7 +86,7 @@
     }
 
     pub(crate) fn receive(&mut self, frame: LeaderToDaemon) -> Vec<DaemonControlOutput<u64>> {
-        self.controller.received(&self.agent, self.now, frame)
+        self.control.received(&self.agent, self.now, frame)
     }
 
     pub(crate) fn renew(&mut self, version: u64) {
@@ -95,7 +95,7 @@
 
     pub(crate) fn renew_for(&mut self, version: u64, lease_ms: u32) {
         self.now = self.now + ms(400);
-        let outputs = self.controller.tick(&self.agent, self.now);
+        let outputs = self.control.tick(&self.agent, self.now);
         let correlation = renewal_correlation(&outputs).expect("a renewal");
         self.receive(LeaderToDaemon::Renewed {
             correlation,
@@ -122,7 +122,7 @@
         entries
             .iter()
             .find(|entry| entry.key.name.as_str() == function)
-            .expect("one")
+            .expect("a function with this name")
             .key
             .clone()
     }
@@ -131,14 +131,14 @@
         function_request(&self.agent, self.now, self.key("f"))
     }
 
-    /// Begins to forward a caller's request, and takes its first step.
+    /// Starts to forward a caller's request, and takes its first step.
     pub(crate) fn begin_request(&self) -> (Forwarding, ForwardingStep<u64>) {
         let mut forwarding = Forwarding::new(self.now, self.request());
         let step = forwarding.advance(&self.agent, self.now);
         (forwarding, step)
     }
 
-    /// Tells the forwarding of a request how the daemon to which it was forwarded ended it.
+    /// Handles the result of forwarding a request to another daemon.
     pub(crate) fn forwarded(
         &self,
         forwarding: &mut Forwarding,
@@ -148,11 +148,11 @@
     }
 
     pub(crate) fn mark_suspected(&mut self, lost_host: &Host) {
-        let instance = MemberIncarnation {
+        let incarnation = MemberIncarnation {
             member: lost_host.member.clone(),
             incarnation: lost_host.incarnation,
         };
-        let suspected = LengthPrefixed(vec![instance]);
+        let suspected = LengthPrefixed(vec![incarnation]);
         let (put, removed) = (LengthPrefixed(Vec::new()), LengthPrefixed(Vec::new()));
         self.receive(LeaderToDaemon::HostsDelta {
             number: 2,
@@ -163,7 +163,7 @@
     }
 }
 
-/// Why a step ends a request that was not run, and after how many milliseconds it may be retried.
+/// Returns the reason and the retry-after in milliseconds, if a step ends a request that was not run.
 pub(crate) fn rejection(step: &ForwardingStep<u64>) -> Option<(RequestFailureReason, u32)> {
     match step {
         ForwardingStep::End(
@@ -177,7 +177,7 @@
     }
 }
 
-/// The correlation id of a session lease renewal among these outputs.
+/// Returns the correlation id of a session lease renewal among these outputs.
 pub(crate) fn renewal_correlation(outputs: &[DaemonControlOutput<u64>]) -> Option<CorrelationId> {
     outputs.iter().find_map(|output| match output {
         DaemonControlOutput::SendFrame(DaemonToLeader::Renew { correlation, .. }) => {
@@ -187,7 +187,7 @@
     })
 }
 
-/// The outcome of a request that was not run.
+/// Returns the outcome of a request that was not run.
 pub(crate) fn not_run(reason: RequestFailureReason, retry_after_ms: u32) -> RequestOutcome {
     RequestOutcome::NotRun {
         reason,
@@ -195,7 +195,7 @@
     }
 }
 
-/// A response to a forwarded request that names no other holder.
+/// Returns the result of a forwarded request whose reply names no holder.
 pub(crate) fn completed(outcome: RequestOutcome) -> ForwardResult {
     ForwardResult::Completed(outcome, None)
 }
--- a/crates/dataplane/tests/agent/late_leases.rs
+++ b/crates/dataplane/tests/agent/late_leases.rs
@@ -1,4 +1,4 @@
-//! Function leases that come after everything was released.
+//! Function leases that are granted after all functions were released.
 
 use crate::bench::{DaemonBench, ms, renewal_correlation, spec_frame};
 use common::frames::{AcquireResult, DaemonToLeader, LeaderToDaemon, LengthPrefixed};
@@ -38,21 +38,21 @@
     })
 }
 
-/// A daemon that requested a function, released everything as its lease ended, and has a new lease; with the correlation
-/// id of its request.
+/// Returns a daemon that requested a function, released all functions when its session lease ended, and then got a new
+/// session lease; and the correlation id of its request.
 fn renewed_after_release(rules: Rules) -> (DaemonBench, CorrelationId) {
     let mut bench = DaemonBench::new(rules);
     bench.receive(spec_frame(2, "f"));
     bench.renew_for(2, 600);
     bench.now = bench.now + ms(400);
-    let outputs = bench.controller.tick(&bench.agent, bench.now);
+    let outputs = bench.control.tick(&bench.agent, bench.now);
     let late_renewal = renewal_correlation(&outputs);
     bench.list_own_host();
     let function = bench.key("f");
-    let outputs = bench.controller.acquire(&bench.agent, bench.now, function);
+    let outputs = bench.control.acquire(&bench.agent, bench.now, function);
     let acquire_request = acquire_correlation(&outputs).expect("an acquisition");
     bench.now = bench.now + ms(300);
-    let outputs = bench.controller.tick(&bench.agent, bench.now);
+    let outputs = bench.control.tick(&bench.agent, bench.now);
     let has_claimed_nothing = outputs.iter().any(|output| {
         matches!(output, DaemonControlOutput::SendFrame(DaemonToLeader::Claims { claims }) if claims.0.is_empty())
     });
@@ -67,9 +67,9 @@
     (bench, acquire_request)
 }
 
-/// How a daemon handles a function lease that was requested before its session lease ended, after which it had claimed
-/// no function: whether it holds the function, and whether it releases it.
-fn leased_after_release(rules: Rules) -> (bool, bool) {
+/// Grants a function lease that was requested before the session lease ended, after which the daemon claimed no
+/// function. Returns whether the daemon holds the function, and whether it releases the lease.
+fn handling_of_late_lease(rules: Rules) -> (bool, bool) {
     let (mut bench, acquire_request) = renewed_after_release(rules);
     let function = bench.key("f");
     let outputs = bench.receive(granted_frame(acquire_request, &function));
@@ -83,21 +83,24 @@
 }
 
 #[gtest]
-fn a_lease_requested_before_everything_was_released_is_released() -> Result<()> {
-    verify_that!(leased_after_release(Rules::ALL_ENFORCED), eq((false, true)))?;
+fn a_lease_requested_before_the_session_lease_ended_is_released() -> Result<()> {
     verify_that!(
-        leased_after_release(Rules::without(Rule::StaleLeaseReturned)),
+        handling_of_late_lease(Rules::ALL_ENFORCED),
+        eq((false, true))
+    )?;
+    verify_that!(
+        handling_of_late_lease(Rules::without(Rule::StaleLeaseReturned)),
         eq((true, false))
     )
 }
 
 /// The leader grants a lease again in response to a request that crossed the lease's release.
 #[gtest]
-fn a_released_lease_is_not_accepted_from_a_later_answer() -> Result<()> {
+fn a_released_lease_is_not_accepted_from_a_later_response() -> Result<()> {
     let (mut bench, acquire_request) = renewed_after_release(Rules::ALL_ENFORCED);
     let function = bench.key("f");
     let outputs = bench
-        .controller
+        .control
         .acquire(&bench.agent, bench.now, function.clone());
     let later_acquire_request = acquire_correlation(&outputs).expect("an acquisition");
     verify_that!(
--- a/crates/dataplane/tests/agent/main.rs
+++ b/crates/dataplane/tests/agent/main.rs
@@ -1,4 +1,5 @@
-//! One daemon's decisions under a clock set by the test: checks before a send, spec versions, immediate rejections.
+//! Tests of one daemon's decisions under a test-controlled clock: checks before a send, spec versions, immediate
+//! rejections.
 
 mod bench;
 #[path = "../support/daemon_control.rs"]
--- a/crates/dataplane/tests/agent/serving.rs
+++ b/crates/dataplane/tests/agent/serving.rs
@@ -36,22 +36,22 @@
 #[gtest]
 fn daemon_control_is_idle_until_something_is_due() -> Result<()> {
     let mut bench = DaemonBench::serving();
-    bench.controller.tick(&bench.agent, bench.now);
-    let due = bench.controller.next_due(&bench.agent);
+    bench.control.tick(&bench.agent, bench.now);
+    let due = bench.control.next_due(&bench.agent);
     verify_that!(due, eq(bench.now + HEARTBEAT_INTERVAL))?;
-    bench.controller.tick(&bench.agent, due);
-    verify_that!(bench.controller.next_due(&bench.agent), gt(due))
+    bench.control.tick(&bench.agent, due);
+    verify_that!(bench.control.next_due(&bench.agent), gt(due))
 }
 
 #[gtest]
 fn a_caller_that_hangs_up_leaves_nothing_in_flight() -> Result<()> {
     let agent: Agent<u64> = Agent::new(own_host(), Rules::ALL_ENFORCED);
-    let held = agent.track_in_flight();
+    let in_progress = agent.track_in_flight();
     let abandoned = agent.track_in_flight();
     verify_that!(agent.is_drained(), eq(false))?;
     drop(abandoned);
     verify_that!(agent.is_drained(), eq(false))?;
-    drop(held);
+    drop(in_progress);
     verify_that!(agent.is_drained(), eq(true))
 }
 
@@ -69,6 +69,6 @@
 fn a_daemon_that_does_not_serve_gives_a_retry_after() -> Result<()> {
     let mut bench = DaemonBench::new(Rules::ALL_ENFORCED);
     verify_that!(bench.agent.not_serving_retry_after(), eq(ms(400)))?;
-    bench.controller.disconnected(&bench.agent, bench.now);
+    bench.control.disconnected(&bench.agent, bench.now);
     verify_that!(bench.agent.not_serving_retry_after(), eq(ms(1000)))
 }
