--- a/crates/dataplane/tests/agent/forwarding.rs
+++ b/crates/dataplane/tests/agent/forwarding.rs
@@ -1,4 +1,4 @@
-//! How a request finds its holder: waits, referrals, and specs that differ.
+//! How a request reaches its holder: waits, referrals and spec mismatches.
 
 use crate::bench::{DaemonBench, completed, ms, not_run, rejection, remote_host, spec_frame};
 use common::frames::{AcquireResult, DaemonMessage, Flag, RequestFailureReason, RequestPayload};
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 
 #[gtest]
-fn a_wait_longer_than_the_timeout_is_rejected_at_once_with_its_end() -> Result<()> {
+fn a_wait_beyond_the_timeout_is_rejected_at_once_with_the_expected_ready_time() -> Result<()> {
     let bench = DaemonBench::serving();
     let (mut forwarding, _) = bench.begin_request();
     let result = Some(AcquireResult::RetryLater { wait_ms: 2300 });
@@ -30,7 +30,7 @@
     let declined = not_run(RequestFailureReason::NotHolder, 50);
     let ForwardingStep::Wait { wait_until } = forwarding.served(&bench.agent, bench.now, declined)
     else {
-        return fail!("a declined request is not looked up again");
+        return fail!("the owner of a declined request is not looked up again");
     };
     verify_that!(wait_until, gt(bench.now))?;
     let early_step = forwarding.advance(&bench.agent, bench.now + ms(1));
@@ -39,7 +39,8 @@
     verify_that!(matches!(retried, ForwardingStep::Acquire { .. }), eq(true))
 }
 
-/// A daemon that has forwarded a request, and whose holder has rejected it by another spec.
+/// Returns a daemon that has forwarded a request, the state of that request, and the step after the holder has rejected
+/// it because of a different spec.
 fn spec_mismatch() -> (DaemonBench, Forwarding, ForwardingStep<u64>) {
     let bench = DaemonBench::serving();
     let (mut forwarding, _) = bench.begin_request();
@@ -95,13 +96,13 @@
         );
         forwarding.advance(&bench.agent, bench.now)
     };
-    let named = step_for(true, 100, 2000);
+    let referral = step_for(true, 100, 2000);
     verify_that!(
-        rejection(&named).map(|(reason, _)| reason),
+        rejection(&referral).map(|(reason, _)| reason),
         some(eq(RequestFailureReason::NotHolder))
     )?;
     verify_that!(
-        matches!(named, ForwardingStep::End(_, Some(host)) if host == holder),
+        matches!(referral, ForwardingStep::End(_, Some(host)) if host == holder),
         eq(true)
     )?;
     let is_forwarded = |step: ForwardingStep<u64>| matches!(step, ForwardingStep::Forward { .. });
@@ -111,12 +112,12 @@
 }
 
 #[gtest]
-fn ingress_follows_one_referral_and_no_second() -> Result<()> {
+fn ingress_follows_only_one_referral() -> Result<()> {
     let holder = remote_host("daemon-2", 4);
     let bench = DaemonBench::serving_with(vec![holder.clone(), remote_host("daemon-3", 5)]);
     let (mut forwarding, _) = bench.begin_request();
-    let named = || not_run(RequestFailureReason::NotHolder, 50);
-    let end = ForwardResult::Completed(named(), Some(holder.clone()));
+    let referral = || not_run(RequestFailureReason::NotHolder, 50);
+    let end = ForwardResult::Completed(referral(), Some(holder.clone()));
     let ForwardingStep::Forward { host, body, .. } = bench.forwarded(&mut forwarding, end) else {
         return fail!("the ingress daemon does not follow the referral");
     };
@@ -133,7 +134,7 @@
     )?;
     let retried = bench.forwarded(
         &mut forwarding,
-        ForwardResult::Completed(named(), Some(holder)),
+        ForwardResult::Completed(referral(), Some(holder)),
     );
     verify_that!(matches!(retried, ForwardingStep::Wait { .. }), eq(true))
 }
--- a/crates/dataplane/tests/agent/lost_requests.rs
+++ b/crates/dataplane/tests/agent/lost_requests.rs
@@ -7,10 +7,10 @@
 use googletest::prelude::*;
 
 fn is_holder_unreachable<W>(step: &ForwardingStep<W>) -> bool {
-    let suspected = RequestOutcome::Unknown {
+    let unreachable = RequestOutcome::Unknown {
         reason: RequestFailureReason::HolderUnreachable,
     };
-    matches!(step, ForwardingStep::End(outcome, _) if *outcome == suspected)
+    matches!(step, ForwardingStep::End(outcome, _) if *outcome == unreachable)
 }
 
 #[gtest]
@@ -27,7 +27,7 @@
     )?;
     let step = bench.forwarded(&mut forwarding, ForwardResult::Lost);
     let ForwardingStep::Wait { wait_until } = step else {
-        return fail!("it does not go on");
+        return fail!("the request is not retried");
     };
     verify_that!(forwarding.request().repeat, eq(true))?;
     let acquiring = forwarding.advance(&bench.agent, wait_until);
@@ -55,8 +55,8 @@
     )
 }
 
-/// If the daemons on the way retried what was lost behind them, a request would reach more runners than its route allows:
-/// each would multiply the attempts of the one before.
+/// If the daemons on the way also retried lost requests, each would multiply the attempts of the one before, and a
+/// request would reach more runners than its route allows.
 #[gtest]
 fn only_the_ingress_daemon_retries_a_lost_request() -> Result<()> {
     let holder = remote_host("daemon-2", 4);
