--- a/crates/dataplane/tests/agent/runner_responses.rs
+++ b/crates/dataplane/tests/agent/runner_responses.rs
@@ -1,4 +1,4 @@
-//! Which responses of runners are accepted.
+//! Which responses from runners are accepted.
 
 use common::adapter::{RunnerResponse, SealKind};
 use common::identity::{FencingToken, FunctionKey, IdempotencyKey, RunnerId, Version};
@@ -22,7 +22,7 @@
     FunctionKey::new("f", Version(2))
 }
 
-/// The response of a runner whose seal only the caller can check.
+/// Returns a response whose seal only the caller can check.
 fn response_with_carried_seal(status: u16) -> RunnerResponse {
     RunnerResponse {
         status,
@@ -40,7 +40,7 @@
     }
 }
 
-/// What a response with a digest for a seal claims.
+/// The contents of a response that is sealed with a digest.
 #[derive(Clone)]
 struct SealedResponse {
     idempotency_key: IdempotencyKey,
@@ -86,14 +86,17 @@
         seal,
         ..complete.clone()
     };
-    let cut_short = SealedResponse {
+    let truncated = SealedResponse {
         body: complete.body[..4].to_vec(),
         ..complete.clone()
     };
     let of_other_request = SealedResponse::new("other", RUNNER, false);
     let cases = [
-        ("cut short", &cut_short),
-        ("seal in capitals", &with_seal(complete.seal.to_uppercase())),
+        ("truncated", &truncated),
+        (
+            "seal in upper case",
+            &with_seal(complete.seal.to_uppercase()),
+        ),
         ("no seal", &with_seal(String::new())),
         ("rejected", &SealedResponse::new("t", RUNNER, true)),
         ("of another request", &of_other_request),
@@ -102,34 +105,34 @@
             &SealedResponse::new("t", OTHER_RUNNER, false),
         ),
     ];
-    for (what, response) in cases {
+    for (name, response) in cases {
         verify_that!(response.is_accepted(Rules::ALL_ENFORCED), eq(false))
-            .with_failure_message(|| what.to_owned())?;
+            .with_failure_message(|| name.to_owned())?;
         let unchecked = Rules::without(Rule::SealChecked);
         verify_that!(response.is_accepted(unchecked), eq(true))
-            .with_failure_message(|| what.to_owned())?;
+            .with_failure_message(|| name.to_owned())?;
     }
     let without_name_check = Rules::without(Rule::SealBoundToRequest);
     verify_that!(of_other_request.is_accepted(without_name_check), eq(true))
 }
 
-/// A response with a carried seal, and how it is taken.
+/// A response with a carried seal, and the expected result of its verification.
 struct CarriedSealCase {
-    what: &'static str,
+    name: &'static str,
     status: u16,
-    /// What sets it apart from a complete and sealed response of this status.
+    /// How it differs from a complete and sealed response with this status.
     change: fn(&mut RunnerResponse),
     expected: &'static str,
 }
 
 const fn case(
-    what: &'static str,
+    name: &'static str,
     status: u16,
     change: fn(&mut RunnerResponse),
     expected: &'static str,
 ) -> CarriedSealCase {
     CarriedSealCase {
-        what,
+        name,
         status,
         change,
         expected,
@@ -143,13 +146,13 @@
 const CARRIED_SEAL_CASES: &[CarriedSealCase] = &[
     case("complete and sealed", 200, |_| (), "answered"),
     case(
-        "names itself",
+        "names this runner",
         200,
         |response| response.runner = Some(RUNNER.to_string()),
         "answered",
     ),
     case(
-        "another identity",
+        "another idempotency key",
         200,
         |response| response.idempotency_key = other_name(),
         "lost",
@@ -161,20 +164,20 @@
         "lost",
     ),
     case(
-        "names another",
+        "another runner",
         200,
         |response| response.runner = Some(other_name()),
         "lost",
     ),
     case("no seal", 200, |response| response.seal.clear(), "lost"),
     case(
-        "doubtful",
+        "unreliable",
         200,
         |response| response.is_unreliable = true,
         "lost",
     ),
     case(
-        "callers' fault without seal",
+        "client error without seal",
         404,
         |response| response.seal.clear(),
         "answered",
@@ -183,10 +186,10 @@
         "did not run",
         503,
         |response| response.did_not_run = true,
-        "shed",
+        "rejected",
     ),
     case(
-        "did not run, of another",
+        "did not run, another idempotency key",
         503,
         |response| {
             response.did_not_run = true;
@@ -195,16 +198,16 @@
         "lost",
     ),
     case(
-        "is another",
+        "wrong runner",
         421,
         |response| {
             response.is_other_runner = true;
             response.did_not_run = true;
         },
-        "other runner",
+        "wrong runner",
     ),
     case(
-        "is another, of another",
+        "wrong runner, another idempotency key",
         421,
         |response| {
             response.is_other_runner = true;
@@ -212,29 +215,24 @@
         },
         "lost",
     ),
+    case("ran, but has a not-run status", 503, |_| (), "lost"),
+    case("ran, but has a retry status", 429, |_| (), "lost"),
     case(
-        "ran, yet has a status that assures the contrary",
-        503,
-        |_| (),
-        "lost",
-    ),
-    case("ran, yet asks for a retry", 429, |_| (), "lost"),
-    case(
-        "its own failure",
+        "server error without seal",
         500,
         |response| response.seal.clear(),
         "failed",
     ),
 ];
 
-fn name_of(result: &SendResult) -> &'static str {
+fn result_name(result: &SendResult) -> &'static str {
     match result {
         SendResult::Answered(_) => "answered",
         SendResult::Failed(_) => "failed",
-        SendResult::RejectedByRunner => "shed",
-        SendResult::WrongRunner => "other runner",
+        SendResult::RejectedByRunner => "rejected",
+        SendResult::WrongRunner => "wrong runner",
         SendResult::Lost => "lost",
-        SendResult::Forbidden(_) | SendResult::Unsent | SendResult::BrokenOff => "never",
+        SendResult::Forbidden(_) | SendResult::Unsent | SendResult::BrokenOff => "unexpected",
     }
 }
 
@@ -246,8 +244,8 @@
         let rules = Rules::ALL_ENFORCED;
         let result = verify_response(rules, &"t".into(), &function(), RUNNER, response);
         verify_that!(
-            (case.what, name_of(&result)),
-            eq((case.what, case.expected))
+            (case.name, result_name(&result)),
+            eq((case.name, case.expected))
         )?;
     }
     Ok(())
