--- a/crates/dataplane/tests/agent/shutdown.rs
+++ b/crates/dataplane/tests/agent/shutdown.rs
@@ -10,7 +10,7 @@
 use googletest::prelude::*;
 use std::time::Duration;
 
-fn end_of<W>(step: &ForwardingStep<W>) -> Option<RequestOutcome> {
+fn outcome_of<W>(step: &ForwardingStep<W>) -> Option<RequestOutcome> {
     match step {
         ForwardingStep::End(outcome, _) => Some(outcome.clone()),
         _ => None,
@@ -18,15 +18,15 @@
 }
 
 fn reason_of<W>(step: &ForwardingStep<W>) -> Option<RequestFailureReason> {
-    match end_of(step) {
+    match outcome_of(step) {
         Some(RequestOutcome::NotRun { reason, .. }) => Some(reason),
         _ => None,
     }
 }
 
-/// The phases come in order within any grace period that can be set, and leave time between them.
+/// Within any grace period that can be configured, the phases come in order, with time between them.
 #[gtest]
-fn every_grace_period_has_room_for_its_phases() -> Result<()> {
+fn shutdown_phases_come_in_order_within_any_grace_period() -> Result<()> {
     let now = MonotonicTime(7_000_000_000);
     for grace_ms in [500, 1000, 5500, 60_000] {
         let grace = Duration::from_millis(grace_ms);
@@ -44,7 +44,7 @@
     Ok(())
 }
 
-/// Nobody has a request that still waits for an owner: it ends as not run.
+/// No holder has a request that still waits for an owner, so that it ends as not run.
 #[gtest]
 fn a_withdrawn_request_without_a_holder_ends_as_not_run() -> Result<()> {
     let bench = DaemonBench::serving();
@@ -54,9 +54,9 @@
     verify_that!(reason_of(&step), some(eq(RequestFailureReason::NotServing)))
 }
 
-/// A request that another holder gives back is not forwarded again by a daemon that stops.
+/// A daemon that is shutting down does not forward a request again that another daemon has returned.
 #[gtest]
-fn a_withdrawn_request_seeks_no_other_holder() -> Result<()> {
+fn a_withdrawn_request_is_not_forwarded_to_another_holder() -> Result<()> {
     let holder = remote_host("daemon-2", 4);
     let bench = DaemonBench::serving_with(vec![holder.clone()]);
     bench.agent.cache_owner(&bench.key("f"), &holder);
@@ -72,7 +72,7 @@
     Ok(())
 }
 
-/// A holder that was lost with the request may have had it run.
+/// A holder that was lost with the request may have run it.
 #[gtest]
 fn a_withdrawn_request_whose_holder_was_lost_ends_as_unknown() -> Result<()> {
     let holder = remote_host("daemon-2", 4);
@@ -83,13 +83,13 @@
     verify_that!(matches!(step, ForwardingStep::Wait { .. }), eq(true))?;
     forwarding.withdraw(&bench.agent);
     let step = forwarding.advance(&bench.agent, bench.now);
-    let is_unknown = matches!(end_of(&step), Some(RequestOutcome::Unknown { .. }));
+    let is_unknown = matches!(outcome_of(&step), Some(RequestOutcome::Unknown { .. }));
     verify_that!(is_unknown, eq(true))
 }
 
-/// The answer of a runner that has the request is still taken.
+/// The outcome of a request that a holder already has is still accepted.
 #[gtest]
-fn a_withdrawn_request_still_gets_its_answer() -> Result<()> {
+fn a_withdrawn_request_ends_with_its_holders_outcome() -> Result<()> {
     let holder = remote_host("daemon-2", 4);
     let bench = DaemonBench::serving_with(vec![holder.clone()]);
     bench.agent.cache_owner(&bench.key("f"), &holder);
@@ -99,12 +99,12 @@
         reason: RequestFailureReason::ResponseLost,
     };
     let step = bench.forwarded(&mut forwarding, completed(unknown.clone()));
-    verify_that!(end_of(&step) == Some(unknown), eq(true))
+    verify_that!(outcome_of(&step) == Some(unknown), eq(true))
 }
 
-/// At a daemon on the way, the one that forwarded the request looks for another holder.
+/// A daemon on the way rejects the withdrawn request, so that the daemon that forwarded it looks for another holder.
 #[gtest]
-fn a_daemon_on_the_way_that_stops_passes_the_request_back() -> Result<()> {
+fn a_stopping_daemon_on_the_way_returns_the_request() -> Result<()> {
     let bench = DaemonBench::serving();
     let request = FunctionRequest {
         hops: 1,
@@ -116,9 +116,9 @@
     verify_that!(reason_of(&step), some(eq(RequestFailureReason::NotHolder)))
 }
 
-/// Daemons of earlier sources know no notices, and must neither answer nor act on one.
+/// Daemons of earlier versions do not know notices, and must neither answer them nor act on them.
 #[gtest]
-fn a_notice_is_no_request_to_a_daemon_that_does_not_know_it() -> Result<()> {
+fn a_daemon_that_does_not_know_notices_ignores_them() -> Result<()> {
     let bench = DaemonBench::serving();
     for notice in [RequesterNotice::Withdrawn, RequesterNotice::Abandoned] {
         let message = notice.into_message();
@@ -127,7 +127,7 @@
         verify_that!(is_completed, eq(true))?;
         let parsed = FunctionRequest::from_frame(bench.now, message);
         let Err(other) = parsed else {
-            return fail!("taken for a request");
+            return fail!("a notice was read as a request");
         };
         let reply = bench.agent.answer_replica_request(bench.now, *other);
         verify_that!(reply.is_none(), eq(true))?;
--- a/crates/dataplane/tests/agent/spec_versions.rs
+++ b/crates/dataplane/tests/agent/spec_versions.rs
@@ -19,7 +19,7 @@
     ordinal: 5,
 };
 
-/// The function `f` as the daemon holds it.
+/// Returns the function `f` as held by the daemon.
 fn held_function(bench: &DaemonBench) -> Arc<HeldFunction<u64>> {
     let spec = FunctionSpec {
         startup: ms(200),
@@ -51,7 +51,7 @@
     }
 }
 
-/// Whether a request that waits at its holder may still be sent when its route leads to another function.
+/// Checks whether a request that waits at its holder may still be sent after its route has changed to another function.
 fn send_after_spec_change(rules: Rules) -> std::result::Result<(), RequestFailureReason> {
     let mut bench = DaemonBench::new(rules);
     bench.receive(spec_frame(3, "f"));
@@ -63,7 +63,7 @@
     bench
         .agent
         .runner_attempt(now, &held, &request, RUNNER, 1)
-        .expect("allowed before the turn");
+        .expect("allowed before the spec change");
     bench.receive(spec_frame(4, "g"));
     bench
         .agent
@@ -105,7 +105,7 @@
 }
 
 #[gtest]
-fn a_renewal_counts_only_with_the_newest_spec_installed() -> Result<()> {
+fn a_renewal_extends_the_lease_only_with_the_newest_spec_installed() -> Result<()> {
     let serves = |rules: Rules| {
         let mut bench = DaemonBench::new(rules);
         bench.receive(spec_frame(3, "f"));
