--- a/crates/dataplane/tests/regional/holder.rs
+++ b/crates/dataplane/tests/regional/holder.rs
@@ -1,4 +1,4 @@
-//! When a function gets a holder of its own for a region, and when that holder serves.
+//! When a function gets a separate holder for a region, and when that holder serves requests.
 
 use crate::daemon_control::START;
 use crate::held_function::{
@@ -19,7 +19,7 @@
 const STARTUP: Duration = Duration::from_millis(400);
 const SLOTS: u32 = 4;
 
-/// A holder whose runners become ready when the test has them do so, and take 100 ms per request.
+/// A holder whose runners become ready when the test completes their startup, and take 100 ms per request.
 struct RegionalBench {
     holder: Holder,
     now: MonotonicTime,
@@ -35,15 +35,15 @@
             slots: SLOTS,
             ..function_spec()
         };
-        let mut held = Self {
+        let mut bench = Self {
             holder: Holder::new(START, lease_terms(function, spec)),
             now: START,
             running_requests: Vec::new(),
             starting: Vec::new(),
             next_number: 0,
         };
-        held.drive(Holder::start);
-        held
+        bench.drive(Holder::start);
+        bench
     }
 
     fn finish_startups(&mut self) {
@@ -68,7 +68,7 @@
         }
     }
 
-    fn enter_request(&mut self, region: Option<Region>, recorded: bool) -> Option<RequestOutcome> {
+    fn admit_request(&mut self, region: Option<Region>, recorded: bool) -> Option<RequestOutcome> {
         self.next_number += 1;
         let request = AdmissionRequest {
             recorded,
@@ -76,21 +76,21 @@
             region,
             ..admission_request(self.next_number, self.now, ms(3000))
         };
-        let mut at_once = None;
+        let mut immediate_outcome = None;
         self.drive(|holder, now| {
             let (outcome, outputs) = holder.admit(now, request);
-            at_once = outcome;
+            immediate_outcome = outcome;
             outputs
         });
-        at_once
+        immediate_outcome
     }
 
-    /// Requests from the west at a constant rate, for `span`.
-    fn enter_requests_from_west(&mut self, per_second: u64, span: Duration, recorded: bool) {
+    /// Admits requests from the west at a constant rate, for `span`.
+    fn admit_requests_from_west(&mut self, per_second: u64, span: Duration, recorded: bool) {
         let interval = ms(1000 / per_second);
         let end = self.now + span;
         while self.now < end {
-            self.enter_request(Some(west()), recorded);
+            self.admit_request(Some(west()), recorded);
             self.run_for(interval);
             self.finish_startups();
         }
@@ -124,24 +124,25 @@
 }
 
 #[gtest]
-fn a_region_gets_its_own_key_when_its_callers_load_a_runner_enough() -> Result<()> {
+fn a_region_gets_its_own_key_when_its_callers_keep_a_runner_busy() -> Result<()> {
     for (per_second, is_regional_key_used) in [(20, true), (4, false)] {
-        let mut held = RegionalBench::new(function_key());
-        held.enter_requests_from_west(per_second, ms(1000), false);
-        verify_that!(held.holder.regional_use_delay(held.now, &west()), none())?;
-        held.enter_requests_from_west(per_second, ms(3000), false);
-        let after = held.holder.regional_use_delay(held.now, &west());
+        let mut bench = RegionalBench::new(function_key());
+        bench.admit_requests_from_west(per_second, ms(1000), false);
+        verify_that!(bench.holder.regional_use_delay(bench.now, &west()), none())?;
+        bench.admit_requests_from_west(per_second, ms(3000), false);
+        let after = bench.holder.regional_use_delay(bench.now, &west());
         verify_that!(after.is_some(), eq(is_regional_key_used))?;
         verify_that!(
-            held.holder
-                .regional_use_delay(held.now, &Region::from("north")),
+            bench
+                .holder
+                .regional_use_delay(bench.now, &Region::from("north")),
             none()
         )?;
         if let Some(after) = after {
             verify_that!(after, all![ge(STARTUP), le(STARTUP * 2 + ms(500))])?;
-            held.enter_requests_from_west(per_second, after, false);
+            bench.admit_requests_from_west(per_second, after, false);
             verify_that!(
-                held.holder.regional_use_delay(held.now, &west()),
+                bench.holder.regional_use_delay(bench.now, &west()),
                 some(eq(Duration::ZERO))
             )?;
         }
@@ -151,32 +152,32 @@
 
 #[gtest]
 fn a_regional_key_is_retained_for_seconds_and_dropped_without_callers() -> Result<()> {
-    let mut held = RegionalBench::new(function_key());
-    held.enter_requests_from_west(20, ms(4000), false);
+    let mut bench = RegionalBench::new(function_key());
+    bench.admit_requests_from_west(20, ms(4000), false);
     verify_that!(
-        held.holder.regional_use_delay(held.now, &west()),
+        bench.holder.regional_use_delay(bench.now, &west()),
         some(anything())
     )?;
-    held.run_for(ms(4000));
+    bench.run_for(ms(4000));
     verify_that!(
-        held.holder.regional_use_delay(held.now, &west()),
+        bench.holder.regional_use_delay(bench.now, &west()),
         some(anything())
     )?;
-    held.run_for(ms(8000));
-    verify_that!(held.holder.regional_use_delay(held.now, &west()), none())
+    bench.run_for(ms(8000));
+    verify_that!(bench.holder.regional_use_delay(bench.now, &west()), none())
 }
 
 #[gtest]
 fn a_function_with_repeatable_idempotency_keys_is_served_by_one_holder() -> Result<()> {
-    let mut held = RegionalBench::new(function_key());
-    held.enter_requests_from_west(20, ms(4000), true);
-    verify_that!(held.holder.regional_use_delay(held.now, &west()), none())
+    let mut bench = RegionalBench::new(function_key());
+    bench.admit_requests_from_west(20, ms(4000), true);
+    verify_that!(bench.holder.regional_use_delay(bench.now, &west()), none())
 }
 
 #[gtest]
 fn a_regional_holder_rejects_until_a_runner_is_ready() -> Result<()> {
-    let mut held = RegionalBench::new(function_key().in_region(&west()));
-    let rejected = held.enter_request(None, false);
+    let mut bench = RegionalBench::new(function_key().in_region(&west()));
+    let rejected = bench.admit_request(None, false);
     let is_rejected_without_runner = matches!(
         rejected,
         Some(RequestOutcome::NotRun {
@@ -185,19 +186,19 @@
         })
     );
     verify_that!(is_rejected_without_runner, eq(true))?;
-    verify_that!(held.starting.len(), eq(1))?;
-    held.finish_startups();
-    verify_that!(held.enter_request(None, false), none())
+    verify_that!(bench.starting.len(), eq(1))?;
+    bench.finish_startups();
+    verify_that!(bench.admit_request(None, false), none())
 }
 
 #[gtest]
 fn a_regional_holder_reports_when_its_key_is_no_longer_needed() -> Result<()> {
-    let mut held = RegionalBench::new(function_key().in_region(&west()));
-    held.finish_startups();
+    let mut bench = RegionalBench::new(function_key().in_region(&west()));
+    bench.finish_startups();
     verify_that!(
-        held.holder.regional_use_delay(held.now, &west()),
+        bench.holder.regional_use_delay(bench.now, &west()),
         some(eq(Duration::ZERO))
     )?;
-    held.run_for(ms(6000));
-    verify_that!(held.holder.regional_use_delay(held.now, &west()), none())
+    bench.run_for(ms(6000));
+    verify_that!(bench.holder.regional_use_delay(bench.now, &west()), none())
 }
--- a/crates/dataplane/tests/regional/ingress.rs
+++ b/crates/dataplane/tests/regional/ingress.rs
@@ -1,4 +1,4 @@
-//! When the daemon of an ingress forwards requests under the key of its region.
+//! When the ingress daemon forwards requests under the key of its region.
 
 use crate::daemon_control::{START, function_request, spec_frame_of, welcomed_control};
 use crate::host::host;
@@ -20,7 +20,7 @@
     )
 }
 
-/// A serving caller's daemon in the west, with another daemon there and one in the east.
+/// A serving ingress daemon in the west, with another daemon in the west and one in the east.
 struct IngressDaemon {
     agent: Agent<u64>,
     now: MonotonicTime,
@@ -65,14 +65,14 @@
         Forwarding::new(self.now, request)
     }
 
-    /// The key under which a request is forwarded now.
+    /// Returns the key under which a request is forwarded now.
     fn requested_key(&self) -> FunctionKey {
         let mut forwarding = self.forwarding();
         forwarding.advance(&self.agent, self.now);
         forwarding.request().function.clone()
     }
 
-    /// A daemon that was told to use the key of its region, and has waited until it may.
+    /// Creates a daemon that has received a hint to use the key of its region, and has waited until it may.
     fn with_regional_key(identities: &str) -> Self {
         let mut ingress_daemon = Self::new(identities);
         ingress_daemon.hint(1);
@@ -80,14 +80,15 @@
         ingress_daemon
     }
 
-    /// The holder for all regions responds that the regional key is to be used in `tenths` of a second; returns whether
-    /// that key was not known before.
+    /// Handles a response from the holder for all regions with the hint to use the regional key after `tenths` of a
+    /// second. Returns whether that key has newly become known.
     fn hint(&self, tenths: u8) -> bool {
         self.agent
             .handle_regional_hint(self.now, &self.key(), tenths)
     }
 
-    /// The regional holder responds that its key is still to be used, or with 0 that it is not.
+    /// Handles a response from the regional holder with the hint that its key is still to be used, or with 0 that it is
+    /// not.
     fn hint_of_regional_holder(&self, tenths: u8) -> bool {
         self.agent
             .handle_regional_hint(self.now, &self.regional_key(), tenths)
@@ -218,7 +219,7 @@
         ..
     } = step
     else {
-        return fail!("it is not passed on");
+        return fail!("the request is not forwarded");
     };
     verify_that!(region, eq(&west()))
 }
--- a/crates/dataplane/tests/regional/main.rs
+++ b/crates/dataplane/tests/regional/main.rs
@@ -1,5 +1,5 @@
-//! Regional keys: a region whose callers keep a runner of their own busy is served under a key of its own, and falls back
-//! to the holder for all regions if that cannot serve.
+//! Regional keys: a region whose callers keep a runner busy on their own is served under its own key, and falls back to
+//! the holder for all regions if that key cannot be served.
 
 #[path = "../support/daemon_control.rs"]
 mod daemon_control;
