--- a/crates/dataplane/tests/control_session.rs
+++ b/crates/dataplane/tests/control_session.rs
@@ -81,7 +81,7 @@
 }
 
 #[gtest]
-fn a_lease_counts_from_the_instant_its_renewal_was_sent() -> Result<()> {
+fn a_lease_runs_from_the_time_its_renewal_was_sent() -> Result<()> {
     let mut control_session = control_session();
     let correlation = welcomed(&mut control_session);
     control_session.received(START + ms(700), renewed(correlation, 0));
@@ -93,7 +93,7 @@
 }
 
 #[gtest]
-fn a_renewal_after_the_lease_end_or_with_a_newer_spec_extends_nothing() -> Result<()> {
+fn a_renewal_after_the_lease_end_or_with_a_newer_spec_does_not_extend_the_lease() -> Result<()> {
     let mut late_session = control_session();
     let correlation = welcomed(&mut late_session);
     late_session.received(START + ms(2500), renewed(correlation, 0));
@@ -134,8 +134,8 @@
     verify_that!(later_addresses.contains(&first_address), eq(false))
 }
 
-/// How long after the first dial a controller is dialed again that was powered off at the time, and that the others name
-/// as the leader as soon as it is back.
+/// Returns how long after the first dial a controller is dialed again that was powered off at that time, and that the
+/// other controllers name as the leader.
 fn leader_dialed_again_after(rules: Rules) -> Duration {
     let mut control_session = control_session().with_rules(rules);
     let first_address = dialed(&control_session.tick(START)).expect("dialed");
@@ -192,7 +192,7 @@
     verify_that!(dialed(&paused.tick(START + ms(61))), some(anything()))
 }
 
-/// A leader that was succeeded by another might grant what its successor has granted to others.
+/// A leader that has been succeeded might grant leases that its successor has granted to other daemons.
 #[gtest]
 fn a_leader_of_an_earlier_term_is_refused() -> Result<()> {
     let mut control_session = control_session();
@@ -260,7 +260,7 @@
 fn a_leader_whose_frame_is_arriving_is_not_silent() -> Result<()> {
     let mut control_session = control_session();
     welcomed(&mut control_session);
-    let is_given_up = |control_session: &mut ControlSession, at: MonotonicTime| {
+    let is_abandoned = |control_session: &mut ControlSession, at: MonotonicTime| {
         control_session
             .tick(at)
             .iter()
@@ -269,9 +269,9 @@
     let mut now = START;
     for _ in 0..10 {
         now = now + ms(500);
-        verify_that!(is_given_up(&mut control_session, now), eq(false))?;
+        verify_that!(is_abandoned(&mut control_session, now), eq(false))?;
         control_session.frame_part_received(now);
     }
     verify_that!(control_session.lease_end() <= START, eq(true))?;
-    verify_that!(is_given_up(&mut control_session, now + ms(600)), eq(true))
+    verify_that!(is_abandoned(&mut control_session, now + ms(600)), eq(true))
 }
