--- a/crates/dataplane/tests/failure_detector.rs
+++ b/crates/dataplane/tests/failure_detector.rs
@@ -1,4 +1,4 @@
-//! Which members count as alive: by heartbeats, by suspicions that reach every daemon, and by refutations.
+//! Which members are considered alive, by heartbeats, by suspicions that reach every daemon, and by refutations.
 
 use common::clock::MonotonicTime;
 use common::frames::{
@@ -65,7 +65,7 @@
         .collect()
 }
 
-/// A fleet of failure detectors under virtual time, with a leader that believes every report.
+/// A fleet of failure detectors under virtual time, with a leader that accepts every report.
 struct Fleet {
     detectors: Vec<Option<FailureDetector>>,
     hosts: Vec<Host>,
@@ -167,7 +167,7 @@
         }
     }
 
-    fn believing_alive(&self, number: usize) -> usize {
+    fn count_believing_alive(&self, number: usize) -> usize {
         let member = &self.hosts[number].member;
         let believes_alive = |failure_detector: &&FailureDetector| {
             failure_detector
@@ -188,7 +188,7 @@
     let max_bytes = |count: usize| {
         let mut fleet = Fleet::new(count, 1, 0.0);
         fleet.run(ms(10_000));
-        verify_that!(fleet.suspicion_reports, eq(0)).expect("a calm fleet");
+        verify_that!(fleet.suspicion_reports, eq(0)).expect("no suspicions in a healthy fleet");
         fleet.sent_bytes.values().copied().max().unwrap_or_default()
     };
     let (small_fleet_bytes, large_fleet_bytes) = (max_bytes(10), max_bytes(100));
@@ -197,22 +197,22 @@
 }
 
 #[gtest]
-fn a_dead_daemon_is_soon_suspected_by_all_and_a_live_one_never_for_long() -> Result<()> {
+fn a_dead_daemon_is_soon_suspected_by_all_and_a_live_one_only_briefly() -> Result<()> {
     for seed in 0..20 {
         let mut fleet = Fleet::new(10, seed, 0.25);
         fleet.run(ms(3000));
         fleet.detectors[4] = None;
         fleet.run(FAILURE_TIMEOUT + ms(200));
-        verify_that!((seed, fleet.believing_alive(4)), eq((seed, 0)))?;
+        verify_that!((seed, fleet.count_believing_alive(4)), eq((seed, 0)))?;
         fleet.loss = 0.0;
         fleet.run(FAILURE_TIMEOUT * 3);
         for number in (0..10).filter(|number| *number != 4) {
             verify_that!(
-                (seed, number, fleet.believing_alive(number)),
+                (seed, number, fleet.count_believing_alive(number)),
                 eq((seed, number, 9))
             )?;
         }
-        verify_that!((seed, fleet.believing_alive(4)), eq((seed, 0)))?;
+        verify_that!((seed, fleet.count_believing_alive(4)), eq((seed, 0)))?;
     }
     Ok(())
 }
@@ -224,7 +224,7 @@
     fleet.has_leader = false;
     fleet.detectors[4] = None;
     fleet.run(FAILURE_TIMEOUT + ms(50));
-    verify_that!(fleet.believing_alive(4), le(4))
+    verify_that!(fleet.count_believing_alive(4), le(4))
 }
 
 #[gtest]
@@ -263,7 +263,7 @@
 }
 
 #[gtest]
-fn a_suspected_daemon_refutes_at_once() -> Result<()> {
+fn a_suspected_daemon_refutes_the_suspicion_at_once() -> Result<()> {
     let mut failure_detector = FailureDetector::new(host(1, 1));
     failure_detector.set_host_list(START, 1, vec![host(1, 1), host(2, 5)], Vec::new());
     failure_detector.tick(START);
