--- a/crates/dataplane/src/agent/forwarding/step.rs
+++ b/crates/dataplane/src/agent/forwarding/step.rs
@@ -63,7 +63,7 @@
     )
 }
 
-/// Returns the outcome of a request whose holder was lost: nothing more will be received about it.
+/// Returns the outcome of a request that a holder had, and about which nothing more will be received.
 pub(super) fn unknown_outcome() -> RequestOutcome {
     RequestOutcome::Unknown {
         reason: RequestFailureReason::HolderUnreachable,
--- a/crates/dataplane/src/cluster_view/mod.rs
+++ b/crates/dataplane/src/cluster_view/mod.rs
@@ -1,8 +1,8 @@
 //! One daemon's view of the cluster: the leader, the spec, the live members, and the leases granted to the daemon.
 //!
-//! [`ClusterView`] combines the [control session](crate::control_session) and the [failure
-//! detector](crate::failure_detector), interprets the leader's frames and sends requests to it. It performs no I/O: its
-//! methods return [`ClusterViewOutput`]s that the caller carries out.
+//! [`ClusterView`] combines the [control session](crate::control_session) and the
+//! [failure detector](crate::failure_detector), interprets the leader's frames and sends requests to it. It performs
+//! no I/O: its methods return [`ClusterViewOutput`]s that the caller carries out.
 //!
 //! * `leader_frames`: handling of the leader's frames.
 //! * `leader_requests`: requests to the leader, and its responses.
