--- a/crates/dataplane/src/agent/daemon_control/mod.rs
+++ b/crates/dataplane/src/agent/daemon_control/mod.rs
@@ -1,6 +1,6 @@
-//! The control side of a daemon. It passes stream events, the holders' messages and timer ticks to the [cluster
-//! view](crate::cluster_view), and applies that view's outputs to the [`Agent`]. It performs no I/O: the drivers carry
-//! out the [`DaemonControlOutput`]s.
+//! The control side of a daemon. It passes stream events, the holders' messages and timer ticks to the
+//! [cluster view](crate::cluster_view), and applies that view's outputs to the [`Agent`]. It performs no I/O: the
+//! drivers carry out the [`DaemonControlOutput`]s.
 //!
 //! * `held_functions`: the life cycle of the held functions.
 //! * `outputs`: the actions for the drivers.
