--- a/crates/controlplane/src/leader_state/adoption.rs
+++ b/crates/controlplane/src/leader_state/adoption.rs
@@ -1,4 +1,4 @@
-//! Orphaned runners: a lost holder's runners wait for the function's next holder, which adopts them.
+//! Adoption of orphaned runners: the runners of a lost holder are handed to the function's next holder.
 
 use super::LeaderState;
 use common::frames::ClaimedRunner;
@@ -6,8 +6,9 @@
 use common::rules::Rule;
 
 impl LeaderState {
-    /// Whether every orphaned runner of a function can still be adopted; those that cannot are stopped first.
-    pub(super) fn check_orphans(&mut self, function: &FunctionKey) -> bool {
+    /// Stops the orphaned runners of a function that can no longer be adopted. Returns whether there were none; the
+    /// function must not be leased before they have stopped.
+    pub(super) fn stop_unadoptable_orphans(&mut self, function: &FunctionKey) -> bool {
         let unadoptable_runners: Vec<RunnerId> = self
             .reservations
             .all_of(function)
@@ -19,15 +20,15 @@
             .map(|(runner, _)| runner)
             .collect();
         for unadoptable_runner in &unadoptable_runners {
-            self.reservations.want_stop(*unadoptable_runner);
+            self.reservations.mark_stopping(*unadoptable_runner);
         }
         unadoptable_runners.is_empty() || !self.rules.enforces(Rule::FenceBeforeRegrant)
     }
 
-    /// Whether no runner is left that may belong to an earlier holder of this regional key. The platform may not
-    /// report under which key a runner was started, so that it is recorded under the key of all regions; before a
-    /// region's key is leased such runners are stopped.
-    pub(super) fn check_unknown_keys(&mut self, function: &FunctionKey) -> bool {
+    /// Stops the orphaned runners that may belong to an earlier holder of this regional key. Returns whether no such
+    /// runner is left. If the platform does not report under which key a runner was started, the runner is recorded
+    /// under the key of all regions, and is stopped before the key of one region is leased.
+    pub(super) fn stop_orphans_with_unknown_key(&mut self, function: &FunctionKey) -> bool {
         let unknown_runners = self.reservations.with_unknown_key(function);
         let orphaned_runners = unknown_runners.iter().filter(|runner| {
             self.reservations
@@ -35,12 +36,12 @@
                 .is_some_and(|reservation| reservation.is_orphaned())
         });
         for orphaned_runner in orphaned_runners.copied().collect::<Vec<RunnerId>>() {
-            self.reservations.want_stop(orphaned_runner);
+            self.reservations.mark_stopping(orphaned_runner);
         }
         unknown_runners.is_empty() || !self.rules.enforces(Rule::FenceBeforeRegrant)
     }
 
-    /// Gives the orphaned runners of a function to its next holder, under names with the new fencing token.
+    /// Transfers the orphaned runners of a function to its next holder. Their new names contain the new fencing token.
     pub(super) fn adopt_orphans(
         &mut self,
         function: &FunctionKey,
--- a/crates/controlplane/src/leader_state/member_sessions.rs
+++ b/crates/controlplane/src/leader_state/member_sessions.rs
@@ -1,4 +1,4 @@
-//! The sessions of members with the leader: how each begins and ends, and which members there are.
+//! Sessions of members with the leader: how each begins and ends, and which members are known.
 
 use super::members::{MemberHello, MemberRecord};
 use super::{EventDetail, LeaderOutput, LeaderState, StreamId, TraceStep};
@@ -10,24 +10,24 @@
 use std::collections::BTreeSet;
 
 impl LeaderState {
-    /// The members that may hold leases.
+    /// Returns the members that may hold leases.
     pub fn known_members(&self) -> ReportedMembership {
         let mut members: BTreeSet<KnownMember> = self.members.known().cloned().collect();
-        if !self.claims.is_open {
+        if !self.claims.is_reached {
             members.extend(self.claims.last_known.iter().cloned());
         }
         ReportedMembership {
             members,
-            complete: self.claims.last_known_complete || self.claims.is_open,
+            complete: self.claims.last_known_complete || self.claims.is_reached,
         }
     }
 
-    /// The known members, if they may have changed since this was last called.
+    /// Returns the known members if they may have changed since the last call.
     pub fn take_known_members(&mut self) -> Option<ReportedMembership> {
         self.members.take_changed().then(|| self.known_members())
     }
 
-    /// A member opens its stream: whatever stood on an earlier stream of it, or with an earlier incarnation, ends.
+    /// Handles a member's `Hello` on a new stream, which replaces the member's earlier streams and incarnations.
     pub(super) fn handle_hello(
         &mut self,
         now: MonotonicTime,
@@ -47,14 +47,14 @@
             self.claims.member_restarted_at = now;
         }
         self.members.attach(stream, &known_member);
-        let shown_host = Host {
+        let advertised_host = Host {
             eligible: Flag(host.eligible.0 && !self.is_evacuated(&host.zone)),
             ..host.clone()
         };
         let record = self
             .members
             .get_or_insert(known_member, || MemberRecord::new(now, &hello));
-        record.connect(now, stream, &hello, shown_host);
+        record.connect(now, stream, &hello, advertised_host);
         self.members.mark_changed();
         self.membership_list.check_due = true;
         self.hosts.member_connected(&host.member);
@@ -73,8 +73,8 @@
         self.record_event(events::MEMBER_CONNECTED, detail);
     }
 
-    /// Ends the earlier incarnations of a member. The new one holds the port of their address, so they are
-    /// gone, and their session leases with them.
+    /// Ends the earlier incarnations of a member. The new incarnation has bound their port, so their processes have
+    /// exited and their session leases are over.
     fn end_earlier_incarnations(&mut self, now: MonotonicTime, restarted_member: &KnownMember) {
         let earlier_incarnations: Vec<KnownMember> = self
             .members
@@ -99,7 +99,7 @@
         }
     }
 
-    /// A member has installed a version; renewals may wait for that.
+    /// Records that a member has installed a version. Renewals may be waiting for that.
     pub(super) fn handle_installed(&mut self, stream: StreamId, version: Version) {
         if let Some((known_member, record)) = self.members.on_stream_mut(stream) {
             let is_newer = record.installed < version;
@@ -116,7 +116,7 @@
         }
     }
 
-    /// A member leaves in order: it gives up its session lease and takes no functions any more.
+    /// Handles a graceful departure: the member gives up its session lease and takes no more functions.
     pub(super) fn handle_leaving(&mut self, now: MonotonicTime, stream: StreamId) {
         if self.members.on_stream(stream).is_none() {
             return;
@@ -125,7 +125,7 @@
             record.make_ineligible();
             record.lease_expires_at = now;
             record.lease_expiry_bound = now;
-            record.swept = false;
+            record.is_expiry_handled = false;
             record.has_departed = true;
             self.hosts.push_due = true;
         }
@@ -133,7 +133,7 @@
         self.renewals.forget(stream);
     }
 
-    /// A member's stream has ended; its lease stands until it expires.
+    /// Handles the end of a member's stream. Its session lease lasts until it expires.
     pub fn stream_lost(&mut self, stream: StreamId) {
         let Some(known_member) = self.members.close_stream(stream) else {
             return;
@@ -150,7 +150,7 @@
         }
     }
 
-    /// Whether a member is connected, has a session lease and may be given functions.
+    /// Whether a member is connected, has a session lease and is eligible for functions.
     pub(super) fn is_serving(&self, known_member: &KnownMember, now: MonotonicTime) -> bool {
         self.members.get(known_member).is_some_and(|record| {
             record.stream.is_some() && record.lease_expires_at > now && record.host.eligible.0
@@ -164,8 +164,8 @@
             .is_some_and(|record| record.lease_expires_at > now)
     }
 
-    /// Forgets members without stream and lease once they hold nothing: at once if they left in order, else
-    /// after a while.
+    /// Drops the records of members that have no stream, lease or functions: immediately if they left gracefully,
+    /// otherwise after [`forget_after`](super::LeaderTiming::forget_after).
     pub(super) fn expire_members(&mut self, now: MonotonicTime) {
         if !self.members.take_expiry_due(now) {
             return;
@@ -177,7 +177,7 @@
             .filter(|(_, record)| {
                 record.stream.is_none()
                     && now >= record.lease_expiry_bound
-                    && (record.has_departed || now.since(record.last_heard_at) > forget_after)
+                    && (record.has_departed || now.since(record.last_contact_at) > forget_after)
             })
             .map(|(known_member, _)| known_member.clone())
             .filter(|known_member| !self.lease_records.holds_any(known_member))
@@ -193,7 +193,7 @@
         }
     }
 
-    /// A frame came in on a member's stream: the member is alive.
+    /// Records that a frame arrived on a member's stream, so the member is alive.
     pub(super) fn note_frame_received(&mut self, now: MonotonicTime, stream: StreamId) {
         if let Some((_, record)) = self.members.on_stream_mut(stream) {
             record.last_frame_at = now;
