--- a/crates/controlplane/src/drivers/controller.rs
+++ b/crates/controlplane/src/drivers/controller.rs
@@ -114,7 +114,7 @@
         let mut rng = SeededRng::from_os();
         let fresh_id = ControllerId(rng.number() | 1);
         let opened_directory = settings
-            .data
+            .data_directory
             .as_deref()
             .map(|data| open_data_directory(settings, data, fault_hook, fresh_id))
             .transpose()?;
--- a/crates/controlplane/src/settings.rs
+++ b/crates/controlplane/src/settings.rs
@@ -67,7 +67,7 @@
     pub seeds: Vec<SocketAddress>,
     /// The data directory. A controller without one never votes, and only forwards operators and
     /// daemons to the leader.
-    pub data: Option<PathBuf>,
+    pub data_directory: Option<PathBuf>,
     /// Whether the system starts for the first time, so that the seeds bootstrap the control quorum.
     pub bootstrap_on_first_start: bool,
     /// How many voters the control quorum is to have and how they are spread.
@@ -106,7 +106,7 @@
         let zone = root.field("locality").text();
         let seeds = read_addresses(&root.field("seeds"), 1..=3);
         let data_reader = root.field("data");
-        let data = if data_reader.is_present() {
+        let data_directory = if data_reader.is_present() {
             Some(PathBuf::from(data_reader.text()?))
         } else {
             None
@@ -124,7 +124,7 @@
             operators: operators?,
             zone: Zone::from(zone?),
             seeds: seeds?,
-            data,
+            data_directory,
             bootstrap_on_first_start,
             quorum_policy,
             threads,
--- a/programs/controller/src/main.rs
+++ b/programs/controller/src/main.rs
@@ -111,7 +111,7 @@
         let error = format!("--recover needs the phrase {RECOVER_PHRASE}; see --help");
         return Err(PROGRAM.fail(error, 2));
     }
-    let Some(data) = &settings.data else {
+    let Some(data) = &settings.data_directory else {
         return Err(PROGRAM.fail("--recover needs a data folder", 2));
     };
     controlplane::storage::force_single_voter(data)
--- a/testing/support/controller_settings.rs
+++ b/testing/support/controller_settings.rs
@@ -19,7 +19,7 @@
         "operators": settings.operators.to_string(),
         "locality": settings.zone.as_str(),
         "seeds": addresses,
-        "data": settings.data.as_ref().map(|folder| folder.display().to_string()),
+        "data": settings.data_directory.as_ref().map(|folder| folder.display().to_string()),
         "found_first": settings.bootstrap_on_first_start,
         "voters": settings.quorum_policy.voters(),
         "voters in one locality": settings.quorum_policy.zone_limit(),
