--- a/crates/controlplane/src/consensus/mod.rs
+++ b/crates/controlplane/src/consensus/mod.rs
@@ -63,7 +63,7 @@
     /// By other processes of the system.
     pub address: SocketAddress,
     /// By operators.
-    pub operators: SocketAddress,
+    pub operator_address: SocketAddress,
 }
 
 /// One controller's part in the consensus.
@@ -304,7 +304,7 @@
         let frame = ConsensusFrame {
             from: self.local.id,
             address: self.local.controller_address.address,
-            operators: self.local.controller_address.operators,
+            operators: self.local.controller_address.operator_address,
             zone: self.local.zone.clone(),
             body,
         };
--- a/crates/controlplane/src/consensus/receive.rs
+++ b/crates/controlplane/src/consensus/receive.rs
@@ -29,7 +29,7 @@
             id: frame.from,
             controller_address: ControllerAddress {
                 address: frame.address,
-                operators: frame.operators,
+                operator_address: frame.operators,
             },
         };
         self.peers.record(now, sender, frame.zone);
--- a/crates/controlplane/src/controller_state/operations.rs
+++ b/crates/controlplane/src/controller_state/operations.rs
@@ -129,7 +129,9 @@
         operation: Operation,
     ) -> Option<OperationReply> {
         if let Some(controller_address) = self.other_leader() {
-            return Some(OperationReply::Redirect(controller_address.operators));
+            return Some(OperationReply::Redirect(
+                controller_address.operator_address,
+            ));
         }
         match operation {
             Operation::Replace(missing, successor) => Some(self.replace(now, missing, successor)),
@@ -216,7 +218,7 @@
                 .is_some_and(|leader_state| leader_state.is_open()),
             leader: consensus
                 .leader()
-                .map(|controller_address| controller_address.operators),
+                .map(|controller_address| controller_address.operator_address),
             accepted: consensus
                 .accepted()
                 .map(|document| document.document_version),
--- a/crates/controlplane/src/drivers/controller.rs
+++ b/crates/controlplane/src/drivers/controller.rs
@@ -259,7 +259,7 @@
     );
     let own_address = ControllerAddress {
         address: settings.address,
-        operators: settings.operators,
+        operator_address: settings.operators,
     };
     let consensus = ConsensusNode::new(
         MonotonicTime::now(),
--- a/crates/controlplane/src/drivers/operator_api/responses.rs
+++ b/crates/controlplane/src/drivers/operator_api/responses.rs
@@ -85,7 +85,7 @@
                 "controller": format!("{:x}", peer.id.0),
                 "surveyor": format!("{:x}", peer.id.0),
                 "place": peer.controller_address.address.to_string(),
-                "operators": peer.controller_address.operators.to_string(),
+                "operators": peer.controller_address.operator_address.to_string(),
                 "accepted": peer.accepted.to_string(),
                 "voter": peer.is_voter,
                 "silent_ms": peer.silent_ms,
--- a/crates/controlplane/tests/controller_state/cluster.rs
+++ b/crates/controlplane/tests/controller_state/cluster.rs
@@ -145,7 +145,7 @@
         node.incarnation += 1;
         let controller_address = ControllerAddress {
             address: address(number),
-            operators: operators(number),
+            operator_address: operators(number),
         };
         let persisted = match &node.disk {
             Some(disk) => disk.persisted.clone(),
--- a/crates/controlplane/tests/membership_change.rs
+++ b/crates/controlplane/tests/membership_change.rs
@@ -49,7 +49,7 @@
         .build();
     let controller_address = ControllerAddress {
         address: address(number),
-        operators: address(number),
+        operator_address: address(number),
     };
     let seeds = (0..3).map(address).collect();
     let zone = Zone::from(format!("l{zone}"));
@@ -324,7 +324,7 @@
     };
     let controller_address = ControllerAddress {
         address: address(0),
-        operators: address(0),
+        operator_address: address(0),
     };
     ConsensusNode::new(
         now,
--- a/crates/controlplane/tests/operators_forms.rs
+++ b/crates/controlplane/tests/operators_forms.rs
@@ -335,7 +335,7 @@
         id: ControllerId(0xcd),
         controller_address: ControllerAddress {
             address: address("10.0.0.2:7110"),
-            operators: address("10.0.0.2:7111"),
+            operator_address: address("10.0.0.2:7111"),
         },
         accepted: document_version(3, 4),
         is_voter: true,
--- a/crates/controlplane/tests/quorum_model/model.rs
+++ b/crates/controlplane/tests/quorum_model/model.rs
@@ -225,7 +225,7 @@
         let seed = self.setup.seed ^ ((number as u64) << 8) ^ incarnation;
         let controller_address = ControllerAddress {
             address: address(number),
-            operators: address(number),
+            operator_address: address(number),
         };
         let running = self.running();
         let seed_numbers = if running.is_empty() {
--- a/testing/fleet/src/sim/controller.rs
+++ b/testing/fleet/src/sim/controller.rs
@@ -124,7 +124,7 @@
         let own_address = controller.address;
         let controller_address = ControllerAddress {
             address: own_address,
-            operators: own_address,
+            operator_address: own_address,
         };
         let consensus = ConsensusNode::new(
             local_now,
--- a/testing/fleet/src/synthetic/controllers.rs
+++ b/testing/fleet/src/synthetic/controllers.rs
@@ -64,7 +64,7 @@
             persisted,
             ControllerAddress {
                 address,
-                operators: address,
+                operator_address: address,
             },
             ZoneNumber::of(number).zone(),
             seeds.to_vec(),
--- a/testing/support/consensus_peers.rs
+++ b/testing/support/consensus_peers.rs
@@ -36,7 +36,7 @@
     disk.accepted = Some(document);
     let controller_address = ControllerAddress {
         address: address(number),
-        operators: address(number),
+        operator_address: address(number),
     };
     let timing = ConsensusTiming::builder().build();
     let seeds = (1..4).map(address).collect();
