--- a/crates/controlplane/src/consensus/membership.rs
+++ b/crates/controlplane/src/consensus/membership.rs
@@ -204,7 +204,7 @@
     /// # Errors
     ///
     /// See [`MembershipError`]; nothing is proposed then.
-    pub fn replace(
+    pub fn replace_voter(
         &mut self,
         now: MonotonicTime,
         missing: ControllerId,
--- a/crates/controlplane/src/controller_state/operations.rs
+++ b/crates/controlplane/src/controller_state/operations.rs
@@ -195,7 +195,7 @@
         missing: ControllerId,
         successor: ControllerId,
     ) -> OperationReply {
-        match self.consensus.replace(now, missing, successor) {
+        match self.consensus.replace_voter(now, missing, successor) {
             Ok((version, consensus_outputs)) => {
                 self.execute(now, consensus_outputs);
                 OperationReply::ReplacingVoter { version }
--- a/crates/controlplane/tests/membership_change.rs
+++ b/crates/controlplane/tests/membership_change.rs
@@ -284,13 +284,13 @@
     let leader = cluster.leader().expect("a leader");
     let other_voters: Vec<usize> = (0..3).filter(|number| *number != leader).collect();
     let id = |number: usize| ControllerId(number as u64 + 1);
-    let unknown_member = cluster.nodes[leader].replace(cluster.now, ControllerId(99), id(3));
+    let unknown_member = cluster.nodes[leader].replace_voter(cluster.now, ControllerId(99), id(3));
     verify_that!(
         unknown_member.err(),
         some(eq(MembershipError::NoSuchMember))
     )?;
     let unknown_candidate =
-        cluster.nodes[leader].replace(cluster.now, id(other_voters[0]), ControllerId(99));
+        cluster.nodes[leader].replace_voter(cluster.now, id(other_voters[0]), ControllerId(99));
     verify_that!(
         unknown_candidate.err(),
         some(eq(MembershipError::NoSuchCandidate))
@@ -299,7 +299,7 @@
     cluster.advance_time(Duration::from_millis(2500));
     cluster.partition(&[other_voters[1]], &[leader]);
     cluster.now = cluster.now + Duration::from_millis(2200);
-    let breaking = cluster.nodes[leader].replace(cluster.now, id(other_voters[1]), id(3));
+    let breaking = cluster.nodes[leader].replace_voter(cluster.now, id(other_voters[1]), id(3));
     verify_that!(
         breaking.err(),
         some(any![
