--- a/crates/controlplane/src/consensus/mod.rs
+++ b/crates/controlplane/src/consensus/mod.rs
@@ -1,28 +1,28 @@
 //! Consensus among the controllers on one replicated document.
 //!
 //! The algorithm is Raft (Ongaro and Ousterhout, "In Search of an Understandable Consensus Algorithm",
-//! 2014) with its pre-vote and joint consensus, reduced to a log of one entry: the document is small,
-//! each version replaces the one before, and only the newest is replicated. A version is ordered by its
-//! [`DocumentVersion`], the pair of term and version number, which stands for Raft's last log entry.
-//! The voters are part of the document.
+//! 2014) with pre-vote and joint consensus, reduced to a log of one entry: the document is small, each
+//! version replaces the previous one, and only the newest is replicated. Versions are ordered by their
+//! [`DocumentVersion`], a pair of term and version number that corresponds to the term and index of
+//! Raft's last log entry. The set of voters is part of the document.
 //!
-//! Nothing here does I/O, reads a clock or starts a task. A [`ConsensusNode`] is given time
+//! Nothing here does I/O, reads a clock or starts a task. A [`ConsensusNode`] takes the time
 //! ([`ConsensusNode::tick`]), frames ([`ConsensusNode::receive`]) and completed writes
-//! ([`ConsensusNode::write_completed`]), and returns a list of [`ConsensusOutput`] for its driver to
-//! carry out in order. With the same inputs and seed it returns the same outputs, on which the
-//! simulator and the model checker depend.
+//! ([`ConsensusNode::write_completed`]) as inputs, and returns a list of [`ConsensusOutput`]s that its
+//! driver carries out in order. The outputs are determined by the inputs and the seed; the simulator
+//! and the model checker depend on this.
 //!
 //! # Invariants
 //!
-//! * A term has at most one leader: a node votes once in a term, and a vote is on disk before it is sent.
+//! * A term has at most one leader: a node votes once per term, and a vote is on disk before it is sent.
 //! * A committed version is not lost: a version is on disk before it is acknowledged, a majority
-//!   acknowledges it before it is committed, and nobody votes for a candidate whose version is older
-//!   than the voter's.
-//! * A version counts as committed only when it was proposed in its leader's own term (Raft, section
-//!   5.4.2); a new leader therefore proposes the newest version it holds again under its term.
-//! * The voters change by a joint version, which is committed by a majority of the previous and of the
-//!   next voters.
-//! * A heartbeat response counts only in the heartbeat's term.
+//!   acknowledges it before it is committed, and no voter votes for a candidate whose version is older
+//!   than its own.
+//! * A leader commits only versions proposed in its own term (Raft, section 5.4.2); a new leader
+//!   therefore proposes the newest version on its disk again under its term.
+//! * The set of voters changes through a joint version, which is committed by a majority of the
+//!   previous voters and a majority of the next voters.
+//! * A heartbeat response counts only in the term of the heartbeat.
 
 mod bootstrap;
 mod election;
@@ -57,16 +57,16 @@
 use state::{HardState, LeaderKnowledge, LocalNode, NodeOptions, Role, Timers};
 use writes::{PendingWriteKind, PendingWrites};
 
-/// Where one controller is reached.
+/// The addresses at which a controller is reached.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct ControllerAddress {
-    /// By other processes of the system.
+    /// The address for other controllers and for daemons.
     pub address: SocketAddress,
-    /// By operators.
+    /// The address for operators.
     pub operator_address: SocketAddress,
 }
 
-/// One controller's part in the consensus.
+/// The consensus state machine of one controller.
 #[derive(Clone, Debug)]
 pub struct ConsensusNode {
     local: LocalNode,
@@ -79,20 +79,21 @@
     known_leader: LeaderKnowledge,
     timers: Timers,
     peers: PeerTable,
-    /// The daemons that the leader last reported; on the leader, those it reports.
+    /// The daemons that the leader last reported; on the leader, those that it reports.
     membership: ReportedMembership,
-    /// What the candidate and its voters know of earlier leaders' daemons; collected in an election.
+    /// The daemons of earlier leaders that the candidate and its voters know of, collected during an
+    /// election.
     inherited_membership: ReportedMembership,
     writes: PendingWrites,
-    /// The version that this leader has proposed and that is not committed yet.
+    /// The version that this leader has proposed and not committed yet.
     proposed: Option<Document>,
-    /// The newest version as it was last encoded for sending.
+    /// The newest version, encoded for sending.
     encoded_version: Option<EncodedVersion>,
     outputs: Vec<ConsensusOutput>,
 }
 
 impl ConsensusNode {
-    /// A node that starts now, as a follower, from what its disk holds.
+    /// Creates a node that starts now as a follower, with the state read from its disk.
     pub fn new(
         now: MonotonicTime,
         timing: ConsensusTiming,
@@ -133,27 +134,27 @@
         node
     }
 
-    /// Sets the safety rules in force. Tests disable single ones to prove that each is needed; the
-    /// default enforces all.
+    /// Sets the safety rules to enforce; by default all are enforced. Tests disable single rules to
+    /// prove that each is needed.
     pub fn with_rules(mut self, rules: Rules) -> Self {
         self.options.rules = rules;
         self
     }
 
-    /// Sets how many voters the control quorum is to have and how they are spread over zones.
+    /// Sets how many voters the control quorum should have and how they are spread over zones.
     pub fn with_quorum_policy(mut self, quorum_policy: QuorumPolicy) -> Self {
         self.options.quorum_policy = quorum_policy;
         self
     }
 
-    /// Sets whether this node may bootstrap the control quorum by itself, together with the other
-    /// seeds. To be set only at the first start of the system.
+    /// Sets whether this node may bootstrap the control quorum, together with the other seeds, without
+    /// an operator's command. Set this only at the first start of the system.
     pub fn with_bootstrap(mut self, may_bootstrap: bool) -> Self {
         self.options.may_bootstrap = may_bootstrap;
         self
     }
 
-    /// Sets that this node has no data directory: it never votes, and only forwards to the leader.
+    /// Marks this node as having no data directory: it never votes and only forwards to the leader.
     pub fn without_disk(mut self) -> Self {
         self.local.diskless = true;
         self
@@ -164,39 +165,39 @@
         self.peers.seeds = seeds;
     }
 
-    /// This controller's identity.
+    /// Returns this controller's identity.
     pub fn id(&self) -> ControllerId {
         self.local.id
     }
 
-    /// The current term.
+    /// Returns the current term.
     pub fn term(&self) -> Term {
         self.hard_state.term
     }
 
-    /// Whether this controller leads.
+    /// Whether this controller is the leader.
     pub fn is_leader(&self) -> bool {
         matches!(self.role, Role::Leader(_))
     }
 
-    /// Whether it leads and has committed a version under its own term.
+    /// Whether this controller is the leader and has committed a version in its own term.
     pub fn is_ready(&self) -> bool {
         self.is_leader() && self.committed.term == self.hard_state.term
     }
 
-    /// The leader's addresses, as far as a leader is known.
+    /// Returns the leader's addresses, or `None` if no leader is known.
     pub fn leader(&self) -> Option<ControllerAddress> {
         self.known_leader
             .current
             .map(|leader| leader.controller_address)
     }
 
-    /// The newest version on this disk.
+    /// Returns the newest version on this node's disk.
     pub fn accepted(&self) -> Option<&Document> {
         self.hard_state.accepted.as_ref()
     }
 
-    /// The newest version known to be committed.
+    /// Returns the newest version known to be committed.
     pub fn committed(&self) -> DocumentVersion {
         self.committed
     }
@@ -206,13 +207,13 @@
         self.proposed.is_some()
     }
 
-    /// The proposal in flight.
+    /// Returns the proposal in flight.
     pub fn proposed(&self) -> Option<&Document> {
         self.proposed.as_ref()
     }
 
-    /// When the newest heartbeat round was sent that a majority has answered; zero on a node that does
-    /// not lead. At that time no other controller led a later term.
+    /// Returns when the newest heartbeat round answered by a majority was sent, or zero if this node is
+    /// not the leader. At that time no other controller led a later term.
     pub fn quorum_confirmed_at(&self) -> MonotonicTime {
         match &self.role {
             Role::Leader(heartbeats) => heartbeats.quorum_confirmed_at(),
@@ -220,18 +221,18 @@
         }
     }
 
-    /// Whether a majority has been notified that this daemon may hold leases, so that any later leader
-    /// inherits it.
+    /// Whether a majority has been notified that this daemon may hold leases, so that every later
+    /// leader learns of it.
     pub fn is_confirmed(&self, member: &KnownMember) -> bool {
         matches!(&self.role, Role::Leader(heartbeats) if heartbeats.confirmed_members().contains(member))
     }
 
-    /// Sets the daemons that may hold leases, for the next heartbeats to report.
+    /// Sets the daemons that may hold leases, which the next heartbeats report.
     pub fn set_members(&mut self, membership: ReportedMembership) {
         self.membership = membership;
     }
 
-    /// When [`Self::tick`] is due next, unless an input changes that.
+    /// Returns when [`Self::tick`] is due next. Any input may change this.
     pub fn next_due(&self) -> MonotonicTime {
         let due = match &self.role {
             Role::Leader(heartbeats) => heartbeats.next_heartbeat_at(),
@@ -240,7 +241,7 @@
         due.min(self.timers.next_hello_at)
     }
 
-    /// Does what is due by now.
+    /// Runs every action that is due by now.
     pub fn tick(&mut self, now: MonotonicTime) -> Vec<ConsensusOutput> {
         self.scrub_if_due(now);
         if now >= self.timers.next_hello_at {
@@ -265,12 +266,12 @@
         }
     }
 
-    /// Gives up leadership, or the knowledge of a leader, that has expired by now: a leader steps down
-    /// when no majority has answered within the election timeout, any other node forgets a leader that
-    /// it has not heard within it.
+    /// Gives up expired leadership, or forgets an expired leader: a leader steps down if no majority
+    /// has answered within the election timeout; any other node forgets a leader from which it has
+    /// received nothing within the election timeout.
     ///
-    /// To be called before this node's knowledge is passed on, since a process that was suspended
-    /// receives frames before its timers fire.
+    /// Must be called before this node's knowledge of the leader is used to answer others, because a
+    /// process that was suspended receives frames before its timers fire.
     pub fn expire_leadership(&mut self, now: MonotonicTime) -> Vec<ConsensusOutput> {
         if self.is_leader() {
             self.step_down_if_quorum_lost(now);
@@ -280,8 +281,8 @@
         self.take_outputs()
     }
 
-    /// Whether the leader was not heard within the election timeout. The election deadline alone does
-    /// not tell: after a failed write it is later than that.
+    /// Whether nothing was received from the leader within the election timeout. The election deadline
+    /// alone is not enough to decide this, because a failed write postpones it.
     fn has_lost_leader(&self, now: MonotonicTime) -> bool {
         now >= self.timers.election_deadline
             || now.since(self.known_leader.last_heard_at) > self.options.timing.election_timeout_max
@@ -295,7 +296,7 @@
         self.hard_state.accepted_version()
     }
 
-    /// The version that this leader has proposed, else the newest on its disk.
+    /// Returns the version that this leader has proposed, or else the newest on its disk.
     fn newest_document(&self) -> Option<&Document> {
         self.proposed.as_ref().or(self.hard_state.accepted.as_ref())
     }
