--- a/crates/controlplane/src/consensus/output.rs
+++ b/crates/controlplane/src/consensus/output.rs
@@ -1,4 +1,4 @@
-//! What a consensus node is restored from and what it has its driver do.
+//! The state from which a consensus node is restored, and the outputs that its driver carries out.
 
 use common::frames::{ConsensusFrame, KnownMember, SocketAddress};
 use common::identity::{ControllerId, DocumentVersion, Term, Ticket};
@@ -10,16 +10,17 @@
 pub struct PersistedState {
     /// The node's identity, created when the disk was empty.
     pub id: ControllerId,
-    /// The last vote.
+    /// The last vote cast.
     pub voted_for: Option<(Term, ControllerId)>,
     /// The newest readable version.
     pub accepted: Option<Document>,
-    /// A version that was written here and can no longer be read; zero when there is none.
+    /// The newest version that was written to this disk and can no longer be read; zero if there is
+    /// none.
     pub unreadable_version: DocumentVersion,
 }
 
 impl PersistedState {
-    /// The state on an empty disk.
+    /// Returns the state of an empty disk.
     pub fn empty(id: ControllerId) -> Self {
         Self {
             id,
@@ -37,37 +38,37 @@
     }
 }
 
-/// A write for the disk.
+/// A disk write requested by a node.
 #[derive(Clone, Debug)]
 pub enum WriteJob {
     /// A vote.
     Vote {
-        /// The term voted in.
+        /// The term in which the vote is cast.
         term: Term,
-        /// Whom the vote is for.
+        /// The controller voted for.
         candidate: ControllerId,
     },
     /// A version of the document.
     Version(Document),
-    /// Read every stored file again; if the newest version is damaged, write it again from this copy.
+    /// Read every stored file again; if the newest version is damaged, rewrite it from this copy.
     Scrub(Option<Document>),
 }
 
 /// The result of a write.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum WriteResult {
-    /// It is on disk, synced.
+    /// The data is synced to disk.
     Synced,
-    /// It failed; it may or may not be on disk.
+    /// The write failed; the data may or may not be on disk.
     Failed,
 }
 
-/// What a driver is to carry out for a node, or is notified of.
+/// An action that the driver carries out for a node, or an event of which the node notifies it.
 #[derive(Clone, Debug)]
 pub enum ConsensusOutput {
     /// Send a frame.
     Send {
-        /// The receiver's address.
+        /// The address of the receiver.
         to: SocketAddress,
         /// The frame.
         frame: ConsensusFrame,
@@ -88,23 +89,23 @@
     Elected {
         /// The term it leads.
         term: Term,
-        /// The daemons that may hold leases of earlier leaders.
+        /// The daemons that may hold leases granted by earlier leaders.
         members: BTreeSet<KnownMember>,
-        /// Whether there are certainly no others.
+        /// Whether no other daemon can hold such a lease.
         complete: bool,
     },
-    /// This controller no longer leads; the outcome of a proposal in flight is unknown.
+    /// This controller is no longer the leader; the outcome of a proposal in flight is unknown.
     SteppedDown,
-    /// A version is committed.
+    /// A version has been committed.
     Committed(Document),
-    /// This leader proposes a change of the voters.
+    /// This leader proposes a change of the set of voters.
     MembershipChange {
         /// The addresses of the next voters.
         addresses: Vec<SocketAddress>,
-        /// Whether the proposal settles the change, rather than beginning it.
+        /// Whether the proposal completes the change rather than starting it.
         settled: bool,
     },
-    /// A write has been in flight for longer than the shortest election timeout, and the leader steps
+    /// A write has been in flight for longer than the shortest election timeout, so the leader steps
     /// down.
     DiskStalled,
 }
--- a/crates/controlplane/src/consensus/state.rs
+++ b/crates/controlplane/src/consensus/state.rs
@@ -9,27 +9,27 @@
 use common::spec::Document;
 use std::collections::BTreeSet;
 
-/// How many pre-votes after a start use the short start-up timeout.
+/// The number of pre-votes after a start that use the short start-up timeout.
 const STARTUP_PRE_VOTES: u32 = 4;
 
-/// What a node takes part with: fixed from its start on.
+/// A node's own identity, addresses and zone, fixed at start.
 #[derive(Clone, Debug)]
 pub(super) struct LocalNode {
     pub id: ControllerId,
     pub controller_address: ControllerAddress,
     pub zone: Zone,
-    /// Whether the node has no data directory: it never votes and only forwards callers to the leader.
+    /// Whether the node has no data directory, so that it never votes and only forwards to the leader.
     pub diskless: bool,
 }
 
-/// How a node is to behave: fixed from its start on.
+/// The options of a node, fixed at start.
 #[derive(Clone, Debug)]
 pub(super) struct NodeOptions {
     pub timing: ConsensusTiming,
-    /// The safety rules in force; tests disable single ones.
+    /// The safety rules to enforce; tests disable single ones.
     pub rules: Rules,
     pub quorum_policy: QuorumPolicy,
-    /// Whether the node may bootstrap the control quorum by itself.
+    /// Whether the node may bootstrap the control quorum without an operator's command.
     pub may_bootstrap: bool,
 }
 
@@ -39,24 +39,27 @@
     }
 }
 
-/// The state that must survive a restart (Raft's persistent state), as far as it is synced to disk.
+/// The state that must survive a restart (Raft's persistent state). It holds only what is synced to
+/// disk, except for the term.
 ///
-/// The term is the exception: only votes and versions are written. A restarted node begins at the
-/// highest term of these, which is enough, since it promised nothing in any later term.
+/// The term itself is not written, only votes and versions are. A restarted node continues from the
+/// highest term among them, which is safe because it has neither voted nor accepted a version in any
+/// later term.
 #[derive(Clone, Debug)]
 pub(super) struct HardState {
-    /// The latest term seen. It never decreases.
+    /// The highest term seen; it never decreases.
     pub term: Term,
     /// The last vote cast.
     pub voted_for: Option<(Term, ControllerId)>,
-    /// A version that was written here and can no longer be read; zero when there is none.
+    /// The newest version that was written to this disk and can no longer be read; zero if there is
+    /// none.
     pub unreadable_version: DocumentVersion,
     /// The newest version on this disk.
     pub accepted: Option<Document>,
 }
 
 impl HardState {
-    /// Restores the state from what the disk holds.
+    /// Restores the state from what was read from the disk.
     pub(super) fn restore(persisted: PersistedState) -> Self {
         let accepted_version = version_of(persisted.accepted.as_ref());
         let voted_term = persisted.voted_for.map_or(Term(0), |(term, _)| term);
@@ -68,25 +71,26 @@
         }
     }
 
-    /// The newest version on this disk, zero when there is none.
+    /// Returns the newest version on this disk, or zero if there is none.
     pub(super) fn accepted_version(&self) -> DocumentVersion {
         version_of(self.accepted.as_ref())
     }
 
-    /// Whether this disk holds at least what it ever acknowledged. A node whose newest version became
-    /// unreadable neither votes nor campaigns until it has accepted that version or a newer one again.
+    /// Whether the version on this disk is at least as new as every version it has acknowledged. A node
+    /// whose newest version became unreadable neither votes nor campaigns until it has accepted that
+    /// version again or a newer one.
     pub(super) fn may_vote(&self) -> bool {
         self.accepted_version() >= self.unreadable_version
     }
 
-    /// Whether the newest version on this disk names this controller a voter.
+    /// Whether the newest version on this disk lists this controller as a voter.
     pub(super) fn is_voter(&self, id: ControllerId) -> bool {
         self.accepted
             .as_ref()
             .is_some_and(|document| document.voters.iter().any(|voter| voter.id == id))
     }
 
-    /// Records a vote, unless one in this or a later term is recorded already.
+    /// Records a vote, unless a vote in this or a later term is already recorded.
     pub(super) fn record_vote(&mut self, term: Term, candidate: ControllerId) {
         if self
             .voted_for
@@ -108,43 +112,43 @@
 pub(super) enum Role {
     /// Accepts versions from the leader of the term, if there is one.
     Follower,
-    /// Asks whether an election could be won, without a new term yet (Raft's pre-vote, section 9.6 of
-    /// Ongaro's dissertation).
+    /// Asks whether it could win an election, without entering a new term yet (Raft's pre-vote, section
+    /// 9.6 of Ongaro's dissertation).
     PreCandidate {
-        /// Who would vote for this node, itself included.
+        /// The controllers that would vote for this node, itself included.
         granted: BTreeSet<ControllerId>,
     },
     /// Requests votes in its term.
     Candidate {
-        /// Whose votes it has.
+        /// The controllers that have voted for this node.
         granted: BTreeSet<ControllerId>,
-        /// Whether its own vote is on disk; no election is won before.
+        /// Whether its own vote is on disk; it cannot win the election before.
         vote_written: bool,
     },
-    /// Leads its term.
+    /// Leads in its term.
     Leader(Box<HeartbeatRounds>),
 }
 
-/// A controller and where it is reached.
+/// A controller's identity and addresses.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Contact {
     pub id: ControllerId,
     pub controller_address: ControllerAddress,
 }
 
-/// What a node knows of the leader.
+/// What a node knows about the leader.
 #[derive(Clone, Debug)]
 pub(super) struct LeaderKnowledge {
-    /// The leader, while it is heard.
+    /// The leader, as long as its frames arrive.
     pub current: Option<Contact>,
-    /// Who leads or has led the newest term of which that is known.
+    /// The newest term whose leader is known, and that leader.
     pub of_term: Option<(Term, ControllerId)>,
-    /// When the leader was last heard; on the leader itself, when it was elected.
+    /// When the last frame of the leader arrived; on the leader itself, when it was elected.
     pub last_heard_at: MonotonicTime,
 }
 
 impl LeaderKnowledge {
-    /// No leader is known.
+    /// Creates the state in which no leader is known.
     pub(super) fn new(last_heard_at: MonotonicTime) -> Self {
         Self {
             current: None,
@@ -154,21 +158,21 @@
     }
 }
 
-/// When what a node does by itself is due next.
+/// When the timed actions of a node are due next.
 #[derive(Clone, Debug)]
 pub(super) struct Timers {
-    /// When a node that does not lead starts a pre-vote.
+    /// When a node that is not the leader starts a pre-vote.
     pub election_deadline: MonotonicTime,
     pub next_hello_at: MonotonicTime,
     pub next_scrub_at: MonotonicTime,
-    /// When a leader's heartbeat next goes to controllers that do not vote as well.
+    /// From when on the leader's next heartbeat round also goes to controllers that do not vote.
     pub next_nonvoter_heartbeat_at: MonotonicTime,
-    /// How many pre-votes may still use the short start-up timeout.
+    /// The number of pre-votes that may still use the short start-up timeout.
     pub startup_pre_votes: u32,
 }
 
 impl Timers {
-    /// The timers of a node that starts now.
+    /// Creates the timers of a node that starts now.
     pub(super) fn new(now: MonotonicTime, timing: &ConsensusTiming) -> Self {
         Self {
             election_deadline: now,
@@ -183,8 +187,8 @@
 /// The daemons that may hold leases, as a leader reports them to the voters.
 #[derive(Clone, PartialEq, Eq, Debug, Default)]
 pub struct ReportedMembership {
-    /// These daemons.
+    /// The daemons known.
     pub members: BTreeSet<KnownMember>,
-    /// Whether there are certainly no others.
+    /// Whether no other daemon can hold a lease.
     pub complete: bool,
 }
