--- a/crates/controlplane/src/consensus/bootstrap.rs
+++ b/crates/controlplane/src/consensus/bootstrap.rs
@@ -5,7 +5,7 @@
 //! without one at the system's first start. A second bootstrap would lose what the first quorum has
 //! committed.
 
-use super::peers::{Peer, PeerGreeting};
+use super::peers::{LastHello, Peer};
 use super::writes::PendingWriteKind;
 use super::{ConsensusNode, ConsensusOutput};
 use common::clock::MonotonicTime;
@@ -94,23 +94,23 @@
                 address: own_address,
                 zone: self.local.zone.clone(),
             }],
-            is_first_start: self.is_untouched() && self.peers.seeds.contains(&own_address),
+            is_first_start: self.has_no_history() && self.peers.seeds.contains(&own_address),
         };
         let seeds: BTreeSet<SocketAddress> = self.peers.seeds.iter().copied().collect();
         for seed in seeds {
             if seed == own_address {
                 continue;
             }
-            let (peer, greeting) = self
-                .recent_greeting(now, seed)
+            let (peer, last_hello) = self
+                .recent_hello(now, seed)
                 .ok_or(BootstrapError::SeedsMissing)?;
-            if greeting.diskless {
+            if last_hello.diskless {
                 continue;
             }
             if peer.accepted != DocumentVersion::default() {
                 return Err(BootstrapError::AlreadyBootstrapped);
             }
-            initial.is_first_start &= greeting.term == Term(0);
+            initial.is_first_start &= last_hello.term == Term(0);
             initial.voters.push(Voter {
                 id: peer.id,
                 address: seed,
@@ -121,7 +121,7 @@
     }
 
     /// Whether this node has never taken part in a term.
-    fn is_untouched(&self) -> bool {
+    fn has_no_history(&self) -> bool {
         self.hard_state.term == Term(0)
             && self.hard_state.voted_for.is_none()
             && self.hard_state.unreadable_version == DocumentVersion::default()
@@ -129,15 +129,11 @@
 
     /// The controller at a seed address and its hello, if that was received within the last four
     /// hello intervals.
-    fn recent_greeting(
-        &self,
-        now: MonotonicTime,
-        seed: SocketAddress,
-    ) -> Option<(&Peer, &PeerGreeting)> {
+    fn recent_hello(&self, now: MonotonicTime, seed: SocketAddress) -> Option<(&Peer, &LastHello)> {
         let peer = self.peers.by_address.get(&seed)?;
-        let greeting = peer.greeting.as_ref()?;
-        let is_recent = now.since(greeting.last_heard_at) < self.options.timing.hello_interval * 4;
-        is_recent.then_some((peer, greeting))
+        let last_hello = peer.last_hello.as_ref()?;
+        let is_recent = now.since(last_hello.received_at) < self.options.timing.hello_interval * 4;
+        is_recent.then_some((peer, last_hello))
     }
 
     /// Sends the first version, which has just been written here, to the other voters it names.
@@ -145,12 +141,12 @@
         let Some(document) = self.hard_state.accepted.clone() else {
             return;
         };
-        let packed_document = compress(&document.to_bytes());
+        let compressed_document = compress(&document.to_bytes());
         for initial_voter_address in self.voter_addresses() {
             self.send(
                 initial_voter_address,
                 ConsensusMessage::Bootstrap {
-                    document: packed_document.clone(),
+                    document: compressed_document.clone(),
                 },
             );
         }
--- a/crates/controlplane/src/consensus/peers.rs
+++ b/crates/controlplane/src/consensus/peers.rs
@@ -43,7 +43,7 @@
     pub last_sent_version: DocumentVersion,
     /// Since when this controller has been the one at its address.
     pub present_since: MonotonicTime,
-    pub greeting: Option<PeerGreeting>,
+    pub last_hello: Option<LastHello>,
 }
 
 impl Peer {
@@ -58,7 +58,7 @@
             document_sent_at: MonotonicTime::ZERO,
             last_sent_version: DocumentVersion::default(),
             present_since: now,
-            greeting: None,
+            last_hello: None,
         }
     }
 
@@ -91,8 +91,8 @@
 
 /// What a controller last reported in a hello.
 #[derive(Clone, Debug)]
-pub(super) struct PeerGreeting {
-    pub last_heard_at: MonotonicTime,
+pub(super) struct LastHello {
+    pub received_at: MonotonicTime,
     pub term: Term,
     pub diskless: bool,
 }
@@ -155,7 +155,7 @@
     }
 
     /// Records what a controller reported in a hello.
-    pub(super) fn record_greeting(
+    pub(super) fn record_hello(
         &mut self,
         now: MonotonicTime,
         address: SocketAddress,
@@ -163,8 +163,8 @@
         diskless: bool,
     ) {
         if let Some(peer) = self.by_address.get_mut(&address) {
-            peer.greeting = Some(PeerGreeting {
-                last_heard_at: now,
+            peer.last_hello = Some(LastHello {
+                received_at: now,
                 term,
                 diskless,
             });
@@ -181,11 +181,11 @@
 
     /// Whether the controller at this address has reported that it has no data directory.
     pub(super) fn is_diskless(&self, address: SocketAddress) -> bool {
-        let greeting = self
+        let last_hello = self
             .by_address
             .get(&address)
-            .and_then(|peer| peer.greeting.as_ref());
-        greeting.is_some_and(|greeting| greeting.diskless)
+            .and_then(|peer| peer.last_hello.as_ref());
+        last_hello.is_some_and(|last_hello| last_hello.diskless)
     }
 }
 
@@ -259,7 +259,7 @@
     pub(super) fn handle_hello(&mut self, now: MonotonicTime, sender: Contact, hello: Hello) {
         let sender_address = sender.controller_address.address;
         self.peers
-            .record_greeting(now, sender_address, hello.term, hello.is_diskless);
+            .record_hello(now, sender_address, hello.term, hello.is_diskless);
         if hello.term <= self.hard_state.term || !self.is_leader() {
             self.answer_hello(now, sender, hello.accepted);
         }
