--- a/crates/controlplane/src/consensus/bootstrap.rs
+++ b/crates/controlplane/src/consensus/bootstrap.rs
@@ -1,9 +1,9 @@
-//! The bootstrap of the control quorum: the first version of the document, which names the controllers at
-//! the seed addresses as the voters.
+//! Bootstraps the control quorum: writes the first version of the document, whose voters are the
+//! controllers at the seed addresses.
 //!
-//! A quorum is bootstrapped once, when the disks of all seeds are empty: on an operator's command, or
-//! without one at the system's first start. A second bootstrap would lose what the first quorum has
-//! committed.
+//! The quorum is bootstrapped once, when the disks of all seeds are empty, either on an operator's
+//! command or automatically at the first start of the system. A second bootstrap would lose everything
+//! that the first quorum has committed.
 
 use super::peers::{LastHello, Peer};
 use super::writes::PendingWriteKind;
@@ -14,7 +14,7 @@
 use common::spec::{Document, Voter};
 use std::collections::BTreeSet;
 
-/// The document version that a bootstrap creates.
+/// The version of the document that a bootstrap creates.
 pub(super) const BOOTSTRAP_VERSION: DocumentVersion = DocumentVersion {
     term: Term(1),
     version: Version(1),
@@ -23,10 +23,10 @@
 /// Why the control quorum cannot be bootstrapped.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, thiserror::Error)]
 pub enum BootstrapError {
-    /// This node or a seed has a document already, or is about to write one.
+    /// This node or a seed already has a document, or this node has a write in flight.
     #[error("the core is founded already")]
     AlreadyBootstrapped,
-    /// Not every seed has lately reported an empty disk.
+    /// Not every seed has recently reported an empty disk.
     #[error("not every seed has been heard with an empty disk")]
     SeedsMissing,
     /// This controller has no data directory.
@@ -37,17 +37,17 @@
 /// The quorum that a bootstrap would create.
 struct InitialQuorum {
     voters: Vec<Voter>,
-    /// Whether none of the voters has ever taken part in a term.
+    /// Whether none of the voters has ever entered a term and this node is itself a seed.
     is_first_start: bool,
 }
 
 impl ConsensusNode {
-    /// Bootstraps the control quorum with the controllers at the seed addresses that have a data
-    /// directory. All of their disks must be empty.
+    /// Bootstraps the control quorum from this node and those controllers at the seed addresses that
+    /// have a data directory. Their disks must all be empty.
     ///
     /// # Errors
     ///
-    /// See [`BootstrapError`]; nothing is written then.
+    /// See [`BootstrapError`]. On error nothing is written.
     pub fn bootstrap(
         &mut self,
         now: MonotonicTime,
@@ -57,9 +57,9 @@
         Ok(self.take_outputs())
     }
 
-    /// At the system's first start, the seed with the smallest address bootstraps, once every seed has
-    /// reported an empty disk. No other node ever does, and a disk that is lost later no longer knows
-    /// of the first start.
+    /// Bootstraps at the first start of the system, once every seed has reported an empty disk, if this
+    /// node has the smallest address of the initial voters. No other node does so, and a node whose
+    /// disk is lost later does not either, because the record of the first start is lost with the disk.
     pub(super) fn bootstrap_on_first_start(&mut self, now: MonotonicTime) {
         if !self.options.may_bootstrap || self.hard_state.accepted.is_some() {
             return;
@@ -79,7 +79,7 @@
         self.submit_write(now, PendingWriteKind::Version(document));
     }
 
-    /// The quorum that a bootstrap would create now.
+    /// Returns the quorum that a bootstrap would create now.
     fn initial_quorum(&self, now: MonotonicTime) -> Result<InitialQuorum, BootstrapError> {
         if self.local.diskless {
             return Err(BootstrapError::NoDataDirectory);
@@ -120,15 +120,15 @@
         Ok(initial)
     }
 
-    /// Whether this node has never taken part in a term.
+    /// Whether this node has never entered a term.
     fn has_no_history(&self) -> bool {
         self.hard_state.term == Term(0)
             && self.hard_state.voted_for.is_none()
             && self.hard_state.unreadable_version == DocumentVersion::default()
     }
 
-    /// The controller at a seed address and its hello, if that was received within the last four
-    /// hello intervals.
+    /// Returns the controller at a seed address and its last hello, if that was received within the
+    /// last four hello intervals.
     fn recent_hello(&self, now: MonotonicTime, seed: SocketAddress) -> Option<(&Peer, &LastHello)> {
         let peer = self.peers.by_address.get(&seed)?;
         let last_hello = peer.last_hello.as_ref()?;
@@ -136,7 +136,7 @@
         is_recent.then_some((peer, last_hello))
     }
 
-    /// Sends the first version, which has just been written here, to the other voters it names.
+    /// Sends the first version, which was just written to this disk, to its other voters.
     pub(super) fn send_bootstrap_document(&mut self) {
         let Some(document) = self.hard_state.accepted.clone() else {
             return;
@@ -152,7 +152,7 @@
         }
     }
 
-    /// Writes the first version, if it names this node and the disk is empty.
+    /// Writes the first version if it lists this node as a voter and the disk is empty.
     pub(super) fn handle_bootstrap(&mut self, now: MonotonicTime, document: &ByteString) {
         if self.local.diskless || self.hard_state.accepted.is_some() || !self.writes.is_empty() {
             return;
--- a/crates/controlplane/src/consensus/peers.rs
+++ b/crates/controlplane/src/consensus/peers.rs
@@ -1,4 +1,4 @@
-//! The other controllers: where each is reached, what its disk holds, and whom this node greets.
+//! The other controllers: their addresses, the versions on their disks, and the exchange of hellos.
 
 use super::bootstrap::BOOTSTRAP_VERSION;
 use super::state::Contact;
@@ -8,25 +8,26 @@
 use common::identity::{ControllerId, DocumentVersion, Term, Zone};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The limit on the controllers whose last frame is remembered; the longest silent one is dropped first.
+/// The maximal number of controllers for which the time of the last frame is kept; the one that has
+/// been silent longest is dropped first.
 const MAX_HEARD_CONTROLLERS: usize = 64;
 
-/// Another controller's state, as an operator is shown it.
+/// The state of another controller, as shown to operators.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct PeerStatus {
     /// Its identity.
     pub id: ControllerId,
-    /// Where it is reached.
+    /// Its addresses.
     pub controller_address: ControllerAddress,
     /// The newest version known to be on its disk.
     pub accepted: DocumentVersion,
-    /// Whether it is a voter of the newest version on this node's disk.
+    /// Whether it is a voter in the newest version on this node's disk.
     pub is_voter: bool,
     /// Milliseconds since its last frame.
     pub silent_ms: u64,
 }
 
-/// Another controller as this one knows it.
+/// What this node knows about another controller.
 #[derive(Clone, Debug)]
 pub(super) struct Peer {
     pub id: ControllerId,
@@ -34,14 +35,14 @@
     pub zone: Zone,
     /// The newest version known to be on its disk (Raft's match index).
     pub accepted: DocumentVersion,
-    /// Since when its disk has been behind the committed version without taking a newer one.
+    /// Since when its disk has lagged behind the committed version without accepting a newer one.
     pub behind_since: Option<MonotonicTime>,
     pub last_heard_at: MonotonicTime,
     /// When a version was last sent to it.
     pub document_sent_at: MonotonicTime,
-    /// The version that was last sent to it.
+    /// The version last sent to it.
     pub last_sent_version: DocumentVersion,
-    /// Since when this controller has been the one at its address.
+    /// When a frame of this controller first arrived from its address.
     pub present_since: MonotonicTime,
     pub last_hello: Option<LastHello>,
 }
@@ -62,7 +63,7 @@
         }
     }
 
-    /// Records which version is on the peer's disk, given the newest committed one.
+    /// Records the version on the peer's disk, given the newest committed one.
     fn record_accepted(
         &mut self,
         now: MonotonicTime,
@@ -82,14 +83,14 @@
 /// A hello as received.
 #[derive(Clone, Copy)]
 pub(super) struct Hello {
-    /// The sender's newest accepted version; zero if its disk is empty.
+    /// The newest accepted version of the sender; zero if its disk is empty.
     pub accepted: DocumentVersion,
     pub term: Term,
     /// Whether the sender has no data directory, so that it never votes.
     pub is_diskless: bool,
 }
 
-/// What a controller last reported in a hello.
+/// The last hello of a controller.
 #[derive(Clone, Debug)]
 pub(super) struct LastHello {
     pub received_at: MonotonicTime,
@@ -97,22 +98,22 @@
     pub diskless: bool,
 }
 
-/// The other controllers that a node knows.
+/// The other controllers known to a node.
 #[derive(Clone, Debug)]
 pub(super) struct PeerTable {
-    /// The controller last heard from each address.
+    /// The controller whose frame last arrived from each address.
     pub by_address: BTreeMap<SocketAddress, Peer>,
-    /// When each controller was last heard, from whichever address.
+    /// When the last frame of each controller arrived, from any address.
     pub last_heard: BTreeMap<ControllerId, MonotonicTime>,
     /// The configured addresses.
     pub seeds: Vec<SocketAddress>,
-    /// Addresses of the leader and the voters, as another controller reported them to this one, which
-    /// does not vote.
+    /// The addresses of the leader and the voters that another controller reported to this node. Used
+    /// only while this node is not a voter.
     pub hinted_addresses: BTreeSet<SocketAddress>,
 }
 
 impl PeerTable {
-    /// No controllers but the addresses of the seeds.
+    /// Creates a table that holds only the seed addresses.
     pub(super) fn new(seeds: Vec<SocketAddress>) -> Self {
         Self {
             by_address: BTreeMap::new(),
@@ -122,8 +123,8 @@
         }
     }
 
-    /// Records that a controller was heard. Another controller at a known address replaces the one
-    /// before, together with all that was known of that one's disk.
+    /// Records that a frame of a controller arrived. If another controller was known at its address,
+    /// this one replaces it, and everything known about the other's disk is dropped.
     pub(super) fn record(&mut self, now: MonotonicTime, contact: Contact, zone: Zone) {
         self.record_last_heard(now, contact.id);
         let peer = self
@@ -154,7 +155,7 @@
         }
     }
 
-    /// Records what a controller reported in a hello.
+    /// Records the hello of the controller at this address.
     pub(super) fn record_hello(
         &mut self,
         now: MonotonicTime,
@@ -171,7 +172,7 @@
         }
     }
 
-    /// The address from which this controller was last heard.
+    /// Returns an address from which frames of this controller arrive.
     pub(super) fn address_of(&self, id: ControllerId) -> Option<SocketAddress> {
         self.by_address
             .values()
@@ -190,7 +191,7 @@
 }
 
 impl ConsensusNode {
-    /// The other controllers that were heard lately, by address.
+    /// Returns the other controllers from which frames arrived recently, ordered by address.
     pub fn peers(&self, now: MonotonicTime) -> Vec<PeerStatus> {
         self.peers
             .by_address
@@ -205,8 +206,8 @@
             .collect()
     }
 
-    /// The addresses of the other controllers whose votes count: voters of the newest versions, and the
-    /// previous voters while a membership change is not settled.
+    /// Returns the addresses of the other controllers whose votes count: the voters of the accepted and
+    /// the proposed version, and their previous voters while a membership change is in progress.
     pub(super) fn voter_addresses(&self) -> BTreeSet<SocketAddress> {
         let documents = self.hard_state.accepted.iter().chain(&self.proposed);
         let voters =
@@ -217,7 +218,7 @@
         voter_addresses
     }
 
-    /// The addresses that this node greets: voters, seeds and hinted addresses.
+    /// Returns the addresses to which this node sends hellos: voters, seeds and hinted addresses.
     fn hello_addresses(&self) -> BTreeSet<SocketAddress> {
         let mut hello_addresses = self.voter_addresses();
         hello_addresses.extend(self.peers.seeds.iter().copied());
@@ -226,7 +227,8 @@
         hello_addresses
     }
 
-    /// Every address at which a controller may be: those greeted, and those that were heard.
+    /// Returns every address at which a controller may be: those to which this node sends hellos, and
+    /// those from which frames arrived.
     pub(super) fn known_addresses(&self) -> BTreeSet<SocketAddress> {
         let mut known_addresses = self.hello_addresses();
         known_addresses.extend(self.peers.by_address.keys().copied());
@@ -234,8 +236,8 @@
         known_addresses
     }
 
-    /// Drops peers that this node does not greet and that have been silent for four times as long as
-    /// it takes to replace a voter.
+    /// Drops peers to which this node sends no hellos and that have been silent for four times the
+    /// timeout after which a voter is replaced.
     pub(super) fn forget_stale_peers(&mut self, now: MonotonicTime) {
         let retained_addresses = self.hello_addresses();
         let retention = self.options.timing.unreachable_voter_timeout * 4;
@@ -255,7 +257,8 @@
         }
     }
 
-    /// Takes in where another controller stands. A leader answers none that is in a later term.
+    /// Records the state that another controller reports, and answers its hello. A leader does not
+    /// answer a controller that is in a later term.
     pub(super) fn handle_hello(&mut self, now: MonotonicTime, sender: Contact, hello: Hello) {
         let sender_address = sender.controller_address.address;
         self.peers
@@ -265,7 +268,8 @@
         }
     }
 
-    /// Sends what the sender of a hello lacks.
+    /// Sends the sender of a hello whatever it lacks: the first version, the voters' addresses, or the
+    /// newest version.
     fn answer_hello(&mut self, now: MonotonicTime, sender: Contact, accepted: DocumentVersion) {
         let sender_address = sender.controller_address.address;
         self.record_accepted(now, sender_address, accepted);
@@ -280,14 +284,16 @@
         }
     }
 
-    /// Takes the addresses at which the leader and the voters are to be greeted. A voter knows them itself.
+    /// Stores the addresses of the leader and the voters as targets of hellos. A voter ignores them,
+    /// because its own document lists the voters.
     pub(super) fn handle_voter_addresses(&mut self, addresses: Vec<SocketAddress>) {
         if !self.is_voter(self.local.id) {
             self.peers.hinted_addresses = addresses.into_iter().collect();
         }
     }
 
-    /// Sends the first version to a voter whose disk is empty, as long as no later one was accepted.
+    /// Sends the first version to a voter whose disk is empty, unless this node has accepted a later
+    /// one.
     fn resend_bootstrap_document(&mut self, to: SocketAddress) {
         let bootstrap_document = self
             .accepted()
@@ -298,8 +304,8 @@
         }
     }
 
-    /// Reports the leader's and the voters' addresses to a controller that does not vote. The leader
-    /// itself need not: its heartbeats reach every known controller.
+    /// Reports the addresses of the leader and the voters to a controller that does not vote. The
+    /// leader itself does not, because its heartbeats reach every known controller.
     fn send_voter_addresses(&mut self, to: SocketAddress) {
         let other_leader = self
             .known_leader
@@ -315,7 +321,7 @@
         self.send(to, ConsensusMessage::VoterAddresses { addresses });
     }
 
-    /// Records which version the controller at this address has on its disk.
+    /// Records the version on the disk of the controller at this address.
     pub(super) fn record_accepted(
         &mut self,
         now: MonotonicTime,
