--- a/crates/controlplane/src/consensus/peers.rs
+++ b/crates/controlplane/src/consensus/peers.rs
@@ -107,8 +107,8 @@
     pub last_heard: BTreeMap<ControllerId, MonotonicTime>,
     /// The configured addresses.
     pub seeds: Vec<SocketAddress>,
-    /// The addresses of the leader and the voters that another controller reported to this node. Used
-    /// only while this node is not a voter.
+    /// The addresses of the leader and the voters that another controller reported to this node while
+    /// it was not a voter.
     pub hinted_addresses: BTreeSet<SocketAddress>,
 }
 
--- a/crates/controlplane/src/consensus/receive.rs
+++ b/crates/controlplane/src/consensus/receive.rs
@@ -1,4 +1,4 @@
-//! The dispatch of frames from other controllers.
+//! Dispatches frames received from other controllers.
 
 use super::election::{VoteRequest, VoteResponse};
 use super::peers::Hello;
@@ -10,7 +10,7 @@
 use common::frames::{ConsensusFrame, ConsensusMessage, KnownMember};
 use common::identity::{DocumentVersion, Term};
 
-/// A leader's heartbeat as received.
+/// A heartbeat received from a leader.
 struct Heartbeat {
     term: Term,
     round: u64,
@@ -20,7 +20,7 @@
 }
 
 impl ConsensusNode {
-    /// Takes in a frame from another controller. A node's own frames are ignored.
+    /// Handles a frame from another controller. A frame that this node sent itself is ignored.
     pub fn receive(&mut self, now: MonotonicTime, frame: ConsensusFrame) -> Vec<ConsensusOutput> {
         if frame.from == self.local.id {
             return Vec::new();
@@ -37,7 +37,8 @@
         self.take_outputs()
     }
 
-    /// Calls the handler of each kind of message. One exhaustive match, so that a kind without a handler does not compile.
+    /// Calls the handler for the kind of message. The match is exhaustive, so that a kind without a
+    /// handler does not compile.
     fn dispatch(&mut self, now: MonotonicTime, sender: Contact, message: ConsensusMessage) {
         let sender_address = sender.controller_address.address;
         match message {
--- a/crates/controlplane/src/consensus/replication.rs
+++ b/crates/controlplane/src/consensus/replication.rs
@@ -1,10 +1,10 @@
 //! Replication of the document's versions.
 //!
-//! The leader proposes a version, the other controllers write it, and it is committed when a majority of
-//! its voters has it on disk. Controllers that do not vote receive it too, so that they can become
-//! voters. A version is sent as the delta from the one before it, and in full to a controller that does
-//! not have that one. A version that is not acknowledged is sent again when its receiver's next hello
-//! or heartbeat response shows that it lacks it.
+//! The leader proposes a version, the other controllers write it to disk, and it is committed once a
+//! majority of its voters has it on disk. Controllers that do not vote also receive it, so that they can
+//! become voters. A version is sent as a delta to controllers that have the previous version, and in
+//! full to the others. A version that is not acknowledged is sent again when the receiver's next hello
+//! or heartbeat response shows that it is missing.
 
 use super::bootstrap::BOOTSTRAP_VERSION;
 use super::state::Contact;
@@ -21,7 +21,7 @@
 /// Why a version cannot be proposed.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, thiserror::Error)]
 pub enum ProposeError {
-    /// This controller does not lead, or has not yet committed under its term.
+    /// This controller is not the leader, or has not yet committed a version in its term.
     #[error("no ready leader here")]
     NotReady,
     /// Another proposal is in flight.
@@ -29,7 +29,8 @@
     Busy,
 }
 
-/// A version as it is sent: the delta that leads to it and, once a receiver needs it, the full document.
+/// A version encoded for sending: the delta from its base and, once a receiver needs it, the full
+/// document.
 #[derive(Clone, Debug)]
 pub(super) struct EncodedVersion {
     document_version: DocumentVersion,
@@ -44,18 +45,18 @@
     digest: ByteString,
 }
 
-/// A version as received in the form of a delta.
+/// A version received as a delta.
 #[derive(Clone, Copy)]
 pub(super) struct VersionDelta<'a> {
     /// The leader's term.
     pub term: Term,
-    /// The version that the delta applies to.
+    /// The version to which the delta applies.
     pub base: DocumentVersion,
-    /// The version that the delta leads to.
+    /// The version that results from the delta.
     pub document_version: DocumentVersion,
-    /// The delta, compressed.
+    /// The compressed delta.
     pub delta: &'a ByteString,
-    /// The digest of the document that the delta leads to.
+    /// The digest of the resulting document.
     pub digest: &'a ByteString,
 }
 
@@ -79,7 +80,8 @@
             .clone()
     }
 
-    /// The message for a controller that has this version of the leader's, or is about to have it.
+    /// Returns the message that brings a controller from `held_version`, which it has or was already
+    /// sent, to this version.
     fn message_for(
         &mut self,
         held_version: DocumentVersion,
@@ -104,14 +106,13 @@
     }
 }
 
-/// The leader's side.
+/// The leader's side of replication.
 impl ConsensusNode {
-    /// Proposes the next version. From here on it is either reported as committed, or its outcome is
-    /// unknown.
+    /// Proposes the next version. Unless it is later reported as committed, its outcome is unknown.
     ///
     /// # Errors
     ///
-    /// See [`ProposeError`]; nothing is proposed then.
+    /// See [`ProposeError`]. On error nothing is proposed.
     pub fn propose(
         &mut self,
         now: MonotonicTime,
@@ -128,7 +129,7 @@
         Ok(self.take_outputs())
     }
 
-    /// Writes a proposal here and sends it to all known controllers.
+    /// Writes a proposal to this node's disk and sends it to all known controllers.
     pub(super) fn start_proposal(&mut self, now: MonotonicTime, document: Document) {
         self.encoded_version = Some(EncodedVersion::new(&document, self.accepted()));
         self.proposed = Some(document.clone());
@@ -143,8 +144,8 @@
         }
     }
 
-    /// Sends this leader's newest version to a controller that has `held_version`, or is about to have
-    /// it. Nothing is sent to controllers without a data directory, nor before this leader has proposed
+    /// Sends this leader's newest version to a controller that has `held_version` or was already sent
+    /// it. Nothing is sent to a controller without a data directory, or before this leader has proposed
     /// a version in its own term.
     fn send_newest_version(
         &mut self,
@@ -174,7 +175,8 @@
         self.send(to, message);
     }
 
-    /// Sends the newest version to a peer that lacks it, unless one was sent within the resend timeout.
+    /// Sends the newest version to a peer that lacks it, unless a version was sent to it within the
+    /// resend timeout.
     pub(super) fn catch_up_peer(&mut self, now: MonotonicTime, address: SocketAddress) {
         let Some(newest) = self.newest_document() else {
             return;
@@ -189,7 +191,7 @@
         }
     }
 
-    /// Sends the full newest version to a controller that lacks the base of a delta.
+    /// Sends the newest version in full to a controller that lacks the base of a delta.
     pub(super) fn handle_snapshot_request(
         &mut self,
         now: MonotonicTime,
@@ -219,7 +221,7 @@
         self.count_accepted(now);
     }
 
-    /// Commits the proposal once it is on this leader's disk and on those of a majority.
+    /// Commits the proposal once it is on this leader's disk and on the disks of a majority.
     pub(super) fn count_accepted(&mut self, now: MonotonicTime) {
         if !self.is_leader() {
             return;
@@ -252,9 +254,9 @@
     }
 }
 
-/// The receiving side, and what both sides share.
+/// The receiver's side of replication, and what both sides share.
 impl ConsensusNode {
-    /// Takes in a version that is sent in full.
+    /// Handles a version sent in full.
     pub(super) fn handle_accept(
         &mut self,
         now: MonotonicTime,
@@ -276,8 +278,8 @@
         }
     }
 
-    /// Takes in a version that is sent as a delta. Its base may be on this disk or on its way there; a
-    /// node that does not have it requests the full document.
+    /// Handles a version sent as a delta. Its base may be on disk or still being written; if this node
+    /// does not have it, it requests the full document.
     pub(super) fn handle_accept_delta(
         &mut self,
         now: MonotonicTime,
@@ -303,8 +305,9 @@
         }
     }
 
-    /// Whether a version that a leader sent is to be written. If it is on this disk already, or the
-    /// leader's term is over, this is answered with the newest version that is.
+    /// Whether to write a version received from a leader. If the version is not newer than the one on
+    /// this disk, or the leader's term is over, the leader is sent the newest version number on this
+    /// disk.
     fn should_write_version(
         &mut self,
         now: MonotonicTime,
@@ -356,7 +359,7 @@
         }
     }
 
-    /// A version is on disk: it may be acknowledged or, on the leader, counted.
+    /// Acknowledges a version that is now on disk or, on the leader, counts it towards the majority.
     pub(super) fn version_written(&mut self, now: MonotonicTime, document: Document) {
         let written_version = document.document_version;
         self.hard_state.term = self.hard_state.term.max(written_version.term);
@@ -374,7 +377,7 @@
         }
     }
 
-    /// Checks that a committed version on this disk is not replaced by one with a lower number.
+    /// Checks that a committed version on this disk is not replaced by a version with a lower number.
     fn check_commit_kept(&self, written_version: DocumentVersion) {
         let committed = self.committed;
         let had_commit = self.accepted_version() >= committed;
@@ -383,7 +386,7 @@
             self.options.rules,
             Invariant::CommitNeverLost,
             keeps_commit,
-            || format!("{written_version} takes the place of {committed}, which is committed"),
+            || format!("{written_version} replaces committed version {committed}"),
         );
     }
 
--- a/crates/controlplane/src/consensus/writes.rs
+++ b/crates/controlplane/src/consensus/writes.rs
@@ -1,4 +1,4 @@
-//! The writes that the disk has not completed yet.
+//! Tracks the disk writes in flight.
 
 use super::{ConsensusNode, ConsensusOutput, WriteJob, WriteResult};
 use common::clock::MonotonicTime;
@@ -9,7 +9,7 @@
 /// What a write in flight stores.
 #[derive(Clone, Debug)]
 pub(super) enum PendingWriteKind {
-    /// Nothing new: the stored files are read again.
+    /// Nothing new: a scrub reads the stored files again.
     Scrub,
     /// A vote.
     Vote { term: Term, candidate: ControllerId },
@@ -38,7 +38,7 @@
 }
 
 impl PendingWrites {
-    /// No writes in flight.
+    /// Creates the state in which no write is in flight.
     pub(super) fn new() -> Self {
         Self {
             by_ticket: BTreeMap::new(),
@@ -62,7 +62,7 @@
         })
     }
 
-    /// The versions being written.
+    /// Returns the versions being written.
     pub(super) fn versions(&self) -> impl Iterator<Item = &Document> {
         self.by_ticket
             .values()
@@ -100,10 +100,10 @@
 }
 
 impl ConsensusNode {
-    /// Takes in that a write has completed. A ticket that is not in flight is ignored.
+    /// Handles the completion of a write. A ticket that is not in flight is ignored.
     ///
-    /// After a failed write the node steps down and waits twice the longest election timeout, so that
-    /// nodes with a working disk campaign first.
+    /// After a failed write the node steps down and waits for twice the longest election timeout, so
+    /// that nodes with a working disk campaign first.
     pub fn write_completed(
         &mut self,
         now: MonotonicTime,
@@ -142,8 +142,8 @@
         self.outputs.push(ConsensusOutput::Write { ticket, job });
     }
 
-    /// Whether a state write has been in flight for longer than the shortest election timeout: a
-    /// leader with such a disk would hold up every change.
+    /// Whether a state write has been in flight for longer than the shortest election timeout. A leader
+    /// with such a disk would delay every change.
     pub(super) fn is_disk_stalled(&self, now: MonotonicTime) -> bool {
         self.writes
             .oldest_state_write_at()
