--- a/crates/controlplane/src/consensus/election.rs
+++ b/crates/controlplane/src/consensus/election.rs
@@ -1,9 +1,9 @@
-//! Elections: pre-vote, vote, the start and the end of leadership.
+//! Elections: pre-vote, vote, and the start and end of leadership.
 //!
 //! A node whose election deadline passes first asks the voters whether they would vote for it (the
-//! pre-vote), and enters a new term only when a majority would. So a node that was cut off does not
-//! disturb a live leader when it comes back. Nodes that hear a live leader refuse both kinds of
-//! requests.
+//! pre-vote), and enters a new term only if a majority would. A node that reconnects after a partition
+//! therefore does not disturb a live leader. Nodes that receive heartbeats from a live leader refuse
+//! both kinds of requests.
 
 use super::heartbeats::HeartbeatRounds;
 use super::state::{Contact, Role};
@@ -17,16 +17,16 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// The bounds of the wait before a pre-vote once the leader's process is known to have ended.
+/// The bounds of the wait before a pre-vote after the leader's process is known to have ended.
 const LEADER_GONE_TIMEOUT_MIN: Duration = Duration::from_millis(50);
 const LEADER_GONE_TIMEOUT_MAX: Duration = Duration::from_millis(200);
 
 /// A request for a vote or pre-vote.
 #[derive(Clone, Copy)]
 pub(super) struct VoteRequest {
-    /// The term that the vote is for.
+    /// The term for which the vote is requested.
     pub term: Term,
-    /// The candidate's newest accepted version.
+    /// The newest accepted version of the candidate.
     pub accepted: DocumentVersion,
     pub is_pre_vote: bool,
 }
@@ -35,21 +35,21 @@
 pub(super) struct VoteResponse {
     /// The voter's term.
     pub term: Term,
-    /// The term that the vote was requested for.
+    /// The term for which the vote was requested.
     pub requested_term: Term,
     pub is_pre_vote: bool,
     pub granted: bool,
-    /// The daemons that the voter knows to be possible lease holders.
+    /// The daemons that may hold leases, as far as the voter knows.
     pub members: Vec<KnownMember>,
-    /// Whether there are certainly no others.
+    /// Whether no other daemon can hold a lease.
     pub complete: bool,
 }
 
 impl ConsensusNode {
     /// Draws a new election deadline.
     ///
-    /// A voter that has just started and has not heard a leader uses a shorter timeout than others: if
-    /// there is a live leader, those that hear it refuse the pre-vote.
+    /// A voter that has just started and has not received anything from a leader uses a shorter timeout.
+    /// This is safe because the voters that receive heartbeats from a live leader refuse the pre-vote.
     pub(super) fn reset_election_deadline(&mut self, now: MonotonicTime) {
         let is_starting_up = self.timers.startup_pre_votes > 0 && self.is_voter(self.local.id);
         let timing = &self.options.timing;
@@ -66,7 +66,7 @@
             .is_some_and(|document| Self::is_majority_of(document, granted))
     }
 
-    /// The newest version on this disk or on its way there.
+    /// Returns the newest version on this disk or being written to it.
     fn newest_written_version(&self) -> DocumentVersion {
         let pending_versions = self
             .writes
@@ -78,8 +78,8 @@
             .max(self.accepted_version())
     }
 
-    /// Asks the voters whether they would vote for this node, if it may campaign at all. The leader it
-    /// knew is forgotten.
+    /// Forgets the known leader and, if this node may campaign, asks the voters whether they would vote
+    /// for it.
     pub(super) fn start_pre_vote(&mut self, now: MonotonicTime) {
         self.timers.startup_pre_votes = self.timers.startup_pre_votes.saturating_sub(1);
         self.reset_election_deadline(now);
@@ -119,7 +119,7 @@
         }
     }
 
-    /// Becomes a candidate in the next term, once a majority would vote for this node.
+    /// Becomes a candidate in the next term once a majority would vote for this node.
     fn count_pre_votes(&mut self, now: MonotonicTime) {
         let Role::PreCandidate { granted } = &self.role else {
             return;
@@ -141,7 +141,8 @@
         self.submit_write(now, PendingWriteKind::Vote { term, candidate });
     }
 
-    /// A vote is on disk: it may be sent, or this node's own counted.
+    /// Sends a vote that is now on disk or, if it is for this node itself, counts it and requests the
+    /// votes of the others.
     pub(super) fn vote_written(&mut self, now: MonotonicTime, term: Term, candidate: ControllerId) {
         self.hard_state.record_vote(term, candidate);
         if term != self.hard_state.term {
@@ -184,8 +185,8 @@
         self.send(to, response);
     }
 
-    /// Whether a leader was alive within the shortest election timeout. A leader judges itself by its
-    /// last heartbeat round that a majority answered.
+    /// Whether a leader was alive within the shortest election timeout. For a leader itself, the last
+    /// heartbeat round answered by a majority counts.
     fn is_leader_live(&self, now: MonotonicTime) -> bool {
         let last_sign_at = match &self.role {
             Role::Leader(heartbeats) => heartbeats.quorum_confirmed_at(),
@@ -194,8 +195,9 @@
         now.since(last_sign_at) < self.options.timing.election_timeout_min
     }
 
-    /// Takes in that the leader's address refuses connections: its process has ended, and a pre-vote
-    /// need not wait for the election timeout. Nodes that have not seen this refuse the pre-vote.
+    /// Must be called when the leader's address refuses connections: its process has ended, so the
+    /// pre-vote need not wait for the election timeout. Voters that do not know this yet refuse the
+    /// pre-vote.
     pub fn leader_process_ended(&mut self, now: MonotonicTime, address: SocketAddress) {
         let is_leader_address = self
             .leader()
@@ -233,15 +235,15 @@
         }
     }
 
-    /// Whether this node may vote for a candidate with this version: one at least as new as its own,
-    /// versions on their way to disk included.
+    /// Whether this node may vote for a candidate with this newest version: it must be at least as new
+    /// as this node's own, including versions still being written.
     fn may_grant(&self, candidate_version: DocumentVersion) -> bool {
         let is_up_to_date = candidate_version >= self.newest_written_version()
             || !self.options.enforces(Rule::CandidateIsUpToDate);
         is_up_to_date && self.hard_state.may_vote() && !self.local.diskless
     }
 
-    /// Votes in a term, at most once. A vote that is granted is sent when it is on disk.
+    /// Votes in a term, at most once. A granted vote is sent once it is on disk.
     fn vote(&mut self, now: MonotonicTime, candidate: Contact, term: Term, may_grant: bool) {
         let candidate_address = candidate.controller_address.address;
         if term > self.hard_state.term {
@@ -315,9 +317,9 @@
         }
     }
 
-    /// Begins to lead: reports the daemons that may hold leases of earlier leaders, sends heartbeats,
-    /// and proposes the newest version again under its own term, since only a version of its own term
-    /// may be counted as committed (Raft, section 5.4.2).
+    /// Becomes the leader: reports the daemons that may hold leases granted by earlier leaders, sends
+    /// heartbeats, and proposes the newest version again in its own term, because a leader may only
+    /// commit versions of its own term (Raft, section 5.4.2).
     fn become_leader(&mut self, now: MonotonicTime) {
         let term = self.hard_state.term;
         self.role = Role::Leader(Box::new(HeartbeatRounds::new(now)));
@@ -340,8 +342,8 @@
         }
     }
 
-    /// Becomes a follower in this term, or stays in its own if that is later. A proposal in flight is
-    /// given up; it may still become committed by a later leader.
+    /// Becomes a follower in the given term, or in its current term if that is later. A proposal in
+    /// flight is abandoned; a later leader may still commit it.
     pub(super) fn step_down(&mut self, now: MonotonicTime, term: Term) {
         if self.is_leader() {
             self.outputs.push(ConsensusOutput::SteppedDown);
@@ -355,8 +357,8 @@
         self.reset_election_deadline(now);
     }
 
-    /// Follows the sender of a leader's frame. Returns false, and changes nothing, when its term is
-    /// over.
+    /// Follows the sender of a leader's frame. If the sender's term is over, changes nothing and returns
+    /// false.
     pub(super) fn observe_leader(
         &mut self,
         now: MonotonicTime,
@@ -377,7 +379,7 @@
         true
     }
 
-    /// Records who leads a term and checks that nobody else does.
+    /// Records the leader of a term and checks that the term has no other leader.
     fn record_term_leader(&mut self, term: Term, leader: ControllerId) {
         let recorded = self
             .known_leader
@@ -388,7 +390,7 @@
             self.options.rules,
             Invariant::OneLeaderPerTerm,
             is_sole,
-            || format!("{leader:?} leads term {term}, and {recorded:?}"),
+            || format!("{leader:?} leads term {term}, which already has a leader: {recorded:?}"),
         );
         if self
             .known_leader
@@ -399,8 +401,8 @@
         }
     }
 
-    /// Whether a response of this term is to this controller as leader; one of a later term ends its
-    /// leadership.
+    /// Whether this controller is the leader of the term of a response. A response of a later term makes
+    /// it step down.
     pub(super) fn is_leader_in_term(&mut self, now: MonotonicTime, term: Term) -> bool {
         if term > self.hard_state.term {
             self.step_down(now, term);
--- a/crates/controlplane/src/consensus/heartbeats.rs
+++ b/crates/controlplane/src/consensus/heartbeats.rs
@@ -1,8 +1,8 @@
-//! The leader's heartbeats, and what a majority's responses to them prove.
+//! The leader's heartbeats and their confirmation by a majority.
 //!
-//! Heartbeats are sent in numbered rounds. When a majority has answered a round, no other controller
-//! led a later term when that round was sent (Raft's read index, section 6.4 of Ongaro's dissertation),
-//! and that majority has been notified of the daemons that the round reported.
+//! Heartbeats are sent in numbered rounds. Once a majority has answered a round, it is certain that no
+//! other controller led a later term when the round was sent (Raft's read index, section 6.4 of
+//! Ongaro's dissertation), and that this majority knows the daemons that the round reported.
 
 use super::state::{Contact, ReportedMembership, Role};
 use super::{ConsensusNode, ConsensusOutput};
@@ -13,14 +13,14 @@
 use std::collections::{BTreeSet, VecDeque};
 use std::time::Duration;
 
-/// Every how many heartbeat intervals a round goes to controllers that do not vote as well: often
-/// enough for them to know the leader, whom they would otherwise forget at the election timeout.
+/// The number of heartbeat intervals between two rounds that also go to controllers that do not vote.
+/// These must receive a heartbeat within the election timeout, or they forget the leader.
 const NONVOTER_HEARTBEAT_EVERY: u32 = 2;
 
-/// The number of no round; the first round is 1.
+/// A round number that belongs to no round; the first round is 1.
 const NO_ROUND: u64 = 0;
 
-/// How many rounds without a majority's responses are remembered; the oldest is dropped first.
+/// The maximal number of rounds kept that no majority has answered yet; the oldest is dropped first.
 const MAX_OPEN_ROUNDS: usize = 64;
 
 #[derive(Clone, Debug)]
@@ -32,7 +32,7 @@
     members: BTreeSet<KnownMember>,
 }
 
-/// The heartbeat rounds of one term's leader.
+/// The heartbeat rounds of a leader in one term.
 #[derive(Clone, Debug)]
 pub(super) struct HeartbeatRounds {
     open_rounds: VecDeque<HeartbeatRound>,
@@ -45,7 +45,7 @@
 }
 
 impl HeartbeatRounds {
-    /// No rounds yet; the first is due at once.
+    /// Creates the state before the first round, which is due at once.
     pub(super) fn new(elected_at: MonotonicTime) -> Self {
         Self {
             open_rounds: VecDeque::new(),
@@ -58,34 +58,34 @@
         }
     }
 
-    /// When the leader was elected.
+    /// Returns when the leader was elected.
     pub(super) fn elected_at(&self) -> MonotonicTime {
         self.elected_at
     }
 
-    /// When the next round is due.
+    /// Returns when the next round is due.
     pub(super) fn next_heartbeat_at(&self) -> MonotonicTime {
         self.next_heartbeat_at
     }
 
-    /// Makes the next round due as soon as the last one is this old.
+    /// Makes the next round due as soon as this gap since the start of the last one has passed.
     pub(super) fn expedite(&mut self, shortest_gap: Duration) {
         self.next_heartbeat_at = self
             .next_heartbeat_at
             .min(self.last_started_at + shortest_gap);
     }
 
-    /// When the newest round was sent that a majority has answered; zero before the first.
+    /// Returns when the newest round answered by a majority was sent, or zero if there is none.
     pub(super) fn quorum_confirmed_at(&self) -> MonotonicTime {
         self.quorum_confirmed_at
     }
 
-    /// The daemons that this round reported.
+    /// Returns the daemons reported by the newest round answered by a majority.
     pub(super) fn confirmed_members(&self) -> &BTreeSet<KnownMember> {
         &self.confirmed_members
     }
 
-    /// Starts a round, which the leader itself answers at once, and returns its number.
+    /// Starts a round and returns its number. The leader itself counts as having answered it.
     pub(super) fn start(
         &mut self,
         now: MonotonicTime,
@@ -108,8 +108,8 @@
         self.last_round_number
     }
 
-    /// Records a response. A round that a majority has answered is closed together with all earlier
-    /// ones; a response to a closed round changes nothing.
+    /// Records a response to a round. Once a majority has answered a round, it is closed together with
+    /// all earlier ones. A response to a closed round is ignored.
     pub(super) fn record_response(
         &mut self,
         round_number: u64,
@@ -135,8 +135,8 @@
 }
 
 impl ConsensusNode {
-    /// Brings the next heartbeat round forward, because a caller waits for a majority's confirmation:
-    /// it starts now, or as soon as the minimal gap since the last one has passed.
+    /// Brings the next heartbeat round forward because a caller is waiting for confirmation by a
+    /// majority. The round starts now, or as soon as the minimal gap since the last one has passed.
     pub fn expedite_heartbeat(&mut self, now: MonotonicTime) -> Vec<ConsensusOutput> {
         if let Role::Leader(heartbeats) = &mut self.role {
             heartbeats.expedite(self.options.timing.min_heartbeat_gap);
@@ -147,8 +147,9 @@
         self.take_outputs()
     }
 
-    /// Answers a heartbeat. One of an earlier term is answered with this node's term and no round
-    /// number: numbers begin anew in each term, and the response must prove nothing in a later one.
+    /// Answers a heartbeat. A heartbeat of an earlier term is answered with this node's term and without
+    /// a round number: numbers start again in each term, so the response could otherwise be counted for
+    /// a round of a later term.
     pub(super) fn send_heartbeat_response(&mut self, to: SocketAddress, term: Term, round: u64) {
         let is_current_term = term == self.hard_state.term
             || !self.options.enforces(Rule::HeartbeatResponseInItsTerm);
@@ -174,8 +175,8 @@
         }
     }
 
-    /// Starts the next heartbeat round if it is due; steps down first when this leader's disk is
-    /// stalled or it has lost its majority.
+    /// Starts the next heartbeat round if it is due. Steps down instead if this leader's disk is stalled
+    /// or it has lost its majority.
     pub(super) fn send_due_heartbeats(&mut self, now: MonotonicTime) {
         if self.is_disk_stalled(now) {
             self.outputs.push(ConsensusOutput::DiskStalled);
@@ -212,7 +213,7 @@
         self.count_heartbeat_response(round, own_id);
     }
 
-    /// The daemons that heartbeats report. None once the document lists them itself.
+    /// Returns the daemons that heartbeats report: none if the document itself lists them.
     fn membership_to_report(&self) -> ReportedMembership {
         let is_listed_in_document = self
             .accepted()
@@ -253,8 +254,8 @@
         self.catch_up_peer(now, sender_address);
     }
 
-    /// Counts a response to a round. While a proposal is in flight, its voters must confirm the round
-    /// as well as those of the accepted version.
+    /// Counts a response to a round. While a proposal is in flight, a round must be answered by a
+    /// majority of the proposal's voters as well as of the accepted version's voters.
     fn count_heartbeat_response(&mut self, round: u64, from: ControllerId) {
         let Self {
             role,
