--- a/crates/controlplane/src/consensus/membership.rs
+++ b/crates/controlplane/src/consensus/membership.rs
@@ -1,9 +1,9 @@
-//! Membership changes of the control quorum, by joint consensus (section 6 of the Raft paper).
+//! Membership changes of the control quorum by joint consensus (section 6 of the Raft paper).
 //!
-//! A change takes two versions. The joint version names the next and the previous voters and is committed
-//! by a majority of each; the version that settles the change drops the previous voters. The leader starts
-//! changes by itself towards the voters that the [`QuorumPlan`] asks for, or on an operator's command. At
-//! most one change is under way.
+//! A change takes two versions. The joint version lists the next and the previous voters and is committed
+//! by a majority of each; a second version, which drops the previous voters, settles the change. The
+//! leader starts a change when the [`QuorumPlan`] asks for other voters, or on an operator's command. At
+//! most one change is in progress at a time.
 
 use super::peers::Peer;
 use super::quorum_plan::QuorumPlan;
@@ -16,33 +16,33 @@
 use common::spec::{Document, Voter};
 use std::collections::BTreeSet;
 
-/// How many versions a controller may be behind and still replace a voter: while changes follow each
-/// other closely, a controller that has the newest one is rarely known to have it.
+/// How many versions a controller may lag behind and still replace a voter. While changes follow each
+/// other closely, the leader rarely knows that a controller has the newest version, even if it does.
 const MAX_CANDIDATE_LAG: u64 = 8;
 
 /// Why a voter cannot be replaced.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, thiserror::Error)]
 pub enum MembershipError {
-    /// This controller does not lead, or has not yet committed under its term.
+    /// This controller is not the leader, or has not yet committed a version in its term.
     #[error("no ready leader here")]
     NotReady,
     /// A proposal is in flight, or an earlier membership change is not settled.
     #[error("another change is in flight")]
     Busy,
-    /// The controller to be replaced is not a voter.
+    /// The controller to replace is not a voter.
     #[error("no such member of the core")]
     NoSuchMember,
-    /// The successor is not alive, votes already, or is too far behind.
-    #[error("no such controller, or it is not level yet")]
+    /// The successor is not alive, is a voter already, or is too far behind.
+    #[error("no such controller, or it is not caught up yet")]
     NoSuchCandidate,
     /// No majority of the next voters, or of the previous ones, is alive.
-    #[error("afterwards no majority of the core would be alive")]
+    #[error("no majority of the core would be alive after the change")]
     NoMajority,
 }
 
 impl ConsensusNode {
-    /// Whether these controllers are a majority under a document: of its voters and, while a membership
-    /// change is not settled, of its previous voters as well.
+    /// Whether these controllers are a majority of a document's voters and, while a membership change is
+    /// in progress, also of its previous voters.
     pub(super) fn is_majority_of(
         document: &Document,
         controller_ids: &BTreeSet<ControllerId>,
@@ -59,7 +59,7 @@
             && (document.previous_voters.is_empty() || has_majority(&document.previous_voters))
     }
 
-    /// Whether a controller was heard within twice the longest election timeout.
+    /// Whether a frame of this controller arrived within twice the longest election timeout.
     fn is_alive(&self, now: MonotonicTime, id: ControllerId) -> bool {
         id == self.local.id
             || self.peers.last_heard.get(&id).is_some_and(|last_heard_at| {
@@ -67,7 +67,7 @@
             })
     }
 
-    /// When this leader was elected; zero on a node that does not lead.
+    /// Returns when this leader was elected, or zero if this node is not the leader.
     fn elected_at(&self) -> MonotonicTime {
         match &self.role {
             Role::Leader(heartbeats) => heartbeats.elected_at(),
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Since when a controller has been silent towards this leader.
+    /// Returns since when this leader has received nothing from a controller.
     fn unreachable_since(&self, id: ControllerId) -> MonotonicTime {
         self.peers
             .last_heard
@@ -85,8 +85,8 @@
             .max(self.elected_at())
     }
 
-    /// The controllers that may become voters: they do not vote, are alive, and accept this leader's
-    /// versions.
+    /// Returns the controllers that may become voters: those that are not voters, are alive and accept
+    /// this leader's versions.
     fn candidates(&self, now: MonotonicTime) -> Vec<Voter> {
         self.peers
             .by_address
@@ -102,8 +102,8 @@
             .collect()
     }
 
-    /// Whether a peer's disk has lately taken a version of this leader. The membership change itself
-    /// brings it the newest one.
+    /// Whether a peer has a recent version of this leader on its disk. It need not be the newest one,
+    /// because the membership change sends it that.
     fn is_caught_up(&self, peer: &Peer) -> bool {
         let version_lag = self
             .committed
@@ -113,8 +113,8 @@
         peer.accepted.term == self.hard_state.term && version_lag <= MAX_CANDIDATE_LAG
     }
 
-    /// The version that the next step of a membership change proposes, if a step is due: it settles the
-    /// change under way, or begins one towards the voters that the settings ask for.
+    /// Returns the version to propose for the next step of a membership change, if a step is due: it
+    /// settles the change in progress, or starts a change to the voters that the settings ask for.
     fn next_membership_step(&self, now: MonotonicTime) -> Option<Document> {
         if !self.is_ready() || self.proposed.is_some() {
             return None;
@@ -147,8 +147,8 @@
         self.joint_document(now, document, next_voters).ok()
     }
 
-    /// Whether this leader has lost a voter: it has been silent for too long, its disk takes no
-    /// versions, or another controller is at its address.
+    /// Whether a voter counts as lost: it has been silent for too long, its disk accepts no versions, or
+    /// another controller is now at its address.
     fn is_missing(&self, now: MonotonicTime, member: &Voter) -> bool {
         if member.id == self.local.id {
             return false;
@@ -172,8 +172,9 @@
             || unreachable_for > self.options.timing.unreachable_voter_timeout
     }
 
-    /// The joint version towards these voters. Refused when the voters alive are not a majority of the
-    /// next and of the previous voters, since the change could then not be committed.
+    /// Returns the joint version for a change to these voters. Fails if the voters that are alive are
+    /// not a majority of both the next and the previous voters, because the change could then not be
+    /// committed.
     fn joint_document(
         &self,
         now: MonotonicTime,
@@ -198,12 +199,12 @@
         }
     }
 
-    /// Replaces a voter by another controller, on an operator's command. Returns the joint version's
-    /// number and the outputs that propose it.
+    /// Replaces a voter by another controller, on an operator's command. Returns the number of the joint
+    /// version and the outputs that propose it.
     ///
     /// # Errors
     ///
-    /// See [`MembershipError`]; nothing is proposed then.
+    /// See [`MembershipError`]. On error nothing is proposed.
     pub fn replace_voter(
         &mut self,
         now: MonotonicTime,
@@ -252,7 +253,7 @@
         }
     }
 
-    /// Steps down when a settled change has removed this leader from the voters.
+    /// Steps down if a settled change has removed this leader from the voters.
     pub(super) fn step_down_if_removed(&mut self, now: MonotonicTime) {
         let is_removed = self
             .hard_state
@@ -266,17 +267,17 @@
     }
 }
 
-/// The change identity of a membership change; its form is visible to operators.
+/// Returns the change identity of a membership change. Operators see it, so its format must not change.
 fn membership_change_id(document: &Document) -> ChangeId {
     ChangeId::from(format!("core-{}", document.document_version.version.next()))
 }
 
-/// A version with this controller as the only voter, for operators whose quorum has lost its majority for
-/// good. None when the document does not name the controller a voter. What was committed without
-/// reaching this disk is lost.
+/// Returns a version with this controller as the only voter, for operators whose quorum has permanently
+/// lost its majority, or `None` if the document lists the controller neither as a voter nor as a
+/// previous voter. Versions that were committed without reaching this disk are lost.
 ///
-/// Term and version number skip far ahead, so that the version supersedes whatever the lost quorum may
-/// have written elsewhere.
+/// Term and version number skip far ahead, so that the version supersedes any version that the lost
+/// quorum may have written elsewhere.
 pub fn single_voter_document(document: &Document, id: ControllerId) -> Option<Document> {
     let own_member = document
         .voters
--- a/crates/controlplane/src/consensus/quorum_plan.rs
+++ b/crates/controlplane/src/consensus/quorum_plan.rs
@@ -1,6 +1,7 @@
-//! The choice of the voters: as many as the settings ask for, spread over the zones.
+//! Chooses the voters: as many as the settings ask for, spread over the zones.
 //!
-//! A pure function of the present voters, those of them that are lost, and the candidates.
+//! The choice is a pure function of the settings, the current voters, the lost ones among them, and the
+//! candidates.
 
 use common::identity::{ControllerId, Zone};
 use common::spec::Voter;
@@ -9,10 +10,10 @@
 /// The default number of voters.
 pub const DEFAULT_VOTERS: usize = 3;
 
-/// How many zones may be lost by default without losing the majority.
+/// The default number of zones that may be lost without losing the majority.
 const DEFAULT_ZONE_LOSSES: usize = 1;
 
-/// How many voters the control quorum is to have, and how many of them one zone may hold.
+/// How many voters the control quorum should have, and how many of them may be in one zone.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct QuorumPolicy {
     voters: usize,
@@ -20,7 +21,8 @@
 }
 
 impl QuorumPolicy {
-    /// A quorum of `voters` that keeps its majority when `zone_losses` zones are lost at once.
+    /// Creates the policy of a quorum of `voters` that keeps its majority when `zone_losses` zones are
+    /// lost at once.
     pub fn new(voters: usize, zone_losses: usize) -> Self {
         let tolerated_losses = voters.saturating_sub(1) / 2;
         let zone_limit = tolerated_losses
@@ -29,19 +31,19 @@
         Self { voters, zone_limit }
     }
 
-    /// The smallest quorum that keeps its majority when `machine_losses` machines, or `zone_losses`
-    /// zones, are lost at once.
+    /// Creates the policy of the smallest quorum that keeps its majority when `machine_losses` machines
+    /// or `zone_losses` zones are lost at once.
     pub fn tolerating(machine_losses: usize, zone_losses: usize) -> Self {
         let losses = machine_losses.max(zone_losses).max(1);
         Self::new(2 * losses + 1, zone_losses)
     }
 
-    /// The number of voters.
+    /// Returns the number of voters.
     pub fn voters(self) -> usize {
         self.voters
     }
 
-    /// The maximal number of voters in one zone.
+    /// Returns the maximal number of voters in one zone.
     pub fn zone_limit(self) -> usize {
         self.zone_limit
     }
@@ -53,24 +55,24 @@
     }
 }
 
-/// What the next voters are chosen from.
+/// The inputs from which the next voters are chosen.
 pub struct QuorumPlan<'a> {
-    /// The number and spread of the voters to reach.
+    /// The intended number of voters and their spread.
     pub quorum_policy: QuorumPolicy,
-    /// The present voters.
+    /// The current voters.
     pub voters: &'a [Voter],
-    /// The voter that leads; it always stays a voter.
+    /// The leader; it always remains a voter.
     pub leader: ControllerId,
     /// The voters that are lost.
     pub missing: &'a BTreeSet<ControllerId>,
-    /// Controllers that may become voters: they do not vote, are alive and nearly up to date.
+    /// Controllers that may become voters: they are not voters, are alive and nearly up to date.
     pub candidates: Vec<Voter>,
 }
 
 impl QuorumPlan<'_> {
-    /// The next voters, or none if they are the present ones: lost voters are replaced, a quorum that
-    /// is too small grows, and voters of a zone over its limit are replaced by others elsewhere. No
-    /// voter is removed without a successor.
+    /// Returns the next voters, or `None` if no voter is to be added or replaced. Lost voters are
+    /// replaced, a quorum that is too small grows, and voters in a zone over its limit are replaced by
+    /// candidates in other zones. No voter is removed without a successor.
     pub fn next_voters(mut self) -> Option<Vec<Voter>> {
         let mut next_voters = self.voters.to_vec();
         self.replace_missing_voters(&mut next_voters);
@@ -90,8 +92,8 @@
         }
     }
 
-    /// The successor of a lost voter: a candidate at its address, else in its zone, else in the zone
-    /// with the fewest voters, if that is below its limit.
+    /// Removes and returns the successor of a lost voter from the candidates: one at its address, else
+    /// one in its zone, else one in the zone with the fewest voters if that zone is below its limit.
     fn take_replacement(&mut self, voters: &[Voter], index: usize) -> Option<Voter> {
         let missing = &voters[index];
         let at_its_address = self
@@ -109,9 +111,9 @@
         Some(self.candidates.swap_remove(candidate_index))
     }
 
-    /// Adds candidates up to the wanted number. Above three voters the quorum grows from one odd number
-    /// to the next: an even number tolerates the loss of no more machines than the odd one below it,
-    /// and of fewer zones.
+    /// Adds candidates up to the intended number of voters. Above three voters the quorum grows only to
+    /// odd numbers, unless the intended number itself is even: an even number of voters tolerates the
+    /// loss of no more machines than the odd number below it, and of fewer zones.
     fn add_voters(&mut self, next_voters: &mut Vec<Voter>) {
         let mut additional_voters = self
             .quorum_policy
@@ -148,7 +150,8 @@
         }
     }
 
-    /// The index of a candidate in the zone with the fewest voters, if that zone is below its limit.
+    /// Returns the index of a candidate in the zone with the fewest voters, if that zone is below its
+    /// limit.
     fn candidate_within_zone_limit(&self, voters: &[Voter]) -> Option<usize> {
         self.candidate_in_least_loaded_zone(voters)
             .filter(|candidate_index| {
