--- a/crates/controlplane/src/storage/directory.rs
+++ b/crates/controlplane/src/storage/directory.rs
@@ -46,7 +46,7 @@
             fault_hook,
         };
         match data_directory.write_file(file_names::WRITE_PROBE, b"yes") {
-            Err(error) if error.is_lasting() || !data_directory.has_identity() => Err(error),
+            Err(error) if error.is_permanent() || !data_directory.has_identity() => Err(error),
             Err(error) => {
                 common::log_event!(Error, common::events::DISK_WRITE_FAILED, "{error}");
                 Ok(data_directory)
@@ -102,14 +102,14 @@
             let newest_document = newest.filter(|document| {
                 StoredFile::Version(document.document_version).name() == file_name
             });
-            self.mend(&file_name, stored_file, newest_document)?;
+            self.repair(&file_name, stored_file, newest_document)?;
             common::log_event!(Warn, common::events::DAMAGED_FILE_SET_ASIDE, "{file_name}");
             damaged_names.push(file_name);
         }
         Ok(damaged_names)
     }
 
-    fn mend(
+    fn repair(
         &self,
         file_name: &str,
         stored_file: StoredFile,
--- a/crates/controlplane/src/storage/error.rs
+++ b/crates/controlplane/src/storage/error.rs
@@ -20,7 +20,7 @@
 
 impl DataDirectoryError {
     /// Whether the cause is how the directory is set up, and does not go by itself.
-    pub(super) fn is_lasting(&self) -> bool {
+    pub(super) fn is_permanent(&self) -> bool {
         let Self::File(_, error) = self else {
             return true;
         };
--- a/crates/controlplane/src/storage/recovery.rs
+++ b/crates/controlplane/src/storage/recovery.rs
@@ -66,7 +66,7 @@
             self.quarantine(damaged_name)?;
         }
         if stored_id.is_none() {
-            self.start_identity(&mut persisted)?;
+            self.write_identity(&mut persisted)?;
         }
         Ok(LoadedState {
             persisted,
@@ -167,7 +167,7 @@
 
     /// Writes the identity of a directory that has none. Votes and versions that were found are another
     /// identity's and not used.
-    fn start_identity(&self, persisted: &mut PersistedState) -> Result<(), DataDirectoryError> {
+    fn write_identity(&self, persisted: &mut PersistedState) -> Result<(), DataDirectoryError> {
         if persisted.accepted.is_some() || persisted.voted_for.is_some() {
             persisted.voted_for = None;
             persisted.accepted = None;
