--- a/crates/controlplane/src/storage/directory.rs
+++ b/crates/controlplane/src/storage/directory.rs
@@ -1,4 +1,4 @@
-//! Reading and writing the files of the data directory.
+//! Reads and writes the files of the data directory.
 
 use super::error::DataDirectoryError;
 use super::fault_hook::{DiskFaultHook, NoFaults};
@@ -10,7 +10,7 @@
 use std::io::Write;
 use std::path::{Path, PathBuf};
 
-/// How many versions are retained: the newest may become unreadable.
+/// The number of versions retained; more than one, because the newest may become unreadable.
 const RETAINED_VERSIONS: usize = 8;
 const RETAINED_VOTES: usize = 2;
 
@@ -21,12 +21,13 @@
 }
 
 impl DataDirectory {
-    /// Opens the directory, creates it if it does not exist, and checks that it can be written. A disk that refuses
-    /// writes for a while, as a full one does, does not keep a controller from starting whose identity it holds.
+    /// Opens the directory, creates it if it does not exist, and checks that it is writable. If writes
+    /// fail only temporarily, as on a full disk, and the directory holds the controller's identity,
+    /// opening it succeeds, so that the controller can start.
     ///
     /// # Errors
     ///
-    /// [`DataDirectoryError::File`] names the path that could not be created or written.
+    /// [`DataDirectoryError::File`] with the path that could not be created or written.
     pub fn open(path: &Path) -> Result<Self, DataDirectoryError> {
         Self::open_with(path, Box::new(NoFaults))
     }
@@ -35,7 +36,7 @@
     ///
     /// # Errors
     ///
-    /// [`DataDirectoryError::File`] names the path that could not be created or written.
+    /// [`DataDirectoryError::File`] with the path that could not be created or written.
     pub fn open_with(
         path: &Path,
         fault_hook: Box<dyn DiskFaultHook>,
@@ -60,11 +61,11 @@
         self.read_file(file_names::IDENTITY).is_some()
     }
 
-    /// Carries out one write; once it returns without an error, the job is on disk.
+    /// Carries out one write job. When it returns `Ok`, the data is on disk.
     ///
     /// # Errors
     ///
-    /// [`DataDirectoryError::File`]; the job may or may not be on disk then.
+    /// [`DataDirectoryError::File`]; the data may or may not be on disk then.
     pub fn write(&self, job: &WriteJob) -> Result<(), DataDirectoryError> {
         match job {
             WriteJob::Vote { term, candidate } => {
@@ -83,13 +84,13 @@
         self.prune()
     }
 
-    /// Reads every stored file again and returns the names of the damaged ones. A copy of each is
-    /// kept, the newest version is written again from memory, and a vote is replaced by one for
-    /// nobody, as at the start.
+    /// Reads every stored file again and returns the names of the damaged ones. Each damaged file is
+    /// kept under another name. The newest version is rewritten from memory, and a vote is replaced by
+    /// one for no controller, as at start.
     ///
     /// # Errors
     ///
-    /// [`DataDirectoryError::File`] when a damaged file could not be replaced or renamed.
+    /// [`DataDirectoryError::File`] if a damaged file could not be replaced or renamed.
     pub fn scrub(&self, newest: Option<&Document>) -> Result<Vec<String>, DataDirectoryError> {
         let mut damaged_names = Vec::new();
         for file_name in self.file_names()? {
@@ -131,7 +132,8 @@
         Ok(())
     }
 
-    /// Removes all but the newest versions and votes. What cannot be removed is left for the next time.
+    /// Removes all but the newest versions and votes. Files that cannot be removed remain until the next
+    /// call.
     fn prune(&self) -> Result<(), DataDirectoryError> {
         let file_names = self.file_names()?;
         let is_stored = |is_vote: bool| {
@@ -153,7 +155,7 @@
         self.path.join(file_name)
     }
 
-    /// Writes a file with its digest, atomically and durably.
+    /// Writes a file with its digest atomically and durably.
     pub(super) fn write_file(
         &self,
         file_name: &str,
@@ -186,7 +188,7 @@
             .map_err(DataDirectoryError::at(&self.path))
     }
 
-    /// The payload of a file; none when it cannot be read or its digest does not match.
+    /// Returns the payload of a file, or `None` if it cannot be read or its digest does not match.
     pub(super) fn read_file(&self, file_name: &str) -> Option<Vec<u8>> {
         let file_bytes = fs::read(self.path_of(file_name)).ok()?;
         let line_end = file_bytes.iter().position(|byte| *byte == b'\n')?;
@@ -194,7 +196,7 @@
         (hex(&digest(payload)).as_bytes() == &file_bytes[..line_end]).then(|| payload.to_vec())
     }
 
-    /// The names of all files, sorted, which is from old to new among votes and among versions.
+    /// Returns the sorted names of all files. In this order both votes and versions go from old to new.
     pub(super) fn file_names(&self) -> Result<Vec<String>, DataDirectoryError> {
         let mut file_names = Vec::new();
         for entry in fs::read_dir(&self.path).map_err(DataDirectoryError::at(&self.path))? {
--- a/crates/controlplane/src/storage/error.rs
+++ b/crates/controlplane/src/storage/error.rs
@@ -13,13 +13,13 @@
     /// A stored version cannot be decoded.
     #[error(transparent)]
     Document(#[from] DocumentError),
-    /// No version on this disk names its controller a voter.
+    /// The directory has no identity, or its newest version does not list that controller as a voter.
     #[error("no version on this disk names its member; recover from another disk")]
     NothingToRecover,
 }
 
 impl DataDirectoryError {
-    /// Whether the cause is how the directory is set up, and does not go by itself.
+    /// Whether the cause lies in how the directory is set up and does not go away without an operator.
     pub(super) fn is_permanent(&self) -> bool {
         let Self::File(_, error) = self else {
             return true;
@@ -33,7 +33,7 @@
         )
     }
 
-    /// Returns what turns an I/O error into one that names this path.
+    /// Returns a function that converts an I/O error into [`Self::File`] with this path.
     pub(super) fn at(path: &Path) -> impl FnOnce(io::Error) -> Self {
         |error| Self::File(path.to_owned(), error)
     }
--- a/crates/controlplane/src/storage/fault_hook.rs
+++ b/crates/controlplane/src/storage/fault_hook.rs
@@ -1,15 +1,15 @@
-//! Where tests inject disk faults.
+//! The hook through which tests inject disk faults.
 
 use std::io;
 
-/// Called before each write of the data directory. The testing tools use it to make a disk full, failing
-/// or slow; the programs as deployed use [`NoFaults`].
+/// A hook that is called before each file write in the data directory. Test tools use it to simulate a
+/// full, failing or slow disk; deployed programs use [`NoFaults`].
 pub trait DiskFaultHook: Send + Sync {
-    /// Runs before a file is written; the write fails with the error it returns.
+    /// Called before a file is written. If it returns an error, the write fails with that error.
     fn before_write(&self) -> io::Result<()>;
 }
 
-/// The hook that injects nothing.
+/// A hook that injects no faults.
 pub struct NoFaults;
 
 impl DiskFaultHook for NoFaults {
--- a/crates/controlplane/src/storage/file_names.rs
+++ b/crates/controlplane/src/storage/file_names.rs
@@ -1,18 +1,18 @@
-//! The names of the stored files. A vote's name holds its term, a version's name its term and number, in
-//! hexadecimal digits of a fixed width, so that names sort by age.
+//! The names of the stored files. The name of a vote contains its term, the name of a version its term
+//! and number, each as hexadecimal digits of a fixed width, so that sorting by name sorts by age.
 
 use common::identity::{DocumentVersion, Term, Version};
 
-/// The controller's identity, in hexadecimal.
+/// Holds the controller's identity in hexadecimal.
 pub(super) const IDENTITY: &str = "identity";
-/// The newest version that became unreadable here, as term and number.
+/// Holds the term and number of the newest version that became unreadable on this disk.
 pub(super) const UNREADABLE_VERSION: &str = "distrusted";
 /// Marks a disk that took part in the first start of the system.
 pub(super) const FIRST_START: &str = "first";
-/// Written at each start to prove that the directory is writable.
+/// Written at each start to check that the directory is writable.
 pub(super) const WRITE_PROBE: &str = "writable";
 
-/// A stored file of which there are several, by what its name tells.
+/// A vote or version file, as identified by its name.
 #[derive(Clone, Copy)]
 pub(super) enum StoredFile {
     /// The vote of this term.
@@ -22,7 +22,7 @@
 }
 
 impl StoredFile {
-    /// Reads a file name; none for files of another kind.
+    /// Parses a file name. Returns `None` for files of any other kind.
     pub(super) fn parse(file_name: &str) -> Option<Self> {
         if let Some(term_text) = file_name.strip_prefix("vote-") {
             return Some(Self::Vote(Term(parse_number(term_text)?)));
@@ -34,7 +34,7 @@
         }))
     }
 
-    /// The file's name.
+    /// Returns the name of the file.
     pub(super) fn name(self) -> String {
         match self {
             Self::Vote(term) => format!("vote-{:016x}", term.0),
@@ -53,17 +53,17 @@
     (text.len() == 16).then(|| u64::from_str_radix(text, 16).ok())?
 }
 
-/// The name under which a damaged file is kept.
+/// Returns the name under which a damaged file is kept.
 pub(super) fn damaged_name(file_name: &str) -> String {
     format!("damaged-{file_name}")
 }
 
-/// The name under which a file of a lost identity is kept.
+/// Returns the name under which a file of a lost identity is kept.
 pub(super) fn foreign_name(file_name: &str) -> String {
     format!("foreign-{file_name}")
 }
 
-/// The name under which a file is written before it is renamed to its own.
+/// Returns the temporary name under which a file is written before it gets its final name.
 pub(super) fn temporary_name(file_name: &str) -> String {
     format!("{file_name}.aside")
 }
--- a/crates/controlplane/src/storage/recovery.rs
+++ b/crates/controlplane/src/storage/recovery.rs
@@ -1,4 +1,4 @@
-//! What a controller reads from its data directory at start, and how it treats damage found then.
+//! Reads a controller's state from its data directory at start, and handles damage found there.
 
 use super::directory::DataDirectory;
 use super::error::DataDirectoryError;
@@ -9,26 +9,27 @@
 use std::fs;
 use std::path::Path;
 
-/// The candidate of a vote that became unreadable: no controller, so that nobody is sent the vote again.
+/// The candidate recorded for a vote that became unreadable. It is no controller's identity, so the vote
+/// is never sent to any candidate again.
 const UNREADABLE_CANDIDATE: ControllerId = ControllerId(0);
 
-/// What a data directory holds at start.
+/// The state loaded from a data directory at start.
 #[derive(Clone, Debug)]
 pub struct LoadedState {
     /// The persistent state.
     pub persisted: PersistedState,
-    /// The names of the damaged files, which are now kept under other names.
+    /// The original names of the damaged files, which are now kept under other names.
     pub quarantined: Vec<String>,
 }
 
 /// Writes a version in which the controller of this disk is the only voter, and returns its document
-/// version. For operators whose control quorum has lost its majority for good; to be run while the
-/// controller is stopped.
+/// version. Meant for operators whose control quorum has permanently lost its majority. The controller
+/// must be stopped.
 ///
 /// # Errors
 ///
-/// [`DataDirectoryError::NothingToRecover`] when the directory has no identity or no version that names
-/// it a voter, and the errors of reading and writing.
+/// [`DataDirectoryError::NothingToRecover`] if the directory has no identity or its newest version does
+/// not list that controller as a voter, and [`DataDirectoryError::File`] if reading or writing fails.
 pub fn force_single_voter(directory: &Path) -> Result<DocumentVersion, DataDirectoryError> {
     if !directory.join(file_names::IDENTITY).exists() {
         return Err(DataDirectoryError::NothingToRecover);
@@ -46,17 +47,16 @@
 }
 
 impl DataDirectory {
-    /// Reads the persistent state. An empty directory
-    /// takes `fresh_id` as its identity. Damage is recorded, and damaged files are kept under other
-    /// names.
+    /// Reads the persistent state. An empty directory gets the identity `fresh_id`. Damage is recorded,
+    /// and damaged files are kept under other names.
     ///
-    /// Files without a readable identity belong to nobody known: they are kept under other names, and
-    /// the controller starts anew with `fresh_id`.
+    /// If the identity is not readable, the owner of the other files is unknown: they are kept under
+    /// other names, and the controller starts with an empty state and the identity `fresh_id`.
     ///
     /// # Errors
     ///
-    /// [`DataDirectoryError::File`] when the directory could not be read, or damage not be recorded.
-    /// What was found until then stays recorded, and the rest is found again by the next call.
+    /// [`DataDirectoryError::File`] if the directory could not be read or damage could not be recorded.
+    /// Damage recorded before the error stays recorded, and the next call finds the rest again.
     pub fn load(&self, fresh_id: ControllerId) -> Result<LoadedState, DataDirectoryError> {
         let stored_id = self.read_id(file_names::IDENTITY);
         let mut persisted = PersistedState::empty(stored_id.unwrap_or(fresh_id));
@@ -74,7 +74,7 @@
         })
     }
 
-    /// Reads votes and versions from old to new, and returns the names of the damaged files.
+    /// Reads votes and versions from old to new and returns the names of the damaged files.
     fn read_stored_files(
         &self,
         persisted: &mut PersistedState,
@@ -119,8 +119,9 @@
             .filter(|document| document.document_version == document_version)
     }
 
-    /// Adds what earlier starts found unreadable, and records on disk an unreadable version that is
-    /// newer than the accepted one. It must be on disk before the damaged file gets another name.
+    /// Takes the unreadable version recorded by earlier starts into account and, if the unreadable
+    /// version is newer than the accepted one, records it on disk. This must happen before the damaged
+    /// file is renamed.
     fn record_unreadable_version(
         &self,
         persisted: &mut PersistedState,
@@ -149,8 +150,8 @@
         })
     }
 
-    /// Keeps a damaged file under another name. A vote is replaced by one for nobody, so that this node
-    /// does not vote again in its term.
+    /// Keeps a damaged file under another name. A damaged vote is replaced by a vote for no controller,
+    /// so that this node does not vote again in the same term.
     pub(super) fn quarantine(&self, damaged_name: &str) -> Result<(), DataDirectoryError> {
         let damaged_path = self.path_of(damaged_name);
         let quarantine_path = self.path_of(&file_names::damaged_name(damaged_name));
@@ -165,8 +166,8 @@
         }
     }
 
-    /// Writes the identity of a directory that has none. Votes and versions that were found are another
-    /// identity's and not used.
+    /// Writes the identity of a directory that has none. Votes and versions found there belong to
+    /// another identity and are not used.
     fn write_identity(&self, persisted: &mut PersistedState) -> Result<(), DataDirectoryError> {
         if persisted.accepted.is_some() || persisted.voted_for.is_some() {
             persisted.voted_for = None;
@@ -190,12 +191,11 @@
         Ok(())
     }
 
-    /// Records that the system starts for the first time, on a disk that has no identity yet. On any
-    /// other disk nothing is recorded.
+    /// Records the first start of the system if the disk has no identity yet; otherwise does nothing.
     ///
     /// # Errors
     ///
-    /// [`DataDirectoryError::File`] when the record could not be written.
+    /// [`DataDirectoryError::File`] if the record could not be written.
     pub fn record_first_start(&self) -> Result<(), DataDirectoryError> {
         if self.path_of(file_names::IDENTITY).exists() {
             return Ok(());
@@ -203,8 +203,8 @@
         self.write_file(file_names::FIRST_START, b"yes")
     }
 
-    /// Whether this disk is recorded to have taken part in the first start of the system. The record
-    /// goes when a disk with votes or versions loses its identity.
+    /// Whether this disk is recorded to have taken part in the first start of the system. The record is
+    /// removed when a disk with votes or versions loses its identity.
     pub fn is_first_start(&self) -> bool {
         self.read_file(file_names::FIRST_START).is_some()
     }
