--- a/crates/controlplane/src/json_form.rs
+++ b/crates/controlplane/src/json_form.rs
@@ -1,10 +1,10 @@
-//! How the types of the system stand in the JSON that operators read: functions for `serialize_with`.
+//! Functions for `serialize_with` that define how types appear in the JSON that operators read.
 
 use common::identity::{ControllerId, FencingToken, Incarnation, Term, Version};
 use serde::{Serialize, Serializer};
 use std::fmt::Display;
 
-/// A number that JSON shows as a number.
+/// A type that is serialized as a JSON number.
 pub(crate) trait JsonNumber: Copy {
     fn number(self) -> u64;
 }
@@ -33,7 +33,7 @@
     }
 }
 
-/// A number.
+/// Serializes a value as a number.
 pub(crate) fn number<N: JsonNumber, S: Serializer>(
     value: &N,
     serializer: S,
@@ -41,12 +41,12 @@
     serializer.serialize_u64(value.number())
 }
 
-/// A text: the value's `Display` form.
+/// Serializes a value as a string, in its `Display` form.
 pub(crate) fn text<T: Display, S: Serializer>(value: &T, serializer: S) -> Result<S::Ok, S::Error> {
     serializer.collect_str(value)
 }
 
-/// A text, or `null`.
+/// Serializes a value as a string in its `Display` form, or as `null`.
 pub(crate) fn optional_text<T: Display, S: Serializer>(
     value: &Option<T>,
     serializer: S,
@@ -54,7 +54,7 @@
     value.as_ref().map(T::to_string).serialize(serializer)
 }
 
-/// A list of texts.
+/// Serializes values as a list of strings, in their `Display` form.
 pub(crate) fn texts<T: Display, S: Serializer>(
     values: &[T],
     serializer: S,
@@ -62,7 +62,7 @@
     serializer.collect_seq(values.iter().map(T::to_string))
 }
 
-/// A controller's identity: a text with its hexadecimal digits.
+/// Serializes a controller's identity as a string of hexadecimal digits.
 pub(crate) fn controller_id<S: Serializer>(
     controller: &ControllerId,
     serializer: S,
--- a/crates/controlplane/src/settings.rs
+++ b/crates/controlplane/src/settings.rs
@@ -1,8 +1,8 @@
-//! The controller's settings: a JSON file with flags laid over it, read and checked at start.
+//! The controller's settings: a JSON file whose values flags may override, read and checked at start.
 //!
-//! The keys keep the names under which users wrote them first; the fields have the terms of the code.
-//! Of several errors one is reported, the first found, and wrong values before missing ones; so the order of
-//! the reads below is part of what users see.
+//! The keys are part of the users' interface and keep their names; the fields are named in the terms of
+//! the code. If there are several errors, only one is reported: the first wrong value found, else the
+//! first missing one. Users therefore see the order of the reads below.
 
 use crate::consensus::{ConsensusTiming, QuorumPolicy};
 use crate::leader_state::LeaderTiming;
@@ -53,30 +53,30 @@
 /// The settings of one controller.
 #[derive(Clone, Debug)]
 pub struct ControllerSettings {
-    /// Where the settings came from, for error messages: the file's path, or `flags`.
+    /// The source of the settings, for error messages: the path of the file, or `flags`.
     pub source: String,
-    /// Where other processes reach it.
+    /// The address at which other processes reach the controller.
     pub address: SocketAddress,
-    /// Where it listens for them; the same as `address` unless set.
+    /// The address on which it listens for other processes; the same as `address` unless set.
     pub listen: SocketAddress,
-    /// Where operators reach it.
+    /// The address at which operators reach the controller.
     pub operators: SocketAddress,
-    /// Its zone.
+    /// The controller's zone.
     pub zone: Zone,
     /// The addresses of one to three controllers.
     pub seeds: Vec<SocketAddress>,
-    /// The data directory. A controller without one never votes, and only forwards operators and
-    /// daemons to the leader.
+    /// The data directory. A controller without one never votes and only forwards operators and daemons
+    /// to the leader.
     pub data_directory: Option<PathBuf>,
-    /// Whether the system starts for the first time, so that the seeds bootstrap the control quorum.
+    /// Whether this is the first start of the system, so that the seeds bootstrap the control quorum.
     pub bootstrap_on_first_start: bool,
-    /// How many voters the control quorum is to have and how they are spread.
+    /// How many voters the control quorum should have and how they are spread over zones.
     pub quorum_policy: QuorumPolicy,
-    /// The number of threads it runs on.
+    /// The number of worker threads.
     pub threads: usize,
     /// The address of the platform's HTTP interface.
     pub platform: SocketAddress,
-    /// From one reading of the platform's lists to the next, while this controller leads.
+    /// The time between two reads of the platform's lists while this controller is the leader.
     pub platform_poll_interval: Duration,
     /// The time constants of the consensus.
     pub consensus_timing: ConsensusTiming,
@@ -89,8 +89,7 @@
     ///
     /// # Errors
     ///
-    /// [`SettingsError::InvalidKey`] with the first key that is wrong or unknown, else the first that is
-    /// missing.
+    /// [`SettingsError::InvalidKey`] with the first wrong or unknown key, or else the first missing one.
     pub fn read(settings_source: &SettingsSource) -> Result<Self, SettingsError> {
         settings_source.read(|root| Self::read_root(settings_source.name(), root))
     }
@@ -139,7 +138,7 @@
     }
 }
 
-/// How the leader places runners.
+/// The settings for the placement of runners by the leader.
 struct PlacementSettings {
     spread_over_zones: bool,
     worker_evacuation: bool,
@@ -155,7 +154,7 @@
     }
 }
 
-/// The number of voters, set outright or derived from the losses to be tolerated.
+/// Reads the number of voters, which is either set directly or derived from the losses to tolerate.
 fn read_quorum_policy(root: &PathReader<'_>) -> QuorumPolicy {
     let machine_losses = root.field("core_losses").number_or(0..=4, 1) as usize;
     let zone_losses = root.field("core_zone_losses").number_or(0..=4, 1) as usize;
@@ -166,14 +165,14 @@
     QuorumPolicy::new(voters, zone_losses)
 }
 
-/// The bounds between which election timeouts are drawn.
+/// The bounds of the random election timeouts.
 struct ElectionTimeouts {
     min: Duration,
     max: Duration,
 }
 
 impl ElectionTimeouts {
-    /// Reads the bounds; a longest time-out below the shortest one counts as equal to it.
+    /// Reads the bounds. If the longest timeout is below the shortest, it is raised to the shortest.
     fn read(timing: &PathReader<'_>) -> Self {
         let defaults = ConsensusTiming::builder().build();
         let min = read_millis(
@@ -262,7 +261,7 @@
         .build()
 }
 
-/// A time in milliseconds, from 1 to 60,000.
+/// Reads a duration in milliseconds, from 1 to 60,000.
 fn read_millis(reader: &PathReader<'_>, default_duration: Duration) -> Duration {
     Duration::from_millis(reader.number_or(1..=60_000, default_duration.as_millis() as u64))
 }
