--- a/crates/controlplane/src/consensus/election.rs
+++ b/crates/controlplane/src/consensus/election.rs
@@ -188,11 +188,11 @@
     /// Whether a leader was alive within the shortest election timeout. For a leader itself, the last
     /// heartbeat round answered by a majority counts.
     fn is_leader_live(&self, now: MonotonicTime) -> bool {
-        let last_sign_at = match &self.role {
+        let last_alive_at = match &self.role {
             Role::Leader(heartbeats) => heartbeats.quorum_confirmed_at(),
             _ => self.known_leader.last_heard_at,
         };
-        now.since(last_sign_at) < self.options.timing.election_timeout_min
+        now.since(last_alive_at) < self.options.timing.election_timeout_min
     }
 
     /// Must be called when the leader's address refuses connections: its process has ended, so the
@@ -383,21 +383,21 @@
     fn record_term_leader(&mut self, term: Term, leader: ControllerId) {
         let recorded = self
             .known_leader
-            .of_term
+            .term_leader
             .filter(|(recorded_term, _)| *recorded_term == term);
-        let is_sole = recorded.is_none_or(|(_, recorded_leader)| recorded_leader == leader);
+        let is_only_leader = recorded.is_none_or(|(_, recorded_leader)| recorded_leader == leader);
         require(
             self.options.rules,
             Invariant::OneLeaderPerTerm,
-            is_sole,
+            is_only_leader,
             || format!("{leader:?} leads term {term}, which already has a leader: {recorded:?}"),
         );
         if self
             .known_leader
-            .of_term
+            .term_leader
             .is_none_or(|(recorded_term, _)| recorded_term < term)
         {
-            self.known_leader.of_term = Some((term, leader));
+            self.known_leader.term_leader = Some((term, leader));
         }
     }
 
--- a/crates/controlplane/src/consensus/heartbeats.rs
+++ b/crates/controlplane/src/consensus/heartbeats.rs
@@ -15,7 +15,7 @@
 
 /// The number of heartbeat intervals between two rounds that also go to controllers that do not vote.
 /// These must receive a heartbeat within the election timeout, or they forget the leader.
-const NONVOTER_HEARTBEAT_EVERY: u32 = 2;
+const NONVOTER_HEARTBEAT_INTERVALS: u32 = 2;
 
 /// A round number that belongs to no round; the first round is 1.
 const NO_ROUND: u64 = 0;
@@ -69,10 +69,8 @@
     }
 
     /// Makes the next round due as soon as this gap since the start of the last one has passed.
-    pub(super) fn expedite(&mut self, shortest_gap: Duration) {
-        self.next_heartbeat_at = self
-            .next_heartbeat_at
-            .min(self.last_started_at + shortest_gap);
+    pub(super) fn expedite(&mut self, min_gap: Duration) {
+        self.next_heartbeat_at = self.next_heartbeat_at.min(self.last_started_at + min_gap);
     }
 
     /// Returns when the newest round answered by a majority was sent, or zero if there is none.
@@ -167,10 +165,10 @@
         let Role::Leader(heartbeats) = &self.role else {
             return;
         };
-        let quorum_proof_at = heartbeats
+        let last_confirmed_at = heartbeats
             .quorum_confirmed_at()
             .max(self.known_leader.last_heard_at);
-        if now.since(quorum_proof_at) > self.options.timing.election_timeout_max {
+        if now.since(last_confirmed_at) > self.options.timing.election_timeout_max {
             self.step_down(now, self.hard_state.term);
         }
     }
@@ -204,7 +202,7 @@
         }
         if now >= self.timers.next_nonvoter_heartbeat_at {
             self.timers.next_nonvoter_heartbeat_at =
-                now + self.options.timing.heartbeat_interval * NONVOTER_HEARTBEAT_EVERY;
+                now + self.options.timing.heartbeat_interval * NONVOTER_HEARTBEAT_INTERVALS;
             let heartbeat = self.heartbeat(round, ReportedMembership::default());
             for known_address in self.known_addresses().difference(&voter_addresses) {
                 self.send(*known_address, heartbeat.clone());
--- a/crates/controlplane/src/consensus/membership.rs
+++ b/crates/controlplane/src/consensus/membership.rs
@@ -153,13 +153,13 @@
         if member.id == self.local.id {
             return false;
         }
-        let at_its_address = self.peers.by_address.get(&member.address);
-        let is_superseded = at_its_address.is_some_and(|peer| {
+        let peer_at_address = self.peers.by_address.get(&member.address);
+        let is_superseded = peer_at_address.is_some_and(|peer| {
             let last_heard_at = self.peers.last_heard.get(&member.id);
             peer.id != member.id
                 && last_heard_at.is_none_or(|last_heard_at| *last_heard_at < peer.present_since)
         });
-        let is_stalled = at_its_address.is_some_and(|peer| {
+        let is_stalled = peer_at_address.is_some_and(|peer| {
             peer.id == member.id
                 && peer.behind_since.is_some_and(|behind_since| {
                     now.since(behind_since.max(self.elected_at()))
@@ -279,13 +279,13 @@
 /// Term and version number skip far ahead, so that the version supersedes any version that the lost
 /// quorum may have written elsewhere.
 pub fn single_voter_document(document: &Document, id: ControllerId) -> Option<Document> {
-    let own_member = document
+    let own_voter = document
         .voters
         .iter()
         .chain(&document.previous_voters)
         .find(|member| member.id == id)?;
     let mut recovered_document =
-        document.with_voters(vec![own_member.clone()], membership_change_id(document));
+        document.with_voters(vec![own_voter.clone()], membership_change_id(document));
     recovered_document.previous_voters = Vec::new();
     recovered_document.document_version = DocumentVersion {
         term: Term(document.document_version.term.0 + (1 << 16)),
--- a/crates/controlplane/src/consensus/quorum_plan.rs
+++ b/crates/controlplane/src/consensus/quorum_plan.rs
@@ -96,17 +96,17 @@
     /// one in its zone, else one in the zone with the fewest voters if that zone is below its limit.
     fn take_replacement(&mut self, voters: &[Voter], index: usize) -> Option<Voter> {
         let missing = &voters[index];
-        let at_its_address = self
+        let at_same_address = self
             .candidates
             .iter()
             .position(|candidate| candidate.address == missing.address);
-        let in_its_zone = || {
+        let in_same_zone = || {
             self.candidates
                 .iter()
                 .position(|candidate| candidate.zone == missing.zone)
         };
-        let candidate_index = at_its_address
-            .or_else(in_its_zone)
+        let candidate_index = at_same_address
+            .or_else(in_same_zone)
             .or_else(|| self.candidate_within_zone_limit(voters))?;
         Some(self.candidates.swap_remove(candidate_index))
     }
--- a/crates/controlplane/src/consensus/replication.rs
+++ b/crates/controlplane/src/consensus/replication.rs
@@ -354,8 +354,8 @@
         let unsynced =
             (!self.options.enforces(Rule::AcceptPersistedFirst)).then(|| document.clone());
         self.submit_write(now, PendingWriteKind::Version(Box::new(document)));
-        if let Some(unwritten) = unsynced {
-            self.version_written(now, unwritten);
+        if let Some(unsynced) = unsynced {
+            self.version_written(now, unsynced);
         }
     }
 
--- a/crates/controlplane/src/consensus/state.rs
+++ b/crates/controlplane/src/consensus/state.rs
@@ -142,7 +142,7 @@
     /// The leader, as long as its frames arrive.
     pub current: Option<Contact>,
     /// The newest term whose leader is known, and that leader.
-    pub of_term: Option<(Term, ControllerId)>,
+    pub term_leader: Option<(Term, ControllerId)>,
     /// When the last frame of the leader arrived; on the leader itself, when it was elected.
     pub last_heard_at: MonotonicTime,
 }
@@ -152,7 +152,7 @@
     pub(super) fn new(last_heard_at: MonotonicTime) -> Self {
         Self {
             current: None,
-            of_term: None,
+            term_leader: None,
             last_heard_at,
         }
     }
--- a/crates/controlplane/src/lib.rs
+++ b/crates/controlplane/src/lib.rs
@@ -18,8 +18,8 @@
 //! The first three modules are state machines without I/O, threads or clocks. Each takes an input together
 //! with the time and returns its outputs as values: frames to send, writes to carry out, events to record.
 //! The drivers own the sockets, the disk thread and the timers. A single task passes all inputs to the
-//! controller's state, one at a time, and carries out the outputs in order. A completed write is reported
-//! back as an input, and only then does the state machine rely on it.
+//! controller's state, one at a time, and carries out the outputs in order. A write is reported back as an
+//! input once it is synced, and only then does the state machine rely on it.
 //!
 //! The simulator and the model checker run the same state machines with their own drivers, which simulate
 //! time, network and disks.
