--- a/crates/controlplane/tests/membership_change.rs
+++ b/crates/controlplane/tests/membership_change.rs
@@ -1,4 +1,4 @@
-//! Membership changes: any two majorities that may decide during a change have a voter in common.
+//! Membership changes: any two majorities that can commit during a change share a voter.
 
 use common::clock::MonotonicTime;
 use common::frames::{ConsensusFrame, SocketAddress};
@@ -68,10 +68,10 @@
 impl Cluster {
     /// Three seeds, and a fourth controller in the third one's zone.
     fn new() -> Self {
-        Self::under(Rules::ALL_ENFORCED)
+        Self::with_rules(Rules::ALL_ENFORCED)
     }
 
-    fn under(rules: Rules) -> Self {
+    fn with_rules(rules: Rules) -> Self {
         let now = MonotonicTime(1_000_000_000);
         let nodes = (0..4)
             .map(|number| new_node(number as u64 + 1, number, number.min(2), now, rules))
@@ -96,9 +96,9 @@
     }
 
     fn execute_outputs(&mut self, from: usize, outputs: Vec<ConsensusOutput>) {
-        let mut waiting: VecDeque<(usize, ConsensusOutput)> =
+        let mut pending: VecDeque<(usize, ConsensusOutput)> =
             outputs.into_iter().map(|output| (from, output)).collect();
-        while let Some((number, output)) = waiting.pop_front() {
+        while let Some((number, output)) = pending.pop_front() {
             let next = match output {
                 ConsensusOutput::Send { to, frame } => self.deliver(number, to, frame),
                 ConsensusOutput::Write { ticket, job } => {
@@ -114,7 +114,7 @@
                 }
                 _ => Vec::new(),
             };
-            waiting.extend(next);
+            pending.extend(next);
         }
     }
 
@@ -182,7 +182,7 @@
 }
 
 #[gtest]
-fn the_first_leader_has_a_term_of_its_own() -> Result<()> {
+fn the_first_leader_has_a_later_term_than_the_bootstrap_version() -> Result<()> {
     let mut cluster = Cluster::new();
     cluster.bootstrap();
     let leader = cluster.leader().expect("a leader");
@@ -204,13 +204,16 @@
     verify_that!(next_leader, not(eq(leader)))
 }
 
-/// Starts a replacement on one side of a partition: the leader and the candidate against the two other voters.
-/// Returns the cluster some time later, the leader and the other voter that was up.
+/// Partitions the cluster as the leader starts a replacement: the leader and the candidate on one side, the
+/// two other voters on the other. Returns the cluster four seconds later, the leader, and the voter on the
+/// other side that was reachable before.
 fn partition_during_replacement(rules: Rules) -> (Cluster, usize, usize) {
-    let mut cluster = Cluster::under(rules);
+    let mut cluster = Cluster::with_rules(rules);
     cluster.bootstrap();
     let leader = cluster.leader().expect("a leader");
-    let other = (0..2).find(|number| *number != leader).expect("another");
+    let other = (0..2)
+        .find(|number| *number != leader)
+        .expect("another voter");
     cluster.partition(&[2], &[0, 1, 3]);
     cluster.stopped.clear();
     cluster.committed.clear();
@@ -232,7 +235,7 @@
     (cluster, leader, other)
 }
 
-fn committed_on_old_side(cluster: &Cluster, leader: usize) -> usize {
+fn committed_on_leaders_side(cluster: &Cluster, leader: usize) -> usize {
     cluster
         .committed
         .iter()
@@ -243,7 +246,7 @@
 #[gtest]
 fn a_replacement_is_not_committed_without_a_majority_of_the_old_voters() -> Result<()> {
     let (mut cluster, leader, other) = partition_during_replacement(Rules::ALL_ENFORCED);
-    verify_that!(committed_on_old_side(&cluster, leader), eq(0))?;
+    verify_that!(committed_on_leaders_side(&cluster, leader), eq(0))?;
     let next_leader = cluster.leader().expect("a leader on the other side");
     verify_that!(next_leader == other || next_leader == 2, eq(true))?;
     verify_that!(cluster.members(next_leader), eq(&vec![1, 2, 3]))?;
@@ -253,7 +256,7 @@
         .map(|number| {
             cluster.nodes[number]
                 .accepted()
-                .expect("one")
+                .expect("a document")
                 .document_version
         })
         .collect();
@@ -261,10 +264,10 @@
 }
 
 #[gtest]
-fn a_replacement_in_one_step_commits_on_two_sides() -> Result<()> {
+fn a_replacement_in_one_step_commits_on_both_sides_of_a_partition() -> Result<()> {
     let (cluster, leader, other) =
         partition_during_replacement(Rules::without(Rule::VoterReplacedInTwoSteps));
-    verify_that!(committed_on_old_side(&cluster, leader), ge(1))?;
+    verify_that!(committed_on_leaders_side(&cluster, leader), ge(1))?;
     let other_side = |number: usize| number == other || number == 2;
     let nodes_there = (0..4).filter(|number| other_side(*number));
     verify_that!(
@@ -299,9 +302,10 @@
     cluster.advance_time(Duration::from_millis(2500));
     cluster.partition(&[other_voters[1]], &[leader]);
     cluster.now = cluster.now + Duration::from_millis(2200);
-    let breaking = cluster.nodes[leader].replace_voter(cluster.now, id(other_voters[1]), id(3));
+    let majority_breaking =
+        cluster.nodes[leader].replace_voter(cluster.now, id(other_voters[1]), id(3));
     verify_that!(
-        breaking.err(),
+        majority_breaking.err(),
         some(any![
             eq(MembershipError::NoMajority),
             eq(MembershipError::NoSuchCandidate),
@@ -310,8 +314,8 @@
     )
 }
 
-/// The first controller, started anew with a document on its disk.
-fn first_voter_with(
+/// Returns the first controller, restarted with this document on its disk.
+fn restarted_first_voter(
     accepted: Option<Document>,
     timing: ConsensusTiming,
     now: MonotonicTime,
@@ -353,7 +357,7 @@
     let timing = ConsensusTiming::builder()
         .unreachable_voter_timeout(Duration::from_secs(3))
         .build();
-    cluster.nodes[0] = first_voter_with(Some(recovered_document), timing, cluster.now);
+    cluster.nodes[0] = restarted_first_voter(Some(recovered_document), timing, cluster.now);
     for number in 1..3 {
         cluster.nodes[number] = new_node(
             number as u64 + 11,
@@ -376,12 +380,12 @@
 fn a_restarted_voter_without_a_leader_starts_a_pre_vote_early() -> Result<()> {
     let mut cluster = Cluster::new();
     cluster.bootstrap();
-    let known = cluster
+    let last_committed = cluster
         .committed
         .last()
         .map(|(_, document)| document.clone());
     let timing = ConsensusTiming::builder().build();
-    let mut restarted = first_voter_with(known, timing.clone(), cluster.now);
+    let mut restarted = restarted_first_voter(last_committed, timing.clone(), cluster.now);
     let mut requested_after = Duration::ZERO;
     while requested_after < timing.election_timeout_max {
         requested_after += Duration::from_millis(10);
