--- a/crates/controlplane/tests/replication.rs
+++ b/crates/controlplane/tests/replication.rs
@@ -1,4 +1,4 @@
-//! Replication of versions: as deltas to peers that hold the base, in full to those that lack it.
+//! Replication of versions: as deltas to peers that have the base, in full to those that lack it.
 
 #[path = "../../../testing/support/consensus_peers.rs"]
 mod consensus_peers;
@@ -17,14 +17,14 @@
 const LEADER: u64 = 1;
 const FOLLOWER: u64 = 2;
 
-/// A version by three voters with this many functions.
+/// A document with three voters and this many functions.
 fn bootstrapped_document(function_count: u64) -> Document {
     let mut spec = json!({"functions": {}, "routes": {}});
     for number in 0..function_count {
         spec["functions"][format!("f{number}")] =
             json!({"memory_mb": 100, "boot_ms": 10, "slots": 2, "connections": 1 + number});
     }
-    let checked_spec = read_spec(&spec).expect("a good spec");
+    let checked_spec = read_spec(&spec).expect("a valid spec");
     Document::founding(three_voters()).with_spec(spec, &checked_spec, ChangeId::from("first"))
 }
 
@@ -63,17 +63,17 @@
         .collect()
 }
 
-/// Runs a leader with an instant disk and a follower that agrees to everything, until nothing is left to do.
-/// Returns all outputs.
+/// Runs a leader with an instant disk and a follower that agrees to everything until there are no more
+/// outputs. Returns all outputs.
 fn run_until_settled(
     leader: &mut ConsensusNode,
     now: MonotonicTime,
-    mut waiting: Vec<ConsensusOutput>,
+    mut pending: Vec<ConsensusOutput>,
 ) -> Vec<ConsensusOutput> {
     let mut all_outputs = Vec::new();
-    while !waiting.is_empty() {
+    while !pending.is_empty() {
         let mut next = Vec::new();
-        for output in &waiting {
+        for output in &pending {
             match output {
                 ConsensusOutput::Send { to, frame: request } if *to == address(FOLLOWER) => {
                     if let Some(body) = agreeing_response(&request.body) {
@@ -86,8 +86,8 @@
                 _ => {}
             }
         }
-        all_outputs.extend(waiting);
-        waiting = next;
+        all_outputs.extend(pending);
+        pending = next;
     }
     all_outputs
 }
@@ -101,7 +101,7 @@
     (leader, now)
 }
 
-/// The outputs with which the leader proposes a next version, unanswered as yet.
+/// Proposes the next version on the leader and returns the outputs, none of which is carried out yet.
 fn proposal_outputs(
     leader: &mut ConsensusNode,
     now: MonotonicTime,
@@ -131,12 +131,12 @@
         eq(true)
     )?;
     let length = encode(&frame(LEADER, versions[0].clone()))?.len();
-    println!("a change in a frame of {length} bytes");
+    println!("frame with a change as a delta: {length} bytes");
     verify_that!(length, lt(2_000))
 }
 
-/// A follower that holds the leader's version, the deltas to the next two versions as sent to it, the time,
-/// and the leader.
+/// Returns a follower that has the leader's version, the deltas to the next two versions as they are sent to
+/// the follower, the time, and the leader.
 fn follower_and_two_deltas(
     rules: Rules,
 ) -> (
@@ -160,7 +160,7 @@
 #[gtest]
 fn a_delta_is_applied_to_a_version_that_is_still_being_written() -> Result<()> {
     let (mut follower, deltas, now, leader) = follower_and_two_deltas(Rules::ALL_ENFORCED);
-    let mut waiting = Vec::new();
+    let mut pending = Vec::new();
     for delta in deltas {
         let outputs = follower.receive(now, frame(LEADER, delta));
         verify_that!(
@@ -169,10 +169,10 @@
                 .any(|body| matches!(body, ConsensusMessage::Accepted { .. })),
             eq(false)
         )?;
-        waiting.extend(writes(&outputs));
+        pending.extend(writes(&outputs));
     }
-    verify_that!(waiting.len(), eq(2))?;
-    for (ticket, _) in waiting {
+    verify_that!(pending.len(), eq(2))?;
+    for (ticket, _) in pending {
         follower.write_completed(now, ticket, WriteResult::Synced);
     }
     verify_that!(follower.accepted() == leader.accepted(), eq(true))
@@ -206,7 +206,7 @@
     verify_that!(follower.accepted() == leader.accepted(), eq(true))
 }
 
-/// The number of wrong documents that a follower writes when it receives a delta whose base it lacks.
+/// Returns the number of wrong documents that a follower writes after a delta whose base it lacks.
 fn written_without_base(rules: Rules) -> usize {
     let (mut follower, deltas, now, leader) = follower_and_two_deltas(rules);
     let outputs = follower.receive(now, frame(LEADER, deltas[1].clone()));
