--- a/crates/controlplane/tests/storage.rs
+++ b/crates/controlplane/tests/storage.rs
@@ -1,4 +1,4 @@
-//! The data directory after crashes, damage and full disks.
+//! The data directory after crashes, file damage and failed writes.
 
 use common::frames::SocketAddress;
 use common::identity::{ChangeId, ControllerId, DocumentVersion, Term, Zone};
@@ -22,7 +22,7 @@
 
     fn newest(&self, prefix: &str) -> PathBuf {
         let mut names: Vec<PathBuf> = fs::read_dir(&self.0)
-            .expect("a folder")
+            .expect("a directory")
             .map(|entry| entry.expect("an entry").path())
             .filter(|path| {
                 path.file_name()
@@ -74,14 +74,15 @@
     stored_versions
 }
 
-/// A new directory with this many versions.
+/// Creates a directory with this many versions and one vote.
 fn filled_directory(name: &str, count: u64) -> (TempDirectory, Vec<Document>) {
     let directory = TempDirectory::new(name);
     let stored_versions = fill_directory(&directory, count);
     (directory, stored_versions)
 }
 
-/// What a start of the controller finds in its directory, and the files that it quarantines.
+/// Loads the directory as a controller does at start; returns its state and the names of the quarantined
+/// files.
 fn start(directory: &TempDirectory) -> Result<(PersistedState, Vec<String>)> {
     let LoadedState {
         persisted,
@@ -90,7 +91,7 @@
     Ok((persisted, quarantined))
 }
 
-/// Starts, and checks which version is known to be unreadable.
+/// Loads the directory and checks which version is recorded as unreadable.
 fn check_unreadable_version(
     directory: &TempDirectory,
     expected: DocumentVersion,
@@ -101,7 +102,7 @@
 }
 
 #[gtest]
-fn the_newest_version_and_vote_come_back_and_old_ones_go() -> Result<()> {
+fn the_newest_version_and_vote_are_loaded_and_old_ones_are_removed() -> Result<()> {
     let (directory, stored_versions) = filled_directory("newest", 30);
     let (persisted, quarantined) = start(&directory)?;
     verify_that!(persisted.id, eq(ControllerId(7)))?;
@@ -116,7 +117,7 @@
 }
 
 #[gtest]
-fn a_write_cut_at_any_byte_leaves_the_version_before() -> Result<()> {
+fn a_write_interrupted_at_any_byte_leaves_the_previous_version() -> Result<()> {
     let (directory, stored_versions) = filled_directory("cut", 3);
     let full_bytes = fs::read(directory.newest("spec-"))?;
     let temporary_path = directory
@@ -163,7 +164,7 @@
 }
 
 #[gtest]
-fn an_empty_folder_is_a_new_identity() -> Result<()> {
+fn an_empty_directory_gets_a_new_identity() -> Result<()> {
     let directory = TempDirectory::new("empty");
     let persisted = DataDirectory::open(&directory.0)?
         .load(ControllerId(42))?
@@ -195,7 +196,7 @@
     verify_that!(quarantined, is_empty())
 }
 
-/// Guards against a damaged vote that is reported at every scrub until the next start.
+/// Guards against a damaged vote that every scrub reports again until the next start.
 #[gtest]
 fn a_vote_that_is_damaged_while_running_is_reported_once_and_counts_as_granted() -> Result<()> {
     let (directory, stored_versions) = filled_directory("scrub-vote", 2);
@@ -208,7 +209,7 @@
 }
 
 #[gtest]
-fn single_voter_recovery_needs_a_disk_that_was_a_member() -> Result<()> {
+fn single_voter_recovery_needs_the_disk_of_a_voter() -> Result<()> {
     let empty = TempDirectory::new("recover-empty");
     verify_that!(
         controlplane::storage::force_single_voter(&empty.0).is_err(),
@@ -230,7 +231,7 @@
 }
 
 #[gtest]
-fn a_first_start_is_recorded_on_an_empty_disk_only_and_goes_with_a_lost_identity() -> Result<()> {
+fn a_first_start_is_recorded_only_on_an_empty_disk_and_forgotten_with_its_identity() -> Result<()> {
     let directory = TempDirectory::new("first");
     let data_directory = DataDirectory::open(&directory.0)?;
     verify_that!(data_directory.is_first_start(), eq(false))?;
@@ -253,7 +254,7 @@
     verify_that!(data_directory.is_first_start(), eq(false))
 }
 
-/// A disk that takes this many more files and is full then.
+/// A disk that is full after this many further file writes.
 struct FullAfter(AtomicUsize);
 
 impl DiskFaultHook for FullAfter {
@@ -269,11 +270,13 @@
     }
 }
 
-/// The disk becomes full, or power is lost, at each of the writes of the start that finds the damage.
+/// The disk becomes full, or power is lost, at each write of the start that finds the damage. Guards against
+/// a start that renames the damaged file before it records the damage, so that the next start does not know
+/// of it.
 #[gtest]
-fn a_damaged_version_is_recorded_as_unreadable_at_whatever_write_the_start_ends() -> Result<()> {
+fn a_damaged_version_is_recorded_as_unreadable_whichever_write_of_the_start_fails() -> Result<()> {
     for writes in 1..4 {
-        let (directory, stored_versions) = filled_directory("distrust-full", 4);
+        let (directory, stored_versions) = filled_directory("unreadable-full", 4);
         fs::write(directory.newest("spec-"), "rot")?;
         let full = Box::new(FullAfter(AtomicUsize::new(writes)));
         let _ = DataDirectory::open_with(&directory.0, full)?.load(ControllerId(1));
@@ -284,7 +287,7 @@
 
 #[gtest]
 fn older_damage_found_later_does_not_lower_the_unreadable_version() -> Result<()> {
-    let (directory, stored_versions) = filled_directory("distrust-older", 4);
+    let (directory, stored_versions) = filled_directory("unreadable-older", 4);
     for _ in 0..2 {
         fs::write(directory.newest("spec-"), "rot")?;
         check_unreadable_version(&directory, stored_versions[3].document_version)?;
@@ -303,21 +306,23 @@
     Ok(())
 }
 
-/// A disk that refuses every write for this reason.
-struct Refusing(io::ErrorKind);
+/// A disk that fails every write with this kind of error.
+struct FailingWrites(io::ErrorKind);
 
-impl DiskFaultHook for Refusing {
+impl DiskFaultHook for FailingWrites {
     fn before_write(&self) -> io::Result<()> {
         Err(self.0.into())
     }
 }
 
-/// Guards against a controller that ends when it is restarted while its disk is full, although it needs no write to start.
+/// Guards against a controller that exits when it is restarted while its disk is full, although its start
+/// needs no write.
 #[gtest]
-fn a_disk_that_refuses_writes_keeps_no_known_controller_from_starting() -> Result<()> {
+fn a_controller_with_an_identity_starts_on_a_disk_that_refuses_writes() -> Result<()> {
     for reason in [io::ErrorKind::StorageFull, io::ErrorKind::Other] {
         let (directory, stored_versions) = filled_directory("start-full", 3);
-        let data_directory = DataDirectory::open_with(&directory.0, Box::new(Refusing(reason)))?;
+        let data_directory =
+            DataDirectory::open_with(&directory.0, Box::new(FailingWrites(reason)))?;
         let persisted = data_directory.load(ControllerId(1))?.persisted;
         verify_that!(persisted.id, eq(ControllerId(7)))?;
         verify_that!(persisted.voted_for, some(eq((Term(4), ControllerId(9)))))?;
@@ -329,23 +334,24 @@
     Ok(())
 }
 
-/// A new identity, and damage, must be recorded before the controller takes part; and settings that are wrong are named.
+/// A new identity and damage must be recorded before the controller takes part in the consensus. A directory
+/// that is read-only or whose permissions deny writing is a wrong setting and must be reported.
 #[gtest]
 fn a_start_that_needs_a_write_fails_on_a_disk_that_refuses_it() -> Result<()> {
-    let refusing = |reason| Box::new(Refusing(reason));
+    let failing_writes = |reason| Box::new(FailingWrites(reason));
     let empty = TempDirectory::new("start-full-empty");
-    let opened = DataDirectory::open_with(&empty.0, refusing(io::ErrorKind::StorageFull));
+    let opened = DataDirectory::open_with(&empty.0, failing_writes(io::ErrorKind::StorageFull));
     verify_that!(opened.is_err(), eq(true))?;
     let (directory, _) = filled_directory("start-full-damaged", 3);
     fs::write(directory.newest("spec-"), "rot")?;
     let data_directory =
-        DataDirectory::open_with(&directory.0, refusing(io::ErrorKind::StorageFull))?;
+        DataDirectory::open_with(&directory.0, failing_writes(io::ErrorKind::StorageFull))?;
     verify_that!(data_directory.load(ControllerId(1)).is_err(), eq(true))?;
     for reason in [
         io::ErrorKind::PermissionDenied,
         io::ErrorKind::ReadOnlyFilesystem,
     ] {
-        let opened = DataDirectory::open_with(&directory.0, refusing(reason));
+        let opened = DataDirectory::open_with(&directory.0, failing_writes(reason));
         verify_that!(opened.is_err(), eq(true))?;
     }
     Ok(())
