--- a/crates/controlplane/tests/stored_forms.rs
+++ b/crates/controlplane/tests/stored_forms.rs
@@ -1,5 +1,5 @@
-//! The disk format: a controller's data directory has the files and bytes of the fixtures, and one written by an
-//! earlier version is opened, continued and repaired as before.
+//! The disk format: a controller's data directory has the files and bytes of the fixtures, and a directory
+//! written by an earlier release is loaded, written and repaired as before.
 
 #[path = "../../../testing/support/form_folders.rs"]
 mod forms;
@@ -15,17 +15,17 @@
 use std::fs;
 use std::path::Path;
 
-/// An undamaged directory: identity, record of the first start, two votes, three versions.
+/// An undamaged directory: the identity, the record of the first start, two votes and three versions.
 const DATA: &str = "data";
-/// `DATA` after a start that found its newest version and its newest vote damaged.
+/// `DATA` after a start at which the newest version and the newest vote were damaged.
 const DAMAGED: &str = "data-damaged";
-/// `DATA` after a start that found its identity damaged.
+/// `DATA` after a start at which the identity was damaged.
 const FOREIGN: &str = "data-foreign";
 
-const OWN: ControllerId = ControllerId(0x0102_0304_0506_0708);
-const OTHER: ControllerId = ControllerId(0xa1b2_c3d4);
+const OWN_ID: ControllerId = ControllerId(0x0102_0304_0506_0708);
+const OTHER_ID: ControllerId = ControllerId(0xa1b2_c3d4);
 /// The identity offered to a directory without one.
-const FRESH: ControllerId = ControllerId(0xf4e5);
+const FRESH_ID: ControllerId = ControllerId(0xf4e5);
 
 const NEWEST_VERSION: &str = "spec-0000000000000003-0000000000000003";
 const NEWEST_VOTE: &str = "vote-0000000000000003";
@@ -40,7 +40,7 @@
 
 /// The versions in the directory, oldest first.
 fn document_versions() -> [Document; 3] {
-    let members = [(OWN, 1), (OTHER, 2)].map(|(id, number)| Voter {
+    let members = [(OWN_ID, 1), (OTHER_ID, 2)].map(|(id, number)| Voter {
         id,
         address: address(number),
         zone: format!("zone-{number}").into(),
@@ -53,7 +53,7 @@
             "budget_ms": 900, "kind": "once",
         }},
     });
-    let checked_spec = read_spec(&spec).expect("a good spec");
+    let checked_spec = read_spec(&spec).expect("a valid spec");
     let first = founding
         .with_spec(spec, &checked_spec, ChangeId::from("first spec"))
         .numbered(300);
@@ -75,17 +75,17 @@
     }
 }
 
-/// Fills a directory as a controller does from its first start on.
+/// Fills a directory in the way a controller does from its first start.
 fn fill_directory(directory: &Path) -> Result<()> {
     let data_directory = DataDirectory::open(directory)?;
     data_directory.record_first_start()?;
-    data_directory.load(OWN)?;
+    data_directory.load(OWN_ID)?;
     let [founding, first, newest] = document_versions();
     let jobs = [
         WriteJob::Version(founding),
-        vote(2, OWN),
+        vote(2, OWN_ID),
         WriteJob::Version(first),
-        vote(3, OTHER),
+        vote(3, OTHER_ID),
         WriteJob::Version(newest),
     ];
     for job in &jobs {
@@ -95,33 +95,33 @@
 }
 
 fn start(directory: &Folder) -> Result<LoadedState> {
-    Ok(DataDirectory::open(&directory.0)?.load(FRESH)?)
+    Ok(DataDirectory::open(&directory.0)?.load(FRESH_ID)?)
 }
 
-fn flip_byte(directory: &Folder, file_name: &str, back: usize) -> Result<()> {
+fn flip_byte(directory: &Folder, file_name: &str, offset_from_end: usize) -> Result<()> {
     let path = directory.0.join(file_name);
     let mut file_bytes = fs::read(&path)?;
-    let index = file_bytes.len() - back;
+    let index = file_bytes.len() - offset_from_end;
     file_bytes[index] ^= 1;
     Ok(fs::write(path, file_bytes)?)
 }
 
 #[gtest]
-fn a_folder_is_written_as_ever() -> Result<()> {
+fn a_data_directory_is_written_in_the_recorded_format() -> Result<()> {
     let directory = Folder::new("written");
     fill_directory(&directory.0)?;
     hold(DATA, &directory.0)
 }
 
 #[gtest]
-fn a_folder_of_earlier_sources_is_opened_as_ever() -> Result<()> {
+fn a_data_directory_of_an_earlier_release_is_loaded() -> Result<()> {
     let directory = Folder::copy_of(DATA, "opened")?;
     let LoadedState {
         persisted,
         quarantined,
     } = start(&directory)?;
-    verify_that!(persisted.id, eq(OWN))?;
-    verify_that!(persisted.voted_for, some(eq((Term(3), OTHER))))?;
+    verify_that!(persisted.id, eq(OWN_ID))?;
+    verify_that!(persisted.voted_for, some(eq((Term(3), OTHER_ID))))?;
     let newest = persisted.accepted.expect("a version");
     verify_that!(
         newest.document_version,
@@ -141,20 +141,20 @@
 }
 
 #[gtest]
-fn a_folder_of_earlier_sources_is_written_on() -> Result<()> {
+fn a_data_directory_of_an_earlier_release_accepts_further_writes() -> Result<()> {
     let directory = Folder::copy_of(DATA, "written-on")?;
     let persisted = start(&directory)?.persisted;
     let newest = persisted.accepted.expect("a version");
     let next = newest.with_zone("zone-2".into(), false, ChangeId::from("zone-2 back"));
     let data_directory = DataDirectory::open(&directory.0)?;
-    data_directory.write(&vote(5, OWN))?;
+    data_directory.write(&vote(5, OWN_ID))?;
     data_directory.write(&WriteJob::Version(next.clone()))?;
     let LoadedState {
         persisted,
         quarantined,
     } = start(&directory)?;
-    verify_that!(persisted.id, eq(OWN))?;
-    verify_that!(persisted.voted_for, some(eq((Term(5), OWN))))?;
+    verify_that!(persisted.id, eq(OWN_ID))?;
+    verify_that!(persisted.voted_for, some(eq((Term(5), OWN_ID))))?;
     verify_that!(persisted.accepted == Some(next), eq(true))?;
     verify_that!(quarantined, is_empty())?;
     let has = |file_name: &str| directory.0.join(file_name).exists();
@@ -165,8 +165,8 @@
     verify_that!(has(NEWEST_VERSION), eq(true))
 }
 
-/// What is left after the newest vote and the newest version were found damaged: the vote counts as given, and the
-/// version before is the accepted one.
+/// Checks the state after the newest vote and the newest version were damaged: the vote counts as granted,
+/// and the previous version is the accepted one.
 fn check_state_after_damage(persisted: &PersistedState) -> Result<()> {
     verify_that!(persisted.voted_for, some(eq((Term(3), ControllerId(0)))))?;
     verify_that!(
@@ -183,7 +183,7 @@
 }
 
 #[gtest]
-fn damaged_files_of_earlier_sources_are_set_aside_as_ever() -> Result<()> {
+fn damaged_files_of_an_earlier_release_are_quarantined() -> Result<()> {
     let directory = Folder::copy_of(DATA, "damaged")?;
     flip_byte(&directory, NEWEST_VERSION, 40)?;
     flip_byte(&directory, NEWEST_VOTE, 1)?;
@@ -192,7 +192,7 @@
         quarantined,
     } = start(&directory)?;
     verify_that!(quarantined, eq(&[NEWEST_VERSION, NEWEST_VOTE]))?;
-    verify_that!(persisted.id, eq(OWN))?;
+    verify_that!(persisted.id, eq(OWN_ID))?;
     check_state_after_damage(&persisted)?;
     verify_that!(
         persisted.unreadable_version,
@@ -202,7 +202,7 @@
 }
 
 #[gtest]
-fn what_earlier_sources_kept_of_a_damage_is_known_as_ever() -> Result<()> {
+fn damage_recorded_by_an_earlier_release_is_recognized() -> Result<()> {
     let directory = Folder::copy_of(DAMAGED, "known")?;
     let LoadedState {
         persisted,
@@ -214,11 +214,11 @@
 }
 
 #[gtest]
-fn a_folder_without_its_identity_is_foreign_as_ever() -> Result<()> {
+fn files_of_a_lost_identity_are_renamed_as_foreign() -> Result<()> {
     let directory = Folder::copy_of(DATA, "foreign")?;
     flip_byte(&directory, "identity", 1)?;
     let persisted = start(&directory)?.persisted;
-    verify_that!(persisted.id, eq(FRESH))?;
+    verify_that!(persisted.id, eq(FRESH_ID))?;
     verify_that!(persisted.voted_for, none())?;
     verify_that!(persisted.accepted.is_none(), eq(true))?;
     verify_that!(
