--- a/crates/controlplane/tests/quorum_plan.rs
+++ b/crates/controlplane/tests/quorum_plan.rs
@@ -1,4 +1,5 @@
-//! The choice of voters: as many as the settings ask for, spread so that the loss of a zone is tolerated.
+//! The choice of voters: as many as the settings ask for, spread over zones so that losing a zone is
+//! tolerated.
 
 use common::frames::SocketAddress;
 use common::identity::{ControllerId, Zone};
@@ -20,7 +21,7 @@
     zones.iter().map(|(id, zone)| member(*id, zone)).collect()
 }
 
-/// The next voters' identities, sorted; empty when nothing is to change.
+/// Returns the sorted identities of the next voters; empty if the voters do not change.
 fn planned(
     quorum_policy: QuorumPolicy,
     voters: &[(u64, &str)],
@@ -94,7 +95,7 @@
 }
 
 #[gtest]
-fn a_lost_voter_is_replaced_at_its_address_then_in_its_zone_then_in_the_emptiest_other()
+fn a_lost_voter_is_replaced_at_its_address_then_in_its_zone_then_in_the_least_loaded_zone()
 -> Result<()> {
     let quorum_policy = QuorumPolicy::tolerating(1, 1);
     let voters = [(1, "a"), (2, "b"), (3, "c")];
@@ -126,7 +127,7 @@
 }
 
 #[gtest]
-fn a_zone_with_too_many_voters_gives_one_up_but_never_the_leader() -> Result<()> {
+fn a_zone_over_its_limit_loses_a_voter_but_never_the_leader() -> Result<()> {
     let quorum_policy = QuorumPolicy::tolerating(1, 1);
     let voters = [(1, "a"), (2, "a"), (3, "b")];
     verify_that!(
