--- a/crates/controlplane/tests/quorum_proofs.rs
+++ b/crates/controlplane/tests/quorum_proofs.rs
@@ -1,5 +1,5 @@
-//! What a single controller may send, and on what evidence: with frames that arrive late, at the wrong time, or
-//! after the process was suspended.
+//! Which frames a single controller may send, and which conditions must hold before: with frames that
+//! arrive late or out of order, with failed writes, and after the process was suspended.
 
 #[path = "../../../testing/support/consensus_peers.rs"]
 mod consensus_peers;
@@ -15,7 +15,7 @@
 use googletest::prelude::*;
 use std::time::Duration;
 
-/// Controller 1 of a quorum with 2 and 3, with the bootstrap version on its disk.
+/// Returns controller 1 of a quorum with 2 and 3, with the bootstrap version on its disk.
 fn voter(rules: Rules) -> ConsensusNode {
     consensus_node(1, Document::founding(three_voters()), rules)
 }
@@ -71,8 +71,8 @@
     sent(outputs).into_iter().filter(grants_vote).count()
 }
 
-/// The responses, as term and round, of a voter in term 3 to a late heartbeat of round 5 of term 2. The leader
-/// of term 3 may have a round 5 too, and must not count this as its response.
+/// Returns the responses, as term and round, of a voter in term 3 to a late heartbeat of round 5 of term 2.
+/// The leader of term 3 may also have a round 5 and must not count this response for it.
 fn responses_to_late_heartbeat(rules: Rules) -> Vec<(u64, u64)> {
     let mut voter = voter(rules);
     voter.receive(START, frame(2, heartbeat(3, 1)));
@@ -80,7 +80,7 @@
 }
 
 #[gtest]
-fn a_heartbeat_of_an_earlier_term_is_answered_with_the_term_alone() -> Result<()> {
+fn a_heartbeat_of_an_earlier_term_is_answered_without_a_round_number() -> Result<()> {
     verify_that!(
         responses_to_late_heartbeat(Rules::ALL_ENFORCED),
         eq(&vec![(3, 0)])
@@ -91,7 +91,7 @@
     )
 }
 
-/// The number of votes granted before and after the first one is on disk.
+/// Returns the number of votes granted before and after the first one is on disk.
 fn votes_around_write(rules: Rules) -> (usize, usize) {
     let mut voter = voter(rules);
     let accepted = voter.accepted().expect("a version").document_version;
@@ -113,7 +113,7 @@
 }
 
 #[gtest]
-fn a_failed_vote_is_granted_to_nobody() -> Result<()> {
+fn a_vote_whose_write_failed_is_not_granted() -> Result<()> {
     let mut voter = voter(Rules::ALL_ENFORCED);
     let accepted = voter.accepted().expect("a version").document_version;
     let later = START + Duration::from_secs(5);
@@ -124,7 +124,7 @@
 }
 
 #[gtest]
-fn after_a_pause_no_stale_leader_is_named() -> Result<()> {
+fn a_stale_leader_is_forgotten_after_a_pause() -> Result<()> {
     let mut voter = voter(Rules::ALL_ENFORCED);
     voter.receive(START, frame(2, heartbeat(2, 1)));
     verify_that!(voter.leader().is_some(), eq(true))?;
@@ -138,14 +138,14 @@
     verify_that!(voter_without_rule.leader().is_some(), eq(true))
 }
 
-/// Controller 1 as leader, elected by 2 and with its first version committed, and the time.
+/// Returns controller 1 as leader, elected by 2 and with its first version committed, and the time.
 fn leader() -> (ConsensusNode, MonotonicTime) {
     let mut voter = voter(Rules::ALL_ENFORCED);
     let now = START + Duration::from_secs(5);
-    let mut waiting = voter.tick(now);
+    let mut pending = voter.tick(now);
     while !voter.is_ready() {
         let mut next = Vec::new();
-        for output in std::mem::take(&mut waiting) {
+        for output in std::mem::take(&mut pending) {
             match output {
                 ConsensusOutput::Send { to, frame: request } if to == address(2) => {
                     let response = agreeing_response(&request.body)
@@ -160,13 +160,16 @@
                 _ => {}
             }
         }
-        assert!(!next.is_empty(), "nothing more happens");
-        waiting = next;
+        assert!(
+            !next.is_empty(),
+            "no outputs left before the leader is ready"
+        );
+        pending = next;
     }
     (voter, now)
 }
 
-/// The response of a voter that still follows the sender.
+/// Returns the response of a voter that follows the sender of the heartbeat.
 fn heartbeat_response(request: &ConsensusMessage) -> Option<ConsensusMessage> {
     let ConsensusMessage::Heartbeat {
         term,
@@ -200,9 +203,9 @@
 }
 
 #[gtest]
-fn a_response_without_a_round_number_proves_nothing() -> Result<()> {
+fn a_response_without_a_round_number_confirms_no_round() -> Result<()> {
     let (mut leader, now) = leader();
-    let quorum_proof_at = leader.quorum_confirmed_at();
+    let confirmed_before = leader.quorum_confirmed_at();
     let later = now + Duration::from_millis(300);
     leader.tick(later);
     let term = leader.term();
@@ -214,10 +217,11 @@
     };
     leader.receive(later, frame(2, late_response.clone()));
     leader.receive(later, frame(3, late_response));
-    verify_that!(leader.quorum_confirmed_at(), eq(quorum_proof_at))
+    verify_that!(leader.quorum_confirmed_at(), eq(confirmed_before))
 }
 
-/// A voter with a committed version receives an older one from a leader that was elected without it.
+/// Guards against losing a committed version: a leader that was elected without it replaces it on a voter's
+/// disk by a version with a lower number.
 #[gtest]
 fn a_committed_version_replaced_by_an_older_one_is_a_violation() -> Result<()> {
     invariants::collect_on_this_thread();
@@ -237,7 +241,7 @@
         let request = voter.receive(START, frame(term, body));
         let ticket = write_ticket(&request);
         voter.write_completed(START, ticket.unwrap_or(Ticket(0)), WriteResult::Synced);
-        let committed = ConsensusMessage::Heartbeat {
+        let commit_notice = ConsensusMessage::Heartbeat {
             term: Term(term),
             round: 1,
             accepted: document.document_version,
@@ -245,10 +249,10 @@
             members: LengthPrefixed(Vec::new()),
             complete: Flag(false),
         };
-        voter.receive(START, frame(term, committed));
+        voter.receive(START, frame(term, commit_notice));
         invariants::take_collected()
             .into_iter()
-            .map(|seen| seen.invariant)
+            .map(|violation| violation.invariant)
             .collect::<Vec<_>>()
     };
     verify_that!(violations_after(2, 7), is_empty())?;
@@ -258,8 +262,9 @@
     )
 }
 
-/// Whether a voter still names the leader that it last heard this long ago, when a write has failed since.
-fn names_leader_after_a_failed_write(unheard_for: Duration) -> bool {
+/// Whether a voter still knows its leader this long after the leader's last frame, if a write has failed
+/// meanwhile. The failed write postpones the election deadline, which alone must not decide this.
+fn knows_leader_after_a_failed_write(silence: Duration) -> bool {
     let mut voter = voter(Rules::ALL_ENFORCED);
     let accepted = voter.accepted().expect("a version").document_version;
     let later = START + Duration::from_secs(5);
@@ -267,18 +272,18 @@
     let ticket = write_ticket(&request);
     voter.receive(later, frame(2, heartbeat(2, 1)));
     voter.write_completed(later, ticket.expect("a write"), WriteResult::Failed);
-    voter.expire_leadership(later + unheard_for);
+    voter.expire_leadership(later + silence);
     voter.leader().is_some()
 }
 
 #[gtest]
-fn after_a_failed_write_no_stale_leader_is_named() -> Result<()> {
+fn a_stale_leader_is_forgotten_after_a_failed_write() -> Result<()> {
     verify_that!(
-        names_leader_after_a_failed_write(Duration::from_millis(100)),
+        knows_leader_after_a_failed_write(Duration::from_millis(100)),
         eq(true)
     )?;
     verify_that!(
-        names_leader_after_a_failed_write(Duration::from_millis(950)),
+        knows_leader_after_a_failed_write(Duration::from_millis(950)),
         eq(false)
     )
 }
