--- a/crates/controlplane/tests/settings_forms.rs
+++ b/crates/controlplane/tests/settings_forms.rs
@@ -1,4 +1,5 @@
-//! The controller's settings as users write them: the values read, and the full error text for every wrong value.
+//! The controller's settings as users write them: the values read from them, and the full error text for
+//! every wrong value.
 
 #[path = "../../../testing/support/controller_settings.rs"]
 mod controller_settings;
@@ -15,8 +16,8 @@
 use std::fmt::Write;
 use std::path::PathBuf;
 
-/// A settings file with every key, none of them at its default.
-fn full() -> Value {
+/// A settings file with every key, none of them set to its default.
+fn full_settings() -> Value {
     json!({
         "place": "10.0.0.1:7100",
         "listen": "10.0.0.1:7200",
@@ -40,8 +41,8 @@
     })
 }
 
-/// A settings file with the required keys only.
-fn least() -> Value {
+/// A settings file with only the required keys.
+fn minimal_settings() -> Value {
     json!({
         "place": "10.0.0.1:7100", "operators": "10.0.0.2:7111", "locality": "north",
         "seeds": ["10.0.0.1:7100"], "platform": "10.0.9.9:80",
@@ -53,7 +54,7 @@
 }
 
 fn shown(settings: &Value) -> Value {
-    controller_settings::shown(&read(settings).expect("good settings"))
+    controller_settings::shown(&read(settings).expect("valid settings"))
 }
 
 fn check(name: &str, seen: &str) {
@@ -65,9 +66,9 @@
 }
 
 #[test]
-fn a_full_file_and_a_short_one_are_read_with_all_their_values() {
+fn a_full_and_a_minimal_file_are_read_with_all_their_values() {
     let losses = |machines: u64, localities: u64| {
-        let settings = with(least(), "core_losses", json!(machines));
+        let settings = with(minimal_settings(), "core_losses", json!(machines));
         let settings = shown(&with(settings, "core_zone_losses", json!(localities)));
         json!([
             machines,
@@ -80,28 +81,28 @@
         .flat_map(|machines| (0..=4).map(move |localities| (machines, localities)))
         .map(|(machines, localities)| losses(machines, localities))
         .collect();
-    let crossed = json!({"election_shortest_ms": 2000, "election_longest_ms": 1000});
+    let inverted_timeouts = json!({"election_shortest_ms": 2000, "election_longest_ms": 1000});
     check_json(
         "settings_read.json",
         &json!({
-            "full": shown(&full()),
-            "least": shown(&least()),
+            "full": shown(&full_settings()),
+            "least": shown(&minimal_settings()),
             "core_losses, core_zone_losses, voters, voters in one locality": all_losses,
-            "longest election below the shortest": shown(&with(least(), "timing", crossed))["timing"],
+            "longest election below the shortest": shown(&with(minimal_settings(), "timing", inverted_timeouts))["timing"],
         }),
     );
 }
 
 #[test]
-fn every_wrong_value_has_its_answer() {
+fn every_wrong_value_has_its_recorded_error_text() {
     let read = |settings: &Value| read(settings).map(drop).map_err(|cause| cause.to_string());
     let several = json!({"place": 7, "threads": 0});
-    let text = native_settings::answers(&full(), several, read);
+    let text = native_settings::answers(&full_settings(), several, read);
     check("settings_answers.txt", &text);
 }
 
 #[test]
-fn files_that_cannot_be_read_and_machines_that_do_not_fit_have_their_answers() {
+fn unreadable_files_and_unusable_addresses_have_their_recorded_error_texts() {
     let folder = std::env::temp_dir().join(format!("settings-forms-{}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("a folder");
     let mut text = String::new();
@@ -115,13 +116,13 @@
             std::fs::write(&file, content).expect("a file");
         }
         let opened = SettingsSource::open(Some(&file));
-        let answer = opened
+        let error = opened
             .and_then(|source| ControllerSettings::read(&source))
-            .expect_err("a fault");
-        let answer = answer
+            .expect_err("an error");
+        let error = error
             .to_string()
             .replace(&file.display().to_string(), "FILE");
-        let _ = writeln!(text, "{name}: {answer}");
+        let _ = writeln!(text, "{name}: {error}");
     }
     let _ = std::fs::remove_dir_all(&folder);
     let denied = || std::io::Error::from(std::io::ErrorKind::PermissionDenied);
@@ -137,23 +138,23 @@
 }
 
 #[test]
-fn flags_go_before_the_file_and_are_read_like_it() {
-    let mut source = SettingsSource::from_value("FILE", full());
+fn flags_override_the_file_and_are_checked_like_it() {
+    let mut source = SettingsSource::from_value("FILE", full_settings());
     source.set_text("place", Some("10.0.0.1:9"));
     source.set_text("operators", None);
     source.set_text("data", Some("/elsewhere"));
     source.set("found_first", Some(json!(false)));
     source.set_list("seeds", Some("10.0.3.1:1,10.0.3.2:2"));
-    let laid_over = ControllerSettings::read(&source).expect("good settings");
+    let overridden = ControllerSettings::read(&source).expect("valid settings");
     let mut flags = SettingsSource::open(None).expect("no file");
-    let nothing = ControllerSettings::read(&flags).expect_err("nothing is given");
+    let without_settings = ControllerSettings::read(&flags).expect_err("nothing is given");
     flags.set_list("seeds", Some("10.0.3.1:1,,"));
     let wrong = ControllerSettings::read(&flags).expect_err("a wrong list");
     check_json(
         "settings_flags.json",
         &json!({
-            "laid over": controller_settings::shown(&laid_over),
-            "nothing given": nothing.to_string(),
+            "laid over": controller_settings::shown(&overridden),
+            "nothing given": without_settings.to_string(),
             "a wrong list": wrong.to_string(),
         }),
     );
