--- a/crates/controlplane/tests/quorum_model/explore.rs
+++ b/crates/controlplane/tests/quorum_model/explore.rs
@@ -1,4 +1,4 @@
-//! Bounded exhaustive exploration: every way in which a limited number of deviations can occur in an
+//! Bounded exhaustive exploration: tries every way in which a limited number of deviations can occur in an
 //! otherwise undisturbed run.
 
 use super::history::SafetyViolation;
@@ -18,7 +18,7 @@
     pub changes: usize,
 }
 
-/// What was explored.
+/// The extent of an exploration.
 #[derive(Clone, Copy, Default, Debug)]
 pub struct ExplorationCounts {
     /// Distinct states.
@@ -27,7 +27,7 @@
     pub runs: usize,
 }
 
-/// A violation, and the deviations that led to it with the step of each.
+/// A violation, and the deviations that led to it, each with its step.
 pub type ViolatingRun = (SafetyViolation, Vec<(usize, Deviation)>);
 
 #[derive(Clone)]
@@ -111,7 +111,7 @@
     deviations
 }
 
-/// Advances a run by one step without a deviation; none when it is completed.
+/// Advances a run by one step without a deviation. Returns `None` if the run is complete.
 fn advance(mut run: Run) -> Result<Option<Run>, SafetyViolation> {
     run.steps += 1;
     if !run.model.is_quiet() {
--- a/crates/controlplane/tests/quorum_model/history.rs
+++ b/crates/controlplane/tests/quorum_model/history.rs
@@ -1,5 +1,5 @@
-//! The safety checker: the elections, commits and reads of a control quorum, checked against the properties
-//! that hold in every run.
+//! The safety checker: checks the elections, commits and reads of a control quorum against the properties
+//! that must hold in every run.
 
 use common::identity::{ControllerId, DocumentVersion, Term, Zone};
 use common::spec::Document;
@@ -11,13 +11,14 @@
 pub enum SafetyViolation {
     /// Two controllers were elected in one term.
     TwoLeaders(Term),
-    /// Two different documents were committed as one version.
+    /// Two different documents were committed under one version.
     TwoVersions(DocumentVersion),
-    /// A committed change (of the first version) is missing in a higher committed version (the second).
+    /// A change committed in the first version is missing in the second version, which is higher and also
+    /// committed.
     LostChange(DocumentVersion, DocumentVersion),
-    /// A read returned a version without a change that was committed before the read was requested.
+    /// A read returned a version that lacks a change committed before the read was requested.
     StaleRead(DocumentVersion),
-    /// No change was committed although the losses are within what the quorum tolerates.
+    /// No change was committed although the quorum tolerates the losses.
     NoProgress,
 }
 
@@ -28,22 +29,21 @@
             Self::TwoVersions(document_version) => {
                 write!(out, "two versions committed as {document_version}")
             }
-            Self::LostChange(lower, upper) => write!(out, "{upper} lacks what {lower} committed"),
+            Self::LostChange(lower, upper) => {
+                write!(out, "{upper} lacks changes committed in {lower}")
+            }
             Self::StaleRead(document_version) => {
-                write!(
-                    out,
-                    "a reader was served {document_version}, which is overtaken"
-                )
+                write!(out, "a read returned {document_version}, which is stale")
             }
-            Self::NoProgress => write!(out, "no order is taken any more"),
+            Self::NoProgress => write!(out, "no change is committed any more"),
         }
     }
 }
 
-/// The changes contained in a version: each change of these tests evacuates a zone of its own.
+/// The changes contained in a version. Each change in these tests evacuates a different zone.
 pub type Changes = BTreeSet<Zone>;
 
-/// Elections and commits so far.
+/// The elections and commits so far.
 #[derive(Clone, Default)]
 pub struct History {
     leaders: BTreeMap<Term, ControllerId>,
@@ -73,12 +73,12 @@
         {
             return Err(SafetyViolation::TwoVersions(document_version));
         }
-        let mut below = self.committed.range(..document_version);
-        if let Some((lower, _)) = below.find(|(_, lower)| !lower.is_subset(changes)) {
+        let mut lower_versions = self.committed.range(..document_version);
+        if let Some((lower, _)) = lower_versions.find(|(_, lower)| !lower.is_subset(changes)) {
             return Err(SafetyViolation::LostChange(*lower, document_version));
         }
-        let mut above = self.committed.range(document_version..);
-        if let Some((upper, _)) = above.find(|(_, upper)| !changes.is_subset(upper)) {
+        let mut higher_versions = self.committed.range(document_version..);
+        if let Some((upper, _)) = higher_versions.find(|(_, upper)| !changes.is_subset(upper)) {
             return Err(SafetyViolation::LostChange(document_version, *upper));
         }
         self.newest.extend(changes.iter().cloned());
@@ -86,12 +86,12 @@
         Ok(())
     }
 
-    /// All changes committed so far.
+    /// Returns all changes committed so far.
     pub fn newest(&self) -> &Changes {
         &self.newest
     }
 
-    /// Checks a read that was requested when these changes had been committed.
+    /// Checks the result of a read that was requested after these changes had been committed.
     pub fn served(
         &self,
         changes_at_read: &Changes,
--- a/crates/controlplane/tests/quorum_model/main.rs
+++ b/crates/controlplane/tests/quorum_model/main.rs
@@ -1,5 +1,5 @@
-//! Model checking of the consensus: several instances of the product's own `ConsensusNode` are driven through
-//! orders of events that rarely occur by chance.
+//! Model checking of the consensus: several instances of the real `ConsensusNode` are driven through event
+//! orders that rarely occur by chance.
 
 mod explore;
 mod history;
@@ -26,12 +26,12 @@
 };
 const WALKS: u64 = 40;
 
-/// A number from the environment, by which longer runs are started.
-fn number_from_env(name: &str, otherwise: u64) -> u64 {
+/// Reads a number from an environment variable, which allows longer runs.
+fn number_from_env(name: &str, default: u64) -> u64 {
     std::env::var(name)
         .ok()
         .and_then(|text| text.parse().ok())
-        .unwrap_or(otherwise)
+        .unwrap_or(default)
 }
 
 #[gtest]
@@ -45,7 +45,7 @@
     };
     let (counts, violating_run) = explore(Setup::correct(3, 3, 1, 1), bounds);
     println!(
-        "{} states and {} whole runs within {bounds:?}",
+        "{} states and {} complete runs within {bounds:?}",
         counts.states, counts.runs
     );
     verify_that!(violating_run, none())
@@ -91,8 +91,8 @@
     verify_that!(explore_until_violation(setup).is_some(), eq(true))
 }
 
-/// Random walks over quorums of one size: each tolerates its losses at any step, and is complete again after
-/// the repair.
+/// Random walks over quorums of one size: each must tolerate the losses at any step and have all its voters
+/// again after the repair.
 fn walk_all(machines: usize, zones: usize, tolerance: usize) -> Result<()> {
     let mut actions = 0;
     for seed in 0..number_from_env("QUORUM_SEEDS", WALKS) {
--- a/crates/controlplane/tests/quorum_model/model.rs
+++ b/crates/controlplane/tests/quorum_model/model.rs
@@ -1,5 +1,5 @@
-//! A model of several controllers with their disks, clocks and the network between them, advanced by one event
-//! at a time.
+//! A model of several controllers with their disks, their clocks and the network between them, advanced one
+//! event at a time.
 
 use super::history::{Changes, History, SafetyViolation};
 use common::clock::MonotonicTime;
@@ -30,18 +30,18 @@
     pub machines: usize,
     /// The number of zones over which they are spread.
     pub zones: usize,
-    /// The number of machines whose loss at once is to be tolerated.
+    /// The number of machines that may be lost at once.
     pub tolerance: usize,
-    /// The safety rules in force.
+    /// The safety rules that are enforced.
     pub rules: Rules,
-    /// Whether a wiped disk keeps its identity, which is a flaw.
+    /// Whether a wiped disk keeps its identity, which is an injected flaw.
     pub wiped_keeps_identity: bool,
     /// The seed of all randomness.
     pub seed: u64,
 }
 
 impl Setup {
-    /// Controllers with all safety rules in force.
+    /// Creates a setup without flaws, in which all safety rules are enforced.
     pub fn correct(machines: usize, zones: usize, tolerance: usize, seed: u64) -> Self {
         let rules = Rules::ALL_ENFORCED;
         Self {
@@ -76,9 +76,9 @@
     now: MonotonicTime,
     incarnation: u64,
     isolated: bool,
-    lost: bool,
+    down: bool,
     disk_fault: Option<DiskFault>,
-    /// Reads requested from this leader: the time of each, and what was committed then.
+    /// Reads requested from this leader: the time of each, and the changes committed by then.
     pending_reads: Vec<(MonotonicTime, Changes)>,
     fingerprint: u64,
 }
@@ -86,13 +86,13 @@
 #[derive(Clone, Debug)]
 enum Event {
     Frame(usize, ConsensusFrame),
-    Written(usize, u64, Ticket, WriteJob),
+    WriteCompleted(usize, u64, Ticket, WriteJob),
 }
 
 impl Event {
     fn owner(&self) -> usize {
         match self {
-            Self::Frame(owner, _) | Self::Written(owner, ..) => *owner,
+            Self::Frame(owner, _) | Self::WriteCompleted(owner, ..) => *owner,
         }
     }
 }
@@ -100,13 +100,13 @@
 /// A deviation from an undisturbed run.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Deviation {
-    /// A machine loses power and starts again at once; writes in flight are lost.
+    /// A machine loses power and restarts at once; writes in flight are lost.
     Crash(usize),
-    /// A machine crashes and starts again with an empty disk.
+    /// A machine crashes and restarts with an empty disk.
     Wipe(usize),
     /// A machine is isolated from all others; if it leads, it proposes one more change first.
     Isolate(usize),
-    /// All machines are connected again; frames held up meanwhile arrive.
+    /// All machines are connected again; frames delayed by the isolation arrive.
     Heal,
     /// A machine's clock advances to its next timer, which fires.
     Timeout(usize),
@@ -156,7 +156,7 @@
 }
 
 impl Model {
-    /// A quorum bootstrapped with the first three controllers; all controllers have just started.
+    /// Creates a quorum bootstrapped with the first three controllers. All controllers have just started.
     pub fn new(setup: Setup) -> Self {
         let mut model = Self {
             setup,
@@ -207,7 +207,7 @@
             now,
             incarnation: 0,
             isolated: false,
-            lost: false,
+            down: false,
             disk_fault: None,
             pending_reads: Vec::new(),
             fingerprint: 0,
@@ -252,10 +252,11 @@
         Rc::make_mut(&mut self.machines[number])
     }
 
-    /// Restarts a machine's process from what its disk holds.
+    /// Restarts a machine's process with the state on its disk.
     fn restart(&mut self, number: usize) {
-        self.events
-            .retain(|event| !matches!(&**event, Event::Written(owner, ..) if *owner == number));
+        self.events.retain(
+            |event| !matches!(&**event, Event::WriteCompleted(owner, ..) if *owner == number),
+        );
         let machine = &self.machines[number];
         let consensus =
             self.start_node(number, machine.incarnation + 1, machine.now, &machine.disk);
@@ -263,10 +264,10 @@
         machine.consensus = consensus;
         machine.incarnation += 1;
         machine.pending_reads.clear();
-        self.renew_fingerprint(number);
+        self.update_fingerprint(number);
     }
 
-    fn renew_fingerprint(&mut self, number: usize) {
+    fn update_fingerprint(&mut self, number: usize) {
         let machine = self.machine(number);
         let mut writer = HashWriter(DefaultHasher::new());
         let _ = write!(
@@ -274,12 +275,12 @@
             "{:?}{:?}{:?}",
             machine.consensus, machine.disk, machine.pending_reads
         );
-        (machine.now, machine.isolated, machine.lost).hash(&mut writer.0);
+        (machine.now, machine.isolated, machine.down).hash(&mut writer.0);
         machine.disk_fault.hash(&mut writer.0);
         machine.fingerprint = writer.0.finish();
     }
 
-    /// A hash of the state, to recognize a state explored before.
+    /// Returns a hash of the state, used to recognize states already explored.
     pub fn fingerprint(&self) -> u64 {
         let mut writer = HashWriter(DefaultHasher::new());
         for machine in &self.machines {
@@ -302,12 +303,12 @@
         writer.0.finish()
     }
 
-    /// The number of disks wiped so far.
+    /// Returns the number of disks wiped so far.
     pub fn wipes(&self) -> usize {
         self.wipes
     }
 
-    /// The state in a readable form, for the report of a failed run.
+    /// Returns a readable description of the state for the report of a failed run.
     pub fn describe(&self) -> String {
         let rows = self.machines.iter().enumerate().map(|(number, machine)| {
             let consensus = &machine.consensus;
@@ -316,10 +317,10 @@
                 members.iter().map(|member| member.id.0).collect()
             };
             format!(
-                "{number}: id {} life {} lost {} cut {} term {} ready {} proposing {} accepted {:?} voters {:?} former {:?}",
+                "{number}: id {} incarnation {} down {} isolated {} term {} ready {} proposing {} accepted {:?} voters {:?} previous voters {:?}",
                 consensus.id().0,
                 machine.incarnation,
-                machine.lost,
+                machine.down,
                 machine.isolated,
                 consensus.term().0,
                 consensus.is_ready(),
@@ -337,21 +338,21 @@
         self.events.is_empty()
     }
 
-    /// The number of events in flight.
+    /// Returns the number of events in flight.
     pub fn events_in_flight(&self) -> usize {
         self.events.len()
     }
 
-    /// Whether a machine is isolated.
+    /// Whether any machine is isolated.
     pub fn has_isolated_machine(&self) -> bool {
         self.machines.iter().any(|machine| machine.isolated)
     }
 
     fn is_reachable(&self, number: usize) -> bool {
-        !self.machines[number].isolated && !self.machines[number].lost
+        !self.machines[number].isolated && !self.machines[number].down
     }
 
-    /// The leader that is ready and reachable, the one of the highest term if there are several.
+    /// Returns the leader that is ready and reachable; if there are several, the one with the highest term.
     pub fn leader(&self) -> Option<usize> {
         let leads = |number: &usize| {
             self.is_reachable(*number) && self.machines[*number].consensus.is_ready()
@@ -373,7 +374,7 @@
         let is_caught_up = |member: &Voter| {
             self.machines.iter().any(|machine| {
                 machine.consensus.id() == member.id
-                    && !machine.lost
+                    && !machine.down
                     && !machine.isolated
                     && machine.consensus.accepted().is_some_and(|held_version| {
                         held_version.document_version == document.document_version
@@ -394,15 +395,15 @@
         self.process_event(&event)
     }
 
-    /// Processes a random event, in order per link: the oldest one on the link of the event drawn.
-    pub fn step_any(&mut self, rng: &mut SeededRng) -> Result<(), SafetyViolation> {
+    /// Processes the oldest event on the link of a randomly chosen event, so that each link stays in order.
+    pub fn step_random(&mut self, rng: &mut SeededRng) -> Result<(), SafetyViolation> {
         let index = rng.below(self.events.len() as u64) as usize;
         let Some(chosen) = self.events.get(index) else {
             return Ok(());
         };
         let link_of = |event: &Event| match event {
             Event::Frame(to, frame) => (*to, Some(frame.address)),
-            Event::Written(owner, ..) => (*owner, None),
+            Event::WriteCompleted(owner, ..) => (*owner, None),
         };
         let link = link_of(chosen);
         let first = self
@@ -418,7 +419,7 @@
 
     fn process_event(&mut self, event: &Rc<Event>) -> Result<(), SafetyViolation> {
         let owner = event.owner();
-        if self.machines[owner].lost {
+        if self.machines[owner].down {
             return Ok(());
         }
         match &**event {
@@ -430,7 +431,7 @@
                 let frame = frame.clone();
                 self.apply_input(owner, |consensus, now| consensus.receive(now, frame))
             }
-            Event::Written(_, incarnation, ticket, job) => {
+            Event::WriteCompleted(_, incarnation, ticket, job) => {
                 if *incarnation != self.machines[owner].incarnation {
                     return Ok(());
                 }
@@ -439,7 +440,7 @@
         }
     }
 
-    /// Lets a write end as its disk does, unless the disk hangs.
+    /// Completes a write with the result that the state of the disk determines, unless the disk hangs.
     fn process_write(
         &mut self,
         owner: usize,
@@ -491,7 +492,7 @@
             self.execute_output(number, output)?;
         }
         let read_check = self.check_reads(number);
-        self.renew_fingerprint(number);
+        self.update_fingerprint(number);
         read_check
     }
 
@@ -509,7 +510,7 @@
                 }
             }
             ConsensusOutput::Write { ticket, job } => {
-                self.events.push_back(Rc::new(Event::Written(
+                self.events.push_back(Rc::new(Event::WriteCompleted(
                     number,
                     machine.incarnation,
                     ticket,
@@ -526,7 +527,7 @@
         Ok(())
     }
 
-    /// Records a read request to a leader, whenever a change has been committed since the last one.
+    /// Records a read request to a leader if a change has been committed since the last one.
     fn record_read(&mut self, number: usize) {
         if !self.machines[number].consensus.is_leader() {
             if !self.machines[number].pending_reads.is_empty() {
@@ -546,8 +547,8 @@
         }
     }
 
-    /// Checks all reads that were requested before the newest heartbeat round with a majority was sent:
-    /// the leader could answer them now.
+    /// Checks all reads that were requested before the newest heartbeat round answered by a majority was
+    /// sent, because the leader could answer them now.
     fn check_reads(&mut self, number: usize) -> Result<(), SafetyViolation> {
         let machine = &self.machines[number];
         if !machine.consensus.is_ready() || machine.pending_reads.is_empty() {
@@ -568,7 +569,7 @@
     /// Advances all clocks until the first timer fires.
     pub fn advance_time(&mut self) -> Result<(), SafetyViolation> {
         let spans = (0..self.machines.len())
-            .filter(|number| !self.machines[*number].lost)
+            .filter(|number| !self.machines[*number].down)
             .map(|number| {
                 let machine = &self.machines[number];
                 (machine.consensus.next_due().since(machine.now), number)
@@ -582,12 +583,12 @@
         }
         let ticked = self.apply_input(first, ConsensusNode::tick);
         for number in 0..self.machines.len() {
-            self.renew_fingerprint(number);
+            self.update_fingerprint(number);
         }
         ticked
     }
 
-    /// Has a leader propose a change, if it is ready and has none in flight.
+    /// Makes a leader propose a change, if it is ready and has none in flight.
     pub fn propose_change(&mut self, number: usize) -> Result<(), SafetyViolation> {
         let consensus = &self.machines[number].consensus;
         if !consensus.is_ready() || consensus.is_proposing() {
@@ -613,7 +614,7 @@
             Deviation::Isolate(number) => {
                 self.propose_change(number)?;
                 self.machine(number).isolated = true;
-                self.renew_fingerprint(number);
+                self.update_fingerprint(number);
             }
             Deviation::Heal => self.heal(),
             Deviation::Timeout(number) => {
@@ -647,19 +648,19 @@
 
     /// Takes a machine down, until it is restored.
     pub fn take_down(&mut self, number: usize) {
-        self.machine(number).lost = true;
-        self.renew_fingerprint(number);
+        self.machine(number).down = true;
+        self.update_fingerprint(number);
     }
 
     /// Injects a fault into the disk of a running machine.
     pub fn inject_disk_fault(&mut self, number: usize, disk_fault: DiskFault) {
         self.machine(number).disk_fault = Some(disk_fault);
-        self.renew_fingerprint(number);
+        self.update_fingerprint(number);
     }
 
-    /// Restarts a machine with its disk, and ends the disk's fault.
+    /// Restarts a machine with its disk and removes the fault of the disk.
     pub fn restore(&mut self, number: usize) {
-        self.machine(number).lost = false;
+        self.machine(number).down = false;
         self.machine(number).disk_fault = None;
         self.restart(number);
     }
@@ -679,12 +680,12 @@
     fn heal(&mut self) {
         for number in 0..self.machines.len() {
             self.machine(number).isolated = false;
-            self.renew_fingerprint(number);
+            self.update_fingerprint(number);
         }
         self.events.extend(std::mem::take(&mut self.delayed_events));
     }
 
-    /// The latest time on any machine's clock.
+    /// Returns the latest time on any machine's clock.
     pub fn now(&self) -> MonotonicTime {
         self.machines
             .iter()
@@ -693,7 +694,7 @@
             .unwrap_or_default()
     }
 
-    /// The machines of the voters, by the leader's newest version.
+    /// Returns the machines of the voters in the leader's newest version.
     pub fn voters(&self) -> Vec<usize> {
         let Some(leader) = self.leader() else {
             return Vec::new();
@@ -708,14 +709,15 @@
         members.iter().filter_map(machine_of).collect()
     }
 
-    /// The machines that are up, isolated or not.
+    /// Returns the machines that are up, whether isolated or not.
     pub fn running(&self) -> Vec<usize> {
         (0..self.machines.len())
-            .filter(|number| !self.machines[*number].lost)
+            .filter(|number| !self.machines[*number].down)
             .collect()
     }
 
-    /// Processes events and advances time until the condition holds; fails if it takes too long.
+    /// Processes events and advances time until the condition holds. Fails if the condition does not hold
+    /// after `MAX_QUIET_STEPS` advances.
     pub fn run_until(&mut self, condition: impl Fn(&Self) -> bool) -> Result<(), SafetyViolation> {
         let mut quiet_steps = 0;
         while !condition(self) {
@@ -731,7 +733,7 @@
         Ok(())
     }
 
-    /// Checks liveness: one more change is proposed and committed by the machines that run.
+    /// Checks liveness: the running machines must propose and commit one more change.
     pub fn make_progress(&mut self) -> Result<(), SafetyViolation> {
         self.run_until(|model| {
             model
--- a/crates/controlplane/tests/quorum_model/walk.rs
+++ b/crates/controlplane/tests/quorum_model/walk.rs
@@ -1,4 +1,4 @@
-//! Long random runs: losses up to what is tolerated, partitions, repairs and replacements.
+//! Long random runs with tolerated losses, partitions, repairs and replacements.
 
 use super::history::SafetyViolation;
 use super::model::{Deviation, DiskFault, Model, Setup};
@@ -7,10 +7,11 @@
 const CYCLES: usize = 4;
 const ACTIONS: u64 = 250;
 
-/// The losses in the first cycle, which begins with the three initial voters while others still join.
+/// The maximal number of losses in the first cycle, which starts with the three initial voters while other
+/// controllers still join.
 const LOSSES_WHILE_GROWING: usize = 1;
 
-/// Walks through cycles of losses, each followed by a repair, and returns the number of actions.
+/// Runs cycles of random actions and losses, each followed by repairs, and returns the number of actions.
 pub fn walk(setup: Setup) -> Result<usize, SafetyViolation> {
     let mut model = Model::new(setup);
     let mut rng = SeededRng::seeded(setup.seed);
@@ -21,8 +22,8 @@
         if cycle == 0 {
             losses.truncate(LOSSES_WHILE_GROWING);
         }
-        let most_actions = rng.below(ACTIONS);
-        for _ in 0..most_actions {
+        let action_count = rng.below(ACTIONS);
+        for _ in 0..action_count {
             take_action(&mut model, setup, &mut rng, &losses, &mut lost)?;
             actions += 1;
         }
@@ -39,7 +40,7 @@
         for number in lost {
             repair(&mut model, &mut rng, number)?;
             for _ in 0..rng.below(20) {
-                model.step_any(&mut rng)?;
+                model.step_random(&mut rng)?;
             }
         }
         model
@@ -49,17 +50,17 @@
     Ok(actions)
 }
 
-/// The machines to be lost in a cycle: some at random, or all of a zone.
+/// Chooses the machines to be lost in a cycle: random ones, or all of one zone.
 fn losses(model: &Model, setup: Setup, rng: &mut SeededRng) -> Vec<usize> {
     let running = model.running();
     let zone = rng.below(setup.zones as u64) as usize;
-    let of_zone: Vec<usize> = running
+    let in_zone: Vec<usize> = running
         .iter()
         .copied()
         .filter(|number| number % setup.zones == zone)
         .collect();
     if rng.random_bool(0.4) {
-        return of_zone;
+        return in_zone;
     }
     let mut losses = Vec::new();
     for _ in 0..setup.tolerance {
@@ -81,7 +82,7 @@
     let running = model.running();
     let any = running[rng.below(running.len() as u64) as usize];
     match rng.below(100) {
-        0..70 if !model.is_quiet() => model.step_any(rng),
+        0..70 if !model.is_quiet() => model.step_random(rng),
         0..78 => model.advance_time(),
         78..84 => match model.leader() {
             Some(leader) => model.propose_change(leader),
