--- a/crates/controlplane/src/consensus/election.rs
+++ b/crates/controlplane/src/consensus/election.rs
@@ -190,7 +190,7 @@
     fn is_leader_live(&self, now: MonotonicTime) -> bool {
         let last_alive_at = match &self.role {
             Role::Leader(heartbeats) => heartbeats.quorum_confirmed_at(),
-            _ => self.known_leader.last_heard_at,
+            _ => self.known_leader.last_received_at,
         };
         now.since(last_alive_at) < self.options.timing.election_timeout_min
     }
@@ -204,7 +204,7 @@
             .is_some_and(|controller_address| controller_address.address == address);
         if is_leader_address && matches!(self.role, Role::Follower) {
             self.known_leader.current = None;
-            self.known_leader.last_heard_at = now - self.options.timing.election_timeout_min;
+            self.known_leader.last_received_at = now - self.options.timing.election_timeout_min;
             let election_timeout = self
                 .rng
                 .within(LEADER_GONE_TIMEOUT_MIN, LEADER_GONE_TIMEOUT_MAX);
@@ -328,7 +328,7 @@
             controller_address: self.local.controller_address,
         });
         self.record_term_leader(term, self.local.id);
-        self.known_leader.last_heard_at = now;
+        self.known_leader.last_received_at = now;
         self.membership = self.inherited_membership.clone();
         self.outputs.push(ConsensusOutput::Elected {
             term,
@@ -374,7 +374,7 @@
             self.step_down(now, term);
         }
         self.known_leader.current = Some(leader);
-        self.known_leader.last_heard_at = now;
+        self.known_leader.last_received_at = now;
         self.reset_election_deadline(now);
         true
     }
--- a/crates/controlplane/src/consensus/heartbeats.rs
+++ b/crates/controlplane/src/consensus/heartbeats.rs
@@ -167,7 +167,7 @@
         };
         let last_confirmed_at = heartbeats
             .quorum_confirmed_at()
-            .max(self.known_leader.last_heard_at);
+            .max(self.known_leader.last_received_at);
         if now.since(last_confirmed_at) > self.options.timing.election_timeout_max {
             self.step_down(now, self.hard_state.term);
         }
--- a/crates/controlplane/src/consensus/membership.rs
+++ b/crates/controlplane/src/consensus/membership.rs
@@ -62,9 +62,13 @@
     /// Whether a frame of this controller arrived within twice the longest election timeout.
     fn is_alive(&self, now: MonotonicTime, id: ControllerId) -> bool {
         id == self.local.id
-            || self.peers.last_heard.get(&id).is_some_and(|last_heard_at| {
-                now.since(*last_heard_at) < self.options.timing.election_timeout_max * 2
-            })
+            || self
+                .peers
+                .last_received
+                .get(&id)
+                .is_some_and(|last_received_at| {
+                    now.since(*last_received_at) < self.options.timing.election_timeout_max * 2
+                })
     }
 
     /// Returns when this leader was elected, or zero if this node is not the leader.
@@ -78,7 +82,7 @@
     /// Returns since when this leader has received nothing from a controller.
     fn unreachable_since(&self, id: ControllerId) -> MonotonicTime {
         self.peers
-            .last_heard
+            .last_received
             .get(&id)
             .copied()
             .unwrap_or_default()
@@ -155,9 +159,10 @@
         }
         let peer_at_address = self.peers.by_address.get(&member.address);
         let is_superseded = peer_at_address.is_some_and(|peer| {
-            let last_heard_at = self.peers.last_heard.get(&member.id);
+            let last_received_at = self.peers.last_received.get(&member.id);
             peer.id != member.id
-                && last_heard_at.is_none_or(|last_heard_at| *last_heard_at < peer.present_since)
+                && last_received_at
+                    .is_none_or(|last_received_at| *last_received_at < peer.present_since)
         });
         let is_stalled = peer_at_address.is_some_and(|peer| {
             peer.id == member.id
--- a/crates/controlplane/src/consensus/mod.rs
+++ b/crates/controlplane/src/consensus/mod.rs
@@ -285,7 +285,8 @@
     /// alone is not enough to decide this, because a failed write postpones it.
     fn has_lost_leader(&self, now: MonotonicTime) -> bool {
         now >= self.timers.election_deadline
-            || now.since(self.known_leader.last_heard_at) > self.options.timing.election_timeout_max
+            || now.since(self.known_leader.last_received_at)
+                > self.options.timing.election_timeout_max
     }
 
     fn is_voter(&self, id: ControllerId) -> bool {
--- a/crates/controlplane/src/consensus/peers.rs
+++ b/crates/controlplane/src/consensus/peers.rs
@@ -10,7 +10,7 @@
 
 /// The maximal number of controllers for which the time of the last frame is kept; the one that has
 /// been silent longest is dropped first.
-const MAX_HEARD_CONTROLLERS: usize = 64;
+const MAX_TRACKED_CONTROLLERS: usize = 64;
 
 /// The state of another controller, as shown to operators.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
@@ -37,7 +37,7 @@
     pub accepted: DocumentVersion,
     /// Since when its disk has lagged behind the committed version without accepting a newer one.
     pub behind_since: Option<MonotonicTime>,
-    pub last_heard_at: MonotonicTime,
+    pub last_received_at: MonotonicTime,
     /// When a version was last sent to it.
     pub document_sent_at: MonotonicTime,
     /// The version last sent to it.
@@ -55,7 +55,7 @@
             zone,
             accepted: DocumentVersion::default(),
             behind_since: None,
-            last_heard_at: now,
+            last_received_at: now,
             document_sent_at: MonotonicTime::ZERO,
             last_sent_version: DocumentVersion::default(),
             present_since: now,
@@ -104,7 +104,7 @@
     /// The controller whose frame last arrived from each address.
     pub by_address: BTreeMap<SocketAddress, Peer>,
     /// When the last frame of each controller arrived, from any address.
-    pub last_heard: BTreeMap<ControllerId, MonotonicTime>,
+    pub last_received: BTreeMap<ControllerId, MonotonicTime>,
     /// The configured addresses.
     pub seeds: Vec<SocketAddress>,
     /// The addresses of the leader and the voters that another controller reported to this node while
@@ -117,7 +117,7 @@
     pub(super) fn new(seeds: Vec<SocketAddress>) -> Self {
         Self {
             by_address: BTreeMap::new(),
-            last_heard: BTreeMap::new(),
+            last_received: BTreeMap::new(),
             seeds,
             hinted_addresses: BTreeSet::new(),
         }
@@ -126,7 +126,7 @@
     /// Records that a frame of a controller arrived. If another controller was known at its address,
     /// this one replaces it, and everything known about the other's disk is dropped.
     pub(super) fn record(&mut self, now: MonotonicTime, contact: Contact, zone: Zone) {
-        self.record_last_heard(now, contact.id);
+        self.record_last_received(now, contact.id);
         let peer = self
             .by_address
             .entry(contact.controller_address.address)
@@ -137,21 +137,21 @@
         }
         peer.controller_address = contact.controller_address;
         peer.zone = zone;
-        peer.last_heard_at = now;
+        peer.last_received_at = now;
     }
 
-    fn record_last_heard(&mut self, now: MonotonicTime, id: ControllerId) {
-        self.last_heard.insert(id, now);
-        if self.last_heard.len() <= MAX_HEARD_CONTROLLERS {
+    fn record_last_received(&mut self, now: MonotonicTime, id: ControllerId) {
+        self.last_received.insert(id, now);
+        if self.last_received.len() <= MAX_TRACKED_CONTROLLERS {
             return;
         }
-        let longest_silent = self
-            .last_heard
+        let silent_longest = self
+            .last_received
             .iter()
-            .min_by_key(|(_, last_heard_at)| **last_heard_at)
+            .min_by_key(|(_, last_received_at)| **last_received_at)
             .map(|(id, _)| *id);
-        if let Some(longest_silent) = longest_silent {
-            self.last_heard.remove(&longest_silent);
+        if let Some(silent_longest) = silent_longest {
+            self.last_received.remove(&silent_longest);
         }
     }
 
@@ -201,7 +201,7 @@
                 controller_address: peer.controller_address,
                 accepted: peer.accepted,
                 is_voter: self.is_voter(peer.id),
-                silent_ms: now.since(peer.last_heard_at).as_millis() as u64,
+                silent_ms: now.since(peer.last_received_at).as_millis() as u64,
             })
             .collect()
     }
@@ -242,7 +242,7 @@
         let retained_addresses = self.hello_addresses();
         let retention = self.options.timing.unreachable_voter_timeout * 4;
         self.peers.by_address.retain(|address, peer| {
-            retained_addresses.contains(address) || now.since(peer.last_heard_at) < retention
+            retained_addresses.contains(address) || now.since(peer.last_received_at) < retention
         });
     }
 
--- a/crates/controlplane/src/consensus/state.rs
+++ b/crates/controlplane/src/consensus/state.rs
@@ -144,16 +144,16 @@
     /// The newest term whose leader is known, and that leader.
     pub term_leader: Option<(Term, ControllerId)>,
     /// When the last frame of the leader arrived; on the leader itself, when it was elected.
-    pub last_heard_at: MonotonicTime,
+    pub last_received_at: MonotonicTime,
 }
 
 impl LeaderKnowledge {
     /// Creates the state in which no leader is known.
-    pub(super) fn new(last_heard_at: MonotonicTime) -> Self {
+    pub(super) fn new(last_received_at: MonotonicTime) -> Self {
         Self {
             current: None,
             term_leader: None,
-            last_heard_at,
+            last_received_at,
         }
     }
 }
