--- a/crates/controlplane/src/consensus/replication.rs
+++ b/crates/controlplane/src/consensus/replication.rs
@@ -254,7 +254,7 @@
     }
 }
 
-/// The receiver's side of replication, and what both sides share.
+/// The receiver's side of replication, and the functions that both sides use.
 impl ConsensusNode {
     /// Handles a version sent in full.
     pub(super) fn handle_accept(
--- a/crates/controlplane/src/consensus/state.rs
+++ b/crates/controlplane/src/consensus/state.rs
@@ -59,7 +59,7 @@
 }
 
 impl HardState {
-    /// Restores the state from what was read from the disk.
+    /// Restores the state that was read from the disk.
     pub(super) fn restore(persisted: PersistedState) -> Self {
         let accepted_version = version_of(persisted.accepted.as_ref());
         let voted_term = persisted.voted_for.map_or(Term(0), |(term, _)| term);
@@ -165,7 +165,7 @@
     pub election_deadline: MonotonicTime,
     pub next_hello_at: MonotonicTime,
     pub next_scrub_at: MonotonicTime,
-    /// From when on the leader's next heartbeat round also goes to controllers that do not vote.
+    /// When a heartbeat round of the leader next also goes to controllers that do not vote.
     pub next_nonvoter_heartbeat_at: MonotonicTime,
     /// The number of pre-votes that may still use the short start-up timeout.
     pub startup_pre_votes: u32,
--- a/crates/controlplane/src/storage/directory.rs
+++ b/crates/controlplane/src/storage/directory.rs
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Whether the directory has a readable identity.
+    /// Whether the directory contains a readable identity.
     fn has_identity(&self) -> bool {
         self.read_file(file_names::IDENTITY).is_some()
     }
--- a/crates/controlplane/src/storage/mod.rs
+++ b/crates/controlplane/src/storage/mod.rs
@@ -11,7 +11,7 @@
 //! A file whose digest does not match is kept under another name for inspection. Before it is renamed,
 //! the consequence of its loss is recorded (see `recovery`): after the loss of a vote the node does not
 //! vote again in that term, and after the loss of the newest version it does not vote until it has a
-//! version at least as new. A node therefore never silently goes back on an acknowledgement.
+//! version at least as new. A node therefore never silently revokes a vote or an acknowledgement.
 
 mod directory;
 mod error;
--- a/crates/controlplane/src/storage/recovery.rs
+++ b/crates/controlplane/src/storage/recovery.rs
@@ -50,8 +50,8 @@
     /// Reads the persistent state. An empty directory gets the identity `fresh_id`. Damage is recorded,
     /// and damaged files are kept under other names.
     ///
-    /// If the identity is not readable, the owner of the other files is unknown: they are kept under
-    /// other names, and the controller starts with an empty state and the identity `fresh_id`.
+    /// If the identity is not readable, the owner of the votes and versions is unknown: they are kept
+    /// under other names, and the controller starts without them, with the identity `fresh_id`.
     ///
     /// # Errors
     ///
--- a/crates/controlplane/tests/quorum_proofs.rs
+++ b/crates/controlplane/tests/quorum_proofs.rs
@@ -1,5 +1,5 @@
-//! Which frames a single controller may send, and which conditions must hold before: with frames that
-//! arrive late or out of order, with failed writes, and after the process was suspended.
+//! The conditions under which a single controller may send a frame or report a leader: when frames arrive
+//! late, when writes fail, and after the process was suspended.
 
 #[path = "../../../testing/support/consensus_peers.rs"]
 mod consensus_peers;
