--- a/crates/controlplane/src/consensus/membership.rs
+++ b/crates/controlplane/src/consensus/membership.rs
@@ -47,13 +47,13 @@
         document: &Document,
         controller_ids: &BTreeSet<ControllerId>,
     ) -> bool {
-        let has_majority = |members: &[Voter]| {
-            members
+        let has_majority = |voters: &[Voter]| {
+            voters
                 .iter()
-                .filter(|member| controller_ids.contains(&member.id))
+                .filter(|voter| controller_ids.contains(&voter.id))
                 .count()
                 * 2
-                > members.len()
+                > voters.len()
         };
         has_majority(&document.voters)
             && (document.previous_voters.is_empty() || has_majority(&document.previous_voters))
@@ -137,8 +137,8 @@
         let missing: BTreeSet<ControllerId> = document
             .voters
             .iter()
-            .filter(|member| self.is_missing(now, member))
-            .map(|member| member.id)
+            .filter(|voter| self.is_missing(now, voter))
+            .map(|voter| voter.id)
             .collect();
         let plan = QuorumPlan {
             quorum_policy: self.options.quorum_policy,
@@ -153,25 +153,25 @@
 
     /// Whether a voter counts as lost: it has been silent for too long, its disk accepts no versions, or
     /// another controller is now at its address.
-    fn is_missing(&self, now: MonotonicTime, member: &Voter) -> bool {
-        if member.id == self.local.id {
+    fn is_missing(&self, now: MonotonicTime, voter: &Voter) -> bool {
+        if voter.id == self.local.id {
             return false;
         }
-        let peer_at_address = self.peers.by_address.get(&member.address);
+        let peer_at_address = self.peers.by_address.get(&voter.address);
         let is_superseded = peer_at_address.is_some_and(|peer| {
-            let last_received_at = self.peers.last_received.get(&member.id);
-            peer.id != member.id
+            let last_received_at = self.peers.last_received.get(&voter.id);
+            peer.id != voter.id
                 && last_received_at
                     .is_none_or(|last_received_at| *last_received_at < peer.present_since)
         });
         let is_stalled = peer_at_address.is_some_and(|peer| {
-            peer.id == member.id
+            peer.id == voter.id
                 && peer.behind_since.is_some_and(|behind_since| {
                     now.since(behind_since.max(self.elected_at()))
                         > self.options.timing.stalled_voter_timeout
                 })
         });
-        let unreachable_for = now.since(self.unreachable_since(member.id));
+        let unreachable_for = now.since(self.unreachable_since(voter.id));
         is_superseded
             || is_stalled
             || unreachable_for > self.options.timing.unreachable_voter_timeout
@@ -194,7 +194,7 @@
             .voters
             .iter()
             .chain(&next_document.previous_voters)
-            .map(|member| member.id)
+            .map(|voter| voter.id)
             .filter(|id| self.is_alive(now, *id))
             .collect();
         if Self::is_majority_of(&next_document, &alive) {
@@ -233,7 +233,7 @@
             .iter()
             .find(|candidate| candidate.id == successor);
         let successor = matching_candidate.ok_or(MembershipError::NoSuchCandidate)?;
-        let remaining_voters = document.voters.iter().filter(|member| member.id != missing);
+        let remaining_voters = document.voters.iter().filter(|voter| voter.id != missing);
         let next_voters = remaining_voters.chain([successor]).cloned().collect();
         let next_document = self.joint_document(now, document, next_voters)?;
         let version = next_document.document_version.version;
@@ -245,11 +245,8 @@
     pub(super) fn advance_membership_change(&mut self, now: MonotonicTime) {
         if let Some(mut document) = self.next_membership_step(now) {
             document.document_version.term = self.hard_state.term;
-            let addresses: Vec<SocketAddress> = document
-                .voters
-                .iter()
-                .map(|member| member.address)
-                .collect();
+            let addresses: Vec<SocketAddress> =
+                document.voters.iter().map(|voter| voter.address).collect();
             self.outputs.push(ConsensusOutput::MembershipChange {
                 addresses,
                 settled: document.previous_voters.is_empty(),
@@ -288,7 +285,7 @@
         .voters
         .iter()
         .chain(&document.previous_voters)
-        .find(|member| member.id == id)?;
+        .find(|voter| voter.id == id)?;
     let mut recovered_document =
         document.with_voters(vec![own_voter.clone()], membership_change_id(document));
     recovered_document.previous_voters = Vec::new();
--- a/crates/controlplane/tests/membership_change.rs
+++ b/crates/controlplane/tests/membership_change.rs
@@ -173,9 +173,9 @@
         self.advance_time(Duration::from_secs(3));
     }
 
-    fn members(&self, number: usize) -> Vec<u64> {
+    fn voter_ids(&self, number: usize) -> Vec<u64> {
         let document = self.nodes[number].accepted().expect("a document");
-        let mut ids: Vec<u64> = document.voters.iter().map(|member| member.id.0).collect();
+        let mut ids: Vec<u64> = document.voters.iter().map(|voter| voter.id.0).collect();
         ids.sort_unstable();
         ids
     }
@@ -196,7 +196,7 @@
     cluster.stopped = BTreeSet::from([2]);
     cluster.advance_time(Duration::from_secs(8));
     let leader = cluster.leader().expect("a leader");
-    verify_that!(cluster.members(leader), eq(&vec![1, 2, 4]))?;
+    verify_that!(cluster.voter_ids(leader), eq(&vec![1, 2, 4]))?;
     verify_that!(cluster.membership_changes.last(), some(eq(&true)))?;
     cluster.stopped.insert(leader);
     cluster.advance_time(Duration::from_secs(3));
@@ -249,7 +249,7 @@
     verify_that!(committed_on_leaders_side(&cluster, leader), eq(0))?;
     let next_leader = cluster.leader().expect("a leader on the other side");
     verify_that!(next_leader == other || next_leader == 2, eq(true))?;
-    verify_that!(cluster.members(next_leader), eq(&vec![1, 2, 3]))?;
+    verify_that!(cluster.voter_ids(next_leader), eq(&vec![1, 2, 3]))?;
     cluster.partitions.clear();
     cluster.advance_time(Duration::from_secs(3));
     let document_versions: BTreeSet<DocumentVersion> = (0..4)
@@ -287,11 +287,8 @@
     let leader = cluster.leader().expect("a leader");
     let other_voters: Vec<usize> = (0..3).filter(|number| *number != leader).collect();
     let id = |number: usize| ControllerId(number as u64 + 1);
-    let unknown_member = cluster.nodes[leader].replace_voter(cluster.now, ControllerId(99), id(3));
-    verify_that!(
-        unknown_member.err(),
-        some(eq(MembershipError::NoSuchMember))
-    )?;
+    let unknown_voter = cluster.nodes[leader].replace_voter(cluster.now, ControllerId(99), id(3));
+    verify_that!(unknown_voter.err(), some(eq(MembershipError::NoSuchMember)))?;
     let unknown_candidate =
         cluster.nodes[leader].replace_voter(cluster.now, id(other_voters[0]), ControllerId(99));
     verify_that!(
@@ -348,8 +345,7 @@
     let accepted_document = cluster.nodes[0].accepted().expect("a document").clone();
     let changed = accepted_document.with_zone("l0".into(), true, ChangeId::from("x"));
     let recovered_document =
-        controlplane::consensus::single_voter_document(&changed, ControllerId(1))
-            .expect("a member");
+        controlplane::consensus::single_voter_document(&changed, ControllerId(1)).expect("a voter");
     verify_that!(
         controlplane::consensus::single_voter_document(&changed, ControllerId(77)).is_none(),
         eq(true)
@@ -370,10 +366,10 @@
     cluster.stopped = BTreeSet::from([1, 2, 3]);
     cluster.advance_time(Duration::from_secs(2));
     verify_that!(cluster.leader(), some(eq(0)))?;
-    verify_that!(cluster.members(0), eq(&vec![1]))?;
+    verify_that!(cluster.voter_ids(0), eq(&vec![1]))?;
     cluster.stopped = BTreeSet::from([3]);
     cluster.advance_time(Duration::from_secs(4));
-    verify_that!(cluster.members(0), eq(&vec![1, 12, 13]))
+    verify_that!(cluster.voter_ids(0), eq(&vec![1, 12, 13]))
 }
 
 #[gtest]
--- a/crates/controlplane/tests/quorum_model/model.rs
+++ b/crates/controlplane/tests/quorum_model/model.rs
@@ -313,8 +313,8 @@
         let rows = self.machines.iter().enumerate().map(|(number, machine)| {
             let consensus = &machine.consensus;
             let held_version = consensus.accepted();
-            let ids = |members: &[Voter]| -> Vec<u64> {
-                members.iter().map(|member| member.id.0).collect()
+            let ids = |voters: &[Voter]| -> Vec<u64> {
+                voters.iter().map(|voter| voter.id.0).collect()
             };
             format!(
                 "{number}: id {} incarnation {} down {} isolated {} term {} ready {} proposing {} accepted {:?} voters {:?} previous voters {:?}",
@@ -371,9 +371,9 @@
         let Some(document) = consensus.accepted() else {
             return false;
         };
-        let is_caught_up = |member: &Voter| {
+        let is_caught_up = |voter: &Voter| {
             self.machines.iter().any(|machine| {
-                machine.consensus.id() == member.id
+                machine.consensus.id() == voter.id
                     && !machine.down
                     && !machine.isolated
                     && machine.consensus.accepted().is_some_and(|held_version| {
@@ -700,13 +700,13 @@
             return Vec::new();
         };
         let document = self.machines[leader].consensus.accepted();
-        let members = document.map_or(&[][..], |document| &document.voters);
-        let machine_of = |member: &Voter| {
+        let voters = document.map_or(&[][..], |document| &document.voters);
+        let machine_of = |voter: &Voter| {
             self.machines
                 .iter()
-                .position(|machine| machine.consensus.id() == member.id)
+                .position(|machine| machine.consensus.id() == voter.id)
         };
-        members.iter().filter_map(machine_of).collect()
+        voters.iter().filter_map(machine_of).collect()
     }
 
     /// Returns the machines that are up, whether isolated or not.
--- a/crates/controlplane/tests/quorum_plan.rs
+++ b/crates/controlplane/tests/quorum_plan.rs
@@ -8,7 +8,7 @@
 use googletest::prelude::*;
 use std::collections::BTreeSet;
 
-fn member(id: u64, zone: &str) -> Voter {
+fn voter_in(id: u64, zone: &str) -> Voter {
     let address = SocketAddress(format!("10.0.0.{id}:1").parse().expect("an address"));
     Voter {
         id: ControllerId(id),
@@ -17,8 +17,8 @@
     }
 }
 
-fn members(zones: &[(u64, &str)]) -> Vec<Voter> {
-    zones.iter().map(|(id, zone)| member(*id, zone)).collect()
+fn voters_in(zones: &[(u64, &str)]) -> Vec<Voter> {
+    zones.iter().map(|(id, zone)| voter_in(*id, zone)).collect()
 }
 
 /// Returns the sorted identities of the next voters; empty if the voters do not change.
@@ -28,7 +28,7 @@
     missing: &[u64],
     candidates: &[(u64, &str)],
 ) -> Vec<u64> {
-    let voters = members(voters);
+    let voters = voters_in(voters);
     let missing = missing
         .iter()
         .copied()
@@ -39,7 +39,7 @@
         voters: &voters,
         leader: voters[0].id,
         missing: &missing,
-        candidates: members(candidates),
+        candidates: voters_in(candidates),
     };
     let mut ids: Vec<u64> = plan
         .next_voters()
--- a/crates/controlplane/tests/storage.rs
+++ b/crates/controlplane/tests/storage.rs
@@ -42,12 +42,12 @@
 }
 
 fn document_versions(count: u64) -> Vec<Document> {
-    let member = Voter {
+    let voter = Voter {
         id: ControllerId(7),
         address: SocketAddress::UNSPECIFIED,
         zone: "here".into(),
     };
-    let mut stored_versions = vec![Document::founding(vec![member])];
+    let mut stored_versions = vec![Document::founding(vec![voter])];
     for number in 1..count {
         let last = stored_versions.last().expect("one");
         let zone = Zone::from(format!("l{number}"));
