--- a/crates/dataplane/src/agent/daemon_control/view_outputs.rs
+++ b/crates/dataplane/src/agent/daemon_control/view_outputs.rs
@@ -1,4 +1,4 @@
-//! Application of the cluster view's outputs to the agent.
+//! Applies the cluster view's outputs to the agent.
 
 use super::{Agent, DaemonControl, DaemonControlOutput};
 use crate::cluster_view::{ClusterViewOutput, FunctionCommand};
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Applies a leader's command to a held function; one about a lease that is not held is ignored.
+    /// Applies a command from the leader to a held function. A command for a lease that is not held is ignored.
     fn apply_command(
         &mut self,
         agent: &Agent<W>,
@@ -123,7 +123,7 @@
         self.log_event(events::STREAM_LOST, String::new());
         self.outputs.push(DaemonControlOutput::AcquiresLost);
         for (function, fencing_token) in lost_reserves {
-            if let Some(held) = agent.held(&function, fencing_token) {
+            if let Some(held) = agent.held_under_lease(&function, fencing_token) {
                 held.with(|holder| holder.reserve_failed(now));
             }
         }
@@ -169,7 +169,7 @@
         function: &FunctionKey,
         fencing_token: FencingToken,
     ) {
-        if let Some(held) = agent.held(function, fencing_token) {
+        if let Some(held) = agent.held_under_lease(function, fencing_token) {
             self.remove(agent, function);
             self.close(agent, now, &held);
             self.report_orphaned_runners(&held);
