--- a/crates/controlplane/src/controller_state/io.rs
+++ b/crates/controlplane/src/controller_state/io.rs
@@ -15,8 +15,8 @@
     Tick,
     /// Another controller's frame.
     Consensus(ConsensusFrame),
-    /// A write has ended.
-    Written(Ticket, WriteResult),
+    /// A disk write has completed.
+    WriteCompleted(Ticket, WriteResult),
     /// A daemon's frame.
     Stream(StreamId, DaemonToLeader),
     /// A daemon's stream has ended.
--- a/crates/controlplane/src/controller_state/mod.rs
+++ b/crates/controlplane/src/controller_state/mod.rs
@@ -152,7 +152,9 @@
                 let consensus_outputs = self.consensus.receive(now, frame);
                 self.execute(now, consensus_outputs);
             }
-            ControllerInput::Written(ticket, result) => self.write_completed(now, ticket, result),
+            ControllerInput::WriteCompleted(ticket, result) => {
+                self.write_completed(now, ticket, result)
+            }
             ControllerInput::Stream(stream, frame) => self.handle_stream_frame(now, stream, frame),
             ControllerInput::Operate(ticket, operation) => self.operate(now, ticket, operation),
             ControllerInput::CallerDisconnected(ticket) => self.drop_disconnected_caller(ticket),
--- a/crates/controlplane/src/drivers/disk.rs
+++ b/crates/controlplane/src/drivers/disk.rs
@@ -29,7 +29,7 @@
                     }
                 };
                 if inputs
-                    .blocking_send(ControllerInput::Written(ticket, result))
+                    .blocking_send(ControllerInput::WriteCompleted(ticket, result))
                     .is_err()
                 {
                     return;
--- a/crates/controlplane/src/drivers/queue.rs
+++ b/crates/controlplane/src/drivers/queue.rs
@@ -46,7 +46,7 @@
         match input {
             ControllerInput::Tick => Self::Tick,
             ControllerInput::Consensus(_) | ControllerInput::ProcessGone(_) => Self::Quorum,
-            ControllerInput::Written(..) => Self::Disk,
+            ControllerInput::WriteCompleted(..) => Self::Disk,
             ControllerInput::Stream(..) | ControllerInput::StreamLost(_) => Self::Daemon,
             ControllerInput::Workers(_)
             | ControllerInput::Runners(..)
--- a/crates/controlplane/tests/controller_state/cluster.rs
+++ b/crates/controlplane/tests/controller_state/cluster.rs
@@ -318,7 +318,7 @@
                             self.persist(number, &job);
                             self.feed(
                                 number,
-                                ControllerInput::Written(ticket, WriteResult::Synced),
+                                ControllerInput::WriteCompleted(ticket, WriteResult::Synced),
                             );
                         }
                     }
--- a/crates/controlplane/tests/queue.rs
+++ b/crates/controlplane/tests/queue.rs
@@ -32,7 +32,7 @@
         .send(ControllerInput::ProcessGone(SocketAddress::UNSPECIFIED))
         .await
         .expect("queued");
-    let written = ControllerInput::Written(Ticket(1), WriteResult::Synced);
+    let written = ControllerInput::WriteCompleted(Ticket(1), WriteResult::Synced);
     sender.send(written).await.expect("queued");
     let hour = Duration::from_secs(3600);
     assert_that!(next_kind(&mut queue, hour).await, eq(InputKind::Quorum));
--- a/testing/fleet/src/sim/dispatch.rs
+++ b/testing/fleet/src/sim/dispatch.rs
@@ -51,7 +51,7 @@
                 }
             }
             ControllerEvent::Written(node, _, ticket, result) => {
-                self.step_controller(node.0, ControllerInput::Written(ticket, result));
+                self.step_controller(node.0, ControllerInput::WriteCompleted(ticket, result));
             }
             ControllerEvent::Lists(node, _, workers, content_at, runners) => {
                 self.step_controller(node.0, ControllerInput::Workers(workers));
--- a/testing/fleet/src/synthetic/controllers.rs
+++ b/testing/fleet/src/synthetic/controllers.rs
@@ -93,7 +93,7 @@
             ControllerEvent::Poll => self.poll(controller),
             ControllerEvent::Consensus(frame) => self.handle_consensus_frame(controller, &frame),
             ControllerEvent::Written(ticket) => {
-                let input = ControllerInput::Written(ticket, WriteResult::Synced);
+                let input = ControllerInput::WriteCompleted(ticket, WriteResult::Synced);
                 self.step_controller(controller, Work::Disk, input);
             }
             ControllerEvent::RunnerStopped(runner) => {
