--- a/crates/controlplane/src/controller_state/io.rs
+++ b/crates/controlplane/src/controller_state/io.rs
@@ -18,7 +18,7 @@
     /// A disk write has completed.
     WriteCompleted(Ticket, WriteResult),
     /// A daemon's frame.
-    Stream(StreamId, DaemonToLeader),
+    DaemonFrame(StreamId, DaemonToLeader),
     /// A daemon's stream has ended.
     StreamLost(StreamId),
     /// The platform's workers.
--- a/crates/controlplane/src/controller_state/mod.rs
+++ b/crates/controlplane/src/controller_state/mod.rs
@@ -155,7 +155,9 @@
             ControllerInput::WriteCompleted(ticket, result) => {
                 self.write_completed(now, ticket, result)
             }
-            ControllerInput::Stream(stream, frame) => self.handle_stream_frame(now, stream, frame),
+            ControllerInput::DaemonFrame(stream, frame) => {
+                self.handle_stream_frame(now, stream, frame)
+            }
             ControllerInput::Operate(ticket, operation) => self.operate(now, ticket, operation),
             ControllerInput::CallerDisconnected(ticket) => self.drop_disconnected_caller(ticket),
             ControllerInput::ProcessGone(address) => {
--- a/crates/controlplane/src/drivers/queue.rs
+++ b/crates/controlplane/src/drivers/queue.rs
@@ -47,7 +47,7 @@
             ControllerInput::Tick => Self::Tick,
             ControllerInput::Consensus(_) | ControllerInput::ProcessGone(_) => Self::Quorum,
             ControllerInput::WriteCompleted(..) => Self::Disk,
-            ControllerInput::Stream(..) | ControllerInput::StreamLost(_) => Self::Daemon,
+            ControllerInput::DaemonFrame(..) | ControllerInput::StreamLost(_) => Self::Daemon,
             ControllerInput::Workers(_)
             | ControllerInput::Runners(..)
             | ControllerInput::RunnerStopped(_) => Self::Platform,
--- a/crates/controlplane/src/drivers/streams.rs
+++ b/crates/controlplane/src/drivers/streams.rs
@@ -141,7 +141,7 @@
     loop {
         let frame: DaemonToLeader = read_frame(&mut reader).await?;
         shared.metrics.frames_up.inc();
-        let input = ControllerInput::Stream(stream, frame);
+        let input = ControllerInput::DaemonFrame(stream, frame);
         if shared.inputs.send(input).await.is_err() {
             return Ok(());
         }
--- a/crates/controlplane/tests/controller_state/cluster.rs
+++ b/crates/controlplane/tests/controller_state/cluster.rs
@@ -382,7 +382,10 @@
 
     /// Sends a daemon's frame on a new stream.
     pub fn stream(&mut self, number: usize, stream: u64, frame: common::frames::DaemonToLeader) {
-        self.feed(number, ControllerInput::Stream(StreamId(stream), frame));
+        self.feed(
+            number,
+            ControllerInput::DaemonFrame(StreamId(stream), frame),
+        );
     }
 
     /// The newest version on a controller's disk.
--- a/testing/fleet/src/sim/connections.rs
+++ b/testing/fleet/src/sim/connections.rs
@@ -105,7 +105,7 @@
             return;
         };
         let index = link.controller.0;
-        self.step_controller(index, ControllerInput::Stream(StreamId(number), frame));
+        self.step_controller(index, ControllerInput::DaemonFrame(StreamId(number), frame));
     }
 
     /// Delivers a controller's frame to the daemon, if it still uses the link.
--- a/testing/fleet/src/synthetic/controllers.rs
+++ b/testing/fleet/src/synthetic/controllers.rs
@@ -234,7 +234,7 @@
         let Some(frame) = wire::decode_received(&mut self.meter, role, work, bytes) else {
             return;
         };
-        let input = ControllerInput::Stream(StreamId(link as u64), frame);
+        let input = ControllerInput::DaemonFrame(StreamId(link as u64), frame);
         self.step_controller(controller, work, input);
     }
 
