--- a/crates/controlplane/src/controller_state/io.rs
+++ b/crates/controlplane/src/controller_state/io.rs
@@ -32,7 +32,7 @@
     /// The connection of the operation's caller has ended; nobody reads its reply any more.
     CallerDisconnected(OperationTicket),
     /// Connections to this address are refused: the process there has ended.
-    ProcessGone(SocketAddress),
+    ProcessExited(SocketAddress),
     /// The seed addresses have changed.
     Seeds(Vec<SocketAddress>),
     /// The process is about to end.
--- a/crates/controlplane/src/controller_state/mod.rs
+++ b/crates/controlplane/src/controller_state/mod.rs
@@ -160,7 +160,7 @@
             }
             ControllerInput::Operate(ticket, operation) => self.operate(now, ticket, operation),
             ControllerInput::CallerDisconnected(ticket) => self.drop_disconnected_caller(ticket),
-            ControllerInput::ProcessGone(address) => {
+            ControllerInput::ProcessExited(address) => {
                 self.consensus.leader_process_ended(now, address);
             }
             ControllerInput::Seeds(seeds) => self.consensus.update_seeds(seeds),
--- a/crates/controlplane/src/drivers/queue.rs
+++ b/crates/controlplane/src/drivers/queue.rs
@@ -45,7 +45,7 @@
     pub fn of(input: &ControllerInput) -> Self {
         match input {
             ControllerInput::Tick => Self::Tick,
-            ControllerInput::Consensus(_) | ControllerInput::ProcessGone(_) => Self::Quorum,
+            ControllerInput::Consensus(_) | ControllerInput::ProcessExited(_) => Self::Quorum,
             ControllerInput::WriteCompleted(..) => Self::Disk,
             ControllerInput::DaemonFrame(..) | ControllerInput::StreamLost(_) => Self::Daemon,
             ControllerInput::Workers(_)
--- a/crates/controlplane/src/drivers/streams.rs
+++ b/crates/controlplane/src/drivers/streams.rs
@@ -97,7 +97,7 @@
             Ok(Err(error)) if is_refusal(error.kind()) => {
                 let _ = shared
                     .inputs
-                    .send(ControllerInput::ProcessGone(address))
+                    .send(ControllerInput::ProcessExited(address))
                     .await;
                 return;
             }
--- a/crates/controlplane/tests/controller_state/cluster.rs
+++ b/crates/controlplane/tests/controller_state/cluster.rs
@@ -203,7 +203,7 @@
         }
         for other in 0..self.nodes.len() {
             if other != number && !self.cut_links.contains(&(other, number)) {
-                self.feed(other, ControllerInput::ProcessGone(address(number)));
+                self.feed(other, ControllerInput::ProcessExited(address(number)));
             }
         }
     }
--- a/crates/controlplane/tests/queue.rs
+++ b/crates/controlplane/tests/queue.rs
@@ -29,7 +29,7 @@
 async fn leadership_does_not_wait_behind_daemons() {
     let (sender, mut queue) = queue_of_daemons(1_000).await;
     sender
-        .send(ControllerInput::ProcessGone(SocketAddress::UNSPECIFIED))
+        .send(ControllerInput::ProcessExited(SocketAddress::UNSPECIFIED))
         .await
         .expect("queued");
     let written = ControllerInput::WriteCompleted(Ticket(1), WriteResult::Synced);
@@ -56,7 +56,7 @@
     let (sender, queue) = input_queue();
     drop(queue);
     let sent = sender
-        .send(ControllerInput::ProcessGone(SocketAddress::UNSPECIFIED))
+        .send(ControllerInput::ProcessExited(SocketAddress::UNSPECIFIED))
         .await;
     assert_that!(sent.is_err(), eq(true));
     assert_that!(sender.is_closed(), eq(true));
--- a/testing/fleet/src/sim/dispatch.rs
+++ b/testing/fleet/src/sim/dispatch.rs
@@ -43,7 +43,7 @@
                 self.step_controller(node.0, ControllerInput::Consensus(frame))
             }
             ControllerEvent::ControllerGone(node, address) => {
-                self.step_controller(node.0, ControllerInput::ProcessGone(address));
+                self.step_controller(node.0, ControllerInput::ProcessExited(address));
             }
             ControllerEvent::Durable(node, incarnation, job) => {
                 if self.nodes.controller(node.0).incarnation == incarnation {
