--- a/crates/controlplane/src/controller_state/io.rs
+++ b/crates/controlplane/src/controller_state/io.rs
@@ -28,7 +28,7 @@
     /// The platform confirmed that a runner has stopped.
     RunnerStopped(RunnerId),
     /// An operator's request.
-    Operate(OperationTicket, Operation),
+    OperatorRequest(OperationTicket, Operation),
     /// The connection of the operation's caller has ended; nobody reads its reply any more.
     CallerDisconnected(OperationTicket),
     /// Connections to this address are refused: the process there has ended.
--- a/crates/controlplane/src/controller_state/mod.rs
+++ b/crates/controlplane/src/controller_state/mod.rs
@@ -158,7 +158,9 @@
             ControllerInput::DaemonFrame(stream, frame) => {
                 self.handle_stream_frame(now, stream, frame)
             }
-            ControllerInput::Operate(ticket, operation) => self.operate(now, ticket, operation),
+            ControllerInput::OperatorRequest(ticket, operation) => {
+                self.operate(now, ticket, operation)
+            }
             ControllerInput::CallerDisconnected(ticket) => self.drop_disconnected_caller(ticket),
             ControllerInput::ProcessExited(address) => {
                 self.consensus.leader_process_ended(now, address);
--- a/crates/controlplane/src/drivers/controller.rs
+++ b/crates/controlplane/src/drivers/controller.rs
@@ -322,7 +322,7 @@
         }
         self.handle(QueuedInput::now(ControllerInput::Stop));
         for queued in queue.close() {
-            if matches!(queued.input, ControllerInput::Operate(..)) {
+            if matches!(queued.input, ControllerInput::OperatorRequest(..)) {
                 self.handle(queued);
             }
         }
@@ -330,7 +330,10 @@
     }
 
     fn handle(&mut self, QueuedInput { input, queued_at }: QueuedInput) {
-        if matches!(input, ControllerInput::Operate(_, Operation::Metrics)) {
+        if matches!(
+            input,
+            ControllerInput::OperatorRequest(_, Operation::Metrics)
+        ) {
             self.shared.metrics.set(&self.controller_state);
         }
         let kind = InputKind::of(&input);
--- a/crates/controlplane/src/drivers/queue.rs
+++ b/crates/controlplane/src/drivers/queue.rs
@@ -51,7 +51,9 @@
             ControllerInput::Workers(_)
             | ControllerInput::Runners(..)
             | ControllerInput::RunnerStopped(_) => Self::Platform,
-            ControllerInput::Operate(..) | ControllerInput::CallerDisconnected(_) => Self::Operator,
+            ControllerInput::OperatorRequest(..) | ControllerInput::CallerDisconnected(_) => {
+                Self::Operator
+            }
             ControllerInput::Seeds(_) | ControllerInput::Stop => Self::Settings,
         }
     }
--- a/crates/controlplane/src/drivers/shared.rs
+++ b/crates/controlplane/src/drivers/shared.rs
@@ -199,7 +199,7 @@
         }
         let submitted = self
             .inputs
-            .send(ControllerInput::Operate(ticket, operation))
+            .send(ControllerInput::OperatorRequest(ticket, operation))
             .await;
         if submitted.is_err() {
             return not_handled;
--- a/crates/controlplane/tests/controller_state/cluster.rs
+++ b/crates/controlplane/tests/controller_state/cluster.rs
@@ -364,7 +364,7 @@
     pub fn submit(&mut self, number: usize, operation: Operation) -> OperationTicket {
         self.last_number += 1;
         let ticket = OperationTicket(self.last_number);
-        self.feed(number, ControllerInput::Operate(ticket, operation));
+        self.feed(number, ControllerInput::OperatorRequest(ticket, operation));
         ticket
     }
 
--- a/testing/fleet/src/sim/dispatch.rs
+++ b/testing/fleet/src/sim/dispatch.rs
@@ -58,7 +58,7 @@
                 self.step_controller(node.0, ControllerInput::Runners(content_at, runners));
             }
             ControllerEvent::Operate(node, ticket, operation) => {
-                self.step_controller(node.0, ControllerInput::Operate(ticket, operation));
+                self.step_controller(node.0, ControllerInput::OperatorRequest(ticket, operation));
             }
             ControllerEvent::Withdraw(node, ticket) => {
                 self.step_controller(node.0, ControllerInput::CallerDisconnected(ticket));
--- a/testing/fleet/src/synthetic/controllers.rs
+++ b/testing/fleet/src/synthetic/controllers.rs
@@ -101,7 +101,7 @@
                 self.step_controller(controller, Work::Runners, input);
             }
             ControllerEvent::Operate(ticket, operation) => {
-                let input = ControllerInput::Operate(ticket, *operation);
+                let input = ControllerInput::OperatorRequest(ticket, *operation);
                 self.step_controller(controller, Work::Changes, input);
             }
         }
