--- a/crates/controlplane/src/controller_state/io.rs
+++ b/crates/controlplane/src/controller_state/io.rs
@@ -49,7 +49,7 @@
     /// Send a frame on a daemon's stream.
     FrameToDaemon(StreamId, LeaderToDaemon),
     /// End a daemon's stream.
-    Close(StreamId),
+    CloseStream(StreamId),
     /// Read the platform's lists at once.
     RequestLists,
     /// Have the platform stop a runner.
--- a/crates/controlplane/src/controller_state/mod.rs
+++ b/crates/controlplane/src/controller_state/mod.rs
@@ -246,7 +246,7 @@
         let frame = LeaderToDaemon::Redirect { leader };
         self.outputs
             .push(ControllerOutput::FrameToDaemon(stream, frame));
-        self.outputs.push(ControllerOutput::Close(stream));
+        self.outputs.push(ControllerOutput::CloseStream(stream));
     }
 
     /// What follows every input: operations and changes that can go on, then the leader's own work.
--- a/crates/controlplane/src/drivers/controller.rs
+++ b/crates/controlplane/src/drivers/controller.rs
@@ -373,7 +373,7 @@
                 }
             }
             ControllerOutput::FrameToDaemon(stream, frame) => shared.streams.send(stream, frame),
-            ControllerOutput::Close(stream) => shared.streams.close(stream),
+            ControllerOutput::CloseStream(stream) => shared.streams.close(stream),
             ControllerOutput::RequestLists => shared.list_refresh_requested.notify_one(),
             ControllerOutput::StopRunner(order) => {
                 // Detached: it ends with the platform's response or the adapter's timeout.
--- a/testing/fleet/src/sim/controller.rs
+++ b/testing/fleet/src/sim/controller.rs
@@ -245,7 +245,7 @@
             }
             ControllerOutput::Write(ticket, job) => self.write(index, ticket, job),
             ControllerOutput::FrameToDaemon(stream, frame) => self.send_down(stream, frame),
-            ControllerOutput::Close(stream) => self.close_link(stream.0),
+            ControllerOutput::CloseStream(stream) => self.close_link(stream.0),
             ControllerOutput::RequestLists => self.read_lists(index),
             ControllerOutput::StopRunner(order) => {
                 let requester = self.nodes.controller(index).requester();
--- a/testing/fleet/src/synthetic/controllers.rs
+++ b/testing/fleet/src/synthetic/controllers.rs
@@ -165,7 +165,7 @@
             ControllerOutput::FrameToDaemon(stream, frame) => {
                 self.send_down(controller, stream, &frame)
             }
-            ControllerOutput::Close(stream) => self.close_link(stream.0 as usize),
+            ControllerOutput::CloseStream(stream) => self.close_link(stream.0 as usize),
             ControllerOutput::RequestLists => self.read_lists(controller),
             ControllerOutput::StopRunner(order) => {
                 let runner = order.runner;
