--- a/crates/controlplane/src/controller_state/consensus_outputs.rs
+++ b/crates/controlplane/src/controller_state/consensus_outputs.rs
@@ -41,7 +41,7 @@
     /// Numbers an event, retains it and hands it out.
     pub(super) fn record_event(&mut self, event_record: EventRecord) {
         let numbered = self.history.add(event_record);
-        self.outputs.push(ControllerOutput::EventRecord(numbered));
+        self.outputs.push(ControllerOutput::EventRecorded(numbered));
     }
 
     fn elected(
--- a/crates/controlplane/src/controller_state/io.rs
+++ b/crates/controlplane/src/controller_state/io.rs
@@ -57,5 +57,5 @@
     /// Reply to an operator.
     OperatorReply(OperationTicket, OperationReply),
     /// An event was recorded.
-    EventRecord(NumberedEvent),
+    EventRecorded(NumberedEvent),
 }
--- a/crates/controlplane/src/drivers/controller.rs
+++ b/crates/controlplane/src/drivers/controller.rs
@@ -382,7 +382,7 @@
             ControllerOutput::OperatorReply(ticket, reply) => {
                 shared.operation_answered(ticket, reply);
             }
-            ControllerOutput::EventRecord(numbered) => {
+            ControllerOutput::EventRecorded(numbered) => {
                 log_event!(
                     Info,
                     numbered.event_record.event,
--- a/crates/controlplane/tests/controller_state/cluster.rs
+++ b/crates/controlplane/tests/controller_state/cluster.rs
@@ -280,7 +280,7 @@
                 self.replies.insert(ticket, reply);
             }
             ControllerOutput::FrameToDaemon(_, frame) => self.sent_to_daemons.push((number, frame)),
-            ControllerOutput::EventRecord(numbered)
+            ControllerOutput::EventRecorded(numbered)
                 if numbered.event_record.event == events::VERSION_COMMITTED =>
             {
                 let controller_state = self.nodes[number]
--- a/testing/fleet/src/sim/controller.rs
+++ b/testing/fleet/src/sim/controller.rs
@@ -256,7 +256,7 @@
                 }
             }
             ControllerOutput::OperatorReply(ticket, reply) => self.operated(index, ticket, reply),
-            ControllerOutput::EventRecord(numbered) => {
+            ControllerOutput::EventRecorded(numbered) => {
                 if numbered.event_record.event == events::VERSION_COMMITTED {
                     self.check_commit(index);
                 }
--- a/testing/fleet/src/synthetic/controllers.rs
+++ b/testing/fleet/src/synthetic/controllers.rs
@@ -176,7 +176,7 @@
                 self.push(PLATFORM_LATENCY, Event::Controller(controller, stopped));
             }
             ControllerOutput::OperatorReply(ticket, reply) => self.operated(ticket, reply),
-            ControllerOutput::EventRecord(numbered) => self.event_record(&numbered),
+            ControllerOutput::EventRecorded(numbered) => self.event_record(&numbered),
         }
     }
 
