--- a/crates/controlplane/src/drivers/controller.rs
+++ b/crates/controlplane/src/drivers/controller.rs
@@ -52,7 +52,7 @@
 
 impl ControllerAdapters {
     /// The product's own, with the platform at this address.
-    pub fn own(platform: SocketAddress) -> Self {
+    pub fn native(platform: SocketAddress) -> Self {
         Self {
             operators: Arc::new(NativeOperatorApi),
             platform: Arc::new(NativePlatform::new(platform)),
@@ -97,7 +97,7 @@
         Self::open_with(
             settings,
             Box::new(NoFaults),
-            ControllerAdapters::own(settings.platform),
+            ControllerAdapters::native(settings.platform),
         )
         .await
     }
--- a/testing/fleet/src/faulty_disk_controller.rs
+++ b/testing/fleet/src/faulty_disk_controller.rs
@@ -70,7 +70,7 @@
         control_file: flags.boot.with_extension("json.disk"),
     };
     command_line::runtime(2)?.block_on(async {
-        let adapters = ControllerAdapters::own(settings.platform);
+        let adapters = ControllerAdapters::native(settings.platform);
         let controller = Controller::open_with(&settings, Box::new(fault_hook), adapters)
             .await
             .wrap_err("opening")?;
--- a/testing/support/running_controller.rs
+++ b/testing/support/running_controller.rs
@@ -45,7 +45,7 @@
         });
         let settings = ControllerSettings::read(&SettingsSource::from_value("FILE", settings))
             .expect("settings");
-        let adapters = ControllerAdapters::own(settings.platform);
+        let adapters = ControllerAdapters::native(settings.platform);
         if let Ok(controller) = Controller::open_with(&settings, fault_hook(), adapters).await {
             let (stop_sender, stop) = watch::channel(false);
             tokio::spawn(controller.run(stop));
