--- a/crates/controlplane/src/controller_state/changes.rs
+++ b/crates/controlplane/src/controller_state/changes.rs
@@ -144,7 +144,7 @@
                 let knows_zones = self.leader_state.as_ref().is_some_and(LeaderState::is_open);
                 let concerns_zones = matches!(
                     reply,
-                    OperationReply::NoZone { .. } | OperationReply::LastZone
+                    OperationReply::UnknownZone { .. } | OperationReply::LastZone
                 );
                 let skips_proof = !self.rules.enforces(Rule::RejectionConfirmedByMajority);
                 (is_proven && (knows_zones || !concerns_zones)) || skips_proof
--- a/crates/controlplane/src/controller_state/proposal_outcome.rs
+++ b/crates/controlplane/src/controller_state/proposal_outcome.rs
@@ -176,7 +176,7 @@
     ) -> Result<Document, OperationReply> {
         let known_zones = self.known_zones();
         if !known_zones.contains(zone) && !force {
-            return Err(OperationReply::NoZone {
+            return Err(OperationReply::UnknownZone {
                 zone: zone.clone(),
                 known: known_zones,
             });
@@ -200,7 +200,7 @@
     ) -> Result<Document, OperationReply> {
         let known_zones = self.known_zones();
         if !known_zones.contains(zone) && !self.current_document.evacuated.contains(zone) {
-            return Err(OperationReply::NoZone {
+            return Err(OperationReply::UnknownZone {
                 zone: zone.clone(),
                 known: known_zones,
             });
--- a/crates/controlplane/src/controller_state/reply.rs
+++ b/crates/controlplane/src/controller_state/reply.rs
@@ -222,7 +222,7 @@
     /// A change is invalid; nothing was written.
     Invalid(Vec<PathError>),
     /// There is no such zone; nothing was written.
-    NoZone {
+    UnknownZone {
         /// The zone that was named.
         zone: Zone,
         /// Those that are known.
--- a/crates/controlplane/src/drivers/operator_api/responses.rs
+++ b/crates/controlplane/src/drivers/operator_api/responses.rs
@@ -230,7 +230,7 @@
                 number,
             } => (409, stale_json(change, version, number)),
             Self::Invalid(errors) => (422, invalid_body(&errors)),
-            Self::NoZone { zone, known } => (422, no_zone_json(&zone, &known)),
+            Self::UnknownZone { zone, known } => (422, no_zone_json(&zone, &known)),
             Self::LastZone => (422, last_zone_json()),
             Self::NotAccepted { reason, change } => {
                 let body = json!({"error": reason.as_str(), "state": "not_accepted"});
--- a/crates/controlplane/tests/controller_state/change_numbering.rs
+++ b/crates/controlplane/tests/controller_state/change_numbering.rs
@@ -418,7 +418,7 @@
     };
     let unknown = cluster.reply_to(leader, zone_change(evacuate(false)));
     verify_that!(
-        matches!(unknown, Some(OperationReply::NoZone { .. })),
+        matches!(unknown, Some(OperationReply::UnknownZone { .. })),
         eq(true)
     )?;
     let restore = ChangeKind::Restore { zone: "l9".into() };
--- a/crates/controlplane/tests/controller_state/operator_changes.rs
+++ b/crates/controlplane/tests/controller_state/operator_changes.rs
@@ -142,7 +142,7 @@
         cluster.cut_links.clear();
         cluster.advance(1500);
         let reply = cluster.replies.remove(&ticket);
-        let is_rejected = matches!(reply, Some(OperationReply::NoZone { .. }));
+        let is_rejected = matches!(reply, Some(OperationReply::UnknownZone { .. }));
         verify_that!(is_rejected, eq(false)).with_failure_message(|| format!("seed {seed}"))?;
         retry_count += u32::from(cluster.leader() == Some(leader) && is_accepted(&reply));
     }
--- a/crates/controlplane/tests/operators_forms.rs
+++ b/crates/controlplane/tests/operators_forms.rs
@@ -283,7 +283,7 @@
 
 fn replies() -> Vec<(&'static str, OperationReply)> {
     let known: BTreeSet<Zone> = ["north", "south"].map(Zone::from).into();
-    let no_zone = OperationReply::NoZone {
+    let no_zone = OperationReply::UnknownZone {
         zone: Zone::from("east"),
         known,
     };
--- a/testing/fleet/src/sim/orders.rs
+++ b/testing/fleet/src/sim/orders.rs
@@ -301,7 +301,7 @@
             }
             (
                 CommandKind::Zone(order),
-                OperationReply::NoZone { .. } | OperationReply::LastZone,
+                OperationReply::UnknownZone { .. } | OperationReply::LastZone,
             ) => {
                 self.operators
                     .history
