--- a/crates/controlplane/src/controller_state/changes.rs
+++ b/crates/controlplane/src/controller_state/changes.rs
@@ -44,7 +44,7 @@
 
     /// Proposes what can be proposed, and gives up what has waited too long.
     pub(super) fn progress_changes(&mut self, now: MonotonicTime) {
-        self.changes.requeue_awaiting_proof();
+        self.changes.requeue_awaiting_confirmation();
         while self.may_evaluate_changes(now) {
             let Some(queued) = self.changes.queue.pop_front() else {
                 break;
@@ -58,7 +58,7 @@
     fn may_evaluate_changes(&self, now: MonotonicTime) -> bool {
         let is_free = self.consensus.is_ready() && !self.consensus.is_proposing();
         is_free
-            && (self.is_quorum_fresh(now)
+            && (self.is_recently_confirmed(now)
                 || !self.rules.enforces(Rule::RejectionConfirmedByMajority))
     }
 
@@ -107,7 +107,7 @@
         }
         .evaluate(&queued);
         if !self.may_act_on(now, &proposal_outcome, &queued) {
-            self.changes.awaiting_proof.push_back(queued);
+            self.changes.awaiting_confirmation.push_back(queued);
             return;
         }
         match proposal_outcome {
@@ -136,22 +136,22 @@
         proposal_outcome: &ProposalOutcome,
         queued: &QueuedChange,
     ) -> bool {
-        let is_proven = self.is_proven_since(now, queued.requested_at);
+        let is_confirmed = self.is_confirmed_since(now, queued.requested_at);
         match proposal_outcome {
             ProposalOutcome::Applied { .. } => true,
-            ProposalOutcome::AlreadyInState => is_proven,
+            ProposalOutcome::AlreadyInState => is_confirmed,
             ProposalOutcome::Answered(reply) => {
                 let knows_zones = self.leader_state.as_ref().is_some_and(LeaderState::is_open);
                 let concerns_zones = matches!(
                     reply,
                     OperationReply::UnknownZone { .. } | OperationReply::LastZone
                 );
-                let skips_proof = !self.rules.enforces(Rule::RejectionConfirmedByMajority);
-                (is_proven && (knows_zones || !concerns_zones)) || skips_proof
+                let skips_confirmation = !self.rules.enforces(Rule::RejectionConfirmedByMajority);
+                (is_confirmed && (knows_zones || !concerns_zones)) || skips_confirmation
             }
             ProposalOutcome::NewDocument(_) if queued.request.kind.is_zone_change() => {
                 let is_delayed = now.since(queued.requested_at) < DISCONNECT_NOTICE_DELAY;
-                is_proven && !(is_delayed && self.rules.enforces(Rule::AbandonedChangeDropped))
+                is_confirmed && !(is_delayed && self.rules.enforces(Rule::AbandonedChangeDropped))
             }
             ProposalOutcome::NewDocument(_) => true,
         }
@@ -249,7 +249,11 @@
             let reply = proposed_change.accepted_reply(Version(0));
             self.answer(proposed_change.ticket, reply);
         }
-        for queued in pending.queue.into_iter().chain(pending.awaiting_proof) {
+        for queued in pending
+            .queue
+            .into_iter()
+            .chain(pending.awaiting_confirmation)
+        {
             let operation = Operation::Change(queued.request);
             self.wait_for_leader(queued.requested_at, queued.ticket, operation);
         }
--- a/crates/controlplane/src/controller_state/mod.rs
+++ b/crates/controlplane/src/controller_state/mod.rs
@@ -54,7 +54,7 @@
     consensus: ConsensusNode,
     leader_state: Option<LeaderState>,
     leader_state_timing: LeaderTiming,
-    proof_freshness_limit: Duration,
+    confirmation_validity: Duration,
     streams: BTreeSet<StreamId>,
     history: EventLog,
     changes: PendingChanges,
@@ -72,17 +72,17 @@
 
 impl ControllerState {
     /// A controller around a consensus node. A majority's confirmation of its leadership counts for
-    /// `proof_freshness_limit`.
+    /// `confirmation_validity`.
     pub fn new(
         consensus: ConsensusNode,
         leader_state_timing: LeaderTiming,
-        proof_freshness_limit: Duration,
+        confirmation_validity: Duration,
     ) -> Self {
         Self {
             consensus,
             leader_state: None,
             leader_state_timing,
-            proof_freshness_limit,
+            confirmation_validity,
             streams: BTreeSet::new(),
             history: EventLog::default(),
             changes: PendingChanges::default(),
@@ -314,7 +314,7 @@
     fn needs_heartbeat_round(&self) -> bool {
         self.leader_state.as_ref().is_some_and(|leader_state| {
             leader_state.needs_heartbeat_round() || !self.waiting.is_empty()
-        }) || self.changes.needs_proof()
+        }) || self.changes.needs_confirmation()
     }
 
     /// Daemons that joined or left for good are committed together, and only while no operator's change
@@ -345,13 +345,13 @@
         }
     }
 
-    fn is_quorum_fresh(&self, now: MonotonicTime) -> bool {
+    fn is_recently_confirmed(&self, now: MonotonicTime) -> bool {
         self.consensus.is_ready()
-            && now.since(self.consensus.quorum_confirmed_at()) < self.proof_freshness_limit
+            && now.since(self.consensus.quorum_confirmed_at()) < self.confirmation_validity
     }
 
     /// Whether a majority confirmed this leader in a heartbeat round that began at or after `requested_at`.
-    fn is_proven_since(&self, now: MonotonicTime, requested_at: MonotonicTime) -> bool {
-        self.is_quorum_fresh(now) && self.consensus.quorum_confirmed_at() >= requested_at
+    fn is_confirmed_since(&self, now: MonotonicTime, requested_at: MonotonicTime) -> bool {
+        self.is_recently_confirmed(now) && self.consensus.quorum_confirmed_at() >= requested_at
     }
 }
--- a/crates/controlplane/src/controller_state/operations.rs
+++ b/crates/controlplane/src/controller_state/operations.rs
@@ -71,9 +71,9 @@
             | Operation::Events(_) => false,
             Operation::Change(_) => self.leader_state.is_none() && self.other_leader().is_none(),
             _ => {
-                let must_be_proven = self.rules.enforces(Rule::ReadConfirmedByMajority);
-                let is_proven = self.is_proven_since(now, requested_at);
-                self.other_leader().is_none() && must_be_proven && !is_proven
+                let must_be_confirmed = self.rules.enforces(Rule::ReadConfirmedByMajority);
+                let is_confirmed = self.is_confirmed_since(now, requested_at);
+                self.other_leader().is_none() && must_be_confirmed && !is_confirmed
             }
         }
     }
@@ -153,9 +153,9 @@
         requested_at: MonotonicTime,
         operation: Operation,
     ) -> OperationReply {
-        let is_sure = self.is_proven_since(now, requested_at)
+        let is_confirmed = self.is_confirmed_since(now, requested_at)
             || !self.rules.enforces(Rule::ReadConfirmedByMajority);
-        let (Some(leader_state), true) = (&self.leader_state, is_sure) else {
+        let (Some(leader_state), true) = (&self.leader_state, is_confirmed) else {
             return OperationReply::TemporarilyUnavailable(Unavailable::NoLeader);
         };
         let report = match operation {
--- a/crates/controlplane/src/controller_state/pending_changes.rs
+++ b/crates/controlplane/src/controller_state/pending_changes.rs
@@ -73,7 +73,7 @@
     /// Those that wait to be evaluated and proposed, oldest first.
     pub queue: VecDeque<QueuedChange>,
     /// Those whose reply a majority must confirm first.
-    pub awaiting_proof: VecDeque<QueuedChange>,
+    pub awaiting_confirmation: VecDeque<QueuedChange>,
     /// Those proposed and not committed.
     pub in_flight: Vec<ProposedChange>,
     /// Those committed whose operators may wait for the version to be in force.
@@ -94,7 +94,7 @@
     /// Whether every change has its reply.
     pub(super) fn is_empty(&self) -> bool {
         self.queue.is_empty()
-            && self.awaiting_proof.is_empty()
+            && self.awaiting_confirmation.is_empty()
             && self.in_flight.is_empty()
             && self.accepted.is_empty()
     }
@@ -105,22 +105,22 @@
     }
 
     /// Whether a reply waits to be confirmed by a majority.
-    pub(super) fn needs_proof(&self) -> bool {
-        !self.awaiting_proof.is_empty()
+    pub(super) fn needs_confirmation(&self) -> bool {
+        !self.awaiting_confirmation.is_empty()
     }
 
     /// Whether a change of this name waits to be proposed.
     pub(super) fn is_queued(&self, change: &ChangeId) -> bool {
         self.queue
             .iter()
-            .chain(&self.awaiting_proof)
+            .chain(&self.awaiting_confirmation)
             .any(|queued| queued.change == *change)
     }
 
     /// Returns the changes that waited for proof to the end of the queue.
-    pub(super) fn requeue_awaiting_proof(&mut self) {
-        let awaiting_proof = std::mem::take(&mut self.awaiting_proof);
-        self.queue.extend(awaiting_proof);
+    pub(super) fn requeue_awaiting_confirmation(&mut self) {
+        let awaiting_confirmation = std::mem::take(&mut self.awaiting_confirmation);
+        self.queue.extend(awaiting_confirmation);
     }
 
     /// Queued changes of the same name as one in flight wait for its version instead of making another.
@@ -148,7 +148,7 @@
     /// Removes the changes that have waited too long.
     pub(super) fn take_expired(&mut self, now: MonotonicTime) -> ExpiredChanges {
         let mut unproposed = take_expired_queued(now, &mut self.queue);
-        unproposed.extend(take_expired_queued(now, &mut self.awaiting_proof));
+        unproposed.extend(take_expired_queued(now, &mut self.awaiting_confirmation));
         let uncommitted = take_matching(&mut self.in_flight, |proposed_change| {
             now.since(proposed_change.requested_at) > COMMIT_TIMEOUT
         });
@@ -180,7 +180,8 @@
     /// Drops what the operation asked for unless it has been proposed.
     pub(super) fn drop_unproposed(&mut self, ticket: OperationTicket) {
         self.queue.retain(|queued| queued.ticket != ticket);
-        self.awaiting_proof.retain(|queued| queued.ticket != ticket);
+        self.awaiting_confirmation
+            .retain(|queued| queued.ticket != ticket);
     }
 }
 
--- a/crates/controlplane/src/controller_state/shutdown.rs
+++ b/crates/controlplane/src/controller_state/shutdown.rs
@@ -22,7 +22,11 @@
             let reply = proposed_change.accepted_reply(Version(0));
             self.answer(proposed_change.ticket, reply);
         }
-        for queued in pending.queue.into_iter().chain(pending.awaiting_proof) {
+        for queued in pending
+            .queue
+            .into_iter()
+            .chain(pending.awaiting_confirmation)
+        {
             let reply = OperationReply::NotAccepted {
                 reason: Unavailable::Stopping,
                 change: Some(queued.change),
