--- a/crates/controlplane/src/controller_state/changes.rs
+++ b/crates/controlplane/src/controller_state/changes.rs
@@ -34,7 +34,7 @@
             }
             (None, kind) => derive_change_id(request.base, request.numbering, kind),
         };
-        self.changes.queue.push_back(QueuedChange {
+        self.pending_changes.queue.push_back(QueuedChange {
             ticket,
             request,
             change,
@@ -44,14 +44,14 @@
 
     /// Proposes what can be proposed, and gives up what has waited too long.
     pub(super) fn progress_changes(&mut self, now: MonotonicTime) {
-        self.changes.requeue_awaiting_confirmation();
+        self.pending_changes.requeue_awaiting_confirmation();
         while self.may_evaluate_changes(now) {
-            let Some(queued) = self.changes.queue.pop_front() else {
+            let Some(queued) = self.pending_changes.queue.pop_front() else {
                 break;
             };
             self.begin_proposal(now, queued);
         }
-        self.changes.attach_repeated_changes();
+        self.pending_changes.attach_repeated_changes();
         self.expire_changes(now);
     }
 
@@ -63,11 +63,11 @@
     }
 
     fn expire_changes(&mut self, now: MonotonicTime) {
-        let expired = self.changes.take_expired(now);
+        let expired = self.pending_changes.take_expired(now);
         for queued in expired.unproposed {
             let change = Some(queued.change);
             let reason = Unavailable::NoQuorum;
-            self.answer(
+            self.send_reply(
                 queued.ticket,
                 OperationReply::NotAccepted { reason, change },
             );
@@ -77,12 +77,12 @@
         }
         for proposed_change in expired.not_in_force {
             let reply = proposed_change.accepted_reply(Version(0));
-            self.answer(proposed_change.ticket, reply);
+            self.send_reply(proposed_change.ticket, reply);
         }
     }
 
     /// Sends the reply to one operation.
-    pub(super) fn answer(&mut self, ticket: OperationTicket, reply: OperationReply) {
+    pub(super) fn send_reply(&mut self, ticket: OperationTicket, reply: OperationReply) {
         self.outputs
             .push(ControllerOutput::OperatorReply(ticket, reply));
     }
@@ -90,7 +90,7 @@
     /// Tells an operator that a proposed change may or may not be committed.
     pub(super) fn reply_unknown(&mut self, proposed_change: &ProposedChange, reason: Unavailable) {
         let change = Some(proposed_change.change.clone());
-        self.answer(
+        self.send_reply(
             proposed_change.ticket,
             OperationReply::Unknown { reason, change },
         );
@@ -107,20 +107,22 @@
         }
         .evaluate(&queued);
         if !self.may_act_on(now, &proposal_outcome, &queued) {
-            self.changes.awaiting_confirmation.push_back(queued);
+            self.pending_changes.awaiting_confirmation.push_back(queued);
             return;
         }
         match proposal_outcome {
             ProposalOutcome::Applied { version, number } => {
-                self.changes
+                self.pending_changes
                     .accepted
                     .push(queued.into_proposed(version, number));
             }
             ProposalOutcome::AlreadyInState => {
                 let version = current_document.view_version();
-                self.changes.accepted.push(queued.into_proposed(version, 0));
+                self.pending_changes
+                    .accepted
+                    .push(queued.into_proposed(version, 0));
             }
-            ProposalOutcome::Answered(reply) => self.answer(queued.ticket, reply),
+            ProposalOutcome::Answered(reply) => self.send_reply(queued.ticket, reply),
             ProposalOutcome::NewDocument(next_document) => {
                 self.propose_change(now, queued, *next_document)
             }
@@ -179,15 +181,15 @@
             Ok(consensus_outputs) => {
                 let proposed_change = queued.into_proposed(version, number);
                 if self.rules.enforces(Rule::AcknowledgedByMajority) {
-                    self.changes.in_flight.push(proposed_change);
+                    self.pending_changes.in_flight.push(proposed_change);
                 } else {
-                    self.changes.accepted.push(proposed_change);
+                    self.pending_changes.accepted.push(proposed_change);
                 }
                 self.execute(now, consensus_outputs);
             }
             Err(error) => {
                 let reason = error.into();
-                self.answer(
+                self.send_reply(
                     queued.ticket,
                     OperationReply::NotAccepted {
                         reason,
@@ -225,29 +227,30 @@
     /// An operator's connection ended: what it asked for is dropped unless it has been proposed.
     pub(super) fn drop_disconnected_caller(&mut self, ticket: OperationTicket) {
         if self.rules.enforces(Rule::AbandonedChangeDropped) {
-            self.waiting.retain(|waiting| waiting.ticket != ticket);
-            self.changes.drop_unproposed(ticket);
+            self.waiting_operations
+                .retain(|waiting| waiting.ticket != ticket);
+            self.pending_changes.drop_unproposed(ticket);
         }
     }
 
     /// Replies to committed changes that have come as far as their operators wait for.
-    pub(super) fn answer_fulfilled_changes(&mut self) {
+    pub(super) fn reply_to_fulfilled_changes(&mut self) {
         let in_force = self.in_force();
-        for proposed_change in self.changes.take_fulfilled(in_force) {
+        for proposed_change in self.pending_changes.take_fulfilled(in_force) {
             let reply = proposed_change.accepted_reply(in_force);
-            self.answer(proposed_change.ticket, reply);
+            self.send_reply(proposed_change.ticket, reply);
         }
     }
 
     /// Leadership is lost: what was proposed is answered, and what was not waits for another leader.
-    pub(super) fn drop_changes(&mut self) {
-        let pending = std::mem::take(&mut self.changes);
+    pub(super) fn resolve_changes_on_step_down(&mut self) {
+        let pending = std::mem::take(&mut self.pending_changes);
         for proposed_change in pending.in_flight {
             self.reply_unknown(&proposed_change, Unavailable::NoQuorum);
         }
         for proposed_change in pending.accepted {
             let reply = proposed_change.accepted_reply(Version(0));
-            self.answer(proposed_change.ticket, reply);
+            self.send_reply(proposed_change.ticket, reply);
         }
         for queued in pending
             .queue
@@ -285,7 +288,7 @@
                 in_force: self.in_force() >= recorded.version,
             };
         }
-        let is_pending = self.consensus.is_proposing() || self.changes.is_queued(change);
+        let is_pending = self.consensus.is_proposing() || self.pending_changes.is_queued(change);
         let is_forgotten = document.is_some_and(Document::has_forgotten_changes);
         let state = if is_pending || is_forgotten {
             UnrecordedChange::Unknown
--- a/crates/controlplane/src/controller_state/consensus_outputs.rs
+++ b/crates/controlplane/src/controller_state/consensus_outputs.rs
@@ -74,13 +74,13 @@
         if let Some(leader_state) = &mut self.leader_state {
             leader_state.committed(document);
         }
-        self.changes.commit(committed_version.version);
+        self.pending_changes.commit(committed_version.version);
     }
 
     fn stepped_down(&mut self) {
         self.record_event(event_records::leader_stepped_down(self.consensus.term()));
         self.leader_state = None;
-        self.drop_changes();
+        self.resolve_changes_on_step_down();
         for stream in std::mem::take(&mut self.streams) {
             self.redirect_daemon(stream);
         }
--- a/crates/controlplane/src/controller_state/mod.rs
+++ b/crates/controlplane/src/controller_state/mod.rs
@@ -57,8 +57,8 @@
     confirmation_validity: Duration,
     streams: BTreeSet<StreamId>,
     history: EventLog,
-    changes: PendingChanges,
-    waiting: VecDeque<WaitingOperation>,
+    pending_changes: PendingChanges,
+    waiting_operations: VecDeque<WaitingOperation>,
     traces: Traces,
     /// The last versions on this disk, committed or not. A leader sends daemons that have one of them the
     /// difference only.
@@ -85,8 +85,8 @@
             confirmation_validity,
             streams: BTreeSet::new(),
             history: EventLog::default(),
-            changes: PendingChanges::default(),
-            waiting: VecDeque::new(),
+            pending_changes: PendingChanges::default(),
+            waiting_operations: VecDeque::new(),
             traces: Traces::default(),
             recent_views: VecDeque::new(),
             recent_document_version: DocumentVersion::default(),
@@ -119,7 +119,7 @@
 
     /// When the next tick is due unless another input comes first.
     pub fn next_due(&self, now: MonotonicTime) -> MonotonicTime {
-        let longest_span = match (&self.leader_state, self.waiting.is_empty()) {
+        let longest_span = match (&self.leader_state, self.waiting_operations.is_empty()) {
             (Some(leader_state), _) if leader_state.is_time_critical() => URGENT_TICK_INTERVAL,
             (Some(_), _) => LEADER_TICK_INTERVAL,
             (None, false) => WAITING_TICK_INTERVAL,
@@ -137,7 +137,7 @@
         let consensus_outputs = self.consensus.expire_leadership(now);
         self.execute(now, consensus_outputs);
         self.dispatch_input(now, input);
-        self.remember_accepted_view();
+        self.retain_accepted_view();
         self.progress(now);
         std::mem::take(&mut self.outputs)
     }
@@ -159,7 +159,7 @@
                 self.handle_stream_frame(now, stream, frame)
             }
             ControllerInput::OperatorRequest(ticket, operation) => {
-                self.operate(now, ticket, operation)
+                self.handle_operation(now, ticket, operation)
             }
             ControllerInput::CallerDisconnected(ticket) => self.drop_disconnected_caller(ticket),
             ControllerInput::ProcessExited(address) => {
@@ -201,7 +201,7 @@
 
     /// Retains the newest version on this disk among the recent ones. One that lost against another of the
     /// same number is removed.
-    fn remember_accepted_view(&mut self) {
+    fn retain_accepted_view(&mut self) {
         let Some(document) = self.consensus.accepted() else {
             return;
         };
@@ -257,7 +257,7 @@
             return;
         }
         self.progress_leader_state(now);
-        self.answer_fulfilled_changes();
+        self.reply_to_fulfilled_changes();
         self.propose_membership(now);
         if self.needs_heartbeat_round() {
             let consensus_outputs = self.consensus.expedite_heartbeat(now);
@@ -313,15 +313,16 @@
     /// Whether something waits for a majority to confirm this leader.
     fn needs_heartbeat_round(&self) -> bool {
         self.leader_state.as_ref().is_some_and(|leader_state| {
-            leader_state.needs_heartbeat_round() || !self.waiting.is_empty()
-        }) || self.changes.needs_confirmation()
+            leader_state.needs_heartbeat_round() || !self.waiting_operations.is_empty()
+        }) || self.pending_changes.needs_confirmation()
     }
 
     /// Daemons that joined or left for good are committed together, and only while no operator's change
     /// waits: a change carries the membership along.
     fn propose_membership(&mut self, now: MonotonicTime) {
-        let is_free =
-            self.consensus.is_ready() && !self.consensus.is_proposing() && self.changes.is_idle();
+        let is_free = self.consensus.is_ready()
+            && !self.consensus.is_proposing()
+            && self.pending_changes.is_idle();
         let Some(leader_state) = &mut self.leader_state else {
             return;
         };
--- a/crates/controlplane/src/controller_state/operations.rs
+++ b/crates/controlplane/src/controller_state/operations.rs
@@ -26,18 +26,18 @@
 
 impl ControllerState {
     /// Handles an operation now, or lets it wait for a leader.
-    pub(super) fn operate(
+    pub(super) fn handle_operation(
         &mut self,
         now: MonotonicTime,
         ticket: OperationTicket,
         operation: Operation,
     ) {
         if self.is_stopping {
-            self.answer(ticket, operation.not_handled(Unavailable::Stopping));
+            self.send_reply(ticket, operation.not_handled(Unavailable::Stopping));
         } else if self.must_wait_for_leader(now, now, &operation) {
             self.wait_for_leader(now, ticket, operation);
         } else {
-            self.operate_now(now, now, ticket, operation);
+            self.execute_operation(now, now, ticket, operation);
         }
     }
 
@@ -48,7 +48,7 @@
         ticket: OperationTicket,
         operation: Operation,
     ) {
-        self.waiting.push_back(WaitingOperation {
+        self.waiting_operations.push_back(WaitingOperation {
             ticket,
             operation,
             requested_at,
@@ -80,19 +80,24 @@
 
     /// Handles the waiting operations that need not wait any longer.
     pub(super) fn retry_waiting_operations(&mut self, now: MonotonicTime) {
-        for waiting in std::mem::take(&mut self.waiting) {
+        for waiting in std::mem::take(&mut self.waiting_operations) {
             let is_expired = now.since(waiting.requested_at) > LEADER_WAIT_TIMEOUT;
             if is_expired
                 || !self.must_wait_for_leader(now, waiting.requested_at, &waiting.operation)
             {
-                self.operate_now(now, waiting.requested_at, waiting.ticket, waiting.operation);
+                self.execute_operation(
+                    now,
+                    waiting.requested_at,
+                    waiting.ticket,
+                    waiting.operation,
+                );
             } else {
-                self.waiting.push_back(waiting);
+                self.waiting_operations.push_back(waiting);
             }
         }
     }
 
-    fn operate_now(
+    fn execute_operation(
         &mut self,
         now: MonotonicTime,
         requested_at: MonotonicTime,
@@ -112,7 +117,7 @@
                 let entries = self.history.from(first_number, MAX_EVENTS_PER_REPLY);
                 Some(OperationReply::Events(entries))
             }
-            other => self.operate_as_leader(now, requested_at, ticket, other),
+            other => self.execute_as_leader(now, requested_at, ticket, other),
         };
         if let Some(reply) = reply {
             self.outputs
@@ -121,7 +126,7 @@
     }
 
     /// Handles what only a leader can; a change that is queued has no reply yet.
-    fn operate_as_leader(
+    fn execute_as_leader(
         &mut self,
         now: MonotonicTime,
         requested_at: MonotonicTime,
