--- a/crates/controlplane/src/controller_state/changes.rs
+++ b/crates/controlplane/src/controller_state/changes.rs
@@ -49,7 +49,7 @@
             let Some(queued) = self.pending_changes.queue.pop_front() else {
                 break;
             };
-            self.begin_proposal(now, queued);
+            self.evaluate_change(now, queued);
         }
         self.pending_changes.attach_repeated_changes();
         self.expire_changes(now);
@@ -96,7 +96,7 @@
         );
     }
 
-    fn begin_proposal(&mut self, now: MonotonicTime, queued: QueuedChange) {
+    fn evaluate_change(&mut self, now: MonotonicTime, queued: QueuedChange) {
         let Some(current_document) = self.consensus.accepted().cloned() else {
             return;
         };
@@ -176,7 +176,7 @@
         let number = queued.request.numbering.map_or(0, |given| given.number);
         let version = next_document.document_version.version;
         self.traces
-            .begin_proposal(now, self.consensus.term(), version);
+            .record_proposal(now, self.consensus.term(), version);
         match self.consensus.propose(now, next_document) {
             Ok(consensus_outputs) => {
                 let proposed_change = queued.into_proposed(version, number);
--- a/crates/controlplane/src/controller_state/consensus_outputs.rs
+++ b/crates/controlplane/src/controller_state/consensus_outputs.rs
@@ -40,7 +40,7 @@
 
     /// Numbers an event, retains it and hands it out.
     pub(super) fn record_event(&mut self, event_record: EventRecord) {
-        let numbered = self.history.add(event_record);
+        let numbered = self.history.append(event_record);
         self.outputs.push(ControllerOutput::EventRecorded(numbered));
     }
 
@@ -51,7 +51,7 @@
         known_members: BTreeSet<KnownMember>,
         complete: bool,
     ) {
-        self.history.restart(term);
+        self.history.begin_term(term);
         let controller = self.consensus.id();
         let known_count = known_members.len();
         let event_record = event_records::leader_elected(term, controller, known_count, complete);
@@ -70,11 +70,12 @@
             version: document.view_version(),
             ..committed_version
         };
-        self.traces.committed(now, view_version);
+        self.traces.record_committed(now, view_version);
         if let Some(leader_state) = &mut self.leader_state {
             leader_state.committed(document);
         }
-        self.pending_changes.commit(committed_version.version);
+        self.pending_changes
+            .mark_committed(committed_version.version);
     }
 
     fn stepped_down(&mut self) {
--- a/crates/controlplane/src/controller_state/history.rs
+++ b/crates/controlplane/src/controller_state/history.rs
@@ -48,13 +48,13 @@
 
 impl EventLog {
     /// A new term as leader begins: its numbers are above those of all earlier terms.
-    pub(super) fn restart(&mut self, term: Term) {
+    pub(super) fn begin_term(&mut self, term: Term) {
         self.retained.clear();
         self.last_number = self.last_number.max(term.0 << 32);
     }
 
     /// Numbers an event and retains it.
-    pub(super) fn add(&mut self, event_record: EventRecord) -> NumberedEvent {
+    pub(super) fn append(&mut self, event_record: EventRecord) -> NumberedEvent {
         self.last_number += 1;
         let numbered = NumberedEvent {
             number: self.last_number,
@@ -73,7 +73,7 @@
     }
 
     /// At most `limit` events from a number on, after a gap entry if some of them are no longer retained.
-    pub(super) fn from(&self, first_number: u64, limit: usize) -> Vec<EventEntry> {
+    pub(super) fn entries_from(&self, first_number: u64, limit: usize) -> Vec<EventEntry> {
         let oldest = self
             .retained
             .front()
--- a/crates/controlplane/src/controller_state/mod.rs
+++ b/crates/controlplane/src/controller_state/mod.rs
@@ -298,7 +298,7 @@
                 if event_record.event == events::VERSION_IN_FORCE
                     && let EventDetail::Version { version } = event_record.detail
                 {
-                    self.traces.in_force(now, version);
+                    self.traces.record_in_force(now, version);
                 }
                 self.record_event(event_record);
             }
@@ -306,7 +306,7 @@
                 version,
                 member,
                 step,
-            } => self.traces.step(now, version, member, step),
+            } => self.traces.record_step(now, version, member, step),
         }
     }
 
--- a/crates/controlplane/src/controller_state/operations.rs
+++ b/crates/controlplane/src/controller_state/operations.rs
@@ -114,7 +114,9 @@
                 Some(OperationReply::Trace(self.trace_report(now, version)))
             }
             Operation::Events(first_number) if self.leader_state.is_some() => {
-                let entries = self.history.from(first_number, MAX_EVENTS_PER_REPLY);
+                let entries = self
+                    .history
+                    .entries_from(first_number, MAX_EVENTS_PER_REPLY);
                 Some(OperationReply::Events(entries))
             }
             other => self.execute_as_leader(now, requested_at, ticket, other),
--- a/crates/controlplane/src/controller_state/pending_changes.rs
+++ b/crates/controlplane/src/controller_state/pending_changes.rs
@@ -163,7 +163,7 @@
     }
 
     /// A version is committed, and with it the changes that made it.
-    pub(super) fn commit(&mut self, version: Version) {
+    pub(super) fn mark_committed(&mut self, version: Version) {
         let committed = take_matching(&mut self.in_flight, |proposed_change| {
             proposed_change.version == version
         });
--- a/crates/controlplane/src/controller_state/traces.rs
+++ b/crates/controlplane/src/controller_state/traces.rs
@@ -52,7 +52,12 @@
 }
 
 impl Traces {
-    fn begin(&mut self, now: MonotonicTime, version: Version, is_own_change: bool) -> &mut Trace {
+    fn get_or_begin(
+        &mut self,
+        now: MonotonicTime,
+        version: Version,
+        is_own_change: bool,
+    ) -> &mut Trace {
         while self.retained.len() > MAX_RETAINED_TRACES {
             self.retained.pop_first();
         }
@@ -67,22 +72,26 @@
     }
 
     /// An operator's change makes this version.
-    pub(super) fn begin_proposal(&mut self, now: MonotonicTime, term: Term, version: Version) {
+    pub(super) fn record_proposal(&mut self, now: MonotonicTime, term: Term, version: Version) {
         self.term = term;
-        self.begin(now, version, true);
+        self.get_or_begin(now, version, true);
     }
 
     /// A version is committed, or committed again by a new leader.
-    pub(super) fn committed(&mut self, now: MonotonicTime, document_version: DocumentVersion) {
+    pub(super) fn record_committed(
+        &mut self,
+        now: MonotonicTime,
+        document_version: DocumentVersion,
+    ) {
         self.term = document_version.term;
-        self.begin(now, document_version.version, false)
+        self.get_or_begin(now, document_version.version, false)
             .committed_at
             .get_or_insert(now);
     }
 
     /// A version is in force at every daemon that serves; every older one is in force or replaced.
-    pub(super) fn in_force(&mut self, now: MonotonicTime, version: Version) {
-        self.begin(now, version, false);
+    pub(super) fn record_in_force(&mut self, now: MonotonicTime, version: Version) {
+        self.get_or_begin(now, version, false);
         let current_term = self.term;
         let passed = self.retained.range_mut(..=(version, Term(u64::MAX)));
         for (_, trace) in passed.filter(|((_, term), _)| *term == current_term) {
@@ -91,7 +100,7 @@
     }
 
     /// A version came one step further at a daemon; ignored unless this controller traces the version.
-    pub(super) fn step(
+    pub(super) fn record_step(
         &mut self,
         now: MonotonicTime,
         version: Version,
@@ -102,7 +111,7 @@
             return;
         }
         let member_trace = self
-            .begin(now, version, false)
+            .get_or_begin(now, version, false)
             .members
             .entry(member)
             .or_default();
