--- a/crates/controlplane/src/controller_state/mod.rs
+++ b/crates/controlplane/src/controller_state/mod.rs
@@ -1,5 +1,6 @@
-//! A complete controller without I/O: the consensus node, the leader state while it leads, and operators'
-//! changes. A driver feeds it [`ControllerInput`] and carries out the [`ControllerOutput`] it returns.
+//! The state machine of a complete controller, free of I/O. It combines the consensus node, the leader state (while the
+//! controller is leader) and operators' requests. A driver passes it each [`ControllerInput`] and carries out the
+//! [`ControllerOutput`]s that it returns.
 
 mod changes;
 mod consensus_outputs;
@@ -43,13 +44,13 @@
 use std::time::Duration;
 use traces::Traces;
 
-/// The longest spans between two inputs, by what the controller has to do.
+/// The maximum time until the next tick, which depends on what the controller is waiting for.
 const LEADER_TICK_INTERVAL: Duration = Duration::from_millis(50);
 const URGENT_TICK_INTERVAL: Duration = Duration::from_millis(10);
 const WAITING_TICK_INTERVAL: Duration = Duration::from_millis(100);
 const IDLE_TICK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// A complete controller without I/O.
+/// The state of a controller.
 pub struct ControllerState {
     consensus: ConsensusNode,
     leader_state: Option<LeaderState>,
@@ -60,19 +61,19 @@
     pending_changes: PendingChanges,
     waiting_operations: VecDeque<WaitingOperation>,
     traces: Traces,
-    /// The last versions on this disk, committed or not. A leader sends daemons that have one of them the
-    /// difference only.
+    /// The most recent versions on this controller's disk, whether committed or not. A leader sends only a delta to a
+    /// daemon that has one of them installed.
     recent_views: VecDeque<DaemonView>,
     recent_document_version: DocumentVersion,
-    /// The process is about to end: operations are not handled any more.
+    /// Whether the process is shutting down, so that no further operations are handled.
     is_stopping: bool,
     rules: Rules,
     outputs: Vec<ControllerOutput>,
 }
 
 impl ControllerState {
-    /// A controller around a consensus node. A majority's confirmation of its leadership counts for
-    /// `confirmation_validity`.
+    /// Returns a controller with this consensus node. Its leadership counts as confirmed for `confirmation_validity`
+    /// after the start of a heartbeat round that a majority answered.
     pub fn new(
         consensus: ConsensusNode,
         leader_state_timing: LeaderTiming,
@@ -96,28 +97,28 @@
         }
     }
 
-    /// Sets the rules to enforce; tests lift one to see that their checks find it.
+    /// Sets the rules to enforce. Tests lift a rule to verify that their checks detect its absence.
     pub fn with_rules(mut self, rules: Rules) -> Self {
         self.rules = rules;
         self
     }
 
-    /// The consensus node.
+    /// Returns the consensus node.
     pub fn consensus(&self) -> &ConsensusNode {
         &self.consensus
     }
 
-    /// The leader state, while this controller leads.
+    /// Returns the leader state, or `None` if this controller is not the leader.
     pub fn leader_state(&self) -> Option<&LeaderState> {
         self.leader_state.as_ref()
     }
 
-    /// The number of the newest event.
+    /// Returns the number of the newest event.
     pub fn newest_event(&self) -> u64 {
         self.history.newest()
     }
 
-    /// When the next tick is due unless another input comes first.
+    /// Returns the time at which the next tick is due if no other input arrives first.
     pub fn next_due(&self, now: MonotonicTime) -> MonotonicTime {
         let longest_span = match (&self.leader_state, self.waiting_operations.is_empty()) {
             (Some(leader_state), _) if leader_state.is_time_critical() => URGENT_TICK_INTERVAL,
@@ -128,7 +129,7 @@
         self.consensus.next_due().min(now + longest_span)
     }
 
-    /// Handles one input and returns the outputs, in the order in which they are to be carried out.
+    /// Handles one input and returns the outputs, which must be carried out in order.
     pub fn handle_input(
         &mut self,
         now: MonotonicTime,
@@ -199,8 +200,8 @@
         self.execute(now, consensus_outputs);
     }
 
-    /// Retains the newest version on this disk among the recent ones. One that lost against another of the
-    /// same number is removed.
+    /// Adds the newest version on this controller's disk to the recent views. A view that was superseded by another one
+    /// with the same version number is removed.
     fn retain_accepted_view(&mut self) {
         let Some(document) = self.consensus.accepted() else {
             return;
@@ -235,7 +236,8 @@
         }
     }
 
-    /// Sends a daemon to the leader, if one is known, and ends its stream.
+    /// Redirects a daemon to the leader and closes the daemon's stream. If no leader is known, the redirect has an
+    /// unspecified address.
     fn redirect_daemon(&mut self, stream: StreamId) {
         let leader = self
             .consensus
@@ -249,7 +251,7 @@
         self.outputs.push(ControllerOutput::CloseStream(stream));
     }
 
-    /// What follows every input: operations and changes that can go on, then the leader's own work.
+    /// Advances what the last input may have unblocked: waiting operations and changes, then the leader's own work.
     fn progress(&mut self, now: MonotonicTime) {
         self.retry_waiting_operations(now);
         self.progress_changes(now);
@@ -310,15 +312,15 @@
         }
     }
 
-    /// Whether something waits for a majority to confirm this leader.
+    /// Whether something is waiting for a majority to confirm this leader.
     fn needs_heartbeat_round(&self) -> bool {
         self.leader_state.as_ref().is_some_and(|leader_state| {
             leader_state.needs_heartbeat_round() || !self.waiting_operations.is_empty()
         }) || self.pending_changes.needs_confirmation()
     }
 
-    /// Daemons that joined or left for good are committed together, and only while no operator's change
-    /// waits: a change carries the membership along.
+    /// Proposes all pending changes of the daemons' membership at once. While an operator's change is queued, it
+    /// proposes nothing, because that change will include the new membership.
     fn propose_membership(&mut self, now: MonotonicTime) {
         let is_free = self.consensus.is_ready()
             && !self.consensus.is_proposing()
@@ -351,7 +353,8 @@
             && now.since(self.consensus.quorum_confirmed_at()) < self.confirmation_validity
     }
 
-    /// Whether a majority confirmed this leader in a heartbeat round that began at or after `requested_at`.
+    /// Whether a majority has confirmed this leader recently, in a heartbeat round that began at or after
+    /// `requested_at`.
     fn is_confirmed_since(&self, now: MonotonicTime, requested_at: MonotonicTime) -> bool {
         self.is_recently_confirmed(now) && self.consensus.quorum_confirmed_at() >= requested_at
     }
