--- a/crates/controlplane/src/controller_state/changes.rs
+++ b/crates/controlplane/src/controller_state/changes.rs
@@ -1,4 +1,4 @@
-//! Operators' changes: queued, evaluated, proposed and answered, or given up.
+//! The lifecycle of operators' changes: queueing, evaluation, proposal, reply and timeout.
 
 use super::content::derive_change_id;
 use super::pending_changes::{ProposedChange, QueuedChange};
@@ -15,11 +15,11 @@
 use common::spec::Document;
 use std::time::Duration;
 
-/// How long after a request the end of its caller's connection may still be on its way here.
+/// How long after a request its caller's disconnection may still go unnoticed.
 const DISCONNECT_NOTICE_DELAY: Duration = Duration::from_millis(25);
 
 impl ControllerState {
-    /// Queues a change; one without a name gets one.
+    /// Queues a change, and derives an ID for it if the operator gave none.
     pub(super) fn queue_change(
         &mut self,
         requested_at: MonotonicTime,
@@ -27,8 +27,8 @@
         request: ChangeRequest,
     ) {
         let change = match (&request.change, &request.kind) {
-            (Some(given_name), _) => given_name.clone(),
-            // Evacuating the same zone again later is another change, so its content cannot name it.
+            (Some(given_id), _) => given_id.clone(),
+            // A later evacuation of the same zone is a different change, so the ID cannot be derived from the content.
             (None, ChangeKind::Evacuate { .. } | ChangeKind::Restore { .. }) => {
                 ChangeId::from(format!("turn-{}-{}", self.consensus.term(), ticket.0))
             }
@@ -42,7 +42,7 @@
         });
     }
 
-    /// Proposes what can be proposed, and gives up what has waited too long.
+    /// Evaluates and proposes queued changes as far as possible, and replies to those that timed out.
     pub(super) fn progress_changes(&mut self, now: MonotonicTime) {
         self.pending_changes.requeue_awaiting_confirmation();
         while self.may_evaluate_changes(now) {
@@ -87,7 +87,7 @@
             .push(ControllerOutput::OperatorReply(ticket, reply));
     }
 
-    /// Tells an operator that a proposed change may or may not be committed.
+    /// Replies that it is unknown whether a proposed change will be committed.
     pub(super) fn reply_unknown(&mut self, proposed_change: &ProposedChange, reason: Unavailable) {
         let change = Some(proposed_change.change.clone());
         self.send_reply(
@@ -129,9 +129,9 @@
         }
     }
 
-    /// A result that depends on the current state must be confirmed by a majority after the request. An
-    /// evacuation has no base version that would make it stale, so it also waits until the end of its
-    /// caller's connection would have been noticed.
+    /// Whether the outcome of an evaluation may be acted on now. A reply that depends on the current state requires that
+    /// a majority has confirmed this leader since the request. So does a change of a zone, which has no base version by
+    /// which it could become stale; it is also delayed until a disconnection of its caller would have been noticed.
     fn may_act_on(
         &self,
         now: MonotonicTime,
@@ -200,7 +200,7 @@
         }
     }
 
-    /// Invariants of what is proposed, whatever the rules let through.
+    /// Checks the invariants of a proposal, independently of the rules that are enforced.
     fn check_proposal(&self, queued: &QueuedChange, next_document: &Document) {
         let Some(current) = self.consensus.accepted() else {
             return;
@@ -213,18 +213,18 @@
                 .is_none_or(|given| given.base_number == number);
         require(self.rules, Invariant::ChangeOnNamedBase, is_on_base, || {
             format!(
-                "{} goes on version {version}, number {number}",
+                "change {} does not name the current version {version} or number {number} as its base",
                 queued.change
             )
         });
-        // Checking a complete spec a second time costs too much on a small share of a CPU: debug builds only.
+        // Only in debug builds, because a second check of a complete spec is too expensive on a small CPU share.
         let is_valid = !cfg!(debug_assertions) || next_document.spec.check().is_ok();
         require(self.rules, Invariant::ProposedSpecValid, is_valid, || {
-            format!("{} is invalid and put forward", queued.change)
+            format!("change {} is proposed with an invalid spec", queued.change)
         });
     }
 
-    /// An operator's connection ended: what it asked for is dropped unless it has been proposed.
+    /// Drops the operation of a caller that has disconnected, unless it is a change that has been proposed.
     pub(super) fn drop_disconnected_caller(&mut self, ticket: OperationTicket) {
         if self.rules.enforces(Rule::AbandonedChangeDropped) {
             self.waiting_operations
@@ -233,7 +233,7 @@
         }
     }
 
-    /// Replies to committed changes that have come as far as their operators wait for.
+    /// Replies to the committed changes that have reached the state their operators are waiting for.
     pub(super) fn reply_to_fulfilled_changes(&mut self) {
         let in_force = self.in_force();
         for proposed_change in self.pending_changes.take_fulfilled(in_force) {
@@ -242,7 +242,8 @@
         }
     }
 
-    /// Leadership is lost: what was proposed is answered, and what was not waits for another leader.
+    /// Replies to the proposed and the committed changes when leadership is lost. The other changes wait for a new
+    /// leader.
     pub(super) fn resolve_changes_on_step_down(&mut self) {
         let pending = std::mem::take(&mut self.pending_changes);
         for proposed_change in pending.in_flight {
@@ -269,7 +270,7 @@
             .unwrap_or_default()
     }
 
-    /// What is known here of the change of this name.
+    /// Reports what this controller knows about the change with this ID.
     pub(super) fn report_change_status(&self, change: &ChangeId) -> OperationReply {
         let document = self.consensus.accepted();
         let recorded = document
