--- a/crates/controlplane/src/controller_state/content.rs
+++ b/crates/controlplane/src/controller_state/content.rs
@@ -1,4 +1,4 @@
-//! The content of operators' changes, and the names of those that were given none.
+//! The content of operators' changes, and the derivation of IDs for changes that were submitted without one.
 
 use super::{ChangeKind, ItemChange, Numbering};
 use common::identity::{ChangeId, Version};
@@ -8,10 +8,10 @@
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What the name of an unnamed change is the digest of. Names stand in committed documents, so neither the keys
-/// nor their alphabetical order may change.
+/// The data from which the ID of a change is derived. IDs are stored in committed documents, so neither the keys nor
+/// their alphabetical order may change.
 #[derive(Serialize)]
-struct NamedContent<'a> {
+struct DigestedContent<'a> {
     base_number: Option<u64>,
     #[serde(rename = "base_serial")]
     base_version: Option<u64>,
@@ -70,25 +70,25 @@
     }
 }
 
-/// The name of a change that its operator did not name: a digest of its numbers, its base version and its
-/// content, so that the same change sent again has the same name.
+/// Derives the ID of a change that was submitted without one. The ID is a digest of the change's numbers, base version
+/// and content, so the same change has the same ID when it is sent again.
 pub fn derive_change_id(
     base: Option<Version>,
     numbering: Option<Numbering>,
     kind: &ChangeKind,
 ) -> ChangeId {
-    let named = NamedContent {
+    let digested = DigestedContent {
         base_number: numbering.map(|numbering| numbering.base_number),
         base_version: base.map(|base| base.0),
         content: ChangeContent::of(kind),
         number: numbering.map(|numbering| numbering.number),
     };
-    // A `Value` sorts its keys, whatever the order of the fields.
-    let canonical = json!(named).to_string();
+    // A `Value` sorts its keys, so the order of the fields does not matter.
+    let canonical = json!(digested).to_string();
     ChangeId::from(hex(&digest(canonical.as_bytes())))
 }
 
-/// A specification with named items put and removed.
+/// Returns the spec with the change's items put and removed.
 pub(super) fn with_items(spec: &SpecRecords, items: &ItemChange) -> SpecRecords {
     let mut changed_spec = spec.clone();
     for removed_name in &items.remove_functions {
