--- a/crates/controlplane/src/controller_state/pending_changes.rs
+++ b/crates/controlplane/src/controller_state/pending_changes.rs
@@ -1,4 +1,4 @@
-//! The operators' changes that have no reply yet, by how far each has come.
+//! Operators' changes that have not been replied to, grouped by progress.
 
 use super::{ChangeRequest, OperationReply, OperationTicket, Wait};
 use common::clock::MonotonicTime;
@@ -6,27 +6,28 @@
 use std::collections::{BTreeSet, VecDeque};
 use std::time::Duration;
 
-/// How long a change may wait to be proposed.
+/// How long after its request a change is given up if it has not been proposed.
 const PROPOSAL_TIMEOUT: Duration = Duration::from_millis(800);
-/// How long a proposed change may wait to be committed.
+/// How long after its request a proposed change is given up if it has not been committed.
 const COMMIT_TIMEOUT: Duration = Duration::from_secs(3);
-/// How long the reply to a committed change may wait for the version to be in force everywhere.
+/// How long after its request a committed change is replied to even if its version is not in force everywhere.
 const IN_FORCE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A change that waits to be proposed.
+/// A change that is waiting to be proposed.
 pub(super) struct QueuedChange {
-    /// The operation that the reply belongs to.
+    /// The operation to reply to.
     pub ticket: OperationTicket,
-    /// What its operator requested.
+    /// The operator's request.
     pub request: ChangeRequest,
-    /// Its name: the operator's, or one by its content.
+    /// The ID that the operator gave the change, or a generated one.
     pub change: ChangeId,
-    /// When the controller received it.
+    /// When the controller received the request.
     pub requested_at: MonotonicTime,
 }
 
 impl QueuedChange {
-    /// The change once it has made a version; `number` is the operators' own, zero without one.
+    /// Converts this into a change that produced `version`. `number` is the operators' own number of that version, or
+    /// zero if they gave none.
     pub(super) fn into_proposed(self, version: Version, number: u64) -> ProposedChange {
         ProposedChange {
             ticket: self.ticket,
@@ -39,24 +40,24 @@
     }
 }
 
-/// A change whose version is known.
+/// A change that has produced a version.
 pub(super) struct ProposedChange {
-    /// The operation that the reply belongs to.
+    /// The operation to reply to.
     pub ticket: OperationTicket,
-    /// Its name.
+    /// The change's ID.
     pub change: ChangeId,
-    /// The version it made.
+    /// The version that the change produced.
     pub version: Version,
-    /// The operators' own number of that version; zero without one.
+    /// The operators' own number of that version, or zero if they gave none.
     pub number: u64,
-    /// What its operator waits for.
+    /// What the operator is waiting for.
     pub wait: Wait,
-    /// When the controller received it.
+    /// When the controller received the request.
     pub requested_at: MonotonicTime,
 }
 
 impl ProposedChange {
-    /// The reply once the change is committed; `in_force` is the newest version in force everywhere.
+    /// Returns the reply to the change after it is committed. `in_force` is the newest version in force everywhere.
     pub(super) fn accepted_reply(&self, in_force: Version) -> OperationReply {
         OperationReply::Accepted {
             change: self.change.clone(),
@@ -67,31 +68,31 @@
     }
 }
 
-/// The operators' changes that have no reply yet.
+/// Operators' changes that have not been replied to.
 #[derive(Default)]
 pub(super) struct PendingChanges {
-    /// Those that wait to be evaluated and proposed, oldest first.
+    /// Changes that are waiting to be evaluated and proposed, oldest first.
     pub queue: VecDeque<QueuedChange>,
-    /// Those whose reply a majority must confirm first.
+    /// Changes that were evaluated, but can be acted on only after a majority confirms this leader.
     pub awaiting_confirmation: VecDeque<QueuedChange>,
-    /// Those proposed and not committed.
+    /// Changes that were proposed and are not committed.
     pub in_flight: Vec<ProposedChange>,
-    /// Those committed whose operators may wait for the version to be in force.
+    /// Committed changes. Their operators may be waiting for the version to be in force.
     pub accepted: Vec<ProposedChange>,
 }
 
-/// Changes that have waited too long, by what they waited for.
+/// Changes that timed out, grouped by progress.
 pub(super) struct ExpiredChanges {
-    /// They were never proposed.
+    /// Changes that were never proposed.
     pub unproposed: Vec<QueuedChange>,
-    /// They were proposed; whether they will be committed is not known.
+    /// Changes that were proposed. Whether they will be committed is unknown.
     pub uncommitted: Vec<ProposedChange>,
-    /// They are committed, and not in force everywhere.
+    /// Changes that are committed, but not in force everywhere.
     pub not_in_force: Vec<ProposedChange>,
 }
 
 impl PendingChanges {
-    /// Whether every change has its reply.
+    /// Whether every change has been replied to.
     pub(super) fn is_empty(&self) -> bool {
         self.queue.is_empty()
             && self.awaiting_confirmation.is_empty()
@@ -99,17 +100,17 @@
             && self.accepted.is_empty()
     }
 
-    /// Whether no change waits to be proposed.
+    /// Whether the queue of changes to propose is empty.
     pub(super) fn is_idle(&self) -> bool {
         self.queue.is_empty()
     }
 
-    /// Whether a reply waits to be confirmed by a majority.
+    /// Whether a change is waiting for a majority to confirm this leader.
     pub(super) fn needs_confirmation(&self) -> bool {
         !self.awaiting_confirmation.is_empty()
     }
 
-    /// Whether a change of this name waits to be proposed.
+    /// Whether a change with this ID is waiting to be proposed.
     pub(super) fn is_queued(&self, change: &ChangeId) -> bool {
         self.queue
             .iter()
@@ -117,13 +118,14 @@
             .any(|queued| queued.change == *change)
     }
 
-    /// Returns the changes that waited for proof to the end of the queue.
+    /// Moves the changes that are awaiting confirmation to the end of the queue.
     pub(super) fn requeue_awaiting_confirmation(&mut self) {
         let awaiting_confirmation = std::mem::take(&mut self.awaiting_confirmation);
         self.queue.extend(awaiting_confirmation);
     }
 
-    /// Queued changes of the same name as one in flight wait for its version instead of making another.
+    /// Attaches each queued change that has the ID of a change in flight to the version of that change, so that it does
+    /// not produce a second version.
     pub(super) fn attach_repeated_changes(&mut self) {
         let in_flight_changes: BTreeSet<ChangeId> = self
             .in_flight
@@ -145,7 +147,7 @@
         }
     }
 
-    /// Removes the changes that have waited too long.
+    /// Removes and returns the changes that timed out.
     pub(super) fn take_expired(&mut self, now: MonotonicTime) -> ExpiredChanges {
         let mut unproposed = take_expired_queued(now, &mut self.queue);
         unproposed.extend(take_expired_queued(now, &mut self.awaiting_confirmation));
@@ -162,7 +164,7 @@
         }
     }
 
-    /// A version is committed, and with it the changes that made it.
+    /// Marks the changes that produced this version as committed.
     pub(super) fn mark_committed(&mut self, version: Version) {
         let committed = take_matching(&mut self.in_flight, |proposed_change| {
             proposed_change.version == version
@@ -170,14 +172,14 @@
         self.accepted.extend(committed);
     }
 
-    /// Removes the committed changes that have come as far as their operators wait for.
+    /// Removes and returns the committed changes that have reached the state their operators are waiting for.
     pub(super) fn take_fulfilled(&mut self, in_force: Version) -> Vec<ProposedChange> {
         take_matching(&mut self.accepted, |proposed_change| {
             proposed_change.wait == Wait::Accepted || in_force >= proposed_change.version
         })
     }
 
-    /// Drops what the operation asked for unless it has been proposed.
+    /// Drops the operation's change unless it has been proposed.
     pub(super) fn drop_unproposed(&mut self, ticket: OperationTicket) {
         self.queue.retain(|queued| queued.ticket != ticket);
         self.awaiting_confirmation
