--- a/crates/controlplane/src/controller_state/shutdown.rs
+++ b/crates/controlplane/src/controller_state/shutdown.rs
@@ -1,16 +1,17 @@
-//! What operators are told by a controller that stops.
+//! Replies to the remaining operations when the controller stops.
 
 use super::{ControllerState, OperationReply, Unavailable, WaitingOperation};
 use common::identity::Version;
 
 impl ControllerState {
-    /// Whether an operator's request has no reply yet.
+    /// Whether an operator's request has not been replied to.
     pub fn has_pending_operations(&self) -> bool {
         !self.waiting_operations.is_empty() || !self.pending_changes.is_empty()
     }
 
-    /// The controller's process is about to end: every operation gets its reply now, and so does each that still
-    /// arrives. A change that was proposed may yet be committed by another leader; one that was not has not happened.
+    /// Replies to every pending operation because the process is about to exit. Operations that arrive later are
+    /// rejected at once. A change that was proposed is reported as unknown, because another leader may still commit it; a
+    /// change that was not proposed is reported as not accepted.
     pub(super) fn stop(&mut self) {
         self.is_stopping = true;
         self.pending_changes.attach_repeated_changes();
