--- a/crates/controlplane/src/controller_state/history.rs
+++ b/crates/controlplane/src/controller_state/history.rs
@@ -1,4 +1,4 @@
-//! The newest events of this controller, numbered.
+//! The log of this controller's most recent events.
 
 use crate::leader_state::EventRecord;
 use common::identity::Term;
@@ -6,31 +6,31 @@
 
 const MAX_RETAINED_EVENTS: usize = 20_000;
 
-/// An event with its number.
+/// An event and its number.
 #[derive(Clone, Debug)]
 pub struct NumberedEvent {
-    /// The leader's term in the upper 32 bits, a count in the lower ones.
+    /// The leader's term in the upper 32 bits and a counter in the lower 32 bits.
     pub number: u64,
     /// The event.
     pub event_record: EventRecord,
 }
 
-/// One line of the events that operators read.
+/// An entry of the event log as operators read it.
 #[derive(Clone, Debug)]
 pub enum EventEntry {
     /// An event.
     Event(NumberedEvent),
-    /// Events that were asked for are no longer retained.
+    /// Some of the requested events are no longer retained.
     Gap {
-        /// The first number asked for.
+        /// The first number requested.
         requested: u64,
-        /// The oldest number that is retained, or the next one to be given.
+        /// The oldest retained number, or the next number to be assigned if no event is retained.
         oldest: u64,
     },
 }
 
 impl EventEntry {
-    /// The number under which operators read it.
+    /// Returns the entry's number: that of the event, or of the last event in the gap.
     pub fn number(&self) -> u64 {
         match self {
             Self::Event(numbered) => numbered.number,
@@ -39,7 +39,7 @@
     }
 }
 
-/// The newest events of this controller.
+/// A bounded log of this controller's most recent events.
 #[derive(Default)]
 pub(super) struct EventLog {
     retained: VecDeque<NumberedEvent>,
@@ -47,13 +47,14 @@
 }
 
 impl EventLog {
-    /// A new term as leader begins: its numbers are above those of all earlier terms.
+    /// Clears the log at the start of a term as leader. The term's event numbers are higher than those of all earlier
+    /// terms.
     pub(super) fn begin_term(&mut self, term: Term) {
         self.retained.clear();
         self.last_number = self.last_number.max(term.0 << 32);
     }
 
-    /// Numbers an event and retains it.
+    /// Assigns the next number to an event and adds it to the log.
     pub(super) fn append(&mut self, event_record: EventRecord) -> NumberedEvent {
         self.last_number += 1;
         let numbered = NumberedEvent {
@@ -67,12 +68,13 @@
         numbered
     }
 
-    /// The newest number.
+    /// Returns the number of the newest event.
     pub(super) fn newest(&self) -> u64 {
         self.last_number
     }
 
-    /// At most `limit` events from a number on, after a gap entry if some of them are no longer retained.
+    /// Returns up to `limit` events starting at `first_number`, preceded by a gap entry if some of them are no longer
+    /// retained.
     pub(super) fn entries_from(&self, first_number: u64, limit: usize) -> Vec<EventEntry> {
         let oldest = self
             .retained
