--- a/crates/controlplane/src/controller_state/proposal_outcome.rs
+++ b/crates/controlplane/src/controller_state/proposal_outcome.rs
@@ -1,4 +1,4 @@
-//! What one change comes to under the newest committed document. Nothing is written or sent here.
+//! Evaluates a change against the newest committed document. Free of side effects.
 
 use super::content::with_items;
 use super::pending_changes::QueuedChange;
@@ -10,35 +10,35 @@
 use common::spec::{ChangeStatus, Document, Spec, SpecRecords};
 use std::collections::BTreeSet;
 
-/// What a change comes to.
+/// The result of evaluating a change.
 pub(super) enum ProposalOutcome {
-    /// It is in the history already. That stays true whoever leads, and needs no proof.
+    /// The change was applied before. This is true under any leader, so it needs no confirmation by a majority.
     Applied {
-        /// The version that it made.
+        /// The version that the change produced.
         version: Version,
-        /// The operators' number of that version; zero without one.
+        /// The operators' number of that version, or zero if they gave none.
         number: u64,
     },
-    /// The state is as it requests; true as long as no other leader has been elected.
+    /// The requested state is the current one. Valid only while no other leader has been elected.
     AlreadyInState,
-    /// It is rejected, or has no definite result; true as long as no other leader has been elected.
+    /// The change is rejected, or its result is unknown. Valid only while no other leader has been elected.
     Answered(OperationReply),
-    /// It makes this document.
+    /// The change produces this document.
     NewDocument(Box<Document>),
 }
 
 /// Evaluates changes against one committed document.
 pub(super) struct ChangeEvaluator<'a> {
-    /// The newest committed document.
+    /// The newest committed document, against which changes are evaluated.
     pub current_document: &'a Document,
-    /// The leader's view of daemons and workers, for the zones that exist.
+    /// The leader state, which knows the zones of daemons and workers.
     pub leader_state: Option<&'a LeaderState>,
-    /// The rules in force.
+    /// The rules to enforce.
     pub rules: Rules,
 }
 
 impl ChangeEvaluator<'_> {
-    /// What a change comes to.
+    /// Evaluates a change.
     pub(super) fn evaluate(&self, queued: &QueuedChange) -> ProposalOutcome {
         match self.status_of(queued) {
             ChangeStatus::Applied(version) => {
@@ -68,8 +68,8 @@
         }
     }
 
-    /// Whether a change has been applied already. A numbered change is known by number and content, any
-    /// other by its name; a bounded count of each is remembered.
+    /// Returns whether a change has been applied before. A numbered change is identified by its number and content, any
+    /// other change by its ID. Only a limited number of each are retained.
     fn status_of(&self, queued: &QueuedChange) -> ChangeStatus {
         if !self.rules.enforces(Rule::ResentChangeRecognized) {
             return ChangeStatus::NotApplied;
@@ -128,7 +128,7 @@
         }
     }
 
-    /// An operator's number must be above the current one.
+    /// Checks that the operator's number is higher than the current one.
     fn check_number(&self, queued: &QueuedChange) -> Result<(), OperationReply> {
         let current_number = self.current_document.number;
         let is_number_low = queued
