--- a/crates/controlplane/src/controller_state/io.rs
+++ b/crates/controlplane/src/controller_state/io.rs
@@ -1,4 +1,4 @@
-//! What goes into a controller and what comes out of it.
+//! The inputs and outputs of a controller.
 
 use super::{NumberedEvent, Operation, OperationReply, OperationTicket};
 use crate::consensus::{WriteJob, WriteResult};
@@ -11,31 +11,31 @@
 /// An input of the controller.
 #[derive(Debug)]
 pub enum ControllerInput {
-    /// Time passes.
+    /// A timer expired.
     Tick,
-    /// Another controller's frame.
+    /// A frame from another controller.
     Consensus(ConsensusFrame),
     /// A disk write has completed.
     WriteCompleted(Ticket, WriteResult),
-    /// A daemon's frame.
+    /// A frame from a daemon.
     DaemonFrame(StreamId, DaemonToLeader),
-    /// A daemon's stream has ended.
+    /// The stream of a daemon has been closed.
     StreamLost(StreamId),
-    /// The platform's workers.
+    /// The workers that the platform lists.
     Workers(Vec<ListedWorker>),
-    /// The platform's runners as of an instant.
+    /// The runners that the platform listed at this time.
     Runners(MonotonicTime, Vec<ListedRunner>),
     /// The platform confirmed that a runner has stopped.
     RunnerStopped(RunnerId),
-    /// An operator's request.
+    /// A request from an operator.
     OperatorRequest(OperationTicket, Operation),
-    /// The connection of the operation's caller has ended; nobody reads its reply any more.
+    /// The caller of this operation has disconnected, so its reply is no longer needed.
     CallerDisconnected(OperationTicket),
-    /// Connections to this address are refused: the process there has ended.
+    /// The controller process at this address has exited: connections to it are refused.
     ProcessExited(SocketAddress),
-    /// The seed addresses have changed.
+    /// The new seed addresses.
     Seeds(Vec<SocketAddress>),
-    /// The process is about to end.
+    /// The process is about to exit.
     Stop,
 }
 
@@ -44,18 +44,18 @@
 pub enum ControllerOutput {
     /// Send a frame to another controller.
     Send(SocketAddress, ConsensusFrame),
-    /// Write to disk.
+    /// Carry out a disk write.
     Write(Ticket, WriteJob),
     /// Send a frame on a daemon's stream.
     FrameToDaemon(StreamId, LeaderToDaemon),
-    /// End a daemon's stream.
+    /// Close a daemon's stream.
     CloseStream(StreamId),
-    /// Read the platform's lists at once.
+    /// Request the platform's lists immediately.
     RequestLists,
     /// Have the platform stop a runner.
     StopRunner(StopOrder),
     /// Reply to an operator.
     OperatorReply(OperationTicket, OperationReply),
-    /// An event was recorded.
+    /// Publish an event that was recorded.
     EventRecorded(NumberedEvent),
 }
