--- a/crates/controlplane/src/controller_state/operations.rs
+++ b/crates/controlplane/src/controller_state/operations.rs
@@ -1,4 +1,4 @@
-//! Operators' requests: which are answered here, which are redirected, and which wait for a leader.
+//! Handles operators' requests: some are answered here, others are redirected to the leader or wait for one.
 
 use super::{
     ControllerOutput, ControllerState, Operation, OperationReply, OperationTicket,
@@ -10,22 +10,22 @@
 use common::rules::Rule;
 use std::time::Duration;
 
-/// How long an operation waits for a leader, or for a majority to confirm this one.
+/// How long an operation waits for a leader, or for a majority to confirm this controller as the leader.
 const LEADER_WAIT_TIMEOUT: Duration = Duration::from_millis(700);
-/// How many events one reply holds at most.
+/// The maximum number of events in one reply.
 const MAX_EVENTS_PER_REPLY: usize = 1000;
 
-/// An operation that waits for a leader.
+/// An operation that is waiting for a leader, or for a majority to confirm this controller as the leader.
 pub(super) struct WaitingOperation {
-    /// The operation that the reply belongs to.
+    /// The operation to reply to.
     pub ticket: OperationTicket,
-    /// What is asked.
+    /// The requested operation.
     pub operation: Operation,
     requested_at: MonotonicTime,
 }
 
 impl ControllerState {
-    /// Handles an operation now, or lets it wait for a leader.
+    /// Handles an operation now, or queues it until there is a leader.
     pub(super) fn handle_operation(
         &mut self,
         now: MonotonicTime,
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Queues an operation until there is a leader, or it has waited too long.
+    /// Queues an operation until there is a leader or it times out.
     pub(super) fn wait_for_leader(
         &mut self,
         requested_at: MonotonicTime,
@@ -55,8 +55,9 @@
         });
     }
 
-    /// A rejected client backs off longer each time, so an operation waits a little for a leader instead.
-    /// A read waits until a majority has confirmed this leader after the request.
+    /// Whether an operation must wait for a leader. It waits for a short time instead of being rejected, because a
+    /// rejected client backs off longer each time. A read also waits until a majority has confirmed this leader since the
+    /// request.
     fn must_wait_for_leader(
         &self,
         now: MonotonicTime,
@@ -78,7 +79,7 @@
         }
     }
 
-    /// Handles the waiting operations that need not wait any longer.
+    /// Handles the operations that no longer have to wait, or that have waited too long.
     pub(super) fn retry_waiting_operations(&mut self, now: MonotonicTime) {
         for waiting in std::mem::take(&mut self.waiting_operations) {
             let is_expired = now.since(waiting.requested_at) > LEADER_WAIT_TIMEOUT;
@@ -127,7 +128,7 @@
         }
     }
 
-    /// Handles what only a leader can; a change that is queued has no reply yet.
+    /// Handles an operation that requires the leader. Returns `None` for a change, which is queued and replied to later.
     fn execute_as_leader(
         &mut self,
         now: MonotonicTime,
