--- a/crates/controlplane/src/controller_state/consensus_outputs.rs
+++ b/crates/controlplane/src/controller_state/consensus_outputs.rs
@@ -1,4 +1,4 @@
-//! What the controller does with the outputs of its consensus node.
+//! Carries out the outputs of the consensus node.
 
 use super::{ControllerOutput, ControllerState, event_records};
 use crate::consensus::ConsensusOutput;
@@ -10,7 +10,7 @@
 use std::collections::BTreeSet;
 
 impl ControllerState {
-    /// Carries out the outputs of the consensus node, in their order.
+    /// Carries out the outputs of the consensus node in order.
     pub(super) fn execute(&mut self, now: MonotonicTime, consensus_outputs: Vec<ConsensusOutput>) {
         for output in consensus_outputs {
             match output {
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Numbers an event, retains it and hands it out.
+    /// Numbers an event, adds it to the log and outputs it.
     pub(super) fn record_event(&mut self, event_record: EventRecord) {
         let numbered = self.history.append(event_record);
         self.outputs.push(ControllerOutput::EventRecorded(numbered));
