--- a/crates/controlplane/src/controller_state/operation.rs
+++ b/crates/controlplane/src/controller_state/operation.rs
@@ -1,4 +1,4 @@
-//! What operators can request of a controller.
+//! The operations that operators can request of a controller.
 
 use super::{OperationReply, Unavailable};
 use common::identity::{ChangeId, ControllerId, Version, Zone};
@@ -6,100 +6,100 @@
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Identifies one operation in this process.
+/// Identifies an operation within this process.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
 pub struct OperationTicket(pub u64);
 
-/// The operators' own number of a spec, and of the one it is built on.
+/// The numbers that operators themselves assign to a spec and to the one it is based on.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct Numbering {
-    /// The number it is to have; above the current one.
+    /// The number of the new spec, which must be higher than the current one.
     pub number: u64,
-    /// The number of the spec it is built on; zero before the first.
+    /// The number of the spec that the change is based on, or zero if none has been numbered.
     pub base_number: u64,
 }
 
-/// A change of named items. An item that is put replaces the one of its name completely; removing an
-/// item that does not exist is no error.
+/// A change of individual items by name. An item that is put replaces the existing one of that name completely. Removing
+/// an item that does not exist is not an error.
 #[derive(Clone, Debug, Default)]
 pub struct ItemChange {
-    /// The functions put, by name: each as the operator wrote it. It is checked with the spec that results.
+    /// The functions to put, by name, as the operator wrote them. They are validated as part of the resulting spec.
     pub put_functions: BTreeMap<String, Value>,
-    /// The functions removed.
+    /// The functions to remove.
     pub remove_functions: BTreeSet<String>,
-    /// The routes put, by name: each as the operator wrote it.
+    /// The routes to put, by name, as the operator wrote them.
     pub put_routes: BTreeMap<String, Value>,
-    /// The routes removed.
+    /// The routes to remove.
     pub remove_routes: BTreeSet<String>,
-    /// The callers' limits as the operator wrote them, if they change.
+    /// The new limits for callers as the operator wrote them, if they change.
     pub limits: Option<Value>,
-    /// What is stored with the spec and never interpreted, if it changes: any JSON.
+    /// The new labels, if they change: any JSON, stored with the spec and never interpreted.
     pub labels: Option<Value>,
 }
 
-/// What a change does.
+/// The kind of a change, with its content.
 #[derive(Clone, Debug)]
 pub enum ChangeKind {
     /// Replaces the spec.
     FullSpec(SpecRecords),
-    /// Applies a JSON merge patch (RFC 7396) to the spec. A patch is any JSON: it need not have the form of a
-    /// spec, and only what results from it is checked.
+    /// Applies a JSON merge patch (RFC 7396) to the spec. The patch may be any JSON; only the resulting spec is
+    /// validated.
     Patch(Value),
-    /// Puts and removes named items of the spec.
+    /// Puts and removes individual items of the spec.
     Items(Box<ItemChange>),
     /// Evacuates a zone.
     Evacuate {
-        /// Which one.
+        /// The zone to evacuate.
         zone: Zone,
-        /// Even if it is the last one.
+        /// Whether to evacuate it even if it is unknown or the last one in use.
         force: bool,
     },
-    /// Takes a zone into use again.
+    /// Ends the evacuation of a zone.
     Restore {
-        /// Which one.
+        /// The zone to restore.
         zone: Zone,
     },
 }
 
 impl ChangeKind {
-    /// Whether it evacuates or restores a zone.
+    /// Whether the change evacuates or restores a zone.
     pub fn is_zone_change(&self) -> bool {
         matches!(self, Self::Evacuate { .. } | Self::Restore { .. })
     }
 }
 
-/// What an operator waits for.
+/// The state of a change that its operator waits for.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Wait {
-    /// Until the change is accepted.
+    /// The change is accepted.
     Accepted,
-    /// Until it is in force everywhere.
+    /// The change is in force everywhere.
     InForce,
 }
 
-/// A change as an operator requests it.
+/// An operator's request for a change.
 #[derive(Clone, Debug)]
 pub struct ChangeRequest {
-    /// The version it is built on.
+    /// The version that the change is based on.
     pub base: Option<Version>,
-    /// The operators' own numbers, if they number it.
+    /// The numbers that the operators assign, if any.
     pub numbering: Option<Numbering>,
-    /// The operator's name for it; without one its content identifies it.
+    /// The ID that the operator gave the change. If it is absent, one is generated.
     pub change: Option<ChangeId>,
-    /// What it does.
+    /// The requested change.
     pub kind: ChangeKind,
-    /// What to wait for.
+    /// The state to wait for.
     pub wait: Wait,
 }
 
-/// What an operator requests.
+/// An operation that an operator requests.
 #[derive(Clone, Debug)]
 pub enum Operation {
     /// Read the spec.
     ReadSpec,
-    /// Change it.
+    /// Change the spec, or evacuate or restore a zone.
     Change(ChangeRequest),
-    /// Report what is known of a change.
+    /// Report the status of a change.
     ChangeStatus(ChangeId),
     /// List the daemons.
     Members,
@@ -109,22 +109,22 @@
     Workers,
     /// List the runners.
     Runners,
-    /// Show the control quorum.
+    /// Show the status of the control quorum.
     ShowQuorum,
     /// Bootstrap the control quorum.
     Bootstrap,
-    /// Replace a voter, the first, by another controller, the second.
+    /// Replace a voter (the first ID) with another controller (the second ID).
     Replace(ControllerId, ControllerId),
-    /// Read events from a number on.
+    /// Read the events starting at this number.
     Events(u64),
-    /// Show how a version propagated, as far as this controller knows; zero for the newest.
+    /// Show how a version propagated, as far as this controller knows. Zero stands for the newest version.
     Trace(Version),
     /// Update the metrics.
     Metrics,
 }
 
 impl Operation {
-    /// The reply to an operation of which nothing has been carried out.
+    /// Returns the reply to this operation if no part of it has been carried out.
     pub fn not_handled(&self, reason: Unavailable) -> OperationReply {
         match self {
             Self::Change(request) => OperationReply::NotAccepted {
