--- a/crates/controlplane/src/controller_state/traces.rs
+++ b/crates/controlplane/src/controller_state/traces.rs
@@ -1,4 +1,4 @@
-//! How the last versions propagated, as this controller saw it while it led.
+//! Traces of how recent versions propagated, recorded while this controller was leader.
 
 use super::{ControllerState, MemberProgress, MemberTraceReport, TraceReport, VersionTraceReport};
 use crate::leader_state::TraceStep;
@@ -44,7 +44,7 @@
     }
 }
 
-/// The traces of the last versions, by version and the term in which this controller led.
+/// The traces of recent versions, by version and by the term of the leadership.
 #[derive(Default)]
 pub(super) struct Traces {
     retained: BTreeMap<(Version, Term), Trace>,
@@ -71,13 +71,13 @@
         })
     }
 
-    /// An operator's change makes this version.
+    /// Records that this version was produced by an operator's change accepted here.
     pub(super) fn record_proposal(&mut self, now: MonotonicTime, term: Term, version: Version) {
         self.term = term;
         self.get_or_begin(now, version, true);
     }
 
-    /// A version is committed, or committed again by a new leader.
+    /// Records that a version was committed, or committed again by a new leader.
     pub(super) fn record_committed(
         &mut self,
         now: MonotonicTime,
@@ -89,7 +89,7 @@
             .get_or_insert(now);
     }
 
-    /// A version is in force at every daemon that serves; every older one is in force or replaced.
+    /// Records that a version is in force at every serving daemon. Every older version is then in force or superseded.
     pub(super) fn record_in_force(&mut self, now: MonotonicTime, version: Version) {
         self.get_or_begin(now, version, false);
         let current_term = self.term;
@@ -99,7 +99,7 @@
         }
     }
 
-    /// A version came one step further at a daemon; ignored unless this controller traces the version.
+    /// Records that a version reached the next step at a daemon. Ignored if the version is not traced in this term.
     pub(super) fn record_step(
         &mut self,
         now: MonotonicTime,
@@ -123,7 +123,7 @@
 }
 
 impl ControllerState {
-    /// How a version propagated, as far as this controller knows; version zero stands for the newest.
+    /// Reports how a version propagated, as far as this controller knows. Version zero stands for the newest.
     pub(super) fn trace_report(&self, now: MonotonicTime, version: Version) -> TraceReport {
         let retained = &self.traces.retained;
         let requested = if version == Version(0) {
