--- a/crates/controlplane/src/controller_state/reply.rs
+++ b/crates/controlplane/src/controller_state/reply.rs
@@ -1,4 +1,4 @@
-//! What the controller replies to operators. These types hold values; adapters turn them into a status and a body.
+//! The controller's replies to operators. Adapters convert these values into an HTTP status and a body.
 
 use super::history::EventEntry;
 use crate::consensus::{BootstrapError, MembershipError, PeerStatus, ProposeError};
@@ -10,33 +10,33 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Why an operator gets no definite result.
+/// The reason why an operation has no definite result.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Unavailable {
     /// No leader is known.
     NoLeader,
-    /// The leader has not been confirmed by a majority lately.
+    /// No majority has confirmed the leader recently.
     NoQuorum,
     /// There is no document yet.
     NoDocument,
-    /// This controller does not lead, or has not yet committed under its term.
+    /// This controller is not the leader, or has not committed anything in its term yet.
     NotReady,
-    /// Another change is in flight.
+    /// Another proposal is in flight.
     Busy,
-    /// The change may have been applied so long ago that no record of it is left.
+    /// The change may have been applied so long ago that its record has been discarded.
     Forgotten,
     /// The leader cannot be reached; nothing was sent to it.
     LeaderUnreachable,
-    /// The request was sent to the leader, which did not respond.
+    /// The request was sent to the leader, but no response was received.
     LeaderLost,
-    /// The request cannot be forwarded.
+    /// The request cannot be forwarded because it is malformed.
     BadRequest,
     /// This process is stopping.
     Stopping,
 }
 
 impl Unavailable {
-    /// The reason as it stands in response bodies.
+    /// Returns the reason as it appears in response bodies.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::NoLeader => "no_leader",
@@ -62,7 +62,7 @@
     }
 }
 
-/// Why the control quorum was not bootstrapped or changed.
+/// The reason why the control quorum was not bootstrapped or changed.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, thiserror::Error)]
 pub enum QuorumChangeError {
     /// The quorum cannot be bootstrapped here.
@@ -73,17 +73,17 @@
     Membership(#[from] MembershipError),
 }
 
-/// What is known of a change that this controller has no committed record of.
+/// The state of a change of which this controller has no committed record.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum UnrecordedChange {
-    /// It may be applied yet, or its record may have been forgotten.
+    /// The change may still be applied, or its record may have been discarded.
     Unknown,
-    /// It has not been applied.
+    /// The change has not been applied.
     NotAccepted,
 }
 
 impl UnrecordedChange {
-    /// The state as it stands in response bodies.
+    /// Returns the state as it appears in response bodies.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Unknown => "unknown",
@@ -92,22 +92,22 @@
     }
 }
 
-/// The control quorum as this controller sees it.
+/// The status of the control quorum as this controller sees it.
 #[derive(Clone, Debug)]
 pub struct QuorumStatus {
-    /// This controller.
+    /// The ID of this controller.
     pub id: ControllerId,
-    /// Its term.
+    /// The current term of this controller.
     pub term: Term,
-    /// Whether it leads.
+    /// Whether this controller is the leader.
     pub is_leader: bool,
-    /// Whether it leads and has committed under its term.
+    /// Whether this controller is the leader and has committed in its term.
     pub is_ready: bool,
-    /// Whether, as leader, it knows the daemons well enough to hand out leases.
+    /// Whether this controller, as leader, knows the daemons well enough to grant leases.
     pub is_open: bool,
-    /// Where operators reach the leader, if one is known.
+    /// The address at which the leader serves operators, if a leader is known.
     pub leader: Option<SocketAddress>,
-    /// The newest version on its disk.
+    /// The newest version on this controller's disk.
     pub accepted: Option<DocumentVersion>,
     /// The newest version known to be committed.
     pub committed: DocumentVersion,
@@ -115,137 +115,137 @@
     pub peers: Vec<PeerStatus>,
 }
 
-/// How far a version came at one daemon; spans since the version's trace began.
+/// The progress of a version at one daemon, as durations since the start of the version's trace.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct MemberProgress {
-    /// Until it was pushed down the daemon's stream.
+    /// Until the version was pushed to the daemon's stream.
     pub pushed_after: Option<Duration>,
-    /// Until the daemon acknowledged that it is installed.
+    /// Until the daemon acknowledged the installation.
     pub installed_after: Option<Duration>,
 }
 
 /// One daemon in the trace of a version.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
 pub struct MemberTraceReport {
-    /// How far the version came; absent for a daemon that only lags.
+    /// The progress of the version. Absent if the trace recorded none.
     pub progress: Option<MemberProgress>,
-    /// Why it does not have the version, if it does not.
+    /// The reason why the daemon does not have the version, if it does not.
     pub lagging: Option<&'static str>,
 }
 
-/// The trace of one version under one term; spans since it began.
+/// The trace of one version in one term, with durations since the start of the trace.
 #[derive(Clone, Debug)]
 pub struct VersionTraceReport {
     /// The term of the leader that traced it.
     pub term: Term,
-    /// Whether this controller still leads under that term.
+    /// Whether this controller is still the leader in that term.
     pub is_leading_now: bool,
-    /// Whether an operator's change accepted here made the version; otherwise it was inherited.
+    /// Whether the version was produced by an operator's change accepted here, and not inherited from an earlier leader.
     pub is_own_change: bool,
-    /// Until it was committed.
+    /// Until the version was committed.
     pub committed_after: Option<Duration>,
-    /// Until it was in force, or replaced, at every daemon that serves.
+    /// Until the version was in force, or superseded, at every serving daemon.
     pub in_force_after: Option<Duration>,
     /// Until now.
     pub age: Duration,
-    /// The daemons.
+    /// The traces by daemon.
     pub members: BTreeMap<MemberName, MemberTraceReport>,
 }
 
-/// What this controller knows of the propagation of one version.
+/// What this controller knows about the propagation of one version.
 #[derive(Clone, Debug)]
 pub struct TraceReport {
-    /// The version asked for, or the newest; none if nothing was traced here.
+    /// The requested version, or the newest one. Absent if the newest was requested and nothing was traced here.
     pub version: Option<Version>,
-    /// This controller.
+    /// The ID of this controller.
     pub controller: ControllerId,
-    /// One trace for each term in which the version was traced; none if it is unknown.
+    /// One trace for each term in which the version was traced. Empty if the version was not traced here.
     pub traces: Vec<VersionTraceReport>,
 }
 
-/// The reply to an operator.
+/// The reply to an operation.
 #[derive(Clone, Debug)]
 pub enum OperationReply {
-    /// The metrics have been updated; the driver that holds them writes the page.
+    /// The metrics have been updated. The driver renders the metrics page.
     MetricsUpdated,
-    /// The control quorum.
+    /// The status of the control quorum.
     Quorum(Box<QuorumStatus>),
     /// The propagation of one version.
     Trace(TraceReport),
     /// Events, oldest first.
     Events(Vec<EventEntry>),
-    /// A list of the leader's.
+    /// A list that the leader reports.
     LeaderReport(LeaderReport),
-    /// Bootstrapping the control quorum has begun.
+    /// The bootstrap of the control quorum has started.
     Bootstrapping,
-    /// Replacing a voter has begun.
+    /// The replacement of a voter has started.
     ReplacingVoter {
         /// The version that names the new voters.
         version: Version,
     },
-    /// The control quorum stays as it is.
+    /// The control quorum was not changed.
     QuorumChangeRejected(QuorumChangeError),
-    /// There is no committed record of a change here.
+    /// This controller has no committed record of the change.
     ChangeUnrecorded {
-        /// The change's name.
+        /// The change's ID.
         change: ChangeId,
-        /// What is known of it.
+        /// What is known about the change.
         state: UnrecordedChange,
     },
     /// The newest spec.
     Spec {
-        /// The document that holds it.
+        /// The document that contains the spec.
         document: Box<Document>,
         /// The newest version that is in force everywhere.
         in_force: Version,
     },
-    /// A change is on the disks of a majority.
+    /// The change is on the disks of a majority.
     Accepted {
-        /// Its name.
+        /// The change's ID.
         change: ChangeId,
-        /// The version it made.
+        /// The version that the change produced.
         version: Version,
-        /// The operators' number; zero if they gave none.
+        /// The operators' number of that version, or zero if they gave none.
         number: u64,
-        /// Whether it is in force everywhere.
+        /// Whether the version is in force everywhere.
         in_force: bool,
     },
-    /// The current spec is not the one that a change is built on; nothing was written.
+    /// The change is not based on the current spec. Nothing was written.
     Stale {
-        /// The change's name.
+        /// The change's ID.
         change: ChangeId,
         /// The current version.
         version: Version,
         /// The operators' current number.
         number: u64,
     },
-    /// A change is invalid; nothing was written.
+    /// The change is invalid. Nothing was written.
     Invalid(Vec<PathError>),
-    /// There is no such zone; nothing was written.
+    /// The zone does not exist. Nothing was written.
     UnknownZone {
-        /// The zone that was named.
+        /// The zone in the request.
         zone: Zone,
-        /// Those that are known.
+        /// The known zones.
         known: BTreeSet<Zone>,
     },
-    /// No zone would be left; nothing was written.
+    /// The change would leave no zone in use. Nothing was written.
     LastZone,
-    /// A change did not happen and will not.
+    /// The operation has not been carried out and will not be.
     NotAccepted {
-        /// Why.
+        /// The reason.
         reason: Unavailable,
-        /// Its name, if it is known here.
+        /// The change's ID, if it is known here.
         change: Option<ChangeId>,
     },
-    /// A change may have happened, or may yet.
+    /// The operation may have been carried out, or may still be.
     Unknown {
-        /// Why.
+        /// The reason.
         reason: Unavailable,
-        /// Its name, if it is known here.
+        /// The change's ID, if it is known here.
         change: Option<ChangeId>,
     },
-    /// A question cannot be answered now.
+    /// A read cannot be answered at the moment.
     TemporarilyUnavailable(Unavailable),
-    /// The leader replies; the address is the one at which it serves operators.
+    /// The request must be sent to the leader, which serves operators at this address.
     Redirect(SocketAddress),
 }
