--- a/crates/controlplane/src/controller_state/event_records.rs
+++ b/crates/controlplane/src/controller_state/event_records.rs
@@ -1,4 +1,4 @@
-//! The events that the controller itself records.
+//! Constructors of the events that the controller itself records.
 
 use crate::leader_state::{EventDetail, EventRecord};
 use common::events::{self, Event};
@@ -21,7 +21,7 @@
     record(events::ELECTION_STARTED, EventDetail::Term { term })
 }
 
-/// `complete` says whether the `known_members` daemons are all that may hold a lease.
+/// `known_members` is the number of daemons that are known to hold leases, and `complete` is whether no others may.
 pub(super) fn leader_elected(
     term: Term,
     leader: ControllerId,
@@ -50,7 +50,8 @@
     record(events::VERSION_COMMITTED, detail)
 }
 
-/// The voters are at these addresses, once the change is settled.
+/// `voters` are the addresses of the next voters, and `settled` is whether the proposal completes the change rather than
+/// beginning it.
 pub(super) fn quorum_reconfiguring(voters: Vec<SocketAddress>, settled: bool) -> EventRecord {
     let detail = EventDetail::QuorumReconfiguring { voters, settled };
     record(events::QUORUM_RECONFIGURING, detail)
