--- a/crates/controlplane/src/controller_state/changes.rs
+++ b/crates/controlplane/src/controller_state/changes.rs
@@ -129,9 +129,10 @@
         }
     }
 
-    /// Whether the outcome of an evaluation may be acted on now. A reply that depends on the current state requires that
-    /// a majority has confirmed this leader since the request. So does a change of a zone, which has no base version by
-    /// which it could become stale; it is also delayed until a disconnection of its caller would have been noticed.
+    /// Whether the outcome of an evaluation may be acted on now. A reply that depends on the current state requires
+    /// that a majority has confirmed this leader since the request. So does a change of a zone, which has no base
+    /// version by which it could become stale; it is also delayed until a disconnection of its caller would have been
+    /// noticed.
     fn may_act_on(
         &self,
         now: MonotonicTime,
--- a/crates/controlplane/src/controller_state/event_records.rs
+++ b/crates/controlplane/src/controller_state/event_records.rs
@@ -50,8 +50,8 @@
     record(events::VERSION_COMMITTED, detail)
 }
 
-/// `voters` are the addresses of the next voters, and `settled` is whether the proposal completes the change rather than
-/// beginning it.
+/// `voters` are the addresses of the next voters, and `settled` is whether the proposal completes the change rather
+/// than beginning it.
 pub(super) fn quorum_reconfiguring(voters: Vec<SocketAddress>, settled: bool) -> EventRecord {
     let detail = EventDetail::QuorumReconfiguring { voters, settled };
     record(events::QUORUM_RECONFIGURING, detail)
--- a/crates/controlplane/src/controller_state/operation.rs
+++ b/crates/controlplane/src/controller_state/operation.rs
@@ -19,8 +19,8 @@
     pub base_number: u64,
 }
 
-/// A change of individual items by name. An item that is put replaces the existing one of that name completely. Removing
-/// an item that does not exist is not an error.
+/// A change of individual items by name. An item that is put replaces the existing one of that name completely.
+/// Removing an item that does not exist is not an error.
 #[derive(Clone, Debug, Default)]
 pub struct ItemChange {
     /// The functions to put, by name, as the operator wrote them. They are validated as part of the resulting spec.
--- a/crates/controlplane/src/controller_state/operations.rs
+++ b/crates/controlplane/src/controller_state/operations.rs
@@ -56,8 +56,8 @@
     }
 
     /// Whether an operation must wait for a leader. It waits for a short time instead of being rejected, because a
-    /// rejected client backs off longer each time. A read also waits until a majority has confirmed this leader since the
-    /// request.
+    /// rejected client backs off longer each time. A read also waits until a majority has confirmed this leader since
+    /// the request.
     fn must_wait_for_leader(
         &self,
         now: MonotonicTime,
@@ -128,7 +128,8 @@
         }
     }
 
-    /// Handles an operation that requires the leader. Returns `None` for a change, which is queued and replied to later.
+    /// Handles an operation that requires the leader. Returns `None` for a change, which is queued and replied to
+    /// later.
     fn execute_as_leader(
         &mut self,
         now: MonotonicTime,
--- a/crates/controlplane/src/controller_state/reply.rs
+++ b/crates/controlplane/src/controller_state/reply.rs
@@ -140,7 +140,8 @@
     pub term: Term,
     /// Whether this controller is still the leader in that term.
     pub is_leading_now: bool,
-    /// Whether the version was produced by an operator's change accepted here, and not inherited from an earlier leader.
+    /// Whether the version was produced by an operator's change accepted here, and not inherited from an earlier
+    /// leader.
     pub is_own_change: bool,
     /// Until the version was committed.
     pub committed_after: Option<Duration>,
--- a/crates/controlplane/src/controller_state/shutdown.rs
+++ b/crates/controlplane/src/controller_state/shutdown.rs
@@ -10,8 +10,8 @@
     }
 
     /// Replies to every pending operation because the process is about to exit. Operations that arrive later are
-    /// rejected at once. A change that was proposed is reported as unknown, because another leader may still commit it; a
-    /// change that was not proposed is reported as not accepted.
+    /// rejected at once. A change that was proposed is reported as unknown, because another leader may still commit it;
+    /// a change that was not proposed is reported as not accepted.
     pub(super) fn stop(&mut self) {
         self.is_stopping = true;
         self.pending_changes.attach_repeated_changes();
