--- a/crates/controlplane/src/drivers/controller.rs
+++ b/crates/controlplane/src/drivers/controller.rs
@@ -1,4 +1,4 @@
-//! Opens a controller and runs its loop.
+//! Opens a controller and runs its input loop.
 
 use super::disk::DiskWriter;
 use super::peer_links::PeerLinks;
@@ -23,35 +23,35 @@
 use tokio::net::TcpListener;
 use tokio::sync::watch;
 
-/// Handling an input longer than this delays heartbeats and votes, and is logged.
+/// The handling time above which an input is logged, because it delays heartbeats and votes.
 const SLOW_INPUT: Duration = Duration::from_millis(20);
-/// How long a stopping controller goes on with the operations that it has.
-const OPERATIONS_TIMEOUT: Duration = Duration::from_secs(1);
-/// How long after the request to stop a controller waits for its responses to be read by operators.
+/// How long a stopping controller continues to process the pending operations.
+const PENDING_OPERATIONS_TIMEOUT: Duration = Duration::from_secs(1);
+/// How long after the stop request a controller waits for operators to read its responses.
 const STOP_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Why a controller could not start.
+/// The reason why a controller could not start.
 #[derive(Debug, thiserror::Error)]
 pub enum ControllerError {
-    /// Its settings do not suit this machine.
+    /// The settings cannot be used on this machine.
     #[error(transparent)]
     Settings(#[from] SettingsError),
-    /// Its data directory is unusable.
+    /// The data directory is unusable.
     #[error(transparent)]
     DataDirectory(#[from] DataDirectoryError),
 }
 
-/// The adapters between a controller and what surrounds it.
+/// The adapters of a controller to external systems.
 #[derive(Clone)]
 pub struct ControllerAdapters {
-    /// For operators.
+    /// The adapter of the operators' API.
     pub operators: Arc<dyn OperatorApiAdapter>,
-    /// For the platform.
+    /// The adapter of the platform.
     pub platform: Arc<dyn PlatformAdapter>,
 }
 
 impl ControllerAdapters {
-    /// The product's own, with the platform at this address.
+    /// Returns the product's own adapters, with the platform at this address.
     pub fn native(platform: SocketAddress) -> Self {
         Self {
             operators: Arc::new(NativeOperatorApi),
@@ -79,7 +79,7 @@
 }
 
 impl SeedUpdater {
-    /// Sets the seed addresses; false if the controller has stopped.
+    /// Sets the seed addresses. Returns false if the controller has stopped.
     pub async fn update_seeds(&self, seeds: Vec<SocketAddress>) -> bool {
         self.inputs
             .send(ControllerInput::Seeds(seeds))
@@ -92,7 +92,7 @@
     /// Opens the data directory and the listeners.
     ///
     /// # Errors
-    /// The data directory cannot be used, or an address cannot be listened on.
+    /// Returns an error if the data directory is unusable or the controller cannot listen on an address.
     pub async fn open(settings: &ControllerSettings) -> Result<Self, ControllerError> {
         Self::open_with(
             settings,
@@ -102,10 +102,10 @@
         .await
     }
 
-    /// The same with a fault hook at the disk, and with these adapters.
+    /// Opens a controller like [`Self::open`], but with a disk fault hook and with these adapters.
     ///
     /// # Errors
-    /// Those of [`Self::open`].
+    /// Returns the errors of [`Self::open`].
     pub async fn open_with(
         settings: &ControllerSettings,
         fault_hook: Box<dyn DiskFaultHook>,
@@ -140,18 +140,18 @@
         })
     }
 
-    /// What changes the seed addresses of this controller while it runs.
+    /// Returns a handle that changes the seed addresses of this controller while it runs.
     pub fn seed_updater(&self) -> SeedUpdater {
         SeedUpdater {
             inputs: self.shared.inputs.clone(),
         }
     }
 
-    /// Runs until `stop` is true, then goes on for at most a second with the operations that it has. Those that are left
-    /// are answered as not carried out, or as unknown if they may be.
+    /// Runs until `stop` is true, then continues to process the pending operations for at most one second. The
+    /// operations that remain are reported as not carried out, or as unknown if they may still be carried out.
     ///
-    /// The task that serves operators is joined, until three seconds after the request to stop. Those that accept
-    /// connections of other processes and that poll the platform are detached; they end with the process or when they
+    /// The task that serves operators is awaited until three seconds after the stop request. The tasks that accept
+    /// connections of other processes and that poll the platform are detached; they end with the process, or when they
     /// find the queue closed.
     pub async fn run(self, stop: watch::Receiver<bool>) {
         let shared = self.shared;
@@ -173,19 +173,19 @@
         input_loop.run(&mut queue, stop).await;
         let stopped_at = MonotonicTime::now();
         input_loop
-            .finish_operations(&mut queue, stopped_at + OPERATIONS_TIMEOUT)
+            .finish_operations(&mut queue, stopped_at + PENDING_OPERATIONS_TIMEOUT)
             .await;
-        shared.published.stopped();
+        shared.published.mark_stopped();
         drop(queue);
         let _ = tokio::time::timeout(time_until(stopped_at + STOP_TIMEOUT), operators_task).await;
     }
 }
 
-/// The listeners for other processes and for operators.
+/// Opens the listeners for other processes and for operators.
 async fn open_listeners(
     settings: &ControllerSettings,
 ) -> Result<(TcpListener, TcpListener), SettingsError> {
-    // The error names the setting that the address comes from.
+    // The setting that the address comes from, for the error.
     let listen_key = if settings.listen == settings.address {
         "place"
     } else {
@@ -206,12 +206,12 @@
         .map_err(|error| SettingsError::CannotListen(settings.source.clone(), key, address, error))
 }
 
-/// A data directory and what is stored in it.
+/// An open data directory and the state loaded from it.
 struct OpenedDataDirectory {
     data_directory: DataDirectory,
     persisted: PersistedState,
-    /// Whether this may be the first start of all controllers: the disk was empty at a start with that
-    /// setting, and nothing has been written since.
+    /// Whether this may be the first start of the whole cluster: the disk was empty at a start with
+    /// `bootstrap_on_first_start` set, and nothing has been written since.
     may_bootstrap: bool,
 }
 
@@ -246,7 +246,7 @@
     })
 }
 
-/// The consensus node with what its data directory holds; without one it takes part without a vote.
+/// Returns a consensus node with the state of its data directory. Without a data directory, it has no vote.
 fn consensus_node(
     settings: &ControllerSettings,
     opened_directory: Option<&OpenedDataDirectory>,
@@ -282,7 +282,7 @@
     instant.since(MonotonicTime::now())
 }
 
-/// The loop that owns the controller's state: all inputs pass it, one after another.
+/// The loop that owns the controller's state and handles all inputs sequentially.
 struct InputLoop {
     controller_state: ControllerState,
     shared: Arc<Shared>,
@@ -310,8 +310,8 @@
         queue.next(idle_timeout).await
     }
 
-    /// Handles inputs until every operation has its reply or the time is over, then ends those that are left, and those
-    /// that are still queued.
+    /// Handles inputs until every operation has been replied to or the time `until` is reached. Then ends the
+    /// operations that remain, including those that are still queued.
     async fn finish_operations(&mut self, queue: &mut InputQueue, until: MonotonicTime) {
         while self.controller_state.has_pending_operations() {
             let next_input = self.next_input(queue);
@@ -326,7 +326,7 @@
                 self.handle(queued);
             }
         }
-        self.shared.end_operations();
+        self.shared.drop_pending_operations();
     }
 
     fn handle(&mut self, QueuedInput { input, queued_at }: QueuedInput) {
@@ -348,7 +348,7 @@
             .update(&self.controller_state, &mut self.published_spec_version);
     }
 
-    /// Measures the handling of an input, and logs one that delayed heartbeats and votes.
+    /// Records the duration of handling an input in the metrics, and logs an input that delayed heartbeats and votes.
     fn record_step(&self, kind: InputKind, queue_wait: Duration, handling_time: Duration) {
         self.shared
             .metrics
@@ -376,11 +376,11 @@
             ControllerOutput::CloseStream(stream) => shared.streams.close(stream),
             ControllerOutput::RequestLists => shared.list_refresh_requested.notify_one(),
             ControllerOutput::StopRunner(order) => {
-                // Detached: it ends with the platform's response or the adapter's timeout.
+                // Detached: the task ends with the platform's response or the adapter's timeout.
                 tokio::spawn(platform::stop_runner(shared.clone(), order));
             }
             ControllerOutput::OperatorReply(ticket, reply) => {
-                shared.operation_answered(ticket, reply);
+                shared.deliver_reply(ticket, reply);
             }
             ControllerOutput::EventRecorded(numbered) => {
                 log_event!(
@@ -390,7 +390,7 @@
                     numbered.number,
                     numbered.event_record.detail
                 );
-                shared.published.event_recorded(numbered.number);
+                shared.published.publish_event(numbered.number);
             }
         }
     }
--- a/crates/controlplane/src/drivers/shared.rs
+++ b/crates/controlplane/src/drivers/shared.rs
@@ -1,4 +1,4 @@
-//! What the controller's tasks share. It depends on none of them.
+//! The state shared by the controller's tasks. It depends on none of them.
 
 use super::OperatorApiAdapter;
 use super::metrics::ControllerMetrics;
@@ -17,7 +17,7 @@
 use std::sync::{Arc, Mutex};
 use tokio::sync::{Notify, Semaphore, mpsc, oneshot, watch};
 
-/// The number of the newest event once the controller has stopped.
+/// The value published in place of the newest event's number after the controller has stopped.
 const STOPPED: u64 = u64::MAX;
 
 /// The open streams of daemons.
@@ -27,21 +27,21 @@
 }
 
 impl OpenStreams {
-    /// Opens a stream whose task receives the frames from this sender's other end.
+    /// Registers a stream, whose task receives the frames sent through `sender`.
     pub(super) fn open(&self, stream: StreamId, sender: mpsc::Sender<LeaderToDaemon>) {
         if let Ok(mut senders) = self.senders.lock() {
             senders.insert(stream, sender);
         }
     }
 
-    /// Drops the sender, by which the stream's task ends.
+    /// Removes a stream and drops its sender, which ends the stream's task.
     pub(super) fn close(&self, stream: StreamId) {
         if let Ok(mut senders) = self.senders.lock() {
             senders.remove(&stream);
         }
     }
 
-    /// Queues a frame. A stream whose queue is full is closed: its daemon does not keep up.
+    /// Queues a frame on a stream. Closes the stream if its queue is full, because its daemon does not keep up.
     pub(super) fn send(&self, stream: StreamId, frame: LeaderToDaemon) {
         let Ok(mut senders) = self.senders.lock() else {
             return;
@@ -54,9 +54,9 @@
     }
 }
 
-/// What other tasks may know of the controller's state, as of its last input.
+/// The parts of the controller's state that other tasks can read, as of its last input.
 pub(super) struct PublishedState {
-    /// Whether this controller leads.
+    /// Whether this controller is the leader.
     pub leadership: watch::Sender<bool>,
     has_leader: AtomicBool,
     newest_event: watch::Sender<u64>,
@@ -73,17 +73,17 @@
         }
     }
 
-    /// Whether any leader is known.
+    /// Whether a leader is known.
     pub(super) fn has_leader(&self) -> bool {
         self.has_leader.load(Ordering::Relaxed)
     }
 
-    /// The newest spec on this controller's disk. Tasks that read changes share its records.
+    /// Returns the newest spec on this controller's disk. Tasks that parse changes share its records.
     pub(super) fn newest_spec(&self) -> Option<Arc<SpecRecords>> {
         self.newest_spec.load_full()
     }
 
-    /// Publishes what an input has changed. `spec_version` is the version of the spec published last.
+    /// Publishes the state after an input. `spec_version` is the version of the spec that was published last.
     pub(super) fn update(
         &self,
         controller_state: &ControllerState,
@@ -104,23 +104,23 @@
             .store(consensus.leader().is_some(), Ordering::Relaxed);
     }
 
-    /// An event has been recorded.
-    pub(super) fn event_recorded(&self, number: u64) {
+    /// Publishes the number of the newest event.
+    pub(super) fn publish_event(&self, number: u64) {
         self.newest_event.send_replace(number);
     }
 
-    /// The controller has stopped: there will be no more events.
-    pub(super) fn stopped(&self) {
+    /// Publishes that the controller has stopped and will record no more events.
+    pub(super) fn mark_stopped(&self) {
         self.newest_event.send_replace(STOPPED);
     }
 
-    /// Notices of events.
+    /// Returns a subscription to new events.
     pub(super) fn watch_events(&self) -> EventWatch {
         EventWatch(self.newest_event.subscribe())
     }
 }
 
-/// Notices of events.
+/// A subscription to new events.
 pub(super) struct EventWatch(watch::Receiver<u64>);
 
 impl EventWatch {
@@ -129,30 +129,30 @@
         *self.0.borrow() == STOPPED
     }
 
-    /// Waits for the next event; false if there will be none.
+    /// Waits until an event is recorded or the controller stops. Returns false if there will be no further change.
     pub(super) async fn changed(&mut self) -> bool {
         self.0.changed().await.is_ok()
     }
 }
 
-/// What the controller's tasks share.
+/// The state shared by the controller's tasks.
 pub(super) struct Shared {
-    /// The controller's inputs.
+    /// The sender of the controller's inputs.
     pub inputs: InputSender,
-    /// The streams of daemons.
+    /// The open streams of daemons.
     pub streams: OpenStreams,
-    /// What is published of the controller's state.
+    /// The published parts of the controller's state.
     pub published: PublishedState,
     /// The metrics.
     pub metrics: ControllerMetrics,
-    /// The adapter for operators.
+    /// The adapter of the operators' API.
     pub operators: Arc<dyn OperatorApiAdapter>,
-    /// The adapter for the platform.
+    /// The adapter of the platform.
     pub platform: Arc<dyn PlatformAdapter>,
-    /// The leader wants the platform's lists at once.
+    /// Signals that the leader requests the platform's lists immediately.
     pub list_refresh_requested: Notify,
-    /// Long requests and complete specs are read and written one at a time: on a small share of a CPU each
-    /// more would take time from the controller's loop.
+    /// Limits the parsing of large requests and the writing of complete specs to one at a time. On a small CPU share,
+    /// each additional one would take time from the controller's loop.
     pub large_request_permits: Semaphore,
     operations: Mutex<HashMap<OperationTicket, oneshot::Sender<OperationReply>>>,
     id_counter: AtomicU64,
@@ -178,13 +178,13 @@
         }
     }
 
-    /// A number that no stream or operation of this process has had.
+    /// Returns a number that no stream or operation of this process has used before.
     pub(super) fn next_id(&self) -> u64 {
         self.id_counter.fetch_add(1, Ordering::Relaxed)
     }
 
-    /// Hands an operation to the controller and waits for its reply. A controller that has stopped has not handled it.
-    /// Dropping the future tells the controller that the caller's connection has ended.
+    /// Submits an operation to the controller and waits for its reply. Reports the operation as not handled if the
+    /// controller has stopped. Dropping the future notifies the controller that the caller has disconnected.
     pub(super) async fn submit_operation(&self, operation: Operation) -> OperationReply {
         let not_handled = operation.not_handled(Unavailable::Stopping);
         let ticket = OperationTicket(self.next_id());
@@ -212,15 +212,15 @@
         reply
     }
 
-    /// The controller has stopped: nothing waits for a reply any longer.
-    pub(super) fn end_operations(&self) {
+    /// Drops the pending operations after the controller has stopped. Their replies are then unknown.
+    pub(super) fn drop_pending_operations(&self) {
         if let Ok(mut operations) = self.operations.lock() {
             operations.clear();
         }
     }
 
-    /// Hands a reply to the task that waits for it.
-    pub(super) fn operation_answered(&self, ticket: OperationTicket, reply: OperationReply) {
+    /// Passes a reply to the task that awaits it.
+    pub(super) fn deliver_reply(&self, ticket: OperationTicket, reply: OperationReply) {
         if let Ok(mut operations) = self.operations.lock()
             && let Some(reply_sender) = operations.remove(&ticket)
         {
@@ -229,7 +229,7 @@
     }
 }
 
-/// An operation whose reply is awaited. If it is dropped before the reply, its caller's connection has ended.
+/// An operation whose reply is awaited. Dropping it before the reply means that the caller has disconnected.
 struct PendingOperation<'a> {
     shared: &'a Shared,
     ticket: OperationTicket,
