--- a/crates/controlplane/src/drivers/queue.rs
+++ b/crates/controlplane/src/drivers/queue.rs
@@ -1,5 +1,5 @@
-//! The controller's input queue. It has two lanes: inputs that leadership depends on never wait behind daemons'
-//! frames, the platform's lists and operators' requests.
+//! The controller's input queue. It has two lanes, so that inputs on which leadership depends never wait behind
+//! daemons' frames, the platform's lists and operators' requests.
 
 use crate::controller_state::ControllerInput;
 use common::clock::MonotonicTime;
@@ -10,22 +10,22 @@
 const LEADERSHIP_CAPACITY: usize = 4_096;
 const ORDINARY_CAPACITY: usize = 16_384;
 
-/// The kinds of input that are measured separately.
+/// The kinds of inputs, for which metrics are recorded separately.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum InputKind {
-    /// Time passes.
+    /// A timer expired.
     Tick,
-    /// Another controller's frame, or the end of its process.
+    /// A frame from another controller, or the exit of its process.
     Quorum,
-    /// A disk write has ended.
+    /// A disk write has completed.
     Disk,
-    /// A daemon's frame, or the end of its stream.
+    /// A frame from a daemon, or the end of its stream.
     Daemon,
-    /// A list of the platform's, or its confirmation of a stop.
+    /// A list from the platform, or its confirmation that a runner has stopped.
     Platform,
-    /// An operator's request, or the end of its connection.
+    /// An operator's request, or the operator's disconnection.
     Operator,
-    /// Changed seed addresses, or the end of this process.
+    /// New seed addresses, or the shutdown of this process.
     Settings,
 }
 
@@ -41,7 +41,7 @@
         Self::Settings,
     ];
 
-    /// The kind of an input.
+    /// Returns the kind of an input.
     pub fn of(input: &ControllerInput) -> Self {
         match input {
             ControllerInput::Tick => Self::Tick,
@@ -58,7 +58,7 @@
         }
     }
 
-    /// The kind as a metric's label.
+    /// Returns the kind as the label value of a metric.
     pub fn label(self) -> &'static str {
         match self {
             Self::Tick => "tick",
@@ -72,7 +72,7 @@
     }
 
     /// Whether leadership depends on inputs of this kind.
-    fn is_leadership(self) -> bool {
+    fn affects_leadership(self) -> bool {
         matches!(self, Self::Quorum | Self::Disk)
     }
 }
@@ -83,22 +83,22 @@
     }
 }
 
-/// The controller has stopped and takes no more input.
+/// The controller has stopped and accepts no more inputs.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, thiserror::Error)]
 #[error("the controller has stopped")]
 pub struct QueueClosedError;
 
-/// An input and when it was queued.
+/// An input and the time at which it was queued.
 #[derive(Debug)]
 pub struct QueuedInput {
     /// The input.
     pub input: ControllerInput,
-    /// When it was queued.
+    /// The time at which it was queued.
     pub queued_at: MonotonicTime,
 }
 
 impl QueuedInput {
-    /// An input that is queued now.
+    /// Returns the input with the current time.
     pub fn now(input: ControllerInput) -> Self {
         Self {
             input,
@@ -116,17 +116,17 @@
 
 impl InputSender {
     fn lane(&self, input: &ControllerInput) -> &mpsc::Sender<QueuedInput> {
-        if InputKind::of(input).is_leadership() {
+        if InputKind::of(input).affects_leadership() {
             &self.leadership
         } else {
             &self.ordinary
         }
     }
 
-    /// Queues an input; waits while its lane is full.
+    /// Queues an input. Waits while its lane is full.
     ///
     /// # Errors
-    /// The controller has stopped.
+    /// Returns an error if the controller has stopped.
     pub async fn send(&self, input: ControllerInput) -> Result<(), QueueClosedError> {
         let lane = self.lane(&input);
         lane.send(QueuedInput::now(input))
@@ -134,17 +134,17 @@
             .map_err(|_| QueueClosedError)
     }
 
-    /// The same from a thread that may block.
+    /// Queues an input from a thread that may block. Blocks while the input's lane is full.
     ///
     /// # Errors
-    /// The controller has stopped.
+    /// Returns an error if the controller has stopped.
     pub fn blocking_send(&self, input: ControllerInput) -> Result<(), QueueClosedError> {
         let lane = self.lane(&input);
         lane.blocking_send(QueuedInput::now(input))
             .map_err(|_| QueueClosedError)
     }
 
-    /// Queues an input if its lane has room; false if it had none or the controller has stopped.
+    /// Queues an input unless its lane is full. Returns false if the lane is full or the controller has stopped.
     pub fn try_send(&self, input: ControllerInput) -> bool {
         let lane = self.lane(&input);
         lane.try_send(QueuedInput::now(input)).is_ok()
@@ -156,7 +156,7 @@
     }
 }
 
-/// Sleeps, and returns at once for a span of zero, which a timer would round up to a millisecond.
+/// Sleeps for a duration. Returns immediately if it is zero, which a timer would round up to a millisecond.
 async fn sleep_for(span: Duration) {
     if !span.is_zero() {
         tokio::time::sleep(span).await;
@@ -170,7 +170,7 @@
     last_was_tick: bool,
 }
 
-/// A new queue and its sender.
+/// Creates a queue and its sender.
 pub fn input_queue() -> (InputSender, InputQueue) {
     let (leadership_sender, leadership) = mpsc::channel(LEADERSHIP_CAPACITY);
     let (ordinary_sender, ordinary) = mpsc::channel(ORDINARY_CAPACITY);
@@ -189,8 +189,9 @@
 }
 
 impl InputQueue {
-    /// The next input: first those that leadership depends on, then a tick once `idle_timeout` is over, then all
-    /// others. Between two ticks one ordinary input is taken if there is any, so that ticks cannot starve them.
+    /// Returns the next input. Inputs on which leadership depends come first, then a tick if `idle_timeout` has
+    /// elapsed, then the ordinary inputs. An ordinary input has priority over a tick that directly follows another
+    /// tick, so that ticks cannot starve ordinary inputs.
     pub async fn next(&mut self, idle_timeout: Duration) -> QueuedInput {
         let tick = || QueuedInput::now(ControllerInput::Tick);
         let next_input = tokio::select! {
@@ -204,17 +205,17 @@
         next_input
     }
 
-    /// Refuses further inputs, and returns those that were queued and not handled.
+    /// Rejects further inputs, and returns the queued inputs that have not been handled.
     pub fn close(&mut self) -> Vec<QueuedInput> {
         self.leadership.close();
         self.ordinary.close();
-        let mut left_over = Vec::new();
+        let mut unhandled_inputs = Vec::new();
         while let Ok(queued) = self.leadership.try_recv() {
-            left_over.push(queued);
+            unhandled_inputs.push(queued);
         }
         while let Ok(queued) = self.ordinary.try_recv() {
-            left_over.push(queued);
+            unhandled_inputs.push(queued);
         }
-        left_over
+        unhandled_inputs
     }
 }
