--- a/crates/controlplane/src/drivers/streams.rs
+++ b/crates/controlplane/src/drivers/streams.rs
@@ -1,4 +1,4 @@
-//! Connections of other processes: controllers' consensus frames and daemons' streams.
+//! Serves the connections of other processes: controllers' consensus frames and daemons' streams.
 
 use super::shared::Shared;
 use crate::controller_state::ControllerInput;
@@ -17,19 +17,19 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc;
 
-/// Frames are written in chunks with a timeout each, so that a daemon on a slow link is not cut off because of a
-/// large frame.
+/// The size of the chunks in which frames are written. Each chunk has its own timeout, so that a large frame does not
+/// disconnect a daemon on a slow link.
 const WRITE_CHUNK_BYTES: usize = 8 << 10;
 const CHUNK_WRITE_TIMEOUT: Duration = Duration::from_secs(3);
-/// How many frames to a daemon wait at most; one that does not keep up is disconnected.
+/// The maximum number of frames queued for a daemon. A daemon that does not keep up is disconnected.
 const QUEUED_FRAMES: usize = 4096;
 const CHANNEL_TIMEOUT: Duration = Duration::from_secs(3);
 const MAX_PROCESS_PROBES: usize = 4;
 const PROCESS_PROBE_INTERVAL: Duration = Duration::from_millis(20);
 const PROCESS_PROBE_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Accepts connections of other processes. The task of each is detached; it ends with its connection, or when the
-/// controller has stopped.
+/// Accepts connections of other processes. The task of each connection is detached. It ends with its connection, or
+/// when the controller has stopped.
 pub(super) async fn accept(listener: TcpListener, shared: Arc<Shared>) {
     loop {
         match listener.accept().await {
@@ -87,14 +87,14 @@
     Err(ended)
 }
 
-/// A controller's connection has ended. Connects to its address a few times, since a dying process closes its
-/// connections before its listener, and reports the process as gone if that is refused.
+/// Probes the address of a controller whose connection has ended, and reports its process as exited if a connection is
+/// refused. Tries several times, because an exiting process closes its connections before its listener.
 async fn probe_ended_process(address: SocketAddress, shared: &Shared) {
     for _ in 0..MAX_PROCESS_PROBES {
         let probe_result =
             tokio::time::timeout(PROCESS_PROBE_TIMEOUT, TcpStream::connect(address.to_std())).await;
         match probe_result {
-            Ok(Err(error)) if is_refusal(error.kind()) => {
+            Ok(Err(error)) if is_connection_refused(error.kind()) => {
                 let _ = shared
                     .inputs
                     .send(ControllerInput::ProcessExited(address))
@@ -107,7 +107,7 @@
     }
 }
 
-fn is_refusal(kind: ErrorKind) -> bool {
+fn is_connection_refused(kind: ErrorKind) -> bool {
     matches!(
         kind,
         ErrorKind::ConnectionRefused | ErrorKind::ConnectionReset
@@ -132,7 +132,8 @@
     ended
 }
 
-/// Hands a daemon's frames to the controller until that has stopped. The error is the end of the connection.
+/// Passes a daemon's frames to the controller until the controller has stopped. Returns an error if the connection
+/// ends.
 async fn read_daemon_frames(
     stream: StreamId,
     mut reader: impl AsyncRead + Unpin,
@@ -148,13 +149,13 @@
     }
 }
 
-/// Writes the controller's frames until it closes the stream.
+/// Writes frames to a daemon until the controller closes the stream.
 async fn write_daemon_frames(
     mut frames: mpsc::Receiver<LeaderToDaemon>,
     mut writing_half: OwnedWriteHalf,
     shared: &Shared,
 ) -> Result<(), FrameError> {
-    let mut sent_bytes = Vec::new();
+    let mut frame_bytes = Vec::new();
     while let Some(frame) = frames.recv().await {
         shared.metrics.frames_down.inc();
         if let LeaderToDaemon::Spec { document: blob, .. }
@@ -162,9 +163,9 @@
         {
             shared.metrics.pushed_bytes.inc_by(blob.0.len() as u64);
         }
-        sent_bytes.clear();
-        append_frame(&mut sent_bytes, &frame)?;
-        for chunk in sent_bytes.chunks(WRITE_CHUNK_BYTES) {
+        frame_bytes.clear();
+        append_frame(&mut frame_bytes, &frame)?;
+        for chunk in frame_bytes.chunks(WRITE_CHUNK_BYTES) {
             tokio::time::timeout(CHUNK_WRITE_TIMEOUT, writing_half.write_all(chunk))
                 .await
                 .map_err(|_| timed_out())??;
