--- a/crates/controlplane/src/drivers/operators.rs
+++ b/crates/controlplane/src/drivers/operators.rs
@@ -1,4 +1,4 @@
-//! Serves operators' HTTP.
+//! Serves the operators' API over HTTP.
 
 use super::event_stream::stream_events;
 use super::operator_api::{error_response, json_status_response, not_accepted_response};
@@ -24,7 +24,7 @@
 
 const MAX_BODY_BYTES: usize = 8 << 20;
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
-/// A longer request is read on a thread of its own.
+/// The size from which the body of a request is parsed on a blocking thread.
 const LARGE_COMMAND_BYTES: usize = 32 << 10;
 const FORWARD_RETRY_WINDOW: Duration = Duration::from_millis(600);
 const FORWARD_RETRY_DELAY: Duration = Duration::from_millis(100);
@@ -38,7 +38,7 @@
     http::serve(listener, handler, stop).await;
 }
 
-/// Responds to one request, and measures how long a command took.
+/// Handles one request. Records the duration of a command in the metrics and logs it.
 async fn handle_request(
     shared: Arc<Shared>,
     request: Request<Incoming>,
@@ -92,8 +92,8 @@
     }
 }
 
-/// Submits an operation here, and forwards it if another controller leads. A leader that cannot be reached
-/// may just have been replaced, so both are repeated for a short while if nothing was sent to it.
+/// Submits an operation to this controller, and forwards it if another controller is the leader. An unreachable leader
+/// may have just been replaced, so both steps are retried for a short time as long as nothing was sent to the leader.
 async fn submit_or_forward(
     shared: &Shared,
     head: &Parts,
@@ -108,27 +108,27 @@
             break reply;
         };
         let forwarding = forward_to_leader(leader, head, body.clone());
-        let unreachable = match until_stopped(forwarding, stop.clone()).await {
+        let forward_failure = match until_stopped(forwarding, stop.clone()).await {
             Ok(response) => return response,
             Err(reply) => reply,
         };
         let is_unsent = matches!(
-            unreachable,
+            forward_failure,
             OperationReply::NotAccepted {
                 reason: Unavailable::LeaderUnreachable,
                 ..
             }
         );
         if !is_unsent || MonotonicTime::now().since(received_at) > FORWARD_RETRY_WINDOW {
-            break unreachable;
+            break forward_failure;
         }
         tokio::time::sleep(FORWARD_RETRY_DELAY).await;
     };
     write_response(shared, operation, reply).await
 }
 
-/// Waits for the leader's response to a forwarded request, after a request to stop only for a while: the leader may
-/// carry the operation out all the same.
+/// Waits for the leader's response to a forwarded request. After a stop request, the wait is limited, and the operation
+/// is then reported as unknown, because the leader may still carry it out.
 async fn until_stopped(
     forwarding: impl Future<Output = Result<HttpResponse, OperationReply>>,
     mut stop: watch::Receiver<bool>,
@@ -146,8 +146,7 @@
     }
 }
 
-/// Writes a response. A complete spec is written on a thread of its own: heartbeats and votes must not wait
-/// for it.
+/// Writes a response. A complete spec is written on a blocking thread, so that it does not delay heartbeats and votes.
 async fn write_response(
     shared: &Shared,
     operation: Operation,
@@ -164,7 +163,7 @@
         .unwrap_or_else(|_| error_response(503, "stopping"))
 }
 
-/// Reads a request. A long one is read on a thread of its own: heartbeats and votes must not wait for it.
+/// Parses a request. A large one is parsed on a blocking thread, so that it does not delay heartbeats and votes.
 async fn read_operation(
     shared: &Arc<Shared>,
     head: &Parts,
@@ -187,8 +186,8 @@
         .unwrap_or_else(|_| Err(Box::new(not_accepted_response(503, "stopping"))))
 }
 
-/// At a leader, does what takes long about a change before it reaches the controller's loop: the change gets
-/// its name, and a complete spec shares its records with the newest one; new records are checked and digested.
+/// On a leader, does the expensive work on a change before it reaches the controller's loop: derives the ID of a change
+/// that has none, shares the records of a complete spec with the newest one, and checks and digests the new records.
 fn prepare_operation(shared: &Shared, mut operation: Operation) -> Operation {
     if !*shared.published.leadership.borrow() {
         return operation;
@@ -218,7 +217,7 @@
     if let Some(newest_spec) = shared.published.newest_spec() {
         *spec = spec.sharing_records_with(&newest_spec);
     }
-    // The records hold the results, which the controller's loop asks for again.
+    // The records cache the results for the controller's loop.
     let _ = spec.check();
     let _ = spec.digest();
 }
