--- a/crates/controlplane/src/drivers/platform.rs
+++ b/crates/controlplane/src/drivers/platform.rs
@@ -1,4 +1,4 @@
-//! Reads the platform's lists, and has it stop runners.
+//! Polls the platform's lists of workers and runners, and requests it to stop runners.
 
 use super::shared::Shared;
 use crate::controller_state::ControllerInput;
@@ -9,11 +9,11 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Reads the platform's lists at each interval while this controller leads, and at once when the leader requests
-/// them. Once the controller has stopped this ends, or waits in vain until the process does.
+/// Reads the platform's lists at each interval while this controller is the leader, and immediately when the leader
+/// requests them. After the controller has stopped, this returns or stays blocked until the process exits.
 pub(super) async fn poll(shared: Arc<Shared>, platform_poll_interval: Duration) {
-    let mut ticking = tokio::time::interval(platform_poll_interval);
-    ticking.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
+    let mut poll_timer = tokio::time::interval(platform_poll_interval);
+    poll_timer.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     let mut was_unreachable = false;
     let mut leadership = shared.published.leadership.subscribe();
     loop {
@@ -22,7 +22,7 @@
             return;
         }
         tokio::select! {
-            _ = ticking.tick() => {}
+            _ = poll_timer.tick() => {}
             () = shared.list_refresh_requested.notified() => {}
         }
         let (workers_read, runners_read) =
@@ -35,7 +35,8 @@
     }
 }
 
-/// Hands the workers to the controller; none if the platform or the controller cannot be reached.
+/// Passes the list of workers to the controller. Returns `None` if the platform is unreachable or the controller has
+/// stopped.
 async fn read_workers(shared: &Shared) -> Option<()> {
     let listed_workers = shared.platform.workers().await?;
     shared
@@ -45,9 +46,10 @@
         .ok()
 }
 
-/// Hands the runners to the controller; none if the platform or the controller cannot be reached.
+/// Passes the list of runners to the controller. Returns `None` if the platform is unreachable or the controller has
+/// stopped.
 async fn read_runners(shared: &Shared) -> Option<()> {
-    // The list is as old as it says from when it was requested: an earlier instant is the safe one.
+    // The list's age is subtracted from the time of the request, because too early a time is the safe error.
     let sent_at = MonotonicTime::now();
     let list = shared.platform.runners().await?;
     shared
@@ -57,8 +59,8 @@
         .ok()
 }
 
-/// Has the platform stop a runner. Without a definite confirmation the controller gets no input and will order it
-/// again.
+/// Requests the platform to stop a runner. Without a definite confirmation, the controller receives no input and will
+/// repeat the request.
 pub(super) async fn stop_runner(shared: Arc<Shared>, order: StopOrder) {
     let runner = order.runner;
     if shared.platform.stop_runner(order).await {
