--- a/crates/controlplane/src/drivers/operator_api/mod.rs
+++ b/crates/controlplane/src/drivers/operator_api/mod.rs
@@ -1,4 +1,4 @@
-//! How operators' HTTP is read and written, and the product's own API.
+//! The adapter between operators' HTTP API and operations, and the product's own API.
 
 mod requests;
 mod responses;
@@ -11,19 +11,22 @@
 use common::http::HttpResponse;
 use hyper::http::request::Parts;
 
-/// An adapter between operators' HTTP and operations. It only translates.
+/// An adapter between an HTTP API for operators and the controller's operations. It only translates.
 pub trait OperatorApiAdapter: Send + Sync {
-    /// Reads a request; the error is the response to one that is invalid.
+    /// Parses a request.
+    ///
+    /// # Errors
+    /// Returns the response to send if the request is invalid.
     fn read(&self, head: &Parts, body: &[u8]) -> Result<Operation, Box<HttpResponse>>;
 
     /// Writes the response to an operation.
     fn write_response(&self, operation: &Operation, reply: OperationReply) -> HttpResponse;
 
-    /// The path of the readiness check.
+    /// Returns the path of the readiness check.
     fn readiness_path(&self) -> &'static str;
 }
 
-/// The product's own API.
+/// The adapter of the product's own API.
 pub struct NativeOperatorApi;
 
 impl OperatorApiAdapter for NativeOperatorApi {
--- a/crates/controlplane/src/drivers/operator_api/requests.rs
+++ b/crates/controlplane/src/drivers/operator_api/requests.rs
@@ -1,4 +1,4 @@
-//! The requests of the product's own API: paths, queries and the bodies of changes.
+//! Parses the requests of the product's own API: paths, queries and the bodies of changes.
 
 use super::responses::invalid_body;
 use crate::controller_state::{ChangeKind, ChangeRequest, ItemChange, Numbering, Operation, Wait};
@@ -7,31 +7,31 @@
 use hyper::Method;
 use serde_json::{Value, json};
 
-/// Why a request is invalid.
+/// The reason why a request is invalid.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum RequestError {
-    /// There is no such path, or it does not serve this method.
+    /// The path does not exist, or does not support this method.
     #[error("no_such_path")]
     NoSuchPath,
-    /// A part of the path is not the hexadecimal identity of a controller.
+    /// A part of the path is not the hexadecimal ID of a controller.
     #[error("not_a_surveyor")]
     NotAController,
     /// A part of the path is not the number of a version.
     #[error("not_a_serial")]
     NotAVersion,
-    /// The query names no number to begin at.
+    /// The query parameter `from` is not a number.
     #[error("from is not a number")]
     NotAnEventNumber,
     /// The body is not JSON.
     #[error("not_json")]
     NotJson(#[source] serde_json::Error),
-    /// The body is not a change.
+    /// The body is not a valid change.
     #[error("invalid")]
     Invalid(Vec<PathError>),
 }
 
 impl RequestError {
-    /// The HTTP status.
+    /// Returns the HTTP status of the response.
     pub(super) fn status(&self) -> u16 {
         match self {
             Self::NoSuchPath => 404,
@@ -41,7 +41,7 @@
         }
     }
 
-    /// The body of the response.
+    /// Returns the body of the response.
     pub(super) fn body(&self) -> Value {
         match self {
             Self::NotJson(error) => json!({
@@ -55,7 +55,7 @@
     }
 }
 
-/// Reads a request; the body matters only to changes.
+/// Parses a request. The body is used only for changes.
 pub(super) fn read_operation(
     method: &Method,
     path: &str,
@@ -64,19 +64,19 @@
 ) -> Result<Operation, RequestError> {
     let path_parts: Vec<&str> = path.trim_matches('/').split('/').collect();
     match *method {
-        Method::GET => read_question(&path_parts, query),
+        Method::GET => read_get_request(&path_parts, query),
         Method::PUT if path_parts == ["v1", "spec"] => read_change(body, &["spec"], |root| {
             Some(ChangeKind::FullSpec(required_value(root, "spec")?.into()))
         }),
         Method::PATCH if path_parts == ["v1", "spec"] => {
             read_change(body, &["patch", "put", "remove"], read_partial_change)
         }
-        Method::POST => read_command(&path_parts, body),
+        Method::POST => read_post_request(&path_parts, body),
         _ => Err(RequestError::NoSuchPath),
     }
 }
 
-fn read_question(path_parts: &[&str], query: Option<&str>) -> Result<Operation, RequestError> {
+fn read_get_request(path_parts: &[&str], query: Option<&str>) -> Result<Operation, RequestError> {
     match path_parts {
         ["metrics"] => Ok(Operation::Metrics),
         ["v1", "spec"] => Ok(Operation::ReadSpec),
@@ -95,7 +95,7 @@
     }
 }
 
-/// The number that the query `from` names; zero without one.
+/// Returns the number in the query parameter `from`, or zero without one.
 fn read_first_event_number(query: Option<&str>) -> Result<u64, RequestError> {
     let from_text = query
         .unwrap_or("")
@@ -107,7 +107,7 @@
         .map_err(|_| RequestError::NotAnEventNumber)
 }
 
-fn read_command(path_parts: &[&str], body: &[u8]) -> Result<Operation, RequestError> {
+fn read_post_request(path_parts: &[&str], body: &[u8]) -> Result<Operation, RequestError> {
     match path_parts {
         ["v1", "localities", zone, "evacuate"] => read_change(body, &["force"], |root| {
             let force = root.field("force").bool_or(false);
@@ -115,7 +115,7 @@
             Some(ChangeKind::Evacuate { zone, force })
         }),
         ["v1", "localities", zone, "restore"] => read_change(body, &["force"], |root| {
-            // It has no effect here, but must be readable.
+            // `force` has no effect here, but must be valid.
             root.field("force").bool_or(false);
             let zone = Zone::from(*zone);
             Some(ChangeKind::Restore { zone })
@@ -143,7 +143,7 @@
     reader.value().cloned()
 }
 
-/// An item to put; null is none.
+/// Returns an item to put. Null counts as missing.
 fn required_item<'a>(reader: &PathReader<'a>) -> Option<&'a Value> {
     if !reader.is_present() {
         reader.add_error(PathErrorReason::WrongType("an object"));
@@ -152,7 +152,7 @@
     reader.value()
 }
 
-/// A change of a part of the spec: a merge patch, or named items put and removed.
+/// Parses a change of a part of the spec: a merge patch, or individual items to put and remove.
 fn read_partial_change(root: &PathReader<'_>) -> Option<ChangeKind> {
     let (put, remove) = (root.field("put"), root.field("remove"));
     if !put.is_present() && !remove.is_present() {
@@ -190,12 +190,12 @@
     })))
 }
 
-/// The fields of a change that say what it is to alter.
+/// The fields with the content of a change.
 const CONTENT_FIELDS: [&str; 5] = ["spec", "patch", "put", "remove", "force"];
-/// The fields that every change may have.
+/// The fields that any change may have.
 const COMMON_FIELDS: [&str; 5] = ["base_serial", "number", "base_number", "change_id", "wait"];
 
-/// Reports the fields that no change has, and those that say what another call is to alter: they would be passed over.
+/// Reports unknown fields, and fields with the content of other calls, which would otherwise be ignored.
 fn check_fields(root: &PathReader<'_>, own_fields: &[&str]) {
     root.allow_only(&[&COMMON_FIELDS[..], &CONTENT_FIELDS[..]].concat());
     for name in CONTENT_FIELDS {
@@ -207,8 +207,8 @@
     }
 }
 
-/// Reads the body of a change, of whose content the call takes the given fields. All that is wrong with it is reported
-/// at once, in the order of reading.
+/// Parses the body of a change. `own_fields` are the content fields that the call accepts. All errors are reported at
+/// once, in the order in which the fields are read.
 fn read_change(
     body: &[u8],
     own_fields: &[&str],
--- a/crates/controlplane/src/drivers/operator_api/responses.rs
+++ b/crates/controlplane/src/drivers/operator_api/responses.rs
@@ -1,4 +1,4 @@
-//! The bodies of the product's own API.
+//! The response statuses and bodies of the product's own API.
 
 use crate::controller_state::{
     EventEntry, MemberTraceReport, OperationReply, QuorumStatus, TraceReport, VersionTraceReport,
@@ -12,7 +12,7 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// A response with a JSON body; a status that HTTP does not know becomes 500.
+/// Returns a response with a JSON body. A status code that is not valid in HTTP becomes 500.
 pub(in crate::drivers) fn json_status_response(status: u16, body: &Value) -> HttpResponse {
     json_response(
         StatusCode::from_u16(status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR),
@@ -20,22 +20,22 @@
     )
 }
 
-/// A response that names an error.
+/// Returns a response with an error.
 pub(in crate::drivers) fn error_response(status: u16, error: &str) -> HttpResponse {
     json_status_response(status, &json!({"error": error}))
 }
 
-/// A response that names an error by which a change did not happen.
+/// Returns a response with an error because of which an operation was not carried out.
 pub(in crate::drivers) fn not_accepted_response(status: u16, error: &str) -> HttpResponse {
     json_status_response(status, &json!({"error": error, "state": "not_accepted"}))
 }
 
-/// Where the leader serves operators.
+/// Returns the body with the address at which the leader serves operators.
 pub(in crate::drivers) fn redirect_body(leader: &common::frames::SocketAddress) -> Value {
     json!({"leader": leader.to_string()})
 }
 
-/// The body that lists what is wrong with a change.
+/// Returns the body that lists the errors in a change.
 pub(super) fn invalid_body(errors: &[PathError]) -> Value {
     let error_rows: Vec<Value> = errors
         .iter()
@@ -44,7 +44,7 @@
     json!({"error": "invalid", "state": "not_accepted", "faults": error_rows})
 }
 
-/// An event as operators read it.
+/// Returns an entry of the event log as JSON.
 pub(in crate::drivers) fn event_json(entry: &EventEntry) -> Value {
     match entry {
         EventEntry::Event(numbered) => json!({
@@ -200,7 +200,7 @@
 }
 
 impl OperationReply {
-    /// The HTTP status and the body that the product's own API gives.
+    /// Converts the reply into the HTTP status and the body of the product's own API.
     pub fn into_native_response(self) -> (u16, Value) {
         match self {
             Self::MetricsUpdated => (200, Value::Null),
