--- a/crates/controlplane/src/drivers/disk.rs
+++ b/crates/controlplane/src/drivers/disk.rs
@@ -9,14 +9,14 @@
 use common::log_event;
 use std::sync::mpsc as blocking;
 
-/// Writes in a thread of its own, in the order of the jobs. The thread is detached: it ends once this is dropped
-/// and all jobs are done, or the controller takes no more results.
+/// Writes to the data directory in a dedicated thread, in the order of the jobs. The thread is detached. It ends when
+/// the writer has been dropped and all jobs are done, or when the controller accepts no more results.
 pub(super) struct DiskWriter {
     jobs: blocking::Sender<(Ticket, WriteJob)>,
 }
 
 impl DiskWriter {
-    /// Starts the thread.
+    /// Starts the writer thread.
     pub(super) fn start(data_directory: DataDirectory, inputs: InputSender) -> Self {
         let (jobs, job_receiver) = blocking::channel::<(Ticket, WriteJob)>();
         std::thread::spawn(move || {
@@ -39,7 +39,7 @@
         Self { jobs }
     }
 
-    /// Queues a write; its result becomes an input of the controller.
+    /// Queues a write. Its result is sent to the controller as an input.
     pub(super) fn write(&self, ticket: Ticket, job: WriteJob) {
         let _ = self.jobs.send((ticket, job));
     }
--- a/crates/controlplane/src/drivers/event_stream.rs
+++ b/crates/controlplane/src/drivers/event_stream.rs
@@ -1,4 +1,4 @@
-//! Operators' event streams: one JSON object a line.
+//! Operators' event streams, with one JSON object per line.
 
 use super::operator_api::{error_response, event_json, json_status_response, redirect_body};
 use super::operator_forwarding::{is_forwarded, path_and_query};
@@ -13,10 +13,11 @@
 use std::sync::Arc;
 use tokio::sync::mpsc;
 
-/// Lines that wait for a slow reader before the stream's task waits too.
+/// How many lines are queued for a slow reader before the stream's task waits.
 const QUEUED_LINES: usize = 64;
 
-/// Responds with the events from a number on, and with `follow=true` in the query with those to come.
+/// Responds with the events starting at `first_number`. With `follow=true` in the query, the stream continues with
+/// future events.
 pub(super) async fn stream_events(
     shared: Arc<Shared>,
     head: &Parts,
@@ -46,7 +47,7 @@
         is_following,
         lines: line_sender,
     };
-    // Detached: it ends when its reader disconnects or the controller stops.
+    // Detached: the task ends when its reader disconnects or the controller stops.
     tokio::spawn(event_stream.run(first_entries));
     let mut response = Response::new(stream_body(lines));
     response.headers_mut().insert(
@@ -56,7 +57,7 @@
     response
 }
 
-/// Events are read at the leader itself; a request that was forwarded already is not sent on again.
+/// Redirects the reader to the leader, which serves events itself. Does not redirect a request that has been forwarded.
 fn redirect(head: &Parts, leader: SocketAddress) -> HttpResponse {
     if is_forwarded(head) {
         return error_response(503, "no_leader");
@@ -78,7 +79,7 @@
 }
 
 impl EventStream {
-    /// Writes batch after batch until there is no more to write or nobody reads.
+    /// Writes batches of events until there are no more events or the reader disconnects.
     async fn run(mut self, first_entries: Vec<EventEntry>) {
         let mut entries = first_entries;
         loop {
@@ -94,7 +95,7 @@
         }
     }
 
-    /// Writes events; false if nobody reads any more.
+    /// Writes events. Returns false if the reader has disconnected.
     async fn write(&mut self, entries: &[EventEntry]) -> bool {
         for entry in entries {
             self.next_number = self.next_number.max(entry.number() + 1);
@@ -106,7 +107,7 @@
         true
     }
 
-    /// Waits for another event; false if the stream is to end.
+    /// Waits for another event. Returns false if the stream must end.
     async fn wait_for_events(&mut self) -> bool {
         if !self.is_following || self.event_watch.is_stopped() {
             return false;
--- a/crates/controlplane/src/drivers/metrics.rs
+++ b/crates/controlplane/src/drivers/metrics.rs
@@ -18,16 +18,16 @@
     queue_seconds: HistogramVec,
     step_seconds: HistogramVec,
     command_seconds: HistogramVec,
-    /// Frames from daemons.
+    /// The number of frames received from daemons.
     pub frames_up: IntCounter,
-    /// Frames to daemons.
+    /// The number of frames sent to daemons.
     pub frames_down: IntCounter,
-    /// Bytes of specs and changes pushed to daemons.
+    /// The number of bytes of specs and deltas pushed to daemons.
     pub pushed_bytes: IntCounter,
 }
 
 impl ControllerMetrics {
-    /// All metrics, at zero.
+    /// Returns all metrics, set to zero.
     pub(super) fn new() -> Self {
         let page = MetricsPage::new();
         Self {
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Records how long an input waited in the queue, and how long it took to handle.
+    /// Records how long an input waited in the queue and how long it took to handle.
     pub(super) fn observe_step(
         &self,
         kind: InputKind,
@@ -83,7 +83,7 @@
             .observe(handling_time.as_secs_f64());
     }
 
-    /// Records the status of an operator's command, and the time from its receipt to its response.
+    /// Records the status of an operator's command and the time from its receipt to its response.
     pub(super) fn observe_command(&self, status: u16, elapsed: Duration) {
         let label = [status.to_string()];
         self.command_seconds
@@ -110,12 +110,12 @@
         }
     }
 
-    /// Counts a connection closed because of an invalid frame.
+    /// Counts a connection that was closed because of an invalid frame.
     pub(super) fn count_rejected(&self) {
         self.rejected.inc();
     }
 
-    /// The metrics page.
+    /// Returns the metrics page.
     pub(super) fn page(&self) -> Vec<u8> {
         self.page.text()
     }
--- a/crates/controlplane/src/drivers/mod.rs
+++ b/crates/controlplane/src/drivers/mod.rs
@@ -1,6 +1,6 @@
-//! Drivers: the tasks that feed the controller its inputs and carry out its outputs.
+//! The drivers: tasks that pass inputs to the controller's state machine and carry out its outputs.
 //!
-//! [`Controller`] owns the loop; all other tasks know only the shared state and the input queue.
+//! [`Controller`] runs the input loop. All other tasks access only the shared state and the input queue.
 
 mod controller;
 mod disk;
--- a/crates/controlplane/src/drivers/operator_forwarding.rs
+++ b/crates/controlplane/src/drivers/operator_forwarding.rs
@@ -12,7 +12,7 @@
 use hyper::{Request, Response};
 use std::time::Duration;
 
-/// Marks a forwarded request, which is not forwarded again.
+/// The header that marks a forwarded request, which must not be forwarded again.
 const FORWARDED_HEADER: &str = "rudder-passed-on";
 const FORWARD_CONNECT_TIMEOUT: Duration = Duration::from_millis(600);
 const FORWARD_TIMEOUT: Duration = Duration::from_secs(15);
@@ -23,14 +23,17 @@
     head.headers.contains_key(FORWARDED_HEADER)
 }
 
-/// The path and the query of a request.
+/// Returns the path and the query of a request.
 pub(super) fn path_and_query(head: &Parts) -> &str {
     head.uri
         .path_and_query()
         .map_or("/", |path_and_query| path_and_query.as_str())
 }
 
-/// Forwards a request and returns the leader's response. The error is the reply if there is none.
+/// Forwards a request and returns the leader's response.
+///
+/// # Errors
+/// Returns the reply to send if there is no response from the leader.
 pub(super) async fn forward_to_leader(
     leader: SocketAddress,
     head: &Parts,
@@ -75,7 +78,7 @@
     }
 }
 
-/// The request to the leader; none if this one cannot be forwarded.
+/// Returns the request to send to the leader, or `None` if the original request cannot be forwarded.
 fn forwarded_request(
     leader: SocketAddress,
     head: &Parts,
@@ -93,7 +96,7 @@
     Some(request)
 }
 
-/// Headers that concern one connection only.
+/// Removes the headers that apply to a single connection only.
 fn remove_hop_headers(headers: &mut HeaderMap) {
     for hop_header in [CONNECTION, TRANSFER_ENCODING, CONTENT_LENGTH] {
         headers.remove(hop_header);
--- a/crates/controlplane/src/drivers/peer_links.rs
+++ b/crates/controlplane/src/drivers/peer_links.rs
@@ -1,4 +1,4 @@
-//! The connections to the other controllers.
+//! Outgoing connections to the other controllers.
 
 use common::frames::{Channel, ConsensusFrame, FrameError, SocketAddress, dial, write_frame};
 use std::collections::HashMap;
@@ -13,20 +13,20 @@
 const MAX_BACKOFF: Duration = Duration::from_millis(200);
 const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// How many frames wait for a connection at most.
+/// The maximum number of frames queued for a connection.
 const QUEUED_FRAMES: usize = 256;
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 const WRITE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// One-way connections to the other controllers. Frames that cannot be sent soon are dropped: consensus repeats
-/// what matters, and late heartbeats help nobody.
+/// One-way connections to the other controllers. Frames that cannot be sent soon are dropped, because consensus resends
+/// what matters and late heartbeats are useless.
 pub(super) struct PeerLinks {
     own_ip: Ipv4Addr,
     senders: HashMap<SocketAddress, mpsc::Sender<ConsensusFrame>>,
 }
 
 impl PeerLinks {
-    /// No connections yet; they will leave from this address.
+    /// Returns an empty set of connections, which will be opened from this IP address.
     pub(super) fn new(own_ip: Ipv4Addr) -> Self {
         Self {
             own_ip,
@@ -34,13 +34,13 @@
         }
     }
 
-    /// Sends a frame, or drops it.
+    /// Queues a frame for sending, or drops it if the queue is full.
     pub(super) fn send(&mut self, to: SocketAddress, frame: ConsensusFrame) {
         let own_ip = self.own_ip;
         self.senders.retain(|_, sender| !sender.is_closed());
         let sender = self.senders.entry(to).or_insert_with(|| {
             let (sender, frames) = mpsc::channel(QUEUED_FRAMES);
-            // Detached: it ends when this sender is dropped, or when the connection has been idle.
+            // Detached: the task ends when the sender is dropped or the connection has been idle.
             tokio::spawn(run_link(own_ip, to, frames));
             sender
         });
@@ -48,8 +48,8 @@
     }
 }
 
-/// Connects and writes until the link is idle. After a failure the frames that waited are dropped; from the second
-/// failure in a row on, the next attempt waits for another frame.
+/// Connects and writes frames until the link is idle. After a failure, the queued frames are dropped. From the second
+/// consecutive failure on, the next attempt waits for a new frame.
 async fn run_link(own_ip: Ipv4Addr, to: SocketAddress, mut frames: mpsc::Receiver<ConsensusFrame>) {
     let mut backoff = MIN_BACKOFF;
     let mut first_frame = None;
@@ -69,7 +69,7 @@
     }
 }
 
-/// Writes frames until the connection is idle or no longer needed. The error is the end of the connection.
+/// Writes frames until the connection is idle or no longer needed. Returns an error if the connection ends.
 async fn write_frames(
     own_ip: Ipv4Addr,
     to: SocketAddress,
