--- a/crates/controlplane/tests/queue.rs
+++ b/crates/controlplane/tests/queue.rs
@@ -1,4 +1,4 @@
-//! The controller's input queue: inputs that leadership depends on come first, and no others starve.
+//! The controller's input queue: inputs on which leadership depends come first, and the others do not starve.
 
 use common::frames::SocketAddress;
 use common::identity::Ticket;
@@ -13,8 +13,8 @@
     InputKind::of(&queue.next(idle_timeout).await.input)
 }
 
-/// A queue in which this many inputs of daemons wait.
-async fn queue_of_daemons(count: u64) -> (InputSender, InputQueue) {
+/// Returns a queue with this many inputs from daemons.
+async fn queue_with_daemon_inputs(count: u64) -> (InputSender, InputQueue) {
     let (sender, queue) = input_queue();
     for stream in 0..count {
         sender
@@ -26,8 +26,8 @@
 }
 
 #[tokio::test]
-async fn leadership_does_not_wait_behind_daemons() {
-    let (sender, mut queue) = queue_of_daemons(1_000).await;
+async fn leadership_inputs_come_before_daemon_inputs() {
+    let (sender, mut queue) = queue_with_daemon_inputs(1_000).await;
     sender
         .send(ControllerInput::ProcessExited(SocketAddress::UNSPECIFIED))
         .await
@@ -41,8 +41,8 @@
 }
 
 #[tokio::test]
-async fn a_tick_that_is_due_comes_before_daemons_and_not_twice() {
-    let (_sender, mut queue) = queue_of_daemons(3).await;
+async fn a_due_tick_comes_before_daemon_inputs_but_not_twice_in_a_row() {
+    let (_sender, mut queue) = queue_with_daemon_inputs(3).await;
     let mut kinds = Vec::new();
     for _ in 0..6 {
         kinds.push(next_kind(&mut queue, Duration::ZERO).await);
