--- a/crates/controlplane/tests/unreadable_changes.rs
+++ b/crates/controlplane/tests/unreadable_changes.rs
@@ -1,4 +1,5 @@
-//! A change of the product's own API that cannot be read in full is refused: whatever is accepted is taken whole.
+//! A change of the product's own API that cannot be read completely is rejected, so that no part of an accepted change
+//! is ignored.
 
 #[path = "../../../testing/support/json_mutations.rs"]
 mod json_mutations;
@@ -49,7 +50,7 @@
     json!({"header_bytes": 16384, "body_bytes": 1000, "header_ms": 100, "idle_ms": 100})
 }
 
-fn whole_spec() -> Value {
+fn full_spec_change() -> Value {
     json!({
         "base_serial": 5, "change_id": "c", "wait": "accepted",
         "spec": {
@@ -59,7 +60,7 @@
     })
 }
 
-fn named_items() -> Value {
+fn item_change() -> Value {
     json!({
         "number": 9, "base_number": 8, "change_id": "c", "wait": "in_force",
         "put": {
@@ -70,7 +71,7 @@
     })
 }
 
-/// Whether a change would be accepted, as far as its own content goes.
+/// Whether the content of a change is valid.
 fn is_accepted(kind: &ChangeKind) -> bool {
     match kind {
         ChangeKind::FullSpec(spec) => read_spec(&spec.to_value()).is_ok(),
@@ -79,7 +80,7 @@
     }
 }
 
-/// A spec of the items that are put, with the function that the routes need.
+/// Returns a spec with the items to put and with the function that the routes refer to.
 fn spec_of(items: &ItemChange) -> Value {
     let mut functions: Map<String, Value> = items
         .put_functions
@@ -97,12 +98,13 @@
     json!({"functions": functions, "routes": routes, "limits": items.limits, "labels": items.labels})
 }
 
-/// What is below labels is kept and never read, so that it may be anything.
+/// Whether the path is inside labels, which are stored without being interpreted and may have any type.
 fn is_label(path: &str) -> bool {
     path.contains("labels.")
 }
 
-fn verify_refused(method: &str, target: &str, document: &Value) -> Result<()> {
+/// Checks that a valid change is accepted, and that each variant of it with a value of a wrong type is rejected.
+fn verify_wrong_types_rejected(method: &str, target: &str, document: &Value) -> Result<()> {
     let kind = read(method, target, document);
     verify_that!(kind.is_some_and(|kind| is_accepted(&kind)), eq(true))?;
     for mutation in wrong_types(document) {
@@ -110,36 +112,37 @@
             continue;
         }
         let kind = read(method, target, &mutation.document);
-        let is_taken = kind.is_some_and(|kind| is_accepted(&kind));
-        verify_that!(is_taken, eq(false))
+        let is_accepted = kind.is_some_and(|kind| is_accepted(&kind));
+        verify_that!(is_accepted, eq(false))
             .with_failure_message(|| format!("{}: {}", mutation.path, mutation.document))?;
     }
     Ok(())
 }
 
-/// Items whose parts are no objects were accepted and changed nothing: the same as review case CONFIG.
+/// Guards against a change of items that is accepted and changes nothing because its parts are not objects, as in
+/// review case CONFIG.
 #[gtest]
-fn named_items_with_a_value_of_a_wrong_type_are_refused() -> Result<()> {
-    verify_refused("PATCH", "/v1/spec", &named_items())
+fn an_item_change_with_a_value_of_a_wrong_type_is_rejected() -> Result<()> {
+    verify_wrong_types_rejected("PATCH", "/v1/spec", &item_change())
 }
 
-/// Limits, labels and runners that were no objects were accepted, and their defaults were in force.
+/// Guards against limits, labels or runners that are not objects, but are accepted and replaced with their defaults.
 #[gtest]
-fn a_spec_with_a_value_of_a_wrong_type_is_refused() -> Result<()> {
-    verify_refused("PUT", "/v1/spec", &whole_spec())
+fn a_spec_with_a_value_of_a_wrong_type_is_rejected() -> Result<()> {
+    verify_wrong_types_rejected("PUT", "/v1/spec", &full_spec_change())
 }
 
 #[gtest]
-fn an_evacuation_with_a_value_of_a_wrong_type_is_refused() -> Result<()> {
+fn an_evacuation_with_a_value_of_a_wrong_type_is_rejected() -> Result<()> {
     let body = json!({"base_serial": 5, "change_id": "c", "force": true, "wait": "accepted"});
-    verify_refused("POST", "/v1/localities/north/evacuate", &body)
+    verify_wrong_types_rejected("POST", "/v1/localities/north/evacuate", &body)
 }
 
-/// An item without a value was left out, and the change was accepted without it.
+/// Guards against a change that is accepted without one of its items because the item has no value.
 #[gtest]
-fn an_item_without_a_value_is_refused() -> Result<()> {
+fn an_item_without_a_value_is_rejected() -> Result<()> {
     for part in ["functions", "routes"] {
-        let mut body = named_items();
+        let mut body = item_change();
         body["put"][part]["other"] = Value::Null;
         let is_read = read("PATCH", "/v1/spec", &body).is_some();
         verify_that!(is_read, eq(false)).with_failure_message(|| body.to_string())?;
@@ -147,12 +150,12 @@
     Ok(())
 }
 
-/// What another call alters was passed over by this one.
+/// Guards against a call that ignores fields of its body that belong to another call.
 #[gtest]
-fn a_change_with_the_content_of_another_call_is_refused() -> Result<()> {
+fn a_change_with_the_content_of_another_call_is_rejected() -> Result<()> {
     let calls = [
-        ("PUT", "/v1/spec", whole_spec()),
-        ("PATCH", "/v1/spec", named_items()),
+        ("PUT", "/v1/spec", full_spec_change()),
+        ("PATCH", "/v1/spec", item_change()),
         (
             "POST",
             "/v1/localities/north/restore",
@@ -167,7 +170,7 @@
         ("force", json!(true)),
     ];
     for (method, target, body) in calls {
-        let own: &[&str] = match method {
+        let own_fields: &[&str] = match method {
             "PUT" => &["spec"],
             "PATCH" => &["put", "remove"],
             _ => &["force"],
@@ -176,27 +179,28 @@
             let mut mixed = body.clone();
             mixed[*name] = content.clone();
             let is_read = read(method, target, &mixed).is_some();
-            verify_that!(is_read, eq(own.contains(name)))
+            verify_that!(is_read, eq(own_fields.contains(name)))
                 .with_failure_message(|| format!("{method} {target} {mixed}"))?;
         }
     }
     Ok(())
 }
 
-/// A restoration with a value of a wrong type was acknowledged: its reader passed `force` over.
+/// Guards against a restore that is acknowledged although `force` has a wrong type, because the field is not read.
 #[gtest]
-fn a_restoration_with_a_value_of_a_wrong_type_is_refused() -> Result<()> {
+fn a_restore_with_a_value_of_a_wrong_type_is_rejected() -> Result<()> {
     let body = json!({"base_serial": 5, "change_id": "c", "force": true, "wait": "accepted"});
-    verify_refused("POST", "/v1/localities/north/restore", &body)
+    verify_wrong_types_rejected("POST", "/v1/localities/north/restore", &body)
 }
 
-/// Of a name that stood twice only the last value was taken, and the change was acknowledged without the first.
+/// Guards against a change that is acknowledged although it contains a name twice, so that only the last value is
+/// applied.
 #[gtest]
-fn a_change_with_a_name_that_stands_twice_is_refused() -> Result<()> {
+fn a_change_with_a_duplicate_name_is_rejected() -> Result<()> {
     let evacuation = json!({"change_id": "c", "force": true});
     for (method, target, body) in [
-        ("PUT", "/v1/spec", whole_spec()),
-        ("PATCH", "/v1/spec", named_items()),
+        ("PUT", "/v1/spec", full_spec_change()),
+        ("PATCH", "/v1/spec", item_change()),
         ("POST", "/v1/localities/north/evacuate", evacuation),
     ] {
         for repeated in repeated_names(&body) {
