--- a/crates/controlplane/tests/controller_forms.rs
+++ b/crates/controlplane/tests/controller_forms.rs
@@ -1,5 +1,5 @@
-//! A complete controller over HTTP: readiness, the metrics page, and its responses while it leads, and while there is
-//! no leader. No process is started: the controller runs within the test.
+//! A controller's HTTP responses with and without a leader, its readiness check and its metrics page. The controller
+//! runs within the test process.
 
 #[path = "../../../testing/support/forms.rs"]
 mod forms;
@@ -17,39 +17,41 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-const PATIENCE: Duration = Duration::from_secs(20);
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(20);
 
-fn check(name: &str, seen: &str) {
-    forms::check(env!("CARGO_MANIFEST_DIR"), name, seen);
+fn check(name: &str, actual: &str) {
+    forms::check(env!("CARGO_MANIFEST_DIR"), name, actual);
 }
 
-/// The response to a request, without what differs between runs.
-async fn answered(operators: SocketAddr, line: &str, more: &str, body: &str) -> (String, String) {
+/// Sends a request and returns the head and the body of the response, without the parts that differ between runs.
+async fn request(
+    operators: SocketAddr,
+    line: &str,
+    extra_headers: &str,
+    body: &str,
+) -> (String, String) {
     let mut stream = TcpStream::connect(operators).await.expect("a connection");
     let length = body.len();
     let request = format!(
-        "{line} HTTP/1.1\r\nhost: h\r\nconnection: close\r\n{more}content-length: {length}\r\n\r\n{body}"
+        "{line} HTTP/1.1\r\nhost: h\r\nconnection: close\r\n{extra_headers}content-length: {length}\r\n\r\n{body}"
     );
     let _ = stream.write_all(request.as_bytes()).await;
     let mut message = Vec::new();
     let _ = stream.read_to_end(&mut message).await;
     let message = String::from_utf8_lossy(&message).into_owned();
     let (head, body) = message.split_once("\r\n\r\n").unwrap_or((&message, ""));
-    let is_steady =
+    let is_deterministic =
         |line: &&str| !line.starts_with("date: ") && !line.starts_with("content-length: ");
-    let head: Vec<&str> = head.lines().filter(is_steady).collect();
-    (head.join("\n"), without_identity(body))
+    let head: Vec<&str> = head.lines().filter(is_deterministic).collect();
+    (head.join("\n"), without_controller_id(body))
 }
 
-/// A body without the identity that a controller draws when it starts on an empty disk.
-fn without_identity(body: &str) -> String {
-    without_identity_at(
-        "\"surveyor\":\"",
-        &without_identity_at("\"controller\":\"", body),
-    )
+/// Returns a body without the random ID that a controller generates when it starts with an empty disk.
+fn without_controller_id(body: &str) -> String {
+    without_id_at("\"surveyor\":\"", &without_id_at("\"controller\":\"", body))
 }
 
-fn without_identity_at(key: &str, body: &str) -> String {
+fn without_id_at(key: &str, body: &str) -> String {
     let mut parts = body.split(key);
     let first = parts.next().unwrap_or_default().to_owned();
     parts.fold(first, |shown, part| {
@@ -58,25 +60,28 @@
     })
 }
 
-async fn put(text: &mut String, operators: SocketAddr, line: &str, body: &str) {
-    let (head, answer) = answered(operators, line, "", body).await;
-    let _ = writeln!(text, "## {line} {body}\n{head}\n\n{answer}\n");
+async fn append_exchange(text: &mut String, operators: SocketAddr, line: &str, body: &str) {
+    let (head, response_body) = request(operators, line, "", body).await;
+    let _ = writeln!(text, "## {line} {body}\n{head}\n\n{response_body}\n");
 }
 
-/// A controller that has bootstrapped the quorum alone, and leads.
-async fn leading(data: &Path) -> Running {
+/// Starts a controller that bootstraps a quorum by itself, and waits until it is the leader.
+async fn start_leader(data: &Path) -> Running {
     let running = started(None, Some(data)).await;
     let began = Instant::now();
     loop {
-        let (head, _) = answered(running.operators, "GET /v1/spec", "", "").await;
+        let (head, _) = request(running.operators, "GET /v1/spec", "", "").await;
         if head.starts_with("HTTP/1.1 200") {
             return running;
         }
-        assert!(began.elapsed() < PATIENCE, "it does not lead: {head}");
+        assert!(
+            began.elapsed() < RESPONSE_TIMEOUT,
+            "not elected as leader: {head}"
+        );
     }
 }
 
-/// A metrics page without its values, and with the kinds of input merged into one label.
+/// Returns a metrics page without its values, and with all kinds of inputs merged into one label value.
 fn names_of(page: &str) -> String {
     let mut lines: Vec<String> = Vec::new();
     for line in page.lines() {
@@ -99,25 +104,25 @@
 }
 
 #[tokio::test]
-async fn every_metric_has_its_name_type_and_labels() {
+async fn metrics_keep_their_names_types_and_labels() {
     let running = started(None, None).await;
-    answered(running.operators, "POST /v1/core/found", "", "").await;
-    let (head, page) = answered(running.operators, "GET /metrics", "", "").await;
+    request(running.operators, "POST /v1/core/found", "", "").await;
+    let (head, page) = request(running.operators, "GET /metrics", "", "").await;
     let kinds: Vec<&str> = InputKind::ALL.iter().map(|kind| kind.label()).collect();
-    let seen = format!(
+    let actual = format!(
         "{head}\n\nkinds of input: {}\n\n{}",
         kinds.join(", "),
         names_of(&page)
     );
-    check("metrics.txt", &seen);
+    check("metrics.txt", &actual);
 }
 
 #[tokio::test]
-async fn without_a_leader_every_question_has_its_answer() {
+async fn responses_without_a_leader_keep_their_form() {
     let mut text = String::new();
     let running = started(None, None).await;
     let change = json!({"base_serial": 1, "change_id": "c", "spec": {}}).to_string();
-    let turn = json!({"change_id": "c"}).to_string();
+    let evacuation = json!({"change_id": "c"}).to_string();
     for line in [
         "GET /ready",
         "GET /v1/spec",
@@ -132,28 +137,28 @@
         "POST /v1/core/replace/5f/77",
         "GET /v1/nowhere",
     ] {
-        put(&mut text, running.operators, line, "").await;
+        append_exchange(&mut text, running.operators, line, "").await;
     }
-    put(&mut text, running.operators, "PUT /v1/spec", &change).await;
-    put(
+    append_exchange(&mut text, running.operators, "PUT /v1/spec", &change).await;
+    append_exchange(
         &mut text,
         running.operators,
         "POST /v1/localities/north/evacuate",
-        &turn,
+        &evacuation,
     )
     .await;
-    let (head, answer) = answered(
+    let (head, response_body) = request(
         running.operators,
         "PUT /v1/spec",
         "",
         &" ".repeat((8 << 20) + 1),
     )
     .await;
-    let _ = writeln!(text, "## a body of over 8 MiB\n{head}\n\n{answer}");
+    let _ = writeln!(text, "## a body of over 8 MiB\n{head}\n\n{response_body}");
     check("controller_without_leader.txt", &text);
 }
 
-/// The keys of a response, and those values that users' programs compare with.
+/// Returns the keys of a response, and the values with which users' programs compare.
 fn keys_of(value: &Value, key: &str) -> Value {
     match value {
         Value::Object(fields) => fields
@@ -178,8 +183,8 @@
     }
 }
 
-/// The response to a request that is repeated until its response is the expected one.
-async fn awaited(
+/// Repeats a request until its response is the expected one, and returns this response.
+async fn request_until(
     operators: SocketAddr,
     line: &str,
     body: &str,
@@ -187,31 +192,33 @@
 ) -> (String, String) {
     let began = Instant::now();
     loop {
-        let (head, answer) = answered(operators, line, "", body).await;
-        if is_expected(&head, &answer) {
-            return (head, answer);
+        let (head, response_body) = request(operators, line, "", body).await;
+        if is_expected(&head, &response_body) {
+            return (head, response_body);
         }
-        assert!(began.elapsed() < PATIENCE, "{line}: {head} {answer}");
+        assert!(
+            began.elapsed() < RESPONSE_TIMEOUT,
+            "{line}: {head} {response_body}"
+        );
     }
 }
 
-fn keys((head, answer): (String, String)) -> Value {
+fn keys((head, body): (String, String)) -> Value {
     let head: Vec<&str> = head.lines().collect();
-    let parsed = serde_json::from_str(&answer).unwrap_or(Value::Null);
+    let parsed = serde_json::from_str(&body).unwrap_or(Value::Null);
     json!({"head": head, "keys": keys_of(&parsed, "")})
 }
 
-/// The events that every leader records when it is elected and accepts a change: elected, committed, in force.
-const SURE_EVENTS: [u64; 3] = [2002, 2004, 2005];
+/// The events that any leader records when it is elected and accepts a change: elected, committed, in force.
+const GUARANTEED_EVENTS: [u64; 3] = [2002, 2004, 2005];
 
-fn sure_events(answer: &str) -> BTreeSet<String> {
-    answer
-        .lines()
+fn guaranteed_events(body: &str) -> BTreeSet<String> {
+    body.lines()
         .filter_map(|line| serde_json::from_str::<Value>(line).ok())
         .filter(|event| {
             event["event"]
                 .as_u64()
-                .is_some_and(|kind| SURE_EVENTS.contains(&kind))
+                .is_some_and(|kind| GUARANTEED_EVENTS.contains(&kind))
         })
         .map(|event| keys_of(&event, "").to_string())
         .collect()
@@ -226,12 +233,12 @@
 }
 
 #[tokio::test]
-async fn a_leader_answers_every_question_with_its_keys() {
+async fn responses_of_a_leader_keep_their_keys() {
     let data = folder("leader");
-    let running = leading(&data).await;
+    let running = start_leader(&data).await;
     let other = started(Some(running.address), None).await;
     let operators = running.operators;
-    let mut seen = json!({});
+    let mut actual = json!({});
     for (line, body) in [
         ("GET /ready", String::new()),
         ("PUT /v1/spec", change(5, "c")),
@@ -250,48 +257,48 @@
             json!({"change_id": "e"}).to_string(),
         ),
     ] {
-        seen[line] = keys(answered(operators, line, "", &body).await);
+        actual[line] = keys(request(operators, line, "", &body).await);
     }
-    let stale = answered(operators, "PUT /v1/spec", "", &change(6, "d")).await;
-    seen["PUT /v1/spec on a stale number"] = keys(stale);
-    let is_in_force = |_: &str, answer: &str| !answer.contains("\"in_force_ms\":null");
-    let trace = awaited(operators, "GET /v1/traces/0", "", is_in_force).await;
-    seen["GET /v1/traces/0"] = keys(trace);
-    let has_all = |_: &str, answer: &str| sure_events(answer).len() >= SURE_EVENTS.len();
-    let (head, events) = awaited(operators, "GET /v1/events", "", has_all).await;
-    seen["GET /v1/events"] = json!({"head": head, "rows": sure_events(&events)});
-    let has_met = |_: &str, answer: &str| !answer.contains("\"others\":[]");
-    seen["GET /v1/core"] = keys(awaited(operators, "GET /v1/core", "", has_met).await);
-    seen["at another controller"] = at_another(&running, &other).await;
+    let stale = request(operators, "PUT /v1/spec", "", &change(6, "d")).await;
+    actual["PUT /v1/spec on a stale number"] = keys(stale);
+    let is_in_force = |_: &str, body: &str| !body.contains("\"in_force_ms\":null");
+    let trace = request_until(operators, "GET /v1/traces/0", "", is_in_force).await;
+    actual["GET /v1/traces/0"] = keys(trace);
+    let has_all = |_: &str, body: &str| guaranteed_events(body).len() >= GUARANTEED_EVENTS.len();
+    let (head, events) = request_until(operators, "GET /v1/events", "", has_all).await;
+    actual["GET /v1/events"] = json!({"head": head, "rows": guaranteed_events(&events)});
+    let has_peers = |_: &str, body: &str| !body.contains("\"others\":[]");
+    actual["GET /v1/core"] = keys(request_until(operators, "GET /v1/core", "", has_peers).await);
+    actual["at another controller"] = responses_of_follower(&running, &other).await;
     let _ = std::fs::remove_dir_all(&data);
-    check("controller_leading.json", &format!("{seen:#}\n"));
+    check("controller_leading.json", &format!("{actual:#}\n"));
 }
 
-/// The responses of a controller that does not lead: it forwards the request, or redirects its caller.
-async fn at_another(running: &Running, other: &Running) -> Value {
-    let is_found = |head: &str, _: &str| head.starts_with("HTTP/1.1 200");
-    let is_sent_on = |head: &str, _: &str| head.starts_with("HTTP/1.1 307");
+/// Returns the responses of a controller that is not the leader: it forwards the request or redirects the caller.
+async fn responses_of_follower(running: &Running, other: &Running) -> Value {
+    let is_forwarded = |head: &str, _: &str| head.starts_with("HTTP/1.1 200");
+    let is_redirected = |head: &str, _: &str| head.starts_with("HTTP/1.1 307");
     let leader = running.operators.to_string();
-    let events = awaited(other.operators, "GET /v1/events?from=3", "", is_sent_on).await;
-    let members = awaited(other.operators, "GET /v1/members", "", is_found).await;
+    let events = request_until(other.operators, "GET /v1/events?from=3", "", is_redirected).await;
+    let members = request_until(other.operators, "GET /v1/members", "", is_forwarded).await;
     let (head, body) = events;
     json!({
         "events": [head.replace(&leader, "LEADER"), body.replace(&leader, "LEADER")],
         "members": keys(members),
-        "members passed on before": passed_on_before(other, "GET /v1/members", "state").await,
-        "events passed on before": passed_on_before(other, "GET /v1/events", "no_leader").await,
+        "members passed on before": request_already_forwarded(other, "GET /v1/members", "state").await,
+        "events passed on before": request_already_forwarded(other, "GET /v1/events", "no_leader").await,
     })
 }
 
-/// The responses of a controller that got a forwarded request and does not lead either.
-async fn passed_on_before(other: &Running, line: &str, word: &str) -> Value {
+/// Repeats a request that is marked as forwarded until the body of the response contains `expected`.
+async fn request_already_forwarded(other: &Running, line: &str, expected: &str) -> Value {
     let began = Instant::now();
     loop {
-        let passed_on = "rudder-passed-on: 1\r\n";
-        let (head, body) = answered(other.operators, line, passed_on, "").await;
-        if body.contains(word) {
+        let forwarded_header = "rudder-passed-on: 1\r\n";
+        let (head, body) = request(other.operators, line, forwarded_header, "").await;
+        if body.contains(expected) {
             return json!([head, body]);
         }
-        assert!(began.elapsed() < PATIENCE, "{line}: {head} {body}");
+        assert!(began.elapsed() < RESPONSE_TIMEOUT, "{line}: {head} {body}");
     }
 }
