--- a/crates/controlplane/tests/stopping_controller.rs
+++ b/crates/controlplane/tests/stopping_controller.rs
@@ -1,4 +1,5 @@
-//! A controller within the test that is stopped while operators wait for its responses on open connections.
+//! Shutdown of a controller while operators are waiting for responses on open connections. The controller runs within
+//! the test process.
 
 #[path = "../../../testing/support/running_controller.rs"]
 mod running_controller;
@@ -22,19 +23,19 @@
 use tokio::sync::Notify;
 use tokio::time::{Instant, timeout};
 
-const PATIENCE: Duration = Duration::from_secs(20);
-/// A stopping controller answers what it has, and exits, within four seconds.
-const LONGEST_STOP: Duration = Duration::from_secs(4);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
+/// A stopping controller must reply to its pending operations and exit within this time.
+const MAX_STOP_TIME: Duration = Duration::from_secs(4);
 
 fn change(name: &str) -> String {
     let spec = json!({"functions": {}, "routes": {}});
     json!({"number": 5, "base_number": 0, "change_id": name, "spec": spec}).to_string()
 }
 
-/// An operator on a connection that it keeps.
-struct KeptConnection(TcpStream);
+/// A persistent connection of an operator.
+struct OperatorConnection(TcpStream);
 
-impl KeptConnection {
+impl OperatorConnection {
     async fn open(operators: SocketAddr) -> Self {
         Self(TcpStream::connect(operators).await.expect("a connection"))
     }
@@ -51,23 +52,23 @@
         self.send(&request).await;
     }
 
-    /// What comes until the connection is closed by the other side.
-    async fn rest(&mut self) -> String {
+    /// Reads until the controller closes the connection.
+    async fn read_to_end(&mut self) -> String {
         let mut received = String::new();
         let reading = self.0.read_to_string(&mut received);
-        let ended = timeout(LONGEST_STOP, reading).await;
+        let ended = timeout(MAX_STOP_TIME, reading).await;
         ended
             .expect("a response and the end of the connection")
             .expect("read");
         received
     }
 
-    /// Reads until these words have come.
-    async fn read_until(&mut self, words: &str) {
+    /// Reads until this text has been received.
+    async fn read_until(&mut self, text: &str) {
         let mut received = String::new();
-        while !received.contains(words) {
+        while !received.contains(text) {
             let mut chunk = [0; 512];
-            let reading = timeout(PATIENCE, self.0.read(&mut chunk)).await;
+            let reading = timeout(WAIT_TIMEOUT, self.0.read(&mut chunk)).await;
             let length = reading.expect("in time").expect("read");
             assert!(length > 0, "closed after {received}");
             received += &String::from_utf8_lossy(&chunk[..length]);
@@ -75,7 +76,7 @@
     }
 }
 
-fn verify_answer(response: &str, state: &str) {
+fn verify_response(response: &str, state: &str) {
     assert!(response.starts_with("HTTP/1.1 503"), "{response}");
     assert!(
         response.contains(&format!("\"state\":\"{state}\"")),
@@ -83,40 +84,40 @@
     );
 }
 
-/// A disk at which every write waits while its gate is shut.
+/// Blocks the writes to a disk while it is closed.
 #[derive(Default)]
-struct Gate {
-    is_shut: Mutex<bool>,
+struct WriteGate {
+    is_closed: Mutex<bool>,
     opened: Condvar,
-    /// A write waits.
+    /// Signals that a write is blocked.
     reached: Notify,
     is_reached: AtomicBool,
 }
 
-impl Gate {
-    fn set(&self, is_shut: bool) {
-        *self.is_shut.lock().expect("a lock") = is_shut;
+impl WriteGate {
+    fn set_closed(&self, is_closed: bool) {
+        *self.is_closed.lock().expect("a lock") = is_closed;
         self.opened.notify_all();
     }
 
-    async fn await_write(&self) {
+    async fn await_blocked_write(&self) {
         while !self.is_reached.load(Ordering::Acquire) {
-            timeout(PATIENCE, self.reached.notified())
+            timeout(WAIT_TIMEOUT, self.reached.notified())
                 .await
                 .expect("a write");
         }
     }
 }
 
-struct GatedDisk(Arc<Gate>);
+struct GatedDisk(Arc<WriteGate>);
 
 impl DiskFaultHook for GatedDisk {
     fn before_write(&self) -> io::Result<()> {
-        let mut is_shut = self.0.is_shut.lock().expect("a lock");
-        while *is_shut {
+        let mut is_closed = self.0.is_closed.lock().expect("a lock");
+        while *is_closed {
             self.0.is_reached.store(true, Ordering::Release);
             self.0.reached.notify_one();
-            is_shut = self.0.opened.wait(is_shut).expect("a lock");
+            is_closed = self.0.opened.wait(is_closed).expect("a lock");
         }
         Ok(())
     }
@@ -125,58 +126,59 @@
 async fn await_leadership(running: &Running) {
     let began = Instant::now();
     loop {
-        let mut operator = KeptConnection::open(running.operators).await;
+        let mut operator = OperatorConnection::open(running.operators).await;
         operator
             .send("GET /v1/spec HTTP/1.1\r\nhost: h\r\nconnection: close\r\n\r\n")
             .await;
-        if operator.rest().await.starts_with("HTTP/1.1 200") {
+        if operator.read_to_end().await.starts_with("HTTP/1.1 200") {
             return;
         }
-        assert!(began.elapsed() < PATIENCE, "it does not lead");
+        assert!(began.elapsed() < WAIT_TIMEOUT, "not elected as leader");
     }
 }
 
-/// A leader that was told to stop while the write of a change waits at its disk, and the change's operator.
-async fn stop_with_change_in_flight(data: &Path) -> (Arc<Gate>, KeptConnection) {
-    let gate = Arc::new(Gate::default());
+/// Requests a leader to stop while the write of a change is blocked. Returns the gate of its disk and the connection of
+/// the change's operator.
+async fn stop_with_change_in_flight(data: &Path) -> (Arc<WriteGate>, OperatorConnection) {
+    let gate = Arc::new(WriteGate::default());
     let running = started_with(None, Some(data), || Box::new(GatedDisk(gate.clone()))).await;
     await_leadership(&running).await;
-    gate.set(true);
-    let mut operator = KeptConnection::open(running.operators).await;
+    gate.set_closed(true);
+    let mut operator = OperatorConnection::open(running.operators).await;
     operator.send_change("c").await;
-    gate.await_write().await;
+    gate.await_blocked_write().await;
     running.stop.send_replace(true);
     (gate, operator)
 }
 
-/// Guards against a change that is being written when its leader stops, and whose operator is told nothing.
+/// Guards against a change that is being written when its leader stops and is never replied to.
 #[tokio::test]
-async fn a_change_in_flight_at_a_stopping_leader_ends_as_unknown() {
+async fn a_change_in_flight_at_a_stopping_leader_is_reported_as_unknown() {
     let data = folder("in-flight");
     let (gate, mut operator) = stop_with_change_in_flight(&data).await;
-    let response = operator.rest().await;
-    gate.set(false);
+    let response = operator.read_to_end().await;
+    gate.set_closed(false);
     let _ = std::fs::remove_dir_all(&data);
-    verify_answer(&response, "unknown");
+    verify_response(&response, "unknown");
 }
 
-/// Guards against a change that is dropped at a stop although it would have been committed at once.
+/// Guards against a change that a stopping leader drops although it would have been committed shortly afterwards.
 #[tokio::test]
-async fn a_change_that_can_still_be_committed_is_finished_by_a_stopping_leader() {
+async fn a_stopping_leader_completes_a_change_that_can_still_be_committed() {
     let data = folder("finished");
     let (gate, mut operator) = stop_with_change_in_flight(&data).await;
-    gate.set(false);
-    let response = operator.rest().await;
+    gate.set_closed(false);
+    let response = operator.read_to_end().await;
     let _ = std::fs::remove_dir_all(&data);
     assert!(response.starts_with("HTTP/1.1 200"), "{response}");
 }
 
-/// Guards against a request that is read when its controller has stopped, and is reported as perhaps carried out, or
-/// not answered.
+/// Guards against a request that is read after its controller has stopped, and is then reported as unknown or never
+/// replied to.
 #[tokio::test]
-async fn a_change_that_is_read_by_a_stopping_controller_ends_as_not_accepted() {
+async fn a_change_read_by_a_stopping_controller_is_reported_as_not_accepted() {
     let running = started(None, None).await;
-    let mut operator = KeptConnection::open(running.operators).await;
+    let mut operator = OperatorConnection::open(running.operators).await;
     let body = change("c");
     let length = body.len();
     operator
@@ -187,13 +189,13 @@
     operator.read_until("100 Continue").await;
     running.stop.send_replace(true);
     operator.send(&body).await;
-    verify_answer(&operator.rest().await, "not_accepted");
+    verify_response(&operator.read_to_end().await, "not_accepted");
 }
 
-/// A controller that says it leads, and reads operators' requests without a response.
+/// A controller that claims to be the leader and accepts operators' requests, but never responds.
 struct SilentLeader {
     operators: TcpListener,
-    /// Where it would listen for other processes.
+    /// The address that it names for other processes. It does not listen there.
     address: SocketAddress,
 }
 
@@ -222,49 +224,49 @@
         }
     }
 
-    /// Sends heartbeats to a controller until a request has been forwarded here; returns its connection.
-    async fn lead_until_asked(&self, controller: SocketAddr) -> TcpStream {
+    /// Sends heartbeats to a controller until it forwards a request to this leader. Returns the request's connection.
+    async fn lead_until_request(&self, controller: SocketAddr) -> TcpStream {
         let to = SocketAddress(controller.to_string().parse().expect("an address"));
-        let mut link = dial(Ipv4Addr::LOCALHOST, to, Channel::Consensus, PATIENCE)
+        let mut link = dial(Ipv4Addr::LOCALHOST, to, Channel::Consensus, WAIT_TIMEOUT)
             .await
             .expect("a link");
         let mut heartbeats = tokio::time::interval(Duration::from_millis(50));
         for round in 1.. {
             tokio::select! {
-                asked = self.operators.accept() => return asked.expect("a connection").0,
+                accepted = self.operators.accept() => return accepted.expect("a connection").0,
                 _ = heartbeats.tick() => {
                     let sent = write_frame(&mut link, &self.heartbeat(round)).await;
                     sent.expect("a heartbeat");
                 }
             }
         }
-        unreachable!("it is asked, or the test's time is over")
+        unreachable!("the loop ends with a request or with the test's timeout")
     }
 }
 
-/// Guards against a forwarded request whose operator's connection is closed without a response when its controller stops.
+/// Guards against a forwarded request whose operator gets no response when the forwarding controller stops.
 #[tokio::test]
-async fn a_forwarded_change_at_a_stopping_controller_ends_as_unknown() {
+async fn a_change_forwarded_by_a_stopping_controller_is_reported_as_unknown() {
     let running = started(None, None).await;
     let leader = SilentLeader::open().await;
-    let mut operator = KeptConnection::open(running.operators).await;
-    let asking = async {
-        // Refused at first, as no leader is known yet.
+    let mut operator = OperatorConnection::open(running.operators).await;
+    let sending = async {
+        // Rejected at first, because no leader is known yet.
         loop {
             operator.send_change("c").await;
             operator.read_until("}").await;
         }
     };
-    let asked = tokio::select! {
-        () = asking => unreachable!("the leader does not respond"),
-        asked = timeout(PATIENCE, leader.lead_until_asked(running.address)) => asked,
+    let connected = tokio::select! {
+        () = sending => unreachable!("the leader does not respond"),
+        connected = timeout(WAIT_TIMEOUT, leader.lead_until_request(running.address)) => connected,
     };
-    let mut forwarded = asked.expect("a forwarded request");
+    let mut forwarded = connected.expect("a forwarded request");
     let mut first_byte = [0; 1];
     forwarded
         .read_exact(&mut first_byte)
         .await
         .expect("a request");
     running.stop.send_replace(true);
-    verify_answer(&operator.rest().await, "unknown");
+    verify_response(&operator.read_to_end().await, "unknown");
 }
