--- a/crates/controlplane/tests/operators_forms.rs
+++ b/crates/controlplane/tests/operators_forms.rs
@@ -1,4 +1,4 @@
-//! The product's own operators' API: how each path and body is read, and the bytes of every response.
+//! The product's own API for operators: how each path and body is parsed, and the bytes of every response.
 
 #[path = "../../../testing/support/change_kinds.rs"]
 mod change_kinds;
@@ -28,11 +28,11 @@
 use std::fmt::Write;
 use std::time::Duration;
 
-fn check(name: &str, seen: &str) {
-    forms::check(env!("CARGO_MANIFEST_DIR"), name, seen);
+fn check(name: &str, actual: &str) {
+    forms::check(env!("CARGO_MANIFEST_DIR"), name, actual);
 }
 
-fn shown(operation: &Operation) -> Value {
+fn operation_json(operation: &Operation) -> Value {
     match operation {
         Operation::ReadSpec => json!("read the spec"),
         Operation::Change(ChangeRequest {
@@ -64,15 +64,15 @@
 
 async fn read(method: &str, target: &str, body: &str) -> String {
     match NativeOperatorApi.read(&request_head(method, target, &[]), body.as_bytes()) {
-        Ok(operation) => shown(&operation).to_string(),
-        Err(served) => wire::response(*served).await,
+        Ok(operation) => operation_json(&operation).to_string(),
+        Err(response) => wire::response(*response).await,
     }
 }
 
 #[tokio::test]
-async fn every_path_is_read_as_before() {
+async fn each_path_is_parsed_as_recorded() {
     let mut text = String::new();
-    let operation = [
+    let request_lines = [
         "GET /metrics",
         "GET /v1/spec",
         "GET /v1/spec/",
@@ -104,14 +104,14 @@
         "PUT /v1/spec",
         "PATCH /v1/spec",
     ];
-    for line in operation {
+    for line in request_lines {
         let (method, target) = line.split_once(' ').expect("a method");
         let _ = writeln!(text, "## {line}\n{}\n", read(method, target, "").await);
     }
     check("operator_paths.txt", &text);
 }
 
-/// A body with other keys; those that become `null` are left out.
+/// Returns a body with changed fields. A field that is changed to `null` is removed.
 fn variant(body: &Value, changes: Value) -> Value {
     let mut body = body.clone();
     let fields = body.as_object_mut().expect("an object");
@@ -158,7 +158,7 @@
     bodies
 }
 
-fn amendment_bodies() -> Vec<Value> {
+fn partial_change_bodies() -> Vec<Value> {
     let put = json!({
         "functions": {"f": {"memory_mb": 1}}, "routes": {"r": {"kind": "once"}},
         "limits": {"idle_ms": 5}, "labels": {"day": "one"},
@@ -202,22 +202,22 @@
 }
 
 #[tokio::test]
-async fn every_body_is_read_as_before() {
+async fn each_body_is_parsed_as_recorded() {
     let mut text = String::new();
     let bodies_by_path = [
         ("PUT", "/v1/spec", replacement_bodies()),
-        ("PATCH", "/v1/spec", amendment_bodies()),
+        ("PATCH", "/v1/spec", partial_change_bodies()),
         ("POST", "/v1/localities/north/evacuate", evacuation_bodies()),
         ("POST", "/v1/localities/north/restore", restore_bodies()),
     ];
     for (method, target, bodies) in bodies_by_path {
         for body in bodies {
-            let answer = read(method, target, &body.to_string()).await;
-            let _ = writeln!(text, "## {method} {target} {body}\n{answer}\n");
+            let result = read(method, target, &body.to_string()).await;
+            let _ = writeln!(text, "## {method} {target} {body}\n{result}\n");
         }
     }
-    let cut_answer = read("PUT", "/v1/spec", "{").await;
-    let _ = writeln!(text, "## PUT /v1/spec {{\n{cut_answer}\n");
+    let truncated_result = read("PUT", "/v1/spec", "{").await;
+    let _ = writeln!(text, "## PUT /v1/spec {{\n{truncated_result}\n");
     check("operator_bodies.txt", &text);
 }
 
@@ -316,7 +316,7 @@
     }
 }
 
-/// A leader without peers that knows no leader's address, and one with a peer.
+/// Returns the status of a leader without peers that does not report the leader's address, and of one with a peer.
 fn quorum_replies() -> [(&'static str, OperationReply); 2] {
     let quorum = |leader, accepted, peers| {
         OperationReply::Quorum(Box::new(QuorumStatus {
@@ -360,7 +360,7 @@
     ]
 }
 
-/// Replies on the bootstrap and on the replacement of a voter.
+/// Returns the replies to a bootstrap and to the replacement of a voter.
 fn quorum_change_replies() -> [(&'static str, OperationReply); 4] {
     let rejected = |error| OperationReply::QuorumChangeRejected(error);
     let replacing = OperationReply::ReplacingVoter {
@@ -387,7 +387,7 @@
     }
 }
 
-/// The replies that only the product's own API gives.
+/// Returns the replies that only the product's own API produces.
 fn native_replies() -> Vec<(&'static str, OperationReply)> {
     let report = LeaderReport::Members(MembersReport {
         members: Vec::new(),
@@ -419,7 +419,7 @@
     })
 }
 
-/// A daemon that has installed the version, one that has not, and one to which it was not sent.
+/// Returns the traces of a daemon that has installed the version, one that has not, and one to which it was not sent.
 fn member_traces() -> BTreeMap<MemberName, MemberTraceReport> {
     let progress = |installed_after: Option<Duration>| {
         Some(MemberProgress {
@@ -442,7 +442,8 @@
         .collect()
 }
 
-/// An inherited version that is hardly on its way, and one of this controller's that got everywhere but one daemon.
+/// Returns the trace of an inherited version without progress, and of this controller's own version, which is in force
+/// although two daemons lag.
 fn version_traces() -> Vec<VersionTraceReport> {
     let inherited = VersionTraceReport {
         term: Term(2),
@@ -498,7 +499,7 @@
 }
 
 #[tokio::test]
-async fn every_answer_has_its_bytes() {
+async fn each_reply_is_written_as_recorded() {
     let mut replies = native_replies();
     replies.extend(self::replies());
     for reason in reasons() {
@@ -513,18 +514,18 @@
         replies.push(("not now", OperationReply::TemporarilyUnavailable(reason)));
     }
     let mut text = String::new();
-    for (what, reply) in replies {
+    for (description, reply) in replies {
         let message =
             wire::response(NativeOperatorApi.write_response(&Operation::ReadSpec, reply)).await;
-        let _ = writeln!(text, "## {what}\n{message}\n");
+        let _ = writeln!(text, "## {description}\n{message}\n");
     }
     let _ = writeln!(text, "ready path: {}", NativeOperatorApi.readiness_path());
     check("operator_answers.txt", &text);
 }
 
-/// A change without a name is recognized by its content, also by the next release of the program.
+/// A change without an ID is recognized by the ID derived from its content, so releases must derive the same ID.
 #[test]
-fn a_change_without_a_name_keeps_the_one_that_it_gets() {
+fn the_derived_id_of_a_change_without_an_id_does_not_change() {
     let spec = json!({"functions": {}, "routes": {}, "labels": {"made": "by hand"}});
     let kinds = [
         ChangeKind::FullSpec(spec.clone().into()),
@@ -539,8 +540,13 @@
     ];
     let mut text = String::new();
     for kind in &kinds {
-        let name = derive_change_id(Some(Version(4)), None, kind);
-        let _ = writeln!(text, "{}: {}", change_kinds::shown(kind), name.as_str());
+        let change_id = derive_change_id(Some(Version(4)), None, kind);
+        let _ = writeln!(
+            text,
+            "{}: {}",
+            change_kinds::shown(kind),
+            change_id.as_str()
+        );
     }
     check("change_names.txt", &text);
 }
