--- a/crates/controlplane/tests/controller_state/change_numbering.rs
+++ b/crates/controlplane/tests/controller_state/change_numbering.rs
@@ -1,5 +1,4 @@
-//! Operators number their specs themselves. Each reply is compared with that of a model, a plain list of the
-//! accepted changes.
+//! Changes numbered by operators. Each reply is compared with that of a model, a list of the accepted changes.
 
 use super::cluster::TestCluster;
 use super::operations::{numbered_change, zone_change};
@@ -79,7 +78,7 @@
     }
 }
 
-/// The model: all accepted changes, in order.
+/// The model: all accepted changes in order.
 #[derive(Default)]
 struct ExpectedHistory(Vec<SentChange>);
 
@@ -104,10 +103,10 @@
 }
 
 #[gtest]
-fn every_number_is_answered_as_the_model_says() -> Result<()> {
+fn each_reply_to_a_numbered_change_matches_the_model() -> Result<()> {
     let mut seen: BTreeMap<String, usize> = BTreeMap::new();
     for seed in 0..8 {
-        let mut cluster = TestCluster::founded(seed);
+        let mut cluster = TestCluster::bootstrapped(seed);
         let mut expected_history = ExpectedHistory::default();
         let mut rng = SeededRng::seeded(seed);
         let mut earlier: Vec<SentChange> = Vec::new();
@@ -140,7 +139,8 @@
     .with_failure_message(|| format!("{seen:?}"))
 }
 
-/// What must hold whichever controllers were killed: each number is above the one before, and built on it.
+/// Checks that each committed numbered spec was sent with the previous committed number as its base. Must hold
+/// whichever controllers were killed.
 fn check_chain(cluster: &TestCluster, sent: &[SentChange]) -> Result<()> {
     let mut chain: BTreeMap<u64, (u64, Value)> = BTreeMap::new();
     for document in &cluster.committed {
@@ -166,7 +166,7 @@
     Ok(())
 }
 
-/// How often a try had an unclear outcome, a retry was one of a recorded change, and a controller was killed.
+/// The number of attempts with an unknown outcome, of retries of a recorded change, and of killed controllers.
 #[derive(Default)]
 struct RetryCounts {
     unknown: usize,
@@ -174,7 +174,7 @@
     killed: usize,
 }
 
-/// Operators that send rival changes and retry them, while controllers are killed.
+/// Operators that send conflicting changes and retry them while controllers are killed.
 struct RetryingOperators {
     cluster: TestCluster,
     rng: SeededRng,
@@ -183,18 +183,18 @@
 }
 
 impl RetryingOperators {
-    const MAX_TRIES: usize = 8;
+    const MAX_RETRIES: usize = 8;
 
     fn new(seed: u64) -> Self {
         Self {
-            cluster: TestCluster::founded(seed),
+            cluster: TestCluster::bootstrapped(seed),
             rng: SeededRng::seeded(1000 + seed),
             sent: Vec::new(),
             accepted: Vec::new(),
         }
     }
 
-    /// Sends one or two changes at once, after which a controller may be killed, and retries each until it is decided.
+    /// Sends one or two changes at once, may kill a controller afterwards, and retries each change until it is decided.
     fn send_rivals(&mut self, counts: &mut RetryCounts) -> Result<()> {
         let leader = self.cluster.await_leader();
         let current = self.cluster.accepted(leader).expect("a document").number;
@@ -218,7 +218,7 @@
         Ok(())
     }
 
-    /// Kills the leader, or any other controller, while the changes are under way.
+    /// Kills the leader or another controller while the changes are in flight, and restarts it.
     fn kill_and_restart(&mut self, leader: usize) {
         let span = self.rng.below(25);
         self.cluster.advance(span);
@@ -232,7 +232,8 @@
         self.cluster.start(victim);
     }
 
-    /// The verdict on a change, which is retried while it is unclear. A change that a leader has recorded is accepted.
+    /// Retries a change until its verdict is definite, and returns the verdict. Checks that a change that a leader has
+    /// recorded is accepted.
     fn decided_verdict(
         &mut self,
         sent: &SentChange,
@@ -241,7 +242,7 @@
     ) -> Result<Verdict> {
         let first_reply = self.cluster.replies.remove(&ticket);
         let mut verdict = first_reply.map_or(Verdict::Unknown, |reply| verdict_of(&reply));
-        for _ in 0..Self::MAX_TRIES {
+        for _ in 0..Self::MAX_RETRIES {
             if !matches!(verdict, Verdict::Unknown | Verdict::NotAccepted) {
                 break;
             }
@@ -261,7 +262,7 @@
         Ok(verdict)
     }
 
-    /// A change that was rejected is in no committed version.
+    /// Checks that a rejected change is in no committed version.
     fn check_decision(&mut self, sent: SentChange, verdict: Verdict) -> Result<()> {
         match verdict {
             Verdict::Accepted => self.accepted.push(sent),
@@ -278,7 +279,7 @@
         Ok(())
     }
 
-    /// Every accepted change is recorded, and no two of them are built on the same number.
+    /// Checks that every accepted change is recorded and that no two of them are based on the same number.
     fn check_accepted(&mut self) -> Result<()> {
         check_chain(&self.cluster, &self.sent)?;
         let leader = self.cluster.await_leader();
@@ -314,8 +315,8 @@
 }
 
 #[gtest]
-fn the_same_change_sent_twice_at_once_is_one_change() -> Result<()> {
-    let mut cluster = TestCluster::founded(4);
+fn a_change_sent_twice_at_once_is_applied_once() -> Result<()> {
+    let mut cluster = TestCluster::bootstrapped(4);
     let leader = cluster.await_leader();
     let sent = SentChange {
         number: 5,
@@ -346,7 +347,7 @@
            "budget_ms": 1000, "kind": "once", "labels": {"of": name}})
 }
 
-/// Submits a numbered change to the leader and checks the verdict on it.
+/// Submits a numbered change to the leader and checks the verdict.
 fn check_verdict(
     cluster: &mut TestCluster,
     leader: usize,
@@ -363,8 +364,8 @@
 }
 
 #[gtest]
-fn items_are_replaced_in_full_and_removed_by_name() -> Result<()> {
-    let mut cluster = TestCluster::founded(2);
+fn items_are_replaced_completely_and_removed_by_name() -> Result<()> {
+    let mut cluster = TestCluster::bootstrapped(2);
     let leader = cluster.await_leader();
     let first = json!({
         "functions": {"a": function(100), "b": function(200)},
@@ -409,8 +410,8 @@
 }
 
 #[gtest]
-fn a_zone_change_without_an_id_is_accepted_again_and_changes_nothing() -> Result<()> {
-    let mut cluster = TestCluster::founded(6);
+fn a_repeated_zone_change_without_an_id_is_accepted_and_changes_nothing() -> Result<()> {
+    let mut cluster = TestCluster::bootstrapped(6);
     let leader = cluster.await_leader();
     let evacuate = |force| ChangeKind::Evacuate {
         zone: "l9".into(),
--- a/crates/controlplane/tests/controller_state/cluster.rs
+++ b/crates/controlplane/tests/controller_state/cluster.rs
@@ -1,4 +1,4 @@
-//! Complete controllers on virtual time, with simulated disks and network, and with injected faults.
+//! Controllers in virtual time, with simulated disks and a simulated network, and with injected faults.
 
 use common::clock::MonotonicTime;
 use common::events;
@@ -16,24 +16,24 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// What a disk holds.
+/// The content of a disk.
 #[derive(Clone)]
 pub struct Disk {
-    /// What consensus stored there.
+    /// The state that consensus persisted.
     pub persisted: PersistedState,
-    /// Whether it has been in use since the first start of all controllers.
+    /// Whether the disk has been in use since the first start of the cluster.
     pub is_initial: bool,
 }
 
 /// One controller.
 pub struct Node {
-    /// Its disk, if it has one.
+    /// The controller's disk, if it has one.
     pub disk: Option<Disk>,
-    /// Its zone's number.
+    /// The number of the controller's zone.
     pub zone: usize,
-    /// The controller, while its process runs.
+    /// The controller's state, while its process runs.
     pub controller_state: Option<ControllerState>,
-    /// The seeds, by their numbers.
+    /// The numbers of the seed controllers.
     pub seeds: Vec<usize>,
     incarnation: u64,
 }
@@ -45,27 +45,27 @@
 
 /// The controllers and the network between them.
 pub struct TestCluster {
-    /// Virtual time.
+    /// The current virtual time.
     pub now: MonotonicTime,
     /// The controllers.
     pub nodes: Vec<Node>,
-    /// The pairs whose messages are lost, sender first.
+    /// The links whose messages are lost, as pairs of sender and receiver.
     pub cut_links: BTreeSet<(usize, usize)>,
-    /// Each version written to a disk, by controller.
+    /// Each version written to a disk, with the controller's number.
     pub written: Vec<(usize, Document)>,
-    /// Each version that a leader saw committed.
+    /// Each version that a leader reported as committed.
     pub committed: Vec<Document>,
     /// The replies to operators.
     pub replies: BTreeMap<OperationTicket, OperationReply>,
-    /// The frames to daemons.
+    /// The frames to daemons, with the number of the sending controller.
     pub sent_to_daemons: Vec<(usize, LeaderToDaemon)>,
-    /// The source of faults and delays.
+    /// The random generator of faults and delays.
     pub rng: SeededRng,
     events: BTreeMap<(MonotonicTime, u64), Event>,
     last_number: u64,
 }
 
-/// The address of a controller.
+/// Returns the address of a controller.
 pub fn address(number: usize) -> SocketAddress {
     SocketAddress(
         format!("10.0.0.{}:1", number + 1)
@@ -74,7 +74,7 @@
     )
 }
 
-/// The address at which it serves operators.
+/// Returns the address at which a controller serves operators.
 pub fn operators(number: usize) -> SocketAddress {
     SocketAddress(
         format!("10.0.0.{}:2", number + 1)
@@ -90,7 +90,7 @@
 }
 
 impl TestCluster {
-    /// Controllers in these zones, none of them started; the first three are the seeds.
+    /// Returns stopped controllers in these zones. The first three are the seeds.
     pub fn new(seed: u64, zones: &[usize]) -> Self {
         let nodes = zones
             .iter()
@@ -120,8 +120,8 @@
         cluster
     }
 
-    /// Three controllers that have founded their quorum and have had a leader for a while.
-    pub fn founded(seed: u64) -> Self {
+    /// Returns three controllers that have bootstrapped their quorum and have had a leader for 300 ms.
+    pub fn bootstrapped(seed: u64) -> Self {
         let mut cluster = Self::new(seed, &[0, 1, 2]);
         cluster.start_all();
         cluster.await_leader();
@@ -138,7 +138,7 @@
         });
     }
 
-    /// Starts a controller with what its disk holds.
+    /// Starts a controller with the content of its disk.
     pub fn start(&mut self, number: usize) {
         let seed = self.rng.number();
         let node = &mut self.nodes[number];
@@ -185,7 +185,8 @@
         }
     }
 
-    /// Kills a controller. A write under way is stored or lost; connections to its address are refused.
+    /// Kills a controller. Each write in flight is either persisted or lost. The other controllers are notified that
+    /// connections to its address are refused.
     pub fn kill(&mut self, number: usize) {
         self.nodes[number].controller_state = None;
         let pending: Vec<(MonotonicTime, u64)> = self
@@ -251,7 +252,7 @@
             .insert((self.now + span, self.last_number), event);
     }
 
-    /// Hands an input to a controller, if it runs.
+    /// Passes an input to a controller if it is running.
     pub fn feed(&mut self, number: usize, input: ControllerInput) {
         let now = self.now;
         let Some(controller_state) = &mut self.nodes[number].controller_state else {
@@ -339,7 +340,7 @@
         }
     }
 
-    /// The leader that has committed under its term.
+    /// Returns the leader that has committed in its term, if any.
     pub fn leader(&self) -> Option<usize> {
         (0..self.nodes.len()).find(|number| {
             self.nodes[*number]
@@ -357,10 +358,10 @@
             }
             self.advance(25);
         }
-        panic!("nobody leads");
+        panic!("no leader elected");
     }
 
-    /// Submits an operation at one controller.
+    /// Submits an operation to a controller.
     pub fn submit(&mut self, number: usize, operation: Operation) -> OperationTicket {
         self.last_number += 1;
         let ticket = OperationTicket(self.last_number);
@@ -368,7 +369,7 @@
         ticket
     }
 
-    /// Submits an operation and waits at most four seconds for its reply; none if its controller was killed.
+    /// Submits an operation and waits at most four seconds for its reply. Returns `None` if there is no reply by then.
     pub fn reply_to(&mut self, number: usize, operation: Operation) -> Option<OperationReply> {
         let ticket = self.submit(number, operation);
         for _ in 0..200 {
@@ -380,7 +381,7 @@
         self.replies.remove(&ticket)
     }
 
-    /// Sends a daemon's frame on a new stream.
+    /// Passes a daemon's frame on this stream to a controller.
     pub fn stream(&mut self, number: usize, stream: u64, frame: common::frames::DaemonToLeader) {
         self.feed(
             number,
@@ -388,7 +389,7 @@
         );
     }
 
-    /// The newest version on a controller's disk.
+    /// Returns the newest version on the disk of a running controller.
     pub fn accepted(&self, number: usize) -> Option<&Document> {
         self.nodes[number]
             .controller_state
@@ -397,7 +398,7 @@
             .accepted()
     }
 
-    /// The voters in a controller's newest version, by number.
+    /// Returns the numbers of the voters in a controller's newest version.
     pub fn voters_at(&self, number: usize) -> Vec<usize> {
         let document = self.accepted(number).expect("a document");
         let mut members: Vec<usize> = document
--- a/crates/controlplane/tests/controller_state/founding.rs
+++ b/crates/controlplane/tests/controller_state/founding.rs
@@ -1,4 +1,4 @@
-//! The control quorum is bootstrapped at the first start of all controllers, and never a second time.
+//! The control quorum is bootstrapped at the first start of the cluster and never again.
 
 use super::cluster::{TestCluster, address, operators};
 use common::frames::{DaemonToLeader, LeaderToDaemon};
@@ -7,8 +7,8 @@
 use googletest::prelude::*;
 use std::collections::BTreeSet;
 
-/// The voters' identities of every first version that was written to any disk.
-fn foundings(cluster: &TestCluster) -> BTreeSet<Vec<u64>> {
+/// Returns the voters' IDs of every distinct first version that was written to any disk.
+fn bootstraps(cluster: &TestCluster) -> BTreeSet<Vec<u64>> {
     cluster
         .written
         .iter()
@@ -18,7 +18,7 @@
 }
 
 #[gtest]
-fn the_seeds_found_the_quorum_and_a_slow_one_gets_the_same_founding() -> Result<()> {
+fn the_seeds_bootstrap_the_quorum_and_a_slow_seed_joins_it() -> Result<()> {
     let mut cluster = TestCluster::new(1, &[0, 1, 2, 0]);
     cluster.start(3);
     cluster.start(0);
@@ -41,12 +41,12 @@
     cluster.cut_links.clear();
     cluster.advance(2000);
     verify_that!(cluster.voters_at(2), eq(&vec![0, 1, 2]))?;
-    verify_that!(foundings(&cluster).len(), eq(1))?;
+    verify_that!(bootstraps(&cluster).len(), eq(1))?;
     verify_that!(cluster.voters_at(3), eq(&vec![0, 1, 2]))
 }
 
 #[gtest]
-fn a_founder_that_restarts_before_the_others_know_founds_nothing_else() -> Result<()> {
+fn a_seed_that_restarts_during_the_bootstrap_bootstraps_no_other_quorum() -> Result<()> {
     for seed in 0..20 {
         let mut cluster = TestCluster::new(seed, &[0, 1, 2]);
         cluster.start_all();
@@ -58,13 +58,13 @@
         cluster.start(0);
         let leader = cluster.await_leader();
         verify_that!(cluster.voters_at(leader), eq(&vec![0, 1, 2]))?;
-        verify_that!(foundings(&cluster).len(), eq(1))?;
+        verify_that!(bootstraps(&cluster).len(), eq(1))?;
     }
     Ok(())
 }
 
 #[gtest]
-fn a_disk_lost_after_the_founding_founds_nothing() -> Result<()> {
+fn a_disk_lost_after_the_bootstrap_does_not_cause_another_bootstrap() -> Result<()> {
     let mut cluster = TestCluster::new(3, &[0, 1, 2]);
     cluster.start_all();
     cluster.await_leader();
@@ -85,8 +85,8 @@
 }
 
 #[gtest]
-fn kills_cuts_and_lost_disks_at_the_first_start_never_make_two_foundings() -> Result<()> {
-    let mut founded_count = 0;
+fn faults_at_the_first_start_never_cause_two_bootstraps() -> Result<()> {
+    let mut bootstrap_count = 0;
     for seed in 0..60 {
         let mut cluster = TestCluster::new(seed, &[0, 1, 2, 0, 1]);
         cluster.start_all();
@@ -108,14 +108,14 @@
             let millis = cluster.rng.below(400);
             cluster.advance(millis);
         }
-        verify_that!(foundings(&cluster).len(), le(1))?;
-        founded_count += foundings(&cluster).len();
+        verify_that!(bootstraps(&cluster).len(), le(1))?;
+        bootstrap_count += bootstraps(&cluster).len();
     }
-    verify_that!(founded_count, ge(20))
+    verify_that!(bootstrap_count, ge(20))
 }
 
 #[gtest]
-fn a_diskless_seed_is_left_out_and_the_quorum_grows_by_another() -> Result<()> {
+fn another_controller_becomes_a_voter_instead_of_a_diskless_seed() -> Result<()> {
     let mut cluster = TestCluster::new(5, &[0, 1, 2, 0]);
     cluster.nodes[0].disk = None;
     cluster.start_all();
@@ -187,7 +187,7 @@
 }
 
 #[gtest]
-fn an_empty_machine_at_a_voters_address_is_its_successor_at_once() -> Result<()> {
+fn a_controller_with_an_empty_disk_at_a_voters_address_replaces_the_voter_at_once() -> Result<()> {
     let mut cluster = TestCluster::new(8, &[0, 1, 2]);
     cluster.start_all();
     let leader = cluster.await_leader();
@@ -227,8 +227,7 @@
 }
 
 #[gtest]
-fn one_known_follower_leads_to_the_quorum_and_a_removed_voter_waits_with_its_old_disk() -> Result<()>
-{
+fn one_seed_suffices_to_join_the_quorum_and_a_removed_voter_rejoins_when_needed() -> Result<()> {
     let mut cluster = TestCluster::new(9, &[0, 1, 2, 2]);
     for number in 0..3 {
         cluster.start(number);
@@ -259,7 +258,7 @@
 }
 
 #[gtest]
-fn a_killed_leader_is_followed_within_half_a_second() -> Result<()> {
+fn a_killed_leader_is_replaced_within_half_a_second() -> Result<()> {
     for seed in 0..10 {
         let mut cluster = TestCluster::new(seed, &[0, 1, 2]);
         cluster.start_all();
@@ -272,9 +271,9 @@
     Ok(())
 }
 
-/// A controller that has just started does not wait a full election timeout for a leader, as it once did.
+/// Guards against a controller that waits for a full election timeout for a leader after its start.
 #[gtest]
-fn after_a_restart_of_all_a_leader_is_there_within_half_a_second() -> Result<()> {
+fn a_leader_is_elected_within_half_a_second_of_a_restart_of_all_controllers() -> Result<()> {
     for seed in 0..20 {
         let mut cluster = TestCluster::new(seed, &[0, 1, 2]);
         cluster.start_all();
@@ -294,9 +293,9 @@
     Ok(())
 }
 
-/// A voter that restarts beside a live leader does not start an election.
+/// Guards against an election that is started by a restarted voter while there is a live leader.
 #[gtest]
-fn a_voter_that_restarts_beside_a_live_leader_changes_nothing() -> Result<()> {
+fn a_voter_that_restarts_under_a_live_leader_does_not_disturb_it() -> Result<()> {
     for seed in 0..20 {
         let mut cluster = TestCluster::new(seed, &[0, 1, 2]);
         cluster.start_all();
--- a/crates/controlplane/tests/controller_state/main.rs
+++ b/crates/controlplane/tests/controller_state/main.rs
@@ -1,5 +1,5 @@
-//! Complete controllers without I/O: bootstrapping, redirects, replaced voters, operators' numbers and items, and
-//! the product's own API.
+//! Tests of the controller's state machine: bootstrap, redirects, replacement of voters, numbered changes, changes of
+//! items, shutdown, and the product's own API.
 
 mod change_numbering;
 mod cluster;
--- a/crates/controlplane/tests/controller_state/operations.rs
+++ b/crates/controlplane/tests/controller_state/operations.rs
@@ -1,14 +1,14 @@
-//! Changes as operators submit them who name neither the change nor the version that it is based on.
+//! Constructors of changes with neither a change ID nor a base version.
 
 use controlplane::controller_state::{ChangeKind, ChangeRequest, Numbering, Operation, Wait};
 use serde_json::json;
 
-/// A change with the operator's own numbers.
+/// Returns a change with the operator's own numbers.
 pub fn numbered_change(numbering: Numbering, kind: ChangeKind) -> Operation {
     unnamed_change(Some(numbering), kind)
 }
 
-/// A whole spec without items under the operator's own numbers; its label tells it from others.
+/// Returns a change to a spec without items, with the operator's own numbers. A label makes each spec distinct.
 pub fn numbered(number: u64, base_number: u64) -> Operation {
     let spec = json!({"functions": {}, "routes": {}, "labels": {"made": number}});
     let numbering = Numbering {
@@ -18,7 +18,7 @@
     numbered_change(numbering, ChangeKind::FullSpec(spec.into()))
 }
 
-/// A change to a zone, which needs no numbers.
+/// Returns a change of a zone, which needs no numbers.
 pub fn zone_change(kind: ChangeKind) -> Operation {
     unnamed_change(None, kind)
 }
--- a/crates/controlplane/tests/controller_state/operator_api.rs
+++ b/crates/controlplane/tests/controller_state/operator_api.rs
@@ -1,4 +1,4 @@
-//! The product's own API: requests read, and responses written.
+//! Requests and responses of the product's own API.
 
 use super::operator_requests::request_head;
 use common::http::HttpResponse;
@@ -23,9 +23,9 @@
     )
 }
 
-async fn response_parts(served: HttpResponse) -> (u16, Value) {
-    let status = served.status().as_u16();
-    let body = served
+async fn response_parts(response: HttpResponse) -> (u16, Value) {
+    let status = response.status().as_u16();
+    let body = response
         .into_body()
         .collect()
         .await
@@ -39,7 +39,7 @@
 }
 
 #[tokio::test]
-async fn numbers_replace_a_version_and_items_a_patch() {
+async fn a_numbered_change_of_items_is_read_without_base_version_or_patch() {
     let body = json!({
         "number": 7, "base_number": 5, "change_id": "c",
         "put": {"routes": {"r": {"kind": "once"}}, "limits": {"idle_ms": 5}},
@@ -75,7 +75,7 @@
 }
 
 #[tokio::test]
-async fn a_change_without_base_or_of_mixed_form_is_rejected_with_its_path() {
+async fn a_change_with_missing_or_conflicting_fields_is_rejected_with_the_path() {
     let cases = [
         (json!({"change_id": "c", "patch": {}}), "base_serial"),
         (
@@ -93,13 +93,13 @@
         (json!({"base_serial": 1, "put": {}}), "change_id"),
     ];
     for (body, path) in cases {
-        let Err(served) = read("PATCH", "/v1/spec", &body) else {
+        let Err(response) = read("PATCH", "/v1/spec", &body) else {
             panic!("{body}")
         };
-        let (status, answer) = response_parts(*served).await;
+        let (status, response_body) = response_parts(*response).await;
         assert_that!(status, eq(422));
-        assert_that!(answer["state"], eq(&json!("not_accepted")));
-        let paths: Vec<&str> = answer["faults"]
+        assert_that!(response_body["state"], eq(&json!("not_accepted")));
+        let paths: Vec<&str> = response_body["faults"]
             .as_array()
             .expect("faults")
             .iter()
@@ -109,10 +109,10 @@
     }
 }
 
-/// A reply with the status and the body of its response.
+/// A reply with the expected status and body of its response.
 type ReplyCase = (OperationReply, u16, Value);
 
-/// Replies on a change that was recorded, or rejected for its base.
+/// Returns replies to changes that were recorded, or rejected because of their base.
 fn decided_cases() -> Vec<ReplyCase> {
     let change = ChangeId::from("c");
     let accepted = |number, in_force| OperationReply::Accepted {
@@ -137,7 +137,7 @@
     ]
 }
 
-/// Replies where no leader decided.
+/// Returns replies to operations that no leader decided.
 fn undecided_cases() -> Vec<ReplyCase> {
     let change = Some(ChangeId::from("c"));
     let not_accepted = OperationReply::NotAccepted {
@@ -177,7 +177,7 @@
 }
 
 #[tokio::test]
-async fn each_answer_has_its_status_and_body() {
+async fn each_reply_has_its_status_and_body() {
     let mut cases = decided_cases();
     cases.extend(undecided_cases());
     cases.push(spec_case());
--- a/crates/controlplane/tests/controller_state/operator_changes.rs
+++ b/crates/controlplane/tests/controller_state/operator_changes.rs
@@ -1,4 +1,4 @@
-//! A repeated change is acknowledged again. A controller that may no longer be the leader rejects nothing, and an
+//! Repeated changes are acknowledged again, a controller that may no longer be the leader rejects nothing, and an
 //! evacuation whose caller has disconnected is not carried out.
 
 use super::cluster::TestCluster;
@@ -27,10 +27,10 @@
     matches!(reply, Some(OperationReply::Accepted { .. }))
 }
 
-/// A change that may have been applied before, with its record forgotten, is neither acknowledged nor rejected.
+/// A change that may have been applied before its record was discarded is neither acknowledged nor rejected.
 #[gtest]
 fn a_change_is_recognized_after_many_others_and_a_forgotten_one_is_not_rejected() -> Result<()> {
-    let mut cluster = TestCluster::founded(1);
+    let mut cluster = TestCluster::bootstrapped(1);
     let leader = cluster.await_leader();
     for number in 1..=1100 {
         let reply = cluster.reply_to(leader, numbered(number, number - 1));
@@ -67,20 +67,20 @@
 #[gtest]
 fn a_leader_that_may_have_been_deposed_rejects_nothing() -> Result<()> {
     for seed in 0..20 {
-        let mut cluster = TestCluster::founded(seed);
+        let mut cluster = TestCluster::bootstrapped(seed);
         let leader = cluster.await_leader();
         cluster.reply_to(leader, numbered(5, 0));
         let others: Vec<usize> = (0..3).filter(|number| *number != leader).collect();
         cluster.isolate(&[leader], &others);
         cluster.advance(20);
-        let reply_to = [
+        let tickets = [
             cluster.submit(leader, numbered(7, 3)),
             cluster.submit(leader, numbered(4, 5)),
             cluster.submit(leader, restore("l1")),
         ];
         let repeated_ticket = cluster.submit(leader, numbered(5, 0));
         cluster.advance(4000);
-        for ticket in reply_to {
+        for ticket in tickets {
             let is_unclear = matches!(
                 cluster.replies.get(&ticket),
                 Some(OperationReply::NotAccepted { .. } | OperationReply::Unknown { .. })
@@ -97,7 +97,7 @@
 
 #[gtest]
 fn an_evacuation_whose_caller_disconnected_is_not_executed() -> Result<()> {
-    let mut cluster = TestCluster::founded(3);
+    let mut cluster = TestCluster::bootstrapped(3);
     let leader = cluster.await_leader();
     let abandoned_ticket = cluster.submit(leader, evacuate("l1"));
     cluster.advance(8);
@@ -121,13 +121,13 @@
     verify_that!(evacuated.contains(&Zone::from("l1")), eq(true))
 }
 
-/// It was once rejected because no daemon had reported the zone to the new leader yet.
+/// Guards against a committed restore that is rejected when it is retried, because no daemon has reported the zone to
+/// the new leader yet.
 #[gtest]
-fn a_committed_restore_that_waited_through_a_change_of_leader_is_acknowledged_again() -> Result<()>
-{
+fn a_committed_restore_that_waits_during_an_election_is_not_rejected() -> Result<()> {
     let mut retry_count = 0;
     for seed in 0..120 {
-        let mut cluster = TestCluster::founded(seed);
+        let mut cluster = TestCluster::bootstrapped(seed);
         let leader = cluster.await_leader();
         for number in 0..3 {
             let others: Vec<usize> = (0..3).filter(|other| *other != number).collect();
@@ -150,21 +150,21 @@
 }
 
 #[gtest]
-fn nobody_is_redirected_to_a_leader_without_recent_heartbeat() -> Result<()> {
-    let mut cluster = TestCluster::founded(5);
+fn operators_are_not_redirected_to_a_leader_without_a_recent_heartbeat() -> Result<()> {
+    let mut cluster = TestCluster::bootstrapped(5);
     let leader = cluster.await_leader();
     let follower = (0..3).find(|number| *number != leader).expect("a follower");
     let immediate_ticket = cluster.submit(follower, Operation::ReadSpec);
-    let named = matches!(
+    let is_redirected = matches!(
         cluster.replies.get(&immediate_ticket),
         Some(OperationReply::Redirect(_))
     );
-    verify_that!(named, eq(true))?;
+    verify_that!(is_redirected, eq(true))?;
     cluster.now = cluster.now + Duration::from_secs(5);
     let ticket_after_freeze = cluster.submit(follower, Operation::ReadSpec);
-    let named = matches!(
+    let is_redirected = matches!(
         cluster.replies.get(&ticket_after_freeze),
         Some(OperationReply::Redirect(_))
     );
-    verify_that!(named, eq(false))
+    verify_that!(is_redirected, eq(false))
 }
--- a/crates/controlplane/tests/controller_state/shutdown.rs
+++ b/crates/controlplane/tests/controller_state/shutdown.rs
@@ -1,5 +1,5 @@
-//! What operators are told by a controller that stops: each operation gets a reply, and none that is reported as not
-//! accepted is carried out.
+//! Replies of a stopping controller: each operation is replied to, and none that is reported as not accepted is carried
+//! out.
 
 use super::cluster::{TestCluster, address};
 use super::operations::numbered;
@@ -49,10 +49,10 @@
     )
 }
 
-/// Guards against an operation that waits in a leader when its process ends, and whose operator is told nothing.
+/// Guards against an operation that is pending at a leader when its process exits and is never replied to.
 #[gtest]
-fn each_operation_at_a_stopping_leader_gets_the_reply_that_is_certain() -> Result<()> {
-    let mut cluster = TestCluster::founded(1);
+fn each_operation_at_a_stopping_leader_is_replied_to() -> Result<()> {
+    let mut cluster = TestCluster::bootstrapped(1);
     let leader = cluster.await_leader();
     let others: Vec<usize> = (0..3).filter(|number| *number != leader).collect();
     cluster.isolate(&[leader], &others);
@@ -68,9 +68,10 @@
     verify_that!(is_unavailable(cluster.replies.get(&read)), eq(true))
 }
 
-/// Guards against an operation that waits for a leader when its controller's process ends, and is never answered.
+/// Guards against an operation that is waiting for a leader when its controller's process exits and is never replied
+/// to.
 #[gtest]
-fn operations_that_wait_for_a_leader_are_answered_when_their_controller_stops() -> Result<()> {
+fn operations_waiting_for_a_leader_are_replied_to_when_the_controller_stops() -> Result<()> {
     let mut cluster = TestCluster::new(1, &[0, 1, 2]);
     cluster.start(0);
     let change = cluster.submit(0, numbered(5, 0));
@@ -81,7 +82,7 @@
     verify_that!(is_unavailable(cluster.replies.get(&read)), eq(true))
 }
 
-/// The first frame of a daemon that has this version of the spec installed.
+/// Returns the first frame of a daemon that has this version of the spec installed.
 fn hello(version: u64) -> DaemonToLeader {
     DaemonToLeader::Hello {
         host: Host {
@@ -99,10 +100,10 @@
     }
 }
 
-/// Guards against a committed change that is reported as anything else since its version was not in force yet.
+/// Guards against a committed change that is not reported as accepted because its version is not in force yet.
 #[gtest]
-fn a_committed_change_that_waits_to_be_in_force_is_accepted_at_a_stop() -> Result<()> {
-    let mut cluster = TestCluster::founded(1);
+fn a_committed_change_waiting_to_be_in_force_is_reported_as_accepted_at_shutdown() -> Result<()> {
+    let mut cluster = TestCluster::bootstrapped(1);
     let leader = cluster.await_leader();
     cluster.stream(leader, 1, hello(0));
     cluster.stream(
@@ -135,10 +136,10 @@
     )
 }
 
-/// Guards against an operation that a controller takes although its process is about to end.
+/// Guards against an operation that a controller accepts although its process is about to exit.
 #[gtest]
 fn a_stopping_controller_handles_no_further_operation() -> Result<()> {
-    let mut cluster = TestCluster::founded(1);
+    let mut cluster = TestCluster::bootstrapped(1);
     let leader = cluster.await_leader();
     cluster.feed(leader, ControllerInput::Stop);
     let change = cluster.submit(leader, numbered(5, 0));
@@ -149,12 +150,12 @@
     verify_that!(is_unavailable(cluster.replies.get(&read)), eq(true))
 }
 
-/// Guards against a change that a stopping leader reports as not accepted, and that another leader then commits.
+/// Guards against a change that a stopping leader reports as not accepted and another leader then commits.
 #[gtest]
-fn what_a_stopping_leader_reports_as_not_accepted_is_never_committed() -> Result<()> {
+fn a_change_reported_as_not_accepted_by_a_stopping_leader_is_never_committed() -> Result<()> {
     let mut rejected_count = 0;
     for seed in 0..60 {
-        let mut cluster = TestCluster::founded(seed);
+        let mut cluster = TestCluster::bootstrapped(seed);
         let leader = cluster.await_leader();
         let mut tickets: Vec<(OperationTicket, u64)> = Vec::new();
         for number in 1..=6 {
