--- a/crates/controlplane/src/controller_state/changes.rs
+++ b/crates/controlplane/src/controller_state/changes.rs
@@ -56,8 +56,8 @@
     }
 
     fn may_evaluate_changes(&self, now: MonotonicTime) -> bool {
-        let is_free = self.consensus.is_ready() && !self.consensus.is_proposing();
-        is_free
+        let can_propose = self.consensus.is_ready() && !self.consensus.is_proposing();
+        can_propose
             && (self.is_recently_confirmed(now)
                 || !self.rules.enforces(Rule::RejectionConfirmedByMajority))
     }
--- a/crates/controlplane/src/controller_state/mod.rs
+++ b/crates/controlplane/src/controller_state/mod.rs
@@ -1,5 +1,5 @@
 //! The state machine of a complete controller, free of I/O. It combines the consensus node, the leader state (while the
-//! controller is leader) and operators' requests. A driver passes it each [`ControllerInput`] and carries out the
+//! controller is the leader) and operators' requests. A driver passes it each [`ControllerInput`] and carries out the
 //! [`ControllerOutput`]s that it returns.
 
 mod changes;
@@ -120,13 +120,13 @@
 
     /// Returns the time at which the next tick is due if no other input arrives first.
     pub fn next_due(&self, now: MonotonicTime) -> MonotonicTime {
-        let longest_span = match (&self.leader_state, self.waiting_operations.is_empty()) {
+        let max_interval = match (&self.leader_state, self.waiting_operations.is_empty()) {
             (Some(leader_state), _) if leader_state.is_time_critical() => URGENT_TICK_INTERVAL,
             (Some(_), _) => LEADER_TICK_INTERVAL,
             (None, false) => WAITING_TICK_INTERVAL,
             (None, true) => IDLE_TICK_INTERVAL,
         };
-        self.consensus.next_due().min(now + longest_span)
+        self.consensus.next_due().min(now + max_interval)
     }
 
     /// Handles one input and returns the outputs, which must be carried out in order.
@@ -322,13 +322,13 @@
     /// Proposes all pending changes of the daemons' membership at once. While an operator's change is queued, it
     /// proposes nothing, because that change will include the new membership.
     fn propose_membership(&mut self, now: MonotonicTime) {
-        let is_free = self.consensus.is_ready()
+        let can_propose = self.consensus.is_ready()
             && !self.consensus.is_proposing()
             && self.pending_changes.is_idle();
         let Some(leader_state) = &mut self.leader_state else {
             return;
         };
-        let Some(membership) = leader_state.due_membership(now).filter(|_| is_free) else {
+        let Some(membership) = leader_state.due_membership(now).filter(|_| can_propose) else {
             return;
         };
         let Some(document) = self.consensus.accepted() else {
--- a/crates/controlplane/src/controller_state/traces.rs
+++ b/crates/controlplane/src/controller_state/traces.rs
@@ -1,4 +1,4 @@
-//! Traces of how recent versions propagated, recorded while this controller was leader.
+//! Traces of how recent versions propagated, recorded while this controller was the leader.
 
 use super::{ControllerState, MemberProgress, MemberTraceReport, TraceReport, VersionTraceReport};
 use crate::leader_state::TraceStep;
@@ -44,7 +44,7 @@
     }
 }
 
-/// The traces of recent versions, by version and by the term of the leadership.
+/// The traces of recent versions, by version and by the term in which this controller was the leader.
 #[derive(Default)]
 pub(super) struct Traces {
     retained: BTreeMap<(Version, Term), Trace>,
@@ -93,8 +93,8 @@
     pub(super) fn record_in_force(&mut self, now: MonotonicTime, version: Version) {
         self.get_or_begin(now, version, false);
         let current_term = self.term;
-        let passed = self.retained.range_mut(..=(version, Term(u64::MAX)));
-        for (_, trace) in passed.filter(|((_, term), _)| *term == current_term) {
+        let traces_up_to_version = self.retained.range_mut(..=(version, Term(u64::MAX)));
+        for (_, trace) in traces_up_to_version.filter(|((_, term), _)| *term == current_term) {
             trace.in_force_at.get_or_insert(now);
         }
     }
