--- a/crates/controlplane/src/drivers/controller.rs
+++ b/crates/controlplane/src/drivers/controller.rs
@@ -24,7 +24,7 @@
 use tokio::sync::watch;
 
 /// The handling time above which an input is logged, because it delays heartbeats and votes.
-const SLOW_INPUT: Duration = Duration::from_millis(20);
+const SLOW_INPUT_THRESHOLD: Duration = Duration::from_millis(20);
 /// How long a stopping controller continues to process the pending operations.
 const PENDING_OPERATIONS_TIMEOUT: Duration = Duration::from_secs(1);
 /// How long after the stop request a controller waits for operators to read its responses.
@@ -210,7 +210,7 @@
 struct OpenedDataDirectory {
     data_directory: DataDirectory,
     persisted: PersistedState,
-    /// Whether this may be the first start of the whole cluster: the disk was empty at a start with
+    /// Whether this may be the first start of all controllers: the disk was empty at a start with
     /// `bootstrap_on_first_start` set, and nothing has been written since.
     may_bootstrap: bool,
 }
@@ -353,7 +353,7 @@
         self.shared
             .metrics
             .observe_step(kind, queue_wait, handling_time);
-        if handling_time > SLOW_INPUT {
+        if handling_time > SLOW_INPUT_THRESHOLD {
             let (waited_ms, handled_ms) = (queue_wait.as_millis(), handling_time.as_millis());
             log_event!(
                 Warn,
--- a/crates/controlplane/src/drivers/event_stream.rs
+++ b/crates/controlplane/src/drivers/event_stream.rs
@@ -14,7 +14,7 @@
 use tokio::sync::mpsc;
 
 /// How many lines are queued for a slow reader before the stream's task waits.
-const QUEUED_LINES: usize = 64;
+const MAX_QUEUED_LINES: usize = 64;
 
 /// Responds with the events starting at `first_number`. With `follow=true` in the query, the stream continues with
 /// future events.
@@ -39,7 +39,7 @@
                 .write_response(&Operation::Events(first_number), reply);
         }
     };
-    let (line_sender, lines) = mpsc::channel::<Bytes>(QUEUED_LINES);
+    let (line_sender, lines) = mpsc::channel::<Bytes>(MAX_QUEUED_LINES);
     let event_stream = EventStream {
         event_watch: shared.published.watch_events(),
         shared,
--- a/crates/controlplane/src/drivers/operator_api/responses.rs
+++ b/crates/controlplane/src/drivers/operator_api/responses.rs
@@ -166,7 +166,7 @@
     })
 }
 
-fn no_zone_json(zone: &Zone, known: &BTreeSet<Zone>) -> Value {
+fn unknown_zone_json(zone: &Zone, known: &BTreeSet<Zone>) -> Value {
     let known_names: Vec<&str> = known.iter().map(Zone::as_str).collect();
     json!({
         "error": "unknown_locality",
@@ -230,7 +230,7 @@
                 number,
             } => (409, stale_json(change, version, number)),
             Self::Invalid(errors) => (422, invalid_body(&errors)),
-            Self::UnknownZone { zone, known } => (422, no_zone_json(&zone, &known)),
+            Self::UnknownZone { zone, known } => (422, unknown_zone_json(&zone, &known)),
             Self::LastZone => (422, last_zone_json()),
             Self::NotAccepted { reason, change } => {
                 let body = json!({"error": reason.as_str(), "state": "not_accepted"});
--- a/crates/controlplane/src/drivers/peer_links.rs
+++ b/crates/controlplane/src/drivers/peer_links.rs
@@ -14,7 +14,7 @@
 const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// The maximum number of frames queued for a connection.
-const QUEUED_FRAMES: usize = 256;
+const MAX_QUEUED_FRAMES: usize = 256;
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 const WRITE_TIMEOUT: Duration = Duration::from_secs(2);
 
@@ -39,7 +39,7 @@
         let own_ip = self.own_ip;
         self.senders.retain(|_, sender| !sender.is_closed());
         let sender = self.senders.entry(to).or_insert_with(|| {
-            let (sender, frames) = mpsc::channel(QUEUED_FRAMES);
+            let (sender, frames) = mpsc::channel(MAX_QUEUED_FRAMES);
             // Detached: the task ends when the sender is dropped or the connection has been idle.
             tokio::spawn(run_link(own_ip, to, frames));
             sender
--- a/crates/controlplane/src/drivers/platform.rs
+++ b/crates/controlplane/src/drivers/platform.rs
@@ -1,4 +1,4 @@
-//! Polls the platform's lists of workers and runners, and requests it to stop runners.
+//! Polls the platform's lists of workers and runners, and asks it to stop runners.
 
 use super::shared::Shared;
 use crate::controller_state::ControllerInput;
@@ -59,7 +59,7 @@
         .ok()
 }
 
-/// Requests the platform to stop a runner. Without a definite confirmation, the controller receives no input and will
+/// Asks the platform to stop a runner. Without a definite confirmation, the controller receives no input and will
 /// repeat the request.
 pub(super) async fn stop_runner(shared: Arc<Shared>, order: StopOrder) {
     let runner = order.runner;
--- a/crates/controlplane/src/drivers/streams.rs
+++ b/crates/controlplane/src/drivers/streams.rs
@@ -22,7 +22,7 @@
 const WRITE_CHUNK_BYTES: usize = 8 << 10;
 const CHUNK_WRITE_TIMEOUT: Duration = Duration::from_secs(3);
 /// The maximum number of frames queued for a daemon. A daemon that does not keep up is disconnected.
-const QUEUED_FRAMES: usize = 4096;
+const MAX_QUEUED_FRAMES: usize = 4096;
 const CHANNEL_TIMEOUT: Duration = Duration::from_secs(3);
 const MAX_PROCESS_PROBES: usize = 4;
 const PROCESS_PROBE_INTERVAL: Duration = Duration::from_millis(20);
@@ -117,7 +117,7 @@
 /// Serves one daemon until either direction of its connection ends.
 async fn serve_stream(connection: TcpStream, shared: &Shared) -> Result<(), FrameError> {
     let stream = StreamId(shared.next_id());
-    let (sender, frames) = mpsc::channel(QUEUED_FRAMES);
+    let (sender, frames) = mpsc::channel(MAX_QUEUED_FRAMES);
     shared.streams.open(stream, sender);
     let (reading_half, writing_half) = connection.into_split();
     let ended = tokio::select! {
