--- a/crates/controlplane/tests/controller_state/cluster.rs
+++ b/crates/controlplane/tests/controller_state/cluster.rs
@@ -21,7 +21,7 @@
 pub struct Disk {
     /// The state that consensus persisted.
     pub persisted: PersistedState,
-    /// Whether the disk has been in use since the first start of the cluster.
+    /// Whether the disk has been in use since the first start of all controllers.
     pub is_initial: bool,
 }
 
--- a/crates/controlplane/tests/controller_state/founding.rs
+++ b/crates/controlplane/tests/controller_state/founding.rs
@@ -1,4 +1,4 @@
-//! The control quorum is bootstrapped at the first start of the cluster and never again.
+//! The control quorum is bootstrapped at the first start of all controllers, and never again.
 
 use super::cluster::{TestCluster, address, operators};
 use common::frames::{DaemonToLeader, LeaderToDaemon};
--- a/crates/controlplane/tests/stopping_controller.rs
+++ b/crates/controlplane/tests/stopping_controller.rs
@@ -137,7 +137,7 @@
     }
 }
 
-/// Requests a leader to stop while the write of a change is blocked. Returns the gate of its disk and the connection of
+/// Stops a leader while the write of a change is blocked. Returns the gate of its disk and the connection of
 /// the change's operator.
 async fn stop_with_change_in_flight(data: &Path) -> (Arc<WriteGate>, OperatorConnection) {
     let gate = Arc::new(WriteGate::default());
