--- a/crates/controlplane/tests/controller_state/cluster.rs
+++ b/crates/controlplane/tests/controller_state/cluster.rs
@@ -287,7 +287,7 @@
                 let controller_state = self.nodes[number]
                     .controller_state
                     .as_ref()
-                    .expect("it runs");
+                    .expect("a running controller");
                 self.committed
                     .extend(controller_state.consensus().accepted().cloned());
             }
