--- a/crates/controlplane/src/consensus/membership.rs
+++ b/crates/controlplane/src/consensus/membership.rs
@@ -1,9 +1,9 @@
-//! Membership changes of the control quorum, by joint consensus (section 6 of the Raft paper).
+//! Membership changes of the control quorum by joint consensus (section 6 of the Raft paper).
 //!
-//! A change takes two versions. The joint version names the next and the previous voters and is committed
-//! by a majority of each; the version that settles the change drops the previous voters. The leader starts
-//! changes by itself towards the voters that the [`QuorumPlan`] asks for, or on an operator's command. At
-//! most one change is under way.
+//! A change takes two versions. The joint version lists the next and the previous voters and is committed
+//! by a majority of each; a second version, which drops the previous voters, settles the change. The
+//! leader starts a change when the [`QuorumPlan`] asks for other voters, or on an operator's command. At
+//! most one change is in progress at a time.
 
 use super::peers::Peer;
 use super::quorum_plan::QuorumPlan;
@@ -16,58 +16,62 @@
 use common::spec::{Document, Voter};
 use std::collections::BTreeSet;
 
-/// How many versions a controller may be behind and still replace a voter: while changes follow each
-/// other closely, a controller that has the newest one is rarely known to have it.
+/// How many versions a controller may lag behind and still replace a voter. While changes follow each
+/// other closely, the leader rarely knows that a controller has the newest version, even if it does.
 const MAX_CANDIDATE_LAG: u64 = 8;
 
 /// Why a voter cannot be replaced.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, thiserror::Error)]
 pub enum MembershipError {
-    /// This controller does not lead, or has not yet committed under its term.
+    /// This controller is not the leader, or has not yet committed a version in its term.
     #[error("no ready leader here")]
     NotReady,
     /// A proposal is in flight, or an earlier membership change is not settled.
     #[error("another change is in flight")]
     Busy,
-    /// The controller to be replaced is not a voter.
+    /// The controller to replace is not a voter.
     #[error("no such member of the core")]
     NoSuchMember,
-    /// The successor is not alive, votes already, or is too far behind.
-    #[error("no such controller, or it is not level yet")]
+    /// The successor is not alive, is a voter already, or is too far behind.
+    #[error("no such controller, or it is not caught up yet")]
     NoSuchCandidate,
     /// No majority of the next voters, or of the previous ones, is alive.
-    #[error("afterwards no majority of the core would be alive")]
+    #[error("no majority of the core would be alive after the change")]
     NoMajority,
 }
 
 impl ConsensusNode {
-    /// Whether these controllers are a majority under a document: of its voters and, while a membership
-    /// change is not settled, of its previous voters as well.
+    /// Whether these controllers are a majority of a document's voters and, while a membership change is
+    /// in progress, also of its previous voters.
     pub(super) fn is_majority_of(
         document: &Document,
         controller_ids: &BTreeSet<ControllerId>,
     ) -> bool {
-        let has_majority = |members: &[Voter]| {
-            members
+        let has_majority = |voters: &[Voter]| {
+            voters
                 .iter()
-                .filter(|member| controller_ids.contains(&member.id))
+                .filter(|voter| controller_ids.contains(&voter.id))
                 .count()
                 * 2
-                > members.len()
+                > voters.len()
         };
         has_majority(&document.voters)
             && (document.previous_voters.is_empty() || has_majority(&document.previous_voters))
     }
 
-    /// Whether a controller was heard within twice the longest election timeout.
+    /// Whether a frame of this controller arrived within twice the longest election timeout.
     fn is_alive(&self, now: MonotonicTime, id: ControllerId) -> bool {
         id == self.local.id
-            || self.peers.last_heard.get(&id).is_some_and(|last_heard_at| {
-                now.since(*last_heard_at) < self.options.timing.election_timeout_max * 2
-            })
+            || self
+                .peers
+                .last_received
+                .get(&id)
+                .is_some_and(|last_received_at| {
+                    now.since(*last_received_at) < self.options.timing.election_timeout_max * 2
+                })
     }
 
-    /// When this leader was elected; zero on a node that does not lead.
+    /// Returns when this leader was elected, or zero if this node is not the leader.
     fn elected_at(&self) -> MonotonicTime {
         match &self.role {
             Role::Leader(heartbeats) => heartbeats.elected_at(),
@@ -75,18 +79,18 @@
         }
     }
 
-    /// Since when a controller has been silent towards this leader.
+    /// Returns since when this leader has received nothing from a controller.
     fn unreachable_since(&self, id: ControllerId) -> MonotonicTime {
         self.peers
-            .last_heard
+            .last_received
             .get(&id)
             .copied()
             .unwrap_or_default()
             .max(self.elected_at())
     }
 
-    /// The controllers that may become voters: they do not vote, are alive, and accept this leader's
-    /// versions.
+    /// Returns the controllers that may become voters: those that are not voters, are alive and accept
+    /// this leader's versions.
     fn candidates(&self, now: MonotonicTime) -> Vec<Voter> {
         self.peers
             .by_address
@@ -102,8 +106,8 @@
             .collect()
     }
 
-    /// Whether a peer's disk has lately taken a version of this leader. The membership change itself
-    /// brings it the newest one.
+    /// Whether a peer has a recent version of this leader on its disk. It need not be the newest one,
+    /// because the membership change sends it that.
     fn is_caught_up(&self, peer: &Peer) -> bool {
         let version_lag = self
             .committed
@@ -113,8 +117,8 @@
         peer.accepted.term == self.hard_state.term && version_lag <= MAX_CANDIDATE_LAG
     }
 
-    /// The version that the next step of a membership change proposes, if a step is due: it settles the
-    /// change under way, or begins one towards the voters that the settings ask for.
+    /// Returns the version to propose for the next step of a membership change, if a step is due: it
+    /// settles the change in progress, or starts a change to the voters that the settings ask for.
     fn next_membership_step(&self, now: MonotonicTime) -> Option<Document> {
         if !self.is_ready() || self.proposed.is_some() {
             return None;
@@ -133,8 +137,8 @@
         let missing: BTreeSet<ControllerId> = document
             .voters
             .iter()
-            .filter(|member| self.is_missing(now, member))
-            .map(|member| member.id)
+            .filter(|voter| self.is_missing(now, voter))
+            .map(|voter| voter.id)
             .collect();
         let plan = QuorumPlan {
             quorum_policy: self.options.quorum_policy,
@@ -147,33 +151,35 @@
         self.joint_document(now, document, next_voters).ok()
     }
 
-    /// Whether this leader has lost a voter: it has been silent for too long, its disk takes no
-    /// versions, or another controller is at its address.
-    fn is_missing(&self, now: MonotonicTime, member: &Voter) -> bool {
-        if member.id == self.local.id {
+    /// Whether a voter counts as lost: it has been silent for too long, its disk accepts no versions, or
+    /// another controller is now at its address.
+    fn is_missing(&self, now: MonotonicTime, voter: &Voter) -> bool {
+        if voter.id == self.local.id {
             return false;
         }
-        let at_its_address = self.peers.by_address.get(&member.address);
-        let is_superseded = at_its_address.is_some_and(|peer| {
-            let last_heard_at = self.peers.last_heard.get(&member.id);
-            peer.id != member.id
-                && last_heard_at.is_none_or(|last_heard_at| *last_heard_at < peer.present_since)
+        let peer_at_address = self.peers.by_address.get(&voter.address);
+        let is_superseded = peer_at_address.is_some_and(|peer| {
+            let last_received_at = self.peers.last_received.get(&voter.id);
+            peer.id != voter.id
+                && last_received_at
+                    .is_none_or(|last_received_at| *last_received_at < peer.present_since)
         });
-        let is_stalled = at_its_address.is_some_and(|peer| {
-            peer.id == member.id
+        let is_stalled = peer_at_address.is_some_and(|peer| {
+            peer.id == voter.id
                 && peer.behind_since.is_some_and(|behind_since| {
                     now.since(behind_since.max(self.elected_at()))
                         > self.options.timing.stalled_voter_timeout
                 })
         });
-        let unreachable_for = now.since(self.unreachable_since(member.id));
+        let unreachable_for = now.since(self.unreachable_since(voter.id));
         is_superseded
             || is_stalled
             || unreachable_for > self.options.timing.unreachable_voter_timeout
     }
 
-    /// The joint version towards these voters. Refused when the voters alive are not a majority of the
-    /// next and of the previous voters, since the change could then not be committed.
+    /// Returns the joint version for a change to these voters. Fails if the voters that are alive are
+    /// not a majority of both the next and the previous voters, because the change could then not be
+    /// committed.
     fn joint_document(
         &self,
         now: MonotonicTime,
@@ -188,7 +194,7 @@
             .voters
             .iter()
             .chain(&next_document.previous_voters)
-            .map(|member| member.id)
+            .map(|voter| voter.id)
             .filter(|id| self.is_alive(now, *id))
             .collect();
         if Self::is_majority_of(&next_document, &alive) {
@@ -198,13 +204,13 @@
         }
     }
 
-    /// Replaces a voter by another controller, on an operator's command. Returns the joint version's
-    /// number and the outputs that propose it.
+    /// Replaces a voter by another controller, on an operator's command. Returns the number of the joint
+    /// version and the outputs that propose it.
     ///
     /// # Errors
     ///
-    /// See [`MembershipError`]; nothing is proposed then.
-    pub fn replace(
+    /// See [`MembershipError`]. On error nothing is proposed.
+    pub fn replace_voter(
         &mut self,
         now: MonotonicTime,
         missing: ControllerId,
@@ -227,7 +233,7 @@
             .iter()
             .find(|candidate| candidate.id == successor);
         let successor = matching_candidate.ok_or(MembershipError::NoSuchCandidate)?;
-        let remaining_voters = document.voters.iter().filter(|member| member.id != missing);
+        let remaining_voters = document.voters.iter().filter(|voter| voter.id != missing);
         let next_voters = remaining_voters.chain([successor]).cloned().collect();
         let next_document = self.joint_document(now, document, next_voters)?;
         let version = next_document.document_version.version;
@@ -239,11 +245,8 @@
     pub(super) fn advance_membership_change(&mut self, now: MonotonicTime) {
         if let Some(mut document) = self.next_membership_step(now) {
             document.document_version.term = self.hard_state.term;
-            let addresses: Vec<SocketAddress> = document
-                .voters
-                .iter()
-                .map(|member| member.address)
-                .collect();
+            let addresses: Vec<SocketAddress> =
+                document.voters.iter().map(|voter| voter.address).collect();
             self.outputs.push(ConsensusOutput::MembershipChange {
                 addresses,
                 settled: document.previous_voters.is_empty(),
@@ -252,7 +255,7 @@
         }
     }
 
-    /// Steps down when a settled change has removed this leader from the voters.
+    /// Steps down if a settled change has removed this leader from the voters.
     pub(super) fn step_down_if_removed(&mut self, now: MonotonicTime) {
         let is_removed = self
             .hard_state
@@ -266,25 +269,25 @@
     }
 }
 
-/// The change identity of a membership change; its form is visible to operators.
+/// Returns the change identity of a membership change. Operators see it, so its format must not change.
 fn membership_change_id(document: &Document) -> ChangeId {
     ChangeId::from(format!("core-{}", document.document_version.version.next()))
 }
 
-/// A version with this controller as the only voter, for operators whose quorum has lost its majority for
-/// good. None when the document does not name the controller a voter. What was committed without
-/// reaching this disk is lost.
+/// Returns a version with this controller as the only voter, for operators whose quorum has permanently
+/// lost its majority, or `None` if the document lists the controller neither as a voter nor as a
+/// previous voter. Versions that were committed without reaching this disk are lost.
 ///
-/// Term and version number skip far ahead, so that the version supersedes whatever the lost quorum may
-/// have written elsewhere.
+/// Term and version number skip far ahead, so that the version supersedes any version that the lost
+/// quorum may have written elsewhere.
 pub fn single_voter_document(document: &Document, id: ControllerId) -> Option<Document> {
-    let own_member = document
+    let own_voter = document
         .voters
         .iter()
         .chain(&document.previous_voters)
-        .find(|member| member.id == id)?;
+        .find(|voter| voter.id == id)?;
     let mut recovered_document =
-        document.with_voters(vec![own_member.clone()], membership_change_id(document));
+        document.with_voters(vec![own_voter.clone()], membership_change_id(document));
     recovered_document.previous_voters = Vec::new();
     recovered_document.document_version = DocumentVersion {
         term: Term(document.document_version.term.0 + (1 << 16)),
--- a/crates/controlplane/src/consensus/peers.rs
+++ b/crates/controlplane/src/consensus/peers.rs
@@ -1,4 +1,4 @@
-//! The other controllers: where each is reached, what its disk holds, and whom this node greets.
+//! The other controllers: their addresses, the versions on their disks, and the exchange of hellos.
 
 use super::bootstrap::BOOTSTRAP_VERSION;
 use super::state::Contact;
@@ -8,25 +8,26 @@
 use common::identity::{ControllerId, DocumentVersion, Term, Zone};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The limit on the controllers whose last frame is remembered; the longest silent one is dropped first.
-const MAX_HEARD_CONTROLLERS: usize = 64;
+/// The maximal number of controllers for which the time of the last frame is kept; the one that has
+/// been silent longest is dropped first.
+const MAX_TRACKED_CONTROLLERS: usize = 64;
 
-/// Another controller's state, as an operator is shown it.
+/// The state of another controller, as shown to operators.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct PeerStatus {
     /// Its identity.
     pub id: ControllerId,
-    /// Where it is reached.
+    /// Its addresses.
     pub controller_address: ControllerAddress,
     /// The newest version known to be on its disk.
     pub accepted: DocumentVersion,
-    /// Whether it is a voter of the newest version on this node's disk.
+    /// Whether it is a voter in the newest version on this node's disk.
     pub is_voter: bool,
     /// Milliseconds since its last frame.
     pub silent_ms: u64,
 }
 
-/// Another controller as this one knows it.
+/// What this node knows about another controller.
 #[derive(Clone, Debug)]
 pub(super) struct Peer {
     pub id: ControllerId,
@@ -34,16 +35,16 @@
     pub zone: Zone,
     /// The newest version known to be on its disk (Raft's match index).
     pub accepted: DocumentVersion,
-    /// Since when its disk has been behind the committed version without taking a newer one.
+    /// Since when its disk has lagged behind the committed version without accepting a newer one.
     pub behind_since: Option<MonotonicTime>,
-    pub last_heard_at: MonotonicTime,
+    pub last_received_at: MonotonicTime,
     /// When a version was last sent to it.
     pub document_sent_at: MonotonicTime,
-    /// The version that was last sent to it.
+    /// The version last sent to it.
     pub last_sent_version: DocumentVersion,
-    /// Since when this controller has been the one at its address.
+    /// When a frame of this controller first arrived from its address.
     pub present_since: MonotonicTime,
-    pub greeting: Option<PeerGreeting>,
+    pub last_hello: Option<LastHello>,
 }
 
 impl Peer {
@@ -54,15 +55,15 @@
             zone,
             accepted: DocumentVersion::default(),
             behind_since: None,
-            last_heard_at: now,
+            last_received_at: now,
             document_sent_at: MonotonicTime::ZERO,
             last_sent_version: DocumentVersion::default(),
             present_since: now,
-            greeting: None,
+            last_hello: None,
         }
     }
 
-    /// Records which version is on the peer's disk, given the newest committed one.
+    /// Records the version on the peer's disk, given the newest committed one.
     fn record_accepted(
         &mut self,
         now: MonotonicTime,
@@ -82,50 +83,50 @@
 /// A hello as received.
 #[derive(Clone, Copy)]
 pub(super) struct Hello {
-    /// The sender's newest accepted version; zero if its disk is empty.
+    /// The newest accepted version of the sender; zero if its disk is empty.
     pub accepted: DocumentVersion,
     pub term: Term,
     /// Whether the sender has no data directory, so that it never votes.
     pub is_diskless: bool,
 }
 
-/// What a controller last reported in a hello.
+/// The last hello of a controller.
 #[derive(Clone, Debug)]
-pub(super) struct PeerGreeting {
-    pub last_heard_at: MonotonicTime,
+pub(super) struct LastHello {
+    pub received_at: MonotonicTime,
     pub term: Term,
     pub diskless: bool,
 }
 
-/// The other controllers that a node knows.
+/// The other controllers known to a node.
 #[derive(Clone, Debug)]
 pub(super) struct PeerTable {
-    /// The controller last heard from each address.
+    /// The controller whose frame last arrived from each address.
     pub by_address: BTreeMap<SocketAddress, Peer>,
-    /// When each controller was last heard, from whichever address.
-    pub last_heard: BTreeMap<ControllerId, MonotonicTime>,
+    /// When the last frame of each controller arrived, from any address.
+    pub last_received: BTreeMap<ControllerId, MonotonicTime>,
     /// The configured addresses.
     pub seeds: Vec<SocketAddress>,
-    /// Addresses of the leader and the voters, as another controller reported them to this one, which
-    /// does not vote.
+    /// The addresses of the leader and the voters that another controller reported to this node while
+    /// it was not a voter.
     pub hinted_addresses: BTreeSet<SocketAddress>,
 }
 
 impl PeerTable {
-    /// No controllers but the addresses of the seeds.
+    /// Creates a table that holds only the seed addresses.
     pub(super) fn new(seeds: Vec<SocketAddress>) -> Self {
         Self {
             by_address: BTreeMap::new(),
-            last_heard: BTreeMap::new(),
+            last_received: BTreeMap::new(),
             seeds,
             hinted_addresses: BTreeSet::new(),
         }
     }
 
-    /// Records that a controller was heard. Another controller at a known address replaces the one
-    /// before, together with all that was known of that one's disk.
+    /// Records that a frame of a controller arrived. If another controller was known at its address,
+    /// this one replaces it, and everything known about the other's disk is dropped.
     pub(super) fn record(&mut self, now: MonotonicTime, contact: Contact, zone: Zone) {
-        self.record_last_heard(now, contact.id);
+        self.record_last_received(now, contact.id);
         let peer = self
             .by_address
             .entry(contact.controller_address.address)
@@ -136,26 +137,26 @@
         }
         peer.controller_address = contact.controller_address;
         peer.zone = zone;
-        peer.last_heard_at = now;
+        peer.last_received_at = now;
     }
 
-    fn record_last_heard(&mut self, now: MonotonicTime, id: ControllerId) {
-        self.last_heard.insert(id, now);
-        if self.last_heard.len() <= MAX_HEARD_CONTROLLERS {
+    fn record_last_received(&mut self, now: MonotonicTime, id: ControllerId) {
+        self.last_received.insert(id, now);
+        if self.last_received.len() <= MAX_TRACKED_CONTROLLERS {
             return;
         }
-        let longest_silent = self
-            .last_heard
+        let silent_longest = self
+            .last_received
             .iter()
-            .min_by_key(|(_, last_heard_at)| **last_heard_at)
+            .min_by_key(|(_, last_received_at)| **last_received_at)
             .map(|(id, _)| *id);
-        if let Some(longest_silent) = longest_silent {
-            self.last_heard.remove(&longest_silent);
+        if let Some(silent_longest) = silent_longest {
+            self.last_received.remove(&silent_longest);
         }
     }
 
-    /// Records what a controller reported in a hello.
-    pub(super) fn record_greeting(
+    /// Records the hello of the controller at this address.
+    pub(super) fn record_hello(
         &mut self,
         now: MonotonicTime,
         address: SocketAddress,
@@ -163,15 +164,15 @@
         diskless: bool,
     ) {
         if let Some(peer) = self.by_address.get_mut(&address) {
-            peer.greeting = Some(PeerGreeting {
-                last_heard_at: now,
+            peer.last_hello = Some(LastHello {
+                received_at: now,
                 term,
                 diskless,
             });
         }
     }
 
-    /// The address from which this controller was last heard.
+    /// Returns an address from which frames of this controller arrive.
     pub(super) fn address_of(&self, id: ControllerId) -> Option<SocketAddress> {
         self.by_address
             .values()
@@ -181,16 +182,16 @@
 
     /// Whether the controller at this address has reported that it has no data directory.
     pub(super) fn is_diskless(&self, address: SocketAddress) -> bool {
-        let greeting = self
+        let last_hello = self
             .by_address
             .get(&address)
-            .and_then(|peer| peer.greeting.as_ref());
-        greeting.is_some_and(|greeting| greeting.diskless)
+            .and_then(|peer| peer.last_hello.as_ref());
+        last_hello.is_some_and(|last_hello| last_hello.diskless)
     }
 }
 
 impl ConsensusNode {
-    /// The other controllers that were heard lately, by address.
+    /// Returns the other controllers from which frames arrived recently, ordered by address.
     pub fn peers(&self, now: MonotonicTime) -> Vec<PeerStatus> {
         self.peers
             .by_address
@@ -200,13 +201,13 @@
                 controller_address: peer.controller_address,
                 accepted: peer.accepted,
                 is_voter: self.is_voter(peer.id),
-                silent_ms: now.since(peer.last_heard_at).as_millis() as u64,
+                silent_ms: now.since(peer.last_received_at).as_millis() as u64,
             })
             .collect()
     }
 
-    /// The addresses of the other controllers whose votes count: voters of the newest versions, and the
-    /// previous voters while a membership change is not settled.
+    /// Returns the addresses of the other controllers whose votes count: the voters of the accepted and
+    /// the proposed version, and their previous voters while a membership change is in progress.
     pub(super) fn voter_addresses(&self) -> BTreeSet<SocketAddress> {
         let documents = self.hard_state.accepted.iter().chain(&self.proposed);
         let voters =
@@ -217,7 +218,7 @@
         voter_addresses
     }
 
-    /// The addresses that this node greets: voters, seeds and hinted addresses.
+    /// Returns the addresses to which this node sends hellos: voters, seeds and hinted addresses.
     fn hello_addresses(&self) -> BTreeSet<SocketAddress> {
         let mut hello_addresses = self.voter_addresses();
         hello_addresses.extend(self.peers.seeds.iter().copied());
@@ -226,7 +227,8 @@
         hello_addresses
     }
 
-    /// Every address at which a controller may be: those greeted, and those that were heard.
+    /// Returns every address at which a controller may be: those to which this node sends hellos, and
+    /// those from which frames arrived.
     pub(super) fn known_addresses(&self) -> BTreeSet<SocketAddress> {
         let mut known_addresses = self.hello_addresses();
         known_addresses.extend(self.peers.by_address.keys().copied());
@@ -234,13 +236,13 @@
         known_addresses
     }
 
-    /// Drops peers that this node does not greet and that have been silent for four times as long as
-    /// it takes to replace a voter.
+    /// Drops peers to which this node sends no hellos and that have been silent for four times the
+    /// timeout after which a voter is replaced.
     pub(super) fn forget_stale_peers(&mut self, now: MonotonicTime) {
         let retained_addresses = self.hello_addresses();
         let retention = self.options.timing.unreachable_voter_timeout * 4;
         self.peers.by_address.retain(|address, peer| {
-            retained_addresses.contains(address) || now.since(peer.last_heard_at) < retention
+            retained_addresses.contains(address) || now.since(peer.last_received_at) < retention
         });
     }
 
@@ -255,17 +257,19 @@
         }
     }
 
-    /// Takes in where another controller stands. A leader answers none that is in a later term.
+    /// Records the state that another controller reports, and answers its hello. A leader does not
+    /// answer a controller that is in a later term.
     pub(super) fn handle_hello(&mut self, now: MonotonicTime, sender: Contact, hello: Hello) {
         let sender_address = sender.controller_address.address;
         self.peers
-            .record_greeting(now, sender_address, hello.term, hello.is_diskless);
+            .record_hello(now, sender_address, hello.term, hello.is_diskless);
         if hello.term <= self.hard_state.term || !self.is_leader() {
             self.answer_hello(now, sender, hello.accepted);
         }
     }
 
-    /// Sends what the sender of a hello lacks.
+    /// Sends the sender of a hello whatever it lacks: the first version, the voters' addresses, or the
+    /// newest version.
     fn answer_hello(&mut self, now: MonotonicTime, sender: Contact, accepted: DocumentVersion) {
         let sender_address = sender.controller_address.address;
         self.record_accepted(now, sender_address, accepted);
@@ -280,14 +284,16 @@
         }
     }
 
-    /// Takes the addresses at which the leader and the voters are to be greeted. A voter knows them itself.
+    /// Stores the addresses of the leader and the voters as targets of hellos. A voter ignores them,
+    /// because its own document lists the voters.
     pub(super) fn handle_voter_addresses(&mut self, addresses: Vec<SocketAddress>) {
         if !self.is_voter(self.local.id) {
             self.peers.hinted_addresses = addresses.into_iter().collect();
         }
     }
 
-    /// Sends the first version to a voter whose disk is empty, as long as no later one was accepted.
+    /// Sends the first version to a voter whose disk is empty, unless this node has accepted a later
+    /// one.
     fn resend_bootstrap_document(&mut self, to: SocketAddress) {
         let bootstrap_document = self
             .accepted()
@@ -298,8 +304,8 @@
         }
     }
 
-    /// Reports the leader's and the voters' addresses to a controller that does not vote. The leader
-    /// itself need not: its heartbeats reach every known controller.
+    /// Reports the addresses of the leader and the voters to a controller that does not vote. The
+    /// leader itself does not, because its heartbeats reach every known controller.
     fn send_voter_addresses(&mut self, to: SocketAddress) {
         let other_leader = self
             .known_leader
@@ -315,7 +321,7 @@
         self.send(to, ConsensusMessage::VoterAddresses { addresses });
     }
 
-    /// Records which version the controller at this address has on its disk.
+    /// Records the version on the disk of the controller at this address.
     pub(super) fn record_accepted(
         &mut self,
         now: MonotonicTime,
--- a/crates/controlplane/src/controller_state/changes.rs
+++ b/crates/controlplane/src/controller_state/changes.rs
@@ -144,7 +144,10 @@
             ProposalOutcome::Applied { .. } => true,
             ProposalOutcome::AlreadyInState => is_confirmed,
             ProposalOutcome::Answered(reply) => {
-                let knows_zones = self.leader_state.as_ref().is_some_and(LeaderState::is_open);
+                let knows_zones = self
+                    .leader_state
+                    .as_ref()
+                    .is_some_and(LeaderState::is_claims_quorum_reached);
                 let concerns_zones = matches!(
                     reply,
                     OperationReply::UnknownZone { .. } | OperationReply::LastZone
--- a/crates/controlplane/src/controller_state/operations.rs
+++ b/crates/controlplane/src/controller_state/operations.rs
@@ -138,7 +138,9 @@
         operation: Operation,
     ) -> Option<OperationReply> {
         if let Some(controller_address) = self.other_leader() {
-            return Some(OperationReply::Redirect(controller_address.operators));
+            return Some(OperationReply::Redirect(
+                controller_address.operator_address,
+            ));
         }
         match operation {
             Operation::Replace(missing, successor) => Some(self.replace(now, missing, successor)),
@@ -202,7 +204,7 @@
         missing: ControllerId,
         successor: ControllerId,
     ) -> OperationReply {
-        match self.consensus.replace(now, missing, successor) {
+        match self.consensus.replace_voter(now, missing, successor) {
             Ok((version, consensus_outputs)) => {
                 self.execute(now, consensus_outputs);
                 OperationReply::ReplacingVoter { version }
@@ -222,10 +224,10 @@
             is_open: self
                 .leader_state
                 .as_ref()
-                .is_some_and(|leader_state| leader_state.is_open()),
+                .is_some_and(|leader_state| leader_state.is_claims_quorum_reached()),
             leader: consensus
                 .leader()
-                .map(|controller_address| controller_address.operators),
+                .map(|controller_address| controller_address.operator_address),
             accepted: consensus
                 .accepted()
                 .map(|document| document.document_version),
--- a/crates/controlplane/src/drivers/controller.rs
+++ b/crates/controlplane/src/drivers/controller.rs
@@ -114,7 +114,7 @@
         let mut rng = SeededRng::from_os();
         let fresh_id = ControllerId(rng.number() | 1);
         let opened_directory = settings
-            .data
+            .data_directory
             .as_deref()
             .map(|data| open_data_directory(settings, data, fault_hook, fresh_id))
             .transpose()?;
@@ -259,7 +259,7 @@
     );
     let own_address = ControllerAddress {
         address: settings.address,
-        operators: settings.operators,
+        operator_address: settings.operators,
     };
     let consensus = ConsensusNode::new(
         MonotonicTime::now(),
--- a/crates/controlplane/tests/membership_change.rs
+++ b/crates/controlplane/tests/membership_change.rs
@@ -1,4 +1,4 @@
-//! Membership changes: any two majorities that may decide during a change have a voter in common.
+//! Membership changes: any two majorities that can commit during a change share a voter.
 
 use common::clock::MonotonicTime;
 use common::frames::{ConsensusFrame, SocketAddress};
@@ -49,7 +49,7 @@
         .build();
     let controller_address = ControllerAddress {
         address: address(number),
-        operators: address(number),
+        operator_address: address(number),
     };
     let seeds = (0..3).map(address).collect();
     let zone = Zone::from(format!("l{zone}"));
@@ -68,10 +68,10 @@
 impl Cluster {
     /// Three seeds, and a fourth controller in the third one's zone.
     fn new() -> Self {
-        Self::under(Rules::ALL_ENFORCED)
+        Self::with_rules(Rules::ALL_ENFORCED)
     }
 
-    fn under(rules: Rules) -> Self {
+    fn with_rules(rules: Rules) -> Self {
         let now = MonotonicTime(1_000_000_000);
         let nodes = (0..4)
             .map(|number| new_node(number as u64 + 1, number, number.min(2), now, rules))
@@ -96,9 +96,9 @@
     }
 
     fn execute_outputs(&mut self, from: usize, outputs: Vec<ConsensusOutput>) {
-        let mut waiting: VecDeque<(usize, ConsensusOutput)> =
+        let mut pending: VecDeque<(usize, ConsensusOutput)> =
             outputs.into_iter().map(|output| (from, output)).collect();
-        while let Some((number, output)) = waiting.pop_front() {
+        while let Some((number, output)) = pending.pop_front() {
             let next = match output {
                 ConsensusOutput::Send { to, frame } => self.deliver(number, to, frame),
                 ConsensusOutput::Write { ticket, job } => {
@@ -114,7 +114,7 @@
                 }
                 _ => Vec::new(),
             };
-            waiting.extend(next);
+            pending.extend(next);
         }
     }
 
@@ -173,16 +173,16 @@
         self.advance_time(Duration::from_secs(3));
     }
 
-    fn members(&self, number: usize) -> Vec<u64> {
+    fn voter_ids(&self, number: usize) -> Vec<u64> {
         let document = self.nodes[number].accepted().expect("a document");
-        let mut ids: Vec<u64> = document.voters.iter().map(|member| member.id.0).collect();
+        let mut ids: Vec<u64> = document.voters.iter().map(|voter| voter.id.0).collect();
         ids.sort_unstable();
         ids
     }
 }
 
 #[gtest]
-fn the_first_leader_has_a_term_of_its_own() -> Result<()> {
+fn the_first_leader_has_a_later_term_than_the_bootstrap_version() -> Result<()> {
     let mut cluster = Cluster::new();
     cluster.bootstrap();
     let leader = cluster.leader().expect("a leader");
@@ -196,7 +196,7 @@
     cluster.stopped = BTreeSet::from([2]);
     cluster.advance_time(Duration::from_secs(8));
     let leader = cluster.leader().expect("a leader");
-    verify_that!(cluster.members(leader), eq(&vec![1, 2, 4]))?;
+    verify_that!(cluster.voter_ids(leader), eq(&vec![1, 2, 4]))?;
     verify_that!(cluster.membership_changes.last(), some(eq(&true)))?;
     cluster.stopped.insert(leader);
     cluster.advance_time(Duration::from_secs(3));
@@ -204,13 +204,16 @@
     verify_that!(next_leader, not(eq(leader)))
 }
 
-/// Starts a replacement on one side of a partition: the leader and the candidate against the two other voters.
-/// Returns the cluster some time later, the leader and the other voter that was up.
+/// Partitions the cluster as the leader starts a replacement: the leader and the candidate on one side, the
+/// two other voters on the other. Returns the cluster four seconds later, the leader, and the voter on the
+/// other side that was reachable before.
 fn partition_during_replacement(rules: Rules) -> (Cluster, usize, usize) {
-    let mut cluster = Cluster::under(rules);
+    let mut cluster = Cluster::with_rules(rules);
     cluster.bootstrap();
     let leader = cluster.leader().expect("a leader");
-    let other = (0..2).find(|number| *number != leader).expect("another");
+    let other = (0..2)
+        .find(|number| *number != leader)
+        .expect("another voter");
     cluster.partition(&[2], &[0, 1, 3]);
     cluster.stopped.clear();
     cluster.committed.clear();
@@ -232,7 +235,7 @@
     (cluster, leader, other)
 }
 
-fn committed_on_old_side(cluster: &Cluster, leader: usize) -> usize {
+fn committed_on_leaders_side(cluster: &Cluster, leader: usize) -> usize {
     cluster
         .committed
         .iter()
@@ -243,17 +246,17 @@
 #[gtest]
 fn a_replacement_is_not_committed_without_a_majority_of_the_old_voters() -> Result<()> {
     let (mut cluster, leader, other) = partition_during_replacement(Rules::ALL_ENFORCED);
-    verify_that!(committed_on_old_side(&cluster, leader), eq(0))?;
+    verify_that!(committed_on_leaders_side(&cluster, leader), eq(0))?;
     let next_leader = cluster.leader().expect("a leader on the other side");
     verify_that!(next_leader == other || next_leader == 2, eq(true))?;
-    verify_that!(cluster.members(next_leader), eq(&vec![1, 2, 3]))?;
+    verify_that!(cluster.voter_ids(next_leader), eq(&vec![1, 2, 3]))?;
     cluster.partitions.clear();
     cluster.advance_time(Duration::from_secs(3));
     let document_versions: BTreeSet<DocumentVersion> = (0..4)
         .map(|number| {
             cluster.nodes[number]
                 .accepted()
-                .expect("one")
+                .expect("a document")
                 .document_version
         })
         .collect();
@@ -261,10 +264,10 @@
 }
 
 #[gtest]
-fn a_replacement_in_one_step_commits_on_two_sides() -> Result<()> {
+fn a_replacement_in_one_step_commits_on_both_sides_of_a_partition() -> Result<()> {
     let (cluster, leader, other) =
         partition_during_replacement(Rules::without(Rule::VoterReplacedInTwoSteps));
-    verify_that!(committed_on_old_side(&cluster, leader), ge(1))?;
+    verify_that!(committed_on_leaders_side(&cluster, leader), ge(1))?;
     let other_side = |number: usize| number == other || number == 2;
     let nodes_there = (0..4).filter(|number| other_side(*number));
     verify_that!(
@@ -284,13 +287,10 @@
     let leader = cluster.leader().expect("a leader");
     let other_voters: Vec<usize> = (0..3).filter(|number| *number != leader).collect();
     let id = |number: usize| ControllerId(number as u64 + 1);
-    let unknown_member = cluster.nodes[leader].replace(cluster.now, ControllerId(99), id(3));
-    verify_that!(
-        unknown_member.err(),
-        some(eq(MembershipError::NoSuchMember))
-    )?;
+    let unknown_voter = cluster.nodes[leader].replace_voter(cluster.now, ControllerId(99), id(3));
+    verify_that!(unknown_voter.err(), some(eq(MembershipError::NoSuchMember)))?;
     let unknown_candidate =
-        cluster.nodes[leader].replace(cluster.now, id(other_voters[0]), ControllerId(99));
+        cluster.nodes[leader].replace_voter(cluster.now, id(other_voters[0]), ControllerId(99));
     verify_that!(
         unknown_candidate.err(),
         some(eq(MembershipError::NoSuchCandidate))
@@ -299,9 +299,10 @@
     cluster.advance_time(Duration::from_millis(2500));
     cluster.partition(&[other_voters[1]], &[leader]);
     cluster.now = cluster.now + Duration::from_millis(2200);
-    let breaking = cluster.nodes[leader].replace(cluster.now, id(other_voters[1]), id(3));
+    let majority_breaking =
+        cluster.nodes[leader].replace_voter(cluster.now, id(other_voters[1]), id(3));
     verify_that!(
-        breaking.err(),
+        majority_breaking.err(),
         some(any![
             eq(MembershipError::NoMajority),
             eq(MembershipError::NoSuchCandidate),
@@ -310,8 +311,8 @@
     )
 }
 
-/// The first controller, started anew with a document on its disk.
-fn first_voter_with(
+/// Returns the first controller, restarted with this document on its disk.
+fn restarted_first_voter(
     accepted: Option<Document>,
     timing: ConsensusTiming,
     now: MonotonicTime,
@@ -324,7 +325,7 @@
     };
     let controller_address = ControllerAddress {
         address: address(0),
-        operators: address(0),
+        operator_address: address(0),
     };
     ConsensusNode::new(
         now,
@@ -344,8 +345,7 @@
     let accepted_document = cluster.nodes[0].accepted().expect("a document").clone();
     let changed = accepted_document.with_zone("l0".into(), true, ChangeId::from("x"));
     let recovered_document =
-        controlplane::consensus::single_voter_document(&changed, ControllerId(1))
-            .expect("a member");
+        controlplane::consensus::single_voter_document(&changed, ControllerId(1)).expect("a voter");
     verify_that!(
         controlplane::consensus::single_voter_document(&changed, ControllerId(77)).is_none(),
         eq(true)
@@ -353,7 +353,7 @@
     let timing = ConsensusTiming::builder()
         .unreachable_voter_timeout(Duration::from_secs(3))
         .build();
-    cluster.nodes[0] = first_voter_with(Some(recovered_document), timing, cluster.now);
+    cluster.nodes[0] = restarted_first_voter(Some(recovered_document), timing, cluster.now);
     for number in 1..3 {
         cluster.nodes[number] = new_node(
             number as u64 + 11,
@@ -366,22 +366,22 @@
     cluster.stopped = BTreeSet::from([1, 2, 3]);
     cluster.advance_time(Duration::from_secs(2));
     verify_that!(cluster.leader(), some(eq(0)))?;
-    verify_that!(cluster.members(0), eq(&vec![1]))?;
+    verify_that!(cluster.voter_ids(0), eq(&vec![1]))?;
     cluster.stopped = BTreeSet::from([3]);
     cluster.advance_time(Duration::from_secs(4));
-    verify_that!(cluster.members(0), eq(&vec![1, 12, 13]))
+    verify_that!(cluster.voter_ids(0), eq(&vec![1, 12, 13]))
 }
 
 #[gtest]
 fn a_restarted_voter_without_a_leader_starts_a_pre_vote_early() -> Result<()> {
     let mut cluster = Cluster::new();
     cluster.bootstrap();
-    let known = cluster
+    let last_committed = cluster
         .committed
         .last()
         .map(|(_, document)| document.clone());
     let timing = ConsensusTiming::builder().build();
-    let mut restarted = first_voter_with(known, timing.clone(), cluster.now);
+    let mut restarted = restarted_first_voter(last_committed, timing.clone(), cluster.now);
     let mut requested_after = Duration::ZERO;
     while requested_after < timing.election_timeout_max {
         requested_after += Duration::from_millis(10);
