--- a/testing/fleet/src/synthetic/controllers.rs
+++ b/testing/fleet/src/synthetic/controllers.rs
@@ -93,7 +93,7 @@
             ControllerEvent::Poll => self.poll(controller),
             ControllerEvent::Consensus(frame) => self.handle_consensus_frame(controller, &frame),
             ControllerEvent::Written(ticket) => {
-                let input = ControllerInput::Written(ticket, WriteResult::Synced);
+                let input = ControllerInput::WriteCompleted(ticket, WriteResult::Synced);
                 self.step_controller(controller, Work::Disk, input);
             }
             ControllerEvent::RunnerStopped(runner) => {
@@ -101,7 +101,7 @@
                 self.step_controller(controller, Work::Runners, input);
             }
             ControllerEvent::Operate(ticket, operation) => {
-                let input = ControllerInput::Operate(ticket, *operation);
+                let input = ControllerInput::OperatorRequest(ticket, *operation);
                 self.step_controller(controller, Work::Changes, input);
             }
         }
@@ -165,7 +165,7 @@
             ControllerOutput::FrameToDaemon(stream, frame) => {
                 self.send_down(controller, stream, &frame)
             }
-            ControllerOutput::Close(stream) => self.close_link(stream.0 as usize),
+            ControllerOutput::CloseStream(stream) => self.close_link(stream.0 as usize),
             ControllerOutput::RequestLists => self.read_lists(controller),
             ControllerOutput::StopRunner(order) => {
                 let runner = order.runner;
@@ -176,7 +176,7 @@
                 self.push(PLATFORM_LATENCY, Event::Controller(controller, stopped));
             }
             ControllerOutput::OperatorReply(ticket, reply) => self.operated(ticket, reply),
-            ControllerOutput::EventRecord(numbered) => self.event_record(&numbered),
+            ControllerOutput::EventRecorded(numbered) => self.event_record(&numbered),
         }
     }
 
@@ -234,7 +234,7 @@
         let Some(frame) = wire::decode_received(&mut self.meter, role, work, bytes) else {
             return;
         };
-        let input = ControllerInput::Stream(StreamId(link as u64), frame);
+        let input = ControllerInput::DaemonFrame(StreamId(link as u64), frame);
         self.step_controller(controller, work, input);
     }
 
