--- a/crates/controlplane/src/controller_state/traces.rs
+++ b/crates/controlplane/src/controller_state/traces.rs
@@ -1,4 +1,4 @@
-//! How the last versions propagated, as this controller saw it while it led.
+//! Traces of how recent versions propagated, recorded while this controller was the leader.
 
 use super::{ControllerState, MemberProgress, MemberTraceReport, TraceReport, VersionTraceReport};
 use crate::leader_state::TraceStep;
@@ -44,7 +44,7 @@
     }
 }
 
-/// The traces of the last versions, by version and the term in which this controller led.
+/// The traces of recent versions, by version and by the term in which this controller was the leader.
 #[derive(Default)]
 pub(super) struct Traces {
     retained: BTreeMap<(Version, Term), Trace>,
@@ -52,7 +52,12 @@
 }
 
 impl Traces {
-    fn begin(&mut self, now: MonotonicTime, version: Version, is_own_change: bool) -> &mut Trace {
+    fn get_or_begin(
+        &mut self,
+        now: MonotonicTime,
+        version: Version,
+        is_own_change: bool,
+    ) -> &mut Trace {
         while self.retained.len() > MAX_RETAINED_TRACES {
             self.retained.pop_first();
         }
@@ -66,32 +71,36 @@
         })
     }
 
-    /// An operator's change makes this version.
-    pub(super) fn begin_proposal(&mut self, now: MonotonicTime, term: Term, version: Version) {
+    /// Records that this version was produced by an operator's change accepted here.
+    pub(super) fn record_proposal(&mut self, now: MonotonicTime, term: Term, version: Version) {
         self.term = term;
-        self.begin(now, version, true);
+        self.get_or_begin(now, version, true);
     }
 
-    /// A version is committed, or committed again by a new leader.
-    pub(super) fn committed(&mut self, now: MonotonicTime, document_version: DocumentVersion) {
+    /// Records that a version was committed, or committed again by a new leader.
+    pub(super) fn record_committed(
+        &mut self,
+        now: MonotonicTime,
+        document_version: DocumentVersion,
+    ) {
         self.term = document_version.term;
-        self.begin(now, document_version.version, false)
+        self.get_or_begin(now, document_version.version, false)
             .committed_at
             .get_or_insert(now);
     }
 
-    /// A version is in force at every daemon that serves; every older one is in force or replaced.
-    pub(super) fn in_force(&mut self, now: MonotonicTime, version: Version) {
-        self.begin(now, version, false);
+    /// Records that a version is in force at every serving daemon. Every older version is then in force or superseded.
+    pub(super) fn record_in_force(&mut self, now: MonotonicTime, version: Version) {
+        self.get_or_begin(now, version, false);
         let current_term = self.term;
-        let passed = self.retained.range_mut(..=(version, Term(u64::MAX)));
-        for (_, trace) in passed.filter(|((_, term), _)| *term == current_term) {
+        let traces_up_to_version = self.retained.range_mut(..=(version, Term(u64::MAX)));
+        for (_, trace) in traces_up_to_version.filter(|((_, term), _)| *term == current_term) {
             trace.in_force_at.get_or_insert(now);
         }
     }
 
-    /// A version came one step further at a daemon; ignored unless this controller traces the version.
-    pub(super) fn step(
+    /// Records that a version reached the next step at a daemon. Ignored if the version is not traced in this term.
+    pub(super) fn record_step(
         &mut self,
         now: MonotonicTime,
         version: Version,
@@ -102,7 +111,7 @@
             return;
         }
         let member_trace = self
-            .begin(now, version, false)
+            .get_or_begin(now, version, false)
             .members
             .entry(member)
             .or_default();
@@ -114,7 +123,7 @@
 }
 
 impl ControllerState {
-    /// How a version propagated, as far as this controller knows; version zero stands for the newest.
+    /// Reports how a version propagated, as far as this controller knows. Version zero stands for the newest.
     pub(super) fn trace_report(&self, now: MonotonicTime, version: Version) -> TraceReport {
         let retained = &self.traces.retained;
         let requested = if version == Version(0) {
--- a/crates/controlplane/tests/leader_state/recorded_forms.rs
+++ b/crates/controlplane/tests/leader_state/recorded_forms.rs
@@ -1,4 +1,4 @@
-//! The forms of reports and of events, with each key and each form of a value.
+//! Compares the JSON of reports and events, with every key and value form, with recorded fixtures.
 
 use super::forms;
 use super::harness::{Harness, ms};
@@ -15,7 +15,7 @@
 use googletest::prelude::*;
 use serde_json::json;
 
-/// The reports on members, holders, workers and runners, with each key and each form of a value.
+/// Covers the reports on members, holders, workers and runners, with every key and value form.
 #[gtest]
 fn reports_keep_their_keys_and_values() {
     let mut harness = Harness::with_two_daemons(vec![adoptable_claim(false)]);
@@ -23,8 +23,8 @@
         draining: true,
         ..worker("w-2", "l1", 100_000)
     };
-    harness.workers_listed(&[worker("w", "l1", 100_000), draining_worker]);
-    let fencing_token = harness.granted(2, "g");
+    harness.list_workers(&[worker("w", "l1", 100_000), draining_worker]);
+    let fencing_token = harness.acquire_lease(2, "g");
     harness.reserve(2, "g", fencing_token);
     let leader_state = &harness.leader_state;
     let known_zones: Vec<String> = leader_state
@@ -48,10 +48,10 @@
     );
 }
 
-/// Leases, suspicion and fencing on one worker that is full.
+/// Records events of leases, suspicion and fencing, with one worker that is full.
 fn events_of_leases() -> Vec<EventRecord> {
     let mut harness = Harness::with_two_daemons(vec![adoptable_claim(false)]);
-    harness.workers_listed(&[worker("w", "l1", 100)]);
+    harness.list_workers(&[worker("w", "l1", 100)]);
     harness.claim(2, vec![claim(false)]);
     let ready = DaemonToLeader::RunnerUpdate {
         function: function(),
@@ -71,7 +71,7 @@
     };
     let functions = LengthPrefixed(vec![idle]);
     harness.send(1, DaemonToLeader::Idle { functions });
-    let fencing_token = harness.granted(2, "g");
+    let fencing_token = harness.acquire_lease(2, "g");
     harness.advance(ms(1100));
     harness.reserve(2, "g", fencing_token);
     let release = DaemonToLeader::Release {
@@ -84,12 +84,12 @@
     harness.events
 }
 
-/// The holder of a function is suspected and cut off; its zone is evacuated after that.
+/// Suspects and disconnects the holder of a function, then evacuates its zone.
 fn end_a_lease(harness: &mut Harness) {
     let suspect = || first_incarnation("a");
     harness.suspect(2, suspect());
     harness.advance(ms(900));
-    harness.refute(2, suspect());
+    harness.clear_suspicion(2, suspect());
     harness.renew(2);
     harness.leader_state.stream_lost(StreamId(1));
     harness.advance(ms(900));
@@ -101,43 +101,43 @@
     harness.advance(ms(2300));
 }
 
-/// A runner that is missing in the platform's list, and one that nobody claimed.
+/// Records events of a runner that is missing from the platform's list, and of one that no member claimed.
 fn events_of_lists() -> Vec<EventRecord> {
     let mut harness = Harness::with_two_daemons(vec![adoptable_claim(false)]);
     harness.advance(ms(1100));
-    harness.listed(&[]);
+    harness.list_runners(&[]);
     harness.advance(ms(10));
     let mut unclaimed = listed_instance(false);
     unclaimed.instance.name = "l2".into();
-    harness.listed(&[unclaimed]);
+    harness.list_runners(&[unclaimed]);
     harness.advance(ms(10));
     harness.events
 }
 
-/// A function without a runner, while another one has all the memory.
+/// Records events of a function without a runner while another function has all the memory.
 fn events_of_reclaiming() -> Vec<EventRecord> {
     let mut harness = Harness::with_one_daemon();
-    harness.workers_listed(&[worker("w", "l", 200)]);
-    let crowded_lease = harness.granted(1, "f");
+    harness.list_workers(&[worker("w", "l", 200)]);
+    let crowded_token = harness.acquire_lease(1, "f");
     for _ in 0..2 {
-        harness.reserve(1, "f", crowded_lease);
+        harness.reserve(1, "f", crowded_token);
     }
-    let starved_lease = harness.granted(1, "g");
-    harness.reserve(1, "g", starved_lease);
+    let starved_token = harness.acquire_lease(1, "g");
+    harness.reserve(1, "g", starved_token);
     harness.events
 }
 
-/// A little used worker is evacuated.
+/// Records events of the evacuation of an underused worker.
 fn events_of_evacuation() -> Vec<EventRecord> {
     let mut harness = Harness::with_one_daemon();
-    harness.workers_listed(&[worker("w-1", "l", 200)]);
-    let fencing_token = harness.granted(1, "f");
+    harness.list_workers(&[worker("w-1", "l", 200)]);
+    let fencing_token = harness.acquire_lease(1, "f");
     for _ in 0..2 {
         harness.reserve(1, "f", fencing_token);
     }
-    harness.workers_listed(&[worker("w-2", "l", 150)]);
+    harness.list_workers(&[worker("w-2", "l", 150)]);
     let last = harness.reserve(1, "f", fencing_token);
-    harness.workers_listed(&[worker("w-1", "l", 1000), worker("w-2", "l", 150)]);
+    harness.list_workers(&[worker("w-1", "l", 1000), worker("w-2", "l", 150)]);
     for _ in 0..16 {
         harness.renew(1);
         harness.advance(ms(1000));
@@ -149,7 +149,7 @@
     harness.events
 }
 
-/// A member that does not come back is no longer awaited.
+/// Records events of a member that does not reconnect and is no longer awaited.
 fn events_of_absence() -> Vec<EventRecord> {
     let mut harness = Harness::new(&["a", "b"]);
     harness.join(1, "a", vec![]);
@@ -157,7 +157,7 @@
     harness.events
 }
 
-/// The events of the leader by number, with each key and each form of a value.
+/// Covers the events of the leader by number, with every key and value form.
 #[gtest]
 fn events_keep_their_keys_and_values() {
     let shown = |events: Vec<EventRecord>| -> Vec<serde_json::Value> {
--- a/testing/fleet/src/sim/dispatch.rs
+++ b/testing/fleet/src/sim/dispatch.rs
@@ -43,7 +43,7 @@
                 self.step_controller(node.0, ControllerInput::Consensus(frame))
             }
             ControllerEvent::ControllerGone(node, address) => {
-                self.step_controller(node.0, ControllerInput::ProcessGone(address));
+                self.step_controller(node.0, ControllerInput::ProcessExited(address));
             }
             ControllerEvent::Durable(node, incarnation, job) => {
                 if self.nodes.controller(node.0).incarnation == incarnation {
@@ -51,14 +51,14 @@
                 }
             }
             ControllerEvent::Written(node, _, ticket, result) => {
-                self.step_controller(node.0, ControllerInput::Written(ticket, result));
+                self.step_controller(node.0, ControllerInput::WriteCompleted(ticket, result));
             }
             ControllerEvent::Lists(node, _, workers, content_at, runners) => {
                 self.step_controller(node.0, ControllerInput::Workers(workers));
                 self.step_controller(node.0, ControllerInput::Runners(content_at, runners));
             }
             ControllerEvent::Operate(node, ticket, operation) => {
-                self.step_controller(node.0, ControllerInput::Operate(ticket, operation));
+                self.step_controller(node.0, ControllerInput::OperatorRequest(ticket, operation));
             }
             ControllerEvent::Withdraw(node, ticket) => {
                 self.step_controller(node.0, ControllerInput::CallerDisconnected(ticket));
