--- a/testing/fleet/src/sim/detection_cases.rs
+++ b/testing/fleet/src/sim/detection_cases.rs
@@ -273,7 +273,7 @@
     case(
         "orderly stop",
         Flaw::Without(Rule::ResponsesDeliveredAtShutdown),
-        &[F::StopInOrder],
+        &[F::StopDaemon],
         1500,
         "stops in order",
         6,
@@ -281,7 +281,7 @@
     case(
         "orderly stop",
         Flaw::Without(Rule::QueuedRequestsWithdrawnAtShutdown),
-        &[F::StopInOrder, F::CallBurst],
+        &[F::StopDaemon, F::CallBurst],
         900,
         "waiting",
         12,
@@ -338,7 +338,7 @@
     case(
         "two holders",
         Flaw::Without(Rule::InstanceAdoptedOnce),
-        &[F::StopInOrder, F::KillDaemon],
+        &[F::StopDaemon, F::KillDaemon],
         1500,
         "is in the hands of",
         12,
--- a/testing/fleet/src/sim/faults.rs
+++ b/testing/fleet/src/sim/faults.rs
@@ -65,7 +65,7 @@
     /// A zone is evacuated and restored.
     Evacuate,
     /// A daemon is stopped gracefully and restarted.
-    StopInOrder,
+    StopDaemon,
     /// A daemon is stopped gracefully while another one is frozen.
     StopAll,
     /// Runners lose, corrupt and refuse answers.
@@ -111,7 +111,7 @@
         SimFault::RunnerLeaves,
         SimFault::DrainWorker,
         SimFault::Evacuate,
-        SimFault::StopInOrder,
+        SimFault::StopDaemon,
         SimFault::StopAll,
         SimFault::RunnerFaults,
         SimFault::CallBurst,
@@ -159,7 +159,7 @@
             Self::RunnerLeaves => "runner-leaves",
             Self::DrainWorker => "drain-worker",
             Self::Evacuate => "evacuate",
-            Self::StopInOrder => "stop-in-order",
+            Self::StopDaemon => "stop-in-order",
             Self::StopAll => "stop-all",
             Self::RunnerFaults => "mischief",
             Self::CallBurst => "crowd",
@@ -246,7 +246,7 @@
             SimFault::RunnerLeaves => self.announce_leaving_runner(),
             SimFault::DrainWorker => self.drain_random_worker(lasts),
             SimFault::Evacuate => self.evacuate(lasts),
-            SimFault::StopInOrder => self.stop_random_daemon(),
+            SimFault::StopDaemon => self.stop_random_daemon(),
             SimFault::StopAll => self.stop_group(),
             SimFault::RunnerFaults => self.start_runner_faults(lasts),
             SimFault::CallBurst => self.send_call_burst(),
--- a/testing/fleet/tests/simulator.rs
+++ b/testing/fleet/tests/simulator.rs
@@ -54,7 +54,7 @@
             patient_callers: true,
             rate: 8.0,
             duplicate_share: 0.5,
-            focus: vec![SimFault::StopInOrder, SimFault::CallBurst],
+            focus: vec![SimFault::StopDaemon, SimFault::CallBurst],
             gap: Duration::from_millis(900),
             ..SimPlan::seeded(seed)
         };
