--- a/testing/fleet/src/sim/faults.rs
+++ b/testing/fleet/src/sim/faults.rs
@@ -67,7 +67,7 @@
     /// A daemon is stopped gracefully and restarted.
     StopDaemon,
     /// A daemon is stopped gracefully while another one is frozen.
-    StopAll,
+    StopGroup,
     /// Runners lose, corrupt and refuse answers.
     RunnerFaults,
     /// A burst of requests for one function.
@@ -112,7 +112,7 @@
         SimFault::DrainWorker,
         SimFault::Evacuate,
         SimFault::StopDaemon,
-        SimFault::StopAll,
+        SimFault::StopGroup,
         SimFault::RunnerFaults,
         SimFault::CallBurst,
         SimFault::RareCallBurst,
@@ -160,7 +160,7 @@
             Self::DrainWorker => "drain-worker",
             Self::Evacuate => "evacuate",
             Self::StopDaemon => "stop-in-order",
-            Self::StopAll => "stop-all",
+            Self::StopGroup => "stop-all",
             Self::RunnerFaults => "mischief",
             Self::CallBurst => "crowd",
             Self::RareCallBurst => "rare-crowd",
@@ -247,7 +247,7 @@
             SimFault::DrainWorker => self.drain_random_worker(lasts),
             SimFault::Evacuate => self.evacuate(lasts),
             SimFault::StopDaemon => self.stop_random_daemon(),
-            SimFault::StopAll => self.stop_group(),
+            SimFault::StopGroup => self.stop_group(),
             SimFault::RunnerFaults => self.start_runner_faults(lasts),
             SimFault::CallBurst => self.send_call_burst(),
             SimFault::RareCallBurst => self.send_rare_call_burst(),
