--- a/testing/fleet/src/sim/detection_cases.rs
+++ b/testing/fleet/src/sim/detection_cases.rs
@@ -233,7 +233,7 @@
     case(
         "refused in force",
         Flaw::Without(Rule::StaleBaseRejected),
-        &[F::ChangeStorm],
+        &[F::ChangeBurst],
         1500,
         "both accepted",
         6,
@@ -241,7 +241,7 @@
     case(
         "refused in force",
         Flaw::Without(Rule::InvalidChangeRejected),
-        &[F::ChangeStorm],
+        &[F::ChangeBurst],
         1500,
         "invalid at",
         6,
--- a/testing/fleet/src/sim/faults.rs
+++ b/testing/fleet/src/sim/faults.rs
@@ -79,7 +79,7 @@
     /// The platform's list of runners has a long delay.
     DelayedList,
     /// Operators send many changes in quick succession.
-    ChangeStorm,
+    ChangeBurst,
 }
 
 impl SimFault {
@@ -118,7 +118,7 @@
         SimFault::RareCallBurst,
         SimFault::ClientRetries,
         SimFault::DelayedList,
-        SimFault::ChangeStorm,
+        SimFault::ChangeBurst,
     ];
 
     /// The fault with this name.
@@ -166,7 +166,7 @@
             Self::RareCallBurst => "rare-crowd",
             Self::ClientRetries => "impatience",
             Self::DelayedList => "late-list",
-            Self::ChangeStorm => "storm",
+            Self::ChangeBurst => "storm",
         })
     }
 }
@@ -253,7 +253,7 @@
             SimFault::RareCallBurst => self.send_rare_call_burst(),
             SimFault::ClientRetries => self.faults.retry_until(self.queue.now() + lasts),
             SimFault::DelayedList => self.delay_lists(lasts),
-            SimFault::ChangeStorm => self.send_change_storm(),
+            SimFault::ChangeBurst => self.send_change_burst(),
         }
     }
 
@@ -478,7 +478,7 @@
         }
     }
 
-    fn send_change_storm(&mut self) {
+    fn send_change_burst(&mut self) {
         for _ in 0..8 {
             self.send_change();
         }
--- a/testing/fleet/tests/invariants.rs
+++ b/testing/fleet/tests/invariants.rs
@@ -53,12 +53,12 @@
     case(
         Invariant::ChangeOnNamedBase,
         Rule::StaleBaseRejected,
-        &[F::ChangeStorm],
+        &[F::ChangeBurst],
     ),
     case(
         Invariant::ProposedSpecValid,
         Rule::InvalidChangeRejected,
-        &[F::ChangeStorm],
+        &[F::ChangeBurst],
     ),
     case(
         Invariant::SentUnderLease,
--- a/testing/fleet/tests/simulator.rs
+++ b/testing/fleet/tests/simulator.rs
@@ -245,7 +245,7 @@
     },
     HistoryDay {
         focus: &[
-            SimFault::ChangeStorm,
+            SimFault::ChangeBurst,
             SimFault::FreezeLeader,
             SimFault::PartitionQuorum,
             SimFault::KillLeader,
