--- a/testing/fleet/src/sim/detection_cases.rs
+++ b/testing/fleet/src/sim/detection_cases.rs
@@ -405,7 +405,7 @@
     .with_orders(),
     case(
         "down",
-        Flaw::StopsUnheard,
+        Flaw::StopRequestsLost,
         &[F::KillGroup, F::DrainWorker],
         3000,
         "mostly down",
--- a/testing/fleet/src/sim/flaw.rs
+++ b/testing/fleet/src/sim/flaw.rs
@@ -17,7 +17,7 @@
     /// The platform confirms the leader's requests to stop runners and ignores them.
     StopsUnconfirmed,
     /// The leader's requests to stop runners do not reach the platform.
-    StopsUnheard,
+    StopRequestsLost,
 }
 
 impl Flaw {
@@ -28,7 +28,7 @@
             Flaw::SyncSkipped,
             Flaw::QuorumOfOne,
             Flaw::StopsUnconfirmed,
-            Flaw::StopsUnheard,
+            Flaw::StopRequestsLost,
         ];
         [Flaw::None]
             .into_iter()
@@ -54,7 +54,7 @@
             Self::SyncSkipped => out.write_str("sync-skipped"),
             Self::QuorumOfOne => out.write_str("quorum-of-one"),
             Self::StopsUnconfirmed => out.write_str("stops-unconfirmed"),
-            Self::StopsUnheard => out.write_str("stops-unheard"),
+            Self::StopRequestsLost => out.write_str("stops-unheard"),
         }
     }
 }
--- a/testing/fleet/src/sim/platform_requests.rs
+++ b/testing/fleet/src/sim/platform_requests.rs
@@ -86,12 +86,12 @@
     /// Handles a leader's request to stop a runner; with a planted flaw it is not stopped, or not confirmed either.
     pub(super) fn stop_runner_for_leader(&mut self, requester: Requester, order: &StopOrder) {
         let flaw = self.plan.flaw;
-        if !matches!(flaw, Flaw::StopsUnconfirmed | Flaw::StopsUnheard) {
+        if !matches!(flaw, Flaw::StopsUnconfirmed | Flaw::StopRequestsLost) {
             self.platform
                 .stop_instance(order.runner, order.instance.as_ref());
         }
         let delay = self.network.delay(&mut self.rng);
-        if flaw != Flaw::StopsUnheard {
+        if flaw != Flaw::StopRequestsLost {
             let stopped = ControllerEvent::LeaderStopped(requester, order.runner);
             self.queue.push(delay, stopped);
         }
