--- a/testing/fleet/src/sim/detection_cases.rs
+++ b/testing/fleet/src/sim/detection_cases.rs
@@ -361,7 +361,7 @@
     ),
     case(
         "two holders",
-        Flaw::StopsUnconfirmed,
+        Flaw::StopRequestsIgnored,
         &[F::KillDaemon, F::FreezeHolder],
         1500,
         "is alive",
--- a/testing/fleet/src/sim/flaw.rs
+++ b/testing/fleet/src/sim/flaw.rs
@@ -15,7 +15,7 @@
     /// Each controller counts itself as a majority.
     QuorumOfOne,
     /// The platform confirms the leader's requests to stop runners and ignores them.
-    StopsUnconfirmed,
+    StopRequestsIgnored,
     /// The leader's requests to stop runners do not reach the platform.
     StopRequestsLost,
 }
@@ -27,7 +27,7 @@
         let around = [
             Flaw::SyncSkipped,
             Flaw::QuorumOfOne,
-            Flaw::StopsUnconfirmed,
+            Flaw::StopRequestsIgnored,
             Flaw::StopRequestsLost,
         ];
         [Flaw::None]
@@ -53,7 +53,7 @@
             Self::Without(rule) => write!(out, "without-{rule}"),
             Self::SyncSkipped => out.write_str("sync-skipped"),
             Self::QuorumOfOne => out.write_str("quorum-of-one"),
-            Self::StopsUnconfirmed => out.write_str("stops-unconfirmed"),
+            Self::StopRequestsIgnored => out.write_str("stops-unconfirmed"),
             Self::StopRequestsLost => out.write_str("stops-unheard"),
         }
     }
--- a/testing/fleet/src/sim/platform_requests.rs
+++ b/testing/fleet/src/sim/platform_requests.rs
@@ -86,7 +86,7 @@
     /// Handles a leader's request to stop a runner; with a planted flaw it is not stopped, or not confirmed either.
     pub(super) fn stop_runner_for_leader(&mut self, requester: Requester, order: &StopOrder) {
         let flaw = self.plan.flaw;
-        if !matches!(flaw, Flaw::StopsUnconfirmed | Flaw::StopRequestsLost) {
+        if !matches!(flaw, Flaw::StopRequestsIgnored | Flaw::StopRequestsLost) {
             self.platform
                 .stop_instance(order.runner, order.instance.as_ref());
         }
