--- a/testing/fleet/src/commands/simulator.rs
+++ b/testing/fleet/src/commands/simulator.rs
@@ -126,7 +126,7 @@
     let focus = names
         .map(|name| SimFault::by_name(name).ok_or_else(|| PlanError::Fault(name.to_owned())))
         .collect::<Result<Vec<SimFault>, PlanError>>()?;
-    let (lasts, gap) = (
+    let (lasts, max_fault_interval) = (
         Duration::from_secs(sim.lasts),
         Duration::from_millis(sim.gap_ms.max(400)),
     );
@@ -138,7 +138,7 @@
         daemons,
         has_faults,
         focus: focus.clone(),
-        gap,
+        max_fault_interval,
         numbers_orders,
         order_gap,
         ..SimPlan::seeded(seed)
--- a/testing/fleet/src/sim/detection_cases.rs
+++ b/testing/fleet/src/sim/detection_cases.rs
@@ -17,7 +17,7 @@
     /// The faults that expose it.
     pub faults: &'static [SimFault],
     /// The longest time from one fault to the next.
-    pub gap: Duration,
+    pub max_fault_interval: Duration,
     /// The text of the expected violation.
     pub expected_violation: &'static str,
     /// The number of seeds after which it must have been found.
@@ -66,7 +66,7 @@
         SimPlan {
             flaw,
             focus: self.faults.to_vec(),
-            gap: self.gap,
+            max_fault_interval: self.max_fault_interval,
             rate: if self.patient_callers {
                 PATIENT_CALLER_RATE
             } else {
@@ -133,12 +133,12 @@
     expected_violation: &'static str,
     seeds: u64,
 ) -> DetectionCase {
-    let gap = Duration::from_millis(gap_ms);
+    let max_fault_interval = Duration::from_millis(gap_ms);
     DetectionCase {
         point,
         flaw,
         faults,
-        gap,
+        max_fault_interval,
         expected_violation,
         seeds,
         numbers_orders: false,
--- a/testing/fleet/src/sim/faults.rs
+++ b/testing/fleet/src/sim/faults.rs
@@ -199,7 +199,9 @@
     }
 
     pub(super) fn schedule_fault(&mut self) {
-        let wait_span = self.rng.within(Duration::from_millis(300), self.plan.gap);
+        let wait_span = self
+            .rng
+            .within(Duration::from_millis(300), self.plan.max_fault_interval);
         self.queue.push(wait_span, FaultEvent::RandomFault);
     }
 
--- a/testing/fleet/src/sim/plan.rs
+++ b/testing/fleet/src/sim/plan.rs
@@ -49,7 +49,7 @@
     /// The kinds of faults to choose from; all if this is empty.
     pub focus: Vec<SimFault>,
     /// The longest time from one fault to the next.
-    pub gap: Duration,
+    pub max_fault_interval: Duration,
     /// The tuning of lease holders.
     pub tuning: Tuning,
     /// Whether functions with a long startup are kept warm.
@@ -88,7 +88,7 @@
             flaw: Flaw::None,
             duplicate_share: 0.2,
             focus: Vec::new(),
-            gap: Duration::from_millis(3500),
+            max_fault_interval: Duration::from_millis(3500),
             tuning: Tuning::default(),
             keeps_warm_functions: false,
             regional: false,
--- a/testing/fleet/tests/invariants.rs
+++ b/testing/fleet/tests/invariants.rs
@@ -91,7 +91,7 @@
     let plan = SimPlan {
         flaw: case.flaw,
         focus: case.faults.to_vec(),
-        gap: Duration::from_millis(1200),
+        max_fault_interval: Duration::from_millis(1200),
         rate: 60.0,
         duplicate_share: 0.5,
         ..SimPlan::seeded(seed)
--- a/testing/fleet/tests/simulator.rs
+++ b/testing/fleet/tests/simulator.rs
@@ -55,7 +55,7 @@
             rate: 8.0,
             duplicate_share: 0.5,
             focus: vec![SimFault::StopDaemon, SimFault::CallBurst],
-            gap: Duration::from_millis(900),
+            max_fault_interval: Duration::from_millis(900),
             ..SimPlan::seeded(seed)
         };
         let sim_result = verify_clean(plan)?;
@@ -191,10 +191,10 @@
         (149, vec![RunnerLeaves, Partition], 2000),
     ];
     for (seed, focus, gap_ms) in cases {
-        let gap = Duration::from_millis(gap_ms);
+        let max_fault_interval = Duration::from_millis(gap_ms);
         let plan = SimPlan {
             focus,
-            gap,
+            max_fault_interval,
             ..SimPlan::seeded(seed)
         };
         verify_clean(plan)?;
@@ -215,7 +215,7 @@
 struct HistoryDay {
     focus: &'static [SimFault],
     /// The time between two faults.
-    gap: Duration,
+    max_fault_interval: Duration,
     /// The time between two orders of an operator.
     order_gap: Duration,
 }
@@ -225,12 +225,12 @@
 const HISTORY_DAYS: [HistoryDay; 4] = [
     HistoryDay {
         focus: &[],
-        gap: Duration::from_millis(3500),
+        max_fault_interval: Duration::from_millis(3500),
         order_gap: RARE_ORDERS,
     },
     HistoryDay {
         focus: &[],
-        gap: Duration::from_millis(3500),
+        max_fault_interval: Duration::from_millis(3500),
         order_gap: FREQUENT_ORDERS,
     },
     HistoryDay {
@@ -240,7 +240,7 @@
             SimFault::PartitionQuorum,
             SimFault::Freeze,
         ],
-        gap: Duration::from_millis(1500),
+        max_fault_interval: Duration::from_millis(1500),
         order_gap: RARE_ORDERS,
     },
     HistoryDay {
@@ -251,7 +251,7 @@
             SimFault::KillLeader,
             SimFault::RestartAll,
         ],
-        gap: Duration::from_millis(1500),
+        max_fault_interval: Duration::from_millis(1500),
         order_gap: FREQUENT_ORDERS,
     },
 ];
@@ -263,7 +263,7 @@
         for seed in [11, 32, 112, 155, 221, 234] {
             let plan = SimPlan {
                 focus: day.focus.to_vec(),
-                gap: day.gap,
+                max_fault_interval: day.max_fault_interval,
                 numbers_orders: true,
                 order_gap: day.order_gap,
                 ..SimPlan::seeded(seed)
