--- a/testing/fleet/src/commands/simulator.rs
+++ b/testing/fleet/src/commands/simulator.rs
@@ -131,7 +131,8 @@
         Duration::from_millis(sim.gap_ms.max(400)),
     );
     let (daemons, has_faults) = (sim.daemons, !sim.calm);
-    let (numbers_orders, order_gap) = (sim.orders, Duration::from_millis(sim.order_gap_ms));
+    let (numbers_orders, max_order_interval) =
+        (sim.orders, Duration::from_millis(sim.order_gap_ms));
     Ok(Box::new(move |seed| SimPlan {
         flaw,
         lasts,
@@ -140,7 +141,7 @@
         focus: focus.clone(),
         max_fault_interval,
         numbers_orders,
-        order_gap,
+        max_order_interval,
         ..SimPlan::seeded(seed)
     }))
 }
--- a/testing/fleet/src/sim/detection_cases.rs
+++ b/testing/fleet/src/sim/detection_cases.rs
@@ -39,9 +39,9 @@
 }
 
 /// The longest time between two orders where the case is not about orders.
-const ORDER_GAP: Duration = Duration::from_millis(3000);
+const MAX_ORDER_INTERVAL: Duration = Duration::from_millis(3000);
 /// The longest time between two orders where the case is about them: hundreds in a day.
-const HURRIED_ORDER_GAP: Duration = Duration::from_millis(150);
+const FREQUENT_MAX_ORDER_INTERVAL: Duration = Duration::from_millis(150);
 
 /// The usual rate of calls, a second.
 const CALLER_RATE: f64 = 60.0;
@@ -75,10 +75,10 @@
             duplicate_share: 0.5,
             numbers_orders: self.numbers_orders,
             patient_callers: self.patient_callers,
-            order_gap: if self.numbers_orders {
-                HURRIED_ORDER_GAP
+            max_order_interval: if self.numbers_orders {
+                FREQUENT_MAX_ORDER_INTERVAL
             } else {
-                ORDER_GAP
+                MAX_ORDER_INTERVAL
             },
             ..SimPlan::seeded(seed)
         }
--- a/testing/fleet/src/sim/operator.rs
+++ b/testing/fleet/src/sim/operator.rs
@@ -233,7 +233,7 @@
     }
 
     pub(super) fn schedule_change(&mut self) {
-        let longest_span = self.plan.order_gap;
+        let longest_span = self.plan.max_order_interval;
         let wait_span = self.rng.within(longest_span / 10, longest_span);
         self.queue.push(wait_span, OperatorEvent::Change);
     }
--- a/testing/fleet/src/sim/plan.rs
+++ b/testing/fleet/src/sim/plan.rs
@@ -64,7 +64,7 @@
     /// linearizability.
     pub numbers_orders: bool,
     /// The longest time between two orders of operators.
-    pub order_gap: Duration,
+    pub max_order_interval: Duration,
 }
 
 impl SimPlan {
@@ -95,7 +95,7 @@
             fresh_identities: false,
             patient_callers: false,
             numbers_orders: false,
-            order_gap: Duration::from_millis(3000),
+            max_order_interval: Duration::from_millis(3000),
         }
     }
 
--- a/testing/fleet/tests/simulator.rs
+++ b/testing/fleet/tests/simulator.rs
@@ -217,7 +217,7 @@
     /// The time between two faults.
     max_fault_interval: Duration,
     /// The time between two orders of an operator.
-    order_gap: Duration,
+    max_order_interval: Duration,
 }
 
 const RARE_ORDERS: Duration = Duration::from_millis(3000);
@@ -226,12 +226,12 @@
     HistoryDay {
         focus: &[],
         max_fault_interval: Duration::from_millis(3500),
-        order_gap: RARE_ORDERS,
+        max_order_interval: RARE_ORDERS,
     },
     HistoryDay {
         focus: &[],
         max_fault_interval: Duration::from_millis(3500),
-        order_gap: FREQUENT_ORDERS,
+        max_order_interval: FREQUENT_ORDERS,
     },
     HistoryDay {
         focus: &[
@@ -241,7 +241,7 @@
             SimFault::Freeze,
         ],
         max_fault_interval: Duration::from_millis(1500),
-        order_gap: RARE_ORDERS,
+        max_order_interval: RARE_ORDERS,
     },
     HistoryDay {
         focus: &[
@@ -252,7 +252,7 @@
             SimFault::RestartAll,
         ],
         max_fault_interval: Duration::from_millis(1500),
-        order_gap: FREQUENT_ORDERS,
+        max_order_interval: FREQUENT_ORDERS,
     },
 ];
 
@@ -265,7 +265,7 @@
                 focus: day.focus.to_vec(),
                 max_fault_interval: day.max_fault_interval,
                 numbers_orders: true,
-                order_gap: day.order_gap,
+                max_order_interval: day.max_order_interval,
                 ..SimPlan::seeded(seed)
             };
             let sim_result = verify_clean(plan)?;
