--- a/testing/fleet/src/commands/simulator.rs
+++ b/testing/fleet/src/commands/simulator.rs
@@ -123,7 +123,7 @@
         }));
     }
     let names = sim.faults.split(',').filter(|name| !name.is_empty());
-    let focus = names
+    let fault_kinds = names
         .map(|name| SimFault::by_name(name).ok_or_else(|| PlanError::Fault(name.to_owned())))
         .collect::<Result<Vec<SimFault>, PlanError>>()?;
     let (lasts, max_fault_interval) = (
@@ -138,7 +138,7 @@
         lasts,
         daemons,
         has_faults,
-        focus: focus.clone(),
+        fault_kinds: fault_kinds.clone(),
         max_fault_interval,
         numbers_orders,
         max_order_interval,
--- a/testing/fleet/src/sim/detection_cases.rs
+++ b/testing/fleet/src/sim/detection_cases.rs
@@ -65,7 +65,7 @@
     pub fn plan(&self, seed: u64, flaw: Flaw) -> SimPlan {
         SimPlan {
             flaw,
-            focus: self.faults.to_vec(),
+            fault_kinds: self.faults.to_vec(),
             max_fault_interval: self.max_fault_interval,
             rate: if self.patient_callers {
                 PATIENT_CALLER_RATE
--- a/testing/fleet/src/sim/faults.rs
+++ b/testing/fleet/src/sim/faults.rs
@@ -211,9 +211,9 @@
             .rng
             .within(Duration::from_millis(300), Duration::from_millis(6000));
         let chosen = self.rng.below(SimFault::ALL.len() as u64) as usize;
-        let own_count = self.plan.focus.len() as u64;
+        let own_count = self.plan.fault_kinds.len() as u64;
         let own = (own_count > 0).then(|| self.rng.below(own_count) as usize);
-        let fault = own.map_or(SimFault::ALL[chosen], |own| self.plan.focus[own]);
+        let fault = own.map_or(SimFault::ALL[chosen], |own| self.plan.fault_kinds[own]);
         self.record
             .trace(self.queue.now(), || format!("fault {fault} for {lasts:?}"));
         self.record.count_event(&format!("fault {fault}"));
--- a/testing/fleet/src/sim/plan.rs
+++ b/testing/fleet/src/sim/plan.rs
@@ -47,7 +47,7 @@
     /// The share of requests whose idempotency key is sent twice.
     pub duplicate_share: f64,
     /// The kinds of faults to choose from; all if this is empty.
-    pub focus: Vec<SimFault>,
+    pub fault_kinds: Vec<SimFault>,
     /// The longest time from one fault to the next.
     pub max_fault_interval: Duration,
     /// The tuning of lease holders.
@@ -87,7 +87,7 @@
             has_faults: true,
             flaw: Flaw::None,
             duplicate_share: 0.2,
-            focus: Vec::new(),
+            fault_kinds: Vec::new(),
             max_fault_interval: Duration::from_millis(3500),
             tuning: Tuning::default(),
             keeps_warm_functions: false,
--- a/testing/fleet/tests/invariants.rs
+++ b/testing/fleet/tests/invariants.rs
@@ -90,7 +90,7 @@
 fn is_detected(case: &Case, seed: u64) -> bool {
     let plan = SimPlan {
         flaw: case.flaw,
-        focus: case.faults.to_vec(),
+        fault_kinds: case.faults.to_vec(),
         max_fault_interval: Duration::from_millis(1200),
         rate: 60.0,
         duplicate_share: 0.5,
--- a/testing/fleet/tests/simulator.rs
+++ b/testing/fleet/tests/simulator.rs
@@ -54,7 +54,7 @@
             patient_callers: true,
             rate: 8.0,
             duplicate_share: 0.5,
-            focus: vec![SimFault::StopDaemon, SimFault::CallBurst],
+            fault_kinds: vec![SimFault::StopDaemon, SimFault::CallBurst],
             max_fault_interval: Duration::from_millis(900),
             ..SimPlan::seeded(seed)
         };
@@ -190,10 +190,10 @@
         (141, vec![DrainWorker, Isolation], 2000),
         (149, vec![RunnerLeaves, Partition], 2000),
     ];
-    for (seed, focus, gap_ms) in cases {
+    for (seed, fault_kinds, gap_ms) in cases {
         let max_fault_interval = Duration::from_millis(gap_ms);
         let plan = SimPlan {
-            focus,
+            fault_kinds,
             max_fault_interval,
             ..SimPlan::seeded(seed)
         };
@@ -213,7 +213,7 @@
 
 /// Faults of the control side for operators' histories.
 struct HistoryDay {
-    focus: &'static [SimFault],
+    fault_kinds: &'static [SimFault],
     /// The time between two faults.
     max_fault_interval: Duration,
     /// The time between two orders of an operator.
@@ -224,17 +224,17 @@
 const FREQUENT_ORDERS: Duration = Duration::from_millis(150);
 const HISTORY_DAYS: [HistoryDay; 4] = [
     HistoryDay {
-        focus: &[],
+        fault_kinds: &[],
         max_fault_interval: Duration::from_millis(3500),
         max_order_interval: RARE_ORDERS,
     },
     HistoryDay {
-        focus: &[],
+        fault_kinds: &[],
         max_fault_interval: Duration::from_millis(3500),
         max_order_interval: FREQUENT_ORDERS,
     },
     HistoryDay {
-        focus: &[
+        fault_kinds: &[
             SimFault::Evacuate,
             SimFault::FreezeLeader,
             SimFault::PartitionQuorum,
@@ -244,7 +244,7 @@
         max_order_interval: RARE_ORDERS,
     },
     HistoryDay {
-        focus: &[
+        fault_kinds: &[
             SimFault::ChangeBurst,
             SimFault::FreezeLeader,
             SimFault::PartitionQuorum,
@@ -262,7 +262,7 @@
     for day in HISTORY_DAYS {
         for seed in [11, 32, 112, 155, 221, 234] {
             let plan = SimPlan {
-                focus: day.focus.to_vec(),
+                fault_kinds: day.fault_kinds.to_vec(),
                 max_fault_interval: day.max_fault_interval,
                 numbers_orders: true,
                 max_order_interval: day.max_order_interval,
