--- a/testing/fleet/src/commands/simulator.rs
+++ b/testing/fleet/src/commands/simulator.rs
@@ -126,7 +126,7 @@
     let fault_kinds = names
         .map(|name| SimFault::by_name(name).ok_or_else(|| PlanError::Fault(name.to_owned())))
         .collect::<Result<Vec<SimFault>, PlanError>>()?;
-    let (lasts, max_fault_interval) = (
+    let (fault_duration, max_fault_interval) = (
         Duration::from_secs(sim.lasts),
         Duration::from_millis(sim.gap_ms.max(400)),
     );
@@ -135,7 +135,7 @@
         (sim.orders, Duration::from_millis(sim.order_gap_ms));
     Ok(Box::new(move |seed| SimPlan {
         flaw,
-        lasts,
+        fault_duration,
         daemons,
         has_faults,
         fault_kinds: fault_kinds.clone(),
--- a/testing/fleet/src/sim/plan.rs
+++ b/testing/fleet/src/sim/plan.rs
@@ -17,7 +17,7 @@
     /// The seed of all random choices.
     pub seed: u64,
     /// How long faults are injected.
-    pub lasts: Duration,
+    pub fault_duration: Duration,
     /// The number of controllers, each with a disk.
     pub controllers: usize,
     /// The intended number of voters.
@@ -81,7 +81,7 @@
             ends_when_recovered: false,
             has_changes: true,
             settling: Duration::from_secs(20),
-            lasts: Duration::from_secs(30),
+            fault_duration: Duration::from_secs(30),
             daemons: 5,
             rate: 40.0,
             has_faults: true,
--- a/testing/fleet/src/sim/recovery.rs
+++ b/testing/fleet/src/sim/recovery.rs
@@ -143,7 +143,7 @@
             ends_when_recovered: true,
             has_changes: false,
             rate: 2.0,
-            lasts: loss_at + MEASURED_FOR,
+            fault_duration: loss_at + MEASURED_FOR,
             settling: Duration::ZERO,
             ..SimPlan::seeded(seed)
         }
--- a/testing/fleet/src/sim/scenario/mod.rs
+++ b/testing/fleet/src/sim/scenario/mod.rs
@@ -152,10 +152,10 @@
     }
 
     /// Builds the plan; at the end of the day orders and readings continue.
-    fn plan(mut self, seed: u64, size: QuorumSize, lasts: Duration) -> SimPlan {
-        let until = lasts + SETTLING_TIME;
-        self.repeat(lasts, until, SETTLING_INTERVAL, |_| Action::Change);
-        self.repeat(lasts, until, SETTLING_INTERVAL, |_| {
+    fn plan(mut self, seed: u64, size: QuorumSize, fault_duration: Duration) -> SimPlan {
+        let until = fault_duration + SETTLING_TIME;
+        self.repeat(fault_duration, until, SETTLING_INTERVAL, |_| Action::Change);
+        self.repeat(fault_duration, until, SETTLING_INTERVAL, |_| {
             Action::Read(Target::Any)
         });
         SimPlan {
@@ -167,7 +167,7 @@
             has_faults: false,
             has_changes: false,
             judges_script: true,
-            lasts,
+            fault_duration,
             settling: SETTLING_TIME,
             ..SimPlan::seeded(seed)
         }
--- a/testing/fleet/src/sim/simulation.rs
+++ b/testing/fleet/src/sim/simulation.rs
@@ -106,12 +106,12 @@
         if self.plan.has_faults {
             self.queue.push(FIRST_FAULT_AFTER, FaultEvent::RandomFault);
         }
-        self.queue.push(self.plan.lasts, FaultEvent::Heal);
+        self.queue.push(self.plan.fault_duration, FaultEvent::Heal);
     }
 
     /// The virtual time at which the plan's faults end.
     pub(super) fn faults_end_at(&self) -> MonotonicTime {
-        STARTED_AT + self.plan.lasts
+        STARTED_AT + self.plan.fault_duration
     }
 
     /// Adds the invariant violations that the code itself detected to those of the checks.
@@ -125,7 +125,7 @@
     /// Runs the day to its end and returns its result.
     pub fn run(mut self) -> SimResult {
         invariants::collect_on_this_thread();
-        let end_at = self.queue.now() + self.plan.lasts + self.plan.settling;
+        let end_at = self.queue.now() + self.plan.fault_duration + self.plan.settling;
         while self.checks.violations.len() <= MAX_VIOLATIONS
             && let Some(due) = self.queue.pop_due(end_at)
         {
