--- a/testing/fleet/src/sim/plan.rs
+++ b/testing/fleet/src/sim/plan.rs
@@ -35,7 +35,7 @@
     /// Whether operators send changes at random times.
     pub has_changes: bool,
     /// How long the day continues after all faults are undone.
-    pub settling: Duration,
+    pub settling_time: Duration,
     /// The number of daemons.
     pub daemons: usize,
     /// The rate of requests per second.
@@ -80,7 +80,7 @@
             judges_script: false,
             ends_when_recovered: false,
             has_changes: true,
-            settling: Duration::from_secs(20),
+            settling_time: Duration::from_secs(20),
             fault_duration: Duration::from_secs(30),
             daemons: 5,
             rate: 40.0,
--- a/testing/fleet/src/sim/recovery.rs
+++ b/testing/fleet/src/sim/recovery.rs
@@ -144,7 +144,7 @@
             has_changes: false,
             rate: 2.0,
             fault_duration: loss_at + MEASURED_FOR,
-            settling: Duration::ZERO,
+            settling_time: Duration::ZERO,
             ..SimPlan::seeded(seed)
         }
     }
--- a/testing/fleet/src/sim/scenario/mod.rs
+++ b/testing/fleet/src/sim/scenario/mod.rs
@@ -168,7 +168,7 @@
             has_changes: false,
             judges_script: true,
             fault_duration,
-            settling: SETTLING_TIME,
+            settling_time: SETTLING_TIME,
             ..SimPlan::seeded(seed)
         }
     }
--- a/testing/fleet/src/sim/simulation.rs
+++ b/testing/fleet/src/sim/simulation.rs
@@ -125,7 +125,7 @@
     /// Runs the day to its end and returns its result.
     pub fn run(mut self) -> SimResult {
         invariants::collect_on_this_thread();
-        let end_at = self.queue.now() + self.plan.fault_duration + self.plan.settling;
+        let end_at = self.queue.now() + self.plan.fault_duration + self.plan.settling_time;
         while self.checks.violations.len() <= MAX_VIOLATIONS
             && let Some(due) = self.queue.pop_due(end_at)
         {
