--- a/testing/fleet/src/commands/simulator.rs
+++ b/testing/fleet/src/commands/simulator.rs
@@ -131,7 +131,7 @@
         Duration::from_millis(sim.gap_ms.max(400)),
     );
     let (daemons, has_faults) = (sim.daemons, !sim.calm);
-    let (numbers_orders, max_order_interval) =
+    let (has_numbered_orders, max_order_interval) =
         (sim.orders, Duration::from_millis(sim.order_gap_ms));
     Ok(Box::new(move |seed| SimPlan {
         flaw,
@@ -140,7 +140,7 @@
         has_faults,
         fault_kinds: fault_kinds.clone(),
         max_fault_interval,
-        numbers_orders,
+        has_numbered_orders,
         max_order_interval,
         ..SimPlan::seeded(seed)
     }))
--- a/testing/fleet/src/sim/detection_cases.rs
+++ b/testing/fleet/src/sim/detection_cases.rs
@@ -23,7 +23,7 @@
     /// The number of seeds after which it must have been found.
     pub seeds: u64,
     /// Whether operators send hundreds of numbered orders.
-    pub numbers_orders: bool,
+    pub has_numbered_orders: bool,
     /// Whether callers wait longer than the grace period of an orderly stop.
     pub patient_callers: bool,
 }
@@ -51,7 +51,7 @@
 impl DetectionCase {
     /// This case with hundreds of numbered orders.
     const fn with_orders(mut self) -> Self {
-        self.numbers_orders = true;
+        self.has_numbered_orders = true;
         self
     }
 
@@ -73,9 +73,9 @@
                 CALLER_RATE
             },
             duplicate_share: 0.5,
-            numbers_orders: self.numbers_orders,
+            has_numbered_orders: self.has_numbered_orders,
             patient_callers: self.patient_callers,
-            max_order_interval: if self.numbers_orders {
+            max_order_interval: if self.has_numbered_orders {
                 FREQUENT_MAX_ORDER_INTERVAL
             } else {
                 MAX_ORDER_INTERVAL
@@ -141,7 +141,7 @@
         max_fault_interval,
         expected_violation,
         seeds,
-        numbers_orders: false,
+        has_numbered_orders: false,
         patient_callers: false,
     }
 }
--- a/testing/fleet/src/sim/operator.rs
+++ b/testing/fleet/src/sim/operator.rs
@@ -119,7 +119,7 @@
 impl Simulation {
     /// Sends one change as an operator.
     pub(super) fn submit_change(&mut self, base: Option<Version>, kind: ChangeKind) {
-        if self.plan.numbers_orders {
+        if self.plan.has_numbered_orders {
             match kind {
                 ChangeKind::Evacuate { zone, .. } => self.send_zone_order(zone, true),
                 ChangeKind::Restore { zone } => self.send_zone_order(zone, false),
@@ -142,7 +142,7 @@
 
     /// Sends a change as an operator, based on the newest version or on one shortly before.
     pub(super) fn send_change(&mut self) {
-        if self.plan.numbers_orders {
+        if self.plan.has_numbered_orders {
             self.send_orders();
             return;
         }
@@ -186,7 +186,7 @@
         ticket: OperationTicket,
         reply: OperationReply,
     ) {
-        if self.plan.numbers_orders {
+        if self.plan.has_numbered_orders {
             self.handle_command_reply(ticket, reply);
             return;
         }
--- a/testing/fleet/src/sim/plan.rs
+++ b/testing/fleet/src/sim/plan.rs
@@ -62,7 +62,7 @@
     pub patient_callers: bool,
     /// Whether operators number their orders, retry them and read them back, so that the history can be checked for
     /// linearizability.
-    pub numbers_orders: bool,
+    pub has_numbered_orders: bool,
     /// The longest time between two orders of operators.
     pub max_order_interval: Duration,
 }
@@ -94,7 +94,7 @@
             regional: false,
             fresh_identities: false,
             patient_callers: false,
-            numbers_orders: false,
+            has_numbered_orders: false,
             max_order_interval: Duration::from_millis(3000),
         }
     }
--- a/testing/fleet/src/sim/simulation.rs
+++ b/testing/fleet/src/sim/simulation.rs
@@ -99,7 +99,7 @@
         if self.plan.has_changes {
             self.schedule_change();
         }
-        if self.plan.numbers_orders {
+        if self.plan.has_numbered_orders {
             self.schedule_reading();
         }
         self.schedule_script();
@@ -175,7 +175,7 @@
     pub(super) fn resume_node(&mut self, node: Node) {
         if !self.frozen.contains(node, self.queue.now()) {
             let deferred = self.frozen.resume(node);
-            let is_read_first = self.plan.numbers_orders && self.rng.random_bool(0.8);
+            let is_read_first = self.plan.has_numbered_orders && self.rng.random_bool(0.8);
             let (first, others): (Vec<Event>, Vec<Event>) = deferred
                 .into_iter()
                 .partition(|event| is_read_first && event.is_from_operator());
--- a/testing/fleet/tests/simulator.rs
+++ b/testing/fleet/tests/simulator.rs
@@ -264,7 +264,7 @@
             let plan = SimPlan {
                 fault_kinds: day.fault_kinds.to_vec(),
                 max_fault_interval: day.max_fault_interval,
-                numbers_orders: true,
+                has_numbered_orders: true,
                 max_order_interval: day.max_order_interval,
                 ..SimPlan::seeded(seed)
             };
