--- a/testing/fleet/src/commands/simulator.rs
+++ b/testing/fleet/src/commands/simulator.rs
@@ -58,7 +58,7 @@
     let mut run_digest = RunDigest::default();
     for seed in sim.seed..sim.seed + sim.count {
         let plan = plan_of(seed);
-        let is_scripted = plan.judges_script;
+        let is_scripted = plan.checks_script_end;
         let sim_result = Simulation::new(plan, sim.trace).run();
         sim_result.trace.iter().for_each(|line| println!("{line}"));
         let day_digest = run_digest.add(&sim_result);
--- a/testing/fleet/src/sim/plan.rs
+++ b/testing/fleet/src/sim/plan.rs
@@ -29,7 +29,7 @@
     /// A loss at one step of the control side, counted from the script's [`Action::CountSteps`].
     pub second_loss: Option<SecondLoss>,
     /// Whether the state at the end of the script is checked.
-    pub judges_script: bool,
+    pub checks_script_end: bool,
     /// Whether the day ends as soon as the control side has recovered from its single loss.
     pub ends_when_recovered: bool,
     /// Whether operators send changes at random times.
@@ -77,7 +77,7 @@
             founders: 3,
             script: Vec::new(),
             second_loss: None,
-            judges_script: false,
+            checks_script_end: false,
             ends_when_recovered: false,
             has_changes: true,
             settling_time: Duration::from_secs(20),
--- a/testing/fleet/src/sim/scenario/mod.rs
+++ b/testing/fleet/src/sim/scenario/mod.rs
@@ -166,7 +166,7 @@
             rate: 2.0,
             has_faults: false,
             has_changes: false,
-            judges_script: true,
+            checks_script_end: true,
             fault_duration,
             settling_time: SETTLING_TIME,
             ..SimPlan::seeded(seed)
--- a/testing/fleet/src/sim/simulation.rs
+++ b/testing/fleet/src/sim/simulation.rs
@@ -150,7 +150,7 @@
                 break;
             }
         }
-        if self.plan.judges_script {
+        if self.plan.checks_script_end {
             self.check_script_end();
         }
         self.check_refused();
