--- a/testing/fleet/src/commands/simulator.rs
+++ b/testing/fleet/src/commands/simulator.rs
@@ -24,7 +24,7 @@
         };
         println!(
             "| {} | `{}` | {} | {seed} | {seen} | {} | {} |",
-            proof.point,
+            proof.property,
             proof.flaw,
             faults.join(", "),
             end.checked,
--- a/testing/fleet/src/sim/detection_cases.rs
+++ b/testing/fleet/src/sim/detection_cases.rs
@@ -11,7 +11,7 @@
 /// A detection case: a flaw, the faults that expose it, and the violation that is expected with it and absent without.
 pub struct DetectionCase {
     /// What must never happen, in the order of the requirements.
-    pub point: &'static str,
+    pub property: &'static str,
     /// The flaw that is introduced.
     pub flaw: Flaw,
     /// The faults that expose it.
@@ -117,7 +117,7 @@
         write!(
             out,
             "{} ({}; faults {})",
-            self.point,
+            self.property,
             self.flaw,
             faults.join(",")
         )
@@ -126,7 +126,7 @@
 
 /// A case without numbered orders.
 const fn case(
-    point: &'static str,
+    property: &'static str,
     flaw: Flaw,
     faults: &'static [SimFault],
     gap_ms: u64,
@@ -135,7 +135,7 @@
 ) -> DetectionCase {
     let max_fault_interval = Duration::from_millis(gap_ms);
     DetectionCase {
-        point,
+        property,
         flaw,
         faults,
         max_fault_interval,
