--- a/testing/fleet/src/commands/simulator.rs
+++ b/testing/fleet/src/commands/simulator.rs
@@ -16,7 +16,7 @@
     );
     println!("|---|---|---|---|---|---|---|");
     for proof in DETECTION_CASES {
-        let end = proof.run(proofs.seeds.unwrap_or(proof.seeds));
+        let end = proof.run(proofs.seeds.unwrap_or(proof.max_seeds));
         let faults: Vec<String> = proof.faults.iter().map(SimFault::to_string).collect();
         let (seed, seen) = match &end.found {
             Some((seed, seen)) => (seed.to_string(), seen.clone()),
--- a/testing/fleet/src/sim/detection_cases.rs
+++ b/testing/fleet/src/sim/detection_cases.rs
@@ -21,7 +21,7 @@
     /// The text of the expected violation.
     pub expected_violation: &'static str,
     /// The number of seeds after which it must have been found.
-    pub seeds: u64,
+    pub max_seeds: u64,
     /// Whether operators send hundreds of numbered orders.
     pub has_numbered_orders: bool,
     /// Whether callers wait longer than the grace period of an orderly stop.
@@ -85,13 +85,13 @@
     }
 
     /// Runs days with the flaw until one finds it, and the same days without it.
-    pub fn run(&self, most_seeds: u64) -> DetectionResult {
+    pub fn run(&self, max_seeds: u64) -> DetectionResult {
         let mut end = DetectionResult {
             found: None,
             baseline_violations: Vec::new(),
             checked: 0,
         };
-        for seed in 1..=most_seeds {
+        for seed in 1..=max_seeds {
             let baseline_end = Simulation::new(self.plan(seed, Flaw::None), false).run();
             end.checked += baseline_end.checked.values().sum::<u64>();
             let baseline_violations = baseline_end.violations.iter();
@@ -131,7 +131,7 @@
     faults: &'static [SimFault],
     gap_ms: u64,
     expected_violation: &'static str,
-    seeds: u64,
+    max_seeds: u64,
 ) -> DetectionCase {
     let max_fault_interval = Duration::from_millis(gap_ms);
     DetectionCase {
@@ -140,7 +140,7 @@
         faults,
         max_fault_interval,
         expected_violation,
-        seeds,
+        max_seeds,
         has_numbered_orders: false,
         patient_callers: false,
     }
--- a/testing/fleet/src/sim/scenario/detection_cases.rs
+++ b/testing/fleet/src/sim/scenario/detection_cases.rs
@@ -22,8 +22,8 @@
 
 impl ScenarioDetectionCase {
     /// The first seed whose day finds the flaw, and the violation.
-    pub fn find(&self, most_seeds: u64) -> Option<(u64, String)> {
-        (1..=most_seeds).find_map(|seed| {
+    pub fn find(&self, max_seeds: u64) -> Option<(u64, String)> {
+        (1..=max_seeds).find_map(|seed| {
             let plan = SimPlan {
                 flaw: self.flaw,
                 ..self.scenario.plan(seed)
--- a/testing/fleet/tests/simulator.rs
+++ b/testing/fleet/tests/simulator.rs
@@ -154,7 +154,7 @@
 #[gtest]
 fn every_disabled_rule_is_detected_and_the_baseline_is_clean() -> Result<()> {
     for proof in DETECTION_CASES {
-        let end = proof.run(proof.seeds);
+        let end = proof.run(proof.max_seeds);
         verify_that!(end.baseline_violations, is_empty())
             .with_failure_message(|| proof.to_string())?;
         verify_that!(end.found, some(anything())).with_failure_message(|| proof.to_string())?;
