--- a/testing/fleet/src/history/mod.rs
+++ b/testing/fleet/src/history/mod.rs
@@ -2,7 +2,7 @@
 //! configuration register.
 //!
 //! A [`History`] records each order, each attempt to send it, each reply and each reading, with their times.
-//! [`History::judge`] searches for one sequence of events in which every acknowledged change took effect exactly once
+//! [`History::find_anomalies`] searches for one sequence of events in which every acknowledged change took effect exactly once
 //! between its first attempt and its acknowledgement, every refusal was justified at some time between the attempt and
 //! its reply, and every reading returned what was current at some time while it was in progress. An order without a
 //! definite reply may have taken effect or not. Whatever no such sequence explains is an [`Anomaly`].
@@ -222,7 +222,7 @@
         }
     }
 
-    /// The number of replies, readings and orders about zones that [`History::judge`] has to explain.
+    /// The number of replies, readings and orders about zones that [`History::find_anomalies`] has to explain.
     pub fn judged_count(&self) -> usize {
         let answered = self
             .attempts
@@ -233,9 +233,9 @@
     }
 
     /// Everything that cannot be explained, given the configuration before the first order.
-    pub fn judge(&self, first_content: &Value) -> Vec<Anomaly> {
-        let mut anomalies = register::judge(self, first_content);
-        anomalies.extend(zones::judge(self));
+    pub fn find_anomalies(&self, first_content: &Value) -> Vec<Anomaly> {
+        let mut anomalies = register::find_anomalies(self, first_content);
+        anomalies.extend(zones::find_anomalies(self));
         anomalies
     }
 
--- a/testing/fleet/src/history/register.rs
+++ b/testing/fleet/src/history/register.rs
@@ -28,8 +28,8 @@
 
 /// Checks orders and readings of the configuration: a history is explained if one of its chains is. If none is, the
 /// anomalies of the first and likeliest chain are returned.
-pub(crate) fn judge(history: &History, first_content: &Value) -> Vec<Anomaly> {
-    let mut anomalies = judge_acknowledgements(history);
+pub(crate) fn find_anomalies(history: &History, first_content: &Value) -> Vec<Anomaly> {
+    let mut anomalies = find_acknowledgement_anomalies(history);
     if !anomalies.is_empty() {
         return anomalies;
     }
@@ -42,7 +42,7 @@
             return anomalies;
         };
         let mut chain_anomalies = Vec::new();
-        VersionIntervals::of(history, &chain).judge(&mut chain_anomalies);
+        VersionIntervals::of(history, &chain).find_anomalies(&mut chain_anomalies);
         if chain_anomalies.is_empty() {
             return Vec::new();
         }
@@ -54,7 +54,7 @@
 }
 
 /// Finds anomalies that acknowledgements show without a chain: invalid orders, and two with one number or base.
-fn judge_acknowledgements(history: &History) -> Vec<Anomaly> {
+fn find_acknowledgement_anomalies(history: &History) -> Vec<Anomaly> {
     let mut anomalies = Vec::new();
     let mut by_number: BTreeMap<u64, OrderId> = BTreeMap::new();
     let mut by_base: BTreeMap<u64, OrderId> = BTreeMap::new();
@@ -113,7 +113,7 @@
     }
 
     /// Narrows the intervals by readings and refusals, and adds the anomalies.
-    fn judge(mut self, anomalies: &mut Vec<Anomaly>) {
+    fn find_anomalies(mut self, anomalies: &mut Vec<Anomaly>) {
         self.bound_by_readings();
         self.order_earliest();
         let history = self.history;
--- a/testing/fleet/src/history/zones.rs
+++ b/testing/fleet/src/history/zones.rs
@@ -6,7 +6,7 @@
 /// Checks that each reading of a zone is explained by an order that may have been the latest to take effect, or by the
 /// initial state if no order to evacuate certainly took effect. Each reading is checked by itself; readings of one zone
 /// are not compared with each other.
-pub(crate) fn judge(history: &History) -> Vec<Anomaly> {
+pub(crate) fn find_anomalies(history: &History) -> Vec<Anomaly> {
     let zones: BTreeSet<&str> = history
         .zone_orders
         .iter()
--- a/testing/fleet/src/sim/orders.rs
+++ b/testing/fleet/src/sim/orders.rs
@@ -406,7 +406,7 @@
         let operators = std::mem::take(&mut self.operators);
         self.checks
             .count_operator_answers(operators.history.judged_count());
-        for anomaly in operators.history.judge(&spec(0)) {
+        for anomaly in operators.history.find_anomalies(&spec(0)) {
             self.checks
                 .report_violation(self.queue.now(), anomaly.to_string());
         }
--- a/testing/fleet/tests/history.rs
+++ b/testing/fleet/tests/history.rs
@@ -104,7 +104,7 @@
     }
 
     fn anomalies(&self) -> Vec<Anomaly> {
-        self.0.judge(&content(0))
+        self.0.find_anomalies(&content(0))
     }
 }
 
@@ -213,7 +213,10 @@
             content: read_content,
             evacuated,
         });
-        verify_that!(history.judge(&base_content).is_empty(), eq(is_right))?;
+        verify_that!(
+            history.find_anomalies(&base_content).is_empty(),
+            eq(is_right)
+        )?;
     }
     Ok(())
 }
