--- a/testing/fleet/src/history/mod.rs
+++ b/testing/fleet/src/history/mod.rs
@@ -223,7 +223,7 @@
     }
 
     /// The number of replies, readings and orders about zones that [`History::find_anomalies`] has to explain.
-    pub fn judged_count(&self) -> usize {
+    pub fn checked_count(&self) -> usize {
         let answered = self
             .attempts
             .iter()
--- a/testing/fleet/src/sim/checks/control.rs
+++ b/testing/fleet/src/sim/checks/control.rs
@@ -126,8 +126,8 @@
     }
 
     /// Counts the replies to operators that were checked by their history.
-    pub fn count_operator_answers(&mut self, judged_count: usize) {
-        *self.checked.entry("operator's answer").or_default() += judged_count as u64;
+    pub fn count_operator_answers(&mut self, checked_count: usize) {
+        *self.checked.entry("operator's answer").or_default() += checked_count as u64;
     }
 
     /// Checks the refusal of a change.
--- a/testing/fleet/src/sim/orders.rs
+++ b/testing/fleet/src/sim/orders.rs
@@ -405,7 +405,7 @@
         }
         let operators = std::mem::take(&mut self.operators);
         self.checks
-            .count_operator_answers(operators.history.judged_count());
+            .count_operator_answers(operators.history.checked_count());
         for anomaly in operators.history.find_anomalies(&spec(0)) {
             self.checks
                 .report_violation(self.queue.now(), anomaly.to_string());
