--- a/testing/fleet/src/history/anomaly.rs
+++ b/testing/fleet/src/history/anomaly.rs
@@ -9,7 +9,7 @@
     /// An invalid order was acknowledged.
     InvalidAcknowledged(OrderId),
     /// Two orders with the same number were acknowledged.
-    NumberTwice {
+    DuplicateNumber {
         /// The number.
         number: u64,
         /// The two orders.
@@ -56,7 +56,7 @@
             Self::InvalidAcknowledged(OrderId(order)) => {
                 write!(out, "order {order} is invalid and was acknowledged")
             }
-            Self::NumberTwice { number, orders } => {
+            Self::DuplicateNumber { number, orders } => {
                 let (OrderId(left), OrderId(right)) = orders;
                 write!(
                     out,
--- a/testing/fleet/src/history/register.rs
+++ b/testing/fleet/src/history/register.rs
@@ -68,7 +68,7 @@
         }
         if let Some(other) = by_number.insert(order.number, id) {
             let orders = (other, id);
-            anomalies.push(Anomaly::NumberTwice {
+            anomalies.push(Anomaly::DuplicateNumber {
                 number: order.number,
                 orders,
             });
--- a/testing/fleet/tests/history.rs
+++ b/testing/fleet/tests/history.rs
@@ -251,7 +251,7 @@
     builder.sent(1, 5, left, Acknowledged);
     builder.sent(1, 5, right, Acknowledged);
     let orders = (left, right);
-    builder.verify_finds_only(&Anomaly::NumberTwice { number: 2, orders })
+    builder.verify_finds_only(&Anomaly::DuplicateNumber { number: 2, orders })
 }
 
 #[gtest]
