--- a/testing/fleet/src/history/anomaly.rs
+++ b/testing/fleet/src/history/anomaly.rs
@@ -16,7 +16,7 @@
         orders: (OrderId, OrderId),
     },
     /// Two orders with the same base version were acknowledged.
-    BaseTwice {
+    DuplicateBase {
         /// The number of the base version.
         base: u64,
         /// The two orders.
@@ -63,7 +63,7 @@
                     "orders {left} and {right} were both accepted as {number}"
                 )
             }
-            Self::BaseTwice { base, orders } => {
+            Self::DuplicateBase { base, orders } => {
                 let (OrderId(left), OrderId(right)) = orders;
                 write!(
                     out,
--- a/testing/fleet/src/history/register.rs
+++ b/testing/fleet/src/history/register.rs
@@ -73,7 +73,7 @@
                 orders,
             });
         } else if let Some(other) = by_base.insert(order.base, id) {
-            anomalies.push(Anomaly::BaseTwice {
+            anomalies.push(Anomaly::DuplicateBase {
                 base: order.base,
                 orders: (other, id),
             });
--- a/testing/fleet/tests/history.rs
+++ b/testing/fleet/tests/history.rs
@@ -244,7 +244,7 @@
     builder.sent(1, 5, left, Acknowledged);
     builder.sent(1, 5, right, Acknowledged);
     let orders = (left, right);
-    builder.verify_finds_only(&Anomaly::BaseTwice { base: 0, orders })?;
+    builder.verify_finds_only(&Anomaly::DuplicateBase { base: 0, orders })?;
     let mut builder = HistoryBuilder::default();
     let left = builder.order(2, 0, 1);
     let right = builder.order(2, 0, 2);
