--- a/testing/fleet/src/sim/dispatch.rs
+++ b/testing/fleet/src/sim/dispatch.rs
@@ -171,10 +171,10 @@
                 self.run_done(runner, run, fault_code)
             }
             PlatformEvent::ListTick => self.handle_list_tick(),
-            PlatformEvent::RestoreWorkers => self.platform.restore(),
+            PlatformEvent::RestoreWorkers => self.platform.end_worker_drains(),
             PlatformEvent::StopLeavingRunner(runner) => self.platform.stop(runner),
             PlatformEvent::WorkersReturn(workers) => {
-                self.platform.return_workers(workers);
+                self.platform.add_workers(workers);
             }
         }
     }
--- a/testing/fleet/src/sim/faults.rs
+++ b/testing/fleet/src/sim/faults.rs
@@ -589,7 +589,7 @@
         self.resume_all();
         self.faults.end_runner_faults();
         self.platform.end_list_delay();
-        self.platform.restore();
+        self.platform.end_worker_drains();
         for node in self.nodes.all() {
             if node != PLATFORM {
                 self.restart_node(node);
--- a/testing/fleet/src/sim/platform.rs
+++ b/testing/fleet/src/sim/platform.rs
@@ -282,7 +282,7 @@
     }
 
     /// Returns lost workers, without runners.
-    pub(crate) fn return_workers(&mut self, workers: Vec<ListedWorker>) {
+    pub(crate) fn add_workers(&mut self, workers: Vec<ListedWorker>) {
         self.workers.extend(workers);
         self.workers
             .sort_by(|left, right| left.worker.cmp(&right.worker));
@@ -298,7 +298,7 @@
     }
 
     /// Restores all drained workers.
-    pub(crate) fn restore(&mut self) {
+    pub(crate) fn end_worker_drains(&mut self) {
         self.draining_since.clear();
         self.workers
             .iter_mut()
