--- a/testing/fleet/src/sim/daemon/holders.rs
+++ b/testing/fleet/src/sim/daemon/holders.rs
@@ -78,12 +78,12 @@
                 runner,
                 address: runner_address,
             } => {
-                let is_ready = self
-                    .platform
-                    .at(runner_address)
-                    .is_some_and(|(there, held)| {
-                        there == runner && self.queue.now() >= held.ready_at
-                    });
+                let is_ready =
+                    self.platform
+                        .runner_at(runner_address)
+                        .is_some_and(|(there, held)| {
+                            there == runner && self.queue.now() >= held.ready_at
+                        });
                 let delay = self.network.delay(&mut self.rng);
                 self.queue.push(
                     delay,
@@ -97,7 +97,7 @@
                 let self_reported_id = held.self_reported_id_of(runner);
                 let running = self
                     .platform
-                    .at(runner_address)
+                    .runner_at(runner_address)
                     .filter(|(there, _)| *there == self_reported_id)
                     .map(|(_, held)| held.running.keys().cloned().collect());
                 let delay = self.network.delay(&mut self.rng);
--- a/testing/fleet/src/sim/platform.rs
+++ b/testing/fleet/src/sim/platform.rs
@@ -129,7 +129,7 @@
     }
 
     /// The runner that listens at an address.
-    pub(crate) fn at(&self, address: SocketAddress) -> Option<(RunnerId, &SimRunner)> {
+    pub(crate) fn runner_at(&self, address: SocketAddress) -> Option<(RunnerId, &SimRunner)> {
         let runner = *self.listening.get(&address)?;
         self.runners.get(&runner).map(|held| (runner, held))
     }
@@ -235,7 +235,7 @@
     }
 
     /// Whether a runner with this id runs or has ended.
-    pub(crate) fn has_seen(&self, runner: RunnerId) -> bool {
+    pub(crate) fn is_known_runner(&self, runner: RunnerId) -> bool {
         self.ended.contains(&runner) || self.runners.contains_key(&runner)
     }
 
@@ -265,7 +265,7 @@
     }
 
     /// Whether the lists are older than usual.
-    pub(crate) fn are_lists_late(&self) -> bool {
+    pub(crate) fn are_lists_delayed(&self) -> bool {
         self.list_delay > USUAL_LIST_DELAY
     }
 
--- a/testing/fleet/src/sim/platform_requests.rs
+++ b/testing/fleet/src/sim/platform_requests.rs
@@ -26,7 +26,7 @@
     ) {
         let is_busy = self.rng.random_bool(0.02);
         let is_answer_lost = self.rng.random_bool(0.02);
-        let is_known = self.platform.has_seen(runner);
+        let is_known = self.platform.is_known_runner(runner);
         let end = if is_busy {
             StartOutcome::Busy
         } else {
@@ -101,7 +101,7 @@
     pub(super) fn handle_list_tick(&mut self) {
         self.platform.snapshot_lists(self.queue.now());
         self.check_instance_owners();
-        if self.platform.are_lists_late() || !self.is_control_side_healthy() {
+        if self.platform.are_lists_delayed() || !self.is_control_side_healthy() {
             self.checks.note_control_outage(self.queue.now());
         }
         self.queue.push(LIST_INTERVAL, PlatformEvent::ListTick);
--- a/testing/fleet/src/sim/runners.rs
+++ b/testing/fleet/src/sim/runners.rs
@@ -165,7 +165,7 @@
 
     /// The runner at an address, if there is one and a request is meant for it; otherwise the send ends.
     fn find_addressed_runner(&mut self, address: SocketAddress, run: &SimRun) -> Option<RunnerId> {
-        let Some((runner, _)) = self.platform.at(address) else {
+        let Some((runner, _)) = self.platform.runner_at(address) else {
             let result = if self.rng.random_bool(0.8) {
                 SendResult::Unsent
             } else {
