--- a/testing/fleet/src/sim/dispatch.rs
+++ b/testing/fleet/src/sim/dispatch.rs
@@ -168,7 +168,7 @@
             }
             PlatformEvent::Run(address, run) => self.begin_run(address, run),
             PlatformEvent::RunDone(runner, run, fault_code) => {
-                self.run_done(runner, run, fault_code)
+                self.finish_run(runner, run, fault_code)
             }
             PlatformEvent::ListTick => self.handle_list_tick(),
             PlatformEvent::RestoreWorkers => self.platform.end_worker_drains(),
--- a/testing/fleet/src/sim/runners.rs
+++ b/testing/fleet/src/sim/runners.rs
@@ -305,7 +305,7 @@
         all[self.rng.below(all.len() as u64) as usize]
     }
 
-    pub(super) fn run_done(&mut self, runner: RunnerId, run: SimRun, fault_code: u8) {
+    pub(super) fn finish_run(&mut self, runner: RunnerId, run: SimRun, fault_code: u8) {
         let idempotency_key = run.call.idempotency_key.clone();
         let Some(held) = self.platform.runner_mut(runner) else {
             if fault_code != RunnerFault::BrokenEarly as u8 {
