--- a/testing/fleet/src/sim/faults.rs
+++ b/testing/fleet/src/sim/faults.rs
@@ -1,4 +1,4 @@
-//! Random faults: their kinds, injection and end.
+//! Random faults: their kinds, how they are injected and how they end.
 
 use super::addresses::zone_of_machine;
 use super::event::{FaultEvent, OperatorEvent, PlatformEvent};
@@ -9,7 +9,7 @@
 use std::fmt;
 use std::time::Duration;
 
-/// The kinds of faults in the simulator.
+/// A kind of fault that the simulator injects.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum SimFault {
     /// A controller is killed and restarted; writes in progress may or may not reach the disk.
@@ -18,7 +18,7 @@
     KillLeader,
     /// A daemon is killed and restarted.
     KillDaemon,
-    /// Some daemons are killed at once and restarted.
+    /// A random group of daemons is killed and restarted.
     KillGroup,
     /// All controllers are killed and restarted.
     KillQuorum,
@@ -28,17 +28,17 @@
     LoseZone,
     /// A controller is killed and restarted with an empty disk.
     LoseDisk,
-    /// A controller is lost for good and replaced by an empty one with a new address.
+    /// A controller is permanently lost and replaced by one with an empty disk and a new address.
     ReplaceVoter,
     /// A controller is killed, and the newest version on its disk is corrupted.
     DamageDisk,
-    /// Some daemons are killed together with a controller that loses its disk.
+    /// A random group of daemons is killed together with a controller, which loses its disk.
     KillGroupAndDisk,
     /// A machine is frozen and resumed.
     Freeze,
     /// The daemon with the most function leases is frozen for longer than a lease.
     FreezeHolder,
-    /// Several daemons are frozen at once.
+    /// A random group of daemons is frozen.
     FreezeGroup,
     /// The leader is frozen.
     FreezeLeader,
@@ -46,19 +46,19 @@
     Isolation,
     /// The incoming or the outgoing messages of a machine are lost.
     BlockOneDirection,
-    /// The fleet is partitioned in two.
+    /// The fleet is partitioned into two groups.
     Partition,
-    /// The quorum is partitioned in two, with the daemons on the leader's side or not.
+    /// The leader is partitioned from the other controllers, together with some, all or none of the daemons.
     PartitionQuorum,
     /// A disk stalls.
     StallDisk,
-    /// A disk fails every write, as a full one does.
+    /// Every write to a disk fails, as if the disk were full.
     FailDisk,
     /// A worker crashes with its runners.
     CrashWorker,
-    /// A runner ends by itself.
+    /// A runner terminates on its own.
     LoseRunner,
-    /// A runner announces that it leaves, and stops some time later.
+    /// A runner announces that it is leaving, and stops later.
     RunnerLeaves,
     /// A worker is drained and restored.
     DrainWorker,
@@ -66,17 +66,17 @@
     Evacuate,
     /// A daemon is stopped gracefully and restarted.
     StopDaemon,
-    /// A daemon is stopped gracefully while another one is frozen.
+    /// A random group of daemons is stopped gracefully.
     StopGroup,
-    /// Runners lose, corrupt and refuse answers.
+    /// Responses of runners are lost or corrupted, and runners reject requests.
     RunnerFaults,
     /// A burst of requests for one function.
     CallBurst,
-    /// A request for every function at once.
+    /// A burst with a few requests for each function.
     RareCallBurst,
-    /// Callers retry refused requests at once.
+    /// Callers retry refused requests immediately.
     ClientRetries,
-    /// The platform's list of runners has a long delay.
+    /// The platform's lists of runners and workers are older than usual.
     DelayedList,
     /// Operators send many changes in quick succession.
     ChangeBurst,
@@ -121,7 +121,7 @@
         SimFault::ChangeBurst,
     ];
 
-    /// The fault with this name.
+    /// Returns the fault with this name.
     pub fn by_name(name: &str) -> Option<SimFault> {
         Self::ALL
             .iter()
@@ -189,7 +189,7 @@
         }
     }
 
-    /// Draws some daemons, at least one and not all.
+    /// Chooses some of the daemons at random, at least one but not all.
     fn random_group(&mut self) -> Vec<usize> {
         let count = 1 + self.rng.below(self.nodes.daemons().len() as u64 - 1) as usize;
         let first = self.random_daemon();
@@ -199,90 +199,91 @@
     }
 
     pub(super) fn schedule_fault(&mut self) {
-        let wait_span = self
+        let delay = self
             .rng
             .within(Duration::from_millis(300), self.plan.max_fault_interval);
-        self.queue.push(wait_span, FaultEvent::RandomFault);
+        self.queue.push(delay, FaultEvent::RandomFault);
     }
 
-    /// Injects a random fault of those that the plan allows; each is undone some time later.
+    /// Injects a random fault of the kinds that the plan allows. A fault with a duration is undone after a random time.
     pub(super) fn inject_random_fault(&mut self) {
-        let lasts = self
+        let duration = self
             .rng
             .within(Duration::from_millis(300), Duration::from_millis(6000));
         let chosen = self.rng.below(SimFault::ALL.len() as u64) as usize;
-        let own_count = self.plan.fault_kinds.len() as u64;
-        let own = (own_count > 0).then(|| self.rng.below(own_count) as usize);
-        let fault = own.map_or(SimFault::ALL[chosen], |own| self.plan.fault_kinds[own]);
-        self.record
-            .trace(self.queue.now(), || format!("fault {fault} for {lasts:?}"));
+        let planned_count = self.plan.fault_kinds.len() as u64;
+        let planned = (planned_count > 0).then(|| self.rng.below(planned_count) as usize);
+        let fault = planned.map_or(SimFault::ALL[chosen], |index| self.plan.fault_kinds[index]);
+        self.record.trace(self.queue.now(), || {
+            format!("fault {fault} for {duration:?}")
+        });
         self.record.count_event(&format!("fault {fault}"));
-        self.inject(fault, lasts);
+        self.inject(fault, duration);
     }
 
-    fn inject(&mut self, fault: SimFault, lasts: Duration) {
+    fn inject(&mut self, fault: SimFault, duration: Duration) {
         match fault {
-            SimFault::KillController => drop(self.kill_random_controller(lasts)),
-            SimFault::KillLeader => self.kill_leader(lasts),
-            SimFault::KillDaemon => self.kill_random_daemon(lasts),
-            SimFault::KillGroup => self.kill_group(lasts),
-            SimFault::KillQuorum => self.kill_quorum(lasts),
-            SimFault::RestartAll => self.kill_all(lasts),
-            SimFault::LoseZone => self.lose_zone(lasts),
-            SimFault::LoseDisk => drop(self.lose_random_disk(lasts)),
-            SimFault::ReplaceVoter => self.replace_random_voter(lasts),
-            SimFault::DamageDisk => self.damage_random_disk(lasts),
-            SimFault::KillGroupAndDisk => self.kill_group_and_disk(lasts),
-            SimFault::Freeze => self.freeze_random_node(lasts),
-            SimFault::FreezeHolder => self.freeze_holder(lasts),
-            SimFault::FreezeGroup => self.freeze_group(lasts),
-            SimFault::FreezeLeader => self.freeze_leader(lasts),
-            SimFault::Isolation => self.isolate_random_node(lasts),
-            SimFault::BlockOneDirection => self.block_one_direction(lasts),
-            SimFault::Partition => self.partition_fleet(lasts),
-            SimFault::PartitionQuorum => self.partition_quorum(lasts),
-            SimFault::StallDisk => self.stall_random_disk(lasts),
-            SimFault::FailDisk => self.fail_random_disk(lasts),
+            SimFault::KillController => drop(self.kill_random_controller(duration)),
+            SimFault::KillLeader => self.kill_leader(duration),
+            SimFault::KillDaemon => self.kill_random_daemon(duration),
+            SimFault::KillGroup => self.kill_group(duration),
+            SimFault::KillQuorum => self.kill_quorum(duration),
+            SimFault::RestartAll => self.kill_all(duration),
+            SimFault::LoseZone => self.lose_zone(duration),
+            SimFault::LoseDisk => drop(self.lose_random_disk(duration)),
+            SimFault::ReplaceVoter => self.replace_random_voter(duration),
+            SimFault::DamageDisk => self.damage_random_disk(duration),
+            SimFault::KillGroupAndDisk => self.kill_group_and_disk(duration),
+            SimFault::Freeze => self.freeze_random_node(duration),
+            SimFault::FreezeHolder => self.freeze_holder(duration),
+            SimFault::FreezeGroup => self.freeze_group(duration),
+            SimFault::FreezeLeader => self.freeze_leader(duration),
+            SimFault::Isolation => self.isolate_random_node(duration),
+            SimFault::BlockOneDirection => self.block_one_direction(duration),
+            SimFault::Partition => self.partition_fleet(duration),
+            SimFault::PartitionQuorum => self.partition_quorum(duration),
+            SimFault::StallDisk => self.stall_random_disk(duration),
+            SimFault::FailDisk => self.fail_random_disk(duration),
             SimFault::CrashWorker => self.crash_random_worker(),
             SimFault::LoseRunner => self.lose_random_runner(),
             SimFault::RunnerLeaves => self.announce_leaving_runner(),
-            SimFault::DrainWorker => self.drain_random_worker(lasts),
-            SimFault::Evacuate => self.evacuate(lasts),
+            SimFault::DrainWorker => self.drain_random_worker(duration),
+            SimFault::Evacuate => self.evacuate(duration),
             SimFault::StopDaemon => self.stop_random_daemon(),
             SimFault::StopGroup => self.stop_group(),
-            SimFault::RunnerFaults => self.start_runner_faults(lasts),
+            SimFault::RunnerFaults => self.start_runner_faults(duration),
             SimFault::CallBurst => self.send_call_burst(),
             SimFault::RareCallBurst => self.send_rare_call_burst(),
-            SimFault::ClientRetries => self.faults.retry_until(self.queue.now() + lasts),
-            SimFault::DelayedList => self.delay_lists(lasts),
+            SimFault::ClientRetries => self.faults.retry_until(self.queue.now() + duration),
+            SimFault::DelayedList => self.delay_lists(duration),
             SimFault::ChangeBurst => self.send_change_burst(),
         }
     }
 
-    fn kill_random_daemon(&mut self, lasts: Duration) {
+    fn kill_random_daemon(&mut self, duration: Duration) {
         let index = self.random_daemon();
-        self.lose_daemon(index, lasts);
+        self.lose_daemon(index, duration);
     }
 
-    fn replace_random_voter(&mut self, lasts: Duration) {
-        if let Some(index) = self.lose_random_disk(lasts) {
+    fn replace_random_voter(&mut self, duration: Duration) {
+        if let Some(index) = self.lose_random_disk(duration) {
             self.nodes.move_controller(index);
         }
     }
 
-    fn freeze_random_node(&mut self, lasts: Duration) {
+    fn freeze_random_node(&mut self, duration: Duration) {
         let node = self.random_node();
-        self.freeze(node, lasts);
+        self.freeze(node, duration);
     }
 
-    fn stall_random_disk(&mut self, lasts: Duration) {
+    fn stall_random_disk(&mut self, duration: Duration) {
         let index = self.random_controller_index();
-        self.nodes.controller_mut(index).disk.stalled_until = self.queue.now() + lasts;
+        self.nodes.controller_mut(index).disk.stalled_until = self.queue.now() + duration;
     }
 
-    fn fail_random_disk(&mut self, lasts: Duration) {
+    fn fail_random_disk(&mut self, duration: Duration) {
         let index = self.random_controller_index();
-        self.nodes.controller_mut(index).disk.failing_until = self.queue.now() + lasts;
+        self.nodes.controller_mut(index).disk.failing_until = self.queue.now() + duration;
     }
 
     fn stop_random_daemon(&mut self) {
@@ -290,74 +291,74 @@
         self.begin_orderly_stop(index);
     }
 
-    fn start_runner_faults(&mut self, lasts: Duration) {
+    fn start_runner_faults(&mut self, duration: Duration) {
         self.faults.start_runner_faults();
-        self.queue.push(lasts, FaultEvent::EndPlatformFaults);
+        self.queue.push(duration, FaultEvent::EndPlatformFaults);
     }
 
-    fn delay_lists(&mut self, lasts: Duration) {
-        self.platform.delay_lists(lasts / 2);
-        self.queue.push(lasts, FaultEvent::EndPlatformFaults);
+    fn delay_lists(&mut self, duration: Duration) {
+        self.platform.delay_lists(duration / 2);
+        self.queue.push(duration, FaultEvent::EndPlatformFaults);
     }
 
-    fn kill_random_controller(&mut self, lasts: Duration) -> usize {
+    fn kill_random_controller(&mut self, duration: Duration) -> usize {
         let index = self.random_controller_index();
-        self.lose_controller(index, lasts);
+        self.lose_controller(index, duration);
         index
     }
 
-    fn kill_leader(&mut self, lasts: Duration) {
+    fn kill_leader(&mut self, duration: Duration) {
         if let Some(index) = self.nodes.leading_controller() {
-            self.lose_controller(index, lasts);
+            self.lose_controller(index, duration);
         }
     }
 
-    fn kill_group(&mut self, lasts: Duration) {
+    fn kill_group(&mut self, duration: Duration) {
         for index in self.random_group() {
-            self.lose_daemon(index, lasts);
+            self.lose_daemon(index, duration);
         }
     }
 
-    fn kill_quorum(&mut self, lasts: Duration) {
+    fn kill_quorum(&mut self, duration: Duration) {
         for index in 0..self.nodes.controllers().len() {
-            self.lose_controller(index, lasts);
+            self.lose_controller(index, duration);
         }
     }
 
-    fn kill_all(&mut self, lasts: Duration) {
-        self.kill_quorum(lasts);
+    fn kill_all(&mut self, duration: Duration) {
+        self.kill_quorum(duration);
         for index in 0..self.nodes.daemons().len() {
-            self.lose_daemon(index, lasts);
+            self.lose_daemon(index, duration);
         }
     }
 
-    /// Kills a random controller and empties its disk, if one more may be lost; returns its index.
-    fn lose_random_disk(&mut self, lasts: Duration) -> Option<usize> {
+    /// Kills a random controller and erases its disk, if another disk may be lost. Returns the controller's index.
+    fn lose_random_disk(&mut self, duration: Duration) -> Option<usize> {
         if !self.nodes.may_lose_disk() {
             return None;
         }
         self.record.count_event("disk lost");
-        let index = self.kill_random_controller(lasts);
+        let index = self.kill_random_controller(duration);
         self.lose_disk(index);
         Some(index)
     }
 
-    fn damage_random_disk(&mut self, lasts: Duration) {
+    fn damage_random_disk(&mut self, duration: Duration) {
         if self.nodes.may_lose_disk() {
-            let index = self.kill_random_controller(lasts);
+            let index = self.kill_random_controller(duration);
             self.nodes.controller_mut(index).disk.damage();
         }
     }
 
-    fn kill_group_and_disk(&mut self, lasts: Duration) {
+    fn kill_group_and_disk(&mut self, duration: Duration) {
         if self.nodes.may_lose_disk() {
-            self.kill_group(lasts);
-            let index = self.kill_random_controller(lasts);
+            self.kill_group(duration);
+            let index = self.kill_random_controller(duration);
             self.lose_disk(index);
         }
     }
 
-    fn freeze_holder(&mut self, lasts: Duration) {
+    fn freeze_holder(&mut self, duration: Duration) {
         let holder = (0..self.nodes.daemons().len()).max_by_key(|index| {
             self.nodes
                 .agent(*index)
@@ -366,33 +367,33 @@
         if let Some(holder) = holder {
             self.freeze(
                 self.nodes.daemon(holder).node,
-                Duration::from_secs(3) + lasts / 2,
+                Duration::from_secs(3) + duration / 2,
             );
         }
     }
 
-    fn freeze_group(&mut self, lasts: Duration) {
+    fn freeze_group(&mut self, duration: Duration) {
         for index in self.random_group() {
-            self.freeze(self.nodes.daemon(index).node, lasts);
+            self.freeze(self.nodes.daemon(index).node, duration);
         }
     }
 
-    fn freeze_leader(&mut self, lasts: Duration) {
+    fn freeze_leader(&mut self, duration: Duration) {
         if let Some(index) = self.nodes.leading_controller() {
-            self.freeze(self.nodes.controller(index).node, lasts);
+            self.freeze(self.nodes.controller(index).node, duration);
         }
     }
 
-    fn isolate_random_node(&mut self, lasts: Duration) {
+    fn isolate_random_node(&mut self, duration: Duration) {
         let isolated_node = self.random_node();
         for other in self.nodes.all() {
             self.network.block(isolated_node, other);
             self.network.block(other, isolated_node);
         }
-        self.queue.push(lasts, FaultEvent::ClearPartitions);
+        self.queue.push(duration, FaultEvent::ClearPartitions);
     }
 
-    fn block_one_direction(&mut self, lasts: Duration) {
+    fn block_one_direction(&mut self, duration: Duration) {
         let isolated_node = self.random_node();
         let blocks_incoming = self.rng.random_bool(0.5);
         for other in self.nodes.all() {
@@ -402,19 +403,19 @@
                 self.network.block(isolated_node, other);
             }
         }
-        self.queue.push(lasts, FaultEvent::ClearPartitions);
+        self.queue.push(duration, FaultEvent::ClearPartitions);
     }
 
-    /// Partitions the fleet in two groups that depend on the duration.
-    fn partition_fleet(&mut self, lasts: Duration) {
-        let salt = lasts.subsec_nanos() as usize;
+    /// Partitions the fleet into two groups, which are derived from the random duration.
+    fn partition_fleet(&mut self, duration: Duration) {
+        let salt = duration.subsec_nanos() as usize;
         let (left, right): (Vec<Node>, Vec<Node>) = self
             .nodes
             .all()
             .into_iter()
             .partition(|node| (node.0 * 7 + salt).is_multiple_of(3));
         self.partition(&left, &right);
-        self.queue.push(lasts, FaultEvent::ClearPartitions);
+        self.queue.push(duration, FaultEvent::ClearPartitions);
     }
 
     fn random_worker_index(&mut self) -> usize {
@@ -449,11 +450,11 @@
         }
     }
 
-    fn drain_random_worker(&mut self, lasts: Duration) {
+    fn drain_random_worker(&mut self, duration: Duration) {
         let worker_index = self.random_worker_index();
         self.platform.drain(self.queue.now(), worker_index);
         self.queue.push(
-            Duration::from_secs(5) + lasts,
+            Duration::from_secs(5) + duration,
             PlatformEvent::RestoreWorkers,
         );
     }
@@ -486,46 +487,46 @@
         }
     }
 
-    fn lose_controller(&mut self, index: usize, lasts: Duration) {
+    fn lose_controller(&mut self, index: usize, duration: Duration) {
         self.kill_controller(index);
         self.queue.push(
-            lasts,
+            duration,
             FaultEvent::RestartNode(self.nodes.controller(index).node),
         );
     }
 
-    fn lose_daemon(&mut self, index: usize, lasts: Duration) {
+    fn lose_daemon(&mut self, index: usize, duration: Duration) {
         self.kill_daemon(index);
         self.queue.push(
-            lasts,
+            duration,
             FaultEvent::RestartNode(self.nodes.daemon(index).node),
         );
     }
 
-    pub(super) fn freeze(&mut self, node: Node, lasts: Duration) {
-        let until = self.queue.now() + lasts;
-        let wakes_at = self.frozen.freeze(node, until);
+    pub(super) fn freeze(&mut self, node: Node, duration: Duration) {
+        let until = self.queue.now() + duration;
+        let resumes_at = self.frozen.freeze(node, until);
         if !node.is_controller()
             && let Some(body) = &mut self.nodes.daemon_mut(node.daemon_index()).body
         {
             body.is_disturbed = true;
         }
         self.queue.push(
-            wakes_at.since(self.queue.now()),
+            resumes_at.since(self.queue.now()),
             FaultEvent::ResumeNode(node),
         );
     }
 
-    fn lose_zone(&mut self, lasts: Duration) {
+    fn lose_zone(&mut self, duration: Duration) {
         let number = self.rng.below(3) as usize;
         let zone = zone_of_machine(number);
-        self.lose_controller(number, lasts);
+        self.lose_controller(number, duration);
         for index in (0..self.nodes.daemons().len()).filter(|index| index % 3 == number) {
-            self.lose_daemon(index, lasts);
+            self.lose_daemon(index, duration);
         }
         let lost_workers = self.platform.remove_zone(&zone);
         self.queue
-            .push(lasts, PlatformEvent::WorkersReturn(lost_workers));
+            .push(duration, PlatformEvent::WorkersReturn(lost_workers));
     }
 
     fn partition(&mut self, left: &[Node], right: &[Node]) {
@@ -537,14 +538,15 @@
         }
     }
 
-    /// Partitions one controller, often the leader, alone or with some daemons, from the rest.
-    fn partition_quorum(&mut self, lasts: Duration) {
+    /// Partitions the leader, or a random controller if there is none, from the other controllers. A random number of
+    /// daemons is on its side.
+    fn partition_quorum(&mut self, duration: Duration) {
         let random_controller = self.random_controller_index();
         let isolated = self.nodes.leading_controller().unwrap_or(random_controller);
-        let with_daemons = self.rng.below(self.nodes.daemons().len() as u64 + 1) as usize;
+        let daemon_count = self.rng.below(self.nodes.daemons().len() as u64 + 1) as usize;
         let left: Vec<Node> = [Node(isolated)]
             .into_iter()
-            .chain((0..with_daemons).map(Node::of_daemon))
+            .chain((0..daemon_count).map(Node::of_daemon))
             .collect();
         let right: Vec<Node> = self
             .nodes
@@ -553,10 +555,10 @@
             .filter(|node| !left.contains(node) && *node != PLATFORM)
             .collect();
         self.partition(&left, &right);
-        self.queue.push(lasts, FaultEvent::ClearPartitions);
+        self.queue.push(duration, FaultEvent::ClearPartitions);
     }
 
-    fn evacuate(&mut self, lasts: Duration) {
+    fn evacuate(&mut self, duration: Duration) {
         if self.checks.has_evacuated_zone() {
             return;
         }
@@ -568,11 +570,13 @@
                 force: false,
             },
         );
-        self.queue
-            .push(Duration::from_secs(6) + lasts, OperatorEvent::Restore(zone));
+        self.queue.push(
+            Duration::from_secs(6) + duration,
+            OperatorEvent::Restore(zone),
+        );
     }
 
-    /// Restarts a killed machine.
+    /// Starts a controller or daemon again if it is not running.
     pub(super) fn restart_node(&mut self, node: Node) {
         if node.is_controller() {
             if !self.nodes.controller(node.0).is_running() {
@@ -583,7 +587,7 @@
         }
     }
 
-    /// Restarts all machines and undoes all faults.
+    /// Undoes all faults and starts all controllers and daemons that are not running.
     pub(super) fn heal(&mut self) {
         self.network.clear_partitions();
         self.resume_all();
