--- a/testing/fleet/src/sim/orders.rs
+++ b/testing/fleet/src/sim/orders.rs
@@ -1,4 +1,5 @@
-//! Operators with numbered orders: they send to any controller, retry after a timeout or failure, and read back.
+//! Operators that number their orders. They send commands to any controller, retry them after timeouts and failures,
+//! and read the configuration.
 
 use super::event::{ControllerEvent, OperatorEvent};
 use super::network::Node;
@@ -16,26 +17,26 @@
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
 
-/// The largest number of orders in flight.
-const MAX_OPEN_COMMANDS: usize = 8;
+/// The maximum number of commands in flight.
+const MAX_COMMANDS_IN_FLIGHT: usize = 8;
 /// How long an operator waits for a reply.
 const REPLY_TIMEOUT: Duration = Duration::from_millis(1000);
 const INITIAL_BACKOFF: Duration = Duration::from_millis(60);
 const MAX_BACKOFF: Duration = Duration::from_millis(2000);
 const MAX_REDIRECTS: u32 = 2;
-/// How often an order is sent before it is abandoned.
+/// The number of attempts after which an order is abandoned.
 const MAX_ATTEMPTS: u32 = 16;
-/// How long an evacuation may be retried.
+/// How long an order to evacuate or restore a zone is retried.
 const ZONE_COMMAND_TIMEOUT: Duration = Duration::from_secs(12);
 const LOST_REQUEST_SHARE: f64 = 0.03;
 const LOST_ANSWER_SHARE: f64 = 0.15;
 const LATE_REQUEST_SHARE: f64 = 0.04;
-const LONGEST_DELAY: Duration = Duration::from_secs(10);
-/// Orders about zones have no version number; they are delayed more often and for longer.
+const MAX_DELAY: Duration = Duration::from_secs(10);
+/// Zone orders, which have no version number, are delayed more often and for longer than other commands.
 const LATE_ZONE_SHARE: f64 = 0.3;
-const LONGEST_ZONE_DELAY: Duration = Duration::from_secs(20);
-/// How soon after the last bytes of a request a controller notices that its caller closed the connection.
-const DISCONNECT_WITHIN: Duration = Duration::from_millis(8);
+const MAX_ZONE_DELAY: Duration = Duration::from_secs(20);
+/// The longest time after the last bytes of a request until the controller notices that the caller closed the connection.
+const MAX_DISCONNECT_DELAY: Duration = Duration::from_millis(8);
 
 /// The kind of an operator's command.
 #[derive(Clone, Copy)]
@@ -54,7 +55,7 @@
     started_at: MonotonicTime,
 }
 
-/// An attempt that waits for its reply.
+/// An attempt that has not been answered yet.
 struct SentRequest {
     command: u64,
     attempt: Option<AttemptId>,
@@ -64,7 +65,7 @@
     arrives_at: MonotonicTime,
 }
 
-/// All operators, with the history of what they sent and received.
+/// All operators, and the history of what they sent and received.
 pub(crate) struct Operators {
     history: History,
     commands: BTreeMap<u64, OperatorCommand>,
@@ -100,18 +101,18 @@
     pub(super) fn send_orders(&mut self) {
         let base = generate_base(&mut self.rng, &self.operators.known_numbers);
         let number = generate_number(&mut self.rng, base);
-        let rival_count = if self.rng.random_bool(0.4) { 2 } else { 1 };
-        let has_same_number = self.rng.random_bool(0.6);
-        for _ in 0..rival_count {
-            if self.operators.commands.len() >= MAX_OPEN_COMMANDS {
+        let order_count = if self.rng.random_bool(0.4) { 2 } else { 1 };
+        let shares_number = self.rng.random_bool(0.6);
+        for _ in 0..order_count {
+            if self.operators.commands.len() >= MAX_COMMANDS_IN_FLIGHT {
                 return;
             }
-            let own_number = if has_same_number {
+            let order_number = if shares_number {
                 number
             } else {
                 generate_number(&mut self.rng, base)
             };
-            self.send_order(own_number, base);
+            self.send_order(order_number, base);
         }
     }
 
@@ -215,7 +216,7 @@
         self.record.trace(self.queue.now(), || {
             let number = node.0;
             format!(
-                "operator sends wish {command_number} to {number} as {ticket:?}, there in {delay:?}"
+                "operator sends command {command_number} to {number} as {ticket:?}, arrives in {delay:?}"
             )
         });
         if !self.rng.random_bool(LOST_REQUEST_SHARE) {
@@ -227,31 +228,31 @@
     }
 
     fn request_delay(&mut self, command_kind: CommandKind) -> Duration {
-        let (late_share, longest_delay) = match command_kind {
-            CommandKind::Zone(_) => (LATE_ZONE_SHARE, LONGEST_ZONE_DELAY),
-            CommandKind::Change(_) | CommandKind::Read => (LATE_REQUEST_SHARE, LONGEST_DELAY),
+        let (late_share, max_delay) = match command_kind {
+            CommandKind::Zone(_) => (LATE_ZONE_SHARE, MAX_ZONE_DELAY),
+            CommandKind::Change(_) | CommandKind::Read => (LATE_REQUEST_SHARE, MAX_DELAY),
         };
         if self.rng.random_bool(late_share) {
-            self.rng.within(Duration::from_millis(100), longest_delay)
+            self.rng.within(Duration::from_millis(100), max_delay)
         } else {
             self.network.delay(&mut self.rng)
         }
     }
 
-    /// Handles a timeout at an operator: it closes the connection and tries another controller.
+    /// Handles an operator's timeout: the operator closes the connection and retries the command later.
     pub(super) fn time_out_command(&mut self, ticket: OperationTicket) {
         let Some(sent) = self.operators.sent.remove(&ticket) else {
             return;
         };
         let received_at = self.queue.now().max(sent.arrives_at);
-        let disconnect_delay = self.rng.within(Duration::ZERO, DISCONNECT_WITHIN);
+        let disconnect_delay = self.rng.within(Duration::ZERO, MAX_DISCONNECT_DELAY);
         let delay = received_at.since(self.queue.now()) + disconnect_delay;
         self.queue
             .push(delay, ControllerEvent::Withdraw(sent.node, ticket));
         self.retry_later(sent.command);
     }
 
-    /// Retries a command after a growing backoff, or abandons it.
+    /// Schedules the next attempt with exponential backoff, or abandons the command.
     fn retry_later(&mut self, number: u64) {
         let Some(command) = self.operators.commands.get_mut(&number) else {
             return;
@@ -279,7 +280,7 @@
         self.record.count_event("order given up");
     }
 
-    /// Handles a controller's reply at its operator.
+    /// Handles a controller's reply to a command. Some replies are lost at random.
     pub(super) fn handle_command_reply(&mut self, ticket: OperationTicket, reply: OperationReply) {
         if self.rng.random_bool(LOST_ANSWER_SHARE) {
             return;
@@ -377,7 +378,7 @@
         };
         let (node, waited) = (sent.node.0, self.queue.now().since(sent.sent_at));
         self.record.trace(self.queue.now(), || {
-            format!("operator hears {answer:?} on {change} from {node} after {waited:?}")
+            format!("operator receives {answer:?} for {change} from {node} after {waited:?}")
         });
         if let Some(attempt) = sent.attempt {
             self.operators
@@ -413,9 +414,9 @@
     }
 
     pub(super) fn schedule_reading(&mut self) {
-        let wait_span = self
+        let delay = self
             .rng
             .within(Duration::from_millis(100), Duration::from_millis(1500));
-        self.queue.push(wait_span, OperatorEvent::ReadBack);
+        self.queue.push(delay, OperatorEvent::ReadBack);
     }
 }
