--- a/testing/fleet/src/sim/detection_cases.rs
+++ b/testing/fleet/src/sim/detection_cases.rs
@@ -1,4 +1,4 @@
-//! Detection cases by simulated days: flaws that the checks must find.
+//! Detection cases with random faults: flaws that the checks must find.
 
 use super::faults::SimFault;
 use super::flaw::Flaw;
@@ -8,23 +8,23 @@
 use std::fmt;
 use std::time::Duration;
 
-/// A detection case: a flaw, the faults that expose it, and the violation that is expected with it and absent without.
+/// A flaw, the faults that expose it, and the violation that must be found with the flaw and not without it.
 pub struct DetectionCase {
-    /// What must never happen, in the order of the requirements.
+    /// What must never happen. The cases are in the order of the requirements.
     pub property: &'static str,
     /// The flaw that is introduced.
     pub flaw: Flaw,
     /// The faults that expose it.
     pub faults: &'static [SimFault],
-    /// The longest time from one fault to the next.
+    /// The longest time between two faults.
     pub max_fault_interval: Duration,
-    /// The text of the expected violation.
+    /// A part of the expected violation's message; empty if any violation counts.
     pub expected_violation: &'static str,
-    /// The number of seeds after which it must have been found.
+    /// The number of seeds within which the flaw must be found.
     pub max_seeds: u64,
     /// Whether operators send hundreds of numbered orders.
     pub has_numbered_orders: bool,
-    /// Whether callers wait longer than the grace period of an orderly stop.
+    /// Whether callers wait longer than the grace period of a graceful shutdown.
     pub patient_callers: bool,
 }
 
@@ -32,45 +32,45 @@
 pub struct DetectionResult {
     /// The first seed that found the flaw, and the violation.
     pub found: Option<(u64, String)>,
-    /// The violations in the same days without the flaw.
+    /// The violations in the same runs without the flaw.
     pub baseline_violations: Vec<String>,
-    /// The number of checked cases in the days without the flaw.
+    /// The number of checks in the runs without the flaw.
     pub checked: u64,
 }
 
-/// The longest time between two orders where the case is not about orders.
+/// The longest time between two orders, unless the case is about orders.
 const MAX_ORDER_INTERVAL: Duration = Duration::from_millis(3000);
-/// The longest time between two orders where the case is about them: hundreds in a day.
+/// The longest time between two orders if the case is about orders; hundreds are sent in a run.
 const FREQUENT_MAX_ORDER_INTERVAL: Duration = Duration::from_millis(150);
 
-/// The usual rate of calls, a second.
-const CALLER_RATE: f64 = 60.0;
-/// The rate of calls that wait long, for functions with a single slot each, a second.
-const PATIENT_CALLER_RATE: f64 = 8.0;
+/// The usual number of calls per second.
+const CALL_RATE: f64 = 60.0;
+/// The number of calls per second if callers wait long and each function has a single slot.
+const PATIENT_CALL_RATE: f64 = 8.0;
 
 impl DetectionCase {
-    /// This case with hundreds of numbered orders.
+    /// Returns this case with hundreds of numbered orders.
     const fn with_orders(mut self) -> Self {
         self.has_numbered_orders = true;
         self
     }
 
-    /// This case with callers that outlast an orderly stop.
+    /// Returns this case with callers that wait longer than the grace period of a graceful shutdown.
     const fn with_patient_callers(mut self) -> Self {
         self.patient_callers = true;
         self
     }
 
-    /// The plan of a day with this seed, with the flaw or without.
+    /// Returns the plan of a run with this seed and flaw.
     pub fn plan(&self, seed: u64, flaw: Flaw) -> SimPlan {
         SimPlan {
             flaw,
             fault_kinds: self.faults.to_vec(),
             max_fault_interval: self.max_fault_interval,
             rate: if self.patient_callers {
-                PATIENT_CALLER_RATE
+                PATIENT_CALL_RATE
             } else {
-                CALLER_RATE
+                CALL_RATE
             },
             duplicate_share: 0.5,
             has_numbered_orders: self.has_numbered_orders,
@@ -84,30 +84,31 @@
         }
     }
 
-    /// Runs days with the flaw until one finds it, and the same days without it.
+    /// Runs each seed without and with the flaw, until the flaw is found.
     pub fn run(&self, max_seeds: u64) -> DetectionResult {
-        let mut end = DetectionResult {
+        let mut result = DetectionResult {
             found: None,
             baseline_violations: Vec::new(),
             checked: 0,
         };
         for seed in 1..=max_seeds {
-            let baseline_end = Simulation::new(self.plan(seed, Flaw::None), false).run();
-            end.checked += baseline_end.checked.values().sum::<u64>();
-            let baseline_violations = baseline_end.violations.iter();
-            end.baseline_violations
+            let baseline_result = Simulation::new(self.plan(seed, Flaw::None), false).run();
+            result.checked += baseline_result.checked.values().sum::<u64>();
+            let baseline_violations = baseline_result.violations.iter();
+            result
+                .baseline_violations
                 .extend(baseline_violations.map(|violation| format!("seed {seed}: {violation}")));
             let flawed_result = Simulation::new(self.plan(seed, self.flaw), false).run();
-            let seen = flawed_result
+            let violation = flawed_result
                 .violations
                 .iter()
                 .find(|violation| violation.what.contains(self.expected_violation));
-            if let Some(seen) = seen {
-                end.found = Some((seed, seen.what.clone()));
+            if let Some(violation) = violation {
+                result.found = Some((seed, violation.what.clone()));
                 break;
             }
         }
-        end
+        result
     }
 }
 
@@ -124,16 +125,16 @@
     }
 }
 
-/// A case without numbered orders.
+/// Creates a case without numbered orders and patient callers.
 const fn case(
     property: &'static str,
     flaw: Flaw,
     faults: &'static [SimFault],
-    gap_ms: u64,
+    max_fault_interval_ms: u64,
     expected_violation: &'static str,
     max_seeds: u64,
 ) -> DetectionCase {
-    let max_fault_interval = Duration::from_millis(gap_ms);
+    let max_fault_interval = Duration::from_millis(max_fault_interval_ms);
     DetectionCase {
         property,
         flaw,
@@ -148,7 +149,7 @@
 
 use SimFault as F;
 
-/// The detection cases by simulated days.
+/// The detection cases with random faults.
 pub const DETECTION_CASES: &[DetectionCase] = &[
     case(
         "runs twice",
