--- a/testing/fleet/src/sim/detection_cases.rs
+++ b/testing/fleet/src/sim/detection_cases.rs
@@ -212,7 +212,7 @@
         Flaw::Without(Rule::ServesUnderSessionLease),
         &[F::Isolation, F::FreezeHolder],
         1500,
-        "member grant",
+        "outside its session lease",
         6,
     ),
     case(
@@ -333,7 +333,7 @@
         Flaw::Without(Rule::LeaseExpiredBeforeRegrant),
         &[F::FreezeHolder, F::Isolation],
         1500,
-        "send to the same life",
+        "send to the same instance",
         12,
     ),
     case(
--- a/testing/fleet/src/sim/runners.rs
+++ b/testing/fleet/src/sim/runners.rs
@@ -131,7 +131,7 @@
         let (function, fencing_token) = (&run.function, run.fencing_token);
         if !self.is_daemon_serving(index) {
             let idempotency_key = &run.call.idempotency_key;
-            let what = format!("daemon {index} sends {idempotency_key} outside its member grant");
+            let what = format!("daemon {index} sends {idempotency_key} outside its session lease");
             self.checks.report_violation(self.queue.now(), what);
         }
         let before = self.checks.check_send(instance, index, fencing_token);
@@ -140,7 +140,7 @@
         {
             let what = format!(
                 "daemon {index} under {fencing_token} and daemon {other} under {other_lease} send to \
-                 the same life of {function}"
+                 the same instance of {function}"
             );
             self.checks.report_violation(self.queue.now(), what);
         }
