--- a/testing/fleet/src/sim/runners.rs
+++ b/testing/fleet/src/sim/runners.rs
@@ -1,4 +1,4 @@
-//! Requests on simulated runners: sends, runs and answers with injected faults.
+//! Requests to simulated runners: sending, execution and responses, with injected faults.
 
 use super::addresses::zone_of_machine;
 use super::event::{HolderEvent, PlatformEvent};
@@ -16,10 +16,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How soon a lease holder hears of a send that did not leave its daemon.
-const SEND_ENDS_AT_ONCE: Duration = Duration::from_micros(1);
+/// Delay until a lease holder learns that a request did not leave its daemon.
+const UNSENT_RESULT_DELAY: Duration = Duration::from_micros(1);
 
-/// A request on a runner, and where its result is returned to.
+/// A request to a runner, and the lease holder to which the result is returned.
 #[derive(Clone)]
 pub(super) struct SimRun {
     pub requester: Requester,
@@ -30,27 +30,30 @@
     pub call: RunnerAttempt,
 }
 
-/// The state of a runner as it began a request.
+/// The state of a runner when it started a request.
 struct AdmittedRun {
     function: FunctionKey,
     worker: WorkerName,
-    /// How many requests of the same lease holder it runs, with this one.
+    /// The number of requests of the same lease holder that it runs, including this one.
     running_count: u32,
     slots: u32,
-    /// The number of answers that allow concurrent requests.
+    /// The number of good responses so far; slow start allows one concurrent request more.
     answered: u32,
     ready_at: MonotonicTime,
 }
 
-/// What happens to a runner's answer on its way.
+/// A fault of a runner's response.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 enum RunnerFault {
     None,
     Lost,
-    BrokenEarly,
-    WrongByte,
-    Short,
-    Foreign,
+    /// The connection breaks before the response; the request keeps running.
+    ConnectionBroken,
+    CorruptedByte,
+    Truncated,
+    /// The runner sends its previous response instead.
+    PreviousResponse,
+    /// The runner rejects the request without running it.
     Rejected,
 }
 
@@ -72,7 +75,7 @@
         let (function, fencing_token) = (held.function.clone(), held.fencing_token);
         let Some(target) = held.runner_target(runner) else {
             self.queue.push(
-                SEND_ENDS_AT_ONCE,
+                UNSENT_RESULT_DELAY,
                 HolderEvent::SendEnded(
                     requester,
                     function,
@@ -105,14 +108,14 @@
             Err(reason) => {
                 let result = SendResult::Forbidden(reason);
                 self.queue.push(
-                    SEND_ENDS_AT_ONCE,
+                    UNSENT_RESULT_DELAY,
                     HolderEvent::SendEnded(requester, function, ticket, fencing_token, result),
                 );
             }
         }
     }
 
-    /// Sends a request to the address of a runner, and checks that the daemon may.
+    /// Checks that the daemon may send a request, and sends it to the address of a runner.
     fn send_run(
         &mut self,
         index: usize,
@@ -126,7 +129,7 @@
             .push(delay, PlatformEvent::Run(runner_address, run));
     }
 
-    /// Checks that a daemon sends to a runner under a session lease and as its only lease holder.
+    /// Checks that the daemon has a session lease and that no other live lease holder sends to the instance.
     fn check_send(&mut self, index: usize, instance: &InstanceId, run: &SimRun) {
         let (function, fencing_token) = (&run.function, run.fencing_token);
         if !self.is_daemon_serving(index) {
@@ -163,7 +166,7 @@
         self.schedule_answer(runner, run);
     }
 
-    /// The runner at an address, if there is one and a request is meant for it; otherwise the send ends.
+    /// Returns the runner at an address if the request is meant for it. Otherwise ends the send.
     fn find_addressed_runner(&mut self, address: SocketAddress, run: &SimRun) -> Option<RunnerId> {
         let Some((runner, _)) = self.platform.runner_at(address) else {
             let result = if self.rng.random_bool(0.8) {
@@ -182,41 +185,42 @@
         Some(runner)
     }
 
-    /// Lets a runner begin a request, unless requests of an earlier lease holder take its slots.
+    /// Starts a request on a runner, unless requests of an earlier lease holder occupy its slots.
     fn admit_run(&mut self, runner: RunnerId, run: &SimRun) -> Option<AdmittedRun> {
         let idempotency_key = &run.call.idempotency_key;
-        let held = self.platform.runner_mut(runner)?;
-        let slots = held.slots;
-        let own_count = held
+        let sim_runner = self.platform.runner_mut(runner)?;
+        let slots = sim_runner.slots;
+        let same_holder_count = sim_runner
             .running
             .values()
             .filter(|fencing_token| **fencing_token == run.fencing_token)
             .count() as u32;
-        if held.running.len() as u32 >= slots && own_count < slots {
+        if sim_runner.running.len() as u32 >= slots && same_holder_count < slots {
             self.record
                 .count_event("refused beside an earlier holder's");
             self.reject_by_runner(run, runner, idempotency_key);
             return None;
         }
-        held.running
+        sim_runner
+            .running
             .insert(idempotency_key.clone(), run.fencing_token);
         let is_adopted = runner.fencing_token != run.fencing_token;
-        let least_answered = if is_adopted {
+        let min_answered = if is_adopted {
             (slots / 2).max(1) - 1
         } else {
             0
         };
         Some(AdmittedRun {
-            function: held.function.clone(),
-            worker: held.worker.clone(),
-            running_count: own_count + 1,
+            function: sim_runner.function.clone(),
+            worker: sim_runner.worker.clone(),
+            running_count: same_holder_count + 1,
             slots,
-            answered: held.answered.max(least_answered),
-            ready_at: held.ready_at,
+            answered: sim_runner.answered.max(min_answered),
+            ready_at: sim_runner.ready_at,
         })
     }
 
-    /// Checks that a request may run on its runner, on its worker and in its zones.
+    /// Checks that a request may run on its runner, on the worker, and in the zones of the worker and the daemon.
     fn check_admitted_run(&mut self, runner: RunnerId, run: &SimRun, admitted: &AdmittedRun) {
         let now = self.queue.now();
         self.checks.check_slots(
@@ -246,13 +250,13 @@
         );
     }
 
-    /// Draws how long a run takes and what happens to its answer.
+    /// Chooses at random how long a request runs and which fault its response has.
     fn schedule_answer(&mut self, runner: RunnerId, run: SimRun) {
-        let drawn_fault = self.drawn_fault();
-        if drawn_fault == RunnerFault::BrokenEarly {
+        let fault = self.random_runner_fault();
+        if fault == RunnerFault::ConnectionBroken {
             self.end_send(&run, SendResult::Lost);
         }
-        let is_long = drawn_fault == RunnerFault::BrokenEarly;
+        let is_long = fault == RunnerFault::ConnectionBroken;
         let (shortest, longest) = if is_long {
             (200, 700)
         } else if self.plan.patient_callers {
@@ -264,16 +268,16 @@
             Duration::from_millis(shortest),
             Duration::from_millis(longest),
         );
-        if drawn_fault == RunnerFault::Rejected {
+        if fault == RunnerFault::Rejected {
             let idempotency_key = &run.call.idempotency_key;
             self.checks.did_not_run(idempotency_key);
             self.reject_by_runner(&run, runner, idempotency_key);
-            if let Some(held) = self.platform.runner_mut(runner) {
-                held.running.remove(idempotency_key);
+            if let Some(sim_runner) = self.platform.runner_mut(runner) {
+                sim_runner.running.remove(idempotency_key);
             }
             return;
         }
-        let fault_code = drawn_fault as u8;
+        let fault_code = fault as u8;
         self.queue
             .push(work, PlatformEvent::RunDone(runner, run, fault_code));
     }
@@ -289,17 +293,17 @@
         self.answer_send(run, runner, idempotency_key, answer_seal, true, answer_body);
     }
 
-    fn drawn_fault(&mut self) -> RunnerFault {
+    fn random_runner_fault(&mut self) -> RunnerFault {
         if !self.rng.random_bool(self.faults.runner_fault_rate()) {
             return RunnerFault::None;
         }
         let all = [
             RunnerFault::Lost,
             RunnerFault::Lost,
-            RunnerFault::BrokenEarly,
-            RunnerFault::WrongByte,
-            RunnerFault::Short,
-            RunnerFault::Foreign,
+            RunnerFault::ConnectionBroken,
+            RunnerFault::CorruptedByte,
+            RunnerFault::Truncated,
+            RunnerFault::PreviousResponse,
             RunnerFault::Rejected,
         ];
         all[self.rng.below(all.len() as u64) as usize]
@@ -307,59 +311,59 @@
 
     pub(super) fn finish_run(&mut self, runner: RunnerId, run: SimRun, fault_code: u8) {
         let idempotency_key = run.call.idempotency_key.clone();
-        let Some(held) = self.platform.runner_mut(runner) else {
-            if fault_code != RunnerFault::BrokenEarly as u8 {
+        let Some(sim_runner) = self.platform.runner_mut(runner) else {
+            if fault_code != RunnerFault::ConnectionBroken as u8 {
                 self.end_send(&run, SendResult::Lost);
             }
             return;
         };
-        held.running.remove(&idempotency_key);
+        sim_runner.running.remove(&idempotency_key);
         let mut answer_body = self.checks.make_body(&idempotency_key, runner);
-        let function = held.function.clone();
+        let function = sim_runner.function.clone();
         let mut answer_seal = seal::seal(&idempotency_key, &function, runner, false, &answer_body);
-        let mut sealed_name = idempotency_key.clone();
-        let last_sealed = held.last_sealed.replace((
+        let mut sealed_key = idempotency_key.clone();
+        let last_sealed = sim_runner.last_sealed.replace((
             idempotency_key.clone(),
             answer_seal.clone(),
             answer_body.clone(),
         ));
-        if fault_code == RunnerFault::BrokenEarly as u8 {
+        if fault_code == RunnerFault::ConnectionBroken as u8 {
             return;
         }
         if fault_code == RunnerFault::Lost as u8 {
             self.end_send(&run, SendResult::Lost);
             return;
         }
-        if fault_code == RunnerFault::WrongByte as u8
+        if fault_code == RunnerFault::CorruptedByte as u8
             && let Some(byte) = answer_body.first_mut()
         {
             *byte ^= 1;
         }
-        if fault_code == RunnerFault::Short as u8 {
+        if fault_code == RunnerFault::Truncated as u8 {
             answer_body.pop();
         }
-        if fault_code == RunnerFault::Foreign as u8
-            && let Some((other_name, other_seal, other_body)) = last_sealed
+        if fault_code == RunnerFault::PreviousResponse as u8
+            && let Some((other_key, other_seal, other_body)) = last_sealed
         {
-            (sealed_name, answer_seal, answer_body) = (other_name, other_seal, other_body);
+            (sealed_key, answer_seal, answer_body) = (other_key, other_seal, other_body);
         }
-        let is_good = fault_code == RunnerFault::None as u8 || sealed_name == idempotency_key;
+        let is_good = fault_code == RunnerFault::None as u8 || sealed_key == idempotency_key;
         if is_good
-            && fault_code != RunnerFault::WrongByte as u8
-            && fault_code != RunnerFault::Short as u8
-            && let Some(held) = self.platform.runner_mut(runner)
+            && fault_code != RunnerFault::CorruptedByte as u8
+            && fault_code != RunnerFault::Truncated as u8
+            && let Some(sim_runner) = self.platform.runner_mut(runner)
         {
-            held.answered += 1;
+            sim_runner.answered += 1;
         }
-        self.answer_send(&run, runner, &sealed_name, answer_seal, false, answer_body);
+        self.answer_send(&run, runner, &sealed_key, answer_seal, false, answer_body);
     }
 
-    /// Delivers an answer to the daemon, which verifies it.
+    /// Verifies a response as the daemon does, and ends the send with the result.
     fn answer_send(
         &mut self,
         run: &SimRun,
         runner: RunnerId,
-        sealed_name: &IdempotencyKey,
+        sealed_key: &IdempotencyKey,
         answer_seal: String,
         is_rejection: bool,
         body: Vec<u8>,
@@ -367,10 +371,12 @@
         let function = self
             .platform
             .runner(runner)
-            .map_or(run.function.to_string(), |held| held.function.to_string());
+            .map_or(run.function.to_string(), |sim_runner| {
+                sim_runner.function.to_string()
+            });
         let response = RunnerResponse {
             status: 200,
-            idempotency_key: sealed_name.to_string(),
+            idempotency_key: sealed_key.to_string(),
             function: Some(function),
             runner: Some(runner.to_string()),
             seal: answer_seal,
@@ -383,17 +389,29 @@
             body: body.into(),
         };
         let rules = self.plan.rules();
-        let asked = &run.call.idempotency_key;
-        let end = verify_response(rules, asked, &run.function, run.target_runner, response);
-        self.end_send(run, end);
+        let requested_key = &run.call.idempotency_key;
+        let result = verify_response(
+            rules,
+            requested_key,
+            &run.function,
+            run.target_runner,
+            response,
+        );
+        self.end_send(run, result);
     }
 
-    fn end_send(&mut self, run: &SimRun, end: SendResult) {
+    fn end_send(&mut self, run: &SimRun, result: SendResult) {
         let delay = self.network.delay(&mut self.rng);
         let function = run.function.clone();
         self.queue.push(
             delay,
-            HolderEvent::SendEnded(run.requester, function, run.ticket, run.fencing_token, end),
+            HolderEvent::SendEnded(
+                run.requester,
+                function,
+                run.ticket,
+                run.fencing_token,
+                result,
+            ),
         );
     }
 }
