--- a/testing/fleet/src/sim/script.rs
+++ b/testing/fleet/src/sim/script.rs
@@ -1,4 +1,4 @@
-//! Timed actions on the control side of a simulated fleet, and their execution.
+//! Scripts of timed actions on the control plane of a simulated fleet, and their execution.
 
 use super::addresses::zone_of_machine;
 use super::event::{ControllerEvent, Event, FaultEvent};
@@ -20,7 +20,7 @@
     Any,
     /// One of the controllers at the seed addresses.
     Seed,
-    /// The target of an earlier loss or block.
+    /// The controller that an earlier action lost or partitioned.
     Victim,
 }
 
@@ -52,42 +52,42 @@
     Isolation,
 }
 
-/// An action on the control side, or an operator's request.
+/// An action on the control plane, or an operator's request.
 #[derive(Clone, Debug)]
 pub enum Action {
-    /// A controller is lost; it becomes the victim.
+    /// Makes a controller fail; it becomes the victim.
     Lose(Target, Loss),
-    /// Messages of a controller are lost; it becomes the victim.
+    /// Blocks messages of a controller; it becomes the victim.
     Cut(Target, Direction),
-    /// All messages are delivered again, and all frozen machines are resumed.
+    /// Unblocks all messages and resumes all frozen machines.
     Rejoin,
-    /// The victim is started or restarted.
+    /// Starts the victim, or restarts it if it is running.
     Restart,
-    /// The victim's machine is replaced by an empty one with a new address, which is started.
+    /// Replaces the victim's machine by an empty one with a new address, and starts it.
     ReplaceVictim,
-    /// An operator sends changes, some of them concurrent and some invalid.
+    /// Sends changes as an operator, some of them concurrent and some invalid.
     Change,
-    /// An operator sends a complete spec with this number of functions.
+    /// Sends a complete spec with this number of additional functions as an operator.
     LargeChange(u64),
-    /// An operator reads the configuration.
+    /// Reads the configuration as an operator.
     Read(Target),
-    /// An operator evacuates a zone.
+    /// Evacuates a zone as an operator.
     Evacuate(usize),
-    /// An operator restores an evacuated zone.
+    /// Restores an evacuated zone as an operator.
     Restore(usize),
-    /// An operator retries the first acknowledged order.
+    /// Sends the first acknowledged order again as an operator.
     ResendFirst,
-    /// The steps of the control side are counted from here on; the plan's second loss falls on one of them.
+    /// Starts to count the steps of the control plane; the plan's second loss happens at one of them.
     CountSteps,
-    /// All machines lose power right after the next acknowledgement, and again at most 2 s later.
+    /// Cuts the power of all machines right after the next acknowledgement, and again at most 2 s later.
     PowerLossAfterAcknowledgement,
-    /// All machines lose power at once.
+    /// Cuts the power of all machines.
     LosePowerEverywhere,
-    /// The measurement of the recovery times starts here.
+    /// Starts the measurement of the recovery times.
     StartRecoveryClock,
 }
 
-/// A second loss at one step of the control side.
+/// A second loss at one step of the control plane.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct SecondLoss {
     /// The step before which it happens, counted from one.
@@ -99,16 +99,16 @@
 }
 
 /// How long a machine is down after the second loss.
-const SECOND_LOSS_LASTS: Duration = Duration::from_secs(3);
+const SECOND_LOSS_DURATION: Duration = Duration::from_secs(3);
 /// The longest time between two power losses of all machines.
-const POWER_LOST_AGAIN_WITHIN: Duration = Duration::from_secs(2);
+const MAX_POWER_LOSS_INTERVAL: Duration = Duration::from_secs(2);
 
 /// The progress of a script.
 #[derive(Default)]
 pub(super) struct ScriptState {
     victim: Option<usize>,
-    counts_repair_steps: bool,
-    /// The number of steps of the control side since they are counted.
+    counts_steps: bool,
+    /// The number of steps of the control plane since [`Action::CountSteps`].
     pub steps: u64,
     loses_power_on_next_acknowledgement: bool,
 }
@@ -165,7 +165,7 @@
                 );
             }
             Action::ResendFirst => self.resend_first_acknowledged(),
-            Action::CountSteps => self.script.counts_repair_steps = true,
+            Action::CountSteps => self.script.counts_steps = true,
             Action::PowerLossAfterAcknowledgement => {
                 self.script.loses_power_on_next_acknowledgement = true
             }
@@ -233,8 +233,8 @@
 
     fn send_large_change(&mut self, functions: u64) {
         let base = self.checks.newest_version();
-        let turn = self.rng.below(6);
-        let new_spec = large_spec(turn, functions);
+        let variant = self.rng.below(6);
+        let new_spec = large_spec(variant, functions);
         self.submit_change(Some(base), ChangeKind::FullSpec(new_spec.into()));
     }
 
@@ -253,7 +253,7 @@
         }
     }
 
-    /// Sends an operation of which only the reply is checked.
+    /// Sends an operation as an operator; only its reply is checked.
     pub(super) fn send_operation(&mut self, node: Node, operation: Operation) {
         let ticket = OperationTicket(self.numbers.next());
         let delay = self.network.delay(&mut self.rng);
@@ -280,21 +280,26 @@
         }
     }
 
-    /// Handles an acknowledgement that was just sent; power may be lost right after it.
+    /// Schedules the power losses if the script asked for them after the next acknowledgement.
     pub(super) fn note_acknowledgement(&mut self) {
         if std::mem::take(&mut self.script.loses_power_on_next_acknowledgement) {
-            let at_once = self.rng.within(Duration::ZERO, Duration::from_millis(5));
-            let again = self
+            let first_delay = self.rng.within(Duration::ZERO, Duration::from_millis(5));
+            let second_delay = self
                 .rng
-                .within(Duration::from_millis(50), POWER_LOST_AGAIN_WITHIN);
-            self.queue
-                .push(at_once, FaultEvent::RunAction(Action::LosePowerEverywhere));
-            self.queue
-                .push(again, FaultEvent::RunAction(Action::LosePowerEverywhere));
+                .within(Duration::from_millis(50), MAX_POWER_LOSS_INTERVAL);
+            self.queue.push(
+                first_delay,
+                FaultEvent::RunAction(Action::LosePowerEverywhere),
+            );
+            self.queue.push(
+                second_delay,
+                FaultEvent::RunAction(Action::LosePowerEverywhere),
+            );
         }
     }
 
-    /// Counts a step of the control side until all faults are undone; the plan's second loss happens before its step.
+    /// Counts an event if it is a step of the control plane, until all faults are undone. Applies the plan's second loss
+    /// before its step.
     pub(super) fn count_repair_step(&mut self, event: &Event) {
         let is_step = match event {
             Event::Controller(ControllerEvent::ConsensusFrame(..))
@@ -302,8 +307,7 @@
             Event::Controller(ControllerEvent::Written(node, ..)) => node.is_controller(),
             _ => false,
         };
-        if !is_step || !self.script.counts_repair_steps || self.queue.now() >= self.faults_end_at()
-        {
+        if !is_step || !self.script.counts_steps || self.queue.now() >= self.faults_end_at() {
             return;
         }
         self.script.steps += 1;
@@ -319,7 +323,7 @@
             });
             self.apply_loss(index, second.loss);
             self.queue.push(
-                SECOND_LOSS_LASTS,
+                SECOND_LOSS_DURATION,
                 Event::Fault(FaultEvent::RestartNode(Node(index))),
             );
         }
@@ -327,12 +331,12 @@
 }
 
 /// The usual spec with additional functions that are never called.
-fn large_spec(turn: u64, functions: u64) -> Value {
-    let mut large_spec = spec(turn);
+fn large_spec(variant: u64, functions: u64) -> Value {
+    let mut large_spec = spec(variant);
     for number in 0..functions {
         let name = format!("extra-{number}");
         large_spec["functions"][&name] = json!({
-            "memory_mb": 300 + turn, "boot_ms": 200, "slots": 3, "runners": {"max": 5},
+            "memory_mb": 300 + variant, "boot_ms": 200, "slots": 3, "runners": {"max": 5},
         });
         large_spec["routes"][&name] = json!({
             "method": "POST",
