--- a/testing/fleet/src/sim/platform.rs
+++ b/testing/fleet/src/sim/platform.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 /// The usual age of the lists of runners and workers.
-const USUAL_LIST_DELAY: Duration = Duration::from_millis(1000);
+const DEFAULT_LIST_DELAY: Duration = Duration::from_millis(1000);
 
 /// A simulated runner.
 #[derive(Clone)]
@@ -20,45 +20,45 @@
     pub function: FunctionKey,
     /// Its worker.
     pub worker: WorkerName,
-    /// Its instance id at the platform.
+    /// Its instance at the platform.
     pub instance: Instance,
-    /// When its startup is finished.
+    /// When its startup finishes.
     pub ready_at: MonotonicTime,
     /// The requests that it runs, with the fencing tokens of their lease holders.
     pub running: BTreeMap<IdempotencyKey, FencingToken>,
-    /// How many requests it may run concurrently.
+    /// The maximum number of concurrent requests.
     pub slots: u32,
-    /// The number of good answers that it has sent.
+    /// The number of good responses that it has sent.
     pub answered: u32,
-    /// The last answer that it sealed, with the names in the seal.
+    /// The last response that it sealed: the idempotency key, the seal and the body.
     pub last_sealed: Option<(IdempotencyKey, String, Vec<u8>)>,
 }
 
-/// A simulated platform: runners, delayed lists, stopped runner ids that never start again, and addresses that are
-/// reused as soon as a runner has ended.
+/// A simulated platform. Its lists are delayed, the id of a stopped runner is never started again, and the address of a
+/// stopped runner is free for reuse immediately.
 pub(crate) struct SimPlatform {
     /// The workers.
     workers: Vec<ListedWorker>,
-    /// The draining workers and since when they are drained.
+    /// When each draining worker began to drain.
     draining_since: BTreeMap<WorkerName, MonotonicTime>,
-    /// The running runners.
+    /// The runners that are running.
     runners: BTreeMap<RunnerId, SimRunner>,
-    /// The runner ids that have ended.
+    /// The ids of runners that were stopped.
     ended: BTreeSet<RunnerId>,
-    /// The delay of the list of runners.
+    /// The delay of the lists of runners and workers.
     list_delay: Duration,
     listening: BTreeMap<SocketAddress, RunnerId>,
     by_instance: BTreeMap<InstanceId, RunnerId>,
     instance_count: u64,
     free_addresses: Vec<SocketAddress>,
     address_count: u16,
-    /// The runners that announced that they leave, and when.
+    /// When each leaving runner announced that it is leaving.
     leaving_since: BTreeMap<RunnerId, MonotonicTime>,
     listed_snapshots: VecDeque<(MonotonicTime, Vec<ListedRunner>, Vec<ListedWorker>)>,
 }
 
 impl SimPlatform {
-    /// Creates workers in three zones.
+    /// Creates a platform with workers in three zones.
     pub(crate) fn new(worker_count: usize, memory_mb: u32) -> Self {
         let workers = (0..worker_count)
             .map(|number| ListedWorker {
@@ -73,7 +73,7 @@
             draining_since: BTreeMap::new(),
             runners: BTreeMap::new(),
             ended: BTreeSet::new(),
-            list_delay: USUAL_LIST_DELAY,
+            list_delay: DEFAULT_LIST_DELAY,
             listening: BTreeMap::new(),
             by_instance: BTreeMap::new(),
             instance_count: 0,
@@ -89,12 +89,12 @@
         let listed = self
             .runners
             .iter()
-            .map(|(runner, held)| ListedRunner {
-                instance: held.instance.clone(),
+            .map(|(runner, sim_runner)| ListedRunner {
+                instance: sim_runner.instance.clone(),
                 runner: None,
-                function: held.function.name.clone(),
+                function: sim_runner.function.name.clone(),
                 key: None,
-                worker: held.worker.clone(),
+                worker: sim_runner.worker.clone(),
                 leaving: self.leaving_since.contains_key(runner),
             })
             .collect();
@@ -107,7 +107,7 @@
         }
     }
 
-    /// The delayed lists with their age.
+    /// Returns the delayed lists and their age.
     pub(crate) fn delayed_lists(
         &self,
         now: MonotonicTime,
@@ -120,7 +120,7 @@
         )
     }
 
-    /// The zone of a worker.
+    /// Returns the zone of a worker.
     pub(crate) fn zone_of(&self, worker: &WorkerName) -> Option<&Zone> {
         self.workers
             .iter()
@@ -128,16 +128,19 @@
             .map(|listed| &listed.zone)
     }
 
-    /// The runner that listens at an address.
+    /// Returns the runner that listens at an address.
     pub(crate) fn runner_at(&self, address: SocketAddress) -> Option<(RunnerId, &SimRunner)> {
         let runner = *self.listening.get(&address)?;
-        self.runners.get(&runner).map(|held| (runner, held))
+        self.runners
+            .get(&runner)
+            .map(|sim_runner| (runner, sim_runner))
     }
 
-    /// Starts a runner with this id, unless the id has ended; the same id gives the same instance.
+    /// Starts a runner with this id, or returns its instance if it is already running. The id of a stopped runner is
+    /// rejected.
     pub(crate) fn start(&mut self, runner: RunnerId, mut started: SimRunner) -> StartOutcome {
-        if let Some(held) = self.runners.get(&runner) {
-            return StartOutcome::Started(held.instance.clone());
+        if let Some(sim_runner) = self.runners.get(&runner) {
+            return StartOutcome::Started(sim_runner.instance.clone());
         }
         if self.ended.contains(&runner) {
             return StartOutcome::Rejected;
@@ -164,7 +167,7 @@
         StartOutcome::Started(instance)
     }
 
-    /// Stops an instance for good; without one, whatever was or will be started with the id.
+    /// Stops an instance permanently. Without an instance, stops the runner with this id and rejects later starts of it.
     pub(crate) fn stop_instance(&mut self, runner: RunnerId, instance: Option<&InstanceId>) {
         match instance {
             Some(instance) => {
@@ -176,22 +179,22 @@
         }
     }
 
-    /// Stops the runner with this id for good.
+    /// Stops the runner with this id permanently.
     pub(crate) fn stop(&mut self, runner: RunnerId) {
         self.leaving_since.remove(&runner);
-        if let Some(held) = self.runners.remove(&runner) {
-            self.listening.remove(&held.instance.address);
-            self.free_addresses.push(held.instance.address);
+        if let Some(sim_runner) = self.runners.remove(&runner) {
+            self.listening.remove(&sim_runner.instance.address);
+            self.free_addresses.push(sim_runner.instance.address);
         }
         self.ended.insert(runner);
     }
 
-    /// Stops every runner of a worker.
+    /// Stops all runners of a worker.
     pub(crate) fn crash(&mut self, worker: &WorkerName) {
         let lost_runners: Vec<RunnerId> = self
             .runners
             .iter()
-            .filter(|(_, held)| held.worker == *worker)
+            .filter(|(_, sim_runner)| sim_runner.worker == *worker)
             .map(|(runner, _)| *runner)
             .collect();
         for lost_runner in lost_runners {
@@ -199,96 +202,96 @@
         }
     }
 
-    /// The number of workers.
+    /// Returns the number of workers.
     pub(crate) fn worker_count(&self) -> usize {
         self.workers.len()
     }
 
-    /// The name of a worker.
+    /// Returns the name of a worker.
     pub(crate) fn worker_name(&self, index: usize) -> WorkerName {
         self.workers[index].worker.clone()
     }
 
-    /// The running runners.
+    /// Returns the runners that are running.
     pub(crate) fn running(&self) -> impl Iterator<Item = (&RunnerId, &SimRunner)> {
         self.runners.iter()
     }
 
-    /// The number of running runners.
+    /// Returns the number of runners that are running.
     pub(crate) fn runner_count(&self) -> usize {
         self.runners.len()
     }
 
-    /// The id of the running runner with this index in the order of ids.
+    /// Returns the id of the running runner at this index in the order of ids.
     pub(crate) fn nth_runner(&self, index: usize) -> Option<RunnerId> {
         self.runners.keys().nth(index).copied()
     }
 
-    /// The running runner with this id.
+    /// Returns the running runner with this id.
     pub(crate) fn runner(&self, runner: RunnerId) -> Option<&SimRunner> {
         self.runners.get(&runner)
     }
 
-    /// The running runner with this id, to change it.
+    /// Returns a mutable reference to the running runner with this id.
     pub(crate) fn runner_mut(&mut self, runner: RunnerId) -> Option<&mut SimRunner> {
         self.runners.get_mut(&runner)
     }
 
-    /// Whether a runner with this id runs or has ended.
+    /// Whether the runner with this id is running or was stopped.
     pub(crate) fn is_known_runner(&self, runner: RunnerId) -> bool {
         self.ended.contains(&runner) || self.runners.contains_key(&runner)
     }
 
-    /// Since when a worker is drained.
+    /// Returns when a worker began to drain, if it is draining.
     pub(crate) fn draining_since(&self, worker: &WorkerName) -> Option<MonotonicTime> {
         self.draining_since.get(worker).copied()
     }
 
-    /// When a runner announced that it leaves.
+    /// Returns when a runner announced that it is leaving.
     pub(crate) fn leaving_since(&self, runner: RunnerId) -> Option<MonotonicTime> {
         self.leaving_since.get(&runner).copied()
     }
 
-    /// Lets a runner announce that it leaves.
+    /// Records a runner's announcement that it is leaving.
     pub(crate) fn announce_leaving(&mut self, runner: RunnerId, now: MonotonicTime) {
         self.leaving_since.entry(runner).or_insert(now);
     }
 
-    /// Makes the lists older than usual.
+    /// Delays the lists by more than usual.
     pub(crate) fn delay_lists(&mut self, additional_delay: Duration) {
-        self.list_delay = USUAL_LIST_DELAY + additional_delay;
+        self.list_delay = DEFAULT_LIST_DELAY + additional_delay;
     }
 
-    /// Gives the lists their usual age again.
+    /// Restores the usual delay of the lists.
     pub(crate) fn end_list_delay(&mut self) {
-        self.list_delay = USUAL_LIST_DELAY;
+        self.list_delay = DEFAULT_LIST_DELAY;
     }
 
-    /// Whether the lists are older than usual.
+    /// Whether the lists are delayed by more than usual.
     pub(crate) fn are_lists_delayed(&self) -> bool {
-        self.list_delay > USUAL_LIST_DELAY
+        self.list_delay > DEFAULT_LIST_DELAY
     }
 
-    /// Loses all workers of a zone with their runners; returns the workers.
+    /// Removes the workers of a zone and stops their runners. Returns the workers.
     pub(crate) fn remove_zone(&mut self, zone: &Zone) -> Vec<ListedWorker> {
-        let lost_workers: Vec<ListedWorker> = self
+        let removed_workers: Vec<ListedWorker> = self
             .workers
             .extract_if(.., |listed| listed.zone == *zone)
             .collect();
-        for lost_worker in &lost_workers {
-            self.crash(&lost_worker.worker);
+        for removed_worker in &removed_workers {
+            self.crash(&removed_worker.worker);
         }
-        lost_workers
+        removed_workers
     }
 
-    /// Returns lost workers, without runners.
+    /// Adds removed workers again, without runners.
     pub(crate) fn add_workers(&mut self, workers: Vec<ListedWorker>) {
         self.workers.extend(workers);
         self.workers
             .sort_by(|left, right| left.worker.cmp(&right.worker));
     }
 
-    /// Begins to drain a worker.
+    /// Starts to drain a worker.
     pub(crate) fn drain(&mut self, now: MonotonicTime, index: usize) {
         let listed = &mut self.workers[index];
         listed.draining = true;
@@ -297,7 +300,7 @@
             .or_insert(now);
     }
 
-    /// Restores all drained workers.
+    /// Ends the draining of all workers.
     pub(crate) fn end_worker_drains(&mut self) {
         self.draining_since.clear();
         self.workers
