--- a/testing/fleet/src/sim/platform_requests.rs
+++ b/testing/fleet/src/sim/platform_requests.rs
@@ -1,4 +1,4 @@
-//! The platform's side of the requests that daemons and leaders send to it.
+//! Handles the requests that daemons and leaders send to the simulated platform.
 
 use super::event::{ControllerEvent, HolderEvent, PlatformEvent};
 use super::flaw::Flaw;
@@ -15,7 +15,7 @@
 const LIST_INTERVAL: Duration = Duration::from_millis(100);
 
 impl Simulation {
-    /// Handles a request to start a runner; its response may be lost, or the platform overloaded.
+    /// Handles a request to start a runner. At random, the platform is busy or its response is lost.
     pub(super) fn start_runner(
         &mut self,
         requester: Requester,
@@ -27,14 +27,14 @@
         let is_busy = self.rng.random_bool(0.02);
         let is_answer_lost = self.rng.random_bool(0.02);
         let is_known = self.platform.is_known_runner(runner);
-        let end = if is_busy {
+        let outcome = if is_busy {
             StartOutcome::Busy
         } else {
             if !is_known {
                 let alive = self
                     .platform
                     .running()
-                    .map(|(key, held)| (key, &held.function, &held.instance));
+                    .map(|(key, sim_runner)| (key, &sim_runner.function, &sim_runner.instance));
                 self.checks.check_sole_start(
                     self.queue.now(),
                     &function,
@@ -57,15 +57,15 @@
             };
             self.platform.start(runner, started)
         };
-        let end = if is_answer_lost {
+        let outcome = if is_answer_lost {
             StartOutcome::Lost
         } else {
-            end
+            outcome
         };
         let delay = self.network.delay(&mut self.rng);
         self.queue.push(
             delay,
-            HolderEvent::Started(requester, function, runner, end),
+            HolderEvent::Started(requester, function, runner, outcome),
         );
     }
 
@@ -83,7 +83,8 @@
             .push(delay, HolderEvent::Stopped(requester, function, runner));
     }
 
-    /// Handles a leader's request to stop a runner; with a planted flaw it is not stopped, or not confirmed either.
+    /// Handles a leader's request to stop a runner. The flaws of stop requests leave the runner running, and
+    /// [`Flaw::StopRequestsLost`] leaves out the confirmation as well.
     pub(super) fn stop_runner_for_leader(&mut self, requester: Requester, order: &StopOrder) {
         let flaw = self.plan.flaw;
         if !matches!(flaw, Flaw::StopRequestsIgnored | Flaw::StopRequestsLost) {
@@ -97,7 +98,7 @@
         }
     }
 
-    /// Takes a snapshot of the platform's lists, and checks what must hold at every moment.
+    /// Takes a snapshot of the platform's lists, and checks that each runner instance has at most one owner.
     pub(super) fn handle_list_tick(&mut self) {
         self.platform.snapshot_lists(self.queue.now());
         self.check_instance_owners();
