--- a/testing/fleet/src/sim/operator.rs
+++ b/testing/fleet/src/sim/operator.rs
@@ -1,4 +1,4 @@
-//! Operators with random changes of the spec.
+//! Operators that send random changes of the spec.
 
 use super::event::{ControllerEvent, OperatorEvent};
 use super::plan::SimPlan;
@@ -18,7 +18,7 @@
     attempts: u32,
 }
 
-/// The changes of operators in flight, and those that were refused.
+/// The operators' changes in flight, and the ids of refused changes.
 #[derive(Default)]
 pub(super) struct PendingChanges {
     in_flight: HashMap<OperationTicket, PendingChange>,
@@ -26,17 +26,17 @@
 }
 
 impl PendingChanges {
-    /// Records that a change is sent.
+    /// Records a change that is sent with this ticket.
     fn begin(&mut self, ticket: OperationTicket, change: PendingChange) {
         self.in_flight.insert(ticket, change);
     }
 
-    /// Removes a change that was answered.
+    /// Removes and returns the change that was sent with this ticket.
     fn end(&mut self, ticket: OperationTicket) -> Option<PendingChange> {
         self.in_flight.remove(&ticket)
     }
 
-    /// Records that a change was refused: it must not be committed later.
+    /// Records a refused change, which must not be committed later.
     fn refuse(&mut self, change: ChangeId) {
         self.refused.push(change);
     }
@@ -47,7 +47,7 @@
     }
 }
 
-/// The spec for callers that use a new idempotency key for each attempt.
+/// Adapts a spec to callers that use a new idempotency key for each attempt.
 fn with_fresh_identities(mut spec: Value) -> Value {
     let routes = spec["routes"].as_object_mut().into_iter().flatten();
     for (_, route) in routes {
@@ -56,7 +56,8 @@
     spec
 }
 
-/// The spec for callers that wait longer than the grace period of an orderly stop, for functions with a single slot.
+/// Adapts a spec to callers that wait longer than the grace period of a graceful shutdown, and to functions with a
+/// single slot.
 fn with_patient_callers(mut spec: Value) -> Value {
     for (_, function) in spec["functions"].as_object_mut().into_iter().flatten() {
         function["slots"] = json!(1);
@@ -69,9 +70,9 @@
     spec
 }
 
-/// The spec of a day, as its plan has it.
-pub(crate) fn planned_spec(plan: &SimPlan, turn: u64) -> Value {
-    let mut planned_spec = spec(turn);
+/// Returns a variant of the spec with the options of the plan.
+pub(crate) fn planned_spec(plan: &SimPlan, variant: u64) -> Value {
+    let mut planned_spec = spec(variant);
     if plan.fresh_identities {
         planned_spec = with_fresh_identities(planned_spec);
     }
@@ -81,11 +82,11 @@
     planned_spec
 }
 
-/// The routes and functions of the simulated deployment; one function is added and removed over time.
-pub(crate) fn spec(turn: u64) -> Value {
+/// Returns a variant of the simulated deployment's spec. Odd variants have one function more than even ones.
+pub(crate) fn spec(variant: u64) -> Value {
     let mut functions = serde_json::Map::new();
     let mut routes = serde_json::Map::new();
-    let function_count = if turn % 2 == 1 { 6 } else { 5 };
+    let function_count = if variant % 2 == 1 { 6 } else { 5 };
     for number in 0..function_count {
         let name = format!("f{number}");
         functions.insert(
@@ -108,7 +109,7 @@
         json!({
             "method": "POST",
             "path": "/canary",
-            "function": format!("f{}", turn % function_count),
+            "function": format!("f{}", variant % function_count),
             "budget_ms": 3000,
             "kind": "repeatable",
         }),
@@ -140,7 +141,7 @@
         );
     }
 
-    /// Sends a change as an operator, based on the newest version or on one shortly before.
+    /// Sends a change as an operator, or two concurrent ones, based on the newest version. Some are invalid.
     pub(super) fn send_change(&mut self) {
         if self.plan.has_numbered_orders {
             self.send_orders();
@@ -150,8 +151,8 @@
         let count = if self.rng.random_bool(0.3) { 2 } else { 1 };
         for _ in 0..count {
             let is_valid = !self.rng.random_bool(0.1);
-            let turn = self.rng.below(6);
-            let mut new_spec = planned_spec(&self.plan, turn);
+            let variant = self.rng.below(6);
+            let mut new_spec = planned_spec(&self.plan, variant);
             if !is_valid {
                 new_spec["routes"]["canary"]["function"] = json!("nowhere");
             }
@@ -233,8 +234,8 @@
     }
 
     pub(super) fn schedule_change(&mut self) {
-        let longest_span = self.plan.max_order_interval;
-        let wait_span = self.rng.within(longest_span / 10, longest_span);
-        self.queue.push(wait_span, OperatorEvent::Change);
+        let max_interval = self.plan.max_order_interval;
+        let delay = self.rng.within(max_interval / 10, max_interval);
+        self.queue.push(delay, OperatorEvent::Change);
     }
 }
