--- a/testing/fleet/src/sim/reply_checks.rs
+++ b/testing/fleet/src/sim/reply_checks.rs
@@ -10,64 +10,64 @@
 use std::collections::{HashMap, HashSet};
 use std::time::Duration;
 
-/// The longest time since a controller received a frame of the leader that it reports: its longest election timeout on a
-/// clock that is slow by a twentieth, and the time to its next tick.
-const REDIRECT_CONTACT_WITHIN: Duration = Duration::from_millis(680);
+/// The longest time since a controller received a frame from the leader to which it redirects: the longest election
+/// timeout on a clock that is 5 % slow, plus the time to the next tick.
+const MAX_REDIRECT_CONTACT_AGE: Duration = Duration::from_millis(680);
 
-/// An operator's request and the state when it arrived.
+/// An operator's request, and what had been acknowledged when it arrived.
 struct ReplyExpectation {
     operation: Operation,
     acknowledged: Version,
     was_accepted: bool,
 }
 
-/// The requests to controllers, their acknowledgements, and the frames between them.
+/// The open requests to controllers, the acknowledgements so far, and the times of the last frames between controllers.
 #[derive(Default)]
 pub(super) struct ReplyChecks {
     expectations: HashMap<OperationTicket, ReplyExpectation>,
     acknowledged: Version,
     acknowledged_at: MonotonicTime,
     accepted_changes: HashSet<ChangeId>,
-    first: Option<Operation>,
-    last_heard_at: HashMap<(Node, SocketAddress), MonotonicTime>,
+    first_acknowledged: Option<Operation>,
+    last_frame_at: HashMap<(Node, SocketAddress), MonotonicTime>,
 }
 
 impl ReplyChecks {
-    /// The first order that was acknowledged, as it was sent.
+    /// Returns the first order that was acknowledged, as it was sent.
     pub(crate) fn first_acknowledged(&self) -> Option<Operation> {
-        self.first.clone()
+        self.first_acknowledged.clone()
     }
 
-    /// The newest version that was acknowledged.
+    /// Returns the newest version that was acknowledged.
     pub(crate) fn acknowledged(&self) -> Version {
         self.acknowledged
     }
 
-    /// When an order was last acknowledged.
+    /// Returns when an order was last acknowledged.
     pub(crate) fn acknowledged_at(&self) -> MonotonicTime {
         self.acknowledged_at
     }
 
-    /// Records that a controller receives a frame of another one.
+    /// Records that a controller received a frame from another one.
     pub(crate) fn record_contact(
         &mut self,
         now: MonotonicTime,
         controller: Node,
         from: SocketAddress,
     ) {
-        self.last_heard_at.insert((controller, from), now);
+        self.last_frame_at.insert((controller, from), now);
     }
 
-    /// Records that a request reaches a controller.
+    /// Records that a request reached a controller.
     pub(crate) fn record_request(&mut self, ticket: OperationTicket, operation: &Operation) {
         let was_accepted =
             change_of(operation).is_some_and(|change| self.accepted_changes.contains(change));
-        let expectations = ReplyExpectation {
+        let expectation = ReplyExpectation {
             operation: operation.clone(),
             acknowledged: self.acknowledged,
             was_accepted,
         };
-        self.expectations.insert(ticket, expectations);
+        self.expectations.insert(ticket, expectation);
     }
 
     fn acknowledge(
@@ -75,13 +75,13 @@
         now: MonotonicTime,
         change: &ChangeId,
         version: Version,
-        expectations: ReplyExpectation,
+        expectation: ReplyExpectation,
     ) {
         self.acknowledged = self.acknowledged.max(version);
         self.acknowledged_at = now;
         self.accepted_changes.insert(change.clone());
-        if self.first.is_none() && change_of(&expectations.operation).is_some() {
-            self.first = Some(expectations.operation);
+        if self.first_acknowledged.is_none() && change_of(&expectation.operation).is_some() {
+            self.first_acknowledged = Some(expectation.operation);
         }
     }
 }
@@ -101,10 +101,10 @@
         ticket: OperationTicket,
         reply: &OperationReply,
     ) {
-        let Some(expectations) = self.reply_checks.expectations.remove(&ticket) else {
+        let Some(expectation) = self.reply_checks.expectations.remove(&ticket) else {
             return;
         };
-        let required_version = expectations.acknowledged;
+        let required_version = expectation.acknowledged;
         match reply {
             OperationReply::Spec { document, .. } => {
                 self.check_reading(controller, document.view_version(), required_version);
@@ -113,16 +113,16 @@
                 change, version, ..
             } => {
                 self.reply_checks
-                    .acknowledge(self.queue.now(), change, *version, expectations);
+                    .acknowledge(self.queue.now(), change, *version, expectation);
                 self.recovery.acknowledged(self.queue.now());
                 self.note_acknowledgement();
             }
             OperationReply::Stale {
                 change, version, ..
-            } => self.check_stale(controller, change, *version, &expectations),
-            OperationReply::Invalid(_) if expectations.was_accepted => {
+            } => self.check_stale(controller, change, *version, &expectation),
+            OperationReply::Invalid(_) if expectation.was_accepted => {
                 self.report_violation(format!(
-                    "controller {controller} finds a taken order invalid"
+                    "controller {controller} refuses an accepted order as invalid"
                 ));
             }
             OperationReply::Redirect(leader) => self.check_redirect(controller, *leader),
@@ -134,7 +134,7 @@
         self.checks.count_check("reading");
         if version < required_version {
             self.report_violation(format!(
-                "controller {controller} reads {version}, {required_version} was acknowledged before"
+                "controller {controller} reads {version}, but {required_version} was acknowledged before"
             ));
         }
         if !self.checks.is_committed(version) {
@@ -149,17 +149,17 @@
         controller: usize,
         change: &ChangeId,
         version: Version,
-        expectations: &ReplyExpectation,
+        expectation: &ReplyExpectation,
     ) {
         self.checks.count_check("refusal by state");
-        let required_version = expectations.acknowledged;
+        let required_version = expectation.acknowledged;
         if version < required_version {
             self.report_violation(format!(
-                "controller {controller} refuses {change} by {version}, {required_version} was \
+                "controller {controller} refuses {change} on the basis of {version}, but {required_version} was \
                  acknowledged before"
             ));
         }
-        if expectations.was_accepted {
+        if expectation.was_accepted {
             self.report_violation(format!(
                 "controller {controller} refuses {change}, which was acknowledged before"
             ));
@@ -168,16 +168,16 @@
 
     fn check_redirect(&mut self, controller: usize, leader: SocketAddress) {
         self.checks.count_check("redirect");
-        let last_heard_at = self
+        let last_frame_at = self
             .reply_checks
-            .last_heard_at
+            .last_frame_at
             .get(&(Node(controller), leader))
             .copied();
-        let contact_age = self.queue.now().since(last_heard_at.unwrap_or_default());
-        if contact_age > REDIRECT_CONTACT_WITHIN {
+        let contact_age = self.queue.now().since(last_frame_at.unwrap_or_default());
+        if contact_age > MAX_REDIRECT_CONTACT_AGE {
             let contact_age_ms = contact_age.as_millis();
             self.report_violation(format!(
-                "controller {controller} names {leader}, not heard for {contact_age_ms} ms"
+                "controller {controller} names {leader} as leader, but received no frame from it for {contact_age_ms} ms"
             ));
         }
     }
@@ -200,8 +200,8 @@
         }
     }
 
-    /// Checks the end of a scripted day: acknowledged changes can be read, orders are acknowledged again, and the quorum
-    /// has its full number of voters.
+    /// Checks the end of a scripted run: acknowledged changes can be read, orders are acknowledged again, and the quorum
+    /// has its intended number of voters.
     pub(super) fn check_script_end(&mut self) {
         self.checks.count_check("end of a script");
         let acknowledged = self.reply_checks.acknowledged();
@@ -210,23 +210,25 @@
             return;
         };
         let (version, voters) = (document.view_version(), document.voters.len());
-        let is_settled = document.previous_voters.is_empty();
+        let is_voter_change_done = document.previous_voters.is_empty();
         if version < acknowledged {
             self.report_violation(format!(
-                "{acknowledged} was acknowledged, {version} is read at the end"
+                "{acknowledged} was acknowledged, but the leader has {version} at the end"
             ));
         }
-        if voters < self.plan.voters || !is_settled {
-            let wanted = self.plan.voters;
+        if voters < self.plan.voters || !is_voter_change_done {
+            let intended_voters = self.plan.voters;
             self.report_violation(format!(
-                "{voters} of {wanted} voters at the end, settled: {is_settled}"
+                "the quorum has {voters} of {intended_voters} voters at the end, change of voters completed: {is_voter_change_done}"
             ));
         }
-        if self.reply_checks.acknowledged_at() < self.faults_end_at() + ACKNOWLEDGED_AFTER {
-            self.report_violation("no order is acknowledged after the mending".to_owned());
+        if self.reply_checks.acknowledged_at() < self.faults_end_at() + LAST_ACKNOWLEDGEMENT_AFTER {
+            self.report_violation(
+                "no order was acknowledged after all faults were undone".to_owned(),
+            );
         }
     }
 }
 
-/// How long after all faults are undone orders must be acknowledged again.
-const ACKNOWLEDGED_AFTER: Duration = Duration::from_secs(6);
+/// An order must be acknowledged later than this after all faults are undone.
+const LAST_ACKNOWLEDGEMENT_AFTER: Duration = Duration::from_secs(6);
