--- a/testing/fleet/src/sim/recovery.rs
+++ b/testing/fleet/src/sim/recovery.rs
@@ -18,7 +18,7 @@
 }
 
 impl RecoveryClock {
-    /// Starts the measurement at the loss.
+    /// Starts the measurement at the time of the loss.
     pub(crate) fn start(&mut self, now: MonotonicTime) {
         self.started_at = Some(now);
     }
@@ -39,12 +39,12 @@
         }
     }
 
-    /// The recovery times, if everything recovered.
+    /// Returns the recovery times, if an order was acknowledged and the session leases of all daemons were renewed.
     pub(crate) fn measured(&self, daemons: usize) -> Option<RecoveryTimes> {
         let first_lease = self.renewed_after.values().min().copied()?;
         let last_lease = self.renewed_after.values().max().copied()?;
-        let is_whole = self.renewed_after.len() == daemons;
-        is_whole.then_some(RecoveryTimes {
+        let are_all_renewed = self.renewed_after.len() == daemons;
+        are_all_renewed.then_some(RecoveryTimes {
             order: self.acknowledged_after?,
             first_lease,
             last_lease,
@@ -52,7 +52,7 @@
     }
 }
 
-/// How long the control side took to recover from one loss.
+/// How long the control plane took to recover from one loss.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct RecoveryTimes {
     /// The time to the next acknowledged order.
@@ -118,21 +118,22 @@
     },
 ];
 
-const LOSS_STARTS_AT: Duration = Duration::from_secs(5);
-const MEASURED_FOR: Duration = Duration::from_secs(10);
+const EARLIEST_LOSS_AT: Duration = Duration::from_secs(5);
+const MEASUREMENT_DURATION: Duration = Duration::from_secs(10);
 const ORDER_INTERVAL: Duration = Duration::from_millis(40);
 
 impl SingleLoss {
-    /// The plan of a day with this seed: the loss, and orders in quick succession after it.
+    /// Returns the plan of a run with this seed: the loss, and orders in quick succession after it.
     pub fn plan(&self, seed: u64, controllers: usize, voters: usize) -> SimPlan {
         let jitter = Duration::from_millis(seed.wrapping_mul(7919) % 1000);
-        let loss_at = LOSS_STARTS_AT + jitter;
+        let loss_at = EARLIEST_LOSS_AT + jitter;
         let mut script = vec![
             (loss_at, Action::Lose(self.target, self.loss)),
             (loss_at, Action::StartRecoveryClock),
         ];
-        let order_count = (MEASURED_FOR.as_millis() / ORDER_INTERVAL.as_millis()) as u32;
-        let orders = (0..order_count).map(|turn| (loss_at + ORDER_INTERVAL * turn, Action::Change));
+        let order_count = (MEASUREMENT_DURATION.as_millis() / ORDER_INTERVAL.as_millis()) as u32;
+        let orders =
+            (0..order_count).map(|index| (loss_at + ORDER_INTERVAL * index, Action::Change));
         script.extend(orders);
         SimPlan {
             script,
@@ -143,13 +144,13 @@
             ends_when_recovered: true,
             has_changes: false,
             rate: 2.0,
-            fault_duration: loss_at + MEASURED_FOR,
+            fault_duration: loss_at + MEASUREMENT_DURATION,
             settling_time: Duration::ZERO,
             ..SimPlan::seeded(seed)
         }
     }
 
-    /// The recovery times with one seed; none if something did not recover.
+    /// Runs one seed and returns the recovery times, or none if something did not recover.
     pub fn measure(&self, seed: u64, controllers: usize, voters: usize) -> Option<RecoveryTimes> {
         Simulation::new(self.plan(seed, controllers, voters), false)
             .run()
@@ -157,17 +158,17 @@
     }
 }
 
-/// The median and the maximum of some durations.
+/// The median and the maximum of a set of durations.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
 pub struct Spread {
     /// The median.
     pub median: Duration,
     /// The maximum.
-    pub worst: Duration,
+    pub max: Duration,
 }
 
 impl Spread {
-    /// Computes the spread of durations in any order.
+    /// Computes the spread of durations, which may be in any order.
     pub fn of(times: impl Iterator<Item = Duration>) -> Self {
         let mut sorted_times: Vec<Duration> = times.collect();
         sorted_times.sort_unstable();
@@ -175,8 +176,8 @@
             .get(sorted_times.len() / 2)
             .copied()
             .unwrap_or_default();
-        let worst = sorted_times.last().copied().unwrap_or_default();
-        Self { median, worst }
+        let max = sorted_times.last().copied().unwrap_or_default();
+        Self { median, max }
     }
 }
 
@@ -186,7 +187,7 @@
             out,
             "{} ms | {} ms",
             self.median.as_millis(),
-            self.worst.as_millis()
+            self.max.as_millis()
         )
     }
 }
