--- a/testing/fleet/src/sim/plan.rs
+++ b/testing/fleet/src/sim/plan.rs
@@ -1,4 +1,4 @@
-//! The plan and the result of a simulated day.
+//! The plan and the result of a simulated run.
 
 use super::checks::SafetyViolation;
 use super::faults::SimFault;
@@ -11,7 +11,7 @@
 use std::fmt;
 use std::time::Duration;
 
-/// The plan of a simulated day.
+/// The plan of a simulated run.
 #[derive(Clone, Debug)]
 pub struct SimPlan {
     /// The seed of all random choices.
@@ -24,17 +24,17 @@
     pub voters: usize,
     /// The number of controllers that bootstrap the quorum.
     pub founders: usize,
-    /// Timed actions on the control side, from the beginning of the day.
+    /// Timed actions on the control plane, with their time since the start of the run.
     pub script: Vec<(Duration, Action)>,
-    /// A loss at one step of the control side, counted from the script's [`Action::CountSteps`].
+    /// A loss at one step of the control plane, counted from the script's [`Action::CountSteps`].
     pub second_loss: Option<SecondLoss>,
     /// Whether the state at the end of the script is checked.
     pub checks_script_end: bool,
-    /// Whether the day ends as soon as the control side has recovered from its single loss.
+    /// Whether the run ends as soon as the control plane has recovered from its single loss.
     pub ends_when_recovered: bool,
     /// Whether operators send changes at random times.
     pub has_changes: bool,
-    /// How long the day continues after all faults are undone.
+    /// How long the run continues after all faults are undone.
     pub settling_time: Duration,
     /// The number of daemons.
     pub daemons: usize,
@@ -42,13 +42,13 @@
     pub rate: f64,
     /// Whether random faults are injected.
     pub has_faults: bool,
-    /// The flaw that is introduced on purpose.
+    /// The flaw that is introduced to test the checks.
     pub flaw: Flaw,
     /// The share of requests whose idempotency key is sent twice.
     pub duplicate_share: f64,
-    /// The kinds of faults to choose from; all if this is empty.
+    /// The kinds of faults to choose from; all kinds if empty.
     pub fault_kinds: Vec<SimFault>,
-    /// The longest time from one fault to the next.
+    /// The longest time between two faults.
     pub max_fault_interval: Duration,
     /// The tuning of lease holders.
     pub tuning: Tuning,
@@ -58,17 +58,18 @@
     pub regional: bool,
     /// Whether callers use a new idempotency key for each attempt.
     pub fresh_identities: bool,
-    /// Whether callers wait longer than the grace period of an orderly stop, for functions with a single slot and long work.
+    /// Whether callers wait longer than the grace period of a graceful shutdown, for functions with a single slot and long
+    /// execution times.
     pub patient_callers: bool,
-    /// Whether operators number their orders, retry them and read them back, so that the history can be checked for
-    /// linearizability.
+    /// Whether operators number their orders, retry them and read the configuration, so that the history can be checked
+    /// for linearizability.
     pub has_numbered_orders: bool,
-    /// The longest time between two orders of operators.
+    /// The longest time between two orders from operators.
     pub max_order_interval: Duration,
 }
 
 impl SimPlan {
-    /// The usual day: half a minute with random faults.
+    /// Returns the default plan with this seed: 30 s with random faults.
     pub fn seeded(seed: u64) -> Self {
         Self {
             seed,
@@ -99,29 +100,29 @@
         }
     }
 
-    /// The rules that the programs enforce.
+    /// Returns the rules that the programs enforce.
     pub fn rules(&self) -> Rules {
         self.flaw.rules()
     }
 }
 
-/// The result of a simulated day.
+/// The result of a simulated run.
 pub struct SimResult {
     /// The violations that were found.
     pub violations: Vec<SafetyViolation>,
     /// The number of requests and changes by outcome.
     pub counts: BTreeMap<String, u64>,
-    /// The number of cases of each check.
+    /// How often each check was performed.
     pub checked: BTreeMap<&'static str, u64>,
-    /// The share of requests answered from 12 s after all faults were undone.
+    /// The share of requests that were answered, from 12 s after all faults were undone.
     pub share_after: f64,
-    /// The time after which at least half of the calls were answered again, from when all faults were undone.
+    /// The time from when all faults were undone until at least half of the calls were answered again.
     pub recovered_after: Duration,
-    /// The number of counted steps of the control side.
+    /// The number of counted steps of the control plane.
     pub steps: u64,
     /// The recovery times from the plan's single loss, if everything recovered.
     pub recovery: Option<RecoveryTimes>,
-    /// The digest of all events, for comparing the behaviour of two versions of the code.
+    /// The digest of all events, to compare the behaviour of two versions of the code.
     pub event_digest: String,
     /// The trace of events, if it was requested.
     pub trace: Vec<String>,
