--- a/testing/fleet/src/sim/scenario/cut_off.rs
+++ b/testing/fleet/src/sim/scenario/cut_off.rs
@@ -1,30 +1,30 @@
-//! Scenario: a controller is partitioned for twenty seconds, in one direction or both, and returns in one of several
-//! ways.
+//! Scenario: a controller is partitioned for 20 s, in one direction or both, and rejoins in one of several ways.
 
 use super::{QuorumSize, ScriptBuilder};
 use crate::sim::plan::SimPlan;
 use crate::sim::script::{Action, Direction, Loss, Target};
 use std::time::Duration;
 
-const CUT_AT: Duration = Duration::from_secs(5);
-const CUT_LASTS: Duration = Duration::from_secs(20);
+const PARTITION_AT: Duration = Duration::from_secs(5);
+const PARTITION_DURATION: Duration = Duration::from_secs(20);
 const CHANGE_INTERVAL: Duration = Duration::from_millis(400);
-/// The longest time of a change of leaders, and the interval of operators' requests in that time.
-const CHANGE_BURST_LENGTH: Duration = Duration::from_millis(1500);
-const CHANGE_BURST_INTERVAL: Duration = Duration::from_millis(20);
+/// The longest time until a new leader takes over, and the mean interval of operators' requests in that time.
+const ELECTION_BURST_DURATION: Duration = Duration::from_millis(1500);
+const ELECTION_BURST_INTERVAL: Duration = Duration::from_millis(20);
 const READ_INTERVAL: Duration = Duration::from_millis(150);
 const EVACUATION_INTERVAL: Duration = Duration::from_secs(5);
 
-/// How the partitioned controller returns.
+/// How the partitioned controller rejoins.
 #[derive(Clone, Copy)]
 enum VictimReturn {
     Reconnected,
-    Woken,
+    /// It was frozen during the partition, and is resumed.
+    Resumed,
     Restarted,
     Replaced,
 }
 
-/// The plan of a day with this seed.
+/// Returns the plan of a run with this seed.
 pub(crate) fn plan(seed: u64) -> SimPlan {
     let mut script = ScriptBuilder::seeded(seed);
     let targets = [
@@ -44,16 +44,16 @@
     let direction = script.one_of(&directions);
     let victim_return = script.one_of(&[
         VictimReturn::Reconnected,
-        VictimReturn::Woken,
+        VictimReturn::Resumed,
         VictimReturn::Restarted,
         VictimReturn::Replaced,
     ]);
-    let returns_at = CUT_AT + CUT_LASTS;
-    script.at(CUT_AT, Action::Cut(target, direction));
+    let returns_at = PARTITION_AT + PARTITION_DURATION;
+    script.at(PARTITION_AT, Action::Cut(target, direction));
     match victim_return {
         VictimReturn::Reconnected => script.at(returns_at, Action::Rejoin),
-        VictimReturn::Woken => {
-            let frozen_at = script.one_of(&[CUT_AT, CUT_AT + CUT_LASTS / 2]);
+        VictimReturn::Resumed => {
+            let frozen_at = script.one_of(&[PARTITION_AT, PARTITION_AT + PARTITION_DURATION / 2]);
             script.at(frozen_at, Action::Lose(Target::Victim, Loss::Frozen));
             script.at(returns_at, Action::Rejoin);
         }
@@ -74,22 +74,22 @@
     )
 }
 
-/// Adds concurrent changes, readings on either side, and evacuations.
+/// Adds concurrent changes, reads on both sides of the partition, and evacuations.
 fn add_operators(script: &mut ScriptBuilder, returns_at: Duration) {
     let from = Duration::from_secs(2);
     let until = returns_at + Duration::from_secs(2);
     script.repeat(from, until, CHANGE_INTERVAL, |_| Action::Change);
-    // While a new leader is elected and the old one has not noticed yet.
+    // Requests while a new leader is elected and the old one has not noticed yet.
     script.repeat(
-        CUT_AT,
-        CUT_AT + CHANGE_BURST_LENGTH,
-        CHANGE_BURST_INTERVAL,
+        PARTITION_AT,
+        PARTITION_AT + ELECTION_BURST_DURATION,
+        ELECTION_BURST_INTERVAL,
         |_| Action::Change,
     );
     script.repeat(
-        CUT_AT,
-        CUT_AT + CHANGE_BURST_LENGTH,
-        CHANGE_BURST_INTERVAL,
+        PARTITION_AT,
+        PARTITION_AT + ELECTION_BURST_DURATION,
+        ELECTION_BURST_INTERVAL,
         |_| Action::Read(Target::Victim),
     );
     script.repeat(from, until, READ_INTERVAL, |rng| {
--- a/testing/fleet/src/sim/scenario/detection_cases.rs
+++ b/testing/fleet/src/sim/scenario/detection_cases.rs
@@ -1,4 +1,4 @@
-//! Detection cases of the control side: flaws that scripted days must find.
+//! Detection cases of the control plane: flaws that the checks must find in scripted runs.
 
 use super::Scenario;
 use crate::sim::flaw::Flaw;
@@ -7,21 +7,21 @@
 use common::rules::Rule;
 use std::fmt;
 
-/// A detection case: a flaw, and the scenario that exposes it.
+/// A flaw and the scenario that exposes it.
 pub struct ScenarioDetectionCase {
     /// The scenario.
     pub scenario: Scenario,
     /// The flaw that is introduced.
     pub flaw: Flaw,
-    /// The text of the expected violation.
+    /// A part of the expected violation's message.
     pub expected_violation: &'static str,
 }
 
-/// The number of seeds after which a flaw must have been found.
+/// The number of seeds within which a flaw must be found.
 pub const SEEDS_TO_FIND: u64 = 50;
 
 impl ScenarioDetectionCase {
-    /// The first seed whose day finds the flaw, and the violation.
+    /// Returns the first seed with which the flaw is found, and the violation.
     pub fn find(&self, max_seeds: u64) -> Option<(u64, String)> {
         (1..=max_seeds).find_map(|seed| {
             let plan = SimPlan {
@@ -29,10 +29,10 @@
                 ..self.scenario.plan(seed)
             };
             let violations = Simulation::new(plan, false).run().violations;
-            let seen = violations
+            let violation = violations
                 .into_iter()
                 .find(|violation| violation.what.contains(self.expected_violation))?;
-            Some((seed, seen.what))
+            Some((seed, violation.what))
         })
     }
 }
@@ -43,7 +43,7 @@
     }
 }
 
-const fn rule(
+const fn case_without_rule(
     scenario: Scenario,
     rule: Rule,
     expected_violation: &'static str,
@@ -67,11 +67,11 @@
     }
 }
 
-/// The detection cases by scripted days.
+/// The detection cases with scripted runs.
 pub const SCENARIO_DETECTION_CASES: &[ScenarioDetectionCase] = &[
-    rule(Scenario::Isolation, Rule::ReadConfirmedByMajority, "reads"),
-    rule(Scenario::Isolation, Rule::LeaderHintIsRecent, "names"),
-    rule(
+    case_without_rule(Scenario::Isolation, Rule::ReadConfirmedByMajority, "reads"),
+    case_without_rule(Scenario::Isolation, Rule::LeaderHintIsRecent, "names"),
+    case_without_rule(
         Scenario::Isolation,
         Rule::StaleBaseRejected,
         "both accepted",
--- a/testing/fleet/src/sim/scenario/many_changes.rs
+++ b/testing/fleet/src/sim/scenario/many_changes.rs
@@ -5,37 +5,37 @@
 use crate::sim::script::{Action, Loss, Target};
 use std::time::Duration;
 
-/// The number of changes of a day: more than the records of orders and numbers that are retained.
-const CHANGES: u32 = 700;
+/// The number of changes in a run, which is more than the number of retained records of orders and version numbers.
+const CHANGE_COUNT: u32 = 700;
 const CHANGE_INTERVAL: Duration = Duration::from_millis(40);
 const FIRST_CHANGE_AT: Duration = Duration::from_secs(3);
 const READ_INTERVAL: Duration = Duration::from_millis(300);
 /// The number of additional functions that make the configuration large.
-const FUNCTIONS: u64 = 24;
+const ADDITIONAL_FUNCTIONS: u64 = 24;
 
 /// How a voter misses changes.
 #[derive(Clone, Copy)]
 enum AbsenceKind {
     /// It is down for all of them.
     AllChanges,
-    /// It returns in the middle.
+    /// It returns after half of them.
     HalfOfChanges,
-    /// It returns in the middle with an empty disk.
+    /// It returns after half of them, with an empty disk.
     Wiped,
-    /// It returns after all of them, and the leader is lost at that time.
+    /// It returns after all of them, and the leader is lost shortly afterwards.
     ElectedOnReturn,
 }
 
-/// The plan of a day with this seed.
+/// Returns the plan of a run with this seed.
 pub(crate) fn plan(seed: u64) -> SimPlan {
     let mut script = ScriptBuilder::seeded(seed);
     let size = QuorumSize::of_seed(seed);
-    let changes_end = FIRST_CHANGE_AT + CHANGE_INTERVAL * CHANGES;
-    let middle = FIRST_CHANGE_AT + CHANGE_INTERVAL * CHANGES / 2;
-    for turn in 0..CHANGES {
+    let changes_end = FIRST_CHANGE_AT + CHANGE_INTERVAL * CHANGE_COUNT;
+    let half_time = FIRST_CHANGE_AT + CHANGE_INTERVAL * CHANGE_COUNT / 2;
+    for index in 0..CHANGE_COUNT {
         script.at(
-            FIRST_CHANGE_AT + CHANGE_INTERVAL * turn,
-            Action::LargeChange(FUNCTIONS),
+            FIRST_CHANGE_AT + CHANGE_INTERVAL * index,
+            Action::LargeChange(ADDITIONAL_FUNCTIONS),
         );
     }
     let absence_kind = script.one_of(&[
@@ -46,33 +46,33 @@
     ]);
     let (loss, returns_at) = match absence_kind {
         AbsenceKind::AllChanges | AbsenceKind::ElectedOnReturn => (Loss::PowerLost, changes_end),
-        AbsenceKind::HalfOfChanges => (Loss::PowerLost, middle),
-        AbsenceKind::Wiped => (Loss::Wiped, middle),
+        AbsenceKind::HalfOfChanges => (Loss::PowerLost, half_time),
+        AbsenceKind::Wiped => (Loss::Wiped, half_time),
     };
     script.at(FIRST_CHANGE_AT, Action::Lose(Target::Follower, loss));
     script.at(returns_at, Action::Restart);
-    let lasts = changes_end + Duration::from_secs(2);
+    let fault_duration = changes_end + Duration::from_secs(2);
     if matches!(absence_kind, AbsenceKind::ElectedOnReturn) {
-        let failure_timeout = script
+        let leader_loss_delay = script
             .rng
             .within(Duration::ZERO, Duration::from_millis(400));
         script.at(
-            returns_at + failure_timeout,
+            returns_at + leader_loss_delay,
             Action::Lose(Target::Leader, Loss::Killed),
         );
     }
     script.repeat(FIRST_CHANGE_AT, changes_end, READ_INTERVAL, |_| {
         Action::Read(Target::Any)
     });
-    for turn in 0..4 {
+    for index in 0..4 {
         script.at(
-            changes_end + Duration::from_millis(500) * turn,
+            changes_end + Duration::from_millis(500) * index,
             Action::ResendFirst,
         );
         script.at(
-            lasts + Duration::from_secs(5) + CHANGE_INTERVAL * turn,
+            fault_duration + Duration::from_secs(5) + CHANGE_INTERVAL * index,
             Action::ResendFirst,
         );
     }
-    script.plan(seed, size, lasts)
+    script.plan(seed, size, fault_duration)
 }
--- a/testing/fleet/src/sim/scenario/mod.rs
+++ b/testing/fleet/src/sim/scenario/mod.rs
@@ -1,4 +1,4 @@
-//! Scenarios for the control side: scripts of timed losses, partitions, orders and readings.
+//! Scenarios for the control plane: scripts of timed losses, partitions, orders and reads.
 
 mod cut_off;
 mod detection_cases;
@@ -15,12 +15,12 @@
 use std::fmt;
 use std::time::Duration;
 
-/// A kind of scripted day.
+/// A kind of scripted run.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Scenario {
-    /// A controller is partitioned for twenty seconds, with orders and readings on either side.
+    /// A controller is partitioned for 20 s, with orders and reads on both sides.
     Isolation,
-    /// A second loss happens at some step of a repair, a replacement or a growth of the quorum.
+    /// A second loss happens while the quorum is repaired, replaces a voter or grows.
     SecondLoss,
     /// Hundreds of changes, with voters down for many of them.
     ManyChanges,
@@ -28,12 +28,12 @@
     PowerLoss,
 }
 
-/// The number of machines with a disk in a deployment, and of voters among them.
+/// The number of machines with a disk in a deployment, and the number of voters among them.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct QuorumSize {
-    /// Machines with a disk.
+    /// The number of machines with a disk.
     pub machines: usize,
-    /// Voters.
+    /// The number of voters.
     pub voters: usize,
 }
 
@@ -58,20 +58,20 @@
         },
     ];
 
-    /// The size of the day with this seed.
+    /// Returns the size for this seed.
     pub fn of_seed(seed: u64) -> Self {
         Self::ALL[(seed % Self::ALL.len() as u64) as usize]
     }
 
-    /// The number of machines that may be lost at once.
+    /// Returns the number of machines whose simultaneous loss is tolerated.
     pub fn tolerance(self) -> usize {
         (self.voters - 1) / 2
     }
 }
 
-/// How long a scripted day continues after its faults.
+/// How long a scripted run continues after its faults.
 const SETTLING_TIME: Duration = Duration::from_secs(14);
-/// The interval of operators' readings and changes at the end of a day.
+/// The mean interval of operators' reads and changes after the faults.
 const SETTLING_INTERVAL: Duration = Duration::from_millis(700);
 
 impl Scenario {
@@ -83,7 +83,7 @@
         Scenario::PowerLoss,
     ];
 
-    /// The scenario with this name.
+    /// Returns the scenario with this name.
     pub fn by_name(name: &str) -> Option<Scenario> {
         Self::ALL
             .iter()
@@ -91,7 +91,7 @@
             .find(|scenario| scenario.to_string() == name)
     }
 
-    /// The plan of a day with this seed.
+    /// Returns the plan of a run with this seed.
     pub fn plan(self, seed: u64) -> SimPlan {
         match self {
             Self::Isolation => cut_off::plan(seed),
@@ -113,7 +113,7 @@
     }
 }
 
-/// Builds a script, with its own random generator.
+/// Builds a script with its own random number generator.
 struct ScriptBuilder {
     rng: SeededRng,
     actions: Vec<(Duration, Action)>,
@@ -131,19 +131,19 @@
         self.actions.push((due_after, action));
     }
 
-    /// Adds an action repeatedly, with random gaps of this mean length.
+    /// Adds actions at random intervals with this mean.
     fn repeat(
         &mut self,
         from: Duration,
         until: Duration,
-        every: Duration,
+        mean_interval: Duration,
         mut action: impl FnMut(&mut SeededRng) -> Action,
     ) {
         let mut due_after = from;
         while due_after < until {
             let next_action = action(&mut self.rng);
             self.at(due_after, next_action);
-            due_after += self.rng.within(every / 2, every * 3 / 2);
+            due_after += self.rng.within(mean_interval / 2, mean_interval * 3 / 2);
         }
     }
 
@@ -151,7 +151,7 @@
         choices[self.rng.below(choices.len() as u64) as usize]
     }
 
-    /// Builds the plan; at the end of the day orders and readings continue.
+    /// Builds the plan. Changes and reads continue after the faults, until the end of the run.
     fn plan(mut self, seed: u64, size: QuorumSize, fault_duration: Duration) -> SimPlan {
         let until = fault_duration + SETTLING_TIME;
         self.repeat(fault_duration, until, SETTLING_INTERVAL, |_| Action::Change);
--- a/testing/fleet/src/sim/scenario/second_loss.rs
+++ b/testing/fleet/src/sim/scenario/second_loss.rs
@@ -1,4 +1,4 @@
-//! Scenario: a second loss at one step of a repair, a replacement or a growth of the quorum.
+//! Scenario: a second loss while the quorum is repaired, replaces a voter or grows.
 
 use super::{QuorumSize, ScriptBuilder};
 use crate::sim::plan::SimPlan;
@@ -15,11 +15,11 @@
     CatchUp,
     /// A voter returned with an empty disk and is added again.
     Wiped,
-    /// A voter was lost for good and is replaced by an empty machine with another address.
+    /// A voter was permanently lost and is replaced by an empty machine with another address.
     Replacement,
     /// A newly bootstrapped quorum grows to its intended number of voters.
     Growth,
-    /// A voter that was down has missed the newest versions, and one that has them is lost for good.
+    /// A voter that was down has missed the newest versions, and a voter that has them is permanently lost.
     NewestLeaves,
 }
 
@@ -46,28 +46,28 @@
     }
 }
 
-/// One case of a second loss.
+/// A case of a second loss.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct SecondLossCase {
     /// The size of the quorum.
     pub size: QuorumSize,
-    /// What the quorum does.
+    /// What the quorum does when the second loss happens.
     pub repair: Repair,
     /// The second loss, if there is one.
     pub second: Option<SecondLoss>,
 }
 
 const FIRST_LOSS_AT: Duration = Duration::from_secs(5);
-const AWAY_FOR: Duration = Duration::from_secs(2);
-/// How long after the return of the first lost voter the steps are counted.
-const COUNTED_FOR: Duration = Duration::from_secs(6);
-/// The largest number of steps from which a seed chooses.
-const SEEDED_STEPS: u64 = 600;
+const DOWN_TIME: Duration = Duration::from_secs(2);
+/// How long the steps are counted after the first lost voter has returned.
+const COUNTING_DURATION: Duration = Duration::from_secs(6);
+/// The highest step that a seed chooses for the second loss.
+const MAX_SEEDED_STEP: u64 = 600;
 const CHANGE_INTERVAL: Duration = Duration::from_millis(250);
 const READ_INTERVAL: Duration = Duration::from_millis(400);
 
 impl SecondLossCase {
-    /// The case with this seed.
+    /// Returns the case for this seed.
     pub fn seeded(seed: u64) -> Self {
         let mut rng = SeededRng::seeded(seed ^ 0x2d105);
         let size = QuorumSize::of_seed(seed);
@@ -76,7 +76,7 @@
         let target = targets[rng.below(targets.len() as u64) as usize];
         let losses = Self::tolerated_losses(size, repair);
         let loss = losses[rng.below(losses.len() as u64) as usize];
-        let step = 1 + rng.below(SEEDED_STEPS);
+        let step = 1 + rng.below(MAX_SEEDED_STEP);
         Self {
             size,
             repair,
@@ -84,13 +84,13 @@
         }
     }
 
-    /// The second losses that a quorum tolerates during a repair: a disk may only be lost while fewer disks than it
-    /// tolerates are lost or incomplete.
+    /// Returns the kinds of second loss that a quorum tolerates during a repair. Another disk may only be lost while the
+    /// number of lost or outdated disks is below the tolerated one.
     pub fn tolerated_losses(size: QuorumSize, repair: Repair) -> &'static [Loss] {
         let lost_disks = match repair {
             Repair::CatchUp => 0,
             Repair::Wiped | Repair::Replacement | Repair::Growth => 1,
-            // The voter that was down has not caught up, so two are lost already.
+            // The voter that was down has not caught up, so two disks count as lost already.
             Repair::NewestLeaves => 2,
         };
         if lost_disks < size.tolerance() {
@@ -100,19 +100,25 @@
         }
     }
 
-    /// The plan of this case.
+    /// Returns the plan of this case.
     pub fn plan(&self, seed: u64) -> SimPlan {
         let mut script = ScriptBuilder::seeded(seed);
-        let returns_at = FIRST_LOSS_AT + AWAY_FOR;
+        let returns_at = FIRST_LOSS_AT + DOWN_TIME;
         let counted_from = self.add_repair(&mut script, returns_at);
         script.at(counted_from, Action::CountSteps);
-        let lasts = returns_at + COUNTED_FOR;
-        script.repeat(Duration::from_secs(1), lasts, CHANGE_INTERVAL, |_| {
-            Action::Change
-        });
-        script.repeat(Duration::from_secs(2), lasts, READ_INTERVAL, |_| {
-            Action::Read(Target::Any)
-        });
+        let fault_duration = returns_at + COUNTING_DURATION;
+        script.repeat(
+            Duration::from_secs(1),
+            fault_duration,
+            CHANGE_INTERVAL,
+            |_| Action::Change,
+        );
+        script.repeat(
+            Duration::from_secs(2),
+            fault_duration,
+            READ_INTERVAL,
+            |_| Action::Read(Target::Any),
+        );
         let founders = if self.repair == Repair::Growth {
             self.size.voters.div_ceil(2)
         } else {
@@ -121,11 +127,11 @@
         SimPlan {
             founders,
             second_loss: self.second,
-            ..script.plan(seed, self.size, lasts)
+            ..script.plan(seed, self.size, fault_duration)
         }
     }
 
-    /// Adds the repair to the script; returns from when on steps are counted.
+    /// Adds the repair to the script, and returns the time from which steps are counted.
     fn add_repair(&self, script: &mut ScriptBuilder, returns_at: Duration) -> Duration {
         let target = script.one_of(&[Target::Leader, Target::Follower]);
         match self.repair {
@@ -149,18 +155,20 @@
                 );
                 script.at(returns_at, Action::Restart);
                 script.at(returns_at, Action::Lose(target, Loss::Replaced));
-                script.at(returns_at + AWAY_FOR, Action::Restart);
+                script.at(returns_at + DOWN_TIME, Action::Restart);
             }
         }
         returns_at
     }
 
-    /// The number of steps of the control side in this case without a second loss.
+    /// Returns the number of steps of the control plane in this case without its second loss.
     pub fn steps(&self, seed: u64) -> u64 {
-        let quiet_case = Self {
+        let case_without_loss = Self {
             second: None,
             ..*self
         };
-        Simulation::new(quiet_case.plan(seed), false).run().steps
+        Simulation::new(case_without_loss.plan(seed), false)
+            .run()
+            .steps
     }
 }
