--- a/testing/fleet/src/sim/flaw.rs
+++ b/testing/fleet/src/sim/flaw.rs
@@ -1,16 +1,16 @@
-//! Flaws that are introduced on purpose to test the checks.
+//! Flaws that are introduced to test that the checks find them.
 
 use common::rules::{Rule, Rules};
 use std::fmt;
 
-/// A flaw that is introduced on purpose, to test that the checks find it.
+/// A flaw that is introduced to test that the checks find it.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Flaw {
     /// No flaw.
     None,
     /// The programs run without this rule.
     Without(Rule),
-    /// The disk reports a write as synced before it is.
+    /// The disk reports writes as synced before they are.
     SyncSkipped,
     /// Each controller counts itself as a majority.
     QuorumOfOne,
@@ -21,10 +21,10 @@
 }
 
 impl Flaw {
-    /// All flaws, [`Flaw::None`] first.
+    /// Returns all flaws, [`Flaw::None`] first.
     pub fn all() -> Vec<Flaw> {
         let rules = Rule::ALL.iter().map(|rule| Flaw::Without(*rule));
-        let around = [
+        let environment_flaws = [
             Flaw::SyncSkipped,
             Flaw::QuorumOfOne,
             Flaw::StopRequestsIgnored,
@@ -32,12 +32,12 @@
         ];
         [Flaw::None]
             .into_iter()
-            .chain(around)
+            .chain(environment_flaws)
             .chain(rules)
             .collect()
     }
 
-    /// The rules that the programs still enforce.
+    /// Returns the rules that the programs still enforce.
     pub fn rules(self) -> Rules {
         match self {
             Self::Without(rule) => Rules::without(rule),
--- a/testing/fleet/src/sim/order_generator.rs
+++ b/testing/fleet/src/sim/order_generator.rs
@@ -1,4 +1,4 @@
-//! Random orders of operators: configurations with irregular version numbers, some of them invalid.
+//! Random orders of operators: configurations with version numbers that skip values, some of them invalid.
 
 use super::operator::spec;
 use crate::history::{Effect, Order};
@@ -9,27 +9,27 @@
 
 /// The share of orders that are invalid.
 const INVALID_SHARE: f64 = 0.12;
-/// The share of orders that change named items.
+/// The share of orders that change single items of the configuration.
 const ITEMS_SHARE: f64 = 0.3;
-/// The share of orders with an older base version than the newest that the operator has seen.
+/// The share of orders whose base version is older than the newest one that the operator knows.
 const OLD_BASE_SHARE: f64 = 0.08;
-/// The largest difference between an order's number and that of its base version.
-const LONGEST_STEP: u64 = 5;
+/// The largest difference between the number of an order and the number of its base version.
+const MAX_NUMBER_STEP: u64 = 5;
 
-/// The ways in which an order can be invalid on every base version.
+/// A defect that makes an order invalid on every base version.
 #[derive(Clone, Copy)]
-enum Mistake {
+enum Defect {
     UnknownFunction,
-    SamePath,
-    NoTime,
-    LowNumber,
+    DuplicatePath,
+    ZeroBudget,
+    NumberNotAboveBase,
 }
 
-const MISTAKES: [Mistake; 4] = [
-    Mistake::UnknownFunction,
-    Mistake::SamePath,
-    Mistake::NoTime,
-    Mistake::LowNumber,
+const DEFECTS: [Defect; 4] = [
+    Defect::UnknownFunction,
+    Defect::DuplicatePath,
+    Defect::ZeroBudget,
+    Defect::NumberNotAboveBase,
 ];
 
 fn canary_route(function: &str) -> Value {
@@ -50,12 +50,12 @@
     pub kind: ChangeKind,
 }
 
-/// Draws a number above that of the base version.
+/// Chooses a random number above the number of the base version.
 pub(crate) fn generate_number(rng: &mut SeededRng, base: u64) -> u64 {
-    base + 1 + rng.below(LONGEST_STEP)
+    base + 1 + rng.below(MAX_NUMBER_STEP)
 }
 
-/// Draws a base version: the newest one seen, or occasionally an older one.
+/// Chooses a base version: the newest known one, or occasionally the one before.
 pub(crate) fn generate_base(rng: &mut SeededRng, known_numbers: &[u64]) -> u64 {
     let newest = known_numbers.last().copied().unwrap_or(0);
     if rng.random_bool(OLD_BASE_SHARE) && known_numbers.len() > 1 {
@@ -65,36 +65,36 @@
     }
 }
 
-/// Generates an order with this number and base version; the label makes its content unique.
+/// Generates an order with this number and base version. The label makes its content unique.
 pub(crate) fn generate_order(
     rng: &mut SeededRng,
     number: u64,
     base: u64,
     label: u64,
 ) -> GeneratedOrder {
-    let mistake = rng
+    let defect = rng
         .random_bool(INVALID_SHARE)
-        .then(|| MISTAKES[rng.below(MISTAKES.len() as u64) as usize]);
-    let number = if matches!(mistake, Some(Mistake::LowNumber)) {
+        .then(|| DEFECTS[rng.below(DEFECTS.len() as u64) as usize]);
+    let number = if matches!(defect, Some(Defect::NumberNotAboveBase)) {
         base
     } else {
         number
     };
-    if mistake.is_none() && rng.random_bool(ITEMS_SHARE) {
+    if defect.is_none() && rng.random_bool(ITEMS_SHARE) {
         return generate_item_order(rng, number, base, label);
     }
     let mut content = spec(rng.below(6));
     content["labels"] = json!({"order": label});
-    match mistake {
-        Some(Mistake::UnknownFunction) => {
+    match defect {
+        Some(Defect::UnknownFunction) => {
             content["routes"]["canary"]["function"] = json!("nowhere");
         }
-        Some(Mistake::SamePath) => content["routes"]["again"] = canary_route("f0"),
-        Some(Mistake::NoTime) => content["routes"]["canary"]["budget_ms"] = json!(0),
-        Some(Mistake::LowNumber) | None => {}
+        Some(Defect::DuplicatePath) => content["routes"]["again"] = canary_route("f0"),
+        Some(Defect::ZeroBudget) => content["routes"]["canary"]["budget_ms"] = json!(0),
+        Some(Defect::NumberNotAboveBase) | None => {}
     }
     let effect = Effect::Replace(content.clone());
-    let is_valid = mistake.is_none();
+    let is_valid = defect.is_none();
     let order = Order {
         number,
         base,
@@ -107,7 +107,7 @@
     }
 }
 
-/// Changes the function of the canary route.
+/// Generates an order that changes the function of the canary route.
 fn generate_item_order(rng: &mut SeededRng, number: u64, base: u64, label: u64) -> GeneratedOrder {
     let mut route = canary_route(&format!("f{}", rng.below(5)));
     route["labels"] = json!({"order": label});
