--- a/testing/fleet/src/history/anomaly.rs
+++ b/testing/fleet/src/history/anomaly.rs
@@ -3,7 +3,7 @@
 use super::OrderId;
 use std::fmt;
 
-/// Something in a history that no sequence of events explains.
+/// An observation in a history that no sequence of events explains.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub enum Anomaly {
     /// An invalid order was acknowledged.
@@ -22,15 +22,15 @@
         /// The two orders.
         orders: (OrderId, OrderId),
     },
-    /// No chain of orders that were sent leads from one version to another that was acknowledged or read.
+    /// A version was acknowledged or read that no chain of sent orders reaches.
     Unreachable {
-        /// The highest version number that a chain reaches.
+        /// The highest version number that is reached.
         from: u64,
-        /// The number of the version that none reaches.
+        /// The number of the version that is not reached.
         to: u64,
     },
-    /// The bounds on when a version became current contradict each other: a reading went back, or an acknowledged
-    /// change was missing.
+    /// The bounds on when a version became current contradict each other: a reading returned an older version than one
+    /// before, or an acknowledged change was missing.
     NotCurrent {
         /// The number of the version.
         number: u64,
@@ -41,11 +41,11 @@
     CurrentRefused(OrderId),
     /// A valid order with a number above the current one was refused as invalid.
     ValidRefused(OrderId),
-    /// A reading showed a state of a zone that no order explains.
+    /// A reading returned a state of a zone that no order explains.
     ZoneUnexplained {
         /// The zone.
         zone: String,
-        /// Whether the reading showed it as evacuated.
+        /// Whether the reading returned it as evacuated.
         evacuated: bool,
     },
 }
@@ -54,7 +54,7 @@
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::InvalidAcknowledged(OrderId(order)) => {
-                write!(out, "order {order} is invalid and was acknowledged")
+                write!(out, "order {order} was acknowledged although it is invalid")
             }
             Self::DuplicateNumber { number, orders } => {
                 let (OrderId(left), OrderId(right)) = orders;
@@ -72,21 +72,24 @@
             }
             Self::Unreachable { from, to } => write!(
                 out,
-                "version {to} was acknowledged or read, and nothing leads to it from {from}"
+                "version {to} was acknowledged or read, but no sent order leads to it from {from}"
             ),
             Self::NotCurrent { number } => write!(
                 out,
-                "version {number} was read, acknowledged or named when it was not current"
+                "version {number} was read, acknowledged or reported as current when it was not current"
             ),
             Self::AcceptedRefused(OrderId(order)) => {
-                write!(out, "order {order} was taken, then refused")
+                write!(out, "order {order} was accepted, then refused")
             }
             Self::CurrentRefused(OrderId(order)) => write!(
                 out,
-                "order {order} was refused as stale on the current version"
+                "order {order} was refused as stale although its base was the current version"
             ),
             Self::ValidRefused(OrderId(order)) => {
-                write!(out, "order {order} was refused as invalid and is valid")
+                write!(
+                    out,
+                    "order {order} was refused as invalid although it is valid"
+                )
             }
             Self::ZoneUnexplained { zone, evacuated } => {
                 let state = if *evacuated { "evacuated" } else { "in use" };
--- a/testing/fleet/src/history/chain.rs
+++ b/testing/fleet/src/history/chain.rs
@@ -7,23 +7,23 @@
 /// One version of the configuration in a chain from the first to the newest.
 #[derive(Clone, Debug)]
 pub(crate) struct RegisterVersion {
-    /// Its number; zero for the state before the first order.
+    /// The version number; zero for the state before the first order.
     pub number: u64,
-    /// The order that created it; none for the first.
+    /// The order that created the version; none for the first.
     pub order: Option<OrderId>,
     /// The configuration.
     pub content: Value,
 }
 
-/// What a chain must contain: versions that were acknowledged, read, or reported as current.
+/// The constraints on a chain, from what was acknowledged, read, refused and reported as current.
 struct ChainConstraints<'a> {
     /// The acknowledged orders by number.
     acknowledged: BTreeMap<u64, OrderId>,
-    /// The contents that were read, by number; empty where a number was only reported as current.
+    /// The contents that were read, by number; empty if a number was only reported as current.
     read: BTreeMap<u64, Vec<&'a Value>>,
-    /// Base versions on which orders were refused as stale, so that another version must follow them.
-    followed: BTreeSet<u64>,
-    /// Orders with a refused attempt; an earlier attempt may have taken effect all the same.
+    /// Base versions on which orders were refused as stale, so that they must have a successor.
+    with_successor: BTreeSet<u64>,
+    /// Orders with a refused attempt. An earlier attempt may nevertheless have taken effect.
     refused: BTreeSet<OrderId>,
 }
 
@@ -32,7 +32,7 @@
         let mut constraints = Self {
             acknowledged: BTreeMap::new(),
             read: BTreeMap::new(),
-            followed: BTreeSet::new(),
+            with_successor: BTreeSet::new(),
             refused: BTreeSet::new(),
         };
         for (index, order) in history.orders.iter().enumerate() {
@@ -45,7 +45,7 @@
                 match answer {
                     Answer::Acknowledged => continue,
                     Answer::Stale { current } => {
-                        constraints.followed.insert(order.base);
+                        constraints.with_successor.insert(order.base);
                         if let Some(current) = current {
                             constraints.read.entry(current).or_default();
                         }
@@ -65,7 +65,7 @@
         constraints
     }
 
-    /// The lowest number above this one that the chain must contain.
+    /// Returns the lowest number above this one that the chain must contain.
     fn next_after(&self, number: u64) -> Option<u64> {
         let after = number + 1..;
         let acknowledged = self
@@ -84,7 +84,7 @@
     }
 
     /// Whether a version agrees with what was acknowledged and read under its number.
-    fn fits(&self, version: &RegisterVersion) -> bool {
+    fn is_consistent(&self, version: &RegisterVersion) -> bool {
         let is_acknowledged = self
             .acknowledged
             .get(&version.number)
@@ -95,7 +95,7 @@
 }
 
 /// A depth-first search for the chains from the first version to the newest that was acknowledged, read, or shown to
-/// exist by a refusal. Usually there is one. There are more where orders without a definite reply have the same number
+/// exist by a refusal. Usually there is one. There are several if orders without a definite reply have the same number
 /// and base version and their content was not read.
 pub(crate) struct VersionChainSearch<'a> {
     history: &'a History,
@@ -104,7 +104,7 @@
     orders_on: BTreeMap<u64, Vec<OrderId>>,
     /// The chain up to the current point of the search.
     chain: Vec<RegisterVersion>,
-    /// For each version of the chain the successors that were not tried yet.
+    /// For each version of the chain, the successors that have not been tried yet.
     untried_branches: Vec<Vec<RegisterVersion>>,
     highest_reached: u64,
 }
@@ -128,7 +128,7 @@
             order: None,
             content: first_content.clone(),
         };
-        let chain = if constraints.fits(&first_version) {
+        let chain = if constraints.is_consistent(&first_version) {
             vec![first_version]
         } else {
             Vec::new()
@@ -143,7 +143,8 @@
         }
     }
 
-    /// The anomaly that no chain exists: the highest version that was reached and the next required one.
+    /// Returns the anomaly for the case that no chain exists, with the highest version that was reached and the next
+    /// required one.
     pub(crate) fn unreachable_version(&self) -> Anomaly {
         let to = self
             .constraints
@@ -155,7 +156,7 @@
         }
     }
 
-    /// The next chain, if there is another one.
+    /// Returns the next chain, if there is another one.
     pub(crate) fn next_chain(&mut self) -> Option<Vec<RegisterVersion>> {
         if self.untried_branches.len() == self.chain.len() {
             self.try_next_branch()?;
@@ -165,8 +166,8 @@
             self.highest_reached = self.highest_reached.max(newest.number);
             let is_newest = self.constraints.next_after(newest.number).is_none();
             let candidates = self.candidates(newest);
-            let is_followed = self.constraints.followed.contains(&newest.number);
-            let is_complete = is_newest && (!is_followed || candidates.is_empty());
+            let needs_successor = self.constraints.with_successor.contains(&newest.number);
+            let is_complete = is_newest && (!needs_successor || candidates.is_empty());
             let chain = is_complete.then(|| self.chain.clone());
             self.untried_branches
                 .push(if is_complete { Vec::new() } else { candidates });
@@ -177,7 +178,8 @@
         }
     }
 
-    /// Backtracks to the newest version with an untried successor and appends that; none if the search is exhausted.
+    /// Backtracks to the newest version with an untried successor and appends that successor. Returns none if the search
+    /// is exhausted.
     fn try_next_branch(&mut self) -> Option<()> {
         while self.untried_branches.last()?.is_empty() {
             self.untried_branches.pop();
@@ -188,7 +190,7 @@
         Some(())
     }
 
-    /// The possible successors of a version. The likeliest come last, since they are tried from the end: those that
+    /// Returns the possible successors of a version. They are tried from the end, so the likeliest come last: those that
     /// were recorded early and not refused.
     fn candidates(&self, newest: &RegisterVersion) -> Vec<RegisterVersion> {
         let target = self.constraints.next_after(newest.number);
@@ -200,7 +202,7 @@
                 content: self.history.orders[id.0].effect.applied_to(&newest.content),
             })
             .filter(|version| target.is_none_or(|target| version.number <= target))
-            .filter(|version| self.constraints.fits(version))
+            .filter(|version| self.constraints.is_consistent(version))
             .filter(|version| target.is_some() || !self.constraints.was_refused(version))
             .collect();
         candidates.reverse();
--- a/testing/fleet/src/history/mod.rs
+++ b/testing/fleet/src/history/mod.rs
@@ -5,7 +5,7 @@
 //! [`History::find_anomalies`] searches for one sequence of events in which every acknowledged change took effect exactly once
 //! between its first attempt and its acknowledgement, every refusal was justified at some time between the attempt and
 //! its reply, and every reading returned what was current at some time while it was in progress. An order without a
-//! definite reply may have taken effect or not. Whatever no such sequence explains is an [`Anomaly`].
+//! definite reply may have taken effect or not. An observation that no such sequence explains is an [`Anomaly`].
 //!
 //! Versions have increasing numbers and name the number of their base version, so the chain of versions follows from
 //! the records, and the times are a system of lower and upper bounds. The check therefore takes polynomial time, where
@@ -47,7 +47,7 @@
 }
 
 impl Effect {
-    /// The configuration that results from applying this to the base version's.
+    /// Returns the configuration that results from applying this effect to that of the base version.
     pub fn applied_to(&self, base_content: &Value) -> Value {
         match self {
             Self::Replace(content) => content.clone(),
@@ -117,14 +117,14 @@
     pub evacuated: BTreeSet<String>,
 }
 
-/// How far an order about a zone has come.
+/// The progress of a zone order.
 #[derive(Clone, Copy)]
 enum ZoneOrderState {
-    /// It is being sent, and may take effect at any time.
+    /// The order is being sent and may take effect at any time.
     Pending,
-    /// It was acknowledged at this time, and took effect before.
+    /// The order was acknowledged at this time, and took effect before.
     Acknowledged(MonotonicTime),
-    /// It was abandoned at this time; it took effect before or never will.
+    /// The order was abandoned at this time; it took effect before or never will.
     Abandoned(MonotonicTime),
 }
 
@@ -137,7 +137,7 @@
 }
 
 impl ZoneOrder {
-    /// From when on it can no longer take effect.
+    /// Returns the time from which the order can no longer take effect, if it has ended.
     fn ended_at(&self) -> Option<MonotonicTime> {
         match self.state {
             ZoneOrderState::Pending => None,
@@ -145,15 +145,15 @@
         }
     }
 
-    /// Whether it certainly took effect before a time.
+    /// Whether the order certainly took effect before this time.
     fn is_done_before(&self, at: MonotonicTime) -> bool {
         matches!(self.state, ZoneOrderState::Acknowledged(done_at) if done_at < at)
     }
 
-    /// Whether it can only have taken effect before the other one was first sent.
+    /// Whether the order can only have taken effect before the other one was first sent.
     fn precedes(&self, other: &ZoneOrder) -> bool {
         self.ended_at()
-            .is_some_and(|ended| ended < other.requested_at)
+            .is_some_and(|ended_at| ended_at < other.requested_at)
     }
 }
 
@@ -209,12 +209,12 @@
         ZoneOrderId(self.zone_orders.len() - 1)
     }
 
-    /// Records that an order about a zone was acknowledged.
+    /// Records that a zone order was acknowledged.
     pub fn zone_order_acknowledged(&mut self, at: MonotonicTime, order: ZoneOrderId) {
         self.zone_orders[order.0].state = ZoneOrderState::Acknowledged(at);
     }
 
-    /// Records that a pending order about a zone was abandoned; from then on it cannot take effect.
+    /// Records that a pending zone order was abandoned. From then on, it cannot take effect.
     pub fn zone_order_abandoned(&mut self, at: MonotonicTime, order: ZoneOrderId) {
         let state = &mut self.zone_orders[order.0].state;
         if matches!(state, ZoneOrderState::Pending) {
@@ -222,7 +222,7 @@
         }
     }
 
-    /// The number of replies, readings and orders about zones that [`History::find_anomalies`] has to explain.
+    /// Returns the number of replies, readings and zone orders that [`History::find_anomalies`] checks.
     pub fn checked_count(&self) -> usize {
         let answered = self
             .attempts
@@ -232,7 +232,7 @@
         answered + self.readings.len() + self.zone_orders.len()
     }
 
-    /// Everything that cannot be explained, given the configuration before the first order.
+    /// Returns all anomalies, given the configuration before the first order.
     pub fn find_anomalies(&self, first_content: &Value) -> Vec<Anomaly> {
         let mut anomalies = register::find_anomalies(self, first_content);
         anomalies.extend(zones::find_anomalies(self));
@@ -245,14 +245,14 @@
             .filter(move |attempt| attempt.order == order)
     }
 
-    /// When the first attempt at an order was made, if there was one.
+    /// Returns when an order was first sent, if it was sent.
     fn first_sent_at(&self, order: OrderId) -> Option<MonotonicTime> {
         self.attempts_of(order)
             .map(|attempt| attempt.requested_at)
             .min()
     }
 
-    /// When the first acknowledgement of an order arrived, if one did.
+    /// Returns when the first acknowledgement of an order arrived, if there was one.
     fn acknowledged_at(&self, order: OrderId) -> Option<MonotonicTime> {
         let answers = self.attempts_of(order).filter_map(|attempt| attempt.answer);
         answers
--- a/testing/fleet/src/history/register.rs
+++ b/testing/fleet/src/history/register.rs
@@ -6,7 +6,7 @@
 use serde_json::Value;
 use std::collections::BTreeMap;
 
-/// How many chains are checked before an ambiguous history counts as unexplained.
+/// The number of chains that are checked before an ambiguous history counts as unexplained.
 const MAX_CHAINS: usize = 256;
 
 /// The interval in which a version must have become current; contradictory if `earliest` is after `latest`.
@@ -53,7 +53,8 @@
     anomalies
 }
 
-/// Finds anomalies that acknowledgements show without a chain: invalid orders, and two with one number or base.
+/// Finds anomalies that are visible in the acknowledgements alone: invalid orders, and two orders with the same number
+/// or base.
 fn find_acknowledgement_anomalies(history: &History) -> Vec<Anomaly> {
     let mut anomalies = Vec::new();
     let mut by_number: BTreeMap<u64, OrderId> = BTreeMap::new();
@@ -90,7 +91,7 @@
 }
 
 impl<'a> VersionIntervals<'a> {
-    /// Bounds each version by the first attempt at its order and its acknowledgement.
+    /// Bounds the time of each version by the first attempt at its order and by the order's acknowledgement.
     fn of(history: &'a History, chain: &'a [RegisterVersion]) -> Self {
         let intervals = chain
             .iter()
@@ -112,7 +113,7 @@
         }
     }
 
-    /// Narrows the intervals by readings and refusals, and adds the anomalies.
+    /// Narrows the intervals by readings and refusals, and adds the anomalies that result.
     fn find_anomalies(mut self, anomalies: &mut Vec<Anomaly>) {
         self.bound_by_readings();
         self.order_earliest();
@@ -154,7 +155,7 @@
             .filter(|index| self.chain[*index].order == Some(order))
     }
 
-    /// Applies readings, and refusals that reported the current version.
+    /// Applies the bounds from readings, and from refusals that reported the current version.
     fn bound_by_readings(&mut self) {
         let history = self.history;
         for reading in &history.readings {
@@ -173,7 +174,7 @@
         }
     }
 
-    /// A version that was read became current before the reply, and its successor after the request.
+    /// Applies that a version that was read became current before the reply, and its successor after the request.
     fn bound_by_current(
         &mut self,
         number: u64,
@@ -189,7 +190,7 @@
         }
     }
 
-    /// Each version becomes current after its predecessor.
+    /// Applies that each version becomes current after its predecessor.
     fn order_earliest(&mut self) {
         let mut earliest = MonotonicTime::ZERO;
         for interval in &mut self.intervals {
@@ -198,8 +199,8 @@
         }
     }
 
-    /// A refusal as stale requires that the successor of the base version was current before the reply, unless the
-    /// attempt began before the base version itself was current.
+    /// Applies that an order is only refused as stale if the successor of its base version was current before the reply,
+    /// unless the attempt began before the base version itself was current.
     fn bound_by_stale(
         &mut self,
         order: OrderId,
@@ -223,8 +224,8 @@
         }
     }
 
-    /// A refusal of a valid order as invalid requires that a version with its number or a higher one was current before
-    /// the reply.
+    /// Applies that a valid order is only refused as invalid if a version with its number or a higher one was current
+    /// before the reply.
     fn bound_by_invalid(&mut self, order: OrderId, received_at: MonotonicTime) -> Option<Anomaly> {
         let refused_order = &self.history.orders[order.0];
         if !refused_order.is_valid {
--- a/testing/fleet/src/history/zones.rs
+++ b/testing/fleet/src/history/zones.rs
@@ -4,8 +4,8 @@
 use std::collections::BTreeSet;
 
 /// Checks that each reading of a zone is explained by an order that may have been the latest to take effect, or by the
-/// initial state if no order to evacuate certainly took effect. Each reading is checked by itself; readings of one zone
-/// are not compared with each other.
+/// initial state if no order to evacuate certainly took effect. Readings are checked independently; they are not
+/// compared with each other.
 pub(crate) fn find_anomalies(history: &History) -> Vec<Anomaly> {
     let zones: BTreeSet<&str> = history
         .zone_orders
@@ -33,7 +33,7 @@
     anomalies
 }
 
-/// Whether some order of this kind, or the state before all orders, may be what the reading shows.
+/// Whether the reading may result from some order, or from the state before all orders.
 fn is_explained(orders: &[&ZoneOrder], reading: &Reading, evacuated: bool) -> bool {
     let is_done = |order: &ZoneOrder| order.is_done_before(reading.requested_at);
     let may_be_initial = !evacuated && !orders.iter().any(|order| order.evacuate && is_done(order));
--- a/testing/fleet/src/sim/detection_cases.rs
+++ b/testing/fleet/src/sim/detection_cases.rs
@@ -373,7 +373,7 @@
         Flaw::Without(Rule::ResentChangeRecognized),
         &[F::KillLeader],
         1500,
-        "was taken, then refused",
+        "was accepted, then refused",
         50,
     )
     .with_orders(),
