--- a/testing/fleet/tests/history.rs
+++ b/testing/fleet/tests/history.rs
@@ -26,7 +26,7 @@
     }
 }
 
-/// A history with short methods for recording.
+/// Builds a history with short methods for recording.
 #[derive(Default)]
 struct HistoryBuilder(History);
 
@@ -58,24 +58,24 @@
         });
     }
 
-    /// Records the order of change 2, and its acknowledgement at 5 ms; returns the order.
+    /// Records an order with number 2 and its acknowledgement at 5 ms, and returns the order.
     fn acknowledge_first_change(&mut self) -> OrderId {
         let first = self.order(2, 0, 1);
         self.sent(1, 5, first, Acknowledged);
         first
     }
 
-    /// Records the order of change 2, whose answer was lost; returns the order.
+    /// Records an order with number 2 whose answer is lost, and returns the order.
     fn lose_answer_to_first_change(&mut self) -> OrderId {
-        let unclear = self.order(2, 0, 1);
-        self.lost(1, unclear);
-        unclear
+        let unanswered = self.order(2, 0, 1);
+        self.lost(1, unanswered);
+        unanswered
     }
 
-    /// Records that the evacuation of zone `z` was ordered at 1 ms and acknowledged at 5 ms.
+    /// Records an order to evacuate zone `z` at 1 ms, and its acknowledgement at 5 ms.
     fn evacuate_zone(&mut self) {
-        let begin = self.0.record_zone_order(at(1), "z", true);
-        self.0.zone_order_acknowledged(at(5), begin);
+        let evacuation = self.0.record_zone_order(at(1), "z", true);
+        self.0.zone_order_acknowledged(at(5), evacuation);
     }
 
     #[track_caller]
@@ -92,7 +92,7 @@
             .with_failure_message(|| caller.to_string())
     }
 
-    /// Verifies that a reading or refusal is found to show another state than the current one.
+    /// Verifies that the anomaly is found that this version was not current when it was read or reported.
     #[track_caller]
     fn verify_finds_not_current(&self, number: u64) -> Result<()> {
         let caller = Location::caller();
@@ -130,12 +130,12 @@
 }
 
 #[gtest]
-fn a_change_without_an_answer_may_have_happened_or_not() -> Result<()> {
-    for happened in [false, true] {
+fn a_change_without_an_answer_may_have_taken_effect_or_not() -> Result<()> {
+    for took_effect in [false, true] {
         let mut builder = HistoryBuilder::default();
-        let unclear = builder.order(4, 0, 1);
-        builder.lost(1, unclear);
-        if happened {
+        let unanswered = builder.order(4, 0, 1);
+        builder.lost(1, unanswered);
+        if took_effect {
             let next = builder.order(6, 4, 2);
             builder.sent(500, 510, next, Acknowledged);
             builder.read(520, 530, 6, 2);
@@ -150,7 +150,7 @@
 }
 
 #[gtest]
-fn an_order_sent_again_is_acknowledged_for_what_it_did_before() -> Result<()> {
+fn a_retried_order_is_acknowledged_for_its_earlier_effect() -> Result<()> {
     let mut builder = HistoryBuilder::default();
     let first = builder.lose_answer_to_first_change();
     let second = builder.order(3, 2, 2);
@@ -161,7 +161,7 @@
 }
 
 #[gtest]
-fn a_refusal_may_show_a_change_that_nobody_acknowledged() -> Result<()> {
+fn a_refusal_may_reveal_an_unacknowledged_change() -> Result<()> {
     let mut builder = HistoryBuilder::default();
     builder.lose_answer_to_first_change();
     let refused = builder.order(3, 0, 2);
@@ -172,7 +172,7 @@
 }
 
 #[gtest]
-fn readings_beside_a_change_may_give_either_version() -> Result<()> {
+fn readings_concurrent_with_a_change_may_return_either_version() -> Result<()> {
     let mut builder = HistoryBuilder::default();
     let first = builder.order(2, 0, 1);
     builder.sent(10, 50, first, Acknowledged);
@@ -184,14 +184,14 @@
 }
 
 #[gtest]
-fn named_items_are_read_as_applied_to_their_base() -> Result<()> {
+fn changed_items_are_applied_to_the_base_version() -> Result<()> {
     let item = |name: &str| ("routes".to_owned(), name.to_owned());
     let amendment = Effect::Amend(BTreeMap::from([
         (item("a"), Some(json!(1))),
         (item("b"), None),
     ]));
     let base_content = json!({"routes": {"b": 2, "c": 3}});
-    for (read_content, is_right) in [
+    for (read_content, is_correct) in [
         (json!({"routes": {"a": 1, "c": 3}}), true),
         (json!({"routes": {"a": 1}}), false),
     ] {
@@ -215,7 +215,7 @@
         });
         verify_that!(
             history.find_anomalies(&base_content).is_empty(),
-            eq(is_right)
+            eq(is_correct)
         )?;
     }
     Ok(())
@@ -237,7 +237,7 @@
 }
 
 #[gtest]
-fn two_acknowledgements_on_one_base_or_number_are_found() -> Result<()> {
+fn two_acknowledgements_with_the_same_base_or_number_are_found() -> Result<()> {
     let mut builder = HistoryBuilder::default();
     let left = builder.order(2, 0, 1);
     let right = builder.order(3, 0, 2);
@@ -280,14 +280,14 @@
         builder.verify_finds_only(&Anomaly::AcceptedRefused(first))?;
     }
     let mut builder = HistoryBuilder::default();
-    let unclear = builder.lose_answer_to_first_change();
-    builder.sent(10, 15, unclear, STALE);
+    let unanswered = builder.lose_answer_to_first_change();
+    builder.sent(10, 15, unanswered, STALE);
     builder.read(20, 21, 2, 1);
-    builder.verify_finds_only(&Anomaly::AcceptedRefused(unclear))
+    builder.verify_finds_only(&Anomaly::AcceptedRefused(unanswered))
 }
 
 #[gtest]
-fn a_refusal_from_overtaken_state_is_found() -> Result<()> {
+fn a_refusal_based_on_outdated_state_is_found() -> Result<()> {
     let mut builder = HistoryBuilder::default();
     builder.acknowledge_first_change();
     let second = builder.order(3, 2, 2);
@@ -299,7 +299,7 @@
 }
 
 #[gtest]
-fn a_refusal_that_names_an_overtaken_version_as_current_is_found() -> Result<()> {
+fn a_refusal_that_reports_an_outdated_version_as_current_is_found() -> Result<()> {
     let mut builder = HistoryBuilder::default();
     builder.acknowledge_first_change();
     let second = builder.order(3, 2, 2);
@@ -315,7 +315,7 @@
 }
 
 #[gtest]
-fn a_refusal_as_invalid_without_cause_is_found() -> Result<()> {
+fn a_refusal_of_a_valid_order_as_invalid_is_found() -> Result<()> {
     let mut builder = HistoryBuilder::default();
     let first = builder.order(2, 0, 1);
     builder.sent(1, 5, first, Invalid);
@@ -326,7 +326,7 @@
 }
 
 #[gtest]
-fn a_reading_of_what_nobody_sent_or_that_goes_back_is_found() -> Result<()> {
+fn a_reading_of_an_unsent_or_older_version_is_found() -> Result<()> {
     let mut builder = HistoryBuilder::default();
     builder.acknowledge_first_change();
     builder.read(6, 7, 2, 9);
@@ -342,7 +342,7 @@
 }
 
 #[gtest]
-fn an_effect_before_the_first_sending_is_found() -> Result<()> {
+fn an_effect_before_the_first_attempt_is_found() -> Result<()> {
     let mut builder = HistoryBuilder::default();
     let first = builder.order(2, 0, 1);
     builder.read(6, 7, 2, 1);
@@ -351,14 +351,14 @@
 }
 
 #[gtest]
-fn zones_are_read_as_last_ordered() -> Result<()> {
+fn a_zone_is_read_in_the_state_of_its_latest_order() -> Result<()> {
     let mut builder = HistoryBuilder::default();
     builder.evacuate_zone();
     builder.read_zones(6, 7, 0, 0, &["z"]);
-    let finish = builder.0.record_zone_order(at(10), "z", false);
+    let restoration = builder.0.record_zone_order(at(10), "z", false);
     builder.read_zones(11, 12, 0, 0, &["z"]);
     builder.read_zones(11, 12, 0, 0, &[]);
-    builder.0.zone_order_acknowledged(at(15), finish);
+    builder.0.zone_order_acknowledged(at(15), restoration);
     builder.read_zones(20, 21, 0, 0, &[]);
     builder.verify_explained()?;
     builder.read_zones(22, 23, 0, 0, &["z"]);
@@ -371,7 +371,7 @@
 }
 
 #[gtest]
-fn an_evacuation_that_is_lost_or_comes_late_is_found() -> Result<()> {
+fn a_lost_or_late_evacuation_is_found() -> Result<()> {
     let mut builder = HistoryBuilder::default();
     builder.evacuate_zone();
     builder.read_zones(6, 7, 0, 0, &[]);
@@ -381,13 +381,13 @@
     };
     builder.verify_finds_only(&lost)?;
     let mut builder = HistoryBuilder::default();
-    let begin = builder.0.record_zone_order(at(1), "z", true);
-    builder.0.zone_order_abandoned(at(50), begin);
+    let evacuation = builder.0.record_zone_order(at(1), "z", true);
+    builder.0.zone_order_abandoned(at(50), evacuation);
     builder.read_zones(60, 61, 0, 0, &["z"]);
     builder.read_zones(62, 63, 0, 0, &[]);
     builder.verify_explained()?;
-    let finish = builder.0.record_zone_order(at(70), "z", false);
-    builder.0.zone_order_acknowledged(at(75), finish);
+    let restoration = builder.0.record_zone_order(at(70), "z", false);
+    builder.0.zone_order_acknowledged(at(75), restoration);
     builder.read_zones(80, 81, 0, 0, &["z"]);
     let late = Anomaly::ZoneUnexplained {
         zone: "z".to_owned(),
@@ -396,10 +396,10 @@
     builder.verify_finds_only(&late)
 }
 
-/// Random histories of a correct register with lost replies, with and without one falsified reply. No two orders have
-/// the same number, so no other order explains the falsified one.
+/// Checks random histories of a correct register with lost replies, with and without one falsified reply. No two orders
+/// have the same number, so no other order can explain the falsified reply.
 #[gtest]
-fn drawn_histories_of_a_right_register_are_explained_and_falsified_ones_found() -> Result<()> {
+fn random_correct_histories_are_explained_and_falsified_ones_are_found() -> Result<()> {
     let (mut falsified_count, mut found_count) = (0, 0);
     for seed in 0..200 {
         for falsify in [false, true] {
@@ -418,7 +418,7 @@
     verify_that!(found_count, eq(falsified_count))
 }
 
-/// Draws a history; each order takes effect during its attempt, one after the other.
+/// Generates a random history in which orders take effect one after the other, each during its attempt.
 fn random_history(seed: u64, falsify: bool) -> (HistoryBuilder, bool) {
     let mut rng = SeededRng::seeded(seed);
     let mut builder = HistoryBuilder::default();
@@ -438,7 +438,7 @@
         };
         let next_number = step * 10 + rng.below(3);
         let order = builder.order(next_number, base, step);
-        let is_taken = base == number;
+        let is_accepted = base == number;
         let is_lost = rng.random_bool(0.3);
         if is_lost {
             builder.lost(now, order);
@@ -447,7 +447,7 @@
                 now,
                 now + 5,
                 order,
-                if is_taken { STALE } else { Acknowledged },
+                if is_accepted { STALE } else { Acknowledged },
             );
             was_falsified = true;
         } else {
@@ -455,10 +455,10 @@
                 now,
                 now + 5,
                 order,
-                if is_taken { Acknowledged } else { STALE },
+                if is_accepted { Acknowledged } else { STALE },
             );
         }
-        if is_taken {
+        if is_accepted {
             previous_number = std::mem::replace(&mut number, next_number);
             label = step;
         }
