--- a/testing/fleet/src/history/chain.rs
+++ b/testing/fleet/src/history/chain.rs
@@ -178,8 +178,8 @@
         }
     }
 
-    /// Backtracks to the newest version with an untried successor and appends that successor. Returns none if the search
-    /// is exhausted.
+    /// Backtracks to the newest version with an untried successor and appends that successor. Returns none if there is
+    /// no such version.
     fn try_next_branch(&mut self) -> Option<()> {
         while self.untried_branches.last()?.is_empty() {
             self.untried_branches.pop();
@@ -190,8 +190,8 @@
         Some(())
     }
 
-    /// Returns the possible successors of a version. They are tried from the end, so the likeliest come last: those that
-    /// were recorded early and not refused.
+    /// Returns the possible successors of a version. They are tried from the end, so the likeliest come last: those
+    /// that were recorded early and not refused.
     fn candidates(&self, newest: &RegisterVersion) -> Vec<RegisterVersion> {
         let target = self.constraints.next_after(newest.number);
         let orders = self.orders_on.get(&newest.number).into_iter().flatten();
--- a/testing/fleet/src/history/mod.rs
+++ b/testing/fleet/src/history/mod.rs
@@ -2,10 +2,11 @@
 //! configuration register.
 //!
 //! A [`History`] records each order, each attempt to send it, each reply and each reading, with their times.
-//! [`History::find_anomalies`] searches for one sequence of events in which every acknowledged change took effect exactly once
-//! between its first attempt and its acknowledgement, every refusal was justified at some time between the attempt and
-//! its reply, and every reading returned what was current at some time while it was in progress. An order without a
-//! definite reply may have taken effect or not. An observation that no such sequence explains is an [`Anomaly`].
+//! [`History::find_anomalies`] searches for one sequence of events in which every acknowledged change took effect
+//! exactly once between its first attempt and its acknowledgement, every refusal was justified at some time between the
+//! attempt and its reply, and every reading returned what was current at some time while it was in progress. An order
+//! without a definite reply may have taken effect or not. An observation that no such sequence explains is an
+//! [`Anomaly`].
 //!
 //! Versions have increasing numbers and name the number of their base version, so the chain of versions follows from
 //! the records, and the times are a system of lower and upper bounds. The check therefore takes polynomial time, where
--- a/testing/fleet/src/history/register.rs
+++ b/testing/fleet/src/history/register.rs
@@ -174,7 +174,8 @@
         }
     }
 
-    /// Applies that a version that was read became current before the reply, and its successor after the request.
+    /// Applies the bounds from a version that was observed as current: it became current before the reply, and its
+    /// successor after the request.
     fn bound_by_current(
         &mut self,
         number: u64,
@@ -190,7 +191,7 @@
         }
     }
 
-    /// Applies that each version becomes current after its predecessor.
+    /// Raises the lower bounds so that each version becomes current after its predecessor.
     fn order_earliest(&mut self) {
         let mut earliest = MonotonicTime::ZERO;
         for interval in &mut self.intervals {
@@ -199,8 +200,8 @@
         }
     }
 
-    /// Applies that an order is only refused as stale if the successor of its base version was current before the reply,
-    /// unless the attempt began before the base version itself was current.
+    /// Applies the bounds from a refusal as stale. It requires that the successor of the base version was current before
+    /// the reply, unless the attempt began before the base version itself was current.
     fn bound_by_stale(
         &mut self,
         order: OrderId,
@@ -224,8 +225,8 @@
         }
     }
 
-    /// Applies that a valid order is only refused as invalid if a version with its number or a higher one was current
-    /// before the reply.
+    /// Applies the bounds from a refusal of a valid order as invalid. It requires that a version with the order's number
+    /// or a higher one was current before the reply.
     fn bound_by_invalid(&mut self, order: OrderId, received_at: MonotonicTime) -> Option<Anomaly> {
         let refused_order = &self.history.orders[order.0];
         if !refused_order.is_valid {
