--- a/testing/fleet/src/sim/detection_cases.rs
+++ b/testing/fleet/src/sim/detection_cases.rs
@@ -41,7 +41,7 @@
 /// The longest time between two orders, unless the case is about orders.
 const MAX_ORDER_INTERVAL: Duration = Duration::from_millis(3000);
 /// The longest time between two orders if the case is about orders; hundreds are sent in a run.
-const FREQUENT_MAX_ORDER_INTERVAL: Duration = Duration::from_millis(150);
+const SHORT_MAX_ORDER_INTERVAL: Duration = Duration::from_millis(150);
 
 /// The usual number of calls per second.
 const CALL_RATE: f64 = 60.0;
@@ -76,7 +76,7 @@
             has_numbered_orders: self.has_numbered_orders,
             patient_callers: self.patient_callers,
             max_order_interval: if self.has_numbered_orders {
-                FREQUENT_MAX_ORDER_INTERVAL
+                SHORT_MAX_ORDER_INTERVAL
             } else {
                 MAX_ORDER_INTERVAL
             },
--- a/testing/fleet/src/sim/orders.rs
+++ b/testing/fleet/src/sim/orders.rs
@@ -35,7 +35,8 @@
 /// Zone orders, which have no version number, are delayed more often and for longer than other commands.
 const LATE_ZONE_SHARE: f64 = 0.3;
 const MAX_ZONE_DELAY: Duration = Duration::from_secs(20);
-/// The longest time after the last bytes of a request until the controller notices that the caller closed the connection.
+/// The longest time after the last bytes of a request until the controller notices that the caller closed the
+/// connection.
 const MAX_DISCONNECT_DELAY: Duration = Duration::from_millis(8);
 
 /// The kind of an operator's command.
--- a/testing/fleet/src/sim/plan.rs
+++ b/testing/fleet/src/sim/plan.rs
@@ -58,8 +58,8 @@
     pub regional: bool,
     /// Whether callers use a new idempotency key for each attempt.
     pub fresh_identities: bool,
-    /// Whether callers wait longer than the grace period of a graceful shutdown, for functions with a single slot and long
-    /// execution times.
+    /// Whether callers wait longer than the grace period of a graceful shutdown, for functions with a single slot and
+    /// long execution times.
     pub patient_callers: bool,
     /// Whether operators number their orders, retry them and read the configuration, so that the history can be checked
     /// for linearizability.
--- a/testing/fleet/src/sim/platform.rs
+++ b/testing/fleet/src/sim/platform.rs
@@ -167,7 +167,8 @@
         StartOutcome::Started(instance)
     }
 
-    /// Stops an instance permanently. Without an instance, stops the runner with this id and rejects later starts of it.
+    /// Stops an instance permanently. Without an instance, stops the runner with this id and rejects later starts of
+    /// it.
     pub(crate) fn stop_instance(&mut self, runner: RunnerId, instance: Option<&InstanceId>) {
         match instance {
             Some(instance) => {
--- a/testing/fleet/src/sim/reply_checks.rs
+++ b/testing/fleet/src/sim/reply_checks.rs
@@ -177,7 +177,8 @@
         if contact_age > MAX_REDIRECT_CONTACT_AGE {
             let contact_age_ms = contact_age.as_millis();
             self.report_violation(format!(
-                "controller {controller} names {leader} as leader, but received no frame from it for {contact_age_ms} ms"
+                "controller {controller} names {leader} as leader, but received no frame from it for \
+                 {contact_age_ms} ms"
             ));
         }
     }
@@ -200,8 +201,8 @@
         }
     }
 
-    /// Checks the end of a scripted run: acknowledged changes can be read, orders are acknowledged again, and the quorum
-    /// has its intended number of voters.
+    /// Checks the end of a scripted run: acknowledged changes can be read, orders are acknowledged again, and the
+    /// quorum has its intended number of voters.
     pub(super) fn check_script_end(&mut self) {
         self.checks.count_check("end of a script");
         let acknowledged = self.reply_checks.acknowledged();
@@ -219,7 +220,8 @@
         if voters < self.plan.voters || !is_voter_change_done {
             let intended_voters = self.plan.voters;
             self.report_violation(format!(
-                "the quorum has {voters} of {intended_voters} voters at the end, change of voters completed: {is_voter_change_done}"
+                "the quorum has {voters} of {intended_voters} voters at the end, change of voters \
+                 completed: {is_voter_change_done}"
             ));
         }
         if self.reply_checks.acknowledged_at() < self.faults_end_at() + LAST_ACKNOWLEDGEMENT_AFTER {
@@ -230,5 +232,5 @@
     }
 }
 
-/// An order must be acknowledged later than this after all faults are undone.
+/// At least this long after all faults are undone, an order must still be acknowledged.
 const LAST_ACKNOWLEDGEMENT_AFTER: Duration = Duration::from_secs(6);
--- a/testing/fleet/src/sim/runners.rs
+++ b/testing/fleet/src/sim/runners.rs
@@ -37,7 +37,7 @@
     /// The number of requests of the same lease holder that it runs, including this one.
     running_count: u32,
     slots: u32,
-    /// The number of good responses so far; slow start allows one concurrent request more.
+    /// The number of good responses that slow start counts; it allows one more concurrent request than that.
     answered: u32,
     ready_at: MonotonicTime,
 }
--- a/testing/fleet/src/sim/scenario/many_changes.rs
+++ b/testing/fleet/src/sim/scenario/many_changes.rs
@@ -31,7 +31,7 @@
     let mut script = ScriptBuilder::seeded(seed);
     let size = QuorumSize::of_seed(seed);
     let changes_end = FIRST_CHANGE_AT + CHANGE_INTERVAL * CHANGE_COUNT;
-    let half_time = FIRST_CHANGE_AT + CHANGE_INTERVAL * CHANGE_COUNT / 2;
+    let midpoint = FIRST_CHANGE_AT + CHANGE_INTERVAL * CHANGE_COUNT / 2;
     for index in 0..CHANGE_COUNT {
         script.at(
             FIRST_CHANGE_AT + CHANGE_INTERVAL * index,
@@ -46,8 +46,8 @@
     ]);
     let (loss, returns_at) = match absence_kind {
         AbsenceKind::AllChanges | AbsenceKind::ElectedOnReturn => (Loss::PowerLost, changes_end),
-        AbsenceKind::HalfOfChanges => (Loss::PowerLost, half_time),
-        AbsenceKind::Wiped => (Loss::Wiped, half_time),
+        AbsenceKind::HalfOfChanges => (Loss::PowerLost, midpoint),
+        AbsenceKind::Wiped => (Loss::Wiped, midpoint),
     };
     script.at(FIRST_CHANGE_AT, Action::Lose(Target::Follower, loss));
     script.at(returns_at, Action::Restart);
--- a/testing/fleet/src/sim/scenario/second_loss.rs
+++ b/testing/fleet/src/sim/scenario/second_loss.rs
@@ -84,8 +84,8 @@
         }
     }
 
-    /// Returns the kinds of second loss that a quorum tolerates during a repair. Another disk may only be lost while the
-    /// number of lost or outdated disks is below the tolerated one.
+    /// Returns the kinds of second loss that a quorum tolerates during a repair. Another disk may only be lost while
+    /// fewer disks than tolerated are lost or incomplete.
     pub fn tolerated_losses(size: QuorumSize, repair: Repair) -> &'static [Loss] {
         let lost_disks = match repair {
             Repair::CatchUp => 0,
--- a/testing/fleet/src/sim/script.rs
+++ b/testing/fleet/src/sim/script.rs
@@ -298,8 +298,8 @@
         }
     }
 
-    /// Counts an event if it is a step of the control plane, until all faults are undone. Applies the plan's second loss
-    /// before its step.
+    /// Counts an event if it is a step of the control plane, until all faults are undone. Applies the plan's second
+    /// loss before its step.
     pub(super) fn count_repair_step(&mut self, event: &Event) {
         let is_step = match event {
             Event::Controller(ControllerEvent::ConsensusFrame(..))
