--- a/testing/fleet/src/sim/plan.rs
+++ b/testing/fleet/src/sim/plan.rs
@@ -142,7 +142,7 @@
             .collect();
         write!(
             out,
-            "{} breaches; after mending {:.0}% answered, back in {} ms; {}; checks: {}",
+            "{} violations; {:.0}% answered after all faults were undone, recovered in {} ms; {}; checks: {}",
             self.violations.len(),
             self.share_after * 100.0,
             self.recovered_after.as_millis(),
