--- a/testing/fleet/src/sim/bootstrap.rs
+++ b/testing/fleet/src/sim/bootstrap.rs
@@ -16,13 +16,13 @@
 impl Simulation {
     /// Creates the controllers, of which the founders hold the first document, and starts them.
     pub(super) fn bootstrap_controllers(&mut self, ids: &[ControllerId]) {
-        let founders = self.plan.founders;
-        let document = self.first_document(&ids[..founders.min(ids.len())]);
+        let bootstrap_controller_count = self.plan.bootstrap_controller_count;
+        let document = self.first_document(&ids[..bootstrap_controller_count.min(ids.len())]);
         for (index, id) in ids.iter().enumerate() {
             let durable = PersistedState {
                 id: *id,
                 voted_for: None,
-                accepted: (index < founders).then(|| document.clone()),
+                accepted: (index < bootstrap_controller_count).then(|| document.clone()),
                 unreadable_version: DocumentVersion::default(),
             };
             let clock_ahead = self.random_clock_lead();
--- a/testing/fleet/src/sim/plan.rs
+++ b/testing/fleet/src/sim/plan.rs
@@ -23,7 +23,7 @@
     /// The intended number of voters.
     pub voters: usize,
     /// The number of controllers that bootstrap the quorum.
-    pub founders: usize,
+    pub bootstrap_controller_count: usize,
     /// Timed actions on the control plane, with their time since the start of the run.
     pub script: Vec<(Duration, Action)>,
     /// A loss at one step of the control plane, counted from the script's [`Action::CountSteps`].
@@ -75,7 +75,7 @@
             seed,
             controllers: 3,
             voters: 3,
-            founders: 3,
+            bootstrap_controller_count: 3,
             script: Vec::new(),
             second_loss: None,
             checks_script_end: false,
--- a/testing/fleet/src/sim/recovery.rs
+++ b/testing/fleet/src/sim/recovery.rs
@@ -139,7 +139,7 @@
             script,
             controllers,
             voters,
-            founders: voters,
+            bootstrap_controller_count: voters,
             has_faults: false,
             ends_when_recovered: true,
             has_changes: false,
--- a/testing/fleet/src/sim/scenario/second_loss.rs
+++ b/testing/fleet/src/sim/scenario/second_loss.rs
@@ -119,13 +119,13 @@
             READ_INTERVAL,
             |_| Action::Read(Target::Any),
         );
-        let founders = if self.repair == Repair::Growth {
+        let bootstrap_controller_count = if self.repair == Repair::Growth {
             self.size.voters.div_ceil(2)
         } else {
             self.size.voters
         };
         SimPlan {
-            founders,
+            bootstrap_controller_count,
             second_loss: self.second,
             ..script.plan(seed, self.size, fault_duration)
         }
