--- a/testing/fleet/src/sim/operator.rs
+++ b/testing/fleet/src/sim/operator.rs
@@ -48,7 +48,7 @@
 }
 
 /// Adapts a spec to callers that use a new idempotency key for each attempt.
-fn with_fresh_identities(mut spec: Value) -> Value {
+fn with_fresh_idempotency_keys(mut spec: Value) -> Value {
     let routes = spec["routes"].as_object_mut().into_iter().flatten();
     for (_, route) in routes {
         route["identities"] = json!("fresh");
@@ -73,8 +73,8 @@
 /// Returns a variant of the spec with the options of the plan.
 pub(crate) fn planned_spec(plan: &SimPlan, variant: u64) -> Value {
     let mut planned_spec = spec(variant);
-    if plan.fresh_identities {
-        planned_spec = with_fresh_identities(planned_spec);
+    if plan.uses_fresh_idempotency_keys {
+        planned_spec = with_fresh_idempotency_keys(planned_spec);
     }
     if plan.patient_callers {
         planned_spec = with_patient_callers(planned_spec);
--- a/testing/fleet/src/sim/plan.rs
+++ b/testing/fleet/src/sim/plan.rs
@@ -57,7 +57,7 @@
     /// Whether the zones belong to two regions, so that busy functions get lease holders in both.
     pub regional: bool,
     /// Whether callers use a new idempotency key for each attempt.
-    pub fresh_identities: bool,
+    pub uses_fresh_idempotency_keys: bool,
     /// Whether callers wait longer than the grace period of a graceful shutdown, for functions with a single slot and
     /// long execution times.
     pub patient_callers: bool,
@@ -93,7 +93,7 @@
             tuning: Tuning::default(),
             keeps_warm_functions: false,
             regional: false,
-            fresh_identities: false,
+            uses_fresh_idempotency_keys: false,
             patient_callers: false,
             has_numbered_orders: false,
             max_order_interval: Duration::from_millis(3000),
--- a/testing/fleet/tests/simulator.rs
+++ b/testing/fleet/tests/simulator.rs
@@ -80,7 +80,7 @@
     let mut served_count = 0;
     for seed in (1..=24).chain([73, 82, 86, 120]) {
         let plan = SimPlan {
-            fresh_identities: true,
+            uses_fresh_idempotency_keys: true,
             ..regional_plan(seed)
         };
         let sim_result = verify_clean(plan)?;
@@ -94,7 +94,7 @@
 #[gtest]
 fn a_regions_key_waits_for_every_runner_that_was_started_under_it() -> Result<()> {
     let plan = SimPlan {
-        fresh_identities: true,
+        uses_fresh_idempotency_keys: true,
         ..regional_plan(108)
     };
     verify_clean(plan)?;
