--- a/testing/fleet/src/history/register.rs
+++ b/testing/fleet/src/history/register.rs
@@ -200,8 +200,8 @@
         }
     }
 
-    /// Applies the bounds from a refusal as stale. It requires that the successor of the base version was current before
-    /// the reply, unless the attempt began before the base version itself was current.
+    /// Applies the bounds from a refusal as stale. It requires that the successor of the base version was current
+    /// before the reply, unless the attempt began before the base version itself was current.
     fn bound_by_stale(
         &mut self,
         order: OrderId,
@@ -225,8 +225,8 @@
         }
     }
 
-    /// Applies the bounds from a refusal of a valid order as invalid. It requires that a version with the order's number
-    /// or a higher one was current before the reply.
+    /// Applies the bounds from a refusal of a valid order as invalid. It requires that a version with the order's
+    /// number or a higher one was current before the reply.
     fn bound_by_invalid(&mut self, order: OrderId, received_at: MonotonicTime) -> Option<Anomaly> {
         let refused_order = &self.history.orders[order.0];
         if !refused_order.is_valid {
