--- a/testing/fleet/src/sim/bootstrap.rs
+++ b/testing/fleet/src/sim/bootstrap.rs
@@ -50,7 +50,7 @@
                 incarnation: 0,
                 clock_ahead,
                 clock_drift,
-                body: None,
+                process: None,
             });
             self.start_daemon(index);
         }
--- a/testing/fleet/src/sim/daemon/mod.rs
+++ b/testing/fleet/src/sim/daemon/mod.rs
@@ -69,7 +69,7 @@
     /// How many thousandths its machine's clock runs fast, or slow if negative.
     pub clock_drift: i64,
     /// The state of its process, while it runs.
-    pub body: Option<Box<DaemonProcess>>,
+    pub process: Option<Box<DaemonProcess>>,
 }
 
 /// The state that is lost with a daemon's process.
@@ -103,31 +103,33 @@
 
     /// Its agent, while its process runs.
     pub(in crate::sim) fn agent(&self) -> Option<Arc<Agent<u64>>> {
-        self.body.as_ref().map(|body| body.agent.clone())
+        self.process.as_ref().map(|process| process.agent.clone())
     }
 
     /// Its incarnation, while its process runs.
     pub(in crate::sim) fn running_incarnation(&self) -> Option<u64> {
-        self.body.is_some().then_some(self.incarnation)
+        self.process.is_some().then_some(self.incarnation)
     }
 
     /// Whether its process runs and is not stopping.
     pub(in crate::sim) fn is_accepting(&self) -> bool {
-        self.body.as_ref().is_some_and(|body| body.stop.is_none())
+        self.process
+            .as_ref()
+            .is_some_and(|process| process.stop.is_none())
     }
 
     /// Whether its process runs under a session lease.
     pub(in crate::sim) fn is_serving(&self, now: MonotonicTime) -> bool {
         let local_now = self.local_time(now);
-        let body = self.body.as_ref();
-        body.is_some_and(|body| local_now < body.agent.session_lease_end())
+        let process = self.process.as_ref();
+        process.is_some_and(|process| local_now < process.agent.session_lease_end())
     }
 
     /// Whether its process uses this link.
     pub(in crate::sim) fn is_current_link(&self, link: u64) -> bool {
-        self.body
+        self.process
             .as_ref()
-            .is_some_and(|body| body.link == Some(link))
+            .is_some_and(|process| process.link == Some(link))
     }
 
     /// Its current process as the sender of a request.
@@ -168,10 +170,10 @@
             self.nodes.daemon(index).node,
             self.nodes.daemon(index).incarnation,
         );
-        let Some(body) = &mut self.nodes.daemon_mut(index).body else {
+        let Some(process) = &mut self.nodes.daemon_mut(index).process else {
             return;
         };
-        let Some(pending) = body.pending_requests.get_mut(&number) else {
+        let Some(pending) = process.pending_requests.get_mut(&number) else {
             return;
         };
         pending.wakes += 1;
@@ -211,7 +213,7 @@
         };
         let daemon = self.nodes.daemon_mut(index);
         daemon.incarnation += 1;
-        daemon.body = Some(Box::new(DaemonProcess {
+        daemon.process = Some(Box::new(DaemonProcess {
             agent,
             controller,
             pending_requests: BTreeMap::new(),
@@ -229,7 +231,7 @@
 
     /// Kills a daemon; its callers get no response.
     pub(in crate::sim) fn kill_daemon(&mut self, index: usize) {
-        self.nodes.daemon_mut(index).body = None;
+        self.nodes.daemon_mut(index).process = None;
         self.nodes.daemon_mut(index).incarnation += 1;
         self.close_links(self.nodes.daemon(index).node);
     }
@@ -258,11 +260,11 @@
         ) -> Vec<DaemonControlOutput<u64>>,
     ) {
         let local_now = self.daemon_now(index);
-        let Some(body) = &mut self.nodes.daemon_mut(index).body else {
+        let Some(process) = &mut self.nodes.daemon_mut(index).process else {
             return;
         };
-        let agent = body.agent.clone();
-        let orders = change(&mut body.controller, &agent, local_now);
+        let agent = process.agent.clone();
+        let orders = change(&mut process.controller, &agent, local_now);
         for order in orders {
             self.apply_daemon_order(index, order);
         }
@@ -274,15 +276,15 @@
         heartbeat: &common::frames::Heartbeat,
     ) {
         let local_now = self.daemon_now(index);
-        if let Some(body) = &mut self.nodes.daemon_mut(index).body {
-            body.controller.heartbeat(local_now, heartbeat);
+        if let Some(process) = &mut self.nodes.daemon_mut(index).process {
+            process.controller.heartbeat(local_now, heartbeat);
         }
     }
 
     pub(in crate::sim) fn link_lost(&mut self, index: usize, link: u64) {
         if self.nodes.daemon(index).is_current_link(link) {
-            if let Some(body) = &mut self.nodes.daemon_mut(index).body {
-                body.link = None;
+            if let Some(process) = &mut self.nodes.daemon_mut(index).process {
+                process.link = None;
             }
             self.with_controller(index, |controller, agent, now| {
                 controller.disconnected(agent, now)
--- a/testing/fleet/src/sim/daemon/orders.rs
+++ b/testing/fleet/src/sim/daemon/orders.rs
@@ -19,17 +19,17 @@
         match order {
             DaemonControlOutput::Dial(to) => {
                 let link = self.dial(node, incarnation, to);
-                if let Some(body) = &mut self.nodes.daemon_mut(index).body {
-                    body.link = Some(link);
+                if let Some(process) = &mut self.nodes.daemon_mut(index).process {
+                    process.link = Some(link);
                 }
             }
             DaemonControlOutput::Hangup => {
                 let link = self
                     .nodes
                     .daemon_mut(index)
-                    .body
+                    .process
                     .as_mut()
-                    .and_then(|body| body.link.take());
+                    .and_then(|process| process.link.take());
                 if let Some(link) = link {
                     self.close_link(link);
                 }
@@ -61,10 +61,10 @@
                 self.acquired(index, &function, result);
             }
             DaemonControlOutput::AcquiresLost => {
-                let Some(body) = &mut self.nodes.daemon_mut(index).body else {
+                let Some(process) = &mut self.nodes.daemon_mut(index).process else {
                     return;
                 };
-                let waiting = std::mem::take(&mut body.acquires);
+                let waiting = std::mem::take(&mut process.acquires);
                 for function in waiting.into_keys() {
                     self.acquired(index, &function, None);
                 }
@@ -100,10 +100,10 @@
     }
 
     pub(in crate::sim) fn send_up(&mut self, index: usize, frame: DaemonToLeader) {
-        let Some(body) = &self.nodes.daemon(index).body else {
+        let Some(process) = &self.nodes.daemon(index).process else {
             return;
         };
-        let Some(link) = body.link else { return };
+        let Some(link) = process.link else { return };
         let from = self.nodes.daemon(index).node;
         let Some(to) = self.links.get(link).map(|link| link.controller) else {
             return;
@@ -213,10 +213,10 @@
         function: &FunctionKey,
         result: Option<AcquireResult>,
     ) {
-        let Some(body) = &mut self.nodes.daemon_mut(index).body else {
+        let Some(process) = &mut self.nodes.daemon_mut(index).process else {
             return;
         };
-        for number in body.acquires.remove(function).unwrap_or_default() {
+        for number in process.acquires.remove(function).unwrap_or_default() {
             self.step(
                 index,
                 number,
--- a/testing/fleet/src/sim/daemon/requests.rs
+++ b/testing/fleet/src/sim/daemon/requests.rs
@@ -95,10 +95,10 @@
     ) {
         let local_now = self.daemon_now(index);
         let number = self.numbers.next();
-        let Some(body) = &mut self.nodes.daemon_mut(index).body else {
+        let Some(process) = &mut self.nodes.daemon_mut(index).process else {
             return;
         };
-        let in_flight = body.agent.track_in_flight();
+        let in_flight = process.agent.track_in_flight();
         let forwarding = Forwarding::new(local_now, request);
         let pending = PendingRequest {
             forwarding,
@@ -110,17 +110,23 @@
             regional_tenths: 0,
             _in_flight: in_flight,
         };
-        body.pending_requests.insert(number, pending);
+        process.pending_requests.insert(number, pending);
         self.advance(index, number);
     }
 
     /// Handles the timeout of a wait, unless the request has advanced since.
     pub(in crate::sim) fn wake(&mut self, index: usize, number: u64, wake: u64) {
-        let is_due = self.nodes.daemon(index).body.as_ref().is_some_and(|body| {
-            body.pending_requests
-                .get(&number)
-                .is_some_and(|pending| pending.wakes == wake)
-        });
+        let is_due = self
+            .nodes
+            .daemon(index)
+            .process
+            .as_ref()
+            .is_some_and(|process| {
+                process
+                    .pending_requests
+                    .get(&number)
+                    .is_some_and(|pending| pending.wakes == wake)
+            });
         if is_due {
             self.advance(index, number);
         }
@@ -149,10 +155,10 @@
     pub(in crate::sim) fn look_up_all(&mut self, index: usize) {
         let node = self.nodes.daemon(index).node;
         let incarnation = self.nodes.daemon(index).incarnation;
-        let Some(body) = &self.nodes.daemon(index).body else {
+        let Some(process) = &self.nodes.daemon(index).process else {
             return;
         };
-        let waiting_lookups: Vec<u64> = body
+        let waiting_lookups: Vec<u64> = process
             .pending_requests
             .iter()
             .filter(|(_, pending)| pending.awaited_step == AwaitedStep::Lookup)
@@ -160,10 +166,10 @@
             .collect();
         self.end_forwards_to_departed(index);
         for number in waiting_lookups {
-            let Some(body) = &mut self.nodes.daemon_mut(index).body else {
+            let Some(process) = &mut self.nodes.daemon_mut(index).process else {
                 return;
             };
-            let Some(pending) = body.pending_requests.get_mut(&number) else {
+            let Some(pending) = process.pending_requests.get_mut(&number) else {
                 continue;
             };
             pending.wakes += 1;
@@ -175,10 +181,10 @@
     /// Stops waiting for daemons that no longer count as alive. The request gets a new number, so that a late reply is
     /// ignored.
     pub(in crate::sim) fn end_forwards_to_departed(&mut self, index: usize) {
-        let Some(body) = &mut self.nodes.daemon_mut(index).body else {
+        let Some(process) = &mut self.nodes.daemon_mut(index).process else {
             return;
         };
-        let hosts = body.agent.live_hosts();
+        let hosts = process.agent.live_hosts();
         let is_to_departed = |pending: &PendingRequest| {
             pending.awaited_step == AwaitedStep::Forwarded
                 && pending
@@ -186,7 +192,7 @@
                     .as_ref()
                     .is_some_and(|host| !is_current_owner(host, &hosts))
         };
-        let lost: Vec<u64> = body
+        let lost: Vec<u64> = process
             .pending_requests
             .iter()
             .filter(|(_, pending)| is_to_departed(pending))
@@ -194,13 +200,13 @@
             .collect();
         for number in lost {
             let new_number = self.numbers.next();
-            let Some(body) = &mut self.nodes.daemon_mut(index).body else {
+            let Some(process) = &mut self.nodes.daemon_mut(index).process else {
                 return;
             };
-            let Some(pending) = body.pending_requests.remove(&number) else {
+            let Some(pending) = process.pending_requests.remove(&number) else {
                 continue;
             };
-            body.pending_requests.insert(new_number, pending);
+            process.pending_requests.insert(new_number, pending);
             self.record.count_event("passes to the gone");
             self.forwarded(index, new_number, ForwardResult::Lost);
         }
@@ -214,16 +220,16 @@
         change: impl FnOnce(&mut Forwarding, &Agent<u64>, MonotonicTime) -> ForwardingStep<u64>,
     ) {
         let local_now = self.daemon_now(index);
-        let Some(body) = &mut self.nodes.daemon_mut(index).body else {
+        let Some(process) = &mut self.nodes.daemon_mut(index).process else {
             return;
         };
-        let Some(pending) = body.pending_requests.get_mut(&number) else {
+        let Some(pending) = process.pending_requests.get_mut(&number) else {
             return;
         };
         if pending.awaited_step != expected_step {
             return;
         }
-        let agent = body.agent.clone();
+        let agent = process.agent.clone();
         let function_before = pending.forwarding.request().function.clone();
         let next_step = change(&mut pending.forwarding, &agent, local_now);
         let function = pending.forwarding.request().function.clone();
@@ -268,8 +274,9 @@
             return;
         };
         let ticket = agent.ticket();
-        let body = self.nodes.daemon_mut(index).body.as_mut();
-        if let Some(pending) = body.and_then(|body| body.pending_requests.get_mut(&number)) {
+        let process = self.nodes.daemon_mut(index).process.as_mut();
+        if let Some(pending) = process.and_then(|process| process.pending_requests.get_mut(&number))
+        {
             pending.held_under = Some((held.clone(), ticket));
             pending.forwarded_to = None;
         }
@@ -299,15 +306,15 @@
             delay,
             DaemonEvent::AcquireTimedOut(node, incarnation, number),
         );
-        let Some(body) = &mut self.nodes.daemon_mut(index).body else {
+        let Some(process) = &mut self.nodes.daemon_mut(index).process else {
             return;
         };
-        let function = body.pending_requests[&number]
+        let function = process.pending_requests[&number]
             .forwarding
             .request()
             .function
             .clone();
-        let waiting = body.acquires.entry(function.clone()).or_default();
+        let waiting = process.acquires.entry(function.clone()).or_default();
         waiting.push(number);
         if waiting.len() == 1 {
             self.with_controller(index, |controller, agent, now| {
@@ -331,7 +338,7 @@
         let Some(to_node) = self.nodes.node_at(host.address) else {
             return;
         };
-        let is_dead = self.nodes.daemon(to_node.daemon_index()).body.is_none();
+        let is_dead = self.nodes.daemon(to_node.daemon_index()).process.is_none();
         let delay = self.network.delay(&mut self.rng);
         if is_dead {
             self.queue.push(
@@ -377,8 +384,9 @@
         end: ForwardResult,
         regional_tenths: u8,
     ) {
-        let body = self.nodes.daemon_mut(index).body.as_mut();
-        if let Some(pending) = body.and_then(|body| body.pending_requests.get_mut(&number)) {
+        let process = self.nodes.daemon_mut(index).process.as_mut();
+        if let Some(pending) = process.and_then(|process| process.pending_requests.get_mut(&number))
+        {
             pending.regional_tenths = regional_tenths;
         }
         self.forwarded(index, number, end);
@@ -401,10 +409,10 @@
         holder: Option<Host>,
     ) {
         let node = self.nodes.daemon(index).node;
-        let Some(body) = &mut self.nodes.daemon_mut(index).body else {
+        let Some(process) = &mut self.nodes.daemon_mut(index).process else {
             return;
         };
-        let Some(pending) = body.pending_requests.remove(&number) else {
+        let Some(pending) = process.pending_requests.remove(&number) else {
             return;
         };
         let regional_tenths = self.regional_hint(index, &pending);
--- a/testing/fleet/src/sim/daemon/shutdown.rs
+++ b/testing/fleet/src/sim/daemon/shutdown.rs
@@ -41,24 +41,24 @@
         let is_frozen = self
             .frozen
             .contains(self.nodes.daemon(index).node, self.queue.now());
-        let Some(body) = &mut self.nodes.daemon_mut(index).body else {
+        let Some(process) = &mut self.nodes.daemon_mut(index).process else {
             return;
         };
-        if body.stop.is_some() {
+        if process.stop.is_some() {
             return;
         }
-        body.stop = Some(OrderlyStop::begin(local_now));
-        body.is_disturbed = is_frozen;
+        process.stop = Some(OrderlyStop::begin(local_now));
+        process.is_disturbed = is_frozen;
         self.with_controller(index, |controller, agent, now| controller.leave(agent, now));
     }
 
     /// Does what is due of a daemon's orderly stop.
     pub(super) fn continue_stop(&mut self, index: usize) {
         let local_now = self.daemon_now(index);
-        let Some(body) = &mut self.nodes.daemon_mut(index).body else {
+        let Some(process) = &mut self.nodes.daemon_mut(index).process else {
             return;
         };
-        let Some(stop) = body.stop.as_mut().filter(|stop| !stop.has_exited) else {
+        let Some(stop) = process.stop.as_mut().filter(|stop| !stop.has_exited) else {
             return;
         };
         let phase = stop.schedule.phase(local_now);
@@ -80,18 +80,19 @@
     }
 
     fn pending_numbers(&self, index: usize) -> Vec<u64> {
-        let body = self.nodes.daemon(index).body.as_ref();
-        body.map(|body| body.pending_requests.keys().copied().collect())
+        let process = self.nodes.daemon(index).process.as_ref();
+        process
+            .map(|process| process.pending_requests.keys().copied().collect())
             .unwrap_or_default()
     }
 
     /// Takes a request back from where it waits.
     fn withdraw_request(&mut self, index: usize, number: u64) {
-        let Some(body) = &mut self.nodes.daemon_mut(index).body else {
+        let Some(process) = &mut self.nodes.daemon_mut(index).process else {
             return;
         };
-        let agent = body.agent.clone();
-        let Some(pending) = body.pending_requests.get_mut(&number) else {
+        let agent = process.agent.clone();
+        let Some(pending) = process.pending_requests.get_mut(&number) else {
             return;
         };
         if !pending.forwarding.withdraw(&agent) {
@@ -144,9 +145,9 @@
     /// Handles a notice of the daemon that forwarded a request. Simulated callers never leave, so that no request is
     /// abandoned.
     pub(super) fn handle_requester_notice(&mut self, index: usize, reply_target: ReplyTarget) {
-        let body = self.nodes.daemon(index).body.as_ref();
-        let number = body.and_then(|body| {
-            let mut pending_requests = body.pending_requests.iter();
+        let process = self.nodes.daemon(index).process.as_ref();
+        let number = process.and_then(|process| {
+            let mut pending_requests = process.pending_requests.iter();
             pending_requests
                 .find(|(_, pending)| pending.reply_target == reply_target)
                 .map(|(number, _)| *number)
@@ -159,10 +160,10 @@
     /// Ends a request that is left when its daemon is about to exit. One that waited for a runner all the time should
     /// have been withdrawn, unless its holder could not be told.
     fn end_unfinished(&mut self, index: usize, number: u64) {
-        let Some(body) = &self.nodes.daemon(index).body else {
+        let Some(process) = &self.nodes.daemon(index).process else {
             return;
         };
-        let Some(pending) = body.pending_requests.get(&number) else {
+        let Some(pending) = process.pending_requests.get(&number) else {
             return;
         };
         let ForwardingStep::End(outcome, holder) = pending.forwarding.end_unfinished::<u64>()
@@ -170,7 +171,7 @@
             return;
         };
         let idempotency_key = pending.forwarding.request().idempotency_key.clone();
-        let is_undisturbed = !body.is_disturbed && self.is_holder_reachable(index, pending);
+        let is_undisturbed = !process.is_disturbed && self.is_holder_reachable(index, pending);
         if let Some((held, ticket)) = &pending.held_under {
             held.remove_waiter(*ticket);
         }
@@ -189,7 +190,10 @@
         let own_node = self.nodes.daemon(index).node;
         let is_reachable = |node: Node| {
             let holder = self.nodes.daemon(node.daemon_index());
-            holder.body.as_ref().is_some_and(|body| !body.is_disturbed)
+            holder
+                .process
+                .as_ref()
+                .is_some_and(|process| !process.is_disturbed)
                 && !self.frozen.contains(node, self.queue.now())
                 && self.network.reaches(own_node, node)
                 && self.network.reaches(node, own_node)
@@ -200,21 +204,21 @@
     /// Ends a stopping daemon when no requests are left, or when its grace period is over.
     fn exit_if_due(&mut self, index: usize) {
         let local_now = self.daemon_now(index);
-        let Some(body) = &self.nodes.daemon(index).body else {
+        let Some(process) = &self.nodes.daemon(index).process else {
             return;
         };
-        let Some(stop) = body.stop else {
+        let Some(stop) = process.stop else {
             return;
         };
-        if local_now < stop.schedule.exit_at && !body.agent.is_drained() {
+        if local_now < stop.schedule.exit_at && !process.agent.is_drained() {
             return;
         }
-        let in_flight: Vec<IdempotencyKey> = body
+        let in_flight: Vec<IdempotencyKey> = process
             .pending_requests
             .values()
             .map(|pending| pending.forwarding.request().idempotency_key.clone())
             .collect();
-        if !body.is_disturbed {
+        if !process.is_disturbed {
             self.checks
                 .check_orderly_stop(self.queue.now(), index, &in_flight);
         }
@@ -226,9 +230,9 @@
         if let Some(stop) = self
             .nodes
             .daemon_mut(index)
-            .body
+            .process
             .as_mut()
-            .and_then(|body| body.stop.as_mut())
+            .and_then(|process| process.stop.as_mut())
         {
             stop.has_exited = true;
         }
--- a/testing/fleet/src/sim/faults.rs
+++ b/testing/fleet/src/sim/faults.rs
@@ -504,9 +504,9 @@
         let until = self.queue.now() + lasts;
         let wakes_at = self.frozen.freeze(node, until);
         if !node.is_controller()
-            && let Some(body) = &mut self.nodes.daemon_mut(node.daemon_index()).body
+            && let Some(process) = &mut self.nodes.daemon_mut(node.daemon_index()).process
         {
-            body.is_disturbed = true;
+            process.is_disturbed = true;
         }
         self.queue.push(
             wakes_at.since(self.queue.now()),
@@ -576,7 +576,7 @@
             if !self.nodes.controller(node.0).is_running() {
                 self.start_controller(node.0);
             }
-        } else if self.nodes.daemon(node.daemon_index()).body.is_none() {
+        } else if self.nodes.daemon(node.daemon_index()).process.is_none() {
             self.start_daemon(node.daemon_index());
         }
     }
