--- a/testing/fleet/src/sim/disk.rs
+++ b/testing/fleet/src/sim/disk.rs
@@ -51,7 +51,7 @@
 
     /// Corrupts the newest version: it is set aside at the next start, and the controller remembers what it may have
     /// acknowledged.
-    pub(super) fn damage(&mut self) {
+    pub(super) fn corrupt_newest_version(&mut self) {
         let damaged = self.durable.accepted.take();
         self.durable.unreadable_version =
             damaged.map_or(DocumentVersion::default(), |held| held.document_version);
@@ -59,7 +59,7 @@
     }
 
     /// Ends all stalls and failures.
-    pub(super) fn mend(&mut self) {
+    pub(super) fn clear_faults(&mut self) {
         self.stalled_until = MonotonicTime::ZERO;
         self.failing_until = MonotonicTime::ZERO;
     }
--- a/testing/fleet/src/sim/faults.rs
+++ b/testing/fleet/src/sim/faults.rs
@@ -343,7 +343,10 @@
     fn damage_random_disk(&mut self, lasts: Duration) {
         if self.nodes.may_lose_disk() {
             let index = self.kill_random_controller(lasts);
-            self.nodes.controller_mut(index).disk.damage();
+            self.nodes
+                .controller_mut(index)
+                .disk
+                .corrupt_newest_version();
         }
     }
 
@@ -594,7 +597,7 @@
             }
         }
         for controller in self.nodes.controllers_mut() {
-            controller.disk.mend();
+            controller.disk.clear_faults();
         }
         for number in 0..3 {
             self.queue.push(
