--- a/testing/fleet/src/sim/checks/mod.rs
+++ b/testing/fleet/src/sim/checks/mod.rs
@@ -199,7 +199,7 @@
     }
 
     /// Records that a lease holder sends to a runner instance; returns who sent there before under another lease.
-    pub fn check_send(
+    pub fn record_send(
         &mut self,
         instance: &InstanceId,
         daemon: usize,
@@ -370,7 +370,7 @@
     }
 
     /// Records that a runner refused a request under seal without running it.
-    pub fn did_not_run(&mut self, idempotency_key: &IdempotencyKey) {
+    pub fn record_not_run(&mut self, idempotency_key: &IdempotencyKey) {
         if let Some(seen) = self.seen.get_mut(idempotency_key) {
             seen.runs -= 1;
         }
@@ -386,7 +386,7 @@
     }
 
     /// Records that no leader can currently handle drains and evacuations.
-    pub fn note_control_outage(&mut self, at: MonotonicTime) {
+    pub fn record_control_outage(&mut self, at: MonotonicTime) {
         self.control_outage_at = at;
     }
 
--- a/testing/fleet/src/sim/platform_requests.rs
+++ b/testing/fleet/src/sim/platform_requests.rs
@@ -102,7 +102,7 @@
         self.platform.snapshot_lists(self.queue.now());
         self.check_instance_owners();
         if self.platform.are_lists_late() || !self.is_control_side_healthy() {
-            self.checks.note_control_outage(self.queue.now());
+            self.checks.record_control_outage(self.queue.now());
         }
         self.queue.push(LIST_INTERVAL, PlatformEvent::ListTick);
     }
--- a/testing/fleet/src/sim/runners.rs
+++ b/testing/fleet/src/sim/runners.rs
@@ -134,7 +134,7 @@
             let what = format!("daemon {index} sends {idempotency_key} outside its member grant");
             self.checks.report_violation(self.queue.now(), what);
         }
-        let before = self.checks.check_send(instance, index, fencing_token);
+        let before = self.checks.record_send(instance, index, fencing_token);
         if let Some((other, other_lease)) = before
             && self.is_live_holder(other, function, other_lease)
         {
@@ -266,7 +266,7 @@
         );
         if drawn_fault == RunnerFault::Rejected {
             let idempotency_key = &run.call.idempotency_key;
-            self.checks.did_not_run(idempotency_key);
+            self.checks.record_not_run(idempotency_key);
             self.reject_by_runner(&run, runner, idempotency_key);
             if let Some(held) = self.platform.runner_mut(runner) {
                 held.running.remove(idempotency_key);
