--- a/testing/fleet/src/sim/platform_requests.rs
+++ b/testing/fleet/src/sim/platform_requests.rs
@@ -101,7 +101,7 @@
     pub(super) fn handle_list_tick(&mut self) {
         self.platform.snapshot_lists(self.queue.now());
         self.check_instance_owners();
-        if self.platform.are_lists_late() || !self.is_control_side_healthy() {
+        if self.platform.are_lists_late() || !self.is_control_plane_healthy() {
             self.checks.record_control_outage(self.queue.now());
         }
         self.queue.push(LIST_INTERVAL, PlatformEvent::ListTick);
--- a/testing/fleet/src/sim/simulation.rs
+++ b/testing/fleet/src/sim/simulation.rs
@@ -209,7 +209,7 @@
     }
 
     /// Whether there is a leader that is not frozen and reaches the platform and every daemon.
-    pub(super) fn is_control_side_healthy(&self) -> bool {
+    pub(super) fn is_control_plane_healthy(&self) -> bool {
         let is_awake = |node: Node| !self.frozen.contains(node, self.queue.now());
         let reaches_all = |node: Node| {
             self.nodes.served_nodes().all(|served| {
