--- a/testing/fleet/src/sim/controller.rs
+++ b/testing/fleet/src/sim/controller.rs
@@ -253,7 +253,7 @@
                 if self.network.reaches(node, PLATFORM) {
                     let delay = self.network.delay(&mut self.rng);
                     self.queue
-                        .push(delay, PlatformEvent::LeaderStop(requester, order));
+                        .push(delay, PlatformEvent::StopForLeader(requester, order));
                 }
             }
             ControllerOutput::OperatorReply(ticket, reply) => self.operated(index, ticket, reply),
--- a/testing/fleet/src/sim/dispatch.rs
+++ b/testing/fleet/src/sim/dispatch.rs
@@ -57,13 +57,13 @@
                 self.step_controller(node.0, ControllerInput::Workers(workers));
                 self.step_controller(node.0, ControllerInput::Runners(content_at, runners));
             }
-            ControllerEvent::Operate(node, ticket, operation) => {
+            ControllerEvent::OperatorRequest(node, ticket, operation) => {
                 self.step_controller(node.0, ControllerInput::OperatorRequest(ticket, operation));
             }
-            ControllerEvent::Withdraw(node, ticket) => {
+            ControllerEvent::OperatorDisconnected(node, ticket) => {
                 self.step_controller(node.0, ControllerInput::CallerDisconnected(ticket));
             }
-            ControllerEvent::LeaderStopped(requester, runner) => {
+            ControllerEvent::RunnerStopped(requester, runner) => {
                 self.step_controller(requester.node.0, ControllerInput::RunnerStopped(runner));
             }
         }
@@ -163,7 +163,7 @@
             PlatformEvent::Stop(requester, function, runner, instance) => {
                 self.stop_runner(requester, function, runner, instance.as_ref());
             }
-            PlatformEvent::LeaderStop(requester, order) => {
+            PlatformEvent::StopForLeader(requester, order) => {
                 self.stop_runner_for_leader(requester, &order);
             }
             PlatformEvent::Run(address, run) => self.begin_run(address, run),
--- a/testing/fleet/src/sim/event/nodes.rs
+++ b/testing/fleet/src/sim/event/nodes.rs
@@ -35,17 +35,20 @@
         Vec<ListedRunner>,
     ),
     /// An operator's request arrives.
-    Operate(Node, OperationTicket, Operation),
+    OperatorRequest(Node, OperationTicket, Operation),
     /// An operator closes its connection.
-    Withdraw(Node, OperationTicket),
+    OperatorDisconnected(Node, OperationTicket),
     /// The platform confirms to a leader that a runner is stopped.
-    LeaderStopped(Requester, RunnerId),
+    RunnerStopped(Requester, RunnerId),
 }
 
 impl ControllerEvent {
     /// Whether it arrives on an operator's connection.
     pub(super) fn is_from_operator(&self) -> bool {
-        matches!(self, Self::Operate(..) | Self::Withdraw(..))
+        matches!(
+            self,
+            Self::OperatorRequest(..) | Self::OperatorDisconnected(..)
+        )
     }
 
     /// The node whose process handles it, and the required incarnation if that matters; none for the disk.
@@ -54,11 +57,11 @@
             Self::Poll(node, incarnation)
             | Self::Written(node, incarnation, ..)
             | Self::Lists(node, incarnation, ..) => Some((*node, Some(*incarnation))),
-            Self::LeaderStopped(requester, _) => Some(requester.target()),
+            Self::RunnerStopped(requester, _) => Some(requester.target()),
             Self::ConsensusFrame(node, _)
             | Self::ControllerGone(node, _)
-            | Self::Operate(node, ..)
-            | Self::Withdraw(node, _) => Some((*node, None)),
+            | Self::OperatorRequest(node, ..)
+            | Self::OperatorDisconnected(node, _) => Some((*node, None)),
             Self::Durable(..) => None,
         }
     }
@@ -72,9 +75,9 @@
             Self::Durable(..) => 5,
             Self::Written(..) => 6,
             Self::Lists(..) => 7,
-            Self::Operate(..) => 32,
-            Self::Withdraw(..) => 33,
-            Self::LeaderStopped(..) => 24,
+            Self::OperatorRequest(..) => 32,
+            Self::OperatorDisconnected(..) => 33,
+            Self::RunnerStopped(..) => 24,
         }
     }
 }
--- a/testing/fleet/src/sim/event/surroundings.rs
+++ b/testing/fleet/src/sim/event/surroundings.rs
@@ -16,7 +16,7 @@
     /// A request to stop a runner arrives.
     Stop(Requester, FunctionKey, RunnerId, Option<InstanceId>),
     /// A leader's request to stop a runner arrives.
-    LeaderStop(Requester, StopOrder),
+    StopForLeader(Requester, StopOrder),
     /// A request arrives at the address of a runner.
     Run(SocketAddress, SimRun),
     /// A run ends, with the fault of its answer.
@@ -37,7 +37,7 @@
         match self {
             Self::Start(..) => 19,
             Self::Stop(..) => 21,
-            Self::LeaderStop(..) => 23,
+            Self::StopForLeader(..) => 23,
             Self::Run(..) => 27,
             Self::RunDone(..) => 28,
             Self::ListTick => 38,
--- a/testing/fleet/src/sim/operator.rs
+++ b/testing/fleet/src/sim/operator.rs
@@ -177,8 +177,10 @@
         self.changes.begin(ticket, change);
         let node = self.nodes.controller(target).node;
         let delay = self.network.delay(&mut self.rng);
-        self.queue
-            .push(delay, ControllerEvent::Operate(node, ticket, operation));
+        self.queue.push(
+            delay,
+            ControllerEvent::OperatorRequest(node, ticket, operation),
+        );
     }
 
     pub(super) fn handle_operation_reply(
--- a/testing/fleet/src/sim/orders.rs
+++ b/testing/fleet/src/sim/orders.rs
@@ -219,8 +219,10 @@
             )
         });
         if !self.rng.random_bool(LOST_REQUEST_SHARE) {
-            self.queue
-                .push(delay, ControllerEvent::Operate(node, ticket, operation));
+            self.queue.push(
+                delay,
+                ControllerEvent::OperatorRequest(node, ticket, operation),
+            );
         }
         self.queue
             .push(REPLY_TIMEOUT, OperatorEvent::ClientTimedOut(ticket));
@@ -246,8 +248,10 @@
         let received_at = self.queue.now().max(sent.arrives_at);
         let disconnect_delay = self.rng.within(Duration::ZERO, DISCONNECT_WITHIN);
         let delay = received_at.since(self.queue.now()) + disconnect_delay;
-        self.queue
-            .push(delay, ControllerEvent::Withdraw(sent.node, ticket));
+        self.queue.push(
+            delay,
+            ControllerEvent::OperatorDisconnected(sent.node, ticket),
+        );
         self.retry_later(sent.command);
     }
 
--- a/testing/fleet/src/sim/platform_requests.rs
+++ b/testing/fleet/src/sim/platform_requests.rs
@@ -92,7 +92,7 @@
         }
         let delay = self.network.delay(&mut self.rng);
         if flaw != Flaw::StopsUnheard {
-            let stopped = ControllerEvent::LeaderStopped(requester, order.runner);
+            let stopped = ControllerEvent::RunnerStopped(requester, order.runner);
             self.queue.push(delay, stopped);
         }
     }
--- a/testing/fleet/src/sim/reply_checks.rs
+++ b/testing/fleet/src/sim/reply_checks.rs
@@ -193,7 +193,7 @@
                 self.reply_checks
                     .record_contact(self.queue.now(), *node, frame.address);
             }
-            Event::Controller(ControllerEvent::Operate(_, ticket, operation)) => {
+            Event::Controller(ControllerEvent::OperatorRequest(_, ticket, operation)) => {
                 self.reply_checks.record_request(*ticket, operation)
             }
             _ => {}
--- a/testing/fleet/src/sim/script.rs
+++ b/testing/fleet/src/sim/script.rs
@@ -257,8 +257,10 @@
     pub(super) fn send_operation(&mut self, node: Node, operation: Operation) {
         let ticket = OperationTicket(self.numbers.next());
         let delay = self.network.delay(&mut self.rng);
-        self.queue
-            .push(delay, ControllerEvent::Operate(node, ticket, operation));
+        self.queue.push(
+            delay,
+            ControllerEvent::OperatorRequest(node, ticket, operation),
+        );
     }
 
     fn power_off_all(&mut self) {
