--- a/testing/fleet/src/sim/mod.rs
+++ b/testing/fleet/src/sim/mod.rs
@@ -1,17 +1,18 @@
-//! The real state machines of both planes under virtual time, with a virtual network, disk and platform.
+//! A deterministic simulation: the real state machines of both planes run under virtual time, with a simulated network,
+//! platform and disks.
 //!
-//! [`Simulation`] owns one struct for each concern, and the modules depend on each other in one direction:
+//! [`Simulation`] owns one struct per concern, and the modules depend on each other in one direction:
 //!
 //! 1. `event_queue`, `number_sequence`, `run_record`, `network`, `links`, `frozen_nodes`, `disk`, `platform`,
-//!    `addresses`, `answer_shares` and `active_faults` hold their own state and know nothing of the simulation.
-//! 2. `nodes` holds the controllers and daemons, and answers questions about them without changing anything.
-//! 3. `checks`, `recovery` and the history of operators record what they are told, and read nothing else.
-//! 4. `controller`, `daemon`, `connections`, `platform_requests`, `runners`, `calls`, `operator` and `orders` are the
-//!    steps of the simulation that need several of these at once.
-//! 5. `faults` and `script` disturb the fleet, `reply_checks` compares what operators are told, and `dispatch` hands each
-//!    event to its step.
+//!    `addresses`, `answer_shares` and `active_faults` hold their own state and do not depend on the simulation.
+//! 2. `nodes` holds the controllers and daemons, and provides read-only queries on them.
+//! 3. `checks`, `recovery` and the history of operators record what they are passed, and read nothing else.
+//! 4. `controller`, `daemon`, `connections`, `platform_requests`, `runners`, `calls`, `operator` and `orders`
+//!    implement the steps of the simulation that need several of these.
+//! 5. `faults` and `script` inject faults, `reply_checks` checks the replies to operators, and `dispatch` passes each
+//!    event to its handler.
 //!
-//! Events name the data of the upper layers that they carry, such as a run or an action; they call none of them.
+//! Events carry data types of the upper layers, such as a run or an action, but call none of their functions.
 
 mod active_faults;
 mod addresses;
