--- a/testing/fleet/src/sim/event_queue.rs
+++ b/testing/fleet/src/sim/event_queue.rs
@@ -1,4 +1,4 @@
-//! Virtual time and the queue of future events.
+//! The virtual clock and the queue of future events.
 
 use super::event::Event;
 use super::network::Node;
@@ -6,20 +6,20 @@
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
 
-/// The virtual time at which every simulated day begins.
+/// The virtual time at which every simulation starts.
 pub(super) const STARTED_AT: MonotonicTime = MonotonicTime(1_000_000_000);
 
 /// An event that is due.
 pub(super) struct DueEvent {
     /// The virtual time for which it was scheduled.
     pub due_at: MonotonicTime,
-    /// Its number in the order of scheduling; it breaks ties between events of the same time.
+    /// Its number in the order of scheduling, which breaks ties between events that are due at the same time.
     pub number: u64,
     /// The event.
     pub event: Event,
 }
 
-/// The virtual clock, and the events that lie ahead of it.
+/// The virtual clock and the queue of future events.
 pub(super) struct EventQueue {
     now: MonotonicTime,
     scheduled: BTreeMap<(MonotonicTime, u64), Event>,
@@ -28,7 +28,7 @@
 }
 
 impl EventQueue {
-    /// Creates an empty queue at the beginning of a day.
+    /// Creates an empty queue, with the clock at the start of the simulation.
     pub(super) fn new() -> Self {
         Self {
             now: STARTED_AT,
@@ -38,7 +38,7 @@
         }
     }
 
-    /// The current virtual time.
+    /// Returns the current virtual time.
     pub(super) fn now(&self) -> MonotonicTime {
         self.now
     }
@@ -50,7 +50,8 @@
             .insert((self.now + delay, self.last_number), event.into());
     }
 
-    /// Schedules an event after a delay, but not before the events that were scheduled for the same stream of messages.
+    /// Schedules an event after a delay, but later than the events that were already scheduled on the same stream,
+    /// whose messages are not reordered.
     pub(super) fn push_in_order(
         &mut self,
         stream: (Node, Node),
@@ -63,7 +64,8 @@
         self.push(due_at.since(self.now), event);
     }
 
-    /// Removes the next event if it is due by the given time, and advances the clock to it.
+    /// Removes the next event and advances the clock to it; none if the queue is empty or the event is due after the
+    /// given time.
     pub(super) fn pop_due(&mut self, end_at: MonotonicTime) -> Option<DueEvent> {
         let ((due_at, number), event) = self.scheduled.pop_first()?;
         if due_at > end_at {
--- a/testing/fleet/src/sim/network.rs
+++ b/testing/fleet/src/sim/network.rs
@@ -8,21 +8,21 @@
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
 pub(crate) struct Node(pub usize);
 
-/// The node of the first daemon: there are fewer controllers than this.
+/// The number of the first daemon's node. There must be at most this many controllers.
 const FIRST_DAEMON: usize = 30;
 
 impl Node {
-    /// The node of a daemon.
+    /// Returns the node of the daemon with this index.
     pub(crate) fn of_daemon(index: usize) -> Self {
         Self(FIRST_DAEMON + index)
     }
 
-    /// Whether this is a controller.
+    /// Whether the node is a controller.
     pub(crate) fn is_controller(self) -> bool {
         self.0 < FIRST_DAEMON
     }
 
-    /// The index of the daemon.
+    /// Returns the index of the daemon at this node.
     pub(crate) fn daemon_index(self) -> usize {
         self.0 - FIRST_DAEMON
     }
@@ -40,19 +40,19 @@
     pub incarnation: u64,
 }
 
-/// The blocked directions and the delays of messages.
+/// Which directions between nodes are blocked, and how long messages are delayed.
 #[derive(Default)]
 pub(crate) struct Network {
     blocked: BTreeSet<(Node, Node)>,
 }
 
 impl Network {
-    /// Blocks one direction.
+    /// Blocks messages in one direction.
     pub(crate) fn block(&mut self, from: Node, to: Node) {
         self.blocked.insert((from, to));
     }
 
-    /// Unblocks all directions.
+    /// Unblocks messages in all directions.
     pub(crate) fn clear_partitions(&mut self) {
         self.blocked.clear();
     }
@@ -73,7 +73,7 @@
 }
 
 impl Requester {
-    /// The process that handles a reply to it.
+    /// Returns the process that handles the reply.
     pub(crate) fn target(self) -> (Node, Option<u64>) {
         (self.node, Some(self.incarnation))
     }
