--- a/testing/fleet/src/sim/bootstrap.rs
+++ b/testing/fleet/src/sim/bootstrap.rs
@@ -1,4 +1,4 @@
-//! The bootstrap of a simulated fleet.
+//! Creates the initial controllers and daemons of a simulated fleet.
 
 use super::addresses::{controller_address, zone_of_machine};
 use super::controller::SimController;
@@ -14,7 +14,7 @@
 use std::time::Duration;
 
 impl Simulation {
-    /// Creates the controllers, of which the founders hold the first document, and starts them.
+    /// Creates and starts the controllers. The founders have accepted the first document.
     pub(super) fn bootstrap_controllers(&mut self, ids: &[ControllerId]) {
         let founders = self.plan.founders;
         let document = self.first_document(&ids[..founders.min(ids.len())]);
@@ -30,17 +30,17 @@
             self.nodes.add_controller(SimController {
                 node: Node(index),
                 incarnation: 0,
-                address: founding_address(index),
+                address: initial_address(index),
                 clock_ahead,
                 clock_drift,
                 controller_state: None,
-                disk: SimDisk::holding(durable),
+                disk: SimDisk::new(durable),
             });
             self.start_controller(index);
         }
     }
 
-    /// Creates the daemons and starts them.
+    /// Creates and starts the daemons.
     pub(super) fn bootstrap_daemons(&mut self) {
         for index in 0..self.plan.daemons {
             let clock_ahead = self.random_clock_lead();
@@ -56,14 +56,14 @@
         }
     }
 
-    /// The document that the founding voters hold before the day begins.
+    /// Returns the document that the founding voters have accepted before the simulation starts.
     fn first_document(&self, founding_ids: &[ControllerId]) -> Document {
         let voters = founding_ids
             .iter()
             .enumerate()
             .map(|(index, id)| Voter {
                 id: *id,
-                address: founding_address(index),
+                address: initial_address(index),
                 zone: zone_of_machine(index),
             })
             .collect();
@@ -81,18 +81,18 @@
         document
     }
 
-    /// Draws by how much a machine's clock is ahead.
+    /// Draws by how much a machine's clock is ahead of virtual time.
     fn random_clock_lead(&mut self) -> Duration {
         Duration::from_secs(self.rng.below(100_000))
     }
 
-    /// Draws the drift of a machine's clock in thousandths; the rates of two machines differ by nearly a tenth at most.
+    /// Draws the drift of a machine's clock in thousandths. The rates of two clocks differ by at most nearly a tenth.
     fn random_drift(&mut self) -> i64 {
         self.rng.below(91) as i64 - 45
     }
 }
 
-/// The address of a controller that was there from the beginning.
-fn founding_address(index: usize) -> SocketAddress {
+/// Returns the initial address of a controller.
+fn initial_address(index: usize) -> SocketAddress {
     controller_address(index as u8 + 1)
 }
--- a/testing/fleet/src/sim/controller.rs
+++ b/testing/fleet/src/sim/controller.rs
@@ -74,7 +74,7 @@
     }
 
     /// Whether it leads, is ready, and hands out leases.
-    pub(super) fn is_open_leader(&self) -> bool {
+    pub(super) fn is_granting_leader(&self) -> bool {
         self.controller_state
             .as_ref()
             .is_some_and(|controller_state| {
@@ -158,7 +158,7 @@
     /// Kills a controller's process; its connections are closed.
     pub(super) fn kill_controller(&mut self, index: usize) {
         let node = self.nodes.controller(index).node;
-        self.notify_gone(node, self.nodes.controller(index).address);
+        self.notify_exited(node, self.nodes.controller(index).address);
         self.close_links(node);
         self.end_controller(index);
     }
@@ -184,7 +184,7 @@
     }
 
     /// The other controllers that reach a killed one soon find its address closed.
-    fn notify_gone(&mut self, gone: Node, address: SocketAddress) {
+    fn notify_exited(&mut self, exited: Node, address: SocketAddress) {
         let others: Vec<Node> = self
             .nodes
             .controllers()
@@ -192,14 +192,14 @@
             .map(|controller| controller.node)
             .collect();
         for other in others {
-            let is_noticed = other != gone
-                && self.network.reaches(other, gone)
-                && self.network.reaches(gone, other)
+            let is_noticed = other != exited
+                && self.network.reaches(other, exited)
+                && self.network.reaches(exited, other)
                 && !self.rng.random_bool(0.1);
             if is_noticed {
                 let delay = self.network.delay(&mut self.rng);
                 self.queue
-                    .push(delay, ControllerEvent::ControllerGone(other, address));
+                    .push(delay, ControllerEvent::ControllerExited(other, address));
             }
         }
     }
@@ -337,7 +337,7 @@
         }
     }
 
-    pub(super) fn durable(&mut self, index: usize, job: &WriteJob) {
+    pub(super) fn finish_write(&mut self, index: usize, job: &WriteJob) {
         self.nodes.controller_mut(index).disk.store(job);
         self.unsynced.complete(index, job);
     }
--- a/testing/fleet/src/sim/daemon/holders.rs
+++ b/testing/fleet/src/sim/daemon/holders.rs
@@ -103,7 +103,7 @@
                 let delay = self.network.delay(&mut self.rng);
                 self.queue.push(
                     delay,
-                    HolderEvent::Settled(requester, function, runner, running),
+                    HolderEvent::RunningListed(requester, function, runner, running),
                 );
             }
             HolderOutput::Stop {
--- a/testing/fleet/src/sim/daemon/shutdown.rs
+++ b/testing/fleet/src/sim/daemon/shutdown.rs
@@ -238,7 +238,7 @@
         }
         self.queue.push(
             LAST_FRAMES_TIME,
-            DaemonEvent::ProcessGone(node, incarnation),
+            DaemonEvent::ProcessExited(node, incarnation),
         );
     }
 }
--- a/testing/fleet/src/sim/disk.rs
+++ b/testing/fleet/src/sim/disk.rs
@@ -1,4 +1,4 @@
-//! Simulated disks of controllers, and the writes that have not reached them.
+//! The simulated disks of controllers, and the writes that are not yet durable.
 
 use common::clock::MonotonicTime;
 use common::identity::{ControllerId, DocumentVersion};
@@ -9,17 +9,17 @@
 pub(crate) struct SimDisk {
     /// The content that survives a crash.
     pub durable: PersistedState,
-    /// Until when writes stall.
+    /// The time until which writes stall.
     pub stalled_until: MonotonicTime,
-    /// Until when writes fail.
+    /// The time until which writes fail.
     pub failing_until: MonotonicTime,
-    /// The version before the newest one.
+    /// The version that was accepted before the newest one.
     previous: Option<Document>,
 }
 
 impl SimDisk {
-    /// A disk that works, with this content.
-    pub(super) fn holding(durable: PersistedState) -> Self {
+    /// Creates a disk without faults that holds this content.
+    pub(super) fn new(durable: PersistedState) -> Self {
         Self {
             durable,
             stalled_until: MonotonicTime::ZERO,
@@ -28,8 +28,8 @@
         }
     }
 
-    /// Whether the newest version that it holds is not older than what its controller may have acknowledged.
-    pub(super) fn holds_what_it_acknowledged(&self) -> bool {
+    /// Whether the newest readable version is at least as new as any that the controller may have acknowledged.
+    pub(super) fn holds_acknowledged_version(&self) -> bool {
         let held_version = self
             .durable
             .accepted
@@ -38,7 +38,7 @@
         held_version.unwrap_or_default() >= self.durable.unreadable_version
     }
 
-    /// Replaces the disk by an empty one of a new controller.
+    /// Replaces the content by the empty disk of a controller with a new identity.
     pub(super) fn wipe(&mut self, fresh_id: ControllerId) {
         self.durable = PersistedState {
             id: fresh_id,
@@ -49,8 +49,8 @@
         self.previous = None;
     }
 
-    /// Corrupts the newest version: it is set aside at the next start, and the controller remembers what it may have
-    /// acknowledged.
+    /// Corrupts the newest version, as the controller finds it at its next start: the previous version is the newest
+    /// readable one, and the version that it may have acknowledged is remembered as unreadable.
     pub(super) fn corrupt_newest_version(&mut self) {
         let damaged = self.durable.accepted.take();
         self.durable.unreadable_version =
@@ -64,7 +64,7 @@
         self.failing_until = MonotonicTime::ZERO;
     }
 
-    /// Completes a write and makes it durable.
+    /// Applies a write to the durable content.
     pub(crate) fn store(&mut self, job: &WriteJob) {
         match job {
             WriteJob::Vote { term, candidate } => {
@@ -94,17 +94,17 @@
     }
 }
 
-/// The writes that controllers began and that have not reached their disks.
+/// The writes that controllers have begun and that are not yet durable.
 #[derive(Default)]
 pub(super) struct UnsyncedWrites {
     writes: Vec<UnsyncedWrite>,
 }
 
-/// A write that has not reached its disk.
+/// A write that is not yet durable.
 pub(super) struct UnsyncedWrite {
-    /// The index of the controller that wrote.
+    /// The index of the controller that began the write.
     pub controller: usize,
-    /// What it wrote.
+    /// What is written.
     pub job: WriteJob,
 }
 
@@ -114,7 +114,7 @@
         self.writes.push(write);
     }
 
-    /// Removes a write that has reached its disk.
+    /// Removes a write that has become durable.
     pub(super) fn complete(&mut self, controller: usize, job: &WriteJob) {
         self.writes
             .retain(|write| write.controller != controller || !is_same(&write.job, job));
--- a/testing/fleet/src/sim/dispatch.rs
+++ b/testing/fleet/src/sim/dispatch.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 impl Simulation {
-    /// Handles an event whose target runs and is not frozen.
+    /// Handles an event whose target process is running and not frozen.
     pub(super) fn dispatch(&mut self, event: Event) {
         match event {
             Event::Tick(node, incarnation) => self.handle_tick(node, incarnation),
@@ -42,12 +42,12 @@
             ControllerEvent::ConsensusFrame(node, frame) => {
                 self.step_controller(node.0, ControllerInput::Consensus(frame))
             }
-            ControllerEvent::ControllerGone(node, address) => {
+            ControllerEvent::ControllerExited(node, address) => {
                 self.step_controller(node.0, ControllerInput::ProcessExited(address));
             }
             ControllerEvent::Durable(node, incarnation, job) => {
                 if self.nodes.controller(node.0).incarnation == incarnation {
-                    self.durable(node.0, &job);
+                    self.finish_write(node.0, &job);
                 }
             }
             ControllerEvent::Written(node, _, ticket, result) => {
@@ -101,12 +101,12 @@
             DaemonEvent::Forwarded(node, _, number, end, regional_tenths) => {
                 self.finish_forward(node.daemon_index(), number, end, regional_tenths);
             }
-            DaemonEvent::FromHolder(node, _, function, fencing_token, word) => {
+            DaemonEvent::FromHolder(node, _, function, fencing_token, message) => {
                 self.with_controller(node.daemon_index(), |controller, agent, now| {
-                    controller.holder_message(agent, now, function, fencing_token, word)
+                    controller.holder_message(agent, now, function, fencing_token, message)
                 });
             }
-            DaemonEvent::ProcessGone(node, _) => {
+            DaemonEvent::ProcessExited(node, _) => {
                 self.kill_daemon(node.daemon_index());
                 self.queue
                     .push(Duration::from_millis(700), FaultEvent::RestartNode(node));
@@ -140,7 +140,7 @@
                     holder.probed(now, runner, is_ready)
                 });
             }
-            HolderEvent::Settled(requester, function, runner, running) => {
+            HolderEvent::RunningListed(requester, function, runner, running) => {
                 let index = requester.node.daemon_index();
                 self.apply(index, &function, runner.fencing_token, |holder, now| {
                     holder.running_listed(now, runner, running)
--- a/testing/fleet/src/sim/event/surroundings.rs
+++ b/testing/fleet/src/sim/event/environment.rs
@@ -1,4 +1,4 @@
-//! The events around the fleet: at the platform, the operators and the callers, and the faults.
+//! Events outside the fleet's processes: at the platform, operators and callers, and faults.
 
 use crate::sim::network::{Node, Requester};
 use crate::sim::runners::SimRun;
@@ -19,20 +19,20 @@
     StopForLeader(Requester, StopOrder),
     /// A request arrives at the address of a runner.
     Run(SocketAddress, SimRun),
-    /// A run ends, with the fault of its answer.
+    /// A run ends; the last field is the code of the fault that its answer is subject to.
     RunDone(RunnerId, SimRun, u8),
     /// The platform takes a snapshot of its lists.
     ListTick,
     /// Drained workers are restored.
     RestoreWorkers,
-    /// A runner that announced its end stops.
+    /// A runner that announced that it is leaving stops.
     StopLeavingRunner(RunnerId),
     /// Lost workers return.
     WorkersReturn(Vec<ListedWorker>),
 }
 
 impl PlatformEvent {
-    /// The number of its kind for the digest.
+    /// Returns the number of the event's kind for the digest.
     pub(super) fn kind_number(&self) -> u8 {
         match self {
             Self::Start(..) => 19,
@@ -50,7 +50,7 @@
 
 /// An event at an operator.
 pub(in crate::sim) enum OperatorEvent {
-    /// An operator has waited too long.
+    /// An operator's wait for a reply times out.
     ClientTimedOut(OperationTicket),
     /// An operator sends a command again.
     Resend(u64),
@@ -65,7 +65,7 @@
 }
 
 impl OperatorEvent {
-    /// The number of its kind for the digest.
+    /// Returns the number of the event's kind for the digest.
     pub(super) fn kind_number(&self) -> u8 {
         match self {
             Self::ClientTimedOut(..) => 34,
@@ -89,7 +89,7 @@
 }
 
 impl CallerEvent {
-    /// The number of its kind for the digest.
+    /// Returns the number of the event's kind for the digest.
     pub(super) fn kind_number(&self) -> u8 {
         match self {
             Self::Call => 39,
@@ -99,13 +99,13 @@
     }
 }
 
-/// A fault, an action of the script, or its end.
+/// The start or end of a fault, or an action of the script.
 pub(in crate::sim) enum FaultEvent {
     /// A random fault begins.
     RandomFault,
     /// An action of the plan's script is due.
     RunAction(Action),
-    /// A machine starts again.
+    /// A machine restarts.
     RestartNode(Node),
     /// All partitions end.
     ClearPartitions,
@@ -118,7 +118,7 @@
 }
 
 impl FaultEvent {
-    /// The number of its kind for the digest.
+    /// Returns the number of the event's kind for the digest.
     pub(super) fn kind_number(&self) -> u8 {
         match self {
             Self::RandomFault => 43,
--- a/testing/fleet/src/sim/event/mod.rs
+++ b/testing/fleet/src/sim/event/mod.rs
@@ -1,19 +1,19 @@
-//! The events of a simulated fleet, by the part of it that handles them.
+//! The events of a simulated fleet, grouped by the component that handles them.
 
+mod environment;
 mod nodes;
-mod surroundings;
 
+pub(super) use environment::{CallerEvent, FaultEvent, OperatorEvent, PlatformEvent};
 pub(super) use nodes::{ControllerEvent, DaemonEvent, HolderEvent, LinkEvent};
-pub(super) use surroundings::{CallerEvent, FaultEvent, OperatorEvent, PlatformEvent};
 
 use super::network::Node;
 
-/// The node whose process handles an event, and the required incarnation if that matters.
+/// The node whose process handles an event, and the incarnation that the process must have, if any.
 pub(super) type EventTarget = (Node, Option<u64>);
 
 /// An event of a simulated fleet.
 pub(super) enum Event {
-    /// The tick of a process in this incarnation.
+    /// A periodic tick of this incarnation of a process.
     Tick(Node, u64),
     Controller(ControllerEvent),
     Link(LinkEvent),
@@ -26,12 +26,12 @@
 }
 
 impl Event {
-    /// Whether it arrives on an operator's connection.
+    /// Whether the event arrives on an operator's connection.
     pub(super) fn is_from_operator(&self) -> bool {
         matches!(self, Self::Controller(event) if event.is_from_operator())
     }
 
-    /// The number of its kind for the digest; it must not change when the kind is renamed.
+    /// Returns the number of the event's kind for the digest. It must not change when the kind is renamed.
     pub(super) fn kind_number(&self) -> u8 {
         match self {
             Self::Tick(..) => 1,
@@ -46,8 +46,8 @@
         }
     }
 
-    /// The process that handles it, unless it is an event on a link or outside of all processes. It is deferred while the
-    /// node is frozen.
+    /// Returns the process that handles the event, which is deferred while the node is frozen; none for events on
+    /// links or outside of all processes.
     pub(super) fn target(&self) -> Option<EventTarget> {
         match self {
             Self::Tick(node, incarnation) => Some((*node, Some(*incarnation))),
--- a/testing/fleet/src/sim/event/nodes.rs
+++ b/testing/fleet/src/sim/event/nodes.rs
@@ -1,4 +1,4 @@
-//! The events at controllers and daemons, and on the links between them.
+//! Events at controllers and daemons, and on the links between them.
 
 use super::EventTarget;
 use crate::sim::daemon::{ReplicaExchange, ReplyTarget};
@@ -16,17 +16,17 @@
 
 /// An event at a controller.
 pub(in crate::sim) enum ControllerEvent {
-    /// A controller looks after the platform.
+    /// A controller's periodic poll of the platform is due.
     Poll(Node, u64),
-    /// A frame of another controller arrives.
+    /// A frame from another controller arrives.
     ConsensusFrame(Node, ConsensusFrame),
-    /// Another controller's address turns out to be closed.
-    ControllerGone(Node, SocketAddress),
-    /// A write of this incarnation reaches the disk, also while the machine is frozen.
+    /// A controller notices that the process at another controller's address has exited.
+    ControllerExited(Node, SocketAddress),
+    /// A write by this incarnation becomes durable, even while the machine is frozen.
     Durable(Node, u64, WriteJob),
-    /// A write ends, in this incarnation.
+    /// The result of a write is returned to this incarnation.
     Written(Node, u64, Ticket, WriteResult),
-    /// The lists of workers and runners arrive, with the time of their content.
+    /// The platform's lists of workers and runners arrive, with the time of their snapshot on the controller's clock.
     Lists(
         Node,
         u64,
@@ -34,7 +34,7 @@
         MonotonicTime,
         Vec<ListedRunner>,
     ),
-    /// An operator's request arrives.
+    /// An operator's request arrives at a controller.
     OperatorRequest(Node, OperationTicket, Operation),
     /// An operator closes its connection.
     OperatorDisconnected(Node, OperationTicket),
@@ -43,7 +43,7 @@
 }
 
 impl ControllerEvent {
-    /// Whether it arrives on an operator's connection.
+    /// Whether the event arrives on an operator's connection.
     pub(super) fn is_from_operator(&self) -> bool {
         matches!(
             self,
@@ -51,7 +51,7 @@
         )
     }
 
-    /// The node whose process handles it, and the required incarnation if that matters; none for the disk.
+    /// Returns the process that handles the event; none for the disk, which works even while the machine is frozen.
     pub(super) fn target(&self) -> Option<EventTarget> {
         match self {
             Self::Poll(node, incarnation)
@@ -59,19 +59,19 @@
             | Self::Lists(node, incarnation, ..) => Some((*node, Some(*incarnation))),
             Self::RunnerStopped(requester, _) => Some(requester.target()),
             Self::ConsensusFrame(node, _)
-            | Self::ControllerGone(node, _)
+            | Self::ControllerExited(node, _)
             | Self::OperatorRequest(node, ..)
             | Self::OperatorDisconnected(node, _) => Some((*node, None)),
             Self::Durable(..) => None,
         }
     }
 
-    /// The number of its kind for the digest.
+    /// Returns the number of the event's kind for the digest.
     pub(super) fn kind_number(&self) -> u8 {
         match self {
             Self::Poll(..) => 2,
             Self::ConsensusFrame(..) => 3,
-            Self::ControllerGone(..) => 4,
+            Self::ControllerExited(..) => 4,
             Self::Durable(..) => 5,
             Self::Written(..) => 6,
             Self::Lists(..) => 7,
@@ -84,18 +84,18 @@
 
 /// An event on the link with the given number.
 pub(in crate::sim) enum LinkEvent {
-    /// A daemon learns that its link is open.
+    /// A daemon is notified that the link that it dialed is open.
     Dialed(u64),
     /// A frame arrives at the controller.
     LinkUp(u64, DaemonToLeader),
     /// A frame arrives at the daemon.
     LinkDown(u64, LeaderToDaemon),
-    /// An end notices that the link is lost.
+    /// One end notices that the link is lost.
     LinkLost(u64, Node),
 }
 
 impl LinkEvent {
-    /// The number of its kind for the digest.
+    /// Returns the number of the event's kind for the digest.
     pub(super) fn kind_number(&self) -> u8 {
         match self {
             Self::Dialed(..) => 8,
@@ -108,42 +108,43 @@
 
 /// An event at a daemon.
 pub(in crate::sim) enum DaemonEvent {
-    /// A heartbeat arrives.
+    /// A heartbeat from another daemon arrives.
     HeartbeatDatagram(Node, Heartbeat),
-    /// A waiting request looks for a holder again: its number and the number of its wait.
+    /// A waiting request repeats the lookup of its lease holder: the number of the request, and of its wake-up.
     Lookup(Node, u64, u64, u64),
-    /// A request's wait for the leader's reply ends.
+    /// A request's wait for the leader's reply to an acquire times out.
     AcquireTimedOut(Node, u64, u64),
-    /// A request arrives from another daemon.
+    /// A forwarded request, or a notice about one, arrives from another daemon.
     Hop(Node, u64, ReplyTarget, DaemonMessage),
-    /// A forwarded request ends: its number, the result, and the hint about regional keys in tenths.
+    /// The result of a forwarded request is known: the request's number, the result, and the hint about the regional
+    /// key in tenths of a second.
     Forwarded(Node, u64, u64, ForwardResult, u8),
-    /// A lease holder reports to the leader.
+    /// A lease holder passes a message for the leader to its daemon.
     FromHolder(Node, u64, FunctionKey, FencingToken, HolderMessage),
-    /// A process that stopped gracefully ends.
-    ProcessGone(Node, u64),
-    /// A lease holder's request arrives at a replica.
+    /// The process of a daemon that was stopped gracefully exits.
+    ProcessExited(Node, u64),
+    /// A lease holder's request arrives at a replica of its ledger.
     ReplicaRequested(Node, ReplicaExchange, DaemonMessage),
-    /// The reply of a replica arrives, or the wait for it ends.
+    /// A replica's reply arrives, or the request times out.
     ReplicaReplied(ReplicaExchange, Option<DaemonMessage>),
 }
 
 impl DaemonEvent {
-    /// The node whose process handles it, and the required incarnation if that matters.
+    /// Returns the process that handles the event.
     pub(super) fn target(&self) -> EventTarget {
         match self {
             Self::Lookup(node, incarnation, ..)
             | Self::AcquireTimedOut(node, incarnation, _)
             | Self::Hop(node, incarnation, ..)
             | Self::FromHolder(node, incarnation, ..)
-            | Self::ProcessGone(node, incarnation)
+            | Self::ProcessExited(node, incarnation)
             | Self::Forwarded(node, incarnation, ..) => (*node, Some(*incarnation)),
             Self::ReplicaReplied(exchange, _) => exchange.requester.target(),
             Self::HeartbeatDatagram(node, _) | Self::ReplicaRequested(node, ..) => (*node, None),
         }
     }
 
-    /// The number of its kind for the digest.
+    /// Returns the number of the event's kind for the digest.
     pub(super) fn kind_number(&self) -> u8 {
         match self {
             Self::HeartbeatDatagram(..) => 12,
@@ -152,7 +153,7 @@
             Self::Hop(..) => 15,
             Self::Forwarded(..) => 16,
             Self::FromHolder(..) => 17,
-            Self::ProcessGone(..) => 18,
+            Self::ProcessExited(..) => 18,
             Self::ReplicaRequested(..) => 30,
             Self::ReplicaReplied(..) => 31,
         }
@@ -161,42 +162,42 @@
 
 /// A reply of the platform or of a runner to a lease holder.
 pub(in crate::sim) enum HolderEvent {
-    /// The platform answers a start.
+    /// The platform's reply to a request to start a runner arrives.
     Started(Requester, FunctionKey, RunnerId, StartOutcome),
-    /// The platform confirms a stop.
+    /// The platform confirms that a runner is stopped.
     Stopped(Requester, FunctionKey, RunnerId),
-    /// A probe ends: whether the runner is ready.
+    /// A readiness probe ends: whether the runner is ready.
     Probed(Requester, FunctionKey, RunnerId, bool),
-    /// A runner lists the requests that it still runs, if it answers.
-    Settled(
+    /// A runner's list of the requests that it still runs arrives; none if it does not respond.
+    RunningListed(
         Requester,
         FunctionKey,
         RunnerId,
         Option<Vec<IdempotencyKey>>,
     ),
-    /// A request to a runner ends.
+    /// The result of a request that was sent to a runner is known.
     SendEnded(Requester, FunctionKey, Ticket, FencingToken, SendResult),
 }
 
 impl HolderEvent {
-    /// The node whose process handles it, and the required incarnation if that matters.
+    /// Returns the process that handles the event.
     pub(super) fn target(&self) -> EventTarget {
         match self {
             Self::Started(requester, ..)
             | Self::Stopped(requester, ..)
             | Self::Probed(requester, ..)
-            | Self::Settled(requester, ..)
+            | Self::RunningListed(requester, ..)
             | Self::SendEnded(requester, ..) => requester.target(),
         }
     }
 
-    /// The number of its kind for the digest.
+    /// Returns the number of the event's kind for the digest.
     pub(super) fn kind_number(&self) -> u8 {
         match self {
             Self::Started(..) => 20,
             Self::Stopped(..) => 22,
             Self::Probed(..) => 25,
-            Self::Settled(..) => 26,
+            Self::RunningListed(..) => 26,
             Self::SendEnded(..) => 29,
         }
     }
--- a/testing/fleet/src/sim/nodes.rs
+++ b/testing/fleet/src/sim/nodes.rs
@@ -1,6 +1,6 @@
-//! The machines of the control side and the data plane, and what can be read from them without changing anything.
+//! The controllers and daemons of a simulated fleet, and read-only queries on them.
 //!
-//! They know the network, but neither the queue of events nor the checks.
+//! These types depend on the network, but on neither the event queue nor the checks.
 
 use super::addresses;
 use super::controller::SimController;
@@ -11,7 +11,7 @@
 use dataplane::agent::Agent;
 use std::sync::Arc;
 
-/// Replaced controllers get addresses whose last bytes follow this one.
+/// The highest last byte of the original controllers' addresses; replacement controllers get higher ones.
 const LAST_ORIGINAL_ADDRESS: u8 = 10;
 
 /// The controllers and daemons.
@@ -23,69 +23,69 @@
 }
 
 impl Nodes {
-    /// Adds a controller after the others.
+    /// Adds a controller with the next index.
     pub(super) fn add_controller(&mut self, controller: SimController) {
         self.controllers.push(controller);
     }
 
-    /// Adds a daemon after the others.
+    /// Adds a daemon with the next index.
     pub(super) fn add_daemon(&mut self, daemon: SimDaemon) {
         self.daemons.push(daemon);
     }
 
-    /// The controller with this index.
+    /// Returns the controller with this index.
     pub(super) fn controller(&self, index: usize) -> &SimController {
         &self.controllers[index]
     }
 
-    /// The controller with this index, to change it.
+    /// Returns a mutable reference to the controller with this index.
     pub(super) fn controller_mut(&mut self, index: usize) -> &mut SimController {
         &mut self.controllers[index]
     }
 
-    /// All controllers in order.
+    /// Returns all controllers, ordered by index.
     pub(super) fn controllers(&self) -> &[SimController] {
         &self.controllers
     }
 
-    /// All controllers in order, to change them.
+    /// Returns mutable references to all controllers, ordered by index.
     pub(super) fn controllers_mut(&mut self) -> &mut [SimController] {
         &mut self.controllers
     }
 
-    /// The daemon with this index.
+    /// Returns the daemon with this index.
     pub(super) fn daemon(&self, index: usize) -> &SimDaemon {
         &self.daemons[index]
     }
 
-    /// The daemon with this index, to change it.
+    /// Returns a mutable reference to the daemon with this index.
     pub(super) fn daemon_mut(&mut self, index: usize) -> &mut SimDaemon {
         &mut self.daemons[index]
     }
 
-    /// All daemons in order.
+    /// Returns all daemons, ordered by index.
     pub(super) fn daemons(&self) -> &[SimDaemon] {
         &self.daemons
     }
 
-    /// The agent of a daemon, while its process runs.
+    /// Returns the agent of a daemon; none if its process is not running.
     pub(super) fn agent(&self, daemon: usize) -> Option<Arc<Agent<u64>>> {
         self.daemons[daemon].agent()
     }
 
-    /// All nodes: controllers, daemons and the platform.
+    /// Returns all nodes: controllers, daemons and the platform.
     pub(super) fn all(&self) -> Vec<Node> {
         let controllers = (0..self.controllers.len()).map(Node);
-        controllers.chain(self.served_nodes()).collect()
+        controllers.chain(self.daemons_and_platform()).collect()
     }
 
-    /// The nodes that the control side serves: the daemons and the platform.
-    pub(super) fn served_nodes(&self) -> impl Iterator<Item = Node> {
+    /// Returns the nodes with which a leader communicates, other than controllers: the daemons and the platform.
+    pub(super) fn daemons_and_platform(&self) -> impl Iterator<Item = Node> {
         let daemons = (0..self.daemons.len()).map(Node::of_daemon);
         daemons.chain([PLATFORM])
     }
 
-    /// The node that currently has this address.
+    /// Returns the node that currently has this address.
     pub(super) fn node_at(&self, address: SocketAddress) -> Option<Node> {
         if let Some(index) = addresses::daemon_index_at(address) {
             return (index < self.daemons.len()).then(|| Node::of_daemon(index));
@@ -96,7 +96,7 @@
             .map(Node)
     }
 
-    /// Whether the process of a node runs, in the given incarnation if there is one. The platform always does.
+    /// Whether the process of a node runs, and in the given incarnation if one is given. The platform always runs.
     pub(super) fn is_alive(&self, node: Node, incarnation: Option<u64>) -> bool {
         if node == PLATFORM {
             return true;
@@ -110,12 +110,12 @@
             && (incarnation.is_none() || incarnation == running_incarnation)
     }
 
-    /// The index of the first controller that believes to lead.
+    /// Returns the index of the first controller that considers itself the leader.
     pub(super) fn leading_controller(&self) -> Option<usize> {
         self.controllers.iter().position(SimController::is_leader)
     }
 
-    /// The running voters that are not the leader.
+    /// Returns the indexes of the running voters other than the leader, by the leader's newest accepted document.
     pub(super) fn followers(&self) -> Vec<usize> {
         let leading = self.leading_controller();
         let leader_document =
@@ -132,7 +132,7 @@
         (0..self.controllers.len()).filter(is_follower).collect()
     }
 
-    /// The newest document of the first leader that is ready.
+    /// Returns the newest document that the first ready leader has accepted.
     pub(super) fn ready_leader_document(&self) -> Option<&Document> {
         let ready_leader = self.controllers.iter().find_map(|controller| {
             let state = controller.controller_state.as_ref()?;
@@ -141,21 +141,21 @@
         ready_leader.and_then(|consensus| consensus.accepted())
     }
 
-    /// Whether one more disk may be lost: only while every voter runs with the disk that the quorum knows and no change
-    /// of the quorum is pending, since the deployments tolerate one loss at a time.
+    /// Whether a disk may be lost now. The deployments tolerate one loss at a time, so every controller must run as a
+    /// voter with a disk that has lost nothing, and no change of the quorum may be pending.
     pub(super) fn may_lose_disk(&self) -> bool {
         let Some(document) = self.ready_leader_document() else {
             return false;
         };
-        let has_known_disk = |controller: &SimController| {
+        let is_intact_voter = |controller: &SimController| {
             controller.is_running()
                 && controller.is_one_of(&document.voters)
-                && controller.disk.holds_what_it_acknowledged()
+                && controller.disk.holds_acknowledged_version()
         };
-        document.previous_voters.is_empty() && self.controllers.iter().all(has_known_disk)
+        document.previous_voters.is_empty() && self.controllers.iter().all(is_intact_voter)
     }
 
-    /// Replaces a controller's machine by one with a new address.
+    /// Gives a controller a new address, as if its machine had been replaced.
     pub(super) fn move_controller(&mut self, index: usize) {
         self.replaced_count += 1;
         self.controllers[index].address =
--- a/testing/fleet/src/sim/simulation.rs
+++ b/testing/fleet/src/sim/simulation.rs
@@ -1,4 +1,4 @@
-//! A simulated fleet: its processes, virtual clock and queue of events.
+//! A simulated fleet: its processes, virtual clock and event queue.
 
 use super::active_faults::ActiveFaults;
 use super::answer_shares::AnswerShares;
@@ -26,11 +26,11 @@
 use common::rng::SeededRng;
 use std::time::Duration;
 
-/// When callers send their first request.
+/// The virtual time from the start until callers send their first request.
 const FIRST_CALL_AFTER: Duration = Duration::from_secs(3);
-/// When the first random fault begins.
+/// The virtual time from the start until the first random fault.
 const FIRST_FAULT_AFTER: Duration = Duration::from_secs(6);
-/// A day ends early once it has more violations than this.
+/// The simulation ends early once it has found more violations than this.
 const MAX_VIOLATIONS: usize = 20;
 
 /// A simulated fleet.
@@ -58,7 +58,8 @@
 }
 
 impl Simulation {
-    /// Creates a bootstrapped control quorum, daemons that have just started, and an empty platform.
+    /// Creates a simulation with a bootstrapped quorum of controllers, daemons that have just started, and a platform
+    /// without runners.
     pub fn new(plan: SimPlan, is_tracing: bool) -> Self {
         let mut rng = SeededRng::seeded(plan.seed);
         let ids: Vec<ControllerId> = (0..plan.controllers)
@@ -92,7 +93,7 @@
         simulation
     }
 
-    /// Schedules the events that begin each recurring activity of the plan, and its end.
+    /// Schedules the first event of each recurring activity of the plan, and the end of its faults.
     fn schedule_first_events(&mut self) {
         self.queue.push(Duration::ZERO, PlatformEvent::ListTick);
         self.queue.push(FIRST_CALL_AFTER, CallerEvent::Call);
@@ -109,12 +110,12 @@
         self.queue.push(self.plan.lasts, FaultEvent::Heal);
     }
 
-    /// The virtual time at which the plan's faults end.
+    /// Returns the virtual time at which the plan's faults end.
     pub(super) fn faults_end_at(&self) -> MonotonicTime {
         STARTED_AT + self.plan.lasts
     }
 
-    /// Adds the invariant violations that the code itself detected to those of the checks.
+    /// Adds the violations of invariants that the code under test detected itself to those of the safety checks.
     fn take_violations(&mut self) {
         for violation in invariants::take_collected() {
             self.checks
@@ -122,7 +123,7 @@
         }
     }
 
-    /// Runs the day to its end and returns its result.
+    /// Runs the simulation to its end and returns its result.
     pub fn run(mut self) -> SimResult {
         invariants::collect_on_this_thread();
         let end_at = self.queue.now() + self.plan.lasts + self.plan.settling;
@@ -170,15 +171,15 @@
         }
     }
 
-    /// Resumes a frozen machine: deferred events are handled in their order of arrival, except that operators'
-    /// connections may be read before all others.
+    /// Resumes a machine unless it is still frozen. Its deferred events are handled in their order of arrival, except
+    /// that those on operators' connections may be handled before all others.
     pub(super) fn resume_node(&mut self, node: Node) {
         if !self.frozen.contains(node, self.queue.now()) {
             let deferred = self.frozen.resume(node);
-            let is_read_first = self.plan.numbers_orders && self.rng.random_bool(0.8);
+            let are_operators_first = self.plan.numbers_orders && self.rng.random_bool(0.8);
             let (first, others): (Vec<Event>, Vec<Event>) = deferred
                 .into_iter()
-                .partition(|event| is_read_first && event.is_from_operator());
+                .partition(|event| are_operators_first && event.is_from_operator());
             for event in first.into_iter().chain(others) {
                 self.queue.push(Duration::ZERO, event);
             }
@@ -208,25 +209,27 @@
         }
     }
 
-    /// Whether there is a leader that is not frozen and reaches the platform and every daemon.
+    /// Whether some leader grants leases, is not frozen, and can exchange messages with the platform and every daemon.
     pub(super) fn is_control_plane_healthy(&self) -> bool {
         let is_awake = |node: Node| !self.frozen.contains(node, self.queue.now());
         let reaches_all = |node: Node| {
-            self.nodes.served_nodes().all(|served| {
-                self.network.reaches(node, served) && self.network.reaches(served, node)
-            })
+            self.nodes
+                .daemons_and_platform()
+                .all(|other| self.network.reaches(node, other) && self.network.reaches(other, node))
         };
         self.nodes.controllers().iter().any(|controller| {
-            controller.is_open_leader() && is_awake(controller.node) && reaches_all(controller.node)
+            controller.is_granting_leader()
+                && is_awake(controller.node)
+                && reaches_all(controller.node)
         })
     }
 
-    /// The time on the clock of a daemon's machine.
+    /// Returns the time on the clock of a daemon's machine.
     pub(super) fn daemon_now(&self, index: usize) -> MonotonicTime {
         self.nodes.daemon(index).local_time(self.queue.now())
     }
 
-    /// Whether a daemon runs under a session lease.
+    /// Whether a daemon runs and holds a valid session lease.
     pub(super) fn is_daemon_serving(&self, index: usize) -> bool {
         self.nodes.daemon(index).is_serving(self.queue.now())
     }
