--- a/testing/fleet/src/sim/connections.rs
+++ b/testing/fleet/src/sim/connections.rs
@@ -1,4 +1,4 @@
-//! Opens, breaks and closes the links between the machines, and delivers what arrives on them.
+//! Opens, breaks and closes the links between daemons and controllers, and delivers the frames on them.
 
 use super::event::LinkEvent;
 use super::links::Link;
@@ -11,13 +11,13 @@
 
 /// How soon both ends notice that a link was closed.
 const CLOSE_NOTICED_AFTER: Duration = Duration::from_millis(4);
-/// How long a daemon dials an address that it does not reach.
+/// How long it takes until dialing an unreachable address fails.
 const DIAL_TIMEOUT: Duration = Duration::from_millis(600);
-/// The shortest and the longest time until an end notices a link that broke without being closed.
+/// The shortest and the longest time until one end notices that a link broke without being closed.
 const BREAK_NOTICED_WITHIN: (Duration, Duration) = (Duration::from_secs(1), Duration::from_secs(4));
 
 impl Simulation {
-    /// Dials a controller; returns the number of the link, which may fail.
+    /// Dials a controller and returns the number of the link, which may turn out not to open.
     pub(super) fn dial(&mut self, daemon: Node, daemon_incarnation: u64, to: SocketAddress) -> u64 {
         let number = self.numbers.next();
         let controller = self.nodes.node_at(to).unwrap_or(PLATFORM);
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Tells a daemon that the link that it dialed is open, if it still wants it.
+    /// Notifies a daemon that the link that it dialed is open, if it still uses that link.
     pub(super) fn handle_dialed(&mut self, number: u64) {
         let Some(link) = self.links.get(number) else {
             return;
--- a/testing/fleet/src/sim/links.rs
+++ b/testing/fleet/src/sim/links.rs
@@ -9,11 +9,11 @@
     pub daemon_incarnation: u64,
     pub controller: Node,
     pub controller_incarnation: u64,
-    /// Whether it no longer carries frames, which its ends may not have noticed.
+    /// Whether it no longer carries frames; its ends may not have noticed yet.
     pub is_broken: bool,
 }
 
-/// All streams by their numbers, with those that have ended.
+/// All streams by number, including those that have ended.
 #[derive(Default)]
 pub(super) struct Links {
     by_number: HashMap<u64, Link>,
@@ -25,12 +25,12 @@
         self.by_number.insert(number, link);
     }
 
-    /// The link with this number.
+    /// Returns the link with this number.
     pub(super) fn get(&self, number: u64) -> Option<&Link> {
         self.by_number.get(&number)
     }
 
-    /// The link with this number, if it still carries frames.
+    /// Returns the link with this number, if it still carries frames.
     pub(super) fn get_unbroken(&self, number: u64) -> Option<&Link> {
         self.get(number).filter(|link| !link.is_broken)
     }
@@ -42,7 +42,7 @@
         (!was_broken).then_some((link.daemon, link.controller))
     }
 
-    /// The numbers of the links of a machine, in order.
+    /// Returns the numbers of all links of a machine, in ascending order.
     pub(super) fn numbers_of(&self, node: Node) -> Vec<u64> {
         let is_end = |link: &Link| link.daemon == node || link.controller == node;
         let own_links = self.by_number.iter().filter(|(_, link)| is_end(link));
