--- a/testing/fleet/src/sim/active_faults.rs
+++ b/testing/fleet/src/sim/active_faults.rs
@@ -1,11 +1,11 @@
-//! The faults that act on requests while they last, and whether all faults have been undone.
+//! The faults that currently affect requests, and whether all faults have been undone.
 
 use common::clock::MonotonicTime;
 
-/// The share of runs whose answers suffer from faults of the runners.
+/// The share of runs whose answers are affected by faults of the runners.
 const RUNNER_FAULT_RATE: f64 = 0.15;
 
-/// The faults that currently act on requests.
+/// The faults that currently affect requests.
 #[derive(Default)]
 pub(super) struct ActiveFaults {
     runner_fault_rate: f64,
@@ -14,7 +14,7 @@
 }
 
 impl ActiveFaults {
-    /// Lets runners lose, corrupt and refuse answers.
+    /// Starts the faults of runners, by which answers are lost, corrupted or refused.
     pub(super) fn start_runner_faults(&mut self) {
         self.runner_fault_rate = RUNNER_FAULT_RATE;
     }
@@ -24,12 +24,12 @@
         self.runner_fault_rate = 0.0;
     }
 
-    /// The share of runs whose answers suffer from faults.
+    /// Returns the share of runs whose answers are affected by faults.
     pub(super) fn runner_fault_rate(&self) -> f64 {
         self.runner_fault_rate
     }
 
-    /// Lets callers retry refused requests until the given time.
+    /// Makes callers retry refused requests until the given time.
     pub(super) fn retry_until(&mut self, until: MonotonicTime) {
         self.retrying_until = until;
     }
@@ -39,7 +39,7 @@
         now < self.retrying_until
     }
 
-    /// Records that all faults were undone; none follows.
+    /// Records that all faults were undone. No more are injected after this.
     pub(super) fn mark_healed(&mut self) {
         self.is_healed = true;
     }
--- a/testing/fleet/src/sim/addresses.rs
+++ b/testing/fleet/src/sim/addresses.rs
@@ -15,29 +15,29 @@
 /// The number of zones.
 const ZONES: usize = 3;
 
-/// The zone of a controller or daemon.
+/// Returns the zone of the controller or daemon with this index.
 pub(super) fn zone_of_machine(index: usize) -> Zone {
     format!("locality-{}", index % ZONES + 1).into()
 }
 
-/// The address with this last byte among those of controllers.
+/// Returns the controller address with this last byte.
 pub(super) fn controller_address(last: u8) -> SocketAddress {
     address(CONTROLLER_GROUP, last)
 }
 
-/// The address of a daemon.
+/// Returns the address of the daemon with this index.
 pub(super) fn daemon_address(index: usize) -> SocketAddress {
     address(DAEMON_GROUP, index as u8 + 1)
 }
 
-/// The index of the daemon with this address, if it is one of daemons.
+/// Returns the index of the daemon with this address; none if it is not an address of daemons.
 pub(super) fn daemon_index_at(address: SocketAddress) -> Option<usize> {
     let [_, _, group, last] = address.0.ip().octets();
     let index = usize::from(last.checked_sub(1)?);
     (group == DAEMON_GROUP).then_some(index)
 }
 
-/// The three seed addresses, those of the first controllers.
+/// Returns the seed addresses, which are those of the first three controllers.
 pub(super) fn seeds() -> Vec<SocketAddress> {
     (1..=SEEDS).map(controller_address).collect()
 }
--- a/testing/fleet/src/sim/frozen_nodes.rs
+++ b/testing/fleet/src/sim/frozen_nodes.rs
@@ -1,11 +1,11 @@
-//! The frozen machines, and the events that wait until they resume.
+//! Frozen machines, and the events that are deferred until they resume.
 
 use super::event::Event;
 use super::network::Node;
 use common::clock::MonotonicTime;
 use std::collections::BTreeMap;
 
-/// The frozen machines.
+/// The frozen machines and their deferred events.
 #[derive(Default)]
 pub(super) struct FrozenNodes {
     frozen_until: BTreeMap<Node, MonotonicTime>,
@@ -20,14 +20,14 @@
             .is_some_and(|until| *until > now)
     }
 
-    /// Freezes a machine at least until the given time; returns when it resumes.
+    /// Freezes a machine at least until the given time; returns the time at which it resumes.
     pub(super) fn freeze(&mut self, node: Node, until: MonotonicTime) -> MonotonicTime {
         let frozen_until = self.frozen_until.entry(node).or_insert(until);
         *frozen_until = (*frozen_until).max(until);
         *frozen_until
     }
 
-    /// Keeps an event until the machine resumes.
+    /// Defers an event until the machine resumes.
     pub(super) fn defer(&mut self, node: Node, event: Event) {
         self.deferred.entry(node).or_default().push(event);
     }
@@ -38,7 +38,7 @@
         self.deferred.remove(&node).unwrap_or_default()
     }
 
-    /// Ends the freeze of every machine; returns the machines, whose events remain deferred until each resumes.
+    /// Ends the freeze of every machine and returns the machines. Their events remain deferred until [`Self::resume`].
     pub(super) fn end_all(&mut self) -> Vec<Node> {
         std::mem::take(&mut self.frozen_until).into_keys().collect()
     }
