--- a/testing/fleet/src/sim/digest.rs
+++ b/testing/fleet/src/sim/digest.rs
@@ -1,6 +1,6 @@
-//! A digest of everything that happens in a simulated day, to tell whether a change altered behaviour.
+//! A digest of everything that happens in a simulation, which shows whether a change of the code altered behaviour.
 //!
-//! It covers the time, order and kind of each event, the bytes of each frame, and the result of the day, but no name of
+//! It covers the time, order and kind of each event, the bytes of each frame, and the result, but no name of
 //! a type or field, so that renaming and restructuring do not change it.
 
 use super::event::{ControllerEvent, DaemonEvent, Event, LinkEvent};
@@ -12,7 +12,7 @@
 use sha2::{Digest, Sha256};
 use std::fmt::Write;
 
-/// The digest of the events of one day.
+/// The digest of the events of one simulation.
 #[derive(Default)]
 pub(super) struct EventDigest {
     hasher: Sha256,
@@ -43,7 +43,7 @@
         T: for<'a> BinWrite<Args<'a> = ()> + WriteEndian,
     {
         match encode(frame) {
-            // Sorted, since a ledger's entries are sent in the arbitrary order of a hash map.
+            // Sorted because a ledger's entries are sent in the arbitrary order of a hash map.
             Ok(mut frame_bytes) => {
                 frame_bytes.sort_unstable();
                 self.hasher.update(frame_bytes);
@@ -52,39 +52,39 @@
         }
     }
 
-    /// The digest of the events so far, in hexadecimal digits.
+    /// Returns the digest of all events in hexadecimal digits.
     pub(super) fn finish(self) -> String {
         hexadecimal(&self.hasher.finalize())
     }
 }
 
-/// The digest of many days: of their events and results.
+/// The digest of the events and results of several simulations.
 #[derive(Default)]
 pub struct RunDigest {
     hasher: Sha256,
 }
 
 impl RunDigest {
-    /// Adds one day and returns its own digest.
-    pub fn add(&mut self, end: &SimResult) -> String {
-        let mut day_hasher = Sha256::new();
-        day_hasher.update(end.event_digest.as_bytes());
-        day_hasher.update((end.violations.len() as u64).to_be_bytes());
-        day_hasher.update(end.share_after.to_bits().to_be_bytes());
-        day_hasher.update(end.recovered_after.as_nanos().to_be_bytes());
-        day_hasher.update(end.steps.to_be_bytes());
-        let mut counts: Vec<u64> = end.counts.values().copied().collect();
-        counts.extend(end.checked.values());
+    /// Adds one simulation and returns its own digest.
+    pub fn add(&mut self, sim_result: &SimResult) -> String {
+        let mut simulation_hasher = Sha256::new();
+        simulation_hasher.update(sim_result.event_digest.as_bytes());
+        simulation_hasher.update((sim_result.violations.len() as u64).to_be_bytes());
+        simulation_hasher.update(sim_result.share_after.to_bits().to_be_bytes());
+        simulation_hasher.update(sim_result.recovered_after.as_nanos().to_be_bytes());
+        simulation_hasher.update(sim_result.steps.to_be_bytes());
+        let mut counts: Vec<u64> = sim_result.counts.values().copied().collect();
+        counts.extend(sim_result.checked.values());
         counts.sort_unstable();
         counts
             .iter()
-            .for_each(|count| day_hasher.update(count.to_be_bytes()));
-        let day_digest = day_hasher.finalize();
-        self.hasher.update(day_digest);
-        hexadecimal(&day_digest)
+            .for_each(|count| simulation_hasher.update(count.to_be_bytes()));
+        let simulation_digest = simulation_hasher.finalize();
+        self.hasher.update(simulation_digest);
+        hexadecimal(&simulation_digest)
     }
 
-    /// The digest of all days, in hexadecimal digits.
+    /// Returns the digest of all simulations in hexadecimal digits.
     pub fn finish(self) -> String {
         hexadecimal(&self.hasher.finalize())
     }
--- a/testing/fleet/src/sim/run_record.rs
+++ b/testing/fleet/src/sim/run_record.rs
@@ -1,21 +1,21 @@
-//! What a simulated day leaves behind: its event counters, its trace and the digest of its events.
+//! The record of a simulation: its event counters, its trace and the digest of its events.
 //!
-//! Everything writes here, and nothing in a simulated day reads it.
+//! All steps of the simulation write to it, and none reads it.
 
 use super::digest::EventDigest;
 use super::event_queue::DueEvent;
 use common::clock::MonotonicTime;
 use std::collections::BTreeMap;
 
-/// The record of a simulated day.
+/// The record of a simulation that is in progress.
 pub(super) struct RunRecord {
     counts: BTreeMap<String, u64>,
-    /// The lines of the trace; none if the day is not traced.
+    /// The lines of the trace; none if tracing is off.
     trace_lines: Option<Vec<String>>,
     event_digest: EventDigest,
 }
 
-/// The record of a day that has ended.
+/// The record of a simulation that has ended.
 pub(super) struct FinishedRecord {
     /// How often each labelled event happened.
     pub counts: BTreeMap<String, u64>,
@@ -40,12 +40,12 @@
         self.count_events(label, 1);
     }
 
-    /// Counts some events under a label.
+    /// Counts several events under a label.
     pub(super) fn count_events(&mut self, label: &str, count: usize) {
         *self.counts.entry(label.to_owned()).or_default() += count as u64;
     }
 
-    /// Adds a line to the trace; it is only formatted in a traced day.
+    /// Adds a line to the trace. It is only formatted if tracing is on.
     pub(super) fn trace(&mut self, now: MonotonicTime, line: impl FnOnce() -> String) {
         if let Some(trace_lines) = &mut self.trace_lines {
             trace_lines.push(format!("{now} {}", line()));
@@ -57,7 +57,7 @@
         self.event_digest.add(due.due_at, due.number, &due.event);
     }
 
-    /// Ends the record.
+    /// Completes the record.
     pub(super) fn finish(self) -> FinishedRecord {
         FinishedRecord {
             counts: self.counts,
