--- a/testing/fleet/src/sim/answer_shares.rs
+++ b/testing/fleet/src/sim/answer_shares.rs
@@ -1,24 +1,24 @@
-//! Which share of the calls made after all faults were undone is answered.
+//! The share of calls that are answered once all faults have been undone.
 
 use common::identity::IdempotencyKey;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The length of the spans in which calls are counted.
+/// The length of the spans by which calls are grouped.
 const SPAN: Duration = Duration::from_millis(500);
 /// The number of spans in which calls are counted.
 const COUNTED_SPANS: usize = 34;
-/// The spans of a second.
+/// The number of spans in a second.
 const SPANS_PER_SECOND: usize = 2;
-/// The second after the faults from which most calls must be answered.
+/// The number of seconds after the end of the faults from which most calls must be answered.
 const SETTLED_SECOND: usize = 12;
 
 /// The calls of one span, and how many of them were answered.
 #[derive(Clone, Copy, Default)]
 pub(super) struct AnswerShare {
-    /// The calls.
+    /// The number of calls.
     pub calls: u64,
-    /// Those that were answered.
+    /// The number of calls that were answered.
     pub answers: u64,
 }
 
@@ -31,7 +31,7 @@
     }
 }
 
-/// The calls made after all faults were undone, by half second.
+/// The calls made after all faults were undone, grouped by half second.
 #[derive(Default)]
 pub(super) struct AnswerShares {
     span_of_call: BTreeMap<IdempotencyKey, usize>,
@@ -59,7 +59,7 @@
         }
     }
 
-    /// The shares by second, from the second on in which the fleet must have settled, with the number of the second.
+    /// Returns the shares by second with the number of the second, from the first in which most calls must be answered.
     pub(super) fn settled_seconds(&self) -> impl Iterator<Item = (u64, AnswerShare)> {
         self.by_span
             .chunks(SPANS_PER_SECOND)
@@ -68,7 +68,7 @@
             .map(|(second, spans)| (second as u64, AnswerShare::sum(spans)))
     }
 
-    /// The share of the calls that were answered once the fleet must have settled.
+    /// Returns the share of answered calls among those made after [`SETTLED_SECOND`].
     pub(super) fn settled_share(&self) -> f64 {
         let settled = self
             .by_span
@@ -78,7 +78,7 @@
         sum.answers as f64 / sum.calls.max(1) as f64
     }
 
-    /// The time after which at least half of the calls in each span were answered.
+    /// Returns the time after which at least half of the calls in every span were answered.
     pub(super) fn recovered_after(&self) -> Duration {
         let is_down = |share: &AnswerShare| share.answers * 2 < share.calls;
         let last_down = self.by_span.iter().rposition(is_down);
--- a/testing/fleet/src/sim/calls.rs
+++ b/testing/fleet/src/sim/calls.rs
@@ -1,4 +1,4 @@
-//! Callers, and how soon they are served again after all faults are undone.
+//! Callers, and the check that they are served again after all faults are undone.
 
 use super::event::CallerEvent;
 use super::simulation::Simulation;
@@ -6,14 +6,14 @@
 use dataplane::agent::FunctionRequest;
 use std::time::Duration;
 
-/// The longest time that a caller waits.
+/// The longest time that an ordinary caller waits.
 const LONGEST_TIMEOUT: Duration = Duration::from_millis(3000);
-/// How much longer patient callers wait: with it, longer than the grace period of an orderly stop.
+/// How much longer patient callers wait, which makes their timeouts exceed the grace period of an orderly stop.
 const PATIENCE: Duration = Duration::from_millis(6000);
 
 impl Simulation {
-    /// Counts a call made after all faults were undone, to tell when the fleet serves again.
-    pub(super) fn count_late_call(&mut self, idempotency_key: &IdempotencyKey) {
+    /// Counts a call if it is made after all faults were undone, to measure when the fleet serves again.
+    pub(super) fn count_call_after_faults(&mut self, idempotency_key: &IdempotencyKey) {
         let faults_end_at = self.faults_end_at();
         if self.queue.now() < faults_end_at {
             return;
@@ -26,9 +26,9 @@
     /// as a retry.
     pub(super) fn note_refused(&mut self, request: &FunctionRequest) {
         if self.faults.are_callers_retrying(self.queue.now()) && self.rng.random_bool(0.7) {
-            let wait_span = self.rng.within(Duration::ZERO, Duration::from_millis(40));
+            let retry_after = self.rng.within(Duration::ZERO, Duration::from_millis(40));
             self.queue
-                .push(wait_span, CallerEvent::Repeat(request.route.clone()));
+                .push(retry_after, CallerEvent::Repeat(request.route.clone()));
         }
     }
 
@@ -52,7 +52,7 @@
         }
     }
 
-    /// How long a caller waits, at least as long as given.
+    /// Draws how long a caller waits, which is at least the given time.
     fn drawn_timeout(&mut self, shortest: Duration) -> Duration {
         let timeout = self.rng.within(shortest, LONGEST_TIMEOUT);
         if self.plan.patient_callers {
@@ -85,7 +85,7 @@
             return;
         };
         let idempotency_key = IdempotencyKey::from(format!("t{number}"));
-        self.count_late_call(&idempotency_key);
+        self.count_call_after_faults(&idempotency_key);
         if is_duplicate {
             self.checks.mark_duplicate(&idempotency_key);
             self.queue.push(
@@ -96,7 +96,8 @@
         self.call(index, idempotency_key, route_name, timeout, false);
     }
 
-    /// Sends a request with the same idempotency key through another ingress: it may be refused, and must not run twice.
+    /// Sends a request again with the same idempotency key, through another ingress. It may be refused and must not
+    /// run twice.
     pub(super) fn send_duplicate_call(
         &mut self,
         idempotency_key: IdempotencyKey,
