--- a/testing/fleet/src/sim/controller.rs
+++ b/testing/fleet/src/sim/controller.rs
@@ -42,7 +42,7 @@
     pub disk: SimDisk,
 }
 
-pub(super) fn timing() -> ConsensusTiming {
+pub(super) fn consensus_timing() -> ConsensusTiming {
     ConsensusTiming::builder()
         .election_timeout_min(Duration::from_millis(350))
         .election_timeout_max(Duration::from_millis(600))
@@ -51,7 +51,7 @@
 }
 
 impl SimController {
-    /// The time on its machine's clock.
+    /// Returns the time on its machine's clock.
     pub(super) fn local_time(&self, now: MonotonicTime) -> MonotonicTime {
         local_time(now, self.clock_ahead, self.clock_drift)
     }
@@ -61,19 +61,19 @@
         self.controller_state.is_some()
     }
 
-    /// Its incarnation, while its process runs.
+    /// Returns its incarnation; none if its process is not running.
     pub(super) fn running_incarnation(&self) -> Option<u64> {
         self.is_running().then_some(self.incarnation)
     }
 
-    /// Whether it believes to lead.
+    /// Whether it considers itself the leader.
     pub(super) fn is_leader(&self) -> bool {
         self.controller_state
             .as_ref()
             .is_some_and(|controller_state| controller_state.consensus().is_leader())
     }
 
-    /// Whether it leads, is ready, and hands out leases.
+    /// Whether it is a ready leader that may grant leases.
     pub(super) fn is_granting_leader(&self) -> bool {
         self.controller_state
             .as_ref()
@@ -85,17 +85,17 @@
             })
     }
 
-    /// The newest document that its process accepted.
+    /// Returns the newest document that its process has accepted.
     pub(super) fn accepted_by_process(&self) -> Option<&Document> {
         self.controller_state.as_ref()?.consensus().accepted()
     }
 
-    /// Whether its disk belongs to one of these voters.
+    /// Whether the identity on its disk is that of one of these voters.
     pub(super) fn is_one_of(&self, voters: &[Voter]) -> bool {
         voters.iter().any(|voter| voter.id == self.disk.durable.id)
     }
 
-    /// Its current process as the sender of a request.
+    /// Returns its current process as the sender of a request.
     pub(super) fn requester(&self) -> Requester {
         Requester {
             node: self.node,
@@ -104,7 +104,7 @@
     }
 }
 
-fn leader_state_timing() -> LeaderTiming {
+fn leader_timing() -> LeaderTiming {
     LeaderTiming::builder()
         .lease_length(Duration::from_millis(1600))
         .drift_margin(Duration::from_millis(160))
@@ -129,7 +129,7 @@
         };
         let consensus = ConsensusNode::new(
             local_now,
-            timing(),
+            consensus_timing(),
             controller.disk.durable.clone(),
             controller_address,
             zone_of_machine(index),
@@ -140,8 +140,8 @@
         .with_quorum_policy(QuorumPolicy::new(voters, 1));
         let controller_state = ControllerState::new(
             consensus,
-            leader_state_timing(),
-            timing().election_timeout_min,
+            leader_timing(),
+            consensus_timing().election_timeout_min,
         );
         controller.controller_state = Some(controller_state.with_rules(rules));
         let node = controller.node;
@@ -169,7 +169,7 @@
         self.end_controller(index);
     }
 
-    /// Ends a controller's process; a write in progress may or may not have reached the disk.
+    /// Ends a controller's process. A write in progress may or may not become durable.
     fn end_controller(&mut self, index: usize) {
         self.nodes.controller_mut(index).controller_state = None;
         self.nodes.controller_mut(index).incarnation += 1;
@@ -183,7 +183,8 @@
         }
     }
 
-    /// The other controllers that reach a killed one soon find its address closed.
+    /// Lets the other controllers that can reach an exited process soon notice its exit, with a small chance that one
+    /// does not.
     fn notify_exited(&mut self, exited: Node, address: SocketAddress) {
         let others: Vec<Node> = self
             .nodes
@@ -218,15 +219,15 @@
         let Some(controller_state) = &mut self.nodes.controller_mut(index).controller_state else {
             return;
         };
-        let orders = controller_state.handle_input(local_now, input);
-        for order in orders {
-            self.apply_controller_output(index, order);
+        let outputs = controller_state.handle_input(local_now, input);
+        for output in outputs {
+            self.apply_controller_output(index, output);
         }
     }
 
-    fn apply_controller_output(&mut self, index: usize, order: ControllerOutput) {
+    fn apply_controller_output(&mut self, index: usize, output: ControllerOutput) {
         let node = self.nodes.controller(index).node;
-        match order {
+        match output {
             ControllerOutput::Send(to, frame) => {
                 let Some(to_node) = self.nodes.node_at(to) else {
                     return;
@@ -244,7 +245,7 @@
                     );
                 }
             }
-            ControllerOutput::Write(ticket, job) => self.write(index, ticket, job),
+            ControllerOutput::Write(ticket, job) => self.begin_write(index, ticket, job),
             ControllerOutput::FrameToDaemon(stream, frame) => self.send_down(stream, frame),
             ControllerOutput::CloseStream(stream) => self.close_link(stream.0),
             ControllerOutput::RequestLists => self.read_lists(index),
@@ -256,7 +257,9 @@
                         .push(delay, PlatformEvent::StopForLeader(requester, order));
                 }
             }
-            ControllerOutput::OperatorReply(ticket, reply) => self.operated(index, ticket, reply),
+            ControllerOutput::OperatorReply(ticket, reply) => {
+                self.send_operator_reply(index, ticket, reply)
+            }
             ControllerOutput::EventRecorded(numbered) => {
                 if numbered.event_record.event == events::VERSION_COMMITTED {
                     self.check_commit(index);
@@ -272,7 +275,7 @@
         }
     }
 
-    /// Makes a controller believe that another one granted its requests.
+    /// Sends a controller a forged reply by which another one grants its request.
     fn forge_approval(&mut self, index: usize, to_node: Node, frame: &ConsensusFrame) {
         let Some(body) = forged_reply(&frame.body) else {
             return;
@@ -298,14 +301,14 @@
         }
     }
 
-    fn write(&mut self, index: usize, ticket: Ticket, job: WriteJob) {
+    fn begin_write(&mut self, index: usize, ticket: Ticket, job: WriteJob) {
         let incarnation = self.nodes.controller(index).incarnation;
         let node = self.nodes.controller(index).node;
         let disk = &self.nodes.controller(index).disk;
-        let own_delay = self
+        let write_delay = self
             .rng
             .within(Duration::from_micros(300), Duration::from_millis(12));
-        let ends_at = (self.queue.now() + own_delay).max(disk.stalled_until);
+        let ends_at = (self.queue.now() + write_delay).max(disk.stalled_until);
         let is_failing = disk.failing_until > self.queue.now();
         self.unsynced.push(UnsyncedWrite {
             controller: index,
@@ -317,9 +320,11 @@
                 Duration::from_micros(100),
                 ControllerEvent::Written(node, incarnation, ticket, WriteResult::Synced),
             );
-            let late = ends_at.since(self.queue.now()) + Duration::from_secs(20);
-            self.queue
-                .push(late, ControllerEvent::Durable(node, incarnation, job));
+            let durable_after = ends_at.since(self.queue.now()) + Duration::from_secs(20);
+            self.queue.push(
+                durable_after,
+                ControllerEvent::Durable(node, incarnation, job),
+            );
         } else if is_failing {
             let delay = ends_at.since(self.queue.now());
             self.queue.push(
@@ -401,7 +406,12 @@
         );
     }
 
-    fn operated(&mut self, index: usize, ticket: OperationTicket, reply: OperationReply) {
+    fn send_operator_reply(
+        &mut self,
+        index: usize,
+        ticket: OperationTicket,
+        reply: OperationReply,
+    ) {
         self.check_reply(index, ticket, &reply);
         let delay = self.network.delay(&mut self.rng);
         self.queue
@@ -409,7 +419,7 @@
     }
 }
 
-/// The reply by which a controller would grant a request of another one; none if it is not a request.
+/// Returns the reply by which another controller would grant this request; none if the message is not a request.
 fn forged_reply(message: &ConsensusMessage) -> Option<ConsensusMessage> {
     let reply = match message {
         ConsensusMessage::VoteRequest {
