--- a/testing/fleet/src/sim/checks/control.rs
+++ b/testing/fleet/src/sim/checks/control.rs
@@ -1,4 +1,4 @@
-//! The checks of the control side: commits, orders, and versions at daemons.
+//! The checks of the control plane: commits, operators' changes, and the versions that daemons install.
 
 use super::{CommittedVersion, SafetyChecks, content_of};
 use common::clock::MonotonicTime;
@@ -19,7 +19,7 @@
             if *known != content {
                 self.report_violation(
                     at,
-                    format!("serial {version} was committed twice, with other content"),
+                    format!("version {version} was committed twice with different content"),
                 );
             }
             return;
@@ -43,7 +43,7 @@
             let paths: Vec<&str> = errors.iter().map(|error| error.path.as_str()).collect();
             self.report_violation(
                 at,
-                format!("serial {version} is committed and invalid at {paths:?}"),
+                format!("version {version} is committed and invalid at {paths:?}"),
             );
         }
     }
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Checks that versions rise with terms: otherwise a later leader did not know a commit of an earlier one.
+    /// Checks that versions increase with terms. Otherwise a later leader did not know a commit of an earlier one.
     fn check_no_commit_lost(&mut self, at: MonotonicTime, document: &Document) {
         let DocumentVersion { term, version } = document.document_version;
         let term_versions = self.term_versions.clone();
@@ -66,7 +66,7 @@
                 || (other_term > term && first_version < version);
             if is_lost {
                 let what = format!(
-                    "serial {version} committed in term {term}, and {first_version} to {last_version} \
+                    "version {version} committed in term {term}, and {first_version} to {last_version} \
                      in term {other_term}: a commit was lost"
                 );
                 self.report_violation(at, what);
@@ -76,24 +76,24 @@
         *version_range = (version_range.0.min(version), version_range.1.max(version));
     }
 
-    /// A version that only changes the list of daemons is for daemons the same as the previous one.
+    /// Checks that a version that only changes the list of daemons looks the same to daemons as the previous one.
     fn check_visible_unchanged(&mut self, at: MonotonicTime, document: &Document) {
-        let seen_version = document.view_version();
+        let visible_version = document.view_version();
         let newest = self.committed.last_key_value();
         let is_same = newest.is_some_and(|(newest_version, known)| {
-            *newest_version == seen_version
+            *newest_version == visible_version
                 && document.spec == SpecRecords::from(known.content["spec"].clone())
         });
         if !is_same {
             let version = document.document_version.version;
             self.report_violation(
                 at,
-                format!("serial {version} names daemons and changes what they see"),
+                format!("version {version} names daemons and changes what they see"),
             );
         }
     }
 
-    /// Checks the acceptance of a change.
+    /// Checks that an accepted change is in its version, and that no other change was accepted on the same base.
     pub fn check_accepted(
         &mut self,
         at: MonotonicTime,
@@ -102,20 +102,20 @@
         version: Version,
     ) {
         self.count_check("accepted change");
-        let is_committed_there = self.committed.get(&version).is_some_and(|known| {
+        let is_in_version = self.committed.get(&version).is_some_and(|known| {
             let recorded = known.content["changes"].as_array().into_iter().flatten();
             recorded
                 .into_iter()
                 .any(|item| item["id"].as_str() == Some(change.as_str()))
         });
-        if !is_committed_there {
+        if !is_in_version {
             self.report_violation(
                 at,
-                format!("{change} was accepted as {version}, which does not hold it"),
+                format!("{change} was accepted as {version}, which does not contain it"),
             );
         }
         if let Some(base) = base
-            && let Some(other) = self.accepted_on.insert(base, change.clone())
+            && let Some(other) = self.accepted_by_base.insert(base, change.clone())
             && other != *change
         {
             self.report_violation(
@@ -125,12 +125,12 @@
         }
     }
 
-    /// Counts the replies to operators that were checked by their history.
+    /// Counts the replies to operators that were checked against their history.
     pub fn count_operator_answers(&mut self, judged_count: usize) {
         *self.checked.entry("operator's answer").or_default() += judged_count as u64;
     }
 
-    /// Checks the refusal of a change.
+    /// Checks that a refused change was not committed.
     pub fn check_change_refused(&mut self, at: MonotonicTime, change: &ChangeId) {
         self.count_check("refused change");
         let contains_change = |known: &CommittedVersion| {
@@ -156,7 +156,7 @@
         if !self.committed.contains_key(&version) {
             self.report_violation(
                 at,
-                format!("daemon {daemon} installed {version}, never committed"),
+                format!("daemon {daemon} installed {version}, which was never committed"),
             );
         }
         let before = self.installed.insert((daemon, incarnation), version);
@@ -166,7 +166,7 @@
     }
 }
 
-/// The name of the function that each route of a version leads to.
+/// Returns the name of the function that each route of a version leads to.
 fn function_of_each_route(document: &Document) -> BTreeMap<String, FunctionName> {
     let Ok(table) = RoutingTable::build(&document.view()) else {
         return BTreeMap::new();
--- a/testing/fleet/src/sim/checks/mod.rs
+++ b/testing/fleet/src/sim/checks/mod.rs
@@ -1,4 +1,4 @@
-//! The safety checks of a simulated day, with knowledge of all processes.
+//! The safety checks of a simulation, which observe all processes at once.
 
 mod control;
 
@@ -16,18 +16,18 @@
 use std::fmt;
 use std::time::Duration;
 
-/// How long an older spec may still be used.
+/// How long after the commit of a newer spec an older one may still be used.
 const IN_FORCE_WITHIN: Duration = Duration::from_millis(3000);
-/// How long a draining worker may still get requests.
+/// How long a draining worker, or a runner that is leaving, may still get requests.
 const DRAINED_WITHIN: Duration = Duration::from_millis(3200);
 /// How long an evacuated zone may still get requests.
 const EVACUATED_WITHIN: Duration = Duration::from_millis(5200);
 /// The window in which retries are counted.
-const TRY_WINDOW: Duration = Duration::from_secs(10);
+const RETRY_WINDOW: Duration = Duration::from_secs(10);
 /// How much earlier than its lease holder a first attempt may have reached an ingress.
-const FIRST_TRY_SLACK: Duration = Duration::from_secs(3);
-/// The number of retries that are always allowed.
-const FREE_EXTRA_TRIES: usize = 3;
+const FIRST_ATTEMPT_SLACK: Duration = Duration::from_secs(3);
+/// The number of retries in a window that are allowed regardless of the number of first attempts.
+const ALWAYS_ALLOWED_RETRIES: usize = 3;
 
 /// A violation of a safety property.
 #[derive(Clone, Debug)]
@@ -50,7 +50,7 @@
     routes: BTreeMap<String, FunctionName>,
 }
 
-/// What is known of a request from outside the daemons.
+/// What was observed of a request outside the daemons.
 #[derive(Default)]
 struct RequestRecord {
     route: String,
@@ -62,14 +62,14 @@
     is_duplicate: bool,
 }
 
-/// The times of first attempts and retries of a function.
+/// The times of recent first attempts and retries of a function.
 #[derive(Default)]
-struct TryWindow {
-    firsts: VecDeque<MonotonicTime>,
-    extras: VecDeque<MonotonicTime>,
+struct AttemptWindow {
+    first_attempts: VecDeque<MonotonicTime>,
+    retries: VecDeque<MonotonicTime>,
 }
 
-/// A simple model of what is allowed, with everything that was observed.
+/// A simple model of the allowed behaviour, with the observations that it is checked against.
 #[derive(Default)]
 pub struct SafetyChecks {
     /// The violations that were found.
@@ -79,16 +79,16 @@
     committed_content: BTreeMap<Version, Value>,
     committed: BTreeMap<Version, CommittedVersion>,
     term_versions: BTreeMap<Term, (Version, Version)>,
-    accepted_on: BTreeMap<Version, ChangeId>,
-    seen: HashMap<IdempotencyKey, RequestRecord>,
-    tries: BTreeMap<FunctionKey, TryWindow>,
+    accepted_by_base: BTreeMap<Version, ChangeId>,
+    requests: HashMap<IdempotencyKey, RequestRecord>,
+    attempts: BTreeMap<FunctionKey, AttemptWindow>,
     installed: HashMap<(usize, u64), Version>,
     granted: BTreeSet<FencingToken>,
     evacuated_since: BTreeMap<Zone, MonotonicTime>,
     control_outage_at: MonotonicTime,
     served_late: BTreeSet<(usize, Version)>,
     refused_under: HashSet<(FencingToken, IdempotencyKey)>,
-    /// The last lease by which each adopted runner was taken over.
+    /// The last lease under which each adopted runner instance was adopted.
     adopted_by: HashMap<InstanceId, (FunctionKey, FencingToken)>,
     sent_by: HashMap<InstanceId, (usize, FencingToken)>,
     shared_instances: HashSet<InstanceId>,
@@ -111,7 +111,7 @@
         *self.checked.entry(kind).or_default() += 1;
     }
 
-    /// Checks that a new lease holder takes over all running runners of the function.
+    /// Checks that a new lease holder adopts all running runners of the function.
     pub fn check_granted_lease<'a>(
         &mut self,
         at: MonotonicTime,
@@ -134,15 +134,15 @@
             {
                 let name = &instance.name;
                 let what =
-                    format!("{function} goes to grant {fencing_token} while {name} is alive");
+                    format!("{function} is granted under {fencing_token} while {name} is alive");
                 self.report_violation(at, what);
                 return;
             }
         }
     }
 
-    /// The key under which a runner is held: the one it was started under, or that of the lease that adopted it. A runner
-    /// whose key the platform does not report goes to the holder of all regions.
+    /// Returns the key under which a runner is held: that of the lease that last adopted it, or else the one under
+    /// which it was started. The holder for all regions adopts runners whose key the platform does not report.
     fn current_key<'a>(
         &'a self,
         started_under: &'a FunctionKey,
@@ -153,7 +153,7 @@
             .map_or(started_under, |(function, _)| function)
     }
 
-    /// Checks at the start of a runner that all other running ones of the function belong to the same lease.
+    /// Checks, when a runner starts, that all other running runners of the function belong to the same lease.
     pub fn check_sole_start<'a>(
         &mut self,
         at: MonotonicTime,
@@ -184,9 +184,9 @@
         held_instances: impl Iterator<Item = (usize, FencingToken, &'a InstanceId)>,
     ) {
         self.count_check("hands");
-        let mut seen: HashMap<&InstanceId, (usize, FencingToken)> = HashMap::new();
+        let mut users: HashMap<&InstanceId, (usize, FencingToken)> = HashMap::new();
         for (daemon, fencing_token, instance) in held_instances {
-            if let Some((other, other_lease)) = seen.insert(instance, (daemon, fencing_token))
+            if let Some((other, other_lease)) = users.insert(instance, (daemon, fencing_token))
                 && self.shared_instances.insert(instance.clone())
             {
                 let what = format!(
@@ -198,7 +198,8 @@
         }
     }
 
-    /// Records that a lease holder sends to a runner instance; returns who sent there before under another lease.
+    /// Records that a lease holder sends to a runner instance; returns the previous sender if it was another daemon or
+    /// sent under another lease.
     pub fn record_send(
         &mut self,
         instance: &InstanceId,
@@ -222,40 +223,40 @@
         once: bool,
         repeat: bool,
     ) {
-        let seen = self.seen.entry(idempotency_key.clone()).or_default();
-        seen.route = route.to_owned();
-        seen.once = once;
-        seen.repeat = repeat;
+        let request_record = self.requests.entry(idempotency_key.clone()).or_default();
+        request_record.route = route.to_owned();
+        request_record.once = once;
+        request_record.repeat = repeat;
         if !repeat {
-            self.tries
+            self.attempts
                 .entry(function.clone())
                 .or_default()
-                .firsts
+                .first_attempts
                 .push_back(at);
         }
     }
 
-    /// Records that a newer spec routes a first attempt elsewhere before it has run.
-    pub fn move_first_try(&mut self, at: MonotonicTime, from: &FunctionKey, to: &FunctionKey) {
-        if let Some(tries) = self.tries.get_mut(from) {
-            tries.firsts.pop_back();
+    /// Records that a newer spec routes a first attempt to another function before it has run.
+    pub fn move_first_attempt(&mut self, at: MonotonicTime, from: &FunctionKey, to: &FunctionKey) {
+        if let Some(attempts) = self.attempts.get_mut(from) {
+            attempts.first_attempts.pop_back();
         }
-        self.tries
+        self.attempts
             .entry(to.clone())
             .or_default()
-            .firsts
+            .first_attempts
             .push_back(at);
     }
 
     /// Records that the same idempotency key will be sent again through another ingress.
     pub fn mark_duplicate(&mut self, idempotency_key: &IdempotencyKey) {
-        self.seen
+        self.requests
             .entry(idempotency_key.clone())
             .or_default()
             .is_duplicate = true;
     }
 
-    /// Checks the beginning of a run on a runner.
+    /// Checks the start of a run on a runner.
     pub fn check_run(
         &mut self,
         at: MonotonicTime,
@@ -274,14 +275,21 @@
                 format!("{idempotency_key} runs under {fencing_token}, whose holder refused it"),
             );
         }
-        let seen = self.seen.entry(idempotency_key.clone()).or_default();
-        seen.runs += 1;
-        let (run_count, once, refused) = (seen.runs, seen.once, seen.refused);
-        let (route, is_extra) = (seen.route.clone(), attempt > 1 || seen.repeat);
+        let request_record = self.requests.entry(idempotency_key.clone()).or_default();
+        request_record.runs += 1;
+        let (run_count, once, refused) = (
+            request_record.runs,
+            request_record.once,
+            request_record.refused,
+        );
+        let (route, is_retry) = (
+            request_record.route.clone(),
+            attempt > 1 || request_record.repeat,
+        );
         if once && run_count > 1 {
             self.report_violation(
                 at,
-                format!("once-transaction {idempotency_key} ran {run_count} times"),
+                format!("once request {idempotency_key} ran {run_count} times"),
             );
         }
         if refused {
@@ -296,12 +304,12 @@
                 format!("{idempotency_key} for {route} ran on {function}, not in force"),
             );
         }
-        if is_extra {
-            self.check_extra_try(at, idempotency_key, function);
+        if is_retry {
+            self.check_retry(at, idempotency_key, function);
         }
     }
 
-    /// Whether a version that a daemon may still use leads a route to a function.
+    /// Whether a route leads to a function in some version that a daemon may still use.
     fn is_in_force(&self, at: MonotonicTime, route: &str, function: &FunctionKey) -> bool {
         let versions: Vec<&CommittedVersion> = self.committed.values().collect();
         versions.iter().enumerate().any(|(index, version)| {
@@ -313,40 +321,40 @@
         })
     }
 
-    fn check_extra_try(
+    fn check_retry(
         &mut self,
         at: MonotonicTime,
         idempotency_key: &IdempotencyKey,
         function: &FunctionKey,
     ) {
         self.count_check("extra try");
-        let tries = self.tries.entry(function.clone()).or_default();
-        tries.extras.push_back(at);
-        while tries
-            .extras
+        let attempts = self.attempts.entry(function.clone()).or_default();
+        attempts.retries.push_back(at);
+        while attempts
+            .retries
             .front()
-            .is_some_and(|earlier| at.since(*earlier) > TRY_WINDOW)
+            .is_some_and(|earlier| at.since(*earlier) > RETRY_WINDOW)
         {
-            tries.extras.pop_front();
+            attempts.retries.pop_front();
         }
-        let first_span = TRY_WINDOW + FIRST_TRY_SLACK;
-        while tries
-            .firsts
+        let first_span = RETRY_WINDOW + FIRST_ATTEMPT_SLACK;
+        while attempts
+            .first_attempts
             .front()
             .is_some_and(|earlier| at.since(*earlier) > first_span)
         {
-            tries.firsts.pop_front();
+            attempts.first_attempts.pop_front();
         }
-        let (firsts, extras) = (tries.firsts.len(), tries.extras.len());
-        if extras > firsts / 5 + FREE_EXTRA_TRIES {
+        let (first_attempts, retries) = (attempts.first_attempts.len(), attempts.retries.len());
+        if retries > first_attempts / 5 + ALWAYS_ALLOWED_RETRIES {
             let what = format!(
-                "{idempotency_key} is extra try {extras} of {function} to {firsts} first ones in ten seconds"
+                "{idempotency_key} is extra try {retries} of {function} to {first_attempts} first attempts in 10 s"
             );
             self.report_violation(at, what);
         }
     }
 
-    /// Checks the number of concurrent requests on a runner.
+    /// Checks the number of concurrent requests on a runner against its slots and its ramp-up.
     pub fn check_slots(
         &mut self,
         at: MonotonicTime,
@@ -369,19 +377,22 @@
         }
     }
 
-    /// Records that a runner refused a request under seal without running it.
+    /// Records that a runner refused a request in a sealed response without running it.
     pub fn record_not_run(&mut self, idempotency_key: &IdempotencyKey) {
-        if let Some(seen) = self.seen.get_mut(idempotency_key) {
-            seen.runs -= 1;
+        if let Some(request_record) = self.requests.get_mut(idempotency_key) {
+            request_record.runs -= 1;
         }
     }
 
-    /// The body of a runner's answer to a request.
+    /// Creates and records a unique body for a runner's answer to a request.
     pub fn make_body(&mut self, idempotency_key: &IdempotencyKey, runner: RunnerId) -> Vec<u8> {
-        let seen = self.seen.entry(idempotency_key.clone()).or_default();
-        let made_body =
-            format!("{idempotency_key} by {runner}, {}", seen.bodies.len()).into_bytes();
-        seen.bodies.push(made_body.clone());
+        let request_record = self.requests.entry(idempotency_key.clone()).or_default();
+        let made_body = format!(
+            "{idempotency_key} by {runner}, {}",
+            request_record.bodies.len()
+        )
+        .into_bytes();
+        request_record.bodies.push(made_body.clone());
         made_body
     }
 
@@ -390,7 +401,7 @@
         self.control_outage_at = at;
     }
 
-    /// Checks a run on a worker that may be draining.
+    /// Checks that a run is not on a worker that has been draining for too long.
     pub fn check_not_draining(
         &mut self,
         at: MonotonicTime,
@@ -404,12 +415,12 @@
             let late_ms = at.since(since).as_millis();
             self.report_violation(
                 at,
-                format!("{worker}, draining for {late_ms} ms, gets a transaction"),
+                format!("{worker}, draining for {late_ms} ms, gets a request"),
             );
         }
     }
 
-    /// Checks a run on a runner that may have announced that it leaves.
+    /// Checks that a run is not on a runner that announced too long ago that it is leaving.
     pub fn check_not_leaving(
         &mut self,
         at: MonotonicTime,
@@ -422,12 +433,12 @@
             let late_ms = at.since(since).as_millis();
             self.report_violation(
                 at,
-                format!("{runner}, leaving for {late_ms} ms, gets a transaction"),
+                format!("{runner}, leaving for {late_ms} ms, gets a request"),
             );
         }
     }
 
-    /// Checks a run or a send in a zone that may be evacuated.
+    /// Checks that a run or a send is not in a zone that has been evacuated for too long.
     pub fn check_not_evacuated(&mut self, at: MonotonicTime, zone: &Zone) {
         let Some(since) = self.evacuated_since.get(zone).copied() else {
             return;
@@ -438,7 +449,7 @@
             let late_ms = at.since(since).as_millis();
             self.report_violation(
                 at,
-                format!("{zone}, evacuated for {late_ms} ms, gets a transaction"),
+                format!("{zone}, evacuated for {late_ms} ms, gets a request"),
             );
         }
     }
@@ -448,12 +459,12 @@
         !self.evacuated_since.is_empty()
     }
 
-    /// Whether a lease is seen for the first time.
+    /// Records a lease and returns whether it is new.
     pub fn is_new_lease(&mut self, fencing_token: FencingToken) -> bool {
         self.granted.insert(fencing_token)
     }
 
-    /// Checks the age of the spec that a daemon serves with.
+    /// Checks that the spec that a daemon serves with is not too old.
     pub fn check_served_version(&mut self, at: MonotonicTime, daemon: usize, version: Version) {
         self.count_check("serving daemon's spec");
         let due = self
@@ -465,21 +476,21 @@
         if version < due_version && self.served_late.insert((daemon, due_version)) {
             self.report_violation(
                 at,
-                format!("daemon {daemon} serves {version}, {due_version} being due"),
+                format!("daemon {daemon} serves {version} after {due_version} was due"),
             );
         }
     }
 
-    /// Checks the end of a daemon that was stopped gracefully.
+    /// Checks that a daemon that was stopped gracefully exits without requests in flight.
     pub fn check_orderly_stop(
         &mut self,
         at: MonotonicTime,
         daemon: usize,
-        in_hand: &[IdempotencyKey],
+        in_flight: &[IdempotencyKey],
     ) {
         self.count_check("orderly stop");
-        if !in_hand.is_empty() {
-            let names: Vec<&str> = in_hand.iter().map(IdempotencyKey::as_str).collect();
+        if !in_flight.is_empty() {
+            let names: Vec<&str> = in_flight.iter().map(IdempotencyKey::as_str).collect();
             self.report_violation(
                 at,
                 format!("daemon {daemon} stops in order and drops {names:?}"),
@@ -487,7 +498,7 @@
         }
     }
 
-    /// Checks a request that a stopping daemon ends as unknown at the last moment: a runner has had it.
+    /// Checks that a runner has had a request that a stopping daemon ends as unknown just before it exits.
     pub fn check_not_left_waiting(
         &mut self,
         at: MonotonicTime,
@@ -496,18 +507,19 @@
     ) {
         self.count_check("left at a stop");
         let has_run = self
-            .seen
+            .requests
             .get(idempotency_key)
-            .is_some_and(|seen| seen.runs > 0);
+            .is_some_and(|request_record| request_record.runs > 0);
         if !has_run {
             let what = format!("daemon {daemon} stops and leaves {idempotency_key} waiting");
             self.report_violation(at, what);
         }
     }
 
-    /// Records the outcome of a request at its lease holder. What it refused must never run under its lease, even if the
-    /// idempotency key is sent again through another ingress. A key that is not recorded is not sent again by callers, and
-    /// what counts is what its caller is told ([`Self::check_not_run`]): before that its daemon may come back to the holder.
+    /// Records the outcome of a request at its lease holder. A refused request must never run under the same lease,
+    /// even if its idempotency key is sent again through another ingress. Keys that the holder does not record are
+    /// left out: callers do not send them again, but the daemon may retry them at the holder before it replies to the
+    /// caller, whose reply is checked by [`Self::check_not_run`].
     pub fn record_holder_outcome(
         &mut self,
         fencing_token: FencingToken,
@@ -524,16 +536,16 @@
         }
     }
 
-    /// Checks a refusal at a caller: the request must not have run. A key that is sent twice may be refused at one
-    /// ingress and run through another; refusals by lease holders are checked all the same.
+    /// Checks a refusal at a caller: the request must not have run. This is not checked for a key that is sent twice,
+    /// which may be refused at one ingress and run through another; refusals by lease holders are checked even then.
     pub fn check_not_run(&mut self, at: MonotonicTime, idempotency_key: &IdempotencyKey) {
         self.count_check("not run");
-        let seen = self.seen.entry(idempotency_key.clone()).or_default();
-        if seen.is_duplicate {
+        let request_record = self.requests.entry(idempotency_key.clone()).or_default();
+        if request_record.is_duplicate {
             return;
         }
-        seen.refused = true;
-        if seen.runs > 0 {
+        request_record.refused = true;
+        if request_record.runs > 0 {
             self.report_violation(
                 at,
                 format!("{idempotency_key} was refused as not run, and had run"),
@@ -548,24 +560,31 @@
         idempotency_key: &IdempotencyKey,
         function: &FunctionKey,
         runner: RunnerId,
-        given_seal: &[u8],
+        actual_seal: &[u8],
         body: &ByteString,
     ) {
         self.count_check("answer");
         let is_made = self
-            .seen
+            .requests
             .get(idempotency_key)
-            .is_some_and(|seen| seen.bodies.iter().any(|made| made[..] == body.0[..]));
-        let right_seal = seal::seal(idempotency_key, function, runner, false, &body.0);
-        if !is_made || right_seal.as_bytes() != given_seal {
+            .is_some_and(|request_record| {
+                request_record
+                    .bodies
+                    .iter()
+                    .any(|made| made[..] == body.0[..])
+            });
+        let expected_seal = seal::seal(idempotency_key, function, runner, false, &body.0);
+        if !is_made || expected_seal.as_bytes() != actual_seal {
             self.report_violation(
                 at,
-                format!("{idempotency_key} was answered with what no runner made for it"),
+                format!(
+                    "{idempotency_key} was answered with a body or seal that no runner made for it"
+                ),
             );
         }
     }
 
-    /// Checks how many calls of one second after all faults were undone were answered.
+    /// Checks that at least half of the calls of one second after all faults were undone were answered.
     pub fn check_recovered_second(
         &mut self,
         at: MonotonicTime,
@@ -578,17 +597,19 @@
         }
         self.count_check("second after the return");
         if answers * 2 < calls {
-            let what = format!("mostly down {second} s after: {answers} of {calls} answered");
+            let what = format!(
+                "mostly down {second} s after the faults ended: {answers} of {calls} answered"
+            );
             self.report_violation(at, what);
         }
     }
 
-    /// Whether a version that daemons see was committed.
+    /// Whether a version that changes what daemons see was committed.
     pub fn is_committed(&self, version: Version) -> bool {
         self.committed.contains_key(&version)
     }
 
-    /// The newest committed version.
+    /// Returns the newest committed version that changes what daemons see.
     pub fn newest_version(&self) -> Version {
         self.committed
             .last_key_value()
--- a/testing/fleet/src/sim/daemon/holders.rs
+++ b/testing/fleet/src/sim/daemon/holders.rs
@@ -15,8 +15,8 @@
 use std::time::Duration;
 
 impl Simulation {
-    /// Updates a held function and executes the outputs of its state machine.
-    pub(in crate::sim) fn apply(
+    /// Changes the state of a held function's lease holder and executes the resulting outputs.
+    pub(in crate::sim) fn update_holder(
         &mut self,
         index: usize,
         function: &FunctionKey,
@@ -32,10 +32,10 @@
             return;
         };
         let outputs = held.with(|holder| change(holder, local_now));
-        self.drive(index, &held, outputs);
+        self.execute_outputs(index, &held, outputs);
     }
 
-    pub(in crate::sim) fn drive(
+    pub(in crate::sim) fn execute_outputs(
         &mut self,
         index: usize,
         held: &Arc<HeldFunction<u64>>,
@@ -44,7 +44,7 @@
         for output in outputs {
             match held.replica_request(output) {
                 Ok(replica_request) => self.send_replica_request(index, held, replica_request),
-                Err(order) => self.apply_holder_output(index, held, order),
+                Err(output) => self.apply_holder_output(index, held, output),
             }
         }
     }
@@ -53,11 +53,11 @@
         &mut self,
         index: usize,
         held: &Arc<HeldFunction<u64>>,
-        order: HolderOutput,
+        output: HolderOutput,
     ) {
         let requester = self.nodes.daemon(index).requester();
         let function = held.function.clone();
-        match order {
+        match output {
             HolderOutput::Send {
                 ticket,
                 runner,
@@ -117,7 +117,7 @@
                     );
                 }
             }
-            HolderOutput::Report(word) => {
+            HolderOutput::Report(message) => {
                 let fencing_token = held.fencing_token;
                 self.queue.push(
                     Duration::from_micros(1),
@@ -126,7 +126,7 @@
                         requester.incarnation,
                         function,
                         fencing_token,
-                        word,
+                        message,
                     ),
                 );
             }
@@ -136,7 +136,7 @@
         }
     }
 
-    /// Returns the outcome of a request to the daemon in which it waits.
+    /// Passes the outcome of a request to the pending request that waits for it in this daemon.
     fn end_held_request(
         &mut self,
         index: usize,
@@ -158,7 +158,7 @@
         }
     }
 
-    /// Requests a new runner from the platform, if the daemon serves and reaches it.
+    /// Requests a new runner from the platform, if the daemon holds a session lease and can reach the platform.
     fn request_start(
         &mut self,
         index: usize,
--- a/testing/fleet/src/sim/daemon/mod.rs
+++ b/testing/fleet/src/sim/daemon/mod.rs
@@ -1,7 +1,7 @@
 //! Simulated daemons.
 
 mod holders;
-mod orders;
+mod outputs;
 mod replicas;
 mod requests;
 mod shutdown;
@@ -26,7 +26,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Where an outcome is returned to.
+/// To whom the outcome of a request is returned.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub(in crate::sim) enum ReplyTarget {
     Caller,
@@ -41,9 +41,10 @@
     forwarding: Forwarding,
     reply_target: ReplyTarget,
     awaited_step: AwaitedStep,
-    wakes: u64,
+    /// The number of its latest wake-up; earlier ones are ignored.
+    wake_number: u64,
     forwarded_to: Option<Host>,
-    /// The holder in this daemon that has it, and the ticket under which.
+    /// The lease holder in this daemon that handles the request, and the request's ticket there.
     held_under: Option<(Arc<HeldFunction<u64>>, Ticket)>,
     regional_tenths: u8,
     _in_flight: InFlightGuard,
@@ -83,7 +84,7 @@
     pub(in crate::sim) is_disturbed: bool,
 }
 
-/// The time on a clock that is ahead and drifts by some thousandths.
+/// Returns the time on a clock that is ahead of virtual time and drifts by a number of thousandths.
 pub(in crate::sim) fn local_time(now: MonotonicTime, ahead: Duration, drift: i64) -> MonotonicTime {
     let elapsed = now.0 as i128;
     MonotonicTime((elapsed + elapsed * i128::from(drift) / 1000) as u64) + ahead
@@ -96,17 +97,17 @@
 }
 
 impl SimDaemon {
-    /// The time on its machine's clock.
+    /// Returns the time on its machine's clock.
     pub(in crate::sim) fn local_time(&self, now: MonotonicTime) -> MonotonicTime {
         local_time(now, self.clock_ahead, self.clock_drift)
     }
 
-    /// Its agent, while its process runs.
+    /// Returns its agent; none if its process is not running.
     pub(in crate::sim) fn agent(&self) -> Option<Arc<Agent<u64>>> {
         self.process.as_ref().map(|process| process.agent.clone())
     }
 
-    /// Its incarnation, while its process runs.
+    /// Returns its incarnation; none if its process is not running.
     pub(in crate::sim) fn running_incarnation(&self) -> Option<u64> {
         self.process.is_some().then_some(self.incarnation)
     }
@@ -118,21 +119,21 @@
             .is_some_and(|process| process.stop.is_none())
     }
 
-    /// Whether its process runs under a session lease.
+    /// Whether its process holds a valid session lease.
     pub(in crate::sim) fn is_serving(&self, now: MonotonicTime) -> bool {
         let local_now = self.local_time(now);
         let process = self.process.as_ref();
         process.is_some_and(|process| local_now < process.agent.session_lease_end())
     }
 
-    /// Whether its process uses this link.
+    /// Whether its process currently uses this link.
     pub(in crate::sim) fn is_current_link(&self, link: u64) -> bool {
         self.process
             .as_ref()
             .is_some_and(|process| process.link == Some(link))
     }
 
-    /// Its current process as the sender of a request.
+    /// Returns its current process as the sender of a request.
     pub(in crate::sim) fn requester(&self) -> Requester {
         Requester {
             node: self.node,
@@ -142,7 +143,8 @@
 }
 
 impl Simulation {
-    /// The region of a zone, if the day has regions: the first two zones belong to one and the third to another.
+    /// Returns the regions of the zones, if the plan has regions: the first two zones belong to one and the third to
+    /// another.
     fn regions(&self) -> Regions {
         let zones = (0..3).map(|number| {
             (
@@ -150,9 +152,9 @@
                 if number < 2 { "east" } else { "west" },
             )
         });
-        let named = zones.filter(|_| self.plan.regional);
+        let zones_in_regions = zones.filter(|_| self.plan.regional);
         Regions::new(
-            named
+            zones_in_regions
                 .map(|(zone, region)| (zone, Region::from(region)))
                 .collect(),
         )
@@ -176,8 +178,8 @@
         let Some(pending) = process.pending_requests.get_mut(&number) else {
             return;
         };
-        pending.wakes += 1;
-        let wake = DaemonEvent::Lookup(node, incarnation, number, pending.wakes);
+        pending.wake_number += 1;
+        let wake = DaemonEvent::Lookup(node, incarnation, number, pending.wake_number);
         self.queue.push(delay, wake);
     }
 
@@ -229,7 +231,7 @@
         self.queue.push(Duration::from_millis(1), tick);
     }
 
-    /// Kills a daemon; its callers get no response.
+    /// Kills a daemon's process. Its callers get no response.
     pub(in crate::sim) fn kill_daemon(&mut self, index: usize) {
         self.nodes.daemon_mut(index).process = None;
         self.nodes.daemon_mut(index).incarnation += 1;
@@ -264,9 +266,9 @@
             return;
         };
         let agent = process.agent.clone();
-        let orders = change(&mut process.controller, &agent, local_now);
-        for order in orders {
-            self.apply_daemon_order(index, order);
+        let outputs = change(&mut process.controller, &agent, local_now);
+        for output in outputs {
+            self.apply_daemon_output(index, output);
         }
     }
 
--- a/testing/fleet/src/sim/daemon/orders.rs
+++ b/testing/fleet/src/sim/daemon/outputs.rs
@@ -1,4 +1,4 @@
-//! Executes the outputs of a simulated daemon, and checks the messages that it receives.
+//! Executes the outputs of a simulated daemon's control session, and checks the leases and specs that it gets.
 
 use super::AwaitedStep;
 use crate::sim::event::{DaemonEvent, LinkEvent};
@@ -9,14 +9,14 @@
 use dataplane::agent::DaemonControlOutput;
 
 impl Simulation {
-    pub(in crate::sim) fn apply_daemon_order(
+    pub(in crate::sim) fn apply_daemon_output(
         &mut self,
         index: usize,
-        order: DaemonControlOutput<u64>,
+        output: DaemonControlOutput<u64>,
     ) {
         let node = self.nodes.daemon(index).node;
         let incarnation = self.nodes.daemon(index).incarnation;
-        match order {
+        match output {
             DaemonControlOutput::Dial(to) => {
                 let link = self.dial(node, incarnation, to);
                 if let Some(process) = &mut self.nodes.daemon_mut(index).process {
@@ -53,7 +53,9 @@
                     }
                 }
             }
-            DaemonControlOutput::Holder(held, outputs) => self.drive(index, &held, outputs),
+            DaemonControlOutput::Holder(held, outputs) => {
+                self.execute_outputs(index, &held, outputs)
+            }
             DaemonControlOutput::Acquired {
                 function, result, ..
             } => {
@@ -134,7 +136,7 @@
                 continue;
             };
             for held in agent.held_functions().values() {
-                let lives = held.with(|holder| {
+                let instances = held.with(|holder| {
                     if holder.is_claimable() {
                         holder.instances()
                     } else {
@@ -142,7 +144,7 @@
                     }
                 });
                 held_instances.extend(
-                    lives
+                    instances
                         .into_iter()
                         .map(|instance| (index, held.fencing_token, instance.name)),
                 );
@@ -154,7 +156,7 @@
         self.checks.check_owners(self.queue.now(), listed);
     }
 
-    /// Whether a daemon serves a function under this lease.
+    /// Whether a daemon serves and holds a function under this lease.
     pub(in crate::sim) fn is_live_holder(
         &self,
         index: usize,
@@ -169,7 +171,8 @@
             && held.is_some_and(|held| held.with(|holder| holder.is_claimable()))
     }
 
-    /// Checks a new function lease: no other daemon may serve the function, and all its running runners are taken over.
+    /// Checks the new function leases of a daemon: no other daemon may serve the function, and all of its running
+    /// runners must have been adopted.
     pub(in crate::sim) fn check_granted(&mut self, index: usize) {
         let Some(agent) = self.nodes.agent(index) else {
             return;
--- a/testing/fleet/src/sim/daemon/replicas.rs
+++ b/testing/fleet/src/sim/daemon/replicas.rs
@@ -1,4 +1,4 @@
-//! The requests of lease holders to the daemons that hold replicas of their ledgers.
+//! Requests of lease holders to the daemons that hold replicas of their ledgers.
 
 use crate::sim::event::DaemonEvent;
 use crate::sim::network::{Node, Requester};
@@ -35,7 +35,7 @@
         self.numbers.insert(number);
     }
 
-    /// Ends a request; whether it was still pending.
+    /// Ends a request and returns whether it was still pending.
     fn end(&mut self, number: u64) -> bool {
         self.numbers.remove(&number)
     }
@@ -101,7 +101,7 @@
             return;
         }
         let index = exchange.requester.node.daemon_index();
-        self.apply(
+        self.update_holder(
             index,
             &exchange.function,
             exchange.fencing_token,
--- a/testing/fleet/src/sim/daemon/requests.rs
+++ b/testing/fleet/src/sim/daemon/requests.rs
@@ -1,4 +1,4 @@
-//! Requests in simulated daemons: from the call to the response to the caller.
+//! Requests in simulated daemons, from the call to the response to the caller.
 
 use super::{AwaitedStep, PendingRequest, ReplyTarget, virtual_span};
 use crate::sim::event::DaemonEvent;
@@ -73,7 +73,7 @@
         self.accept_request(index, request, ReplyTarget::Caller);
     }
 
-    /// Handles a frame of another daemon.
+    /// Handles a frame from another daemon.
     pub(in crate::sim) fn handle_hop(
         &mut self,
         index: usize,
@@ -104,7 +104,7 @@
             forwarding,
             reply_target,
             awaited_step: AwaitedStep::Lookup,
-            wakes: 0,
+            wake_number: 0,
             forwarded_to: None,
             held_under: None,
             regional_tenths: 0,
@@ -114,8 +114,8 @@
         self.advance(index, number);
     }
 
-    /// Handles the timeout of a wait, unless the request has advanced since.
-    pub(in crate::sim) fn wake(&mut self, index: usize, number: u64, wake: u64) {
+    /// Handles a wake-up of a request, unless a later one has been scheduled since.
+    pub(in crate::sim) fn wake(&mut self, index: usize, number: u64, wake_number: u64) {
         let is_due = self
             .nodes
             .daemon(index)
@@ -125,7 +125,7 @@
                 process
                     .pending_requests
                     .get(&number)
-                    .is_some_and(|pending| pending.wakes == wake)
+                    .is_some_and(|pending| pending.wake_number == wake_number)
             });
         if is_due {
             self.advance(index, number);
@@ -142,7 +142,7 @@
         );
     }
 
-    /// Handles the timeout of a wait for the leader's reply.
+    /// Handles the timeout of a request's wait for the leader's reply to an acquire.
     pub(in crate::sim) fn acquire_timed_out(&mut self, index: usize, number: u64) {
         self.step(
             index,
@@ -172,14 +172,14 @@
             let Some(pending) = process.pending_requests.get_mut(&number) else {
                 continue;
             };
-            pending.wakes += 1;
-            let wake = DaemonEvent::Lookup(node, incarnation, number, pending.wakes);
+            pending.wake_number += 1;
+            let wake = DaemonEvent::Lookup(node, incarnation, number, pending.wake_number);
             self.queue.push(Duration::from_micros(2), wake);
         }
     }
 
-    /// Stops waiting for daemons that no longer count as alive. The request gets a new number, so that a late reply is
-    /// ignored.
+    /// Stops waiting for daemons that are no longer considered alive. Each request gets a new number, so that a late
+    /// reply is ignored.
     pub(in crate::sim) fn end_forwards_to_departed(&mut self, index: usize) {
         let Some(process) = &mut self.nodes.daemon_mut(index).process else {
             return;
@@ -242,7 +242,7 @@
         };
         if function != function_before && is_first {
             self.checks
-                .move_first_try(self.queue.now(), &function_before, &function);
+                .move_first_attempt(self.queue.now(), &function_before, &function);
         }
         match next_step {
             ForwardingStep::Serve(held, holder_request) => {
@@ -254,7 +254,7 @@
                 wait_until,
             } => {
                 pending.forwarded_to = Some(host.clone());
-                self.pass(index, number, &host, body, wait_until);
+                self.forward(index, number, &host, body, wait_until);
             }
             ForwardingStep::Acquire { wait_until } => self.acquire(index, number, wait_until),
             ForwardingStep::Wait { wait_until } => self.schedule_wake(index, wait_until, number),
@@ -281,13 +281,13 @@
             pending.forwarded_to = None;
         }
         let admitted = held.admit(local_now, ticket, holder_request.clone(), number);
-        let (at_once, outputs) = admitted;
-        if let Some((_, outcome)) = &at_once {
+        let (immediate, outputs) = admitted;
+        if let Some((_, outcome)) = &immediate {
             self.checks
                 .record_holder_outcome(held.fencing_token, &holder_request, outcome);
         }
-        self.drive(index, held, outputs);
-        if let Some((number, outcome)) = at_once {
+        self.execute_outputs(index, held, outputs);
+        if let Some((number, outcome)) = immediate {
             self.step(
                 index,
                 number,
@@ -323,7 +323,7 @@
         }
     }
 
-    pub(in crate::sim) fn pass(
+    pub(in crate::sim) fn forward(
         &mut self,
         index: usize,
         number: u64,
@@ -376,7 +376,7 @@
         );
     }
 
-    /// Handles the reply, or its absence, of the daemon to which a request was forwarded.
+    /// Handles the reply of the daemon to which a request was forwarded, or the lack of a reply.
     pub(in crate::sim) fn finish_forward(
         &mut self,
         index: usize,
@@ -449,23 +449,23 @@
         }
     }
 
-    /// The hint that is sent with an outcome under the requesting region's own key: by the lease holder, or by a daemon
-    /// nearer to it.
+    /// Returns the hint about the requesting region's own key that is sent with an outcome: that of this daemon if it
+    /// has one, otherwise the one that came with the reply to a forwarded request.
     fn regional_hint(&self, index: usize, pending: &PendingRequest) -> u8 {
         let request = pending.forwarding.request();
         let local_now = self.daemon_now(index);
         let agent = self.nodes.agent(index);
-        let own_word = agent.map_or(0, |agent| {
+        let own_hint = agent.map_or(0, |agent| {
             agent.regional_hint(local_now, &request.function, &request.region)
         });
-        if own_word > 0 {
-            own_word
+        if own_hint > 0 {
+            own_hint
         } else {
             pending.regional_tenths
         }
     }
 
-    /// Applies the hint that came with a reply about the region's own key.
+    /// Applies the hint about the region's own key that came with a reply.
     fn handle_regional_hint(
         &mut self,
         index: usize,
@@ -518,7 +518,7 @@
                 self.checks.check_not_run(self.queue.now(), idempotency_key);
                 self.record.count_event(reason.as_str());
                 if *retry_after_ms == 0 {
-                    let what = format!("{idempotency_key} is refused without a time to come back");
+                    let what = format!("{idempotency_key} is refused without a retry delay");
                     self.checks.report_violation(self.queue.now(), what);
                 }
                 self.note_refused(request);
--- a/testing/fleet/src/sim/daemon/shutdown.rs
+++ b/testing/fleet/src/sim/daemon/shutdown.rs
@@ -1,4 +1,4 @@
-//! Orderly stops of simulated daemons.
+//! The orderly stop of simulated daemons.
 
 use super::{AwaitedStep, PendingRequest, ReplyTarget};
 use crate::sim::event::DaemonEvent;
@@ -12,7 +12,7 @@
 
 /// The grace period of an orderly stop, after which the platform kills the process.
 const GRACE: Duration = Duration::from_millis(5600);
-/// How long a process that exits leaves its last frames to be written.
+/// How long an exiting process waits for its last frames to be sent.
 const LAST_FRAMES_TIME: Duration = Duration::from_millis(60);
 
 /// An orderly stop that is under way.
@@ -20,7 +20,7 @@
 pub(super) struct OrderlyStop {
     schedule: ShutdownSchedule,
     phase: ShutdownPhase,
-    /// Whether the process exits, and only its last frames are written.
+    /// Whether the process is about to exit, and only sends its last frames.
     has_exited: bool,
 }
 
@@ -52,7 +52,7 @@
         self.with_controller(index, |controller, agent, now| controller.leave(agent, now));
     }
 
-    /// Does what is due of a daemon's orderly stop.
+    /// Advances a daemon's orderly stop to the phase that is due.
     pub(super) fn continue_stop(&mut self, index: usize) {
         let local_now = self.daemon_now(index);
         let Some(process) = &mut self.nodes.daemon_mut(index).process else {
@@ -86,7 +86,7 @@
             .unwrap_or_default()
     }
 
-    /// Takes a request back from where it waits.
+    /// Withdraws a request from the lease holder or daemon that it waits for.
     fn withdraw_request(&mut self, index: usize, number: u64) {
         let Some(process) = &mut self.nodes.daemon_mut(index).process else {
             return;
@@ -107,7 +107,7 @@
             }
             AwaitedStep::Outcome => {
                 if let Some((held, ticket)) = pending.held_under.clone() {
-                    self.apply(index, &held.function, held.fencing_token, |holder, now| {
+                    self.update_holder(index, &held.function, held.fencing_token, |holder, now| {
                         holder.withdraw(now, ticket)
                     });
                 }
@@ -142,8 +142,8 @@
         );
     }
 
-    /// Handles a notice of the daemon that forwarded a request. Simulated callers never leave, so that no request is
-    /// abandoned.
+    /// Handles a notice from the daemon that forwarded a request. It is always a withdrawal, since simulated callers
+    /// never disconnect and so abandon no request.
     pub(super) fn handle_requester_notice(&mut self, index: usize, reply_target: ReplyTarget) {
         let process = self.nodes.daemon(index).process.as_ref();
         let number = process.and_then(|process| {
@@ -157,8 +157,8 @@
         }
     }
 
-    /// Ends a request that is left when its daemon is about to exit. One that waited for a runner all the time should
-    /// have been withdrawn, unless its holder could not be told.
+    /// Ends a request that is left when its daemon is about to exit. One that no runner has had must have been
+    /// withdrawn before, unless its lease holder could not be notified.
     fn end_unfinished(&mut self, index: usize, number: u64) {
         let Some(process) = &self.nodes.daemon(index).process else {
             return;
@@ -182,7 +182,8 @@
         self.end(index, number, outcome, holder);
     }
 
-    /// Whether the daemon to which a request was forwarded runs undisturbed and is_reachable this one.
+    /// Whether the daemon to which a request was forwarded runs undisturbed and is connected with this one in both
+    /// directions.
     fn is_holder_reachable(&self, index: usize, pending: &PendingRequest) -> bool {
         let Some(host) = &pending.forwarded_to else {
             return true;
@@ -201,7 +202,7 @@
         self.nodes.node_at(host.address).is_some_and(is_reachable)
     }
 
-    /// Ends a stopping daemon when no requests are left, or when its grace period is over.
+    /// Lets a stopping daemon exit when no requests are left or its grace period is over.
     fn exit_if_due(&mut self, index: usize) {
         let local_now = self.daemon_now(index);
         let Some(process) = &self.nodes.daemon(index).process else {
--- a/testing/fleet/src/sim/dispatch.rs
+++ b/testing/fleet/src/sim/dispatch.rs
@@ -124,31 +124,31 @@
         match event {
             HolderEvent::Started(requester, function, runner, end) => {
                 let index = requester.node.daemon_index();
-                self.apply(index, &function, runner.fencing_token, |holder, now| {
+                self.update_holder(index, &function, runner.fencing_token, |holder, now| {
                     holder.started(now, runner, end)
                 });
             }
             HolderEvent::Stopped(requester, function, runner) => {
                 let index = requester.node.daemon_index();
-                self.apply(index, &function, runner.fencing_token, |holder, now| {
+                self.update_holder(index, &function, runner.fencing_token, |holder, now| {
                     holder.stopped(now, runner)
                 });
             }
             HolderEvent::Probed(requester, function, runner, is_ready) => {
                 let index = requester.node.daemon_index();
-                self.apply(index, &function, runner.fencing_token, |holder, now| {
+                self.update_holder(index, &function, runner.fencing_token, |holder, now| {
                     holder.probed(now, runner, is_ready)
                 });
             }
             HolderEvent::RunningListed(requester, function, runner, running) => {
                 let index = requester.node.daemon_index();
-                self.apply(index, &function, runner.fencing_token, |holder, now| {
+                self.update_holder(index, &function, runner.fencing_token, |holder, now| {
                     holder.running_listed(now, runner, running)
                 });
             }
             HolderEvent::SendEnded(requester, function, ticket, fencing_token, end) => {
                 let index = requester.node.daemon_index();
-                self.apply(index, &function, fencing_token, |holder, now| {
+                self.update_holder(index, &function, fencing_token, |holder, now| {
                     holder.handle_send_result(now, ticket, end)
                 });
             }
