--- a/testing/fleet/tests/control_side.rs
+++ b/testing/fleet/tests/control_side.rs
@@ -1,4 +1,4 @@
-//! Tests of the scenarios for the control side, and of the flaws that they must find.
+//! Tests of the control-plane scenarios, and of the flaws that they must detect.
 
 #[path = "support/clean_runs.rs"]
 mod clean_runs;
@@ -24,7 +24,7 @@
     verify_clean_scenario(Scenario::Isolation, 1..=12)
 }
 
-/// With each of these seeds a controller once reported a leader from which it had received nothing for twenty seconds.
+/// With each of these seeds, a resumed controller used to name a leader from which it had received nothing for 20 s.
 #[gtest]
 fn a_resumed_controller_does_not_redirect_to_a_former_leader() -> Result<()> {
     for seed in [92, 237, 314] {
@@ -48,17 +48,17 @@
     verify_clean_scenario(Scenario::ManyChanges, 1..=2)
 }
 
-/// Some steps of each repair and quorum size, with the leader losing power there.
+/// Tests some steps of each repair and quorum size; the leader loses power at that step.
 #[gtest]
 fn the_leader_may_lose_power_at_any_step_of_a_repair() -> Result<()> {
     for size in QuorumSize::ALL {
         for repair in Repair::ALL {
-            let quiet_case = SecondLossCase {
+            let case_without_loss = SecondLossCase {
                 size: *size,
                 repair: *repair,
                 second: None,
             };
-            let steps = quiet_case.steps(1);
+            let steps = case_without_loss.steps(1);
             verify_that!(steps, ge(100))?;
             for step in (1..=steps.min(400)).step_by(150) {
                 let second = Some(SecondLoss {
@@ -68,7 +68,7 @@
                 });
                 let case = SecondLossCase {
                     second,
-                    ..quiet_case
+                    ..case_without_loss
                 };
                 verify_clean(case.plan(1)).with_failure_message(|| format!("{case:?}"))?;
             }
@@ -79,9 +79,9 @@
 
 #[gtest]
 fn each_control_rule_disabled_is_detected_by_a_scenario() -> Result<()> {
-    for proof in SCENARIO_DETECTION_CASES {
-        verify_that!(proof.find(SEEDS_TO_FIND), some(anything()))
-            .with_failure_message(|| proof.to_string())?;
+    for case in SCENARIO_DETECTION_CASES {
+        verify_that!(case.find(SEEDS_TO_FIND), some(anything()))
+            .with_failure_message(|| case.to_string())?;
     }
     Ok(())
 }
--- a/testing/fleet/tests/invariants.rs
+++ b/testing/fleet/tests/invariants.rs
@@ -1,4 +1,4 @@
-//! Tests that each invariant that the code checks itself is violated if the rule behind it is removed.
+//! Tests that the invariants that the code checks itself are violated when the rules that uphold them are disabled.
 
 use common::invariants::Invariant;
 use common::rules::Rule;
@@ -6,7 +6,7 @@
 use googletest::prelude::*;
 use std::time::Duration;
 
-/// The number of seeds after which each must have been found.
+/// The number of seeds within which each violation must be found.
 const SEEDS: u64 = 12;
 
 struct Case {
@@ -25,9 +25,9 @@
 
 use SimFault as F;
 
-/// Those that random faults find. `spec-never-older` has a test of its own in
+/// The invariants whose violation random faults detect. `spec-never-older` has its own test in
 /// `crates/dataplane/tests/agent/spec_versions.rs`, `commit-never-lost` in
-/// `crates/controlplane/tests/quorum_proofs.rs`, and `sent-under-lease` one more in
+/// `crates/controlplane/tests/quorum_proofs.rs`, and `sent-under-lease` another one in
 /// `platform/tests/connections/last_look.rs`.
 const CASES: &[Case] = &[
     case(
@@ -97,8 +97,9 @@
         ..SimPlan::seeded(seed)
     };
     let name = format!("invariant {}:", case.invariant);
-    let end = Simulation::new(plan, false).run();
-    end.violations
+    let sim_result = Simulation::new(plan, false).run();
+    sim_result
+        .violations
         .iter()
         .any(|violation| violation.what.starts_with(&name))
 }
--- a/testing/fleet/tests/simulator.rs
+++ b/testing/fleet/tests/simulator.rs
@@ -1,4 +1,4 @@
-//! Tests of both planes under seeded faults, and of the flaws that the checks must find.
+//! Simulations of both planes under seeded faults, and of the flaws that the safety checks must detect.
 
 #[path = "support/clean_runs.rs"]
 mod clean_runs;
@@ -10,7 +10,7 @@
 use googletest::prelude::*;
 use std::time::Duration;
 
-/// How often something was counted in a day.
+/// Returns how often an event was counted in a simulation.
 fn count_of(sim_result: &SimResult, label: &str) -> u64 {
     sim_result.counts.get(label).copied().unwrap_or(0)
 }
@@ -25,7 +25,7 @@
     Ok(())
 }
 
-/// Pausing idle functions and acquiring leases before the first call cause no violation.
+/// Stopping the runners of idle functions, and acquiring leases before the first call, violate no safety check.
 #[gtest]
 fn idle_stops_and_warm_functions_violate_no_safety_check() -> Result<()> {
     for seed in 1..=12 {
@@ -44,8 +44,9 @@
     Ok(())
 }
 
-/// Callers that outlast the grace period of an orderly stop: a stopping daemon withdraws what still waits, and none of it
-/// runs after that. Before, every simulated caller gave up sooner than a daemon exits.
+/// A stopping daemon withdraws the requests that still wait for a runner, and none of them runs afterwards. This needs
+/// patient callers, which outlast the grace period of an orderly stop: other simulated callers give up before the
+/// exit.
 #[gtest]
 fn stops_leave_no_patient_caller_waiting() -> Result<()> {
     let mut withdrawn_count = 0;
@@ -73,8 +74,9 @@
     }
 }
 
-/// Functions that are held in two regions cause no violation, and callers are served under both keys. With seeds 3 and 5 a
-/// runner once got more requests than it has slots, and with the last four its key was not known after a failover.
+/// Functions that are held in two regions violate no safety check, and callers are served under both keys. With seeds
+/// 3 and 5 a runner used to get more requests than it has slots; with the last four, its key was not known after a
+/// failover.
 #[gtest]
 fn regional_keys_violate_no_safety_check_and_serve() -> Result<()> {
     let mut served_count = 0;
@@ -101,7 +103,8 @@
     Ok(())
 }
 
-/// A key that is sent again through an ingress in another region must reach the lease holder that remembers it.
+/// An idempotency key that is sent again through an ingress in another region must reach the lease holder that
+/// remembers it.
 #[gtest]
 fn answers_are_remembered_by_one_holder_only() -> Result<()> {
     let violations_of = |flaw: Flaw, seed: u64| {
@@ -122,9 +125,9 @@
     Ok(())
 }
 
-/// The digest for comparing two versions of the code depends on the seed alone.
+/// The digest compares the behaviour of two versions of the code, so equal seeds must give equal digests.
 #[gtest]
-fn a_day_has_one_digest_and_another_day_another() -> Result<()> {
+fn the_event_digest_depends_on_the_seed_alone() -> Result<()> {
     let digest = |seed| {
         Simulation::new(SimPlan::seeded(seed), false)
             .run()
@@ -136,10 +139,10 @@
 
 #[gtest]
 fn the_same_seed_gives_the_same_trace() -> Result<()> {
-    let counts = || Simulation::new(SimPlan::seeded(7), true).run().trace;
-    let first_trace = counts();
+    let trace_of_seed = || Simulation::new(SimPlan::seeded(7), true).run().trace;
+    let first_trace = trace_of_seed();
     verify_that!(first_trace.len(), ge(20))?;
-    verify_that!(counts() == first_trace, eq(true))
+    verify_that!(trace_of_seed() == first_trace, eq(true))
 }
 
 #[gtest]
@@ -150,15 +153,16 @@
     Ok(())
 }
 
-/// Each flaw is found, and without it there is no violation.
+/// Each flaw is detected, and without it there is no violation.
 #[gtest]
 fn every_disabled_rule_is_detected_and_the_baseline_is_clean() -> Result<()> {
-    for proof in DETECTION_CASES {
-        let end = proof.run(proof.seeds);
-        verify_that!(end.baseline_violations, is_empty())
-            .with_failure_message(|| proof.to_string())?;
-        verify_that!(end.found, some(anything())).with_failure_message(|| proof.to_string())?;
-        verify_that!(end.checked, ge(1000))?;
+    for case in DETECTION_CASES {
+        let detection = case.run(case.seeds);
+        verify_that!(detection.baseline_violations, is_empty())
+            .with_failure_message(|| case.to_string())?;
+        verify_that!(detection.found, some(anything()))
+            .with_failure_message(|| case.to_string())?;
+        verify_that!(detection.checked, ge(1000))?;
     }
     Ok(())
 }
@@ -181,7 +185,8 @@
     Ok(())
 }
 
-/// Messages to a lease holder on a broken stream are sent again; each of these seeds failed before.
+/// Messages to a lease holder that are lost with their stream must be sent again. Each of these seeds failed when they
+/// were not.
 #[gtest]
 fn drains_and_evacuations_survive_the_loss_of_their_stream() -> Result<()> {
     use SimFault::{DrainWorker, Isolation, Partition, RunnerLeaves};
@@ -202,8 +207,8 @@
     Ok(())
 }
 
-/// Bursts for busy functions take nearly all memory; a function without a runner still gets one. It took 11.5 s before
-/// functions with several runners gave one back.
+/// Bursts for busy functions take nearly all memory, but a function without a runner must still get one. Recovery took
+/// 11.5 s when functions with several runners did not give one back.
 #[gtest]
 fn a_function_without_a_runner_is_not_starved_by_those_that_have_several() -> Result<()> {
     let sim_result = Simulation::new(SimPlan::seeded(39776), false).run();
@@ -211,8 +216,8 @@
     verify_that!(sim_result.recovered_after, le(Duration::from_secs(6)))
 }
 
-/// Faults of the control side for operators' histories.
-struct HistoryDay {
+/// Faults of the control plane under which the history of operators is recorded.
+struct HistoryCase {
     focus: &'static [SimFault],
     /// The time between two faults.
     gap: Duration,
@@ -222,18 +227,18 @@
 
 const RARE_ORDERS: Duration = Duration::from_millis(3000);
 const FREQUENT_ORDERS: Duration = Duration::from_millis(150);
-const HISTORY_DAYS: [HistoryDay; 4] = [
-    HistoryDay {
+const HISTORY_CASES: [HistoryCase; 4] = [
+    HistoryCase {
         focus: &[],
         gap: Duration::from_millis(3500),
         order_gap: RARE_ORDERS,
     },
-    HistoryDay {
+    HistoryCase {
         focus: &[],
         gap: Duration::from_millis(3500),
         order_gap: FREQUENT_ORDERS,
     },
-    HistoryDay {
+    HistoryCase {
         focus: &[
             SimFault::Evacuate,
             SimFault::FreezeLeader,
@@ -243,7 +248,7 @@
         gap: Duration::from_millis(1500),
         order_gap: RARE_ORDERS,
     },
-    HistoryDay {
+    HistoryCase {
         focus: &[
             SimFault::ChangeStorm,
             SimFault::FreezeLeader,
@@ -256,16 +261,16 @@
     },
 ];
 
-/// The history of operators under faults of the control side is linearizable.
+/// The history of operators under faults of the control plane is linearizable.
 #[gtest]
 fn operator_histories_are_linearizable() -> Result<()> {
-    for day in HISTORY_DAYS {
+    for case in HISTORY_CASES {
         for seed in [11, 32, 112, 155, 221, 234] {
             let plan = SimPlan {
-                focus: day.focus.to_vec(),
-                gap: day.gap,
+                focus: case.focus.to_vec(),
+                gap: case.gap,
                 numbers_orders: true,
-                order_gap: day.order_gap,
+                order_gap: case.order_gap,
                 ..SimPlan::seeded(seed)
             };
             let sim_result = verify_clean(plan)?;
