--- a/testing/fleet/src/sim/calls.rs
+++ b/testing/fleet/src/sim/calls.rs
@@ -24,7 +24,7 @@
 
     /// Handles a refusal at a caller: while callers retry, it soon repeats the request through another ingress, marked
     /// as a retry.
-    pub(super) fn note_refused(&mut self, request: &FunctionRequest) {
+    pub(super) fn handle_refusal(&mut self, request: &FunctionRequest) {
         if self.faults.are_callers_retrying(self.queue.now()) && self.rng.random_bool(0.7) {
             let retry_after = self.rng.within(Duration::ZERO, Duration::from_millis(40));
             self.queue
--- a/testing/fleet/src/sim/checks/control.rs
+++ b/testing/fleet/src/sim/checks/control.rs
@@ -159,8 +159,8 @@
                 format!("daemon {daemon} installed {version}, which was never committed"),
             );
         }
-        let before = self.installed.insert((daemon, incarnation), version);
-        if before.is_some_and(|before| before > version) {
+        let previous = self.installed.insert((daemon, incarnation), version);
+        if previous.is_some_and(|previous| previous > version) {
             self.report_violation(at, format!("daemon {daemon} went back to {version}"));
         }
     }
--- a/testing/fleet/src/sim/daemon/requests.rs
+++ b/testing/fleet/src/sim/daemon/requests.rs
@@ -521,7 +521,7 @@
                     let what = format!("{idempotency_key} is refused without a retry delay");
                     self.checks.report_violation(self.queue.now(), what);
                 }
-                self.note_refused(request);
+                self.handle_refusal(request);
             }
             RequestOutcome::Unknown { .. } => self.record.count_event("unknown"),
         }
--- a/testing/fleet/src/sim/disk.rs
+++ b/testing/fleet/src/sim/disk.rs
@@ -117,7 +117,7 @@
     /// Removes a write that has become durable.
     pub(super) fn complete(&mut self, controller: usize, job: &WriteJob) {
         self.writes
-            .retain(|write| write.controller != controller || !is_same(&write.job, job));
+            .retain(|write| write.controller != controller || !is_same_write(&write.job, job));
     }
 
     /// Removes and returns the writes of all controllers.
@@ -126,7 +126,7 @@
     }
 }
 
-fn is_same(left: &WriteJob, right: &WriteJob) -> bool {
+fn is_same_write(left: &WriteJob, right: &WriteJob) -> bool {
     match (left, right) {
         (
             WriteJob::Vote {
