--- a/crates/common/src/frames/stream.rs
+++ b/crates/common/src/frames/stream.rs
@@ -347,7 +347,7 @@
     },
     /// A newer spec to be installed, as a delta.
     #[brw(magic = 5u8)]
-    Change {
+    SpecDelta {
         /// The version that the delta applies to.
         base: Version,
         /// The resulting version.
--- a/crates/common/tests/frames.rs
+++ b/crates/common/tests/frames.rs
@@ -15,7 +15,7 @@
 use googletest::prelude::*;
 
 fn sample() -> LeaderToDaemon {
-    LeaderToDaemon::Change {
+    LeaderToDaemon::SpecDelta {
         base: Version(7),
         version: Version(8),
         delta: b"[]".to_vec().into(),
--- a/crates/common/tests/wire_forms/stream_frames.rs
+++ b/crates/common/tests/wire_forms/stream_frames.rs
@@ -44,7 +44,7 @@
     LeaderToDaemon::Welcome { .. } => "stream-down/welcome",
     LeaderToDaemon::Renewed { .. } => "stream-down/renewed",
     LeaderToDaemon::Spec { .. } => "stream-down/spec",
-    LeaderToDaemon::Change { .. } => "stream-down/change",
+    LeaderToDaemon::SpecDelta { .. } => "stream-down/change",
     LeaderToDaemon::Hosts { .. } => "stream-down/hosts",
     LeaderToDaemon::HostsDelta { .. } => "stream-down/hosts-changed",
     LeaderToDaemon::Acquired { .. } => "stream-down/acquired",
@@ -355,7 +355,7 @@
         lease_ms: short(0x70),
         version: Version(long(0x74)),
     };
-    let delta = LeaderToDaemon::Change {
+    let delta = LeaderToDaemon::SpecDelta {
         base: Version(long(0x74)),
         version: Version(long(0x7c)),
         delta: b"{\"base\":3}".to_vec().into(),
--- a/crates/controlplane/src/drivers/streams.rs
+++ b/crates/controlplane/src/drivers/streams.rs
@@ -158,7 +158,7 @@
     while let Some(frame) = frames.recv().await {
         shared.metrics.frames_down.inc();
         if let LeaderToDaemon::Spec { document: blob, .. }
-        | LeaderToDaemon::Change { delta: blob, .. } = &frame
+        | LeaderToDaemon::SpecDelta { delta: blob, .. } = &frame
         {
             shared.metrics.pushed_bytes.inc_by(blob.0.len() as u64);
         }
--- a/crates/controlplane/src/leader_state/document_delivery.rs
+++ b/crates/controlplane/src/leader_state/document_delivery.rs
@@ -300,7 +300,7 @@
 }
 
 fn spec_delta_frame(base_view: &DaemonView, newest_view: &DaemonView) -> LeaderToDaemon {
-    LeaderToDaemon::Change {
+    LeaderToDaemon::SpecDelta {
         base: base_view.version,
         version: newest_view.version,
         delta: compress(&base_view.delta_to(newest_view)),
--- a/crates/controlplane/tests/leader_state/delivery.rs
+++ b/crates/controlplane/tests/leader_state/delivery.rs
@@ -25,7 +25,7 @@
     let sent = |harness: &Harness| -> Vec<&'static str> {
         let specs = harness.frames().filter_map(|(_, frame)| match frame {
             LeaderToDaemon::Spec { .. } => Some("complete"),
-            LeaderToDaemon::Change { .. } => Some("change"),
+            LeaderToDaemon::SpecDelta { .. } => Some("change"),
             _ => None,
         });
         specs.collect()
--- a/crates/controlplane/tests/leader_state/membership.rs
+++ b/crates/controlplane/tests/leader_state/membership.rs
@@ -164,7 +164,7 @@
     let is_pushed = |(_, frame): (u64, &LeaderToDaemon)| {
         matches!(
             frame,
-            LeaderToDaemon::Change { .. } | LeaderToDaemon::Spec { .. }
+            LeaderToDaemon::SpecDelta { .. } | LeaderToDaemon::Spec { .. }
         )
     };
     verify_that!(harness.frames().any(is_pushed), eq(false))
--- a/crates/dataplane/src/cluster_view/leader_frames.rs
+++ b/crates/dataplane/src/cluster_view/leader_frames.rs
@@ -17,7 +17,7 @@
                 let text = decompress(&document).unwrap_or_default();
                 self.install(now, version, DaemonView::from_bytes(&text));
             }
-            LeaderToDaemon::Change {
+            LeaderToDaemon::SpecDelta {
                 base,
                 version,
                 delta,
@@ -173,7 +173,7 @@
         | LeaderToDaemon::Welcome { .. }
         | LeaderToDaemon::Renewed { .. }
         | LeaderToDaemon::Spec { .. }
-        | LeaderToDaemon::Change { .. }
+        | LeaderToDaemon::SpecDelta { .. }
         | LeaderToDaemon::Hosts { .. }
         | LeaderToDaemon::HostsDelta { .. }
         | LeaderToDaemon::Acquired { .. }
--- a/testing/fleet/src/sim/controller.rs
+++ b/testing/fleet/src/sim/controller.rs
@@ -363,7 +363,7 @@
                 self.record.count_events("hosts told", put.0.len());
             }
             LeaderToDaemon::Spec { document: blob, .. }
-            | LeaderToDaemon::Change { delta: blob, .. } => {
+            | LeaderToDaemon::SpecDelta { delta: blob, .. } => {
                 self.record.count_events("spec bytes", blob.0.len());
             }
             _ => {}
--- a/testing/fleet/src/synthetic/wire.rs
+++ b/testing/fleet/src/synthetic/wire.rs
@@ -73,7 +73,7 @@
     match frame {
         LeaderToDaemon::Renewed { .. } => Work::Renewals,
         LeaderToDaemon::Hosts { .. } | LeaderToDaemon::HostsDelta { .. } => Work::Hosts,
-        LeaderToDaemon::Spec { .. } | LeaderToDaemon::Change { .. } => Work::Spec,
+        LeaderToDaemon::Spec { .. } | LeaderToDaemon::SpecDelta { .. } => Work::Spec,
         LeaderToDaemon::ReplicaAssigned { .. } => Work::Replicas,
         LeaderToDaemon::Redirect { .. } | LeaderToDaemon::Welcome { .. } => Work::Others,
         _ => Work::Leases,
