--- a/crates/common/src/frames/stream.rs
+++ b/crates/common/src/frames/stream.rs
@@ -120,7 +120,7 @@
     },
     /// Another daemon holds it.
     #[brw(magic = 2u8)]
-    Owner {
+    HeldBy {
         /// That daemon.
         host: Host,
     },
--- a/crates/common/tests/wire_forms/stream_frames.rs
+++ b/crates/common/tests/wire_forms/stream_frames.rs
@@ -59,7 +59,7 @@
 
 kinds!(ACQUIRED, acquired_kind, AcquireResult, {
     AcquireResult::Granted { .. } => "granted",
-    AcquireResult::Owner { .. } => "owner",
+    AcquireResult::HeldBy { .. } => "owner",
     AcquireResult::Rejected => "shed",
     AcquireResult::RetryLater { .. } => "later",
 });
@@ -276,7 +276,7 @@
         ("/anew", granted_anew),
         (
             "",
-            AcquireResult::Owner {
+            AcquireResult::HeldBy {
                 host: host(10, true),
             },
         ),
--- a/crates/controlplane/src/leader_state/acquisitions.rs
+++ b/crates/controlplane/src/leader_state/acquisitions.rs
@@ -218,7 +218,7 @@
             && now < holder_record.lease_expires_at
             && now.since(holder_record.last_contact_at) < STALE_HOLDER_AFTER
             && holder_record.is_self_eligible;
-        is_answerable.then(|| AcquireResult::Owner {
+        is_answerable.then(|| AcquireResult::HeldBy {
             host: holder_record.host.clone(),
         })
     }
--- a/crates/controlplane/tests/leader_state/harness.rs
+++ b/crates/controlplane/tests/leader_state/harness.rs
@@ -237,7 +237,7 @@
 
     /// Whether the first reply to an acquisition in the last step named the holder.
     pub fn names_holder(&self) -> bool {
-        matches!(self.acquire_result(), Some(AcquireResult::Owner { .. }))
+        matches!(self.acquire_result(), Some(AcquireResult::HeldBy { .. }))
     }
 
     /// Returns the runners adopted with the lease that was granted in the last step.
--- a/crates/dataplane/src/agent/daemon_control/view_outputs.rs
+++ b/crates/dataplane/src/agent/daemon_control/view_outputs.rs
@@ -148,7 +148,7 @@
         result: Option<AcquireResult>,
         round_trip: Duration,
     ) {
-        if let Some(AcquireResult::Owner { host }) = &result {
+        if let Some(AcquireResult::HeldBy { host }) = &result {
             agent.cache_owner(&function, host);
         }
         let is_settled = !matches!(result, None | Some(AcquireResult::RetryLater { .. }));
--- a/crates/dataplane/src/agent/forwarding/step_results.rs
+++ b/crates/dataplane/src/agent/forwarding/step_results.rs
@@ -212,10 +212,10 @@
     ) -> ForwardingStep<W> {
         match result {
             Some(AcquireResult::Granted { .. }) => self.advance(agent, now),
-            Some(AcquireResult::Owner { host }) if self.request.hops >= MAX_HOPS => {
+            Some(AcquireResult::HeldBy { host }) if self.request.hops >= MAX_HOPS => {
                 ForwardingStep::End(not_holder_outcome(), Some(host))
             }
-            Some(AcquireResult::Owner { host }) => {
+            Some(AcquireResult::HeldBy { host }) => {
                 let is_remote = host.member != agent.own_host.member;
                 if is_remote && is_current_owner(&host, &agent.live_hosts()) {
                     return self.advance(agent, now);
--- a/testing/fleet/src/sim/daemon/orders.rs
+++ b/testing/fleet/src/sim/daemon/orders.rs
@@ -92,7 +92,7 @@
     pub(in crate::sim) fn count_acquired(&mut self, result: Option<&AcquireResult>) {
         self.record.count_event(match result {
             Some(AcquireResult::Granted { .. }) => "acquired: granted",
-            Some(AcquireResult::Owner { .. }) => "acquired: owner",
+            Some(AcquireResult::HeldBy { .. }) => "acquired: owner",
             Some(AcquireResult::RetryLater { .. }) => "acquired: later",
             Some(AcquireResult::Rejected) => "acquired: shed",
             None => "acquired: nothing",
