--- a/crates/common/src/identity/runner.rs
+++ b/crates/common/src/identity/runner.rs
@@ -21,14 +21,14 @@
 impl RunnerId {
     /// Returns the identity that an instance was started with, where the platform keeps it in the instance's name after
     /// a dot. A runner that was adopted by a later holder still reports that one.
-    pub fn started_id(instance: &InstanceId) -> Option<RunnerId> {
+    pub fn from_instance(instance: &InstanceId) -> Option<RunnerId> {
         instance.as_str().split_once('.')?.1.parse().ok()
     }
 
     /// Returns the identity that the runner reports itself: the one it was started with if `instance` tells it, else
     /// this one.
     pub fn self_reported_id(self, instance: Option<&InstanceId>) -> RunnerId {
-        instance.and_then(Self::started_id).unwrap_or(self)
+        instance.and_then(Self::from_instance).unwrap_or(self)
     }
 }
 
--- a/testing/platform-stub/src/platform/mod.rs
+++ b/testing/platform-stub/src/platform/mod.rs
@@ -239,5 +239,5 @@
 fn parse_runner(name: &str) -> Option<RunnerId> {
     name.parse()
         .ok()
-        .or_else(|| RunnerId::started_id(&InstanceId::from(name)))
+        .or_else(|| RunnerId::from_instance(&InstanceId::from(name)))
 }
