--- a/crates/common/src/spec/routing_table.rs
+++ b/crates/common/src/spec/routing_table.rs
@@ -432,7 +432,7 @@
     }
 
     /// Whether any zone is evacuated.
-    pub fn has_evacuated(&self) -> bool {
+    pub fn has_evacuated_zones(&self) -> bool {
         !self.evacuated.is_empty()
     }
 
--- a/crates/controlplane/src/leader_state/drains.rs
+++ b/crates/controlplane/src/leader_state/drains.rs
@@ -19,7 +19,8 @@
 
     /// Orders the hand-over of those functions whose holders are in evacuated zones.
     pub(super) fn hand_over_if_evacuated(&mut self, functions: Vec<FunctionKey>) {
-        if !self.rules.enforces(Rule::EvacuationObeyed) || !self.configuration.table.has_evacuated()
+        if !self.rules.enforces(Rule::EvacuationObeyed)
+            || !self.configuration.table.has_evacuated_zones()
         {
             return;
         }
