--- a/crates/common/src/spec/applied_changes.rs
+++ b/crates/common/src/spec/applied_changes.rs
@@ -4,19 +4,19 @@
 use crate::seal::{digest, hex};
 use std::collections::VecDeque;
 
-/// How many numbered changes are remembered, at about ten bytes each.
+/// The maximum number of numbered changes that are remembered, at about ten bytes each.
 const MAX_REMEMBERED: usize = 1024;
-/// How many bytes of the digest of a change's name are remembered.
+/// The number of digest bytes that are kept of each change's name.
 const DIGEST_BYTES: usize = 8;
 
-/// What is known of a change that an operator submits, perhaps not for the first time.
+/// Whether a submitted change was applied before. Operators may submit the same change more than once.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum ChangeStatus {
-    /// It was applied and created this version.
+    /// The change was applied and created this version.
     Applied(Version),
-    /// It was not applied.
+    /// The change was not applied.
     NotApplied,
-    /// Changes as old as this are forgotten: it may have been applied or not.
+    /// Changes this old have been forgotten, so the change may or may not have been applied.
     Forgotten,
 }
 
@@ -27,9 +27,9 @@
     digest: u64,
 }
 
-/// The numbered changes that were applied: number, version and a digest of the change's name, oldest first.
+/// The numbered changes that were applied, oldest first: the number, the version and a digest of the name of each.
 ///
-/// Numbers only rise, so a number above every forgotten one that is not in this record was never applied.
+/// Numbers only increase, so a number that is above all forgotten ones and not in this record was never applied.
 #[derive(Clone, PartialEq, Eq, Debug, Default)]
 pub struct AppliedChanges {
     forgotten_up_to: u64,
@@ -44,15 +44,15 @@
 }
 
 impl AppliedChanges {
-    /// Creates a record that lacks what came before: numbers up to this one may have been applied.
-    pub fn without(forgotten_up_to: u64) -> Self {
+    /// Creates an empty record that starts after a number: changes up to that number may have been applied.
+    pub fn starting_after(forgotten_up_to: u64) -> Self {
         Self {
             forgotten_up_to,
             remembered: VecDeque::new(),
         }
     }
 
-    /// Records an applied change, whose number must be above all earlier ones. Beyond the limit the oldest is
+    /// Records an applied change, whose number must be above all earlier ones. Beyond the limit, the oldest change is
     /// forgotten.
     pub fn record_change(&mut self, number: u64, version: Version, change: &ChangeId) {
         self.remembered.push_back(AppliedChange {
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Whether a change follows all that are remembered, as every recorded change must.
+    /// Whether a change comes after all remembered ones by number and version, as every recorded change must.
     pub fn is_next(&self, number: u64, version: Version) -> bool {
         let newest = self.remembered.back();
         newest.is_none_or(|newest| number > newest.number && version > newest.version)
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Returns the version that the change with this number created, whatever its name.
+    /// Returns the version that the change with this number created, whatever the change's name.
     pub fn version_at(&self, number: u64) -> Option<Version> {
         self.at_number(number).map(|applied| applied.version)
     }
@@ -98,13 +98,13 @@
         self.remembered.get(position)
     }
 
-    /// Numbers up to this one may have been applied and are forgotten.
+    /// Returns the highest forgotten number. Changes up to this number may or may not have been applied.
     pub fn forgotten_up_to(&self) -> u64 {
         self.forgotten_up_to
     }
 
-    /// Encodes the remembered changes as hexadecimal text: for each the differences of number and version from the one
-    /// before, as LEB128 variable-length integers, and eight bytes of digest.
+    /// Encodes the remembered changes as hexadecimal text: for each change, the differences of its number and version
+    /// from those of the previous change, as LEB128 variable-length integers, and eight bytes of digest.
     pub fn to_text(&self) -> String {
         let mut encoded_bytes = Vec::with_capacity(self.remembered.len() * (DIGEST_BYTES + 2));
         let (mut last_number, mut last_version) = (0, 0);
@@ -117,7 +117,7 @@
         hex(&encoded_bytes)
     }
 
-    /// Decodes a text of [`to_text`](Self::to_text); none if it is not one.
+    /// Decodes the text that [`to_text`](Self::to_text) produces. Returns `None` if the text is malformed.
     pub fn from_text(forgotten_up_to: u64, text: &str) -> Option<Self> {
         let encoded_bytes = bytes_of_hex(text)?;
         let mut remainder = encoded_bytes.as_slice();
--- a/crates/common/src/spec/document.rs
+++ b/crates/common/src/spec/document.rs
@@ -1,4 +1,4 @@
-//! The document that the control quorum replicates.
+//! The document that the controllers replicate by consensus.
 
 use super::catalogue_delta::{Catalogue, PutRecords, apply_catalogue_delta, catalogue_delta};
 use super::fields::{
@@ -16,76 +16,75 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// How many of the last changes the document lists by name.
+/// The maximum number of recent changes that the document lists by name.
 const MAX_NAMED_CHANGES: usize = 64;
 
-/// A controller whose vote counts.
+/// A controller that votes in the control quorum.
 #[derive(Clone, PartialEq, Eq, Debug, Serialize)]
 pub struct Voter {
-    /// Its identity, stored on its disk.
+    /// The controller's identity, stored on its disk.
     pub id: ControllerId,
-    /// The address at which other processes reach it.
+    /// The address at which other processes reach the controller.
     #[serde(rename = "place")]
     pub address: SocketAddress,
-    /// Its zone.
+    /// The controller's zone.
     #[serde(rename = "locality")]
     pub zone: Zone,
 }
 
-/// A daemon that may have a session lease, in whichever incarnation.
+/// A daemon, one of whose incarnations may hold a session lease.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Debug, Serialize)]
 pub struct ListedMember {
-    /// Its name.
+    /// The daemon's name.
     pub member: MemberName,
-    /// The address at which it listens; only one incarnation can hold the port.
+    /// The address at which the daemon listens. Only one incarnation at a time can bind this port.
     #[serde(rename = "place")]
     pub address: SocketAddress,
 }
 
-/// One applied change.
+/// A change that was applied to the document.
 #[derive(Clone, PartialEq, Eq, Debug, Serialize)]
 pub struct ChangeRecord {
-    /// The operator's name for it.
+    /// The name that the operator gave the change.
     pub id: ChangeId,
-    /// The version that it created.
+    /// The version that the change created.
     #[serde(rename = "serial")]
     pub version: Version,
-    /// The number that operators gave it; zero if they gave none.
+    /// The number that the operator gave the change; zero if none.
     pub number: u64,
 }
 
-/// The replicated document: the operators' spec, and the control plane's own records that must survive a change of
-/// leader.
+/// The replicated document: the operators' spec, and the control plane's state that must survive a change of leader.
 ///
-/// Its JSON keys keep their earlier names (`serial`, `core`, `former`, `taken`, `roster`, `unseen`), since disks hold
-/// them.
+/// Some JSON keys differ from the field names (`serial`, `core`, `former`, `taken`, `roster`, `unseen`), because stored
+/// documents use them.
 #[derive(Clone, PartialEq, Debug)]
 pub struct Document {
-    /// Its full version.
+    /// The term and version number of the document.
     pub document_version: DocumentVersion,
-    /// The operators' own number of the spec; zero until they give one.
+    /// The number that the operators gave the spec; zero until they give one.
     pub number: u64,
-    /// The spec as operators wrote it.
+    /// The spec as the operators wrote it.
     pub spec: SpecRecords,
-    /// The version in which each function entered the catalogue.
+    /// The version in which each function was added to the catalogue.
     pub generations: BTreeMap<FunctionName, Version>,
     /// The evacuated zones.
     pub evacuated: BTreeSet<Zone>,
     /// The voters.
     pub voters: Vec<Voter>,
-    /// The earlier voters while a replacement of voters is in progress (joint consensus); else empty.
+    /// The previous voters while the voters are being replaced (joint consensus); otherwise empty.
     pub previous_voters: Vec<Voter>,
-    /// The last changes, oldest first.
+    /// The most recent changes, oldest first.
     pub changes: Vec<ChangeRecord>,
-    /// Which numbered changes were applied, reaching much further back than `changes`.
+    /// A compact record of the numbered changes that were applied. It covers many more changes than `changes`.
     pub applied_changes: Arc<AppliedChanges>,
-    /// The daemons that may have session leases; empty in documents written before this field existed.
+    /// The daemons that may hold session leases; empty in documents written before this field existed.
     pub membership: BTreeSet<ListedMember>,
-    /// How many of the last versions changed nothing that daemons see.
+    /// The number of most recent versions that changed nothing in the daemons' view.
     pub hidden_versions: u64,
 }
 
-/// A document's fields in JSON, but for the spec.
+/// The JSON fields of a document, except the spec.
 #[derive(Serialize)]
 struct DocumentFields<'a> {
     term: Term,
@@ -107,17 +106,17 @@
     hidden_versions: u64,
 }
 
-/// The record of applied changes in JSON.
+/// The JSON fields of the record of applied changes.
 #[derive(Serialize)]
 struct AppliedChangesFields {
     #[serde(rename = "forgotten")]
     forgotten_up_to: u64,
-    /// The text of [`AppliedChanges::to_text`].
+    /// The remembered changes as [`AppliedChanges::to_text`] encodes them.
     #[serde(rename = "kept")]
     remembered: String,
 }
 
-/// A delta's fields in JSON, but for those of the catalogue.
+/// The JSON fields of a delta, except those of the catalogue.
 #[derive(Serialize)]
 struct DocumentDeltaFields<'a> {
     term: Term,
@@ -129,7 +128,7 @@
     voters: &'a [Voter],
     #[serde(rename = "former")]
     previous_voters: &'a [Voter],
-    /// The changes since the base, oldest first.
+    /// The changes recorded since the base version, oldest first.
     #[serde(rename = "noted")]
     new_changes: Vec<&'a ChangeRecord>,
     #[serde(rename = "joined")]
@@ -140,8 +139,8 @@
     hidden_versions: u64,
 }
 
-/// Reads the record of applied changes. Documents written before it existed have only their last changes, and forget
-/// all earlier ones.
+/// Reads the record of applied changes. For a document written before this field existed, the record is built from the
+/// listed changes, and all earlier changes count as forgotten.
 fn read_applied_changes(
     reader: &PathReader<'_>,
     changes: &[ChangeRecord],
@@ -157,7 +156,7 @@
         let applied_changes = AppliedChanges::from_text(forgotten_up_to, remembered_text);
         if applied_changes.is_none() {
             remembered_field.add_error(PathErrorReason::Malformed(
-                "is no list of taken changes".to_owned(),
+                "is not a list of applied changes".to_owned(),
             ));
         }
         return applied_changes;
@@ -169,7 +168,7 @@
         Some(oldest_number) => oldest_number - 1,
         None => newest_number,
     };
-    let mut applied_changes = AppliedChanges::without(forgotten_up_to);
+    let mut applied_changes = AppliedChanges::starting_after(forgotten_up_to);
     for change in numbered_changes() {
         applied_changes.record_change(change.number, change.version, &change.id);
     }
@@ -177,7 +176,7 @@
 }
 
 impl Document {
-    /// Creates the first document of a new control quorum.
+    /// Creates the founding document, the first of a new control quorum.
     pub fn founding(voters: Vec<Voter>) -> Self {
         Self {
             document_version: DocumentVersion {
@@ -197,10 +196,10 @@
         }
     }
 
-    /// Reads a document.
+    /// Reads a document from its JSON text.
     ///
     /// # Errors
-    /// [`DocumentError::NotJson`] or [`DocumentError::Path`]. The spec itself is not checked.
+    /// [`DocumentError::NotJson`] or [`DocumentError::Path`]. The spec itself is not validated.
     pub fn from_bytes(document_bytes: &[u8]) -> Result<Self, DocumentError> {
         let mut value: Value = serde_json::from_slice(document_bytes)?;
         let spec = extract_spec(&mut value)?;
@@ -254,15 +253,15 @@
         }
     }
 
-    /// The SHA-256 digest of the document: of its records' digests and of all other fields.
+    /// Returns the SHA-256 digest of the document, computed from the spec's digest and all other fields.
     pub fn digest(&self) -> [u8; 32] {
-        let mut digested_text = self.spec.digest().to_vec();
-        digested_text.extend(fields_text(&self.other_fields()));
-        crate::seal::digest(&digested_text)
+        let mut digest_input = self.spec.digest().to_vec();
+        digest_input.extend(fields_text(&self.other_fields()));
+        crate::seal::digest(&digest_input)
     }
 
-    /// Encodes the delta from this version to a newer one as JSON text. Its length grows with what differs, not with
-    /// the document.
+    /// Encodes the delta from this version to a newer one as JSON text. Its length depends on the number of
+    /// differences, not on the size of the document.
     pub fn delta_to(&self, newer: &Document) -> Vec<u8> {
         let newest_recorded = self
             .changes
@@ -288,25 +287,26 @@
     /// Applies a delta to this version.
     ///
     /// # Errors
-    /// [`DocumentError::WrongDigest`] if the result is not the sender's; else as [`from_bytes`](Self::from_bytes).
+    /// [`DocumentError::WrongDigest`] if the resulting document does not have the given digest; otherwise as
+    /// [`from_bytes`](Self::from_bytes).
     pub fn apply_delta(
         &self,
-        change_bytes: &[u8],
+        delta_bytes: &[u8],
         digest: &[u8],
     ) -> Result<Document, DocumentError> {
-        let changed_document = self.apply_delta_unverified(change_bytes)?;
+        let changed_document = self.apply_delta_unverified(delta_bytes)?;
         if changed_document.digest() != digest {
             return Err(DocumentError::WrongDigest);
         }
         Ok(changed_document)
     }
 
-    /// Applies a delta without checking the result's digest. Apart from [`apply_delta`](Self::apply_delta) it is only
-    /// for the planted flaw without [`DeltaOnItsBase`](crate::rules::Rule::DeltaOnItsBase).
-    pub fn apply_delta_unverified(&self, change_bytes: &[u8]) -> Result<Document, DocumentError> {
-        let mut change: Value = serde_json::from_slice(change_bytes)?;
-        let put = PutRecords::take(&mut change);
-        read_all(&change, |root| self.read_delta(root, put))
+    /// Applies a delta without checking the digest of the result. Used by [`apply_delta`](Self::apply_delta), and by
+    /// tests that disable the rule [`DeltaOnItsBase`](crate::rules::Rule::DeltaOnItsBase).
+    pub fn apply_delta_unverified(&self, delta_bytes: &[u8]) -> Result<Document, DocumentError> {
+        let mut delta: Value = serde_json::from_slice(delta_bytes)?;
+        let put = PutRecords::take(&mut delta);
+        read_all(&delta, |root| self.read_delta(root, put))
     }
 
     fn read_delta(&self, root: &PathReader<'_>, put: PutRecords) -> Option<Document> {
@@ -335,8 +335,8 @@
             }
             changed_document.record_change(recorded);
         }
-        for removed_members in read_membership(&root.field("left")) {
-            changed_document.membership.remove(&removed_members);
+        for removed_member in read_membership(&root.field("left")) {
+            changed_document.membership.remove(&removed_member);
         }
         changed_document
             .membership
@@ -351,7 +351,7 @@
         }
     }
 
-    /// Records a change among the last ones, and its number.
+    /// Adds a change to the list of recent changes, and to the record of applied changes if it has a number.
     fn record_change(&mut self, recorded: ChangeRecord) {
         if recorded.number > 0 {
             Arc::make_mut(&mut self.applied_changes).record_change(
@@ -365,7 +365,7 @@
         self.changes.drain(..extra_count);
     }
 
-    /// Creates the next version with another spec. Functions that were in the spec keep their generation.
+    /// Creates the next version, with a new spec. Functions that were already in the catalogue keep their generation.
     pub fn with_spec(
         &self,
         new_spec: impl Into<SpecRecords>,
@@ -390,7 +390,8 @@
         }
     }
 
-    /// Gives this version, which must have been created by a change, the number that operators gave its spec.
+    /// Sets the operators' number of the spec, and records it for the change that created this version. The version
+    /// must have been created by a change.
     pub fn numbered(mut self, number: u64) -> Self {
         self.number = number;
         if let Some(newest_change) = self.changes.last_mut() {
@@ -401,7 +402,7 @@
         self
     }
 
-    /// Creates the next version with a zone evacuated or restored.
+    /// Creates the next version, with a zone evacuated or restored.
     pub fn with_zone(&self, zone: Zone, evacuate: bool, change: ChangeId) -> Self {
         let mut next_document = self.recording_change(change);
         if evacuate {
@@ -412,7 +413,7 @@
         next_document
     }
 
-    /// Creates the next version with other voters.
+    /// Creates the next version, with a new set of voters.
     pub fn with_voters(&self, voters: Vec<Voter>, change: ChangeId) -> Self {
         Self {
             voters,
@@ -420,8 +421,8 @@
         }
     }
 
-    /// Creates the next version with other daemons that may have session leases, which changes nothing that daemons
-    /// see.
+    /// Creates the next version, with a new set of daemons that may hold session leases. The daemons' view does not
+    /// change.
     pub fn with_membership(&self, membership: BTreeSet<ListedMember>) -> Self {
         let mut next_document = Self {
             membership,
@@ -432,7 +433,7 @@
         next_document
     }
 
-    /// The last version that changed what daemons see.
+    /// Returns the most recent version that changed the daemons' view.
     pub fn view_version(&self) -> Version {
         Version(
             self.document_version
@@ -442,13 +443,13 @@
         )
     }
 
-    /// Whether the oldest changes may have been dropped from the list of the last ones.
+    /// Whether changes may have been dropped from the list of recent changes.
     pub fn has_forgotten_changes(&self) -> bool {
         self.changes.len() >= MAX_NAMED_CHANGES
     }
 
-    /// Returns the status of a change without a number, by its name. An applied change is the first one after its base,
-    /// so it is forgotten only if that one is.
+    /// Returns the status of a change without a number, looked up by its name. An applied change directly follows its
+    /// base, so it can only have been forgotten if the list no longer reaches back to the base.
     pub fn status_of_named(&self, base: Option<Version>, change: &ChangeId) -> ChangeStatus {
         if let Some(recorded) = self.changes.iter().find(|recorded| recorded.id == *change) {
             return ChangeStatus::Applied(recorded.version);
@@ -463,6 +464,7 @@
         }
     }
 
+    /// Creates the next version, with a change recorded.
     fn recording_change(&self, change: ChangeId) -> Self {
         let mut next_document = self.clone();
         next_document.hidden_versions = 0;
@@ -475,14 +477,14 @@
         next_document
     }
 
-    /// Returns the part that daemons need.
+    /// Returns the part of the document that daemons need.
     pub fn view(&self) -> DaemonView {
         DaemonView {
             version: self.view_version(),
             spec: self.spec.clone(),
             generations: self.generations.clone(),
             evacuated: self.evacuated.clone(),
-            voters: self.voters.iter().map(|member| member.address).collect(),
+            voters: self.voters.iter().map(|voter| voter.address).collect(),
         }
     }
 }
