--- a/crates/common/src/spec/daemon_view.rs
+++ b/crates/common/src/spec/daemon_view.rs
@@ -1,4 +1,4 @@
-//! The part of the document that daemons need, and the deltas that bring it up to date.
+//! The part of the document that daemons need, and its deltas.
 
 use super::catalogue_delta::{Catalogue, PutRecords, apply_catalogue_delta, catalogue_delta};
 use super::fields::{
@@ -13,14 +13,14 @@
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The part of a document that daemons need.
+/// The part of the replicated document that daemons need.
 #[derive(Clone, PartialEq, Debug)]
 pub struct DaemonView {
-    /// The version of the document that last changed it.
+    /// The document version that last changed this view.
     pub version: Version,
-    /// The spec as operators wrote it.
+    /// The spec as the operators wrote it.
     pub spec: SpecRecords,
-    /// The version in which each function entered the catalogue.
+    /// The version in which each function was added to the catalogue.
     pub generations: BTreeMap<FunctionName, Version>,
     /// The evacuated zones.
     pub evacuated: BTreeSet<Zone>,
@@ -28,7 +28,7 @@
     pub voters: Vec<SocketAddress>,
 }
 
-/// A view's fields in JSON, but for the spec.
+/// The JSON fields of a view, except the spec.
 #[derive(Serialize)]
 struct ViewFields<'a> {
     #[serde(rename = "serial")]
@@ -39,7 +39,7 @@
     voters: &'a [SocketAddress],
 }
 
-/// A delta's fields in JSON, but for those of the catalogue.
+/// The JSON fields of a delta, except those of the catalogue.
 #[derive(Serialize)]
 struct ViewDeltaFields<'a> {
     /// The version that the delta applies to.
@@ -66,11 +66,11 @@
         text_with_spec(&self.spec, &self.other_fields())
     }
 
-    /// Reads a view.
+    /// Reads a view from its JSON text.
     ///
     /// # Errors
-    /// [`DocumentError::NotJson`] or [`DocumentError::Path`]. The spec itself is not checked; see
-    /// [`checked`](Self::checked).
+    /// [`DocumentError::NotJson`] or [`DocumentError::Path`]. The spec itself is not validated; see
+    /// [`check_spec`](Self::check_spec).
     pub fn from_bytes(view_bytes: &[u8]) -> Result<Self, DocumentError> {
         let mut value: Value = serde_json::from_slice(view_bytes)?;
         let spec = extract_spec(&mut value)?;
@@ -85,15 +85,15 @@
         })
     }
 
-    /// The SHA-256 digest of the view: of its records' digests and of all other fields.
+    /// Returns the SHA-256 digest of the view, computed from the spec's digest and all other fields.
     pub fn digest(&self) -> [u8; 32] {
-        let mut digested_text = self.spec.digest().to_vec();
-        digested_text.extend(fields_text(&self.other_fields()));
-        crate::seal::digest(&digested_text)
+        let mut digest_input = self.spec.digest().to_vec();
+        digest_input.extend(fields_text(&self.other_fields()));
+        crate::seal::digest(&digest_input)
     }
 
-    /// Encodes the delta from this view to a newer one as JSON text: the records that are new or different, the names
-    /// of those that are removed, and all other fields.
+    /// Encodes the delta from this view to a newer one as JSON text: the records that were added or changed, the names
+    /// of those that were removed, and all other fields.
     pub fn delta_to(&self, newer_view: &DaemonView) -> Vec<u8> {
         let other_fields = ViewDeltaFields {
             base: self.version,
@@ -115,18 +115,18 @@
     ///
     /// # Errors
     /// [`DocumentError::WrongBase`] if the delta applies to another version, [`DocumentError::WrongDigest`] if the
-    /// result is not the sender's; else as [`from_bytes`](Self::from_bytes).
+    /// resulting view does not have the given digest; otherwise as [`from_bytes`](Self::from_bytes).
     pub fn apply_delta(
         &self,
-        change_bytes: &[u8],
+        delta_bytes: &[u8],
         digest: &[u8],
     ) -> Result<DaemonView, DocumentError> {
-        let mut change: Value = serde_json::from_slice(change_bytes)?;
-        if change["base"] != json!(self.version.0) {
+        let mut delta: Value = serde_json::from_slice(delta_bytes)?;
+        if delta["base"] != json!(self.version.0) {
             return Err(DocumentError::WrongBase);
         }
-        let put = PutRecords::take(&mut change);
-        let changed_view = read_all(&change, |root| self.read_delta(root, put))?;
+        let put = PutRecords::take(&mut delta);
+        let changed_view = read_all(&delta, |root| self.read_delta(root, put))?;
         if changed_view.digest() != digest {
             return Err(DocumentError::WrongDigest);
         }
@@ -144,11 +144,11 @@
         })
     }
 
-    /// Checks the spec and returns it.
+    /// Validates the spec and returns it.
     ///
     /// # Errors
     /// [`DocumentError::Path`] with the first error found.
-    pub fn checked(&self) -> Result<Spec, DocumentError> {
+    pub fn check_spec(&self) -> Result<Spec, DocumentError> {
         self.spec.check().map_err(|errors| {
             let missing = PathError {
                 path: String::new(),
--- a/crates/common/src/spec/routing_table.rs
+++ b/crates/common/src/spec/routing_table.rs
@@ -1,4 +1,4 @@
-//! The table by which a daemon finds the route and the function of a request.
+//! The routing table, in which a daemon looks up the route and the function of a request.
 
 use super::{
     CallerLimits, DaemonView, DocumentError, FunctionSpec, RouteMatcher, RouteSpec, read_spec,
@@ -11,27 +11,27 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// One function of a table.
+/// A function in a routing table.
 pub struct FunctionEntry {
-    /// Its key.
+    /// The function's key.
     pub key: FunctionKey,
-    /// Its spec.
+    /// The function's spec.
     pub spec: Arc<FunctionSpec>,
 }
 
-/// One route of a table.
+/// A route in a routing table.
 #[derive(Clone)]
 pub struct RouteEntry {
-    /// Its spec.
+    /// The route's spec.
     pub spec: Arc<RouteSpec>,
-    /// The index of its function, or of the first of several.
+    /// The index of the route's function, or of the first one if it has several.
     pub function: FunctionIndex,
-    /// Several functions with their weights; empty if all requests go to one.
+    /// The functions that share the requests, with their weights; empty if `function` serves all requests.
     pub shares: Vec<(FunctionIndex, u32)>,
 }
 
 impl RouteEntry {
-    /// Chooses the function of one request by weight. The same idempotency key always leads to the same function.
+    /// Chooses the function for a request by weight. Requests with the same idempotency key go to the same function.
     pub fn choose_function(&self, idempotency_key: &IdempotencyKey) -> FunctionIndex {
         let weight_sum: u64 = self
             .shares
@@ -41,9 +41,9 @@
         if weight_sum == 0 {
             return self.function;
         }
-        let mut identity_hasher = DefaultHasher::new();
-        idempotency_key.hash(&mut identity_hasher);
-        let mut remaining = identity_hasher.finish() % weight_sum;
+        let mut key_hasher = DefaultHasher::new();
+        idempotency_key.hash(&mut key_hasher);
+        let mut remaining = key_hasher.finish() % weight_sum;
         for (function, weight) in &self.shares {
             if remaining < u64::from(*weight) {
                 return *function;
@@ -53,7 +53,7 @@
         self.function
     }
 
-    /// Whether requests of this route may go to a function.
+    /// Whether a function may serve requests of this route.
     pub fn may_lead_to(&self, function: FunctionIndex) -> bool {
         if self.shares.is_empty() {
             return self.function == function;
@@ -64,15 +64,15 @@
     }
 }
 
-/// The result of a look-up.
+/// The result of looking up a request.
 pub struct RouteMatch<'a> {
-    /// The route.
+    /// The route that matches the request.
     pub route: &'a RouteEntry,
-    /// The function that the request goes to.
+    /// The function that serves the request.
     pub function: &'a FunctionEntry,
 }
 
-/// The positions of functions and routes in a table, by their keys, names and matches.
+/// The positions of a table's functions by key, and of its routes by name, pattern and prefix.
 #[derive(Default)]
 struct Index {
     matchers: HashMap<Method, matchit::Router<usize>>,
@@ -82,7 +82,8 @@
 }
 
 impl Index {
-    /// Adds a route under its name and its match; false if its pattern cannot be matched beside the others.
+    /// Adds a route by name and by pattern or prefix. Returns false if its pattern is invalid or conflicts with
+    /// another.
     fn add_route(&mut self, spec: &RouteSpec, route_position: usize) -> bool {
         match &spec.matching {
             RouteMatcher::Pattern(method, path) => {
@@ -107,8 +108,8 @@
     }
 }
 
-/// An immutable table for look-ups in one version of a spec. Tables that differ in neither keys, names nor matches
-/// share their index.
+/// An immutable table for looking up requests in one version of a spec. Tables with the same function keys, route
+/// names, patterns and prefixes share their index.
 pub struct RoutingTable {
     version: Version,
     functions: Vec<FunctionEntry>,
@@ -120,7 +121,7 @@
 }
 
 impl RoutingTable {
-    /// Creates a table without any function.
+    /// Creates a table without functions and routes.
     pub fn empty() -> Self {
         Self {
             version: Version(0),
@@ -138,7 +139,7 @@
     /// # Errors
     /// [`DocumentError::Path`] with the first error of the view's spec.
     pub fn build(view: &DaemonView) -> Result<Self, DocumentError> {
-        let checked_spec = view.checked()?;
+        let checked_spec = view.check_spec()?;
         let mut table = RoutingTable {
             version: view.version,
             evacuated: view.evacuated.clone(),
@@ -179,16 +180,16 @@
         }
     }
 
-    /// Adds the routes to functions that the table has already.
+    /// Adds the routes. A route is skipped if its function is not in the table.
     fn add_routes(&mut self, index: &mut Index, route_specs: Vec<Arc<RouteSpec>>) {
-        let by_name: HashMap<_, _> = self
+        let function_by_name: HashMap<_, _> = self
             .functions
             .iter()
             .enumerate()
             .map(|(position, entry)| (entry.key.name.clone(), FunctionIndex(position)))
             .collect();
         for spec in route_specs {
-            let Some(function) = by_name.get(&spec.function).copied() else {
+            let Some(function) = function_by_name.get(&spec.function).copied() else {
                 continue;
             };
             if !index.add_route(&spec, self.routes.len()) {
@@ -197,7 +198,7 @@
             let shares = spec
                 .shares
                 .iter()
-                .filter_map(|(name, weight)| Some((*by_name.get(name)?, *weight)))
+                .filter_map(|(name, weight)| Some((*function_by_name.get(name)?, *weight)))
                 .collect();
             self.routes.push(RouteEntry {
                 spec,
@@ -207,21 +208,21 @@
         }
     }
 
-    /// Builds a table as [`RoutingTable::build`] does, but reuses an earlier table's index if neither the names of
-    /// functions nor the matches of routes have changed.
+    /// Builds a table as [`RoutingTable::build`] does, but reuses the index of an earlier table if the function keys
+    /// and the names, patterns and prefixes of the routes are unchanged.
     ///
     /// # Errors
     /// As [`RoutingTable::build`].
     pub fn build_after(earlier: &RoutingTable, view: &DaemonView) -> Result<Self, DocumentError> {
-        match earlier.with_shape_of(view) {
+        match earlier.build_with_same_index(view) {
             Some(table) => Ok(table),
             None => Self::build(view),
         }
     }
 
-    /// Builds the table of a view that has the same functions, and the same routes by name and match; none if it has
-    /// others, or any error.
-    fn with_shape_of(&self, view: &DaemonView) -> Option<Self> {
+    /// Builds the table of a view that needs the same index as this table: the same function keys, and routes with the
+    /// same names, patterns and prefixes. Returns `None` if these differ, or if the view has any error.
+    fn build_with_same_index(&self, view: &DaemonView) -> Option<Self> {
         let function_specs = view.spec.checked_function_records();
         let mut functions = Vec::with_capacity(self.functions.len());
         for (position, (name, spec)) in function_specs.enumerate() {
@@ -254,7 +255,8 @@
         Some(table)
     }
 
-    /// Builds the entry of a route if the route at its position had the same name and match.
+    /// Builds the entry of a route if this table's route at the position has the same name and the same pattern or
+    /// prefix.
     fn route_at_position(
         &self,
         position: usize,
@@ -283,39 +285,41 @@
         })
     }
 
+    /// Returns the functions that take longer to start than the target response time of one of their routes.
     fn find_prewarmed(&self) -> BTreeSet<FunctionIndex> {
         let mut prewarmed_functions = BTreeSet::new();
         for route in &self.routes {
             let shared = route.shares.iter().filter(|(_, weight)| *weight > 0);
             let single = route.shares.is_empty().then_some(route.function);
-            let target_functions = shared.map(|(function, _)| *function).chain(single);
+            let route_functions = shared.map(|(function, _)| *function).chain(single);
             let target = route.spec.target;
             prewarmed_functions.extend(
-                target_functions.filter(|function| self.function(*function).spec.startup > target),
+                route_functions.filter(|function| self.function(*function).spec.startup > target),
             );
         }
         prewarmed_functions
     }
 
-    /// Whether a function takes longer to start than one of its routes' target time, so that runners are kept warm for
-    /// it.
+    /// Whether runners are kept warm for a function, because it takes longer to start than the target response time of
+    /// one of its routes.
     pub fn is_prewarmed(&self, index: FunctionIndex) -> bool {
         self.prewarmed.contains(&index)
     }
 
-    /// The functions that take longer to start than one of their routes' target time.
+    /// Returns the functions for which runners are kept warm; see [`is_prewarmed`](Self::is_prewarmed).
     pub fn prewarmed_functions(&self) -> impl Iterator<Item = &FunctionKey> {
         self.prewarmed
             .iter()
             .map(|index| &self.function(*index).key)
     }
 
-    /// The version of the view that the table was built from.
+    /// Returns the version of the view that the table was built from.
     pub fn version(&self) -> Version {
         self.version
     }
 
-    /// Finds the route of a request, and its function: by host and longest prefix, else by method and path.
+    /// Looks up the route and the function of a request: first by host and longest path prefix, then by method and path
+    /// pattern.
     pub fn route(
         &self,
         method: &Method,
@@ -323,7 +327,7 @@
         path: &str,
         idempotency_key: &IdempotencyKey,
     ) -> Option<RouteMatch<'_>> {
-        let position = self.prefixed(host, path).or_else(|| {
+        let position = self.find_by_prefix(host, path).or_else(|| {
             let matched = self.index.matchers.get(method)?.at(path).ok()?;
             Some(*matched.value)
         })?;
@@ -334,7 +338,8 @@
         })
     }
 
-    fn prefixed(&self, host: &str, path: &str) -> Option<usize> {
+    /// Returns the position of the route with the longest matching path prefix for a host, ignoring the host's port.
+    fn find_by_prefix(&self, host: &str, path: &str) -> Option<usize> {
         let host_without_port = host.rsplit_once(':').map_or(host, |(name, _)| name);
         let lowercase_host;
         let requested_host = if host_without_port
@@ -357,7 +362,7 @@
         None
     }
 
-    /// Whether a route, by its name, may lead to a function.
+    /// Whether the function with the given key may serve requests of the route with the given name.
     pub fn allows(&self, route_name: &str, key: &FunctionKey) -> bool {
         let function = self.index_of(key);
         let route = self.route_named(route_name);
@@ -366,32 +371,32 @@
             .is_some_and(|(route, function)| route.may_lead_to(function))
     }
 
-    /// The limits for callers.
+    /// Returns the limits for callers.
     pub fn limits(&self) -> CallerLimits {
         self.limits
     }
 
-    /// The routes.
+    /// Returns all routes.
     pub fn routes(&self) -> &[RouteEntry] {
         &self.routes
     }
 
-    /// The route of a name.
+    /// Returns the route with the given name.
     pub fn route_named(&self, route_name: &str) -> Option<&RouteEntry> {
         self.routes.get(*self.index.by_route.get(route_name)?)
     }
 
-    /// The function at an index of this table.
+    /// Returns the function at the given index of this table.
     pub fn function(&self, index: FunctionIndex) -> &FunctionEntry {
         &self.functions[index.0]
     }
 
-    /// The function of a key, regional or not.
+    /// Returns the function with the given key. A regional key leads to the same function as the key for all regions.
     pub fn function_of(&self, key: &FunctionKey) -> Option<&FunctionEntry> {
         self.index_of(key).map(|index| &self.functions[index.0])
     }
 
-    /// The index of a key's function.
+    /// Returns the index of the function with the given key, regional or not.
     pub fn index_of(&self, key: &FunctionKey) -> Option<FunctionIndex> {
         let found = if key.is_regional() {
             self.index.by_key.get(&key.all_regions())
@@ -401,18 +406,18 @@
         found.copied()
     }
 
-    /// All functions in the order of their indexes.
+    /// Returns all functions in the order of their indexes.
     pub fn functions(&self) -> &[FunctionEntry] {
         &self.functions
     }
 
-    /// The number of routes.
+    /// Returns the number of routes.
     pub fn route_count(&self) -> usize {
         self.routes.len()
     }
 
-    /// Whether a ledger replica must record this function's requests before they are sent: true unless it has routes
-    /// whose requests may run only once, and none of these is [`recorded`](RouteSpec::recorded).
+    /// Whether a ledger replica must record a function's requests before they are sent to a runner. False only if the
+    /// function has routes whose requests may run only once, and none of these is [`recorded`](RouteSpec::recorded).
     pub fn is_recorded(&self, index: FunctionIndex) -> bool {
         let mut once_routes = self
             .routes
@@ -422,7 +427,7 @@
         once_routes.peek().is_none() || once_routes.any(|route| route.spec.recorded)
     }
 
-    /// The longest time-out that any route allows.
+    /// Returns the longest timeout that any route allows.
     pub fn longest_timeout(&self) -> Duration {
         self.routes
             .iter()
