--- a/crates/common/src/spec/reader.rs
+++ b/crates/common/src/spec/reader.rs
@@ -1,6 +1,6 @@
-//! Reads and checks a spec. Every error is collected with its path, so that operators see all of them at once.
+//! Reads and validates a spec. All errors are collected with their paths, so that operators see them at once.
 
-use super::route_reader::{NamedMatches, has_known_functions, read_route};
+use super::route_reader::{RouteConflicts, has_known_functions, read_route};
 use super::{CallerLimits, FunctionSpec, RouteSpec, Spec};
 use crate::identity::FunctionName;
 use crate::readers::{PathError, PathErrorList, PathErrorReason, PathReader};
@@ -9,13 +9,13 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The longest name of a function or route, in bytes.
+/// The maximum length of the name of a function or route, in bytes.
 const MAX_NAME_LENGTH: usize = 200;
 
-/// Reads and checks a spec.
+/// Reads and validates a spec.
 ///
 /// # Errors
-/// Every error found, each with its path, in the order of reading.
+/// All errors found, each with its path, in the order of reading.
 pub fn read_spec(value: &Value) -> Result<Spec, Vec<PathError>> {
     let errors = PathErrorList::default();
     let root_reader = PathReader::new(value, &errors);
@@ -48,17 +48,18 @@
         .collect()
 }
 
-/// Reads the routes that are valid by themselves, name known functions and match nothing that an earlier one matches.
+/// Reads the routes. Keeps those that are valid by themselves, name known functions and do not conflict with an earlier
+/// route.
 fn read_routes(root_reader: &PathReader<'_>) -> Vec<Arc<RouteSpec>> {
     let functions_reader = root_reader.field("functions");
-    let mut named_matches = NamedMatches::default();
+    let mut route_conflicts = RouteConflicts::default();
     let mut routes = Vec::new();
     for (route_name, reader) in root_reader.field("routes").fields() {
         let Some(route) = read_route(route_name, &reader) else {
             continue;
         };
         if has_known_functions(&route, &reader, &functions_reader)
-            && named_matches.insert(&route, &reader)
+            && route_conflicts.insert(&route, &reader)
         {
             routes.push(Arc::new(route));
         }
@@ -66,7 +67,7 @@
     routes
 }
 
-/// Reports a name that is empty, too long or has other characters than letters, digits, `-`, `_` and `.`.
+/// Reports a name that is empty, too long, or contains characters other than letters, digits, `-`, `_` and `.`.
 pub(super) fn check_name(name: &str, reader: &PathReader<'_>) {
     let is_allowed = |letter: char| letter.is_ascii_alphanumeric() || "-_.".contains(letter);
     if name.is_empty() || name.len() > MAX_NAME_LENGTH || !name.chars().all(is_allowed) {
@@ -86,10 +87,10 @@
     ]);
     reader.field("labels").check_object();
     let default = CallerLimits::default();
-    let span = |key: &str, default_span: Duration| {
+    let duration = |key: &str, default_duration: Duration| {
         let millis = reader
             .field(key)
-            .number_or(1..=600_000, default_span.as_millis() as u64);
+            .number_or(1..=600_000, default_duration.as_millis() as u64);
         Duration::from_millis(millis)
     };
     let bytes = |key: &str, default_bytes: usize| {
@@ -100,12 +101,12 @@
     CallerLimits {
         header_bytes: bytes("header_bytes", default.header_bytes),
         body_bytes: bytes("body_bytes", default.body_bytes),
-        header: span("header_ms", default.header),
-        idle: span("idle_ms", default.idle),
+        header: duration("header_ms", default.header),
+        idle: duration("idle_ms", default.idle),
     }
 }
 
-/// Reads one function; none if a required key is missing or invalid.
+/// Reads one function. Returns `None` if a required key is missing or invalid.
 pub(super) fn read_function(function_name: &str, reader: &PathReader<'_>) -> Option<FunctionSpec> {
     check_name(function_name, reader);
     reader.allow_only(&[
--- a/crates/common/src/spec/route_reader.rs
+++ b/crates/common/src/spec/route_reader.rs
@@ -1,4 +1,4 @@
-//! Reads and checks the routes of a spec.
+//! Reads and validates the routes of a spec.
 
 use super::reader::check_name;
 use super::{RouteMatcher, RouteSpec};
@@ -27,7 +27,7 @@
     "labels",
 ];
 
-/// Reads one route; none if a required key is missing or invalid.
+/// Reads one route. Returns `None` if a required key is missing or invalid.
 pub(super) fn read_route(route_name: &str, reader: &PathReader<'_>) -> Option<RouteSpec> {
     check_name(route_name, reader);
     reader.allow_only(&KNOWN_KEYS);
@@ -45,9 +45,9 @@
     };
     let once = read_once(&reader.field("kind"));
     let recorded = read_recorded(&reader.field("identities"));
-    let time_limit_ms = reader.field("budget_ms").number(1..=60_000);
-    let default_ms = time_limit_ms.unwrap_or(1000);
-    let queue_time_limit_ms = reader
+    let timeout_ms = reader.field("budget_ms").number(1..=60_000);
+    let default_ms = timeout_ms.unwrap_or(1000);
+    let queue_timeout_ms = reader
         .field("patience_ms")
         .number_or(0..=60_000, default_ms);
     let target_ms = reader.field("target_ms").number_or(1..=60_000, default_ms);
@@ -58,8 +58,8 @@
         matching: matching?,
         function: function?,
         shares,
-        timeout: Duration::from_millis(time_limit_ms?),
-        queue_timeout: Duration::from_millis(queue_time_limit_ms),
+        timeout: Duration::from_millis(timeout_ms?),
+        queue_timeout: Duration::from_millis(queue_timeout_ms),
         target: Duration::from_millis(target_ms),
         rank,
         max_attempts,
@@ -84,7 +84,7 @@
             .find(|method| method.as_str() == method_text);
         if found_method.is_none() {
             method_reader.add_error(PathErrorReason::Malformed(format!(
-                "is not a method: {method_text:?}"
+                "is not a supported method: {method_text:?}"
             )));
         }
         found_method
@@ -114,7 +114,7 @@
     });
     for pattern_key in ["method", "path"] {
         if reader.field(pattern_key).is_present() {
-            let reason = "does not go with a prefix".to_owned();
+            let reason = "cannot be combined with a prefix".to_owned();
             reader
                 .field(pattern_key)
                 .add_error(PathErrorReason::Malformed(reason));
@@ -142,7 +142,7 @@
     shares
 }
 
-/// Reads `kind`, which is required: whether requests may run only once.
+/// Reads the required key `kind`. Returns whether requests may run only once.
 fn read_once(reader: &PathReader<'_>) -> Option<bool> {
     match reader.text()? {
         "once" => Some(true),
@@ -156,7 +156,7 @@
     }
 }
 
-/// Reads `identities`: whether idempotency keys are recorded, by default true.
+/// Reads the key `identities`. Returns whether idempotency keys are recorded, by default true.
 fn read_recorded(reader: &PathReader<'_>) -> bool {
     match reader.value().and_then(Value::as_str) {
         Some("fresh") => false,
@@ -171,7 +171,7 @@
     }
 }
 
-/// Whether the spec has all functions that a route leads to; reports the first that it has not.
+/// Whether all functions of a route are in the spec. Reports the first that is not.
 pub(super) fn has_known_functions(
     route: &RouteSpec,
     reader: &PathReader<'_>,
@@ -199,15 +199,16 @@
     unknown.is_none()
 }
 
-/// What the routes read so far match, each with the name of its route, to find two that match the same.
+/// The patterns and prefixes of the routes read so far, with the routes' names, to detect conflicting routes.
 #[derive(Default)]
-pub(super) struct NamedMatches {
+pub(super) struct RouteConflicts {
     patterns: BTreeMap<String, matchit::Router<String>>,
     prefixes: BTreeMap<(String, String), String>,
 }
 
-impl NamedMatches {
-    /// Adds what a route matches; false, with an error reported, if another route matches the same.
+impl RouteConflicts {
+    /// Adds the pattern or prefix of a route. Returns false and reports an error if it conflicts with another route's,
+    /// or if the pattern is invalid.
     pub(super) fn insert(&mut self, route: &RouteSpec, reader: &PathReader<'_>) -> bool {
         match &route.matching {
             RouteMatcher::Pattern(method, path) => {
@@ -215,9 +216,9 @@
             }
             RouteMatcher::Prefix(host, prefix) => {
                 let prefix_key = (host.clone(), prefix.clone());
-                let duplicate = self.prefixes.insert(prefix_key, route.name.clone());
-                let is_new = duplicate.is_none();
-                if let Some(other_name) = duplicate {
+                let conflicting_name = self.prefixes.insert(prefix_key, route.name.clone());
+                let is_new = conflicting_name.is_none();
+                if let Some(other_name) = conflicting_name {
                     reader
                         .field("prefix")
                         .add_error(PathErrorReason::Duplicate(other_name));
