--- a/crates/common/src/spec/records.rs
+++ b/crates/common/src/spec/records.rs
@@ -1,5 +1,5 @@
-//! A spec cut into records, one for each function and each route, shared between versions so that a change costs what
-//! it changes.
+//! A spec split into one record per function and route. Versions share unchanged records, so that the cost of a change
+//! depends on the records that it touches.
 
 use super::reader::read_function;
 use super::route_reader::read_route;
@@ -12,20 +12,20 @@
 use std::fmt;
 use std::sync::{Arc, OnceLock};
 
-/// The key of the functions in a spec.
+/// The key of a spec's functions.
 const FUNCTIONS: &str = "functions";
-/// The key of the routes in a spec.
+/// The key of a spec's routes.
 const ROUTES: &str = "routes";
 
 /// The length of a SHA-256 digest in bytes.
 pub(super) const DIGEST_LENGTH: usize = 32;
 
-/// What is read from a record.
+/// The parsed content of a record: a function or a route.
 pub trait RecordContent: Sized {
-    /// The key of the spec under which its records are.
+    /// The spec's key for records with this content.
     const PART: &'static str;
 
-    /// Reads a record's content; errors are reported to the reader.
+    /// Reads the content of a record. Errors are reported to the reader.
     fn read(name: &str, reader: &PathReader<'_>) -> Option<Self>;
 }
 
@@ -45,7 +45,7 @@
     }
 }
 
-/// One function or route as operators wrote it. Its content and digest are computed once, when first needed.
+/// One function or route as the operators wrote it. Its content and its digest are computed once, on first use.
 pub struct Record<T> {
     value: Value,
     checked: OnceLock<Option<Arc<T>>>,
@@ -61,12 +61,12 @@
         }
     }
 
-    /// The record as operators wrote it.
+    /// Returns the record as the operators wrote it.
     pub fn value(&self) -> &Value {
         &self.value
     }
 
-    /// Returns its content; none if it has an error of its own.
+    /// Returns the parsed content, or `None` if the record by itself is invalid.
     fn checked(&self, name: &str) -> Option<&Arc<T>> {
         let read_once = || {
             let errors = PathErrorList::default();
@@ -80,14 +80,14 @@
 
     fn digest(&self, name: &str) -> &[u8; DIGEST_LENGTH] {
         self.digest.get_or_init(|| {
-            let mut digested_text = format!("{}\n{name}\n", T::PART).into_bytes();
-            write_json(&mut digested_text, &self.value);
-            digest(&digested_text)
+            let mut digest_input = format!("{}\n{name}\n", T::PART).into_bytes();
+            write_json(&mut digest_input, &self.value);
+            digest(&digest_input)
         })
     }
 }
 
-/// The records of one part by name, copied on write.
+/// The functions or the routes of a spec by name, copied on write.
 type Part<T> = Arc<BTreeMap<Arc<str>, Arc<Record<T>>>>;
 
 fn is_same<T>(one: &Arc<Record<T>>, other: &Arc<Record<T>>) -> bool {
@@ -110,45 +110,49 @@
     }
 }
 
-/// The difference between two versions of a part.
+/// The differences between two versions of the functions or of the routes.
 pub(super) struct PartDelta<'a> {
-    /// The records that are new or different.
+    /// The records that were added or changed.
     put: Vec<(&'a str, &'a Value)>,
-    /// The names that are removed.
+    /// The names of the records that were removed.
     pub removed: Vec<&'a str>,
 }
 
 impl PartDelta<'_> {
-    /// Appends the records that are new or different as JSON text.
+    /// Appends the added and changed records as JSON text.
     pub(super) fn write_put(&self, text: &mut Vec<u8>) {
         write_items(text, self.put.iter().copied());
     }
 }
 
 fn part_delta<'a, T>(base: &'a Option<Part<T>>, newer: &'a Option<Part<T>>) -> PartDelta<'a> {
-    let mut change = PartDelta {
+    let mut delta = PartDelta {
         put: Vec::new(),
         removed: Vec::new(),
     };
     if let (Some(base), Some(newer)) = (base, newer)
         && Arc::ptr_eq(base, newer)
     {
-        return change;
+        return delta;
     }
     let mut base_records = base.iter().flat_map(|part| part.iter()).peekable();
     for (name, record) in newer.iter().flat_map(|part| part.iter()) {
-        while let Some((gone, _)) = base_records.next_if(|(base_name, _)| *base_name < name) {
-            change.removed.push(gone);
+        while let Some((removed_name, _)) = base_records.next_if(|(base_name, _)| *base_name < name)
+        {
+            delta.removed.push(removed_name);
         }
         let other_record = base_records.next_if(|(base_name, _)| *base_name == name);
         if !other_record.is_some_and(|(_, other_record)| is_same(other_record, record)) {
-            change.put.push((name, &record.value));
+            delta.put.push((name, &record.value));
         }
     }
-    change.removed.extend(base_records.map(|(gone, _)| &**gone));
-    change
+    delta
+        .removed
+        .extend(base_records.map(|(removed_name, _)| &**removed_name));
+    delta
 }
 
+/// Moves the functions or the routes out of a spec; `None` if the spec has no object under their key.
 fn extract_part<T: RecordContent>(root: &mut Map<String, Value>) -> Option<Part<T>> {
     if !root.get(T::PART).is_some_and(Value::is_object) {
         return None;
@@ -162,6 +166,7 @@
     Some(Arc::new(records.collect()))
 }
 
+/// Returns a part with every record that is equal in an earlier part replaced by the earlier one.
 fn part_sharing_records_with<T>(
     part: &Option<Part<T>>,
     earlier: &Option<Part<T>>,
@@ -232,7 +237,7 @@
     text.push(b'}');
 }
 
-/// The operators' spec. A clone shares all records with its original.
+/// The operators' spec, split into records. A clone shares all records with the original.
 #[derive(Clone)]
 pub struct SpecRecords {
     functions: Option<Part<FunctionSpec>>,
@@ -241,7 +246,7 @@
 }
 
 impl SpecRecords {
-    /// Cuts a spec into records; what is neither function nor route is kept as it is.
+    /// Splits a spec into records. The remainder, which is neither functions nor routes, is kept as one value.
     pub fn new(mut spec: Value) -> Self {
         let (functions, routes) = match spec.as_object_mut() {
             Some(root) => (extract_part(root), extract_part(root)),
@@ -254,8 +259,8 @@
         }
     }
 
-    /// Returns the same spec with all records that are equal in an earlier spec shared with that one, and with them
-    /// their content and digest.
+    /// Returns the same spec, sharing every record that is equal in an earlier spec, with its computed content and
+    /// digest.
     pub fn sharing_records_with(&self, earlier: &SpecRecords) -> Self {
         Self {
             functions: part_sharing_records_with(&self.functions, &earlier.functions),
@@ -264,7 +269,7 @@
         }
     }
 
-    /// Returns the spec as operators wrote it.
+    /// Returns the spec as the operators wrote it.
     pub fn to_value(&self) -> Value {
         let mut spec = (*self.remainder).clone();
         if let Some(root) = spec.as_object_mut() {
@@ -309,7 +314,7 @@
         text.push(b'}');
     }
 
-    /// Adds a function, or replaces the one with its name.
+    /// Adds a function, or replaces the function of the same name.
     pub fn put_function(&mut self, name: &str, function: Value) {
         put(&mut self.functions, name, function);
     }
@@ -319,7 +324,7 @@
         remove(&mut self.functions, name);
     }
 
-    /// Adds a route, or replaces the one with its name.
+    /// Adds a route, or replaces the route of the same name.
     pub fn put_route(&mut self, name: &str, route: Value) {
         put(&mut self.routes, name, route);
     }
@@ -329,12 +334,12 @@
         remove(&mut self.routes, name);
     }
 
-    /// Returns what is neither function nor route.
+    /// Returns the part of the spec that is neither functions nor routes.
     pub fn remainder(&self) -> &Value {
         &self.remainder
     }
 
-    /// Sets a field that is neither functions nor routes.
+    /// Sets a field of the remainder, which is neither functions nor routes.
     pub fn put_field(&mut self, name: &str, value: Value) {
         if let Some(root) = Arc::make_mut(&mut self.remainder).as_object_mut() {
             root.insert(name.to_owned(), value);
@@ -345,12 +350,12 @@
         self.remainder = Arc::new(remainder);
     }
 
-    /// Whether the spec has the keys `functions` and `routes`, be they empty.
+    /// Whether the spec has the keys `functions` and `routes`, even if they are empty.
     pub(super) fn has_parts(&self) -> (bool, bool) {
         (self.functions.is_some(), self.routes.is_some())
     }
 
-    /// Drops or adds, empty, the keys `functions` and `routes`.
+    /// Adds the keys `functions` and `routes`, empty if they are missing, or removes them.
     pub(super) fn set_present_parts(&mut self, (has_functions, has_routes): (bool, bool)) {
         self.functions = has_functions.then(|| self.functions.take().unwrap_or_default());
         self.routes = has_routes.then(|| self.routes.take().unwrap_or_default());
@@ -364,7 +369,7 @@
         part_delta(&self.routes, &newer.routes)
     }
 
-    /// Returns the number of functions and of routes.
+    /// Returns the number of functions and the number of routes.
     pub fn counts(&self) -> (usize, usize) {
         let function_count = self.functions.as_ref().map_or(0, |part| part.len());
         (
@@ -373,7 +378,8 @@
         )
     }
 
-    /// The digests of all records and of the rest, combined by XOR, so that one record's change costs one digest.
+    /// Returns the digests of all records and of the remainder, combined by XOR. After a change to one record, only
+    /// that record's digest and the remainder's are computed.
     pub fn digest(&self) -> [u8; DIGEST_LENGTH] {
         let mut remainder_text = Vec::new();
         write_json(&mut remainder_text, &self.remainder);
@@ -391,7 +397,7 @@
         combined
     }
 
-    /// Each function's content by name; none where the record has an error of its own.
+    /// Returns each function's name and content; the content is `None` if the record by itself is invalid.
     pub(super) fn checked_function_records(
         &self,
     ) -> impl Iterator<Item = (&Arc<str>, Option<&Arc<FunctionSpec>>)> {
@@ -399,7 +405,7 @@
         records.map(|(name, record)| (name, record.checked(name)))
     }
 
-    /// Each route's content by name; none where the record has an error of its own.
+    /// Returns each route's name and content; the content is `None` if the record by itself is invalid.
     pub(super) fn checked_route_records(
         &self,
     ) -> impl Iterator<Item = (&Arc<str>, Option<&Arc<RouteSpec>>)> {
@@ -407,10 +413,10 @@
         records.map(|(name, record)| (name, record.checked(name)))
     }
 
-    /// Checks the spec. Records that were checked with an earlier spec are not read again.
+    /// Validates the spec. Records that are shared with an earlier, validated spec are not parsed again.
     ///
     /// # Errors
-    /// Every error found, each with its path.
+    /// All errors found, each with its path.
     pub fn check(&self) -> Result<Spec, Vec<PathError>> {
         match self.check_records() {
             Some(checked_spec) => Ok(checked_spec),
@@ -418,7 +424,7 @@
         }
     }
 
-    /// The checked spec if it has no error at all; the slow path finds out which errors it has.
+    /// Returns the validated spec, or `None` if it has any error. [`read_spec`], which is slower, lists the errors.
     fn check_records(&self) -> Option<Spec> {
         let functions = self.checked_functions()?;
         let routes = self.checked_routes(&functions)?;
