--- a/crates/common/src/spec/catalogue_delta.rs
+++ b/crates/common/src/spec/catalogue_delta.rs
@@ -1,5 +1,5 @@
-//! Deltas between two catalogues of functions and routes: the records that are new or different, and the names of those
-//! that are removed.
+//! Deltas between two catalogues of functions and routes: the records that were added or changed, and the names of
+//! those that were removed.
 
 use super::SpecRecords;
 use super::fields::{append_fields, read_generations};
@@ -9,7 +9,7 @@
 use serde_json::{Map, Value};
 use std::collections::BTreeMap;
 
-/// The keys of the records that a delta puts.
+/// The JSON keys under which a delta has its added and changed records.
 const PUT_FUNCTIONS: &str = "put_functions";
 const PUT_ROUTES: &str = "put_routes";
 
@@ -18,18 +18,18 @@
 pub(super) struct Catalogue<'a> {
     /// The operators' spec.
     pub spec: &'a SpecRecords,
-    /// The version in which each function entered the catalogue.
+    /// The version in which each function was added to the catalogue.
     pub generations: &'a BTreeMap<FunctionName, Version>,
 }
 
-/// The fields of a delta but for the records that it puts, with those of the document or view beside them.
+/// The JSON fields of a delta, except its added and changed records, together with the fields of the document or view.
 #[derive(Serialize)]
 struct DeltaFields<'a, T> {
     has_functions: bool,
     has_routes: bool,
     removed_functions: &'a [&'a str],
     removed_routes: &'a [&'a str],
-    /// What is neither function nor route; null if it is the same as in the base.
+    /// The part of the spec that is neither functions nor routes; null if it is unchanged.
     #[serde(rename = "rest")]
     remainder: Option<&'a Value>,
     put_generations: BTreeMap<&'a FunctionName, Version>,
@@ -38,8 +38,8 @@
     other_fields: &'a T,
 }
 
-/// Encodes the delta as JSON text, with `other_fields` in the same object. Its length and cost grow with what differs,
-/// not with the catalogue.
+/// Encodes the delta as JSON text, with `other_fields` in the same object. Its length depends on the number of
+/// differences, not on the size of the catalogue.
 pub(super) fn catalogue_delta(
     base: Catalogue<'_>,
     newer: Catalogue<'_>,
@@ -69,7 +69,7 @@
     text
 }
 
-/// The generations that are new or different.
+/// Returns the generations that were added or changed.
 fn put_generations<'a>(
     base: Catalogue<'_>,
     newer: Catalogue<'a>,
@@ -82,7 +82,7 @@
         .collect()
 }
 
-/// The functions whose generations are removed.
+/// Returns the functions whose generations were removed.
 fn removed_generations<'a>(base: Catalogue<'a>, newer: Catalogue<'_>) -> Vec<&'a FunctionName> {
     base.generations
         .keys()
@@ -90,17 +90,18 @@
         .collect()
 }
 
-/// The records that a delta puts, moved out of it without copying them.
+/// The added and changed records of a delta, moved out of its JSON without copying.
 pub(super) struct PutRecords {
     functions: Map<String, Value>,
     routes: Map<String, Value>,
 }
 
 impl PutRecords {
-    /// Moves them out. What is not an object stays in place, so that reading the delta reports it.
-    pub(super) fn take(change: &mut Value) -> Self {
+    /// Moves the records out of a delta. A value that is not an object stays in place, so that reading the delta
+    /// reports it as an error.
+    pub(super) fn take(delta: &mut Value) -> Self {
         let mut extract_field = |field: &str| {
-            let items = change.get_mut(field).and_then(Value::as_object_mut);
+            let items = delta.get_mut(field).and_then(Value::as_object_mut);
             items.map(std::mem::take).unwrap_or_default()
         };
         Self {
@@ -110,7 +111,8 @@
     }
 }
 
-/// Applies a delta whose records were moved out by [`PutRecords::take`].
+/// Applies a delta whose records were moved out by [`PutRecords::take`] to a base catalogue. Returns the new spec and
+/// the new generations.
 pub(super) fn apply_catalogue_delta(
     root: &PathReader<'_>,
     put: PutRecords,
