--- a/crates/common/src/spec/fields.rs
+++ b/crates/common/src/spec/fields.rs
@@ -1,6 +1,6 @@
-//! The fields that documents, views and deltas have in common, read from JSON, and the text that they are written as.
+//! Reads and writes the JSON fields that documents, views and deltas have in common.
 //!
-//! The fields are written by types with `Serialize`, whose names for JSON the functions here read again.
+//! The keys that are read here must match those that the `Serialize` types of documents, views and deltas write.
 
 use super::records::write_json;
 use super::{ChangeRecord, DocumentError, ListedMember, SpecRecords, Voter};
@@ -11,11 +11,11 @@
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// About the length of a record's text, with its function's generation.
-const RECORD_LENGTH: usize = 256;
+/// The estimated length of one record's text in bytes, including the function's generation.
+const ESTIMATED_RECORD_LENGTH: usize = 256;
 
-/// Reads a value with a reader at its root. Fails with the first error that was reported, or with a missing value if
-/// nothing could be read and none was.
+/// Runs `read_parts` on a reader at the root of a value. Fails with the first error that it reported, or with
+/// [`PathErrorReason::Missing`] if it returned nothing and reported no error.
 pub(super) fn read_all<T>(
     value: &Value,
     read_parts: impl FnOnce(&PathReader<'_>) -> Option<T>,
@@ -32,7 +32,7 @@
     }
 }
 
-/// Reads the version in which each function entered the catalogue, an object by names.
+/// Reads the version in which each function was added to the catalogue, an object keyed by function name.
 pub(super) fn read_generations(reader: &PathReader<'_>) -> BTreeMap<FunctionName, Version> {
     let generation_fields = reader.fields().into_iter();
     generation_fields
@@ -49,7 +49,7 @@
         .collect()
 }
 
-/// Reads the last changes, a list with the oldest first.
+/// Reads a list of changes, oldest first.
 pub(super) fn read_changes(reader: &PathReader<'_>) -> Vec<ChangeRecord> {
     let change_items = reader.items();
     change_items
@@ -64,10 +64,10 @@
         .collect()
 }
 
-/// Reads the voters; their identities are in hexadecimal.
+/// Reads the voters, whose identities are in hexadecimal.
 pub(super) fn read_voters(reader: &PathReader<'_>) -> Vec<Voter> {
-    let member_items = reader.items();
-    member_items
+    let voter_items = reader.items();
+    voter_items
         .iter()
         .filter_map(|item| {
             Some(Voter {
@@ -79,7 +79,7 @@
         .collect()
 }
 
-/// Reads the daemons that may have session leases; none in documents written before the field existed.
+/// Reads the daemons that may hold session leases; empty for documents written before the field existed.
 pub(super) fn read_membership(reader: &PathReader<'_>) -> BTreeSet<ListedMember> {
     if !reader.is_present() {
         return BTreeSet::new();
@@ -96,12 +96,12 @@
         .collect()
 }
 
-/// Reads the addresses of the voters, as views carry them.
+/// Reads the addresses of the voters, as a view lists them.
 pub(super) fn read_voter_addresses(reader: &PathReader<'_>) -> Vec<SocketAddress> {
     reader.items().iter().filter_map(read_address).collect()
 }
 
-/// Moves the spec out of a document or view, without copying it.
+/// Moves the spec out of the JSON of a document or view, without copying it.
 pub(super) fn extract_spec(value: &mut Value) -> Result<SpecRecords, DocumentError> {
     let spec = value.get_mut("spec").map(Value::take).ok_or_else(|| {
         DocumentError::Path(PathError {
@@ -112,7 +112,7 @@
     Ok(SpecRecords::new(spec))
 }
 
-/// The JSON text of an object; its keys are in alphabetical order, whatever the order of the type's fields.
+/// Encodes an object as JSON text, with its keys in alphabetical order whatever the order of the type's fields.
 pub(super) fn fields_text(fields: &impl Serialize) -> Vec<u8> {
     let mut text = Vec::new();
     write_json(&mut text, &json!(fields));
@@ -122,7 +122,7 @@
 /// Encodes an object as JSON text, with a spec as its first field.
 pub(super) fn text_with_spec(spec: &SpecRecords, other_fields: &impl Serialize) -> Vec<u8> {
     let (function_count, route_count) = spec.counts();
-    let mut text = Vec::with_capacity(RECORD_LENGTH * (2 + function_count + route_count));
+    let mut text = Vec::with_capacity(ESTIMATED_RECORD_LENGTH * (2 + function_count + route_count));
     text.extend_from_slice(b"{\"spec\":");
     spec.write_to(&mut text);
     text.push(b',');
@@ -130,7 +130,7 @@
     text
 }
 
-/// Appends the fields of an object, and the closing brace, to the text of an object that is being written.
+/// Appends the fields of an object and the closing brace to the text of an unfinished JSON object.
 pub(super) fn append_fields(text: &mut Vec<u8>, fields: &impl Serialize) {
     let opening_brace = 1;
     text.extend_from_slice(&fields_text(fields)[opening_brace..]);
--- a/crates/common/src/spec/mod.rs
+++ b/crates/common/src/spec/mod.rs
@@ -1,10 +1,11 @@
-//! The spec that operators write, the document that carries it, and the table that requests are routed by.
+//! The operators' spec, the replicated document that contains it, and the routing table built from it.
 //!
 //! A spec is a catalogue of functions and the routes to them. Controllers replicate it inside a [`Document`]; daemons
 //! receive the [`DaemonView`] of the document, full or as a delta, and build a [`RoutingTable`] from it.
 //!
-//! The spec stays the JSON that its operator wrote, cut into one record for each function and route ([`SpecRecords`]);
-//! what is read from a record, [`FunctionSpec`] or [`RouteSpec`], is read once and shared between versions.
+//! The spec is kept as the JSON that the operator wrote, split into one record per function and route
+//! ([`SpecRecords`]). Each record is parsed once, into a [`FunctionSpec`] or [`RouteSpec`], and the result is shared
+//! between versions.
 
 mod applied_changes;
 mod catalogue_delta;
