--- a/crates/common/src/spec/document_error.rs
+++ b/crates/common/src/spec/document_error.rs
@@ -1,8 +1,8 @@
-//! The error of reading documents, views and deltas.
+//! Errors in reading documents, views and deltas.
 
 use crate::readers::PathError;
 
-/// Why bytes could not be read as a document, a view or a delta of one.
+/// Why a document, a view or a delta could not be read.
 #[derive(Debug, thiserror::Error)]
 pub enum DocumentError {
     /// The bytes are not JSON.
@@ -11,10 +11,10 @@
     /// A field is missing or invalid.
     #[error("{0}")]
     Path(#[source] PathError),
-    /// A delta applies to another version than the one held.
+    /// The delta applies to a version other than the current one.
     #[error("the change leads from another version")]
     WrongBase,
-    /// The resulting document has another digest than its sender's.
+    /// The digest of the resulting document or view is not the one that the sender gave.
     #[error("the changed document has another digest")]
     WrongDigest,
 }
