--- a/crates/common/src/frames/consensus.rs
+++ b/crates/common/src/frames/consensus.rs
@@ -4,7 +4,7 @@
 use crate::identity::{ControllerId, DocumentVersion, Incarnation, MemberName, Term, Zone};
 use binrw::binrw;
 
-/// A daemon as the control quorum remembers it over a change of leader.
+/// A daemon that controllers know of, so that a new leader knows which daemons may still have session leases.
 #[binrw]
 #[brw(big)]
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Debug)]
@@ -13,13 +13,13 @@
     pub member: MemberName,
     /// The incarnation that last had a session lease.
     pub incarnation: Incarnation,
-    /// Where it listens; another incarnation at this address proves that this one has ended.
+    /// The address at which the daemon listens. Another incarnation at this address proves that this one has ended.
     pub address: SocketAddress,
 }
 
 impl KnownMember {
-    /// Whether this is another incarnation of the same daemon at the same address. Only one of the two can be alive,
-    /// since it holds the port.
+    /// Whether both are different incarnations of the same daemon at the same address. Only one of them can be alive,
+    /// because only one process can bind the port.
     pub fn is_other_incarnation_of(&self, other: &KnownMember) -> bool {
         self.member == other.member
             && self.address == other.address
@@ -27,16 +27,16 @@
     }
 }
 
-/// A frame from one controller to another: the sender, and a message.
+/// A frame from one controller to another: a message and its sender.
 #[binrw]
 #[brw(big)]
 #[derive(Clone, Debug)]
 pub struct ConsensusFrame {
-    /// The sender.
+    /// The sender's identity.
     pub from: ControllerId,
-    /// Where the sender listens for other processes.
+    /// The address at which the sender listens for other processes.
     pub address: SocketAddress,
-    /// Where the sender listens for operators' HTTP requests.
+    /// The address at which the sender listens for operators' HTTP requests.
     pub operators: SocketAddress,
     /// The sender's zone.
     pub zone: Zone,
@@ -49,46 +49,49 @@
 #[brw(big)]
 #[derive(Clone, Debug)]
 pub enum ConsensusMessage {
-    /// To the seeds and the voters, again and again: introduces the sender and says which version it has on disk.
+    /// Sent repeatedly to the seeds and the voters: introduces the sender and reports which version it has on disk.
     #[brw(magic = 1u8)]
     Hello {
         /// The sender's newest accepted version; zero if its disk is empty.
         accepted: DocumentVersion,
         /// The sender's term.
         term: Term,
-        /// Whether the sender stores nothing: it never votes, and only relays between daemons and the leader.
+        /// Whether the sender has no disk. Such a controller never votes and only relays between daemons and the
+        /// leader.
         diskless: Flag,
     },
-    /// The founding document, sent to a voter that it names and whose disk holds none.
+    /// The founding document, sent to a voter that it lists and that has no document on disk.
     #[brw(magic = 2u8)]
     Bootstrap {
         /// The document as JSON, compressed by [`compress`](super::compress).
         document: ByteString,
     },
-    /// From a candidate to each voter: requests its vote.
+    /// From a candidate to each voter: requests the voter's vote.
     #[brw(magic = 3u8)]
     VoteRequest {
-        /// The term that the candidate wants to lead.
+        /// The term in which the candidate wants to lead.
         term: Term,
         /// The candidate's newest accepted version.
         accepted: DocumentVersion,
-        /// Whether this is a pre-vote: the voter answers whether it would vote so, and promises nothing.
+        /// Whether this is a pre-vote: the voter answers whether it would grant its vote, without committing itself.
         is_pre_vote: Flag,
     },
-    /// From a voter to a candidate. A vote (other than a pre-vote) is on the voter's disk before this is sent.
+    /// From a voter to a candidate: answers a vote request. A vote, unlike a pre-vote, is written to the voter's disk
+    /// before this is sent.
     #[brw(magic = 4u8)]
     VoteResponse {
         /// The voter's term.
         term: Term,
         /// The term of the vote request that is answered.
         requested_term: Term,
-        /// Whether it answers a pre-vote.
+        /// Whether this answers a pre-vote.
         is_pre_vote: Flag,
         /// Whether the vote is granted.
         granted: Flag,
-        /// The daemons that the voter knows from the last leader's heartbeats.
+        /// The daemons that the voter knows of from the last leader's heartbeats.
         members: LengthPrefixed<KnownMember>,
-        /// Whether that list is complete: received since the voter started, from a leader whose list was complete.
+        /// Whether `members` is complete: the voter received it after it started, from a leader whose list was
+        /// complete.
         complete: Flag,
     },
     /// From the leader to each voter, once in each heartbeat round.
@@ -102,9 +105,9 @@
         accepted: DocumentVersion,
         /// The newest committed version.
         committed: DocumentVersion,
-        /// The daemons that may have a session lease.
+        /// The daemons that may hold a session lease.
         members: LengthPrefixed<KnownMember>,
-        /// Whether the leader knows that there are no others.
+        /// Whether `members` is complete: the leader knows that there are no others.
         complete: Flag,
     },
     /// From a voter to the leader: answers a heartbeat.
@@ -117,17 +120,17 @@
         /// The newest version on the voter's disk.
         accepted: DocumentVersion,
     },
-    /// From the leader to a voter: a full document to be written to disk.
+    /// From the leader to a voter: a full document to write to disk.
     #[brw(magic = 7u8)]
     AcceptFull {
         /// The leader's term.
         term: Term,
-        /// The version of the resulting document.
+        /// The version of the document.
         document_version: DocumentVersion,
         /// The document as JSON, compressed by [`compress`](super::compress).
         document: ByteString,
     },
-    /// From the leader to a voter: a version to be written to disk, as a delta from an earlier one.
+    /// From the leader to a voter: a version to write to disk, as a delta to an earlier version.
     #[brw(magic = 10u8)]
     AcceptDelta {
         /// The leader's term.
@@ -141,7 +144,7 @@
         /// The SHA-256 digest of the resulting document.
         digest: ByteString,
     },
-    /// From a voter to the leader: the delta's base is not the version held here; requests the full document.
+    /// From a voter to the leader: requests the full document, because a delta could not be applied.
     #[brw(magic = 11u8)]
     SnapshotRequest {
         /// The voter's term.
@@ -149,13 +152,13 @@
         /// The newest version on the voter's disk.
         accepted: DocumentVersion,
     },
-    /// Answers the hello of a controller that is not a voter: the addresses of the leader and of the voters.
+    /// Answers the `Hello` of a controller that is not a voter: the addresses of the leader and of the voters.
     #[brw(magic = 9u8)]
     VoterAddresses {
-        /// Their addresses.
+        /// The addresses.
         addresses: LengthPrefixed<SocketAddress>,
     },
-    /// From a voter to the leader: the version that is synced to the voter's disk.
+    /// From a voter to the leader: reports the version that is synced to the voter's disk.
     #[brw(magic = 8u8)]
     Accepted {
         /// The voter's term.
