--- a/crates/common/src/frames/daemons.rs
+++ b/crates/common/src/frames/daemons.rs
@@ -1,4 +1,4 @@
-//! Frames between daemons: forwarded requests, their outcomes, and the replication of ledgers.
+//! Frames between daemons: forwarded requests, their outcomes and ledger replication.
 
 use super::{ByteString, Flag, Host, LengthPrefixed};
 use crate::identity::{
@@ -10,7 +10,7 @@
 
 /// Why a request was not run, or why its outcome is unknown.
 ///
-/// The numbers are those of the wire; the texts of [`as_str`](Self::as_str) are what callers read.
+/// The discriminants are the codes on the wire; callers see the texts of [`as_str`](Self::as_str).
 #[binrw]
 #[brw(big)]
 #[brw(repr = u8)]
@@ -18,40 +18,40 @@
 pub enum RequestFailureReason {
     /// The daemon does not hold the function.
     NotHolder = 1,
-    /// The queue is full.
+    /// The function's queue is full.
     QueueFull = 2,
-    /// It could not be finished before its deadline.
+    /// The request cannot be completed before its deadline.
     DeadlineTooShort = 3,
-    /// The daemon has no session lease, or is leaving.
+    /// The daemon has no session lease or is leaving.
     NotServing = 4,
     /// No runner was available.
     NoRunnerAvailable = 5,
-    /// The retry budget is used up.
+    /// The retry budget is exhausted.
     RetryBudgetSpent = 6,
-    /// The runner itself rejected it, under seal.
+    /// The runner rejected the request, in a sealed response.
     RejectedByRunner = 7,
-    /// The spec no longer allows it.
+    /// The spec no longer allows the request.
     NotAllowed = 8,
-    /// A request with the same idempotency key was rejected before.
+    /// An earlier request with the same idempotency key was rejected.
     RejectedBefore = 9,
     /// A request with the same idempotency key is in progress.
     InProgress = 10,
-    /// The runner's response was lost, cut short or invalid.
+    /// The runner's response was lost, truncated or invalid.
     ResponseLost = 11,
     /// The holder became unreachable.
     HolderUnreachable = 12,
     /// No leader or hash owner was found in time.
     NoOwner = 13,
-    /// A new holder does not yet admit requests that may run only once.
+    /// The holder is new and does not yet admit requests that may run only once.
     OnceNotYetAdmitted = 14,
-    /// A request with the same idempotency key ran before, and its response is not stored.
+    /// An earlier request with the same idempotency key ran, and its response is not stored.
     AlreadyRan = 15,
     /// No ledger replica could record a request that may run only once.
     LedgerUnreachable = 16,
 }
 
 impl RequestFailureReason {
-    /// Returns the reason as callers read it.
+    /// Returns the text of the reason that callers see.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::NotHolder => "not_holder",
@@ -80,7 +80,7 @@
     }
 }
 
-/// One header field that is forwarded unchanged.
+/// A header field that is forwarded unchanged.
 #[binrw]
 #[brw(big)]
 #[derive(Clone, PartialEq, Eq, Debug)]
@@ -100,7 +100,7 @@
     pub method: ShortString,
     /// The path and query, unchanged.
     pub target: ShortString,
-    /// The header fields that are forwarded, `host` among them.
+    /// The forwarded header fields, including `host`.
     pub header_fields: LengthPrefixed<HeaderField>,
     /// The body.
     pub body: ByteString,
@@ -118,67 +118,67 @@
     }
 }
 
-/// How a request ended.
+/// The outcome of a request.
 #[binrw]
 #[brw(big)]
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub enum RequestOutcome {
-    /// The runner's complete response, with its seal.
+    /// A runner's complete response, with its seal.
     #[brw(magic = 1u8)]
     Response {
         /// The HTTP status.
         status: u16,
-        /// The seal as the runner sent it.
+        /// The seal, as the runner sent it.
         seal: ByteString,
-        /// The runner.
+        /// The runner that responded.
         runner: crate::identity::RunnerId,
         /// The header fields that are forwarded to the caller.
         header_fields: LengthPrefixed<HeaderField>,
         /// The body.
         body: ByteString,
     },
-    /// It was not run by any runner, and will not be.
+    /// No runner has run the request, and none will.
     #[brw(magic = 2u8)]
     NotRun {
-        /// Why.
+        /// The reason.
         reason: RequestFailureReason,
-        /// After how many milliseconds a retry is worthwhile.
+        /// After how many milliseconds the caller should retry.
         retry_after_ms: u32,
     },
-    /// It may have run.
+    /// The request may have run.
     #[brw(magic = 3u8)]
     Unknown {
-        /// Why.
+        /// The reason.
         reason: RequestFailureReason,
     },
 }
 
-/// What a ledger records of a request that may run only once.
+/// The state that a ledger records for a request that may run only once.
 #[binrw]
 #[brw(big)]
 #[brw(repr = u8)]
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
 pub enum LedgerRecordState {
-    /// It may be sent to a runner from now on.
+    /// The request may be sent to a runner from now on.
     Recorded = 1,
-    /// It ran, and its response was valid.
+    /// The request ran, and its response was valid.
     Answered = 2,
-    /// It may have run.
+    /// The request may have run.
     Unknown = 3,
-    /// It was rejected, and must never run.
+    /// The request was rejected and must never run.
     Rejected = 4,
 }
 
-/// One entry of a ledger.
+/// An entry of a ledger.
 #[binrw]
 #[brw(big)]
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct LedgerRecord {
     /// The request's idempotency key.
     pub idempotency_key: IdempotencyKey,
-    /// What is recorded of it.
+    /// The recorded state of the request.
     pub state: LedgerRecordState,
-    /// How many milliseconds the entry has still to be kept.
+    /// How many more milliseconds the entry must be kept.
     pub remaining_ms: u32,
 }
 
@@ -187,7 +187,7 @@
 #[brw(big)]
 #[derive(Clone, Debug)]
 pub struct DaemonFrame {
-    /// Ties a response to its request on this connection; the side that sends the request chooses it.
+    /// Matches a response to its request on this connection. Chosen by the sender of the request.
     pub correlation: CorrelationId,
     /// The message.
     pub body: DaemonMessage,
@@ -198,28 +198,29 @@
 #[brw(big)]
 #[derive(Clone, Debug)]
 pub enum DaemonMessage {
-    /// From a daemon to the function's holder or hash owner: forwards a request. Answered by `Completed`.
+    /// Forwards a request to the function's holder or hash owner. Answered by `Completed`.
     #[brw(magic = 1u8)]
     FunctionRequest {
         /// The request's idempotency key.
         idempotency_key: IdempotencyKey,
         /// The function.
         function: FunctionKey,
-        /// The route's name, since an index is valid within one process only.
+        /// The route's name. An index would be valid only within one process.
         route: ShortString,
-        /// The version of the spec that the sender matched it with.
+        /// The version of the spec in which the sender looked up the route.
         version: Version,
         /// The time left until the request's deadline, in milliseconds.
         time_limit_ms: u32,
-        /// How many times it has been forwarded.
+        /// How many times the request has been forwarded.
         hops: u8,
-        /// Whether it is a repeat: marked so by the caller, or sent again because a holder became unreachable.
+        /// Whether the request is a repeat: the caller marked it as one, or it is sent again because a holder became
+        /// unreachable.
         repeat: Flag,
         /// Whether the receiver, if it is not the holder, should name the holder instead of forwarding the request.
         wants_referral: Flag,
-        /// The region of the daemon that took the request from its caller; empty if that daemon is in none.
+        /// The region of the daemon that received the request from its caller; empty if that daemon is in no region.
         region: Region,
-        /// What the caller sent.
+        /// The caller's request.
         payload: RequestPayload,
     },
     /// Answers `FunctionRequest` with the outcome.
@@ -227,21 +228,22 @@
     Completed {
         /// The outcome.
         outcome: RequestOutcome,
-        /// The function's holder, if the answering daemon knows it. Beside a response, none means that the answering
-        /// daemon is the holder.
+        /// The function's holder, if the answering daemon knows it. Empty with a response if the answering daemon is
+        /// itself the holder.
         holder: LengthPrefixed<Host>,
         /// In how many tenths of a second callers of the requesting region will be served under a regional key; zero if
-        /// they will not.
+        /// they will not be.
         regional_tenths: u8,
     },
-    /// From a holder to its ledger replica: records entries before their requests are sent. Answered by `Recorded`.
+    /// From a holder to its ledger replica: records entries before their requests are sent to runners. Answered by
+    /// `Recorded`.
     #[brw(magic = 3u8)]
     Record {
         /// The function.
         function: FunctionKey,
-        /// The fencing token of the lease that it is held under.
+        /// The fencing token of the holder's lease.
         fencing_token: FencingToken,
-        /// The replica's incarnation that is meant; another one has lost the copy.
+        /// The incarnation of the replica that has the copy. Later incarnations have lost it.
         incarnation: Incarnation,
         /// The entries.
         records: LengthPrefixed<LedgerRecord>,
@@ -249,11 +251,11 @@
     /// Answers `Record`.
     #[brw(magic = 4u8)]
     Recorded {
-        /// Whether the entries are stored. They are not if the replica has another incarnation, or a later holder has
-        /// collected the copy.
+        /// Whether the entries are stored. They are not if the replica is another incarnation, or if a later holder has
+        /// already collected the copy.
         is_stored: Flag,
     },
-    /// From a new holder to an earlier holder's ledger replica: requests the copy of that ledger. Answered by
+    /// From a new holder to an earlier holder's ledger replica: requests the copy of the ledger. Answered by
     /// `Collected`.
     #[brw(magic = 5u8)]
     Collect {
@@ -261,27 +263,27 @@
         function: FunctionKey,
         /// The fencing token of the earlier lease.
         fencing_token: FencingToken,
-        /// The replica's incarnation that is meant; another one has lost the copy.
+        /// The incarnation of the replica that has the copy. Later incarnations have lost it.
         incarnation: Incarnation,
     },
     /// Answers `Collect` with the replica's copy.
     #[brw(magic = 6u8)]
     Collected {
-        /// Whether the copy is complete: the replica has the incarnation that is meant.
+        /// Whether the copy is complete: the replica is the requested incarnation.
         complete: Flag,
         /// The entries.
         records: LengthPrefixed<LedgerRecord>,
     },
-    /// From a holder to its ledger replica: compares the ledger with the copy. Answered by `Differs`.
+    /// From a holder to its ledger replica: compares the holder's ledger with the copy. Answered by `Differs`.
     #[brw(magic = 7u8)]
     Compare {
         /// The function.
         function: FunctionKey,
-        /// The fencing token of the lease that it is held under.
+        /// The fencing token of the holder's lease.
         fencing_token: FencingToken,
-        /// The replica's incarnation that is meant; another one has lost the copy.
+        /// The incarnation of the replica that has the copy. Later incarnations have lost it.
         incarnation: Incarnation,
-        /// A digest for each range of idempotency keys.
+        /// A digest of the entries in each range of idempotency keys.
         digests: LengthPrefixed<u64>,
     },
     /// Answers `Compare` with the ranges that differ.
@@ -292,21 +294,21 @@
     },
 }
 
-/// What a daemon tells another about a request that it has forwarded there.
+/// A notice from a daemon about a request that it has forwarded to another daemon.
 ///
-/// A notice travels as a [`DaemonMessage::Completed`] in the direction of the request, under the request's correlation:
-/// a daemon of earlier sources, which expects `Completed` only as an answer, passes over it.
+/// A notice is sent as a [`DaemonMessage::Completed`] in the direction of the request, with the request's correlation
+/// number. Older versions of the daemon expect `Completed` only as an answer and ignore the notice.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum RequesterNotice {
-    /// The requester can wait no longer for a runner: if none has the request, it is to end as not run. Its outcome is
-    /// still awaited.
+    /// The requester cannot wait any longer for a runner. A request that no runner has received yet must end as not
+    /// run. The requester still waits for the outcome.
     Withdrawn,
-    /// The requester has given the request up, and reads no outcome of it.
+    /// The requester has abandoned the request and ignores its outcome.
     Abandoned,
 }
 
 impl RequesterNotice {
-    /// The message that carries this notice.
+    /// Returns the message that carries this notice.
     pub fn into_message(self) -> DaemonMessage {
         let outcome = match self {
             Self::Withdrawn => RequestOutcome::NotRun {
@@ -324,7 +326,7 @@
         }
     }
 
-    /// The notice that a message from a requester carries; none if it carries none.
+    /// Returns the notice in a message from a requester, if the message is one.
     pub fn from_message(message: &DaemonMessage) -> Option<Self> {
         match message {
             DaemonMessage::Completed {
