--- a/crates/common/src/frames/dial.rs
+++ b/crates/common/src/frames/dial.rs
@@ -1,11 +1,11 @@
-//! Opening connections to other rudderstream processes.
+//! Opens connections to other rudderstream processes.
 
 use super::{Channel, FrameError, SocketAddress, write_channel};
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
 use std::time::Duration;
 use tokio::net::{TcpSocket, TcpStream};
 
-/// Connects to another process from this process's own IP address; nothing is written yet.
+/// Connects to another process from this process's own IP address, without writing anything.
 pub async fn connect_from(own_ip: Ipv4Addr, to: SocketAddress) -> std::io::Result<TcpStream> {
     let socket = TcpSocket::new_v4()?;
     socket.bind(SocketAddr::V4(SocketAddrV4::new(own_ip, 0)))?;
@@ -14,8 +14,8 @@
     Ok(stream)
 }
 
-/// Connects to another process from this process's own IP address, by which machines know each other, and writes the
-/// channel's opening bytes.
+/// Connects to another process and writes the channel's opening bytes. The connection is made from this process's own
+/// IP address, because machines identify each other by it.
 ///
 /// # Errors
 /// [`FrameError::Connection`] if the connection cannot be opened, or not within `timeout`.
--- a/crates/common/src/frames/heartbeat.rs
+++ b/crates/common/src/frames/heartbeat.rs
@@ -1,4 +1,4 @@
-//! Heartbeats between daemons, and the suspicions that they spread.
+//! Heartbeats between daemons, and the suspicions that they carry.
 
 use super::LengthPrefixed;
 use crate::identity::{Incarnation, MemberName};
@@ -11,11 +11,11 @@
 pub struct MemberIncarnation {
     /// The daemon's name.
     pub member: MemberName,
-    /// Its incarnation.
+    /// The daemon's incarnation.
     pub incarnation: Incarnation,
 }
 
-/// The suspicion that a daemon is unreachable, spread from daemon to daemon for a limited number of hops.
+/// The suspicion that a daemon is unreachable, relayed between daemons for a limited number of hops.
 #[binrw]
 #[brw(big)]
 #[derive(Clone, PartialEq, Eq, Debug)]
@@ -26,7 +26,7 @@
     pub remaining_relays: u8,
 }
 
-/// Sent by a daemon to its watchers at a fixed interval. Without failures it carries no suspicion.
+/// A heartbeat, which a daemon sends to its watchers at a fixed interval. It carries suspicions only during failures.
 #[binrw]
 #[brw(big)]
 #[derive(Clone, PartialEq, Eq, Debug)]
--- a/crates/common/src/frames/mod.rs
+++ b/crates/common/src/frames/mod.rs
@@ -1,12 +1,12 @@
-//! The frames that rudderstream's processes exchange, and their framing.
+//! The frames that rudderstream's processes exchange, and how they are encoded.
 //!
 //! - [`ConsensusFrame`]: between controllers, over TCP.
 //! - [`DaemonToLeader`] and [`LeaderToDaemon`]: on the control stream between a daemon and the leader, over TCP.
-//! - [`DaemonFrame`]: between daemons, over TCP: forwarded requests and copies of ledgers.
+//! - [`DaemonFrame`]: between daemons, over TCP: forwarded requests and ledger replication.
 //! - [`Heartbeat`]: from a daemon to its watchers, one UDP datagram each.
 //!
-//! All numbers are big-endian. A change of any frame's bytes needs another wire version (see `wire`); both sides of a
-//! connection must have the same one.
+//! All numbers are big-endian. Any change to the bytes of a frame requires a new wire version (see `wire`), and both
+//! sides of a connection must use the same version.
 
 mod compress;
 mod consensus;
--- a/crates/common/src/frames/parts.rs
+++ b/crates/common/src/frames/parts.rs
@@ -1,4 +1,4 @@
-//! The building blocks of frames: texts, lists, bytes, flags and addresses.
+//! The primitive types of frames: texts, lists, byte strings, flags and addresses.
 
 use binrw::{BinRead, BinResult, BinWrite, Endian, binrw};
 use bytes::Bytes;
@@ -7,7 +7,7 @@
 use std::io::{Read, Seek, Write};
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
 
-/// Reads a short text: its length in two bytes, then UTF-8.
+/// Reads a short text: the length in two bytes, then UTF-8.
 ///
 /// # Errors
 /// Fails if the input ends early or is not UTF-8.
@@ -22,7 +22,7 @@
     })
 }
 
-/// Writes a short text: its length in two bytes, then UTF-8. A text of more than 65535 bytes is cut at a character
+/// Writes a short text: the length in two bytes, then UTF-8. A text longer than 65535 bytes is truncated at a character
 /// boundary.
 pub fn write_text<W: Write + Seek>(text: &str, writer: &mut W, endian: Endian) -> BinResult<()> {
     let mut end = text.len().min(u16::MAX as usize);
@@ -34,8 +34,8 @@
     Ok(())
 }
 
-/// A list on the wire: the number of items in four bytes, then the items. A list of none or one stands for an optional
-/// value.
+/// A list on the wire: the number of items in four bytes, then the items. Also used for optional values, as a list of
+/// at most one item.
 #[derive(Clone, PartialEq, Eq, Debug, Default)]
 pub struct LengthPrefixed<T>(pub Vec<T>);
 
@@ -79,7 +79,7 @@
     }
 }
 
-/// Bytes on the wire: their length in four bytes, then the bytes. Shared, not copied, by clones.
+/// A byte string on the wire: the length in four bytes, then the bytes. Clones share the bytes.
 #[derive(Clone, PartialEq, Eq, Default)]
 pub struct ByteString(pub Bytes);
 
@@ -130,7 +130,7 @@
     }
 }
 
-/// A boolean in one byte; any byte but zero is true.
+/// A boolean in one byte. Any byte other than zero is read as true.
 #[binrw]
 #[brw(big)]
 #[br(map = |read_byte: u8| Flag(read_byte != 0))]
@@ -138,7 +138,7 @@
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
 pub struct Flag(pub bool);
 
-/// The address at which a process listens: IPv4 address and port, six bytes on the wire.
+/// The IPv4 address and port at which a process listens, six bytes on the wire.
 #[binrw]
 #[brw(big)]
 #[br(map = |(ip_bits, port): (u32, u16)| {
@@ -153,7 +153,7 @@
     pub const UNSPECIFIED: SocketAddress =
         SocketAddress(SocketAddrV4::new(Ipv4Addr::UNSPECIFIED, 0));
 
-    /// The same address as the standard library's type, for binding and connecting.
+    /// Returns the address as the standard library's type, for binding and connecting.
     pub fn to_std(self) -> SocketAddr {
         SocketAddr::V4(self.0)
     }
--- a/crates/common/src/frames/wire.rs
+++ b/crates/common/src/frames/wire.rs
@@ -1,7 +1,8 @@
-//! Framing: the opening bytes of connections, length-prefixed frames, and their limits.
+//! Framing: the opening bytes of connections, length-prefixed frames, and size limits.
 //!
-//! A connection opens with four bytes: `RU`, the wire version and the channel. Each frame that follows is its length in
-//! four bytes, then its bytes. A heartbeat's datagram is `RU`, the wire version, and the frame.
+//! A connection begins with four bytes: `RU`, the wire version and the channel. Each frame that follows is prefixed
+//! with its length in four bytes. The datagram of a heartbeat is `RU`, the wire version and the frame, without a
+//! length.
 
 use super::Heartbeat;
 use binrw::meta::{ReadEndian, WriteEndian};
@@ -10,16 +11,17 @@
 use std::io::Cursor;
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 
-/// How connections and datagrams of rudderstream begin.
+/// The first bytes of rudderstream's connections and datagrams.
 const MAGIC: [u8; 2] = *b"RU";
-/// The version of the wire format; it grows whenever a frame changes.
+/// The version of the wire format, incremented whenever a frame changes.
 const WIRE_VERSION: u8 = 6;
-/// The longest frame, in bytes, without its length.
+/// The maximum length of a frame in bytes, without the length prefix.
 const MAX_FRAME_LENGTH: u32 = 16 << 20;
-/// How many bytes of a frame are read at once, so that a length that is only announced allocates no memory.
+/// The maximum number of bytes of a frame that are read at once. A frame's memory is allocated as it arrives, so that a
+/// false length prefix cannot exhaust memory.
 const MAX_READ_LENGTH: usize = 64 << 10;
 
-/// What a connection is for; its opening bytes say so.
+/// The purpose of a connection, which its opening bytes state.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Channel {
     /// Between controllers.
@@ -40,33 +42,33 @@
     }
 }
 
-/// Why a frame or a connection's opening could not be read or written.
+/// Why a frame or the opening bytes of a connection could not be read or written.
 #[derive(Debug, thiserror::Error)]
 pub enum FrameError {
-    /// The connection failed, ended or was not opened in time.
+    /// The connection failed, ended or could not be opened in time.
     #[error("connection: {0}")]
     Connection(#[from] std::io::Error),
     /// The opening bytes are not rudderstream's.
     #[error("not a rudderstream connection")]
     WrongMagic,
-    /// The other side has this other wire version.
+    /// The other side uses a different wire version.
     #[error("frames of serial {0}, ours are of {WIRE_VERSION}")]
     WrongVersion(u8),
-    /// The channel of this number is not known.
+    /// The channel code is unknown.
     #[error("channel {0} is not served here")]
     WrongChannel(u8),
-    /// The frame's length in bytes is above the limit of 16 MiB.
+    /// The frame's length in bytes exceeds the limit of 16 MiB.
     #[error("frame of {0} bytes")]
     Oversized(u32),
-    /// The frame's bytes do not decode.
+    /// The frame's bytes cannot be decoded.
     #[error("malformed frame: {0}")]
     Malformed(#[from] binrw::Error),
-    /// This many bytes were left over after decoding.
+    /// This many bytes are left over after decoding.
     #[error("{0} bytes left over in a frame")]
     Trailing(usize),
 }
 
-/// Encodes a frame, without its length.
+/// Encodes a frame without its length prefix.
 pub fn encode<T>(frame: &T) -> Result<Vec<u8>, FrameError>
 where
     T: for<'a> BinWrite<Args<'a> = ()> + WriteEndian,
@@ -76,7 +78,7 @@
     Ok(written_bytes.into_inner())
 }
 
-/// Decodes a frame from exactly these bytes.
+/// Decodes a frame that must consume all of the bytes.
 ///
 /// # Errors
 /// [`FrameError::Malformed`] or [`FrameError::Trailing`].
@@ -107,8 +109,8 @@
 /// Reads a connection's opening bytes.
 ///
 /// # Errors
-/// [`FrameError::WrongMagic`], [`FrameError::WrongVersion`] or [`FrameError::WrongChannel`], or the connection's own
-/// error.
+/// [`FrameError::WrongMagic`], [`FrameError::WrongVersion`], [`FrameError::WrongChannel`], or the error of the
+/// connection.
 pub async fn read_channel<R: AsyncRead + Unpin>(reader: &mut R) -> Result<Channel, FrameError> {
     let mut first_bytes = [0; 4];
     reader.read_exact(&mut first_bytes).await?;
@@ -124,10 +126,10 @@
         .ok_or(FrameError::WrongChannel(first_bytes[3]))
 }
 
-/// Appends one frame to an output buffer: its length, then its bytes. On an error the buffer is left as it was.
+/// Appends a frame with its length prefix to an output buffer. On an error the buffer is left unchanged.
 ///
 /// # Errors
-/// [`FrameError::Oversized`] for a frame above the limit, [`FrameError::Malformed`] for one that cannot be encoded.
+/// [`FrameError::Oversized`] if the frame exceeds the limit, [`FrameError::Malformed`] if it cannot be encoded.
 pub fn append_frame<T>(output: &mut Vec<u8>, frame: &T) -> Result<(), FrameError>
 where
     T: for<'a> BinWrite<Args<'a> = ()> + WriteEndian,
@@ -148,7 +150,10 @@
     Ok(())
 }
 
-/// Writes one frame: its length, then its bytes. Errors are those of [`append_frame`], or the connection's own.
+/// Writes a frame with its length prefix.
+///
+/// # Errors
+/// The errors of [`append_frame`], or the error of the connection.
 pub async fn write_frame<W, T>(writer: &mut W, frame: &T) -> Result<(), FrameError>
 where
     W: AsyncWrite + Unpin,
@@ -160,10 +165,10 @@
     Ok(())
 }
 
-/// Reads one frame.
+/// Reads a frame.
 ///
 /// # Errors
-/// [`FrameError::Oversized`], the errors of [`decode`], or the connection's own.
+/// [`FrameError::Oversized`], the errors of [`decode`], or the error of the connection.
 pub async fn read_frame<R, T>(reader: &mut R) -> Result<T, FrameError>
 where
     R: AsyncRead + Unpin,
@@ -172,8 +177,8 @@
     read_frame_in_parts(reader, || {}).await
 }
 
-/// Reads one frame as [`read_frame`] does, and calls `on_part` after each part but the last, so that a large frame on a
-/// slow link can be told from a dead connection.
+/// Reads a frame as [`read_frame`] does, and calls `on_part` after each part except the last, so that the caller can
+/// tell a large frame on a slow link from a dead connection.
 pub async fn read_frame_in_parts<R, T>(
     reader: &mut R,
     mut on_part: impl FnMut(),
@@ -206,14 +211,14 @@
     decode(&frame_bytes)
 }
 
-/// Encodes a heartbeat as one datagram.
+/// Encodes a heartbeat as a datagram.
 pub fn encode_heartbeat(heartbeat: &Heartbeat) -> Result<Bytes, FrameError> {
     let mut output = vec![MAGIC[0], MAGIC[1], WIRE_VERSION];
     output.extend(encode(heartbeat)?);
     Ok(output.into())
 }
 
-/// Decodes a heartbeat from one datagram.
+/// Decodes a heartbeat from a datagram.
 pub fn decode_heartbeat(datagram: &[u8]) -> Result<Heartbeat, FrameError> {
     if datagram.len() < 3 || datagram[..2] != MAGIC {
         return Err(FrameError::WrongMagic);
