--- a/crates/common/src/frames/stream.rs
+++ b/crates/common/src/frames/stream.rs
@@ -1,8 +1,8 @@
 //! Frames on the control stream between a daemon and the leader.
 //!
 //! The daemon opens the stream and sends [`DaemonToLeader::Hello`], then `Claims`; the controller answers `Redirect` or
-//! `Welcome`. From then on both sides send at any time; requests and responses are tied by a correlation number that
-//! the daemon chooses.
+//! `Welcome`. From then on, both sides may send at any time. Responses are matched to requests by a correlation number
+//! that the daemon chooses.
 
 use super::{ByteString, Flag, LengthPrefixed, MemberIncarnation, SocketAddress};
 use crate::identity::{
@@ -11,69 +11,69 @@
 };
 use binrw::binrw;
 
-/// A daemon, and how other processes reach it.
+/// A daemon and how other processes reach it.
 #[binrw]
 #[brw(big)]
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct Host {
     /// The daemon's name.
     pub member: MemberName,
-    /// Its incarnation.
+    /// The daemon's incarnation.
     pub incarnation: Incarnation,
-    /// Its zone.
+    /// The daemon's zone.
     pub zone: Zone,
-    /// The address at which other processes reach it.
+    /// The address at which other processes reach the daemon.
     pub address: SocketAddress,
-    /// Whether function leases may be granted to it.
+    /// Whether function leases may be granted to the daemon.
     pub eligible: Flag,
-    /// The bandwidth of its link in megabits per second; zero if it is not known.
+    /// The bandwidth of the daemon's network link in megabits per second; zero if unknown.
     pub link_mbps: u32,
 }
 
-/// One instance of a runner, as the platform names it.
+/// An instance of a runner on the platform.
 #[binrw]
 #[brw(big)]
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct Instance {
-    /// The platform's name of it.
+    /// The platform's name for the instance.
     pub name: InstanceId,
-    /// The address at which it listens.
+    /// The address at which the instance listens.
     pub address: SocketAddress,
 }
 
-/// One runner, as its holder reports it.
+/// A runner, as reported by the holder of its function.
 #[binrw]
 #[brw(big)]
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct ClaimedRunner {
-    /// The runner.
+    /// The runner's identity.
     pub runner: RunnerId,
-    /// The worker on which it runs.
+    /// The worker on which the runner runs.
     pub worker: WorkerName,
-    /// Its memory in megabytes.
+    /// The runner's memory in megabytes.
     pub memory_mb: u32,
-    /// Its instance; none until the platform has named it.
+    /// The runner's instance; empty until the platform has named it.
     pub instance: LengthPrefixed<Instance>,
-    /// Whether it is ready, so that the next holder may adopt it as it runs.
+    /// Whether the runner is ready, so that the next holder may adopt it while it keeps running.
     pub is_adoptable: Flag,
 }
 
-/// A daemon's report of one function that it holds.
+/// A daemon's claim to a function that it holds.
 #[binrw]
 #[brw(big)]
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct Claim {
     /// The function.
     pub function: FunctionKey,
-    /// The fencing token of the lease that it is held under.
+    /// The fencing token of the daemon's lease.
     pub fencing_token: FencingToken,
-    /// Its runners.
+    /// The function's runners.
     pub runners: LengthPrefixed<ClaimedRunner>,
-    /// Whether the function is being released, and these runners are still being stopped.
+    /// Whether the function is being released and these runners are being stopped.
     pub is_releasing: Flag,
-    /// The daemon that keeps the copy of its ledger; none without one.
+    /// The ledger replica, the daemon that keeps the copy of the function's ledger; empty if there is none.
     pub replica: LengthPrefixed<Host>,
-    /// Whether that copy is complete.
+    /// Whether the replica's copy is complete.
     pub complete: Flag,
 }
 
@@ -84,16 +84,16 @@
 pub struct IdleFunction {
     /// The function.
     pub function: FunctionKey,
-    /// For how many milliseconds.
+    /// How long the function has been idle, in milliseconds.
     pub idle_ms: u32,
 }
 
-/// The earlier lease of a function, and where its ledger may be collected.
+/// An earlier lease of a function, and the ledger replica from which its ledger can be collected.
 #[binrw]
 #[brw(big)]
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct PreviousLease {
-    /// The daemon that keeps the copy of the ledger.
+    /// The daemon that keeps the copy of the earlier holder's ledger.
     pub replica: Host,
     /// The fencing token of the earlier lease.
     pub fencing_token: FencingToken,
@@ -109,28 +109,31 @@
     Granted {
         /// The fencing token of the new lease.
         fencing_token: FencingToken,
-        /// After how many milliseconds requests that may run only once are admitted if no earlier ledger was collected.
+        /// After how many milliseconds requests that may run only once are admitted, if no earlier ledger was
+        /// collected.
         once_wait_ms: u32,
-        /// The daemon that is to keep a copy of the ledger; none if there is no other daemon.
+        /// The daemon that will keep a copy of the ledger; empty if there is no other daemon.
         replica: LengthPrefixed<Host>,
-        /// The earlier leases whose ledgers are to be collected.
+        /// The earlier leases whose ledgers must be collected.
         previous_lease: LengthPrefixed<PreviousLease>,
-        /// Orphaned runners of an earlier holder, renamed under this lease, to be adopted as they run.
+        /// Orphaned runners of an earlier holder, to be adopted while they keep running. They have new identities under
+        /// this lease.
         adopted: LengthPrefixed<ClaimedRunner>,
     },
-    /// Another daemon holds it.
+    /// Another daemon holds the function.
     #[brw(magic = 2u8)]
     HeldBy {
-        /// That daemon.
+        /// The holder.
         host: Host,
     },
-    /// The requesting daemon may not hold it: there is no such function, or the daemon has no valid session lease.
+    /// The requesting daemon may not hold the function: the function does not exist, or the daemon has no valid session
+    /// lease.
     #[brw(magic = 3u8)]
     Rejected,
-    /// The function can be granted to nobody yet, since an earlier lease has still to end.
+    /// The lease cannot be granted yet, because an earlier lease has not ended.
     #[brw(magic = 4u8)]
     RetryLater {
-        /// After how many milliseconds that is expected.
+        /// After how many milliseconds the earlier lease is expected to end.
         wait_ms: u32,
     },
 }
@@ -145,28 +148,28 @@
     Reserved {
         /// The new runner's identity.
         runner: RunnerId,
-        /// The worker on which it is to start.
+        /// The worker on which the runner is to start.
         worker: WorkerName,
         /// The reserved memory in megabytes.
         memory_mb: u32,
     },
-    /// No worker has the capacity, or the lease is not the requesting daemon's.
+    /// No worker has enough capacity, or the requesting daemon does not hold the lease.
     #[brw(magic = 2u8)]
     Rejected,
 }
 
-/// The status of a runner, as its holder reports it.
+/// The status of a runner, as reported by the holder of its function.
 #[binrw]
 #[brw(big)]
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub enum RunnerStatus {
-    /// It is ready.
+    /// The runner is ready.
     #[brw(magic = 1u8)]
     Ready,
-    /// The platform confirmed that it has stopped, or never started it.
+    /// The platform confirmed that the runner has stopped, or never started it.
     #[brw(magic = 2u8)]
     Gone,
-    /// The platform named its instance, which is starting up.
+    /// The platform named the runner's instance, which is starting up.
     #[brw(magic = 3u8)]
     Started {
         /// The instance.
@@ -182,18 +185,18 @@
     /// The first frame on a stream.
     #[brw(magic = 1u8)]
     Hello {
-        /// The daemon that opens it; not `eligible` while it is leaving.
+        /// The daemon that opens the stream; not `eligible` while the daemon is leaving.
         host: Host,
-        /// The address at which callers reach it.
+        /// The address at which callers reach the daemon.
         ingress: SocketAddress,
-        /// The newest version of the spec that it has installed.
+        /// The newest version of the spec that the daemon has installed.
         version: Version,
-        /// How long this incarnation has run, in milliseconds: its earlier ones ended at least that long ago.
+        /// How long this incarnation has run, in milliseconds. Earlier incarnations ended at least that long ago.
         age_ms: u32,
-        /// Whether this incarnation has ever had a session lease, so that it may have started runners.
+        /// Whether this incarnation has ever had a session lease and may therefore have started runners.
         granted: Flag,
     },
-    /// Every function that the daemon holds; follows each `Hello`.
+    /// Reports all functions that the daemon holds; follows each `Hello`.
     #[brw(magic = 2u8)]
     Claims {
         /// One claim for each function.
@@ -202,49 +205,49 @@
     /// Requests a renewal of the session lease. Answered by `Renewed`.
     #[brw(magic = 3u8)]
     Renew {
-        /// Ties the answer to the time of sending, from which the lease is measured.
+        /// Matches the answer to the time at which this was sent, from which the lease is measured.
         correlation: CorrelationId,
-        /// The newest version of the spec that is installed.
+        /// The newest version of the spec that the daemon has installed.
         version: Version,
     },
     /// Reports that a version of the spec is installed.
     #[brw(magic = 4u8)]
     Installed {
-        /// That version.
+        /// The installed version.
         version: Version,
     },
-    /// Requests the full spec, since a delta could not be applied. Answered by `Spec`.
+    /// Requests the full spec, because a delta could not be applied. Answered by `Spec`.
     #[brw(magic = 5u8)]
     FullSpecRequest,
     /// From a function's hash owner: requests the function's lease, or the name of its holder. Answered by `Acquired`.
     #[brw(magic = 6u8)]
     Acquire {
-        /// Ties the answer to this request.
+        /// Matches the answer to this request.
         correlation: CorrelationId,
         /// The function.
         function: FunctionKey,
     },
-    /// Releases a function, whose runners are stopped except those listed.
+    /// Releases a function. All of its runners are stopped except those listed.
     #[brw(magic = 7u8)]
     Release {
         /// The function.
         function: FunctionKey,
-        /// The fencing token of the lease that is released.
+        /// The fencing token of the released lease.
         fencing_token: FencingToken,
         /// Runners that keep running for the next holder.
         runners: LengthPrefixed<ClaimedRunner>,
     },
-    /// Requests memory for one more runner. Answered by `Reserved`.
+    /// Requests memory for another runner. Answered by `Reserved`.
     #[brw(magic = 8u8)]
     Reserve {
-        /// Ties the answer to this request.
+        /// Matches the answer to this request.
         correlation: CorrelationId,
         /// The function.
         function: FunctionKey,
-        /// The fencing token of the lease that it is held under.
+        /// The fencing token of the holder's lease.
         fencing_token: FencingToken,
     },
-    /// Reports a change of a runner's status.
+    /// Reports a change in a runner's status.
     #[brw(magic = 9u8)]
     RunnerUpdate {
         /// The function.
@@ -254,48 +257,48 @@
         /// The new status.
         runner_status: RunnerStatus,
     },
-    /// Counts a function's requests that the daemon rejected since the last such frame.
+    /// Reports how many of a function's requests the daemon rejected since the previous such frame.
     #[brw(magic = 10u8)]
     Rejections {
         /// The function.
         function: FunctionKey,
-        /// The number of requests.
+        /// The number of rejected requests.
         count: u32,
         /// The reason of the last rejection.
         reason: super::RequestFailureReason,
     },
-    /// The daemon is leaving and needs no session lease any more.
+    /// The daemon is leaving and no longer needs a session lease.
     #[brw(magic = 11u8)]
     Leaving,
-    /// The ledger replica does not answer; requests another. Answered by `ReplicaAssigned`.
+    /// Requests another ledger replica, because the current one does not answer. Answered by `ReplicaAssigned`.
     #[brw(magic = 12u8)]
     ReplicaLost {
         /// The function.
         function: FunctionKey,
-        /// The fencing token of the lease that it is held under.
+        /// The fencing token of the holder's lease.
         fencing_token: FencingToken,
         /// The replica that does not answer.
         lost: MemberName,
     },
-    /// Reports for how long held functions have received no request.
+    /// Reports how long held functions have been idle.
     #[brw(magic = 14u8)]
     Idle {
         /// The functions that have been idle for some seconds.
         functions: LengthPrefixed<IdleFunction>,
     },
-    /// From a watcher: a daemon's heartbeats are missing.
+    /// From a watcher: the heartbeats of a daemon are missing.
     #[brw(magic = 15u8)]
     MemberSuspected {
-        /// That daemon.
+        /// The suspected daemon.
         incarnation: MemberIncarnation,
     },
     /// From a watcher, or from the daemon itself: a suspected daemon is reachable.
     #[brw(magic = 16u8)]
     MemberRecovered {
-        /// That daemon.
+        /// The suspected daemon.
         incarnation: MemberIncarnation,
     },
-    /// Requests the full list of hosts, since a delta could not be applied. Answered by `Hosts`.
+    /// Requests the full list of daemons, because a delta could not be applied. Answered by `Hosts`.
     #[brw(magic = 17u8)]
     FullHostListRequest,
     /// The ledger replica's copy is complete.
@@ -303,7 +306,7 @@
     ReplicaComplete {
         /// The function.
         function: FunctionKey,
-        /// The fencing token of the lease that it is held under.
+        /// The fencing token of the holder's lease.
         fencing_token: FencingToken,
         /// The daemon that keeps the copy of the ledger.
         replica: MemberName,
@@ -318,7 +321,7 @@
     /// Answers `Hello`: this controller is not the leader.
     #[brw(magic = 1u8)]
     Redirect {
-        /// The leader's address, or [`SocketAddress::UNSPECIFIED`] if it is not known.
+        /// The leader's address, or [`SocketAddress::UNSPECIFIED`] if it is unknown.
         leader: SocketAddress,
     },
     /// Answers `Hello`: this controller is the leader.
@@ -330,22 +333,22 @@
     /// Answers `Renew`: the session lease is renewed.
     #[brw(magic = 3u8)]
     Renewed {
-        /// The renewal that is answered.
+        /// The correlation number of the renewal.
         correlation: CorrelationId,
-        /// How many milliseconds the lease lasts, counted from when the daemon sent the renewal.
+        /// The duration of the lease in milliseconds, measured from when the daemon sent the renewal.
         lease_ms: u32,
         /// The newest committed version of the spec.
         version: Version,
     },
-    /// A full spec to be installed.
+    /// A full spec to install.
     #[brw(magic = 4u8)]
     Spec {
-        /// Its version.
+        /// The version of the spec.
         version: Version,
         /// The daemon's view of the document as JSON, compressed by [`compress`](super::compress).
         document: ByteString,
     },
-    /// A newer spec to be installed, as a delta.
+    /// A newer spec to install, as a delta.
     #[brw(magic = 5u8)]
     SpecDelta {
         /// The version that the delta applies to.
@@ -360,54 +363,54 @@
     /// The full list of daemons.
     #[brw(magic = 6u8)]
     Hosts {
-        /// The number of this list; the next delta has the next number.
+        /// The number of this list. The next delta has the next number.
         number: u64,
         /// All daemons.
         hosts: LengthPrefixed<Host>,
-        /// Those among them that are suspected.
+        /// The daemons among them that are suspected.
         suspected: LengthPrefixed<MemberIncarnation>,
     },
-    /// What has changed in the list of daemons since the list or delta of the number before.
+    /// The changes to the list of daemons since the list or delta with the previous number.
     #[brw(magic = 15u8)]
     HostsDelta {
         /// The number of the resulting list.
         number: u64,
-        /// Daemons that are new, or of which something has changed.
+        /// The daemons that were added or changed.
         put: LengthPrefixed<Host>,
-        /// Daemons that are no longer listed.
+        /// The daemons that were removed.
         removed: LengthPrefixed<MemberName>,
-        /// All daemons that are suspected now.
+        /// All daemons that are now suspected.
         suspected: LengthPrefixed<MemberIncarnation>,
     },
     /// Answers `Acquire`.
     #[brw(magic = 7u8)]
     Acquired {
-        /// The request that is answered.
+        /// The correlation number of the request.
         correlation: CorrelationId,
         /// The function.
         function: FunctionKey,
-        /// The answer.
+        /// The result.
         result: AcquireResult,
     },
     /// Answers `Reserve`.
     #[brw(magic = 8u8)]
     Reserved {
-        /// The request that is answered.
+        /// The correlation number of the request.
         correlation: CorrelationId,
         /// The function.
         function: FunctionKey,
-        /// The answer.
+        /// The result.
         result: ReserveResult,
     },
-    /// A claim is not valid: the daemon stops its runners and forgets the function.
+    /// Rejects a claim: the daemon stops the function's runners and forgets the function.
     #[brw(magic = 9u8)]
     Revoke {
         /// The function.
         function: FunctionKey,
-        /// The fencing token of the lease that is not valid.
+        /// The fencing token of the invalid lease.
         fencing_token: FencingToken,
     },
-    /// The daemon is to let this runner finish its requests, then to stop it.
+    /// Orders the daemon to let a runner finish its requests, then stop it.
     #[brw(magic = 10u8)]
     Drain {
         /// The function.
@@ -415,23 +418,24 @@
         /// The runner.
         runner: RunnerId,
     },
-    /// The daemon is to hand this function over: to finish its requests, stop its runners and release it.
+    /// Orders the daemon to hand a function over: finish its requests, stop its runners and release it.
     #[brw(magic = 11u8)]
     HandOver {
         /// The function.
         function: FunctionKey,
-        /// The fencing token of the lease to be released.
+        /// The fencing token of the lease to release.
         fencing_token: FencingToken,
     },
-    /// Memory is short: the daemon is to stop the function's last runner if it is idle, and to keep the function.
+    /// Orders the daemon to stop a function's last runner if it is idle, because memory is short. The daemon keeps the
+    /// function.
     #[brw(magic = 13u8)]
     ReclaimIdle {
         /// The function.
         function: FunctionKey,
-        /// The fencing token of the lease that it is held under.
+        /// The fencing token of the holder's lease.
         fencing_token: FencingToken,
     },
-    /// The platform no longer lists this runner: it has ended, and its reservation is free.
+    /// Reports that the platform no longer lists a runner: the runner has ended, and its reservation is released.
     #[brw(magic = 14u8)]
     RunnerUnlisted {
         /// The function.
@@ -439,14 +443,14 @@
         /// The runner.
         runner: RunnerId,
     },
-    /// Another daemon is to keep the copy of a function's ledger. Answers `ReplicaLost`, or comes by itself.
+    /// Assigns another ledger replica to a function, in answer to `ReplicaLost` or unrequested.
     #[brw(magic = 12u8)]
     ReplicaAssigned {
         /// The function.
         function: FunctionKey,
-        /// The fencing token of the lease that it is held under.
+        /// The fencing token of the holder's lease.
         fencing_token: FencingToken,
-        /// That daemon; none if there is no other.
+        /// The new replica; empty if there is no other daemon.
         replica: LengthPrefixed<Host>,
     },
 }
