--- a/crates/common/src/identity/function.rs
+++ b/crates/common/src/identity/function.rs
@@ -1,12 +1,12 @@
-//! Functions by name and generation, and the set of callers that a lease covers.
+//! The keys of functions, by which leases are granted, and the indexes of functions in routing tables.
 
 use super::{FunctionName, Region, Version};
 use binrw::binrw;
 use std::fmt;
 use std::str::FromStr;
 
-/// What a function lease covers: a function's name with its generation, and the region whose callers are served under
-/// it.
+/// The key of a function lease: the function's name and generation, and the region whose callers are served under the
+/// lease.
 ///
 /// Its text form is `name@generation`, with `~region` appended to a regional key.
 #[binrw]
@@ -15,9 +15,9 @@
 pub struct FunctionKey {
     /// The function's name in the catalogue.
     pub name: FunctionName,
-    /// The document version that created it; a function deleted and created again is another function.
+    /// The document version that created the function. A function that is deleted and created again is a different one.
     pub generation: Version,
-    /// The only region whose callers are served under this key; empty for the key of all regions.
+    /// The region whose callers are served under this key; empty for the callers of all regions.
     pub region: Region,
 }
 
@@ -31,7 +31,7 @@
         }
     }
 
-    /// Returns the same function's key for the callers of one region alone.
+    /// Returns the same function's key for the callers of a single region.
     pub fn in_region(&self, region: &Region) -> Self {
         Self {
             name: self.name.clone(),
@@ -45,12 +45,12 @@
         Self::new(self.name.clone(), self.generation)
     }
 
-    /// Whether the key is for the callers of one region alone.
+    /// Whether the key is for the callers of a single region.
     pub fn is_regional(&self) -> bool {
         !self.region.as_str().is_empty()
     }
 
-    /// Whether both keys name the same function and generation, whatever their regions.
+    /// Whether both keys have the same function and generation, whatever their regions.
     pub fn is_same_function(&self, other: &Self) -> bool {
         self.name == other.name && self.generation == other.generation
     }
@@ -73,7 +73,7 @@
     }
 }
 
-/// A text is not a function key.
+/// The error for a text that is not a function key.
 #[derive(Debug, thiserror::Error)]
 #[error("{0:?} is not a function key")]
 pub struct FunctionKeyError(String);
@@ -91,6 +91,6 @@
     }
 }
 
-/// A function's index in one [`RoutingTable`](crate::spec::RoutingTable); not comparable between tables.
+/// The index of a function in one [`RoutingTable`](crate::spec::RoutingTable), not valid in other tables.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
 pub struct FunctionIndex(pub usize);
--- a/crates/common/src/identity/mod.rs
+++ b/crates/common/src/identity/mod.rs
@@ -1,7 +1,7 @@
-//! Newtypes for everything that has a name or a number.
+//! Newtypes for names, identities and counters.
 //!
-//! Each is its own type so that a function cannot be called with a member's name where a worker's is meant. All have a
-//! binary form for frames; names are cheap to clone.
+//! With a separate type for each, the compiler rejects a daemon's name where a worker's is expected. All of them except
+//! [`FunctionIndex`] have a binary form for frames. Names are cheap to clone.
 
 mod function;
 mod names;
--- a/crates/common/src/identity/names.rs
+++ b/crates/common/src/identity/names.rs
@@ -1,7 +1,7 @@
-//! Identities that are short texts.
+//! Names and identities that are short texts.
 //!
-//! In a frame each is its length in two bytes, then UTF-8; see [`write_text`](crate::frames::write_text). In JSON it is
-//! a string.
+//! In a frame, each is written as its length in two bytes, then UTF-8; see [`write_text`](crate::frames::write_text).
+//! In JSON, each is a string.
 
 use binrw::{BinRead, BinResult, BinWrite, Endian};
 use serde::{Serialize, Serializer};
@@ -16,7 +16,7 @@
         pub struct $name(Arc<str>);
 
         impl $name {
-            /// The name as text.
+            /// Returns the name as text.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -92,20 +92,20 @@
 names! {
     /// A function's name in the catalogue.
     FunctionName,
-    /// A failure domain: machines that may be lost together.
+    /// The name of a zone, a failure domain: its machines may fail together.
     Zone,
-    /// A group of zones that lie close together, as the settings define it.
+    /// The name of a region, a group of nearby zones that the settings define.
     Region,
     /// A daemon's name.
     MemberName,
     /// A worker's name.
     WorkerName,
-    /// The identity that a caller gives one request, so that a repeat of it can be recognized.
+    /// The key that a caller gives a request, so that repeats of the request are recognized.
     IdempotencyKey,
-    /// An operator's name for one change of the document.
+    /// The name that an operator gives a change to the document.
     ChangeId,
-    /// The platform's own name of a runner's instance; every start makes another instance.
+    /// The platform's name for an instance of a runner. Each start of a runner creates a new instance.
     InstanceId,
-    /// A short text in a frame: a method, a request target, a route's name, the name of a header field.
+    /// A short text in a frame: a method, a request target, the name of a route or the name of a header field.
     ShortString,
 }
--- a/crates/common/src/identity/numbers.rs
+++ b/crates/common/src/identity/numbers.rs
@@ -1,5 +1,5 @@
-//! Identities and counters that are 64-bit numbers, in frames big-endian. In JSON they are numbers, too, apart from a
-//! controller's identity, which is written in hexadecimal.
+//! Identities and counters that are 64-bit numbers, big-endian in frames. Those with a JSON form are numbers there too,
+//! except a controller's identity, which is a string in hexadecimal.
 
 use binrw::{BinRead, BinResult, BinWrite, Endian, binrw};
 use serde::{Serialize, Serializer};
@@ -13,7 +13,7 @@
         pub struct $name(pub u64);
 
         impl $name {
-            /// Returns the number that follows.
+            /// Returns the next number.
             pub fn next(self) -> Self {
                 Self(self.0 + 1)
             }
@@ -63,21 +63,21 @@
 }
 
 numbers! {
-    /// The number of a version of the replicated document; it grows by one with each version.
+    /// A version number of the replicated document, incremented by one with each version.
     #[derive(Serialize)]
     Version,
-    /// An election term: at most one controller leads in each.
+    /// An election term. At most one controller is the leader in each term.
     #[derive(Serialize)]
     Term,
-    /// The fencing token of one function lease, unique over all leaders; a later lease has a greater one.
+    /// The fencing token of a function lease, unique across all leaders. Later leases have greater tokens.
     FencingToken,
-    /// The incarnation of a daemon: each start of the process has another one.
+    /// The incarnation of a daemon, different for each start of the process.
     Incarnation,
     /// A controller's random identity, stored on its disk.
     ControllerId,
-    /// Ties a response to its request on a connection.
+    /// Matches a response to its request on a connection.
     CorrelationId,
-    /// Ties a completion to the work that was ordered from a driver.
+    /// Matches the completion of an operation to the operation that a driver was asked to perform.
     Ticket,
 }
 
@@ -88,18 +88,19 @@
 }
 
 impl FencingToken {
-    /// Builds a token that no other leader issues: the term in the upper 32 bits, the leader's own count in the lower.
+    /// Builds a token that no other leader issues: the leader's term is in the upper 32 bits, the number of tokens that
+    /// the leader has issued in the lower 32 bits.
     pub fn new(leader_term: Term, issued_count: u64) -> Self {
         Self((leader_term.0 << 32) | (issued_count & 0xffff_ffff))
     }
 }
 
-/// The full version of a document, ordered by term first, then by version number.
+/// The full version of a document, ordered by term, then by version number.
 #[binrw]
 #[brw(big)]
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Debug)]
 pub struct DocumentVersion {
-    /// The term in which it was last written.
+    /// The term in which the document was last written.
     pub term: Term,
     /// The version number.
     pub version: Version,
--- a/crates/common/src/identity/runner.rs
+++ b/crates/common/src/identity/runner.rs
@@ -1,32 +1,32 @@
-//! Runner identities.
+//! The identities of runners.
 
 use super::{FencingToken, InstanceId};
 use binrw::binrw;
 use std::fmt;
 use std::str::FromStr;
 
-/// A runner's identity: the fencing token of the lease it was started under, and an ordinal.
+/// The identity of a runner: the fencing token of a lease and an ordinal.
 ///
 /// Its text form is `r-TOKEN-ORDINAL`, both in hexadecimal.
 #[binrw]
 #[brw(big)]
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RunnerId {
-    /// The fencing token of the lease under which it was placed.
+    /// The fencing token of the lease under which the runner was placed.
     pub fencing_token: FencingToken,
-    /// The leader's number of this placement.
+    /// The number that the leader gave the placement.
     pub ordinal: u64,
 }
 
 impl RunnerId {
-    /// Returns the identity that an instance was started with, where the platform keeps it in the instance's name after
-    /// a dot. A runner that was adopted by a later holder still reports that one.
+    /// Returns the identity that an instance was started with, if the platform keeps it in the instance's name, after a
+    /// dot. A runner that a later holder has adopted still reports this identity.
     pub fn from_instance(instance: &InstanceId) -> Option<RunnerId> {
         instance.as_str().split_once('.')?.1.parse().ok()
     }
 
-    /// Returns the identity that the runner reports itself: the one it was started with if `instance` tells it, else
-    /// this one.
+    /// Returns the identity that the runner itself reports: the one that its instance was started with if the
+    /// instance's name contains it, otherwise this one.
     pub fn self_reported_id(self, instance: Option<&InstanceId>) -> RunnerId {
         instance.and_then(Self::from_instance).unwrap_or(self)
     }
@@ -44,7 +44,7 @@
     }
 }
 
-/// A text is not a runner identity.
+/// The error for a text that is not a runner identity.
 #[derive(Debug, thiserror::Error)]
 #[error("{0:?} is not a runner id")]
 pub struct RunnerIdError(String);
