--- a/crates/common/src/ring/mod.rs
+++ b/crates/common/src/ring/mod.rs
@@ -1,19 +1,19 @@
-//! The assignment of functions and watchers to daemons, computed alike by every process from the same list of hosts.
+//! Assigns functions and watchers to daemons. Every process computes the same assignment from the same list of hosts.
 //!
 //! A function's hash owner is found by rendezvous hashing (highest random weight; Thaler and Ravishankar, 1998), so
-//! that a lost daemon moves only its own functions. A daemon's watchers are its successors on a ring of hashed names.
+//! that only the functions of a lost daemon move. A daemon's watchers are its successors on a ring of hashed names.
 
 use crate::frames::Host;
 use crate::identity::{FunctionKey, MemberName, Region, Zone};
 use sha2::{Digest, Sha256};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The region of each zone, as the settings define it. A zone that they do not name is in none.
+/// The region of each zone, as defined in the settings. Other zones are in no region.
 #[derive(Clone, Default, PartialEq, Eq, Debug)]
 pub struct Regions(BTreeMap<Zone, Region>);
 
 impl Regions {
-    /// Creates the map from each zone's region.
+    /// Creates the map from the region of each zone.
     pub fn new(region_by_zone: BTreeMap<Zone, Region>) -> Self {
         Self(region_by_zone)
     }
@@ -24,6 +24,7 @@
     }
 }
 
+/// Hashes two texts to a number, for weights and ring positions.
 fn weight(first_part: &str, second_part: &str) -> u64 {
     let mut hasher = Sha256::new();
     hasher.update(first_part.as_bytes());
@@ -42,17 +43,18 @@
     ])
 }
 
-/// A link counts as wide if it has at least the widest link's bandwidth divided by this.
+/// A link counts as wide if its bandwidth is at least that of the widest link divided by this.
 const WIDE_LINK_DIVISOR: u32 = 4;
 
-/// A link of this many Mbit/s counts as wide beside any other: it carries a body of 256 KiB in a fifth of a second.
+/// A link of at least this many Mbit/s always counts as wide: it transfers a body of 256 KiB in a fifth of a second.
 const WIDE_LINK_MBPS: u32 = 10;
 
-/// Functions are placed on wide links only while there are at least this many.
+/// The minimum number of hosts on wide links; with fewer, functions are placed on all eligible hosts.
 const MIN_WIDE_HOSTS: usize = 3;
 
-/// Returns the hosts that may become hash owners: all eligible ones, or only those on wide links if there are enough of
-/// them, in more than one zone. All responses of a function pass through its holder's link.
+/// Returns the hosts that may become hash owners: only those on wide links if there are enough of them in more than one
+/// zone, otherwise all eligible hosts. Wide links are preferred because all responses of a function pass through its
+/// holder's link.
 pub fn candidate_hosts<'a>(hosts: impl Iterator<Item = &'a Host>) -> Vec<&'a Host> {
     let eligible_hosts: Vec<&Host> = hosts.filter(|host| host.eligible.0).collect();
     let widest = eligible_hosts
@@ -73,7 +75,7 @@
     }
 }
 
-/// Returns a function's hash owner, the daemon that requests its lease; none if no host is eligible.
+/// Returns a function's hash owner, the daemon that requests its lease, or `None` if no host is eligible.
 pub fn hash_owner<'a>(
     function: &FunctionKey,
     hosts: impl Iterator<Item = &'a Host>,
@@ -90,7 +92,7 @@
         .map(|(_, host)| host)
 }
 
-/// Returns the hash owner of any key; that of a regional key is a daemon of its region.
+/// Returns the hash owner of a function key. The owner of a regional key is a daemon in its region.
 pub fn hash_owner_in<'a>(
     function: &FunctionKey,
     hosts: impl Iterator<Item = &'a Host>,
@@ -105,21 +107,21 @@
     )
 }
 
-/// How many watchers of each daemon are in other zones than its own.
+/// The number of each daemon's watchers in zones other than its own.
 pub const OTHER_ZONE_WATCHERS: usize = 2;
 
-/// How many watchers of each daemon are in its own zone.
+/// The number of each daemon's watchers in its own zone.
 pub const OWN_ZONE_WATCHERS: usize = 1;
 
-/// Returns a member's position on the ring.
+/// Returns a daemon's position on the ring.
 pub fn ring_position(member: &MemberName) -> u64 {
     weight("ring", member.as_str())
 }
 
-/// Returns the daemons that watch a member: of those that follow it on the ring, the first two in other zones and the
-/// first in its own; where there are too few of one kind, more of the other.
+/// Returns the daemons that watch a host: of those that follow it on the ring, the first two in other zones and the
+/// first in its own zone. If there are too few of one kind, more of the other are chosen.
 ///
-/// The hosts are given with their positions on the ring.
+/// Each host is given with its position on the ring.
 pub fn watchers<'a>(
     watched_host: &Host,
     positioned_hosts: impl Iterator<Item = (u64, &'a Host)>,
