--- a/crates/common/tests/form_samples/mod.rs
+++ b/crates/common/tests/form_samples/mod.rs
@@ -1,8 +1,8 @@
-//! Sample values of the tests that hold forms.
+//! Sample values for the tests that compare forms with fixtures.
 
 use common::frames::SocketAddress;
 
-/// A sample address with the number in every part of it.
+/// Returns a sample address that is derived from a number.
 pub fn address(number: u8) -> SocketAddress {
     SocketAddress(
         format!("10.{number}.0.{}:{}", number + 1, 4000 + u16::from(number))
--- a/crates/common/tests/wire_forms.rs
+++ b/crates/common/tests/wire_forms.rs
@@ -1,4 +1,5 @@
-//! Every frame on the wire has the bytes that it had when the fixture was written, and is decoded from them.
+//! Compares the encoding of every frame, of the opening bytes of connections and of heartbeats with the fixtures, and
+//! decodes the fixtures. Guards against unintended changes to the wire format.
 
 #[path = "wire_forms/consensus_frames.rs"]
 mod consensus_frames;
@@ -24,7 +25,7 @@
 use forms::{Form, held_forms, hold};
 use googletest::prelude::*;
 use kinds::kinds;
-use parts::{SampleFrame, long, member_incarnation};
+use parts::{SampleFrame, counting_u64, member_incarnation};
 use std::net::Ipv4Addr;
 use std::time::Duration;
 use tokio::io::AsyncReadExt;
@@ -57,29 +58,29 @@
 }
 
 #[gtest]
-fn every_frame_is_decoded_from_its_held_bytes() -> Result<()> {
-    let held = held_forms(FRAMES)?;
+fn every_frame_is_decoded_from_the_fixture() -> Result<()> {
+    let fixture_forms = held_forms(FRAMES)?;
     let samples = sample_frames();
-    verify_that!(held.len(), eq(samples.len()))?;
-    for (held_form, sample) in held.iter().zip(samples) {
-        verify_that!(held_form.name, eq(&sample.name))?;
-        let held_bytes = bytes_of_hex(&held_form.text);
-        let (written_bytes, debug_form) = (sample.decode)(&held_bytes)?;
-        verify_that!(written_bytes == held_bytes, eq(true)).failure_message(&sample.name)?;
+    verify_that!(fixture_forms.len(), eq(samples.len()))?;
+    for (fixture_form, sample) in fixture_forms.iter().zip(samples) {
+        verify_that!(fixture_form.name, eq(&sample.name))?;
+        let fixture_bytes = bytes_of_hex(&fixture_form.text);
+        let (written_bytes, debug_form) = (sample.decode)(&fixture_bytes)?;
+        verify_that!(written_bytes == fixture_bytes, eq(true)).failure_message(&sample.name)?;
         verify_that!(debug_form, eq(&sample.expected.1)).failure_message(&sample.name)?;
     }
     Ok(())
 }
 
-/// The names that must be in the fixture, by themselves or as the beginning of others.
+/// The names that must be in the fixture, either in full or as the first part of a name.
 fn needed_names() -> Vec<String> {
-    let below = |above: &'static str, names: &'static [&'static str]| {
-        names.iter().map(move |name| format!("{above}/{name}"))
+    let below = |parent: &'static str, names: &'static [&'static str]| {
+        names.iter().map(move |name| format!("{parent}/{name}"))
     };
     let plain = [
         consensus_frames::CONSENSUS,
-        stream_frames::UP,
-        stream_frames::DOWN,
+        stream_frames::TO_LEADER,
+        stream_frames::TO_DAEMON,
         daemon_frames::DAEMONS,
     ];
     let plain_names = plain.into_iter().flatten().map(|name| (*name).to_owned());
@@ -97,17 +98,18 @@
 
 #[gtest]
 fn every_variant_is_in_the_fixture() -> Result<()> {
-    let held = held_forms(FRAMES)?;
-    let is_held = |needed: &str| {
-        let below = format!("{needed}/");
-        held.iter()
-            .any(|form| form.name == needed || form.name.starts_with(&below))
+    let fixture_forms = held_forms(FRAMES)?;
+    let is_in_fixture = |needed: &str| {
+        let prefix = format!("{needed}/");
+        fixture_forms
+            .iter()
+            .any(|form| form.name == needed || form.name.starts_with(&prefix))
     };
-    let lacking: Vec<String> = needed_names()
+    let missing: Vec<String> = needed_names()
         .into_iter()
-        .filter(|name| !is_held(name))
+        .filter(|name| !is_in_fixture(name))
         .collect();
-    verify_that!(lacking, is_empty())
+    verify_that!(missing, is_empty())
 }
 
 kinds!(CHANNELS, channel_kind, Channel, {
@@ -124,7 +126,7 @@
         .await
         .expect("a listener");
     let std::net::SocketAddr::V4(address) = listener.local_addr().expect("an address") else {
-        panic!("not of the fourth version")
+        panic!("not an IPv4 address")
     };
     let timeout = Duration::from_secs(10);
     let dialed = dial(Ipv4Addr::LOCALHOST, address.into(), channel, timeout).await;
@@ -151,12 +153,12 @@
     append_frame(
         &mut framed_bytes,
         &DaemonToLeader::Installed {
-            version: Version(long(0x10)),
+            version: Version(counting_u64(0x10)),
         },
     )
     .expect("a frame");
     forms.push(form("two-frames", &framed_bytes));
-    hold(OPENINGS, &forms).expect("held");
+    hold(OPENINGS, &forms).expect("the forms of the fixture");
     assert!(
         CHANNELS
             .iter()
@@ -165,24 +167,26 @@
 }
 
 #[tokio::test]
-async fn connections_are_accepted_from_their_held_opening_bytes() {
-    let held = held_forms(OPENINGS).expect("forms");
+async fn opening_bytes_of_the_fixture_are_accepted() {
+    let fixture_forms = held_forms(OPENINGS).expect("forms");
     for channel in ALL_CHANNELS {
-        let held_form = held.iter().find(|form| form.name == channel_kind(&channel));
-        let held_bytes = bytes_of_hex(&held_form.expect("held").text);
+        let fixture_form = fixture_forms
+            .iter()
+            .find(|form| form.name == channel_kind(&channel));
+        let fixture_bytes = bytes_of_hex(&fixture_form.expect("a form").text);
         assert_eq!(
-            read_channel(&mut held_bytes.as_slice())
+            read_channel(&mut fixture_bytes.as_slice())
                 .await
                 .expect("a channel"),
             channel
         );
     }
-    let two_frames = held
+    let two_frames = fixture_forms
         .iter()
         .find(|form| form.name == "two-frames")
-        .expect("held");
-    let held_bytes = bytes_of_hex(&two_frames.text);
-    let mut reader = held_bytes.as_slice();
+        .expect("a form");
+    let fixture_bytes = bytes_of_hex(&two_frames.text);
+    let mut reader = fixture_bytes.as_slice();
     let first = read_frame::<_, DaemonToLeader>(&mut reader)
         .await
         .expect("a frame");
@@ -191,7 +195,7 @@
         .await
         .expect("a frame");
     assert!(
-        matches!(second, DaemonToLeader::Installed { version } if version == Version(long(0x10)))
+        matches!(second, DaemonToLeader::Installed { version } if version == Version(counting_u64(0x10)))
     );
     assert!(reader.is_empty());
 }
@@ -199,8 +203,8 @@
 fn heartbeats() -> [(&'static str, Heartbeat); 2] {
     let heartbeat = |suspicions| Heartbeat {
         member: "daemon-1".into(),
-        incarnation: long(0x10).into(),
-        sequence_number: long(0x18),
+        incarnation: counting_u64(0x10).into(),
+        sequence_number: counting_u64(0x18),
         suspicions: LengthPrefixed(suspicions),
     };
     let suspicions = vec![
@@ -229,13 +233,13 @@
 }
 
 #[gtest]
-fn heartbeats_are_decoded_from_their_held_bytes() -> Result<()> {
-    let held = held_forms(HEARTBEATS)?;
-    verify_that!(held.len(), eq(heartbeats().len()))?;
-    for (held_form, (name, heartbeat)) in held.iter().zip(heartbeats()) {
-        verify_that!(held_form.name, eq(name))?;
+fn heartbeats_are_decoded_from_the_fixture() -> Result<()> {
+    let fixture_forms = held_forms(HEARTBEATS)?;
+    verify_that!(fixture_forms.len(), eq(heartbeats().len()))?;
+    for (fixture_form, (name, heartbeat)) in fixture_forms.iter().zip(heartbeats()) {
+        verify_that!(fixture_form.name, eq(name))?;
         verify_that!(
-            decode_heartbeat(&bytes_of_hex(&held_form.text))?,
+            decode_heartbeat(&bytes_of_hex(&fixture_form.text))?,
             eq(&heartbeat)
         )?;
     }
--- a/crates/common/tests/wire_forms/consensus_frames.rs
+++ b/crates/common/tests/wire_forms/consensus_frames.rs
@@ -2,7 +2,7 @@
 
 use crate::form_samples::address;
 use crate::kinds::kinds;
-use crate::parts::{SampleFrame, document_version, long, sample_frame};
+use crate::parts::{SampleFrame, counting_u64, document_version, sample_frame};
 use common::frames::{
     ConsensusFrame, ConsensusMessage, Flag, KnownMember, LengthPrefixed, SocketAddress,
 };
@@ -25,7 +25,7 @@
 fn known_members() -> LengthPrefixed<KnownMember> {
     let known = |number: u8| KnownMember {
         member: format!("daemon-{number}").into(),
-        incarnation: long(number).into(),
+        incarnation: counting_u64(number).into(),
         address: address(number),
     };
     LengthPrefixed(vec![known(1), known(2)])
@@ -33,7 +33,7 @@
 
 fn in_frame(body: ConsensusMessage) -> ConsensusFrame {
     ConsensusFrame {
-        from: ControllerId(long(0xe0)),
+        from: ControllerId(counting_u64(0xe0)),
         address: address(201),
         operators: address(203),
         zone: "zone-\u{e9}".into(),
@@ -41,7 +41,7 @@
     }
 }
 
-/// The end of a sample's name, where a kind has several samples, and the message.
+/// The suffix of a sample's name, needed if a variant has several samples, and the message.
 type Sample = (&'static str, ConsensusMessage);
 
 fn votes(term: Term) -> [Sample; 4] {
@@ -52,7 +52,7 @@
     };
     let pre_vote_response = ConsensusMessage::VoteResponse {
         term,
-        requested_term: Term(long(0x18)),
+        requested_term: Term(counting_u64(0x18)),
         is_pre_vote: Flag(true),
         granted: Flag(false),
         members: LengthPrefixed(Vec::new()),
@@ -60,7 +60,7 @@
     };
     let vote_response = ConsensusMessage::VoteResponse {
         term,
-        requested_term: Term(long(0x18)),
+        requested_term: Term(counting_u64(0x18)),
         is_pre_vote: Flag(false),
         granted: Flag(true),
         members: known_members(),
@@ -77,7 +77,7 @@
 fn heartbeats(term: Term) -> [Sample; 3] {
     let heartbeat = |members, complete| ConsensusMessage::Heartbeat {
         term,
-        round: long(0x18),
+        round: counting_u64(0x18),
         accepted: document_version(0x20),
         committed: document_version(0x30),
         members,
@@ -85,7 +85,7 @@
     };
     let response = ConsensusMessage::HeartbeatResponse {
         term,
-        round: long(0x18),
+        round: counting_u64(0x18),
         accepted: document_version(0x20),
     };
     [
@@ -131,7 +131,7 @@
 }
 
 fn samples() -> Vec<Sample> {
-    let term = Term(long(0x10));
+    let term = Term(counting_u64(0x10));
     let hello = |diskless| ConsensusMessage::Hello {
         accepted: document_version(0x20),
         term,
@@ -159,10 +159,10 @@
     samples
 }
 
-/// All samples.
+/// Returns the samples of all variants.
 pub fn sample_frames() -> Vec<SampleFrame> {
-    let as_sample_frame = |(rest, body): Sample| {
-        let name = format!("{}{rest}", consensus_kind(&body));
+    let as_sample_frame = |(suffix, body): Sample| {
+        let name = format!("{}{suffix}", consensus_kind(&body));
         sample_frame(name, &in_frame(body))
     };
     samples().into_iter().map(as_sample_frame).collect()
--- a/crates/common/tests/wire_forms/daemon_frames.rs
+++ b/crates/common/tests/wire_forms/daemon_frames.rs
@@ -1,7 +1,9 @@
 //! Sample frames between daemons: requests, outcomes and ledger entries.
 
 use crate::kinds::kinds;
-use crate::parts::{SampleFrame, fencing_token, function, host, long, runner, sample_frame, short};
+use crate::parts::{
+    SampleFrame, counting_u32, counting_u64, fencing_token, function, host, runner, sample_frame,
+};
 use common::frames::{
     DaemonFrame, DaemonMessage, Flag, HeaderField, LedgerRecord, LedgerRecordState, LengthPrefixed,
     RequestFailureReason, RequestOutcome, RequestPayload,
@@ -51,7 +53,7 @@
     LedgerRecordState::Rejected => "refused",
 });
 
-/// Every reason. That none is missing is found by `REASONS`, of which each must be in the fixture.
+/// All reasons. If one were missing, the test that looks for each name in `REASONS` in the fixture would fail.
 pub const ALL_REASONS: [RequestFailureReason; 16] = [
     RequestFailureReason::NotHolder,
     RequestFailureReason::QueueFull,
@@ -104,8 +106,8 @@
         idempotency_key: "try-1".into(),
         function: all_regions_key.in_region(&region.into()),
         route: "segment-check-post".into(),
-        version: Version(long(0x40)),
-        time_limit_ms: short(0x48),
+        version: Version(counting_u64(0x40)),
+        time_limit_ms: counting_u32(0x48),
         hops: 0x4c,
         repeat: Flag(repeat),
         wants_referral: Flag(wants_referral),
@@ -118,7 +120,7 @@
     LedgerRecord {
         idempotency_key: format!("try-{number}").into(),
         state,
-        remaining_ms: short(0xa0 + number * 4),
+        remaining_ms: counting_u32(0xa0 + number * 4),
     }
 }
 
@@ -130,7 +132,7 @@
     }
 }
 
-/// The end of a sample's name, and the message.
+/// The suffix of a sample's name, and the message.
 type Sample = (String, DaemonMessage);
 
 fn outcomes() -> Vec<Sample> {
@@ -149,13 +151,13 @@
     let not_run = |reason: RequestFailureReason| {
         completed(RequestOutcome::NotRun {
             reason,
-            retry_after_ms: short(0x5a),
+            retry_after_ms: counting_u32(0x5a),
         })
     };
     let unknown = |reason: RequestFailureReason| completed(RequestOutcome::Unknown { reason });
-    let name = |body: &DaemonMessage, rest: &str| match body {
-        DaemonMessage::Completed { outcome, .. } => format!("/{}/{rest}", outcome_kind(outcome)),
-        _ => format!("/{rest}"),
+    let name = |body: &DaemonMessage, suffix: &str| match body {
+        DaemonMessage::Completed { outcome, .. } => format!("/{}/{suffix}", outcome_kind(outcome)),
+        _ => format!("/{suffix}"),
     };
     let responses = [
         ("by-another", completed(response)),
@@ -164,11 +166,12 @@
     let not_runs = ALL_REASONS.map(|reason| (reason_kind(&reason), not_run(reason)));
     let unknowns = ALL_REASONS.map(|reason| (reason_kind(&reason), unknown(reason)));
     let all = responses.into_iter().chain(not_runs).chain(unknowns);
-    all.map(|(rest, body)| (name(&body, rest), body)).collect()
+    all.map(|(suffix, body)| (name(&body, suffix), body))
+        .collect()
 }
 
 fn record_samples() -> Vec<Sample> {
-    let incarnation = long(0x90).into();
+    let incarnation = counting_u64(0x90).into();
     let record_of = |state: LedgerRecordState| DaemonMessage::Record {
         function: function(),
         fencing_token: fencing_token(),
@@ -197,16 +200,16 @@
 }
 
 fn collection_samples() -> Vec<Sample> {
-    let incarnation = long(0x90).into();
+    let incarnation = counting_u64(0x90).into();
     let records: Vec<LedgerRecord> = (1..)
         .zip(ALL_STATES)
-        .map(|(n, state)| record(n, state))
+        .map(|(number, state)| record(number, state))
         .collect();
     let collected = |complete| DaemonMessage::Collected {
         complete: Flag(complete),
         records: LengthPrefixed(records.clone()),
     };
-    let digests = LengthPrefixed(vec![long(0xb0), 0, long(0xb8)]);
+    let digests = LengthPrefixed(vec![counting_u64(0xb0), 0, counting_u64(0xb8)]);
     vec![
         (
             String::new(),
@@ -236,7 +239,7 @@
     ]
 }
 
-/// All samples.
+/// Returns the samples of all variants.
 pub fn sample_frames() -> Vec<SampleFrame> {
     let bare_request = DaemonMessage::FunctionRequest {
         idempotency_key: "".into(),
@@ -258,12 +261,12 @@
     samples.extend(outcomes());
     samples.extend(record_samples());
     samples.extend(collection_samples());
-    let as_sample_frame = |(rest, body): Sample| {
-        let name = format!("{}{rest}", daemon_kind(&body));
+    let as_sample_frame = |(suffix, body): Sample| {
+        let name = format!("{}{suffix}", daemon_kind(&body));
         sample_frame(
             name,
             &DaemonFrame {
-                correlation: CorrelationId(long(0x08)),
+                correlation: CorrelationId(counting_u64(0x08)),
                 body,
             },
         )
--- a/crates/common/tests/wire_forms/kinds.rs
+++ b/crates/common/tests/wire_forms/kinds.rs
@@ -1,13 +1,14 @@
-//! Lists of an enum's variants that cannot fall behind it.
+//! Lists of the names of an enum's variants, kept complete by the compiler.
 
-/// Makes a list of the variants' names, and a function that names a value's variant by a match without a wildcard:
-/// a variant that is not listed does not compile, and one that is listed needs a form in the fixture.
+/// Defines a list of the names of an enum's variants, and a function that returns the name of a value's variant. The
+/// function matches without a wildcard, so that a missing variant is a compile error. Each listed name must have a form
+/// in the fixture.
 macro_rules! kinds {
     ($names:ident, $name_of:ident, $type:ty, { $($pattern:pat => $name:literal,)+ }) => {
         /// The names of all variants.
         pub const $names: &[&str] = &[$($name),+];
 
-        /// The name of a value's variant.
+        /// Returns the name of a value's variant.
         pub fn $name_of(value: &$type) -> &'static str {
             match value {
                 $($pattern => $name,)+
--- a/crates/common/tests/wire_forms/parts.rs
+++ b/crates/common/tests/wire_forms/parts.rs
@@ -1,4 +1,5 @@
-//! Fixed sample values for the parts of frames. No two are alike, and the order of their bytes shows.
+//! Fixed sample values for the parts of frames. The values are distinct, and the bytes of each number differ, so that
+//! swapped fields or a wrong byte order change the encoding.
 
 use crate::form_samples::address;
 use binrw::meta::{ReadEndian, WriteEndian};
@@ -10,27 +11,27 @@
 use common::identity::{DocumentVersion, FencingToken, FunctionKey, RunnerId, Term, Version};
 use std::fmt::Debug;
 
-/// A decoded frame: its bytes when it is encoded again, and its debug form.
-pub type Decoded = (Vec<u8>, String);
+/// The encoded bytes of a frame and its `Debug` text.
+pub type EncodedFrame = (Vec<u8>, String);
 
-/// One frame of the fixture.
+/// A sample of a frame, with its form in the fixture.
 pub struct SampleFrame {
-    /// Its name in the fixture.
+    /// The sample's name in the fixture.
     pub name: String,
-    /// Its bytes, and its debug form.
-    pub expected: Decoded,
-    /// Decodes a frame of its kind.
-    pub decode: fn(&[u8]) -> Result<Decoded, FrameError>,
+    /// The expected bytes and `Debug` text.
+    pub expected: EncodedFrame,
+    /// Decodes a frame of the sample's type, and encodes it again.
+    pub decode: fn(&[u8]) -> Result<EncodedFrame, FrameError>,
 }
 
-fn written<T>(frame: &T) -> Result<Decoded, FrameError>
+fn encoded<T>(frame: &T) -> Result<EncodedFrame, FrameError>
 where
     T: Debug + for<'a> BinWrite<Args<'a> = ()> + WriteEndian,
 {
     Ok((encode(frame)?, format!("{frame:?}")))
 }
 
-/// Makes a sample of a frame.
+/// Creates a sample from a frame.
 pub fn sample_frame<T>(name: impl Into<String>, frame: &T) -> SampleFrame
 where
     T: Debug
@@ -41,68 +42,68 @@
 {
     SampleFrame {
         name: name.into(),
-        expected: written(frame).expect("a frame as bytes"),
-        decode: |frame_bytes| written(&decode::<T>(frame_bytes)?),
+        expected: encoded(frame).expect("a frame as bytes"),
+        decode: |frame_bytes| encoded(&decode::<T>(frame_bytes)?),
     }
 }
 
-/// A number whose eight bytes count up from the first.
-pub fn long(first: u8) -> u64 {
+/// Returns a number whose eight bytes count up from the first.
+pub fn counting_u64(first: u8) -> u64 {
     (0..8).fold(0, |number, step| number << 8 | u64::from(first + step))
 }
 
-/// A number whose four bytes count up from the first.
-pub fn short(first: u8) -> u32 {
+/// Returns a number whose four bytes count up from the first.
+pub fn counting_u32(first: u8) -> u32 {
     (0..4).fold(0, |number, step| number << 8 | u32::from(first + step))
 }
 
-/// A full version.
+/// Returns a full version.
 pub fn document_version(first: u8) -> DocumentVersion {
     DocumentVersion {
-        term: Term(long(first)),
-        version: Version(long(first + 8)),
+        term: Term(counting_u64(first)),
+        version: Version(counting_u64(first + 8)),
     }
 }
 
-/// A function's key for the callers of all regions.
+/// Returns a function's key for the callers of all regions.
 pub fn function() -> FunctionKey {
-    FunctionKey::new("segment-check", Version(long(0x60)))
+    FunctionKey::new("segment-check", Version(counting_u64(0x60)))
 }
 
-/// A fencing token.
+/// Returns a fencing token.
 pub fn fencing_token() -> FencingToken {
     FencingToken::new(Term(0x51), 0x5253)
 }
 
-/// A daemon.
+/// Returns a daemon.
 pub fn host(number: u8, is_eligible: bool) -> Host {
     Host {
         member: format!("daemon-{number}").into(),
-        incarnation: long(number).into(),
+        incarnation: counting_u64(number).into(),
         zone: format!("zone-{number}").into(),
         address: address(number),
         eligible: Flag(is_eligible),
-        link_mbps: short(number + 8),
+        link_mbps: counting_u32(number + 8),
     }
 }
 
-/// One incarnation of a daemon.
+/// Returns an incarnation of a daemon.
 pub fn member_incarnation(number: u8) -> MemberIncarnation {
     MemberIncarnation {
         member: format!("daemon-{number}").into(),
-        incarnation: long(number).into(),
+        incarnation: counting_u64(number).into(),
     }
 }
 
-/// A runner's identity.
+/// Returns a runner's identity.
 pub fn runner(ordinal: u8) -> RunnerId {
     RunnerId {
         fencing_token: fencing_token(),
-        ordinal: long(ordinal),
+        ordinal: counting_u64(ordinal),
     }
 }
 
-/// One instance of a runner.
+/// Returns an instance of a runner.
 pub fn instance(number: u8) -> Instance {
     Instance {
         name: format!("life-{number}.r-51-{number:x}").into(),
@@ -110,13 +111,13 @@
     }
 }
 
-/// Two runners of a claim: one that is ready and adoptable, and one whose instance is not known.
+/// Returns two runners of a claim: one that is adoptable, and one whose instance is unknown.
 pub fn claim_runners() -> LengthPrefixed<ClaimedRunner> {
     LengthPrefixed(vec![
         ClaimedRunner {
             runner: runner(0x70),
             worker: "worker-7".into(),
-            memory_mb: short(0x74),
+            memory_mb: counting_u32(0x74),
             instance: LengthPrefixed(vec![instance(7)]),
             is_adoptable: Flag(true),
         },
--- a/crates/common/tests/wire_forms/stream_frames.rs
+++ b/crates/common/tests/wire_forms/stream_frames.rs
@@ -1,11 +1,11 @@
-//! Sample frames between a daemon and the leader.
+//! Sample frames of the control stream between a daemon and the leader.
 
 use crate::daemon_frames::{ALL_REASONS, reason_kind};
 use crate::form_samples::address;
 use crate::kinds::kinds;
 use crate::parts::{
-    SampleFrame, claim_runners, fencing_token, function, host, instance, long, member_incarnation,
-    runner, sample_frame, short,
+    SampleFrame, claim_runners, counting_u32, counting_u64, fencing_token, function, host,
+    instance, member_incarnation, runner, sample_frame,
 };
 use common::frames::{
     AcquireResult, Claim, DaemonToLeader, Flag, IdleFunction, LeaderToDaemon, LengthPrefixed,
@@ -13,7 +13,7 @@
 };
 use common::identity::{CorrelationId, FencingToken, Term, Version};
 
-kinds!(UP, up_kind, DaemonToLeader, {
+kinds!(TO_LEADER, to_leader_kind, DaemonToLeader, {
     DaemonToLeader::Hello { .. } => "stream-up/hello",
     DaemonToLeader::Claims { .. } => "stream-up/claims",
     DaemonToLeader::Renew { .. } => "stream-up/renew",
@@ -39,7 +39,7 @@
     RunnerStatus::Started { .. } => "begun",
 });
 
-kinds!(DOWN, down_kind, LeaderToDaemon, {
+kinds!(TO_DAEMON, to_daemon_kind, LeaderToDaemon, {
     LeaderToDaemon::Redirect { .. } => "stream-down/elsewhere",
     LeaderToDaemon::Welcome { .. } => "stream-down/welcome",
     LeaderToDaemon::Renewed { .. } => "stream-down/renewed",
@@ -75,14 +75,14 @@
     DaemonToLeader::Hello {
         host: host(1, is_eligible),
         ingress: address(2),
-        version: Version(long(0x20)),
-        age_ms: short(0x28),
+        version: Version(counting_u64(0x20)),
+        age_ms: counting_u32(0x28),
         granted: Flag(granted),
     }
 }
 
 fn claims() -> DaemonToLeader {
-    let held = Claim {
+    let held_claim = Claim {
         function: function(),
         fencing_token: fencing_token(),
         runners: claim_runners(),
@@ -90,16 +90,16 @@
         replica: LengthPrefixed(vec![host(4, true)]),
         complete: Flag(true),
     };
-    let is_releasing = Claim {
+    let releasing_claim = Claim {
         function: function().in_region(&"east".into()),
-        fencing_token: FencingToken(long(0x30)),
+        fencing_token: FencingToken(counting_u64(0x30)),
         runners: LengthPrefixed(Vec::new()),
         is_releasing: Flag(true),
         replica: LengthPrefixed(Vec::new()),
         complete: Flag(false),
     };
     DaemonToLeader::Claims {
-        claims: LengthPrefixed(vec![held, is_releasing]),
+        claims: LengthPrefixed(vec![held_claim, releasing_claim]),
     }
 }
 
@@ -118,9 +118,9 @@
     })
 }
 
-type UpSample = (&'static str, DaemonToLeader);
+type ToLeaderSample = (&'static str, DaemonToLeader);
 
-fn session_samples() -> Vec<UpSample> {
+fn session_samples() -> Vec<ToLeaderSample> {
     vec![
         ("/staying", hello(true, false)),
         ("/leaving", hello(false, true)),
@@ -135,19 +135,19 @@
             "",
             DaemonToLeader::Renew {
                 correlation: CORRELATION,
-                version: Version(long(0x20)),
+                version: Version(counting_u64(0x20)),
             },
         ),
         (
             "",
             DaemonToLeader::Installed {
-                version: Version(long(0x20)),
+                version: Version(counting_u64(0x20)),
             },
         ),
     ]
 }
 
-fn lease_samples() -> Vec<UpSample> {
+fn lease_samples() -> Vec<ToLeaderSample> {
     let (function, fencing_token) = (function(), fencing_token());
     vec![
         ("", DaemonToLeader::FullSpecRequest),
@@ -177,12 +177,12 @@
     ]
 }
 
-fn report_samples() -> Vec<UpSample> {
+fn report_samples() -> Vec<ToLeaderSample> {
     let (function, fencing_token) = (function(), fencing_token());
     let idle = |function, idle_ms| IdleFunction { function, idle_ms };
     let idle_functions = vec![
-        idle(function.clone(), short(0x40)),
-        idle(function.in_region(&"east".into()), short(0x44)),
+        idle(function.clone(), counting_u32(0x40)),
+        idle(function.in_region(&"east".into()), counting_u32(0x44)),
     ];
     vec![
         ("", DaemonToLeader::Leaving),
@@ -224,7 +224,7 @@
     ]
 }
 
-fn up_samples() -> Vec<UpSample> {
+fn to_leader_samples() -> Vec<ToLeaderSample> {
     let mut samples = session_samples();
     samples.extend(lease_samples());
     samples.extend(report_samples());
@@ -234,7 +234,7 @@
             "",
             DaemonToLeader::Rejections {
                 function: crate::parts::function(),
-                count: short(0x48),
+                count: counting_u32(0x48),
                 reason,
             },
         )
@@ -242,29 +242,29 @@
     samples
 }
 
-fn up_name(rest: &str, frame: &DaemonToLeader) -> String {
-    let kind = up_kind(frame);
+fn to_leader_name(suffix: &str, frame: &DaemonToLeader) -> String {
+    let kind = to_leader_kind(frame);
     match frame {
         DaemonToLeader::RunnerUpdate { runner_status, .. } => {
             format!("{kind}/{}", status_kind(runner_status))
         }
         DaemonToLeader::Rejections { reason, .. } => format!("{kind}/{}", reason_kind(reason)),
-        _ => format!("{kind}{rest}"),
+        _ => format!("{kind}{suffix}"),
     }
 }
 
-fn acquisitions() -> [DownSample; 5] {
+fn acquisitions() -> [ToDaemonSample; 5] {
     let granted = AcquireResult::Granted {
         fencing_token: fencing_token(),
-        once_wait_ms: short(0x50),
+        once_wait_ms: counting_u32(0x50),
         replica: LengthPrefixed(vec![host(8, true)]),
         previous_lease: LengthPrefixed(vec![PreviousLease {
             replica: host(9, false),
-            fencing_token: FencingToken(long(0x54)),
+            fencing_token: FencingToken(counting_u64(0x54)),
         }]),
         adopted: claim_runners(),
     };
-    let granted_anew = AcquireResult::Granted {
+    let first_lease = AcquireResult::Granted {
         fencing_token: fencing_token(),
         once_wait_ms: 0,
         replica: LengthPrefixed(Vec::new()),
@@ -273,7 +273,7 @@
     };
     let results = [
         ("/after-another", granted),
-        ("/anew", granted_anew),
+        ("/anew", first_lease),
         (
             "",
             AcquireResult::HeldBy {
@@ -284,13 +284,13 @@
         (
             "",
             AcquireResult::RetryLater {
-                wait_ms: short(0x58),
+                wait_ms: counting_u32(0x58),
             },
         ),
     ];
-    results.map(|(rest, result)| {
+    results.map(|(suffix, result)| {
         (
-            rest,
+            suffix,
             LeaderToDaemon::Acquired {
                 correlation: CORRELATION,
                 function: function(),
@@ -300,11 +300,11 @@
     })
 }
 
-fn reservations() -> [DownSample; 2] {
+fn reservations() -> [ToDaemonSample; 2] {
     let reserved = ReserveResult::Reserved {
         runner: runner(0x5c),
         worker: "worker-9".into(),
-        memory_mb: short(0x64),
+        memory_mb: counting_u32(0x64),
     };
     [reserved, ReserveResult::Rejected].map(|result| {
         (
@@ -318,17 +318,17 @@
     })
 }
 
-fn host_lists() -> [DownSample; 3] {
+fn host_lists() -> [ToDaemonSample; 3] {
     let hosts = LengthPrefixed(vec![host(11, true), host(12, false)]);
     let suspected = LengthPrefixed(vec![member_incarnation(12), member_incarnation(13)]);
-    let none = LeaderToDaemon::HostsDelta {
-        number: long(0x68),
+    let empty_delta = LeaderToDaemon::HostsDelta {
+        number: counting_u64(0x68),
         put: LengthPrefixed(Vec::new()),
         removed: LengthPrefixed(Vec::new()),
         suspected: LengthPrefixed(Vec::new()),
     };
-    let changed = LeaderToDaemon::HostsDelta {
-        number: long(0x68),
+    let delta = LeaderToDaemon::HostsDelta {
+        number: counting_u64(0x68),
         put: hosts.clone(),
         removed: LengthPrefixed(vec!["daemon-14".into(), "daemon-15".into()]),
         suspected: suspected.clone(),
@@ -337,32 +337,32 @@
         (
             "",
             LeaderToDaemon::Hosts {
-                number: long(0x68),
+                number: counting_u64(0x68),
                 hosts,
                 suspected,
             },
         ),
-        ("/some", changed),
-        ("/none", none),
+        ("/some", delta),
+        ("/none", empty_delta),
     ]
 }
 
-type DownSample = (&'static str, LeaderToDaemon);
+type ToDaemonSample = (&'static str, LeaderToDaemon);
 
-fn opening_samples() -> Vec<DownSample> {
+fn opening_samples() -> Vec<ToDaemonSample> {
     let renewed = LeaderToDaemon::Renewed {
         correlation: CORRELATION,
-        lease_ms: short(0x70),
-        version: Version(long(0x74)),
+        lease_ms: counting_u32(0x70),
+        version: Version(counting_u64(0x74)),
     };
     let delta = LeaderToDaemon::SpecDelta {
-        base: Version(long(0x74)),
-        version: Version(long(0x7c)),
+        base: Version(counting_u64(0x74)),
+        version: Version(counting_u64(0x7c)),
         delta: b"{\"base\":3}".to_vec().into(),
         digest: (0x80..0xa0).collect::<Vec<u8>>().into(),
     };
     let spec = LeaderToDaemon::Spec {
-        version: Version(long(0x74)),
+        version: Version(counting_u64(0x74)),
         document: b"{\"serial\":4}".to_vec().into(),
     };
     vec![
@@ -381,7 +381,7 @@
         (
             "",
             LeaderToDaemon::Welcome {
-                term: Term(long(0x74)),
+                term: Term(counting_u64(0x74)),
             },
         ),
         ("", renewed),
@@ -390,7 +390,7 @@
     ]
 }
 
-fn order_samples() -> Vec<DownSample> {
+fn order_samples() -> Vec<ToDaemonSample> {
     let (function, fencing_token, runner) = (function(), fencing_token(), runner(0x6c));
     let replica = |replica| LeaderToDaemon::ReplicaAssigned {
         function: crate::parts::function(),
@@ -432,7 +432,7 @@
     ]
 }
 
-fn down_samples() -> Vec<DownSample> {
+fn to_daemon_samples() -> Vec<ToDaemonSample> {
     let mut samples = opening_samples();
     samples.extend(order_samples());
     samples.extend(host_lists());
@@ -441,24 +441,24 @@
     samples
 }
 
-fn down_name(rest: &str, frame: &LeaderToDaemon) -> String {
-    let kind = down_kind(frame);
+fn to_daemon_name(suffix: &str, frame: &LeaderToDaemon) -> String {
+    let kind = to_daemon_kind(frame);
     match frame {
         LeaderToDaemon::Acquired { result, .. } => {
-            format!("{kind}/{}{rest}", acquired_kind(result))
+            format!("{kind}/{}{suffix}", acquired_kind(result))
         }
         LeaderToDaemon::Reserved { result, .. } => format!("{kind}/{}", reserved_kind(result)),
-        _ => format!("{kind}{rest}"),
+        _ => format!("{kind}{suffix}"),
     }
 }
 
-/// All samples, of both directions.
+/// Returns the samples of all variants, in both directions.
 pub fn sample_frames() -> Vec<SampleFrame> {
-    let up_frames = up_samples()
+    let to_leader_frames = to_leader_samples()
         .into_iter()
-        .map(|(rest, frame)| sample_frame(up_name(rest, &frame), &frame));
-    let down_frames = down_samples()
+        .map(|(suffix, frame)| sample_frame(to_leader_name(suffix, &frame), &frame));
+    let to_daemon_frames = to_daemon_samples()
         .into_iter()
-        .map(|(rest, frame)| sample_frame(down_name(rest, &frame), &frame));
-    up_frames.chain(down_frames).collect()
+        .map(|(suffix, frame)| sample_frame(to_daemon_name(suffix, &frame), &frame));
+    to_leader_frames.chain(to_daemon_frames).collect()
 }
