--- a/crates/common/tests/compression.rs
+++ b/crates/common/tests/compression.rs
@@ -1,4 +1,4 @@
-//! Compressed texts are restored; corrupt ones are an error.
+//! Round trips of compressed texts, and errors for corrupt ones.
 
 use common::frames::{ByteString, compress, decompress};
 use common::rng::SeededRng;
@@ -9,9 +9,9 @@
     let mut rng = SeededRng::seeded(4);
     for _ in 0..200 {
         let length = rng.below(5000) as usize;
-        let letters = 1 + rng.below(200);
+        let alphabet_size = 1 + rng.below(200);
         let text: Vec<u8> = (0..length)
-            .map(|_| b'{' ^ rng.below(letters) as u8)
+            .map(|_| b'{' ^ rng.below(alphabet_size) as u8)
             .collect();
         let text = [b"{".as_slice(), &text].concat();
         verify_that!(decompress(&compress(&text))? == text, eq(true))?;
@@ -23,8 +23,8 @@
 #[gtest]
 fn corrupt_compressed_bytes_are_an_error() -> Result<()> {
     let compressed = compress("abcdefgh".repeat(400).as_bytes());
-    let cut = ByteString::from(compressed.0[..compressed.0.len() / 2].to_vec());
-    verify_that!(decompress(&cut).is_err(), eq(true))?;
+    let truncated = ByteString::from(compressed.0[..compressed.0.len() / 2].to_vec());
+    verify_that!(decompress(&truncated).is_err(), eq(true))?;
     verify_that!(
         decompress(&ByteString::from(vec![1, 255, 255, 255])).is_err(),
         eq(true)
--- a/crates/common/tests/frames.rs
+++ b/crates/common/tests/frames.rs
@@ -1,4 +1,4 @@
-//! Frames round-trip, and broken ones are reported for what they are.
+//! Round trips of frames, and the errors for malformed frames and connections.
 
 use common::frames::{
     AcquireResult, Channel, ConsensusFrame, ConsensusMessage, DaemonFrame, DaemonMessage,
@@ -39,21 +39,21 @@
 }
 
 #[gtest]
-fn any_cut_or_flipped_frame_is_an_error_or_another_frame_but_never_a_panic() -> Result<()> {
+fn truncated_frames_are_rejected_and_corrupted_frames_never_panic() -> Result<()> {
     let frame_bytes = encode(&sample())?;
     let mut rng = SeededRng::seeded(11);
-    for cut in 0..frame_bytes.len() {
+    for length in 0..frame_bytes.len() {
         verify_that!(
-            decode::<LeaderToDaemon>(&frame_bytes[..cut]).is_err(),
+            decode::<LeaderToDaemon>(&frame_bytes[..length]).is_err(),
             eq(true)
         )?;
     }
     for _ in 0..5000 {
-        let mut broken_bytes = frame_bytes.clone();
-        let index = rng.below(broken_bytes.len() as u64) as usize;
-        broken_bytes[index] = rng.number() as u8;
-        let _ = decode::<LeaderToDaemon>(&broken_bytes);
-        let _ = decode::<DaemonFrame>(&broken_bytes);
+        let mut corrupted_bytes = frame_bytes.clone();
+        let index = rng.below(corrupted_bytes.len() as u64) as usize;
+        corrupted_bytes[index] = rng.number() as u8;
+        let _ = decode::<LeaderToDaemon>(&corrupted_bytes);
+        let _ = decode::<DaemonFrame>(&corrupted_bytes);
     }
     Ok(())
 }
@@ -198,21 +198,21 @@
     ]
 }
 
-/// Frames of each channel, as processes send them.
-fn real_frames() -> Vec<Vec<u8>> {
+/// Returns encoded sample frames of each channel.
+fn sample_frames() -> Vec<Vec<u8>> {
     let daemon_frames = daemon_messages().map(|body| DaemonFrame {
         correlation: CorrelationId(8),
         body,
     });
     let daemon_bytes = daemon_frames.map(|frame| encode(&frame).expect("bytes"));
-    let up_bytes = frames_to_leader().map(|frame| encode(&frame).expect("bytes"));
-    let down_bytes = frames_to_daemon().map(|frame| encode(&frame).expect("bytes"));
+    let to_leader_bytes = frames_to_leader().map(|frame| encode(&frame).expect("bytes"));
+    let to_daemon_bytes = frames_to_daemon().map(|frame| encode(&frame).expect("bytes"));
     let consensus_bytes =
         consensus_messages().map(|body| encode(&consensus_frame(body)).expect("bytes"));
     daemon_bytes
         .into_iter()
-        .chain(up_bytes)
-        .chain(down_bytes)
+        .chain(to_leader_bytes)
+        .chain(to_daemon_bytes)
         .chain(consensus_bytes)
         .collect()
 }
@@ -231,24 +231,24 @@
 fn seeded_mutations_of_every_frame_are_rejected_or_decoded_fully() -> Result<()> {
     let mut rng = SeededRng::seeded(23);
     let mut rejected_count = 0;
-    for frame_bytes in real_frames() {
+    for frame_bytes in sample_frames() {
         for _ in 0..3000 {
-            let mut broken_bytes = frame_bytes.clone();
+            let mut corrupted_bytes = frame_bytes.clone();
             for _ in 0..1 + rng.below(4) {
-                let index = rng.below(broken_bytes.len() as u64) as usize;
+                let index = rng.below(corrupted_bytes.len() as u64) as usize;
                 match rng.below(3) {
-                    0 => broken_bytes[index] = rng.number() as u8,
-                    1 => broken_bytes.truncate(index.max(1)),
-                    _ => broken_bytes.insert(index, rng.number() as u8),
+                    0 => corrupted_bytes[index] = rng.number() as u8,
+                    1 => corrupted_bytes.truncate(index.max(1)),
+                    _ => corrupted_bytes.insert(index, rng.number() as u8),
                 }
             }
-            let read = [
-                decode::<DaemonFrame>(&broken_bytes).is_ok(),
-                decode::<DaemonToLeader>(&broken_bytes).is_ok(),
-                decode::<LeaderToDaemon>(&broken_bytes).is_ok(),
-                decode::<ConsensusFrame>(&broken_bytes).is_ok(),
+            let decoded = [
+                decode::<DaemonFrame>(&corrupted_bytes).is_ok(),
+                decode::<DaemonToLeader>(&corrupted_bytes).is_ok(),
+                decode::<LeaderToDaemon>(&corrupted_bytes).is_ok(),
+                decode::<ConsensusFrame>(&corrupted_bytes).is_ok(),
             ];
-            rejected_count += read.iter().filter(|is_read| !**is_read).count();
+            rejected_count += decoded.iter().filter(|is_decoded| !**is_decoded).count();
         }
     }
     verify_that!(rejected_count, ge(60_000))
@@ -269,14 +269,14 @@
         correlation: CorrelationId(5),
         body,
     };
-    let read = decode::<DaemonFrame>(&encode(&frame)?)?;
-    verify_that!(read.correlation, eq(CorrelationId(5)))?;
-    match read.body {
+    let decoded = decode::<DaemonFrame>(&encode(&frame)?)?;
+    verify_that!(decoded.correlation, eq(CorrelationId(5)))?;
+    match decoded.body {
         DaemonMessage::Completed {
-            outcome: read_outcome,
+            outcome: decoded_outcome,
             ..
         } => {
-            verify_that!(read_outcome, eq(&outcome))
+            verify_that!(decoded_outcome, eq(&outcome))
         }
         _ => fail!("another frame came back"),
     }
@@ -307,15 +307,18 @@
     );
     let read = async |given: [u8; 4]| read_channel(&mut given.as_slice()).await;
     assert!(matches!(read(*b"GET ").await, Err(FrameError::WrongMagic)));
-    let newer = [good_bytes[0], good_bytes[1], 99, good_bytes[3]];
+    let other_version = [good_bytes[0], good_bytes[1], 99, good_bytes[3]];
     assert!(matches!(
-        read(newer).await,
+        read(other_version).await,
         Err(FrameError::WrongVersion(99))
     ));
-    let odd = [good_bytes[0], good_bytes[1], good_bytes[2], 77];
-    assert!(matches!(read(odd).await, Err(FrameError::WrongChannel(77))));
-    let huge = u32::MAX.to_be_bytes();
-    let too_large = read_frame::<_, LeaderToDaemon>(&mut huge.as_slice()).await;
+    let unknown_channel = [good_bytes[0], good_bytes[1], good_bytes[2], 77];
+    assert!(matches!(
+        read(unknown_channel).await,
+        Err(FrameError::WrongChannel(77))
+    ));
+    let oversized_length = u32::MAX.to_be_bytes();
+    let too_large = read_frame::<_, LeaderToDaemon>(&mut oversized_length.as_slice()).await;
     assert!(matches!(too_large, Err(FrameError::Oversized(u32::MAX))));
     let mut framed = Vec::new();
     write_frame(&mut framed, &sample()).await.unwrap();
@@ -325,8 +328,8 @@
             .is_ok()
     );
     let half = framed.len() / 2;
-    let cut = read_frame::<_, LeaderToDaemon>(&mut &framed[..half]).await;
-    assert!(matches!(cut, Err(FrameError::Connection(_))));
+    let truncated = read_frame::<_, LeaderToDaemon>(&mut &framed[..half]).await;
+    assert!(matches!(truncated, Err(FrameError::Connection(_))));
 }
 
 #[gtest]
@@ -340,7 +343,7 @@
     verify_that!(MemberName::from("th-1").as_str(), eq("th-1"))
 }
 
-fn forwarded_request(identity: &str, header_fields: Vec<HeaderField>) -> DaemonMessage {
+fn forwarded_request(idempotency_key: &str, header_fields: Vec<HeaderField>) -> DaemonMessage {
     let payload = RequestPayload {
         method: "POST".into(),
         target: "/segments/7".into(),
@@ -348,7 +351,7 @@
         body: vec![7; 300].into(),
     };
     let function = FunctionKey::new("segment-check", Version(2));
-    function_request(identity, function, "segment-check-post", payload)
+    function_request(idempotency_key, function, "segment-check-post", payload)
 }
 
 fn completed_request(header_fields: Vec<HeaderField>) -> DaemonMessage {
@@ -375,18 +378,18 @@
         name: name.into(),
         value: value.as_bytes().to_vec().into(),
     };
-    let identity = "0f3c2a9e-6a55-4d0e-8a5c-1f3f6f0c9d11";
+    let idempotency_key = "0f3c2a9e-6a55-4d0e-8a5c-1f3f6f0c9d11";
     let header_fields = vec![
         header_field("host", "segments.internal"),
         header_field("content-type", "application/json"),
     ];
-    let own_bytes = |header_fields: &[HeaderField]| -> usize {
-        let as_sent = |header_field: &HeaderField| {
+    let header_length = |header_fields: &[HeaderField]| -> usize {
+        let field_length = |header_field: &HeaderField| {
             header_field.name.as_str().len() + header_field.value.0.len() + ": \r\n".len()
         };
-        header_fields.iter().map(as_sent).sum()
+        header_fields.iter().map(field_length).sum()
     };
-    let request = forwarded_request(identity, header_fields.clone());
+    let request = forwarded_request(idempotency_key, header_fields.clone());
     let completed = completed_request(header_fields.clone());
     let framed = |body: DaemonMessage| {
         encode(&DaemonFrame {
@@ -396,10 +399,10 @@
         .map(|bytes| bytes.len() + 4)
     };
     let request_overhead = framed(request)?
-        - own_bytes(&header_fields)
+        - header_length(&header_fields)
         - 300
-        - identity.len()
+        - idempotency_key.len()
         - "POST/segments/7".len();
-    let outcome_overhead = framed(completed)? - own_bytes(&header_fields) - 1700 - 32;
+    let outcome_overhead = framed(completed)? - header_length(&header_fields) - 1700 - 32;
     verify_that!(request_overhead + outcome_overhead, le(150))
 }
