--- a/crates/common/tests/document_forms.rs
+++ b/crates/common/tests/document_forms.rs
@@ -1,5 +1,5 @@
-//! The document that controllers replicate, the view that daemons get, the deltas between versions and the digests
-//! that verify them are written as when the fixture was made, and are read from it.
+//! Compares the encodings of documents, daemons' views, deltas and digests with the fixtures, and reads the fixtures.
+//! Guards against unintended changes to stored and transferred forms.
 
 mod form_samples;
 #[path = "../../../testing/support/form_list.rs"]
@@ -22,28 +22,28 @@
 
 const DOCUMENTS: &str = "documents.txt";
 const DIGESTS: &str = "digests.txt";
-/// A document compressed by the sources of the fixture's time. The compressed bytes may change with the compressor, but
-/// these must be read for good.
-const PACKED: &str = "packed.txt";
+/// A compressed document. A later compressor may produce other bytes, but the bytes of the fixture must remain
+/// readable.
+const COMPRESSED: &str = "packed.txt";
 
 fn voters(numbers: &[u8]) -> Vec<Voter> {
-    let member = |number: &u8| Voter {
+    let voter = |number: &u8| Voter {
         id: ControllerId(0xabcd_ef00 + u64::from(*number)),
         address: address(*number),
         zone: format!("zone-{number}").into(),
     };
-    numbers.iter().map(member).collect()
+    numbers.iter().map(voter).collect()
 }
 
 fn membership(numbers: &[u8]) -> BTreeSet<ListedMember> {
-    let listed = |number: &u8| ListedMember {
+    let member = |number: &u8| ListedMember {
         member: format!("daemon-{number}").into(),
         address: address(*number),
     };
-    numbers.iter().map(listed).collect()
+    numbers.iter().map(member).collect()
 }
 
-/// A spec with every key that operators may write.
+/// Returns a spec with every key that operators may write.
 fn spec() -> Value {
     json!({
         "functions": {
@@ -73,13 +73,14 @@
     })
 }
 
-fn with_spec(held: &Document, spec: Value, change: &str, number: u64) -> Document {
+fn with_spec(document: &Document, spec: Value, change: &str, number: u64) -> Document {
     let checked_spec = read_spec(&spec).expect("a good spec");
-    held.with_spec(spec, &checked_spec, ChangeId::from(change))
+    document
+        .with_spec(spec, &checked_spec, ChangeId::from(change))
         .numbered(number)
 }
 
-/// A version with a value in every field.
+/// Returns a document with a value in every field.
 fn full_document() -> Document {
     let mut document = Document::founding(voters(&[1, 2, 3]));
     document = with_spec(&document, spec(), "first spec", 300);
@@ -91,9 +92,9 @@
     joint.with_membership(membership(&[5, 6]))
 }
 
-/// A later version, with records added, changed and removed.
+/// Returns a later version of [`full_document`], with records added, changed and removed.
 fn newer_document() -> Document {
-    let held = full_document();
+    let document = full_document();
     let mut newer_spec = spec();
     let functions = newer_spec["functions"].as_object_mut().expect("functions");
     functions.remove("resize");
@@ -106,14 +107,14 @@
     routes.remove("by-prefix");
     routes["by-pattern"]["budget_ms"] = json!(901);
     newer_spec["labels"] = json!({"owner": "others"});
-    let mut newer = with_spec(&held, newer_spec, "second spec", 301);
+    let mut newer = with_spec(&document, newer_spec, "second spec", 301);
     newer = newer.with_zone("zone-8".into(), false, ChangeId::from("zone-8 back"));
     newer.previous_voters = Vec::new();
     newer.document_version.term = Term(10);
     newer.with_membership(membership(&[6, 7]))
 }
 
-/// The bytes of a document as sources wrote it before it had these fields.
+/// Encodes a document without the fields that earlier versions of the program did not write.
 fn earlier_bytes(document: &Document) -> Vec<u8> {
     let mut value: Value = serde_json::from_slice(&document.to_bytes()).expect("JSON");
     let fields = value.as_object_mut().expect("an object");
@@ -133,9 +134,9 @@
     }
 }
 
-fn held_text(name: &str) -> Vec<u8> {
-    let held = held_forms(DOCUMENTS).expect("forms");
-    let found = held
+fn fixture_text(name: &str) -> Vec<u8> {
+    let forms = held_forms(DOCUMENTS).expect("forms");
+    let found = forms
         .into_iter()
         .find(|form| form.name == name)
         .expect("the form");
@@ -144,41 +145,41 @@
 
 #[gtest]
 fn documents_views_and_deltas_keep_their_written_form() -> Result<()> {
-    let (held, newer) = (full_document(), newer_document());
-    let (held_view, newer_view) = (held.view(), newer.view());
+    let (document, newer) = (full_document(), newer_document());
+    let (view, newer_view) = (document.view(), newer.view());
     let founding = Document::founding(voters(&[1]));
     hold(
         DOCUMENTS,
         &[
             form("document/founding", founding.to_bytes()),
-            form("document/whole", held.to_bytes()),
+            form("document/whole", document.to_bytes()),
             form("document/newer", newer.to_bytes()),
-            form("document/change", held.delta_to(&newer)),
-            form("document/change-of-nothing", held.delta_to(&held)),
-            form("document/earlier", earlier_bytes(&held)),
-            form("view/whole", held_view.to_bytes()),
+            form("document/change", document.delta_to(&newer)),
+            form("document/change-of-nothing", document.delta_to(&document)),
+            form("document/earlier", earlier_bytes(&document)),
+            form("view/whole", view.to_bytes()),
             form("view/newer", newer_view.to_bytes()),
-            form("view/change", held_view.delta_to(&newer_view)),
+            form("view/change", view.delta_to(&newer_view)),
         ],
     )
 }
 
 #[gtest]
-fn documents_are_read_from_their_held_form() -> Result<()> {
+fn documents_are_read_from_the_fixture() -> Result<()> {
     for (name, document) in [
         ("document/founding", Document::founding(voters(&[1]))),
         ("document/whole", full_document()),
         ("document/newer", newer_document()),
     ] {
-        let read = Document::from_bytes(&held_text(name))?;
+        let read = Document::from_bytes(&fixture_text(name))?;
         verify_that!(read == document, eq(true)).failure_message(name)?;
     }
     Ok(())
 }
 
 #[gtest]
-fn documents_of_earlier_sources_are_read() -> Result<()> {
-    let read = Document::from_bytes(&held_text("document/earlier"))?;
+fn documents_of_earlier_versions_are_read() -> Result<()> {
+    let read = Document::from_bytes(&fixture_text("document/earlier"))?;
     let expected = full_document();
     verify_that!(
         read.document_version,
@@ -206,9 +207,10 @@
 }
 
 #[gtest]
-fn held_deltas_apply_to_the_held_version() -> Result<()> {
-    let held = Document::from_bytes(&held_text("document/whole"))?;
-    let changed = held.apply_delta(&held_text("document/change"), &newer_document().digest())?;
+fn deltas_of_the_fixture_apply_to_their_base() -> Result<()> {
+    let document = Document::from_bytes(&fixture_text("document/whole"))?;
+    let changed =
+        document.apply_delta(&fixture_text("document/change"), &newer_document().digest())?;
     verify_that!(changed == newer_document(), eq(true))?;
     verify_that!(
         changed
@@ -216,15 +218,18 @@
             .status_of(301, &"second spec".into()),
         eq(ChangeStatus::Applied(Version(7)))
     )?;
-    let unchanged = held.apply_delta(&held_text("document/change-of-nothing"), &held.digest())?;
-    verify_that!(unchanged == held, eq(true))?;
-    let held_view = DaemonView::from_bytes(&held_text("view/whole"))?;
-    verify_that!(held_view == full_document().view(), eq(true))?;
+    let unchanged = document.apply_delta(
+        &fixture_text("document/change-of-nothing"),
+        &document.digest(),
+    )?;
+    verify_that!(unchanged == document, eq(true))?;
+    let view = DaemonView::from_bytes(&fixture_text("view/whole"))?;
+    verify_that!(view == full_document().view(), eq(true))?;
     let newer_view = newer_document().view();
-    let changed_view = held_view.apply_delta(&held_text("view/change"), &newer_view.digest())?;
+    let changed_view = view.apply_delta(&fixture_text("view/change"), &newer_view.digest())?;
     verify_that!(changed_view == newer_view, eq(true))?;
     verify_that!(
-        DaemonView::from_bytes(&held_text("view/newer"))? == newer_view,
+        DaemonView::from_bytes(&fixture_text("view/newer"))? == newer_view,
         eq(true)
     )
 }
@@ -250,10 +255,10 @@
     })
 }
 
-/// Digests and ring positions that two processes must agree on, and the text forms of names in headers and paths.
+/// Covers digests and ring positions, on which processes must agree, and the text forms of names in headers and paths.
 #[gtest]
 fn digests_seals_and_names_keep_their_form() -> Result<()> {
-    let (held, newer) = (full_document(), newer_document());
+    let (document, newer) = (full_document(), newer_document());
     let text = |name: &str, text: String| Form {
         name: name.to_owned(),
         text,
@@ -264,9 +269,9 @@
         ordinal: 0x1f,
     };
     let mut forms = vec![
-        text("digest/document-whole", hex(&held.digest())),
+        text("digest/document-whole", hex(&document.digest())),
         text("digest/document-newer", hex(&newer.digest())),
-        text("digest/view-whole", hex(&held.view().digest())),
+        text("digest/view-whole", hex(&document.view().digest())),
         text("digest/view-newer", hex(&newer.view().digest())),
         text(
             "ring/daemon-1",
@@ -282,7 +287,7 @@
             function.in_region(&"east".into()).to_string(),
         ),
         text("name/runner", runner.to_string()),
-        text("name/version", held.document_version.to_string()),
+        text("name/version", document.document_version.to_string()),
     ];
     forms.extend(seals());
     hold(DIGESTS, &forms)?;
@@ -292,23 +297,23 @@
 }
 
 #[gtest]
-fn a_held_compressed_text_is_decompressed() -> Result<()> {
+fn the_compressed_text_of_the_fixture_is_decompressed() -> Result<()> {
     let long_text = full_document().to_bytes();
     if std::env::var_os("RUDDERSTREAM_WRITE_FORMS").is_some() {
-        let packed_text = hex(&compress(&long_text).0);
+        let compressed_text = hex(&compress(&long_text).0);
         return hold(
-            PACKED,
+            COMPRESSED,
             &[Form {
                 name: "packed/document".to_owned(),
-                text: packed_text,
+                text: compressed_text,
             }],
         );
     }
-    let held = held_forms(PACKED)?;
-    verify_that!(held.len(), eq(1))?;
-    let packed_bytes = bytes_of_hex(&held[0].text);
+    let forms = held_forms(COMPRESSED)?;
+    verify_that!(forms.len(), eq(1))?;
+    let compressed_bytes = bytes_of_hex(&forms[0].text);
     verify_that!(
-        decompress(&ByteString::from(packed_bytes))? == long_text,
+        decompress(&ByteString::from(compressed_bytes))? == long_text,
         eq(true)
     )?;
     verify_that!(compress(&long_text).0.first(), some(eq(&1)))?;
