--- a/crates/common/tests/applied_changes.rs
+++ b/crates/common/tests/applied_changes.rs
@@ -18,7 +18,7 @@
 }
 
 #[gtest]
-fn change_numbers_are_bound_to_content_until_forgotten() -> Result<()> {
+fn changes_are_found_by_number_and_name_until_forgotten() -> Result<()> {
     let applied_changes = applied_changes((1..=1500).map(|step| step * 3));
     verify_that!(
         applied_changes.status_of(4500, &name(4500)),
@@ -74,7 +74,7 @@
     document
 }
 
-/// The document's bytes as they were written before this record existed.
+/// Encodes a document without its record of applied changes, as before the record existed.
 fn bytes_without_applied_changes(document: &Document) -> Vec<u8> {
     let mut value: Value = serde_json::from_slice(&document.to_bytes()).expect("JSON");
     value.as_object_mut().expect("an object").remove("taken");
@@ -110,7 +110,7 @@
 }
 
 #[gtest]
-fn a_named_change_is_forgotten_with_its_base_successor() -> Result<()> {
+fn a_named_change_is_forgotten_with_the_successor_of_its_base() -> Result<()> {
     let document = numbered_document(100);
     let status_of =
         |base: u64, change: u64| document.status_of_named(Some(Version(base)), &name(change));
--- a/crates/common/tests/records.rs
+++ b/crates/common/tests/records.rs
@@ -1,4 +1,4 @@
-//! A spec cut into records is checked, written, changed and digested as the full text is.
+//! A spec that is split into records is validated, serialized, changed and digested like the whole spec.
 
 use common::identity::{ChangeId, FunctionIndex, IdempotencyKey, Version};
 use common::rng::SeededRng;
@@ -61,32 +61,32 @@
 #[gtest]
 fn records_check_like_the_full_spec() -> Result<()> {
     let mut rng = SeededRng::seeded(11);
-    let (mut good_count, mut bad_count) = (0, 0);
+    let (mut valid_count, mut invalid_count) = (0, 0);
     for _ in 0..2_000 {
         let spec = random_spec(&mut rng);
-        let (by_records, by_text) = (SpecRecords::new(spec.clone()).check(), read_spec(&spec));
-        verify_that!(by_records == by_text, eq(true))?;
-        if by_text.is_ok() {
-            good_count += 1;
+        let (from_records, from_value) = (SpecRecords::new(spec.clone()).check(), read_spec(&spec));
+        verify_that!(from_records == from_value, eq(true))?;
+        if from_value.is_ok() {
+            valid_count += 1;
         } else {
-            bad_count += 1;
+            invalid_count += 1;
         }
     }
-    verify_that!(good_count, gt(100))?;
-    verify_that!(bad_count, gt(100))
+    verify_that!(valid_count, gt(100))?;
+    verify_that!(invalid_count, gt(100))
 }
 
 #[gtest]
 fn records_serialize_like_the_full_spec() -> Result<()> {
     let mut rng = SeededRng::seeded(12);
-    let odd_specs = [
+    let unusual_specs = [
         json!({}),
         json!(7),
         json!({"functions": 3}),
         json!({"labels": {"a": 1}}),
     ];
     let random_specs: Vec<Value> = (0..200).map(|_| random_spec(&mut rng)).collect();
-    for spec in odd_specs.into_iter().chain(random_specs) {
+    for spec in unusual_specs.into_iter().chain(random_specs) {
         let records = SpecRecords::new(spec.clone());
         let mut text = Vec::new();
         records.write_to(&mut text);
@@ -99,23 +99,25 @@
 #[gtest]
 fn a_record_delta_reproduces_the_newer_view() -> Result<()> {
     let mut rng = SeededRng::seeded(13);
-    let mut held_view = view_of(&SpecRecords::new(random_spec(&mut rng)), 1);
+    let mut current_view = view_of(&SpecRecords::new(random_spec(&mut rng)), 1);
     for version in 2..400 {
         let random_records = SpecRecords::new(random_spec(&mut rng));
         let newer_spec = if rng.random_bool(0.5) {
-            random_records.sharing_records_with(&held_view.spec)
+            random_records.sharing_records_with(&current_view.spec)
         } else {
             random_records
         };
         let newer_view = view_of(&newer_spec, version);
-        let change = held_view.delta_to(&newer_view);
-        let changed_view = held_view.apply_delta(&change, &newer_view.digest())?;
+        let delta = current_view.delta_to(&newer_view);
+        let changed_view = current_view.apply_delta(&delta, &newer_view.digest())?;
         verify_that!(changed_view == newer_view, eq(true))?;
         verify_that!(
-            held_view.apply_delta(&change, &held_view.digest()).is_err(),
+            current_view
+                .apply_delta(&delta, &current_view.digest())
+                .is_err(),
             eq(true)
         )?;
-        held_view = changed_view;
+        current_view = changed_view;
     }
     Ok(())
 }
@@ -168,15 +170,15 @@
     let base_table = RoutingTable::build(&base_view)?;
     spec["functions"]["f7"]["slots"] = json!(9);
     let newer_view = view_of(&SpecRecords::new(spec), 2);
-    let change = base_view.delta_to(&newer_view);
-    let changed_view = base_view.apply_delta(&change, &newer_view.digest())?;
+    let delta = base_view.delta_to(&newer_view);
+    let changed_view = base_view.apply_delta(&delta, &newer_view.digest())?;
     let changed_table = RoutingTable::build(&changed_view)?;
     let pairs = base_table.functions().iter().zip(changed_table.functions());
-    let shared = pairs.filter(|(held, newer)| std::sync::Arc::ptr_eq(&held.spec, &newer.spec));
+    let shared = pairs.filter(|(base, changed)| std::sync::Arc::ptr_eq(&base.spec, &changed.spec));
     verify_that!(shared.count(), eq(19))
 }
 
-/// Everything that a table returns, as text: functions, routes and look-ups.
+/// Returns all functions and routes of a table, and the results of look-ups, as text.
 fn lookup_results(table: &RoutingTable) -> String {
     let functions = table
         .functions()
@@ -225,24 +227,24 @@
 fn an_incrementally_built_table_equals_a_new_one() -> Result<()> {
     let mut rng = SeededRng::seeded(17);
     let mut earlier = RoutingTable::empty();
-    let mut plain_spec = random_spec(&mut rng);
-    let mut good_count = 0;
+    let mut spec = random_spec(&mut rng);
+    let mut valid_count = 0;
     for version in 2..3_000 {
         if rng.random_bool(0.2) {
-            plain_spec = random_spec(&mut rng);
-        } else if let Some((_, route)) = plain_spec["routes"]
+            spec = random_spec(&mut rng);
+        } else if let Some((_, route)) = spec["routes"]
             .as_object_mut()
             .and_then(|routes| routes.iter_mut().next())
         {
             route["function"] = json!(format!("f{}", rng.below(FUNCTIONS + 1)));
             route["budget_ms"] = json!(900 + rng.below(3));
         }
-        let view = view_of(&SpecRecords::new(plain_spec.clone()), version);
+        let view = view_of(&SpecRecords::new(spec.clone()), version);
         let full_table = RoutingTable::build(&view);
         let incremental_table = RoutingTable::build_after(&earlier, &view);
         verify_that!(incremental_table.is_ok(), eq(full_table.is_ok()))?;
         if let (Ok(full_table), Ok(incremental_table)) = (full_table, incremental_table) {
-            good_count += 1;
+            valid_count += 1;
             verify_that!(
                 lookup_results(&incremental_table),
                 eq(&lookup_results(&full_table))
@@ -250,6 +252,6 @@
             earlier = incremental_table;
         }
     }
-    println!("{good_count} tables");
-    verify_that!(good_count, gt(500))
+    println!("{valid_count} tables");
+    verify_that!(valid_count, gt(500))
 }
--- a/crates/common/tests/spec.rs
+++ b/crates/common/tests/spec.rs
@@ -1,4 +1,5 @@
-//! The spec's reader reports every error; its table agrees with a linear search; deltas apply or are rejected.
+//! Reading a spec reports every error, look-ups in a routing table agree with a linear search, and deltas between views
+//! either reproduce the newer view or are rejected.
 
 use common::frames::SocketAddress;
 use common::identity::{ChangeId, ControllerId, Version, Zone};
@@ -18,12 +19,12 @@
 }
 
 fn document() -> Document {
-    let member = Voter {
+    let voter = Voter {
         id: ControllerId(0xabc),
         address: SocketAddress("127.0.0.1:1".parse().expect("an address")),
         zone: "here".into(),
     };
-    Document::founding(vec![member])
+    Document::founding(vec![voter])
 }
 
 fn changed(document: &Document, spec: Value, change: &str) -> Document {
@@ -64,6 +65,7 @@
     )
 }
 
+/// Finds the route whose pattern matches a path, by a linear search.
 fn linear_match<'a>(routes: &'a [(String, String)], path: &str) -> Option<&'a str> {
     let matches_pattern = |pattern: &str| {
         let pattern_parts: Vec<&str> = pattern.split('/').collect();
@@ -93,7 +95,7 @@
 #[gtest]
 fn thousands_of_routes_match_like_a_linear_search() -> Result<()> {
     let mut routes = serde_json::Map::new();
-    let mut listed = Vec::new();
+    let mut patterns = Vec::new();
     for number in 0..3000 {
         let pattern = match number % 3 {
             0 => format!("/area/{number}/tile"),
@@ -102,7 +104,7 @@
         };
         let name = format!("r{number}");
         routes.insert(name.clone(), route(&pattern, "a"));
-        listed.push((name, pattern));
+        patterns.push((name, pattern));
     }
     let spec = json!({"functions": {"a": function()}, "routes": routes});
     let view = changed(&document(), spec, "c").view();
@@ -117,7 +119,7 @@
         };
         let found = table.route(&Method::POST, "", &path, &"t".into());
         let found = found.map(|found| found.route.spec.name.as_str());
-        verify_that!(found, eq(linear_match(&listed, &path)))?;
+        verify_that!(found, eq(linear_match(&patterns, &path)))?;
     }
     verify_that!(
         table
@@ -130,12 +132,12 @@
 #[gtest]
 fn a_recreated_function_has_a_new_generation() -> Result<()> {
     let with_a = json!({"functions": {"a": function()}, "routes": {}});
-    let without = json!({"functions": {}, "routes": {}});
+    let without_a = json!({"functions": {}, "routes": {}});
     let first = changed(&document(), with_a.clone(), "1");
     let unchanged = changed(&first, with_a.clone(), "2");
-    let recreated = changed(&changed(&unchanged, without, "3"), with_a, "4");
-    let key_of = |held: &Document| {
-        RoutingTable::build(&held.view()).map(|table| table.functions()[0].key.to_string())
+    let recreated = changed(&changed(&unchanged, without_a, "3"), with_a, "4");
+    let key_of = |document: &Document| {
+        RoutingTable::build(&document.view()).map(|table| table.functions()[0].key.to_string())
     };
     verify_that!(key_of(&first)?, eq("a@2"))?;
     verify_that!(key_of(&unchanged)?, eq("a@2"))?;
