--- a/crates/common/tests/ring.rs
+++ b/crates/common/tests/ring.rs
@@ -1,4 +1,5 @@
-//! Hash owners and watchers: few functions move when a daemon goes, and most watchers are in other zones.
+//! Hash owners and watchers of daemons: only the functions of a removed daemon move, functions are placed on hosts with
+//! wide links, and most of a daemon's watchers are in other zones.
 
 use common::frames::{Flag, Host, SocketAddress};
 use common::identity::{FunctionKey, Region, Version};
@@ -138,7 +139,7 @@
 }
 
 #[gtest]
-fn watchers_are_two_in_other_zones_and_one_in_the_own_zone() -> Result<()> {
+fn a_daemon_has_two_watchers_in_other_zones_and_one_in_its_own() -> Result<()> {
     let all_hosts = hosts(10);
     let positioned = || {
         all_hosts
@@ -163,22 +164,22 @@
 }
 
 #[gtest]
-fn missing_watchers_are_replaced_from_the_other_kind() -> Result<()> {
+fn watchers_missing_in_one_kind_of_zone_are_chosen_from_the_other() -> Result<()> {
     let all_hosts = hosts(9);
     let own_zone_hosts: Vec<Host> = all_hosts
         .iter()
         .filter(|host| host.zone == all_hosts[0].zone)
         .cloned()
         .collect();
-    let counts = |given: &[Host]| {
+    let watcher_count = |given: &[Host]| {
         let positioned = given.iter().map(|host| (ring_position(&host.member), host));
         watchers(&given[0], positioned).len()
     };
-    verify_that!(counts(&own_zone_hosts), eq(2))?;
+    verify_that!(watcher_count(&own_zone_hosts), eq(2))?;
     let other_zone_hosts: Vec<Host> = all_hosts
         .iter()
         .filter(|host| host.member == all_hosts[0].member || host.zone != all_hosts[0].zone)
         .cloned()
         .collect();
-    verify_that!(counts(&other_zone_hosts), eq(3))
+    verify_that!(watcher_count(&other_zone_hosts), eq(3))
 }
