--- a/crates/common/src/spec/document.rs
+++ b/crates/common/src/spec/document.rs
@@ -177,7 +177,7 @@
 
 impl Document {
     /// Creates the founding document, the first of a new control quorum.
-    pub fn founding(voters: Vec<Voter>) -> Self {
+    pub fn initial(voters: Vec<Voter>) -> Self {
         Self {
             document_version: DocumentVersion {
                 term: Term(1),
--- a/crates/common/tests/applied_changes.rs
+++ b/crates/common/tests/applied_changes.rs
@@ -64,7 +64,7 @@
 }
 
 fn numbered_document(count: u64) -> Document {
-    let mut document = Document::founding(Vec::new());
+    let mut document = Document::initial(Vec::new());
     for number in 1..=count {
         let spec = json!({"functions": {}, "routes": {}});
         document = document
--- a/crates/common/tests/document_deltas.rs
+++ b/crates/common/tests/document_deltas.rs
@@ -83,7 +83,7 @@
 #[gtest]
 fn a_delta_reproduces_the_same_version() -> Result<()> {
     let mut rng = SeededRng::seeded(21);
-    let mut current = Document::founding(voters(3));
+    let mut current = Document::initial(voters(3));
     for number in 1..3_000 {
         let newer = random_version(&current, &mut rng, number * 3);
         let changed = current.apply_delta(&current.delta_to(&newer), &newer.digest())?;
@@ -97,7 +97,7 @@
 #[gtest]
 fn a_delta_is_accepted_only_on_its_base() -> Result<()> {
     let mut rng = SeededRng::seeded(22);
-    let mut current = Document::founding(voters(3));
+    let mut current = Document::initial(voters(3));
     let mut rejected_count = 0;
     for number in 1..300 {
         let newer = random_version(&current, &mut rng, number * 3);
@@ -116,7 +116,7 @@
 #[gtest]
 fn a_one_route_delta_has_the_same_size_in_small_and_large_documents() -> Result<()> {
     let delta_length = |function_count: u64| {
-        let first_document = Document::founding(voters(5)).with_membership(membership(90));
+        let first_document = Document::initial(voters(5)).with_membership(membership(90));
         let mut current = with_spec(&first_document, spec(function_count, 0), 1);
         for number in 2..1_200u64 {
             current = current
@@ -136,7 +136,7 @@
 
 #[gtest]
 fn truncated_deltas_are_rejected() -> Result<()> {
-    let current = Document::founding(voters(3));
+    let current = Document::initial(voters(3));
     let newer = current.with_membership(membership(3));
     let delta = current.delta_to(&newer);
     for length in 0..delta.len() {
--- a/crates/common/tests/document_forms.rs
+++ b/crates/common/tests/document_forms.rs
@@ -82,7 +82,7 @@
 
 /// Returns a document with a value in every field.
 fn full_document() -> Document {
-    let mut document = Document::founding(voters(&[1, 2, 3]));
+    let mut document = Document::initial(voters(&[1, 2, 3]));
     document = with_spec(&document, spec(), "first spec", 300);
     document = document.with_zone("zone-7".into(), true, ChangeId::from("zone-7 out"));
     document = document.with_zone("zone-8".into(), true, ChangeId::from("zone-8 out"));
@@ -147,7 +147,7 @@
 fn documents_views_and_deltas_keep_their_written_form() -> Result<()> {
     let (document, newer) = (full_document(), newer_document());
     let (view, newer_view) = (document.view(), newer.view());
-    let founding = Document::founding(voters(&[1]));
+    let founding = Document::initial(voters(&[1]));
     hold(
         DOCUMENTS,
         &[
@@ -167,7 +167,7 @@
 #[gtest]
 fn documents_are_read_from_the_fixture() -> Result<()> {
     for (name, document) in [
-        ("document/founding", Document::founding(voters(&[1]))),
+        ("document/founding", Document::initial(voters(&[1]))),
         ("document/whole", full_document()),
         ("document/newer", newer_document()),
     ] {
--- a/crates/common/tests/records.rs
+++ b/crates/common/tests/records.rs
@@ -51,7 +51,7 @@
 
 fn view_of(spec: &SpecRecords, version: u64) -> DaemonView {
     let checked_spec = spec.check().unwrap_or_default();
-    let mut document = Document::founding(Vec::new());
+    let mut document = Document::initial(Vec::new());
     document.document_version.version = Version(version);
     document
         .with_spec(spec.clone(), &checked_spec, ChangeId::from("c"))
--- a/crates/common/tests/spec.rs
+++ b/crates/common/tests/spec.rs
@@ -24,7 +24,7 @@
         address: SocketAddress("127.0.0.1:1".parse().expect("an address")),
         zone: "here".into(),
     };
-    Document::founding(vec![voter])
+    Document::initial(vec![voter])
 }
 
 fn changed(document: &Document, spec: Value, change: &str) -> Document {
--- a/crates/controlplane/src/consensus/bootstrap.rs
+++ b/crates/controlplane/src/consensus/bootstrap.rs
@@ -75,7 +75,7 @@
     }
 
     fn write_bootstrap_document(&mut self, now: MonotonicTime, voters: Vec<Voter>) {
-        let document = Box::new(Document::founding(voters));
+        let document = Box::new(Document::initial(voters));
         self.submit_write(now, PendingWriteKind::Version(document));
     }
 
--- a/crates/controlplane/tests/controller_state/operator_api.rs
+++ b/crates/controlplane/tests/controller_state/operator_api.rs
@@ -166,7 +166,7 @@
 
 fn spec_case() -> ReplyCase {
     let reply = OperationReply::Spec {
-        document: Box::new(Document::founding(Vec::new()).numbered(12)),
+        document: Box::new(Document::initial(Vec::new()).numbered(12)),
         in_force: Version(1),
     };
     let body = json!({
--- a/crates/controlplane/tests/leader_state/samples.rs
+++ b/crates/controlplane/tests/leader_state/samples.rs
@@ -27,7 +27,7 @@
     });
     let checked_spec = read_spec(&spec).expect("a good spec");
     let mut document =
-        Document::founding(vec![member]).with_spec(spec, &checked_spec, ChangeId::from("c"));
+        Document::initial(vec![member]).with_spec(spec, &checked_spec, ChangeId::from("c"));
     document.document_version = DocumentVersion {
         term: Term(5),
         version: document.document_version.version,
--- a/crates/controlplane/tests/operators_forms.rs
+++ b/crates/controlplane/tests/operators_forms.rs
@@ -255,7 +255,7 @@
 }
 
 fn spec_reply() -> OperationReply {
-    let mut document = Document::founding(Vec::new()).numbered(12);
+    let mut document = Document::initial(Vec::new()).numbered(12);
     document.document_version.term = Term(3);
     document = document.with_zone(Zone::from("north"), true, ChangeId::from("c"));
     OperationReply::Spec {
--- a/crates/controlplane/tests/quorum_model/model.rs
+++ b/crates/controlplane/tests/quorum_model/model.rs
@@ -173,7 +173,7 @@
             address: address(number),
             zone: model.zone(number),
         });
-        let founding = Document::founding(initial_voters.collect());
+        let founding = Document::initial(initial_voters.collect());
         for number in 0..setup.machines {
             let id = model.fresh_id();
             let mut disk = PersistedState::empty(id);
--- a/crates/controlplane/tests/quorum_proofs.rs
+++ b/crates/controlplane/tests/quorum_proofs.rs
@@ -17,7 +17,7 @@
 
 /// Controller 1 of a quorum with 2 and 3, with the bootstrap version on its disk.
 fn voter(rules: Rules) -> ConsensusNode {
-    consensus_node(1, Document::founding(three_voters()), rules)
+    consensus_node(1, Document::initial(three_voters()), rules)
 }
 
 fn heartbeat(term: u64, number: u64) -> ConsensusMessage {
--- a/crates/controlplane/tests/replication.rs
+++ b/crates/controlplane/tests/replication.rs
@@ -25,7 +25,7 @@
             json!({"memory_mb": 100, "boot_ms": 10, "slots": 2, "connections": 1 + number});
     }
     let checked_spec = read_spec(&spec).expect("a good spec");
-    Document::founding(three_voters()).with_spec(spec, &checked_spec, ChangeId::from("first"))
+    Document::initial(three_voters()).with_spec(spec, &checked_spec, ChangeId::from("first"))
 }
 
 fn sent_to(number: u64, outputs: &[ConsensusOutput]) -> Vec<ConsensusMessage> {
--- a/crates/controlplane/tests/step_costs.rs
+++ b/crates/controlplane/tests/step_costs.rs
@@ -145,7 +145,7 @@
         SpecRecords::new(spec)
     };
     let checked_spec = Spec::default();
-    let base = Document::founding(Vec::new()).with_spec(spec_of(10), &checked_spec, "a".into());
+    let base = Document::initial(Vec::new()).with_spec(spec_of(10), &checked_spec, "a".into());
     let newer = base.with_spec(spec_of(4_000), &checked_spec, "b".into());
     let mut length = 0;
     let bytes = allocated_by(|| length = base.delta_to(&newer).len());
--- a/crates/controlplane/tests/storage.rs
+++ b/crates/controlplane/tests/storage.rs
@@ -47,7 +47,7 @@
         address: SocketAddress::UNSPECIFIED,
         zone: "here".into(),
     };
-    let mut stored_versions = vec![Document::founding(vec![member])];
+    let mut stored_versions = vec![Document::initial(vec![member])];
     for number in 1..count {
         let last = stored_versions.last().expect("one");
         let zone = Zone::from(format!("l{number}"));
--- a/crates/controlplane/tests/stored_forms.rs
+++ b/crates/controlplane/tests/stored_forms.rs
@@ -45,7 +45,7 @@
         address: address(number),
         zone: format!("zone-{number}").into(),
     });
-    let founding = Document::founding(members.to_vec());
+    let founding = Document::initial(members.to_vec());
     let spec = json!({
         "functions": {"segment-check": {"memory_mb": 192, "boot_ms": 250, "slots": 3}},
         "routes": {"check": {
--- a/crates/dataplane/tests/support/daemon_control.rs
+++ b/crates/dataplane/tests/support/daemon_control.rs
@@ -30,7 +30,7 @@
 /// The frame with which the leader puts a spec in force under this version.
 pub fn spec_frame_of(spec: Value, version: u64) -> LeaderToDaemon {
     let checked_spec = read_spec(&spec).expect("a spec");
-    let mut document = Document::founding(Vec::new());
+    let mut document = Document::initial(Vec::new());
     document.document_version.version = Version(1);
     let mut document = document.with_spec(spec, &checked_spec, "change".into());
     document.document_version.version = Version(version);
--- a/crates/dataplane/tests/warm.rs
+++ b/crates/dataplane/tests/warm.rs
@@ -48,7 +48,7 @@
     }
     let spec = json!({"functions": functions, "routes": routes});
     let checked_spec = read_spec(&spec).expect("a spec");
-    let mut document = Document::founding(Vec::new());
+    let mut document = Document::initial(Vec::new());
     document.document_version.version = Version(1);
     RoutingTable::build(
         &document
--- a/testing/fleet/src/sim/bootstrap.rs
+++ b/testing/fleet/src/sim/bootstrap.rs
@@ -69,7 +69,7 @@
             .collect();
         let first_spec = planned_spec(&self.plan, 0);
         let checked_spec = read_spec(&first_spec).unwrap_or_default();
-        let mut document = Document::founding(voters).with_spec(
+        let mut document = Document::initial(voters).with_spec(
             first_spec,
             &checked_spec,
             ChangeId::from("founding"),
--- a/testing/fleet/src/synthetic/controllers.rs
+++ b/testing/fleet/src/synthetic/controllers.rs
@@ -345,7 +345,7 @@
         })
         .collect();
     let checked_spec = read_spec(&first_spec).unwrap_or_default();
-    let founded = Document::founding(voters);
+    let founded = Document::initial(voters);
     let mut document = founded.with_spec(first_spec, &checked_spec, ChangeId::from("founding"));
     document.document_version = DocumentVersion {
         term: Term(1),
