--- a/crates/common/src/frames/consensus.rs
+++ b/crates/common/src/frames/consensus.rs
@@ -60,7 +60,7 @@
         /// leader.
         diskless: Flag,
     },
-    /// The founding document, sent to a voter that it lists and that has no document on disk.
+    /// The initial document, sent to a voter that it lists and that has no document on disk.
     #[brw(magic = 2u8)]
     Bootstrap {
         /// The document as JSON, compressed by [`compress`](super::compress).
--- a/crates/common/src/spec/document.rs
+++ b/crates/common/src/spec/document.rs
@@ -176,7 +176,7 @@
 }
 
 impl Document {
-    /// Creates the founding document, the first of a new control quorum.
+    /// Creates the initial document of a new control quorum.
     pub fn initial(voters: Vec<Voter>) -> Self {
         Self {
             document_version: DocumentVersion {
--- a/crates/common/tests/document_forms.rs
+++ b/crates/common/tests/document_forms.rs
@@ -147,11 +147,11 @@
 fn documents_views_and_deltas_keep_their_written_form() -> Result<()> {
     let (document, newer) = (full_document(), newer_document());
     let (view, newer_view) = (document.view(), newer.view());
-    let founding = Document::initial(voters(&[1]));
+    let initial = Document::initial(voters(&[1]));
     hold(
         DOCUMENTS,
         &[
-            form("document/founding", founding.to_bytes()),
+            form("document/founding", initial.to_bytes()),
             form("document/whole", document.to_bytes()),
             form("document/newer", newer.to_bytes()),
             form("document/change", document.delta_to(&newer)),
