--- a/crates/common/src/spec/document.rs
+++ b/crates/common/src/spec/document.rs
@@ -80,7 +80,7 @@
     pub applied_changes: Arc<AppliedChanges>,
     /// The daemons that may hold session leases; empty in documents written before this field existed.
     pub membership: BTreeSet<ListedMember>,
-    /// The number of most recent versions that changed nothing in the daemons' view.
+    /// How many of the most recent versions changed nothing in the daemons' view.
     pub hidden_versions: u64,
 }
 
