--- a/crates/common/src/frames/stream.rs
+++ b/crates/common/src/frames/stream.rs
@@ -114,7 +114,7 @@
         once_wait_ms: u32,
         /// The daemon that will keep a copy of the ledger; empty if there is no other daemon.
         replica: LengthPrefixed<Host>,
-        /// The earlier leases whose ledgers must be collected.
+        /// The earlier lease whose ledger must be collected; empty if there is none.
         previous_lease: LengthPrefixed<PreviousLease>,
         /// Orphaned runners of an earlier holder, to be adopted while they keep running. They have new identities under
         /// this lease.
