--- a/crates/dataplane/src/drivers/control.rs
+++ b/crates/dataplane/src/drivers/control.rs
@@ -198,7 +198,7 @@
         if reply_senders.len() > 1 {
             return;
         }
-        self.state.gauges.owners.acquires.inc();
+        self.state.metrics.owners.acquires.inc();
         let outputs = self.controller.acquire(&self.state.agent, now, function);
         self.execute(outputs);
     }
@@ -237,9 +237,9 @@
                 DaemonControlOutput::Changed => self.state.changes.send_modify(|count| *count += 1),
                 DaemonControlOutput::LogEvent(event, detail) => log_control_event(event, &detail),
                 DaemonControlOutput::Installed(version) => {
-                    self.state.gauges.session.version.set(version.0 as i64);
+                    self.state.metrics.session.version.set(version.0 as i64);
                 }
-                DaemonControlOutput::LeaseEnded => self.state.gauges.session.leases_ended.inc(),
+                DaemonControlOutput::LeaseEnded => self.state.metrics.session.leases_ended.inc(),
             }
         }
     }
@@ -273,7 +273,7 @@
     ) {
         if result.is_some() && round_trip > Duration::ZERO {
             self.state
-                .gauges
+                .metrics
                 .owners
                 .acquire_seconds
                 .observe(round_trip.as_secs_f64());
@@ -300,7 +300,7 @@
     if let Err(error) = ended
         && !matches!(error, FrameError::Connection(_))
     {
-        state.gauges.rejected_frames.inc();
+        state.metrics.rejected_frames.inc();
         log_event!(Warn, events::FRAME_REJECTED, "from {address}: {error}");
     }
     let _ = state.control.send(ControlInput::Stream {
--- a/crates/dataplane/src/drivers/holder_driver.rs
+++ b/crates/dataplane/src/drivers/holder_driver.rs
@@ -250,7 +250,7 @@
         };
         if matches!(request_kind, ReplicaRequestKind::Record(_)) {
             self.state
-                .gauges
+                .metrics
                 .replication
                 .round_trip_seconds
                 .observe(MonotonicTime::now().since(requested_at).as_secs_f64());
--- a/crates/dataplane/src/drivers/gauges.rs
+++ b/crates/dataplane/src/drivers/metrics.rs
@@ -4,41 +4,41 @@
 use prometheus::{Histogram, HistogramVec, IntCounter, IntCounterVec, IntGauge};
 
 /// The daemon's metrics.
-pub struct Gauges {
+pub struct DaemonMetrics {
     page: MetricsPage,
     /// Callers' requests.
-    pub callers: CallerGauges,
+    pub callers: CallerMetrics,
     /// The search for the owners of functions.
-    pub owners: OwnerGauges,
+    pub owners: OwnerMetrics,
     /// The exchange with runners.
-    pub runners: RunnerGauges,
+    pub runners: RunnerMetrics,
     /// Connections closed for an invalid frame.
     pub rejected_frames: IntCounter,
     /// The held functions.
-    pub held: HeldGauges,
+    pub held: HeldFunctionMetrics,
     /// The session with the leader.
-    pub session: SessionGauges,
+    pub session: SessionMetrics,
     /// The replication of ledgers.
-    pub replication: ReplicationGauges,
+    pub replication: ReplicationMetrics,
     /// Functions whose last runner is retained although it is idle.
     pub idle_stop_skipped: IntGauge,
 }
 
-impl Gauges {
+impl DaemonMetrics {
     /// All at zero.
     pub fn new() -> Self {
         let page = MetricsPage::new();
         Self {
-            callers: CallerGauges::register(&page),
-            owners: OwnerGauges::register(&page),
-            runners: RunnerGauges::register(&page),
+            callers: CallerMetrics::register(&page),
+            owners: OwnerMetrics::register(&page),
+            runners: RunnerMetrics::register(&page),
             rejected_frames: page.counter(
                 "rudder_frames_rejected_total",
                 "connections closed for what they sent",
             ),
-            held: HeldGauges::register(&page),
-            session: SessionGauges::register(&page),
-            replication: ReplicationGauges::register(&page),
+            held: HeldFunctionMetrics::register(&page),
+            session: SessionMetrics::register(&page),
+            replication: ReplicationMetrics::register(&page),
             idle_stop_skipped: page.gauge(
                 "rudder_idle_stop_skipped",
                 "functions whose last idle runner is kept",
@@ -53,14 +53,14 @@
     }
 }
 
-impl Default for Gauges {
+impl Default for DaemonMetrics {
     fn default() -> Self {
         Self::new()
     }
 }
 
 /// The metrics of callers' requests, at the daemon that received them.
-pub struct CallerGauges {
+pub struct CallerMetrics {
     /// Callers' requests by outcome and reason.
     pub request_outcomes: IntCounterVec,
     /// The durations of callers' requests in seconds, by outcome.
@@ -69,7 +69,7 @@
     pub overdue_requests: IntCounter,
 }
 
-impl CallerGauges {
+impl CallerMetrics {
     fn register(page: &MetricsPage) -> Self {
         Self {
             request_outcomes: page.counters(
@@ -91,7 +91,7 @@
 }
 
 /// The metrics of the search for the owners of functions.
-pub struct OwnerGauges {
+pub struct OwnerMetrics {
     /// Owner lookups by where the owner was found.
     pub lookups: IntCounterVec,
     /// Acquisitions requested from the leader.
@@ -100,7 +100,7 @@
     pub acquire_seconds: Histogram,
 }
 
-impl OwnerGauges {
+impl OwnerMetrics {
     fn register(page: &MetricsPage) -> Self {
         Self {
             lookups: page.counters(
@@ -118,7 +118,7 @@
 }
 
 /// The metrics of the exchange with runners.
-pub struct RunnerGauges {
+pub struct RunnerMetrics {
     /// Requests sent to runners.
     pub sends: IntCounter,
     /// Sends beyond a request's first.
@@ -127,7 +127,7 @@
     pub rejected_answers: IntCounter,
 }
 
-impl RunnerGauges {
+impl RunnerMetrics {
     fn register(page: &MetricsPage) -> Self {
         Self {
             sends: page.counter("rudder_sends_total", "transactions sent to runners"),
@@ -138,7 +138,7 @@
 }
 
 /// The metrics of the held functions.
-pub struct HeldGauges {
+pub struct HeldFunctionMetrics {
     /// Held functions.
     pub functions: IntGauge,
     /// Ready runners.
@@ -149,7 +149,7 @@
     pub in_flight: IntGauge,
 }
 
-impl HeldGauges {
+impl HeldFunctionMetrics {
     fn register(page: &MetricsPage) -> Self {
         Self {
             functions: page.gauge("rudder_functions_held", "functions held"),
@@ -161,7 +161,7 @@
 }
 
 /// The metrics of the session with the leader: its lease, and the spec it brought.
-pub struct SessionGauges {
+pub struct SessionMetrics {
     /// 1 while the session lease is valid, else 0.
     pub serving: IntGauge,
     /// The version of the installed spec.
@@ -170,7 +170,7 @@
     pub leases_ended: IntCounter,
 }
 
-impl SessionGauges {
+impl SessionMetrics {
     fn register(page: &MetricsPage) -> Self {
         Self {
             serving: page.gauge("rudder_serving", "1 while the member grant runs"),
@@ -184,14 +184,14 @@
 }
 
 /// The metrics of the replication of ledgers.
-pub struct ReplicationGauges {
+pub struct ReplicationMetrics {
     /// Records stored as a replica of other daemons' ledgers.
     pub replica_entries: IntGauge,
     /// The round-trip times of replication in seconds.
     pub round_trip_seconds: Histogram,
 }
 
-impl ReplicationGauges {
+impl ReplicationMetrics {
     fn register(page: &MetricsPage) -> Self {
         Self {
             replica_entries: page.gauge(
--- a/crates/dataplane/src/drivers/mod.rs
+++ b/crates/dataplane/src/drivers/mod.rs
@@ -15,10 +15,10 @@
 mod control;
 mod control_input;
 mod frame_batch;
-mod gauges;
 pub mod holder_driver;
 mod hop_client;
 mod metered_stream;
+mod metrics;
 mod outcome_waiter;
 mod platform;
 mod request_log;
@@ -31,11 +31,12 @@
 pub(crate) use control::Control;
 pub(crate) use control_input::ControlInput;
 pub(crate) use frame_batch::WRITE_BATCH_BYTES;
-pub use gauges::{
-    CallerGauges, Gauges, HeldGauges, OwnerGauges, ReplicationGauges, RunnerGauges, SessionGauges,
-};
 pub use hop_client::{HopCallResult, HopClient, PendingHopCall};
 pub use metered_stream::WritePermit;
+pub use metrics::{
+    CallerMetrics, DaemonMetrics, HeldFunctionMetrics, OwnerMetrics, ReplicationMetrics,
+    RunnerMetrics, SessionMetrics,
+};
 pub use outcome_waiter::OutcomeWaiter;
 pub use request_log::RequestLog;
 pub use state::{LocalHeldFunction, State};
--- a/crates/dataplane/src/drivers/runners.rs
+++ b/crates/dataplane/src/drivers/runners.rs
@@ -172,9 +172,9 @@
     fn count_send(&mut self) {
         if !self.is_counted {
             self.is_counted = true;
-            self.state.gauges.runners.sends.inc();
+            self.state.metrics.runners.sends.inc();
             if self.attempt > 1 {
-                self.state.gauges.runners.retried_sends.inc();
+                self.state.metrics.runners.retried_sends.inc();
             }
         }
     }
@@ -208,7 +208,7 @@
             response,
         );
         if matches!(result, SendResult::Lost) {
-            self.state.gauges.runners.rejected_answers.inc();
+            self.state.metrics.runners.rejected_answers.inc();
             self.log_rejected_response(&"seal");
         } else if !is_last && !matches!(result, SendResult::WrongRunner) {
             let connections = &self.state.runner_connections;
--- a/crates/dataplane/src/drivers/state.rs
+++ b/crates/dataplane/src/drivers/state.rs
@@ -2,8 +2,8 @@
 
 use super::connector::Connector;
 use super::control_input::ControlInput;
-use super::gauges::Gauges;
 use super::hop_client::HopClient;
+use super::metrics::DaemonMetrics;
 use super::outcome_waiter::OutcomeWaiter;
 use super::request_log::RequestLog;
 use super::runner_connections::RunnerConnections;
@@ -35,7 +35,7 @@
     /// The connections to runners.
     pub runner_connections: Arc<RunnerConnections>,
     /// The metrics.
-    pub gauges: Gauges,
+    pub metrics: DaemonMetrics,
     /// The log of requests without a response.
     pub request_log: RequestLog,
     /// Wakes the control task to compute its due time anew.
@@ -72,7 +72,7 @@
             adapters,
             agent,
             runner_connections: Arc::new(RunnerConnections::new(connector, rules)),
-            gauges: Gauges::new(),
+            metrics: DaemonMetrics::new(),
             request_log: RequestLog::default(),
             control_wakeup: Notify::new(),
             control_due_at: SharedMonotonicTime::new(),
@@ -148,16 +148,16 @@
         for held in held_functions.values() {
             totals.add(held);
         }
-        let gauges = &self.gauges;
-        gauges.held.functions.set(held_functions.len() as i64);
-        gauges.held.queued.set(totals.queued as i64);
-        gauges.held.in_flight.set(totals.in_flight as i64);
-        gauges.held.ready_runners.set(totals.ready_runners as i64);
-        gauges.idle_stop_skipped.set(totals.retained_idle as i64);
+        let metrics = &self.metrics;
+        metrics.held.functions.set(held_functions.len() as i64);
+        metrics.held.queued.set(totals.queued as i64);
+        metrics.held.in_flight.set(totals.in_flight as i64);
+        metrics.held.ready_runners.set(totals.ready_runners as i64);
+        metrics.idle_stop_skipped.set(totals.retained_idle as i64);
         let entry_count = self.agent.replica_entry_count();
-        gauges.replication.replica_entries.set(entry_count as i64);
+        metrics.replication.replica_entries.set(entry_count as i64);
         let is_serving = self.agent.is_serving(MonotonicTime::now());
-        gauges.session.serving.set(i64::from(is_serving));
+        metrics.session.serving.set(i64::from(is_serving));
     }
 }
 
--- a/crates/dataplane/src/request_pipeline/forward_to_holder.rs
+++ b/crates/dataplane/src/request_pipeline/forward_to_holder.rs
@@ -85,7 +85,7 @@
 
     fn count_lookup(&self, result: &str) {
         self.state
-            .gauges
+            .metrics
             .owners
             .lookups
             .with_label_values(&[result])
--- a/crates/dataplane/src/request_pipeline/ingress_request.rs
+++ b/crates/dataplane/src/request_pipeline/ingress_request.rs
@@ -61,7 +61,7 @@
             .deadline
             .is_some_and(|deadline| now > deadline + OVERDUE_GRACE)
         {
-            self.state.gauges.callers.overdue_requests.inc();
+            self.state.metrics.callers.overdue_requests.inc();
         }
         if !matches!(caller_response, CallerResponse::Response { .. }) {
             let detail = format_args!("{self} {outcome} {reason}");
@@ -74,14 +74,14 @@
     }
 
     fn count(&self, now: MonotonicTime, outcome: &str, reason: &str) {
-        let gauges = &self.state.gauges;
-        gauges
+        let metrics = &self.state.metrics;
+        metrics
             .callers
             .request_outcomes
             .with_label_values(&[outcome, reason])
             .inc();
         let elapsed = now.since(self.started_at).as_secs_f64();
-        gauges
+        metrics
             .callers
             .request_seconds
             .with_label_values(&[outcome])
--- a/crates/dataplane/src/server/daemon.rs
+++ b/crates/dataplane/src/server/daemon.rs
@@ -246,7 +246,7 @@
                     .send(ControlInput::HeartbeatDatagram(heartbeat));
             }
             Err(error) => {
-                state.gauges.rejected_frames.inc();
+                state.metrics.rejected_frames.inc();
                 log_event!(Debug, events::HEARTBEAT_IGNORED, "from {from}: {error}");
             }
         }
@@ -263,7 +263,7 @@
                     if let Err(error) = serve_channel(connection_state.clone(), stream).await
                         && !matches!(error, FrameError::Connection(_))
                     {
-                        connection_state.gauges.rejected_frames.inc();
+                        connection_state.metrics.rejected_frames.inc();
                         log_event!(Warn, events::FRAME_REJECTED, "from {from}: {error}");
                     }
                 });
--- a/crates/dataplane/src/server/ingress.rs
+++ b/crates/dataplane/src/server/ingress.rs
@@ -63,7 +63,7 @@
     match request.uri().path() {
         "/metrics" => {
             state.update_gauges();
-            Some(text_response(StatusCode::OK, state.gauges.page()))
+            Some(text_response(StatusCode::OK, state.metrics.page()))
         }
         path if path == "/ready" || path == state.adapters.ingress.readiness_path() => {
             let is_ready = state.agent.is_ready(MonotonicTime::now());
--- a/crates/dataplane/tests/http_forms/ingress.rs
+++ b/crates/dataplane/tests/http_forms/ingress.rs
@@ -190,7 +190,7 @@
             answered(&state, &request_text).await;
         }
         answered(&state, &GOOD.replace("3000", "0")).await;
-        let page = String::from_utf8(state.gauges.page()).expect("text");
+        let page = String::from_utf8(state.metrics.page()).expect("text");
         let is_count = |line: &&str| {
             line.starts_with("rudder_transactions_total")
                 || line.starts_with("rudder_owner_lookups_total")
