--- a/crates/dataplane/src/drivers/mod.rs
+++ b/crates/dataplane/src/drivers/mod.rs
@@ -27,7 +27,7 @@
 mod state;
 
 pub use crate::adapter::DaemonAdapters;
-pub use connector::{ByteStream, Connector, Opening, TcpConnector};
+pub use connector::{ByteStream, ConnectFuture, Connector, TcpConnector};
 pub(crate) use control::Control;
 pub(crate) use control_input::ControlInput;
 pub(crate) use frame_batch::WRITE_BATCH_BYTES;
--- a/crates/dataplane/tests/http_forms/ingress.rs
+++ b/crates/dataplane/tests/http_forms/ingress.rs
@@ -11,7 +11,7 @@
 use common::identity::Version;
 use common::rules::Rules;
 use common::spec::{Document, RoutingTable, read_spec};
-use dataplane::drivers::{ByteStream, Connector, DaemonAdapters, Opening, State};
+use dataplane::drivers::{ByteStream, ConnectFuture, Connector, DaemonAdapters, State};
 use dataplane::request_pipeline::handle_request;
 use dataplane::server::serve_ingress;
 use dataplane::settings::DaemonSettings;
@@ -38,11 +38,11 @@
 }
 
 impl Connector for OneDaemon {
-    fn to_runner(&self, _: SocketAddress) -> Opening<'_> {
+    fn to_runner(&self, _: SocketAddress) -> ConnectFuture<'_> {
         Box::pin(async { Err(std::io::ErrorKind::ConnectionRefused.into()) })
     }
 
-    fn to_daemon(&self, _: SocketAddress) -> Opening<'_> {
+    fn to_daemon(&self, _: SocketAddress) -> ConnectFuture<'_> {
         let outcome = self.outcome.clone();
         Box::pin(async move {
             let (near, far) = duplex(64 << 10);
