--- a/crates/dataplane/src/drivers/connector.rs
+++ b/crates/dataplane/src/drivers/connector.rs
@@ -22,10 +22,10 @@
 /// Opens byte streams; it writes nothing to them.
 pub trait Connector: Send + Sync {
     /// Opens a connection to a runner.
-    fn to_runner(&self, address: SocketAddress) -> ConnectFuture<'_>;
+    fn connect_to_runner(&self, address: SocketAddress) -> ConnectFuture<'_>;
 
     /// Opens a connection to another daemon.
-    fn to_daemon(&self, address: SocketAddress) -> ConnectFuture<'_>;
+    fn connect_to_daemon(&self, address: SocketAddress) -> ConnectFuture<'_>;
 }
 
 /// Opens TCP connections.
@@ -41,7 +41,7 @@
 }
 
 impl Connector for TcpConnector {
-    fn to_runner(&self, address: SocketAddress) -> ConnectFuture<'_> {
+    fn connect_to_runner(&self, address: SocketAddress) -> ConnectFuture<'_> {
         Box::pin(async move {
             let stream = TcpStream::connect(address.to_std()).await?;
             sockets::set_socket_options(&stream);
@@ -49,7 +49,7 @@
         })
     }
 
-    fn to_daemon(&self, address: SocketAddress) -> ConnectFuture<'_> {
+    fn connect_to_daemon(&self, address: SocketAddress) -> ConnectFuture<'_> {
         Box::pin(async move {
             let stream = connect_from(self.own_ip, address).await?;
             Ok(Box::new(stream) as Box<dyn ByteStream>)
--- a/crates/dataplane/src/drivers/hop_client.rs
+++ b/crates/dataplane/src/drivers/hop_client.rs
@@ -198,7 +198,7 @@
     address: SocketAddress,
 ) -> Result<(impl ByteStream, Arc<WriteMeter>), FrameError> {
     let opening = async {
-        let (mut stream, meter) = MeteredStream::new(connector.to_daemon(address).await?);
+        let (mut stream, meter) = MeteredStream::new(connector.connect_to_daemon(address).await?);
         write_channel(&mut stream, Channel::Daemons).await?;
         Ok((stream, meter))
     };
--- a/crates/dataplane/src/drivers/runner_connections.rs
+++ b/crates/dataplane/src/drivers/runner_connections.rs
@@ -251,7 +251,7 @@
     }
 
     async fn open_stream(&self, address: SocketAddress) -> Option<OpenedStream> {
-        let stream = self.connector.to_runner(address).await.ok()?;
+        let stream = self.connector.connect_to_runner(address).await.ok()?;
         let (stream, meter) = MeteredStream::new(stream);
         let (sender, connection) = handshake(TokioIo::new(stream)).await.ok()?;
         Some(OpenedStream {
--- a/crates/dataplane/tests/http_forms/ingress.rs
+++ b/crates/dataplane/tests/http_forms/ingress.rs
@@ -38,11 +38,11 @@
 }
 
 impl Connector for OneDaemon {
-    fn to_runner(&self, _: SocketAddress) -> ConnectFuture<'_> {
+    fn connect_to_runner(&self, _: SocketAddress) -> ConnectFuture<'_> {
         Box::pin(async { Err(std::io::ErrorKind::ConnectionRefused.into()) })
     }
 
-    fn to_daemon(&self, _: SocketAddress) -> ConnectFuture<'_> {
+    fn connect_to_daemon(&self, _: SocketAddress) -> ConnectFuture<'_> {
         let outcome = self.outcome.clone();
         Box::pin(async move {
             let (near, far) = duplex(64 << 10);
