--- a/crates/dataplane/src/drivers/control.rs
+++ b/crates/dataplane/src/drivers/control.rs
@@ -198,7 +198,7 @@
         if reply_senders.len() > 1 {
             return;
         }
-        self.state.metrics.owners.acquires.inc();
+        self.state.metrics.owners.acquisitions.inc();
         let outputs = self.controller.acquire(&self.state.agent, now, function);
         self.execute(outputs);
     }
--- a/crates/dataplane/src/drivers/metrics.rs
+++ b/crates/dataplane/src/drivers/metrics.rs
@@ -21,7 +21,7 @@
     /// The replication of ledgers.
     pub replication: ReplicationMetrics,
     /// Functions whose last runner is retained although it is idle.
-    pub idle_stop_skipped: IntGauge,
+    pub retained_idle_functions: IntGauge,
 }
 
 impl DaemonMetrics {
@@ -39,7 +39,7 @@
             held: HeldFunctionMetrics::register(&page),
             session: SessionMetrics::register(&page),
             replication: ReplicationMetrics::register(&page),
-            idle_stop_skipped: page.gauge(
+            retained_idle_functions: page.gauge(
                 "rudder_idle_stop_skipped",
                 "functions whose last idle runner is kept",
             ),
@@ -95,7 +95,7 @@
     /// Owner lookups by where the owner was found.
     pub lookups: IntCounterVec,
     /// Acquisitions requested from the leader.
-    pub acquires: IntCounter,
+    pub acquisitions: IntCounter,
     /// The round-trip times of acquisitions in seconds.
     pub acquire_seconds: Histogram,
 }
@@ -108,7 +108,7 @@
                 "owner look-ups by where the owner was found",
                 &["found"],
             ),
-            acquires: page.counter("rudder_acquires_total", "acquisitions asked of the leader"),
+            acquisitions: page.counter("rudder_acquires_total", "acquisitions asked of the leader"),
             acquire_seconds: page.seconds(
                 "rudder_acquire_seconds",
                 "round trip of an acquisition to the leader",
@@ -124,7 +124,7 @@
     /// Sends beyond a request's first.
     pub retried_sends: IntCounter,
     /// Responses of runners that failed verification.
-    pub rejected_answers: IntCounter,
+    pub rejected_responses: IntCounter,
 }
 
 impl RunnerMetrics {
@@ -132,7 +132,8 @@
         Self {
             sends: page.counter("rudder_sends_total", "transactions sent to runners"),
             retried_sends: page.counter("rudder_extra_sends_total", "sends beyond the first"),
-            rejected_answers: page.counter("rudder_answers_rejected_total", "answers not believed"),
+            rejected_responses: page
+                .counter("rudder_answers_rejected_total", "answers not believed"),
         }
     }
 }
--- a/crates/dataplane/src/drivers/runners.rs
+++ b/crates/dataplane/src/drivers/runners.rs
@@ -208,7 +208,7 @@
             response,
         );
         if matches!(result, SendResult::Lost) {
-            self.state.metrics.runners.rejected_answers.inc();
+            self.state.metrics.runners.rejected_responses.inc();
             self.log_rejected_response(&"seal");
         } else if !is_last && !matches!(result, SendResult::WrongRunner) {
             let connections = &self.state.runner_connections;
--- a/crates/dataplane/src/drivers/state.rs
+++ b/crates/dataplane/src/drivers/state.rs
@@ -153,7 +153,9 @@
         metrics.held.queued.set(totals.queued as i64);
         metrics.held.in_flight.set(totals.in_flight as i64);
         metrics.held.ready_runners.set(totals.ready_runners as i64);
-        metrics.idle_stop_skipped.set(totals.retained_idle as i64);
+        metrics
+            .retained_idle_functions
+            .set(totals.retained_idle as i64);
         let entry_count = self.agent.replica_entry_count();
         metrics.replication.replica_entries.set(entry_count as i64);
         let is_serving = self.agent.is_serving(MonotonicTime::now());
--- a/crates/dataplane/tests/metrics_forms.rs
+++ b/crates/dataplane/tests/metrics_forms.rs
@@ -31,10 +31,10 @@
 fn every_metric_counts_what_its_name_says() {
     let metrics = DaemonMetrics::new();
     metrics.callers.overdue_requests.inc_by(1);
-    metrics.owners.acquires.inc_by(2);
+    metrics.owners.acquisitions.inc_by(2);
     metrics.runners.sends.inc_by(3);
     metrics.runners.retried_sends.inc_by(4);
-    metrics.runners.rejected_answers.inc_by(5);
+    metrics.runners.rejected_responses.inc_by(5);
     metrics.rejected_frames.inc_by(6);
     metrics.session.leases_ended.inc_by(7);
     metrics.held.functions.set(8);
@@ -44,7 +44,7 @@
     metrics.session.serving.set(12);
     metrics.session.version.set(13);
     metrics.replication.replica_entries.set(14);
-    metrics.idle_stop_skipped.set(15);
+    metrics.retained_idle_functions.set(15);
     metrics.owners.acquire_seconds.observe(16.0);
     metrics.replication.round_trip_seconds.observe(17.0);
     let page = String::from_utf8(metrics.page()).expect("text");
