--- a/crates/dataplane/src/request_pipeline/forward_to_holder.rs
+++ b/crates/dataplane/src/request_pipeline/forward_to_holder.rs
@@ -1,6 +1,6 @@
-//! Carries out the steps of a request's forwarding.
+//! Executes the steps that a request's [`Forwarding`] decides on.
 
-use super::interrupts::Interrupts;
+use super::shutdown_signals::ShutdownSignals;
 use crate::agent::{
     ForwardResult, Forwarding, ForwardingStep, FunctionRequest, HolderRequest, ShutdownPhase,
 };
@@ -14,16 +14,16 @@
 use tokio::sync::watch;
 use tokio::time::timeout;
 
-/// How a request ended.
+/// How a request ended, and where.
 pub struct ForwardedOutcome {
-    /// The key of the function to which it went in the end.
+    /// The function key under which the request was last handled; may be a regional key.
     pub function: FunctionKey,
-    /// Its outcome.
+    /// The outcome of the request.
     pub outcome: RequestOutcome,
-    /// The holder, if it is known.
+    /// The holder of the function, if known.
     pub holder: Option<Host>,
-    /// In how many tenths of a second the callers of the request's region are to use a regional key; zero if they are not
-    /// to use one.
+    /// The delay in tenths of a second after which callers in the request's region should use a regional key; zero if
+    /// they should not use one.
     pub regional_tenths: u8,
 }
 
@@ -45,8 +45,8 @@
     }
 }
 
-/// Waits until a daemon no longer counts as alive: it is suspected, no longer listed, or has a new incarnation.
-async fn host_gone(state: &State, host: &Host) {
+/// Waits until a daemon no longer counts as live: it is suspected, no longer listed, or has a new incarnation.
+async fn wait_until_host_gone(state: &State, host: &Host) {
     let mut changes = state.changes();
     while is_current_owner(host, &state.agent.live_hosts()) {
         if changes.changed().await.is_err() {
@@ -55,7 +55,7 @@
     }
 }
 
-/// The hint about the regional key in another daemon's reply.
+/// Returns the regional key hint in another daemon's reply, if the reply carries a response.
 fn regional_hint(hop_result: &HopCallResult) -> Option<u8> {
     match hop_result {
         HopCallResult::Reply(DaemonMessage::Completed {
@@ -67,11 +67,11 @@
     }
 }
 
-/// One request's forwarding as it is carried out.
+/// The forwarding of one request, with what its execution needs.
 struct ForwardingRun<'a> {
     state: &'a Arc<State>,
     forwarding: Forwarding,
-    interrupts: Interrupts,
+    shutdown_signals: ShutdownSignals,
     regional_tenths: u8,
 }
 
@@ -92,8 +92,8 @@
             .inc();
     }
 
-    /// Keeps a response's hint about the regional key for the daemon that forwarded the request; the caller's daemon uses
-    /// it itself.
+    /// Stores the regional key hint of a response. It is passed back to the daemon that forwarded the request, or
+    /// applied here if this is the caller's ingress daemon.
     fn handle_regional_hint(&mut self, regional_tenths: u8) {
         self.regional_tenths = regional_tenths;
         let request = self.forwarding.request();
@@ -120,7 +120,7 @@
             tokio::select! {
                 biased;
                 outcome = held_request.outcome() => break outcome,
-                phase = self.interrupts.next() => match phase {
+                phase = self.shutdown_signals.next_phase() => match phase {
                     ShutdownPhase::Finishing => {}
                     ShutdownPhase::Withdrawing => {
                         if self.forwarding.withdraw(&self.state.agent) {
@@ -149,7 +149,7 @@
             .state
             .hop_client
             .request(host.address, body, wait_until);
-        let end = loop {
+        let result = loop {
             tokio::select! {
                 biased;
                 hop_result = hop_call.reply() => {
@@ -158,8 +158,8 @@
                     }
                     break forward_result(hop_result, &host);
                 }
-                () = host_gone(self.state, &host) => break ForwardResult::Lost,
-                phase = self.interrupts.next() => match phase {
+                () = wait_until_host_gone(self.state, &host) => break ForwardResult::Lost,
+                phase = self.shutdown_signals.next_phase() => match phase {
                     ShutdownPhase::Finishing => {}
                     ShutdownPhase::Withdrawing => {
                         if self.forwarding.withdraw(&self.state.agent) {
@@ -171,7 +171,7 @@
             }
         };
         self.forwarding
-            .forwarded(&self.state.agent, MonotonicTime::now(), end)
+            .forwarded(&self.state.agent, MonotonicTime::now(), result)
     }
 
     async fn acquire(&mut self, wait_until: MonotonicTime) -> LocalForwardingStep {
@@ -188,11 +188,11 @@
                 }
                 Err(_) => self.advance(),
             },
-            _ = self.interrupts.next() => self.withdraw(),
+            _ = self.shutdown_signals.next_phase() => self.withdraw(),
         }
     }
 
-    /// Waits for a change of this daemon's state.
+    /// Waits until this daemon's state changes or the wait times out.
     async fn wait(
         &mut self,
         changes: &mut watch::Receiver<u64>,
@@ -201,44 +201,45 @@
         let wait = wait_until.since(MonotonicTime::now());
         tokio::select! {
             biased;
-            // Advanced on a change and on the time-out alike.
+            // A change and the time-out both lead to the next step.
             _ = timeout(wait, changes.changed()) => self.advance(),
-            _ = self.interrupts.next() => self.withdraw(),
+            _ = self.shutdown_signals.next_phase() => self.withdraw(),
         }
     }
 
-    /// Withdraws a request that nobody has.
+    /// Withdraws a request that no holder has at present.
     fn withdraw(&mut self) -> LocalForwardingStep {
         self.forwarding.withdraw(&self.state.agent);
         self.advance()
     }
 }
 
-/// Brings a caller's request to the holder of its function, and returns its outcome.
+/// Serves a caller's request here or forwards it to the holder of its function, and returns its outcome.
 pub async fn forward_to_holder(state: &Arc<State>, request: FunctionRequest) -> ForwardedOutcome {
     forward(state, request, None).await
 }
 
-/// The same for a request that another daemon has forwarded; `requester` tells how far that one's shutdown has come.
+/// Does the same as [`forward_to_holder`] for a request that another daemon has forwarded. `requester_phase` is the
+/// shutdown phase of that daemon.
 pub async fn forward_for_daemon(
     state: &Arc<State>,
     request: FunctionRequest,
-    requester: watch::Receiver<ShutdownPhase>,
+    requester_phase: watch::Receiver<ShutdownPhase>,
 ) -> ForwardedOutcome {
-    forward(state, request, Some(requester)).await
+    forward(state, request, Some(requester_phase)).await
 }
 
 async fn forward(
     state: &Arc<State>,
     request: FunctionRequest,
-    requester: Option<watch::Receiver<ShutdownPhase>>,
+    requester_phase: Option<watch::Receiver<ShutdownPhase>>,
 ) -> ForwardedOutcome {
     let _in_flight = state.agent.track_in_flight();
     let mut changes = state.changes();
     let mut run = ForwardingRun {
         state,
         forwarding: Forwarding::new(MonotonicTime::now(), request),
-        interrupts: Interrupts::new(state.shutdown_phase(), requester),
+        shutdown_signals: ShutdownSignals::new(state.shutdown_phase(), requester_phase),
         regional_tenths: 0,
     };
     let mut step = run.advance();
--- a/crates/dataplane/src/request_pipeline/mod.rs
+++ b/crates/dataplane/src/request_pipeline/mod.rs
@@ -1,20 +1,20 @@
-//! The way of a caller's request through this daemon, from its head to its response.
+//! The processing of a caller's request in this daemon, from its head to its response.
 //!
-//! [`handle_request`] checks the request, finds its route, reads its body, has it forwarded to the holder of its function,
-//! and makes the response of the outcome. It uses the [`drivers`](crate::drivers) for what it sends; the
-//! [`server`](crate::server), which accepts the requests, uses it.
+//! [`handle_request`] validates the request, matches its route, reads its body, has it served by the holder of its
+//! function, and converts the outcome into a response. It is called by the [`server`](crate::server), which accepts the
+//! requests, and sends through the [`drivers`](crate::drivers).
 //!
-//! * `forward_to_holder`: carries out the steps of the forwarding; also used for requests from other daemons.
-//! * `interrupts`: the shutdowns that a waiting request has to act on.
-//! * `ingress_request`: what is counted and logged of a request when it ends.
+//! * `forward_to_holder`: executes the forwarding steps; also used for requests from other daemons.
+//! * `ingress_request`: the metrics and log line of a request when it ends.
 //! * `request_checks`: the checks before a request is forwarded, and their rejections.
 //! * `responses`: the responses to callers by outcome.
+//! * `shutdown_signals`: the shutdown phases that a waiting request must react to.
 
 mod forward_to_holder;
 mod ingress_request;
-mod interrupts;
 mod request_checks;
 mod responses;
+mod shutdown_signals;
 
 pub use forward_to_holder::{ForwardedOutcome, forward_for_daemon, forward_to_holder};
 
@@ -37,10 +37,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How long a caller may take to send a body.
+/// How long a caller may take to send the body of a request.
 const BODY_READ_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Handles one caller's request: returns its response, and counts and logs how it ended.
+/// Handles a caller's request and returns its response. Counts the outcome, and logs it if no runner responded.
 pub async fn handle_request(state: &Arc<State>, request: Request<Incoming>) -> HttpResponse {
     let mut ingress_request = IngressRequest::new(state);
     let caller_response = respond_to(state, request, &mut ingress_request).await;
@@ -61,8 +61,8 @@
     outcome_response(forwarded_outcome.function, forwarded_outcome.outcome)
 }
 
-/// Checks a request and reads its body. What is learned on the way is noted in `ingress_request`, so that a rejection is
-/// logged with it.
+/// Validates a request and reads its body. Stores the key, route and deadline in `ingress_request` as they become
+/// known, so that the log line of a rejected request includes them.
 async fn accept(
     state: &State,
     request: Request<Incoming>,
@@ -120,7 +120,8 @@
     )
 }
 
-/// Only a daemon that serves can tell that there is no route; another one's spec may be outdated.
+/// Returns the rejection of a request that no route matches. The spec of a daemon that is not serving may be outdated,
+/// so such a daemon does not report the route as missing.
 fn no_route_rejection(state: &State) -> RequestRejection {
     if state.agent.is_serving(MonotonicTime::now()) {
         RequestRejection::NoRoute
--- a/crates/dataplane/src/request_pipeline/shutdown_signals.rs
+++ b/crates/dataplane/src/request_pipeline/shutdown_signals.rs
@@ -1,43 +1,45 @@
-//! What interrupts a request that waits for its outcome: the shutdown of this daemon, or of the one that forwarded it.
+//! The shutdown phases that a waiting request must react to: those of this daemon, and those of the daemon that
+//! forwarded the request.
 
 use crate::agent::ShutdownPhase;
 use tokio::sync::watch;
 
-/// The interruptions of one request.
-pub(super) struct Interrupts {
-    /// This daemon's own shutdown.
-    own: watch::Receiver<ShutdownPhase>,
-    /// As far as the daemon that forwarded the request has said; none at the caller's daemon.
-    requester: Option<watch::Receiver<ShutdownPhase>>,
+/// The shutdown phases that concern one request.
+pub(super) struct ShutdownSignals {
+    /// The shutdown phase of this daemon.
+    own_phase: watch::Receiver<ShutdownPhase>,
+    /// The shutdown phase that the forwarding daemon has reported; `None` at the caller's ingress daemon.
+    requester_phase: Option<watch::Receiver<ShutdownPhase>>,
+    /// The latest phase that was returned.
     handled: ShutdownPhase,
 }
 
-impl Interrupts {
+impl ShutdownSignals {
     pub(super) fn new(
-        own: watch::Receiver<ShutdownPhase>,
-        requester: Option<watch::Receiver<ShutdownPhase>>,
+        own_phase: watch::Receiver<ShutdownPhase>,
+        requester_phase: Option<watch::Receiver<ShutdownPhase>>,
     ) -> Self {
         Self {
-            own,
-            requester,
+            own_phase,
+            requester_phase,
             handled: ShutdownPhase::Finishing,
         }
     }
 
-    /// Waits for a later phase than those returned before.
-    pub(super) async fn next(&mut self) -> ShutdownPhase {
+    /// Waits until either daemon enters a later phase than any returned before.
+    pub(super) async fn next_phase(&mut self) -> ShutdownPhase {
         let handled = self.handled;
         let phase = tokio::select! {
-            phase = later_phase(Some(&mut self.own), handled) => phase,
-            phase = later_phase(self.requester.as_mut(), handled) => phase,
+            phase = wait_for_later_phase(Some(&mut self.own_phase), handled) => phase,
+            phase = wait_for_later_phase(self.requester_phase.as_mut(), handled) => phase,
         };
         self.handled = phase;
         phase
     }
 }
 
-/// Never returns without a receiver, or once the sender is gone.
-async fn later_phase(
+/// Waits for a phase later than `handled`. Never completes without a receiver, or after the sender is dropped.
+async fn wait_for_later_phase(
     receiver: Option<&mut watch::Receiver<ShutdownPhase>>,
     handled: ShutdownPhase,
 ) -> ShutdownPhase {
