--- a/crates/dataplane/src/request_pipeline/ingress_request.rs
+++ b/crates/dataplane/src/request_pipeline/ingress_request.rs
@@ -1,5 +1,5 @@
-//! A request at the daemon that received it from its caller: what is learned of it on its way, and what is counted and
-//! logged when it ends.
+//! A request at its ingress daemon, the one that received it from the caller: what becomes known about it while it is
+//! processed, and the metrics and log line written when it ends.
 
 use crate::drivers::State;
 use common::adapter::CallerResponse;
@@ -10,31 +10,30 @@
 use std::fmt;
 use std::time::Duration;
 
-/// How long after its deadline a request may end before it counts as overdue.
+/// Requests that end later than this after their deadline are counted as overdue.
 const OVERDUE_GRACE: Duration = Duration::from_millis(250);
 
-/// The outcome under which a request is counted whose caller disconnected before it ended.
-const ABANDONED: &str = "left";
+/// The outcome label for requests whose caller disconnected before they ended.
+const ABANDONED_OUTCOME: &str = "left";
 
-/// A request at the daemon that received it from its caller. Dropped without [`IngressRequest::finish`], it counts as
-/// abandoned.
+/// A request at its ingress daemon. If dropped without [`IngressRequest::finish`], it is counted as abandoned.
 pub(crate) struct IngressRequest<'a> {
     state: &'a State,
-    /// When its head was read.
+    /// When the head of the request was read.
     pub started_at: MonotonicTime,
-    /// Its idempotency key, once that is read.
+    /// The idempotency key, once parsed.
     pub idempotency_key: Option<IdempotencyKey>,
-    /// Its route, once that is found.
+    /// The name of the route, once matched.
     pub route: Option<String>,
-    /// Its deadline by its caller's time-out and its route's, once both are known.
+    /// The deadline by the shorter of the caller's and the route's time-out, once both are known.
     pub deadline: Option<MonotonicTime>,
-    /// The holder of its function, if that is known.
+    /// The holder of the function, if known.
     pub holder: Option<MemberName>,
     is_finished: bool,
 }
 
 impl<'a> IngressRequest<'a> {
-    /// A request whose head has just been read.
+    /// Starts tracking a request whose head has just been read.
     pub(crate) fn new(state: &'a State) -> Self {
         Self {
             state,
@@ -47,7 +46,7 @@
         }
     }
 
-    /// Counts how the request ended, logs it if no runner responded, and encodes the response.
+    /// Counts the outcome, logs the request unless it ended with a runner's response, and encodes the response.
     pub(crate) fn finish(mut self, caller_response: CallerResponse) -> HttpResponse {
         self.is_finished = true;
         let now = MonotonicTime::now();
@@ -108,7 +107,7 @@
 impl Drop for IngressRequest<'_> {
     fn drop(&mut self) {
         if !self.is_finished {
-            self.count(MonotonicTime::now(), ABANDONED, "");
+            self.count(MonotonicTime::now(), ABANDONED_OUTCOME, "");
         }
     }
 }
--- a/crates/dataplane/src/request_pipeline/request_checks.rs
+++ b/crates/dataplane/src/request_pipeline/request_checks.rs
@@ -1,4 +1,4 @@
-//! The checks of a caller's request before it is forwarded.
+//! Validation of callers' requests before they are forwarded.
 
 use common::adapter::{CallerResponse, IngressCodec, NotRunKind};
 use common::frames::RequestFailureReason;
@@ -7,10 +7,10 @@
 use hyper::header::{CONTENT_LENGTH, HeaderMap};
 use std::time::Duration;
 
-/// Why a request is rejected before it is forwarded; it was certainly not run.
+/// Why a request was rejected before it was forwarded. No runner has received such a request.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum RequestRejection {
-    /// This header is missing or malformed.
+    /// The named header is missing or malformed.
     Header(&'static str),
     /// No route matches.
     NoRoute,
@@ -18,9 +18,9 @@
     BodyTooLarge,
     /// The body could not be read.
     BodyUnreadable,
-    /// This daemon serves no requests at the moment.
+    /// This daemon is not serving requests at present.
     NotServing {
-        /// When to retry.
+        /// The delay after which the caller may retry.
         retry_after: Duration,
     },
 }
@@ -61,10 +61,10 @@
     }
 }
 
-/// The longest idempotency key, in bytes.
+/// The maximum length of an idempotency key, in bytes.
 const MAX_IDEMPOTENCY_KEY_LENGTH: usize = 128;
 
-/// Reads the idempotency key: letters, digits and `-_.:`, at most 128 of them.
+/// Parses the idempotency key: 1 to 128 ASCII letters, digits or `-_.:`.
 pub(crate) fn parse_idempotency_key(
     ingress: &dyn IngressCodec,
     headers: &HeaderMap,
@@ -80,7 +80,7 @@
         .ok_or_else(|| RequestRejection::Header(ingress.idempotency_key_header()))
 }
 
-/// Reads how long the caller waits: an integer of milliseconds, from 1 to 60 000.
+/// Parses the caller's time-out: an integer number of milliseconds from 1 to 60 000.
 pub(crate) fn parse_timeout(
     ingress: &dyn IngressCodec,
     headers: &HeaderMap,
@@ -94,7 +94,7 @@
         .ok_or_else(|| RequestRejection::Header(ingress.timeout_header()))
 }
 
-/// Rejects a body whose announced length is too large, before any of it is read.
+/// Rejects a request whose `content-length` exceeds the limit, before any of the body is read.
 pub(crate) fn check_content_length(
     headers: &HeaderMap,
     max_body_bytes: usize,
--- a/crates/dataplane/src/request_pipeline/responses.rs
+++ b/crates/dataplane/src/request_pipeline/responses.rs
@@ -1,11 +1,11 @@
-//! The responses to callers by the outcome of their requests.
+//! Converts the outcomes of requests into responses to callers.
 
 use common::adapter::{CallerResponse, NotRunKind};
 use common::frames::{RequestFailureReason, RequestOutcome};
 use common::identity::FunctionKey;
 use std::time::Duration;
 
-/// The response to a request that has ended with this outcome.
+/// Returns the response to a request that ended with this outcome.
 pub(crate) fn outcome_response(function: FunctionKey, outcome: RequestOutcome) -> CallerResponse {
     match outcome {
         RequestOutcome::Response {
@@ -33,22 +33,22 @@
         },
         RequestOutcome::Unknown { reason } => CallerResponse::Unknown {
             reason,
-            retry_after: retry_after_of(reason),
+            retry_after: unknown_retry_after(reason),
         },
     }
 }
 
-/// When to retry after an unknown outcome, with the same idempotency key to learn the outcome or with another: a holder
-/// that was lost is replaced once its lease has ended.
-fn retry_after_of(reason: RequestFailureReason) -> Duration {
+/// Returns the delay before a retry after an unknown outcome, either with the same idempotency key to learn the
+/// outcome, or with a new one. It is longer for a lost holder, which is replaced only after its lease has ended.
+fn unknown_retry_after(reason: RequestFailureReason) -> Duration {
     match reason {
         RequestFailureReason::HolderUnreachable => Duration::from_millis(3000),
         _ => Duration::from_millis(1000),
     }
 }
 
-/// The kind of a rejection by a holder. That no route matches is decided at the ingress only: a holder whose spec differs
-/// is a reason to retry.
+/// Maps a failure reason to the kind of rejection that the caller sees. Never [`NotRunKind::NoRoute`]: only the ingress
+/// daemon decides that no route matches, and a request rejected by a holder with a different spec can be retried.
 fn not_run_kind(reason: RequestFailureReason) -> NotRunKind {
     match reason {
         RequestFailureReason::RetryBudgetSpent => NotRunKind::RetryBudgetSpent,
