--- a/crates/dataplane/src/drivers/connector.rs
+++ b/crates/dataplane/src/drivers/connector.rs
@@ -1,5 +1,5 @@
-//! The opening of byte streams to runners and to other daemons. The drivers depend only on the traits here, so that
-//! they run over any transport, and tests can inject a failure at each byte of an exchange.
+//! Opens byte streams to runners and to other daemons. The drivers depend only on the traits in this module, so that
+//! they work over any transport, and tests can inject a failure at each byte of an exchange.
 
 use common::frames::{SocketAddress, connect_from};
 use common::sockets;
@@ -10,16 +10,16 @@
 use tokio::io::{AsyncRead, AsyncWrite};
 use tokio::net::TcpStream;
 
-/// A connected stream of bytes.
+/// A connected, bidirectional byte stream.
 pub trait ByteStream: AsyncRead + AsyncWrite + Send + Unpin {}
 
 impl<S: AsyncRead + AsyncWrite + Send + Unpin> ByteStream for S {}
 
-/// A stream that is being opened.
+/// Resolves to a connected stream.
 pub type ConnectFuture<'a> =
     Pin<Box<dyn Future<Output = io::Result<Box<dyn ByteStream>>> + Send + 'a>>;
 
-/// Opens byte streams; it writes nothing to them.
+/// Opens byte streams without writing anything to them.
 pub trait Connector: Send + Sync {
     /// Opens a connection to a runner.
     fn connect_to_runner(&self, address: SocketAddress) -> ConnectFuture<'_>;
@@ -34,7 +34,7 @@
 }
 
 impl TcpConnector {
-    /// Connections to other daemons are bound to this address, by which these identify the member.
+    /// Creates a connector that binds connections to other daemons to `own_ip`, by which they identify the member.
     pub fn new(own_ip: Ipv4Addr) -> Self {
         Self { own_ip }
     }
--- a/crates/dataplane/src/drivers/frame_batch.rs
+++ b/crates/dataplane/src/drivers/frame_batch.rs
@@ -1,4 +1,4 @@
-//! The batching of frames into writes.
+//! Batching of frames into writes.
 
-/// Queued frames are written together until a batch has this many bytes.
+/// Queued frames are added to a write until it has at least this many bytes.
 pub(crate) const WRITE_BATCH_BYTES: usize = 64 << 10;
