--- a/crates/dataplane/src/drivers/control.rs
+++ b/crates/dataplane/src/drivers/control.rs
@@ -1,4 +1,4 @@
-//! The control task: it feeds the daemon's control state machine and carries out its outputs.
+//! The control task: passes inputs to the daemon's control state machine and executes its outputs.
 
 use super::control_input::{ControlInput, StreamEvent};
 use super::frame_batch::WRITE_BATCH_BYTES;
@@ -29,25 +29,25 @@
 const DIAL_TIMEOUT: Duration = Duration::from_millis(600);
 const WRITE_TIMEOUT: Duration = Duration::from_secs(2);
 const MAX_QUEUED_FRAMES: usize = 8192;
-/// How often expired connections to runners are closed.
+/// Interval between two sweeps that close expired connections to runners.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
 /// The state of the control task.
-pub(crate) struct Control {
+pub(crate) struct ControlTask {
     state: Arc<State>,
-    controller: DaemonControl<OutcomeWaiter>,
-    /// The requests that wait for an acquisition.
-    acquires: HashMap<FunctionKey, Vec<oneshot::Sender<AcquireResult>>>,
+    daemon_control: DaemonControl<OutcomeWaiter>,
+    /// The requests waiting for an acquisition, by function.
+    pending_acquisitions: HashMap<FunctionKey, Vec<oneshot::Sender<AcquireResult>>>,
     current_stream_id: u64,
     stream: Option<mpsc::Sender<DaemonToLeader>>,
     heartbeat_socket: Arc<UdpSocket>,
     sweep_due_at: MonotonicTime,
 }
 
-impl Control {
-    /// The state before the first input.
+impl ControlTask {
+    /// Creates the control task's state before its first input.
     pub(crate) fn new(state: Arc<State>, heartbeat_socket: Arc<UdpSocket>) -> Self {
-        let controller = DaemonControl::new(
+        let daemon_control = DaemonControl::new(
             MonotonicTime::now(),
             &state.agent,
             ControlSessionTiming::builder().build(),
@@ -56,17 +56,17 @@
             SeededRng::from_os(),
         )
         .with_heartbeat_interval(state.settings.heartbeat_interval);
-        let controller = if state.settings.warm {
-            controller.with_warm(MonotonicTime::now())
+        let daemon_control = if state.settings.warm {
+            daemon_control.with_warm(MonotonicTime::now())
         } else {
-            controller
+            daemon_control
         };
-        let acquires = HashMap::new();
+        let pending_acquisitions = HashMap::new();
         let sweep_due_at = MonotonicTime::now() + SWEEP_INTERVAL;
         Self {
             state,
-            controller,
-            acquires,
+            daemon_control,
+            pending_acquisitions,
             current_stream_id: 0,
             stream: None,
             heartbeat_socket,
@@ -74,8 +74,8 @@
         }
     }
 
-    /// Runs until all senders of inputs are gone, in effect as long as the process. Wakes only when something is due or
-    /// an input arrives.
+    /// Runs until all input senders are dropped, which in practice is the end of the process. Wakes only when an action
+    /// is due or an input arrives.
     pub(crate) async fn run(mut self, mut inputs: mpsc::UnboundedReceiver<ControlInput>) {
         let state = self.state.clone();
         let mut due = MonotonicTime::now();
@@ -91,7 +91,7 @@
                 input = inputs.recv() => match input {
                     Some(input) => {
                         self.handle_input(input);
-                        due = due.min(self.controller.stream_due());
+                        due = due.min(self.daemon_control.stream_due());
                     }
                     None => return,
                 },
@@ -101,7 +101,7 @@
 
     fn tick(&mut self) {
         let now = MonotonicTime::now();
-        let outputs = self.controller.tick(&self.state.agent, now);
+        let outputs = self.daemon_control.tick(&self.state.agent, now);
         self.execute(outputs);
         if now >= self.sweep_due_at {
             self.sweep_due_at = now + SWEEP_INTERVAL;
@@ -111,7 +111,7 @@
 
     fn next_due(&self) -> MonotonicTime {
         let now = MonotonicTime::now();
-        self.controller
+        self.daemon_control
             .next_due(&self.state.agent)
             .clamp(now + MIN_TICK_INTERVAL, now + MAX_TICK_INTERVAL)
     }
@@ -128,26 +128,32 @@
             }
             ControlInput::HeartbeatDatagram(heartbeat) => self.handle_heartbeat(now, &heartbeat),
             ControlInput::Acquire(function, reply_sender) => {
-                self.request_acquire(now, function, reply_sender);
+                self.request_acquisition(now, function, reply_sender);
             }
             ControlInput::HolderMessage {
                 function,
                 fencing_token,
                 message,
             } => {
-                let outputs =
-                    self.controller
-                        .holder_message(agent, now, function, fencing_token, message);
+                let outputs = self.daemon_control.holder_message(
+                    agent,
+                    now,
+                    function,
+                    fencing_token,
+                    message,
+                );
                 self.execute(outputs);
             }
-            ControlInput::Seeds(seeds) => self.controller.set_seeds(seeds),
-            ControlInput::DesiredFunctionsChanged => self.controller.recheck_warm_functions(now),
+            ControlInput::Seeds(seeds) => self.daemon_control.set_seeds(seeds),
+            ControlInput::DesiredFunctionsChanged => {
+                self.daemon_control.recheck_warm_functions(now)
+            }
             ControlInput::BeginShutdown => {
-                let outputs = self.controller.leave(agent, now);
+                let outputs = self.daemon_control.leave(agent, now);
                 self.execute(outputs);
             }
             ControlInput::ShutdownFinished => {
-                let outputs = self.controller.departed(agent);
+                let outputs = self.daemon_control.departed(agent);
                 self.execute(outputs);
             }
         }
@@ -160,15 +166,15 @@
         let outputs = match event {
             StreamEvent::Connected(sender) => {
                 self.stream = Some(sender);
-                self.controller.connected(agent, now)
+                self.daemon_control.connected(agent, now)
             }
             StreamEvent::Disconnected => {
                 self.stream = None;
-                self.controller.disconnected(agent, now)
+                self.daemon_control.disconnected(agent, now)
             }
-            StreamEvent::Received(frame) => self.controller.received(agent, now, frame),
-            StreamEvent::Receiving => {
-                self.controller.frame_part_received(now);
+            StreamEvent::Received(frame) => self.daemon_control.received(agent, now, frame),
+            StreamEvent::ReceivedPart => {
+                self.daemon_control.frame_part_received(now);
                 return;
             }
         };
@@ -176,7 +182,7 @@
     }
 
     fn handle_heartbeat(&mut self, now: MonotonicTime, heartbeat: &Heartbeat) {
-        if !self.controller.heartbeat(now, heartbeat) {
+        if !self.daemon_control.heartbeat(now, heartbeat) {
             log_event!(
                 Debug,
                 events::HEARTBEAT_IGNORED,
@@ -186,20 +192,25 @@
         }
     }
 
-    /// Acquires a function's owner for one more request; requests for the same function share one acquisition.
-    fn request_acquire(
+    /// Acquires an owner of a function for a request. Concurrent requests for the same function share one acquisition.
+    fn request_acquisition(
         &mut self,
         now: MonotonicTime,
         function: FunctionKey,
         reply_sender: oneshot::Sender<AcquireResult>,
     ) {
-        let reply_senders = self.acquires.entry(function.clone()).or_default();
+        let reply_senders = self
+            .pending_acquisitions
+            .entry(function.clone())
+            .or_default();
         reply_senders.push(reply_sender);
         if reply_senders.len() > 1 {
             return;
         }
         self.state.metrics.owners.acquisitions.inc();
-        let outputs = self.controller.acquire(&self.state.agent, now, function);
+        let outputs = self
+            .daemon_control
+            .acquire(&self.state.agent, now, function);
         self.execute(outputs);
     }
 
@@ -209,8 +220,8 @@
                 DaemonControlOutput::Dial(address) => {
                     self.current_stream_id += 1;
                     self.stream = None;
-                    // Detached: it ends when its frame sender is dropped or the stream fails, and its inputs carry the
-                    // number of the stream.
+                    // Detached. The task ends when its frame sender is dropped or the stream fails. Its inputs carry
+                    // the stream's number, by which those of an old stream are ignored.
                     tokio::spawn(run_stream(
                         self.state.clone(),
                         self.current_stream_id,
@@ -233,7 +244,7 @@
                     result,
                     round_trip,
                 } => self.handle_acquired(&function, result, round_trip),
-                DaemonControlOutput::AcquiresLost => self.acquires.clear(),
+                DaemonControlOutput::AcquiresLost => self.pending_acquisitions.clear(),
                 DaemonControlOutput::Changed => self.state.changes.send_modify(|count| *count += 1),
                 DaemonControlOutput::LogEvent(event, detail) => log_control_event(event, &detail),
                 DaemonControlOutput::Installed(version) => {
@@ -264,7 +275,8 @@
         }
     }
 
-    /// Passes the result of an acquisition to the requests that wait for it; none has each of them try again.
+    /// Sends the result of an acquisition to the waiting requests. Without a result their senders are dropped, which
+    /// makes each request try again.
     fn handle_acquired(
         &mut self,
         function: &FunctionKey,
@@ -278,7 +290,10 @@
                 .acquire_seconds
                 .observe(round_trip.as_secs_f64());
         }
-        let reply_senders = self.acquires.remove(function).unwrap_or_default();
+        let reply_senders = self
+            .pending_acquisitions
+            .remove(function)
+            .unwrap_or_default();
         if let Some(result) = result {
             for reply_sender in reply_senders {
                 let _ = reply_sender.send(result.clone());
@@ -296,8 +311,8 @@
 }
 
 async fn run_stream(state: Arc<State>, stream_id: u64, address: SocketAddress) {
-    let ended = drive_stream(&state, stream_id, address).await;
-    if let Err(error) = ended
+    let result = drive_stream(&state, stream_id, address).await;
+    if let Err(error) = result
         && !matches!(error, FrameError::Connection(_))
     {
         state.metrics.rejected_frames.inc();
@@ -323,8 +338,8 @@
     });
     let (reading_half, writing_half) = stream.into_split();
     tokio::select! {
-        ended = read_frames(state, stream_id, reading_half) => ended,
-        ended = write_frames(writing_half, frames) => ended,
+        result = read_frames(state, stream_id, reading_half) => result,
+        result = write_frames(writing_half, frames) => result,
     }
 }
 
@@ -335,13 +350,13 @@
 ) -> Result<(), FrameError> {
     let mut reader = BufReader::new(reading_half);
     loop {
-        let report_receiving = || {
+        let report_part = || {
             let _ = state.control.send(ControlInput::Stream {
                 stream_id,
-                event: StreamEvent::Receiving,
+                event: StreamEvent::ReceivedPart,
             });
         };
-        let frame: LeaderToDaemon = read_frame_in_parts(&mut reader, report_receiving).await?;
+        let frame: LeaderToDaemon = read_frame_in_parts(&mut reader, report_part).await?;
         let _ = state.control.send(ControlInput::Stream {
             stream_id,
             event: StreamEvent::Received(frame),
--- a/crates/dataplane/src/drivers/control_input.rs
+++ b/crates/dataplane/src/drivers/control_input.rs
@@ -1,5 +1,5 @@
-//! The inputs of the control task. They are a module of their own so that the shared state can hold their sender
-//! without knowing the control task.
+//! The inputs of the control task. They are separate from the control task so that the shared state can hold the sender
+//! without depending on the task.
 
 use crate::holder::HolderMessage;
 use common::frames::{AcquireResult, DaemonToLeader, Heartbeat, LeaderToDaemon, SocketAddress};
@@ -8,44 +8,44 @@
 
 /// An input of the control task.
 pub(crate) enum ControlInput {
-    /// An event of a stream to the leader. Streams are numbered; events of an earlier one are ignored.
+    /// An event of a stream to the leader. Events of any stream but the current one are ignored.
     Stream {
-        /// The number of the stream.
+        /// The number of the stream; each dialed stream gets a new one.
         stream_id: u64,
-        /// What happened on it.
+        /// The event.
         event: StreamEvent,
     },
     /// A heartbeat was received.
     HeartbeatDatagram(Heartbeat),
-    /// A request needs an owner for a function; the result goes to this sender.
+    /// A request needs an owner for a function. The result is sent to the given sender.
     Acquire(FunctionKey, oneshot::Sender<AcquireResult>),
     /// A holder has a message for the leader.
     HolderMessage {
         /// The held function.
         function: FunctionKey,
-        /// The fencing token of the lease under which it is held.
+        /// The fencing token of the function's lease.
         fencing_token: FencingToken,
         /// The message.
         message: HolderMessage,
     },
-    /// The set of functions that want an owner may have changed.
+    /// The set of functions that need an owner may have changed.
     DesiredFunctionsChanged,
-    /// The seeds have changed.
+    /// The controllers' seed addresses have changed.
     Seeds(Vec<SocketAddress>),
-    /// The daemon begins to shut down.
+    /// The daemon starts to shut down.
     BeginShutdown,
-    /// The daemon has nothing left to finish.
+    /// The daemon has finished its shutdown, or the grace period has ended.
     ShutdownFinished,
 }
 
 /// An event of a stream to the leader.
 pub(crate) enum StreamEvent {
-    /// The dialed stream is open; frames are sent by this sender.
+    /// The dialed stream is open. Frames to the leader go to the given sender.
     Connected(mpsc::Sender<DaemonToLeader>),
     /// The stream failed or ended.
     Disconnected,
-    /// A frame of the leader was received.
+    /// A complete frame was received from the leader.
     Received(LeaderToDaemon),
-    /// A part of a frame was received; the rest is under way.
-    Receiving,
+    /// Part of a frame was received; the rest has not arrived yet.
+    ReceivedPart,
 }
--- a/crates/dataplane/src/drivers/mod.rs
+++ b/crates/dataplane/src/drivers/mod.rs
@@ -1,12 +1,15 @@
-//! The drivers of the data plane: the I/O that carries out the outputs of state machines without any, towards the
-//! leader, other daemons, runners and the platform.
+//! The drivers of the data plane: they execute the outputs of the I/O-free state machines, by talking to the leader,
+//! other daemons, runners and the platform.
 //!
-//! [`State`] is shared by all tasks and depends on none of them. Dependencies go one way, from the [`server`] over the
-//! [`request_pipeline`] to this module, which uses neither of the two.
+//! [`State`] is shared by all tasks and depends on none of them. [`server`] depends on [`request_pipeline`], and both
+//! depend on this module, which depends on neither.
 //!
-//! Of a daemon's tasks, that of the ingress is joined at shutdown; the driver task of a runner connection is cancelled
-//! with the connection, and a request from another daemon with that daemon's connection; all others are detached, and
-//! end with the process, with their connection, or after one bounded step.
+//! The lifetime of a daemon's tasks:
+//!
+//! * The ingress task is joined at shutdown.
+//! * The driver task of a runner connection is cancelled when the connection is dropped.
+//! * The task of a request from another daemon is cancelled when that daemon's connection ends.
+//! * All other tasks are detached. They end with the process, with their connection, or after one bounded step.
 //!
 //! [`server`]: crate::server
 //! [`request_pipeline`]: crate::request_pipeline
@@ -28,7 +31,7 @@
 
 pub use crate::adapter::DaemonAdapters;
 pub use connector::{ByteStream, ConnectFuture, Connector, TcpConnector};
-pub(crate) use control::Control;
+pub(crate) use control::ControlTask;
 pub(crate) use control_input::ControlInput;
 pub(crate) use frame_batch::WRITE_BATCH_BYTES;
 pub use hop_client::{HopCallResult, HopClient, PendingHopCall};
--- a/crates/dataplane/src/server/daemon.rs
+++ b/crates/dataplane/src/server/daemon.rs
@@ -4,7 +4,7 @@
 use super::ingress::{serve_ingress, serve_ready};
 use crate::adapter::DaemonAdapters;
 use crate::agent::{ShutdownPhase, ShutdownSchedule};
-use crate::drivers::{Control, ControlInput, State, TcpConnector};
+use crate::drivers::{ControlInput, ControlTask, State, TcpConnector};
 use crate::settings::DaemonSettings;
 use common::clock::MonotonicTime;
 use common::events;
@@ -111,7 +111,7 @@
             listeners,
         } = self;
         let heartbeats = listeners.heartbeats;
-        tokio::spawn(Control::new(state.clone(), heartbeats.clone()).run(inputs));
+        tokio::spawn(ControlTask::new(state.clone(), heartbeats.clone()).run(inputs));
         tokio::spawn(receive_heartbeats(state.clone(), heartbeats));
         tokio::spawn(accept_hops(listeners.daemons, state.clone()));
         let (_ready_stop_sender, ready_stop) = watch::channel(false);
