--- a/crates/dataplane/src/drivers/metrics.rs
+++ b/crates/dataplane/src/drivers/metrics.rs
@@ -1,4 +1,4 @@
-//! The daemon's metrics, in groups by what they measure.
+//! The metrics of a daemon, grouped by what they measure.
 
 use common::metrics::MetricsPage;
 use prometheus::{Histogram, HistogramVec, IntCounter, IntCounterVec, IntGauge};
@@ -6,13 +6,13 @@
 /// The daemon's metrics.
 pub struct DaemonMetrics {
     page: MetricsPage,
-    /// Callers' requests.
+    /// Requests from callers.
     pub callers: CallerMetrics,
-    /// The search for the owners of functions.
+    /// Owner lookups and acquisitions.
     pub owners: OwnerMetrics,
-    /// The exchange with runners.
+    /// Requests to runners.
     pub runners: RunnerMetrics,
-    /// Connections closed for an invalid frame.
+    /// Invalid frames received on connections, each of which closes its connection, and invalid heartbeat datagrams.
     pub rejected_frames: IntCounter,
     /// The held functions.
     pub held: HeldFunctionMetrics,
@@ -25,7 +25,7 @@
 }
 
 impl DaemonMetrics {
-    /// All at zero.
+    /// Registers all metrics, with the value zero.
     pub fn new() -> Self {
         let page = MetricsPage::new();
         Self {
@@ -47,7 +47,7 @@
         }
     }
 
-    /// The metrics in text format.
+    /// Returns the metrics in Prometheus text format.
     pub fn page(&self) -> Vec<u8> {
         self.page.text()
     }
@@ -59,13 +59,13 @@
     }
 }
 
-/// The metrics of callers' requests, at the daemon that received them.
+/// The metrics of requests from callers, counted at their ingress daemon.
 pub struct CallerMetrics {
-    /// Callers' requests by outcome and reason.
+    /// Ended requests by outcome and reason.
     pub request_outcomes: IntCounterVec,
-    /// The durations of callers' requests in seconds, by outcome.
+    /// Request durations in seconds, by outcome.
     pub request_seconds: HistogramVec,
-    /// Callers' requests that ended over a quarter of a second after their deadline.
+    /// Requests that ended more than a quarter of a second after their deadline.
     pub overdue_requests: IntCounter,
 }
 
@@ -90,9 +90,9 @@
     }
 }
 
-/// The metrics of the search for the owners of functions.
+/// The metrics of owner lookups and acquisitions.
 pub struct OwnerMetrics {
-    /// Owner lookups by where the owner was found.
+    /// Owner lookups by result: `held` here, `passed` to another daemon, or `acquired` from the leader.
     pub lookups: IntCounterVec,
     /// Acquisitions requested from the leader.
     pub acquisitions: IntCounter,
@@ -117,13 +117,13 @@
     }
 }
 
-/// The metrics of the exchange with runners.
+/// The metrics of requests to runners.
 pub struct RunnerMetrics {
     /// Requests sent to runners.
     pub sends: IntCounter,
-    /// Sends beyond a request's first.
+    /// Sends after a request's first, that is, retries.
     pub retried_sends: IntCounter,
-    /// Responses of runners that failed verification.
+    /// Responses from runners that failed verification.
     pub rejected_responses: IntCounter,
 }
 
@@ -161,7 +161,7 @@
     }
 }
 
-/// The metrics of the session with the leader: its lease, and the spec it brought.
+/// The metrics of the session with the leader: the session lease and the installed spec.
 pub struct SessionMetrics {
     /// 1 while the session lease is valid, else 0.
     pub serving: IntGauge,
@@ -186,7 +186,7 @@
 
 /// The metrics of the replication of ledgers.
 pub struct ReplicationMetrics {
-    /// Records stored as a replica of other daemons' ledgers.
+    /// Records stored here as replicas of other daemons' ledgers.
     pub replica_entries: IntGauge,
     /// The round-trip times of replication in seconds.
     pub round_trip_seconds: Histogram,
