--- a/crates/dataplane/src/drivers/holder_driver.rs
+++ b/crates/dataplane/src/drivers/holder_driver.rs
@@ -1,7 +1,7 @@
-//! The driver of held functions: it admits requests and carries out the outputs of their holders.
+//! The driver of held functions: admits requests and executes the outputs of the holders.
 //!
-//! All tasks spawned here are detached. Each carries out one output, is bounded by a time-out, and reports its result
-//! to the holder, which ignores results that it no longer needs.
+//! All tasks spawned here are detached. Each executes one output, is bounded by a time-out, and reports its result to
+//! the holder, which ignores results that it no longer needs.
 
 use super::control_input::ControlInput;
 use super::hop_client::HopCallResult;
@@ -18,11 +18,11 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How long a send may go on that nobody waits for any more.
-const ABANDONED_SEND_TIME: Duration = Duration::from_millis(300);
+/// How long a send continues after its request was abandoned.
+const ABANDONED_SEND_GRACE: Duration = Duration::from_millis(300);
 
-/// A request that a holder in this process was given. Dropped before its outcome is there, it is abandoned: it is not
-/// sent to a runner any more, and one that may be repeated is broken off at its runner.
+/// A request admitted to a holder in this process. If dropped before its outcome is received, the request is abandoned:
+/// a queued request is not sent to a runner, and the send of a repeatable request is aborted after a grace time.
 pub struct HeldRequest<'a> {
     state: &'a Arc<State>,
     held: &'a LocalHeldFunction,
@@ -33,7 +33,7 @@
 }
 
 impl<'a> HeldRequest<'a> {
-    /// Gives a request to a holder.
+    /// Admits a request to a holder.
     pub fn admit(
         state: &'a Arc<State>,
         held: &'a LocalHeldFunction,
@@ -69,7 +69,7 @@
         outcome
     }
 
-    /// Has the request end as not run if no runner has it.
+    /// Ends the request if it is still queued: as not run, unless an earlier attempt may have run.
     pub fn withdraw(&self) {
         let outputs = self
             .held
@@ -98,7 +98,7 @@
         .await
 }
 
-/// Carries out the outputs of a holder.
+/// Executes the outputs of a holder.
 pub fn drive(held: &LocalHeldFunction, state: &Arc<State>, outputs: Vec<HolderOutput>) {
     state.wake_control_if_due(held);
     for output in outputs {
@@ -129,7 +129,7 @@
         } => {
             tokio::spawn(task().send(ticket, runner, address, attempt));
         }
-        HolderOutput::End { ticket, outcome } => end(held, state, ticket, outcome),
+        HolderOutput::End { ticket, outcome } => end_request(held, state, ticket, outcome),
         HolderOutput::Start {
             runner,
             worker,
@@ -158,21 +158,21 @@
                 message,
             });
         }
-        // These became replica requests in `drive`.
+        // `drive` has already turned these into replica requests.
         HolderOutput::Collect { .. }
         | HolderOutput::Record { .. }
         | HolderOutput::Compare { .. } => {}
     }
 }
 
-fn end(held: &LocalHeldFunction, state: &State, ticket: Ticket, outcome: RequestOutcome) {
+fn end_request(held: &LocalHeldFunction, state: &State, ticket: Ticket, outcome: RequestOutcome) {
     log_unserved_request(state, held, ticket, &outcome);
     if let Some(waiter) = held.remove_waiter(ticket) {
         waiter.send(outcome);
     }
 }
 
-/// A task that carries out one output of a holder, and applies the result to it.
+/// Executes one output of a holder and applies the result to the holder.
 struct HolderTask {
     held: LocalHeldFunction,
     state: Arc<State>,
@@ -190,19 +190,19 @@
         self.apply(|holder, now| holder.handle_send_result(now, ticket, result));
     }
 
-    /// Waits until nobody waits for the outcome of a request that may be repeated, and a little longer: most runs end
-    /// within that time, and a send that is broken off costs its connection and keeps its slot. One that may run only
-    /// once is never broken off, so that its outcome is known.
+    /// Waits until a repeatable request is abandoned, and then for [`ABANDONED_SEND_GRACE`]: most runs end within that
+    /// time, whereas aborting the send costs its connection and keeps the runner's slot occupied. Never completes for a
+    /// request that may run only once: its send is not aborted, so that its outcome becomes known.
     async fn abandoned(&self, ticket: Ticket) {
         let is_once = self
             .held
             .holder_request(ticket)
             .is_none_or(|holder_request| holder_request.once);
-        let interest = self.held.with_waiter(ticket, OutcomeWaiter::interest);
-        match interest {
-            Some(mut interest) if !is_once => {
-                while interest.changed().await.is_ok() {}
-                tokio::time::sleep(ABANDONED_SEND_TIME).await;
+        let abandonment = self.held.with_waiter(ticket, OutcomeWaiter::abandonment);
+        match abandonment {
+            Some(mut abandonment) if !is_once => {
+                while abandonment.changed().await.is_ok() {}
+                tokio::time::sleep(ABANDONED_SEND_GRACE).await;
             }
             _ => std::future::pending().await,
         }
@@ -280,7 +280,7 @@
         self.state.request_log.write(events::SEND_FAILED, detail);
     }
 
-    /// Applies the result to the holder, and carries out what the holder puts out for it.
+    /// Applies a result to the holder, and executes the outputs that follow from it.
     fn apply(&self, change: impl FnOnce(&mut Holder, MonotonicTime) -> Vec<HolderOutput>) {
         let outputs = self
             .held
--- a/crates/dataplane/src/drivers/outcome_waiter.rs
+++ b/crates/dataplane/src/drivers/outcome_waiter.rs
@@ -1,49 +1,50 @@
-//! What waits for the outcome of a request at a holder in this process.
+//! The channel by which a holder in this process returns the outcome of a request to the task that waits for it.
 
 use common::frames::RequestOutcome;
 use tokio::sync::{oneshot, watch};
 
-/// Receives the outcome of a request, and lets its sends to runners know when nobody waits for it any more.
+/// The holder's end of the channel. Delivers the outcome, and signals when the waiting task has abandoned the request.
 pub struct OutcomeWaiter {
     outcome: oneshot::Sender<RequestOutcome>,
-    interest: watch::Receiver<()>,
+    /// Closed when the request is abandoned.
+    abandonment: watch::Receiver<()>,
 }
 
-/// The side that waits. Dropped, it lets the sends know.
+/// The waiting task's end of the channel. Dropping it abandons the request.
 pub(super) struct AwaitedOutcome {
     outcome: oneshot::Receiver<RequestOutcome>,
-    _interest: watch::Sender<()>,
+    _abandonment_guard: watch::Sender<()>,
 }
 
-/// A waiter and the side that waits.
+/// Creates both ends of the channel.
 pub(super) fn outcome_channel() -> (OutcomeWaiter, AwaitedOutcome) {
     let (outcome_sender, outcome) = oneshot::channel();
-    let (interest_sender, interest) = watch::channel(());
+    let (abandonment_guard, abandonment) = watch::channel(());
     let waiter = OutcomeWaiter {
         outcome: outcome_sender,
-        interest,
+        abandonment,
     };
     let awaited_outcome = AwaitedOutcome {
         outcome,
-        _interest: interest_sender,
+        _abandonment_guard: abandonment_guard,
     };
     (waiter, awaited_outcome)
 }
 
 impl OutcomeWaiter {
-    /// Passes the outcome on.
+    /// Sends the outcome to the waiting task.
     pub(super) fn send(self, outcome: RequestOutcome) {
         let _ = self.outcome.send(outcome);
     }
 
-    /// A receiver whose sender is dropped when nobody waits for the outcome any more.
-    pub(super) fn interest(&self) -> watch::Receiver<()> {
-        self.interest.clone()
+    /// Returns a receiver whose sender is dropped when the request is abandoned.
+    pub(super) fn abandonment(&self) -> watch::Receiver<()> {
+        self.abandonment.clone()
     }
 }
 
 impl AwaitedOutcome {
-    /// Waits for the outcome; none if the holder dropped the waiter.
+    /// Waits for the outcome. Returns `None` if the holder drops its end without sending one.
     pub(super) async fn receive(&mut self) -> Option<RequestOutcome> {
         (&mut self.outcome).await.ok()
     }
