--- a/crates/dataplane/src/drivers/hop_client.rs
+++ b/crates/dataplane/src/drivers/hop_client.rs
@@ -1,4 +1,4 @@
-//! Requests to other daemons, multiplexed over one persistent connection to each.
+//! Requests to other daemons, multiplexed over one persistent connection per daemon.
 
 use super::connector::{ByteStream, Connector};
 use super::frame_batch::WRITE_BATCH_BYTES;
@@ -25,57 +25,57 @@
 /// The result of a request to another daemon.
 #[derive(Debug)]
 pub enum HopCallResult {
-    /// It was answered.
+    /// The other daemon replied.
     Reply(DaemonMessage),
-    /// Certainly nothing was sent.
+    /// No byte of the request was sent.
     Unsent,
-    /// It may have been sent, and no reply came.
+    /// The request may have been sent, and no reply was received.
     Lost,
 }
 
 /// A request that waits to be written.
 struct HopCall {
     frame: DaemonFrame,
-    end: oneshot::Sender<HopCallResult>,
+    result_sender: oneshot::Sender<HopCallResult>,
 }
 
-/// What waits to be written to a connection.
+/// An item that waits to be written to a connection.
 enum HopWrite {
     Call(HopCall),
-    /// Word of a request that was written before.
+    /// A notice about a request that was queued earlier.
     Notice(CorrelationId, RequesterNotice),
 }
 
-/// A request to another daemon whose reply is awaited. Dropped before that, it is abandoned, and the other daemon is
-/// told so.
+/// A request to another daemon whose reply is awaited. If dropped before the reply, the request is abandoned and the
+/// other daemon is notified.
 pub struct PendingHopCall {
     correlation: CorrelationId,
     wait_until: MonotonicTime,
-    end: oneshot::Receiver<HopCallResult>,
-    /// None once the call has ended, or if it could not be queued.
+    result: oneshot::Receiver<HopCallResult>,
+    /// `None` once the call has ended, or if it could not be queued.
     sender: Option<mpsc::Sender<HopWrite>>,
 }
 
 impl PendingHopCall {
-    /// Waits for the reply, at most until the time given with the request.
+    /// Waits for the reply, at most until the `wait_until` of the request.
     pub async fn reply(&mut self) -> HopCallResult {
         if self.sender.is_none() {
             return HopCallResult::Unsent;
         }
-        let wait_span = self.wait_until.since(MonotonicTime::now());
-        let Ok(ended) = tokio::time::timeout(wait_span, &mut self.end).await else {
+        let timeout = self.wait_until.since(MonotonicTime::now());
+        let Ok(received) = tokio::time::timeout(timeout, &mut self.result).await else {
             return HopCallResult::Lost;
         };
         self.sender = None;
-        ended.unwrap_or(HopCallResult::Lost)
+        received.unwrap_or(HopCallResult::Lost)
     }
 
-    /// Has the other daemon end the request as not run if no runner has it.
+    /// Asks the other daemon to end the request as not run if no runner has it.
     pub fn withdraw(&self) {
         self.notify(RequesterNotice::Withdrawn);
     }
 
-    /// A notice that finds no room is left out: the request then ends by its deadline.
+    /// Queues a notice. It is dropped if the queue is full; the request then ends at its deadline.
     fn notify(&self, notice: RequesterNotice) {
         if let Some(sender) = &self.sender {
             let _ = sender.try_send(HopWrite::Notice(self.correlation, notice));
@@ -98,7 +98,7 @@
 }
 
 impl HopClient {
-    /// No connections yet.
+    /// Creates a client without connections.
     pub fn new(connector: Arc<dyn Connector>, rules: Rules) -> Self {
         Self {
             connector,
@@ -108,7 +108,7 @@
         }
     }
 
-    /// Sends a request to another daemon, whose reply is waited for until `wait_until`.
+    /// Sends a request to another daemon. Its reply is awaited until `wait_until`.
     pub fn request(
         &self,
         address: SocketAddress,
@@ -116,17 +116,17 @@
         wait_until: MonotonicTime,
     ) -> PendingHopCall {
         let correlation = CorrelationId(self.next_correlation.fetch_add(1, Ordering::Relaxed));
-        let (end_sender, end) = oneshot::channel();
+        let (result_sender, result) = oneshot::channel();
         let call = HopCall {
             frame: DaemonFrame { correlation, body },
-            end: end_sender,
+            result_sender,
         };
         let sender = self.sender_to(address);
         let is_queued = sender.try_send(HopWrite::Call(call)).is_ok();
         PendingHopCall {
             correlation,
             wait_until,
-            end,
+            result,
             sender: is_queued.then_some(sender),
         }
     }
@@ -138,7 +138,8 @@
             return sender.clone();
         }
         let (sender, calls) = mpsc::channel(MAX_QUEUED_CALLS);
-        // Detached: it ends with the connection, and then fails its calls. A sender to a closed one is replaced here.
+        // Detached. The task fails the pending calls when the connection ends, and then exits. The next request to this
+        // address replaces the closed sender.
         tokio::spawn(run_connection(
             self.connector.clone(),
             self.rules,
@@ -151,12 +152,12 @@
 }
 
 struct AwaitedReply {
-    end: oneshot::Sender<HopCallResult>,
-    /// The number of bytes that the connection had accepted before the first one of this request.
-    first_byte: u64,
+    result_sender: oneshot::Sender<HopCallResult>,
+    /// The position of the request's first byte in the bytes written to the connection.
+    start_offset: u64,
 }
 
-/// The requests on a connection that have no reply yet.
+/// The requests on a connection that are awaiting a reply.
 #[derive(Default)]
 struct PendingReplies(Mutex<BTreeMap<CorrelationId, AwaitedReply>>);
 
@@ -173,22 +174,24 @@
             awaited.pop_first().map(|(_, first)| first)
         };
         if let Some(awaited_reply) = awaited_reply {
-            let _ = awaited_reply.end.send(HopCallResult::Reply(frame.body));
+            let _ = awaited_reply
+                .result_sender
+                .send(HopCallResult::Reply(frame.body));
         }
     }
 
-    /// Fails all requests because the connection has ended after this many bytes: a request of which it accepted no
-    /// byte was not sent.
+    /// Fails all pending requests because the connection has ended after accepting `written` bytes. A request of which
+    /// no byte was accepted was not sent.
     fn fail_all(&self, rules: Rules, written: u64) {
         for awaited in std::mem::take(&mut *self.lock()).into_values() {
             let is_unsent =
-                written <= awaited.first_byte || !rules.enforces(Rule::PartialWriteCountsAsSent);
-            let end = if is_unsent {
+                written <= awaited.start_offset || !rules.enforces(Rule::PartialWriteCountsAsSent);
+            let result = if is_unsent {
                 HopCallResult::Unsent
             } else {
                 HopCallResult::Lost
             };
-            let _ = awaited.end.send(end);
+            let _ = awaited.result_sender.send(result);
         }
     }
 }
@@ -228,7 +231,7 @@
     writes.close();
     while let Some(unwritten) = writes.recv().await {
         if let HopWrite::Call(call) = unwritten {
-            let _ = call.end.send(HopCallResult::Unsent);
+            let _ = call.result_sender.send(HopCallResult::Unsent);
         }
     }
 }
@@ -279,27 +282,34 @@
     None
 }
 
-/// Appends a request, unless its requester has given it up already.
+/// Appends a request to the write buffer, unless it has already been abandoned.
 fn append_call(
     sent_bytes: &mut Vec<u8>,
     written: u64,
     pending: &PendingReplies,
-    HopCall { frame, end }: HopCall,
+    HopCall {
+        frame,
+        result_sender,
+    }: HopCall,
 ) {
-    let first_byte = written + sent_bytes.len() as u64;
-    if end.is_closed() {
+    let start_offset = written + sent_bytes.len() as u64;
+    if result_sender.is_closed() {
         return;
     }
     if append_frame(sent_bytes, &frame).is_err() {
-        let _ = end.send(HopCallResult::Unsent);
+        let _ = result_sender.send(HopCallResult::Unsent);
     } else {
-        pending
-            .lock()
-            .insert(frame.correlation, AwaitedReply { end, first_byte });
+        pending.lock().insert(
+            frame.correlation,
+            AwaitedReply {
+                result_sender,
+                start_offset,
+            },
+        );
     }
 }
 
-/// Appends a notice of a request that still has no reply.
+/// Appends a notice to the write buffer if its request is still awaiting a reply.
 fn append_notice(
     sent_bytes: &mut Vec<u8>,
     pending: &PendingReplies,
