--- a/crates/dataplane/src/drivers/metered_stream.rs
+++ b/crates/dataplane/src/drivers/metered_stream.rs
@@ -1,4 +1,4 @@
-//! A byte stream that counts the bytes it accepted, and checks a permit before a request's first byte.
+//! A byte stream that counts the bytes it has accepted, and checks a permit before the first byte of a request.
 
 use super::connector::ByteStream;
 use std::io::{self, IoSlice};
@@ -11,14 +11,14 @@
 
 /// The permit to send one request.
 pub struct WritePermit {
-    /// Whether the request may still be sent; called right before its first byte is written.
+    /// Returns whether the request may still be sent. Called right before its first byte is written.
     pub is_valid: Box<dyn Fn() -> bool + Send>,
-    /// Called right after the first byte was written.
+    /// Called right after the first byte is written.
     pub on_first_write: Box<dyn Fn() + Send>,
 }
 
 impl WritePermit {
-    /// A permit that is always valid.
+    /// Returns a permit that is always valid.
     pub fn always() -> Self {
         Self {
             is_valid: Box::new(|| true),
@@ -27,12 +27,12 @@
     }
 }
 
-/// The permit ended before the first byte was written; nothing was sent.
+/// The permit became invalid before the first byte was written. Nothing was sent.
 #[derive(Debug, Error)]
-#[error("the permission to send has ended")]
+#[error("write permit became invalid before the first byte was written")]
 pub(super) struct WriteNotPermittedError;
 
-/// The write state of a stream, shared with the one who sends on it.
+/// The write state of a stream, shared with the sender that uses the stream.
 #[derive(Default)]
 pub(super) struct WriteMeter {
     written: AtomicU64,
@@ -40,7 +40,7 @@
 }
 
 impl WriteMeter {
-    /// The number of bytes that the stream has accepted so far; accepted bytes may have been sent.
+    /// Returns the number of bytes that the stream has accepted so far. Accepted bytes may have been sent.
     pub(super) fn written(&self) -> u64 {
         self.written.load(Ordering::Acquire)
     }
@@ -68,14 +68,14 @@
     }
 }
 
-/// A byte stream whose writes are metered.
+/// A byte stream whose writes go through a [`WriteMeter`].
 pub(super) struct MeteredStream {
     inner: Box<dyn ByteStream>,
     meter: Arc<WriteMeter>,
 }
 
 impl MeteredStream {
-    /// Wraps a stream; the meter starts at zero.
+    /// Wraps a stream and returns it with its meter, which starts at zero.
     pub(super) fn new(inner: Box<dyn ByteStream>) -> (Self, Arc<WriteMeter>) {
         let meter = Arc::new(WriteMeter::default());
         (
--- a/crates/dataplane/src/drivers/platform.rs
+++ b/crates/dataplane/src/drivers/platform.rs
@@ -1,4 +1,4 @@
-//! Orders to the platform.
+//! Orders to the platform to start and stop runners.
 
 use super::state::{LocalHeldFunction, State};
 use common::adapter::{StartOrder, StartOutcome, StopOrder};
@@ -6,7 +6,7 @@
 use common::identity::{InstanceId, RunnerId, WorkerName};
 use common::spec::FunctionSpec;
 
-/// Orders the platform to start a runner. Without a session lease nothing is ordered, and the result is
+/// Orders the platform to start a runner. Without a valid session lease, no order is sent and the result is
 /// [`StartOutcome::Lost`].
 pub(super) async fn start(
     state: &State,
@@ -30,7 +30,8 @@
     state.adapters.platform.start_runner(order).await
 }
 
-/// Orders the platform to stop a runner; true only when the platform confirms that it is stopped for good.
+/// Orders the platform to stop a runner. Returns whether the platform has confirmed that the runner is permanently
+/// stopped.
 pub(super) async fn stop(
     state: &State,
     held: &LocalHeldFunction,
--- a/crates/dataplane/src/drivers/request_log.rs
+++ b/crates/dataplane/src/drivers/request_log.rs
@@ -1,5 +1,5 @@
-//! The log of requests that did not end with a response: enough to trace one by its idempotency key from the ingress
-//! daemon to the runner and back, at a limited rate.
+//! A rate-limited log of requests that did not end with a response. Its lines allow a request to be traced by its
+//! idempotency key from the ingress daemon to the runner and back.
 
 use common::clock::MonotonicTime;
 use common::events::{self, Event};
@@ -8,9 +8,9 @@
 use std::sync::{Mutex, PoisonError};
 use std::time::Duration;
 
-/// The window over which lines are counted.
+/// The window over which lines are counted for the rate limit.
 const WINDOW: Duration = Duration::from_secs(1);
-/// The maximum number of lines in one window.
+/// The maximum number of lines per window.
 const MAX_LINES: u32 = 20;
 
 #[derive(Default)]
@@ -21,7 +21,8 @@
 }
 
 impl LogWindow {
-    /// Whether one more line is within the limit, and how many lines were suppressed in a window that has just ended.
+    /// Returns whether one more line is within the limit, and, if this call starts a new window, how many lines were
+    /// suppressed in the previous one.
     fn admit(&mut self, now: MonotonicTime) -> (bool, u32) {
         let mut suppressed = 0;
         if now.since(self.started_at) >= WINDOW {
@@ -42,14 +43,14 @@
     }
 }
 
-/// The rate-limited log of requests without a response.
+/// A rate-limited log of requests without a response.
 #[derive(Default)]
 pub struct RequestLog {
     window: Mutex<LogWindow>,
 }
 
 impl RequestLog {
-    /// Writes a line unless the limit is reached; the number of suppressed lines is logged in the next window.
+    /// Writes a line unless the limit is reached. The first call of the next window logs how many lines were suppressed.
     pub fn write(&self, event: Event, detail: impl fmt::Display) {
         let (is_admitted, suppressed) = {
             let mut window = self.window.lock().unwrap_or_else(PoisonError::into_inner);
