--- a/crates/dataplane/src/drivers/runner_connections.rs
+++ b/crates/dataplane/src/drivers/runner_connections.rs
@@ -1,4 +1,4 @@
-//! The connections to runners: the streams behind the [pool](crate::pool), and exchanges on them.
+//! The connections to runners: the streams tracked by the [pool](crate::pool), and the exchanges on them.
 
 use super::connector::Connector;
 use super::metered_stream::{MeteredStream, WriteMeter, WritePermit};
@@ -20,12 +20,12 @@
 
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Why there is no connection.
+/// Why no connection could be checked out.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum CheckoutError {
     /// The runner cannot be reached.
     Unreachable,
-    /// The runner takes no more connections.
+    /// The maximum number of connections to the runner is in use.
     Full,
 }
 
@@ -33,28 +33,31 @@
 pub enum ExchangeResult {
     /// A complete response was received.
     Answered(CallResponse),
-    /// No byte of the request was written, and none will be.
+    /// No byte of the request was written, nor will be.
     NotSent,
-    /// Something may have been written, and no complete response was received.
+    /// Part of the request may have been written, and no complete response was received.
     Lost(CallError),
 }
 
-/// A connection's entry in the pool, from before it is opened; it is removed when this is dropped.
+/// A connection's entry in the pool. It is reserved before the connection is opened, and removed on drop.
 struct PoolReservation {
-    owner: Weak<RunnerConnections>,
+    connections: Weak<RunnerConnections>,
     runner: RunnerId,
     id: ConnectionId,
 }
 
 impl Drop for PoolReservation {
     fn drop(&mut self) {
-        if let Some(owner) = self.owner.upgrade() {
-            owner.lock().pool.remove_connection(self.runner, self.id);
+        if let Some(connections) = self.connections.upgrade() {
+            connections
+                .lock()
+                .pool
+                .remove_connection(self.runner, self.id);
         }
     }
 }
 
-/// One connection; it is closed, and its driver task cancelled, when it is dropped.
+/// A connection to a runner. Dropping it closes the connection and cancels its driver task.
 pub struct RunnerConnection {
     reservation: PoolReservation,
     rules: Rules,
@@ -71,19 +74,19 @@
 }
 
 impl RunnerConnection {
-    /// Whether it has been in the pool before: it may have been closed by the runner meanwhile.
+    /// Whether the connection has been idle in the pool, during which the runner may have closed it.
     pub fn is_reused(&self) -> bool {
         self.is_reused
     }
 
-    /// Waits until the connection can take a request; false when it is gone.
+    /// Waits until the connection can accept a request. Returns false if it has ended or does not become ready in time.
     pub async fn is_usable(&mut self, timeout: Duration) -> bool {
         let waiting = tokio::time::timeout(timeout, self.sender.ready());
         matches!(waiting.await, Ok(Ok(())))
     }
 
     /// Sends a request and receives the complete response. The permit is checked right before the first byte is
-    /// written: the process may have been suspended since the request was handed over.
+    /// written, because the process may have been suspended since the request was passed to this method.
     pub async fn exchange(
         &mut self,
         request: Request<Full<Bytes>>,
@@ -127,14 +130,14 @@
         CallResponse::receive(response, max_body_bytes).await
     }
 
-    /// Closes the connection: the driver task is cancelled and joined, so that nothing is written after this returns.
+    /// Closes the connection. Cancels and joins the driver task, so that nothing is written after this method returns.
     async fn close(&mut self) {
         self.driver_task.abort();
         let _ = (&mut self.driver_task).await;
     }
 }
 
-/// An HTTP connection whose driver task is not started yet.
+/// An HTTP connection whose driver task has not been started yet.
 struct OpenedStream {
     sender: SendRequest<Full<Bytes>>,
     connection: Connection<TokioIo<MeteredStream>, Full<Bytes>>,
@@ -155,7 +158,7 @@
 }
 
 impl RunnerConnections {
-    /// No connections yet.
+    /// Creates an empty set of connections.
     pub fn new(connector: Arc<dyn Connector>, rules: Rules) -> Self {
         Self {
             connector,
@@ -171,7 +174,7 @@
     /// Checks out an idle connection, or opens a new one.
     ///
     /// # Errors
-    /// [`CheckoutError`] if the runner cannot be reached within the time-out, or takes no more connections.
+    /// [`CheckoutError`] if the runner cannot be reached within the time-out, or `max_connections` are open.
     pub async fn checkout(
         self: &Arc<Self>,
         runner: RunnerId,
@@ -194,10 +197,10 @@
         self.open(runner, address, checkout, timeout).await
     }
 
-    /// Opens a new connection although others may be idle.
+    /// Opens a new connection even if others are idle.
     ///
     /// # Errors
-    /// The same as of [`Self::checkout`].
+    /// The same as for [`Self::checkout`].
     pub async fn checkout_new(
         self: &Arc<Self>,
         runner: RunnerId,
@@ -221,7 +224,7 @@
             Checkout::Full => return Err(CheckoutError::Full),
         };
         let reservation = PoolReservation {
-            owner: Arc::downgrade(self),
+            connections: Arc::downgrade(self),
             runner,
             id,
         };
@@ -232,12 +235,13 @@
             connection,
             meter,
         } = opened.ok().flatten().ok_or(CheckoutError::Unreachable)?;
-        let owner = reservation.owner.clone();
-        // Cancelled when the connection is dropped; else it ends with the connection and removes it from the pool.
+        let connections = reservation.connections.clone();
+        // Cancelled when the `RunnerConnection` is dropped. Otherwise the task ends with the HTTP connection, and
+        // removes it from the pool.
         let driver_task = tokio::spawn(async move {
             let _ = connection.await;
-            if let Some(owner) = owner.upgrade() {
-                owner.connection_ended(runner, id);
+            if let Some(connections) = connections.upgrade() {
+                connections.connection_ended(runner, id);
             }
         });
         Ok(RunnerConnection {
@@ -270,8 +274,8 @@
         drop(ended_connection);
     }
 
-    /// Returns a connection to the pool after a complete, valid response; `keep_alive` is the runner's own time-out for
-    /// idle connections, if it sent one.
+    /// Returns an unused connection, or one that has received a complete, valid response, to the pool. `keep_alive` is
+    /// the runner's time-out for idle connections, if it has sent one.
     pub fn check_in(&self, mut connection: RunnerConnection, keep_alive: Option<Duration>) {
         if connection.sender.is_closed() {
             return;
@@ -291,7 +295,7 @@
         drop(surplus_connection);
     }
 
-    /// Closes the connections that have been idle for too long.
+    /// Closes the connections whose idle time has expired.
     pub fn remove_expired(&self) {
         self.close(|pool| pool.remove_expired(MonotonicTime::now()));
     }
