--- a/crates/dataplane/src/drivers/runners.rs
+++ b/crates/dataplane/src/drivers/runners.rs
@@ -1,4 +1,4 @@
-//! Requests to runners: sends of callers' requests, readiness probes, and lists of what a runner is running.
+//! Requests to runners: callers' requests, readiness probes, and queries for the requests that a runner is running.
 
 use super::metered_stream::WritePermit;
 use super::runner_connections::{CheckoutError, ExchangeResult, RunnerConnection};
@@ -21,15 +21,17 @@
 use std::sync::Arc;
 use std::time::Duration;
 
+/// How long a send waits for a connection to become ready for a request.
 const READY_TIMEOUT: Duration = Duration::from_millis(100);
+/// The time-out of a readiness probe or of a query for running requests.
 const QUERY_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// Sends one request to a runner, on an idle connection if there is one.
+/// Sends a request to a runner, on an idle connection if there is one.
 ///
-/// The newest spec, the session lease and the function lease are checked when the connection is open, and the leases
-/// again right before the first byte is written. Nothing is sent to a runner that is gone: its address may belong to
-/// another one. If an idle connection turns out to be closed before anything was written, that is no failure of the
-/// runner, and a new connection is opened at once.
+/// The newest spec, the session lease and the function lease are checked once the connection is open, and the leases
+/// again right before the first byte is written. Nothing is sent to a runner that no longer exists, because its address
+/// may have been reassigned to another one. If an idle connection turns out to be closed before anything was written,
+/// this is not counted as a failure of the runner, and a new connection is opened immediately.
 pub(super) async fn send(
     state: &Arc<State>,
     held: &LocalHeldFunction,
@@ -63,7 +65,7 @@
     }
 }
 
-/// One send of a request to a runner, over as many connections as it takes.
+/// A send of a request to a runner, which may need more than one connection.
 struct RunnerSend<'a> {
     state: &'a Arc<State>,
     held: &'a LocalHeldFunction,
@@ -76,7 +78,7 @@
 }
 
 impl RunnerSend<'_> {
-    /// Sends on one connection; continues when that was an idle one that turned out to be closed.
+    /// Tries to send on one connection. Returns `Continue` if it was an idle one that turned out to be closed.
     async fn try_connection(&mut self, must_be_new: bool) -> ControlFlow<SendResult> {
         let mut connection = match self.checkout(must_be_new).await {
             Ok(connection) => connection,
@@ -84,7 +86,7 @@
             Err(CheckoutError::Full) => return ControlFlow::Break(SendResult::RejectedByRunner),
         };
         if !connection.is_usable(READY_TIMEOUT).await {
-            return unsent_on(&connection);
+            return retry_if_reused(&connection);
         }
         let runner_attempt = match self.checked_attempt() {
             Ok(runner_attempt) => runner_attempt,
@@ -116,7 +118,7 @@
                 let reason = RequestFailureReason::NotServing;
                 ControlFlow::Break(SendResult::Forbidden(reason))
             }
-            ExchangeResult::NotSent => unsent_on(&connection),
+            ExchangeResult::NotSent => retry_if_reused(&connection),
             ExchangeResult::Lost(error) => {
                 self.log_rejected_response(&error);
                 ControlFlow::Break(SendResult::Lost)
@@ -168,7 +170,7 @@
             .encode_request(self.address, &runner_request)
     }
 
-    /// Counts the send once, however many connections it takes.
+    /// Counts the send, only once regardless of the number of connections tried.
     fn count_send(&mut self) {
         if !self.is_counted {
             self.is_counted = true;
@@ -193,7 +195,7 @@
         self.state.agent.may_send(MonotonicTime::now(), self.held)
     }
 
-    /// Verifies a response; the connection is reused unless the response is invalid or closes it.
+    /// Verifies a response. The connection is returned to the pool unless the response is invalid or closes it.
     fn verify(&self, connection: RunnerConnection, called: CallResponse) -> SendResult {
         let keep_alive_timeout = keep_alive_timeout(&called.headers);
         let is_last = closes_connection(&called.headers);
@@ -218,9 +220,9 @@
     }
 }
 
-/// What follows when nothing was sent on a connection: an idle one may have been closed by the runner meanwhile, but a
-/// new one that fails means that the runner is gone.
-fn unsent_on(connection: &RunnerConnection) -> ControlFlow<SendResult> {
+/// Decides whether to retry after nothing was sent on a connection. A reused connection may have been closed by the
+/// runner while it was idle, but a new connection that fails means that the runner is gone.
+fn retry_if_reused(connection: &RunnerConnection) -> ControlFlow<SendResult> {
     if connection.is_reused() {
         ControlFlow::Continue(())
     } else {
@@ -228,7 +230,7 @@
     }
 }
 
-/// Permits a send while the leases are valid.
+/// Returns a permit that is valid while the session lease and the function's lease are.
 fn send_permit(state: Arc<State>, held: LocalHeldFunction) -> WritePermit {
     let permit_state = state.clone();
     WritePermit {
@@ -237,8 +239,8 @@
     }
 }
 
-/// Whether a runner that is starting up is ready, and is the intended one. A connection that was opened to find that
-/// out is put into the pool.
+/// Returns whether a runner that is starting up is ready. An HTTP probe also checks that the expected runner answered;
+/// the connection opened by a TCP probe is added to the pool.
 pub(super) async fn is_ready(
     state: &State,
     held: &LocalHeldFunction,
@@ -272,7 +274,8 @@
     }
 }
 
-/// The requests that a runner is running; none when it is gone, or another runner answers at its address.
+/// Returns the requests that a runner is running, or `None` if it cannot be queried or another runner answers at its
+/// address.
 pub(super) async fn list_running(
     state: &State,
     runner: RunnerId,
