--- a/crates/dataplane/src/drivers/request_log.rs
+++ b/crates/dataplane/src/drivers/request_log.rs
@@ -50,7 +50,7 @@
 }
 
 impl RequestLog {
-    /// Writes a line unless the limit is reached. The first call of the next window logs how many lines were suppressed.
+    /// Writes a line unless the limit is reached. The first call of a later window logs how many lines were suppressed.
     pub fn write(&self, event: Event, detail: impl fmt::Display) {
         let (is_admitted, suppressed) = {
             let mut window = self.window.lock().unwrap_or_else(PoisonError::into_inner);
--- a/crates/dataplane/src/drivers/state.rs
+++ b/crates/dataplane/src/drivers/state.rs
@@ -1,4 +1,4 @@
-//! The state that a daemon's tasks share. Its module depends on none of these tasks.
+//! The state shared by a daemon's tasks. This module depends on none of these tasks.
 
 use super::connector::Connector;
 use super::control_input::ControlInput;
@@ -19,16 +19,16 @@
 use std::sync::Arc;
 use tokio::sync::{Notify, mpsc, oneshot, watch};
 
-/// A held function whose requests are awaited by tasks of this process.
+/// A held function whose request outcomes are awaited by tasks in this process.
 pub type LocalHeldFunction = Arc<HeldFunction<OutcomeWaiter>>;
 
-/// The state that a daemon's tasks share.
+/// The state shared by a daemon's tasks.
 pub struct State {
     /// The settings of the process.
     pub settings: DaemonSettings,
-    /// The adapters to callers, runners and platform.
+    /// The protocol adapters for callers, runners and the platform.
     pub adapters: DaemonAdapters,
-    /// The daemon's agent: its leases and held functions.
+    /// The daemon's agent, with its leases and held functions.
     pub agent: Agent<OutcomeWaiter>,
     /// The connections to the other daemons.
     pub hop_client: HopClient,
@@ -38,15 +38,15 @@
     pub metrics: DaemonMetrics,
     /// The log of requests without a response.
     pub request_log: RequestLog,
-    /// Wakes the control task to compute its due time anew.
+    /// Wakes the control task to recompute its due time.
     pub(super) control_wakeup: Notify,
-    /// When the control task is due next.
+    /// When the control task is next due.
     pub(super) control_due_at: SharedMonotonicTime,
-    /// Counts the changes that a waiting request may depend on.
+    /// The number of changes that waiting requests may depend on.
     pub(super) changes: watch::Sender<u64>,
     /// The phase of the daemon's shutdown.
     shutdown_phase: watch::Sender<ShutdownPhase>,
-    /// The inputs of the control task.
+    /// The sender of the control task's inputs.
     pub(crate) control: mpsc::UnboundedSender<ControlInput>,
 }
 
@@ -82,7 +82,8 @@
         }
     }
 
-    /// The state of a daemon without a control task, for tests: it neither connects to a leader nor ticks its holders.
+    /// Creates the state of a daemon without a control task, for tests. It neither connects to a leader nor ticks its
+    /// holders.
     pub fn without_control(
         settings: DaemonSettings,
         own_host: Host,
@@ -94,22 +95,23 @@
         Self::new(settings, own_host, rules, adapters, connector, control)
     }
 
-    /// Notifies of changes that a waiting request may depend on.
+    /// Subscribes to changes that a waiting request may depend on.
     pub fn changes(&self) -> watch::Receiver<u64> {
         self.changes.subscribe()
     }
 
-    /// Enters a phase of the shutdown; every request in flight acts on it.
+    /// Enters a phase of the shutdown and notifies all requests in flight.
     pub fn enter_shutdown_phase(&self, phase: ShutdownPhase) {
         self.shutdown_phase.send_replace(phase);
     }
 
-    /// Notifies of the phases of the shutdown.
+    /// Subscribes to the phases of the shutdown.
     pub(crate) fn shutdown_phase(&self) -> watch::Receiver<ShutdownPhase> {
         self.shutdown_phase.subscribe()
     }
 
-    /// The maximum size of a caller's request body in bytes: the spec's if it sets one, else that of the settings.
+    /// Returns the maximum size of a caller's request body in bytes: the spec's limit unless it is the default, else
+    /// the limit in the settings.
     pub fn body_limit(&self, limits: CallerLimits) -> usize {
         if limits.body_bytes == CallerLimits::default().body_bytes {
             self.settings.max_body_bytes
@@ -118,8 +120,8 @@
         }
     }
 
-    /// Acquires a function's owner from the leader, sharing the acquisition with concurrent requests for it; none if
-    /// the stream to the leader is lost.
+    /// Acquires a function's owner from the leader. Concurrent requests for a function share one acquisition. Returns
+    /// `None` if the acquisition ends without a result, for example when the stream to the leader is lost.
     pub async fn acquire(&self, function: &FunctionKey) -> Option<AcquireResult> {
         let (result_sender, result) = oneshot::channel();
         let _ = self
@@ -128,12 +130,12 @@
         result.await.ok()
     }
 
-    /// Notifies the control task that the set of functions that want an owner may have changed.
+    /// Notifies the control task that the set of functions that need an owner may have changed.
     pub fn desired_functions_changed(&self) {
         let _ = self.control.send(ControlInput::DesiredFunctionsChanged);
     }
 
-    /// Wakes the control task if a holder is due before the task is.
+    /// Wakes the control task if the holder is due before the task.
     pub(super) fn wake_control_if_due(&self, held: &LocalHeldFunction) {
         let holder_due = held.with(|holder| holder.next_due());
         if holder_due.is_some_and(|due| due < self.control_due_at.get()) {
@@ -141,7 +143,7 @@
         }
     }
 
-    /// Updates the gauges to the current state.
+    /// Sets the gauges from the current state.
     pub(crate) fn update_gauges(&self) {
         let held_functions = self.agent.held_functions();
         let mut totals = HeldTotals::default();
@@ -163,13 +165,13 @@
     }
 }
 
-/// Sums over the held functions.
+/// Totals over all held functions.
 #[derive(Default)]
 struct HeldTotals {
     queued: usize,
     in_flight: usize,
     ready_runners: usize,
-    /// Functions without requests that have one runner left.
+    /// Functions with no requests and exactly one runner.
     retained_idle: usize,
 }
 
