--- a/crates/dataplane/src/adapter/ingress.rs
+++ b/crates/dataplane/src/adapter/ingress.rs
@@ -1,4 +1,4 @@
-//! The native HTTP protocol towards callers.
+//! The native HTTP protocol for callers.
 
 use bytes::Bytes;
 use common::adapter::{CallerResponse, IngressCodec, NotRunKind};
@@ -11,7 +11,7 @@
 use serde_json::json;
 use std::time::Duration;
 
-/// The native HTTP protocol towards callers.
+/// Encodes and decodes the native HTTP protocol for callers.
 pub struct NativeIngressCodec;
 
 fn set_header(response: &mut HttpResponse, name: &'static str, text: &str) {
--- a/crates/dataplane/src/adapter/mod.rs
+++ b/crates/dataplane/src/adapter/mod.rs
@@ -1,6 +1,6 @@
-//! The product's native HTTP protocols towards callers and runners, and the set of adapters that a daemon uses.
+//! The native HTTP protocols for callers and runners, and the set of adapters that a daemon uses.
 //!
-//! The traits are in [`common::adapter`]; a platform can bring its own implementations.
+//! The traits are defined in [`common::adapter`]; a platform can provide its own implementations.
 
 mod ingress;
 mod runner;
@@ -16,16 +16,16 @@
 /// The adapters of one daemon.
 #[derive(Clone)]
 pub struct DaemonAdapters {
-    /// Towards callers.
+    /// The protocol for callers.
     pub ingress: Arc<dyn IngressCodec>,
-    /// Towards runners.
+    /// The protocol for runners.
     pub runner: Arc<dyn RunnerCodec>,
-    /// Towards the platform.
+    /// The interface to the platform.
     pub platform: Arc<dyn PlatformAdapter>,
 }
 
 impl DaemonAdapters {
-    /// The native adapters, with the platform at this address.
+    /// Creates the native adapters, with the platform at the given address.
     pub fn native(platform: SocketAddress) -> Self {
         Self {
             ingress: Arc::new(NativeIngressCodec),
--- a/crates/dataplane/src/adapter/runner.rs
+++ b/crates/dataplane/src/adapter/runner.rs
@@ -1,4 +1,4 @@
-//! The native HTTP protocol towards runners.
+//! The native HTTP protocol for runners.
 
 use bytes::Bytes;
 use common::adapter::{ReadinessProbe, RunnerCodec, RunnerRequest, RunnerResponse, SealKind};
@@ -9,7 +9,7 @@
 use hyper::header::{CONTENT_TYPE, HOST, HeaderMap};
 use hyper::{Method, Request, StatusCode};
 
-/// The native HTTP protocol towards runners.
+/// Encodes and decodes the native HTTP protocol for runners.
 pub struct NativeRunnerCodec;
 
 impl RunnerCodec for NativeRunnerCodec {
