--- a/crates/dataplane/src/settings/mod.rs
+++ b/crates/dataplane/src/settings/mod.rs
@@ -1,4 +1,4 @@
-//! The daemon's settings, read once when the process starts.
+//! The settings of a daemon, read once when the process starts.
 
 use crate::holder::{IdleCost, Tuning};
 use common::frames::SocketAddress;
@@ -9,7 +9,7 @@
 use common::ring::Regions;
 use std::time::Duration;
 
-/// The keys of the settings; any other is an error.
+/// The valid keys of the settings. Any other key is an error.
 const SETTINGS_KEYS: [&str; 27] = [
     "member",
     "locality",
@@ -43,44 +43,44 @@
 /// The settings of a daemon.
 #[derive(Clone, Debug)]
 pub struct DaemonSettings {
-    /// Where the settings came from, for error messages.
+    /// The source of the settings, for error messages.
     pub source: String,
-    /// Its name.
+    /// The daemon's member name.
     pub member: MemberName,
-    /// Its zone.
+    /// The daemon's zone.
     pub zone: Zone,
-    /// The address at which other processes reach it, over TCP and UDP.
+    /// The address at which other processes reach the daemon, over TCP and UDP.
     pub address: SocketAddress,
-    /// The address on which it listens for them; `address` unless the settings give another.
+    /// The address on which the daemon listens for other processes; `address` unless set otherwise.
     pub listen: SocketAddress,
-    /// The address at which callers reach it.
+    /// The address on which the daemon accepts callers.
     pub ingress: SocketAddress,
     /// The addresses of up to three controllers.
     pub seeds: Vec<SocketAddress>,
-    /// The platform's address.
+    /// The address of the platform.
     pub platform: SocketAddress,
-    /// The largest body accepted from a caller or a runner, in bytes.
+    /// The maximum size in bytes of a body from a caller or a runner.
     pub max_body_bytes: usize,
     /// How long a graceful shutdown may take.
     pub grace: Duration,
-    /// Worker threads; zero for the default number, one for a single-threaded runtime.
+    /// The number of worker threads: zero for the default, one for a single-threaded runtime.
     pub threads: usize,
-    /// The address that serves readiness and metrics, if not the callers' listener.
+    /// The address that serves readiness and metrics; `None` if the callers' listener does.
     pub ready: Option<SocketAddress>,
-    /// Interval between two heartbeats.
+    /// The interval between two heartbeats.
     pub heartbeat_interval: Duration,
-    /// The bandwidth of the machine's link in megabits per second; zero if it is not known.
+    /// The bandwidth of the machine's network link in megabits per second; zero if unknown.
     pub link_mbps: u32,
-    /// Whether functions whose start-up takes longer than their callers should wait are acquired before they are called.
+    /// Whether functions whose startup takes longer than callers should wait are acquired before the first call.
     pub warm: bool,
-    /// The regions in which the zones lie.
+    /// The region of each zone.
     pub regions: Regions,
-    /// The tuning of held functions.
+    /// The tuning parameters of held functions.
     pub tuning: Tuning,
 }
 
 impl DaemonSettings {
-    /// Reads and validates the settings; the error lists every faulty one.
+    /// Reads and validates the settings. The error lists every invalid one.
     pub fn read(settings_source: &SettingsSource) -> Result<Self, SettingsError> {
         settings_source.read(|root| {
             root.allow_only(&SETTINGS_KEYS);
@@ -128,7 +128,7 @@
     }
 }
 
-/// Reads the regions of the zones: an object of strings, by zone.
+/// Reads the regions: an object that maps the name of each zone to the name of its region.
 fn read_regions(reader: &PathReader<'_>) -> Regions {
     let zones = reader.fields().into_iter();
     let region_by_zone =
@@ -136,8 +136,9 @@
     Regions::new(region_by_zone.collect())
 }
 
-/// The value in place of a setting that is not valid; the process does not start with it, as the error is reported.
-const DEFAULT_IDLE_RARE: Duration = Duration::from_secs(1);
+/// Placeholder for an invalid `idle_rare_ms`. It never takes effect: the error is reported, and the process does not
+/// start.
+const IDLE_RARE_PLACEHOLDER: Duration = Duration::from_secs(1);
 
 fn read_idle_cost(root: &PathReader<'_>) -> IdleCost {
     let default = IdleCost::default();
@@ -153,10 +154,10 @@
 
 fn read_tuning(root: &PathReader<'_>) -> Tuning {
     let default = Tuning::default();
-    let span = |key: &str, default_span: Duration| {
+    let duration = |key: &str, default_duration: Duration| {
         let millis = root
             .field(key)
-            .number_or(1..=600_000, default_span.as_millis() as u64);
+            .number_or(1..=600_000, default_duration.as_millis() as u64);
         Duration::from_millis(millis)
     };
     let count = |key: &str, limit: u64, default_count: u64| {
@@ -171,20 +172,20 @@
         rare_idle_limit: root
             .field("idle_rare_ms")
             .is_present()
-            .then(|| span("idle_rare_ms", DEFAULT_IDLE_RARE)),
+            .then(|| duration("idle_rare_ms", IDLE_RARE_PLACEHOLDER)),
         idle_cost: root
             .field("idle_stop")
             .bool_or(false)
             .then(|| read_idle_cost(root)),
-        rate_window: span("rise_ms", default.rate_window),
+        rate_window: duration("rise_ms", default.rate_window),
         margin_percent: count("margin_percent", 10_000, u64::from(default.margin_percent)) as u32,
         decay: root
             .field("fall_ms")
             .is_present()
-            .then(|| span("fall_ms", Duration::ZERO)),
+            .then(|| duration("fall_ms", Duration::ZERO)),
         drain_interval: root
             .field("drain_every_ms")
             .is_present()
-            .then(|| span("drain_every_ms", Duration::ZERO)),
+            .then(|| duration("drain_every_ms", Duration::ZERO)),
     }
 }
