--- a/crates/dataplane/src/server/daemon.rs
+++ b/crates/dataplane/src/server/daemon.rs
@@ -1,4 +1,4 @@
-//! A daemon process: its listeners are opened first, so that an address in use is reported before anything starts.
+//! A daemon process. Its listeners are opened first, so that an address in use is reported before any task starts.
 
 use super::hops;
 use super::ingress::{serve_ingress, serve_ready};
@@ -21,15 +21,15 @@
 use tokio::net::{TcpListener, TcpStream, UdpSocket};
 use tokio::sync::{mpsc, watch};
 
-/// The delay before a listener that failed is tried again.
+/// The delay before accepting or receiving again after a listener has failed.
 const LISTENER_RETRY_DELAY: Duration = Duration::from_millis(20);
-/// How often a daemon that shuts down checks whether it has nothing left to finish.
+/// How often a daemon that is shutting down checks whether all its work has finished.
 const DRAIN_CHECK_INTERVAL: Duration = Duration::from_millis(20);
-/// How long a daemon that exits leaves its last frames to be written.
-const LAST_FRAMES_TIME: Duration = Duration::from_millis(60);
-/// How long another daemon may take to name the channel of its connection.
+/// How long an exiting daemon waits for its last frames to be written.
+const LAST_FRAMES_DELAY: Duration = Duration::from_millis(60);
+/// How long another process may take to send the channel of its connection.
 const CHANNEL_TIMEOUT: Duration = Duration::from_secs(3);
-/// The size of the buffer for heartbeats; no datagram is larger.
+/// The size of the receive buffer for heartbeats. No UDP datagram is larger.
 const MAX_DATAGRAM_BYTES: usize = 64 << 10;
 
 /// A handle to a running daemon.
@@ -61,10 +61,10 @@
         Self::open_with_rules(settings, Rules::ALL_ENFORCED).await
     }
 
-    /// The same under other rules, for tests.
+    /// Does the same as [`Self::open`] with other rules, for tests.
     ///
     /// # Errors
-    /// The same as of [`Self::open`].
+    /// The same as for [`Self::open`].
     pub async fn open_with_rules(
         settings: DaemonSettings,
         rules: Rules,
@@ -73,10 +73,10 @@
         Self::open_with(settings, rules, adapters).await
     }
 
-    /// The same with other adapters than the native ones.
+    /// Does the same as [`Self::open`] with other rules and adapters than the native ones.
     ///
     /// # Errors
-    /// The same as of [`Self::open`].
+    /// The same as for [`Self::open`].
     pub async fn open_with(
         settings: DaemonSettings,
         rules: Rules,
@@ -94,14 +94,14 @@
         })
     }
 
-    /// A handle to it for the time that it runs.
+    /// Returns a handle for use while the daemon runs.
     pub fn handle(&self) -> DaemonHandle {
         DaemonHandle {
             state: self.state.clone(),
         }
     }
 
-    /// Serves until `stop`, then shuts down in an orderly way within the grace period.
+    /// Serves until `stop`, then shuts down gracefully within the grace period.
     ///
     /// The ingress task is joined during shutdown; the other tasks are detached and end with the process.
     pub async fn run(self, mut stop: watch::Receiver<bool>) {
@@ -129,7 +129,7 @@
         state.agent.begin_leaving();
         let _ = state.control.send(ControlInput::BeginShutdown);
         ingress_stop_sender.send_replace(true);
-        let phases = tokio::spawn(enter_shutdown_phases(state.clone(), schedule));
+        let phase_task = tokio::spawn(enter_shutdown_phases(state.clone(), schedule));
         let draining = async {
             let _ = ingress.await;
             while !state.agent.is_drained() {
@@ -137,9 +137,9 @@
             }
         };
         let _ = tokio::time::timeout(time_until(schedule.exit_at), draining).await;
-        phases.abort();
+        phase_task.abort();
         let _ = state.control.send(ControlInput::ShutdownFinished);
-        tokio::time::sleep(LAST_FRAMES_TIME).await;
+        tokio::time::sleep(LAST_FRAMES_DELAY).await;
     }
 }
 
@@ -147,7 +147,7 @@
     at.since(MonotonicTime::now())
 }
 
-/// Has the requests in flight end in time before the process exits.
+/// Enters the phases of the shutdown on schedule, so that the requests in flight end before the process exits.
 async fn enter_shutdown_phases(state: Arc<State>, schedule: ShutdownSchedule) {
     for (at, phase) in [
         (schedule.withdraw_at, ShutdownPhase::Withdrawing),
@@ -165,13 +165,13 @@
 
 /// The open listeners of a daemon.
 struct Listeners {
-    /// For connections of other daemons.
+    /// For connections from other daemons.
     daemons: TcpListener,
     /// For callers.
     ingress: TcpListener,
-    /// For readiness and metrics, if these have an address of their own.
+    /// For readiness and metrics, if they have a separate address.
     ready: Option<TcpListener>,
-    /// For heartbeats of other daemons; heartbeats are sent from it as well.
+    /// For heartbeats from other daemons. Also used to send heartbeats.
     heartbeats: Arc<UdpSocket>,
 }
 
@@ -200,7 +200,7 @@
     }
 }
 
-/// Opens a TCP listener at the address that the settings have under `key`.
+/// Opens a TCP listener. `key` is the settings key of the address, for the error message.
 async fn listen_at(
     settings: &DaemonSettings,
     key: &'static str,
@@ -220,7 +220,7 @@
     SettingsError::CannotListen(settings.source.clone(), key, address, error)
 }
 
-/// This daemon as a host; each start of the process is a new incarnation, never zero.
+/// Returns this daemon's host entry. Each start of the process has a new random incarnation, which is never zero.
 fn own_host(settings: &DaemonSettings) -> Host {
     Host {
         member: settings.member.clone(),
@@ -253,7 +253,7 @@
     }
 }
 
-/// Accepts connections of other daemons; the task of each is detached and ends with its connection.
+/// Accepts connections from other daemons. The task of each connection is detached and ends with the connection.
 async fn accept_hops(listener: TcpListener, state: Arc<State>) {
     loop {
         match listener.accept().await {
--- a/crates/dataplane/src/server/hops.rs
+++ b/crates/dataplane/src/server/hops.rs
@@ -1,4 +1,4 @@
-//! Requests from other daemons, served on their connections.
+//! Serves requests from other daemons on their connections.
 
 use crate::agent::{FunctionRequest, ShutdownPhase};
 use crate::drivers::{ByteStream, State, WRITE_BATCH_BYTES};
@@ -16,19 +16,19 @@
 
 const MAX_QUEUED_REPLIES: usize = 1024;
 
-/// Serves another daemon's connection until it ends. Requests that are under way then are cancelled: their daemon
-/// counts them as lost, and may retry them.
+/// Serves another daemon's connection until it ends. The requests that are in progress then are cancelled; the other
+/// daemon treats them as lost and may retry them.
 ///
 /// # Errors
-/// The [`FrameError`] that ended the connection, its regular end included.
+/// The [`FrameError`] that ended the connection. A regular close is reported as an error, too.
 pub async fn serve(state: Arc<State>, stream: impl ByteStream + 'static) -> Result<(), FrameError> {
     let (reading_half, writing_half) = tokio::io::split(stream);
     let mut reader = BufReader::new(reading_half);
     let (reply_sender, replies) = mpsc::channel::<DaemonFrame>(MAX_QUEUED_REPLIES);
-    // Detached: it ends when the last reply sender is dropped or the connection fails.
+    // Detached. The task ends when the last reply sender is dropped or the connection fails.
     tokio::spawn(write_replies(writing_half, replies));
     let open_calls = OpenCalls::default();
-    // Dropped with the connection, by which all calls are cancelled.
+    // Dropped when the connection ends, which cancels all its calls.
     let _connection_guard = ConnectionGuard(open_calls.clone());
     loop {
         let DaemonFrame { correlation, body } = read_frame(&mut reader).await?;
@@ -39,7 +39,7 @@
         let call_state = state.clone();
         let call_reply_sender = reply_sender.clone();
         let mut open_call = open_calls.open(correlation);
-        // Detached, and cancelled by the requester's notice or the end of the connection.
+        // Detached. The task is cancelled by a notice from the requester, or when the connection ends.
         tokio::spawn(async move {
             let requester_phase = open_call.requester_phase.clone();
             let reply = tokio::select! {
@@ -55,7 +55,7 @@
     }
 }
 
-/// The calls of a connection that have no reply yet. Dropping a call's sender abandons the call.
+/// The calls on a connection that have not been replied to. Dropping the sender of a call abandons the call.
 #[derive(Clone, Default)]
 struct OpenCalls(Arc<Mutex<HashMap<CorrelationId, watch::Sender<ShutdownPhase>>>>);
 
@@ -88,7 +88,7 @@
     }
 }
 
-/// Abandons all calls of a connection when it is dropped.
+/// Abandons all calls of a connection on drop.
 struct ConnectionGuard(OpenCalls);
 
 impl Drop for ConnectionGuard {
@@ -97,16 +97,16 @@
     }
 }
 
-/// One call that has no reply yet.
+/// A call that has not been replied to.
 struct OpenCall {
     correlation: CorrelationId,
     open_calls: OpenCalls,
-    /// How far the shutdown of the daemon that called has come, as far as it has said.
+    /// The shutdown phase that the calling daemon has reported.
     requester_phase: watch::Receiver<ShutdownPhase>,
 }
 
 impl OpenCall {
-    /// Waits until the requester has given the call up, or the connection has ended.
+    /// Waits until the requester abandons the call or the connection ends.
     async fn abandoned(&mut self) {
         while self.requester_phase.changed().await.is_ok() {}
     }
@@ -141,8 +141,8 @@
     }
 }
 
-/// Appends a reply; one that is too large for a frame is replaced by a lost response, so that those behind it are not
-/// lost too.
+/// Appends a reply to the write buffer. A reply that is too large for a frame is replaced by
+/// [`RequestFailureReason::ResponseLost`], so that the replies after it are still delivered.
 fn append_reply(sent_bytes: &mut Vec<u8>, frame: &DaemonFrame) {
     if append_frame(sent_bytes, frame).is_err() {
         let outcome = RequestOutcome::Unknown {
@@ -171,10 +171,10 @@
     match FunctionRequest::from_frame(MonotonicTime::now(), body) {
         Ok(request) => {
             let forwarded_outcome = forward_for_daemon(state, request, requester_phase).await;
-            let is_answer = matches!(forwarded_outcome.outcome, RequestOutcome::Response { .. });
+            let is_response = matches!(forwarded_outcome.outcome, RequestOutcome::Response { .. });
             let reported_holder = forwarded_outcome
                 .holder
-                .filter(|holder| !is_answer || *holder != state.agent.own_host);
+                .filter(|holder| !is_response || *holder != state.agent.own_host);
             let holder = LengthPrefixed(reported_holder.into_iter().collect());
             let ForwardedOutcome {
                 outcome,
--- a/crates/dataplane/src/server/ingress.rs
+++ b/crates/dataplane/src/server/ingress.rs
@@ -11,12 +11,12 @@
 use tokio::net::TcpListener;
 use tokio::sync::watch;
 
-/// Serves callers until `stop`; also readiness and metrics, unless these have an address of their own.
+/// Serves callers until `stop`. Also serves readiness and metrics, unless they have a separate address.
 pub async fn serve_ingress(state: Arc<State>, listener: TcpListener, stop: watch::Receiver<bool>) {
     let has_ready_address = state.settings.ready.is_some();
-    let times_state = state.clone();
-    let times = move || {
-        let limits = times_state.agent.routing_table().limits();
+    let limits_state = state.clone();
+    let connection_limits = move || {
+        let limits = limits_state.agent.routing_table().limits();
         ConnectionLimits {
             header_bytes: limits.header_bytes,
             idle: limits.header.max(limits.idle),
@@ -36,10 +36,10 @@
             }
         }
     };
-    http::serve_callers(listener, handler, times, stop).await;
+    http::serve_callers(listener, handler, connection_limits, stop).await;
 }
 
-/// Serves readiness and metrics at their own address until `stop`.
+/// Serves readiness and metrics on a separate address until `stop`.
 pub(super) async fn serve_ready(
     state: Arc<State>,
     listener: TcpListener,
@@ -55,7 +55,7 @@
     http::serve(listener, handler, stop).await;
 }
 
-/// The response to a readiness or metrics request; none for any other request.
+/// Returns the response to a readiness or metrics request, or `None` for any other request.
 fn status_page(state: &State, request: &Request<Incoming>) -> Option<HttpResponse> {
     if request.method() != Method::GET {
         return None;
--- a/crates/dataplane/src/server/mod.rs
+++ b/crates/dataplane/src/server/mod.rs
@@ -1,10 +1,10 @@
-//! The running daemon: its listeners, its start and its orderly shutdown.
+//! The running daemon: its listeners, startup and graceful shutdown.
 //!
-//! Dependencies go one way: this module uses [`request_pipeline`](crate::request_pipeline) for each request that its
-//! listeners accept, and [`drivers`](crate::drivers) for the tasks that it starts. Neither of these uses this module.
+//! This module uses [`request_pipeline`](crate::request_pipeline) for the requests that its listeners accept, and
+//! [`drivers`](crate::drivers) for the tasks that it starts. Neither of them depends on this module.
 //!
-//! * `daemon`: a daemon process from its open listeners to the end of its shutdown.
-//! * [`hops`]: the requests from other daemons.
+//! * `daemon`: a daemon process, from opening its listeners to the end of its shutdown.
+//! * [`hops`]: serves requests from other daemons.
 //! * `ingress`: the callers' listener, and the readiness and metrics pages.
 
 mod daemon;
