--- a/crates/dataplane/tests/http_forms/callers.rs
+++ b/crates/dataplane/tests/http_forms/callers.rs
@@ -1,22 +1,22 @@
-//! Responses to callers, and the headers of theirs that are read.
+//! The responses to callers, and the request headers that are read.
 
 use crate::caller_responses::{append_not_run, append_unknown, written};
 use crate::http_forms::{append_section, function, headers, runner};
-use crate::{check, kept_header_field};
+use crate::{check, forwarded_header_field};
 use common::adapter::{CallerResponse, IngressCodec};
 use common::identity::IdempotencyKey;
 use common::seal;
 use dataplane::adapter::NativeIngressCodec;
 use serde_json::json;
 
-async fn append_responses_of_runners(text: &mut String, key: &IdempotencyKey) {
+async fn append_runner_responses(text: &mut String, key: &IdempotencyKey) {
     for status in [200, 201, 204, 302, 404, 503, 1000] {
         let response = CallerResponse::Response {
             function: function().in_region(&"north".into()),
             runner: runner(),
             status,
             seal: "5ea1".into(),
-            header_fields: vec![kept_header_field()],
+            header_fields: vec![forwarded_header_field()],
             body: r#"{"paid": true}"#.into(),
         };
         let message = written(&NativeIngressCodec, Some(key), response).await;
@@ -24,21 +24,21 @@
     }
 }
 
-/// The response to every outcome that the ingress codec can encode.
+/// Guards against a change in the bytes of a response to callers, for every outcome that the ingress codec can encode.
 #[tokio::test]
-async fn every_outcome_has_its_response() {
+async fn responses_to_callers_match_the_fixture() {
     let mut text = String::new();
     let idempotency_key = IdempotencyKey::from("try-1");
     let retry_times_ms = [None, Some(0), Some(50), Some(1000), Some(1001)];
     let codec = &NativeIngressCodec;
     append_not_run(&mut text, codec, &idempotency_key, &retry_times_ms).await;
     append_unknown(&mut text, codec, &idempotency_key).await;
-    append_responses_of_runners(&mut text, &idempotency_key).await;
+    append_runner_responses(&mut text, &idempotency_key).await;
     check("door_responses.txt", &text);
 }
 
 #[test]
-fn callers_headers_have_their_names() {
+fn names_of_caller_headers_match_the_fixture() {
     let repeat = headers(&[(seal::REPEAT_OF, "try-0")]);
     let seen = json!({
         "identity": NativeIngressCodec.idempotency_key_header(),
--- a/crates/dataplane/tests/http_forms/ingress.rs
+++ b/crates/dataplane/tests/http_forms/ingress.rs
@@ -1,8 +1,8 @@
-//! The ingress of a daemon: what callers receive for each outcome, refusal and page.
+//! The ingress of a daemon: what callers receive for each outcome and rejection, and the readiness and metrics pages.
 
 use crate::caller_responses::reasons;
 use crate::http_forms::{address, append_section, runner};
-use crate::{check, kept_header_field, wire};
+use crate::{check, forwarded_header_field, wire};
 use common::clock::MonotonicTime;
 use common::frames::{
     DaemonFrame, DaemonMessage, Flag, Host, LengthPrefixed, RequestFailureReason, RequestOutcome,
@@ -20,24 +20,25 @@
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt, DuplexStream, duplex};
 
-const SERVING: Duration = Duration::from_secs(600);
+/// The remaining time of the session lease of a serving daemon.
+const SESSION_LEASE_TIME: Duration = Duration::from_secs(600);
 
-fn answer(status: u16, seal_text: &str) -> RequestOutcome {
+fn response(status: u16, seal_text: &str) -> RequestOutcome {
     RequestOutcome::Response {
         status,
         seal: seal_text.as_bytes().to_vec().into(),
         runner: runner(),
-        header_fields: LengthPrefixed(vec![kept_header_field()]),
+        header_fields: LengthPrefixed(vec![forwarded_header_field()]),
         body: br#"{"paid": true}"#.to_vec().into(),
     }
 }
 
-/// A connector to one other daemon, which ends every request with the same outcome.
-struct OneDaemon {
+/// A connector to another daemon, which replies to every request with the same outcome. Runners are unreachable.
+struct FixedOutcomeConnector {
     outcome: RequestOutcome,
 }
 
-impl Connector for OneDaemon {
+impl Connector for FixedOutcomeConnector {
     fn connect_to_runner(&self, _: SocketAddress) -> ConnectFuture<'_> {
         Box::pin(async { Err(std::io::ErrorKind::ConnectionRefused.into()) })
     }
@@ -46,13 +47,13 @@
         let outcome = self.outcome.clone();
         Box::pin(async move {
             let (near, far) = duplex(64 << 10);
-            tokio::spawn(end_each(far, outcome));
+            tokio::spawn(reply_to_each(far, outcome));
             Ok(Box::new(near) as Box<dyn ByteStream>)
         })
     }
 }
 
-async fn end_each(mut stream: DuplexStream, outcome: RequestOutcome) {
+async fn reply_to_each(mut stream: DuplexStream, outcome: RequestOutcome) {
     if read_channel(&mut stream).await.is_err() {
         return;
     }
@@ -96,18 +97,24 @@
     RoutingTable::build(&document.view()).expect("a table")
 }
 
-/// A daemon that receives callers, and another that holds the function and ends every request with the same outcome.
+/// Returns the state of an ingress daemon. Another daemon, the only live host, replies to every request with `outcome`.
 fn daemon(outcome: RequestOutcome, is_serving: bool) -> Arc<State> {
     let settings = json!({
         "member": "daemon-2", "locality": "here", "place": "10.0.0.2:7000", "door": "10.0.0.2:8080",
         "seeds": ["10.0.0.1:7100"], "platform": "10.0.9.9:80", "largest_body": 64,
     });
     let source = common::readers::SettingsSource::from_value("FILE", settings);
-    let startup = DaemonSettings::read(&source).expect("settings");
-    let adapters = DaemonAdapters::native(startup.platform);
-    let connector = Arc::new(OneDaemon { outcome });
+    let daemon_settings = DaemonSettings::read(&source).expect("settings");
+    let adapters = DaemonAdapters::native(daemon_settings.platform);
+    let connector = Arc::new(FixedOutcomeConnector { outcome });
     let own_host = host("daemon-2", "10.0.0.2:7000");
-    let state = State::without_control(startup, own_host, Rules::ALL_ENFORCED, adapters, connector);
+    let state = State::without_control(
+        daemon_settings,
+        own_host,
+        Rules::ALL_ENFORCED,
+        adapters,
+        connector,
+    );
     state.agent.set_routing_table(Arc::new(table()));
     state
         .agent
@@ -115,12 +122,12 @@
     if is_serving {
         state
             .agent
-            .set_session_lease_end(MonotonicTime::now() + SERVING);
+            .set_session_lease_end(MonotonicTime::now() + SESSION_LEASE_TIME);
     }
     Arc::new(state)
 }
 
-async fn answered(state: &Arc<State>, request_text: &str) -> String {
+async fn response_to(state: &Arc<State>, request_text: &str) -> String {
     let state = state.clone();
     let handler = move |request| {
         let state = state.clone();
@@ -129,13 +136,14 @@
     wire::answered_by(handler, request_text).await
 }
 
-const GOOD: &str = "POST /pay HTTP/1.1\nhost: h\nrudder-transaction: try-1\nrudder-budget-ms: 3000\n\
+/// A request that the ingress accepts.
+const VALID_REQUEST: &str = "POST /pay HTTP/1.1\nhost: h\nrudder-transaction: try-1\nrudder-budget-ms: 3000\n\
                     content-length: 2\nconnection: close\n\n{}";
 
-/// The statuses and retry times that callers get for each reason of each outcome, from the outcome of the function's
-/// holder to the bytes of the response.
+/// Guards against a change in the status or retry time that callers receive for an outcome and its reason. Covers the
+/// path from the outcome at the function's holder to the bytes of the response.
 #[tokio::test]
-async fn every_reason_reaches_the_caller_as_before() {
+async fn responses_for_every_failure_reason_match_the_fixture() {
     let mut text = String::new();
     for (number, reason) in reasons() {
         let outcomes = [
@@ -149,27 +157,30 @@
             ("unknown", RequestOutcome::Unknown { reason }),
         ];
         for (outcome_name, outcome) in outcomes {
-            // A daemon that is not the holder is tried again until the deadline.
+            // A request rejected with `NotHolder` is retried until its deadline; a short one keeps the test fast.
             let is_retried = reason == RequestFailureReason::NotHolder;
             let time_limit_ms = if is_retried { "800" } else { "3000" };
-            let message =
-                answered(&daemon(outcome, true), &GOOD.replace("3000", time_limit_ms)).await;
+            let message = response_to(
+                &daemon(outcome, true),
+                &VALID_REQUEST.replace("3000", time_limit_ms),
+            )
+            .await;
             append_section(&mut text, &format!("{outcome_name}, {number}"), &message);
         }
     }
     for status in [200, 404, 500] {
-        let message = answered(&daemon(answer(status, "5ea1"), true), GOOD).await;
+        let message = response_to(&daemon(response(status, "5ea1"), true), VALID_REQUEST).await;
         append_section(&mut text, &format!("answer, {status}"), &message);
     }
     check("caller_outcomes.txt", &text);
 }
 
-/// What is counted of each request, with the labels on which operators' dashboards rely.
+/// Guards against a change in the request metrics and their labels, on which operators' dashboards rely.
 #[tokio::test]
-async fn every_end_is_counted_under_its_labels() {
+async fn request_metrics_match_the_fixture() {
     let mut text = String::new();
     let outcomes = [
-        ("answer", answer(200, "5ea1")),
+        ("answer", response(200, "5ea1")),
         (
             "not run",
             RequestOutcome::NotRun {
@@ -186,10 +197,13 @@
     ];
     for (what, outcome) in outcomes {
         let state = daemon(outcome, true);
-        for request_text in [GOOD.to_owned(), GOOD.replace("/pay", "/nowhere")] {
-            answered(&state, &request_text).await;
+        for request_text in [
+            VALID_REQUEST.to_owned(),
+            VALID_REQUEST.replace("/pay", "/nowhere"),
+        ] {
+            response_to(&state, &request_text).await;
         }
-        answered(&state, &GOOD.replace("3000", "0")).await;
+        response_to(&state, &VALID_REQUEST.replace("3000", "0")).await;
         let page = String::from_utf8(state.metrics.page()).expect("text");
         let is_count = |line: &&str| {
             line.starts_with("rudder_transactions_total")
@@ -202,12 +216,12 @@
     check("counted_ends.txt", &text);
 }
 
-/// `GOOD` with one part changed.
+/// Returns `VALID_REQUEST` with one part replaced.
 fn changed(part: &str, new: &str) -> String {
-    GOOD.replace(part, new)
+    VALID_REQUEST.replace(part, new)
 }
 
-/// Requests that differ from `GOOD` in one header field or in their route, by what is different.
+/// Returns requests that differ from `VALID_REQUEST` in a header field or the route, each with a name of the change.
 fn changed_requests() -> Vec<(&'static str, String)> {
     let with_key = |line: &str| changed("rudder-transaction: try-1\n", line);
     let with_timeout = |line: &str| changed("rudder-budget-ms: 3000\n", line);
@@ -236,27 +250,35 @@
 }
 
 #[tokio::test]
-async fn requests_are_refused_at_the_ingress_as_before() {
+async fn rejections_at_the_ingress_match_the_fixture() {
     let mut text = String::new();
-    let serving = daemon(answer(200, "5ea1"), true);
+    let serving = daemon(response(200, "5ea1"), true);
     for (what, request_text) in changed_requests() {
-        append_section(&mut text, what, &answered(&serving, &request_text).await);
+        append_section(&mut text, what, &response_to(&serving, &request_text).await);
     }
     let chunked = changed("content-length: 2", "transfer-encoding: chunked");
     let too_long = chunked.replace("{}", &format!("50\r\n{}\r\n0\r\n\r\n", "x".repeat(80)));
-    let message = answered(&serving, &too_long).await;
+    let message = response_to(&serving, &too_long).await;
     append_section(&mut text, "body too large", &message);
-    let idle = daemon(answer(200, "5ea1"), false);
-    append_section(&mut text, "not serving", &answered(&idle, GOOD).await);
-    let message = answered(&idle, &changed("/pay", "/nowhere")).await;
+    let idle = daemon(response(200, "5ea1"), false);
+    append_section(
+        &mut text,
+        "not serving",
+        &response_to(&idle, VALID_REQUEST).await,
+    );
+    let message = response_to(&idle, &changed("/pay", "/nowhere")).await;
     append_section(&mut text, "not serving, no route", &message);
     serving.agent.begin_leaving();
-    append_section(&mut text, "leaving", &answered(&serving, GOOD).await);
+    append_section(
+        &mut text,
+        "leaving",
+        &response_to(&serving, VALID_REQUEST).await,
+    );
     check("door_refusals.txt", &text);
 }
 
 #[tokio::test]
-async fn readiness_and_metrics_are_asked_at_the_ingress_as_before() {
+async fn readiness_and_metrics_responses_match_the_fixture() {
     let mut text = String::new();
     for is_serving in [true, false] {
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0")
@@ -265,7 +287,7 @@
         let address = listener.local_addr().expect("an address");
         let (_stop_sender, stop) = tokio::sync::watch::channel(false);
         tokio::spawn(serve_ingress(
-            daemon(answer(200, "5ea1"), is_serving),
+            daemon(response(200, "5ea1"), is_serving),
             listener,
             stop,
         ));
--- a/crates/dataplane/tests/http_forms/main.rs
+++ b/crates/dataplane/tests/http_forms/main.rs
@@ -1,4 +1,5 @@
-//! The native HTTP protocols towards callers and runners: the bytes of every response and request, and what is read.
+//! Compares the native HTTP protocols for callers and runners with fixtures: the bytes of each request and response,
+//! and the values decoded from them.
 
 #[path = "../../../../testing/support/caller_responses.rs"]
 mod caller_responses;
@@ -14,13 +15,13 @@
 
 use common::frames::HeaderField;
 
-/// Compares a form with its fixture.
+/// Compares `seen` with the fixture `name`.
 pub(crate) fn check(name: &str, seen: &str) {
     forms::check(env!("CARGO_MANIFEST_DIR"), name, seen);
 }
 
-/// A header field that is forwarded unchanged.
-pub(crate) fn kept_header_field() -> HeaderField {
+/// Returns a header field that is forwarded unchanged.
+pub(crate) fn forwarded_header_field() -> HeaderField {
     HeaderField {
         name: "x-own".into(),
         value: b"kept".to_vec().into(),
--- a/crates/dataplane/tests/http_forms/runners.rs
+++ b/crates/dataplane/tests/http_forms/runners.rs
@@ -1,7 +1,7 @@
-//! Requests to runners, and what is read of their responses.
+//! The requests to runners, and the values decoded from their responses.
 
 use crate::http_forms::{address, append_section, function, headers, runner};
-use crate::{check, kept_header_field, wire};
+use crate::{check, forwarded_header_field, wire};
 use common::adapter::{ReadinessProbe, RunnerCodec, RunnerRequest, RunnerResponse, SealKind};
 use common::frames::{LengthPrefixed, RequestPayload};
 use common::identity::{FunctionKey, IdempotencyKey, InstanceId, ShortString};
@@ -15,7 +15,7 @@
     RequestPayload {
         method: ShortString::from("PUT"),
         target: ShortString::from("/pay?now=1"),
-        header_fields: LengthPrefixed(vec![kept_header_field()]),
+        header_fields: LengthPrefixed(vec![forwarded_header_field()]),
         body: br#"{"sum": 3}"#.to_vec().into(),
     }
 }
@@ -37,7 +37,7 @@
 }
 
 #[tokio::test]
-async fn requests_to_runners_have_their_bytes() {
+async fn requests_to_runners_match_the_fixture() {
     let mut text = String::new();
     let idempotency_key = IdempotencyKey::from("try-1");
     let complete = function();
@@ -45,29 +45,29 @@
     let payload = payload();
     let plain_instance = InstanceId::from("life-9");
     let named_instance = InstanceId::from("life-9.r-7-1f");
-    let usual = || runner_request(&idempotency_key, &complete, &payload);
+    let default_request = || runner_request(&idempotency_key, &complete, &payload);
     let of_region = RunnerRequest {
         function: &regional,
-        ..usual()
+        ..default_request()
     };
     let with_instance = RunnerRequest {
         instance: Some(&plain_instance),
-        ..usual()
+        ..default_request()
     };
     let with_named_instance = RunnerRequest {
         instance: Some(&named_instance),
-        ..usual()
+        ..default_request()
     };
     let without_runner = RunnerRequest {
         runner: None,
-        ..usual()
+        ..default_request()
     };
     let without_time = RunnerRequest {
         remaining_time: Duration::ZERO,
-        ..usual()
+        ..default_request()
     };
     let sent = [
-        ("a runner", usual()),
+        ("a runner", default_request()),
         ("a runner of a region", of_region),
         ("a runner with a life", with_instance),
         ("a runner started under a name", with_named_instance),
@@ -83,25 +83,25 @@
     check("runner_requests.txt", &text);
 }
 
-fn shown(caller_response: &RunnerResponse) -> Value {
+fn shown(runner_response: &RunnerResponse) -> Value {
     json!({
-        "status": caller_response.status,
-        "transaction": caller_response.idempotency_key,
-        "function": caller_response.function,
-        "runner": caller_response.runner,
-        "seal": caller_response.seal,
-        "seal is a digest": caller_response.seal_kind == SealKind::Digest,
-        "did not run": caller_response.did_not_run,
-        "is another": caller_response.is_other_runner,
-        "is doubtful": caller_response.is_unreliable,
-        "closes": caller_response.closes_connection,
-        "lines": caller_response.header_fields.len(),
-        "body": String::from_utf8_lossy(&caller_response.body),
+        "status": runner_response.status,
+        "transaction": runner_response.idempotency_key,
+        "function": runner_response.function,
+        "runner": runner_response.runner,
+        "seal": runner_response.seal,
+        "seal is a digest": runner_response.seal_kind == SealKind::Digest,
+        "did not run": runner_response.did_not_run,
+        "is another": runner_response.is_other_runner,
+        "is doubtful": runner_response.is_unreliable,
+        "closes": runner_response.closes_connection,
+        "lines": runner_response.header_fields.len(),
+        "body": String::from_utf8_lossy(&runner_response.body),
     })
 }
 
 #[test]
-fn runners_answers_are_read_and_asked_for_as_before() {
+fn decoded_runner_responses_and_probes_match_the_fixture() {
     let complete = [
         ("rudder-transaction", "try-1"),
         ("rudder-function", "pay@2"),
@@ -109,7 +109,7 @@
         ("rudder-seal", "5ea1"),
     ];
     let with = |more: (&'static str, &'static str)| headers(&[&complete[..], &[more]].concat());
-    let answers = [
+    let responses = [
         ("whole", 200, headers(&complete)),
         ("empty", 200, headers(&[])),
         ("shed", 503, with(("rudder-shed", "1"))),
@@ -119,7 +119,7 @@
         ("encoded", 200, with(("content-encoding", "gzip"))),
     ];
     let mut seen = json!({});
-    for (what, status, headers) in answers {
+    for (what, status, headers) in responses {
         let status = StatusCode::from_u16(status).expect("a status");
         seen[what] = shown(&NativeRunnerCodec.decode_response(status, &headers, "the body".into()));
     }
