--- a/crates/dataplane/tests/metrics_forms.rs
+++ b/crates/dataplane/tests/metrics_forms.rs
@@ -1,4 +1,4 @@
-//! The daemon's metrics page: each metric's name, type, labels and buckets.
+//! Compares the daemon's metrics page with fixtures: the name, type, labels and buckets of each metric.
 
 #[path = "../../../testing/support/forms.rs"]
 mod forms;
@@ -6,7 +6,7 @@
 use dataplane::drivers::DaemonMetrics;
 
 #[test]
-fn every_metric_has_its_name_type_and_labels() {
+fn names_types_and_labels_of_metrics_match_the_fixture() {
     let metrics = DaemonMetrics::new();
     for outcome in ["answer", "not_run", "unknown", "left"] {
         metrics
@@ -26,9 +26,9 @@
     forms::check(env!("CARGO_MANIFEST_DIR"), "metrics.txt", &page);
 }
 
-/// Each field gets a value of its own, so that each metric name is held to what it counts.
+/// Guards against fields whose metric names are swapped: each field gets a distinct value.
 #[test]
-fn every_metric_counts_what_its_name_says() {
+fn each_field_sets_the_metric_of_its_name() {
     let metrics = DaemonMetrics::new();
     metrics.callers.overdue_requests.inc_by(1);
     metrics.owners.acquisitions.inc_by(2);
--- a/crates/dataplane/tests/settings_forms.rs
+++ b/crates/dataplane/tests/settings_forms.rs
@@ -1,4 +1,5 @@
-//! The daemon's settings as users write them: what is read, and the complete answer to every wrong value.
+//! Compares the daemon's settings with fixtures: the values that are read, and the complete error message for every
+//! invalid value.
 
 #[path = "../../../testing/support/daemon_settings.rs"]
 mod daemon_settings;
@@ -12,7 +13,7 @@
 use native_settings::with;
 use serde_json::{Value, json};
 
-/// A file with every key, none of them at its default.
+/// Settings with every key, each with another value than its default.
 fn full() -> Value {
     json!({
         "member": "daemon-1",
@@ -45,8 +46,8 @@
     })
 }
 
-/// The keys that must be there.
-fn least() -> Value {
+/// Settings with the required keys only.
+fn minimal() -> Value {
     json!({
         "member": "daemon-1", "locality": "north", "place": "10.0.0.1:7100",
         "door": "10.0.0.2:8080", "seeds": ["10.0.0.1:7300"], "platform": "10.0.9.9:80",
@@ -69,17 +70,17 @@
 }
 
 #[test]
-fn a_full_file_and_a_short_one_are_read_with_all_their_values() {
+fn full_and_minimal_settings_match_the_fixture() {
     let seen = json!({
         "full": shown(&full()),
-        "least": shown(&least()),
-        "idle_stop alone": shown(&with(least(), "idle_stop", json!(true))),
+        "least": shown(&minimal()),
+        "idle_stop alone": shown(&with(minimal(), "idle_stop", json!(true))),
     });
     check("settings_read.json", &format!("{seen:#}\n"));
 }
 
 #[test]
-fn every_wrong_value_has_its_answer() {
+fn error_messages_for_invalid_values_match_the_fixture() {
     let read = |settings: &Value| read(settings).map(drop).map_err(|cause| cause.to_string());
     let several = json!({"member": 7, "threads": 257});
     let text = native_settings::answers(&full(), several, read);
