--- a/crates/dataplane/src/drivers/runner_connections.rs
+++ b/crates/dataplane/src/drivers/runner_connections.rs
@@ -25,7 +25,7 @@
 pub enum CheckoutError {
     /// The runner cannot be reached.
     Unreachable,
-    /// The maximum number of connections to the runner is in use.
+    /// The maximum number of connections to the runner is open.
     Full,
 }
 
--- a/crates/dataplane/src/server/daemon.rs
+++ b/crates/dataplane/src/server/daemon.rs
@@ -61,7 +61,7 @@
         Self::open_with_rules(settings, Rules::ALL_ENFORCED).await
     }
 
-    /// Does the same as [`Self::open`] with other rules, for tests.
+    /// Does the same as [`Self::open`] with the given rules, for tests.
     ///
     /// # Errors
     /// The same as for [`Self::open`].
@@ -73,7 +73,7 @@
         Self::open_with(settings, rules, adapters).await
     }
 
-    /// Does the same as [`Self::open`] with other rules and adapters than the native ones.
+    /// Does the same as [`Self::open`] with the given rules, and with the given adapters instead of the native ones.
     ///
     /// # Errors
     /// The same as for [`Self::open`].
