--- a/crates/dataplane/tests/http_forms/ingress.rs
+++ b/crates/dataplane/tests/http_forms/ingress.rs
@@ -66,7 +66,7 @@
             regional_tenths: 0,
         };
         let mut sent = Vec::new();
-        append_frame(&mut sent, &DaemonFrame { correlation, body }).expect("a frame");
+        append_frame(&mut sent, &DaemonFrame { correlation, body }).expect("frame should encode");
         if stream.write_all(&sent).await.is_err() {
             return;
         }
@@ -91,10 +91,10 @@
             "method": "POST", "path": "/pay", "function": "pay", "budget_ms": 5000, "kind": "once",
         }},
     });
-    let checked_spec = read_spec(&spec).expect("a spec");
+    let checked_spec = read_spec(&spec).expect("spec should be valid");
     let mut document = Document::founding(Vec::new()).with_spec(spec, &checked_spec, "c".into());
     document.document_version.version = Version(2);
-    RoutingTable::build(&document.view()).expect("a table")
+    RoutingTable::build(&document.view()).expect("routing table should build")
 }
 
 /// Returns the state of an ingress daemon. Another daemon, the only live host, replies to every request with `outcome`.
@@ -104,7 +104,7 @@
         "seeds": ["10.0.0.1:7100"], "platform": "10.0.9.9:80", "largest_body": 64,
     });
     let source = common::readers::SettingsSource::from_value("FILE", settings);
-    let daemon_settings = DaemonSettings::read(&source).expect("settings");
+    let daemon_settings = DaemonSettings::read(&source).expect("settings should be valid");
     let adapters = DaemonAdapters::native(daemon_settings.platform);
     let connector = Arc::new(FixedOutcomeConnector { outcome });
     let own_host = host("daemon-2", "10.0.0.2:7000");
@@ -204,7 +204,7 @@
             response_to(&state, &request_text).await;
         }
         response_to(&state, &VALID_REQUEST.replace("3000", "0")).await;
-        let page = String::from_utf8(state.metrics.page()).expect("text");
+        let page = String::from_utf8(state.metrics.page()).expect("metrics should be UTF-8");
         let is_count = |line: &&str| {
             line.starts_with("rudder_transactions_total")
                 || line.starts_with("rudder_owner_lookups_total")
@@ -260,13 +260,13 @@
     let too_long = chunked.replace("{}", &format!("50\r\n{}\r\n0\r\n\r\n", "x".repeat(80)));
     let message = response_to(&serving, &too_long).await;
     append_section(&mut text, "body too large", &message);
-    let idle = daemon(response(200, "5ea1"), false);
+    let not_serving = daemon(response(200, "5ea1"), false);
     append_section(
         &mut text,
         "not serving",
-        &response_to(&idle, VALID_REQUEST).await,
+        &response_to(&not_serving, VALID_REQUEST).await,
     );
-    let message = response_to(&idle, &changed("/pay", "/nowhere")).await;
+    let message = response_to(&not_serving, &changed("/pay", "/nowhere")).await;
     append_section(&mut text, "not serving, no route", &message);
     serving.agent.begin_leaving();
     append_section(
@@ -283,8 +283,10 @@
     for is_serving in [true, false] {
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0")
             .await
-            .expect("a port");
-        let address = listener.local_addr().expect("an address");
+            .expect("listener should bind");
+        let address = listener
+            .local_addr()
+            .expect("listener should have an address");
         let (_stop_sender, stop) = tokio::sync::watch::channel(false);
         tokio::spawn(serve_ingress(
             daemon(response(200, "5ea1"), is_serving),
@@ -294,21 +296,23 @@
         for path in ["/ready", "/metrics"] {
             let mut stream = tokio::net::TcpStream::connect(address)
                 .await
-                .expect("a connection");
+                .expect("connection should open");
             let request = format!("GET {path} HTTP/1.1\r\nhost: h\r\nconnection: close\r\n\r\n");
             stream
                 .write_all(request.as_bytes())
                 .await
-                .expect("it is sent");
+                .expect("request should be written");
             let mut message = String::new();
             stream
                 .read_to_string(&mut message)
                 .await
-                .expect("an answer");
-            let (head, body) = message.split_once("\r\n\r\n").expect("a head");
-            let is_steady =
+                .expect("response should be read");
+            let (head, body) = message
+                .split_once("\r\n\r\n")
+                .expect("response should have a head");
+            let is_constant =
                 |line: &&str| !line.starts_with("date: ") && !line.starts_with("content-length: ");
-            let head: Vec<&str> = head.lines().filter(is_steady).collect();
+            let head: Vec<&str> = head.lines().filter(is_constant).collect();
             let body = if path == "/ready" { body } else { "(the page)" };
             append_section(&mut text, path, &format!("{}\n\n{body}", head.join("\n")));
         }
--- a/crates/dataplane/tests/http_forms/runners.rs
+++ b/crates/dataplane/tests/http_forms/runners.rs
@@ -40,14 +40,14 @@
 async fn requests_to_runners_match_the_fixture() {
     let mut text = String::new();
     let idempotency_key = IdempotencyKey::from("try-1");
-    let complete = function();
-    let regional = function().in_region(&"north".into());
+    let plain_function = function();
+    let regional_function = function().in_region(&"north".into());
     let payload = payload();
     let plain_instance = InstanceId::from("life-9");
     let named_instance = InstanceId::from("life-9.r-7-1f");
-    let default_request = || runner_request(&idempotency_key, &complete, &payload);
-    let of_region = RunnerRequest {
-        function: &regional,
+    let default_request = || runner_request(&idempotency_key, &plain_function, &payload);
+    let with_regional_function = RunnerRequest {
+        function: &regional_function,
         ..default_request()
     };
     let with_instance = RunnerRequest {
@@ -68,7 +68,7 @@
     };
     let sent = [
         ("a runner", default_request()),
-        ("a runner of a region", of_region),
+        ("a runner of a region", with_regional_function),
         ("a runner with a life", with_instance),
         ("a runner started under a name", with_named_instance),
         ("no runner named", without_runner),
@@ -77,7 +77,7 @@
     for (what, runner_request) in sent {
         let request = NativeRunnerCodec
             .encode_request(address("10.0.0.3:9000"), &runner_request)
-            .expect("a request");
+            .expect("request should encode");
         append_section(&mut text, what, &wire::request(request).await);
     }
     check("runner_requests.txt", &text);
@@ -102,25 +102,26 @@
 
 #[test]
 fn decoded_runner_responses_and_probes_match_the_fixture() {
-    let complete = [
+    let complete_headers = [
         ("rudder-transaction", "try-1"),
         ("rudder-function", "pay@2"),
         ("rudder-runner", "r-500000007-2b"),
         ("rudder-seal", "5ea1"),
     ];
-    let with = |more: (&'static str, &'static str)| headers(&[&complete[..], &[more]].concat());
+    let with =
+        |more: (&'static str, &'static str)| headers(&[&complete_headers[..], &[more]].concat());
     let responses = [
-        ("whole", 200, headers(&complete)),
+        ("whole", 200, headers(&complete_headers)),
         ("empty", 200, headers(&[])),
         ("shed", 503, with(("rudder-shed", "1"))),
         ("closing", 200, with(("connection", "Keep-Alive, Close"))),
         ("two seals", 200, with(("rudder-seal", "5ea2"))),
-        ("misdirected", 421, headers(&complete)),
+        ("misdirected", 421, headers(&complete_headers)),
         ("encoded", 200, with(("content-encoding", "gzip"))),
     ];
     let mut seen = json!({});
     for (what, status, headers) in responses {
-        let status = StatusCode::from_u16(status).expect("a status");
+        let status = StatusCode::from_u16(status).expect("status should be valid");
         seen[what] = shown(&NativeRunnerCodec.decode_response(status, &headers, "the body".into()));
     }
     let readiness_probe = match NativeRunnerCodec.readiness_probe() {
--- a/crates/dataplane/tests/metrics_forms.rs
+++ b/crates/dataplane/tests/metrics_forms.rs
@@ -22,7 +22,7 @@
     for found in ["held", "passed", "acquired"] {
         metrics.owners.lookups.with_label_values(&[found]);
     }
-    let page = String::from_utf8(metrics.page()).expect("text");
+    let page = String::from_utf8(metrics.page()).expect("metrics should be UTF-8");
     forms::check(env!("CARGO_MANIFEST_DIR"), "metrics.txt", &page);
 }
 
@@ -47,7 +47,7 @@
     metrics.retained_idle_functions.set(15);
     metrics.owners.acquire_seconds.observe(16.0);
     metrics.replication.round_trip_seconds.observe(17.0);
-    let page = String::from_utf8(metrics.page()).expect("text");
+    let page = String::from_utf8(metrics.page()).expect("metrics should be UTF-8");
     let is_value = |line: &&str| !line.starts_with('#') && !line.ends_with(" 0");
     let values: Vec<&str> = page.lines().filter(is_value).collect();
     forms::check(
--- a/crates/dataplane/tests/settings_forms.rs
+++ b/crates/dataplane/tests/settings_forms.rs
@@ -60,7 +60,7 @@
 
 fn shown(settings: &Value) -> Value {
     daemon_settings::shown(
-        &read(settings).expect("good settings"),
+        &read(settings).expect("settings should be valid"),
         &["north", "south", "east"],
     )
 }
