--- a/crates/controlplane/src/controller_state/consensus_outputs.rs
+++ b/crates/controlplane/src/controller_state/consensus_outputs.rs
@@ -1,4 +1,4 @@
-//! What the controller does with the outputs of its consensus node.
+//! Carries out the outputs of the consensus node.
 
 use super::{ControllerOutput, ControllerState, event_records};
 use crate::consensus::ConsensusOutput;
@@ -10,7 +10,7 @@
 use std::collections::BTreeSet;
 
 impl ControllerState {
-    /// Carries out the outputs of the consensus node, in their order.
+    /// Carries out the outputs of the consensus node in order.
     pub(super) fn execute(&mut self, now: MonotonicTime, consensus_outputs: Vec<ConsensusOutput>) {
         for output in consensus_outputs {
             match output {
@@ -38,10 +38,10 @@
         }
     }
 
-    /// Numbers an event, retains it and hands it out.
+    /// Numbers an event, adds it to the log and outputs it.
     pub(super) fn record_event(&mut self, event_record: EventRecord) {
-        let numbered = self.history.add(event_record);
-        self.outputs.push(ControllerOutput::EventRecord(numbered));
+        let numbered = self.history.append(event_record);
+        self.outputs.push(ControllerOutput::EventRecorded(numbered));
     }
 
     fn elected(
@@ -51,7 +51,7 @@
         known_members: BTreeSet<KnownMember>,
         complete: bool,
     ) {
-        self.history.restart(term);
+        self.history.begin_term(term);
         let controller = self.consensus.id();
         let known_count = known_members.len();
         let event_record = event_records::leader_elected(term, controller, known_count, complete);
@@ -70,17 +70,18 @@
             version: document.view_version(),
             ..committed_version
         };
-        self.traces.committed(now, view_version);
+        self.traces.record_committed(now, view_version);
         if let Some(leader_state) = &mut self.leader_state {
             leader_state.committed(document);
         }
-        self.changes.commit(committed_version.version);
+        self.pending_changes
+            .mark_committed(committed_version.version);
     }
 
     fn stepped_down(&mut self) {
         self.record_event(event_records::leader_stepped_down(self.consensus.term()));
         self.leader_state = None;
-        self.drop_changes();
+        self.resolve_changes_on_step_down();
         for stream in std::mem::take(&mut self.streams) {
             self.redirect_daemon(stream);
         }
--- a/crates/controlplane/src/controller_state/shutdown.rs
+++ b/crates/controlplane/src/controller_state/shutdown.rs
@@ -1,39 +1,44 @@
-//! What operators are told by a controller that stops.
+//! Replies to the remaining operations when the controller stops.
 
 use super::{ControllerState, OperationReply, Unavailable, WaitingOperation};
 use common::identity::Version;
 
 impl ControllerState {
-    /// Whether an operator's request has no reply yet.
+    /// Whether an operator's request has not been replied to.
     pub fn has_pending_operations(&self) -> bool {
-        !self.waiting.is_empty() || !self.changes.is_empty()
+        !self.waiting_operations.is_empty() || !self.pending_changes.is_empty()
     }
 
-    /// The controller's process is about to end: every operation gets its reply now, and so does each that still
-    /// arrives. A change that was proposed may yet be committed by another leader; one that was not has not happened.
+    /// Replies to every pending operation because the process is about to exit. Operations that arrive later are
+    /// rejected at once. A change that was proposed is reported as unknown, because another leader may still commit it;
+    /// a change that was not proposed is reported as not accepted.
     pub(super) fn stop(&mut self) {
         self.is_stopping = true;
-        self.changes.attach_repeated_changes();
-        let pending = std::mem::take(&mut self.changes);
+        self.pending_changes.attach_repeated_changes();
+        let pending = std::mem::take(&mut self.pending_changes);
         for proposed_change in &pending.in_flight {
             self.reply_unknown(proposed_change, Unavailable::Stopping);
         }
         for proposed_change in pending.accepted {
             let reply = proposed_change.accepted_reply(Version(0));
-            self.answer(proposed_change.ticket, reply);
+            self.send_reply(proposed_change.ticket, reply);
         }
-        for queued in pending.queue.into_iter().chain(pending.awaiting_proof) {
+        for queued in pending
+            .queue
+            .into_iter()
+            .chain(pending.awaiting_confirmation)
+        {
             let reply = OperationReply::NotAccepted {
                 reason: Unavailable::Stopping,
                 change: Some(queued.change),
             };
-            self.answer(queued.ticket, reply);
+            self.send_reply(queued.ticket, reply);
         }
         for WaitingOperation {
             ticket, operation, ..
-        } in std::mem::take(&mut self.waiting)
+        } in std::mem::take(&mut self.waiting_operations)
         {
-            self.answer(ticket, operation.not_handled(Unavailable::Stopping));
+            self.send_reply(ticket, operation.not_handled(Unavailable::Stopping));
         }
     }
 }
--- a/crates/dataplane/src/drivers/control.rs
+++ b/crates/dataplane/src/drivers/control.rs
@@ -153,7 +153,7 @@
                 self.execute(outputs);
             }
             ControlInput::ShutdownFinished => {
-                let outputs = self.daemon_control.departed(agent);
+                let outputs = self.daemon_control.finish_leaving(agent);
                 self.execute(outputs);
             }
         }
--- a/testing/fleet/src/sim/controller.rs
+++ b/testing/fleet/src/sim/controller.rs
@@ -125,7 +125,7 @@
         let own_address = controller.address;
         let controller_address = ControllerAddress {
             address: own_address,
-            operators: own_address,
+            operator_address: own_address,
         };
         let consensus = ConsensusNode::new(
             local_now,
@@ -246,7 +246,7 @@
             }
             ControllerOutput::Write(ticket, job) => self.write(index, ticket, job),
             ControllerOutput::FrameToDaemon(stream, frame) => self.send_down(stream, frame),
-            ControllerOutput::Close(stream) => self.close_link(stream.0),
+            ControllerOutput::CloseStream(stream) => self.close_link(stream.0),
             ControllerOutput::RequestLists => self.read_lists(index),
             ControllerOutput::StopRunner(order) => {
                 let requester = self.nodes.controller(index).requester();
@@ -257,7 +257,7 @@
                 }
             }
             ControllerOutput::OperatorReply(ticket, reply) => self.operated(index, ticket, reply),
-            ControllerOutput::EventRecord(numbered) => {
+            ControllerOutput::EventRecorded(numbered) => {
                 if numbered.event_record.event == events::VERSION_COMMITTED {
                     self.check_commit(index);
                 }
