--- a/crates/controlplane/src/controller_state/changes.rs
+++ b/crates/controlplane/src/controller_state/changes.rs
@@ -1,4 +1,4 @@
-//! Operators' changes: queued, evaluated, proposed and answered, or given up.
+//! The lifecycle of operators' changes: queueing, evaluation, proposal, reply and timeout.
 
 use super::content::derive_change_id;
 use super::pending_changes::{ProposedChange, QueuedChange};
@@ -15,11 +15,11 @@
 use common::spec::Document;
 use std::time::Duration;
 
-/// How long after a request the end of its caller's connection may still be on its way here.
+/// How long after a request its caller's disconnection may still go unnoticed.
 const DISCONNECT_NOTICE_DELAY: Duration = Duration::from_millis(25);
 
 impl ControllerState {
-    /// Queues a change; one without a name gets one.
+    /// Queues a change, and derives an ID for it if the operator gave none.
     pub(super) fn queue_change(
         &mut self,
         requested_at: MonotonicTime,
@@ -27,14 +27,14 @@
         request: ChangeRequest,
     ) {
         let change = match (&request.change, &request.kind) {
-            (Some(given_name), _) => given_name.clone(),
-            // Evacuating the same zone again later is another change, so its content cannot name it.
+            (Some(given_id), _) => given_id.clone(),
+            // A later evacuation of the same zone is a different change, so the ID cannot be derived from the content.
             (None, ChangeKind::Evacuate { .. } | ChangeKind::Restore { .. }) => {
                 ChangeId::from(format!("turn-{}-{}", self.consensus.term(), ticket.0))
             }
             (None, kind) => derive_change_id(request.base, request.numbering, kind),
         };
-        self.changes.queue.push_back(QueuedChange {
+        self.pending_changes.queue.push_back(QueuedChange {
             ticket,
             request,
             change,
@@ -42,32 +42,32 @@
         });
     }
 
-    /// Proposes what can be proposed, and gives up what has waited too long.
+    /// Evaluates and proposes queued changes as far as possible, and replies to those that timed out.
     pub(super) fn progress_changes(&mut self, now: MonotonicTime) {
-        self.changes.requeue_awaiting_proof();
+        self.pending_changes.requeue_awaiting_confirmation();
         while self.may_evaluate_changes(now) {
-            let Some(queued) = self.changes.queue.pop_front() else {
+            let Some(queued) = self.pending_changes.queue.pop_front() else {
                 break;
             };
-            self.begin_proposal(now, queued);
+            self.evaluate_change(now, queued);
         }
-        self.changes.attach_repeated_changes();
+        self.pending_changes.attach_repeated_changes();
         self.expire_changes(now);
     }
 
     fn may_evaluate_changes(&self, now: MonotonicTime) -> bool {
-        let is_free = self.consensus.is_ready() && !self.consensus.is_proposing();
-        is_free
-            && (self.is_quorum_fresh(now)
+        let can_propose = self.consensus.is_ready() && !self.consensus.is_proposing();
+        can_propose
+            && (self.is_recently_confirmed(now)
                 || !self.rules.enforces(Rule::RejectionConfirmedByMajority))
     }
 
     fn expire_changes(&mut self, now: MonotonicTime) {
-        let expired = self.changes.take_expired(now);
+        let expired = self.pending_changes.take_expired(now);
         for queued in expired.unproposed {
             let change = Some(queued.change);
             let reason = Unavailable::NoQuorum;
-            self.answer(
+            self.send_reply(
                 queued.ticket,
                 OperationReply::NotAccepted { reason, change },
             );
@@ -77,26 +77,26 @@
         }
         for proposed_change in expired.not_in_force {
             let reply = proposed_change.accepted_reply(Version(0));
-            self.answer(proposed_change.ticket, reply);
+            self.send_reply(proposed_change.ticket, reply);
         }
     }
 
     /// Sends the reply to one operation.
-    pub(super) fn answer(&mut self, ticket: OperationTicket, reply: OperationReply) {
+    pub(super) fn send_reply(&mut self, ticket: OperationTicket, reply: OperationReply) {
         self.outputs
             .push(ControllerOutput::OperatorReply(ticket, reply));
     }
 
-    /// Tells an operator that a proposed change may or may not be committed.
+    /// Replies that it is unknown whether a proposed change will be committed.
     pub(super) fn reply_unknown(&mut self, proposed_change: &ProposedChange, reason: Unavailable) {
         let change = Some(proposed_change.change.clone());
-        self.answer(
+        self.send_reply(
             proposed_change.ticket,
             OperationReply::Unknown { reason, change },
         );
     }
 
-    fn begin_proposal(&mut self, now: MonotonicTime, queued: QueuedChange) {
+    fn evaluate_change(&mut self, now: MonotonicTime, queued: QueuedChange) {
         let Some(current_document) = self.consensus.accepted().cloned() else {
             return;
         };
@@ -107,39 +107,42 @@
         }
         .evaluate(&queued);
         if !self.may_act_on(now, &proposal_outcome, &queued) {
-            self.changes.awaiting_proof.push_back(queued);
+            self.pending_changes.awaiting_confirmation.push_back(queued);
             return;
         }
         match proposal_outcome {
             ProposalOutcome::Applied { version, number } => {
-                self.changes
+                self.pending_changes
                     .accepted
                     .push(queued.into_proposed(version, number));
             }
             ProposalOutcome::AlreadyInState => {
                 let version = current_document.view_version();
-                self.changes.accepted.push(queued.into_proposed(version, 0));
+                self.pending_changes
+                    .accepted
+                    .push(queued.into_proposed(version, 0));
             }
-            ProposalOutcome::Answered(reply) => self.answer(queued.ticket, reply),
+            ProposalOutcome::Answered(reply) => self.send_reply(queued.ticket, reply),
             ProposalOutcome::NewDocument(next_document) => {
                 self.propose_change(now, queued, *next_document)
             }
         }
     }
 
-    /// A result that depends on the current state must be confirmed by a majority after the request. An
-    /// evacuation has no base version that would make it stale, so it also waits until the end of its
-    /// caller's connection would have been noticed.
+    /// Whether the outcome of an evaluation may be acted on now. A reply that depends on the current state requires
+    /// that a majority has confirmed this leader since the request. So does a change of a zone, which has no base
+    /// version by which it could become stale; it is also delayed until a disconnection of its caller would have been
+    /// noticed.
     fn may_act_on(
         &self,
         now: MonotonicTime,
         proposal_outcome: &ProposalOutcome,
         queued: &QueuedChange,
     ) -> bool {
-        let is_proven = self.is_proven_since(now, queued.requested_at);
+        let is_confirmed = self.is_confirmed_since(now, queued.requested_at);
         match proposal_outcome {
             ProposalOutcome::Applied { .. } => true,
-            ProposalOutcome::AlreadyInState => is_proven,
+            ProposalOutcome::AlreadyInState => is_confirmed,
             ProposalOutcome::Answered(reply) => {
                 let knows_zones = self
                     .leader_state
@@ -147,14 +150,14 @@
                     .is_some_and(LeaderState::is_claims_quorum_reached);
                 let concerns_zones = matches!(
                     reply,
-                    OperationReply::NoZone { .. } | OperationReply::LastZone
+                    OperationReply::UnknownZone { .. } | OperationReply::LastZone
                 );
-                let skips_proof = !self.rules.enforces(Rule::RejectionConfirmedByMajority);
-                (is_proven && (knows_zones || !concerns_zones)) || skips_proof
+                let skips_confirmation = !self.rules.enforces(Rule::RejectionConfirmedByMajority);
+                (is_confirmed && (knows_zones || !concerns_zones)) || skips_confirmation
             }
             ProposalOutcome::NewDocument(_) if queued.request.kind.is_zone_change() => {
                 let is_delayed = now.since(queued.requested_at) < DISCONNECT_NOTICE_DELAY;
-                is_proven && !(is_delayed && self.rules.enforces(Rule::AbandonedChangeDropped))
+                is_confirmed && !(is_delayed && self.rules.enforces(Rule::AbandonedChangeDropped))
             }
             ProposalOutcome::NewDocument(_) => true,
         }
@@ -177,20 +180,20 @@
         let number = queued.request.numbering.map_or(0, |given| given.number);
         let version = next_document.document_version.version;
         self.traces
-            .begin_proposal(now, self.consensus.term(), version);
+            .record_proposal(now, self.consensus.term(), version);
         match self.consensus.propose(now, next_document) {
             Ok(consensus_outputs) => {
                 let proposed_change = queued.into_proposed(version, number);
                 if self.rules.enforces(Rule::AcknowledgedByMajority) {
-                    self.changes.in_flight.push(proposed_change);
+                    self.pending_changes.in_flight.push(proposed_change);
                 } else {
-                    self.changes.accepted.push(proposed_change);
+                    self.pending_changes.accepted.push(proposed_change);
                 }
                 self.execute(now, consensus_outputs);
             }
             Err(error) => {
                 let reason = error.into();
-                self.answer(
+                self.send_reply(
                     queued.ticket,
                     OperationReply::NotAccepted {
                         reason,
@@ -201,7 +204,7 @@
         }
     }
 
-    /// Invariants of what is proposed, whatever the rules let through.
+    /// Checks the invariants of a proposal, independently of the rules that are enforced.
     fn check_proposal(&self, queued: &QueuedChange, next_document: &Document) {
         let Some(current) = self.consensus.accepted() else {
             return;
@@ -214,45 +217,51 @@
                 .is_none_or(|given| given.base_number == number);
         require(self.rules, Invariant::ChangeOnNamedBase, is_on_base, || {
             format!(
-                "{} goes on version {version}, number {number}",
+                "change {} does not name the current version {version} or number {number} as its base",
                 queued.change
             )
         });
-        // Checking a complete spec a second time costs too much on a small share of a CPU: debug builds only.
+        // Only in debug builds, because a second check of a complete spec is too expensive on a small CPU share.
         let is_valid = !cfg!(debug_assertions) || next_document.spec.check().is_ok();
         require(self.rules, Invariant::ProposedSpecValid, is_valid, || {
-            format!("{} is invalid and put forward", queued.change)
+            format!("change {} is proposed with an invalid spec", queued.change)
         });
     }
 
-    /// An operator's connection ended: what it asked for is dropped unless it has been proposed.
+    /// Drops the operation of a caller that has disconnected, unless it is a change that has been proposed.
     pub(super) fn drop_disconnected_caller(&mut self, ticket: OperationTicket) {
         if self.rules.enforces(Rule::AbandonedChangeDropped) {
-            self.waiting.retain(|waiting| waiting.ticket != ticket);
-            self.changes.drop_unproposed(ticket);
+            self.waiting_operations
+                .retain(|waiting| waiting.ticket != ticket);
+            self.pending_changes.drop_unproposed(ticket);
         }
     }
 
-    /// Replies to committed changes that have come as far as their operators wait for.
-    pub(super) fn answer_fulfilled_changes(&mut self) {
+    /// Replies to the committed changes that have reached the state their operators are waiting for.
+    pub(super) fn reply_to_fulfilled_changes(&mut self) {
         let in_force = self.in_force();
-        for proposed_change in self.changes.take_fulfilled(in_force) {
+        for proposed_change in self.pending_changes.take_fulfilled(in_force) {
             let reply = proposed_change.accepted_reply(in_force);
-            self.answer(proposed_change.ticket, reply);
+            self.send_reply(proposed_change.ticket, reply);
         }
     }
 
-    /// Leadership is lost: what was proposed is answered, and what was not waits for another leader.
-    pub(super) fn drop_changes(&mut self) {
-        let pending = std::mem::take(&mut self.changes);
+    /// Replies to the proposed and the committed changes when leadership is lost. The other changes wait for a new
+    /// leader.
+    pub(super) fn resolve_changes_on_step_down(&mut self) {
+        let pending = std::mem::take(&mut self.pending_changes);
         for proposed_change in pending.in_flight {
             self.reply_unknown(&proposed_change, Unavailable::NoQuorum);
         }
         for proposed_change in pending.accepted {
             let reply = proposed_change.accepted_reply(Version(0));
-            self.answer(proposed_change.ticket, reply);
+            self.send_reply(proposed_change.ticket, reply);
         }
-        for queued in pending.queue.into_iter().chain(pending.awaiting_proof) {
+        for queued in pending
+            .queue
+            .into_iter()
+            .chain(pending.awaiting_confirmation)
+        {
             let operation = Operation::Change(queued.request);
             self.wait_for_leader(queued.requested_at, queued.ticket, operation);
         }
@@ -265,7 +274,7 @@
             .unwrap_or_default()
     }
 
-    /// What is known here of the change of this name.
+    /// Reports what this controller knows about the change with this ID.
     pub(super) fn report_change_status(&self, change: &ChangeId) -> OperationReply {
         let document = self.consensus.accepted();
         let recorded = document
@@ -284,7 +293,7 @@
                 in_force: self.in_force() >= recorded.version,
             };
         }
-        let is_pending = self.consensus.is_proposing() || self.changes.is_queued(change);
+        let is_pending = self.consensus.is_proposing() || self.pending_changes.is_queued(change);
         let is_forgotten = document.is_some_and(Document::has_forgotten_changes);
         let state = if is_pending || is_forgotten {
             UnrecordedChange::Unknown
--- a/crates/controlplane/src/controller_state/operations.rs
+++ b/crates/controlplane/src/controller_state/operations.rs
@@ -1,4 +1,4 @@
-//! Operators' requests: which are answered here, which are redirected, and which wait for a leader.
+//! Handles operators' requests: some are answered here, others are redirected to the leader or wait for one.
 
 use super::{
     ControllerOutput, ControllerState, Operation, OperationReply, OperationTicket,
@@ -10,53 +10,54 @@
 use common::rules::Rule;
 use std::time::Duration;
 
-/// How long an operation waits for a leader, or for a majority to confirm this one.
+/// How long an operation waits for a leader, or for a majority to confirm this controller as the leader.
 const LEADER_WAIT_TIMEOUT: Duration = Duration::from_millis(700);
-/// How many events one reply holds at most.
+/// The maximum number of events in one reply.
 const MAX_EVENTS_PER_REPLY: usize = 1000;
 
-/// An operation that waits for a leader.
+/// An operation that is waiting for a leader, or for a majority to confirm this controller as the leader.
 pub(super) struct WaitingOperation {
-    /// The operation that the reply belongs to.
+    /// The operation to reply to.
     pub ticket: OperationTicket,
-    /// What is asked.
+    /// The requested operation.
     pub operation: Operation,
     requested_at: MonotonicTime,
 }
 
 impl ControllerState {
-    /// Handles an operation now, or lets it wait for a leader.
-    pub(super) fn operate(
+    /// Handles an operation now, or queues it until there is a leader.
+    pub(super) fn handle_operation(
         &mut self,
         now: MonotonicTime,
         ticket: OperationTicket,
         operation: Operation,
     ) {
         if self.is_stopping {
-            self.answer(ticket, operation.not_handled(Unavailable::Stopping));
+            self.send_reply(ticket, operation.not_handled(Unavailable::Stopping));
         } else if self.must_wait_for_leader(now, now, &operation) {
             self.wait_for_leader(now, ticket, operation);
         } else {
-            self.operate_now(now, now, ticket, operation);
+            self.execute_operation(now, now, ticket, operation);
         }
     }
 
-    /// Queues an operation until there is a leader, or it has waited too long.
+    /// Queues an operation until there is a leader or it times out.
     pub(super) fn wait_for_leader(
         &mut self,
         requested_at: MonotonicTime,
         ticket: OperationTicket,
         operation: Operation,
     ) {
-        self.waiting.push_back(WaitingOperation {
+        self.waiting_operations.push_back(WaitingOperation {
             ticket,
             operation,
             requested_at,
         });
     }
 
-    /// A rejected client backs off longer each time, so an operation waits a little for a leader instead.
-    /// A read waits until a majority has confirmed this leader after the request.
+    /// Whether an operation must wait for a leader. It waits for a short time instead of being rejected, because a
+    /// rejected client backs off longer each time. A read also waits until a majority has confirmed this leader since
+    /// the request.
     fn must_wait_for_leader(
         &self,
         now: MonotonicTime,
@@ -71,28 +72,33 @@
             | Operation::Events(_) => false,
             Operation::Change(_) => self.leader_state.is_none() && self.other_leader().is_none(),
             _ => {
-                let must_be_proven = self.rules.enforces(Rule::ReadConfirmedByMajority);
-                let is_proven = self.is_proven_since(now, requested_at);
-                self.other_leader().is_none() && must_be_proven && !is_proven
+                let must_be_confirmed = self.rules.enforces(Rule::ReadConfirmedByMajority);
+                let is_confirmed = self.is_confirmed_since(now, requested_at);
+                self.other_leader().is_none() && must_be_confirmed && !is_confirmed
             }
         }
     }
 
-    /// Handles the waiting operations that need not wait any longer.
+    /// Handles the operations that no longer have to wait, or that have waited too long.
     pub(super) fn retry_waiting_operations(&mut self, now: MonotonicTime) {
-        for waiting in std::mem::take(&mut self.waiting) {
+        for waiting in std::mem::take(&mut self.waiting_operations) {
             let is_expired = now.since(waiting.requested_at) > LEADER_WAIT_TIMEOUT;
             if is_expired
                 || !self.must_wait_for_leader(now, waiting.requested_at, &waiting.operation)
             {
-                self.operate_now(now, waiting.requested_at, waiting.ticket, waiting.operation);
+                self.execute_operation(
+                    now,
+                    waiting.requested_at,
+                    waiting.ticket,
+                    waiting.operation,
+                );
             } else {
-                self.waiting.push_back(waiting);
+                self.waiting_operations.push_back(waiting);
             }
         }
     }
 
-    fn operate_now(
+    fn execute_operation(
         &mut self,
         now: MonotonicTime,
         requested_at: MonotonicTime,
@@ -109,10 +115,12 @@
                 Some(OperationReply::Trace(self.trace_report(now, version)))
             }
             Operation::Events(first_number) if self.leader_state.is_some() => {
-                let entries = self.history.from(first_number, MAX_EVENTS_PER_REPLY);
+                let entries = self
+                    .history
+                    .entries_from(first_number, MAX_EVENTS_PER_REPLY);
                 Some(OperationReply::Events(entries))
             }
-            other => self.operate_as_leader(now, requested_at, ticket, other),
+            other => self.execute_as_leader(now, requested_at, ticket, other),
         };
         if let Some(reply) = reply {
             self.outputs
@@ -120,8 +128,9 @@
         }
     }
 
-    /// Handles what only a leader can; a change that is queued has no reply yet.
-    fn operate_as_leader(
+    /// Handles an operation that requires the leader. Returns `None` for a change, which is queued and replied to
+    /// later.
+    fn execute_as_leader(
         &mut self,
         now: MonotonicTime,
         requested_at: MonotonicTime,
@@ -129,7 +138,9 @@
         operation: Operation,
     ) -> Option<OperationReply> {
         if let Some(controller_address) = self.other_leader() {
-            return Some(OperationReply::Redirect(controller_address.operators));
+            return Some(OperationReply::Redirect(
+                controller_address.operator_address,
+            ));
         }
         match operation {
             Operation::Replace(missing, successor) => Some(self.replace(now, missing, successor)),
@@ -153,9 +164,9 @@
         requested_at: MonotonicTime,
         operation: Operation,
     ) -> OperationReply {
-        let is_sure = self.is_proven_since(now, requested_at)
+        let is_confirmed = self.is_confirmed_since(now, requested_at)
             || !self.rules.enforces(Rule::ReadConfirmedByMajority);
-        let (Some(leader_state), true) = (&self.leader_state, is_sure) else {
+        let (Some(leader_state), true) = (&self.leader_state, is_confirmed) else {
             return OperationReply::TemporarilyUnavailable(Unavailable::NoLeader);
         };
         let report = match operation {
@@ -193,7 +204,7 @@
         missing: ControllerId,
         successor: ControllerId,
     ) -> OperationReply {
-        match self.consensus.replace(now, missing, successor) {
+        match self.consensus.replace_voter(now, missing, successor) {
             Ok((version, consensus_outputs)) => {
                 self.execute(now, consensus_outputs);
                 OperationReply::ReplacingVoter { version }
@@ -216,7 +227,7 @@
                 .is_some_and(|leader_state| leader_state.is_claims_quorum_reached()),
             leader: consensus
                 .leader()
-                .map(|controller_address| controller_address.operators),
+                .map(|controller_address| controller_address.operator_address),
             accepted: consensus
                 .accepted()
                 .map(|document| document.document_version),
--- a/crates/dataplane/src/agent/daemon_control/mod.rs
+++ b/crates/dataplane/src/agent/daemon_control/mod.rs
@@ -117,7 +117,7 @@
                 own_member: &agent.own_host.member,
                 hosts: &hosts,
                 regions: &agent.regional_keys.regions,
-                regional: &regional,
+                regional_keys: &regional,
                 owners: &owners,
                 holds: &|function| held_functions.contains_key(function),
             },
@@ -131,7 +131,7 @@
     /// Rechecks which warm functions need a holder, after a change of the state that determines it.
     pub fn recheck_warm_functions(&mut self, now: MonotonicTime) {
         if let Some(warm_acquirer) = &mut self.warm_acquirer {
-            warm_acquirer.changed(now);
+            warm_acquirer.schedule_scan(now);
         }
     }
 
@@ -174,7 +174,7 @@
         for held in agent.held_functions().values() {
             let function = held.function.clone();
             let (idle_span, rejections) =
-                held.with(|holder| (holder.idle(now), holder.take_rejections()));
+                held.with(|holder| (holder.idle_time(now), holder.take_rejections()));
             if let Some(idle_span) = idle_span.filter(|span| *span > IDLE_REPORT_AFTER) {
                 let idle_ms = idle_span.as_millis().min(u128::from(u32::MAX)) as u32;
                 idle_functions.push(IdleFunction {
