--- a/crates/common/tests/document_forms.rs
+++ b/crates/common/tests/document_forms.rs
@@ -15,7 +15,7 @@
     AppliedChanges, ChangeStatus, DaemonView, Document, ListedMember, Voter, read_spec,
 };
 use form_samples::{address, bytes_of_hex};
-use forms::{Form, held_forms, hold};
+use forms::{Form, expected_forms, hold};
 use googletest::prelude::*;
 use serde_json::{Value, json};
 use std::collections::BTreeSet;
@@ -135,7 +135,7 @@
 }
 
 fn fixture_text(name: &str) -> Vec<u8> {
-    let forms = held_forms(DOCUMENTS).expect("forms");
+    let forms = expected_forms(DOCUMENTS).expect("forms");
     let found = forms
         .into_iter()
         .find(|form| form.name == name)
@@ -309,7 +309,7 @@
             }],
         );
     }
-    let forms = held_forms(COMPRESSED)?;
+    let forms = expected_forms(COMPRESSED)?;
     verify_that!(forms.len(), eq(1))?;
     let compressed_bytes = bytes_of_hex(&forms[0].text);
     verify_that!(
--- a/crates/common/tests/wire_forms.rs
+++ b/crates/common/tests/wire_forms.rs
@@ -22,7 +22,7 @@
 use common::identity::Version;
 use common::seal::hex;
 use form_samples::bytes_of_hex;
-use forms::{Form, held_forms, hold};
+use forms::{Form, expected_forms, hold};
 use googletest::prelude::*;
 use kinds::kinds;
 use parts::{SampleFrame, counting_u64, member_incarnation};
@@ -59,7 +59,7 @@
 
 #[gtest]
 fn every_frame_is_decoded_from_the_fixture() -> Result<()> {
-    let fixture_forms = held_forms(FRAMES)?;
+    let fixture_forms = expected_forms(FRAMES)?;
     let samples = sample_frames();
     verify_that!(fixture_forms.len(), eq(samples.len()))?;
     for (fixture_form, sample) in fixture_forms.iter().zip(samples) {
@@ -98,7 +98,7 @@
 
 #[gtest]
 fn every_variant_is_in_the_fixture() -> Result<()> {
-    let fixture_forms = held_forms(FRAMES)?;
+    let fixture_forms = expected_forms(FRAMES)?;
     let is_in_fixture = |needed: &str| {
         let prefix = format!("{needed}/");
         fixture_forms
@@ -168,7 +168,7 @@
 
 #[tokio::test]
 async fn opening_bytes_of_the_fixture_are_accepted() {
-    let fixture_forms = held_forms(OPENINGS).expect("forms");
+    let fixture_forms = expected_forms(OPENINGS).expect("forms");
     for channel in ALL_CHANNELS {
         let fixture_form = fixture_forms
             .iter()
@@ -234,7 +234,7 @@
 
 #[gtest]
 fn heartbeats_are_decoded_from_the_fixture() -> Result<()> {
-    let fixture_forms = held_forms(HEARTBEATS)?;
+    let fixture_forms = expected_forms(HEARTBEATS)?;
     verify_that!(fixture_forms.len(), eq(heartbeats().len()))?;
     for (fixture_form, (name, heartbeat)) in fixture_forms.iter().zip(heartbeats()) {
         verify_that!(fixture_form.name, eq(name))?;
--- a/testing/support/form_list.rs
+++ b/testing/support/form_list.rs
@@ -21,7 +21,7 @@
 }
 
 /// The forms in a fixture; an error while fixtures are being rewritten.
-pub(crate) fn held_forms(fixture: &str) -> Result<Vec<Form>> {
+pub(crate) fn expected_forms(fixture: &str) -> Result<Vec<Form>> {
     if fixtures::are_rewritten() {
         fail!(
             "fixtures are being rewritten; run without {}",
