--- a/crates/common/tests/document_forms.rs
+++ b/crates/common/tests/document_forms.rs
@@ -15,7 +15,7 @@
     AppliedChanges, ChangeStatus, DaemonView, Document, ListedMember, Voter, read_spec,
 };
 use form_samples::{address, bytes_of_hex};
-use forms::{Form, expected_forms, hold};
+use forms::{Form, check, expected_forms};
 use googletest::prelude::*;
 use serde_json::{Value, json};
 use std::collections::BTreeSet;
@@ -148,7 +148,7 @@
     let (document, newer) = (full_document(), newer_document());
     let (view, newer_view) = (document.view(), newer.view());
     let initial = Document::initial(voters(&[1]));
-    hold(
+    check(
         DOCUMENTS,
         &[
             form("document/founding", initial.to_bytes()),
@@ -290,7 +290,7 @@
         text("name/version", document.document_version.to_string()),
     ];
     forms.extend(seals());
-    hold(DIGESTS, &forms)?;
+    check(DIGESTS, &forms)?;
     let read_function: FunctionKey = "segment-check@7~east".parse()?;
     verify_that!(read_function, eq(&function.in_region(&"east".into())))?;
     verify_that!("r-5100005253-1f".parse::<RunnerId>()?, eq(runner))
@@ -301,7 +301,7 @@
     let long_text = full_document().to_bytes();
     if std::env::var_os("RUDDERSTREAM_WRITE_FORMS").is_some() {
         let compressed_text = hex(&compress(&long_text).0);
-        return hold(
+        return check(
             COMPRESSED,
             &[Form {
                 name: "packed/document".to_owned(),
--- a/crates/common/tests/wire_forms.rs
+++ b/crates/common/tests/wire_forms.rs
@@ -22,7 +22,7 @@
 use common::identity::Version;
 use common::seal::hex;
 use form_samples::bytes_of_hex;
-use forms::{Form, expected_forms, hold};
+use forms::{Form, check, expected_forms};
 use googletest::prelude::*;
 use kinds::kinds;
 use parts::{SampleFrame, counting_u64, member_incarnation};
@@ -54,7 +54,7 @@
         .iter()
         .map(|sample| form(&sample.name, &sample.expected.0))
         .collect();
-    hold(FRAMES, &forms)
+    check(FRAMES, &forms)
 }
 
 #[gtest]
@@ -158,7 +158,7 @@
     )
     .expect("a frame");
     forms.push(form("two-frames", &framed_bytes));
-    hold(OPENINGS, &forms).expect("the forms of the fixture");
+    check(OPENINGS, &forms).expect("the forms of the fixture");
     assert!(
         CHANNELS
             .iter()
@@ -229,7 +229,7 @@
     for (name, heartbeat) in heartbeats() {
         forms.push(form(name, &encode_heartbeat(&heartbeat)?));
     }
-    hold(HEARTBEATS, &forms)
+    check(HEARTBEATS, &forms)
 }
 
 #[gtest]
--- a/crates/controlplane/tests/stored_forms.rs
+++ b/crates/controlplane/tests/stored_forms.rs
@@ -9,7 +9,7 @@
 use common::spec::{Document, ListedMember, Voter, read_spec};
 use controlplane::consensus::{PersistedState, WriteJob};
 use controlplane::storage::{DataDirectory, LoadedState};
-use forms::{Folder, compare, hold};
+use forms::{Folder, check, compare};
 use googletest::prelude::*;
 use serde_json::json;
 use std::fs;
@@ -110,7 +110,7 @@
 fn a_data_directory_is_written_in_the_recorded_format() -> Result<()> {
     let directory = Folder::new("written");
     fill_directory(&directory.0)?;
-    hold(DATA, &directory.0)
+    check(DATA, &directory.0)
 }
 
 #[gtest]
@@ -198,7 +198,7 @@
         persisted.unreadable_version,
         eq(document_versions()[2].document_version)
     )?;
-    hold(DAMAGED, &directory.0)
+    check(DAMAGED, &directory.0)
 }
 
 #[gtest]
@@ -225,5 +225,5 @@
         DataDirectory::open(&directory.0)?.is_first_start(),
         eq(false)
     )?;
-    hold(FOREIGN, &directory.0)
+    check(FOREIGN, &directory.0)
 }
--- a/testing/support/form_folders.rs
+++ b/testing/support/form_folders.rs
@@ -71,7 +71,7 @@
 }
 
 /// Succeeds only if a directory has exactly the files of the committed one that is made in the same way.
-pub(crate) fn hold(fixture: &str, folder: &Path) -> Result<()> {
+pub(crate) fn check(fixture: &str, folder: &Path) -> Result<()> {
     if fixtures::are_rewritten() {
         return write(fixture, &files_in(folder)?);
     }
--- a/testing/support/form_list.rs
+++ b/testing/support/form_list.rs
@@ -41,7 +41,7 @@
 }
 
 /// Succeeds only if the forms are those of the fixture: name by name, text by text, in the fixture's order.
-pub(crate) fn hold(fixture: &str, forms: &[Form]) -> Result<()> {
+pub(crate) fn check(fixture: &str, forms: &[Form]) -> Result<()> {
     let names: BTreeSet<&str> = forms.iter().map(|form| form.name.as_str()).collect();
     verify_that!(names.len(), eq(forms.len()))?;
     verify_that!(
