--- a/crates/controlplane/tests/operators_forms.rs
+++ b/crates/controlplane/tests/operators_forms.rs
@@ -45,7 +45,7 @@
             "base_serial": base.map(|base| base.0),
             "numbers": numbering.map(|given| [given.number, given.base_number]),
             "change_id": change.as_ref().map(ChangeId::as_str),
-            "change": change_kinds::shown(kind),
+            "change": change_kinds::to_json(kind),
             "wait": if *wait == Wait::InForce { "in_force" } else { "accepted" },
         }),
         Operation::ChangeStatus(change) => json!({"ask of the change": change.as_str()}),
@@ -544,7 +544,7 @@
         let _ = writeln!(
             text,
             "{}: {}",
-            change_kinds::shown(kind),
+            change_kinds::to_json(kind),
             change_id.as_str()
         );
     }
--- a/crates/controlplane/tests/settings_forms.rs
+++ b/crates/controlplane/tests/settings_forms.rs
@@ -54,7 +54,7 @@
 }
 
 fn shown(settings: &Value) -> Value {
-    controller_settings::shown(&read(settings).expect("valid settings"))
+    controller_settings::to_json(&read(settings).expect("valid settings"))
 }
 
 fn check(name: &str, seen: &str) {
@@ -153,7 +153,7 @@
     check_json(
         "settings_flags.json",
         &json!({
-            "laid over": controller_settings::shown(&overridden),
+            "laid over": controller_settings::to_json(&overridden),
             "nothing given": without_settings.to_string(),
             "a wrong list": wrong.to_string(),
         }),
--- a/crates/dataplane/tests/settings_forms.rs
+++ b/crates/dataplane/tests/settings_forms.rs
@@ -59,7 +59,7 @@
 }
 
 fn shown(settings: &Value) -> Value {
-    daemon_settings::shown(
+    daemon_settings::to_json(
         &read(settings).expect("settings should be valid"),
         &["north", "south", "east"],
     )
--- a/testing/support/change_kinds.rs
+++ b/testing/support/change_kinds.rs
@@ -4,7 +4,7 @@
 use serde_json::{Value, json};
 
 /// A change with all that was read of it, as JSON.
-pub(crate) fn shown(kind: &ChangeKind) -> Value {
+pub(crate) fn to_json(kind: &ChangeKind) -> Value {
     match kind {
         ChangeKind::FullSpec(spec) => json!({"spec": spec.to_value()}),
         ChangeKind::Patch(patch) => json!({"patch": patch}),
--- a/testing/support/controller_settings.rs
+++ b/testing/support/controller_settings.rs
@@ -9,7 +9,7 @@
 }
 
 /// Every value that was read, as JSON.
-pub(crate) fn shown(settings: &ControllerSettings) -> Value {
+pub(crate) fn to_json(settings: &ControllerSettings) -> Value {
     let addresses: Vec<String> = settings.seeds.iter().map(ToString::to_string).collect();
     let (consensus, leader) = (&settings.consensus_timing, &settings.leader_state_timing);
     json!({
--- a/testing/support/daemon_settings.rs
+++ b/testing/support/daemon_settings.rs
@@ -10,7 +10,7 @@
 }
 
 /// Every value that was read, as JSON; regions are shown for these zones.
-pub(crate) fn shown(settings: &DaemonSettings, zones: &[&str]) -> Value {
+pub(crate) fn to_json(settings: &DaemonSettings, zones: &[&str]) -> Value {
     let addresses: Vec<String> = settings.seeds.iter().map(ToString::to_string).collect();
     let region_of = |zone: &str| {
         settings
