--- a/crates/common/tests/platform_forms.rs
+++ b/crates/common/tests/platform_forms.rs
@@ -10,7 +10,9 @@
 use common::adapter::{ListedRunner, ListedWorker, NativePlatform, PlatformAdapter};
 use common::identity::{FunctionKey, Version};
 use platform_double::PlatformDouble;
-use platform_orders::{RUNNER, shown_list, shown_outcome, shown_stop, start_order, stop_order};
+use platform_orders::{
+    RUNNER, describe_list, describe_outcome, describe_stop, start_order, stop_order,
+};
 use serde_json::{Value, json};
 use std::fmt::Write;
 
@@ -46,7 +48,7 @@
             &mut text,
             &format!("start of {key}"),
             &double,
-            &shown_outcome(&outcome),
+            &describe_outcome(&outcome),
         );
     }
     for body in [
@@ -59,7 +61,7 @@
         let outcome = NativePlatform::new(double.address)
             .start_runner(start_order(function(), WORKER))
             .await;
-        let _ = writeln!(text, "start, 201 {body}: {}", shown_outcome(&outcome));
+        let _ = writeln!(text, "start, 201 {body}: {}", describe_outcome(&outcome));
     }
     for status in STATUSES {
         let double = PlatformDouble::answering(&[(status, String::new())]).await;
@@ -69,7 +71,7 @@
         let _ = writeln!(
             text,
             "start, {status} without a body: {}",
-            shown_outcome(&outcome)
+            describe_outcome(&outcome)
         );
     }
     check("platform_starts.txt", &text);
@@ -83,14 +85,14 @@
         let is_stopped = NativePlatform::new(double.address)
             .stop_runner(stop_order(function(), WORKER, instance))
             .await;
-        put(&mut text, "stop", &double, shown_stop(is_stopped));
+        put(&mut text, "stop", &double, describe_stop(is_stopped));
     }
     for status in STATUSES {
         let double = PlatformDouble::answering(&[(status, "{}".to_owned())]).await;
         let is_stopped = NativePlatform::new(double.address)
             .stop_runner(stop_order(function(), WORKER, Some("life-9")))
             .await;
-        let _ = writeln!(text, "stop, {status}: {}", shown_stop(is_stopped));
+        let _ = writeln!(text, "stop, {status}: {}", describe_stop(is_stopped));
     }
     check("platform_stops.txt", &text);
 }
@@ -134,7 +136,7 @@
             &mut text,
             &format!("workers, {status} {body}"),
             &double,
-            &shown_list(rows),
+            &describe_list(rows),
         );
     }
     check("platform_workers.txt", &text);
@@ -183,7 +185,7 @@
             &mut text,
             &format!("runners, {status} {body}"),
             &double,
-            &shown_list(rows),
+            &describe_list(rows),
         );
     }
     check("platform_runners.txt", &text);
--- a/testing/support/platform_orders.rs
+++ b/testing/support/platform_orders.rs
@@ -36,7 +36,7 @@
 }
 
 /// What a response to a start was taken for, in words.
-pub(crate) fn shown_outcome(outcome: &StartOutcome) -> String {
+pub(crate) fn describe_outcome(outcome: &StartOutcome) -> String {
     match outcome {
         StartOutcome::Started(instance) => {
             format!("begun as {} at {}", instance.name, instance.address)
@@ -49,11 +49,11 @@
 }
 
 /// What a response to a stop was taken for, in words.
-pub(crate) fn shown_stop(is_stopped: bool) -> &'static str {
+pub(crate) fn describe_stop(is_stopped: bool) -> &'static str {
     if is_stopped { "stopped" } else { "not sure" }
 }
 
 /// What a list was taken for: its rows as JSON, or that it was not read.
-pub(crate) fn shown_list(rows: Option<serde_json::Value>) -> String {
+pub(crate) fn describe_list(rows: Option<serde_json::Value>) -> String {
     rows.map_or_else(|| "not read".to_owned(), |rows| rows.to_string())
 }
