--- a/crates/dataplane/tests/http_forms/callers.rs
+++ b/crates/dataplane/tests/http_forms/callers.rs
@@ -1,6 +1,6 @@
 //! The responses to callers, and the request headers that are read.
 
-use crate::caller_responses::{append_not_run, append_unknown, written};
+use crate::caller_responses::{append_not_run, append_unknown, response_text};
 use crate::http_forms::{append_section, function, headers, runner};
 use crate::{check, forwarded_header_field};
 use common::adapter::{CallerResponse, IngressCodec};
@@ -19,7 +19,7 @@
             header_fields: vec![forwarded_header_field()],
             body: r#"{"paid": true}"#.into(),
         };
-        let message = written(&NativeIngressCodec, Some(key), response).await;
+        let message = response_text(&NativeIngressCodec, Some(key), response).await;
         append_section(text, &format!("answer, {status}"), &message);
     }
 }
--- a/testing/support/caller_responses.rs
+++ b/testing/support/caller_responses.rs
@@ -19,7 +19,7 @@
 }
 
 /// The bytes of a response to a caller.
-pub(crate) async fn written(
+pub(crate) async fn response_text(
     codec: &dyn IngressCodec,
     key: Option<&IdempotencyKey>,
     response: CallerResponse,
@@ -51,7 +51,11 @@
                 retry_after: millis.map(Duration::from_millis),
             };
             let heading = format!("not run, {kind_name}, {millis:?} ms");
-            append_section(text, &heading, &written(codec, Some(key), response).await);
+            append_section(
+                text,
+                &heading,
+                &response_text(codec, Some(key), response).await,
+            );
         }
     }
     let unnamed = CallerResponse::NotRun {
@@ -63,7 +67,7 @@
     append_section(
         text,
         "without an identity",
-        &written(codec, None, unnamed).await,
+        &response_text(codec, None, unnamed).await,
     );
 }
 
@@ -79,6 +83,10 @@
             retry_after: Duration::from_millis(1500),
         };
         let heading = format!("unknown, {number}");
-        append_section(text, &heading, &written(codec, Some(key), response).await);
+        append_section(
+            text,
+            &heading,
+            &response_text(codec, Some(key), response).await,
+        );
     }
 }
