--- a/crates/dataplane/tests/http_forms/ingress.rs
+++ b/crates/dataplane/tests/http_forms/ingress.rs
@@ -133,7 +133,7 @@
         let state = state.clone();
         async move { handle_request(&state, request).await }
     };
-    wire::answered_by(handler, request_text).await
+    wire::response_from(handler, request_text).await
 }
 
 /// A request that the ingress accepts.
--- a/testing/support/wire.rs
+++ b/testing/support/wire.rs
@@ -25,7 +25,7 @@
 }
 
 /// What a caller receives in response to a request, which is given as text with plain line ends.
-pub(crate) async fn answered_by<H, F>(handler: H, request_text: &str) -> String
+pub(crate) async fn response_from<H, F>(handler: H, request_text: &str) -> String
 where
     H: Fn(Request<Incoming>) -> F,
     F: Future<Output = HttpResponse>,
@@ -60,7 +60,7 @@
             .expect("one request");
         async move { response }
     };
-    answered_by(handler, "GET / HTTP/1.1\nhost: h\nconnection: close\n\n").await
+    response_from(handler, "GET / HTTP/1.1\nhost: h\nconnection: close\n\n").await
 }
 
 fn length(head: &str) -> usize {
