--- a/crates/controlplane/tests/settings_forms.rs
+++ b/crates/controlplane/tests/settings_forms.rs
@@ -97,7 +97,7 @@
 fn every_wrong_value_has_its_recorded_error_text() {
     let read = |settings: &Value| read(settings).map(drop).map_err(|cause| cause.to_string());
     let several = json!({"place": 7, "threads": 0});
-    let text = native_settings::answers(&full_settings(), several, read);
+    let text = native_settings::probe_results(&full_settings(), several, read);
     check("settings_answers.txt", &text);
 }
 
--- a/crates/dataplane/tests/settings_forms.rs
+++ b/crates/dataplane/tests/settings_forms.rs
@@ -83,6 +83,6 @@
 fn error_messages_for_invalid_values_match_the_fixture() {
     let read = |settings: &Value| read(settings).map(drop).map_err(|cause| cause.to_string());
     let several = json!({"member": 7, "threads": 257});
-    let text = native_settings::answers(&full(), several, read);
+    let text = native_settings::probe_results(&full(), several, read);
     check("settings_answers.txt", &text);
 }
--- a/testing/support/native_settings.rs
+++ b/testing/support/native_settings.rs
@@ -14,12 +14,12 @@
 
 /// The answers to every wrong value of a full file, and to files with several wrong values; the last of these is the
 /// role's own.
-pub(crate) fn answers(
+pub(crate) fn probe_results(
     full: &Value,
     several_of_role: Value,
     read: impl Fn(&Value) -> Result<(), String>,
 ) -> String {
-    let mut text = setting_probes::answers(full, &read);
+    let mut text = setting_probes::probe_results(full, &read);
     let four_seeds = json!(["10.0.0.1:1", "10.0.0.1:2", "10.0.0.1:3", "10.0.0.1:4"]);
     let wrong_seeds = json!(["10.0.0.1:1", "nowhere", 3]);
     let several = [
--- a/testing/support/setting_probes.rs
+++ b/testing/support/setting_probes.rs
@@ -69,7 +69,7 @@
 
 /// The answers to every wrong value, a line each: the key, its value, and the complete text of the error, or that the
 /// value was accepted. Numbers are tried at both ends of the bounds that the reader names, and just outside them.
-pub(crate) fn answers(full: &Value, read: impl Fn(&Value) -> Result<(), String>) -> String {
+pub(crate) fn probe_results(full: &Value, read: impl Fn(&Value) -> Result<(), String>) -> String {
     let answer = |document: &Value| read(document).err().unwrap_or_else(|| "taken".to_owned());
     let mut text = String::new();
     let _ = writeln!(text, "the full file: {}", answer(full));
