--- a/programs/controller/tests/command_line.rs
+++ b/programs/controller/tests/command_line.rs
@@ -26,14 +26,14 @@
 
 #[test]
 fn an_unwritable_data_folder_is_named() {
-    let file = CONTROLLER.file("notafolder", "x");
+    let file = CONTROLLER.write_file("notafolder", "x");
     let text = format!(
         r#"{{"place": "127.0.0.1:0", "operators": "127.0.0.1:0", "locality": "north",
             "seeds": ["127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3"], "platform": "127.0.0.1:4",
             "data": "{}/inside"}}"#,
         file.display()
     );
-    let error_text = CONTROLLER.refused("folder", &text, &[]);
+    let error_text = CONTROLLER.check_refused("folder", &text, &[]);
     assert!(
         error_text.contains("data cannot be written"),
         "{error_text}"
@@ -43,13 +43,13 @@
 
 #[test]
 fn a_hang_up_while_it_starts_ends_no_process() {
-    CONTROLLER.check_early_hang_up();
+    CONTROLLER.check_hang_up_while_reading_settings();
 }
 
 /// Guards against a program that ends when its settings are reloaded right after its start.
 #[test]
 fn a_hang_up_at_its_first_code_ends_no_process() {
-    CONTROLLER.check_hang_up_at_first_code();
+    CONTROLLER.check_hang_up_at_program_start();
 }
 
 #[test]
@@ -86,7 +86,7 @@
     let taken = listening.local_addr().expect("an address").to_string();
     let least = r#"{"place": "127.0.0.1:0", "operators": "127.0.0.1:0", "locality": "north",
             "seeds": ["127.0.0.1:1"], "platform": "127.0.0.1:4"}"#;
-    let file = CONTROLLER.file("start", least);
+    let file = CONTROLLER.write_file("start", least);
     let file_name = file.to_str().expect("a path");
     let mut text = String::new();
     for arguments in [
--- a/programs/daemon/tests/command_line.rs
+++ b/programs/daemon/tests/command_line.rs
@@ -26,13 +26,13 @@
 
 #[test]
 fn a_hang_up_while_it_starts_ends_no_process() {
-    DAEMON.check_early_hang_up();
+    DAEMON.check_hang_up_while_reading_settings();
 }
 
 /// Guards against a program that ends when its settings are reloaded right after its start.
 #[test]
 fn a_hang_up_at_its_first_code_ends_no_process() {
-    DAEMON.check_hang_up_at_first_code();
+    DAEMON.check_hang_up_at_program_start();
 }
 
 #[test]
@@ -66,8 +66,8 @@
     let taken = listening.local_addr().expect("an address").to_string();
     let least = r#"{"member": "d", "place": "127.0.0.1:0", "door": "127.0.0.1:0", "locality": "north",
             "seeds": ["127.0.0.1:1"], "platform": "127.0.0.1:4"}"#;
-    let file = DAEMON.file("start", least);
-    let ready = DAEMON.file(
+    let file = DAEMON.write_file("start", least);
+    let ready = DAEMON.write_file(
         "ready",
         &least.replace('}', r#", "ready": "192.0.2.1:8081"}"#),
     );
--- a/testing/support/settings_file.rs
+++ b/testing/support/settings_file.rs
@@ -30,7 +30,7 @@
     }
 
     /// A settings file of this test process, which the caller removes.
-    pub(crate) fn file(&self, name: &str, text: &str) -> PathBuf {
+    pub(crate) fn write_file(&self, name: &str, text: &str) -> PathBuf {
         let file_name = format!("{}-{name}-{}.json", self.name, std::process::id());
         let path = std::env::temp_dir().join(file_name);
         std::fs::write(&path, text).expect("a file");
@@ -38,8 +38,8 @@
     }
 
     /// Checks that it refuses settings with exit code 2 and one line that names the file, and returns that line.
-    pub(crate) fn refused(&self, name: &str, text: &str, more: &[&str]) -> String {
-        let path = self.file(name, text);
+    pub(crate) fn check_refused(&self, name: &str, text: &str, more: &[&str]) -> String {
+        let path = self.write_file(name, text);
         let mut arguments = vec!["--boot", path.to_str().expect("a path")];
         arguments.extend(more);
         let output = self.run(&arguments);
@@ -68,16 +68,19 @@
 
     /// Checks that it names bad settings by file, key and reason.
     pub(crate) fn check_bad_settings(&self) {
-        let unknown = self.refused("unknown", r#"{"colour": "red"}"#, &[]);
+        let unknown = self.check_refused("unknown", r#"{"colour": "red"}"#, &[]);
         assert!(unknown.contains("colour is not a known key"), "{unknown}");
-        assert!(self.refused("missing", "{}", &[]).contains("is missing"));
-        assert!(self.refused("json", "{", &[]).contains("not JSON"));
-        let bad_address = self.refused("place", r#"{"place": "localhost:1"}"#, &[]);
+        assert!(
+            self.check_refused("missing", "{}", &[])
+                .contains("is missing")
+        );
+        assert!(self.check_refused("json", "{", &[]).contains("not JSON"));
+        let bad_address = self.check_refused("place", r#"{"place": "localhost:1"}"#, &[]);
         assert!(
             bad_address.contains("place is not an IP number with port"),
             "{bad_address}"
         );
-        let overridden = self.refused(
+        let overridden = self.check_refused(
             "flag",
             r#"{"place": "127.0.0.1:1"}"#,
             &["--place", "nowhere"],
@@ -91,13 +94,13 @@
             self.run(&["--boot", "/no/such/file.json"]).status.code(),
             Some(2)
         );
-        let _ = self.refused("seeds", seeds, &[]);
+        let _ = self.check_refused("seeds", seeds, &[]);
     }
 
     /// Checks that a SIGHUP that comes while the settings are still being read does not end it. The settings come
     /// through a named pipe: once it can be opened for writing, the process is waiting for them.
     #[allow(dead_code)]
-    pub(crate) fn check_early_hang_up(&self) {
+    pub(crate) fn check_hang_up_while_reading_settings(&self) {
         let pipe = SettingsPipe::create(self.name);
         let mut child = self.start_with(&pipe);
         let writer = pipe.writer_to(&mut child);
@@ -107,7 +110,7 @@
 
     /// Checks that a SIGHUP that comes when the process runs its first code does not end it, at many starts.
     #[allow(dead_code)]
-    pub(crate) fn check_hang_up_at_first_code(&self) {
+    pub(crate) fn check_hang_up_at_program_start(&self) {
         let pipe = SettingsPipe::create(&format!("{}-first-code", self.name));
         for _ in 0..STARTS {
             let mut child = self.start_with(&pipe);
