--- a/crates/controlplane/tests/controller_forms.rs
+++ b/crates/controlplane/tests/controller_forms.rs
@@ -7,7 +7,7 @@
 mod running_controller;
 
 use controlplane::drivers::queue::InputKind;
-use running_controller::{Running, folder, started};
+use running_controller::{RunningController, create_data_directory, start_controller};
 use serde_json::{Value, json};
 use std::collections::BTreeSet;
 use std::fmt::Write;
@@ -66,8 +66,8 @@
 }
 
 /// Starts a controller that bootstraps a quorum by itself, and waits until it is the leader.
-async fn start_leader(data: &Path) -> Running {
-    let running = started(None, Some(data)).await;
+async fn start_leader(data: &Path) -> RunningController {
+    let running = start_controller(None, Some(data)).await;
     let began = Instant::now();
     loop {
         let (head, _) = request(running.operators, "GET /v1/spec", "", "").await;
@@ -105,7 +105,7 @@
 
 #[tokio::test]
 async fn metrics_keep_their_names_types_and_labels() {
-    let running = started(None, None).await;
+    let running = start_controller(None, None).await;
     request(running.operators, "POST /v1/core/found", "", "").await;
     let (head, page) = request(running.operators, "GET /metrics", "", "").await;
     let kinds: Vec<&str> = InputKind::ALL.iter().map(|kind| kind.label()).collect();
@@ -120,7 +120,7 @@
 #[tokio::test]
 async fn responses_without_a_leader_keep_their_form() {
     let mut text = String::new();
-    let running = started(None, None).await;
+    let running = start_controller(None, None).await;
     let change = json!({"base_serial": 1, "change_id": "c", "spec": {}}).to_string();
     let evacuation = json!({"change_id": "c"}).to_string();
     for line in [
@@ -234,9 +234,9 @@
 
 #[tokio::test]
 async fn responses_of_a_leader_keep_their_keys() {
-    let data = folder("leader");
+    let data = create_data_directory("leader");
     let running = start_leader(&data).await;
-    let other = started(Some(running.address), None).await;
+    let other = start_controller(Some(running.address), None).await;
     let operators = running.operators;
     let mut actual = json!({});
     for (line, body) in [
@@ -275,7 +275,7 @@
 }
 
 /// Returns the responses of a controller that is not the leader: it forwards the request or redirects the caller.
-async fn responses_of_follower(running: &Running, other: &Running) -> Value {
+async fn responses_of_follower(running: &RunningController, other: &RunningController) -> Value {
     let is_forwarded = |head: &str, _: &str| head.starts_with("HTTP/1.1 200");
     let is_redirected = |head: &str, _: &str| head.starts_with("HTTP/1.1 307");
     let leader = running.operators.to_string();
@@ -291,7 +291,7 @@
 }
 
 /// Repeats a request that is marked as forwarded until the body of the response contains `expected`.
-async fn request_already_forwarded(other: &Running, line: &str, expected: &str) -> Value {
+async fn request_already_forwarded(other: &RunningController, line: &str, expected: &str) -> Value {
     let began = Instant::now();
     loop {
         let forwarded_header = "rudder-passed-on: 1\r\n";
--- a/crates/controlplane/tests/stopping_controller.rs
+++ b/crates/controlplane/tests/stopping_controller.rs
@@ -10,7 +10,9 @@
 };
 use common::identity::{ControllerId, DocumentVersion, Term, Zone};
 use controlplane::storage::DiskFaultHook;
-use running_controller::{Running, folder, started, started_with};
+use running_controller::{
+    RunningController, create_data_directory, start_controller, start_controller_with_faults,
+};
 use serde_json::json;
 use std::io;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -123,7 +125,7 @@
     }
 }
 
-async fn await_leadership(running: &Running) {
+async fn await_leadership(running: &RunningController) {
     let began = Instant::now();
     loop {
         let mut operator = OperatorConnection::open(running.operators).await;
@@ -141,7 +143,8 @@
 /// the change's operator.
 async fn stop_with_change_in_flight(data: &Path) -> (Arc<WriteGate>, OperatorConnection) {
     let gate = Arc::new(WriteGate::default());
-    let running = started_with(None, Some(data), || Box::new(GatedDisk(gate.clone()))).await;
+    let running =
+        start_controller_with_faults(None, Some(data), || Box::new(GatedDisk(gate.clone()))).await;
     await_leadership(&running).await;
     gate.set_closed(true);
     let mut operator = OperatorConnection::open(running.operators).await;
@@ -154,7 +157,7 @@
 /// Guards against a change that is being written when its leader stops and is never replied to.
 #[tokio::test]
 async fn a_change_in_flight_at_a_stopping_leader_is_reported_as_unknown() {
-    let data = folder("in-flight");
+    let data = create_data_directory("in-flight");
     let (gate, mut operator) = stop_with_change_in_flight(&data).await;
     let response = operator.read_to_end().await;
     gate.set_closed(false);
@@ -165,7 +168,7 @@
 /// Guards against a change that a stopping leader drops although it would have been committed shortly afterwards.
 #[tokio::test]
 async fn a_stopping_leader_completes_a_change_that_can_still_be_committed() {
-    let data = folder("finished");
+    let data = create_data_directory("finished");
     let (gate, mut operator) = stop_with_change_in_flight(&data).await;
     gate.set_closed(false);
     let response = operator.read_to_end().await;
@@ -177,7 +180,7 @@
 /// replied to.
 #[tokio::test]
 async fn a_change_read_by_a_stopping_controller_is_reported_as_not_accepted() {
-    let running = started(None, None).await;
+    let running = start_controller(None, None).await;
     let mut operator = OperatorConnection::open(running.operators).await;
     let body = change("c");
     let length = body.len();
@@ -247,7 +250,7 @@
 /// Guards against a forwarded request whose operator gets no response when the forwarding controller stops.
 #[tokio::test]
 async fn a_change_forwarded_by_a_stopping_controller_is_reported_as_unknown() {
-    let running = started(None, None).await;
+    let running = start_controller(None, None).await;
     let leader = SilentLeader::open().await;
     let mut operator = OperatorConnection::open(running.operators).await;
     let sending = async {
--- a/testing/support/running_controller.rs
+++ b/testing/support/running_controller.rs
@@ -10,7 +10,7 @@
 use tokio::sync::watch;
 
 /// A controller that runs within the test.
-pub(crate) struct Running {
+pub(crate) struct RunningController {
     /// Where it serves operators.
     pub(crate) operators: SocketAddr,
     /// Where it serves other processes.
@@ -26,16 +26,19 @@
 }
 
 /// Starts a controller on ports that were just free; if another program has taken one since, it tries others.
-pub(crate) async fn started(seed: Option<SocketAddr>, data: Option<&Path>) -> Running {
-    started_with(seed, data, || Box::new(NoFaults)).await
+pub(crate) async fn start_controller(
+    seed: Option<SocketAddr>,
+    data: Option<&Path>,
+) -> RunningController {
+    start_controller_with_faults(seed, data, || Box::new(NoFaults)).await
 }
 
 /// The same with a fault hook at its disk.
-pub(crate) async fn started_with(
+pub(crate) async fn start_controller_with_faults(
     seed: Option<SocketAddr>,
     data: Option<&Path>,
     fault_hook: impl Fn() -> Box<dyn DiskFaultHook>,
-) -> Running {
+) -> RunningController {
     for _ in 0..20 {
         let (address, operators) = (free_port(), free_port());
         let settings = json!({
@@ -49,7 +52,7 @@
         if let Ok(controller) = Controller::open_with(&settings, fault_hook(), adapters).await {
             let (stop_sender, stop) = watch::channel(false);
             tokio::spawn(controller.run(stop));
-            return Running {
+            return RunningController {
                 operators,
                 address,
                 stop: stop_sender,
@@ -60,7 +63,7 @@
 }
 
 /// A new folder for its data.
-pub(crate) fn folder(name: &str) -> PathBuf {
+pub(crate) fn create_data_directory(name: &str) -> PathBuf {
     let folder =
         std::env::temp_dir().join(format!("controller-forms-{name}-{}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("a folder");
