--- a/crates/controlplane/tests/stored_forms.rs
+++ b/crates/controlplane/tests/stored_forms.rs
@@ -9,7 +9,7 @@
 use common::spec::{Document, ListedMember, Voter, read_spec};
 use controlplane::consensus::{PersistedState, WriteJob};
 use controlplane::storage::{DataDirectory, LoadedState};
-use forms::{Folder, check, compare};
+use forms::{TempDirectory, check, compare};
 use googletest::prelude::*;
 use serde_json::json;
 use std::fs;
@@ -94,11 +94,11 @@
     Ok(())
 }
 
-fn start(directory: &Folder) -> Result<LoadedState> {
+fn start(directory: &TempDirectory) -> Result<LoadedState> {
     Ok(DataDirectory::open(&directory.0)?.load(FRESH_ID)?)
 }
 
-fn flip_byte(directory: &Folder, file_name: &str, offset_from_end: usize) -> Result<()> {
+fn flip_byte(directory: &TempDirectory, file_name: &str, offset_from_end: usize) -> Result<()> {
     let path = directory.0.join(file_name);
     let mut file_bytes = fs::read(&path)?;
     let index = file_bytes.len() - offset_from_end;
@@ -108,14 +108,14 @@
 
 #[gtest]
 fn a_data_directory_is_written_in_the_recorded_format() -> Result<()> {
-    let directory = Folder::new("written");
+    let directory = TempDirectory::new("written");
     fill_directory(&directory.0)?;
     check(DATA, &directory.0)
 }
 
 #[gtest]
 fn a_data_directory_of_an_earlier_release_is_loaded() -> Result<()> {
-    let directory = Folder::copy_of(DATA, "opened")?;
+    let directory = TempDirectory::copy_of(DATA, "opened")?;
     let LoadedState {
         persisted,
         quarantined,
@@ -142,7 +142,7 @@
 
 #[gtest]
 fn a_data_directory_of_an_earlier_release_accepts_further_writes() -> Result<()> {
-    let directory = Folder::copy_of(DATA, "written-on")?;
+    let directory = TempDirectory::copy_of(DATA, "written-on")?;
     let persisted = start(&directory)?.persisted;
     let newest = persisted.accepted.expect("a version");
     let next = newest.with_zone("zone-2".into(), false, ChangeId::from("zone-2 back"));
@@ -184,7 +184,7 @@
 
 #[gtest]
 fn damaged_files_of_an_earlier_release_are_quarantined() -> Result<()> {
-    let directory = Folder::copy_of(DATA, "damaged")?;
+    let directory = TempDirectory::copy_of(DATA, "damaged")?;
     flip_byte(&directory, NEWEST_VERSION, 40)?;
     flip_byte(&directory, NEWEST_VOTE, 1)?;
     let LoadedState {
@@ -203,7 +203,7 @@
 
 #[gtest]
 fn damage_recorded_by_an_earlier_release_is_recognized() -> Result<()> {
-    let directory = Folder::copy_of(DAMAGED, "known")?;
+    let directory = TempDirectory::copy_of(DAMAGED, "known")?;
     let LoadedState {
         persisted,
         quarantined,
@@ -215,7 +215,7 @@
 
 #[gtest]
 fn files_of_a_lost_identity_are_renamed_as_foreign() -> Result<()> {
-    let directory = Folder::copy_of(DATA, "foreign")?;
+    let directory = TempDirectory::copy_of(DATA, "foreign")?;
     flip_byte(&directory, "identity", 1)?;
     let persisted = start(&directory)?.persisted;
     verify_that!(persisted.id, eq(FRESH_ID))?;
--- a/testing/support/form_folders.rs
+++ b/testing/support/form_folders.rs
@@ -14,9 +14,9 @@
 const CRATE_FOLDER: &str = env!("CARGO_MANIFEST_DIR");
 
 /// A temporary directory of the test; it is removed when the value is dropped.
-pub(crate) struct Folder(pub(crate) PathBuf);
+pub(crate) struct TempDirectory(pub(crate) PathBuf);
 
-impl Folder {
+impl TempDirectory {
     /// A directory that does not exist yet.
     pub(crate) fn new(name: &str) -> Self {
         let path = std::env::temp_dir().join(format!("rudder-forms-{name}-{}", std::process::id()));
@@ -35,7 +35,7 @@
     }
 }
 
-impl Drop for Folder {
+impl Drop for TempDirectory {
     fn drop(&mut self) {
         let _ = fs::remove_dir_all(&self.0);
     }
