--- a/testing/fleet/src/commands/capacity.rs
+++ b/testing/fleet/src/commands/capacity.rs
@@ -30,7 +30,7 @@
         seed: synthetic.seed,
         calls: synthetic.calls,
         measured: Duration::from_secs(synthetic.seconds),
-        patience: Duration::from_secs(synthetic.patience),
+        real_time_limit: Duration::from_secs(synthetic.patience),
     };
     let fleet = match size.checked().and_then(SyntheticFleet::new) {
         Ok(fleet) => fleet,
--- a/testing/fleet/src/synthetic/run.rs
+++ b/testing/fleet/src/synthetic/run.rs
@@ -74,7 +74,7 @@
     }
 
     fn stop_reason(&self, started_at: Instant) -> Option<StopReason> {
-        if started_at.elapsed() > self.size.patience {
+        if started_at.elapsed() > self.size.real_time_limit {
             return Some(StopReason::TimeLimit(self.now));
         }
         (memory::live() > self.half_bytes).then_some(StopReason::MemoryLimit(self.now))
--- a/testing/fleet/src/synthetic/size.rs
+++ b/testing/fleet/src/synthetic/size.rs
@@ -32,7 +32,7 @@
     /// The duration of the measurement in virtual time.
     pub measured: Duration,
     /// The limit of the real time of a run.
-    pub patience: Duration,
+    pub real_time_limit: Duration,
 }
 
 /// Why a fleet of a size cannot be built. The text of [`SizeError::Unreadable`] includes its cause.
@@ -81,7 +81,7 @@
             ("held", self.held as u64),
             ("runners", u64::from(self.runners)),
             ("seconds", self.measured.as_secs()),
-            ("patience", self.patience.as_secs()),
+            ("patience", self.real_time_limit.as_secs()),
         ];
         if let Some((flag, _)) = sizes.into_iter().find(|(_, size)| *size == 0) {
             return Err(SizeError::Zero(flag));
--- a/testing/fleet/tests/capacity.rs
+++ b/testing/fleet/tests/capacity.rs
@@ -106,7 +106,7 @@
         seed: 7,
         calls: 5,
         measured: Duration::from_secs(2),
-        patience: Duration::from_secs(120),
+        real_time_limit: Duration::from_secs(120),
     };
     let record = SyntheticFleet::new(size)?.run();
     verify_that!(record.stopped, none())?;
