--- a/testing/platform-stub/src/main.rs
+++ b/testing/platform-stub/src/main.rs
@@ -1,4 +1,4 @@
-//! The platform double as a process.
+//! Runs the test double of the platform as a process.
 
 use common::command_line::{self, Program};
 use common::frames::SocketAddress;
@@ -58,7 +58,7 @@
 fn main() -> eyre::Result<()> {
     let flags = PROGRAM.flags(|flags: &Flags| flags.version);
     command_line::start_log();
-    let doors = flags
+    let ingresses = flags
         .doors
         .split(',')
         .filter(|ingress| !ingress.is_empty())
@@ -77,7 +77,7 @@
             state: WorkerState::InUse,
         })
         .collect();
-    let work = (
+    let run_duration_range = (
         Duration::from_millis(flags.work_shortest),
         Duration::from_millis(flags.work_longest),
     );
@@ -85,13 +85,13 @@
         records: Records::create(&flags.records).wrap_err("--records")?,
         runner_faults: Mutex::new(RunnerFaults::default()),
         rng: Mutex::new(SeededRng::seeded(flags.seed)),
-        work,
+        run_duration_range,
     });
     let platform = Platform::new(
         shared_state,
         workers,
         Duration::from_millis(flags.lag),
-        doors,
+        ingresses,
         flags.reuse,
     );
     command_line::runtime(4)?.block_on(async {
--- a/testing/platform-stub/src/runner/mod.rs
+++ b/testing/platform-stub/src/runner/mod.rs
@@ -1,5 +1,5 @@
-//! A runner: it starts up, runs the requests that it is sent, seals its answers, and misbehaves at random in given
-//! shares of cases.
+//! A runner that starts up, runs requests, seals its answers, and injects faults at random with configured
+//! probabilities.
 
 use crate::records::Records;
 use bytes::Bytes;
@@ -22,7 +22,7 @@
 use tokio::net::TcpListener;
 use tokio::sync::{oneshot, watch};
 
-/// The shares of requests, from 0 to 1, with which runners misbehave.
+/// The probability of each fault of runners, as a share of requests from 0 to 1.
 #[derive(Clone, Debug, Default)]
 pub struct RunnerFaults {
     /// Runs the request, then closes the connection without an answer.
@@ -33,14 +33,14 @@
     pub short: f64,
     /// Runs the request, then sends an answer that is sealed for another request.
     pub foreign: f64,
-    /// Refuses the request under seal without running it.
+    /// Refuses the request with a sealed response, without running it.
     pub refuse: f64,
     /// Closes the connection without running the request.
     pub break_off: f64,
 }
 
 impl RunnerFaults {
-    /// Reads the shares from a JSON object; missing ones are zero.
+    /// Reads the probabilities from a JSON object; missing ones are zero.
     pub fn from_value(value: &Value) -> Self {
         let share = |name: &str| value.get(name).and_then(Value::as_f64).unwrap_or(0.0);
         Self {
@@ -65,7 +65,7 @@
     BreakOff,
 }
 
-/// How long a request asks to be worked on; none if it leaves that to the runner.
+/// Returns the duration that a request asks its run to take; `None` leaves it to the runner.
 fn requested_work(body: &[u8]) -> Option<Duration> {
     let body: Value = serde_json::from_slice(body).ok()?;
     body["work_ms"].as_u64().map(Duration::from_millis)
@@ -75,16 +75,16 @@
 pub struct SharedRunnerState {
     /// The platform's records.
     pub records: Records,
-    /// The current shares of misbehaviour.
+    /// The current probabilities of faults.
     pub runner_faults: Mutex<RunnerFaults>,
     /// Draws the behaviour and the duration of runs.
     pub rng: Mutex<SeededRng>,
     /// The shortest and the longest duration of a run.
-    pub work: (Duration, Duration),
+    pub run_duration_range: (Duration, Duration),
 }
 
 impl SharedRunnerState {
-    /// The behaviour for the next request, and how long its run takes.
+    /// Draws the behaviour for the next request and the duration of its run.
     fn draw_behaviour(&self) -> (RunBehaviour, Duration) {
         let runner_faults = self
             .runner_faults
@@ -92,7 +92,7 @@
             .unwrap_or_else(PoisonError::into_inner)
             .clone();
         let mut rng = self.rng.lock().unwrap_or_else(PoisonError::into_inner);
-        let work_span = rng.within(self.work.0, self.work.1);
+        let work_span = rng.within(self.run_duration_range.0, self.run_duration_range.1);
         let mut point = rng.fraction();
         let behaviours = [
             (runner_faults.lose, RunBehaviour::Lose),
@@ -112,33 +112,33 @@
     }
 }
 
-/// A runner, until and after its stop.
+/// A runner, also after it was stopped.
 pub struct Runner {
-    /// Its id.
-    pub runner: RunnerId,
-    /// Its function.
+    /// The runner's ID.
+    pub id: RunnerId,
+    /// The function that it runs.
     pub function: FunctionKey,
-    /// When its startup is finished.
+    /// The time at which its startup is finished.
     ready_at: MonotonicTime,
     stopped: AtomicBool,
     stop: watch::Sender<bool>,
     slots: usize,
-    /// The current runs by number, with the fencing token of the lease holder.
+    /// The current runs by number, with the idempotency key and the lease holder's fencing token.
     running: Mutex<BTreeMap<u64, (IdempotencyKey, FencingToken)>>,
     next_run: AtomicU64,
     shared_state: Arc<SharedRunnerState>,
 }
 
-/// A request to run, as in its headers.
+/// The headers of a request to run.
 struct RunRequest {
     idempotency_key: IdempotencyKey,
-    /// The token of the sending lease holder; that of the runner's start if there is none.
+    /// The token of the lease holder that sent the request; by default, the one with which the runner was started.
     fencing_token: FencingToken,
-    /// The number of the attempt; zero if it is missing.
+    /// The number of the attempt; zero if the header is missing.
     attempt: u64,
 }
 
-/// Removes a run and records its end when it is dropped, as aborted unless `ended` is set.
+/// Removes a run and records its end on drop; the run counts as aborted unless `ended` is set.
 struct RunGuard {
     runner: Arc<Runner>,
     number: u64,
@@ -154,16 +154,16 @@
             .unwrap_or_else(PoisonError::into_inner);
         running.remove(&self.number);
         let kind = if self.ended { "run_end" } else { "run_abort" };
-        let detail = json!({"runner": self.runner.runner.to_string(), "run": self.number});
+        let detail = json!({"runner": self.runner.id.to_string(), "run": self.number});
         self.runner.shared_state.records.add(kind, detail);
     }
 }
 
 impl Runner {
-    /// Starts a runner behind a listener. Its tasks are detached and end with [`Runner::stop`].
+    /// Starts a runner that serves on a listener. Its tasks are detached and end with [`Runner::stop`].
     pub fn start(
         shared_state: Arc<SharedRunnerState>,
-        runner: RunnerId,
+        id: RunnerId,
         function: FunctionKey,
         startup: Duration,
         slots: usize,
@@ -171,7 +171,7 @@
     ) -> Arc<Self> {
         let (stop, stopped) = watch::channel(false);
         let started = Arc::new(Self {
-            runner,
+            id,
             function,
             ready_at: MonotonicTime::now() + startup,
             stopped: AtomicBool::new(false),
@@ -185,7 +185,7 @@
         started
     }
 
-    /// Stops it at once and aborts its runs.
+    /// Stops the runner immediately and aborts its runs.
     pub fn stop(&self) {
         if !self.stopped.swap(true, Ordering::SeqCst) {
             self.stop.send_replace(true);
@@ -195,7 +195,7 @@
                 .unwrap_or_else(PoisonError::into_inner)
                 .len();
             let detail = json!({
-                "runner": self.runner.to_string(),
+                "runner": self.id.to_string(),
                 "function": self.function.to_string(),
                 "running": running_count,
             });
@@ -232,11 +232,11 @@
         }
     }
 
-    /// A response without a seal.
+    /// Returns a response without a seal.
     fn plain_response(&self, status: StatusCode, body: impl Into<Bytes>) -> Response<Full<Bytes>> {
         let mut response = Response::new(Full::new(body.into()));
         *response.status_mut() = status;
-        put(&mut response, seal::RUNNER, &self.runner.to_string());
+        set_header(&mut response, seal::RUNNER, &self.id.to_string());
         response
     }
 
@@ -268,7 +268,7 @@
         }
     }
 
-    /// Runs a request and answers it, as far as the drawn behaviour lets it.
+    /// Handles a request to run with the drawn behaviour, which may refuse it or close the connection instead.
     async fn handle_run(
         self: Arc<Self>,
         request: Request<Incoming>,
@@ -282,7 +282,7 @@
         let request = self.read_run_request(&head.headers);
         if !self.is_addressed_by(&head.headers) {
             let detail = json!({
-                "runner": self.runner.to_string(),
+                "runner": self.id.to_string(),
                 "meant": header_text(&head.headers, seal::RUNNER),
                 "transaction": request.idempotency_key.as_str(),
             });
@@ -291,7 +291,7 @@
         }
         let (drawn, drawn_span) = self.shared_state.draw_behaviour();
         let work_span = requested_work(&body_bytes).unwrap_or(drawn_span);
-        let behaviour = if self.is_full_of_other_leases(request.fencing_token) {
+        let behaviour = if self.is_blocked_by_other_leases(request.fencing_token) {
             RunBehaviour::Refuse
         } else {
             drawn
@@ -307,7 +307,7 @@
         }
         let idempotency_key = request.idempotency_key.clone();
         let (done_sender, done) = oneshot::channel();
-        // Detached: it ends with the run or with the runner, also when the caller is gone.
+        // Detached: the run continues when the caller disconnects, and ends by itself or when the runner stops.
         tokio::spawn(self.clone().run(request, work_span, done_sender));
         if done.await.is_err() {
             return std::future::pending().await;
@@ -325,26 +325,27 @@
             fencing_token: header_text(headers, seal::FENCING_TOKEN)
                 .parse::<u64>()
                 .map(FencingToken::from)
-                .unwrap_or(self.runner.fencing_token),
+                .unwrap_or(self.id.fencing_token),
             attempt: header_text(headers, seal::ATTEMPT).parse().unwrap_or(0),
         }
     }
 
     /// Whether a request names this runner and its function.
     fn is_addressed_by(&self, headers: &HeaderMap) -> bool {
-        header_text(headers, seal::RUNNER) == self.runner.to_string()
+        header_text(headers, seal::RUNNER) == self.id.to_string()
             && header_text(headers, seal::FUNCTION) == self.function.to_string()
     }
 
+    /// Records that a request was not run.
     fn record_without_run(&self, kind: &str, idempotency_key: &IdempotencyKey) {
         let detail = json!({
-            "runner": self.runner.to_string(),
+            "runner": self.id.to_string(),
             "transaction": idempotency_key.as_str(),
         });
         self.shared_state.records.add(kind, detail);
     }
 
-    /// Refuses a request under seal.
+    /// Refuses a request with a sealed response.
     fn refuse(&self, idempotency_key: &IdempotencyKey) -> Response<Full<Bytes>> {
         self.record_without_run("refused", idempotency_key);
         let refusal = Bytes::from_static(b"{\"refused\":true}");
@@ -354,11 +355,11 @@
             true,
             refusal,
         );
-        put(&mut response, seal::REJECTED, "1");
+        set_header(&mut response, seal::REJECTED, "1");
         response
     }
 
-    /// The response after a run, falsified as the behaviour has it.
+    /// Returns the response after a run, falsified if the behaviour demands it.
     fn run_response(
         &self,
         behaviour: &RunBehaviour,
@@ -368,7 +369,7 @@
         let answer = json!({
             "transaction": idempotency_key.as_str(),
             "function": self.function.to_string(),
-            "runner": self.runner.to_string(),
+            "runner": self.id.to_string(),
             "echo": seal::hex(&seal::digest(request_body)),
         });
         let answer_bytes = Bytes::from(answer.to_string());
@@ -388,8 +389,8 @@
         response
     }
 
-    /// Whether requests of other lease holders leave no slot for one with this token.
-    fn is_full_of_other_leases(&self, fencing_token: FencingToken) -> bool {
+    /// Whether every slot is in use, at least one of them by a request of another lease holder.
+    fn is_blocked_by_other_leases(&self, fencing_token: FencingToken) -> bool {
         let running = self.running.lock().unwrap_or_else(PoisonError::into_inner);
         let own_count = running
             .values()
@@ -398,7 +399,7 @@
         running.len() >= self.slots && own_count < self.slots
     }
 
-    /// Runs a request for the given time, and notifies `done` unless the runner is stopped before.
+    /// Runs a request for the given time, and notifies `done` unless the runner is stopped first.
     async fn run(
         self: Arc<Self>,
         request: RunRequest,
@@ -420,7 +421,7 @@
                 .count()
         };
         let detail = json!({
-            "runner": self.runner.to_string(),
+            "runner": self.id.to_string(),
             "function": self.function.to_string(),
             "transaction": idempotency_key.as_str(),
             "attempt": attempt,
@@ -446,7 +447,7 @@
         }
     }
 
-    /// A response whose seal covers the request's key, the runner and the body.
+    /// Returns a response whose seal covers the idempotency key, the function, the runner and the body.
     fn sealed_response(
         &self,
         status: StatusCode,
@@ -454,26 +455,20 @@
         is_rejected: bool,
         body: Bytes,
     ) -> Response<Full<Bytes>> {
-        let body_seal = seal::seal(
-            idempotency_key,
-            &self.function,
-            self.runner,
-            is_rejected,
-            &body,
-        );
+        let body_seal = seal::seal(idempotency_key, &self.function, self.id, is_rejected, &body);
         let mut response = self.plain_response(status, body);
-        put(
+        set_header(
             &mut response,
             seal::IDEMPOTENCY_KEY,
             idempotency_key.as_str(),
         );
-        put(&mut response, seal::FUNCTION, &self.function.to_string());
-        put(&mut response, seal::SEAL, &body_seal);
+        set_header(&mut response, seal::FUNCTION, &self.function.to_string());
+        set_header(&mut response, seal::SEAL, &body_seal);
         response
     }
 }
 
-fn put(response: &mut Response<Full<Bytes>>, name: &'static str, text: &str) {
+fn set_header(response: &mut Response<Full<Bytes>>, name: &'static str, text: &str) {
     if let Ok(value) = hyper::header::HeaderValue::from_str(text) {
         response
             .headers_mut()
