--- a/testing/platform-stub/src/platform/lists.rs
+++ b/testing/platform-stub/src/platform/lists.rs
@@ -1,11 +1,11 @@
-//! Lists with the delay of a real platform's.
+//! Lists of workers and runners that lag behind the current state, like those of a real platform.
 
 use common::clock::MonotonicTime;
 use serde_json::{Value, json};
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// The lists of workers and runners as they were some time ago.
+/// The lists of workers and runners as they were `lag` ago.
 pub(crate) struct DelayedLists {
     lag: Duration,
     snapshots: VecDeque<Snapshot>,
@@ -18,7 +18,7 @@
 }
 
 impl DelayedLists {
-    /// Empty lists with the given delay.
+    /// Creates empty lists with the given delay.
     pub(crate) fn new(lag: Duration) -> Self {
         Self {
             lag,
@@ -26,7 +26,7 @@
         }
     }
 
-    /// Takes a snapshot of the current lists and drops those that are no longer needed.
+    /// Stores a snapshot of the current lists and drops snapshots that are no longer needed.
     pub(crate) fn take_snapshot(&mut self, now: MonotonicTime, workers: Value, runners: Value) {
         self.snapshots.push_back(Snapshot {
             taken_at: now,
@@ -44,7 +44,7 @@
         })
     }
 
-    /// The delayed list of workers with its age.
+    /// Returns the delayed list of workers with its age.
     pub(crate) fn workers(&self, now: MonotonicTime) -> Value {
         let listed = self
             .snapshots
@@ -53,7 +53,7 @@
         json!({"age_ms": self.age_ms(now), "workers": listed.unwrap_or_else(|| json!([]))})
     }
 
-    /// The delayed list of runners with its age.
+    /// Returns the delayed list of runners with its age.
     pub(crate) fn runners(&self, now: MonotonicTime) -> Value {
         let listed = self
             .snapshots
--- a/testing/platform-stub/src/platform/mod.rs
+++ b/testing/platform-stub/src/platform/mod.rs
@@ -23,15 +23,15 @@
 use tokio::net::TcpListener;
 use tokio::sync::watch;
 
-/// How long before its stop a runner announces that it leaves.
+/// The time from a runner's announcement that it leaves until it stops.
 const LEAVE_NOTICE: Duration = Duration::from_secs(6);
 
-/// A response with an error code.
+/// Returns a response with an error code.
 fn error_response(status: StatusCode, code: &str) -> HttpResponse {
     json_response(status, &json!({"error": code}))
 }
 
-/// A platform with its workers, runners and lists.
+/// The platform, with its workers, runners and lists.
 pub struct Platform {
     shared_state: Arc<SharedRunnerState>,
     state: Mutex<PlatformState>,
@@ -44,8 +44,8 @@
 }
 
 impl Platform {
-    /// A platform with these workers, whose lists are delayed by `lag`. The ingresses are probed for readiness; with
-    /// `reuse_ports` new runners get the ports of stopped ones.
+    /// Creates a platform with the given workers. Its lists are delayed by `lag`, the ingresses are probed for
+    /// readiness, and with `reuse_ports` new runners get the ports of stopped ones.
     pub fn new(
         shared_state: Arc<SharedRunnerState>,
         workers: Vec<Worker>,
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Probes all ingresses each second, every one in a detached task, and records changes.
+    /// Probes all ingresses once per second, each in a detached task, and records changes of readiness.
     async fn probe_ingresses(self: Arc<Self>) {
         let mut ticking = tokio::time::interval(Duration::from_secs(1));
         loop {
@@ -188,13 +188,13 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Stops a runner; one that was never started cannot be started any more.
+    /// Stops a runner. A runner that was never started cannot be started afterwards.
     fn stop(&self, runner: RunnerId) -> HttpResponse {
         self.lock_state().stop(runner);
         json_response(StatusCode::OK, &json!({"stopped": true}))
     }
 
-    /// Lets a runner announce that it leaves; it stops by itself some time later, in a detached task.
+    /// Announces that a runner leaves, and stops it after [`LEAVE_NOTICE`] in a detached task.
     fn leave(self: Arc<Self>, runner: RunnerId) -> HttpResponse {
         let mut state = self.lock_state();
         let Some(hosted) = state.hosted.get_mut(&runner) else {
@@ -212,7 +212,7 @@
         json_response(StatusCode::OK, &json!({}))
     }
 
-    /// Drains, crashes or restores a worker; a crash stops its runners at once.
+    /// Drains, crashes or restores a worker. A crash stops its runners immediately.
     fn set_worker_state(&self, worker_name: &str, action: &str) -> HttpResponse {
         let mut state = self.lock_state();
         let Some(worker) = state.workers.get_mut(worker_name) else {
@@ -224,7 +224,7 @@
             ("restore", _) => worker.state = WorkerState::InUse,
             ("crash", _) => {
                 worker.state = WorkerState::Crashed;
-                state.stop_all_of(worker_name);
+                state.stop_runners_on(worker_name);
             }
             _ => return error_response(StatusCode::NOT_FOUND, "no_such_deed"),
         }
@@ -235,7 +235,7 @@
     }
 }
 
-/// The runner with this name, or the one that was started as the instance with this name.
+/// Parses the name of a runner, or of an instance of a runner.
 fn parse_runner(name: &str) -> Option<RunnerId> {
     name.parse()
         .ok()
--- a/testing/platform-stub/src/platform/starts.rs
+++ b/testing/platform-stub/src/platform/starts.rs
@@ -1,4 +1,4 @@
-//! Starts of runners.
+//! Handling of requests to start runners.
 
 use super::state::{HostedRunner, PlatformState, loopback};
 use super::{Platform, error_response};
@@ -13,17 +13,17 @@
 /// A request to start a runner.
 struct StartRequest {
     runner: RunnerId,
-    /// The function as in the request, for the records.
+    /// The function as written in the request, for the records.
     function: String,
     key: FunctionKey,
     worker: String,
     memory_mb: u64,
-    boot_ms: u64,
+    startup_ms: u64,
     slots: Option<u64>,
 }
 
 impl StartRequest {
-    /// Reads the body of a request; none if a field is missing or malformed.
+    /// Parses the body of a request. Returns `None` if a field is missing or malformed.
     fn from_value(body: &Value) -> Option<Self> {
         let text = |name: &str| body.get(name).and_then(Value::as_str).unwrap_or("");
         let number = |name: &str| body.get(name).and_then(Value::as_u64);
@@ -33,13 +33,13 @@
             key: text("function").parse().ok()?,
             worker: text("worker").to_owned(),
             memory_mb: number("memory_mb")?,
-            boot_ms: number("boot_ms")?,
+            startup_ms: number("boot_ms")?,
             slots: number("slots"),
         })
     }
 }
 
-/// Binds a port that was used before, or a new one if there is none or it is taken.
+/// Binds the given port, or a free one if none is given or it is in use.
 async fn bind(reused_port: Option<u16>) -> Option<(TcpListener, u16)> {
     let listener = match TcpListener::bind(loopback(reused_port.unwrap_or(0))).await {
         Ok(listener) => listener,
@@ -53,7 +53,7 @@
 }
 
 impl Platform {
-    /// Starts a runner, or returns the instance that an earlier request for it started.
+    /// Starts a runner, or returns the instance that an earlier request for the same runner started.
     pub(super) async fn start(&self, body: &Value) -> HttpResponse {
         let Some(request) = StartRequest::from_value(body) else {
             return error_response(StatusCode::BAD_REQUEST, "bad_start");
@@ -79,7 +79,7 @@
         if state.ended.contains(&request.runner) {
             return error_response(StatusCode::CONFLICT, "ended");
         }
-        if !state.has_room(&request.worker, request.memory_mb) {
+        if !state.has_capacity(&request.worker, request.memory_mb) {
             self.shared_state.records.add(
                 "start_refused",
                 json!({"runner": request.runner.to_string(), "worker": request.worker}),
@@ -108,7 +108,7 @@
             "worker": request.worker,
             "locality": zone,
             "memory_mb": request.memory_mb,
-            "boot_ms": request.boot_ms,
+            "boot_ms": request.startup_ms,
             "slots": request.slots,
             "place": loopback(port).to_string(),
             "reused": reused_port == Some(port),
@@ -116,7 +116,7 @@
         self.shared_state.records.add("runner_start", detail);
     }
 
-    /// Starts the runner behind its listener and adds it to the state.
+    /// Starts the runner on its listener and adds it to the state.
     fn host<'a>(
         &self,
         state: &'a mut PlatformState,
@@ -128,7 +128,7 @@
             self.shared_state.clone(),
             request.runner,
             request.key,
-            Duration::from_millis(request.boot_ms),
+            Duration::from_millis(request.startup_ms),
             request.slots.map_or(usize::MAX, |slots| slots as usize),
             listener,
         );
--- a/testing/platform-stub/src/platform/state.rs
+++ b/testing/platform-stub/src/platform/state.rs
@@ -9,14 +9,14 @@
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::sync::Arc;
 
-/// Whether a worker can run anything.
+/// Whether a worker is listed and accepts runners.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum WorkerState {
-    /// It runs what it has and accepts more.
+    /// Keeps its runners and accepts new ones.
     InUse,
-    /// It runs what it has and accepts no more.
+    /// Keeps its runners and accepts no new ones.
     Draining,
-    /// It has lost its runners and is not listed.
+    /// Has lost its runners and is not listed.
     Crashed,
 }
 
@@ -45,7 +45,7 @@
 }
 
 impl HostedRunner {
-    /// The response to a request to start it.
+    /// Returns the response to a request to start it.
     pub(super) fn start_response(&self) -> HttpResponse {
         let body = json!({"life": self.instance, "place": loopback(self.port).to_string()});
         json_response(StatusCode::CREATED, &body)
@@ -57,7 +57,7 @@
 pub(super) struct PlatformState {
     pub(super) workers: BTreeMap<String, Worker>,
     pub(super) hosted: HashMap<RunnerId, HostedRunner>,
-    /// Runners that were stopped, or must not be started any more.
+    /// Runners for which a stop was requested, whether they had been started or not. They cannot be started any more.
     pub(super) ended: BTreeSet<RunnerId>,
     /// Ports of stopped runners.
     pub(super) free_ports: Vec<u16>,
@@ -65,8 +65,8 @@
 }
 
 impl PlatformState {
-    /// Whether a worker accepts a runner with this memory.
-    pub(super) fn has_room(&self, worker_name: &str, memory_mb: u64) -> bool {
+    /// Whether a worker is in use and has this much free memory.
+    pub(super) fn has_capacity(&self, worker_name: &str, memory_mb: u64) -> bool {
         let used_mb: u64 = self
             .hosted
             .values()
@@ -78,7 +78,7 @@
         })
     }
 
-    /// Stops a runner if there is one, and frees its port.
+    /// Stops a runner if it exists, and frees its port.
     pub(super) fn stop(&mut self, runner: RunnerId) {
         if let Some(hosted) = self.hosted.remove(&runner) {
             hosted.runner.stop();
@@ -87,7 +87,7 @@
         self.ended.insert(runner);
     }
 
-    pub(super) fn stop_all_of(&mut self, worker_name: &str) {
+    pub(super) fn stop_runners_on(&mut self, worker_name: &str) {
         let lost_runners: Vec<RunnerId> = self
             .hosted
             .iter()
@@ -99,7 +99,7 @@
         }
     }
 
-    /// The list of workers as the platform sends it.
+    /// Returns the list of workers as the platform sends it.
     pub(super) fn list_workers(&self) -> Value {
         let rows: Vec<Value> = self
             .workers
@@ -117,7 +117,7 @@
         Value::Array(rows)
     }
 
-    /// The list of runners as the platform sends it.
+    /// Returns the list of runners as the platform sends it.
     pub(super) fn list_runners(&self) -> Value {
         let rows: Vec<Value> = self
             .hosted
@@ -137,7 +137,7 @@
     }
 }
 
-/// The address of a runner's port.
+/// Returns the loopback address with this port.
 pub(super) fn loopback(port: u16) -> SocketAddrV4 {
     SocketAddrV4::new(Ipv4Addr::LOCALHOST, port)
 }
--- a/testing/platform-stub/src/records/mod.rs
+++ b/testing/platform-stub/src/records/mod.rs
@@ -1,4 +1,4 @@
-//! Record files: one JSON object a line, with times of the monotonic clock in nanoseconds.
+//! Record files: one JSON object per line, with times of the monotonic clock in nanoseconds.
 
 use common::clock::MonotonicTime;
 use serde_json::{Value, json};
@@ -7,7 +7,7 @@
 use std::path::Path;
 use std::sync::{Mutex, PoisonError};
 
-/// A record file, shared by all that write to it.
+/// A record file that several tasks may write to.
 pub struct Records {
     writer: Mutex<BufWriter<File>>,
 }
