--- a/testing/loadgen/src/client_pool.rs
+++ b/testing/loadgen/src/client_pool.rs
@@ -1,7 +1,7 @@
-//! The callers: they send the requests of a plan, retry them, and record and count the outcomes.
+//! The clients that send the requests of a plan, retry them, and record and count the outcomes.
 
 use crate::attempt::{Attempt, read_outcome};
-use crate::kept_connections::open_connections;
+use crate::persistent_connections::open_connections;
 use crate::plan::{Plan, PlannedRoute};
 use crate::schedule::{ScheduledRequest, schedule};
 use common::clock::MonotonicTime;
@@ -25,22 +25,22 @@
 }
 
 impl Summary {
-    /// The counts as a JSON object.
+    /// Returns the counts as a JSON object.
     pub fn to_value(&self) -> Value {
         json!(self.counts)
     }
 }
 
-/// How many ingresses an attempt tries to connect to.
+/// The maximum number of ingresses that an attempt tries to connect to.
 const MAX_INGRESSES: usize = 4;
-/// How much longer than its timeout a request waits for the response.
+/// How much longer than the timeout of its request a client waits for the response.
 pub(super) const RESPONSE_MARGIN: Duration = Duration::from_millis(500);
-/// The largest accepted body of a response, in bytes.
+/// The maximum size of a response body, in bytes.
 pub(super) const MAX_RESPONSE_BYTES: usize = 8 << 20;
-/// How often the ready ingresses are read from the platform.
+/// The interval at which the list of ready ingresses is read from the platform.
 const POLL_INTERVAL: Duration = Duration::from_millis(300);
 
-/// What all requests of a load share.
+/// The state that all requests of a load share.
 pub(super) struct ClientPool {
     pub(super) plan: Plan,
     pub(super) records: Records,
@@ -48,8 +48,8 @@
     summary: Mutex<Summary>,
 }
 
-/// Sends the requests of a plan, records and counts their outcomes. The polling task is aborted at the end; all
-/// requests are awaited.
+/// Sends the requests of a plan, and records and counts their outcomes. Awaits all requests, and aborts the polling
+/// task at the end.
 ///
 /// # Errors
 /// Fails if the record file cannot be created.
@@ -65,7 +65,7 @@
     let polling_task = tokio::spawn(poll_ready_ingresses(client_pool.clone()));
     let mut open_requests = JoinSet::new();
     let started_at = Instant::now();
-    let kept_connections = open_connections(&client_pool, started_at);
+    let persistent_connections = open_connections(&client_pool, started_at);
     for (due_at, scheduled_request) in schedule(&client_pool.plan) {
         tokio::time::sleep_until(started_at + due_at).await;
         open_requests.spawn(run_scheduled_request(
@@ -75,7 +75,7 @@
         while open_requests.try_join_next().is_some() {}
     }
     while open_requests.join_next().await.is_some() {}
-    kept_connections.join_all().await;
+    persistent_connections.join_all().await;
     polling_task.abort();
     client_pool.records.flush();
     let summary = client_pool
@@ -86,15 +86,15 @@
     Ok(summary)
 }
 
-/// Keeps the ready ingresses up to date; an empty list is ignored.
+/// Polls the platform for the ready ingresses. An empty list is ignored.
 async fn poll_ready_ingresses(client_pool: Arc<ClientPool>) {
     let Some(platform) = client_pool.plan.platform else {
         return;
     };
     loop {
         let timeout = Duration::from_secs(1);
-        if let Ok(called) = call_json(platform, Method::GET, "/v1/daemons", None, timeout).await {
-            let body = called.json();
+        if let Ok(response) = call_json(platform, Method::GET, "/v1/daemons", None, timeout).await {
+            let body = response.json();
             let listed = body
                 .get("ready")
                 .and_then(Value::as_array)
@@ -115,7 +115,8 @@
     }
 }
 
-/// Sends a request, and retries it at once if this was drawn, until there is an answer.
+/// Sends a request. With the probability in the plan, retries it immediately until it is answered or no retries are
+/// left.
 async fn run_scheduled_request(client_pool: Arc<ClientPool>, scheduled_request: ScheduledRequest) {
     let mut rng = SeededRng::seeded(scheduled_request.seed);
     let route = &client_pool.plan.routes[scheduled_request.route_index];
@@ -127,11 +128,11 @@
     };
     let mut repeat_of: Option<String> = None;
     for attempt_number in 0..max_attempts {
-        let identity = format!("{}-{attempt_number}", scheduled_request.name);
+        let idempotency_key = format!("{}-{attempt_number}", scheduled_request.name);
         let is_done = send_once(
             &client_pool,
             route,
-            &identity,
+            &idempotency_key,
             repeat_of.as_deref(),
             &mut rng,
         )
@@ -139,7 +140,7 @@
         if is_done {
             return;
         }
-        repeat_of.get_or_insert(identity);
+        repeat_of.get_or_insert(idempotency_key);
     }
 }
 
@@ -163,20 +164,20 @@
     }
 }
 
-/// Sends and records one attempt; returns whether the request is finished, with an answer or as impossible to send.
+/// Sends and records one attempt. Returns whether the request is finished: it was answered, or it can't be built.
 async fn send_once(
     client_pool: &ClientPool,
     route: &PlannedRoute,
-    identity: &str,
+    idempotency_key: &str,
     repeat_of: Option<&str>,
     rng: &mut SeededRng,
 ) -> bool {
     let attempt = Attempt {
         route,
-        identity,
+        idempotency_key,
         repeat_of,
         timeout: rng.within(route.timeout.0, route.timeout.1),
-        body: route.body(identity, rng),
+        body: route.body(idempotency_key, rng),
     };
     let sent_at = MonotonicTime::now();
     let mut record = json!({"outcome": "no_door"});
@@ -189,8 +190,8 @@
         };
         let response_timeout = attempt.timeout + RESPONSE_MARGIN;
         match call(ingress, request, response_timeout, MAX_RESPONSE_BYTES).await {
-            Ok(called) => {
-                record = read_outcome(route, identity, &attempt.body, &called);
+            Ok(response) => {
+                record = read_outcome(route, idempotency_key, &attempt.body, &response);
                 break;
             }
             Err(error) if error.is_certainly_unsent() => {}
--- a/testing/loadgen/src/main.rs
+++ b/testing/loadgen/src/main.rs
@@ -1,4 +1,4 @@
-//! The load generator as a process.
+//! Runs the load generator as a process.
 
 use common::command_line::{self, Program};
 use common::readers::SettingsSource;
@@ -30,10 +30,10 @@
         Ok(plan) => plan,
         Err(error) => return PROGRAM.fail(error, 2),
     };
-    let ended = command_line::runtime(4)
+    let result = command_line::runtime(4)
         .and_then(|runtime| runtime.block_on(run_plan(plan)))
-        .wrap_err("calling");
-    match ended {
+        .wrap_err("running the plan");
+    match result {
         Ok(summary) => {
             println!("{}", summary.to_value());
             ExitCode::SUCCESS
--- a/testing/loadgen/src/kept_connections.rs
+++ b/testing/loadgen/src/persistent_connections.rs
@@ -1,10 +1,10 @@
-//! Callers that keep a connection each, and use it until its daemon closes it or is gone.
+//! Clients that each keep one connection open, until its daemon closes it or terminates.
 //!
-//! They do not ask which daemons are ready: an open connection stays with its daemon.
+//! They don't check which daemons are ready, since an open connection stays with its daemon.
 
 use crate::attempt::{Attempt, read_outcome};
 use crate::client_pool::{ClientPool, MAX_RESPONSE_BYTES, RESPONSE_MARGIN};
-use crate::plan::KeptConnections;
+use crate::plan::PersistentConnections;
 use bytes::Bytes;
 use common::clock::MonotonicTime;
 use common::frames::SocketAddress;
@@ -19,45 +19,45 @@
 use tokio::task::JoinSet;
 use tokio::time::{Instant, sleep, timeout};
 
-/// How long a connection may take to open.
+/// The timeout for opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// The outcome of a request whose caller closed its connection before the response.
-const LEFT: &str = "left";
+/// The recorded outcome of a request whose client closed the connection before the response.
+const ABANDONED: &str = "left";
 /// The delay before a connection is opened again.
 const RECONNECT_DELAY: Duration = Duration::from_millis(50);
 
-/// Opens the plan's kept connections; each is used until the end of the plan, and opened again when it is closed.
+/// Opens the persistent connections of the plan. Each is used until the end of the plan, and reopened when it is closed.
 pub(super) fn open_connections(client_pool: &Arc<ClientPool>, started_at: Instant) -> JoinSet<()> {
-    let mut callers = JoinSet::new();
-    let Some(kept) = client_pool.plan.kept_connections else {
-        return callers;
+    let mut clients = JoinSet::new();
+    let Some(settings) = client_pool.plan.persistent_connections else {
+        return clients;
     };
-    let ends_at = started_at + client_pool.plan.lasts;
-    for number in 0..kept.count {
-        let caller = KeptCaller::new(client_pool.clone(), kept, number);
-        callers.spawn(caller.run(ends_at));
+    let ends_at = started_at + client_pool.plan.duration;
+    for number in 0..settings.count {
+        let client = PersistentClient::new(client_pool.clone(), settings, number);
+        clients.spawn(client.run(ends_at));
     }
-    callers
+    clients
 }
 
-/// One caller and its connection.
-struct KeptCaller {
+/// A client with one connection.
+struct PersistentClient {
     client_pool: Arc<ClientPool>,
-    kept: KeptConnections,
+    settings: PersistentConnections,
     number: usize,
     ingress: SocketAddress,
     rng: SeededRng,
     sent_count: u64,
 }
 
-impl KeptCaller {
-    fn new(client_pool: Arc<ClientPool>, kept: KeptConnections, number: usize) -> Self {
+impl PersistentClient {
+    fn new(client_pool: Arc<ClientPool>, settings: PersistentConnections, number: usize) -> Self {
         let plan = &client_pool.plan;
         let ingress = plan.ingresses[number % plan.ingresses.len()];
         let rng = SeededRng::seeded(plan.seed ^ 0x6b65_7074 ^ ((number as u64) << 32));
         Self {
             client_pool,
-            kept,
+            settings,
             number,
             ingress,
             rng,
@@ -69,7 +69,7 @@
         while Instant::now() < ends_at {
             if let Ok(mut sender) = open(self.ingress).await {
                 while Instant::now() < ends_at && self.send(&mut sender).await {
-                    let pause = self.rng.within(Duration::ZERO, self.kept.longest_pause);
+                    let pause = self.rng.within(Duration::ZERO, self.settings.max_pause);
                     sleep(pause).await;
                 }
             }
@@ -77,20 +77,20 @@
         }
     }
 
-    /// Sends and records one request; returns whether the connection can still be used.
+    /// Sends and records one request. Returns whether the connection can still be used.
     async fn send(&mut self, sender: &mut SendRequest<Full<Bytes>>) -> bool {
         self.sent_count += 1;
-        let identity = format!(
+        let idempotency_key = format!(
             "{}-k{}-{}",
             self.client_pool.plan.seed, self.number, self.sent_count
         );
         let route_index = self.route_index();
-        let stay = self.drawn_stay();
+        let abandon_delay = self.draw_abandon_delay();
         let route = &self.client_pool.plan.routes[route_index];
-        let body = route.body(&identity, &mut self.rng);
+        let body = route.body(&idempotency_key, &mut self.rng);
         let attempt = Attempt {
             route,
-            identity: &identity,
+            idempotency_key: &idempotency_key,
             repeat_of: None,
             timeout: self.rng.within(route.timeout.0, route.timeout.1),
             body,
@@ -99,13 +99,13 @@
             return false;
         };
         let sent_at = MonotonicTime::now();
-        let response_timeout = stay.unwrap_or(attempt.timeout + RESPONSE_MARGIN);
-        let exchanged = timeout(response_timeout, exchange(sender, request)).await;
-        let mut record = match exchanged {
-            Ok(Ok(called)) => read_outcome(route, &identity, &attempt.body, &called),
+        let response_timeout = abandon_delay.unwrap_or(attempt.timeout + RESPONSE_MARGIN);
+        let result = timeout(response_timeout, exchange(sender, request)).await;
+        let mut record = match result {
+            Ok(Ok(response)) => read_outcome(route, &idempotency_key, &attempt.body, &response),
             Ok(Err(CallError::Lost(error))) if is_unsent(&error) => return false,
             Ok(Err(error)) => json!({"outcome": "lost", "reason": error.to_string()}),
-            Err(_) if stay.is_some() => json!({"outcome": LEFT, "reason": LEFT}),
+            Err(_) if abandon_delay.is_some() => json!({"outcome": ABANDONED, "reason": ABANDONED}),
             Err(_) => json!({"outcome": "lost", "reason": CallError::Timeout.to_string()}),
         };
         record["kept"] = json!(true);
@@ -115,30 +115,35 @@
         is_answered(&record) && !sender.is_closed()
     }
 
-    /// How long the caller of the next request stays, if it leaves before the response.
-    fn drawn_stay(&mut self) -> Option<Duration> {
-        let leaves = self.kept.leaves_one_of > 0 && self.rng.below(self.kept.leaves_one_of) == 0;
-        leaves.then(|| self.rng.within(Duration::ZERO, self.kept.longest_stay))
+    /// Draws whether to abandon the next request, and after which delay.
+    fn draw_abandon_delay(&mut self) -> Option<Duration> {
+        let is_abandoned =
+            self.settings.abandon_one_in > 0 && self.rng.below(self.settings.abandon_one_in) == 0;
+        is_abandoned.then(|| {
+            self.rng
+                .within(Duration::ZERO, self.settings.max_abandon_delay)
+        })
     }
 
-    /// The route of the next request.
+    /// Returns the index of the route for the next request.
     fn route_index(&mut self) -> usize {
-        let is_patient = self.number.is_multiple_of(2) && self.number / 2 < self.kept.patient_count;
-        if is_patient {
-            self.kept.patient_route
+        let uses_single_route =
+            self.number.is_multiple_of(2) && self.number / 2 < self.settings.single_route_count;
+        if uses_single_route {
+            self.settings.single_route
         } else {
             self.client_pool.plan.random_route(&mut self.rng)
         }
     }
 }
 
-/// Whether a connection was closed before the request was written to it.
+/// Whether the connection was closed before the request was written to it.
 fn is_unsent(error: &hyper::Error) -> bool {
     error.is_canceled() || error.is_closed()
 }
 
 fn is_answered(record: &Value) -> bool {
-    record["outcome"] != json!("lost") && record["outcome"] != json!(LEFT)
+    record["outcome"] != json!("lost") && record["outcome"] != json!(ABANDONED)
 }
 
 async fn open(ingress: SocketAddress) -> Result<SendRequest<Full<Bytes>>, CallError> {
--- a/testing/loadgen/src/plan.rs
+++ b/testing/loadgen/src/plan.rs
@@ -8,14 +8,14 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// A route that callers use.
+/// A route that clients send requests to.
 #[derive(Clone, Debug)]
 pub struct PlannedRoute {
     /// The HTTP method.
     pub method: Method,
     /// The path.
     pub path: String,
-    /// The function that its requests should reach, or the beginning of its name.
+    /// The function that its requests should reach, or a prefix of its name.
     pub function: String,
     /// Whether its requests must run at most once.
     pub once: bool,
@@ -23,43 +23,44 @@
     pub weight: u64,
     /// The shortest and the longest timeout of its requests.
     pub timeout: (Duration, Duration),
-    /// How long a runner is to work on each; it draws that itself if this is not given.
-    pub work: Option<Duration>,
+    /// The duration of each run; if absent, the runner chooses it.
+    pub run_duration: Option<Duration>,
 }
 
-/// How callers retry requests without an answer.
+/// How clients retry requests that were not answered.
 #[derive(Clone, Debug)]
 pub struct RetryBehaviour {
-    /// The share of requests that are retried at once, from 0 to 1.
+    /// The share of requests that are retried immediately, from 0 to 1.
     pub share: f64,
-    /// The largest number of retries of each of them.
+    /// The maximum number of retries per request.
     pub max_retries: u32,
 }
 
-/// Callers that keep a connection each, and use it until its daemon closes it or is gone.
+/// Clients that each keep one connection open, until its daemon closes it or terminates.
 #[derive(Clone, Copy, Debug)]
-pub struct KeptConnections {
-    /// The number of connections, spread evenly over all ingresses, ready or not.
+pub struct PersistentConnections {
+    /// The number of connections. They are spread evenly over all ingresses, whether these are ready or not.
     pub count: usize,
-    /// The longest pause between two requests of a connection.
-    pub longest_pause: Duration,
-    /// The index of the route that the patient connections use alone.
-    pub patient_route: usize,
-    /// The number of patient connections: every second one, from the first, until there are so many.
-    pub patient_count: usize,
-    /// Of how many requests a caller leaves one, in the mean, by closing its connection before the response; zero for none.
-    pub leaves_one_of: u64,
-    /// The longest time until a caller leaves.
-    pub longest_stay: Duration,
+    /// The longest pause between two requests on a connection.
+    pub max_pause: Duration,
+    /// The index of the only route that the single-route connections use.
+    pub single_route: usize,
+    /// The number of single-route connections: every second connection from the first, up to this number.
+    pub single_route_count: usize,
+    /// On average, one in this number of requests is abandoned: the client closes the connection before the response.
+    /// Zero for none.
+    pub abandon_one_in: u64,
+    /// The longest time until a client abandons a request.
+    pub max_abandon_delay: Duration,
 }
 
-/// Many requests within a short time.
+/// Many requests in a short time.
 #[derive(Clone, Debug)]
 pub struct Burst {
-    /// When it begins, from the start of the load.
-    pub at: Duration,
-    /// How long it lasts.
-    pub lasts: Duration,
+    /// The time of its start, from the start of the load.
+    pub start: Duration,
+    /// The duration.
+    pub duration: Duration,
     /// The number of requests.
     pub count: u64,
     /// The index of the first route that is used.
@@ -73,13 +74,13 @@
 pub struct Plan {
     /// The seed of all random choices.
     pub seed: u64,
-    /// How long requests are sent at the rate; bursts may go on for longer.
-    pub lasts: Duration,
-    /// The mean rate of requests per second; their gaps are exponentially distributed.
+    /// The duration for which requests are sent at the rate; bursts may last longer.
+    pub duration: Duration,
+    /// The mean rate of requests per second; the gaps between them are exponentially distributed.
     pub rate: f64,
     /// The ingresses of the daemons.
     pub ingresses: Vec<SocketAddress>,
-    /// The platform, which lists the ready ingresses; without it all of them are used.
+    /// The platform, which lists the ready ingresses. Without it, all ingresses are used.
     pub platform: Option<SocketAddress>,
     /// The routes.
     pub routes: Vec<PlannedRoute>,
@@ -87,8 +88,8 @@
     pub retry_behaviour: RetryBehaviour,
     /// The bursts.
     pub bursts: Vec<Burst>,
-    /// The callers with kept connections, if there are any.
-    pub kept_connections: Option<KeptConnections>,
+    /// The clients with persistent connections, if any.
+    pub persistent_connections: Option<PersistentConnections>,
     /// The path of the record file.
     pub records: PathBuf,
 }
@@ -118,17 +119,17 @@
     reader.is_present().then(|| millis(reader)).flatten()
 }
 
-fn read_kept_connections(reader: &PathReader<'_>) -> Option<KeptConnections> {
+fn read_persistent_connections(reader: &PathReader<'_>) -> Option<PersistentConnections> {
     if !reader.is_present() {
         return None;
     }
-    Some(KeptConnections {
+    Some(PersistentConnections {
         count: reader.field("count").number(1..=10_000)? as usize,
-        longest_pause: millis(&reader.field("longest_pause_ms"))?,
-        patient_route: reader.field("patient_route").number(0..=100_000)? as usize,
-        patient_count: reader.field("patient_count").number(0..=10_000)? as usize,
-        leaves_one_of: reader.field("leaves_one_of").number_or(0..=1_000_000, 0),
-        longest_stay: optional_millis(&reader.field("longest_stay_ms")).unwrap_or_default(),
+        max_pause: millis(&reader.field("longest_pause_ms"))?,
+        single_route: reader.field("patient_route").number(0..=100_000)? as usize,
+        single_route_count: reader.field("patient_count").number(0..=10_000)? as usize,
+        abandon_one_in: reader.field("leaves_one_of").number_or(0..=1_000_000, 0),
+        max_abandon_delay: optional_millis(&reader.field("longest_stay_ms")).unwrap_or_default(),
     })
 }
 
@@ -142,14 +143,14 @@
         once: reader.field("once").bool_or(false),
         weight: reader.field("weight").number_or(0..=1_000_000, 1),
         timeout: (millis(timeouts.first()?)?, millis(timeouts.last()?)?),
-        work: optional_millis(&reader.field("work_ms")),
+        run_duration: optional_millis(&reader.field("work_ms")),
     })
 }
 
 fn read_burst(reader: &PathReader<'_>) -> Option<Burst> {
     Some(Burst {
-        at: millis(&reader.field("at_ms"))?,
-        lasts: millis(&reader.field("lasts_ms"))?,
+        start: millis(&reader.field("at_ms"))?,
+        duration: millis(&reader.field("lasts_ms"))?,
         count: reader.field("count").number(1..=1_000_000)?,
         first_route: reader.field("first_route").number_or(0..=100_000, 0) as usize,
         route_count: reader.field("route_count").number_or(1..=100_000, 1) as usize,
@@ -177,7 +178,7 @@
 ];
 
 impl Plan {
-    /// Draws a route by weight.
+    /// Draws the index of a route by weight.
     pub(super) fn random_route(&self, rng: &mut SeededRng) -> usize {
         let weight_sum: u64 = self.routes.iter().map(|route| route.weight).sum();
         let mut point = rng.below(weight_sum.max(1));
@@ -192,7 +193,7 @@
     /// Reads a plan.
     ///
     /// # Errors
-    /// Fails with all errors of fields that are missing, unknown or malformed.
+    /// Fails with the errors of all fields that are missing, unknown or malformed.
     pub fn read(source: &SettingsSource) -> Result<Self, PlanError> {
         Ok(source.read(Self::read_root)?)
     }
@@ -205,13 +206,13 @@
         let routes = read_items(&root.field("routes"), read_route);
         if ingresses.is_empty() || routes.is_empty() {
             root.field("doors").add_error(PathErrorReason::Malformed(
-                "needs doors and routes".to_owned(),
+                "and routes must not be empty".to_owned(),
             ));
         }
         let bursts = read_items(&root.field("bursts"), read_burst);
         Some(Self {
             seed: root.field("seed").number_or(0..=u64::MAX, 1),
-            lasts: millis(&root.field("lasts_ms"))?,
+            duration: millis(&root.field("lasts_ms"))?,
             rate: root.field("rate").value().and_then(Value::as_f64)?,
             ingresses,
             platform: if platform_reader.is_present() {
@@ -225,7 +226,7 @@
                 max_retries: retry_reader.field("most").number_or(0..=100, 0) as u32,
             },
             bursts,
-            kept_connections: read_kept_connections(&root.field("kept")),
+            persistent_connections: read_persistent_connections(&root.field("kept")),
             records: PathBuf::from(root.field("records").text()?),
         })
     }
