--- a/testing/support/fixtures.rs
+++ b/testing/support/fixtures.rs
@@ -1,18 +1,18 @@
-//! Where committed fixtures are, and whether they are being rewritten. Shared by the modules that compare forms
+//! The paths of committed fixtures, and the mode in which tests rewrite them. Shared by the modules that compare output
 //! with fixtures: text (`forms.rs`), lists (`form_list.rs`) and directories (`form_folders.rs`).
 
 use std::path::{Path, PathBuf};
 
-/// With this variable set to 1, fixtures are rewritten, and every test that holds one fails all the same: no test
-/// can pass by what it has just written.
+/// If this variable is set to 1, tests rewrite their fixtures and then fail, so that no test can pass against a fixture
+/// that it has just written.
 pub(crate) const REWRITE_VARIABLE: &str = "RUDDERSTREAM_WRITE_FORMS";
 
-/// Where a fixture of a crate is.
+/// Returns the path of a fixture of a crate.
 pub(crate) fn path(crate_folder: &str, fixture: &str) -> PathBuf {
     Path::new(crate_folder).join("tests/forms").join(fixture)
 }
 
-/// Whether fixtures are being rewritten. Panics if the variable has another value than 1, so that a mistake in it
+/// Whether fixtures are being rewritten. Panics if the variable is set to anything but 1, so that a typing mistake
 /// neither rewrites fixtures nor lets a test pass.
 pub(crate) fn are_rewritten() -> bool {
     let Some(value) = std::env::var_os(REWRITE_VARIABLE) else {
@@ -25,8 +25,8 @@
     true
 }
 
-/// What a test that has rewritten its fixture fails with.
+/// Returns the failure message of a test that has rewritten its fixture.
 pub(crate) fn rewritten_message(fixture: &Path) -> String {
     let fixture = fixture.display();
-    format!("{fixture} was rewritten; check what changed, and run without {REWRITE_VARIABLE}")
+    format!("{fixture} was rewritten; review the changes, then run without {REWRITE_VARIABLE}")
 }
--- a/testing/support/form_folders.rs
+++ b/testing/support/form_folders.rs
@@ -1,7 +1,7 @@
-//! Compares directories that the sources write with committed ones. Included by the tests that hold them.
+//! Compares directories that the code under test writes with committed fixtures.
 //!
-//! While fixtures are rewritten, a committed directory is written only where it differs. Some are made from others:
-//! rewrite them twice.
+//! While fixtures are being rewritten, a fixture is written only if it differs. Some fixtures are derived from others, so
+//! rewriting takes two runs.
 
 #[path = "fixtures.rs"]
 mod fixtures;
@@ -13,18 +13,18 @@
 
 const CRATE_FOLDER: &str = env!("CARGO_MANIFEST_DIR");
 
-/// A temporary directory of the test; it is removed when the value is dropped.
+/// A temporary directory of the test, which is removed on drop.
 pub(crate) struct TempDirectory(pub(crate) PathBuf);
 
 impl TempDirectory {
-    /// A directory that does not exist yet.
+    /// Returns the path of a directory that does not exist yet.
     pub(crate) fn new(name: &str) -> Self {
         let path = std::env::temp_dir().join(format!("rudder-forms-{name}-{}", std::process::id()));
         let _ = fs::remove_dir_all(&path);
         Self(path)
     }
 
-    /// A copy of a committed directory, which may be written to.
+    /// Creates a writable copy of a fixture.
     pub(crate) fn copy_of(fixture: &str, name: &str) -> Result<Self> {
         let folder = Self::new(name);
         fs::create_dir_all(&folder.0)?;
@@ -60,7 +60,7 @@
 
 fn write(fixture: &str, files: &BTreeMap<String, Vec<u8>>) -> Result<()> {
     let fixture_path = fixture_path(fixture);
-    if !files_in(&fixture_path).is_ok_and(|held| held == *files) {
+    if !files_in(&fixture_path).is_ok_and(|committed| committed == *files) {
         let _ = fs::remove_dir_all(&fixture_path);
         fs::create_dir_all(&fixture_path)?;
         for (file_name, file_bytes) in files {
@@ -70,7 +70,8 @@
     fail!("{}", fixtures::rewritten_message(&fixture_path))
 }
 
-/// Succeeds only if a directory has exactly the files of the committed one that is made in the same way.
+/// Succeeds only if a directory has exactly the files of a fixture, byte for byte. While fixtures are being rewritten,
+/// writes the fixture and fails.
 pub(crate) fn check(fixture: &str, folder: &Path) -> Result<()> {
     if fixtures::are_rewritten() {
         return write(fixture, &files_in(folder)?);
@@ -78,8 +79,8 @@
     compare(fixture, folder)
 }
 
-/// Succeeds only if a directory has exactly the files of a committed one, byte for byte; an error while fixtures
-/// are being rewritten.
+/// Succeeds only if a directory has exactly the files of a fixture, byte for byte. Fails while fixtures are being
+/// rewritten.
 pub(crate) fn compare(fixture: &str, folder: &Path) -> Result<()> {
     if fixtures::are_rewritten() {
         return fail!(
@@ -87,22 +88,23 @@
             fixtures::REWRITE_VARIABLE
         );
     }
-    let made = files_in(folder)?;
-    let held = files_in(&fixture_path(fixture))?;
+    let actual = files_in(folder)?;
+    let expected = files_in(&fixture_path(fixture))?;
     let as_text = |file: Option<&Vec<u8>>| {
-        file.map_or("nothing".to_owned(), |bytes| {
+        file.map_or("(no file)".to_owned(), |bytes| {
             String::from_utf8_lossy(bytes).into_owned()
         })
     };
-    let mut file_names: Vec<&String> = held.keys().chain(made.keys()).collect();
+    let mut file_names: Vec<&String> = expected.keys().chain(actual.keys()).collect();
     file_names.sort();
     file_names.dedup();
     let differences: Vec<String> = file_names
         .into_iter()
-        .filter(|name| held.get(*name) != made.get(*name))
+        .filter(|name| expected.get(*name) != actual.get(*name))
         .map(|name| {
-            let (held_text, made_text) = (as_text(held.get(name)), as_text(made.get(name)));
-            format!("file {name}:\n  held {held_text}\n  made {made_text}")
+            let (expected_text, actual_text) =
+                (as_text(expected.get(name)), as_text(actual.get(name)));
+            format!("file {name}:\n  expected {expected_text}\n  actual {actual_text}")
         })
         .collect();
     if differences.is_empty() {
--- a/testing/support/form_list.rs
+++ b/testing/support/form_list.rs
@@ -1,7 +1,7 @@
-//! Compares a list of named forms with a committed fixture. Included by the tests that hold such lists.
+//! Compares a list of named serialized forms with a committed fixture.
 //!
-//! A fixture has one form a line: its name, a space, and the form as text. The names are words of the wire, so
-//! that they stay when types are renamed.
+//! A fixture has one form per line: its name, a space, and the form as text. The names are those used on the wire, so
+//! that they don't change when types are renamed.
 
 #[path = "forms.rs"]
 mod text_forms;
@@ -12,15 +12,15 @@
 
 const CRATE_FOLDER: &str = env!("CARGO_MANIFEST_DIR");
 
-/// One form by its name.
+/// A serialized form with its name.
 pub(crate) struct Form {
-    /// The form's name; it is unique and has no white space.
+    /// The name, which is unique and has no whitespace.
     pub(crate) name: String,
-    /// The form as one line of text: hexadecimal for bytes.
+    /// The form as one line of text, in hexadecimal for bytes.
     pub(crate) text: String,
 }
 
-/// The forms in a fixture; an error while fixtures are being rewritten.
+/// Returns the forms in a fixture. Fails while fixtures are being rewritten.
 pub(crate) fn expected_forms(fixture: &str) -> Result<Vec<Form>> {
     if fixtures::are_rewritten() {
         fail!(
@@ -40,7 +40,7 @@
         .collect())
 }
 
-/// Succeeds only if the forms are those of the fixture: name by name, text by text, in the fixture's order.
+/// Succeeds only if the forms equal those of the fixture in name, text and order.
 pub(crate) fn check(fixture: &str, forms: &[Form]) -> Result<()> {
     let names: BTreeSet<&str> = forms.iter().map(|form| form.name.as_str()).collect();
     verify_that!(names.len(), eq(forms.len()))?;
