--- a/testing/support/controller_settings.rs
+++ b/testing/support/controller_settings.rs
@@ -1,4 +1,5 @@
-//! What a controller reads from its settings, by the keys that users write. Included by the tests that hold it.
+//! Converts a controller's parsed settings to JSON, for comparison with fixtures. The keys are mostly those of the
+//! settings file.
 
 use controlplane::settings::ControllerSettings;
 use serde_json::{Value, json};
@@ -8,7 +9,7 @@
     span.as_millis() as u64
 }
 
-/// Every value that was read, as JSON.
+/// Returns all parsed values as JSON.
 pub(crate) fn to_json(settings: &ControllerSettings) -> Value {
     let addresses: Vec<String> = settings.seeds.iter().map(ToString::to_string).collect();
     let (consensus, leader) = (&settings.consensus_timing, &settings.leader_state_timing);
--- a/testing/support/daemon_settings.rs
+++ b/testing/support/daemon_settings.rs
@@ -1,4 +1,5 @@
-//! What a daemon reads from its settings, by the keys that users write. Included by the tests that hold it.
+//! Converts a daemon's parsed settings to JSON, for comparison with fixtures. The keys are mostly those of the settings
+//! file.
 
 use common::identity::Zone;
 use dataplane::settings::DaemonSettings;
@@ -9,7 +10,7 @@
     span.as_millis() as u64
 }
 
-/// Every value that was read, as JSON; regions are shown for these zones.
+/// Returns all parsed values as JSON, with the regions of the given zones.
 pub(crate) fn to_json(settings: &DaemonSettings, zones: &[&str]) -> Value {
     let addresses: Vec<String> = settings.seeds.iter().map(ToString::to_string).collect();
     let region_of = |zone: &str| {
--- a/testing/support/program_start.rs
+++ b/testing/support/program_start.rs
@@ -1,15 +1,15 @@
-//! Whether a process has begun to run its program.
+//! Waits until a process executes the code of its program.
 
 use std::time::{Duration, Instant};
 
-/// How long a process may take until it runs its program; then a signal is sent all the same.
+/// How long to wait for a process to start its program. After that the caller proceeds anyway.
 const START_TIMEOUT: Duration = Duration::from_secs(5);
-/// The line of `/proc/PID/status` with the set of signals that have a handler, in hexadecimal.
+/// The prefix of the line in `/proc/PID/status` with the hexadecimal mask of signals that have a handler.
 const HANDLED_SIGNALS: &str = "SigCgt:";
 
-/// Waits until a process runs its program's own code. Before that it is in the system's loader, where a signal without a
-/// handler ends it whatever the program does. The first code of a program sets handlers: of its own, or those of
-/// Rust's runtime.
+/// Waits until a process executes its program's own code. Before that it is in the dynamic loader, where no handlers are
+/// installed, so a signal terminates it whatever the program does. The first code of a program installs handlers: its own
+/// or those of the Rust runtime.
 pub(crate) fn await_program_start(process: u32) {
     let started_at = Instant::now();
     while !has_handlers(process) && started_at.elapsed() < START_TIMEOUT {
@@ -17,7 +17,7 @@
     }
 }
 
-/// Whether the process handles any signal; also true of a process that does not exist any more.
+/// Whether the process handles any signal. Also true if the process has terminated.
 fn has_handlers(process: u32) -> bool {
     let Ok(status) = std::fs::read_to_string(format!("/proc/{process}/status")) else {
         return true;
@@ -26,6 +26,6 @@
     let handled = status
         .lines()
         .find_map(|line| line.strip_prefix(HANDLED_SIGNALS));
-    let handled_set = handled.and_then(|set| u64::from_str_radix(set.trim(), 16).ok());
-    is_zombie || handled_set != Some(0)
+    let handled_mask = handled.and_then(|mask| u64::from_str_radix(mask.trim(), 16).ok());
+    is_zombie || handled_mask != Some(0)
 }
--- a/testing/support/setting_probes.rs
+++ b/testing/support/setting_probes.rs
@@ -1,10 +1,10 @@
-//! Gives a reader of settings every wrong value of every key. Included by the tests that hold its answers.
+//! Probes a settings reader with malformed values for every key.
 
 use serde_json::{Value, json};
 use std::fmt::Write;
 
-/// The values by which every value of a full file is replaced.
-fn wrong_values() -> Vec<Value> {
+/// Returns the values with which each value of a full file is replaced.
+fn probe_values() -> Vec<Value> {
     vec![
         json!(null),
         json!(true),
@@ -23,8 +23,8 @@
     ]
 }
 
-/// The JSON pointer (RFC 6901) of every value in a document, except the document's own.
-fn pointers(value: &Value, pointer: &str, found: &mut Vec<String>) {
+/// Collects the JSON pointer (RFC 6901) of every value in a document, except that of the document itself.
+fn collect_pointers(value: &Value, pointer: &str, collected: &mut Vec<String>) {
     let inner: Vec<(String, &Value)> = match value {
         Value::Object(fields) => fields
             .iter()
@@ -39,8 +39,8 @@
     };
     for (key, inner_value) in inner {
         let inner_pointer = format!("{pointer}/{key}");
-        found.push(inner_pointer.clone());
-        pointers(inner_value, &inner_pointer, found);
+        collected.push(inner_pointer.clone());
+        collect_pointers(inner_value, &inner_pointer, collected);
     }
 }
 
@@ -61,44 +61,48 @@
     document
 }
 
-/// The bounds that an error names.
-fn bounds(answer: &str) -> Option<(u64, u64)> {
-    let (least, most) = answer.split_once(" is not within ")?.1.split_once(" to ")?;
-    Some((least.parse().ok()?, most.parse().ok()?))
+/// Parses the bounds in an error message.
+fn bounds(message: &str) -> Option<(u64, u64)> {
+    let (min, max) = message
+        .split_once(" is not within ")?
+        .1
+        .split_once(" to ")?;
+    Some((min.parse().ok()?, max.parse().ok()?))
 }
 
-/// The answers to every wrong value, a line each: the key, its value, and the complete text of the error, or that the
-/// value was accepted. Numbers are tried at both ends of the bounds that the reader names, and just outside them.
+/// Returns the result of reading each malformed value, one per line: the key, the value, and the complete error message,
+/// or that the value was accepted. If an error message names the bounds of a number, the bounds and the values just
+/// outside them are tried too.
 pub(crate) fn probe_results(full: &Value, read: impl Fn(&Value) -> Result<(), String>) -> String {
-    let answer = |document: &Value| read(document).err().unwrap_or_else(|| "taken".to_owned());
+    let result = |document: &Value| read(document).err().unwrap_or_else(|| "taken".to_owned());
     let mut text = String::new();
-    let _ = writeln!(text, "the full file: {}", answer(full));
+    let _ = writeln!(text, "the full file: {}", result(full));
     for document in [json!({}), json!([]), json!(null), json!("text")] {
-        let _ = writeln!(text, "the whole file = {document}: {}", answer(&document));
+        let _ = writeln!(text, "the whole file = {document}: {}", result(&document));
     }
-    let mut found = Vec::new();
-    pointers(full, "", &mut found);
-    for pointer in found {
+    let mut pointers = Vec::new();
+    collect_pointers(full, "", &mut pointers);
+    for pointer in pointers {
         let key = pointer.trim_start_matches('/').replace('/', ".");
-        let _ = writeln!(text, "{key} missing: {}", answer(&without(full, &pointer)));
-        let mut values = wrong_values();
-        let largest = answer(&with(full, &pointer, json!(u64::MAX)));
-        if let Some((least, most)) = bounds(&largest) {
-            values.extend(least.checked_sub(1).map(Value::from));
-            values.extend([json!(least), json!(most), json!(most + 1)]);
+        let _ = writeln!(text, "{key} missing: {}", result(&without(full, &pointer)));
+        let mut values = probe_values();
+        let result_for_max = result(&with(full, &pointer, json!(u64::MAX)));
+        if let Some((min, max)) = bounds(&result_for_max) {
+            values.extend(min.checked_sub(1).map(Value::from));
+            values.extend([json!(min), json!(max), json!(max + 1)]);
         }
         for value in values {
             let line = format!("{key} = {value}");
-            let _ = writeln!(text, "{line}: {}", answer(&with(full, &pointer, value)));
+            let _ = writeln!(text, "{line}: {}", result(&with(full, &pointer, value)));
         }
         if full.pointer(&pointer).is_some_and(Value::is_object) {
             let mut document = full.clone();
             document.pointer_mut(&pointer).expect("an object")["colour"] = json!(7);
-            let _ = writeln!(text, "{key}.colour = 7: {}", answer(&document));
+            let _ = writeln!(text, "{key}.colour = 7: {}", result(&document));
         }
     }
     let mut document = full.clone();
     document["colour"] = json!(7);
-    let _ = writeln!(text, "colour = 7: {}", answer(&document));
+    let _ = writeln!(text, "colour = 7: {}", result(&document));
     text
 }
--- a/testing/support/settings_file.rs
+++ b/testing/support/settings_file.rs
@@ -1,5 +1,5 @@
-//! What each program that reads a settings file must print: version, help, and every error of the file by its key.
-//! Included by the programs' own tests, since only those know the path of the binary.
+//! Checks of a program that reads a settings file: its version, its help, its errors by key, and that signals during
+//! startup don't terminate it. Included by the programs' own tests, since only those know the path of the binary.
 
 #[path = "program_start.rs"]
 mod program_start;
@@ -14,47 +14,48 @@
 
 /// A program under test.
 pub(crate) struct Binary {
-    /// Its name, as it prints it.
+    /// The name that the program prints.
     pub(crate) name: &'static str,
     /// The path of the binary.
     pub(crate) path: &'static str,
 }
 
 impl Binary {
-    /// Runs it until it ends.
+    /// Runs the program until it exits.
     pub(crate) fn run(&self, arguments: &[&str]) -> Output {
         Command::new(self.path)
             .args(arguments)
             .output()
-            .expect("it runs")
+            .expect("the program runs")
     }
 
-    /// A settings file of this test process, which the caller removes.
+    /// Writes a temporary settings file, which the caller removes.
     pub(crate) fn write_file(&self, name: &str, text: &str) -> PathBuf {
         let file_name = format!("{}-{name}-{}.json", self.name, std::process::id());
         let path = std::env::temp_dir().join(file_name);
-        std::fs::write(&path, text).expect("a file");
+        std::fs::write(&path, text).expect("the file is written");
         path
     }
 
-    /// Checks that it refuses settings with exit code 2 and one line that names the file, and returns that line.
+    /// Checks that the program rejects settings with exit code 2 and one line on stderr that names the file. Returns the
+    /// line.
     pub(crate) fn check_refused(&self, name: &str, text: &str, more: &[&str]) -> String {
         let path = self.write_file(name, text);
-        let mut arguments = vec!["--boot", path.to_str().expect("a path")];
+        let mut arguments = vec!["--boot", path.to_str().expect("a UTF-8 path")];
         arguments.extend(more);
         let output = self.run(&arguments);
         let stderr_text = String::from_utf8_lossy(&output.stderr).trim().to_owned();
         assert_eq!(output.status.code(), Some(2), "{stderr_text}");
         assert_eq!(stderr_text.lines().count(), 1, "{stderr_text}");
         assert!(
-            stderr_text.contains(path.to_str().expect("a path")),
+            stderr_text.contains(path.to_str().expect("a UTF-8 path")),
             "{stderr_text}"
         );
         let _ = std::fs::remove_file(path);
         stderr_text
     }
 
-    /// Checks that it prints its version and its help.
+    /// Checks that the program prints its version and its help.
     pub(crate) fn check_version_and_help(&self) {
         let version = self.run(&["--version"]);
         let version_text = String::from_utf8_lossy(&version.stdout).into_owned();
@@ -66,7 +67,7 @@
         assert!(String::from_utf8_lossy(&self.run(&["--help"]).stdout).contains("--boot"));
     }
 
-    /// Checks that it names bad settings by file, key and reason.
+    /// Checks that errors in settings name the file, the key and the reason.
     pub(crate) fn check_bad_settings(&self) {
         let unknown = self.check_refused("unknown", r#"{"colour": "red"}"#, &[]);
         assert!(unknown.contains("colour is not a known key"), "{unknown}");
@@ -97,8 +98,8 @@
         let _ = self.check_refused("seeds", seeds, &[]);
     }
 
-    /// Checks that a SIGHUP that comes while the settings are still being read does not end it. The settings come
-    /// through a named pipe: once it can be opened for writing, the process is waiting for them.
+    /// Checks that a SIGHUP while the settings are being read does not terminate the program. The program reads the
+    /// settings from a named pipe; once that can be opened for writing, the process is waiting for them.
     #[allow(dead_code)]
     pub(crate) fn check_hang_up_while_reading_settings(&self) {
         let pipe = SettingsPipe::create(self.name);
@@ -108,11 +109,11 @@
         verify_refuses_settings(child, writer);
     }
 
-    /// Checks that a SIGHUP that comes when the process runs its first code does not end it, at many starts.
+    /// Checks, over many starts, that a SIGHUP as soon as the program's own code runs does not terminate it.
     #[allow(dead_code)]
     pub(crate) fn check_hang_up_at_program_start(&self) {
         let pipe = SettingsPipe::create(&format!("{}-first-code", self.name));
-        for _ in 0..STARTS {
+        for _ in 0..HANG_UP_STARTS {
             let mut child = self.start_with(&pipe);
             await_program_start(child.id());
             send_hangup(&child);
@@ -121,21 +122,21 @@
         }
     }
 
-    /// Starts it with settings that it waits for.
+    /// Starts the program with settings from a pipe, for which it waits.
     fn start_with(&self, pipe: &SettingsPipe) -> Child {
         Command::new(self.path)
             .arg("--boot")
             .arg(&pipe.path)
             .stderr(std::process::Stdio::null())
             .spawn()
-            .expect("it starts")
+            .expect("the program starts")
     }
 }
 
-/// How often a program is started to be hung up at its first code.
-const STARTS: usize = 40;
+/// How many times a program is started to receive a SIGHUP at its start.
+const HANG_UP_STARTS: usize = 40;
 
-/// A named pipe through which a process gets its settings; removed when this is dropped.
+/// A named pipe from which a process reads its settings; removed on drop.
 struct SettingsPipe {
     path: PathBuf,
 }
@@ -149,18 +150,21 @@
         Self { path }
     }
 
-    /// Opens the pipe for writing once the process waits for its settings.
+    /// Opens the pipe for writing as soon as the process waits for its settings.
     fn writer_to(&self, child: &mut Child) -> File {
         loop {
             let opened = OpenOptions::new()
                 .write(true)
-                .custom_flags(NONBLOCKING)
+                .custom_flags(O_NONBLOCK)
                 .open(&self.path);
             if let Ok(writer) = opened {
                 return writer;
             }
             let status = child.try_wait().expect("a status");
-            assert!(status.is_none(), "it ended before it read: {status:?}");
+            assert!(
+                status.is_none(),
+                "the program exited before it read its settings: {status:?}"
+            );
         }
     }
 }
@@ -171,9 +175,11 @@
     }
 }
 
-/// Gives the process settings that it refuses, and checks that it ends for that reason.
+/// Writes settings that the process rejects, and checks that it exits for that reason.
 fn verify_refuses_settings(mut child: Child, mut writer: File) {
-    writer.write_all(b"{}").expect("it reads");
+    writer
+        .write_all(b"{}")
+        .expect("the process reads its settings");
     drop(writer);
     let status = child.wait().expect("a status");
     assert_eq!(status.code(), Some(2), "{status}");
@@ -184,5 +190,5 @@
     kill_process(process, Signal::HUP).expect("a signal");
 }
 
-/// `O_NONBLOCK`: opening a pipe for writing fails unless it is open for reading.
-const NONBLOCKING: i32 = 0o4000;
+/// `O_NONBLOCK`, with which opening a pipe for writing fails unless it is open for reading.
+const O_NONBLOCK: i32 = 0o4000;
