--- a/testing/support/caller_responses.rs
+++ b/testing/support/caller_responses.rs
@@ -1,5 +1,5 @@
-//! The bytes that an ingress codec writes for requests that were not run, or whose outcome is unknown. Included by the
-//! tests that hold them, beside `wire` and `http_forms`.
+//! Responses of an ingress codec to requests that were not run, or whose outcome is unknown, as text for fixtures.
+//! Including tests also need the modules `wire` and `http_forms`.
 
 use crate::http_forms::append_section;
 use crate::wire;
@@ -8,7 +8,7 @@
 use common::identity::IdempotencyKey;
 use std::time::Duration;
 
-/// Every failure reason, by its number on the wire.
+/// Returns every failure reason with its number on the wire.
 pub(crate) fn reasons() -> Vec<(u8, RequestFailureReason)> {
     let read_reason = |number: u8| {
         decode::<RequestFailureReason>(&[number])
@@ -18,7 +18,7 @@
     (0..=u8::MAX).filter_map(read_reason).collect()
 }
 
-/// The bytes of a response to a caller.
+/// Returns the HTTP response to a caller as text.
 pub(crate) async fn response_text(
     codec: &dyn IngressCodec,
     key: Option<&IdempotencyKey>,
@@ -27,7 +27,8 @@
     wire::response(codec.write_response(key, response)).await
 }
 
-/// The responses to requests that were not run: of each kind with each of these retry times, and one without a key.
+/// Appends the responses to requests that were not run: for each kind with each retry time, and one without an
+/// idempotency key.
 pub(crate) async fn append_not_run(
     text: &mut String,
     codec: &dyn IngressCodec,
@@ -58,7 +59,7 @@
             );
         }
     }
-    let unnamed = CallerResponse::NotRun {
+    let without_key = CallerResponse::NotRun {
         kind: NotRunKind::BadRequest,
         reason: "bad_header",
         header: Some(codec.idempotency_key_header()),
@@ -67,11 +68,11 @@
     append_section(
         text,
         "without an identity",
-        &response_text(codec, None, unnamed).await,
+        &response_text(codec, None, without_key).await,
     );
 }
 
-/// The responses to requests whose outcome is unknown, for every reason.
+/// Appends the responses to requests whose outcome is unknown, for every reason.
 pub(crate) async fn append_unknown(
     text: &mut String,
     codec: &dyn IngressCodec,
--- a/testing/support/http_forms.rs
+++ b/testing/support/http_forms.rs
@@ -1,5 +1,5 @@
-//! What tests of HTTP forms share: the function, its runner, header fields, and the sections of a form. Included by the
-//! tests that hold such forms.
+//! Helpers shared by the tests that compare HTTP messages with fixtures: a function, its runner, headers, and sections of
+//! a fixture.
 
 use common::frames::SocketAddress;
 use common::identity::{FencingToken, FunctionKey, RunnerId, Version};
@@ -7,8 +7,8 @@
 use std::fmt::Write;
 
 /// Appends a message under a heading.
-pub(crate) fn append_section(text: &mut String, what: &str, message: &str) {
-    let _ = writeln!(text, "## {what}\n{message}\n");
+pub(crate) fn append_section(text: &mut String, heading: &str, message: &str) {
+    let _ = writeln!(text, "## {heading}\n{message}\n");
 }
 
 pub(crate) fn function() -> FunctionKey {
--- a/testing/support/operator_requests.rs
+++ b/testing/support/operator_requests.rs
@@ -1,9 +1,9 @@
-//! Heads of operators' requests. Included by the tests of how they are read.
+//! Heads of operators' requests, for the tests that parse them.
 
 use hyper::http::request::Parts;
 use hyper::{Method, Request};
 
-/// The head of a request with these headers.
+/// Returns the head of a request with the given headers.
 pub(crate) fn request_head(method: &str, target: &str, headers: &[(&str, &str)]) -> Parts {
     let method = Method::from_bytes(method.as_bytes()).expect("a method");
     let mut request = Request::builder().method(method).uri(target);
--- a/testing/support/platform_double.rs
+++ b/testing/support/platform_double.rs
@@ -1,4 +1,4 @@
-//! A platform that responds as a test prescribes, and records the calls. Included by the tests that hold the calls.
+//! A test double of the platform that returns prepared responses and records the calls.
 
 use common::frames::SocketAddress;
 use std::net::SocketAddr;
@@ -6,18 +6,20 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-/// A platform that gives prepared responses, one after another, and records the calls.
+/// A test double of the platform that returns prepared responses in order and records the calls.
 pub(crate) struct PlatformDouble {
     /// The address at which it listens.
     pub(crate) address: SocketAddress,
     calls: Arc<Mutex<Vec<String>>>,
 }
 
-fn length(head: &str) -> usize {
-    let named = head
+fn content_length(head: &str) -> usize {
+    let length_text = head
         .lines()
         .find_map(|line| line.strip_prefix("content-length: "));
-    named.and_then(|text| text.trim().parse().ok()).unwrap_or(0)
+    length_text
+        .and_then(|text| text.trim().parse().ok())
+        .unwrap_or(0)
 }
 
 async fn read_call(stream: &mut TcpStream) -> String {
@@ -25,15 +27,15 @@
     while !message.ends_with(b"\r\n\r\n") {
         message.push(stream.read_u8().await.expect("a complete head"));
     }
-    let mut body = vec![0; length(&String::from_utf8_lossy(&message))];
+    let mut body = vec![0; content_length(&String::from_utf8_lossy(&message))];
     stream.read_exact(&mut body).await.expect("a complete body");
     message.extend(body);
     String::from_utf8_lossy(&message).replace("\r\n", "\n")
 }
 
 impl PlatformDouble {
-    /// A platform that responds with these statuses and bodies, one for each call, and then accepts no more. Its task
-    /// is detached and ends with the last response.
+    /// Starts a double that answers each call with the next status and body, and accepts no calls after the last. Its
+    /// task is detached and ends with the last response.
     pub(crate) async fn answering(answers: &[(u16, String)]) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let SocketAddr::V4(address) = listener.local_addr().expect("an address") else {
@@ -59,7 +61,7 @@
         Self { address, calls }
     }
 
-    /// The calls so far, in the order in which they came.
+    /// Returns the calls so far, in order of arrival.
     pub(crate) fn calls(&self) -> Vec<String> {
         self.calls.lock().expect("the calls").clone()
     }
--- a/testing/support/platform_orders.rs
+++ b/testing/support/platform_orders.rs
@@ -1,4 +1,4 @@
-//! Orders to the platform, and what its response to a start is taken for. Included by the tests that hold the calls.
+//! Orders to the platform, and descriptions of its parsed responses, for comparison with fixtures.
 
 use common::adapter::{StartOrder, StartOutcome, StopOrder};
 use common::identity::{FencingToken, FunctionKey, InstanceId, RunnerId};
@@ -10,7 +10,7 @@
     ordinal: 0x2b,
 };
 
-/// An order to start the runner for a function on a worker.
+/// Returns an order to start the runner for a function on a worker.
 pub(crate) fn start_order(function: FunctionKey, worker: &str) -> StartOrder {
     StartOrder {
         runner: RUNNER,
@@ -23,7 +23,7 @@
     }
 }
 
-/// An order to stop the runner, whose instance may be unknown.
+/// Returns an order to stop the runner. Its instance may be unknown.
 pub(crate) fn stop_order(function: FunctionKey, worker: &str, instance: Option<&str>) -> StopOrder {
     StopOrder {
         runner: RUNNER,
@@ -35,7 +35,7 @@
     }
 }
 
-/// What a response to a start was taken for, in words.
+/// Describes the parsed response to a start.
 pub(crate) fn describe_outcome(outcome: &StartOutcome) -> String {
     match outcome {
         StartOutcome::Started(instance) => {
@@ -48,12 +48,12 @@
     }
 }
 
-/// What a response to a stop was taken for, in words.
+/// Describes the parsed response to a stop.
 pub(crate) fn describe_stop(is_stopped: bool) -> &'static str {
     if is_stopped { "stopped" } else { "not sure" }
 }
 
-/// What a list was taken for: its rows as JSON, or that it was not read.
+/// Describes a parsed list: its rows as JSON, or that it could not be read.
 pub(crate) fn describe_list(rows: Option<serde_json::Value>) -> String {
     rows.map_or_else(|| "not read".to_owned(), |rows| rows.to_string())
 }
--- a/testing/support/wire.rs
+++ b/testing/support/wire.rs
@@ -1,4 +1,4 @@
-//! The bytes of HTTP requests and responses as the peer receives them. Included by the tests that hold them.
+//! Captures HTTP requests and responses as the peer receives them, for comparison with fixtures.
 
 use bytes::Bytes;
 use common::http::{ConnectionLimits, HttpResponse, serve_connection};
@@ -14,8 +14,8 @@
 
 const PIPE_BYTES: usize = 1 << 20;
 
-/// The text of a message, with plain line ends and without its date.
-fn shown(message: &[u8]) -> String {
+/// Returns a message as text, with LF line endings and its date replaced.
+fn to_text(message: &[u8]) -> String {
     let text = String::from_utf8_lossy(message).replace("\r\n", "\n");
     let is_dated = |line: &str| line.starts_with("date: ");
     let lines = text
@@ -24,7 +24,7 @@
     lines.collect::<Vec<_>>().join("\n")
 }
 
-/// What a caller receives in response to a request, which is given as text with plain line ends.
+/// Returns the response that a caller receives to a request. Both are text with LF line endings.
 pub(crate) async fn response_from<H, F>(handler: H, request_text: &str) -> String
 where
     H: Fn(Request<Incoming>) -> F,
@@ -36,26 +36,30 @@
         idle: Duration::from_secs(10),
     };
     let (_stop_sender, stop) = watch::channel(false);
-    let (head, body) = request_text.split_once("\n\n").expect("a head");
+    let (head, body) = request_text
+        .split_once("\n\n")
+        .expect("a blank line after the head");
     let sent = format!("{}\r\n\r\n{body}", head.replace('\n', "\r\n"));
-    far.write_all(sent.as_bytes()).await.expect("it is sent");
+    far.write_all(sent.as_bytes())
+        .await
+        .expect("the request is sent");
     let reading = async {
         let mut message = Vec::new();
-        far.read_to_end(&mut message).await.expect("an answer");
+        far.read_to_end(&mut message).await.expect("a response");
         message
     };
     let serving = serve_connection(near, handler, limits, stop);
     let (message, ()) = tokio::join!(reading, serving);
-    shown(&message)
+    to_text(&message)
 }
 
-/// A response as it is received on a connection that ends with it.
+/// Returns a response as received on a connection that closes after it.
 pub(crate) async fn response(response: HttpResponse) -> String {
     let pending_response = Arc::new(Mutex::new(Some(response)));
     let handler = move |_| {
         let response = pending_response
             .lock()
-            .expect("a response")
+            .expect("the lock is not poisoned")
             .take()
             .expect("one request");
         async move { response }
@@ -63,11 +67,13 @@
     response_from(handler, "GET / HTTP/1.1\nhost: h\nconnection: close\n\n").await
 }
 
-fn length(head: &str) -> usize {
-    let named = head
+fn content_length(head: &str) -> usize {
+    let length_text = head
         .lines()
         .find_map(|line| line.strip_prefix("content-length: "));
-    named.and_then(|text| text.trim().parse().ok()).unwrap_or(0)
+    length_text
+        .and_then(|text| text.trim().parse().ok())
+        .unwrap_or(0)
 }
 
 async fn read_request(mut far: DuplexStream) -> Vec<u8> {
@@ -77,7 +83,7 @@
         message.push(byte);
         let is_head_complete = message.ends_with(b"\r\n\r\n");
         if is_head_complete {
-            let mut body = vec![0; length(&String::from_utf8_lossy(&message))];
+            let mut body = vec![0; content_length(&String::from_utf8_lossy(&message))];
             far.read_exact(&mut body).await.expect("a complete body");
             message.extend(body);
             return message;
@@ -85,7 +91,7 @@
     }
 }
 
-/// A request as the server receives it.
+/// Returns a request as the server receives it.
 #[allow(dead_code)]
 pub(crate) async fn request(request: Request<Full<Bytes>>) -> String {
     let (near, far) = duplex(PIPE_BYTES);
@@ -93,5 +99,5 @@
     let (mut sender, connection) = handshake.await.expect("a connection");
     let sending = sender.send_request(request);
     let (message, _, _) = tokio::join!(read_request(far), sending, connection);
-    shown(&message)
+    to_text(&message)
 }
