--- a/testing/support/change_kinds.rs
+++ b/testing/support/change_kinds.rs
@@ -1,9 +1,9 @@
-//! What a change to the configuration was read as. Included by the tests that hold it.
+//! Converts parsed changes of the configuration to JSON, for comparison with fixtures.
 
 use controlplane::controller_state::ChangeKind;
 use serde_json::{Value, json};
 
-/// A change with all that was read of it, as JSON.
+/// Returns a parsed change as JSON, with all its fields.
 pub(crate) fn to_json(kind: &ChangeKind) -> Value {
     match kind {
         ChangeKind::FullSpec(spec) => json!({"spec": spec.to_value()}),
--- a/testing/support/commands.rs
+++ b/testing/support/commands.rs
@@ -1,21 +1,21 @@
-//! What programs print, and their exit codes. Included by the tests that hold them.
+//! Captures the output and exit codes of programs, for comparison with fixtures.
 
 use std::process::Command;
 
-/// What a program prints when it is run with arguments, and its exit code; its version is shown as VERSION.
+/// Runs a program and returns its output and exit code as text. Its version is replaced by `VERSION`.
 pub(crate) fn output(program: &str, arguments: &[&str], variables: &[(&str, &str)]) -> String {
     let output = Command::new(program)
         .args(arguments)
         .envs(variables.iter().copied())
         .output()
-        .expect("it runs");
+        .expect("the program runs");
     let printed = String::from_utf8_lossy(&output.stdout).into_owned();
     let printed_errors = String::from_utf8_lossy(&output.stderr).into_owned();
     let version = env!("CARGO_PKG_VERSION");
     let exit_code = output.status.code();
     let exit_code = exit_code.map_or_else(|| "none".to_owned(), |code| code.to_string());
-    let shown = arguments.join(" ");
-    let text = format!("## {shown}\nexit code {exit_code}\n{printed}");
+    let command_line = arguments.join(" ");
+    let text = format!("## {command_line}\nexit code {exit_code}\n{printed}");
     let text = if printed_errors.is_empty() {
         text
     } else {
@@ -24,7 +24,7 @@
     text.replace(version, "VERSION") + "\n"
 }
 
-/// What a program prints for each of several command lines, one after another, with the same variables.
+/// Runs a program once for each command line, with the same environment variables, and returns the concatenated results.
 pub(crate) fn outputs(
     program: &str,
     command_lines: &[&[&str]],
--- a/testing/support/consensus_peers.rs
+++ b/testing/support/consensus_peers.rs
@@ -1,4 +1,4 @@
-//! Consensus nodes of a control quorum of three, and the peers' frames to them. Included by the tests of a single node.
+//! Consensus nodes of a control quorum of three, and frames from their peers, for tests of a single node.
 
 use common::clock::MonotonicTime;
 use common::frames::{ConsensusFrame, ConsensusMessage, Flag, LengthPrefixed, SocketAddress};
@@ -8,10 +8,10 @@
 use common::spec::{Document, Voter};
 use controlplane::consensus::{ConsensusNode, ConsensusTiming, ControllerAddress, PersistedState};
 
-/// The moment at which every node starts.
+/// The time at which every node starts.
 pub(crate) const START: MonotonicTime = MonotonicTime(1_000_000_000);
 
-/// The address of a controller, for its peers and for operators.
+/// Returns the address of a controller, which is the same for peers and operators.
 pub(crate) fn address(number: u64) -> SocketAddress {
     SocketAddress(format!("10.0.0.{number}:1").parse().expect("an address"))
 }
@@ -20,7 +20,7 @@
     Zone::from(format!("zone-{number}"))
 }
 
-/// The voters, numbered from one, each in a zone of its own.
+/// Returns the three voters, numbered from one, each in a different zone.
 pub(crate) fn three_voters() -> Vec<Voter> {
     let voter = |number| Voter {
         id: ControllerId(number),
@@ -30,10 +30,10 @@
     (1..4).map(voter).collect()
 }
 
-/// A controller that starts with a document on its disk.
+/// Creates the consensus node of a controller that starts with a document on its disk.
 pub(crate) fn consensus_node(number: u64, document: Document, rules: Rules) -> ConsensusNode {
-    let mut disk = PersistedState::empty(ControllerId(number));
-    disk.accepted = Some(document);
+    let mut persisted = PersistedState::empty(ControllerId(number));
+    persisted.accepted = Some(document);
     let controller_address = ControllerAddress {
         address: address(number),
         operator_address: address(number),
@@ -44,7 +44,7 @@
     ConsensusNode::new(
         START,
         timing,
-        disk,
+        persisted,
         controller_address,
         zone(number),
         seeds,
@@ -53,7 +53,7 @@
     .with_rules(rules)
 }
 
-/// A message as its sender frames it.
+/// Wraps a message in a frame of the given sender.
 pub(crate) fn frame(from: u64, body: ConsensusMessage) -> ConsensusFrame {
     ConsensusFrame {
         from: ControllerId(from),
@@ -64,7 +64,7 @@
     }
 }
 
-/// The response of a voter that grants every vote and accepts every version; none to anything else.
+/// Returns the response of a voter that grants every vote and accepts every version. Other messages have none.
 pub(crate) fn agreeing_response(request: &ConsensusMessage) -> Option<ConsensusMessage> {
     match request {
         ConsensusMessage::VoteRequest {
--- a/testing/support/json_mutations.rs
+++ b/testing/support/json_mutations.rs
@@ -1,16 +1,17 @@
-//! Copies of a JSON document in each of which one value has another type, or one name stands twice.
+//! Mutated copies of a JSON document: in each copy, one value has a different type, or one name occurs twice.
 
 use serde_json::{Value, json};
 
-/// A copy with one value of another type.
+/// A copy in which one value has a different type.
 pub(crate) struct Mutation {
-    /// Where the value is, with dots between the names; empty for the document itself.
+    /// The path of the value, with dots between the names; empty for the document itself.
     pub(crate) path: String,
-    /// The copy.
+    /// The mutated copy.
     pub(crate) document: Value,
 }
 
-/// All copies in which one value, at any depth, has another JSON type. Null stands for a missing value and is left out.
+/// Returns all copies in which one value, at any depth, has a different JSON type. Null is not used, since it stands for
+/// a missing value.
 pub(crate) fn wrong_types(document: &Value) -> Vec<Mutation> {
     let mut pointers = Vec::new();
     collect_pointers(document, String::new(), &mut pointers);
@@ -75,15 +76,15 @@
     }
 }
 
-/// A copy in which one name stands twice, as text: a parsed value cannot hold it.
+/// A copy in which one name occurs twice. It is kept as text, since a parsed value can't represent it.
 pub(crate) struct RepeatedName {
-    /// Where the name is, with dots between the names.
+    /// The path of the name, with dots between the names.
     pub(crate) path: String,
-    /// The copy.
+    /// The mutated copy.
     pub(crate) text: String,
 }
 
-/// All copies in which one name of one object, at any depth, stands twice with two values.
+/// Returns all copies in which one name of one object, at any depth, occurs twice: first with null, then with its value.
 pub(crate) fn repeated_names(document: &Value) -> Vec<RepeatedName> {
     let mut pointers = Vec::new();
     collect_pointers(document, String::new(), &mut pointers);
@@ -97,7 +98,7 @@
         .collect()
 }
 
-/// Whether a pointer leads to a field of an object.
+/// Whether a pointer refers to a field of an object.
 fn is_field(document: &Value, pointer: &str) -> bool {
     let parent = pointer.rsplit_once('/').map(|(parent, _)| parent);
     parent
@@ -105,7 +106,7 @@
         .is_some_and(Value::is_object)
 }
 
-/// The value as text, with the field at the pointer twice.
+/// Returns the value as text, with the field at the pointer `repeated` twice.
 fn text_with_repeated(value: &Value, pointer: String, repeated: &str) -> String {
     let inner = |name: &str, inner: &Value| {
         text_with_repeated(inner, format!("{pointer}/{name}"), repeated)
--- a/testing/support/running_controller.rs
+++ b/testing/support/running_controller.rs
@@ -1,4 +1,4 @@
-//! A controller that runs within the test, on ports of this machine.
+//! A controller that runs in the process of the test, on local ports.
 
 use common::readers::SettingsSource;
 use controlplane::drivers::{Controller, ControllerAdapters};
@@ -9,23 +9,23 @@
 use std::path::{Path, PathBuf};
 use tokio::sync::watch;
 
-/// A controller that runs within the test.
+/// A controller that runs in the process of the test.
 pub(crate) struct RunningController {
-    /// Where it serves operators.
+    /// The address at which it serves operators.
     pub(crate) operators: SocketAddr,
-    /// Where it serves other processes.
+    /// The address at which it serves other processes.
     pub(crate) address: SocketAddr,
-    /// Stops it once it is true.
+    /// Stops the controller when set to true.
     #[allow(dead_code)]
     pub(crate) stop: watch::Sender<bool>,
 }
 
-fn free_port() -> SocketAddr {
+fn free_address() -> SocketAddr {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
     listener.local_addr().expect("an address")
 }
 
-/// Starts a controller on ports that were just free; if another program has taken one since, it tries others.
+/// Starts a controller on free ports. If another program has taken one in the meantime, other ports are tried.
 pub(crate) async fn start_controller(
     seed: Option<SocketAddr>,
     data: Option<&Path>,
@@ -33,14 +33,14 @@
     start_controller_with_faults(seed, data, || Box::new(NoFaults)).await
 }
 
-/// The same with a fault hook at its disk.
+/// Starts a controller like [`start_controller`], with a fault hook for its disk.
 pub(crate) async fn start_controller_with_faults(
     seed: Option<SocketAddr>,
     data: Option<&Path>,
     fault_hook: impl Fn() -> Box<dyn DiskFaultHook>,
 ) -> RunningController {
     for _ in 0..20 {
-        let (address, operators) = (free_port(), free_port());
+        let (address, operators) = (free_address(), free_address());
         let settings = json!({
             "place": address.to_string(), "operators": operators.to_string(), "locality": "north",
             "seeds": [seed.unwrap_or(address).to_string()], "platform": "127.0.0.1:9",
@@ -62,7 +62,7 @@
     panic!("no port is free");
 }
 
-/// A new folder for its data.
+/// Creates the data directory of a controller.
 pub(crate) fn create_data_directory(name: &str) -> PathBuf {
     let folder =
         std::env::temp_dir().join(format!("controller-forms-{name}-{}", std::process::id()));
--- a/testing/support/rust_sources.rs
+++ b/testing/support/rust_sources.rs
@@ -1,8 +1,8 @@
-//! The sources below a folder. Included by the tests that hold what all of them have in common.
+//! Lists source files, for tests that check all of them.
 
 use std::path::{Path, PathBuf};
 
-/// Every file of Rust source in a folder and the folders in it.
+/// Returns all Rust source files in a folder and its subfolders.
 pub(crate) fn in_folder(folder: &Path) -> Vec<PathBuf> {
     let mut sources = Vec::new();
     for entry in std::fs::read_dir(folder).expect("a folder") {
