--- a/testing/fleet/src/synthetic/size.rs
+++ b/testing/fleet/src/synthetic/size.rs
@@ -1,16 +1,16 @@
-//! The size of a synthetic fleet, checked against the memory of the machine.
+//! The size of a synthetic fleet, and its check against the memory of the machine.
 
 use std::path::PathBuf;
 use std::time::Duration;
 
 const MEBIBYTE: u64 = 1 << 20;
-/// The memory of a daemon in bytes, rounded up from runs of small fleets: its base, and for each other daemon and each
-/// function.
+/// The estimated memory of a daemon in bytes, rounded up: a constant part, and parts per daemon and per function in the
+/// fleet.
 const DAEMON_BYTES: u64 = 64 << 10;
 const DAEMON_BYTES_PER_DAEMON: u64 = 2 << 10;
 const DAEMON_BYTES_PER_FUNCTION: u64 = 4 << 10;
-/// The memory of the controllers, runners and frames in flight for each function, in bytes.
-const CORE_BYTES_PER_FUNCTION: u64 = 40 << 10;
+/// The estimated memory of controllers, runners and frames in flight per function, in bytes.
+const SHARED_BYTES_PER_FUNCTION: u64 = 40 << 10;
 
 /// The size of a synthetic fleet and of its measurement.
 #[derive(Clone, Copy, Debug)]
@@ -19,46 +19,46 @@
     pub daemons: usize,
     /// The number of functions, each with a route.
     pub functions: usize,
-    /// The number of functions that are called, so that a lease is held for them.
+    /// The number of functions that are called, for which leases are therefore held.
     pub held: usize,
     /// The number of runners of each held function.
     pub runners: u32,
-    /// The number of changes of the spec during the measurement.
+    /// The number of changes to the spec during the measurement.
     pub changes: u32,
-    /// The seed.
+    /// The seed of all random choices.
     pub seed: u64,
-    /// Calls per second and daemon during the measurement.
+    /// The number of calls per second and daemon during the measurement.
     pub calls: u32,
     /// The duration of the measurement in virtual time.
     pub measured: Duration,
-    /// The limit of the real time of a run.
+    /// The limit of the real time that the run may take.
     pub real_time_limit: Duration,
 }
 
-/// Why a fleet of a size cannot be built. The text of [`SizeError::Unreadable`] includes its cause.
+/// An error in the size of a fleet. The message of [`SizeError::Unreadable`] includes its cause.
 #[derive(Debug, thiserror::Error)]
 pub enum SizeError {
     /// The size given by this flag is zero.
-    #[error("--{0} is 0; the least is 1, as nothing can be measured on nothing")]
+    #[error("--{0} is 0; it must be at least 1")]
     Zero(&'static str),
-    /// More functions are to be held than there are.
-    #[error("--held {0} is above the limit of {1}, as only functions of the spec can be held")]
-    Held(usize, usize),
-    /// It would need more than half of the machine's memory; the needed memory and that half, in megabytes.
+    /// More functions are to be held than the spec has; both numbers.
+    #[error("--held {0} exceeds the limit of {1}, the number of functions in the spec")]
+    TooManyHeld(usize, usize),
+    /// The fleet needs more than half of the machine's memory; the needed memory and that half, in megabytes.
     #[error(
-        "such a fleet needs some {0} MB, and the limit is {1} MB, half of the machine's memory, so that the rest of it goes on working; each daemon keeps the whole spec: use fewer daemons or functions"
+        "the fleet needs about {0} MB, and the limit is {1} MB, half of the machine's memory, so that other processes keep running; each daemon stores the whole spec: use fewer daemons or functions"
     )]
-    Memory(u64, u64),
-    /// The file with the machine's memory cannot be read.
+    NotEnoughMemory(u64, u64),
+    /// The file that states the machine's memory cannot be read.
     #[error("{path}: {cause}", path = .0.display(), cause = .1)]
     Unreadable(PathBuf, std::io::Error),
-    /// The file does not give the machine's memory.
-    #[error("{path}: no total of memory there", path = .0.display())]
-    Unknown(PathBuf),
+    /// The file does not state the machine's memory.
+    #[error("{path}: MemTotal is missing or malformed", path = .0.display())]
+    NoMemoryTotal(PathBuf),
 }
 
 impl SyntheticSize {
-    /// An estimate of the memory that the fleet needs, in bytes.
+    /// Estimates the memory that the fleet needs, in bytes.
     pub fn needed_bytes(&self) -> u64 {
         let daemons = self.daemons as u64;
         let functions = self.functions as u64;
@@ -67,13 +67,14 @@
             .saturating_add(functions.saturating_mul(DAEMON_BYTES_PER_FUNCTION));
         daemons
             .saturating_mul(daemon)
-            .saturating_add(functions.saturating_mul(CORE_BYTES_PER_FUNCTION))
+            .saturating_add(functions.saturating_mul(SHARED_BYTES_PER_FUNCTION))
     }
 
-    /// Checks the size.
+    /// Returns the size if a fleet of this size can be built.
     ///
     /// # Errors
-    /// Fails if a size is zero, or the fleet does not fit into half of the machine's memory.
+    /// Fails if a size is zero, if more functions are to be held than the spec has, or if the fleet does not fit into half
+    /// of the machine's memory.
     pub fn checked(self) -> Result<Self, SizeError> {
         let sizes = [
             ("daemons", self.daemons as u64),
@@ -87,18 +88,18 @@
             return Err(SizeError::Zero(flag));
         }
         if self.held > self.functions {
-            return Err(SizeError::Held(self.held, self.functions));
+            return Err(SizeError::TooManyHeld(self.held, self.functions));
         }
         let half_bytes = half_of_memory()?;
         if self.needed_bytes() > half_bytes {
             let (needed_mb, half_mb) = (self.needed_bytes() / MEBIBYTE, half_bytes / MEBIBYTE);
-            return Err(SizeError::Memory(needed_mb, half_mb));
+            return Err(SizeError::NotEnoughMemory(needed_mb, half_mb));
         }
         Ok(self)
     }
 }
 
-/// Half of the machine's memory, in bytes.
+/// Returns half of the machine's memory, in bytes.
 pub(super) fn half_of_memory() -> Result<u64, SizeError> {
     let path = PathBuf::from("/proc/meminfo");
     let lines = std::fs::read_to_string(&path)
@@ -108,5 +109,5 @@
         .find_map(|line| line.strip_prefix("MemTotal:"))
         .and_then(|rest| rest.split_whitespace().next()?.parse::<u64>().ok())
         .map(|kibibytes| kibibytes * 1024 / 2)
-        .ok_or(SizeError::Unknown(path))
+        .ok_or(SizeError::NoMemoryTotal(path))
 }
--- a/testing/fleet/tests/capacity.rs
+++ b/testing/fleet/tests/capacity.rs
@@ -1,4 +1,4 @@
-//! Tests that the capacity page agrees with its records, and that impossible sizes are refused.
+//! Tests that the capacity page agrees with the recorded runs, and that invalid sizes are rejected.
 
 use fleet::synthetic::page::{LinearModel, Predictor, Run, read_runs, render_page, tables};
 use fleet::synthetic::{SyntheticFleet, SyntheticSize};
@@ -51,34 +51,34 @@
         })
         .collect();
     let predictors = [Predictor::One, Predictor::Daemons, Predictor::Functions];
-    let line = LinearModel::fit(&predictors, &points);
+    let model = LinearModel::fit(&predictors, &points);
     verify_that!(
-        line.at_target(),
+        model.at_target(),
         near(7.0 + 3.0 * 740.0 + 0.25 * 15_000.0, 1e-3)
     )
 }
 
 #[gtest]
-fn every_size_asked_for_was_run_with_three_seeds() -> Result<()> {
+fn every_required_size_was_measured_with_three_seeds() -> Result<()> {
     let runs = read_runs(&documents().join("capacity/runs"))?;
     for daemons in [50.0, 100.0, 200.0, 400.0, 740.0] {
-        let complete_runs = runs
+        let baseline_runs = runs
             .iter()
             .filter(|run| run.is_baseline() && run.daemons() == daemons);
-        let mut seeds: Vec<u64> = complete_runs.map(|run| run.seed()).collect();
+        let mut seeds: Vec<u64> = baseline_runs.map(|run| run.seed()).collect();
         seeds.sort_unstable();
         seeds.dedup();
         verify_that!(seeds, eq(&vec![1, 2, 3]))?;
     }
-    let deepest = runs.iter().map(|run| run.number("functions") as u64).max();
-    verify_that!(deepest, some(eq(15_000)))
+    let max_functions = runs.iter().map(|run| run.number("functions") as u64).max();
+    verify_that!(max_functions, some(eq(15_000)))
 }
 
 #[gtest]
-fn sizes_that_cannot_be_are_refused_with_limit_and_reason() -> Result<()> {
+fn invalid_sizes_are_rejected_with_limit_and_reason() -> Result<()> {
     let cases: [(&[&str], &str); 5] = [
-        (&["hollow", "--daemons", "0"], "the least is 1"),
-        (&["hollow", "--functions", "0"], "the least is 1"),
+        (&["hollow", "--daemons", "0"], "must be at least 1"),
+        (&["hollow", "--functions", "0"], "must be at least 1"),
         (&["hollow", "--functions", "5", "--held", "9"], "limit of 5"),
         (
             &["hollow", "--daemons", "100000", "--functions", "15000"],
@@ -87,16 +87,16 @@
         (&["hollow", "--moons", "3"], "moons"),
     ];
     for (arguments, reason) in cases {
-        let refused = run(arguments)?;
-        verify_that!(refused.status.code(), some(eq(2)))?;
-        let stderr_text = String::from_utf8_lossy(&refused.stderr).into_owned();
+        let output = run(arguments)?;
+        verify_that!(output.status.code(), some(eq(2)))?;
+        let stderr_text = String::from_utf8_lossy(&output.stderr).into_owned();
         verify_that!(stderr_text, contains_substring(reason))?;
     }
     Ok(())
 }
 
 #[gtest]
-fn a_small_fleet_holds_its_functions_and_answers() -> Result<()> {
+fn a_small_fleet_holds_its_functions_and_answers_calls() -> Result<()> {
     let size = SyntheticSize {
         daemons: 8,
         functions: 12,
