--- a/testing/fleet/src/synthetic/record.rs
+++ b/testing/fleet/src/synthetic/record.rs
@@ -1,4 +1,4 @@
-//! The record of one run of a synthetic fleet, as it is printed and written.
+//! The record of a run of a synthetic fleet, in the forms in which it is printed and written.
 
 use super::meter::{Role, Work, WorkCounters};
 use super::size::SyntheticSize;
@@ -9,12 +9,12 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// Why a run was stopped early, and at which virtual time.
+/// The reason why a run was stopped early, with the virtual time.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum StopReason {
-    /// The limit of real time was reached.
+    /// The run reached its limit of real time.
     TimeLimit(MonotonicTime),
-    /// Half of the machine's memory was used.
+    /// The run used more than half of the machine's memory.
     MemoryLimit(MonotonicTime),
 }
 
@@ -29,31 +29,31 @@
     }
 }
 
-/// The record of one run.
+/// The record of a run.
 pub struct RunRecord {
-    /// The fleet's size.
+    /// The size of the fleet and of the measurement.
     pub size: SyntheticSize,
-    /// The real time of the run.
+    /// The real time that the run took.
     pub real_time: Duration,
-    /// Why it was stopped early, if it was.
+    /// The reason why the run was stopped early, if it was.
     pub stopped: Option<StopReason>,
-    /// Functions held at the end, by all daemons together.
+    /// The number of functions held by all daemons at the end.
     pub held: u64,
-    /// Runners at the end.
+    /// The number of runners at the end.
     pub instances: u64,
     /// The number of daemons that a daemon counts as alive, summed over all samples.
     pub visible_daemons: u64,
     /// The number of samples.
     pub visibility_samples: u64,
-    /// Calls during the measurement.
+    /// The number of calls during the measurement.
     pub called: u64,
-    /// Calls answered.
+    /// The number of calls that were answered.
     pub answered: u64,
-    /// Calls not run.
+    /// The number of calls that were not run.
     pub not_run: u64,
-    /// Calls with an unknown outcome.
+    /// The number of calls with an unknown outcome.
     pub unknown: u64,
-    /// Session leases that ended.
+    /// The number of session leases that ended.
     pub leases_ended: u64,
     /// The size of the first document of the control quorum, in bytes.
     pub document_bytes: u64,
@@ -73,7 +73,7 @@
     pub following_bytes: u64,
     /// The memory of the leader, in bytes.
     pub leading_bytes: u64,
-    /// For each change in force its time on the network and the leader's processor time, in milliseconds.
+    /// For each change that came into force, its time on the network and the leader's processor time, in milliseconds.
     pub in_force: Vec<(f64, f64)>,
     /// The time of each installation of a change at a daemon, in milliseconds.
     pub installs: Vec<f64>,
@@ -81,7 +81,7 @@
     pub counters_by_work: BTreeMap<(Role, Work), WorkCounters>,
 }
 
-/// Why a record cannot be read or written. The texts include those of their causes.
+/// An error in reading or writing a record. The messages include those of their causes.
 #[derive(Debug, thiserror::Error)]
 pub enum RecordError {
     /// A file or folder cannot be read or written.
@@ -100,12 +100,12 @@
     values.iter().sum::<u64>() / values.len().max(1) as u64
 }
 
-fn most(values: impl Iterator<Item = f64>) -> f64 {
+fn rounded_max(values: impl Iterator<Item = f64>) -> f64 {
     rounded(values.fold(0.0, f64::max))
 }
 
 impl RunRecord {
-    /// An empty record.
+    /// Creates an empty record.
     pub fn new(size: &SyntheticSize) -> Self {
         Self {
             size: *size,
@@ -135,7 +135,7 @@
         }
     }
 
-    /// The mean number of daemons that a daemon counts as alive.
+    /// Returns the mean number of daemons that a daemon counts as alive.
     pub fn visible_daemons(&self) -> f64 {
         self.visible_daemons as f64 / self.visibility_samples.max(1) as f64
     }
@@ -158,7 +158,7 @@
         Value::Object(rows)
     }
 
-    /// The record as a JSON object.
+    /// Returns the record as a JSON object.
     pub fn to_value(&self) -> Value {
         let in_force: Vec<Value> = self
             .in_force
@@ -194,12 +194,12 @@
             "following_bytes": self.following_bytes,
             "leading_bytes": self.leading_bytes,
             "in_force_ms": in_force,
-            "install_ms": most(self.installs.iter().copied()),
+            "install_ms": rounded_max(self.installs.iter().copied()),
             "work": self.counter_rows(),
         })
     }
 
-    /// The file name of the record.
+    /// Returns the file name of the record.
     pub fn file_name(&self) -> String {
         let SyntheticSize {
             daemons,
@@ -213,7 +213,7 @@
         format!("d{daemons}-f{functions}-h{held}-r{runners}-k{calls}-s{seed}.json")
     }
 
-    /// Writes the record into a folder, which is created if it is missing; returns the path.
+    /// Writes the record to a folder, which is created if it is missing. Returns the path of the file.
     pub fn write(&self, folder: &Path) -> Result<PathBuf, RecordError> {
         std::fs::create_dir_all(folder)
             .map_err(|error| RecordError::File(folder.to_owned(), error))?;
@@ -255,7 +255,7 @@
         )
     }
 
-    /// Writes the counters of all daemons and controllers per second, a row for each role and kind of work.
+    /// Writes the counters per second, summed over all daemons and controllers, with a row per role and kind of work.
     fn write_counters(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         writeln!(
             out,
@@ -302,9 +302,9 @@
     }
 
     fn write_changes(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let network_ms = most(self.in_force.iter().map(|(network_ms, _)| *network_ms));
-        let leader_ms = most(self.in_force.iter().map(|(_, leader_ms)| *leader_ms));
-        let install_ms = most(self.installs.iter().copied());
+        let network_ms = rounded_max(self.in_force.iter().map(|(network_ms, _)| *network_ms));
+        let leader_ms = rounded_max(self.in_force.iter().map(|(_, leader_ms)| *leader_ms));
+        let install_ms = rounded_max(self.installs.iter().copied());
         writeln!(
             out,
             "in force: {} of {} changes; at most network {network_ms} ms, leader {leader_ms} ms, install {install_ms} ms",
