--- a/testing/fleet/src/synthetic/catalogue.rs
+++ b/testing/fleet/src/synthetic/catalogue.rs
@@ -1,14 +1,14 @@
-//! The spec of a synthetic fleet, and its changes.
+//! The spec of a synthetic fleet and changes to it.
 
 use common::rng::SeededRng;
 use serde_json::{Map, Value, json};
 
-/// The name of the function with this number, and of its route.
-pub(super) fn name_of(number: usize) -> String {
+/// Returns the name of the function with this number, which is also that of its route.
+pub(super) fn function_name(number: usize) -> String {
     format!("function-{number:05}")
 }
 
-fn function_of(rng: &mut SeededRng, runners: u32) -> Value {
+fn random_function(rng: &mut SeededRng, runners: u32) -> Value {
     json!({
         "memory_mb": 128 + 64 * rng.below(4),
         "boot_ms": 500 + rng.below(900),
@@ -17,12 +17,13 @@
     })
 }
 
-/// A spec with this number of functions, one route each; requests of one in four must run at most once.
-pub(super) fn spec_of(rng: &mut SeededRng, functions: usize, runners: u32) -> Value {
+/// Draws a spec with this number of functions and one route for each. One route in four is for requests that must run at
+/// most once.
+pub(super) fn random_spec(rng: &mut SeededRng, functions: usize, runners: u32) -> Value {
     let mut function_rows = Map::new();
     let mut route_rows = Map::new();
     for number in 0..functions {
-        let name = name_of(number);
+        let name = function_name(number);
         let kind = if number % 4 == 0 {
             "once"
         } else {
@@ -35,14 +36,14 @@
             "budget_ms": 3000,
             "kind": kind,
         });
-        function_rows.insert(name.clone(), function_of(rng, runners));
+        function_rows.insert(name.clone(), random_function(rng, runners));
         route_rows.insert(name, route_row);
     }
     json!({"functions": function_rows, "routes": route_rows})
 }
 
-/// Changes the slots of one function.
-pub(super) fn change_of(rng: &mut SeededRng, functions: usize, turn: u32) -> Value {
-    let name = name_of(rng.below(functions as u64) as usize);
-    json!({"functions": {name: {"slots": 5 + turn % 100}}})
+/// Draws a change of the slots of one function.
+pub(super) fn random_change(rng: &mut SeededRng, functions: usize, change_number: u32) -> Value {
+    let name = function_name(rng.below(functions as u64) as usize);
+    json!({"functions": {name: {"slots": 5 + change_number % 100}}})
 }
--- a/testing/fleet/src/synthetic/controllers.rs
+++ b/testing/fleet/src/synthetic/controllers.rs
@@ -1,11 +1,11 @@
-//! The controllers of a synthetic fleet, and the messages to and from them.
+//! The controllers of a synthetic fleet, and the messages that they receive and send.
 
 use super::catalogue;
 use super::events::{ControllerEvent, ControllerLinkEvent, DaemonLinkEvent, Event};
 use super::fleet::SyntheticFleet;
 use super::members::{Controller, OpenChange};
 use super::meter::{Role, Work};
-use super::platform::{HTTP_HEADERS, PLATFORM_LATENCY, read_runners, read_workers};
+use super::platform::{HTTP_HEADER_BYTES, PLATFORM_LATENCY, read_runners, read_workers};
 use super::wire;
 use super::zones::ZoneNumber;
 use bytes::Bytes;
@@ -25,7 +25,7 @@
 use serde_json::Value;
 use std::time::Duration;
 
-const SHORTEST_IDLE: Duration = Duration::from_millis(1);
+const MIN_TICK_INTERVAL: Duration = Duration::from_millis(1);
 const POLL_INTERVAL: Duration = Duration::from_millis(400);
 const DISK_LATENCY: Duration = Duration::from_millis(4);
 
@@ -57,7 +57,7 @@
     ) {
         let address = seeds[number];
         let timing = ConsensusTiming::builder().build();
-        let fresh_span = timing.election_timeout_min;
+        let confirmation_validity = timing.election_timeout_min;
         let consensus = ConsensusNode::new(
             self.now,
             timing,
@@ -70,8 +70,11 @@
             seeds.to_vec(),
             SeededRng::seeded(self.rng.number()),
         );
-        let controller_state =
-            ControllerState::new(consensus, LeaderTiming::builder().build(), fresh_span);
+        let controller_state = ControllerState::new(
+            consensus,
+            LeaderTiming::builder().build(),
+            confirmation_validity,
+        );
         self.controllers.push(Controller {
             controller_state,
             due: self.now,
@@ -110,7 +113,7 @@
     /// Handles an event at a controller's end of a link.
     pub(super) fn handle_controller_link_event(&mut self, link: usize, event: ControllerLinkEvent) {
         match event {
-            ControllerLinkEvent::Frame(frame) => self.handle_up_frame(link, &frame),
+            ControllerLinkEvent::Frame(frame) => self.handle_frame_from_daemon(link, &frame),
             ControllerLinkEvent::Lost => {
                 self.links[link].is_open = false;
                 let controller = self.links[link].controller;
@@ -120,42 +123,39 @@
         }
     }
 
-    /// Gives an input to a controller and executes its outputs.
+    /// Passes an input to a controller and executes the outputs.
     fn step_controller(&mut self, controller: usize, work: Work, input: ControllerInput) {
         let now = self.now;
         let role = self.controllers[controller].role();
         let controller_state = &mut self.controllers[controller].controller_state;
-        let (orders, _) = self
+        let (outputs, _) = self
             .meter
             .measure_step(role, work, || controller_state.handle_input(now, input));
         let due = self.controllers[controller].controller_state.next_due(now);
         self.controllers[controller].due = due;
-        for order in orders {
-            self.apply_controller_output(controller, order);
+        for output in outputs {
+            self.apply_controller_output(controller, output);
         }
     }
 
-    /// Runs the timers of a controller.
+    /// Runs the timers of a controller if they are due, and schedules the next tick.
     fn tick_controller(&mut self, controller: usize) {
         if self.now >= self.controllers[controller].due {
             self.step_controller(controller, Work::Ticks, ControllerInput::Tick);
         }
         let due = self.controllers[controller].due;
-        let idle_span = due.since(self.now).max(SHORTEST_IDLE);
-        self.push(
-            idle_span,
-            Event::Controller(controller, ControllerEvent::Tick),
-        );
+        let delay = due.since(self.now).max(MIN_TICK_INTERVAL);
+        self.push(delay, Event::Controller(controller, ControllerEvent::Tick));
     }
 
-    fn apply_controller_output(&mut self, controller: usize, order: ControllerOutput) {
+    fn apply_controller_output(&mut self, controller: usize, output: ControllerOutput) {
         let role = self.controllers[controller].role();
-        match order {
+        match output {
             ControllerOutput::Send(to, frame) => self.send_consensus(controller, to, &frame),
             ControllerOutput::Write(ticket, job) => {
                 if let WriteJob::Version(document) = &job {
                     let written_bytes = document.to_bytes().len() as u64;
-                    self.meter.sent(role, Work::Disk, 1, written_bytes);
+                    self.meter.count_sent(role, Work::Disk, 1, written_bytes);
                 }
                 self.push(
                     DISK_LATENCY,
@@ -163,20 +163,22 @@
                 );
             }
             ControllerOutput::FrameToDaemon(stream, frame) => {
-                self.send_down(controller, stream, &frame)
+                self.send_to_daemon(controller, stream, &frame)
             }
             ControllerOutput::CloseStream(stream) => self.close_link(stream.0 as usize),
             ControllerOutput::RequestLists => self.read_lists(controller),
-            ControllerOutput::StopRunner(order) => {
-                let runner = order.runner;
+            ControllerOutput::StopRunner(stop_order) => {
+                let runner = stop_order.runner;
                 self.meter
-                    .sent(Role::Platform, Work::Runners, 1, HTTP_HEADERS);
+                    .count_sent(Role::Platform, Work::Runners, 1, HTTP_HEADER_BYTES);
                 self.platform.stop(runner);
                 let stopped = ControllerEvent::RunnerStopped(runner);
                 self.push(PLATFORM_LATENCY, Event::Controller(controller, stopped));
             }
-            ControllerOutput::OperatorReply(ticket, reply) => self.operated(ticket, reply),
-            ControllerOutput::EventRecorded(numbered) => self.event_record(&numbered),
+            ControllerOutput::OperatorReply(ticket, reply) => {
+                self.handle_operation_reply(ticket, reply)
+            }
+            ControllerOutput::EventRecorded(numbered) => self.record_changes_in_force(&numbered),
         }
     }
 
@@ -188,16 +190,16 @@
         let Some(bytes) = wire::encode_sent(&mut self.meter, role, Work::Consensus, frame) else {
             return;
         };
-        let delay = Self::delay(controller, other);
+        let delay = Self::message_delay(controller, other);
         self.push(
             delay,
             Event::Controller(other, ControllerEvent::Consensus(bytes)),
         );
     }
 
-    fn send_down(&mut self, controller: usize, stream: StreamId, frame: &LeaderToDaemon) {
+    fn send_to_daemon(&mut self, controller: usize, stream: StreamId, frame: &LeaderToDaemon) {
         let role = self.controllers[controller].role();
-        let work = wire::work_down(frame);
+        let work = wire::work_of_leader_frame(frame);
         let link = stream.0 as usize;
         let Some(bytes) = wire::encode_sent(&mut self.meter, role, work, frame) else {
             return;
@@ -205,7 +207,7 @@
         if work == Work::Hosts {
             self.record.hosts_bytes = wire::frame_bytes(bytes.len());
         }
-        let delay = Self::delay(controller, self.links[link].daemon);
+        let delay = Self::message_delay(controller, self.links[link].daemon);
         self.push(
             delay,
             Event::DaemonLink(link, DaemonLinkEvent::Frame(bytes)),
@@ -221,16 +223,16 @@
         }
     }
 
-    fn handle_up_frame(&mut self, link: usize, bytes: &Bytes) {
+    fn handle_frame_from_daemon(&mut self, link: usize, bytes: &Bytes) {
         if !self.links[link].is_open {
             return;
         }
         let controller = self.links[link].controller;
         let role = self.controllers[controller].role();
-        let Ok(classified) = decode::<DaemonToLeader>(bytes) else {
+        let Ok(peeked_frame) = decode::<DaemonToLeader>(bytes) else {
             return;
         };
-        let work = wire::work_up(&classified);
+        let work = wire::work_of_daemon_frame(&peeked_frame);
         let Some(frame) = wire::decode_received(&mut self.meter, role, work, bytes) else {
             return;
         };
@@ -238,7 +240,7 @@
         self.step_controller(controller, work, input);
     }
 
-    /// Reads the platform's lists for the leader.
+    /// Schedules the next poll, and reads the platform's lists if this controller leads.
     fn poll(&mut self, controller: usize) {
         self.push(
             POLL_INTERVAL,
@@ -253,14 +255,14 @@
         }
         self.sample_visibility();
         let (workers_body, runners_body) = self.platform.list_bodies();
-        let (workers, runners) = self.meter.wire(Role::Platform, Work::Lists, 1, || {
+        let (workers, runners) = self.meter.measure_wire(Role::Platform, Work::Lists, 1, || {
             (read_workers(&workers_body), read_runners(&runners_body))
         });
         let list_bytes = (workers_body.len() + runners_body.len()) as u64;
         self.meter
-            .sent(Role::Platform, Work::Lists, 2, 2 * HTTP_HEADERS);
+            .count_sent(Role::Platform, Work::Lists, 2, 2 * HTTP_HEADER_BYTES);
         self.meter
-            .received(Role::Platform, Work::Lists, 2, list_bytes);
+            .count_received(Role::Platform, Work::Lists, 2, list_bytes);
         let listed_at = self.now;
         self.step_controller(controller, Work::Lists, ControllerInput::Workers(workers));
         self.step_controller(
@@ -270,14 +272,14 @@
         );
     }
 
-    /// Changes one function as an operator.
+    /// Sends a change of one function to the leader, as an operator does.
     pub(super) fn send_change(&mut self) {
         let Some(leader) = self.controllers.iter().position(Controller::is_leader) else {
             return;
         };
-        self.change_turn += 1;
-        let patch = catalogue::change_of(&mut self.rng, self.size.functions, self.change_turn);
-        let ticket = OperationTicket(self.number());
+        self.change_count += 1;
+        let patch = catalogue::random_change(&mut self.rng, self.size.functions, self.change_count);
+        let ticket = OperationTicket(self.next_number());
         let open_change = OpenChange {
             requested_at: self.now,
             leader_nanos: self.meter.leader_nanos,
@@ -287,7 +289,7 @@
         let operation = Operation::Change(ChangeRequest {
             base: None,
             numbering: None,
-            change: Some(ChangeId::from(format!("change-{}", self.change_turn))),
+            change: Some(ChangeId::from(format!("change-{}", self.change_count))),
             kind: ChangeKind::Patch(patch),
             wait: Wait::Accepted,
         });
@@ -295,7 +297,7 @@
         self.push(Duration::ZERO, Event::Controller(leader, operate));
     }
 
-    fn operated(&mut self, ticket: OperationTicket, reply: OperationReply) {
+    fn handle_operation_reply(&mut self, ticket: OperationTicket, reply: OperationReply) {
         let OperationReply::Accepted { version, .. } = reply else {
             return;
         };
@@ -304,8 +306,9 @@
         }
     }
 
-    /// Records the changes that are in force with this event: their time on the network and the leader's processor time.
-    fn event_record(&mut self, numbered: &NumberedEvent) {
+    /// Records the changes that came into force with this event: their time on the network and the leader's processor
+    /// time.
+    fn record_changes_in_force(&mut self, numbered: &NumberedEvent) {
         if numbered.event_record.event != events::VERSION_IN_FORCE {
             return;
         }
@@ -315,7 +318,7 @@
         };
         let leader_nanos = self.meter.leader_nanos;
         let now = self.now;
-        let done: Vec<OperationTicket> = self
+        let tickets_in_force: Vec<OperationTicket> = self
             .changes
             .iter()
             .filter(|(_, open_change)| {
@@ -323,7 +326,7 @@
             })
             .map(|(ticket, _)| *ticket)
             .collect();
-        for ticket in done {
+        for ticket in tickets_in_force {
             let Some(open_change) = self.changes.remove(&ticket) else {
                 continue;
             };
@@ -334,7 +337,7 @@
     }
 }
 
-/// The founding document with the first spec, as the control quorum has it on its disks.
+/// Returns the first document of the control quorum, with the first spec.
 fn first_document(ids: &[ControllerId], seeds: &[SocketAddress], first_spec: Value) -> Document {
     let members = ids.iter().zip(seeds).enumerate();
     let voters: Vec<Voter> = members
@@ -345,8 +348,9 @@
         })
         .collect();
     let checked_spec = read_spec(&first_spec).unwrap_or_default();
-    let founded = Document::initial(voters);
-    let mut document = founded.with_spec(first_spec, &checked_spec, ChangeId::from("founding"));
+    let initial_document = Document::initial(voters);
+    let mut document =
+        initial_document.with_spec(first_spec, &checked_spec, ChangeId::from("founding"));
     document.document_version = DocumentVersion {
         term: Term(1),
         version: Version(2),
--- a/testing/fleet/src/synthetic/daemons/callers.rs
+++ b/testing/fleet/src/synthetic/daemons/callers.rs
@@ -12,34 +12,35 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// First calls per second.
+/// The number of functions per second that are called for the first time.
 const FILL_RATE: u64 = 1000;
-const FILL_SHORTEST: Duration = Duration::from_millis(500);
+const MIN_FILL_SPAN: Duration = Duration::from_millis(500);
 const FILL_INTERVAL: Duration = Duration::from_millis(10);
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(3000);
-const REQUEST: &[u8] = &[b'q'; 256];
-/// The share of calls to the busiest twentieth of the functions.
+const REQUEST_BODY: &[u8] = &[b'q'; 256];
+/// The share of calls that are restricted to the busiest twentieth of the functions.
 const BUSY_SHARE: f64 = 0.9;
 
-/// The span in which every function is called for the first time.
+/// Returns the time span in which every function is called for the first time.
 pub(in crate::synthetic) fn fill_span(size: &SyntheticSize) -> Duration {
-    FILL_SHORTEST.max(Duration::from_millis(size.held as u64 * 1000 / FILL_RATE))
+    MIN_FILL_SPAN.max(Duration::from_millis(size.held as u64 * 1000 / FILL_RATE))
 }
 
 impl SyntheticFleet {
-    /// Calls every function once, each through a random ingress.
+    /// Calls the next functions for the first time, each through a random ingress, until all have been called.
     pub(in crate::synthetic) fn fill(&mut self) {
-        if self.fill_next == 0 {
+        if self.next_to_fill == 0 {
             self.record.join_nanos = self.meter.leader_nanos;
         }
-        let ticks = (fill_span(&self.size).as_millis() / FILL_INTERVAL.as_millis()).max(1) as usize;
-        let share = self.size.held.div_ceil(ticks);
-        let until = (self.fill_next + share).min(self.size.held);
-        for function in self.fill_next..until {
+        let batch_count =
+            (fill_span(&self.size).as_millis() / FILL_INTERVAL.as_millis()).max(1) as usize;
+        let batch_size = self.size.held.div_ceil(batch_count);
+        let until = (self.next_to_fill + batch_size).min(self.size.held);
+        for function in self.next_to_fill..until {
             self.call(function);
         }
-        self.fill_next = until;
-        if self.fill_next < self.size.held {
+        self.next_to_fill = until;
+        if self.next_to_fill < self.size.held {
             self.push(FILL_INTERVAL, Event::Fill);
         }
     }
@@ -52,9 +53,9 @@
         }
         self.push(Duration::from_secs_f64(1.0 / rate), Event::Call);
         let functions = self.size.held as u64;
-        let busiest = (functions / 20).max(1);
+        let busiest_count = (functions / 20).max(1);
         let bound = if self.rng.random_bool(BUSY_SHARE) {
-            busiest
+            busiest_count
         } else {
             functions
         };
@@ -64,12 +65,12 @@
 
     fn call(&mut self, function: usize) {
         let daemon = self.rng.below(self.size.daemons as u64) as usize;
-        let number = self.number();
+        let number = self.next_number();
         let now = self.now;
         let Some(agent) = self.agent(daemon) else {
             return;
         };
-        let route_name = catalogue::name_of(function);
+        let route_name = catalogue::function_name(function);
         let path = format!("/{route_name}/{number}");
         let idempotency_key = IdempotencyKey::from(format!("transaction-{number:012}"));
         self.record.called += 1;
@@ -92,7 +93,7 @@
             wants_referral: true,
             region: "".into(),
             repeat: false,
-            payload: Arc::new(RequestPayload::from_body(Bytes::from_static(REQUEST))),
+            payload: Arc::new(RequestPayload::from_body(Bytes::from_static(REQUEST_BODY))),
         };
         self.accept_request(daemon, request, ReplyTarget::Caller);
     }
--- a/testing/fleet/src/synthetic/daemons/control.rs
+++ b/testing/fleet/src/synthetic/daemons/control.rs
@@ -1,4 +1,4 @@
-//! The control sessions of daemons: their timers, their links to controllers, and their heartbeats.
+//! The control sessions of daemons, with their timers, links to controllers, and heartbeats.
 
 use crate::synthetic::events::{
     ControllerLinkEvent, DaemonEvent, DaemonLinkEvent, Event, HeartbeatDatagram,
@@ -23,10 +23,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-const SHORTEST_IDLE: Duration = Duration::from_millis(5);
-const LONGEST_IDLE: Duration = Duration::from_millis(100);
-/// One in this number of heartbeats is decoded from its bytes; its processor time is counted for the others too.
-const DECODE_EVERY: u64 = 8;
+const MIN_TICK_INTERVAL: Duration = Duration::from_millis(5);
+const MAX_TICK_INTERVAL: Duration = Duration::from_millis(100);
+/// Only one heartbeat in this number is decoded, and its processor time is multiplied by this number.
+const HEARTBEATS_PER_DECODE: u64 = 8;
 
 impl SyntheticFleet {
     /// Handles an event at a daemon.
@@ -49,9 +49,9 @@
         event: DaemonLinkEvent,
     ) {
         match event {
-            DaemonLinkEvent::Dialed => self.dialed(link),
-            DaemonLinkEvent::Frame(frame) => self.handle_down_frame(link, &frame),
-            DaemonLinkEvent::Lost => self.link_lost(link),
+            DaemonLinkEvent::Dialed => self.handle_dialed(link),
+            DaemonLinkEvent::Frame(frame) => self.handle_frame_from_controller(link, &frame),
+            DaemonLinkEvent::Lost => self.handle_link_lost(link),
         }
     }
 
@@ -66,7 +66,7 @@
             link_mbps: 0,
         };
         let agent = Arc::new(Agent::new(host, Rules::ALL_ENFORCED));
-        let controller = DaemonControl::new(
+        let daemon_control = DaemonControl::new(
             self.now,
             &agent,
             ControlSessionTiming::builder().build(),
@@ -76,18 +76,18 @@
         );
         self.daemons[daemon] = Some(Daemon {
             agent,
-            controller,
+            daemon_control,
             pending_requests: HashMap::new(),
             acquires: BTreeMap::new(),
             link: None,
             heartbeats_received: 0,
             due: self.now,
         });
-        let first_tick = self.rng.within(Duration::ZERO, LONGEST_IDLE);
+        let first_tick = self.rng.within(Duration::ZERO, MAX_TICK_INTERVAL);
         self.push(first_tick, Event::Daemon(daemon, DaemonEvent::Tick));
     }
 
-    /// Runs the timers of a daemon if they are due, and determines when the next ones are.
+    /// Runs the timers of a daemon if they are due, and schedules the next tick.
     fn tick_daemon(&mut self, daemon: usize) {
         let now = self.now;
         if self.daemons[daemon]
@@ -96,42 +96,43 @@
         {
             return;
         }
-        self.control(daemon, Work::Ticks, |controller, agent, now| {
-            controller.tick(agent, now)
+        self.step_control(daemon, Work::Ticks, |daemon_control, agent, now| {
+            daemon_control.tick(agent, now)
         });
         let Some(started_daemon) = &mut self.daemons[daemon] else {
             return;
         };
-        let (agent, controller) = (&started_daemon.agent, &started_daemon.controller);
-        let (next_due, _) = self
-            .meter
-            .measure_step(Role::Ingress, Work::Ticks, || controller.next_due(agent));
-        started_daemon.due = next_due.clamp(now + SHORTEST_IDLE, now + LONGEST_IDLE);
-        let idle_span = started_daemon.due.since(now);
-        self.push(idle_span, Event::Daemon(daemon, DaemonEvent::Tick));
+        let (agent, daemon_control) = (&started_daemon.agent, &started_daemon.daemon_control);
+        let (next_due, _) = self.meter.measure_step(Role::Ingress, Work::Ticks, || {
+            daemon_control.next_due(agent)
+        });
+        started_daemon.due = next_due.clamp(now + MIN_TICK_INTERVAL, now + MAX_TICK_INTERVAL);
+        let delay = started_daemon.due.since(now);
+        self.push(delay, Event::Daemon(daemon, DaemonEvent::Tick));
     }
 
-    fn tick_sooner(&mut self, daemon: usize, due: MonotonicTime) {
+    /// Schedules an earlier tick of a daemon if its next one is after `due`.
+    fn tick_earlier(&mut self, daemon: usize, due: MonotonicTime) {
         let now = self.now;
         let Some(started_daemon) = &mut self.daemons[daemon] else {
             return;
         };
         if due < started_daemon.due {
-            started_daemon.due = due.max(now + SHORTEST_IDLE).min(started_daemon.due);
-            let idle_span = started_daemon.due.since(now);
-            self.push(idle_span, Event::Daemon(daemon, DaemonEvent::Tick));
+            started_daemon.due = due.max(now + MIN_TICK_INTERVAL).min(started_daemon.due);
+            let delay = started_daemon.due.since(now);
+            self.push(delay, Event::Daemon(daemon, DaemonEvent::Tick));
         }
     }
 
-    /// Runs the timers of a daemon earlier than planned if a lease holder needs it.
+    /// Schedules an earlier tick of a daemon if a timer of a held function expires before its next one.
     pub(super) fn tick_for_holder(&mut self, daemon: usize, held: &HeldFunction<u64>) {
         if let Some(due) = held.with(|holder| holder.next_due()) {
-            self.tick_sooner(daemon, due);
+            self.tick_earlier(daemon, due);
         }
     }
 
-    /// Gives an input to a daemon's control session and executes the outputs.
-    pub(super) fn control(
+    /// Passes an input to a daemon's control session and executes the outputs.
+    pub(super) fn step_control(
         &mut self,
         daemon: usize,
         work: Work,
@@ -146,26 +147,26 @@
             return;
         };
         let agent = started_daemon.agent.clone();
-        let controller = &mut started_daemon.controller;
-        let (orders, nanos) = self.meter.measure_step(wire::daemon_role(work), work, || {
-            step(controller, &agent, now)
+        let daemon_control = &mut started_daemon.daemon_control;
+        let (outputs, nanos) = self.meter.measure_step(wire::daemon_role(work), work, || {
+            step(daemon_control, &agent, now)
         });
-        for order in orders {
-            if matches!(order, DaemonControlOutput::Installed(_)) && self.meter.is_open() {
+        for output in outputs {
+            if matches!(output, DaemonControlOutput::Installed(_)) && self.meter.is_open() {
                 self.record.installs.push(nanos as f64 / 1e6);
             }
-            self.apply_daemon_order(daemon, order);
+            self.apply_daemon_output(daemon, output);
         }
         let stream_due = self.daemons[daemon]
             .as_ref()
-            .map(|started_daemon| started_daemon.controller.stream_due());
+            .map(|started_daemon| started_daemon.daemon_control.stream_due());
         if let Some(stream_due) = stream_due {
-            self.tick_sooner(daemon, stream_due);
+            self.tick_earlier(daemon, stream_due);
         }
     }
 
-    fn apply_daemon_order(&mut self, daemon: usize, order: DaemonControlOutput<u64>) {
-        match order {
+    fn apply_daemon_output(&mut self, daemon: usize, output: DaemonControlOutput<u64>) {
+        match output {
             DaemonControlOutput::Dial(to) => self.dial(daemon, to),
             DaemonControlOutput::Hangup => {
                 let link = self.daemons[daemon]
@@ -175,9 +176,9 @@
                     self.close_link(link);
                 }
             }
-            DaemonControlOutput::SendFrame(frame) => self.send_up(daemon, &frame),
+            DaemonControlOutput::SendFrame(frame) => self.send_to_controller(daemon, &frame),
             DaemonControlOutput::HeartbeatDatagram(heartbeat, addresses) => {
-                self.heartbeat(daemon, heartbeat, &addresses)
+                self.send_heartbeat(daemon, heartbeat, &addresses)
             }
             DaemonControlOutput::Holder(held, outputs) => self.drive(daemon, &held, outputs),
             DaemonControlOutput::Acquired {
@@ -212,10 +213,11 @@
         if let Some(started_daemon) = &mut self.daemons[daemon] {
             started_daemon.link = Some(link);
         }
-        let delay = Self::delay(daemon, controller) * 2;
+        let delay = Self::message_delay(daemon, controller) * 2;
         self.push(delay, Event::DaemonLink(link, DaemonLinkEvent::Dialed));
     }
 
+    /// Whether the link is the current one of its daemon.
     fn is_current(&self, link: usize) -> bool {
         let daemon = self.links[link].daemon;
         self.daemons[daemon]
@@ -223,16 +225,16 @@
             .is_some_and(|started_daemon| started_daemon.link == Some(link))
     }
 
-    fn dialed(&mut self, link: usize) {
+    fn handle_dialed(&mut self, link: usize) {
         if self.is_current(link) {
             let daemon = self.links[link].daemon;
-            self.control(daemon, Work::Others, |controller, agent, now| {
-                controller.connected(agent, now)
+            self.step_control(daemon, Work::Others, |daemon_control, agent, now| {
+                daemon_control.connected(agent, now)
             });
         }
     }
 
-    fn link_lost(&mut self, link: usize) {
+    fn handle_link_lost(&mut self, link: usize) {
         self.links[link].is_open = false;
         if !self.is_current(link) {
             return;
@@ -241,65 +243,67 @@
         if let Some(started_daemon) = &mut self.daemons[daemon] {
             started_daemon.link = None;
         }
-        self.control(daemon, Work::Others, |controller, agent, now| {
-            controller.disconnected(agent, now)
+        self.step_control(daemon, Work::Others, |daemon_control, agent, now| {
+            daemon_control.disconnected(agent, now)
         });
     }
 
-    fn send_up(&mut self, daemon: usize, frame: &DaemonToLeader) {
+    fn send_to_controller(&mut self, daemon: usize, frame: &DaemonToLeader) {
         let link = self.daemons[daemon]
             .as_ref()
             .and_then(|started_daemon| started_daemon.link);
         let Some(link) = link else { return };
-        let work = wire::work_up(frame);
+        let work = wire::work_of_daemon_frame(frame);
         let role = wire::daemon_role(work);
         let Some(bytes) = wire::encode_sent(&mut self.meter, role, work, frame) else {
             return;
         };
-        let delay = Self::delay(daemon, self.links[link].controller);
+        let delay = Self::message_delay(daemon, self.links[link].controller);
         self.push(
             delay,
             Event::ControllerLink(link, ControllerLinkEvent::Frame(bytes)),
         );
     }
 
-    fn handle_down_frame(&mut self, link: usize, bytes: &Bytes) {
+    fn handle_frame_from_controller(&mut self, link: usize, bytes: &Bytes) {
         if !self.links[link].is_open || !self.is_current(link) {
             return;
         }
-        let Ok(classified) = decode::<LeaderToDaemon>(bytes) else {
+        let Ok(peeked_frame) = decode::<LeaderToDaemon>(bytes) else {
             return;
         };
-        let work = wire::work_down(&classified);
+        let work = wire::work_of_leader_frame(&peeked_frame);
         let role = wire::daemon_role(work);
         let Some(frame) = wire::decode_received(&mut self.meter, role, work, bytes) else {
             return;
         };
         let daemon = self.links[link].daemon;
-        self.control(daemon, work, |controller, agent, now| {
-            controller.received(agent, now, frame)
+        self.step_control(daemon, work, |daemon_control, agent, now| {
+            daemon_control.received(agent, now, frame)
         });
     }
 
-    fn heartbeat(&mut self, daemon: usize, heartbeat: Heartbeat, addresses: &[SocketAddress]) {
-        let encoded = self.meter.wire(Role::Ingress, Work::Heartbeats, 1, || {
-            encode_heartbeat(&heartbeat)
-        });
+    fn send_heartbeat(&mut self, daemon: usize, heartbeat: Heartbeat, addresses: &[SocketAddress]) {
+        let encoded = self
+            .meter
+            .measure_wire(Role::Ingress, Work::Heartbeats, 1, || {
+                encode_heartbeat(&heartbeat)
+            });
         let Ok(datagram) = encoded else { return };
         let bytes = wire::datagram_bytes(datagram.len());
         self.record.heartbeat_bytes = datagram.len() as u64;
         let count = addresses.len() as u64;
         self.meter
-            .sent(Role::Ingress, Work::Heartbeats, count, count * bytes);
+            .count_sent(Role::Ingress, Work::Heartbeats, count, count * bytes);
         let heartbeat = Rc::new(HeartbeatDatagram {
             heartbeat,
             datagram,
         });
         for address in addresses {
-            if let Some(watcher) = self.daemon_at(*address) {
-                let delay = Self::delay(daemon, watcher);
+            if let Some(receiver) = self.daemon_at(*address) {
+                let delay = Self::message_delay(daemon, receiver);
                 let arrival = DaemonEvent::Heartbeat(heartbeat.clone());
-                self.push(delay, Event::Daemon(watcher, arrival));
+                self.push(delay, Event::Daemon(receiver, arrival));
             }
         }
     }
@@ -311,22 +315,23 @@
         };
         let bytes = wire::datagram_bytes(heartbeat.datagram.len());
         self.meter
-            .received(Role::Ingress, Work::Heartbeats, 1, bytes);
+            .count_received(Role::Ingress, Work::Heartbeats, 1, bytes);
         started_daemon.heartbeats_received += 1;
         if started_daemon
             .heartbeats_received
-            .is_multiple_of(DECODE_EVERY)
+            .is_multiple_of(HEARTBEATS_PER_DECODE)
         {
-            let _ = self
-                .meter
-                .wire(Role::Ingress, Work::Heartbeats, DECODE_EVERY, || {
-                    decode_heartbeat(&heartbeat.datagram)
-                });
+            let _ = self.meter.measure_wire(
+                Role::Ingress,
+                Work::Heartbeats,
+                HEARTBEATS_PER_DECODE,
+                || decode_heartbeat(&heartbeat.datagram),
+            );
         }
-        let controller = &mut started_daemon.controller;
+        let daemon_control = &mut started_daemon.daemon_control;
         self.meter
             .measure_step(Role::Ingress, Work::Heartbeats, || {
-                controller.heartbeat(now, &heartbeat.heartbeat)
+                daemon_control.heartbeat(now, &heartbeat.heartbeat)
             });
     }
 }
--- a/testing/fleet/src/synthetic/daemons/forwarding.rs
+++ b/testing/fleet/src/synthetic/daemons/forwarding.rs
@@ -1,4 +1,4 @@
-//! Forwarding of requests through daemons, step by step, and the hops between daemons.
+//! The steps of requests in daemons, and the hops between daemons.
 
 use super::numbered_frame;
 use crate::synthetic::events::{DaemonEvent, Event, ReplyTarget, RequestEvent, RequestKey};
@@ -19,14 +19,14 @@
 use std::time::Duration;
 
 impl SyntheticFleet {
-    /// Handles an event of a request that waits in a daemon.
+    /// Handles an event of a pending request in a daemon.
     pub(in crate::synthetic) fn handle_request_event(
         &mut self,
         request: RequestKey,
         event: RequestEvent,
     ) {
         match event {
-            RequestEvent::Lookup(wake) => self.handle_wake(request, wake),
+            RequestEvent::Lookup(generation) => self.handle_lookup_timer(request, generation),
             RequestEvent::AcquireTimedOut => self.advance(request, AwaitedStep::Acquired),
             RequestEvent::HopDone(frame) => self.handle_hop_done(request, &frame),
             RequestEvent::Forwarded(result) => self.forwarded(request, result),
@@ -39,7 +39,7 @@
         function_request: FunctionRequest,
         reply_target: ReplyTarget,
     ) {
-        let number = self.number();
+        let number = self.next_number();
         let now = self.now;
         let Some(started_daemon) = &mut self.daemons[daemon] else {
             return;
@@ -49,24 +49,24 @@
             forwarding: Forwarding::new(now, function_request),
             reply_target,
             awaited_step: AwaitedStep::Lookup,
-            wakes: 0,
+            timer_generation: 0,
             _in_flight: in_flight,
         };
         started_daemon.pending_requests.insert(number, pending);
         self.advance(RequestKey { daemon, number }, AwaitedStep::Lookup);
     }
 
-    /// Handles the timeout of a wait, unless the request has advanced since.
-    fn handle_wake(&mut self, request: RequestKey, wake: u64) {
+    /// Repeats the lookup of a request when its timer expires, unless a later timer was set since.
+    fn handle_lookup_timer(&mut self, request: RequestKey, generation: u64) {
         if self
-            .pending(request)
-            .is_some_and(|pending| pending.wakes == wake)
+            .pending_request(request)
+            .is_some_and(|pending| pending.timer_generation == generation)
         {
             self.advance(request, AwaitedStep::Lookup);
         }
     }
 
-    /// Repeats the lookup of waiting requests after a change.
+    /// Repeats the lookup of all requests that wait for one, after a change.
     pub(super) fn look_up_all(&mut self, daemon: usize) {
         let Some(started_daemon) = &mut self.daemons[daemon] else {
             return;
@@ -76,16 +76,16 @@
             .iter_mut()
             .filter(|(_, pending)| pending.awaited_step == AwaitedStep::Lookup)
             .map(|(number, pending)| {
-                pending.wakes += 1;
-                (*number, pending.wakes)
+                pending.timer_generation += 1;
+                (*number, pending.timer_generation)
             })
             .collect();
         waiting_lookups.sort_unstable();
-        for (number, wake) in waiting_lookups {
+        for (number, generation) in waiting_lookups {
             let request = RequestKey { daemon, number };
             self.push(
                 Duration::from_micros(2),
-                Event::Request(request, RequestEvent::Lookup(wake)),
+                Event::Request(request, RequestEvent::Lookup(generation)),
             );
         }
     }
@@ -96,7 +96,7 @@
         });
     }
 
-    /// Gives an input to a request that waits for it, and takes its next step.
+    /// Passes an input to a request if it waits for this input, and takes its next step.
     fn step(
         &mut self,
         request: RequestKey,
@@ -122,6 +122,7 @@
         self.take_step(request, next_step);
     }
 
+    /// Executes the step that a request asks for.
     fn take_step(&mut self, request: RequestKey, step: ForwardingStep<u64>) {
         match step {
             ForwardingStep::Serve(held, holder_request) => {
@@ -139,15 +140,15 @@
     }
 
     fn wait(&mut self, request: RequestKey, wait_until: MonotonicTime) {
-        let Some(pending) = self.pending(request) else {
+        let Some(pending) = self.pending_request(request) else {
             return;
         };
-        pending.wakes += 1;
-        let wake = pending.wakes;
+        pending.timer_generation += 1;
+        let generation = pending.timer_generation;
         let wait_span = wait_until.since(self.now);
         self.push(
             wait_span,
-            Event::Request(request, RequestEvent::Lookup(wake)),
+            Event::Request(request, RequestEvent::Lookup(generation)),
         );
     }
 
@@ -162,12 +163,13 @@
         let Some(agent) = self.agent(daemon) else {
             return;
         };
-        let ((at_once, outputs), _) = self.meter.measure_step(Role::Holder, Work::Runs, || {
-            held.admit(now, agent.ticket(), holder_request, number)
-        });
+        let ((immediate_outcome, outputs), _) =
+            self.meter.measure_step(Role::Holder, Work::Runs, || {
+                held.admit(now, agent.ticket(), holder_request, number)
+            });
         self.drive(daemon, held, outputs);
         self.tick_for_holder(daemon, held);
-        if let Some((number, outcome)) = at_once {
+        if let Some((number, outcome)) = immediate_outcome {
             self.served(RequestKey { daemon, number }, outcome);
         }
     }
@@ -200,7 +202,7 @@
             reply_target: ReplyTarget::Hop(request),
             frame,
         };
-        let delay = Self::delay(request.daemon, other);
+        let delay = Self::message_delay(request.daemon, other);
         self.push(delay, Event::Daemon(other, hop));
     }
 
@@ -276,14 +278,14 @@
         let Some(bytes) = self.encode_hop(&numbered_frame(requester.number, body)) else {
             return;
         };
-        let delay = Self::delay(daemon, requester.daemon);
+        let delay = Self::message_delay(daemon, requester.daemon);
         self.push(
             delay,
             Event::Request(requester, RequestEvent::HopDone(bytes)),
         );
     }
 
-    /// Asks the leader for the function's lease, unless another request of the function did.
+    /// Requests the function's lease from the leader, unless another request for the function has done so.
     fn acquire(&mut self, request: RequestKey, wait_until: MonotonicTime) {
         let RequestKey { daemon, number } = request;
         let wait_span = wait_until.since(self.now);
@@ -301,13 +303,13 @@
         let waiting = started_daemon.acquires.entry(function.clone()).or_default();
         waiting.push(number);
         if waiting.len() == 1 {
-            self.control(daemon, Work::Leases, |controller, agent, now| {
-                controller.acquire(agent, now, function)
+            self.step_control(daemon, Work::Leases, |daemon_control, agent, now| {
+                daemon_control.acquire(agent, now, function)
             });
         }
     }
 
-    /// Gives the leader's reply to all requests that wait for the function's lease.
+    /// Passes the leader's reply to all requests that wait for the function's lease.
     pub(super) fn acquired(
         &mut self,
         daemon: usize,
@@ -326,7 +328,7 @@
     }
 }
 
-/// What a request waits for after a step.
+/// Returns the step that a request waits for after this one.
 fn awaited_after(step: &ForwardingStep<u64>) -> AwaitedStep {
     match step {
         ForwardingStep::Serve(..) => AwaitedStep::Outcome,
--- a/testing/fleet/src/synthetic/daemons/holder.rs
+++ b/testing/fleet/src/synthetic/daemons/holder.rs
@@ -1,9 +1,9 @@
-//! Lease holders and their runners: outputs are executed in memory, and runs are answered after a delay.
+//! Lease holders and their runners. Outputs are executed in memory, and runs are answered after a delay.
 
 use crate::synthetic::events::{Event, HolderEvent, HolderInput, HolderKey, RequestKey};
 use crate::synthetic::fleet::SyntheticFleet;
 use crate::synthetic::meter::{Role, Work};
-use crate::synthetic::platform::{HTTP_HEADERS, PLATFORM_LATENCY};
+use crate::synthetic::platform::{HTTP_HEADER_BYTES, PLATFORM_LATENCY};
 use bytes::Bytes;
 use common::adapter::{RunnerResponse, SealKind, StartOutcome};
 use common::clock::MonotonicTime;
@@ -19,10 +19,10 @@
 use std::time::Duration;
 
 const RUNNER_LATENCY: Duration = Duration::from_millis(2);
-const ANSWER: &[u8] = &[b'a'; 256];
+const ANSWER_BODY: &[u8] = &[b'a'; 256];
 
 impl HolderInput {
-    /// The kind of work that it belongs to.
+    /// Returns the kind of work to which the input is attributed.
     fn work(&self) -> Work {
         match self {
             Self::SendEnded(..) => Work::Runs,
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Gives it to a held function's state machine.
+    /// Passes the input to a held function's state machine.
     fn apply(self, holder: &mut Holder, now: MonotonicTime) -> Vec<HolderOutput> {
         match self {
             Self::Started(runner, instance) => {
@@ -60,8 +60,8 @@
             HolderEvent::RunDone {
                 ticket,
                 runner,
-                call,
-            } => self.run_done(holder_key, ticket, runner, &call),
+                runner_attempt,
+            } => self.run_done(holder_key, ticket, runner, &runner_attempt),
             HolderEvent::Input(input) => {
                 self.apply(&holder_key, input.work(), |holder, now| {
                     input.apply(holder, now)
@@ -76,17 +76,17 @@
             function,
             fencing_token,
         } = holder_key;
-        self.control(daemon, Work::Runners, |controller, agent, now| {
-            controller.holder_message(agent, now, function, fencing_token, message)
+        self.step_control(daemon, Work::Runners, |daemon_control, agent, now| {
+            daemon_control.holder_message(agent, now, function, fencing_token, message)
         });
     }
 
-    /// Queues an input of a held function's state machine.
+    /// Queues an input for a held function's state machine.
     fn push_input(&mut self, delay: Duration, holder_key: HolderKey, input: HolderInput) {
         self.push(delay, Event::Holder(holder_key, HolderEvent::Input(input)));
     }
 
-    /// Updates a held function and executes the outputs of its state machine.
+    /// Applies a change to a held function's state machine and executes the outputs.
     pub(super) fn apply(
         &mut self,
         holder_key: &HolderKey,
@@ -108,6 +108,7 @@
         self.tick_for_holder(holder_key.daemon, &held);
     }
 
+    /// Executes the outputs of a held function's state machine.
     pub(super) fn drive(
         &mut self,
         daemon: usize,
@@ -122,7 +123,7 @@
         for output in outputs {
             match held.replica_request(output) {
                 Ok(replica_request) => self.send_replica_request(&holder_key, replica_request),
-                Err(order) => self.apply_holder_output(&holder_key, held, order),
+                Err(output) => self.apply_holder_output(&holder_key, held, output),
             }
         }
     }
@@ -163,7 +164,7 @@
             }
             HolderOutput::Stop { runner, .. } => {
                 self.meter
-                    .sent(Role::Platform, Work::Runners, 1, HTTP_HEADERS);
+                    .count_sent(Role::Platform, Work::Runners, 1, HTTP_HEADER_BYTES);
                 self.platform.stop(runner);
                 self.push_input(PLATFORM_LATENCY, holder_key, HolderInput::Stopped(runner));
             }
@@ -193,8 +194,12 @@
             "slots": spec.slots,
         });
         let body_bytes = body.to_string().len() as u64;
-        self.meter
-            .sent(Role::Platform, Work::Runners, 1, body_bytes + HTTP_HEADERS);
+        self.meter.count_sent(
+            Role::Platform,
+            Work::Runners,
+            1,
+            body_bytes + HTTP_HEADER_BYTES,
+        );
         let ready_at = self.now + PLATFORM_LATENCY + spec.startup;
         let function = holder_key.function.clone();
         let instance = self.platform.start(runner, function, worker, ready_at);
@@ -205,8 +210,10 @@
     /// Whether the runner listens at the address and has started up.
     fn is_ready(&self, runner: RunnerId, address: SocketAddress) -> bool {
         self.platform
-            .at(address)
-            .is_some_and(|(there, held)| there == runner && self.now >= held.ready_at)
+            .runner_at(address)
+            .is_some_and(|(listening_runner, synthetic_runner)| {
+                listening_runner == runner && self.now >= synthetic_runner.ready_at
+            })
     }
 
     fn send_to_runner(
@@ -222,27 +229,30 @@
             return;
         };
         let self_reported_id = held.self_reported_id_of(runner);
-        let (call, _) = self.meter.measure_step(Role::Holder, Work::Runs, || {
+        let (runner_attempt, _) = self.meter.measure_step(Role::Holder, Work::Runs, || {
             let holder_request = held
                 .holder_request(ticket)
                 .ok_or(RequestFailureReason::NotServing)?;
             agent.runner_attempt(now, held, &holder_request, runner, attempt)
         });
-        match call {
-            Ok(call) => {
+        match runner_attempt {
+            Ok(runner_attempt) => {
                 let work_span = self
                     .rng
                     .within(Duration::from_millis(10), Duration::from_millis(40));
-                let done = HolderEvent::RunDone {
+                let run_done = HolderEvent::RunDone {
                     ticket,
                     runner: self_reported_id,
-                    call: Box::new(call),
+                    runner_attempt: Box::new(runner_attempt),
                 };
-                self.push(RUNNER_LATENCY + work_span, Event::Holder(holder_key, done));
+                self.push(
+                    RUNNER_LATENCY + work_span,
+                    Event::Holder(holder_key, run_done),
+                );
             }
             Err(reason) => {
-                let barred = HolderInput::SendEnded(ticket, SendResult::Forbidden(reason));
-                self.push_input(Duration::from_micros(1), holder_key, barred);
+                let forbidden = HolderInput::SendEnded(ticket, SendResult::Forbidden(reason));
+                self.push_input(Duration::from_micros(1), holder_key, forbidden);
             }
         }
     }
@@ -253,14 +263,20 @@
         holder_key: HolderKey,
         ticket: Ticket,
         runner: RunnerId,
-        call: &RunnerAttempt,
+        runner_attempt: &RunnerAttempt,
     ) {
-        let body = Bytes::from_static(ANSWER);
-        let answer_seal = seal::seal(&call.idempotency_key, &call.function, runner, false, &body);
+        let body = Bytes::from_static(ANSWER_BODY);
+        let answer_seal = seal::seal(
+            &runner_attempt.idempotency_key,
+            &runner_attempt.function,
+            runner,
+            false,
+            &body,
+        );
         let response = RunnerResponse {
             status: 200,
-            idempotency_key: call.idempotency_key.to_string(),
-            function: Some(call.function.to_string()),
+            idempotency_key: runner_attempt.idempotency_key.to_string(),
+            function: Some(runner_attempt.function.to_string()),
             runner: Some(runner.to_string()),
             seal: answer_seal,
             seal_kind: SealKind::Digest,
@@ -274,8 +290,8 @@
         let (result, _) = self.meter.measure_step(Role::Holder, Work::Runs, || {
             verify_response(
                 Rules::ALL_ENFORCED,
-                &call.idempotency_key,
-                &call.function,
+                &runner_attempt.idempotency_key,
+                &runner_attempt.function,
                 runner,
                 response,
             )
--- a/testing/fleet/src/synthetic/daemons/replicas.rs
+++ b/testing/fleet/src/synthetic/daemons/replicas.rs
@@ -1,4 +1,4 @@
-//! Requests to ledger replicas and their replies.
+//! Requests to ledger replicas, and the replies.
 
 use super::numbered_frame;
 use crate::synthetic::events::{Event, HolderKey, ReplicaEvent, ReplicaRequestKey};
@@ -37,13 +37,13 @@
         } = replica_request;
         let request_key = ReplicaRequestKey {
             holder: holder_key.clone(),
-            number: self.number(),
+            number: self.next_number(),
             request_kind,
         };
         self.pending_replica_requests.insert(request_key.number);
         let timed_out = Event::Replica(request_key.clone(), ReplicaEvent::Replied(None));
         self.push(timeout, timed_out);
-        let Some(other) = self.daemon_at(replica.address) else {
+        let Some(replica_daemon) = self.daemon_at(replica.address) else {
             return;
         };
         let frame = numbered_frame(request_key.number, body);
@@ -51,10 +51,10 @@
             return;
         };
         let requested = ReplicaEvent::Requested {
-            replica: other,
+            replica: replica_daemon,
             frame,
         };
-        let delay = Self::delay(holder_key.daemon, other);
+        let delay = Self::message_delay(holder_key.daemon, replica_daemon);
         self.push(delay, Event::Replica(request_key, requested));
     }
 
@@ -79,14 +79,14 @@
         let Some(frame) = self.encode_replica_frame(&frame) else {
             return;
         };
-        let delay = Self::delay(replica, request_key.holder.daemon);
+        let delay = Self::message_delay(replica, request_key.holder.daemon);
         self.push(
             delay,
             Event::Replica(request_key, ReplicaEvent::Replied(Some(frame))),
         );
     }
 
-    /// Handles the reply of a ledger replica; without a frame the request timed out.
+    /// Handles the reply of a ledger replica, or the timeout of the request if there is no frame.
     fn handle_replica_reply(&mut self, request_key: &ReplicaRequestKey, frame: Option<Bytes>) {
         if !self.pending_replica_requests.remove(&request_key.number) {
             return;
--- a/testing/fleet/src/synthetic/events.rs
+++ b/testing/fleet/src/synthetic/events.rs
@@ -8,13 +8,13 @@
 use dataplane::holder::{HolderMessage, SendResult};
 use std::rc::Rc;
 
-/// A heartbeat in flight with its encoded bytes.
+/// A heartbeat in flight, with its encoded bytes.
 pub(super) struct HeartbeatDatagram {
     pub heartbeat: Heartbeat,
     pub datagram: Bytes,
 }
 
-/// A held function at its daemon.
+/// Identifies a held function and its daemon.
 #[derive(Clone)]
 pub(super) struct HolderKey {
     pub daemon: usize,
@@ -22,18 +22,18 @@
     pub fencing_token: FencingToken,
 }
 
-/// A request in a daemon.
+/// Identifies a pending request and its daemon.
 #[derive(Clone, Copy)]
 pub(super) struct RequestKey {
     pub daemon: usize,
     pub number: u64,
 }
 
-/// Where an outcome is returned to.
+/// The recipient of the outcome of a request.
 #[derive(Clone, Copy)]
 pub(super) enum ReplyTarget {
     Caller,
-    /// A request in the daemon that forwarded this one.
+    /// The request in the daemon that forwarded this one.
     Hop(RequestKey),
 }
 
@@ -43,17 +43,17 @@
     Controller(usize, ControllerEvent),
     /// An event at the controller's end of the link with this number.
     ControllerLink(usize, ControllerLinkEvent),
-    /// An operator changes one function.
+    /// An operator sends a change of one function.
     Change,
     /// An event at the daemon with this number.
     Daemon(usize, DaemonEvent),
     /// An event at the daemon's end of the link with this number.
     DaemonLink(usize, DaemonLinkEvent),
-    /// A request in a daemon.
+    /// An event of a pending request in a daemon.
     Request(RequestKey, RequestEvent),
     /// An event at a held function.
     Holder(HolderKey, HolderEvent),
-    /// A request to a ledger replica.
+    /// An event of a request to a ledger replica.
     Replica(ReplicaRequestKey, ReplicaEvent),
     /// The next functions are called for the first time.
     Fill,
@@ -99,9 +99,9 @@
     Lost,
 }
 
-/// What happens to a request that waits in a daemon.
+/// An event of a pending request in a daemon.
 pub(super) enum RequestEvent {
-    /// Its lookup is repeated, unless it has advanced since the wake with this number.
+    /// The request repeats its lookup, unless its timer generation is no longer this one.
     Lookup(u64),
     AcquireTimedOut,
     /// The other daemon's reply arrives.
@@ -111,19 +111,19 @@
 
 /// An event at a held function.
 pub(super) enum HolderEvent {
-    /// A message of its state machine to its daemon.
+    /// A message from its state machine to its daemon.
     Message(HolderMessage),
-    /// A runner has run a request.
+    /// A runner has finished a run.
     RunDone {
         ticket: Ticket,
         runner: RunnerId,
-        call: Box<RunnerAttempt>,
+        runner_attempt: Box<RunnerAttempt>,
     },
-    /// An input of its state machine.
+    /// An input for its state machine.
     Input(HolderInput),
 }
 
-/// An input of a held function's state machine.
+/// An input for a held function's state machine.
 pub(super) enum HolderInput {
     Started(RunnerId, Instance),
     Stopped(RunnerId),
@@ -133,7 +133,7 @@
     SendEnded(Ticket, SendResult),
 }
 
-/// A request of a lease holder to a ledger replica.
+/// Identifies a request of a lease holder to a ledger replica.
 #[derive(Clone)]
 pub(super) struct ReplicaRequestKey {
     pub holder: HolderKey,
@@ -141,10 +141,10 @@
     pub request_kind: ReplicaRequestKind,
 }
 
-/// What happens to a request to a ledger replica.
+/// An event of a request to a ledger replica.
 pub(super) enum ReplicaEvent {
-    /// It arrives at the daemon with this number.
+    /// The request arrives at the replica in the daemon with this number.
     Requested { replica: usize, frame: Bytes },
-    /// The reply arrives at the holder; none if the request timed out.
+    /// The reply arrives at the holder, or without a frame, the request times out.
     Replied(Option<Bytes>),
 }
--- a/testing/fleet/src/synthetic/fleet.rs
+++ b/testing/fleet/src/synthetic/fleet.rs
@@ -1,4 +1,4 @@
-//! The state of a synthetic fleet: its members, clock, queue of events and addresses.
+//! The state of a synthetic fleet: its members, clock, event queue and addresses.
 
 use super::events::{ControllerLinkEvent, DaemonLinkEvent, Event, RequestKey};
 use super::members::{Controller, Daemon, Link, OpenChange, PendingRequest};
@@ -30,20 +30,20 @@
     pub(super) platform: SyntheticPlatform,
     pub(super) pending_replica_requests: HashSet<u64>,
     pub(super) changes: BTreeMap<OperationTicket, OpenChange>,
-    pub(super) change_turn: u32,
-    /// The next function that is called for the first time.
-    pub(super) fill_next: usize,
+    pub(super) change_count: u32,
+    /// The number of the next function to call for the first time.
+    pub(super) next_to_fill: usize,
     pub(super) record: RunRecord,
     /// The limit of the allocated memory, in bytes.
-    pub(super) half_bytes: u64,
+    pub(super) memory_limit_bytes: u64,
     last_number: u64,
     queue: BTreeMap<(MonotonicTime, u64), Event>,
     last_event: u64,
 }
 
 impl SyntheticFleet {
-    /// A fleet without members.
-    pub(super) fn empty(size: SyntheticSize, half_bytes: u64, rng: SeededRng) -> Self {
+    /// Creates a fleet without members.
+    pub(super) fn empty(size: SyntheticSize, memory_limit_bytes: u64, rng: SeededRng) -> Self {
         let needed_mb = size.held as u64 * u64::from(size.runners) * 512;
         let worker_mb = (needed_mb / size.daemons as u64).max(16_384) as u32;
         Self {
@@ -55,10 +55,10 @@
             platform: SyntheticPlatform::new(size.daemons, worker_mb),
             pending_replica_requests: HashSet::new(),
             changes: BTreeMap::new(),
-            change_turn: 0,
-            fill_next: 0,
+            change_count: 0,
+            next_to_fill: 0,
             record: RunRecord::new(&size),
-            half_bytes,
+            memory_limit_bytes,
             last_number: 0,
             queue: BTreeMap::new(),
             last_event: 0,
@@ -67,14 +67,14 @@
         }
     }
 
-    /// Queues an event.
+    /// Queues an event, to occur after a delay.
     pub(super) fn push(&mut self, delay: Duration, event: Event) {
         self.last_event += 1;
         self.queue
             .insert((self.now + delay, self.last_event), event);
     }
 
-    /// Takes the next event out of the queue.
+    /// Removes the next event from the queue, and returns it with its time.
     pub(super) fn pop(&mut self) -> Option<(MonotonicTime, Event)> {
         let ((due_at, _), event) = self.queue.pop_first()?;
         Some((due_at, event))
@@ -85,8 +85,8 @@
         self.queue.clear();
     }
 
-    /// A number that was not used before.
-    pub(super) fn number(&mut self) -> u64 {
+    /// Returns a new unique number.
+    pub(super) fn next_number(&mut self) -> u64 {
         self.last_number += 1;
         self.last_number
     }
@@ -119,14 +119,14 @@
         (second == 1 && daemon < self.daemons.len()).then_some(daemon)
     }
 
-    /// The delay of a message between machines with these numbers.
-    pub(super) fn delay(from: usize, to: usize) -> Duration {
+    /// Returns the delay of a message between the machines with these numbers.
+    pub(super) fn message_delay(from: usize, to: usize) -> Duration {
         ZoneNumber::of(from).delay_to(ZoneNumber::of(to))
     }
 
     /// Closes a link at both ends.
     pub(super) fn close_link(&mut self, link: usize) {
-        let delay = Self::delay(self.links[link].controller, self.links[link].daemon);
+        let delay = Self::message_delay(self.links[link].controller, self.links[link].daemon);
         self.push(delay, Event::DaemonLink(link, DaemonLinkEvent::Lost));
         self.push(
             delay,
@@ -140,7 +140,7 @@
             .map(|started_daemon| started_daemon.agent.clone())
     }
 
-    /// Samples how many daemons each daemon counts as alive, while the measurement runs.
+    /// Samples the number of daemons that each daemon counts as alive, if the measurement is running.
     pub(super) fn sample_visibility(&mut self) {
         if !self.meter.is_open() {
             return;
@@ -151,7 +151,7 @@
         }
     }
 
-    pub(super) fn pending(&mut self, request: RequestKey) -> Option<&mut PendingRequest> {
+    pub(super) fn pending_request(&mut self, request: RequestKey) -> Option<&mut PendingRequest> {
         self.daemons
             .get_mut(request.daemon)?
             .as_mut()?
--- a/testing/fleet/src/synthetic/members.rs
+++ b/testing/fleet/src/synthetic/members.rs
@@ -1,5 +1,5 @@
-//! The parts of a synthetic fleet that hold state: its controllers, daemons, links and requests. What they do is in
-//! the modules above.
+//! The state of the controllers, daemons, links and requests of a synthetic fleet. Their behaviour is in the modules
+//! `controllers` and `daemons`.
 
 use super::events::ReplyTarget;
 use super::meter::Role;
@@ -13,6 +13,7 @@
 /// A synthetic controller.
 pub(super) struct Controller {
     pub controller_state: ControllerState,
+    /// The time at which its next timer expires.
     pub due: MonotonicTime,
 }
 
@@ -33,16 +34,17 @@
 /// A synthetic daemon.
 pub(super) struct Daemon {
     pub agent: Arc<Agent<u64>>,
-    pub controller: DaemonControl<u64>,
+    pub daemon_control: DaemonControl<u64>,
     pub pending_requests: HashMap<u64, PendingRequest>,
-    /// The requests that wait for a lease, by function.
+    /// The numbers of the requests that wait for a lease, by function.
     pub acquires: BTreeMap<FunctionKey, Vec<u64>>,
     pub link: Option<usize>,
     pub heartbeats_received: u64,
+    /// The time of its next tick.
     pub due: MonotonicTime,
 }
 
-/// What a request in a daemon waits for.
+/// The step that a pending request waits for.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub(super) enum AwaitedStep {
     Lookup,
@@ -51,26 +53,28 @@
     Acquired,
 }
 
-/// A request in a daemon.
+/// A pending request in a daemon.
 pub(super) struct PendingRequest {
     pub forwarding: Forwarding,
     pub reply_target: ReplyTarget,
     pub awaited_step: AwaitedStep,
-    /// How often it was woken; a timer of an earlier wake is void.
-    pub wakes: u64,
+    /// The number of its most recent lookup timer. Earlier timers are ignored.
+    pub timer_generation: u64,
     pub _in_flight: InFlightGuard,
 }
 
-/// The stream of a daemon to a controller.
+/// A connection from a daemon to a controller.
 pub(super) struct Link {
     pub daemon: usize,
     pub controller: usize,
     pub is_open: bool,
 }
 
-/// A change in flight.
+/// A change that is not in force yet.
 pub(super) struct OpenChange {
     pub requested_at: MonotonicTime,
+    /// The leader's processor time when the change was requested, in nanoseconds.
     pub leader_nanos: u64,
+    /// The version of the spec with this change, once it is accepted.
     pub version: Option<u64>,
 }
--- a/testing/fleet/src/synthetic/meter.rs
+++ b/testing/fleet/src/synthetic/meter.rs
@@ -5,16 +5,16 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// The role whose work is counted.
+/// The role to which work is attributed.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
 pub enum Role {
     /// A daemon with its callers, session lease, spec and failure detection of other daemons.
     Ingress,
     /// A daemon with the function leases that it holds.
     Holder,
-    /// A follower among the controllers.
+    /// A controller that follows.
     Following,
-    /// The leader of the controllers.
+    /// The controller that leads.
     Leading,
     /// The clients of the platform: the leader for lists, lease holders for runners.
     Platform,
@@ -113,13 +113,13 @@
     pub peak_bytes: u64,
 }
 
-/// The processor time of this thread, in nanoseconds; independent of the load by other processes.
+/// Returns the processor time of this thread in nanoseconds, which does not depend on the load of other processes.
 fn processor_nanos() -> u64 {
     let read_time = clock_gettime(ClockId::ThreadCPUTime);
     read_time.tv_sec as u64 * 1_000_000_000 + read_time.tv_nsec as u64
 }
 
-/// Counters by role and work; they count only while it is open.
+/// Counters by role and kind of work, which are updated only while the meter is open.
 #[derive(Default)]
 pub(crate) struct Meter {
     counters_by_work: BTreeMap<(Role, Work), WorkCounters>,
@@ -129,22 +129,22 @@
 }
 
 impl Meter {
-    /// Starts counting.
+    /// Starts updating the counters.
     pub(crate) fn open(&mut self) {
         self.is_open = true;
     }
 
-    /// Stops counting.
+    /// Stops updating the counters.
     pub(crate) fn close(&mut self) {
         self.is_open = false;
     }
 
-    /// Whether it counts.
+    /// Whether the counters are being updated.
     pub(crate) fn is_open(&self) -> bool {
         self.is_open
     }
 
-    /// The counters.
+    /// Returns the counters.
     pub(crate) fn counters_by_work(&self) -> &BTreeMap<(Role, Work), WorkCounters> {
         &self.counters_by_work
     }
@@ -154,8 +154,8 @@
             .then(|| self.counters_by_work.entry((role, work)).or_default())
     }
 
-    /// Runs a step of a state machine and counts its processor time and temporary memory. Returns its result and the
-    /// nanoseconds.
+    /// Runs a step of a state machine, and counts its processor time and temporary memory. Returns its result and its
+    /// processor time in nanoseconds.
     pub(crate) fn measure_step<T>(
         &mut self,
         role: Role,
@@ -178,9 +178,9 @@
         (result, nanos)
     }
 
-    /// Encodes or decodes a frame and counts its processor time, multiplied by the number of frames that it is a
-    /// sample of.
-    pub(crate) fn wire<T>(
+    /// Runs the encoding or decoding of a message, and counts its processor time, multiplied by the number of messages
+    /// that this one represents.
+    pub(crate) fn measure_wire<T>(
         &mut self,
         role: Role,
         work: Work,
@@ -197,7 +197,7 @@
     }
 
     /// Counts messages sent.
-    pub(crate) fn sent(&mut self, role: Role, work: Work, count: u64, bytes: u64) {
+    pub(crate) fn count_sent(&mut self, role: Role, work: Work, count: u64, bytes: u64) {
         if let Some(counters) = self.counters(role, work) {
             counters.sent += count;
             counters.sent_bytes += bytes;
@@ -205,7 +205,7 @@
     }
 
     /// Counts messages received.
-    pub(crate) fn received(&mut self, role: Role, work: Work, count: u64, bytes: u64) {
+    pub(crate) fn count_received(&mut self, role: Role, work: Work, count: u64, bytes: u64) {
         if let Some(counters) = self.counters(role, work) {
             counters.received += count;
             counters.received_bytes += bytes;
--- a/testing/fleet/src/synthetic/mod.rs
+++ b/testing/fleet/src/synthetic/mod.rs
@@ -2,15 +2,15 @@
 //! time, with callers, runners and a platform simulated in memory. The messages, processor time and memory of each
 //! role are measured.
 //!
-//! The modules use each other in one direction alone, from the top of this list to its end:
-//! - `run` starts a fleet, gives each event to the layer that handles it, and concludes with the record;
-//! - `controllers` and `daemons` drive the state machines. Neither knows the other: what one does to the other is an
-//!   event in the queue, as it would be a message;
-//! - `fleet` is the state: the clock, the queue and the addresses, and the members with their links;
-//! - `members`, `events`, `platform`, `catalogue`, `record`, `meter`, `wire`, `size`, `memory` and `zones` are the parts
+//! Each module depends only on modules further down in this list:
+//! - `run` starts a fleet, dispatches events to the layer that handles them, and returns the record of the run;
+//! - `controllers` and `daemons` drive the state machines. They don't call each other: messages between them are events
+//!   in the queue;
+//! - `fleet` holds the state: the clock, the event queue, the addresses, and the members with their links;
+//! - `members`, `events`, `platform`, `catalogue`, `record`, `meter`, `wire`, `size`, `memory` and `zones` define the parts
 //!   of that state.
 //!
-//! `page` is apart from a run: it renders the capacity page from written records.
+//! `page` takes no part in runs: it renders the capacity page from recorded runs.
 
 mod catalogue;
 mod controllers;
--- a/testing/fleet/src/synthetic/platform.rs
+++ b/testing/fleet/src/synthetic/platform.rs
@@ -1,4 +1,4 @@
-//! A platform double in memory.
+//! An in-memory test double of the platform.
 
 use common::adapter::{ListedRunner, ListedWorker};
 use common::clock::MonotonicTime;
@@ -12,30 +12,30 @@
 /// The round trip to the platform in virtual time.
 pub(super) const PLATFORM_LATENCY: Duration = Duration::from_millis(5);
 /// The size of the HTTP headers of a request to the platform or a runner and of its response, in bytes.
-pub(super) const HTTP_HEADERS: u64 = 400;
+pub(super) const HTTP_HEADER_BYTES: u64 = 400;
 
 /// A synthetic runner.
 pub(super) struct SyntheticRunner {
-    /// Its function.
+    /// The function that it runs.
     pub function: FunctionKey,
-    /// Its worker.
+    /// The worker that it runs on.
     pub worker: WorkerName,
-    /// When its startup is finished.
+    /// The time at which its startup is finished.
     pub ready_at: MonotonicTime,
     /// Its instance at the platform.
     pub instance: Instance,
 }
 
-/// A platform that executes all requests at once.
+/// A platform that executes all requests immediately.
 pub(super) struct SyntheticPlatform {
     workers: Vec<ListedWorker>,
     runners: BTreeMap<RunnerId, SyntheticRunner>,
-    listening: HashMap<SocketAddress, RunnerId>,
+    runners_by_address: HashMap<SocketAddress, RunnerId>,
     started_count: u32,
 }
 
 impl SyntheticPlatform {
-    /// Creates workers, assigned to the zones in turn.
+    /// Creates a platform with this number of workers, assigned to the zones in turn.
     pub(crate) fn new(worker_count: usize, memory_mb: u32) -> Self {
         let workers = (0..worker_count)
             .map(|number| ListedWorker {
@@ -48,12 +48,12 @@
         Self {
             workers,
             runners: BTreeMap::new(),
-            listening: HashMap::new(),
+            runners_by_address: HashMap::new(),
             started_count: 0,
         }
     }
 
-    /// Starts a runner; returns its instance.
+    /// Starts a runner and returns its instance.
     pub(crate) fn start(
         &mut self,
         runner: RunnerId,
@@ -67,7 +67,7 @@
             Ipv4Addr::new(11, high, middle, low),
             9000,
         ));
-        self.listening.insert(address, runner);
+        self.runners_by_address.insert(address, runner);
         let instance = Instance {
             name: format!("life-{}", self.started_count).into(),
             address,
@@ -85,22 +85,24 @@
     /// Stops a runner.
     pub(crate) fn stop(&mut self, runner: RunnerId) {
         if let Some(stopped) = self.runners.remove(&runner) {
-            self.listening.remove(&stopped.instance.address);
+            self.runners_by_address.remove(&stopped.instance.address);
         }
     }
 
-    /// The runner that listens at an address.
-    pub(crate) fn at(&self, address: SocketAddress) -> Option<(RunnerId, &SyntheticRunner)> {
-        let runner = *self.listening.get(&address)?;
-        self.runners.get(&runner).map(|held| (runner, held))
+    /// Returns the runner that listens on an address.
+    pub(crate) fn runner_at(&self, address: SocketAddress) -> Option<(RunnerId, &SyntheticRunner)> {
+        let runner = *self.runners_by_address.get(&address)?;
+        self.runners
+            .get(&runner)
+            .map(|synthetic_runner| (runner, synthetic_runner))
     }
 
-    /// The number of runners.
+    /// Returns the number of runners.
     pub(crate) fn runner_count(&self) -> usize {
         self.runners.len()
     }
 
-    /// The lists of workers and runners as the platform sends them.
+    /// Returns the lists of workers and runners as the platform sends them.
     pub(crate) fn list_bodies(&self) -> (Vec<u8>, Vec<u8>) {
         let workers: Vec<Value> = self
             .workers
@@ -117,13 +119,13 @@
         let runners: Vec<Value> = self
             .runners
             .iter()
-            .map(|(runner, held)| {
+            .map(|(runner, synthetic_runner)| {
                 json!({
                     "runner": runner.to_string(),
-                    "life": held.instance.name.as_str(),
-                    "place": held.instance.address.to_string(),
-                    "function": held.function.to_string(),
-                    "worker": held.worker.as_str(),
+                    "life": synthetic_runner.instance.name.as_str(),
+                    "place": synthetic_runner.instance.address.to_string(),
+                    "function": synthetic_runner.function.to_string(),
+                    "worker": synthetic_runner.worker.as_str(),
                     "leaving": false,
                 })
             })
@@ -138,7 +140,7 @@
     row[key].as_str().unwrap_or_default()
 }
 
-/// Reads the list of workers as the leader's platform client does.
+/// Parses the list of workers as the leader's platform client does.
 pub(super) fn read_workers(body: &[u8]) -> Vec<ListedWorker> {
     let listed: Value = serde_json::from_slice(body).unwrap_or_default();
     let rows = listed["workers"]
@@ -155,7 +157,7 @@
         .collect()
 }
 
-/// Reads the list of runners as the leader's platform client does.
+/// Parses the list of runners as the leader's platform client does.
 pub(super) fn read_runners(body: &[u8]) -> Vec<ListedRunner> {
     let listed: Value = serde_json::from_slice(body).unwrap_or_default();
     let rows = listed["runners"]
--- a/testing/fleet/src/synthetic/run.rs
+++ b/testing/fleet/src/synthetic/run.rs
@@ -1,4 +1,4 @@
-//! A run of a synthetic fleet, from its start to its record.
+//! Runs a synthetic fleet and produces the record of the run.
 
 use super::catalogue;
 use super::daemons;
@@ -12,45 +12,45 @@
 use dataplane::agent::HeldFunctions;
 use std::time::{Duration, Instant};
 
-const STARTS_WITHIN: Duration = Duration::from_millis(500);
-const FILL_STARTS_AT: Duration = Duration::from_millis(4500);
+const DAEMON_START_SPAN: Duration = Duration::from_millis(500);
+const FILL_START: Duration = Duration::from_millis(4500);
 const SETTLING_TIME: Duration = Duration::from_secs(4);
-/// How long a fleet continues after its measurement, so that the last change can come into force.
+/// How long a fleet keeps running after the measurement, so that the last change can come into force.
 const DRAIN_TIME: Duration = Duration::from_millis(800);
-const LIMITS_CHECKED_EVERY: u64 = 512;
+const EVENTS_PER_LIMIT_CHECK: u64 = 512;
 
 impl SyntheticFleet {
-    /// Creates a bootstrapped control quorum with the functions of the size in its spec, and daemons that are about to
-    /// start.
+    /// Creates a bootstrapped control quorum, whose spec has as many functions as the size says, and daemons that are yet
+    /// to start.
     pub fn new(size: SyntheticSize) -> Result<Self, SizeError> {
-        let half_bytes = half_of_memory()?;
+        let memory_limit_bytes = half_of_memory()?;
         memory::start_counting();
         let mut rng = SeededRng::seeded(size.seed);
         let fleet_rng = SeededRng::seeded(rng.number());
-        let mut fleet = Self::empty(size, half_bytes, fleet_rng);
-        let first_spec = catalogue::spec_of(&mut rng, size.functions, size.runners);
+        let mut fleet = Self::empty(size, memory_limit_bytes, fleet_rng);
+        let first_spec = catalogue::random_spec(&mut rng, size.functions, size.runners);
         fleet.bootstrap(first_spec);
         for daemon in 0..size.daemons {
             fleet.daemons.push(None);
-            let starts_at = fleet.rng.within(Duration::ZERO, STARTS_WITHIN);
+            let starts_at = fleet.rng.within(Duration::ZERO, DAEMON_START_SPAN);
             fleet.push(starts_at, Event::Daemon(daemon, DaemonEvent::Start));
         }
-        fleet.push(FILL_STARTS_AT, Event::Fill);
-        fleet.push(fleet.measured_from(), Event::OpenMeter);
+        fleet.push(FILL_START, Event::Fill);
+        fleet.push(fleet.measurement_start(), Event::OpenMeter);
         Ok(fleet)
     }
 
-    fn measured_from(&self) -> Duration {
-        FILL_STARTS_AT + daemons::fill_span(&self.size) + SETTLING_TIME
+    fn measurement_start(&self) -> Duration {
+        FILL_START + daemons::fill_span(&self.size) + SETTLING_TIME
     }
 
     /// Runs the fleet and returns the record of the run.
     pub fn run(mut self) -> RunRecord {
         let started_at = Instant::now();
-        let ends_at = self.now + self.measured_from() + self.size.measured;
+        let ends_at = self.now + self.measurement_start() + self.size.measured;
         let mut stop_reason = None;
         let mut is_measurement_over = false;
-        let mut step_count = 0;
+        let mut event_count = 0;
         while let Some((due_at, event)) = self.pop() {
             if due_at > ends_at && !is_measurement_over {
                 is_measurement_over = true;
@@ -59,8 +59,8 @@
             if due_at > ends_at + DRAIN_TIME {
                 break;
             }
-            step_count += 1;
-            if step_count % LIMITS_CHECKED_EVERY == 0 {
+            event_count += 1;
+            if event_count % EVENTS_PER_LIMIT_CHECK == 0 {
                 stop_reason = self.stop_reason(started_at);
                 if stop_reason.is_some() {
                     break;
@@ -70,17 +70,18 @@
             self.dispatch(event);
         }
         self.clear_queue();
-        self.conclude(started_at.elapsed(), stop_reason)
+        self.into_record(started_at.elapsed(), stop_reason)
     }
 
     fn stop_reason(&self, started_at: Instant) -> Option<StopReason> {
         if started_at.elapsed() > self.size.real_time_limit {
             return Some(StopReason::TimeLimit(self.now));
         }
-        (memory::live() > self.half_bytes).then_some(StopReason::MemoryLimit(self.now))
+        (memory::live_bytes() > self.memory_limit_bytes)
+            .then_some(StopReason::MemoryLimit(self.now))
     }
 
-    /// Gives an event to the layer that handles it.
+    /// Dispatches an event to the layer that handles it.
     fn dispatch(&mut self, event: Event) {
         match event {
             Event::Controller(controller, event) => {
@@ -113,10 +114,10 @@
         }
     }
 
-    fn conclude(mut self, real_time: Duration, stop_reason: Option<StopReason>) -> RunRecord {
+    fn into_record(mut self, real_time: Duration, stop_reason: Option<StopReason>) -> RunRecord {
         let mut record = std::mem::replace(&mut self.record, RunRecord::new(&self.size));
         record.real_time = real_time;
-        record.heap_bytes = memory::live();
+        record.heap_bytes = memory::live_bytes();
         record.instances = self.platform.runner_count() as u64;
         record.stopped = stop_reason;
         record.counters_by_work = self.meter.counters_by_work().clone();
@@ -132,36 +133,36 @@
     }
 }
 
-/// Drops a daemon and measures the memory that its held functions free, and the rest.
+/// Drops a daemon, and records the memory freed by its held functions and by the rest of it.
 fn measure_daemon_memory(daemon: Daemon, record: &mut RunRecord) {
     let Daemon {
         agent,
-        controller,
+        daemon_control,
         pending_requests,
         acquires,
         ..
     } = daemon;
     drop((pending_requests, acquires));
-    let bytes_before = memory::live();
+    let bytes_before = memory::live_bytes();
     agent.replace_held_functions(HeldFunctions::new());
     agent.forget_closing();
-    let bytes_without_held = memory::live();
+    let bytes_without_held = memory::live_bytes();
     record
         .holder_bytes
         .push(bytes_before.saturating_sub(bytes_without_held));
-    drop(controller);
+    drop(daemon_control);
     drop(agent);
     record
         .ingress_bytes
-        .push(bytes_without_held.saturating_sub(memory::live()));
+        .push(bytes_without_held.saturating_sub(memory::live_bytes()));
 }
 
-/// Drops a controller and measures the memory that it frees.
+/// Drops a controller, and records the memory that this frees.
 fn measure_controller_memory(controller: Controller, record: &mut RunRecord) {
     let is_leader = controller.is_leader();
-    let bytes_before = memory::live();
+    let bytes_before = memory::live_bytes();
     drop(controller);
-    let freed_bytes = bytes_before.saturating_sub(memory::live());
+    let freed_bytes = bytes_before.saturating_sub(memory::live_bytes());
     if is_leader {
         record.leading_bytes = freed_bytes;
     } else {
--- a/testing/fleet/src/synthetic/wire.rs
+++ b/testing/fleet/src/synthetic/wire.rs
@@ -1,5 +1,5 @@
-//! The frames between synthetic processes: metered encoding and decoding, their size on the wire, and the kind of work
-//! that they belong to.
+//! Frames between synthetic processes: metered encoding and decoding, their size on the wire, and the kind of work to
+//! which they are attributed.
 
 use super::meter::{Meter, Role, Work};
 use binrw::meta::{ReadEndian, WriteEndian};
@@ -7,24 +7,24 @@
 use bytes::Bytes;
 use common::frames::{DaemonToLeader, LeaderToDaemon, decode, encode};
 
-const SEGMENT: u64 = 1448;
-const SEGMENT_HEADERS: u64 = 52;
-const FRAME_LENGTH: u64 = 4;
-const FRAGMENT: u64 = 1480;
-const FRAGMENT_HEADER: u64 = 20;
-const DATAGRAM_HEADER: u64 = 8;
+const SEGMENT_PAYLOAD_BYTES: u64 = 1448;
+const SEGMENT_HEADER_BYTES: u64 = 52;
+const LENGTH_PREFIX_BYTES: u64 = 4;
+const FRAGMENT_PAYLOAD_BYTES: u64 = 1480;
+const FRAGMENT_HEADER_BYTES: u64 = 20;
+const DATAGRAM_HEADER_BYTES: u64 = 8;
 
-/// Encodes a frame and counts it as sent; none if it cannot be encoded.
+/// Encodes a frame and counts it as sent. Returns `None` if it cannot be encoded.
 pub(super) fn encode_sent<T>(meter: &mut Meter, role: Role, work: Work, frame: &T) -> Option<Bytes>
 where
     T: for<'a> BinWrite<Args<'a> = ()> + WriteEndian,
 {
-    let encoded = meter.wire(role, work, 1, || encode(frame)).ok()?;
-    meter.sent(role, work, 1, frame_bytes(encoded.len()));
+    let encoded = meter.measure_wire(role, work, 1, || encode(frame)).ok()?;
+    meter.count_sent(role, work, 1, frame_bytes(encoded.len()));
     Some(encoded.into())
 }
 
-/// Counts a frame as received and decodes it; none if it is invalid.
+/// Counts a frame as received and decodes it. Returns `None` if it is invalid.
 pub(super) fn decode_received<T>(
     meter: &mut Meter,
     role: Role,
@@ -34,25 +34,25 @@
 where
     T: for<'a> BinRead<Args<'a> = ()> + ReadEndian,
 {
-    meter.received(role, work, 1, frame_bytes(encoded.len()));
-    meter.wire(role, work, 1, || decode(encoded)).ok()
+    meter.count_received(role, work, 1, frame_bytes(encoded.len()));
+    meter.measure_wire(role, work, 1, || decode(encoded)).ok()
 }
 
-/// The size of a frame on a connection in bytes, with its length prefix and the headers of its segments, without
-/// acknowledgements.
+/// Returns the size of a frame on a connection in bytes, with its length prefix and the headers of its segments, but
+/// without acknowledgements.
 pub(super) fn frame_bytes(encoded_length: usize) -> u64 {
-    let length = encoded_length as u64 + FRAME_LENGTH;
-    length + length.div_ceil(SEGMENT) * SEGMENT_HEADERS
+    let length = encoded_length as u64 + LENGTH_PREFIX_BYTES;
+    length + length.div_ceil(SEGMENT_PAYLOAD_BYTES) * SEGMENT_HEADER_BYTES
 }
 
-/// The size of a datagram in bytes, with the headers of its fragments.
+/// Returns the size of a datagram in bytes, with its header and the headers of its fragments.
 pub(super) fn datagram_bytes(encoded_length: usize) -> u64 {
-    let length = encoded_length as u64 + DATAGRAM_HEADER;
-    length + length.div_ceil(FRAGMENT) * FRAGMENT_HEADER
+    let length = encoded_length as u64 + DATAGRAM_HEADER_BYTES;
+    length + length.div_ceil(FRAGMENT_PAYLOAD_BYTES) * FRAGMENT_HEADER_BYTES
 }
 
-/// The kind of work of a daemon's frame.
-pub(super) fn work_up(frame: &DaemonToLeader) -> Work {
+/// Returns the kind of work of a frame from a daemon to the leader.
+pub(super) fn work_of_daemon_frame(frame: &DaemonToLeader) -> Work {
     match frame {
         DaemonToLeader::Renew { .. } => Work::Renewals,
         DaemonToLeader::Installed { .. } | DaemonToLeader::FullSpecRequest => Work::Spec,
@@ -68,8 +68,8 @@
     }
 }
 
-/// The kind of work of a leader's frame.
-pub(super) fn work_down(frame: &LeaderToDaemon) -> Work {
+/// Returns the kind of work of a frame from the leader to a daemon.
+pub(super) fn work_of_leader_frame(frame: &LeaderToDaemon) -> Work {
     match frame {
         LeaderToDaemon::Renewed { .. } => Work::Renewals,
         LeaderToDaemon::Hosts { .. } | LeaderToDaemon::HostsDelta { .. } => Work::Hosts,
@@ -80,7 +80,7 @@
     }
 }
 
-/// The role of a daemon to which a kind of work belongs.
+/// Returns the role of a daemon to which a kind of work is attributed.
 pub(super) fn daemon_role(work: Work) -> Role {
     match work {
         Work::Leases | Work::Idle | Work::Replicas | Work::Runs | Work::Runners => Role::Holder,
