--- a/testing/fleet/src/synthetic/page/capacity_model/controllers.rs
+++ b/testing/fleet/src/synthetic/page/capacity_model/controllers.rs
@@ -1,18 +1,18 @@
-//! The figures of controllers, the leader's and the followers'.
+//! The figures of controllers, as leader and as followers.
 
-use super::{CHANGES_A_SECOND, CapacityModel, DAEMONS, MEGABYTE, baseline_runs, stream_rate};
+use super::{CHANGES_PER_SECOND, CapacityModel, DAEMONS, MEGABYTE, baseline_runs, stream_rate};
 use crate::synthetic::page::Run;
 use crate::synthetic::page::figure::{Figure, Unit};
 use crate::synthetic::page::fit::{Fit, Predictor};
 
 /// A controller's state machine runs in one task, so it can use one processor core.
 const CONTROLLER_BUDGET: f64 = 1.0;
-const CORE_MICROS: f64 = 1e-6;
-const FORCE_BUDGET_MS: f64 = 5_000.0;
-const RENEWALS_A_SECOND: f64 = DAEMONS / 0.3;
-const LEADING_STREAM: [&str; 2] = ["leading renewals", "leading idle"];
+const CORES_PER_MICROSECOND: f64 = 1e-6;
+const IN_FORCE_BUDGET_MS: f64 = 5_000.0;
+const RENEWALS_PER_SECOND: f64 = DAEMONS / 0.3;
+const LEADING_STREAM_WORKS: [&str; 2] = ["leading renewals", "leading idle"];
 
-/// The figures of a follower.
+/// Returns the figures of a follower.
 pub(crate) fn following_figures(runs: &[Run]) -> Vec<Figure> {
     let baseline_runs = baseline_runs(runs);
     let predictors = [
@@ -21,35 +21,43 @@
         Predictor::Changes,
         Predictor::ChangedFunctions,
     ];
-    let by_one = |read: &dyn Fn(&Run) -> f64| {
-        Fit::of(&predictors, &baseline_runs, |run| Some(read(run) / 2.0))
+    let fit_per_follower = |read: &dyn Fn(&Run) -> f64| {
+        Fit::new(&predictors, &baseline_runs, |run| Some(read(run) / 2.0))
     };
-    let bytes = by_one(&|run| {
+    let bytes = fit_per_follower(&|run| {
         run.rate("following core", "heard_bytes") + run.rate("following core", "sent_bytes")
     });
-    let disk = by_one(&|run| run.rate("following disk", "sent_bytes"));
-    let busy = by_one(&|run| {
-        run.busy("following core") + run.busy("following disk") + run.busy("following ticks")
+    let disk = fit_per_follower(&|run| run.rate("following disk", "sent_bytes"));
+    let processor_time = fit_per_follower(&|run| {
+        run.processor_time("following core")
+            + run.processor_time("following disk")
+            + run.processor_time("following ticks")
     });
-    let memory = Fit::of(
+    let memory = Fit::new(
         &[Predictor::One, Predictor::Daemons, Predictor::Functions],
         &baseline_runs,
         |run| Some(run.number("following_bytes") / MEGABYTE),
     );
-    let count = Fit::of(&[Predictor::One], &baseline_runs, |run| {
+    let count = Fit::new(&[Predictor::One], &baseline_runs, |run| {
         Some((run.rate("following core", "heard") + run.rate("following core", "sent")) / 2.0)
     });
     vec![
-        Figure::of("the core's talk", Unit::BytesASecond, &bytes, 1.0),
-        Figure::of("the core's talk", Unit::MessagesASecond, &count, 1.0),
-        Figure::of("documents to disk", Unit::BytesASecond, &disk, 1.0),
-        Figure::of("**processor time**", Unit::Cores, &busy, CORE_MICROS).within(CONTROLLER_BUDGET),
-        Figure::of("**memory kept**", Unit::Megabytes, &memory, 1.0),
+        Figure::new("the core's talk", Unit::BytesPerSecond, &bytes, 1.0),
+        Figure::new("the core's talk", Unit::MessagesPerSecond, &count, 1.0),
+        Figure::new("documents to disk", Unit::BytesPerSecond, &disk, 1.0),
+        Figure::new(
+            "**processor time**",
+            Unit::Cores,
+            &processor_time,
+            CORES_PER_MICROSECOND,
+        )
+        .with_budget(CONTROLLER_BUDGET),
+        Figure::new("**memory kept**", Unit::Megabytes, &memory, 1.0),
     ]
 }
 
 impl CapacityModel {
-    /// The figures of the leader.
+    /// Returns the figures of the leader.
     pub(crate) fn leading(&self, runs: &[Run]) -> Vec<Figure> {
         let baseline_runs = baseline_runs(runs);
         let mut figures = leading_streams(&baseline_runs);
@@ -61,111 +69,129 @@
     }
 
     fn leading_processor_time(&self, baseline_runs: &[&Run]) -> Vec<Figure> {
-        let loaded = |name: &str, fit: &Fit, factor: f64| {
-            Figure::of(name, Unit::Cores, fit, factor * CORE_MICROS)
+        let cores_figure = |name: &str, fit: &Fit, factor: f64| {
+            Figure::new(name, Unit::Cores, fit, factor * CORES_PER_MICROSECOND)
         };
-        let renewals = loaded("renewals", &self.renewal_each, RENEWALS_A_SECOND);
-        let idle = loaded("word of idle functions", &self.idle_each, DAEMONS);
-        let ticks = loaded("ticks and commits", &self.leading_ticks, 1.0);
-        let core = loaded("the core's talk", &self.leading_core, 1.0);
-        let installed = loaded(
+        let renewals = cores_figure(
+            "renewals",
+            &self.renewal_processor_time,
+            RENEWALS_PER_SECOND,
+        );
+        let idle = cores_figure(
+            "word of idle functions",
+            &self.idle_report_processor_time,
+            DAEMONS,
+        );
+        let ticks = cores_figure("ticks and commits", &self.leading_ticks, 1.0);
+        let consensus = cores_figure("the core's talk", &self.leading_consensus, 1.0);
+        let installed = cores_figure(
             "specs installed",
-            &self.installed_each,
-            DAEMONS * CHANGES_A_SECOND,
+            &self.installed_report_processor_time,
+            DAEMONS * CHANGES_PER_SECOND,
         );
-        let lists = Fit::of(
+        let lists = Fit::new(
             &[Predictor::One, Predictor::Instances],
             baseline_runs,
-            |run| Some(run.busy("leading lists")),
+            |run| Some(run.processor_time("leading lists")),
         );
-        let lists = loaded("the platform's lists taken in", &lists, 1.0);
-        let rows = [&renewals, &idle, &ticks, &core, &installed, &lists];
-        let all_busy = Figure::sum("**processor time**", Unit::Cores, &rows);
+        let lists = cores_figure("the platform's lists taken in", &lists, 1.0);
+        let rows = [&renewals, &idle, &ticks, &consensus, &installed, &lists];
+        let total_processor_time = Figure::sum("**processor time**", Unit::Cores, &rows);
         vec![
             renewals,
             idle,
             ticks,
-            core,
+            consensus,
             installed,
             lists,
-            all_busy.within(CONTROLLER_BUDGET),
+            total_processor_time.with_budget(CONTROLLER_BUDGET),
         ]
     }
 
-    /// The time for a change to come into force, by part.
+    /// Returns the time for a change to come into force, by part.
     fn change_in_force(&self) -> Vec<Figure> {
-        let network = Figure::of(
+        let network = Figure::new(
             "a change: the network",
-            Unit::Millis,
-            &self.force_network,
+            Unit::Milliseconds,
+            &self.change_network,
             1.0,
         );
-        let own = Figure::of(
+        let leader = Figure::new(
             "a change: the leader",
-            Unit::Millis,
-            &self.force_leader,
+            Unit::Milliseconds,
+            &self.change_leader,
             1.0,
         );
-        let install = Figure::of(
+        let install = Figure::new(
             "a change: the slowest daemon",
-            Unit::Millis,
+            Unit::Milliseconds,
             &self.install,
             1.0,
         );
         let in_force = Figure::sum(
             "**a change in force**",
-            Unit::Millis,
-            &[&network, &own, &install],
+            Unit::Milliseconds,
+            &[&network, &leader, &install],
         );
-        vec![network, own, install, in_force.within(FORCE_BUDGET_MS)]
+        vec![
+            network,
+            leader,
+            install,
+            in_force.with_budget(IN_FORCE_BUDGET_MS),
+        ]
     }
 }
 
-/// The traffic of daemons' streams and of consensus at the leader.
+/// Returns the traffic of daemons' streams and of consensus at the leader.
 fn leading_streams(baseline_runs: &[&Run]) -> Vec<Figure> {
-    let stream = Fit::of(
+    let stream = Fit::new(
         &[Predictor::Daemons, Predictor::Held],
         baseline_runs,
-        |run| Some(stream_rate(run, &LEADING_STREAM)),
+        |run| Some(stream_rate(run, &LEADING_STREAM_WORKS)),
     );
-    let stream_count = Fit::of(&[Predictor::Daemons], baseline_runs, |run| {
-        let counted = LEADING_STREAM
+    let stream_count = Fit::new(&[Predictor::Daemons], baseline_runs, |run| {
+        let counted = LEADING_STREAM_WORKS
             .iter()
             .map(|work| run.rate(work, "sent") + run.rate(work, "heard"));
         Some(counted.sum())
     });
-    let core_terms = [
+    let consensus_predictors = [
         Predictor::One,
         Predictor::Daemons,
         Predictor::Changes,
         Predictor::ChangedFunctions,
     ];
-    let core_bytes = Fit::of(&core_terms, baseline_runs, |run| {
+    let consensus_bytes = Fit::new(&consensus_predictors, baseline_runs, |run| {
         Some(run.rate("leading core", "sent_bytes") + run.rate("leading core", "heard_bytes"))
     });
     vec![
-        Figure::of("streams of all daemons", Unit::BytesASecond, &stream, 1.0),
-        Figure::of(
+        Figure::new("streams of all daemons", Unit::BytesPerSecond, &stream, 1.0),
+        Figure::new(
             "streams of all daemons",
-            Unit::MessagesASecond,
+            Unit::MessagesPerSecond,
             &stream_count,
             1.0,
         ),
-        Figure::of("the core's talk", Unit::BytesASecond, &core_bytes, 1.0),
+        Figure::new(
+            "the core's talk",
+            Unit::BytesPerSecond,
+            &consensus_bytes,
+            1.0,
+        ),
     ]
 }
 
 fn leading_memory(baseline_runs: &[&Run]) -> Vec<Figure> {
-    let memory_terms = [
+    let memory_predictors = [
         Predictor::One,
         Predictor::Daemons,
         Predictor::Functions,
         Predictor::Held,
     ];
-    let memory = Fit::of(&memory_terms, baseline_runs, |run| {
+    let memory = Fit::new(&memory_predictors, baseline_runs, |run| {
         Some(run.number("leading_bytes") / MEGABYTE)
     });
-    let transient_memory = Fit::of(
+    let transient_memory = Fit::new(
         &[Predictor::One, Predictor::Functions],
         baseline_runs,
         |run| {
@@ -179,8 +205,8 @@
             Some(peaks.fold(0.0, f64::max) / MEGABYTE)
         },
     );
-    let memory = Figure::of("memory kept", Unit::Megabytes, &memory, 1.0);
-    let transient_memory = Figure::of(
+    let memory = Figure::new("memory kept", Unit::Megabytes, &memory, 1.0);
+    let transient_memory = Figure::new(
         "memory on top while a change is made",
         Unit::Megabytes,
         &transient_memory,
@@ -190,9 +216,9 @@
     vec![memory, transient_memory, all_memory]
 }
 
-/// The leader's processor time until all daemons have joined.
+/// Returns the leader's processor time until all daemons have joined.
 fn leading_join(baseline_runs: &[&Run]) -> Figure {
-    let join = Fit::of(
+    let join = Fit::new(
         &[
             Predictor::One,
             Predictor::Daemons,
@@ -201,9 +227,9 @@
         baseline_runs,
         |run| (run.number("functions") == 200.0).then(|| run.number("join_ms")),
     );
-    Figure::of(
+    Figure::new(
         "every daemon joins at once, 200 functions",
-        Unit::Millis,
+        Unit::Milliseconds,
         &join,
         1.0,
     )
--- a/testing/fleet/src/synthetic/page/capacity_model/holder.rs
+++ b/testing/fleet/src/synthetic/page/capacity_model/holder.rs
@@ -2,36 +2,36 @@
 
 use super::ingress::ingress_ticks;
 use super::{
-    BUSY_BUDGET, BYTES_BUDGET, CALLS_AT_ONE, MEGABYTE, MEMORY_BUDGET, baseline_runs, called_runs,
-    fit_per_call, fit_per_daemon,
+    BYTES_BUDGET, CALLS_PER_DAEMON_PER_SECOND, MEGABYTE, MEMORY_BUDGET, PROCESSOR_TIME_BUDGET,
+    baseline_runs, fit_per_call, fit_per_daemon, runs_with_calls,
 };
 use crate::synthetic::page::Run;
 use crate::synthetic::page::figure::{Figure, Unit};
 use crate::synthetic::page::fit::{Fit, Predictor};
 
 const START_BUDGET_MS: f64 = 500.0;
-/// From the ingress to the hash owner, to the leader and back, the reservation and its reply, and the response: six hops
-/// of 35 ms, 5 ms at the platform and 2 ms to the first probe.
+/// Six hops of 35 ms (from the ingress to the hash owner, to the leader and back, the reservation and its reply, and the
+/// response), 5 ms at the platform and 2 ms to the first probe.
 const START_NETWORK_MS: f64 = 217.0;
 const LONGEST_STARTUP_MS: f64 = 1_400.0;
-/// What the cost of a daemon's held functions depends on.
+/// The predictors of the cost of a daemon's held functions.
 const HELD_PREDICTORS: [Predictor; 2] = [Predictor::One, Predictor::HeldPerDaemon];
 
 const IDLE_REPORTS: &str = "word of functions that are not called";
 const LEDGERS: &str = "ledgers and stewards, one call in four once (not control)";
 
-/// The figures of a daemon as lease holder.
+/// Returns the figures of a daemon as lease holder.
 pub(crate) fn holder_figures(runs: &[Run]) -> Vec<Figure> {
     let baseline_runs = baseline_runs(runs);
     let mut figures = idle_report_traffic(&baseline_runs);
     figures.extend(control_processor_time(&baseline_runs));
     figures.push(held_memory(&baseline_runs));
-    figures.extend(calls_at_holder(&called_runs(runs)));
+    figures.extend(calls_at_holder(&runs_with_calls(runs)));
     figures.push(cold_start());
     figures
 }
 
-/// The bytes and messages of the reports of functions without requests.
+/// Returns the bytes and messages of the reports of functions without requests.
 fn idle_report_traffic(baseline_runs: &[&Run]) -> Vec<Figure> {
     let fit = |key: &'static str| {
         fit_per_daemon(&HELD_PREDICTORS, baseline_runs, move |run| {
@@ -41,64 +41,87 @@
     let bytes = fit("sent_bytes");
     let count = fit("sent");
     vec![
-        Figure::of(IDLE_REPORTS, Unit::BytesASecond, &bytes, 1.0).within(BYTES_BUDGET),
-        Figure::of(IDLE_REPORTS, Unit::MessagesASecond, &count, 1.0),
+        Figure::new(IDLE_REPORTS, Unit::BytesPerSecond, &bytes, 1.0).with_budget(BYTES_BUDGET),
+        Figure::new(IDLE_REPORTS, Unit::MessagesPerSecond, &count, 1.0),
     ]
 }
 
-/// The processor time of held functions apart from their calls.
+/// Returns the processor time of held functions, without that of their calls.
 fn control_processor_time(baseline_runs: &[&Run]) -> Vec<Figure> {
     let idle = fit_per_daemon(&HELD_PREDICTORS, baseline_runs, |run| {
-        run.busy("holder idle")
+        run.processor_time("holder idle")
     });
-    let idle = Figure::of(IDLE_REPORTS, Unit::BusyASecond, &idle, 1.0);
+    let idle = Figure::new(IDLE_REPORTS, Unit::MicrosPerSecond, &idle, 1.0);
     let ticks = ingress_ticks(baseline_runs).only(Predictor::HeldPerDaemon);
-    let ticks = Figure::of("ticks of held functions", Unit::BusyASecond, &ticks, 1.0);
-    let all_busy = Figure::sum(
+    let ticks = Figure::new(
+        "ticks of held functions",
+        Unit::MicrosPerSecond,
+        &ticks,
+        1.0,
+    );
+    let total_processor_time = Figure::sum(
         "**control processor time**",
-        Unit::BusyASecond,
+        Unit::MicrosPerSecond,
         &[&idle, &ticks],
     );
-    vec![idle, ticks, all_busy.within(BUSY_BUDGET)]
+    vec![
+        idle,
+        ticks,
+        total_processor_time.with_budget(PROCESSOR_TIME_BUDGET),
+    ]
 }
 
 fn held_memory(baseline_runs: &[&Run]) -> Figure {
-    let memory = Fit::of(&HELD_PREDICTORS, baseline_runs, |run| {
+    let memory = Fit::new(&HELD_PREDICTORS, baseline_runs, |run| {
         Some(run.number("holder_bytes") / MEGABYTE)
     });
-    Figure::of(
+    Figure::new(
         "**memory** of held functions",
         Unit::Megabytes,
         &memory,
         1.0,
     )
-    .within(MEMORY_BUDGET)
+    .with_budget(MEMORY_BUDGET)
 }
 
-/// The cost of calls and of their ledgers at the lease holder.
-fn calls_at_holder(called_runs: &[&Run]) -> Vec<Figure> {
-    let runs_busy = fit_per_call(called_runs, |run| run.busy("holder runs"));
-    let ledger_busy = fit_per_call(called_runs, |run| run.busy("holder stewards"));
-    let ledger_bytes = fit_per_call(called_runs, |run| run.rate("holder stewards", "sent_bytes"));
+/// Returns the cost of calls and of their ledgers at the lease holder.
+fn calls_at_holder(runs_with_calls: &[&Run]) -> Vec<Figure> {
+    let runs_processor_time =
+        fit_per_call(runs_with_calls, |run| run.processor_time("holder runs"));
+    let ledger_processor_time =
+        fit_per_call(runs_with_calls, |run| run.processor_time("holder stewards"));
+    let ledger_bytes = fit_per_call(runs_with_calls, |run| {
+        run.rate("holder stewards", "sent_bytes")
+    });
     vec![
-        Figure::of(
+        Figure::new(
             "calls at their holder (not control)",
-            Unit::BusyASecond,
-            &runs_busy,
-            CALLS_AT_ONE,
+            Unit::MicrosPerSecond,
+            &runs_processor_time,
+            CALLS_PER_DAEMON_PER_SECOND,
+        ),
+        Figure::new(
+            LEDGERS,
+            Unit::MicrosPerSecond,
+            &ledger_processor_time,
+            CALLS_PER_DAEMON_PER_SECOND,
+        ),
+        Figure::new(
+            LEDGERS,
+            Unit::BytesPerSecond,
+            &ledger_bytes,
+            CALLS_PER_DAEMON_PER_SECOND,
         ),
-        Figure::of(LEDGERS, Unit::BusyASecond, &ledger_busy, CALLS_AT_ONE),
-        Figure::of(LEDGERS, Unit::BytesASecond, &ledger_bytes, CALLS_AT_ONE),
     ]
 }
 
-/// The time of a start across regions; worked out, not measured.
+/// Returns the time of a start across regions, which is calculated, not measured.
 fn cold_start() -> Figure {
-    Figure::of(
+    Figure::new(
         "a start across regions: 217 ms of ways, and the longest boot of 1.4 s",
-        Unit::Millis,
+        Unit::Milliseconds,
         &Fit::fixed(START_NETWORK_MS + LONGEST_STARTUP_MS),
         1.0,
     )
-    .within(START_BUDGET_MS)
+    .with_budget(START_BUDGET_MS)
 }
--- a/testing/fleet/src/synthetic/page/capacity_model/ingress.rs
+++ b/testing/fleet/src/synthetic/page/capacity_model/ingress.rs
@@ -1,8 +1,9 @@
 //! The figures of a daemon as ingress.
 
 use super::{
-    BUSY_BUDGET, BYTES_BUDGET, CALLS_AT_ONE, CHANGES_A_SECOND, CapacityModel, DAEMONS, MEGABYTE,
-    MEMORY_BUDGET, baseline_runs, called_runs, fit_per_call, fit_per_daemon, stream_rate,
+    BYTES_BUDGET, CALLS_PER_DAEMON_PER_SECOND, CHANGES_PER_SECOND, CapacityModel, DAEMONS,
+    MEGABYTE, MEMORY_BUDGET, PROCESSOR_TIME_BUDGET, baseline_runs, fit_per_call, fit_per_daemon,
+    runs_with_calls, stream_rate,
 };
 use crate::synthetic::page::Run;
 use crate::synthetic::page::figure::{Figure, Unit};
@@ -10,40 +11,41 @@
 
 /// The largest payload of a datagram that is not fragmented.
 const DATAGRAM_BUDGET: f64 = 1_472.0;
-/// A daemon that fails or is replaced leaves and joins, so two lists are sent to every daemon.
-const HOSTS_A_SECOND: f64 = 2.0 * 143.0 / 86_400.0;
-const INGRESS_STREAM: [&str; 2] = ["door renewals", "door others"];
-/// What the cost of one change of the spec depends on.
+/// When a daemon fails or is replaced, it leaves and joins, so two lists are sent to every daemon.
+const HOST_LISTS_PER_SECOND: f64 = 2.0 * 143.0 / 86_400.0;
+const INGRESS_STREAM_WORKS: [&str; 2] = ["door renewals", "door others"];
+/// The predictors of the cost of one change of the spec.
 const SPEC_PREDICTORS: [Predictor; 2] = [Predictor::One, Predictor::Functions];
 
 impl CapacityModel {
-    /// The figures of a daemon as ingress.
+    /// Returns the figures of a daemon as ingress.
     pub(crate) fn ingress(&self, runs: &[Run]) -> Vec<Figure> {
         let baseline_runs = baseline_runs(runs);
         let mut figures = self.ingress_bytes(&baseline_runs);
         figures.extend(ingress_membership(&baseline_runs));
         figures.extend(ingress_processor_time(&baseline_runs));
         figures.extend(ingress_memory(&baseline_runs));
-        figures.push(Figure::of(
+        figures.push(Figure::new(
             "the slowest install of a change",
-            Unit::Millis,
+            Unit::Milliseconds,
             &self.install,
             1.0,
         ));
-        figures.push(ingress_calls(&called_runs(runs)));
+        figures.push(ingress_calls(&runs_with_calls(runs)));
         figures
     }
 
-    /// The bytes of a daemon's control traffic.
+    /// Returns the bytes of a daemon's control traffic.
     fn ingress_bytes(&self, baseline_runs: &[&Run]) -> Vec<Figure> {
-        let rate =
-            |name: &str, fit: &Fit, factor: f64| Figure::of(name, Unit::BytesASecond, fit, factor);
-        let beats = rate("heartbeats sent and heard", &self.beat_bytes, 1.0);
+        let rate = |name: &str, fit: &Fit, factor: f64| {
+            Figure::new(name, Unit::BytesPerSecond, fit, factor)
+        };
+        let heartbeats = rate("heartbeats sent and heard", &self.heartbeat_bytes, 1.0);
         let renewals = fit_per_daemon(&[Predictor::One], baseline_runs, |run| {
-            stream_rate(run, &INGRESS_STREAM)
+            stream_rate(run, &INGRESS_STREAM_WORKS)
         });
         let renewals = rate("renewals sent and heard", &renewals, 1.0);
-        let hosts = Fit::of(
+        let hosts = Fit::new(
             &[Predictor::One, Predictor::Daemons],
             baseline_runs,
             |run| Some(run.number("hosts_bytes")),
@@ -51,121 +53,140 @@
         let hosts = rate(
             "lists of daemons, 143 leaving and joining a day",
             &hosts,
-            HOSTS_A_SECOND,
+            HOST_LISTS_PER_SECOND,
         );
         let spec = fit_per_change(baseline_runs, |run| {
             run.work("door spec", "heard_bytes") + run.work("door spec", "sent_bytes")
         });
-        let spec = rate("changes of the spec", &spec, CHANGES_A_SECOND);
+        let spec = rate("changes of the spec", &spec, CHANGES_PER_SECOND);
         let all_bytes = Figure::sum(
             "**control bytes**",
-            Unit::BytesASecond,
-            &[&beats, &renewals, &hosts, &spec],
+            Unit::BytesPerSecond,
+            &[&heartbeats, &renewals, &hosts, &spec],
         );
-        vec![beats, renewals, hosts, spec, all_bytes.within(BYTES_BUDGET)]
+        vec![
+            heartbeats,
+            renewals,
+            hosts,
+            spec,
+            all_bytes.with_budget(BYTES_BUDGET),
+        ]
     }
 }
 
-/// The number and size of heartbeats, and how many daemons they show as alive.
+/// Returns the number and size of heartbeats, and the ratio of all daemons to those that a daemon counts as alive.
 fn ingress_membership(baseline_runs: &[&Run]) -> Vec<Figure> {
-    let beat_count = fit_per_daemon(&[Predictor::One], baseline_runs, |run| {
+    let heartbeat_count = fit_per_daemon(&[Predictor::One], baseline_runs, |run| {
         run.rate("door beats", "sent") + run.rate("door beats", "heard")
     });
-    let beat_size = Fit::of(
+    let heartbeat_size = Fit::new(
         &[Predictor::One, Predictor::Daemons],
         baseline_runs,
         |run| Some(run.number("heartbeat_bytes")),
     );
-    let membership_ratio = Fit::of(&[Predictor::One], baseline_runs, |run| {
+    let membership_ratio = Fit::new(&[Predictor::One], baseline_runs, |run| {
         (run.daemons() == DAEMONS).then(|| DAEMONS / run.number("alive_seen"))
     });
     vec![
-        Figure::of(
+        Figure::new(
             "heartbeats sent and heard",
-            Unit::MessagesASecond,
-            &beat_count,
+            Unit::MessagesPerSecond,
+            &heartbeat_count,
             1.0,
         ),
-        Figure::of("one heartbeat", Unit::Bytes, &beat_size, 1.0).within(DATAGRAM_BUDGET),
-        Figure::of(
+        Figure::new("one heartbeat", Unit::Bytes, &heartbeat_size, 1.0)
+            .with_budget(DATAGRAM_BUDGET),
+        Figure::new(
             "daemons there are for each that a daemon counts as alive, measured at 740",
-            Unit::Times,
+            Unit::Factor,
             &membership_ratio,
             1.0,
         )
-        .within(1.0),
+        .with_budget(1.0),
     ]
 }
 
-/// The processor time of a daemon's control work, without that of its held functions.
+/// Returns the processor time of a daemon's control work, without that of its held functions.
 fn ingress_processor_time(baseline_runs: &[&Run]) -> Vec<Figure> {
-    let busy =
-        |name: &str, fit: &Fit, factor: f64| Figure::of(name, Unit::BusyASecond, fit, factor);
+    let figure =
+        |name: &str, fit: &Fit, factor: f64| Figure::new(name, Unit::MicrosPerSecond, fit, factor);
     let ticks = ingress_ticks(baseline_runs).without(Predictor::HeldPerDaemon);
-    let ticks = busy("ticks, without held functions", &ticks, 1.0);
-    let beats = fit_per_daemon(
+    let ticks = figure("ticks, without held functions", &ticks, 1.0);
+    let heartbeats = fit_per_daemon(
         &[Predictor::One, Predictor::Daemons],
         baseline_runs,
-        |run| run.busy("door beats"),
+        |run| run.processor_time("door beats"),
     );
-    let beats = busy("heartbeats", &beats, 1.0);
+    let heartbeats = figure("heartbeats", &heartbeats, 1.0);
     let renewals = fit_per_daemon(&[Predictor::One], baseline_runs, |run| {
-        run.busy("door renewals")
+        run.processor_time("door renewals")
     });
-    let renewals = busy("renewals", &renewals, 1.0);
+    let renewals = figure("renewals", &renewals, 1.0);
     let spec = fit_per_change(baseline_runs, |run| {
         run.work("door spec", "think_us") + run.work("door spec", "wire_us")
     });
-    let spec = busy("changes of the spec", &spec, CHANGES_A_SECOND);
-    let all_busy = Figure::sum(
+    let spec = figure("changes of the spec", &spec, CHANGES_PER_SECOND);
+    let total_processor_time = Figure::sum(
         "**control processor time**",
-        Unit::BusyASecond,
-        &[&ticks, &beats, &renewals, &spec],
+        Unit::MicrosPerSecond,
+        &[&ticks, &heartbeats, &renewals, &spec],
     );
-    vec![ticks, beats, renewals, spec, all_busy.within(BUSY_BUDGET)]
+    vec![
+        ticks,
+        heartbeats,
+        renewals,
+        spec,
+        total_processor_time.with_budget(PROCESSOR_TIME_BUDGET),
+    ]
 }
 
-/// The memory of a daemon, without that of its held functions.
+/// Returns the memory of a daemon, without that of its held functions.
 fn ingress_memory(baseline_runs: &[&Run]) -> Vec<Figure> {
-    let memory = Fit::of(
+    let memory = Fit::new(
         &[Predictor::One, Predictor::Daemons, Predictor::Functions],
         baseline_runs,
         |run| Some(run.number("door_bytes") / MEGABYTE),
     );
-    let memory = Figure::of("memory kept", Unit::Megabytes, &memory, 1.0);
-    let transient_memory = Fit::of(&SPEC_PREDICTORS, baseline_runs, |run| {
+    let memory = Figure::new("memory kept", Unit::Megabytes, &memory, 1.0);
+    let transient_memory = Fit::new(&SPEC_PREDICTORS, baseline_runs, |run| {
         Some(run.work("door spec", "swell_bytes") / MEGABYTE)
     });
-    let transient_memory = Figure::of(
+    let transient_memory = Figure::new(
         "memory on top while a change is installed",
         Unit::Megabytes,
         &transient_memory,
         1.0,
     );
     let all_memory = Figure::sum("**memory**", Unit::Megabytes, &[&memory, &transient_memory]);
-    vec![memory, transient_memory, all_memory.within(MEMORY_BUDGET)]
+    vec![
+        memory,
+        transient_memory,
+        all_memory.with_budget(MEMORY_BUDGET),
+    ]
 }
 
-/// The processor time of routing and forwarding calls.
-fn ingress_calls(called_runs: &[&Run]) -> Figure {
-    let calls = fit_per_call(called_runs, |run| run.busy("door calls"));
-    Figure::of(
+/// Returns the processor time of routing and forwarding calls.
+fn ingress_calls(runs_with_calls: &[&Run]) -> Figure {
+    let calls = fit_per_call(runs_with_calls, |run| run.processor_time("door calls"));
+    Figure::new(
         "calls on their way (not control)",
-        Unit::BusyASecond,
+        Unit::MicrosPerSecond,
         &calls,
-        CALLS_AT_ONE,
+        CALLS_PER_DAEMON_PER_SECOND,
     )
 }
 
-/// The processor time of a daemon's timers in microseconds per second, with those of its held functions.
+/// Fits the processor time of a daemon's timers, including those of its held functions, in microseconds per second.
 pub(super) fn ingress_ticks(baseline_runs: &[&Run]) -> Fit {
     let predictors = [Predictor::One, Predictor::Daemons, Predictor::HeldPerDaemon];
-    fit_per_daemon(&predictors, baseline_runs, |run| run.busy("door ticks"))
+    fit_per_daemon(&predictors, baseline_runs, |run| {
+        run.processor_time("door ticks")
+    })
 }
 
-/// Fits a total of all daemons and changes, as the part of one daemon in one change.
+/// Fits a total over all daemons and changes, divided by the numbers of both.
 fn fit_per_change(baseline_runs: &[&Run], read: impl Fn(&Run) -> f64) -> Fit {
-    Fit::of(&SPEC_PREDICTORS, baseline_runs, |run| {
+    Fit::new(&SPEC_PREDICTORS, baseline_runs, |run| {
         Some(read(run) / run.number("changes") / run.daemons())
     })
 }
--- a/testing/fleet/src/synthetic/page/figure.rs
+++ b/testing/fleet/src/synthetic/page/figure.rs
@@ -1,4 +1,4 @@
-//! A figure of the page: fitted models at the target size, with a budget.
+//! The figures of the page: values of fitted models at the target size, with budgets.
 
 use super::fit::{Fit, Predictor};
 use std::fmt;
@@ -9,21 +9,21 @@
     /// Bytes.
     Bytes,
     /// Bytes per second.
-    BytesASecond,
+    BytesPerSecond,
     /// Megabytes.
     Megabytes,
     /// Messages per second.
-    MessagesASecond,
+    MessagesPerSecond,
     /// Calls per second.
-    CallsASecond,
+    CallsPerSecond,
     /// Microseconds of processor time per second.
-    BusyASecond,
+    MicrosPerSecond,
     /// Processor cores.
     Cores,
-    /// A factor.
-    Times,
+    /// A dimensionless factor.
+    Factor,
     /// Milliseconds.
-    Millis,
+    Milliseconds,
     /// Seconds.
     Seconds,
 }
@@ -32,35 +32,35 @@
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         out.write_str(match self {
             Self::Bytes => "B",
-            Self::BytesASecond => "B/s",
+            Self::BytesPerSecond => "B/s",
             Self::Megabytes => "MB",
-            Self::MessagesASecond => "messages/s",
-            Self::CallsASecond => "calls/s",
-            Self::BusyASecond => "µs/s",
+            Self::MessagesPerSecond => "messages/s",
+            Self::CallsPerSecond => "calls/s",
+            Self::MicrosPerSecond => "µs/s",
             Self::Cores => "cores",
-            Self::Times => "×",
-            Self::Millis => "ms",
+            Self::Factor => "×",
+            Self::Milliseconds => "ms",
             Self::Seconds => "s",
         })
     }
 }
 
-/// A row of a role's table: a sum of fitted models, each with its factor at the target size.
+/// A figure in a role's table: a sum of fitted models, each multiplied by a factor.
 #[derive(Clone, Debug)]
 pub(crate) struct Figure {
     /// The name.
     pub name: String,
     /// The unit.
     pub unit: Unit,
-    /// The models, each with its factor at the target size.
+    /// The models with their factors, such as a rate at the target size.
     pub parts: Vec<(Fit, f64)>,
     /// The budget, if there is one.
     pub budget: Option<f64>,
-    /// Whether it is the sum of the rows above.
+    /// Whether the figure is the sum of other figures in the table.
     pub is_sum: bool,
 }
 
-/// Formats a number with three significant digits and separated thousands.
+/// Formats a number with three significant digits and a space as thousands separator.
 pub(crate) fn format_figure(value: f64) -> String {
     let size = value.abs();
     if size == 0.0 {
@@ -89,8 +89,8 @@
 }
 
 impl Figure {
-    /// A figure of one model with a factor.
-    pub(crate) fn of(name: &str, unit: Unit, fit: &Fit, factor: f64) -> Self {
+    /// Creates a figure of one model with a factor.
+    pub(crate) fn new(name: &str, unit: Unit, fit: &Fit, factor: f64) -> Self {
         let parts = vec![(fit.clone(), factor)];
         Self {
             name: name.to_owned(),
@@ -101,7 +101,7 @@
         }
     }
 
-    /// The sum of other figures.
+    /// Creates the sum of other figures.
     pub(crate) fn sum(name: &str, unit: Unit, figures: &[&Figure]) -> Self {
         let parts = figures
             .iter()
@@ -117,40 +117,42 @@
     }
 
     /// Sets the budget.
-    pub(crate) fn within(mut self, budget: f64) -> Self {
+    pub(crate) fn with_budget(mut self, budget: f64) -> Self {
         self.budget = Some(budget);
         self
     }
 
-    /// The value at the target size.
+    /// Returns the value at the target size.
     pub(crate) fn at_target(&self) -> f64 {
         self.parts
             .iter()
-            .map(|(fit, factor)| fit.line.at_target() * factor)
+            .map(|(fit, factor)| fit.model.at_target() * factor)
             .sum()
     }
 
-    /// The ratio of the value to the budget; above one the budget is exceeded.
+    /// Returns the ratio of the value to the budget. Above one, the budget is exceeded.
     pub(crate) fn ratio(&self) -> Option<f64> {
         self.budget.map(|budget| self.at_target() / budget)
     }
 
-    fn spread(&self) -> Option<(f64, f64)> {
+    /// Returns the smallest and the largest value of the models by seed.
+    fn seed_range(&self) -> Option<(f64, f64)> {
         let seed_count = self.parts.iter().map(|(fit, _)| fit.by_seed.len()).max()?;
-        let of_seed = |seed: usize| -> f64 {
+        let value_of_seed = |seed: usize| -> f64 {
             self.parts
                 .iter()
                 .map(|(fit, factor)| {
-                    fit.by_seed.get(seed).unwrap_or(&fit.line).at_target() * factor
+                    fit.by_seed.get(seed).unwrap_or(&fit.model).at_target() * factor
                 })
                 .sum()
         };
-        let values: Vec<f64> = (0..seed_count).map(of_seed).collect();
-        let least = values.iter().copied().reduce(f64::min)?;
-        let most = values.iter().copied().reduce(f64::max)?;
-        Some((least, most))
+        let values: Vec<f64> = (0..seed_count).map(value_of_seed).collect();
+        let min = values.iter().copied().reduce(f64::min)?;
+        let max = values.iter().copied().reduce(f64::max)?;
+        Some((min, max))
     }
 
+    /// Returns the formula of the fitted model.
     fn formula(&self) -> String {
         if self.is_sum {
             return "the sum of the rows named".to_owned();
@@ -158,27 +160,27 @@
         let Some((fit, factor)) = self.parts.first() else {
             return String::new();
         };
-        let parts: Vec<String> = fit
-            .line
-            .parts
+        let terms: Vec<String> = fit
+            .model
+            .terms
             .iter()
             .map(|(predictor, slope)| match predictor {
                 Predictor::One => format_figure(*slope),
                 _ => format!("{} {predictor}", format_figure(*slope)),
             })
             .collect();
-        let line = parts.join(" + ");
+        let formula = terms.join(" + ");
         if *factor == 1.0 {
-            line
+            formula
         } else {
-            format!("({line}) × {}", format_figure(*factor))
+            format!("({formula}) × {}", format_figure(*factor))
         }
     }
 
-    /// The row as Markdown.
-    pub(crate) fn row(&self) -> String {
-        let spread = match self.spread() {
-            Some((least, most)) => format!("{} to {}", format_figure(least), format_figure(most)),
+    /// Returns the figure as a row of a Markdown table.
+    pub(crate) fn to_markdown_row(&self) -> String {
+        let seed_range = match self.seed_range() {
+            Some((min, max)) => format!("{} to {}", format_figure(min), format_figure(max)),
             None => "worked out".to_owned(),
         };
         let value = format!("{} {}", format_figure(self.at_target()), self.unit);
@@ -191,7 +193,7 @@
             None => "–".to_owned(),
         };
         format!(
-            "| {} | {} | {value} | {spread} | {budget} | {ratio} |",
+            "| {} | {} | {value} | {seed_range} | {budget} | {ratio} |",
             self.name,
             self.formula()
         )
--- a/testing/fleet/src/synthetic/page/fit.rs
+++ b/testing/fleet/src/synthetic/page/fit.rs
@@ -16,19 +16,19 @@
     Held,
     /// The mean number of functions held by one daemon.
     HeldPerDaemon,
-    /// The number of running runners.
+    /// The number of runners.
     Instances,
     /// The square of the number of daemons.
     DaemonsSquared,
-    /// Changes of the spec per second.
+    /// The number of changes of the spec per second.
     Changes,
-    /// Changes of the spec per second, times the functions in it.
+    /// The number of changes of the spec per second, times the number of functions in the spec.
     ChangedFunctions,
 }
 
 impl Predictor {
-    /// The value in a run.
-    pub fn of(self, run: &Run) -> f64 {
+    /// Returns the value of the predictor in a run.
+    pub fn value_in(self, run: &Run) -> f64 {
         match self {
             Self::One => 1.0,
             Self::Daemons => run.daemons(),
@@ -44,7 +44,7 @@
         }
     }
 
-    /// The value at the target size, that of two years from now.
+    /// Returns the value of the predictor at the target size, which is expected in two years.
     pub fn target(self) -> f64 {
         match self {
             Self::One => 1.0,
@@ -79,28 +79,28 @@
 #[derive(Clone, Debug)]
 pub struct LinearModel {
     /// The predictors with their coefficients.
-    pub parts: Vec<(Predictor, f64)>,
+    pub terms: Vec<(Predictor, f64)>,
 }
 
 impl LinearModel {
-    /// Fits a model to points by least squares of relative deviations. Predictors with negative coefficients are left
-    /// out, since no cost decreases with size.
+    /// Fits a model to points by least squares of the relative deviations. Predictors whose coefficients are negative are
+    /// left out, since no cost decreases with size.
     pub fn fit(predictors: &[Predictor], points: &[(&Run, f64)]) -> Self {
-        let mut kept_terms: Vec<Predictor> = predictors.to_vec();
+        let mut kept_predictors: Vec<Predictor> = predictors.to_vec();
         loop {
-            let factors = solve(&kept_terms, points);
-            let lowest = factors
+            let coefficients = solve(&kept_predictors, points);
+            let lowest = coefficients
                 .iter()
                 .enumerate()
-                .filter(|(_, factor)| **factor < 0.0)
+                .filter(|(_, coefficient)| **coefficient < 0.0)
                 .min_by(|left, right| left.1.total_cmp(right.1));
             match lowest {
-                Some((index, _)) if kept_terms.len() > 1 => {
-                    kept_terms.remove(index);
+                Some((index, _)) if kept_predictors.len() > 1 => {
+                    kept_predictors.remove(index);
                 }
                 _ => {
-                    let parts = kept_terms.into_iter().zip(factors).collect();
-                    return Self { parts }.drop_negligible(points);
+                    let terms = kept_predictors.into_iter().zip(coefficients).collect();
+                    return Self { terms }.drop_negligible(points);
                 }
             }
         }
@@ -108,31 +108,31 @@
 
     /// Removes predictors that contribute less than a millionth to every point.
     fn drop_negligible(mut self, points: &[(&Run, f64)]) -> Self {
-        self.parts.retain(|(predictor, factor)| {
+        self.terms.retain(|(predictor, coefficient)| {
             points
                 .iter()
-                .any(|(run, value)| factor * predictor.of(run) > value.abs() * 1e-6)
+                .any(|(run, value)| coefficient * predictor.value_in(run) > value.abs() * 1e-6)
         });
         self
     }
 
-    /// The value of the model for given values of the predictors.
+    /// Returns the value of the model for given values of the predictors.
     pub fn at(&self, value_of: impl Fn(Predictor) -> f64) -> f64 {
-        self.parts
+        self.terms
             .iter()
-            .map(|(predictor, factor)| factor * value_of(*predictor))
+            .map(|(predictor, coefficient)| coefficient * value_of(*predictor))
             .sum()
     }
 
-    /// The value at the target size, that of two years from now.
+    /// Returns the value of the model at the target size, which is expected in two years.
     pub fn at_target(&self) -> f64 {
         self.at(Predictor::target)
     }
 
     fn restricted_to(&self, is_kept: &dyn Fn(Predictor) -> bool) -> Self {
         Self {
-            parts: self
-                .parts
+            terms: self
+                .terms
                 .iter()
                 .copied()
                 .filter(|(predictor, _)| is_kept(*predictor))
@@ -141,17 +141,17 @@
     }
 }
 
-/// The diagonal of a linear system below which an unknown is taken as undetermined.
-const SINGULAR: f64 = 1e-18;
+/// The absolute value of a pivot below which its unknown counts as undetermined.
+const MIN_PIVOT: f64 = 1e-18;
 
-/// Solves weighted least squares by normal equations, with each predictor scaled to its largest value.
+/// Solves a weighted least squares problem by its normal equations, with each predictor scaled by its largest value.
 fn solve(predictors: &[Predictor], points: &[(&Run, f64)]) -> Vec<f64> {
     let scales: Vec<f64> = predictors
         .iter()
         .map(|predictor| {
             points
                 .iter()
-                .map(|(run, _)| predictor.of(run).abs())
+                .map(|(run, _)| predictor.value_in(run).abs())
                 .fold(1e-12, f64::max)
         })
         .collect();
@@ -162,7 +162,7 @@
         .enumerate()
         .map(|(index, (row, scale))| {
             let divisor = row[index];
-            if divisor.abs() < SINGULAR {
+            if divisor.abs() < MIN_PIVOT {
                 0.0
             } else {
                 row[predictors.len()] / divisor / scale
@@ -171,8 +171,8 @@
         .collect()
 }
 
-/// The normal equations as rows of an augmented matrix; each point is weighted by its value, so that deviations count
-/// relative to it.
+/// Returns the normal equations as rows of an augmented matrix. Each point is weighted by the inverse square of its
+/// value, so that relative deviations count.
 fn normal_equations(
     predictors: &[Predictor],
     scales: &[f64],
@@ -185,7 +185,7 @@
         let values: Vec<f64> = predictors
             .iter()
             .zip(scales)
-            .map(|(predictor, scale)| predictor.of(run) / scale)
+            .map(|(predictor, scale)| predictor.value_in(run) / scale)
             .collect();
         for left in 0..count {
             for right in 0..count {
@@ -197,7 +197,7 @@
     rows
 }
 
-/// Reduces an augmented matrix to its diagonal by Gauss-Jordan elimination with partial pivoting.
+/// Reduces an augmented matrix to diagonal form by Gauss-Jordan elimination with partial pivoting.
 fn eliminate(rows: &mut [Vec<f64>]) {
     let count = rows.len();
     for pivot in 0..count {
@@ -209,33 +209,33 @@
             })
             .unwrap_or(pivot);
         rows.swap(pivot, best);
-        if rows[pivot][pivot].abs() < SINGULAR {
+        if rows[pivot][pivot].abs() < MIN_PIVOT {
             continue;
         }
         let pivot_row = rows[pivot].clone();
         for (index, row) in rows.iter_mut().enumerate() {
             if index != pivot {
-                let share = row[pivot] / pivot_row[pivot];
+                let multiplier = row[pivot] / pivot_row[pivot];
                 for (cell, pivot_cell) in row.iter_mut().zip(&pivot_row) {
-                    *cell -= share * pivot_cell;
+                    *cell -= multiplier * pivot_cell;
                 }
             }
         }
     }
 }
 
-/// A model fitted to all runs, and one fitted to the runs of each seed.
+/// A model fitted to all runs, and one model per seed.
 #[derive(Clone, Debug)]
 pub(crate) struct Fit {
-    /// The model of all runs.
-    pub line: LinearModel,
-    /// The models by seed.
+    /// The model fitted to all runs.
+    pub model: LinearModel,
+    /// The models fitted to the runs of each seed, in order of the seeds.
     pub by_seed: Vec<LinearModel>,
 }
 
 impl Fit {
-    /// Fits the values that are read from the runs; runs without a value are left out.
-    pub(crate) fn of(
+    /// Fits models to values read from the runs. Runs without a value are left out.
+    pub(crate) fn new(
         predictors: &[Predictor],
         runs: &[&Run],
         read: impl Fn(&Run) -> Option<f64>,
@@ -250,36 +250,36 @@
         let by_seed = seeds
             .into_iter()
             .map(|seed| {
-                let seeded: Vec<(&Run, f64)> = points
+                let seed_points: Vec<(&Run, f64)> = points
                     .iter()
                     .filter(|(run, _)| run.seed() == seed)
                     .copied()
                     .collect();
-                LinearModel::fit(predictors, &seeded)
+                LinearModel::fit(predictors, &seed_points)
             })
             .collect();
         Self {
-            line: LinearModel::fit(predictors, &points),
+            model: LinearModel::fit(predictors, &points),
             by_seed,
         }
     }
 
-    /// A constant that is not measured.
+    /// Returns a constant that does not come from measurements.
     pub(crate) fn fixed(value: f64) -> Self {
         Self {
-            line: LinearModel {
-                parts: vec![(Predictor::One, value)],
+            model: LinearModel {
+                terms: vec![(Predictor::One, value)],
             },
             by_seed: Vec::new(),
         }
     }
 
-    /// Only the contribution of one predictor.
+    /// Returns the fit with only the term of one predictor.
     pub(crate) fn only(&self, wanted: Predictor) -> Self {
         self.restricted_to(&|predictor| predictor == wanted)
     }
 
-    /// All but the contribution of one predictor.
+    /// Returns the fit without the term of one predictor.
     pub(crate) fn without(&self, unwanted: Predictor) -> Self {
         self.restricted_to(&|predictor| predictor != unwanted)
     }
@@ -288,10 +288,10 @@
         let by_seed = self
             .by_seed
             .iter()
-            .map(|line| line.restricted_to(is_kept))
+            .map(|model| model.restricted_to(is_kept))
             .collect();
         Self {
-            line: self.line.restricted_to(is_kept),
+            model: self.model.restricted_to(is_kept),
             by_seed,
         }
     }
--- a/testing/fleet/src/synthetic/page/mod.rs
+++ b/testing/fleet/src/synthetic/page/mod.rs
@@ -16,18 +16,18 @@
 use plots::DrawError;
 use std::path::PathBuf;
 
-/// Why the page cannot be rendered. The texts include those of their causes.
+/// An error in rendering the page. The messages include those of their causes.
 #[derive(Debug, thiserror::Error)]
 pub enum PageError {
-    /// The records cannot be read.
+    /// The records of runs or the page cannot be read.
     #[error(transparent)]
     Record(#[from] RecordError),
-    /// The folder has too few complete runs for a fit; their number.
-    #[error("{path}: {count} whole runs; slopes need at least 6", path = .0.display(), count = .1)]
-    TooFew(PathBuf, usize),
-    /// The page lacks the mark of a table.
-    #[error("{path}: no line {mark:?}", path = .0.display(), mark = .1)]
-    Unmarked(PathBuf, String),
+    /// The folder has too few baseline runs to fit the models; their number.
+    #[error("{path}: {count} runs are usable for a fit, which needs at least 6", path = .0.display(), count = .1)]
+    TooFewRuns(PathBuf, usize),
+    /// The page lacks a marker of a table.
+    #[error("{path}: marker {marker:?} is missing", path = .0.display(), marker = .1)]
+    MissingMarker(PathBuf, String),
     /// A plot cannot be drawn.
     #[error("{path}: {cause}", path = .0.display(), cause = .1)]
     Plot(PathBuf, DrawError),
--- a/testing/fleet/src/synthetic/page/plots.rs
+++ b/testing/fleet/src/synthetic/page/plots.rs
@@ -6,19 +6,19 @@
 use plotters::prelude::*;
 use std::path::{Path, PathBuf};
 
-/// Why a plot cannot be drawn.
+/// An error in drawing a plot.
 pub(crate) type DrawError = DrawingAreaErrorKind<std::io::Error>;
 
 /// A chart with logarithmic axes.
 type Chart<'a> = ChartContext<'a, SVGBackend<'a>, Cartesian2d<LogCoord<f64>, LogCoord<f64>>>;
 
-/// The axis of sizes, from the smallest to the largest size at which the model is drawn.
+/// The horizontal axis, from the smallest to the largest size for which the model is drawn.
 #[derive(Clone, Copy)]
 struct SizeAxis {
     label: &'static str,
     from: f64,
     to: f64,
-    /// The target size, that of two years from now.
+    /// The target size, which is expected in two years.
     target: f64,
 }
 
@@ -41,7 +41,7 @@
         }
     }
 
-    /// The values of a model at sizes in even logarithmic steps.
+    /// Returns the values of a model at sizes in even logarithmic steps.
     fn model_line(self, value_at: impl Fn(f64) -> f64) -> Vec<(f64, f64)> {
         (0..=60)
             .map(|step| self.from * (self.to / self.from).powf(f64::from(step) / 60.0))
@@ -50,7 +50,7 @@
     }
 }
 
-/// The axis of values, with the budget that is drawn across it.
+/// The vertical axis, with the budget, which is drawn as a horizontal line.
 #[derive(Clone, Copy)]
 struct ValueAxis {
     label: &'static str,
@@ -74,7 +74,7 @@
     budget_name: "5 s",
 };
 
-/// A plot of measured and modelled values by size, with logarithmic axes.
+/// A plot of measured and predicted values by size, with logarithmic axes.
 struct Plot {
     file: &'static str,
     title: &'static str,
@@ -86,8 +86,8 @@
     line: Vec<(f64, f64)>,
 }
 
-/// The values of predictors at a fleet size, with a fixed rate of changes.
-fn at_size(daemons: f64, functions: f64, held: f64) -> impl Fn(Predictor) -> f64 {
+/// Returns the values of the predictors at a fleet size, with a fixed rate of changes.
+fn predictors_at(daemons: f64, functions: f64, held: f64) -> impl Fn(Predictor) -> f64 {
     move |predictor| match predictor {
         Predictor::One => 1.0,
         Predictor::Daemons => daemons,
@@ -100,39 +100,39 @@
     }
 }
 
-fn in_force(run: &Run) -> Option<f64> {
+fn change_time_ms(run: &Run) -> Option<f64> {
     run.change_times().map(|times| times.total_ms())
 }
 
-/// Draws all plots into a folder; returns the paths of the files.
+/// Draws all plots into a folder, and returns the paths of the files.
 ///
 /// # Errors
 /// Fails if a plot cannot be drawn.
 pub fn draw_plots(folder: &Path, runs: &[Run]) -> Result<Vec<PathBuf>, PageError> {
-    let model = CapacityModel::of(runs);
-    let series = Series::of(runs);
+    let model = CapacityModel::fit(runs);
+    let series = Series::from_runs(runs);
     let plots = [
         heartbeats_by_daemons(&model, &series),
         leader_by_daemons(&model, &series),
         leader_by_functions(&model, &series),
-        force_by_daemons(&model, &series),
-        force_by_functions(&model, &series),
+        change_time_by_daemons(&model, &series),
+        change_time_by_functions(&model, &series),
     ];
     plots.iter().map(|plot| plot.draw(folder)).collect()
 }
 
-/// The baseline runs in which only one size varies.
+/// Selections of the baseline runs in which only one size varies.
 struct Series<'a> {
-    /// With 200 functions.
+    /// The runs with 200 functions.
     by_daemons: Vec<&'a Run>,
-    /// With 50 daemons and every function held.
+    /// The runs with 50 daemons and every function held.
     by_held: Vec<&'a Run>,
-    /// With 50 daemons and 200 functions held.
+    /// The runs with 50 daemons and 200 functions held.
     by_functions: Vec<&'a Run>,
 }
 
 impl<'a> Series<'a> {
-    fn of(runs: &'a [Run]) -> Self {
+    fn from_runs(runs: &'a [Run]) -> Self {
         let select = |is_selected: fn(&Run) -> bool| {
             runs.iter()
                 .filter(|run| run.is_baseline() && is_selected(run))
@@ -150,7 +150,7 @@
     }
 }
 
-/// The points of those runs that have a value.
+/// Returns the points of the runs that have a value.
 fn points(
     runs: &[&Run],
     size_of: impl Fn(&Run) -> f64,
@@ -163,7 +163,12 @@
 
 fn heartbeats_by_daemons(model: &CapacityModel, series: &Series<'_>) -> Plot {
     let sizes = SizeAxis::daemons();
-    let bytes_at = |daemons| model.beat_bytes.line.at(at_size(daemons, 200.0, 200.0));
+    let bytes_at = |daemons| {
+        model
+            .heartbeat_bytes
+            .model
+            .at(predictors_at(daemons, 200.0, 200.0))
+    };
     Plot {
         file: "bytes-at-a-daemon.svg",
         title: "Heartbeat bytes at a daemon",
@@ -178,22 +183,24 @@
 
 fn leader_by_daemons(model: &CapacityModel, series: &Series<'_>) -> Plot {
     let sizes = SizeAxis::daemons();
-    let busy_at = |daemons| model.leader_busy(&at_size(daemons, 200.0, 200.0));
+    let processor_time_at =
+        |daemons| model.leader_processor_time(&predictors_at(daemons, 200.0, 200.0));
     Plot {
         file: "leader-by-daemons.svg",
         title: "Processor time at the leader, 200 functions",
         sizes,
         values: PROCESSOR_TIME,
         points: points(&series.by_daemons, Run::daemons, |run| {
-            Some(run.leader_busy())
+            Some(run.leader_processor_time())
         }),
-        line: sizes.model_line(busy_at),
+        line: sizes.model_line(processor_time_at),
     }
 }
 
 fn leader_by_functions(model: &CapacityModel, series: &Series<'_>) -> Plot {
     let sizes = SizeAxis::functions("functions held, one runner each");
-    let busy_at = |functions| model.leader_busy(&at_size(50.0, functions, functions));
+    let processor_time_at =
+        |functions| model.leader_processor_time(&predictors_at(50.0, functions, functions));
     Plot {
         file: "leader-by-functions.svg",
         title: "Processor time at the leader, 50 daemons, every function held",
@@ -202,28 +209,29 @@
         points: points(
             &series.by_held,
             |run| run.number("held"),
-            |run| Some(run.leader_busy()),
+            |run| Some(run.leader_processor_time()),
         ),
-        line: sizes.model_line(busy_at),
+        line: sizes.model_line(processor_time_at),
     }
 }
 
-fn force_by_daemons(model: &CapacityModel, series: &Series<'_>) -> Plot {
+fn change_time_by_daemons(model: &CapacityModel, series: &Series<'_>) -> Plot {
     let sizes = SizeAxis::daemons();
-    let force_at = |daemons| model.force_ms(&at_size(daemons, 200.0, 200.0));
+    let change_time_at = |daemons| model.change_in_force_ms(&predictors_at(daemons, 200.0, 200.0));
     Plot {
         file: "force-by-daemons.svg",
         title: "A change in force, 200 functions",
         sizes,
         values: CHANGE_TIME,
-        points: points(&series.by_daemons, Run::daemons, in_force),
-        line: sizes.model_line(force_at),
+        points: points(&series.by_daemons, Run::daemons, change_time_ms),
+        line: sizes.model_line(change_time_at),
     }
 }
 
-fn force_by_functions(model: &CapacityModel, series: &Series<'_>) -> Plot {
+fn change_time_by_functions(model: &CapacityModel, series: &Series<'_>) -> Plot {
     let sizes = SizeAxis::functions("functions in the spec");
-    let force_at = |functions| model.force_ms(&at_size(50.0, functions, 200.0));
+    let change_time_at =
+        |functions| model.change_in_force_ms(&predictors_at(50.0, functions, 200.0));
     Plot {
         file: "force-by-functions.svg",
         title: "A change in force, 50 daemons, 200 functions held",
@@ -232,9 +240,9 @@
         points: points(
             &series.by_functions,
             |run| run.number("functions"),
-            in_force,
+            change_time_ms,
         ),
-        line: sizes.model_line(force_at),
+        line: sizes.model_line(change_time_at),
     }
 }
 
@@ -246,7 +254,7 @@
         Ok(path)
     }
 
-    /// The smallest and the largest size of the model's line.
+    /// Returns the smallest and the largest size for which the model is drawn.
     fn size_range(&self) -> (f64, f64) {
         let sizes = self.line.iter().map(|(size, _)| *size);
         (
@@ -255,7 +263,7 @@
         )
     }
 
-    /// The range of all values and the budget, with a margin.
+    /// Returns the range of all values, including the budget, with a margin.
     fn value_range(&self) -> (f64, f64) {
         let values = self
             .line
@@ -272,14 +280,17 @@
     fn draw_at(&self, path: &Path) -> Result<(), DrawError> {
         let area = SVGBackend::new(path, (760, 460)).into_drawing_area();
         area.fill(&WHITE)?;
-        let (least, most) = self.size_range();
-        let (lowest, highest) = self.value_range();
+        let (min_size, max_size) = self.size_range();
+        let (min_value, max_value) = self.value_range();
         let mut chart = ChartBuilder::on(&area)
             .caption(self.title, ("sans-serif", 18))
             .margin(12)
             .x_label_area_size(42)
             .y_label_area_size(86)
-            .build_cartesian_2d((least..most).log_scale(), (lowest..highest).log_scale())?;
+            .build_cartesian_2d(
+                (min_size..max_size).log_scale(),
+                (min_value..max_value).log_scale(),
+            )?;
         chart
             .configure_mesh()
             .light_line_style(WHITE)
@@ -300,11 +311,14 @@
         Ok(())
     }
 
-    /// Draws the budget, the model and the target size.
+    /// Draws lines for the budget, the model and the target size.
     fn draw_lines(&self, chart: &mut Chart<'_>) -> Result<(), DrawError> {
-        let (least, most) = self.size_range();
-        let (lowest, highest) = self.value_range();
-        let budget_line = [(least, self.values.budget), (most, self.values.budget)];
+        let (min_size, max_size) = self.size_range();
+        let (min_value, max_value) = self.value_range();
+        let budget_line = [
+            (min_size, self.values.budget),
+            (max_size, self.values.budget),
+        ];
         chart
             .draw_series(LineSeries::new(budget_line, RED.stroke_width(2)))?
             .label(format!("budget: {}", self.values.budget_name))
@@ -316,7 +330,10 @@
             ))?
             .label("by the slopes")
             .legend(|(x, y)| PathElement::new([(x, y), (x + 18, y)], BLUE.stroke_width(2)));
-        let target_line = [(self.sizes.target, lowest), (self.sizes.target, highest)];
+        let target_line = [
+            (self.sizes.target, min_value),
+            (self.sizes.target, max_value),
+        ];
         chart
             .draw_series(LineSeries::new(target_line, BLACK.mix(0.4).stroke_width(1)))?
             .label("the size of two years from now")
--- a/testing/fleet/src/synthetic/page/runs.rs
+++ b/testing/fleet/src/synthetic/page/runs.rs
@@ -5,7 +5,7 @@
 use serde_json::Value;
 use std::path::Path;
 
-/// The kinds of work that make up the leader's processor time at rest.
+/// The kinds of work that make up the leader's processor time without changes.
 const LEADER_WORKS: [&str; 4] = [
     "leading renewals",
     "leading idle",
@@ -13,7 +13,7 @@
     "leading core",
 ];
 
-/// The time of changes from their acceptance to being in force, by part, in milliseconds.
+/// The time from the request of a change until it is in force, by part, in milliseconds.
 pub(super) struct ChangeTimes {
     /// The longest time on the network.
     pub network_ms: f64,
@@ -24,13 +24,13 @@
 }
 
 impl ChangeTimes {
-    /// The sum of the parts.
+    /// Returns the sum of the parts.
     pub(crate) fn total_ms(&self) -> f64 {
         self.network_ms + self.leader_ms + self.install_ms
     }
 }
 
-/// The record of one run.
+/// The record of a run.
 pub struct Run(Value);
 
 impl From<Value> for Run {
@@ -40,85 +40,90 @@
 }
 
 impl Run {
-    /// A number of the record; zero if it is missing.
+    /// Returns a number in the record, or zero if it is missing.
     pub fn number(&self, key: &str) -> f64 {
         self.0[key].as_f64().unwrap_or_default()
     }
 
-    /// The number of daemons.
+    /// Returns the number of daemons.
     pub fn daemons(&self) -> f64 {
         self.number("daemons")
     }
 
-    /// The mean number of held functions per daemon.
+    /// Returns the mean number of held functions per daemon.
     pub fn held_per_daemon(&self) -> f64 {
         self.number("held") / self.daemons()
     }
 
-    /// The seed.
+    /// Returns the seed.
     pub fn seed(&self) -> u64 {
         self.number("seed") as u64
     }
 
-    /// Why it was stopped early, if it was.
+    /// Returns the reason why the run was stopped early, if it was.
     pub fn stopped(&self) -> Option<&str> {
         self.0["stopped"].as_str()
     }
 
-    /// Whether both the daemons and the functions are many.
+    /// Whether the fleet is large in both daemons and functions.
     fn has_crossed_size(&self) -> bool {
         self.daemons() > 50.0 && self.number("functions") > 200.0
     }
 
-    /// Whether the models are fitted to it: a complete run without calls, and not of a crossed size, with which the
-    /// models are compared.
+    /// Whether the models are fitted to this run: it is complete, has no calls, and is not of a crossed size. Runs of
+    /// crossed sizes are compared with the models instead.
     pub fn is_baseline(&self) -> bool {
         self.stopped().is_none() && self.number("calls") == 0.0 && !self.has_crossed_size()
     }
 
-    /// Whether it is a complete run of a crossed size.
+    /// Whether the run is complete and of a crossed size: large in both daemons and functions.
     pub fn is_crossed(&self) -> bool {
         self.stopped().is_none() && self.has_crossed_size()
     }
 
-    /// Whether it is a complete run with calls, at a size where daemons see each other.
-    pub fn is_called(&self) -> bool {
+    /// Whether the costs of calls are fitted to this run: it is complete, has calls, and is of a size at which daemons
+    /// see each other as alive.
+    pub fn measures_calls(&self) -> bool {
         self.stopped().is_none() && self.number("calls") > 0.0 && self.daemons() <= 50.0
     }
 
-    /// A counter of a role's kind of work.
+    /// Returns a counter of a role's kind of work.
     pub fn work(&self, work: &str, key: &str) -> f64 {
         self.0["work"][work][key].as_f64().unwrap_or_default()
     }
 
-    /// A counter of a role's kind of work, per second.
+    /// Returns a counter of a role's kind of work, per second.
     pub fn rate(&self, work: &str, key: &str) -> f64 {
         self.work(work, key) / self.number("measured_s")
     }
 
-    /// Processor time of a role's kind of work per second, in microseconds, with encoding and decoding of frames.
-    pub fn busy(&self, work: &str) -> f64 {
+    /// Returns the processor time of a role's kind of work in microseconds per second, including the encoding and decoding
+    /// of frames.
+    pub fn processor_time(&self, work: &str) -> f64 {
         self.rate(work, "think_us") + self.rate(work, "wire_us")
     }
 
-    /// Mean processor time of one step, in microseconds, without frames.
-    pub fn per_step(&self, work: &str) -> Option<f64> {
+    /// Returns the mean processor time of one step in microseconds, excluding the encoding and decoding of frames.
+    pub fn processor_time_per_step(&self, work: &str) -> Option<f64> {
         let steps = self.work(work, "steps");
         (steps > 0.0).then(|| self.work(work, "think_us") / steps)
     }
 
-    /// The leader's processor time per second without changes, in microseconds.
-    pub(super) fn leader_busy(&self) -> f64 {
-        LEADER_WORKS.iter().map(|work| self.busy(work)).sum()
+    /// Returns the leader's processor time without changes, in microseconds per second.
+    pub(super) fn leader_processor_time(&self) -> f64 {
+        LEADER_WORKS
+            .iter()
+            .map(|work| self.processor_time(work))
+            .sum()
     }
 
-    /// Heartbeat bytes that a daemon sends and receives per second.
+    /// Returns the heartbeat bytes that a daemon sends and receives per second.
     pub(super) fn heartbeat_bytes(&self) -> f64 {
         (self.rate("door beats", "sent_bytes") + self.rate("door beats", "heard_bytes"))
             / self.daemons()
     }
 
-    /// How long changes took to come into force; none if no change did.
+    /// Returns the time that changes took to come into force, or `None` if none did.
     pub(super) fn change_times(&self) -> Option<ChangeTimes> {
         let rows = self.0["in_force_ms"]
             .as_array()
@@ -136,7 +141,7 @@
     }
 }
 
-/// Reads all records in a folder, sorted by size and seed.
+/// Reads all records in a folder, sorted by size and seed. Fails if there are too few for a fit.
 pub fn read_runs(folder: &Path) -> Result<Vec<Run>, PageError> {
     let file_error = |error| RecordError::File(folder.to_owned(), error);
     let mut runs = Vec::new();
@@ -164,7 +169,7 @@
     runs.sort_by_key(|run| sizes.map(|key| run.number(key) as u64));
     let usable_count = runs.iter().filter(|run| run.is_baseline()).count();
     if usable_count < 6 {
-        return Err(PageError::TooFew(folder.to_owned(), usable_count));
+        return Err(PageError::TooFewRuns(folder.to_owned(), usable_count));
     }
     Ok(runs)
 }
--- a/testing/fleet/src/synthetic/page/tables.rs
+++ b/testing/fleet/src/synthetic/page/tables.rs
@@ -10,9 +10,9 @@
 use std::fmt::Write;
 use std::path::Path;
 
-/// The tables by name, computed from the runs.
+/// Computes the tables from the runs, by name.
 pub fn tables(runs: &[Run]) -> BTreeMap<&'static str, String> {
-    let capacity_model = CapacityModel::of(runs);
+    let capacity_model = CapacityModel::fit(runs);
     let roles = [
         ("door", capacity_model.ingress(runs)),
         ("holder", holder_figures(runs)),
@@ -20,15 +20,15 @@
         ("leading", capacity_model.leading(runs)),
         ("platform", platform_figures(runs)),
     ];
-    let over_budget = over_budget(&roles);
-    let mut made: BTreeMap<&'static str, String> = roles
+    let over_budget_table = over_budget_table(&roles);
+    let mut tables: BTreeMap<&'static str, String> = roles
         .into_iter()
         .map(|(name, figures)| (name, role_table(&figures)))
         .collect();
-    made.insert("misses", over_budget);
-    made.insert("runs", runs_table(runs));
-    made.insert("crossed", crossed_table(&capacity_model, runs));
-    made
+    tables.insert("misses", over_budget_table);
+    tables.insert("runs", runs_table(runs));
+    tables.insert("crossed", crossed_table(&capacity_model, runs));
+    tables
 }
 
 fn role_table(figures: &[Figure]) -> String {
@@ -36,24 +36,24 @@
         "| figure | intercept + slope × size | at the size | over the seeds | budget | ratio |\n|---|---|---|---|---|---|\n",
     );
     for figure in figures {
-        let _ = writeln!(table, "{}", figure.row());
+        let _ = writeln!(table, "{}", figure.to_markdown_row());
     }
     table
 }
 
-/// The figures that exceed their budgets, the worst first.
-fn over_budget(roles: &[(&'static str, Vec<Figure>)]) -> String {
-    let mut missing: Vec<(f64, &str, &Figure)> = roles
+/// Returns the table of the figures that exceed their budgets, the worst first.
+fn over_budget_table(roles: &[(&'static str, Vec<Figure>)]) -> String {
+    let mut over_budget: Vec<(f64, &str, &Figure)> = roles
         .iter()
         .flat_map(|(role, figures)| figures.iter().map(move |figure| (*role, figure)))
         .filter_map(|(role, figure)| Some((figure.ratio()?, role, figure)))
         .filter(|(ratio, _, _)| *ratio > 1.0)
         .collect();
-    missing.sort_by(|left, right| right.0.total_cmp(&left.0));
+    over_budget.sort_by(|left, right| right.0.total_cmp(&left.0));
     let mut table = String::from(
         "| role | figure | at the size | budget | misses by |\n|---|---|---|---|---|\n",
     );
-    for (ratio, role, figure) in missing {
+    for (ratio, role, figure) in over_budget {
         let name = figure.name.replace('*', "");
         let budget = figure.budget.map(format_figure).unwrap_or_default();
         let _ = writeln!(
@@ -67,18 +67,18 @@
     table
 }
 
-/// The runs of one size of fleet, with different seeds.
-struct Size<'a> {
+/// The runs of one fleet size, with different seeds.
+struct RunsOfSize<'a> {
     runs: Vec<&'a Run>,
 }
 
-impl Size<'_> {
+impl RunsOfSize<'_> {
     fn mean(&self, read: impl Fn(&Run) -> f64) -> f64 {
         self.runs.iter().map(|run| read(run)).sum::<f64>() / self.runs.len().max(1) as f64
     }
 
-    /// The share of calls that were answered.
-    fn answered(&self) -> String {
+    /// Formats the share of calls that were answered.
+    fn answered_share(&self) -> String {
         let called = self.mean(|run| run.number("called"));
         if called > 0.0 {
             let answered = self.mean(|run| run.number("answered"));
@@ -88,8 +88,8 @@
         }
     }
 
-    /// The parts of the time of a change, or why a run was stopped before one could be measured.
-    fn change(&self) -> String {
+    /// Formats the parts of the time of a change, or the reason why a run was stopped early.
+    fn change_times(&self) -> String {
         if let Some(reason) = self.runs.iter().find_map(|run| run.stopped()) {
             return format!("stopped: {reason}");
         }
@@ -108,15 +108,15 @@
 
 const RUNS_TABLE_HEAD: &str = "| daemons | functions | held | runners each | calls/s each | seeds | real time | memory | seen alive | answered | grants ended | change: network, leader, install |\n|---|---|---|---|---|---|---|---|---|---|---|---|\n";
 
-/// The measured runs by size, with means over the seeds.
+/// Returns the table of the runs by size, with means over the seeds.
 fn runs_table(runs: &[Run]) -> String {
     let keys = ["daemons", "functions", "held_wanted", "runners", "calls"];
-    let mut sizes: BTreeMap<[u64; 5], Size<'_>> = BTreeMap::new();
+    let mut sizes: BTreeMap<[u64; 5], RunsOfSize<'_>> = BTreeMap::new();
     for run in runs {
         let key = keys.map(|key| run.number(key) as u64);
         sizes
             .entry(key)
-            .or_insert(Size { runs: Vec::new() })
+            .or_insert(RunsOfSize { runs: Vec::new() })
             .runs
             .push(run);
     }
@@ -129,36 +129,36 @@
             size.mean(|run| run.number("took_s")),
             size.mean(|run| run.number("heap_bytes")) / 1e6,
             size.mean(|run| run.number("alive_seen")),
-            size.answered(),
+            size.answered_share(),
             size.mean(|run| run.number("grants_ended")),
-            size.change(),
+            size.change_times(),
         );
     }
     table
 }
 
-/// The models compared with runs of crossed sizes, to which they were not fitted.
+/// Returns the table that compares the models with runs of crossed sizes, to which they were not fitted.
 fn crossed_table(capacity_model: &CapacityModel, runs: &[Run]) -> String {
     let mut table = String::from(
         "| fleet | figure | by the slopes | measured | measured ÷ slopes |\n|---|---|---|---|---|\n",
     );
     for run in runs.iter().filter(|run| run.is_crossed()) {
-        let value_of = |predictor: Predictor| predictor.of(run);
+        let value_of = |predictor: Predictor| predictor.value_in(run);
         let in_force = run.change_times().map_or(0.0, |times| times.total_ms());
         let rows = [
             (
                 "heartbeat bytes at a daemon, B/s",
-                capacity_model.beat_bytes.line.at(value_of),
+                capacity_model.heartbeat_bytes.model.at(value_of),
                 run.heartbeat_bytes(),
             ),
             (
                 "the leader's processor time, µs/s",
-                capacity_model.leader_busy(&value_of),
-                run.leader_busy(),
+                capacity_model.leader_processor_time(&value_of),
+                run.leader_processor_time(),
             ),
             (
                 "a change in force, ms",
-                capacity_model.force_ms(&value_of),
+                capacity_model.change_in_force_ms(&value_of),
                 in_force,
             ),
         ];
@@ -178,27 +178,29 @@
     table
 }
 
-fn marks(name: &str) -> (String, String) {
+/// Returns the markers before and after a table in the page.
+fn markers(name: &str) -> (String, String) {
     (
         format!("<!-- made: {name} -->"),
         format!("<!-- end: {name} -->"),
     )
 }
 
-/// Renders the page with all tables between their marks replaced.
+/// Renders the page, with the content between the markers of each table replaced.
 pub fn render_page(page_path: &Path, runs: &[Run]) -> Result<String, PageError> {
     let mut page = std::fs::read_to_string(page_path)
         .map_err(|error| RecordError::File(page_path.to_owned(), error))?;
     for (name, table) in tables(runs) {
-        let (start_mark, end_mark) = marks(name);
-        let unmarked = |mark: &str| PageError::Unmarked(page_path.to_owned(), mark.to_owned());
+        let (start_marker, end_marker) = markers(name);
+        let missing_marker =
+            |marker: &str| PageError::MissingMarker(page_path.to_owned(), marker.to_owned());
         let from = page
-            .find(&start_mark)
-            .ok_or_else(|| unmarked(&start_mark))?
-            + start_mark.len();
+            .find(&start_marker)
+            .ok_or_else(|| missing_marker(&start_marker))?
+            + start_marker.len();
         let length = page[from..]
-            .find(&end_mark)
-            .ok_or_else(|| unmarked(&end_mark))?;
+            .find(&end_marker)
+            .ok_or_else(|| missing_marker(&end_marker))?;
         page.replace_range(from..from + length, &format!("\n{table}"));
     }
     Ok(page)
