--- a/testing/platform-stub/src/platform/starts.rs
+++ b/testing/platform-stub/src/platform/starts.rs
@@ -18,7 +18,7 @@
     key: FunctionKey,
     worker: String,
     memory_mb: u64,
-    startup_ms: u64,
+    startup_millis: u64,
     slots: Option<u64>,
 }
 
@@ -33,7 +33,7 @@
             key: text("function").parse().ok()?,
             worker: text("worker").to_owned(),
             memory_mb: number("memory_mb")?,
-            startup_ms: number("boot_ms")?,
+            startup_millis: number("boot_ms")?,
             slots: number("slots"),
         })
     }
@@ -108,7 +108,7 @@
             "worker": request.worker,
             "locality": zone,
             "memory_mb": request.memory_mb,
-            "boot_ms": request.startup_ms,
+            "boot_ms": request.startup_millis,
             "slots": request.slots,
             "place": loopback(port).to_string(),
             "reused": reused_port == Some(port),
@@ -128,7 +128,7 @@
             self.shared_state.clone(),
             request.runner,
             request.key,
-            Duration::from_millis(request.startup_ms),
+            Duration::from_millis(request.startup_millis),
             request.slots.map_or(usize::MAX, |slots| slots as usize),
             listener,
         );
