--- a/testing/fleet/src/days/fault/catalogue.rs
+++ b/testing/fleet/src/days/fault/catalogue.rs
@@ -190,40 +190,42 @@
             Self::SpecStorm | Self::SpecGrow => {
                 &[checks::SPEC_NOT_IN_FORCE, checks::CONFLICTING_CHANGES]
             }
-            Self::SpecRoutes => &[checks::SPEC_NOT_IN_FORCE, checks::INGRESS_BEHIND],
+            Self::SpecRoutes => &[checks::SPEC_NOT_IN_FORCE, checks::INGRESS_OUTDATED],
             Self::KillOne | Self::KillGroup | Self::LoseZone | Self::GroupLosesDisk => &[
-                checks::ONCE_RUNS_TWICE,
-                checks::REFUSED_RUNS,
-                checks::TWO_HOLDERS,
-                checks::SERVICE_DOWN,
+                checks::AT_MOST_ONCE_VIOLATED,
+                checks::REFUSED_REQUEST_RAN,
+                checks::CONCURRENT_HOLDERS,
+                checks::SERVICE_NOT_RECOVERED,
             ],
             Self::KillLeader
             | Self::KillAfterAck
             | Self::FreezeLeader
             | Self::LoseDisk
-            | Self::ReplaceVoter => &[checks::SPEC_NOT_IN_FORCE, checks::SERVICE_DOWN],
+            | Self::ReplaceVoter => &[checks::SPEC_NOT_IN_FORCE, checks::SERVICE_NOT_RECOVERED],
             Self::FreezeHolder
             | Self::FreezeGroup
             | Self::PartitionQuorum
             | Self::IsolateHolder
             | Self::IsolateZone
             | Self::RestartAll => &[
-                checks::ONCE_RUNS_TWICE,
-                checks::TWO_HOLDERS,
-                checks::SERVICE_DOWN,
+                checks::AT_MOST_ONCE_VIOLATED,
+                checks::CONCURRENT_HOLDERS,
+                checks::SERVICE_NOT_RECOVERED,
             ],
             Self::BlockOneDirection | Self::SlowNetwork => {
-                &[checks::ONCE_RUNS_TWICE, checks::TWO_HOLDERS]
+                &[checks::AT_MOST_ONCE_VIOLATED, checks::CONCURRENT_HOLDERS]
             }
             Self::DiskFull | Self::DiskStalls | Self::DiskFails => {
                 &[checks::SPEC_NOT_IN_FORCE, checks::CONFLICTING_CHANGES]
             }
             Self::StopOne | Self::StopHolder | Self::RollingRestart => &[checks::ANSWERS_DROPPED],
-            Self::DrainWorker | Self::CrashWorker | Self::RunnerLeaves => &[checks::DRAINING_USED],
-            Self::Evacuate => &[checks::EVACUATED_USED],
-            Self::LostAnswers => &[checks::ONCE_RUNS_TWICE, checks::EXTRA_TRIES],
-            Self::WrongBytes => &[checks::UNSEALED_ANSWER, checks::EXTRA_TRIES],
-            Self::Refusals => &[checks::REFUSED_RUNS],
+            Self::DrainWorker | Self::CrashWorker | Self::RunnerLeaves => {
+                &[checks::DRAINING_WORKER_USED]
+            }
+            Self::Evacuate => &[checks::EVACUATED_ZONE_USED],
+            Self::LostAnswers => &[checks::AT_MOST_ONCE_VIOLATED, checks::EXCESS_RETRIES],
+            Self::WrongBytes => &[checks::UNSEALED_ANSWER, checks::EXCESS_RETRIES],
+            Self::Refusals => &[checks::REFUSED_REQUEST_RAN],
             Self::CallBurst | Self::RareCallBurst => &[checks::RUNNER_OVERLOADED],
         }
     }
--- a/testing/fleet/src/judge/checks/forbidden.rs
+++ b/testing/fleet/src/judge/checks/forbidden.rs
@@ -1,6 +1,6 @@
 //! Runs where none may begin any more: on draining workers and leaving runners, and in evacuated zones.
 
-use super::{DRAINING_USED, EVACUATED_USED, SECOND, SLACK};
+use super::{DRAINING_WORKER_USED, EVACUATED_ZONE_USED, SECOND, SLACK};
 use crate::judge::{Check, Evidence, JournalEntry, RunnerInstance};
 use serde_json::json;
 use std::collections::BTreeMap;
@@ -86,7 +86,7 @@
 }
 
 /// Draining and crashed workers until they are restored, and runners that announced that they leave.
-pub(super) fn draining_used(evidence: &Evidence) -> Check {
+pub(super) fn draining_worker_used(evidence: &Evidence) -> Check {
     let workers = forbidden_spans(evidence.entries_of("worker"), "worker", &["drain", "crash"]);
     let runners: Vec<ForbiddenSpan> = evidence
         .entries_of("runner_leaves")
@@ -99,7 +99,13 @@
         })
         .collect();
     let check_at = |spans: &[ForbiddenSpan], location_of: fn(&RunnerInstance) -> &str| {
-        forbidden_runs(evidence, DRAINING_USED, spans, location_of, DRAIN_GRACE)
+        forbidden_runs(
+            evidence,
+            DRAINING_WORKER_USED,
+            spans,
+            location_of,
+            DRAIN_GRACE,
+        )
     };
     let mut check = check_at(&workers, |instance| &instance.worker);
     check.merge(check_at(&runners, |instance| &instance.runner));
@@ -107,14 +113,14 @@
 }
 
 /// Zones whose evacuation was accepted, until they are restored.
-pub(super) fn evacuated_used(evidence: &Evidence) -> Check {
+pub(super) fn evacuated_zone_used(evidence: &Evidence) -> Check {
     let accepted = evidence
         .entries_of("locality")
         .filter(|entry| entry.detail["status"] == json!(200));
     let zones = forbidden_spans(accepted, "locality", &["evacuate"]);
     forbidden_runs(
         evidence,
-        EVACUATED_USED,
+        EVACUATED_ZONE_USED,
         &zones,
         |instance| &instance.zone,
         EVACUATION_GRACE,
--- a/testing/fleet/src/judge/checks/mod.rs
+++ b/testing/fleet/src/judge/checks/mod.rs
@@ -7,12 +7,15 @@
 mod spec;
 
 use super::{Check, Evidence};
-use forbidden::{draining_used, evacuated_used};
-use outcomes::{once_runs_twice, refused_runs, unsealed_answer};
-use runners::{extra_tries, runner_overloaded};
-use service::{answers_dropped, runs_for_nobody, service_down, two_holders, unanswered_at_stop};
+use forbidden::{draining_worker_used, evacuated_zone_used};
+use outcomes::{at_most_once_violated, refused_request_ran, unsealed_answer};
+use runners::{excess_retries, runner_overloaded};
+use service::{
+    answers_dropped, concurrent_holders, runs_after_disconnect, service_not_recovered,
+    unanswered_at_stop,
+};
 use spec::{
-    conflicting_changes, ingress_behind, refused_change_in_force, spec_not_in_force,
+    conflicting_changes, ingress_outdated, refused_change_in_force, spec_not_in_force,
     unconfigured_function,
 };
 
@@ -26,9 +29,9 @@
 const IN_FORCE_WITHIN: u64 = 3 * SECOND;
 
 /// A request that must run at most once ran more than once.
-pub const ONCE_RUNS_TWICE: &str = "a once-transaction runs twice";
+pub const AT_MOST_ONCE_VIOLATED: &str = "a once-transaction runs twice";
 /// A request ran whose caller was assured that it did not.
-pub const REFUSED_RUNS: &str = "refused as not run, and runs";
+pub const REFUSED_REQUEST_RAN: &str = "refused as not run, and runs";
 /// A successful answer is not the intact answer of a runner that ran the request.
 pub const UNSEALED_ANSWER: &str = "a success without its runner's own sealed body";
 /// A request ran on a function that no accepted spec ever configured for its path.
@@ -36,50 +39,50 @@
 /// A request ran as an older or later spec than the one in force has it.
 pub const SPEC_NOT_IN_FORCE: &str = "an accepted spec not in force after 3 s, or undone";
 /// An ingress did not know a route in force, or answered for one that was removed.
-pub const INGRESS_BEHIND: &str = "a door without an accepted spec after 3 s";
+pub const INGRESS_OUTDATED: &str = "a door without an accepted spec after 3 s";
 /// Two changes of the spec were accepted on the same base version.
 pub const CONFLICTING_CHANGES: &str = "two changes on one version accepted";
 /// A request ran as only a refused change configured it.
 pub const REFUSED_CHANGE_IN_FORCE: &str = "a refused change in force";
 /// A run began on a draining worker or a leaving runner after the grace period.
-pub const DRAINING_USED: &str = "a leaving runner or draining worker used after 3 s";
+pub const DRAINING_WORKER_USED: &str = "a leaving runner or draining worker used after 3 s";
 /// A run began in an evacuated zone after the grace period.
-pub const EVACUATED_USED: &str = "an evacuated locality used after 5 s";
+pub const EVACUATED_ZONE_USED: &str = "an evacuated locality used after 5 s";
 /// A graceful stop lost answers to requests in flight, or took too long.
 pub const ANSWERS_DROPPED: &str = "an orderly stop drops answers in hand";
 /// A daemon that was stopped gracefully closed a connection on a request that it had read, without a word.
 pub const UNANSWERED_AT_STOP: &str = "an orderly stop leaves a request without a word";
 /// Requests reached a runner long after their callers had closed their connections.
-pub const RUNS_FOR_NOBODY: &str = "runs that begin over 0.5 s after their callers have left";
+pub const RUNS_AFTER_DISCONNECT: &str = "runs that begin over 0.5 s after their callers have left";
 /// Retries exceeded the retry budget.
-pub const EXTRA_TRIES: &str = "extra tries above a fifth in 10 s";
+pub const EXCESS_RETRIES: &str = "extra tries above a fifth in 10 s";
 /// A runner got requests before it was ready, too many while it was fresh, or more than its slots.
 pub const RUNNER_OVERLOADED: &str = "a cold runner flooded, or slots exceeded";
 /// A lease holder sent a request after a later holder of the same function had begun.
-pub const TWO_HOLDERS: &str = "two holders of one function at once";
+pub const CONCURRENT_HOLDERS: &str = "two holders of one function at once";
 /// Most requests were not answered 12 s after a heavy fault was undone.
-pub const SERVICE_DOWN: &str = "mostly down 12 s after machines return";
+pub const SERVICE_NOT_RECOVERED: &str = "mostly down 12 s after machines return";
 
 /// Runs every check, in the order of the report.
 pub fn all(evidence: &Evidence) -> Vec<Check> {
     vec![
-        once_runs_twice(evidence),
-        refused_runs(evidence),
+        at_most_once_violated(evidence),
+        refused_request_ran(evidence),
         unsealed_answer(evidence),
         unconfigured_function(evidence),
         spec_not_in_force(evidence),
-        ingress_behind(evidence),
+        ingress_outdated(evidence),
         conflicting_changes(evidence),
         refused_change_in_force(evidence),
-        draining_used(evidence),
-        evacuated_used(evidence),
+        draining_worker_used(evidence),
+        evacuated_zone_used(evidence),
         answers_dropped(evidence),
         unanswered_at_stop(evidence),
-        runs_for_nobody(evidence),
-        extra_tries(evidence),
+        runs_after_disconnect(evidence),
+        excess_retries(evidence),
         runner_overloaded(evidence),
-        two_holders(evidence),
-        service_down(evidence),
+        concurrent_holders(evidence),
+        service_not_recovered(evidence),
     ]
 }
 
--- a/testing/fleet/src/judge/checks/outcomes.rs
+++ b/testing/fleet/src/judge/checks/outcomes.rs
@@ -1,18 +1,18 @@
 //! Outcomes at the callers compared with runs on runners: nothing refused runs, nothing runs twice, and every
 //! success is the answer of a runner that ran the request.
 
-use super::{ONCE_RUNS_TWICE, REFUSED_RUNS, UNSEALED_ANSWER};
+use super::{AT_MOST_ONCE_VIOLATED, REFUSED_REQUEST_RAN, UNSEALED_ANSWER};
 use crate::judge::{Check, Evidence};
 use std::collections::{BTreeSet, HashMap};
 
 /// A request that must run at most once has at most one run.
-pub(super) fn once_runs_twice(evidence: &Evidence) -> Check {
+pub(super) fn at_most_once_violated(evidence: &Evidence) -> Check {
     let mut run_counts: HashMap<&str, usize> = HashMap::new();
     for run in &evidence.runs {
         *run_counts.entry(&run.idempotency_key).or_default() += 1;
     }
     let once_calls = evidence.calls.iter().filter(|call| call.once);
-    let mut check = Check::new(ONCE_RUNS_TWICE);
+    let mut check = Check::new(AT_MOST_ONCE_VIOLATED);
     for call in once_calls {
         check.checked += 1;
         let run_count = run_counts.get(call.id.as_str()).copied().unwrap_or(0);
@@ -26,7 +26,7 @@
 }
 
 /// A request that was refused as not run has no run.
-pub(super) fn refused_runs(evidence: &Evidence) -> Check {
+pub(super) fn refused_request_ran(evidence: &Evidence) -> Check {
     let run_ids: BTreeSet<&str> = evidence
         .runs
         .iter()
@@ -43,7 +43,7 @@
         .map(|call| format!("{} was refused with {:?} and ran", call.id, call.reason))
         .collect();
     Check {
-        name: REFUSED_RUNS,
+        name: REFUSED_REQUEST_RAN,
         checked: refused_calls.len(),
         violations,
     }
--- a/testing/fleet/src/judge/checks/runners.rs
+++ b/testing/fleet/src/judge/checks/runners.rs
@@ -1,7 +1,7 @@
 //! The load on runners: retries, runners that have just started, and slots.
 
 use super::spec::allowed_routes_by_path;
-use super::{EXTRA_TRIES, RUNNER_OVERLOADED, SECOND, SLACK, name_of};
+use super::{EXCESS_RETRIES, RUNNER_OVERLOADED, SECOND, SLACK, name_of};
 use crate::judge::{Check, Evidence, Run, RunnerInstance};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
@@ -13,9 +13,9 @@
 const RETRY_ALLOWANCE: usize = 3;
 
 /// Compares the retries of each function, over all its routes, with its first attempts in the same window.
-pub(super) fn extra_tries(evidence: &Evidence) -> Check {
+pub(super) fn excess_retries(evidence: &Evidence) -> Check {
     let first_attempts = first_attempts_by_function(evidence);
-    let mut check = Check::new(EXTRA_TRIES);
+    let mut check = Check::new(EXCESS_RETRIES);
     for (function, retries) in retries_by_function(evidence) {
         let first_attempts = first_attempts.get(function).map_or(&[][..], Vec::as_slice);
         for (index, at) in retries.iter().enumerate() {
--- a/testing/fleet/src/judge/checks/service.rs
+++ b/testing/fleet/src/judge/checks/service.rs
@@ -1,8 +1,8 @@
 //! Lease holders and recovery: one holder at a time, graceful stops that drop nothing, service after a fault.
 
 use super::{
-    ANSWERS_DROPPED, DELIVERY_SLACK, RUNS_FOR_NOBODY, SECOND, SERVICE_DOWN, SLACK, TWO_HOLDERS,
-    UNANSWERED_AT_STOP,
+    ANSWERS_DROPPED, CONCURRENT_HOLDERS, DELIVERY_SLACK, RUNS_AFTER_DISCONNECT, SECOND,
+    SERVICE_NOT_RECOVERED, SLACK, UNANSWERED_AT_STOP,
 };
 use crate::judge::{Call, Check, Evidence, JournalEntry};
 use common::http::CallError;
@@ -124,8 +124,8 @@
 const MAX_LATE_RUNS: usize = 3;
 
 /// Once a caller has closed its connection its request is taken back, wherever it waits.
-pub(super) fn runs_for_nobody(evidence: &Evidence) -> Check {
-    let mut check = Check::new(RUNS_FOR_NOBODY);
+pub(super) fn runs_after_disconnect(evidence: &Evidence) -> Check {
+    let mut check = Check::new(RUNS_AFTER_DISCONNECT);
     let calls = evidence.calls_by_id();
     check.checked = evidence.calls.iter().filter(|call| call.has_left()).count();
     let late_runs = evidence.runs.iter().filter_map(|run| {
@@ -144,8 +144,8 @@
 
 /// A lease holder shows itself by the runners it starts and the requests it sends. Once one with a later fencing
 /// token did so, nothing may be sent under an earlier token. The later holder may keep the earlier one's runners.
-pub(super) fn two_holders(evidence: &Evidence) -> Check {
-    let mut check = Check::new(TWO_HOLDERS);
+pub(super) fn concurrent_holders(evidence: &Evidence) -> Check {
+    let mut check = Check::new(CONCURRENT_HOLDERS);
     let mut first_seen: BTreeMap<&str, BTreeMap<FencingToken, u64>> = BTreeMap::new();
     let starts = evidence
         .instances
@@ -191,8 +191,8 @@
 
 /// In each measured second after a heavy fault was undone, and before the next fault, at least half of the calls are
 /// answered.
-pub(super) fn service_down(evidence: &Evidence) -> Check {
-    let mut check = Check::new(SERVICE_DOWN);
+pub(super) fn service_not_recovered(evidence: &Evidence) -> Check {
+    let mut check = Check::new(SERVICE_NOT_RECOVERED);
     let faults: Vec<u64> = evidence.entries_of("fault").map(|entry| entry.at).collect();
     let heavy_fault_ends = evidence
         .entries_of("returned")
@@ -207,7 +207,7 @@
 
 /// One case if any second could be measured, and a violation for each in which most calls were not answered.
 fn service_after(evidence: &Evidence, returned: &JournalEntry, next_fault: u64) -> Check {
-    let mut check = Check::new(SERVICE_DOWN);
+    let mut check = Check::new(SERVICE_NOT_RECOVERED);
     let from = returned.at + RECOVERY_SECONDS * SECOND;
     let until = (from + MEASURED_SECONDS * SECOND).min(next_fault);
     for second in 0..MEASURED_SECONDS {
--- a/testing/fleet/src/judge/checks/spec.rs
+++ b/testing/fleet/src/judge/checks/spec.rs
@@ -1,7 +1,7 @@
 //! Changes of the spec: what is accepted comes into force at every ingress in time, what is refused never does.
 
 use super::{
-    CONFLICTING_CHANGES, IN_FORCE_WITHIN, INGRESS_BEHIND, REFUSED_CHANGE_IN_FORCE, SECOND, SLACK,
+    CONFLICTING_CHANGES, IN_FORCE_WITHIN, INGRESS_OUTDATED, REFUSED_CHANGE_IN_FORCE, SECOND, SLACK,
     SPEC_NOT_IN_FORCE, UNCONFIGURED_FUNCTION, name_of,
 };
 use crate::judge::{Call, Check, Evidence, JournalEntry, Run};
@@ -158,10 +158,10 @@
 
 /// A path is known at every ingress from 3 s after the change that adds it, and unknown from 3 s after the one that
 /// removes it, whatever was restarted in between.
-pub(super) fn ingress_behind(evidence: &Evidence) -> Check {
+pub(super) fn ingress_outdated(evidence: &Evidence) -> Check {
     let routes = allowed_routes(evidence);
     let changes = possible_changes(evidence);
-    let mut check = Check::new(INGRESS_BEHIND);
+    let mut check = Check::new(INGRESS_OUTDATED);
     for call in &evidence.calls {
         if !(call.is_answered() || call.is_refused()) || is_unsettled(&changes, call) {
             continue;
--- a/testing/fleet/src/soak/mod.rs
+++ b/testing/fleet/src/soak/mod.rs
@@ -32,23 +32,23 @@
 /// The checks that are valid under overlapping faults. Others are left to days with one fault at a time: during a
 /// graceful stop the lease holder may be killed, for instance, and a drain may not become known because of another fault.
 const JUDGED_CHECKS: [&str; 12] = [
-    checks::ONCE_RUNS_TWICE,
-    checks::REFUSED_RUNS,
+    checks::AT_MOST_ONCE_VIOLATED,
+    checks::REFUSED_REQUEST_RAN,
     checks::UNSEALED_ANSWER,
     checks::UNCONFIGURED_FUNCTION,
     checks::SPEC_NOT_IN_FORCE,
     checks::CONFLICTING_CHANGES,
     checks::REFUSED_CHANGE_IN_FORCE,
-    checks::EXTRA_TRIES,
+    checks::EXCESS_RETRIES,
     checks::RUNNER_OVERLOADED,
-    checks::TWO_HOLDERS,
-    checks::SERVICE_DOWN,
+    checks::CONCURRENT_HOLDERS,
+    checks::SERVICE_NOT_RECOVERED,
     checks::UNANSWERED_AT_STOP,
 ];
 
 /// The checks that are valid where planned work is all that happens: the end of a caller's connection reaches a machine that
 /// is neither frozen nor cut off.
-const JUDGED_IN_PLANNED_WORK: [&str; 1] = [checks::RUNS_FOR_NOBODY];
+const JUDGED_IN_PLANNED_WORK: [&str; 1] = [checks::RUNS_AFTER_DISCONNECT];
 
 /// The function and the route of callers that wait longer than a stopping daemon may take: one slot, one runner, and
 /// long work, so that its queue is long.
