--- a/testing/fleet/src/commands/days.rs
+++ b/testing/fleet/src/commands/days.rs
@@ -90,7 +90,7 @@
     for folder in folders {
         let verdict = judge(&Evidence::read(folder)?);
         violation_count += verdict.violation_count();
-        for recovery in verdict.figures.recoveries {
+        for recovery in verdict.statistics.recoveries {
             by_fault
                 .entry(recovery.fault.clone())
                 .or_default()
--- a/testing/fleet/src/commands/soak.rs
+++ b/testing/fleet/src/commands/soak.rs
@@ -63,7 +63,7 @@
     let findings = end.findings();
     let answered = end
         .verdict
-        .figures
+        .statistics
         .to_string()
         .lines()
         .next()
--- a/testing/fleet/src/judge/mod.rs
+++ b/testing/fleet/src/judge/mod.rs
@@ -2,20 +2,20 @@
 
 pub mod checks;
 mod evidence;
-mod figures;
+mod statistics;
 mod verdict;
 
 pub use evidence::{Call, Evidence, EvidenceError, JournalEntry, Run, RunnerInstance};
-pub use figures::{Figures, Recovery};
+pub use statistics::{DayStatistics, Recovery};
 pub use verdict::{Check, Verdict};
 
-/// Runs every check on the evidence of a day and computes its figures.
+/// Runs every check on the evidence of a day and computes its statistics.
 pub fn judge(evidence: &Evidence) -> Verdict {
     let checks = checks::all(evidence);
     Verdict {
         unexercised: unexercised(evidence, &checks),
         checks,
-        figures: Figures::of(evidence),
+        statistics: DayStatistics::from_evidence(evidence),
     }
 }
 
--- a/testing/fleet/src/judge/figures.rs
+++ b/testing/fleet/src/judge/statistics.rs
@@ -1,4 +1,4 @@
-//! The figures of a day: shares of outcomes, latencies, and how service recovered from each fault.
+//! The statistics of a day: shares of outcomes, latencies, and how service recovered from each fault.
 
 use super::{Call, Evidence, JournalEntry};
 use serde_json::{Value, json};
@@ -35,9 +35,9 @@
     pub unknown: f64,
 }
 
-/// The figures of a day.
+/// The statistics of a day.
 #[derive(Clone, Debug)]
-pub struct Figures {
+pub struct DayStatistics {
     /// The number of calls by `outcome` or `outcome:reason`.
     pub outcomes: BTreeMap<String, usize>,
     /// All calls.
@@ -58,9 +58,9 @@
     pub recoveries: Vec<Recovery>,
 }
 
-impl Figures {
-    /// Computes the figures of a day.
-    pub fn of(evidence: &Evidence) -> Self {
+impl DayStatistics {
+    /// Computes the statistics of a day.
+    pub fn from_evidence(evidence: &Evidence) -> Self {
         let latencies = sorted_latencies(evidence);
         Self {
             outcomes: count_outcomes(evidence),
@@ -86,7 +86,7 @@
         counted as f64 / self.calls.max(1) as f64
     }
 
-    /// The figures as a JSON object.
+    /// The statistics as a JSON object.
     pub fn to_value(&self) -> Value {
         let recoveries: Vec<Value> = self
             .recoveries
@@ -244,7 +244,7 @@
     faults.iter().enumerate().map(recovery_of).collect()
 }
 
-impl fmt::Display for Figures {
+impl fmt::Display for DayStatistics {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         writeln!(
             out,
--- a/testing/fleet/src/judge/verdict.rs
+++ b/testing/fleet/src/judge/verdict.rs
@@ -1,6 +1,6 @@
-//! The verdict on a day: the result of each check, and the day's figures.
+//! The verdict on a day: the result of each check, and the day's statistics.
 
-use super::Figures;
+use super::DayStatistics;
 use std::fmt;
 
 /// The result of one check.
@@ -38,8 +38,8 @@
     pub checks: Vec<Check>,
     /// The checks that a fault of the day is meant to exercise and that found no case, with the fault's name.
     pub unexercised: Vec<(String, &'static str)>,
-    /// The figures of the day.
-    pub figures: Figures,
+    /// The statistics of the day.
+    pub statistics: DayStatistics,
 }
 
 impl Verdict {
@@ -78,6 +78,6 @@
                 "{fault} was to try {name:?}, and no case was looked at"
             )?;
         }
-        write!(out, "{}", self.figures)
+        write!(out, "{}", self.statistics)
     }
 }
--- a/testing/fleet/tests/soak.rs
+++ b/testing/fleet/tests/soak.rs
@@ -54,7 +54,7 @@
     let end = runtime.block_on(run_soak(&soak))?;
     verify_that!(end.findings(), is_empty())?;
     verify_that!(max_concurrent(&end.planned_faults), eq(2))?;
-    verify_that!(end.verdict.figures.calls, ge(500))?;
+    verify_that!(end.verdict.statistics.calls, ge(500))?;
     std::fs::remove_dir_all(&soak.folder)?;
     Ok(())
 }
