--- a/testing/fleet/src/days/run.rs
+++ b/testing/fleet/src/days/run.rs
@@ -69,7 +69,7 @@
     fleet.end().await;
     let evidence = Evidence::read(&day.folder)?;
     let verdict = judge(&evidence);
-    let workers_used = evidence.most_workers_used();
+    let workers_used = evidence.max_workers_used();
     Ok(DayResult {
         verdict,
         workers_used,
--- a/testing/fleet/src/judge/checks/outcomes.rs
+++ b/testing/fleet/src/judge/checks/outcomes.rs
@@ -11,9 +11,9 @@
     for run in &evidence.runs {
         *run_counts.entry(&run.idempotency_key).or_default() += 1;
     }
-    let once_calls = evidence.calls.iter().filter(|call| call.once);
+    let at_most_once_calls = evidence.calls.iter().filter(|call| call.at_most_once);
     let mut check = Check::new(AT_MOST_ONCE_VIOLATED);
-    for call in once_calls {
+    for call in at_most_once_calls {
         check.checked += 1;
         let run_count = run_counts.get(call.id.as_str()).copied().unwrap_or(0);
         if run_count > 1 {
--- a/testing/fleet/src/judge/checks/runners.rs
+++ b/testing/fleet/src/judge/checks/runners.rs
@@ -44,7 +44,7 @@
 fn first_attempts_by_function(evidence: &Evidence) -> BTreeMap<String, Vec<u64>> {
     let routes_by_path = allowed_routes_by_path(evidence);
     let mut first_attempts: BTreeMap<String, Vec<u64>> = BTreeMap::new();
-    for call in evidence.calls.iter().filter(|call| !call.repeat) {
+    for call in evidence.calls.iter().filter(|call| !call.is_retry) {
         let routes = routes_by_path.get(&call.path).into_iter().flatten();
         let reachable: BTreeSet<&str> = routes
             .filter(|route| route.is_allowed_at(call.at))
@@ -68,7 +68,7 @@
         let Some(call) = calls.get(run.idempotency_key.as_str()) else {
             continue;
         };
-        if run.attempt > 1 || call.repeat {
+        if run.attempt > 1 || call.is_retry {
             retries
                 .entry(name_of(&run.function))
                 .or_default()
@@ -105,16 +105,16 @@
     instance: &RunnerInstance,
     ends_by_runner: &HashMap<&str, Vec<u64>>,
 ) -> Option<String> {
-    if !run.ready {
+    if !run.is_runner_ready {
         return Some(format!(
             "{} began on {} before it was ready",
             run.idempotency_key, run.runner
         ));
     }
-    if run.at_once > instance.slots {
+    if run.concurrent_runs > instance.slots {
         return Some(format!(
             "{} at once on {} of {} slots",
-            run.at_once, run.runner, instance.slots
+            run.concurrent_runs, run.runner, instance.slots
         ));
     }
     let is_fresh = run.fencing_token == instance.fencing_token
@@ -123,10 +123,10 @@
         .get(run.runner.as_str())
         .map_or(0, |ends| ends.iter().filter(|end| **end <= run.at).count())
         as u64;
-    (is_fresh && run.at_once > 1 + ended_count).then(|| {
+    (is_fresh && run.concurrent_runs > 1 + ended_count).then(|| {
         format!(
             "{} at once on fresh {} after {ended_count} runs",
-            run.at_once, run.runner
+            run.concurrent_runs, run.runner
         )
     })
 }
--- a/testing/fleet/src/judge/evidence.rs
+++ b/testing/fleet/src/judge/evidence.rs
@@ -22,9 +22,9 @@
     /// The function that the caller expects to reach.
     pub function: String,
     /// Whether the request must run at most once.
-    pub once: bool,
+    pub at_most_once: bool,
     /// Whether the caller marked it as a retry of an earlier request.
-    pub repeat: bool,
+    pub is_retry: bool,
     /// The outcome: `answer`, `not_run`, `unknown`, `lost`, `left` or `no_door`.
     pub outcome: String,
     /// The reason given with the outcome; empty if there was none.
@@ -77,9 +77,9 @@
     /// The fencing token of the lease holder that sent it.
     pub fencing_token: FencingToken,
     /// How many requests of that lease holder ran on the runner at this time, this one included.
-    pub at_once: u64,
+    pub concurrent_runs: u64,
     /// Whether the runner had finished its startup.
-    pub ready: bool,
+    pub is_runner_ready: bool,
 }
 
 /// The lifetime of one runner as the platform recorded it.
@@ -137,41 +137,41 @@
     record[name].as_u64().unwrap_or(0)
 }
 
-/// Why the records in a day's folder cannot be judged. The text of [`EvidenceError::File`] includes its cause.
+/// Why the records in a day's folder cannot be judged. The text of [`EvidenceError::Io`] includes its cause.
 #[derive(Debug, thiserror::Error)]
 pub enum EvidenceError {
     /// A file or the folder could not be read.
     #[error("{path}: {cause}", path = .0.display(), cause = .1)]
-    File(PathBuf, std::io::Error),
+    Io(PathBuf, std::io::Error),
     /// The folder has no records of this kind.
-    #[error("{path}: no such records", path = .0.display())]
-    Missing(PathBuf),
+    #[error("{path}: no such record file", path = .0.display())]
+    FileNotFound(PathBuf),
     /// The numbered line is no JSON object, or is truncated.
-    #[error("{path} line {line}: no whole record", path = .0.display(), line = .1)]
-    Unreadable(PathBuf, usize),
+    #[error("{path} line {line}: incomplete or invalid record", path = .0.display(), line = .1)]
+    InvalidLine(PathBuf, usize),
     /// The numbered line lacks a field that every record of this file has.
-    #[error("{path} line {line}: a record without {field:?}", path = .0.display(), line = .1, field = .2)]
-    Foreign(PathBuf, usize, &'static str),
+    #[error("{path} line {line}: record lacks the field {field:?}", path = .0.display(), line = .1, field = .2)]
+    MissingField(PathBuf, usize, &'static str),
 }
 
 /// Reads a file of records, one JSON object a line; each must be complete and have the given fields.
 fn read_lines(path: &Path, fields: &[&'static str]) -> Result<Vec<Value>, EvidenceError> {
     let file_text = std::fs::read_to_string(path).map_err(|error| match error.kind() {
-        std::io::ErrorKind::NotFound => EvidenceError::Missing(path.to_owned()),
-        _ => EvidenceError::File(path.to_owned(), error),
+        std::io::ErrorKind::NotFound => EvidenceError::FileNotFound(path.to_owned()),
+        _ => EvidenceError::Io(path.to_owned(), error),
     })?;
     let is_truncated = !file_text.is_empty() && !file_text.ends_with('\n');
     let line_count = file_text.lines().count();
     let mut records = Vec::with_capacity(line_count);
     for (index, line) in file_text.lines().enumerate() {
         let number = index + 1;
-        let unreadable = || EvidenceError::Unreadable(path.to_owned(), number);
-        let record: Value = serde_json::from_str(line).map_err(|_| unreadable())?;
+        let invalid_line = || EvidenceError::InvalidLine(path.to_owned(), number);
+        let record: Value = serde_json::from_str(line).map_err(|_| invalid_line())?;
         if !record.is_object() || (is_truncated && number == line_count) {
-            return Err(unreadable());
+            return Err(invalid_line());
         }
         if let Some(field) = fields.iter().find(|field| record.get(**field).is_none()) {
-            return Err(EvidenceError::Foreign(path.to_owned(), number, field));
+            return Err(EvidenceError::MissingField(path.to_owned(), number, field));
         }
         records.push(record);
     }
@@ -180,7 +180,7 @@
 
 /// Reads the records of all callers in a folder: the day's own and those of bursts and probes.
 fn read_caller_records(folder: &Path) -> Result<Vec<Value>, EvidenceError> {
-    let at = |error| EvidenceError::File(folder.to_owned(), error);
+    let at = |error| EvidenceError::Io(folder.to_owned(), error);
     let mut records = Vec::new();
     let mut file_count = 0;
     for listed in std::fs::read_dir(folder).map_err(at)? {
@@ -195,7 +195,7 @@
         }
     }
     if file_count == 0 {
-        return Err(EvidenceError::Missing(folder.join("callers.jsonl")));
+        return Err(EvidenceError::FileNotFound(folder.join("callers.jsonl")));
     }
     Ok(records)
 }
@@ -302,7 +302,7 @@
     }
 
     /// The largest number of workers that had a runner at the same time.
-    pub fn most_workers_used(&self) -> usize {
+    pub fn max_workers_used(&self) -> usize {
         let mut changes: Vec<(u64, bool, &str)> = Vec::new();
         for instance in &self.instances {
             changes.push((instance.start, true, &instance.worker));
@@ -332,8 +332,8 @@
         end: number(record, "end"),
         path: text(record, "path"),
         function: text(record, "function"),
-        once: record["once"].as_bool().unwrap_or(false),
-        repeat: record["repeat_of"].is_string(),
+        at_most_once: record["once"].as_bool().unwrap_or(false),
+        is_retry: record["repeat_of"].is_string(),
         outcome: text(record, "outcome"),
         reason: text(record, "reason"),
         sealed: record["sealed"].as_bool().unwrap_or(false),
@@ -362,8 +362,8 @@
         function: text(record, "function"),
         idempotency_key: text(record, "transaction"),
         attempt: number(record, "attempt"),
-        at_once: number(record, "at_once"),
-        ready: record["ready"].as_bool().unwrap_or(true),
+        concurrent_runs: number(record, "at_once"),
+        is_runner_ready: record["ready"].as_bool().unwrap_or(true),
     }
 }
 
--- a/testing/fleet/src/judge/statistics.rs
+++ b/testing/fleet/src/judge/statistics.rs
@@ -68,7 +68,7 @@
             runs: evidence.runs.len(),
             extra_runs: evidence.runs.iter().filter(|run| run.attempt > 1).count(),
             runners: evidence.instances.len(),
-            workers_used: evidence.most_workers_used(),
+            workers_used: evidence.max_workers_used(),
             median_ms: percentile_ms(&latencies, 0.5),
             p99_ms: percentile_ms(&latencies, 0.99),
             recoveries: recoveries(evidence),
@@ -217,7 +217,11 @@
 fn recoveries(evidence: &Evidence) -> Vec<Recovery> {
     let faults: Vec<_> = evidence.entries_of("fault").collect();
     let returns: Vec<_> = evidence.entries_of("returned").collect();
-    let first_calls: Vec<_> = evidence.calls.iter().filter(|call| !call.repeat).collect();
+    let first_calls: Vec<_> = evidence
+        .calls
+        .iter()
+        .filter(|call| !call.is_retry)
+        .collect();
     let last_call = evidence.calls.iter().map(|call| call.at).max().unwrap_or(0);
     let recovery_of = |(index, fault): (usize, &&JournalEntry)| {
         let until = faults
