--- a/testing/fleet/src/days/fault/processes.rs
+++ b/testing/fleet/src/days/fault/processes.rs
@@ -157,13 +157,13 @@
         fleet.kill_all(&lost_machines).await;
         for worker in &workers {
             fleet
-                .platform(&format!("/v1/workers/{worker}/crash"), &json!({}))
+                .post_to_platform(&format!("/v1/workers/{worker}/crash"), &json!({}))
                 .await?;
         }
         pause(5000).await;
         for worker in &workers {
             fleet
-                .platform(&format!("/v1/workers/{worker}/restore"), &json!({}))
+                .post_to_platform(&format!("/v1/workers/{worker}/restore"), &json!({}))
                 .await?;
         }
         fleet.launch_all(&lost_machines).await
--- a/testing/fleet/src/days/fault/spec_changes.rs
+++ b/testing/fleet/src/days/fault/spec_changes.rs
@@ -16,7 +16,7 @@
         let (version, mut spec) = fleet.spec().await?;
         let is_a = spec["routes"]["canary"]["function"] == json!("canary-a");
         spec["routes"]["canary"]["function"] = json!(if is_a { "canary-b" } else { "canary-a" });
-        let change_id = fleet.change_id();
+        let change_id = fleet.next_change_id();
         fleet.put_spec(version, &change_id, &spec, wait).await?;
         Ok(())
     }
@@ -38,7 +38,7 @@
         };
         let first_spec = with_canary("canary-a", "racer-a");
         let second_spec = with_canary("canary-b", "racer-b");
-        let (first_id, second_id) = (fleet.change_id(), fleet.change_id());
+        let (first_id, second_id) = (fleet.next_change_id(), fleet.next_change_id());
         let (first_response, second_response) = tokio::join!(
             fleet.put_spec(version, &first_id, &first_spec, "accepted"),
             fleet.put_spec(version, &second_id, &second_spec, "accepted"),
@@ -53,14 +53,14 @@
         let mut invalid_spec = spec.clone();
         invalid_spec["functions"]["never"] = json!({"memory_mb": 0, "boot_ms": 100, "slots": 1});
         invalid_spec["routes"]["canary"]["function"] = json!("never");
-        let change_id = fleet.change_id();
+        let change_id = fleet.next_change_id();
         fleet
             .put_spec(version, &change_id, &invalid_spec, "accepted")
             .await?;
         let mut stale_spec = spec.clone();
         stale_spec["functions"]["never"] = json!({"memory_mb": 64, "boot_ms": 100, "slots": 1});
         stale_spec["routes"]["canary"]["function"] = json!("never");
-        let change_id = fleet.change_id();
+        let change_id = fleet.next_change_id();
         fleet
             .put_spec(
                 version.saturating_sub(1),
@@ -83,7 +83,7 @@
                 "kind": "repeatable",
             });
         }
-        let change_id = fleet.change_id();
+        let change_id = fleet.next_change_id();
         fleet
             .put_spec(version, &change_id, &spec, "in_force")
             .await?;
@@ -108,7 +108,7 @@
                     }
                 }
             }
-            let change_id = fleet.change_id();
+            let change_id = fleet.next_change_id();
             fleet
                 .put_spec(version, &change_id, &spec, "accepted")
                 .await?;
--- a/testing/fleet/src/days/fault/workers.rs
+++ b/testing/fleet/src/days/fault/workers.rs
@@ -16,11 +16,11 @@
     ) -> Result<(), FleetError> {
         let worker = self.some_worker(fleet).await;
         fleet
-            .platform(&format!("/v1/workers/{worker}/{action}"), &json!({}))
+            .post_to_platform(&format!("/v1/workers/{worker}/{action}"), &json!({}))
             .await?;
         pause(restore_after_ms).await;
         fleet
-            .platform(&format!("/v1/workers/{worker}/restore"), &json!({}))
+            .post_to_platform(&format!("/v1/workers/{worker}/restore"), &json!({}))
             .await
     }
 
@@ -35,7 +35,7 @@
                 continue;
             };
             fleet
-                .platform(&format!("/v1/runners/{runner}/leave"), &json!({}))
+                .post_to_platform(&format!("/v1/runners/{runner}/leave"), &json!({}))
                 .await?;
         }
         pause(7000).await;
@@ -72,7 +72,7 @@
             return Ok(());
         };
         for action in ["evacuate", "restore"] {
-            let body = json!({"change_id": fleet.change_id()});
+            let body = json!({"change_id": fleet.next_change_id()});
             let path = format!("/v1/localities/{zone}/{action}");
             let response = fleet
                 .call_operators(hyper::Method::POST, &path, Some(&body))
@@ -109,8 +109,10 @@
 
     /// Sets the shares of requests with which runners misbehave, for ten seconds.
     async fn inject_runner_faults(&self, fleet: &Fleet, shares: Value) -> Result<(), FleetError> {
-        fleet.platform("/v1/runner-faults", &shares).await?;
+        fleet.post_to_platform("/v1/runner-faults", &shares).await?;
         pause(10_000).await;
-        fleet.platform("/v1/runner-faults", &json!({})).await
+        fleet
+            .post_to_platform("/v1/runner-faults", &json!({}))
+            .await
     }
 }
--- a/testing/fleet/src/days/run.rs
+++ b/testing/fleet/src/days/run.rs
@@ -66,7 +66,7 @@
     inject_all(day, &mut fleet).await;
     let _ = load_task.await;
     save_metrics(&fleet).await;
-    fleet.end().await;
+    fleet.shut_down().await;
     let evidence = Evidence::read(&day.folder)?;
     let verdict = judge(&evidence);
     let workers_used = evidence.max_workers_used();
@@ -86,7 +86,7 @@
     let mut fleet = Fleet::start(layout).await?;
     fleet.bootstrap().await?;
     let spec = day.deployment.spec("canary-a");
-    let change_id = fleet.change_id();
+    let change_id = fleet.next_change_id();
     fleet.put_spec(1, &change_id, &spec, "in_force").await?;
     fleet.await_ready(fleet.layout.ingresses().len()).await?;
     Ok(fleet)
--- a/testing/fleet/src/fleet/mod.rs
+++ b/testing/fleet/src/fleet/mod.rs
@@ -55,11 +55,11 @@
     /// The network between the processes.
     pub network_proxy: NetworkProxy,
     /// Processes that are stopping or frozen.
-    disturbed: BTreeSet<String>,
+    unavailable: BTreeSet<String>,
     /// When each stop began that is under way.
-    stops: BTreeMap<String, Instant>,
+    stop_times: BTreeMap<String, Instant>,
     /// The number in the latest change id.
-    latest_change: u64,
+    last_change_number: u64,
 }
 
 impl Fleet {
@@ -70,15 +70,15 @@
             .map_err(|error| FleetError::Machine(journal_path, error))?;
         let processes = BTreeMap::new();
         let network_proxy = NetworkProxy::new();
-        let disturbed = BTreeSet::new();
+        let unavailable = BTreeSet::new();
         let mut fleet = Self {
             layout,
             journal,
             network_proxy,
             processes,
-            disturbed,
-            stops: BTreeMap::new(),
-            latest_change: 1,
+            unavailable,
+            stop_times: BTreeMap::new(),
+            last_change_number: 1,
         };
 
         let names: Vec<String> = fleet.layout.machines.keys().cloned().collect();
@@ -121,7 +121,7 @@
         self.start_proxy_of(name).await?;
         let machine = &self.layout.machines[name];
         let process = Process::start(machine, &self.layout.folder)?;
-        self.disturbed.remove(name);
+        self.unavailable.remove(name);
         self.processes.insert(name.to_owned(), process);
         self.record_event(
             "launch",
@@ -201,8 +201,8 @@
     /// Sends SIGTERM to a process without waiting for its end; a later [`Fleet::finish_stop`] ends it.
     pub fn begin_stop(&mut self, name: &str) {
         self.record_event("stop", json!({"machine": name, "door": self.ingress(name)}));
-        self.disturbed.insert(name.to_owned());
-        self.stops.insert(name.to_owned(), Instant::now());
+        self.unavailable.insert(name.to_owned());
+        self.stop_times.insert(name.to_owned(), Instant::now());
         if let Some(process) = self.processes.get(name) {
             process.terminate();
         }
@@ -215,7 +215,7 @@
             return true;
         };
         let taken = self
-            .stops
+            .stop_times
             .get(name)
             .map_or(grace, |begun_at| begun_at.elapsed());
         let has_ended = process.has_exited();
@@ -226,7 +226,7 @@
             process.kill();
         }
         self.processes.remove(name);
-        self.stops.remove(name);
+        self.stop_times.remove(name);
         self.stop_proxy(name).await;
         let taken_ms = taken.as_millis() as u64;
         self.record_event(
@@ -238,7 +238,7 @@
 
     /// Sends SIGTERM and SIGHUP once more to every process that is stopping.
     pub fn signal_stopping(&self) {
-        for name in self.stops.keys() {
+        for name in self.stop_times.keys() {
             if let Some(process) = self.processes.get(name) {
                 process.terminate();
                 process.reload();
@@ -257,9 +257,9 @@
     }
 
     /// The running processes of one program that are neither stopping nor frozen.
-    pub fn undisturbed(&self, program: &str) -> Vec<String> {
+    pub fn available(&self, program: &str) -> Vec<String> {
         let mut names = self.running(program);
-        names.retain(|name| !self.disturbed.contains(name));
+        names.retain(|name| !self.unavailable.contains(name));
         names
     }
 
@@ -277,7 +277,7 @@
             "freeze",
             json!({"machine": name, "door": self.ingress(name)}),
         );
-        self.disturbed.insert(name.to_owned());
+        self.unavailable.insert(name.to_owned());
         if let Some(process) = self.processes.get(name) {
             process.freeze();
         }
@@ -285,7 +285,7 @@
 
     /// Resumes a frozen process with SIGCONT.
     pub fn resume(&mut self, name: &str) {
-        self.disturbed.remove(name);
+        self.unavailable.remove(name);
         if let Some(process) = self.processes.get(name) {
             process.resume();
         }
@@ -299,7 +299,7 @@
     }
 
     /// Stops all processes, the platform last.
-    pub async fn end(&mut self) {
+    pub async fn shut_down(&mut self) {
         let names: Vec<String> = self.processes.keys().cloned().collect();
         for name in &names {
             if let Some(process) = self.processes.get(name).filter(|_| name != "platform-stub") {
@@ -405,9 +405,9 @@
     }
 
     /// A change id that was not used before.
-    pub fn change_id(&mut self) -> String {
-        self.latest_change += 1;
-        format!("change-{}", self.latest_change)
+    pub fn next_change_id(&mut self) -> String {
+        self.last_change_number += 1;
+        format!("change-{}", self.last_change_number)
     }
 
     /// Replaces the spec, and records the change and its outcome in the journal. Returns the status and the JSON
@@ -479,7 +479,7 @@
     }
 
     /// Sends a POST request to the platform; its response is not evaluated.
-    pub async fn platform(&self, path: &str, body: &Value) -> Result<(), FleetError> {
+    pub async fn post_to_platform(&self, path: &str, body: &Value) -> Result<(), FleetError> {
         let timeout = Duration::from_secs(2);
         call_json(
             self.layout.platform,
--- a/testing/fleet/src/soak/clients.rs
+++ b/testing/fleet/src/soak/clients.rs
@@ -28,7 +28,7 @@
 pub(super) async fn change_spec(fleet: &mut Fleet, fault: SoakFault) -> Result<(), FleetError> {
     for _ in 0..CHANGES {
         let (version, spec) = fleet.spec().await?;
-        let change_id = fleet.change_id();
+        let change_id = fleet.next_change_id();
         match fault {
             SoakFault::UnreadableSpecs => {
                 send_unreadable(fleet, version, &spec, &change_id).await?
--- a/testing/fleet/src/soak/fault.rs
+++ b/testing/fleet/src/soak/fault.rs
@@ -239,7 +239,7 @@
         let Some(operators) = self.fleet.layout.machines[controller].operators else {
             return;
         };
-        let change_id = self.fleet.change_id();
+        let change_id = self.fleet.next_change_id();
         let reading = tokio::time::timeout(VERSION_TIMEOUT, self.fleet.spec()).await;
         let version = reading.map_or(0, |read| read.map_or(0, |(version, _)| version));
         let order = OrderAtStop::send(controller, operators, version, &change_id).await;
@@ -319,7 +319,7 @@
 
     /// Begins to stop up to half of the daemons, one shortly after the other.
     async fn stop_daemons(&mut self) -> FaultUndo {
-        let most_count = self.fleet.undisturbed("daemon").len().div_ceil(2);
+        let most_count = self.fleet.available("daemon").len().div_ceil(2);
         let mut stopping = Vec::new();
         for _ in 0..most_count {
             if let Some(name) = self.some_daemon() {
@@ -379,10 +379,12 @@
             }
             FaultUndo::RestoreWorker(worker) => {
                 let path = format!("/v1/workers/{worker}/restore");
-                self.fleet.platform(&path, &json!({})).await
+                self.fleet.post_to_platform(&path, &json!({})).await
             }
             FaultUndo::ClearRunnerFaults => {
-                self.fleet.platform("/v1/runner-faults", &json!({})).await
+                self.fleet
+                    .post_to_platform("/v1/runner-faults", &json!({}))
+                    .await
             }
         }
     }
@@ -398,19 +400,19 @@
 
     /// A daemon that is neither stopping nor frozen.
     fn some_daemon(&self) -> Option<String> {
-        self.one_of(self.fleet.undisturbed("daemon"))
+        self.one_of(self.fleet.available("daemon"))
     }
 
     /// A controller that is neither stopping nor frozen.
     fn some_controller(&self) -> Option<String> {
-        self.one_of(self.fleet.undisturbed("controller"))
+        self.one_of(self.fleet.available("controller"))
     }
 
     /// The leader, unless it is stopping or frozen.
     async fn leader(&self) -> Option<String> {
         let leader = self.fleet.leader().await?;
         self.fleet
-            .undisturbed("controller")
+            .available("controller")
             .contains(&leader)
             .then_some(leader)
     }
@@ -495,14 +497,16 @@
             return Ok(FaultUndo::Nothing);
         };
         self.fleet
-            .platform(&format!("/v1/workers/{worker}/{action}"), &json!({}))
+            .post_to_platform(&format!("/v1/workers/{worker}/{action}"), &json!({}))
             .await?;
         Ok(FaultUndo::RestoreWorker(worker))
     }
 
     /// Sets the shares of requests with which runners misbehave.
     async fn set_runner_faults(&mut self, shares: Value) -> Result<FaultUndo, FleetError> {
-        self.fleet.platform("/v1/runner-faults", &shares).await?;
+        self.fleet
+            .post_to_platform("/v1/runner-faults", &shares)
+            .await?;
         Ok(FaultUndo::ClearRunnerFaults)
     }
 }
--- a/testing/fleet/src/soak/mod.rs
+++ b/testing/fleet/src/soak/mod.rs
@@ -158,7 +158,7 @@
     let ingresses = layout.ingresses();
     let mut fleet = Fleet::start(layout).await?;
     fleet.bootstrap().await?;
-    let change_id = fleet.change_id();
+    let change_id = fleet.next_change_id();
     fleet
         .put_spec(1, &change_id, &soak_spec(deployment), "in_force")
         .await?;
@@ -168,7 +168,7 @@
     let unanswered_orders = inject_all(&mut fleet, soak, deployment, &planned_faults).await?;
     let _ = load_task.await;
     let exited = fleet.exited_processes();
-    fleet.end().await;
+    fleet.shut_down().await;
     let verdict = judge(&Evidence::read(&soak.folder)?);
     let mut violations = violations_in(&soak.folder)?;
     violations.extend(unreadable_changes_in(&soak.folder)?);
--- a/testing/fleet/tests/smoke.rs
+++ b/testing/fleet/tests/smoke.rs
@@ -258,7 +258,7 @@
     let layout = Layout::new(&folder, &programs(), &sizes, 1, true).expect("a layout");
     let mut fleet = Fleet::start(layout).await.expect("a fleet");
     let ended = exercise_fleet(&mut fleet).await;
-    fleet.end().await;
+    fleet.shut_down().await;
     let verdict = judge(&Evidence::read(&folder).expect("records"));
     if let Err(error) = ended {
         panic!("{error}; logs are in {}", folder.display());
--- a/testing/fleet/tests/soak.rs
+++ b/testing/fleet/tests/soak.rs
@@ -92,7 +92,7 @@
     fleet.put_spec(1, "first", &spec, "in_force").await?;
     fleet.await_ready(4).await?;
     fleet
-        .platform("/v1/runner-faults", &json!({"lose": 1.0}))
+        .post_to_platform("/v1/runner-faults", &json!({"lose": 1.0}))
         .await?;
     let (_, body) = fleet
         .call_operators(Method::GET, "/v1/holders", None)
@@ -103,7 +103,7 @@
     let answer = call(ingress, identity).await.expect("an answer");
     assert!(!answer.starts_with("HTTP/1.1 200"), "{answer} {body}");
     let folder = fleet.folder().to_owned();
-    fleet.end().await;
+    fleet.shut_down().await;
     Ok(logged(&folder, &daemons, identity))
 }
 
