--- a/testing/fleet/src/days/run.rs
+++ b/testing/fleet/src/days/run.rs
@@ -112,7 +112,7 @@
         "records": day.folder.join("callers.jsonl").display().to_string(),
     });
     let source = SettingsSource::from_value("plan", plan);
-    Plan::read(&source).map_err(|_| FleetError::NotInTime("a plan that reads"))
+    Plan::read(&source).map_err(|_| FleetError::ConditionNotMet("the load plan is valid"))
 }
 
 /// Injects the faults one after the other; one that fails is noted in the journal.
--- a/testing/fleet/src/fleet/mod.rs
+++ b/testing/fleet/src/fleet/mod.rs
@@ -30,9 +30,9 @@
     /// A process could not be started, or a file could not be written.
     #[error("{path}: {cause}", path = .0.display(), cause = .1)]
     Machine(PathBuf, std::io::Error),
-    /// Something that was waited for did not happen in time.
-    #[error("not in time: {0}")]
-    NotInTime(&'static str),
+    /// The named condition did not come true in time, or does not hold.
+    #[error("condition not met: {0}")]
+    ConditionNotMet(&'static str),
     /// An HTTP request to an operator API or the platform failed.
     #[error(transparent)]
     Call(#[from] CallError),
@@ -336,7 +336,7 @@
         path: &str,
         body: Option<&Value>,
     ) -> Result<(u16, Value), FleetError> {
-        let mut last_error = FleetError::NotInTime("a controller that answers");
+        let mut last_error = FleetError::ConditionNotMet("a controller responds");
         for operators in self.layout.operators() {
             let timeout = Duration::from_secs(12);
             match call_json(operators, method.clone(), path, body, timeout).await {
@@ -359,7 +359,9 @@
             }
             tokio::time::sleep(Duration::from_millis(100)).await;
         }
-        Err(FleetError::NotInTime("founding"))
+        Err(FleetError::ConditionNotMet(
+            "the control quorum is bootstrapped",
+        ))
     }
 
     /// Waits until a leader answers for the spec.
@@ -370,7 +372,7 @@
             }
             tokio::time::sleep(Duration::from_millis(100)).await;
         }
-        Err(FleetError::NotInTime("a leader"))
+        Err(FleetError::ConditionNotMet("a leader is elected"))
     }
 
     /// Waits until the platform's readiness probes found this many daemons ready.
@@ -393,7 +395,7 @@
             }
             tokio::time::sleep(Duration::from_millis(100)).await;
         }
-        Err(FleetError::NotInTime("ready daemons"))
+        Err(FleetError::ConditionNotMet("enough daemons are ready"))
     }
 
     /// The current version number and spec.
--- a/testing/fleet/src/soak/mod.rs
+++ b/testing/fleet/src/soak/mod.rs
@@ -245,7 +245,7 @@
         "records": soak.folder.join("callers.jsonl").display().to_string(),
     });
     let source = SettingsSource::from_value("plan", plan);
-    Plan::read(&source).map_err(|_| FleetError::NotInTime("a plan that reads"))
+    Plan::read(&source).map_err(|_| FleetError::ConditionNotMet("the load plan is valid"))
 }
 
 /// A fault that was injected and has to be undone.
