--- a/testing/fleet/src/commands/days.rs
+++ b/testing/fleet/src/commands/days.rs
@@ -50,7 +50,7 @@
             faults.push(fault.ok_or_else(|| DayError::Fault(name.to_owned()))?);
         }
     }
-    let without = match &run.without {
+    let disabled_rule = match &run.without {
         Some(name) => Some(Rule::by_name(name).ok_or_else(|| DayError::Rule(name.to_owned()))?),
         None => None,
     };
@@ -62,11 +62,11 @@
         seed: run.seed,
         faults,
         gap: Duration::from_secs(run.gap),
-        lasts: Duration::from_secs(run.lasts),
+        duration: Duration::from_secs(run.lasts),
         folder,
         programs,
         rate: run.rate,
-        without,
+        disabled_rule,
         daemons: run.daemons,
     })
 }
--- a/testing/fleet/src/commands/soak.rs
+++ b/testing/fleet/src/commands/soak.rs
@@ -14,17 +14,17 @@
     let own_path = std::env::current_exe().wrap_err("own path")?;
     let programs = own_path.parent().map(Path::to_owned).unwrap_or_default();
     let folder = std::path::absolute(&options.folder).wrap_err("folder")?;
-    let without = match &options.without {
+    let disabled_rule = match &options.without {
         Some(name) => Some(Rule::by_name(name).ok_or_else(|| eyre!("no such rule: {name:?}"))?),
         None => None,
     };
     let soak_of = |seed: u64| Soak {
         seed,
-        lasts: Duration::from_secs(options.lasts),
+        duration: Duration::from_secs(options.lasts),
         lanes: options.lanes,
         folder: folder.join(format!("seed-{seed}")),
         programs: programs.clone(),
-        without,
+        disabled_rule,
         daemons: options.daemons,
     };
     let runtime = common::command_line::runtime(4)?;
--- a/testing/fleet/src/days/deployment.rs
+++ b/testing/fleet/src/days/deployment.rs
@@ -68,7 +68,7 @@
                 workers: 12,
                 worker_mb: 9000,
                 has_faulty_disks: false,
-                without: None,
+                disabled_rule: None,
             },
             Self::Tintwell => Sizes {
                 daemons: 9,
@@ -76,7 +76,7 @@
                 workers: 12,
                 worker_mb: 7000,
                 has_faulty_disks: false,
-                without: None,
+                disabled_rule: None,
             },
             Self::Small => Sizes {
                 daemons: 4,
@@ -84,7 +84,7 @@
                 workers: 4,
                 worker_mb: 4000,
                 has_faulty_disks: false,
-                without: None,
+                disabled_rule: None,
             },
         }
     }
--- a/testing/fleet/src/days/run.rs
+++ b/testing/fleet/src/days/run.rs
@@ -23,7 +23,7 @@
     /// The time from the end of one fault to the next.
     pub gap: Duration,
     /// The least time for which load is generated; longer if the faults take longer.
-    pub lasts: Duration,
+    pub duration: Duration,
     /// The folder of settings, logs and records.
     pub folder: PathBuf,
     /// The folder of the executables.
@@ -33,7 +33,7 @@
     /// The rate of requests per second, if not the deployment's.
     pub rate: Option<f64>,
     /// The rule that the daemons run without, if any.
-    pub without: Option<Rule>,
+    pub disabled_rule: Option<Rule>,
 }
 
 /// The result of a day.
@@ -80,7 +80,7 @@
 async fn start_fleet(day: &Day) -> Result<Fleet, FleetError> {
     let mut sizes = day.deployment.sizes();
     sizes.daemons = day.daemons.unwrap_or(sizes.daemons);
-    sizes.without = day.without;
+    sizes.disabled_rule = day.disabled_rule;
     sizes.has_faulty_disks = day.faults.iter().any(|fault| fault.is_of_disk());
     let layout = Layout::new(&day.folder, &day.programs, &sizes, day.seed, true)?;
     let mut fleet = Fleet::start(layout).await?;
@@ -95,7 +95,7 @@
 /// How long load is generated, in milliseconds.
 fn load_ms(day: &Day) -> u64 {
     let faults_ms = (day.gap.as_millis() as u64 + FAULT_MS) * day.faults.len() as u64;
-    (day.lasts.as_millis() as u64).max(faults_ms + EXTRA_LOAD_MS)
+    (day.duration.as_millis() as u64).max(faults_ms + EXTRA_LOAD_MS)
 }
 
 fn load_plan(day: &Day, fleet: &Fleet, lasts_ms: u64) -> Result<Plan, FleetError> {
--- a/testing/fleet/src/fleet/layout.rs
+++ b/testing/fleet/src/fleet/layout.rs
@@ -50,7 +50,7 @@
     /// Whether faults can be injected into the controllers' disks.
     pub has_faulty_disks: bool,
     /// The rule that the daemons are to run without, if any.
-    pub without: Option<Rule>,
+    pub disabled_rule: Option<Rule>,
 }
 
 /// The machines of a fleet and the addresses that they use.
@@ -67,7 +67,7 @@
     /// The addresses of the three first controllers, which every process gets as seeds.
     pub seeds: Vec<String>,
     has_faulty_disks: bool,
-    without: Option<Rule>,
+    disabled_rule: Option<Rule>,
     /// The number of controllers and daemons; gives the next one its loopback address.
     machine_count: usize,
     /// Reserved as long as the layout or a copy of it exists.
@@ -98,7 +98,7 @@
                 .map(|machine| address_block.proxy_of(machine).to_string())
                 .collect(),
             has_faulty_disks: sizes.has_faulty_disks,
-            without: sizes.without,
+            disabled_rule: sizes.disabled_rule,
             machine_count: 0,
             address_block: Arc::new(address_block),
         };
@@ -212,7 +212,7 @@
             "--boot".to_owned(),
             self.settings_path(name).display().to_string(),
         ];
-        if let Some(rule) = self.without.filter(|_| program == "daemon") {
+        if let Some(rule) = self.disabled_rule.filter(|_| program == "daemon") {
             arguments.extend(["--without".to_owned(), rule.to_string()]);
         }
         Machine {
@@ -244,7 +244,7 @@
     fn binary_name(&self, program: &'static str) -> &'static str {
         match program {
             "controller" if self.has_faulty_disks => "ailing-controller",
-            "daemon" if self.without.is_some() => "flawed-daemon",
+            "daemon" if self.disabled_rule.is_some() => "flawed-daemon",
             "controller" => "rudder-controller",
             "daemon" => "rudderd",
             _ => program,
--- a/testing/fleet/src/soak/mod.rs
+++ b/testing/fleet/src/soak/mod.rs
@@ -76,7 +76,7 @@
     /// The seed of faults, callers and runner faults.
     pub seed: u64,
     /// How long faults are injected.
-    pub lasts: Duration,
+    pub duration: Duration,
     /// The number of sequences of faults that run concurrently.
     pub lanes: usize,
     /// The folder of settings, logs and records.
@@ -84,7 +84,7 @@
     /// The folder of the executables.
     pub programs: PathBuf,
     /// The rule that the daemons run without, if any.
-    pub without: Option<Rule>,
+    pub disabled_rule: Option<Rule>,
     /// The number of daemons.
     pub daemons: usize,
 }
@@ -149,7 +149,7 @@
 pub async fn run_soak(soak: &Soak) -> Result<SoakResult, FleetError> {
     let deployment = Deployment::Small;
     let sizes = Sizes {
-        without: soak.without,
+        disabled_rule: soak.disabled_rule,
         daemons: soak.daemons,
         has_faulty_disks: true,
         ..deployment.sizes()
@@ -164,7 +164,7 @@
         .await?;
     fleet.await_ready(ingresses.len()).await?;
     let load_task = tokio::spawn(run_plan(load_plan(soak, deployment, &fleet)?));
-    let planned_faults = draw_schedule(soak.seed, soak.lanes, soak.lasts);
+    let planned_faults = draw_schedule(soak.seed, soak.lanes, soak.duration);
     let unanswered_orders = inject_all(&mut fleet, soak, deployment, &planned_faults).await?;
     let _ = load_task.await;
     let exited = fleet.exited_processes();
@@ -228,7 +228,7 @@
     routes.push(patient_route());
     let plan = json!({
         "seed": soak.seed,
-        "lasts_ms": (WARM_UP + soak.lasts + COOL_DOWN).as_millis() as u64,
+        "lasts_ms": (WARM_UP + soak.duration + COOL_DOWN).as_millis() as u64,
         "rate": deployment.rate(),
         "doors": ingresses,
         "platform": fleet.layout.platform.to_string(),
--- a/testing/fleet/src/soak/schedule.rs
+++ b/testing/fleet/src/soak/schedule.rs
@@ -35,7 +35,7 @@
 
 /// Draws the faults of a soak in `lanes` concurrent sequences, sorted by when they begin. The first sequence is of planned
 /// work alone: stops, restarts, signals and changes, each soon after the one before.
-pub fn draw_schedule(seed: u64, lanes: usize, lasts: Duration) -> Vec<PlannedFault> {
+pub fn draw_schedule(seed: u64, lanes: usize, duration: Duration) -> Vec<PlannedFault> {
     let mut rng = SeededRng::seeded(seed ^ 0x50a1);
     let mut planned_faults = Vec::new();
     for lane in 0..lanes {
@@ -44,7 +44,7 @@
         } else {
             (SoakFault::ALL, LONGEST_FAULT)
         };
-        draw_lane(&mut rng, faults, longest, lasts, &mut planned_faults);
+        draw_lane(&mut rng, faults, longest, duration, &mut planned_faults);
     }
     planned_faults.sort_by_key(|planned| (planned.from, planned.until));
     planned_faults
@@ -54,14 +54,14 @@
     rng: &mut SeededRng,
     faults: &[SoakFault],
     longest: Duration,
-    lasts: Duration,
+    duration: Duration,
     planned_faults: &mut Vec<PlannedFault>,
 ) {
     let shortest = SHORTEST_FAULT.min(longest / 2);
     let mut from = rng.within(Duration::ZERO, LONGEST_GAP);
     loop {
         let until = from + rng.within(shortest, longest);
-        if until > lasts {
+        if until > duration {
             return;
         }
         let fault = faults[rng.below(faults.len() as u64) as usize];
--- a/testing/fleet/tests/smoke.rs
+++ b/testing/fleet/tests/smoke.rs
@@ -253,7 +253,7 @@
         workers: 4,
         worker_mb: 6000,
         has_faulty_disks: false,
-        without: None,
+        disabled_rule: None,
     };
     let layout = Layout::new(&folder, &programs(), &sizes, 1, true).expect("a layout");
     let mut fleet = Fleet::start(layout).await.expect("a fleet");
--- a/testing/fleet/tests/soak.rs
+++ b/testing/fleet/tests/soak.rs
@@ -43,11 +43,11 @@
 fn a_short_soak_finds_nothing() -> Result<()> {
     let soak = Soak {
         seed: 4,
-        lasts: Duration::from_secs(8),
+        duration: Duration::from_secs(8),
         lanes: 2,
         folder: folder("soak"),
         programs: programs(),
-        without: None,
+        disabled_rule: None,
         daemons: 6,
     };
     let runtime = common::command_line::runtime(2)?;
