--- a/testing/fleet/src/soak/order_at_stop.rs
+++ b/testing/fleet/src/soak/change_at_stop.rs
@@ -13,12 +13,12 @@
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(15);
 
 /// A change on a connection of its own, which the controller has begun to read.
-pub(super) struct OrderAtStop {
+pub(super) struct ChangeAtStop {
     controller: String,
     stream: TcpStream,
 }
 
-impl OrderAtStop {
+impl ChangeAtStop {
     /// Sends a change of a label, on this version; none if the controller does not read it in time.
     pub(super) async fn send(
         controller: &str,
@@ -39,7 +39,7 @@
     }
 
     /// Waits for the response; returns the violation if the connection ends without one.
-    pub(super) async fn violation(mut self) -> Option<String> {
+    pub(super) async fn check_response(mut self) -> Option<String> {
         let mut first_byte = [0; 1];
         let reading = self.stream.read_exact(&mut first_byte);
         let response = timeout(RESPONSE_TIMEOUT, reading).await;
--- a/testing/fleet/src/soak/clients.rs
+++ b/testing/fleet/src/soak/clients.rs
@@ -18,15 +18,15 @@
 /// When an operator that loses the response closes its connection.
 const DISCONNECT_AFTER: Duration = Duration::from_millis(15);
 /// The number of changes, one after the other.
-const CHANGES: usize = 5;
+const CHANGES_PER_FAULT: usize = 5;
 /// The number of callers that close their connections.
-const DISCONNECTS: u64 = 20;
+const DISCONNECT_COUNT: u64 = 20;
 /// The number of connections that send garbage.
-const GARBAGE_REQUESTS: u64 = 8;
+const GARBAGE_CONNECTION_COUNT: u64 = 8;
 
 /// Sends changes of the spec as operators, in the way of the given fault.
 pub(super) async fn change_spec(fleet: &mut Fleet, fault: SoakFault) -> Result<(), FleetError> {
-    for _ in 0..CHANGES {
+    for _ in 0..CHANGES_PER_FAULT {
         let (version, spec) = fleet.spec().await?;
         let change_id = fleet.next_change_id();
         match fault {
@@ -35,17 +35,17 @@
             }
             SoakFault::InvalidSpecs => send_invalid(fleet, version, &spec, &change_id).await?,
             SoakFault::LoseAcknowledgements => {
-                let switched = switched(spec);
-                let sending = fleet.put_spec(version, &change_id, &switched, "accepted");
+                let changed_spec = with_switched_canary(spec);
+                let sending = fleet.put_spec(version, &change_id, &changed_spec, "accepted");
                 // The change may be accepted all the same; it is retried with the same id.
                 let _ = tokio::time::timeout(DISCONNECT_AFTER, sending).await;
                 fleet
-                    .put_spec(version, &change_id, &switched, "accepted")
+                    .put_spec(version, &change_id, &changed_spec, "accepted")
                     .await?;
             }
             _ => {
                 fleet
-                    .put_spec(version, &change_id, &switched(spec), "accepted")
+                    .put_spec(version, &change_id, &with_switched_canary(spec), "accepted")
                     .await?;
             }
         }
@@ -54,7 +54,7 @@
 }
 
 /// The spec with the canary's route changed to its other function.
-fn switched(mut spec: Value) -> Value {
+fn with_switched_canary(mut spec: Value) -> Value {
     let is_a = spec["routes"]["canary"]["function"] == json!("canary-a");
     spec["routes"]["canary"]["function"] = json!(if is_a { "canary-b" } else { "canary-a" });
     spec
@@ -77,7 +77,7 @@
         .put_spec(
             version.saturating_sub(1),
             &stale_id,
-            &switched(spec.clone()),
+            &with_switched_canary(spec.clone()),
             "accepted",
         )
         .await?;
@@ -133,7 +133,7 @@
 ) {
     let ingresses = fleet.layout.ingresses();
     let routes = deployment.caller_routes();
-    for number in 0..DISCONNECTS {
+    for number in 0..DISCONNECT_COUNT {
         let ingress = ingresses[rng.below(ingresses.len() as u64) as usize];
         let route = &routes[rng.below(routes.len().max(1) as u64) as usize];
         let Some(path) = route["path"].as_str() else {
@@ -162,7 +162,7 @@
         .map(|(address, _)| address)
         .chain(fleet.layout.ingresses())
         .collect();
-    for _ in 0..GARBAGE_REQUESTS {
+    for _ in 0..GARBAGE_CONNECTION_COUNT {
         let address = addresses[rng.below(addresses.len() as u64) as usize];
         let bytes: Vec<u8> = (0..rng.below(400)).map(|_| rng.below(256) as u8).collect();
         send_and_disconnect(address, &bytes).await;
--- a/testing/fleet/src/soak/fault.rs
+++ b/testing/fleet/src/soak/fault.rs
@@ -1,7 +1,7 @@
 //! The faults of a soak: how each is injected and undone.
 
+use super::change_at_stop::ChangeAtStop;
 use super::clients;
-use super::order_at_stop::OrderAtStop;
 use crate::days::Deployment;
 use crate::fleet::{Fleet, FleetError};
 use common::rng::SeededRng;
@@ -18,7 +18,7 @@
 const ADDED_DELAY: Duration = Duration::from_millis(200);
 
 /// How long the version may take to be read on which an operator's change at a stop is built.
-const VERSION_TIMEOUT: Duration = Duration::from_millis(300);
+const READ_VERSION_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// How many signals a series has.
 const SIGNALS_IN_SERIES: usize = 8;
@@ -212,7 +212,7 @@
     deployment: Deployment,
     rng: SeededRng,
     /// Operators' changes at controllers that are stopping.
-    orders_at_stops: JoinSet<Option<String>>,
+    changes_at_stops: JoinSet<Option<String>>,
 }
 
 impl<'a> SoakInjector<'a> {
@@ -222,34 +222,34 @@
             fleet,
             deployment,
             rng,
-            orders_at_stops: JoinSet::new(),
+            changes_at_stops: JoinSet::new(),
         }
     }
 }
 
 impl SoakInjector<'_> {
     /// The violations of controllers that stopped without a response to an operator's change.
-    pub(super) async fn unanswered_orders(mut self) -> Vec<String> {
-        let orders = std::mem::take(&mut self.orders_at_stops);
-        orders.join_all().await.into_iter().flatten().collect()
+    pub(super) async fn unanswered_changes(mut self) -> Vec<String> {
+        let changes = std::mem::take(&mut self.changes_at_stops);
+        changes.join_all().await.into_iter().flatten().collect()
     }
 
     /// Sends an operator's change to a controller that is about to be stopped.
-    async fn send_order(&mut self, controller: &str) {
+    async fn send_change_before_stop(&mut self, controller: &str) {
         let Some(operators) = self.fleet.layout.machines[controller].operators else {
             return;
         };
         let change_id = self.fleet.next_change_id();
-        let reading = tokio::time::timeout(VERSION_TIMEOUT, self.fleet.spec()).await;
+        let reading = tokio::time::timeout(READ_VERSION_TIMEOUT, self.fleet.spec()).await;
         let version = reading.map_or(0, |read| read.map_or(0, |(version, _)| version));
-        let order = OrderAtStop::send(controller, operators, version, &change_id).await;
-        if let Some(order) = order {
-            self.orders_at_stops.spawn(order.violation());
+        let sent_change = ChangeAtStop::send(controller, operators, version, &change_id).await;
+        if let Some(change) = sent_change {
+            self.changes_at_stops.spawn(change.check_response());
         }
     }
 
     /// Injects a fault. It does nothing if no target is left that is not affected by another fault.
-    pub(crate) async fn begin(&mut self, fault: SoakFault) -> Result<FaultUndo, FleetError> {
+    pub(crate) async fn inject(&mut self, fault: SoakFault) -> Result<FaultUndo, FleetError> {
         self.fleet
             .record_event("trouble", json!({"trouble": fault.as_str()}));
         match fault.action() {
@@ -319,10 +319,10 @@
 
     /// Begins to stop up to half of the daemons, one shortly after the other.
     async fn stop_daemons(&mut self) -> FaultUndo {
-        let most_count = self.fleet.available("daemon").len().div_ceil(2);
+        let stop_count = self.fleet.available("daemon").len().div_ceil(2);
         let mut stopping = Vec::new();
-        for _ in 0..most_count {
-            if let Some(name) = self.some_daemon() {
+        for _ in 0..stop_count {
+            if let Some(name) = self.choose_daemon() {
                 self.rng.number();
                 self.fleet.begin_stop(&name);
                 stopping.push(name);
@@ -347,17 +347,17 @@
     }
 
     /// Undoes a fault. What cannot be undone yet is returned, to be tried again.
-    pub(crate) async fn end(&mut self, undo: FaultUndo) -> Result<Option<FaultUndo>, FleetError> {
+    pub(crate) async fn undo(&mut self, undo: FaultUndo) -> Result<Option<FaultUndo>, FleetError> {
         if let FaultUndo::AwaitStopsAndLaunch(names) = undo {
             let still_stopping = self.launch_stopped(names).await?;
             let is_done = still_stopping.is_empty();
             return Ok((!is_done).then_some(FaultUndo::AwaitStopsAndLaunch(still_stopping)));
         }
-        self.undo_at_once(undo).await?;
+        self.undo_immediately(undo).await?;
         Ok(None)
     }
 
-    async fn undo_at_once(&mut self, undo: FaultUndo) -> Result<(), FleetError> {
+    async fn undo_immediately(&mut self, undo: FaultUndo) -> Result<(), FleetError> {
         match undo {
             FaultUndo::Nothing | FaultUndo::AwaitStopsAndLaunch(_) => Ok(()),
             FaultUndo::Launch(name) => self.fleet.launch(&name).await,
@@ -392,20 +392,20 @@
     /// Chooses a process that no other fault affects.
     async fn choose(&self, target: Target) -> Option<String> {
         match target {
-            Target::Daemon => self.some_daemon(),
-            Target::Controller => self.some_controller(),
+            Target::Daemon => self.choose_daemon(),
+            Target::Controller => self.choose_controller(),
             Target::Leader => self.leader().await,
         }
     }
 
     /// A daemon that is neither stopping nor frozen.
-    fn some_daemon(&self) -> Option<String> {
-        self.one_of(self.fleet.available("daemon"))
+    fn choose_daemon(&self) -> Option<String> {
+        self.choose_one(self.fleet.available("daemon"))
     }
 
     /// A controller that is neither stopping nor frozen.
-    fn some_controller(&self) -> Option<String> {
-        self.one_of(self.fleet.available("controller"))
+    fn choose_controller(&self) -> Option<String> {
+        self.choose_one(self.fleet.available("controller"))
     }
 
     /// The leader, unless it is stopping or frozen.
@@ -418,7 +418,7 @@
     }
 
     /// Chooses a name without advancing the generator, so that a fault without a target draws nothing.
-    fn one_of(&self, names: Vec<String>) -> Option<String> {
+    fn choose_one(&self, names: Vec<String>) -> Option<String> {
         let mut rng = self.rng.clone();
         let index = rng.below(names.len().max(1) as u64) as usize;
         names.get(index).cloned()
@@ -438,7 +438,7 @@
             return FaultUndo::Nothing;
         };
         self.rng.number();
-        self.send_order(&name).await;
+        self.send_change_before_stop(&name).await;
         self.fleet.begin_stop(&name);
         FaultUndo::AwaitStopsAndLaunch(vec![name])
     }
@@ -478,7 +478,7 @@
 
     /// Injects a fault into the disk of a random controller.
     fn inject_disk_fault(&mut self, how: &str) -> Result<FaultUndo, FleetError> {
-        let Some(name) = self.some_controller() else {
+        let Some(name) = self.choose_controller() else {
             return Ok(FaultUndo::Nothing);
         };
         self.rng.number();
@@ -493,7 +493,7 @@
     /// Drains or crashes a random worker of a random zone.
     async fn fail_worker(&mut self, action: &str) -> Result<FaultUndo, FleetError> {
         let zone = format!("locality-{}", 1 + self.rng.below(3));
-        let Some(worker) = self.one_of(self.fleet.workers_of(&zone).await) else {
+        let Some(worker) = self.choose_one(self.fleet.workers_of(&zone).await) else {
             return Ok(FaultUndo::Nothing);
         };
         self.fleet
--- a/testing/fleet/src/soak/mod.rs
+++ b/testing/fleet/src/soak/mod.rs
@@ -1,9 +1,9 @@
 //! Soak tests: a fleet of real processes under overlapping faults. The result is judged by the records of callers,
 //! runners and the platform, and by the invariants that the processes check themselves.
 
+mod change_at_stop;
 mod clients;
 mod fault;
-mod order_at_stop;
 mod schedule;
 
 pub use fault::SoakFault;
@@ -62,9 +62,9 @@
 /// The number of kept connections with patient callers.
 const PATIENT_CONNECTIONS: usize = 24;
 /// Of how many requests of a kept connection its caller leaves one before the response, in the mean.
-const LEAVES_ONE_OF: u64 = 12;
+const REQUESTS_PER_DISCONNECT: u64 = 12;
 /// The longest time until a caller leaves, in milliseconds.
-const LONGEST_STAY_MS: u64 = 1500;
+const LONGEST_WAIT_BEFORE_DISCONNECT_MS: u64 = 1500;
 /// The longest pause between two requests of a kept connection, in milliseconds.
 const LONGEST_PAUSE_MS: u64 = 200;
 /// How often a stop that is under way is looked at.
@@ -165,14 +165,14 @@
     fleet.await_ready(ingresses.len()).await?;
     let load_task = tokio::spawn(run_plan(load_plan(soak, deployment, &fleet)?));
     let planned_faults = draw_schedule(soak.seed, soak.lanes, soak.duration);
-    let unanswered_orders = inject_all(&mut fleet, soak, deployment, &planned_faults).await?;
+    let unanswered_changes = run_schedule(&mut fleet, soak, deployment, &planned_faults).await?;
     let _ = load_task.await;
     let exited = fleet.exited_processes();
     fleet.shut_down().await;
     let verdict = judge(&Evidence::read(&soak.folder)?);
-    let mut violations = violations_in(&soak.folder)?;
-    violations.extend(unreadable_changes_in(&soak.folder)?);
-    violations.extend(unanswered_orders);
+    let mut violations = logged_violations(&soak.folder)?;
+    violations.extend(accepted_unreadable_changes(&soak.folder)?);
+    violations.extend(unanswered_changes);
     violations.extend(
         exited
             .into_iter()
@@ -237,8 +237,8 @@
             "longest_pause_ms": LONGEST_PAUSE_MS,
             "patient_route": routes.len() - 1,
             "patient_count": PATIENT_CONNECTIONS,
-            "leaves_one_of": LEAVES_ONE_OF,
-            "longest_stay_ms": LONGEST_STAY_MS,
+            "leaves_one_of": REQUESTS_PER_DISCONNECT,
+            "longest_stay_ms": LONGEST_WAIT_BEFORE_DISCONNECT_MS,
         },
         "routes": routes,
         "impatience": {"share": share, "most": max_retries},
@@ -257,7 +257,7 @@
 
 /// Injects and undoes the planned faults at their times. One that cannot be injected is noted in the journal. Returns the
 /// violations of stopping controllers that left an operator's change without a response.
-async fn inject_all(
+async fn run_schedule(
     fleet: &mut Fleet,
     soak: &Soak,
     deployment: Deployment,
@@ -275,11 +275,11 @@
         let next = upcoming.next_if(|next| next_end.is_none_or(|until| next.from <= until));
         if let Some(next) = next {
             sleep_until(started_at + next.from).await;
-            active_faults.extend(begin_fault(&mut injector, next).await);
+            active_faults.extend(inject_fault(&mut injector, next).await);
         } else if let Some(active) = active_faults.pop() {
             sleep_until(started_at + active.until).await;
             let until = (Instant::now() + RETRY_INTERVAL).duration_since(started_at);
-            let remaining = injector.end(active.undo).await?;
+            let remaining = injector.undo(active.undo).await?;
             active_faults.extend(remaining.map(|undo| ActiveFault { until, undo }));
         } else {
             break;
@@ -291,15 +291,15 @@
             .fleet
             .record_event(kind, json!({"fault": "soak", "heavy": true}));
     }
-    Ok(injector.unanswered_orders().await)
+    Ok(injector.unanswered_changes().await)
 }
 
 /// Injects a fault; none is active if it could not be injected.
-async fn begin_fault(
+async fn inject_fault(
     injector: &mut SoakInjector<'_>,
     planned: &PlannedFault,
 ) -> Option<ActiveFault> {
-    match injector.begin(planned.fault).await {
+    match injector.inject(planned.fault).await {
         Ok(undo) => Some(ActiveFault {
             until: planned.until,
             undo,
@@ -314,7 +314,7 @@
 }
 
 /// The changes that were accepted although they cannot be read.
-fn unreadable_changes_in(folder: &Path) -> Result<Vec<String>, FleetError> {
+fn accepted_unreadable_changes(folder: &Path) -> Result<Vec<String>, FleetError> {
     let evidence = Evidence::read(folder)?;
     let accepted = evidence.entries_of(clients::UNREADABLE_CHANGE_ACCEPTED);
     Ok(accepted
@@ -323,7 +323,7 @@
 }
 
 /// The invariant violations and panics in the logs of processes.
-fn violations_in(folder: &Path) -> Result<Vec<String>, FleetError> {
+fn logged_violations(folder: &Path) -> Result<Vec<String>, FleetError> {
     let at = |error| FleetError::Machine(folder.to_owned(), error);
     let violation_mark = format!("[E{}]", events::INVARIANT_VIOLATED.number);
     let mut violations = Vec::new();
