--- a/testing/fleet/src/soak/change_at_stop.rs
+++ b/testing/fleet/src/soak/change_at_stop.rs
@@ -1,4 +1,4 @@
-//! An operator's change that is under way at a controller when that is stopped.
+//! An operator's change that is in flight at a controller when the controller is stopped.
 
 use common::frames::SocketAddress;
 use serde_json::{Value, json};
@@ -7,19 +7,20 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// How long a controller may take to begin to read the change.
+/// The timeout until a controller begins to read the change.
 const READ_TIMEOUT: Duration = Duration::from_millis(500);
-/// How long the operator waits for a response; a stopping controller is killed before.
+/// The timeout of the response. It is longer than the grace period after which a stopping controller is killed.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// A change on a connection of its own, which the controller has begun to read.
+/// A change that the controller has begun to read, on a dedicated connection.
 pub(super) struct ChangeAtStop {
     controller: String,
     stream: TcpStream,
 }
 
 impl ChangeAtStop {
-    /// Sends a change of a label, on this version; none if the controller does not read it in time.
+    /// Sends a change of a label with the given base version. Returns `None` if the controller does not begin to read it
+    /// in time.
     pub(super) async fn send(
         controller: &str,
         operators: SocketAddress,
@@ -38,7 +39,7 @@
         })
     }
 
-    /// Waits for the response; returns the violation if the connection ends without one.
+    /// Waits for the response. Returns a violation if the connection closes without one.
     pub(super) async fn check_response(mut self) -> Option<String> {
         let mut first_byte = [0; 1];
         let reading = self.stream.read_exact(&mut first_byte);
@@ -53,7 +54,7 @@
     }
 }
 
-/// Sends a change whose body follows once the other side has begun to read it.
+/// Sends the head of a request with `expect: 100-continue`, and its body once the controller has asked for it.
 async fn send_change(operators: SocketAddress, body: &Value) -> std::io::Result<TcpStream> {
     let body_text = body.to_string();
     let length = body_text.len();
--- a/testing/fleet/src/soak/clients.rs
+++ b/testing/fleet/src/soak/clients.rs
@@ -1,4 +1,4 @@
-//! Misbehaving callers and operators, and operators that lose responses.
+//! Misbehaving callers and operators, and operators that disconnect before the response.
 
 use super::SoakFault;
 use crate::days::Deployment;
@@ -11,20 +11,20 @@
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
 
-/// The journal's entry of a change that was accepted although it cannot be read.
+/// The kind of journal entry for a malformed change that was accepted.
 pub(super) const UNREADABLE_CHANGE_ACCEPTED: &str = "unreadable_change_accepted";
-/// The time limit for all changes of one fault.
+/// The timeout for all changes of one fault.
 pub(super) const OPERATOR_TIMEOUT: Duration = Duration::from_millis(2500);
-/// When an operator that loses the response closes its connection.
+/// The time after which an operator that loses the response closes its connection.
 const DISCONNECT_AFTER: Duration = Duration::from_millis(15);
-/// The number of changes, one after the other.
+/// The number of changes that a fault sends, one after the other.
 const CHANGES_PER_FAULT: usize = 5;
-/// The number of callers that close their connections.
+/// The number of connections that callers close early.
 const DISCONNECT_COUNT: u64 = 20;
 /// The number of connections that send garbage.
 const GARBAGE_CONNECTION_COUNT: u64 = 8;
 
-/// Sends changes of the spec as operators, in the way of the given fault.
+/// Sends changes of the spec as the given fault defines them.
 pub(super) async fn change_spec(fleet: &mut Fleet, fault: SoakFault) -> Result<(), FleetError> {
     for _ in 0..CHANGES_PER_FAULT {
         let (version, spec) = fleet.spec().await?;
@@ -37,7 +37,7 @@
             SoakFault::LoseAcknowledgements => {
                 let changed_spec = with_switched_canary(spec);
                 let sending = fleet.put_spec(version, &change_id, &changed_spec, "accepted");
-                // The change may be accepted all the same; it is retried with the same id.
+                // The change may still be accepted, so it is retried with the same id.
                 let _ = tokio::time::timeout(DISCONNECT_AFTER, sending).await;
                 fleet
                     .put_spec(version, &change_id, &changed_spec, "accepted")
@@ -53,7 +53,7 @@
     Ok(())
 }
 
-/// The spec with the canary's route changed to its other function.
+/// Returns the spec with the canary route switched to its other function.
 fn with_switched_canary(mut spec: Value) -> Value {
     let is_a = spec["routes"]["canary"]["function"] == json!("canary-a");
     spec["routes"]["canary"]["function"] = json!(if is_a { "canary-b" } else { "canary-a" });
@@ -84,7 +84,8 @@
     Ok(())
 }
 
-/// Sends changes in which one value has another type; each that is accepted is noted in the journal.
+/// Sends malformed changes: with values of the wrong type, or with both a spec and a patch. Those that are accepted are
+/// recorded in the journal.
 async fn send_unreadable(
     fleet: &Fleet,
     version: u64,
@@ -125,7 +126,7 @@
     Ok(())
 }
 
-/// Closes callers' connections before their requests are complete, or before the response.
+/// Closes callers' connections in the middle of a request or before the response.
 pub(super) async fn disconnect_mid_request(
     fleet: &Fleet,
     deployment: Deployment,
@@ -139,7 +140,7 @@
         let Some(path) = route["path"].as_str() else {
             continue;
         };
-        // A run without a caller's record would be a violation, so complete requests use a path without a route.
+        // The judge reports a run that no caller recorded, so complete requests use a path without a route.
         let is_complete = rng.random_bool(0.5);
         let path = if is_complete { "/left/behind" } else { path };
         let end = if is_complete { "\r\n\r\n{}" } else { "\r\n" };
@@ -151,7 +152,7 @@
     }
 }
 
-/// Sends random bytes to ingresses and to the addresses between processes.
+/// Sends random bytes to the daemons' ingresses and to the addresses that processes use among themselves.
 pub(super) async fn send_garbage(fleet: &Fleet, rng: &mut SeededRng) {
     let process_addresses = fleet
         .layout
--- a/testing/fleet/src/soak/fault.rs
+++ b/testing/fleet/src/soak/fault.rs
@@ -1,4 +1,4 @@
-//! The faults of a soak: how each is injected and undone.
+//! The faults of a soak, and how each is injected and undone.
 
 use super::change_at_stop::ChangeAtStop;
 use super::clients;
@@ -14,15 +14,15 @@
 
 /// The grace period of a process that is stopped gracefully.
 const STOP_GRACE: Duration = Duration::from_secs(7);
-/// The delay of connections on a slow network.
+/// The delay that a slow network adds to each chunk of a connection.
 const ADDED_DELAY: Duration = Duration::from_millis(200);
 
-/// How long the version may take to be read on which an operator's change at a stop is built.
+/// The timeout for reading the base version of an operator's change at a stop.
 const READ_VERSION_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// How many signals a series has.
+/// The number of rounds of signals in a series.
 const SIGNALS_IN_SERIES: usize = 8;
-/// The longest pause between two signals.
+/// The longest pause between two rounds of signals, and between the stops of two daemons.
 const LONGEST_SIGNAL_PAUSE: Duration = Duration::from_millis(150);
 
 macro_rules! soak_faults {
@@ -37,7 +37,7 @@
             /// All kinds.
             pub const ALL: &[SoakFault] = &[$(SoakFault::$variant),+];
 
-            /// The name in records.
+            /// Returns the name in records.
             pub fn as_str(self) -> &'static str {
                 match self {
                     $(Self::$variant => $name,)+
@@ -90,19 +90,19 @@
     Reload = "reload",
     /// Processes that are stopping get SIGTERM and SIGHUP again, and all others SIGHUP, several times.
     SignalSeries = "signal-series",
-    /// Several daemons are stopped gracefully, one shortly after the other, and restarted.
+    /// Several daemons are stopped gracefully in quick succession, and restarted.
     StopDaemons = "stop-daemons",
     /// Operators send several changes of the spec.
     ChangeSpec = "change-spec",
-    /// Operators close the connection before the response to a change, and retry it.
+    /// Operators close the connection before the response to a change, and retry the change.
     LoseAcknowledgements = "lose-acknowledgements",
     /// Operators send invalid changes and ones with a stale base version.
     InvalidSpecs = "invalid-specs",
-    /// Operators send changes in which some value has another type.
+    /// Operators send malformed changes.
     UnreadableSpecs = "unreadable-specs",
-    /// Callers close their connections within a request or before the response.
+    /// Callers close their connections in the middle of a request or before the response.
     HangUps = "hang-ups",
-    /// Random bytes are sent to ingresses and to the addresses between processes.
+    /// Random bytes are sent to the daemons' ingresses and to the addresses that processes use among themselves.
     Garbage = "garbage",
 }
 
@@ -120,7 +120,7 @@
     Leader,
 }
 
-/// What is done to cause a fault.
+/// The action that causes a fault.
 enum FaultAction {
     Kill(Target),
     Stop(Target),
@@ -131,9 +131,9 @@
         both_ways: bool,
     },
     SlowNetwork,
-    /// The state of the disk of a controller, as its control file gives it.
+    /// The state that is written to the control file of a controller's disk.
     Disk(&'static str),
-    /// The platform's call for a worker.
+    /// The action that the platform is asked to perform on a worker.
     Worker(&'static str),
     /// The shares of requests with which runners misbehave.
     RunnerFaults(Value),
@@ -211,12 +211,12 @@
     pub fleet: &'a mut Fleet,
     deployment: Deployment,
     rng: SeededRng,
-    /// Operators' changes at controllers that are stopping.
+    /// The tasks that await responses to operators' changes at stopping controllers.
     changes_at_stops: JoinSet<Option<String>>,
 }
 
 impl<'a> SoakInjector<'a> {
-    /// An injector that has not done anything yet.
+    /// Creates an injector without active faults.
     pub(super) fn new(fleet: &'a mut Fleet, deployment: Deployment, rng: SeededRng) -> Self {
         Self {
             fleet,
@@ -228,7 +228,7 @@
 }
 
 impl SoakInjector<'_> {
-    /// The violations of controllers that stopped without a response to an operator's change.
+    /// Returns a violation for each operator's change that a controller left without a response when it stopped.
     pub(super) async fn unanswered_changes(mut self) -> Vec<String> {
         let changes = std::mem::take(&mut self.changes_at_stops);
         changes.join_all().await.into_iter().flatten().collect()
@@ -248,7 +248,7 @@
         }
     }
 
-    /// Injects a fault. It does nothing if no target is left that is not affected by another fault.
+    /// Injects a fault. Does nothing if no suitable target is available.
     pub(crate) async fn inject(&mut self, fault: SoakFault) -> Result<FaultUndo, FleetError> {
         self.fleet
             .record_event("trouble", json!({"trouble": fault.as_str()}));
@@ -300,14 +300,13 @@
         }
     }
 
-    /// Sends changes of the spec within the time limit. Without a leader there is no response, which is no failure of
-    /// the soak.
+    /// Sends changes of the spec until the timeout. Errors are ignored: without a leader, changes get no response.
     async fn change_spec(&mut self, fault: SoakFault) {
         let change = clients::change_spec(self.fleet, fault);
         let _ = tokio::time::timeout(clients::OPERATOR_TIMEOUT, change).await;
     }
 
-    /// Sends a series of signals, as an impatient supervisor does.
+    /// Repeatedly sends SIGTERM to stopping processes and SIGHUP to all, as an impatient process supervisor does.
     async fn send_signal_series(&mut self) {
         for _ in 0..SIGNALS_IN_SERIES {
             self.fleet.signal_stopping();
@@ -317,7 +316,7 @@
         }
     }
 
-    /// Begins to stop up to half of the daemons, one shortly after the other.
+    /// Sends SIGTERM to up to half of the available daemons, in quick succession.
     async fn stop_daemons(&mut self) -> FaultUndo {
         let stop_count = self.fleet.available("daemon").len().div_ceil(2);
         let mut stopping = Vec::new();
@@ -333,7 +332,7 @@
         FaultUndo::AwaitStopsAndLaunch(stopping)
     }
 
-    /// Starts those of the stopping processes that have ended; the others are left.
+    /// Restarts those of the stopping processes that have ended or exceeded their grace period. Returns the others.
     async fn launch_stopped(&mut self, names: Vec<String>) -> Result<Vec<String>, FleetError> {
         let mut still_stopping = Vec::new();
         for name in names {
@@ -346,7 +345,7 @@
         Ok(still_stopping)
     }
 
-    /// Undoes a fault. What cannot be undone yet is returned, to be tried again.
+    /// Undoes a fault. Returns what cannot be undone yet and has to be tried again.
     pub(crate) async fn undo(&mut self, undo: FaultUndo) -> Result<Option<FaultUndo>, FleetError> {
         if let FaultUndo::AwaitStopsAndLaunch(names) = undo {
             let still_stopping = self.launch_stopped(names).await?;
@@ -389,7 +388,7 @@
         }
     }
 
-    /// Chooses a process that no other fault affects.
+    /// Chooses a process that is neither stopping nor frozen.
     async fn choose(&self, target: Target) -> Option<String> {
         match target {
             Target::Daemon => self.choose_daemon(),
@@ -398,17 +397,17 @@
         }
     }
 
-    /// A daemon that is neither stopping nor frozen.
+    /// Chooses a daemon that is neither stopping nor frozen.
     fn choose_daemon(&self) -> Option<String> {
         self.choose_one(self.fleet.available("daemon"))
     }
 
-    /// A controller that is neither stopping nor frozen.
+    /// Chooses a controller that is neither stopping nor frozen.
     fn choose_controller(&self) -> Option<String> {
         self.choose_one(self.fleet.available("controller"))
     }
 
-    /// The leader, unless it is stopping or frozen.
+    /// Returns the leader unless it is stopping or frozen.
     async fn leader(&self) -> Option<String> {
         let leader = self.fleet.leader().await?;
         self.fleet
@@ -417,7 +416,8 @@
             .then_some(leader)
     }
 
-    /// Chooses a name without advancing the generator, so that a fault without a target draws nothing.
+    /// Chooses a name without advancing the random number generator, so that a fault without a target does not change
+    /// the choices of later faults.
     fn choose_one(&self, names: Vec<String>) -> Option<String> {
         let mut rng = self.rng.clone();
         let index = rng.below(names.len().max(1) as u64) as usize;
@@ -452,7 +452,7 @@
         FaultUndo::Resume(name)
     }
 
-    /// Blocks a machine's outgoing traffic to all others, and its incoming traffic too if `both_ways`.
+    /// Blocks a machine's outgoing traffic to all others, and with `both_ways` also its incoming traffic.
     fn block(&mut self, name: Option<String>, both_ways: bool) -> FaultUndo {
         let Some(name) = name else {
             return FaultUndo::Nothing;
--- a/testing/fleet/src/soak/mod.rs
+++ b/testing/fleet/src/soak/mod.rs
@@ -1,5 +1,5 @@
-//! Soak tests: a fleet of real processes under overlapping faults. The result is judged by the records of callers,
-//! runners and the platform, and by the invariants that the processes check themselves.
+//! Soak tests: a fleet of real processes under overlapping faults. The result is judged from the records of callers,
+//! runners and the platform, and from the invariants that the processes check themselves.
 
 mod change_at_stop;
 mod clients;
@@ -24,13 +24,13 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep_until};
 
-/// How long load is generated before the first fault.
+/// Time for which load is generated before the first fault.
 const WARM_UP: Duration = Duration::from_secs(3);
-/// How long load is generated after the last fault; service must have recovered by then.
+/// Time for which load is generated after the last fault; service must have recovered by then.
 const COOL_DOWN: Duration = Duration::from_secs(18);
 
-/// The checks that are valid under overlapping faults. Others are left to days with one fault at a time: during a
-/// graceful stop the lease holder may be killed, for instance, and a drain may not become known because of another fault.
+/// The checks that are valid under overlapping faults. The others need days with one fault at a time: for instance, a
+/// lease holder may be killed during a graceful stop, and another fault may keep a drain from becoming known.
 const JUDGED_CHECKS: [&str; 12] = [
     checks::AT_MOST_ONCE_VIOLATED,
     checks::REFUSED_REQUEST_RAN,
@@ -46,28 +46,28 @@
     checks::UNANSWERED_AT_STOP,
 ];
 
-/// The checks that are valid where planned work is all that happens: the end of a caller's connection reaches a machine that
-/// is neither frozen nor cut off.
+/// The checks that are valid only if all faults are planned work, because a frozen or partitioned machine does not learn
+/// that a caller closed its connection.
 const JUDGED_IN_PLANNED_WORK: [&str; 1] = [checks::RUNS_AFTER_DISCONNECT];
 
-/// The function and the route of callers that wait longer than a stopping daemon may take: one slot, one runner, and
-/// long work, so that its queue is long.
+/// The function and the route of callers whose timeout is longer than the grace period of a stopping daemon. It has one
+/// runner with one slot, and its requests take long, so that many of them queue.
 const PATIENT_ROUTE: &str = "patient";
-/// The time limit of their requests in milliseconds.
+/// The timeout of their requests, in milliseconds.
 const PATIENT_TIMEOUT_MS: u64 = 11_000;
-/// How long a runner works on each of them, in milliseconds.
+/// The time that a runner takes for each of them, in milliseconds.
 const PATIENT_WORK_MS: u64 = 350;
-/// The number of kept connections for each daemon.
+/// The number of keep-alive connections for each daemon.
 const CONNECTIONS_PER_DAEMON: usize = 8;
-/// The number of kept connections with patient callers.
+/// The number of keep-alive connections with patient callers.
 const PATIENT_CONNECTIONS: usize = 24;
-/// Of how many requests of a kept connection its caller leaves one before the response, in the mean.
+/// On a keep-alive connection, one request in this many is abandoned before its response, on average.
 const REQUESTS_PER_DISCONNECT: u64 = 12;
-/// The longest time until a caller leaves, in milliseconds.
+/// The longest time after which a caller abandons such a request, in milliseconds.
 const LONGEST_WAIT_BEFORE_DISCONNECT_MS: u64 = 1500;
-/// The longest pause between two requests of a kept connection, in milliseconds.
+/// The longest pause between two requests of a keep-alive connection, in milliseconds.
 const LONGEST_PAUSE_MS: u64 = 200;
-/// How often a stop that is under way is looked at.
+/// The interval at which a graceful stop in progress is polled.
 const RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
 /// The settings of one soak.
@@ -75,15 +75,15 @@
 pub struct Soak {
     /// The seed of faults, callers and runner faults.
     pub seed: u64,
-    /// How long faults are injected.
+    /// The time during which faults are injected.
     pub duration: Duration,
-    /// The number of sequences of faults that run concurrently.
+    /// The number of concurrent fault sequences.
     pub lanes: usize,
     /// The folder of settings, logs and records.
     pub folder: PathBuf,
     /// The folder of the executables.
     pub programs: PathBuf,
-    /// The rule that the daemons run without, if any.
+    /// The safety rule that is disabled in the daemons, if any.
     pub disabled_rule: Option<Rule>,
     /// The number of daemons.
     pub daemons: usize,
@@ -91,9 +91,9 @@
 
 /// The result of a soak.
 pub struct SoakResult {
-    /// The faults, by when they began.
+    /// The faults, sorted by start time.
     pub planned_faults: Vec<PlannedFault>,
-    /// Whether planned work was all that happened: stops, restarts, signals and changes.
+    /// Whether all faults were planned work: stops, restarts, signals and changes.
     pub is_planned_work: bool,
     /// The verdict of the judge.
     pub verdict: Verdict,
@@ -107,7 +107,7 @@
             || (self.is_planned_work && JUDGED_IN_PLANNED_WORK.contains(&check_name))
     }
 
-    /// All violations, those of checks that are not valid under overlapping faults left out.
+    /// Returns all violations except those of checks that are not valid under overlapping faults.
     pub fn findings(&self) -> Vec<String> {
         let judged = self
             .verdict
@@ -130,7 +130,7 @@
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         writeln!(
             out,
-            "{} troubles, up to {} at once",
+            "{} faults, up to {} at once",
             self.planned_faults.len(),
             max_concurrent(&self.planned_faults)
         )?;
@@ -176,7 +176,7 @@
     violations.extend(
         exited
             .into_iter()
-            .map(|name| format!("{name} ended by itself")),
+            .map(|name| format!("{name} ended unexpectedly")),
     );
     Ok(SoakResult {
         planned_faults,
@@ -186,7 +186,7 @@
     })
 }
 
-/// The spec of a soak: the deployment's, and a function with a long queue.
+/// Returns the spec of a soak: the deployment's, and a function with a long queue.
 fn soak_spec(deployment: Deployment) -> Value {
     let mut spec = deployment.spec("canary-a");
     spec["functions"][PATIENT_ROUTE] = json!({
@@ -203,7 +203,8 @@
     spec
 }
 
-/// The route of the patient callers, in the form of a load generator's plan; no other caller uses it.
+/// Returns the route of the patient callers in the format of a load plan. Its weight is zero, so that no other caller
+/// uses it.
 fn patient_route() -> Value {
     json!({
         "method": "POST",
@@ -248,15 +249,15 @@
     Plan::read(&source).map_err(|_| FleetError::ConditionNotMet("the load plan is valid"))
 }
 
-/// A fault that was injected and has to be undone.
+/// A fault that was injected and is still to be undone.
 struct ActiveFault {
-    /// When, from the beginning of the soak.
+    /// When to undo it, relative to the beginning of the soak.
     until: Duration,
     undo: FaultUndo,
 }
 
-/// Injects and undoes the planned faults at their times. One that cannot be injected is noted in the journal. Returns the
-/// violations of stopping controllers that left an operator's change without a response.
+/// Injects and undoes the planned faults at their times. A fault that cannot be injected is recorded in the journal.
+/// Returns a violation for each operator's change that a stopping controller left without a response.
 async fn run_schedule(
     fleet: &mut Fleet,
     soak: &Soak,
@@ -269,7 +270,7 @@
     let mut upcoming = planned_faults.iter().peekable();
     let mut active_faults: Vec<ActiveFault> = Vec::new();
     loop {
-        // The first to be undone is last.
+        // Sorted in descending order, so that pop() returns the next fault to undo.
         active_faults.sort_by_key(|active| std::cmp::Reverse(active.until));
         let next_end = active_faults.last().map(|active| active.until);
         let next = upcoming.next_if(|next| next_end.is_none_or(|until| next.from <= until));
@@ -285,7 +286,7 @@
             break;
         }
     }
-    // The judge measures recovery from the last fault on.
+    // The judge measures recovery from the time of these entries.
     for kind in ["fault", "returned"] {
         injector
             .fleet
@@ -294,7 +295,7 @@
     Ok(injector.unanswered_changes().await)
 }
 
-/// Injects a fault; none is active if it could not be injected.
+/// Injects a fault. Returns `None` if it could not be injected.
 async fn inject_fault(
     injector: &mut SoakInjector<'_>,
     planned: &PlannedFault,
@@ -313,16 +314,16 @@
     }
 }
 
-/// The changes that were accepted although they cannot be read.
+/// Returns the changes that were accepted although they are malformed.
 fn accepted_unreadable_changes(folder: &Path) -> Result<Vec<String>, FleetError> {
     let evidence = Evidence::read(folder)?;
     let accepted = evidence.entries_of(clients::UNREADABLE_CHANGE_ACCEPTED);
     Ok(accepted
-        .map(|entry| format!("an unreadable change was accepted: {}", entry.detail))
+        .map(|entry| format!("a malformed change was accepted: {}", entry.detail))
         .collect())
 }
 
-/// The invariant violations and panics in the logs of processes.
+/// Returns the invariant violations and panics in the processes' logs.
 fn logged_violations(folder: &Path) -> Result<Vec<String>, FleetError> {
     let at = |error| FleetError::Machine(folder.to_owned(), error);
     let violation_mark = format!("[E{}]", events::INVARIANT_VIOLATED.number);
--- a/testing/fleet/src/soak/schedule.rs
+++ b/testing/fleet/src/soak/schedule.rs
@@ -1,4 +1,4 @@
-//! The schedule of faults in a soak, drawn from a seed: several concurrent sequences with short gaps.
+//! The fault schedule of a soak, generated from a seed: several concurrent sequences of faults with short gaps.
 
 use super::SoakFault;
 use common::rng::SeededRng;
@@ -8,21 +8,21 @@
 const SHORTEST_FAULT: Duration = Duration::from_millis(1500);
 /// The longest duration of a fault.
 const LONGEST_FAULT: Duration = Duration::from_millis(5000);
-/// The longest gap between a fault and the next in its sequence.
+/// The longest gap between two successive faults of a sequence.
 const LONGEST_GAP: Duration = Duration::from_millis(400);
 
-/// One fault of a soak and its time.
+/// A scheduled fault of a soak.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct PlannedFault {
     /// The kind of fault.
     pub fault: SoakFault,
-    /// When it is injected, from the beginning of the soak.
+    /// When it is injected, relative to the beginning of the soak.
     pub from: Duration,
-    /// When it is undone, from the beginning of the soak.
+    /// When it is undone, relative to the beginning of the soak.
     pub until: Duration,
 }
 
-/// What the first sequence consists of alone: planned work, in series and without a pause.
+/// The only faults of the first sequence: planned work.
 const PLANNED_WORK: &[SoakFault] = &[
     SoakFault::StopDaemon,
     SoakFault::StopDaemons,
@@ -33,8 +33,8 @@
     SoakFault::UnreadableSpecs,
 ];
 
-/// Draws the faults of a soak in `lanes` concurrent sequences, sorted by when they begin. The first sequence is of planned
-/// work alone: stops, restarts, signals and changes, each soon after the one before.
+/// Generates the faults of a soak in `lanes` concurrent sequences, sorted by start time. The first sequence consists of
+/// planned work only: stops, restarts, signals and changes in quick succession.
 pub fn draw_schedule(seed: u64, lanes: usize, duration: Duration) -> Vec<PlannedFault> {
     let mut rng = SeededRng::seeded(seed ^ 0x50a1);
     let mut planned_faults = Vec::new();
@@ -70,7 +70,7 @@
     }
 }
 
-/// The largest number of faults at the same time.
+/// Returns the largest number of faults that are active at the same time.
 pub fn max_concurrent(planned_faults: &[PlannedFault]) -> usize {
     let at_once = |offset: Duration| {
         planned_faults
