--- a/testing/fleet/src/fleet/layout.rs
+++ b/testing/fleet/src/fleet/layout.rs
@@ -1,4 +1,4 @@
-//! The machines of a fleet: names, addresses, settings and files.
+//! The layout of a fleet: its machines with their names, addresses, settings and files.
 
 use super::FleetError;
 use super::address_block::AddressBlock;
@@ -9,16 +9,17 @@
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 
-/// The number of controllers that a fleet begins with.
+/// The number of controllers in a new fleet.
 const CONTROLLERS: usize = 3;
 
-/// The address that other processes use for a process, and the one that it listens on behind its network proxy.
+/// The address of a process's network proxy, which other processes use, and the address on which the process itself
+/// listens.
 pub type Endpoints = (SocketAddress, SocketAddress);
 
 /// One process of a fleet and how it is started.
 #[derive(Clone, Debug)]
 pub struct Machine {
-    /// Its name.
+    /// The name of the machine.
     pub name: String,
     /// The kind of program: `controller`, `daemon` or `platform-stub`.
     pub program: &'static str,
@@ -26,17 +27,17 @@
     pub binary: PathBuf,
     /// The command-line arguments.
     pub arguments: Vec<String>,
-    /// The address for callers; daemons only.
+    /// The ingress address for callers; daemons only.
     pub ingress: Option<SocketAddress>,
     /// The address of the operator API; controllers only.
     pub operators: Option<SocketAddress>,
-    /// Its zone; empty for the platform.
+    /// The zone of the machine; empty for the platform.
     pub zone: String,
-    /// The address that other processes use, and the one that it listens on behind its network proxy.
+    /// The addresses of the network proxy and of the process behind it; none for the platform.
     pub endpoints: Option<Endpoints>,
 }
 
-/// The size of a fleet, and which test programs replace the real ones.
+/// The size of a fleet, and whether test programs replace the real ones.
 #[derive(Clone, Debug)]
 pub struct Sizes {
     /// The number of daemons.
@@ -49,7 +50,7 @@
     pub worker_mb: u64,
     /// Whether faults can be injected into the controllers' disks.
     pub has_faulty_disks: bool,
-    /// The rule that the daemons are to run without, if any.
+    /// The safety rule that is disabled in the daemons, if any.
     pub disabled_rule: Option<Rule>,
 }
 
@@ -64,18 +65,18 @@
     pub platform: SocketAddress,
     /// The folder of the executables.
     pub programs: PathBuf,
-    /// The addresses of the three first controllers, which every process gets as seeds.
+    /// The addresses of the initial controllers, which are the seeds in every process's settings.
     pub seeds: Vec<String>,
     has_faulty_disks: bool,
     disabled_rule: Option<Rule>,
-    /// The number of controllers and daemons; gives the next one its loopback address.
+    /// The number of controllers and daemons added so far, from which the next one's loopback address is derived.
     machine_count: usize,
-    /// Reserved as long as the layout or a copy of it exists.
+    /// The addresses stay reserved as long as the layout or a clone of it exists.
     address_block: Arc<AddressBlock>,
 }
 
 impl Layout {
-    /// Lays out a fleet in a folder, which is created, and writes the settings of its machines there.
+    /// Lays out a fleet, creates its folder and writes the machines' settings there.
     ///
     /// # Errors
     /// Fails if no loopback addresses are free or a file cannot be written.
@@ -111,7 +112,7 @@
             let name = format!("daemon-{:02}", number + 1);
             layout.add_daemon(&name, &zone_of(number))?;
         }
-        layout.put_platform_stub(sizes, seed, reuse_ports);
+        layout.add_platform_stub(sizes, seed, reuse_ports);
         Ok(layout)
     }
 
@@ -132,9 +133,9 @@
         });
         let machine = Machine {
             operators: Some(operators),
-            ..self.process_machine(name, "controller", zone, endpoints)
+            ..self.new_machine(name, "controller", zone, endpoints)
         };
-        self.put_with_settings(machine, &settings)
+        self.add_with_settings(machine, &settings)
     }
 
     fn add_daemon(&mut self, name: &str, zone: &str) -> Result<(), FleetError> {
@@ -151,12 +152,12 @@
         });
         let machine = Machine {
             ingress: Some(ingress),
-            ..self.process_machine(name, "daemon", zone, endpoints)
+            ..self.new_machine(name, "daemon", zone, endpoints)
         };
-        self.put_with_settings(machine, &settings)
+        self.add_with_settings(machine, &settings)
     }
 
-    /// The addresses of the next machine: for other processes, and for operators or callers.
+    /// Returns the addresses of the next machine: its endpoints, and its address for operators or callers.
     fn next_addresses(&mut self) -> (Endpoints, SocketAddress) {
         let machine = self.machine_count;
         self.machine_count += 1;
@@ -167,7 +168,7 @@
         (endpoints, self.address_block.client_address_of(machine))
     }
 
-    fn put_platform_stub(&mut self, sizes: &Sizes, seed: u64, reuse_ports: bool) {
+    fn add_platform_stub(&mut self, sizes: &Sizes, seed: u64, reuse_ports: bool) {
         let name = "platform-stub";
         let records = self.folder.join("platform-stub.jsonl");
         let ingresses: Vec<String> = self.ingresses().iter().map(ToString::to_string).collect();
@@ -200,8 +201,8 @@
         self.machines.insert(name.to_owned(), machine);
     }
 
-    /// A controller or daemon behind a network proxy, without addresses for callers and operators.
-    fn process_machine(
+    /// Creates a controller or daemon behind a network proxy, without an address for callers or operators.
+    fn new_machine(
         &self,
         name: &str,
         program: &'static str,
@@ -231,7 +232,7 @@
         self.folder.join(format!("{name}.json"))
     }
 
-    fn put_with_settings(&mut self, machine: Machine, settings: &Value) -> Result<(), FleetError> {
+    fn add_with_settings(&mut self, machine: Machine, settings: &Value) -> Result<(), FleetError> {
         let path = self.settings_path(&machine.name);
         let text = serde_json::to_string_pretty(settings).unwrap_or_default();
         std::fs::write(&path, text).map_err(|error| FleetError::Machine(path, error))?;
@@ -239,8 +240,8 @@
         Ok(())
     }
 
-    /// The name of the executable. Controllers with disk faults and daemons without a rule are test programs around
-    /// the same libraries.
+    /// Returns the name of the executable. Controllers with disk faults and daemons with a disabled rule are test programs
+    /// built from the same libraries.
     fn binary_name(&self, program: &'static str) -> &'static str {
         match program {
             "controller" if self.has_faulty_disks => "ailing-controller",
@@ -251,12 +252,13 @@
         }
     }
 
-    /// The file that controls the fault of a controller's disk; without it the disk works.
+    /// Returns the path of the file that injects a fault into a controller's disk. The disk works if there is no such
+    /// file.
     pub fn disk_file(&self, name: &str) -> PathBuf {
         self.folder.join(format!("{name}.json.disk"))
     }
 
-    /// The operator API addresses of all controllers.
+    /// Returns the operator API addresses of all controllers.
     pub fn operators(&self) -> Vec<SocketAddress> {
         self.machines
             .values()
@@ -264,7 +266,7 @@
             .collect()
     }
 
-    /// The ingress addresses of all daemons.
+    /// Returns the ingress addresses of all daemons.
     pub fn ingresses(&self) -> Vec<SocketAddress> {
         self.machines
             .values()
--- a/testing/fleet/src/fleet/mod.rs
+++ b/testing/fleet/src/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! A fleet of real processes on one machine: starting and stopping them, disturbing them, and operating them.
+//! A fleet of real processes on one machine: starts, stops and disturbs them, and calls their operator API.
 
 mod address_block;
 mod layout;
@@ -24,13 +24,13 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Why an action on the fleet failed. The texts include those of their causes.
+/// Why an action on the fleet failed. The messages include those of their causes.
 #[derive(Debug, thiserror::Error)]
 pub enum FleetError {
     /// A process could not be started, or a file could not be written.
     #[error("{path}: {cause}", path = .0.display(), cause = .1)]
     Machine(PathBuf, std::io::Error),
-    /// The named condition did not come true in time, or does not hold.
+    /// The named condition did not hold, or not in time.
     #[error("condition not met: {0}")]
     ConditionNotMet(&'static str),
     /// An HTTP request to an operator API or the platform failed.
@@ -44,21 +44,22 @@
     Refused(u16, Value),
 }
 
-/// A running fleet. Its processes are killed when it is dropped.
+/// A running fleet. Its processes are killed when this value is dropped.
 pub struct Fleet {
-    /// Declared before the layout, since the processes must be killed before its addresses are released.
+    /// Declared before the layout, since fields are dropped in declaration order and the processes must be killed before
+    /// the layout releases their addresses.
     processes: BTreeMap<String, Process>,
     /// The machines and their addresses.
     pub layout: Layout,
-    /// The record of actions on the fleet and of operators' changes.
+    /// The journal of actions on the fleet and of operators' changes.
     pub journal: Records,
     /// The network between the processes.
     pub network_proxy: NetworkProxy,
-    /// Processes that are stopping or frozen.
+    /// The processes that are stopping or frozen.
     unavailable: BTreeSet<String>,
-    /// When each stop began that is under way.
+    /// When each graceful stop in progress began, by process.
     stop_times: BTreeMap<String, Instant>,
-    /// The number in the latest change id.
+    /// The number in the last change id that was generated.
     last_change_number: u64,
 }
 
@@ -100,13 +101,13 @@
         Ok(())
     }
 
-    /// The loopback address of a machine between processes.
+    /// Returns the loopback address of a machine, by which the network proxy identifies it.
     pub fn ip_of(&self, name: &str) -> Option<std::net::Ipv4Addr> {
         let endpoints = self.layout.machines.get(name)?.endpoints;
         endpoints.map(|(address, _)| *address.0.ip())
     }
 
-    /// The loopback addresses of all machines except the named ones.
+    /// Returns the loopback addresses of all machines except the named ones.
     pub fn other_ips(&self, names: &[String]) -> Vec<std::net::Ipv4Addr> {
         let others = self
             .layout
@@ -125,12 +126,12 @@
         self.processes.insert(name.to_owned(), process);
         self.record_event(
             "launch",
-            json!({"machine": name, "door": self.ingress(name)}),
+            json!({"machine": name, "door": self.ingress_text(name)}),
         );
         Ok(())
     }
 
-    fn ingress(&self, name: &str) -> Option<String> {
+    fn ingress_text(&self, name: &str) -> Option<String> {
         self.layout.machines[name]
             .ingress
             .map(|ingress| ingress.to_string())
@@ -144,7 +145,10 @@
 
     /// Kills a process with SIGKILL.
     pub async fn kill(&mut self, name: &str) {
-        self.record_event("kill", json!({"machine": name, "door": self.ingress(name)}));
+        self.record_event(
+            "kill",
+            json!({"machine": name, "door": self.ingress_text(name)}),
+        );
         if let Some(mut process) = self.processes.remove(name) {
             process.kill();
         }
@@ -177,10 +181,12 @@
         }
     }
 
-    /// Stops a process with SIGTERM, and kills it if it is still running after the grace period. Returns the time
-    /// taken.
+    /// Stops a process with SIGTERM, and kills it if it still runs after the grace period. Returns the time taken.
     pub async fn stop(&mut self, name: &str, grace: Duration) -> Duration {
-        self.record_event("stop", json!({"machine": name, "door": self.ingress(name)}));
+        self.record_event(
+            "stop",
+            json!({"machine": name, "door": self.ingress_text(name)}),
+        );
         let started_at = Instant::now();
         if let Some(mut process) = self.processes.remove(name) {
             process.terminate();
@@ -198,9 +204,12 @@
         started_at.elapsed()
     }
 
-    /// Sends SIGTERM to a process without waiting for its end; a later [`Fleet::finish_stop`] ends it.
+    /// Sends SIGTERM to a process without waiting for it to end. [`Fleet::finish_stop`] completes the stop.
     pub fn begin_stop(&mut self, name: &str) {
-        self.record_event("stop", json!({"machine": name, "door": self.ingress(name)}));
+        self.record_event(
+            "stop",
+            json!({"machine": name, "door": self.ingress_text(name)}),
+        );
         self.unavailable.insert(name.to_owned());
         self.stop_times.insert(name.to_owned(), Instant::now());
         if let Some(process) = self.processes.get(name) {
@@ -208,8 +217,8 @@
         }
     }
 
-    /// Ends a stop that was begun, if the process has ended, or kills it if its grace period is over. False while it may
-    /// go on.
+    /// Completes a stop begun by [`Fleet::begin_stop`] if the process has ended; kills the process if its grace period is
+    /// over. Returns whether the process is gone.
     pub async fn finish_stop(&mut self, name: &str, grace: Duration) -> bool {
         let Some(process) = self.processes.get_mut(name) else {
             return true;
@@ -236,7 +245,7 @@
         true
     }
 
-    /// Sends SIGTERM and SIGHUP once more to every process that is stopping.
+    /// Sends SIGTERM and SIGHUP again to every process that is stopping.
     pub fn signal_stopping(&self) {
         for name in self.stop_times.keys() {
             if let Some(process) = self.processes.get(name) {
@@ -256,14 +265,14 @@
         reloaded.for_each(|(_, process)| process.reload());
     }
 
-    /// The running processes of one program that are neither stopping nor frozen.
+    /// Returns the running processes of a program that are neither stopping nor frozen.
     pub fn available(&self, program: &str) -> Vec<String> {
         let mut names = self.running(program);
         names.retain(|name| !self.unavailable.contains(name));
         names
     }
 
-    /// Processes that ended without having been stopped.
+    /// Returns the processes that ended although they were not stopped or killed.
     pub fn exited_processes(&mut self) -> Vec<String> {
         let processes = self.processes.iter_mut();
         processes
@@ -275,7 +284,7 @@
     pub fn freeze(&mut self, name: &str) {
         self.record_event(
             "freeze",
-            json!({"machine": name, "door": self.ingress(name)}),
+            json!({"machine": name, "door": self.ingress_text(name)}),
         );
         self.unavailable.insert(name.to_owned());
         if let Some(process) = self.processes.get(name) {
@@ -289,7 +298,10 @@
         if let Some(process) = self.processes.get(name) {
             process.resume();
         }
-        self.record_event("wake", json!({"machine": name, "door": self.ingress(name)}));
+        self.record_event(
+            "wake",
+            json!({"machine": name, "door": self.ingress_text(name)}),
+        );
     }
 
     /// Deletes a controller's data directory.
@@ -325,11 +337,11 @@
         self.network_proxy.stop_all().await;
     }
 
-    /// Sends a request to the operator API of the controllers in turn, until one is reached. Returns the status and
-    /// the JSON body.
+    /// Sends a request to the operator APIs of the controllers in turn until one responds. Returns the status and the
+    /// JSON body.
     ///
     /// # Errors
-    /// Fails if no controller is reached, or if a request was sent and its response lost.
+    /// Fails if no controller is reachable, or if the request may have been sent and got no response.
     pub async fn call_operators(
         &self,
         method: Method,
@@ -348,7 +360,7 @@
         Err(last_error)
     }
 
-    /// Bootstraps the control quorum once its voters have met, and waits for a leader.
+    /// Bootstraps the control quorum as soon as the controllers accept it, and waits for a leader.
     pub async fn bootstrap(&self) -> Result<(), FleetError> {
         for _ in 0..100 {
             if let Ok((202, _)) = self
@@ -364,7 +376,7 @@
         ))
     }
 
-    /// Waits until a leader answers for the spec.
+    /// Waits until a leader is elected and returns the spec.
     pub async fn await_leader(&self) -> Result<(), FleetError> {
         for _ in 0..200 {
             if let Ok((200, _)) = self.call_operators(Method::GET, "/v1/spec", None).await {
@@ -375,7 +387,7 @@
         Err(FleetError::ConditionNotMet("a leader is elected"))
     }
 
-    /// Waits until the platform's readiness probes found this many daemons ready.
+    /// Waits until the platform's readiness probes report this many daemons as ready.
     pub async fn await_ready(&self, expected_count: usize) -> Result<(), FleetError> {
         for _ in 0..300 {
             let timeout = Duration::from_secs(1);
@@ -398,7 +410,7 @@
         Err(FleetError::ConditionNotMet("enough daemons are ready"))
     }
 
-    /// The current version number and spec.
+    /// Returns the current spec and its version.
     pub async fn spec(&self) -> Result<(u64, Value), FleetError> {
         match self.call_operators(Method::GET, "/v1/spec", None).await? {
             (200, body) => Ok((body["serial"].as_u64().unwrap_or(0), body["spec"].clone())),
@@ -406,14 +418,13 @@
         }
     }
 
-    /// A change id that was not used before.
+    /// Generates a change id that was not used before.
     pub fn next_change_id(&mut self) -> String {
         self.last_change_number += 1;
         format!("change-{}", self.last_change_number)
     }
 
-    /// Replaces the spec, and records the change and its outcome in the journal. Returns the status and the JSON
-    /// body.
+    /// Replaces the spec and records the change with its outcome in the journal. Returns the status and the JSON body.
     pub async fn put_spec(
         &self,
         base: u64,
@@ -433,7 +444,8 @@
         response
     }
 
-    /// The controller that reports to be the leader; only for choosing the target of a fault.
+    /// Returns the controller that reports itself as the leader. It may be outdated, so use it only to choose the target
+    /// of a fault.
     pub async fn leader(&self) -> Option<String> {
         for (name, machine) in &self.layout.machines {
             let Some(operators) = machine.operators else {
@@ -448,7 +460,8 @@
         None
     }
 
-    /// The daemon that holds the most function leases; only for choosing the target of a fault.
+    /// Returns the daemon that holds the most function leases. It may be outdated, so use it only to choose the target of
+    /// a fault.
     pub async fn busiest_holder(&self) -> Option<String> {
         let (_, body) = self
             .call_operators(Method::GET, "/v1/holders", None)
@@ -467,7 +480,7 @@
             .map(|(name, _)| name)
     }
 
-    /// The platform's workers in a zone.
+    /// Returns the workers in a zone, as the platform lists them.
     pub async fn workers_of(&self, zone: &str) -> Vec<String> {
         let timeout = Duration::from_secs(1);
         let address = self.layout.platform;
@@ -480,7 +493,7 @@
             .collect()
     }
 
-    /// Sends a POST request to the platform; its response is not evaluated.
+    /// Sends a POST request to the platform. The status of the response is ignored.
     pub async fn post_to_platform(&self, path: &str, body: &Value) -> Result<(), FleetError> {
         let timeout = Duration::from_secs(2);
         call_json(
@@ -494,7 +507,7 @@
         Ok(())
     }
 
-    /// The names of the running processes of one program.
+    /// Returns the names of the running processes of a program.
     pub fn running(&self, program: &str) -> Vec<String> {
         self.processes
             .keys()
@@ -503,12 +516,12 @@
             .collect()
     }
 
-    /// The folder of settings, logs and records.
+    /// Returns the folder of settings, logs and records.
     pub fn folder(&self) -> &Path {
         &self.layout.folder
     }
 
-    /// The ingress address of a machine.
+    /// Returns the ingress address of a daemon; `None` for other machines.
     pub fn ingress_of(&self, name: &str) -> Option<SocketAddress> {
         self.layout
             .machines
--- a/testing/fleet/src/fleet/network_proxy.rs
+++ b/testing/fleet/src/fleet/network_proxy.rs
@@ -1,4 +1,4 @@
-//! A proxy in front of each process that blocks or delays the traffic between machines.
+//! Network proxies in front of the processes, which block or delay the traffic between machines.
 
 use common::frames::SocketAddress;
 use std::collections::{BTreeMap, BTreeSet};
@@ -12,15 +12,15 @@
 use tokio::sync::watch;
 use tokio::task::JoinHandle;
 
-/// How often an address that is in use is tried.
+/// The number of retries to bind an address that is in use.
 const BIND_ATTEMPTS: usize = 20;
-/// The delay before it is tried again.
+/// The delay after each attempt.
 const BIND_RETRY_DELAY: Duration = Duration::from_millis(25);
 
-/// The current condition of the network. Machines are identified by their loopback addresses.
+/// The current faults of the network. Machines are identified by their loopback addresses.
 #[derive(Clone, Default)]
 struct NetworkConditions {
-    /// Blocked directions, as sender and receiver.
+    /// The blocked directions, each as sender and receiver.
     blocked: BTreeSet<(Ipv4Addr, Ipv4Addr)>,
     /// The delay added to each chunk of a connection; datagrams are not delayed.
     delay: Duration,
@@ -32,12 +32,13 @@
 #[derive(Clone)]
 pub struct NetworkProxy {
     network_conditions: Arc<watch::Sender<NetworkConditions>>,
-    /// The accepting tasks of each proxy; aborted and joined when it is stopped.
+    /// The tasks that accept connections and receive datagrams, by the address of their proxy. They are aborted and
+    /// joined when the proxy is stopped.
     running_proxies: Arc<Mutex<BTreeMap<SocketAddress, Vec<JoinHandle<()>>>>>,
 }
 
 impl NetworkProxy {
-    /// A network without faults.
+    /// Creates a network without faults and without proxies.
     pub fn new() -> Self {
         Self {
             network_conditions: Arc::new(watch::Sender::new(NetworkConditions::default())),
@@ -45,7 +46,7 @@
         }
     }
 
-    /// Starts the proxy of one process: traffic to `address` is forwarded to `listen`.
+    /// Starts the proxy of a process, which forwards traffic from `address` to `listen`.
     pub async fn start_proxy(
         &self,
         address: SocketAddress,
@@ -68,8 +69,8 @@
         Ok(())
     }
 
-    /// Stops the proxy of a process that has ended, so that connecting to it is refused as on a machine without a
-    /// listener. Open connections end by themselves.
+    /// Stops the proxy of a process that has ended, so that connections to it are refused as on a machine without a
+    /// listener. Open connections are not closed here: they end with either side.
     pub async fn stop_proxy(&self, address: SocketAddress) {
         let proxy_tasks = {
             let mut running_proxies = self
@@ -125,9 +126,9 @@
     }
 
     /// Delays all connections by the given time per chunk.
-    pub fn set_delay(&self, span: Duration) {
+    pub fn set_delay(&self, delay: Duration) {
         self.network_conditions
-            .send_modify(|network_conditions| network_conditions.delay = span);
+            .send_modify(|network_conditions| network_conditions.delay = delay);
     }
 
     /// Unblocks all directions and removes the delay.
@@ -143,8 +144,8 @@
     }
 }
 
-/// Opens the sockets of a proxy. A process that was just forked holds copies of all sockets until it runs its program, so
-/// that an address may be in use for a moment after its sockets were closed.
+/// Binds the sockets of a proxy, with retries. A process that was just forked holds copies of all sockets until it executes
+/// its program, so an address can still be in use shortly after its sockets were closed.
 async fn bind_sockets(address: SocketAddress) -> std::io::Result<(TcpListener, UdpSocket)> {
     for _ in 0..BIND_ATTEMPTS {
         match try_bind_sockets(address).await {
@@ -177,7 +178,7 @@
 ) {
     while let Ok((outer, from)) = listener.accept().await {
         let from_ip = ip_of(from.ip());
-        // Detached: it ends with either side of the connection.
+        // The task is detached; it ends when either side closes the connection.
         tokio::spawn(proxy_connection(
             outer,
             from_ip,
--- a/testing/fleet/src/fleet/process.rs
+++ b/testing/fleet/src/fleet/process.rs
@@ -1,4 +1,4 @@
-//! One process of the fleet and the signals that it is sent.
+//! A process of the fleet, and the signals sent to it.
 
 use super::program_start::await_program_start;
 use super::{FleetError, Machine};
@@ -9,7 +9,7 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// A running process of the fleet; it is killed when this is dropped.
+/// A running process of the fleet. It is killed when this value is dropped.
 pub struct Process {
     child: Child,
 }
@@ -51,7 +51,8 @@
         self.signal(Signal::TERM);
     }
 
-    /// Sends SIGHUP; to a process that was just started as soon as it runs its program.
+    /// Sends SIGHUP. Waits first until a process that was just started runs its program, since the signal would end it
+    /// before.
     pub fn reload(&self) {
         await_program_start(self.child.id());
         self.signal(Signal::HUP);
@@ -62,7 +63,7 @@
         matches!(self.child.try_wait(), Ok(Some(_)))
     }
 
-    /// Sends SIGKILL and waits for the end.
+    /// Sends SIGKILL and waits until the process has ended.
     pub fn kill(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
@@ -78,7 +79,7 @@
         self.signal(Signal::CONT);
     }
 
-    /// Waits for the end; returns whether it came within the timeout.
+    /// Waits until the process has ended. Returns whether it ended within the timeout.
     pub async fn wait(&mut self, timeout: Duration) -> bool {
         let wait_until = Instant::now() + timeout;
         while Instant::now() < wait_until {
--- a/testing/fleet/src/fleet/sent_change.rs
+++ b/testing/fleet/src/fleet/sent_change.rs
@@ -1,12 +1,12 @@
-//! The journal entry of a change of the spec, which is written whatever becomes of the change.
+//! The journal entry of a change of the spec, which is written whether or not a response arrives.
 
 use common::clock::MonotonicTime;
 use platform_stub::records::Records;
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 
-/// A change of the spec in flight. If it is dropped without a response, it is recorded as `unknown`, since it may have
-/// been accepted: without an entry the judge would report its effect as a violation.
+/// A change of the spec in flight. If this value is dropped before a response was recorded, the change is recorded as
+/// `unknown`, since it may have been accepted: without an entry, the judge would report its effect as a violation.
 pub struct SentChange<'a> {
     journal: &'a Records,
     detail: Value,
@@ -14,7 +14,7 @@
 }
 
 impl<'a> SentChange<'a> {
-    /// Prepares the entry of a change that is about to be sent.
+    /// Prepares the journal entry of a change that is about to be sent.
     pub fn new(journal: &'a Records, base: u64, change_id: &str, spec: &Value) -> Self {
         let text = |route: &Value, name: &str| route[name].as_str().unwrap_or("").to_owned();
         let routes = spec["routes"].as_object().into_iter().flatten();
