--- a/testing/fleet/src/fleet/address_block.rs
+++ b/testing/fleet/src/fleet/address_block.rs
@@ -70,7 +70,8 @@
         self.address(Self::host(machine), CLIENT_PORT)
     }
 
-    /// Returns the third and fourth octet of a machine's addresses. The third octet is never zero, as the platform's is.
+    /// Returns the third and fourth octet of a machine's addresses. The third octet is never zero, as the platform's
+    /// is.
     fn host(machine: usize) -> [u8; 2] {
         [
             1 + (machine / HOSTS_PER_OCTET) as u8,
--- a/testing/fleet/src/fleet/layout.rs
+++ b/testing/fleet/src/fleet/layout.rs
@@ -240,8 +240,8 @@
         Ok(())
     }
 
-    /// Returns the name of the executable. Controllers with disk faults and daemons with a disabled rule are test programs
-    /// built from the same libraries.
+    /// Returns the name of the executable. Controllers with disk faults and daemons with a disabled rule are test
+    /// programs built from the same libraries.
     fn binary_name(&self, program: &'static str) -> &'static str {
         match program {
             "controller" if self.has_faulty_disks => "ailing-controller",
--- a/testing/fleet/src/fleet/mod.rs
+++ b/testing/fleet/src/fleet/mod.rs
@@ -46,8 +46,8 @@
 
 /// A running fleet. Its processes are killed when this value is dropped.
 pub struct Fleet {
-    /// Declared before the layout, since fields are dropped in declaration order and the processes must be killed before
-    /// the layout releases their addresses.
+    /// Declared before the layout, since fields are dropped in declaration order and the processes must be killed
+    /// before the layout releases their addresses.
     processes: BTreeMap<String, Process>,
     /// The machines and their addresses.
     pub layout: Layout,
@@ -217,8 +217,8 @@
         }
     }
 
-    /// Completes a stop begun by [`Fleet::begin_stop`] if the process has ended; kills the process if its grace period is
-    /// over. Returns whether the process is gone.
+    /// Completes a stop begun by [`Fleet::begin_stop`] if the process has ended; kills the process if its grace period
+    /// is over. Returns whether the process is gone.
     pub async fn finish_stop(&mut self, name: &str, grace: Duration) -> bool {
         let Some(process) = self.processes.get_mut(name) else {
             return true;
@@ -444,8 +444,8 @@
         response
     }
 
-    /// Returns the controller that reports itself as the leader. It may be outdated, so use it only to choose the target
-    /// of a fault.
+    /// Returns the controller that reports itself as the leader. It may be outdated, so use it only to choose the
+    /// target of a fault.
     pub async fn leader(&self) -> Option<String> {
         for (name, machine) in &self.layout.machines {
             let Some(operators) = machine.operators else {
@@ -460,8 +460,8 @@
         None
     }
 
-    /// Returns the daemon that holds the most function leases. It may be outdated, so use it only to choose the target of
-    /// a fault.
+    /// Returns the daemon that holds the most function leases. It may be outdated, so use it only to choose the target
+    /// of a fault.
     pub async fn busiest_holder(&self) -> Option<String> {
         let (_, body) = self
             .call_operators(Method::GET, "/v1/holders", None)
--- a/testing/fleet/src/fleet/network_proxy.rs
+++ b/testing/fleet/src/fleet/network_proxy.rs
@@ -144,8 +144,8 @@
     }
 }
 
-/// Binds the sockets of a proxy, with retries. A process that was just forked holds copies of all sockets until it executes
-/// its program, so an address can still be in use shortly after its sockets were closed.
+/// Binds the sockets of a proxy, with retries. A process that was just forked holds copies of all sockets until it
+/// executes its program, so an address can still be in use shortly after its sockets were closed.
 async fn bind_sockets(address: SocketAddress) -> std::io::Result<(TcpListener, UdpSocket)> {
     for _ in 0..BIND_ATTEMPTS {
         match try_bind_sockets(address).await {
--- a/testing/fleet/src/judge/checks/forbidden.rs
+++ b/testing/fleet/src/judge/checks/forbidden.rs
@@ -1,23 +1,24 @@
-//! Runs where none may begin any more: on draining workers and leaving runners, and in evacuated zones.
+//! Checks that no run begins where none may begin any more: on draining workers and leaving runners, and in evacuated
+//! zones.
 
 use super::{DRAINING_WORKER_USED, EVACUATED_ZONE_USED, SECOND, SLACK};
 use crate::judge::{Check, Evidence, JournalEntry, RunnerInstance};
 use serde_json::json;
 use std::collections::BTreeMap;
 
-/// How long a draining worker or leaving runner may still be used, in nanoseconds.
+/// The time for which a draining worker or leaving runner may still be used, in nanoseconds.
 const DRAIN_GRACE: u64 = 3 * SECOND;
-/// How long an evacuated zone may still be used, in nanoseconds.
+/// The time for which an evacuated zone may still be used, in nanoseconds.
 const EVACUATION_GRACE: u64 = 5 * SECOND;
 
-/// A span of time in which no run may begin at a location: a worker, a runner or a zone.
+/// A time span in which no run may begin at a location, which is a worker, a runner or a zone.
 struct ForbiddenSpan {
     location: String,
     from: u64,
     until: u64,
 }
 
-/// Checks that no run begins at a forbidden location once the grace period is over.
+/// Checks that no run begins at a forbidden location after the grace period.
 fn forbidden_runs(
     evidence: &Evidence,
     name: &'static str,
@@ -40,7 +41,7 @@
             if run.at > span.from + grace + SLACK {
                 let late_ms = (run.at - span.from) / 1_000_000;
                 check.violations.push(format!(
-                    "{} began on {} at {location} {late_ms} ms after it was barred",
+                    "{} began on {} at {location} {late_ms} ms after new runs were forbidden there",
                     run.idempotency_key, run.runner
                 ));
             }
@@ -49,7 +50,7 @@
     check
 }
 
-/// The spans that begin with one of the given actions on a location and end with the next other action on it.
+/// Returns the spans that begin with one of the given actions on a location and end with the next other action on it.
 fn forbidden_spans<'a>(
     entries: impl Iterator<Item = &'a JournalEntry>,
     location_field: &str,
@@ -85,7 +86,7 @@
     spans
 }
 
-/// Draining and crashed workers until they are restored, and runners that announced that they leave.
+/// Checks draining and crashed workers until they are restored, and runners after they announced that they leave.
 pub(super) fn draining_worker_used(evidence: &Evidence) -> Check {
     let workers = forbidden_spans(evidence.entries_of("worker"), "worker", &["drain", "crash"]);
     let runners: Vec<ForbiddenSpan> = evidence
@@ -112,7 +113,7 @@
     check
 }
 
-/// Zones whose evacuation was accepted, until they are restored.
+/// Checks zones whose evacuation was accepted, until they are restored.
 pub(super) fn evacuated_zone_used(evidence: &Evidence) -> Check {
     let accepted = evidence
         .entries_of("locality")
--- a/testing/fleet/src/judge/checks/mod.rs
+++ b/testing/fleet/src/judge/checks/mod.rs
@@ -1,4 +1,5 @@
-//! The checks for what must never happen. Each uses only the recorded evidence; its name is part of the report.
+//! The checks for violations of safety and service. Each uses only the recorded evidence; its name is part of the
+//! report.
 
 mod forbidden;
 mod outcomes;
@@ -19,51 +20,51 @@
     unconfigured_function,
 };
 
-/// Nanoseconds in a second, the unit of the records.
+/// Nanoseconds in a second. Times in records are in nanoseconds.
 const SECOND: u64 = 1_000_000_000;
-/// The tolerance for differences between clocks and records, in nanoseconds.
+/// The tolerance for differences between the times of different records, in nanoseconds.
 const SLACK: u64 = SECOND / 4;
-/// How long a request may be in flight from a lease holder to a runner, in nanoseconds.
+/// The longest time that a request may be in flight from a lease holder to a runner, in nanoseconds.
 const DELIVERY_SLACK: u64 = SECOND / 10;
-/// How soon an accepted spec has to be in force everywhere, in nanoseconds.
-const IN_FORCE_WITHIN: u64 = 3 * SECOND;
+/// The time within which an accepted spec must be in force everywhere, in nanoseconds.
+const IN_FORCE_TIMEOUT: u64 = 3 * SECOND;
 
 /// A request that must run at most once ran more than once.
 pub const AT_MOST_ONCE_VIOLATED: &str = "a once-transaction runs twice";
-/// A request ran whose caller was assured that it did not.
+/// A request ran although its caller was told that it did not.
 pub const REFUSED_REQUEST_RAN: &str = "refused as not run, and runs";
-/// A successful answer is not the intact answer of a runner that ran the request.
+/// A successful answer is not the unmodified answer of a runner that ran the request.
 pub const UNSEALED_ANSWER: &str = "a success without its runner's own sealed body";
-/// A request ran on a function that no accepted spec ever configured for its path.
+/// A request ran on a function that no accepted spec configured for its path.
 pub const UNCONFIGURED_FUNCTION: &str = "a run on a function its path was never given";
-/// A request ran as an older or later spec than the one in force has it.
+/// A request ran on a function that its path had in an older or a later spec, but not in one that could be in force.
 pub const SPEC_NOT_IN_FORCE: &str = "an accepted spec not in force after 3 s, or undone";
-/// An ingress did not know a route in force, or answered for one that was removed.
+/// An ingress did not know a route that was in force, or still served one that was removed.
 pub const INGRESS_OUTDATED: &str = "a door without an accepted spec after 3 s";
-/// Two changes of the spec were accepted on the same base version.
+/// Two changes of the spec with the same base version were accepted.
 pub const CONFLICTING_CHANGES: &str = "two changes on one version accepted";
-/// A request ran as only a refused change configured it.
+/// A request ran on a function that only a refused change configured for its path.
 pub const REFUSED_CHANGE_IN_FORCE: &str = "a refused change in force";
 /// A run began on a draining worker or a leaving runner after the grace period.
 pub const DRAINING_WORKER_USED: &str = "a leaving runner or draining worker used after 3 s";
 /// A run began in an evacuated zone after the grace period.
 pub const EVACUATED_ZONE_USED: &str = "an evacuated locality used after 5 s";
-/// A graceful stop lost answers to requests in flight, or took too long.
+/// A graceful stop lost answers to requests in flight, or exceeded its grace period.
 pub const ANSWERS_DROPPED: &str = "an orderly stop drops answers in hand";
-/// A daemon that was stopped gracefully closed a connection on a request that it had read, without a word.
+/// A daemon that was stopped gracefully closed a connection without a response to a request that it had read.
 pub const UNANSWERED_AT_STOP: &str = "an orderly stop leaves a request without a word";
-/// Requests reached a runner long after their callers had closed their connections.
+/// Requests reached runners long after their callers had closed their connections.
 pub const RUNS_AFTER_DISCONNECT: &str = "runs that begin over 0.5 s after their callers have left";
 /// Retries exceeded the retry budget.
 pub const EXCESS_RETRIES: &str = "extra tries above a fifth in 10 s";
-/// A runner got requests before it was ready, too many while it was fresh, or more than its slots.
+/// A runner got a request before it was ready, more than its slots, or too many right after its startup.
 pub const RUNNER_OVERLOADED: &str = "a cold runner flooded, or slots exceeded";
-/// A lease holder sent a request after a later holder of the same function had begun.
+/// A lease holder sent a request after a later holder of the same function had started work.
 pub const CONCURRENT_HOLDERS: &str = "two holders of one function at once";
-/// Most requests were not answered 12 s after a heavy fault was undone.
+/// Most requests were still not answered 12 s after a heavy fault was undone.
 pub const SERVICE_NOT_RECOVERED: &str = "mostly down 12 s after machines return";
 
-/// Runs every check, in the order of the report.
+/// Runs all checks, in report order.
 pub fn all(evidence: &Evidence) -> Vec<Check> {
     vec![
         at_most_once_violated(evidence),
@@ -86,7 +87,7 @@
     ]
 }
 
-/// The name of a function without its generation.
+/// Returns the name of a function without its generation.
 fn name_of(function: &str) -> &str {
     function.rsplit_once('@').map_or(function, |(name, _)| name)
 }
--- a/testing/fleet/src/judge/checks/outcomes.rs
+++ b/testing/fleet/src/judge/checks/outcomes.rs
@@ -1,11 +1,11 @@
-//! Outcomes at the callers compared with runs on runners: nothing refused runs, nothing runs twice, and every
-//! success is the answer of a runner that ran the request.
+//! Compares outcomes at callers with runs on runners: refused requests have no run, at-most-once requests have at most
+//! one, and every success is the answer of a runner that ran the request.
 
 use super::{AT_MOST_ONCE_VIOLATED, REFUSED_REQUEST_RAN, UNSEALED_ANSWER};
 use crate::judge::{Check, Evidence};
 use std::collections::{BTreeSet, HashMap};
 
-/// A request that must run at most once has at most one run.
+/// Checks that a request that must run at most once has at most one run.
 pub(super) fn at_most_once_violated(evidence: &Evidence) -> Check {
     let mut run_counts: HashMap<&str, usize> = HashMap::new();
     for run in &evidence.runs {
@@ -25,7 +25,7 @@
     check
 }
 
-/// A request that was refused as not run has no run.
+/// Checks that a request that was refused as not run has no run.
 pub(super) fn refused_request_ran(evidence: &Evidence) -> Check {
     let run_ids: BTreeSet<&str> = evidence
         .runs
@@ -40,7 +40,7 @@
     let violations = refused_calls
         .iter()
         .filter(|call| run_ids.contains(call.id.as_str()))
-        .map(|call| format!("{} was refused with {:?} and ran", call.id, call.reason))
+        .map(|call| format!("{} was refused with {:?} but ran", call.id, call.reason))
         .collect();
     Check {
         name: REFUSED_REQUEST_RAN,
@@ -49,7 +49,7 @@
     }
 }
 
-/// Every answer is sealed and comes from a runner that ran the request.
+/// Checks that every answer has a valid seal and comes from a runner that ran the request.
 pub(super) fn unsealed_answer(evidence: &Evidence) -> Check {
     let ran_on: BTreeSet<(&str, &str)> = evidence
         .runs
--- a/testing/fleet/src/judge/checks/runners.rs
+++ b/testing/fleet/src/judge/checks/runners.rs
@@ -1,18 +1,18 @@
-//! The load on runners: retries, runners that have just started, and slots.
+//! Checks of the load on runners: retries, slots, and runners that have just started.
 
 use super::spec::allowed_routes_by_path;
 use super::{EXCESS_RETRIES, RUNNER_OVERLOADED, SECOND, SLACK, name_of};
 use crate::judge::{Check, Evidence, Run, RunnerInstance};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// The span in which retries are compared with first attempts, in nanoseconds.
+/// The length of the window in which retries are compared with first attempts, in nanoseconds.
 const RETRY_WINDOW: u64 = 10 * SECOND;
-/// How many first attempts allow one retry.
+/// The number of first attempts that allow one retry.
 const CALLS_PER_RETRY: usize = 5;
-/// How many retries are allowed on top, so that rare functions can be retried at all.
+/// The number of additional retries, so that requests for rarely used functions can be retried at all.
 const RETRY_ALLOWANCE: usize = 3;
 
-/// Compares the retries of each function, over all its routes, with its first attempts in the same window.
+/// Compares the retries of each function, over all its routes, with the first attempts in the same window.
 pub(super) fn excess_retries(evidence: &Evidence) -> Check {
     let first_attempts = first_attempts_by_function(evidence);
     let mut check = Check::new(EXCESS_RETRIES);
@@ -32,7 +32,7 @@
                 .count();
             if retry_count > first_count / CALLS_PER_RETRY + RETRY_ALLOWANCE {
                 check.violations.push(format!(
-                    "{function}: {retry_count} extra to {first_count} first tries in 10 s"
+                    "{function}: {retry_count} retries of {first_count} first attempts in 10 s"
                 ));
             }
         }
@@ -40,7 +40,7 @@
     check
 }
 
-/// When first attempts were sent, for each function that they could reach at that time.
+/// Returns when first attempts were sent, for each function that they could reach at that time.
 fn first_attempts_by_function(evidence: &Evidence) -> BTreeMap<String, Vec<u64>> {
     let routes_by_path = allowed_routes_by_path(evidence);
     let mut first_attempts: BTreeMap<String, Vec<u64>> = BTreeMap::new();
@@ -60,7 +60,7 @@
     first_attempts
 }
 
-/// When further attempts ran: retries within the fleet, and those that callers made.
+/// Returns when retries ran: those made within the fleet and those made by callers.
 fn retries_by_function(evidence: &Evidence) -> BTreeMap<&str, Vec<u64>> {
     let calls = evidence.calls_by_id();
     let mut retries: BTreeMap<&str, Vec<u64>> = BTreeMap::new();
@@ -78,7 +78,8 @@
     retries
 }
 
-/// No run begins on a runner that is not ready, has no free slot, or has just started and is sent too much at once.
+/// Checks that no run begins on a runner that is not ready, has no free slot, or has just started and already has too
+/// many concurrent runs.
 pub(super) fn runner_overloaded(evidence: &Evidence) -> Check {
     let instances = evidence.instances_by_runner();
     let mut ends_by_runner: HashMap<&str, Vec<u64>> = HashMap::new();
@@ -98,8 +99,8 @@
     check
 }
 
-/// What is wrong with the load at the beginning of a run. A fresh runner may run one request more than it has
-/// finished, for a second after its startup.
+/// Returns the violation if a runner is overloaded when a run begins. In the second after its startup, a runner may run
+/// one request more than it has finished.
 fn overload(
     run: &Run,
     instance: &RunnerInstance,
@@ -113,7 +114,7 @@
     }
     if run.concurrent_runs > instance.slots {
         return Some(format!(
-            "{} at once on {} of {} slots",
+            "{} concurrent runs on {} with {} slots",
             run.concurrent_runs, run.runner, instance.slots
         ));
     }
@@ -125,7 +126,7 @@
         as u64;
     (is_fresh && run.concurrent_runs > 1 + ended_count).then(|| {
         format!(
-            "{} at once on fresh {} after {ended_count} runs",
+            "{} concurrent runs on fresh {} after {ended_count} finished runs",
             run.concurrent_runs, run.runner
         )
     })
--- a/testing/fleet/src/judge/checks/service.rs
+++ b/testing/fleet/src/judge/checks/service.rs
@@ -1,4 +1,5 @@
-//! Lease holders and recovery: one holder at a time, graceful stops that drop nothing, service after a fault.
+//! Checks of lease holders and service: one holder of a function at a time, graceful stops without lost answers, no
+//! work for disconnected callers, and recovery after a fault.
 
 use super::{
     ANSWERS_DROPPED, CONCURRENT_HOLDERS, DELIVERY_SLACK, RUNS_AFTER_DISCONNECT, SECOND,
@@ -11,8 +12,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Bound;
 
-/// A request in flight at a graceful stop keeps its answer: at the stopping ingress it has a definite outcome, and
-/// at others it does not lose its lease holder. The process itself stops within its grace period.
+/// Checks that a request in flight at a graceful stop keeps its answer: at the ingress of the stopping daemon it gets a
+/// definite outcome, and at others it does not lose its lease holder. The process itself must stop within its grace
+/// period.
 pub(super) fn answers_dropped(evidence: &Evidence) -> Check {
     let mut check = Check::new(ANSWERS_DROPPED);
     let stops: Vec<(&str, u64)> = evidence
@@ -23,7 +25,7 @@
         for (ingress, stop_at) in &stops {
             if call.at < *stop_at && call.end > *stop_at {
                 check.checked += 1;
-                check.violations.extend(drop_at_stop(call, ingress));
+                check.violations.extend(dropped_answer(call, ingress));
             }
         }
     }
@@ -38,31 +40,32 @@
     check
 }
 
-/// What is wrong with the outcome of a call that was in flight when the process at this ingress stopped.
-fn drop_at_stop(call: &Call, stopping: &str) -> Option<String> {
+/// Returns the violation if a call lost its answer that was in flight when the daemon with the given ingress stopped.
+fn dropped_answer(call: &Call, stopping: &str) -> Option<String> {
     if call.ingress == stopping {
         call.is_indeterminate()
             .then(|| format!("{} was {} at {stopping}", call.id, call.outcome))
     } else {
         (call.reason == "holder_silent").then(|| {
             format!(
-                "{} through {} lost its holder at {stopping}",
+                "{} through {} lost its lease holder when the daemon at {stopping} stopped",
                 call.id, call.ingress
             )
         })
     }
 }
 
-/// A graceful stop of a daemon, until its process was gone.
-struct OrderlyStop<'a> {
+/// A graceful stop of a daemon, from SIGTERM until its process ended.
+struct GracefulStop<'a> {
     ingress: &'a str,
     from: u64,
     until: u64,
 }
 
-/// The graceful stops of daemons that ended by themselves, were not killed, and were not frozen meanwhile.
-fn orderly_stops(evidence: &Evidence) -> Vec<OrderlyStop<'_>> {
-    let stop_of = |entry: &'_ JournalEntry| {
+/// Returns the graceful stops of daemons that ended within their grace period and were neither killed nor frozen
+/// meanwhile.
+fn graceful_stops(evidence: &Evidence) -> Vec<GracefulStop<'_>> {
+    let stopped_at = |entry: &'_ JournalEntry| {
         let machine = entry.detail["machine"].clone();
         let is_same =
             move |other: &&JournalEntry| other.at >= entry.at && other.detail["machine"] == machine;
@@ -76,17 +79,18 @@
     evidence
         .entries_of("stop")
         .filter_map(|entry| {
-            Some(OrderlyStop {
+            Some(GracefulStop {
                 ingress: entry.detail["door"].as_str()?,
                 from: entry.at,
-                until: stop_of(entry)?,
+                until: stopped_at(entry)?,
             })
         })
         .collect()
 }
 
-/// Whatever else goes wrong, a daemon that stops gracefully answers every request that it has read, if only with the
-/// word that its outcome is unknown. A request that crosses the close of its connection was not read.
+/// Checks that a daemon that stops gracefully responds to every request that it has read, whatever other faults there
+/// are, and be it only with an unknown outcome. A request that arrives while the daemon closes the connection was not
+/// read.
 pub(super) fn unanswered_at_stop(evidence: &Evidence) -> Check {
     let mut check = Check::new(UNANSWERED_AT_STOP);
     let run_ids: BTreeSet<&str> = evidence
@@ -94,12 +98,12 @@
         .iter()
         .map(|run| run.idempotency_key.as_str())
         .collect();
-    let stops = orderly_stops(evidence);
+    let stops = graceful_stops(evidence);
     for call in &evidence.calls {
-        let is_in_hand = |stop: &&OrderlyStop<'_>| {
+        let is_in_flight = |stop: &&GracefulStop<'_>| {
             call.ingress == stop.ingress && call.at < stop.until && call.end > stop.from
         };
-        let Some(stop) = stops.iter().find(is_in_hand) else {
+        let Some(stop) = stops.iter().find(is_in_flight) else {
             continue;
         };
         check.checked += 1;
@@ -107,7 +111,7 @@
         let has_timed_out = call.reason == CallError::Timeout.to_string();
         if call.outcome == "lost" && was_read && !has_timed_out {
             check.violations.push(format!(
-                "{} was cut off after {} ms at {}: {}",
+                "{} lost its connection without a response after {} ms at {}: {}",
                 call.id,
                 (call.end - call.at) / 1_000_000,
                 stop.ingress,
@@ -118,23 +122,29 @@
     check
 }
 
-/// How long after its caller has left a request may still reach a runner, in nanoseconds.
-const TAKEN_BACK_WITHIN: u64 = SECOND / 2;
-/// How many requests may reach one later.
+/// The time after its caller disconnected within which a request may still reach a runner, in nanoseconds.
+const CANCELLATION_TIMEOUT: u64 = SECOND / 2;
+/// The number of requests that may reach a runner later than that.
 const MAX_LATE_RUNS: usize = 3;
 
-/// Once a caller has closed its connection its request is taken back, wherever it waits.
+/// Checks that requests are cancelled, wherever they wait, when their callers close their connections.
 pub(super) fn runs_after_disconnect(evidence: &Evidence) -> Check {
     let mut check = Check::new(RUNS_AFTER_DISCONNECT);
     let calls = evidence.calls_by_id();
     check.checked = evidence.calls.iter().filter(|call| call.has_left()).count();
     let late_runs = evidence.runs.iter().filter_map(|run| {
         let call = calls.get(run.idempotency_key.as_str())?;
-        let is_late = call.has_left() && run.at > call.end + TAKEN_BACK_WITHIN;
+        let is_late = call.has_left() && run.at > call.end + CANCELLATION_TIMEOUT;
         is_late.then(|| (call, run.at - call.end))
     });
     let violations: Vec<String> = late_runs
-        .map(|(call, after)| format!("{} ran {} ms after", call.id, after / 1_000_000))
+        .map(|(call, after)| {
+            format!(
+                "{} ran {} ms after its caller disconnected",
+                call.id,
+                after / 1_000_000
+            )
+        })
         .collect();
     if violations.len() > MAX_LATE_RUNS {
         check.violations = violations;
@@ -142,8 +152,8 @@
     check
 }
 
-/// A lease holder shows itself by the runners it starts and the requests it sends. Once one with a later fencing
-/// token did so, nothing may be sent under an earlier token. The later holder may keep the earlier one's runners.
+/// Checks that no request is sent under an earlier fencing token once a lease holder with a later one has started a
+/// runner or sent a request. The later holder may keep using the earlier one's runners.
 pub(super) fn concurrent_holders(evidence: &Evidence) -> Check {
     let mut check = Check::new(CONCURRENT_HOLDERS);
     let mut first_seen: BTreeMap<&str, BTreeMap<FencingToken, u64>> = BTreeMap::new();
@@ -182,15 +192,15 @@
     check
 }
 
-/// How long after the return of the machines service is measured, in seconds.
-const RECOVERY_SECONDS: u64 = 12;
-/// How many seconds are measured then.
+/// The time from the undoing of a fault until service is measured, in seconds.
+const RECOVERY_TIME_SECONDS: u64 = 12;
+/// The number of seconds that are measured then.
 const MEASURED_SECONDS: u64 = 5;
-/// Seconds with fewer calls are not measured.
+/// Seconds with fewer calls are ignored.
 const MIN_CALLS: usize = 20;
 
-/// In each measured second after a heavy fault was undone, and before the next fault, at least half of the calls are
-/// answered.
+/// Checks that at least half of the calls are answered in each measured second after a heavy fault was undone and
+/// before the next fault.
 pub(super) fn service_not_recovered(evidence: &Evidence) -> Check {
     let mut check = Check::new(SERVICE_NOT_RECOVERED);
     let faults: Vec<u64> = evidence.entries_of("fault").map(|entry| entry.at).collect();
@@ -205,10 +215,11 @@
     check
 }
 
-/// One case if any second could be measured, and a violation for each in which most calls were not answered.
+/// Measures service after one fault: one case if any second could be measured, and a violation for each second in which
+/// most calls were not answered.
 fn service_after(evidence: &Evidence, returned: &JournalEntry, next_fault: u64) -> Check {
     let mut check = Check::new(SERVICE_NOT_RECOVERED);
-    let from = returned.at + RECOVERY_SECONDS * SECOND;
+    let from = returned.at + RECOVERY_TIME_SECONDS * SECOND;
     let until = (from + MEASURED_SECONDS * SECOND).min(next_fault);
     for second in 0..MEASURED_SECONDS {
         let span = from + second * SECOND..(from + (second + 1) * SECOND).min(until);
@@ -225,7 +236,7 @@
         if answered_count * 2 < calls.len() {
             check.violations.push(format!(
                 "{} s after {}: {answered_count} of {} answered",
-                RECOVERY_SECONDS + second,
+                RECOVERY_TIME_SECONDS + second,
                 returned.detail["fault"],
                 calls.len()
             ));
--- a/testing/fleet/src/judge/checks/spec.rs
+++ b/testing/fleet/src/judge/checks/spec.rs
@@ -1,15 +1,15 @@
-//! Changes of the spec: what is accepted comes into force at every ingress in time, what is refused never does.
+//! Checks of spec changes: accepted ones come into force at every ingress in time, and refused ones never do.
 
 use super::{
-    CONFLICTING_CHANGES, IN_FORCE_WITHIN, INGRESS_OUTDATED, REFUSED_CHANGE_IN_FORCE, SECOND, SLACK,
-    SPEC_NOT_IN_FORCE, UNCONFIGURED_FUNCTION, name_of,
+    CONFLICTING_CHANGES, IN_FORCE_TIMEOUT, INGRESS_OUTDATED, REFUSED_CHANGE_IN_FORCE, SECOND,
+    SLACK, SPEC_NOT_IN_FORCE, UNCONFIGURED_FUNCTION, name_of,
 };
 use crate::judge::{Call, Check, Evidence, JournalEntry, Run};
 use serde_json::json;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// A function that a change put on a path, and the time in which requests may run there: from when the change was
-/// sent until the next one that was surely taken has to be in force.
+/// A function that a change configured for a path, and the time span in which requests for the path may run on it: from
+/// when the change was sent until the next change that was certainly accepted must be in force.
 pub(super) struct AllowedRoute {
     pub(super) path: String,
     pub(super) function: String,
@@ -35,12 +35,12 @@
         .collect()
 }
 
-/// When a change was sent; its entry is written when its outcome is known.
+/// Returns when a change was sent. Its journal entry is written later, when its outcome is known.
 fn sent_at(change: &JournalEntry) -> u64 {
     change.detail["sent_at"].as_u64().unwrap_or(change.at)
 }
 
-/// The routes of all changes that were or may have been accepted.
+/// Returns the routes of all changes that were accepted or may have been.
 fn allowed_routes(evidence: &Evidence) -> Vec<AllowedRoute> {
     let changes = possible_changes(evidence);
     let mut allowed_routes = Vec::new();
@@ -48,7 +48,7 @@
         let next_certain = changes[index + 1..]
             .iter()
             .find(|next| next.detail["state"] != json!("unknown"));
-        let until = next_certain.map_or(u64::MAX, |next| next.at + IN_FORCE_WITHIN + SLACK);
+        let until = next_certain.map_or(u64::MAX, |next| next.at + IN_FORCE_TIMEOUT + SLACK);
         let from = sent_at(change);
         for (path, function) in change.detail["paths"].as_object().into_iter().flatten() {
             allowed_routes.push(AllowedRoute {
@@ -62,7 +62,7 @@
     allowed_routes
 }
 
-/// The same routes by path.
+/// Returns the same routes by path.
 pub(super) fn allowed_routes_by_path(evidence: &Evidence) -> HashMap<String, Vec<AllowedRoute>> {
     let mut routes_by_path: HashMap<String, Vec<AllowedRoute>> = HashMap::new();
     for route in allowed_routes(evidence) {
@@ -74,7 +74,7 @@
     routes_by_path
 }
 
-/// Every run belongs to a recorded call, and some spec had its function on the call's path.
+/// Checks that every run belongs to a recorded call, and that some spec configured its function for the call's path.
 pub(super) fn unconfigured_function(evidence: &Evidence) -> Check {
     let calls = evidence.calls_by_id();
     let mut functions_by_path: HashMap<String, BTreeSet<String>> = HashMap::new();
@@ -89,7 +89,7 @@
         let Some(call) = calls.get(run.idempotency_key.as_str()) else {
             check
                 .violations
-                .push(format!("{} ran and no caller sent it", run.idempotency_key));
+                .push(format!("{} ran but no caller sent it", run.idempotency_key));
             continue;
         };
         check.checked += 1;
@@ -106,7 +106,7 @@
     check
 }
 
-/// Every run began while a spec that had its function on the call's path could be in force.
+/// Checks that every run began while a spec could be in force that configured its function for the call's path.
 pub(super) fn spec_not_in_force(evidence: &Evidence) -> Check {
     let calls = evidence.calls_by_id();
     let routes_by_path = allowed_routes_by_path(evidence);
@@ -134,7 +134,7 @@
     check
 }
 
-/// Whether a change adds or removes this path, compared with the newest change before it was sent.
+/// Whether a change adds or removes this path, compared with the last change that was recorded before it was sent.
 fn changes_path(changes: &[&JournalEntry], change: &JournalEntry, path: &str) -> bool {
     let Some(paths) = change.detail["paths"].as_object() else {
         return false;
@@ -148,28 +148,28 @@
 }
 
 /// Whether a change that adds or removes the call's path may come into force during the call.
-fn is_unsettled(changes: &[&JournalEntry], call: &Call) -> bool {
+fn may_be_changing(changes: &[&JournalEntry], call: &Call) -> bool {
     changes.iter().any(|change| {
         call.end >= sent_at(change)
-            && call.at <= change.at + IN_FORCE_WITHIN + SLACK
+            && call.at <= change.at + IN_FORCE_TIMEOUT + SLACK
             && changes_path(changes, change, &call.path)
     })
 }
 
-/// A path is known at every ingress from 3 s after the change that adds it, and unknown from 3 s after the one that
-/// removes it, whatever was restarted in between.
+/// Checks that every ingress knows a path from 3 s after the change that adds it, and no longer from 3 s after the
+/// change that removes it, even if processes were restarted in between.
 pub(super) fn ingress_outdated(evidence: &Evidence) -> Check {
     let routes = allowed_routes(evidence);
     let changes = possible_changes(evidence);
     let mut check = Check::new(INGRESS_OUTDATED);
     for call in &evidence.calls {
-        if !(call.is_answered() || call.is_refused()) || is_unsettled(&changes, call) {
+        if !(call.is_answered() || call.is_refused()) || may_be_changing(&changes, call) {
             continue;
         }
         let is_known = routes.iter().any(|route| {
             route.path == call.path
                 && route.from <= call.at
-                && call.at < route.until - IN_FORCE_WITHIN
+                && call.at < route.until - IN_FORCE_TIMEOUT
         });
         let found_no_route = call.reason == "no_route";
         check.checked += usize::from(found_no_route || !is_known);
@@ -180,15 +180,16 @@
             ));
         }
         if !is_known && call.is_answered() {
-            check
-                .violations
-                .push(format!("{} for {}, gone, was answered", call.id, call.path));
+            check.violations.push(format!(
+                "{} for the removed path {} was answered",
+                call.id, call.path
+            ));
         }
     }
     check
 }
 
-/// No run is explained only by a refused change that was sent before it began.
+/// Checks that no run began on a function that only an earlier, refused change configured for the path.
 pub(super) fn refused_change_in_force(evidence: &Evidence) -> Check {
     let mut check = Check::new(REFUSED_CHANGE_IN_FORCE);
     let refused_changes: Vec<&JournalEntry> = evidence
@@ -211,8 +212,8 @@
     check
 }
 
-/// Compares a run with one refused change. It is a case if the run could show the change to be in force or not: where
-/// an accepted change configures the same function, a run on that function shows nothing.
+/// Compares a run with a refused change. Counts as a case unless the run is on the change's function and an accepted
+/// change configures it too, since such a run does not show whether the refused change is in force.
 fn run_after_refusal(
     run: &Run,
     call: &Call,
@@ -239,7 +240,7 @@
     check
 }
 
-/// At most one change is accepted on each base version.
+/// Checks that at most one change is accepted for each base version.
 pub(super) fn conflicting_changes(evidence: &Evidence) -> Check {
     let mut check = Check::new(CONFLICTING_CHANGES);
     let mut accepted_on: BTreeMap<u64, String> = BTreeMap::new();
@@ -253,9 +254,9 @@
         if let Some(other) = accepted_on.insert(base, change.clone())
             && other != change
         {
-            check
-                .violations
-                .push(format!("{other} and {change} were both accepted on {base}"));
+            check.violations.push(format!(
+                "{other} and {change} were both accepted on base version {base}"
+            ));
         }
     }
     check
--- a/testing/fleet/src/judge/evidence.rs
+++ b/testing/fleet/src/judge/evidence.rs
@@ -1,17 +1,17 @@
-//! The evidence of one day: the records of callers, of runners and the platform, and of the fleet's journal.
+//! The evidence of a day: the records of callers, runners and the platform, and the fleet's journal.
 
 use common::identity::{FencingToken, RunnerId};
 use serde_json::Value;
 use std::collections::{BTreeMap, HashMap};
 use std::path::{Path, PathBuf};
 
-/// The end of a run or a runner that the records do not show to have ended.
-const NEVER: u64 = u64::MAX;
+/// The end time of a run or a runner without a recorded end.
+const NO_END: u64 = u64::MAX;
 
-/// One request as its caller recorded it.
+/// A request as its caller recorded it.
 #[derive(Clone, Debug, Default)]
 pub struct Call {
-    /// The idempotency key of the attempt.
+    /// The idempotency key of the request; a caller's retry has its own key.
     pub id: String,
     /// When it was sent, in nanoseconds of the monotonic clock.
     pub at: u64,
@@ -19,31 +19,31 @@
     pub end: u64,
     /// The requested path.
     pub path: String,
-    /// The function that the caller expects to reach.
+    /// The function that the caller expects to run the request.
     pub function: String,
     /// Whether the request must run at most once.
     pub at_most_once: bool,
-    /// Whether the caller marked it as a retry of an earlier request.
+    /// Whether it is a caller's retry of an earlier request.
     pub is_retry: bool,
     /// The outcome: `answer`, `not_run`, `unknown`, `lost`, `left` or `no_door`.
     pub outcome: String,
     /// The reason given with the outcome; empty if there was none.
     pub reason: String,
-    /// Whether the answer's checksum is right and covers this request.
+    /// Whether the answer's seal is valid for this request.
     pub sealed: bool,
-    /// The runner that answered.
+    /// The runner that sent the answer.
     pub runner: String,
     /// The ingress address that the request was sent to.
     pub ingress: String,
 }
 
 impl Call {
-    /// Whether a runner's answer came back.
+    /// Whether the caller received a runner's answer.
     pub fn is_answered(&self) -> bool {
         self.outcome == "answer"
     }
 
-    /// Whether the caller was assured that the request did not run.
+    /// Whether the caller was told that the request did not run.
     pub fn is_refused(&self) -> bool {
         self.outcome == "not_run"
     }
@@ -53,13 +53,13 @@
         self.outcome == "left"
     }
 
-    /// Whether the caller cannot tell if the request ran: it got no definite outcome, or lost its connection.
+    /// Whether the caller cannot tell if the request ran: its outcome was `unknown`, or its connection was lost.
     pub fn is_indeterminate(&self) -> bool {
         matches!(self.outcome.as_str(), "unknown" | "lost")
     }
 }
 
-/// One execution of a request as its runner recorded it.
+/// An execution of a request as its runner recorded it.
 #[derive(Clone, Debug, Default)]
 pub struct Run {
     /// When it began, in nanoseconds of the monotonic clock.
@@ -72,17 +72,17 @@
     pub function: String,
     /// The idempotency key of the request.
     pub idempotency_key: String,
-    /// The number of the attempt, from one.
+    /// The number of the attempt, counted from one.
     pub attempt: u64,
     /// The fencing token of the lease holder that sent it.
     pub fencing_token: FencingToken,
-    /// How many requests of that lease holder ran on the runner at this time, this one included.
+    /// The number of requests of that lease holder that ran on the runner when this run began, including this one.
     pub concurrent_runs: u64,
-    /// Whether the runner had finished its startup.
+    /// Whether the runner had finished its startup when the run began.
     pub is_runner_ready: bool,
 }
 
-/// The lifetime of one runner as the platform recorded it.
+/// The lifetime of a runner as the platform recorded it.
 #[derive(Clone, Debug, Default)]
 pub struct RunnerInstance {
     /// The runner.
@@ -95,9 +95,9 @@
     pub worker: String,
     /// The worker's zone according to the platform.
     pub zone: String,
-    /// How many requests it may run concurrently.
+    /// The number of requests that it may run concurrently.
     pub slots: u64,
-    /// How long its startup takes, in nanoseconds.
+    /// The duration of its startup, in nanoseconds.
     pub startup: u64,
     /// When it was started, in nanoseconds of the monotonic clock.
     pub start: u64,
@@ -105,10 +105,10 @@
     pub stop: u64,
 }
 
-/// An action on the fleet or the platform, or an operator's change with its reply.
+/// An action on the fleet or the platform, or an operator's change and the response to it.
 #[derive(Clone, Debug)]
 pub struct JournalEntry {
-    /// The kind of the entry, as in the record file.
+    /// The kind of the entry, as in the record.
     pub kind: String,
     /// When it was recorded, in nanoseconds of the monotonic clock.
     pub at: u64,
@@ -116,16 +116,16 @@
     pub detail: Value,
 }
 
-/// The records of a day, from which alone the judge decides.
+/// The records of a day, which are the only input of the judge.
 #[derive(Clone, Debug, Default)]
 pub struct Evidence {
-    /// The callers' requests, by the time they were sent.
+    /// The callers' requests, sorted by send time.
     pub calls: Vec<Call>,
-    /// The runs on runners, by the time they began.
+    /// The runs on runners, sorted by start time.
     pub runs: Vec<Run>,
     /// The runners, in the order of the platform's records.
     pub instances: Vec<RunnerInstance>,
-    /// The fleet's journal and the platform's own actions, by time.
+    /// The fleet's journal and the platform's own actions, sorted by time.
     pub journal: Vec<JournalEntry>,
 }
 
@@ -137,24 +137,24 @@
     record[name].as_u64().unwrap_or(0)
 }
 
-/// Why the records in a day's folder cannot be judged. The text of [`EvidenceError::Io`] includes its cause.
+/// Why the records in a day's folder cannot be judged. The message of [`EvidenceError::Io`] includes its cause.
 #[derive(Debug, thiserror::Error)]
 pub enum EvidenceError {
     /// A file or the folder could not be read.
     #[error("{path}: {cause}", path = .0.display(), cause = .1)]
     Io(PathBuf, std::io::Error),
-    /// The folder has no records of this kind.
+    /// There is no record file with this path.
     #[error("{path}: no such record file", path = .0.display())]
     FileNotFound(PathBuf),
-    /// The numbered line is no JSON object, or is truncated.
+    /// The line with this number is not a JSON object, or is truncated.
     #[error("{path} line {line}: incomplete or invalid record", path = .0.display(), line = .1)]
     InvalidLine(PathBuf, usize),
-    /// The numbered line lacks a field that every record of this file has.
+    /// The line with this number lacks a field that every record of this file must have.
     #[error("{path} line {line}: record lacks the field {field:?}", path = .0.display(), line = .1, field = .2)]
     MissingField(PathBuf, usize, &'static str),
 }
 
-/// Reads a file of records, one JSON object a line; each must be complete and have the given fields.
+/// Reads a file of records, one JSON object per line. Each record must be complete and have the given fields.
 fn read_lines(path: &Path, fields: &[&'static str]) -> Result<Vec<Value>, EvidenceError> {
     let file_text = std::fs::read_to_string(path).map_err(|error| match error.kind() {
         std::io::ErrorKind::NotFound => EvidenceError::FileNotFound(path.to_owned()),
@@ -178,7 +178,7 @@
     Ok(records)
 }
 
-/// Reads the records of all callers in a folder: the day's own and those of bursts and probes.
+/// Reads the records of all callers in a folder: those of the day's load, of bursts and of probes.
 fn read_caller_records(folder: &Path) -> Result<Vec<Value>, EvidenceError> {
     let at = |error| EvidenceError::Io(folder.to_owned(), error);
     let mut records = Vec::new();
@@ -200,15 +200,15 @@
     Ok(records)
 }
 
-/// Pairs the beginnings and ends of runs and runners in the platform's records.
+/// Matches the starts and ends of runs and runners in the platform's records.
 #[derive(Default)]
 struct PlatformRecordReader {
     runs: Vec<Run>,
     instances: Vec<RunnerInstance>,
     journal: Vec<JournalEntry>,
-    /// Positions in `runs` of those without an end, by runner and run number.
+    /// The indices in `runs` of runs without an end so far, by runner and run number.
     open_runs: HashMap<(String, u64), usize>,
-    /// Positions in `instances` of those without an end, by runner.
+    /// The indices in `instances` of runners without an end so far, by runner.
     open_instances: HashMap<String, usize>,
 }
 
@@ -244,7 +244,7 @@
     /// Reads the record files of a day's folder.
     ///
     /// # Errors
-    /// Fails if a file is missing or unreadable, or has a record that is truncated or lacks a field.
+    /// Fails if a file is missing or cannot be read, or has a record that is truncated or lacks a field.
     pub fn read(folder: &Path) -> Result<Self, EvidenceError> {
         let caller_records = read_caller_records(folder)?;
         let entry_fields = ["kind", "at"];
@@ -257,7 +257,7 @@
         ))
     }
 
-    /// Converts records that were read before; fields that are missing count as empty or zero.
+    /// Converts parsed records to evidence. Missing fields count as empty, zero or their default.
     pub fn from_records(callers: &[Value], platform_stub: &[Value], journal: &[Value]) -> Self {
         let mut reader = PlatformRecordReader::default();
         for record in platform_stub {
@@ -280,12 +280,12 @@
         evidence
     }
 
-    /// The journal's entries of one kind, by time.
+    /// Returns the journal's entries of one kind, sorted by time.
     pub fn entries_of<'a>(&'a self, kind: &'a str) -> impl Iterator<Item = &'a JournalEntry> {
         self.journal.iter().filter(move |entry| entry.kind == kind)
     }
 
-    /// The calls by idempotency key.
+    /// Returns the calls by idempotency key.
     pub fn calls_by_id(&self) -> HashMap<&str, &Call> {
         self.calls
             .iter()
@@ -293,7 +293,7 @@
             .collect()
     }
 
-    /// The runner instances by the runner's name.
+    /// Returns the runner instances by name.
     pub fn instances_by_runner(&self) -> HashMap<&str, &RunnerInstance> {
         self.instances
             .iter()
@@ -301,7 +301,7 @@
             .collect()
     }
 
-    /// The largest number of workers that had a runner at the same time.
+    /// Returns the largest number of workers that had runners at the same time.
     pub fn max_workers_used(&self) -> usize {
         let mut changes: Vec<(u64, bool, &str)> = Vec::new();
         for instance in &self.instances {
@@ -342,7 +342,7 @@
     }
 }
 
-/// The fencing token in a runner's name: the one of the lease under which it was started.
+/// Returns the fencing token in a runner's name, which is the token of the lease under which the runner was started.
 fn starting_token(runner: &str) -> FencingToken {
     runner
         .parse::<RunnerId>()
@@ -354,7 +354,7 @@
     let runner = text(record, "runner");
     Run {
         at: number(record, "at"),
-        end: NEVER,
+        end: NO_END,
         fencing_token: record["grant"]
             .as_u64()
             .map_or_else(|| starting_token(&runner), FencingToken),
@@ -378,7 +378,7 @@
         slots: number(record, "slots"),
         startup: number(record, "boot_ms") * 1_000_000,
         start: number(record, "at"),
-        stop: NEVER,
+        stop: NO_END,
     }
 }
 
--- a/testing/fleet/src/judge/mod.rs
+++ b/testing/fleet/src/judge/mod.rs
@@ -1,4 +1,5 @@
-//! Checks a day of the fleet for safety violations, using only what callers, runners and the platform recorded.
+//! The judge: checks a day of the fleet for safety violations, using only the records of callers, runners, the platform
+//! and the fleet's journal.
 
 pub mod checks;
 mod evidence;
@@ -9,7 +10,7 @@
 pub use statistics::{DayStatistics, Recovery};
 pub use verdict::{Check, Verdict};
 
-/// Runs every check on the evidence of a day and computes its statistics.
+/// Runs all checks on the evidence of a day and computes its statistics.
 pub fn judge(evidence: &Evidence) -> Verdict {
     let checks = checks::all(evidence);
     Verdict {
@@ -19,7 +20,7 @@
     }
 }
 
-/// The checks that a fault of the day is meant to exercise and that found no case, with the fault's name.
+/// Returns the checks that a fault of the day should have exercised but that had no case, each with the fault's name.
 fn unexercised(evidence: &Evidence, checks: &[Check]) -> Vec<(String, &'static str)> {
     let found_no_case = |name: &str| {
         checks
--- a/testing/fleet/src/judge/statistics.rs
+++ b/testing/fleet/src/judge/statistics.rs
@@ -1,4 +1,4 @@
-//! The statistics of a day: shares of outcomes, latencies, and how service recovered from each fault.
+//! The statistics of a day: outcomes, latencies, and how service recovered from each fault.
 
 use super::{Call, Evidence, JournalEntry};
 use serde_json::{Value, json};
@@ -7,31 +7,32 @@
 
 /// Nanoseconds in a second.
 const SECOND: u64 = 1_000_000_000;
-/// The width of the windows in which the share of answers is measured.
+/// The length of the windows in which the share of answered calls is measured, in nanoseconds.
 const WINDOW: u64 = SECOND / 2;
-/// Windows with fewer calls are not measured.
+/// Windows with fewer calls are ignored.
 const MIN_WINDOW_CALLS: usize = 5;
-/// Service counts as down in a window whose share of answers is below this.
+/// Service counts as down in a window with a smaller share of answered calls.
 const HEALTHY_SHARE: f64 = 0.9;
-/// The calls of a fault end this long before the next fault.
-const MARGIN_BEFORE_NEXT: u64 = 2 * SECOND;
+/// The calls that are counted for a fault end this long before the next fault, in nanoseconds.
+const MARGIN_BEFORE_NEXT_FAULT: u64 = 2 * SECOND;
 
-/// How service recovered after one fault.
+/// How service recovered after a fault.
 #[derive(Clone, Debug)]
 pub struct Recovery {
     /// The name of the fault.
     pub fault: String,
-    /// The lowest share of answers in any half second, from the fault to shortly before the next.
+    /// The lowest share of answered calls in any half-second window, from the fault to shortly before the next.
     pub worst_share: f64,
-    /// From the fault to the end of the last half second with fewer than nine in ten answered, in milliseconds.
+    /// The time from the fault to the end of the last half-second window with fewer than 90 % answered calls, in
+    /// milliseconds.
     pub down_ms: u64,
-    /// The time to the same end from when the fault was undone, in milliseconds.
+    /// The time from the undoing of the fault to the end of the same window, in milliseconds.
     pub after_return_ms: u64,
-    /// The calls that were sent in that time, retries left out.
+    /// The number of calls from the fault to shortly before the next, without callers' retries.
     pub calls: usize,
-    /// The share that was refused as not run.
+    /// The share of those calls that were refused as not run.
     pub not_run: f64,
-    /// The share that ended unknown or with a lost connection.
+    /// The share of those calls with an unknown outcome or a lost connection.
     pub unknown: f64,
 }
 
@@ -40,21 +41,21 @@
 pub struct DayStatistics {
     /// The number of calls by `outcome` or `outcome:reason`.
     pub outcomes: BTreeMap<String, usize>,
-    /// All calls.
+    /// The number of calls.
     pub calls: usize,
-    /// All runs on runners.
+    /// The number of runs on runners.
     pub runs: usize,
-    /// The runs that were not the first attempt of their request.
+    /// The number of runs that were not the first attempt of their request.
     pub extra_runs: usize,
-    /// The runners that were started.
+    /// The number of runners that were started.
     pub runners: usize,
     /// The largest number of workers in use at the same time.
     pub workers_used: usize,
-    /// The median latency of an answer, in milliseconds.
+    /// The median latency of answered calls, in milliseconds.
     pub median_ms: f64,
-    /// The 99th percentile of the latency of an answer, in milliseconds.
+    /// The 99th percentile of the latency of answered calls, in milliseconds.
     pub p99_ms: f64,
-    /// How service recovered from each fault, in the order of the faults.
+    /// How service recovered from each fault, in order of injection.
     pub recoveries: Vec<Recovery>,
 }
 
@@ -75,7 +76,7 @@
         }
     }
 
-    /// The share of calls whose label in `outcomes` starts with the given text.
+    /// Returns the share of calls whose label in `outcomes` starts with the given prefix.
     pub fn share(&self, outcome: &str) -> f64 {
         let counted: usize = self
             .outcomes
@@ -86,7 +87,7 @@
         counted as f64 / self.calls.max(1) as f64
     }
 
-    /// The statistics as a JSON object.
+    /// Returns the statistics as a JSON object.
     pub fn to_value(&self) -> Value {
         let recoveries: Vec<Value> = self
             .recoveries
@@ -129,7 +130,7 @@
     outcomes
 }
 
-/// The latencies of all answers in nanoseconds, ascending.
+/// Returns the latencies of all answered calls in nanoseconds, in ascending order.
 fn sorted_latencies(evidence: &Evidence) -> Vec<u64> {
     let mut latencies: Vec<u64> = evidence
         .calls
@@ -141,7 +142,7 @@
     latencies
 }
 
-/// The latency at a share of the sorted ones, in milliseconds; zero if there are none.
+/// Returns a percentile of the sorted latencies in milliseconds; zero if there are none.
 fn percentile_ms(latencies: &[u64], share: f64) -> f64 {
     let index = ((latencies.len() as f64 * share) as usize).min(latencies.len().saturating_sub(1));
     latencies
@@ -149,7 +150,7 @@
         .map_or(0.0, |latency| *latency as f64 / 1e6)
 }
 
-/// The calls of one half second.
+/// The calls of one half-second window.
 #[derive(Default)]
 struct ServiceWindow {
     answered: usize,
@@ -162,7 +163,7 @@
     }
 }
 
-/// The calls after one fault, counted by outcome and by half second since the fault.
+/// The calls after a fault, counted by outcome and by window since the fault.
 #[derive(Default)]
 struct FaultPeriod {
     windows: BTreeMap<u64, ServiceWindow>,
@@ -200,7 +201,8 @@
             .fold(1.0, f64::min)
     }
 
-    /// From the fault to the end of the last unhealthy window, in nanoseconds; zero if all were healthy.
+    /// Returns the time from the fault to the end of the last unhealthy window, in nanoseconds; zero if all were
+    /// healthy.
     fn down_time(&self) -> u64 {
         self.measured_windows()
             .filter(|(_, window)| window.answered_share() < HEALTHY_SHARE)
@@ -226,7 +228,7 @@
     let recovery_of = |(index, fault): (usize, &&JournalEntry)| {
         let until = faults
             .get(index + 1)
-            .map_or(last_call, |next| next.at - MARGIN_BEFORE_NEXT);
+            .map_or(last_call, |next| next.at - MARGIN_BEFORE_NEXT_FAULT);
         let span = fault.at..until;
         let calls = first_calls.iter().filter(|call| span.contains(&call.at));
         let period = FaultPeriod::of(fault.at, calls.copied());
--- a/testing/fleet/src/judge/verdict.rs
+++ b/testing/fleet/src/judge/verdict.rs
@@ -1,4 +1,4 @@
-//! The verdict on a day: the result of each check, and the day's statistics.
+//! The verdict on a day: the result of each check and the day's statistics.
 
 use super::DayStatistics;
 use std::fmt;
@@ -6,16 +6,16 @@
 /// The result of one check.
 #[derive(Clone, Debug)]
 pub struct Check {
-    /// What must never happen; one of the names in [`checks`](super::checks).
+    /// The name of the check, which says what must never happen; one of the constants in [`checks`](super::checks).
     pub name: &'static str,
-    /// How many cases the check applied to.
+    /// The number of cases to which the check applied.
     pub checked: usize,
     /// A description of each violation.
     pub violations: Vec<String>,
 }
 
 impl Check {
-    /// A check that has seen no case yet.
+    /// Creates a check without cases.
     pub(super) fn new(name: &'static str) -> Self {
         Self {
             name,
@@ -24,7 +24,7 @@
         }
     }
 
-    /// Adds the cases and violations of another part of the same check.
+    /// Adds the cases and violations from another part of the same check.
     pub(super) fn merge(&mut self, other: Check) {
         self.checked += other.checked;
         self.violations.extend(other.violations);
@@ -34,21 +34,21 @@
 /// The verdict on a day.
 #[derive(Clone, Debug)]
 pub struct Verdict {
-    /// The results of all checks, in the order of the report.
+    /// The results of all checks, in report order.
     pub checks: Vec<Check>,
-    /// The checks that a fault of the day is meant to exercise and that found no case, with the fault's name.
+    /// The checks that a fault of the day should have exercised but that had no case, each with the fault's name.
     pub unexercised: Vec<(String, &'static str)>,
     /// The statistics of the day.
     pub statistics: DayStatistics,
 }
 
 impl Verdict {
-    /// The number of violations in all checks.
+    /// Returns the number of violations in all checks.
     pub fn violation_count(&self) -> usize {
         self.checks.iter().map(|check| check.violations.len()).sum()
     }
 
-    /// Whether no check was violated and every check that a fault is meant to exercise had a case.
+    /// Whether no check found a violation and every check that a fault should have exercised had a case.
     pub fn is_clean(&self) -> bool {
         self.violation_count() == 0 && self.unexercised.is_empty()
     }
@@ -58,7 +58,7 @@
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         for check in &self.checks {
             if check.checked == 0 && check.violations.is_empty() {
-                writeln!(out, "{:<52} not judged", check.name)?;
+                writeln!(out, "{:<52} no cases", check.name)?;
                 continue;
             }
             writeln!(
@@ -75,7 +75,7 @@
         for (fault, name) in &self.unexercised {
             writeln!(
                 out,
-                "{fault} was to try {name:?}, and no case was looked at"
+                "{fault} should have exercised {name:?}, but there was no case"
             )?;
         }
         write!(out, "{}", self.statistics)
--- a/testing/fleet/src/soak/change_at_stop.rs
+++ b/testing/fleet/src/soak/change_at_stop.rs
@@ -19,8 +19,8 @@
 }
 
 impl ChangeAtStop {
-    /// Sends a change of a label with the given base version. Returns `None` if the controller does not begin to read it
-    /// in time.
+    /// Sends a change of a label with the given base version. Returns `None` if the controller does not begin to read
+    /// it in time.
     pub(super) async fn send(
         controller: &str,
         operators: SocketAddress,
--- a/testing/fleet/src/soak/mod.rs
+++ b/testing/fleet/src/soak/mod.rs
@@ -46,8 +46,8 @@
     checks::UNANSWERED_AT_STOP,
 ];
 
-/// The checks that are valid only if all faults are planned work, because a frozen or partitioned machine does not learn
-/// that a caller closed its connection.
+/// The checks that are valid only if all faults are planned work, because a frozen or partitioned machine does not
+/// learn that a caller closed its connection.
 const JUDGED_IN_PLANNED_WORK: [&str; 1] = [checks::RUNS_AFTER_DISCONNECT];
 
 /// The function and the route of callers whose timeout is longer than the grace period of a stopping daemon. It has one
