--- a/testing/fleet/src/days/deployment.rs
+++ b/testing/fleet/src/days/deployment.rs
@@ -1,15 +1,15 @@
-//! The deployments that a day can run: fleet size, functions, routes and callers.
+//! The deployments that a day can run, with their fleet sizes, functions, routes and callers.
 
 use crate::fleet::Sizes;
 use serde_json::{Map, Value, json};
 use std::fmt;
 
-/// A deployment with its fleet size and mix of requests.
+/// A deployment, which defines a fleet size and a mix of requests.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Deployment {
-    /// A trail mapping service: few callers that retry.
+    /// A trail mapping service, few of whose callers retry.
     Stezka,
-    /// Paint recipes for shop counters: half of the callers retry several times.
+    /// A paint recipe service for shop counters, half of whose callers retry several times.
     Tintwell,
     /// A small fleet with few functions, for quick runs.
     Small,
@@ -25,21 +25,22 @@
     }
 }
 
-/// The weight of a route to a busy function; rare functions together get a ninth of all busy ones.
-pub(super) const BUSY_WEIGHT: u64 = 1000;
+/// The weight of a route to a busy function. The routes to all rare functions together weigh about a ninth of those to
+/// all busy ones.
+pub(super) const BUSY_ROUTE_WEIGHT: u64 = 1000;
 
-/// The functions of a deployment: some named busy ones and many rare ones.
+/// The functions of a deployment: a few busy ones and many rarely called ones.
 struct FunctionMix {
     /// The busy functions, and whether their requests must run at most once.
     busy: &'static [(&'static str, bool)],
-    /// The beginning of the names of rare functions.
+    /// The prefix of the names of rare functions.
     rare_prefix: &'static str,
     rare_count: u64,
     /// The memory of the smallest rare function, in megabytes.
     rare_mb: u64,
 }
 
-/// A function of a deployment, which has one route with the same name.
+/// A function of a deployment. Its only route has the same name.
 struct PlannedFunction {
     name: String,
     memory_mb: u64,
@@ -52,14 +53,14 @@
 }
 
 impl Deployment {
-    /// The deployment with this name on the command line.
+    /// Returns the deployment with this name on the command line.
     pub fn by_name(given_name: &str) -> Option<Self> {
         [Self::Stezka, Self::Tintwell, Self::Small]
             .into_iter()
             .find(|deployment| deployment.to_string() == given_name)
     }
 
-    /// The size of the fleet.
+    /// Returns the size of the fleet.
     pub fn sizes(self) -> Sizes {
         match self {
             Self::Stezka => Sizes {
@@ -89,7 +90,7 @@
         }
     }
 
-    /// The rate of requests per second.
+    /// Returns the rate of requests per second.
     pub fn rate(self) -> f64 {
         match self {
             Self::Stezka | Self::Tintwell => 300.0,
@@ -97,7 +98,7 @@
         }
     }
 
-    /// The share of callers that retry immediately, and the number of retries of each.
+    /// Returns the share of callers that retry immediately, and the largest number of retries of each.
     pub fn retry_behaviour(self) -> (f64, u32) {
         match self {
             Self::Stezka => (0.05, 1),
@@ -159,9 +160,9 @@
                 boot_ms: 400 + 100 * (index as u64 % 4),
                 slots: 4,
                 once: *once,
-                weight: BUSY_WEIGHT,
+                weight: BUSY_ROUTE_WEIGHT,
             });
-        let busy_weight = mix.busy.len() as u64 * BUSY_WEIGHT;
+        let busy_weight = mix.busy.len() as u64 * BUSY_ROUTE_WEIGHT;
         let rare = (0..mix.rare_count).map(|number| PlannedFunction {
             name: format!("{}-{number:03}", mix.rare_prefix),
             memory_mb: mix.rare_mb + 50 * (number % 3),
@@ -173,7 +174,7 @@
         busy.chain(rare).collect()
     }
 
-    /// The spec at the beginning of a day, with the canary route leading to the given function.
+    /// Returns the initial spec, in which the canary route leads to the given function.
     pub fn spec(self, canary: &str) -> Value {
         let mut functions = Map::new();
         let mut routes = Map::new();
@@ -219,7 +220,7 @@
         json!({"functions": functions, "routes": routes})
     }
 
-    /// The routes in the form of a load generator's plan.
+    /// Returns the routes in the format of a load plan.
     pub fn caller_routes(self) -> Vec<Value> {
         let mut routes: Vec<Value> = self
             .functions()
--- a/testing/fleet/src/days/fault/call_bursts.rs
+++ b/testing/fleet/src/days/fault/call_bursts.rs
@@ -1,7 +1,7 @@
-//! Bursts of requests for one busy function, or for all rare ones.
+//! Bursts of requests for a busy function, or for all rare functions.
 
 use super::{FaultInjector, FaultName};
-use crate::days::deployment::BUSY_WEIGHT;
+use crate::days::deployment::BUSY_ROUTE_WEIGHT;
 use crate::fleet::{Fleet, FleetError};
 use common::readers::SettingsSource;
 use serde_json::json;
@@ -11,7 +11,7 @@
         let caller_routes = self.deployment.caller_routes();
         let busy_count = caller_routes
             .iter()
-            .filter(|route| route["weight"] == json!(BUSY_WEIGHT))
+            .filter(|route| route["weight"] == json!(BUSY_ROUTE_WEIGHT))
             .count();
         let is_rare = self.name == FaultName::RareCallBurst;
         let rare_count = caller_routes.len() - busy_count - 1;
--- a/testing/fleet/src/days/fault/catalogue.rs
+++ b/testing/fleet/src/days/fault/catalogue.rs
@@ -1,4 +1,4 @@
-//! The catalogue of faults: their names, which are heavy, and the judge's checks that they exercise.
+//! The catalogue of faults: their names, whether they are heavy, and the judge's checks that they exercise.
 
 use crate::judge::checks;
 use common::rng::SeededRng;
@@ -16,7 +16,7 @@
             /// All faults.
             pub const ALL: &[FaultName] = &[$(FaultName::$variant),+];
 
-            /// The fault with this name, or with this name in records of earlier versions.
+            /// Returns the fault with this name, also if only records of earlier versions use it.
             pub fn by_name(given_name: &str) -> Option<FaultName> {
                 let former = RENAMED_FAULTS.iter().find(|(former, _)| *former == given_name);
                 former.map(|(_, fault)| *fault).or_else(|| {
@@ -24,7 +24,7 @@
                 })
             }
 
-            /// The name on the command line and in records.
+            /// Returns the name on the command line and in records.
             pub fn as_str(self) -> &'static str {
                 match self {
                     $(Self::$variant => $name,)+
@@ -35,7 +35,7 @@
 }
 
 faults! {
-    /// The canary's route is changed to its other function.
+    /// The canary route is switched to its other function.
     SpecChange = "spec-change",
     /// Two changes with the same base version are sent concurrently.
     SpecRace = "spec-race",
@@ -47,7 +47,7 @@
     SpecGrow = "spec-grow",
     /// A daemon is killed and restarted.
     KillOne = "kill-one",
-    /// A third of the daemons are killed at once and restarted.
+    /// A third of the daemons are killed simultaneously and restarted.
     KillGroup = "kill-group",
     /// The leader is killed and restarted.
     KillLeader = "kill-leader",
@@ -63,7 +63,7 @@
     FreezeLeader = "freeze-leader",
     /// A daemon is stopped gracefully and restarted.
     StopOne = "stop-one",
-    /// All daemons and controllers are killed at once and restarted.
+    /// All daemons and controllers are killed simultaneously and restarted.
     RestartAll = "restart-all",
     /// A worker is drained and restored.
     DrainWorker = "drain-worker",
@@ -75,15 +75,15 @@
     LostAnswers = "lost-answers",
     /// Runners send wrong bodies, truncated ones, and answers to other requests.
     WrongBytes = "wrong-bytes",
-    /// Runners refuse requests, and break connections off without running them.
+    /// Runners refuse requests, and break off connections without running the requests.
     Refusals = "refusals",
     /// A route is added, changed and removed, and called through every ingress each time.
     SpecRoutes = "spec-routes",
-    /// A third of the daemons and a follower are killed at once and restarted; the follower loses its disk.
+    /// A third of the daemons and a follower are killed simultaneously and restarted; the follower loses its disk.
     GroupLosesDisk = "group-loses-disk",
     /// All daemons, controllers and workers of a zone are lost and restored.
     LoseZone = "lose-zone",
-    /// A third of the daemons are frozen at once for four seconds.
+    /// A third of the daemons are frozen simultaneously for four seconds.
     FreezeGroup = "freeze-group",
     /// The daemon with the most function leases is stopped gracefully and restarted.
     StopHolder = "stop-holder",
@@ -107,13 +107,13 @@
     RollingRestart = "rolling-restart",
     /// Every fourth runner announces that it leaves, and stops six seconds later.
     RunnerLeaves = "runner-leaves",
-    /// Many requests for one busy function within three seconds.
+    /// Three thousand requests for a busy function are sent within three seconds.
     CallBurst = "crowd",
-    /// One request for each rare function within half a second.
+    /// A request for each rare function is sent within half a second.
     RareCallBurst = "rare-crowd",
 }
 
-/// Names under which earlier versions recorded a fault.
+/// The names under which earlier versions recorded some faults.
 const RENAMED_FAULTS: [(&str, FaultName); 5] = [
     ("kill-herd", FaultName::KillGroup),
     ("herd-loses-disk", FaultName::GroupLosesDisk),
@@ -128,7 +128,7 @@
     }
 }
 
-/// Whether the fault may interrupt service; the judge then checks that service recovers.
+/// Whether the fault may interrupt service. If so, the judge checks that service recovers.
 pub(super) fn is_heavy(name: FaultName) -> bool {
     matches!(
         name,
@@ -152,12 +152,12 @@
 }
 
 impl FaultName {
-    /// Whether it needs controllers with injectable disk faults.
-    pub fn is_of_disk(self) -> bool {
+    /// Whether the fault needs controllers with injectable disk faults.
+    pub fn needs_faulty_disk(self) -> bool {
         matches!(self, Self::DiskFull | Self::DiskStalls | Self::DiskFails)
     }
 
-    /// Seven faults drawn from a seed; the last one is heavy.
+    /// Returns seven faults chosen by a seed; the last one is heavy.
     pub fn random_faults(seed: u64) -> Vec<FaultName> {
         let mut rng = SeededRng::seeded(seed ^ 0xc0b1);
         let choose_one = |faults: &[FaultName], rng: &mut SeededRng| {
@@ -173,8 +173,8 @@
         chosen
     }
 
-    /// The checks that this fault is meant to exercise. A day in which one of them found no case has not tested what
-    /// it was run for, and fails.
+    /// Returns the checks that this fault should exercise. If one of them had no case, the day did not test what it was
+    /// meant to, and fails.
     pub fn expected_checks(self) -> &'static [&'static str] {
         match self {
             Self::SpecChange => &[checks::SPEC_NOT_IN_FORCE],
--- a/testing/fleet/src/days/fault/disks.rs
+++ b/testing/fleet/src/days/fault/disks.rs
@@ -21,13 +21,13 @@
         fleet: &mut Fleet,
         disk_fault: &str,
     ) -> Result<(), FleetError> {
-        let Some(follower) = self.some_follower(fleet).await else {
+        let Some(follower) = self.choose_follower(fleet).await else {
             return Ok(());
         };
         self.fail_disk(fleet, &follower, disk_fault).await
     }
 
-    /// Sends changes while a disk has a fault; their outcome may be unknown.
+    /// Injects a disk fault and sends changes meanwhile, which may fail or have an unknown outcome.
     async fn fail_disk(
         &self,
         fleet: &mut Fleet,
--- a/testing/fleet/src/days/fault/mod.rs
+++ b/testing/fleet/src/days/fault/mod.rs
@@ -1,4 +1,4 @@
-//! The faults of a day: the catalogue, and how each is injected and undone.
+//! The faults of a day: their catalogue, and how each is injected and undone.
 
 mod call_bursts;
 mod catalogue;
@@ -17,13 +17,13 @@
 use serde_json::json;
 use std::time::Duration;
 
-/// Injects one fault into a fleet.
+/// Injects a fault into a fleet.
 pub struct FaultInjector<'a> {
     /// The fault.
     pub name: FaultName,
     /// The deployment that the fleet runs.
     pub deployment: Deployment,
-    /// Chooses the targets.
+    /// The generator that chooses the targets.
     pub rng: &'a mut SeededRng,
 }
 
@@ -31,7 +31,7 @@
     tokio::time::sleep(Duration::from_millis(pause_ms)).await;
 }
 
-/// The names of the machines in a zone.
+/// Returns the names of the machines in a zone.
 fn machines_of(fleet: &Fleet, zone: &str) -> Vec<String> {
     let machines = fleet
         .layout
@@ -64,7 +64,7 @@
         names.get(index).cloned()
     }
 
-    async fn some_follower(&mut self, fleet: &Fleet) -> Option<String> {
+    async fn choose_follower(&mut self, fleet: &Fleet) -> Option<String> {
         let leader = fleet.leader().await;
         let followers: Vec<String> = fleet
             .running("controller")
@@ -74,11 +74,11 @@
         self.choose_one(&followers)
     }
 
-    fn some_zone(&mut self) -> String {
+    fn choose_zone(&mut self) -> String {
         format!("locality-{}", 1 + self.rng.below(3))
     }
 
-    /// Runs the fault; without a suitable target it does nothing.
+    /// Injects and undoes the fault. Does nothing if there is no suitable target.
     async fn apply(&mut self, fleet: &mut Fleet) -> Result<(), FleetError> {
         match self.name {
             FaultName::SpecChange => self.switch_canary(fleet, "accepted").await,
@@ -113,9 +113,9 @@
             FaultName::DiskFull => self.fail_leader_disk(fleet, "full").await,
             FaultName::DiskStalls => self.fail_leader_disk(fleet, "stalled").await,
             FaultName::DiskFails => self.fail_follower_disk(fleet, "failing").await,
-            FaultName::RunnerLeaves => self.remove_runners(fleet).await,
-            FaultName::DrainWorker => self.fail_worker(fleet, "drain", 6000).await,
-            FaultName::CrashWorker => self.fail_worker(fleet, "crash", 3000).await,
+            FaultName::RunnerLeaves => self.announce_runners_leaving(fleet).await,
+            FaultName::DrainWorker => self.disrupt_worker(fleet, "drain", 6000).await,
+            FaultName::CrashWorker => self.disrupt_worker(fleet, "crash", 3000).await,
             FaultName::Evacuate => self.evacuate(fleet).await,
             FaultName::LostAnswers => self.lose_answers(fleet).await,
             FaultName::WrongBytes => self.corrupt_answers(fleet).await,
--- a/testing/fleet/src/days/fault/network.rs
+++ b/testing/fleet/src/days/fault/network.rs
@@ -4,7 +4,7 @@
 use crate::fleet::{Fleet, FleetError};
 use std::time::Duration;
 
-/// How long a partition lasts, in milliseconds.
+/// The duration of a partition, in milliseconds.
 const PARTITION_MS: u64 = 6000;
 
 impl FaultInjector<'_> {
@@ -27,7 +27,7 @@
     }
 
     pub(super) async fn isolate_zone(&mut self, fleet: &Fleet) -> Result<(), FleetError> {
-        let zone = self.some_zone();
+        let zone = self.choose_zone();
         self.isolate(fleet, &machines_of(fleet, &zone)).await
     }
 
--- a/testing/fleet/src/days/fault/processes.rs
+++ b/testing/fleet/src/days/fault/processes.rs
@@ -1,4 +1,4 @@
-//! Faults of processes: killed, frozen or stopped gracefully, and lost disks.
+//! Faults of processes, which are killed, frozen, stopped gracefully or lose their disks.
 
 use super::{FaultInjector, machines_of, pause};
 use crate::fleet::{Fleet, FleetError};
@@ -7,13 +7,14 @@
 
 /// The grace period of a process that is stopped gracefully.
 const STOP_GRACE: Duration = Duration::from_secs(6);
-/// How long a killed process is down, in milliseconds.
+/// The time for which a killed process is down, in milliseconds.
 const DOWN_MS: u64 = 3000;
-/// How long a process that was stopped, or lost its disk, is down, in milliseconds.
+/// The time for which a process is down that was stopped or lost its disk, or was killed with all others, in
+/// milliseconds.
 const RESTART_DELAY_MS: u64 = 1000;
 
-/// Every third daemon.
-fn group_of_daemons(fleet: &Fleet) -> Vec<String> {
+/// Returns every third daemon.
+fn every_third_daemon(fleet: &Fleet) -> Vec<String> {
     fleet.running("daemon").iter().step_by(3).cloned().collect()
 }
 
@@ -45,7 +46,7 @@
     }
 
     pub(super) async fn kill_group(&self, fleet: &mut Fleet) -> Result<(), FleetError> {
-        let group = group_of_daemons(fleet);
+        let group = every_third_daemon(fleet);
         fleet.kill_all(&group).await;
         pause(DOWN_MS).await;
         fleet.launch_all(&group).await
@@ -59,7 +60,7 @@
     }
 
     pub(super) async fn lose_disk(&mut self, fleet: &mut Fleet) -> Result<(), FleetError> {
-        let Some(name) = self.some_follower(fleet).await else {
+        let Some(name) = self.choose_follower(fleet).await else {
             return Ok(());
         };
         fleet.kill(&name).await;
@@ -68,9 +69,9 @@
         fleet.launch(&name).await
     }
 
-    /// An empty controller at a new address takes the place of a follower that is lost for good.
+    /// Kills a follower for good, and starts an empty controller at a new address to replace it.
     pub(super) async fn replace_voter(&mut self, fleet: &mut Fleet) -> Result<(), FleetError> {
-        let Some(name) = self.some_follower(fleet).await else {
+        let Some(name) = self.choose_follower(fleet).await else {
             return Ok(());
         };
         let zone = fleet.layout.machines[&name].zone.clone();
@@ -100,7 +101,7 @@
     }
 
     pub(super) async fn freeze_group(&self, fleet: &mut Fleet) -> Result<(), FleetError> {
-        let group = group_of_daemons(fleet);
+        let group = every_third_daemon(fleet);
         freeze_for(fleet, &group, 4000).await;
         Ok(())
     }
@@ -138,8 +139,8 @@
     }
 
     pub(super) async fn group_loses_disk(&mut self, fleet: &mut Fleet) -> Result<(), FleetError> {
-        let group = group_of_daemons(fleet);
-        let Some(follower) = self.some_follower(fleet).await else {
+        let group = every_third_daemon(fleet);
+        let Some(follower) = self.choose_follower(fleet).await else {
             return Ok(());
         };
         fleet.kill_all(&group).await;
@@ -151,7 +152,7 @@
     }
 
     pub(super) async fn lose_zone(&mut self, fleet: &mut Fleet) -> Result<(), FleetError> {
-        let zone = self.some_zone();
+        let zone = self.choose_zone();
         let lost_machines = machines_of(fleet, &zone);
         let workers = fleet.workers_of(&zone).await;
         fleet.kill_all(&lost_machines).await;
--- a/testing/fleet/src/days/fault/spec_changes.rs
+++ b/testing/fleet/src/days/fault/spec_changes.rs
@@ -1,4 +1,4 @@
-//! Changes of the spec: concurrent ones, invalid ones, many in a row, and one that makes it large.
+//! Changes of the spec: concurrent ones, invalid ones, many in a row, and a large one.
 
 use super::{FaultInjector, pause};
 use crate::fleet::{Fleet, FleetError};
@@ -90,8 +90,8 @@
         Ok(())
     }
 
-    /// Adds a route, changes its function and removes it. Each time the path is called through every ingress once the
-    /// change has to be in force.
+    /// Adds a route, changes its function and removes it. After each change, once it must be in force, the path is
+    /// called through every ingress.
     pub(super) async fn switch_routes(&mut self, fleet: &mut Fleet) -> Result<(), FleetError> {
         for function in [Some("canary-a"), Some("canary-b"), None] {
             let (version, mut spec) = fleet.spec().await?;
--- a/testing/fleet/src/days/fault/workers.rs
+++ b/testing/fleet/src/days/fault/workers.rs
@@ -1,5 +1,5 @@
-//! Faults of the platform and its runners: drained and crashed workers, evacuated zones, and runners that leave or
-//! misbehave.
+//! Faults of the platform and its runners: drained and crashed workers, evacuated zones, and leaving or misbehaving
+//! runners.
 
 use super::{FaultInjector, pause};
 use crate::fleet::{Fleet, FleetError};
@@ -8,13 +8,13 @@
 
 impl FaultInjector<'_> {
     /// Drains or crashes a worker in use, and restores it after a while.
-    pub(super) async fn fail_worker(
+    pub(super) async fn disrupt_worker(
         &mut self,
         fleet: &Fleet,
         action: &str,
         restore_after_ms: u64,
     ) -> Result<(), FleetError> {
-        let worker = self.some_worker(fleet).await;
+        let worker = self.choose_worker(fleet).await;
         fleet
             .post_to_platform(&format!("/v1/workers/{worker}/{action}"), &json!({}))
             .await?;
@@ -24,8 +24,8 @@
             .await
     }
 
-    /// Lets every fourth runner announce that it leaves, and waits until they have stopped.
-    pub(super) async fn remove_runners(&self, fleet: &Fleet) -> Result<(), FleetError> {
+    /// Makes every fourth runner announce that it leaves, and waits until they have stopped.
+    pub(super) async fn announce_runners_leaving(&self, fleet: &Fleet) -> Result<(), FleetError> {
         let (_, body) = fleet
             .call_operators(hyper::Method::GET, "/v1/runners", None)
             .await?;
@@ -42,7 +42,7 @@
         Ok(())
     }
 
-    async fn some_worker(&mut self, fleet: &Fleet) -> String {
+    async fn choose_worker(&mut self, fleet: &Fleet) -> String {
         let used_workers: Vec<String> = match fleet
             .call_operators(hyper::Method::GET, "/v1/workers", None)
             .await
@@ -89,25 +89,25 @@
         Ok(())
     }
 
-    /// Runners lose one answer in twenty.
+    /// Makes runners lose one answer in twenty.
     pub(super) async fn lose_answers(&self, fleet: &Fleet) -> Result<(), FleetError> {
         self.inject_runner_faults(fleet, json!({"lose": 0.05}))
             .await
     }
 
-    /// Runners send wrong bodies, truncated ones, and answers to other requests.
+    /// Makes runners send wrong bodies, truncated ones, and answers to other requests.
     pub(super) async fn corrupt_answers(&self, fleet: &Fleet) -> Result<(), FleetError> {
         let shares = json!({"wrong": 0.02, "short": 0.02, "foreign": 0.02});
         self.inject_runner_faults(fleet, shares).await
     }
 
-    /// Runners refuse requests, and break connections off without running them.
+    /// Makes runners refuse requests, and break off connections without running the requests.
     pub(super) async fn refuse_requests(&self, fleet: &Fleet) -> Result<(), FleetError> {
         self.inject_runner_faults(fleet, json!({"refuse": 0.05, "break_off": 0.05}))
             .await
     }
 
-    /// Sets the shares of requests with which runners misbehave, for ten seconds.
+    /// Sets the shares of requests with which runners misbehave for ten seconds.
     async fn inject_runner_faults(&self, fleet: &Fleet, shares: Value) -> Result<(), FleetError> {
         fleet.post_to_platform("/v1/runner-faults", &shares).await?;
         pause(10_000).await;
--- a/testing/fleet/src/days/mod.rs
+++ b/testing/fleet/src/days/mod.rs
@@ -1,4 +1,5 @@
-//! Test days: a fleet under a deployment's load and a list of faults, with the judge's verdict.
+//! Test days: each runs a fleet under a deployment's load, injects a list of faults, and lets the judge check the
+//! records.
 
 mod deployment;
 mod fault;
--- a/testing/fleet/src/days/run.rs
+++ b/testing/fleet/src/days/run.rs
@@ -1,4 +1,4 @@
-//! Runs one day: starts the fleet, generates load, injects the faults, and judges the records.
+//! Runs a day: starts the fleet, generates load, injects the faults, and judges the records.
 
 use super::{Deployment, FaultInjector, FaultName};
 use crate::fleet::{Fleet, FleetError, Layout};
@@ -11,7 +11,7 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// The settings of one day.
+/// The settings of a day.
 #[derive(Clone, Debug)]
 pub struct Day {
     /// The deployment.
@@ -20,19 +20,19 @@
     pub seed: u64,
     /// The faults, injected one after the other.
     pub faults: Vec<FaultName>,
-    /// The time from the end of one fault to the next.
+    /// The pause after each fault.
     pub gap: Duration,
-    /// The least time for which load is generated; longer if the faults take longer.
+    /// The minimum time for which load is generated; it is extended if the faults need longer.
     pub duration: Duration,
     /// The folder of settings, logs and records.
     pub folder: PathBuf,
     /// The folder of the executables.
     pub programs: PathBuf,
-    /// The number of daemons, if not the deployment's.
+    /// The number of daemons; by default the deployment's.
     pub daemons: Option<usize>,
-    /// The rate of requests per second, if not the deployment's.
+    /// The rate of requests per second; by default the deployment's.
     pub rate: Option<f64>,
-    /// The rule that the daemons run without, if any.
+    /// The safety rule that is disabled in the daemons, if any.
     pub disabled_rule: Option<Rule>,
 }
 
@@ -44,21 +44,21 @@
     pub workers_used: usize,
 }
 
-/// The load before the first fault.
+/// The time for which load is generated before the first fault.
 const WARM_UP: Duration = Duration::from_secs(8);
-/// The time reckoned for a fault itself, in milliseconds.
-const FAULT_MS: u64 = 8000;
-/// The load beyond the time reckoned for all faults, in milliseconds.
+/// The time that a fault is expected to take, in milliseconds.
+const EXPECTED_FAULT_MS: u64 = 8000;
+/// The time for which load is generated beyond the expected time of all faults, in milliseconds.
 const EXTRA_LOAD_MS: u64 = 12_000;
 
 /// Runs a day and judges its records.
 ///
 /// # Errors
-/// Fails if the fleet cannot be started, or its records cannot be read. A fault that cannot be injected is noted in
+/// Fails if the fleet cannot be started, or its records cannot be read. A fault that cannot be injected is recorded in
 /// the journal and does not end the day.
 pub async fn run_day(day: &Day) -> Result<DayResult, FleetError> {
     let mut fleet = start_fleet(day).await?;
-    let lasts_ms = load_ms(day);
+    let lasts_ms = load_duration_ms(day);
     let plan = load_plan(day, &fleet, lasts_ms)?;
     fleet.record_event("callers", json!({"lasts_ms": lasts_ms}));
     let load_task = tokio::spawn(run_plan(plan));
@@ -81,7 +81,7 @@
     let mut sizes = day.deployment.sizes();
     sizes.daemons = day.daemons.unwrap_or(sizes.daemons);
     sizes.disabled_rule = day.disabled_rule;
-    sizes.has_faulty_disks = day.faults.iter().any(|fault| fault.is_of_disk());
+    sizes.has_faulty_disks = day.faults.iter().any(|fault| fault.needs_faulty_disk());
     let layout = Layout::new(&day.folder, &day.programs, &sizes, day.seed, true)?;
     let mut fleet = Fleet::start(layout).await?;
     fleet.bootstrap().await?;
@@ -92,9 +92,9 @@
     Ok(fleet)
 }
 
-/// How long load is generated, in milliseconds.
-fn load_ms(day: &Day) -> u64 {
-    let faults_ms = (day.gap.as_millis() as u64 + FAULT_MS) * day.faults.len() as u64;
+/// Returns the time for which load is generated, in milliseconds.
+fn load_duration_ms(day: &Day) -> u64 {
+    let faults_ms = (day.gap.as_millis() as u64 + EXPECTED_FAULT_MS) * day.faults.len() as u64;
     (day.duration.as_millis() as u64).max(faults_ms + EXTRA_LOAD_MS)
 }
 
@@ -115,7 +115,7 @@
     Plan::read(&source).map_err(|_| FleetError::ConditionNotMet("the load plan is valid"))
 }
 
-/// Injects the faults one after the other; one that fails is noted in the journal.
+/// Injects the faults one after the other. Failed ones are recorded in the journal.
 async fn inject_all(day: &Day, fleet: &mut Fleet) {
     let mut rng = SeededRng::seeded(day.seed ^ 0x5eed);
     for name in &day.faults {
@@ -134,7 +134,7 @@
     }
 }
 
-/// Saves the metrics pages of all daemons and controllers in the day's folder, as far as they can be had.
+/// Saves the metrics of all daemons and controllers that respond in the day's folder.
 async fn save_metrics(fleet: &Fleet) {
     let mut pages = String::new();
     let endpoints = fleet.layout.machines.values().filter_map(|machine| {
--- a/testing/fleet/src/soak/fault.rs
+++ b/testing/fleet/src/soak/fault.rs
@@ -82,7 +82,7 @@
     DrainWorker = "drain-worker",
     /// Runners lose answers after running the request.
     LoseAnswers = "lose-answers",
-    /// Runners refuse requests, and break connections off without running them.
+    /// Runners refuse requests, and break off connections without running the requests.
     BreakAnswers = "break-answers",
     /// Runners send wrong bodies, truncated ones, and answers to other requests.
     WrongAnswers = "wrong-answers",
@@ -274,7 +274,7 @@
                 Ok(FaultUndo::ClearDelay)
             }
             FaultAction::Disk(how) => self.inject_disk_fault(how),
-            FaultAction::Worker(action) => self.fail_worker(action).await,
+            FaultAction::Worker(action) => self.disrupt_worker(action).await,
             FaultAction::RunnerFaults(shares) => self.set_runner_faults(shares).await,
             FaultAction::Reload => {
                 self.fleet.reload_all();
@@ -491,7 +491,7 @@
     }
 
     /// Drains or crashes a random worker of a random zone.
-    async fn fail_worker(&mut self, action: &str) -> Result<FaultUndo, FleetError> {
+    async fn disrupt_worker(&mut self, action: &str) -> Result<FaultUndo, FleetError> {
         let zone = format!("locality-{}", 1 + self.rng.below(3));
         let Some(worker) = self.choose_one(self.fleet.workers_of(&zone).await) else {
             return Ok(FaultUndo::Nothing);
