--- a/testing/fleet/src/commands/capacity.rs
+++ b/testing/fleet/src/commands/capacity.rs
@@ -1,4 +1,4 @@
-//! Measurements of synthetic fleets, and the capacity page that is rendered from their records.
+//! Measures synthetic fleets, and renders the capacity page from their records.
 
 use super::flags::{Capacity, Synthetic};
 use fleet::synthetic::page::{PageError, draw_plots, read_runs, render_page};
--- a/testing/fleet/src/commands/control_side.rs
+++ b/testing/fleet/src/commands/control_side.rs
@@ -1,4 +1,4 @@
-//! Losses in the control quorum: a second loss at every step of a repair, and recovery times.
+//! Losses of controllers: simulates a second loss at each step of a quorum repair, and measures recovery times.
 
 use super::flags::{RecoveryOptions, SecondLosses};
 use fleet::sim::{
@@ -7,16 +7,17 @@
 };
 use std::process::ExitCode;
 
-/// The cases of a second loss: each quorum size, repair, target and kind of loss.
-fn cases(size: QuorumSize, seed: u64, stride: u64) -> Vec<SecondLossCase> {
+/// Returns the cases of a second loss in a quorum of the given size: each repair, target and kind of loss at every
+/// `stride`-th step.
+fn second_loss_cases(size: QuorumSize, seed: u64, stride: u64) -> Vec<SecondLossCase> {
     let mut cases = Vec::new();
     for repair in Repair::ALL {
-        let quiet_case = SecondLossCase {
+        let repair_only_case = SecondLossCase {
             size,
             repair: *repair,
             second: None,
         };
-        let steps = quiet_case.steps(seed);
+        let steps = repair_only_case.steps(seed);
         for target in [Target::Leader, Target::Follower, Target::Victim] {
             for loss in SecondLossCase::tolerated_losses(size, *repair) {
                 let steps = (1..=steps).step_by(stride.max(1) as usize);
@@ -28,7 +29,7 @@
                     });
                     SecondLossCase {
                         second,
-                        ..quiet_case
+                        ..repair_only_case
                     }
                 }));
             }
@@ -37,41 +38,41 @@
     cases
 }
 
-/// Simulates a second loss at each step, and prints the cases with violations.
-pub(crate) fn lose_second_machines(chosen: &SecondLosses) -> ExitCode {
+/// Simulates a second loss at each step of a repair, and prints the cases with violations.
+pub(crate) fn simulate_second_losses(options: &SecondLosses) -> ExitCode {
     let Some(flaw) = Flaw::all()
         .into_iter()
-        .find(|flaw| flaw.to_string() == chosen.flaw)
+        .find(|flaw| flaw.to_string() == options.flaw)
     else {
-        eprintln!("fleet: unknown flaw {:?}", chosen.flaw);
+        eprintln!("fleet: unknown flaw {:?}", options.flaw);
         return ExitCode::from(2);
     };
     let mut violation_count = 0;
     let sizes = QuorumSize::ALL.iter().filter(|size| {
-        chosen
+        options
             .machines
             .is_none_or(|machines| machines == size.machines)
     });
     for size in sizes {
         let mut case_count = 0;
-        let mut violating_count = 0;
-        for case in cases(*size, chosen.seed, chosen.stride) {
+        let mut violating_case_count = 0;
+        for case in second_loss_cases(*size, options.seed, options.stride) {
             case_count += 1;
             let plan = SimPlan {
                 flaw,
-                ..case.plan(chosen.seed)
+                ..case.plan(options.seed)
             };
             let violations = Simulation::new(plan, false).run().violations;
             if let Some(violation) = violations.first() {
-                violating_count += 1;
+                violating_case_count += 1;
                 println!("{} {:?}: {violation}", case.repair, case.second);
             }
         }
         println!(
-            "{} machines: {case_count} cases, {violating_count} with breaches",
+            "{} machines: {case_count} cases, {violating_case_count} with violations",
             size.machines
         );
-        violation_count += violating_count;
+        violation_count += violating_case_count;
     }
     if violation_count == 0 {
         ExitCode::SUCCESS
@@ -80,8 +81,8 @@
     }
 }
 
-/// Prints a Markdown table with the violation that is found without each rule of the control side, and the number of
-/// days until then. Returns whether all were found.
+/// Prints a Markdown table with the violation found when each rule of the control plane is broken, and the first seed
+/// that found it. Returns whether a violation was found for every rule.
 pub(crate) fn check_scenario_detection(max_seeds: u64) -> bool {
     println!();
     println!("| scenario | broken | seeds to first finding | seen |");
@@ -101,13 +102,14 @@
     is_complete
 }
 
-/// Prints a Markdown table with the times from each single loss to the next order and session leases.
-pub(crate) fn measure_recovery(chosen: &RecoveryOptions) -> ExitCode {
+/// Prints a Markdown table with the times from each single loss to the next completed order and the next session
+/// leases.
+pub(crate) fn measure_recovery(options: &RecoveryOptions) -> ExitCode {
     let Some(size) = QuorumSize::ALL
         .iter()
-        .find(|size| size.machines == chosen.machines)
+        .find(|size| size.machines == options.machines)
     else {
-        eprintln!("fleet: there are quorums of 3, 5, 6 and 8 machines");
+        eprintln!("fleet: --machines must be 3, 5, 6 or 8");
         return ExitCode::from(2);
     };
     println!(
@@ -116,7 +118,7 @@
     );
     println!("|---|---|---|---|---|---|---|---|---|");
     for single in SINGLE_LOSSES {
-        let seeds = chosen.seed..chosen.seed + chosen.count;
+        let seeds = options.seed..options.seed + options.count;
         let times: Vec<_> = seeds
             .filter_map(|seed| single.measure(seed, size.machines, size.voters))
             .collect();
@@ -126,8 +128,8 @@
         println!(
             "| {} | {} | {} | {order} | {first_lease} | {last_lease} |",
             single.name,
-            chosen.count,
-            chosen.count - times.len() as u64,
+            options.count,
+            options.count - times.len() as u64,
         );
     }
     ExitCode::SUCCESS
--- a/testing/fleet/src/commands/days.rs
+++ b/testing/fleet/src/commands/days.rs
@@ -1,4 +1,4 @@
-//! Days of a fleet: running, judging, and summarizing them in a table.
+//! Runs test days, judges their records, and summarizes several days in a table.
 
 use super::flags::Run;
 use common::rules::Rule;
@@ -71,8 +71,8 @@
     })
 }
 
-/// Prints a verdict; the exit code is 1 unless it is clean.
-pub(crate) fn conclude(verdict: &Verdict) -> ExitCode {
+/// Prints a verdict. The exit code is 1 unless the verdict is clean.
+pub(crate) fn print_verdict(verdict: &Verdict) -> ExitCode {
     print!("{verdict}");
     let violation_count = verdict.violation_count();
     println!("violations: {violation_count}");
@@ -83,8 +83,8 @@
     }
 }
 
-/// Prints a Markdown table with the number of runs, shares of outcomes and recovery times of each fault.
-pub(crate) fn tabulate(folders: &[PathBuf]) -> Result<ExitCode, EvidenceError> {
+/// Prints a Markdown table with the number of occurrences, shares of outcomes and recovery times of each fault.
+pub(crate) fn print_fault_table(folders: &[PathBuf]) -> Result<ExitCode, EvidenceError> {
     let mut by_fault: BTreeMap<String, Vec<Recovery>> = BTreeMap::new();
     let mut violation_count = 0;
     for folder in folders {
@@ -132,14 +132,14 @@
     })
 }
 
-/// Runs a day in a new folder, and prints the verdict.
-pub(crate) fn run_and_conclude(day: &Day) -> eyre::Result<ExitCode> {
+/// Runs a day and prints the verdict. The folder is deleted first if it holds an earlier day.
+pub(crate) fn run_and_judge(day: &Day) -> eyre::Result<ExitCode> {
     if day.folder.join("journal.jsonl").exists() {
-        std::fs::remove_dir_all(&day.folder).wrap_err("old folder")?;
+        std::fs::remove_dir_all(&day.folder).wrap_err("cannot delete the earlier day")?;
     }
     let runtime = common::command_line::runtime(4)?;
     let day_result = runtime
         .block_on(run_day(day))
         .map_err(|error| eyre!("{error}"))?;
-    Ok(conclude(&day_result.verdict))
+    Ok(print_verdict(&day_result.verdict))
 }
--- a/testing/fleet/src/commands/flags.rs
+++ b/testing/fleet/src/commands/flags.rs
@@ -1,4 +1,4 @@
-//! The command line of the test tool. Documentation of options structs may be printed as help.
+//! The command line of the test tool. Doc comments on the option structs are printed as help.
 
 use gumdrop::Options;
 use std::path::PathBuf;
--- a/testing/fleet/src/commands/simulator.rs
+++ b/testing/fleet/src/commands/simulator.rs
@@ -1,4 +1,4 @@
-//! Simulated days with many seeds, and the detection cases of safety rules.
+//! Runs simulated days with many seeds, and the detection cases of safety rules.
 
 use super::control_side::check_scenario_detection;
 use super::flags::{Proofs, Sim};
@@ -8,7 +8,7 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-/// Prints a Markdown table with the violation that is found without each rule, and the number of days until then.
+/// Prints a Markdown table with the violation found when each rule is broken, and the first seed that found it.
 pub(crate) fn check_detection(proofs: &Proofs) -> ExitCode {
     let mut is_complete = true;
     println!(
@@ -46,7 +46,7 @@
 
 /// Runs a day for each seed and prints the results.
 pub(crate) fn simulate(sim: &Sim) -> ExitCode {
-    let plan_of = match plans(sim) {
+    let plan_of = match plan_factory(sim) {
         Ok(plan_of) => plan_of,
         Err(error) => {
             eprintln!("fleet: {error}");
@@ -80,7 +80,7 @@
         println!("{} seeds: digest {}", sim.count, run_digest.finish());
     }
     println!(
-        "{} seeds: {} with breaches {violating_seeds:?}, {} not back in service {unrecovered_seeds:?}",
+        "{} seeds: {} with violations {violating_seeds:?}, {} not recovered {unrecovered_seeds:?}",
         sim.count,
         violating_seeds.len(),
         unrecovered_seeds.len()
@@ -95,21 +95,21 @@
 /// Why the requested days cannot be run.
 #[derive(Debug, thiserror::Error)]
 enum PlanError {
-    #[error("unknown flaw {0:?}; there are: {known}", known = joined(&Flaw::all()))]
+    #[error("unknown flaw {0:?}; there are: {known}", known = joined_names(&Flaw::all()))]
     Flaw(String),
-    #[error("unknown fault {0:?}; there are: {known}", known = joined(SimFault::ALL))]
+    #[error("unknown fault {0:?}; there are: {known}", known = joined_names(SimFault::ALL))]
     Fault(String),
-    #[error("unknown scenario {0:?}; there are: {known}", known = joined(Scenario::ALL))]
+    #[error("unknown scenario {0:?}; there are: {known}", known = joined_names(Scenario::ALL))]
     Scenario(String),
 }
 
-fn joined(names: &[impl ToString]) -> String {
+fn joined_names(names: &[impl ToString]) -> String {
     let names: Vec<String> = names.iter().map(ToString::to_string).collect();
     names.join(", ")
 }
 
-/// The function that makes the plan of a day from its seed.
-fn plans(sim: &Sim) -> Result<Box<dyn Fn(u64) -> SimPlan>, PlanError> {
+/// Returns a function that creates the plan of a day from its seed.
+fn plan_factory(sim: &Sim) -> Result<Box<dyn Fn(u64) -> SimPlan>, PlanError> {
     let flaw = Flaw::all()
         .into_iter()
         .find(|flaw| flaw.to_string() == sim.flaw)
--- a/testing/fleet/src/commands/soak.rs
+++ b/testing/fleet/src/commands/soak.rs
@@ -1,4 +1,4 @@
-//! Soaks over many seeds; the folders of those with findings are kept.
+//! Runs soaks with many seeds. The folder of each is kept.
 
 use super::flags::SoakOptions;
 use common::rules::Rule;
@@ -9,11 +9,11 @@
 use std::time::Duration;
 use tokio::task::JoinSet;
 
-/// Runs soaks with consecutive seeds, some of them concurrently, and prints their findings.
+/// Runs soaks with consecutive seeds, up to `at_once` of them concurrently, and prints their findings.
 pub(crate) fn run(options: &SoakOptions) -> eyre::Result<ExitCode> {
-    let own_path = std::env::current_exe().wrap_err("own path")?;
+    let own_path = std::env::current_exe().wrap_err("cannot determine the path of this program")?;
     let programs = own_path.parent().map(Path::to_owned).unwrap_or_default();
-    let folder = std::path::absolute(&options.folder).wrap_err("folder")?;
+    let folder = std::path::absolute(&options.folder).wrap_err("cannot resolve --folder")?;
     let disabled_rule = match &options.without {
         Some(name) => Some(Rule::by_name(name).ok_or_else(|| eyre!("no such rule: {name:?}"))?),
         None => None,
@@ -28,40 +28,40 @@
         daemons: options.daemons,
     };
     let runtime = common::command_line::runtime(4)?;
-    let found_count = runtime.block_on(async {
+    let failed_count = runtime.block_on(async {
         let mut pending_soaks = (options.seed..options.seed + options.count).map(soak_of);
         let mut running = JoinSet::new();
-        let mut found_count = 0;
+        let mut failed_count = 0;
         for soak in pending_soaks.by_ref().take(options.at_once.max(1)) {
             running.spawn(run_one_soak(soak));
         }
         while let Some(joined) = running.join_next().await {
-            let (soak, end) = joined.wrap_err("a soak")?;
-            found_count += usize::from(!report(&soak, &end?)?);
+            let (soak, soak_result) = joined.wrap_err("a soak failed")?;
+            failed_count += usize::from(!report_findings(&soak, &soak_result?)?);
             if let Some(next) = pending_soaks.next() {
                 running.spawn(run_one_soak(next));
             }
         }
-        eyre::Ok(found_count)
+        eyre::Ok(failed_count)
     })?;
-    println!("{} soaks, {found_count} with findings", options.count);
-    Ok(ExitCode::from(u8::from(found_count > 0)))
+    println!("{} soaks, {failed_count} with findings", options.count);
+    Ok(ExitCode::from(u8::from(failed_count > 0)))
 }
 
 async fn run_one_soak(soak: Soak) -> (Soak, eyre::Result<SoakResult>) {
     if soak.folder.join("journal.jsonl").exists() {
         let _ = std::fs::remove_dir_all(&soak.folder);
     }
-    let end = run_soak(&soak)
+    let soak_result = run_soak(&soak)
         .await
         .map_err(|error| eyre!("seed {}: {error}", soak.seed));
-    (soak, end)
+    (soak, soak_result)
 }
 
-/// Prints the result of a soak; returns whether there are no findings.
-fn report(soak: &Soak, end: &SoakResult) -> eyre::Result<bool> {
-    let findings = end.findings();
-    let answered = end
+/// Prints the result of a soak and writes it to its folder. Returns whether there are no findings.
+fn report_findings(soak: &Soak, soak_result: &SoakResult) -> eyre::Result<bool> {
+    let findings = soak_result.findings();
+    let summary = soak_result
         .verdict
         .statistics
         .to_string()
@@ -70,15 +70,16 @@
         .unwrap_or_default()
         .to_owned();
     println!(
-        "seed {}: {} troubles, {} findings; {answered}",
+        "seed {}: {} faults, {} findings; {summary}",
         soak.seed,
-        end.planned_faults.len(),
+        soak_result.planned_faults.len(),
         findings.len()
     );
     findings
         .iter()
         .take(10)
         .for_each(|finding| println!("    {finding}"));
-    std::fs::write(soak.folder.join("verdict.txt"), end.to_string()).wrap_err("verdict")?;
+    std::fs::write(soak.folder.join("verdict.txt"), soak_result.to_string())
+        .wrap_err("cannot write the verdict")?;
     Ok(findings.is_empty())
 }
--- a/testing/fleet/src/daemon_without_rule.rs
+++ b/testing/fleet/src/daemon_without_rule.rs
@@ -1,4 +1,4 @@
-//! A daemon without one of its safety rules, to test that the judge finds the violations.
+//! A daemon with one of its safety rules disabled, to test that the judge finds the violations.
 
 use common::command_line::{self, Program};
 use common::readers::SettingsSource;
@@ -24,7 +24,7 @@
 
 const PROGRAM: Program = Program::new("flawed-daemon", env!("CARGO_PKG_VERSION"));
 
-/// Runs before `main`: the settings may be reloaded as soon as the process exists.
+/// Counts SIGHUP signals from before `main` on, since a reload can be requested as soon as the process exists.
 #[ctor::ctor(unsafe)]
 fn count_early_hangups() {
     common::hangups::count_from_now_on();
--- a/testing/fleet/src/faulty_disk_controller.rs
+++ b/testing/fleet/src/faulty_disk_controller.rs
@@ -1,4 +1,5 @@
-//! A controller with injectable disk faults: a file beside its settings selects full, failing or stalled.
+//! A controller with injectable disk faults. A control file next to its settings makes the disk full, failing or
+//! stalled.
 
 use common::command_line::{self, Program};
 use common::readers::SettingsSource;
@@ -26,6 +27,7 @@
     boot: PathBuf,
 }
 
+/// Injects the disk fault that the control file names, if it exists.
 struct FaultyDisk {
     control_file: PathBuf,
 }
@@ -54,7 +56,7 @@
 
 const PROGRAM: Program = Program::new("ailing-controller", env!("CARGO_PKG_VERSION"));
 
-/// Runs before `main`: the settings may be reloaded as soon as the process exists.
+/// Counts SIGHUP signals from before `main` on, since a reload can be requested as soon as the process exists.
 #[ctor::ctor(unsafe)]
 fn count_early_hangups() {
     common::hangups::count_from_now_on();
--- a/testing/fleet/src/lib.rs
+++ b/testing/fleet/src/lib.rs
@@ -1,5 +1,5 @@
-//! Tests of complete fleets: real processes on one machine under load and faults with a judge of their records, a
-//! deterministic simulator, and synthetic fleets for measuring capacity.
+//! Tests of complete fleets: real processes on one machine under load and faults, with a judge that checks their
+//! records; a deterministic simulator; and synthetic fleets that measure capacity.
 
 #![deny(missing_docs, unreachable_pub)]
 
--- a/testing/fleet/src/main.rs
+++ b/testing/fleet/src/main.rs
@@ -1,10 +1,10 @@
-//! The test tool for fleets: days, soaks, simulations and capacity measurements.
+//! The test tool for fleets: runs test days, soaks, simulations and capacity measurements.
 
 mod commands;
 
 use commands::capacity::{measure, update_page};
-use commands::control_side::{lose_second_machines, measure_recovery};
-use commands::days::{conclude, read_day, run_and_conclude, tabulate};
+use commands::control_side::{measure_recovery, simulate_second_losses};
+use commands::days::{print_fault_table, print_verdict, read_day, run_and_judge};
 use commands::flags::{Command, Flags};
 use commands::simulator::{check_detection, simulate};
 use commands::soak;
@@ -22,28 +22,34 @@
 
 fn main() -> ExitCode {
     let flags = PROGRAM.flags(|flags: &Flags| flags.version);
-    let ended = match flags.command {
+    let exit_code = match flags.command {
         None => return PROGRAM.fail("no command; try --help", 2),
         Some(Command::List(_)) => {
             println!("deployments: stezka, tintwell, small");
             FaultName::ALL.iter().for_each(|fault| println!("{fault}"));
             return ExitCode::SUCCESS;
         }
-        Some(Command::Judge(chosen)) => Evidence::read(&chosen.folder)
-            .wrap_err("records")
-            .map(|evidence| conclude(&judge(&evidence))),
+        Some(Command::Judge(options)) => Evidence::read(&options.folder)
+            .wrap_err("cannot read the records")
+            .map(|evidence| print_verdict(&judge(&evidence))),
         Some(Command::Soak(options)) => soak::run(&options),
-        Some(Command::Table(table)) => tabulate(&table.folders).wrap_err("records"),
+        Some(Command::Table(table)) => {
+            print_fault_table(&table.folders).wrap_err("cannot read the records")
+        }
         Some(Command::Sim(sim)) => return simulate(&sim),
-        Some(Command::SecondLosses(chosen)) => return lose_second_machines(&chosen),
-        Some(Command::Recovery(chosen)) => return measure_recovery(&chosen),
-        Some(Command::Capacity(capacity)) => update_page(&capacity).wrap_err("page"),
-        Some(Command::Synthetic(synthetic)) => measure(&synthetic).wrap_err("record"),
+        Some(Command::SecondLosses(options)) => return simulate_second_losses(&options),
+        Some(Command::Recovery(options)) => return measure_recovery(&options),
+        Some(Command::Capacity(capacity)) => {
+            update_page(&capacity).wrap_err("cannot update the page")
+        }
+        Some(Command::Synthetic(synthetic)) => {
+            measure(&synthetic).wrap_err("cannot write the record")
+        }
         Some(Command::Proofs(proofs)) => return check_detection(&proofs),
         Some(Command::Run(run)) => match read_day(&run) {
-            Ok(day) => run_and_conclude(&day),
+            Ok(day) => run_and_judge(&day),
             Err(error) => return PROGRAM.fail(error, 2),
         },
     };
-    ended.unwrap_or_else(|report| PROGRAM.fail(format_args!("{report:#}"), 4))
+    exit_code.unwrap_or_else(|report| PROGRAM.fail(format_args!("{report:#}"), 4))
 }
