--- a/testing/fleet/tests/command_line.rs
+++ b/testing/fleet/tests/command_line.rs
@@ -1,4 +1,5 @@
-//! Tests that unknown faults, deployments and seeds are refused with a list of the valid ones.
+//! Tests that invalid values of arguments are rejected, and that unknown faults and deployments are answered with the
+//! list of valid ones.
 
 use std::process::{Command, Output};
 
@@ -10,7 +11,7 @@
 }
 
 #[test]
-fn unknown_names_are_refused_with_the_valid_ones() {
+fn unknown_names_are_rejected_with_the_valid_ones() {
     let fault = run(&["run", "--faults", "earthquake"]);
     assert_eq!(fault.status.code(), Some(2));
     assert!(String::from_utf8_lossy(&fault.stderr).contains("freeze-holder"));
--- a/testing/fleet/tests/judge.rs
+++ b/testing/fleet/tests/judge.rs
@@ -1,4 +1,4 @@
-//! Tests that the judge finds each planted violation, and none in a clean day.
+//! Tests that the judge finds each violation that is planted in the records of a day, and none in a clean day.
 
 use fleet::judge::{Evidence, judge};
 use googletest::prelude::*;
@@ -6,13 +6,14 @@
 
 const SECOND: u64 = 1_000_000_000;
 
+/// The records of a made-up day.
 struct Day {
     callers: Vec<Value>,
     platform_stub: Vec<Value>,
     journal: Vec<Value>,
 }
 
-fn change(at: u64, base: u64, id: &str, state: &str, function: &str) -> Value {
+fn change_record(at: u64, base: u64, id: &str, state: &str, function: &str) -> Value {
     json!({
         "kind": "change", "at": at, "sent_at": at - SECOND / 10, "base": base, "change_id": id,
         "status": if state == "accepted" { 200 } else { 409 }, "state": state,
@@ -20,14 +21,14 @@
     })
 }
 
-fn call(id: &str, at: u64, outcome: &str) -> Value {
+fn call_record(id: &str, at: u64, outcome: &str) -> Value {
     json!({
         "id": id, "at": at, "end": at + SECOND / 20, "path": "/a", "function": "f", "once": true,
         "outcome": outcome, "reason": "", "sealed": true, "runner": "r-1-1", "door": "d1",
     })
 }
 
-fn run(id: &str, at: u64, runner: &str, number: u64) -> Vec<Value> {
+fn run_records(id: &str, at: u64, runner: &str, number: u64) -> Vec<Value> {
     vec![
         json!({"kind": "run_begin", "at": at, "runner": runner, "function": "f@2", "transaction": id,
                "attempt": 1, "run": number, "at_once": 1, "ready": true}),
@@ -35,29 +36,35 @@
     ]
 }
 
-fn start(runner: &str, at: u64, worker: &str) -> Value {
+fn runner_start(runner: &str, at: u64, worker: &str) -> Value {
     json!({"kind": "runner_start", "at": at, "runner": runner, "function": "f@2", "worker": worker,
            "locality": if worker == "worker-00" { "locality-1" } else { "locality-2" }, "memory_mb": 100, "boot_ms": 100, "slots": 2, "place": "p"})
 }
 
-/// The journal's record of an evacuation that was ordered at 5 s.
-fn evacuation(zone: &str) -> Value {
+/// Returns the journal entry of an evacuation that was requested at 5 s.
+fn evacuation_record(zone: &str) -> Value {
     json!({
         "kind": "locality", "at": 5 * SECOND, "locality": zone, "deed": "evacuate", "status": 200,
     })
 }
 
+/// Returns a day with a runner, a spec that was accepted before, and 100 answered calls, ten per second from 4 s on.
 fn clean_day() -> Day {
     let mut day = Day {
         callers: Vec::new(),
-        platform_stub: vec![start("r-1-1", 2 * SECOND, "worker-00")],
-        journal: vec![change(SECOND, 1, "c1", "accepted", "f")],
+        platform_stub: vec![runner_start("r-1-1", 2 * SECOND, "worker-00")],
+        journal: vec![change_record(SECOND, 1, "c1", "accepted", "f")],
     };
     for number in 0..100 {
         let at = 4 * SECOND + number * SECOND / 10;
-        day.callers.push(call(&format!("t{number}"), at, "answer"));
-        day.platform_stub
-            .extend(run(&format!("t{number}"), at + 1000, "r-1-1", number));
+        day.callers
+            .push(call_record(&format!("t{number}"), at, "answer"));
+        day.platform_stub.extend(run_records(
+            &format!("t{number}"),
+            at + 1000,
+            "r-1-1",
+            number,
+        ));
     }
     day
 }
@@ -73,7 +80,7 @@
         .collect()
 }
 
-/// The checks that a clean day violates after this change to it.
+/// Returns the names of the checks that a clean day violates after a change to its records.
 fn violated_after(change: impl FnOnce(&mut Day)) -> Vec<String> {
     let mut day = clean_day();
     change(&mut day);
@@ -86,10 +93,10 @@
 }
 
 #[gtest]
-fn a_second_run_of_a_once_request_is_found() -> Result<()> {
+fn a_second_run_of_an_at_most_once_request_is_found() -> Result<()> {
     let violated = violated_after(|day| {
         day.platform_stub
-            .extend(run("t5", 30 * SECOND, "r-1-1", 900));
+            .extend(run_records("t5", 30 * SECOND, "r-1-1", 900));
     });
     verify_that!(violated, elements_are![eq("a once-transaction runs twice")])
 }
@@ -130,31 +137,31 @@
 }
 
 #[gtest]
-fn an_old_spec_in_use_after_three_seconds_is_found() -> Result<()> {
+fn a_replaced_or_refused_spec_in_use_after_three_seconds_is_found() -> Result<()> {
     let name = "an accepted spec not in force after 3 s, or undone";
     let late = violated_after(|day| {
         day.journal
-            .push(change(8 * SECOND, 2, "c2", "accepted", "g"));
+            .push(change_record(8 * SECOND, 2, "c2", "accepted", "g"));
     });
     verify_that!(late, elements_are![eq(name)])?;
     let in_time = violated_after(|day| {
         day.journal
-            .push(change(12 * SECOND, 2, "c2", "accepted", "g"));
+            .push(change_record(12 * SECOND, 2, "c2", "accepted", "g"));
     });
     verify_that!(in_time, is_empty())?;
     let refused = violated_after(|day| {
         day.journal
-            .push(change(3 * SECOND, 1, "c2", "not_accepted", "g"));
+            .push(change_record(3 * SECOND, 1, "c2", "not_accepted", "g"));
         day.platform_stub[5]["function"] = json!("g@2");
     });
     verify_that!(refused, contains(eq(name)))
 }
 
 #[gtest]
-fn two_changes_accepted_on_one_version_are_found() -> Result<()> {
+fn two_accepted_changes_with_the_same_base_version_are_found() -> Result<()> {
     let violated = violated_after(|day| {
         day.journal
-            .push(change(2 * SECOND, 1, "c2", "accepted", "f"));
+            .push(change_record(2 * SECOND, 1, "c2", "accepted", "f"));
     });
     verify_that!(
         violated,
@@ -163,7 +170,7 @@
 }
 
 #[gtest]
-fn drained_workers_and_evacuated_zones_still_used_are_found() -> Result<()> {
+fn runs_on_drained_workers_and_in_evacuated_zones_are_found() -> Result<()> {
     let drained = violated_after(|day| {
         day.platform_stub.push(
             json!({"kind": "worker", "at": 8 * SECOND, "worker": "worker-00", "deed": "drain"}),
@@ -174,20 +181,20 @@
         elements_are![eq("a leaving runner or draining worker used after 3 s")]
     )?;
     let evacuated = violated_after(|day| {
-        day.journal.push(evacuation("locality-1"));
+        day.journal.push(evacuation_record("locality-1"));
     });
     verify_that!(
         evacuated,
         elements_are![eq("an evacuated locality used after 5 s")]
     )?;
     let elsewhere = violated_after(|day| {
-        day.journal.push(evacuation("locality-2"));
+        day.journal.push(evacuation_record("locality-2"));
     });
     verify_that!(elsewhere, is_empty())
 }
 
 #[gtest]
-fn an_answer_dropped_by_an_orderly_stop_is_found() -> Result<()> {
+fn an_answer_lost_at_a_graceful_stop_and_a_late_stop_are_found() -> Result<()> {
     let name = "an orderly stop drops answers in hand";
     let violated = violated_after(|day| {
         day.callers[20]["outcome"] = json!("lost");
@@ -204,12 +211,12 @@
     verify_that!(slow, elements_are![eq(name)])
 }
 
-/// Callers who left 0.6 s before their requests ran: some are excused, more are not.
+/// Callers that disconnected 0.6 s before their requests ran: up to three are tolerated.
 #[gtest]
-fn runs_long_after_their_callers_left_are_found() -> Result<()> {
-    let violated_by = |left_count: usize| {
+fn runs_long_after_their_callers_disconnected_are_found() -> Result<()> {
+    let violated_with = |disconnected_count: usize| {
         violated_after(|day| {
-            for call in &mut day.callers[10..10 + left_count] {
+            for call in &mut day.callers[10..10 + disconnected_count] {
                 let ran_at = call["at"].as_u64().unwrap_or(0) + 1000;
                 call["outcome"] = json!("left");
                 call["at"] = json!(ran_at - SECOND);
@@ -217,18 +224,18 @@
             }
         })
     };
-    verify_that!(violated_by(3), is_empty())?;
+    verify_that!(violated_with(3), is_empty())?;
     let name = "runs that begin over 0.5 s after their callers have left";
-    verify_that!(violated_by(4), elements_are![eq(name)])
+    verify_that!(violated_with(4), elements_are![eq(name)])
 }
 
 #[gtest]
-fn too_many_extra_tries_are_found() -> Result<()> {
+fn too_many_retries_are_found() -> Result<()> {
     let violated = violated_after(|day| {
         for number in 0..100 {
             day.callers[number as usize]["once"] = json!(false);
             if number % 2 == 0 {
-                let mut retried_run = run(
+                let mut retried_run = run_records(
                     &format!("t{number}"),
                     4 * SECOND + number * SECOND / 10 + 5000,
                     "r-1-1",
@@ -246,7 +253,7 @@
 }
 
 #[gtest]
-fn overloads_of_cold_and_full_runners_are_found() -> Result<()> {
+fn overloads_of_starting_fresh_and_full_runners_are_found() -> Result<()> {
     let name = "a cold runner flooded, or slots exceeded";
     let full = violated_after(|day| {
         day.platform_stub[101]["at_once"] = json!(3);
@@ -264,10 +271,10 @@
 }
 
 #[gtest]
-fn two_holders_at_once_are_found() -> Result<()> {
+fn concurrent_holders_of_a_function_are_found() -> Result<()> {
     let violated = violated_after(|day| {
         day.platform_stub
-            .push(start("r-2-1", 6 * SECOND, "worker-01"));
+            .push(runner_start("r-2-1", 6 * SECOND, "worker-01"));
     });
     verify_that!(
         violated,
@@ -277,7 +284,7 @@
         day.platform_stub
             .push(json!({"kind": "runner_stop", "at": 20 * SECOND, "runner": "r-1-1"}));
         day.platform_stub
-            .push(start("r-2-1", 21 * SECOND, "worker-01"));
+            .push(runner_start("r-2-1", 21 * SECOND, "worker-01"));
     });
     verify_that!(after, is_empty())?;
     let mut taken_over = clean_day();
@@ -305,7 +312,7 @@
             json!({"kind": "returned", "at": 3 * SECOND, "fault": "kill-herd", "heavy": true}),
         );
         for number in 0..50 {
-            let mut late = call(
+            let mut late = call_record(
                 &format!("late{number}"),
                 16 * SECOND + number * SECOND / 50,
                 "unknown",
@@ -328,15 +335,15 @@
 }
 
 fn call_on(id: &str, at: u64, path: &str, outcome: &str, reason: &str) -> Value {
-    let mut made = call(id, at, outcome);
-    made["path"] = json!(path);
-    made["reason"] = json!(reason);
-    made["once"] = json!(false);
-    made
+    let mut made_call = call_record(id, at, outcome);
+    made_call["path"] = json!(path);
+    made_call["reason"] = json!(reason);
+    made_call["once"] = json!(false);
+    made_call
 }
 
 #[gtest]
-fn an_ingress_without_an_accepted_route_is_found() -> Result<()> {
+fn an_ingress_with_an_outdated_route_is_found() -> Result<()> {
     let name = "a door without an accepted spec after 3 s";
     let with_call_at = |at: u64| {
         let mut day = clean_day();
@@ -365,16 +372,16 @@
         day.callers
             .push(call_on("b2", 34 * SECOND, "/b", "answer", ""));
         day.platform_stub
-            .extend(run("b2", 34 * SECOND + 1000, "r-1-1", 700));
+            .extend(run_records("b2", 34 * SECOND + 1000, "r-1-1", 700));
     });
     verify_that!(gone, contains(eq(name)))
 }
 
 #[gtest]
-fn a_run_that_only_a_refused_change_explains_is_found() -> Result<()> {
+fn a_run_configured_only_by_a_refused_change_is_found() -> Result<()> {
     let mut day = clean_day();
     day.journal
-        .push(change(5 * SECOND, 1, "c9", "not_accepted", "g"));
+        .push(change_record(5 * SECOND, 1, "c9", "not_accepted", "g"));
     verify_that!(violated_checks(&day), is_empty())?;
     day.platform_stub[121]["function"] = json!("g@2");
     verify_that!(
@@ -384,22 +391,22 @@
 }
 
 #[gtest]
-fn a_leaving_runner_still_used_is_found() -> Result<()> {
-    let leaves = |at: u64| {
+fn a_run_on_a_leaving_runner_is_found() -> Result<()> {
+    let violated_after_leaving = |at: u64| {
         let mut day = clean_day();
         day.platform_stub
             .push(json!({"kind": "runner_leaves", "at": at, "runner": "r-1-1"}));
         violated_checks(&day)
     };
-    verify_that!(leaves(11 * SECOND), is_empty())?;
+    verify_that!(violated_after_leaving(11 * SECOND), is_empty())?;
     verify_that!(
-        leaves(8 * SECOND),
+        violated_after_leaving(8 * SECOND),
         elements_are![eq("a leaving runner or draining worker used after 3 s")]
     )
 }
 
 #[gtest]
-fn answers_that_end_unknown_at_an_orderly_stop_are_found() -> Result<()> {
+fn unknown_outcomes_at_a_graceful_stop_are_found() -> Result<()> {
     let name = "an orderly stop drops answers in hand";
     let with_end = |outcome: &str, reason: &str, ingress: &str| {
         let mut day = clean_day();
@@ -423,12 +430,12 @@
 }
 
 #[gtest]
-fn extra_tries_are_counted_for_each_function_to_the_last_one() -> Result<()> {
-    let with_extras = |count: usize| {
+fn retries_over_the_budget_of_a_function_are_found() -> Result<()> {
+    let with_retries = |count: usize| {
         let mut day = clean_day();
         for number in 0..count {
             day.callers[number]["once"] = json!(false);
-            let mut retried_run = run(
+            let mut retried_run = run_records(
                 &format!("t{number}"),
                 13 * SECOND + number as u64,
                 "r-1-1",
@@ -439,15 +446,15 @@
         }
         violated_checks(&day)
     };
-    verify_that!(with_extras(21), is_empty())?;
+    verify_that!(with_retries(21), is_empty())?;
     verify_that!(
-        with_extras(24),
+        with_retries(24),
         elements_are![eq("extra tries above a fifth in 10 s")]
     )
 }
 
 #[gtest]
-fn a_check_that_its_fault_should_exercise_but_saw_no_case_fails_the_day() -> Result<()> {
+fn a_day_fails_if_a_fault_did_not_exercise_its_check() -> Result<()> {
     let mut day = clean_day();
     day.journal
         .push(json!({"kind": "fault", "at": 5 * SECOND, "fault": "evacuate", "heavy": false}));
@@ -459,7 +466,7 @@
 }
 
 #[gtest]
-fn records_that_are_missing_cut_short_or_foreign_are_refused_with_file_and_line() -> Result<()> {
+fn missing_truncated_and_incomplete_records_are_rejected_with_file_and_line() -> Result<()> {
     let folder = std::env::temp_dir().join(format!("rudder-judge-{}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("a folder");
     let write = |name: &str, text: &str| std::fs::write(folder.join(name), text).expect("a file");
@@ -468,7 +475,7 @@
         Err(error) => error.to_string(),
     };
     verify_that!(error(), contains_substring("callers.jsonl"))?;
-    let complete_call = call("t", SECOND, "answer").to_string();
+    let complete_call = call_record("t", SECOND, "answer").to_string();
     write("callers.jsonl", &format!("{complete_call}\n"));
     verify_that!(error(), contains_substring("platform-stub.jsonl"))?;
     write("platform-stub.jsonl", "{\"kind\": \"probe\", \"at\": 1}\n");
--- a/testing/fleet/tests/layout.rs
+++ b/testing/fleet/tests/layout.rs
@@ -1,4 +1,4 @@
-//! The addresses of fleets of real processes: fleets that are laid out at the same time share none.
+//! Tests of the addresses of fleets of real processes.
 
 use common::frames::SocketAddress;
 use fleet::days::Deployment;
@@ -8,10 +8,10 @@
 use std::path::Path;
 
 const FLEET_COUNT: usize = 60;
-/// How many fleets can have addresses at the same time.
+/// The number of fleets that can have addresses at the same time.
 const BLOCK_COUNT: usize = 254;
 
-/// Every address that a process of the fleet listens on.
+/// Returns all addresses on which processes of the fleet or their network proxies listen.
 fn addresses_of(layout: &Layout) -> Vec<SocketAddress> {
     let endpoints = layout
         .machines
@@ -25,9 +25,10 @@
     addresses
 }
 
-/// Found in CI: a fleet was not bootstrapped in time while another test started its own.
+/// Guards against two concurrent fleets using the same address, which kept a fleet in CI from bootstrapping in time
+/// while another test started its own.
 #[gtest]
-fn fleets_laid_out_at_once_share_no_address() -> Result<()> {
+fn concurrent_fleets_share_no_address() -> Result<()> {
     let folder = std::env::temp_dir().join(format!("rudderstream-layout-{}", std::process::id()));
     let sizes = Deployment::Small.sizes();
     let mut layouts = Vec::new();
@@ -55,7 +56,7 @@
 }
 
 #[gtest]
-fn the_addresses_of_a_fleet_that_ended_are_used_again() -> Result<()> {
+fn the_addresses_of_a_dropped_layout_are_reused() -> Result<()> {
     let folder = std::env::temp_dir().join(format!("rudderstream-again-{}", std::process::id()));
     let sizes = Deployment::Small.sizes();
     for _ in 0..2 * BLOCK_COUNT {
--- a/testing/fleet/tests/smoke.rs
+++ b/testing/fleet/tests/smoke.rs
@@ -1,4 +1,5 @@
-//! Smoke tests of real processes: bootstrap, a spec, answers, a killed lease holder, and bad input.
+//! Smoke test of a fleet of real processes: bootstrap, changes of the spec, calls, malformed input, and lost lease
+//! holders and leaders.
 
 #[path = "support/programs.rs"]
 mod programs;
@@ -16,6 +17,7 @@
 use std::time::Duration;
 use tokio::io::AsyncWriteExt;
 
+/// Sends bursts of one call for each route until all calls of a burst are answered.
 async fn call_until_answered(fleet: &Fleet, seed: u64, ingress: Option<SocketAddress>) -> Value {
     let mut total = json!({});
     for round in 0..200 {
@@ -54,7 +56,7 @@
     call_until_answered(fleet, 1, None).await;
 
     put_refused_and_repeated_specs(fleet, &spec).await?;
-    trace(fleet);
+    verify_trace(fleet);
     send_bad_calls(fleet).await;
     send_garbage(fleet).await;
 
@@ -67,7 +69,7 @@
     Ok(())
 }
 
-/// A change on an overtaken version, an invalid one, and one that is sent again.
+/// Sends a change with a stale base version, an invalid one, and one that was accepted before.
 async fn put_refused_and_repeated_specs(fleet: &Fleet, spec: &Value) -> Result<(), FleetError> {
     let (status, stale) = fleet.put_spec(1, "stale", spec, "accepted").await?;
     assert_eq!((status, &stale["serial"]), (409, &json!(2)));
@@ -87,7 +89,7 @@
     Ok(())
 }
 
-/// The ingress of a running daemon other than this one.
+/// Returns the ingress of a running daemon other than this one.
 fn other_ingress(fleet: &Fleet, daemon: &str) -> Option<SocketAddress> {
     let other = fleet
         .running("daemon")
@@ -126,7 +128,8 @@
     fleet.await_ready(3).await
 }
 
-fn trace(fleet: &Fleet) {
+/// Checks that `rudderctl trace` shows a change's acknowledgements, and fails for an unknown version.
+fn verify_trace(fleet: &Fleet) {
     let operators: Vec<String> = fleet
         .layout
         .operators()
@@ -167,15 +170,15 @@
         (400, &json!("not_run"))
     );
     assert_eq!(no_header.headers["rudder-outcome"], "not_run");
-    let identity = "rudder-transaction: odd-1\r\nrudder-budget-ms: 1000\r\nhost: here\r\n\
+    let common_headers = "rudder-transaction: odd-1\r\nrudder-budget-ms: 1000\r\nhost: here\r\n\
                     connection: close\r\n";
     let half_sent =
-        format!("POST /segment-check HTTP/1.1\r\n{identity}content-length: 10\r\n\r\nabc");
+        format!("POST /segment-check HTTP/1.1\r\n{common_headers}content-length: 10\r\n\r\nabc");
     let too_large =
-        format!("POST /segment-check HTTP/1.1\r\n{identity}content-length: 99999999\r\n\r\n");
-    let no_route = format!("POST /nowhere HTTP/1.1\r\n{identity}content-length: 0\r\n\r\n");
+        format!("POST /segment-check HTTP/1.1\r\n{common_headers}content-length: 99999999\r\n\r\n");
+    let no_route = format!("POST /nowhere HTTP/1.1\r\n{common_headers}content-length: 0\r\n\r\n");
     let no_budget = "POST /segment-check HTTP/1.1\r\nhost: here\r\nconnection: close\r\nrudder-transaction: odd-2\r\nrudder-budget-ms: soon\r\ncontent-length: 0\r\n\r\n";
-    half_closes(ingress, &half_sent).await;
+    send_half_closed(ingress, &half_sent).await;
     for (sent, status, reason) in [
         (too_large.as_str(), "413", "body_too_large"),
         (&no_route, "404", "no_route"),
@@ -191,8 +194,8 @@
     }
 }
 
-/// A caller that ends its request within the body is refused, or its connection is closed; both are correct.
-async fn half_closes(ingress: SocketAddress, half_sent: &str) {
+/// Checks that a caller that closes its sending side within the body gets an error or no response; both are correct.
+async fn send_half_closed(ingress: SocketAddress, half_sent: &str) {
     let answer = raw_call(ingress, half_sent, true).await;
     assert!(answer.is_empty() || answer.contains("bad_body"), "{answer}");
 }
@@ -222,7 +225,7 @@
         let address: std::net::SocketAddr = settings["place"]
             .as_str()
             .and_then(|text| text.parse().ok())
-            .expect("a place");
+            .expect("an address");
         for sent_bytes in [
             &b"GET / HTTP/1.1\r\n\r\n"[..],
             b"RU\x01\x02\xff\xff\xff\xff",
@@ -245,7 +248,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_small_fleet_serves_through_a_killed_holder_and_a_killed_leader() {
+async fn a_small_fleet_survives_a_killed_holder_a_killed_leader_and_an_isolated_holder() {
     let folder = std::env::temp_dir().join(format!("rudder-smoke-{}", std::process::id()));
     let sizes = Sizes {
         daemons: 3,
--- a/testing/fleet/tests/soak.rs
+++ b/testing/fleet/tests/soak.rs
@@ -1,4 +1,5 @@
-//! A short soak of real processes under overlapping faults; and that a failed request can be traced in their logs.
+//! Tests of the soak: its schedule, a short run with overlapping faults, tracing a failed request in the logs, and the
+//! journal entry of a change without a response.
 
 #[path = "support/programs.rs"]
 mod programs;
@@ -17,52 +18,54 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-fn folder(name: &str) -> PathBuf {
+fn fresh_folder(name: &str) -> PathBuf {
     let folder = std::env::temp_dir().join(format!("rudderstream-{name}-{}", std::process::id()));
     let _ = std::fs::remove_dir_all(&folder);
     folder
 }
 
 #[gtest]
-fn a_seed_draws_the_same_faults_and_three_of_them_overlap() -> Result<()> {
-    let lasts = Duration::from_secs(30);
+fn a_seed_always_gives_the_same_schedule_with_three_overlapping_faults() -> Result<()> {
+    let duration = Duration::from_secs(30);
     for seed in 1..=50 {
-        let planned_faults = draw_schedule(seed, 3, lasts);
-        verify_that!(draw_schedule(seed, 3, lasts) == planned_faults, eq(true))?;
+        let planned_faults = draw_schedule(seed, 3, duration);
+        verify_that!(draw_schedule(seed, 3, duration) == planned_faults, eq(true))?;
         verify_that!(max_concurrent(&planned_faults), eq(3))?;
         verify_that!(
-            planned_faults.iter().all(|held| held.until <= lasts),
+            planned_faults
+                .iter()
+                .all(|planned| planned.until <= duration),
             eq(true)
         )?;
     }
     Ok(())
 }
 
-/// A short soak. Complete ones with many seeds: `fleet soak --count 50 --folder FOLDER`.
+/// Runs a short soak. A full one with many seeds is run by `fleet soak --count 50 --folder FOLDER`.
 #[gtest]
-fn a_short_soak_finds_nothing() -> Result<()> {
+fn a_short_soak_has_no_findings() -> Result<()> {
     let soak = Soak {
         seed: 4,
         duration: Duration::from_secs(8),
         lanes: 2,
-        folder: folder("soak"),
+        folder: fresh_folder("soak"),
         programs: programs(),
         disabled_rule: None,
         daemons: 6,
     };
     let runtime = common::command_line::runtime(2)?;
-    let end = runtime.block_on(run_soak(&soak))?;
-    verify_that!(end.findings(), is_empty())?;
-    verify_that!(max_concurrent(&end.planned_faults), eq(2))?;
-    verify_that!(end.verdict.statistics.calls, ge(500))?;
+    let soak_result = runtime.block_on(run_soak(&soak))?;
+    verify_that!(soak_result.findings(), is_empty())?;
+    verify_that!(max_concurrent(&soak_result.planned_faults), eq(2))?;
+    verify_that!(soak_result.verdict.statistics.calls, ge(500))?;
     std::fs::remove_dir_all(&soak.folder)?;
     Ok(())
 }
 
-async fn call(ingress: SocketAddress, identity: &str) -> std::io::Result<String> {
+async fn call(ingress: SocketAddress, idempotency_key: &str) -> std::io::Result<String> {
     let mut stream = TcpStream::connect(ingress.to_std()).await?;
     let head = format!(
-        "POST /canary HTTP/1.1\r\nhost: x\r\nconnection: close\r\nrudder-transaction: {identity}\r\n\
+        "POST /canary HTTP/1.1\r\nhost: x\r\nconnection: close\r\nrudder-transaction: {idempotency_key}\r\n\
          rudder-budget-ms: 3000\r\ncontent-length: 2\r\n\r\n{{}}"
     );
     stream.write_all(head.as_bytes()).await?;
@@ -71,20 +74,26 @@
     Ok(answer)
 }
 
-/// The numbers of events with this idempotency key, and the machines whose logs have them.
-fn logged(folder: &Path, machines: &[String], identity: &str) -> Vec<(String, String)> {
+/// Returns the numbers of logged events with this idempotency key, each with the machine that logged it.
+fn logged_events(
+    folder: &Path,
+    machines: &[String],
+    idempotency_key: &str,
+) -> Vec<(String, String)> {
     let mut found = Vec::new();
     for machine in machines {
         let log_text = std::fs::read_to_string(folder.join(format!("{machine}.log")));
         let log_text = log_text.unwrap_or_default();
-        let lines = log_text.lines().filter(|line| line.contains(identity));
+        let lines = log_text
+            .lines()
+            .filter(|line| line.contains(idempotency_key));
         let numbers = lines.filter_map(|line| Some(line.split_once("[E")?.1.get(..4)?.to_owned()));
         found.extend(numbers.map(|number| (machine.clone(), number)));
     }
     found
 }
 
-async fn failed_request(
+async fn events_of_failed_request(
     fleet: &mut Fleet,
 ) -> std::result::Result<Vec<(String, String)>, FleetError> {
     fleet.bootstrap().await?;
@@ -98,24 +107,24 @@
         .call_operators(Method::GET, "/v1/holders", None)
         .await?;
     let daemons = fleet.running("daemon");
-    let identity = "followed-by-its-identity";
-    let ingress = fleet.ingress_of(&daemons[0]).expect("a door");
-    let answer = call(ingress, identity).await.expect("an answer");
+    let idempotency_key = "followed-by-its-identity";
+    let ingress = fleet.ingress_of(&daemons[0]).expect("an ingress");
+    let answer = call(ingress, idempotency_key).await.expect("an answer");
     assert!(!answer.starts_with("HTTP/1.1 200"), "{answer} {body}");
     let folder = fleet.folder().to_owned();
     fleet.shut_down().await;
-    Ok(logged(&folder, &daemons, identity))
+    Ok(logged_events(&folder, &daemons, idempotency_key))
 }
 
 #[gtest]
 fn a_failed_request_is_traced_by_its_key_from_ingress_to_runner() -> Result<()> {
-    let folder = folder("followed");
+    let folder = fresh_folder("followed");
     let sizes = Deployment::Small.sizes();
     let layout = Layout::new(&folder, &programs(), &sizes, 1, false)?;
     let runtime = common::command_line::runtime(2)?;
     let found = runtime.block_on(async {
         let mut fleet = Fleet::start(layout).await?;
-        failed_request(&mut fleet).await
+        events_of_failed_request(&mut fleet).await
     })?;
     let numbers: Vec<&str> = found.iter().map(|(_, number)| number.as_str()).collect();
     verify_that!(numbers, contains(eq(&"3201")))?;
@@ -132,10 +141,11 @@
     Ok(())
 }
 
-/// Found by the soak with seed 208: a change whose operator gave up was accepted and not recorded.
+/// Guards against accepted changes that the journal does not record because their operator gave up waiting for the
+/// response; the judge would report their effects as violations. Found by the soak with seed 208.
 #[gtest]
-fn a_change_whose_sender_gives_up_is_recorded_as_unknown() -> Result<()> {
-    let folder = folder("given-up");
+fn a_change_without_a_response_is_recorded_as_unknown() -> Result<()> {
+    let folder = fresh_folder("given-up");
     std::fs::create_dir_all(&folder)?;
     let journal = Records::create(&folder.join("journal.jsonl"))?;
     let spec = Deployment::Small.spec("canary-b");
@@ -149,7 +159,7 @@
         .collect::<std::result::Result<_, _>>()?;
     let states: Vec<&str> = written
         .iter()
-        .filter_map(|note| note["state"].as_str())
+        .filter_map(|entry| entry["state"].as_str())
         .collect();
     verify_that!(states, elements_are![eq(&"unknown"), eq(&"accepted")])?;
     verify_that!(written[0]["paths"]["/canary"], eq(&json!("canary-b")))?;
--- a/testing/fleet/tests/support/clean_runs.rs
+++ b/testing/fleet/tests/support/clean_runs.rs
@@ -1,9 +1,9 @@
-//! Simulated days that must be without violations.
+//! Simulated days that must not have violations.
 
 use fleet::sim::{SimPlan, SimResult, Simulation};
 use googletest::prelude::*;
 
-/// Runs the day, and verifies that it violated no safety check; returns its result.
+/// Runs a simulated day and verifies that it violated no safety check. Returns its result.
 pub(crate) fn verify_clean(plan: SimPlan) -> Result<SimResult> {
     let seed = plan.seed;
     let sim_result = Simulation::new(plan, false).run();
--- a/testing/fleet/tests/support/programs.rs
+++ b/testing/fleet/tests/support/programs.rs
@@ -1,11 +1,11 @@
-//! The folder of the programs that the workspace builds.
+//! Finds the programs that the workspace builds.
 
 use std::path::{Path, PathBuf};
 
-/// Where the workspace puts its programs: the folder above that of the test's own executable.
+/// Returns the folder of the workspace's programs, which is the parent of the folder of the test's own executable.
 ///
 /// # Panics
-/// If the workspace is not built.
+/// Panics if the workspace is not built.
 pub(crate) fn programs() -> PathBuf {
     let own_path = std::env::current_exe().expect("a path");
     let folder = own_path
