--- a/testing/fleet/src/judge/checks/service.rs
+++ b/testing/fleet/src/judge/checks/service.rs
@@ -40,7 +40,7 @@
     check
 }
 
-/// Returns the violation if a call lost its answer that was in flight when the daemon with the given ingress stopped.
+/// Returns the violation if a call that was in flight when the daemon with the given ingress stopped lost its answer.
 fn dropped_answer(call: &Call, stopping: &str) -> Option<String> {
     if call.ingress == stopping {
         call.is_indeterminate()
@@ -88,9 +88,8 @@
         .collect()
 }
 
-/// Checks that a daemon that stops gracefully responds to every request that it has read, whatever other faults there
-/// are, and be it only with an unknown outcome. A request that arrives while the daemon closes the connection was not
-/// read.
+/// Checks that a daemon that stops gracefully responds to every request that it has read, even if only with an unknown
+/// outcome, and even under other faults. A request that arrives while the daemon closes the connection was not read.
 pub(super) fn unanswered_at_stop(evidence: &Evidence) -> Check {
     let mut check = Check::new(UNANSWERED_AT_STOP);
     let run_ids: BTreeSet<&str> = evidence
@@ -122,7 +121,7 @@
     check
 }
 
-/// The time after its caller disconnected within which a request may still reach a runner, in nanoseconds.
+/// The time for which a request may still reach a runner after its caller disconnected, in nanoseconds.
 const CANCELLATION_TIMEOUT: u64 = SECOND / 2;
 /// The number of requests that may reach a runner later than that.
 const MAX_LATE_RUNS: usize = 3;
