--- a/testing/fleet/src/commands/simulator.rs
+++ b/testing/fleet/src/commands/simulator.rs
@@ -80,7 +80,7 @@
         println!("{} seeds: digest {}", sim.count, run_digest.finish());
     }
     println!(
-        "{} seeds: {} with violations {violating_seeds:?}, {} not recovered {unrecovered_seeds:?}",
+        "{} seeds: {} with breaches {violating_seeds:?}, {} not back in service {unrecovered_seeds:?}",
         sim.count,
         violating_seeds.len(),
         unrecovered_seeds.len()
