--- a/crates/common/src/http/mod.rs
+++ b/crates/common/src/http/mod.rs
@@ -12,5 +12,5 @@
 pub use line_stream::{LineStreamEnd, follow_lines};
 pub use serve::{
     Body, BodyError, ConnectionLimits, HttpResponse, full_body, json_response, read_body, serve,
-    serve_callers, serve_connection, stream_body, text_response,
+    serve_connection, serve_with_limits, stream_body, text_response,
 };
--- a/crates/common/src/http/serve.rs
+++ b/crates/common/src/http/serve.rs
@@ -129,14 +129,14 @@
         header_bytes: MAX_HEAD_LENGTH,
         idle: IDLE_TIMEOUT,
     };
-    serve_callers(listener, handler, limits, stop).await;
+    serve_with_limits(listener, handler, limits, stop).await;
 }
 
 /// Serves as [`serve`] does, with limits that are looked up for each connection.
 ///
 /// Each connection has a task of its own, which is detached but joined by a channel: the function returns when all of
 /// them have ended.
-pub async fn serve_callers<H, F>(
+pub async fn serve_with_limits<H, F>(
     listener: TcpListener,
     handler: H,
     limits: impl Fn() -> ConnectionLimits,
--- a/crates/dataplane/src/server/ingress.rs
+++ b/crates/dataplane/src/server/ingress.rs
@@ -36,7 +36,7 @@
             }
         }
     };
-    http::serve_callers(listener, handler, times, stop).await;
+    http::serve_with_limits(listener, handler, times, stop).await;
 }
 
 /// Serves readiness and metrics at their own address until `stop`.
