--- a/crates/common/src/http/head.rs
+++ b/crates/common/src/http/head.rs
@@ -19,7 +19,7 @@
 
 /// Returns the value of a header; empty if the header is missing, is not text, or occurs more than once, so that it is
 /// ambiguous.
-pub fn single_text<'a>(headers: &'a HeaderMap, name: &str) -> &'a str {
+pub fn single_header_text<'a>(headers: &'a HeaderMap, name: &str) -> &'a str {
     let mut values = headers.get_all(name).iter();
     match (values.next(), values.next()) {
         (Some(value), None) => value.to_str().unwrap_or(""),
--- a/crates/common/src/http/mod.rs
+++ b/crates/common/src/http/mod.rs
@@ -7,7 +7,7 @@
 mod serve;
 
 pub use call::{CallError, CallResponse, call, call_json, connect, exchange};
-pub use head::{has_reliable_end, header_text, is_merged_response, set_header, single_text};
+pub use head::{has_reliable_end, header_text, is_merged_response, set_header, single_header_text};
 pub use keep_alive::{closes_connection, keep_alive_timeout};
 pub use line_stream::{LineStreamEnd, follow_lines};
 pub use serve::{
--- a/crates/dataplane/src/adapter/runner.rs
+++ b/crates/dataplane/src/adapter/runner.rs
@@ -3,7 +3,7 @@
 use bytes::Bytes;
 use common::adapter::{ReadinessProbe, RunnerCodec, RunnerRequest, RunnerResponse, SealKind};
 use common::frames::SocketAddress;
-use common::http::{closes_connection, single_text};
+use common::http::{closes_connection, single_header_text};
 use common::seal;
 use http_body_util::Full;
 use hyper::header::{CONTENT_TYPE, HOST, HeaderMap};
@@ -52,10 +52,10 @@
     ) -> RunnerResponse {
         RunnerResponse {
             status: status.as_u16(),
-            idempotency_key: single_text(headers, seal::IDEMPOTENCY_KEY).to_owned(),
-            function: Some(single_text(headers, seal::FUNCTION).to_owned()),
-            runner: Some(single_text(headers, seal::RUNNER).to_owned()),
-            seal: single_text(headers, seal::SEAL).to_owned(),
+            idempotency_key: single_header_text(headers, seal::IDEMPOTENCY_KEY).to_owned(),
+            function: Some(single_header_text(headers, seal::FUNCTION).to_owned()),
+            runner: Some(single_header_text(headers, seal::RUNNER).to_owned()),
+            seal: single_header_text(headers, seal::SEAL).to_owned(),
             seal_kind: SealKind::Digest,
             did_not_run: headers.contains_key(seal::REJECTED),
             is_other_runner: false,
--- a/crates/dataplane/src/drivers/runners.rs
+++ b/crates/dataplane/src/drivers/runners.rs
@@ -10,7 +10,9 @@
 use common::clock::MonotonicTime;
 use common::events;
 use common::frames::{RequestFailureReason, SocketAddress};
-use common::http::{CallResponse, call_json, closes_connection, keep_alive_timeout, single_text};
+use common::http::{
+    CallResponse, call_json, closes_connection, keep_alive_timeout, single_header_text,
+};
 use common::identity::{IdempotencyKey, RunnerId, Ticket};
 use common::log_event;
 use common::seal;
@@ -251,7 +253,7 @@
             let called = call_json(address, Method::GET, path, None, timeout).await;
             called.is_ok_and(|called| {
                 called.status == StatusCode::OK
-                    && single_text(&called.headers, name_header)
+                    && single_header_text(&called.headers, name_header)
                         == held.self_reported_id_of(runner).to_string()
             })
         }
@@ -281,7 +283,7 @@
     let path = state.adapters.runner.running_path()?;
     match call_json(address, Method::GET, path, None, QUERY_TIMEOUT).await {
         Ok(called) => {
-            if single_text(&called.headers, seal::RUNNER) != runner.to_string() {
+            if single_header_text(&called.headers, seal::RUNNER) != runner.to_string() {
                 return None;
             }
             let body = called.json();
