--- a/crates/common/src/command_line.rs
+++ b/crates/common/src/command_line.rs
@@ -144,7 +144,7 @@
 pub fn reload_signal() -> std::io::Result<watch::Receiver<u64>> {
     let (reload_sender, reload) = watch::channel(0);
     let mut hangup_signals = signal(SignalKind::hangup())?;
-    if hangups::has_come() {
+    if hangups::any_received() {
         reload_sender.send_modify(|count| *count += 1);
     }
     tokio::spawn(async move {
--- a/crates/common/src/hangups.rs
+++ b/crates/common/src/hangups.rs
@@ -16,7 +16,7 @@
 
 /// From now on SIGHUPs are counted and do not end the process. It needs nothing of Rust's runtime, so that a program
 /// may call it before `main`.
-pub fn count_from_now_on() {
+pub fn start_counting() {
     let handler = count_hangup as extern "C" fn(libc::c_int);
     // SAFETY: the handler does nothing but add to an atomic, which is allowed in a handler of signals.
     unsafe {
@@ -25,6 +25,6 @@
 }
 
 /// Whether a SIGHUP has come since they are counted.
-pub(crate) fn has_come() -> bool {
+pub(crate) fn any_received() -> bool {
     HANGUP_COUNT.load(Ordering::Relaxed) > 0
 }
--- a/crates/common/tests/reload.rs
+++ b/crates/common/tests/reload.rs
@@ -45,7 +45,7 @@
 fn a_hang_up_during_the_start_is_reported_once_reloads_are_awaited() -> Result<()> {
     let runtime = common::command_line::runtime(1)?;
     runtime.block_on(async {
-        common::hangups::count_from_now_on();
+        common::hangups::start_counting();
         // SAFETY: the signal has a handler, which runs in this thread before the call returns.
         unsafe { libc::raise(libc::SIGHUP) };
         let reload = common::command_line::reload_signal()?;
--- a/programs/controller/src/main.rs
+++ b/programs/controller/src/main.rs
@@ -84,7 +84,7 @@
 /// Runs before `main`: the settings may be reloaded as soon as the process exists.
 #[ctor::ctor(unsafe)]
 fn count_early_hangups() {
-    common::hangups::count_from_now_on();
+    common::hangups::start_counting();
 }
 
 fn main() -> ExitCode {
--- a/testing/fleet/src/faulty_disk_controller.rs
+++ b/testing/fleet/src/faulty_disk_controller.rs
@@ -57,7 +57,7 @@
 /// Runs before `main`: the settings may be reloaded as soon as the process exists.
 #[ctor::ctor(unsafe)]
 fn count_early_hangups() {
-    common::hangups::count_from_now_on();
+    common::hangups::start_counting();
 }
 
 fn main() -> eyre::Result<()> {
