--- a/crates/common/src/command_line.rs
+++ b/crates/common/src/command_line.rs
@@ -202,7 +202,7 @@
 
 /// Starts the log at the level that `RUST_LOG` names, or `info`. From then on a violated invariant is counted instead of
 /// ending the process.
-pub fn start_log() {
+pub fn init_logging() {
     invariants::count_only();
     env_logger::Builder::from_env(env_logger::Env::default().default_filter_or("info")).init();
 }
--- a/programs/controller/src/main.rs
+++ b/programs/controller/src/main.rs
@@ -89,7 +89,7 @@
 
 fn main() -> ExitCode {
     let flags = PROGRAM.flags(|flags: &Flags| flags.version);
-    command_line::start_log();
+    command_line::init_logging();
     let settings = match read_settings(&flags) {
         Ok(settings) => settings,
         Err(error) => return PROGRAM.fail(error, 2),
--- a/testing/fleet/src/faulty_disk_controller.rs
+++ b/testing/fleet/src/faulty_disk_controller.rs
@@ -62,7 +62,7 @@
 
 fn main() -> eyre::Result<()> {
     let flags = PROGRAM.flags(|flags: &Flags| flags.version);
-    command_line::start_log();
+    command_line::init_logging();
     let settings_source =
         SettingsSource::open(Some(&flags.boot)).map_err(|error| eyre!("{error}"))?;
     let settings = ControllerSettings::read(&settings_source).map_err(|error| eyre!("{error}"))?;
--- a/testing/platform-stub/src/main.rs
+++ b/testing/platform-stub/src/main.rs
@@ -57,7 +57,7 @@
 
 fn main() -> eyre::Result<()> {
     let flags = PROGRAM.flags(|flags: &Flags| flags.version);
-    command_line::start_log();
+    command_line::init_logging();
     let doors = flags
         .doors
         .split(',')
