--- a/crates/common/src/command_line.rs
+++ b/crates/common/src/command_line.rs
@@ -47,7 +47,7 @@
 
     /// Parses the process's arguments. Prints the help or the version and exits with code 0 if one is
     /// requested; prints an error and exits with code 2 if the arguments are invalid.
-    pub fn flags<T: Options>(self, requests_version: impl FnOnce(&T) -> bool) -> T {
+    pub fn parse_flags<T: Options>(self, requests_version: impl FnOnce(&T) -> bool) -> T {
         let arguments: Vec<String> = std::env::args().skip(1).collect();
         match T::parse_args(&arguments, ParsingStyle::default()) {
             Ok(flags) if flags.help_requested() => {
--- a/programs/daemon/src/main.rs
+++ b/programs/daemon/src/main.rs
@@ -70,7 +70,7 @@
 }
 
 fn main() -> ExitCode {
-    let flags = PROGRAM.flags(|flags: &Flags| flags.version);
+    let flags = PROGRAM.parse_flags(|flags: &Flags| flags.version);
     command_line::init_logging();
     let settings = match read_settings(&flags) {
         Ok(settings) => settings,
--- a/programs/rudderctl/src/main.rs
+++ b/programs/rudderctl/src/main.rs
@@ -30,7 +30,7 @@
     Program::new("rudderctl", env!("CARGO_PKG_VERSION")).with_examples(EXAMPLES);
 
 fn main() -> ExitCode {
-    let flags = PROGRAM.flags(|flags: &Flags| flags.version);
+    let flags = PROGRAM.parse_flags(|flags: &Flags| flags.version);
     let Some(command) = flags.command else {
         return PROGRAM.fail("no command; try --help", 2);
     };
--- a/testing/fleet/src/daemon_without_rule.rs
+++ b/testing/fleet/src/daemon_without_rule.rs
@@ -31,7 +31,7 @@
 }
 
 fn main() -> eyre::Result<()> {
-    let flags = PROGRAM.flags(|flags: &Flags| flags.version);
+    let flags = PROGRAM.parse_flags(|flags: &Flags| flags.version);
     command_line::init_logging();
     let rule = Rule::by_name(&flags.without)
         .ok_or_else(|| eyre!("--without: no such rule: {:?}", flags.without))?;
--- a/testing/fleet/src/faulty_disk_controller.rs
+++ b/testing/fleet/src/faulty_disk_controller.rs
@@ -61,7 +61,7 @@
 }
 
 fn main() -> eyre::Result<()> {
-    let flags = PROGRAM.flags(|flags: &Flags| flags.version);
+    let flags = PROGRAM.parse_flags(|flags: &Flags| flags.version);
     command_line::init_logging();
     let settings_source =
         SettingsSource::open(Some(&flags.boot)).map_err(|error| eyre!("{error}"))?;
--- a/testing/fleet/src/main.rs
+++ b/testing/fleet/src/main.rs
@@ -21,7 +21,7 @@
 const PROGRAM: Program = Program::new("fleet", env!("CARGO_PKG_VERSION"));
 
 fn main() -> ExitCode {
-    let flags = PROGRAM.flags(|flags: &Flags| flags.version);
+    let flags = PROGRAM.parse_flags(|flags: &Flags| flags.version);
     let ended = match flags.command {
         None => return PROGRAM.fail("no command; try --help", 2),
         Some(Command::List(_)) => {
--- a/testing/loadgen/src/main.rs
+++ b/testing/loadgen/src/main.rs
@@ -22,7 +22,7 @@
 const PROGRAM: Program = Program::new("loadgen", env!("CARGO_PKG_VERSION"));
 
 fn main() -> ExitCode {
-    let flags = PROGRAM.flags(|flags: &Flags| flags.version);
+    let flags = PROGRAM.parse_flags(|flags: &Flags| flags.version);
     let read_plan = SettingsSource::open(flags.plan.as_deref())
         .map_err(loadgen::PlanError::from)
         .and_then(|source| Plan::read(&source));
--- a/testing/platform-stub/src/main.rs
+++ b/testing/platform-stub/src/main.rs
@@ -56,7 +56,7 @@
 const PROGRAM: Program = Program::new("platform-stub", env!("CARGO_PKG_VERSION"));
 
 fn main() -> eyre::Result<()> {
-    let flags = PROGRAM.flags(|flags: &Flags| flags.version);
+    let flags = PROGRAM.parse_flags(|flags: &Flags| flags.version);
     command_line::init_logging();
     let doors = flags
         .doors
