--- a/crates/common/src/seal.rs
+++ b/crates/common/src/seal.rs
@@ -8,25 +8,25 @@
 use std::fmt::Write;
 
 /// Header with the idempotency key.
-pub const IDEMPOTENCY_KEY: &str = "rudder-transaction";
+pub const IDEMPOTENCY_KEY_HEADER: &str = "rudder-transaction";
 /// Header with the caller's time-out in milliseconds.
-pub const TIMEOUT: &str = "rudder-budget-ms";
+pub const TIMEOUT_HEADER: &str = "rudder-budget-ms";
 /// Header by which a caller marks a repeat of an earlier request.
-pub const REPEAT_OF: &str = "rudder-repeat-of";
+pub const REPEAT_OF_HEADER: &str = "rudder-repeat-of";
 /// Header with the outcome: `answer`, `not_run` or `unknown`.
-pub const OUTCOME: &str = "rudder-outcome";
+pub const OUTCOME_HEADER: &str = "rudder-outcome";
 /// Header with the function's key.
-pub const FUNCTION: &str = "rudder-function";
+pub const FUNCTION_HEADER: &str = "rudder-function";
 /// Header with the runner's identity.
-pub const RUNNER: &str = "rudder-runner";
+pub const RUNNER_HEADER: &str = "rudder-runner";
 /// Header with the fencing token of the lease under which a runner is sent a request.
-pub const FENCING_TOKEN: &str = "rudder-grant";
+pub const FENCING_TOKEN_HEADER: &str = "rudder-grant";
 /// Header with the number of the attempt to run one request, from one.
-pub const ATTEMPT: &str = "rudder-attempt";
+pub const ATTEMPT_HEADER: &str = "rudder-attempt";
 /// Header with the seal.
-pub const SEAL: &str = "rudder-seal";
+pub const SEAL_HEADER: &str = "rudder-seal";
 /// Header by which a runner reports that it rejected the request and did not run it.
-pub const REJECTED: &str = "rudder-shed";
+pub const REJECTED_HEADER: &str = "rudder-shed";
 
 /// Encodes bytes in lower-case hexadecimal.
 pub fn hex(bytes: &[u8]) -> String {
--- a/crates/dataplane/src/adapter/ingress.rs
+++ b/crates/dataplane/src/adapter/ingress.rs
@@ -54,7 +54,7 @@
         body["retry_after_ms"] = json!(retry_after.as_millis() as u64);
     }
     let mut response = json_response(status_for(kind), &body);
-    set_header(&mut response, seal::OUTCOME, "not_run");
+    set_header(&mut response, seal::OUTCOME_HEADER, "not_run");
     if let Some(retry_after) = retry_after {
         set_retry_after(&mut response, retry_after);
     }
@@ -68,7 +68,7 @@
         "retry_after_ms": retry_after.as_millis() as u64,
     });
     let mut response = json_response(StatusCode::GATEWAY_TIMEOUT, &body);
-    set_header(&mut response, seal::OUTCOME, "unknown");
+    set_header(&mut response, seal::OUTCOME_HEADER, "unknown");
     set_retry_after(&mut response, retry_after);
     response
 }
@@ -85,12 +85,12 @@
     response
         .headers_mut()
         .insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
-    set_header(&mut response, seal::OUTCOME, "answer");
-    set_header(&mut response, seal::FUNCTION, &function.to_string());
-    set_header(&mut response, seal::RUNNER, &runner.to_string());
+    set_header(&mut response, seal::OUTCOME_HEADER, "answer");
+    set_header(&mut response, seal::FUNCTION_HEADER, &function.to_string());
+    set_header(&mut response, seal::RUNNER_HEADER, &runner.to_string());
     set_header(
         &mut response,
-        seal::SEAL,
+        seal::SEAL_HEADER,
         std::str::from_utf8(body_seal).unwrap_or(""),
     );
     response
@@ -98,15 +98,15 @@
 
 impl IngressCodec for NativeIngressCodec {
     fn idempotency_key_header(&self) -> &'static str {
-        seal::IDEMPOTENCY_KEY
+        seal::IDEMPOTENCY_KEY_HEADER
     }
 
     fn timeout_header(&self) -> &'static str {
-        seal::TIMEOUT
+        seal::TIMEOUT_HEADER
     }
 
     fn is_repeat(&self, headers: &HeaderMap) -> bool {
-        headers.contains_key(seal::REPEAT_OF)
+        headers.contains_key(seal::REPEAT_OF_HEADER)
     }
 
     fn forwarded_header_fields(&self, _headers: &HeaderMap) -> Vec<HeaderField> {
@@ -141,7 +141,7 @@
         if let Some(idempotency_key) = idempotency_key {
             set_header(
                 &mut response,
-                seal::IDEMPOTENCY_KEY,
+                seal::IDEMPOTENCY_KEY_HEADER,
                 idempotency_key.as_str(),
             );
         }
--- a/crates/dataplane/src/adapter/runner.rs
+++ b/crates/dataplane/src/adapter/runner.rs
@@ -24,22 +24,22 @@
             .header(HOST, address.to_string())
             .header(CONTENT_TYPE, "application/json")
             .header(
-                seal::IDEMPOTENCY_KEY,
+                seal::IDEMPOTENCY_KEY_HEADER,
                 runner_request.idempotency_key.as_str(),
             )
-            .header(seal::FUNCTION, runner_request.function.to_string())
-            .header(seal::ATTEMPT, runner_request.attempt.to_string())
+            .header(seal::FUNCTION_HEADER, runner_request.function.to_string())
+            .header(seal::ATTEMPT_HEADER, runner_request.attempt.to_string())
             .header(
-                seal::TIMEOUT,
+                seal::TIMEOUT_HEADER,
                 runner_request.remaining_time.as_millis().to_string(),
             );
         if let Some(runner) = runner_request.runner {
             request = request
                 .header(
-                    seal::RUNNER,
+                    seal::RUNNER_HEADER,
                     runner.self_reported_id(runner_request.instance).to_string(),
                 )
-                .header(seal::FENCING_TOKEN, runner.fencing_token.to_string());
+                .header(seal::FENCING_TOKEN_HEADER, runner.fencing_token.to_string());
         }
         request.body(Full::new(runner_request.payload.body.0.clone()))
     }
@@ -52,12 +52,12 @@
     ) -> RunnerResponse {
         RunnerResponse {
             status: status.as_u16(),
-            idempotency_key: single_header_text(headers, seal::IDEMPOTENCY_KEY).to_owned(),
-            function: Some(single_header_text(headers, seal::FUNCTION).to_owned()),
-            runner: Some(single_header_text(headers, seal::RUNNER).to_owned()),
-            seal: single_header_text(headers, seal::SEAL).to_owned(),
+            idempotency_key: single_header_text(headers, seal::IDEMPOTENCY_KEY_HEADER).to_owned(),
+            function: Some(single_header_text(headers, seal::FUNCTION_HEADER).to_owned()),
+            runner: Some(single_header_text(headers, seal::RUNNER_HEADER).to_owned()),
+            seal: single_header_text(headers, seal::SEAL_HEADER).to_owned(),
             seal_kind: SealKind::Digest,
-            did_not_run: headers.contains_key(seal::REJECTED),
+            did_not_run: headers.contains_key(seal::REJECTED_HEADER),
             is_other_runner: false,
             is_unreliable: false,
             closes_connection: closes_connection(headers),
@@ -67,7 +67,7 @@
     }
 
     fn readiness_probe(&self) -> ReadinessProbe {
-        ReadinessProbe::HttpGet("/ready", seal::RUNNER)
+        ReadinessProbe::HttpGet("/ready", seal::RUNNER_HEADER)
     }
 
     fn running_path(&self) -> Option<&'static str> {
--- a/crates/dataplane/src/drivers/runners.rs
+++ b/crates/dataplane/src/drivers/runners.rs
@@ -283,7 +283,7 @@
     let path = state.adapters.runner.running_path()?;
     match call_json(address, Method::GET, path, None, QUERY_TIMEOUT).await {
         Ok(called) => {
-            if single_header_text(&called.headers, seal::RUNNER) != runner.to_string() {
+            if single_header_text(&called.headers, seal::RUNNER_HEADER) != runner.to_string() {
                 return None;
             }
             let body = called.json();
--- a/crates/dataplane/tests/http_forms/callers.rs
+++ b/crates/dataplane/tests/http_forms/callers.rs
@@ -39,7 +39,7 @@
 
 #[test]
 fn callers_headers_have_their_names() {
-    let repeat = headers(&[(seal::REPEAT_OF, "try-0")]);
+    let repeat = headers(&[(seal::REPEAT_OF_HEADER, "try-0")]);
     let seen = json!({
         "identity": NativeIngressCodec.idempotency_key_header(),
         "budget": NativeIngressCodec.timeout_header(),
@@ -48,8 +48,8 @@
         "no repeat": NativeIngressCodec.is_repeat(&headers(&[])),
         "lines passed on": NativeIngressCodec.forwarded_header_fields(&headers(&[("x-own", "kept")])).len(),
         "names": [
-            seal::IDEMPOTENCY_KEY, seal::TIMEOUT, seal::REPEAT_OF, seal::OUTCOME, seal::FUNCTION,
-            seal::RUNNER, seal::FENCING_TOKEN, seal::ATTEMPT, seal::SEAL, seal::REJECTED,
+            seal::IDEMPOTENCY_KEY_HEADER, seal::TIMEOUT_HEADER, seal::REPEAT_OF_HEADER, seal::OUTCOME_HEADER, seal::FUNCTION_HEADER,
+            seal::RUNNER_HEADER, seal::FENCING_TOKEN_HEADER, seal::ATTEMPT_HEADER, seal::SEAL_HEADER, seal::REJECTED_HEADER,
         ],
     });
     check("caller_headers.json", &format!("{seen:#}\n"));
--- a/testing/loadgen/src/attempt.rs
+++ b/testing/loadgen/src/attempt.rs
@@ -43,10 +43,10 @@
             .uri(&self.route.path)
             .header(HOST, ingress.to_string())
             .header(CONTENT_TYPE, "application/json")
-            .header(seal::IDEMPOTENCY_KEY, self.identity)
-            .header(seal::TIMEOUT, self.timeout.as_millis().to_string());
+            .header(seal::IDEMPOTENCY_KEY_HEADER, self.identity)
+            .header(seal::TIMEOUT_HEADER, self.timeout.as_millis().to_string());
         if let Some(first_identity) = self.repeat_of {
-            request = request.header(seal::REPEAT_OF, first_identity);
+            request = request.header(seal::REPEAT_OF_HEADER, first_identity);
         }
         request.body(Full::new(self.body.clone())).ok()
     }
@@ -81,16 +81,16 @@
     called: &CallResponse,
 ) -> Value {
     let body = called.json();
-    let outcome = header_text(&called.headers, seal::OUTCOME);
+    let outcome = header_text(&called.headers, seal::OUTCOME_HEADER);
     let mut end = json!({"outcome": outcome, "status": called.status.as_u16()});
     if outcome == "answer" {
-        let function_text = header_text(&called.headers, seal::FUNCTION);
-        let runner_text = header_text(&called.headers, seal::RUNNER);
+        let function_text = header_text(&called.headers, seal::FUNCTION_HEADER);
+        let runner_text = header_text(&called.headers, seal::RUNNER_HEADER);
         let is_sealed = match (function_text.parse::<FunctionKey>(), runner_text.parse()) {
             (Ok(key), Ok(runner)) => {
                 let idempotency_key = IdempotencyKey::from(identity);
                 let right_seal = seal::seal(&idempotency_key, &key, runner, false, &called.body);
-                right_seal == header_text(&called.headers, seal::SEAL)
+                right_seal == header_text(&called.headers, seal::SEAL_HEADER)
                     && key.name.as_str().starts_with(&route.function)
             }
             _ => false,
--- a/testing/platform-stub/src/runner/mod.rs
+++ b/testing/platform-stub/src/runner/mod.rs
@@ -236,7 +236,7 @@
     fn plain_response(&self, status: StatusCode, body: impl Into<Bytes>) -> Response<Full<Bytes>> {
         let mut response = Response::new(Full::new(body.into()));
         *response.status_mut() = status;
-        put(&mut response, seal::RUNNER, &self.runner.to_string());
+        put(&mut response, seal::RUNNER_HEADER, &self.runner.to_string());
         response
     }
 
@@ -283,7 +283,7 @@
         if !self.is_addressed_by(&head.headers) {
             let detail = json!({
                 "runner": self.runner.to_string(),
-                "meant": header_text(&head.headers, seal::RUNNER),
+                "meant": header_text(&head.headers, seal::RUNNER_HEADER),
                 "transaction": request.idempotency_key.as_str(),
             });
             self.shared_state.records.add("misdirected", detail);
@@ -321,19 +321,24 @@
 
     fn read_run_request(&self, headers: &HeaderMap) -> RunRequest {
         RunRequest {
-            idempotency_key: IdempotencyKey::from(header_text(headers, seal::IDEMPOTENCY_KEY)),
-            fencing_token: header_text(headers, seal::FENCING_TOKEN)
+            idempotency_key: IdempotencyKey::from(header_text(
+                headers,
+                seal::IDEMPOTENCY_KEY_HEADER,
+            )),
+            fencing_token: header_text(headers, seal::FENCING_TOKEN_HEADER)
                 .parse::<u64>()
                 .map(FencingToken::from)
                 .unwrap_or(self.runner.fencing_token),
-            attempt: header_text(headers, seal::ATTEMPT).parse().unwrap_or(0),
+            attempt: header_text(headers, seal::ATTEMPT_HEADER)
+                .parse()
+                .unwrap_or(0),
         }
     }
 
     /// Whether a request names this runner and its function.
     fn is_addressed_by(&self, headers: &HeaderMap) -> bool {
-        header_text(headers, seal::RUNNER) == self.runner.to_string()
-            && header_text(headers, seal::FUNCTION) == self.function.to_string()
+        header_text(headers, seal::RUNNER_HEADER) == self.runner.to_string()
+            && header_text(headers, seal::FUNCTION_HEADER) == self.function.to_string()
     }
 
     fn record_without_run(&self, kind: &str, idempotency_key: &IdempotencyKey) {
@@ -354,7 +359,7 @@
             true,
             refusal,
         );
-        put(&mut response, seal::REJECTED, "1");
+        put(&mut response, seal::REJECTED_HEADER, "1");
         response
     }
 
@@ -464,11 +469,15 @@
         let mut response = self.plain_response(status, body);
         put(
             &mut response,
-            seal::IDEMPOTENCY_KEY,
+            seal::IDEMPOTENCY_KEY_HEADER,
             idempotency_key.as_str(),
         );
-        put(&mut response, seal::FUNCTION, &self.function.to_string());
-        put(&mut response, seal::SEAL, &body_seal);
+        put(
+            &mut response,
+            seal::FUNCTION_HEADER,
+            &self.function.to_string(),
+        );
+        put(&mut response, seal::SEAL_HEADER, &body_seal);
         response
     }
 }
