--- a/crates/common/src/adapter/ingress.rs
+++ b/crates/common/src/adapter/ingress.rs
@@ -7,7 +7,7 @@
 use hyper::header::HeaderMap;
 use std::time::Duration;
 
-/// Why a request was not run, as far as it matters to a caller.
+/// Why a request was not run, as far as callers can tell the reasons apart.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum NotRunKind {
     /// A header is missing or invalid, or the body is incomplete.
@@ -46,43 +46,43 @@
     NotRun {
         /// The kind of rejection.
         kind: NotRunKind,
-        /// The reason, for people.
+        /// A human-readable reason.
         reason: &'static str,
         /// The missing or invalid header, if that is the reason.
         header: Option<&'static str>,
-        /// After how long a retry is worthwhile.
+        /// The suggested delay before a retry.
         retry_after: Option<Duration>,
     },
     /// The request may have run.
     Unknown {
         /// The reason.
         reason: RequestFailureReason,
-        /// After how long a repeat is worthwhile.
+        /// The suggested delay before the caller repeats the request.
         retry_after: Duration,
     },
 }
 
 /// Reads callers' requests and writes the responses, in one dialect of HTTP.
 pub trait IngressCodec: Send + Sync {
-    /// The header with the idempotency key.
+    /// Returns the name of the header with the idempotency key.
     fn idempotency_key_header(&self) -> &'static str;
 
-    /// The header with the caller's time-out in milliseconds.
+    /// Returns the name of the header with the caller's time-out in milliseconds.
     fn timeout_header(&self) -> &'static str;
 
-    /// Whether the caller marked the request as a repeat.
+    /// Returns whether the caller marked the request as a repeat.
     fn is_repeat(&self, headers: &HeaderMap) -> bool;
 
-    /// The header fields that are forwarded to a runner.
+    /// Returns the header fields to forward to the runner.
     fn forwarded_header_fields(&self, headers: &HeaderMap) -> Vec<HeaderField>;
 
-    /// Writes a response. The idempotency key is known unless its header was missing or invalid.
+    /// Writes a response. `idempotency_key` is `None` if its header was missing or invalid.
     fn write_response(
         &self,
         idempotency_key: Option<&IdempotencyKey>,
         caller_response: CallerResponse,
     ) -> HttpResponse;
 
-    /// The path of readiness probes, beside the product's own path.
+    /// Returns the path that answers readiness probes in addition to the product's own path.
     fn readiness_path(&self) -> &'static str;
 }
--- a/crates/common/src/adapter/mod.rs
+++ b/crates/common/src/adapter/mod.rs
@@ -1,7 +1,7 @@
 //! The interfaces to callers, runners and the platform.
 //!
-//! An implementation knows the names and formats of one dialect and only translates; all decisions are made in the
-//! control plane and the data plane.
+//! An implementation translates to and from the names and formats of one dialect. All decisions are made in the control
+//! plane and the data plane.
 
 mod ingress;
 mod native;
--- a/crates/common/src/adapter/native.rs
+++ b/crates/common/src/adapter/native.rs
@@ -1,4 +1,4 @@
-//! The platform's API in the product's own dialect.
+//! The client of a platform whose API uses the product's own dialect.
 
 use super::{
     ListedRunner, ListedWorker, PlatformAdapter, PlatformCall, RunnerList, StartOrder,
@@ -13,7 +13,7 @@
 use serde_json::json;
 use std::time::Duration;
 
-/// Time limit of one call, from connecting to the end of the response.
+/// The time limit of one call, from connecting to the end of the response.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// The body of a request to start a runner.
@@ -47,7 +47,7 @@
 }
 
 impl NativePlatform {
-    /// Creates a client of the platform at an address.
+    /// Creates a client of the platform at `address`.
     pub fn new(address: SocketAddress) -> Self {
         Self { address }
     }
@@ -123,7 +123,7 @@
     }
 }
 
-/// Reads how the platform names a runner's instance, and where it listens.
+/// Reads the platform's id of a runner's instance, and the instance's address.
 fn read_instance(item: &PathReader<'_>) -> Option<Instance> {
     Some(Instance {
         address: read_address(&item.field("place"))?,
--- a/crates/common/src/adapter/platform.rs
+++ b/crates/common/src/adapter/platform.rs
@@ -11,7 +11,7 @@
 /// A call in progress.
 pub type PlatformCall<'a, T> = Pin<Box<dyn Future<Output = T> + Send + 'a>>;
 
-/// An order to start a runner. It may be repeated: the same order again finds the same runner.
+/// An order to start a runner. It is idempotent: repeating the order finds the same runner.
 #[derive(Clone, Debug)]
 pub struct StartOrder {
     /// The runner's identity, which is the order's idempotency key.
@@ -22,11 +22,11 @@
     pub worker: WorkerName,
     /// Its memory in megabytes.
     pub memory_mb: u32,
-    /// How long it takes to start on average.
+    /// Its average start-up time.
     pub startup: Duration,
-    /// How many requests it may run at once.
+    /// The maximum number of requests that it runs concurrently.
     pub slots: u32,
-    /// The daemon that gives the order.
+    /// The daemon that issues the order.
     pub member: MemberName,
 }
 
@@ -37,11 +37,11 @@
     Started(Instance),
     /// The worker has no capacity, or is gone, draining or unknown.
     NoCapacity,
-    /// The platform has too many calls; the order may be retried.
+    /// The platform is overloaded; the order may be retried.
     Busy,
     /// There is no such function, or the order is invalid.
     Rejected,
-    /// There was no valid answer; the order may have been carried out.
+    /// No valid response arrived; the order may have been carried out.
     Lost,
 }
 
@@ -54,9 +54,9 @@
     pub function: FunctionKey,
     /// The worker on which it runs.
     pub worker: WorkerName,
-    /// Its instance. Without one, an adapter repeats the start to learn it, and then stops that.
+    /// Its instance, if known. An adapter that needs it can repeat the start order, whose response names the instance.
     pub instance: Option<InstanceId>,
-    /// The daemon that gives the order, or in whose name the leader gives it.
+    /// The daemon that issues the order, or on whose behalf the leader issues it.
     pub member: MemberName,
     /// The fencing token of the lease under which that daemon holds the function, or held it last.
     pub fencing_token: FencingToken,
@@ -80,38 +80,39 @@
 pub struct ListedRunner {
     /// Its instance.
     pub instance: Instance,
-    /// Its identity, where the platform stores it.
+    /// Its identity, if the platform stores it.
     pub runner: Option<RunnerId>,
     /// Its function's name.
     pub function: FunctionName,
-    /// Its function with generation, where the platform stores it.
+    /// Its function with generation, if the platform stores it.
     pub key: Option<FunctionKey>,
     /// The worker on which it runs.
     pub worker: WorkerName,
-    /// Whether it is about to end.
+    /// Whether it is about to be stopped.
     pub leaving: bool,
 }
 
 /// The platform's list of runners.
 #[derive(Clone, Debug)]
 pub struct RunnerList {
-    /// The greatest age of its content when the platform was called.
+    /// The maximum age of the list when the platform was called.
     pub age: Duration,
     /// The runners.
     pub runners: Vec<ListedRunner>,
 }
 
-/// Calls the platform in one dialect of its API. Every call has a time-out of its own.
+/// Calls the platform in one dialect of its API. Each implementation limits the time of its calls.
 pub trait PlatformAdapter: Send + Sync {
     /// Starts a runner.
     fn start_runner(&self, order: StartOrder) -> PlatformCall<'_, StartOutcome>;
 
-    /// Stops a runner; true if the runner has certainly ended and no order under its identity will start it again.
+    /// Stops a runner. Returns true only if the runner has certainly ended and no order with its identity can start it
+    /// again.
     fn stop_runner(&self, order: StopOrder) -> PlatformCall<'_, bool>;
 
-    /// Lists the workers; none if the list cannot be read now.
+    /// Lists the workers. Returns `None` if the list cannot be read.
     fn workers(&self) -> PlatformCall<'_, Option<Vec<ListedWorker>>>;
 
-    /// Lists all runners; none if the list cannot be read completely now.
+    /// Lists all runners. Returns `None` if the list cannot be read completely.
     fn runners(&self) -> PlatformCall<'_, Option<RunnerList>>;
 }
--- a/crates/common/src/adapter/runner.rs
+++ b/crates/common/src/adapter/runner.rs
@@ -14,11 +14,11 @@
     pub idempotency_key: &'a IdempotencyKey,
     /// The function.
     pub function: &'a FunctionKey,
-    /// The runner that is meant; another one at its address rejects the request.
+    /// The intended runner; a different runner at its address rejects the request.
     pub runner: Option<RunnerId>,
-    /// Its instance, as the platform names it.
+    /// The platform's id of its instance.
     pub instance: Option<&'a InstanceId>,
-    /// The number of this attempt, from one.
+    /// The number of this attempt, starting at one.
     pub attempt: u32,
     /// The time left until the deadline.
     pub remaining_time: Duration,
@@ -31,20 +31,20 @@
 pub enum SealKind {
     /// The seal is the product's own digest; see [`seal`](crate::seal).
     Digest,
-    /// Only the caller can check it; a valid response must have one.
+    /// Only the caller can check the seal; a valid response must have one.
     CheckedByCaller,
 }
 
-/// A runner's response as it was received, before it is checked.
+/// A runner's response as received, not yet checked.
 #[derive(Clone, Debug)]
 pub struct RunnerResponse {
     /// The HTTP status.
     pub status: u16,
-    /// The idempotency key that it names.
+    /// The idempotency key that it names; empty if it names none or several.
     pub idempotency_key: String,
-    /// The function that it names, if the dialect has that.
+    /// The function that it names, if the dialect includes it.
     pub function: Option<String>,
-    /// The runner that it names, if the dialect has that.
+    /// The runner that it names, if the dialect includes it.
     pub runner: Option<String>,
     /// The seal; empty if it has none.
     pub seal: String,
@@ -52,9 +52,9 @@
     pub seal_kind: SealKind,
     /// Whether it reports that the runner rejected the request and did not run it.
     pub did_not_run: bool,
-    /// Whether it reports that it is from another runner than the one meant.
+    /// Whether it reports that it comes from a runner other than the intended one.
     pub is_other_runner: bool,
-    /// Whether the body may not be the runner's own: its end was not declared, or it is encoded.
+    /// Whether the body may differ from what the runner produced: its end was not declared, or it is encoded.
     pub is_unreliable: bool,
     /// Whether the runner closes the connection.
     pub closes_connection: bool,
@@ -67,9 +67,9 @@
 /// How a starting runner is probed for readiness.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum ReadinessProbe {
-    /// It answers this path with status 200, and its identity in the header of this name.
+    /// A GET of this path returns status 200, with the runner's identity in the header of this name.
     HttpGet(&'static str, &'static str),
-    /// It accepts TCP connections.
+    /// The runner accepts TCP connections.
     TcpConnect,
 }
 
@@ -78,7 +78,7 @@
     /// Writes a request.
     ///
     /// # Errors
-    /// Fails if a header or the target is not valid in HTTP.
+    /// Returns an error if a header or the request target is not valid HTTP.
     fn encode_request(
         &self,
         address: SocketAddress,
@@ -93,9 +93,9 @@
         body: Bytes,
     ) -> RunnerResponse;
 
-    /// How a runner is probed for readiness.
+    /// Returns how a starting runner is probed for readiness.
     fn readiness_probe(&self) -> ReadinessProbe;
 
-    /// The path that lists what a runner is running, if the dialect has one.
+    /// Returns the path at which a runner lists the requests that it is running, if the dialect has one.
     fn running_path(&self) -> Option<&'static str>;
 }
--- a/crates/common/src/lib.rs
+++ b/crates/common/src/lib.rs
@@ -3,19 +3,19 @@
 //! - [`identity`]: newtypes for names and numbers.
 //! - [`frames`]: what processes send each other, and its binary form.
 //! - [`spec`]: the replicated document, the spec in it, and the table that requests are routed by.
-//! - [`ring`]: which daemon asks for a function, and which daemons watch another.
-//! - [`readers`]: JSON readers that report each error with its path; settings.
+//! - [`ring`]: the assignment of functions and watchers to daemons by hashing.
+//! - [`readers`]: readers of JSON and settings that report the path of each error.
 //! - [`adapter`]: the interfaces to callers, runners and the platform.
-//! - [`http`]: calls, servers and heads on top of hyper.
-//! - [`seal`]: the digest by which a runner's response is recognized.
+//! - [`http`]: HTTP calls, servers and helpers for headers on top of hyper.
+//! - [`seal`]: the digest that binds a runner's response to its request.
 //! - [`rules`] and [`invariants`]: the safety rules by name, and the checks that the running code makes.
 //! - [`events`] and [`metrics`]: what processes report.
 //! - [`clock`] and [`rng`]: time and random numbers that a simulation can replace.
 //! - [`command_line`] and [`sockets`]: what every program needs.
 //!
-//! The crate decides nothing by itself: the control plane's decisions are in the crate `controlplane`, the data plane's
-//! in `dataplane`. Its errors are enums with the cause as their source, and each prints that cause too, so that one
-//! line of a log is enough.
+//! The crate makes no decisions: those of the control plane are in the crate `controlplane`, those of the data plane in
+//! `dataplane`. Its errors are enums that keep the cause as their source and include it in their message, so that one
+//! log line shows both.
 
 #![deny(missing_docs, unreachable_pub)]
 
