--- a/crates/common/src/clock/mod.rs
+++ b/crates/common/src/clock/mod.rs
@@ -1,7 +1,7 @@
-//! Monotonic time as processes count it: since the machine's boot, suspended time included, never the wall clock.
+//! Monotonic time since the machine's boot, including time spent suspended. The wall clock is never read.
 //!
-//! Leases are measured with it, so time in which a machine was suspended must count. Times of two machines are never
-//! compared; frames carry spans, in milliseconds.
+//! Leases are measured with this clock, so time during which a machine is suspended must count. Times of different
+//! machines are never compared; frames carry durations in milliseconds.
 
 use std::fmt;
 use std::ops::{Add, Sub};
@@ -20,16 +20,16 @@
 
     /// Reads `CLOCK_BOOTTIME`.
     pub fn now() -> Self {
-        let read_time = rustix::time::clock_gettime(rustix::time::ClockId::Boottime);
-        Self(read_time.tv_sec as u64 * 1_000_000_000 + read_time.tv_nsec as u64)
+        let clock_time = rustix::time::clock_gettime(rustix::time::ClockId::Boottime);
+        Self(clock_time.tv_sec as u64 * 1_000_000_000 + clock_time.tv_nsec as u64)
     }
 
-    /// The time elapsed from `earlier` to this; zero if `earlier` is later.
+    /// Returns the time elapsed since `earlier`; zero if `earlier` is later.
     pub fn since(self, earlier: MonotonicTime) -> Duration {
         Duration::from_nanos(self.0.saturating_sub(earlier.0))
     }
 
-    /// Full milliseconds since boot.
+    /// Returns the whole milliseconds since boot.
     pub fn millis(self) -> u64 {
         self.0 / 1_000_000
     }
@@ -37,15 +37,15 @@
 
 impl Add<Duration> for MonotonicTime {
     type Output = MonotonicTime;
-    fn add(self, span: Duration) -> MonotonicTime {
-        MonotonicTime(self.0.saturating_add(span.as_nanos() as u64))
+    fn add(self, duration: Duration) -> MonotonicTime {
+        MonotonicTime(self.0.saturating_add(duration.as_nanos() as u64))
     }
 }
 
 impl Sub<Duration> for MonotonicTime {
     type Output = MonotonicTime;
-    fn sub(self, span: Duration) -> MonotonicTime {
-        MonotonicTime(self.0.saturating_sub(span.as_nanos() as u64))
+    fn sub(self, duration: Duration) -> MonotonicTime {
+        MonotonicTime(self.0.saturating_sub(duration.as_nanos() as u64))
     }
 }
 
@@ -60,13 +60,13 @@
     }
 }
 
-/// A [`MonotonicTime`] that many threads read and one writes.
+/// A [`MonotonicTime`] that one thread writes and many threads read.
 ///
-/// A read sees everything that the writer did before it set the time (acquire and release).
+/// A reader sees everything that the writer did before it set the time (acquire and release ordering).
 pub struct SharedMonotonicTime(AtomicU64);
 
 impl SharedMonotonicTime {
-    /// Starts at [`MonotonicTime::ZERO`].
+    /// Creates it with the value [`MonotonicTime::ZERO`].
     pub const fn new() -> Self {
         Self(AtomicU64::new(0))
     }
