--- a/crates/common/src/command_line.rs
+++ b/crates/common/src/command_line.rs
@@ -1,5 +1,4 @@
-//! What every program does around its work: command-line flags, errors and exit codes, the log, the runtime,
-//! and signals.
+//! What all programs share: command-line flags, errors and exit codes, logging, the runtime, and signals.
 
 use crate::events;
 use crate::hangups;
@@ -30,7 +29,7 @@
 }
 
 impl Program {
-    /// A program without examples.
+    /// Creates a program whose help has no examples.
     pub const fn new(name: &'static str, version: &'static str) -> Self {
         Self {
             name,
@@ -96,7 +95,7 @@
         text
     }
 
-    /// The exit code of a program that has ended; an error is printed, and `error_code` chooses its exit code.
+    /// Returns the exit code for the program's result. An error is printed, and `error_code` returns its exit code.
     pub fn finish<E: fmt::Display>(
         self,
         result: Result<(), E>,
@@ -111,23 +110,23 @@
         }
     }
 
-    /// Prints why the program ends, and returns its exit code.
+    /// Prints the error that ends the program, and returns `exit_code`.
     pub fn fail(self, error: impl fmt::Display, exit_code: u8) -> ExitCode {
         eprintln!("{}: {error}", self.name);
         ExitCode::from(exit_code)
     }
 }
 
-/// Becomes true when the process is asked to stop, by SIGTERM or SIGINT.
+/// Returns a receiver that becomes true when the process receives SIGTERM or SIGINT.
 ///
-/// The task that waits for the signals is detached; it ends with the first of them. Fails if the runtime cannot
-/// register a handler.
+/// The task that waits for the signals is detached and ends with the first of them. Fails if the runtime cannot register
+/// a handler.
 pub fn stop_signal() -> std::io::Result<watch::Receiver<bool>> {
     let (stop_sender, stop) = watch::channel(false);
-    let mut terminations = signal(SignalKind::terminate())?;
+    let mut sigterm = signal(SignalKind::terminate())?;
     tokio::spawn(async move {
         tokio::select! {
-            _ = terminations.recv() => {}
+            _ = sigterm.recv() => {}
             _ = tokio::signal::ctrl_c() => {}
         }
         log_event!(Info, events::STOPPING);
@@ -136,27 +135,28 @@
     Ok(stop)
 }
 
-/// Counts the SIGHUPs, by which the process is notified that its settings have changed; they never end it. The receiver
-/// has changed at once if one came while the process started (see [`hangups`]): the settings may have been read before.
+/// Returns a receiver of the number of SIGHUPs, which announce changed settings and never end the process.
 ///
-/// The task that counts them is detached and runs as long as the runtime. Fails if the runtime cannot register
-/// a handler.
+/// If a SIGHUP arrived while the process was starting (see [`hangups`]), the receiver is already marked as changed,
+/// because the settings may have been read before the signal. The counting task is detached and runs as long as the
+/// runtime. Fails if the runtime cannot register a handler.
 pub fn reload_signal() -> std::io::Result<watch::Receiver<u64>> {
     let (reload_sender, reload) = watch::channel(0);
-    let mut hangup_signals = signal(SignalKind::hangup())?;
+    let mut sighup = signal(SignalKind::hangup())?;
     if hangups::any_received() {
         reload_sender.send_modify(|count| *count += 1);
     }
     tokio::spawn(async move {
-        while hangup_signals.recv().await.is_some() {
+        while sighup.recv().await.is_some() {
             reload_sender.send_modify(|count| *count += 1);
         }
     });
     Ok(reload)
 }
 
-/// Reads the settings again on each reload signal, and applies them; those that cannot be read are logged and passed over.
-/// Ends only with the sender of the signal, which lives as long as the runtime.
+/// Reads the settings again on each reload signal, and applies them. Settings that cannot be read are logged and skipped.
+///
+/// Ends only when the sender of the signal is dropped, which lives as long as the runtime.
 pub async fn apply_on_reload<T, E: fmt::Display>(
     mut reload: watch::Receiver<u64>,
     read: impl Fn() -> Result<T, E>,
@@ -170,10 +170,10 @@
     }
 }
 
-/// Runs a program's service until it has stopped on a stop signal, and logs its start and its end.
+/// Runs a program's service until it has stopped after a stop signal, and logs its start and its end.
 ///
-/// `reload` applies changed settings meanwhile (see [`apply_on_reload`]); its task is detached and is cancelled
-/// with the runtime. Fails if the handler of the stop signals cannot be registered.
+/// Meanwhile `reload` applies changed settings (see [`apply_on_reload`]); its task is detached and is cancelled with the
+/// runtime. Fails if the handler of the stop signals cannot be registered.
 pub async fn run_service<F: Future<Output = ()>>(
     start_message: impl fmt::Display,
     reload: impl Future<Output = ()> + Send + 'static,
@@ -187,8 +187,8 @@
     Ok(())
 }
 
-/// A runtime with so many worker threads: zero leaves the number to the machine, and with one everything runs
-/// on the calling thread.
+/// Creates a runtime with this number of worker threads. With zero, tokio chooses the number by the machine's cores; with
+/// one, everything runs on the calling thread.
 pub fn runtime(thread_count: usize) -> std::io::Result<Runtime> {
     if thread_count == 1 {
         return Builder::new_current_thread().enable_all().build();
@@ -200,8 +200,8 @@
     builder.enable_all().build()
 }
 
-/// Starts the log at the level that `RUST_LOG` names, or `info`. From then on a violated invariant is counted instead of
-/// ending the process.
+/// Initializes logging at the level in `RUST_LOG`, or at `info`. From then on, a violated invariant is counted and does
+/// not end the process.
 pub fn init_logging() {
     invariants::count_only();
     env_logger::Builder::from_env(env_logger::Env::default().default_filter_or("info")).init();
--- a/crates/common/src/events/mod.rs
+++ b/crates/common/src/events/mod.rs
@@ -1,17 +1,17 @@
 //! The catalogue of numbered events that processes log and operators follow.
 //!
-//! Numbers are stable: operators' tools match on them, and a number is never reused for another kind. Names may
-//! change; `docs/events.md` lists them as well, and a test holds it to this list. Numbers from 1000 are about any
-//! process, from 2000 about the control plane, from 3000 about daemons, their runners and requests.
+//! Numbers are stable: operators' tools match on them, and a number is never reused for another kind. Names may change;
+//! `docs/events.md` lists them too, and a test compares that page with this list. Numbers from 1000 concern all
+//! processes, from 2000 the control plane, and from 3000 daemons, their runners and their requests.
 
 use std::fmt;
 
-/// One kind of event. Its `Display` form, `[E2104] lease granted`, begins a log line.
+/// A kind of event. A log line begins with its `Display` form, such as `[E2104] lease granted`.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct Event {
-    /// The stable number, four digits.
+    /// The stable number, of four digits.
     pub number: u16,
-    /// A short name for people.
+    /// A short human-readable name.
     pub name: &'static str,
 }
 
@@ -24,7 +24,7 @@
 macro_rules! events {
     ($($(#[$doc:meta])* $constant:ident = $number:literal, $name:literal;)+) => {
         $($(#[$doc])* pub const $constant: Event = Event { number: $number, name: $name };)+
-        /// Every kind of event, in the order of their numbers.
+        /// All kinds of events, ordered by number.
         pub const ALL: &[Event] = &[$($constant),+];
     };
 }
@@ -32,19 +32,19 @@
 events! {
     /// A process has started.
     STARTED = 1001, "started";
-    /// A process is stopping in an orderly way.
+    /// A process is shutting down gracefully.
     STOPPING = 1002, "stopping";
     /// A process has stopped.
     STOPPED = 1003, "stopped";
-    /// Changed settings could not be read; the process goes on with those it has.
+    /// Changed settings could not be read; the process keeps its current ones.
     SETTINGS_UNREADABLE = 1004, "settings unreadable";
-    /// A connection was closed because of a frame it sent.
+    /// A connection was closed because of an invalid frame.
     FRAME_REJECTED = 1101, "frame rejected";
     /// A heartbeat could not be decoded, or came from a daemon that is not listed.
     HEARTBEAT_IGNORED = 1102, "heartbeat ignored";
     /// The connection to another process was lost.
     LINK_LOST = 1103, "link lost";
-    /// The process found one of its own invariants violated.
+    /// A check at run time found an invariant violated.
     INVARIANT_VIOLATED = 1201, "invariant violated";
     /// A controller started an election and requests votes.
     ELECTION_STARTED = 2001, "election started";
@@ -54,7 +54,7 @@
     LEADER_STEPPED_DOWN = 2003, "leader stepped down";
     /// A version of the document is committed.
     VERSION_COMMITTED = 2004, "committed";
-    /// A version is in force at every daemon that serves.
+    /// A version is in force at every serving daemon.
     VERSION_IN_FORCE = 2005, "in force";
     /// A write to the disk failed.
     DISK_WRITE_FAILED = 2006, "disk write failed";
@@ -66,7 +66,7 @@
     DISK_STALLED = 2009, "disk stalled";
     /// The voters of the control quorum are being replaced.
     QUORUM_RECONFIGURING = 2010, "quorum reconfiguring";
-    /// The controller took long over one input, so that heartbeat rounds and votes waited.
+    /// A controller took long to handle one input, which delayed heartbeat rounds and votes.
     SLOW_INPUT = 2011, "slow input";
     /// An operator's request was answered.
     OPERATION_ANSWERED = 2012, "operation answered";
@@ -88,9 +88,9 @@
     CLAIM_REJECTED = 2108, "claim rejected";
     /// A runner without a holder was found; it is kept for the next one, or being stopped.
     ORPHANED_RUNNER_FOUND = 2109, "orphaned runner found";
-    /// The platform did not answer.
+    /// The platform did not respond.
     PLATFORM_UNREACHABLE = 2110, "platform unreachable";
-    /// A last-known daemon never came back and no longer counts for the claims quorum.
+    /// A last-known daemon did not reconnect and no longer counts for the claims quorum.
     ABSENT_MEMBER_DROPPED = 2111, "absent member dropped";
     /// No worker has capacity for a runner.
     NO_WORKER_CAPACITY = 2112, "no worker capacity";
@@ -98,7 +98,7 @@
     CAPACITY_LOW = 2113, "capacity low";
     /// A daemon rejected requests.
     REQUESTS_REJECTED = 2114, "requests rejected";
-    /// An idle function gave up its runners because memory is short.
+    /// The runners of an idle function were reclaimed because memory is short.
     IDLE_RUNNERS_RECLAIMED = 2115, "idle runners reclaimed";
     /// A lightly used worker is being evacuated.
     WORKER_EVACUATING = 2116, "worker evacuating";
@@ -108,13 +108,13 @@
     RUNNER_ORPHANED = 2118, "runner orphaned";
     /// A runner is no longer on the platform's list.
     RUNNER_UNLISTED = 2119, "runner unlisted";
-    /// The watchers of a daemon miss its heartbeats; the others send it no requests until it recovers.
+    /// The watchers of a daemon miss its heartbeats; other daemons send it no requests until it recovers.
     MEMBER_SUSPECTED = 2120, "member suspected";
     /// A suspected daemon sends heartbeats again.
     MEMBER_RECOVERED = 2121, "member recovered";
-    /// The daemon has a session lease and serves.
+    /// The daemon has a session lease and starts to serve.
     SERVING_STARTED = 3001, "serving started";
-    /// The daemon's session lease ended; it serves no more, and leaves its runners.
+    /// The daemon's session lease ended; it stops serving and gives up its runners.
     SESSION_LEASE_ENDED = 3002, "session lease ended";
     /// A spec was installed.
     SPEC_INSTALLED = 3003, "spec installed";
@@ -134,19 +134,19 @@
     RUNNER_STOPPED = 3104, "runner stopped";
     /// A function is being handed over to another daemon.
     HANDOVER_STARTED = 3105, "handover started";
-    /// A daemon that stops withdraws, or ends as unknown, the requests that it still has.
+    /// A stopping daemon withdraws its remaining requests, or ends them with an unknown outcome.
     REQUESTS_LEFT_AT_SHUTDOWN = 3106, "requests left at shutdown";
     /// A request that a caller sent to this daemon ended without a response.
     REQUEST_FAILED = 3201, "request failed";
-    /// A request ended without a response at the daemon that holds its function.
+    /// A request ended without a response at the holder of its function.
     REQUEST_NOT_SERVED = 3202, "request not served";
-    /// A request was sent to a runner, and no valid response came.
+    /// A request was sent to a runner, and no valid response arrived.
     SEND_FAILED = 3203, "send failed";
-    /// That many requests without a response were not logged, to keep the log small.
+    /// A number of requests without a response were not logged, to limit the size of the log.
     REQUESTS_NOT_LOGGED = 3204, "requests not logged";
 }
 
-/// Writes a numbered event to the log at the given level, with an optional formatted detail after a colon.
+/// Logs a numbered event at the given level, with an optional formatted detail after a colon.
 #[macro_export]
 macro_rules! log_event {
     ($level:ident, $event:expr) => {
