--- a/crates/common/src/http/call.rs
+++ b/crates/common/src/http/call.rs
@@ -1,4 +1,4 @@
-//! Calls over HTTP/1.1, one connection each, whose errors tell what was certainly not sent.
+//! HTTP/1.1 calls, each on its own connection, whose errors say whether the request was certainly not sent.
 
 use crate::clock::MonotonicTime;
 use crate::frames::SocketAddress;
@@ -13,9 +13,9 @@
 use std::time::Duration;
 use tokio::net::TcpStream;
 
-/// The longest time to open a connection, whatever the time-out of the call.
+/// The limit on the time to open a connection, regardless of the call's time-out.
 const MAX_CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// The largest response of [`call_json`].
+/// The limit on the size of a response to [`call_json`], in bytes.
 const MAX_JSON_RESPONSE_BYTES: usize = 64 << 20;
 
 /// A complete response.
@@ -29,7 +29,7 @@
 }
 
 impl CallResponse {
-    /// Receives the body of a response whose head has arrived.
+    /// Reads the body of a response whose head has arrived.
     ///
     /// # Errors
     /// [`CallError::Body`] if the body is cut short or larger than allowed.
@@ -53,7 +53,7 @@
     }
 }
 
-/// Why a call brought no response.
+/// Why a call returned no response.
 #[derive(Debug, thiserror::Error)]
 pub enum CallError {
     /// The connection could not be opened; nothing was sent.
@@ -80,18 +80,18 @@
 }
 
 impl CallError {
-    /// Whether the other side has certainly received nothing.
+    /// Returns whether the peer has certainly received nothing.
     pub fn is_certainly_unsent(&self) -> bool {
         match self {
             Self::NotSent(_) | Self::ConnectTimeout | Self::Request(_) => true,
-            // The connection was closed before the request was taken up to be written.
+            // The connection closed before hyper started to write the request.
             Self::Lost(error) => error.is_canceled(),
             _ => false,
         }
     }
 }
 
-/// Opens a connection; nothing is sent on it yet. Takes no longer than `timeout`, nor than one second.
+/// Opens a connection without sending anything on it, within `timeout` and at most one second.
 ///
 /// # Errors
 /// [`CallError::NotSent`] or [`CallError::ConnectTimeout`].
@@ -123,7 +123,7 @@
 /// Sends a request on an open connection and reads the complete response.
 ///
 /// # Errors
-/// Every error leaves open whether the other side received the request.
+/// An error can leave it unknown whether the peer received the request; see [`CallError::is_certainly_unsent`].
 pub async fn exchange(
     opened_stream: TcpStream,
     request: Request<Full<Bytes>>,
@@ -134,7 +134,7 @@
         let (mut sender, connection) = http1::handshake(TokioIo::new(opened_stream))
             .await
             .map_err(CallError::Lost)?;
-        // The end of the connection is no outcome of its own: the receiving side reports what it means.
+        // The end of the connection is not an outcome by itself: `send_and_receive` reports what it means for the call.
         let driving = async move {
             let _ = connection.await;
             std::future::pending::<()>().await;
@@ -166,10 +166,10 @@
     exchange(opened_stream, request, remaining_timeout, max_body_bytes).await
 }
 
-/// Calls with a JSON body, or none. The response may have up to 64 MiB.
+/// Sends a request with a JSON body, or an empty one, and reads the complete response, of up to 64 MiB.
 ///
 /// # Errors
-/// As [`call`].
+/// The same as [`call`].
 pub async fn call_json(
     address: SocketAddress,
     method: Method,
--- a/crates/common/src/http/head.rs
+++ b/crates/common/src/http/head.rs
@@ -1,4 +1,4 @@
-//! Reading the heads of responses, and setting their headers.
+//! Functions that read the heads of responses and set headers.
 
 use super::closes_connection;
 use hyper::StatusCode;
@@ -6,7 +6,7 @@
 use hyper::header::{CONTENT_LENGTH, HeaderMap, HeaderValue, IntoHeaderName, TRANSFER_ENCODING};
 use hyper::http::Extensions;
 
-/// How every response begins.
+/// The beginning of every response's status line.
 const PROTOCOL: &[u8] = b"HTTP/1.";
 
 /// Returns the first value of a header; empty if the header is missing or is not text.
@@ -17,8 +17,8 @@
         .unwrap_or("")
 }
 
-/// Returns the value of a header; empty if the header is missing, is not text, or occurs more than once, so that it is
-/// ambiguous.
+/// Returns the value of a header; empty if the header is missing, is not text, or is ambiguous because it occurs more than
+/// once.
 pub fn single_header_text<'a>(headers: &'a HeaderMap, name: &str) -> &'a str {
     let mut values = headers.get_all(name).iter();
     match (values.next(), values.next()) {
@@ -27,18 +27,18 @@
     }
 }
 
-/// Whether a response declares where its body ends (RFC 9112, section 6.3). A body that ends with its connection may
-/// have been cut short unnoticed.
-fn has_marked_end(status: StatusCode, headers: &HeaderMap) -> bool {
+/// Returns whether a response declares where its body ends (RFC 9112, section 6.3). A body that ends with its connection
+/// may have been truncated unnoticed.
+fn declares_body_end(status: StatusCode, headers: &HeaderMap) -> bool {
     let has_no_body = matches!(status, StatusCode::NO_CONTENT | StatusCode::NOT_MODIFIED);
     has_no_body || headers.contains_key(CONTENT_LENGTH) || is_chunked(headers)
 }
 
-/// Whether the end of a response's body can be told from a loss: the head declares it, or announces that the connection
-/// is closed after it. A body that ends with its connection is complete if that ended in an orderly way; one whose
-/// connection was reset is an error of its reader (RFC 9112, section 8).
+/// Returns whether the end of a response's body can be told from a lost connection: the head declares the end, or
+/// announces that the connection closes after the body. A body that ends with its connection is complete if the connection
+/// was closed gracefully; if the connection was reset, reading the body fails (RFC 9112, section 8).
 pub fn has_reliable_end(status: StatusCode, headers: &HeaderMap) -> bool {
-    has_marked_end(status, headers) || closes_connection(headers)
+    declares_body_end(status, headers) || closes_connection(headers)
 }
 
 fn is_chunked(headers: &HeaderMap) -> bool {
@@ -49,8 +49,8 @@
     last_coding.is_some_and(|coding| coding.trim().eq_ignore_ascii_case("chunked"))
 }
 
-/// Whether the beginning of another response is within this head: a surplus response was cut short on its connection,
-/// and the next one was appended to it.
+/// Returns whether this head contains the beginning of another response, which happens when a surplus response was
+/// truncated and the next response on the connection follows it.
 pub fn is_merged_response(headers: &HeaderMap, extensions: &Extensions) -> bool {
     let reason = extensions.get::<ReasonPhrase>();
     reason.is_some_and(|reason| contains_protocol_name(reason.as_bytes()))
@@ -64,7 +64,7 @@
         .any(|window| window == PROTOCOL)
 }
 
-/// Sets a header, unless `text` is no valid value of one: then the headers stay as they are.
+/// Sets a header. Leaves the headers unchanged if `text` is not a valid header value.
 pub fn set_header(headers: &mut HeaderMap, name: impl IntoHeaderName, text: &str) {
     if let Ok(value) = HeaderValue::from_str(text) {
         headers.insert(name, value);
--- a/crates/common/src/http/keep_alive.rs
+++ b/crates/common/src/http/keep_alive.rs
@@ -1,4 +1,4 @@
-//! Whether and how long the other side keeps a connection open.
+//! Whether and for how long the peer keeps a connection open.
 
 use hyper::header::{CONNECTION, HeaderMap};
 use std::time::Duration;
@@ -12,12 +12,12 @@
         .map(str::trim)
 }
 
-/// Whether the other side closes the connection after this response.
+/// Returns whether the peer closes the connection after this response.
 pub fn closes_connection(headers: &HeaderMap) -> bool {
     header_tokens(headers, CONNECTION.as_str()).any(|token| token.eq_ignore_ascii_case("close"))
 }
 
-/// How long the other side keeps an idle connection open, if its `keep-alive` header says so.
+/// Returns how long the peer keeps an idle connection open, if its `keep-alive` header says so.
 pub fn keep_alive_timeout(headers: &HeaderMap) -> Option<Duration> {
     header_tokens(headers, "keep-alive").find_map(|token| {
         let (name, seconds) = token.split_once('=')?;
--- a/crates/common/src/http/line_stream.rs
+++ b/crates/common/src/http/line_stream.rs
@@ -1,4 +1,4 @@
-//! Following a response whose body is a stream of lines.
+//! Reads a response whose body is a stream of lines.
 
 use super::CallError;
 use crate::frames::SocketAddress;
@@ -13,24 +13,24 @@
 use std::time::Duration;
 use tokio::net::TcpStream;
 
-/// The longest time to open a connection.
+/// The limit on the time to open a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// How a stream of lines ended without an error.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum LineStreamEnd {
-    /// The reader stopped it.
+    /// The callback stopped it.
     StoppedByReader,
-    /// The other side ended it.
+    /// The peer ended it.
     Ended,
-    /// The response had another status than 200.
+    /// The response had a status other than 200.
     Status(StatusCode),
     /// The response redirects to another address; nothing was read.
     Redirect(SocketAddress),
 }
 
-/// Requests `path` and calls `on_line` with each line of the body as it arrives, until that breaks or the body ends.
-/// There is no time-out after the connection is open.
+/// Requests `path` and calls `on_line` with each line of the body as it arrives, until `on_line` breaks or the body ends.
+/// There is no time-out once the connection is open.
 ///
 /// # Errors
 /// A [`CallError`] if no connection could be opened, or it was lost.
@@ -44,13 +44,13 @@
         .await
         .map_err(|_| CallError::ConnectTimeout)?
         .map_err(CallError::NotSent)?;
-    // After the request only the other side sends, so that its silence is noticed by probes alone.
+    // After the request only the peer sends, so only keep-alive probes detect that it is unreachable.
     probe_when_idle(&stream);
     let (mut sender, connection) = hyper::client::conn::http1::handshake(TokioIo::new(stream))
         .await
         .map_err(CallError::Lost)?;
-    // Detached: it ends when the response is dropped, or is cancelled if the reader stops.
-    let driving = tokio::spawn(connection);
+    // Detached: the task ends when the response is dropped, or is aborted if `on_line` breaks.
+    let connection_task = tokio::spawn(connection);
     let request = Request::builder()
         .uri(path)
         .header(HOST, address.to_string())
@@ -70,7 +70,7 @@
         while let Some(line_end) = unread_bytes.iter().position(|byte| *byte == b'\n') {
             let line_bytes: Vec<u8> = unread_bytes.drain(..=line_end).collect();
             if on_line(String::from_utf8_lossy(&line_bytes).trim_end()).is_break() {
-                driving.abort();
+                connection_task.abort();
                 return Ok(LineStreamEnd::StoppedByReader);
             }
         }
--- a/crates/common/src/http/mod.rs
+++ b/crates/common/src/http/mod.rs
@@ -1,4 +1,4 @@
-//! What every program needs around hyper: serving, calling, and reading heads and JSON.
+//! HTTP on top of hyper: servers, calls, headers of responses, and streams of lines.
 
 mod call;
 mod head;
--- a/crates/common/src/http/serve.rs
+++ b/crates/common/src/http/serve.rs
@@ -1,4 +1,4 @@
-//! Serving over HTTP/1.1: responses, bodies within limits, and graceful shutdown.
+//! HTTP/1.1 servers: responses, bodies of limited size, and graceful shutdown.
 
 use bytes::Bytes;
 use http_body_util::combinators::UnsyncBoxBody;
@@ -29,7 +29,7 @@
     Full::new(body_bytes.into()).boxed_unsync()
 }
 
-/// Creates a response of JSON.
+/// Creates a JSON response.
 pub fn json_response(status: StatusCode, value: &Value) -> HttpResponse {
     let mut response = Response::new(full_body(value.to_string()));
     *response.status_mut() = status;
@@ -40,7 +40,7 @@
     response
 }
 
-/// Creates a response of plain text, in the version that Prometheus reads.
+/// Creates a plain-text response with the content type of the Prometheus text format.
 pub fn text_response(status: StatusCode, text: impl Into<Bytes>) -> HttpResponse {
     let mut response = Response::new(full_body(text));
     *response.status_mut() = status;
@@ -66,18 +66,18 @@
     }
 }
 
-/// Creates a body whose chunks are sent as they arrive from the channel, until that is closed.
+/// Creates a body whose chunks are sent as they arrive from the channel, until the channel is closed.
 pub fn stream_body(chunks: mpsc::Receiver<Bytes>) -> Body {
     ChannelBody(chunks).boxed_unsync()
 }
 
-/// Why a body was not read.
+/// Why a body could not be read.
 #[derive(Debug, thiserror::Error)]
 pub enum BodyError {
     /// It is larger than allowed.
     #[error("body too large")]
     TooLarge,
-    /// The connection broke before its end.
+    /// The connection was lost before the end of the body.
     #[error("body broke off")]
     Interrupted,
     /// It did not arrive in time.
@@ -85,7 +85,7 @@
     TooSlow,
 }
 
-/// Reads a complete body within limits of size and time.
+/// Reads a complete body, within a limit on its size and on the time that it takes.
 pub async fn read_body(
     body: Incoming,
     max_body_bytes: usize,
@@ -104,19 +104,19 @@
 /// The limits of a caller's connection.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct ConnectionLimits {
-    /// The largest head in bytes; at least 8 KiB are always allowed.
+    /// The maximum size of a head in bytes; less than 8 KiB has the effect of 8 KiB.
     pub header_bytes: usize,
-    /// How long the next head may take to arrive, idle time before it included.
+    /// The limit on the time until the next head has arrived, including idle time before it.
     pub idle: Duration,
 }
 
 /// The smallest buffer for a head, in bytes: hyper accepts no smaller one.
 const MIN_HEAD_BUFFER: usize = 8 << 10;
-/// The largest head that [`serve`] accepts, in bytes.
+/// The maximum size of a head that [`serve`] accepts, in bytes.
 const MAX_HEAD_LENGTH: usize = 400 << 10;
-/// How long the next head may take to arrive at [`serve`].
+/// The limit on the time until the next head has arrived at [`serve`].
 const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
-/// The pause after a connection could not be accepted, as when the process has too many open files.
+/// The pause after a connection could not be accepted, for example because the process has too many open files.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Serves HTTP/1.1 until `stop` becomes true, then waits until the requests in progress are answered.
@@ -132,10 +132,10 @@
     serve_with_limits(listener, handler, limits, stop).await;
 }
 
-/// Serves as [`serve`] does, with limits that are looked up for each connection.
+/// Serves like [`serve`], with limits that are looked up for each connection.
 ///
-/// Each connection has a task of its own, which is detached but joined by a channel: the function returns when all of
-/// them have ended.
+/// Each connection has its own detached task, which holds a sender of a channel: the function returns when all tasks have
+/// ended and dropped theirs.
 pub async fn serve_with_limits<H, F>(
     listener: TcpListener,
     handler: H,
@@ -168,8 +168,8 @@
     let _ = all_closed.recv().await;
 }
 
-/// Serves one connection until it ends. When `stop` becomes true it is closed after the request in progress, or after one
-/// that had arrived by then.
+/// Serves one connection until it ends. When `stop` becomes true, the connection is closed after the request in progress,
+/// or after a request that has already arrived.
 pub async fn serve_connection<S, H, F>(
     stream: S,
     handler: H,
@@ -195,7 +195,7 @@
         _ = connection.as_mut() => true,
         _ = stop.wait_for(|stopping| *stopping) => false,
     };
-    // The runtime notices what has arrived only once the task has yielded.
+    // A request that has already arrived is noticed only after the task has yielded to the runtime.
     let has_ended = has_ended
         || tokio::select! {
             biased;
