--- a/crates/common/src/invariants.rs
+++ b/crates/common/src/invariants.rs
@@ -1,8 +1,8 @@
 //! Invariants that the running code checks.
 //!
-//! A check does not repeat the rule that upholds its invariant: it looks at what was done. Each violation is counted on
-//! the metrics page, logged as an event, and collected for tests on the threads that ask for it. Debug builds panic at
-//! the first one, unless a rule was disabled on purpose or the process only counts.
+//! A check does not repeat the rule that enforces its invariant: it examines the result. Each violation is counted on the
+//! metrics page, logged as an event, and collected on threads on which a test requests it. Debug builds panic on the first
+//! violation, unless a rule is disabled on purpose, the thread collects violations, or the process only counts them.
 
 use crate::events;
 use crate::log_event;
@@ -22,19 +22,19 @@
     SlotsRespected,
     /// A request that may run only once is never sent after it may have run.
     OnceSentOnce,
-    /// A request that is reported as not run is with no runner.
+    /// A request that is reported as not run is at no runner.
     RejectedNotSent,
     /// Retries stay within the retry budget.
     RetryBudgetRespected,
-    /// A request's first byte is sent while the session lease lasts.
+    /// The first byte of a request is sent only during the session lease.
     SentUnderLease,
-    /// A term has one leader.
+    /// A term has at most one leader.
     OneLeaderPerTerm,
     /// No committed version is replaced by an older one.
     CommitNeverLost,
-    /// A change is proposed on the version that its operator named.
+    /// A change is proposed on top of the version that its operator named.
     ChangeOnNamedBase,
-    /// A proposed version has a valid spec.
+    /// The spec of a proposed version is valid.
     ProposedSpecValid,
     /// A function is granted only when every earlier lease on it has ended.
     GrantedAfterLease,
@@ -43,7 +43,7 @@
 }
 
 impl Invariant {
-    /// Every invariant.
+    /// All invariants.
     pub const ALL: &[Invariant] = &[
         Invariant::SpecNeverOlder,
         Invariant::SlotsRespected,
@@ -59,7 +59,7 @@
         Invariant::GrantedAfterClaims,
     ];
 
-    /// Returns its name on the metrics page and in the log.
+    /// Returns the invariant's name on the metrics page and in the log.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::SpecNeverOlder => "spec-never-older",
@@ -99,11 +99,11 @@
     }
 }
 
-/// The name of the counters on the metrics page.
+/// The name of the metric that counts violations.
 pub const COUNTER_NAME: &str = "rudder_invariant_violations_total";
 
-/// How many violations a thread collects.
-const COLLECTED_PER_THREAD: usize = 64;
+/// The maximum number of violations that a thread collects.
+const MAX_COLLECTED_PER_THREAD: usize = 64;
 
 static COUNT_ONLY: AtomicBool = AtomicBool::new(false);
 
@@ -129,13 +129,13 @@
     COUNTERS.clone()
 }
 
-/// From now on violations never panic in this process: a deployed program counts them and goes on.
+/// Makes violations in this process be counted without a panic from now on. Deployed programs call it.
 pub fn count_only() {
     COUNT_ONLY.store(true, Ordering::Relaxed);
 }
 
-/// From now on violations on this thread are collected for [`take_collected`] and do not panic. Forgets those collected
-/// before.
+/// Makes violations on this thread be collected for [`take_collected`] without a panic from now on. Discards those
+/// collected before.
 pub fn collect_on_this_thread() {
     IS_COLLECTING.set(true);
     COLLECTED.take();
@@ -146,7 +146,7 @@
     COLLECTED.take()
 }
 
-/// Reports a violation unless the condition holds; `detail` is evaluated only for a violation.
+/// Reports a violation unless `holds`; `detail` is evaluated only for a violation.
 ///
 /// # Panics
 /// On a violation in debug builds, unless a rule is disabled in `rules`, the thread collects violations or the process
@@ -173,7 +173,7 @@
         IS_COLLECTING.get() || !rules.all_enforced() || COUNT_ONLY.load(Ordering::Relaxed);
     assert!(!cfg!(debug_assertions) || is_tolerated, "{violation}");
     COLLECTED.with_borrow_mut(|collected| {
-        if collected.len() < COLLECTED_PER_THREAD {
+        if collected.len() < MAX_COLLECTED_PER_THREAD {
             collected.push(violation);
         }
     });
--- a/crates/common/src/metrics.rs
+++ b/crates/common/src/metrics.rs
@@ -9,7 +9,7 @@
 
 const VALID_NAME: &str = "a constant name is valid and registered once";
 
-/// The upper bounds of histograms of seconds.
+/// The upper bounds of the buckets of duration histograms, in seconds.
 const SECONDS_BUCKETS: [f64; 11] = [
     0.0005, 0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.5, 1.0, 3.0,
 ];
@@ -21,7 +21,7 @@
 /// The metrics of one process.
 ///
 /// # Panics
-/// The methods that add a metric panic if its name is invalid or taken; all names are constants of the program.
+/// The methods that add a metric panic if its name is invalid or already registered; all names are constants.
 pub struct MetricsPage {
     registry: Registry,
 }
--- a/crates/common/src/rules.rs
+++ b/crates/common/src/rules.rs
@@ -1,7 +1,8 @@
-//! The safety rules by name, and the switch by which tests plant a flaw: the absence of one rule.
+//! The safety rules by name, and the switch by which tests disable one of them.
 //!
-//! Each rule's doc says what the rule demands, and after "Found by" which committed run plants the flaw
-//! `without-NAME` and expects that its checks find it. `docs/proofs.md` describes these runs.
+//! A process with a disabled rule has a flaw, called `without-NAME`. Each rule's doc says what the rule requires, and after
+//! "Found by" which committed run injects the flaw and expects its checks to find it. `docs/proofs.md` describes these
+//! runs.
 
 use std::fmt;
 
@@ -14,7 +15,7 @@
         }
 
         impl Rule {
-            /// Every rule.
+            /// All rules.
             pub const ALL: &[Rule] = &[$(Rule::$rule),+];
 
             /// Returns the rule's name, as it appears in the names of flaws.
@@ -28,8 +29,8 @@
 }
 
 rules! {
-    /// A daemon serves only while it has a session lease, and gives up all it held when the lease ends. Found by `fleet
-    /// proofs`.
+    /// A daemon serves only while it has a session lease, and gives up all its functions when the lease ends. Found by
+    /// `fleet proofs`.
     ServesUnderSessionLease = "member-grant",
     /// A daemon's session lease is renewed only with the newest committed spec installed. Found by
     /// `crates/dataplane/tests/agent/spec_versions.rs`.
@@ -39,24 +40,24 @@
     /// A request is sent to a runner only if the newest spec, looked up right before the send, still allows it. Found
     /// by `crates/dataplane/tests/agent/spec_versions.rs`.
     SpecCheckedBeforeSend = "spec-before-send",
-    /// The first byte of a send is written only while the session lease lasts and the function is still held under the
-    /// same function lease. Found by `platform/tests/connections/pre_send_check.rs`.
+    /// The first byte of a request is written only during the session lease, and while the function is still held under
+    /// the same function lease. Found by `platform/tests/connections/pre_send_check.rs`.
     LeaseCheckedBeforeSend = "held-before-send",
     /// A request of which a byte was written counts as sent, and is not reported as certainly unsent. Found by
     /// `platform/tests/connections/sends.rs` and `daemons.rs`.
     PartialWriteCountsAsSent = "written-is-sent",
-    /// A response of another daemon goes only to the request that it names. Found by
+    /// A response from another daemon is delivered only to the request that it names. Found by
     /// `platform/tests/connections/daemons.rs`.
     ReplyMatchesRequest = "reply-matched",
     /// A repeat of a request is sent to one runner only. Found by `crates/dataplane/tests/holder/retries.rs`.
     RepeatSentToOneRunner = "repeat-sent-once",
-    /// A send names the runner that is meant, and another runner at its address refuses it. Found by `fleet proofs`.
+    /// A request names the intended runner, and a different runner at its address rejects it. Found by `fleet proofs`.
     RunnerIdentityChecked = "runner-named",
     /// A response without a valid seal is not accepted. Found by `fleet proofs`.
     SealChecked = "seal-checked",
     /// A response whose seal names another request, function or runner is not accepted. Found by `fleet proofs`.
     SealBoundToRequest = "seal-names-asked",
-    /// A response is not accepted if its body may have been cut short, or is not as the runner made it. Found by
+    /// A response is not accepted if its body may be truncated or differ from what the runner produced. Found by
     /// `platform/tests/connections/sends.rs`.
     IncompleteBodyRejected = "body-whole",
     /// A response with the beginning of another response in its head is not accepted. Found by
@@ -64,17 +65,17 @@
     MergedHeadRejected = "head-unmixed",
     /// A runner never has more requests than slots. Found by `fleet proofs`.
     SlotLimitRespected = "slots-kept",
-    /// A new runner gets one request at first, and one more at a time with each response. Found by `fleet proofs`.
+    /// A new runner gets one request at first, and each response allows one more at a time. Found by `fleet proofs`.
     SlowStartRespected = "ramp-kept",
-    /// A request whose response was lost occupies its slot until the runner is known to be done with it. Found by
+    /// A request whose response was lost occupies its slot until the runner is known to have finished it. Found by
     /// `fleet proofs`.
     LostResponseKeepsSlot = "lost-keeps-slot",
     /// A request that may run only once is not sent again when its response is lost. Found by
     /// `testing/fleet/tests/invariants.rs`.
     OnceNotRetried = "once-not-repeated",
-    /// A function's own retries and the callers' repeats draw on one retry budget. Found by `fleet proofs`.
+    /// The retries of a function's requests and the callers' repeats share one retry budget. Found by `fleet proofs`.
     RetryBudgetCounted = "tries-counted",
-    /// A request is reported as rejected only after it has left the queue and was given to no runner. Found by `fleet
+    /// A request is reported as rejected only after it has left the queue without being sent to a runner. Found by `fleet
     /// proofs`.
     RejectedNeverRuns = "refused-is-gone",
     /// A request whose idempotency key is known gets the outcome that the ledger records. Found by `fleet proofs`.
@@ -88,10 +89,10 @@
     DrainObeyed = "drain-obeyed",
     /// Functions held in an evacuated zone are handed over, and runners there are drained. Found by `fleet proofs`.
     EvacuationObeyed = "evacuation-obeyed",
-    /// A daemon that is stopped in an orderly way delivers the responses of the requests it has. Found by `fleet
+    /// A daemon that shuts down gracefully delivers the responses to the requests that it still has. Found by `fleet
     /// proofs`.
     ResponsesDeliveredAtShutdown = "answers-handed-out",
-    /// A daemon that is stopped in an orderly way withdraws the requests that no runner has before its grace period ends.
+    /// A daemon that shuts down gracefully withdraws the requests that are at no runner before its grace period ends.
     /// Found by `fleet proofs`.
     QueuedRequestsWithdrawnAtShutdown = "queued-withdrawn",
     /// A function is granted again only when each runner of its lost holder is kept for the next holder, or stopped by
@@ -125,7 +126,7 @@
     RejectionConfirmedByMajority = "refusal-proven",
     /// A change that was applied is recognized when it is sent again. Found by `fleet proofs`.
     ResentChangeRecognized = "taken-known",
-    /// Two changes with one number are told apart by their content. Found by `fleet proofs`.
+    /// Two changes with the same number are distinguished by their content. Found by `fleet proofs`.
     ChangeNumberBoundToContent = "number-taken-once",
     /// A change is acknowledged only when a majority has written it. Found by `fleet proofs`.
     AcknowledgedByMajority = "acknowledged-by-majority",
@@ -147,7 +148,7 @@
     /// A lease that answers a request from before the daemon gave everything up is released again. Found by
     /// `crates/dataplane/tests/agent/late_leases.rs`.
     StaleLeaseReturned = "old-answer-void",
-    /// A leader that others name is dialed even if a connection to it has failed a moment before. Found by
+    /// A leader that a controller names is dialed even if a connection to it has just failed. Found by
     /// `crates/dataplane/tests/control_session.rs`.
     HintedLeaderDialed = "named-leader-dialed",
     /// A function whose idempotency keys may be repeated has one holder for all regions, which records them. Found by
@@ -168,26 +169,26 @@
     }
 }
 
-/// The rules that a process enforces. Deployed programs enforce all; tests disable one, to see that their checks
-/// find its absence.
+/// The rules that a process enforces. Deployed programs enforce all; tests disable one to verify that their checks find
+/// its absence.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct Rules(Option<Rule>);
 
 impl Rules {
-    /// All rules are enforced.
+    /// Enforces all rules.
     pub const ALL_ENFORCED: Rules = Rules(None);
 
-    /// All rules but one are enforced.
+    /// Enforces all rules but one.
     pub const fn without(disabled_rule: Rule) -> Self {
         Self(Some(disabled_rule))
     }
 
-    /// Whether all rules are enforced.
+    /// Returns whether all rules are enforced.
     pub fn all_enforced(self) -> bool {
         self.0.is_none()
     }
 
-    /// Whether a rule is enforced.
+    /// Returns whether a rule is enforced.
     pub fn enforces(self, rule: Rule) -> bool {
         self.0 != Some(rule)
     }
--- a/crates/common/src/seal.rs
+++ b/crates/common/src/seal.rs
@@ -1,4 +1,4 @@
-//! The seal that a runner puts on its response, and the headers between daemons, callers and runners.
+//! The seal of a runner's response, which binds it to its request, and the headers between daemons, callers and runners.
 //!
 //! The seal is the SHA-256 digest, in hexadecimal, of the idempotency key, the function, the runner, whether the runner
 //! rejected the request, the body's length and the body.
@@ -21,7 +21,7 @@
 pub const RUNNER_HEADER: &str = "rudder-runner";
 /// Header with the fencing token of the lease under which a runner is sent a request.
 pub const FENCING_TOKEN_HEADER: &str = "rudder-grant";
-/// Header with the number of the attempt to run one request, from one.
+/// Header with the number of the attempt to run one request, starting at one.
 pub const ATTEMPT_HEADER: &str = "rudder-attempt";
 /// Header with the seal.
 pub const SEAL_HEADER: &str = "rudder-seal";
@@ -41,7 +41,7 @@
     Sha256::digest(bytes).into()
 }
 
-/// Computes the seal of a body for one request, function and runner. A rejection has another seal than a response.
+/// Computes the seal of a body for one request, function and runner. A rejection has a different seal than a response.
 pub fn seal(
     idempotency_key: &IdempotencyKey,
     function: &FunctionKey,
@@ -57,7 +57,7 @@
     seal_of_texts(idempotency_key, &function, &runner, is_rejected, body)
 }
 
-/// Computes the seal from the names' text forms.
+/// Computes the seal from the text forms of the idempotency key, the function and the runner.
 pub fn seal_of_texts(
     idempotency_key: &str,
     function: &str,
