--- a/crates/common/src/readers/json.rs
+++ b/crates/common/src/readers/json.rs
@@ -1,21 +1,20 @@
-//! Parses JSON without passing anything over: a name that stands twice in one object is an error.
+//! A JSON parser that rejects duplicate names in an object instead of ignoring all but the last.
 
 use serde::de::{Deserialize, Deserializer, Error, MapAccess, SeqAccess, Visitor};
 use serde_json::map::Entry;
 use serde_json::{Map, Value};
 use std::fmt;
 
-/// Parses a JSON document. Of a name that stands twice in one object, `serde_json` by itself would keep the last value
-/// alone.
+/// Parses a JSON document. By default `serde_json` would keep only the last value of a duplicate name.
 ///
 /// # Errors
-/// The text is not JSON, or an object has a name twice.
+/// The text is not JSON, or an object has a duplicate name.
 pub fn parse_json(text: &[u8]) -> Result<Value, serde_json::Error> {
     let UniqueNames(value) = serde_json::from_slice(text)?;
     Ok(value)
 }
 
-/// A value in which each object has each name once.
+/// A value in which no object has a duplicate name.
 struct UniqueNames(Value);
 
 impl<'de> Deserialize<'de> for UniqueNames {
--- a/crates/common/src/readers/mod.rs
+++ b/crates/common/src/readers/mod.rs
@@ -1,4 +1,4 @@
-//! Readers of JSON that report each error with its path.
+//! Readers of JSON documents and settings that report the path of each error.
 
 mod json;
 mod path;
--- a/crates/common/src/readers/path.rs
+++ b/crates/common/src/readers/path.rs
@@ -1,4 +1,4 @@
-//! A reader of a JSON value that knows its path and collects errors.
+//! A JSON reader that tracks the path of each value and collects errors.
 
 use serde_json::Value;
 use std::fmt;
@@ -9,7 +9,7 @@
 #[derive(Clone, PartialEq, Eq, Debug, thiserror::Error)]
 #[error("{} {reason}", if .path.is_empty() { "document" } else { .path })]
 pub struct PathError {
-    /// The path from the root, with dots between the names; empty for the document itself.
+    /// The path from the root, its names separated by dots; empty for the document itself.
     pub path: String,
     /// What is wrong there.
     pub reason: PathErrorReason,
@@ -21,19 +21,19 @@
     /// A required value is missing.
     #[error("is missing")]
     Missing,
-    /// The value has another type than this.
+    /// The value is not of this type.
     #[error("is not {0}")]
     WrongType(&'static str),
-    /// The number is not between these two, both included.
+    /// The number is not between these two bounds, both included.
     #[error("is not within {0} to {1}")]
     OutOfBounds(u64, u64),
-    /// The field is not known.
+    /// The field is unknown.
     #[error("is not a known key")]
     UnknownField,
-    /// Something of this kind is referred to by this name, and does not exist.
+    /// The value refers to an item of this kind and name, which does not exist.
     #[error("names no {0}: {1:?}")]
     UnknownReference(&'static str, String),
-    /// The entry of this name matches the same.
+    /// The entry matches the same as the entry of this name.
     #[error("matches the same as {0}")]
     Duplicate(String),
     /// The value is malformed in the way described.
@@ -41,14 +41,14 @@
     Malformed(String),
 }
 
-/// The errors found so far. Readers of one document share it.
+/// The errors found so far, shared by all readers of one document.
 #[derive(Default)]
 pub struct PathErrorList {
     errors: Mutex<Vec<PathError>>,
 }
 
 impl PathErrorList {
-    /// Adds an error, once however often it is found.
+    /// Adds an error unless the list contains it already.
     pub fn add(&self, path: impl Into<String>, reason: PathErrorReason) {
         let error = PathError {
             path: path.into(),
@@ -70,7 +70,7 @@
 
 /// A position in a JSON document, from which values are read.
 ///
-/// Methods that read a value return none if it is missing or invalid, and add an error with its path to the list.
+/// Methods that read a value return `None` if it is missing or invalid, and add an error with its path to the list.
 #[derive(Clone)]
 pub struct PathReader<'a> {
     value: Option<&'a Value>,
@@ -88,12 +88,12 @@
         }
     }
 
-    /// The path from the root, with dots between the names.
+    /// Returns the path from the root, its names separated by dots.
     pub fn path(&self) -> &str {
         &self.path
     }
 
-    /// Whether there is a value here other than null.
+    /// Returns whether there is a value other than null.
     pub fn is_present(&self) -> bool {
         self.value.is_some_and(|value| !value.is_null())
     }
@@ -111,14 +111,14 @@
         }
     }
 
-    /// Adds an error if there is a value here that is no object: its fields would all count as missing.
+    /// Adds an error if there is a value that is not an object, whose fields would otherwise just count as missing.
     pub fn check_object(&self) {
         if self.is_present() && !self.value.is_some_and(Value::is_object) {
             self.add_error(PathErrorReason::WrongType("an object"));
         }
     }
 
-    /// Returns a reader for a field, which need not exist. A value here that is no object is an error.
+    /// Returns a reader for a field, which need not exist. Adds an error if there is a value that is not an object.
     pub fn field(&self, field_name: &str) -> PathReader<'a> {
         self.check_object();
         PathReader {
@@ -128,7 +128,7 @@
         }
     }
 
-    /// Adds an error for each field that is not among the known ones, and for a value that has no fields.
+    /// Adds an error for each field that is not among the known ones, and for a value that is not an object.
     pub fn allow_only(&self, known_fields: &[&str]) {
         self.check_object();
         for (field_name, _) in self.object_entries() {
@@ -147,7 +147,8 @@
             .map(|(field_name, value)| (field_name.as_str(), value))
     }
 
-    /// Returns the fields of an object, each with a reader; empty if the value is missing. Another type is an error.
+    /// Returns the fields of an object, each with a reader; empty if the value is missing. Adds an error if the value is
+    /// not an object.
     pub fn fields(&self) -> Vec<(&'a str, PathReader<'a>)> {
         self.check_object();
         self.object_entries()
@@ -165,7 +166,8 @@
             .collect()
     }
 
-    /// Returns a reader for each item of an array; empty if the value is missing. Another type is an error.
+    /// Returns a reader for each item of an array; empty if the value is missing. Adds an error if the value is not an
+    /// array.
     pub fn items(&self) -> Vec<PathReader<'a>> {
         if self.is_present() && !self.value.is_some_and(Value::is_array) {
             self.add_error(PathErrorReason::WrongType("an array"));
@@ -207,7 +209,7 @@
         })
     }
 
-    /// Reads an optional boolean.
+    /// Reads an optional boolean. An invalid value is an error and counts as the default.
     pub fn bool_or(&self, default_flag: bool) -> bool {
         if self.is_present() {
             self.required("true or false", Value::as_bool)
@@ -227,7 +229,7 @@
         Some(read_number)
     }
 
-    /// Reads an optional integer within bounds; the default also stands in for an invalid one, which is an error.
+    /// Reads an optional integer within bounds. An invalid value is an error and counts as the default.
     pub fn number_or(&self, bounds: RangeInclusive<u64>, default_number: u64) -> u64 {
         if self.is_present() {
             self.number(bounds).unwrap_or(default_number)
@@ -236,8 +238,8 @@
         }
     }
 
-    /// Reads an optional number that is not negative, with or without a fraction; the default also stands in for an
-    /// invalid one, which is an error.
+    /// Reads an optional non-negative number, with or without a fraction. An invalid value is an error and counts as the
+    /// default.
     pub fn decimal_or(&self, default_number: f64) -> f64 {
         if !self.is_present() {
             return default_number;
@@ -249,7 +251,7 @@
         read_number.unwrap_or(default_number)
     }
 
-    /// Returns the value other than null, without an error if there is none.
+    /// Returns the value unless it is missing or null; neither adds an error.
     pub fn value(&self) -> Option<&'a Value> {
         self.value.filter(|value| !value.is_null())
     }
--- a/crates/common/src/readers/settings.rs
+++ b/crates/common/src/readers/settings.rs
@@ -19,10 +19,10 @@
     /// A key of the named source is missing or invalid.
     #[error("{0}: {1}")]
     InvalidKey(String, #[source] PathError),
-    /// The data folder that the named source gives cannot be written.
+    /// The data directory in the named source is not writable.
     #[error("{0}: data cannot be written at {folder}: {2}", folder = .1.display())]
     UnwritableFolder(String, PathBuf, #[source] std::io::Error),
-    /// The address that the named source gives under a key cannot be listened on.
+    /// The process cannot listen on the address under this key of the named source.
     #[error("{0}: {1} cannot listen at {2}: {3}")]
     CannotListen(
         String,
@@ -32,7 +32,7 @@
     ),
 }
 
-/// Settings before they are checked: those of a file, overridden by flags.
+/// Settings that are not checked yet: those of a file, overridden by flags.
 pub struct SettingsSource {
     name: String,
     value: Value,
@@ -60,7 +60,7 @@
         })
     }
 
-    /// Takes settings that are already in memory.
+    /// Creates a source from settings in memory; errors are reported under `name`.
     pub fn from_value(name: impl Into<String>, value: Value) -> Self {
         Self {
             name: name.into(),
@@ -68,24 +68,24 @@
         }
     }
 
-    /// Overrides a key by a flag's value, if the flag was given.
+    /// Overrides a key with a flag's value, if the flag was given.
     pub fn set(&mut self, key: &str, flag_value: Option<Value>) {
         if let (Some(value), Some(fields)) = (flag_value, self.value.as_object_mut()) {
             fields.insert(key.to_owned(), value);
         }
     }
 
-    /// Overrides a key by a flag's text, if the flag was given.
+    /// Overrides a key with a flag's text, if the flag was given.
     pub fn set_text(&mut self, key: &str, flag_text: Option<&str>) {
         self.set(key, flag_text.map(Value::from));
     }
 
-    /// Overrides a key by a flag's list, its items separated by commas, if the flag was given.
+    /// Overrides a key with a flag's comma-separated list, if the flag was given.
     pub fn set_list(&mut self, key: &str, flag_text: Option<&str>) {
         self.set(key, flag_text.map(|text| text.split(',').collect()));
     }
 
-    /// The name under which errors are reported: the file's path, or `flags`.
+    /// Returns the name under which errors are reported: the file's path, or `flags` without a file.
     pub fn name(&self) -> &str {
         &self.name
     }
@@ -135,8 +135,8 @@
     }
 }
 
-/// Reads `listen`, the address that a process listens on if that is not the one at which others reach it: by default
-/// `address`. Both must have the same IP address.
+/// Reads `listen`, the address that a process listens on if it differs from `address`, at which other processes reach it;
+/// `address` is the default. Both must have the same IP address.
 pub fn read_listen(root: &PathReader<'_>, address: Option<SocketAddress>) -> Option<SocketAddress> {
     let reader = root.field("listen");
     if !reader.is_present() {
@@ -152,7 +152,7 @@
     Some(listen)
 }
 
-/// Reads a required list of addresses, whose length must be within bounds.
+/// Reads a required list of addresses, whose length must be in `allowed_count`.
 pub fn read_addresses(
     reader: &PathReader<'_>,
     allowed_count: RangeInclusive<usize>,
