--- a/crates/common/src/command_line.rs
+++ b/crates/common/src/command_line.rs
@@ -119,8 +119,8 @@
 
 /// Returns a receiver that becomes true when the process receives SIGTERM or SIGINT.
 ///
-/// The task that waits for the signals is detached and ends with the first of them. Fails if the runtime cannot register
-/// a handler.
+/// The task that waits for the signals is detached and ends with the first of them. Fails if the runtime cannot
+/// register a handler.
 pub fn stop_signal() -> std::io::Result<watch::Receiver<bool>> {
     let (stop_sender, stop) = watch::channel(false);
     let mut sigterm = signal(SignalKind::terminate())?;
@@ -154,7 +154,8 @@
     Ok(reload)
 }
 
-/// Reads the settings again on each reload signal, and applies them. Settings that cannot be read are logged and skipped.
+/// Reads the settings again on each reload signal, and applies them. Settings that cannot be read are logged and
+/// skipped.
 ///
 /// Ends only when the sender of the signal is dropped, which lives as long as the runtime.
 pub async fn apply_on_reload<T, E: fmt::Display>(
@@ -172,8 +173,8 @@
 
 /// Runs a program's service until it has stopped after a stop signal, and logs its start and its end.
 ///
-/// Meanwhile `reload` applies changed settings (see [`apply_on_reload`]); its task is detached and is cancelled with the
-/// runtime. Fails if the handler of the stop signals cannot be registered.
+/// Meanwhile `reload` applies changed settings (see [`apply_on_reload`]); its task is detached and is cancelled with
+/// the runtime. Fails if the handler of the stop signals cannot be registered.
 pub async fn run_service<F: Future<Output = ()>>(
     start_message: impl fmt::Display,
     reload: impl Future<Output = ()> + Send + 'static,
@@ -187,8 +188,8 @@
     Ok(())
 }
 
-/// Creates a runtime with this number of worker threads. With zero, tokio chooses the number by the machine's cores; with
-/// one, everything runs on the calling thread.
+/// Creates a runtime with this number of worker threads. With zero, tokio chooses the number by the machine's cores;
+/// with one, everything runs on the calling thread.
 pub fn runtime(thread_count: usize) -> std::io::Result<Runtime> {
     if thread_count == 1 {
         return Builder::new_current_thread().enable_all().build();
--- a/crates/common/src/hangups.rs
+++ b/crates/common/src/hangups.rs
@@ -1,7 +1,8 @@
 //! Counts SIGHUPs that arrive before a program is ready to reload its settings.
 //!
-//! A supervisor may send SIGHUP for changed settings as soon as the process exists, and without a handler the signal ends
-//! the process. So a deployed program counts SIGHUPs from before `main`, and [`reload_signal`] reports that some arrived.
+//! A supervisor may send SIGHUP for changed settings as soon as the process exists, and without a handler the signal
+//! ends the process. So a deployed program counts SIGHUPs from before `main`, and [`reload_signal`] reports that some
+//! arrived.
 //!
 //! [`reload_signal`]: crate::command_line::reload_signal
 
@@ -13,8 +14,8 @@
     HANGUP_COUNT.fetch_add(1, Ordering::Relaxed);
 }
 
-/// Installs a handler that counts SIGHUPs, which then no longer end the process. Needs nothing of Rust's runtime, so that
-/// a program can call it before `main`.
+/// Installs a handler that counts SIGHUPs, which then no longer end the process. Needs nothing of Rust's runtime, so
+/// that a program can call it before `main`.
 pub fn start_counting() {
     let handler = count_hangup as extern "C" fn(libc::c_int);
     // SAFETY: the handler only adds to an atomic, which is async-signal-safe.
--- a/crates/common/src/http/head.rs
+++ b/crates/common/src/http/head.rs
@@ -17,8 +17,8 @@
         .unwrap_or("")
 }
 
-/// Returns the value of a header; empty if the header is missing, is not text, or is ambiguous because it occurs more than
-/// once.
+/// Returns the value of a header; empty if the header is missing, is not text, or is ambiguous because it occurs more
+/// than once.
 pub fn single_header_text<'a>(headers: &'a HeaderMap, name: &str) -> &'a str {
     let mut values = headers.get_all(name).iter();
     match (values.next(), values.next()) {
@@ -27,16 +27,16 @@
     }
 }
 
-/// Returns whether a response declares where its body ends (RFC 9112, section 6.3). A body that ends with its connection
-/// may have been truncated unnoticed.
+/// Returns whether a response declares where its body ends (RFC 9112, section 6.3). A body that ends with its
+/// connection may have been truncated unnoticed.
 fn declares_body_end(status: StatusCode, headers: &HeaderMap) -> bool {
     let has_no_body = matches!(status, StatusCode::NO_CONTENT | StatusCode::NOT_MODIFIED);
     has_no_body || headers.contains_key(CONTENT_LENGTH) || is_chunked(headers)
 }
 
 /// Returns whether the end of a response's body can be told from a lost connection: the head declares the end, or
-/// announces that the connection closes after the body. A body that ends with its connection is complete if the connection
-/// was closed gracefully; if the connection was reset, reading the body fails (RFC 9112, section 8).
+/// announces that the connection closes after the body. A body that ends with its connection is complete if the
+/// connection was closed gracefully; if the connection was reset, reading the body fails (RFC 9112, section 8).
 pub fn has_reliable_end(status: StatusCode, headers: &HeaderMap) -> bool {
     declares_body_end(status, headers) || closes_connection(headers)
 }
--- a/crates/common/src/http/line_stream.rs
+++ b/crates/common/src/http/line_stream.rs
@@ -29,8 +29,8 @@
     Redirect(SocketAddress),
 }
 
-/// Requests `path` and calls `on_line` with each line of the body as it arrives, until `on_line` breaks or the body ends.
-/// There is no time-out once the connection is open.
+/// Requests `path` and calls `on_line` with each line of the body as it arrives, until `on_line` breaks or the body
+/// ends. There is no time-out once the connection is open.
 ///
 /// # Errors
 /// A [`CallError`] if no connection could be opened, or it was lost.
--- a/crates/common/src/http/serve.rs
+++ b/crates/common/src/http/serve.rs
@@ -134,8 +134,8 @@
 
 /// Serves like [`serve`], with limits that are looked up for each connection.
 ///
-/// Each connection has its own detached task, which holds a sender of a channel: the function returns when all tasks have
-/// ended and dropped theirs.
+/// Each connection has its own detached task, which holds a sender of a channel: the function returns when all tasks
+/// have ended and dropped theirs.
 pub async fn serve_with_limits<H, F>(
     listener: TcpListener,
     handler: H,
@@ -168,8 +168,8 @@
     let _ = all_closed.recv().await;
 }
 
-/// Serves one connection until it ends. When `stop` becomes true, the connection is closed after the request in progress,
-/// or after a request that has already arrived.
+/// Serves one connection until it ends. When `stop` becomes true, the connection is closed after the request in
+/// progress, or after a request that has already arrived.
 pub async fn serve_connection<S, H, F>(
     stream: S,
     handler: H,
--- a/crates/common/src/invariants.rs
+++ b/crates/common/src/invariants.rs
@@ -1,8 +1,9 @@
 //! Invariants that the running code checks.
 //!
-//! A check does not repeat the rule that enforces its invariant: it examines the result. Each violation is counted on the
-//! metrics page, logged as an event, and collected on threads on which a test requests it. Debug builds panic on the first
-//! violation, unless a rule is disabled on purpose, the thread collects violations, or the process only counts them.
+//! A check does not repeat the rule that enforces its invariant: it examines the result. Each violation is counted on
+//! the metrics page, logged as an event, and collected on threads on which a test requests it. Debug builds panic on
+//! the first violation, unless a rule is disabled on purpose, the thread collects violations, or the process only
+//! counts them.
 
 use crate::events;
 use crate::log_event;
--- a/crates/common/src/readers/path.rs
+++ b/crates/common/src/readers/path.rs
@@ -147,8 +147,8 @@
             .map(|(field_name, value)| (field_name.as_str(), value))
     }
 
-    /// Returns the fields of an object, each with a reader; empty if the value is missing. Adds an error if the value is
-    /// not an object.
+    /// Returns the fields of an object, each with a reader; empty if the value is missing. Adds an error if the value
+    /// is not an object.
     pub fn fields(&self) -> Vec<(&'a str, PathReader<'a>)> {
         self.check_object();
         self.object_entries()
@@ -238,8 +238,8 @@
         }
     }
 
-    /// Reads an optional non-negative number, with or without a fraction. An invalid value is an error and counts as the
-    /// default.
+    /// Reads an optional non-negative number, with or without a fraction. An invalid value is an error and counts as
+    /// the default.
     pub fn decimal_or(&self, default_number: f64) -> f64 {
         if !self.is_present() {
             return default_number;
--- a/crates/common/src/readers/settings.rs
+++ b/crates/common/src/readers/settings.rs
@@ -135,8 +135,8 @@
     }
 }
 
-/// Reads `listen`, the address that a process listens on if it differs from `address`, at which other processes reach it;
-/// `address` is the default. Both must have the same IP address.
+/// Reads `listen`, the address that a process listens on if it differs from `address`, at which other processes reach
+/// it; `address` is the default. Both must have the same IP address.
 pub fn read_listen(root: &PathReader<'_>, address: Option<SocketAddress>) -> Option<SocketAddress> {
     let reader = root.field("listen");
     if !reader.is_present() {
--- a/crates/common/src/rules.rs
+++ b/crates/common/src/rules.rs
@@ -1,8 +1,8 @@
 //! The safety rules by name, and the switch by which tests disable one of them.
 //!
-//! A process with a disabled rule has a flaw, called `without-NAME`. Each rule's doc says what the rule requires, and after
-//! "Found by" which committed run injects the flaw and expects its checks to find it. `docs/proofs.md` describes these
-//! runs.
+//! A process with a disabled rule has a flaw, called `without-NAME`. Each rule's doc says what the rule requires, and
+//! after "Found by" which committed run injects the flaw and expects its checks to find it. `docs/proofs.md` describes
+//! these runs.
 
 use std::fmt;
 
@@ -75,8 +75,8 @@
     OnceNotRetried = "once-not-repeated",
     /// The retries of a function's requests and the callers' repeats share one retry budget. Found by `fleet proofs`.
     RetryBudgetCounted = "tries-counted",
-    /// A request is reported as rejected only after it has left the queue without being sent to a runner. Found by `fleet
-    /// proofs`.
+    /// A request is reported as rejected only after it has left the queue without being sent to a runner. Found by
+    /// `fleet proofs`.
     RejectedNeverRuns = "refused-is-gone",
     /// A request whose idempotency key is known gets the outcome that the ledger records. Found by `fleet proofs`.
     KnownIdempotencyKeyAnswered = "identity-known",
--- a/crates/common/src/seal.rs
+++ b/crates/common/src/seal.rs
@@ -1,4 +1,5 @@
-//! The seal of a runner's response, which binds it to its request, and the headers between daemons, callers and runners.
+//! The seal of a runner's response, which binds it to its request, and the headers between daemons, callers and
+//! runners.
 //!
 //! The seal is the SHA-256 digest, in hexadecimal, of the idempotency key, the function, the runner, whether the runner
 //! rejected the request, the body's length and the body.
