--- a/programs/controller/src/main.rs
+++ b/programs/controller/src/main.rs
@@ -1,6 +1,6 @@
-//! The controller as a program of its own: its flags, its settings, and its exit codes.
+//! The controller program: its flags, its settings, and its exit codes.
 //!
-//! Exit codes: 0 stopped by a signal; 1 a failure of the system; 2 invalid flags or settings.
+//! Exit codes: 0 stopped by a signal; 1 system error; 2 invalid flags or settings.
 
 #![deny(unreachable_pub)]
 
@@ -61,7 +61,7 @@
     recover: Option<String>,
 }
 
-/// Reads the settings file with the flags laid over it.
+/// Reads the settings file; flags override its keys.
 fn read_settings(flags: &Flags) -> Result<ControllerSettings, SettingsError> {
     let mut settings_source = SettingsSource::open(flags.boot.as_deref())?;
     settings_source.set_text("place", flags.place.as_deref());
@@ -78,10 +78,10 @@
 }
 
 const PROGRAM: Program = Program::new("rudder-controller", env!("CARGO_PKG_VERSION"));
-/// The phrase with which an operator accepts what `--recover` loses.
+/// The phrase by which an operator accepts the data loss of `--recover`.
 const RECOVER_PHRASE: &str = "i-accept-the-loss";
 
-/// Runs before `main`: the settings may be reloaded as soon as the process exists.
+/// Runs before `main`, because a reload signal may arrive as soon as the process exists.
 #[ctor::ctor(unsafe)]
 fn count_early_hangups() {
     common::hangups::start_counting();
@@ -104,8 +104,8 @@
     })
 }
 
-/// Makes this controller the only voter by its data directory, if the operator has accepted the loss; returns
-/// the exit code if it cannot.
+/// Makes this controller the only voter in its data directory, if the operator has accepted the loss. Returns the exit
+/// code of the program on failure.
 fn recover(phrase: &str, settings: &ControllerSettings) -> Result<(), ExitCode> {
     if phrase != RECOVER_PHRASE {
         let error = format!("--recover needs the phrase {RECOVER_PHRASE}; see --help");
@@ -119,7 +119,7 @@
         .map_err(|error| PROGRAM.fail(format!("--recover: {error}"), 1))
 }
 
-/// Applies the seeds on each reload signal; settings that cannot be read are logged and change nothing.
+/// Applies the seeds in the settings on each reload signal. Settings that cannot be read are logged and change nothing.
 async fn update_seeds(flags: Flags, seed_updater: SeedUpdater, reload: watch::Receiver<u64>) {
     let read = || read_settings(&flags);
     command_line::apply_on_reload(reload, read, async move |settings: ControllerSettings| {
--- a/programs/daemon/src/main.rs
+++ b/programs/daemon/src/main.rs
@@ -1,6 +1,6 @@
-//! The daemon as a program of its own: its flags, its settings, and its exit codes.
+//! The daemon program: its flags, its settings, and its exit codes.
 //!
-//! Exit codes: 0 stopped by a signal; 1 a failure of the system; 2 invalid flags or settings.
+//! Exit codes: 0 stopped by a signal; 1 system error; 2 invalid flags or settings.
 
 #![deny(unreachable_pub)]
 
@@ -49,7 +49,7 @@
     platform: Option<String>,
 }
 
-/// Reads the settings file with the flags laid over it.
+/// Reads the settings file; flags override its keys.
 fn read_settings(flags: &Flags) -> Result<DaemonSettings, SettingsError> {
     let mut settings_source = SettingsSource::open(flags.boot.as_deref())?;
     settings_source.set_text("member", flags.member.as_deref());
@@ -63,7 +63,7 @@
 
 const PROGRAM: Program = Program::new("rudderd", env!("CARGO_PKG_VERSION"));
 
-/// Runs before `main`: the settings may be reloaded as soon as the process exists.
+/// Runs before `main`, because a reload signal may arrive as soon as the process exists.
 #[ctor::ctor(unsafe)]
 fn count_early_hangups() {
     common::hangups::start_counting();
@@ -81,9 +81,8 @@
     })
 }
 
-/// Applies the file's seeds on each reload signal. Flags are not laid over them, so that a process that was
-/// started with `--seeds` can take others; a file that cannot be read is logged and changes
-/// nothing.
+/// Applies the seeds in the settings file on each reload signal. Flags do not override them here, so that a process
+/// that was started with `--seeds` can get other seeds. A file that cannot be read is logged and changes nothing.
 async fn update_seeds(
     daemon: DaemonHandle,
     settings_file: Option<PathBuf>,
