--- a/programs/rudderctl/src/arguments.rs
+++ b/programs/rudderctl/src/arguments.rs
@@ -1,7 +1,7 @@
 //! The commands of `rudderctl`, their flags, and the examples in the help.
 //!
-//! Names of fields and variants are command-line arguments, and a doc comment on a type that derives
-//! [`Options`] is printed by the help: both are held by tests.
+//! Names of fields and variants are command-line arguments, and the help prints doc comments on types that derive
+//! [`Options`]: tests compare both with fixtures.
 
 use crate::change::{ChangeBase, ChangeKind, ChangeOptions, SpecChange, ZoneAction, ZoneChange};
 use crate::output::OutputFormat;
@@ -9,7 +9,7 @@
 use gumdrop::Options;
 use std::path::PathBuf;
 
-/// The examples that the help shows below the flags.
+/// The examples that the help shows after the flags.
 pub(crate) const EXAMPLES: &[Example] = &[
     Example {
         command: None,
@@ -208,7 +208,7 @@
 }
 
 impl Change {
-    /// The change that the flags describe.
+    /// Returns the change that the flags describe.
     pub(crate) fn to_spec_change(&self, kind: ChangeKind) -> SpecChange<'_> {
         SpecChange {
             kind,
@@ -241,7 +241,7 @@
 }
 
 impl ZoneCommand {
-    /// The change that the flags describe.
+    /// Returns the change that the flags describe.
     pub(crate) fn into_zone_change(self, action: ZoneAction) -> ZoneChange {
         ZoneChange {
             action,
--- a/programs/rudderctl/src/change.rs
+++ b/programs/rudderctl/src/change.rs
@@ -1,4 +1,4 @@
-//! Changes of the spec as they are sent to the operators' API.
+//! Changes of the spec, and the requests that send them to the operators' API.
 
 use common::readers::{PathError, PathErrorList, PathReader, parse_json};
 use common::rng::SeededRng;
@@ -16,7 +16,7 @@
     /// The file is not JSON.
     #[error("{}: not JSON: {_1}", _0.display())]
     NotJson(PathBuf, #[source] serde_json::Error),
-    /// The file does not describe items to put and to remove: what is wrong with it.
+    /// The file does not describe items to put and to remove: its path, and the error.
     #[error("{}: {_1}", _0.display())]
     NotItems(PathBuf, PathError),
 }
@@ -33,7 +33,7 @@
 }
 
 impl ChangeKind {
-    /// The method of the request that sends it.
+    /// Returns the HTTP method of the request.
     pub(crate) fn method(self) -> Method {
         match self {
             Self::Full => Method::PUT,
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Fails if the file has parts that the change would leave out.
+    /// Converts a file's content to the change. Fails if the file has parts that the change would ignore.
     fn content_of(self, file: Value) -> Result<ChangeContent, PathError> {
         Ok(match self {
             Self::Full => ChangeContent::Full { spec: file },
@@ -57,28 +57,28 @@
     }
 }
 
-/// Checks that a file has nothing but items to put and to remove, which controllers check.
+/// Checks that a file contains only items to put and to remove. Controllers check the items themselves.
 fn check_items(file: &Value) -> Result<(), PathError> {
     let errors = PathErrorList::default();
     PathReader::new(file, &errors).allow_only(&["put", "remove"]);
     errors.into_inner().into_iter().next().map_or(Ok(()), Err)
 }
 
-/// What a change is to alter. The parts of the spec are the operators' own JSON, which controllers check.
+/// The content of a change. The parts of the spec are the operators' JSON as written; controllers check them.
 #[derive(Serialize)]
 #[serde(untagged)]
 enum ChangeContent {
-    /// The spec becomes this one.
+    /// The spec is replaced.
     Full { spec: Value },
     /// A JSON merge patch is applied to the spec.
     Patch { patch: Value },
-    /// Named items are put and removed; null stands for what the file does not have.
+    /// Named items are put and removed; null means that the file has none.
     Items { put: Value, remove: Value },
-    /// A zone, which the request's path names, is evacuated or restored.
+    /// The zone in the request's path is evacuated or restored.
     Zone { force: bool },
 }
 
-/// The step of a change that its response waits for.
+/// The step of the change that the response waits for.
 #[derive(Clone, Copy, Serialize)]
 #[serde(rename_all = "snake_case")]
 enum AwaitedStep {
@@ -86,20 +86,20 @@
     InForce,
 }
 
-/// The operators' own numbers, as a request carries them; null stands for the one that is not given.
+/// The operators' own numbers in a request; null means that a number is not given.
 #[derive(Serialize)]
 struct OperatorNumbers {
     number: Option<u64>,
     base_number: Option<u64>,
 }
 
-/// The version that a change is based on, as a request carries it; null if no leader has one.
+/// The version that a change is based on, in a request; null if no leader has a version.
 #[derive(Serialize)]
 struct BaseVersion {
     base_serial: Option<u64>,
 }
 
-/// The body of a request that changes the spec or a zone.
+/// The body of a request to change the spec or a zone.
 #[derive(Serialize)]
 pub(crate) struct ChangeRequest {
     #[serde(flatten)]
@@ -128,12 +128,12 @@
         }
     }
 
-    /// The id by which the outcome can be queried.
+    /// Returns the id by which the outcome can be queried.
     pub(crate) fn change_id(&self) -> &str {
         &self.change_id
     }
 
-    /// Bases the change on a version; `None` is sent as null.
+    /// Sets the version that the change is based on; `None` is sent as null.
     pub(crate) fn set_base_version(&mut self, version: Option<u64>) {
         self.base_version = Some(BaseVersion {
             base_serial: version,
@@ -141,11 +141,11 @@
     }
 }
 
-/// Identity of a change, and how long its request waits.
+/// The id of a change, and how long its request waits.
 pub(crate) struct ChangeOptions {
-    /// The id by which the outcome can be queried; generated if there is none.
+    /// The id by which the outcome can be queried; generated if `None`.
     pub(crate) change_id: Option<String>,
-    /// Whether to wait until the change is in force everywhere, instead of until it is accepted.
+    /// Whether to wait until the change is in force everywhere instead of only until it is accepted.
     pub(crate) wait: bool,
 }
 
@@ -165,7 +165,7 @@
 }
 
 impl ChangeBase {
-    /// Whether nothing is given, so that the newest version has to be read first.
+    /// Returns whether no base is given, so that the newest version has to be read first.
     pub(crate) fn is_unspecified(self) -> bool {
         self.version.is_none() && self.number.is_none() && self.base_number.is_none()
     }
@@ -183,21 +183,21 @@
     }
 }
 
-/// A change of the spec, to be sent from a file.
+/// A change of the spec that is described by a file.
 pub(crate) struct SpecChange<'a> {
     /// How the file describes the change.
     pub(crate) kind: ChangeKind,
-    /// The file, of JSON.
+    /// The JSON file.
     pub(crate) file: &'a Path,
     /// What the change is based on.
     pub(crate) base: ChangeBase,
-    /// Identity and waiting.
+    /// The id of the change, and how long to wait.
     pub(crate) options: ChangeOptions,
 }
 
 impl SpecChange<'_> {
-    /// Reads the file and builds the request. Fails if the file cannot be read or is not JSON, or if it has parts that the change
-    /// would leave out.
+    /// Reads the file and builds the request. Fails if the file cannot be read, is not JSON, or has parts that the
+    /// change would ignore.
     pub(crate) fn into_request(self) -> Result<ChangeRequest, ChangeFileError> {
         let file_text = std::fs::read_to_string(self.file)
             .map_err(|error| ChangeFileError::Unreadable(self.file.to_owned(), error))?;
@@ -213,29 +213,29 @@
     }
 }
 
-/// What is done with a zone.
+/// An action on a zone.
 #[derive(Clone, Copy)]
 pub(crate) enum ZoneAction {
-    /// Everything is moved out of it.
+    /// Moves everything out of the zone.
     Evacuate,
-    /// It is used again.
+    /// Uses the zone again.
     Restore,
 }
 
 /// A change of a zone.
 pub(crate) struct ZoneChange {
-    /// What is done.
+    /// The action.
     pub(crate) action: ZoneAction,
     /// The zone's name.
     pub(crate) zone: String,
-    /// Whether to do it even if no zone is left.
+    /// Whether to change the zone even if no zone remains in use.
     pub(crate) force: bool,
-    /// Identity and waiting.
+    /// The id of the change, and how long to wait.
     pub(crate) options: ChangeOptions,
 }
 
 impl ZoneChange {
-    /// The path of the request.
+    /// Returns the path of the request.
     pub(crate) fn path(&self) -> String {
         let action = match self.action {
             ZoneAction::Evacuate => "evacuate",
@@ -244,7 +244,7 @@
         format!("/v1/localities/{}/{action}", self.zone)
     }
 
-    /// The body of the request.
+    /// Returns the body of the request.
     pub(crate) fn into_request(self) -> ChangeRequest {
         ChangeRequest::new(ChangeContent::Zone { force: self.force }, self.options)
     }
--- a/programs/rudderctl/src/client.rs
+++ b/programs/rudderctl/src/client.rs
@@ -1,4 +1,4 @@
-//! A client of the operators' API, which any controller serves.
+//! A client of the operators' API, which every controller serves.
 
 use crate::change::{ChangeFileError, ChangeRequest, SpecChange, ZoneChange};
 use crate::lenient_json::{or_default, read_object};
@@ -13,26 +13,27 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-/// The longest wait for one controller, which with `--wait` includes the change's being in force.
+/// The limit on the time of one request to a controller; with `--wait`, this includes the time until the change is in
+/// force.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(15);
-/// The pause before a leader is asked for again.
+/// The pause between two polls.
 const POLL_INTERVAL: Duration = Duration::from_millis(200);
-/// How many times a leader is asked for again: for 8 seconds, and the requests' own time.
+/// The maximum number of polls: for 8 seconds, plus the time of the requests.
 const MAX_POLLS: usize = 40;
 
-/// Why a command has no response to print.
+/// Why a command got no response to print.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum ClientError {
-    /// A text is no IP address with a port.
+    /// A text is not an IP address with a port.
     #[error("--at: not an IP number with port: {0:?}")]
     InvalidAddress(String),
-    /// The file of a change cannot be sent.
+    /// The file of a change cannot be read or is invalid.
     #[error(transparent)]
     ChangeFile(#[from] ChangeFileError),
     /// No controller was reached.
     #[error("no controller reached: {0}")]
     Unreachable(#[source] CallError),
-    /// The response was lost.
+    /// The response to a request was lost.
     #[error("answer lost: {0}")]
     ResponseLost(#[source] CallError),
     /// The response to a change was lost, so that its outcome is unknown: the change's id, and the cause.
@@ -41,7 +42,7 @@
 }
 
 impl ClientError {
-    /// The exit code of the process.
+    /// Returns the exit code of the process.
     pub(crate) fn exit_code(&self) -> u8 {
         match self {
             Self::InvalidAddress(_) | Self::ChangeFile(_) => 2,
@@ -49,7 +50,7 @@
         }
     }
 
-    /// The same error for a request that bore this change's id.
+    /// Converts the error of a request with this change id.
     fn of_change(self, change_id: &str) -> Self {
         match self {
             Self::ResponseLost(error) if !change_id.is_empty() => {
@@ -60,27 +61,27 @@
     }
 }
 
-/// The newest spec, of which only its version is read.
+/// A response with the newest spec, of which only the version is read.
 #[derive(Default, Deserialize)]
 struct SpecResponse {
     #[serde(default, rename = "serial", deserialize_with = "or_default")]
     version: Option<u64>,
 }
 
-/// A refusal.
+/// A response that rejects a request.
 #[derive(Default, Deserialize)]
 struct ErrorResponse {
     #[serde(default, deserialize_with = "or_default")]
     error: Option<String>,
 }
 
-/// Calls the first controller that responds.
+/// A client that calls the first controller that responds.
 pub(crate) struct OperatorClient {
     addresses: Vec<SocketAddress>,
 }
 
 impl OperatorClient {
-    /// A client of the controllers at these addresses, separated by commas. Fails if one is no address.
+    /// Creates a client of the controllers at these addresses, separated by commas. Fails if an address is invalid.
     pub(crate) fn new(address_list: &str) -> Result<Self, ClientError> {
         let parse = |text: &str| {
             text.parse()
@@ -94,13 +95,13 @@
         Ok(Self { addresses })
     }
 
-    /// The controllers' addresses, at least one.
+    /// Returns the controllers' addresses, at least one.
     pub(crate) fn addresses(&self) -> &[SocketAddress] {
         &self.addresses
     }
 
-    /// Sends a request to one controller after another, until one responds. Only what certainly was not sent, or
-    /// changes nothing, is sent again.
+    /// Sends a request to one controller after another, until one responds. The request is sent again only if it was
+    /// certainly not sent before, or changes nothing.
     async fn call(
         &self,
         method: Method,
@@ -146,7 +147,7 @@
         self.call_and_print(Method::GET, path, None).await
     }
 
-    /// Reads a list and prints it, as JSON unless a table is requested. A refusal is printed as JSON.
+    /// Reads a list and prints it, as JSON unless a table is requested. A rejection is always printed as JSON.
     pub(crate) async fn list(
         &self,
         table: &Table,
@@ -166,9 +167,9 @@
             .await
     }
 
-    /// Founds the control quorum; waits a little for the controllers to start and to connect, and for the first
-    /// leader. It is safe to repeat a request that reached no controller, or that was refused because they have
-    /// not connected yet.
+    /// Founds the control quorum. Waits for the controllers to start and to connect, and then for the first leader. It
+    /// is safe to repeat a request that reached no controller, or that was rejected because the controllers have not
+    /// connected yet.
     pub(crate) async fn found(&self) -> Result<ExitCode, ClientError> {
         let mut poll_count = 0;
         let response = loop {
@@ -187,7 +188,7 @@
         Ok(print_json(&response))
     }
 
-    /// The newest version of the spec, as soon as there is a leader that has it; `None` if there is none in time.
+    /// Returns the newest version of the spec as soon as a leader has one, or `None` if none has after all polls.
     async fn newest_version(&self) -> Result<Option<u64>, ClientError> {
         for _ in 0..MAX_POLLS {
             let response = self.call(Method::GET, "/v1/spec", None).await?;
@@ -200,8 +201,8 @@
         Ok(None)
     }
 
-    /// Sends a change of the spec and prints the response. A change that does not say what it is based on is
-    /// based on the newest version.
+    /// Sends a change of the spec and prints the response. A change without a given base is based on the newest
+    /// version.
     pub(crate) async fn change_spec(
         &self,
         change: SpecChange<'_>,
@@ -223,12 +224,13 @@
     }
 }
 
-/// Whether the controllers cannot found a quorum yet: none was reached, or they have not connected to their seeds.
+/// Returns whether the controllers cannot found a quorum yet: none was reached, or they have not connected to their
+/// seeds.
 fn is_not_ready(result: &Result<CallResponse, ClientError>) -> bool {
     match result {
         Ok(response) => {
-            let refusal: ErrorResponse = read_object(&response.json());
-            refusal.error.is_some_and(|text| text.contains("seed"))
+            let rejection: ErrorResponse = read_object(&response.json());
+            rejection.error.is_some_and(|text| text.contains("seed"))
         }
         Err(error) => matches!(error, ClientError::Unreachable(_)),
     }
--- a/programs/rudderctl/src/main.rs
+++ b/programs/rudderctl/src/main.rs
@@ -1,6 +1,6 @@
 //! The operators' command line: a client of the operators' API.
 //!
-//! Exit codes: 0 done; 1 it could not start; 2 invalid flags, addresses or files; 3 refused or unknown; 4 no
+//! Exit codes: 0 done; 1 the program could not start; 2 invalid flags, addresses or files; 3 rejected or unknown; 4 no
 //! controller responded, there is no quorum, or the response was lost.
 
 #![deny(unreachable_pub)]
--- a/programs/rudderctl/src/output.rs
+++ b/programs/rudderctl/src/output.rs
@@ -1,4 +1,4 @@
-//! How responses are printed, and the exit codes that they lead to.
+//! Prints responses, and maps them to exit codes.
 
 use common::http::CallResponse;
 use hyper::StatusCode;
@@ -15,7 +15,7 @@
     Table,
 }
 
-/// The text names no format.
+/// The text is not the name of a format.
 #[derive(Debug, thiserror::Error)]
 #[error("unknown format {0:?}; there are: json, table")]
 pub(crate) struct UnknownFormatError(String);
@@ -32,7 +32,7 @@
     }
 }
 
-/// The exit code for a response: 0 if the request succeeded, 3 if it was refused, 4 if its outcome is open.
+/// Returns the exit code for a response: 0 if the request succeeded, 3 if it was rejected, 4 if its outcome is unknown.
 pub(crate) fn exit_code(status: StatusCode) -> ExitCode {
     match status.as_u16() {
         200..=299 => ExitCode::SUCCESS,
@@ -41,7 +41,7 @@
     }
 }
 
-/// Prints a response as JSON, and returns its exit code. That standard output is closed is no error.
+/// Prints a response as JSON, and returns its exit code. A closed standard output is not an error.
 pub(crate) fn print_json(response: &CallResponse) -> ExitCode {
     let body = response.json();
     let text = serde_json::to_string_pretty(&body).unwrap_or_default();
