--- a/programs/rudderctl/src/events.rs
+++ b/programs/rudderctl/src/events.rs
@@ -1,4 +1,4 @@
-//! Prints the event log of the leader, and goes on over changes of leader.
+//! Prints the event log of the leader, and continues across changes of leader.
 
 use crate::client::ClientError;
 use crate::lenient_json::{or_default, read_object};
@@ -12,17 +12,17 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-/// Pause before another stream is opened, unless a controller has named the leader.
+/// The pause before another stream is opened, unless a controller has redirected to the leader.
 const RECONNECT_INTERVAL: Duration = Duration::from_millis(300);
 
-/// An event, of which only its number is read; its line is printed as it was sent.
+/// An event, of which only the number is read. The line itself is printed as received.
 #[derive(Default, Deserialize)]
 struct Event {
     #[serde(default, deserialize_with = "or_default")]
     number: Option<u64>,
 }
 
-/// The number of the event on a line, if it has one.
+/// Returns the number of the event on a line, if it has one.
 fn event_number(line: &str) -> Option<u64> {
     let value: Value = serde_json::from_str(line).ok()?;
     read_object::<Event>(&value).number
@@ -32,16 +32,16 @@
 struct EventReader<'a> {
     addresses: &'a [SocketAddress],
     address_index: usize,
-    /// The leader, as the controller asked last named it.
+    /// The leader to which the previous controller has redirected.
     redirect: Option<SocketAddress>,
-    /// The number of the first event that was not printed.
+    /// The number of the first event that is not printed yet.
     next_number: u64,
     failed_count: usize,
     follow: bool,
 }
 
-/// Prints the events from a number on; with `follow` it goes on as they happen, until standard output is
-/// closed. Fails if no controller was reached, unless it follows.
+/// Prints the events from a number on. With `follow`, it also prints new events as they happen, until standard output
+/// is closed. Without `follow`, it fails if no controller was reached.
 pub(crate) async fn print_events(
     addresses: &[SocketAddress],
     first_number: u64,
@@ -67,7 +67,7 @@
 }
 
 impl EventReader<'_> {
-    /// Prints what one controller sends.
+    /// Prints the events that one controller sends.
     async fn print_stream(&mut self) -> Result<LineStreamEnd, CallError> {
         let listed_address = self.addresses[self.address_index % self.addresses.len()];
         let address = self.redirect.take().unwrap_or(listed_address);
--- a/programs/rudderctl/src/table.rs
+++ b/programs/rudderctl/src/table.rs
@@ -1,4 +1,4 @@
-//! Lists of the operators' API, rendered as tables for people.
+//! Renders lists of the operators' API as tables.
 
 use crate::controller_key::{CONTROLLER, EARLIER_CONTROLLER, controller_of};
 use serde_json::Value;
@@ -8,7 +8,7 @@
 const NONE: &str = "-";
 const COLUMN_GAP: &str = "  ";
 
-/// A list of the operators' API, and the keys of it that are shown.
+/// A list of the operators' API, and the keys that its table shows.
 pub(crate) struct Table {
     /// The path at which the list is read.
     pub(crate) path: &'static str,
@@ -97,7 +97,7 @@
     }
 }
 
-/// The value of a row in one column.
+/// Returns a row's value in one column.
 fn field<'a>(row: &'a Value, column: &str) -> &'a Value {
     if column == CONTROLLER {
         controller_of(row)
@@ -107,7 +107,7 @@
 }
 
 impl Table {
-    /// The response as text: the other keys of the response, a line each, then the list below its headings.
+    /// Renders the response: first its other keys, one on each line, then the list below its headings.
     pub(crate) fn render(&self, response: &Value) -> String {
         let mut text = String::new();
         for (key, value) in response.as_object().into_iter().flatten() {
@@ -141,7 +141,7 @@
     }
 }
 
-/// The cells of one line, each as wide as the widest of its column.
+/// Pads each cell of a line to the width of the widest cell in its column.
 fn padded(line: &[String], lines: &[Vec<String>]) -> String {
     let cells = line.iter().enumerate().map(|(column, cell)| {
         let width = lines.iter().map(|line| line[column].chars().count()).max();
--- a/programs/rudderctl/src/trace.rs
+++ b/programs/rudderctl/src/trace.rs
@@ -11,9 +11,9 @@
 use std::fmt;
 use std::time::Duration;
 
-/// The longest wait for one controller.
+/// The limit on the time of one request to a controller.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
-/// The pause before a trace that is followed is read again.
+/// The pause before a followed trace is read again.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Why no trace can be shown.
@@ -31,7 +31,7 @@
 }
 
 impl TraceError {
-    /// The exit code of the process.
+    /// Returns the exit code of the process.
     pub(crate) fn exit_code(&self) -> u8 {
         match self {
             Self::NoVersion | Self::UnknownVersion(_) => 3,
@@ -40,15 +40,15 @@
     }
 }
 
-/// The trace of one version, with a part for each term in which a leader replicated it.
+/// The trace of one version, with one part for each term in which a leader replicated the version.
 pub(crate) struct VersionTrace {
     version: u64,
-    /// The parts by their terms.
+    /// The parts by term.
     parts: BTreeMap<u64, TracePart>,
     unreachable: Vec<SocketAddress>,
 }
 
-/// The trace of one version, as it is printed as JSON.
+/// The JSON form of a [`VersionTrace`].
 #[derive(Serialize)]
 struct VersionTraceJson<'a> {
     #[serde(rename = "serial")]
@@ -59,13 +59,13 @@
     unreachable: Vec<String>,
 }
 
-/// What the controllers responded, and those that did not.
+/// The controllers' responses, and the controllers that did not respond.
 struct TraceResponses {
     responses: Vec<TraceResponse>,
     unreachable: Vec<SocketAddress>,
 }
 
-/// Reads the traces of every controller. A controller without a trace of the version is left out.
+/// Reads the traces from every controller. A controller without a trace of the version is omitted.
 async fn read_responses(addresses: &[SocketAddress], requested_version: u64) -> TraceResponses {
     let path = format!("/v1/traces/{requested_version}");
     let (mut responses, mut unreachable) = (Vec::new(), Vec::new());
@@ -84,7 +84,7 @@
     }
 }
 
-/// The parts of a version's trace by their terms.
+/// Returns the parts of a version's trace by term.
 fn parts_by_term(responses: Vec<TraceResponse>, version: u64) -> BTreeMap<u64, TracePart> {
     responses
         .into_iter()
@@ -95,7 +95,7 @@
 }
 
 impl VersionTrace {
-    /// Reads the traces of a version from every controller and joins them; 0 stands for the newest version.
+    /// Reads the traces of a version from every controller and merges them; 0 requests the newest version.
     pub(crate) async fn read(
         addresses: &[SocketAddress],
         requested_version: u64,
@@ -119,19 +119,19 @@
         })
     }
 
-    /// The version that is traced.
+    /// Returns the traced version.
     pub(crate) fn version(&self) -> u64 {
         self.version
     }
 
-    /// Whether some leader recorded that the version was in force everywhere.
+    /// Returns whether a leader recorded that the version was in force everywhere.
     pub(crate) fn is_in_force(&self) -> bool {
         self.parts
             .values()
             .any(|part| part.record.in_force_ms.is_some())
     }
 
-    /// The trace as JSON.
+    /// Returns the trace as JSON.
     pub(crate) fn to_json(&self) -> Value {
         json!(VersionTraceJson {
             version: self.version,
@@ -199,8 +199,8 @@
     }
 }
 
-/// Reads the trace of a version, the newest if none is given. With `follow` it reads again until the version is
-/// in force everywhere or the timeout, in seconds, is over; then it returns what it read last.
+/// Reads the trace of a version, by default the newest. With `follow`, it repeats that until the version is in force
+/// everywhere or the timeout, in seconds, is over, and returns the last result.
 pub(crate) async fn follow(
     addresses: &[SocketAddress],
     version: Option<u64>,
--- a/programs/rudderctl/src/trace_response.rs
+++ b/programs/rudderctl/src/trace_response.rs
@@ -14,7 +14,7 @@
     pub(crate) version: Option<u64>,
     #[serde(default, deserialize_with = "or_default")]
     controller: Option<String>,
-    /// The controller's identity, as earlier controllers state it.
+    /// The controller's identity under the key that earlier controllers use.
     #[serde(default, rename = "surveyor", deserialize_with = "or_default")]
     earlier_controller: Option<String>,
     /// A trace for each term in which the controller led the version.
@@ -23,12 +23,12 @@
 }
 
 impl TraceResponse {
-    /// Reads a response's body; what is missing or of another type is left out.
+    /// Reads a response's body; keys that are missing or of another type have their defaults.
     pub(crate) fn read(body: &Value) -> Self {
         read_object(body)
     }
 
-    /// The traces, each with the controller that recorded it.
+    /// Returns the traces, each with the controller that recorded it.
     pub(crate) fn into_parts(self) -> impl Iterator<Item = TracePart> {
         let controller = self.controller.or(self.earlier_controller);
         self.traces
@@ -41,9 +41,9 @@
 #[derive(Serialize)]
 #[serde(transparent)]
 pub(crate) struct TracePart {
-    /// The trace as it was sent, with the controller's identity added: this is printed as JSON.
+    /// The trace as received, with the controller's identity added; printed as JSON.
     sent: Value,
-    /// What is read of it.
+    /// The parts of the trace that the table shows.
     #[serde(skip)]
     pub(crate) record: TraceRecord,
 }
@@ -60,8 +60,8 @@
     }
 }
 
-/// What a leader recorded of a version in one term. Spans are in milliseconds from the moment at which the leader
-/// had the version, and none where it has not come so far.
+/// What a leader recorded about a version in one term. Times are in milliseconds since the leader got the version, and
+/// `None` for steps that the version has not reached.
 #[derive(Default, Deserialize)]
 pub(crate) struct TraceRecord {
     /// The term.
@@ -70,21 +70,21 @@
     /// The identity of the controller that recorded it.
     #[serde(default, deserialize_with = "or_default")]
     pub(crate) controller: Option<String>,
-    /// How the leader came to the version.
+    /// How the leader got the version.
     #[serde(default, rename = "from", deserialize_with = "or_default")]
     pub(crate) origin: Option<String>,
     /// When a majority of the voters had accepted it.
     #[serde(default, deserialize_with = "or_default")]
     pub(crate) committed_ms: Option<f64>,
-    /// When every daemon that serves had installed it.
+    /// When every serving daemon had installed it.
     #[serde(default, deserialize_with = "or_default")]
     pub(crate) in_force_ms: Option<f64>,
-    /// The daemons by their names.
+    /// The daemons by name.
     #[serde(default, deserialize_with = "or_default")]
     pub(crate) members: BTreeMap<String, MemberRecord>,
 }
 
-/// How far a version has come at one daemon. Spans are in milliseconds, as in [`TraceRecord`].
+/// The progress of a version at one daemon. Times are in milliseconds, as in [`TraceRecord`].
 #[derive(Default, Deserialize)]
 pub(crate) struct MemberRecord {
     /// When it was sent to the daemon.
@@ -93,7 +93,7 @@
     /// When the daemon had installed it.
     #[serde(default, deserialize_with = "or_default")]
     pub(crate) acknowledged_ms: Option<f64>,
-    /// Why it has not come to the daemon.
+    /// Why the daemon has not installed it.
     #[serde(default, deserialize_with = "or_default")]
     pub(crate) lagging: Option<String>,
 }
