--- a/crates/common/tests/clocks.rs
+++ b/crates/common/tests/clocks.rs
@@ -1,4 +1,4 @@
-//! Deployed code reads no wall clock and blocks no thread to sleep.
+//! Deployed code neither reads the wall clock nor puts a thread to sleep.
 
 #[path = "../../../testing/support/rust_sources.rs"]
 mod rust_sources;
--- a/crates/common/tests/errors.rs
+++ b/crates/common/tests/errors.rs
@@ -1,4 +1,4 @@
-//! What errors print, which operators read in logs and answers, and the cause that each one carries.
+//! The messages of errors, which operators read in logs and responses, and their causes.
 
 use common::frames::{FrameError, SocketAddress};
 use common::http::{BodyError, CallError};
@@ -10,8 +10,8 @@
 use std::io::ErrorKind;
 use std::path::PathBuf;
 
-/// Whether the error prints this text, and has a cause or not.
-fn prints(error: &dyn Error, text: &str, has_cause: bool) -> Result<()> {
+/// Checks an error's message, and whether the error has a cause.
+fn check_error(error: &dyn Error, text: &str, has_cause: bool) -> Result<()> {
     verify_that!(error.to_string(), eq(text))?;
     verify_that!(error.source().is_some(), eq(has_cause)).with_failure_message(|| text.to_owned())
 }
@@ -28,29 +28,29 @@
 }
 
 #[gtest]
-fn frame_errors_keep_their_texts() -> Result<()> {
-    prints(
+fn frame_error_messages_are_stable() -> Result<()> {
+    check_error(
         &FrameError::from(not_found()),
         "connection: entity not found",
         true,
     )?;
-    prints(
+    check_error(
         &FrameError::WrongMagic,
         "not a rudderstream connection",
         false,
     )?;
-    prints(
+    check_error(
         &FrameError::WrongVersion(9),
         "frames of serial 9, ours are of 6",
         false,
     )?;
-    prints(
+    check_error(
         &FrameError::WrongChannel(7),
         "channel 7 is not served here",
         false,
     )?;
-    prints(&FrameError::Oversized(17), "frame of 17 bytes", false)?;
-    prints(
+    check_error(&FrameError::Oversized(17), "frame of 17 bytes", false)?;
+    check_error(
         &FrameError::Trailing(3),
         "3 bytes left over in a frame",
         false,
@@ -61,7 +61,7 @@
 }
 
 #[gtest]
-fn path_errors_keep_their_texts() -> Result<()> {
+fn path_error_messages_are_stable() -> Result<()> {
     let texts = [
         (PathErrorReason::Missing, "a.b is missing"),
         (PathErrorReason::WrongType("a text"), "a.b is not a text"),
@@ -84,39 +84,39 @@
         ),
     ];
     for (reason, text) in texts {
-        prints(&path_error("a.b", reason), text, false)?;
+        check_error(&path_error("a.b", reason), text, false)?;
     }
     let of_document = path_error("", PathErrorReason::Missing);
-    prints(&of_document, "document is missing", false)
+    check_error(&of_document, "document is missing", false)
 }
 
 #[gtest]
-fn settings_errors_keep_their_texts() -> Result<()> {
+fn settings_error_messages_are_stable() -> Result<()> {
     let (file, source) = (PathBuf::from("/etc/s.json"), "/etc/s.json".to_owned());
-    prints(
+    check_error(
         &SettingsError::Unreadable(file.clone(), not_found()),
         "/etc/s.json: entity not found",
         true,
     )?;
     let json_error = serde_json::from_str::<u8>("x").expect_err("not JSON");
     let json_text = json_error.to_string();
-    prints(
+    check_error(
         &SettingsError::NotJson(file, json_error),
         &format!("/etc/s.json: not JSON: {json_text}"),
         true,
     )?;
-    prints(
+    check_error(
         &SettingsError::InvalidKey(source.clone(), path_error("zone", PathErrorReason::Missing)),
         "/etc/s.json: zone is missing",
         true,
     )?;
-    prints(
+    check_error(
         &SettingsError::UnwritableFolder(source.clone(), PathBuf::from("/data"), not_found()),
         "/etc/s.json: data cannot be written at /data: entity not found",
         true,
     )?;
     let address = SocketAddress::UNSPECIFIED;
-    prints(
+    check_error(
         &SettingsError::CannotListen(source, "listen", address, not_found()),
         "/etc/s.json: listen cannot listen at 0.0.0.0:0: entity not found",
         true,
@@ -124,54 +124,54 @@
 }
 
 #[gtest]
-fn call_and_body_errors_keep_their_texts() -> Result<()> {
-    prints(
+fn call_and_body_error_messages_are_stable() -> Result<()> {
+    check_error(
         &CallError::NotSent(not_found()),
         "no connection: entity not found",
         true,
     )?;
-    prints(&CallError::ConnectTimeout, "no connection in time", false)?;
-    prints(&CallError::Timeout, "no answer in time", false)?;
-    prints(
+    check_error(&CallError::ConnectTimeout, "no connection in time", false)?;
+    check_error(&CallError::Timeout, "no answer in time", false)?;
+    check_error(
         &CallError::MergedResponses,
         "two answers ran into each other",
         false,
     )?;
-    prints(
+    check_error(
         &CallError::Body("too long".into()),
         "answer's body: too long",
         true,
     )?;
     let invalid = hyper::Request::builder().uri(" ").body(());
     let invalid = CallError::Request(invalid.expect_err("an invalid address"));
-    prints(&invalid, "request: invalid uri character", true)?;
-    prints(&BodyError::TooLarge, "body too large", false)?;
-    prints(&BodyError::Interrupted, "body broke off", false)?;
-    prints(&BodyError::TooSlow, "body came too slowly", false)
+    check_error(&invalid, "request: invalid uri character", true)?;
+    check_error(&BodyError::TooLarge, "body too large", false)?;
+    check_error(&BodyError::Interrupted, "body broke off", false)?;
+    check_error(&BodyError::TooSlow, "body came too slowly", false)
 }
 
 #[gtest]
-fn document_and_name_errors_keep_their_texts() -> Result<()> {
+fn document_and_name_error_messages_are_stable() -> Result<()> {
     let json_error = serde_json::from_str::<u8>("x").expect_err("not JSON");
     let text = format!("not JSON: {json_error}");
-    prints(&DocumentError::from(json_error), &text, true)?;
-    prints(
+    check_error(&DocumentError::from(json_error), &text, true)?;
+    check_error(
         &DocumentError::Path(path_error("spec", PathErrorReason::Missing)),
         "spec is missing",
         true,
     )?;
-    prints(
+    check_error(
         &DocumentError::WrongBase,
         "the change leads from another version",
         false,
     )?;
-    prints(
+    check_error(
         &DocumentError::WrongDigest,
         "the changed document has another digest",
         false,
     )?;
     let key_error = "odd".parse::<FunctionKey>().expect_err("an error");
-    prints(&key_error, "\"odd\" is not a function key", false)?;
+    check_error(&key_error, "\"odd\" is not a function key", false)?;
     let runner_error = "odd".parse::<RunnerId>().expect_err("an error");
-    prints(&runner_error, "\"odd\" is not a runner id", false)
+    check_error(&runner_error, "\"odd\" is not a runner id", false)
 }
--- a/crates/common/tests/events.rs
+++ b/crates/common/tests/events.rs
@@ -1,4 +1,4 @@
-//! The catalogue of events is complete and stable.
+//! The catalogue of events is complete, and its numbers are stable.
 
 #[path = "../../../testing/support/forms.rs"]
 mod forms;
@@ -21,9 +21,9 @@
     }
 }
 
-/// Names may change; operators' tools know an event by its number.
+/// Names may change; operators' tools identify an event by its number.
 #[test]
-fn no_number_is_lost_or_new() {
+fn event_numbers_match_the_fixture() {
     let numbers: BTreeSet<u16> = ALL.iter().map(|event| event.number).collect();
     let mut text = String::new();
     for number in numbers {
--- a/crates/common/tests/platform_forms.rs
+++ b/crates/common/tests/platform_forms.rs
@@ -1,4 +1,4 @@
-//! The product's own calls to the platform: their bytes, and how each response is understood.
+//! The calls of the native platform client: their bytes, and how each response is interpreted.
 
 #[path = "../../../testing/support/forms.rs"]
 mod forms;
@@ -20,8 +20,8 @@
     FunctionKey::new("pay", Version(12))
 }
 
-fn put(text: &mut String, what: &str, double: &PlatformDouble, understood_as: &str) {
-    let _ = writeln!(text, "## {what}: {understood_as}");
+fn append_calls(text: &mut String, heading: &str, double: &PlatformDouble, outcome: &str) {
+    let _ = writeln!(text, "## {heading}: {outcome}");
     for call in double.calls() {
         let _ = writeln!(text, "{call}\n");
     }
@@ -34,7 +34,7 @@
 const STATUSES: [u16; 12] = [200, 201, 204, 400, 404, 408, 409, 429, 500, 502, 503, 507];
 
 #[tokio::test]
-async fn starts_keep_their_calls_and_outcomes() {
+async fn start_calls_and_their_outcomes_match_the_fixture() {
     let mut text = String::new();
     let good = json!({"life": "life-9", "place": "10.0.0.3:9000"}).to_string();
     for key in [function(), function().in_region(&"north".into())] {
@@ -42,7 +42,7 @@
         let outcome = NativePlatform::new(double.address)
             .start_runner(start_order(key.clone(), WORKER))
             .await;
-        put(
+        append_calls(
             &mut text,
             &format!("start of {key}"),
             &double,
@@ -76,14 +76,14 @@
 }
 
 #[tokio::test]
-async fn stops_keep_their_calls_and_outcomes() {
+async fn stop_calls_and_their_outcomes_match_the_fixture() {
     let mut text = String::new();
     for instance in [Some("life-9"), None] {
         let double = PlatformDouble::answering(&[(200, "{}".to_owned())]).await;
         let is_stopped = NativePlatform::new(double.address)
             .stop_runner(stop_order(function(), WORKER, instance))
             .await;
-        put(&mut text, "stop", &double, shown_stop(is_stopped));
+        append_calls(&mut text, "stop", &double, shown_stop(is_stopped));
     }
     for status in STATUSES {
         let double = PlatformDouble::answering(&[(status, "{}".to_owned())]).await;
@@ -105,7 +105,7 @@
 }
 
 #[tokio::test]
-async fn worker_lists_keep_their_calls_and_results() {
+async fn worker_list_calls_and_their_results_match_the_fixture() {
     let mut text = String::new();
     let full_list = json!({"workers": [
         {"worker": "w-1", "locality": "north", "memory_mb": 4096, "draining": true},
@@ -130,7 +130,7 @@
         let double = PlatformDouble::answering(&[(status, body.clone())]).await;
         let listed = NativePlatform::new(double.address).workers().await;
         let rows = listed.map(|listed| listed.iter().map(worker_row).collect::<Value>());
-        put(
+        append_calls(
             &mut text,
             &format!("workers, {status} {body}"),
             &double,
@@ -152,7 +152,7 @@
 }
 
 #[tokio::test]
-async fn runner_lists_keep_their_calls_and_results() {
+async fn runner_list_calls_and_their_results_match_the_fixture() {
     let mut text = String::new();
     let row = json!({
         "runner": RUNNER.to_string(), "function": "pay@12~north", "worker": "w-1",
@@ -179,7 +179,7 @@
             let rows: Value = list.runners.iter().map(runner_row).collect();
             json!([list.age.as_millis() as u64, rows])
         });
-        put(
+        append_calls(
             &mut text,
             &format!("runners, {status} {body}"),
             &double,
