--- a/crates/common/tests/line_stream.rs
+++ b/crates/common/tests/line_stream.rs
@@ -1,4 +1,4 @@
-//! Following a stream of lines whose other side may fall silent.
+//! Streams of lines whose peer may become unreachable.
 
 use common::frames::SocketAddress;
 use common::http::{LineStreamEnd, follow_lines};
@@ -8,11 +8,11 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpListener;
 
-/// The state of the timer in `/proc/net/tcp` of a connection whose idle other side will be probed.
+/// The state in `/proc/net/tcp` of the timer of an idle connection whose peer will be probed.
 const KEEP_ALIVE_TIMER: &str = "02";
 
-/// The state of the timer of the connection with this local port.
-fn timer_of(local: SocketAddr) -> Option<String> {
+/// Returns the timer state of the connection with this local port.
+fn timer_state(local: SocketAddr) -> Option<String> {
     let local_end = format!(":{:04X}", local.port());
     let connections = std::fs::read_to_string("/proc/net/tcp").ok()?;
     let own = connections.lines().find(|line| {
@@ -23,20 +23,21 @@
     Some(timer.split_once(':')?.0.to_owned())
 }
 
-/// Guards against a follower of events that waits for ever for a machine that is gone: nothing is sent from its side.
+/// Guards against a client that follows events and waits forever for an unreachable machine: the client sends nothing,
+/// so only keep-alive probes detect the loss.
 #[gtest]
-fn the_idle_other_side_of_a_stream_is_probed() -> Result<()> {
+fn the_idle_peer_of_a_line_stream_is_probed() -> Result<()> {
     let runtime = common::command_line::runtime(1)?;
     runtime.block_on(async {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = SocketAddress(listener.local_addr()?.to_string().parse()?);
         let serving = async {
-            let (mut stream, follower) = listener.accept().await?;
+            let (mut stream, client_address) = listener.accept().await?;
             let mut request = Vec::new();
             while !request.ends_with(b"\r\n\r\n") {
                 request.push(stream.read_u8().await?);
             }
-            let timer = timer_of(follower);
+            let timer = timer_state(client_address);
             let response = b"HTTP/1.1 200 OK\r\nconnection: close\r\n\r\nline\n";
             stream.write_all(response).await?;
             std::io::Result::Ok(timer)
--- a/crates/common/tests/reload.rs
+++ b/crates/common/tests/reload.rs
@@ -1,13 +1,13 @@
-//! Settings that are read again while a process runs.
+//! Reloads of the settings while a process runs.
 
 use common::command_line::apply_on_reload;
 use googletest::prelude::*;
 use std::cell::{Cell, RefCell};
 use tokio::sync::watch;
 
-/// Settings that cannot be read are passed over, and the next that can are applied.
+/// Settings that cannot be read are skipped, and the next readable ones are applied.
 #[gtest]
-fn unreadable_settings_change_nothing_and_the_next_ones_are_applied() -> Result<()> {
+fn unreadable_settings_are_skipped_and_the_next_readable_ones_applied() -> Result<()> {
     let runtime = common::command_line::runtime(1)?;
     let (reload_sender, reload) = watch::channel(0_u64);
     let reads = Cell::new(0);
@@ -39,14 +39,14 @@
     verify_that!(*applied.borrow(), elements_are![eq(&2)])
 }
 
-/// Guards against settings that changed while a process started, and are not read again: the signal came before anyone
-/// waited for it.
+/// Guards against changed settings that are not read again: the signal arrives during start-up, before the process
+/// waits for it.
 #[gtest]
-fn a_hang_up_during_the_start_is_reported_once_reloads_are_awaited() -> Result<()> {
+fn a_sighup_during_start_up_is_reported_by_the_reload_signal() -> Result<()> {
     let runtime = common::command_line::runtime(1)?;
     runtime.block_on(async {
         common::hangups::start_counting();
-        // SAFETY: the signal has a handler, which runs in this thread before the call returns.
+        // SAFETY: the signal has a handler, which runs on this thread before the call returns.
         unsafe { libc::raise(libc::SIGHUP) };
         let reload = common::command_line::reload_signal()?;
         verify_that!(reload.has_changed()?, eq(true))
--- a/crates/common/tests/stopping_server.rs
+++ b/crates/common/tests/stopping_server.rs
@@ -1,4 +1,4 @@
-//! Connections that are open when their server stops.
+//! Connections that are open when a server stops.
 
 use bytes::Bytes;
 use common::http::{HttpResponse, full_body, serve};
@@ -10,7 +10,7 @@
 use tokio::sync::watch;
 
 const REQUEST: &[u8] = b"GET / HTTP/1.1\r\nhost: h\r\n\r\n";
-/// How many connections are tried; the server may notice the stop or a request first.
+/// The number of attempts: in each, the server may notice either the stop or the request first.
 const CONNECTIONS: usize = 30;
 
 async fn answer() -> HttpResponse {
@@ -19,13 +19,13 @@
 
 fn read_to_end(mut connection: TcpStream) -> String {
     let mut response = Vec::new();
-    // A reset ends the response as well.
+    // The response may also end with a reset connection.
     let _ = connection.read_to_end(&mut response);
     String::from_utf8_lossy(&response).into_owned()
 }
 
-/// Guards against a request that arrives before a stop, and whose connection is closed unread: the server had no time to
-/// look at it in between.
+/// Guards against closing a connection with an unread request: the request arrives before the stop, but the server does
+/// not run in between.
 #[gtest]
 fn a_request_that_arrived_before_the_stop_is_answered() -> Result<()> {
     let runtime = common::command_line::runtime(1)?;
@@ -38,8 +38,8 @@
             let mut connection = TcpStream::connect(address)?;
             connection.write_all(REQUEST)?;
             let mut first_byte = [0; 1];
-            let mut kept = connection.try_clone()?;
-            tokio::task::spawn_blocking(move || kept.read_exact(&mut first_byte)).await??;
+            let mut reader = connection.try_clone()?;
+            tokio::task::spawn_blocking(move || reader.read_exact(&mut first_byte)).await??;
             // The runtime does not run between the request and the stop.
             connection.write_all(REQUEST)?;
             stop_sender.send_replace(true);
