--- a/crates/common/tests/page_references.rs
+++ b/crates/common/tests/page_references.rs
@@ -1,4 +1,4 @@
-//! The pages name code that exists: paths in code spans resolve to a definition or module, and files are there.
+//! The pages refer to existing code: paths in code spans resolve to a definition or module, and named files exist.
 
 #[path = "../../../testing/support/rust_sources.rs"]
 mod rust_sources;
@@ -7,8 +7,8 @@
 use std::fs;
 use std::path::{Path, PathBuf};
 
-/// The pages that are read to find one's way in the code. Pages that record what once was (measurements, rounds,
-/// incidents, the list of renamed tests) name code as it was then.
+/// The pages that guide readers through the code. Pages that record the past (measurements, rounds, incidents, the list
+/// of renamed tests) name code as it was at the time.
 const PAGES: [&str; 7] = [
     "DEVELOPERS.md",
     "README.md",
@@ -20,7 +20,7 @@
 ];
 const PAGE_FOLDERS: [&str; 2] = ["docs/design", "docs/operators"];
 const SOURCE_FOLDERS: [&str; 4] = ["crates", "programs", "platform", "testing"];
-/// The sections of the glossary that list names that fell, and the one that follows them.
+/// The heading of the glossary's sections of withdrawn names, and the heading of the section after them.
 const EARLIER_WORDS: &str = "## Plain words of the users' pages";
 const MODULES: &str = "## Modules done and left";
 const LIBRARIES: [&str; 4] = ["hyper", "std", "tokio", "serde_json"];
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Whether the file or a folder above it has this name.
+    /// Returns whether the file or a folder above it has this name.
     fn is_within(&self, module: &str) -> bool {
         let folders_and_file = self.path.trim_end_matches(".rs").split('/');
         folders_and_file
@@ -58,7 +58,7 @@
             .any(|part| part == module)
     }
 
-    /// Whether a line defines an item, a field or a variant of this name.
+    /// Returns whether a line defines an item, a field or a variant of this name.
     fn defines(&self, name: &str) -> bool {
         self.words_by_line.iter().any(|words| {
             let is_item = words
@@ -72,7 +72,7 @@
     }
 }
 
-/// Whether a path names a module, or an item within the module or type before it.
+/// Returns whether the last name of a path is a module or an item within the module or type before it.
 fn resolves(sources: &[Source], names: &[&str]) -> bool {
     let [.., owner, name] = names else {
         return true;
@@ -83,14 +83,14 @@
     })
 }
 
-/// A page without the sections that list names that fell.
+/// Returns a page without the sections of withdrawn names.
 fn without_earlier_words(page: &str) -> String {
     let (before, after) = page.split_once(EARLIER_WORDS).unwrap_or((page, ""));
     let modules = after.split_once(MODULES).map_or("", |(_, modules)| modules);
     format!("{before}{modules}")
 }
 
-/// The text of the code spans in a page, without fenced blocks.
+/// Returns the text of the code spans in a page, without fenced blocks.
 fn code_spans(page: &str) -> Vec<String> {
     let mut is_fenced = false;
     let mut spans = Vec::new();
@@ -110,13 +110,13 @@
     span.contains("::") && span.chars().all(is_path_character)
 }
 
-/// Whether a span that looks like a file's path or name belongs to a file of the tree.
+/// Returns whether a file's path or name belongs to a file of the tree.
 fn is_file(root: &Path, sources: &[Source], span: &str) -> bool {
     let ending = format!("/{span}");
     root.join(span).exists() || sources.iter().any(|source| source.path.ends_with(&ending))
 }
 
-/// The spans of a page that name nothing in the tree.
+/// Returns the code spans of a page that refer to nothing in the tree.
 fn stale_references(root: &Path, sources: &[Source], page: &str) -> Vec<String> {
     let mut stale = Vec::new();
     for span in code_spans(page) {
--- a/crates/common/tests/withdrawn_words.rs
+++ b/crates/common/tests/withdrawn_words.rs
@@ -1,4 +1,4 @@
-//! Names in the code keep to the terms of the field: withdrawn words do not come back.
+//! Identifiers use the terms of the field: withdrawn words are not used again.
 //!
 //! The words, what to use instead, and the exceptions with their reasons are in `.ci/withdrawn-words.txt`.
 
@@ -13,7 +13,7 @@
 const ROOTS: [&str; 4] = ["crates", "programs", "platform", "testing"];
 const ALSO_IN_COMMENTS: &str = "(also in comments)";
 
-/// One barred word.
+/// A barred word.
 struct BarredWord {
     word: &'static str,
     instead: &'static str,
@@ -61,7 +61,7 @@
             .any(|exception| exception.word == word && path.starts_with(exception.path))
     }
 
-    /// Each barred word in a source text, as a line that says where it stands and what to use instead.
+    /// Returns a message for each barred word in a source text: its position, and what to use instead.
     fn findings(&self, path: &str, source: &str) -> Vec<String> {
         let mut findings = Vec::new();
         for (line_number, line) in split_lines(source) {
@@ -83,7 +83,7 @@
     }
 }
 
-/// One line of a source, its strings left out, parted into code and comment.
+/// A line of a source without its strings, split into code and comment.
 #[derive(Default)]
 struct SourceLine {
     code: String,
@@ -99,7 +99,7 @@
     RawText { hashes: usize },
 }
 
-/// Parts a source into lines, its strings left out.
+/// Splits a source into lines, without its strings.
 struct LineScanner {
     scanning: Scanning,
     lines: Vec<SourceLine>,
@@ -110,7 +110,7 @@
         self.lines.last_mut().expect("a line")
     }
 
-    /// Scans what begins at the first of the characters that are left; returns how many it was.
+    /// Scans the token at the beginning of `rest`, and returns its length in characters.
     fn scan(&mut self, rest: &[char]) -> usize {
         let character = rest[0];
         match self.scanning {
@@ -155,7 +155,7 @@
     }
 }
 
-/// The lines of a source with their numbers, from one.
+/// Returns the lines of a source with their numbers, starting at one.
 fn split_lines(source: &str) -> Vec<(usize, SourceLine)> {
     let mut scanner = LineScanner {
         scanning: Scanning::Code,
@@ -175,7 +175,7 @@
     (1..).zip(scanner.lines).collect()
 }
 
-/// How many marks a raw string has and how long its opening is, if one begins here.
+/// Returns the number of hashes and the length of the opening delimiter, if a raw string begins here.
 fn raw_text_opening(rest: &[char], code_before: &str) -> Option<(usize, usize)> {
     let is_within_word = code_before
         .chars()
@@ -188,7 +188,7 @@
     (rest.get(1 + hashes) == Some(&'"')).then_some((hashes, 2 + hashes))
 }
 
-/// How long the character literal is that begins here; none for a lifetime.
+/// Returns the length of the character literal that begins here, or `None` for a lifetime.
 fn character_literal(rest: &[char]) -> Option<usize> {
     if rest[0] != '\'' {
         return None;
@@ -203,13 +203,13 @@
     }
 }
 
-/// The words of all identifiers in a text, in lower case.
+/// Returns the words of all identifiers in a text, in lower case.
 fn identifier_words(text: &str) -> BTreeSet<String> {
     let identifiers = text.split(|character: char| !character.is_alphanumeric());
     identifiers.flat_map(camel_words).collect()
 }
 
-/// The words of an identifier's part without underscores.
+/// Splits a part of an identifier without underscores into its words.
 fn camel_words(part: &str) -> Vec<String> {
     let mut words: Vec<String> = Vec::new();
     let mut is_after_capital = false;
