--- a/programs/daemon/tests/command_line.rs
+++ b/programs/daemon/tests/command_line.rs
@@ -1,4 +1,4 @@
-//! The command line of `rudderd`: its help, its errors, and the exit code of each.
+//! The command line of `rudderd`: its help, its errors and its exit codes.
 
 #[path = "../../../testing/support/commands.rs"]
 mod commands;
@@ -15,28 +15,28 @@
 };
 
 #[test]
-fn version_and_help_are_there() {
+fn version_and_help_are_printed() {
     DAEMON.check_version_and_help();
 }
 
 #[test]
-fn bad_settings_are_named_by_file_key_and_reason() {
+fn errors_of_bad_settings_name_file_key_and_reason() {
     DAEMON.check_bad_settings();
 }
 
 #[test]
-fn a_hang_up_while_it_starts_ends_no_process() {
+fn a_sighup_during_start_up_does_not_end_the_process() {
     DAEMON.check_early_hang_up();
 }
 
-/// Guards against a program that ends when its settings are reloaded right after its start.
+/// Guards against a process that is ended by a reload signal right after it is created.
 #[test]
-fn a_hang_up_at_its_first_code_ends_no_process() {
+fn a_sighup_at_the_first_instruction_does_not_end_the_process() {
     DAEMON.check_hang_up_at_first_code();
 }
 
 #[test]
-fn help_and_refusals_of_arguments_are_as_they_were() {
+fn help_and_argument_errors_match_the_fixture() {
     let command_lines = [
         &["--help"][..],
         &["-h"],
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn what_it_cannot_start_with_has_its_exit_code() {
+fn start_up_errors_and_exit_codes_match_the_fixture() {
     let listening = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
     let taken = listening.local_addr().expect("an address").to_string();
     let least = r#"{"member": "d", "place": "127.0.0.1:0", "door": "127.0.0.1:0", "locality": "north",
--- a/programs/rudderctl/tests/command_forms.rs
+++ b/programs/rudderctl/tests/command_forms.rs
@@ -1,5 +1,5 @@
-//! The forms of `rudderctl` that its users know: its help, how it accepts and refuses arguments, the requests of each
-//! command, and what it prints of the response and its exit code.
+//! The command line of `rudderctl` is stable: its help, the arguments that it accepts and rejects, the requests of each
+//! command, its output for each response, and its exit codes.
 
 #[path = "../../../testing/support/commands.rs"]
 mod commands;
@@ -24,12 +24,12 @@
     forms::check(env!("CARGO_MANIFEST_DIR"), name, seen);
 }
 
-/// What `rudderctl` prints, and its exit code.
+/// Returns the output of `rudderctl` and its exit code.
 fn output_of(arguments: &[&str]) -> String {
     commands::output(PROGRAM, arguments, &[])
 }
 
-/// A controller that gives prepared responses, one for each call, and records the calls.
+/// A controller that sends prepared responses, one for each call, and records the calls.
 struct Controller {
     address: SocketAddr,
     calls: Arc<Mutex<Vec<String>>>,
@@ -58,7 +58,8 @@
 }
 
 impl Controller {
-    /// A controller that responds with these statuses and bodies. Its thread is detached and ends with the last one.
+    /// Starts a controller that responds with these statuses and bodies. Its thread is detached and ends after the last
+    /// one.
     fn answering(answers: &[(&str, String)]) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("an address");
@@ -77,7 +78,7 @@
         Self { address, calls }
     }
 
-    /// What a command requests and prints. An id that it generates is shown as MADE-UP.
+    /// Returns the requests and the output of a command, with generated ids replaced by MADE-UP.
     fn output_of(&self, arguments: &[&str]) -> String {
         let address = self.address.to_string();
         let text = output_of(&[&["--at", address.as_str()], arguments].concat());
@@ -103,7 +104,7 @@
     })
 }
 
-/// A file of this test process; it is removed when the value is dropped.
+/// A file of this test process, which is removed when the value is dropped.
 struct TemporaryFile(PathBuf);
 
 impl TemporaryFile {
@@ -126,7 +127,7 @@
 }
 
 #[test]
-fn help_and_version_are_as_they_were() {
+fn help_and_version_match_the_fixture() {
     let mut text = output_of(&["--help"]) + &output_of(&["-h"]) + &output_of(&["--version"]);
     for command in COMMANDS {
         text += &output_of(&[command, "--help"]);
@@ -135,7 +136,7 @@
 }
 
 #[test]
-fn wrong_arguments_are_refused_as_they_were() {
+fn argument_errors_match_the_fixture() {
     let nowhere = ["--at", "127.0.0.1:9"];
     let command_lines = [
         &[][..],
@@ -177,9 +178,9 @@
     check("wrong_arguments.txt", &text);
 }
 
-/// A part of a file that is sent to nobody would be left out, and its operator would not notice.
+/// Guards against ignoring an unknown part of a file, which its operator would not notice.
 #[test]
-fn a_file_of_items_with_an_unknown_part_is_refused() {
+fn an_items_file_with_an_unknown_part_is_rejected() {
     for text in [r#"{"put": {}, "remve": {"routes": ["r"]}}"#, r#"["put"]"#] {
         let file = TemporaryFile::new("unknown-part", text);
         let output = output_of(&["--at", "127.0.0.1:9", "items", file.name(), "--base", "3"]);
@@ -189,9 +190,9 @@
     }
 }
 
-/// Guards against a file of which only the last value of a repeated name is sent.
+/// Guards against sending only the last value of a duplicate name in a file.
 #[test]
-fn a_file_with_a_name_that_stands_twice_is_refused() {
+fn a_file_with_a_duplicate_name_is_rejected() {
     let text = r#"{"put": {"routes": {}, "routes": {"r": {}}}}"#;
     let file = TemporaryFile::new("name-twice", text);
     for command in ["put", "patch", "items"] {
@@ -201,7 +202,7 @@
 }
 
 #[test]
-fn a_core_that_nobody_reaches_has_its_exit_code() {
+fn output_for_unreachable_controllers_matches_the_fixture() {
     let mut text = String::new();
     let file = TemporaryFile::new("unreached", "{}");
     for arguments in [
@@ -227,17 +228,17 @@
 /// A command's arguments, and the responses of a controller.
 type CommandRun<'a> = (Vec<&'a str>, Vec<(&'a str, String)>);
 
-/// The response to an accepted change.
+/// Returns the response to an accepted change.
 fn accepted() -> Value {
     json!({"state": "accepted", "serial": 4, "change_id": "c"})
 }
 
-/// The response to a read of the spec.
+/// Returns the response to a read of the spec.
 fn current_spec() -> Value {
     json!({"serial": 17})
 }
 
-/// The responses to a change that reads the newest version first.
+/// Returns the responses to a change that first reads the newest version.
 fn read_then_accepted() -> Vec<(&'static str, String)> {
     [ok(&current_spec()), ok(&accepted())].concat()
 }
@@ -253,7 +254,7 @@
     ]
 }
 
-/// Changes of the spec from files, whose names are given.
+/// Returns changes of the spec from files with the given names.
 fn spec_changes<'a>(spec: &'a str, patch: &'a str, items: &'a str) -> Vec<CommandRun<'a>> {
     vec![
         (vec!["put", spec], read_then_accepted()),
@@ -367,7 +368,7 @@
 }
 
 #[test]
-fn every_command_asks_as_it_did() {
+fn requests_of_every_command_match_the_fixture() {
     let spec = TemporaryFile::new("spec", r#"{"functions": {}, "routes": {}}"#);
     let patch = TemporaryFile::new("patch", r#"{"functions": {"f": null}}"#);
     let items = TemporaryFile::new(
@@ -397,7 +398,7 @@
 }
 
 #[test]
-fn every_status_has_its_exit_code() {
+fn output_and_exit_code_of_every_status_match_the_fixture() {
     let mut text = String::new();
     for status in [
         "200 OK", "202 X", "307 X", "400 X", "404 X", "409 X", "422 X", "500 X", "503 X",
--- a/programs/rudderctl/tests/output.rs
+++ b/programs/rudderctl/tests/output.rs
@@ -1,4 +1,4 @@
-//! What `rudderctl` prints, and its exit codes.
+//! The output of `rudderctl`, and its exit codes.
 
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpListener};
@@ -19,7 +19,7 @@
         .expect("it runs")
 }
 
-/// A controller that responds to one call; its thread returns the first line of the call.
+/// Starts a controller that responds to one call; its thread returns the first line of the call.
 fn respond_once(status: &'static str, body: &'static str) -> (SocketAddr, JoinHandle<String>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn what_stands_beside_a_list_is_printed_before_it() {
+fn the_other_keys_of_a_list_response_are_printed_before_the_list() {
     let (text, _) = run_against("200 OK", QUORUM_LIST, &["core", "--output", "table"]);
     let headings = "CONTROLLER  PLACE  OPERATORS  ACCEPTED  VOTER  SILENT_MS";
     assert_eq!(
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn a_controller_that_states_its_identity_by_both_keys_is_printed_once() {
+fn a_controller_identity_under_both_keys_is_printed_once() {
     let both = r#"{"controller": "5f", "surveyor": "5f", "others": [
         {"controller": "77", "surveyor": "77", "place": "p"}]}"#;
     let (text, _) = run_against("200 OK", both, &["core", "--output", "table"]);
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn lists_are_json_unless_something_else_is_asked_for() {
+fn lists_are_printed_as_json_by_default() {
     for arguments in [&["holders"][..], &["holders", "--output", "json"]] {
         let (text, exit_code) = run_against("200 OK", HOLDERS, arguments);
         let value: serde_json::Value = serde_json::from_str(&text).expect("JSON");
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn a_refusal_is_json_in_any_format() {
+fn a_rejection_is_printed_as_json_in_any_format() {
     let error_body = r#"{"error":"no_leader"}"#;
     let (text, exit_code) = run_against("503 No", error_body, &["workers", "--output", "table"]);
     assert_eq!(text, "{\n  \"error\": \"no_leader\"\n}\n");
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn an_unknown_format_is_a_wrong_flag() {
+fn an_unknown_format_is_a_usage_error() {
     let output = run(&["members", "--output", "xml"]);
     assert_eq!(output.status.code(), Some(2));
     assert!(String::from_utf8_lossy(&output.stderr).contains("json, table"));
@@ -130,7 +130,7 @@
 }
 
 #[test]
-fn exit_codes_tell_usage_from_an_unreachable_core() {
+fn exit_codes_distinguish_usage_errors_from_unreachable_controllers() {
     assert_eq!(run(&["--version"]).status.code(), Some(0));
     assert_eq!(run(&[]).status.code(), Some(2));
     assert_eq!(run(&["--at", "somewhere", "spec"]).status.code(), Some(2));
@@ -146,7 +146,7 @@
 }
 
 #[test]
-fn trace_exit_codes_tell_usage_from_an_unreachable_core() {
+fn trace_exit_codes_distinguish_usage_errors_from_unreachable_controllers() {
     assert_eq!(run(&["--at", "nowhere", "trace"]).status.code(), Some(2));
     assert_eq!(
         run(&["--at", "127.0.0.1:9", "trace", "3"]).status.code(),
@@ -154,13 +154,13 @@
     );
 }
 
-/// A trace as a controller of another version might send it: keys are missing, and others are unknown.
+/// A trace as a controller of another version might send it, with missing and unknown keys.
 const TRACE_OF_ANOTHER_VERSION: &str = r#"{"serial": 17, "shard": 2, "traces": [{
     "term": 3, "committed_ms": 5, "quorum": ["a"], "members": {"daemon-1": {"pushed_ms": 1, "hops": 4}, "daemon-2": {}}
 }]}"#;
 
 #[test]
-fn missing_keys_of_a_trace_are_shown_as_unknown() {
+fn missing_keys_of_a_trace_are_printed_as_unknown() {
     let (text, exit_code) = run_against("200 OK", TRACE_OF_ANOTHER_VERSION, &["trace", "17"]);
     assert_eq!(
         text,
@@ -174,7 +174,7 @@
 }
 
 #[test]
-fn unknown_keys_of_a_trace_are_printed_as_json_as_they_were_sent() {
+fn unknown_keys_of_a_trace_are_printed_unchanged_in_json() {
     let arguments = ["trace", "17", "--output", "json"];
     let (text, exit_code) = run_against("200 OK", TRACE_OF_ANOTHER_VERSION, &arguments);
     let part = r#"{"committed_ms":5,"controller":null,"members":{"daemon-1":{"hops":4,"pushed_ms":1},"daemon-2":{}},"quorum":["a"],"surveyor":null,"term":3}"#;
