--- a/crates/common/src/adapter/platform.rs
+++ b/crates/common/src/adapter/platform.rs
@@ -11,7 +11,7 @@
 /// A call in progress.
 pub type PlatformCall<'a, T> = Pin<Box<dyn Future<Output = T> + Send + 'a>>;
 
-/// An order to start a runner. It is idempotent: repeating the order finds the same runner.
+/// An order to start a runner. It may be repeated: a repeated order finds the same runner.
 #[derive(Clone, Debug)]
 pub struct StartOrder {
     /// The runner's identity, which is the order's idempotency key.
