--- a/crates/common/src/events/mod.rs
+++ b/crates/common/src/events/mod.rs
@@ -128,7 +128,7 @@
     RUNNER_READY = 3101, "runner ready";
     /// A runner did not start, or ended unexpectedly.
     RUNNER_FAILED = 3102, "runner failed";
-    /// A runner's response was wrong, incomplete or meant for another request.
+    /// A runner's response was wrong, incomplete or for another request.
     RESPONSE_REJECTED = 3103, "response rejected";
     /// A runner is stopped.
     RUNNER_STOPPED = 3104, "runner stopped";
--- a/crates/common/src/rules.rs
+++ b/crates/common/src/rules.rs
@@ -122,7 +122,7 @@
     /// `crates/controlplane/tests/membership_change.rs`.
     VoterReplacedInTwoSteps = "core-in-two-steps",
     /// An operator's request is rejected only because of state that a majority confirmed after it arrived. No committed
-    /// run plants this flaw.
+    /// run injects this flaw.
     RejectionConfirmedByMajority = "refusal-proven",
     /// A change that was applied is recognized when it is sent again. Found by `fleet proofs`.
     ResentChangeRecognized = "taken-known",
@@ -145,8 +145,8 @@
     /// A delta of the document is applied to its base version only. Found by
     /// `crates/controlplane/tests/replication.rs`.
     DeltaOnItsBase = "change-on-its-base",
-    /// A lease that answers a request from before the daemon gave everything up is released again. Found by
-    /// `crates/dataplane/tests/agent/late_leases.rs`.
+    /// A lease granted for a request that is older than the daemon's release of all its functions is released again.
+    /// Found by `crates/dataplane/tests/agent/late_leases.rs`.
     StaleLeaseReturned = "old-answer-void",
     /// A leader that a controller names is dialed even if a connection to it has just failed. Found by
     /// `crates/dataplane/tests/control_session.rs`.
