--- a/programs/rudderctl/src/trace_response.rs
+++ b/programs/rudderctl/src/trace_response.rs
@@ -9,7 +9,7 @@
 /// A controller's response to a request for the traces of a version.
 #[derive(Default, Deserialize)]
 pub(crate) struct TraceResponse {
-    /// The version; none if the controller knows none.
+    /// The version; `None` if the controller has no trace of it.
     #[serde(default, rename = "serial", deserialize_with = "or_default")]
     pub(crate) version: Option<u64>,
     #[serde(default, deserialize_with = "or_default")]
