--- a/programs/rudderctl/src/table.rs
+++ b/programs/rudderctl/src/table.rs
@@ -5,7 +5,7 @@
 use std::fmt::Write;
 
 /// The text of a missing or empty value.
-const NONE: &str = "-";
+const EMPTY_CELL: &str = "-";
 const COLUMN_GAP: &str = "  ";
 
 /// A list of the operators' API, and the keys that its table shows.
@@ -88,10 +88,10 @@
 
 fn cell(value: &Value) -> String {
     match value {
-        Value::Null => NONE.to_owned(),
-        Value::String(text) if text.is_empty() => NONE.to_owned(),
+        Value::Null => EMPTY_CELL.to_owned(),
+        Value::String(text) if text.is_empty() => EMPTY_CELL.to_owned(),
         Value::String(text) => text.clone(),
-        Value::Array(items) if items.is_empty() => NONE.to_owned(),
+        Value::Array(items) if items.is_empty() => EMPTY_CELL.to_owned(),
         Value::Array(items) => items.iter().map(cell).collect::<Vec<_>>().join(","),
         other => other.to_string(),
     }
