--- a/crates/common/tests/stopping_server.rs
+++ b/crates/common/tests/stopping_server.rs
@@ -11,7 +11,7 @@
 
 const REQUEST: &[u8] = b"GET / HTTP/1.1\r\nhost: h\r\n\r\n";
 /// The number of attempts: in each, the server may notice either the stop or the request first.
-const CONNECTIONS: usize = 30;
+const CONNECTION_COUNT: usize = 30;
 
 async fn answer() -> HttpResponse {
     Response::new(full_body(Bytes::from_static(b"answer")))
@@ -29,7 +29,7 @@
 #[gtest]
 fn a_request_that_arrived_before_the_stop_is_answered() -> Result<()> {
     let runtime = common::command_line::runtime(1)?;
-    for number in 0..CONNECTIONS {
+    for number in 0..CONNECTION_COUNT {
         let response = runtime.block_on(async {
             let listener = TcpListener::bind("127.0.0.1:0").await?;
             let address = listener.local_addr()?;
--- a/programs/controller/tests/command_line.rs
+++ b/programs/controller/tests/command_line.rs
@@ -84,9 +84,9 @@
 fn start_up_errors_and_exit_codes_match_the_fixture() {
     let listening = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
     let taken = listening.local_addr().expect("an address").to_string();
-    let least = r#"{"place": "127.0.0.1:0", "operators": "127.0.0.1:0", "locality": "north",
+    let minimal_settings = r#"{"place": "127.0.0.1:0", "operators": "127.0.0.1:0", "locality": "north",
             "seeds": ["127.0.0.1:1"], "platform": "127.0.0.1:4"}"#;
-    let file = CONTROLLER.file("start", least);
+    let file = CONTROLLER.file("start", minimal_settings);
     let file_name = file.to_str().expect("a path");
     let mut text = String::new();
     for arguments in [
--- a/programs/daemon/tests/command_line.rs
+++ b/programs/daemon/tests/command_line.rs
@@ -64,12 +64,12 @@
 fn start_up_errors_and_exit_codes_match_the_fixture() {
     let listening = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
     let taken = listening.local_addr().expect("an address").to_string();
-    let least = r#"{"member": "d", "place": "127.0.0.1:0", "door": "127.0.0.1:0", "locality": "north",
+    let minimal_settings = r#"{"member": "d", "place": "127.0.0.1:0", "door": "127.0.0.1:0", "locality": "north",
             "seeds": ["127.0.0.1:1"], "platform": "127.0.0.1:4"}"#;
-    let file = DAEMON.file("start", least);
+    let file = DAEMON.file("start", minimal_settings);
     let ready = DAEMON.file(
         "ready",
-        &least.replace('}', r#", "ready": "192.0.2.1:8081"}"#),
+        &minimal_settings.replace('}', r#", "ready": "192.0.2.1:8081"}"#),
     );
     let (file_name, ready_name) = (
         file.to_str().expect("a path"),
