--- a/crates/dataplane/src/agent/daemon_control/held_functions.rs
+++ b/crates/dataplane/src/agent/daemon_control/held_functions.rs
@@ -43,7 +43,7 @@
         let closing = agent.lock_closing().clone();
         if self.cluster_view.is_welcomed() {
             for held in &closing {
-                held.with(|holder| holder.orphans_reported());
+                held.with(|holder| holder.record_orphans_reported());
             }
         }
         let claims = held_functions
@@ -153,7 +153,9 @@
         result: &ReserveResult,
     ) {
         match (agent.held_under_lease(&function, fencing_token), result) {
-            (Some(held), _) => self.apply(&held, |holder| holder.reserved(now, result)),
+            (Some(held), _) => {
+                self.apply(&held, |holder| holder.handle_reserve_result(now, result))
+            }
             (None, ReserveResult::Reserved { runner, .. }) => {
                 let runner_status = RunnerStatus::Gone;
                 self.send_frame(DaemonToLeader::RunnerUpdate {
@@ -172,7 +174,7 @@
             return;
         }
         let runners = held.with(|holder| {
-            holder.orphans_reported();
+            holder.record_orphans_reported();
             holder.orphaned_runners()
         });
         self.send_release(held.function.clone(), held.fencing_token, runners);
--- a/crates/dataplane/src/agent/daemon_control/view_outputs.rs
+++ b/crates/dataplane/src/agent/daemon_control/view_outputs.rs
@@ -82,7 +82,7 @@
             }
             FunctionCommand::ReplicaAssigned(fencing_token, replica) => {
                 self.apply_if_held(agent, function, fencing_token, |holder| {
-                    holder.replica_assigned(now, replica)
+                    holder.handle_replica_assigned(now, replica)
                 });
             }
             FunctionCommand::Revoke(fencing_token) => {
@@ -90,7 +90,7 @@
             }
             FunctionCommand::RunnerUnlisted(runner) => {
                 self.apply_if_held(agent, function, runner.fencing_token, |holder| {
-                    holder.vanished(now, runner)
+                    holder.handle_runner_gone(now, runner)
                 });
             }
             FunctionCommand::Drain(runner) => self.drain(agent, now, function, runner),
@@ -124,7 +124,7 @@
         self.outputs.push(DaemonControlOutput::AcquiresLost);
         for (function, fencing_token) in lost_reserves {
             if let Some(held) = agent.held_under_lease(&function, fencing_token) {
-                held.with(|holder| holder.reserve_failed(now));
+                held.with(|holder| holder.handle_reserve_failure(now));
             }
         }
     }
@@ -185,7 +185,7 @@
     ) {
         if agent.rules.enforces(Rule::DrainObeyed) {
             self.apply_if_held(agent, function, runner.fencing_token, |holder| {
-                holder.drain(now, runner)
+                holder.drain_runner(now, runner)
             });
         }
     }
--- a/crates/dataplane/src/drivers/holder_driver.rs
+++ b/crates/dataplane/src/drivers/holder_driver.rs
@@ -184,7 +184,7 @@
         let result = tokio::select! {
             biased;
             result = runners::send(&self.state, &self.held, ticket, runner, address, attempt) => result,
-            () = self.abandoned(ticket) => SendResult::BrokenOff,
+            () = self.abandoned(ticket) => SendResult::Aborted,
         };
         self.log_failed_send(ticket, runner, &result, sent_at);
         self.apply(|holder, now| holder.handle_send_result(now, ticket, result));
@@ -210,23 +210,23 @@
 
     async fn start(self, runner: RunnerId, worker: WorkerName, spec: FunctionSpec) {
         let outcome = platform::start(&self.state, &self.held, runner, &worker, &spec).await;
-        self.apply(|holder, now| holder.started(now, runner, outcome));
+        self.apply(|holder, now| holder.handle_start_outcome(now, runner, outcome));
     }
 
     async fn probe(self, runner: RunnerId, address: SocketAddress) {
         let is_ready = runners::is_ready(&self.state, &self.held, runner, address).await;
-        self.apply(|holder, now| holder.probed(now, runner, is_ready));
+        self.apply(|holder, now| holder.handle_probe_result(now, runner, is_ready));
     }
 
     async fn list_running(self, runner: RunnerId, address: SocketAddress) {
         let self_reported_id = self.held.self_reported_id_of(runner);
         let running_keys = runners::list_running(&self.state, self_reported_id, address).await;
-        self.apply(|holder, now| holder.running_listed(now, runner, running_keys));
+        self.apply(|holder, now| holder.handle_running_list(now, runner, running_keys));
     }
 
     async fn stop(self, runner: RunnerId, worker: WorkerName, instance: Option<InstanceId>) {
         if platform::stop(&self.state, &self.held, runner, worker, instance).await {
-            self.apply(|holder, now| holder.stopped(now, runner));
+            self.apply(|holder, now| holder.handle_runner_stopped(now, runner));
         }
     }
 
@@ -265,7 +265,7 @@
         result: &SendResult,
         sent_at: MonotonicTime,
     ) {
-        let Some(failure_text) = result.failure() else {
+        let Some(failure_text) = result.failure_text() else {
             return;
         };
         let Some(holder_request) = self.held.holder_request(ticket) else {
