--- a/crates/dataplane/src/drivers/gauges.rs
+++ b/crates/dataplane/src/drivers/metrics.rs
@@ -1,45 +1,45 @@
-//! The daemon's metrics, in groups by what they measure.
+//! The metrics of a daemon, grouped by what they measure.
 
 use common::metrics::MetricsPage;
 use prometheus::{Histogram, HistogramVec, IntCounter, IntCounterVec, IntGauge};
 
 /// The daemon's metrics.
-pub struct Gauges {
+pub struct DaemonMetrics {
     page: MetricsPage,
-    /// Callers' requests.
-    pub callers: CallerGauges,
-    /// The search for the owners of functions.
-    pub owners: OwnerGauges,
-    /// The exchange with runners.
-    pub runners: RunnerGauges,
-    /// Connections closed for an invalid frame.
+    /// Requests from callers.
+    pub callers: CallerMetrics,
+    /// Owner lookups and acquisitions.
+    pub owners: OwnerMetrics,
+    /// Requests to runners.
+    pub runners: RunnerMetrics,
+    /// Invalid frames received on connections, each of which closes its connection, and invalid heartbeat datagrams.
     pub rejected_frames: IntCounter,
     /// The held functions.
-    pub held: HeldGauges,
+    pub held: HeldFunctionMetrics,
     /// The session with the leader.
-    pub session: SessionGauges,
+    pub session: SessionMetrics,
     /// The replication of ledgers.
-    pub replication: ReplicationGauges,
+    pub replication: ReplicationMetrics,
     /// Functions whose last runner is retained although it is idle.
-    pub idle_stop_skipped: IntGauge,
+    pub retained_idle_functions: IntGauge,
 }
 
-impl Gauges {
-    /// All at zero.
+impl DaemonMetrics {
+    /// Registers all metrics, with the value zero.
     pub fn new() -> Self {
         let page = MetricsPage::new();
         Self {
-            callers: CallerGauges::register(&page),
-            owners: OwnerGauges::register(&page),
-            runners: RunnerGauges::register(&page),
+            callers: CallerMetrics::register(&page),
+            owners: OwnerMetrics::register(&page),
+            runners: RunnerMetrics::register(&page),
             rejected_frames: page.counter(
                 "rudder_frames_rejected_total",
                 "connections closed for what they sent",
             ),
-            held: HeldGauges::register(&page),
-            session: SessionGauges::register(&page),
-            replication: ReplicationGauges::register(&page),
-            idle_stop_skipped: page.gauge(
+            held: HeldFunctionMetrics::register(&page),
+            session: SessionMetrics::register(&page),
+            replication: ReplicationMetrics::register(&page),
+            retained_idle_functions: page.gauge(
                 "rudder_idle_stop_skipped",
                 "functions whose last idle runner is kept",
             ),
@@ -47,29 +47,29 @@
         }
     }
 
-    /// The metrics in text format.
+    /// Returns the metrics in Prometheus text format.
     pub fn page(&self) -> Vec<u8> {
         self.page.text()
     }
 }
 
-impl Default for Gauges {
+impl Default for DaemonMetrics {
     fn default() -> Self {
         Self::new()
     }
 }
 
-/// The metrics of callers' requests, at the daemon that received them.
-pub struct CallerGauges {
-    /// Callers' requests by outcome and reason.
+/// The metrics of requests from callers, counted at their ingress daemon.
+pub struct CallerMetrics {
+    /// Ended requests by outcome and reason.
     pub request_outcomes: IntCounterVec,
-    /// The durations of callers' requests in seconds, by outcome.
+    /// Request durations in seconds, by outcome.
     pub request_seconds: HistogramVec,
-    /// Callers' requests that ended over a quarter of a second after their deadline.
+    /// Requests that ended more than a quarter of a second after their deadline.
     pub overdue_requests: IntCounter,
 }
 
-impl CallerGauges {
+impl CallerMetrics {
     fn register(page: &MetricsPage) -> Self {
         Self {
             request_outcomes: page.counters(
@@ -90,17 +90,17 @@
     }
 }
 
-/// The metrics of the search for the owners of functions.
-pub struct OwnerGauges {
-    /// Owner lookups by where the owner was found.
+/// The metrics of owner lookups and acquisitions.
+pub struct OwnerMetrics {
+    /// Owner lookups by result: `held` here, `passed` to another daemon, or `acquired` from the leader.
     pub lookups: IntCounterVec,
     /// Acquisitions requested from the leader.
-    pub acquires: IntCounter,
+    pub acquisitions: IntCounter,
     /// The round-trip times of acquisitions in seconds.
     pub acquire_seconds: Histogram,
 }
 
-impl OwnerGauges {
+impl OwnerMetrics {
     fn register(page: &MetricsPage) -> Self {
         Self {
             lookups: page.counters(
@@ -108,7 +108,7 @@
                 "owner look-ups by where the owner was found",
                 &["found"],
             ),
-            acquires: page.counter("rudder_acquires_total", "acquisitions asked of the leader"),
+            acquisitions: page.counter("rudder_acquires_total", "acquisitions asked of the leader"),
             acquire_seconds: page.seconds(
                 "rudder_acquire_seconds",
                 "round trip of an acquisition to the leader",
@@ -117,28 +117,29 @@
     }
 }
 
-/// The metrics of the exchange with runners.
-pub struct RunnerGauges {
+/// The metrics of requests to runners.
+pub struct RunnerMetrics {
     /// Requests sent to runners.
     pub sends: IntCounter,
-    /// Sends beyond a request's first.
+    /// Sends after a request's first, that is, retries.
     pub retried_sends: IntCounter,
-    /// Responses of runners that failed verification.
-    pub rejected_answers: IntCounter,
+    /// Responses from runners that failed verification.
+    pub rejected_responses: IntCounter,
 }
 
-impl RunnerGauges {
+impl RunnerMetrics {
     fn register(page: &MetricsPage) -> Self {
         Self {
             sends: page.counter("rudder_sends_total", "transactions sent to runners"),
             retried_sends: page.counter("rudder_extra_sends_total", "sends beyond the first"),
-            rejected_answers: page.counter("rudder_answers_rejected_total", "answers not believed"),
+            rejected_responses: page
+                .counter("rudder_answers_rejected_total", "answers not believed"),
         }
     }
 }
 
 /// The metrics of the held functions.
-pub struct HeldGauges {
+pub struct HeldFunctionMetrics {
     /// Held functions.
     pub functions: IntGauge,
     /// Ready runners.
@@ -149,7 +150,7 @@
     pub in_flight: IntGauge,
 }
 
-impl HeldGauges {
+impl HeldFunctionMetrics {
     fn register(page: &MetricsPage) -> Self {
         Self {
             functions: page.gauge("rudder_functions_held", "functions held"),
@@ -160,8 +161,8 @@
     }
 }
 
-/// The metrics of the session with the leader: its lease, and the spec it brought.
-pub struct SessionGauges {
+/// The metrics of the session with the leader: the session lease and the installed spec.
+pub struct SessionMetrics {
     /// 1 while the session lease is valid, else 0.
     pub serving: IntGauge,
     /// The version of the installed spec.
@@ -170,7 +171,7 @@
     pub leases_ended: IntCounter,
 }
 
-impl SessionGauges {
+impl SessionMetrics {
     fn register(page: &MetricsPage) -> Self {
         Self {
             serving: page.gauge("rudder_serving", "1 while the member grant runs"),
@@ -184,14 +185,14 @@
 }
 
 /// The metrics of the replication of ledgers.
-pub struct ReplicationGauges {
-    /// Records stored as a replica of other daemons' ledgers.
+pub struct ReplicationMetrics {
+    /// Records stored here as replicas of other daemons' ledgers.
     pub replica_entries: IntGauge,
     /// The round-trip times of replication in seconds.
     pub round_trip_seconds: Histogram,
 }
 
-impl ReplicationGauges {
+impl ReplicationMetrics {
     fn register(page: &MetricsPage) -> Self {
         Self {
             replica_entries: page.gauge(
