--- a/testing/fleet/src/sim/controller.rs
+++ b/testing/fleet/src/sim/controller.rs
@@ -246,7 +246,7 @@
             }
             ControllerOutput::Write(ticket, job) => self.write(index, ticket, job),
             ControllerOutput::FrameToDaemon(stream, frame) => self.send_down(stream, frame),
-            ControllerOutput::Close(stream) => self.close_link(stream.0),
+            ControllerOutput::CloseStream(stream) => self.close_link(stream.0),
             ControllerOutput::RequestLists => self.read_lists(index),
             ControllerOutput::StopRunner(order) => {
                 let requester = self.nodes.controller(index).requester();
@@ -257,7 +257,7 @@
                 }
             }
             ControllerOutput::OperatorReply(ticket, reply) => self.operated(index, ticket, reply),
-            ControllerOutput::EventRecord(numbered) => {
+            ControllerOutput::EventRecorded(numbered) => {
                 if numbered.event_record.event == events::VERSION_COMMITTED {
                     self.check_commit(index);
                 }
@@ -363,7 +363,7 @@
                 self.record.count_events("hosts told", put.0.len());
             }
             LeaderToDaemon::Spec { document: blob, .. }
-            | LeaderToDaemon::Change { delta: blob, .. } => {
+            | LeaderToDaemon::SpecDelta { delta: blob, .. } => {
                 self.record.count_events("spec bytes", blob.0.len());
             }
             _ => {}
--- a/testing/fleet/src/sim/dispatch.rs
+++ b/testing/fleet/src/sim/dispatch.rs
@@ -43,7 +43,7 @@
                 self.step_controller(node.0, ControllerInput::Consensus(frame))
             }
             ControllerEvent::ControllerGone(node, address) => {
-                self.step_controller(node.0, ControllerInput::ProcessGone(address));
+                self.step_controller(node.0, ControllerInput::ProcessExited(address));
             }
             ControllerEvent::Durable(node, incarnation, job) => {
                 if self.nodes.controller(node.0).incarnation == incarnation {
@@ -51,14 +51,14 @@
                 }
             }
             ControllerEvent::Written(node, _, ticket, result) => {
-                self.step_controller(node.0, ControllerInput::Written(ticket, result));
+                self.step_controller(node.0, ControllerInput::WriteCompleted(ticket, result));
             }
             ControllerEvent::Lists(node, _, workers, content_at, runners) => {
                 self.step_controller(node.0, ControllerInput::Workers(workers));
                 self.step_controller(node.0, ControllerInput::Runners(content_at, runners));
             }
             ControllerEvent::Operate(node, ticket, operation) => {
-                self.step_controller(node.0, ControllerInput::Operate(ticket, operation));
+                self.step_controller(node.0, ControllerInput::OperatorRequest(ticket, operation));
             }
             ControllerEvent::Withdraw(node, ticket) => {
                 self.step_controller(node.0, ControllerInput::CallerDisconnected(ticket));
@@ -125,25 +125,25 @@
             HolderEvent::Started(requester, function, runner, end) => {
                 let index = requester.node.daemon_index();
                 self.apply(index, &function, runner.fencing_token, |holder, now| {
-                    holder.started(now, runner, end)
+                    holder.handle_start_outcome(now, runner, end)
                 });
             }
             HolderEvent::Stopped(requester, function, runner) => {
                 let index = requester.node.daemon_index();
                 self.apply(index, &function, runner.fencing_token, |holder, now| {
-                    holder.stopped(now, runner)
+                    holder.handle_runner_stopped(now, runner)
                 });
             }
             HolderEvent::Probed(requester, function, runner, is_ready) => {
                 let index = requester.node.daemon_index();
                 self.apply(index, &function, runner.fencing_token, |holder, now| {
-                    holder.probed(now, runner, is_ready)
+                    holder.handle_probe_result(now, runner, is_ready)
                 });
             }
             HolderEvent::Settled(requester, function, runner, running) => {
                 let index = requester.node.daemon_index();
                 self.apply(index, &function, runner.fencing_token, |holder, now| {
-                    holder.running_listed(now, runner, running)
+                    holder.handle_running_list(now, runner, running)
                 });
             }
             HolderEvent::SendEnded(requester, function, ticket, fencing_token, end) => {
--- a/testing/fleet/src/synthetic/daemons/holder.rs
+++ b/testing/fleet/src/synthetic/daemons/holder.rs
@@ -36,11 +36,13 @@
     fn apply(self, holder: &mut Holder, now: MonotonicTime) -> Vec<HolderOutput> {
         match self {
             Self::Started(runner, instance) => {
-                holder.started(now, runner, StartOutcome::Started(instance))
+                holder.handle_start_outcome(now, runner, StartOutcome::Started(instance))
+            }
+            Self::Stopped(runner) => holder.handle_runner_stopped(now, runner),
+            Self::Probed(runner, is_ready) => holder.handle_probe_result(now, runner, is_ready),
+            Self::NothingRunning(runner) => {
+                holder.handle_running_list(now, runner, Some(Vec::new()))
             }
-            Self::Stopped(runner) => holder.stopped(now, runner),
-            Self::Probed(runner, is_ready) => holder.probed(now, runner, is_ready),
-            Self::NothingRunning(runner) => holder.running_listed(now, runner, Some(Vec::new())),
             Self::SendEnded(ticket, result) => holder.handle_send_result(now, ticket, result),
         }
     }
