--- a/crates/common/src/spec/route_reader.rs
+++ b/crates/common/src/spec/route_reader.rs
@@ -45,9 +45,9 @@
     };
     let once = read_once(&reader.field("kind"));
     let recorded = read_recorded(&reader.field("identities"));
-    let timeout_ms = reader.field("budget_ms").number(1..=60_000);
-    let default_ms = timeout_ms.unwrap_or(1000);
-    let queue_timeout_ms = reader
+    let timeout_millis = reader.field("budget_ms").number(1..=60_000);
+    let default_ms = timeout_millis.unwrap_or(1000);
+    let queue_timeout_millis = reader
         .field("patience_ms")
         .number_or(0..=60_000, default_ms);
     let target_ms = reader.field("target_ms").number_or(1..=60_000, default_ms);
@@ -58,8 +58,8 @@
         matching: matching?,
         function: function?,
         shares,
-        timeout: Duration::from_millis(timeout_ms?),
-        queue_timeout: Duration::from_millis(queue_timeout_ms),
+        timeout: Duration::from_millis(timeout_millis?),
+        queue_timeout: Duration::from_millis(queue_timeout_millis),
         target: Duration::from_millis(target_ms),
         rank,
         max_attempts,
--- a/crates/dataplane/src/holder/runner_events.rs
+++ b/crates/dataplane/src/holder/runner_events.rs
@@ -48,7 +48,7 @@
         self.scaling.record_reserve_result(now, false);
     }
 
-    /// Handles the platform's reply to a start. Starts are idempotent: repeating the order yields the same runner.
+    /// Handles the platform's reply to a start. A repeated start yields the same runner.
     pub fn handle_start_outcome(
         &mut self,
         now: MonotonicTime,
