--- a/crates/dataplane/src/server/ingress.rs
+++ b/crates/dataplane/src/server/ingress.rs
@@ -36,7 +36,7 @@
             }
         }
     };
-    http::serve_callers(listener, handler, connection_limits, stop).await;
+    http::serve_with_limits(listener, handler, connection_limits, stop).await;
 }
 
 /// Serves readiness and metrics on a separate address until `stop`.
--- a/testing/fleet/src/daemon_without_rule.rs
+++ b/testing/fleet/src/daemon_without_rule.rs
@@ -27,12 +27,12 @@
 /// Runs before `main`: the settings may be reloaded as soon as the process exists.
 #[ctor::ctor(unsafe)]
 fn count_early_hangups() {
-    common::hangups::count_from_now_on();
+    common::hangups::start_counting();
 }
 
 fn main() -> eyre::Result<()> {
-    let flags = PROGRAM.flags(|flags: &Flags| flags.version);
-    command_line::start_log();
+    let flags = PROGRAM.parse_flags(|flags: &Flags| flags.version);
+    command_line::init_logging();
     let rule = Rule::by_name(&flags.without)
         .ok_or_else(|| eyre!("--without: no such rule: {:?}", flags.without))?;
     let settings_source =
