--- a/crates/dataplane/tests/http_forms/callers.rs
+++ b/crates/dataplane/tests/http_forms/callers.rs
@@ -39,7 +39,7 @@
 
 #[test]
 fn names_of_caller_headers_match_the_fixture() {
-    let repeat = headers(&[(seal::REPEAT_OF, "try-0")]);
+    let repeat = headers(&[(seal::REPEAT_OF_HEADER, "try-0")]);
     let seen = json!({
         "identity": NativeIngressCodec.idempotency_key_header(),
         "budget": NativeIngressCodec.timeout_header(),
@@ -48,8 +48,8 @@
         "no repeat": NativeIngressCodec.is_repeat(&headers(&[])),
         "lines passed on": NativeIngressCodec.forwarded_header_fields(&headers(&[("x-own", "kept")])).len(),
         "names": [
-            seal::IDEMPOTENCY_KEY, seal::TIMEOUT, seal::REPEAT_OF, seal::OUTCOME, seal::FUNCTION,
-            seal::RUNNER, seal::FENCING_TOKEN, seal::ATTEMPT, seal::SEAL, seal::REJECTED,
+            seal::IDEMPOTENCY_KEY_HEADER, seal::TIMEOUT_HEADER, seal::REPEAT_OF_HEADER, seal::OUTCOME_HEADER, seal::FUNCTION_HEADER,
+            seal::RUNNER_HEADER, seal::FENCING_TOKEN_HEADER, seal::ATTEMPT_HEADER, seal::SEAL_HEADER, seal::REJECTED_HEADER,
         ],
     });
     check("caller_headers.json", &format!("{seen:#}\n"));
--- a/programs/rudderctl/src/table.rs
+++ b/programs/rudderctl/src/table.rs
@@ -1,14 +1,14 @@
-//! Lists of the operators' API, rendered as tables for people.
+//! Renders lists of the operators' API as tables.
 
 use crate::controller_key::{CONTROLLER, EARLIER_CONTROLLER, controller_of};
 use serde_json::Value;
 use std::fmt::Write;
 
 /// The text of a missing or empty value.
-const NONE: &str = "-";
+const EMPTY_CELL: &str = "-";
 const COLUMN_GAP: &str = "  ";
 
-/// A list of the operators' API, and the keys of it that are shown.
+/// A list of the operators' API, and the keys that its table shows.
 pub(crate) struct Table {
     /// The path at which the list is read.
     pub(crate) path: &'static str,
@@ -88,16 +88,16 @@
 
 fn cell(value: &Value) -> String {
     match value {
-        Value::Null => NONE.to_owned(),
-        Value::String(text) if text.is_empty() => NONE.to_owned(),
+        Value::Null => EMPTY_CELL.to_owned(),
+        Value::String(text) if text.is_empty() => EMPTY_CELL.to_owned(),
         Value::String(text) => text.clone(),
-        Value::Array(items) if items.is_empty() => NONE.to_owned(),
+        Value::Array(items) if items.is_empty() => EMPTY_CELL.to_owned(),
         Value::Array(items) => items.iter().map(cell).collect::<Vec<_>>().join(","),
         other => other.to_string(),
     }
 }
 
-/// The value of a row in one column.
+/// Returns a row's value in one column.
 fn field<'a>(row: &'a Value, column: &str) -> &'a Value {
     if column == CONTROLLER {
         controller_of(row)
@@ -107,7 +107,7 @@
 }
 
 impl Table {
-    /// The response as text: the other keys of the response, a line each, then the list below its headings.
+    /// Renders the response: first its other keys, one on each line, then the list below its headings.
     pub(crate) fn render(&self, response: &Value) -> String {
         let mut text = String::new();
         for (key, value) in response.as_object().into_iter().flatten() {
@@ -141,7 +141,7 @@
     }
 }
 
-/// The cells of one line, each as wide as the widest of its column.
+/// Pads each cell of a line to the width of the widest cell in its column.
 fn padded(line: &[String], lines: &[Vec<String>]) -> String {
     let cells = line.iter().enumerate().map(|(column, cell)| {
         let width = lines.iter().map(|line| line[column].chars().count()).max();
--- a/testing/fleet/src/faulty_disk_controller.rs
+++ b/testing/fleet/src/faulty_disk_controller.rs
@@ -59,12 +59,12 @@
 /// Counts SIGHUP signals from before `main` on, since a reload can be requested as soon as the process exists.
 #[ctor::ctor(unsafe)]
 fn count_early_hangups() {
-    common::hangups::count_from_now_on();
+    common::hangups::start_counting();
 }
 
 fn main() -> eyre::Result<()> {
-    let flags = PROGRAM.flags(|flags: &Flags| flags.version);
-    command_line::start_log();
+    let flags = PROGRAM.parse_flags(|flags: &Flags| flags.version);
+    command_line::init_logging();
     let settings_source =
         SettingsSource::open(Some(&flags.boot)).map_err(|error| eyre!("{error}"))?;
     let settings = ControllerSettings::read(&settings_source).map_err(|error| eyre!("{error}"))?;
