--- a/testing/fleet/src/soak/clients.rs
+++ b/testing/fleet/src/soak/clients.rs
@@ -1,4 +1,4 @@
-//! Misbehaving callers and operators, and operators that lose responses.
+//! Misbehaving callers and operators, and operators that disconnect before the response.
 
 use super::SoakFault;
 use crate::days::Deployment;
@@ -11,41 +11,41 @@
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
 
-/// The journal's entry of a change that was accepted although it cannot be read.
+/// The kind of journal entry for a malformed change that was accepted.
 pub(super) const UNREADABLE_CHANGE_ACCEPTED: &str = "unreadable_change_accepted";
-/// The time limit for all changes of one fault.
+/// The timeout for all changes of one fault.
 pub(super) const OPERATOR_TIMEOUT: Duration = Duration::from_millis(2500);
-/// When an operator that loses the response closes its connection.
+/// The time after which an operator that loses the response closes its connection.
 const DISCONNECT_AFTER: Duration = Duration::from_millis(15);
-/// The number of changes, one after the other.
-const CHANGES: usize = 5;
-/// The number of callers that close their connections.
-const DISCONNECTS: u64 = 20;
+/// The number of changes that a fault sends, one after the other.
+const CHANGES_PER_FAULT: usize = 5;
+/// The number of connections that callers close early.
+const DISCONNECT_COUNT: u64 = 20;
 /// The number of connections that send garbage.
-const GARBAGE_REQUESTS: u64 = 8;
+const GARBAGE_CONNECTION_COUNT: u64 = 8;
 
-/// Sends changes of the spec as operators, in the way of the given fault.
+/// Sends changes of the spec as the given fault defines them.
 pub(super) async fn change_spec(fleet: &mut Fleet, fault: SoakFault) -> Result<(), FleetError> {
-    for _ in 0..CHANGES {
+    for _ in 0..CHANGES_PER_FAULT {
         let (version, spec) = fleet.spec().await?;
-        let change_id = fleet.change_id();
+        let change_id = fleet.next_change_id();
         match fault {
             SoakFault::UnreadableSpecs => {
                 send_unreadable(fleet, version, &spec, &change_id).await?
             }
             SoakFault::InvalidSpecs => send_invalid(fleet, version, &spec, &change_id).await?,
             SoakFault::LoseAcknowledgements => {
-                let switched = switched(spec);
-                let sending = fleet.put_spec(version, &change_id, &switched, "accepted");
-                // The change may be accepted all the same; it is retried with the same id.
+                let changed_spec = with_switched_canary(spec);
+                let sending = fleet.put_spec(version, &change_id, &changed_spec, "accepted");
+                // The change may still be accepted, so it is retried with the same id.
                 let _ = tokio::time::timeout(DISCONNECT_AFTER, sending).await;
                 fleet
-                    .put_spec(version, &change_id, &switched, "accepted")
+                    .put_spec(version, &change_id, &changed_spec, "accepted")
                     .await?;
             }
             _ => {
                 fleet
-                    .put_spec(version, &change_id, &switched(spec), "accepted")
+                    .put_spec(version, &change_id, &with_switched_canary(spec), "accepted")
                     .await?;
             }
         }
@@ -53,8 +53,8 @@
     Ok(())
 }
 
-/// The spec with the canary's route changed to its other function.
-fn switched(mut spec: Value) -> Value {
+/// Returns the spec with the canary route switched to its other function.
+fn with_switched_canary(mut spec: Value) -> Value {
     let is_a = spec["routes"]["canary"]["function"] == json!("canary-a");
     spec["routes"]["canary"]["function"] = json!(if is_a { "canary-b" } else { "canary-a" });
     spec
@@ -77,14 +77,15 @@
         .put_spec(
             version.saturating_sub(1),
             &stale_id,
-            &switched(spec.clone()),
+            &with_switched_canary(spec.clone()),
             "accepted",
         )
         .await?;
     Ok(())
 }
 
-/// Sends changes in which one value has another type; each that is accepted is noted in the journal.
+/// Sends malformed changes: with values of the wrong type, or with both a spec and a patch. Those that are accepted are
+/// recorded in the journal.
 async fn send_unreadable(
     fleet: &Fleet,
     version: u64,
@@ -125,7 +126,7 @@
     Ok(())
 }
 
-/// Closes callers' connections before their requests are complete, or before the response.
+/// Closes callers' connections in the middle of a request or before the response.
 pub(super) async fn disconnect_mid_request(
     fleet: &Fleet,
     deployment: Deployment,
@@ -133,13 +134,13 @@
 ) {
     let ingresses = fleet.layout.ingresses();
     let routes = deployment.caller_routes();
-    for number in 0..DISCONNECTS {
+    for number in 0..DISCONNECT_COUNT {
         let ingress = ingresses[rng.below(ingresses.len() as u64) as usize];
         let route = &routes[rng.below(routes.len().max(1) as u64) as usize];
         let Some(path) = route["path"].as_str() else {
             continue;
         };
-        // A run without a caller's record would be a violation, so complete requests use a path without a route.
+        // The judge reports a run that no caller recorded, so complete requests use a path without a route.
         let is_complete = rng.random_bool(0.5);
         let path = if is_complete { "/left/behind" } else { path };
         let end = if is_complete { "\r\n\r\n{}" } else { "\r\n" };
@@ -151,7 +152,7 @@
     }
 }
 
-/// Sends random bytes to ingresses and to the addresses between processes.
+/// Sends random bytes to the daemons' ingresses and to the addresses that processes use among themselves.
 pub(super) async fn send_garbage(fleet: &Fleet, rng: &mut SeededRng) {
     let process_addresses = fleet
         .layout
@@ -162,7 +163,7 @@
         .map(|(address, _)| address)
         .chain(fleet.layout.ingresses())
         .collect();
-    for _ in 0..GARBAGE_REQUESTS {
+    for _ in 0..GARBAGE_CONNECTION_COUNT {
         let address = addresses[rng.below(addresses.len() as u64) as usize];
         let bytes: Vec<u8> = (0..rng.below(400)).map(|_| rng.below(256) as u8).collect();
         send_and_disconnect(address, &bytes).await;
--- a/testing/loadgen/src/attempt.rs
+++ b/testing/loadgen/src/attempt.rs
@@ -43,10 +43,10 @@
             .uri(&self.route.path)
             .header(HOST, ingress.to_string())
             .header(CONTENT_TYPE, "application/json")
-            .header(seal::IDEMPOTENCY_KEY, self.idempotency_key)
-            .header(seal::TIMEOUT, self.timeout.as_millis().to_string());
+            .header(seal::IDEMPOTENCY_KEY_HEADER, self.idempotency_key)
+            .header(seal::TIMEOUT_HEADER, self.timeout.as_millis().to_string());
         if let Some(first_key) = self.repeat_of {
-            request = request.header(seal::REPEAT_OF, first_key);
+            request = request.header(seal::REPEAT_OF_HEADER, first_key);
         }
         request.body(Full::new(self.body.clone())).ok()
     }
@@ -82,17 +82,17 @@
     response: &CallResponse,
 ) -> Value {
     let body = response.json();
-    let outcome = header_text(&response.headers, seal::OUTCOME);
+    let outcome = header_text(&response.headers, seal::OUTCOME_HEADER);
     let mut record = json!({"outcome": outcome, "status": response.status.as_u16()});
     if outcome == "answer" {
-        let function_text = header_text(&response.headers, seal::FUNCTION);
-        let runner_text = header_text(&response.headers, seal::RUNNER);
+        let function_text = header_text(&response.headers, seal::FUNCTION_HEADER);
+        let runner_text = header_text(&response.headers, seal::RUNNER_HEADER);
         let is_sealed = match (function_text.parse::<FunctionKey>(), runner_text.parse()) {
             (Ok(key), Ok(runner)) => {
                 let idempotency_key = IdempotencyKey::from(idempotency_key);
                 let expected_seal =
                     seal::seal(&idempotency_key, &key, runner, false, &response.body);
-                expected_seal == header_text(&response.headers, seal::SEAL)
+                expected_seal == header_text(&response.headers, seal::SEAL_HEADER)
                     && key.name.as_str().starts_with(&route.function)
             }
             _ => false,
