--- a/crates/dataplane/src/drivers/connector.rs
+++ b/crates/dataplane/src/drivers/connector.rs
@@ -1,5 +1,5 @@
-//! The opening of byte streams to runners and to other daemons. The drivers depend only on the traits here, so that
-//! they run over any transport, and tests can inject a failure at each byte of an exchange.
+//! Opens byte streams to runners and to other daemons. The drivers depend only on the traits in this module, so that
+//! they work over any transport, and tests can inject a failure at each byte of an exchange.
 
 use common::frames::{SocketAddress, connect_from};
 use common::sockets;
@@ -10,21 +10,22 @@
 use tokio::io::{AsyncRead, AsyncWrite};
 use tokio::net::TcpStream;
 
-/// A connected stream of bytes.
+/// A connected, bidirectional byte stream.
 pub trait ByteStream: AsyncRead + AsyncWrite + Send + Unpin {}
 
 impl<S: AsyncRead + AsyncWrite + Send + Unpin> ByteStream for S {}
 
-/// A stream that is being opened.
-pub type Opening<'a> = Pin<Box<dyn Future<Output = io::Result<Box<dyn ByteStream>>> + Send + 'a>>;
+/// Resolves to a connected stream.
+pub type ConnectFuture<'a> =
+    Pin<Box<dyn Future<Output = io::Result<Box<dyn ByteStream>>> + Send + 'a>>;
 
-/// Opens byte streams; it writes nothing to them.
+/// Opens byte streams without writing anything to them.
 pub trait Connector: Send + Sync {
     /// Opens a connection to a runner.
-    fn to_runner(&self, address: SocketAddress) -> Opening<'_>;
+    fn connect_to_runner(&self, address: SocketAddress) -> ConnectFuture<'_>;
 
     /// Opens a connection to another daemon.
-    fn to_daemon(&self, address: SocketAddress) -> Opening<'_>;
+    fn connect_to_daemon(&self, address: SocketAddress) -> ConnectFuture<'_>;
 }
 
 /// Opens TCP connections.
@@ -33,14 +34,14 @@
 }
 
 impl TcpConnector {
-    /// Connections to other daemons are bound to this address, by which these identify the member.
+    /// Creates a connector that binds connections to other daemons to `own_ip`, by which they identify the member.
     pub fn new(own_ip: Ipv4Addr) -> Self {
         Self { own_ip }
     }
 }
 
 impl Connector for TcpConnector {
-    fn to_runner(&self, address: SocketAddress) -> Opening<'_> {
+    fn connect_to_runner(&self, address: SocketAddress) -> ConnectFuture<'_> {
         Box::pin(async move {
             let stream = TcpStream::connect(address.to_std()).await?;
             sockets::set_socket_options(&stream);
@@ -48,7 +49,7 @@
         })
     }
 
-    fn to_daemon(&self, address: SocketAddress) -> Opening<'_> {
+    fn connect_to_daemon(&self, address: SocketAddress) -> ConnectFuture<'_> {
         Box::pin(async move {
             let stream = connect_from(self.own_ip, address).await?;
             Ok(Box::new(stream) as Box<dyn ByteStream>)
--- a/crates/dataplane/tests/agent/runner_responses.rs
+++ b/crates/dataplane/tests/agent/runner_responses.rs
@@ -232,7 +232,7 @@
         SendResult::RejectedByRunner => "rejected",
         SendResult::WrongRunner => "wrong runner",
         SendResult::Lost => "lost",
-        SendResult::Forbidden(_) | SendResult::Unsent | SendResult::BrokenOff => "unexpected",
+        SendResult::Forbidden(_) | SendResult::Unsent | SendResult::Aborted => "unexpected",
     }
 }
 
--- a/programs/controller/tests/command_line.rs
+++ b/programs/controller/tests/command_line.rs
@@ -1,4 +1,4 @@
-//! The command line of `rudder-controller`: its help, its errors, and the exit code of each.
+//! The command line of `rudder-controller`: its help, its errors and its exit codes.
 
 #[path = "../../../testing/support/commands.rs"]
 mod commands;
@@ -15,25 +15,25 @@
 };
 
 #[test]
-fn version_and_help_are_there() {
+fn version_and_help_are_printed() {
     CONTROLLER.check_version_and_help();
 }
 
 #[test]
-fn bad_settings_are_named_by_file_key_and_reason() {
+fn errors_of_bad_settings_name_file_key_and_reason() {
     CONTROLLER.check_bad_settings();
 }
 
 #[test]
-fn an_unwritable_data_folder_is_named() {
-    let file = CONTROLLER.file("notafolder", "x");
+fn the_error_for_an_unwritable_data_directory_names_it() {
+    let file = CONTROLLER.write_file("notafolder", "x");
     let text = format!(
         r#"{{"place": "127.0.0.1:0", "operators": "127.0.0.1:0", "locality": "north",
             "seeds": ["127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3"], "platform": "127.0.0.1:4",
             "data": "{}/inside"}}"#,
         file.display()
     );
-    let error_text = CONTROLLER.refused("folder", &text, &[]);
+    let error_text = CONTROLLER.check_refused("folder", &text, &[]);
     assert!(
         error_text.contains("data cannot be written"),
         "{error_text}"
@@ -42,18 +42,18 @@
 }
 
 #[test]
-fn a_hang_up_while_it_starts_ends_no_process() {
-    CONTROLLER.check_early_hang_up();
+fn a_sighup_during_start_up_does_not_end_the_process() {
+    CONTROLLER.check_hang_up_while_reading_settings();
 }
 
-/// Guards against a program that ends when its settings are reloaded right after its start.
+/// Guards against a process that is ended by a reload signal right after it is created.
 #[test]
-fn a_hang_up_at_its_first_code_ends_no_process() {
-    CONTROLLER.check_hang_up_at_first_code();
+fn a_sighup_at_the_first_instruction_does_not_end_the_process() {
+    CONTROLLER.check_hang_up_at_program_start();
 }
 
 #[test]
-fn help_and_refusals_of_arguments_are_as_they_were() {
+fn help_and_argument_errors_match_the_fixture() {
     let command_lines = [
         &["--help"][..],
         &["-h"],
@@ -81,12 +81,12 @@
 }
 
 #[test]
-fn what_it_cannot_start_with_has_its_exit_code() {
+fn start_up_errors_and_exit_codes_match_the_fixture() {
     let listening = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
     let taken = listening.local_addr().expect("an address").to_string();
-    let least = r#"{"place": "127.0.0.1:0", "operators": "127.0.0.1:0", "locality": "north",
+    let minimal_settings = r#"{"place": "127.0.0.1:0", "operators": "127.0.0.1:0", "locality": "north",
             "seeds": ["127.0.0.1:1"], "platform": "127.0.0.1:4"}"#;
-    let file = CONTROLLER.file("start", least);
+    let file = CONTROLLER.write_file("start", minimal_settings);
     let file_name = file.to_str().expect("a path");
     let mut text = String::new();
     for arguments in [
--- a/testing/fleet/src/sim/dispatch.rs
+++ b/testing/fleet/src/sim/dispatch.rs
@@ -125,25 +125,25 @@
             HolderEvent::Started(requester, function, runner, end) => {
                 let index = requester.node.daemon_index();
                 self.update_holder(index, &function, runner.fencing_token, |holder, now| {
-                    holder.started(now, runner, end)
+                    holder.handle_start_outcome(now, runner, end)
                 });
             }
             HolderEvent::Stopped(requester, function, runner) => {
                 let index = requester.node.daemon_index();
                 self.update_holder(index, &function, runner.fencing_token, |holder, now| {
-                    holder.stopped(now, runner)
+                    holder.handle_runner_stopped(now, runner)
                 });
             }
             HolderEvent::Probed(requester, function, runner, is_ready) => {
                 let index = requester.node.daemon_index();
                 self.update_holder(index, &function, runner.fencing_token, |holder, now| {
-                    holder.probed(now, runner, is_ready)
+                    holder.handle_probe_result(now, runner, is_ready)
                 });
             }
             HolderEvent::RunningListed(requester, function, runner, running) => {
                 let index = requester.node.daemon_index();
                 self.update_holder(index, &function, runner.fencing_token, |holder, now| {
-                    holder.running_listed(now, runner, running)
+                    holder.handle_running_list(now, runner, running)
                 });
             }
             HolderEvent::SendEnded(requester, function, ticket, fencing_token, end) => {
