--- a/crates/common/src/http/mod.rs
+++ b/crates/common/src/http/mod.rs
@@ -1,4 +1,4 @@
-//! What every program needs around hyper: serving, calling, and reading heads and JSON.
+//! HTTP on top of hyper: servers, calls, headers of responses, and streams of lines.
 
 mod call;
 mod head;
@@ -7,10 +7,10 @@
 mod serve;
 
 pub use call::{CallError, CallResponse, call, call_json, connect, exchange};
-pub use head::{has_reliable_end, header_text, is_merged_response, set_header, single_text};
+pub use head::{has_reliable_end, header_text, is_merged_response, set_header, single_header_text};
 pub use keep_alive::{closes_connection, keep_alive_timeout};
 pub use line_stream::{LineStreamEnd, follow_lines};
 pub use serve::{
     Body, BodyError, ConnectionLimits, HttpResponse, full_body, json_response, read_body, serve,
-    serve_callers, serve_connection, stream_body, text_response,
+    serve_connection, serve_with_limits, stream_body, text_response,
 };
--- a/crates/controlplane/tests/settings_forms.rs
+++ b/crates/controlplane/tests/settings_forms.rs
@@ -54,7 +54,7 @@
 }
 
 fn shown(settings: &Value) -> Value {
-    controller_settings::shown(&read(settings).expect("valid settings"))
+    controller_settings::to_json(&read(settings).expect("valid settings"))
 }
 
 fn check(name: &str, seen: &str) {
@@ -97,7 +97,7 @@
 fn every_wrong_value_has_its_recorded_error_text() {
     let read = |settings: &Value| read(settings).map(drop).map_err(|cause| cause.to_string());
     let several = json!({"place": 7, "threads": 0});
-    let text = native_settings::answers(&full_settings(), several, read);
+    let text = native_settings::probe_results(&full_settings(), several, read);
     check("settings_answers.txt", &text);
 }
 
@@ -153,7 +153,7 @@
     check_json(
         "settings_flags.json",
         &json!({
-            "laid over": controller_settings::shown(&overridden),
+            "laid over": controller_settings::to_json(&overridden),
             "nothing given": without_settings.to_string(),
             "a wrong list": wrong.to_string(),
         }),
--- a/crates/dataplane/src/drivers/mod.rs
+++ b/crates/dataplane/src/drivers/mod.rs
@@ -1,12 +1,15 @@
-//! The drivers of the data plane: the I/O that carries out the outputs of state machines without any, towards the
-//! leader, other daemons, runners and the platform.
+//! The drivers of the data plane: they execute the outputs of the I/O-free state machines, by talking to the leader,
+//! other daemons, runners and the platform.
 //!
-//! [`State`] is shared by all tasks and depends on none of them. Dependencies go one way, from the [`server`] over the
-//! [`request_pipeline`] to this module, which uses neither of the two.
+//! [`State`] is shared by all tasks and depends on none of them. [`server`] depends on [`request_pipeline`], and both
+//! depend on this module, which depends on neither.
 //!
-//! Of a daemon's tasks, that of the ingress is joined at shutdown; the driver task of a runner connection is cancelled
-//! with the connection, and a request from another daemon with that daemon's connection; all others are detached, and
-//! end with the process, with their connection, or after one bounded step.
+//! The lifetime of a daemon's tasks:
+//!
+//! * The ingress task is joined at shutdown.
+//! * The driver task of a runner connection is cancelled when the connection is dropped.
+//! * The task of a request from another daemon is cancelled when that daemon's connection ends.
+//! * All other tasks are detached. They end with the process, with their connection, or after one bounded step.
 //!
 //! [`server`]: crate::server
 //! [`request_pipeline`]: crate::request_pipeline
@@ -15,10 +18,10 @@
 mod control;
 mod control_input;
 mod frame_batch;
-mod gauges;
 pub mod holder_driver;
 mod hop_client;
 mod metered_stream;
+mod metrics;
 mod outcome_waiter;
 mod platform;
 mod request_log;
@@ -27,15 +30,16 @@
 mod state;
 
 pub use crate::adapter::DaemonAdapters;
-pub use connector::{ByteStream, Connector, Opening, TcpConnector};
-pub(crate) use control::Control;
+pub use connector::{ByteStream, ConnectFuture, Connector, TcpConnector};
+pub(crate) use control::ControlTask;
 pub(crate) use control_input::ControlInput;
 pub(crate) use frame_batch::WRITE_BATCH_BYTES;
-pub use gauges::{
-    CallerGauges, Gauges, HeldGauges, OwnerGauges, ReplicationGauges, RunnerGauges, SessionGauges,
-};
 pub use hop_client::{HopCallResult, HopClient, PendingHopCall};
 pub use metered_stream::WritePermit;
+pub use metrics::{
+    CallerMetrics, DaemonMetrics, HeldFunctionMetrics, OwnerMetrics, ReplicationMetrics,
+    RunnerMetrics, SessionMetrics,
+};
 pub use outcome_waiter::OutcomeWaiter;
 pub use request_log::RequestLog;
 pub use state::{LocalHeldFunction, State};
--- a/testing/fleet/src/sim/faults.rs
+++ b/testing/fleet/src/sim/faults.rs
@@ -346,7 +346,10 @@
     fn damage_random_disk(&mut self, duration: Duration) {
         if self.nodes.may_lose_disk() {
             let index = self.kill_random_controller(duration);
-            self.nodes.controller_mut(index).disk.damage();
+            self.nodes
+                .controller_mut(index)
+                .disk
+                .corrupt_newest_version();
         }
     }
 
@@ -507,9 +510,9 @@
         let until = self.queue.now() + duration;
         let resumes_at = self.frozen.freeze(node, until);
         if !node.is_controller()
-            && let Some(body) = &mut self.nodes.daemon_mut(node.daemon_index()).body
+            && let Some(process) = &mut self.nodes.daemon_mut(node.daemon_index()).process
         {
-            body.is_disturbed = true;
+            process.is_disturbed = true;
         }
         self.queue.push(
             resumes_at.since(self.queue.now()),
@@ -582,7 +585,7 @@
             if !self.nodes.controller(node.0).is_running() {
                 self.start_controller(node.0);
             }
-        } else if self.nodes.daemon(node.daemon_index()).body.is_none() {
+        } else if self.nodes.daemon(node.daemon_index()).process.is_none() {
             self.start_daemon(node.daemon_index());
         }
     }
@@ -600,7 +603,7 @@
             }
         }
         for controller in self.nodes.controllers_mut() {
-            controller.disk.mend();
+            controller.disk.clear_faults();
         }
         for number in 0..3 {
             self.queue.push(
--- a/testing/fleet/src/sim/platform_requests.rs
+++ b/testing/fleet/src/sim/platform_requests.rs
@@ -93,7 +93,7 @@
         }
         let delay = self.network.delay(&mut self.rng);
         if flaw != Flaw::StopRequestsLost {
-            let stopped = ControllerEvent::LeaderStopped(requester, order.runner);
+            let stopped = ControllerEvent::RunnerStopped(requester, order.runner);
             self.queue.push(delay, stopped);
         }
     }
@@ -102,8 +102,8 @@
     pub(super) fn handle_list_tick(&mut self) {
         self.platform.snapshot_lists(self.queue.now());
         self.check_instance_owners();
-        if self.platform.are_lists_delayed() || !self.is_control_side_healthy() {
-            self.checks.note_control_outage(self.queue.now());
+        if self.platform.are_lists_delayed() || !self.is_control_plane_healthy() {
+            self.checks.record_control_outage(self.queue.now());
         }
         self.queue.push(LIST_INTERVAL, PlatformEvent::ListTick);
     }
--- a/testing/fleet/src/sim/runners.rs
+++ b/testing/fleet/src/sim/runners.rs
@@ -137,7 +137,7 @@
             let what = format!("daemon {index} sends {idempotency_key} outside its session lease");
             self.checks.report_violation(self.queue.now(), what);
         }
-        let before = self.checks.check_send(instance, index, fencing_token);
+        let before = self.checks.record_send(instance, index, fencing_token);
         if let Some((other, other_lease)) = before
             && self.is_live_holder(other, function, other_lease)
         {
@@ -270,7 +270,7 @@
         );
         if fault == RunnerFault::Rejected {
             let idempotency_key = &run.call.idempotency_key;
-            self.checks.did_not_run(idempotency_key);
+            self.checks.record_not_run(idempotency_key);
             self.reject_by_runner(&run, runner, idempotency_key);
             if let Some(sim_runner) = self.platform.runner_mut(runner) {
                 sim_runner.running.remove(idempotency_key);
--- a/testing/fleet/src/soak/mod.rs
+++ b/testing/fleet/src/soak/mod.rs
@@ -1,9 +1,9 @@
-//! Soak tests: a fleet of real processes under overlapping faults. The result is judged by the records of callers,
-//! runners and the platform, and by the invariants that the processes check themselves.
+//! Soak tests: a fleet of real processes under overlapping faults. The result is judged from the records of callers,
+//! runners and the platform, and from the invariants that the processes check themselves.
 
+mod change_at_stop;
 mod clients;
 mod fault;
-mod order_at_stop;
 mod schedule;
 
 pub use fault::SoakFault;
@@ -24,50 +24,50 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep_until};
 
-/// How long load is generated before the first fault.
+/// Time for which load is generated before the first fault.
 const WARM_UP: Duration = Duration::from_secs(3);
-/// How long load is generated after the last fault; service must have recovered by then.
+/// Time for which load is generated after the last fault; service must have recovered by then.
 const COOL_DOWN: Duration = Duration::from_secs(18);
 
-/// The checks that are valid under overlapping faults. Others are left to days with one fault at a time: during a
-/// graceful stop the lease holder may be killed, for instance, and a drain may not become known because of another fault.
+/// The checks that are valid under overlapping faults. The others need days with one fault at a time: for instance, a
+/// lease holder may be killed during a graceful stop, and another fault may keep a drain from becoming known.
 const JUDGED_CHECKS: [&str; 12] = [
-    checks::ONCE_RUNS_TWICE,
-    checks::REFUSED_RUNS,
+    checks::AT_MOST_ONCE_VIOLATED,
+    checks::REFUSED_REQUEST_RAN,
     checks::UNSEALED_ANSWER,
     checks::UNCONFIGURED_FUNCTION,
     checks::SPEC_NOT_IN_FORCE,
     checks::CONFLICTING_CHANGES,
     checks::REFUSED_CHANGE_IN_FORCE,
-    checks::EXTRA_TRIES,
+    checks::EXCESS_RETRIES,
     checks::RUNNER_OVERLOADED,
-    checks::TWO_HOLDERS,
-    checks::SERVICE_DOWN,
+    checks::CONCURRENT_HOLDERS,
+    checks::SERVICE_NOT_RECOVERED,
     checks::UNANSWERED_AT_STOP,
 ];
 
-/// The checks that are valid where planned work is all that happens: the end of a caller's connection reaches a machine that
-/// is neither frozen nor cut off.
-const JUDGED_IN_PLANNED_WORK: [&str; 1] = [checks::RUNS_FOR_NOBODY];
+/// The checks that are valid only if all faults are planned work, because a frozen or partitioned machine does not
+/// learn that a caller closed its connection.
+const JUDGED_IN_PLANNED_WORK: [&str; 1] = [checks::RUNS_AFTER_DISCONNECT];
 
-/// The function and the route of callers that wait longer than a stopping daemon may take: one slot, one runner, and
-/// long work, so that its queue is long.
+/// The function and the route of callers whose timeout is longer than the grace period of a stopping daemon. It has one
+/// runner with one slot, and its requests take long, so that many of them queue.
 const PATIENT_ROUTE: &str = "patient";
-/// The time limit of their requests in milliseconds.
+/// The timeout of their requests, in milliseconds.
 const PATIENT_TIMEOUT_MS: u64 = 11_000;
-/// How long a runner works on each of them, in milliseconds.
+/// The time that a runner takes for each of them, in milliseconds.
 const PATIENT_WORK_MS: u64 = 350;
-/// The number of kept connections for each daemon.
+/// The number of keep-alive connections for each daemon.
 const CONNECTIONS_PER_DAEMON: usize = 8;
-/// The number of kept connections with patient callers.
+/// The number of keep-alive connections with patient callers.
 const PATIENT_CONNECTIONS: usize = 24;
-/// Of how many requests of a kept connection its caller leaves one before the response, in the mean.
-const LEAVES_ONE_OF: u64 = 12;
-/// The longest time until a caller leaves, in milliseconds.
-const LONGEST_STAY_MS: u64 = 1500;
-/// The longest pause between two requests of a kept connection, in milliseconds.
+/// On a keep-alive connection, one request in this many is abandoned before its response, on average.
+const REQUESTS_PER_DISCONNECT: u64 = 12;
+/// The longest time after which a caller abandons such a request, in milliseconds.
+const LONGEST_WAIT_BEFORE_DISCONNECT_MS: u64 = 1500;
+/// The longest pause between two requests of a keep-alive connection, in milliseconds.
 const LONGEST_PAUSE_MS: u64 = 200;
-/// How often a stop that is under way is looked at.
+/// The interval at which a graceful stop in progress is polled.
 const RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
 /// The settings of one soak.
@@ -75,25 +75,25 @@
 pub struct Soak {
     /// The seed of faults, callers and runner faults.
     pub seed: u64,
-    /// How long faults are injected.
-    pub lasts: Duration,
-    /// The number of sequences of faults that run concurrently.
+    /// The time during which faults are injected.
+    pub duration: Duration,
+    /// The number of concurrent fault sequences.
     pub lanes: usize,
     /// The folder of settings, logs and records.
     pub folder: PathBuf,
     /// The folder of the executables.
     pub programs: PathBuf,
-    /// The rule that the daemons run without, if any.
-    pub without: Option<Rule>,
+    /// The safety rule that is disabled in the daemons, if any.
+    pub disabled_rule: Option<Rule>,
     /// The number of daemons.
     pub daemons: usize,
 }
 
 /// The result of a soak.
 pub struct SoakResult {
-    /// The faults, by when they began.
+    /// The faults, sorted by start time.
     pub planned_faults: Vec<PlannedFault>,
-    /// Whether planned work was all that happened: stops, restarts, signals and changes.
+    /// Whether all faults were planned work: stops, restarts, signals and changes.
     pub is_planned_work: bool,
     /// The verdict of the judge.
     pub verdict: Verdict,
@@ -107,7 +107,7 @@
             || (self.is_planned_work && JUDGED_IN_PLANNED_WORK.contains(&check_name))
     }
 
-    /// All violations, those of checks that are not valid under overlapping faults left out.
+    /// Returns all violations except those of checks that are not valid under overlapping faults.
     pub fn findings(&self) -> Vec<String> {
         let judged = self
             .verdict
@@ -130,7 +130,7 @@
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         writeln!(
             out,
-            "{} troubles, up to {} at once",
+            "{} faults, up to {} at once",
             self.planned_faults.len(),
             max_concurrent(&self.planned_faults)
         )?;
@@ -149,7 +149,7 @@
 pub async fn run_soak(soak: &Soak) -> Result<SoakResult, FleetError> {
     let deployment = Deployment::Small;
     let sizes = Sizes {
-        without: soak.without,
+        disabled_rule: soak.disabled_rule,
         daemons: soak.daemons,
         has_faulty_disks: true,
         ..deployment.sizes()
@@ -158,25 +158,25 @@
     let ingresses = layout.ingresses();
     let mut fleet = Fleet::start(layout).await?;
     fleet.bootstrap().await?;
-    let change_id = fleet.change_id();
+    let change_id = fleet.next_change_id();
     fleet
         .put_spec(1, &change_id, &soak_spec(deployment), "in_force")
         .await?;
     fleet.await_ready(ingresses.len()).await?;
     let load_task = tokio::spawn(run_plan(load_plan(soak, deployment, &fleet)?));
-    let planned_faults = draw_schedule(soak.seed, soak.lanes, soak.lasts);
-    let unanswered_orders = inject_all(&mut fleet, soak, deployment, &planned_faults).await?;
+    let planned_faults = draw_schedule(soak.seed, soak.lanes, soak.duration);
+    let unanswered_changes = run_schedule(&mut fleet, soak, deployment, &planned_faults).await?;
     let _ = load_task.await;
     let exited = fleet.exited_processes();
-    fleet.end().await;
+    fleet.shut_down().await;
     let verdict = judge(&Evidence::read(&soak.folder)?);
-    let mut violations = violations_in(&soak.folder)?;
-    violations.extend(unreadable_changes_in(&soak.folder)?);
-    violations.extend(unanswered_orders);
+    let mut violations = logged_violations(&soak.folder)?;
+    violations.extend(accepted_unreadable_changes(&soak.folder)?);
+    violations.extend(unanswered_changes);
     violations.extend(
         exited
             .into_iter()
-            .map(|name| format!("{name} ended by itself")),
+            .map(|name| format!("{name} ended unexpectedly")),
     );
     Ok(SoakResult {
         planned_faults,
@@ -186,7 +186,7 @@
     })
 }
 
-/// The spec of a soak: the deployment's, and a function with a long queue.
+/// Returns the spec of a soak: the deployment's, and a function with a long queue.
 fn soak_spec(deployment: Deployment) -> Value {
     let mut spec = deployment.spec("canary-a");
     spec["functions"][PATIENT_ROUTE] = json!({
@@ -203,7 +203,8 @@
     spec
 }
 
-/// The route of the patient callers, in the form of a load generator's plan; no other caller uses it.
+/// Returns the route of the patient callers in the format of a load plan. Its weight is zero, so that no other caller
+/// uses it.
 fn patient_route() -> Value {
     json!({
         "method": "POST",
@@ -228,7 +229,7 @@
     routes.push(patient_route());
     let plan = json!({
         "seed": soak.seed,
-        "lasts_ms": (WARM_UP + soak.lasts + COOL_DOWN).as_millis() as u64,
+        "lasts_ms": (WARM_UP + soak.duration + COOL_DOWN).as_millis() as u64,
         "rate": deployment.rate(),
         "doors": ingresses,
         "platform": fleet.layout.platform.to_string(),
@@ -237,27 +238,27 @@
             "longest_pause_ms": LONGEST_PAUSE_MS,
             "patient_route": routes.len() - 1,
             "patient_count": PATIENT_CONNECTIONS,
-            "leaves_one_of": LEAVES_ONE_OF,
-            "longest_stay_ms": LONGEST_STAY_MS,
+            "leaves_one_of": REQUESTS_PER_DISCONNECT,
+            "longest_stay_ms": LONGEST_WAIT_BEFORE_DISCONNECT_MS,
         },
         "routes": routes,
         "impatience": {"share": share, "most": max_retries},
         "records": soak.folder.join("callers.jsonl").display().to_string(),
     });
     let source = SettingsSource::from_value("plan", plan);
-    Plan::read(&source).map_err(|_| FleetError::NotInTime("a plan that reads"))
+    Plan::read(&source).map_err(|_| FleetError::ConditionNotMet("the load plan is valid"))
 }
 
-/// A fault that was injected and has to be undone.
+/// A fault that was injected and is still to be undone.
 struct ActiveFault {
-    /// When, from the beginning of the soak.
+    /// When to undo it, relative to the beginning of the soak.
     until: Duration,
     undo: FaultUndo,
 }
 
-/// Injects and undoes the planned faults at their times. One that cannot be injected is noted in the journal. Returns the
-/// violations of stopping controllers that left an operator's change without a response.
-async fn inject_all(
+/// Injects and undoes the planned faults at their times. A fault that cannot be injected is recorded in the journal.
+/// Returns a violation for each operator's change that a stopping controller left without a response.
+async fn run_schedule(
     fleet: &mut Fleet,
     soak: &Soak,
     deployment: Deployment,
@@ -269,37 +270,37 @@
     let mut upcoming = planned_faults.iter().peekable();
     let mut active_faults: Vec<ActiveFault> = Vec::new();
     loop {
-        // The first to be undone is last.
+        // Sorted in descending order, so that pop() returns the next fault to undo.
         active_faults.sort_by_key(|active| std::cmp::Reverse(active.until));
         let next_end = active_faults.last().map(|active| active.until);
         let next = upcoming.next_if(|next| next_end.is_none_or(|until| next.from <= until));
         if let Some(next) = next {
             sleep_until(started_at + next.from).await;
-            active_faults.extend(begin_fault(&mut injector, next).await);
+            active_faults.extend(inject_fault(&mut injector, next).await);
         } else if let Some(active) = active_faults.pop() {
             sleep_until(started_at + active.until).await;
             let until = (Instant::now() + RETRY_INTERVAL).duration_since(started_at);
-            let remaining = injector.end(active.undo).await?;
+            let remaining = injector.undo(active.undo).await?;
             active_faults.extend(remaining.map(|undo| ActiveFault { until, undo }));
         } else {
             break;
         }
     }
-    // The judge measures recovery from the last fault on.
+    // The judge measures recovery from the time of these entries.
     for kind in ["fault", "returned"] {
         injector
             .fleet
             .record_event(kind, json!({"fault": "soak", "heavy": true}));
     }
-    Ok(injector.unanswered_orders().await)
+    Ok(injector.unanswered_changes().await)
 }
 
-/// Injects a fault; none is active if it could not be injected.
-async fn begin_fault(
+/// Injects a fault. Returns `None` if it could not be injected.
+async fn inject_fault(
     injector: &mut SoakInjector<'_>,
     planned: &PlannedFault,
 ) -> Option<ActiveFault> {
-    match injector.begin(planned.fault).await {
+    match injector.inject(planned.fault).await {
         Ok(undo) => Some(ActiveFault {
             until: planned.until,
             undo,
@@ -313,17 +314,17 @@
     }
 }
 
-/// The changes that were accepted although they cannot be read.
-fn unreadable_changes_in(folder: &Path) -> Result<Vec<String>, FleetError> {
+/// Returns the changes that were accepted although they are malformed.
+fn accepted_unreadable_changes(folder: &Path) -> Result<Vec<String>, FleetError> {
     let evidence = Evidence::read(folder)?;
     let accepted = evidence.entries_of(clients::UNREADABLE_CHANGE_ACCEPTED);
     Ok(accepted
-        .map(|entry| format!("an unreadable change was accepted: {}", entry.detail))
+        .map(|entry| format!("a malformed change was accepted: {}", entry.detail))
         .collect())
 }
 
-/// The invariant violations and panics in the logs of processes.
-fn violations_in(folder: &Path) -> Result<Vec<String>, FleetError> {
+/// Returns the invariant violations and panics in the processes' logs.
+fn logged_violations(folder: &Path) -> Result<Vec<String>, FleetError> {
     let at = |error| FleetError::Machine(folder.to_owned(), error);
     let violation_mark = format!("[E{}]", events::INVARIANT_VIOLATED.number);
     let mut violations = Vec::new();
