--- a/testing/fleet/src/sim/checks/mod.rs
+++ b/testing/fleet/src/sim/checks/mod.rs
@@ -482,7 +482,7 @@
     }
 
     /// Checks that a daemon that was stopped gracefully exits without requests in flight.
-    pub fn check_orderly_stop(
+    pub fn check_graceful_shutdown(
         &mut self,
         at: MonotonicTime,
         daemon: usize,
--- a/testing/fleet/src/sim/daemon/shutdown.rs
+++ b/testing/fleet/src/sim/daemon/shutdown.rs
@@ -221,7 +221,7 @@
             .collect();
         if !process.is_disturbed {
             self.checks
-                .check_orderly_stop(self.queue.now(), index, &in_flight);
+                .check_graceful_shutdown(self.queue.now(), index, &in_flight);
         }
         self.with_controller(index, |controller, agent, _| {
             controller.finish_leaving(agent)
