--- a/testing/fleet/src/sim/dispatch.rs
+++ b/testing/fleet/src/sim/dispatch.rs
@@ -167,7 +167,7 @@
                 self.stop_runner_for_leader(requester, &order);
             }
             PlatformEvent::Run(address, run) => self.begin_run(address, run),
-            PlatformEvent::RunDone(runner, run, fault_code) => {
+            PlatformEvent::RunFinished(runner, run, fault_code) => {
                 self.finish_run(runner, run, fault_code)
             }
             PlatformEvent::ListTick => self.handle_list_tick(),
--- a/testing/fleet/src/sim/event/environment.rs
+++ b/testing/fleet/src/sim/event/environment.rs
@@ -20,7 +20,7 @@
     /// A request arrives at the address of a runner.
     Run(SocketAddress, SimRun),
     /// A run ends; the last field is the code of the fault that its answer is subject to.
-    RunDone(RunnerId, SimRun, u8),
+    RunFinished(RunnerId, SimRun, u8),
     /// The platform takes a snapshot of its lists.
     ListTick,
     /// Drained workers are restored.
@@ -39,7 +39,7 @@
             Self::Stop(..) => 21,
             Self::StopForLeader(..) => 23,
             Self::Run(..) => 27,
-            Self::RunDone(..) => 28,
+            Self::RunFinished(..) => 28,
             Self::ListTick => 38,
             Self::RestoreWorkers => 49,
             Self::StopLeavingRunner(..) => 50,
--- a/testing/fleet/src/sim/runners.rs
+++ b/testing/fleet/src/sim/runners.rs
@@ -279,7 +279,7 @@
         }
         let fault_code = fault as u8;
         self.queue
-            .push(work, PlatformEvent::RunDone(runner, run, fault_code));
+            .push(work, PlatformEvent::RunFinished(runner, run, fault_code));
     }
 
     fn reject_by_runner(
