--- a/testing/fleet/src/sim/dispatch.rs
+++ b/testing/fleet/src/sim/dispatch.rs
@@ -171,10 +171,10 @@
                 self.finish_run(runner, run, fault_code)
             }
             PlatformEvent::ListTick => self.handle_list_tick(),
-            PlatformEvent::RestoreWorkers => self.platform.end_worker_drains(),
+            PlatformEvent::EndWorkerDrains => self.platform.end_worker_drains(),
             PlatformEvent::StopLeavingRunner(runner) => self.platform.stop(runner),
-            PlatformEvent::WorkersReturn(workers) => {
-                self.platform.add_workers(workers);
+            PlatformEvent::RestoreWorkers(workers) => {
+                self.platform.restore_workers(workers);
             }
         }
     }
--- a/testing/fleet/src/sim/event/environment.rs
+++ b/testing/fleet/src/sim/event/environment.rs
@@ -23,12 +23,12 @@
     RunFinished(RunnerId, SimRun, u8),
     /// The platform takes a snapshot of its lists.
     ListTick,
-    /// Drained workers are restored.
-    RestoreWorkers,
+    /// The draining of all workers ends.
+    EndWorkerDrains,
     /// A runner that announced that it is leaving stops.
     StopLeavingRunner(RunnerId),
-    /// Lost workers return.
-    WorkersReturn(Vec<ListedWorker>),
+    /// The workers of a lost zone are restored.
+    RestoreWorkers(Vec<ListedWorker>),
 }
 
 impl PlatformEvent {
@@ -41,9 +41,9 @@
             Self::Run(..) => 27,
             Self::RunFinished(..) => 28,
             Self::ListTick => 38,
-            Self::RestoreWorkers => 49,
+            Self::EndWorkerDrains => 49,
             Self::StopLeavingRunner(..) => 50,
-            Self::WorkersReturn(..) => 51,
+            Self::RestoreWorkers(..) => 51,
         }
     }
 }
--- a/testing/fleet/src/sim/faults.rs
+++ b/testing/fleet/src/sim/faults.rs
@@ -458,7 +458,7 @@
         self.platform.drain(self.queue.now(), worker_index);
         self.queue.push(
             Duration::from_secs(5) + duration,
-            PlatformEvent::RestoreWorkers,
+            PlatformEvent::EndWorkerDrains,
         );
     }
 
@@ -529,7 +529,7 @@
         }
         let lost_workers = self.platform.remove_zone(&zone);
         self.queue
-            .push(duration, PlatformEvent::WorkersReturn(lost_workers));
+            .push(duration, PlatformEvent::RestoreWorkers(lost_workers));
     }
 
     fn partition(&mut self, left: &[Node], right: &[Node]) {
--- a/testing/fleet/src/sim/platform.rs
+++ b/testing/fleet/src/sim/platform.rs
@@ -285,8 +285,8 @@
         removed_workers
     }
 
-    /// Adds removed workers again, without runners.
-    pub(crate) fn add_workers(&mut self, workers: Vec<ListedWorker>) {
+    /// Restores removed workers, without their runners.
+    pub(crate) fn restore_workers(&mut self, workers: Vec<ListedWorker>) {
         self.workers.extend(workers);
         self.workers
             .sort_by(|left, right| left.worker.cmp(&right.worker));
