--- a/testing/fleet/src/sim/dispatch.rs
+++ b/testing/fleet/src/sim/dispatch.rs
@@ -183,9 +183,9 @@
         match event {
             OperatorEvent::ClientTimedOut(ticket) => self.time_out_command(ticket),
             OperatorEvent::Resend(command) => self.send_command(command),
-            OperatorEvent::ReadBack => {
-                self.read_back();
-                self.schedule_reading();
+            OperatorEvent::Read => {
+                self.send_read();
+                self.schedule_read();
             }
             OperatorEvent::OperatorReply(ticket, reply) => {
                 self.handle_operation_reply(ticket, reply)
--- a/testing/fleet/src/sim/event/environment.rs
+++ b/testing/fleet/src/sim/event/environment.rs
@@ -55,7 +55,7 @@
     /// An operator sends a command again.
     Resend(u64),
     /// An operator reads the configuration.
-    ReadBack,
+    Read,
     /// A reply arrives at an operator.
     OperatorReply(OperationTicket, OperationReply),
     /// An operator sends a change.
@@ -70,7 +70,7 @@
         match self {
             Self::ClientTimedOut(..) => 34,
             Self::Resend(..) => 35,
-            Self::ReadBack => 36,
+            Self::Read => 36,
             Self::OperatorReply(..) => 37,
             Self::Change => 42,
             Self::Restore(..) => 52,
--- a/testing/fleet/src/sim/orders.rs
+++ b/testing/fleet/src/sim/orders.rs
@@ -156,8 +156,8 @@
         self.begin_command(CommandKind::Zone(order), operation);
     }
 
-    /// Reads the configuration as an operator.
-    pub(super) fn read_back(&mut self) {
+    /// Sends a command to read the configuration.
+    pub(super) fn send_read(&mut self) {
         self.begin_command(CommandKind::Read, Operation::ReadSpec);
     }
 
@@ -418,10 +418,10 @@
         }
     }
 
-    pub(super) fn schedule_reading(&mut self) {
+    pub(super) fn schedule_read(&mut self) {
         let delay = self
             .rng
             .within(Duration::from_millis(100), Duration::from_millis(1500));
-        self.queue.push(delay, OperatorEvent::ReadBack);
+        self.queue.push(delay, OperatorEvent::Read);
     }
 }
--- a/testing/fleet/src/sim/simulation.rs
+++ b/testing/fleet/src/sim/simulation.rs
@@ -101,7 +101,7 @@
             self.schedule_change();
         }
         if self.plan.has_numbered_orders {
-            self.schedule_reading();
+            self.schedule_read();
         }
         self.schedule_script();
         if self.plan.has_faults {
