--- a/testing/fleet/src/sim/calls.rs
+++ b/testing/fleet/src/sim/calls.rs
@@ -8,7 +8,7 @@
 
 /// The longest time that an ordinary caller waits.
 const LONGEST_TIMEOUT: Duration = Duration::from_millis(3000);
-/// How much longer patient callers wait, which makes their timeouts exceed the grace period of an orderly stop.
+/// How much longer patient callers wait, which makes their timeouts exceed the grace period of a graceful shutdown.
 const PATIENCE: Duration = Duration::from_millis(6000);
 
 impl Simulation {
--- a/testing/fleet/src/sim/daemon/mod.rs
+++ b/testing/fleet/src/sim/daemon/mod.rs
@@ -21,7 +21,7 @@
     Agent, DaemonControl, DaemonControlOutput, Forwarding, HeldFunction, InFlightGuard,
 };
 use dataplane::control_session::ControlSessionTiming;
-use shutdown::OrderlyStop;
+use shutdown::GracefulShutdown;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::Duration;
@@ -80,7 +80,9 @@
     pending_requests: BTreeMap<u64, PendingRequest>,
     acquires: BTreeMap<FunctionKey, Vec<u64>>,
     link: Option<u64>,
-    stop: Option<OrderlyStop>,
+    shutdown: Option<GracefulShutdown>,
+    /// Whether the machine was frozen since the process started, or since its shutdown began. The shutdown is then not
+    /// checked.
     pub(in crate::sim) is_disturbed: bool,
 }
 
@@ -112,11 +114,11 @@
         self.process.is_some().then_some(self.incarnation)
     }
 
-    /// Whether its process runs and is not stopping.
+    /// Whether its process runs and is not shutting down.
     pub(in crate::sim) fn is_accepting(&self) -> bool {
         self.process
             .as_ref()
-            .is_some_and(|process| process.stop.is_none())
+            .is_some_and(|process| process.shutdown.is_none())
     }
 
     /// Whether its process holds a valid session lease.
@@ -221,7 +223,7 @@
             pending_requests: BTreeMap::new(),
             acquires: BTreeMap::new(),
             link: None,
-            stop: None,
+            shutdown: None,
             is_disturbed: false,
         }));
         let tick = Event::Tick(
@@ -249,7 +251,7 @@
                 agent.routing_table().version(),
             );
         }
-        self.continue_stop(index);
+        self.continue_shutdown(index);
     }
 
     pub(in crate::sim) fn with_controller(
--- a/testing/fleet/src/sim/daemon/shutdown.rs
+++ b/testing/fleet/src/sim/daemon/shutdown.rs
@@ -1,4 +1,4 @@
-//! The orderly stop of simulated daemons.
+//! The graceful shutdown of simulated daemons.
 
 use super::{AwaitedStep, PendingRequest, ReplyTarget};
 use crate::sim::event::DaemonEvent;
@@ -10,21 +10,21 @@
 use dataplane::agent::{ForwardingStep, ShutdownPhase, ShutdownSchedule};
 use std::time::Duration;
 
-/// The grace period of an orderly stop, after which the platform kills the process.
+/// The grace period of a graceful shutdown, after which the platform kills the process.
 const GRACE: Duration = Duration::from_millis(5600);
 /// How long an exiting process waits for its last frames to be sent.
 const LAST_FRAMES_TIME: Duration = Duration::from_millis(60);
 
-/// An orderly stop that is under way.
+/// A graceful shutdown in progress.
 #[derive(Clone, Copy)]
-pub(super) struct OrderlyStop {
+pub(super) struct GracefulShutdown {
     schedule: ShutdownSchedule,
     phase: ShutdownPhase,
-    /// Whether the process is about to exit, and only sends its last frames.
+    /// Whether the process is exiting and only its last frames are still sent.
     has_exited: bool,
 }
 
-impl OrderlyStop {
+impl GracefulShutdown {
     fn begin(now: MonotonicTime) -> Self {
         Self {
             schedule: ShutdownSchedule::new(now, GRACE),
@@ -35,8 +35,8 @@
 }
 
 impl Simulation {
-    /// Begins the orderly stop of a daemon.
-    pub(in crate::sim) fn begin_orderly_stop(&mut self, index: usize) {
+    /// Begins the graceful shutdown of a daemon, unless it is already shutting down.
+    pub(in crate::sim) fn begin_shutdown(&mut self, index: usize) {
         let local_now = self.daemon_now(index);
         let is_frozen = self
             .frozen
@@ -44,25 +44,29 @@
         let Some(process) = &mut self.nodes.daemon_mut(index).process else {
             return;
         };
-        if process.stop.is_some() {
+        if process.shutdown.is_some() {
             return;
         }
-        process.stop = Some(OrderlyStop::begin(local_now));
+        process.shutdown = Some(GracefulShutdown::begin(local_now));
         process.is_disturbed = is_frozen;
         self.with_controller(index, |controller, agent, now| controller.leave(agent, now));
     }
 
-    /// Advances a daemon's orderly stop to the phase that is due.
-    pub(super) fn continue_stop(&mut self, index: usize) {
+    /// Advances a daemon's graceful shutdown to the phase that is due.
+    pub(super) fn continue_shutdown(&mut self, index: usize) {
         let local_now = self.daemon_now(index);
         let Some(process) = &mut self.nodes.daemon_mut(index).process else {
             return;
         };
-        let Some(stop) = process.stop.as_mut().filter(|stop| !stop.has_exited) else {
+        let Some(shutdown) = process
+            .shutdown
+            .as_mut()
+            .filter(|shutdown| !shutdown.has_exited)
+        else {
             return;
         };
-        let phase = stop.schedule.phase(local_now);
-        let is_new_phase = phase > std::mem::replace(&mut stop.phase, phase);
+        let phase = shutdown.schedule.phase(local_now);
+        let is_new_phase = phase > std::mem::replace(&mut shutdown.phase, phase);
         if is_new_phase {
             self.enter_shutdown_phase(index, phase);
         }
@@ -208,10 +212,10 @@
         let Some(process) = &self.nodes.daemon(index).process else {
             return;
         };
-        let Some(stop) = process.stop else {
+        let Some(shutdown) = process.shutdown else {
             return;
         };
-        if local_now < stop.schedule.exit_at && !process.agent.is_drained() {
+        if local_now < shutdown.schedule.exit_at && !process.agent.is_drained() {
             return;
         }
         let in_flight: Vec<IdempotencyKey> = process
@@ -228,14 +232,14 @@
         });
         let node = self.nodes.daemon(index).node;
         let incarnation = self.nodes.daemon(index).incarnation;
-        if let Some(stop) = self
+        if let Some(shutdown) = self
             .nodes
             .daemon_mut(index)
             .process
             .as_mut()
-            .and_then(|process| process.stop.as_mut())
+            .and_then(|process| process.shutdown.as_mut())
         {
-            stop.has_exited = true;
+            shutdown.has_exited = true;
         }
         self.queue.push(
             LAST_FRAMES_TIME,
--- a/testing/fleet/src/sim/faults.rs
+++ b/testing/fleet/src/sim/faults.rs
@@ -288,7 +288,7 @@
 
     fn stop_random_daemon(&mut self) {
         let index = self.random_daemon();
-        self.begin_orderly_stop(index);
+        self.begin_shutdown(index);
     }
 
     fn start_runner_faults(&mut self, duration: Duration) {
@@ -464,7 +464,7 @@
 
     fn stop_group(&mut self) {
         for index in self.random_group() {
-            self.begin_orderly_stop(index);
+            self.begin_shutdown(index);
         }
     }
 
--- a/testing/fleet/tests/simulator.rs
+++ b/testing/fleet/tests/simulator.rs
@@ -45,7 +45,7 @@
 }
 
 /// A stopping daemon withdraws the requests that still wait for a runner, and none of them runs afterwards. This needs
-/// patient callers, which outlast the grace period of an orderly stop: other simulated callers give up before the
+/// patient callers, which outlast the grace period of a graceful shutdown: other simulated callers give up before the
 /// exit.
 #[gtest]
 fn stops_leave_no_patient_caller_waiting() -> Result<()> {
