--- a/testing/fleet/src/sim/bootstrap.rs
+++ b/testing/fleet/src/sim/bootstrap.rs
@@ -14,15 +14,15 @@
 use std::time::Duration;
 
 impl Simulation {
-    /// Creates and starts the controllers. The founders have accepted the first document.
-    pub(super) fn bootstrap_controllers(&mut self, ids: &[ControllerId]) {
-        let bootstrap_controller_count = self.plan.bootstrap_controller_count;
-        let document = self.first_document(&ids[..bootstrap_controller_count.min(ids.len())]);
+    /// Creates and starts the controllers. Those that bootstrap the quorum have already accepted the first document.
+    pub(super) fn create_controllers(&mut self, ids: &[ControllerId]) {
+        let initial_voter_count = self.plan.bootstrap_controller_count;
+        let document = self.first_document(&ids[..initial_voter_count.min(ids.len())]);
         for (index, id) in ids.iter().enumerate() {
             let durable = PersistedState {
                 id: *id,
                 voted_for: None,
-                accepted: (index < bootstrap_controller_count).then(|| document.clone()),
+                accepted: (index < initial_voter_count).then(|| document.clone()),
                 unreadable_version: DocumentVersion::default(),
             };
             let clock_ahead = self.random_clock_lead();
@@ -41,7 +41,7 @@
     }
 
     /// Creates and starts the daemons.
-    pub(super) fn bootstrap_daemons(&mut self) {
+    pub(super) fn create_daemons(&mut self) {
         for index in 0..self.plan.daemons {
             let clock_ahead = self.random_clock_lead();
             let clock_drift = self.random_drift();
@@ -56,9 +56,9 @@
         }
     }
 
-    /// Returns the document that the founding voters have accepted before the simulation starts.
-    fn first_document(&self, founding_ids: &[ControllerId]) -> Document {
-        let voters = founding_ids
+    /// Returns the document that the initial voters have accepted before the simulation starts.
+    fn first_document(&self, voter_ids: &[ControllerId]) -> Document {
+        let voters = voter_ids
             .iter()
             .enumerate()
             .map(|(index, id)| Voter {
--- a/testing/fleet/src/sim/simulation.rs
+++ b/testing/fleet/src/sim/simulation.rs
@@ -87,8 +87,8 @@
             answer_shares: AnswerShares::default(),
             plan,
         };
-        simulation.bootstrap_controllers(&ids);
-        simulation.bootstrap_daemons();
+        simulation.create_controllers(&ids);
+        simulation.create_daemons();
         simulation.schedule_first_events();
         simulation
     }
