--- a/testing/fleet/src/sim/links.rs
+++ b/testing/fleet/src/sim/links.rs
@@ -1,9 +1,9 @@
-//! The streams between daemons and controllers.
+//! The links between daemons and controllers.
 
 use super::network::Node;
 use std::collections::HashMap;
 
-/// A stream between a daemon and a controller.
+/// A link between a daemon and a controller, over which they exchange frames.
 pub(super) struct Link {
     pub daemon: Node,
     pub daemon_incarnation: u64,
@@ -13,7 +13,7 @@
     pub is_broken: bool,
 }
 
-/// All streams by number, including those that have ended.
+/// All links by number, including broken ones.
 #[derive(Default)]
 pub(super) struct Links {
     by_number: HashMap<u64, Link>,
--- a/testing/fleet/src/sim/recovery.rs
+++ b/testing/fleet/src/sim/recovery.rs
@@ -1,4 +1,4 @@
-//! The time from a loss in the control quorum to the next acknowledged order and the next renewed
+//! The time from the loss of a controller to the next acknowledged order and the next renewed
 //! session leases.
 
 use super::plan::SimPlan;
@@ -63,7 +63,7 @@
     pub last_lease: Duration,
 }
 
-/// A single loss in the control quorum.
+/// The loss of a single controller.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct SingleLoss {
     /// The controller that is lost.
