--- a/testing/fleet/src/commands/simulator.rs
+++ b/testing/fleet/src/commands/simulator.rs
@@ -1,4 +1,4 @@
-//! Runs simulated days with many seeds, and the detection cases of safety rules.
+//! Runs simulations with many seeds, and the detection cases of safety rules.
 
 use super::control_side::check_scenario_detection;
 use super::flags::{Proofs, Sim};
@@ -15,26 +15,27 @@
         "| point | broken | faults | seeds to first finding | seen | checks with all rules kept | breaches |"
     );
     println!("|---|---|---|---|---|---|---|");
-    for proof in DETECTION_CASES {
-        let end = proof.run(proofs.seeds.unwrap_or(proof.max_seeds));
-        let faults: Vec<String> = proof.faults.iter().map(SimFault::to_string).collect();
-        let (seed, seen) = match &end.found {
+    for case in DETECTION_CASES {
+        let result = case.run(proofs.seeds.unwrap_or(case.max_seeds));
+        let faults: Vec<String> = case.faults.iter().map(SimFault::to_string).collect();
+        let (seed, seen) = match &result.found {
             Some((seed, seen)) => (seed.to_string(), seen.clone()),
             None => ("none".to_owned(), String::new()),
         };
         println!(
             "| {} | `{}` | {} | {seed} | {seen} | {} | {} |",
-            proof.property,
-            proof.flaw,
+            case.property,
+            case.flaw,
             faults.join(", "),
-            end.checked,
-            end.baseline_violations.len()
+            result.checked,
+            result.baseline_violations.len()
         );
-        end.baseline_violations
+        result
+            .baseline_violations
             .iter()
             .take(3)
             .for_each(|violation| eprintln!("{violation}"));
-        is_complete &= end.found.is_some() && end.baseline_violations.is_empty();
+        is_complete &= result.found.is_some() && result.baseline_violations.is_empty();
     }
     is_complete &= check_scenario_detection(proofs.seeds.unwrap_or(SEEDS_TO_FIND));
     if is_complete {
@@ -44,10 +45,10 @@
     }
 }
 
-/// Runs a day for each seed and prints the results.
+/// Runs a simulation for each seed and prints the results.
 pub(crate) fn simulate(sim: &Sim) -> ExitCode {
-    let plan_of = match plan_factory(sim) {
-        Ok(plan_of) => plan_of,
+    let create_plan = match plan_factory(sim) {
+        Ok(create_plan) => create_plan,
         Err(error) => {
             eprintln!("fleet: {error}");
             return ExitCode::from(2);
@@ -57,13 +58,13 @@
     let mut unrecovered_seeds = Vec::new();
     let mut run_digest = RunDigest::default();
     for seed in sim.seed..sim.seed + sim.count {
-        let plan = plan_of(seed);
+        let plan = create_plan(seed);
         let is_scripted = plan.checks_script_end;
         let sim_result = Simulation::new(plan, sim.trace).run();
         sim_result.trace.iter().for_each(|line| println!("{line}"));
-        let day_digest = run_digest.add(&sim_result);
+        let simulation_digest = run_digest.add(&sim_result);
         if sim.digest {
-            println!("seed {seed}: digest {day_digest}");
+            println!("seed {seed}: digest {simulation_digest}");
         } else {
             println!("seed {seed}: {sim_result}");
         }
@@ -92,7 +93,7 @@
     }
 }
 
-/// Why the requested days cannot be run.
+/// Why the requested simulation runs cannot be planned.
 #[derive(Debug, thiserror::Error)]
 enum PlanError {
     #[error("unknown flaw {0:?}; there are: {known}", known = joined_names(&Flaw::all()))]
@@ -108,7 +109,7 @@
     names.join(", ")
 }
 
-/// Returns a function that creates the plan of a day from its seed.
+/// Returns a function that creates the plan of a simulation run from its seed.
 fn plan_factory(sim: &Sim) -> Result<Box<dyn Fn(u64) -> SimPlan>, PlanError> {
     let flaw = Flaw::all()
         .into_iter()
