--- a/testing/fleet/src/commands/control_side.rs
+++ b/testing/fleet/src/commands/control_plane.rs
@@ -88,16 +88,13 @@
     println!("| scenario | broken | seeds to first finding | seen |");
     println!("|---|---|---|---|");
     let mut is_complete = true;
-    for proof in SCENARIO_DETECTION_CASES {
-        let found = proof.find(max_seeds);
+    for case in SCENARIO_DETECTION_CASES {
+        let found = case.find(max_seeds);
         is_complete &= found.is_some();
         let (seed, seen) = found.map_or(("none".to_owned(), String::new()), |(seed, seen)| {
             (seed.to_string(), seen)
         });
-        println!(
-            "| {} | `{}` | {seed} | {seen} |",
-            proof.scenario, proof.flaw
-        );
+        println!("| {} | `{}` | {seed} | {seen} |", case.scenario, case.flaw);
     }
     is_complete
 }
--- a/testing/fleet/src/commands/simulator.rs
+++ b/testing/fleet/src/commands/simulator.rs
@@ -1,6 +1,6 @@
 //! Runs simulations with many seeds, and the detection cases of safety rules.
 
-use super::control_side::check_scenario_detection;
+use super::control_plane::check_scenario_detection;
 use super::flags::{Proofs, Sim};
 use fleet::sim::{
     DETECTION_CASES, Flaw, RunDigest, SEEDS_TO_FIND, Scenario, SimFault, SimPlan, Simulation,
--- a/testing/fleet/src/main.rs
+++ b/testing/fleet/src/main.rs
@@ -3,7 +3,7 @@
 mod commands;
 
 use commands::capacity::{measure, update_page};
-use commands::control_side::{measure_recovery, simulate_second_losses};
+use commands::control_plane::{measure_recovery, simulate_second_losses};
 use commands::days::{print_fault_table, print_verdict, read_day, run_and_judge};
 use commands::flags::{Command, Flags};
 use commands::simulator::{check_detection, simulate};
