--- a/testing/fleet/src/sim/connections.rs
+++ b/testing/fleet/src/sim/connections.rs
@@ -93,9 +93,7 @@
         };
         let index = link.daemon.daemon_index();
         if self.nodes.daemon(index).is_current_link(number) {
-            self.with_controller(index, |controller, agent, now| {
-                controller.connected(agent, now)
-            });
+            self.update_control(index, |control, agent, now| control.connected(agent, now));
         }
     }
 
@@ -115,8 +113,8 @@
         };
         let index = link.daemon.daemon_index();
         if self.nodes.daemon(index).is_current_link(number) {
-            self.with_controller(index, |controller, agent, now| {
-                controller.received(agent, now, frame)
+            self.update_control(index, |control, agent, now| {
+                control.received(agent, now, frame)
             });
         }
     }
--- a/testing/fleet/src/sim/daemon/mod.rs
+++ b/testing/fleet/src/sim/daemon/mod.rs
@@ -76,7 +76,7 @@
 /// The state that is lost with a daemon's process.
 pub(crate) struct DaemonProcess {
     pub(in crate::sim) agent: Arc<Agent<u64>>,
-    controller: DaemonControl<u64>,
+    control: DaemonControl<u64>,
     pending_requests: BTreeMap<u64, PendingRequest>,
     acquires: BTreeMap<FunctionKey, Vec<u64>>,
     link: Option<u64>,
@@ -202,7 +202,7 @@
             .with_tuning(self.plan.tuning)
             .with_regions(self.regions());
         let agent = Arc::new(agent);
-        let controller = DaemonControl::new(
+        let control = DaemonControl::new(
             local_now,
             &agent,
             ControlSessionTiming::builder().build(),
@@ -210,16 +210,16 @@
             addresses::seeds(),
             SeededRng::seeded(seed),
         );
-        let controller = if self.plan.keeps_warm_functions {
-            controller.with_warm(local_now)
+        let control = if self.plan.keeps_warm_functions {
+            control.with_warm(local_now)
         } else {
-            controller
+            control
         };
         let daemon = self.nodes.daemon_mut(index);
         daemon.incarnation += 1;
         daemon.process = Some(Box::new(DaemonProcess {
             agent,
-            controller,
+            control,
             pending_requests: BTreeMap::new(),
             acquires: BTreeMap::new(),
             link: None,
@@ -241,7 +241,7 @@
     }
 
     pub(in crate::sim) fn tick_daemon(&mut self, index: usize) {
-        self.with_controller(index, |controller, agent, now| controller.tick(agent, now));
+        self.update_control(index, |control, agent, now| control.tick(agent, now));
         if let Some(agent) = self.nodes.agent(index)
             && self.is_daemon_serving(index)
         {
@@ -254,7 +254,8 @@
         self.continue_shutdown(index);
     }
 
-    pub(in crate::sim) fn with_controller(
+    /// Changes the state of a daemon's control session and executes the resulting outputs.
+    pub(in crate::sim) fn update_control(
         &mut self,
         index: usize,
         change: impl FnOnce(
@@ -268,7 +269,7 @@
             return;
         };
         let agent = process.agent.clone();
-        let outputs = change(&mut process.controller, &agent, local_now);
+        let outputs = change(&mut process.control, &agent, local_now);
         for output in outputs {
             self.apply_daemon_output(index, output);
         }
@@ -281,7 +282,7 @@
     ) {
         let local_now = self.daemon_now(index);
         if let Some(process) = &mut self.nodes.daemon_mut(index).process {
-            process.controller.heartbeat(local_now, heartbeat);
+            process.control.heartbeat(local_now, heartbeat);
         }
     }
 
@@ -290,8 +291,8 @@
             if let Some(process) = &mut self.nodes.daemon_mut(index).process {
                 process.link = None;
             }
-            self.with_controller(index, |controller, agent, now| {
-                controller.disconnected(agent, now)
+            self.update_control(index, |control, agent, now| {
+                control.disconnected(agent, now)
             });
         }
     }
--- a/testing/fleet/src/sim/daemon/requests.rs
+++ b/testing/fleet/src/sim/daemon/requests.rs
@@ -317,8 +317,8 @@
         let waiting = process.acquires.entry(function.clone()).or_default();
         waiting.push(number);
         if waiting.len() == 1 {
-            self.with_controller(index, |controller, agent, now| {
-                controller.acquire(agent, now, function)
+            self.update_control(index, |control, agent, now| {
+                control.acquire(agent, now, function)
             });
         }
     }
@@ -483,8 +483,8 @@
         let is_answer = matches!(outcome, RequestOutcome::Response { .. });
         if is_answer && agent.handle_regional_hint(local_now, &request.function, regional_tenths) {
             self.record.count_event("regional keys heard of");
-            self.with_controller(index, |controller, _, now| {
-                controller.recheck_warm_functions(now);
+            self.update_control(index, |control, _, now| {
+                control.recheck_warm_functions(now);
                 Vec::new()
             });
         }
--- a/testing/fleet/src/sim/daemon/shutdown.rs
+++ b/testing/fleet/src/sim/daemon/shutdown.rs
@@ -49,7 +49,7 @@
         }
         process.shutdown = Some(GracefulShutdown::begin(local_now));
         process.is_disturbed = is_frozen;
-        self.with_controller(index, |controller, agent, now| controller.leave(agent, now));
+        self.update_control(index, |control, agent, now| control.leave(agent, now));
     }
 
     /// Advances a daemon's graceful shutdown to the phase that is due.
@@ -227,9 +227,7 @@
             self.checks
                 .check_graceful_shutdown(self.queue.now(), index, &in_flight);
         }
-        self.with_controller(index, |controller, agent, _| {
-            controller.finish_leaving(agent)
-        });
+        self.update_control(index, |control, agent, _| control.finish_leaving(agent));
         let node = self.nodes.daemon(index).node;
         let incarnation = self.nodes.daemon(index).incarnation;
         if let Some(shutdown) = self
--- a/testing/fleet/src/sim/dispatch.rs
+++ b/testing/fleet/src/sim/dispatch.rs
@@ -102,8 +102,8 @@
                 self.finish_forward(node.daemon_index(), number, end, regional_tenths);
             }
             DaemonEvent::FromHolder(node, _, function, fencing_token, message) => {
-                self.with_controller(node.daemon_index(), |controller, agent, now| {
-                    controller.holder_message(agent, now, function, fencing_token, message)
+                self.update_control(node.daemon_index(), |control, agent, now| {
+                    control.holder_message(agent, now, function, fencing_token, message)
                 });
             }
             DaemonEvent::ProcessExited(node, _) => {
