--- a/testing/fleet/src/sim/daemon/requests.rs
+++ b/testing/fleet/src/sim/daemon/requests.rs
@@ -349,14 +349,14 @@
         }
         if !self.network.reaches(node, to_node) {
             let is_lost = self.rng.random_bool(0.5);
-            let (end, failed_after) = if is_lost {
+            let (result, failed_after) = if is_lost {
                 (ForwardResult::Lost, wait_span)
             } else {
                 (ForwardResult::Unsent, Duration::from_millis(400))
             };
             self.queue.push(
                 failed_after,
-                DaemonEvent::Forwarded(node, incarnation, number, end, 0),
+                DaemonEvent::Forwarded(node, incarnation, number, result, 0),
             );
             return;
         }
@@ -381,7 +381,7 @@
         &mut self,
         index: usize,
         number: u64,
-        end: ForwardResult,
+        result: ForwardResult,
         regional_tenths: u8,
     ) {
         let process = self.nodes.daemon_mut(index).process.as_mut();
@@ -389,15 +389,15 @@
         {
             pending.regional_tenths = regional_tenths;
         }
-        self.forwarded(index, number, end);
+        self.forwarded(index, number, result);
     }
 
-    pub(in crate::sim) fn forwarded(&mut self, index: usize, number: u64, end: ForwardResult) {
+    pub(in crate::sim) fn forwarded(&mut self, index: usize, number: u64, result: ForwardResult) {
         self.step(
             index,
             number,
             AwaitedStep::Forwarded,
-            |forwarding, agent, now| forwarding.forwarded(agent, now, end),
+            |forwarding, agent, now| forwarding.forwarded(agent, now, result),
         );
     }
 
@@ -433,14 +433,14 @@
             } => {
                 if self.network.reaches(node, reply_node) {
                     let delay = self.network.delay(&mut self.rng);
-                    let end = ForwardResult::Completed(outcome, holder);
+                    let result = ForwardResult::Completed(outcome, holder);
                     self.queue.push(
                         delay,
                         DaemonEvent::Forwarded(
                             reply_node,
                             incarnation,
                             number,
-                            end,
+                            result,
                             regional_tenths,
                         ),
                     );
--- a/testing/fleet/src/sim/dispatch.rs
+++ b/testing/fleet/src/sim/dispatch.rs
@@ -98,8 +98,8 @@
             DaemonEvent::Hop(node, _, reply_target, body) => {
                 self.handle_hop(node.daemon_index(), reply_target, body)
             }
-            DaemonEvent::Forwarded(node, _, number, end, regional_tenths) => {
-                self.finish_forward(node.daemon_index(), number, end, regional_tenths);
+            DaemonEvent::Forwarded(node, _, number, result, regional_tenths) => {
+                self.finish_forward(node.daemon_index(), number, result, regional_tenths);
             }
             DaemonEvent::FromHolder(node, _, function, fencing_token, message) => {
                 self.update_control(node.daemon_index(), |control, agent, now| {
@@ -122,10 +122,10 @@
 
     fn handle_holder_event(&mut self, event: HolderEvent) {
         match event {
-            HolderEvent::Started(requester, function, runner, end) => {
+            HolderEvent::Started(requester, function, runner, outcome) => {
                 let index = requester.node.daemon_index();
                 self.update_holder(index, &function, runner.fencing_token, |holder, now| {
-                    holder.handle_start_outcome(now, runner, end)
+                    holder.handle_start_outcome(now, runner, outcome)
                 });
             }
             HolderEvent::Stopped(requester, function, runner) => {
@@ -146,10 +146,10 @@
                     holder.handle_running_list(now, runner, running)
                 });
             }
-            HolderEvent::SendEnded(requester, function, ticket, fencing_token, end) => {
+            HolderEvent::SendEnded(requester, function, ticket, fencing_token, result) => {
                 let index = requester.node.daemon_index();
                 self.update_holder(index, &function, fencing_token, |holder, now| {
-                    holder.handle_send_result(now, ticket, end)
+                    holder.handle_send_result(now, ticket, result)
                 });
             }
         }
