--- a/testing/fleet/src/sim/controller.rs
+++ b/testing/fleet/src/sim/controller.rs
@@ -376,7 +376,7 @@
         let delay = self.network.delay(&mut self.rng);
         let key = (Node(2_000_000 + stream.0 as usize), to);
         self.queue
-            .push_in_order(key, delay, LinkEvent::LinkDown(stream.0, frame));
+            .push_in_order(key, delay, LinkEvent::FrameToDaemon(stream.0, frame));
     }
 
     pub(super) fn poll_platform(&mut self, index: usize) {
--- a/testing/fleet/src/sim/daemon/outputs.rs
+++ b/testing/fleet/src/sim/daemon/outputs.rs
@@ -121,7 +121,7 @@
         let delay = self.network.delay(&mut self.rng);
         let key = (Node(1_000_000 + link as usize), to);
         self.queue
-            .push_in_order(key, delay, LinkEvent::LinkUp(link, frame));
+            .push_in_order(key, delay, LinkEvent::FrameToController(link, frame));
     }
 
     /// Checks that each runner instance is used by at most one running lease holder.
--- a/testing/fleet/src/sim/digest.rs
+++ b/testing/fleet/src/sim/digest.rs
@@ -26,8 +26,8 @@
         self.hasher.update([event.kind_number()]);
         match event {
             Event::Controller(ControllerEvent::ConsensusFrame(_, frame)) => self.add_frame(frame),
-            Event::Link(LinkEvent::LinkUp(_, frame)) => self.add_frame(frame),
-            Event::Link(LinkEvent::LinkDown(_, frame)) => self.add_frame(frame),
+            Event::Link(LinkEvent::FrameToController(_, frame)) => self.add_frame(frame),
+            Event::Link(LinkEvent::FrameToDaemon(_, frame)) => self.add_frame(frame),
             Event::Daemon(DaemonEvent::HeartbeatDatagram(_, heartbeat)) => {
                 self.add_frame(heartbeat)
             }
--- a/testing/fleet/src/sim/event/nodes.rs
+++ b/testing/fleet/src/sim/event/nodes.rs
@@ -87,9 +87,9 @@
     /// A daemon is notified that the link that it dialed is open.
     Dialed(u64),
     /// A frame arrives at the controller.
-    LinkUp(u64, DaemonToLeader),
+    FrameToController(u64, DaemonToLeader),
     /// A frame arrives at the daemon.
-    LinkDown(u64, LeaderToDaemon),
+    FrameToDaemon(u64, LeaderToDaemon),
     /// One end notices that the link is lost.
     LinkLost(u64, Node),
 }
@@ -99,8 +99,8 @@
     pub(super) fn kind_number(&self) -> u8 {
         match self {
             Self::Dialed(..) => 8,
-            Self::LinkUp(..) => 9,
-            Self::LinkDown(..) => 10,
+            Self::FrameToController(..) => 9,
+            Self::FrameToDaemon(..) => 10,
             Self::LinkLost(..) => 11,
         }
     }
--- a/testing/fleet/src/sim/simulation.rs
+++ b/testing/fleet/src/sim/simulation.rs
@@ -196,11 +196,11 @@
     fn link_target(&self, event: &Event) -> Option<(Node, Option<u64>)> {
         match event {
             Event::Link(LinkEvent::Dialed(number))
-            | Event::Link(LinkEvent::LinkDown(number, _)) => self
+            | Event::Link(LinkEvent::FrameToDaemon(number, _)) => self
                 .links
                 .get(*number)
                 .map(|link| (link.daemon, Some(link.daemon_incarnation))),
-            Event::Link(LinkEvent::LinkUp(number, _)) => self
+            Event::Link(LinkEvent::FrameToController(number, _)) => self
                 .links
                 .get(*number)
                 .map(|link| (link.controller, Some(link.controller_incarnation))),
