--- a/testing/fleet/src/sim/calls.rs
+++ b/testing/fleet/src/sim/calls.rs
@@ -32,6 +32,7 @@
         }
     }
 
+    /// Chooses a daemon at random; none if it is frozen or does not accept requests.
     fn random_ingress(&mut self) -> Option<usize> {
         let index = self.rng.below(self.nodes.daemons().len() as u64) as usize;
         let daemon = self.nodes.daemon(index);
@@ -39,6 +40,7 @@
         (daemon.is_accepting() && !is_frozen).then_some(index)
     }
 
+    /// Sends a refused request again as a retry with a new idempotency key.
     pub(super) fn repeat_call(&mut self, route_name: &str) {
         let idempotency_key = IdempotencyKey::from(format!("repeat-{}", self.numbers.next()));
         if let Some(index) = self.random_ingress() {
@@ -70,6 +72,7 @@
         }
     }
 
+    /// Sends a request by a random route, occasionally twice, and schedules the next one.
     pub(super) fn send_random_call(&mut self) {
         let gap = Duration::from_secs_f64(1.0 / self.plan.rate);
         self.queue.push(gap, CallerEvent::Call);
--- a/testing/fleet/src/sim/daemon/mod.rs
+++ b/testing/fleet/src/sim/daemon/mod.rs
@@ -46,6 +46,7 @@
     forwarded_to: Option<Host>,
     /// The lease holder in this daemon that handles the request, and the request's ticket there.
     held_under: Option<(Arc<HeldFunction<u64>>, Ticket)>,
+    /// The hint about the regional key that came with the reply to a forwarded request, in tenths of a second.
     regional_tenths: u8,
     _in_flight: InFlightGuard,
 }
@@ -78,7 +79,9 @@
     pub(in crate::sim) agent: Arc<Agent<u64>>,
     control: DaemonControl<u64>,
     pending_requests: BTreeMap<u64, PendingRequest>,
+    /// The numbers of the requests that wait for the result of acquiring a lease of the function.
     acquires: BTreeMap<FunctionKey, Vec<u64>>,
+    /// The number of the link to a controller that it currently uses.
     link: Option<u64>,
     shutdown: Option<GracefulShutdown>,
     /// Whether the machine was frozen since the process started, or since its shutdown began. The shutdown is then not
@@ -162,6 +165,7 @@
         )
     }
 
+    /// Schedules the next lookup of a request at a time on the daemon's clock; earlier wake-ups are then ignored.
     pub(in crate::sim) fn schedule_wake(
         &mut self,
         index: usize,
@@ -221,6 +225,7 @@
             agent,
             control,
             pending_requests: BTreeMap::new(),
+            /// The numbers of the requests that wait for the result of acquiring a lease of the function.
             acquires: BTreeMap::new(),
             link: None,
             shutdown: None,
--- a/testing/fleet/src/sim/faults.rs
+++ b/testing/fleet/src/sim/faults.rs
@@ -506,6 +506,7 @@
         );
     }
 
+    /// Freezes a machine for the given time, or longer if it is already frozen for longer.
     pub(super) fn freeze(&mut self, node: Node, duration: Duration) {
         let until = self.queue.now() + duration;
         let resumes_at = self.frozen.freeze(node, until);
--- a/testing/fleet/src/sim/links.rs
+++ b/testing/fleet/src/sim/links.rs
@@ -13,7 +13,7 @@
     pub is_broken: bool,
 }
 
-/// All links by number, including broken ones.
+/// All links by number, including closed and broken ones.
 #[derive(Default)]
 pub(super) struct Links {
     by_number: HashMap<u64, Link>,
--- a/testing/fleet/src/sim/runners.rs
+++ b/testing/fleet/src/sim/runners.rs
@@ -282,6 +282,7 @@
             .push(work, PlatformEvent::RunFinished(runner, run, fault_code));
     }
 
+    /// Ends a send with the sealed response by which a runner rejects a request.
     fn reject_by_runner(
         &mut self,
         run: &SimRun,
