--- a/testing/fleet/src/sim/checks/mod.rs
+++ b/testing/fleet/src/sim/checks/mod.rs
@@ -460,7 +460,7 @@
     }
 
     /// Records a lease and returns whether it is new.
-    pub fn is_new_lease(&mut self, fencing_token: FencingToken) -> bool {
+    pub fn record_lease(&mut self, fencing_token: FencingToken) -> bool {
         self.granted.insert(fencing_token)
     }
 
--- a/testing/fleet/src/sim/daemon/outputs.rs
+++ b/testing/fleet/src/sim/daemon/outputs.rs
@@ -179,7 +179,7 @@
         };
         let held_functions = agent.held_functions();
         for held in held_functions.values() {
-            if !self.checks.is_new_lease(held.fencing_token) {
+            if !self.checks.record_lease(held.fencing_token) {
                 continue;
             }
             let adopted = held.with(|holder| holder.instances());
