--- a/testing/fleet/src/sim/daemon/mod.rs
+++ b/testing/fleet/src/sim/daemon/mod.rs
@@ -280,7 +280,8 @@
         }
     }
 
-    pub(in crate::sim) fn heartbeat(
+    /// Handles a heartbeat from another daemon.
+    pub(in crate::sim) fn handle_heartbeat(
         &mut self,
         index: usize,
         heartbeat: &common::frames::Heartbeat,
@@ -291,7 +292,8 @@
         }
     }
 
-    pub(in crate::sim) fn link_lost(&mut self, index: usize, link: u64) {
+    /// Handles the loss of a link, if the daemon still uses it.
+    pub(in crate::sim) fn handle_link_lost(&mut self, index: usize, link: u64) {
         if self.nodes.daemon(index).is_current_link(link) {
             if let Some(process) = &mut self.nodes.daemon_mut(index).process {
                 process.link = None;
--- a/testing/fleet/src/sim/daemon/requests.rs
+++ b/testing/fleet/src/sim/daemon/requests.rs
@@ -143,7 +143,7 @@
     }
 
     /// Handles the timeout of a request's wait for the leader's reply to an acquire.
-    pub(in crate::sim) fn acquire_timed_out(&mut self, index: usize, number: u64) {
+    pub(in crate::sim) fn handle_acquire_timeout(&mut self, index: usize, number: u64) {
         self.step(
             index,
             number,
--- a/testing/fleet/src/sim/dispatch.rs
+++ b/testing/fleet/src/sim/dispatch.rs
@@ -78,7 +78,7 @@
                 if node.is_controller() {
                     self.step_controller(node.0, ControllerInput::StreamLost(StreamId(number)));
                 } else if node != PLATFORM {
-                    self.link_lost(node.daemon_index(), number);
+                    self.handle_link_lost(node.daemon_index(), number);
                 }
             }
         }
@@ -87,13 +87,13 @@
     fn handle_daemon_event(&mut self, event: DaemonEvent) {
         match event {
             DaemonEvent::HeartbeatDatagram(node, heartbeat) => {
-                self.heartbeat(node.daemon_index(), &heartbeat)
+                self.handle_heartbeat(node.daemon_index(), &heartbeat)
             }
             DaemonEvent::Lookup(node, _, number, wake) => {
                 self.wake(node.daemon_index(), number, wake)
             }
             DaemonEvent::AcquireTimedOut(node, _, number) => {
-                self.acquire_timed_out(node.daemon_index(), number)
+                self.handle_acquire_timeout(node.daemon_index(), number)
             }
             DaemonEvent::Hop(node, _, reply_target, body) => {
                 self.handle_hop(node.daemon_index(), reply_target, body)
