--- a/testing/fleet/src/sim/daemon/mod.rs
+++ b/testing/fleet/src/sim/daemon/mod.rs
@@ -225,7 +225,6 @@
             agent,
             control,
             pending_requests: BTreeMap::new(),
-            /// The numbers of the requests that wait for the result of acquiring a lease of the function.
             acquires: BTreeMap::new(),
             link: None,
             shutdown: None,
