--- a/crates/dataplane/src/agent/daemon_control/mod.rs
+++ b/crates/dataplane/src/agent/daemon_control/mod.rs
@@ -196,12 +196,12 @@
     }
 
     /// Handles the establishment of the dialed stream.
-    pub fn connected(
+    pub fn handle_connected(
         &mut self,
         agent: &Agent<W>,
         now: MonotonicTime,
     ) -> Vec<DaemonControlOutput<W>> {
-        let view_outputs = self.cluster_view.connected(now);
+        let view_outputs = self.cluster_view.handle_connected(now);
         self.apply_view_outputs(agent, now, view_outputs);
         self.take_outputs()
     }
@@ -212,12 +212,12 @@
     }
 
     /// Handles a stream that failed or was closed by the other side.
-    pub fn disconnected(
+    pub fn handle_disconnected(
         &mut self,
         agent: &Agent<W>,
         now: MonotonicTime,
     ) -> Vec<DaemonControlOutput<W>> {
-        let view_outputs = self.cluster_view.disconnected(now);
+        let view_outputs = self.cluster_view.handle_disconnected(now);
         self.apply_view_outputs(agent, now, view_outputs);
         self.take_outputs()
     }
--- a/crates/dataplane/src/cluster_view/mod.rs
+++ b/crates/dataplane/src/cluster_view/mod.rs
@@ -152,8 +152,8 @@
     }
 
     /// Handles the establishment of the dialed stream.
-    pub fn connected(&mut self, now: MonotonicTime) -> Vec<ClusterViewOutput> {
-        let outputs = self.control_session.connected(now);
+    pub fn handle_connected(&mut self, now: MonotonicTime) -> Vec<ClusterViewOutput> {
+        let outputs = self.control_session.handle_connected(now);
         self.apply_session_outputs(now, outputs);
         self.take_outputs()
     }
@@ -164,8 +164,8 @@
     }
 
     /// Handles a stream that failed or was closed by the other side.
-    pub fn disconnected(&mut self, now: MonotonicTime) -> Vec<ClusterViewOutput> {
-        let outputs = self.control_session.disconnected(now);
+    pub fn handle_disconnected(&mut self, now: MonotonicTime) -> Vec<ClusterViewOutput> {
+        let outputs = self.control_session.handle_disconnected(now);
         self.apply_session_outputs(now, outputs);
         self.take_outputs()
     }
--- a/crates/dataplane/src/control_session/mod.rs
+++ b/crates/dataplane/src/control_session/mod.rs
@@ -307,7 +307,7 @@
     }
 
     /// Handles the establishment of the dialed connection.
-    pub fn connected(&mut self, now: MonotonicTime) -> Vec<ControlSessionOutput> {
+    pub fn handle_connected(&mut self, now: MonotonicTime) -> Vec<ControlSessionOutput> {
         if let StreamState::Dialing { .. } = self.state {
             self.state = StreamState::Open {
                 give_up_at: now + self.timing.welcome_timeout,
@@ -318,7 +318,7 @@
     }
 
     /// Handles a connection that failed or was closed by the other side.
-    pub fn disconnected(&mut self, now: MonotonicTime) -> Vec<ControlSessionOutput> {
+    pub fn handle_disconnected(&mut self, now: MonotonicTime) -> Vec<ControlSessionOutput> {
         let was_welcomed = self.is_welcomed();
         self.go_idle(now);
         if was_welcomed {
--- a/crates/dataplane/src/drivers/control.rs
+++ b/crates/dataplane/src/drivers/control.rs
@@ -166,11 +166,11 @@
         let outputs = match event {
             StreamEvent::Connected(sender) => {
                 self.stream = Some(sender);
-                self.daemon_control.connected(agent, now)
+                self.daemon_control.handle_connected(agent, now)
             }
             StreamEvent::Disconnected => {
                 self.stream = None;
-                self.daemon_control.disconnected(agent, now)
+                self.daemon_control.handle_disconnected(agent, now)
             }
             StreamEvent::Received(frame) => self.daemon_control.received(agent, now, frame),
             StreamEvent::ReceivedPart => {
--- a/crates/dataplane/tests/agent/serving.rs
+++ b/crates/dataplane/tests/agent/serving.rs
@@ -69,6 +69,6 @@
 fn a_daemon_that_does_not_serve_gives_a_retry_after() -> Result<()> {
     let mut bench = DaemonBench::new(Rules::ALL_ENFORCED);
     verify_that!(bench.agent.not_serving_retry_after(), eq(ms(400)))?;
-    bench.control.disconnected(&bench.agent, bench.now);
+    bench.control.handle_disconnected(&bench.agent, bench.now);
     verify_that!(bench.agent.not_serving_retry_after(), eq(ms(1000)))
 }
--- a/crates/dataplane/tests/control_session.rs
+++ b/crates/dataplane/tests/control_session.rs
@@ -67,7 +67,7 @@
 
 fn welcomed(control_session: &mut ControlSession) -> CorrelationId {
     control_session.tick(START);
-    control_session.connected(START);
+    control_session.handle_connected(START);
     control_session.received(START, LeaderToDaemon::Welcome { term: Term(2) });
     renewal(&control_session.tick(START)).expect("a renewal")
 }
@@ -114,7 +114,7 @@
 fn a_silent_leader_is_dropped_and_not_dialed_again_at_once() -> Result<()> {
     let mut control_session = control_session();
     let first_address = dialed(&control_session.tick(START)).expect("dialed");
-    control_session.connected(START);
+    control_session.handle_connected(START);
     control_session.received(START, LeaderToDaemon::Welcome { term: Term(2) });
     let mut now = START;
     let mut later_addresses = Vec::new();
@@ -123,7 +123,7 @@
         let outputs = control_session.tick(now);
         if let Some(dialed_address) = dialed(&outputs) {
             later_addresses.push(dialed_address);
-            control_session.connected(now);
+            control_session.handle_connected(now);
             let hint = LeaderToDaemon::Redirect {
                 leader: first_address,
             };
@@ -145,7 +145,7 @@
         match dialed(&control_session.tick(now)) {
             Some(dialed_address) if dialed_address == first_address => break,
             Some(_) => {
-                control_session.connected(now);
+                control_session.handle_connected(now);
                 control_session.received(
                     now,
                     LeaderToDaemon::Redirect {
@@ -170,10 +170,10 @@
 fn a_hinted_leader_is_dialed_at_once_and_circular_hints_are_delayed() -> Result<()> {
     let mut control_session = control_session();
     control_session.tick(START);
-    control_session.connected(START);
+    control_session.handle_connected(START);
     control_session.received(START, LeaderToDaemon::Redirect { leader: address(3) });
     verify_that!(dialed(&control_session.tick(START)), some(eq(address(3))))?;
-    control_session.connected(START);
+    control_session.handle_connected(START);
     control_session.received(
         START + ms(2),
         LeaderToDaemon::Redirect { leader: address(2) },
@@ -181,7 +181,7 @@
     verify_that!(dialed(&control_session.tick(START + ms(2))), none())?;
     let mut paused = self::control_session();
     paused.tick(START);
-    paused.connected(START);
+    paused.handle_connected(START);
     paused.received(
         START,
         LeaderToDaemon::Redirect {
@@ -197,10 +197,10 @@
 fn a_leader_of_an_earlier_term_is_refused() -> Result<()> {
     let mut control_session = control_session();
     welcomed(&mut control_session);
-    control_session.disconnected(START + ms(300));
+    control_session.handle_disconnected(START + ms(300));
     let later_instant = START + ms(600);
     control_session.tick(later_instant);
-    control_session.connected(later_instant);
+    control_session.handle_connected(later_instant);
     let outputs =
         control_session.received(later_instant, LeaderToDaemon::Welcome { term: Term(1) });
     verify_that!(
@@ -223,16 +223,16 @@
     let mut control_session = control_session();
     control_session.tick(START);
     verify_that!(
-        hello_fields(&control_session.connected(START + ms(40))),
+        hello_fields(&control_session.handle_connected(START + ms(40))),
         eq((40, false))
     )?;
     control_session.received(START + ms(41), LeaderToDaemon::Welcome { term: Term(2) });
     let correlation = renewal(&control_session.tick(START + ms(41))).expect("a renewal");
     control_session.received(START + ms(45), renewed(correlation, 0));
-    control_session.disconnected(START + ms(300));
+    control_session.handle_disconnected(START + ms(300));
     control_session.tick(START + ms(600));
     verify_that!(
-        hello_fields(&control_session.connected(START + ms(601))),
+        hello_fields(&control_session.handle_connected(START + ms(601))),
         eq((601, true))
     )
 }
@@ -246,7 +246,7 @@
     for _ in 0..400 {
         if let Some(dialed_address) = dialed(&control_session.tick(now)) {
             dialed_addresses.insert(dialed_address);
-            control_session.disconnected(now);
+            control_session.handle_disconnected(now);
         }
         now = now + ms(20);
     }
--- a/testing/fleet/src/sim/connections.rs
+++ b/testing/fleet/src/sim/connections.rs
@@ -94,7 +94,7 @@
         let index = link.daemon.daemon_index();
         if self.nodes.daemon(index).is_current_link(number) {
             self.with_controller(index, |controller, agent, now| {
-                controller.connected(agent, now)
+                controller.handle_connected(agent, now)
             });
         }
     }
--- a/testing/fleet/src/sim/daemon/mod.rs
+++ b/testing/fleet/src/sim/daemon/mod.rs
@@ -285,7 +285,7 @@
                 body.link = None;
             }
             self.with_controller(index, |controller, agent, now| {
-                controller.disconnected(agent, now)
+                controller.handle_disconnected(agent, now)
             });
         }
     }
--- a/testing/fleet/src/synthetic/daemons/control.rs
+++ b/testing/fleet/src/synthetic/daemons/control.rs
@@ -227,7 +227,7 @@
         if self.is_current(link) {
             let daemon = self.links[link].daemon;
             self.control(daemon, Work::Others, |controller, agent, now| {
-                controller.connected(agent, now)
+                controller.handle_connected(agent, now)
             });
         }
     }
@@ -242,7 +242,7 @@
             started_daemon.link = None;
         }
         self.control(daemon, Work::Others, |controller, agent, now| {
-            controller.disconnected(agent, now)
+            controller.handle_disconnected(agent, now)
         });
     }
 
