--- a/crates/dataplane/src/agent/daemon_control/mod.rs
+++ b/crates/dataplane/src/agent/daemon_control/mod.rs
@@ -207,8 +207,8 @@
     }
 
     /// Handles the arrival of a part of a long frame from the leader.
-    pub fn frame_part_received(&mut self, now: MonotonicTime) {
-        self.cluster_view.frame_part_received(now);
+    pub fn handle_frame_part(&mut self, now: MonotonicTime) {
+        self.cluster_view.handle_frame_part(now);
     }
 
     /// Handles a stream that failed or was closed by the other side.
--- a/crates/dataplane/src/control_session/mod.rs
+++ b/crates/dataplane/src/control_session/mod.rs
@@ -330,7 +330,7 @@
 
     /// Handles the arrival of a part of a long frame. It shows that the leader responds, however slow the link is, but
     /// does not affect the session lease.
-    pub fn frame_part_received(&mut self, now: MonotonicTime) {
+    pub fn handle_frame_part(&mut self, now: MonotonicTime) {
         if let StreamState::Welcomed { last_heard_at, .. } = &mut self.state {
             *last_heard_at = now;
         }
@@ -368,7 +368,7 @@
                 self.renewed(now, correlation, lease_span, version, &mut outputs);
             }
             other => {
-                self.frame_part_received(now);
+                self.handle_frame_part(now);
                 outputs.push(ControlSessionOutput::Frame(other));
             }
         }
@@ -413,7 +413,7 @@
         if !self.is_welcomed() {
             return;
         }
-        self.frame_part_received(now);
+        self.handle_frame_part(now);
         self.leader.last_heard_at = now;
         let Some(sent_at) = self.pending_renewals.remove(&correlation) else {
             return;
--- a/crates/dataplane/src/drivers/control.rs
+++ b/crates/dataplane/src/drivers/control.rs
@@ -174,7 +174,7 @@
             }
             StreamEvent::Received(frame) => self.daemon_control.received(agent, now, frame),
             StreamEvent::ReceivedPart => {
-                self.daemon_control.frame_part_received(now);
+                self.daemon_control.handle_frame_part(now);
                 return;
             }
         };
--- a/crates/dataplane/tests/control_session.rs
+++ b/crates/dataplane/tests/control_session.rs
@@ -270,7 +270,7 @@
     for _ in 0..10 {
         now = now + ms(500);
         verify_that!(is_abandoned(&mut control_session, now), eq(false))?;
-        control_session.frame_part_received(now);
+        control_session.handle_frame_part(now);
     }
     verify_that!(control_session.lease_end() <= START, eq(true))?;
     verify_that!(is_abandoned(&mut control_session, now + ms(600)), eq(true))
