--- a/crates/dataplane/src/agent/daemon_control/mod.rs
+++ b/crates/dataplane/src/agent/daemon_control/mod.rs
@@ -223,20 +223,20 @@
     }
 
     /// Handles a frame from the leader.
-    pub fn received(
+    pub fn handle_frame(
         &mut self,
         agent: &Agent<W>,
         now: MonotonicTime,
         frame: LeaderToDaemon,
     ) -> Vec<DaemonControlOutput<W>> {
-        let view_outputs = self.cluster_view.received(now, frame);
+        let view_outputs = self.cluster_view.handle_frame(now, frame);
         self.apply_view_outputs(agent, now, view_outputs);
         self.take_outputs()
     }
 
     /// Handles a heartbeat. Returns false if its sender is not a listed member.
-    pub fn heartbeat(&mut self, now: MonotonicTime, heartbeat: &Heartbeat) -> bool {
-        self.cluster_view.heartbeat(now, heartbeat)
+    pub fn handle_heartbeat(&mut self, now: MonotonicTime, heartbeat: &Heartbeat) -> bool {
+        self.cluster_view.handle_heartbeat(now, heartbeat)
     }
 
     /// Acquires a function: requests its lease, or its current owner, from the leader.
--- a/crates/dataplane/src/cluster_view/leader_frames.rs
+++ b/crates/dataplane/src/cluster_view/leader_frames.rs
@@ -10,7 +10,7 @@
 use std::sync::Arc;
 
 impl ClusterView {
-    pub(super) fn handle_frame(&mut self, now: MonotonicTime, frame: LeaderToDaemon) {
+    pub(super) fn handle_session_frame(&mut self, now: MonotonicTime, frame: LeaderToDaemon) {
         match frame {
             LeaderToDaemon::Spec { version, document } => {
                 // Text that cannot be decompressed is reported as a document that cannot be parsed.
--- a/crates/dataplane/src/cluster_view/mod.rs
+++ b/crates/dataplane/src/cluster_view/mod.rs
@@ -171,19 +171,19 @@
     }
 
     /// Handles a frame from the leader.
-    pub fn received(
+    pub fn handle_frame(
         &mut self,
         now: MonotonicTime,
         frame: LeaderToDaemon,
     ) -> Vec<ClusterViewOutput> {
-        let outputs = self.control_session.received(now, frame);
+        let outputs = self.control_session.handle_frame(now, frame);
         self.apply_session_outputs(now, outputs);
         self.take_outputs()
     }
 
     /// Handles a heartbeat. Returns false if its sender is not a listed member.
-    pub fn heartbeat(&mut self, now: MonotonicTime, heartbeat: &Heartbeat) -> bool {
-        self.failure_detector.received(now, heartbeat)
+    pub fn handle_heartbeat(&mut self, now: MonotonicTime, heartbeat: &Heartbeat) -> bool {
+        self.failure_detector.handle_heartbeat(now, heartbeat)
     }
 
     /// Marks the daemon as leaving: it accepts no further leases.
@@ -236,7 +236,7 @@
                     self.void_pending_acquires(now);
                     self.outputs.push(ClusterViewOutput::ReleaseAll);
                 }
-                ControlSessionOutput::Frame(frame) => self.handle_frame(now, frame),
+                ControlSessionOutput::Frame(frame) => self.handle_session_frame(now, frame),
             }
         }
     }
--- a/crates/dataplane/src/control_session/mod.rs
+++ b/crates/dataplane/src/control_session/mod.rs
@@ -344,7 +344,7 @@
     }
 
     /// Handles a frame from the controller.
-    pub fn received(
+    pub fn handle_frame(
         &mut self,
         now: MonotonicTime,
         frame: LeaderToDaemon,
--- a/crates/dataplane/src/drivers/control.rs
+++ b/crates/dataplane/src/drivers/control.rs
@@ -172,7 +172,7 @@
                 self.stream = None;
                 self.daemon_control.handle_disconnected(agent, now)
             }
-            StreamEvent::Received(frame) => self.daemon_control.received(agent, now, frame),
+            StreamEvent::Received(frame) => self.daemon_control.handle_frame(agent, now, frame),
             StreamEvent::ReceivedPart => {
                 self.daemon_control.handle_frame_part(now);
                 return;
@@ -182,7 +182,7 @@
     }
 
     fn handle_heartbeat(&mut self, now: MonotonicTime, heartbeat: &Heartbeat) {
-        if !self.daemon_control.heartbeat(now, heartbeat) {
+        if !self.daemon_control.handle_heartbeat(now, heartbeat) {
             log_event!(
                 Debug,
                 events::HEARTBEAT_IGNORED,
--- a/crates/dataplane/src/failure_detector/mod.rs
+++ b/crates/dataplane/src/failure_detector/mod.rs
@@ -236,7 +236,7 @@
     }
 
     /// Handles a heartbeat. Returns false, and ignores it, if its sender is not another listed member.
-    pub fn received(&mut self, now: MonotonicTime, heartbeat: &Heartbeat) -> bool {
+    pub fn handle_heartbeat(&mut self, now: MonotonicTime, heartbeat: &Heartbeat) -> bool {
         let incarnation = MemberIncarnation {
             member: heartbeat.member.clone(),
             incarnation: heartbeat.incarnation,
@@ -276,7 +276,7 @@
                 self.refutation_targets.insert(sender_address);
                 self.next_heartbeat_at = now;
             } else if self.is_listed(&suspicion.incarnation) {
-                self.peer_suspicions.received(now, suspicion);
+                self.peer_suspicions.record(now, suspicion);
             }
         }
     }
--- a/crates/dataplane/src/failure_detector/suspicion.rs
+++ b/crates/dataplane/src/failure_detector/suspicion.rs
@@ -36,7 +36,7 @@
 
 impl PeerSuspicions {
     /// Records a suspicion that another daemon has sent.
-    pub(crate) fn received(&mut self, now: MonotonicTime, suspicion: &Suspicion) {
+    pub(crate) fn record(&mut self, now: MonotonicTime, suspicion: &Suspicion) {
         let remaining_relays = suspicion.remaining_relays.min(MAX_RELAYS).saturating_sub(1);
         self.records
             .entry(suspicion.incarnation.clone())
--- a/crates/dataplane/tests/agent/bench.rs
+++ b/crates/dataplane/tests/agent/bench.rs
@@ -86,7 +86,7 @@
     }
 
     pub(crate) fn receive(&mut self, frame: LeaderToDaemon) -> Vec<DaemonControlOutput<u64>> {
-        self.control.received(&self.agent, self.now, frame)
+        self.control.handle_frame(&self.agent, self.now, frame)
     }
 
     pub(crate) fn renew(&mut self, version: u64) {
--- a/crates/dataplane/tests/control_session.rs
+++ b/crates/dataplane/tests/control_session.rs
@@ -68,7 +68,7 @@
 fn welcomed(control_session: &mut ControlSession) -> CorrelationId {
     control_session.tick(START);
     control_session.handle_connected(START);
-    control_session.received(START, LeaderToDaemon::Welcome { term: Term(2) });
+    control_session.handle_frame(START, LeaderToDaemon::Welcome { term: Term(2) });
     renewal(&control_session.tick(START)).expect("a renewal")
 }
 
@@ -84,7 +84,7 @@
 fn a_lease_runs_from_the_time_its_renewal_was_sent() -> Result<()> {
     let mut control_session = control_session();
     let correlation = welcomed(&mut control_session);
-    control_session.received(START + ms(700), renewed(correlation, 0));
+    control_session.handle_frame(START + ms(700), renewed(correlation, 0));
     verify_that!(control_session.lease_end(), eq(START + ms(2000)))?;
     let before = control_session.tick(START + ms(1999));
     verify_that!(ends_lease(&before), eq(false))?;
@@ -96,17 +96,17 @@
 fn a_renewal_after_the_lease_end_or_with_a_newer_spec_does_not_extend_the_lease() -> Result<()> {
     let mut late_session = control_session();
     let correlation = welcomed(&mut late_session);
-    late_session.received(START + ms(2500), renewed(correlation, 0));
+    late_session.handle_frame(START + ms(2500), renewed(correlation, 0));
     verify_that!(late_session.lease_end(), eq(MonotonicTime::ZERO))?;
     let mut behind_session = control_session();
     let correlation = welcomed(&mut behind_session);
-    behind_session.received(START + ms(5), renewed(correlation, 7));
+    behind_session.handle_frame(START + ms(5), renewed(correlation, 7));
     verify_that!(behind_session.lease_end(), eq(MonotonicTime::ZERO))?;
     let mut repeated_session = control_session();
     let correlation = welcomed(&mut repeated_session);
-    repeated_session.received(START + ms(5), renewed(correlation, 0));
+    repeated_session.handle_frame(START + ms(5), renewed(correlation, 0));
     let end = repeated_session.lease_end();
-    repeated_session.received(START + ms(900), renewed(correlation, 0));
+    repeated_session.handle_frame(START + ms(900), renewed(correlation, 0));
     verify_that!(repeated_session.lease_end(), eq(end))
 }
 
@@ -115,7 +115,7 @@
     let mut control_session = control_session();
     let first_address = dialed(&control_session.tick(START)).expect("dialed");
     control_session.handle_connected(START);
-    control_session.received(START, LeaderToDaemon::Welcome { term: Term(2) });
+    control_session.handle_frame(START, LeaderToDaemon::Welcome { term: Term(2) });
     let mut now = START;
     let mut later_addresses = Vec::new();
     while now < START + ms(2000) {
@@ -127,7 +127,7 @@
             let hint = LeaderToDaemon::Redirect {
                 leader: first_address,
             };
-            control_session.received(now, hint);
+            control_session.handle_frame(now, hint);
         }
     }
     verify_that!(later_addresses.len(), ge(3))?;
@@ -146,7 +146,7 @@
             Some(dialed_address) if dialed_address == first_address => break,
             Some(_) => {
                 control_session.handle_connected(now);
-                control_session.received(
+                control_session.handle_frame(
                     now,
                     LeaderToDaemon::Redirect {
                         leader: first_address,
@@ -171,10 +171,10 @@
     let mut control_session = control_session();
     control_session.tick(START);
     control_session.handle_connected(START);
-    control_session.received(START, LeaderToDaemon::Redirect { leader: address(3) });
+    control_session.handle_frame(START, LeaderToDaemon::Redirect { leader: address(3) });
     verify_that!(dialed(&control_session.tick(START)), some(eq(address(3))))?;
     control_session.handle_connected(START);
-    control_session.received(
+    control_session.handle_frame(
         START + ms(2),
         LeaderToDaemon::Redirect { leader: address(2) },
     );
@@ -182,7 +182,7 @@
     let mut paused = self::control_session();
     paused.tick(START);
     paused.handle_connected(START);
-    paused.received(
+    paused.handle_frame(
         START,
         LeaderToDaemon::Redirect {
             leader: SocketAddress::UNSPECIFIED,
@@ -202,7 +202,7 @@
     control_session.tick(later_instant);
     control_session.handle_connected(later_instant);
     let outputs =
-        control_session.received(later_instant, LeaderToDaemon::Welcome { term: Term(1) });
+        control_session.handle_frame(later_instant, LeaderToDaemon::Welcome { term: Term(1) });
     verify_that!(
         outputs
             .iter()
@@ -226,9 +226,9 @@
         hello_fields(&control_session.handle_connected(START + ms(40))),
         eq((40, false))
     )?;
-    control_session.received(START + ms(41), LeaderToDaemon::Welcome { term: Term(2) });
+    control_session.handle_frame(START + ms(41), LeaderToDaemon::Welcome { term: Term(2) });
     let correlation = renewal(&control_session.tick(START + ms(41))).expect("a renewal");
-    control_session.received(START + ms(45), renewed(correlation, 0));
+    control_session.handle_frame(START + ms(45), renewed(correlation, 0));
     control_session.handle_disconnected(START + ms(300));
     control_session.tick(START + ms(600));
     verify_that!(
--- a/crates/dataplane/tests/failure_detector.rs
+++ b/crates/dataplane/tests/failure_detector.rs
@@ -155,7 +155,7 @@
             let number = usize::from(to.0.port()) - 7000;
             let is_lost = self.rng.random_bool(self.loss);
             if let Some(failure_detector) = self.detectors[number].as_mut().filter(|_| !is_lost) {
-                failure_detector.received(self.now, heartbeat);
+                failure_detector.handle_heartbeat(self.now, heartbeat);
             }
         }
     }
@@ -237,11 +237,11 @@
         failure_detector.tick(now);
     }
     verify_that!(
-        failure_detector.received(late, &heartbeat(9, 1, vec![])),
+        failure_detector.handle_heartbeat(late, &heartbeat(9, 1, vec![])),
         eq(false)
     )?;
     verify_that!(
-        failure_detector.received(late, &heartbeat(2, 4, vec![])),
+        failure_detector.handle_heartbeat(late, &heartbeat(2, 4, vec![])),
         eq(false)
     )?;
     verify_that!(
@@ -250,7 +250,7 @@
     )?;
     verify_that!(failure_detector.ignored_count(), eq(2))?;
     verify_that!(
-        failure_detector.received(late, &heartbeat(2, 5, vec![])),
+        failure_detector.handle_heartbeat(late, &heartbeat(2, 5, vec![])),
         eq(true)
     )?;
     verify_that!(
@@ -271,7 +271,7 @@
         incarnation: incarnation_of(1, 1),
         remaining_relays: MAX_RELAYS,
     };
-    failure_detector.received(START + ms(20), &heartbeat(2, 5, vec![suspicion]));
+    failure_detector.handle_heartbeat(START + ms(20), &heartbeat(2, 5, vec![suspicion]));
     verify_that!(failure_detector.next_due(), le(START + ms(20)))?;
     let outputs = failure_detector.tick(START + ms(20));
     let is_refutation_to_peer = |output: &FailureDetectorOutput| matches!(output, FailureDetectorOutput::HeartbeatDatagram(_, addresses) if addresses.contains(&address(2)));
@@ -301,7 +301,7 @@
         incarnation: incarnation_of(5, 1),
         remaining_relays: 1,
     };
-    failure_detector.received(START, &heartbeat(2, 1, vec![suspicion]));
+    failure_detector.handle_heartbeat(START, &heartbeat(2, 1, vec![suspicion]));
     verify_that!(alive_members(&failure_detector, START).len(), eq(9))?;
     let is_forwarded = failure_detector.tick(START + ms(250)).into_iter().any(
         |output| matches!(output, FailureDetectorOutput::HeartbeatDatagram(heartbeat, _) if !heartbeat.suspicions.0.is_empty()),
--- a/crates/dataplane/tests/regional/ingress.rs
+++ b/crates/dataplane/tests/regional/ingress.rs
@@ -38,7 +38,7 @@
                 "budget_ms": 3000, "kind": "repeatable", "identities": identities,
             }},
         });
-        control.received(&agent, START, spec_frame_of(spec, 2));
+        control.handle_frame(&agent, START, spec_frame_of(spec, 2));
         let all_hosts = vec![
             own_host,
             host("daemon-2", "here", 4),
--- a/crates/dataplane/tests/support/daemon_control.rs
+++ b/crates/dataplane/tests/support/daemon_control.rs
@@ -24,7 +24,7 @@
     let mut control = DaemonControl::new(START, agent, timing, own_address, seeds, rng);
     control.tick(agent, START);
     control.handle_connected(agent, START);
-    control.received(agent, START, LeaderToDaemon::Welcome { term: Term(2) });
+    control.handle_frame(agent, START, LeaderToDaemon::Welcome { term: Term(2) });
     control
 }
 
--- a/testing/fleet/src/sim/connections.rs
+++ b/testing/fleet/src/sim/connections.rs
@@ -116,7 +116,7 @@
         let index = link.daemon.daemon_index();
         if self.nodes.daemon(index).is_current_link(number) {
             self.with_controller(index, |controller, agent, now| {
-                controller.received(agent, now, frame)
+                controller.handle_frame(agent, now, frame)
             });
         }
     }
--- a/testing/fleet/src/sim/daemon/mod.rs
+++ b/testing/fleet/src/sim/daemon/mod.rs
@@ -275,7 +275,7 @@
     ) {
         let local_now = self.daemon_now(index);
         if let Some(body) = &mut self.nodes.daemon_mut(index).body {
-            body.controller.heartbeat(local_now, heartbeat);
+            body.controller.handle_heartbeat(local_now, heartbeat);
         }
     }
 
--- a/testing/fleet/src/synthetic/daemons/control.rs
+++ b/testing/fleet/src/synthetic/daemons/control.rs
@@ -277,7 +277,7 @@
         };
         let daemon = self.links[link].daemon;
         self.control(daemon, work, |controller, agent, now| {
-            controller.received(agent, now, frame)
+            controller.handle_frame(agent, now, frame)
         });
     }
 
@@ -326,7 +326,7 @@
         let controller = &mut started_daemon.controller;
         self.meter
             .measure_step(Role::Ingress, Work::Heartbeats, || {
-                controller.heartbeat(now, &heartbeat.heartbeat)
+                controller.handle_heartbeat(now, &heartbeat.heartbeat)
             });
     }
 }
