--- a/crates/dataplane/src/agent/daemon_control/mod.rs
+++ b/crates/dataplane/src/agent/daemon_control/mod.rs
@@ -123,7 +123,7 @@
             },
         );
         if let Some(function) = wanted {
-            let view_outputs = self.cluster_view.acquire(now, function);
+            let view_outputs = self.cluster_view.request_lease(now, function);
             self.apply_view_outputs(agent, now, view_outputs);
         }
     }
@@ -240,19 +240,19 @@
     }
 
     /// Acquires a function: requests its lease, or its current owner, from the leader.
-    pub fn acquire(
+    pub fn request_lease(
         &mut self,
         agent: &Agent<W>,
         now: MonotonicTime,
         function: FunctionKey,
     ) -> Vec<DaemonControlOutput<W>> {
-        let view_outputs = self.cluster_view.acquire(now, function);
+        let view_outputs = self.cluster_view.request_lease(now, function);
         self.apply_view_outputs(agent, now, view_outputs);
         self.take_outputs()
     }
 
     /// Sends a holder's message to the leader.
-    pub fn holder_message(
+    pub fn handle_holder_message(
         &mut self,
         agent: &Agent<W>,
         now: MonotonicTime,
@@ -262,7 +262,7 @@
     ) -> Vec<DaemonControlOutput<W>> {
         match message {
             HolderMessage::Reserve => {
-                let view_outputs = self.cluster_view.reserve(function, fencing_token);
+                let view_outputs = self.cluster_view.request_runner(function, fencing_token);
                 self.apply_view_outputs(agent, now, view_outputs);
             }
             HolderMessage::RunnerStatus {
--- a/crates/dataplane/src/cluster_view/leader_requests.rs
+++ b/crates/dataplane/src/cluster_view/leader_requests.rs
@@ -22,7 +22,11 @@
 impl ClusterView {
     /// Requests a function lease from the leader. While a wait announced by the leader for this function is pending, no
     /// further request is sent, and the remaining wait is reported instead.
-    pub fn acquire(&mut self, now: MonotonicTime, function: FunctionKey) -> Vec<ClusterViewOutput> {
+    pub fn request_lease(
+        &mut self,
+        now: MonotonicTime,
+        function: FunctionKey,
+    ) -> Vec<ClusterViewOutput> {
         let pending_expected_at = self
             .acquires
             .values()
@@ -69,7 +73,7 @@
     }
 
     /// Requests one more runner for a held function from the leader.
-    pub fn reserve(
+    pub fn request_runner(
         &mut self,
         function: FunctionKey,
         fencing_token: FencingToken,
--- a/crates/dataplane/src/drivers/control.rs
+++ b/crates/dataplane/src/drivers/control.rs
@@ -135,7 +135,7 @@
                 fencing_token,
                 message,
             } => {
-                let outputs = self.daemon_control.holder_message(
+                let outputs = self.daemon_control.handle_holder_message(
                     agent,
                     now,
                     function,
@@ -210,7 +210,7 @@
         self.state.metrics.owners.acquisitions.inc();
         let outputs = self
             .daemon_control
-            .acquire(&self.state.agent, now, function);
+            .request_lease(&self.state.agent, now, function);
         self.execute(outputs);
     }
 
--- a/crates/dataplane/src/drivers/state.rs
+++ b/crates/dataplane/src/drivers/state.rs
@@ -122,7 +122,7 @@
 
     /// Acquires a function's owner from the leader. Concurrent requests for a function share one acquisition. Returns
     /// `None` if the acquisition ends without a result, for example when the stream to the leader is lost.
-    pub async fn acquire(&self, function: &FunctionKey) -> Option<AcquireResult> {
+    pub async fn request_lease(&self, function: &FunctionKey) -> Option<AcquireResult> {
         let (result_sender, result) = oneshot::channel();
         let _ = self
             .control
--- a/crates/dataplane/src/request_pipeline/forward_to_holder.rs
+++ b/crates/dataplane/src/request_pipeline/forward_to_holder.rs
@@ -174,11 +174,11 @@
             .forwarded(&self.state.agent, MonotonicTime::now(), result)
     }
 
-    async fn acquire(&mut self, wait_until: MonotonicTime) -> LocalForwardingStep {
+    async fn request_lease(&mut self, wait_until: MonotonicTime) -> LocalForwardingStep {
         self.count_lookup("acquired");
         let wait = wait_until.since(MonotonicTime::now());
         let function = self.forwarding.request().function.clone();
-        let acquiring = timeout(wait, self.state.acquire(&function));
+        let acquiring = timeout(wait, self.state.request_lease(&function));
         tokio::select! {
             biased;
             acquired = acquiring => match acquired {
@@ -251,7 +251,7 @@
                 body,
                 wait_until,
             } => run.forward(host, body, wait_until).await,
-            ForwardingStep::Acquire { wait_until } => run.acquire(wait_until).await,
+            ForwardingStep::Acquire { wait_until } => run.request_lease(wait_until).await,
             ForwardingStep::Wait { wait_until } => run.wait(&mut changes, wait_until).await,
             ForwardingStep::End(outcome, holder) => {
                 return ForwardedOutcome {
--- a/crates/dataplane/tests/agent/late_leases.rs
+++ b/crates/dataplane/tests/agent/late_leases.rs
@@ -49,7 +49,9 @@
     let late_renewal = renewal_correlation(&outputs);
     bench.list_own_host();
     let function = bench.key("f");
-    let outputs = bench.control.acquire(&bench.agent, bench.now, function);
+    let outputs = bench
+        .control
+        .request_lease(&bench.agent, bench.now, function);
     let acquire_request = acquire_correlation(&outputs).expect("an acquisition");
     bench.now = bench.now + ms(300);
     let outputs = bench.control.tick(&bench.agent, bench.now);
@@ -101,7 +103,7 @@
     let function = bench.key("f");
     let outputs = bench
         .control
-        .acquire(&bench.agent, bench.now, function.clone());
+        .request_lease(&bench.agent, bench.now, function.clone());
     let later_acquire_request = acquire_correlation(&outputs).expect("an acquisition");
     verify_that!(
         releases_lease(&bench.receive(granted_frame(acquire_request, &function))),
--- a/testing/fleet/src/sim/daemon/requests.rs
+++ b/testing/fleet/src/sim/daemon/requests.rs
@@ -311,7 +311,7 @@
         waiting.push(number);
         if waiting.len() == 1 {
             self.with_controller(index, |controller, agent, now| {
-                controller.acquire(agent, now, function)
+                controller.request_lease(agent, now, function)
             });
         }
     }
--- a/testing/fleet/src/sim/dispatch.rs
+++ b/testing/fleet/src/sim/dispatch.rs
@@ -103,7 +103,7 @@
             }
             DaemonEvent::FromHolder(node, _, function, fencing_token, word) => {
                 self.with_controller(node.daemon_index(), |controller, agent, now| {
-                    controller.holder_message(agent, now, function, fencing_token, word)
+                    controller.handle_holder_message(agent, now, function, fencing_token, word)
                 });
             }
             DaemonEvent::ProcessGone(node, _) => {
--- a/testing/fleet/src/synthetic/daemons/forwarding.rs
+++ b/testing/fleet/src/synthetic/daemons/forwarding.rs
@@ -302,7 +302,7 @@
         waiting.push(number);
         if waiting.len() == 1 {
             self.control(daemon, Work::Leases, |controller, agent, now| {
-                controller.acquire(agent, now, function)
+                controller.request_lease(agent, now, function)
             });
         }
     }
--- a/testing/fleet/src/synthetic/daemons/holder.rs
+++ b/testing/fleet/src/synthetic/daemons/holder.rs
@@ -77,7 +77,7 @@
             fencing_token,
         } = holder_key;
         self.control(daemon, Work::Runners, |controller, agent, now| {
-            controller.holder_message(agent, now, function, fencing_token, message)
+            controller.handle_holder_message(agent, now, function, fencing_token, message)
         });
     }
 
