--- a/crates/dataplane/src/agent/daemon_control/held_functions.rs
+++ b/crates/dataplane/src/agent/daemon_control/held_functions.rs
@@ -110,7 +110,12 @@
     }
 
     /// Starts holding a function whose lease was granted, unless it is already held under this lease or a newer one.
-    pub(super) fn granted(&mut self, agent: &Agent<W>, now: MonotonicTime, terms: LeaseTerms) {
+    pub(super) fn handle_lease_granted(
+        &mut self,
+        agent: &Agent<W>,
+        now: MonotonicTime,
+        terms: LeaseTerms,
+    ) {
         let (function, fencing_token) = (terms.function.clone(), terms.fencing_token);
         let held_fencing_token = agent
             .held_function(&function)
@@ -144,7 +149,7 @@
 
     /// Passes the result of a reservation to the function's holder. If the function is no longer held, a reserved
     /// runner is returned to the leader.
-    pub(super) fn reserved(
+    pub(super) fn handle_reserve_result(
         &mut self,
         agent: &Agent<W>,
         now: MonotonicTime,
--- a/crates/dataplane/src/agent/daemon_control/view_outputs.rs
+++ b/crates/dataplane/src/agent/daemon_control/view_outputs.rs
@@ -37,9 +37,9 @@
                 self.outputs
                     .push(DaemonControlOutput::HeartbeatDatagram(heartbeat, addresses));
             }
-            ClusterViewOutput::Welcomed(term) => self.welcomed(agent, now, term),
+            ClusterViewOutput::Welcomed(term) => self.handle_welcome(agent, now, term),
             ClusterViewOutput::StreamLost(lost_reserves) => {
-                self.stream_lost(agent, now, lost_reserves)
+                self.handle_stream_lost(agent, now, lost_reserves)
             }
             ClusterViewOutput::ServeUntil(lease_end) => self.serve_until(agent, now, lease_end),
             ClusterViewOutput::ReleaseAll => self.release_all(agent, now),
@@ -49,17 +49,17 @@
                 self.log_event(events::SPEC_INSTALL_FAILED, detail);
             }
             ClusterViewOutput::Hosts(alive_hosts) => self.set_hosts(agent, now, alive_hosts),
-            ClusterViewOutput::LeaseGranted(terms) => self.granted(agent, now, terms),
+            ClusterViewOutput::LeaseGranted(terms) => self.handle_lease_granted(agent, now, terms),
             ClusterViewOutput::Acquired {
                 function,
                 result,
                 round_trip,
-            } => self.acquired(agent, function, result, round_trip),
+            } => self.handle_acquire_result(agent, function, result, round_trip),
             ClusterViewOutput::Reserved {
                 function,
                 fencing_token,
                 result,
-            } => self.reserved(agent, now, function, fencing_token, &result),
+            } => self.handle_reserve_result(agent, now, function, fencing_token, &result),
             ClusterViewOutput::Command(function, command) => {
                 self.apply_command(agent, now, &function, command)
             }
@@ -86,14 +86,14 @@
                 });
             }
             FunctionCommand::Revoke(fencing_token) => {
-                self.revoked(agent, now, function, fencing_token)
+                self.handle_revoke(agent, now, function, fencing_token)
             }
             FunctionCommand::RunnerUnlisted(runner) => {
                 self.apply_if_held(agent, function, runner.fencing_token, |holder| {
                     holder.handle_runner_gone(now, runner)
                 });
             }
-            FunctionCommand::Drain(runner) => self.drain(agent, now, function, runner),
+            FunctionCommand::Drain(runner) => self.handle_drain(agent, now, function, runner),
             FunctionCommand::HandOver(fencing_token) => {
                 self.begin_release(agent, now, function, fencing_token)
             }
@@ -106,14 +106,14 @@
         self.outputs.push(DaemonControlOutput::Changed);
     }
 
-    fn welcomed(&mut self, agent: &Agent<W>, now: MonotonicTime, term: Term) {
+    fn handle_welcome(&mut self, agent: &Agent<W>, now: MonotonicTime, term: Term) {
         agent.set_has_leader(true);
         self.log_event(events::STREAM_OPENED, format!("leader of term {term}"));
         self.send_claims(agent, now);
         self.outputs.push(DaemonControlOutput::Changed);
     }
 
-    fn stream_lost(
+    fn handle_stream_lost(
         &mut self,
         agent: &Agent<W>,
         now: MonotonicTime,
@@ -141,7 +141,7 @@
         agent.set_session_lease_end(lease_end);
     }
 
-    fn acquired(
+    fn handle_acquire_result(
         &mut self,
         agent: &Agent<W>,
         function: FunctionKey,
@@ -162,7 +162,7 @@
         }
     }
 
-    fn revoked(
+    fn handle_revoke(
         &mut self,
         agent: &Agent<W>,
         now: MonotonicTime,
@@ -176,7 +176,7 @@
         }
     }
 
-    fn drain(
+    fn handle_drain(
         &mut self,
         agent: &Agent<W>,
         now: MonotonicTime,
--- a/crates/dataplane/src/cluster_view/leader_frames.rs
+++ b/crates/dataplane/src/cluster_view/leader_frames.rs
@@ -45,7 +45,7 @@
                     removed.0,
                     suspected.0,
                 );
-                self.host_delta_handled(now, is_applied);
+                self.handle_host_delta_result(now, is_applied);
             }
             LeaderToDaemon::Acquired {
                 correlation,
@@ -90,7 +90,7 @@
     }
 
     /// Refreshes the live hosts after a delta of the host list was applied; requests the complete list if it was not.
-    fn host_delta_handled(&mut self, now: MonotonicTime, is_applied: bool) {
+    fn handle_host_delta_result(&mut self, now: MonotonicTime, is_applied: bool) {
         if is_applied {
             self.refresh_hosts(now);
         } else {
--- a/crates/dataplane/src/control_session/mod.rs
+++ b/crates/dataplane/src/control_session/mod.rs
@@ -358,14 +358,14 @@
                 self.hang_up(now, &mut outputs);
                 self.follow_hint(now);
             }
-            LeaderToDaemon::Welcome { term } => self.welcomed(now, term, &mut outputs),
+            LeaderToDaemon::Welcome { term } => self.handle_welcome(now, term, &mut outputs),
             LeaderToDaemon::Renewed {
                 correlation,
                 lease_ms,
                 version,
             } => {
                 let lease_span = Duration::from_millis(u64::from(lease_ms));
-                self.renewed(now, correlation, lease_span, version, &mut outputs);
+                self.handle_renewed(now, correlation, lease_span, version, &mut outputs);
             }
             other => {
                 self.handle_frame_part(now);
@@ -377,7 +377,7 @@
 
     /// Handles the acceptance of the stream by a leader. A leader of an earlier term than the newest known one is
     /// rejected while a lease from the newer leader may still be valid.
-    fn welcomed(
+    fn handle_welcome(
         &mut self,
         now: MonotonicTime,
         term: Term,
@@ -402,7 +402,7 @@
 
     /// Handles a renewal of the session lease by the leader. The lease runs from when the renewal was sent, which is
     /// before the leader received it. It is extended only if this daemon's spec is as new as the leader's.
-    fn renewed(
+    fn handle_renewed(
         &mut self,
         now: MonotonicTime,
         correlation: CorrelationId,
