--- a/crates/dataplane/src/agent/forwarding/step_results.rs
+++ b/crates/dataplane/src/agent/forwarding/step_results.rs
@@ -36,7 +36,7 @@
 
     /// Handles the outcome returned by the holder in this daemon. A holder that admits no more requests has certainly
     /// not run this one.
-    pub fn served<W>(
+    pub fn handle_local_outcome<W>(
         &mut self,
         agent: &Agent<W>,
         now: MonotonicTime,
@@ -66,7 +66,7 @@
     }
 
     /// Handles the result of sending the request to another daemon.
-    pub fn forwarded<W>(
+    pub fn handle_forward_result<W>(
         &mut self,
         agent: &Agent<W>,
         now: MonotonicTime,
@@ -194,7 +194,7 @@
 
     /// Handles the leader's response to the acquisition; `None` if the acquisition was lost. If the leader announces a
     /// wait that exceeds the request's remaining time, the request ends at once.
-    pub fn acquired<W>(
+    pub fn handle_acquire_result<W>(
         &mut self,
         agent: &Agent<W>,
         now: MonotonicTime,
--- a/crates/dataplane/src/request_pipeline/forward_to_holder.rs
+++ b/crates/dataplane/src/request_pipeline/forward_to_holder.rs
@@ -135,7 +135,8 @@
         let region = &self.forwarding.request().region;
         let hint = agent.regional_hint(MonotonicTime::now(), &held.function, region);
         self.handle_regional_hint(hint);
-        self.forwarding.served(agent, MonotonicTime::now(), outcome)
+        self.forwarding
+            .handle_local_outcome(agent, MonotonicTime::now(), outcome)
     }
 
     async fn forward(
@@ -171,7 +172,7 @@
             }
         };
         self.forwarding
-            .forwarded(&self.state.agent, MonotonicTime::now(), result)
+            .handle_forward_result(&self.state.agent, MonotonicTime::now(), result)
     }
 
     async fn request_lease(&mut self, wait_until: MonotonicTime) -> LocalForwardingStep {
@@ -184,7 +185,7 @@
             acquired = acquiring => match acquired {
                 Ok(result) => {
                     let now = MonotonicTime::now();
-                    self.forwarding.acquired(&self.state.agent, now, result)
+                    self.forwarding.handle_acquire_result(&self.state.agent, now, result)
                 }
                 Err(_) => self.advance(),
             },
--- a/crates/dataplane/tests/agent/bench.rs
+++ b/crates/dataplane/tests/agent/bench.rs
@@ -139,12 +139,12 @@
     }
 
     /// Handles the result of forwarding a request to another daemon.
-    pub(crate) fn forwarded(
+    pub(crate) fn handle_forward_result(
         &self,
         forwarding: &mut Forwarding,
         result: ForwardResult,
     ) -> ForwardingStep<u64> {
-        forwarding.forwarded(&self.agent, self.now, result)
+        forwarding.handle_forward_result(&self.agent, self.now, result)
     }
 
     pub(crate) fn mark_suspected(&mut self, lost_host: &Host) {
--- a/crates/dataplane/tests/agent/forwarding.rs
+++ b/crates/dataplane/tests/agent/forwarding.rs
@@ -12,14 +12,14 @@
     let bench = DaemonBench::serving();
     let (mut forwarding, _) = bench.begin_request();
     let result = Some(AcquireResult::RetryLater { wait_ms: 2300 });
-    let step = forwarding.acquired(&bench.agent, bench.now, result);
+    let step = forwarding.handle_acquire_result(&bench.agent, bench.now, result);
     verify_that!(
         rejection(&step),
         some(eq((RequestFailureReason::NoOwner, 2500)))
     )?;
     let (mut forwarding, _) = bench.begin_request();
     let result = Some(AcquireResult::RetryLater { wait_ms: 300 });
-    let step = forwarding.acquired(&bench.agent, bench.now, result);
+    let step = forwarding.handle_acquire_result(&bench.agent, bench.now, result);
     verify_that!(matches!(step, ForwardingStep::Wait { .. }), eq(true))
 }
 
@@ -28,7 +28,8 @@
     let bench = DaemonBench::serving();
     let (mut forwarding, _) = bench.begin_request();
     let declined = not_run(RequestFailureReason::NotHolder, 50);
-    let ForwardingStep::Wait { wait_until } = forwarding.served(&bench.agent, bench.now, declined)
+    let ForwardingStep::Wait { wait_until } =
+        forwarding.handle_local_outcome(&bench.agent, bench.now, declined)
     else {
         return fail!("the owner of a declined request is not looked up again");
     };
@@ -45,7 +46,7 @@
     let bench = DaemonBench::serving();
     let (mut forwarding, _) = bench.begin_request();
     let rejected = not_run(RequestFailureReason::NotAllowed, 500);
-    let step = bench.forwarded(&mut forwarding, completed(rejected));
+    let step = bench.handle_forward_result(&mut forwarding, completed(rejected));
     (bench, forwarding, step)
 }
 
@@ -118,7 +119,9 @@
     let (mut forwarding, _) = bench.begin_request();
     let referral = || not_run(RequestFailureReason::NotHolder, 50);
     let end = ForwardResult::Completed(referral(), Some(holder.clone()));
-    let ForwardingStep::Forward { host, body, .. } = bench.forwarded(&mut forwarding, end) else {
+    let ForwardingStep::Forward { host, body, .. } =
+        bench.handle_forward_result(&mut forwarding, end)
+    else {
         return fail!("the ingress daemon does not follow the referral");
     };
     verify_that!(host, eq(&holder))?;
@@ -132,7 +135,7 @@
         ),
         eq(true)
     )?;
-    let retried = bench.forwarded(
+    let retried = bench.handle_forward_result(
         &mut forwarding,
         ForwardResult::Completed(referral(), Some(holder)),
     );
@@ -144,7 +147,7 @@
     let bench = DaemonBench::serving_with(vec![remote_host("daemon-2", 4)]);
     let (mut forwarding, _) = bench.begin_request();
     let result = not_run(RequestFailureReason::NoOwner, 1733);
-    let step = bench.forwarded(&mut forwarding, completed(result));
+    let step = bench.handle_forward_result(&mut forwarding, completed(result));
     verify_that!(
         rejection(&step),
         some(eq((RequestFailureReason::NoOwner, 1733)))
--- a/crates/dataplane/tests/agent/lost_requests.rs
+++ b/crates/dataplane/tests/agent/lost_requests.rs
@@ -25,7 +25,7 @@
         is_current_owner(&holder, &bench.agent.live_hosts()),
         eq(false)
     )?;
-    let step = bench.forwarded(&mut forwarding, ForwardResult::Lost);
+    let step = bench.handle_forward_result(&mut forwarding, ForwardResult::Lost);
     let ForwardingStep::Wait { wait_until } = step else {
         return fail!("the request is not retried");
     };
@@ -36,7 +36,7 @@
         eq(true)
     )?;
     let result = Some(AcquireResult::RetryLater { wait_ms: 2300 });
-    let step = forwarding.acquired(&bench.agent, wait_until, result);
+    let step = forwarding.handle_acquire_result(&bench.agent, wait_until, result);
     verify_that!(is_holder_unreachable(&step), eq(true))
 }
 
@@ -48,7 +48,7 @@
     bench.renew(4);
     bench.agent.cache_owner(&bench.key("f"), &holder);
     let (mut forwarding, _) = bench.begin_request();
-    let step = bench.forwarded(&mut forwarding, ForwardResult::Lost);
+    let step = bench.handle_forward_result(&mut forwarding, ForwardResult::Lost);
     verify_that!(
         matches!(step, ForwardingStep::End(RequestOutcome::Unknown { .. }, _)),
         eq(true)
@@ -75,7 +75,7 @@
         matches!(forwarding_step, ForwardingStep::Forward { .. }),
         eq(true)
     )?;
-    let step = bench.forwarded(&mut intermediate, ForwardResult::Lost);
+    let step = bench.handle_forward_result(&mut intermediate, ForwardResult::Lost);
     verify_that!(is_holder_unreachable(&step), eq(true))?;
 
     bench.agent.cache_owner(&bench.key("f"), &holder);
@@ -85,10 +85,10 @@
     };
     let result = || completed(unreachable.clone());
     for _ in 1..3 {
-        let step = bench.forwarded(&mut at_ingress, result());
+        let step = bench.handle_forward_result(&mut at_ingress, result());
         verify_that!(matches!(step, ForwardingStep::Wait { .. }), eq(true))?;
         verify_that!(at_ingress.request().repeat, eq(true))?;
     }
-    let step = bench.forwarded(&mut at_ingress, result());
+    let step = bench.handle_forward_result(&mut at_ingress, result());
     verify_that!(is_holder_unreachable(&step), eq(true))
 }
--- a/crates/dataplane/tests/agent/shutdown.rs
+++ b/crates/dataplane/tests/agent/shutdown.rs
@@ -66,7 +66,7 @@
     ] {
         let (mut forwarding, _) = bench.begin_request();
         forwarding.withdraw(&bench.agent);
-        let step = bench.forwarded(&mut forwarding, result);
+        let step = bench.handle_forward_result(&mut forwarding, result);
         verify_that!(reason_of(&step), some(eq(RequestFailureReason::NotServing)))?;
     }
     Ok(())
@@ -79,7 +79,7 @@
     let bench = DaemonBench::serving_with(vec![holder.clone()]);
     bench.agent.cache_owner(&bench.key("f"), &holder);
     let (mut forwarding, _) = bench.begin_request();
-    let step = bench.forwarded(&mut forwarding, ForwardResult::Lost);
+    let step = bench.handle_forward_result(&mut forwarding, ForwardResult::Lost);
     verify_that!(matches!(step, ForwardingStep::Wait { .. }), eq(true))?;
     forwarding.withdraw(&bench.agent);
     let step = forwarding.advance(&bench.agent, bench.now);
@@ -98,7 +98,7 @@
     let unknown = RequestOutcome::Unknown {
         reason: RequestFailureReason::ResponseLost,
     };
-    let step = bench.forwarded(&mut forwarding, completed(unknown.clone()));
+    let step = bench.handle_forward_result(&mut forwarding, completed(unknown.clone()));
     verify_that!(outcome_of(&step) == Some(unknown), eq(true))
 }
 
--- a/crates/dataplane/tests/regional/ingress.rs
+++ b/crates/dataplane/tests/regional/ingress.rs
@@ -164,7 +164,11 @@
             &forwarding.request().function,
             eq(&ingress_daemon.regional_key())
         )?;
-        let step = forwarding.forwarded(&ingress_daemon.agent, ingress_daemon.now, end.clone());
+        let step = forwarding.handle_forward_result(
+            &ingress_daemon.agent,
+            ingress_daemon.now,
+            end.clone(),
+        );
         let continues = !matches!(step, ForwardingStep::End(..));
         verify_that!(continues, eq(true)).with_failure_message(|| format!("{end:?}"))?;
         forwarding.advance(&ingress_daemon.agent, ingress_daemon.now);
@@ -183,7 +187,7 @@
     let mut forwarding = ingress_daemon.forwarding();
     forwarding.advance(&ingress_daemon.agent, ingress_daemon.now);
     let later = Some(AcquireResult::RetryLater { wait_ms: 1500 });
-    let step = forwarding.acquired(&ingress_daemon.agent, ingress_daemon.now, later);
+    let step = forwarding.handle_acquire_result(&ingress_daemon.agent, ingress_daemon.now, later);
     verify_that!(&forwarding.request().function, eq(&ingress_daemon.key()))?;
     verify_that!(matches!(step, ForwardingStep::End(..)), eq(false))
 }
--- a/testing/fleet/src/sim/daemon/holders.rs
+++ b/testing/fleet/src/sim/daemon/holders.rs
@@ -153,7 +153,7 @@
                 index,
                 number,
                 AwaitedStep::Outcome,
-                |forwarding, agent, now| forwarding.served(agent, now, outcome),
+                |forwarding, agent, now| forwarding.handle_local_outcome(agent, now, outcome),
             );
         }
     }
--- a/testing/fleet/src/sim/daemon/orders.rs
+++ b/testing/fleet/src/sim/daemon/orders.rs
@@ -221,7 +221,9 @@
                 index,
                 number,
                 AwaitedStep::Acquired,
-                |forwarding, agent, now| forwarding.acquired(agent, now, result.clone()),
+                |forwarding, agent, now| {
+                    forwarding.handle_acquire_result(agent, now, result.clone())
+                },
             );
         }
     }
--- a/testing/fleet/src/sim/daemon/requests.rs
+++ b/testing/fleet/src/sim/daemon/requests.rs
@@ -285,7 +285,7 @@
                 index,
                 number,
                 AwaitedStep::Outcome,
-                |forwarding, agent, now| forwarding.served(agent, now, outcome),
+                |forwarding, agent, now| forwarding.handle_local_outcome(agent, now, outcome),
             );
         }
     }
@@ -389,7 +389,7 @@
             index,
             number,
             AwaitedStep::Forwarded,
-            |forwarding, agent, now| forwarding.forwarded(agent, now, end),
+            |forwarding, agent, now| forwarding.handle_forward_result(agent, now, end),
         );
     }
 
--- a/testing/fleet/src/synthetic/daemons/forwarding.rs
+++ b/testing/fleet/src/synthetic/daemons/forwarding.rs
@@ -174,7 +174,7 @@
 
     pub(super) fn served(&mut self, request: RequestKey, outcome: RequestOutcome) {
         self.step(request, AwaitedStep::Outcome, |forwarding, agent, now| {
-            forwarding.served(agent, now, outcome)
+            forwarding.handle_local_outcome(agent, now, outcome)
         });
     }
 
@@ -237,7 +237,7 @@
 
     fn forwarded(&mut self, request: RequestKey, result: ForwardResult) {
         self.step(request, AwaitedStep::Forwarded, |forwarding, agent, now| {
-            forwarding.forwarded(agent, now, result)
+            forwarding.handle_forward_result(agent, now, result)
         });
     }
 
@@ -320,7 +320,7 @@
         for number in started_daemon.acquires.remove(function).unwrap_or_default() {
             let request = RequestKey { daemon, number };
             self.step(request, AwaitedStep::Acquired, |forwarding, agent, now| {
-                forwarding.acquired(agent, now, result.clone())
+                forwarding.handle_acquire_result(agent, now, result.clone())
             });
         }
     }
