--- a/crates/controlplane/src/controller_state/consensus_outputs.rs
+++ b/crates/controlplane/src/controller_state/consensus_outputs.rs
@@ -72,7 +72,7 @@
         };
         self.traces.record_committed(now, view_version);
         if let Some(leader_state) = &mut self.leader_state {
-            leader_state.committed(document);
+            leader_state.handle_committed(document);
         }
         self.pending_changes
             .mark_committed(committed_version.version);
--- a/crates/controlplane/src/controller_state/mod.rs
+++ b/crates/controlplane/src/controller_state/mod.rs
@@ -171,22 +171,22 @@
             ControllerInput::StreamLost(stream) => {
                 self.streams.remove(&stream);
                 if let Some(leader_state) = &mut self.leader_state {
-                    leader_state.stream_lost(stream);
+                    leader_state.handle_stream_lost(stream);
                 }
             }
             ControllerInput::Workers(listed_workers) => {
                 if let Some(leader_state) = &mut self.leader_state {
-                    leader_state.workers_listed(listed_workers);
+                    leader_state.handle_worker_list(listed_workers);
                 }
             }
             ControllerInput::Runners(listed_at, listed_runners) => {
                 if let Some(leader_state) = &mut self.leader_state {
-                    leader_state.runners_listed(listed_at, &listed_runners);
+                    leader_state.handle_runner_list(listed_at, &listed_runners);
                 }
             }
             ControllerInput::RunnerStopped(runner) => {
                 if let Some(leader_state) = &mut self.leader_state {
-                    leader_state.runner_stopped(runner);
+                    leader_state.handle_runner_stopped(runner);
                 }
             }
         }
--- a/crates/controlplane/src/leader_state/document_delivery.rs
+++ b/crates/controlplane/src/leader_state/document_delivery.rs
@@ -155,7 +155,7 @@
 
 impl LeaderState {
     /// Installs a committed document and pushes it to every member.
-    pub fn committed(&mut self, document: Document) {
+    pub fn handle_committed(&mut self, document: Document) {
         let is_evacuation = self.configuration.evacuates_more(&document);
         if self.configuration.document.is_none() {
             self.claims.inherit(&document);
--- a/crates/controlplane/src/leader_state/fence.rs
+++ b/crates/controlplane/src/leader_state/fence.rs
@@ -299,7 +299,7 @@
     }
 
     /// Handles the platform's confirmation that a runner has stopped and will never start.
-    pub fn runner_stopped(&mut self, runner: RunnerId) {
+    pub fn handle_runner_stopped(&mut self, runner: RunnerId) {
         let runner = self.reservations.current_name(runner);
         self.acquisitions.check_due = true;
         self.fencing.check_due = true;
@@ -314,7 +314,7 @@
     }
 
     /// Handles a runner that has ended without an order: its memory is freed and its holder is notified.
-    pub(super) fn runner_vanished(&mut self, runner: RunnerId) {
+    pub(super) fn handle_runner_vanished(&mut self, runner: RunnerId) {
         let Some(reservation) = self.reservations.get(runner) else {
             return;
         };
--- a/crates/controlplane/src/leader_state/host_list.rs
+++ b/crates/controlplane/src/leader_state/host_list.rs
@@ -32,7 +32,7 @@
     }
 
     /// Discards earlier reports on a member that has opened a stream, and schedules a push of the list.
-    pub(super) fn member_connected(&mut self, member: &MemberName) {
+    pub(super) fn handle_member_connected(&mut self, member: &MemberName) {
         self.reported_suspects
             .retain(|suspect| suspect.member != *member);
         self.push_due = true;
--- a/crates/controlplane/src/leader_state/lease_end.rs
+++ b/crates/controlplane/src/leader_state/lease_end.rs
@@ -24,7 +24,7 @@
     }
 
     /// Records the end of a lease. `previous_lease` is set if its replica has the complete ledger.
-    fn lease_ended(
+    fn record_lease_end(
         &mut self,
         now: MonotonicTime,
         function: &FunctionKey,
@@ -111,7 +111,7 @@
             });
         let allowed_from = lease_expires_at + self.longest_delay();
         self.once_delays
-            .lease_ended(now, function, allowed_from, previous_lease);
+            .record_lease_end(now, function, allowed_from, previous_lease);
     }
 
     /// Returns how long the next holder has to delay requests that must not run twice.
--- a/crates/controlplane/src/leader_state/member_sessions.rs
+++ b/crates/controlplane/src/leader_state/member_sessions.rs
@@ -57,7 +57,7 @@
         record.connect(now, stream, &hello, advertised_host);
         self.members.mark_changed();
         self.membership_list.check_due = true;
-        self.hosts.member_connected(&host.member);
+        self.hosts.handle_member_connected(&host.member);
         self.send_frame(
             stream,
             LeaderToDaemon::Welcome {
@@ -134,7 +134,7 @@
     }
 
     /// Handles the end of a member's stream. Its session lease lasts until it expires.
-    pub fn stream_lost(&mut self, stream: StreamId) {
+    pub fn handle_stream_lost(&mut self, stream: StreamId) {
         let Some(known_member) = self.members.close_stream(stream) else {
             return;
         };
--- a/crates/controlplane/src/leader_state/runner_list.rs
+++ b/crates/controlplane/src/leader_state/runner_list.rs
@@ -24,7 +24,11 @@
 impl LeaderState {
     /// Processes the platform's list of runners as of `listed_at`. Runners are recognised by their instances. While
     /// the claims quorum is awaited, unknown runners may still be claimed.
-    pub fn runners_listed(&mut self, listed_at: MonotonicTime, listed_runners: &[ListedRunner]) {
+    pub fn handle_runner_list(
+        &mut self,
+        listed_at: MonotonicTime,
+        listed_runners: &[ListedRunner],
+    ) {
         if listed_at < self.runner_lists.listed_at {
             return;
         }
@@ -173,7 +177,7 @@
             .map(|(runner, _)| *runner)
             .collect();
         for vanished_runner in vanished_runners {
-            self.runner_vanished(vanished_runner);
+            self.handle_runner_vanished(vanished_runner);
         }
     }
 }
--- a/crates/controlplane/src/leader_state/runner_status.rs
+++ b/crates/controlplane/src/leader_state/runner_status.rs
@@ -33,13 +33,15 @@
                     .update(current_name, |reservation| reservation.ready = true);
                 self.record_event(events::RUNNER_READY, detail);
             }
-            RunnerStatus::Gone if current_name != runner => self.runner_vanished(current_name),
+            RunnerStatus::Gone if current_name != runner => {
+                self.handle_runner_vanished(current_name)
+            }
             RunnerStatus::Gone => {
                 if reservation.instance.is_none() && !reservation.is_stopping() {
                     self.workers
                         .note_refused_start(now, reservation.worker.clone());
                 }
-                self.runner_stopped(runner);
+                self.handle_runner_stopped(runner);
             }
             RunnerStatus::Started { instance } => {
                 let owner = self.reservations.runner_with_instance(&instance.name);
--- a/crates/controlplane/src/leader_state/workers.rs
+++ b/crates/controlplane/src/leader_state/workers.rs
@@ -50,7 +50,7 @@
 
 impl LeaderState {
     /// Replaces the list of workers by a new one from the platform.
-    pub fn workers_listed(&mut self, listed_workers: Vec<ListedWorker>) {
+    pub fn handle_worker_list(&mut self, listed_workers: Vec<ListedWorker>) {
         self.workers.are_listed = true;
         self.workers.listed = listed_workers
             .into_iter()
--- a/crates/controlplane/tests/leader_state/delivery.rs
+++ b/crates/controlplane/tests/leader_state/delivery.rs
@@ -33,7 +33,7 @@
     harness.join(1, "a", Vec::new());
     harness.advance(ms(1));
     let before_count = sent(&harness).len();
-    harness.leader_state.committed(newest);
+    harness.leader_state.handle_committed(newest);
     harness.advance(ms(1));
     (before_count, sent(&harness))
 }
--- a/crates/controlplane/tests/leader_state/harness.rs
+++ b/crates/controlplane/tests/leader_state/harness.rs
@@ -44,7 +44,7 @@
     pub fn with_timing(timing: LeaderTiming, last_known: &[&str]) -> Self {
         let members: BTreeSet<KnownMember> = last_known.iter().map(|name| known(name)).collect();
         let mut leader_state = LeaderState::new(timing, Term(5), ELECTED, members, true);
-        leader_state.committed(document());
+        leader_state.handle_committed(document());
         Self::with_state(leader_state)
     }
 
@@ -132,12 +132,13 @@
 
     /// Delivers the platform's list of runners, taken at the current time.
     pub fn list_runners(&mut self, listed_runners: &[ListedRunner]) {
-        self.leader_state.runners_listed(self.now, listed_runners);
+        self.leader_state
+            .handle_runner_list(self.now, listed_runners);
     }
 
     /// Delivers the platform's list of workers.
     pub fn list_workers(&mut self, workers: &[ListedWorker]) {
-        self.leader_state.workers_listed(workers.to_vec());
+        self.leader_state.handle_worker_list(workers.to_vec());
     }
 
     /// Delivers a frame of a daemon.
--- a/crates/controlplane/tests/leader_state/leases.rs
+++ b/crates/controlplane/tests/leader_state/leases.rs
@@ -64,7 +64,7 @@
     verify_that!(harness.runners_to_stop().len(), eq(1))?;
     verify_that!(harness.acquire_result(), none())?;
     let stopped = harness.runners_to_stop()[0];
-    harness.leader_state.runner_stopped(stopped);
+    harness.leader_state.handle_runner_stopped(stopped);
     harness.advance(ms(10));
     verify_that!(harness.is_granted(), eq(true))
 }
@@ -80,7 +80,7 @@
     verify_that!(harness.leader_state.is_claims_quorum_reached(), eq(true))?;
     verify_that!(harness.acquire_result(), none())?;
     verify_that!(harness.runners_to_stop(), elements_are![eq(&old_runner())])?;
-    harness.leader_state.runner_stopped(old_runner());
+    harness.leader_state.handle_runner_stopped(old_runner());
     harness.advance(ms(10));
     verify_that!(harness.is_granted(), eq(true))
 }
@@ -120,7 +120,7 @@
     harness.advance(ms(1200));
     verify_that!(harness.runners_to_stop(), elements_are![eq(&old_runner())])?;
     harness.renew(2);
-    harness.leader_state.runner_stopped(old_runner());
+    harness.leader_state.handle_runner_stopped(old_runner());
     harness.advance(ms(10));
     harness.advance(ms(10));
     verify_that!(
--- a/crates/controlplane/tests/leader_state/membership.rs
+++ b/crates/controlplane/tests/leader_state/membership.rs
@@ -29,7 +29,7 @@
     let mut leader_state = LeaderState::new(timing, Term(5), ELECTED, BTreeSet::new(), false);
     let mut document = document().with_membership(membership(listed));
     document.document_version.term = Term(5);
-    leader_state.committed(document);
+    leader_state.handle_committed(document);
     Harness::with_state(leader_state)
 }
 
@@ -100,12 +100,12 @@
     verify_that!(harness.has_requested_lists(), eq(true))?;
     harness
         .leader_state
-        .runners_listed(ELECTED - ms(301), &[listed_instance(false)]);
+        .handle_runner_list(ELECTED - ms(301), &[listed_instance(false)]);
     harness.advance(ms(30));
     verify_that!(harness.acquire_result(), none())?;
     harness
         .leader_state
-        .runners_listed(ELECTED - ms(300), &[listed_instance(false)]);
+        .handle_runner_list(ELECTED - ms(300), &[listed_instance(false)]);
     harness.advance(ms(30));
     verify_that!(harness.adopted_runners().len(), eq(1))
 }
@@ -118,13 +118,13 @@
     harness.acquire(1);
     harness
         .leader_state
-        .runners_listed(ELECTED - ms(1), &[listed_instance(false)]);
+        .handle_runner_list(ELECTED - ms(1), &[listed_instance(false)]);
     harness.advance(ms(30));
     verify_that!(harness.leader_state.is_claims_quorum_reached(), eq(true))?;
     verify_that!(harness.acquire_result(), none())?;
     harness
         .leader_state
-        .runners_listed(ELECTED, &[listed_instance(false)]);
+        .handle_runner_list(ELECTED, &[listed_instance(false)]);
     harness.advance(ms(30));
     verify_that!(harness.adopted_runners().len(), eq(1))
 }
@@ -147,7 +147,7 @@
         version: Version(4),
     };
     next_document.hidden_versions = 2;
-    harness.leader_state.committed(next_document);
+    harness.leader_state.handle_committed(next_document);
     verify_that!(harness.leader_state.due_membership(harness.now), none())?;
     let smaller = membership(&[("a", 1)]);
     let quorum_confirmed_at = harness.now;
@@ -213,7 +213,7 @@
     join_as(&mut harness, 2, ("b", 2), 1, 5000, true);
     harness.advance(ms(100));
     harness.send(2, DaemonToLeader::Leaving);
-    harness.leader_state.stream_lost(StreamId(2));
+    harness.leader_state.handle_stream_lost(StreamId(2));
     harness
 }
 
--- a/crates/controlplane/tests/leader_state/orphans.rs
+++ b/crates/controlplane/tests/leader_state/orphans.rs
@@ -187,7 +187,7 @@
     let Some(runner) = stopped else {
         return fail!("no stop was ordered");
     };
-    harness.leader_state.runner_stopped(runner);
+    harness.leader_state.handle_runner_stopped(runner);
     let granted = harness.acquire_lease(2, "f");
     verify_that!(Some(&granted), gt(tokens.last()))
 }
--- a/crates/controlplane/tests/leader_state/placement.rs
+++ b/crates/controlplane/tests/leader_state/placement.rs
@@ -56,7 +56,7 @@
         .collect();
     verify_that!(drained.len(), eq(1))?;
     verify_that!(drained[0].fencing_token, eq(crowded_token))?;
-    harness.leader_state.runner_stopped(drained[0]);
+    harness.leader_state.handle_runner_stopped(drained[0]);
     verify_that!(
         harness.reserve(1, "f", crowded_token),
         eq(&ReserveResult::Rejected)
--- a/crates/controlplane/tests/leader_state/recorded_forms.rs
+++ b/crates/controlplane/tests/leader_state/recorded_forms.rs
@@ -91,13 +91,13 @@
     harness.advance(ms(900));
     harness.clear_suspicion(2, suspect());
     harness.renew(2);
-    harness.leader_state.stream_lost(StreamId(1));
+    harness.leader_state.handle_stream_lost(StreamId(1));
     harness.advance(ms(900));
     harness.renew(2);
     let evacuated = document().with_zone("l1".into(), true, ChangeId::from("evacuated"));
-    harness.leader_state.committed(evacuated);
+    harness.leader_state.handle_committed(evacuated);
     harness.advance(ms(10));
-    harness.leader_state.runner_stopped(old_runner());
+    harness.leader_state.handle_runner_stopped(old_runner());
     harness.advance(ms(2300));
 }
 
@@ -143,7 +143,7 @@
         harness.advance(ms(1000));
     }
     if let ReserveResult::Reserved { runner, .. } = last {
-        harness.leader_state.runner_stopped(runner);
+        harness.leader_state.handle_runner_stopped(runner);
     }
     harness.advance(ms(10));
     harness.events
