--- a/crates/controlplane/src/consensus/election.rs
+++ b/crates/controlplane/src/consensus/election.rs
@@ -143,7 +143,12 @@
 
     /// Sends a vote that is now on disk or, if it is for this node itself, counts it and requests the
     /// votes of the others.
-    pub(super) fn vote_written(&mut self, now: MonotonicTime, term: Term, candidate: ControllerId) {
+    pub(super) fn handle_vote_written(
+        &mut self,
+        now: MonotonicTime,
+        term: Term,
+        candidate: ControllerId,
+    ) {
         self.hard_state.record_vote(term, candidate);
         if term != self.hard_state.term {
             return;
@@ -198,7 +203,7 @@
     /// Must be called when the leader's address refuses connections: its process has ended, so the
     /// pre-vote need not wait for the election timeout. Voters that do not know this yet refuse the
     /// pre-vote.
-    pub fn leader_process_ended(&mut self, now: MonotonicTime, address: SocketAddress) {
+    pub fn handle_leader_process_ended(&mut self, now: MonotonicTime, address: SocketAddress) {
         let is_leader_address = self
             .leader()
             .is_some_and(|controller_address| controller_address.address == address);
@@ -265,7 +270,7 @@
                 let candidate = candidate.id;
                 self.submit_write(now, PendingWriteKind::Vote { term, candidate });
                 if !self.options.enforces(Rule::VotePersistedFirst) {
-                    self.vote_written(now, term, candidate);
+                    self.handle_vote_written(now, term, candidate);
                 }
             }
         }
--- a/crates/controlplane/src/consensus/replication.rs
+++ b/crates/controlplane/src/consensus/replication.rs
@@ -355,12 +355,12 @@
             (!self.options.enforces(Rule::AcceptPersistedFirst)).then(|| document.clone());
         self.submit_write(now, PendingWriteKind::Version(Box::new(document)));
         if let Some(unsynced) = unsynced {
-            self.version_written(now, unsynced);
+            self.handle_version_written(now, unsynced);
         }
     }
 
     /// Acknowledges a version that is now on disk or, on the leader, counts it towards the majority.
-    pub(super) fn version_written(&mut self, now: MonotonicTime, document: Document) {
+    pub(super) fn handle_version_written(&mut self, now: MonotonicTime, document: Document) {
         let written_version = document.document_version;
         self.hard_state.term = self.hard_state.term.max(written_version.term);
         if written_version > self.accepted_version() {
--- a/crates/controlplane/src/consensus/writes.rs
+++ b/crates/controlplane/src/consensus/writes.rs
@@ -104,7 +104,7 @@
     ///
     /// After a failed write the node steps down and waits for twice the longest election timeout, so
     /// that nodes with a working disk campaign first.
-    pub fn write_completed(
+    pub fn handle_write_completed(
         &mut self,
         now: MonotonicTime,
         ticket: Ticket,
@@ -113,10 +113,10 @@
         if let Some(kind) = self.writes.complete(ticket) {
             match (kind, result) {
                 (PendingWriteKind::Vote { term, candidate }, WriteResult::Synced) => {
-                    self.vote_written(now, term, candidate);
+                    self.handle_vote_written(now, term, candidate);
                 }
                 (PendingWriteKind::Version(document), WriteResult::Synced) => {
-                    self.version_written(now, *document);
+                    self.handle_version_written(now, *document);
                 }
                 (PendingWriteKind::Scrub, WriteResult::Synced) => {}
                 (_, WriteResult::Failed) => {
--- a/crates/controlplane/src/controller_state/consensus_outputs.rs
+++ b/crates/controlplane/src/controller_state/consensus_outputs.rs
@@ -27,9 +27,9 @@
                     term,
                     members,
                     complete,
-                } => self.elected(now, term, members, complete),
-                ConsensusOutput::SteppedDown => self.stepped_down(),
-                ConsensusOutput::Committed(document) => self.committed(now, document),
+                } => self.handle_elected(now, term, members, complete),
+                ConsensusOutput::SteppedDown => self.handle_stepped_down(),
+                ConsensusOutput::Committed(document) => self.handle_committed(now, document),
                 ConsensusOutput::MembershipChange { addresses, settled } => {
                     self.record_event(event_records::quorum_reconfiguring(addresses, settled));
                 }
@@ -44,7 +44,7 @@
         self.outputs.push(ControllerOutput::EventRecorded(numbered));
     }
 
-    fn elected(
+    fn handle_elected(
         &mut self,
         now: MonotonicTime,
         term: Term,
@@ -63,7 +63,7 @@
         self.leader_state = Some(leader_state);
     }
 
-    fn committed(&mut self, now: MonotonicTime, document: Document) {
+    fn handle_committed(&mut self, now: MonotonicTime, document: Document) {
         let committed_version = document.document_version;
         self.record_event(event_records::version_committed(committed_version));
         let view_version = DocumentVersion {
@@ -78,7 +78,7 @@
             .mark_committed(committed_version.version);
     }
 
-    fn stepped_down(&mut self) {
+    fn handle_stepped_down(&mut self) {
         self.record_event(event_records::leader_stepped_down(self.consensus.term()));
         self.leader_state = None;
         self.resolve_changes_on_step_down();
--- a/crates/controlplane/src/controller_state/mod.rs
+++ b/crates/controlplane/src/controller_state/mod.rs
@@ -154,7 +154,7 @@
                 self.execute(now, consensus_outputs);
             }
             ControllerInput::WriteCompleted(ticket, result) => {
-                self.write_completed(now, ticket, result)
+                self.handle_write_completed(now, ticket, result)
             }
             ControllerInput::DaemonFrame(stream, frame) => {
                 self.handle_stream_frame(now, stream, frame)
@@ -164,7 +164,7 @@
             }
             ControllerInput::CallerDisconnected(ticket) => self.drop_disconnected_caller(ticket),
             ControllerInput::ProcessExited(address) => {
-                self.consensus.leader_process_ended(now, address);
+                self.consensus.handle_leader_process_ended(now, address);
             }
             ControllerInput::Seeds(seeds) => self.consensus.update_seeds(seeds),
             ControllerInput::Stop => self.stop(),
@@ -192,11 +192,11 @@
         }
     }
 
-    fn write_completed(&mut self, now: MonotonicTime, ticket: Ticket, result: WriteResult) {
+    fn handle_write_completed(&mut self, now: MonotonicTime, ticket: Ticket, result: WriteResult) {
         if result == WriteResult::Failed {
             self.record_event(event_records::disk_write_failed());
         }
-        let consensus_outputs = self.consensus.write_completed(now, ticket, result);
+        let consensus_outputs = self.consensus.handle_write_completed(now, ticket, result);
         self.execute(now, consensus_outputs);
     }
 
--- a/crates/controlplane/tests/membership_change.rs
+++ b/crates/controlplane/tests/membership_change.rs
@@ -102,7 +102,7 @@
             let next = match output {
                 ConsensusOutput::Send { to, frame } => self.deliver(number, to, frame),
                 ConsensusOutput::Write { ticket, job } => {
-                    self.write_completed(number, ticket, &job)
+                    self.handle_write_completed(number, ticket, &job)
                 }
                 ConsensusOutput::Committed(document) => {
                     self.committed.push((number, document));
@@ -134,13 +134,14 @@
         outputs.into_iter().map(|output| (number, output)).collect()
     }
 
-    fn write_completed(
+    fn handle_write_completed(
         &mut self,
         number: usize,
         ticket: Ticket,
         _job: &WriteJob,
     ) -> Vec<(usize, ConsensusOutput)> {
-        let outputs = self.nodes[number].write_completed(self.now, ticket, WriteResult::Synced);
+        let outputs =
+            self.nodes[number].handle_write_completed(self.now, ticket, WriteResult::Synced);
         outputs.into_iter().map(|output| (number, output)).collect()
     }
 
--- a/crates/controlplane/tests/quorum_model/model.rs
+++ b/crates/controlplane/tests/quorum_model/model.rs
@@ -456,7 +456,7 @@
             }
         };
         self.apply_input(owner, |consensus, now| {
-            consensus.write_completed(now, ticket, result)
+            consensus.handle_write_completed(now, ticket, result)
         })
     }
 
--- a/crates/controlplane/tests/quorum_proofs.rs
+++ b/crates/controlplane/tests/quorum_proofs.rs
@@ -99,7 +99,7 @@
     let request = voter.receive(later, frame(2, vote_request(2, accepted)));
     let ticket = write_ticket(&request);
     let write_completed =
-        voter.write_completed(later, ticket.unwrap_or(Ticket(0)), WriteResult::Synced);
+        voter.handle_write_completed(later, ticket.unwrap_or(Ticket(0)), WriteResult::Synced);
     (votes_granted(&request), votes_granted(&write_completed))
 }
 
@@ -119,7 +119,7 @@
     let later = START + Duration::from_secs(5);
     let request = voter.receive(later, frame(2, vote_request(2, accepted)));
     let ticket = write_ticket(&request);
-    let failed = voter.write_completed(later, ticket.expect("a write"), WriteResult::Failed);
+    let failed = voter.handle_write_completed(later, ticket.expect("a write"), WriteResult::Failed);
     verify_that!(votes_granted(&failed), eq(0))
 }
 
@@ -155,7 +155,7 @@
                     }
                 }
                 ConsensusOutput::Write { ticket, .. } => {
-                    next.extend(voter.write_completed(now, ticket, WriteResult::Synced));
+                    next.extend(voter.handle_write_completed(now, ticket, WriteResult::Synced));
                 }
                 _ => {}
             }
@@ -240,7 +240,7 @@
         };
         let request = voter.receive(START, frame(term, body));
         let ticket = write_ticket(&request);
-        voter.write_completed(START, ticket.unwrap_or(Ticket(0)), WriteResult::Synced);
+        voter.handle_write_completed(START, ticket.unwrap_or(Ticket(0)), WriteResult::Synced);
         let commit_notice = ConsensusMessage::Heartbeat {
             term: Term(term),
             round: 1,
@@ -271,7 +271,7 @@
     let request = voter.receive(later, frame(2, vote_request(2, accepted)));
     let ticket = write_ticket(&request);
     voter.receive(later, frame(2, heartbeat(2, 1)));
-    voter.write_completed(later, ticket.expect("a write"), WriteResult::Failed);
+    voter.handle_write_completed(later, ticket.expect("a write"), WriteResult::Failed);
     voter.expire_leadership(later + silence);
     voter.leader().is_some()
 }
--- a/crates/controlplane/tests/replication.rs
+++ b/crates/controlplane/tests/replication.rs
@@ -81,7 +81,7 @@
                     }
                 }
                 ConsensusOutput::Write { ticket, .. } => {
-                    next.extend(leader.write_completed(now, *ticket, WriteResult::Synced));
+                    next.extend(leader.handle_write_completed(now, *ticket, WriteResult::Synced));
                 }
                 _ => {}
             }
@@ -173,7 +173,7 @@
     }
     verify_that!(pending.len(), eq(2))?;
     for (ticket, _) in pending {
-        follower.write_completed(now, ticket, WriteResult::Synced);
+        follower.handle_write_completed(now, ticket, WriteResult::Synced);
     }
     verify_that!(follower.accepted() == leader.accepted(), eq(true))
 }
@@ -201,7 +201,7 @@
     )?;
     let outputs = follower.receive(now, frame(LEADER, versions[0].clone()));
     for (ticket, _) in writes(&outputs) {
-        follower.write_completed(now, ticket, WriteResult::Synced);
+        follower.handle_write_completed(now, ticket, WriteResult::Synced);
     }
     verify_that!(follower.accepted() == leader.accepted(), eq(true))
 }
