--- a/crates/controlplane/src/consensus/receive.rs
+++ b/crates/controlplane/src/consensus/receive.rs
@@ -21,7 +21,11 @@
 
 impl ConsensusNode {
     /// Handles a frame from another controller. A frame that this node sent itself is ignored.
-    pub fn receive(&mut self, now: MonotonicTime, frame: ConsensusFrame) -> Vec<ConsensusOutput> {
+    pub fn handle_frame(
+        &mut self,
+        now: MonotonicTime,
+        frame: ConsensusFrame,
+    ) -> Vec<ConsensusOutput> {
         if frame.from == self.local.id {
             return Vec::new();
         }
--- a/crates/controlplane/src/controller_state/mod.rs
+++ b/crates/controlplane/src/controller_state/mod.rs
@@ -150,7 +150,7 @@
                 self.execute(now, consensus_outputs);
             }
             ControllerInput::Consensus(frame) => {
-                let consensus_outputs = self.consensus.receive(now, frame);
+                let consensus_outputs = self.consensus.handle_frame(now, frame);
                 self.execute(now, consensus_outputs);
             }
             ControllerInput::WriteCompleted(ticket, result) => {
@@ -228,7 +228,7 @@
     fn handle_stream_frame(&mut self, now: MonotonicTime, stream: StreamId, frame: DaemonToLeader) {
         self.streams.insert(stream);
         match &mut self.leader_state {
-            Some(leader_state) => leader_state.receive(now, stream, frame),
+            Some(leader_state) => leader_state.handle_frame(now, stream, frame),
             None => {
                 self.redirect_daemon(stream);
                 self.streams.remove(&stream);
--- a/crates/controlplane/src/leader_state/receive.rs
+++ b/crates/controlplane/src/leader_state/receive.rs
@@ -8,7 +8,7 @@
 
 impl LeaderState {
     /// Handles a frame from a member.
-    pub fn receive(&mut self, now: MonotonicTime, stream: StreamId, frame: DaemonToLeader) {
+    pub fn handle_frame(&mut self, now: MonotonicTime, stream: StreamId, frame: DaemonToLeader) {
         self.acquisitions.check_due = true;
         self.note_frame_received(now, stream);
         self.dispatch(now, stream, frame);
--- a/crates/controlplane/tests/leader_state/harness.rs
+++ b/crates/controlplane/tests/leader_state/harness.rs
@@ -143,7 +143,8 @@
 
     /// Delivers a frame of a daemon.
     pub fn send(&mut self, stream: u64, frame: DaemonToLeader) {
-        self.leader_state.receive(self.now, StreamId(stream), frame);
+        self.leader_state
+            .handle_frame(self.now, StreamId(stream), frame);
     }
 
     /// Reports a daemon as suspected, on behalf of the daemon on the stream.
--- a/crates/controlplane/tests/membership_change.rs
+++ b/crates/controlplane/tests/membership_change.rs
@@ -130,7 +130,7 @@
         if self.partitions.contains(&(from, number)) || self.stopped.contains(&number) {
             return Vec::new();
         }
-        let outputs = self.nodes[number].receive(self.now, frame);
+        let outputs = self.nodes[number].handle_frame(self.now, frame);
         outputs.into_iter().map(|output| (number, output)).collect()
     }
 
--- a/crates/controlplane/tests/quorum_model/model.rs
+++ b/crates/controlplane/tests/quorum_model/model.rs
@@ -429,7 +429,7 @@
                     return Ok(());
                 }
                 let frame = frame.clone();
-                self.apply_input(owner, |consensus, now| consensus.receive(now, frame))
+                self.apply_input(owner, |consensus, now| consensus.handle_frame(now, frame))
             }
             Event::WriteCompleted(_, incarnation, ticket, job) => {
                 if *incarnation != self.machines[owner].incarnation {
--- a/crates/controlplane/tests/quorum_proofs.rs
+++ b/crates/controlplane/tests/quorum_proofs.rs
@@ -75,8 +75,8 @@
 /// The leader of term 3 may also have a round 5 and must not count this response for it.
 fn responses_to_late_heartbeat(rules: Rules) -> Vec<(u64, u64)> {
     let mut voter = voter(rules);
-    voter.receive(START, frame(2, heartbeat(3, 1)));
-    heartbeat_responses(&voter.receive(START, frame(2, heartbeat(2, 5))))
+    voter.handle_frame(START, frame(2, heartbeat(3, 1)));
+    heartbeat_responses(&voter.handle_frame(START, frame(2, heartbeat(2, 5))))
 }
 
 #[gtest]
@@ -96,7 +96,7 @@
     let mut voter = voter(rules);
     let accepted = voter.accepted().expect("a version").document_version;
     let later = START + Duration::from_secs(5);
-    let request = voter.receive(later, frame(2, vote_request(2, accepted)));
+    let request = voter.handle_frame(later, frame(2, vote_request(2, accepted)));
     let ticket = write_ticket(&request);
     let write_completed =
         voter.handle_write_completed(later, ticket.unwrap_or(Ticket(0)), WriteResult::Synced);
@@ -117,7 +117,7 @@
     let mut voter = voter(Rules::ALL_ENFORCED);
     let accepted = voter.accepted().expect("a version").document_version;
     let later = START + Duration::from_secs(5);
-    let request = voter.receive(later, frame(2, vote_request(2, accepted)));
+    let request = voter.handle_frame(later, frame(2, vote_request(2, accepted)));
     let ticket = write_ticket(&request);
     let failed = voter.handle_write_completed(later, ticket.expect("a write"), WriteResult::Failed);
     verify_that!(votes_granted(&failed), eq(0))
@@ -126,14 +126,14 @@
 #[gtest]
 fn a_stale_leader_is_forgotten_after_a_pause() -> Result<()> {
     let mut voter = voter(Rules::ALL_ENFORCED);
-    voter.receive(START, frame(2, heartbeat(2, 1)));
+    voter.handle_frame(START, frame(2, heartbeat(2, 1)));
     verify_that!(voter.leader().is_some(), eq(true))?;
     voter.expire_leadership(START + Duration::from_millis(100));
     verify_that!(voter.leader().is_some(), eq(true))?;
     voter.expire_leadership(START + Duration::from_secs(20));
     verify_that!(voter.leader().is_none(), eq(true))?;
     let mut voter_without_rule = self::voter(Rules::without(Rule::LeaderHintIsRecent));
-    voter_without_rule.receive(START, frame(2, heartbeat(2, 1)));
+    voter_without_rule.handle_frame(START, frame(2, heartbeat(2, 1)));
     voter_without_rule.expire_leadership(START + Duration::from_secs(20));
     verify_that!(voter_without_rule.leader().is_some(), eq(true))
 }
@@ -151,7 +151,7 @@
                     let response = agreeing_response(&request.body)
                         .or_else(|| heartbeat_response(&request.body));
                     if let Some(body) = response {
-                        next.extend(voter.receive(now, frame(2, body)));
+                        next.extend(voter.handle_frame(now, frame(2, body)));
                     }
                 }
                 ConsensusOutput::Write { ticket, .. } => {
@@ -215,8 +215,8 @@
         round: 0,
         accepted,
     };
-    leader.receive(later, frame(2, late_response.clone()));
-    leader.receive(later, frame(3, late_response));
+    leader.handle_frame(later, frame(2, late_response.clone()));
+    leader.handle_frame(later, frame(3, late_response));
     verify_that!(leader.quorum_confirmed_at(), eq(confirmed_before))
 }
 
@@ -238,7 +238,7 @@
             document_version: document.document_version,
             document: compress(&document.to_bytes()),
         };
-        let request = voter.receive(START, frame(term, body));
+        let request = voter.handle_frame(START, frame(term, body));
         let ticket = write_ticket(&request);
         voter.handle_write_completed(START, ticket.unwrap_or(Ticket(0)), WriteResult::Synced);
         let commit_notice = ConsensusMessage::Heartbeat {
@@ -249,7 +249,7 @@
             members: LengthPrefixed(Vec::new()),
             complete: Flag(false),
         };
-        voter.receive(START, frame(term, commit_notice));
+        voter.handle_frame(START, frame(term, commit_notice));
         invariants::take_collected()
             .into_iter()
             .map(|violation| violation.invariant)
@@ -268,9 +268,9 @@
     let mut voter = voter(Rules::ALL_ENFORCED);
     let accepted = voter.accepted().expect("a version").document_version;
     let later = START + Duration::from_secs(5);
-    let request = voter.receive(later, frame(2, vote_request(2, accepted)));
+    let request = voter.handle_frame(later, frame(2, vote_request(2, accepted)));
     let ticket = write_ticket(&request);
-    voter.receive(later, frame(2, heartbeat(2, 1)));
+    voter.handle_frame(later, frame(2, heartbeat(2, 1)));
     voter.handle_write_completed(later, ticket.expect("a write"), WriteResult::Failed);
     voter.expire_leadership(later + silence);
     voter.leader().is_some()
--- a/crates/controlplane/tests/replication.rs
+++ b/crates/controlplane/tests/replication.rs
@@ -77,7 +77,7 @@
             match output {
                 ConsensusOutput::Send { to, frame: request } if *to == address(FOLLOWER) => {
                     if let Some(body) = agreeing_response(&request.body) {
-                        next.extend(leader.receive(now, frame(FOLLOWER, body)));
+                        next.extend(leader.handle_frame(now, frame(FOLLOWER, body)));
                     }
                 }
                 ConsensusOutput::Write { ticket, .. } => {
@@ -162,7 +162,7 @@
     let (mut follower, deltas, now, leader) = follower_and_two_deltas(Rules::ALL_ENFORCED);
     let mut pending = Vec::new();
     for delta in deltas {
-        let outputs = follower.receive(now, frame(LEADER, delta));
+        let outputs = follower.handle_frame(now, frame(LEADER, delta));
         verify_that!(
             sent_to(LEADER, &outputs)
                 .iter()
@@ -182,7 +182,7 @@
 fn a_follower_without_the_base_requests_a_snapshot_and_gets_it() -> Result<()> {
     let (mut follower, deltas, now, mut leader) = follower_and_two_deltas(Rules::ALL_ENFORCED);
     let before = accepted_document_version(&follower);
-    let outputs = follower.receive(now, frame(LEADER, deltas[1].clone()));
+    let outputs = follower.handle_frame(now, frame(LEADER, deltas[1].clone()));
     verify_that!(writes(&outputs).is_empty(), eq(true))?;
     verify_that!(accepted_document_version(&follower), eq(before))?;
     let request = sent_to(LEADER, &outputs);
@@ -193,13 +193,13 @@
         ),
         eq(true)
     )?;
-    let responses = leader.receive(now, frame(FOLLOWER, request[0].clone()));
+    let responses = leader.handle_frame(now, frame(FOLLOWER, request[0].clone()));
     let versions = versions_sent(FOLLOWER, &responses);
     verify_that!(
         matches!(versions.as_slice(), [ConsensusMessage::AcceptFull { .. }]),
         eq(true)
     )?;
-    let outputs = follower.receive(now, frame(LEADER, versions[0].clone()));
+    let outputs = follower.handle_frame(now, frame(LEADER, versions[0].clone()));
     for (ticket, _) in writes(&outputs) {
         follower.handle_write_completed(now, ticket, WriteResult::Synced);
     }
@@ -209,7 +209,7 @@
 /// Returns the number of wrong documents that a follower writes after a delta whose base it lacks.
 fn written_without_base(rules: Rules) -> usize {
     let (mut follower, deltas, now, leader) = follower_and_two_deltas(rules);
-    let outputs = follower.receive(now, frame(LEADER, deltas[1].clone()));
+    let outputs = follower.handle_frame(now, frame(LEADER, deltas[1].clone()));
     let is_wrong = |job: &WriteJob| {
         matches!(job, WriteJob::Version(document)
             if document.document_version == accepted_document_version(&leader) && Some(document) != leader.accepted())
@@ -238,14 +238,16 @@
         accepted,
     };
     verify_that!(
-        leader.receive(now, frame(FOLLOWER, earlier)).is_empty(),
+        leader
+            .handle_frame(now, frame(FOLLOWER, earlier))
+            .is_empty(),
         eq(true)
     )?;
     let later = ConsensusMessage::SnapshotRequest {
         term: Term(99),
         accepted,
     };
-    let outputs = leader.receive(now, frame(FOLLOWER, later));
+    let outputs = leader.handle_frame(now, frame(FOLLOWER, later));
     verify_that!(versions_sent(FOLLOWER, &outputs).is_empty(), eq(true))?;
     verify_that!(leader.is_leader(), eq(false))
 }
