--- a/crates/dataplane/src/cluster_view/leader_frames.rs
+++ b/crates/dataplane/src/cluster_view/leader_frames.rs
@@ -129,7 +129,7 @@
                 self.view = Some(view);
                 self.outputs
                     .push(ClusterViewOutput::Install(self.table.clone()));
-                let outputs = self.control_session.installed(version, &voters);
+                let outputs = self.control_session.record_installed(version, &voters);
                 self.apply_session_outputs(now, outputs);
             }
             Err(error) => self
--- a/crates/dataplane/src/control_session/mod.rs
+++ b/crates/dataplane/src/control_session/mod.rs
@@ -162,7 +162,7 @@
 
     /// Records the version of the installed spec and the voters' addresses in it, and reports the version to the
     /// leader.
-    pub fn installed(
+    pub fn record_installed(
         &mut self,
         version: Version,
         voters: &[SocketAddress],
--- a/crates/dataplane/src/failure_detector/mod.rs
+++ b/crates/dataplane/src/failure_detector/mod.rs
@@ -337,7 +337,7 @@
         let suspicions: Vec<Suspicion> = own_suspicions
             .chain(
                 self.peer_suspicions
-                    .forwarded()
+                    .relayable()
                     .filter(|suspicion| !self.locally_suspected.contains(&suspicion.incarnation)),
             )
             .take(MAX_SUSPICIONS)
--- a/crates/dataplane/src/failure_detector/suspicion.rs
+++ b/crates/dataplane/src/failure_detector/suspicion.rs
@@ -67,7 +67,7 @@
     }
 
     /// Returns the suspicions to be relayed with this daemon's own heartbeat.
-    pub(crate) fn forwarded(&self) -> impl Iterator<Item = Suspicion> {
+    pub(crate) fn relayable(&self) -> impl Iterator<Item = Suspicion> {
         self.records
             .iter()
             .filter(|(_, record)| record.remaining_relays > 0)
