--- a/crates/dataplane/src/agent/daemon_control/outputs.rs
+++ b/crates/dataplane/src/agent/daemon_control/outputs.rs
@@ -30,7 +30,7 @@
         round_trip: Duration,
     },
     /// The stream is lost: notify the waiters of all acquisitions.
-    AcquiresLost,
+    AcquisitionsLost,
     /// State that requests may be waiting for has changed.
     Changed,
     /// Write an event to the log.
--- a/crates/dataplane/src/agent/daemon_control/view_outputs.rs
+++ b/crates/dataplane/src/agent/daemon_control/view_outputs.rs
@@ -121,7 +121,7 @@
     ) {
         agent.set_has_leader(false);
         self.log_event(events::STREAM_LOST, String::new());
-        self.outputs.push(DaemonControlOutput::AcquiresLost);
+        self.outputs.push(DaemonControlOutput::AcquisitionsLost);
         for (function, fencing_token) in lost_reserves {
             if let Some(held) = agent.held_under_lease(&function, fencing_token) {
                 held.with(|holder| holder.handle_reserve_failure(now));
--- a/crates/dataplane/src/drivers/control.rs
+++ b/crates/dataplane/src/drivers/control.rs
@@ -244,7 +244,7 @@
                     result,
                     round_trip,
                 } => self.handle_acquired(&function, result, round_trip),
-                DaemonControlOutput::AcquiresLost => self.pending_acquisitions.clear(),
+                DaemonControlOutput::AcquisitionsLost => self.pending_acquisitions.clear(),
                 DaemonControlOutput::Changed => self.state.changes.send_modify(|count| *count += 1),
                 DaemonControlOutput::LogEvent(event, detail) => log_control_event(event, &detail),
                 DaemonControlOutput::Installed(version) => {
--- a/testing/fleet/src/sim/daemon/orders.rs
+++ b/testing/fleet/src/sim/daemon/orders.rs
@@ -60,7 +60,7 @@
                 self.count_acquired(result.as_ref());
                 self.acquired(index, &function, result);
             }
-            DaemonControlOutput::AcquiresLost => {
+            DaemonControlOutput::AcquisitionsLost => {
                 let Some(body) = &mut self.nodes.daemon_mut(index).body else {
                     return;
                 };
--- a/testing/fleet/src/synthetic/daemons/control.rs
+++ b/testing/fleet/src/synthetic/daemons/control.rs
@@ -185,7 +185,7 @@
             } => {
                 self.acquired(daemon, &function, &result);
             }
-            DaemonControlOutput::AcquiresLost => {
+            DaemonControlOutput::AcquisitionsLost => {
                 let Some(started_daemon) = &mut self.daemons[daemon] else {
                     return;
                 };
