--- a/crates/dataplane/src/agent/replica_requests.rs
+++ b/crates/dataplane/src/agent/replica_requests.rs
@@ -87,7 +87,7 @@
 
 impl ReplicaRequestKind {
     /// Passes a replica's reply to the holder; `None` if no reply arrived in time.
-    pub fn reply(
+    pub fn handle_reply(
         self,
         holder: &mut Holder,
         now: MonotonicTime,
@@ -113,7 +113,7 @@
 impl<W> Agent<W> {
     /// Handles a request to this daemon as a ledger replica, and returns the reply; `None` if the frame is not such a
     /// request.
-    pub fn answer_replica_request(
+    pub fn handle_replica_request(
         &self,
         now: MonotonicTime,
         replica_request: DaemonMessage,
--- a/crates/dataplane/src/drivers/holder_driver.rs
+++ b/crates/dataplane/src/drivers/holder_driver.rs
@@ -255,7 +255,7 @@
                 .round_trip_seconds
                 .observe(MonotonicTime::now().since(requested_at).as_secs_f64());
         }
-        self.apply(|holder, now| request_kind.reply(holder, now, reply));
+        self.apply(|holder, now| request_kind.handle_reply(holder, now, reply));
     }
 
     fn log_failed_send(
--- a/crates/dataplane/src/server/hops.rs
+++ b/crates/dataplane/src/server/hops.rs
@@ -189,6 +189,6 @@
         }
         Err(replica_request) => state
             .agent
-            .answer_replica_request(MonotonicTime::now(), *replica_request),
+            .handle_replica_request(MonotonicTime::now(), *replica_request),
     }
 }
--- a/crates/dataplane/tests/agent/shutdown.rs
+++ b/crates/dataplane/tests/agent/shutdown.rs
@@ -129,7 +129,7 @@
         let Err(other) = parsed else {
             return fail!("a notice was read as a request");
         };
-        let reply = bench.agent.answer_replica_request(bench.now, *other);
+        let reply = bench.agent.handle_replica_request(bench.now, *other);
         verify_that!(reply.is_none(), eq(true))?;
     }
     Ok(())
--- a/testing/fleet/src/sim/daemon/replicas.rs
+++ b/testing/fleet/src/sim/daemon/replicas.rs
@@ -83,7 +83,7 @@
         let Some(agent) = self.nodes.agent(index) else {
             return;
         };
-        let reply = agent.answer_replica_request(local_now, body);
+        let reply = agent.handle_replica_request(local_now, body);
         if self.network.reaches(node, exchange.requester.node) {
             let delay = self.network.delay(&mut self.rng);
             self.queue
@@ -105,7 +105,7 @@
             index,
             &exchange.function,
             exchange.fencing_token,
-            |holder, now| exchange.request_kind.reply(holder, now, reply),
+            |holder, now| exchange.request_kind.handle_reply(holder, now, reply),
         );
     }
 }
--- a/testing/fleet/src/synthetic/daemons/replicas.rs
+++ b/testing/fleet/src/synthetic/daemons/replicas.rs
@@ -72,7 +72,7 @@
             return;
         };
         let (reply, _) = self.meter.measure_step(Role::Holder, Work::Replicas, || {
-            agent.answer_replica_request(now, frame.body)
+            agent.handle_replica_request(now, frame.body)
         });
         let Some(reply) = reply else { return };
         let frame = numbered_frame(request_key.number, reply);
@@ -96,7 +96,7 @@
             .map(|frame| frame.body);
         let request_kind = request_key.request_kind;
         self.apply(&request_key.holder, Work::Replicas, |holder, now| {
-            request_kind.reply(holder, now, reply)
+            request_kind.handle_reply(holder, now, reply)
         });
     }
 
