--- a/crates/controlplane/src/consensus/peers.rs
+++ b/crates/controlplane/src/consensus/peers.rs
@@ -264,13 +264,13 @@
         self.peers
             .record_hello(now, sender_address, hello.term, hello.is_diskless);
         if hello.term <= self.hard_state.term || !self.is_leader() {
-            self.answer_hello(now, sender, hello.accepted);
+            self.reply_to_hello(now, sender, hello.accepted);
         }
     }
 
     /// Sends the sender of a hello whatever it lacks: the first version, the voters' addresses, or the
     /// newest version.
-    fn answer_hello(&mut self, now: MonotonicTime, sender: Contact, accepted: DocumentVersion) {
+    fn reply_to_hello(&mut self, now: MonotonicTime, sender: Contact, accepted: DocumentVersion) {
         let sender_address = sender.controller_address.address;
         self.record_accepted(now, sender_address, accepted);
         if accepted == DocumentVersion::default() && self.is_voter(sender.id) {
--- a/crates/controlplane/src/leader_state/acquisitions.rs
+++ b/crates/controlplane/src/leader_state/acquisitions.rs
@@ -93,7 +93,7 @@
 
 impl LeaderState {
     /// Answers the requests that can be answered now.
-    pub(super) fn answer_acquisitions(&mut self, now: MonotonicTime) {
+    pub(super) fn reply_to_acquisitions(&mut self, now: MonotonicTime) {
         for acquisition in self.acquisitions.take_due(now) {
             match self.decide_acquisition(now, &acquisition) {
                 Some(result) => {
@@ -177,13 +177,13 @@
         let requester = self.members.on_stream(acquisition.stream).cloned()?;
         let function = &acquisition.function;
         if let Some(entry) = self.lease_records.get(function) {
-            return self.answer_held(now, entry, &requester);
+            return self.decide_held(now, entry, &requester);
         }
         if !self.claims.is_reached || self.waits_for_stops(function) {
             return None;
         }
         if self.configuration.table.function_of(function).is_none() {
-            return self.answer_unknown_function(&requester);
+            return self.decide_unknown_function(&requester);
         }
         let record = self.members.get(&requester);
         if !record.is_some_and(|record| record.host.eligible.0) {
@@ -195,7 +195,7 @@
 
     /// Answers a request for a leased function: the holder itself gets its lease again, and others get the holder's
     /// address as long as the holder can be expected to respond.
-    fn answer_held(
+    fn decide_held(
         &self,
         now: MonotonicTime,
         entry: &LeaseRecord,
@@ -234,7 +234,7 @@
 
     /// Rejects a function that the newest version does not contain, unless the requester has installed a version that
     /// is newer than this controller's.
-    fn answer_unknown_function(&self, requester: &KnownMember) -> Option<AcquireResult> {
+    fn decide_unknown_function(&self, requester: &KnownMember) -> Option<AcquireResult> {
         let record = self.members.get(requester);
         let installed = record.map(|record| record.installed);
         let document = self.configuration.document.as_ref();
--- a/crates/controlplane/src/leader_state/mod.rs
+++ b/crates/controlplane/src/leader_state/mod.rs
@@ -170,8 +170,8 @@
         self.request_lists(now);
         self.progress_fencing(now);
         self.assign_replicas(now);
-        self.answer_renewals(now, proof);
-        self.answer_acquisitions(now);
+        self.reply_to_renewals(now, proof);
+        self.reply_to_acquisitions(now);
         self.update_in_force(now);
         self.evacuate_workers(now);
         self.push_hosts(now);
--- a/crates/controlplane/src/leader_state/renewals.rs
+++ b/crates/controlplane/src/leader_state/renewals.rs
@@ -94,7 +94,7 @@
     }
 
     /// Answers the renewals that can be answered now.
-    pub(super) fn answer_renewals(&mut self, now: MonotonicTime, proof: &QuorumProof<'_>) {
+    pub(super) fn reply_to_renewals(&mut self, now: MonotonicTime, proof: &QuorumProof<'_>) {
         let Some(committed_version) = self
             .configuration
             .document
@@ -108,11 +108,11 @@
             return;
         }
         for renewal in self.renewals.take_due(now, proof.quorum_confirmed_at) {
-            self.answer_renewal(now, proof, committed_version, renewal);
+            self.reply_to_renewal(now, proof, committed_version, renewal);
         }
     }
 
-    fn answer_renewal(
+    fn reply_to_renewal(
         &mut self,
         now: MonotonicTime,
         proof: &QuorumProof<'_>,
--- a/crates/dataplane/src/agent/runner_response.rs
+++ b/crates/dataplane/src/agent/runner_response.rs
@@ -87,7 +87,7 @@
         if is_rejected {
             return SendResult::RejectedByRunner;
         }
-        SendResult::Answered(answer_outcome(self.runner, response))
+        SendResult::Answered(response_outcome(self.runner, response))
     }
 
     /// Verifies a response whose seal only the caller can check: this daemon verifies its names and completeness.
@@ -115,9 +115,9 @@
             return SendResult::Lost;
         }
         if response.status >= LOWEST_SERVER_FAILURE_STATUS {
-            return SendResult::Failed(answer_outcome(self.runner, response));
+            return SendResult::Failed(response_outcome(self.runner, response));
         }
-        SendResult::Answered(answer_outcome(self.runner, response))
+        SendResult::Answered(response_outcome(self.runner, response))
     }
 
     /// Whether a response names a different request, function or runner. It may omit the function and the runner.
@@ -134,7 +134,7 @@
     }
 }
 
-fn answer_outcome(runner: RunnerId, response: RunnerResponse) -> RequestOutcome {
+fn response_outcome(runner: RunnerId, response: RunnerResponse) -> RequestOutcome {
     RequestOutcome::Response {
         status: response.status,
         seal: response.seal.into_bytes().into(),
