--- a/crates/common/src/frames/daemons.rs
+++ b/crates/common/src/frames/daemons.rs
@@ -233,7 +233,7 @@
         holder: LengthPrefixed<Host>,
         /// In how many tenths of a second callers of the requesting region will be served under a regional key; zero if
         /// they will not be.
-        regional_tenths: u8,
+        regional_delay_deciseconds: u8,
     },
     /// From a holder to its ledger replica: records entries before their requests are sent to runners. Answered by
     /// `Recorded`.
@@ -322,7 +322,7 @@
         DaemonMessage::Completed {
             outcome,
             holder: LengthPrefixed(Vec::new()),
-            regional_tenths: 0,
+            regional_delay_deciseconds: 0,
         }
     }
 
--- a/crates/common/tests/frames.rs
+++ b/crates/common/tests/frames.rs
@@ -263,7 +263,7 @@
     let body = DaemonMessage::Completed {
         outcome: outcome.clone(),
         holder: LengthPrefixed(Vec::new()),
-        regional_tenths: 0,
+        regional_delay_deciseconds: 0,
     };
     let frame = DaemonFrame {
         correlation: CorrelationId(5),
@@ -368,7 +368,7 @@
     DaemonMessage::Completed {
         outcome,
         holder: LengthPrefixed(Vec::new()),
-        regional_tenths: 0,
+        regional_delay_deciseconds: 0,
     }
 }
 
--- a/crates/common/tests/wire_forms/daemon_frames.rs
+++ b/crates/common/tests/wire_forms/daemon_frames.rs
@@ -128,7 +128,7 @@
     DaemonMessage::Completed {
         outcome,
         holder: LengthPrefixed(vec![host(3, true)]),
-        regional_tenths: 0x1d,
+        regional_delay_deciseconds: 0x1d,
     }
 }
 
@@ -146,7 +146,7 @@
     let bare_response = DaemonMessage::Completed {
         outcome: response.clone(),
         holder: LengthPrefixed(Vec::new()),
-        regional_tenths: 0,
+        regional_delay_deciseconds: 0,
     };
     let not_run = |reason: RequestFailureReason| {
         completed(RequestOutcome::NotRun {
--- a/crates/dataplane/src/agent/regional.rs
+++ b/crates/dataplane/src/agent/regional.rs
@@ -109,7 +109,7 @@
         &self,
         now: MonotonicTime,
         served_key: &FunctionKey,
-        regional_tenths: u8,
+        regional_delay_deciseconds: u8,
     ) -> bool {
         let all_regions_key = served_key.all_regions();
         let current_use = self
@@ -118,7 +118,7 @@
             .load()
             .get(&all_regions_key)
             .copied();
-        match (current_use, regional_tenths) {
+        match (current_use, regional_delay_deciseconds) {
             (Some(_), 0) if served_key.is_regional() => self.regional_keys.remove(&all_regions_key),
             (Some(known_use), 1..) if served_key.is_regional() => {
                 let is_due =
@@ -135,7 +135,8 @@
                 }
             }
             (known_use, 1..) if known_use.is_none_or(|known_use| known_use.until <= now) => {
-                let from = now + Duration::from_millis(HINT_UNIT_MS * u64::from(regional_tenths));
+                let from = now
+                    + Duration::from_millis(HINT_UNIT_MS * u64::from(regional_delay_deciseconds));
                 self.regional_keys.set(
                     now,
                     &all_regions_key,
--- a/crates/dataplane/src/request_pipeline/forward_to_holder.rs
+++ b/crates/dataplane/src/request_pipeline/forward_to_holder.rs
@@ -24,7 +24,7 @@
     pub holder: Option<Host>,
     /// The delay in tenths of a second after which callers in the request's region should use a regional key; zero if
     /// they should not use one.
-    pub regional_tenths: u8,
+    pub regional_delay_deciseconds: u8,
 }
 
 fn forward_result(hop_result: HopCallResult, host: &Host) -> ForwardResult {
@@ -60,9 +60,9 @@
     match hop_result {
         HopCallResult::Reply(DaemonMessage::Completed {
             outcome: RequestOutcome::Response { .. },
-            regional_tenths,
+            regional_delay_deciseconds,
             ..
-        }) => Some(*regional_tenths),
+        }) => Some(*regional_delay_deciseconds),
         _ => None,
     }
 }
@@ -72,7 +72,7 @@
     state: &'a Arc<State>,
     forwarding: Forwarding,
     shutdown_signals: ShutdownSignals,
-    regional_tenths: u8,
+    regional_delay_deciseconds: u8,
 }
 
 type LocalForwardingStep = ForwardingStep<OutcomeWaiter>;
@@ -94,15 +94,15 @@
 
     /// Stores the regional key hint of a response. It is passed back to the daemon that forwarded the request, or
     /// applied here if this is the caller's ingress daemon.
-    fn handle_regional_hint(&mut self, regional_tenths: u8) {
-        self.regional_tenths = regional_tenths;
+    fn handle_regional_hint(&mut self, regional_delay_deciseconds: u8) {
+        self.regional_delay_deciseconds = regional_delay_deciseconds;
         let request = self.forwarding.request();
         let is_ingress_daemon = request.hops == 0;
         if is_ingress_daemon
             && self.state.agent.handle_regional_hint(
                 MonotonicTime::now(),
                 &request.function,
-                regional_tenths,
+                regional_delay_deciseconds,
             )
         {
             self.state.desired_functions_changed();
@@ -241,7 +241,7 @@
         state,
         forwarding: Forwarding::new(MonotonicTime::now(), request),
         shutdown_signals: ShutdownSignals::new(state.shutdown_phase(), requester_phase),
-        regional_tenths: 0,
+        regional_delay_deciseconds: 0,
     };
     let mut step = run.advance();
     loop {
@@ -259,7 +259,7 @@
                     function: run.forwarding.request().function.clone(),
                     outcome,
                     holder,
-                    regional_tenths: run.regional_tenths,
+                    regional_delay_deciseconds: run.regional_delay_deciseconds,
                 };
             }
         }
--- a/crates/dataplane/src/server/hops.rs
+++ b/crates/dataplane/src/server/hops.rs
@@ -151,7 +151,7 @@
         let body = DaemonMessage::Completed {
             outcome,
             holder: LengthPrefixed(Vec::new()),
-            regional_tenths: 0,
+            regional_delay_deciseconds: 0,
         };
         let _ = append_frame(
             sent_bytes,
@@ -178,13 +178,13 @@
             let holder = LengthPrefixed(reported_holder.into_iter().collect());
             let ForwardedOutcome {
                 outcome,
-                regional_tenths,
+                regional_delay_deciseconds,
                 ..
             } = forwarded_outcome;
             Some(DaemonMessage::Completed {
                 outcome,
                 holder,
-                regional_tenths,
+                regional_delay_deciseconds,
             })
         }
         Err(replica_request) => state
--- a/crates/dataplane/tests/http_forms/ingress.rs
+++ b/crates/dataplane/tests/http_forms/ingress.rs
@@ -63,7 +63,7 @@
         let body = DaemonMessage::Completed {
             outcome,
             holder,
-            regional_tenths: 0,
+            regional_delay_deciseconds: 0,
         };
         let mut sent = Vec::new();
         append_frame(&mut sent, &DaemonFrame { correlation, body }).expect("frame should encode");
--- a/testing/fleet/src/sim/daemon/mod.rs
+++ b/testing/fleet/src/sim/daemon/mod.rs
@@ -45,7 +45,7 @@
     forwarded_to: Option<Host>,
     /// The holder in this daemon that has it, and the ticket under which.
     held_under: Option<(Arc<HeldFunction<u64>>, Ticket)>,
-    regional_tenths: u8,
+    regional_delay_deciseconds: u8,
     _in_flight: InFlightGuard,
 }
 
--- a/testing/fleet/src/sim/daemon/requests.rs
+++ b/testing/fleet/src/sim/daemon/requests.rs
@@ -107,7 +107,7 @@
             wakes: 0,
             forwarded_to: None,
             held_under: None,
-            regional_tenths: 0,
+            regional_delay_deciseconds: 0,
             _in_flight: in_flight,
         };
         body.pending_requests.insert(number, pending);
@@ -375,11 +375,11 @@
         index: usize,
         number: u64,
         end: ForwardResult,
-        regional_tenths: u8,
+        regional_delay_deciseconds: u8,
     ) {
         let body = self.nodes.daemon_mut(index).body.as_mut();
         if let Some(pending) = body.and_then(|body| body.pending_requests.get_mut(&number)) {
-            pending.regional_tenths = regional_tenths;
+            pending.regional_delay_deciseconds = regional_delay_deciseconds;
         }
         self.forwarded(index, number, end);
     }
@@ -407,14 +407,14 @@
         let Some(pending) = body.pending_requests.remove(&number) else {
             return;
         };
-        let regional_tenths = self.regional_hint(index, &pending);
+        let regional_delay_deciseconds = self.regional_hint(index, &pending);
         match pending.reply_target {
             ReplyTarget::Caller => {
                 self.handle_regional_hint(
                     index,
                     pending.forwarding.request(),
                     &outcome,
-                    regional_tenths,
+                    regional_delay_deciseconds,
                 );
                 self.answer_caller(pending.forwarding.request(), &outcome);
             }
@@ -433,7 +433,7 @@
                             incarnation,
                             number,
                             end,
-                            regional_tenths,
+                            regional_delay_deciseconds,
                         ),
                     );
                 }
@@ -453,7 +453,7 @@
         if own_word > 0 {
             own_word
         } else {
-            pending.regional_tenths
+            pending.regional_delay_deciseconds
         }
     }
 
@@ -463,7 +463,7 @@
         index: usize,
         request: &FunctionRequest,
         outcome: &RequestOutcome,
-        regional_tenths: u8,
+        regional_delay_deciseconds: u8,
     ) {
         let local_now = self.daemon_now(index);
         let Some(agent) = self.nodes.agent(index) else {
@@ -473,7 +473,9 @@
             self.record.count_event("served under a region's key");
         }
         let is_answer = matches!(outcome, RequestOutcome::Response { .. });
-        if is_answer && agent.handle_regional_hint(local_now, &request.function, regional_tenths) {
+        if is_answer
+            && agent.handle_regional_hint(local_now, &request.function, regional_delay_deciseconds)
+        {
             self.record.count_event("regional keys heard of");
             self.with_controller(index, |controller, _, now| {
                 controller.recheck_warm_functions(now);
--- a/testing/fleet/src/sim/dispatch.rs
+++ b/testing/fleet/src/sim/dispatch.rs
@@ -98,8 +98,8 @@
             DaemonEvent::Hop(node, _, reply_target, body) => {
                 self.handle_hop(node.daemon_index(), reply_target, body)
             }
-            DaemonEvent::Forwarded(node, _, number, end, regional_tenths) => {
-                self.finish_forward(node.daemon_index(), number, end, regional_tenths);
+            DaemonEvent::Forwarded(node, _, number, end, regional_delay_deciseconds) => {
+                self.finish_forward(node.daemon_index(), number, end, regional_delay_deciseconds);
             }
             DaemonEvent::FromHolder(node, _, function, fencing_token, word) => {
                 self.with_controller(node.daemon_index(), |controller, agent, now| {
--- a/testing/fleet/src/synthetic/daemons/forwarding.rs
+++ b/testing/fleet/src/synthetic/daemons/forwarding.rs
@@ -271,7 +271,7 @@
         let body = DaemonMessage::Completed {
             outcome,
             holder: LengthPrefixed(holder.into_iter().collect()),
-            regional_tenths: 0,
+            regional_delay_deciseconds: 0,
         };
         let Some(bytes) = self.encode_hop(&numbered_frame(requester.number, body)) else {
             return;
