--- a/crates/dataplane/src/agent/forwarding/request.rs
+++ b/crates/dataplane/src/agent/forwarding/request.rs
@@ -21,8 +21,8 @@
     pub deadline: MonotonicTime,
     /// How many times it was forwarded.
     pub hops: u8,
-    /// Whether it is a repeat, either by the caller or after a holder was lost with it.
-    pub repeat: bool,
+    /// Whether it is a retry, either by the caller or after a holder was lost with it.
+    pub is_retry: bool,
     /// Whether the daemon that forwarded it wants to be referred to the holder rather than have it forwarded again.
     pub wants_referral: bool,
     /// The region of the ingress daemon, which received it from its caller; empty if that daemon is in no region.
@@ -57,7 +57,7 @@
                 version,
                 deadline: now + Duration::from_millis(u64::from(time_limit_ms)),
                 hops,
-                repeat: repeat.0,
+                is_retry: repeat.0,
                 wants_referral: wants_referral.0,
                 region,
                 payload: Arc::new(payload),
--- a/crates/dataplane/src/agent/forwarding/step_results.rs
+++ b/crates/dataplane/src/agent/forwarding/step_results.rs
@@ -174,7 +174,7 @@
         self.leave_regional_key(agent, now, REGIONAL_LOST_BACKOFF);
         if self.may_retry_forward(agent, now) {
             self.lost_holder_count += 1;
-            self.request.repeat = true;
+            self.request.is_retry = true;
             self.give_up_at = None;
             return self.back_off(now);
         }
--- a/crates/dataplane/src/agent/held.rs
+++ b/crates/dataplane/src/agent/held.rs
@@ -25,8 +25,8 @@
     pub recorded: bool,
     /// The maximum number of runners that it may be sent to.
     pub max_attempts: u32,
-    /// Whether it repeats an earlier request.
-    pub repeat: bool,
+    /// Whether it is a retry of an earlier request.
+    pub is_retry: bool,
     /// How long it may wait in the queue.
     pub queue_timeout: Duration,
     /// The target latency: a later response counts as late.
@@ -129,7 +129,7 @@
             once: holder_request.once,
             recorded: holder_request.recorded,
             max_attempts: holder_request.max_attempts,
-            repeat: holder_request.repeat,
+            is_retry: holder_request.is_retry,
             deadline: holder_request.deadline,
             queue_timeout: holder_request.queue_timeout,
             target: holder_request.target,
--- a/crates/dataplane/src/holder/admission.rs
+++ b/crates/dataplane/src/holder/admission.rs
@@ -56,11 +56,11 @@
         self.demand.record_call(now);
         self.regional
             .record_call(now, request.region.as_ref(), request.recorded);
-        self.retry_budget.record_attempt(now, request.repeat);
+        self.retry_budget.record_attempt(now, request.is_retry);
     }
 
     fn enqueue(&mut self, now: MonotonicTime, request: AdmissionRequest) {
-        if request.repeat {
+        if request.is_retry {
             self.spend_retry(now);
         }
         if request.recorded {
--- a/crates/dataplane/src/holder/queue.rs
+++ b/crates/dataplane/src/holder/queue.rs
@@ -145,7 +145,7 @@
         {
             return Some((RequestFailureReason::OnceNotYetAdmitted, once_wait));
         }
-        if request.repeat && !self.has_retry_budget(now) {
+        if request.is_retry && !self.has_retry_budget(now) {
             return Some((
                 RequestFailureReason::RetryBudgetSpent,
                 Duration::from_secs(2),
--- a/crates/dataplane/src/holder/request.rs
+++ b/crates/dataplane/src/holder/request.rs
@@ -43,7 +43,7 @@
     /// The maximum number of runners it may be sent to.
     pub max_attempts: u32,
     /// Whether the caller marked it as a retry.
-    pub repeat: bool,
+    pub is_retry: bool,
     /// When its caller stops waiting for the response.
     pub deadline: MonotonicTime,
     /// The maximum time in the queue.
--- a/crates/dataplane/src/holder/retry_budget.rs
+++ b/crates/dataplane/src/holder/retry_budget.rs
@@ -66,8 +66,8 @@
     }
 
     /// Counts a request as a first attempt, unless its caller marked it as a retry.
-    pub(super) fn record_attempt(&mut self, now: MonotonicTime, repeat: bool) {
-        if !repeat {
+    pub(super) fn record_attempt(&mut self, now: MonotonicTime, is_retry: bool) {
+        if !is_retry {
             self.bucket(now).first_attempts += 1;
         }
     }
--- a/crates/dataplane/src/holder/send_result.rs
+++ b/crates/dataplane/src/holder/send_result.rs
@@ -161,7 +161,7 @@
     fn may_retry(&mut self, now: MonotonicTime, queued: &QueuedRequest) -> bool {
         let has_time_left = now + self.requests.service_time * 2 < queued.request.deadline;
         let is_last_attempt =
-            queued.request.repeat && self.rules.enforces(Rule::RepeatSentToOneRunner);
+            queued.request.is_retry && self.rules.enforces(Rule::RepeatSentToOneRunner);
         let has_attempts_left = queued.attempt < queued.request.max_attempts && !is_last_attempt;
         let may_run_again = !queued.request.once || !self.rules.enforces(Rule::OnceNotRetried);
         may_run_again
--- a/crates/dataplane/src/request_pipeline/mod.rs
+++ b/crates/dataplane/src/request_pipeline/mod.rs
@@ -96,7 +96,7 @@
         version: table.version(),
         deadline,
         hops: 0,
-        repeat: ingress.is_repeat(&head.headers),
+        is_retry: ingress.is_repeat(&head.headers),
         wants_referral: true,
         region: own_region(state),
         payload: Arc::new(payload(ingress, &head, body)),
--- a/crates/dataplane/tests/agent/lost_requests.rs
+++ b/crates/dataplane/tests/agent/lost_requests.rs
@@ -29,7 +29,7 @@
     let ForwardingStep::Wait { wait_until } = step else {
         return fail!("the request is not retried");
     };
-    verify_that!(forwarding.request().repeat, eq(true))?;
+    verify_that!(forwarding.request().is_retry, eq(true))?;
     let acquiring = forwarding.advance(&bench.agent, wait_until);
     verify_that!(
         matches!(acquiring, ForwardingStep::Acquire { .. }),
@@ -87,7 +87,7 @@
     for _ in 1..3 {
         let step = bench.handle_forward_result(&mut at_ingress, result());
         verify_that!(matches!(step, ForwardingStep::Wait { .. }), eq(true))?;
-        verify_that!(at_ingress.request().repeat, eq(true))?;
+        verify_that!(at_ingress.request().is_retry, eq(true))?;
     }
     let step = bench.handle_forward_result(&mut at_ingress, result());
     verify_that!(is_holder_unreachable(&step), eq(true))
--- a/crates/dataplane/tests/agent/spec_versions.rs
+++ b/crates/dataplane/tests/agent/spec_versions.rs
@@ -42,7 +42,7 @@
         once: false,
         recorded: true,
         max_attempts: 3,
-        repeat: false,
+        is_retry: false,
         queue_timeout: ms(1000),
         target: ms(1000),
         rank: 0,
--- a/crates/dataplane/tests/holder/bench.rs
+++ b/crates/dataplane/tests/holder/bench.rs
@@ -129,7 +129,7 @@
         &mut self,
         name: &str,
         once: bool,
-        repeat: bool,
+        is_retry: bool,
     ) -> (Ticket, Option<RequestOutcome>) {
         self.next_ticket += 1;
         let request = AdmissionRequest {
@@ -137,7 +137,7 @@
             once,
             recorded: self.recorded,
             max_attempts: self.max_attempts,
-            repeat,
+            is_retry,
             rank: self.rank,
             ..admission_request(self.next_ticket, self.now, TIMEOUT)
         };
--- a/crates/dataplane/tests/holder/retries.rs
+++ b/crates/dataplane/tests/holder/retries.rs
@@ -55,10 +55,10 @@
 
     fn submit(&mut self, number: u32) {
         self.bench.advance(ms(self.rng.below(40)));
-        let repeat = self.rng.random_bool(0.5);
+        let is_retry = self.rng.random_bool(0.5);
         let sent_before = self.bench.sent.len();
-        let (ticket, immediate) = self.bench.submit(&format!("t{number}"), false, repeat);
-        if !repeat {
+        let (ticket, immediate) = self.bench.submit(&format!("t{number}"), false, is_retry);
+        if !is_retry {
             self.first_attempts.push(self.bench.now);
         } else if immediate.is_none() {
             self.retries.push(self.bench.now);
--- a/crates/dataplane/tests/support/daemon_control.rs
+++ b/crates/dataplane/tests/support/daemon_control.rs
@@ -55,7 +55,7 @@
         version: agent.routing_table().version(),
         deadline: now + Duration::from_secs(2),
         hops: 0,
-        repeat: false,
+        is_retry: false,
         wants_referral: true,
         region: "".into(),
         payload: Arc::new(RequestPayload::from_body(Vec::new().into())),
--- a/crates/dataplane/tests/support/held_function.rs
+++ b/crates/dataplane/tests/support/held_function.rs
@@ -29,7 +29,7 @@
         once: false,
         recorded: false,
         max_attempts: 2,
-        repeat: false,
+        is_retry: false,
         deadline: now + timeout,
         queue_timeout: timeout,
         target: timeout,
--- a/testing/fleet/src/sim/daemon/requests.rs
+++ b/testing/fleet/src/sim/daemon/requests.rs
@@ -62,7 +62,7 @@
             version: table.version(),
             deadline: local_now + timeout.min(route.spec.timeout),
             hops: 0,
-            repeat,
+            is_retry: repeat,
             wants_referral: true,
             region: agent
                 .own_region()
@@ -227,7 +227,7 @@
         let function_before = pending.forwarding.request().function.clone();
         let next_step = change(&mut pending.forwarding, &agent, local_now);
         let function = pending.forwarding.request().function.clone();
-        let is_first = !pending.forwarding.request().repeat;
+        let is_first = !pending.forwarding.request().is_retry;
         pending.awaited_step = match &next_step {
             ForwardingStep::Serve(..) => AwaitedStep::Outcome,
             ForwardingStep::Forward { .. } => AwaitedStep::Forwarded,
--- a/testing/fleet/src/synthetic/daemons/callers.rs
+++ b/testing/fleet/src/synthetic/daemons/callers.rs
@@ -91,7 +91,7 @@
             hops: 0,
             wants_referral: true,
             region: "".into(),
-            repeat: false,
+            is_retry: false,
             payload: Arc::new(RequestPayload::from_body(Bytes::from_static(REQUEST))),
         };
         self.accept_request(daemon, request, ReplyTarget::Caller);
