--- a/crates/common/src/frames/heartbeat.rs
+++ b/crates/common/src/frames/heartbeat.rs
@@ -21,7 +21,7 @@
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct Suspicion {
     /// The suspected daemon.
-    pub incarnation: MemberIncarnation,
+    pub suspect: MemberIncarnation,
     /// How many more times the suspicion may be relayed.
     pub remaining_relays: u8,
 }
--- a/crates/common/tests/frames.rs
+++ b/crates/common/tests/frames.rs
@@ -29,7 +29,7 @@
         incarnation: 9.into(),
         sequence_number: 3,
         suspicions: LengthPrefixed(vec![Suspicion {
-            incarnation: MemberIncarnation {
+            suspect: MemberIncarnation {
                 member: "th-2".into(),
                 incarnation: 4.into(),
             },
--- a/crates/common/tests/wire_forms.rs
+++ b/crates/common/tests/wire_forms.rs
@@ -209,11 +209,11 @@
     };
     let suspicions = vec![
         Suspicion {
-            incarnation: member_incarnation(2),
+            suspect: member_incarnation(2),
             remaining_relays: 0x21,
         },
         Suspicion {
-            incarnation: member_incarnation(3),
+            suspect: member_incarnation(3),
             remaining_relays: 0,
         },
     ];
--- a/crates/dataplane/src/failure_detector/mod.rs
+++ b/crates/dataplane/src/failure_detector/mod.rs
@@ -128,9 +128,9 @@
         }
     }
 
-    fn is_listed(&self, incarnation: &MemberIncarnation) -> bool {
-        let record = self.records.get(&incarnation.member);
-        record.is_some_and(|record| record.host.incarnation == incarnation.incarnation)
+    fn is_listed(&self, member_incarnation: &MemberIncarnation) -> bool {
+        let record = self.records.get(&member_incarnation.member);
+        record.is_some_and(|record| record.host.incarnation == member_incarnation.incarnation)
     }
 
     /// Replaces the host list with the leader's complete one, its number and the members that the leader suspects.
@@ -272,10 +272,10 @@
     ) {
         let own_incarnation = self.own_incarnation();
         for suspicion in suspicions {
-            if suspicion.incarnation == own_incarnation {
+            if suspicion.suspect == own_incarnation {
                 self.refutation_targets.insert(sender_address);
                 self.next_heartbeat_at = now;
-            } else if self.is_listed(&suspicion.incarnation) {
+            } else if self.is_listed(&suspicion.suspect) {
                 self.peer_suspicions.record(now, suspicion);
             }
         }
@@ -331,14 +331,14 @@
         self.next_heartbeat_at = now + self.heartbeat_interval;
         self.heartbeat_count += 1;
         let own_suspicions = self.locally_suspected.iter().map(|incarnation| Suspicion {
-            incarnation: incarnation.clone(),
+            suspect: incarnation.clone(),
             remaining_relays: MAX_RELAYS,
         });
         let suspicions: Vec<Suspicion> = own_suspicions
             .chain(
                 self.peer_suspicions
                     .relayable()
-                    .filter(|suspicion| !self.locally_suspected.contains(&suspicion.incarnation)),
+                    .filter(|suspicion| !self.locally_suspected.contains(&suspicion.suspect)),
             )
             .take(MAX_SUSPICIONS)
             .collect();
--- a/crates/dataplane/src/failure_detector/suspicion.rs
+++ b/crates/dataplane/src/failure_detector/suspicion.rs
@@ -39,7 +39,7 @@
     pub(crate) fn record(&mut self, now: MonotonicTime, suspicion: &Suspicion) {
         let remaining_relays = suspicion.remaining_relays.min(MAX_RELAYS).saturating_sub(1);
         self.records
-            .entry(suspicion.incarnation.clone())
+            .entry(suspicion.suspect.clone())
             .and_modify(|record| {
                 record.last_received_at = now;
                 record.remaining_relays = record.remaining_relays.max(remaining_relays);
@@ -72,7 +72,7 @@
             .iter()
             .filter(|(_, record)| record.remaining_relays > 0)
             .map(|(incarnation, record)| Suspicion {
-                incarnation: incarnation.clone(),
+                suspect: incarnation.clone(),
                 remaining_relays: record.remaining_relays,
             })
     }
--- a/crates/dataplane/tests/failure_detector.rs
+++ b/crates/dataplane/tests/failure_detector.rs
@@ -268,7 +268,7 @@
     failure_detector.set_host_list(START, 1, vec![host(1, 1), host(2, 5)], Vec::new());
     failure_detector.tick(START);
     let suspicion = Suspicion {
-        incarnation: incarnation_of(1, 1),
+        suspect: incarnation_of(1, 1),
         remaining_relays: MAX_RELAYS,
     };
     failure_detector.handle_heartbeat(START + ms(20), &heartbeat(2, 5, vec![suspicion]));
@@ -298,7 +298,7 @@
     failure_detector.set_host_list(START, 1, hosts, Vec::new());
     failure_detector.tick(START);
     let suspicion = Suspicion {
-        incarnation: incarnation_of(5, 1),
+        suspect: incarnation_of(5, 1),
         remaining_relays: 1,
     };
     failure_detector.handle_heartbeat(START, &heartbeat(2, 1, vec![suspicion]));
