--- a/crates/controlplane/tests/controller_state/founding.rs
+++ b/crates/controlplane/tests/controller_state/bootstrap.rs
@@ -1,4 +1,5 @@
-//! The control quorum is bootstrapped at the first start of all controllers, and never again.
+//! The control quorum is bootstrapped at the first start of all controllers, and never again. Later, controllers join it,
+//! voters are replaced, and a new leader is elected.
 
 use super::cluster::{TestCluster, address, operators};
 use common::frames::{DaemonToLeader, LeaderToDaemon};
--- a/crates/controlplane/tests/controller_state/main.rs
+++ b/crates/controlplane/tests/controller_state/main.rs
@@ -1,9 +1,9 @@
 //! Tests of the controller's state machine: bootstrap, redirects, replacement of voters, numbered changes, changes of
 //! items, shutdown, and the product's own API.
 
+mod bootstrap;
 mod change_numbering;
 mod cluster;
-mod founding;
 mod operations;
 mod operator_api;
 mod operator_changes;
