--- a/crates/controlplane/src/consensus/election.rs
+++ b/crates/controlplane/src/consensus/election.rs
@@ -200,7 +200,7 @@
         now.since(last_alive_at) < self.options.timing.election_timeout_min
     }
 
-    /// Must be called when the leader's address refuses connections: its process has ended, so the
+    /// Handles refused connections at the leader's address: its process has ended, so the
     /// pre-vote need not wait for the election timeout. Voters that do not know this yet refuse the
     /// pre-vote.
     pub fn handle_leader_process_ended(&mut self, now: MonotonicTime, address: SocketAddress) {
--- a/crates/dataplane/src/agent/daemon_control/mod.rs
+++ b/crates/dataplane/src/agent/daemon_control/mod.rs
@@ -239,7 +239,7 @@
         self.cluster_view.handle_heartbeat(now, heartbeat)
     }
 
-    /// Acquires a function: requests its lease, or its current owner, from the leader.
+    /// Requests a function's lease, or its current owner, from the leader.
     pub fn request_lease(
         &mut self,
         agent: &Agent<W>,
--- a/crates/dataplane/src/agent/forwarding/step.rs
+++ b/crates/dataplane/src/agent/forwarding/step.rs
@@ -20,9 +20,11 @@
 
 /// What to do next with a request.
 pub enum ForwardingStep<W> {
-    /// Pass it to the holder in this daemon, then call [`Forwarding::handle_local_outcome`](super::Forwarding::handle_local_outcome).
+    /// Pass it to the holder in this daemon, then call
+    /// [`Forwarding::handle_local_outcome`](super::Forwarding::handle_local_outcome).
     Serve(Arc<HeldFunction<W>>, HolderRequest),
-    /// Send it to another daemon, then call [`Forwarding::handle_forward_result`](super::Forwarding::handle_forward_result).
+    /// Send it to another daemon, then call
+    /// [`Forwarding::handle_forward_result`](super::Forwarding::handle_forward_result).
     Forward {
         /// The daemon.
         host: Host,
@@ -31,7 +33,8 @@
         /// When to stop waiting for the reply.
         wait_until: MonotonicTime,
     },
-    /// Request the function from the leader, then call [`Forwarding::handle_acquire_result`](super::Forwarding::handle_acquire_result), or
+    /// Request the function from the leader, then call
+    /// [`Forwarding::handle_acquire_result`](super::Forwarding::handle_acquire_result), or
     /// [`Forwarding::advance`](super::Forwarding::advance) at `wait_until`.
     Acquire {
         /// When to stop waiting for the response.
--- a/crates/dataplane/src/drivers/state.rs
+++ b/crates/dataplane/src/drivers/state.rs
@@ -120,8 +120,9 @@
         }
     }
 
-    /// Acquires a function's owner from the leader. Concurrent requests for a function share one acquisition. Returns
-    /// `None` if the acquisition ends without a result, for example when the stream to the leader is lost.
+    /// Requests a function's lease, or its current owner, from the leader. Concurrent requests for a function share one
+    /// acquisition. Returns `None` if the acquisition ends without a result, for example when the stream to the leader
+    /// is lost.
     pub async fn request_lease(&self, function: &FunctionKey) -> Option<AcquireResult> {
         let (result_sender, result) = oneshot::channel();
         let _ = self
