--- a/crates/dataplane/src/drivers/runner_connections.rs
+++ b/crates/dataplane/src/drivers/runner_connections.rs
@@ -241,7 +241,7 @@
         let driver_task = tokio::spawn(async move {
             let _ = connection.await;
             if let Some(connections) = connections.upgrade() {
-                connections.connection_ended(runner, id);
+                connections.handle_connection_ended(runner, id);
             }
         });
         Ok(RunnerConnection {
@@ -265,7 +265,7 @@
         })
     }
 
-    fn connection_ended(&self, runner: RunnerId, id: ConnectionId) {
+    fn handle_connection_ended(&self, runner: RunnerId, id: ConnectionId) {
         let ended_connection = {
             let mut inner = self.lock();
             inner.pool.remove_connection(runner, id);
--- a/crates/dataplane/src/drivers/state.rs
+++ b/crates/dataplane/src/drivers/state.rs
@@ -132,7 +132,7 @@
     }
 
     /// Notifies the control task that the set of functions that need an owner may have changed.
-    pub fn desired_functions_changed(&self) {
+    pub fn notify_desired_functions_changed(&self) {
         let _ = self.control.send(ControlInput::DesiredFunctionsChanged);
     }
 
--- a/crates/dataplane/src/request_pipeline/forward_to_holder.rs
+++ b/crates/dataplane/src/request_pipeline/forward_to_holder.rs
@@ -105,7 +105,7 @@
                 regional_delay_deciseconds,
             )
         {
-            self.state.desired_functions_changed();
+            self.state.notify_desired_functions_changed();
         }
     }
 
