--- a/crates/controlplane/src/consensus/mod.rs
+++ b/crates/controlplane/src/consensus/mod.rs
@@ -7,8 +7,8 @@
 //! Raft's last log entry. The set of voters is part of the document.
 //!
 //! Nothing here does I/O, reads a clock or starts a task. A [`ConsensusNode`] takes the time
-//! ([`ConsensusNode::tick`]), frames ([`ConsensusNode::receive`]) and completed writes
-//! ([`ConsensusNode::write_completed`]) as inputs, and returns a list of [`ConsensusOutput`]s that its
+//! ([`ConsensusNode::tick`]), frames ([`ConsensusNode::handle_frame`]) and completed writes
+//! ([`ConsensusNode::handle_write_completed`]) as inputs, and returns a list of [`ConsensusOutput`]s that its
 //! driver carries out in order. The outputs are determined by the inputs and the seed; the simulator
 //! and the model checker depend on this.
 //!
