--- a/testing/fleet/src/judge/mod.rs
+++ b/testing/fleet/src/judge/mod.rs
@@ -1,25 +1,26 @@
-//! Checks a day of the fleet for safety violations, using only what callers, runners and the platform recorded.
+//! The judge: checks a day of the fleet for safety violations, using only the records of callers, runners, the platform
+//! and the fleet's journal.
 
 pub mod checks;
 mod evidence;
-mod figures;
+mod statistics;
 mod verdict;
 
 pub use evidence::{Call, Evidence, EvidenceError, JournalEntry, Run, RunnerInstance};
-pub use figures::{Figures, Recovery};
+pub use statistics::{DayStatistics, Recovery};
 pub use verdict::{Check, Verdict};
 
-/// Runs every check on the evidence of a day and computes its figures.
+/// Runs all checks on the evidence of a day and computes its statistics.
 pub fn judge(evidence: &Evidence) -> Verdict {
     let checks = checks::all(evidence);
     Verdict {
         unexercised: unexercised(evidence, &checks),
         checks,
-        figures: Figures::of(evidence),
+        statistics: DayStatistics::from_evidence(evidence),
     }
 }
 
-/// The checks that a fault of the day is meant to exercise and that found no case, with the fault's name.
+/// Returns the checks that a fault of the day should have exercised but that had no case, each with the fault's name.
 fn unexercised(evidence: &Evidence, checks: &[Check]) -> Vec<(String, &'static str)> {
     let found_no_case = |name: &str| {
         checks
