--- a/programs/daemon/tests/command_line.rs
+++ b/programs/daemon/tests/command_line.rs
@@ -26,13 +26,13 @@
 
 #[test]
 fn a_sighup_during_start_up_does_not_end_the_process() {
-    DAEMON.check_early_hang_up();
+    DAEMON.check_hang_up_while_reading_settings();
 }
 
 /// Guards against a process that is ended by a reload signal right after it is created.
 #[test]
 fn a_sighup_at_the_first_instruction_does_not_end_the_process() {
-    DAEMON.check_hang_up_at_first_code();
+    DAEMON.check_hang_up_at_program_start();
 }
 
 #[test]
@@ -66,8 +66,8 @@
     let taken = listening.local_addr().expect("an address").to_string();
     let minimal_settings = r#"{"member": "d", "place": "127.0.0.1:0", "door": "127.0.0.1:0", "locality": "north",
             "seeds": ["127.0.0.1:1"], "platform": "127.0.0.1:4"}"#;
-    let file = DAEMON.file("start", minimal_settings);
-    let ready = DAEMON.file(
+    let file = DAEMON.write_file("start", minimal_settings);
+    let ready = DAEMON.write_file(
         "ready",
         &minimal_settings.replace('}', r#", "ready": "192.0.2.1:8081"}"#),
     );
