--- a/testing/fleet/src/sim/daemon/requests.rs
+++ b/testing/fleet/src/sim/daemon/requests.rs
@@ -1,4 +1,4 @@
-//! Requests in simulated daemons: from the call to the response to the caller.
+//! Requests in simulated daemons, from the call to the response to the caller.
 
 use super::{AwaitedStep, PendingRequest, ReplyTarget, virtual_span};
 use crate::sim::event::DaemonEvent;
@@ -73,7 +73,7 @@
         self.accept_request(index, request, ReplyTarget::Caller);
     }
 
-    /// Handles a frame of another daemon.
+    /// Handles a frame from another daemon.
     pub(in crate::sim) fn handle_hop(
         &mut self,
         index: usize,
@@ -95,32 +95,38 @@
     ) {
         let local_now = self.daemon_now(index);
         let number = self.numbers.next();
-        let Some(body) = &mut self.nodes.daemon_mut(index).body else {
+        let Some(process) = &mut self.nodes.daemon_mut(index).process else {
             return;
         };
-        let in_flight = body.agent.track_in_flight();
+        let in_flight = process.agent.track_in_flight();
         let forwarding = Forwarding::new(local_now, request);
         let pending = PendingRequest {
             forwarding,
             reply_target,
             awaited_step: AwaitedStep::Lookup,
-            wakes: 0,
+            wake_number: 0,
             forwarded_to: None,
             held_under: None,
             regional_tenths: 0,
             _in_flight: in_flight,
         };
-        body.pending_requests.insert(number, pending);
+        process.pending_requests.insert(number, pending);
         self.advance(index, number);
     }
 
-    /// Handles the timeout of a wait, unless the request has advanced since.
-    pub(in crate::sim) fn wake(&mut self, index: usize, number: u64, wake: u64) {
-        let is_due = self.nodes.daemon(index).body.as_ref().is_some_and(|body| {
-            body.pending_requests
-                .get(&number)
-                .is_some_and(|pending| pending.wakes == wake)
-        });
+    /// Handles a wake-up of a request, unless a later one has been scheduled since.
+    pub(in crate::sim) fn wake(&mut self, index: usize, number: u64, wake_number: u64) {
+        let is_due = self
+            .nodes
+            .daemon(index)
+            .process
+            .as_ref()
+            .is_some_and(|process| {
+                process
+                    .pending_requests
+                    .get(&number)
+                    .is_some_and(|pending| pending.wake_number == wake_number)
+            });
         if is_due {
             self.advance(index, number);
         }
@@ -136,7 +142,7 @@
         );
     }
 
-    /// Handles the timeout of a wait for the leader's reply.
+    /// Handles the timeout of a request's wait for the leader's reply to an acquire.
     pub(in crate::sim) fn acquire_timed_out(&mut self, index: usize, number: u64) {
         self.step(
             index,
@@ -149,10 +155,10 @@
     pub(in crate::sim) fn look_up_all(&mut self, index: usize) {
         let node = self.nodes.daemon(index).node;
         let incarnation = self.nodes.daemon(index).incarnation;
-        let Some(body) = &self.nodes.daemon(index).body else {
+        let Some(process) = &self.nodes.daemon(index).process else {
             return;
         };
-        let waiting_lookups: Vec<u64> = body
+        let waiting_lookups: Vec<u64> = process
             .pending_requests
             .iter()
             .filter(|(_, pending)| pending.awaited_step == AwaitedStep::Lookup)
@@ -160,25 +166,25 @@
             .collect();
         self.end_forwards_to_departed(index);
         for number in waiting_lookups {
-            let Some(body) = &mut self.nodes.daemon_mut(index).body else {
+            let Some(process) = &mut self.nodes.daemon_mut(index).process else {
                 return;
             };
-            let Some(pending) = body.pending_requests.get_mut(&number) else {
+            let Some(pending) = process.pending_requests.get_mut(&number) else {
                 continue;
             };
-            pending.wakes += 1;
-            let wake = DaemonEvent::Lookup(node, incarnation, number, pending.wakes);
+            pending.wake_number += 1;
+            let wake = DaemonEvent::Lookup(node, incarnation, number, pending.wake_number);
             self.queue.push(Duration::from_micros(2), wake);
         }
     }
 
-    /// Stops waiting for daemons that no longer count as alive. The request gets a new number, so that a late reply is
-    /// ignored.
+    /// Stops waiting for daemons that are no longer considered alive. Each request gets a new number, so that a late
+    /// reply is ignored.
     pub(in crate::sim) fn end_forwards_to_departed(&mut self, index: usize) {
-        let Some(body) = &mut self.nodes.daemon_mut(index).body else {
+        let Some(process) = &mut self.nodes.daemon_mut(index).process else {
             return;
         };
-        let hosts = body.agent.live_hosts();
+        let hosts = process.agent.live_hosts();
         let is_to_departed = |pending: &PendingRequest| {
             pending.awaited_step == AwaitedStep::Forwarded
                 && pending
@@ -186,7 +192,7 @@
                     .as_ref()
                     .is_some_and(|host| !is_current_owner(host, &hosts))
         };
-        let lost: Vec<u64> = body
+        let lost: Vec<u64> = process
             .pending_requests
             .iter()
             .filter(|(_, pending)| is_to_departed(pending))
@@ -194,13 +200,13 @@
             .collect();
         for number in lost {
             let new_number = self.numbers.next();
-            let Some(body) = &mut self.nodes.daemon_mut(index).body else {
+            let Some(process) = &mut self.nodes.daemon_mut(index).process else {
                 return;
             };
-            let Some(pending) = body.pending_requests.remove(&number) else {
+            let Some(pending) = process.pending_requests.remove(&number) else {
                 continue;
             };
-            body.pending_requests.insert(new_number, pending);
+            process.pending_requests.insert(new_number, pending);
             self.record.count_event("passes to the gone");
             self.forwarded(index, new_number, ForwardResult::Lost);
         }
@@ -214,16 +220,16 @@
         change: impl FnOnce(&mut Forwarding, &Agent<u64>, MonotonicTime) -> ForwardingStep<u64>,
     ) {
         let local_now = self.daemon_now(index);
-        let Some(body) = &mut self.nodes.daemon_mut(index).body else {
+        let Some(process) = &mut self.nodes.daemon_mut(index).process else {
             return;
         };
-        let Some(pending) = body.pending_requests.get_mut(&number) else {
+        let Some(pending) = process.pending_requests.get_mut(&number) else {
             return;
         };
         if pending.awaited_step != expected_step {
             return;
         }
-        let agent = body.agent.clone();
+        let agent = process.agent.clone();
         let function_before = pending.forwarding.request().function.clone();
         let next_step = change(&mut pending.forwarding, &agent, local_now);
         let function = pending.forwarding.request().function.clone();
@@ -236,7 +242,7 @@
         };
         if function != function_before && is_first {
             self.checks
-                .move_first_try(self.queue.now(), &function_before, &function);
+                .move_first_attempt(self.queue.now(), &function_before, &function);
         }
         match next_step {
             ForwardingStep::Serve(held, holder_request) => {
@@ -248,7 +254,7 @@
                 wait_until,
             } => {
                 pending.forwarded_to = Some(host.clone());
-                self.pass(index, number, &host, body, wait_until);
+                self.forward(index, number, &host, body, wait_until);
             }
             ForwardingStep::Acquire { wait_until } => self.acquire(index, number, wait_until),
             ForwardingStep::Wait { wait_until } => self.schedule_wake(index, wait_until, number),
@@ -268,19 +274,20 @@
             return;
         };
         let ticket = agent.ticket();
-        let body = self.nodes.daemon_mut(index).body.as_mut();
-        if let Some(pending) = body.and_then(|body| body.pending_requests.get_mut(&number)) {
+        let process = self.nodes.daemon_mut(index).process.as_mut();
+        if let Some(pending) = process.and_then(|process| process.pending_requests.get_mut(&number))
+        {
             pending.held_under = Some((held.clone(), ticket));
             pending.forwarded_to = None;
         }
         let admitted = held.admit(local_now, ticket, holder_request.clone(), number);
-        let (at_once, outputs) = admitted;
-        if let Some((_, outcome)) = &at_once {
+        let (immediate, outputs) = admitted;
+        if let Some((_, outcome)) = &immediate {
             self.checks
                 .record_holder_outcome(held.fencing_token, &holder_request, outcome);
         }
-        self.drive(index, held, outputs);
-        if let Some((number, outcome)) = at_once {
+        self.execute_outputs(index, held, outputs);
+        if let Some((number, outcome)) = immediate {
             self.step(
                 index,
                 number,
@@ -299,15 +306,15 @@
             delay,
             DaemonEvent::AcquireTimedOut(node, incarnation, number),
         );
-        let Some(body) = &mut self.nodes.daemon_mut(index).body else {
+        let Some(process) = &mut self.nodes.daemon_mut(index).process else {
             return;
         };
-        let function = body.pending_requests[&number]
+        let function = process.pending_requests[&number]
             .forwarding
             .request()
             .function
             .clone();
-        let waiting = body.acquires.entry(function.clone()).or_default();
+        let waiting = process.acquires.entry(function.clone()).or_default();
         waiting.push(number);
         if waiting.len() == 1 {
             self.with_controller(index, |controller, agent, now| {
@@ -316,7 +323,7 @@
         }
     }
 
-    pub(in crate::sim) fn pass(
+    pub(in crate::sim) fn forward(
         &mut self,
         index: usize,
         number: u64,
@@ -331,7 +338,7 @@
         let Some(to_node) = self.nodes.node_at(host.address) else {
             return;
         };
-        let is_dead = self.nodes.daemon(to_node.daemon_index()).body.is_none();
+        let is_dead = self.nodes.daemon(to_node.daemon_index()).process.is_none();
         let delay = self.network.delay(&mut self.rng);
         if is_dead {
             self.queue.push(
@@ -369,7 +376,7 @@
         );
     }
 
-    /// Handles the reply, or its absence, of the daemon to which a request was forwarded.
+    /// Handles the reply of the daemon to which a request was forwarded, or the lack of a reply.
     pub(in crate::sim) fn finish_forward(
         &mut self,
         index: usize,
@@ -377,8 +384,9 @@
         end: ForwardResult,
         regional_tenths: u8,
     ) {
-        let body = self.nodes.daemon_mut(index).body.as_mut();
-        if let Some(pending) = body.and_then(|body| body.pending_requests.get_mut(&number)) {
+        let process = self.nodes.daemon_mut(index).process.as_mut();
+        if let Some(pending) = process.and_then(|process| process.pending_requests.get_mut(&number))
+        {
             pending.regional_tenths = regional_tenths;
         }
         self.forwarded(index, number, end);
@@ -401,10 +409,10 @@
         holder: Option<Host>,
     ) {
         let node = self.nodes.daemon(index).node;
-        let Some(body) = &mut self.nodes.daemon_mut(index).body else {
+        let Some(process) = &mut self.nodes.daemon_mut(index).process else {
             return;
         };
-        let Some(pending) = body.pending_requests.remove(&number) else {
+        let Some(pending) = process.pending_requests.remove(&number) else {
             return;
         };
         let regional_tenths = self.regional_hint(index, &pending);
@@ -441,23 +449,23 @@
         }
     }
 
-    /// The hint that is sent with an outcome under the requesting region's own key: by the lease holder, or by a daemon
-    /// nearer to it.
+    /// Returns the hint about the requesting region's own key that is sent with an outcome: that of this daemon if it
+    /// has one, otherwise the one that came with the reply to a forwarded request.
     fn regional_hint(&self, index: usize, pending: &PendingRequest) -> u8 {
         let request = pending.forwarding.request();
         let local_now = self.daemon_now(index);
         let agent = self.nodes.agent(index);
-        let own_word = agent.map_or(0, |agent| {
+        let own_hint = agent.map_or(0, |agent| {
             agent.regional_hint(local_now, &request.function, &request.region)
         });
-        if own_word > 0 {
-            own_word
+        if own_hint > 0 {
+            own_hint
         } else {
             pending.regional_tenths
         }
     }
 
-    /// Applies the hint that came with a reply about the region's own key.
+    /// Applies the hint about the region's own key that came with a reply.
     fn handle_regional_hint(
         &mut self,
         index: usize,
@@ -510,10 +518,10 @@
                 self.checks.check_not_run(self.queue.now(), idempotency_key);
                 self.record.count_event(reason.as_str());
                 if *retry_after_ms == 0 {
-                    let what = format!("{idempotency_key} is refused without a time to come back");
+                    let what = format!("{idempotency_key} is refused without a retry delay");
                     self.checks.report_violation(self.queue.now(), what);
                 }
-                self.note_refused(request);
+                self.handle_refusal(request);
             }
             RequestOutcome::Unknown { .. } => self.record.count_event("unknown"),
         }
