--- a/testing/fleet/src/commands/simulator.rs
+++ b/testing/fleet/src/commands/simulator.rs
@@ -16,7 +16,7 @@
     );
     println!("|---|---|---|---|---|---|---|");
     for proof in DETECTION_CASES {
-        let end = proof.run(proofs.seeds.unwrap_or(proof.seeds));
+        let end = proof.run(proofs.seeds.unwrap_or(proof.max_seeds));
         let faults: Vec<String> = proof.faults.iter().map(SimFault::to_string).collect();
         let (seed, seen) = match &end.found {
             Some((seed, seen)) => (seed.to_string(), seen.clone()),
@@ -24,7 +24,7 @@
         };
         println!(
             "| {} | `{}` | {} | {seed} | {seen} | {} | {} |",
-            proof.point,
+            proof.property,
             proof.flaw,
             faults.join(", "),
             end.checked,
@@ -58,7 +58,7 @@
     let mut run_digest = RunDigest::default();
     for seed in sim.seed..sim.seed + sim.count {
         let plan = plan_of(seed);
-        let is_scripted = plan.judges_script;
+        let is_scripted = plan.checks_script_end;
         let sim_result = Simulation::new(plan, sim.trace).run();
         sim_result.trace.iter().for_each(|line| println!("{line}"));
         let day_digest = run_digest.add(&sim_result);
@@ -123,24 +123,25 @@
         }));
     }
     let names = sim.faults.split(',').filter(|name| !name.is_empty());
-    let focus = names
+    let fault_kinds = names
         .map(|name| SimFault::by_name(name).ok_or_else(|| PlanError::Fault(name.to_owned())))
         .collect::<Result<Vec<SimFault>, PlanError>>()?;
-    let (lasts, gap) = (
+    let (fault_duration, max_fault_interval) = (
         Duration::from_secs(sim.lasts),
         Duration::from_millis(sim.gap_ms.max(400)),
     );
     let (daemons, has_faults) = (sim.daemons, !sim.calm);
-    let (numbers_orders, order_gap) = (sim.orders, Duration::from_millis(sim.order_gap_ms));
+    let (has_numbered_orders, max_order_interval) =
+        (sim.orders, Duration::from_millis(sim.order_gap_ms));
     Ok(Box::new(move |seed| SimPlan {
         flaw,
-        lasts,
+        fault_duration,
         daemons,
         has_faults,
-        focus: focus.clone(),
-        gap,
-        numbers_orders,
-        order_gap,
+        fault_kinds: fault_kinds.clone(),
+        max_fault_interval,
+        has_numbered_orders,
+        max_order_interval,
         ..SimPlan::seeded(seed)
     }))
 }
--- a/testing/fleet/src/sim/dispatch.rs
+++ b/testing/fleet/src/sim/dispatch.rs
@@ -168,13 +168,13 @@
             }
             PlatformEvent::Run(address, run) => self.begin_run(address, run),
             PlatformEvent::RunDone(runner, run, fault_code) => {
-                self.run_done(runner, run, fault_code)
+                self.finish_run(runner, run, fault_code)
             }
             PlatformEvent::ListTick => self.handle_list_tick(),
-            PlatformEvent::RestoreWorkers => self.platform.restore(),
+            PlatformEvent::RestoreWorkers => self.platform.end_worker_drains(),
             PlatformEvent::StopLeavingRunner(runner) => self.platform.stop(runner),
             PlatformEvent::WorkersReturn(workers) => {
-                self.platform.return_workers(workers);
+                self.platform.add_workers(workers);
             }
         }
     }
--- a/testing/fleet/src/sim/flaw.rs
+++ b/testing/fleet/src/sim/flaw.rs
@@ -1,43 +1,43 @@
-//! Flaws that are introduced on purpose to test the checks.
+//! Flaws that are introduced to test that the checks find them.
 
 use common::rules::{Rule, Rules};
 use std::fmt;
 
-/// A flaw that is introduced on purpose, to test that the checks find it.
+/// A flaw that is introduced to test that the checks find it.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Flaw {
     /// No flaw.
     None,
     /// The programs run without this rule.
     Without(Rule),
-    /// The disk reports a write as synced before it is.
+    /// The disk reports writes as synced before they are.
     SyncSkipped,
     /// Each controller counts itself as a majority.
     QuorumOfOne,
     /// The platform confirms the leader's requests to stop runners and ignores them.
-    StopsUnconfirmed,
+    StopRequestsIgnored,
     /// The leader's requests to stop runners do not reach the platform.
-    StopsUnheard,
+    StopRequestsLost,
 }
 
 impl Flaw {
-    /// All flaws, [`Flaw::None`] first.
+    /// Returns all flaws, [`Flaw::None`] first.
     pub fn all() -> Vec<Flaw> {
         let rules = Rule::ALL.iter().map(|rule| Flaw::Without(*rule));
-        let around = [
+        let environment_flaws = [
             Flaw::SyncSkipped,
             Flaw::QuorumOfOne,
-            Flaw::StopsUnconfirmed,
-            Flaw::StopsUnheard,
+            Flaw::StopRequestsIgnored,
+            Flaw::StopRequestsLost,
         ];
         [Flaw::None]
             .into_iter()
-            .chain(around)
+            .chain(environment_flaws)
             .chain(rules)
             .collect()
     }
 
-    /// The rules that the programs still enforce.
+    /// Returns the rules that the programs still enforce.
     pub fn rules(self) -> Rules {
         match self {
             Self::Without(rule) => Rules::without(rule),
@@ -53,8 +53,8 @@
             Self::Without(rule) => write!(out, "without-{rule}"),
             Self::SyncSkipped => out.write_str("sync-skipped"),
             Self::QuorumOfOne => out.write_str("quorum-of-one"),
-            Self::StopsUnconfirmed => out.write_str("stops-unconfirmed"),
-            Self::StopsUnheard => out.write_str("stops-unheard"),
+            Self::StopRequestsIgnored => out.write_str("stops-unconfirmed"),
+            Self::StopRequestsLost => out.write_str("stops-unheard"),
         }
     }
 }
--- a/testing/fleet/src/sim/plan.rs
+++ b/testing/fleet/src/sim/plan.rs
@@ -1,4 +1,4 @@
-//! The plan and the result of a simulated day.
+//! The plan and the result of a simulated run.
 
 use super::checks::SafetyViolation;
 use super::faults::SimFault;
@@ -11,45 +11,45 @@
 use std::fmt;
 use std::time::Duration;
 
-/// The plan of a simulated day.
+/// The plan of a simulated run.
 #[derive(Clone, Debug)]
 pub struct SimPlan {
     /// The seed of all random choices.
     pub seed: u64,
     /// How long faults are injected.
-    pub lasts: Duration,
+    pub fault_duration: Duration,
     /// The number of controllers, each with a disk.
     pub controllers: usize,
     /// The intended number of voters.
     pub voters: usize,
     /// The number of controllers that bootstrap the quorum.
-    pub founders: usize,
-    /// Timed actions on the control side, from the beginning of the day.
+    pub bootstrap_controller_count: usize,
+    /// Timed actions on the control plane, with their time since the start of the run.
     pub script: Vec<(Duration, Action)>,
-    /// A loss at one step of the control side, counted from the script's [`Action::CountSteps`].
+    /// A loss at one step of the control plane, counted from the script's [`Action::CountSteps`].
     pub second_loss: Option<SecondLoss>,
     /// Whether the state at the end of the script is checked.
-    pub judges_script: bool,
-    /// Whether the day ends as soon as the control side has recovered from its single loss.
+    pub checks_script_end: bool,
+    /// Whether the run ends as soon as the control plane has recovered from its single loss.
     pub ends_when_recovered: bool,
     /// Whether operators send changes at random times.
     pub has_changes: bool,
-    /// How long the day continues after all faults are undone.
-    pub settling: Duration,
+    /// How long the run continues after all faults are undone.
+    pub settling_time: Duration,
     /// The number of daemons.
     pub daemons: usize,
     /// The rate of requests per second.
     pub rate: f64,
     /// Whether random faults are injected.
     pub has_faults: bool,
-    /// The flaw that is introduced on purpose.
+    /// The flaw that is introduced to test the checks.
     pub flaw: Flaw,
     /// The share of requests whose idempotency key is sent twice.
     pub duplicate_share: f64,
-    /// The kinds of faults to choose from; all if this is empty.
-    pub focus: Vec<SimFault>,
-    /// The longest time from one fault to the next.
-    pub gap: Duration,
+    /// The kinds of faults to choose from; all kinds if empty.
+    pub fault_kinds: Vec<SimFault>,
+    /// The longest time between two faults.
+    pub max_fault_interval: Duration,
     /// The tuning of lease holders.
     pub tuning: Tuning,
     /// Whether functions with a long startup are kept warm.
@@ -57,71 +57,72 @@
     /// Whether the zones belong to two regions, so that busy functions get lease holders in both.
     pub regional: bool,
     /// Whether callers use a new idempotency key for each attempt.
-    pub fresh_identities: bool,
-    /// Whether callers wait longer than the grace period of an orderly stop, for functions with a single slot and long work.
+    pub uses_fresh_idempotency_keys: bool,
+    /// Whether callers wait longer than the grace period of a graceful shutdown, for functions with a single slot and
+    /// long execution times.
     pub patient_callers: bool,
-    /// Whether operators number their orders, retry them and read them back, so that the history can be checked for
-    /// linearizability.
-    pub numbers_orders: bool,
-    /// The longest time between two orders of operators.
-    pub order_gap: Duration,
+    /// Whether operators number their orders, retry them and read the configuration, so that the history can be checked
+    /// for linearizability.
+    pub has_numbered_orders: bool,
+    /// The longest time between two orders from operators.
+    pub max_order_interval: Duration,
 }
 
 impl SimPlan {
-    /// The usual day: half a minute with random faults.
+    /// Returns the default plan with this seed: 30 s with random faults.
     pub fn seeded(seed: u64) -> Self {
         Self {
             seed,
             controllers: 3,
             voters: 3,
-            founders: 3,
+            bootstrap_controller_count: 3,
             script: Vec::new(),
             second_loss: None,
-            judges_script: false,
+            checks_script_end: false,
             ends_when_recovered: false,
             has_changes: true,
-            settling: Duration::from_secs(20),
-            lasts: Duration::from_secs(30),
+            settling_time: Duration::from_secs(20),
+            fault_duration: Duration::from_secs(30),
             daemons: 5,
             rate: 40.0,
             has_faults: true,
             flaw: Flaw::None,
             duplicate_share: 0.2,
-            focus: Vec::new(),
-            gap: Duration::from_millis(3500),
+            fault_kinds: Vec::new(),
+            max_fault_interval: Duration::from_millis(3500),
             tuning: Tuning::default(),
             keeps_warm_functions: false,
             regional: false,
-            fresh_identities: false,
+            uses_fresh_idempotency_keys: false,
             patient_callers: false,
-            numbers_orders: false,
-            order_gap: Duration::from_millis(3000),
+            has_numbered_orders: false,
+            max_order_interval: Duration::from_millis(3000),
         }
     }
 
-    /// The rules that the programs enforce.
+    /// Returns the rules that the programs enforce.
     pub fn rules(&self) -> Rules {
         self.flaw.rules()
     }
 }
 
-/// The result of a simulated day.
+/// The result of a simulated run.
 pub struct SimResult {
     /// The violations that were found.
     pub violations: Vec<SafetyViolation>,
     /// The number of requests and changes by outcome.
     pub counts: BTreeMap<String, u64>,
-    /// The number of cases of each check.
+    /// How often each check was performed.
     pub checked: BTreeMap<&'static str, u64>,
-    /// The share of requests answered from 12 s after all faults were undone.
+    /// The share of requests that were answered, from 12 s after all faults were undone.
     pub share_after: f64,
-    /// The time after which at least half of the calls were answered again, from when all faults were undone.
+    /// The time from when all faults were undone until at least half of the calls were answered again.
     pub recovered_after: Duration,
-    /// The number of counted steps of the control side.
+    /// The number of counted steps of the control plane.
     pub steps: u64,
     /// The recovery times from the plan's single loss, if everything recovered.
     pub recovery: Option<RecoveryTimes>,
-    /// The digest of all events, for comparing the behaviour of two versions of the code.
+    /// The digest of all events, to compare the behaviour of two versions of the code.
     pub event_digest: String,
     /// The trace of events, if it was requested.
     pub trace: Vec<String>,
@@ -141,7 +142,7 @@
             .collect();
         write!(
             out,
-            "{} breaches; after mending {:.0}% answered, back in {} ms; {}; checks: {}",
+            "{} violations; {:.0}% answered after all faults were undone, recovered in {} ms; {}; checks: {}",
             self.violations.len(),
             self.share_after * 100.0,
             self.recovered_after.as_millis(),
--- a/testing/fleet/src/sim/simulation.rs
+++ b/testing/fleet/src/sim/simulation.rs
@@ -100,19 +100,19 @@
         if self.plan.has_changes {
             self.schedule_change();
         }
-        if self.plan.numbers_orders {
+        if self.plan.has_numbered_orders {
             self.schedule_reading();
         }
         self.schedule_script();
         if self.plan.has_faults {
             self.queue.push(FIRST_FAULT_AFTER, FaultEvent::RandomFault);
         }
-        self.queue.push(self.plan.lasts, FaultEvent::Heal);
+        self.queue.push(self.plan.fault_duration, FaultEvent::Heal);
     }
 
     /// Returns the virtual time at which the plan's faults end.
     pub(super) fn faults_end_at(&self) -> MonotonicTime {
-        STARTED_AT + self.plan.lasts
+        STARTED_AT + self.plan.fault_duration
     }
 
     /// Adds the violations of invariants that the code under test detected itself to those of the safety checks.
@@ -126,7 +126,7 @@
     /// Runs the simulation to its end and returns its result.
     pub fn run(mut self) -> SimResult {
         invariants::collect_on_this_thread();
-        let end_at = self.queue.now() + self.plan.lasts + self.plan.settling;
+        let end_at = self.queue.now() + self.plan.fault_duration + self.plan.settling_time;
         while self.checks.violations.len() <= MAX_VIOLATIONS
             && let Some(due) = self.queue.pop_due(end_at)
         {
@@ -151,7 +151,7 @@
                 break;
             }
         }
-        if self.plan.judges_script {
+        if self.plan.checks_script_end {
             self.check_script_end();
         }
         self.check_refused();
@@ -176,7 +176,7 @@
     pub(super) fn resume_node(&mut self, node: Node) {
         if !self.frozen.contains(node, self.queue.now()) {
             let deferred = self.frozen.resume(node);
-            let are_operators_first = self.plan.numbers_orders && self.rng.random_bool(0.8);
+            let are_operators_first = self.plan.has_numbered_orders && self.rng.random_bool(0.8);
             let (first, others): (Vec<Event>, Vec<Event>) = deferred
                 .into_iter()
                 .partition(|event| are_operators_first && event.is_from_operator());
--- a/testing/fleet/tests/invariants.rs
+++ b/testing/fleet/tests/invariants.rs
@@ -53,12 +53,12 @@
     case(
         Invariant::ChangeOnNamedBase,
         Rule::StaleBaseRejected,
-        &[F::ChangeStorm],
+        &[F::ChangeBurst],
     ),
     case(
         Invariant::ProposedSpecValid,
         Rule::InvalidChangeRejected,
-        &[F::ChangeStorm],
+        &[F::ChangeBurst],
     ),
     case(
         Invariant::SentUnderLease,
@@ -90,8 +90,8 @@
 fn is_detected(case: &Case, seed: u64) -> bool {
     let plan = SimPlan {
         flaw: case.flaw,
-        focus: case.faults.to_vec(),
-        gap: Duration::from_millis(1200),
+        fault_kinds: case.faults.to_vec(),
+        max_fault_interval: Duration::from_millis(1200),
         rate: 60.0,
         duplicate_share: 0.5,
         ..SimPlan::seeded(seed)
--- a/testing/fleet/tests/simulator.rs
+++ b/testing/fleet/tests/simulator.rs
@@ -55,8 +55,8 @@
             patient_callers: true,
             rate: 8.0,
             duplicate_share: 0.5,
-            focus: vec![SimFault::StopInOrder, SimFault::CallBurst],
-            gap: Duration::from_millis(900),
+            fault_kinds: vec![SimFault::StopDaemon, SimFault::CallBurst],
+            max_fault_interval: Duration::from_millis(900),
             ..SimPlan::seeded(seed)
         };
         let sim_result = verify_clean(plan)?;
@@ -82,7 +82,7 @@
     let mut served_count = 0;
     for seed in (1..=24).chain([73, 82, 86, 120]) {
         let plan = SimPlan {
-            fresh_identities: true,
+            uses_fresh_idempotency_keys: true,
             ..regional_plan(seed)
         };
         let sim_result = verify_clean(plan)?;
@@ -96,7 +96,7 @@
 #[gtest]
 fn a_regions_key_waits_for_every_runner_that_was_started_under_it() -> Result<()> {
     let plan = SimPlan {
-        fresh_identities: true,
+        uses_fresh_idempotency_keys: true,
         ..regional_plan(108)
     };
     verify_clean(plan)?;
@@ -157,7 +157,7 @@
 #[gtest]
 fn every_disabled_rule_is_detected_and_the_baseline_is_clean() -> Result<()> {
     for case in DETECTION_CASES {
-        let detection = case.run(case.seeds);
+        let detection = case.run(case.max_seeds);
         verify_that!(detection.baseline_violations, is_empty())
             .with_failure_message(|| case.to_string())?;
         verify_that!(detection.found, some(anything()))
@@ -195,11 +195,11 @@
         (141, vec![DrainWorker, Isolation], 2000),
         (149, vec![RunnerLeaves, Partition], 2000),
     ];
-    for (seed, focus, gap_ms) in cases {
-        let gap = Duration::from_millis(gap_ms);
+    for (seed, fault_kinds, gap_ms) in cases {
+        let max_fault_interval = Duration::from_millis(gap_ms);
         let plan = SimPlan {
-            focus,
-            gap,
+            fault_kinds,
+            max_fault_interval,
             ..SimPlan::seeded(seed)
         };
         verify_clean(plan)?;
@@ -218,46 +218,46 @@
 
 /// Faults of the control plane under which the history of operators is recorded.
 struct HistoryCase {
-    focus: &'static [SimFault],
+    fault_kinds: &'static [SimFault],
     /// The time between two faults.
-    gap: Duration,
+    max_fault_interval: Duration,
     /// The time between two orders of an operator.
-    order_gap: Duration,
+    max_order_interval: Duration,
 }
 
 const RARE_ORDERS: Duration = Duration::from_millis(3000);
 const FREQUENT_ORDERS: Duration = Duration::from_millis(150);
 const HISTORY_CASES: [HistoryCase; 4] = [
     HistoryCase {
-        focus: &[],
-        gap: Duration::from_millis(3500),
-        order_gap: RARE_ORDERS,
+        fault_kinds: &[],
+        max_fault_interval: Duration::from_millis(3500),
+        max_order_interval: RARE_ORDERS,
     },
     HistoryCase {
-        focus: &[],
-        gap: Duration::from_millis(3500),
-        order_gap: FREQUENT_ORDERS,
+        fault_kinds: &[],
+        max_fault_interval: Duration::from_millis(3500),
+        max_order_interval: FREQUENT_ORDERS,
     },
     HistoryCase {
-        focus: &[
+        fault_kinds: &[
             SimFault::Evacuate,
             SimFault::FreezeLeader,
             SimFault::PartitionQuorum,
             SimFault::Freeze,
         ],
-        gap: Duration::from_millis(1500),
-        order_gap: RARE_ORDERS,
+        max_fault_interval: Duration::from_millis(1500),
+        max_order_interval: RARE_ORDERS,
     },
     HistoryCase {
-        focus: &[
-            SimFault::ChangeStorm,
+        fault_kinds: &[
+            SimFault::ChangeBurst,
             SimFault::FreezeLeader,
             SimFault::PartitionQuorum,
             SimFault::KillLeader,
             SimFault::RestartAll,
         ],
-        gap: Duration::from_millis(1500),
-        order_gap: FREQUENT_ORDERS,
+        max_fault_interval: Duration::from_millis(1500),
+        max_order_interval: FREQUENT_ORDERS,
     },
 ];
 
@@ -267,10 +267,10 @@
     for case in HISTORY_CASES {
         for seed in [11, 32, 112, 155, 221, 234] {
             let plan = SimPlan {
-                focus: case.focus.to_vec(),
-                gap: case.gap,
-                numbers_orders: true,
-                order_gap: case.order_gap,
+                fault_kinds: case.fault_kinds.to_vec(),
+                max_fault_interval: case.max_fault_interval,
+                has_numbered_orders: true,
+                max_order_interval: case.max_order_interval,
                 ..SimPlan::seeded(seed)
             };
             let sim_result = verify_clean(plan)?;
