--- a/crates/dataplane/tests/settings_forms.rs
+++ b/crates/dataplane/tests/settings_forms.rs
@@ -59,7 +59,7 @@
 }
 
 fn shown(settings: &Value) -> Value {
-    daemon_settings::shown(
+    daemon_settings::to_json(
         &read(settings).expect("settings should be valid"),
         &["north", "south", "east"],
     )
@@ -83,6 +83,6 @@
 fn error_messages_for_invalid_values_match_the_fixture() {
     let read = |settings: &Value| read(settings).map(drop).map_err(|cause| cause.to_string());
     let several = json!({"member": 7, "threads": 257});
-    let text = native_settings::answers(&full(), several, read);
+    let text = native_settings::probe_results(&full(), several, read);
     check("settings_answers.txt", &text);
 }
--- a/programs/controller/tests/command_line.rs
+++ b/programs/controller/tests/command_line.rs
@@ -26,14 +26,14 @@
 
 #[test]
 fn the_error_for_an_unwritable_data_directory_names_it() {
-    let file = CONTROLLER.file("notafolder", "x");
+    let file = CONTROLLER.write_file("notafolder", "x");
     let text = format!(
         r#"{{"place": "127.0.0.1:0", "operators": "127.0.0.1:0", "locality": "north",
             "seeds": ["127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3"], "platform": "127.0.0.1:4",
             "data": "{}/inside"}}"#,
         file.display()
     );
-    let error_text = CONTROLLER.refused("folder", &text, &[]);
+    let error_text = CONTROLLER.check_refused("folder", &text, &[]);
     assert!(
         error_text.contains("data cannot be written"),
         "{error_text}"
@@ -43,13 +43,13 @@
 
 #[test]
 fn a_sighup_during_start_up_does_not_end_the_process() {
-    CONTROLLER.check_early_hang_up();
+    CONTROLLER.check_hang_up_while_reading_settings();
 }
 
 /// Guards against a process that is ended by a reload signal right after it is created.
 #[test]
 fn a_sighup_at_the_first_instruction_does_not_end_the_process() {
-    CONTROLLER.check_hang_up_at_first_code();
+    CONTROLLER.check_hang_up_at_program_start();
 }
 
 #[test]
@@ -86,7 +86,7 @@
     let taken = listening.local_addr().expect("an address").to_string();
     let minimal_settings = r#"{"place": "127.0.0.1:0", "operators": "127.0.0.1:0", "locality": "north",
             "seeds": ["127.0.0.1:1"], "platform": "127.0.0.1:4"}"#;
-    let file = CONTROLLER.file("start", minimal_settings);
+    let file = CONTROLLER.write_file("start", minimal_settings);
     let file_name = file.to_str().expect("a path");
     let mut text = String::new();
     for arguments in [
--- a/testing/fleet/src/commands/simulator.rs
+++ b/testing/fleet/src/commands/simulator.rs
@@ -1,4 +1,4 @@
-//! Simulated days with many seeds, and the detection cases of safety rules.
+//! Runs simulated days with many seeds, and the detection cases of safety rules.
 
 use super::control_side::check_scenario_detection;
 use super::flags::{Proofs, Sim};
@@ -8,7 +8,7 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-/// Prints a Markdown table with the violation that is found without each rule, and the number of days until then.
+/// Prints a Markdown table with the violation found when each rule is broken, and the first seed that found it.
 pub(crate) fn check_detection(proofs: &Proofs) -> ExitCode {
     let mut is_complete = true;
     println!(
@@ -16,7 +16,7 @@
     );
     println!("|---|---|---|---|---|---|---|");
     for proof in DETECTION_CASES {
-        let end = proof.run(proofs.seeds.unwrap_or(proof.seeds));
+        let end = proof.run(proofs.seeds.unwrap_or(proof.max_seeds));
         let faults: Vec<String> = proof.faults.iter().map(SimFault::to_string).collect();
         let (seed, seen) = match &end.found {
             Some((seed, seen)) => (seed.to_string(), seen.clone()),
@@ -24,7 +24,7 @@
         };
         println!(
             "| {} | `{}` | {} | {seed} | {seen} | {} | {} |",
-            proof.point,
+            proof.property,
             proof.flaw,
             faults.join(", "),
             end.checked,
@@ -46,7 +46,7 @@
 
 /// Runs a day for each seed and prints the results.
 pub(crate) fn simulate(sim: &Sim) -> ExitCode {
-    let plan_of = match plans(sim) {
+    let plan_of = match plan_factory(sim) {
         Ok(plan_of) => plan_of,
         Err(error) => {
             eprintln!("fleet: {error}");
@@ -58,7 +58,7 @@
     let mut run_digest = RunDigest::default();
     for seed in sim.seed..sim.seed + sim.count {
         let plan = plan_of(seed);
-        let is_scripted = plan.judges_script;
+        let is_scripted = plan.checks_script_end;
         let sim_result = Simulation::new(plan, sim.trace).run();
         sim_result.trace.iter().for_each(|line| println!("{line}"));
         let day_digest = run_digest.add(&sim_result);
@@ -95,21 +95,21 @@
 /// Why the requested days cannot be run.
 #[derive(Debug, thiserror::Error)]
 enum PlanError {
-    #[error("unknown flaw {0:?}; there are: {known}", known = joined(&Flaw::all()))]
+    #[error("unknown flaw {0:?}; there are: {known}", known = joined_names(&Flaw::all()))]
     Flaw(String),
-    #[error("unknown fault {0:?}; there are: {known}", known = joined(SimFault::ALL))]
+    #[error("unknown fault {0:?}; there are: {known}", known = joined_names(SimFault::ALL))]
     Fault(String),
-    #[error("unknown scenario {0:?}; there are: {known}", known = joined(Scenario::ALL))]
+    #[error("unknown scenario {0:?}; there are: {known}", known = joined_names(Scenario::ALL))]
     Scenario(String),
 }
 
-fn joined(names: &[impl ToString]) -> String {
+fn joined_names(names: &[impl ToString]) -> String {
     let names: Vec<String> = names.iter().map(ToString::to_string).collect();
     names.join(", ")
 }
 
-/// The function that makes the plan of a day from its seed.
-fn plans(sim: &Sim) -> Result<Box<dyn Fn(u64) -> SimPlan>, PlanError> {
+/// Returns a function that creates the plan of a day from its seed.
+fn plan_factory(sim: &Sim) -> Result<Box<dyn Fn(u64) -> SimPlan>, PlanError> {
     let flaw = Flaw::all()
         .into_iter()
         .find(|flaw| flaw.to_string() == sim.flaw)
@@ -123,24 +123,25 @@
         }));
     }
     let names = sim.faults.split(',').filter(|name| !name.is_empty());
-    let focus = names
+    let fault_kinds = names
         .map(|name| SimFault::by_name(name).ok_or_else(|| PlanError::Fault(name.to_owned())))
         .collect::<Result<Vec<SimFault>, PlanError>>()?;
-    let (lasts, gap) = (
+    let (fault_duration, max_fault_interval) = (
         Duration::from_secs(sim.lasts),
         Duration::from_millis(sim.gap_ms.max(400)),
     );
     let (daemons, has_faults) = (sim.daemons, !sim.calm);
-    let (numbers_orders, order_gap) = (sim.orders, Duration::from_millis(sim.order_gap_ms));
+    let (has_numbered_orders, max_order_interval) =
+        (sim.orders, Duration::from_millis(sim.order_gap_ms));
     Ok(Box::new(move |seed| SimPlan {
         flaw,
-        lasts,
+        fault_duration,
         daemons,
         has_faults,
-        focus: focus.clone(),
-        gap,
-        numbers_orders,
-        order_gap,
+        fault_kinds: fault_kinds.clone(),
+        max_fault_interval,
+        has_numbered_orders,
+        max_order_interval,
         ..SimPlan::seeded(seed)
     }))
 }
--- a/testing/fleet/src/sim/daemon/shutdown.rs
+++ b/testing/fleet/src/sim/daemon/shutdown.rs
@@ -1,4 +1,4 @@
-//! Orderly stops of simulated daemons.
+//! The orderly stop of simulated daemons.
 
 use super::{AwaitedStep, PendingRequest, ReplyTarget};
 use crate::sim::event::DaemonEvent;
@@ -12,7 +12,7 @@
 
 /// The grace period of an orderly stop, after which the platform kills the process.
 const GRACE: Duration = Duration::from_millis(5600);
-/// How long a process that exits leaves its last frames to be written.
+/// How long an exiting process waits for its last frames to be sent.
 const LAST_FRAMES_TIME: Duration = Duration::from_millis(60);
 
 /// An orderly stop that is under way.
@@ -20,7 +20,7 @@
 pub(super) struct OrderlyStop {
     schedule: ShutdownSchedule,
     phase: ShutdownPhase,
-    /// Whether the process exits, and only its last frames are written.
+    /// Whether the process is about to exit, and only sends its last frames.
     has_exited: bool,
 }
 
@@ -41,24 +41,24 @@
         let is_frozen = self
             .frozen
             .contains(self.nodes.daemon(index).node, self.queue.now());
-        let Some(body) = &mut self.nodes.daemon_mut(index).body else {
+        let Some(process) = &mut self.nodes.daemon_mut(index).process else {
             return;
         };
-        if body.stop.is_some() {
+        if process.stop.is_some() {
             return;
         }
-        body.stop = Some(OrderlyStop::begin(local_now));
-        body.is_disturbed = is_frozen;
+        process.stop = Some(OrderlyStop::begin(local_now));
+        process.is_disturbed = is_frozen;
         self.with_controller(index, |controller, agent, now| controller.leave(agent, now));
     }
 
-    /// Does what is due of a daemon's orderly stop.
+    /// Advances a daemon's orderly stop to the phase that is due.
     pub(super) fn continue_stop(&mut self, index: usize) {
         let local_now = self.daemon_now(index);
-        let Some(body) = &mut self.nodes.daemon_mut(index).body else {
+        let Some(process) = &mut self.nodes.daemon_mut(index).process else {
             return;
         };
-        let Some(stop) = body.stop.as_mut().filter(|stop| !stop.has_exited) else {
+        let Some(stop) = process.stop.as_mut().filter(|stop| !stop.has_exited) else {
             return;
         };
         let phase = stop.schedule.phase(local_now);
@@ -80,18 +80,19 @@
     }
 
     fn pending_numbers(&self, index: usize) -> Vec<u64> {
-        let body = self.nodes.daemon(index).body.as_ref();
-        body.map(|body| body.pending_requests.keys().copied().collect())
+        let process = self.nodes.daemon(index).process.as_ref();
+        process
+            .map(|process| process.pending_requests.keys().copied().collect())
             .unwrap_or_default()
     }
 
-    /// Takes a request back from where it waits.
+    /// Withdraws a request from the lease holder or daemon that it waits for.
     fn withdraw_request(&mut self, index: usize, number: u64) {
-        let Some(body) = &mut self.nodes.daemon_mut(index).body else {
+        let Some(process) = &mut self.nodes.daemon_mut(index).process else {
             return;
         };
-        let agent = body.agent.clone();
-        let Some(pending) = body.pending_requests.get_mut(&number) else {
+        let agent = process.agent.clone();
+        let Some(pending) = process.pending_requests.get_mut(&number) else {
             return;
         };
         if !pending.forwarding.withdraw(&agent) {
@@ -106,7 +107,7 @@
             }
             AwaitedStep::Outcome => {
                 if let Some((held, ticket)) = pending.held_under.clone() {
-                    self.apply(index, &held.function, held.fencing_token, |holder, now| {
+                    self.update_holder(index, &held.function, held.fencing_token, |holder, now| {
                         holder.withdraw(now, ticket)
                     });
                 }
@@ -141,12 +142,12 @@
         );
     }
 
-    /// Handles a notice of the daemon that forwarded a request. Simulated callers never leave, so that no request is
-    /// abandoned.
+    /// Handles a notice from the daemon that forwarded a request. It is always a withdrawal, since simulated callers
+    /// never disconnect and so abandon no request.
     pub(super) fn handle_requester_notice(&mut self, index: usize, reply_target: ReplyTarget) {
-        let body = self.nodes.daemon(index).body.as_ref();
-        let number = body.and_then(|body| {
-            let mut pending_requests = body.pending_requests.iter();
+        let process = self.nodes.daemon(index).process.as_ref();
+        let number = process.and_then(|process| {
+            let mut pending_requests = process.pending_requests.iter();
             pending_requests
                 .find(|(_, pending)| pending.reply_target == reply_target)
                 .map(|(number, _)| *number)
@@ -156,13 +157,13 @@
         }
     }
 
-    /// Ends a request that is left when its daemon is about to exit. One that waited for a runner all the time should
-    /// have been withdrawn, unless its holder could not be told.
+    /// Ends a request that is left when its daemon is about to exit. One that no runner has had must have been
+    /// withdrawn before, unless its lease holder could not be notified.
     fn end_unfinished(&mut self, index: usize, number: u64) {
-        let Some(body) = &self.nodes.daemon(index).body else {
+        let Some(process) = &self.nodes.daemon(index).process else {
             return;
         };
-        let Some(pending) = body.pending_requests.get(&number) else {
+        let Some(pending) = process.pending_requests.get(&number) else {
             return;
         };
         let ForwardingStep::End(outcome, holder) = pending.forwarding.end_unfinished::<u64>()
@@ -170,7 +171,7 @@
             return;
         };
         let idempotency_key = pending.forwarding.request().idempotency_key.clone();
-        let is_undisturbed = !body.is_disturbed && self.is_holder_reachable(index, pending);
+        let is_undisturbed = !process.is_disturbed && self.is_holder_reachable(index, pending);
         if let Some((held, ticket)) = &pending.held_under {
             held.remove_waiter(*ticket);
         }
@@ -181,7 +182,8 @@
         self.end(index, number, outcome, holder);
     }
 
-    /// Whether the daemon to which a request was forwarded runs undisturbed and is_reachable this one.
+    /// Whether the daemon to which a request was forwarded runs undisturbed and is connected with this one in both
+    /// directions.
     fn is_holder_reachable(&self, index: usize, pending: &PendingRequest) -> bool {
         let Some(host) = &pending.forwarded_to else {
             return true;
@@ -189,7 +191,10 @@
         let own_node = self.nodes.daemon(index).node;
         let is_reachable = |node: Node| {
             let holder = self.nodes.daemon(node.daemon_index());
-            holder.body.as_ref().is_some_and(|body| !body.is_disturbed)
+            holder
+                .process
+                .as_ref()
+                .is_some_and(|process| !process.is_disturbed)
                 && !self.frozen.contains(node, self.queue.now())
                 && self.network.reaches(own_node, node)
                 && self.network.reaches(node, own_node)
@@ -197,24 +202,24 @@
         self.nodes.node_at(host.address).is_some_and(is_reachable)
     }
 
-    /// Ends a stopping daemon when no requests are left, or when its grace period is over.
+    /// Lets a stopping daemon exit when no requests are left or its grace period is over.
     fn exit_if_due(&mut self, index: usize) {
         let local_now = self.daemon_now(index);
-        let Some(body) = &self.nodes.daemon(index).body else {
+        let Some(process) = &self.nodes.daemon(index).process else {
             return;
         };
-        let Some(stop) = body.stop else {
+        let Some(stop) = process.stop else {
             return;
         };
-        if local_now < stop.schedule.exit_at && !body.agent.is_drained() {
+        if local_now < stop.schedule.exit_at && !process.agent.is_drained() {
             return;
         }
-        let in_flight: Vec<IdempotencyKey> = body
+        let in_flight: Vec<IdempotencyKey> = process
             .pending_requests
             .values()
             .map(|pending| pending.forwarding.request().idempotency_key.clone())
             .collect();
-        if !body.is_disturbed {
+        if !process.is_disturbed {
             self.checks
                 .check_orderly_stop(self.queue.now(), index, &in_flight);
         }
@@ -226,15 +231,15 @@
         if let Some(stop) = self
             .nodes
             .daemon_mut(index)
-            .body
+            .process
             .as_mut()
-            .and_then(|body| body.stop.as_mut())
+            .and_then(|process| process.stop.as_mut())
         {
             stop.has_exited = true;
         }
         self.queue.push(
             LAST_FRAMES_TIME,
-            DaemonEvent::ProcessGone(node, incarnation),
+            DaemonEvent::ProcessExited(node, incarnation),
         );
     }
 }
--- a/testing/fleet/src/sim/detection_cases.rs
+++ b/testing/fleet/src/sim/detection_cases.rs
@@ -1,4 +1,4 @@
-//! Detection cases by simulated days: flaws that the checks must find.
+//! Detection cases with random faults: flaws that the checks must find.
 
 use super::faults::SimFault;
 use super::flaw::Flaw;
@@ -8,23 +8,23 @@
 use std::fmt;
 use std::time::Duration;
 
-/// A detection case: a flaw, the faults that expose it, and the violation that is expected with it and absent without.
+/// A flaw, the faults that expose it, and the violation that must be found with the flaw and not without it.
 pub struct DetectionCase {
-    /// What must never happen, in the order of the requirements.
-    pub point: &'static str,
+    /// What must never happen. The cases are in the order of the requirements.
+    pub property: &'static str,
     /// The flaw that is introduced.
     pub flaw: Flaw,
     /// The faults that expose it.
     pub faults: &'static [SimFault],
-    /// The longest time from one fault to the next.
-    pub gap: Duration,
-    /// The text of the expected violation.
+    /// The longest time between two faults.
+    pub max_fault_interval: Duration,
+    /// A part of the expected violation's message; empty if any violation counts.
     pub expected_violation: &'static str,
-    /// The number of seeds after which it must have been found.
-    pub seeds: u64,
+    /// The number of seeds within which the flaw must be found.
+    pub max_seeds: u64,
     /// Whether operators send hundreds of numbered orders.
-    pub numbers_orders: bool,
-    /// Whether callers wait longer than the grace period of an orderly stop.
+    pub has_numbered_orders: bool,
+    /// Whether callers wait longer than the grace period of a graceful shutdown.
     pub patient_callers: bool,
 }
 
@@ -32,82 +32,83 @@
 pub struct DetectionResult {
     /// The first seed that found the flaw, and the violation.
     pub found: Option<(u64, String)>,
-    /// The violations in the same days without the flaw.
+    /// The violations in the same runs without the flaw.
     pub baseline_violations: Vec<String>,
-    /// The number of checked cases in the days without the flaw.
+    /// The number of checks in the runs without the flaw.
     pub checked: u64,
 }
 
-/// The longest time between two orders where the case is not about orders.
-const ORDER_GAP: Duration = Duration::from_millis(3000);
-/// The longest time between two orders where the case is about them: hundreds in a day.
-const HURRIED_ORDER_GAP: Duration = Duration::from_millis(150);
+/// The longest time between two orders, unless the case is about orders.
+const MAX_ORDER_INTERVAL: Duration = Duration::from_millis(3000);
+/// The longest time between two orders if the case is about orders; hundreds are sent in a run.
+const SHORT_MAX_ORDER_INTERVAL: Duration = Duration::from_millis(150);
 
-/// The usual rate of calls, a second.
-const CALLER_RATE: f64 = 60.0;
-/// The rate of calls that wait long, for functions with a single slot each, a second.
-const PATIENT_CALLER_RATE: f64 = 8.0;
+/// The usual number of calls per second.
+const CALL_RATE: f64 = 60.0;
+/// The number of calls per second if callers wait long and each function has a single slot.
+const PATIENT_CALL_RATE: f64 = 8.0;
 
 impl DetectionCase {
-    /// This case with hundreds of numbered orders.
+    /// Returns this case with hundreds of numbered orders.
     const fn with_orders(mut self) -> Self {
-        self.numbers_orders = true;
+        self.has_numbered_orders = true;
         self
     }
 
-    /// This case with callers that outlast an orderly stop.
+    /// Returns this case with callers that wait longer than the grace period of a graceful shutdown.
     const fn with_patient_callers(mut self) -> Self {
         self.patient_callers = true;
         self
     }
 
-    /// The plan of a day with this seed, with the flaw or without.
+    /// Returns the plan of a run with this seed and flaw.
     pub fn plan(&self, seed: u64, flaw: Flaw) -> SimPlan {
         SimPlan {
             flaw,
-            focus: self.faults.to_vec(),
-            gap: self.gap,
+            fault_kinds: self.faults.to_vec(),
+            max_fault_interval: self.max_fault_interval,
             rate: if self.patient_callers {
-                PATIENT_CALLER_RATE
+                PATIENT_CALL_RATE
             } else {
-                CALLER_RATE
+                CALL_RATE
             },
             duplicate_share: 0.5,
-            numbers_orders: self.numbers_orders,
+            has_numbered_orders: self.has_numbered_orders,
             patient_callers: self.patient_callers,
-            order_gap: if self.numbers_orders {
-                HURRIED_ORDER_GAP
+            max_order_interval: if self.has_numbered_orders {
+                SHORT_MAX_ORDER_INTERVAL
             } else {
-                ORDER_GAP
+                MAX_ORDER_INTERVAL
             },
             ..SimPlan::seeded(seed)
         }
     }
 
-    /// Runs days with the flaw until one finds it, and the same days without it.
-    pub fn run(&self, most_seeds: u64) -> DetectionResult {
-        let mut end = DetectionResult {
+    /// Runs each seed without and with the flaw, until the flaw is found.
+    pub fn run(&self, max_seeds: u64) -> DetectionResult {
+        let mut result = DetectionResult {
             found: None,
             baseline_violations: Vec::new(),
             checked: 0,
         };
-        for seed in 1..=most_seeds {
-            let baseline_end = Simulation::new(self.plan(seed, Flaw::None), false).run();
-            end.checked += baseline_end.checked.values().sum::<u64>();
-            let baseline_violations = baseline_end.violations.iter();
-            end.baseline_violations
+        for seed in 1..=max_seeds {
+            let baseline_result = Simulation::new(self.plan(seed, Flaw::None), false).run();
+            result.checked += baseline_result.checked.values().sum::<u64>();
+            let baseline_violations = baseline_result.violations.iter();
+            result
+                .baseline_violations
                 .extend(baseline_violations.map(|violation| format!("seed {seed}: {violation}")));
             let flawed_result = Simulation::new(self.plan(seed, self.flaw), false).run();
-            let seen = flawed_result
+            let violation = flawed_result
                 .violations
                 .iter()
                 .find(|violation| violation.what.contains(self.expected_violation));
-            if let Some(seen) = seen {
-                end.found = Some((seed, seen.what.clone()));
+            if let Some(violation) = violation {
+                result.found = Some((seed, violation.what.clone()));
                 break;
             }
         }
-        end
+        result
     }
 }
 
@@ -117,38 +118,38 @@
         write!(
             out,
             "{} ({}; faults {})",
-            self.point,
+            self.property,
             self.flaw,
             faults.join(",")
         )
     }
 }
 
-/// A case without numbered orders.
+/// Creates a case without numbered orders and patient callers.
 const fn case(
-    point: &'static str,
+    property: &'static str,
     flaw: Flaw,
     faults: &'static [SimFault],
-    gap_ms: u64,
+    max_fault_interval_ms: u64,
     expected_violation: &'static str,
-    seeds: u64,
+    max_seeds: u64,
 ) -> DetectionCase {
-    let gap = Duration::from_millis(gap_ms);
+    let max_fault_interval = Duration::from_millis(max_fault_interval_ms);
     DetectionCase {
-        point,
+        property,
         flaw,
         faults,
-        gap,
+        max_fault_interval,
         expected_violation,
-        seeds,
-        numbers_orders: false,
+        max_seeds,
+        has_numbered_orders: false,
         patient_callers: false,
     }
 }
 
 use SimFault as F;
 
-/// The detection cases by simulated days.
+/// The detection cases with random faults.
 pub const DETECTION_CASES: &[DetectionCase] = &[
     case(
         "runs twice",
@@ -211,7 +212,7 @@
         Flaw::Without(Rule::ServesUnderSessionLease),
         &[F::Isolation, F::FreezeHolder],
         1500,
-        "member grant",
+        "outside its session lease",
         6,
     ),
     case(
@@ -233,7 +234,7 @@
     case(
         "refused in force",
         Flaw::Without(Rule::StaleBaseRejected),
-        &[F::ChangeStorm],
+        &[F::ChangeBurst],
         1500,
         "both accepted",
         6,
@@ -241,7 +242,7 @@
     case(
         "refused in force",
         Flaw::Without(Rule::InvalidChangeRejected),
-        &[F::ChangeStorm],
+        &[F::ChangeBurst],
         1500,
         "invalid at",
         6,
@@ -273,7 +274,7 @@
     case(
         "orderly stop",
         Flaw::Without(Rule::ResponsesDeliveredAtShutdown),
-        &[F::StopInOrder],
+        &[F::StopDaemon],
         1500,
         "stops in order",
         6,
@@ -281,7 +282,7 @@
     case(
         "orderly stop",
         Flaw::Without(Rule::QueuedRequestsWithdrawnAtShutdown),
-        &[F::StopInOrder, F::CallBurst],
+        &[F::StopDaemon, F::CallBurst],
         900,
         "waiting",
         12,
@@ -332,13 +333,13 @@
         Flaw::Without(Rule::LeaseExpiredBeforeRegrant),
         &[F::FreezeHolder, F::Isolation],
         1500,
-        "send to the same life",
+        "send to the same instance",
         12,
     ),
     case(
         "two holders",
         Flaw::Without(Rule::InstanceAdoptedOnce),
-        &[F::StopInOrder, F::KillDaemon],
+        &[F::StopDaemon, F::KillDaemon],
         1500,
         "is in the hands of",
         12,
@@ -361,7 +362,7 @@
     ),
     case(
         "two holders",
-        Flaw::StopsUnconfirmed,
+        Flaw::StopRequestsIgnored,
         &[F::KillDaemon, F::FreezeHolder],
         1500,
         "is alive",
@@ -372,7 +373,7 @@
         Flaw::Without(Rule::ResentChangeRecognized),
         &[F::KillLeader],
         1500,
-        "was taken, then refused",
+        "was accepted, then refused",
         50,
     )
     .with_orders(),
@@ -405,7 +406,7 @@
     .with_orders(),
     case(
         "down",
-        Flaw::StopsUnheard,
+        Flaw::StopRequestsLost,
         &[F::KillGroup, F::DrainWorker],
         3000,
         "mostly down",
