--- a/crates/controlplane/tests/membership_change.rs
+++ b/crates/controlplane/tests/membership_change.rs
@@ -102,7 +102,7 @@
             let next = match output {
                 ConsensusOutput::Send { to, frame } => self.deliver(number, to, frame),
                 ConsensusOutput::Write { ticket, job } => {
-                    self.write_completed(number, ticket, &job)
+                    self.handle_write_completed(number, ticket, &job)
                 }
                 ConsensusOutput::Committed(document) => {
                     self.committed.push((number, document));
@@ -130,17 +130,18 @@
         if self.partitions.contains(&(from, number)) || self.stopped.contains(&number) {
             return Vec::new();
         }
-        let outputs = self.nodes[number].receive(self.now, frame);
+        let outputs = self.nodes[number].handle_frame(self.now, frame);
         outputs.into_iter().map(|output| (number, output)).collect()
     }
 
-    fn write_completed(
+    fn handle_write_completed(
         &mut self,
         number: usize,
         ticket: Ticket,
         _job: &WriteJob,
     ) -> Vec<(usize, ConsensusOutput)> {
-        let outputs = self.nodes[number].write_completed(self.now, ticket, WriteResult::Synced);
+        let outputs =
+            self.nodes[number].handle_write_completed(self.now, ticket, WriteResult::Synced);
         outputs.into_iter().map(|output| (number, output)).collect()
     }
 
--- a/crates/dataplane/src/agent/forwarding/step_results.rs
+++ b/crates/dataplane/src/agent/forwarding/step_results.rs
@@ -36,7 +36,7 @@
 
     /// Handles the outcome returned by the holder in this daemon. A holder that admits no more requests has certainly
     /// not run this one.
-    pub fn served<W>(
+    pub fn handle_local_outcome<W>(
         &mut self,
         agent: &Agent<W>,
         now: MonotonicTime,
@@ -66,7 +66,7 @@
     }
 
     /// Handles the result of sending the request to another daemon.
-    pub fn forwarded<W>(
+    pub fn handle_forward_result<W>(
         &mut self,
         agent: &Agent<W>,
         now: MonotonicTime,
@@ -174,7 +174,7 @@
         self.leave_regional_key(agent, now, REGIONAL_LOST_BACKOFF);
         if self.may_retry_forward(agent, now) {
             self.lost_holder_count += 1;
-            self.request.repeat = true;
+            self.request.is_retry = true;
             self.give_up_at = None;
             return self.back_off(now);
         }
@@ -194,7 +194,7 @@
 
     /// Handles the leader's response to the acquisition; `None` if the acquisition was lost. If the leader announces a
     /// wait that exceeds the request's remaining time, the request ends at once.
-    pub fn acquired<W>(
+    pub fn handle_acquire_result<W>(
         &mut self,
         agent: &Agent<W>,
         now: MonotonicTime,
--- a/crates/dataplane/src/cluster_view/leader_frames.rs
+++ b/crates/dataplane/src/cluster_view/leader_frames.rs
@@ -10,7 +10,7 @@
 use std::sync::Arc;
 
 impl ClusterView {
-    pub(super) fn handle_frame(&mut self, now: MonotonicTime, frame: LeaderToDaemon) {
+    pub(super) fn handle_session_frame(&mut self, now: MonotonicTime, frame: LeaderToDaemon) {
         match frame {
             LeaderToDaemon::Spec { version, document } => {
                 // Text that cannot be decompressed is reported as a document that cannot be parsed.
@@ -45,7 +45,7 @@
                     removed.0,
                     suspected.0,
                 );
-                self.host_delta_handled(now, is_applied);
+                self.handle_host_delta_result(now, is_applied);
             }
             LeaderToDaemon::Acquired {
                 correlation,
@@ -90,7 +90,7 @@
     }
 
     /// Refreshes the live hosts after a delta of the host list was applied; requests the complete list if it was not.
-    fn host_delta_handled(&mut self, now: MonotonicTime, is_applied: bool) {
+    fn handle_host_delta_result(&mut self, now: MonotonicTime, is_applied: bool) {
         if is_applied {
             self.refresh_hosts(now);
         } else {
@@ -129,7 +129,7 @@
                 self.view = Some(view);
                 self.outputs
                     .push(ClusterViewOutput::Install(self.table.clone()));
-                let outputs = self.control_session.installed(version, &voters);
+                let outputs = self.control_session.record_installed(version, &voters);
                 self.apply_session_outputs(now, outputs);
             }
             Err(error) => self
--- a/crates/dataplane/src/cluster_view/mod.rs
+++ b/crates/dataplane/src/cluster_view/mod.rs
@@ -152,38 +152,38 @@
     }
 
     /// Handles the establishment of the dialed stream.
-    pub fn connected(&mut self, now: MonotonicTime) -> Vec<ClusterViewOutput> {
-        let outputs = self.control_session.connected(now);
+    pub fn handle_connected(&mut self, now: MonotonicTime) -> Vec<ClusterViewOutput> {
+        let outputs = self.control_session.handle_connected(now);
         self.apply_session_outputs(now, outputs);
         self.take_outputs()
     }
 
     /// Handles the arrival of a part of a long frame from the leader.
-    pub fn frame_part_received(&mut self, now: MonotonicTime) {
-        self.control_session.frame_part_received(now);
+    pub fn handle_frame_part(&mut self, now: MonotonicTime) {
+        self.control_session.handle_frame_part(now);
     }
 
     /// Handles a stream that failed or was closed by the other side.
-    pub fn disconnected(&mut self, now: MonotonicTime) -> Vec<ClusterViewOutput> {
-        let outputs = self.control_session.disconnected(now);
+    pub fn handle_disconnected(&mut self, now: MonotonicTime) -> Vec<ClusterViewOutput> {
+        let outputs = self.control_session.handle_disconnected(now);
         self.apply_session_outputs(now, outputs);
         self.take_outputs()
     }
 
     /// Handles a frame from the leader.
-    pub fn received(
+    pub fn handle_frame(
         &mut self,
         now: MonotonicTime,
         frame: LeaderToDaemon,
     ) -> Vec<ClusterViewOutput> {
-        let outputs = self.control_session.received(now, frame);
+        let outputs = self.control_session.handle_frame(now, frame);
         self.apply_session_outputs(now, outputs);
         self.take_outputs()
     }
 
     /// Handles a heartbeat. Returns false if its sender is not a listed member.
-    pub fn heartbeat(&mut self, now: MonotonicTime, heartbeat: &Heartbeat) -> bool {
-        self.failure_detector.received(now, heartbeat)
+    pub fn handle_heartbeat(&mut self, now: MonotonicTime, heartbeat: &Heartbeat) -> bool {
+        self.failure_detector.handle_heartbeat(now, heartbeat)
     }
 
     /// Marks the daemon as leaving: it accepts no further leases.
@@ -236,7 +236,7 @@
                     self.void_pending_acquires(now);
                     self.outputs.push(ClusterViewOutput::ReleaseAll);
                 }
-                ControlSessionOutput::Frame(frame) => self.handle_frame(now, frame),
+                ControlSessionOutput::Frame(frame) => self.handle_session_frame(now, frame),
             }
         }
     }
--- a/crates/dataplane/src/drivers/state.rs
+++ b/crates/dataplane/src/drivers/state.rs
@@ -120,9 +120,10 @@
         }
     }
 
-    /// Acquires a function's owner from the leader. Concurrent requests for a function share one acquisition. Returns
-    /// `None` if the acquisition ends without a result, for example when the stream to the leader is lost.
-    pub async fn acquire(&self, function: &FunctionKey) -> Option<AcquireResult> {
+    /// Requests a function's lease, or its current owner, from the leader. Concurrent requests for a function share one
+    /// acquisition. Returns `None` if the acquisition ends without a result, for example when the stream to the leader
+    /// is lost.
+    pub async fn request_lease(&self, function: &FunctionKey) -> Option<AcquireResult> {
         let (result_sender, result) = oneshot::channel();
         let _ = self
             .control
@@ -131,7 +132,7 @@
     }
 
     /// Notifies the control task that the set of functions that need an owner may have changed.
-    pub fn desired_functions_changed(&self) {
+    pub fn notify_desired_functions_changed(&self) {
         let _ = self.control.send(ControlInput::DesiredFunctionsChanged);
     }
 
--- a/crates/dataplane/src/failure_detector/suspicion.rs
+++ b/crates/dataplane/src/failure_detector/suspicion.rs
@@ -36,10 +36,10 @@
 
 impl PeerSuspicions {
     /// Records a suspicion that another daemon has sent.
-    pub(crate) fn received(&mut self, now: MonotonicTime, suspicion: &Suspicion) {
+    pub(crate) fn record(&mut self, now: MonotonicTime, suspicion: &Suspicion) {
         let remaining_relays = suspicion.remaining_relays.min(MAX_RELAYS).saturating_sub(1);
         self.records
-            .entry(suspicion.incarnation.clone())
+            .entry(suspicion.suspect.clone())
             .and_modify(|record| {
                 record.last_received_at = now;
                 record.remaining_relays = record.remaining_relays.max(remaining_relays);
@@ -67,12 +67,12 @@
     }
 
     /// Returns the suspicions to be relayed with this daemon's own heartbeat.
-    pub(crate) fn forwarded(&self) -> impl Iterator<Item = Suspicion> {
+    pub(crate) fn relayable(&self) -> impl Iterator<Item = Suspicion> {
         self.records
             .iter()
             .filter(|(_, record)| record.remaining_relays > 0)
             .map(|(incarnation, record)| Suspicion {
-                incarnation: incarnation.clone(),
+                suspect: incarnation.clone(),
                 remaining_relays: record.remaining_relays,
             })
     }
--- a/crates/dataplane/src/request_pipeline/forward_to_holder.rs
+++ b/crates/dataplane/src/request_pipeline/forward_to_holder.rs
@@ -24,7 +24,7 @@
     pub holder: Option<Host>,
     /// The delay in tenths of a second after which callers in the request's region should use a regional key; zero if
     /// they should not use one.
-    pub regional_tenths: u8,
+    pub regional_delay_deciseconds: u8,
 }
 
 fn forward_result(hop_result: HopCallResult, host: &Host) -> ForwardResult {
@@ -60,9 +60,9 @@
     match hop_result {
         HopCallResult::Reply(DaemonMessage::Completed {
             outcome: RequestOutcome::Response { .. },
-            regional_tenths,
+            regional_delay_deciseconds,
             ..
-        }) => Some(*regional_tenths),
+        }) => Some(*regional_delay_deciseconds),
         _ => None,
     }
 }
@@ -72,7 +72,7 @@
     state: &'a Arc<State>,
     forwarding: Forwarding,
     shutdown_signals: ShutdownSignals,
-    regional_tenths: u8,
+    regional_delay_deciseconds: u8,
 }
 
 type LocalForwardingStep = ForwardingStep<OutcomeWaiter>;
@@ -94,18 +94,18 @@
 
     /// Stores the regional key hint of a response. It is passed back to the daemon that forwarded the request, or
     /// applied here if this is the caller's ingress daemon.
-    fn handle_regional_hint(&mut self, regional_tenths: u8) {
-        self.regional_tenths = regional_tenths;
+    fn handle_regional_hint(&mut self, regional_delay_deciseconds: u8) {
+        self.regional_delay_deciseconds = regional_delay_deciseconds;
         let request = self.forwarding.request();
         let is_ingress_daemon = request.hops == 0;
         if is_ingress_daemon
             && self.state.agent.handle_regional_hint(
                 MonotonicTime::now(),
                 &request.function,
-                regional_tenths,
+                regional_delay_deciseconds,
             )
         {
-            self.state.desired_functions_changed();
+            self.state.notify_desired_functions_changed();
         }
     }
 
@@ -135,7 +135,8 @@
         let region = &self.forwarding.request().region;
         let hint = agent.regional_hint(MonotonicTime::now(), &held.function, region);
         self.handle_regional_hint(hint);
-        self.forwarding.served(agent, MonotonicTime::now(), outcome)
+        self.forwarding
+            .handle_local_outcome(agent, MonotonicTime::now(), outcome)
     }
 
     async fn forward(
@@ -171,20 +172,20 @@
             }
         };
         self.forwarding
-            .forwarded(&self.state.agent, MonotonicTime::now(), result)
+            .handle_forward_result(&self.state.agent, MonotonicTime::now(), result)
     }
 
-    async fn acquire(&mut self, wait_until: MonotonicTime) -> LocalForwardingStep {
+    async fn request_lease(&mut self, wait_until: MonotonicTime) -> LocalForwardingStep {
         self.count_lookup("acquired");
         let wait = wait_until.since(MonotonicTime::now());
         let function = self.forwarding.request().function.clone();
-        let acquiring = timeout(wait, self.state.acquire(&function));
+        let acquiring = timeout(wait, self.state.request_lease(&function));
         tokio::select! {
             biased;
             acquired = acquiring => match acquired {
                 Ok(result) => {
                     let now = MonotonicTime::now();
-                    self.forwarding.acquired(&self.state.agent, now, result)
+                    self.forwarding.handle_acquire_result(&self.state.agent, now, result)
                 }
                 Err(_) => self.advance(),
             },
@@ -240,7 +241,7 @@
         state,
         forwarding: Forwarding::new(MonotonicTime::now(), request),
         shutdown_signals: ShutdownSignals::new(state.shutdown_phase(), requester_phase),
-        regional_tenths: 0,
+        regional_delay_deciseconds: 0,
     };
     let mut step = run.advance();
     loop {
@@ -251,14 +252,14 @@
                 body,
                 wait_until,
             } => run.forward(host, body, wait_until).await,
-            ForwardingStep::Acquire { wait_until } => run.acquire(wait_until).await,
+            ForwardingStep::Acquire { wait_until } => run.request_lease(wait_until).await,
             ForwardingStep::Wait { wait_until } => run.wait(&mut changes, wait_until).await,
             ForwardingStep::End(outcome, holder) => {
                 return ForwardedOutcome {
                     function: run.forwarding.request().function.clone(),
                     outcome,
                     holder,
-                    regional_tenths: run.regional_tenths,
+                    regional_delay_deciseconds: run.regional_delay_deciseconds,
                 };
             }
         }
--- a/crates/dataplane/tests/support/daemon_control.rs
+++ b/crates/dataplane/tests/support/daemon_control.rs
@@ -23,8 +23,8 @@
     let own_address = SocketAddress::UNSPECIFIED;
     let mut control = DaemonControl::new(START, agent, timing, own_address, seeds, rng);
     control.tick(agent, START);
-    control.connected(agent, START);
-    control.received(agent, START, LeaderToDaemon::Welcome { term: Term(2) });
+    control.handle_connected(agent, START);
+    control.handle_frame(agent, START, LeaderToDaemon::Welcome { term: Term(2) });
     control
 }
 
@@ -55,7 +55,7 @@
         version: agent.routing_table().version(),
         deadline: now + Duration::from_secs(2),
         hops: 0,
-        repeat: false,
+        is_retry: false,
         wants_referral: true,
         region: "".into(),
         payload: Arc::new(RequestPayload::from_body(Vec::new().into())),
--- a/testing/fleet/src/sim/daemon/mod.rs
+++ b/testing/fleet/src/sim/daemon/mod.rs
@@ -46,7 +46,7 @@
     forwarded_to: Option<Host>,
     /// The lease holder in this daemon that handles the request, and the request's ticket there.
     held_under: Option<(Arc<HeldFunction<u64>>, Ticket)>,
-    regional_tenths: u8,
+    regional_delay_deciseconds: u8,
     _in_flight: InFlightGuard,
 }
 
@@ -279,7 +279,7 @@
     ) {
         let local_now = self.daemon_now(index);
         if let Some(process) = &mut self.nodes.daemon_mut(index).process {
-            process.controller.heartbeat(local_now, heartbeat);
+            process.controller.handle_heartbeat(local_now, heartbeat);
         }
     }
 
@@ -289,7 +289,7 @@
                 process.link = None;
             }
             self.with_controller(index, |controller, agent, now| {
-                controller.disconnected(agent, now)
+                controller.handle_disconnected(agent, now)
             });
         }
     }
--- a/testing/fleet/src/synthetic/daemons/control.rs
+++ b/testing/fleet/src/synthetic/daemons/control.rs
@@ -186,7 +186,7 @@
             } => {
                 self.acquired(daemon, &function, &result);
             }
-            DaemonControlOutput::AcquiresLost => {
+            DaemonControlOutput::AcquisitionsLost => {
                 let Some(started_daemon) = &mut self.daemons[daemon] else {
                     return;
                 };
@@ -229,7 +229,7 @@
         if self.is_current(link) {
             let daemon = self.links[link].daemon;
             self.step_control(daemon, Work::Others, |daemon_control, agent, now| {
-                daemon_control.connected(agent, now)
+                daemon_control.handle_connected(agent, now)
             });
         }
     }
@@ -244,7 +244,7 @@
             started_daemon.link = None;
         }
         self.step_control(daemon, Work::Others, |daemon_control, agent, now| {
-            daemon_control.disconnected(agent, now)
+            daemon_control.handle_disconnected(agent, now)
         });
     }
 
@@ -279,7 +279,7 @@
         };
         let daemon = self.links[link].daemon;
         self.step_control(daemon, work, |daemon_control, agent, now| {
-            daemon_control.received(agent, now, frame)
+            daemon_control.handle_frame(agent, now, frame)
         });
     }
 
@@ -331,7 +331,7 @@
         let daemon_control = &mut started_daemon.daemon_control;
         self.meter
             .measure_step(Role::Ingress, Work::Heartbeats, || {
-                daemon_control.heartbeat(now, &heartbeat.heartbeat)
+                daemon_control.handle_heartbeat(now, &heartbeat.heartbeat)
             });
     }
 }
--- a/testing/fleet/src/synthetic/daemons/forwarding.rs
+++ b/testing/fleet/src/synthetic/daemons/forwarding.rs
@@ -176,7 +176,7 @@
 
     pub(super) fn served(&mut self, request: RequestKey, outcome: RequestOutcome) {
         self.step(request, AwaitedStep::Outcome, |forwarding, agent, now| {
-            forwarding.served(agent, now, outcome)
+            forwarding.handle_local_outcome(agent, now, outcome)
         });
     }
 
@@ -239,7 +239,7 @@
 
     fn forwarded(&mut self, request: RequestKey, result: ForwardResult) {
         self.step(request, AwaitedStep::Forwarded, |forwarding, agent, now| {
-            forwarding.forwarded(agent, now, result)
+            forwarding.handle_forward_result(agent, now, result)
         });
     }
 
@@ -273,7 +273,7 @@
         let body = DaemonMessage::Completed {
             outcome,
             holder: LengthPrefixed(holder.into_iter().collect()),
-            regional_tenths: 0,
+            regional_delay_deciseconds: 0,
         };
         let Some(bytes) = self.encode_hop(&numbered_frame(requester.number, body)) else {
             return;
@@ -304,7 +304,7 @@
         waiting.push(number);
         if waiting.len() == 1 {
             self.step_control(daemon, Work::Leases, |daemon_control, agent, now| {
-                daemon_control.acquire(agent, now, function)
+                daemon_control.request_lease(agent, now, function)
             });
         }
     }
@@ -322,7 +322,7 @@
         for number in started_daemon.acquires.remove(function).unwrap_or_default() {
             let request = RequestKey { daemon, number };
             self.step(request, AwaitedStep::Acquired, |forwarding, agent, now| {
-                forwarding.acquired(agent, now, result.clone())
+                forwarding.handle_acquire_result(agent, now, result.clone())
             });
         }
     }
