--- a/crates/controlplane/src/controller_state/mod.rs
+++ b/crates/controlplane/src/controller_state/mod.rs
@@ -150,11 +150,11 @@
                 self.execute(now, consensus_outputs);
             }
             ControllerInput::Consensus(frame) => {
-                let consensus_outputs = self.consensus.receive(now, frame);
+                let consensus_outputs = self.consensus.handle_frame(now, frame);
                 self.execute(now, consensus_outputs);
             }
             ControllerInput::WriteCompleted(ticket, result) => {
-                self.write_completed(now, ticket, result)
+                self.handle_write_completed(now, ticket, result)
             }
             ControllerInput::DaemonFrame(stream, frame) => {
                 self.handle_stream_frame(now, stream, frame)
@@ -164,39 +164,39 @@
             }
             ControllerInput::CallerDisconnected(ticket) => self.drop_disconnected_caller(ticket),
             ControllerInput::ProcessExited(address) => {
-                self.consensus.leader_process_ended(now, address);
+                self.consensus.handle_leader_process_ended(now, address);
             }
             ControllerInput::Seeds(seeds) => self.consensus.update_seeds(seeds),
             ControllerInput::Stop => self.stop(),
             ControllerInput::StreamLost(stream) => {
                 self.streams.remove(&stream);
                 if let Some(leader_state) = &mut self.leader_state {
-                    leader_state.stream_lost(stream);
+                    leader_state.handle_stream_lost(stream);
                 }
             }
             ControllerInput::Workers(listed_workers) => {
                 if let Some(leader_state) = &mut self.leader_state {
-                    leader_state.workers_listed(listed_workers);
+                    leader_state.handle_worker_list(listed_workers);
                 }
             }
             ControllerInput::Runners(listed_at, listed_runners) => {
                 if let Some(leader_state) = &mut self.leader_state {
-                    leader_state.runners_listed(listed_at, &listed_runners);
+                    leader_state.handle_runner_list(listed_at, &listed_runners);
                 }
             }
             ControllerInput::RunnerStopped(runner) => {
                 if let Some(leader_state) = &mut self.leader_state {
-                    leader_state.runner_stopped(runner);
+                    leader_state.handle_runner_stopped(runner);
                 }
             }
         }
     }
 
-    fn write_completed(&mut self, now: MonotonicTime, ticket: Ticket, result: WriteResult) {
+    fn handle_write_completed(&mut self, now: MonotonicTime, ticket: Ticket, result: WriteResult) {
         if result == WriteResult::Failed {
             self.record_event(event_records::disk_write_failed());
         }
-        let consensus_outputs = self.consensus.write_completed(now, ticket, result);
+        let consensus_outputs = self.consensus.handle_write_completed(now, ticket, result);
         self.execute(now, consensus_outputs);
     }
 
@@ -228,7 +228,7 @@
     fn handle_stream_frame(&mut self, now: MonotonicTime, stream: StreamId, frame: DaemonToLeader) {
         self.streams.insert(stream);
         match &mut self.leader_state {
-            Some(leader_state) => leader_state.receive(now, stream, frame),
+            Some(leader_state) => leader_state.handle_frame(now, stream, frame),
             None => {
                 self.redirect_daemon(stream);
                 self.streams.remove(&stream);
--- a/crates/controlplane/tests/quorum_model/model.rs
+++ b/crates/controlplane/tests/quorum_model/model.rs
@@ -429,7 +429,7 @@
                     return Ok(());
                 }
                 let frame = frame.clone();
-                self.apply_input(owner, |consensus, now| consensus.receive(now, frame))
+                self.apply_input(owner, |consensus, now| consensus.handle_frame(now, frame))
             }
             Event::WriteCompleted(_, incarnation, ticket, job) => {
                 if *incarnation != self.machines[owner].incarnation {
@@ -456,7 +456,7 @@
             }
         };
         self.apply_input(owner, |consensus, now| {
-            consensus.write_completed(now, ticket, result)
+            consensus.handle_write_completed(now, ticket, result)
         })
     }
 
--- a/crates/dataplane/src/agent/daemon_control/mod.rs
+++ b/crates/dataplane/src/agent/daemon_control/mod.rs
@@ -123,7 +123,7 @@
             },
         );
         if let Some(function) = wanted {
-            let view_outputs = self.cluster_view.acquire(now, function);
+            let view_outputs = self.cluster_view.request_lease(now, function);
             self.apply_view_outputs(agent, now, view_outputs);
         }
     }
@@ -196,63 +196,63 @@
     }
 
     /// Handles the establishment of the dialed stream.
-    pub fn connected(
+    pub fn handle_connected(
         &mut self,
         agent: &Agent<W>,
         now: MonotonicTime,
     ) -> Vec<DaemonControlOutput<W>> {
-        let view_outputs = self.cluster_view.connected(now);
+        let view_outputs = self.cluster_view.handle_connected(now);
         self.apply_view_outputs(agent, now, view_outputs);
         self.take_outputs()
     }
 
     /// Handles the arrival of a part of a long frame from the leader.
-    pub fn frame_part_received(&mut self, now: MonotonicTime) {
-        self.cluster_view.frame_part_received(now);
+    pub fn handle_frame_part(&mut self, now: MonotonicTime) {
+        self.cluster_view.handle_frame_part(now);
     }
 
     /// Handles a stream that failed or was closed by the other side.
-    pub fn disconnected(
+    pub fn handle_disconnected(
         &mut self,
         agent: &Agent<W>,
         now: MonotonicTime,
     ) -> Vec<DaemonControlOutput<W>> {
-        let view_outputs = self.cluster_view.disconnected(now);
+        let view_outputs = self.cluster_view.handle_disconnected(now);
         self.apply_view_outputs(agent, now, view_outputs);
         self.take_outputs()
     }
 
     /// Handles a frame from the leader.
-    pub fn received(
+    pub fn handle_frame(
         &mut self,
         agent: &Agent<W>,
         now: MonotonicTime,
         frame: LeaderToDaemon,
     ) -> Vec<DaemonControlOutput<W>> {
-        let view_outputs = self.cluster_view.received(now, frame);
+        let view_outputs = self.cluster_view.handle_frame(now, frame);
         self.apply_view_outputs(agent, now, view_outputs);
         self.take_outputs()
     }
 
     /// Handles a heartbeat. Returns false if its sender is not a listed member.
-    pub fn heartbeat(&mut self, now: MonotonicTime, heartbeat: &Heartbeat) -> bool {
-        self.cluster_view.heartbeat(now, heartbeat)
+    pub fn handle_heartbeat(&mut self, now: MonotonicTime, heartbeat: &Heartbeat) -> bool {
+        self.cluster_view.handle_heartbeat(now, heartbeat)
     }
 
-    /// Acquires a function: requests its lease, or its current owner, from the leader.
-    pub fn acquire(
+    /// Requests a function's lease, or its current owner, from the leader.
+    pub fn request_lease(
         &mut self,
         agent: &Agent<W>,
         now: MonotonicTime,
         function: FunctionKey,
     ) -> Vec<DaemonControlOutput<W>> {
-        let view_outputs = self.cluster_view.acquire(now, function);
+        let view_outputs = self.cluster_view.request_lease(now, function);
         self.apply_view_outputs(agent, now, view_outputs);
         self.take_outputs()
     }
 
     /// Sends a holder's message to the leader.
-    pub fn holder_message(
+    pub fn handle_holder_message(
         &mut self,
         agent: &Agent<W>,
         now: MonotonicTime,
@@ -262,7 +262,7 @@
     ) -> Vec<DaemonControlOutput<W>> {
         match message {
             HolderMessage::Reserve => {
-                let view_outputs = self.cluster_view.reserve(function, fencing_token);
+                let view_outputs = self.cluster_view.request_runner(function, fencing_token);
                 self.apply_view_outputs(agent, now, view_outputs);
             }
             HolderMessage::RunnerStatus {
--- a/crates/dataplane/src/control_session/mod.rs
+++ b/crates/dataplane/src/control_session/mod.rs
@@ -162,7 +162,7 @@
 
     /// Records the version of the installed spec and the voters' addresses in it, and reports the version to the
     /// leader.
-    pub fn installed(
+    pub fn record_installed(
         &mut self,
         version: Version,
         voters: &[SocketAddress],
@@ -307,7 +307,7 @@
     }
 
     /// Handles the establishment of the dialed connection.
-    pub fn connected(&mut self, now: MonotonicTime) -> Vec<ControlSessionOutput> {
+    pub fn handle_connected(&mut self, now: MonotonicTime) -> Vec<ControlSessionOutput> {
         if let StreamState::Dialing { .. } = self.state {
             self.state = StreamState::Open {
                 give_up_at: now + self.timing.welcome_timeout,
@@ -318,7 +318,7 @@
     }
 
     /// Handles a connection that failed or was closed by the other side.
-    pub fn disconnected(&mut self, now: MonotonicTime) -> Vec<ControlSessionOutput> {
+    pub fn handle_disconnected(&mut self, now: MonotonicTime) -> Vec<ControlSessionOutput> {
         let was_welcomed = self.is_welcomed();
         self.go_idle(now);
         if was_welcomed {
@@ -330,7 +330,7 @@
 
     /// Handles the arrival of a part of a long frame. It shows that the leader responds, however slow the link is, but
     /// does not affect the session lease.
-    pub fn frame_part_received(&mut self, now: MonotonicTime) {
+    pub fn handle_frame_part(&mut self, now: MonotonicTime) {
         if let StreamState::Welcomed { last_heard_at, .. } = &mut self.state {
             *last_heard_at = now;
         }
@@ -344,7 +344,7 @@
     }
 
     /// Handles a frame from the controller.
-    pub fn received(
+    pub fn handle_frame(
         &mut self,
         now: MonotonicTime,
         frame: LeaderToDaemon,
@@ -358,17 +358,17 @@
                 self.hang_up(now, &mut outputs);
                 self.follow_hint(now);
             }
-            LeaderToDaemon::Welcome { term } => self.welcomed(now, term, &mut outputs),
+            LeaderToDaemon::Welcome { term } => self.handle_welcome(now, term, &mut outputs),
             LeaderToDaemon::Renewed {
                 correlation,
                 lease_ms,
                 version,
             } => {
                 let lease_span = Duration::from_millis(u64::from(lease_ms));
-                self.renewed(now, correlation, lease_span, version, &mut outputs);
+                self.handle_renewed(now, correlation, lease_span, version, &mut outputs);
             }
             other => {
-                self.frame_part_received(now);
+                self.handle_frame_part(now);
                 outputs.push(ControlSessionOutput::Frame(other));
             }
         }
@@ -377,7 +377,7 @@
 
     /// Handles the acceptance of the stream by a leader. A leader of an earlier term than the newest known one is
     /// rejected while a lease from the newer leader may still be valid.
-    fn welcomed(
+    fn handle_welcome(
         &mut self,
         now: MonotonicTime,
         term: Term,
@@ -402,7 +402,7 @@
 
     /// Handles a renewal of the session lease by the leader. The lease runs from when the renewal was sent, which is
     /// before the leader received it. It is extended only if this daemon's spec is as new as the leader's.
-    fn renewed(
+    fn handle_renewed(
         &mut self,
         now: MonotonicTime,
         correlation: CorrelationId,
@@ -413,7 +413,7 @@
         if !self.is_welcomed() {
             return;
         }
-        self.frame_part_received(now);
+        self.handle_frame_part(now);
         self.leader.last_heard_at = now;
         let Some(sent_at) = self.pending_renewals.remove(&correlation) else {
             return;
--- a/crates/dataplane/src/drivers/control.rs
+++ b/crates/dataplane/src/drivers/control.rs
@@ -135,7 +135,7 @@
                 fencing_token,
                 message,
             } => {
-                let outputs = self.daemon_control.holder_message(
+                let outputs = self.daemon_control.handle_holder_message(
                     agent,
                     now,
                     function,
@@ -166,15 +166,15 @@
         let outputs = match event {
             StreamEvent::Connected(sender) => {
                 self.stream = Some(sender);
-                self.daemon_control.connected(agent, now)
+                self.daemon_control.handle_connected(agent, now)
             }
             StreamEvent::Disconnected => {
                 self.stream = None;
-                self.daemon_control.disconnected(agent, now)
+                self.daemon_control.handle_disconnected(agent, now)
             }
-            StreamEvent::Received(frame) => self.daemon_control.received(agent, now, frame),
+            StreamEvent::Received(frame) => self.daemon_control.handle_frame(agent, now, frame),
             StreamEvent::ReceivedPart => {
-                self.daemon_control.frame_part_received(now);
+                self.daemon_control.handle_frame_part(now);
                 return;
             }
         };
@@ -182,7 +182,7 @@
     }
 
     fn handle_heartbeat(&mut self, now: MonotonicTime, heartbeat: &Heartbeat) {
-        if !self.daemon_control.heartbeat(now, heartbeat) {
+        if !self.daemon_control.handle_heartbeat(now, heartbeat) {
             log_event!(
                 Debug,
                 events::HEARTBEAT_IGNORED,
@@ -210,7 +210,7 @@
         self.state.metrics.owners.acquisitions.inc();
         let outputs = self
             .daemon_control
-            .acquire(&self.state.agent, now, function);
+            .request_lease(&self.state.agent, now, function);
         self.execute(outputs);
     }
 
@@ -244,7 +244,7 @@
                     result,
                     round_trip,
                 } => self.handle_acquired(&function, result, round_trip),
-                DaemonControlOutput::AcquiresLost => self.pending_acquisitions.clear(),
+                DaemonControlOutput::AcquisitionsLost => self.pending_acquisitions.clear(),
                 DaemonControlOutput::Changed => self.state.changes.send_modify(|count| *count += 1),
                 DaemonControlOutput::LogEvent(event, detail) => log_control_event(event, &detail),
                 DaemonControlOutput::Installed(version) => {
--- a/crates/dataplane/tests/control_session.rs
+++ b/crates/dataplane/tests/control_session.rs
@@ -67,8 +67,8 @@
 
 fn welcomed(control_session: &mut ControlSession) -> CorrelationId {
     control_session.tick(START);
-    control_session.connected(START);
-    control_session.received(START, LeaderToDaemon::Welcome { term: Term(2) });
+    control_session.handle_connected(START);
+    control_session.handle_frame(START, LeaderToDaemon::Welcome { term: Term(2) });
     renewal(&control_session.tick(START)).expect("a renewal")
 }
 
@@ -84,7 +84,7 @@
 fn a_lease_runs_from_the_time_its_renewal_was_sent() -> Result<()> {
     let mut control_session = control_session();
     let correlation = welcomed(&mut control_session);
-    control_session.received(START + ms(700), renewed(correlation, 0));
+    control_session.handle_frame(START + ms(700), renewed(correlation, 0));
     verify_that!(control_session.lease_end(), eq(START + ms(2000)))?;
     let before = control_session.tick(START + ms(1999));
     verify_that!(ends_lease(&before), eq(false))?;
@@ -96,17 +96,17 @@
 fn a_renewal_after_the_lease_end_or_with_a_newer_spec_does_not_extend_the_lease() -> Result<()> {
     let mut late_session = control_session();
     let correlation = welcomed(&mut late_session);
-    late_session.received(START + ms(2500), renewed(correlation, 0));
+    late_session.handle_frame(START + ms(2500), renewed(correlation, 0));
     verify_that!(late_session.lease_end(), eq(MonotonicTime::ZERO))?;
     let mut behind_session = control_session();
     let correlation = welcomed(&mut behind_session);
-    behind_session.received(START + ms(5), renewed(correlation, 7));
+    behind_session.handle_frame(START + ms(5), renewed(correlation, 7));
     verify_that!(behind_session.lease_end(), eq(MonotonicTime::ZERO))?;
     let mut repeated_session = control_session();
     let correlation = welcomed(&mut repeated_session);
-    repeated_session.received(START + ms(5), renewed(correlation, 0));
+    repeated_session.handle_frame(START + ms(5), renewed(correlation, 0));
     let end = repeated_session.lease_end();
-    repeated_session.received(START + ms(900), renewed(correlation, 0));
+    repeated_session.handle_frame(START + ms(900), renewed(correlation, 0));
     verify_that!(repeated_session.lease_end(), eq(end))
 }
 
@@ -114,8 +114,8 @@
 fn a_silent_leader_is_dropped_and_not_dialed_again_at_once() -> Result<()> {
     let mut control_session = control_session();
     let first_address = dialed(&control_session.tick(START)).expect("dialed");
-    control_session.connected(START);
-    control_session.received(START, LeaderToDaemon::Welcome { term: Term(2) });
+    control_session.handle_connected(START);
+    control_session.handle_frame(START, LeaderToDaemon::Welcome { term: Term(2) });
     let mut now = START;
     let mut later_addresses = Vec::new();
     while now < START + ms(2000) {
@@ -123,11 +123,11 @@
         let outputs = control_session.tick(now);
         if let Some(dialed_address) = dialed(&outputs) {
             later_addresses.push(dialed_address);
-            control_session.connected(now);
+            control_session.handle_connected(now);
             let hint = LeaderToDaemon::Redirect {
                 leader: first_address,
             };
-            control_session.received(now, hint);
+            control_session.handle_frame(now, hint);
         }
     }
     verify_that!(later_addresses.len(), ge(3))?;
@@ -145,8 +145,8 @@
         match dialed(&control_session.tick(now)) {
             Some(dialed_address) if dialed_address == first_address => break,
             Some(_) => {
-                control_session.connected(now);
-                control_session.received(
+                control_session.handle_connected(now);
+                control_session.handle_frame(
                     now,
                     LeaderToDaemon::Redirect {
                         leader: first_address,
@@ -170,19 +170,19 @@
 fn a_hinted_leader_is_dialed_at_once_and_circular_hints_are_delayed() -> Result<()> {
     let mut control_session = control_session();
     control_session.tick(START);
-    control_session.connected(START);
-    control_session.received(START, LeaderToDaemon::Redirect { leader: address(3) });
+    control_session.handle_connected(START);
+    control_session.handle_frame(START, LeaderToDaemon::Redirect { leader: address(3) });
     verify_that!(dialed(&control_session.tick(START)), some(eq(address(3))))?;
-    control_session.connected(START);
-    control_session.received(
+    control_session.handle_connected(START);
+    control_session.handle_frame(
         START + ms(2),
         LeaderToDaemon::Redirect { leader: address(2) },
     );
     verify_that!(dialed(&control_session.tick(START + ms(2))), none())?;
     let mut paused = self::control_session();
     paused.tick(START);
-    paused.connected(START);
-    paused.received(
+    paused.handle_connected(START);
+    paused.handle_frame(
         START,
         LeaderToDaemon::Redirect {
             leader: SocketAddress::UNSPECIFIED,
@@ -197,12 +197,12 @@
 fn a_leader_of_an_earlier_term_is_refused() -> Result<()> {
     let mut control_session = control_session();
     welcomed(&mut control_session);
-    control_session.disconnected(START + ms(300));
+    control_session.handle_disconnected(START + ms(300));
     let later_instant = START + ms(600);
     control_session.tick(later_instant);
-    control_session.connected(later_instant);
+    control_session.handle_connected(later_instant);
     let outputs =
-        control_session.received(later_instant, LeaderToDaemon::Welcome { term: Term(1) });
+        control_session.handle_frame(later_instant, LeaderToDaemon::Welcome { term: Term(1) });
     verify_that!(
         outputs
             .iter()
@@ -223,16 +223,16 @@
     let mut control_session = control_session();
     control_session.tick(START);
     verify_that!(
-        hello_fields(&control_session.connected(START + ms(40))),
+        hello_fields(&control_session.handle_connected(START + ms(40))),
         eq((40, false))
     )?;
-    control_session.received(START + ms(41), LeaderToDaemon::Welcome { term: Term(2) });
+    control_session.handle_frame(START + ms(41), LeaderToDaemon::Welcome { term: Term(2) });
     let correlation = renewal(&control_session.tick(START + ms(41))).expect("a renewal");
-    control_session.received(START + ms(45), renewed(correlation, 0));
-    control_session.disconnected(START + ms(300));
+    control_session.handle_frame(START + ms(45), renewed(correlation, 0));
+    control_session.handle_disconnected(START + ms(300));
     control_session.tick(START + ms(600));
     verify_that!(
-        hello_fields(&control_session.connected(START + ms(601))),
+        hello_fields(&control_session.handle_connected(START + ms(601))),
         eq((601, true))
     )
 }
@@ -246,7 +246,7 @@
     for _ in 0..400 {
         if let Some(dialed_address) = dialed(&control_session.tick(now)) {
             dialed_addresses.insert(dialed_address);
-            control_session.disconnected(now);
+            control_session.handle_disconnected(now);
         }
         now = now + ms(20);
     }
@@ -270,7 +270,7 @@
     for _ in 0..10 {
         now = now + ms(500);
         verify_that!(is_abandoned(&mut control_session, now), eq(false))?;
-        control_session.frame_part_received(now);
+        control_session.handle_frame_part(now);
     }
     verify_that!(control_session.lease_end() <= START, eq(true))?;
     verify_that!(is_abandoned(&mut control_session, now + ms(600)), eq(true))
--- a/testing/fleet/src/sim/connections.rs
+++ b/testing/fleet/src/sim/connections.rs
@@ -93,7 +93,9 @@
         };
         let index = link.daemon.daemon_index();
         if self.nodes.daemon(index).is_current_link(number) {
-            self.update_control(index, |control, agent, now| control.connected(agent, now));
+            self.update_control(index, |control, agent, now| {
+                control.handle_connected(agent, now)
+            });
         }
     }
 
@@ -114,7 +116,7 @@
         let index = link.daemon.daemon_index();
         if self.nodes.daemon(index).is_current_link(number) {
             self.update_control(index, |control, agent, now| {
-                control.received(agent, now, frame)
+                control.handle_frame(agent, now, frame)
             });
         }
     }
--- a/testing/fleet/src/sim/daemon/mod.rs
+++ b/testing/fleet/src/sim/daemon/mod.rs
@@ -47,7 +47,7 @@
     /// The lease holder in this daemon that handles the request, and the request's ticket there.
     held_under: Option<(Arc<HeldFunction<u64>>, Ticket)>,
     /// The hint about the regional key that came with the reply to a forwarded request, in tenths of a second.
-    regional_tenths: u8,
+    regional_delay_deciseconds: u8,
     _in_flight: InFlightGuard,
 }
 
@@ -287,7 +287,7 @@
     ) {
         let local_now = self.daemon_now(index);
         if let Some(process) = &mut self.nodes.daemon_mut(index).process {
-            process.control.heartbeat(local_now, heartbeat);
+            process.control.handle_heartbeat(local_now, heartbeat);
         }
     }
 
@@ -298,7 +298,7 @@
                 process.link = None;
             }
             self.update_control(index, |control, agent, now| {
-                control.disconnected(agent, now)
+                control.handle_disconnected(agent, now)
             });
         }
     }
--- a/testing/fleet/src/sim/daemon/outputs.rs
+++ b/testing/fleet/src/sim/daemon/outputs.rs
@@ -62,7 +62,7 @@
                 self.count_acquired(result.as_ref());
                 self.acquired(index, &function, result);
             }
-            DaemonControlOutput::AcquiresLost => {
+            DaemonControlOutput::AcquisitionsLost => {
                 let Some(process) = &mut self.nodes.daemon_mut(index).process else {
                     return;
                 };
@@ -224,7 +224,9 @@
                 index,
                 number,
                 AwaitedStep::Acquired,
-                |forwarding, agent, now| forwarding.acquired(agent, now, result.clone()),
+                |forwarding, agent, now| {
+                    forwarding.handle_acquire_result(agent, now, result.clone())
+                },
             );
         }
     }
--- a/testing/fleet/src/sim/daemon/requests.rs
+++ b/testing/fleet/src/sim/daemon/requests.rs
@@ -62,7 +62,7 @@
             version: table.version(),
             deadline: local_now + timeout.min(route.spec.timeout),
             hops: 0,
-            repeat,
+            is_retry: repeat,
             wants_referral: true,
             region: agent
                 .own_region()
@@ -107,7 +107,7 @@
             wake_number: 0,
             forwarded_to: None,
             held_under: None,
-            regional_tenths: 0,
+            regional_delay_deciseconds: 0,
             _in_flight: in_flight,
         };
         process.pending_requests.insert(number, pending);
@@ -233,7 +233,7 @@
         let function_before = pending.forwarding.request().function.clone();
         let next_step = change(&mut pending.forwarding, &agent, local_now);
         let function = pending.forwarding.request().function.clone();
-        let is_first = !pending.forwarding.request().repeat;
+        let is_first = !pending.forwarding.request().is_retry;
         pending.awaited_step = match &next_step {
             ForwardingStep::Serve(..) => AwaitedStep::Outcome,
             ForwardingStep::Forward { .. } => AwaitedStep::Forwarded,
@@ -292,7 +292,7 @@
                 index,
                 number,
                 AwaitedStep::Outcome,
-                |forwarding, agent, now| forwarding.served(agent, now, outcome),
+                |forwarding, agent, now| forwarding.handle_local_outcome(agent, now, outcome),
             );
         }
     }
@@ -318,7 +318,7 @@
         waiting.push(number);
         if waiting.len() == 1 {
             self.update_control(index, |control, agent, now| {
-                control.acquire(agent, now, function)
+                control.request_lease(agent, now, function)
             });
         }
     }
@@ -382,12 +382,12 @@
         index: usize,
         number: u64,
         result: ForwardResult,
-        regional_tenths: u8,
+        regional_delay_deciseconds: u8,
     ) {
         let process = self.nodes.daemon_mut(index).process.as_mut();
         if let Some(pending) = process.and_then(|process| process.pending_requests.get_mut(&number))
         {
-            pending.regional_tenths = regional_tenths;
+            pending.regional_delay_deciseconds = regional_delay_deciseconds;
         }
         self.forwarded(index, number, result);
     }
@@ -397,7 +397,7 @@
             index,
             number,
             AwaitedStep::Forwarded,
-            |forwarding, agent, now| forwarding.forwarded(agent, now, result),
+            |forwarding, agent, now| forwarding.handle_forward_result(agent, now, result),
         );
     }
 
@@ -415,14 +415,14 @@
         let Some(pending) = process.pending_requests.remove(&number) else {
             return;
         };
-        let regional_tenths = self.regional_hint(index, &pending);
+        let regional_delay_deciseconds = self.regional_hint(index, &pending);
         match pending.reply_target {
             ReplyTarget::Caller => {
                 self.handle_regional_hint(
                     index,
                     pending.forwarding.request(),
                     &outcome,
-                    regional_tenths,
+                    regional_delay_deciseconds,
                 );
                 self.answer_caller(pending.forwarding.request(), &outcome);
             }
@@ -441,7 +441,7 @@
                             incarnation,
                             number,
                             result,
-                            regional_tenths,
+                            regional_delay_deciseconds,
                         ),
                     );
                 }
@@ -461,7 +461,7 @@
         if own_hint > 0 {
             own_hint
         } else {
-            pending.regional_tenths
+            pending.regional_delay_deciseconds
         }
     }
 
@@ -471,7 +471,7 @@
         index: usize,
         request: &FunctionRequest,
         outcome: &RequestOutcome,
-        regional_tenths: u8,
+        regional_delay_deciseconds: u8,
     ) {
         let local_now = self.daemon_now(index);
         let Some(agent) = self.nodes.agent(index) else {
@@ -481,7 +481,9 @@
             self.record.count_event("served under a region's key");
         }
         let is_answer = matches!(outcome, RequestOutcome::Response { .. });
-        if is_answer && agent.handle_regional_hint(local_now, &request.function, regional_tenths) {
+        if is_answer
+            && agent.handle_regional_hint(local_now, &request.function, regional_delay_deciseconds)
+        {
             self.record.count_event("regional keys heard of");
             self.update_control(index, |control, _, now| {
                 control.recheck_warm_functions(now);
--- a/testing/fleet/src/sim/dispatch.rs
+++ b/testing/fleet/src/sim/dispatch.rs
@@ -98,12 +98,17 @@
             DaemonEvent::Hop(node, _, reply_target, body) => {
                 self.handle_hop(node.daemon_index(), reply_target, body)
             }
-            DaemonEvent::Forwarded(node, _, number, result, regional_tenths) => {
-                self.finish_forward(node.daemon_index(), number, result, regional_tenths);
+            DaemonEvent::Forwarded(node, _, number, result, regional_delay_deciseconds) => {
+                self.finish_forward(
+                    node.daemon_index(),
+                    number,
+                    result,
+                    regional_delay_deciseconds,
+                );
             }
             DaemonEvent::FromHolder(node, _, function, fencing_token, message) => {
                 self.update_control(node.daemon_index(), |control, agent, now| {
-                    control.holder_message(agent, now, function, fencing_token, message)
+                    control.handle_holder_message(agent, now, function, fencing_token, message)
                 });
             }
             DaemonEvent::ProcessExited(node, _) => {
--- a/testing/fleet/src/synthetic/daemons/holder.rs
+++ b/testing/fleet/src/synthetic/daemons/holder.rs
@@ -77,7 +77,7 @@
             fencing_token,
         } = holder_key;
         self.step_control(daemon, Work::Runners, |daemon_control, agent, now| {
-            daemon_control.holder_message(agent, now, function, fencing_token, message)
+            daemon_control.handle_holder_message(agent, now, function, fencing_token, message)
         });
     }
 
