--- a/testing/fleet/src/sim/checks/mod.rs
+++ b/testing/fleet/src/sim/checks/mod.rs
@@ -460,7 +460,7 @@
     }
 
     /// Records a lease and returns whether it is new.
-    pub fn is_new_lease(&mut self, fencing_token: FencingToken) -> bool {
+    pub fn record_lease(&mut self, fencing_token: FencingToken) -> bool {
         self.granted.insert(fencing_token)
     }
 
@@ -482,7 +482,7 @@
     }
 
     /// Checks that a daemon that was stopped gracefully exits without requests in flight.
-    pub fn check_orderly_stop(
+    pub fn check_graceful_shutdown(
         &mut self,
         at: MonotonicTime,
         daemon: usize,
--- a/testing/fleet/src/sim/connections.rs
+++ b/testing/fleet/src/sim/connections.rs
@@ -93,8 +93,8 @@
         };
         let index = link.daemon.daemon_index();
         if self.nodes.daemon(index).is_current_link(number) {
-            self.with_controller(index, |controller, agent, now| {
-                controller.handle_connected(agent, now)
+            self.update_control(index, |control, agent, now| {
+                control.handle_connected(agent, now)
             });
         }
     }
@@ -115,8 +115,8 @@
         };
         let index = link.daemon.daemon_index();
         if self.nodes.daemon(index).is_current_link(number) {
-            self.with_controller(index, |controller, agent, now| {
-                controller.handle_frame(agent, now, frame)
+            self.update_control(index, |control, agent, now| {
+                control.handle_frame(agent, now, frame)
             });
         }
     }
--- a/testing/fleet/src/sim/daemon/mod.rs
+++ b/testing/fleet/src/sim/daemon/mod.rs
@@ -21,7 +21,7 @@
     Agent, DaemonControl, DaemonControlOutput, Forwarding, HeldFunction, InFlightGuard,
 };
 use dataplane::control_session::ControlSessionTiming;
-use shutdown::OrderlyStop;
+use shutdown::GracefulShutdown;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::Duration;
@@ -46,6 +46,7 @@
     forwarded_to: Option<Host>,
     /// The lease holder in this daemon that handles the request, and the request's ticket there.
     held_under: Option<(Arc<HeldFunction<u64>>, Ticket)>,
+    /// The hint about the regional key that came with the reply to a forwarded request, in tenths of a second.
     regional_delay_deciseconds: u8,
     _in_flight: InFlightGuard,
 }
@@ -76,11 +77,15 @@
 /// The state that is lost with a daemon's process.
 pub(crate) struct DaemonProcess {
     pub(in crate::sim) agent: Arc<Agent<u64>>,
-    controller: DaemonControl<u64>,
+    control: DaemonControl<u64>,
     pending_requests: BTreeMap<u64, PendingRequest>,
+    /// The numbers of the requests that wait for the result of acquiring a lease of the function.
     acquires: BTreeMap<FunctionKey, Vec<u64>>,
+    /// The number of the link to a controller that it currently uses.
     link: Option<u64>,
-    stop: Option<OrderlyStop>,
+    shutdown: Option<GracefulShutdown>,
+    /// Whether the machine was frozen since the process started, or since its shutdown began. The shutdown is then not
+    /// checked.
     pub(in crate::sim) is_disturbed: bool,
 }
 
@@ -112,11 +117,11 @@
         self.process.is_some().then_some(self.incarnation)
     }
 
-    /// Whether its process runs and is not stopping.
+    /// Whether its process runs and is not shutting down.
     pub(in crate::sim) fn is_accepting(&self) -> bool {
         self.process
             .as_ref()
-            .is_some_and(|process| process.stop.is_none())
+            .is_some_and(|process| process.shutdown.is_none())
     }
 
     /// Whether its process holds a valid session lease.
@@ -160,6 +165,7 @@
         )
     }
 
+    /// Schedules the next lookup of a request at a time on the daemon's clock; earlier wake-ups are then ignored.
     pub(in crate::sim) fn schedule_wake(
         &mut self,
         index: usize,
@@ -200,7 +206,7 @@
             .with_tuning(self.plan.tuning)
             .with_regions(self.regions());
         let agent = Arc::new(agent);
-        let controller = DaemonControl::new(
+        let control = DaemonControl::new(
             local_now,
             &agent,
             ControlSessionTiming::builder().build(),
@@ -208,20 +214,20 @@
             addresses::seeds(),
             SeededRng::seeded(seed),
         );
-        let controller = if self.plan.keeps_warm_functions {
-            controller.with_warm(local_now)
+        let control = if self.plan.keeps_warm_functions {
+            control.with_warm(local_now)
         } else {
-            controller
+            control
         };
         let daemon = self.nodes.daemon_mut(index);
         daemon.incarnation += 1;
         daemon.process = Some(Box::new(DaemonProcess {
             agent,
-            controller,
+            control,
             pending_requests: BTreeMap::new(),
             acquires: BTreeMap::new(),
             link: None,
-            stop: None,
+            shutdown: None,
             is_disturbed: false,
         }));
         let tick = Event::Tick(
@@ -239,7 +245,7 @@
     }
 
     pub(in crate::sim) fn tick_daemon(&mut self, index: usize) {
-        self.with_controller(index, |controller, agent, now| controller.tick(agent, now));
+        self.update_control(index, |control, agent, now| control.tick(agent, now));
         if let Some(agent) = self.nodes.agent(index)
             && self.is_daemon_serving(index)
         {
@@ -249,10 +255,11 @@
                 agent.routing_table().version(),
             );
         }
-        self.continue_stop(index);
+        self.continue_shutdown(index);
     }
 
-    pub(in crate::sim) fn with_controller(
+    /// Changes the state of a daemon's control session and executes the resulting outputs.
+    pub(in crate::sim) fn update_control(
         &mut self,
         index: usize,
         change: impl FnOnce(
@@ -266,30 +273,32 @@
             return;
         };
         let agent = process.agent.clone();
-        let outputs = change(&mut process.controller, &agent, local_now);
+        let outputs = change(&mut process.control, &agent, local_now);
         for output in outputs {
             self.apply_daemon_output(index, output);
         }
     }
 
-    pub(in crate::sim) fn heartbeat(
+    /// Handles a heartbeat from another daemon.
+    pub(in crate::sim) fn handle_heartbeat(
         &mut self,
         index: usize,
         heartbeat: &common::frames::Heartbeat,
     ) {
         let local_now = self.daemon_now(index);
         if let Some(process) = &mut self.nodes.daemon_mut(index).process {
-            process.controller.handle_heartbeat(local_now, heartbeat);
+            process.control.handle_heartbeat(local_now, heartbeat);
         }
     }
 
-    pub(in crate::sim) fn link_lost(&mut self, index: usize, link: u64) {
+    /// Handles the loss of a link, if the daemon still uses it.
+    pub(in crate::sim) fn handle_link_lost(&mut self, index: usize, link: u64) {
         if self.nodes.daemon(index).is_current_link(link) {
             if let Some(process) = &mut self.nodes.daemon_mut(index).process {
                 process.link = None;
             }
-            self.with_controller(index, |controller, agent, now| {
-                controller.handle_disconnected(agent, now)
+            self.update_control(index, |control, agent, now| {
+                control.handle_disconnected(agent, now)
             });
         }
     }
--- a/testing/fleet/src/sim/daemon/outputs.rs
+++ b/testing/fleet/src/sim/daemon/outputs.rs
@@ -121,7 +121,7 @@
         let delay = self.network.delay(&mut self.rng);
         let key = (Node(1_000_000 + link as usize), to);
         self.queue
-            .push_in_order(key, delay, LinkEvent::LinkUp(link, frame));
+            .push_in_order(key, delay, LinkEvent::FrameToController(link, frame));
     }
 
     /// Checks that each runner instance is used by at most one running lease holder.
@@ -179,7 +179,7 @@
         };
         let held_functions = agent.held_functions();
         for held in held_functions.values() {
-            if !self.checks.is_new_lease(held.fencing_token) {
+            if !self.checks.record_lease(held.fencing_token) {
                 continue;
             }
             let adopted = held.with(|holder| holder.instances());
--- a/testing/fleet/src/sim/daemon/requests.rs
+++ b/testing/fleet/src/sim/daemon/requests.rs
@@ -143,7 +143,7 @@
     }
 
     /// Handles the timeout of a request's wait for the leader's reply to an acquire.
-    pub(in crate::sim) fn acquire_timed_out(&mut self, index: usize, number: u64) {
+    pub(in crate::sim) fn handle_acquire_timeout(&mut self, index: usize, number: u64) {
         self.step(
             index,
             number,
@@ -317,8 +317,8 @@
         let waiting = process.acquires.entry(function.clone()).or_default();
         waiting.push(number);
         if waiting.len() == 1 {
-            self.with_controller(index, |controller, agent, now| {
-                controller.request_lease(agent, now, function)
+            self.update_control(index, |control, agent, now| {
+                control.request_lease(agent, now, function)
             });
         }
     }
@@ -349,14 +349,14 @@
         }
         if !self.network.reaches(node, to_node) {
             let is_lost = self.rng.random_bool(0.5);
-            let (end, failed_after) = if is_lost {
+            let (result, failed_after) = if is_lost {
                 (ForwardResult::Lost, wait_span)
             } else {
                 (ForwardResult::Unsent, Duration::from_millis(400))
             };
             self.queue.push(
                 failed_after,
-                DaemonEvent::Forwarded(node, incarnation, number, end, 0),
+                DaemonEvent::Forwarded(node, incarnation, number, result, 0),
             );
             return;
         }
@@ -381,7 +381,7 @@
         &mut self,
         index: usize,
         number: u64,
-        end: ForwardResult,
+        result: ForwardResult,
         regional_delay_deciseconds: u8,
     ) {
         let process = self.nodes.daemon_mut(index).process.as_mut();
@@ -389,15 +389,15 @@
         {
             pending.regional_delay_deciseconds = regional_delay_deciseconds;
         }
-        self.forwarded(index, number, end);
+        self.forwarded(index, number, result);
     }
 
-    pub(in crate::sim) fn forwarded(&mut self, index: usize, number: u64, end: ForwardResult) {
+    pub(in crate::sim) fn forwarded(&mut self, index: usize, number: u64, result: ForwardResult) {
         self.step(
             index,
             number,
             AwaitedStep::Forwarded,
-            |forwarding, agent, now| forwarding.handle_forward_result(agent, now, end),
+            |forwarding, agent, now| forwarding.handle_forward_result(agent, now, result),
         );
     }
 
@@ -433,14 +433,14 @@
             } => {
                 if self.network.reaches(node, reply_node) {
                     let delay = self.network.delay(&mut self.rng);
-                    let end = ForwardResult::Completed(outcome, holder);
+                    let result = ForwardResult::Completed(outcome, holder);
                     self.queue.push(
                         delay,
                         DaemonEvent::Forwarded(
                             reply_node,
                             incarnation,
                             number,
-                            end,
+                            result,
                             regional_delay_deciseconds,
                         ),
                     );
@@ -485,8 +485,8 @@
             && agent.handle_regional_hint(local_now, &request.function, regional_delay_deciseconds)
         {
             self.record.count_event("regional keys heard of");
-            self.with_controller(index, |controller, _, now| {
-                controller.recheck_warm_functions(now);
+            self.update_control(index, |control, _, now| {
+                control.recheck_warm_functions(now);
                 Vec::new()
             });
         }
--- a/testing/fleet/src/sim/dispatch.rs
+++ b/testing/fleet/src/sim/dispatch.rs
@@ -72,13 +72,13 @@
     fn handle_link_event(&mut self, event: LinkEvent) {
         match event {
             LinkEvent::Dialed(number) => self.handle_dialed(number),
-            LinkEvent::LinkUp(number, frame) => self.deliver_up(number, frame),
-            LinkEvent::LinkDown(number, frame) => self.deliver_down(number, frame),
+            LinkEvent::FrameToController(number, frame) => self.deliver_up(number, frame),
+            LinkEvent::FrameToDaemon(number, frame) => self.deliver_down(number, frame),
             LinkEvent::LinkLost(number, node) => {
                 if node.is_controller() {
                     self.step_controller(node.0, ControllerInput::StreamLost(StreamId(number)));
                 } else if node != PLATFORM {
-                    self.link_lost(node.daemon_index(), number);
+                    self.handle_link_lost(node.daemon_index(), number);
                 }
             }
         }
@@ -87,23 +87,28 @@
     fn handle_daemon_event(&mut self, event: DaemonEvent) {
         match event {
             DaemonEvent::HeartbeatDatagram(node, heartbeat) => {
-                self.heartbeat(node.daemon_index(), &heartbeat)
+                self.handle_heartbeat(node.daemon_index(), &heartbeat)
             }
             DaemonEvent::Lookup(node, _, number, wake) => {
                 self.wake(node.daemon_index(), number, wake)
             }
             DaemonEvent::AcquireTimedOut(node, _, number) => {
-                self.acquire_timed_out(node.daemon_index(), number)
+                self.handle_acquire_timeout(node.daemon_index(), number)
             }
             DaemonEvent::Hop(node, _, reply_target, body) => {
                 self.handle_hop(node.daemon_index(), reply_target, body)
             }
-            DaemonEvent::Forwarded(node, _, number, end, regional_delay_deciseconds) => {
-                self.finish_forward(node.daemon_index(), number, end, regional_delay_deciseconds);
+            DaemonEvent::Forwarded(node, _, number, result, regional_delay_deciseconds) => {
+                self.finish_forward(
+                    node.daemon_index(),
+                    number,
+                    result,
+                    regional_delay_deciseconds,
+                );
             }
             DaemonEvent::FromHolder(node, _, function, fencing_token, message) => {
-                self.with_controller(node.daemon_index(), |controller, agent, now| {
-                    controller.handle_holder_message(agent, now, function, fencing_token, message)
+                self.update_control(node.daemon_index(), |control, agent, now| {
+                    control.handle_holder_message(agent, now, function, fencing_token, message)
                 });
             }
             DaemonEvent::ProcessExited(node, _) => {
@@ -122,10 +127,10 @@
 
     fn handle_holder_event(&mut self, event: HolderEvent) {
         match event {
-            HolderEvent::Started(requester, function, runner, end) => {
+            HolderEvent::Started(requester, function, runner, outcome) => {
                 let index = requester.node.daemon_index();
                 self.update_holder(index, &function, runner.fencing_token, |holder, now| {
-                    holder.handle_start_outcome(now, runner, end)
+                    holder.handle_start_outcome(now, runner, outcome)
                 });
             }
             HolderEvent::Stopped(requester, function, runner) => {
@@ -146,10 +151,10 @@
                     holder.handle_running_list(now, runner, running)
                 });
             }
-            HolderEvent::SendEnded(requester, function, ticket, fencing_token, end) => {
+            HolderEvent::SendEnded(requester, function, ticket, fencing_token, result) => {
                 let index = requester.node.daemon_index();
                 self.update_holder(index, &function, fencing_token, |holder, now| {
-                    holder.handle_send_result(now, ticket, end)
+                    holder.handle_send_result(now, ticket, result)
                 });
             }
         }
@@ -167,14 +172,14 @@
                 self.stop_runner_for_leader(requester, &order);
             }
             PlatformEvent::Run(address, run) => self.begin_run(address, run),
-            PlatformEvent::RunDone(runner, run, fault_code) => {
+            PlatformEvent::RunFinished(runner, run, fault_code) => {
                 self.finish_run(runner, run, fault_code)
             }
             PlatformEvent::ListTick => self.handle_list_tick(),
-            PlatformEvent::RestoreWorkers => self.platform.end_worker_drains(),
+            PlatformEvent::EndWorkerDrains => self.platform.end_worker_drains(),
             PlatformEvent::StopLeavingRunner(runner) => self.platform.stop(runner),
-            PlatformEvent::WorkersReturn(workers) => {
-                self.platform.add_workers(workers);
+            PlatformEvent::RestoreWorkers(workers) => {
+                self.platform.restore_workers(workers);
             }
         }
     }
@@ -183,9 +188,9 @@
         match event {
             OperatorEvent::ClientTimedOut(ticket) => self.time_out_command(ticket),
             OperatorEvent::Resend(command) => self.send_command(command),
-            OperatorEvent::ReadBack => {
-                self.read_back();
-                self.schedule_reading();
+            OperatorEvent::Read => {
+                self.send_read();
+                self.schedule_read();
             }
             OperatorEvent::OperatorReply(ticket, reply) => {
                 self.handle_operation_reply(ticket, reply)
--- a/testing/fleet/src/sim/event/environment.rs
+++ b/testing/fleet/src/sim/event/environment.rs
@@ -20,15 +20,15 @@
     /// A request arrives at the address of a runner.
     Run(SocketAddress, SimRun),
     /// A run ends; the last field is the code of the fault that its answer is subject to.
-    RunDone(RunnerId, SimRun, u8),
+    RunFinished(RunnerId, SimRun, u8),
     /// The platform takes a snapshot of its lists.
     ListTick,
-    /// Drained workers are restored.
-    RestoreWorkers,
+    /// The draining of all workers ends.
+    EndWorkerDrains,
     /// A runner that announced that it is leaving stops.
     StopLeavingRunner(RunnerId),
-    /// Lost workers return.
-    WorkersReturn(Vec<ListedWorker>),
+    /// The workers of a lost zone are restored.
+    RestoreWorkers(Vec<ListedWorker>),
 }
 
 impl PlatformEvent {
@@ -39,11 +39,11 @@
             Self::Stop(..) => 21,
             Self::StopForLeader(..) => 23,
             Self::Run(..) => 27,
-            Self::RunDone(..) => 28,
+            Self::RunFinished(..) => 28,
             Self::ListTick => 38,
-            Self::RestoreWorkers => 49,
+            Self::EndWorkerDrains => 49,
             Self::StopLeavingRunner(..) => 50,
-            Self::WorkersReturn(..) => 51,
+            Self::RestoreWorkers(..) => 51,
         }
     }
 }
@@ -55,7 +55,7 @@
     /// An operator sends a command again.
     Resend(u64),
     /// An operator reads the configuration.
-    ReadBack,
+    Read,
     /// A reply arrives at an operator.
     OperatorReply(OperationTicket, OperationReply),
     /// An operator sends a change.
@@ -70,7 +70,7 @@
         match self {
             Self::ClientTimedOut(..) => 34,
             Self::Resend(..) => 35,
-            Self::ReadBack => 36,
+            Self::Read => 36,
             Self::OperatorReply(..) => 37,
             Self::Change => 42,
             Self::Restore(..) => 52,
--- a/testing/fleet/src/sim/faults.rs
+++ b/testing/fleet/src/sim/faults.rs
@@ -288,7 +288,7 @@
 
     fn stop_random_daemon(&mut self) {
         let index = self.random_daemon();
-        self.begin_orderly_stop(index);
+        self.begin_shutdown(index);
     }
 
     fn start_runner_faults(&mut self, duration: Duration) {
@@ -458,13 +458,13 @@
         self.platform.drain(self.queue.now(), worker_index);
         self.queue.push(
             Duration::from_secs(5) + duration,
-            PlatformEvent::RestoreWorkers,
+            PlatformEvent::EndWorkerDrains,
         );
     }
 
     fn stop_group(&mut self) {
         for index in self.random_group() {
-            self.begin_orderly_stop(index);
+            self.begin_shutdown(index);
         }
     }
 
@@ -506,6 +506,7 @@
         );
     }
 
+    /// Freezes a machine for the given time, or longer if it is already frozen for longer.
     pub(super) fn freeze(&mut self, node: Node, duration: Duration) {
         let until = self.queue.now() + duration;
         let resumes_at = self.frozen.freeze(node, until);
@@ -529,7 +530,7 @@
         }
         let lost_workers = self.platform.remove_zone(&zone);
         self.queue
-            .push(duration, PlatformEvent::WorkersReturn(lost_workers));
+            .push(duration, PlatformEvent::RestoreWorkers(lost_workers));
     }
 
     fn partition(&mut self, left: &[Node], right: &[Node]) {
--- a/testing/fleet/src/sim/runners.rs
+++ b/testing/fleet/src/sim/runners.rs
@@ -279,9 +279,10 @@
         }
         let fault_code = fault as u8;
         self.queue
-            .push(work, PlatformEvent::RunDone(runner, run, fault_code));
+            .push(work, PlatformEvent::RunFinished(runner, run, fault_code));
     }
 
+    /// Ends a send with the sealed response by which a runner rejects a request.
     fn reject_by_runner(
         &mut self,
         run: &SimRun,
--- a/testing/fleet/src/sim/simulation.rs
+++ b/testing/fleet/src/sim/simulation.rs
@@ -87,8 +87,8 @@
             answer_shares: AnswerShares::default(),
             plan,
         };
-        simulation.bootstrap_controllers(&ids);
-        simulation.bootstrap_daemons();
+        simulation.create_controllers(&ids);
+        simulation.create_daemons();
         simulation.schedule_first_events();
         simulation
     }
@@ -101,7 +101,7 @@
             self.schedule_change();
         }
         if self.plan.has_numbered_orders {
-            self.schedule_reading();
+            self.schedule_read();
         }
         self.schedule_script();
         if self.plan.has_faults {
@@ -196,11 +196,11 @@
     fn link_target(&self, event: &Event) -> Option<(Node, Option<u64>)> {
         match event {
             Event::Link(LinkEvent::Dialed(number))
-            | Event::Link(LinkEvent::LinkDown(number, _)) => self
+            | Event::Link(LinkEvent::FrameToDaemon(number, _)) => self
                 .links
                 .get(*number)
                 .map(|link| (link.daemon, Some(link.daemon_incarnation))),
-            Event::Link(LinkEvent::LinkUp(number, _)) => self
+            Event::Link(LinkEvent::FrameToController(number, _)) => self
                 .links
                 .get(*number)
                 .map(|link| (link.controller, Some(link.controller_incarnation))),
