--- a/crates/common/src/lib.rs
+++ b/crates/common/src/lib.rs
@@ -11,7 +11,8 @@
 //! - [`rules`] and [`invariants`]: the safety rules by name, and the checks that the running code makes.
 //! - [`events`] and [`metrics`]: what processes report.
 //! - [`clock`] and [`rng`]: time and random numbers that a simulation can replace.
-//! - [`command_line`] and [`sockets`]: what every program needs.
+//! - [`command_line`] and [`hangups`]: command lines, logging, runtimes and signals of programs.
+//! - [`sockets`]: the options of TCP connections.
 //!
 //! The crate makes no decisions: those of the control plane are in the crate `controlplane`, those of the data plane in
 //! `dataplane`. Its errors are enums that keep the cause as their source and include it in their message, so that one
