--- a/crates/common/src/identity/names.rs
+++ b/crates/common/src/identity/names.rs
@@ -96,7 +96,7 @@
     Zone,
     /// The name of a region, a group of nearby zones that the settings define.
     Region,
-    /// A daemon's name.
+    /// The name of a daemon, that is, of a member of the cluster.
     MemberName,
     /// A worker's name.
     WorkerName,
