--- a/crates/common/src/frames/daemons.rs
+++ b/crates/common/src/frames/daemons.rs
@@ -1,4 +1,7 @@
 //! Frames between daemons: forwarded requests, their outcomes and ledger replication.
+//!
+//! A ledger is the holder's record of a function's requests by idempotency key. Another daemon, the ledger replica, keeps
+//! a copy of it, which the next holder collects.
 
 use super::{ByteString, Flag, Host, LengthPrefixed};
 use crate::identity::{
