--- a/crates/common/src/spec/content.rs
+++ b/crates/common/src/spec/content.rs
@@ -40,8 +40,8 @@
     pub timeout: Duration,
     /// `patience_ms`: how long a request may wait in the queue, 0 to 60000 ms; by default the same as `budget_ms`.
     pub queue_timeout: Duration,
-    /// `target_ms`: the target response time, within which a response has its full value, 1 to 60000 ms; by default the
-    /// same as `budget_ms`.
+    /// `target_ms`: the target response time, which guides the order of the queue and the number of runners, 1 to 60000
+    /// ms; by default the same as `budget_ms`.
     pub target: Duration,
     /// `rank`: the priority in the queue, 0 (highest) to 255; by default 0.
     pub rank: u8,
