--- a/crates/common/src/adapter/ingress.rs
+++ b/crates/common/src/adapter/ingress.rs
@@ -46,7 +46,7 @@
     NotRun {
         /// The kind of rejection.
         kind: NotRunKind,
-        /// A human-readable reason.
+        /// The code of the reason, such as `not_serving`.
         reason: &'static str,
         /// The missing or invalid header, if that is the reason.
         header: Option<&'static str>,
