--- a/crates/common/src/rng.rs
+++ b/crates/common/src/rng.rs
@@ -40,8 +40,8 @@
     }
 
     /// Returns true with the given probability, from 0 to 1.
-    pub fn random_bool(&mut self, fraction: f64) -> bool {
-        self.rng.random::<f64>() < fraction
+    pub fn random_bool(&mut self, probability: f64) -> bool {
+        self.rng.random::<f64>() < probability
     }
 
     /// Returns a random duration between the two bounds, both included.
