--- a/crates/common/tests/clocks.rs
+++ b/crates/common/tests/clocks.rs
@@ -1,4 +1,6 @@
-//! Deployed code neither reads the wall clock nor puts a thread to sleep.
+//! Deployed code reads the time only from `common::clock`, and puts no thread to sleep.
+//!
+//! The wall clock can jump, and `Instant` does not count the time during which the machine is suspended.
 
 #[path = "../../../testing/support/rust_sources.rs"]
 mod rust_sources;
@@ -20,6 +22,7 @@
         .chain(&programs)
         .flat_map(|package| rust_sources::in_folder(&root.join(package).join("src")))
         .collect();
+    // Fails if folders have moved, so that the test would check too little.
     verify_that!(found.len(), ge(80))?;
     let forbidden = [
         "SystemTime",
