--- a/crates/common/tests/reload.rs
+++ b/crates/common/tests/reload.rs
@@ -5,7 +5,7 @@
 use std::cell::{Cell, RefCell};
 use tokio::sync::watch;
 
-/// Settings that cannot be read are skipped, and the next readable ones are applied.
+/// Guards against a process that applies no more settings after a reload that could not read them.
 #[gtest]
 fn unreadable_settings_are_skipped_and_the_next_readable_ones_applied() -> Result<()> {
     let runtime = common::command_line::runtime(1)?;
