--- a/testing/support/form_list.rs
+++ b/testing/support/form_list.rs
@@ -1,7 +1,7 @@
 //! Compares a list of named serialized forms with a committed fixture.
 //!
-//! A fixture has one form per line: its name, a space, and the form as text. The names are those used on the wire, so
-//! that they don't change when types are renamed.
+//! A fixture has one form per line: its name, a space, and the form as text. The names belong to the fixture, so that
+//! they don't change when types are renamed.
 
 #[path = "forms.rs"]
 mod text_forms;
