--- a/testing/platform-stub/src/lib.rs
+++ b/testing/platform-stub/src/lib.rs
@@ -1,4 +1,4 @@
-//! A test double of the users' platform: workers with limited memory, and runners that record every run.
+//! A test double of the platform: workers with limited memory, and runners that record every run.
 
 #![deny(missing_docs, unreachable_pub)]
 
