--- a/testing/platform-stub/src/platform/lists.rs
+++ b/testing/platform-stub/src/platform/lists.rs
@@ -38,6 +38,7 @@
         }
     }
 
+    /// Returns the age of the listed snapshot in milliseconds, never less than the exact age.
     fn age_ms(&self, now: MonotonicTime) -> u64 {
         self.snapshots.front().map_or(0, |snapshot| {
             now.since(snapshot.taken_at).as_millis() as u64 + 1
