--- a/testing/loadgen/src/persistent_connections.rs
+++ b/testing/loadgen/src/persistent_connections.rs
@@ -23,6 +23,9 @@
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 /// The recorded outcome of a request whose client closed the connection before the response.
 const ABANDONED: &str = "left";
+/// Gives the random numbers of these clients another seed than those of the schedule, which has the plan's seed. It is
+/// "kept", the plan's key for these clients, in ASCII.
+const SEED_MASK: u64 = 0x6b65_7074;
 /// The delay before a connection is opened again.
 const RECONNECT_DELAY: Duration = Duration::from_millis(50);
 
@@ -54,7 +57,7 @@
     fn new(client_pool: Arc<ClientPool>, settings: PersistentConnections, number: usize) -> Self {
         let plan = &client_pool.plan;
         let ingress = plan.ingresses[number % plan.ingresses.len()];
-        let rng = SeededRng::seeded(plan.seed ^ 0x6b65_7074 ^ ((number as u64) << 32));
+        let rng = SeededRng::seeded(plan.seed ^ SEED_MASK ^ ((number as u64) << 32));
         Self {
             client_pool,
             settings,
