--- a/testing/loadgen/src/plan.rs
+++ b/testing/loadgen/src/plan.rs
@@ -193,7 +193,7 @@
     /// Reads a plan.
     ///
     /// # Errors
-    /// Fails with the errors of all fields that are missing, unknown or malformed.
+    /// Fails with one error: the first field that is unknown or malformed, or else the first that is missing.
     pub fn read(source: &SettingsSource) -> Result<Self, PlanError> {
         Ok(source.read(Self::read_root)?)
     }
