--- a/crates/dataplane/src/agent/forwarding/request.rs
+++ b/crates/dataplane/src/agent/forwarding/request.rs
@@ -32,13 +32,13 @@
 }
 
 impl FunctionRequest {
-    /// Reads a request from another daemon's frame, or returns the frame if it is of another kind. The frame carries
-    /// the remaining time rather than the deadline, as the daemons' clocks differ.
-    pub fn from_frame(
+    /// Reads a request from another daemon's message, or returns the message if it is of another kind. The message
+    /// carries the remaining time rather than the deadline, as the daemons' clocks differ.
+    pub fn from_message(
         now: MonotonicTime,
-        frame: DaemonMessage,
+        message: DaemonMessage,
     ) -> Result<Self, Box<DaemonMessage>> {
-        match frame {
+        match message {
             DaemonMessage::FunctionRequest {
                 idempotency_key,
                 function,
--- a/crates/dataplane/src/server/hops.rs
+++ b/crates/dataplane/src/server/hops.rs
@@ -168,7 +168,7 @@
     body: DaemonMessage,
     requester_phase: watch::Receiver<ShutdownPhase>,
 ) -> Option<DaemonMessage> {
-    match FunctionRequest::from_frame(MonotonicTime::now(), body) {
+    match FunctionRequest::from_message(MonotonicTime::now(), body) {
         Ok(request) => {
             let forwarded_outcome = forward_for_daemon(state, request, requester_phase).await;
             let is_response = matches!(forwarded_outcome.outcome, RequestOutcome::Response { .. });
--- a/crates/dataplane/tests/agent/shutdown.rs
+++ b/crates/dataplane/tests/agent/shutdown.rs
@@ -125,7 +125,7 @@
         verify_that!(RequesterNotice::from_message(&message), some(eq(notice)))?;
         let is_completed = matches!(message, DaemonMessage::Completed { .. });
         verify_that!(is_completed, eq(true))?;
-        let parsed = FunctionRequest::from_frame(bench.now, message);
+        let parsed = FunctionRequest::from_message(bench.now, message);
         let Err(other) = parsed else {
             return fail!("a notice was read as a request");
         };
--- a/testing/fleet/src/sim/daemon/requests.rs
+++ b/testing/fleet/src/sim/daemon/requests.rs
@@ -82,7 +82,7 @@
     ) {
         if RequesterNotice::from_message(&body).is_some() {
             self.handle_requester_notice(index, reply_target);
-        } else if let Ok(request) = FunctionRequest::from_frame(self.daemon_now(index), body) {
+        } else if let Ok(request) = FunctionRequest::from_message(self.daemon_now(index), body) {
             self.accept_request(index, request, reply_target);
         }
     }
--- a/testing/fleet/src/synthetic/daemons/forwarding.rs
+++ b/testing/fleet/src/synthetic/daemons/forwarding.rs
@@ -219,7 +219,7 @@
         let Some(frame) = self.decode_hop(bytes) else {
             return;
         };
-        if let Ok(function_request) = FunctionRequest::from_frame(self.now, frame.body) {
+        if let Ok(function_request) = FunctionRequest::from_message(self.now, frame.body) {
             self.accept_request(daemon, function_request, reply_target);
         }
     }
