--- a/crates/dataplane/src/agent/daemon_control/view_outputs.rs
+++ b/crates/dataplane/src/agent/daemon_control/view_outputs.rs
@@ -38,8 +38,8 @@
                     .push(DaemonControlOutput::HeartbeatDatagram(heartbeat, addresses));
             }
             ClusterViewOutput::Welcomed(term) => self.handle_welcome(agent, now, term),
-            ClusterViewOutput::StreamLost(lost_reserves) => {
-                self.handle_stream_lost(agent, now, lost_reserves)
+            ClusterViewOutput::StreamLost(lost_reservations) => {
+                self.handle_stream_lost(agent, now, lost_reservations)
             }
             ClusterViewOutput::ServeUntil(lease_end) => self.serve_until(agent, now, lease_end),
             ClusterViewOutput::ReleaseAll => self.release_all(agent, now),
@@ -117,12 +117,12 @@
         &mut self,
         agent: &Agent<W>,
         now: MonotonicTime,
-        lost_reserves: Vec<(FunctionKey, FencingToken)>,
+        lost_reservations: Vec<(FunctionKey, FencingToken)>,
     ) {
         agent.set_has_leader(false);
         self.log_event(events::STREAM_LOST, String::new());
         self.outputs.push(DaemonControlOutput::AcquisitionsLost);
-        for (function, fencing_token) in lost_reserves {
+        for (function, fencing_token) in lost_reservations {
             if let Some(held) = agent.held_under_lease(&function, fencing_token) {
                 held.with(|holder| holder.handle_reserve_failure(now));
             }
--- a/crates/dataplane/src/cluster_view/leader_requests.rs
+++ b/crates/dataplane/src/cluster_view/leader_requests.rs
@@ -12,7 +12,7 @@
 const ACQUIRE_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// A request for a function lease that has no final response yet.
-pub(super) struct PendingAcquire {
+pub(super) struct PendingAcquisition {
     function: FunctionKey,
     requested_at: MonotonicTime,
     /// When the leader expects to grant the lease, if it has announced a wait.
@@ -28,7 +28,7 @@
         function: FunctionKey,
     ) -> Vec<ClusterViewOutput> {
         let pending_expected_at = self
-            .acquires
+            .pending_acquisitions
             .values()
             .find(|pending| pending.function == function)
             .and_then(|pending| pending.expected_at);
@@ -46,12 +46,12 @@
 
     fn send_acquire(&mut self, now: MonotonicTime, function: FunctionKey) {
         let correlation = self.control_session.correlation();
-        let pending = PendingAcquire {
+        let pending = PendingAcquisition {
             function: function.clone(),
             requested_at: now,
             expected_at: None,
         };
-        self.acquires.insert(correlation, pending);
+        self.pending_acquisitions.insert(correlation, pending);
         self.outputs
             .push(ClusterViewOutput::SendFrame(DaemonToLeader::Acquire {
                 correlation,
@@ -80,7 +80,7 @@
     ) -> Vec<ClusterViewOutput> {
         if self.control_session.is_welcomed() {
             let correlation = self.control_session.correlation();
-            self.reserves
+            self.pending_reservations
                 .insert(correlation, (function.clone(), fencing_token));
             let frame = DaemonToLeader::Reserve {
                 correlation,
@@ -108,7 +108,7 @@
         result: AcquireResult,
     ) {
         if let AcquireResult::RetryLater { wait_ms } = &result
-            && let Some(pending) = self.acquires.get_mut(&correlation)
+            && let Some(pending) = self.pending_acquisitions.get_mut(&correlation)
         {
             pending.expected_at = Some(now + Duration::from_millis(u64::from(*wait_ms)));
             let round_trip = now.since(pending.requested_at);
@@ -116,7 +116,7 @@
             return;
         }
         let round_trip = self
-            .acquires
+            .pending_acquisitions
             .remove(&correlation)
             .map_or(Duration::ZERO, |pending| now.since(pending.requested_at));
         let result = match result {
@@ -200,7 +200,7 @@
         function: FunctionKey,
         result: ReserveResult,
     ) {
-        match (self.reserves.remove(&correlation), &result) {
+        match (self.pending_reservations.remove(&correlation), &result) {
             (Some((_, fencing_token)), _) => {
                 self.outputs.push(ClusterViewOutput::Reserved {
                     function,
@@ -224,17 +224,17 @@
     /// Cancels all pending acquisitions before the daemon claims no functions. The leader then drops every lease that
     /// is not claimed, including one that is still in transit to this daemon, so that such a lease must not be
     /// accepted.
-    pub(super) fn void_pending_acquires(&mut self, now: MonotonicTime) {
+    pub(super) fn void_pending_acquisitions(&mut self, now: MonotonicTime) {
         self.void_through = self.control_session.correlation();
-        for pending in std::mem::take(&mut self.acquires).into_values() {
+        for pending in std::mem::take(&mut self.pending_acquisitions).into_values() {
             self.report_acquired(pending.function, None, now.since(pending.requested_at));
         }
     }
 
     /// Ends the acquisitions whose responses are overdue.
-    pub(super) fn expire_late_acquires(&mut self, now: MonotonicTime) {
+    pub(super) fn expire_late_acquisitions(&mut self, now: MonotonicTime) {
         let expired_correlations: Vec<CorrelationId> = self
-            .acquires
+            .pending_acquisitions
             .iter()
             .filter(|(_, pending)| {
                 now.since(pending.expected_at.unwrap_or(pending.requested_at)) > ACQUIRE_TIMEOUT
@@ -242,7 +242,7 @@
             .map(|(correlation, _)| *correlation)
             .collect();
         for expired_correlation in expired_correlations {
-            if let Some(pending) = self.acquires.remove(&expired_correlation) {
+            if let Some(pending) = self.pending_acquisitions.remove(&expired_correlation) {
                 self.report_acquired(pending.function, None, now.since(pending.requested_at));
             }
         }
--- a/crates/dataplane/src/cluster_view/mod.rs
+++ b/crates/dataplane/src/cluster_view/mod.rs
@@ -20,7 +20,7 @@
 use common::identity::{CorrelationId, FencingToken, FunctionKey, Version};
 use common::rules::Rules;
 use common::spec::{DaemonView, RoutingTable};
-use leader_requests::PendingAcquire;
+use leader_requests::PendingAcquisition;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::Duration;
@@ -32,10 +32,11 @@
     view: Option<DaemonView>,
     table: Arc<RoutingTable>,
     alive_hosts: Vec<Host>,
-    /// Acquisitions without a final response from the leader.
-    acquires: BTreeMap<CorrelationId, PendingAcquire>,
-    /// Reservations of runners without a response from the leader.
-    reserves: BTreeMap<CorrelationId, (FunctionKey, FencingToken)>,
+    /// Requests for function leases without a final response from the leader.
+    pending_acquisitions: BTreeMap<CorrelationId, PendingAcquisition>,
+    /// Requests to reserve a runner, without a response from the leader: the function and the fencing token of its
+    /// lease.
+    pending_reservations: BTreeMap<CorrelationId, (FunctionKey, FencingToken)>,
     /// Requests up to this correlation id were sent before the session lease ended: a lease granted in response to them
     /// is void.
     void_through: CorrelationId,
@@ -55,8 +56,8 @@
             view: None,
             table: Arc::new(RoutingTable::empty()),
             alive_hosts: Vec::new(),
-            acquires: BTreeMap::new(),
-            reserves: BTreeMap::new(),
+            pending_acquisitions: BTreeMap::new(),
+            pending_reservations: BTreeMap::new(),
             void_through: CorrelationId(0),
             released_leases: BTreeMap::new(),
             is_leaving: false,
@@ -117,7 +118,7 @@
         let detector_outputs = self.failure_detector.tick(now);
         self.apply_detector_outputs(detector_outputs);
         self.refresh_hosts(now);
-        self.expire_late_acquires(now);
+        self.expire_late_acquisitions(now);
         self.take_outputs()
     }
 
@@ -223,17 +224,19 @@
                     }
                 }
                 ControlSessionOutput::Disconnected => {
-                    self.acquires.clear();
+                    self.pending_acquisitions.clear();
                     self.released_leases.clear();
-                    let lost_reserves = std::mem::take(&mut self.reserves).into_values().collect();
+                    let lost_reservations = std::mem::take(&mut self.pending_reservations)
+                        .into_values()
+                        .collect();
                     self.outputs
-                        .push(ClusterViewOutput::StreamLost(lost_reserves));
+                        .push(ClusterViewOutput::StreamLost(lost_reservations));
                 }
                 ControlSessionOutput::GrantedUntil(lease_end) => {
                     self.outputs.push(ClusterViewOutput::ServeUntil(lease_end));
                 }
                 ControlSessionOutput::LeaseEnded => {
-                    self.void_pending_acquires(now);
+                    self.void_pending_acquisitions(now);
                     self.outputs.push(ClusterViewOutput::ReleaseAll);
                 }
                 ControlSessionOutput::Frame(frame) => self.handle_session_frame(now, frame),
