--- a/crates/dataplane/src/agent/daemon_control/mod.rs
+++ b/crates/dataplane/src/agent/daemon_control/mod.rs
@@ -262,7 +262,9 @@
     ) -> Vec<DaemonControlOutput<W>> {
         match message {
             HolderMessage::Reserve => {
-                let view_outputs = self.cluster_view.request_runner(function, fencing_token);
+                let view_outputs = self
+                    .cluster_view
+                    .request_reservation(function, fencing_token);
                 self.apply_view_outputs(agent, now, view_outputs);
             }
             HolderMessage::RunnerStatus {
--- a/crates/dataplane/src/cluster_view/leader_requests.rs
+++ b/crates/dataplane/src/cluster_view/leader_requests.rs
@@ -1,4 +1,4 @@
-//! Requests to the leader for function leases and for runners, and its responses.
+//! Requests to the leader for function leases and for the reservation of runners, and its responses.
 
 use super::{ClusterView, ClusterViewOutput};
 use crate::holder::LeaseTerms;
@@ -72,8 +72,9 @@
         });
     }
 
-    /// Requests one more runner for a held function from the leader.
-    pub fn request_runner(
+    /// Requests the leader to reserve memory on a worker for one more runner of a held function. The response names the
+    /// worker and the new runner's id.
+    pub fn request_reservation(
         &mut self,
         function: FunctionKey,
         fencing_token: FencingToken,
--- a/crates/dataplane/src/holder/output.rs
+++ b/crates/dataplane/src/holder/output.rs
@@ -89,7 +89,7 @@
 /// A message of a holder to the leader.
 #[derive(Clone, Debug)]
 pub enum HolderMessage {
-    /// Requests the reservation of one more runner.
+    /// Requests the reservation of memory on a worker for one more runner.
     Reserve,
     /// Reports a change of a runner's status.
     RunnerStatus {
--- a/crates/dataplane/src/holder/scaling.rs
+++ b/crates/dataplane/src/holder/scaling.rs
@@ -68,7 +68,7 @@
         let target_count = load_count
             .max(pending_count * usize::from(queue_runner_count > 0) + queue_runner_count);
         let target_count = target_count.clamp(floor, max_runner_count.max(floor));
-        self.request_runners(now, target_count, pending_count);
+        self.request_reservations(now, target_count, pending_count);
         let retained_count = target_count
             .max(self.runners_for_load(load * CANCEL_LOAD_FACTOR))
             .min(max_runner_count);
@@ -159,8 +159,13 @@
             .sum()
     }
 
-    /// Requests the missing runners, up to the maximum number of pending reservations.
-    fn request_runners(&mut self, now: MonotonicTime, target_count: usize, pending_count: usize) {
+    /// Requests the reservation of the missing runners, up to the maximum number of pending reservations.
+    fn request_reservations(
+        &mut self,
+        now: MonotonicTime,
+        target_count: usize,
+        pending_count: usize,
+    ) {
         if now < self.scaling.next_reserve_at {
             return;
         }
