--- a/crates/dataplane/src/agent/daemon_control/held_functions.rs
+++ b/crates/dataplane/src/agent/daemon_control/held_functions.rs
@@ -51,7 +51,7 @@
             .chain(&closing)
             .map(|held| held.with(|holder| holder.claim()))
             .collect();
-        let view_outputs = self.cluster_view.claims(claims);
+        let view_outputs = self.cluster_view.send_claims(claims);
         self.apply_view_outputs(agent, now, view_outputs);
     }
 
--- a/crates/dataplane/src/cluster_view/leader_requests.rs
+++ b/crates/dataplane/src/cluster_view/leader_requests.rs
@@ -45,7 +45,7 @@
     }
 
     fn send_acquire(&mut self, now: MonotonicTime, function: FunctionKey) {
-        let correlation = self.control_session.correlation();
+        let correlation = self.control_session.next_correlation();
         let pending = PendingAcquisition {
             function: function.clone(),
             requested_at: now,
@@ -80,7 +80,7 @@
         fencing_token: FencingToken,
     ) -> Vec<ClusterViewOutput> {
         if self.control_session.is_welcomed() {
-            let correlation = self.control_session.correlation();
+            let correlation = self.control_session.next_correlation();
             self.pending_reservations
                 .insert(correlation, (function.clone(), fencing_token));
             let frame = DaemonToLeader::Reserve {
@@ -226,7 +226,7 @@
     /// is not claimed, including one that is still in transit to this daemon, so that such a lease must not be
     /// accepted.
     pub(super) fn void_pending_acquisitions(&mut self, now: MonotonicTime) {
-        self.void_through = self.control_session.correlation();
+        self.void_through = self.control_session.next_correlation();
         for pending in std::mem::take(&mut self.pending_acquisitions).into_values() {
             self.report_acquired(pending.function, None, now.since(pending.requested_at));
         }
--- a/crates/dataplane/src/cluster_view/mod.rs
+++ b/crates/dataplane/src/cluster_view/mod.rs
@@ -196,9 +196,9 @@
     }
 
     /// Sends the claims of the held functions, if the leader has welcomed the stream.
-    pub fn claims(&mut self, claims: Vec<Claim>) -> Vec<ClusterViewOutput> {
+    pub fn send_claims(&mut self, claims: Vec<Claim>) -> Vec<ClusterViewOutput> {
         if self.control_session.is_welcomed() {
-            let frame = self.control_session.claims(claims);
+            let frame = self.control_session.claims_frame(claims);
             self.outputs.push(ClusterViewOutput::SendFrame(frame));
         }
         self.take_outputs()
--- a/crates/dataplane/src/control_session/mod.rs
+++ b/crates/dataplane/src/control_session/mod.rs
@@ -155,7 +155,7 @@
     }
 
     /// Returns a new correlation id for a request to the leader.
-    pub fn correlation(&mut self) -> CorrelationId {
+    pub fn next_correlation(&mut self) -> CorrelationId {
         self.last_correlation = self.last_correlation.next();
         self.last_correlation
     }
@@ -289,7 +289,7 @@
     }
 
     fn renew(&mut self, now: MonotonicTime) -> ControlSessionOutput {
-        let correlation = self.correlation();
+        let correlation = self.next_correlation();
         self.pending_renewals.insert(correlation, now);
         while self.pending_renewals.len() > MAX_PENDING_RENEWALS {
             self.pending_renewals.pop_first();
@@ -337,7 +337,7 @@
     }
 
     /// Returns the frame that claims the functions this daemon holds, to be sent once the stream is welcomed.
-    pub fn claims(&self, claims: Vec<Claim>) -> DaemonToLeader {
+    pub fn claims_frame(&self, claims: Vec<Claim>) -> DaemonToLeader {
         DaemonToLeader::Claims {
             claims: LengthPrefixed(claims),
         }
