--- a/crates/dataplane/src/agent/daemon_control/held_functions.rs
+++ b/crates/dataplane/src/agent/daemon_control/held_functions.rs
@@ -56,17 +56,17 @@
     }
 
     /// Closes every held function, after the session lease has ended.
-    pub(super) fn release_all(&mut self, agent: &Agent<W>, now: MonotonicTime) {
+    pub(super) fn close_all(&mut self, agent: &Agent<W>, now: MonotonicTime) {
         if !agent.rules.enforces(Rule::ServesUnderSessionLease) {
             return;
         }
-        let released = agent.replace_held_functions(HeldFunctions::new());
+        let closed = agent.replace_held_functions(HeldFunctions::new());
         self.log_event(
             events::SESSION_LEASE_ENDED,
-            format!("{} functions given up", released.len()),
+            format!("{} functions given up", closed.len()),
         );
         self.outputs.push(DaemonControlOutput::LeaseEnded);
-        for held in released.values() {
+        for held in closed.values() {
             self.close(agent, now, held);
         }
         agent.owners.clear();
@@ -173,7 +173,8 @@
         }
     }
 
-    /// Releases a closed function's lease, and reports the runners that are still to be stopped.
+    /// Releases a closed function's lease, and reports its orphaned runners, which are left running for the next
+    /// holder.
     pub(super) fn report_orphaned_runners(&mut self, held: &Arc<HeldFunction<W>>) {
         if !self.cluster_view.is_welcomed() {
             return;
@@ -185,7 +186,7 @@
         self.send_release(held.function.clone(), held.fencing_token, runners);
     }
 
-    /// Sends the release of a function's lease, with the runners that are still to be stopped.
+    /// Sends the release of a function's lease, with the runners that are left running for the next holder.
     pub(super) fn send_release(
         &mut self,
         function: FunctionKey,
@@ -199,8 +200,8 @@
         });
     }
 
-    /// Closes a function that is no longer held, and keeps it in the list of closing functions until its runners have
-    /// stopped.
+    /// Closes a function that is no longer held, and keeps it in the list of closing functions until its holder is
+    /// finished.
     pub(super) fn close(
         &mut self,
         agent: &Agent<W>,
--- a/crates/dataplane/src/agent/daemon_control/view_outputs.rs
+++ b/crates/dataplane/src/agent/daemon_control/view_outputs.rs
@@ -42,7 +42,7 @@
                 self.handle_stream_lost(agent, now, lost_reservations)
             }
             ClusterViewOutput::ServeUntil(lease_end) => self.serve_until(agent, now, lease_end),
-            ClusterViewOutput::ReleaseAll => self.release_all(agent, now),
+            ClusterViewOutput::CloseAll => self.close_all(agent, now),
             ClusterViewOutput::Install(table) => self.install(agent, now, table),
             ClusterViewOutput::InstallFailed(version, error) => {
                 let detail = format!("version {version}: {error}");
--- a/crates/dataplane/src/agent/mod.rs
+++ b/crates/dataplane/src/agent/mod.rs
@@ -77,7 +77,8 @@
     session_lease_end: SharedMonotonicTime,
     owners: OwnerCache,
     regional_keys: RegionalKeys,
-    /// Functions that are no longer held, but whose runners have not all stopped yet.
+    /// Functions that are no longer held, but whose holders are not finished yet: they wait for responses, for runners
+    /// to stop, or to report their orphaned runners to the leader.
     closing: Mutex<Vec<Arc<HeldFunction<W>>>>,
     /// Replicas of other daemons' ledgers.
     ledger_replica: Mutex<LedgerReplica>,
@@ -210,8 +211,8 @@
         })
     }
 
-    /// Drops the functions that are no longer held but whose runners have not all stopped yet, so that the memory they
-    /// take can be measured.
+    /// Drops the functions that are no longer held but whose holders are not finished yet, so that the memory they take
+    /// can be measured.
     pub fn forget_closing(&self) {
         self.lock_closing().clear();
     }
--- a/crates/dataplane/src/cluster_view/leader_requests.rs
+++ b/crates/dataplane/src/cluster_view/leader_requests.rs
@@ -222,9 +222,9 @@
         }
     }
 
-    /// Cancels all pending acquisitions before the daemon claims no functions. The leader then drops every lease that
-    /// is not claimed, including one that is still in transit to this daemon, so that such a lease must not be
-    /// accepted.
+    /// Cancels all pending acquisitions after the session lease has ended. The daemon then sends claims without these
+    /// functions, and the leader drops every lease that is not claimed, including one that is still in transit to this
+    /// daemon. Such a lease must not be accepted.
     pub(super) fn void_pending_acquisitions(&mut self, now: MonotonicTime) {
         self.void_through = self.control_session.next_correlation();
         for pending in std::mem::take(&mut self.pending_acquisitions).into_values() {
--- a/crates/dataplane/src/cluster_view/mod.rs
+++ b/crates/dataplane/src/cluster_view/mod.rs
@@ -237,7 +237,7 @@
                 }
                 ControlSessionOutput::LeaseEnded => {
                     self.void_pending_acquisitions(now);
-                    self.outputs.push(ClusterViewOutput::ReleaseAll);
+                    self.outputs.push(ClusterViewOutput::CloseAll);
                 }
                 ControlSessionOutput::Frame(frame) => self.handle_session_frame(now, frame),
             }
--- a/crates/dataplane/src/cluster_view/outputs.rs
+++ b/crates/dataplane/src/cluster_view/outputs.rs
@@ -26,8 +26,9 @@
     StreamLost(Vec<(FunctionKey, FencingToken)>),
     /// The session lease is valid until this time.
     ServeUntil(MonotonicTime),
-    /// The session lease has ended: close every held function, drop every cached owner, send the (empty) claims.
-    ReleaseAll,
+    /// The session lease has ended: close every held function, evict every cached owner, and send the claims, which
+    /// then list only functions that are closing.
+    CloseAll,
     /// Put the routing table of a new spec into use.
     Install(Arc<RoutingTable>),
     /// A spec could not be installed.
--- a/crates/dataplane/src/control_session/output.rs
+++ b/crates/dataplane/src/control_session/output.rs
@@ -18,7 +18,7 @@
     Disconnected,
     /// The session lease is valid until this time.
     GrantedUntil(MonotonicTime),
-    /// The session lease has ended: stop every runner, drop every held function and every cached owner.
+    /// The session lease has ended: close every held function, and evict every cached owner.
     LeaseEnded,
     /// A frame that does not concern the session itself.
     Frame(LeaderToDaemon),
--- a/crates/dataplane/tests/agent/late_leases.rs
+++ b/crates/dataplane/tests/agent/late_leases.rs
@@ -1,4 +1,4 @@
-//! Function leases that are granted after all functions were released.
+//! Function leases that are granted after all functions were closed at the end of the session lease.
 
 use crate::bench::{DaemonBench, ms, renewal_correlation, spec_frame};
 use common::frames::{AcquireResult, DaemonToLeader, LeaderToDaemon, LengthPrefixed};
@@ -38,9 +38,9 @@
     })
 }
 
-/// Returns a daemon that requested a function, released all functions when its session lease ended, and then got a new
+/// Returns a daemon that requested a function, closed all functions when its session lease ended, and then got a new
 /// session lease; and the correlation id of its request.
-fn renewed_after_release(rules: Rules) -> (DaemonBench, CorrelationId) {
+fn renewed_after_lease_end(rules: Rules) -> (DaemonBench, CorrelationId) {
     let mut bench = DaemonBench::new(rules);
     bench.receive(spec_frame(2, "f"));
     bench.renew_for(2, 600);
@@ -72,7 +72,7 @@
 /// Grants a function lease that was requested before the session lease ended, after which the daemon claimed no
 /// function. Returns whether the daemon holds the function, and whether it releases the lease.
 fn handling_of_late_lease(rules: Rules) -> (bool, bool) {
-    let (mut bench, acquire_request) = renewed_after_release(rules);
+    let (mut bench, acquire_request) = renewed_after_lease_end(rules);
     let function = bench.key("f");
     let outputs = bench.receive(granted_frame(acquire_request, &function));
     (
@@ -99,7 +99,7 @@
 /// The leader grants a lease again in response to a request that crossed the lease's release.
 #[gtest]
 fn a_released_lease_is_not_accepted_from_a_later_response() -> Result<()> {
-    let (mut bench, acquire_request) = renewed_after_release(Rules::ALL_ENFORCED);
+    let (mut bench, acquire_request) = renewed_after_lease_end(Rules::ALL_ENFORCED);
     let function = bench.key("f");
     let outputs = bench
         .control
