--- a/crates/dataplane/src/failure_detector/mod.rs
+++ b/crates/dataplane/src/failure_detector/mod.rs
@@ -262,8 +262,8 @@
         true
     }
 
-    /// Records the suspicions in a heartbeat. A suspicion of this daemon is refuted at once by a heartbeat to the
-    /// sender.
+    /// Records the suspicions in a heartbeat. A suspicion of this incarnation of this daemon is refuted at once by a
+    /// heartbeat to the sender.
     fn handle_suspicions(
         &mut self,
         now: MonotonicTime,
@@ -281,7 +281,7 @@
         }
     }
 
-    /// Returns the members that this daemon itself suspects, to be reported to a newly connected leader.
+    /// Returns the watched members that this daemon itself suspects, to be reported to a newly connected leader.
     pub fn locally_suspected(&self) -> Vec<MemberIncarnation> {
         self.locally_suspected.iter().cloned().collect()
     }
--- a/crates/dataplane/src/failure_detector/suspicion.rs
+++ b/crates/dataplane/src/failure_detector/suspicion.rs
@@ -16,9 +16,9 @@
 pub enum FailureDetectorOutput {
     /// Send a heartbeat to these addresses.
     HeartbeatDatagram(Heartbeat, Vec<SocketAddress>),
-    /// Report to the leader that this member's heartbeats are missing.
+    /// Report to the leader that the heartbeats of this incarnation of a watched member are missing.
     MemberSuspected(MemberIncarnation),
-    /// Report to the leader that this member's heartbeats arrive.
+    /// Report to the leader that this suspected incarnation is alive: its heartbeats arrive here, or it is this daemon.
     MemberRecovered(MemberIncarnation),
 }
 
@@ -55,10 +55,10 @@
         self.records.remove(incarnation);
     }
 
-    /// Drops suspicions that were not repeated for `span`.
-    pub(crate) fn expire(&mut self, now: MonotonicTime, span: Duration) {
+    /// Drops suspicions that were not repeated for `max_age`.
+    pub(crate) fn expire(&mut self, now: MonotonicTime, max_age: Duration) {
         self.records
-            .retain(|_, record| now.since(record.last_received_at) < span);
+            .retain(|_, record| now.since(record.last_received_at) < max_age);
     }
 
     /// Whether another daemon suspects this member.
