--- a/crates/dataplane/src/drivers/control.rs
+++ b/crates/dataplane/src/drivers/control.rs
@@ -24,10 +24,15 @@
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::sync::{mpsc, oneshot};
 
+/// The longest time between two ticks, even if nothing is due.
 const MAX_TICK_INTERVAL: Duration = Duration::from_millis(100);
+/// The shortest time to the next tick, unless an input makes one due earlier.
 const MIN_TICK_INTERVAL: Duration = Duration::from_millis(5);
+/// How long the connection for a stream to a controller may take to be established.
 const DIAL_TIMEOUT: Duration = Duration::from_millis(600);
+/// How long writing a batch of frames to a stream may take before the stream counts as failed.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(2);
+/// The maximum number of frames that wait to be written to a stream. If one more is sent, the stream is closed.
 const MAX_QUEUED_FRAMES: usize = 8192;
 /// Interval between two sweeps that close expired connections to runners.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
@@ -192,7 +197,8 @@
         }
     }
 
-    /// Acquires an owner of a function for a request. Concurrent requests for the same function share one acquisition.
+    /// Requests a function's lease, or its current owner, from the leader for a waiting request. Concurrent requests
+    /// for the same function share one acquisition.
     fn request_acquisition(
         &mut self,
         now: MonotonicTime,
