--- a/crates/dataplane/src/drivers/hop_client.rs
+++ b/crates/dataplane/src/drivers/hop_client.rs
@@ -19,7 +19,9 @@
 use tokio::io::{AsyncRead, AsyncWrite, AsyncWriteExt, BufReader};
 use tokio::sync::{mpsc, oneshot};
 
-const MAX_QUEUED_CALLS: usize = 1024;
+/// The maximum number of requests and notices that wait to be written to a connection.
+const MAX_QUEUED_WRITES: usize = 1024;
+/// How long a connection to another daemon may take to be established.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// The result of a request to another daemon.
@@ -137,14 +139,14 @@
         if let Some(sender) = open_sender {
             return sender.clone();
         }
-        let (sender, calls) = mpsc::channel(MAX_QUEUED_CALLS);
+        let (sender, writes) = mpsc::channel(MAX_QUEUED_WRITES);
         // Detached. The task fails the pending calls when the connection ends, and then exits. The next request to this
         // address replaces the closed sender.
         tokio::spawn(run_connection(
             self.connector.clone(),
             self.rules,
             address,
-            calls,
+            writes,
         ));
         senders.insert(address, sender.clone());
         sender
