--- a/crates/dataplane/src/drivers/runner_connections.rs
+++ b/crates/dataplane/src/drivers/runner_connections.rs
@@ -18,6 +18,7 @@
 use std::time::Duration;
 use tokio::task::JoinHandle;
 
+/// How long a connection to a runner may take to be established.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// Why no connection could be checked out.
