--- a/crates/dataplane/src/holder/demand.rs
+++ b/crates/dataplane/src/holder/demand.rs
@@ -4,7 +4,11 @@
 use common::clock::MonotonicTime;
 use std::time::Duration;
 
+/// The time since the first call counts as at least this long, in seconds, so that the first calls do not appear as a
+/// very high rate.
 const MIN_WINDOW_S: f64 = 0.25;
+/// Lower bound of all time constants, in seconds. A time constant of zero would make counts and rates undefined.
+const MIN_TIME_CONSTANT_S: f64 = 0.05;
 /// Number of recent calls from which the rate counts as known, however recent the first call.
 const KNOWN_RATE_CALLS: f64 = 32.0;
 /// Time constant of the long-term rate, in break-even times.
@@ -55,21 +59,30 @@
 }
 
 impl Demand {
-    /// Creates the state before the first call. `startup` and `break_even` determine the time constants.
+    /// Creates the state before the first call. `startup` and `break_even` determine the time constants, besides
+    /// `tuning`.
     pub(super) fn new(
         now: MonotonicTime,
         tuning: &Tuning,
         startup: Duration,
         break_even: Duration,
     ) -> Self {
-        let break_even = break_even.max(startup).as_secs_f64().max(0.05);
+        let break_even = break_even
+            .max(startup)
+            .as_secs_f64()
+            .max(MIN_TIME_CONSTANT_S);
         Self {
-            short_term: DecayingCounter::new(tuning.rate_window.as_secs_f64().max(0.05)),
+            short_term: DecayingCounter::new(
+                tuning.rate_window.as_secs_f64().max(MIN_TIME_CONSTANT_S),
+            ),
             long_term: DecayingCounter::new(break_even * LONG_TERM_BREAK_EVENS),
             first_call_at: None,
             smoothed_rate: 0.0,
             smoothed_at: now,
-            decay: tuning.decay_time(startup).as_secs_f64().max(0.05),
+            decay: tuning
+                .decay_time(startup)
+                .as_secs_f64()
+                .max(MIN_TIME_CONSTANT_S),
         }
     }
 
