--- a/crates/dataplane/src/holder/queue.rs
+++ b/crates/dataplane/src/holder/queue.rs
@@ -10,6 +10,7 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
+/// Lower bound of the queue limit.
 const MIN_QUEUE_LENGTH: usize = 32;
 /// Queue limit per slot that the function may have. It only bounds memory: requests that would not be sent in time are
 /// rejected by their expected start.
