--- a/crates/dataplane/src/holder/regional.rs
+++ b/crates/dataplane/src/holder/regional.rs
@@ -21,6 +21,7 @@
 /// A new regional key is used after this many start-up times plus [`LOOKUP_MARGIN`], which leave time to find its
 /// holder and to start its first runner.
 const STARTUPS_AHEAD: u32 = 2;
+/// The part of that delay that does not depend on the start-up time.
 const LOOKUP_MARGIN: Duration = Duration::from_millis(500);
 /// Minimum time for which a regional key stays in use, whatever the load.
 const MIN_RETENTION: Duration = Duration::from_secs(5);
