--- a/crates/dataplane/src/holder/replication.rs
+++ b/crates/dataplane/src/holder/replication.rs
@@ -7,7 +7,9 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
+/// Minimum interval between two comparisons of the ledger with its replica.
 const COMPARE_INTERVAL: Duration = Duration::from_secs(1);
+/// Interval at which the replacement of a lost replica is requested again.
 const REPLICA_REQUEST_INTERVAL: Duration = Duration::from_millis(500);
 
 /// A batch of records that is being sent to a replica.
