--- a/crates/dataplane/src/holder/retry_budget.rs
+++ b/crates/dataplane/src/holder/retry_budget.rs
@@ -6,10 +6,14 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
+/// The sliding window in which attempts are counted.
 const WINDOW: Duration = Duration::from_secs(10);
+/// The time that one bucket covers, in milliseconds. The window moves in steps of this.
 const BUCKET_MS: u64 = 100;
 
+/// The attempts that were counted in one part of the window.
 struct Bucket {
+    /// The bucket's time since the start of the clock, in units of [`BUCKET_MS`].
     index: u64,
     first_attempts: u64,
     retries: u64,
