--- a/crates/dataplane/src/holder/runners.rs
+++ b/crates/dataplane/src/holder/runners.rs
@@ -7,15 +7,23 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
+/// Minimum interval between two readiness probes of a runner.
 const PROBE_INTERVAL: Duration = Duration::from_millis(20);
 /// How long a lost response occupies its slot if runners cannot list the requests that they are running.
 const LOST_RESPONSE_SLOT_RETENTION: Duration = Duration::from_millis(400);
 /// How long a runner that rejected a request is limited to the number of requests that it had at that time.
 const THROTTLE_DURATION: Duration = Duration::from_millis(200);
+/// Interval at which a runner with lost responses lists the requests that it is running. A lost response occupies its
+/// slot for at least this time, whatever the runner lists.
 const RUNNING_LIST_INTERVAL: Duration = Duration::from_millis(250);
+/// Interval at which the order to stop a runner is repeated until the platform confirms it.
 const STOP_RETRY_INTERVAL: Duration = Duration::from_millis(600);
+/// Delay before a start order that the platform did not carry out, or did not answer, is repeated.
 const START_RETRY_DELAY: Duration = Duration::from_millis(150);
+/// How long the platform may take to report the instance of a runner that it was ordered to start. A runner has this
+/// time and three start-up times to become ready.
 const START_TIMEOUT: Duration = Duration::from_secs(3);
+/// How long a lost response may stay unresolved before its runner counts as hung and is stopped.
 const UNRESOLVED_TIMEOUT: Duration = Duration::from_secs(6);
 /// Number of consecutive lost responses after which a runner is stopped immediately.
 const MAX_CONSECUTIVE_LOSSES: u32 = 5;
@@ -142,7 +150,7 @@
         self.instance.as_ref().map(|instance| instance.address)
     }
 
-    /// Schedules a retry of a start order that the platform did not carry out.
+    /// Schedules a retry of a start order that the platform did not carry out or did not answer.
     pub(super) fn schedule_start_retry(&mut self, now: MonotonicTime) {
         self.start_retry_at = Some(now + START_RETRY_DELAY);
     }
