--- a/crates/dataplane/src/holder/scaling.rs
+++ b/crates/dataplane/src/holder/scaling.rs
@@ -5,9 +5,14 @@
 use common::clock::MonotonicTime;
 use std::time::Duration;
 
+/// How long a reservation without a reply counts as pending.
 const RESERVE_TIMEOUT: Duration = Duration::from_millis(1500);
+/// Delay before the next reservation after one was rejected or lost with the stream to the leader, or after the
+/// platform rejected a start.
 const RESERVE_RETRY_DELAY: Duration = Duration::from_millis(400);
+/// How long a runner that is to be replaced remains in use while no other runner is ready.
 const REPLACE_TIMEOUT: Duration = Duration::from_millis(1000);
+/// The maximum number of reservations that are pending at the same time.
 const MAX_PENDING_RESERVATIONS: usize = 8;
 /// Minimum age of a runner before it is drained: the requests that it was started or adopted for may still be on their
 /// way.
