--- a/crates/dataplane/src/holder/tuning.rs
+++ b/crates/dataplane/src/holder/tuning.rs
@@ -36,17 +36,22 @@
     #[builder(default = 100)]
     pub margin_percent: u32,
     /// The time constant with which the measured demand decays after a peak. The default is four start-up times, since
-    /// a runner removed too early costs another start-up.
+    /// a runner removed too early costs another start-up, but at least half a second.
     #[builder(default, setter(strip_option))]
     pub decay: Option<Duration>,
-    /// The interval between drains of excess runners. The default is two fifths of a start-up time.
+    /// The interval between drains of excess runners. The default is two fifths of a start-up time, but at
+    /// least a tenth of a second.
     #[builder(default, setter(strip_option))]
     pub drain_interval: Option<Duration>,
 }
 
+/// Default of [`Tuning::decay`], in start-up times.
 const DECAY_STARTUPS: f64 = 4.0;
+/// Lower bound of that default.
 const MIN_DECAY: Duration = Duration::from_millis(500);
+/// Default of [`Tuning::drain_interval`], in start-up times.
 const DRAIN_INTERVAL_STARTUPS: f64 = 0.4;
+/// Lower bound of that default.
 const MIN_DRAIN_INTERVAL: Duration = Duration::from_millis(100);
 
 impl Tuning {
