--- a/crates/dataplane/src/ledger/replica.rs
+++ b/crates/dataplane/src/ledger/replica.rs
@@ -7,7 +7,8 @@
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
 
-/// How long an empty copy is retained after its last use, mainly so that it stays sealed.
+/// How long an empty copy is retained after its last use. While a sealed copy is retained, it rejects late records of
+/// the holder that wrote it; a removed one would be created again, unsealed, by the next record.
 const EMPTY_COPY_RETENTION: Duration = Duration::from_secs(60);
 
 struct ReplicaEntry {
