--- a/crates/dataplane/src/server/hops.rs
+++ b/crates/dataplane/src/server/hops.rs
@@ -14,6 +14,7 @@
 use tokio::io::{AsyncWrite, AsyncWriteExt, BufReader};
 use tokio::sync::{mpsc, watch};
 
+/// The maximum number of replies that wait to be written to a connection. Calls that end later wait for space.
 const MAX_QUEUED_REPLIES: usize = 1024;
 
 /// Serves another daemon's connection until it ends. The requests that are in progress then are cancelled; the other
