--- a/crates/dataplane/src/drivers/state.rs
+++ b/crates/dataplane/src/drivers/state.rs
@@ -144,7 +144,8 @@
         }
     }
 
-    /// Sets the gauges from the current state.
+    /// Sets the gauges of [`DaemonMetrics`] that show the agent's current state. They are not kept current otherwise,
+    /// so this is called before the metrics page is written.
     pub(crate) fn update_gauges(&self) {
         let held_functions = self.agent.held_functions();
         let mut totals = HeldTotals::default();
