--- a/crates/dataplane/src/agent/forwarding/mod.rs
+++ b/crates/dataplane/src/agent/forwarding/mod.rs
@@ -288,7 +288,7 @@
         }
         ForwardingStep::Forward {
             host,
-            body: self.forward_frame(now),
+            body: self.forward_message(now),
             wait_until: self.request.deadline + HOP_TIME_RESERVE,
         }
     }
@@ -326,7 +326,7 @@
         )
     }
 
-    fn forward_frame(&self, now: MonotonicTime) -> DaemonMessage {
+    fn forward_message(&self, now: MonotonicTime) -> DaemonMessage {
         let remaining_time = self
             .request
             .deadline
--- a/crates/dataplane/src/agent/forwarding/step.rs
+++ b/crates/dataplane/src/agent/forwarding/step.rs
@@ -28,7 +28,7 @@
     Forward {
         /// The daemon.
         host: Host,
-        /// The frame to send.
+        /// The message to send, the body of a frame.
         body: DaemonMessage,
         /// When to stop waiting for the reply.
         wait_until: MonotonicTime,
--- a/crates/dataplane/src/agent/forwarding/step_results.rs
+++ b/crates/dataplane/src/agent/forwarding/step_results.rs
@@ -70,9 +70,9 @@
         &mut self,
         agent: &Agent<W>,
         now: MonotonicTime,
-        end: ForwardResult,
+        result: ForwardResult,
     ) -> ForwardingStep<W> {
-        let step = self.after_forward(agent, now, end);
+        let step = self.after_forward(agent, now, result);
         self.finalize_step(agent, step)
     }
 
@@ -80,9 +80,9 @@
         &mut self,
         agent: &Agent<W>,
         now: MonotonicTime,
-        end: ForwardResult,
+        result: ForwardResult,
     ) -> ForwardingStep<W> {
-        match end {
+        match result {
             ForwardResult::Completed(outcome, holder) => {
                 self.after_remote_outcome(agent, now, outcome, holder)
             }
--- a/crates/dataplane/src/agent/replica_requests.rs
+++ b/crates/dataplane/src/agent/replica_requests.rs
@@ -31,7 +31,7 @@
 pub struct ReplicaRequest {
     /// The daemon that keeps the replica.
     pub replica: Host,
-    /// The frame to send.
+    /// The message to send, the body of a frame.
     pub body: DaemonMessage,
     /// The kind of request, which determines how the reply is interpreted.
     pub request_kind: ReplicaRequestKind,
@@ -111,7 +111,7 @@
 }
 
 impl<W> Agent<W> {
-    /// Handles a request to this daemon as a ledger replica, and returns the reply; `None` if the frame is not such a
+    /// Handles a request to this daemon as a ledger replica, and returns the reply; `None` if the message is not such a
     /// request.
     pub fn handle_replica_request(
         &self,
