--- a/crates/dataplane/src/drivers/runner_connections.rs
+++ b/crates/dataplane/src/drivers/runner_connections.rs
@@ -100,7 +100,7 @@
         let exchanged =
             tokio::time::timeout(timeout, self.exchange_once(request, max_body_bytes)).await;
         match exchanged.unwrap_or(Err(CallError::Timeout)) {
-            Ok(called) => ExchangeResult::Answered(called),
+            Ok(response) => ExchangeResult::Answered(response),
             Err(error) => {
                 self.close().await;
                 let is_unwritten = self.meter.written() == written_before;
--- a/crates/dataplane/src/drivers/runners.rs
+++ b/crates/dataplane/src/drivers/runners.rs
@@ -198,11 +198,15 @@
     }
 
     /// Verifies a response. The connection is returned to the pool unless the response is invalid or closes it.
-    fn verify(&self, connection: RunnerConnection, called: CallResponse) -> SendResult {
-        let keep_alive_timeout = keep_alive_timeout(&called.headers);
-        let is_last = closes_connection(&called.headers);
+    fn verify(&self, connection: RunnerConnection, call_response: CallResponse) -> SendResult {
+        let keep_alive_timeout = keep_alive_timeout(&call_response.headers);
+        let is_last = closes_connection(&call_response.headers);
         let codec = &self.state.adapters.runner;
-        let response = codec.decode_response(called.status, &called.headers, called.body);
+        let response = codec.decode_response(
+            call_response.status,
+            &call_response.headers,
+            call_response.body,
+        );
         let is_last = is_last || response.closes_connection;
         let result = verify_response(
             self.state.agent.rules,
@@ -252,10 +256,10 @@
     let timeout = QUERY_TIMEOUT;
     match state.adapters.runner.readiness_probe() {
         ReadinessProbe::HttpGet(path, name_header) => {
-            let called = call_json(address, Method::GET, path, None, timeout).await;
-            called.is_ok_and(|called| {
-                called.status == StatusCode::OK
-                    && single_header_text(&called.headers, name_header)
+            let call_result = call_json(address, Method::GET, path, None, timeout).await;
+            call_result.is_ok_and(|response| {
+                response.status == StatusCode::OK
+                    && single_header_text(&response.headers, name_header)
                         == held.self_reported_id_of(runner).to_string()
             })
         }
@@ -285,11 +289,11 @@
 ) -> Option<Vec<IdempotencyKey>> {
     let path = state.adapters.runner.running_path()?;
     match call_json(address, Method::GET, path, None, QUERY_TIMEOUT).await {
-        Ok(called) => {
-            if single_header_text(&called.headers, seal::RUNNER_HEADER) != runner.to_string() {
+        Ok(response) => {
+            if single_header_text(&response.headers, seal::RUNNER_HEADER) != runner.to_string() {
                 return None;
             }
-            let body = called.json();
+            let body = response.json();
             let listed = body.get("running")?.as_array()?;
             Some(
                 listed
