--- a/crates/dataplane/src/holder/queue.rs
+++ b/crates/dataplane/src/holder/queue.rs
@@ -21,6 +21,10 @@
 const RETRY_MARGIN: Duration = Duration::from_millis(100);
 /// Minimum delay after which a rejected caller may retry, in milliseconds.
 const MIN_RETRY_AFTER_MS: u128 = 100;
+/// Delay after which a caller may retry when the retry budget is spent.
+const BUDGET_SPENT_RETRY_AFTER: Duration = Duration::from_secs(2);
+/// Delay after which a caller may retry when the queue is full.
+const QUEUE_FULL_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 impl Holder {
     /// Returns the number of concurrent requests that the ready runners accept now.
@@ -149,11 +153,11 @@
         if request.is_retry && !self.has_retry_budget(now) {
             return Some((
                 RequestFailureReason::RetryBudgetSpent,
-                Duration::from_secs(2),
+                BUDGET_SPENT_RETRY_AFTER,
             ));
         }
         if self.requests.queue.len() >= self.queue_limit() {
-            return Some((RequestFailureReason::QueueFull, Duration::from_secs(1)));
+            return Some((RequestFailureReason::QueueFull, QUEUE_FULL_RETRY_AFTER));
         }
         let start_at = self.expected_start(now, self.requests.queue_index(request.rank));
         let queue_wait_end = now + request.queue_timeout;
