--- a/crates/dataplane/tests/costs/mod.rs
+++ b/crates/dataplane/tests/costs/mod.rs
@@ -18,16 +18,24 @@
 use std::time::Duration;
 
 const START: MonotonicTime = MonotonicTime(50_000_000_000);
+/// The length of the simulated day, after which no further call arrives.
 const DAY: Duration = Duration::from_secs(34);
 /// Time before the first calls, in which prewarmed runners start up.
 const WARM_UP: Duration = Duration::from_secs(3);
+/// Time after the day, in which the last calls end and the cost of idle runners still counts.
 const COOL_DOWN: Duration = Duration::from_secs(6);
+/// Interval between two ticks of a holder.
 const TICK: Duration = Duration::from_millis(50);
+/// Time from the request for a reservation to the leader's reply.
 const LEADER_LATENCY: Duration = Duration::from_millis(12);
+/// Time from an order to the platform to its reply, and of a send that does not run. A readiness probe takes half of
+/// it.
 const PLATFORM_LATENCY: Duration = Duration::from_millis(8);
+/// How long a runner that has become ready takes longer than usual for a request; at first, twice as long.
 const SLOW_START_SECONDS: f64 = 3.0;
 /// Start and end of the peak, in seconds after the first calls.
 const PEAK: (f64, f64) = (14.0, 18.0);
+/// The window in which the rejections by a function's runners are counted.
 const REJECTION_WINDOW: Duration = Duration::from_secs(5);
 
 /// The prices by which costs are computed.
