--- a/crates/dataplane/src/cluster_view/leader_frames.rs
+++ b/crates/dataplane/src/cluster_view/leader_frames.rs
@@ -108,16 +108,16 @@
         version: Version,
         parsed_view: Result<DaemonView, DocumentError>,
     ) {
-        let is_older = self
+        let is_already_installed = self
             .view
             .as_ref()
             .is_some_and(|view| view.version >= version);
-        if is_older && self.rules.enforces(Rule::VersionNeverDecreases) {
+        if is_already_installed && self.rules.enforces(Rule::VersionNeverDecreases) {
             return;
         }
         let installed = self.view.as_ref().map(|view| view.version);
-        let is_newer = installed.is_none_or(|installed| installed <= version);
-        require(self.rules, Invariant::SpecNeverOlder, is_newer, || {
+        let is_not_older = installed.is_none_or(|installed| installed <= version);
+        require(self.rules, Invariant::SpecNeverOlder, is_not_older, || {
             format!("{version} is installed over {installed:?}")
         });
         match parsed_view.and_then(|view| {
