--- a/crates/dataplane/src/drivers/runners.rs
+++ b/crates/dataplane/src/drivers/runners.rs
@@ -85,6 +85,8 @@
         let mut connection = match self.checkout(must_be_new).await {
             Ok(connection) => connection,
             Err(CheckoutError::Unreachable) => return ControlFlow::Break(SendResult::Unsent),
+            // Handled like a rejection: for a short time, the holder sends the runner no more requests at once than it
+            // has then.
             Err(CheckoutError::Full) => return ControlFlow::Break(SendResult::RejectedByRunner),
         };
         if !connection.is_usable(READY_TIMEOUT).await {
