--- a/crates/dataplane/tests/agent/late_leases.rs
+++ b/crates/dataplane/tests/agent/late_leases.rs
@@ -7,6 +7,7 @@
 use dataplane::agent::DaemonControlOutput;
 use googletest::prelude::*;
 
+/// The fencing token of the first lease that the leader of term 2 grants.
 const LATE_LEASE: FencingToken = FencingToken(2 << 32 | 1);
 
 fn granted_frame(correlation: CorrelationId, function: &FunctionKey) -> LeaderToDaemon {
