--- a/crates/dataplane/src/drivers/runner_connections.rs
+++ b/crates/dataplane/src/drivers/runner_connections.rs
@@ -18,6 +18,7 @@
 use std::time::Duration;
 use tokio::task::JoinHandle;
 
+/// How long a connection to a runner may take to be established.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// Why no connection could be checked out.
@@ -99,7 +100,7 @@
         let exchanged =
             tokio::time::timeout(timeout, self.exchange_once(request, max_body_bytes)).await;
         match exchanged.unwrap_or(Err(CallError::Timeout)) {
-            Ok(called) => ExchangeResult::Answered(called),
+            Ok(response) => ExchangeResult::Answered(response),
             Err(error) => {
                 self.close().await;
                 let is_unwritten = self.meter.written() == written_before;
--- a/crates/dataplane/src/holder/scaling.rs
+++ b/crates/dataplane/src/holder/scaling.rs
@@ -5,9 +5,14 @@
 use common::clock::MonotonicTime;
 use std::time::Duration;
 
+/// How long a reservation without a reply counts as pending.
 const RESERVE_TIMEOUT: Duration = Duration::from_millis(1500);
+/// Delay before the next reservation after one was rejected or lost with the stream to the leader, or after the
+/// platform rejected a start.
 const RESERVE_RETRY_DELAY: Duration = Duration::from_millis(400);
+/// How long a runner that is to be replaced remains in use while no other runner is ready.
 const REPLACE_TIMEOUT: Duration = Duration::from_millis(1000);
+/// The maximum number of reservations that are pending at the same time.
 const MAX_PENDING_RESERVATIONS: usize = 8;
 /// Minimum age of a runner before it is drained: the requests that it was started or adopted for may still be on their
 /// way.
@@ -68,7 +73,7 @@
         let target_count = load_count
             .max(pending_count * usize::from(queue_runner_count > 0) + queue_runner_count);
         let target_count = target_count.clamp(floor, max_runner_count.max(floor));
-        self.request_runners(now, target_count, pending_count);
+        self.request_reservations(now, target_count, pending_count);
         let retained_count = target_count
             .max(self.runners_for_load(load * CANCEL_LOAD_FACTOR))
             .min(max_runner_count);
@@ -159,8 +164,13 @@
             .sum()
     }
 
-    /// Requests the missing runners, up to the maximum number of pending reservations.
-    fn request_runners(&mut self, now: MonotonicTime, target_count: usize, pending_count: usize) {
+    /// Requests the reservation of the missing runners, up to the maximum number of pending reservations.
+    fn request_reservations(
+        &mut self,
+        now: MonotonicTime,
+        target_count: usize,
+        pending_count: usize,
+    ) {
         if now < self.scaling.next_reserve_at {
             return;
         }
--- a/crates/dataplane/src/server/hops.rs
+++ b/crates/dataplane/src/server/hops.rs
@@ -14,6 +14,7 @@
 use tokio::io::{AsyncWrite, AsyncWriteExt, BufReader};
 use tokio::sync::{mpsc, watch};
 
+/// The maximum number of replies that wait to be written to a connection. Calls that end later wait for space.
 const MAX_QUEUED_REPLIES: usize = 1024;
 
 /// Serves another daemon's connection until it ends. The requests that are in progress then are cancelled; the other
@@ -168,7 +169,7 @@
     body: DaemonMessage,
     requester_phase: watch::Receiver<ShutdownPhase>,
 ) -> Option<DaemonMessage> {
-    match FunctionRequest::from_frame(MonotonicTime::now(), body) {
+    match FunctionRequest::from_message(MonotonicTime::now(), body) {
         Ok(request) => {
             let forwarded_outcome = forward_for_daemon(state, request, requester_phase).await;
             let is_response = matches!(forwarded_outcome.outcome, RequestOutcome::Response { .. });
