--- a/crates/controlplane/src/controller_state/mod.rs
+++ b/crates/controlplane/src/controller_state/mod.rs
@@ -29,7 +29,8 @@
 
 use crate::consensus::{ConsensusNode, ControllerAddress, WriteResult};
 use crate::leader_state::{
-    EventDetail, LeaderOutput, LeaderState, LeaderTiming, QuorumProof, RETAINED_VIEWS, StreamId,
+    EventDetail, LeaderOutput, LeaderState, LeaderTiming, QuorumConfirmation, RETAINED_VIEWS,
+    StreamId,
 };
 use common::clock::MonotonicTime;
 use common::events;
@@ -275,13 +276,13 @@
             self.consensus.set_members(known_members);
         }
         let consensus = &self.consensus;
-        let proof = QuorumProof {
+        let confirmation = QuorumConfirmation {
             ready: consensus.is_ready(),
             quorum_confirmed_at: consensus.quorum_confirmed_at(),
-            confirmed: &|known_member| consensus.is_confirmed(known_member),
+            is_member_confirmed: &|known_member| consensus.is_confirmed(known_member),
             proposed_membership: consensus.proposed().map(|document| &document.membership),
         };
-        for output in leader_state.progress(now, &proof) {
+        for output in leader_state.progress(now, &confirmation) {
             self.execute_leader_output(now, output);
         }
     }
--- a/crates/controlplane/src/leader_state/claims_quorum.rs
+++ b/crates/controlplane/src/leader_state/claims_quorum.rs
@@ -1,7 +1,7 @@
 //! The claims quorum: before a new leader issues leases, a majority of the members that may hold leases of an
 //! earlier leader must have claimed, and each of the others must have claimed or its lease must have expired.
 
-use super::{EventDetail, LeaderOutput, LeaderState, QuorumProof};
+use super::{EventDetail, LeaderOutput, LeaderState, QuorumConfirmation};
 use common::clock::MonotonicTime;
 use common::events;
 use common::frames::KnownMember;
@@ -89,8 +89,12 @@
 impl LeaderState {
     /// Completes the claims quorum once its conditions are met. A lease issued earlier could go to a second holder
     /// while the first one is merely slow to claim it.
-    pub(super) fn update_claims_quorum(&mut self, now: MonotonicTime, proof: &QuorumProof<'_>) {
-        if self.claims.is_reached || !proof.ready || self.configuration.document.is_none() {
+    pub(super) fn update_claims_quorum(
+        &mut self,
+        now: MonotonicTime,
+        confirmation: &QuorumConfirmation<'_>,
+    ) {
+        if self.claims.is_reached || !confirmation.ready || self.configuration.document.is_none() {
             return;
         }
         if now.since(self.elected_at) > self.timing.drop_absent_after {
--- a/crates/controlplane/src/leader_state/membership.rs
+++ b/crates/controlplane/src/leader_state/membership.rs
@@ -2,7 +2,7 @@
 //! for the claims of exactly these members.
 
 use super::members::MemberRecord;
-use super::{LeaderState, QuorumProof};
+use super::{LeaderState, QuorumConfirmation};
 use common::clock::MonotonicTime;
 use common::frames::{KnownMember, SocketAddress};
 use common::identity::FunctionKey;
@@ -77,21 +77,28 @@
     /// majority has answered a heartbeat round sent after it joined. Otherwise the next leader might not know that
     /// it has to wait for this lease. If no membership is committed yet, a heartbeat round must have named the
     /// member.
-    pub(super) fn may_hold_lease(&self, known: &KnownMember, proof: &QuorumProof<'_>) -> bool {
+    pub(super) fn may_hold_lease(
+        &self,
+        known: &KnownMember,
+        confirmation: &QuorumConfirmation<'_>,
+    ) -> bool {
         let joined_at = self.members.get(known).map(|record| record.joined_at);
-        if joined_at.is_none_or(|joined_at| proof.quorum_confirmed_at < joined_at) {
+        if joined_at.is_none_or(|joined_at| confirmation.quorum_confirmed_at < joined_at) {
             return false;
         }
         let listed = listed_member(known);
         match self.membership() {
             Some(membership) if !membership.is_empty() => {
                 membership.contains(&listed)
-                    && proof
+                    && confirmation
                         .proposed_membership
                         .is_none_or(|proposed| proposed.contains(&listed))
             }
             _ => {
-                proof.proposed_membership.is_none_or(BTreeSet::is_empty) && (proof.confirmed)(known)
+                confirmation
+                    .proposed_membership
+                    .is_none_or(BTreeSet::is_empty)
+                    && (confirmation.is_member_confirmed)(known)
             }
         }
     }
@@ -263,9 +270,9 @@
         wanted.filter(|_| now.since(since) >= MEMBERSHIP_BATCH_WINDOW)
     }
 
-    /// Whether a renewal waits for a newer proof from the majority.
+    /// Whether a renewal waits for a newer confirmation by a majority.
     pub fn needs_heartbeat_round(&self) -> bool {
-        self.renewals.needs_proof()
+        self.renewals.needs_confirmation()
     }
 
     /// Whether work is pending that is due within milliseconds: a membership change or a renewal.
--- a/crates/controlplane/src/leader_state/mod.rs
+++ b/crates/controlplane/src/leader_state/mod.rs
@@ -61,14 +61,14 @@
 use worker_evacuation::WorkerEvacuations;
 use workers::Workers;
 
-/// Evidence from the control quorum, at one instant, that this controller is the leader.
-pub struct QuorumProof<'a> {
+/// What the control quorum has confirmed to this leader, at one instant.
+pub struct QuorumConfirmation<'a> {
     /// Whether the leader has committed a document in its own term.
     pub ready: bool,
     /// When the newest heartbeat round that a majority answered was sent.
     pub quorum_confirmed_at: MonotonicTime,
     /// Returns whether a heartbeat round that a majority answered named the member.
-    pub confirmed: &'a dyn Fn(&KnownMember) -> bool,
+    pub is_member_confirmed: &'a dyn Fn(&KnownMember) -> bool,
     /// The membership in the proposed change that is not committed yet.
     pub proposed_membership: Option<&'a BTreeSet<ListedMember>>,
 }
@@ -164,13 +164,17 @@
     }
 
     /// Performs all work that is due, and returns the resulting outputs in order.
-    pub fn progress(&mut self, now: MonotonicTime, proof: &QuorumProof<'_>) -> Vec<LeaderOutput> {
+    pub fn progress(
+        &mut self,
+        now: MonotonicTime,
+        confirmation: &QuorumConfirmation<'_>,
+    ) -> Vec<LeaderOutput> {
         self.expire_members(now);
-        self.update_claims_quorum(now, proof);
+        self.update_claims_quorum(now, confirmation);
         self.request_lists(now);
         self.progress_fencing(now);
         self.assign_replicas(now);
-        self.reply_to_renewals(now, proof);
+        self.reply_to_renewals(now, confirmation);
         self.reply_to_acquisitions(now);
         self.update_in_force(now);
         self.evacuate_workers(now);
--- a/crates/controlplane/src/leader_state/renewals.rs
+++ b/crates/controlplane/src/leader_state/renewals.rs
@@ -1,18 +1,18 @@
-//! Renewals of session leases. Each renewal waits for a recent heartbeat round that a majority answered, which proves
+//! Renewals of session leases. Each renewal waits for a recent heartbeat round that a majority answered, which confirms
 //! that this controller was still the leader. The lease counts from the start of that round.
 
-use super::{LeaderState, QuorumProof, StreamId};
+use super::{LeaderState, QuorumConfirmation, StreamId};
 use common::clock::MonotonicTime;
 use common::frames::LeaderToDaemon;
 use common::identity::{CorrelationId, Version};
 use common::rules::Rule;
 use std::time::Duration;
 
-/// Maximum age of the quorum proof relative to the request that it is used for.
-const MAX_PROOF_AGE: Duration = Duration::from_millis(20);
-/// Time after which a waiting renewal uses the newest proof available.
-const PROOF_WAIT_TIMEOUT: Duration = Duration::from_millis(60);
-/// Interval between checks of waiting renewals when no newer proof has arrived.
+/// Maximum age of the quorum confirmation relative to the request that it is used for.
+const MAX_CONFIRMATION_AGE: Duration = Duration::from_millis(20);
+/// Time after which a waiting renewal uses the newest confirmation available.
+const CONFIRMATION_WAIT_TIMEOUT: Duration = Duration::from_millis(60);
+/// Interval between checks of waiting renewals when no newer confirmation has arrived.
 const CHECK_INTERVAL: Duration = Duration::from_millis(5);
 
 /// A renewal that a member requested.
@@ -20,7 +20,8 @@
     pub stream: StreamId,
     pub correlation: CorrelationId,
     pub requested_at: MonotonicTime,
-    pub needs_proof: bool,
+    /// Whether it waits for a newer confirmation by a majority.
+    pub needs_confirmation: bool,
 }
 
 /// Renewals that have not been answered yet.
@@ -29,7 +30,8 @@
     new_renewals: Vec<WaitingRenewal>,
     waiting: Vec<WaitingRenewal>,
     checked_at: MonotonicTime,
-    checked_proof: MonotonicTime,
+    /// When the heartbeat round that the last check relied on was sent.
+    last_quorum_confirmed_at: MonotonicTime,
     is_check_due: bool,
 }
 
@@ -45,9 +47,11 @@
         self.is_check_due = true;
     }
 
-    /// Whether a renewal waits for a newer proof from the majority.
-    pub(super) fn needs_proof(&self) -> bool {
-        self.waiting.iter().any(|renewal| renewal.needs_proof)
+    /// Whether a renewal waits for a newer confirmation by a majority.
+    pub(super) fn needs_confirmation(&self) -> bool {
+        self.waiting
+            .iter()
+            .any(|renewal| renewal.needs_confirmation)
     }
 
     /// Whether no renewal is waiting.
@@ -57,16 +61,20 @@
 
     /// Takes the renewals to decide now: new ones immediately, waiting ones when something has changed or the check
     /// interval has passed.
-    fn take_due(&mut self, now: MonotonicTime, proof: MonotonicTime) -> Vec<WaitingRenewal> {
+    fn take_due(
+        &mut self,
+        now: MonotonicTime,
+        quorum_confirmed_at: MonotonicTime,
+    ) -> Vec<WaitingRenewal> {
         let is_due = std::mem::take(&mut self.is_check_due)
-            || proof != self.checked_proof
+            || quorum_confirmed_at != self.last_quorum_confirmed_at
             || now.since(self.checked_at) >= CHECK_INTERVAL;
         let new_renewals = std::mem::take(&mut self.new_renewals);
         if !is_due {
             return new_renewals;
         }
         self.checked_at = now;
-        self.checked_proof = proof;
+        self.last_quorum_confirmed_at = quorum_confirmed_at;
         let mut due = std::mem::take(&mut self.waiting);
         due.extend(new_renewals);
         due
@@ -88,13 +96,17 @@
             stream,
             correlation,
             requested_at: now,
-            needs_proof: true,
+            needs_confirmation: true,
         };
         self.renewals.new_renewals.push(renewal);
     }
 
     /// Answers the renewals that can be answered now.
-    pub(super) fn reply_to_renewals(&mut self, now: MonotonicTime, proof: &QuorumProof<'_>) {
+    pub(super) fn reply_to_renewals(
+        &mut self,
+        now: MonotonicTime,
+        confirmation: &QuorumConfirmation<'_>,
+    ) {
         let Some(committed_version) = self
             .configuration
             .document
@@ -103,24 +115,27 @@
         else {
             return;
         };
-        let lease_expires_at = proof.quorum_confirmed_at + self.timing.lease_length;
-        if !proof.ready || lease_expires_at <= now {
+        let lease_expires_at = confirmation.quorum_confirmed_at + self.timing.lease_length;
+        if !confirmation.ready || lease_expires_at <= now {
             return;
         }
-        for renewal in self.renewals.take_due(now, proof.quorum_confirmed_at) {
-            self.reply_to_renewal(now, proof, committed_version, renewal);
+        for renewal in self
+            .renewals
+            .take_due(now, confirmation.quorum_confirmed_at)
+        {
+            self.reply_to_renewal(now, confirmation, committed_version, renewal);
         }
     }
 
     fn reply_to_renewal(
         &mut self,
         now: MonotonicTime,
-        proof: &QuorumProof<'_>,
+        confirmation: &QuorumConfirmation<'_>,
         committed_version: Version,
         mut renewal: WaitingRenewal,
     ) {
-        let lease_expires_at = proof.quorum_confirmed_at + self.timing.lease_length;
-        let lease_expiry_bound = proof.quorum_confirmed_at + self.timing.full_lease_wait();
+        let lease_expires_at = confirmation.quorum_confirmed_at + self.timing.lease_length;
+        let lease_expiry_bound = confirmation.quorum_confirmed_at + self.timing.full_lease_wait();
         let Some(known_member) = self.members.on_stream(renewal.stream).cloned() else {
             return;
         };
@@ -130,11 +145,14 @@
         let is_ready = record.claimed
             && (record.installed >= committed_version
                 || !self.rules.enforces(Rule::RenewalNeedsNewestSpec));
-        let is_proof_stale = proof.quorum_confirmed_at + MAX_PROOF_AGE < renewal.requested_at
-            && now.since(renewal.requested_at) < PROOF_WAIT_TIMEOUT;
-        let is_proof_before_join = proof.quorum_confirmed_at < record.joined_at;
-        renewal.needs_proof = is_ready && (is_proof_stale || is_proof_before_join);
-        let may_renew = is_ready && !is_proof_stale && self.may_hold_lease(&known_member, proof);
+        let is_confirmation_stale = confirmation.quorum_confirmed_at + MAX_CONFIRMATION_AGE
+            < renewal.requested_at
+            && now.since(renewal.requested_at) < CONFIRMATION_WAIT_TIMEOUT;
+        let is_confirmed_before_join = confirmation.quorum_confirmed_at < record.joined_at;
+        renewal.needs_confirmation =
+            is_ready && (is_confirmation_stale || is_confirmed_before_join);
+        let may_renew =
+            is_ready && !is_confirmation_stale && self.may_hold_lease(&known_member, confirmation);
         let Some(record) = self.members.get_mut(&known_member).filter(|_| may_renew) else {
             self.renewals.waiting.push(renewal);
             return;
--- a/crates/controlplane/src/leader_state/timing.rs
+++ b/crates/controlplane/src/leader_state/timing.rs
@@ -50,7 +50,8 @@
 }
 
 impl LeaderTiming {
-    /// Time after its quorum proof for which a session lease may still be in use, including clock drift.
+    /// How long a session lease may still be in use after the heartbeat round from which it counts, including clock
+    /// drift.
     pub fn full_lease_wait(&self) -> Duration {
         self.lease_length + self.drift_margin
     }
--- a/crates/controlplane/tests/leader_state/harness.rs
+++ b/crates/controlplane/tests/leader_state/harness.rs
@@ -9,7 +9,7 @@
 };
 use common::identity::{CorrelationId, FencingToken, FunctionKey, RunnerId, Term, Version};
 use controlplane::leader_state::{
-    EventRecord, LeaderOutput, LeaderState, LeaderTiming, QuorumProof, StreamId,
+    EventRecord, LeaderOutput, LeaderState, LeaderTiming, QuorumConfirmation, StreamId,
 };
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -22,7 +22,7 @@
     Duration::from_millis(millis)
 }
 
-/// A leader with a fresh quorum proof at each step, and its outputs.
+/// A leader with a fresh quorum confirmation at each step, and its outputs.
 pub struct Harness {
     /// The state under test.
     pub leader_state: LeaderState,
@@ -78,16 +78,16 @@
         harness
     }
 
-    /// Advances the time and lets the leader progress, with a quorum proof from the end of the span.
+    /// Advances the time and lets the leader progress, with a quorum confirmation from the end of the span.
     pub fn advance(&mut self, span: Duration) {
         self.now = self.now + span;
-        let proof = QuorumProof {
+        let confirmation = QuorumConfirmation {
             ready: true,
             quorum_confirmed_at: self.now,
-            confirmed: &|_| true,
+            is_member_confirmed: &|_| true,
             proposed_membership: None,
         };
-        self.outputs = self.leader_state.progress(self.now, &proof);
+        self.outputs = self.leader_state.progress(self.now, &confirmation);
         let recorded = self.outputs.iter().filter_map(|output| match output {
             LeaderOutput::EventRecord(event_record) => Some(event_record.clone()),
             _ => None,
--- a/crates/controlplane/tests/leader_state/membership.rs
+++ b/crates/controlplane/tests/leader_state/membership.rs
@@ -5,7 +5,7 @@
 use common::frames::{DaemonToLeader, Flag, Host, LeaderToDaemon, SocketAddress};
 use common::identity::{DocumentVersion, Term, Version};
 use common::spec::ListedMember;
-use controlplane::leader_state::{LeaderState, LeaderTiming, QuorumProof, StreamId};
+use controlplane::leader_state::{LeaderState, LeaderTiming, QuorumConfirmation, StreamId};
 use googletest::prelude::*;
 use std::collections::BTreeSet;
 
@@ -151,13 +151,13 @@
     verify_that!(harness.leader_state.due_membership(harness.now), none())?;
     let smaller = membership(&[("a", 1)]);
     let quorum_confirmed_at = harness.now;
-    let proof = QuorumProof {
+    let confirmation = QuorumConfirmation {
         ready: true,
         quorum_confirmed_at,
-        confirmed: &|_| true,
+        is_member_confirmed: &|_| true,
         proposed_membership: Some(&smaller),
     };
-    harness.outputs = harness.leader_state.progress(harness.now, &proof);
+    harness.outputs = harness.leader_state.progress(harness.now, &confirmation);
     verify_that!(harness.is_renewed(2), eq(false))?;
     harness.advance(ms(10));
     verify_that!(harness.is_renewed(2), eq(true))?;
@@ -171,18 +171,20 @@
 }
 
 #[gtest]
-fn a_quorum_proof_from_before_an_incarnation_joined_gives_it_no_lease() -> Result<()> {
+fn a_confirmation_from_before_an_incarnation_joined_gives_it_no_lease() -> Result<()> {
     let mut harness = elected_with_membership(&[("a", 1)]);
     harness.advance(ms(300));
     join_as(&mut harness, 1, ("a", 1), 9, 100, false);
     let before = harness.now - ms(5);
-    let proof = QuorumProof {
+    let confirmation = QuorumConfirmation {
         ready: true,
         quorum_confirmed_at: before,
-        confirmed: &|_| true,
+        is_member_confirmed: &|_| true,
         proposed_membership: None,
     };
-    harness.outputs = harness.leader_state.progress(harness.now + ms(100), &proof);
+    harness.outputs = harness
+        .leader_state
+        .progress(harness.now + ms(100), &confirmation);
     verify_that!(harness.is_renewed(1), eq(false))?;
     verify_that!(harness.leader_state.needs_heartbeat_round(), eq(true))?;
     harness.advance(ms(0));
--- a/crates/controlplane/tests/quorum_model/model.rs
+++ b/crates/controlplane/tests/quorum_model/model.rs
@@ -554,12 +554,12 @@
         if !machine.consensus.is_ready() || machine.pending_reads.is_empty() {
             return Ok(());
         }
-        let quorum_proof_at = machine.consensus.quorum_confirmed_at();
+        let quorum_confirmed_at = machine.consensus.quorum_confirmed_at();
         let Some(served) = machine.consensus.accepted() else {
             return Ok(());
         };
         for (requested_at, changes_at_read) in &machine.pending_reads {
-            if *requested_at < quorum_proof_at {
+            if *requested_at < quorum_confirmed_at {
                 self.history.served(changes_at_read, served)?;
             }
         }
