--- a/crates/controlplane/src/controller_state/proposal_outcome.rs
+++ b/crates/controlplane/src/controller_state/change_evaluation.rs
@@ -11,7 +11,7 @@
 use std::collections::BTreeSet;
 
 /// The result of evaluating a change.
-pub(super) enum ProposalOutcome {
+pub(super) enum EvaluationResult {
     /// The change was applied before. This is true under any leader, so it needs no confirmation by a majority.
     Applied {
         /// The version that the change produced.
@@ -21,8 +21,9 @@
     },
     /// The requested state is the current one. Valid only while no other leader has been elected.
     AlreadyInState,
-    /// The change is rejected, or its result is unknown. Valid only while no other leader has been elected.
-    Answered(OperationReply),
+    /// The change produces no document: it is rejected, or it is unknown whether it was applied before. Valid only
+    /// while no other leader has been elected.
+    Reply(OperationReply),
     /// The change produces this document.
     NewDocument(Box<Document>),
 }
@@ -39,32 +40,32 @@
 
 impl ChangeEvaluator<'_> {
     /// Evaluates a change.
-    pub(super) fn evaluate(&self, queued: &QueuedChange) -> ProposalOutcome {
+    pub(super) fn evaluate(&self, queued: &QueuedChange) -> EvaluationResult {
         match self.status_of(queued) {
             ChangeStatus::Applied(version) => {
                 let number = queued.request.numbering.map_or(0, |given| given.number);
-                return ProposalOutcome::Applied { version, number };
+                return EvaluationResult::Applied { version, number };
             }
             ChangeStatus::Forgotten => {
                 let change = Some(queued.change.clone());
                 let reason = Unavailable::Forgotten;
-                return ProposalOutcome::Answered(OperationReply::Unknown { reason, change });
+                return EvaluationResult::Reply(OperationReply::Unknown { reason, change });
             }
             ChangeStatus::NotApplied => {}
         }
         if self.is_stale(queued) && self.rules.enforces(Rule::StaleBaseRejected) {
-            return ProposalOutcome::Answered(OperationReply::Stale {
+            return EvaluationResult::Reply(OperationReply::Stale {
                 change: queued.change.clone(),
                 version: self.current_document.view_version(),
                 number: self.current_document.number,
             });
         }
         if queued.request.change.is_none() && self.is_already_in_state(&queued.request.kind) {
-            return ProposalOutcome::AlreadyInState;
+            return EvaluationResult::AlreadyInState;
         }
         match self.next_document(queued) {
-            Ok(next_document) => ProposalOutcome::NewDocument(Box::new(next_document)),
-            Err(reply) => ProposalOutcome::Answered(reply),
+            Ok(next_document) => EvaluationResult::NewDocument(Box::new(next_document)),
+            Err(reply) => EvaluationResult::Reply(reply),
         }
     }
 
--- a/crates/controlplane/src/controller_state/changes.rs
+++ b/crates/controlplane/src/controller_state/changes.rs
@@ -1,8 +1,8 @@
 //! The lifecycle of operators' changes: queueing, evaluation, proposal, reply and timeout.
 
+use super::change_evaluation::{ChangeEvaluator, EvaluationResult};
 use super::content::derive_change_id;
 use super::pending_changes::{ProposedChange, QueuedChange};
-use super::proposal_outcome::{ChangeEvaluator, ProposalOutcome};
 use super::{
     ChangeKind, ChangeRequest, ControllerOutput, ControllerState, Operation, OperationReply,
     OperationTicket, Unavailable, UnrecordedChange,
@@ -100,50 +100,50 @@
         let Some(current_document) = self.consensus.accepted().cloned() else {
             return;
         };
-        let proposal_outcome = ChangeEvaluator {
+        let evaluation_result = ChangeEvaluator {
             current_document: &current_document,
             leader_state: self.leader_state.as_ref(),
             rules: self.rules,
         }
         .evaluate(&queued);
-        if !self.may_act_on(now, &proposal_outcome, &queued) {
+        if !self.may_act_on(now, &evaluation_result, &queued) {
             self.pending_changes.awaiting_confirmation.push_back(queued);
             return;
         }
-        match proposal_outcome {
-            ProposalOutcome::Applied { version, number } => {
+        match evaluation_result {
+            EvaluationResult::Applied { version, number } => {
                 self.pending_changes
                     .accepted
                     .push(queued.into_proposed(version, number));
             }
-            ProposalOutcome::AlreadyInState => {
+            EvaluationResult::AlreadyInState => {
                 let version = current_document.view_version();
                 self.pending_changes
                     .accepted
                     .push(queued.into_proposed(version, 0));
             }
-            ProposalOutcome::Answered(reply) => self.send_reply(queued.ticket, reply),
-            ProposalOutcome::NewDocument(next_document) => {
+            EvaluationResult::Reply(reply) => self.send_reply(queued.ticket, reply),
+            EvaluationResult::NewDocument(next_document) => {
                 self.propose_change(now, queued, *next_document)
             }
         }
     }
 
-    /// Whether the outcome of an evaluation may be acted on now. A reply that depends on the current state requires
+    /// Whether the result of an evaluation may be acted on now. A reply that depends on the current state requires
     /// that a majority has confirmed this leader since the request. So does a change of a zone, which has no base
     /// version by which it could become stale; it is also delayed until a disconnection of its caller would have been
     /// noticed.
     fn may_act_on(
         &self,
         now: MonotonicTime,
-        proposal_outcome: &ProposalOutcome,
+        evaluation_result: &EvaluationResult,
         queued: &QueuedChange,
     ) -> bool {
         let is_confirmed = self.is_confirmed_since(now, queued.requested_at);
-        match proposal_outcome {
-            ProposalOutcome::Applied { .. } => true,
-            ProposalOutcome::AlreadyInState => is_confirmed,
-            ProposalOutcome::Answered(reply) => {
+        match evaluation_result {
+            EvaluationResult::Applied { .. } => true,
+            EvaluationResult::AlreadyInState => is_confirmed,
+            EvaluationResult::Reply(reply) => {
                 let knows_zones = self
                     .leader_state
                     .as_ref()
@@ -155,11 +155,11 @@
                 let skips_confirmation = !self.rules.enforces(Rule::RejectionConfirmedByMajority);
                 (is_confirmed && (knows_zones || !concerns_zones)) || skips_confirmation
             }
-            ProposalOutcome::NewDocument(_) if queued.request.kind.is_zone_change() => {
+            EvaluationResult::NewDocument(_) if queued.request.kind.is_zone_change() => {
                 let is_delayed = now.since(queued.requested_at) < DISCONNECT_NOTICE_DELAY;
                 is_confirmed && !(is_delayed && self.rules.enforces(Rule::AbandonedChangeDropped))
             }
-            ProposalOutcome::NewDocument(_) => true,
+            EvaluationResult::NewDocument(_) => true,
         }
     }
 
@@ -176,7 +176,7 @@
         if let Some(target_membership) = target_membership {
             next_document.membership = target_membership;
         }
-        self.check_proposal(&queued, &next_document);
+        self.check_proposal_invariants(&queued, &next_document);
         let number = queued.request.numbering.map_or(0, |given| given.number);
         let version = next_document.document_version.version;
         self.traces
@@ -205,7 +205,7 @@
     }
 
     /// Checks the invariants of a proposal, independently of the rules that are enforced.
-    fn check_proposal(&self, queued: &QueuedChange, next_document: &Document) {
+    fn check_proposal_invariants(&self, queued: &QueuedChange, next_document: &Document) {
         let Some(current) = self.consensus.accepted() else {
             return;
         };
--- a/crates/controlplane/src/controller_state/mod.rs
+++ b/crates/controlplane/src/controller_state/mod.rs
@@ -2,6 +2,7 @@
 //! controller is the leader) and operators' requests. A driver passes it each [`ControllerInput`] and carries out the
 //! [`ControllerOutput`]s that it returns.
 
+mod change_evaluation;
 mod changes;
 mod consensus_outputs;
 mod content;
@@ -11,7 +12,6 @@
 mod operation;
 mod operations;
 mod pending_changes;
-mod proposal_outcome;
 mod reply;
 mod shutdown;
 mod traces;
