--- a/crates/controlplane/src/leader_state/acquisitions.rs
+++ b/crates/controlplane/src/leader_state/acquisitions.rs
@@ -163,7 +163,8 @@
         }
         let lacks_claims = now.since(self.elected_at) > EXPECTED_CLAIMS_TIME
             && !self.lease_records.contains(function);
-        let waited_until = self.elected_at + self.timing.claims_wait + self.timing.start_settle;
+        let waited_until =
+            self.elected_at + self.timing.claims_wait + self.timing.start_request_lag;
         lacks_claims.then(|| waited_until + EXPECTED_FENCING_TIME)
     }
 
--- a/crates/controlplane/src/leader_state/claims_quorum.rs
+++ b/crates/controlplane/src/leader_state/claims_quorum.rs
@@ -183,7 +183,7 @@
             .iter()
             .any(|known| self.has_restarted_and_claimed(known));
         if has_restarted {
-            let settled_at = self.claims.member_restarted_at + self.timing.start_settle;
+            let settled_at = self.claims.member_restarted_at + self.timing.start_request_lag;
             settled_at.max(self.elected_at)
         } else {
             self.elected_at
@@ -194,7 +194,7 @@
     fn has_waited_for_claims(&self, now: MonotonicTime) -> bool {
         let full_wait_end = self.elected_at + self.timing.claims_wait;
         now >= full_wait_end
-            && self.runner_lists.listed_at >= full_wait_end + self.timing.start_settle
+            && self.runner_lists.listed_at >= full_wait_end + self.timing.start_request_lag
     }
 
     /// Evaluates the quorum by the committed membership list, which names every member that may hold a lease. Once
--- a/crates/controlplane/src/leader_state/membership.rs
+++ b/crates/controlplane/src/leader_state/membership.rs
@@ -142,7 +142,7 @@
             .filter_map(|listed| self.claimant_at(listed));
         claimants
             .map(|record| {
-                let settled_at = record.started_at + self.timing.start_settle;
+                let settled_at = record.started_at + self.timing.start_request_lag;
                 if record.had_lease {
                     settled_at.max(self.elected_at)
                 } else {
--- a/crates/controlplane/src/leader_state/timing.rs
+++ b/crates/controlplane/src/leader_state/timing.rs
@@ -15,10 +15,9 @@
     /// How long a new leader waits for missing claims; at least a session lease plus the drift margin.
     #[builder(default = Duration::from_millis(2200))]
     pub claims_wait: Duration,
-    /// How long a request to start a runner may still be in flight to the platform after its holder's lease has
-    /// ended.
+    /// How long after the end of its holder's lease a request to start a runner may still reach the platform.
     #[builder(default = Duration::from_millis(400))]
-    pub start_settle: Duration,
+    pub start_request_lag: Duration,
     /// Time after which a member that has not reconnected no longer counts toward the claims quorum.
     #[builder(default = Duration::from_secs(4))]
     pub drop_absent_after: Duration,
--- a/crates/controlplane/src/settings.rs
+++ b/crates/controlplane/src/settings.rs
@@ -247,9 +247,9 @@
             &timing.field("left_ms"),
             defaults.orphan_timeout,
         ))
-        .start_settle(read_millis(
+        .start_request_lag(read_millis(
             &timing.field("start_settle_ms"),
-            defaults.start_settle,
+            defaults.start_request_lag,
         ))
         .list_lag(read_millis(&timing.field("list_lag_ms"), defaults.list_lag))
         .spread_over_zones(placement.spread_over_zones)
--- a/testing/support/controller_settings.rs
+++ b/testing/support/controller_settings.rs
@@ -39,7 +39,7 @@
             "replace_ms": millis(consensus.unreachable_voter_timeout),
             "hello_ms": millis(consensus.hello_interval),
             "left_ms": millis(leader.orphan_timeout),
-            "start_settle_ms": millis(leader.start_settle),
+            "start_settle_ms": millis(leader.start_request_lag),
             "list_lag_ms": millis(leader.list_lag),
         },
     })
