--- a/crates/controlplane/src/leader_state/claims_quorum.rs
+++ b/crates/controlplane/src/leader_state/claims_quorum.rs
@@ -150,7 +150,7 @@
         };
         let claims_or_restarted =
             |known: &KnownMember| self.has_claimed(known) || self.has_restarted_and_claimed(known);
-        let is_list_new = self.runner_lists.listed_at >= self.last_known_settled_at();
+        let is_list_new = self.runner_lists.listed_at >= self.last_known_listed_from();
         ClaimCount {
             expected: last_known.len(),
             claimed: last_known.iter().filter(has_successor_claimed).count(),
@@ -176,15 +176,15 @@
 
     /// Returns the instant from which the platform's list shows what restarted members left. Starts that an earlier
     /// incarnation requested may reach the platform shortly after its end.
-    fn last_known_settled_at(&self) -> MonotonicTime {
+    fn last_known_listed_from(&self) -> MonotonicTime {
         let has_restarted = self
             .claims
             .last_known
             .iter()
             .any(|known| self.has_restarted_and_claimed(known));
         if has_restarted {
-            let settled_at = self.claims.member_restarted_at + self.timing.start_request_lag;
-            settled_at.max(self.elected_at)
+            let starts_arrived_by = self.claims.member_restarted_at + self.timing.start_request_lag;
+            starts_arrived_by.max(self.elected_at)
         } else {
             self.elected_at
         }
--- a/crates/controlplane/src/leader_state/membership.rs
+++ b/crates/controlplane/src/leader_state/membership.rs
@@ -142,11 +142,11 @@
             .filter_map(|listed| self.claimant_at(listed));
         claimants
             .map(|record| {
-                let settled_at = record.started_at + self.timing.start_request_lag;
+                let starts_arrived_by = record.started_at + self.timing.start_request_lag;
                 if record.had_lease {
-                    settled_at.max(self.elected_at)
+                    starts_arrived_by.max(self.elected_at)
                 } else {
-                    settled_at
+                    starts_arrived_by
                 }
             })
             .max()
