--- a/crates/controlplane/src/drivers/operators.rs
+++ b/crates/controlplane/src/drivers/operators.rs
@@ -22,11 +22,15 @@
 use tokio::net::TcpListener;
 use tokio::sync::watch;
 
+/// The maximum size of a request's body. A larger one is rejected with status 413.
 const MAX_BODY_BYTES: usize = 8 << 20;
+/// How long a request's body may take to arrive. After that, the request is rejected with status 408.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 /// The size from which the body of a request is parsed on a blocking thread.
-const LARGE_COMMAND_BYTES: usize = 32 << 10;
+const LARGE_BODY_BYTES: usize = 32 << 10;
+/// How long after its receipt a request is submitted and forwarded again while the leader cannot be reached.
 const FORWARD_RETRY_WINDOW: Duration = Duration::from_millis(600);
+/// The pause between two attempts to reach the leader.
 const FORWARD_RETRY_DELAY: Duration = Duration::from_millis(100);
 /// How long a stopping controller waits for the leader's response to a forwarded request.
 const FORWARD_STOP_TIMEOUT: Duration = Duration::from_secs(2);
@@ -169,7 +173,7 @@
     head: &Parts,
     body: &Bytes,
 ) -> Result<Operation, Box<HttpResponse>> {
-    if body.len() < LARGE_COMMAND_BYTES {
+    if body.len() < LARGE_BODY_BYTES {
         return shared
             .operators
             .read(head, body)
