--- a/crates/controlplane/src/drivers/operator_forwarding.rs
+++ b/crates/controlplane/src/drivers/operator_forwarding.rs
@@ -14,8 +14,11 @@
 
 /// The header that marks a forwarded request, which must not be forwarded again.
 const FORWARDED_HEADER: &str = "rudder-passed-on";
+/// How long connecting to the leader may take.
 const FORWARD_CONNECT_TIMEOUT: Duration = Duration::from_millis(600);
+/// How long the leader may take to respond completely, once connected.
 const FORWARD_TIMEOUT: Duration = Duration::from_secs(15);
+/// The maximum size of the body of the leader's response.
 const MAX_RESPONSE_BYTES: usize = 64 << 20;
 
 /// Whether another controller forwarded this request.
