--- a/crates/controlplane/src/drivers/peer_links.rs
+++ b/crates/controlplane/src/drivers/peer_links.rs
@@ -9,13 +9,17 @@
 use tokio::net::TcpStream;
 use tokio::sync::mpsc;
 
+/// The bounds of the pause after a failure, which doubles with each consecutive one.
 const MIN_BACKOFF: Duration = Duration::from_millis(20);
 const MAX_BACKOFF: Duration = Duration::from_millis(200);
+/// How long a link without frames to send is kept.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// The maximum number of frames queued for a connection.
 const MAX_QUEUED_FRAMES: usize = 256;
+/// How long connecting to a controller may take.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
+/// How long writing one frame may take.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// One-way connections to the other controllers. Frames that cannot be sent soon are dropped, because consensus resends
