--- a/crates/controlplane/src/drivers/queue.rs
+++ b/crates/controlplane/src/drivers/queue.rs
@@ -7,7 +7,9 @@
 use std::time::Duration;
 use tokio::sync::mpsc;
 
+/// The maximum number of queued inputs on which leadership depends.
 const LEADERSHIP_CAPACITY: usize = 4_096;
+/// The maximum number of other queued inputs.
 const ORDINARY_CAPACITY: usize = 16_384;
 
 /// The kinds of inputs, for which metrics are recorded separately.
