--- a/crates/controlplane/src/drivers/streams.rs
+++ b/crates/controlplane/src/drivers/streams.rs
@@ -20,13 +20,20 @@
 /// The size of the chunks in which frames are written. Each chunk has its own timeout, so that a large frame does not
 /// disconnect a daemon on a slow link.
 const WRITE_CHUNK_BYTES: usize = 8 << 10;
+/// How long writing one chunk may take.
 const CHUNK_WRITE_TIMEOUT: Duration = Duration::from_secs(3);
 /// The maximum number of frames queued for a daemon. A daemon that does not keep up is disconnected.
 const MAX_QUEUED_FRAMES: usize = 4096;
+/// How long a new connection may take to name its channel.
 const CHANNEL_TIMEOUT: Duration = Duration::from_secs(3);
+/// The maximum number of connections that are tried to find out whether a controller's process has exited.
 const MAX_PROCESS_PROBES: usize = 4;
+/// The pause between two such connections.
 const PROCESS_PROBE_INTERVAL: Duration = Duration::from_millis(20);
+/// How long opening such a connection may take. After that, nothing is known about the process.
 const PROCESS_PROBE_TIMEOUT: Duration = Duration::from_millis(300);
+/// The pause after a failure to accept a connection.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// Accepts connections of other processes. The task of each connection is detached. It ends with its connection, or
 /// when the controller has stopped.
@@ -45,7 +52,7 @@
                     }
                 });
             }
-            Err(_) => tokio::time::sleep(Duration::from_millis(20)).await,
+            Err(_) => tokio::time::sleep(ACCEPT_RETRY_DELAY).await,
         }
     }
 }
