--- a/crates/controlplane/tests/storage.rs
+++ b/crates/controlplane/tests/storage.rs
@@ -270,11 +270,12 @@
     }
 }
 
-/// The disk becomes full, or power is lost, at each write of the start that finds the damage. Guards against
-/// a start that renames the damaged file before it records the damage, so that the next start does not know
-/// of it.
+/// The disk becomes full after one to three writes of the start that finds the damage. The first write
+/// checks that the directory is writable and the second records the damage, so only the start with one write
+/// fails. Guards against a start that renames the damaged file before it records the damage: if the record
+/// then fails, the next start does not know of the damage.
 #[gtest]
-fn a_damaged_version_is_recorded_as_unreadable_whichever_write_of_the_start_fails() -> Result<()> {
+fn a_damaged_version_is_known_at_the_next_start_if_the_disk_becomes_full() -> Result<()> {
     for writes in 1..4 {
         let (directory, stored_versions) = filled_directory("unreadable-full", 4);
         fs::write(directory.newest("spec-"), "rot")?;
