--- a/crates/controlplane/tests/quorum_proofs.rs
+++ b/crates/controlplane/tests/quorum_proofs.rs
@@ -220,10 +220,11 @@
     verify_that!(leader.quorum_confirmed_at(), eq(confirmed_before))
 }
 
-/// Guards against losing a committed version: a leader that was elected without it replaces it on a voter's
-/// disk by a version with a lower number.
+/// A voter has committed version 7 of term 2 on its disk, and a leader of term 3 that lacks it sends
+/// version 6. The voter writes version 6, because its term is later. Guards against a loss of a committed
+/// version that no invariant reports.
 #[gtest]
-fn a_committed_version_replaced_by_an_older_one_is_a_violation() -> Result<()> {
+fn a_committed_version_replaced_by_one_with_a_lower_number_is_a_violation() -> Result<()> {
     invariants::collect_on_this_thread();
     let mut voter = voter(Rules::ALL_ENFORCED);
     let founding = voter.accepted().expect("a version").clone();
