--- a/crates/controlplane/tests/quorum_model/recovery.rs
+++ b/crates/controlplane/tests/quorum_model/recovery.rs
@@ -107,8 +107,8 @@
     Ok(())
 }
 
-/// Guards against a voter that answers every heartbeat, but whose disk completes no writes, and that is
-/// therefore never replaced.
+/// The writes of one voter, the leader or another, never complete or all fail. Guards against such a voter
+/// that is never replaced because it still answers every heartbeat.
 #[gtest]
 fn a_standby_replaces_a_voter_whose_disk_is_stalled() -> Result<()> {
     for (disk_fault, on_leader) in [
