--- a/crates/controlplane/tests/unreadable_changes.rs
+++ b/crates/controlplane/tests/unreadable_changes.rs
@@ -119,8 +119,8 @@
     Ok(())
 }
 
-/// Guards against a change of items that is accepted and changes nothing because its parts are not objects, as in
-/// review case CONFIG.
+/// Guards against a change of items that is accepted and changes nothing, because a part of it, such as `put` or its
+/// `functions`, is not an object and is skipped.
 #[gtest]
 fn an_item_change_with_a_value_of_a_wrong_type_is_rejected() -> Result<()> {
     verify_wrong_types_rejected("PATCH", "/v1/spec", &item_change())
