--- a/crates/controlplane/src/leader_state/membership.rs
+++ b/crates/controlplane/src/leader_state/membership.rs
@@ -18,10 +18,10 @@
 const SLOWEST_CLOCK_TENTHS: u32 = 9;
 
 /// A listed member that has no record at this leader.
-pub(super) struct DepartedMember {
+pub(super) struct AbsentMember {
     since: MonotonicTime,
     /// Whether it announced its departure.
-    was_orderly: bool,
+    left_gracefully: bool,
 }
 
 /// Whether an incarnation proves that no other process is left at a listed address, because it has bound that
@@ -46,7 +46,7 @@
 /// Tracks the changes to the membership list that have to be committed.
 pub(super) struct MembershipList {
     /// Listed members without a record at this leader.
-    departed: BTreeMap<ListedMember, DepartedMember>,
+    absent: BTreeMap<ListedMember, AbsentMember>,
     pub check_due: bool,
     next_check_at: MonotonicTime,
     /// Since when the committed list has differed from the target.
@@ -57,7 +57,7 @@
     /// Creates the tracker. All listed members count as present until the first check.
     pub(super) fn new(elected_at: MonotonicTime) -> Self {
         Self {
-            departed: BTreeMap::new(),
+            absent: BTreeMap::new(),
             check_due: true,
             next_check_at: elected_at,
             change_since: None,
@@ -186,31 +186,31 @@
     }
 
     /// Updates which listed members have no record at this leader, and since when.
-    fn update_departed_members(&mut self, now: MonotonicTime) {
+    fn update_absent_members(&mut self, now: MonotonicTime) {
         let present: BTreeSet<ListedMember> = self.members.known().map(listed_member).collect();
         let membership = self.membership().cloned().unwrap_or_default();
-        self.membership_list.departed.retain(|absent_member, _| {
+        self.membership_list.absent.retain(|absent_member, _| {
             membership.contains(absent_member) && !present.contains(absent_member)
         });
         for absent_member in membership.difference(&present) {
-            let was_orderly = false;
+            let left_gracefully = false;
             self.membership_list
-                .departed
+                .absent
                 .entry(absent_member.clone())
-                .or_insert(DepartedMember {
+                .or_insert(AbsentMember {
                     since: now,
-                    was_orderly,
+                    left_gracefully,
                 });
         }
     }
 
     /// Records that a member that announced its departure has left and holds nothing.
     pub(super) fn note_departed(&mut self, now: MonotonicTime, departed: &KnownMember) {
-        self.membership_list.departed.insert(
+        self.membership_list.absent.insert(
             listed_member(departed),
-            DepartedMember {
+            AbsentMember {
                 since: now,
-                was_orderly: true,
+                left_gracefully: true,
             },
         );
     }
@@ -226,19 +226,19 @@
             return None;
         }
         let full_lease_wait = self.timing.full_lease_wait();
-        let orderly_removal_after = self.timing.restart_grace_period.max(full_lease_wait);
+        let graceful_removal_after = self.timing.restart_grace_period.max(full_lease_wait);
         let crash_removal_after = self.timing.drop_absent_after.max(full_lease_wait);
         let is_gone = |listed: &&ListedMember| {
             self.membership_list
-                .departed
+                .absent
                 .get(*listed)
-                .is_some_and(|departed_member| {
-                    let span = if departed_member.was_orderly {
-                        orderly_removal_after
+                .is_some_and(|absent_member| {
+                    let span = if absent_member.left_gracefully {
+                        graceful_removal_after
                     } else {
                         crash_removal_after
                     };
-                    now.since(departed_member.since) > span
+                    now.since(absent_member.since) > span
                 })
         };
         let remaining = membership.iter().filter(|listed| !is_gone(listed)).cloned();
@@ -258,7 +258,7 @@
             return None;
         }
         self.membership_list.next_check_at = now + CHECK_INTERVAL;
-        self.update_departed_members(now);
+        self.update_absent_members(now);
         let wanted = self
             .target_membership(now)
             .filter(|wanted| self.membership() != Some(wanted));
