--- a/crates/controlplane/src/leader_state/fence.rs
+++ b/crates/controlplane/src/leader_state/fence.rs
@@ -289,8 +289,8 @@
                 is_complete.then(|| (function.clone(), entry.fencing_since.unwrap_or(now)))
             })
             .collect();
-        for (cleared_function, lease_expires_at) in cleared_functions {
-            self.end_lease(now, &cleared_function, lease_expires_at);
+        for (cleared_function, fencing_since) in cleared_functions {
+            self.end_lease(now, &cleared_function, fencing_since);
             let detail = EventDetail::Function {
                 function: cleared_function,
             };
--- a/crates/controlplane/src/leader_state/lease_end.rs
+++ b/crates/controlplane/src/leader_state/lease_end.rs
@@ -79,11 +79,12 @@
 
     /// Ends a lease under which nothing runs any more, so that the function can be leased again. Requests that must not
     /// run twice wait until none of the former holder's can be in flight; its replica may answer them earlier.
+    /// `fencing_since` is when the holder had lost the function.
     pub(super) fn end_lease(
         &mut self,
         now: MonotonicTime,
         function: &FunctionKey,
-        lease_expires_at: MonotonicTime,
+        fencing_since: MonotonicTime,
     ) {
         self.fencing.finish(function);
         self.acquisitions.check_due = true;
@@ -109,7 +110,7 @@
                     fencing_token,
                 })
             });
-        let allowed_from = lease_expires_at + self.longest_delay();
+        let allowed_from = fencing_since + self.longest_delay();
         self.once_delays
             .record_lease_end(now, function, allowed_from, previous_lease);
     }
