--- a/crates/controlplane/src/leader_state/fence.rs
+++ b/crates/controlplane/src/leader_state/fence.rs
@@ -29,7 +29,7 @@
     functions: BTreeSet<FunctionKey>,
     pub check_due: bool,
     checked_at: MonotonicTime,
-    /// No member's session lease whose end is still to be handled ends before this.
+    /// The earliest end of a session lease whose end is not handled yet; until then no sweep is needed.
     next_sweep_at: MonotonicTime,
 }
 
