--- a/crates/controlplane/src/leader_state/reservations.rs
+++ b/crates/controlplane/src/leader_state/reservations.rs
@@ -343,6 +343,7 @@
         self.insert(runner, reservation);
         self.update(runner, |reservation| reservation.instance = instance);
         self.update(orphaned_runner, |reservation| {
+            // In the future, so that the orphan does not time out.
             let since = MonotonicTime(u64::MAX);
             reservation.ownership = Ownership::Orphaned { since };
         });
