--- a/crates/controlplane/src/leader_state/document_delivery.rs
+++ b/crates/controlplane/src/leader_state/document_delivery.rs
@@ -204,7 +204,7 @@
         }
     }
 
-    /// Warns operators when the reserved memory will hardly fit on the workers that remain usable.
+    /// Warns operators when the reserved memory exceeds nine tenths of the memory of the workers that remain usable.
     fn warn_of_low_capacity(&mut self) {
         let needed_mb: u64 = self.reserved_mb().values().sum();
         let remaining_mb: u64 = self
