--- a/crates/controlplane/src/leader_state/runner_list.rs
+++ b/crates/controlplane/src/leader_state/runner_list.rs
@@ -9,6 +9,11 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
+/// Number of start-up times of its function for which a started runner may be missing from the platform's list.
+const STARTUP_TIMES_UNTIL_LISTED: u32 = 3;
+/// Start-up time assumed for a runner whose function the current specification does not contain.
+const UNKNOWN_STARTUP_TIME: Duration = Duration::from_secs(5);
+
 /// What is known of the platform's lists of runners, and when they are requested.
 #[derive(Default)]
 pub(super) struct RunnerLists {
@@ -166,7 +171,7 @@
                     .function_of(&reservation.function)
                     .map(|entry| entry.spec.startup);
                 let must_be_listed_from = reservation.started_at
-                    + startup.unwrap_or(Duration::from_secs(5)) * 3
+                    + startup.unwrap_or(UNKNOWN_STARTUP_TIME) * STARTUP_TIMES_UNTIL_LISTED
                     + list_lag;
                 reservation
                     .instance
