--- a/crates/controlplane/src/controller_state/reply.rs
+++ b/crates/controlplane/src/controller_state/reply.rs
@@ -103,7 +103,7 @@
     pub is_leader: bool,
     /// Whether this controller is the leader and has committed in its term.
     pub is_ready: bool,
-    /// Whether this controller, as leader, knows the daemons well enough to grant leases.
+    /// Whether this controller is the leader and its claims quorum is reached, so that it grants leases.
     pub is_open: bool,
     /// The address at which the leader serves operators, if a leader is known.
     pub leader: Option<SocketAddress>,
