--- a/crates/controlplane/src/controller_state/mod.rs
+++ b/crates/controlplane/src/controller_state/mod.rs
@@ -45,10 +45,13 @@
 use std::time::Duration;
 use traces::Traces;
 
-/// The maximum time until the next tick, which depends on what the controller is waiting for.
+/// The maximum time until the next tick of a leader.
 const LEADER_TICK_INTERVAL: Duration = Duration::from_millis(50);
+/// The same while the leader has work that is due within milliseconds.
 const URGENT_TICK_INTERVAL: Duration = Duration::from_millis(10);
+/// The maximum time until the next tick of another controller at which operations wait for a leader.
 const WAITING_TICK_INTERVAL: Duration = Duration::from_millis(100);
+/// The same if no operation waits.
 const IDLE_TICK_INTERVAL: Duration = Duration::from_millis(500);
 
 /// The state of a controller.
