--- a/crates/controlplane/src/controller_state/traces.rs
+++ b/crates/controlplane/src/controller_state/traces.rs
@@ -7,6 +7,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
+/// Before a trace is added, those of the lowest versions are dropped down to this number.
 const MAX_RETAINED_TRACES: usize = 256;
 
 #[derive(Default)]
