--- a/crates/controlplane/src/consensus/election.rs
+++ b/crates/controlplane/src/consensus/election.rs
@@ -17,7 +17,7 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// The bounds of the wait before a pre-vote after the leader's process is known to have ended.
+/// The bounds of the random wait before a pre-vote after the leader's process is known to have ended.
 const LEADER_GONE_TIMEOUT_MIN: Duration = Duration::from_millis(50);
 const LEADER_GONE_TIMEOUT_MAX: Duration = Duration::from_millis(200);
 
