--- a/crates/controlplane/tests/controller_state/change_numbering.rs
+++ b/crates/controlplane/tests/controller_state/change_numbering.rs
@@ -195,14 +195,14 @@
     }
 
     /// Sends one or two changes at once, may kill a controller afterwards, and retries each change until it is decided.
-    fn send_rivals(&mut self, counts: &mut RetryCounts) -> Result<()> {
+    fn send_conflicting_changes(&mut self, counts: &mut RetryCounts) -> Result<()> {
         let leader = self.cluster.await_leader();
         let current = self.cluster.accepted(leader).expect("a document").number;
-        let rivals: Vec<SentChange> = (0..1 + self.rng.below(2))
+        let conflicting_changes: Vec<SentChange> = (0..1 + self.rng.below(2))
             .map(|_| SentChange::random(&mut self.rng, current))
             .collect();
-        self.sent.extend(rivals.iter().cloned());
-        let tickets: Vec<OperationTicket> = rivals
+        self.sent.extend(conflicting_changes.iter().cloned());
+        let tickets: Vec<OperationTicket> = conflicting_changes
             .iter()
             .map(|sent| self.cluster.submit(leader, sent.operation()))
             .collect();
@@ -211,7 +211,7 @@
             counts.killed += 1;
         }
         self.cluster.advance(1000);
-        for (sent, ticket) in rivals.into_iter().zip(tickets) {
+        for (sent, ticket) in conflicting_changes.into_iter().zip(tickets) {
             let verdict = self.decided_verdict(&sent, ticket, counts)?;
             self.check_decision(sent, verdict)?;
         }
@@ -304,7 +304,7 @@
     for seed in 0..40 {
         let mut operators = RetryingOperators::new(seed);
         for _ in 0..12 {
-            operators.send_rivals(&mut counts)?;
+            operators.send_conflicting_changes(&mut counts)?;
         }
         operators.check_accepted()?;
     }
