--- a/crates/controlplane/tests/quorum_model/walk.rs
+++ b/crates/controlplane/tests/quorum_model/walk.rs
@@ -5,7 +5,8 @@
 use common::rng::SeededRng;
 
 const CYCLES: usize = 4;
-const ACTIONS: u64 = 250;
+/// A cycle has fewer random actions than this.
+const ACTION_COUNT_BOUND: u64 = 250;
 
 /// The maximal number of losses in the first cycle, which starts with the three initial voters while other
 /// controllers still join.
@@ -22,7 +23,7 @@
         if cycle == 0 {
             losses.truncate(LOSSES_WHILE_GROWING);
         }
-        let action_count = rng.below(ACTIONS);
+        let action_count = rng.below(ACTION_COUNT_BOUND);
         for _ in 0..action_count {
             take_action(&mut model, setup, &mut rng, &losses, &mut lost)?;
             actions += 1;
