--- a/crates/controlplane/tests/quorum_model/model.rs
+++ b/crates/controlplane/tests/quorum_model/model.rs
@@ -20,7 +20,9 @@
 use std::time::Duration;
 
 const START_INSTANT: MonotonicTime = MonotonicTime(1_000_000_000);
+/// How far a machine's clock advances with each input.
 const EVENT_DURATION: Duration = Duration::from_micros(1);
+/// How often time is advanced until a condition holds, before a run counts as stuck.
 const MAX_QUIET_STEPS: usize = 4000;
 
 /// How a model is set up.
