--- a/crates/controlplane/tests/quorum_model/explore.rs
+++ b/crates/controlplane/tests/quorum_model/explore.rs
@@ -5,6 +5,7 @@
 use super::model::{Deviation, Model, Setup};
 use std::collections::HashSet;
 
+/// How often time is advanced without a leader before all machines are connected again.
 const MAX_STEPS_WITHOUT_LEADER: usize = 60;
 
 /// The bounds of an exploration.
