--- a/crates/controlplane/src/consensus/mod.rs
+++ b/crates/controlplane/src/consensus/mod.rs
@@ -223,7 +223,7 @@
 
     /// Whether a majority has been notified that this daemon may hold leases, so that every later
     /// leader learns of it.
-    pub fn is_confirmed(&self, member: &KnownMember) -> bool {
+    pub fn is_member_confirmed(&self, member: &KnownMember) -> bool {
         matches!(&self.role, Role::Leader(heartbeats) if heartbeats.confirmed_members().contains(member))
     }
 
--- a/crates/controlplane/src/controller_state/mod.rs
+++ b/crates/controlplane/src/controller_state/mod.rs
@@ -282,7 +282,7 @@
         let confirmation = QuorumConfirmation {
             ready: consensus.is_ready(),
             quorum_confirmed_at: consensus.quorum_confirmed_at(),
-            is_member_confirmed: &|known_member| consensus.is_confirmed(known_member),
+            is_member_confirmed: &|known_member| consensus.is_member_confirmed(known_member),
             proposed_membership: consensus.proposed().map(|document| &document.membership),
         };
         for output in leader_state.progress(now, &confirmation) {
