--- a/crates/controlplane/src/controller_state/mod.rs
+++ b/crates/controlplane/src/controller_state/mod.rs
@@ -2,6 +2,7 @@
 //! controller is the leader) and operators' requests. A driver passes it each [`ControllerInput`] and carries out the
 //! [`ControllerOutput`]s that it returns.
 
+mod change_evaluation;
 mod changes;
 mod consensus_outputs;
 mod content;
@@ -11,7 +12,6 @@
 mod operation;
 mod operations;
 mod pending_changes;
-mod proposal_outcome;
 mod reply;
 mod shutdown;
 mod traces;
@@ -29,7 +29,8 @@
 
 use crate::consensus::{ConsensusNode, ControllerAddress, WriteResult};
 use crate::leader_state::{
-    EventDetail, LeaderOutput, LeaderState, LeaderTiming, QuorumProof, RETAINED_VIEWS, StreamId,
+    EventDetail, LeaderOutput, LeaderState, LeaderTiming, QuorumConfirmation, RETAINED_VIEWS,
+    StreamId,
 };
 use common::clock::MonotonicTime;
 use common::events;
@@ -44,10 +45,13 @@
 use std::time::Duration;
 use traces::Traces;
 
-/// The maximum time until the next tick, which depends on what the controller is waiting for.
+/// The maximum time until the next tick of a leader.
 const LEADER_TICK_INTERVAL: Duration = Duration::from_millis(50);
+/// The same while the leader has work that is due within milliseconds.
 const URGENT_TICK_INTERVAL: Duration = Duration::from_millis(10);
+/// The maximum time until the next tick of another controller at which operations wait for a leader.
 const WAITING_TICK_INTERVAL: Duration = Duration::from_millis(100);
+/// The same if no operation waits.
 const IDLE_TICK_INTERVAL: Duration = Duration::from_millis(500);
 
 /// The state of a controller.
@@ -275,13 +279,13 @@
             self.consensus.set_members(known_members);
         }
         let consensus = &self.consensus;
-        let proof = QuorumProof {
+        let confirmation = QuorumConfirmation {
             ready: consensus.is_ready(),
             quorum_confirmed_at: consensus.quorum_confirmed_at(),
-            confirmed: &|known_member| consensus.is_confirmed(known_member),
+            is_member_confirmed: &|known_member| consensus.is_member_confirmed(known_member),
             proposed_membership: consensus.proposed().map(|document| &document.membership),
         };
-        for output in leader_state.progress(now, &proof) {
+        for output in leader_state.progress(now, &confirmation) {
             self.execute_leader_output(now, output);
         }
     }
--- a/crates/controlplane/src/leader_state/claims_quorum.rs
+++ b/crates/controlplane/src/leader_state/claims_quorum.rs
@@ -1,7 +1,7 @@
 //! The claims quorum: before a new leader issues leases, a majority of the members that may hold leases of an
 //! earlier leader must have claimed, and each of the others must have claimed or its lease must have expired.
 
-use super::{EventDetail, LeaderOutput, LeaderState, QuorumProof};
+use super::{EventDetail, LeaderOutput, LeaderState, QuorumConfirmation};
 use common::clock::MonotonicTime;
 use common::events;
 use common::frames::KnownMember;
@@ -89,8 +89,12 @@
 impl LeaderState {
     /// Completes the claims quorum once its conditions are met. A lease issued earlier could go to a second holder
     /// while the first one is merely slow to claim it.
-    pub(super) fn update_claims_quorum(&mut self, now: MonotonicTime, proof: &QuorumProof<'_>) {
-        if self.claims.is_reached || !proof.ready || self.configuration.document.is_none() {
+    pub(super) fn update_claims_quorum(
+        &mut self,
+        now: MonotonicTime,
+        confirmation: &QuorumConfirmation<'_>,
+    ) {
+        if self.claims.is_reached || !confirmation.ready || self.configuration.document.is_none() {
             return;
         }
         if now.since(self.elected_at) > self.timing.drop_absent_after {
@@ -146,7 +150,7 @@
         };
         let claims_or_restarted =
             |known: &KnownMember| self.has_claimed(known) || self.has_restarted_and_claimed(known);
-        let is_list_new = self.runner_lists.listed_at >= self.last_known_settled_at();
+        let is_list_new = self.runner_lists.listed_at >= self.last_known_listed_from();
         ClaimCount {
             expected: last_known.len(),
             claimed: last_known.iter().filter(has_successor_claimed).count(),
@@ -172,15 +176,15 @@
 
     /// Returns the instant from which the platform's list shows what restarted members left. Starts that an earlier
     /// incarnation requested may reach the platform shortly after its end.
-    fn last_known_settled_at(&self) -> MonotonicTime {
+    fn last_known_listed_from(&self) -> MonotonicTime {
         let has_restarted = self
             .claims
             .last_known
             .iter()
             .any(|known| self.has_restarted_and_claimed(known));
         if has_restarted {
-            let settled_at = self.claims.member_restarted_at + self.timing.start_settle;
-            settled_at.max(self.elected_at)
+            let starts_arrived_by = self.claims.member_restarted_at + self.timing.start_request_lag;
+            starts_arrived_by.max(self.elected_at)
         } else {
             self.elected_at
         }
@@ -190,7 +194,7 @@
     fn has_waited_for_claims(&self, now: MonotonicTime) -> bool {
         let full_wait_end = self.elected_at + self.timing.claims_wait;
         now >= full_wait_end
-            && self.runner_lists.listed_at >= full_wait_end + self.timing.start_settle
+            && self.runner_lists.listed_at >= full_wait_end + self.timing.start_request_lag
     }
 
     /// Evaluates the quorum by the committed membership list, which names every member that may hold a lease. Once
--- a/crates/controlplane/src/leader_state/fence.rs
+++ b/crates/controlplane/src/leader_state/fence.rs
@@ -29,7 +29,7 @@
     functions: BTreeSet<FunctionKey>,
     pub check_due: bool,
     checked_at: MonotonicTime,
-    /// No member's session lease whose end is still to be handled ends before this.
+    /// The earliest end of a session lease whose end is not handled yet; until then no sweep is needed.
     next_sweep_at: MonotonicTime,
 }
 
@@ -289,8 +289,8 @@
                 is_complete.then(|| (function.clone(), entry.fencing_since.unwrap_or(now)))
             })
             .collect();
-        for (cleared_function, lease_expires_at) in cleared_functions {
-            self.end_lease(now, &cleared_function, lease_expires_at);
+        for (cleared_function, fencing_since) in cleared_functions {
+            self.end_lease(now, &cleared_function, fencing_since);
             let detail = EventDetail::Function {
                 function: cleared_function,
             };
--- a/crates/controlplane/tests/quorum_model/model.rs
+++ b/crates/controlplane/tests/quorum_model/model.rs
@@ -20,7 +20,9 @@
 use std::time::Duration;
 
 const START_INSTANT: MonotonicTime = MonotonicTime(1_000_000_000);
+/// How far a machine's clock advances with each input.
 const EVENT_DURATION: Duration = Duration::from_micros(1);
+/// How often time is advanced until a condition holds, before a run counts as stuck.
 const MAX_QUIET_STEPS: usize = 4000;
 
 /// How a model is set up.
@@ -554,12 +556,12 @@
         if !machine.consensus.is_ready() || machine.pending_reads.is_empty() {
             return Ok(());
         }
-        let quorum_proof_at = machine.consensus.quorum_confirmed_at();
+        let quorum_confirmed_at = machine.consensus.quorum_confirmed_at();
         let Some(served) = machine.consensus.accepted() else {
             return Ok(());
         };
         for (requested_at, changes_at_read) in &machine.pending_reads {
-            if *requested_at < quorum_proof_at {
+            if *requested_at < quorum_confirmed_at {
                 self.history.served(changes_at_read, served)?;
             }
         }
