--- a/testing/fleet/src/days/fault/disks.rs
+++ b/testing/fleet/src/days/fault/disks.rs
@@ -35,7 +35,7 @@
         disk_fault: &str,
     ) -> Result<(), FleetError> {
         let control_file = fleet.layout.disk_file(name);
-        let at = |error| FleetError::Machine(control_file.clone(), error);
+        let at = |error| FleetError::Io(control_file.clone(), error);
         std::fs::write(&control_file, disk_fault).map_err(at)?;
         for _ in 0..4 {
             pause(1500).await;
--- a/testing/fleet/src/fleet/layout.rs
+++ b/testing/fleet/src/fleet/layout.rs
@@ -87,7 +87,7 @@
         seed: u64,
         reuse_ports: bool,
     ) -> Result<Self, FleetError> {
-        let at = |error| FleetError::Machine(folder.to_owned(), error);
+        let at = |error| FleetError::Io(folder.to_owned(), error);
         std::fs::create_dir_all(folder).map_err(at)?;
         let address_block = AddressBlock::reserve().map_err(at)?;
         let mut layout = Self {
@@ -235,7 +235,7 @@
     fn add_with_settings(&mut self, machine: Machine, settings: &Value) -> Result<(), FleetError> {
         let path = self.settings_path(&machine.name);
         let text = serde_json::to_string_pretty(settings).unwrap_or_default();
-        std::fs::write(&path, text).map_err(|error| FleetError::Machine(path, error))?;
+        std::fs::write(&path, text).map_err(|error| FleetError::Io(path, error))?;
         self.machines.insert(machine.name.clone(), machine);
         Ok(())
     }
--- a/testing/fleet/src/fleet/mod.rs
+++ b/testing/fleet/src/fleet/mod.rs
@@ -27,9 +27,9 @@
 /// Why an action on the fleet failed. The messages include those of their causes.
 #[derive(Debug, thiserror::Error)]
 pub enum FleetError {
-    /// A process could not be started, or a file could not be written.
+    /// A process could not be started, a file could not be read or written, or an address could not be bound.
     #[error("{path}: {cause}", path = .0.display(), cause = .1)]
-    Machine(PathBuf, std::io::Error),
+    Io(PathBuf, std::io::Error),
     /// The named condition did not hold, or not in time.
     #[error("condition not met: {0}")]
     ConditionNotMet(&'static str),
@@ -67,8 +67,8 @@
     /// Creates the journal and starts every process, the platform first.
     pub async fn start(layout: Layout) -> Result<Self, FleetError> {
         let journal_path = layout.folder.join("journal.jsonl");
-        let journal = Records::create(&journal_path)
-            .map_err(|error| FleetError::Machine(journal_path, error))?;
+        let journal =
+            Records::create(&journal_path).map_err(|error| FleetError::Io(journal_path, error))?;
         let processes = BTreeMap::new();
         let network_proxy = NetworkProxy::new();
         let unavailable = BTreeSet::new();
@@ -96,7 +96,7 @@
             self.network_proxy
                 .start_proxy(address, listen)
                 .await
-                .map_err(|error| FleetError::Machine(PathBuf::from(name), error))?;
+                .map_err(|error| FleetError::Io(PathBuf::from(name), error))?;
         }
         Ok(())
     }
--- a/testing/fleet/src/fleet/process.rs
+++ b/testing/fleet/src/fleet/process.rs
@@ -18,7 +18,7 @@
     /// Starts a machine's program. Its output is appended to a log file with the machine's name.
     pub fn start(machine: &Machine, folder: &Path) -> Result<Self, FleetError> {
         let log_path = folder.join(format!("{}.log", machine.name));
-        let at = |error| FleetError::Machine(log_path.clone(), error);
+        let at = |error| FleetError::Io(log_path.clone(), error);
         let log_file = OpenOptions::new()
             .create(true)
             .append(true)
@@ -36,7 +36,7 @@
             .stdout(log_file)
             .stderr(error_file)
             .spawn()
-            .map_err(|error| FleetError::Machine(program_path, error))?;
+            .map_err(|error| FleetError::Io(program_path, error))?;
         Ok(Self { child })
     }
 
--- a/testing/fleet/src/soak/fault.rs
+++ b/testing/fleet/src/soak/fault.rs
@@ -486,7 +486,7 @@
         self.fleet
             .record_event("disk", json!({"machine": name, "how": how}));
         std::fs::write(&control_file, how)
-            .map_err(|error| FleetError::Machine(control_file.clone(), error))?;
+            .map_err(|error| FleetError::Io(control_file.clone(), error))?;
         Ok(FaultUndo::RestoreDisk(control_file))
     }
 
--- a/testing/fleet/src/soak/mod.rs
+++ b/testing/fleet/src/soak/mod.rs
@@ -325,7 +325,7 @@
 
 /// Returns the invariant violations and panics in the processes' logs.
 fn logged_violations(folder: &Path) -> Result<Vec<String>, FleetError> {
-    let at = |error| FleetError::Machine(folder.to_owned(), error);
+    let at = |error| FleetError::Io(folder.to_owned(), error);
     let violation_mark = format!("[E{}]", events::INVARIANT_VIOLATED.number);
     let mut violations = Vec::new();
     for listed in std::fs::read_dir(folder).map_err(at)? {
