--- a/testing/fleet/src/judge/checks/service.rs
+++ b/testing/fleet/src/judge/checks/service.rs
@@ -130,10 +130,14 @@
 pub(super) fn runs_after_disconnect(evidence: &Evidence) -> Check {
     let mut check = Check::new(RUNS_AFTER_DISCONNECT);
     let calls = evidence.calls_by_id();
-    check.checked = evidence.calls.iter().filter(|call| call.has_left()).count();
+    check.checked = evidence
+        .calls
+        .iter()
+        .filter(|call| call.has_disconnected())
+        .count();
     let late_runs = evidence.runs.iter().filter_map(|run| {
         let call = calls.get(run.idempotency_key.as_str())?;
-        let is_late = call.has_left() && run.at > call.end + CANCELLATION_TIMEOUT;
+        let is_late = call.has_disconnected() && run.at > call.end + CANCELLATION_TIMEOUT;
         is_late.then(|| (call, run.at - call.end))
     });
     let violations: Vec<String> = late_runs
--- a/testing/fleet/src/judge/evidence.rs
+++ b/testing/fleet/src/judge/evidence.rs
@@ -49,7 +49,7 @@
     }
 
     /// Whether the caller closed its connection before the response.
-    pub fn has_left(&self) -> bool {
+    pub fn has_disconnected(&self) -> bool {
         self.outcome == "left"
     }
 
