--- a/testing/fleet/src/commands/flags.rs
+++ b/testing/fleet/src/commands/flags.rs
@@ -31,7 +31,7 @@
     #[options(help = "measure how soon the control side is back after each single loss")]
     Recovery(RecoveryOptions),
     #[options(help = "take each safety rule away and see that it is found")]
-    Proofs(Proofs),
+    Proofs(DetectionOptions),
     #[options(
         name = "hollow",
         help = "measure a synthetic fleet, all its state machines in this process"
@@ -136,7 +136,7 @@
 }
 
 #[derive(Options)]
-pub(crate) struct Proofs {
+pub(crate) struct DetectionOptions {
     #[options(help = "print this help")]
     pub help: bool,
     #[options(help = "the most seeds for each rule, if not the proof's own")]
--- a/testing/fleet/src/commands/simulator.rs
+++ b/testing/fleet/src/commands/simulator.rs
@@ -1,7 +1,7 @@
 //! Runs simulations with many seeds, and the detection cases of safety rules.
 
 use super::control_plane::check_scenario_detection;
-use super::flags::{Proofs, Sim};
+use super::flags::{DetectionOptions, Sim};
 use fleet::sim::{
     DETECTION_CASES, Flaw, RunDigest, SEEDS_TO_FIND, Scenario, SimFault, SimPlan, Simulation,
 };
@@ -9,14 +9,14 @@
 use std::time::Duration;
 
 /// Prints a Markdown table with the violation found when each rule is broken, and the first seed that found it.
-pub(crate) fn check_detection(proofs: &Proofs) -> ExitCode {
+pub(crate) fn check_detection(options: &DetectionOptions) -> ExitCode {
     let mut is_complete = true;
     println!(
         "| point | broken | faults | seeds to first finding | seen | checks with all rules kept | breaches |"
     );
     println!("|---|---|---|---|---|---|---|");
     for case in DETECTION_CASES {
-        let result = case.run(proofs.seeds.unwrap_or(case.max_seeds));
+        let result = case.run(options.seeds.unwrap_or(case.max_seeds));
         let faults: Vec<String> = case.faults.iter().map(SimFault::to_string).collect();
         let (seed, seen) = match &result.found {
             Some((seed, seen)) => (seed.to_string(), seen.clone()),
@@ -37,7 +37,7 @@
             .for_each(|violation| eprintln!("{violation}"));
         is_complete &= result.found.is_some() && result.baseline_violations.is_empty();
     }
-    is_complete &= check_scenario_detection(proofs.seeds.unwrap_or(SEEDS_TO_FIND));
+    is_complete &= check_scenario_detection(options.seeds.unwrap_or(SEEDS_TO_FIND));
     if is_complete {
         ExitCode::SUCCESS
     } else {
--- a/testing/fleet/src/main.rs
+++ b/testing/fleet/src/main.rs
@@ -45,7 +45,7 @@
         Some(Command::Synthetic(synthetic)) => {
             measure(&synthetic).wrap_err("cannot write the record")
         }
-        Some(Command::Proofs(proofs)) => return check_detection(&proofs),
+        Some(Command::Proofs(options)) => return check_detection(&options),
         Some(Command::Run(run)) => match read_day(&run) {
             Ok(day) => run_and_judge(&day),
             Err(error) => return PROGRAM.fail(error, 2),
