--- a/testing/fleet/src/sim/daemon/mod.rs
+++ b/testing/fleet/src/sim/daemon/mod.rs
@@ -41,8 +41,8 @@
     forwarding: Forwarding,
     reply_target: ReplyTarget,
     awaited_step: AwaitedStep,
-    /// The number of its latest wake-up; earlier ones are ignored.
-    wake_number: u64,
+    /// The number of its most recent lookup timer. Earlier timers are ignored.
+    timer_generation: u64,
     forwarded_to: Option<Host>,
     /// The lease holder in this daemon that handles the request, and the request's ticket there.
     held_under: Option<(Arc<HeldFunction<u64>>, Ticket)>,
@@ -165,8 +165,8 @@
         )
     }
 
-    /// Schedules the next lookup of a request at a time on the daemon's clock; earlier wake-ups are then ignored.
-    pub(in crate::sim) fn schedule_wake(
+    /// Sets a request's lookup timer to a time on the daemon's clock. Earlier timers are then ignored.
+    pub(in crate::sim) fn schedule_lookup(
         &mut self,
         index: usize,
         local_at: MonotonicTime,
@@ -184,9 +184,9 @@
         let Some(pending) = process.pending_requests.get_mut(&number) else {
             return;
         };
-        pending.wake_number += 1;
-        let wake = DaemonEvent::Lookup(node, incarnation, number, pending.wake_number);
-        self.queue.push(delay, wake);
+        pending.timer_generation += 1;
+        let lookup = DaemonEvent::Lookup(node, incarnation, number, pending.timer_generation);
+        self.queue.push(delay, lookup);
     }
 
     /// Starts a daemon in a new incarnation.
--- a/testing/fleet/src/sim/daemon/requests.rs
+++ b/testing/fleet/src/sim/daemon/requests.rs
@@ -104,7 +104,7 @@
             forwarding,
             reply_target,
             awaited_step: AwaitedStep::Lookup,
-            wake_number: 0,
+            timer_generation: 0,
             forwarded_to: None,
             held_under: None,
             regional_delay_deciseconds: 0,
@@ -114,8 +114,13 @@
         self.advance(index, number);
     }
 
-    /// Handles a wake-up of a request, unless a later one has been scheduled since.
-    pub(in crate::sim) fn wake(&mut self, index: usize, number: u64, wake_number: u64) {
+    /// Repeats the lookup of a request when its timer expires, unless a later timer was set since.
+    pub(in crate::sim) fn handle_lookup_timer(
+        &mut self,
+        index: usize,
+        number: u64,
+        timer_generation: u64,
+    ) {
         let is_due = self
             .nodes
             .daemon(index)
@@ -125,7 +130,7 @@
                 process
                     .pending_requests
                     .get(&number)
-                    .is_some_and(|pending| pending.wake_number == wake_number)
+                    .is_some_and(|pending| pending.timer_generation == timer_generation)
             });
         if is_due {
             self.advance(index, number);
@@ -152,6 +157,7 @@
         );
     }
 
+    /// Repeats the lookup of all requests that wait for one, after a change.
     pub(in crate::sim) fn look_up_all(&mut self, index: usize) {
         let node = self.nodes.daemon(index).node;
         let incarnation = self.nodes.daemon(index).incarnation;
@@ -172,9 +178,9 @@
             let Some(pending) = process.pending_requests.get_mut(&number) else {
                 continue;
             };
-            pending.wake_number += 1;
-            let wake = DaemonEvent::Lookup(node, incarnation, number, pending.wake_number);
-            self.queue.push(Duration::from_micros(2), wake);
+            pending.timer_generation += 1;
+            let lookup = DaemonEvent::Lookup(node, incarnation, number, pending.timer_generation);
+            self.queue.push(Duration::from_micros(2), lookup);
         }
     }
 
@@ -257,7 +263,7 @@
                 self.forward(index, number, &host, body, wait_until);
             }
             ForwardingStep::Acquire { wait_until } => self.acquire(index, number, wait_until),
-            ForwardingStep::Wait { wait_until } => self.schedule_wake(index, wait_until, number),
+            ForwardingStep::Wait { wait_until } => self.schedule_lookup(index, wait_until, number),
             ForwardingStep::End(outcome, holder) => self.end(index, number, outcome, holder),
         }
     }
--- a/testing/fleet/src/sim/dispatch.rs
+++ b/testing/fleet/src/sim/dispatch.rs
@@ -89,8 +89,8 @@
             DaemonEvent::HeartbeatDatagram(node, heartbeat) => {
                 self.handle_heartbeat(node.daemon_index(), &heartbeat)
             }
-            DaemonEvent::Lookup(node, _, number, wake) => {
-                self.wake(node.daemon_index(), number, wake)
+            DaemonEvent::Lookup(node, _, number, timer_generation) => {
+                self.handle_lookup_timer(node.daemon_index(), number, timer_generation)
             }
             DaemonEvent::AcquireTimedOut(node, _, number) => {
                 self.handle_acquire_timeout(node.daemon_index(), number)
--- a/testing/fleet/src/sim/event/nodes.rs
+++ b/testing/fleet/src/sim/event/nodes.rs
@@ -110,7 +110,7 @@
 pub(in crate::sim) enum DaemonEvent {
     /// A heartbeat from another daemon arrives.
     HeartbeatDatagram(Node, Heartbeat),
-    /// A waiting request repeats the lookup of its lease holder: the number of the request, and of its wake-up.
+    /// A waiting request repeats the lookup of its lease holder: the number of the request, and of its lookup timer.
     Lookup(Node, u64, u64, u64),
     /// A request's wait for the leader's reply to an acquire times out.
     AcquireTimedOut(Node, u64, u64),
