--- a/testing/fleet/src/sim/daemon/holders.rs
+++ b/testing/fleet/src/sim/daemon/holders.rs
@@ -152,7 +152,7 @@
             self.step(
                 index,
                 number,
-                AwaitedStep::Outcome,
+                AwaitedStep::LocalOutcome,
                 |forwarding, agent, now| forwarding.handle_local_outcome(agent, now, outcome),
             );
         }
--- a/testing/fleet/src/sim/daemon/mod.rs
+++ b/testing/fleet/src/sim/daemon/mod.rs
@@ -54,10 +54,14 @@
 /// What a request in a daemon waits for.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 enum AwaitedStep {
+    /// The next lookup of the function's lease holder.
     Lookup,
-    Outcome,
-    Forwarded,
-    Acquired,
+    /// The outcome from a lease holder in this daemon.
+    LocalOutcome,
+    /// The result of forwarding it to another daemon.
+    ForwardResult,
+    /// The leader's reply to the acquisition of the function's lease.
+    AcquireResult,
 }
 
 /// A simulated daemon.
--- a/testing/fleet/src/sim/daemon/outputs.rs
+++ b/testing/fleet/src/sim/daemon/outputs.rs
@@ -223,7 +223,7 @@
             self.step(
                 index,
                 number,
-                AwaitedStep::Acquired,
+                AwaitedStep::AcquireResult,
                 |forwarding, agent, now| {
                     forwarding.handle_acquire_result(agent, now, result.clone())
                 },
--- a/testing/fleet/src/sim/daemon/requests.rs
+++ b/testing/fleet/src/sim/daemon/requests.rs
@@ -152,7 +152,7 @@
         self.step(
             index,
             number,
-            AwaitedStep::Acquired,
+            AwaitedStep::AcquireResult,
             |forwarding, agent, now| forwarding.advance(agent, now),
         );
     }
@@ -192,7 +192,7 @@
         };
         let hosts = process.agent.live_hosts();
         let is_to_departed = |pending: &PendingRequest| {
-            pending.awaited_step == AwaitedStep::Forwarded
+            pending.awaited_step == AwaitedStep::ForwardResult
                 && pending
                     .forwarded_to
                     .as_ref()
@@ -241,9 +241,9 @@
         let function = pending.forwarding.request().function.clone();
         let is_first = !pending.forwarding.request().is_retry;
         pending.awaited_step = match &next_step {
-            ForwardingStep::Serve(..) => AwaitedStep::Outcome,
-            ForwardingStep::Forward { .. } => AwaitedStep::Forwarded,
-            ForwardingStep::Acquire { .. } => AwaitedStep::Acquired,
+            ForwardingStep::Serve(..) => AwaitedStep::LocalOutcome,
+            ForwardingStep::Forward { .. } => AwaitedStep::ForwardResult,
+            ForwardingStep::Acquire { .. } => AwaitedStep::AcquireResult,
             ForwardingStep::Wait { .. } | ForwardingStep::End(..) => AwaitedStep::Lookup,
         };
         if function != function_before && is_first {
@@ -297,7 +297,7 @@
             self.step(
                 index,
                 number,
-                AwaitedStep::Outcome,
+                AwaitedStep::LocalOutcome,
                 |forwarding, agent, now| forwarding.handle_local_outcome(agent, now, outcome),
             );
         }
@@ -402,7 +402,7 @@
         self.step(
             index,
             number,
-            AwaitedStep::Forwarded,
+            AwaitedStep::ForwardResult,
             |forwarding, agent, now| forwarding.handle_forward_result(agent, now, result),
         );
     }
--- a/testing/fleet/src/sim/daemon/shutdown.rs
+++ b/testing/fleet/src/sim/daemon/shutdown.rs
@@ -104,19 +104,19 @@
         }
         self.record.count_event("requests withdrawn");
         match pending.awaited_step {
-            step @ (AwaitedStep::Lookup | AwaitedStep::Acquired) => {
+            step @ (AwaitedStep::Lookup | AwaitedStep::AcquireResult) => {
                 self.step(index, number, step, |forwarding, agent, now| {
                     forwarding.advance(agent, now)
                 });
             }
-            AwaitedStep::Outcome => {
+            AwaitedStep::LocalOutcome => {
                 if let Some((held, ticket)) = pending.held_under.clone() {
                     self.update_holder(index, &held.function, held.fencing_token, |holder, now| {
                         holder.withdraw(now, ticket)
                     });
                 }
             }
-            AwaitedStep::Forwarded => {
+            AwaitedStep::ForwardResult => {
                 if let Some(host) = pending.forwarded_to.clone() {
                     self.send_withdrawal(index, number, &host);
                 }
--- a/testing/fleet/src/synthetic/daemons/forwarding.rs
+++ b/testing/fleet/src/synthetic/daemons/forwarding.rs
@@ -27,7 +27,7 @@
     ) {
         match event {
             RequestEvent::Lookup(generation) => self.handle_lookup_timer(request, generation),
-            RequestEvent::AcquireTimedOut => self.advance(request, AwaitedStep::Acquired),
+            RequestEvent::AcquireTimedOut => self.advance(request, AwaitedStep::AcquireResult),
             RequestEvent::HopDone(frame) => self.handle_hop_done(request, &frame),
             RequestEvent::Forwarded(result) => self.forwarded(request, result),
         }
@@ -175,9 +175,11 @@
     }
 
     pub(super) fn served(&mut self, request: RequestKey, outcome: RequestOutcome) {
-        self.step(request, AwaitedStep::Outcome, |forwarding, agent, now| {
-            forwarding.handle_local_outcome(agent, now, outcome)
-        });
+        self.step(
+            request,
+            AwaitedStep::LocalOutcome,
+            |forwarding, agent, now| forwarding.handle_local_outcome(agent, now, outcome),
+        );
     }
 
     /// Forwards a request to another daemon.
@@ -238,9 +240,11 @@
     }
 
     fn forwarded(&mut self, request: RequestKey, result: ForwardResult) {
-        self.step(request, AwaitedStep::Forwarded, |forwarding, agent, now| {
-            forwarding.handle_forward_result(agent, now, result)
-        });
+        self.step(
+            request,
+            AwaitedStep::ForwardResult,
+            |forwarding, agent, now| forwarding.handle_forward_result(agent, now, result),
+        );
     }
 
     /// Returns the outcome of a request to its caller, or to the daemon that forwarded it.
@@ -321,9 +325,13 @@
         };
         for number in started_daemon.acquires.remove(function).unwrap_or_default() {
             let request = RequestKey { daemon, number };
-            self.step(request, AwaitedStep::Acquired, |forwarding, agent, now| {
-                forwarding.handle_acquire_result(agent, now, result.clone())
-            });
+            self.step(
+                request,
+                AwaitedStep::AcquireResult,
+                |forwarding, agent, now| {
+                    forwarding.handle_acquire_result(agent, now, result.clone())
+                },
+            );
         }
     }
 }
@@ -331,9 +339,9 @@
 /// Returns the step that a request waits for after this one.
 fn awaited_after(step: &ForwardingStep<u64>) -> AwaitedStep {
     match step {
-        ForwardingStep::Serve(..) => AwaitedStep::Outcome,
-        ForwardingStep::Forward { .. } => AwaitedStep::Forwarded,
-        ForwardingStep::Acquire { .. } => AwaitedStep::Acquired,
+        ForwardingStep::Serve(..) => AwaitedStep::LocalOutcome,
+        ForwardingStep::Forward { .. } => AwaitedStep::ForwardResult,
+        ForwardingStep::Acquire { .. } => AwaitedStep::AcquireResult,
         ForwardingStep::Wait { .. } | ForwardingStep::End(..) => AwaitedStep::Lookup,
     }
 }
--- a/testing/fleet/src/synthetic/members.rs
+++ b/testing/fleet/src/synthetic/members.rs
@@ -47,10 +47,14 @@
 /// The step that a pending request waits for.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub(super) enum AwaitedStep {
+    /// The next lookup of the function's lease holder.
     Lookup,
-    Outcome,
-    Forwarded,
-    Acquired,
+    /// The outcome from a lease holder in this daemon.
+    LocalOutcome,
+    /// The result of forwarding it to another daemon.
+    ForwardResult,
+    /// The leader's reply to the acquisition of the function's lease.
+    AcquireResult,
 }
 
 /// A pending request in a daemon.
