--- a/testing/fleet/src/sim/daemon/outputs.rs
+++ b/testing/fleet/src/sim/daemon/outputs.rs
@@ -59,8 +59,8 @@
             DaemonControlOutput::Acquired {
                 function, result, ..
             } => {
-                self.count_acquired(result.as_ref());
-                self.acquired(index, &function, result);
+                self.count_acquire_result(result.as_ref());
+                self.handle_acquire_result(index, &function, result);
             }
             DaemonControlOutput::AcquisitionsLost => {
                 let Some(process) = &mut self.nodes.daemon_mut(index).process else {
@@ -68,7 +68,7 @@
                 };
                 let waiting = std::mem::take(&mut process.acquires);
                 for function in waiting.into_keys() {
-                    self.acquired(index, &function, None);
+                    self.handle_acquire_result(index, &function, None);
                 }
             }
             DaemonControlOutput::Changed => self.look_up_all(index),
@@ -91,7 +91,7 @@
             .check_installed(self.queue.now(), index, incarnation, version);
     }
 
-    pub(in crate::sim) fn count_acquired(&mut self, result: Option<&AcquireResult>) {
+    pub(in crate::sim) fn count_acquire_result(&mut self, result: Option<&AcquireResult>) {
         self.record.count_event(match result {
             Some(AcquireResult::Granted { .. }) => "acquired: granted",
             Some(AcquireResult::HeldBy { .. }) => "acquired: owner",
@@ -210,7 +210,8 @@
         }
     }
 
-    pub(in crate::sim) fn acquired(
+    /// Passes the leader's reply to all requests that wait for the function's lease; none if the reply was lost.
+    pub(in crate::sim) fn handle_acquire_result(
         &mut self,
         index: usize,
         function: &FunctionKey,
--- a/testing/fleet/src/sim/daemon/requests.rs
+++ b/testing/fleet/src/sim/daemon/requests.rs
@@ -214,7 +214,7 @@
             };
             process.pending_requests.insert(new_number, pending);
             self.record.count_event("passes to the gone");
-            self.forwarded(index, new_number, ForwardResult::Lost);
+            self.handle_forward_result(index, new_number, ForwardResult::Lost);
         }
     }
 
@@ -395,10 +395,16 @@
         {
             pending.regional_delay_deciseconds = regional_delay_deciseconds;
         }
-        self.forwarded(index, number, result);
+        self.handle_forward_result(index, number, result);
     }
 
-    pub(in crate::sim) fn forwarded(&mut self, index: usize, number: u64, result: ForwardResult) {
+    /// Passes the result of forwarding to a request that waits for it.
+    pub(in crate::sim) fn handle_forward_result(
+        &mut self,
+        index: usize,
+        number: u64,
+        result: ForwardResult,
+    ) {
         self.step(
             index,
             number,
--- a/testing/fleet/src/synthetic/daemons/control.rs
+++ b/testing/fleet/src/synthetic/daemons/control.rs
@@ -184,14 +184,14 @@
             DaemonControlOutput::Acquired {
                 function, result, ..
             } => {
-                self.acquired(daemon, &function, &result);
+                self.handle_acquire_result(daemon, &function, &result);
             }
             DaemonControlOutput::AcquisitionsLost => {
                 let Some(started_daemon) = &mut self.daemons[daemon] else {
                     return;
                 };
                 for function in std::mem::take(&mut started_daemon.acquires).into_keys() {
-                    self.acquired(daemon, &function, &None);
+                    self.handle_acquire_result(daemon, &function, &None);
                 }
             }
             DaemonControlOutput::Changed => self.look_up_all(daemon),
--- a/testing/fleet/src/synthetic/daemons/forwarding.rs
+++ b/testing/fleet/src/synthetic/daemons/forwarding.rs
@@ -29,7 +29,7 @@
             RequestEvent::Lookup(generation) => self.handle_lookup_timer(request, generation),
             RequestEvent::AcquireTimedOut => self.advance(request, AwaitedStep::AcquireResult),
             RequestEvent::HopDone(frame) => self.handle_hop_done(request, &frame),
-            RequestEvent::Forwarded(result) => self.forwarded(request, result),
+            RequestEvent::Forwarded(result) => self.handle_forward_result(request, result),
         }
     }
 
@@ -170,11 +170,11 @@
         self.drive(daemon, held, outputs);
         self.tick_for_holder(daemon, held);
         if let Some((number, outcome)) = immediate_outcome {
-            self.served(RequestKey { daemon, number }, outcome);
+            self.handle_local_outcome(RequestKey { daemon, number }, outcome);
         }
     }
 
-    pub(super) fn served(&mut self, request: RequestKey, outcome: RequestOutcome) {
+    pub(super) fn handle_local_outcome(&mut self, request: RequestKey, outcome: RequestOutcome) {
         self.step(
             request,
             AwaitedStep::LocalOutcome,
@@ -235,11 +235,11 @@
         } = frame.body
         {
             let result = ForwardResult::Completed(outcome, holder.0.into_iter().next());
-            self.forwarded(request, result);
+            self.handle_forward_result(request, result);
         }
     }
 
-    fn forwarded(&mut self, request: RequestKey, result: ForwardResult) {
+    fn handle_forward_result(&mut self, request: RequestKey, result: ForwardResult) {
         self.step(
             request,
             AwaitedStep::ForwardResult,
@@ -314,7 +314,7 @@
     }
 
     /// Passes the leader's reply to all requests that wait for the function's lease.
-    pub(super) fn acquired(
+    pub(super) fn handle_acquire_result(
         &mut self,
         daemon: usize,
         function: &FunctionKey,
--- a/testing/fleet/src/synthetic/daemons/holder.rs
+++ b/testing/fleet/src/synthetic/daemons/holder.rs
@@ -145,7 +145,7 @@
             HolderOutput::End { ticket, outcome } => {
                 if let Some(number) = held.remove_waiter(ticket) {
                     let daemon = holder_key.daemon;
-                    self.served(RequestKey { daemon, number }, outcome);
+                    self.handle_local_outcome(RequestKey { daemon, number }, outcome);
                 }
             }
             HolderOutput::Start {
