--- a/testing/fleet/src/sim/daemon/mod.rs
+++ b/testing/fleet/src/sim/daemon/mod.rs
@@ -83,8 +83,8 @@
     pub(in crate::sim) agent: Arc<Agent<u64>>,
     control: DaemonControl<u64>,
     pending_requests: BTreeMap<u64, PendingRequest>,
-    /// The numbers of the requests that wait for the result of acquiring a lease of the function.
-    acquires: BTreeMap<FunctionKey, Vec<u64>>,
+    /// The numbers of the requests that wait for a lease, by function.
+    awaiting_lease: BTreeMap<FunctionKey, Vec<u64>>,
     /// The number of the link to a controller that it currently uses.
     link: Option<u64>,
     shutdown: Option<GracefulShutdown>,
@@ -229,7 +229,7 @@
             agent,
             control,
             pending_requests: BTreeMap::new(),
-            acquires: BTreeMap::new(),
+            awaiting_lease: BTreeMap::new(),
             link: None,
             shutdown: None,
             is_disturbed: false,
--- a/testing/fleet/src/sim/daemon/outputs.rs
+++ b/testing/fleet/src/sim/daemon/outputs.rs
@@ -66,7 +66,7 @@
                 let Some(process) = &mut self.nodes.daemon_mut(index).process else {
                     return;
                 };
-                let waiting = std::mem::take(&mut process.acquires);
+                let waiting = std::mem::take(&mut process.awaiting_lease);
                 for function in waiting.into_keys() {
                     self.handle_acquire_result(index, &function, None);
                 }
@@ -220,7 +220,7 @@
         let Some(process) = &mut self.nodes.daemon_mut(index).process else {
             return;
         };
-        for number in process.acquires.remove(function).unwrap_or_default() {
+        for number in process.awaiting_lease.remove(function).unwrap_or_default() {
             self.step(
                 index,
                 number,
--- a/testing/fleet/src/sim/daemon/requests.rs
+++ b/testing/fleet/src/sim/daemon/requests.rs
@@ -320,7 +320,7 @@
             .request()
             .function
             .clone();
-        let waiting = process.acquires.entry(function.clone()).or_default();
+        let waiting = process.awaiting_lease.entry(function.clone()).or_default();
         waiting.push(number);
         if waiting.len() == 1 {
             self.update_control(index, |control, agent, now| {
--- a/testing/fleet/src/synthetic/daemons/control.rs
+++ b/testing/fleet/src/synthetic/daemons/control.rs
@@ -78,7 +78,7 @@
             agent,
             daemon_control,
             pending_requests: HashMap::new(),
-            acquires: BTreeMap::new(),
+            awaiting_lease: BTreeMap::new(),
             link: None,
             heartbeats_received: 0,
             due: self.now,
@@ -190,7 +190,7 @@
                 let Some(started_daemon) = &mut self.daemons[daemon] else {
                     return;
                 };
-                for function in std::mem::take(&mut started_daemon.acquires).into_keys() {
+                for function in std::mem::take(&mut started_daemon.awaiting_lease).into_keys() {
                     self.handle_acquire_result(daemon, &function, &None);
                 }
             }
--- a/testing/fleet/src/synthetic/daemons/forwarding.rs
+++ b/testing/fleet/src/synthetic/daemons/forwarding.rs
@@ -304,7 +304,10 @@
             return;
         };
         let function = pending.forwarding.request().function.clone();
-        let waiting = started_daemon.acquires.entry(function.clone()).or_default();
+        let waiting = started_daemon
+            .awaiting_lease
+            .entry(function.clone())
+            .or_default();
         waiting.push(number);
         if waiting.len() == 1 {
             self.step_control(daemon, Work::Leases, |daemon_control, agent, now| {
@@ -323,7 +326,11 @@
         let Some(started_daemon) = &mut self.daemons[daemon] else {
             return;
         };
-        for number in started_daemon.acquires.remove(function).unwrap_or_default() {
+        for number in started_daemon
+            .awaiting_lease
+            .remove(function)
+            .unwrap_or_default()
+        {
             let request = RequestKey { daemon, number };
             self.step(
                 request,
--- a/testing/fleet/src/synthetic/members.rs
+++ b/testing/fleet/src/synthetic/members.rs
@@ -37,7 +37,7 @@
     pub daemon_control: DaemonControl<u64>,
     pub pending_requests: HashMap<u64, PendingRequest>,
     /// The numbers of the requests that wait for a lease, by function.
-    pub acquires: BTreeMap<FunctionKey, Vec<u64>>,
+    pub awaiting_lease: BTreeMap<FunctionKey, Vec<u64>>,
     pub link: Option<usize>,
     pub heartbeats_received: u64,
     /// The time of its next tick.
--- a/testing/fleet/src/synthetic/run.rs
+++ b/testing/fleet/src/synthetic/run.rs
@@ -139,10 +139,10 @@
         agent,
         daemon_control,
         pending_requests,
-        acquires,
+        awaiting_lease,
         ..
     } = daemon;
-    drop((pending_requests, acquires));
+    drop((pending_requests, awaiting_lease));
     let bytes_before = memory::live_bytes();
     agent.replace_held_functions(HeldFunctions::new());
     agent.forget_closing();
