--- a/testing/fleet/src/sim/daemon/outputs.rs
+++ b/testing/fleet/src/sim/daemon/outputs.rs
@@ -75,7 +75,7 @@
             DaemonControlOutput::Installed(version) => self.check_install(index, version),
             DaemonControlOutput::LogEvent(event, detail) => {
                 if event == common::events::LEASE_GRANTED {
-                    self.check_granted(index);
+                    self.check_new_leases(index);
                 }
                 self.record.trace(self.queue.now(), || {
                     format!("daemon {index} {event} {detail}")
@@ -173,7 +173,7 @@
 
     /// Checks the new function leases of a daemon: no other daemon may serve the function, and all of its running
     /// runners must have been adopted.
-    pub(in crate::sim) fn check_granted(&mut self, index: usize) {
+    pub(in crate::sim) fn check_new_leases(&mut self, index: usize) {
         let Some(agent) = self.nodes.agent(index) else {
             return;
         };
