--- a/testing/fleet/src/sim/daemon/requests.rs
+++ b/testing/fleet/src/sim/daemon/requests.rs
@@ -14,6 +14,7 @@
 use std::time::Duration;
 
 impl Simulation {
+    /// Draws the delay of a message to the platform or a runner, which is occasionally much longer than usual.
     pub(in crate::sim) fn occasionally_long_delay(&mut self) -> Duration {
         if self.rng.random_bool(0.02) {
             self.rng
@@ -218,6 +219,7 @@
         }
     }
 
+    /// Passes an input to a request if it waits for this input, and executes its next step.
     pub(super) fn step(
         &mut self,
         index: usize,
@@ -264,10 +266,13 @@
             }
             ForwardingStep::Acquire { wait_until } => self.acquire(index, number, wait_until),
             ForwardingStep::Wait { wait_until } => self.schedule_lookup(index, wait_until, number),
-            ForwardingStep::End(outcome, holder) => self.end(index, number, outcome, holder),
+            ForwardingStep::End(outcome, holder) => {
+                self.end_request(index, number, outcome, holder)
+            }
         }
     }
 
+    /// Passes a request to a lease holder in this daemon.
     pub(in crate::sim) fn serve(
         &mut self,
         index: usize,
@@ -303,6 +308,7 @@
         }
     }
 
+    /// Requests the function's lease from the leader, unless another request for the function has done so.
     pub(in crate::sim) fn acquire(&mut self, index: usize, number: u64, wait_until: MonotonicTime) {
         let node = self.nodes.daemon(index).node;
         let incarnation = self.nodes.daemon(index).incarnation;
@@ -329,6 +335,7 @@
         }
     }
 
+    /// Forwards a request to another daemon.
     pub(in crate::sim) fn forward(
         &mut self,
         index: usize,
@@ -413,7 +420,8 @@
         );
     }
 
-    pub(in crate::sim) fn end(
+    /// Returns the outcome of a request to its caller, or to the daemon that forwarded it.
+    pub(in crate::sim) fn end_request(
         &mut self,
         index: usize,
         number: u64,
@@ -436,7 +444,7 @@
                     &outcome,
                     regional_delay_deciseconds,
                 );
-                self.answer_caller(pending.forwarding.request(), &outcome);
+                self.deliver_outcome(pending.forwarding.request(), &outcome);
             }
             ReplyTarget::Hop {
                 node: reply_node,
@@ -504,7 +512,8 @@
         }
     }
 
-    pub(in crate::sim) fn answer_caller(
+    /// Checks and counts the outcome that a caller receives. After a refusal, the caller may retry.
+    pub(in crate::sim) fn deliver_outcome(
         &mut self,
         request: &FunctionRequest,
         outcome: &RequestOutcome,
--- a/testing/fleet/src/sim/daemon/shutdown.rs
+++ b/testing/fleet/src/sim/daemon/shutdown.rs
@@ -183,7 +183,7 @@
             self.checks
                 .check_not_left_waiting(self.queue.now(), index, &idempotency_key);
         }
-        self.end(index, number, outcome, holder);
+        self.end_request(index, number, outcome, holder);
     }
 
     /// Whether the daemon to which a request was forwarded runs undisturbed and is connected with this one in both
--- a/testing/fleet/src/synthetic/daemons/forwarding.rs
+++ b/testing/fleet/src/synthetic/daemons/forwarding.rs
@@ -135,7 +135,7 @@
             } => self.forward(request, &host, body, wait_until),
             ForwardingStep::Acquire { wait_until } => self.acquire(request, wait_until),
             ForwardingStep::Wait { wait_until } => self.wait(request, wait_until),
-            ForwardingStep::End(outcome, holder) => self.end(request, outcome, holder),
+            ForwardingStep::End(outcome, holder) => self.end_request(request, outcome, holder),
         }
     }
 
@@ -248,7 +248,7 @@
     }
 
     /// Returns the outcome of a request to its caller, or to the daemon that forwarded it.
-    fn end(&mut self, request: RequestKey, outcome: RequestOutcome, holder: Option<Host>) {
+    fn end_request(&mut self, request: RequestKey, outcome: RequestOutcome, holder: Option<Host>) {
         let Some(started_daemon) = &mut self.daemons[request.daemon] else {
             return;
         };
