--- a/testing/fleet/src/sim/connections.rs
+++ b/testing/fleet/src/sim/connections.rs
@@ -100,7 +100,7 @@
     }
 
     /// Delivers a daemon's frame to the controller.
-    pub(super) fn deliver_up(&mut self, number: u64, frame: DaemonToLeader) {
+    pub(super) fn deliver_to_controller(&mut self, number: u64, frame: DaemonToLeader) {
         let Some(link) = self.links.get_unbroken(number) else {
             return;
         };
@@ -109,7 +109,7 @@
     }
 
     /// Delivers a controller's frame to the daemon, if it still uses the link.
-    pub(super) fn deliver_down(&mut self, number: u64, frame: LeaderToDaemon) {
+    pub(super) fn deliver_to_daemon(&mut self, number: u64, frame: LeaderToDaemon) {
         let Some(link) = self.links.get_unbroken(number) else {
             return;
         };
--- a/testing/fleet/src/sim/controller.rs
+++ b/testing/fleet/src/sim/controller.rs
@@ -246,7 +246,7 @@
                 }
             }
             ControllerOutput::Write(ticket, job) => self.begin_write(index, ticket, job),
-            ControllerOutput::FrameToDaemon(stream, frame) => self.send_down(stream, frame),
+            ControllerOutput::FrameToDaemon(stream, frame) => self.send_to_daemon(stream, frame),
             ControllerOutput::CloseStream(stream) => self.close_link(stream.0),
             ControllerOutput::RequestLists => self.read_lists(index),
             ControllerOutput::StopRunner(order) => {
@@ -347,7 +347,8 @@
         self.unsynced.complete(index, job);
     }
 
-    fn send_down(&mut self, stream: StreamId, frame: LeaderToDaemon) {
+    /// Sends a frame to the daemon at the other end of a link.
+    fn send_to_daemon(&mut self, stream: StreamId, frame: LeaderToDaemon) {
         let Some(link) = self.links.get(stream.0) else {
             return;
         };
--- a/testing/fleet/src/sim/daemon/outputs.rs
+++ b/testing/fleet/src/sim/daemon/outputs.rs
@@ -34,7 +34,7 @@
                     self.close_link(link);
                 }
             }
-            DaemonControlOutput::SendFrame(frame) => self.send_up(index, frame),
+            DaemonControlOutput::SendFrame(frame) => self.send_to_controller(index, frame),
             DaemonControlOutput::HeartbeatDatagram(heartbeat, to_addresses) => {
                 for to in to_addresses {
                     let Some(to_node) = self.nodes.node_at(to) else {
@@ -101,7 +101,8 @@
         });
     }
 
-    pub(in crate::sim) fn send_up(&mut self, index: usize, frame: DaemonToLeader) {
+    /// Sends a frame to the controller on the daemon's current link.
+    pub(in crate::sim) fn send_to_controller(&mut self, index: usize, frame: DaemonToLeader) {
         let Some(process) = &self.nodes.daemon(index).process else {
             return;
         };
--- a/testing/fleet/src/sim/dispatch.rs
+++ b/testing/fleet/src/sim/dispatch.rs
@@ -72,8 +72,10 @@
     fn handle_link_event(&mut self, event: LinkEvent) {
         match event {
             LinkEvent::Dialed(number) => self.handle_dialed(number),
-            LinkEvent::FrameToController(number, frame) => self.deliver_up(number, frame),
-            LinkEvent::FrameToDaemon(number, frame) => self.deliver_down(number, frame),
+            LinkEvent::FrameToController(number, frame) => {
+                self.deliver_to_controller(number, frame)
+            }
+            LinkEvent::FrameToDaemon(number, frame) => self.deliver_to_daemon(number, frame),
             LinkEvent::LinkLost(number, node) => {
                 if node.is_controller() {
                     self.step_controller(node.0, ControllerInput::StreamLost(StreamId(number)));
