--- a/testing/fleet/src/sim/controller.rs
+++ b/testing/fleet/src/sim/controller.rs
@@ -5,6 +5,7 @@
 use super::disk::{SimDisk, UnsyncedWrite};
 use super::event::{ControllerEvent, Event, LinkEvent, OperatorEvent, PlatformEvent};
 use super::flaw::Flaw;
+use super::links::TO_DAEMON_STREAMS;
 use super::network::{Node, PLATFORM, Requester};
 use super::simulation::Simulation;
 use common::clock::MonotonicTime;
@@ -236,10 +237,10 @@
                     self.forge_approval(index, to_node, &frame);
                 }
                 if self.network.reaches(node, to_node) && !self.rng.random_bool(0.001) {
-                    let key = (node, to_node);
+                    let event_stream = (node, to_node);
                     let delay = self.network.delay(&mut self.rng);
                     self.queue.push_in_order(
-                        key,
+                        event_stream,
                         delay,
                         ControllerEvent::ConsensusFrame(to_node, frame),
                     );
@@ -375,9 +376,12 @@
             _ => {}
         }
         let delay = self.network.delay(&mut self.rng);
-        let key = (Node(2_000_000 + stream.0 as usize), to);
-        self.queue
-            .push_in_order(key, delay, LinkEvent::FrameToDaemon(stream.0, frame));
+        let event_stream = (Node(TO_DAEMON_STREAMS + stream.0 as usize), to);
+        self.queue.push_in_order(
+            event_stream,
+            delay,
+            LinkEvent::FrameToDaemon(stream.0, frame),
+        );
     }
 
     pub(super) fn poll_platform(&mut self, index: usize) {
--- a/testing/fleet/src/sim/daemon/outputs.rs
+++ b/testing/fleet/src/sim/daemon/outputs.rs
@@ -2,6 +2,7 @@
 
 use super::AwaitedStep;
 use crate::sim::event::{DaemonEvent, LinkEvent};
+use crate::sim::links::TO_CONTROLLER_STREAMS;
 use crate::sim::network::Node;
 use crate::sim::simulation::Simulation;
 use common::frames::{AcquireResult, DaemonToLeader};
@@ -120,9 +121,9 @@
             self.record.count_event("acquisitions");
         }
         let delay = self.network.delay(&mut self.rng);
-        let key = (Node(1_000_000 + link as usize), to);
+        let stream = (Node(TO_CONTROLLER_STREAMS + link as usize), to);
         self.queue
-            .push_in_order(key, delay, LinkEvent::FrameToController(link, frame));
+            .push_in_order(stream, delay, LinkEvent::FrameToController(link, frame));
     }
 
     /// Checks that each runner instance is used by at most one running lease holder.
--- a/testing/fleet/src/sim/links.rs
+++ b/testing/fleet/src/sim/links.rs
@@ -3,6 +3,12 @@
 use super::network::Node;
 use std::collections::HashMap;
 
+/// Added to the number of a link, these give the nodes that stand for the link as a sender in
+/// [`EventQueue::push_in_order`](super::event_queue::EventQueue::push_in_order): each direction of each link is a stream
+/// of its own. The offsets are larger than the numbers of all nodes and links.
+pub(super) const TO_CONTROLLER_STREAMS: usize = 1_000_000;
+pub(super) const TO_DAEMON_STREAMS: usize = 2_000_000;
+
 /// A link between a daemon and a controller, over which they exchange frames.
 pub(super) struct Link {
     pub daemon: Node,
