--- a/testing/fleet/src/sim/faults.rs
+++ b/testing/fleet/src/sim/faults.rs
@@ -434,7 +434,7 @@
     fn crash_random_worker(&mut self) {
         let worker_index = self.random_worker_index();
         let worker = self.platform.worker_name(worker_index);
-        self.platform.crash(&worker);
+        self.platform.crash_worker(&worker);
     }
 
     fn lose_random_runner(&mut self) {
@@ -455,7 +455,7 @@
 
     fn drain_random_worker(&mut self, duration: Duration) {
         let worker_index = self.random_worker_index();
-        self.platform.drain(self.queue.now(), worker_index);
+        self.platform.drain_worker(self.queue.now(), worker_index);
         self.queue.push(
             Duration::from_secs(5) + duration,
             PlatformEvent::EndWorkerDrains,
--- a/testing/fleet/src/sim/platform.rs
+++ b/testing/fleet/src/sim/platform.rs
@@ -191,7 +191,7 @@
     }
 
     /// Stops all runners of a worker.
-    pub(crate) fn crash(&mut self, worker: &WorkerName) {
+    pub(crate) fn crash_worker(&mut self, worker: &WorkerName) {
         let lost_runners: Vec<RunnerId> = self
             .runners
             .iter()
@@ -280,7 +280,7 @@
             .extract_if(.., |listed| listed.zone == *zone)
             .collect();
         for removed_worker in &removed_workers {
-            self.crash(&removed_worker.worker);
+            self.crash_worker(&removed_worker.worker);
         }
         removed_workers
     }
@@ -293,7 +293,7 @@
     }
 
     /// Starts to drain a worker.
-    pub(crate) fn drain(&mut self, now: MonotonicTime, index: usize) {
+    pub(crate) fn drain_worker(&mut self, now: MonotonicTime, index: usize) {
         let listed = &mut self.workers[index];
         listed.draining = true;
         self.draining_since
