--- a/testing/fleet/src/sim/platform.rs
+++ b/testing/fleet/src/sim/platform.rs
@@ -44,16 +44,19 @@
     /// The runners that are running.
     runners: BTreeMap<RunnerId, SimRunner>,
     /// The ids of runners that were stopped.
-    ended: BTreeSet<RunnerId>,
+    stopped: BTreeSet<RunnerId>,
     /// The delay of the lists of runners and workers.
     list_delay: Duration,
+    /// The running runner at each address.
     listening: BTreeMap<SocketAddress, RunnerId>,
     by_instance: BTreeMap<InstanceId, RunnerId>,
     instance_count: u64,
+    /// The addresses of stopped runners, which are reused before new ones.
     free_addresses: Vec<SocketAddress>,
     address_count: u16,
     /// When each leaving runner announced that it is leaving.
     leaving_since: BTreeMap<RunnerId, MonotonicTime>,
+    /// The snapshots of the lists, each with its time, from the one that is currently visible to the newest.
     listed_snapshots: VecDeque<(MonotonicTime, Vec<ListedRunner>, Vec<ListedWorker>)>,
 }
 
@@ -72,7 +75,7 @@
             workers,
             draining_since: BTreeMap::new(),
             runners: BTreeMap::new(),
-            ended: BTreeSet::new(),
+            stopped: BTreeSet::new(),
             list_delay: DEFAULT_LIST_DELAY,
             listening: BTreeMap::new(),
             by_instance: BTreeMap::new(),
@@ -142,7 +145,7 @@
         if let Some(sim_runner) = self.runners.get(&runner) {
             return StartOutcome::Started(sim_runner.instance.clone());
         }
-        if self.ended.contains(&runner) {
+        if self.stopped.contains(&runner) {
             return StartOutcome::Rejected;
         }
         if self.zone_of(&started.worker).is_none() {
@@ -172,8 +175,8 @@
     pub(crate) fn stop_instance(&mut self, runner: RunnerId, instance: Option<&InstanceId>) {
         match instance {
             Some(instance) => {
-                if let Some(key) = self.by_instance.get(instance).copied() {
-                    self.stop(key);
+                if let Some(started_as) = self.by_instance.get(instance).copied() {
+                    self.stop(started_as);
                 }
             }
             None => self.stop(runner),
@@ -187,7 +190,7 @@
             self.listening.remove(&sim_runner.instance.address);
             self.free_addresses.push(sim_runner.instance.address);
         }
-        self.ended.insert(runner);
+        self.stopped.insert(runner);
     }
 
     /// Stops all runners of a worker.
@@ -240,7 +243,7 @@
 
     /// Whether the runner with this id is running or was stopped.
     pub(crate) fn is_known_runner(&self, runner: RunnerId) -> bool {
-        self.ended.contains(&runner) || self.runners.contains_key(&runner)
+        self.stopped.contains(&runner) || self.runners.contains_key(&runner)
     }
 
     /// Returns when a worker began to drain, if it is draining.
