--- a/testing/fleet/src/sim/runners.rs
+++ b/testing/fleet/src/sim/runners.rs
@@ -27,7 +27,7 @@
     pub fencing_token: FencingToken,
     pub ticket: Ticket,
     pub target_runner: RunnerId,
-    pub call: RunnerAttempt,
+    pub runner_attempt: RunnerAttempt,
 }
 
 /// The state of a runner when it started a request.
@@ -58,6 +58,7 @@
 }
 
 impl Simulation {
+    /// Sends a request of a lease holder to a runner, unless the runner has stopped or the daemon may no longer send.
     pub(super) fn send_to_runner(
         &mut self,
         index: usize,
@@ -86,14 +87,14 @@
             );
             return;
         };
-        let call = held
+        let runner_attempt = held
             .holder_request(ticket)
             .ok_or(common::frames::RequestFailureReason::NotServing)
             .and_then(|holder_request| {
                 agent.runner_attempt(local_now, held, &holder_request, runner, attempt)
             });
-        match call {
-            Ok(call) => {
+        match runner_attempt {
+            Ok(runner_attempt) => {
                 agent.check_sent_under_lease(local_now);
                 let run = SimRun {
                     requester,
@@ -101,7 +102,7 @@
                     fencing_token,
                     ticket,
                     target_runner: target.self_reported_id,
-                    call,
+                    runner_attempt,
                 };
                 self.send_run(index, &target.instance, runner_address, run);
             }
@@ -133,7 +134,7 @@
     fn check_send(&mut self, index: usize, instance: &InstanceId, run: &SimRun) {
         let (function, fencing_token) = (&run.function, run.fencing_token);
         if !self.is_daemon_serving(index) {
-            let idempotency_key = &run.call.idempotency_key;
+            let idempotency_key = &run.runner_attempt.idempotency_key;
             let what = format!("daemon {index} sends {idempotency_key} outside its session lease");
             self.checks.report_violation(self.queue.now(), what);
         }
@@ -159,7 +160,7 @@
         };
         self.record.trace(self.queue.now(), || {
             let daemon = run.requester.node.daemon_index();
-            let idempotency_key = &run.call.idempotency_key;
+            let idempotency_key = &run.runner_attempt.idempotency_key;
             format!("run {idempotency_key} on {runner} for daemon {daemon}")
         });
         self.check_admitted_run(runner, &run, &admitted);
@@ -177,7 +178,7 @@
             self.end_send(run, result);
             return None;
         };
-        if run.call.runner.is_some() && run.target_runner != runner {
+        if run.runner_attempt.runner.is_some() && run.target_runner != runner {
             self.record.count_event("another runner at the address");
             self.end_send(run, SendResult::Lost);
             return None;
@@ -187,7 +188,7 @@
 
     /// Starts a request on a runner, unless requests of an earlier lease holder occupy its slots.
     fn admit_run(&mut self, runner: RunnerId, run: &SimRun) -> Option<AdmittedRun> {
-        let idempotency_key = &run.call.idempotency_key;
+        let idempotency_key = &run.runner_attempt.idempotency_key;
         let sim_runner = self.platform.runner_mut(runner)?;
         let slots = sim_runner.slots;
         let same_holder_count = sim_runner
@@ -243,8 +244,8 @@
         }
         self.checks.check_run(
             now,
-            &run.call.idempotency_key,
-            run.call.attempt,
+            &run.runner_attempt.idempotency_key,
+            run.runner_attempt.attempt,
             &admitted.function,
             run.fencing_token,
         );
@@ -269,7 +270,7 @@
             Duration::from_millis(longest),
         );
         if fault == RunnerFault::Rejected {
-            let idempotency_key = &run.call.idempotency_key;
+            let idempotency_key = &run.runner_attempt.idempotency_key;
             self.checks.record_not_run(idempotency_key);
             self.reject_by_runner(&run, runner, idempotency_key);
             if let Some(sim_runner) = self.platform.runner_mut(runner) {
@@ -291,7 +292,7 @@
     ) {
         let answer_body = b"no".to_vec();
         let answer_seal = seal::seal(idempotency_key, &run.function, runner, true, &answer_body);
-        self.answer_send(run, runner, idempotency_key, answer_seal, true, answer_body);
+        self.end_send_with_response(run, runner, idempotency_key, answer_seal, true, answer_body);
     }
 
     fn random_runner_fault(&mut self) -> RunnerFault {
@@ -310,8 +311,9 @@
         all[self.rng.below(all.len() as u64) as usize]
     }
 
+    /// Ends a request on a runner and sends the response, changed by the fault that was chosen for it.
     pub(super) fn finish_run(&mut self, runner: RunnerId, run: SimRun, fault_code: u8) {
-        let idempotency_key = run.call.idempotency_key.clone();
+        let idempotency_key = run.runner_attempt.idempotency_key.clone();
         let Some(sim_runner) = self.platform.runner_mut(runner) else {
             if fault_code != RunnerFault::ConnectionBroken as u8 {
                 self.end_send(&run, SendResult::Lost);
@@ -356,11 +358,11 @@
         {
             sim_runner.answered += 1;
         }
-        self.answer_send(&run, runner, &sealed_key, answer_seal, false, answer_body);
+        self.end_send_with_response(&run, runner, &sealed_key, answer_seal, false, answer_body);
     }
 
-    /// Verifies a response as the daemon does, and ends the send with the result.
-    fn answer_send(
+    /// Ends a send with a runner's response, which is first verified as the daemon does it.
+    fn end_send_with_response(
         &mut self,
         run: &SimRun,
         runner: RunnerId,
@@ -390,7 +392,7 @@
             body: body.into(),
         };
         let rules = self.plan.rules();
-        let requested_key = &run.call.idempotency_key;
+        let requested_key = &run.runner_attempt.idempotency_key;
         let result = verify_response(
             rules,
             requested_key,
