--- a/testing/fleet/src/sim/daemon/shutdown.rs
+++ b/testing/fleet/src/sim/daemon/shutdown.rs
@@ -21,7 +21,7 @@
     schedule: ShutdownSchedule,
     phase: ShutdownPhase,
     /// Whether the process is exiting and only its last frames are still sent.
-    has_exited: bool,
+    is_exiting: bool,
 }
 
 impl GracefulShutdown {
@@ -29,7 +29,7 @@
         Self {
             schedule: ShutdownSchedule::new(now, GRACE),
             phase: ShutdownPhase::Finishing,
-            has_exited: false,
+            is_exiting: false,
         }
     }
 }
@@ -61,7 +61,7 @@
         let Some(shutdown) = process
             .shutdown
             .as_mut()
-            .filter(|shutdown| !shutdown.has_exited)
+            .filter(|shutdown| !shutdown.is_exiting)
         else {
             return;
         };
@@ -161,8 +161,8 @@
         }
     }
 
-    /// Ends a request that is left when its daemon is about to exit. One that no runner has had must have been
-    /// withdrawn before, unless its lease holder could not be notified.
+    /// Ends a request that is left when its daemon is about to exit. If no runner has received the request, it must have
+    /// been withdrawn before, unless its lease holder could not be notified.
     fn end_unfinished(&mut self, index: usize, number: u64) {
         let Some(process) = &self.nodes.daemon(index).process else {
             return;
@@ -237,7 +237,7 @@
             .as_mut()
             .and_then(|process| process.shutdown.as_mut())
         {
-            shutdown.has_exited = true;
+            shutdown.is_exiting = true;
         }
         self.queue.push(
             LAST_FRAMES_TIME,
