--- a/testing/fleet/src/sim/daemon/holders.rs
+++ b/testing/fleet/src/sim/daemon/holders.rs
@@ -78,12 +78,11 @@
                 runner,
                 address: runner_address,
             } => {
-                let is_ready =
-                    self.platform
-                        .runner_at(runner_address)
-                        .is_some_and(|(there, held)| {
-                            there == runner && self.queue.now() >= held.ready_at
-                        });
+                let is_ready = self.platform.runner_at(runner_address).is_some_and(
+                    |(listening_runner, sim_runner)| {
+                        listening_runner == runner && self.queue.now() >= sim_runner.ready_at
+                    },
+                );
                 let delay = self.network.delay(&mut self.rng);
                 self.queue.push(
                     delay,
@@ -98,8 +97,8 @@
                 let running = self
                     .platform
                     .runner_at(runner_address)
-                    .filter(|(there, _)| *there == self_reported_id)
-                    .map(|(_, held)| held.running.keys().cloned().collect());
+                    .filter(|(listening_runner, _)| *listening_runner == self_reported_id)
+                    .map(|(_, sim_runner)| sim_runner.running.keys().cloned().collect());
                 let delay = self.network.delay(&mut self.rng);
                 self.queue.push(
                     delay,
