--- a/testing/fleet/src/sim/simulation.rs
+++ b/testing/fleet/src/sim/simulation.rs
@@ -193,6 +193,7 @@
         }
     }
 
+    /// Returns the process that handles an event on a link, as [`Event::target`] does for other events.
     fn link_target(&self, event: &Event) -> Option<(Node, Option<u64>)> {
         match event {
             Event::Link(LinkEvent::Dialed(number))
@@ -211,7 +212,7 @@
 
     /// Whether some leader grants leases, is not frozen, and can exchange messages with the platform and every daemon.
     pub(super) fn is_control_plane_healthy(&self) -> bool {
-        let is_awake = |node: Node| !self.frozen.contains(node, self.queue.now());
+        let is_frozen = |node: Node| self.frozen.contains(node, self.queue.now());
         let reaches_all = |node: Node| {
             self.nodes
                 .daemons_and_platform()
@@ -219,7 +220,7 @@
         };
         self.nodes.controllers().iter().any(|controller| {
             controller.is_granting_leader()
-                && is_awake(controller.node)
+                && !is_frozen(controller.node)
                 && reaches_all(controller.node)
         })
     }
