--- a/testing/fleet/src/sim/runners.rs
+++ b/testing/fleet/src/sim/runners.rs
@@ -361,7 +361,7 @@
         self.end_send_with_response(&run, runner, &sealed_key, answer_seal, false, answer_body);
     }
 
-    /// Ends a send with a runner's response, which is first verified as the daemon does it.
+    /// Ends a send with a runner's response, which is first verified as the daemon does.
     fn end_send_with_response(
         &mut self,
         run: &SimRun,
--- a/testing/fleet/src/synthetic/daemons/holder.rs
+++ b/testing/fleet/src/synthetic/daemons/holder.rs
@@ -57,11 +57,11 @@
     ) {
         match event {
             HolderEvent::Message(message) => self.handle_holder_message(holder_key, message),
-            HolderEvent::RunDone {
+            HolderEvent::RunFinished {
                 ticket,
                 runner,
                 runner_attempt,
-            } => self.run_done(holder_key, ticket, runner, &runner_attempt),
+            } => self.handle_run_finished(holder_key, ticket, runner, &runner_attempt),
             HolderEvent::Input(input) => {
                 self.apply(&holder_key, input.work(), |holder, now| {
                     input.apply(holder, now)
@@ -240,14 +240,14 @@
                 let work_span = self
                     .rng
                     .within(Duration::from_millis(10), Duration::from_millis(40));
-                let run_done = HolderEvent::RunDone {
+                let run_finished = HolderEvent::RunFinished {
                     ticket,
                     runner: self_reported_id,
                     runner_attempt: Box::new(runner_attempt),
                 };
                 self.push(
                     RUNNER_LATENCY + work_span,
-                    Event::Holder(holder_key, run_done),
+                    Event::Holder(holder_key, run_finished),
                 );
             }
             Err(reason) => {
@@ -257,8 +257,8 @@
         }
     }
 
-    /// Handles a runner's answer at the lease holder.
-    fn run_done(
+    /// Creates and verifies the answer of a runner that has finished a run, and queues the result for the lease holder.
+    fn handle_run_finished(
         &mut self,
         holder_key: HolderKey,
         ticket: Ticket,
--- a/testing/fleet/src/synthetic/events.rs
+++ b/testing/fleet/src/synthetic/events.rs
@@ -114,7 +114,7 @@
     /// A message from its state machine to its daemon.
     Message(HolderMessage),
     /// A runner has finished a run.
-    RunDone {
+    RunFinished {
         ticket: Ticket,
         runner: RunnerId,
         runner_attempt: Box<RunnerAttempt>,
