--- a/testing/fleet/src/synthetic/daemons/forwarding.rs
+++ b/testing/fleet/src/synthetic/daemons/forwarding.rs
@@ -28,7 +28,7 @@
         match event {
             RequestEvent::Lookup(generation) => self.handle_lookup_timer(request, generation),
             RequestEvent::AcquireTimedOut => self.advance(request, AwaitedStep::AcquireResult),
-            RequestEvent::HopDone(frame) => self.handle_hop_done(request, &frame),
+            RequestEvent::ForwardReply(frame) => self.handle_forward_reply(request, &frame),
             RequestEvent::Forwarded(result) => self.handle_forward_result(request, result),
         }
     }
@@ -134,12 +134,13 @@
                 wait_until,
             } => self.forward(request, &host, body, wait_until),
             ForwardingStep::Acquire { wait_until } => self.acquire(request, wait_until),
-            ForwardingStep::Wait { wait_until } => self.wait(request, wait_until),
+            ForwardingStep::Wait { wait_until } => self.schedule_lookup(request, wait_until),
             ForwardingStep::End(outcome, holder) => self.end_request(request, outcome, holder),
         }
     }
 
-    fn wait(&mut self, request: RequestKey, wait_until: MonotonicTime) {
+    /// Sets the timer of a request's next lookup. Earlier timers are then ignored.
+    fn schedule_lookup(&mut self, request: RequestKey, wait_until: MonotonicTime) {
         let Some(pending) = self.pending_request(request) else {
             return;
         };
@@ -152,6 +153,7 @@
         );
     }
 
+    /// Passes a request to a lease holder in this daemon.
     fn serve(
         &mut self,
         request: RequestKey,
@@ -226,7 +228,8 @@
         }
     }
 
-    fn handle_hop_done(&mut self, request: RequestKey, bytes: &Bytes) {
+    /// Handles the reply of the daemon to which a request was forwarded.
+    fn handle_forward_reply(&mut self, request: RequestKey, bytes: &Bytes) {
         let Some(frame) = self.decode_hop(bytes) else {
             return;
         };
@@ -285,7 +288,7 @@
         let delay = Self::message_delay(daemon, requester.daemon);
         self.push(
             delay,
-            Event::Request(requester, RequestEvent::HopDone(bytes)),
+            Event::Request(requester, RequestEvent::ForwardReply(bytes)),
         );
     }
 
--- a/testing/fleet/src/synthetic/events.rs
+++ b/testing/fleet/src/synthetic/events.rs
@@ -103,9 +103,11 @@
 pub(super) enum RequestEvent {
     /// The request repeats its lookup, unless its timer generation is no longer this one.
     Lookup(u64),
+    /// The wait for the leader's reply to an acquire times out.
     AcquireTimedOut,
-    /// The other daemon's reply arrives.
-    HopDone(Bytes),
+    /// The reply of the daemon to which the request was forwarded arrives.
+    ForwardReply(Bytes),
+    /// Forwarding the request ends without a reply.
     Forwarded(ForwardResult),
 }
 
