--- a/testing/fleet/src/synthetic/daemons/control.rs
+++ b/testing/fleet/src/synthetic/daemons/control.rs
@@ -180,7 +180,9 @@
             DaemonControlOutput::HeartbeatDatagram(heartbeat, addresses) => {
                 self.send_heartbeat(daemon, heartbeat, &addresses)
             }
-            DaemonControlOutput::Holder(held, outputs) => self.drive(daemon, &held, outputs),
+            DaemonControlOutput::Holder(held, outputs) => {
+                self.execute_outputs(daemon, &held, outputs)
+            }
             DaemonControlOutput::Acquired {
                 function, result, ..
             } => {
--- a/testing/fleet/src/synthetic/daemons/forwarding.rs
+++ b/testing/fleet/src/synthetic/daemons/forwarding.rs
@@ -169,7 +169,7 @@
             self.meter.measure_step(Role::Holder, Work::Runs, || {
                 held.admit(now, agent.ticket(), holder_request, number)
             });
-        self.drive(daemon, held, outputs);
+        self.execute_outputs(daemon, held, outputs);
         self.tick_for_holder(daemon, held);
         if let Some((number, outcome)) = immediate_outcome {
             self.handle_local_outcome(RequestKey { daemon, number }, outcome);
--- a/testing/fleet/src/synthetic/daemons/holder.rs
+++ b/testing/fleet/src/synthetic/daemons/holder.rs
@@ -63,7 +63,7 @@
                 runner_attempt,
             } => self.handle_run_finished(holder_key, ticket, runner, &runner_attempt),
             HolderEvent::Input(input) => {
-                self.apply(&holder_key, input.work(), |holder, now| {
+                self.update_holder(&holder_key, input.work(), |holder, now| {
                     input.apply(holder, now)
                 });
             }
@@ -87,7 +87,7 @@
     }
 
     /// Applies a change to a held function's state machine and executes the outputs.
-    pub(super) fn apply(
+    pub(super) fn update_holder(
         &mut self,
         holder_key: &HolderKey,
         work: Work,
@@ -104,12 +104,12 @@
         let (outputs, _) = self.meter.measure_step(Role::Holder, work, || {
             held.with(|holder| change(holder, now))
         });
-        self.drive(holder_key.daemon, &held, outputs);
+        self.execute_outputs(holder_key.daemon, &held, outputs);
         self.tick_for_holder(holder_key.daemon, &held);
     }
 
     /// Executes the outputs of a held function's state machine.
-    pub(super) fn drive(
+    pub(super) fn execute_outputs(
         &mut self,
         daemon: usize,
         held: &Arc<HeldFunction<u64>>,
--- a/testing/fleet/src/synthetic/daemons/replicas.rs
+++ b/testing/fleet/src/synthetic/daemons/replicas.rs
@@ -95,7 +95,7 @@
             .and_then(|bytes| self.decode_replica_frame(&bytes))
             .map(|frame| frame.body);
         let request_kind = request_key.request_kind;
-        self.apply(&request_key.holder, Work::Replicas, |holder, now| {
+        self.update_holder(&request_key.holder, Work::Replicas, |holder, now| {
             request_kind.handle_reply(holder, now, reply)
         });
     }
