--- a/testing/fleet/src/synthetic/daemons/callers.rs
+++ b/testing/fleet/src/synthetic/daemons/callers.rs
@@ -13,35 +13,38 @@
 use std::time::Duration;
 
 /// The number of functions per second that are called for the first time.
-const FILL_RATE: u64 = 1000;
-const MIN_FILL_SPAN: Duration = Duration::from_millis(500);
-const FILL_INTERVAL: Duration = Duration::from_millis(10);
+const FIRST_CALLS_PER_SECOND: u64 = 1000;
+const MIN_FIRST_CALLS_SPAN: Duration = Duration::from_millis(500);
+const FIRST_CALLS_INTERVAL: Duration = Duration::from_millis(10);
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(3000);
 const REQUEST_BODY: &[u8] = &[b'q'; 256];
 /// The share of calls that are restricted to the busiest twentieth of the functions.
 const BUSY_SHARE: f64 = 0.9;
 
 /// Returns the time span in which every function is called for the first time.
-pub(in crate::synthetic) fn fill_span(size: &SyntheticSize) -> Duration {
-    MIN_FILL_SPAN.max(Duration::from_millis(size.held as u64 * 1000 / FILL_RATE))
+pub(in crate::synthetic) fn first_calls_span(size: &SyntheticSize) -> Duration {
+    MIN_FIRST_CALLS_SPAN.max(Duration::from_millis(
+        size.held as u64 * 1000 / FIRST_CALLS_PER_SECOND,
+    ))
 }
 
 impl SyntheticFleet {
     /// Calls the next functions for the first time, each through a random ingress, until all have been called.
-    pub(in crate::synthetic) fn fill(&mut self) {
-        if self.next_to_fill == 0 {
+    pub(in crate::synthetic) fn send_first_calls(&mut self) {
+        if self.next_first_call == 0 {
             self.record.join_nanos = self.meter.leader_nanos;
         }
-        let batch_count =
-            (fill_span(&self.size).as_millis() / FILL_INTERVAL.as_millis()).max(1) as usize;
+        let batch_count = (first_calls_span(&self.size).as_millis()
+            / FIRST_CALLS_INTERVAL.as_millis())
+        .max(1) as usize;
         let batch_size = self.size.held.div_ceil(batch_count);
-        let until = (self.next_to_fill + batch_size).min(self.size.held);
-        for function in self.next_to_fill..until {
+        let until = (self.next_first_call + batch_size).min(self.size.held);
+        for function in self.next_first_call..until {
             self.call(function);
         }
-        self.next_to_fill = until;
-        if self.next_to_fill < self.size.held {
-            self.push(FILL_INTERVAL, Event::Fill);
+        self.next_first_call = until;
+        if self.next_first_call < self.size.held {
+            self.push(FIRST_CALLS_INTERVAL, Event::FirstCalls);
         }
     }
 
--- a/testing/fleet/src/synthetic/daemons/mod.rs
+++ b/testing/fleet/src/synthetic/daemons/mod.rs
@@ -11,7 +11,7 @@
 mod holder;
 mod replicas;
 
-pub(super) use callers::fill_span;
+pub(super) use callers::first_calls_span;
 
 use common::frames::{DaemonFrame, DaemonMessage};
 use common::identity::CorrelationId;
--- a/testing/fleet/src/synthetic/events.rs
+++ b/testing/fleet/src/synthetic/events.rs
@@ -56,7 +56,7 @@
     /// An event of a request to a ledger replica.
     Replica(ReplicaRequestKey, ReplicaEvent),
     /// The next functions are called for the first time.
-    Fill,
+    FirstCalls,
     /// A caller calls a random function.
     Call,
     /// The measurement starts.
--- a/testing/fleet/src/synthetic/fleet.rs
+++ b/testing/fleet/src/synthetic/fleet.rs
@@ -32,7 +32,7 @@
     pub(super) changes: BTreeMap<OperationTicket, OpenChange>,
     pub(super) change_count: u32,
     /// The number of the next function to call for the first time.
-    pub(super) next_to_fill: usize,
+    pub(super) next_first_call: usize,
     pub(super) record: RunRecord,
     /// The limit of the allocated memory, in bytes.
     pub(super) memory_limit_bytes: u64,
@@ -56,7 +56,7 @@
             pending_replica_requests: HashSet::new(),
             changes: BTreeMap::new(),
             change_count: 0,
-            next_to_fill: 0,
+            next_first_call: 0,
             record: RunRecord::new(&size),
             memory_limit_bytes,
             last_number: 0,
--- a/testing/fleet/src/synthetic/run.rs
+++ b/testing/fleet/src/synthetic/run.rs
@@ -13,7 +13,7 @@
 use std::time::{Duration, Instant};
 
 const DAEMON_START_SPAN: Duration = Duration::from_millis(500);
-const FILL_START: Duration = Duration::from_millis(4500);
+const FIRST_CALLS_START: Duration = Duration::from_millis(4500);
 const SETTLING_TIME: Duration = Duration::from_secs(4);
 /// How long a fleet keeps running after the measurement, so that the last change can come into force.
 const DRAIN_TIME: Duration = Duration::from_millis(800);
@@ -35,13 +35,13 @@
             let starts_at = fleet.rng.within(Duration::ZERO, DAEMON_START_SPAN);
             fleet.push(starts_at, Event::Daemon(daemon, DaemonEvent::Start));
         }
-        fleet.push(FILL_START, Event::Fill);
+        fleet.push(FIRST_CALLS_START, Event::FirstCalls);
         fleet.push(fleet.measurement_start(), Event::OpenMeter);
         Ok(fleet)
     }
 
     fn measurement_start(&self) -> Duration {
-        FILL_START + daemons::fill_span(&self.size) + SETTLING_TIME
+        FIRST_CALLS_START + daemons::first_calls_span(&self.size) + SETTLING_TIME
     }
 
     /// Runs the fleet and returns the record of the run.
@@ -94,7 +94,7 @@
             Event::Request(request, event) => self.handle_request_event(request, event),
             Event::Holder(holder_key, event) => self.handle_holder_event(holder_key, event),
             Event::Replica(request_key, event) => self.handle_replica_event(request_key, event),
-            Event::Fill => self.fill(),
+            Event::FirstCalls => self.send_first_calls(),
             Event::Call => self.send_random_call(),
             Event::OpenMeter => self.open_meter(),
         }
